--- /dev/null
+++ b/internal/batch/store/golden_test.go
@@ -0,0 +1,106 @@
+package store
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"lemonarch/internal/platform/messages"
+	"lemonarch/internal/platform/recordlog"
+)
+
+// goldenRecords are the records of the golden files, of two epochs: one lot that is open,
+// and one that was forgotten.
+var goldenRecords = []messages.Record{
+	{Index: 1, Epoch: 4, Kind: messages.RecordLot, Lot: "old", AtMs: 1_700_000_000_000, Route: "r", Host: "h", Body: []byte("lot old")},
+	{Index: 2, Epoch: 4, Kind: messages.RecordOutput, Lot: "old", Item: "i1", Position: 1, Body: []byte("text"), Acquisition: 3},
+	{Index: 3, Epoch: 4, Kind: messages.RecordEnd, Lot: "old", AtMs: 1_700_000_001_000},
+	{Index: 4, Epoch: 4, Kind: messages.RecordForget, Lot: "old"},
+	{Index: 5, Epoch: 4, Kind: messages.RecordLot, Lot: "new", AtMs: 1_700_000_002_000, Route: "r", Host: "h", Body: []byte("lot new")},
+	{Index: 6, Epoch: 6, Kind: messages.RecordDriver, Host: "10.0.0.5:7661", Body: []byte("driver")},
+	{Index: 7, Epoch: 6, Kind: messages.RecordOutput, Lot: "new", Item: "i1", Position: 1, Body: []byte("packed"), Packed: true, Acquisition: 9},
+	{Index: 8, Epoch: 6, Kind: messages.RecordErr, Lot: "new", Item: "i2", Acquisition: 10},
+}
+
+// writeGoldenReplica has a store take the records in two epochs, the second one after a
+// record that is cut again.
+func writeGoldenReplica(t *testing.T, dir string) *Store {
+	t.Helper()
+	store, err := OpenStore(recordlog.Folder(dir), "disk-1")
+	if err != nil {
+		t.Fatal(err)
+	}
+	appended := func(question *messages.Append) {
+		t.Helper()
+		if answer, err := store.Append(question); err != nil || !answer.Granted {
+			t.Fatal(answer, err)
+		}
+	}
+	if answer, err := store.Raise(&messages.Raise{Epoch: 4, Disk: "disk-1"}); err != nil || !answer.Granted {
+		t.Fatal(answer, err)
+	}
+	cut := messages.Record{Index: 6, Epoch: 4, Kind: messages.RecordEnd, Lot: "new"}
+	appended(&messages.Append{Epoch: 4, Disk: "disk-1", Records: goldenRecords[:3]})
+	appended(&messages.Append{Epoch: 4, Disk: "disk-1", PreviousIndex: 3, PreviousEpoch: 4, Records: append(goldenRecords[3:5:5], cut), Done: 3})
+	appended(&messages.Append{Epoch: 6, Disk: "disk-1", PreviousIndex: 5, PreviousEpoch: 4, Records: goldenRecords[5:], Done: 5})
+	return store
+}
+
+func sameAsGolden(t *testing.T, path, golden string) {
+	t.Helper()
+	written, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want, err := os.ReadFile(filepath.Join("testdata", golden))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(written, want) {
+		t.Errorf("%s: %d bytes differ from the %d of %s", filepath.Base(path), len(written), len(want), golden)
+	}
+}
+
+// TestGoldenReplicaFile has the replica's file written and rewritten to the bytes that an
+// earlier version wrote, and read, also with a torn tail.
+func TestGoldenReplicaFile(t *testing.T) {
+	dir := t.TempDir()
+	store := writeGoldenReplica(t, dir)
+	sameAsGolden(t, filepath.Join(dir, "replica"), "replica-appended")
+	if err := store.compact(5); err != nil {
+		t.Fatal(err)
+	}
+	sameAsGolden(t, filepath.Join(dir, "replica"), "replica-rewritten")
+
+	for _, file := range []struct {
+		golden     string
+		torn       int
+		last, base int64
+	}{
+		{"replica-appended", 0, 8, 0},
+		{"replica-rewritten", 0, 8, 5},
+		{"replica-appended", 3, 7, 0},
+	} {
+		text, err := os.ReadFile(filepath.Join("testdata", file.golden))
+		if err != nil {
+			t.Fatal(err)
+		}
+		dir := t.TempDir()
+		if err = os.WriteFile(filepath.Join(dir, "replica"), text[:len(text)-file.torn], 0o644); err != nil {
+			t.Fatal(err)
+		}
+		store, err := OpenStore(recordlog.Folder(dir), "other")
+		if err != nil {
+			t.Fatal(file.golden, err)
+		}
+		extent := store.Extent()
+		if store.Disk() != "disk-1" || extent.Last != file.last || extent.Base != file.base || store.EpochAt(5) != 4 || store.EpochAt(6) != 6 {
+			t.Errorf("%s less %d bytes: disk %s, extent %+v", file.golden, file.torn, store.Disk(), extent)
+		}
+		record, err := store.Read(7)
+		if err != nil || string(record.Body) != "packed" || record.Acquisition != 9 {
+			t.Errorf("%s less %d bytes: record 7 is %+v, %v", file.golden, file.torn, record, err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/control/quorum/golden_test.go
@@ -0,0 +1,157 @@
+package quorum
+
+import (
+	"bytes"
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"lemonarch/internal/control/register"
+	"lemonarch/internal/platform/messages"
+	"lemonarch/internal/platform/recordlog"
+)
+
+// goldenFirst is the acceptor set of the golden files.
+var goldenFirst = []messages.Member{{Name: "a", Address: "10.0.0.1:7660", Disk: "first", Zone: "north"}}
+
+// goldenVersions is how many versions the golden files went through, and goldenChunks how
+// many chunks their archive holds.
+const (
+	goldenVersions = 70
+	goldenChunks   = 4
+)
+
+// writeGolden has an acceptor take goldenVersions versions one after the other.
+func writeGolden(t *testing.T, dir string) *Register {
+	t.Helper()
+	replica, err := Open(recordlog.Folder(dir), goldenFirst, "first")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for generation := int64(1); generation <= goldenVersions; generation++ {
+		ballot := messages.Ballot{Counter: uint64(generation), Node: "a"}
+		if _, err = replica.Prepare(&messages.Prepare{Ballot: ballot, Disk: "first"}); err != nil {
+			t.Fatal(err)
+		}
+		version := messages.Version{Generation: generation, Base: generation - 1, Hash: fmt.Sprint("h", generation)}
+		var result register.Result
+		value, _ := register.Replace(version, fmt.Appendf(nil, "body %d", generation), &result)(replica.Record().Value)
+		if answer, err := replica.Accept(&messages.Accept{Ballot: ballot, Disk: "first", Value: value}); err != nil || !answer.Granted {
+			t.Fatal(answer, err)
+		}
+	}
+	return replica
+}
+
+// copyGolden copies a golden file into a folder, less some bytes at its end.
+func copyGolden(t *testing.T, golden, dir, name string, less int) {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", golden))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err = os.WriteFile(filepath.Join(dir, name), text[:len(text)-less], 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func sameAsGolden(t *testing.T, path, golden string) {
+	t.Helper()
+	written, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want, err := os.ReadFile(filepath.Join("testdata", golden))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(written, want) {
+		t.Errorf("%s: %d bytes differ from the %d of %s", filepath.Base(path), len(written), len(want), golden)
+	}
+}
+
+// TestGoldenRegisterFile has the acceptor's file written and rewritten to the bytes that
+// an earlier version wrote, and read, also with a torn tail.
+func TestGoldenRegisterFile(t *testing.T) {
+	dir := t.TempDir()
+	replica := writeGolden(t, dir)
+	sameAsGolden(t, filepath.Join(dir, "register"), "register-appended")
+	record := replica.Record()
+	body, err := record.MarshalMsg(nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := replica.logfile.Rewrite(recordlog.Once(body)); err != nil {
+		t.Fatal(err)
+	}
+	sameAsGolden(t, filepath.Join(dir, "register"), "register-rewritten")
+
+	for _, file := range []struct {
+		golden     string
+		torn       int
+		generation int64
+		counter    uint64
+	}{
+		{"register-appended", 0, goldenVersions, goldenVersions},
+		{"register-rewritten", 0, goldenVersions, goldenVersions},
+		// The last record is the second round of the last version: its first round stands.
+		{"register-appended", 3, goldenVersions - 1, goldenVersions},
+	} {
+		t.Run(fmt.Sprint(file.golden, " less ", file.torn), func(t *testing.T) {
+			dir := t.TempDir()
+			copyGolden(t, file.golden, dir, "register", file.torn)
+			copyGolden(t, "register-taken-appended", dir, "register-taken", 0)
+			replica, err := Open(recordlog.Folder(dir), nil, "other")
+			if err != nil {
+				t.Fatal(err)
+			}
+			record := replica.Record()
+			if record.Disk != "first" || record.Value.Current.Generation != file.generation || record.Promised.Counter != file.counter {
+				t.Errorf("read disk %s, generation %d, ballot %d", record.Disk, record.Value.Current.Generation, record.Promised.Counter)
+			}
+		})
+	}
+}
+
+// TestGoldenArchiveFile does the same for the archive of versions taken. The day in its
+// chunks is that of the writing, so the chunks are read and written again.
+func TestGoldenArchiveFile(t *testing.T) {
+	for _, golden := range []string{"register-taken-appended", "register-taken-rewritten"} {
+		t.Run(golden, func(t *testing.T) {
+			dir := t.TempDir()
+			copyGolden(t, golden, dir, "register-taken", 0)
+			archive, err := openArchive(recordlog.Folder(dir), "register-taken")
+			if err != nil {
+				t.Fatal(err)
+			}
+			if archive.held() != goldenChunks {
+				t.Fatalf("%d chunks held", archive.held())
+			}
+			chunks := archive.core.Chunks()
+			if golden == "register-taken-rewritten" {
+				archive.stale = true
+				if err = archive.write(nil); err != nil {
+					t.Fatal(err)
+				}
+			} else {
+				other := t.TempDir()
+				if archive, err = openArchive(recordlog.Folder(other), "register-taken"); err != nil {
+					t.Fatal(err)
+				}
+				for i := range chunks[1:] {
+					if err = archive.write(chunks[i+1 : i+2]); err != nil {
+						t.Fatal(err)
+					}
+				}
+				dir = other
+			}
+			sameAsGolden(t, filepath.Join(dir, "register-taken"), golden)
+		})
+	}
+	dir := t.TempDir()
+	copyGolden(t, "register-taken-appended", dir, "register-taken", 3)
+	if archive, err := openArchive(recordlog.Folder(dir), "register-taken"); err != nil || archive.held() != goldenChunks-1 {
+		t.Errorf("torn tail: %v", err)
+	}
+}
