--- a/cmd/lemonarch/assign_apply.go
+++ b/cmd/lemonarch/assign_apply.go
@@ -56,9 +56,9 @@
 	return nil, nil, coded{exitInvalid, "no controller reads the register of assignments, nothing was changed"}
 }
 
-func (one *endpoint) read() (*messages.PlanTold, error) {
+func (e *endpoint) read() (*messages.PlanTold, error) {
 	told := &messages.PlanTold{}
-	return told, transport.Ask(one.shell.Transport, one.address, messages.KindPlanPull, &messages.PlanPull{Whole: true, Settled: true}, told, constants.BulkCallTime)
+	return told, transport.Ask(e.shell.Transport, e.address, messages.KindPlanPull, &messages.PlanPull{Whole: true, Settled: true}, told, constants.BulkCallTime)
 }
 
 // apply plans on this machine, so that the controllers need no solver for it, and puts rules
--- a/cmd/lemonarch/assign_apply_test.go
+++ b/cmd/lemonarch/assign_apply_test.go
@@ -16,22 +16,22 @@
 )
 
 // oneController is a fleet of one control process on a transport in memory.
-func oneController(test *testing.T) (*transport.Room, *fleetshell.Shell) {
+func oneController(t *testing.T) (*transport.Room, *fleetshell.Shell) {
 	nodeSettings := &settings.Settings{NodeName: "m", Address: "127.0.0.1", Zone: "h", InternalPorts: []int{21100, 21110},
-		Seeds: []string{"127.0.0.1:21000"}, Bootstrap: true, DataDir: test.TempDir(), HeartbeatMs: 1200}
+		Seeds: []string{"127.0.0.1:21000"}, Bootstrap: true, DataDir: t.TempDir(), HeartbeatMs: 1200}
 	process, err := controller.New(nodeSettings, hclog.NewNullLogger())
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	room := transport.NewRoom()
 	address := process.Node.Own.Address
 	process.Node.Wire = room.Transport(address)
 	if err = process.Node.Wire.Serve(process.Node.Handle); err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	shell, err := fleetshell.New(room.Transport("operator"), address, clock.Milliseconds(2000))
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	return room, shell
 }
@@ -47,49 +47,49 @@
 	return out.String(), problems.String(), code, line
 }
 
-func TestApplyThroughAController(test *testing.T) {
-	room, shell := oneController(test)
+func TestApplyThroughAController(t *testing.T) {
+	room, shell := oneController(t)
 	text, _ := os.ReadFile(exampleRules)
 	change := func(pairs ...string) string {
-		return written(test, "rules.toml", strings.NewReplacer(pairs...).Replace(string(text)))
+		return written(t, "rules.toml", strings.NewReplacer(pairs...).Replace(string(text)))
 	}
 	planned, _, _, _ := called(exampleRules)
 	for range 2 {
 		// The same file once more changes nothing.
 		told, note, code, line := applied(shell, exampleRules)
 		if code != 0 || told != planned || note != "in force: revision=1 generation=4 moves=0\n" {
-			test.Fatal(code, line, note, told)
+			t.Fatal(code, line, note, told)
 		}
 	}
 	if _, _, code, line := applied(shell, change("# Which nodes", "# Nodes that")); code != exitInvalid || !strings.Contains(line, "generation is not above") {
-		test.Fatal(code, line)
+		t.Fatal(code, line)
 	}
 	// n3 gives its slot up: the reader has to move, and there is nowhere else.
 	told, _, code, _ := applied(shell, change("generation = 4", "generation = 5", "adapter-slots = 1", "adapter-slots = 0"))
 	if code != exitInvalid || !strings.HasPrefix(told, `{"collisions":[`) {
-		test.Fatal(code, told)
+		t.Fatal(code, told)
 	}
 	// A large node more, first by name: what stands stays all the same.
 	told, note, code, line := applied(shell, change("generation = 4", "generation = 5", `"battery-fault-reader"]`, `"battery-fault-reader"]`+"\n[[nodes]]\nname = \"n0\"\nzone = \"oslo-a\"\nlabels = [\"large\"]\nadapter-slots = 1\n"))
 	if code != 0 || note != "in force: revision=2 generation=5 moves=0\n" || !strings.Contains(told, `"moves":0`) {
-		test.Fatal(code, line, note, told)
+		t.Fatal(code, line, note, told)
 	}
 	var shown bytes.Buffer
 	answers, err := shell.Ask("assignments")
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	fleetshell.Table(&shown, answers)
 	if !strings.Contains(shown.String(), "bookkeeping-classifier") || !strings.Contains(shown.String(), "next-window") {
-		test.Fatal(shown.String())
+		t.Fatal(shown.String())
 	}
 	room.Cut(shell.Seed, true)
 	if _, _, code, line = applied(shell, exampleRules); code != exitUnusable || strings.Contains(line, "\n") {
-		test.Fatal(code, line)
+		t.Fatal(code, line)
 	}
 }
 
-func TestApplyUnusable(test *testing.T) {
+func TestApplyUnusable(t *testing.T) {
 	for name, arguments := range map[string][]string{
 		"no seed":      {"apply", exampleRules},
 		"seed no port": {"apply", exampleRules, "--seed", "nowhere"},
@@ -97,7 +97,7 @@
 		"format":       {"apply", exampleRules, "--seed", "127.0.0.1:1", "--output", "yaml"},
 	} {
 		if told, _, code, line := called(arguments...); code != exitUnusable || told != "" || line == "" || strings.Contains(line, "\n") {
-			test.Errorf("%s: code %d, %q, %q", name, code, told, line)
+			t.Errorf("%s: code %d, %q, %q", name, code, told, line)
 		}
 	}
 }
--- a/cmd/lemonarch/assign_test.go
+++ b/cmd/lemonarch/assign_test.go
@@ -27,59 +27,59 @@
 	return out.String(), problems.String(), code, line
 }
 
-func written(test *testing.T, name, text string) string {
-	path := filepath.Join(test.TempDir(), name)
+func written(t *testing.T, name, text string) string {
+	path := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	return path
 }
 
-func TestAssignAnswers(test *testing.T) {
+func TestAssignAnswers(t *testing.T) {
 	told, complaints, code, _ := called(exampleRules)
 	if code != 0 || complaints != "" || !strings.HasPrefix(told, `{"generation":4,"windows":[{"window":"morning"`) {
-		test.Fatal(code, told, complaints)
+		t.Fatal(code, told, complaints)
 	}
-	earlier := written(test, "earlier.json", told)
+	earlier := written(t, "earlier.json", told)
 	for range 3 {
 		if again, _, _, _ := called(exampleRules, "--output", "json"); again != told {
-			test.Fatal("another answer from the same file", again)
+			t.Fatal("another answer from the same file", again)
 		}
 	}
 	if kept, _, _, _ := called(exampleRules, "--keep", earlier); !strings.Contains(kept, `"moves":0`) {
-		test.Fatal(kept)
+		t.Fatal(kept)
 	}
 	if table, _, _, _ := called(exampleRules, "--keep", earlier, "--output", "table"); !strings.Contains(table, "moves in all: 0") {
-		test.Fatal(table)
+		t.Fatal(table)
 	}
 	if one, _, _, _ := called(exampleRules, "--window", "nightly"); strings.Contains(one, "morning") || !strings.Contains(one, "nightly") {
-		test.Fatal(one)
+		t.Fatal(one)
 	}
 }
 
-func TestAssignRefuses(test *testing.T) {
+func TestAssignRefuses(t *testing.T) {
 	text, _ := os.ReadFile(exampleRules)
-	path := written(test, "rules.toml", strings.Replace(string(text), `name = "n3"`+"\n"+`zone = "oslo-b"`, `name = "n3"`+"\n"+`zone = "oslo-b"`+"\nlabels = [\"large\"]", 1)+
+	path := written(t, "rules.toml", strings.Replace(string(text), `name = "n3"`+"\n"+`zone = "oslo-b"`, `name = "n3"`+"\n"+`zone = "oslo-b"`+"\nlabels = [\"large\"]", 1)+
 		"\n[[rules]]\nname = \"no-second-slot\"\nkind = \"never\"\nadapters = [\"battery-fault-reader\"]\nnodes = [\"n1\", \"n2\", \"n3\"]\n")
 	told, complaints, code, line := called(path)
 	want := `{"collisions":[{"window":"morning","rules":["no-second-slot"],"adapters":["battery-fault-reader"],"nodes":["n1","n2","n3"],"reason":"`
 	if code != exitInvalid || complaints != "" || !strings.HasPrefix(told, want) || strings.Contains(line, "\n") {
-		test.Fatal(code, told, complaints, line)
+		t.Fatal(code, told, complaints, line)
 	}
 	if table, _, code, _ := called(path, "--output", "table"); code != exitInvalid || !strings.Contains(table, "rules:    no-second-slot") {
-		test.Fatal(code, table)
+		t.Fatal(code, table)
 	}
 	// A window that can be met is not held back by one that can't, if asked for alone.
 	if _, _, code, _ = called(path, "--window", "nightly"); code != 0 {
-		test.Fatal(code)
+		t.Fatal(code)
 	}
 }
 
-func TestAssignUnusable(test *testing.T) {
-	invalid := written(test, "invalid.toml", "generation = 1\n[[nodes]]\nname = 'n'\nzone = 'z'\nadapter-slot = 1\n")
+func TestAssignUnusable(t *testing.T) {
+	invalid := written(t, "invalid.toml", "generation = 1\n[[nodes]]\nname = 'n'\nzone = 'z'\nadapter-slot = 1\n")
 	told, complaints, code, _ := called(invalid)
 	if code != exitInvalid || told != "" || !strings.Contains(complaints, "nodes[0].adapter-slot:") || !strings.Contains(complaints, "nodes[0].adapter-slots:") {
-		test.Fatal(code, told, complaints)
+		t.Fatal(code, told, complaints)
 	}
 	for name, arguments := range map[string][]string{
 		"no file":        {},
@@ -92,7 +92,7 @@
 		"keep no answer": {exampleRules, "--keep", invalid},
 	} {
 		if told, _, code, line := called(arguments...); code != exitUnusable || told != "" || line == "" || strings.Contains(line, "\n") {
-			test.Errorf("%s: code %d, %q, %q", name, code, told, line)
+			t.Errorf("%s: code %d, %q, %q", name, code, told, line)
 		}
 	}
 }
--- a/cmd/lemonarch/lots.go
+++ b/cmd/lemonarch/lots.go
@@ -40,23 +40,23 @@
 }
 
 // run gives a client and a context that ends with the limit or a signal.
-func (flags *lotFlags) run(function func(until contexts.Context, client *lotclient.Client) error) error {
-	if len(flags.edges) == 0 {
+func (l *lotFlags) run(function func(until contexts.Context, client *lotclient.Client) error) error {
+	if len(l.edges) == 0 {
 		return coded{exitUnusable, "--edge is missing"}
 	}
-	for _, edge := range flags.edges {
+	for _, edge := range l.edges {
 		if _, _, err := net.SplitHostPort(edge); err != nil {
 			return coded{exitUnusable, "--edge: " + strconv.Quote(edge) + " is no host:port"}
 		}
 	}
-	if flags.limit <= 0 {
+	if l.limit <= 0 {
 		return coded{exitUnusable, "--limit must be above 0"}
 	}
-	limited, release := contexts.Timed(contexts.Background(), flags.limit)
+	limited, release := contexts.Timed(contexts.Background(), l.limit)
 	defer release()
 	until, halt := signal.NotifyContext(limited, syscall.SIGINT, syscall.SIGTERM)
 	defer halt()
-	err := function(until, &lotclient.Client{Edges: flags.edges, Host: flags.host})
+	err := function(until, &lotclient.Client{Edges: l.edges, Host: l.host})
 	if err != nil {
 		var known coded
 		if errors.As(err, &known) {
--- a/cmd/lemonarch/main.go
+++ b/cmd/lemonarch/main.go
@@ -23,7 +23,7 @@
 	text string
 }
 
-func (one coded) Error() string { return one.text }
+func (c coded) Error() string { return c.text }
 
 // rootCommand gathers all subcommands.
 func rootCommand() *cobra.Command {
--- a/cmd/lemonarch/version_test.go
+++ b/cmd/lemonarch/version_test.go
@@ -7,29 +7,29 @@
 	"testing"
 )
 
-func TestVersionNamesTheBuild(test *testing.T) {
+func TestVersionNamesTheBuild(t *testing.T) {
 	info := &debug.BuildInfo{GoVersion: "go1.26", Settings: []debug.BuildSetting{
 		{Key: "vcs.revision", Value: "0123456789abcdef"}, {Key: "vcs.modified", Value: "true"}}}
 	if got := version(info, true); got != "(devel) 0123456789ab changed go1.26" {
-		test.Fatal(got)
+		t.Fatal(got)
 	}
 	if got := version(&debug.BuildInfo{GoVersion: "go1.26"}, true); got != "(devel) go1.26" {
-		test.Fatal(got)
+		t.Fatal(got)
 	}
 	if version(nil, false) == "" {
-		test.Fatal("says nothing")
+		t.Fatal("says nothing")
 	}
 }
 
 // The flag prints one line with the program's name and asks nothing of anybody.
-func TestVersionFlag(test *testing.T) {
+func TestVersionFlag(t *testing.T) {
 	root, written := rootCommand(), &bytes.Buffer{}
 	root.SetOut(written)
 	root.SetArgs([]string{"--version"})
 	if err := root.Execute(); err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	if text := written.String(); !strings.HasPrefix(text, "lemonarch ") || strings.Count(text, "\n") != 1 || !strings.Contains(text, "go1.") {
-		test.Fatalf("%q", text)
+		t.Fatalf("%q", text)
 	}
 }
--- a/internal/batch/itemdriver/itemdriver.go
+++ b/internal/batch/itemdriver/itemdriver.go
@@ -27,10 +27,10 @@
 }
 
 // Moved notes that a task's stream brought events.
-func (task *Task) Moved(now clock.Moment) { task.moved = now }
+func (t *Task) Moved(now clock.Moment) { t.moved = now }
 
 // Stopped tells whether the run may go on no more.
-func (task *Task) Stopped() bool { return task.stopped }
+func (t *Task) Stopped() bool { return t.stopped }
 
 // Runner keeps the tasks of one process.
 type Runner struct {
@@ -45,42 +45,42 @@
 func New() *Runner { return &Runner{tasks: map[uint64]*Task{}} }
 
 // Count is how many tasks there are; waiting is how many of them have no place yet.
-func (runner *Runner) Count() (all, waiting int) {
-	for _, task := range runner.tasks {
+func (r *Runner) Count() (all, waiting int) {
+	for _, task := range r.tasks {
 		if !task.Begun {
 			waiting++
 		}
 	}
-	return len(runner.tasks), waiting
+	return len(r.tasks), waiting
 }
 
 // Take adds what the dispatcher handed out to a question asked at a moment. The
 // lock is reckoned from the asking and the time that the question was held, so it
 // ends here no later than at the dispatcher, however late the answer came.
-func (runner *Runner) Take(answer *messages.Acquired, asked, now clock.Moment) []*Task {
+func (r *Runner) Take(answer *messages.Acquired, asked, now clock.Moment) []*Task {
 	until := asked.Plus(clock.Milliseconds(answer.HeldMs + answer.LockMs)).Plus(-constants.LockMargin)
 	var taken []*Task
 	for place := range answer.Items {
 		one := &answer.Items[place]
-		if runner.tasks[one.Number] != nil || now >= until || lots.EpochOf(one.Number) < runner.fence {
+		if r.tasks[one.Number] != nil || now >= until || lots.EpochOf(one.Number) < r.fence {
 			continue
 		}
 		lot := &lots.Lot{ID: one.Lot, Host: one.Host, Path: one.Path, SentMs: one.SentMs}
 		item := &lots.Item{LotItem: one.Item, Lot: lot, Pieces: one.Pieces, LastID: one.LastID, Displaced: one.Displaced, Owed: one.Owed}
 		task := &Task{Number: one.Number, Item: item, Run: item.Begin(), Since: now, until: until, moved: now}
-		runner.tasks[task.Number] = task
+		r.tasks[task.Number] = task
 		taken = append(taken, task)
 	}
 	return taken
 }
 
 // May tells whether a task may be sent to a worker or go on there at this moment.
-func (task *Task) May(now clock.Moment) bool { return !task.stopped && now < task.until }
+func (t *Task) May(now clock.Moment) bool { return !t.stopped && now < t.until }
 
 // All gives the tasks in order, so that no history depends on chance.
-func (runner *Runner) All() []*Task {
-	tasks := make([]*Task, 0, len(runner.tasks))
-	for _, task := range runner.tasks {
+func (r *Runner) All() []*Task {
+	tasks := make([]*Task, 0, len(r.tasks))
+	for _, task := range r.tasks {
 		tasks = append(tasks, task)
 	}
 	sort.Slice(tasks, func(left, right int) bool { return tasks[left].Number < tasks[right].Number })
@@ -89,13 +89,13 @@
 
 // Fence says that a holder of an epoch is told all that is held here: answers of
 // earlier holders that are still on their way are not taken any more.
-func (runner *Runner) Fence(epoch uint64) { runner.fence = max(runner.fence, epoch) }
+func (r *Runner) Fence(epoch uint64) { r.fence = max(r.fence, epoch) }
 
 // Renewals asks for locks to run anew, in one message: of all that brings events, or
 // may still be waiting for its first. Anything else is left to lapse.
-func (runner *Runner) Renewals(now clock.Moment) []messages.Acknowledgement {
+func (r *Runner) Renewals(now clock.Moment) []messages.Acknowledgement {
 	var entries []messages.Acknowledgement
-	for _, task := range runner.All() {
+	for _, task := range r.All() {
 		if task.May(now) && now.Since(task.moved) < constants.RenewPatience {
 			entries = append(entries, messages.Acknowledgement{Kind: messages.AckRenew, Number: task.Number, Lot: task.Item.Lot.ID, Item: task.Item.ID})
 		}
@@ -105,10 +105,10 @@
 
 // Renewed takes the verdicts on renewals that were asked at a moment, and names the
 // runs that have to stop.
-func (runner *Runner) Renewed(entries []messages.Acknowledgement, verdicts []messages.AckVerdict, asked clock.Moment, lock clock.Span) []*Task {
+func (r *Runner) Renewed(entries []messages.Acknowledgement, verdicts []messages.AckVerdict, asked clock.Moment, lock clock.Span) []*Task {
 	var stopped []*Task
 	for place := range entries {
-		task := runner.tasks[entries[place].Number]
+		task := r.tasks[entries[place].Number]
 		if task == nil || place >= len(verdicts) {
 			continue
 		}
@@ -116,7 +116,7 @@
 		case messages.AckRenewed:
 			task.until = max(task.until, asked.Plus(lock-constants.LockMargin))
 		case messages.AckStopped, messages.AckTerminal:
-			stopped = append(stopped, runner.Stop(task)...)
+			stopped = append(stopped, r.Stop(task)...)
 		}
 	}
 	return stopped
@@ -124,29 +124,29 @@
 
 // Lapsed names the runs whose lock is about to end unrenewed: they stop, so that
 // the next driver's run is the only one.
-func (runner *Runner) Lapsed(now clock.Moment) []*Task {
+func (r *Runner) Lapsed(now clock.Moment) []*Task {
 	var stopped []*Task
-	for _, task := range runner.All() {
+	for _, task := range r.All() {
 		if now >= task.until {
-			stopped = append(stopped, runner.Stop(task)...)
+			stopped = append(stopped, r.Stop(task)...)
 		}
 	}
 	return stopped
 }
 
 // StopLot names the runs of a lot that has ended.
-func (runner *Runner) StopLot(lot string) []*Task {
+func (r *Runner) StopLot(lot string) []*Task {
 	var stopped []*Task
-	for _, task := range runner.All() {
+	for _, task := range r.All() {
 		if task.Item.Lot.ID == lot {
-			stopped = append(stopped, runner.Stop(task)...)
+			stopped = append(stopped, r.Stop(task)...)
 		}
 	}
 	return stopped
 }
 
 // Stop ends a task's run; it names it if it was not stopped before.
-func (runner *Runner) Stop(task *Task) []*Task {
+func (r *Runner) Stop(task *Task) []*Task {
 	if task.stopped {
 		return nil
 	}
@@ -155,18 +155,18 @@
 }
 
 // Done ends a task with its acknowledgement, which is repeated until it is answered.
-func (runner *Runner) Done(task *Task, entry messages.Acknowledgement) {
-	if runner.tasks[task.Number] != task {
+func (r *Runner) Done(task *Task, entry messages.Acknowledgement) {
+	if r.tasks[task.Number] != task {
 		return
 	}
-	delete(runner.tasks, task.Number)
+	delete(r.tasks, task.Number)
 	entry.Number, entry.Lot, entry.Item = task.Number, task.Item.Lot.ID, task.Item.ID
 	if entry.Kind == messages.AckRelease {
 		entry.Pieces, entry.LastID = task.Item.Pieces, task.Item.LastID
 	}
 	if entry.Kind == messages.AckRelease && !entry.Failed {
-		runner.soft.add(entry)
+		r.soft.add(entry)
 		return
 	}
-	runner.durable.add(entry)
+	r.durable.add(entry)
 }
--- a/internal/batch/itemdriver/itemdriver_test.go
+++ b/internal/batch/itemdriver/itemdriver_test.go
@@ -21,39 +21,39 @@
 }
 
 // However late an answer comes, the lock ends here before it does at the dispatcher.
-func TestLockIsReckonedFromTheAsking(test *testing.T) {
+func TestLockIsReckonedFromTheAsking(t *testing.T) {
 	one := New()
 	if tasks := one.Take(given(1), ms(0), ms(2500)); len(tasks) != 0 {
-		test.Fatal("taken after its lock had ended")
+		t.Fatal("taken after its lock had ended")
 	}
 	task := one.Take(given(2), ms(0), ms(2000))[0]
 	end := ms(2500).Plus(-constants.LockMargin)
 	if !task.May(end-1) || task.May(end) || len(one.Lapsed(end-1)) != 0 {
-		test.Fatal("the lock ends at another time")
+		t.Fatal("the lock ends at another time")
 	}
 	if stopped := one.Lapsed(end); len(stopped) != 1 || len(one.Lapsed(end)) != 0 || len(one.Renewals(end)) != 0 {
-		test.Fatal("a lapsed run goes on")
+		t.Fatal("a lapsed run goes on")
 	}
 }
 
-func TestRenewalCountsFromItsAsking(test *testing.T) {
+func TestRenewalCountsFromItsAsking(t *testing.T) {
 	one := New()
 	task := one.Take(given(1), ms(0), ms(500))[0]
 	entries := one.Renewals(ms(1000))
 	one.Renewed(entries, []messages.AckVerdict{messages.AckRenewed}, ms(1000), lock)
 	if !task.May(ms(2800)) || task.May(ms(3000)) {
-		test.Fatal("renewed for another time")
+		t.Fatal("renewed for another time")
 	}
 	if stopped := one.Renewed(entries, []messages.AckVerdict{messages.AckUnknown}, ms(1500), lock); len(stopped) != 0 || task.May(ms(3000)) {
-		test.Fatal("an unclear answer renewed or stopped it")
+		t.Fatal("an unclear answer renewed or stopped it")
 	}
 	if stopped := one.Renewed(entries, []messages.AckVerdict{messages.AckStopped}, ms(1500), lock); len(stopped) != 1 || !task.Stopped() {
-		test.Fatal("not stopped")
+		t.Fatal("not stopped")
 	}
 }
 
 // An acknowledgement is repeated until it is answered, under the same number.
-func TestAcknowledgementsAreRepeated(test *testing.T) {
+func TestAcknowledgementsAreRepeated(t *testing.T) {
 	one := New()
 	for _, task := range one.Take(given(1, 2, 3), ms(0), ms(500)) {
 		kind := messages.AckAccept
@@ -66,31 +66,31 @@
 	}
 	batch := one.Results()
 	if len(batch) != 2 || one.Owing() != 3 {
-		test.Fatal(len(batch), one.Owing())
+		t.Fatal(len(batch), one.Owing())
 	}
 	one.Answered(batch, nil)
 	one.Answered(batch, []messages.AckVerdict{messages.AckUnknown, messages.AckTerminal})
 	if batch = one.Results(); len(batch) != 1 || batch[0].Number != 1 || batch[0].Kind != messages.AckAccept {
-		test.Fatal(batch)
+		t.Fatal(batch)
 	}
 	if back := one.Returns(); len(back) != 1 || back[0].LastID != 1 || len(back[0].Pieces) != 1 {
-		test.Fatal(back)
+		t.Fatal(back)
 	}
 	one.Answered(batch, []messages.AckVerdict{messages.AckTaken})
 	if len(one.Results()) != 0 || one.Owing() != 1 {
-		test.Fatal("answered, and repeated")
+		t.Fatal("answered, and repeated")
 	}
 }
 
-func TestStopOfALot(test *testing.T) {
+func TestStopOfALot(t *testing.T) {
 	one := New()
 	one.Take(given(1, 2), ms(0), ms(500))
 	if len(one.StopLot("other")) != 0 || len(one.StopLot("l")) != 2 || len(one.StopLot("l")) != 0 {
-		test.Fatal("not each run once")
+		t.Fatal("not each run once")
 	}
 }
 
-func TestBatchesAreBounded(test *testing.T) {
+func TestBatchesAreBounded(t *testing.T) {
 	one := New()
 	var numbers []uint64
 	for number := uint64(1); number <= constants.AckEntries+5; number++ {
@@ -100,22 +100,22 @@
 		one.Done(task, messages.Acknowledgement{Kind: messages.AckAccept, Text: make([]byte, 10)})
 	}
 	if len(one.Results()) != constants.AckEntries {
-		test.Fatal(len(one.Results()))
+		t.Fatal(len(one.Results()))
 	}
 }
 
 // Once a later holder was told what is held here, an earlier one's answer is late.
-func TestFence(test *testing.T) {
+func TestFence(t *testing.T) {
 	one := New()
 	one.Take(given(5<<40|1), ms(0), ms(100))
 	one.Fence(6)
 	if len(one.Take(given(5<<40|2), ms(0), ms(100))) != 0 || len(one.Take(given(6<<40|1), ms(0), ms(100))) != 1 || len(one.Renewals(ms(100))) != 2 {
-		test.Fatal("what an earlier holder handed out was taken, or what is held was dropped")
+		t.Fatal("what an earlier holder handed out was taken, or what is held was dropped")
 	}
 }
 
 // A run that hangs is not renewed for ever: its lock lapses, and it is stopped.
-func TestHangingRunsAreNotRenewed(test *testing.T) {
+func TestHangingRunsAreNotRenewed(t *testing.T) {
 	one := New()
 	task := one.Take(given(1), ms(0), ms(0))[0]
 	for at := 500.0; at < 20_000; at += 500 {
@@ -125,11 +125,11 @@
 		}
 		hangs := clock.Milliseconds(at-10_000) >= constants.RenewPatience
 		if (len(entries) == 0) != hangs {
-			test.Fatal("renewed or not at ", at)
+			t.Fatal("renewed or not at ", at)
 		}
 		one.Renewed(entries, []messages.AckVerdict{messages.AckRenewed}, ms(at), lock)
 	}
 	if !task.May(ms(16_000)) || len(one.Lapsed(ms(17_000))) != 1 {
-		test.Fatal("not stopped")
+		t.Fatal("not stopped")
 	}
 }
--- a/internal/batch/lotclient/lotclient.go
+++ b/internal/batch/lotclient/lotclient.go
@@ -76,9 +76,9 @@
 	Pause func(clock.Span)
 }
 
-func (client *Client) pause(span clock.Span) {
-	if client.Pause != nil {
-		client.Pause(span)
+func (c *Client) pause(span clock.Span) {
+	if c.Pause != nil {
+		c.Pause(span)
 		return
 	}
 	clock.Sleep(span)
@@ -90,35 +90,35 @@
 	after  clock.Span
 }
 
-func (client *Client) call(until contexts.Context, method, path string, header map[string]string, body []byte, limit clock.Span) (answer, error) {
+func (c *Client) call(until contexts.Context, method, path string, header map[string]string, body []byte, limit clock.Span) (answer, error) {
 	limited, release := contexts.Timed(until, limit)
 	defer release()
-	edge := client.Edges[client.turn%len(client.Edges)]
+	edge := c.Edges[c.turn%len(c.Edges)]
 	request, err := http.NewRequestWithContext(limited, method, "http://"+edge+path, bytes.NewReader(body))
 	if err != nil {
 		return answer{}, Wrong.Wrap(err, path)
 	}
-	request.Host, request.Close = client.Host, true
+	request.Host, request.Close = c.Host, true
 	for name, value := range header {
 		request.Header.Set(name, value)
 	}
-	transport := client.Transport
+	transport := c.Transport
 	if transport == nil {
 		transport = &http.Transport{DisableKeepAlives: true, DisableCompression: true}
 	}
 	got, err := transport.RoundTrip(request)
 	if err != nil {
-		client.turn++
+		c.turn++
 		return answer{}, Unheard.Wrap(err, edge)
 	}
 	defer got.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(got.Body, constants.LotAnswerLimit))
 	if err != nil {
-		client.turn++
+		c.turn++
 		return answer{}, Unheard.Wrap(err, edge)
 	}
 	if got.StatusCode >= 500 || got.StatusCode == http.StatusTooManyRequests {
-		client.turn++
+		c.turn++
 	}
 	seconds, _ := strconv.ParseFloat(got.Header.Get("Retry-After"), 64)
 	return answer{got.StatusCode, text, clock.Milliseconds(max(seconds, 0) * 1000)}, nil
@@ -126,7 +126,7 @@
 
 // HandIn sends a lot under its id until it is taken or the context ends. What may
 // have been taken is sent again unchanged: the system takes it once.
-func (client *Client) HandIn(until contexts.Context, id, path string, lot Lot) (tries int, err error) {
+func (c *Client) HandIn(until contexts.Context, id, path string, lot Lot) (tries int, err error) {
 	if len(lot.Requests) == 0 || len(lot.Requests) > constants.LotItems {
 		return 0, Wrong.New("a lot holds 1 to " + strconv.Itoa(constants.LotItems) + " items")
 	}
@@ -137,7 +137,7 @@
 	maybe := false
 	for {
 		tries++
-		got, err := client.call(until, http.MethodPost, path, map[string]string{"Lemonarch-Attempt-Id": id, "Content-Type": "application/json"}, body, constants.LotCallTime)
+		got, err := c.call(until, http.MethodPost, path, map[string]string{"Lemonarch-Attempt-Id": id, "Content-Type": "application/json"}, body, constants.LotCallTime)
 		pause := max(got.after, constants.LabRetry)
 		switch {
 		case err != nil:
@@ -153,7 +153,7 @@
 			err = Unheard.New(strconv.Itoa(got.status))
 		}
 		if until.Err() == nil {
-			client.pause(pause)
+			c.pause(pause)
 		}
 		if until.Err() != nil {
 			if maybe {
@@ -166,16 +166,16 @@
 }
 
 // Read gives one page from a position on; hold lets the system wait for an output.
-func (client *Client) Read(until contexts.Context, id string, cursor int, hold clock.Span) (*Page, error) {
+func (c *Client) Read(until contexts.Context, id string, cursor int, hold clock.Span) (*Page, error) {
 	header := map[string]string{}
 	if hold > 0 {
 		header["Lemonarch-Hold-Ms"] = strconv.FormatInt(hold.Milliseconds(), 10)
 	}
-	got, err := client.call(until, http.MethodGet, "/-/lots/"+url.PathEscape(id)+"?page-cursor="+strconv.Itoa(cursor), header, nil, hold+constants.LotReadSlack)
+	got, err := c.call(until, http.MethodGet, "/-/lots/"+url.PathEscape(id)+"?page-cursor="+strconv.Itoa(cursor), header, nil, hold+constants.LotReadSlack)
 	if err != nil {
 		return nil, err
 	}
-	if err = client.clear(got, id); err != nil {
+	if err = c.clear(got, id); err != nil {
 		return nil, err
 	}
 	page := &Page{}
@@ -189,24 +189,24 @@
 }
 
 // End ends a lot; calls may be repeated.
-func (client *Client) End(until contexts.Context, id string) error {
-	got, err := client.call(until, http.MethodDelete, "/-/lots/"+url.PathEscape(id), nil, nil, constants.LotCallTime)
+func (c *Client) End(until contexts.Context, id string) error {
+	got, err := c.call(until, http.MethodDelete, "/-/lots/"+url.PathEscape(id), nil, nil, constants.LotCallTime)
 	if err != nil {
 		return err
 	}
-	return client.clear(got, id)
+	return c.clear(got, id)
 }
 
 // Body gives the body of an item that is not listed yet.
-func (client *Client) Body(until contexts.Context, id, item string) ([]byte, error) {
-	got, err := client.call(until, http.MethodGet, "/-/items/"+url.PathEscape(id)+"?id="+url.QueryEscape(item), nil, nil, constants.LotCallTime)
+func (c *Client) Body(until contexts.Context, id, item string) ([]byte, error) {
+	got, err := c.call(until, http.MethodGet, "/-/items/"+url.PathEscape(id)+"?id="+url.QueryEscape(item), nil, nil, constants.LotCallTime)
 	if err != nil {
 		return nil, err
 	}
-	return got.body, client.clear(got, id)
+	return got.body, c.clear(got, id)
 }
 
-func (client *Client) clear(got answer, id string) error {
+func (c *Client) clear(got answer, id string) error {
 	switch {
 	case got.status == http.StatusOK:
 		return nil
@@ -222,14 +222,14 @@
 func Again(err error) bool { return errs.Of(err, Unheard) }
 
 // Follow reads a lot to its end and hands each page on; from is the first position.
-func (client *Client) Follow(until contexts.Context, id string, from int, each func(page *Page) error) error {
+func (c *Client) Follow(until contexts.Context, id string, from int, each func(page *Page) error) error {
 	for cursor := from; ; {
-		page, err := client.Read(until, id, cursor, time.Second)
+		page, err := c.Read(until, id, cursor, time.Second)
 		if err != nil {
 			if !Again(err) || until.Err() != nil {
 				return err
 			}
-			client.pause(constants.LoadPollPause)
+			c.pause(constants.LoadPollPause)
 			continue
 		}
 		if err = each(page); err != nil {
--- a/internal/batch/lotclient/lotclient_test.go
+++ b/internal/batch/lotclient/lotclient_test.go
@@ -21,14 +21,14 @@
 	hosts []string
 }
 
-func (script *script) RoundTrip(request *http.Request) (*http.Response, error) {
+func (s *script) RoundTrip(request *http.Request) (*http.Response, error) {
 	body, _ := io.ReadAll(request.Body)
-	if script.calls >= len(script.steps) {
-		script.test.Fatal("one call too many", request.Method, request.URL)
+	if s.calls >= len(s.steps) {
+		s.test.Fatal("one call too many", request.Method, request.URL)
 	}
-	step := script.steps[script.calls]
-	script.calls++
-	script.hosts = append(script.hosts, request.URL.Host)
+	step := s.steps[s.calls]
+	s.calls++
+	s.hosts = append(s.hosts, request.URL.Host)
 	status, text := step(request, body)
 	if status == 0 {
 		return nil, io.ErrUnexpectedEOF
@@ -43,61 +43,61 @@
 	return func(*http.Request, []byte) (int, string) { return status, text }
 }
 
-func client(test *testing.T, steps ...func(*http.Request, []byte) (int, string)) (*Client, *script) {
-	play := &script{test: test, steps: steps}
+func client(t *testing.T, steps ...func(*http.Request, []byte) (int, string)) (*Client, *script) {
+	play := &script{test: t, steps: steps}
 	return &Client{Edges: []string{"a:1", "b:1"}, Host: "h", Transport: play, Pause: func(clock.Span) {}}, play
 }
 
 var oneItem = Lot{Requests: []Item{{ID: "i", Path: "/batch/1", Body: []byte{1, 2, 250}, Tokens: 3}}}
 
 // After an unclear answer the same lot goes to another node, unchanged.
-func TestHandInSendsTheSameElsewhere(test *testing.T) {
+func TestHandInSendsTheSameElsewhere(t *testing.T) {
 	var first []byte
-	one, play := client(test,
+	one, play := client(t,
 		func(_ *http.Request, body []byte) (int, string) { first = body; return 0, "" },
 		says(503, ""),
 		func(request *http.Request, body []byte) (int, string) {
 			var lot Lot
 			if string(body) != string(first) || json.Unmarshal(body, &lot) != nil || string(lot.Requests[0].Body) != "\x01\x02\xfa" ||
 				request.Host != "h" || request.Header.Get("Lemonarch-Attempt-Id") != "lot" {
-				test.Error("not the same lot", string(body))
+				t.Error("not the same lot", string(body))
 			}
 			return 202, ""
 		})
 	tries, err := one.HandIn(contexts.Background(), "lot", "/batch/x", oneItem)
 	if err != nil || tries != 3 || play.hosts[0] == play.hosts[1] || play.hosts[1] == play.hosts[2] {
-		test.Fatal(tries, err, play.hosts)
+		t.Fatal(tries, err, play.hosts)
 	}
 }
 
 // Refused means that every try was refused: one unclear answer forbids to say so.
-func TestRefusedOnlyWhereEveryTryWas(test *testing.T) {
+func TestRefusedOnlyWhereEveryTryWas(t *testing.T) {
 	for _, unclear := range []bool{false, true} {
 		until, halt := contexts.Stoppable(contexts.Background())
 		status := 429
 		if unclear {
 			status = 504
 		}
-		one, _ := client(test, says(status, ""), func(*http.Request, []byte) (int, string) { halt(); return 429, "" })
+		one, _ := client(t, says(status, ""), func(*http.Request, []byte) (int, string) { halt(); return 429, "" })
 		_, err := one.HandIn(until, "lot", "/batch/x", oneItem)
 		if errs.Of(err, Refused) == unclear || errs.Of(err, Unheard) != unclear {
-			test.Fatal(unclear, err)
+			t.Fatal(unclear, err)
 		}
 	}
 }
 
-func TestWhatIsWrongIsNotSentAgain(test *testing.T) {
-	one, _ := client(test, says(400, "no"))
+func TestWhatIsWrongIsNotSentAgain(t *testing.T) {
+	one, _ := client(t, says(400, "no"))
 	if _, err := one.HandIn(contexts.Background(), "lot", "/x", oneItem); !errs.Of(err, Wrong) {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	if _, err := one.HandIn(contexts.Background(), "lot", "/x", Lot{}); !errs.Of(err, Wrong) {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 }
 
-func TestFollowReadsToTheEnd(test *testing.T) {
-	one, _ := client(test,
+func TestFollowReadsToTheEnd(t *testing.T) {
+	one, _ := client(t,
 		says(200, `{"sum":2,"next-token":1,"outputs":[{"id":"i","phase":"settled","text":"x"}]}`),
 		says(503, ""),
 		says(200, `{"sum":2,"next-token":1,"outputs":[]}`),
@@ -110,16 +110,16 @@
 		return nil
 	})
 	if err != nil || len(seen) != 2 || seen[1] != "jabandoned" {
-		test.Fatal(err, seen)
+		t.Fatal(err, seen)
 	}
 }
 
-func TestPageThatDoesNotAddUp(test *testing.T) {
-	one, _ := client(test, says(200, `{"sum":2,"next-token":2,"outputs":[{"id":"i","phase":"settled","text":"x"}]}`), says(404, ""))
+func TestPageThatDoesNotAddUp(t *testing.T) {
+	one, _ := client(t, says(200, `{"sum":2,"next-token":2,"outputs":[{"id":"i","phase":"settled","text":"x"}]}`), says(404, ""))
 	if _, err := one.Read(contexts.Background(), "lot", 0, time.Second); !errs.Of(err, Spoilt) {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	if _, err := one.Read(contexts.Background(), "lot", 0, 0); !errs.Of(err, Wrong) {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 }
--- a/internal/batch/lots/account.go
+++ b/internal/batch/lots/account.go
@@ -14,65 +14,65 @@
 // Enter has a driver's life on record in this epoch before it is handed anything, so
 // that a later holder knows who may hold acquisitions. It gives the index of the
 // record while that is not durable, then zero.
-func (dispatcher *Dispatcher) Enter(driver Driver) int64 {
+func (d *Dispatcher) Enter(driver Driver) int64 {
 	one := entrant{driver.Name, driver.Life}
-	if dispatcher.Book.entrants[one] == dispatcher.epoch {
+	if d.Book.entrants[one] == d.epoch {
 		return 0
 	}
-	if index := dispatcher.entering[one]; index > 0 {
+	if index := d.entering[one]; index > 0 {
 		return index
 	}
-	index := dispatcher.Submit(messages.Record{Kind: messages.RecordDriver, Item: driver.Name, AtMs: driver.Life})
-	dispatcher.entering[one] = index
+	index := d.Submit(messages.Record{Kind: messages.RecordDriver, Item: driver.Name, AtMs: driver.Life})
+	d.entering[one] = index
 	return index
 }
 
 // Listed notes that a driver has shown this holder all that it holds, and takes
 // nothing from earlier ones any more. Its entries were taken before.
-func (dispatcher *Dispatcher) Listed(driver Driver, epoch uint64, now clock.Moment) {
-	if epoch == dispatcher.epoch {
-		delete(dispatcher.unheard, entrant{driver.Name, driver.Life})
-		dispatcher.reckon(now)
+func (d *Dispatcher) Listed(driver Driver, epoch uint64, now clock.Moment) {
+	if epoch == d.epoch {
+		delete(d.unheard, entrant{driver.Name, driver.Life})
+		d.reckon(now)
 	}
 }
 
 // outlived notes that a newer life of a driver was heard: the older ones hold nothing.
-func (dispatcher *Dispatcher) outlived(driver Driver, now clock.Moment) {
-	for one := range dispatcher.unheard {
+func (d *Dispatcher) outlived(driver Driver, now clock.Moment) {
+	for one := range d.unheard {
 		if one.name == driver.Name && one.life < driver.Life {
-			delete(dispatcher.unheard, one)
+			delete(d.unheard, one)
 		}
 	}
-	dispatcher.reckon(now)
+	d.reckon(now)
 }
 
 // reckon ends the time in which items are perhaps acquired, once every driver that
 // earlier holders may have handed something is accounted for.
-func (dispatcher *Dispatcher) reckon(now clock.Moment) {
-	if len(dispatcher.unheard) == 0 {
-		dispatcher.unsure = min(dispatcher.unsure, now)
+func (d *Dispatcher) reckon(now clock.Moment) {
+	if len(d.unheard) == 0 {
+		d.unsure = min(d.unsure, now)
 	}
 }
 
 // Sure records, once, that no acquisition of an earlier epoch stands that was not
 // adopted: later holders need not ask after its drivers.
-func (dispatcher *Dispatcher) Sure(now clock.Moment) {
-	if dispatcher.sure || now < dispatcher.unsure {
+func (d *Dispatcher) Sure(now clock.Moment) {
+	if d.sure || now < d.unsure {
 		return
 	}
-	dispatcher.sure = true
-	dispatcher.Submit(messages.Record{Kind: messages.RecordSure})
+	d.sure = true
+	d.Submit(messages.Record{Kind: messages.RecordSure})
 }
 
 // enter and clear are how the book follows them.
-func (book *Book) enter(record *messages.Record) {
-	book.entrants[entrant{record.Item, record.AtMs}] = record.Epoch
+func (b *Book) enter(record *messages.Record) {
+	b.entrants[entrant{record.Item, record.AtMs}] = record.Epoch
 }
 
-func (book *Book) clear(before uint64) {
-	for one, epoch := range book.entrants {
+func (b *Book) clear(before uint64) {
+	for one, epoch := range b.entrants {
 		if epoch < before {
-			delete(book.entrants, one)
+			delete(b.entrants, one)
 		}
 	}
 }
--- a/internal/batch/lots/account_test.go
+++ b/internal/batch/lots/account_test.go
@@ -8,70 +8,70 @@
 
 // A new holder waits for a lock only while a driver that may hold something has not
 // shown it, and has not been outlived.
-func TestDriversAreAccountedFor(test *testing.T) {
-	old := newEndpoint(test, 1, nil, 0)
+func TestDriversAreAccountedFor(t *testing.T) {
+	old := newEndpoint(t, 1, nil, 0)
 	old.lot("l", "a", "b", "c")
 	given := old.take("x", 1, ms(1))
 	old.take("y", 1, ms(1))
-	next := newEndpoint(test, 2, old.records, ms(100))
+	next := newEndpoint(t, 2, old.records, ms(100))
 	// Word for an earlier holder, or of another life, accounts for nobody.
 	next.Heard(Driver{Name: "x"}, ms(110))
 	next.Listed(Driver{Name: "x"}, 1, ms(110))
 	next.Listed(Driver{Name: "y", Life: 7}, 2, ms(110))
 	if len(next.take("z", 3, ms(110))) != 0 {
-		test.Fatal("sure although nobody has shown anything")
+		t.Fatal("sure although nobody has shown anything")
 	}
 	// The next life of a driver says that what it held is gone.
 	next.Heard(Driver{Name: "y", Life: 1}, ms(120))
 	if !next.Unsure(ms(130)) || len(next.take("z", 3, ms(130))) != 0 {
-		test.Fatal("sure although one has shown nothing")
+		t.Fatal("sure although one has shown nothing")
 	}
 	if next.say("x", messages.AckRenew, given[0].Number, "a", ms(140)) != messages.AckRenewed {
-		test.Fatal("not adopted")
+		t.Fatal("not adopted")
 	}
 	next.Listed(Driver{Name: "x"}, 2, ms(140))
 	if left := next.take("z", 3, ms(140)); len(left) != 2 || left[0].Item.ID != "b" {
-		test.Fatal("not sure although all are accounted for: ", names(left))
+		t.Fatal("not sure although all are accounted for: ", names(left))
 	}
 }
 
 // Nothing is handed out before a later holder would know of the driver, and what is
 // known is forgotten only once it is sure that nothing of it stands.
-func TestEntrantsAreOnRecord(test *testing.T) {
-	endpoint := newEndpoint(test, 1, nil, 0)
+func TestEntrantsAreOnRecord(t *testing.T) {
+	endpoint := newEndpoint(t, 1, nil, 0)
 	endpoint.lot("l", "a", "b")
 	ask := &AcquireAsk{Driver: Driver{Name: "x"}, Room: map[string]int{"s": 1}, Terms: func(*Lot) Terms { return Terms{} }, Service: func(*Item) string { return "s" }}
 	begin, repeat := endpoint.Acquire(ask, ms(1)), endpoint.Acquire(ask, ms(1))
 	if len(begin) != 0 || len(repeat) != 0 || len(endpoint.records) != 2 {
-		test.Fatal("handed out before the driver was on record")
+		t.Fatal("handed out before the driver was on record")
 	}
 	endpoint.settle()
 	one := endpoint.Acquire(ask, ms(1))
 	if len(one) != 1 || len(endpoint.records) != 2 {
-		test.Fatal("not handed out")
+		t.Fatal("not handed out")
 	}
-	second := newEndpoint(test, 2, endpoint.records, ms(100))
+	second := newEndpoint(t, 2, endpoint.records, ms(100))
 	second.Sure(ms(200))
 	if len(second.records) != 2 {
-		test.Fatal("sure too early")
+		t.Fatal("sure too early")
 	}
 	// A driver that is adopted only is on record too, before the word that all is sure.
 	if second.say("x", messages.AckRenew, one[0].Number, "a", ms(200)) != messages.AckRenewed {
-		test.Fatal("not adopted")
+		t.Fatal("not adopted")
 	}
 	second.Sure(ms(3000))
 	second.Sure(ms(3000))
 	second.settle()
 	if len(second.records) != 4 {
-		test.Fatal(len(second.records))
+		t.Fatal(len(second.records))
 	}
-	third := newEndpoint(test, 3, second.records, ms(3100))
+	third := newEndpoint(t, 3, second.records, ms(3100))
 	if !third.Unsure(ms(3200)) {
-		test.Fatal("an adopted acquisition was forgotten")
+		t.Fatal("an adopted acquisition was forgotten")
 	}
 	third.Sure(ms(9000))
 	third.settle()
-	if fourth := newEndpoint(test, 4, third.records, ms(9100)); fourth.Unsure(ms(9101)) {
-		test.Fatal("drivers of long ago are waited for")
+	if fourth := newEndpoint(t, 4, third.records, ms(9100)); fourth.Unsure(ms(9101)) {
+		t.Fatal("drivers of long ago are waited for")
 	}
 }
--- a/internal/batch/lots/acknowledge.go
+++ b/internal/batch/lots/acknowledge.go
@@ -14,8 +14,8 @@
 
 // Acknowledge takes a driver's word on one acquisition. A repeat is answered the
 // same as the first.
-func (dispatcher *Dispatcher) Acknowledge(driver Driver, entry *messages.Acknowledgement, now clock.Moment) Step {
-	lot := dispatcher.Book.Lot(entry.Lot)
+func (d *Dispatcher) Acknowledge(driver Driver, entry *messages.Acknowledgement, now clock.Moment) Step {
+	lot := d.Book.Lot(entry.Lot)
 	if lot == nil {
 		return Step{Verdict: messages.AckTerminal}
 	}
@@ -25,26 +25,26 @@
 	}
 	switch {
 	case item.Terminal() || item.State == ItemClosing:
-		return dispatcher.repeated(item, entry)
-	case lot.Ended || dispatcher.Closed(lot):
+		return d.repeated(item, entry)
+	case lot.Ended || d.Closed(lot):
 		return Step{Verdict: messages.AckTerminal}
 	}
 	switch entry.Kind {
 	case messages.AckAccept:
-		return dispatcher.accept(item, entry, now)
+		return d.accept(item, entry, now)
 	case messages.AckReject:
-		return dispatcher.reject(item, entry)
+		return d.reject(item, entry)
 	case messages.AckRelease:
-		return dispatcher.release(item, entry, now)
+		return d.release(item, entry, now)
 	case messages.AckRenew:
-		return dispatcher.renew(driver, item, entry, now)
+		return d.renew(driver, item, entry, now)
 	}
 	return Step{Verdict: messages.AckUnknown}
 }
 
 // repeated answers for an item whose one result stands or is on its way: whoever
 // brought it is told that it was taken, everybody else that the item is over.
-func (dispatcher *Dispatcher) repeated(item *Item, entry *messages.Acknowledgement) Step {
+func (d *Dispatcher) repeated(item *Item, entry *messages.Acknowledgement) Step {
 	step := Step{Verdict: messages.AckTerminal}
 	if item.State == ItemClosing {
 		step.Index = item.closing
@@ -57,38 +57,38 @@
 		step = Step{Verdict: messages.AckStopped}
 	}
 	if step.Verdict == messages.AckTerminal && entry.Kind == messages.AckAccept {
-		dispatcher.Counts.Late++
+		d.Counts.Late++
 	}
 	return step
 }
 
 // accept takes a whole output. The lock decides who may run an item, not whose
 // output counts: also after a lapse the first one to be durable is the item's.
-func (dispatcher *Dispatcher) accept(item *Item, entry *messages.Acknowledgement, now clock.Moment) Step {
+func (d *Dispatcher) accept(item *Item, entry *messages.Acknowledgement, now clock.Moment) Step {
 	held := item.held
 	if held != nil && held.Number == entry.Number && held.fresh {
 		const share = 0.05
-		dispatcher.TookMs += share * (clock.ToMilliseconds(now.Since(held.begun)) - dispatcher.TookMs)
+		d.TookMs += share * (clock.ToMilliseconds(now.Since(held.begun)) - d.TookMs)
 	}
-	dispatcher.drop(held)
+	d.drop(held)
 	item.become(ItemClosing)
-	dispatcher.Counts.Settled++
-	dispatcher.close(item, entry.Number, entry.Text, entry.Packed, false)
+	d.Counts.Settled++
+	d.close(item, entry.Number, entry.Text, entry.Packed, false)
 	return Step{Verdict: messages.AckTaken, Index: item.closing}
 }
 
 // reject archives an item that no worker can do.
-func (dispatcher *Dispatcher) reject(item *Item, entry *messages.Acknowledgement) Step {
+func (d *Dispatcher) reject(item *Item, entry *messages.Acknowledgement) Step {
 	run := item.Runs
-	dispatcher.drop(item.held)
-	if !dispatcher.archive(item, run, entry.Number) {
+	d.drop(item.held)
+	if !d.archive(item, run, entry.Number) {
 		return Step{Verdict: messages.AckUnknown}
 	}
 	return Step{Verdict: messages.AckTaken, Index: item.closing}
 }
 
 // release makes an item available again, with the events that it brings back.
-func (dispatcher *Dispatcher) release(item *Item, entry *messages.Acknowledgement, now clock.Moment) Step {
+func (d *Dispatcher) release(item *Item, entry *messages.Acknowledgement, now clock.Moment) Step {
 	step := Step{Verdict: messages.AckTaken}
 	held := item.held
 	current := held != nil && held.Number == entry.Number
@@ -99,7 +99,7 @@
 	if current {
 		if !entry.Unbegun {
 			item.Releases++
-			dispatcher.Counts.Releases++
+			d.Counts.Releases++
 		}
 		if entry.Displaced {
 			item.Displaced++
@@ -109,24 +109,24 @@
 		if !entry.Displaced && !entry.Unbegun {
 			pause = growing(item.Releases - item.Displaced)
 		}
-		dispatcher.setBack(held, pause, now)
+		d.setBack(held, pause, now)
 	}
 	if entry.Failed {
-		step.Index = dispatcher.failed(item, entry.Number)
+		step.Index = d.failed(item, entry.Number)
 	}
 	return step
 }
 
 // failed counts a 500, durably and once, and archives the item when its tries are
 // spent; the record of the count stands before that of the end.
-func (dispatcher *Dispatcher) failed(item *Item, number uint64) int64 {
+func (d *Dispatcher) failed(item *Item, number uint64) int64 {
 	if !item.fail(number) {
 		return 0
 	}
-	dispatcher.Counts.Failures++
-	index := dispatcher.Submit(messages.Record{Kind: messages.RecordErr, Lot: item.Lot.ID, Item: item.ID, Acquisition: number})
-	if len(item.FailedBy) >= dispatcher.Tries(item) && item.State == ItemAvailable {
-		dispatcher.archive(item, 0, number)
+	d.Counts.Failures++
+	index := d.Submit(messages.Record{Kind: messages.RecordErr, Lot: item.Lot.ID, Item: item.ID, Acquisition: number})
+	if len(item.FailedBy) >= d.Tries(item) && item.State == ItemAvailable {
+		d.archive(item, 0, number)
 		return item.closing
 	}
 	return index
@@ -134,30 +134,30 @@
 
 // renew lets a lock run anew. After a takeover a driver shows its acquisition by
 // it, and the new holder adopts it.
-func (dispatcher *Dispatcher) renew(driver Driver, item *Item, entry *messages.Acknowledgement, now clock.Moment) Step {
+func (d *Dispatcher) renew(driver Driver, item *Item, entry *messages.Acknowledgement, now clock.Moment) Step {
 	held := item.held
 	if held == nil || held.Number != entry.Number {
 		// Of two that were handed out by earlier holders the later number is the one
 		// that stands: the other's lock has lapsed.
-		adopt := dispatcher.perhapsHeld(item, now) && EpochOf(entry.Number) < dispatcher.epoch &&
+		adopt := d.perhapsHeld(item, now) && EpochOf(entry.Number) < d.epoch &&
 			(held == nil || held.Number < entry.Number)
 		if !adopt {
 			return Step{Verdict: messages.AckStopped}
 		}
 		if held != nil {
-			dispatcher.setBack(held, 0, now)
+			d.setBack(held, 0, now)
 		}
-		if held = dispatcher.grant(item, driver, entry.Number, now); held == nil {
+		if held = d.grant(item, driver, entry.Number, now); held == nil {
 			return Step{Verdict: messages.AckStopped}
 		}
-		dispatcher.Enter(driver)
-		dispatcher.Counts.Adopted++
+		d.Enter(driver)
+		d.Counts.Adopted++
 	}
 	if held.Driver.Name != driver.Name || held.Driver.Life != driver.Life || now >= held.until {
 		return Step{Verdict: messages.AckStopped}
 	}
-	held.until = now.Plus(dispatcher.Lock)
+	held.until = now.Plus(d.Lock)
 	item.Renewals++
-	dispatcher.Counts.Renewals++
+	d.Counts.Renewals++
 	return Step{Verdict: messages.AckRenewed}
 }
--- a/internal/batch/lots/acquire.go
+++ b/internal/batch/lots/acquire.go
@@ -42,8 +42,8 @@
 
 // Acquire hands out items by due time, those that can still be in time first, and
 // among those due soonest the ones whose shared prefix the driver had before.
-func (dispatcher *Dispatcher) Acquire(ask *AcquireAsk, now clock.Moment) []*Acquisition {
-	if dispatcher.Enter(ask.Driver) > 0 {
+func (d *Dispatcher) Acquire(ask *AcquireAsk, now clock.Moment) []*Acquisition {
+	if d.Enter(ask.Driver) > 0 {
 		return nil
 	}
 	room := 0
@@ -51,12 +51,12 @@
 		room += count
 	}
 	var taken []*Acquisition
-	order := dispatcher.rank(ask.Terms, now)
+	order := d.rank(ask.Terms, now)
 	for _, part := range [][]dueLot{order.inTime, order.late} {
 		if room == 0 {
 			break
 		}
-		for _, item := range dispatcher.window(part, ask, room*windowFactor, now) {
+		for _, item := range d.window(part, ask, room*windowFactor, now) {
 			if room == 0 {
 				return taken
 			}
@@ -64,14 +64,14 @@
 			if ask.Room[service] == 0 {
 				continue
 			}
-			one := dispatcher.grant(item, ask.Driver, 0, now)
+			one := d.grant(item, ask.Driver, 0, now)
 			if one == nil {
 				continue
 			}
 			ask.Room[service]--
 			room--
-			dispatcher.Counts.Deliveries++
-			dispatcher.settleHome(item, ask.Driver.Name, now)
+			d.Counts.Deliveries++
+			d.settleHome(item, ask.Driver.Name, now)
 			taken = append(taken, one)
 		}
 	}
@@ -81,24 +81,24 @@
 // window gives the free items due soonest, the driver's own prefixes first, so
 // that shared parts are read by few workers. No item is kept for a driver: a place
 // that stands empty meanwhile cost more than the reading (measured).
-func (dispatcher *Dispatcher) window(lotList []dueLot, ask *AcquireAsk, limit int, now clock.Moment) []*Item {
+func (d *Dispatcher) window(lotList []dueLot, ask *AcquireAsk, limit int, now clock.Moment) []*Item {
 	var first, own, others []*Item
 	found := func() int { return len(first) + len(own) + len(others) }
 	for _, one := range lotList {
 		if found() >= limit {
 			break
 		}
-		if !dispatcher.mayHandOut(one.lot, ask, now) {
+		if !d.mayHandOut(one.lot, ask, now) {
 			continue
 		}
 		one.lot.eachAvailable(func(item *Item) bool {
-			if !dispatcher.free(item, now) {
+			if !d.free(item, now) {
 				return true
 			}
 			if item.seen == 0 {
 				item.seen = now
 			}
-			switch at, known := dispatcher.homes[prefixOf(item)]; {
+			switch at, known := d.homes[prefixOf(item)]; {
 			case now.Since(item.seen) >= constants.HomePatience:
 				// Passed over long enough: the driver that has its prefix may have no room.
 				first = append(first, item)
@@ -114,27 +114,27 @@
 }
 
 // mayHandOut tells whether items of a lot may be handed out now.
-func (dispatcher *Dispatcher) mayHandOut(lot *Lot, ask *AcquireAsk, now clock.Moment) bool {
-	if lot.available.count == 0 || !lot.Open() || dispatcher.Book.Lot(lot.ID) != lot || dispatcher.Closed(lot) {
+func (d *Dispatcher) mayHandOut(lot *Lot, ask *AcquireAsk, now clock.Moment) bool {
+	if lot.available.count == 0 || !lot.Open() || d.Book.Lot(lot.ID) != lot || d.Closed(lot) {
 		return false
 	}
-	if lot.Index < dispatcher.before && now < dispatcher.unsure {
+	if lot.Index < d.before && now < d.unsure {
 		return false
 	}
 	return !ask.Terms(lot).Over
 }
 
-func (dispatcher *Dispatcher) settleHome(item *Item, driver string, now clock.Moment) {
+func (d *Dispatcher) settleHome(item *Item, driver string, now clock.Moment) {
 	prefix := prefixOf(item)
 	if prefix == "" {
 		return
 	}
-	if len(dispatcher.homes) >= homesLimit {
-		dispatcher.homes = map[string]home{}
+	if len(d.homes) >= homesLimit {
+		d.homes = map[string]home{}
 	}
-	at, known := dispatcher.homes[prefix]
+	at, known := d.homes[prefix]
 	if !known || at.driver == driver || now.Since(at.at) >= constants.HomeStale {
-		dispatcher.homes[prefix] = home{driver, now}
+		d.homes[prefix] = home{driver, now}
 	}
 }
 
--- a/internal/batch/lots/acquire_test.go
+++ b/internal/batch/lots/acquire_test.go
@@ -10,14 +10,14 @@
 )
 
 // prefixed hands in a lot whose items have a shared prefix.
-func (endpoint *endpoint) prefixed(id, prefix string, items int) {
+func (e *endpoint) prefixed(id, prefix string, items int) {
 	body := &messages.LotBody{Path: "/p/"}
 	for place := 0; place < items; place++ {
 		body.Items = append(body.Items, messages.LotItem{ID: fmt.Sprint(id, place), Headers: map[string]string{"Lemonarch-Prompt-Prefix": prefix + ":9,own:1"}})
 	}
 	packed, _ := body.MarshalMsg(nil)
-	endpoint.Submit(messages.Record{Kind: messages.RecordLot, Lot: id, Body: packed, AtMs: int64(len(endpoint.records))})
-	endpoint.settle()
+	e.Submit(messages.Record{Kind: messages.RecordLot, Lot: id, Body: packed, AtMs: int64(len(e.records))})
+	e.settle()
 }
 
 func names(given []*Acquisition) string {
@@ -30,32 +30,32 @@
 
 // A driver gets the prefix that it has read before first, but nothing is passed over
 // for long: the driver that read the other prefix may have no room.
-func TestPrefixesGoTogether(test *testing.T) {
-	endpoint := newEndpoint(test, 1, nil, 0)
+func TestPrefixesGoTogether(t *testing.T) {
+	endpoint := newEndpoint(t, 1, nil, 0)
 	endpoint.prefixed("a", "one", 6)
 	endpoint.prefixed("b", "two", 6)
 	if given := names(endpoint.take("x", 1, ms(1))); given != "a0 " {
-		test.Fatal(given)
+		t.Fatal(given)
 	}
 	// The older lot is due first, and nobody has its rest's place yet.
 	if given := names(endpoint.take("y", 6, ms(2))); given != "a1 a2 a3 a4 a5 b0 " {
-		test.Fatal(given)
+		t.Fatal(given)
 	}
 	endpoint.prefixed("c", "one", 2)
 	endpoint.prefixed("d", "two", 2)
 	if given := names(endpoint.take("x", 2, ms(3))); given != "c0 c1 " {
-		test.Fatal("not the own prefix first: ", given)
+		t.Fatal("not the own prefix first: ", given)
 	}
 	late := ms(3).Plus(constants.HomePatience)
 	endpoint.prefixed("e", "one", 2)
 	if given := names(endpoint.take("x", 2, late)); given != "b1 b2 " {
-		test.Fatal("passed over for too long: ", given)
+		t.Fatal("passed over for too long: ", given)
 	}
 }
 
 // What can still be in time goes before what is late, by the due time.
-func TestInTimeGoesFirst(test *testing.T) {
-	endpoint := newEndpoint(test, 1, nil, 0)
+func TestInTimeGoesFirst(t *testing.T) {
+	endpoint := newEndpoint(t, 1, nil, 0)
 	endpoint.lot("a", "a")
 	endpoint.lot("b", "b")
 	endpoint.lot("c", "c")
@@ -66,7 +66,7 @@
 	given := endpoint.Acquire(&AcquireAsk{Driver: Driver{Name: "x"}, Room: map[string]int{"s": 9},
 		Terms: func(lot *Lot) Terms { return order[lot.ID] }, Service: func(*Item) string { return "s" }}, ms(1))
 	if names(given) != "c b a " {
-		test.Fatal(names(given))
+		t.Fatal(names(given))
 	}
 }
 
@@ -91,10 +91,10 @@
 }
 
 // benchBacklog is a backlog of whole lots, all of whose items wait.
-func benchBacklog(bench *testing.B, items int) (*Dispatcher, *AcquireAsk) {
+func benchBacklog(b *testing.B, items int) (*Dispatcher, *AcquireAsk) {
 	book := NewBook()
 	for number := 0; number*constants.LotItems < items; number++ {
-		addLotOf(bench, book, fmt.Sprint(number), "/0", constants.LotItems, 900).SentMs = int64(number)
+		addLotOf(b, book, fmt.Sprint(number), "/0", constants.LotItems, 900).SentMs = int64(number)
 	}
 	one, index := NewDispatcher(book, 1, 0, endpointLock, 0), int64(0)
 	one.Submit = func(record messages.Record) int64 {
@@ -113,12 +113,12 @@
 
 // BenchmarkAcquire measures one item acquired and given back, as a driver asks that
 // finds a place, with the time going on.
-func BenchmarkAcquire(bench *testing.B) {
+func BenchmarkAcquire(b *testing.B) {
 	for _, items := range []int{1_000, 10_000, 100_000} {
-		bench.Run(fmt.Sprint(items), func(bench *testing.B) {
-			one, ask := benchBacklog(bench, items)
+		b.Run(fmt.Sprint(items), func(b *testing.B) {
+			one, ask := benchBacklog(b, items)
 			now := ms(1)
-			for bench.Loop() {
+			for b.Loop() {
 				now = now.Plus(clock.Milliseconds(0.2))
 				ask.Room = map[string]int{"s": 1}
 				for _, given := range one.Acquire(ask, now) {
--- a/internal/batch/lots/append.go
+++ b/internal/batch/lots/append.go
@@ -14,24 +14,24 @@
 
 // Append decides on an order. Nothing is changed yet: the caller writes and syncs
 // the plan, then calls Commit with the offsets.
-func (replica *Replica) Append(question *messages.Append) (plan Plan, answer messages.Appended) {
-	answer = messages.Appended{Epoch: replica.fence, Last: replica.Last()}
-	if question.Disk != replica.Disk || question.Epoch < replica.fence {
+func (r *Replica) Append(question *messages.Append) (plan Plan, answer messages.Appended) {
+	answer = messages.Appended{Epoch: r.fence, Last: r.Last()}
+	if question.Disk != r.Disk || question.Epoch < r.fence {
 		return plan, answer
 	}
 	joins := false
 	if question.Base > 0 {
-		joins = replica.planCompacted(question, &plan)
+		joins = r.planCompacted(question, &plan)
 	} else {
-		joins = replica.planFollowing(question, &plan)
+		joins = r.planFollowing(question, &plan)
 	}
 	if !joins {
 		// The records do not join on to ours: the holder has to go further back.
-		extent := replica.Extent()
+		extent := r.Extent()
 		answer.Stretches, answer.Base = extent.Stretches, extent.Base
 		return Plan{}, answer
 	}
-	plan.Raise = question.Epoch > replica.fence
+	plan.Raise = question.Epoch > r.fence
 	answer.Granted, answer.Epoch, answer.Last = true, question.Epoch, question.PreviousIndex
 	if count := len(question.Records); count > 0 {
 		answer.Last = question.Records[count-1].Index
@@ -40,20 +40,20 @@
 }
 
 // planFollowing plans consecutive records; false where they do not join on.
-func (replica *Replica) planFollowing(question *messages.Append, plan *Plan) bool {
-	if !replica.Whole() || question.PreviousIndex > replica.Last() || !consecutive(question.Records, question.PreviousIndex) {
+func (r *Replica) planFollowing(question *messages.Append, plan *Plan) bool {
+	if !r.Whole() || question.PreviousIndex > r.Last() || !consecutive(question.Records, question.PreviousIndex) {
 		return false
 	}
 	// What is compacted here is durable, and whoever may send under this epoch has it.
-	if question.PreviousIndex >= replica.base.Index && replica.EpochAt(question.PreviousIndex) != question.PreviousEpoch {
+	if question.PreviousIndex >= r.base.Index && r.EpochAt(question.PreviousIndex) != question.PreviousEpoch {
 		return false
 	}
-	records := behind(question.Records, replica.base.Index)
+	records := behind(question.Records, r.base.Index)
 	// What is here already, under the same epochs, is kept as it is.
-	for len(records) > 0 && records[0].Index <= replica.Last() && replica.EpochAt(records[0].Index) == records[0].Epoch {
+	for len(records) > 0 && records[0].Index <= r.Last() && r.EpochAt(records[0].Index) == records[0].Epoch {
 		records = records[1:]
 	}
-	if len(records) > 0 && records[0].Index <= replica.Last() {
+	if len(records) > 0 && records[0].Index <= r.Last() {
 		plan.Cut, plan.CutTo = true, records[0].Index-1
 	}
 	plan.Records = records
@@ -62,16 +62,16 @@
 
 // planCompacted plans a part of a compacted copy. Parts of two copies with different
 // bases never mix: one may lack a lot that the other still speaks of.
-func (replica *Replica) planCompacted(question *messages.Append, plan *Plan) bool {
+func (r *Replica) planCompacted(question *messages.Append, plan *Plan) bool {
 	base := Base{question.Base, question.BaseEpoch}
 	switch {
-	case replica.Has(base):
+	case r.Has(base):
 		further := *question
 		further.PreviousIndex, further.PreviousEpoch = base.Index, base.Epoch
 		further.Records = behind(question.Records, base.Index)
-		return replica.planFollowing(&further, plan)
-	case replica.base == base && question.PreviousIndex <= replica.Last():
-		plan.Records = behind(question.Records, replica.Last())
+		return r.planFollowing(&further, plan)
+	case r.base == base && question.PreviousIndex <= r.Last():
+		plan.Records = behind(question.Records, r.Last())
 		return true
 	case question.PreviousIndex == 0:
 		plan.Reset, plan.Records = &base, question.Records
@@ -81,11 +81,11 @@
 }
 
 // Has tells whether all up to a durable record is here.
-func (replica *Replica) Has(base Base) bool {
-	if !replica.Whole() || replica.Last() < base.Index {
+func (r *Replica) Has(base Base) bool {
+	if !r.Whole() || r.Last() < base.Index {
 		return false
 	}
-	return base.Index <= replica.base.Index || replica.EpochAt(base.Index) == base.Epoch
+	return base.Index <= r.base.Index || r.EpochAt(base.Index) == base.Epoch
 }
 
 // behind gives the records after an index.
@@ -106,17 +106,17 @@
 }
 
 // Commit applies a plan that is synced.
-func (replica *Replica) Commit(plan Plan, epoch uint64, offsets []int64) {
+func (r *Replica) Commit(plan Plan, epoch uint64, offsets []int64) {
 	if plan.Raise {
-		replica.fence = epoch
+		r.fence = epoch
 	}
 	if plan.Cut {
-		replica.Cut(plan.CutTo)
+		r.Cut(plan.CutTo)
 	}
 	if plan.Reset != nil {
-		replica.Reset(*plan.Reset)
+		r.Reset(*plan.Reset)
 	}
 	for place := range plan.Records {
-		replica.Put(&plan.Records[place], offsets[place])
+		r.Put(&plan.Records[place], offsets[place])
 	}
 }
--- a/internal/batch/lots/available.go
+++ b/internal/batch/lots/available.go
@@ -24,22 +24,22 @@
 }
 
 // set puts a place in or takes it out.
-func (set *availableSet) set(place int, in bool) {
+func (a *availableSet) set(place int, in bool) {
 	word, bit := place/wordBits, uint64(1)<<(place%wordBits)
-	if word >= len(set.words) || (set.words[word]&bit != 0) == in {
+	if word >= len(a.words) || (a.words[word]&bit != 0) == in {
 		return
 	}
-	set.words[word] ^= bit
+	a.words[word] ^= bit
 	if in {
-		set.count++
+		a.count++
 	} else {
-		set.count--
+		a.count--
 	}
 }
 
 // each visits the places in order until visit says stop.
-func (set *availableSet) each(visit func(place int) bool) {
-	for word, left := range set.words {
+func (a *availableSet) each(visit func(place int) bool) {
+	for word, left := range a.words {
 		for ; left != 0; left &= left - 1 {
 			if !visit(word*wordBits + bits.TrailingZeros64(left)) {
 				return
@@ -50,21 +50,21 @@
 
 // become changes an item's state; its lot follows which items are available and how
 // many tokens wait.
-func (item *Item) become(state ItemState) {
-	waited := item.Waits()
-	item.State = state
-	item.Lot.available.set(item.place, state == ItemAvailable)
-	switch waits := item.Waits(); {
+func (i *Item) become(state ItemState) {
+	waited := i.Waits()
+	i.State = state
+	i.Lot.available.set(i.place, state == ItemAvailable)
+	switch waits := i.Waits(); {
 	case waited && !waits:
-		item.Lot.waiting -= item.Tokens
+		i.Lot.waiting -= i.Tokens
 	case !waited && waits:
-		item.Lot.waiting += item.Tokens
+		i.Lot.waiting += i.Tokens
 	}
 }
 
 // eachAvailable visits the available items of a lot in order until visit says stop.
-func (lot *Lot) eachAvailable(visit func(item *Item) bool) {
-	lot.available.each(func(place int) bool { return visit(lot.Items[place]) })
+func (l *Lot) eachAvailable(visit func(item *Item) bool) {
+	l.available.each(func(place int) bool { return visit(l.Items[place]) })
 }
 
 // dueLot is an open lot with its due time.
@@ -85,17 +85,17 @@
 }
 
 // rank brings the order up to date.
-func (dispatcher *Dispatcher) rank(terms func(lot *Lot) Terms, now clock.Moment) *ranking {
-	order := &dispatcher.order
+func (d *Dispatcher) rank(terms func(lot *Lot) Terms, now clock.Moment) *ranking {
+	order := &d.order
 	if order.ranked && now.Since(order.at) < constants.RankPeriod {
-		for _, lot := range dispatcher.Book.takeFresh() {
+		for _, lot := range d.Book.takeFresh() {
 			order.insert(lot, terms(lot))
 		}
 		return order
 	}
-	dispatcher.Book.takeFresh()
+	d.Book.takeFresh()
 	*order = ranking{inTime: order.inTime[:0], late: order.late[:0], at: now, ranked: true}
-	for _, lot := range dispatcher.Book.openLots() {
+	for _, lot := range d.Book.openLots() {
 		found := terms(lot)
 		if found.Late {
 			order.late = append(order.late, dueLot{lot, found.Due})
@@ -110,10 +110,10 @@
 }
 
 // insert puts a new lot behind those that are due no later.
-func (order *ranking) insert(lot *Lot, terms Terms) {
-	part := &order.inTime
+func (r *ranking) insert(lot *Lot, terms Terms) {
+	part := &r.inTime
 	if terms.Late {
-		part = &order.late
+		part = &r.late
 	}
 	place := sort.Search(len(*part), func(place int) bool { return (*part)[place].due > terms.Due })
 	*part = slices.Insert(*part, place, dueLot{lot, terms.Due})
@@ -121,21 +121,21 @@
 
 // openLots gives the lots with items to run, the order in which they came kept, and
 // forgets the others.
-func (book *Book) openLots() []*Lot {
-	kept := book.opened[:0]
-	for _, lot := range book.opened {
-		if lot.Open() && book.lotList[lot.ID] == lot {
+func (b *Book) openLots() []*Lot {
+	kept := b.opened[:0]
+	for _, lot := range b.opened {
+		if lot.Open() && b.lotList[lot.ID] == lot {
 			kept = append(kept, lot)
 		}
 	}
-	clear(book.opened[len(kept):])
-	book.opened = kept
+	clear(b.opened[len(kept):])
+	b.opened = kept
 	return kept
 }
 
 // takeFresh gives the lots that came since it was asked last.
-func (book *Book) takeFresh() []*Lot {
-	fresh := book.fresh
-	book.fresh = nil
+func (b *Book) takeFresh() []*Lot {
+	fresh := b.fresh
+	b.fresh = nil
 	return fresh
 }
--- a/internal/batch/lots/compaction.go
+++ b/internal/batch/lots/compaction.go
@@ -3,9 +3,9 @@
 import "lemonarch/internal/platform/messages"
 
 // forgottenAt tells at which index each lot was forgotten last, up to an index.
-func (replica *Replica) forgottenAt(upTo int64) map[string]int64 {
+func (r *Replica) forgottenAt(upTo int64) map[string]int64 {
 	forgotten := map[string]int64{}
-	replica.Each(1, func(slot Slot) bool {
+	r.Each(1, func(slot Slot) bool {
 		if slot.Kind == messages.RecordForget && slot.Index <= upTo {
 			forgotten[slot.Lot] = slot.Index
 		}
@@ -16,9 +16,9 @@
 
 // sureEpoch is the latest epoch, up to an index, whose holder knew that no acquisition
 // of an earlier one stands.
-func (replica *Replica) sureEpoch(upTo int64) uint64 {
+func (r *Replica) sureEpoch(upTo int64) uint64 {
 	epoch := uint64(0)
-	replica.Each(1, func(slot Slot) bool {
+	r.Each(1, func(slot Slot) bool {
 		if slot.Kind == messages.RecordSure && slot.Index <= upTo {
 			epoch = max(epoch, slot.Epoch)
 		}
@@ -30,8 +30,8 @@
 // Gone gives the test of which records say nothing any more once all up to an index
 // are durable: those of forgotten lots, the word that forgot them included, of drivers
 // that hold nothing, and those without a content.
-func (replica *Replica) Gone(upTo int64) func(slot Slot) bool {
-	forgotten, sure := replica.forgottenAt(upTo), replica.sureEpoch(upTo)
+func (r *Replica) Gone(upTo int64) func(slot Slot) bool {
+	forgotten, sure := r.forgottenAt(upTo), r.sureEpoch(upTo)
 	return func(slot Slot) bool {
 		if slot.Index > upTo {
 			return false
@@ -47,9 +47,9 @@
 }
 
 // Weight adds up what a rewrite up to an index would keep and drop.
-func (replica *Replica) Weight(upTo int64) (keptBytes int64, kept, dropped int) {
-	gone := replica.Gone(upTo)
-	replica.Each(1, func(slot Slot) bool {
+func (r *Replica) Weight(upTo int64) (keptBytes int64, kept, dropped int) {
+	gone := r.Gone(upTo)
+	r.Each(1, func(slot Slot) bool {
 		if gone(slot) {
 			dropped++
 		} else {
@@ -63,10 +63,10 @@
 
 // Compacted gives the records that stay when all up to an index is compacted. The one
 // at the index always stays, empty where it says nothing: it ends the sparse part.
-func (replica *Replica) Compacted(upTo int64) (base Base, stay []Slot) {
-	base = Base{upTo, replica.EpochAt(upTo)}
-	gone := replica.Gone(upTo)
-	replica.Each(1, func(slot Slot) bool {
+func (r *Replica) Compacted(upTo int64) (base Base, stay []Slot) {
+	base = Base{upTo, r.EpochAt(upTo)}
+	gone := r.Gone(upTo)
+	r.Each(1, func(slot Slot) bool {
 		switch {
 		case slot.Index == upTo && gone(slot):
 			stay = append(stay, Slot{Index: upTo, Epoch: slot.Epoch, Size: recordOverhead, Kind: messages.RecordNothing, Offset: -1})
@@ -79,11 +79,11 @@
 }
 
 // Compact takes a rewrite that is synced: the records that stay, where they stand now.
-func (replica *Replica) Compact(base Base, stay []Slot) {
+func (r *Replica) Compact(base Base, stay []Slot) {
 	count := 0
 	for count < len(stay) && stay[count].Index <= base.Index {
 		count++
 	}
-	replica.base = base
-	replica.sparse, replica.slots = stay[:count:count], stay[count:]
+	r.base = base
+	r.sparse, r.slots = stay[:count:count], stay[count:]
 }
--- a/internal/batch/lots/dispatch.go
+++ b/internal/batch/lots/dispatch.go
@@ -92,10 +92,10 @@
 }
 
 // Live is how many acquisitions stand.
-func (dispatcher *Dispatcher) Live() int { return len(dispatcher.live) }
+func (d *Dispatcher) Live() int { return len(d.live) }
 
 // Holding lists the drivers that hold acquisitions of a lot.
-func (dispatcher *Dispatcher) Holding(lot *Lot) []Driver {
+func (d *Dispatcher) Holding(lot *Lot) []Driver {
 	var drivers []Driver
 	seen := map[Driver]bool{}
 	for _, item := range lot.Items {
@@ -108,70 +108,70 @@
 }
 
 // Taken is when this dispatcher's holder took the duty.
-func (dispatcher *Dispatcher) Taken() clock.Moment { return dispatcher.taken }
+func (d *Dispatcher) Taken() clock.Moment { return d.taken }
 
 // Unsure tells whether earlier holders' acquisitions may still stand somewhere.
-func (dispatcher *Dispatcher) Unsure(now clock.Moment) bool { return now < dispatcher.unsure }
+func (d *Dispatcher) Unsure(now clock.Moment) bool { return now < d.unsure }
 
 // perhapsHeld tells whether an earlier holder may have handed the item out.
-func (dispatcher *Dispatcher) perhapsHeld(item *Item, now clock.Moment) bool {
-	return item.Lot.Index < dispatcher.before && now < dispatcher.unsure
+func (d *Dispatcher) perhapsHeld(item *Item, now clock.Moment) bool {
+	return item.Lot.Index < d.before && now < d.unsure
 }
 
 // free tells whether an item may be acquired now.
-func (dispatcher *Dispatcher) free(item *Item, now clock.Moment) bool {
-	return item.State == ItemAvailable && item.held == nil && now >= item.pause && !dispatcher.perhapsHeld(item, now)
+func (d *Dispatcher) free(item *Item, now clock.Moment) bool {
+	return item.State == ItemAvailable && item.held == nil && now >= item.pause && !d.perhapsHeld(item, now)
 }
 
 // grant acquires an item for a driver; the number is new, or one that its driver
 // has shown after a takeover.
-func (dispatcher *Dispatcher) grant(item *Item, driver Driver, number uint64, now clock.Moment) *Acquisition {
+func (d *Dispatcher) grant(item *Item, driver Driver, number uint64, now clock.Moment) *Acquisition {
 	fresh := item.LastID == 0 && number == 0
 	run := item.Begin()
 	if run == 0 {
 		return nil
 	}
 	if number == 0 {
-		dispatcher.serial++
-		number = dispatcher.epoch<<serialBits | dispatcher.serial
+		d.serial++
+		number = d.epoch<<serialBits | d.serial
 	}
-	one := &Acquisition{Number: number, Driver: driver, Item: item, run: run, begun: now, until: now.Plus(dispatcher.Lock), fresh: fresh}
+	one := &Acquisition{Number: number, Driver: driver, Item: item, run: run, begun: now, until: now.Plus(d.Lock), fresh: fresh}
 	item.held, item.seen = one, 0
-	dispatcher.live[number] = one
+	d.live[number] = one
 	return one
 }
 
 // drop ends an acquisition, whatever comes next.
-func (dispatcher *Dispatcher) drop(one *Acquisition) {
+func (d *Dispatcher) drop(one *Acquisition) {
 	if one == nil {
 		return
 	}
-	delete(dispatcher.live, one.Number)
+	delete(d.live, one.Number)
 	if one.Item.held == one {
 		one.Item.held = nil
 	}
 }
 
 // setBack makes an item available again after a pause.
-func (dispatcher *Dispatcher) setBack(one *Acquisition, pause clock.Span, now clock.Moment) {
-	dispatcher.drop(one)
+func (d *Dispatcher) setBack(one *Acquisition, pause clock.Span, now clock.Moment) {
+	d.drop(one)
 	one.Item.SetBack(one.run)
 	one.Item.pause = now.Plus(pause)
 }
 
 // Lapse makes items available whose lock ran out unacknowledged. A lapse never ends
 // an item: it waits longer each time, so that one that kills drivers costs little.
-func (dispatcher *Dispatcher) Lapse(now clock.Moment) int {
+func (d *Dispatcher) Lapse(now clock.Moment) int {
 	count := 0
-	for _, one := range dispatcher.live {
+	for _, one := range d.live {
 		if now < one.until {
 			continue
 		}
 		one.Item.Lapses++
 		count++
-		dispatcher.setBack(one, growing(one.Item.Lapses), now)
+		d.setBack(one, growing(one.Item.Lapses), now)
 	}
-	dispatcher.Counts.Lapses += int64(count)
+	d.Counts.Lapses += int64(count)
 	return count
 }
 
@@ -183,11 +183,11 @@
 
 // Stop ends all acquisitions of a lot whose end is decided, and names the drivers
 // that have to stop.
-func (dispatcher *Dispatcher) Stop(lot *Lot) []Driver {
-	drivers := dispatcher.Holding(lot)
+func (d *Dispatcher) Stop(lot *Lot) []Driver {
+	drivers := d.Holding(lot)
 	for _, item := range lot.Items {
 		if one := item.held; one != nil {
-			dispatcher.drop(one)
+			d.drop(one)
 			item.SetBack(one.run)
 		}
 	}
@@ -196,20 +196,20 @@
 
 // Expire archives what waits and has come to a terminal ground: its route is gone
 // or its retain-s is over, as the terms of its lot say, or its tries are spent.
-func (dispatcher *Dispatcher) Expire(terms func(lot *Lot) Terms, now clock.Moment) int {
+func (d *Dispatcher) Expire(terms func(lot *Lot) Terms, now clock.Moment) int {
 	count := 0
-	for _, lot := range dispatcher.Book.openLots() {
-		if dispatcher.Closed(lot) {
+	for _, lot := range d.Book.openLots() {
+		if d.Closed(lot) {
 			continue
 		}
 		over := terms(lot).Over
 		lot.eachAvailable(func(item *Item) bool {
 			// A whole output that a driver may still bring is an output.
-			if dispatcher.perhapsHeld(item, now) {
+			if d.perhapsHeld(item, now) {
 				return true
 			}
-			if over || (len(item.FailedBy) > 0 && len(item.FailedBy) >= dispatcher.Tries(item)) {
-				dispatcher.archive(item, 0, 0)
+			if over || (len(item.FailedBy) > 0 && len(item.FailedBy) >= d.Tries(item)) {
+				d.archive(item, 0, 0)
 				count++
 			}
 			return true
@@ -219,21 +219,21 @@
 }
 
 // archive ends an item with the result that it is abandoned.
-func (dispatcher *Dispatcher) archive(item *Item, run int, number uint64) bool {
+func (d *Dispatcher) archive(item *Item, run int, number uint64) bool {
 	if !item.GiveUp(run) {
 		return false
 	}
-	dispatcher.Counts.Dropped++
-	dispatcher.close(item, number, nil, false, true)
+	d.Counts.Dropped++
+	d.close(item, number, nil, false, true)
 	return true
 }
 
 // close submits the one terminal record of an item, at the next position.
-func (dispatcher *Dispatcher) close(item *Item, number uint64, text []byte, packed, dropped bool) {
+func (d *Dispatcher) close(item *Item, number uint64, text []byte, packed, dropped bool) {
 	lot := item.Lot
 	position := len(lot.Listings) + lot.giving
 	lot.giving++
 	item.closer = number
-	item.closing = dispatcher.Submit(messages.Record{Kind: messages.RecordOutput, Lot: lot.ID, Item: item.ID,
+	item.closing = d.Submit(messages.Record{Kind: messages.RecordOutput, Lot: lot.ID, Item: item.ID,
 		Position: position, Dropped: dropped, Body: text, Packed: packed, Acquisition: number})
 }
--- a/internal/batch/lots/dispatch_test.go
+++ b/internal/batch/lots/dispatch_test.go
@@ -22,14 +22,14 @@
 func ms(count float64) clock.Moment { return clock.Moment(clock.Milliseconds(count)) }
 
 // newEndpoint goes on from records, as a new holder does; taken is when it took the duty.
-func newEndpoint(test *testing.T, epoch uint64, records []messages.Record, taken clock.Moment) *endpoint {
+func newEndpoint(t *testing.T, epoch uint64, records []messages.Record, taken clock.Moment) *endpoint {
 	book := NewBook()
 	for place := range records {
 		if err := book.Apply(&records[place]); err != nil {
-			test.Fatal(err)
+			t.Fatal(err)
 		}
 	}
-	one := &endpoint{Dispatcher: NewDispatcher(book, epoch, int64(len(records)+1), endpointLock, taken), test: test, records: records, applied: len(records)}
+	one := &endpoint{Dispatcher: NewDispatcher(book, epoch, int64(len(records)+1), endpointLock, taken), test: t, records: records, applied: len(records)}
 	one.Tries = func(*Item) int { return 2 }
 	one.Submit = func(record messages.Record) int64 {
 		record.Index, record.Epoch = int64(len(one.records)+1), epoch
@@ -40,38 +40,38 @@
 }
 
 // settle makes all records durable.
-func (endpoint *endpoint) settle() {
-	for ; endpoint.applied < len(endpoint.records); endpoint.applied++ {
-		if err := endpoint.Book.Apply(&endpoint.records[endpoint.applied]); err != nil {
-			endpoint.test.Fatal(err)
+func (e *endpoint) settle() {
+	for ; e.applied < len(e.records); e.applied++ {
+		if err := e.Book.Apply(&e.records[e.applied]); err != nil {
+			e.test.Fatal(err)
 		}
 	}
 }
 
-func (endpoint *endpoint) lot(id string, items ...string) {
+func (e *endpoint) lot(id string, items ...string) {
 	body := &messages.LotBody{Path: "/p/"}
 	for _, item := range items {
 		body.Items = append(body.Items, messages.LotItem{ID: item, Tokens: 1})
 	}
 	packed, _ := body.MarshalMsg(nil)
-	endpoint.Submit(messages.Record{Kind: messages.RecordLot, Lot: id, Body: packed, AtMs: int64(len(endpoint.records))})
-	endpoint.settle()
+	e.Submit(messages.Record{Kind: messages.RecordLot, Lot: id, Body: packed, AtMs: int64(len(e.records))})
+	e.settle()
 }
 
-func (endpoint *endpoint) take(driver string, room int, now clock.Moment) []*Acquisition {
-	if endpoint.Enter(Driver{Name: driver}) > 0 {
-		endpoint.settle()
+func (e *endpoint) take(driver string, room int, now clock.Moment) []*Acquisition {
+	if e.Enter(Driver{Name: driver}) > 0 {
+		e.settle()
 	}
-	return endpoint.Acquire(&AcquireAsk{Driver: Driver{Name: driver}, Room: map[string]int{"s": room},
-		Terms: func(lot *Lot) Terms { return Terms{Due: lot.SentMs, Late: endpoint.terms.Late} }, Service: func(*Item) string { return "s" }}, now)
+	return e.Acquire(&AcquireAsk{Driver: Driver{Name: driver}, Room: map[string]int{"s": room},
+		Terms: func(lot *Lot) Terms { return Terms{Due: lot.SentMs, Late: e.terms.Late} }, Service: func(*Item) string { return "s" }}, now)
 }
 
-func (endpoint *endpoint) say(driver string, kind messages.AckKind, number uint64, item string, now clock.Moment, more ...func(*messages.Acknowledgement)) messages.AckVerdict {
+func (e *endpoint) say(driver string, kind messages.AckKind, number uint64, item string, now clock.Moment, more ...func(*messages.Acknowledgement)) messages.AckVerdict {
 	entry := &messages.Acknowledgement{Kind: kind, Number: number, Lot: "l", Item: item}
 	for _, one := range more {
 		one(entry)
 	}
-	return endpoint.Acknowledge(Driver{Name: driver}, entry, now).Verdict
+	return e.Acknowledge(Driver{Name: driver}, entry, now).Verdict
 }
 
 func events(count int) func(*messages.Acknowledgement) {
@@ -85,40 +85,40 @@
 
 func failed(entry *messages.Acknowledgement) { entry.Failed = true }
 
-func TestOneAcquisitionAndLapse(test *testing.T) {
-	endpoint := newEndpoint(test, 1, nil, 0)
+func TestOneAcquisitionAndLapse(t *testing.T) {
+	endpoint := newEndpoint(t, 1, nil, 0)
 	endpoint.lot("l", "a")
 	one := endpoint.take("x", 3, ms(1))
 	if len(one) != 1 || len(endpoint.take("y", 3, ms(1))) != 0 {
-		test.Fatal("not one acquisition")
+		t.Fatal("not one acquisition")
 	}
 	// Renewed it stands on; a lapse returns it after a pause, however often.
 	if endpoint.say("x", messages.AckRenew, one[0].Number, "a", ms(1500)) != messages.AckRenewed || endpoint.Lapse(ms(2500)) != 0 {
-		test.Fatal("a renewed lock lapsed")
+		t.Fatal("a renewed lock lapsed")
 	}
 	if endpoint.say("y", messages.AckRenew, one[0].Number, "a", ms(2500)) != messages.AckStopped {
-		test.Fatal("another driver's renewal was taken")
+		t.Fatal("another driver's renewal was taken")
 	}
 	now := ms(3500)
 	for lapse := 1; lapse <= 40; lapse++ {
 		if endpoint.Lapse(now) != 1 || len(endpoint.take("y", 1, now)) != 0 {
-			test.Fatal("lapse ", lapse)
+			t.Fatal("lapse ", lapse)
 		}
 		if endpoint.Expire(func(*Lot) Terms { return Terms{} }, now) != 0 {
-			test.Fatal("a lapse ended an item")
+			t.Fatal("a lapse ended an item")
 		}
 		if now = now.Plus(growing(lapse)); len(endpoint.take("y", 1, now)) != 1 {
-			test.Fatal("a lapse did not return the item: ", lapse)
+			t.Fatal("a lapse did not return the item: ", lapse)
 		}
 		now = now.Plus(endpointLock)
 	}
 	if endpoint.say("x", messages.AckRenew, one[0].Number, "a", now) != messages.AckStopped {
-		test.Fatal("a lapsed lock was renewed")
+		t.Fatal("a lapsed lock was renewed")
 	}
 }
 
-func TestAcceptAfterLapseAndRepeats(test *testing.T) {
-	endpoint := newEndpoint(test, 1, nil, 0)
+func TestAcceptAfterLapseAndRepeats(t *testing.T) {
+	endpoint := newEndpoint(t, 1, nil, 0)
 	endpoint.lot("l", "a")
 	first := endpoint.take("x", 1, ms(1))[0].Number
 	endpoint.Lapse(ms(2001))
@@ -128,27 +128,27 @@
 	// answered the same, and the other driver's comes too late.
 	for round := 0; round < 2; round++ {
 		if endpoint.say("x", messages.AckAccept, first, "a", ms(4100), text) != messages.AckTaken {
-			test.Fatal("not taken in round ", round)
+			t.Fatal("not taken in round ", round)
 		}
 		if endpoint.say("y", messages.AckAccept, second, "a", ms(4200), text) != messages.AckTerminal ||
 			endpoint.say("y", messages.AckRenew, second, "a", ms(4200)) != messages.AckStopped {
-			test.Fatal("a second output was taken in round ", round)
+			t.Fatal("a second output was taken in round ", round)
 		}
 		endpoint.settle()
 	}
 	if len(endpoint.records) != 4 || len(endpoint.Book.Lot("l").Listings) != 1 || endpoint.Counts.Late != 2 {
-		test.Fatal(len(endpoint.records), endpoint.Counts)
+		t.Fatal(len(endpoint.records), endpoint.Counts)
 	}
 	// A later holder answers the repeat the same, from the record.
-	next := newEndpoint(test, 2, endpoint.records, ms(5000))
+	next := newEndpoint(t, 2, endpoint.records, ms(5000))
 	if next.say("x", messages.AckAccept, first, "a", ms(5000), text) != messages.AckTaken ||
 		next.say("y", messages.AckAccept, second, "a", ms(5000), text) != messages.AckTerminal {
-		test.Fatal("a later holder answers otherwise")
+		t.Fatal("a later holder answers otherwise")
 	}
 }
 
-func TestReleaseBringsEventsBack(test *testing.T) {
-	endpoint := newEndpoint(test, 1, nil, 0)
+func TestReleaseBringsEventsBack(t *testing.T) {
+	endpoint := newEndpoint(t, 1, nil, 0)
 	endpoint.lot("l", "a")
 	first := endpoint.take("x", 1, ms(1))[0].Number
 	endpoint.Lapse(ms(2001))
@@ -157,88 +157,88 @@
 	endpoint.say("x", messages.AckRelease, first, "a", ms(2100), events(2))
 	second := endpoint.take("y", 1, ms(4000))
 	if item := second[0].Item; item.LastID != 3 || len(item.Pieces) != 3 {
-		test.Fatal(item.LastID, len(item.Pieces))
+		t.Fatal(item.LastID, len(item.Pieces))
 	}
 	// A run that goes on from three must not find five beneath it.
 	endpoint.say("x", messages.AckRelease, first, "a", ms(4100), events(5))
 	if item := second[0].Item; item.LastID != 3 || endpoint.Live() != 1 {
-		test.Fatal("a late release changed what another goes on from")
+		t.Fatal("a late release changed what another goes on from")
 	}
 	endpoint.say("y", messages.AckRelease, second[0].Number, "a", ms(4200), events(4))
 	if item := second[0].Item; item.LastID != 4 || endpoint.Live() != 0 || item.Releases != 1 {
-		test.Fatal(item.LastID, endpoint.Live())
+		t.Fatal(item.LastID, endpoint.Live())
 	}
 }
 
-func TestErrsCountOnceAndDurably(test *testing.T) {
-	endpoint := newEndpoint(test, 1, nil, 0)
+func TestErrsCountOnceAndDurably(t *testing.T) {
+	endpoint := newEndpoint(t, 1, nil, 0)
 	endpoint.lot("l", "a")
 	first := endpoint.take("x", 1, ms(1))[0].Number
 	for repeat := 0; repeat < 5; repeat++ {
 		endpoint.say("x", messages.AckRelease, first, "a", ms(10), failed)
 	}
 	if item := endpoint.Book.Lot("l").Find("a"); item.State != ItemAvailable || len(item.FailedBy) != 1 {
-		test.Fatal("one 500 counted as ", len(item.FailedBy))
+		t.Fatal("one 500 counted as ", len(item.FailedBy))
 	}
 	// The count outlives the holder, and so does what was counted.
-	next := newEndpoint(test, 2, endpoint.records, ms(1000))
+	next := newEndpoint(t, 2, endpoint.records, ms(1000))
 	if item := next.Book.Lot("l").Find("a"); len(item.FailedBy) != 1 {
-		test.Fatal("the count was lost with its holder")
+		t.Fatal("the count was lost with its holder")
 	}
 	next.say("x", messages.AckRelease, first, "a", ms(1001), failed)
 	if item := next.Book.Lot("l").Find("a"); len(item.FailedBy) != 1 || item.State != ItemAvailable {
-		test.Fatal("after a takeover it counts as ", len(item.FailedBy))
+		t.Fatal("after a takeover it counts as ", len(item.FailedBy))
 	}
 	second := next.take("y", 1, ms(4000))[0].Number
 	if next.say("y", messages.AckRelease, second, "a", ms(4001), failed) != messages.AckTaken {
-		test.Fatal("not taken")
+		t.Fatal("not taken")
 	}
 	next.settle()
 	if item := next.Book.Lot("l").Find("a"); item.State != ItemArchived {
-		test.Fatal("tries answers of 500 did not end it: ", item.State)
+		t.Fatal("tries answers of 500 did not end it: ", item.State)
 	}
 }
 
-func TestTakeoverAdoptsWhatIsShown(test *testing.T) {
-	old := newEndpoint(test, 1, nil, 0)
+func TestTakeoverAdoptsWhatIsShown(t *testing.T) {
+	old := newEndpoint(t, 1, nil, 0)
 	old.lot("l", "a", "b", "c")
 	given := old.take("x", 3, ms(1))
-	next := newEndpoint(test, 2, old.records, ms(100))
+	next := newEndpoint(t, 2, old.records, ms(100))
 	if len(next.take("y", 3, ms(2000))) != 0 {
-		test.Fatal("perhaps acquired, and acquired again")
+		t.Fatal("perhaps acquired, and acquired again")
 	}
 	if next.say("x", messages.AckRenew, given[0].Number, "a", ms(200)) != messages.AckRenewed {
-		test.Fatal("what was shown was not adopted")
+		t.Fatal("what was shown was not adopted")
 	}
 	// Of two that show the same item the later number stands.
 	if next.say("z", messages.AckRenew, given[0].Number+7, "a", ms(300)) != messages.AckRenewed ||
 		next.say("x", messages.AckRenew, given[0].Number, "a", ms(300)) != messages.AckStopped {
-		test.Fatal("two hold one item")
+		t.Fatal("two hold one item")
 	}
 	// An output is taken at any time.
 	if next.say("x", messages.AckAccept, given[1].Number, "b", ms(300)) != messages.AckTaken {
-		test.Fatal("an earlier acquisition's output was refused")
+		t.Fatal("an earlier acquisition's output was refused")
 	}
 	// One lock length after the duty was taken nothing is shown any more.
 	if next.say("x", messages.AckRenew, given[2].Number, "c", ms(2200)) != messages.AckStopped {
-		test.Fatal("adopted after its lock had ended")
+		t.Fatal("adopted after its lock had ended")
 	}
 	if left := next.take("y", 3, ms(2200)); len(left) != 1 || left[0].Item.ID != "c" || left[0].Number <= given[2].Number {
-		test.Fatal("not available again: ", left)
+		t.Fatal("not available again: ", left)
 	}
 }
 
-func TestEndedLotHandsNothingOut(test *testing.T) {
-	endpoint := newEndpoint(test, 1, nil, 0)
+func TestEndedLotHandsNothingOut(t *testing.T) {
+	endpoint := newEndpoint(t, 1, nil, 0)
 	endpoint.lot("l", "a", "b")
 	one := endpoint.take("x", 1, ms(1))[0].Number
 	closed := true
 	endpoint.Closed = func(*Lot) bool { return closed }
 	if drivers := endpoint.Stop(endpoint.Book.Lot("l")); len(drivers) != 1 || drivers[0].Name != "x" || endpoint.Live() != 0 {
-		test.Fatal(drivers)
+		t.Fatal(drivers)
 	}
 	if len(endpoint.take("y", 2, ms(100))) != 0 || endpoint.say("x", messages.AckRenew, one, "a", ms(100)) != messages.AckTerminal ||
 		endpoint.say("x", messages.AckAccept, one, "a", ms(100)) != messages.AckTerminal {
-		test.Fatal("an ending lot goes on")
+		t.Fatal("an ending lot goes on")
 	}
 }
--- a/internal/batch/lots/drivers_test.go
+++ b/internal/batch/lots/drivers_test.go
@@ -3,47 +3,47 @@
 import "testing"
 
 // A new life of a driver says that its old one is gone: its items come back at once.
-func TestNewLifeGivesItemsBack(test *testing.T) {
-	endpoint := newEndpoint(test, 1, nil, 0)
+func TestNewLifeGivesItemsBack(t *testing.T) {
+	endpoint := newEndpoint(t, 1, nil, 0)
 	endpoint.lot("l", "a", "b")
 	one := endpoint.take("x", 1, ms(1))[0]
 	endpoint.take("y", 1, ms(1))
 	endpoint.Heard(Driver{Name: "x", Life: one.Driver.Life}, ms(2))
 	if endpoint.Lapse(ms(3)) != 0 {
-		test.Fatal("the same life lost its items")
+		t.Fatal("the same life lost its items")
 	}
 	endpoint.Heard(Driver{Name: "x", Life: one.Driver.Life + 1}, ms(4))
 	// Late word of the old life changes nothing.
 	endpoint.Heard(Driver{Name: "x", Life: one.Driver.Life}, ms(5))
 	if endpoint.Lapse(ms(5)) != 1 || endpoint.Live() != 1 || len(endpoint.take("y", 2, ms(500))) != 1 {
-		test.Fatal("the old life's item did not come back, or another's did")
+		t.Fatal("the old life's item did not come back, or another's did")
 	}
 }
 
-func TestListOfDrivers(test *testing.T) {
-	endpoint := newEndpoint(test, 3, nil, ms(1000))
+func TestListOfDrivers(t *testing.T) {
+	endpoint := newEndpoint(t, 3, nil, ms(1000))
 	endpoint.Heard(Driver{Name: "b", Zone: "h"}, ms(1100))
 	if version, list := endpoint.Drivers(0, ms(1200)); version != 0 || list != nil {
-		test.Fatal("told before every driver had spoken")
+		t.Fatal("told before every driver had spoken")
 	}
 	endpoint.Heard(Driver{Name: "a", Zone: "h"}, ms(4000))
 	endpoint.Heard(Driver{Name: "b", Zone: "h"}, ms(4000))
 	version, list := endpoint.Drivers(0, ms(4000))
 	if len(list) != 2 || list[0].Name != "a" || list[0].Zone != "h" {
-		test.Fatal(list)
+		t.Fatal(list)
 	}
 	if _, again := endpoint.Drivers(version, ms(4000)); again != nil {
-		test.Fatal("told again to who knows it")
+		t.Fatal("told again to who knows it")
 	}
 	endpoint.Heard(Driver{Name: "a"}, ms(5000))
 	if !endpoint.Quiet(ms(5200)) || endpoint.Quiet(ms(5200)) {
-		test.Fatal("a silent driver stays")
+		t.Fatal("a silent driver stays")
 	}
 	if later, list := endpoint.Drivers(version, ms(5200)); later <= version || len(list) != 1 || list[0].Name != "a" {
-		test.Fatal(later, list)
+		t.Fatal(later, list)
 	}
 	endpoint.Left(Driver{Name: "a"})
 	if _, list := endpoint.Drivers(version, ms(5200)); len(list) != 0 {
-		test.Fatal("a driver that left is on the list")
+		t.Fatal("a driver that left is on the list")
 	}
 }
--- a/internal/batch/lots/extent.go
+++ b/internal/batch/lots/extent.go
@@ -10,15 +10,15 @@
 }
 
 // whole tells whether the copy has all up to its base.
-func (extent Extent) whole() bool { return extent.Last >= extent.Base }
+func (e Extent) whole() bool { return e.Last >= e.Base }
 
 // epochAt gives the epoch of a record, zero where there is none.
-func (extent Extent) epochAt(index int64) uint64 {
+func (e Extent) epochAt(index int64) uint64 {
 	epoch := uint64(0)
-	if index > extent.Last {
+	if index > e.Last {
 		return epoch
 	}
-	for _, stretch := range extent.Stretches {
+	for _, stretch := range e.Stretches {
 		if stretch.First > index {
 			break
 		}
@@ -47,10 +47,10 @@
 }
 
 // after gives the part of an extent that follows an index.
-func (extent Extent) after(base int64) Extent {
-	part := Extent{Last: extent.Last}
-	for place, stretch := range extent.Stretches {
-		if place+1 < len(extent.Stretches) && extent.Stretches[place+1].First <= base+1 {
+func (e Extent) after(base int64) Extent {
+	part := Extent{Last: e.Last}
+	for place, stretch := range e.Stretches {
+		if place+1 < len(e.Stretches) && e.Stretches[place+1].First <= base+1 {
 			continue
 		}
 		part.Stretches = append(part.Stretches, messages.Stretch{Epoch: stretch.Epoch, First: max(stretch.First, base+1)})
--- a/internal/batch/lots/item.go
+++ b/internal/batch/lots/item.go
@@ -53,92 +53,92 @@
 }
 
 // Begin starts a run and names it; zero when there is nothing to run.
-func (item *Item) Begin() int {
-	if item.State != ItemAvailable || item.Lot.Ended {
+func (i *Item) Begin() int {
+	if i.State != ItemAvailable || i.Lot.Ended {
 		return 0
 	}
-	item.become(ItemAcquired)
-	item.yielding = false
-	item.Runs++
-	return item.Runs
+	i.become(ItemAcquired)
+	i.yielding = false
+	i.Runs++
+	return i.Runs
 }
 
 // running tells whether a run is the one that goes on now.
-func (item *Item) running(run int) bool {
-	return item.State == ItemAcquired && item.Runs == run && !item.Lot.Ended
+func (i *Item) running(run int) bool {
+	return i.State == ItemAcquired && i.Runs == run && !i.Lot.Ended
 }
 
 // Gather adds events of a run, up to an id. What follows a yield is not taken:
 // the next run goes on after the last event that was.
-func (item *Item) Gather(run int, pieces [][]byte, last int64) bool {
-	if !item.running(run) || item.yielding {
+func (i *Item) Gather(run int, pieces [][]byte, last int64) bool {
+	if !i.running(run) || i.yielding {
 		return false
 	}
-	item.Pieces = append(item.Pieces, pieces...)
-	item.LastID = max(item.LastID, last)
+	i.Pieces = append(i.Pieces, pieces...)
+	i.LastID = max(i.LastID, last)
 	return true
 }
 
 // Yield asks a run to make room; false when it is over already.
-func (item *Item) Yield(run int) bool {
-	if !item.running(run) || item.yielding {
+func (i *Item) Yield(run int) bool {
+	if !i.running(run) || i.yielding {
 		return false
 	}
-	item.yielding = true
-	item.Displaced++
+	i.yielding = true
+	i.Displaced++
 	return true
 }
 
 // Yielding tells whether the run that goes on now was asked to make room.
-func (item *Item) Yielding() bool { return item.yielding }
+func (i *Item) Yielding() bool { return i.yielding }
 
 // SetBack ends a run without a result: the item keeps its place by age and all
 // events that carry an id; what can't be gone on from is dropped.
-func (item *Item) SetBack(run int) bool {
-	if item.State != ItemAcquired || item.Runs != run {
+func (i *Item) SetBack(run int) bool {
+	if i.State != ItemAcquired || i.Runs != run {
 		return false
 	}
-	item.Owed = item.Owed || item.yielding
-	item.become(ItemAvailable)
-	item.yielding = false
-	if item.LastID == 0 {
-		item.Pieces = nil
+	i.Owed = i.Owed || i.yielding
+	i.become(ItemAvailable)
+	i.yielding = false
+	if i.LastID == 0 {
+		i.Pieces = nil
 	}
 	return true
 }
 
 // Finish ends a run with the item's one result.
-func (item *Item) Finish(run int) bool {
-	if !item.running(run) || item.yielding {
+func (i *Item) Finish(run int) bool {
+	if !i.running(run) || i.yielding {
 		return false
 	}
-	item.become(ItemClosing)
+	i.become(ItemClosing)
 	return true
 }
 
 // GiveUp ends an item that waits, or the run that found it hopeless, with the
 // result that it is abandoned.
-func (item *Item) GiveUp(run int) bool {
-	if item.Lot.Ended || !(item.State == ItemAvailable || item.running(run)) {
+func (i *Item) GiveUp(run int) bool {
+	if i.Lot.Ended || !(i.State == ItemAvailable || i.running(run)) {
 		return false
 	}
-	item.become(ItemClosing)
+	i.become(ItemClosing)
 	return true
 }
 
 // Waits tells whether no worker has finished the item.
-func (item *Item) Waits() bool { return item.State == ItemAvailable || item.State == ItemAcquired }
+func (i *Item) Waits() bool { return i.State == ItemAvailable || i.State == ItemAcquired }
 
 // Terminal tells whether the item's one result stands durably.
-func (item *Item) Terminal() bool { return item.State == ItemSettled || item.State == ItemArchived }
+func (i *Item) Terminal() bool { return i.State == ItemSettled || i.State == ItemArchived }
 
 // fail counts a 500 of an acquisition; false when it was counted before.
-func (item *Item) fail(number uint64) bool {
-	for _, one := range item.FailedBy {
+func (i *Item) fail(number uint64) bool {
+	for _, one := range i.FailedBy {
 		if one == number {
 			return false
 		}
 	}
-	item.FailedBy = append(item.FailedBy, number)
+	i.FailedBy = append(i.FailedBy, number)
 	return true
 }
--- a/internal/batch/lots/item_test.go
+++ b/internal/batch/lots/item_test.go
@@ -12,7 +12,7 @@
 // Whatever order begin, gather, yield, set back and finish come in, late ones of
 // earlier runs included: an item has at most one result, its events are 1..n once
 // each, and it can always be begun again until it has its result.
-func TestSetBackState(test *testing.T) {
+func TestSetBackState(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(11)
 	parameters.MinSuccessfulTests = 3000
 	properties := gopter.NewProperties(parameters)
@@ -72,24 +72,24 @@
 		}
 		return results == 0 && run > 0 && len(item.Pieces) == whole && item.Finish(run)
 	}, gen.SliceOf(gen.UInt8())))
-	properties.TestingRun(test)
+	properties.TestingRun(t)
 }
 
-func TestEventsWithoutIdsAreNotGoneOnFrom(test *testing.T) {
+func TestEventsWithoutIdsAreNotGoneOnFrom(t *testing.T) {
 	item := &Item{Lot: &Lot{}}
 	run := item.Begin()
 	item.Gather(run, [][]byte{[]byte("a")}, 0)
 	item.SetBack(run)
 	if len(item.Pieces) != 0 {
-		test.Fatal("events that nobody can continue were kept")
+		t.Fatal("events that nobody can continue were kept")
 	}
 }
 
-func TestEndedLotRunsNothing(test *testing.T) {
+func TestEndedLotRunsNothing(t *testing.T) {
 	item := &Item{Lot: &Lot{}}
 	run := item.Begin()
 	item.Lot.Ended = true
 	if item.Gather(run, [][]byte{[]byte("a")}, 1) || item.Finish(run) || !item.SetBack(run) || item.Begin() != 0 {
-		test.Fatal("an ended lot goes on")
+		t.Fatal("an ended lot goes on")
 	}
 }
--- a/internal/batch/lots/lag.go
+++ b/internal/batch/lots/lag.go
@@ -11,13 +11,13 @@
 // Behind takes how far the own store has synced and up to where records are durable.
 // It gives the time for which the own store has not reached what was durable when it
 // was first seen behind; zero when it keeps up.
-func (lag *Lag) Behind(match, done int64, now clock.Moment) clock.Span {
-	if lag.target == 0 || match >= lag.target {
-		lag.target = 0
+func (l *Lag) Behind(match, done int64, now clock.Moment) clock.Span {
+	if l.target == 0 || match >= l.target {
+		l.target = 0
 		if match < done {
-			lag.target, lag.since = done, now
+			l.target, l.since = done, now
 		}
 		return 0
 	}
-	return now.Since(lag.since)
+	return now.Since(l.since)
 }
--- a/internal/batch/lots/lag_test.go
+++ b/internal/batch/lots/lag_test.go
@@ -2,19 +2,19 @@
 
 import "testing"
 
-func TestLag(test *testing.T) {
+func TestLag(t *testing.T) {
 	lag := &Lag{}
 	if lag.Behind(5, 5, ms(0)) != 0 || lag.Behind(5, 9, ms(100)) != 0 {
-		test.Fatal("behind at once")
+		t.Fatal("behind at once")
 	}
 	// It moves on, but slower than the others: what counts is the first target.
 	if lag.Behind(6, 20, ms(600)) != 500*1_000_000 || lag.Behind(8, 40, ms(1100)) != 1000*1_000_000 {
-		test.Fatal("a slow store seems to keep up")
+		t.Fatal("a slow store seems to keep up")
 	}
 	if lag.Behind(9, 60, ms(1600)) != 0 || lag.Behind(10, 60, ms(1700)) != 100*1_000_000 {
-		test.Fatal("the next target does not begin anew")
+		t.Fatal("the next target does not begin anew")
 	}
 	if lag.Behind(60, 60, ms(1800)) != 0 || lag.Behind(60, 60, ms(9000)) != 0 {
-		test.Fatal("behind although it has everything")
+		t.Fatal("behind although it has everything")
 	}
 }
--- a/internal/batch/lots/lots_test.go
+++ b/internal/batch/lots/lots_test.go
@@ -39,7 +39,7 @@
 
 // Common is exactly the length of the shared beginning of two copies that one
 // holder each epoch wrote.
-func TestCommon(test *testing.T) {
+func TestCommon(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(3))
 	properties.Property("common", prop.ForAll(func(shared, left, right []bool) bool {
 		epoch := uint64(1)
@@ -76,94 +76,94 @@
 		short := Extent{Last: common - 1, Stretches: stretches(base[:max(common-1, 0)])}
 		return common < 2 || Common(compactedAt(one, common), short) == 0
 	}, gen.SliceOf(gen.Bool()), gen.SliceOf(gen.Bool()), gen.SliceOf(gen.Bool())))
-	properties.TestingRun(test)
+	properties.TestingRun(t)
 }
 
-func TestDurableNeedsCopiesAndOwnEpoch(test *testing.T) {
+func TestDurableNeedsCopiesAndOwnEpoch(t *testing.T) {
 	press := NewPress(4, []messages.Member{member("a"), member("b"), member("c")}, 1, 11)
 	press.Take()
 	identity := func(name string) string { return register.Identity(member(name)) }
 	// Copies of earlier records decide nothing by their number.
 	if press.Matched(identity("a"), 10) || press.Matched(identity("b"), 10) {
-		test.Fatal("an earlier epoch's record was called durable")
+		t.Fatal("an earlier epoch's record was called durable")
 	}
 	if press.Matched(identity("a"), 11) {
-		test.Fatal("durable with one copy")
+		t.Fatal("durable with one copy")
 	}
 	if !press.Matched(identity("c"), 11) || press.Done() != 11 {
-		test.Fatal("not durable with two copies")
+		t.Fatal("not durable with two copies")
 	}
 	// While the set changes, both sets have to have it.
 	press.Next = []messages.Member{member("a"), member("c"), member("d")}
 	press.Take()
 	press.Matched(identity("a"), 12)
 	if press.Matched(identity("b"), 12) {
-		test.Fatal("durable without the next set")
+		t.Fatal("durable without the next set")
 	}
 	if !press.Matched(identity("d"), 12) {
-		test.Fatal("not durable in both sets")
+		t.Fatal("not durable in both sets")
 	}
 }
 
-func TestFenceAndIdentity(test *testing.T) {
+func TestFenceAndIdentity(t *testing.T) {
 	replica := NewReplica("disk")
 	if answer, _ := replica.Raise(&messages.Raise{Epoch: 5, Disk: "other"}); answer.Granted {
-		test.Fatal("another disk's order was taken")
+		t.Fatal("another disk's order was taken")
 	}
 	if answer, keep := replica.Raise(&messages.Raise{Epoch: 5, Disk: "disk"}); !answer.Granted || !keep {
-		test.Fatal("not raised")
+		t.Fatal("not raised")
 	}
 	replica.SetFence(5)
 	if _, answer := replica.Append(&messages.Append{Epoch: 4, Disk: "disk", Records: []messages.Record{{Index: 1, Epoch: 4}}}); answer.Granted {
-		test.Fatal("a fenced holder's order was taken")
+		t.Fatal("a fenced holder's order was taken")
 	}
 }
 
-func TestPositionsNeverChange(test *testing.T) {
+func TestPositionsNeverChange(t *testing.T) {
 	book := NewBook()
 	body := &messages.LotBody{Items: []messages.LotItem{{ID: "x", Tokens: 5}, {ID: "y", Tokens: 7}}}
 	packed, _ := body.MarshalMsg(nil)
 	apply := func(record messages.Record) error { return book.Apply(&record) }
 	if apply(messages.Record{Kind: messages.RecordLot, Lot: "l", Body: packed}) != nil {
-		test.Fatal("lot refused")
+		t.Fatal("lot refused")
 	}
 	all := func(*Lot) bool { return true }
 	if book.Waiting(all) != 12 {
-		test.Fatal(book.Waiting(all))
+		t.Fatal(book.Waiting(all))
 	}
 	if apply(messages.Record{Kind: messages.RecordOutput, Lot: "l", Item: "y"}) != nil || book.Waiting(all) != 5 {
-		test.Fatal("output refused")
+		t.Fatal("output refused")
 	}
 	if apply(messages.Record{Kind: messages.RecordOutput, Lot: "l", Item: "x", Position: 0}) == nil {
-		test.Fatal("a position was given twice")
+		t.Fatal("a position was given twice")
 	}
 	if apply(messages.Record{Kind: messages.RecordEnd, Lot: "l"}) != nil || book.Lot("l").Open() || book.Waiting(all) != 0 {
-		test.Fatal("an ended lot is open")
+		t.Fatal("an ended lot is open")
 	}
 	if got := book.Lot("l").Listings; len(got) != 1 || got[0].Item != "y" {
-		test.Fatal(got)
+		t.Fatal(got)
 	}
 }
 
-func TestEnough(test *testing.T) {
+func TestEnough(t *testing.T) {
 	if Enough(3, 1, 1) || !Enough(3, 2, 1) || Enough(4, 2, 1) || !Enough(4, 3, 1) || !Enough(1, 1, 1) || Enough(2, 0, 1) {
-		test.Fatal("wrong read quorum")
+		t.Fatal("wrong read quorum")
 	}
 }
 
 // A short copy of a later epoch outranks a long one of an earlier epoch: the rest
 // of the long one was never durable.
-func TestBestCopy(test *testing.T) {
+func TestBestCopy(t *testing.T) {
 	copies := map[string]messages.Raised{
 		"long":  {Last: 9, Stretches: []messages.Stretch{{Epoch: 3, First: 1}}},
 		"late":  {Last: 6, Stretches: []messages.Stretch{{Epoch: 3, First: 1}, {Epoch: 5, First: 6}}},
 		"empty": {},
 	}
 	if got := Best(copies); got != "late" {
-		test.Fatal(got)
+		t.Fatal(got)
 	}
 	copies["longer"] = messages.Raised{Last: 7, Stretches: []messages.Stretch{{Epoch: 3, First: 1}, {Epoch: 5, First: 6}}}
 	if got := Best(copies); got != "longer" {
-		test.Fatal(got)
+		t.Fatal(got)
 	}
 }
--- a/internal/batch/lots/replica.go
+++ b/internal/batch/lots/replica.go
@@ -53,87 +53,87 @@
 func NewReplica(disk string) *Replica { return &Replica{Disk: disk} }
 
 // Fence is the epoch below which orders are refused.
-func (replica *Replica) Fence() uint64 { return replica.fence }
+func (r *Replica) Fence() uint64 { return r.fence }
 
 // SetFence is for reading the disk.
-func (replica *Replica) SetFence(epoch uint64) { replica.fence = max(replica.fence, epoch) }
+func (r *Replica) SetFence(epoch uint64) { r.fence = max(r.fence, epoch) }
 
 // Base is the point up to which the replica is compacted; zero where it never was.
-func (replica *Replica) Base() Base { return replica.base }
+func (r *Replica) Base() Base { return r.base }
 
 // position is the index of the last sparse record.
-func (replica *Replica) position() int64 {
-	if len(replica.sparse) == 0 {
+func (r *Replica) position() int64 {
+	if len(r.sparse) == 0 {
 		return 0
 	}
-	return replica.sparse[len(replica.sparse)-1].Index
+	return r.sparse[len(r.sparse)-1].Index
 }
 
 // Whole tells whether all up to the base is here: the record at the base, which is
 // always kept, comes last.
-func (replica *Replica) Whole() bool { return replica.position() == replica.base.Index }
+func (r *Replica) Whole() bool { return r.position() == r.base.Index }
 
 // Last is the index of the last record; indexes begin at 1.
-func (replica *Replica) Last() int64 { return replica.position() + int64(len(replica.slots)) }
+func (r *Replica) Last() int64 { return r.position() + int64(len(r.slots)) }
 
 // Slot gives the slot at an index; there is none where the record was compacted away.
-func (replica *Replica) Slot(index int64) (Slot, bool) {
-	if place := index - replica.base.Index - 1; place >= 0 {
-		if place >= int64(len(replica.slots)) {
+func (r *Replica) Slot(index int64) (Slot, bool) {
+	if place := index - r.base.Index - 1; place >= 0 {
+		if place >= int64(len(r.slots)) {
 			return Slot{}, false
 		}
-		return replica.slots[place], true
+		return r.slots[place], true
 	}
-	place := replica.sparseAt(index)
-	if place == len(replica.sparse) || replica.sparse[place].Index != index {
+	place := r.sparseAt(index)
+	if place == len(r.sparse) || r.sparse[place].Index != index {
 		return Slot{}, false
 	}
-	return replica.sparse[place], true
+	return r.sparse[place], true
 }
 
 // sparseAt is the place of the first sparse record at an index or behind it.
-func (replica *Replica) sparseAt(index int64) int {
-	return sort.Search(len(replica.sparse), func(place int) bool { return replica.sparse[place].Index >= index })
+func (r *Replica) sparseAt(index int64) int {
+	return sort.Search(len(r.sparse), func(place int) bool { return r.sparse[place].Index >= index })
 }
 
 // EpochAt gives the epoch of a record; index 0 stands before all. Up to the base all
 // records count as the base's: which holder wrote them is of no use any more.
-func (replica *Replica) EpochAt(index int64) uint64 {
+func (r *Replica) EpochAt(index int64) uint64 {
 	switch {
-	case index < 1 || index > replica.Last():
+	case index < 1 || index > r.Last():
 		return 0
-	case index <= replica.base.Index:
-		return replica.base.Epoch
+	case index <= r.base.Index:
+		return r.base.Epoch
 	}
-	return replica.slots[index-replica.base.Index-1].Epoch
+	return r.slots[index-r.base.Index-1].Epoch
 }
 
 // Each visits the records that are kept from an index on until visit says stop.
-func (replica *Replica) Each(first int64, visit func(slot Slot) bool) {
-	for _, slot := range replica.sparse[replica.sparseAt(first):] {
+func (r *Replica) Each(first int64, visit func(slot Slot) bool) {
+	for _, slot := range r.sparse[r.sparseAt(first):] {
 		if !visit(slot) {
 			return
 		}
 	}
-	for place := max(first-replica.base.Index-1, 0); place < int64(len(replica.slots)); place++ {
-		if !visit(replica.slots[place]) {
+	for place := max(first-r.base.Index-1, 0); place < int64(len(r.slots)); place++ {
+		if !visit(r.slots[place]) {
 			return
 		}
 	}
 }
 
 // Extent tells which records are here and which epochs wrote them.
-func (replica *Replica) Extent() Extent {
-	extent := Extent{Last: replica.Last(), Base: replica.base.Index}
+func (r *Replica) Extent() Extent {
+	extent := Extent{Last: r.Last(), Base: r.base.Index}
 	note := func(epoch uint64, first int64) {
 		if count := len(extent.Stretches); count == 0 || extent.Stretches[count-1].Epoch != epoch {
 			extent.Stretches = append(extent.Stretches, messages.Stretch{Epoch: epoch, First: first})
 		}
 	}
-	if replica.base.Index > 0 {
-		note(replica.base.Epoch, 1)
+	if r.base.Index > 0 {
+		note(r.base.Epoch, 1)
 	}
-	for _, slot := range replica.slots {
+	for _, slot := range r.slots {
 		note(slot.Epoch, slot.Index)
 	}
 	return extent
@@ -141,51 +141,51 @@
 
 // Raise answers a new holder; keep says that the fence must be synced before that, and
 // then set. It is not set here: where the sync fails, a second try has to sync it too.
-func (replica *Replica) Raise(question *messages.Raise) (answer messages.Raised, keep bool) {
-	answer = messages.Raised{Epoch: replica.fence}
+func (r *Replica) Raise(question *messages.Raise) (answer messages.Raised, keep bool) {
+	answer = messages.Raised{Epoch: r.fence}
 	// A disk that came back empty is not the store that was asked for.
-	if question.Disk != replica.Disk || question.Epoch < replica.fence {
+	if question.Disk != r.Disk || question.Epoch < r.fence {
 		return answer, false
 	}
-	keep = question.Epoch > replica.fence
-	extent := replica.Extent()
+	keep = question.Epoch > r.fence
+	extent := r.Extent()
 	return messages.Raised{Granted: true, Epoch: question.Epoch, Last: extent.Last, Stretches: extent.Stretches, Base: extent.Base}, keep
 }
 
 // Cut drops everything after an index.
-func (replica *Replica) Cut(index int64) {
-	if index >= replica.base.Index {
-		replica.slots = replica.slots[:min(index-replica.base.Index, int64(len(replica.slots)))]
+func (r *Replica) Cut(index int64) {
+	if index >= r.base.Index {
+		r.slots = r.slots[:min(index-r.base.Index, int64(len(r.slots)))]
 		return
 	}
-	replica.slots = nil
-	replica.sparse = replica.sparse[:replica.sparseAt(index+1)]
+	r.slots = nil
+	r.sparse = r.sparse[:r.sparseAt(index+1)]
 }
 
 // Put adds the record that follows.
-func (replica *Replica) Put(record *messages.Record, offset int64) {
-	if replica.base.Index > 0 && record.Index <= replica.base.Index {
-		replica.sparse = append(replica.sparse, slotOf(record, record.Index, offset))
+func (r *Replica) Put(record *messages.Record, offset int64) {
+	if r.base.Index > 0 && record.Index <= r.base.Index {
+		r.sparse = append(r.sparse, slotOf(record, record.Index, offset))
 		return
 	}
-	replica.slots = append(replica.slots, slotOf(record, replica.Last()+1, offset))
+	r.slots = append(r.slots, slotOf(record, r.Last()+1, offset))
 }
 
 // Restore adds a record that is read from disk. One that is there already was written
 // before a sync failed, and again after: the later one and what follows it counts.
-func (replica *Replica) Restore(record *messages.Record, offset int64) error {
-	sparse := record.Index <= replica.base.Index
-	if !sparse && (record.Index > replica.Last()+1 || !replica.Whole()) {
+func (r *Replica) Restore(record *messages.Record, offset int64) error {
+	sparse := record.Index <= r.base.Index
+	if !sparse && (record.Index > r.Last()+1 || !r.Whole()) {
 		return RecordGap.New("record that does not follow")
 	}
-	if record.Index <= replica.Last() {
-		replica.Cut(record.Index - 1)
+	if record.Index <= r.Last() {
+		r.Cut(record.Index - 1)
 	}
-	replica.Put(record, offset)
+	r.Put(record, offset)
 	return nil
 }
 
 // Reset begins a copy that is compacted up to a base: what was here is dropped.
-func (replica *Replica) Reset(base Base) {
-	replica.base, replica.sparse, replica.slots = base, nil, nil
+func (r *Replica) Reset(base Base) {
+	r.base, r.sparse, r.slots = base, nil, nil
 }
--- a/internal/batch/lots/replication.go
+++ b/internal/batch/lots/replication.go
@@ -28,52 +28,52 @@
 }
 
 // Take counts a record that the holder has made.
-func (press *Press) Take() int64 {
-	press.last++
-	return press.last
+func (p *Press) Take() int64 {
+	p.last++
+	return p.last
 }
 
 // Last is the index of the newest record.
-func (press *Press) Last() int64 { return press.last }
+func (p *Press) Last() int64 { return p.last }
 
 // Matched notes that a store has synced all up to an index, and tells whether
 // more is durable now.
-func (press *Press) Matched(identity string, index int64) bool {
-	if index > press.match[identity] {
-		press.match[identity] = index
+func (p *Press) Matched(identity string, index int64) bool {
+	if index > p.match[identity] {
+		p.match[identity] = index
 	}
-	return press.Settle()
+	return p.Settle()
 }
 
 // MatchOf tells how far a store has synced.
-func (press *Press) MatchOf(identity string) int64 { return press.match[identity] }
+func (p *Press) MatchOf(identity string) int64 { return p.match[identity] }
 
 // Settle recomputes what is durable.
-func (press *Press) Settle() bool {
-	durable := press.durableIn(press.Members)
-	if press.Next != nil {
-		durable = min(durable, press.durableIn(press.Next))
+func (p *Press) Settle() bool {
+	durable := p.durableIn(p.Members)
+	if p.Next != nil {
+		durable = min(durable, p.durableIn(p.Next))
 	}
 	// Copies of an earlier epoch's records decide nothing by their number: they
 	// are durable once a record of this epoch behind them is.
-	if durable < press.first || durable <= press.done {
+	if durable < p.first || durable <= p.done {
 		return false
 	}
-	press.done = durable
+	p.done = durable
 	return true
 }
 
 // Done is the index up to which all is durable.
-func (press *Press) Done() int64 { return press.done }
+func (p *Press) Done() int64 { return p.done }
 
-func (press *Press) durableIn(members []messages.Member) int64 {
-	needed := CopiesNeeded(len(members), press.budget)
+func (p *Press) durableIn(members []messages.Member) int64 {
+	needed := CopiesNeeded(len(members), p.budget)
 	if needed == 0 {
 		return 0
 	}
 	var matches []int64
 	for _, member := range members {
-		matches = append(matches, press.match[register.Identity(member)])
+		matches = append(matches, p.match[register.Identity(member)])
 	}
 	sort.Slice(matches, func(left, right int) bool { return matches[left] > matches[right] })
 	return matches[needed-1]
--- a/internal/batch/lots/state.go
+++ b/internal/batch/lots/state.go
@@ -46,18 +46,18 @@
 // Older tells whether a lot is older than a span: by the time of day, and known here
 // for as long. A time of day that was stepped, here or where the lot was taken, must
 // end nothing early; after a takeover things end later instead.
-func (lot *Lot) Older(span clock.Span, wallMs int64, now clock.Moment) bool {
-	return wallMs-lot.SentMs > span.Milliseconds() && now.Since(lot.Known) > span
+func (l *Lot) Older(span clock.Span, wallMs int64, now clock.Moment) bool {
+	return wallMs-l.SentMs > span.Milliseconds() && now.Since(l.Known) > span
 }
 
 // Giving counts the positions that are on their way to the stores.
-func (lot *Lot) Giving() int { return lot.giving }
+func (l *Lot) Giving() int { return l.giving }
 
 // Sum is the number of items.
-func (lot *Lot) Sum() int { return lot.sum }
+func (l *Lot) Sum() int { return l.sum }
 
 // Open tells whether results may still come.
-func (lot *Lot) Open() bool { return !lot.Ended && lot.open > 0 }
+func (l *Lot) Open() bool { return !l.Ended && l.open > 0 }
 
 // Book is what the durable records say.
 type Book struct {
@@ -75,18 +75,18 @@
 func NewBook() *Book { return &Book{lotList: map[string]*Lot{}, entrants: map[entrant]uint64{}} }
 
 // Lot finds a lot, or nil.
-func (book *Book) Lot(id string) *Lot { return book.lotList[id] }
+func (b *Book) Lot(id string) *Lot { return b.lotList[id] }
 
 // Lots gives all lots, the oldest first.
-func (book *Book) Lots() []*Lot { return book.order }
+func (b *Book) Lots() []*Lot { return b.order }
 
 // Apply takes a durable record.
-func (book *Book) Apply(record *messages.Record) error {
+func (b *Book) Apply(record *messages.Record) error {
 	switch record.Kind {
 	case messages.RecordLot:
-		return book.addLot(record)
+		return b.addLot(record)
 	case messages.RecordOutput:
-		lot := book.lotList[record.Lot]
+		lot := b.lotList[record.Lot]
 		if lot == nil || record.Position != len(lot.Listings) {
 			return Unreadable.New("output out of place in lot " + record.Lot)
 		}
@@ -104,37 +104,37 @@
 			lot.open--
 		}
 	case messages.RecordDriver:
-		book.enter(record)
+		b.enter(record)
 	case messages.RecordSure:
-		book.clear(record.Epoch)
+		b.clear(record.Epoch)
 	case messages.RecordErr:
-		if lot := book.lotList[record.Lot]; lot != nil {
+		if lot := b.lotList[record.Lot]; lot != nil {
 			if item := lot.Find(record.Item); item != nil {
 				item.fail(record.Acquisition)
 			}
 		}
 	case messages.RecordEnd:
-		if lot := book.lotList[record.Lot]; lot != nil {
+		if lot := b.lotList[record.Lot]; lot != nil {
 			lot.Ended = true
 			for _, item := range lot.Items {
 				item.Body, item.Pieces, item.Headers = nil, nil, nil
 			}
 		}
 	case messages.RecordForget:
-		delete(book.lotList, record.Lot)
-		kept := book.order[:0]
-		for _, lot := range book.order {
+		delete(b.lotList, record.Lot)
+		kept := b.order[:0]
+		for _, lot := range b.order {
 			if lot.ID != record.Lot {
 				kept = append(kept, lot)
 			}
 		}
-		book.order = kept
+		b.order = kept
 	}
 	return nil
 }
 
-func (book *Book) addLot(record *messages.Record) error {
-	if book.lotList[record.Lot] != nil {
+func (b *Book) addLot(record *messages.Record) error {
+	if b.lotList[record.Lot] != nil {
 		return nil
 	}
 	body := &messages.LotBody{}
@@ -150,19 +150,19 @@
 		lot.available.set(place, true)
 		lot.waiting += item.Tokens
 	}
-	book.lotList[lot.ID] = lot
-	book.order = append(book.order, lot)
-	book.opened = append(book.opened, lot)
-	book.fresh = append(book.fresh, lot)
-	sort.SliceStable(book.order, func(left, right int) bool { return book.order[left].SentMs < book.order[right].SentMs })
+	b.lotList[lot.ID] = lot
+	b.order = append(b.order, lot)
+	b.opened = append(b.opened, lot)
+	b.fresh = append(b.fresh, lot)
+	sort.SliceStable(b.order, func(left, right int) bool { return b.order[left].SentMs < b.order[right].SentMs })
 	return nil
 }
 
 // Waiting adds up the tokens of items that no worker has finished. Only open lots
 // are walked: finished ones are kept for minutes, and hand-ins come in bursts.
-func (book *Book) Waiting(belongs func(lot *Lot) bool) int64 {
+func (b *Book) Waiting(belongs func(lot *Lot) bool) int64 {
 	total := int64(0)
-	for _, lot := range book.openLots() {
+	for _, lot := range b.openLots() {
 		if belongs(lot) {
 			total += lot.waiting
 		}
@@ -171,4 +171,4 @@
 }
 
 // Find gives an item of a lot, or nil.
-func (lot *Lot) Find(id string) *Item { return lot.named[id] }
+func (l *Lot) Find(id string) *Item { return l.named[id] }
--- a/internal/batch/lots/waiting_test.go
+++ b/internal/batch/lots/waiting_test.go
@@ -22,21 +22,21 @@
 }
 
 // addLotOf puts a lot of a few items into a book.
-func addLotOf(test testing.TB, book *Book, id, path string, items int, tokens int64) *Lot {
+func addLotOf(tb testing.TB, book *Book, id, path string, items int, tokens int64) *Lot {
 	body := &messages.LotBody{Path: path}
 	for place := 0; place < items; place++ {
 		body.Items = append(body.Items, messages.LotItem{ID: fmt.Sprint(id, "-", place), Tokens: tokens + int64(place)})
 	}
 	packed, _ := body.MarshalMsg(nil)
 	if err := book.Apply(&messages.Record{Kind: messages.RecordLot, Lot: id, Body: packed}); err != nil {
-		test.Fatal(err)
+		tb.Fatal(err)
 	}
 	return book.Lot(id)
 }
 
 // Whatever lots go through, in any order, the short count is the slow one: on each
 // route alone, and on both.
-func TestWaitingAgreesWithTheSlowCount(test *testing.T) {
+func TestWaitingAgreesWithTheSlowCount(t *testing.T) {
 	for seed := int64(1); seed <= 200; seed++ {
 		random, book := rand.New(rand.NewSource(seed)), NewBook()
 		for step := 0; step < 120; step++ {
@@ -46,7 +46,7 @@
 			}
 			switch kind := random.Intn(9); {
 			case kind < 2 || lot == nil:
-				addLotOf(test, book, fmt.Sprint(step), fmt.Sprint("/", random.Intn(2)), 1+random.Intn(4), 10)
+				addLotOf(t, book, fmt.Sprint(step), fmt.Sprint("/", random.Intn(2)), 1+random.Intn(4), 10)
 			case kind < 4:
 				item := lot.Items[random.Intn(len(lot.Items))]
 				item.Finish(item.Begin())
@@ -70,13 +70,13 @@
 			}
 			for _, lot := range book.Lots() {
 				if kept, slow := keptAvailable(lot), slowAvailable(lot); kept != slow {
-					test.Fatalf("seed %d step %d: lot %s keeps %q, has %q", seed, step, lot.ID, kept, slow)
+					t.Fatalf("seed %d step %d: lot %s keeps %q, has %q", seed, step, lot.ID, kept, slow)
 				}
 			}
 			for _, path := range []string{"/0", "/1", ""} {
 				belongs := func(lot *Lot) bool { return path == "" || lot.Path == path }
 				if got, want := book.Waiting(belongs), slowWaiting(book, belongs); got != want {
-					test.Fatalf("seed %d step %d: %d, want %d", seed, step, got, want)
+					t.Fatalf("seed %d step %d: %d, want %d", seed, step, got, want)
 				}
 			}
 		}
@@ -84,10 +84,10 @@
 }
 
 // benchBook has many finished lots and few open ones, as after some minutes.
-func benchBook(scheduler *testing.B) *Book {
+func benchBook(b *testing.B) *Book {
 	book := NewBook()
 	for number := 0; number < 1200; number++ {
-		lot := addLotOf(scheduler, book, fmt.Sprint(number), "/0", 30, 900)
+		lot := addLotOf(b, book, fmt.Sprint(number), "/0", 30, 900)
 		if number >= 100 {
 			for place, item := range lot.Items {
 				_ = book.Apply(&messages.Record{Kind: messages.RecordOutput, Lot: lot.ID, Item: item.ID, Position: place})
@@ -97,16 +97,16 @@
 	return book
 }
 
-func BenchmarkWaiting(scheduler *testing.B) {
-	book := benchBook(scheduler)
-	for scheduler.Loop() {
+func BenchmarkWaiting(b *testing.B) {
+	book := benchBook(b)
+	for b.Loop() {
 		book.Waiting(func(*Lot) bool { return true })
 	}
 }
 
-func BenchmarkWaitingSlowCount(scheduler *testing.B) {
-	book := benchBook(scheduler)
-	for scheduler.Loop() {
+func BenchmarkWaitingSlowCount(b *testing.B) {
+	book := benchBook(b)
+	for b.Loop() {
 		slowWaiting(book, func(*Lot) bool { return true })
 	}
 }
--- a/internal/batch/store/acknowledge.go
+++ b/internal/batch/store/acknowledge.go
@@ -8,44 +8,44 @@
 )
 
 // renew asks for all locks in one message.
-func (driver *driver) renew(entries []messages.Acknowledgement, epoch uint64) {
+func (d *driver) renew(entries []messages.Acknowledgement, epoch uint64) {
 	asked := clock.Now()
-	answer := driver.acknowledge(entries, epoch, constants.CallTime/2)
-	driver.lock.Lock()
-	defer driver.lock.Unlock()
-	driver.renewing = false
+	answer := d.acknowledge(entries, epoch, constants.CallTime/2)
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	d.renewing = false
 	if answer == nil {
 		// Asked again at once: the duty may have changed hands.
-		driver.renewed = 0
+		d.renewed = 0
 		return
 	}
-	driver.halt(driver.core.Renewed(entries, answer.Verdicts, asked, driver.lockSpan))
+	d.halt(d.core.Renewed(entries, answer.Verdicts, asked, d.lockSpan))
 }
 
 // acknowledge carries a batch to the dispatcher; nil when it was not answered.
-func (driver *driver) acknowledge(entries []messages.Acknowledgement, epoch uint64, span clock.Span) *messages.Acknowledged {
-	own, holder := driver.server.Node.Own, driver.server.holder()
-	driver.lock.Lock()
-	leaving := driver.leaving
-	driver.lock.Unlock()
+func (d *driver) acknowledge(entries []messages.Acknowledgement, epoch uint64, span clock.Span) *messages.Acknowledged {
+	own, holder := d.server.Node.Own, d.server.holder()
+	d.lock.Lock()
+	leaving := d.leaving
+	d.lock.Unlock()
 	question := &messages.Acknowledge{Driver: own.Name, Life: own.Life, Address: own.Address, Zone: own.Zone, Entries: entries,
-		Known: driver.known(), Leaving: leaving, Epoch: epoch}
+		Known: d.known(), Leaving: leaving, Epoch: epoch}
 	answer := &messages.Acknowledged{}
 	if holder == own.Address {
-		answer = driver.server.acknowledge(question)
-	} else if holder == "" || transport.Ask(driver.server.Node.Wire, holder, messages.KindAcknowledge, question, answer, span) != nil {
+		answer = d.server.acknowledge(question)
+	} else if holder == "" || transport.Ask(d.server.Node.Wire, holder, messages.KindAcknowledge, question, answer, span) != nil {
 		return nil
 	}
 	if answer.Elsewhere {
 		return nil
 	}
-	driver.listed(answer.Version, answer.Drivers, clock.Now())
+	d.listed(answer.Version, answer.Drivers, clock.Now())
 	return answer
 }
 
 // acknowledgeLoop repeats acknowledgements until they are answered.
-func (driver *driver) acknowledgeLoop(bell chan struct{}, gather func() []messages.Acknowledgement) {
-	stop := driver.server.Node.Stop
+func (d *driver) acknowledgeLoop(bell chan struct{}, gather func() []messages.Acknowledgement) {
+	stop := d.server.Node.Stop
 	for {
 		select {
 		case <-stop:
@@ -54,17 +54,17 @@
 		case <-clock.After(constants.AcquireHold):
 		}
 		for {
-			driver.lock.Lock()
+			d.lock.Lock()
 			batch := gather()
-			driver.lock.Unlock()
+			d.lock.Unlock()
 			if len(batch) == 0 {
 				break
 			}
 			pause := constants.AckGather
-			if answer := driver.acknowledge(batch, 0, constants.RoundTime+constants.CallTime); answer != nil {
-				driver.lock.Lock()
-				driver.core.Answered(batch, answer.Verdicts)
-				driver.lock.Unlock()
+			if answer := d.acknowledge(batch, 0, constants.RoundTime+constants.CallTime); answer != nil {
+				d.lock.Lock()
+				d.core.Answered(batch, answer.Verdicts)
+				d.lock.Unlock()
 			} else {
 				pause = constants.AckPause
 			}
--- a/internal/batch/store/budget_test.go
+++ b/internal/batch/store/budget_test.go
@@ -12,88 +12,88 @@
 )
 
 // slowly carries an order; a slow store takes longer over it.
-func (fleet *simFleet) slowly(from, to string, function func()) {
-	lag := fleet.lag[to]
+func (s *simFleet) slowly(from, to string, function func()) {
+	lag := s.lag[to]
 	if lag == 0 {
-		fleet.world.Send(from, to, function)
+		s.world.Send(from, to, function)
 		return
 	}
-	fleet.world.Send(from, to, func() { fleet.world.After(lag, function) })
+	s.world.Send(from, to, func() { s.world.After(lag, function) })
 }
 
 // slowTwo makes two members of the set slow, and nobody else.
-func (fleet *simFleet) slowTwo() {
-	fleet.lag = map[string]clock.Span{}
-	for _, place := range fleet.world.Random.Perm(len(fleet.set))[:2] {
-		fleet.lag[fleet.set[place].Address] = clock.Milliseconds(120)
+func (s *simFleet) slowTwo() {
+	s.lag = map[string]clock.Span{}
+	for _, place := range s.world.Random.Perm(len(s.set))[:2] {
+		s.lag[s.set[place].Address] = clock.Milliseconds(120)
 	}
 }
 
 // pair draws two members of the set; half of the time those that have most.
-func (fleet *simFleet) pair() []messages.Member {
-	order := fleet.world.Random.Perm(len(fleet.set))
-	if fleet.world.Random.Intn(2) == 0 {
+func (s *simFleet) pair() []messages.Member {
+	order := s.world.Random.Perm(len(s.set))
+	if s.world.Random.Intn(2) == 0 {
 		has := func(place int) int64 {
-			return fleet.stores[fleet.set[place].Address].store.Extent().Last
+			return s.stores[s.set[place].Address].store.Extent().Last
 		}
 		sort.SliceStable(order, func(left, right int) bool { return has(order[left]) > has(order[right]) })
 	}
-	return []messages.Member{fleet.set[order[0]], fleet.set[order[1]]}
+	return []messages.Member{s.set[order[0]], s.set[order[1]]}
 }
 
 // fresh gives a store outside the set.
-func (fleet *simFleet) fresh() messages.Member {
+func (s *simFleet) fresh() messages.Member {
 	inSet := map[string]bool{}
-	for _, member := range fleet.set {
+	for _, member := range s.set {
 		inSet[member.Address] = true
 	}
-	for _, name := range simulation.Keys(fleet.stores) {
-		if !inSet[name] && !fleet.stores[name].down {
-			return fleet.stores[name].member
+	for _, name := range simulation.Keys(s.stores) {
+		if !inSet[name] && !s.stores[name].down {
+			return s.stores[name].member
 		}
 	}
-	fleet.test.Fatal("no store stands by")
+	s.test.Fatal("no store stands by")
 	return messages.Member{}
 }
 
 // untilTold runs until the holder has told one more result: the fault that follows
 // strikes right after an acknowledgement.
-func (fleet *simFleet) untilTold() {
-	before := fleet.tellings
-	for step := 0; step < 4000 && fleet.tellings == before; step++ {
+func (s *simFleet) untilTold() {
+	before := s.tellings
+	for step := 0; step < 4000 && s.tellings == before; step++ {
 		if step%30 == 0 {
-			fleet.number++
-			id := fmt.Sprintf("lot%d", fleet.number)
+			s.number++
+			id := fmt.Sprintf("lot%d", s.number)
 			packed, _ := (&messages.LotBody{Path: "/p/", Items: []messages.LotItem{{ID: id + "-0", Tokens: 1}}}).MarshalMsg(nil)
-			fleet.holder.submit(messages.Record{Kind: messages.RecordLot, Lot: id, Body: packed})
-			fleet.holder.submit(messages.Record{Kind: messages.RecordOutput, Lot: id, Item: id + "-0"})
-			fleet.holder.forget()
+			s.holder.submit(messages.Record{Kind: messages.RecordLot, Lot: id, Body: packed})
+			s.holder.submit(messages.Record{Kind: messages.RecordOutput, Lot: id, Item: id + "-0"})
+			s.holder.forget()
 		}
-		fleet.world.Run(fleet.world.Now.Plus(clock.Milliseconds(1)))
+		s.world.Run(s.world.Now.Plus(clock.Milliseconds(1)))
 	}
-	if fleet.tellings == before {
-		fleet.test.Fatal("nothing was told any more")
+	if s.tellings == before {
+		s.test.Fatal("nothing was told any more")
 	}
 }
 
 // wipeBack brings a machine back with an empty disk.
-func (fleet *simFleet) wipeBack(one *simStore, disk string) {
+func (s *simFleet) wipeBack(one *simStore, disk string) {
 	one.down = true
 	one.disk.PowerLoss()
 	one.disk.Wipe()
 	one.member.Disk = disk
-	fleet.open(one)
+	s.open(one)
 }
 
 // Records outlast the loss of any two of five stores right after they were told:
 // disks lost while all others lose power, kills, and machines gone for good.
-func TestLotsUnderLossOfTwo(test *testing.T) {
+func TestLotsUnderLossOfTwo(t *testing.T) {
 	told := 0
 	for seed := int64(1); seed <= int64(simulation.Seeds(40)); seed++ {
-		fleet := newSimFleetOf(test, seed, 9, 2, 5)
+		fleet := newSimFleetOf(t, seed, 9, 2, 5)
 		if seed%4 == 0 {
 			// The first set is smaller than the budget asks, and grows under load.
-			fleet = newSimFleetOf(test, seed, 9, 2, 3)
+			fleet = newSimFleetOf(t, seed, 9, 2, 3)
 		}
 		fleet.world.Loss, fleet.world.Double = 0.04, 0.04
 		fleet.takeAny()
@@ -162,12 +162,12 @@
 		}
 		for _, member := range fleet.set {
 			if register.Identity(fleet.stores[member.Address].member) != register.Identity(member) {
-				test.Fatalf("seed %d: the set names a disk that is gone", seed)
+				t.Fatalf("seed %d: the set names a disk that is gone", seed)
 			}
 		}
 		told += fleet.tellings
 	}
 	if told < 300 {
-		test.Fatalf("only %d results were told in all", told)
+		t.Fatalf("only %d results were told in all", told)
 	}
 }
--- a/internal/batch/store/calls.go
+++ b/internal/batch/store/calls.go
@@ -12,38 +12,38 @@
 )
 
 // lotCall answers a client's call that a gateway passed on.
-func (server *Server) lotCall(body []byte) ([]byte, error) {
+func (s *Server) lotCall(body []byte) ([]byte, error) {
 	call := &messages.LotCall{}
 	if err := transport.Read(body, call); err != nil {
 		return nil, err
 	}
-	if !server.fresh(call, clock.Now()) {
+	if !s.fresh(call, clock.Now()) {
 		// The first copy is answered, or will be; a second might end otherwise.
 		return transport.Write(refuse(http.StatusGatewayTimeout, "outcome unknown"))
 	}
-	current := server.current()
+	current := s.current()
 	if current == nil {
-		return transport.Write(server.elsewhere())
+		return transport.Write(s.elsewhere())
 	}
 	answer := current.serve(call)
 	// A hold that ran out meanwhile makes what we know old: say nothing of it.
-	if !server.holds() || current.over() {
+	if !s.holds() || current.over() {
 		if call.Method == http.MethodPost && answer.Status != http.StatusAccepted && !answer.Elsewhere {
 			return transport.Write(&messages.LotAnswer{Status: http.StatusGatewayTimeout, Body: reason("outcome unknown")})
 		}
 		if call.Method != http.MethodPost {
-			return transport.Write(server.elsewhere())
+			return transport.Write(s.elsewhere())
 		}
 	}
 	return transport.Write(answer)
 }
 
-func (server *Server) elsewhere() *messages.LotAnswer {
-	server.lock.Lock()
-	defer server.lock.Unlock()
+func (s *Server) elsewhere() *messages.LotAnswer {
+	s.lock.Lock()
+	defer s.lock.Unlock()
 	answer := &messages.LotAnswer{Elsewhere: true}
-	if server.toldAt > 0 && clock.Now().Since(server.toldAt) < constants.HoldTime && server.told.Address != server.Node.Own.Address {
-		answer.Holder = server.told.Address
+	if s.toldAt > 0 && clock.Now().Since(s.toldAt) < constants.HoldTime && s.told.Address != s.Node.Own.Address {
+		answer.Holder = s.told.Address
 	}
 	return answer
 }
@@ -58,34 +58,34 @@
 }
 
 // serve answers a call under this epoch.
-func (term *term) serve(call *messages.LotCall) *messages.LotAnswer {
-	if !term.waitServing(constants.RoundTime) {
+func (t *term) serve(call *messages.LotCall) *messages.LotAnswer {
+	if !t.waitServing(constants.RoundTime) {
 		// Nothing was taken: the gateway may ask again or refuse.
 		return &messages.LotAnswer{Elsewhere: true}
 	}
 	switch call.Method {
 	case http.MethodPost:
-		return term.handIn(call)
+		return t.handIn(call)
 	case http.MethodDelete:
-		return term.endLot(call)
+		return t.endLot(call)
 	case "ITEM":
-		return term.itemBody(call)
+		return t.itemBody(call)
 	}
-	return term.readLot(call)
+	return t.readLot(call)
 }
 
-func (term *term) waitServing(span clock.Span) bool {
+func (t *term) waitServing(span clock.Span) bool {
 	end := clock.Now().Plus(span)
 	for {
-		term.lock.Lock()
-		serving, bell := term.serving, term.bell
-		term.lock.Unlock()
+		t.lock.Lock()
+		serving, bell := t.serving, t.bell
+		t.lock.Unlock()
 		if serving {
-			return term.server.holds()
+			return t.server.holds()
 		}
 		select {
 		case <-bell:
-		case <-term.stop:
+		case <-t.stop:
 			return false
 		case <-clock.After(end.Since(clock.Now())):
 			return false
@@ -94,24 +94,24 @@
 }
 
 // readLot gives results from a position on, waiting for one where asked to.
-func (term *term) readLot(call *messages.LotCall) *messages.LotAnswer {
+func (t *term) readLot(call *messages.LotCall) *messages.LotAnswer {
 	end := clock.Now().Plus(clock.Milliseconds(float64(call.HoldMs)))
 	for {
-		term.lock.Lock()
-		lot := term.book.Lot(call.Lot)
+		t.lock.Lock()
+		lot := t.book.Lot(call.Lot)
 		if lot == nil {
-			term.lock.Unlock()
+			t.lock.Unlock()
 			return refuse(http.StatusNotFound, "no such lot")
 		}
-		listings, open, sum, bell := lot.Listings, lot.Open(), lot.Sum(), term.bell
-		term.lock.Unlock()
+		listings, open, sum, bell := lot.Listings, lot.Open(), lot.Sum(), t.bell
+		t.lock.Unlock()
 		if len(listings) > call.Cursor || !open || clock.Now() >= end {
-			return term.page(sum, call.Cursor, listings)
+			return t.page(sum, call.Cursor, listings)
 		}
 		select {
 		case <-bell:
-		case <-term.stop:
-			return term.page(sum, call.Cursor, listings)
+		case <-t.stop:
+			return t.page(sum, call.Cursor, listings)
 		case <-clock.After(end.Since(clock.Now())):
 		}
 	}
@@ -129,13 +129,13 @@
 	Text  string `json:"text"`
 }
 
-func (term *term) page(sum, cursor int, listings []lots.Listing) *messages.LotAnswer {
+func (t *term) page(sum, cursor int, listings []lots.Listing) *messages.LotAnswer {
 	page := outputPage{Sum: sum, Next: cursor, Outputs: []outputLine{}}
 	size := 0
 	for place := cursor; place < len(listings); place++ {
-		text, err := term.text(listings[place].Index)
+		text, err := t.text(listings[place].Index)
 		if err != nil {
-			term.server.Node.Log.Error("output can't be read", "why", err.Error())
+			t.server.Node.Log.Error("output can't be read", "why", err.Error())
 			return refuse(http.StatusServiceUnavailable, "output can't be read now")
 		}
 		if size += len(text) + 128; size > constants.PageBytes && place > cursor {
@@ -156,38 +156,38 @@
 }
 
 // text gives an output's text: from memory while it is new, else from disk.
-func (term *term) text(index int64) ([]byte, error) {
-	term.lock.Lock()
-	if record := term.recentAt(index); record != nil {
+func (t *term) text(index int64) ([]byte, error) {
+	t.lock.Lock()
+	if record := t.recentAt(index); record != nil {
 		body, packed := record.Body, record.Packed
-		term.lock.Unlock()
+		t.lock.Unlock()
 		return unpack(body, packed)
 	}
-	term.lock.Unlock()
-	record, err := term.server.Store.Read(index)
+	t.lock.Unlock()
+	record, err := t.server.Store.Read(index)
 	if err != nil {
 		return nil, err
 	}
 	return unpack(record.Body, record.Packed)
 }
 
-func (term *term) itemBody(call *messages.LotCall) *messages.LotAnswer {
-	term.lock.Lock()
-	lot := term.book.Lot(call.Lot)
+func (t *term) itemBody(call *messages.LotCall) *messages.LotAnswer {
+	t.lock.Lock()
+	lot := t.book.Lot(call.Lot)
 	if lot == nil {
-		term.lock.Unlock()
+		t.lock.Unlock()
 		return refuse(http.StatusNotFound, "no such lot")
 	}
 	item := lot.Find(call.Item)
 	if item == nil {
-		term.lock.Unlock()
+		t.lock.Unlock()
 		return refuse(http.StatusNotFound, "no such item")
 	}
 	body, index := item.Body, lot.Index
-	term.lock.Unlock()
+	t.lock.Unlock()
 	if body == nil {
 		// It is listed, or its lot has ended: the body is still in the lot's record.
-		record, err := term.server.Store.Read(index)
+		record, err := t.server.Store.Read(index)
 		if err != nil {
 			return refuse(http.StatusServiceUnavailable, "body can't be read now")
 		}
@@ -205,41 +205,41 @@
 }
 
 // endLot ends a lot for good.
-func (term *term) endLot(call *messages.LotCall) *messages.LotAnswer {
-	term.lock.Lock()
-	lot := term.book.Lot(call.Lot)
+func (t *term) endLot(call *messages.LotCall) *messages.LotAnswer {
+	t.lock.Lock()
+	lot := t.book.Lot(call.Lot)
 	if lot == nil {
-		term.lock.Unlock()
+		t.lock.Unlock()
 		return refuse(http.StatusNotFound, "no such lot")
 	}
 	if lot.Ended {
-		term.lock.Unlock()
+		t.lock.Unlock()
 		return &messages.LotAnswer{Status: http.StatusOK, Body: []byte("{}")}
 	}
 	// Nothing of it is begun any more, and what runs is broken off at once.
-	term.ending[lot.ID] = true
-	term.stopRuns(lot)
-	index := term.submit(messages.Record{Kind: messages.RecordEnd, Lot: lot.ID})
-	term.lock.Unlock()
-	if !term.durable(index, constants.CallTime) {
+	t.ending[lot.ID] = true
+	t.stopRuns(lot)
+	index := t.submit(messages.Record{Kind: messages.RecordEnd, Lot: lot.ID})
+	t.lock.Unlock()
+	if !t.durable(index, constants.CallTime) {
 		return refuse(http.StatusGatewayTimeout, "end not yet durable")
 	}
 	return &messages.LotAnswer{Status: http.StatusOK, Body: []byte("{}")}
 }
 
 // forget drops lots whose time is over, so that files can be rewritten.
-func (term *term) forget() {
-	if !term.server.holds() {
+func (t *term) forget() {
+	if !t.server.holds() {
 		return
 	}
-	keep := clock.Milliseconds(term.server.Node.Settings.Tolerances.StatusS * 1000)
+	keep := clock.Milliseconds(t.server.Node.Settings.Tolerances.StatusS * 1000)
 	wall, now := clock.Wall()/1_000_000, clock.Now()
-	term.lock.Lock()
-	defer term.lock.Unlock()
-	for _, lot := range term.book.Lots() {
-		if !lot.Open() && lot.Older(keep, wall, now) && !term.ending["forget "+lot.ID] && lot.Giving() == 0 {
-			term.ending["forget "+lot.ID] = true
-			term.submit(messages.Record{Kind: messages.RecordForget, Lot: lot.ID})
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	for _, lot := range t.book.Lots() {
+		if !lot.Open() && lot.Older(keep, wall, now) && !t.ending["forget "+lot.ID] && lot.Giving() == 0 {
+			t.ending["forget "+lot.ID] = true
+			t.submit(messages.Record{Kind: messages.RecordForget, Lot: lot.ID})
 		}
 	}
 }
--- a/internal/batch/store/caughtup_test.go
+++ b/internal/batch/store/caughtup_test.go
@@ -9,7 +9,7 @@
 // A newcomer's copy ends also where records come as fast as they are copied: with a
 // bound on the gap alone it went on until the time for the whole change was over,
 // and a second loss met a set that was not whole yet.
-func TestCopyEndsThoughRecordsKeepComing(test *testing.T) {
+func TestCopyEndsThoughRecordsKeepComing(t *testing.T) {
 	for _, rate := range []float64{50, 250, 600, 1200} {
 		// Seconds for what is lacking, at a speed of records a second, and a round's own time.
 		const speed, trip = 2000.0, 0.05
@@ -21,13 +21,13 @@
 			spent += took
 		}
 		if rounds > 20 || spent > 10 {
-			test.Fatal(rate, rounds, spent)
+			t.Fatal(rate, rounds, spent)
 		}
 		if rounds < 2 || lacking > 4000 {
-			test.Fatal("ended too soon: ", rate, rounds, lacking)
+			t.Fatal("ended too soon: ", rate, rounds, lacking)
 		}
 	}
 	if !caughtUp(constants.CopyGap, 0) || caughtUp(constants.CopyGap+1, 0) {
-		test.Fatal("the gap alone")
+		t.Fatal("the gap alone")
 	}
 }
--- a/internal/batch/store/compact.go
+++ b/internal/batch/store/compact.go
@@ -30,62 +30,62 @@
 }
 
 // upTo notes what is durable now and gives what was so a while ago.
-func (plan *rewritePlan) upTo(done int64, now clock.Moment) int64 {
-	plan.durable = append(plan.durable, durableAt{now, done})
-	for len(plan.durable) > 1 && now.Since(plan.durable[1].at) >= plan.lag {
-		plan.durable = plan.durable[1:]
+func (r *rewritePlan) upTo(done int64, now clock.Moment) int64 {
+	r.durable = append(r.durable, durableAt{now, done})
+	for len(r.durable) > 1 && now.Since(r.durable[1].at) >= r.lag {
+		r.durable = r.durable[1:]
 	}
-	if now.Since(plan.durable[0].at) < plan.lag {
+	if now.Since(r.durable[0].at) < r.lag {
 		return 0
 	}
-	return plan.durable[0].done
+	return r.durable[0].done
 }
 
 // weighs tells whether enough has come since to weigh the file again: what says nothing
 // any more was made so by new records.
-func (plan *rewritePlan) weighs(last int64) bool {
+func (r *rewritePlan) weighs(last int64) bool {
 	const part = 8
-	if last >= plan.weighed && last-plan.weighed < int64(plan.records/part) {
+	if last >= r.weighed && last-r.weighed < int64(r.records/part) {
 		return false
 	}
-	plan.weighed = last
+	r.weighed = last
 	return true
 }
 
 // pays tells whether a rewrite drops at least as much as it has to write: each byte and
 // each record is then written a bounded number of times, and the file holds no more than
 // twice what still counts, beside the least sizes.
-func (plan *rewritePlan) pays(size, keptBytes int64, kept, dropped int) bool {
-	long := size >= plan.bytes && keptBytes*2 <= size
-	return long || (dropped >= plan.records && dropped >= kept)
+func (r *rewritePlan) pays(size, keptBytes int64, kept, dropped int) bool {
+	long := size >= r.bytes && keptBytes*2 <= size
+	return long || (dropped >= r.records && dropped >= kept)
 }
 
 // Tidy rewrites the file once much of it says nothing any more.
-func (store *Store) Tidy(now clock.Moment) error {
-	store.lock.Lock()
-	defer store.lock.Unlock()
-	upTo := store.rewrite.upTo(store.done, now)
-	if upTo <= store.replica.Base().Index || !store.replica.Whole() || !store.rewrite.weighs(store.replica.Last()) {
+func (s *Store) Tidy(now clock.Moment) error {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	upTo := s.rewrite.upTo(s.done, now)
+	if upTo <= s.replica.Base().Index || !s.replica.Whole() || !s.rewrite.weighs(s.replica.Last()) {
 		return nil
 	}
-	keptBytes, kept, dropped := store.replica.Weight(upTo)
-	if !store.rewrite.pays(store.logfile.Size(), keptBytes, kept, dropped) {
+	keptBytes, kept, dropped := s.replica.Weight(upTo)
+	if !s.rewrite.pays(s.logfile.Size(), keptBytes, kept, dropped) {
 		return nil
 	}
-	return store.compact(upTo)
+	return s.compact(upTo)
 }
 
 // compact writes a new file: who we are and the fence, the base, and what stays.
-func (store *Store) compact(upTo int64) error {
-	base, stay := store.replica.Compacted(upTo)
+func (s *Store) compact(upTo int64) error {
+	base, stay := s.replica.Compacted(upTo)
 	place := -1
-	offsets, err := store.logfile.Rewrite(func() ([]byte, bool, error) {
-		record := messages.ReplicaRecord{Disk: store.replica.Disk, Fence: store.replica.Fence(), Base: base.Index, BaseEpoch: base.Epoch}
+	offsets, err := s.logfile.Rewrite(func() ([]byte, bool, error) {
+		record := messages.ReplicaRecord{Disk: s.replica.Disk, Fence: s.replica.Fence(), Base: base.Index, BaseEpoch: base.Epoch}
 		switch {
 		case place >= len(stay):
 			return nil, false, nil
 		case place >= 0:
-			entry, err := store.stays(stay[place])
+			entry, err := s.stays(stay[place])
 			if err != nil {
 				return nil, false, err
 			}
@@ -101,15 +101,15 @@
 	for place := range stay {
 		stay[place].Offset = offsets[place+1]
 	}
-	store.replica.Compact(base, stay)
-	store.base.Store(base.Index)
+	s.replica.Compact(base, stay)
+	s.base.Store(base.Index)
 	return nil
 }
 
 // stays gives a record that goes into the new file.
-func (store *Store) stays(slot lots.Slot) (*messages.Record, error) {
+func (s *Store) stays(slot lots.Slot) (*messages.Record, error) {
 	if slot.Offset < 0 {
 		return &messages.Record{Index: slot.Index, Epoch: slot.Epoch, Kind: slot.Kind}, nil
 	}
-	return store.read(slot.Index)
+	return s.read(slot.Index)
 }
--- a/internal/batch/store/copy.go
+++ b/internal/batch/store/copy.go
@@ -19,27 +19,27 @@
 
 func newCopySpan() *copySpan { return &copySpan{end: clock.Now().Plus(constants.SetChange)} }
 
-func (span *copySpan) over() bool { return span.closed.Load() || clock.Now() >= span.end }
+func (c *copySpan) over() bool { return c.closed.Load() || clock.Now() >= c.end }
 
 // copied has a newcomer fetch what is durable from a member, and gives the index up
 // to which it has it. The holder's own link carries each new record to every store;
 // old ones need not take that way, and a wiped store has to be whole again soon.
-func (term *term) copied(newcomer messages.Member, place int, span *copySpan) int64 {
+func (t *term) copied(newcomer messages.Member, place int, span *copySpan) int64 {
 	identity := register.Identity(newcomer)
 	last := int64(0)
 	for {
-		term.lock.Lock()
-		done := term.copies[identity]
-		source, target := term.source(newcomer, place)
-		term.lock.Unlock()
-		if source == nil || target <= done || (done > 0 && caughtUp(target-done, last)) || span.over() || term.over() {
+		t.lock.Lock()
+		done := t.copies[identity]
+		source, target := t.source(newcomer, place)
+		t.lock.Unlock()
+		if source == nil || target <= done || (done > 0 && caughtUp(target-done, last)) || span.over() || t.over() {
 			return done
 		}
 		last = target - done
-		further := term.copyRound(newcomer, *source, done, target, span)
-		term.lock.Lock()
-		term.copies[identity] = further
-		term.lock.Unlock()
+		further := t.copyRound(newcomer, *source, done, target, span)
+		t.lock.Lock()
+		t.copies[identity] = further
+		t.lock.Unlock()
 		if further < target {
 			// What was copied counts; the rest comes from here.
 			return further
@@ -55,17 +55,17 @@
 }
 
 // copyRound copies up to what was durable when it began; meanwhile more comes.
-func (term *term) copyRound(newcomer, source messages.Member, done, target int64, span *copySpan) int64 {
+func (t *term) copyRound(newcomer, source messages.Member, done, target int64, span *copySpan) int64 {
 	first, begun := done, clock.Now()
 	defer func() {
-		term.server.Node.Log.Info("store copied to", "store", newcomer.Name, "source", source.Name, "from", first, "to", done, "of", target,
+		t.server.Node.Log.Info("store copied to", "store", newcomer.Name, "source", source.Name, "from", first, "to", done, "of", target,
 			"took-ms", clock.Now().Since(begun).Milliseconds())
 	}()
-	for done < target && !span.over() && !term.over() {
+	for done < target && !span.over() && !t.over() {
 		answer := &messages.Appended{}
-		question := &messages.CopyOrder{Epoch: term.duty.Epoch, Disk: newcomer.Disk, Source: source.Address, SourceDisk: source.Disk, First: done + 1, Last: target}
-		if err := transport.Ask(term.server.Node.Wire, newcomer.Address, messages.KindCopy, question, answer, constants.BulkCallTime); err != nil || !answer.Granted || answer.Last <= done {
-			term.server.Node.Log.Info("store copy ends early", "store", newcomer.Name, "source", source.Name, "at", done, "granted", answer.Granted, "failed", err != nil)
+		question := &messages.CopyOrder{Epoch: t.duty.Epoch, Disk: newcomer.Disk, Source: source.Address, SourceDisk: source.Disk, First: done + 1, Last: target}
+		if err := transport.Ask(t.server.Node.Wire, newcomer.Address, messages.KindCopy, question, answer, constants.BulkCallTime); err != nil || !answer.Granted || answer.Last <= done {
+			t.server.Node.Log.Info("store copy ends early", "store", newcomer.Name, "source", source.Name, "at", done, "granted", answer.Granted, "failed", err != nil)
 			break
 		}
 		done = answer.Last
@@ -86,21 +86,21 @@
 // and the newcomer. What a store has synced under this epoch is what we have. place
 // tells newcomers of one time apart: they had better not share one source's link. The
 // lock is held.
-func (term *term) source(newcomer messages.Member, place int) (*messages.Member, int64) {
-	best, own := int64(0), term.server.Node.Own.Address
+func (t *term) source(newcomer messages.Member, place int) (*messages.Member, int64) {
+	best, own := int64(0), t.server.Node.Own.Address
 	has := func(member messages.Member) int64 {
 		if member.Address == own || member.Address == newcomer.Address {
 			return 0
 		}
-		return min(term.press.MatchOf(register.Identity(member)), term.press.Done())
+		return min(t.press.MatchOf(register.Identity(member)), t.press.Done())
 	}
-	for _, member := range term.press.Members {
+	for _, member := range t.press.Members {
 		best = max(best, has(member))
 	}
 	var able []*messages.Member
-	for index := range term.press.Members {
-		if match := has(term.press.Members[index]); match > 0 && match+constants.CopyGap >= best {
-			able = append(able, &term.press.Members[index])
+	for index := range t.press.Members {
+		if match := has(t.press.Members[index]); match > 0 && match+constants.CopyGap >= best {
+			able = append(able, &t.press.Members[index])
 		}
 	}
 	if len(able) == 0 {
@@ -111,15 +111,15 @@
 }
 
 // copyFrom fetches one stretch of records from another store and keeps it.
-func (server *Server) copyFrom(body []byte) ([]byte, error) {
+func (s *Server) copyFrom(body []byte) ([]byte, error) {
 	order := &messages.CopyOrder{}
 	if err := transport.Read(body, order); err != nil {
 		return nil, err
 	}
-	server.fenced(order.Epoch)
+	s.fenced(order.Epoch)
 	fetched := &messages.Fetched{}
 	question := &messages.Fetch{First: order.First, Epoch: order.Epoch, Disk: order.SourceDisk}
-	if err := transport.Ask(server.Node.Wire, order.Source, messages.KindFetch, question, fetched, constants.BulkCallTime/2); err != nil {
+	if err := transport.Ask(s.Node.Wire, order.Source, messages.KindFetch, question, fetched, constants.BulkCallTime/2); err != nil {
 		return nil, err
 	}
 	records := fetched.Records
@@ -131,8 +131,8 @@
 	if !fetched.Granted || len(records) == 0 {
 		return transport.Write(&messages.Appended{})
 	}
-	answer, err := server.Store.Append(&messages.Append{Epoch: order.Epoch, Disk: order.Disk, PreviousIndex: order.First - 1,
-		PreviousEpoch: server.Store.EpochAt(order.First - 1), Records: records,
+	answer, err := s.Store.Append(&messages.Append{Epoch: order.Epoch, Disk: order.Disk, PreviousIndex: order.First - 1,
+		PreviousEpoch: s.Store.EpochAt(order.First - 1), Records: records,
 		Base: fetched.Base, BaseEpoch: fetched.BaseEpoch})
 	if err != nil {
 		return nil, err
--- a/internal/batch/store/copy_test.go
+++ b/internal/batch/store/copy_test.go
@@ -12,8 +12,8 @@
 
 // A newcomer gets what is durable from a member, and no frame of it from the
 // holder; a member that came back with another disk is no source.
-func TestNewcomerCopiesFromAMember(test *testing.T) {
-	fleet := newRimFleet(test, 31)
+func TestNewcomerCopiesFromAMember(t *testing.T) {
+	fleet := newRimFleet(t, 31)
 	for number := 0; number < 4; number++ {
 		fleet.work()
 	}
@@ -33,7 +33,7 @@
 	extent := newcomer.Store.Extent()
 	last, stretches := extent.Last, extent.Stretches
 	if done == 0 || last != done || appended > 0 || done > durable {
-		test.Fatal(done, last, appended, durable)
+		t.Fatal(done, last, appended, durable)
 	}
 	// The same records, under the same epochs, as those of the members that have them;
 	// the holder's own disk may be one that is still behind what is durable.
@@ -51,42 +51,42 @@
 			}
 			compared++
 			if left == nil || fmt.Sprint(*left) != fmt.Sprint(*right) {
-				test.Fatal(index, one.Node.Own.Name)
+				t.Fatal(index, one.Node.Own.Name)
 			}
 		}
 		if compared < lots.CopiesNeeded(len(inside), holder.budget()) {
-			test.Fatal("durable with ", compared, " copies: ", index)
+			t.Fatal("durable with ", compared, " copies: ", index)
 		}
 	}
 	if len(stretches) == 0 {
-		test.Fatal("no epochs")
+		t.Fatal("no epochs")
 	}
 	body, _ := transport.Write(&messages.Fetch{First: 1, Disk: "another"})
 	back, err := newcomer.Node.Handle(messages.KindFetch, body)
 	answer := &messages.Fetched{}
 	if err != nil || transport.Read(back, answer) != nil || answer.Granted || len(answer.Records) > 0 {
-		test.Fatal("a store answered for a disk that it has not")
+		t.Fatal("a store answered for a disk that it has not")
 	}
 }
 
 // outside gives a store that is no member of the store set.
-func (fleet *rimFleet) outside() *Server {
-	inside := fleet.records()
-	for _, one := range fleet.all() {
+func (r *rimFleet) outside() *Server {
+	inside := r.records()
+	for _, one := range r.all() {
 		if _, in := inside[one.Node.Own.Name]; !in {
 			return one
 		}
 	}
-	fleet.test.Fatal("all are members")
+	r.test.Fatal("all are members")
 	return nil
 }
 
 // An order from a member that is cut off half way leaves the newcomer with a part
 // that counts, and the holder goes on from there.
-func TestCopyGoesOnFromTheHolder(test *testing.T) {
-	one := rule(test, soleLocker(test, simulation.NewDisk(12)), 1)
+func TestCopyGoesOnFromTheHolder(t *testing.T) {
+	one := rule(t, soleLocker(t, simulation.NewDisk(12)), 1)
 	if done := one.copied(messages.Member{Name: "n", Address: "nowhere", Disk: "n"}, 0, newCopySpan()); done != 0 {
-		test.Fatal("copied without a source: ", done)
+		t.Fatal("copied without a source: ", done)
 	}
 	one.lock.Lock()
 	one.press.Members = append(one.press.Members, messages.Member{Name: "s", Address: "s", Disk: "s"})
@@ -98,7 +98,7 @@
 	_ = room.Transport("n").Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
 		order := &messages.CopyOrder{}
 		if kind != messages.KindCopy || transport.Read(body, order) != nil || order.Source != "s" || order.SourceDisk != "s" {
-			test.Error(kind, order)
+			t.Error(kind, order)
 		}
 		if !first {
 			return transport.Write(&messages.Appended{})
@@ -110,6 +110,6 @@
 	durable := one.press.Done()
 	one.lock.Unlock()
 	if done := one.copied(messages.Member{Name: "n", Address: "n", Disk: "n"}, 0, newCopySpan()); done != min(1, durable) {
-		test.Fatal(done, durable)
+		t.Fatal(done, durable)
 	}
 }
--- a/internal/batch/store/dispatch.go
+++ b/internal/batch/store/dispatch.go
@@ -17,18 +17,18 @@
 }
 
 // openDispatcher makes the dispatcher of this epoch. The lock is held.
-func (term *term) openDispatcher(before int64) {
-	lock := lockLength(term.server.Node.Settings.Tolerances.CancelMs)
-	one := lots.NewDispatcher(term.book, term.duty.Epoch, before, lock, term.begun)
-	one.Submit = term.submit
-	one.Closed = func(lot *lots.Lot) bool { return term.ending[lot.ID] }
+func (t *term) openDispatcher(before int64) {
+	lock := lockLength(t.server.Node.Settings.Tolerances.CancelMs)
+	one := lots.NewDispatcher(t.book, t.duty.Epoch, before, lock, t.begun)
+	one.Submit = t.submit
+	one.Closed = func(lot *lots.Lot) bool { return t.ending[lot.ID] }
 	one.Tries = func(item *lots.Item) int {
-		if route := itemRoute(term.server.Node.Config(), item); route != nil {
+		if route := itemRoute(t.server.Node.Config(), item); route != nil {
 			return route.Tries
 		}
 		return constants.LotItems
 	}
-	term.dispatcher = one
+	t.dispatcher = one
 }
 
 // itemRoute is the bulk route of an item, or else that of its lot.
@@ -41,57 +41,57 @@
 
 // terms says what a configuration means for a lot now. The lock is held while it is
 // asked.
-func (term *term) terms(config *routeconfig.Config) func(lot *lots.Lot) lots.Terms {
+func (t *term) terms(config *routeconfig.Config) func(lot *lots.Lot) lots.Terms {
 	wall, now := clock.Wall()/1_000_000, clock.Now()
 	return func(lot *lots.Lot) lots.Terms {
-		route := term.quota.route(config, place{lot.Host, lot.Path})
+		route := t.quota.route(config, place{lot.Host, lot.Path})
 		if route == nil {
 			return lots.Terms{Over: true}
 		}
 		age := wall - lot.SentMs
 		return lots.Terms{Due: lot.SentMs + int64(route.ResultMs), Over: lot.Older(route.Retain(), wall, now),
-			Late: float64(age)+term.dispatcher.TookMs > route.ResultMs}
+			Late: float64(age)+t.dispatcher.TookMs > route.ResultMs}
 	}
 }
 
 // acquire hands items to a driver, waiting a little while there are none.
-func (term *term) acquire(question *messages.Acquire) *messages.Acquired {
+func (t *term) acquire(question *messages.Acquire) *messages.Acquired {
 	begun := clock.Now()
-	if !term.waitServing(constants.AcquireHold) {
+	if !t.waitServing(constants.AcquireHold) {
 		return &messages.Acquired{Elsewhere: true}
 	}
 	end := begun.Plus(min(clock.Milliseconds(float64(question.HoldMs)), constants.AcquireHold))
 	ask := &lots.AcquireAsk{Driver: lots.Driver{Name: question.Driver, Life: question.Life, Address: question.Address, Zone: question.Zone},
 		Service: func(item *lots.Item) string {
-			if route := itemRoute(term.server.Node.Config(), item); route != nil {
+			if route := itemRoute(t.server.Node.Config(), item); route != nil {
 				return route.Choose(clock.Draw())
 			}
 			return ""
 		}}
 	// What it is handed must be known to a later holder before it has it.
-	term.lock.Lock()
-	entry := term.dispatcher.Enter(ask.Driver)
-	term.lock.Unlock()
-	if entry > 0 && !term.durable(entry, constants.RoundTime) {
+	t.lock.Lock()
+	entry := t.dispatcher.Enter(ask.Driver)
+	t.lock.Unlock()
+	if entry > 0 && !t.durable(entry, constants.RoundTime) {
 		return &messages.Acquired{Elsewhere: true}
 	}
 	for {
-		config, now := term.server.Node.Config(), clock.Now()
+		config, now := t.server.Node.Config(), clock.Now()
 		// A hold that ran out hands nothing out: the next holder counts on it.
-		if config == nil || !term.server.holds() || term.over() {
+		if config == nil || !t.server.holds() || t.over() {
 			return &messages.Acquired{Elsewhere: true}
 		}
 		ask.Room = map[string]int{}
 		for _, room := range question.Room {
 			ask.Room[room.Service] = room.Count
 		}
-		term.lock.Lock()
-		ask.Terms = term.terms(config)
-		term.dispatcher.Heard(ask.Driver, now)
-		answer := term.handOut(term.dispatcher.Acquire(ask, now))
-		fresh := term.fresh
-		answer.Version, answer.Drivers = term.dispatcher.Drivers(question.Known, now)
-		term.lock.Unlock()
+		t.lock.Lock()
+		ask.Terms = t.terms(config)
+		t.dispatcher.Heard(ask.Driver, now)
+		answer := t.handOut(t.dispatcher.Acquire(ask, now))
+		fresh := t.fresh
+		answer.Version, answer.Drivers = t.dispatcher.Drivers(question.Known, now)
+		t.lock.Unlock()
 		if len(answer.Items) > 0 || now >= end || len(answer.Drivers) > 0 {
 			answer.HeldMs = clock.ToMilliseconds(now.Since(begun))
 			return answer
@@ -100,15 +100,15 @@
 		case <-fresh:
 			// Many items come free at once: look a little later, together.
 			clock.Sleep(constants.PumpPeriod / 2)
-		case <-term.stop:
+		case <-t.stop:
 		case <-clock.After(min(end.Since(now), constants.TickPeriod)):
 		}
 	}
 }
 
 // handOut writes acquisitions down for their driver. The lock is held.
-func (term *term) handOut(taken []*lots.Acquisition) *messages.Acquired {
-	answer := &messages.Acquired{LockMs: clock.ToMilliseconds(term.dispatcher.Lock)}
+func (t *term) handOut(taken []*lots.Acquisition) *messages.Acquired {
+	answer := &messages.Acquired{LockMs: clock.ToMilliseconds(t.dispatcher.Lock)}
 	for _, one := range taken {
 		item := one.Item
 		answer.Items = append(answer.Items, messages.AcquiredItem{Number: one.Number, Lot: item.Lot.ID, Host: item.Lot.Host,
@@ -122,8 +122,8 @@
 
 // acknowledge takes a batch of acknowledgements. What needs a record is answered
 // once that is durable; what can't be known is repeated by the driver.
-func (term *term) acknowledge(question *messages.Acknowledge) *messages.Acknowledged {
-	if !term.waitServing(constants.CallTime / 2) {
+func (t *term) acknowledge(question *messages.Acknowledge) *messages.Acknowledged {
+	if !t.waitServing(constants.CallTime / 2) {
 		return &messages.Acknowledged{Elsewhere: true}
 	}
 	driver := lots.Driver{Name: question.Driver, Life: question.Life, Address: question.Address, Zone: question.Zone}
@@ -131,27 +131,27 @@
 	steps := make([]lots.Step, len(question.Entries))
 	last := int64(0)
 	now := clock.Now()
-	term.lock.Lock()
+	t.lock.Lock()
 	if question.Leaving {
-		term.dispatcher.Left(driver)
-		term.freshen()
+		t.dispatcher.Left(driver)
+		t.freshen()
 	} else {
-		term.dispatcher.Heard(driver, now)
+		t.dispatcher.Heard(driver, now)
 	}
-	answer.Version, answer.Drivers = term.dispatcher.Drivers(question.Known, now)
+	answer.Version, answer.Drivers = t.dispatcher.Drivers(question.Known, now)
 	for place := range question.Entries {
 		entry := &question.Entries[place]
-		steps[place] = term.dispatcher.Acknowledge(driver, entry, now)
+		steps[place] = t.dispatcher.Acknowledge(driver, entry, now)
 		last = max(last, steps[place].Index)
 		if entry.Kind == messages.AckRelease {
-			term.freshen()
+			t.freshen()
 		}
 	}
 	if question.Epoch > 0 {
-		term.dispatcher.Listed(driver, question.Epoch, now)
+		t.dispatcher.Listed(driver, question.Epoch, now)
 	}
-	term.lock.Unlock()
-	durable := last == 0 || term.durable(last, constants.RoundTime)
+	t.lock.Unlock()
+	durable := last == 0 || t.durable(last, constants.RoundTime)
 	for _, step := range steps {
 		verdict := step.Verdict
 		if step.Index > 0 && !durable {
@@ -159,7 +159,7 @@
 		}
 		answer.Verdicts = append(answer.Verdicts, verdict)
 	}
-	if !term.server.holds() || term.over() {
+	if !t.server.holds() || t.over() {
 		// Another may hold the duty by now: what we say is old.
 		return &messages.Acknowledged{Elsewhere: true}
 	}
@@ -167,28 +167,28 @@
 }
 
 // freshen wakes the drivers that wait for items. The lock is held.
-func (term *term) freshen() {
-	close(term.fresh)
-	term.fresh = make(chan struct{})
+func (t *term) freshen() {
+	close(t.fresh)
+	t.fresh = make(chan struct{})
 }
 
 // tendItems lets locks lapse and archives what has come to a terminal ground.
-func (term *term) tendItems() {
+func (t *term) tendItems() {
 	looked := clock.Now()
-	clock.Every(constants.TickPeriod, term.stop, func() {
-		config, now := term.server.Node.Config(), clock.Now()
-		if config == nil || !term.server.holds() || term.over() {
+	clock.Every(constants.TickPeriod, t.stop, func() {
+		config, now := t.server.Node.Config(), clock.Now()
+		if config == nil || !t.server.holds() || t.over() {
 			return
 		}
-		term.lock.Lock()
-		defer term.lock.Unlock()
-		if quiet, lapsed := term.dispatcher.Quiet(now), term.dispatcher.Lapse(now); quiet || lapsed > 0 {
-			term.freshen()
+		t.lock.Lock()
+		defer t.lock.Unlock()
+		if quiet, lapsed := t.dispatcher.Quiet(now), t.dispatcher.Lapse(now); quiet || lapsed > 0 {
+			t.freshen()
 		}
 		if now.Since(looked) >= constants.ExpirePeriod {
 			looked = now
-			term.dispatcher.Sure(now)
-			term.dispatcher.Expire(term.terms(config), now)
+			t.dispatcher.Sure(now)
+			t.dispatcher.Expire(t.terms(config), now)
 		}
 	})
 }
--- a/internal/batch/store/displacement_test.go
+++ b/internal/batch/store/displacement_test.go
@@ -33,8 +33,8 @@
 	clusterEvents = 8
 )
 
-func newCluster(test *testing.T, seed int64) *simCluster {
-	cluster := &simCluster{simFleet: newSimFleet(test, seed, 3), benches: map[string]*admission.Scheduler{}, workerList: map[string]int{},
+func newCluster(t *testing.T, seed int64) *simCluster {
+	cluster := &simCluster{simFleet: newSimFleet(t, seed, 3), benches: map[string]*admission.Scheduler{}, workerList: map[string]int{},
 		cut: map[string]bool{}, running: map[*lots.Item]func(){}, results: map[string][]string{}, live: map[int]int{}, taken: map[string]int{}}
 	for _, name := range []string{"e0", "e1", "e2"} {
 		cluster.scheduler(name, "gateway")
@@ -44,41 +44,41 @@
 }
 
 // scheduler makes a node's admission, as a process that starts would.
-func (cluster *simCluster) scheduler(name, role string) {
+func (s *simCluster) scheduler(name, role string) {
 	one := admission.New(messages.Entry{Name: name, Role: role, Zone: "h"}, 1_200_000_000_000)
 	var list []messages.Worker
 	for _, worker := range []string{"w0", "w1"} {
 		list = append(list, messages.Worker{ID: worker, Backend: "s", Zone: "h", Capacity: clusterSlots, Count: 1})
 	}
-	one.Merge(list, cluster.world.Now)
+	one.Merge(list, s.world.Now)
 	one.OnPressure(func(words []messages.Pressure) {
 		told := &messages.PressureTold{From: role + "/" + name, Words: words}
-		for _, other := range simulation.Keys(cluster.benches) {
+		for _, other := range simulation.Keys(s.benches) {
 			if other == name {
 				continue
 			}
-			cluster.world.Send(name, other, func() {
-				if cluster.benches[other] != nil {
-					cluster.benches[other].Pressed(told, 1, cluster.world.Now)
+			s.world.Send(name, other, func() {
+				if s.benches[other] != nil {
+					s.benches[other].Pressed(told, 1, s.world.Now)
 				}
 			})
 		}
 	})
-	cluster.benches[name] = one
+	s.benches[name] = one
 }
 
-func (cluster *simCluster) pump() {
-	for _, name := range simulation.Keys(cluster.benches) {
-		cluster.benches[name].PumpWaiting(cluster.world.Now)
+func (s *simCluster) pump() {
+	for _, name := range simulation.Keys(s.benches) {
+		s.benches[name].PumpWaiting(s.world.Now)
 	}
-	cluster.world.After(clock.Milliseconds(15), cluster.pump)
+	s.world.After(clock.Milliseconds(15), s.pump)
 	// Gossip runs every fourth time: the bursts are short too.
-	if cluster.taken["pumps"]++; cluster.taken["pumps"]%4 == 0 {
-		for _, name := range simulation.Keys(cluster.benches) {
-			packet := cluster.benches[name].Gossip(cluster.world.Now)
-			for _, other := range simulation.Keys(cluster.benches) {
+	if s.taken["pumps"]++; s.taken["pumps"]%4 == 0 {
+		for _, name := range simulation.Keys(s.benches) {
+			packet := s.benches[name].Gossip(s.world.Now)
+			for _, other := range simulation.Keys(s.benches) {
 				if other != name {
-					cluster.benches[other].Heard(packet, cluster.world.Now)
+					s.benches[other].Heard(packet, s.world.Now)
 				}
 			}
 		}
@@ -86,21 +86,21 @@
 }
 
 // request is one live request of the high rank: served, or promised never to run.
-func (cluster *simCluster) request() {
-	cluster.asked++
-	number := cluster.asked
-	scheduler := cluster.benches[fmt.Sprint("e", number%3)]
+func (s *simCluster) request() {
+	s.asked++
+	number := s.asked
+	scheduler := s.benches[fmt.Sprint("e", number%3)]
 	done := func(answer admission.Answer) {
-		cluster.live[number]++
+		s.live[number]++
 		if answer.Verdict != admission.VerdictGranted {
-			cluster.promised++
+			s.promised++
 			return
 		}
-		cluster.arrive(answer.Grant)
-		cluster.world.After(clock.Milliseconds(40+40*cluster.world.Random.Float64()), func() { cluster.leave(answer.Grant, admission.ResultServed) })
+		s.arrive(answer.Grant)
+		s.world.After(clock.Milliseconds(40+40*s.world.Random.Float64()), func() { s.leave(answer.Grant, admission.ResultServed) })
 	}
 	answer, _ := scheduler.Admit(&admission.Ask{Service: "s", Priority: 0, Setpoint: 200_000_000,
-		Patience: cluster.world.Now.Plus(clock.Milliseconds(150))}, done, cluster.world.Now)
+		Patience: s.world.Now.Plus(clock.Milliseconds(150))}, done, s.world.Now)
 	if answer.Verdict != admission.VerdictQueued {
 		done(answer)
 	}
@@ -108,67 +108,67 @@
 
 // arrive takes a place at a worker, which tells its load to whoever asked; leave
 // gives it back.
-func (cluster *simCluster) arrive(grant *admission.Grant) {
-	cluster.workerList[grant.Worker.ID]++
-	grant.First(fmt.Sprintf("%d,0,%d", cluster.workerList[grant.Worker.ID], clusterSlots), cluster.world.Now)
+func (s *simCluster) arrive(grant *admission.Grant) {
+	s.workerList[grant.Worker.ID]++
+	grant.First(fmt.Sprintf("%d,0,%d", s.workerList[grant.Worker.ID], clusterSlots), s.world.Now)
 }
 
-func (cluster *simCluster) leave(grant *admission.Grant, result admission.Result) {
-	cluster.workerList[grant.Worker.ID]--
-	grant.End(result, cluster.world.Now)
+func (s *simCluster) leave(grant *admission.Grant, result admission.Result) {
+	s.workerList[grant.Worker.ID]--
+	grant.End(result, s.world.Now)
 }
 
 // dispatch runs items of the present holder wherever its bench finds room.
-func (cluster *simCluster) dispatch() {
-	defer cluster.world.After(clock.Milliseconds(10), cluster.dispatch)
-	holder := cluster.holder
-	if holder == nil || !holder.ready || cluster.stores[holder.at].down {
+func (s *simCluster) dispatch() {
+	defer s.world.After(clock.Milliseconds(10), s.dispatch)
+	holder := s.holder
+	if holder == nil || !holder.ready || s.stores[holder.at].down {
 		return
 	}
 	name := fmt.Sprint("holder", holder.epoch)
-	if cluster.benches[name] == nil {
+	if s.benches[name] == nil {
 		// Another process: whatever the one before ran is broken off by the workers.
-		for old := range cluster.benches {
+		for old := range s.benches {
 			if old[0] == 'h' {
-				delete(cluster.benches, old)
+				delete(s.benches, old)
 			}
 		}
-		cluster.running = map[*lots.Item]func(){}
-		cluster.scheduler(name, "store")
+		s.running = map[*lots.Item]func(){}
+		s.scheduler(name, "store")
 	}
 	for _, lot := range holder.book.Lots() {
 		for _, item := range lot.Items {
 			if item.State == lots.ItemAvailable {
-				cluster.start(holder, name, item)
+				s.start(holder, name, item)
 			}
 		}
 	}
 }
 
-func (cluster *simCluster) start(holder *simHolder, name string, item *lots.Item) {
-	answer, _ := cluster.benches[name].Admit(&admission.Ask{Service: "s", Bulk: true, Priority: 2}, nil, cluster.world.Now)
+func (s *simCluster) start(holder *simHolder, name string, item *lots.Item) {
+	answer, _ := s.benches[name].Admit(&admission.Ask{Service: "s", Bulk: true, Priority: 2}, nil, s.world.Now)
 	if answer.Verdict != admission.VerdictGranted {
 		return
 	}
 	run := item.Begin()
 	if run == 0 {
-		answer.Grant.End(admission.ResultCalledOff, cluster.world.Now)
+		answer.Grant.End(admission.ResultCalledOff, s.world.Now)
 		return
 	}
-	cluster.arrive(answer.Grant)
+	s.arrive(answer.Grant)
 	over := false
 	setBack := func(result admission.Result) {
 		if !over {
 			over = true
 			item.SetBack(run)
-			cluster.leave(answer.Grant, result)
+			s.leave(answer.Grant, result)
 		}
 	}
 	if item.Displaced < 3 {
 		answer.Grant.MayYield(func() {
 			if item.Yield(run) {
-				cluster.taken["displaced"]++
-				cluster.world.After(clock.Milliseconds(1), func() { setBack(admission.ResultCalledOff) })
+				s.taken["displaced"]++
+				s.world.After(clock.Milliseconds(1), func() { setBack(admission.ResultCalledOff) })
 			}
 		})
 	}
@@ -178,33 +178,33 @@
 	step = func() {
 		switch {
 		case over:
-		case cluster.holder != holder:
+		case s.holder != holder:
 			// Its process is gone or fenced: the worker drops the run.
 			setBack(admission.ResultCalledOff)
-		case cluster.world.Random.Float64() < 0.01:
+		case s.world.Random.Float64() < 0.01:
 			setBack(admission.ResultFailed)
 		case next <= clusterEvents:
 			item.Gather(run, [][]byte{[]byte(fmt.Sprintf("%s.%d", item.ID, next))}, next)
 			next++
-			cluster.world.After(clock.Milliseconds(12), step)
+			s.world.After(clock.Milliseconds(12), step)
 		default:
-			cluster.finish(holder, item, run)
+			s.finish(holder, item, run)
 			if !over {
 				over = true
-				cluster.leave(answer.Grant, admission.ResultServed)
+				s.leave(answer.Grant, admission.ResultServed)
 			}
 		}
 	}
-	cluster.world.After(clock.Milliseconds(12), step)
+	s.world.After(clock.Milliseconds(12), step)
 }
 
-func (cluster *simCluster) finish(holder *simHolder, item *lots.Item, run int) {
+func (s *simCluster) finish(holder *simHolder, item *lots.Item, run int) {
 	if !item.Finish(run) {
 		item.SetBack(run)
 		return
 	}
 	lot := item.Lot
-	position := cluster.place(holder, lot)
+	position := s.place(holder, lot)
 	text := ""
 	for _, piece := range item.Pieces {
 		text += string(piece) + "\n"
@@ -213,7 +213,7 @@
 }
 
 // place counts the positions given so far, durable or on their way.
-func (cluster *simCluster) place(holder *simHolder, lot *lots.Lot) int {
+func (s *simCluster) place(holder *simHolder, lot *lots.Lot) int {
 	count := len(lot.Listings)
 	for _, record := range holder.records {
 		if record.Index > holder.applied && record.Kind == messages.RecordOutput && record.Lot == lot.ID {
--- a/internal/batch/store/drive.go
+++ b/internal/batch/store/drive.go
@@ -18,9 +18,9 @@
 
 // drive takes one item to one worker, gathers its events, and derives the
 // acknowledgement from how the stream ends.
-func (driver *driver) drive(route *routeconfig.Route, task *itemdriver.Task, grant *admission.Grant) {
-	sender := &driver.server.Gossip.Sender
-	outgoing := driver.outgoing(route, task, grant.Worker.ID)
+func (d *driver) drive(route *routeconfig.Route, task *itemdriver.Task, grant *admission.Grant) {
+	sender := &d.server.Gossip.Sender
+	outgoing := d.outgoing(route, task, grant.Worker.ID)
 	response, evidence, err := sender.Carry(grant, outgoing)
 	if err != nil {
 		result := admission.ResultFailed
@@ -32,130 +32,130 @@
 		case errs.Of(err, workerconn.Silent):
 			result = admission.ResultSilent
 		}
-		driver.release(route, task, grant, result, messages.Acknowledgement{Unbegun: !evidence.Sent}, err.Error())
+		d.release(route, task, grant, result, messages.Acknowledgement{Unbegun: !evidence.Sent}, err.Error())
 		return
 	}
 	status := response.Answer.StatusCode
 	if response.NotRun || status >= 300 {
 		grant.Told(response.Load, clock.Now())
 		_, whole, err := sender.ReadBody(response, constants.BufferedAnswer)
-		driver.letGo(task)
+		d.letGo(task)
 		if err == nil && whole {
 			sender.Finish(response)
 		} else {
 			sender.Abandon(response)
 		}
-		driver.refused(route, task, grant, response.NotRun, status)
+		d.refused(route, task, grant, response.NotRun, status)
 		return
 	}
 	grant.First(response.Load, clock.Now())
-	ring(driver.bell)
-	driver.place()
+	ring(d.bell)
+	d.place()
 	splitter := &proxy.Splitter{}
 	if task.Item.LastID > 0 {
 		splitter.Next = task.Item.LastID + 1
 	}
 	err = sender.Stream(response, splitter, outgoing.Until, outgoing.Patience, func(events []byte) error {
-		driver.lock.Lock()
-		defer driver.lock.Unlock()
+		d.lock.Lock()
+		defer d.lock.Unlock()
 		if task.Stopped() || !task.Item.Gather(task.Run, proxy.Data(events), splitter.Last) {
 			return proxy.NotSent.New("called off")
 		}
 		task.Moved(clock.Now())
 		return nil
 	})
-	driver.letGo(task)
+	d.letGo(task)
 	if err != nil {
 		sender.Abandon(response)
-		driver.release(route, task, grant, admission.ResultFailed, messages.Acknowledgement{}, err.Error())
+		d.release(route, task, grant, admission.ResultFailed, messages.Acknowledgement{}, err.Error())
 		return
 	}
 	sender.Finish(response)
-	driver.lock.Lock()
+	d.lock.Lock()
 	whole := task.Item.Finish(task.Run)
 	displaced := task.Item.Displaced > 0
-	driver.lock.Unlock()
+	d.lock.Unlock()
 	if !whole {
 		// It was asked to make room in its last moment: its run counts as set back.
-		driver.release(route, task, grant, admission.ResultServed, messages.Acknowledgement{}, "displaced at its end")
+		d.release(route, task, grant, admission.ResultServed, messages.Acknowledgement{}, "displaced at its end")
 		return
 	}
 	if displaced {
-		driver.server.Gossip.Scheduler.Counters(route.Name).Finished.Add(1)
+		d.server.Gossip.Scheduler.Counters(route.Name).Finished.Add(1)
 	}
 	grant.End(admission.ResultServed, clock.Now())
 	text, packed := pack(bytes.Join(task.Item.Pieces, []byte("\n")))
-	driver.done(task, messages.Acknowledgement{Kind: messages.AckAccept, Text: text, Packed: packed})
+	d.done(task, messages.Acknowledgement{Kind: messages.AckAccept, Text: text, Packed: packed})
 }
 
 // letGo takes a connection out of reach before it may serve somebody else.
-func (driver *driver) letGo(task *itemdriver.Task) {
-	driver.lock.Lock()
-	defer driver.lock.Unlock()
-	delete(driver.connections, task)
+func (d *driver) letGo(task *itemdriver.Task) {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	delete(d.connections, task)
 }
 
 // refused handles an answer that is no stream of events.
-func (driver *driver) refused(route *routeconfig.Route, task *itemdriver.Task, grant *admission.Grant, notRun bool, status int) {
+func (d *driver) refused(route *routeconfig.Route, task *itemdriver.Task, grant *admission.Grant, notRun bool, status int) {
 	switch {
 	case status == http.StatusMisdirectedRequest:
-		driver.release(route, task, grant, admission.ResultGoneAway, messages.Acknowledgement{Unbegun: true}, "another worker answers")
+		d.release(route, task, grant, admission.ResultGoneAway, messages.Acknowledgement{Unbegun: true}, "another worker answers")
 	case notRun:
-		driver.release(route, task, grant, admission.ResultTurnedAway, messages.Acknowledgement{Unbegun: true}, "worker is full")
+		d.release(route, task, grant, admission.ResultTurnedAway, messages.Acknowledgement{Unbegun: true}, "worker is full")
 	case status == http.StatusUnprocessableEntity:
 		grant.End(admission.ResultServed, clock.Now())
-		driver.done(task, messages.Acknowledgement{Kind: messages.AckReject})
+		d.done(task, messages.Acknowledgement{Kind: messages.AckReject})
 	case status == http.StatusInternalServerError:
-		driver.release(route, task, grant, admission.ResultErrored, messages.Acknowledgement{Failed: true}, "worker failed")
+		d.release(route, task, grant, admission.ResultErrored, messages.Acknowledgement{Failed: true}, "worker failed")
 	default:
-		driver.release(route, task, grant, admission.ResultFailed, messages.Acknowledgement{}, "unexpected status "+strconv.Itoa(status))
+		d.release(route, task, grant, admission.ResultFailed, messages.Acknowledgement{}, "unexpected status "+strconv.Itoa(status))
 	}
 }
 
 // yield breaks off a run that has to make room; the run itself sets the item back.
-func (driver *driver) yield(task *itemdriver.Task) {
-	driver.lock.Lock()
-	defer driver.lock.Unlock()
+func (d *driver) yield(task *itemdriver.Task) {
+	d.lock.Lock()
+	defer d.lock.Unlock()
 	if !task.Item.Yield(task.Run) {
 		return
 	}
-	if connection := driver.connections[task]; connection != nil {
+	if connection := d.connections[task]; connection != nil {
 		connection.Close()
 	}
 }
 
 // release gives an item back with what was gathered.
-func (driver *driver) release(route *routeconfig.Route, task *itemdriver.Task, grant *admission.Grant, result admission.Result, entry messages.Acknowledgement, why string) {
+func (d *driver) release(route *routeconfig.Route, task *itemdriver.Task, grant *admission.Grant, result admission.Result, entry messages.Acknowledgement, why string) {
 	entry.Kind = messages.AckRelease
-	driver.lock.Lock()
+	d.lock.Lock()
 	entry.Displaced = task.Item.Yielding()
 	if entry.Displaced || task.Stopped() {
 		// Our own doing: it says nothing against the worker.
 		result = admission.ResultCalledOff
 	}
 	task.Item.SetBack(task.Run)
-	driver.lock.Unlock()
+	d.lock.Unlock()
 	if entry.Displaced {
-		driver.server.Gossip.Scheduler.Counters(route.Name).Displaced.Add(1)
+		d.server.Gossip.Scheduler.Counters(route.Name).Displaced.Add(1)
 	}
 	grant.End(result, clock.Now())
-	driver.done(task, entry)
-	driver.server.Node.Log.Debug("item released", "item", task.Item.ID, "worker", grant.Worker.ID, "displaced", entry.Displaced, "why", why)
+	d.done(task, entry)
+	d.server.Node.Log.Debug("item released", "item", task.Item.ID, "worker", grant.Worker.ID, "displaced", entry.Displaced, "why", why)
 }
 
 // done ends a task here and has its acknowledgement carried.
-func (driver *driver) done(task *itemdriver.Task, entry messages.Acknowledgement) {
-	driver.lock.Lock()
-	delete(driver.connections, task)
-	driver.core.Done(task, entry)
-	driver.lock.Unlock()
-	ring(driver.results)
-	ring(driver.returns)
-	ring(driver.bell)
+func (d *driver) done(task *itemdriver.Task, entry messages.Acknowledgement) {
+	d.lock.Lock()
+	delete(d.connections, task)
+	d.core.Done(task, entry)
+	d.lock.Unlock()
+	ring(d.results)
+	ring(d.returns)
+	ring(d.bell)
 }
 
 // outgoing writes an item's request.
-func (driver *driver) outgoing(route *routeconfig.Route, task *itemdriver.Task, worker string) *proxy.Request {
+func (d *driver) outgoing(route *routeconfig.Route, task *itemdriver.Task, worker string) *proxy.Request {
 	item, header := task.Item, http.Header{}
 	for name, value := range item.Headers {
 		header.Set(name, value)
@@ -169,12 +169,12 @@
 		Text:  proxy.Head(http.MethodPost, item.Path, item.Lot.Host, proxy.Passed(header), own, item.Body),
 		Until: clock.Now().Plus(max(clock.Milliseconds(float64(left)), constants.RunLeast)),
 		Halt: func(connection *workerconn.Connection) {
-			driver.lock.Lock()
-			defer driver.lock.Unlock()
-			driver.connections[task] = connection
+			d.lock.Lock()
+			defer d.lock.Unlock()
+			d.connections[task] = connection
 			if !task.May(clock.Now()) || task.Item.Yielding() {
 				// Stopped while its connection was being opened: nothing is sent.
-				driver.core.Stop(task)
+				d.core.Stop(task)
 				connection.Close()
 			}
 		}}
--- a/internal/batch/store/driver.go
+++ b/internal/batch/store/driver.go
@@ -50,40 +50,40 @@
 }
 
 // run begins the loops.
-func (driver *driver) run() {
-	go driver.acquireLoop()
-	go driver.acknowledgeLoop(driver.results, driver.core.Results)
-	go driver.acknowledgeLoop(driver.returns, driver.core.Returns)
-	go clock.Every(constants.TickPeriod, driver.server.Node.Stop, driver.tend)
+func (d *driver) run() {
+	go d.acquireLoop()
+	go d.acknowledgeLoop(d.results, d.core.Results)
+	go d.acknowledgeLoop(d.returns, d.core.Returns)
+	go clock.Every(constants.TickPeriod, d.server.Node.Stop, d.tend)
 }
 
 // holder is the address of the dispatcher, or nothing.
-func (server *Server) holder() string {
-	if server.current() != nil {
-		return server.Node.Own.Address
+func (s *Server) holder() string {
+	if s.current() != nil {
+		return s.Node.Own.Address
 	}
-	return server.elsewhere().Holder
+	return s.elsewhere().Holder
 }
 
 // holderEpoch is the epoch of the dispatcher, as far as we know.
-func (server *Server) holderEpoch() uint64 {
-	if current := server.current(); current != nil {
+func (s *Server) holderEpoch() uint64 {
+	if current := s.current(); current != nil {
 		return current.duty.Epoch
 	}
-	server.lock.Lock()
-	defer server.lock.Unlock()
-	return server.told.Epoch
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return s.told.Epoch
 }
 
 // acquireLoop keeps as many items as there are places for.
-func (driver *driver) acquireLoop() {
-	stop := driver.server.Node.Stop
+func (d *driver) acquireLoop() {
+	stop := d.server.Node.Stop
 	for {
-		room, holder := driver.room(), driver.server.holder()
+		room, holder := d.room(), d.server.holder()
 		pause := clock.Span(0)
 		if len(room) == 0 || holder == "" {
 			pause = constants.TickPeriod
-		} else if !driver.acquire(holder, room) {
+		} else if !d.acquire(holder, room) {
 			pause = constants.AckPause
 		}
 		select {
@@ -95,7 +95,7 @@
 			select {
 			case <-stop:
 				return
-			case <-driver.bell:
+			case <-d.bell:
 			case <-clock.After(pause):
 			}
 		}
@@ -103,85 +103,85 @@
 }
 
 // acquire asks once; false when the dispatcher could not be asked.
-func (driver *driver) acquire(holder string, room []messages.ServiceRoom) bool {
-	own := driver.server.Node.Own
+func (d *driver) acquire(holder string, room []messages.ServiceRoom) bool {
+	own := d.server.Node.Own
 	question := &messages.Acquire{Driver: own.Name, Life: own.Life, Address: own.Address, Zone: own.Zone, Room: room,
-		HoldMs: int(constants.AcquireHold.Milliseconds()), Known: driver.known()}
+		HoldMs: int(constants.AcquireHold.Milliseconds()), Known: d.known()}
 	answer := &messages.Acquired{}
 	asked := clock.Now()
 	if holder == own.Address {
-		answer = driver.server.acquire(question)
-	} else if transport.Ask(driver.server.Node.Wire, holder, messages.KindAcquire, question, answer, constants.AcquireHold+constants.CallTime) != nil {
+		answer = d.server.acquire(question)
+	} else if transport.Ask(d.server.Node.Wire, holder, messages.KindAcquire, question, answer, constants.AcquireHold+constants.CallTime) != nil {
 		return false
 	}
 	if answer.Elsewhere {
 		return false
 	}
 	now := clock.Now()
-	driver.listed(answer.Version, answer.Drivers, now)
-	driver.lock.Lock()
-	driver.lockSpan = clock.Milliseconds(answer.LockMs)
-	driver.waiting = append(driver.waiting, driver.core.Take(answer, asked, now)...)
-	driver.lock.Unlock()
-	driver.place()
+	d.listed(answer.Version, answer.Drivers, now)
+	d.lock.Lock()
+	d.lockSpan = clock.Milliseconds(answer.LockMs)
+	d.waiting = append(d.waiting, d.core.Take(answer, asked, now)...)
+	d.lock.Unlock()
+	d.place()
 	return true
 }
 
 // tend places what waits, stops what may not go on, and renews the locks.
-func (driver *driver) tend() {
-	now, epoch := clock.Now(), driver.server.holderEpoch()
-	driver.lock.Lock()
-	driver.halt(driver.core.Lapsed(now))
-	due := !driver.renewing && now.Since(driver.renewed) >= driver.lockSpan/constants.RenewPart
+func (d *driver) tend() {
+	now, epoch := clock.Now(), d.server.holderEpoch()
+	d.lock.Lock()
+	d.halt(d.core.Lapsed(now))
+	due := !d.renewing && now.Since(d.renewed) >= d.lockSpan/constants.RenewPart
 	// A new holder is shown at once what we hold.
-	due = due || epoch > driver.shown
+	due = due || epoch > d.shown
 	var entries []messages.Acknowledgement
 	if due {
 		// With nothing to renew it still says that this driver is there.
-		entries = driver.core.Renewals(now)
-		driver.core.Fence(epoch)
-		driver.shown = max(driver.shown, epoch)
-		driver.renewed = now
-		driver.renewing = true
+		entries = d.core.Renewals(now)
+		d.core.Fence(epoch)
+		d.shown = max(d.shown, epoch)
+		d.renewed = now
+		d.renewing = true
 	}
-	driver.lock.Unlock()
+	d.lock.Unlock()
 	if due {
-		go driver.renew(entries, epoch)
+		go d.renew(entries, epoch)
 	}
-	driver.place()
+	d.place()
 }
 
 // halt breaks runs off; each sets its item back by itself. The lock is held.
-func (driver *driver) halt(tasks []*itemdriver.Task) {
+func (d *driver) halt(tasks []*itemdriver.Task) {
 	for _, task := range tasks {
-		if connection := driver.connections[task]; connection != nil {
+		if connection := d.connections[task]; connection != nil {
 			connection.Close()
 		}
 	}
 }
 
 // stopLot breaks off whatever runs of a lot.
-func (driver *driver) stopLot(lot string) {
-	driver.lock.Lock()
-	defer driver.lock.Unlock()
-	driver.halt(driver.core.StopLot(lot))
+func (d *driver) stopLot(lot string) {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	d.halt(d.core.StopLot(lot))
 }
 
 // leave gives everything back before the process ends.
-func (driver *driver) leave() {
-	driver.lock.Lock()
-	driver.leaving = true
-	for _, task := range driver.core.All() {
-		driver.halt(driver.core.Stop(task))
+func (d *driver) leave() {
+	d.lock.Lock()
+	d.leaving = true
+	for _, task := range d.core.All() {
+		d.halt(d.core.Stop(task))
 	}
-	driver.lock.Unlock()
-	driver.place()
+	d.lock.Unlock()
+	d.place()
 	end := clock.Now().Plus(constants.HoldTime)
 	for clock.Now() < end {
-		driver.lock.Lock()
-		all, _ := driver.core.Count()
-		owing := driver.core.Owing()
-		driver.lock.Unlock()
+		d.lock.Lock()
+		all, _ := d.core.Count()
+		owing := d.core.Owing()
+		d.lock.Unlock()
 		if all == 0 && owing == 0 {
 			return
 		}
--- a/internal/batch/store/driver_test.go
+++ b/internal/batch/store/driver_test.go
@@ -26,15 +26,15 @@
 	dropped chan string
 }
 
-func (worker *standInWorker) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+func (s *standInWorker) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	id := request.Header.Get("Lemonarch-Attempt-Id")
-	worker.lock.Lock()
-	worker.tries[id]++
-	try := worker.tries[id]
+	s.lock.Lock()
+	s.tries[id]++
+	try := s.tries[id]
 	if last := request.Header.Get("Last-Event-Id"); last != "" {
-		worker.resumed[id] = last
+		s.resumed[id] = last
 	}
-	worker.lock.Unlock()
+	s.lock.Unlock()
 	header := writer.Header()
 	header.Set("Lemonarch-Attempt-Id", id)
 	header.Set("Lemonarch-Server-Seal", "s")
@@ -55,76 +55,76 @@
 			panic(http.ErrAbortHandler)
 		}
 		if strings.HasPrefix(id, "stuck") {
-			worker.stuck <- id
+			s.stuck <- id
 			<-request.Context().Done()
-			worker.dropped <- id
+			s.dropped <- id
 			return
 		}
 	}
 }
 
 // driven is a store that holds the lots, drives them, and has one worker.
-func driven(test *testing.T, seed int64) (*term, *standInWorker) {
+func driven(t *testing.T, seed int64) (*term, *standInWorker) {
 	worker := &standInWorker{tries: map[string]int{}, resumed: map[string]string{}, stuck: make(chan string, 9), dropped: make(chan string, 9)}
 	upstream := httptest.NewServer(worker)
-	test.Cleanup(upstream.Close)
-	server := soleLocker(test, simulation.NewDisk(seed))
-	one := rule(test, server, 1)
+	t.Cleanup(upstream.Close)
+	server := soleLocker(t, simulation.NewDisk(seed))
+	one := rule(t, server, 1)
 	server.Gossip.Scheduler.SetConfig(server.Node.Config())
 	server.Gossip.Scheduler.Merge([]messages.Worker{{ID: "w", Backend: "s", Address: strings.TrimPrefix(upstream.URL, "http://"), Capacity: 12, Count: 1}}, clock.Now())
 	server.driver.run()
-	test.Cleanup(server.Node.End)
+	t.Cleanup(server.Node.End)
 	return one, worker
 }
 
-func outputs(test *testing.T, one *term, lot string, sum int) map[string]outputLine {
+func outputs(t *testing.T, one *term, lot string, sum int) map[string]outputLine {
 	found := map[string]outputLine{}
 	end := clock.Now().Plus(clock.Milliseconds(15_000))
 	for len(found) < sum && clock.Now() < end {
 		page := outputPage{}
 		if err := json.Unmarshal(one.readLot(&messages.LotCall{Lot: lot, Cursor: len(found), HoldMs: 1000}).Body, &page); err != nil {
-			test.Fatal(err)
+			t.Fatal(err)
 		}
 		for _, line := range page.Outputs {
 			if _, twice := found[line.ID]; twice {
-				test.Fatal("listed twice: ", line.ID)
+				t.Fatal("listed twice: ", line.ID)
 			}
 			found[line.ID] = line
 		}
 	}
 	if len(found) != sum {
-		test.Fatalf("%d of %d are listed", len(found), sum)
+		t.Fatalf("%d of %d are listed", len(found), sum)
 	}
 	return found
 }
 
 // What a driver acknowledges follows from the stream: the end is an ACCEPT, a cut a
 // RELEASE with the events so far, a 500 one that counts, a 422 a REJECT.
-func TestDriverDerivesAcknowledgements(test *testing.T) {
-	one, worker := driven(test, 11)
+func TestDriverDerivesAcknowledgements(t *testing.T) {
+	one, worker := driven(t, 11)
 	if answer := one.handIn(lotCallOf("mixed", 5)); answer.Status != 202 {
-		test.Fatal(answer.Status)
+		t.Fatal(answer.Status)
 	}
-	for id, line := range outputs(test, one, "mixed", 5) {
+	for id, line := range outputs(t, one, "mixed", 5) {
 		whole := fmt.Sprintf("%s.1\n%s.2\n%s.3\n%s.4", id, id, id, id)
 		dropped := strings.HasSuffix(id, "-0") || strings.HasSuffix(id, "-1")
 		if (line.Phase == "abandoned") != dropped || (!dropped && line.Text != whole) {
-			test.Fatal(line)
+			t.Fatal(line)
 		}
 	}
 	worker.lock.Lock()
 	defer worker.lock.Unlock()
 	// Two tries is what the route allows.
 	if worker.tries["mixed-1"] != 2 || worker.tries["mixed-0"] != 1 || worker.resumed["mixed-2"] != "2" {
-		test.Fatal(worker.tries, worker.resumed)
+		t.Fatal(worker.tries, worker.resumed)
 	}
 }
 
 // The end of a lot breaks its runs off at once, and none begins again.
-func TestEndStopsRuns(test *testing.T) {
-	one, worker := driven(test, 12)
+func TestEndStopsRuns(t *testing.T) {
+	one, worker := driven(t, 12)
 	if answer := one.handIn(lotCallOf("stuck", 3)); answer.Status != 202 {
-		test.Fatal(answer.Status)
+		t.Fatal(answer.Status)
 	}
 	begun := map[string]bool{}
 	for len(begun) < 3 {
@@ -132,46 +132,46 @@
 		case id := <-worker.stuck:
 			begun[id] = true
 		case <-clock.After(clock.Milliseconds(10_000)):
-			test.Fatal("not all were begun: ", begun)
+			t.Fatal("not all were begun: ", begun)
 		}
 	}
 	if answer := one.endLot(&messages.LotCall{Lot: "stuck"}); answer.Status != 200 {
-		test.Fatal(answer.Status)
+		t.Fatal(answer.Status)
 	}
 	for count := 0; count < 3; count++ {
 		select {
 		case <-worker.dropped:
 		case <-clock.After(clock.Milliseconds(1500)):
-			test.Fatal("runs go on after the end of their lot: ", count)
+			t.Fatal("runs go on after the end of their lot: ", count)
 		}
 	}
 	// The next lot is run to its end meanwhile; nothing of the ended one is.
 	if answer := one.handIn(lotCallOf("next", 2)); answer.Status != 202 {
-		test.Fatal(answer.Status)
+		t.Fatal(answer.Status)
 	}
-	outputs(test, one, "next", 2)
+	outputs(t, one, "next", 2)
 	worker.lock.Lock()
 	defer worker.lock.Unlock()
 	for id, tries := range worker.tries {
 		if strings.HasPrefix(id, "stuck") && tries != 1 {
-			test.Fatal("begun again after the end: ", id)
+			t.Fatal("begun again after the end: ", id)
 		}
 	}
 }
 
 // A holder that gave the duty up for its slow disk does not ask for it at once.
-func TestRestingLockerStandsBack(test *testing.T) {
-	server := soleLocker(test, simulation.NewDisk(13))
+func TestRestingLockerStandsBack(t *testing.T) {
+	server := soleLocker(t, simulation.NewDisk(13))
 	server.value.Stores = []messages.Member{server.member()}
 	if !server.eligible() || register.Identity(server.member()) == "" {
-		test.Fatal("a member of the set is not eligible")
+		t.Fatal("a member of the set is not eligible")
 	}
 	server.rest(clock.Now().Plus(clock.Milliseconds(60_000)))
 	if server.eligible() {
-		test.Fatal("it asks for the duty again")
+		t.Fatal("it asks for the duty again")
 	}
 	server.rest(clock.Now())
 	if !server.eligible() {
-		test.Fatal("it rests for ever")
+		t.Fatal("it rests for ever")
 	}
 }
