--- a/internal/batch/store/duty.go
+++ b/internal/batch/store/duty.go
@@ -17,58 +17,58 @@
 const holderQuiet = constants.HoldTime - constants.HoldMargin
 
 // campaign keeps the duty while we hold it and asks for it while nobody does.
-func (server *Server) campaign() {
+func (s *Server) campaign() {
 	for {
 		select {
-		case <-server.Node.Stop:
+		case <-s.Node.Stop:
 			return
-		case <-clock.After(server.step()):
+		case <-clock.After(s.step()):
 		}
 	}
 }
 
 // step does what is due and gives the time until the next step.
-func (server *Server) step() clock.Span {
-	if current := server.current(); current != nil {
-		return server.renew(current)
+func (s *Server) step() clock.Span {
+	if current := s.current(); current != nil {
+		return s.renew(current)
 	}
-	server.lock.Lock()
-	told, toldAt, readAt := server.told, server.toldAt, server.read
-	server.lock.Unlock()
+	s.lock.Lock()
+	told, toldAt, readAt := s.told, s.toldAt, s.read
+	s.lock.Unlock()
 	now := clock.Now()
-	if toldAt > 0 && now.Since(toldAt) < holderQuiet && told.Address != server.Node.Own.Address {
+	if toldAt > 0 && now.Since(toldAt) < holderQuiet && told.Address != s.Node.Own.Address {
 		return constants.TickPeriod * 2
 	}
 	if now.Since(readAt) > constants.HoldRenewal || readAt == 0 {
-		if !server.readRegister() {
+		if !s.readRegister() {
 			return constants.TickPeriod * 4
 		}
 	}
-	if !server.eligible() || server.defers(now) {
+	if !s.eligible() || s.defers(now) {
 		return constants.TickPeriod * 4
 	}
-	return server.seekDuty()
+	return s.seekDuty()
 }
 
 // eligible tells whether we may hold the duty: only a member of the set has all
 // the records, and one that is being emptied should not begin anew.
-func (server *Server) eligible() bool {
-	server.lock.Lock()
-	value := server.value
-	server.lock.Unlock()
-	if server.leaving.Load() || server.rests() {
+func (s *Server) eligible() bool {
+	s.lock.Lock()
+	value := s.value
+	s.lock.Unlock()
+	if s.leaving.Load() || s.rests() {
 		return false
 	}
 	for _, name := range value.Retired {
-		if name == server.Node.Own.Name {
+		if name == s.Node.Own.Name {
 			return false
 		}
 	}
 	if len(value.Stores) == 0 {
-		return len(server.firstStores()) > 0
+		return len(s.firstStores()) > 0
 	}
 	for _, member := range value.Stores {
-		if register.Identity(member) == register.Identity(server.member()) {
+		if register.Identity(member) == register.Identity(s.member()) {
 			return true
 		}
 	}
@@ -77,14 +77,14 @@
 
 // firstStores proposes the set of the first start: one store in each zone as far
 // as that goes, as many as bear the fault budget.
-func (server *Server) firstStores() []messages.Member {
-	size := 2*server.budget() + 1
-	known := []messages.Member{server.member()}
-	for _, entry := range server.Node.Live(membership.RoleStore) {
+func (s *Server) firstStores() []messages.Member {
+	size := 2*s.budget() + 1
+	known := []messages.Member{s.member()}
+	for _, entry := range s.Node.Live(membership.RoleStore) {
 		known = append(known, messages.Member{Name: entry.Name, Disk: entry.Disk, Address: entry.Address, Zone: entry.Zone})
 	}
 	// Wait for the others as long as the start may take.
-	if len(known) < size && clock.Now().Since(server.begun) < constants.FirstMeeting {
+	if len(known) < size && clock.Now().Since(s.begun) < constants.FirstMeeting {
 		return nil
 	}
 	var chosen []messages.Member
@@ -101,24 +101,24 @@
 }
 
 // readRegister learns sets and duty from a controller.
-func (server *Server) readRegister() bool {
-	for _, address := range server.controllers() {
+func (s *Server) readRegister() bool {
+	for _, address := range s.controllers() {
 		answer := &messages.DutyChanged{}
-		if transport.Ask(server.Node.Wire, address, messages.KindRegisterRead, &messages.Nothing{}, answer, constants.CallTime) != nil || !answer.Done {
+		if transport.Ask(s.Node.Wire, address, messages.KindRegisterRead, &messages.Nothing{}, answer, constants.CallTime) != nil || !answer.Done {
 			continue
 		}
-		server.lock.Lock()
-		server.value, server.read = answer.Value, clock.Now()
-		server.lock.Unlock()
+		s.lock.Lock()
+		s.value, s.read = answer.Value, clock.Now()
+		s.lock.Unlock()
 		return true
 	}
 	return false
 }
 
-func (server *Server) controllers() []string {
+func (s *Server) controllers() []string {
 	var near, far []string
-	for _, entry := range server.Node.Live(membership.RoleController) {
-		if entry.Zone == server.Node.Own.Zone {
+	for _, entry := range s.Node.Live(membership.RoleController) {
+		if entry.Zone == s.Node.Own.Zone {
 			near = append(near, entry.Address)
 		} else {
 			far = append(far, entry.Address)
@@ -127,19 +127,19 @@
 	rand.Shuffle(len(far), func(left, right int) { far[left], far[right] = far[right], far[left] })
 	addresses := append(near, far...)
 	if len(addresses) == 0 {
-		return server.Node.Settings.SeedAddresses(constants.PortController)
+		return s.Node.Settings.SeedAddresses(constants.PortController)
 	}
 	return addresses
 }
 
 // ask puts a question to every acceptor and tells whether a majority granted it.
 // It does not wait for those that stay silent once the others have decided.
-func (server *Server) ask(question messages.HoldAsk) (granted bool, latest uint64) {
-	server.lock.Lock()
-	acceptors := server.value.Acceptors
-	server.turn++
-	question.Turn = server.turn
-	server.lock.Unlock()
+func (s *Server) ask(question messages.HoldAsk) (granted bool, latest uint64) {
+	s.lock.Lock()
+	acceptors := s.value.Acceptors
+	s.turn++
+	question.Turn = s.turn
+	s.lock.Unlock()
 	type heard struct {
 		identity string
 		answer   messages.HoldAnswer
@@ -149,7 +149,7 @@
 	for _, member := range acceptors {
 		go func() {
 			one := heard{identity: register.Identity(member)}
-			one.failed = transport.Ask(server.Node.Wire, member.Address, messages.KindAsk, &question, &one.answer, constants.HoldRenewal) != nil
+			one.failed = transport.Ask(s.Node.Wire, member.Address, messages.KindAsk, &question, &one.answer, constants.HoldRenewal) != nil
 			answers <- one
 		}()
 	}
@@ -169,78 +169,78 @@
 }
 
 // renew extends our hold; it is given up when it can't be.
-func (server *Server) renew(current *term) clock.Span {
+func (s *Server) renew(current *term) clock.Span {
 	asked := clock.Now()
-	granted, latest := server.ask(messages.HoldAsk{Candidate: server.Node.Own.Name, Life: server.Node.Own.Life, Epoch: current.duty.Epoch})
+	granted, latest := s.ask(messages.HoldAsk{Candidate: s.Node.Own.Name, Life: s.Node.Own.Life, Epoch: current.duty.Epoch})
 	if granted && latest <= current.duty.Epoch {
-		server.lock.Lock()
-		server.hold.Renewed(asked)
-		server.lock.Unlock()
+		s.lock.Lock()
+		s.hold.Renewed(asked)
+		s.lock.Unlock()
 	}
 	switch {
 	case latest > current.duty.Epoch:
 		current.end("the register names a later epoch")
-	case !server.holds():
+	case !s.holds():
 		current.end("hold ran out")
 	}
 	return max(constants.HoldRenewal-clock.Now().Since(asked), constants.TickPeriod)
 }
 
-func (server *Server) release() {
-	server.lock.Lock()
-	server.hold.Drop()
-	epoch := server.value.Duty.Epoch
-	server.lock.Unlock()
-	server.ask(messages.HoldAsk{Candidate: server.Node.Own.Name, Life: server.Node.Own.Life, Epoch: epoch, Release: true})
+func (s *Server) release() {
+	s.lock.Lock()
+	s.hold.Drop()
+	epoch := s.value.Duty.Epoch
+	s.lock.Unlock()
+	s.ask(messages.HoldAsk{Candidate: s.Node.Own.Name, Life: s.Node.Own.Life, Epoch: epoch, Release: true})
 }
 
 // seekDuty asks for the duty, and takes it in the register once a majority grants
 // the hold.
-func (server *Server) seekDuty() clock.Span {
-	server.lock.Lock()
-	value := server.value
-	server.lock.Unlock()
+func (s *Server) seekDuty() clock.Span {
+	s.lock.Lock()
+	value := s.value
+	s.lock.Unlock()
 	pause := constants.TickPeriod*3 + clock.Span(rand.Int63n(int64(constants.HoldRenewal)))
 	asked := clock.Now()
-	own := server.Node.Own
-	granted, _ := server.ask(messages.HoldAsk{Candidate: own.Name, Life: own.Life, Epoch: value.Duty.Epoch})
+	own := s.Node.Own
+	granted, _ := s.ask(messages.HoldAsk{Candidate: own.Name, Life: own.Life, Epoch: value.Duty.Epoch})
 	if !granted {
 		// Two candidates must not keep each other out by halves.
-		server.release()
+		s.release()
 		return pause
 	}
 	stores := value.Stores
 	if len(stores) == 0 {
-		stores = server.firstStores()
+		stores = s.firstStores()
 	}
 	change := &messages.DutyChange{Take: true, ExpectEpoch: value.Duty.Epoch, Stores: stores,
 		Holder: messages.Duty{Holder: own.Name, Life: own.Life, Address: own.Address}}
-	changed, known := server.changeDuty(change)
+	changed, known := s.changeDuty(change)
 	if !known || !changed.Done {
-		server.release()
+		s.release()
 		return pause
 	}
-	server.lock.Lock()
-	server.value, server.read = changed.Value, clock.Now()
-	server.hold.Renewed(asked)
-	next := newTerm(server, changed.Value.Duty, changed.Value.Stores, 1)
-	server.term = next
-	server.lock.Unlock()
+	s.lock.Lock()
+	s.value, s.read = changed.Value, clock.Now()
+	s.hold.Renewed(asked)
+	next := newTerm(s, changed.Value.Duty, changed.Value.Stores, 1)
+	s.term = next
+	s.lock.Unlock()
 	var names []string
 	for _, member := range changed.Value.Stores {
 		names = append(names, member.Name)
 	}
-	server.Node.Log.Info("duty taken", "epoch", next.duty.Epoch, "stores", strings.Join(names, ","))
+	s.Node.Log.Info("duty taken", "epoch", next.duty.Epoch, "stores", strings.Join(names, ","))
 	go next.takeOver()
 	return constants.TickPeriod
 }
 
 // changeDuty has a controller change the register; known is false where the outcome
 // can't be told.
-func (server *Server) changeDuty(change *messages.DutyChange) (*messages.DutyChanged, bool) {
-	for _, address := range server.controllers() {
+func (s *Server) changeDuty(change *messages.DutyChange) (*messages.DutyChanged, bool) {
+	for _, address := range s.controllers() {
 		answer := &messages.DutyChanged{}
-		if transport.Ask(server.Node.Wire, address, messages.KindDutyChange, change, answer, constants.RegisterTime) == nil {
+		if transport.Ask(s.Node.Wire, address, messages.KindDutyChange, change, answer, constants.RegisterTime) == nil {
 			return answer, true
 		}
 	}
--- a/internal/batch/store/handin.go
+++ b/internal/batch/store/handin.go
@@ -69,22 +69,22 @@
 }
 
 // handIn takes a lot: checked, within the quota, and durable before it is told.
-func (term *term) handIn(call *messages.LotCall) *messages.LotAnswer {
+func (t *term) handIn(call *messages.LotCall) *messages.LotAnswer {
 	accepted := &messages.LotAnswer{Status: http.StatusAccepted, Body: []byte("{}")}
-	term.lock.Lock()
-	known, taking := term.book.Lot(call.Lot) != nil, term.taking[call.Lot]
-	term.lock.Unlock()
+	t.lock.Lock()
+	known, taking := t.book.Lot(call.Lot) != nil, t.taking[call.Lot]
+	t.lock.Unlock()
 	if known {
 		return accepted
 	}
 	if taking > 0 {
-		return term.awaitTaken(taking, accepted)
+		return t.awaitTaken(taking, accepted)
 	}
 	body, tokens, status, why := readLotJSON(call)
 	if body == nil {
 		return refuse(status, why)
 	}
-	config := term.server.Node.Config()
+	config := t.server.Node.Config()
 	route := routeOf(config, call.Host, call.Path)
 	if route == nil {
 		// The gateway knew the route: our configuration may be the older one.
@@ -94,36 +94,36 @@
 	if err != nil {
 		return refuse(http.StatusBadRequest, "lot can't be kept")
 	}
-	term.lock.Lock()
-	if term.book.Lot(call.Lot) != nil || term.taking[call.Lot] > 0 {
-		taking = term.taking[call.Lot]
-		term.lock.Unlock()
-		return term.awaitTaken(taking, accepted)
+	t.lock.Lock()
+	if t.book.Lot(call.Lot) != nil || t.taking[call.Lot] > 0 {
+		taking = t.taking[call.Lot]
+		t.lock.Unlock()
+		return t.awaitTaken(taking, accepted)
 	}
 	if expired(call, clock.Now()) {
 		// Whoever asked has given up, or was told that this one counts for nothing.
-		term.lock.Unlock()
+		t.lock.Unlock()
 		return &messages.LotAnswer{Elsewhere: true}
 	}
-	if route.BacklogCap > 0 && term.waiting(config, route)+tokens > route.BacklogCap {
-		term.lock.Unlock()
+	if route.BacklogCap > 0 && t.waiting(config, route)+tokens > route.BacklogCap {
+		t.lock.Unlock()
 		return &messages.LotAnswer{Status: http.StatusTooManyRequests, Body: reason("backlog is full"), RetryMs: int(constants.GossipPeriod.Milliseconds())}
 	}
-	index := term.submit(messages.Record{Kind: messages.RecordLot, Lot: call.Lot, Host: call.Host, Route: route.Name,
+	index := t.submit(messages.Record{Kind: messages.RecordLot, Lot: call.Lot, Host: call.Host, Route: route.Name,
 		AtMs: clock.Wall() / 1_000_000, Body: packed})
-	term.taking[call.Lot] = index
-	term.quota.comes(call, tokens)
-	term.lock.Unlock()
-	return term.awaitTaken(index, accepted)
+	t.taking[call.Lot] = index
+	t.quota.comes(call, tokens)
+	t.lock.Unlock()
+	return t.awaitTaken(index, accepted)
 }
 
 // fresh tells whether a question comes for the first time, and turns the span that
 // it brought into a moment of our own clock.
-func (server *Server) fresh(call *messages.LotCall, now clock.Moment) bool {
+func (s *Server) fresh(call *messages.LotCall, now clock.Moment) bool {
 	if call.LiveMs > 0 {
 		call.Until = int64(now.Plus(clock.Milliseconds(float64(call.LiveMs))))
 	}
-	return server.once.First(call.Ask, now)
+	return s.once.First(call.Ask, now)
 }
 
 // expired tells whether the time in which a hand-in may be taken is over.
@@ -131,8 +131,8 @@
 	return call.Until > 0 && int64(now) >= call.Until
 }
 
-func (term *term) awaitTaken(index int64, accepted *messages.LotAnswer) *messages.LotAnswer {
-	if term.durable(index, constants.RegisterTime) {
+func (t *term) awaitTaken(index int64, accepted *messages.LotAnswer) *messages.LotAnswer {
+	if t.durable(index, constants.RegisterTime) {
 		return accepted
 	}
 	return refuse(http.StatusGatewayTimeout, "lot not yet durable")
--- a/internal/batch/store/handin_test.go
+++ b/internal/batch/store/handin_test.go
@@ -19,10 +19,10 @@
 const quotaConfig = `{"generation":1,"channels":[{"name":"b","host":"h","path-prefix":"/b/","route-kind":"bulk","backend":"s","tries":2,"retain-s":60,"result-setpoint-ms":9000,"backlog-cap":100}],"backends":[{"name":"s"}],"limits":{}}`
 
 // soleLocker is a store that holds the lots alone, on a fake disk.
-func soleLocker(test *testing.T, disk *simulation.Disk) *Server {
+func soleLocker(t *testing.T, disk *simulation.Disk) *Server {
 	store, err := OpenStore(disk, "disk")
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	nodeSettings := &settings.Settings{NodeName: "m", Address: "10.0.0.1", InternalPorts: []int{1, 9}, HeartbeatMs: 1200}
 	runtime := node.New(nodeSettings, "store", 2, store.Disk(), hclog.NewNullLogger())
@@ -35,14 +35,14 @@
 }
 
 // rule begins a term of the sole store and waits until it serves.
-func rule(test *testing.T, server *Server, epoch uint64) *term {
+func rule(t *testing.T, server *Server, epoch uint64) *term {
 	one := newTerm(server, messages.Duty{Holder: "m", Life: server.Node.Own.Life, Epoch: epoch}, []messages.Member{server.member()}, 1)
 	server.term = one
 	one.takeOver()
 	if !one.waitServing(clock.Milliseconds(5000)) {
-		test.Fatal("does not serve")
+		t.Fatal("does not serve")
 	}
-	test.Cleanup(func() { one.end("test is over") })
+	t.Cleanup(func() { one.end("test is over") })
 	return one
 }
 
@@ -59,8 +59,8 @@
 
 // Calls of many nodes race for the last room: the quota is never passed, and a lot
 // that comes over several nodes at once is one lot.
-func TestQuotaUnderRaces(test *testing.T) {
-	one := rule(test, soleLocker(test, simulation.NewDisk(1)), 1)
+func TestQuotaUnderRaces(t *testing.T) {
+	one := rule(t, soleLocker(t, simulation.NewDisk(1)), 1)
 	var group sync.WaitGroup
 	var lock sync.Mutex
 	statuses := map[int]int{}
@@ -77,29 +77,29 @@
 	}
 	group.Wait()
 	if statuses[202] < 3 || statuses[202] > 6 || statuses[202]+statuses[429] != 24 || len(one.book.Lots()) != 3 {
-		test.Fatal(statuses, len(one.book.Lots()))
+		t.Fatal(statuses, len(one.book.Lots()))
 	}
 	// Resent to whoever holds the lots later, a taken lot is still taken.
 	taken := one.book.Lots()[0].ID
 	one.end("another takes over")
-	next := rule(test, one.server, 2)
+	next := rule(t, one.server, 2)
 	if answer := next.handIn(lotCallOf(taken, 2)); answer.Status != 202 || len(next.book.Lots()) != 3 {
-		test.Fatal(answer.Status, len(next.book.Lots()))
+		t.Fatal(answer.Status, len(next.book.Lots()))
 	}
 }
 
 // A lot is ended while its duty changes hands: once the end was told, no later
 // holder runs any of it, and what was listed stays.
-func TestCancelDuringHandOver(test *testing.T) {
+func TestCancelDuringHandOver(t *testing.T) {
 	disk := simulation.NewDisk(2)
-	one := rule(test, soleLocker(test, disk), 1)
+	one := rule(t, soleLocker(t, disk), 1)
 	if answer := one.handIn(lotCallOf("lot", 3)); answer.Status != 202 {
-		test.Fatal(answer.Status)
+		t.Fatal(answer.Status)
 	}
 	question := &messages.Acquire{Driver: "d", Life: 1, Room: []messages.ServiceRoom{{Service: "s", Count: 2}}}
 	given := one.acquire(question).Items
 	if len(given) != 2 {
-		test.Fatal("acquired ", len(given))
+		t.Fatal("acquired ", len(given))
 	}
 	accept := func(place int, text string) messages.AckVerdict {
 		entry := messages.Acknowledgement{Kind: messages.AckAccept, Number: given[place].Number, Lot: "lot", Item: given[place].Item.ID, Text: []byte(text)}
@@ -109,39 +109,39 @@
 	// Told again it is answered the same, and counts once.
 	first, again := accept(0, "text"), accept(0, "text")
 	if first != messages.AckTaken || again != messages.AckTaken {
-		test.Fatal("output not taken")
+		t.Fatal("output not taken")
 	}
 	if answer := one.endLot(&messages.LotCall{Lot: "lot"}); answer.Status != 200 {
-		test.Fatal(answer.Status)
+		t.Fatal(answer.Status)
 	}
 	// A run that was under way brings nothing any more.
 	if accept(1, "late") != messages.AckTerminal || len(one.acquire(question).Items) != 0 {
-		test.Fatal("an ended lot goes on")
+		t.Fatal("an ended lot goes on")
 	}
 	one.end("another takes over")
 	disk.PowerLoss()
-	next := rule(test, soleLocker(test, disk), 2)
+	next := rule(t, soleLocker(t, disk), 2)
 	lot := next.book.Lot("lot")
 	if lot == nil || !lot.Ended || lot.Open() || len(lot.Listings) != 1 || lot.Listings[0].Item != item.ID {
-		test.Fatalf("%+v", lot)
+		t.Fatalf("%+v", lot)
 	}
 	for _, each := range lot.Items {
 		if !each.Terminal() && each.Begin() != 0 {
-			test.Fatal("an item of an ended lot would run: ", each.ID)
+			t.Fatal("an item of an ended lot would run: ", each.ID)
 		}
 	}
 	if answer := next.endLot(&messages.LotCall{Lot: "lot"}); answer.Status != 200 {
-		test.Fatal("a repeated end: ", answer.Status)
+		t.Fatal("a repeated end: ", answer.Status)
 	}
 	text := string(next.readLot(&messages.LotCall{Lot: "lot"}).Body)
 	if want := fmt.Sprintf(`{"sum":3,"next-token":1,"outputs":[{"id":"%s","phase":"settled","text":"text"}]}`, item.ID); text != want {
-		test.Fatal(text)
+		t.Fatal(text)
 	}
 }
 
 // What is malformed, too large or unknown is told so.
-func TestBadLots(test *testing.T) {
-	one := rule(test, soleLocker(test, simulation.NewDisk(3)), 1)
+func TestBadLots(t *testing.T) {
+	one := rule(t, soleLocker(t, simulation.NewDisk(3)), 1)
 	smuggled := lotCallOf("x", 1)
 	smuggled.Body = []byte(`{"requests":[{"id":"i","path":"/b/x","headers":{"A":"b\r\nX: y"},"body":"aGk=","tokens":1}]}`)
 	for status, call := range map[int][]*messages.LotCall{
@@ -151,11 +151,11 @@
 	} {
 		for _, each := range call {
 			if answer := one.handIn(each); answer.Status != status {
-				test.Error(status, answer.Status, string(answer.Body))
+				t.Error(status, answer.Status, string(answer.Body))
 			}
 		}
 	}
 	if one.readLot(&messages.LotCall{Lot: "x"}).Status != 404 || one.itemBody(&messages.LotCall{Lot: "x"}).Status != 404 || one.endLot(&messages.LotCall{Lot: "x"}).Status != 404 {
-		test.Error("an unknown lot was known")
+		t.Error("an unknown lot was known")
 	}
 }
--- a/internal/batch/store/history_test.go
+++ b/internal/batch/store/history_test.go
@@ -19,42 +19,42 @@
 	span                        clock.Span
 }
 
-func (one cost) String() string {
-	return fmt.Sprintf("%d records, %d bytes, %.0f ms; file %d bytes, %d records in memory", one.records, one.bytes, clock.ToMilliseconds(one.span), one.file, one.slots)
+func (c cost) String() string {
+	return fmt.Sprintf("%d records, %d bytes, %.0f ms; file %d bytes, %d records in memory", c.records, c.bytes, clock.ToMilliseconds(c.span), c.file, c.slots)
 }
 
 // worse takes the larger of each.
-func (one cost) worse(other cost) cost {
-	return cost{records: max(one.records, other.records), bytes: max(one.bytes, other.bytes), file: max(one.file, other.file),
-		slots: max(one.slots, other.slots), span: max(one.span, other.span)}
+func (c cost) worse(other cost) cost {
+	return cost{records: max(c.records, other.records), bytes: max(c.bytes, other.bytes), file: max(c.file, other.file),
+		slots: max(c.slots, other.slots), span: max(c.span, other.span)}
 }
 
 // term plays one term: a member takes the duty, lots are done and forgotten.
-func (fleet *simFleet) term() {
-	if fleet.holder != nil {
+func (s *simFleet) term() {
+	if s.holder != nil {
 		// It learns from the register that its term is over.
-		fleet.holder.fenced = true
+		s.holder.fenced = true
 	}
-	fleet.takeAny()
+	s.takeAny()
 	for number := 0; number < lotsEach; number++ {
-		fleet.untilTold()
+		s.untilTold()
 	}
-	fleet.world.Run(fleet.world.Now.Plus(clock.Milliseconds(300)))
+	s.world.Run(s.world.Now.Plus(clock.Milliseconds(300)))
 }
 
 // bringBack feeds a store until it has all and gives what that took.
-func (fleet *simFleet) bringBack(name string, before traffic) cost {
-	identity := register.Identity(fleet.stores[name].member)
-	begun, holder := fleet.world.Now, fleet.holder
+func (s *simFleet) bringBack(name string, before traffic) cost {
+	identity := register.Identity(s.stores[name].member)
+	begun, holder := s.world.Now, s.holder
 	for try := 0; holder.press.MatchOf(identity) < holder.press.Last(); try++ {
 		if try > 400 {
-			fleet.test.Fatal("never caught up")
+			s.test.Fatal("never caught up")
 		}
-		fleet.world.Run(fleet.world.Now.Plus(clock.Milliseconds(10)))
+		s.world.Run(s.world.Now.Plus(clock.Milliseconds(10)))
 	}
-	one := fleet.stores[name].store
-	took := cost{records: fleet.sent[name].records - before.records, bytes: fleet.sent[name].bytes - before.bytes,
-		file: int(one.logfile.Size()), span: fleet.world.Now.Since(begun)}
+	one := s.stores[name].store
+	took := cost{records: s.sent[name].records - before.records, bytes: s.sent[name].bytes - before.bytes,
+		file: int(one.logfile.Size()), span: s.world.Now.Since(begun)}
 	one.replica.Each(1, func(lots.Slot) bool {
 		took.slots++
 		return true
@@ -65,9 +65,9 @@
 // After hundreds of takeovers, and lots that were ended and forgotten, a store that was
 // away for all of them, or comes with an empty disk, is made whole with what counts now:
 // records, bytes, time, file and memory are the same after 20 and after 400 changes.
-func TestCatchUpIsFlatInThePast(test *testing.T) {
+func TestCatchUpIsFlatInThePast(t *testing.T) {
 	measure := func(takeovers int, wipe bool) cost {
-		fleet := newSimFleet(test, 11, 3)
+		fleet := newSimFleet(t, 11, 3)
 		for _, one := range fleet.stores {
 			one.store.rewrite.records = 40
 		}
@@ -91,7 +91,7 @@
 		fleet.take("s2")
 		fleet.world.Run(fleet.world.Now.Plus(clock.Milliseconds(400)))
 		if fleet.holder.at != "s2" || !fleet.holder.ready {
-			test.Fatal("the store that came back can't take the duty")
+			t.Fatal("the store that came back can't take the duty")
 		}
 		fleet.check(fleet.holder)
 		return took
@@ -106,10 +106,10 @@
 			return most
 		}
 		few, many := worst(20), worst(400)
-		test.Logf("wiped %v, 20 changes and a few: %v", wipe, few)
-		test.Logf("wiped %v, 400 changes and a few: %v", wipe, many)
+		t.Logf("wiped %v, 20 changes and a few: %v", wipe, few)
+		t.Logf("wiped %v, 400 changes and a few: %v", wipe, many)
 		if many.records > 2*few.records || many.bytes > 2*few.bytes || many.file > 2*few.file || many.slots > 2*few.slots || many.span > 2*few.span {
-			test.Error("the past is carried along")
+			t.Error("the past is carried along")
 		}
 	}
 }
@@ -117,9 +117,9 @@
 // traffic is what a store was sent.
 type traffic struct{ records, bytes int }
 
-func (fleet *simFleet) count(to string, order *messages.Append) {
-	one := fleet.sent[to]
+func (s *simFleet) count(to string, order *messages.Append) {
+	one := s.sent[to]
 	one.records += len(order.Records)
 	one.bytes += order.Msgsize()
-	fleet.sent[to] = one
+	s.sent[to] = one
 }
--- a/internal/batch/store/losses_test.go
+++ b/internal/batch/store/losses_test.go
@@ -52,21 +52,21 @@
 }
 
 // until runs the world until something holds; false where it does not within a while.
-func (fleet *simFleet) until(holds func() bool) bool {
+func (s *simFleet) until(holds func() bool) bool {
 	for try := 0; try < 3000 && !holds(); try++ {
-		fleet.world.Run(fleet.world.Now.Plus(clock.Milliseconds(2)))
+		s.world.Run(s.world.Now.Plus(clock.Milliseconds(2)))
 	}
 	return holds()
 }
 
 // play carries the change up to a step, as changeSet does; false where it got stuck.
-func (change *setChange) play(step int) bool {
-	fleet, holder, identity := change.fleet, change.holder, register.Identity(change.in)
-	fleet.swapBegin(change.in)
+func (s *setChange) play(step int) bool {
+	fleet, holder, identity := s.fleet, s.holder, register.Identity(s.in)
+	fleet.swapBegin(s.in)
 	target := holder.press.Last()
 	reached := func() bool { return holder.press.MatchOf(identity) >= target }
 	if step == stepCopying {
-		return fleet.until(func() bool { return fleet.stores[change.in.Address].store.Extent().Last > 0 })
+		return fleet.until(func() bool { return fleet.stores[s.in.Address].store.Extent().Last > 0 })
 	}
 	if !fleet.until(reached) {
 		return false
@@ -74,7 +74,7 @@
 	if step == stepCopied {
 		return true
 	}
-	holder.press.Next = change.next
+	holder.press.Next = s.next
 	index := holder.submit(messages.Record{Kind: messages.RecordNothing})
 	if step == stepBothSets {
 		return true
@@ -85,20 +85,20 @@
 	if step == stepDurable {
 		return true
 	}
-	fleet.set = change.next
+	fleet.set = s.next
 	if step == stepNamed {
 		return true
 	}
-	holder.press.Members, holder.press.Next = change.next, nil
+	holder.press.Members, holder.press.Next = s.next, nil
 	return true
 }
 
 // victims draws the machines whose loss is the worst now: of the copier, the newest
 // member, the one that leaves and the holder, as many as the budget allows. One that is
 // settled is gone besides, with its disk.
-func (change *setChange) victims(step int) []string {
-	fleet := change.fleet
-	roles := []string{change.holder.at, change.copier, change.in.Address, change.out.Address, change.next[0].Address}
+func (s *setChange) victims(step int) []string {
+	fleet := s.fleet
+	roles := []string{s.holder.at, s.copier, s.in.Address, s.out.Address, s.next[0].Address}
 	inSet := func(name string) bool {
 		return slices.ContainsFunc(fleet.set, func(member messages.Member) bool { return member.Address == name })
 	}
@@ -114,7 +114,7 @@
 		}
 	}
 	// Who is no member may go in any number.
-	for _, name := range []string{change.in.Address, change.out.Address} {
+	for _, name := range []string{s.in.Address, s.out.Address} {
 		if !inSet(name) && (step >= stepSettled || fleet.world.Random.Intn(2) == 0) && !slices.Contains(lost, name) {
 			lost = append(lost, name)
 		}
@@ -123,24 +123,24 @@
 }
 
 // strike loses machines at once, each in one way; at times all others lose power too.
-func (fleet *simFleet) strike(lost []string, round int) (wiped []string) {
-	if fleet.world.Random.Intn(3) == 0 {
-		for _, name := range simulation.Keys(fleet.stores) {
+func (s *simFleet) strike(lost []string, round int) (wiped []string) {
+	if s.world.Random.Intn(3) == 0 {
+		for _, name := range simulation.Keys(s.stores) {
 			if !slices.Contains(lost, name) {
-				fleet.stores[name].disk.PowerLoss()
-				fleet.open(fleet.stores[name])
+				s.stores[name].disk.PowerLoss()
+				s.open(s.stores[name])
 			}
 		}
-		fleet.holder = nil
+		s.holder = nil
 	}
 	for _, name := range lost {
-		one := fleet.stores[name]
+		one := s.stores[name]
 		one.faulty = true
-		kind := lossKind(fleet.world.Random.Intn(int(lossKinds)))
+		kind := lossKind(s.world.Random.Intn(int(lossKinds)))
 		one.down = kind < lossFull
 		switch kind {
 		case lossFull:
-			one.disk.Room = fleet.world.Random.Intn(300)
+			one.disk.Room = s.world.Random.Intn(300)
 		case lossSync:
 			one.disk.Intercept = func(operation simulation.Operation, _ string) error {
 				if operation == simulation.OperationSync {
@@ -161,25 +161,25 @@
 }
 
 // mend brings everything back, wiped members first copied to and then named again.
-func (fleet *simFleet) mend(lost []string) {
+func (s *simFleet) mend(lost []string) {
 	for _, name := range lost {
-		one := fleet.stores[name]
+		one := s.stores[name]
 		one.disk.Room, one.disk.Intercept, one.faulty = -1, nil, false
-		fleet.open(one)
+		s.open(one)
 	}
-	fleet.takeAny()
-	for _, member := range slices.Clone(fleet.set) {
-		if now := fleet.stores[member.Address].member; register.Identity(now) != register.Identity(member) {
-			fleet.swap(member, now)
+	s.takeAny()
+	for _, member := range slices.Clone(s.set) {
+		if now := s.stores[member.Address].member; register.Identity(now) != register.Identity(member) {
+			s.swap(member, now)
 		}
 	}
 }
 
 // worstLosses plays one seed: in each round a member is replaced, and the worst losses
 // strike at a step of it, right after or in the middle of an acknowledgement.
-func worstLosses(test *testing.T, seed int64, steps map[int]int) {
+func worstLosses(t *testing.T, seed int64, steps map[int]int) {
 	budget := 1 + int(seed%2)
-	fleet := newSimFleetOf(test, seed, 2*budget+4, budget, 2*budget+1)
+	fleet := newSimFleetOf(t, seed, 2*budget+4, budget, 2*budget+1)
 	fleet.world.Loss, fleet.world.Double = 0.03, 0.03
 	fleet.takeAny()
 	for round := 0; round < 6; round++ {
@@ -196,7 +196,7 @@
 		change.next = append(change.next, in)
 		step := fleet.world.Random.Intn(stepCount)
 		if !change.play(step) {
-			test.Fatalf("seed %d: the change got stuck before step %d", seed, step)
+			t.Fatalf("seed %d: the change got stuck before step %d", seed, step)
 		}
 		// In half of all rounds the loss strikes right after a result was told.
 		if fleet.world.Random.Intn(2) == 0 {
@@ -214,16 +214,16 @@
 // Whatever the budget allows to be lost at whatever step of a change of the store set,
 // with or without disks, all that was told stands and another holder takes over.
 // LEMONARCH_SEEDS sets the number of seeds.
-func TestSetChangesUnderWorstLosses(test *testing.T) {
+func TestSetChangesUnderWorstLosses(t *testing.T) {
 	seeds := int64(simulation.Seeds(200))
 	steps := map[int]int{}
 	for seed := int64(1); seed <= seeds; seed++ {
-		worstLosses(test, seed, steps)
+		worstLosses(t, seed, steps)
 	}
 	for step := 0; step < stepCount; step++ {
 		if int64(steps[step]) < seeds/4 {
-			test.Fatal("too few losses at a step: ", steps)
+			t.Fatal("too few losses at a step: ", steps)
 		}
 	}
-	test.Log("losses by step: ", steps)
+	t.Log("losses by step: ", steps)
 }
--- a/internal/batch/store/lotjson_test.go
+++ b/internal/batch/store/lotjson_test.go
@@ -27,35 +27,35 @@
 
 // BenchmarkReadLotStandard is the standard reader over the same text, to compare
 // with in the same run.
-func BenchmarkReadLotStandard(scheduler *testing.B) {
+func BenchmarkReadLotStandard(b *testing.B) {
 	call := largeLot(30)
-	scheduler.SetBytes(int64(len(call.Body)))
-	scheduler.ReportAllocs()
-	for scheduler.Loop() {
+	b.SetBytes(int64(len(call.Body)))
+	b.ReportAllocs()
+	for b.Loop() {
 		lot := lotJSON{}
 		if err := json.Unmarshal(call.Body, &lot); err != nil {
-			scheduler.Fatal(err)
+			b.Fatal(err)
 		}
 	}
 }
 
-func BenchmarkReadLot(scheduler *testing.B) {
+func BenchmarkReadLot(b *testing.B) {
 	call := largeLot(30)
-	scheduler.SetBytes(int64(len(call.Body)))
-	scheduler.ReportAllocs()
-	for scheduler.Loop() {
+	b.SetBytes(int64(len(call.Body)))
+	b.ReportAllocs()
+	for b.Loop() {
 		body, _, _, why := readLotJSON(call)
 		if body == nil {
-			scheduler.Fatal(why)
+			b.Fatal(why)
 		}
 		if _, err := body.MarshalMsg(nil); err != nil {
-			scheduler.Fatal(err)
+			b.Fatal(err)
 		}
 	}
 }
 
 // What can't be read whole is refused by either reader, and what can is the same.
-func TestReaderOfLots(test *testing.T) {
+func TestReaderOfLots(t *testing.T) {
 	whole := string(largeLot(2).Body)
 	texts := []string{whole, "", "{", "[]", "null", "{}", whole + "x", whole[:len(whole)-1], whole[:200],
 		strings.Replace(whole, `"tokens":940`, `"tokens":9.4`, 1), strings.Replace(whole, `"tokens":940`, `"tokens":"9"`, 1),
@@ -68,7 +68,7 @@
 		body, tokens, _, why := readLotJSON(&messages.LotCall{Path: "/b/", Body: []byte(text)})
 		if err != nil || len(standard.Requests) == 0 {
 			if body != nil {
-				test.Errorf("taken, although unreadable: %.60q", text)
+				t.Errorf("taken, although unreadable: %.60q", text)
 			}
 			continue
 		}
@@ -77,13 +77,13 @@
 			sum += one.Tokens
 		}
 		if body == nil || tokens != sum || len(body.Items) != len(standard.Requests) {
-			test.Errorf("%.60q: %s", text, why)
+			t.Errorf("%.60q: %s", text, why)
 			continue
 		}
 		for place, one := range standard.Requests {
 			if got := body.Items[place]; got.ID != one.ID || got.Path != one.Path || string(got.Body) != string(one.Body) ||
 				fmt.Sprint(got.Headers) != fmt.Sprint(one.Headers) || got.Tokens != one.Tokens {
-				test.Errorf("%.60q: item %d differs", text, place)
+				t.Errorf("%.60q: item %d differs", text, place)
 			}
 		}
 	}
--- a/internal/batch/store/lots_test.go
+++ b/internal/batch/store/lots_test.go
@@ -11,12 +11,12 @@
 )
 
 // work hands lots in and lists their items, as a holder does.
-func (fleet *simFleet) work(rounds int) {
+func (s *simFleet) work(rounds int) {
 	for round := 0; round < rounds; round++ {
-		holder := fleet.holder
-		if holder != nil && holder.ready && !fleet.stores[holder.at].down {
-			fleet.number++
-			id := fmt.Sprintf("lot%d", fleet.number)
+		holder := s.holder
+		if holder != nil && holder.ready && !s.stores[holder.at].down {
+			s.number++
+			id := fmt.Sprintf("lot%d", s.number)
 			body := &messages.LotBody{Path: "/p/"}
 			for item := 0; item < 3; item++ {
 				body.Items = append(body.Items, messages.LotItem{ID: fmt.Sprintf("%s-%d", id, item), Tokens: 10})
@@ -25,18 +25,18 @@
 			holder.submit(messages.Record{Kind: messages.RecordLot, Lot: id, Body: packed})
 			holder.forget()
 			// The items end in another order each time.
-			for position, item := range fleet.world.Random.Perm(3) {
+			for position, item := range s.world.Random.Perm(3) {
 				holder.submit(messages.Record{Kind: messages.RecordOutput, Lot: id, Position: position, Item: fmt.Sprintf("%s-%d", id, item)})
 			}
 		}
-		fleet.world.Run(fleet.world.Now.Plus(clock.Milliseconds(60)))
+		s.world.Run(s.world.Now.Plus(clock.Milliseconds(60)))
 	}
 }
 
-func (fleet *simFleet) live() []string {
+func (s *simFleet) live() []string {
 	var names []string
-	for _, member := range fleet.set {
-		one := fleet.stores[member.Address]
+	for _, member := range s.set {
+		one := s.stores[member.Address]
 		if !one.down && !one.faulty && register.Identity(one.member) == register.Identity(member) {
 			names = append(names, member.Address)
 		}
@@ -45,31 +45,31 @@
 }
 
 // takeAny lets a random live member take over and checks what it knows.
-func (fleet *simFleet) takeAny() {
-	cut := fleet.anyCut()
-	if fleet.tryTakeovers() {
+func (s *simFleet) takeAny() {
+	cut := s.anyCut()
+	if s.tryTakeovers() {
 		return
 	}
 	// One that is cut off and one that is down are more than the budget: nobody need be
 	// able to take over before the cut ends.
 	if cut {
-		fleet.joinMembers()
-		if fleet.tryTakeovers() {
+		s.joinMembers()
+		if s.tryTakeovers() {
 			return
 		}
 	}
-	fleet.test.Fatal("nobody could take over although the budget was kept")
+	s.test.Fatal("nobody could take over although the budget was kept")
 }
 
 // tryTakeovers lets live members ask for the duty in turn; false where none gets it.
-func (fleet *simFleet) tryTakeovers() bool {
-	names := fleet.live()
+func (s *simFleet) tryTakeovers() bool {
+	names := s.live()
 	for try := 0; try < 12; try++ {
-		epoch := fleet.epoch + 1
-		fleet.take(names[fleet.world.Random.Intn(len(names))])
-		fleet.world.Run(fleet.world.Now.Plus(clock.Milliseconds(400)))
-		if fleet.holder != nil && fleet.holder.epoch == epoch && fleet.holder.ready {
-			fleet.check(fleet.holder)
+		epoch := s.epoch + 1
+		s.take(names[s.world.Random.Intn(len(names))])
+		s.world.Run(s.world.Now.Plus(clock.Milliseconds(400)))
+		if s.holder != nil && s.holder.epoch == epoch && s.holder.ready {
+			s.check(s.holder)
 			return true
 		}
 	}
@@ -77,15 +77,15 @@
 }
 
 // isolate cuts a machine off from all others, or joins it.
-func (fleet *simFleet) isolate(name string, others []string, cut bool) {
-	fleet.isolated[name] = cut
-	fleet.world.Isolate(name, others, cut)
+func (s *simFleet) isolate(name string, others []string, cut bool) {
+	s.isolated[name] = cut
+	s.world.Isolate(name, others, cut)
 }
 
 // anyCut tells whether a member of the set is cut off.
-func (fleet *simFleet) anyCut() bool {
-	for _, member := range fleet.set {
-		if fleet.isolated[member.Address] {
+func (s *simFleet) anyCut() bool {
+	for _, member := range s.set {
+		if s.isolated[member.Address] {
 			return true
 		}
 	}
@@ -93,51 +93,51 @@
 }
 
 // joinMembers ends the cuts of members of the set.
-func (fleet *simFleet) joinMembers() {
-	for _, member := range fleet.set {
-		fleet.isolate(member.Address, simulation.Keys(fleet.stores), false)
+func (s *simFleet) joinMembers() {
+	for _, member := range s.set {
+		s.isolate(member.Address, simulation.Keys(s.stores), false)
 	}
 }
 
 // swapBegin has the holder send everything to a newcomer.
-func (fleet *simFleet) swapBegin(newcomer messages.Member) {
-	if fleet.holder.next[register.Identity(newcomer)] == 0 {
-		fleet.holder.next[register.Identity(newcomer)] = 1
-		fleet.holder.feed(newcomer)
+func (s *simFleet) swapBegin(newcomer messages.Member) {
+	if s.holder.next[register.Identity(newcomer)] == 0 {
+		s.holder.next[register.Identity(newcomer)] = 1
+		s.holder.feed(newcomer)
 	}
 }
 
 // swap replaces a member by another store, as the holder's changeSet does.
-func (fleet *simFleet) swap(out, newcomer messages.Member) {
-	holder := fleet.holder
+func (s *simFleet) swap(out, newcomer messages.Member) {
+	holder := s.holder
 	var next []messages.Member
-	for _, member := range fleet.set {
+	for _, member := range s.set {
 		if register.Identity(member) != register.Identity(out) {
 			next = append(next, member)
 		}
 	}
 	next = append(next, newcomer)
-	fleet.swapBegin(newcomer)
+	s.swapBegin(newcomer)
 	target := holder.press.Last()
 	for try := 0; try < 200 && holder.press.MatchOf(register.Identity(newcomer)) < target; try++ {
-		fleet.world.Run(fleet.world.Now.Plus(clock.Milliseconds(30)))
+		s.world.Run(s.world.Now.Plus(clock.Milliseconds(30)))
 	}
 	holder.press.Next = next
 	index := holder.submit(messages.Record{Kind: messages.RecordNothing})
 	for try := 0; try < 200 && holder.press.Done() < index; try++ {
-		fleet.world.Run(fleet.world.Now.Plus(clock.Milliseconds(30)))
+		s.world.Run(s.world.Now.Plus(clock.Milliseconds(30)))
 	}
 	if holder.press.Done() < index {
-		fleet.test.Fatal("both sets never agreed")
+		s.test.Fatal("both sets never agreed")
 	}
-	fleet.set = next
+	s.set = next
 	holder.press.Members, holder.press.Next = next, nil
 }
 
-func TestLotsUnderTrouble(test *testing.T) {
+func TestLotsUnderTrouble(t *testing.T) {
 	told := 0
 	for seed := int64(1); seed <= int64(simulation.Seeds(60)); seed++ {
-		fleet := newSimFleet(test, seed, 4)
+		fleet := newSimFleet(t, seed, 4)
 		fleet.world.Loss, fleet.world.Double = 0.05, 0.05
 		fleet.takeAny()
 		for round := 0; round < 6; round++ {
@@ -226,13 +226,13 @@
 		told += fleet.tellings
 	}
 	if told < 1000 {
-		test.Fatalf("only %d results were told in all", told)
+		t.Fatalf("only %d results were told in all", told)
 	}
 }
 
-func TestLotsSameSeedSameHistory(test *testing.T) {
+func TestLotsSameSeedSameHistory(t *testing.T) {
 	sum := func() uint64 {
-		fleet := newSimFleet(test, 5, 3)
+		fleet := newSimFleet(t, 5, 3)
 		fleet.world.Loss = 0.1
 		fleet.takeAny()
 		fleet.work(10)
@@ -241,6 +241,6 @@
 		return fleet.world.Sum()
 	}
 	if first, second := sum(), sum(); first != second {
-		test.Fatal("one seed gave two histories")
+		t.Fatal("one seed gave two histories")
 	}
 }
--- a/internal/batch/store/mending_test.go
+++ b/internal/batch/store/mending_test.go
@@ -10,8 +10,8 @@
 )
 
 // What is nearest to loss is mended first, and what can't be mended holds nothing up.
-func TestOrderOfMending(test *testing.T) {
-	server := soleLocker(test, simulation.NewDisk(3))
+func TestOrderOfMending(t *testing.T) {
+	server := soleLocker(t, simulation.NewDisk(3))
 	server.begun = clock.Now().Plus(-clock.Span(constants.ReplaceAfter) * 2)
 	server.Node.Settings.FaultBudget.Machines = 1
 	member := func(name string) messages.Member {
@@ -48,7 +48,7 @@
 			return member.Name
 		}
 		if name(out) != one.out || name(in) != one.in {
-			test.Errorf("%s: %q replaced by %q", one.what, name(out), name(in))
+			t.Errorf("%s: %q replaced by %q", one.what, name(out), name(in))
 		}
 	}
 }
--- a/internal/batch/store/overload_test.go
+++ b/internal/batch/store/overload_test.go
@@ -10,13 +10,13 @@
 )
 
 // lot hands in a lot of items that really run.
-func (cluster *simCluster) lot(items int) bool {
-	holder := cluster.holder
-	if holder == nil || !holder.ready || cluster.stores[holder.at].down {
+func (s *simCluster) lot(items int) bool {
+	holder := s.holder
+	if holder == nil || !holder.ready || s.stores[holder.at].down {
 		return false
 	}
-	cluster.number++
-	id := fmt.Sprint("job", cluster.number)
+	s.number++
+	id := fmt.Sprint("job", s.number)
 	body := &messages.LotBody{Path: "/p/"}
 	for place := 0; place < items; place++ {
 		body.Items = append(body.Items, messages.LotItem{ID: fmt.Sprintf("%s-%d", id, place), Tokens: 10})
@@ -28,8 +28,8 @@
 
 // overload plays a burst of the high tier over running lots, while the holder
 // dies, its duty changes hands, a store is cut off and workers cut streams.
-func overload(test *testing.T, seed int64) *simCluster {
-	cluster := newCluster(test, seed)
+func overload(t *testing.T, seed int64) *simCluster {
+	cluster := newCluster(t, seed)
 	cluster.world.Loss, cluster.world.Double = 0.03, 0.03
 	cluster.takeAny()
 	cluster.dispatch()
@@ -68,55 +68,55 @@
 
 // Every displaced item ends exactly once, with each of its events once; every live
 // request is served or promised never to run, exactly once.
-func TestOverloadDisplacesAndFinishesOnce(test *testing.T) {
+func TestOverloadDisplacesAndFinishesOnce(t *testing.T) {
 	displaced, promised, asked := 0, 0, 0
 	for seed := int64(1); seed <= 40; seed++ {
-		cluster := overload(test, seed)
+		cluster := overload(t, seed)
 		displaced += cluster.taken["displaced"]
 		promised += cluster.promised
 		asked += cluster.asked
 		for number := 1; number <= cluster.asked; number++ {
 			if cluster.live[number] != 1 {
-				test.Fatalf("seed %d: live request %d ended %d times", seed, number, cluster.live[number])
+				t.Fatalf("seed %d: live request %d ended %d times", seed, number, cluster.live[number])
 			}
 		}
 		lotList := cluster.holder.book.Lots()
 		if len(lotList) == 0 {
-			test.Fatalf("seed %d: no lots", seed)
+			t.Fatalf("seed %d: no lots", seed)
 		}
 		for _, lot := range lotList {
 			if len(lot.Listings) != lot.Sum() {
-				test.Fatalf("seed %d: lot %s lists %d of %d", seed, lot.ID, len(lot.Listings), lot.Sum())
+				t.Fatalf("seed %d: lot %s lists %d of %d", seed, lot.ID, len(lot.Listings), lot.Sum())
 			}
 			listed := map[string]int{}
 			for _, listing := range lot.Listings {
 				listed[listing.Item]++
 				record, err := cluster.stores[cluster.holder.at].store.Read(listing.Index)
 				if err != nil {
-					test.Fatal(err)
+					t.Fatal(err)
 				}
 				want := ""
 				for event := 1; event <= clusterEvents; event++ {
 					want += fmt.Sprintf("%s.%d\n", listing.Item, event)
 				}
 				if string(record.Body) != want {
-					test.Fatalf("seed %d: %s has the text %q", seed, listing.Item, strings.ReplaceAll(string(record.Body), "\n", " "))
+					t.Fatalf("seed %d: %s has the text %q", seed, listing.Item, strings.ReplaceAll(string(record.Body), "\n", " "))
 				}
 			}
 			for item, count := range listed {
 				if count != 1 {
-					test.Fatalf("seed %d: %s is listed %d times", seed, item, count)
+					t.Fatalf("seed %d: %s is listed %d times", seed, item, count)
 				}
 			}
 		}
 	}
 	if displaced < 40 || promised == 0 || promised*3 > asked {
-		test.Fatalf("too little or too much trouble: %d displaced, %d of %d live requests refused", displaced, promised, asked)
+		t.Fatalf("too little or too much trouble: %d displaced, %d of %d live requests refused", displaced, promised, asked)
 	}
 }
 
-func TestOverloadSameSeedSameHistory(test *testing.T) {
-	if first, second := overload(test, 9).world.Sum(), overload(test, 9).world.Sum(); first != second {
-		test.Fatal("one seed gave two histories")
+func TestOverloadSameSeedSameHistory(t *testing.T) {
+	if first, second := overload(t, 9).world.Sum(), overload(t, 9).world.Sum(); first != second {
+		t.Fatal("one seed gave two histories")
 	}
 }
--- a/internal/batch/store/pace_test.go
+++ b/internal/batch/store/pace_test.go
@@ -15,7 +15,7 @@
 
 // Noise, a collector's pause and a slow start make no slow machine; seven times
 // longer at a stretch does, and it ends with the trouble.
-func TestPaceOfAMachine(test *testing.T) {
+func TestPaceOfAMachine(t *testing.T) {
 	for seed := int64(1); seed <= 50; seed++ {
 		random, one := rand.New(rand.NewSource(seed)), &pace{}
 		took := func(factor float64) clock.Span {
@@ -29,25 +29,25 @@
 			one.note(took(1))
 			// Four long times in a row by chance are rarer than one in a thousand.
 			if one.slow() && step%97 == 0 {
-				test.Fatalf("seed %d: slow without a cause at %d", seed, step)
+				t.Fatalf("seed %d: slow without a cause at %d", seed, step)
 			}
 		}
 		for step := 0; step < constants.PaceWindow; step++ {
 			one.note(took(7))
 		}
 		if !one.slow() {
-			test.Fatalf("seed %d: not seen", seed)
+			t.Fatalf("seed %d: not seen", seed)
 		}
 		for step := 0; step < 3*constants.PaceWindow; step++ {
 			one.note(clock.Span(70_000))
 		}
 		if one.slow() {
-			test.Fatalf("seed %d: still slow", seed)
+			t.Fatalf("seed %d: still slow", seed)
 		}
 	}
 }
 
-func TestLagOfADisk(test *testing.T) {
+func TestLagOfADisk(t *testing.T) {
 	one := newLags()
 	for round := 0; round < 20; round++ {
 		one.note("own", 5)
@@ -56,13 +56,13 @@
 		one.note("c", 9)
 	}
 	if one.behind("own") {
-		test.Fatal("a usual disk was called slow")
+		t.Fatal("a usual disk was called slow")
 	}
 	for round := 0; round < 20; round++ {
 		one.note("own", 36)
 	}
 	if !one.behind("own") || one.behind("a") {
-		test.Fatal(one.means)
+		t.Fatal(one.means)
 	}
 	// Where all are slow nobody is.
 	for round := 0; round < 30; round++ {
@@ -71,13 +71,13 @@
 		one.note("c", 42)
 	}
 	if one.behind("own") {
-		test.Fatal("as slow as the others, yet called slow")
+		t.Fatal("as slow as the others, yet called slow")
 	}
 	few := newLags()
 	few.note("own", 500)
 	few.note("a", 1)
 	if few.behind("own") {
-		test.Fatal("one time is no evidence")
+		t.Fatal("one time is no evidence")
 	}
 }
 
@@ -92,29 +92,29 @@
 
 // A slow holder gives its duty up once, leaves it to others for a while, and then
 // takes part again although it is still slow.
-func TestSlowHolderGivesUp(test *testing.T) {
-	server := soleLocker(test, simulation.NewDisk(8))
+func TestSlowHolderGivesUp(t *testing.T) {
+	server := soleLocker(t, simulation.NewDisk(8))
 	own := server.member()
 	other := messages.Member{Name: "o", Address: "o", Disk: "o"}
 	one := newTerm(server, messages.Duty{Holder: "m", Epoch: 1}, []messages.Member{own, other}, 1)
 	now := clock.Moment(1_000_000_000)
 	if one.tooSlow(now) || server.defers(now) {
-		test.Fatal("gave up without a cause")
+		t.Fatal("gave up without a cause")
 	}
 	slowDown(server)
 	if !one.tooSlow(now) || one.tooSlow(now.Plus(clock.Milliseconds(100))) {
-		test.Fatal("gives up never, or again at once")
+		t.Fatal("gives up never, or again at once")
 	}
 	if !server.defers(now.Plus(constants.DeferTime/2)) || server.defers(now.Plus(constants.DeferTime)) {
-		test.Fatal("does not hold back, or for too long")
+		t.Fatal("does not hold back, or for too long")
 	}
 	if !one.tooSlow(now.Plus(constants.GiveUpPause)) {
-		test.Fatal("never gives up again")
+		t.Fatal("never gives up again")
 	}
 	// Alone it goes on, however slow.
 	alone := newTerm(server, messages.Duty{Holder: "m", Epoch: 2}, []messages.Member{own}, 1)
 	if alone.tooSlow(now.Plus(3 * constants.GiveUpPause)) {
-		test.Fatal("nobody is there to take it")
+		t.Fatal("nobody is there to take it")
 	}
 	// A slow disk is a cause as well.
 	server.pace = pace{}
@@ -123,14 +123,14 @@
 		one.lagged(register.Identity(other), clock.Milliseconds(6))
 	}
 	if !one.tooSlow(now.Plus(5 * constants.GiveUpPause)) {
-		test.Fatal("kept its duty on a slow disk")
+		t.Fatal("kept its duty on a slow disk")
 	}
 }
 
 // Repair takes no slow or silent store for a newcomer, and no member for gone that
 // still answers.
-func TestRepairChoosesAQuickStore(test *testing.T) {
-	server, room := soleLocker(test, simulation.NewDisk(9)), transport.NewRoom()
+func TestRepairChoosesAQuickStore(t *testing.T) {
+	server, room := soleLocker(t, simulation.NewDisk(9)), transport.NewRoom()
 	server.Node.Wire = room.Transport("m")
 	server.Node.Settings.FaultBudget.Machines = 1
 	server.begun -= 60_000_000_000
@@ -153,19 +153,19 @@
 	}
 	out, newcomer := server.quickChange(members, entries(), map[string]bool{})
 	if out == nil || out.Name != "gone" || newcomer == nil || newcomer.Name != "s2" {
-		test.Fatal(out, newcomer)
+		t.Fatal(out, newcomer)
 	}
 	words["s2"] = "slow"
 	if _, newcomer = server.quickChange(members, entries(), map[string]bool{}); newcomer != nil {
-		test.Fatal("took a slow store: ", newcomer.Name)
+		t.Fatal("took a slow store: ", newcomer.Name)
 	}
 	words["s2"] = "usual"
 	serve("gone")
 	if out, newcomer = server.quickChange(members, entries(), map[string]bool{}); newcomer != nil {
-		test.Fatal("replaced a member that answers: ", out.Name)
+		t.Fatal("replaced a member that answers: ", out.Name)
 	}
 	// One that is to be emptied goes although it answers.
 	if out, newcomer = server.quickChange(members, entries(), map[string]bool{"gone": true}); newcomer == nil || out.Name != "gone" {
-		test.Fatal(out, newcomer)
+		t.Fatal(out, newcomer)
 	}
 }
--- a/internal/batch/store/pack_test.go
+++ b/internal/batch/store/pack_test.go
@@ -10,7 +10,7 @@
 
 // A text comes back byte for byte, is never longer than it was, and a damaged one is
 // told instead of given out.
-func TestPackedTextComesBack(test *testing.T) {
+func TestPackedTextComesBack(t *testing.T) {
 	random := rand.New(rand.NewSource(7))
 	for round := 0; round < 300; round++ {
 		text := make([]byte, random.Intn(9000))
@@ -20,21 +20,21 @@
 		}
 		body, packed := pack(text)
 		if len(body) > len(text) {
-			test.Fatal("longer: ", len(body), len(text))
+			t.Fatal("longer: ", len(body), len(text))
 		}
 		if packed && len(text) < constants.PackLeast {
-			test.Fatal("packed though short: ", len(text))
+			t.Fatal("packed though short: ", len(text))
 		}
 		if requests <= 32 && len(text) > 2000 && !packed {
-			test.Fatal("not packed: ", requests, len(text))
+			t.Fatal("not packed: ", requests, len(text))
 		}
 		back, err := unpack(body, packed)
 		if err != nil || !bytes.Equal(back, text) {
-			test.Fatal(err, len(back), len(text))
+			t.Fatal(err, len(back), len(text))
 		}
 		if packed {
 			if cut, err := unpack(body[:len(body)/2], true); err == nil {
-				test.Fatal("half a text was given out: ", len(cut))
+				t.Fatal("half a text was given out: ", len(cut))
 			}
 		}
 	}
--- a/internal/batch/store/place.go
+++ b/internal/batch/store/place.go
@@ -44,16 +44,16 @@
 }
 
 // own gives the workers that are ours now.
-func (driver *driver) own(now clock.Moment) map[string]bool {
-	driver.lock.Lock()
-	if driver.owned.workerList != nil && driver.owned.at > 0 && now.Since(driver.owned.at) < constants.OwnPeriod {
-		defer driver.lock.Unlock()
-		return driver.owned.workerList
-	}
-	driver.lock.Unlock()
-	runtime := driver.server.Node
+func (d *driver) own(now clock.Moment) map[string]bool {
+	d.lock.Lock()
+	if d.owned.workerList != nil && d.owned.at > 0 && now.Since(d.owned.at) < constants.OwnPeriod {
+		defer d.lock.Unlock()
+		return d.owned.workerList
+	}
+	d.lock.Unlock()
+	runtime := d.server.Node
 	stores := map[string]string{runtime.Own.Name: runtime.Own.Zone}
-	if !driver.shared(stores, now) {
+	if !d.shared(stores, now) {
 		for _, entry := range runtime.Live(membership.RoleStore) {
 			if !entry.Leaving {
 				stores[entry.Name] = entry.Zone
@@ -61,45 +61,45 @@
 		}
 	}
 	workerList := map[string]bool{}
-	for _, worker := range driver.server.Gossip.Scheduler.Workers(now) {
+	for _, worker := range d.server.Gossip.Scheduler.Workers(now) {
 		if owner(worker.ID, worker.Zone, stores) == runtime.Own.Name {
 			workerList[worker.ID] = true
 		}
 	}
-	driver.server.Gossip.Scheduler.SetBulkOwn(workerList)
-	driver.lock.Lock()
-	defer driver.lock.Unlock()
-	driver.owned = ownership{now, workerList}
+	d.server.Gossip.Scheduler.SetBulkOwn(workerList)
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	d.owned = ownership{now, workerList}
 	return workerList
 }
 
 // known is the version of the list of drivers that we have.
-func (driver *driver) known() uint64 {
-	driver.lock.Lock()
-	defer driver.lock.Unlock()
-	return driver.version
+func (d *driver) known() uint64 {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	return d.version
 }
 
 // listed takes the dispatcher's list of drivers, which comes where it is new.
-func (driver *driver) listed(version uint64, drivers []messages.DriverAt, now clock.Moment) {
-	driver.lock.Lock()
-	defer driver.lock.Unlock()
-	if version > driver.version {
-		driver.version, driver.drivers, driver.owned.at = version, drivers, 0
+func (d *driver) listed(version uint64, drivers []messages.DriverAt, now clock.Moment) {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	if version > d.version {
+		d.version, d.drivers, d.owned.at = version, drivers, 0
 	}
-	driver.driversAt = now
+	d.driversAt = now
 }
 
 // shared adds the drivers on the dispatcher's list; false when it is old. The
 // dispatcher hears every driver twice a second, well before others take it for
 // silent.
-func (driver *driver) shared(stores map[string]string, now clock.Moment) bool {
-	driver.lock.Lock()
-	defer driver.lock.Unlock()
-	if driver.version == 0 || now.Since(driver.driversAt) >= constants.SilentAfter {
+func (d *driver) shared(stores map[string]string, now clock.Moment) bool {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	if d.version == 0 || now.Since(d.driversAt) >= constants.SilentAfter {
 		return false
 	}
-	for _, one := range driver.drivers {
+	for _, one := range d.drivers {
 		stores[one.Name] = one.Zone
 	}
 	return true
@@ -107,16 +107,16 @@
 
 // room is how many items to ask for: one for each worker of ours with a place left,
 // beside those that wait already.
-func (driver *driver) room() []messages.ServiceRoom {
-	config, now := driver.server.Node.Config(), clock.Now()
+func (d *driver) room() []messages.ServiceRoom {
+	config, now := d.server.Node.Config(), clock.Now()
 	if config == nil {
 		return nil
 	}
-	own := driver.own(now)
-	driver.lock.Lock()
-	all, waiting := driver.core.Count()
-	leaving := driver.leaving
-	driver.lock.Unlock()
+	own := d.own(now)
+	d.lock.Lock()
+	all, waiting := d.core.Count()
+	leaving := d.leaving
+	d.lock.Unlock()
 	if leaving || all >= constants.RunningItems {
 		return nil
 	}
@@ -127,7 +127,7 @@
 			continue
 		}
 		for _, service := range route.Services() {
-			free := driver.server.Gossip.Scheduler.BulkRoom(&admission.Ask{Service: service, Bulk: true, Priority: route.Priority, Among: own}, now)
+			free := d.server.Gossip.Scheduler.BulkRoom(&admission.Ask{Service: service, Bulk: true, Priority: route.Priority, Among: own}, now)
 			counts[service] = max(counts[service], free)
 		}
 	}
@@ -141,69 +141,69 @@
 }
 
 // place finds workers for what waits. What finds none for a while goes back.
-func (driver *driver) place() {
+func (d *driver) place() {
 	now := clock.Now()
-	own := driver.own(now)
-	driver.lock.Lock()
-	waiting := driver.waiting
-	driver.waiting = nil
-	driver.lock.Unlock()
+	own := d.own(now)
+	d.lock.Lock()
+	waiting := d.waiting
+	d.waiting = nil
+	d.lock.Unlock()
 	if len(waiting) == 0 {
 		return
 	}
 	var left []*itemdriver.Task
 	for _, task := range waiting {
-		if !driver.begin(task, own, now) {
+		if !d.begin(task, own, now) {
 			left = append(left, task)
 		}
 	}
-	driver.lock.Lock()
-	driver.waiting = append(left, driver.waiting...)
-	driver.lock.Unlock()
+	d.lock.Lock()
+	d.waiting = append(left, d.waiting...)
+	d.lock.Unlock()
 }
 
 // begin starts a task at a worker or gives it back; false while it waits on.
-func (driver *driver) begin(task *itemdriver.Task, own map[string]bool, now clock.Moment) bool {
-	route := itemRoute(driver.server.Node.Config(), task.Item)
-	driver.lock.Lock()
-	unfit := driver.leaving || !task.May(now) || now.Since(task.Since) > constants.BeginPatience
-	driver.lock.Unlock()
+func (d *driver) begin(task *itemdriver.Task, own map[string]bool, now clock.Moment) bool {
+	route := itemRoute(d.server.Node.Config(), task.Item)
+	d.lock.Lock()
+	unfit := d.leaving || !task.May(now) || now.Since(task.Since) > constants.BeginPatience
+	d.lock.Unlock()
 	if route == nil || unfit {
-		driver.giveBack(task)
+		d.giveBack(task)
 		return true
 	}
 	item := task.Item
 	ask := &admission.Ask{Service: route.Choose(clock.Draw()), Affine: route.Affine, Bulk: true, Priority: route.Priority, Setpoint: route.Setpoint(), Among: own,
 		Prompt: prefixindex.ParsePrompt(item.Headers["Lemonarch-Model"], item.Headers["Lemonarch-Token-Count"], item.Headers["Lemonarch-Prompt-Prefix"])}
-	answer, _ := driver.server.Gossip.Scheduler.Admit(ask, nil, now)
+	answer, _ := d.server.Gossip.Scheduler.Admit(ask, nil, now)
 	if answer.Verdict != admission.VerdictGranted {
 		return false
 	}
-	driver.lock.Lock()
-	may := task.May(clock.Now()) && !driver.leaving
+	d.lock.Lock()
+	may := task.May(clock.Now()) && !d.leaving
 	task.Begun = may
 	owed, displaceable := item.Owed, item.Displaced < constants.DisplaceLimit
-	driver.lock.Unlock()
+	d.lock.Unlock()
 	if !may {
 		answer.Grant.End(admission.ResultCalledOff, now)
-		driver.giveBack(task)
+		d.giveBack(task)
 		return true
 	}
 	if owed {
-		driver.server.Gossip.Scheduler.Counters(route.Name).Resumed.Add(1)
+		d.server.Gossip.Scheduler.Counters(route.Name).Resumed.Add(1)
 	}
 	if displaceable {
-		answer.Grant.MayYield(func() { driver.yield(task) })
+		answer.Grant.MayYield(func() { d.yield(task) })
 	}
-	go driver.drive(route, task, answer.Grant)
-	ring(driver.bell)
+	go d.drive(route, task, answer.Grant)
+	ring(d.bell)
 	return true
 }
 
 // giveBack releases an item that was not begun.
-func (driver *driver) giveBack(task *itemdriver.Task) {
-	driver.lock.Lock()
+func (d *driver) giveBack(task *itemdriver.Task) {
+	d.lock.Lock()
 	task.Item.SetBack(task.Run)
-	driver.lock.Unlock()
-	driver.done(task, messages.Acknowledgement{Kind: messages.AckRelease, Unbegun: true})
+	d.lock.Unlock()
+	d.done(task, messages.Acknowledgement{Kind: messages.AckRelease, Unbegun: true})
 }
--- a/internal/batch/store/place_test.go
+++ b/internal/batch/store/place_test.go
@@ -7,7 +7,7 @@
 
 // Every worker has one owner, in its own zone where there is one, and a driver that
 // goes away leaves only its own workers to others.
-func TestEveryWorkerHasOneOwner(test *testing.T) {
+func TestEveryWorkerHasOneOwner(t *testing.T) {
 	stores := map[string]string{"l1": "a", "l2": "a", "l3": "b", "l4": "b", "l5": "b"}
 	counts := map[string]int{}
 	for number := 0; number < 600; number++ {
@@ -15,7 +15,7 @@
 		first := owner(worker, zone, stores)
 		counts[first]++
 		if stores[first] != zone && zone != "c" {
-			test.Fatal("owned from another zone: ", worker, first)
+			t.Fatal("owned from another zone: ", worker, first)
 		}
 		fewer := map[string]string{}
 		for name, at := range stores {
@@ -24,15 +24,15 @@
 			}
 		}
 		if second := owner(worker, zone, fewer); first != "l3" && second != first {
-			test.Fatal("a worker changed its owner for no cause: ", worker)
+			t.Fatal("a worker changed its owner for no cause: ", worker)
 		}
 	}
 	for name, count := range counts {
 		if count < 60 {
-			test.Fatal("unevenly owned: ", name, counts)
+			t.Fatal("unevenly owned: ", name, counts)
 		}
 	}
 	if len(counts) != len(stores) || owner("w", "h", map[string]string{"me": "x"}) != "me" {
-		test.Fatal("somebody owns nothing: ", counts)
+		t.Fatal("somebody owns nothing: ", counts)
 	}
 }
--- a/internal/batch/store/quota.go
+++ b/internal/batch/store/quota.go
@@ -31,31 +31,31 @@
 }
 
 // comes notes a lot that was given to the stores.
-func (one *quota) comes(call *messages.LotCall, tokens int64) {
-	one.coming[call.Lot] = coming{place{call.Host, call.Path}, tokens}
+func (q *quota) comes(call *messages.LotCall, tokens int64) {
+	q.coming[call.Lot] = coming{place{call.Host, call.Path}, tokens}
 }
 
 // route gives the bulk route of a place, matched once for each configuration.
-func (one *quota) route(config *routeconfig.Config, at place) *routeconfig.Route {
-	if one.config != config || len(one.routes) > placesKept {
-		one.config, one.routes = config, map[place]*routeconfig.Route{}
+func (q *quota) route(config *routeconfig.Config, at place) *routeconfig.Route {
+	if q.config != config || len(q.routes) > placesKept {
+		q.config, q.routes = config, map[place]*routeconfig.Route{}
 	}
-	route, known := one.routes[at]
+	route, known := q.routes[at]
 	if !known {
 		route = routeOf(config, at.host, at.path)
-		one.routes[at] = route
+		q.routes[at] = route
 	}
 	return route
 }
 
 // waiting adds up the tokens that wait on a route, lots on their way to the
 // stores included. The lock is held.
-func (term *term) waiting(config *routeconfig.Config, route *routeconfig.Route) int64 {
-	total := term.book.Waiting(func(lot *lots.Lot) bool {
-		return !term.ending[lot.ID] && term.quota.route(config, place{lot.Host, lot.Path}) == route
+func (t *term) waiting(config *routeconfig.Config, route *routeconfig.Route) int64 {
+	total := t.book.Waiting(func(lot *lots.Lot) bool {
+		return !t.ending[lot.ID] && t.quota.route(config, place{lot.Host, lot.Path}) == route
 	})
-	for _, one := range term.quota.coming {
-		if term.quota.route(config, one.place) == route {
+	for _, one := range t.quota.coming {
+		if t.quota.route(config, one.place) == route {
 			total += one.tokens
 		}
 	}
--- a/internal/batch/store/replay_test.go
+++ b/internal/batch/store/replay_test.go
@@ -30,13 +30,13 @@
 }
 
 // history names a store's records, read from its disk.
-func history(test *testing.T, store *Store) string {
+func history(t *testing.T, store *Store) string {
 	last := store.Extent().Last
 	text := ""
 	for index := int64(1); index <= last; index++ {
 		record, err := store.Read(index)
 		if err != nil {
-			test.Fatal(err)
+			t.Fatal(err)
 		}
 		text += fmt.Sprintf("%d.%d:%s ", record.Index, record.Epoch, record.Lot)
 	}
@@ -45,75 +45,75 @@
 
 // Records that were written but whose sync failed are sent again; the file then has
 // them twice, and a process that reads it must not take the second for what follows.
-func TestFailedSyncLeavesNoRecordTwice(test *testing.T) {
+func TestFailedSyncLeavesNoRecordTwice(t *testing.T) {
 	disk, refuse := refusing(1)
 	store, err := OpenStore(disk, "d")
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	send := func(epoch uint64, first, last int64) error {
 		_, err := store.Append(&messages.Append{Epoch: epoch, Disk: "d", PreviousIndex: first - 1, PreviousEpoch: store.EpochAt(first - 1), Records: recordsOf(epoch, first, last)})
 		return err
 	}
 	if err = send(1, 1, 3); err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	*refuse = true
 	if send(1, 4, 6) == nil {
-		test.Fatal("told as synced")
+		t.Fatal("told as synced")
 	}
 	*refuse = false
 	if err = send(1, 4, 5); err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
-	want := history(test, store)
+	want := history(t, store)
 	again, err := OpenStore(disk, "d")
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
-	if found := history(test, again); found != want {
-		test.Fatalf("the process had %s and the next one has %s", want, found)
+	if found := history(t, again); found != want {
+		t.Fatalf("the process had %s and the next one has %s", want, found)
 	}
 }
 
 // A tail that an earlier holder left is not durable, though the holder of now says
 // that so many records are: what a record says there must not be acted on.
-func TestStaleTailIsNotDurable(test *testing.T) {
+func TestStaleTailIsNotDurable(t *testing.T) {
 	store, err := OpenStore(simulation.NewDisk(1), "d")
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	_, _ = store.Append(&messages.Append{Epoch: 1, Disk: "d", Records: recordsOf(1, 1, 9)})
 	answer, err := store.Append(&messages.Append{Epoch: 2, Disk: "d", PreviousIndex: 3, PreviousEpoch: 1, Records: recordsOf(1, 4, 4), Done: 9})
 	if err != nil || !answer.Granted || store.done != 4 {
-		test.Fatal(answer, err, store.done)
+		t.Fatal(answer, err, store.done)
 	}
 }
 
 // A raise whose sync failed is not granted at the second try without a sync: after a
 // loss of power the earlier holder could write here again.
-func TestRaiseIsSyncedBeforeItIsGranted(test *testing.T) {
+func TestRaiseIsSyncedBeforeItIsGranted(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
 		disk, refuse := refusing(seed)
 		store, err := OpenStore(disk, "d")
 		if err != nil {
-			test.Fatal(err)
+			t.Fatal(err)
 		}
 		*refuse = true
 		if _, err = store.Raise(&messages.Raise{Epoch: 7, Disk: "d"}); err == nil {
-			test.Fatal("granted though nothing was synced")
+			t.Fatal("granted though nothing was synced")
 		}
 		*refuse = false
 		if answer, err := store.Raise(&messages.Raise{Epoch: 7, Disk: "d"}); err != nil || !answer.Granted {
-			test.Fatal(answer, err)
+			t.Fatal(answer, err)
 		}
 		disk.PowerLoss()
 		again, err := OpenStore(disk, "d")
 		if err != nil {
-			test.Fatal(err)
+			t.Fatal(err)
 		}
 		if answer, _ := again.Append(&messages.Append{Epoch: 6, Disk: "d", Records: recordsOf(6, 1, 1)}); answer.Granted {
-			test.Fatalf("seed %d: a fenced holder writes again after a loss of power", seed)
+			t.Fatalf("seed %d: a fenced holder writes again after a loss of power", seed)
 		}
 	}
 }
--- a/internal/batch/store/report.go
+++ b/internal/batch/store/report.go
@@ -14,20 +14,20 @@
 }
 
 // reports registers what a store says to the shell.
-func (server *Server) reports() {
-	server.Node.Report("duty", server.reportDuty)
-	server.Node.Report("lots", server.reportLots)
-	server.Node.Report("stores", server.reportStores)
-	server.Node.Report("pace", server.reportPace)
+func (s *Server) reports() {
+	s.Node.Report("duty", s.reportDuty)
+	s.Node.Report("lots", s.reportLots)
+	s.Node.Report("stores", s.reportStores)
+	s.Node.Report("pace", s.reportPace)
 }
 
-func (server *Server) reportDuty() *messages.Status {
+func (s *Server) reportDuty() *messages.Status {
 	status := &messages.Status{Columns: []string{"duty", "state", "epoch", "holder"}}
 	row := []string{"lots", "follows", "", ""}
-	server.lock.Lock()
-	row[2], row[3] = number(server.told.Epoch), server.told.Holder
-	server.lock.Unlock()
-	if current := server.current(); current != nil {
+	s.lock.Lock()
+	row[2], row[3] = number(s.told.Epoch), s.told.Holder
+	s.lock.Unlock()
+	if current := s.current(); current != nil {
 		current.lock.Lock()
 		row[1] = "takes over"
 		if current.serving {
@@ -40,9 +40,9 @@
 	return status
 }
 
-func (server *Server) reportLots() *messages.Status {
+func (s *Server) reportLots() *messages.Status {
 	status := &messages.Status{Columns: []string{"lot", "path", "age-s", "items", "listed", "acquired", "waiting-tokens", "deliveries", "lapses", "releases", "failures", "renewals", "state"}}
-	current := server.current()
+	current := s.current()
 	if current == nil {
 		return status
 	}
@@ -76,11 +76,11 @@
 	return status
 }
 
-func (server *Server) reportStores() *messages.Status {
+func (s *Server) reportStores() *messages.Status {
 	status := &messages.Status{Columns: []string{"store", "disk", "records", "missing", "state"}}
-	last := server.Store.Extent().Last
-	status.Rows = append(status.Rows, []string{server.Node.Own.Name, server.Store.Disk(), number(last), "", "own copy"})
-	current := server.current()
+	last := s.Store.Extent().Last
+	status.Rows = append(status.Rows, []string{s.Node.Own.Name, s.Store.Disk(), number(last), "", "own copy"})
+	current := s.current()
 	if current == nil {
 		return status
 	}
--- a/internal/batch/store/rim_faults_test.go
+++ b/internal/batch/store/rim_faults_test.go
@@ -11,9 +11,9 @@
 // The rim of real stores (campaign, term, feeding, set changes) over the transport
 // in memory and fake disks: the holder is cut off, killed, loses its disk, or is to
 // be emptied, in an order drawn from the seed. What was told holds after each.
-func TestRimOfStores(test *testing.T) {
+func TestRimOfStores(t *testing.T) {
 	for seed := int64(1); seed <= 2; seed++ {
-		fleet := newRimFleet(test, seed)
+		fleet := newRimFleet(t, seed)
 		fleet.work()
 		for _, fault := range fleet.random.Perm(4) {
 			old := fleet.holder()
@@ -29,7 +29,7 @@
 				fleet.disks[name].PowerLoss()
 				again := fleet.start(number, "unused")
 				if strings.HasPrefix(again.Node.Own.Disk, "unused") {
-					test.Fatal("the disk forgot who it is")
+					t.Fatal("the disk forgot who it is")
 				}
 				go again.campaign()
 			case 2:
@@ -50,7 +50,7 @@
 			fleet.work()
 		}
 		if len(fleet.records()) != 3 {
-			test.Fatal(fleet.records())
+			t.Fatal(fleet.records())
 		}
 	}
 }
--- a/internal/batch/store/rim_test.go
+++ b/internal/batch/store/rim_test.go
@@ -31,24 +31,24 @@
 
 const rimRegisterAddress = "10.0.0.99:7000"
 
-func (one *rimRegister) change(change register.Change) {
-	if next, verdict := change(one.value); verdict == register.VerdictWrite {
-		one.value = next
+func (r *rimRegister) change(change register.Change) {
+	if next, verdict := change(r.value); verdict == register.VerdictWrite {
+		r.value = next
 	}
 }
 
-func (one *rimRegister) answer(kind messages.Kind, body []byte) ([]byte, error) {
-	one.lock.Lock()
-	defer one.lock.Unlock()
+func (r *rimRegister) answer(kind messages.Kind, body []byte) ([]byte, error) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
 	switch kind {
 	case messages.KindRegisterRead:
-		return transport.Write(&messages.DutyChanged{Done: true, Known: true, Value: one.value})
+		return transport.Write(&messages.DutyChanged{Done: true, Known: true, Value: r.value})
 	case messages.KindAsk:
 		question := &messages.HoldAsk{}
 		if err := transport.Read(body, question); err != nil {
 			return nil, err
 		}
-		back := one.grants.Ask(*question, one.value.Duty, clock.Now())
+		back := r.grants.Ask(*question, r.value.Duty, clock.Now())
 		return transport.Write(&back)
 	case messages.KindDutyChange:
 		question, done := &messages.DutyChange{}, false
@@ -59,8 +59,8 @@
 		if question.Take {
 			change = register.TakeDuty(question.Holder, question.ExpectEpoch, question.Stores, &done)
 		}
-		one.change(change)
-		return transport.Write(&messages.DutyChanged{Done: done, Known: true, Value: one.value})
+		r.change(change)
+		return transport.Write(&messages.DutyChanged{Done: done, Known: true, Value: r.value})
 	}
 	return nil, nil
 }
@@ -80,8 +80,8 @@
 	ended         map[string]bool
 }
 
-func newRimFleet(test *testing.T, seed int64) *rimFleet {
-	fleet := &rimFleet{test: test, random: rand.New(rand.NewSource(seed)), room: transport.NewRoom(), disks: map[string]*simulation.Disk{}, stores: map[string]*Server{}, ended: map[string]bool{}}
+func newRimFleet(t *testing.T, seed int64) *rimFleet {
+	fleet := &rimFleet{test: t, random: rand.New(rand.NewSource(seed)), room: transport.NewRoom(), disks: map[string]*simulation.Disk{}, stores: map[string]*Server{}, ended: map[string]bool{}}
 	fleet.localRegister = &rimRegister{grants: lease.NewGrants(clock.Now(), true),
 		value: messages.Register{Acceptors: []messages.Member{{Address: rimRegisterAddress, Disk: "r"}}}}
 	_ = fleet.room.Transport(rimRegisterAddress).Serve(fleet.localRegister.answer)
@@ -97,7 +97,7 @@
 	for _, name := range simulation.Keys(fleet.stores) {
 		go fleet.stores[name].campaign()
 	}
-	test.Cleanup(func() {
+	t.Cleanup(func() {
 		close(stop)
 		for _, one := range fleet.all() {
 			fleet.stop(one)
@@ -107,16 +107,16 @@
 }
 
 // start opens a process on the disk of its machine.
-func (fleet *rimFleet) start(number int, identity string) *Server {
+func (r *rimFleet) start(number int, identity string) *Server {
 	name := fmt.Sprint("s", number)
-	store, err := OpenStore(fleet.disks[name], identity)
+	store, err := OpenStore(r.disks[name], identity)
 	if err != nil {
-		fleet.test.Fatal(err)
+		r.test.Fatal(err)
 	}
 	nodeSettings := &settings.Settings{NodeName: name, Address: fmt.Sprint("10.0.0.", number), Zone: fmt.Sprint("h", number%3), InternalPorts: []int{7000, 7010},
 		Seeds: []string{"10.0.0.99:80"}, HeartbeatMs: 1200, FaultBudget: settings.FaultBudget{Machines: 1}, Tolerances: settings.Tolerances{StatusS: 120, CancelMs: 3000}}
 	runtime := node.New(nodeSettings, membership.RoleStore, constants.PortStore, store.Disk(), hclog.NewNullLogger())
-	runtime.Wire = fleet.room.Transport(runtime.Own.Address)
+	runtime.Wire = r.room.Transport(runtime.Own.Address)
 	one := &Server{Node: runtime, Gossip: loadgossip.New(runtime), Store: store, begun: clock.Now(), done: make(chan struct{})}
 	one.driver = newDriver(one)
 	one.answerers()
@@ -124,15 +124,15 @@
 	one.reports()
 	runtime.Take([]byte(quotaConfig))
 	if err = runtime.Wire.Serve(runtime.Handle); err != nil {
-		fleet.test.Fatal(err)
+		r.test.Fatal(err)
 	}
-	fleet.lock.Lock()
-	defer fleet.lock.Unlock()
-	fleet.stores[name] = one
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	r.stores[name] = one
 	return one
 }
 
-func (fleet *rimFleet) stop(one *Server) {
+func (r *rimFleet) stop(one *Server) {
 	if current := one.current(); current != nil {
 		current.end("stopped")
 	}
@@ -140,19 +140,19 @@
 	one.Node.Wire.Close()
 }
 
-func (fleet *rimFleet) all() []*Server {
-	fleet.lock.Lock()
-	defer fleet.lock.Unlock()
+func (r *rimFleet) all() []*Server {
+	r.lock.Lock()
+	defer r.lock.Unlock()
 	var all []*Server
-	for _, name := range simulation.Keys(fleet.stores) {
-		all = append(all, fleet.stores[name])
+	for _, name := range simulation.Keys(r.stores) {
+		all = append(all, r.stores[name])
 	}
 	return all
 }
 
 // meet keeps the processes known to each other, as shuffles do.
-func (fleet *rimFleet) meet() {
-	all := fleet.all()
+func (r *rimFleet) meet() {
+	all := r.all()
 	for _, one := range all {
 		for _, other := range all {
 			if one != other {
@@ -163,25 +163,25 @@
 }
 
 // until polls the world of real timers until something holds.
-func (fleet *rimFleet) until(what string, holds func() bool) {
+func (r *rimFleet) until(what string, holds func() bool) {
 	for end := clock.Now().Plus(clock.Milliseconds(20_000)); !holds(); {
 		if clock.Now() > end {
-			fleet.test.Fatal("never: ", what)
+			r.test.Fatal("never: ", what)
 		}
 		<-clock.After(constants.TickPeriod / 2)
 	}
 }
 
 // call asks one store after the other until one that holds the duty answers.
-func (fleet *rimFleet) call(call *messages.LotCall, want int) {
-	fleet.until(fmt.Sprint(call.Method, " ", call.Lot, " answered by ", want), func() bool {
-		for _, one := range fleet.all() {
+func (r *rimFleet) call(call *messages.LotCall, want int) {
+	r.until(fmt.Sprint(call.Method, " ", call.Lot, " answered by ", want), func() bool {
+		for _, one := range r.all() {
 			answer := &messages.LotAnswer{}
-			if transport.Ask(fleet.client, one.Node.Own.Address, messages.KindLotCall, call, answer, clock.Milliseconds(700)) != nil || answer.Elsewhere || answer.Status >= 500 {
+			if transport.Ask(r.client, one.Node.Own.Address, messages.KindLotCall, call, answer, clock.Milliseconds(700)) != nil || answer.Elsewhere || answer.Status >= 500 {
 				continue
 			}
 			if answer.Status != want {
-				fleet.test.Fatalf("%s %s: %d by %s, want %d", call.Method, call.Lot, answer.Status, one.Node.Own.Name, want)
+				r.test.Fatalf("%s %s: %d by %s, want %d", call.Method, call.Lot, answer.Status, one.Node.Own.Name, want)
 			}
 			return true
 		}
@@ -189,10 +189,10 @@
 	})
 }
 
-func (fleet *rimFleet) holder() *Server {
+func (r *rimFleet) holder() *Server {
 	var found *Server
-	fleet.until("a holder", func() bool {
-		for _, one := range fleet.all() {
+	r.until("a holder", func() bool {
+		for _, one := range r.all() {
 			if current := one.current(); current != nil && one.holds() && current.waitServing(0) {
 				found = one
 			}
@@ -203,37 +203,37 @@
 }
 
 // work hands a lot in, ends an older one, and looks for all that was told.
-func (fleet *rimFleet) work() {
-	lot := fmt.Sprint("lot", len(fleet.taken))
-	fleet.call(lotCallOf(lot, 1), 202)
-	fleet.taken = append(fleet.taken, lot)
+func (r *rimFleet) work() {
+	lot := fmt.Sprint("lot", len(r.taken))
+	r.call(lotCallOf(lot, 1), 202)
+	r.taken = append(r.taken, lot)
 	// Few stay open, so that each new one fits.
-	if len(fleet.taken) > 2 {
-		old := fleet.taken[len(fleet.taken)-3]
-		fleet.call(&messages.LotCall{Method: "DELETE", Lot: old}, 200)
-		fleet.ended[old] = true
+	if len(r.taken) > 2 {
+		old := r.taken[len(r.taken)-3]
+		r.call(&messages.LotCall{Method: "DELETE", Lot: old}, 200)
+		r.ended[old] = true
 	}
-	for _, one := range fleet.taken {
-		fleet.call(&messages.LotCall{Method: "GET", Lot: one}, 200)
+	for _, one := range r.taken {
+		r.call(&messages.LotCall{Method: "GET", Lot: one}, 200)
 	}
-	current := fleet.holder().current()
+	current := r.holder().current()
 	if current == nil {
 		return
 	}
 	current.lock.Lock()
 	defer current.lock.Unlock()
-	for lot := range fleet.ended {
+	for lot := range r.ended {
 		if found := current.book.Lot(lot); found != nil && !found.Ended {
-			fleet.test.Fatal("an ended lot is open again: ", lot)
+			r.test.Fatal("an ended lot is open again: ", lot)
 		}
 	}
 }
 
-func (fleet *rimFleet) records() map[string]string {
-	fleet.localRegister.lock.Lock()
-	defer fleet.localRegister.lock.Unlock()
+func (r *rimFleet) records() map[string]string {
+	r.localRegister.lock.Lock()
+	defer r.localRegister.lock.Unlock()
 	disks := map[string]string{}
-	for _, member := range fleet.localRegister.value.Stores {
+	for _, member := range r.localRegister.value.Stores {
 		disks[member.Name] = member.Disk
 	}
 	return disks
--- a/internal/batch/store/server.go
+++ b/internal/batch/store/server.go
@@ -69,26 +69,26 @@
 	return server, nil
 }
 
-func (server *Server) budget() int { return server.Node.Settings.Budget() }
+func (s *Server) budget() int { return s.Node.Settings.Budget() }
 
 // member is this process as one of the store set.
-func (server *Server) member() messages.Member {
-	own := server.Node.Own
+func (s *Server) member() messages.Member {
+	own := s.Node.Own
 	return messages.Member{Name: own.Name, Disk: own.Disk, Address: own.Address, Zone: own.Zone}
 }
 
-func (server *Server) answerers() {
-	runtime := server.Node
+func (s *Server) answerers() {
+	runtime := s.Node
 	runtime.Answer(messages.KindRaise, func(body []byte) ([]byte, error) {
 		question := &messages.Raise{}
 		if err := transport.Read(body, question); err != nil {
 			return nil, err
 		}
-		answer, err := server.Store.Raise(question)
+		answer, err := s.Store.Raise(question)
 		if err != nil {
 			return nil, err
 		}
-		server.fenced(question.Epoch)
+		s.fenced(question.Epoch)
 		return transport.Write(&answer)
 	})
 	runtime.Answer(messages.KindAppend, func(body []byte) ([]byte, error) {
@@ -96,8 +96,8 @@
 		if err := transport.Read(body, question); err != nil {
 			return nil, err
 		}
-		server.fenced(question.Epoch)
-		answer, err := server.Store.Append(question)
+		s.fenced(question.Epoch)
+		answer, err := s.Store.Append(question)
 		if err != nil {
 			runtime.Log.Error("append refused by disk", "why", err.Error())
 			return nil, err
@@ -109,7 +109,7 @@
 		if err := transport.Read(body, question); err != nil {
 			return nil, err
 		}
-		answer, err := server.Store.Fetch(question)
+		answer, err := s.Store.Fetch(question)
 		if err != nil {
 			return nil, err
 		}
@@ -120,74 +120,74 @@
 		if err := transport.Read(body, told); err != nil {
 			return nil, err
 		}
-		server.lock.Lock()
-		if told.Duty.Epoch >= server.told.Epoch {
-			server.told, server.toldAt = told.Duty, clock.Now()
+		s.lock.Lock()
+		if told.Duty.Epoch >= s.told.Epoch {
+			s.told, s.toldAt = told.Duty, clock.Now()
 			if told.Over {
-				server.toldAt, server.read = 0, 0
+				s.toldAt, s.read = 0, 0
 			}
 		}
-		server.lock.Unlock()
-		server.fenced(told.Duty.Epoch)
+		s.lock.Unlock()
+		s.fenced(told.Duty.Epoch)
 		return transport.Write(&messages.Nothing{Taken: true})
 	})
-	runtime.Answer(messages.KindLotCall, server.lotCall)
-	runtime.Answer(messages.KindCopy, server.copyFrom)
+	runtime.Answer(messages.KindLotCall, s.lotCall)
+	runtime.Answer(messages.KindCopy, s.copyFrom)
 }
 
 // fenced ends our own term when a later epoch is seen at work.
-func (server *Server) fenced(epoch uint64) {
-	if current := server.current(); current != nil && current.duty.Epoch < epoch {
+func (s *Server) fenced(epoch uint64) {
+	if current := s.current(); current != nil && current.duty.Epoch < epoch {
 		current.end("a later epoch is at work")
 	}
 }
 
 // current gives the term that has not ended, or nil.
-func (server *Server) current() *term {
-	server.lock.Lock()
-	defer server.lock.Unlock()
-	if server.term != nil && server.term.over() {
+func (s *Server) current() *term {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	if s.term != nil && s.term.over() {
 		return nil
 	}
-	return server.term
+	return s.term
 }
 
 // holds tells whether we may act as the holder at this moment.
-func (server *Server) holds() bool {
-	server.lock.Lock()
-	defer server.lock.Unlock()
-	return server.hold.Stands(clock.Now())
+func (s *Server) holds() bool {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return s.hold.Stands(clock.Now())
 }
 
 // Run serves until told to stop.
-func (server *Server) Run() error {
-	if err := server.Node.Start(); err != nil {
+func (s *Server) Run() error {
+	if err := s.Node.Start(); err != nil {
 		return err
 	}
-	server.Gossip.Start()
-	server.driver.run()
-	go server.pacing()
-	go server.Node.PullFirst(func() {})
-	go clock.Every(constants.GossipPeriod*2, server.Node.Stop, func() {
-		if err := server.Store.Tidy(clock.Now()); err != nil {
-			server.Node.Log.Error("file not rewritten", "why", err.Error())
+	s.Gossip.Start()
+	s.driver.run()
+	go s.pacing()
+	go s.Node.PullFirst(func() {})
+	go clock.Every(constants.GossipPeriod*2, s.Node.Stop, func() {
+		if err := s.Store.Tidy(clock.Now()); err != nil {
+			s.Node.Log.Error("file not rewritten", "why", err.Error())
 		}
 	})
-	server.Node.Log.Info("serving", "internal", server.Node.Own.Address, "disk", server.Node.Own.Disk)
-	server.campaign()
+	s.Node.Log.Info("serving", "internal", s.Node.Own.Address, "disk", s.Node.Own.Disk)
+	s.campaign()
 	return nil
 }
 
 // Leave gives the duty up first, so that another takes it at once.
-func (server *Server) Leave() {
-	server.leaving.Store(true)
-	server.Node.Leave()
-	if current := server.current(); current != nil {
+func (s *Server) Leave() {
+	s.leaving.Store(true)
+	s.Node.Leave()
+	if current := s.current(); current != nil {
 		current.end("leaving")
 		current.giveUp()
 	}
 	// What runs here goes back with its events, to whoever holds the duty next.
-	server.driver.leave()
-	server.Node.End()
+	s.driver.leave()
+	s.Node.End()
 	clock.Sleep(constants.TickPeriod)
 }
--- a/internal/batch/store/sets.go
+++ b/internal/batch/store/sets.go
@@ -12,17 +12,17 @@
 // tendSet keeps the store set whole: a member that is to be emptied, that came
 // back with an empty disk, or that stays silent is replaced by one that first gets
 // a copy of everything.
-func (term *term) tendSet() {
-	server := term.server
+func (t *term) tendSet() {
+	server := t.server
 	if !server.holds() {
 		return
 	}
-	term.lock.Lock()
-	members, busy := term.press.Members, term.press.Next != nil
-	term.lock.Unlock()
-	if term.tooSlow(clock.Now()) {
-		term.end("this machine or its disk is slow")
-		term.giveUp()
+	t.lock.Lock()
+	members, busy := t.press.Members, t.press.Next != nil
+	t.lock.Unlock()
+	if t.tooSlow(clock.Now()) {
+		t.end("this machine or its disk is slow")
+		t.giveUp()
 		return
 	}
 	if busy {
@@ -39,8 +39,8 @@
 	server.lock.Unlock()
 	if retired[server.Node.Own.Name] {
 		// Another has to lead the way out: this machine's copies go elsewhere.
-		term.end("this machine is to be emptied")
-		term.giveUp()
+		t.end("this machine is to be emptied")
+		t.giveUp()
 		return
 	}
 	entries := map[string]messages.Entry{}
@@ -62,7 +62,7 @@
 			}
 		}
 	}
-	term.changeSet(members, swaps)
+	t.changeSet(members, swaps)
 }
 
 // swap puts a newcomer into a member's place, or adds it where out is nil.
@@ -89,27 +89,27 @@
 	return next
 }
 
-func (server *Server) readAt() clock.Moment {
-	server.lock.Lock()
-	defer server.lock.Unlock()
-	return server.read
+func (s *Server) readAt() clock.Moment {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return s.read
 }
 
 // quickChange names the next change whose newcomer is not slow, and asks a member
 // that seems silent for a last word.
-func (server *Server) quickChange(members []messages.Member, entries map[string]messages.Entry, retired map[string]bool) (out, newcomer *messages.Member) {
+func (s *Server) quickChange(members []messages.Member, entries map[string]messages.Entry, retired map[string]bool) (out, newcomer *messages.Member) {
 	answering := map[string]bool{}
 	// Each further round leaves out a newcomer or a member.
 	for range len(entries) + len(members) {
-		out, newcomer = server.nextChange(members, entries, retired, answering)
+		out, newcomer = s.nextChange(members, entries, retired, answering)
 		switch {
 		case newcomer == nil || (out != nil && out.Name == newcomer.Name):
 			return out, newcomer
-		case server.sluggish(*newcomer):
-			server.Node.Log.Info("store passed over as slow or silent", "store", newcomer.Name)
+		case s.sluggish(*newcomer):
+			s.Node.Log.Info("store passed over as slow or silent", "store", newcomer.Name)
 			// A store that everything must be copied to first had better be quick.
 			delete(entries, newcomer.Name)
-		case out != nil && !retired[out.Name] && !server.silent(*out):
+		case out != nil && !retired[out.Name] && !s.silent(*out):
 			answering[out.Name] = true
 		default:
 			return out, newcomer
@@ -119,16 +119,16 @@
 }
 
 // silent asks a member itself: one that answers now is not gone.
-func (server *Server) silent(member messages.Member) bool {
-	return transport.Ask(server.Node.Wire, member.Address, messages.KindStatus, &messages.StatusAsk{Query: "pace"}, &messages.Status{}, constants.RoundTime) != nil
+func (s *Server) silent(member messages.Member) bool {
+	return transport.Ask(s.Node.Wire, member.Address, messages.KindStatus, &messages.StatusAsk{Query: "pace"}, &messages.Status{}, constants.RoundTime) != nil
 }
 
 // nextChange names the member to be replaced and who takes its place; a nil member
 // with a newcomer means that the set is too small. What is nearest to loss goes first:
 // members that came back empty, a set with too few copies, members that are gone, and
 // only then those that are to be emptied, which still hold theirs.
-func (server *Server) nextChange(members []messages.Member, entries map[string]messages.Entry, retired, answering map[string]bool) (out, newcomer *messages.Member) {
-	own := register.Identity(server.member())
+func (s *Server) nextChange(members []messages.Member, entries map[string]messages.Entry, retired, answering map[string]bool) (out, newcomer *messages.Member) {
+	own := register.Identity(s.member())
 	for index := range members {
 		member := &members[index]
 		if register.Identity(*member) == own {
@@ -164,12 +164,12 @@
 		}
 		return found
 	}
-	if len(members) < 2*server.budget()+1 {
+	if len(members) < 2*s.budget()+1 {
 		if found := spare(""); found != nil {
 			return nil, found
 		}
 	}
-	up := clock.Now().Since(server.begun)
+	up := clock.Now().Since(s.begun)
 	for index := range members {
 		member := &members[index]
 		entry, known := entries[member.Name]
--- a/internal/batch/store/share_callers_test.go
+++ b/internal/batch/store/share_callers_test.go
@@ -18,86 +18,86 @@
 }
 
 // handedIn records a hand-in; told notes the 202.
-func (cluster *shareCluster) handedIn(id string) (told func()) {
-	cluster.callers.count++
-	operation := cluster.callers.history.Begin(cluster.callers.count, linearize.LotCall{Kind: linearize.LotHandIn, Lot: id},
-		linearize.LotReply{}, int64(cluster.world.Now))
-	return func() { operation.End(linearize.LotReply{Outcome: linearize.LotDone}, int64(cluster.world.Now)) }
+func (s *shareCluster) handedIn(id string) (told func()) {
+	s.callers.count++
+	operation := s.callers.history.Begin(s.callers.count, linearize.LotCall{Kind: linearize.LotHandIn, Lot: id},
+		linearize.LotReply{}, int64(s.world.Now))
+	return func() { operation.End(linearize.LotReply{Outcome: linearize.LotDone}, int64(s.world.Now)) }
 }
 
 // answered records a call that has its answer.
-func (cluster *shareCluster) answered(call linearize.LotCall, reply linearize.LotReply, begun clock.Moment) {
-	cluster.callers.count++
-	operation := cluster.callers.history.Begin(cluster.callers.count, call, linearize.LotReply{}, int64(begun))
-	operation.End(reply, int64(cluster.world.Now))
+func (s *shareCluster) answered(call linearize.LotCall, reply linearize.LotReply, begun clock.Moment) {
+	s.callers.count++
+	operation := s.callers.history.Begin(s.callers.count, call, linearize.LotReply{}, int64(begun))
+	operation.End(reply, int64(s.world.Now))
 }
 
 // read sends reads again and again; a call takes its time there and back.
-func (cluster *shareCluster) read() {
-	random := cluster.callRandom
-	defer cluster.world.After(clock.Milliseconds(40+160*random.Float64()), cluster.read)
-	if cluster.number == 0 {
+func (s *shareCluster) read() {
+	random := s.callRandom
+	defer s.world.After(clock.Milliseconds(40+160*random.Float64()), s.read)
+	if s.number == 0 {
 		return
 	}
-	call := linearize.LotCall{Kind: linearize.LotRead, Lot: fmt.Sprint("job", 1+random.Intn(cluster.number)), From: random.Intn(2)}
-	begun, back := cluster.world.Now, clock.Milliseconds(40*random.Float64())
-	cluster.world.After(clock.Milliseconds(40*random.Float64()), func() {
-		holder := cluster.holder
-		if cluster.serving(holder) == nil {
+	call := linearize.LotCall{Kind: linearize.LotRead, Lot: fmt.Sprint("job", 1+random.Intn(s.number)), From: random.Intn(2)}
+	begun, back := s.world.Now, clock.Milliseconds(40*random.Float64())
+	s.world.After(clock.Milliseconds(40*random.Float64()), func() {
+		holder := s.holder
+		if s.serving(holder) == nil {
 			return
 		}
-		reply := cluster.page(holder, call)
-		cluster.world.After(back, func() { cluster.answered(call, reply, begun) })
+		reply := s.page(holder, call)
+		s.world.After(back, func() { s.answered(call, reply, begun) })
 	})
 }
 
 // page is what a holder that serves says of a lot.
-func (cluster *shareCluster) page(holder *simHolder, call linearize.LotCall) linearize.LotReply {
+func (s *shareCluster) page(holder *simHolder, call linearize.LotCall) linearize.LotReply {
 	lot := holder.book.Lot(call.Lot)
 	if lot == nil {
 		return linearize.LotReply{Outcome: linearize.LotMissing}
 	}
 	reply := linearize.LotReply{Outcome: linearize.LotDone}
 	for _, listing := range lot.Listings[min(call.From, len(lot.Listings)):] {
-		reply.Results = append(reply.Results, fmt.Sprint(listing.Item, " ", listing.Dropped, " ", cluster.textOf(holder, listing)))
+		reply.Results = append(reply.Results, fmt.Sprint(listing.Item, " ", listing.Dropped, " ", s.textOf(holder, listing)))
 	}
 	return reply
 }
 
 // textOf is an output's text, from the holder's memory or its disk.
-func (cluster *shareCluster) textOf(holder *simHolder, listing lots.Listing) string {
+func (s *shareCluster) textOf(holder *simHolder, listing lots.Listing) string {
 	if place := listing.Index - holder.first; place >= 0 && place < int64(len(holder.records)) {
 		return string(holder.records[place].Body)
 	}
-	record, err := cluster.stores[holder.at].store.Read(listing.Index)
+	record, err := s.stores[holder.at].store.Read(listing.Index)
 	if err != nil {
-		cluster.test.Fatal(err)
+		s.test.Fatal(err)
 	}
 	return string(record.Body)
 }
 
 // checkCalls tells whether one order of all calls explains what clients saw.
-func (cluster *shareCluster) checkCalls(seed int64) {
-	if err := cluster.callers.history.Check(linearize.LotsModel(), time.Minute); err != nil {
-		cluster.test.Fatalf("seed %d: %v", seed, err)
+func (s *shareCluster) checkCalls(seed int64) {
+	if err := s.callers.history.Check(linearize.LotsModel(), time.Minute); err != nil {
+		s.test.Fatalf("seed %d: %v", seed, err)
 	}
 }
 
 // judge compares the last holder's book with all that was seen outside.
-func (cluster *shareCluster) judge(seed int64) {
+func (s *shareCluster) judge(seed int64) {
 	var ids []string
-	for _, lot := range cluster.holder.book.Lots() {
+	for _, lot := range s.holder.book.Lots() {
 		ids = append(ids, lot.ID)
 	}
 	sort.Strings(ids)
 	for _, id := range ids {
-		lot := cluster.holder.book.Lot(id)
+		lot := s.holder.book.Lot(id)
 		listed := map[string]int{}
 		for _, listing := range lot.Listings {
 			listed[listing.Item]++
-			record, err := cluster.stores[cluster.holder.at].store.Read(listing.Index)
+			record, err := s.stores[s.holder.at].store.Read(listing.Index)
 			if err != nil {
-				cluster.test.Fatal(err)
+				s.test.Fatal(err)
 			}
 			want := ""
 			for event := 1; event <= shareEvents; event++ {
@@ -105,25 +105,25 @@
 			}
 			switch {
 			case listed[listing.Item] > 1:
-				cluster.test.Fatalf("seed %d: %s has two positions", seed, listing.Item)
-			case listing.Dropped && !cluster.rejected[listing.Item] && cluster.failures[listing.Item] < shareTries &&
-				cluster.world.Now.Since(cluster.sentAt[id]) < clock.Milliseconds(shareRetain):
-				cluster.test.Fatalf("seed %d: %s was given up after %d failures", seed, listing.Item, cluster.failures[listing.Item])
+				s.test.Fatalf("seed %d: %s has two positions", seed, listing.Item)
+			case listing.Dropped && !s.rejected[listing.Item] && s.failures[listing.Item] < shareTries &&
+				s.world.Now.Since(s.sentAt[id]) < clock.Milliseconds(shareRetain):
+				s.test.Fatalf("seed %d: %s was given up after %d failures", seed, listing.Item, s.failures[listing.Item])
 			case !listing.Dropped && string(record.Body) != want:
-				cluster.test.Fatalf("seed %d: %s has the text %q", seed, listing.Item, strings.ReplaceAll(string(record.Body), "\n", " "))
-			case listing.Dropped && cluster.accepted[listing.Item] != "" && cluster.accepted[listing.Item] != "rejected":
-				cluster.test.Fatalf("seed %d: %s was acknowledged and then given up", seed, listing.Item)
+				s.test.Fatalf("seed %d: %s has the text %q", seed, listing.Item, strings.ReplaceAll(string(record.Body), "\n", " "))
+			case listing.Dropped && s.accepted[listing.Item] != "" && s.accepted[listing.Item] != "rejected":
+				s.test.Fatalf("seed %d: %s was acknowledged and then given up", seed, listing.Item)
 			}
 		}
 		for _, item := range lot.Items {
-			if listed[item.ID] == 0 && (cluster.accepted[item.ID] != "" || !lot.Ended) {
-				cluster.test.Fatalf("seed %d: %s is not listed; state %d, acknowledged %q, lapses %d", seed, item.ID, item.State, cluster.accepted[item.ID], item.Lapses)
+			if listed[item.ID] == 0 && (s.accepted[item.ID] != "" || !lot.Ended) {
+				s.test.Fatalf("seed %d: %s is not listed; state %d, acknowledged %q, lapses %d", seed, item.ID, item.State, s.accepted[item.ID], item.Lapses)
 			}
 		}
 	}
-	for id := range cluster.endAcked {
-		if lot := cluster.holder.book.Lot(id); lot == nil || !lot.Ended {
-			cluster.test.Fatalf("seed %d: the end of %s is lost", seed, id)
+	for id := range s.endAcked {
+		if lot := s.holder.book.Lot(id); lot == nil || !lot.Ended {
+			s.test.Fatalf("seed %d: the end of %s is lost", seed, id)
 		}
 	}
 }
--- a/internal/batch/store/share_driver_test.go
+++ b/internal/batch/store/share_driver_test.go
@@ -22,55 +22,55 @@
 	shown   uint64
 }
 
-func (driver *simDriver) now() clock.Moment { return driver.cluster.clockValue(driver.name) }
+func (s *simDriver) now() clock.Moment { return s.cluster.clockValue(s.name) }
 
-func (driver *simDriver) loop() {
-	cluster := driver.cluster
-	defer cluster.world.After(clock.Milliseconds(20+5*cluster.world.Random.Float64()), driver.loop)
-	if cluster.frozen[driver.name] {
+func (s *simDriver) loop() {
+	cluster := s.cluster
+	defer cluster.world.After(clock.Milliseconds(20+5*cluster.world.Random.Float64()), s.loop)
+	if cluster.frozen[s.name] {
 		return
 	}
-	driver.halt(driver.core.Lapsed(driver.now()))
-	if all, _ := driver.core.Count(); all < 4 && !driver.asking {
-		driver.acquire()
+	s.halt(s.core.Lapsed(s.now()))
+	if all, _ := s.core.Count(); all < 4 && !s.asking {
+		s.acquire()
 	}
-	due := driver.now().Since(driver.renewed) >= lockLength(shareCancel)/4
-	if cluster.holder != nil && (due || cluster.holder.epoch > driver.shown) {
-		driver.shown = cluster.holder.epoch
-		driver.renew()
+	due := s.now().Since(s.renewed) >= lockLength(shareCancel)/4
+	if cluster.holder != nil && (due || cluster.holder.epoch > s.shown) {
+		s.shown = cluster.holder.epoch
+		s.renew()
 	}
-	driver.tell(0, driver.core.Results())
-	driver.tell(1, driver.core.Returns())
+	s.tell(0, s.core.Results())
+	s.tell(1, s.core.Returns())
 }
 
 // at runs a function at the machine unless it is frozen or started anew by then.
-func (driver *simDriver) at(life int64, function func()) func() {
+func (s *simDriver) at(life int64, function func()) func() {
 	return func() {
-		if driver.life == life {
+		if s.life == life {
 			function()
 		}
 	}
 }
 
-func (driver *simDriver) who() lots.Driver {
-	return lots.Driver{Name: driver.name, Life: driver.life, Address: driver.name}
+func (s *simDriver) who() lots.Driver {
+	return lots.Driver{Name: s.name, Life: s.life, Address: s.name}
 }
 
-func (driver *simDriver) acquire() {
-	cluster, holder, life := driver.cluster, driver.cluster.holder, driver.life
+func (s *simDriver) acquire() {
+	cluster, holder, life := s.cluster, s.cluster.holder, s.life
 	if holder == nil {
 		return
 	}
-	driver.asking = true
-	asked, who := driver.now(), driver.who()
+	s.asking = true
+	asked, who := s.now(), s.who()
 	answered := false
-	cluster.world.After(clock.Milliseconds(200), driver.at(life, func() {
+	cluster.world.After(clock.Milliseconds(200), s.at(life, func() {
 		// The question timed out: an answer that comes later is dropped.
 		if !answered {
-			answered, driver.asking = true, false
+			answered, s.asking = true, false
 		}
 	}))
-	cluster.send(driver.name, holder.at, func() {
+	cluster.send(s.name, holder.at, func() {
 		one := cluster.serving(holder)
 		if one == nil {
 			return
@@ -83,25 +83,25 @@
 			answer.Items = append(answer.Items, messages.AcquiredItem{Number: given.Number, Lot: item.Lot.ID, Item: item.LotItem, LastID: item.LastID,
 				Pieces: item.Pieces[:len(item.Pieces):len(item.Pieces)], Displaced: item.Displaced})
 		}
-		cluster.send(holder.at, driver.name, driver.at(life, func() {
+		cluster.send(holder.at, s.name, s.at(life, func() {
 			if answered {
 				return
 			}
-			answered, driver.asking = true, false
-			for _, task := range driver.core.Take(answer, asked, driver.now()) {
-				driver.begin(task)
+			answered, s.asking = true, false
+			for _, task := range s.core.Take(answer, asked, s.now()) {
+				s.begin(task)
 			}
 			cluster.single()
 		}))
 	})
 }
 
-func (driver *simDriver) acknowledge(entries []messages.Acknowledgement, epoch uint64, heard func(verdicts []messages.AckVerdict)) {
-	cluster, holder, life, who := driver.cluster, driver.cluster.holder, driver.life, driver.who()
+func (s *simDriver) acknowledge(entries []messages.Acknowledgement, epoch uint64, heard func(verdicts []messages.AckVerdict)) {
+	cluster, holder, life, who := s.cluster, s.cluster.holder, s.life, s.who()
 	if holder == nil {
 		return
 	}
-	cluster.send(driver.name, holder.at, func() {
+	cluster.send(s.name, holder.at, func() {
 		one := cluster.serving(holder)
 		if one == nil {
 			return
@@ -118,69 +118,69 @@
 			one.Listed(who, epoch, cluster.clockValue(holder.at))
 		}
 		cluster.whenDurable(holder, last, 100, func() {
-			cluster.send(holder.at, driver.name, driver.at(life, func() { heard(verdicts) }))
+			cluster.send(holder.at, s.name, s.at(life, func() { heard(verdicts) }))
 		})
 	})
 }
 
-func (driver *simDriver) renew() {
-	asked := driver.now()
-	driver.renewed = asked
-	if driver.cluster.holder == nil {
+func (s *simDriver) renew() {
+	asked := s.now()
+	s.renewed = asked
+	if s.cluster.holder == nil {
 		return
 	}
-	epoch := driver.cluster.holder.epoch
-	driver.core.Fence(epoch)
-	if entries := driver.core.Renewals(asked); true {
-		driver.acknowledge(entries, epoch, func(verdicts []messages.AckVerdict) {
-			driver.halt(driver.core.Renewed(entries, verdicts, asked, lockLength(shareCancel)))
+	epoch := s.cluster.holder.epoch
+	s.core.Fence(epoch)
+	if entries := s.core.Renewals(asked); true {
+		s.acknowledge(entries, epoch, func(verdicts []messages.AckVerdict) {
+			s.halt(s.core.Renewed(entries, verdicts, asked, lockLength(shareCancel)))
 		})
 	}
 }
 
 // tell repeats a batch until it is answered.
-func (driver *simDriver) tell(lane int, batch []messages.Acknowledgement) {
-	if len(batch) == 0 || driver.telling[lane] {
+func (s *simDriver) tell(lane int, batch []messages.Acknowledgement) {
+	if len(batch) == 0 || s.telling[lane] {
 		return
 	}
-	driver.telling[lane] = true
-	life := driver.life
-	driver.cluster.world.After(clock.Milliseconds(120), driver.at(life, func() { driver.telling[lane] = false }))
-	driver.acknowledge(batch, 0, func(verdicts []messages.AckVerdict) {
+	s.telling[lane] = true
+	life := s.life
+	s.cluster.world.After(clock.Milliseconds(120), s.at(life, func() { s.telling[lane] = false }))
+	s.acknowledge(batch, 0, func(verdicts []messages.AckVerdict) {
 		for place, entry := range batch {
 			if verdicts[place] != messages.AckTaken {
 				continue
 			}
 			switch entry.Kind {
 			case messages.AckAccept:
-				driver.cluster.accepted[entry.Item] = string(entry.Text)
+				s.cluster.accepted[entry.Item] = string(entry.Text)
 			case messages.AckReject:
-				driver.cluster.accepted[entry.Item] = "rejected"
+				s.cluster.accepted[entry.Item] = "rejected"
 			}
 		}
-		driver.core.Answered(batch, verdicts)
+		s.core.Answered(batch, verdicts)
 	})
 }
 
 // halt closes the connections of runs: each sets its item back.
-func (driver *simDriver) halt(tasks []*itemdriver.Task) {
+func (s *simDriver) halt(tasks []*itemdriver.Task) {
 	for _, task := range tasks {
-		driver.release(task, messages.Acknowledgement{})
+		s.release(task, messages.Acknowledgement{})
 	}
 }
 
-func (driver *simDriver) release(task *itemdriver.Task, entry messages.Acknowledgement) {
+func (s *simDriver) release(task *itemdriver.Task, entry messages.Acknowledgement) {
 	entry.Kind = messages.AckRelease
 	entry.Displaced = task.Item.Yielding()
 	task.Item.SetBack(task.Run)
-	driver.core.Done(task, entry)
+	s.core.Done(task, entry)
 }
 
 // begin brings a task to a worker, which streams from where it is asked to.
-func (driver *simDriver) begin(task *itemdriver.Task) {
-	cluster, life := driver.cluster, driver.life
-	cluster.world.After(clock.Milliseconds(10*cluster.world.Random.Float64()), driver.at(life, func() {
-		if cluster.frozen[driver.name] || !task.May(driver.now()) {
+func (s *simDriver) begin(task *itemdriver.Task) {
+	cluster, life := s.cluster, s.life
+	cluster.world.After(clock.Milliseconds(10*cluster.world.Random.Float64()), s.at(life, func() {
+		if cluster.frozen[s.name] || !task.May(s.now()) {
 			return
 		}
 		if acked, ended := cluster.endAcked[task.Item.Lot.ID]; ended && cluster.world.Now.Since(acked) > clock.Milliseconds(shareCancel) {
@@ -190,46 +190,46 @@
 		chance := cluster.world.Random.Float64()
 		switch {
 		case cluster.rejected[task.Item.ID]:
-			driver.core.Done(task, messages.Acknowledgement{Kind: messages.AckReject})
+			s.core.Done(task, messages.Acknowledgement{Kind: messages.AckReject})
 		case chance < 0.08:
 			cluster.failures[task.Item.ID]++
-			driver.release(task, messages.Acknowledgement{Failed: true})
+			s.release(task, messages.Acknowledgement{Failed: true})
 		default:
-			driver.stream(task, task.Item.LastID+1)
+			s.stream(task, task.Item.LastID+1)
 		}
 	}))
 }
 
-func (driver *simDriver) stream(task *itemdriver.Task, next int64) {
-	cluster, life := driver.cluster, driver.life
-	cluster.world.After(clock.Milliseconds(20+200*cluster.world.Random.Float64()), driver.at(life, func() {
+func (s *simDriver) stream(task *itemdriver.Task, next int64) {
+	cluster, life := s.cluster, s.life
+	cluster.world.After(clock.Milliseconds(20+200*cluster.world.Random.Float64()), s.at(life, func() {
 		switch {
 		case task.Stopped():
-		case cluster.frozen[driver.name]:
+		case cluster.frozen[s.name]:
 			// The events wait in the machine's buffers.
-			cluster.thawed[driver.name] = append(cluster.thawed[driver.name], driver.at(life, func() { driver.stream(task, next) }))
+			cluster.thawed[s.name] = append(cluster.thawed[s.name], s.at(life, func() { s.stream(task, next) }))
 		case cluster.world.Random.Float64() < 0.03:
-			driver.release(task, messages.Acknowledgement{})
+			s.release(task, messages.Acknowledgement{})
 		case cluster.world.Random.Float64() < 0.02 && task.Item.Yield(task.Run):
-			driver.release(task, messages.Acknowledgement{})
+			s.release(task, messages.Acknowledgement{})
 		case next <= shareEvents:
 			if task.Item.Gather(task.Run, [][]byte{[]byte(fmt.Sprintf("%s.%d", task.Item.ID, next))}, next) {
-				task.Moved(driver.now())
-				driver.stream(task, next+1)
+				task.Moved(s.now())
+				s.stream(task, next+1)
 			}
 		case task.Item.Finish(task.Run):
 			text := ""
 			for _, piece := range task.Item.Pieces {
 				text += string(piece) + "\n"
 			}
-			driver.core.Done(task, messages.Acknowledgement{Kind: messages.AckAccept, Text: []byte(text)})
+			s.core.Done(task, messages.Acknowledgement{Kind: messages.AckAccept, Text: []byte(text)})
 		}
 	}))
 }
 
 // restart is a process that dies and starts anew: what it held is gone.
-func (driver *simDriver) restart() {
-	driver.life++
-	driver.core = itemdriver.New()
-	driver.asking, driver.telling = false, [2]bool{}
+func (s *simDriver) restart() {
+	s.life++
+	s.core = itemdriver.New()
+	s.asking, s.telling = false, [2]bool{}
 }
--- a/internal/batch/store/share_sim_test.go
+++ b/internal/batch/store/share_sim_test.go
@@ -46,8 +46,8 @@
 	callRandom *rand.Rand
 }
 
-func newShareCluster(test *testing.T, seed int64) *shareCluster {
-	cluster := &shareCluster{simFleet: newSimFleet(test, seed, 4), drivers: map[string]*simDriver{}, dispatchers: map[*simHolder]*lots.Dispatcher{},
+func newShareCluster(t *testing.T, seed int64) *shareCluster {
+	cluster := &shareCluster{simFleet: newSimFleet(t, seed, 4), drivers: map[string]*simDriver{}, dispatchers: map[*simHolder]*lots.Dispatcher{},
 		ending: map[*simHolder]map[string]bool{}, over: map[*simHolder]bool{}, frozen: map[string]bool{}, thawed: map[string][]func(){},
 		offset: map[string]float64{}, rate: map[string]float64{}, accepted: map[string]string{}, failures: map[string]int{},
 		rejected: map[string]bool{}, sentAt: map[string]clock.Moment{}, endAcked: map[string]clock.Moment{}, endAsked: map[string]bool{}, seen: map[string]int64{}}
@@ -63,81 +63,81 @@
 }
 
 // clockValue is the steady clock of a machine.
-func (cluster *shareCluster) clockValue(name string) clock.Moment {
-	return clock.Moment(cluster.offset[name] + cluster.rate[name]*float64(cluster.world.Now))
+func (s *shareCluster) clockValue(name string) clock.Moment {
+	return clock.Moment(s.offset[name] + s.rate[name]*float64(s.world.Now))
 }
 
 // send carries a message; a frozen machine reads it when it is thawed.
-func (cluster *shareCluster) send(from, to string, function func()) {
-	cluster.world.Send(from, to, func() {
-		if cluster.frozen[to] {
-			cluster.thawed[to] = append(cluster.thawed[to], function)
+func (s *shareCluster) send(from, to string, function func()) {
+	s.world.Send(from, to, func() {
+		if s.frozen[to] {
+			s.thawed[to] = append(s.thawed[to], function)
 			return
 		}
 		function()
 	})
 }
 
-func (cluster *shareCluster) freeze(name string) { cluster.frozen[name] = true }
+func (s *shareCluster) freeze(name string) { s.frozen[name] = true }
 
-func (cluster *shareCluster) thaw(name string) {
-	cluster.frozen[name] = false
-	waited := cluster.thawed[name]
-	cluster.thawed[name] = nil
+func (s *shareCluster) thaw(name string) {
+	s.frozen[name] = false
+	waited := s.thawed[name]
+	s.thawed[name] = nil
 	for _, function := range waited {
 		function()
 	}
 }
 
 // serving gives the dispatcher of a holder that may act, or nil.
-func (cluster *shareCluster) serving(holder *simHolder) *lots.Dispatcher {
-	if holder == nil || holder != cluster.holder || !holder.ready || cluster.over[holder] || cluster.stores[holder.at].down || cluster.frozen[holder.at] {
+func (s *shareCluster) serving(holder *simHolder) *lots.Dispatcher {
+	if holder == nil || holder != s.holder || !holder.ready || s.over[holder] || s.stores[holder.at].down || s.frozen[holder.at] {
 		return nil
 	}
-	one := cluster.dispatchers[holder]
+	one := s.dispatchers[holder]
 	if one == nil {
-		one = lots.NewDispatcher(holder.book, holder.epoch, holder.first, lockLength(shareCancel), cluster.clockValue(holder.at))
+		one = lots.NewDispatcher(holder.book, holder.epoch, holder.first, lockLength(shareCancel), s.clockValue(holder.at))
 		one.Submit = holder.submit
 		ending := map[string]bool{}
 		one.Closed = func(lot *lots.Lot) bool { return ending[lot.ID] }
 		one.Tries = func(*lots.Item) int { return shareTries }
-		cluster.dispatchers[holder], cluster.ending[holder] = one, ending
+		s.dispatchers[holder], s.ending[holder] = one, ending
 	}
 	return one
 }
 
 // terms gives lots up once they are older than retain-s; the wall clock is shared.
-func (cluster *shareCluster) terms(lot *lots.Lot) lots.Terms {
-	age := clock.ToMilliseconds(cluster.world.Now.Since(cluster.sentAt[lot.ID]))
-	return lots.Terms{Due: int64(cluster.sentAt[lot.ID]), Late: age > 8000, Over: age > shareRetain}
+func (s *shareCluster) terms(lot *lots.Lot) lots.Terms {
+	age := clock.ToMilliseconds(s.world.Now.Since(s.sentAt[lot.ID]))
+	return lots.Terms{Due: int64(s.sentAt[lot.ID]), Late: age > 8000, Over: age > shareRetain}
 }
 
 // tend is the holder's upkeep.
-func (cluster *shareCluster) tend() {
-	defer cluster.world.After(clock.Milliseconds(50), cluster.tend)
-	if one := cluster.serving(cluster.holder); one != nil {
-		now := cluster.clockValue(cluster.holder.at)
+func (s *shareCluster) tend() {
+	defer s.world.After(clock.Milliseconds(50), s.tend)
+	if one := s.serving(s.holder); one != nil {
+		now := s.clockValue(s.holder.at)
 		one.Lapse(now)
-		one.Expire(cluster.terms, now)
+		one.Expire(s.terms, now)
 		one.Sure(now)
-		if now < one.Taken().Plus(one.Lock) && !one.Unsure(now) && cluster.seen[fmt.Sprint("sure", cluster.holder.epoch)] == 0 {
-			cluster.seen[fmt.Sprint("sure", cluster.holder.epoch)] = 1
-			cluster.seen["early"]++
+		if now < one.Taken().Plus(one.Lock) && !one.Unsure(now) && s.seen[fmt.Sprint("sure", s.holder.epoch)] == 0 {
+			s.seen[fmt.Sprint("sure", s.holder.epoch)] = 1
+			s.seen["early"]++
 		}
 	}
-	cluster.single()
+	s.single()
 }
 
 // single checks that no two drivers believe that they hold one item.
-func (cluster *shareCluster) single() {
+func (s *shareCluster) single() {
 	held := map[string]string{}
-	for _, name := range simulation.Keys(cluster.drivers) {
-		for _, task := range cluster.drivers[name].core.All() {
-			if !task.May(cluster.clockValue(name)) {
+	for _, name := range simulation.Keys(s.drivers) {
+		for _, task := range s.drivers[name].core.All() {
+			if !task.May(s.clockValue(name)) {
 				continue
 			}
 			if other, twice := held[task.Item.ID]; twice {
-				cluster.test.Fatalf("%s and %s both hold %s (%x) at %d", other, name, task.Item.ID, task.Number, cluster.world.Now)
+				s.test.Fatalf("%s and %s both hold %s (%x) at %d", other, name, task.Item.ID, task.Number, s.world.Now)
 			}
 			held[task.Item.ID] = name
 		}
@@ -145,62 +145,62 @@
 }
 
 // lot hands in a lot; some of its items no worker can do.
-func (cluster *shareCluster) lot(items int) {
-	holder := cluster.holder
-	if cluster.serving(holder) == nil {
+func (s *shareCluster) lot(items int) {
+	holder := s.holder
+	if s.serving(holder) == nil {
 		return
 	}
-	cluster.number++
-	id := fmt.Sprint("job", cluster.number)
+	s.number++
+	id := fmt.Sprint("job", s.number)
 	body := &messages.LotBody{Path: "/p/"}
 	for place := 0; place < items; place++ {
 		name := fmt.Sprintf("%s-%d", id, place)
-		if place == 0 && cluster.number%4 == 0 {
-			cluster.rejected[name] = true
+		if place == 0 && s.number%4 == 0 {
+			s.rejected[name] = true
 		}
-		body.Items = append(body.Items, messages.LotItem{ID: name, Tokens: 10, Headers: map[string]string{"Lemonarch-Prompt-Prefix": fmt.Sprintf("%d:9,%s:1", cluster.number%3, name)}})
+		body.Items = append(body.Items, messages.LotItem{ID: name, Tokens: 10, Headers: map[string]string{"Lemonarch-Prompt-Prefix": fmt.Sprintf("%d:9,%s:1", s.number%3, name)}})
 	}
 	packed, _ := body.MarshalMsg(nil)
-	cluster.sentAt[id] = cluster.world.Now
-	told := cluster.handedIn(id)
+	s.sentAt[id] = s.world.Now
+	told := s.handedIn(id)
 	index := holder.submit(messages.Record{Kind: messages.RecordLot, Lot: id, Body: packed})
-	cluster.whenDurable(holder, index, 100, told)
+	s.whenDurable(holder, index, 100, told)
 }
 
 // endLot ends a lot as the real holder does: nothing is acquired from the decision
 // on, drivers are told, and the end is acknowledged once it is durable.
-func (cluster *shareCluster) endLot(id string) {
-	holder := cluster.holder
-	one := cluster.serving(holder)
-	if one == nil || holder.book.Lot(id) == nil || cluster.endAsked[id] {
+func (s *shareCluster) endLot(id string) {
+	holder := s.holder
+	one := s.serving(holder)
+	if one == nil || holder.book.Lot(id) == nil || s.endAsked[id] {
 		return
 	}
-	cluster.endAsked[id] = true
-	begun := cluster.world.Now
-	cluster.ending[holder][id] = true
+	s.endAsked[id] = true
+	begun := s.world.Now
+	s.ending[holder][id] = true
 	var names []string
 	for _, driver := range one.Stop(holder.book.Lot(id)) {
 		names = append(names, driver.Name)
 	}
 	for _, name := range names {
-		cluster.send(holder.at, name, func() { cluster.drivers[name].halt(cluster.drivers[name].core.StopLot(id)) })
+		s.send(holder.at, name, func() { s.drivers[name].halt(s.drivers[name].core.StopLot(id)) })
 	}
 	index := holder.submit(messages.Record{Kind: messages.RecordEnd, Lot: id})
-	cluster.whenDurable(holder, index, 100, func() {
-		if _, known := cluster.endAcked[id]; !known {
-			cluster.endAcked[id] = cluster.world.Now
-			cluster.answered(linearize.LotCall{Kind: linearize.LotEnd, Lot: id}, linearize.LotReply{Outcome: linearize.LotDone}, begun)
+	s.whenDurable(holder, index, 100, func() {
+		if _, known := s.endAcked[id]; !known {
+			s.endAcked[id] = s.world.Now
+			s.answered(linearize.LotCall{Kind: linearize.LotEnd, Lot: id}, linearize.LotReply{Outcome: linearize.LotDone}, begun)
 		}
 	})
 }
 
 // whenDurable goes on once a record is durable and the holder still serves.
-func (cluster *shareCluster) whenDurable(holder *simHolder, index int64, tries int, function func()) {
+func (s *shareCluster) whenDurable(holder *simHolder, index int64, tries int, function func()) {
 	switch {
-	case cluster.serving(holder) == nil || tries == 0:
+	case s.serving(holder) == nil || tries == 0:
 	case index == 0 || holder.press.Done() >= index:
 		function()
 	default:
-		cluster.world.After(clock.Milliseconds(5), func() { cluster.whenDurable(holder, index, tries-1, function) })
+		s.world.After(clock.Milliseconds(5), func() { s.whenDurable(holder, index, tries-1, function) })
 	}
 }
--- a/internal/batch/store/share_test.go
+++ b/internal/batch/store/share_test.go
@@ -11,8 +11,8 @@
 // share plays one seeded history: lots come and are ended while machines freeze, are
 // cut off, start anew, lose power or their disk, stores are slow, replies are lost,
 // and the duty changes hands in the middle of locks.
-func share(test *testing.T, seed int64) *shareCluster {
-	cluster := newShareCluster(test, seed)
+func share(t *testing.T, seed int64) *shareCluster {
+	cluster := newShareCluster(t, seed)
 	cluster.world.Loss, cluster.world.Double = 0.06, 0.06
 	cluster.takeAny()
 	cluster.tend()
@@ -65,40 +65,40 @@
 }
 
 // move lets the duty change hands in the middle of everything; all locks go on.
-func (cluster *shareCluster) move() {
-	if cluster.holder != nil {
-		cluster.over[cluster.holder] = true
+func (s *shareCluster) move() {
+	if s.holder != nil {
+		s.over[s.holder] = true
 	}
-	cluster.takeAny()
+	s.takeAny()
 }
 
 // slow makes a machine answer only now and then, as one with a bad disk does.
-func (cluster *shareCluster) slow(names []string, victim string, times int) {
-	if times == 0 || cluster.holder.at == victim {
-		cluster.isolate(victim, names, false)
+func (s *shareCluster) slow(names []string, victim string, times int) {
+	if times == 0 || s.holder.at == victim {
+		s.isolate(victim, names, false)
 		return
 	}
-	cluster.isolate(victim, names, times%4 != 0)
-	cluster.world.After(clock.Milliseconds(90), func() { cluster.slow(names, victim, times-1) })
+	s.isolate(victim, names, times%4 != 0)
+	s.world.After(clock.Milliseconds(90), func() { s.slow(names, victim, times-1) })
 }
 
 // powerOrDisk takes a store's power or its whole disk, while another holds the duty.
-func (cluster *shareCluster) powerOrDisk(wipe bool, round int) {
-	victim := cluster.set[cluster.world.Random.Intn(len(cluster.set))]
-	one := cluster.stores[victim.Address]
+func (s *shareCluster) powerOrDisk(wipe bool, round int) {
+	victim := s.set[s.world.Random.Intn(len(s.set))]
+	one := s.stores[victim.Address]
 	one.down = true
-	cluster.drivers[victim.Address].restart()
+	s.drivers[victim.Address].restart()
 	one.disk.PowerLoss()
 	if wipe {
 		one.disk.Wipe()
 	}
-	cluster.move()
+	s.move()
 	if wipe {
 		one.member.Disk = fmt.Sprintf("%s-%d", one.member.Name, round+1)
 	}
-	cluster.open(one)
+	s.open(one)
 	if wipe {
-		cluster.swap(victim, one.member)
+		s.swap(victim, one.member)
 	}
 }
 
@@ -106,14 +106,14 @@
 // text; what was acknowledged stays; nothing is given up but on the four grounds;
 // nothing reaches a worker later than cancel-ms after the end of its lot; and all
 // else is done in the end.
-func TestShareGroupUnderTrouble(test *testing.T) {
+func TestShareGroupUnderTrouble(t *testing.T) {
 	seeds := int64(60)
 	if testing.Short() {
 		seeds = 10
 	}
 	total := map[string]int64{}
 	for seed := int64(1); seed <= seeds; seed++ {
-		cluster := share(test, seed)
+		cluster := share(t, seed)
 		cluster.judge(seed)
 		cluster.checkCalls(seed)
 		total["calls"] += int64(cluster.callers.history.Clear())
@@ -131,14 +131,14 @@
 	}
 	for name, least := range map[string]int64{"lapses": 3, "adopted": 3, "releases": 10, "failures": 3, "dropped": 1, "accepted": 20, "calls": 100, "ended": 1, "early": 1} {
 		if total[name] < least*seeds/2 {
-			test.Fatalf("too little trouble: %v", total)
+			t.Fatalf("too little trouble: %v", total)
 		}
 	}
-	test.Log(total)
+	t.Log(total)
 }
 
-func TestShareGroupSameSeedSameHistory(test *testing.T) {
-	if first, second := share(test, 7).world.Sum(), share(test, 7).world.Sum(); first != second {
-		test.Fatal("one seed gave two histories")
+func TestShareGroupSameSeedSameHistory(t *testing.T) {
+	if first, second := share(t, 7).world.Sum(), share(t, 7).world.Sum(); first != second {
+		t.Fatal("one seed gave two histories")
 	}
 }
--- a/internal/batch/store/simulation_test.go
+++ b/internal/batch/store/simulation_test.go
@@ -66,12 +66,12 @@
 }
 
 // newSimFleet makes stores of which the first three are the set, for a budget of one.
-func newSimFleet(test *testing.T, seed int64, count int) *simFleet {
-	return newSimFleetOf(test, seed, count, 1, 3)
+func newSimFleet(t *testing.T, seed int64, count int) *simFleet {
+	return newSimFleetOf(t, seed, count, 1, 3)
 }
 
-func newSimFleetOf(test *testing.T, seed int64, count, budget, size int) *simFleet {
-	fleet := &simFleet{budget: budget, test: test, world: simulation.NewWorld(seed), stores: map[string]*simStore{}, told: map[string]string{}, toldAt: map[string]uint64{}, gone: map[string]bool{}, isolated: map[string]bool{}, dropped: map[string]bool{}, sent: map[string]traffic{}}
+func newSimFleetOf(t *testing.T, seed int64, count, budget, size int) *simFleet {
+	fleet := &simFleet{budget: budget, test: t, world: simulation.NewWorld(seed), stores: map[string]*simStore{}, told: map[string]string{}, toldAt: map[string]uint64{}, gone: map[string]bool{}, isolated: map[string]bool{}, dropped: map[string]bool{}, sent: map[string]traffic{}}
 	for place := 0; place < count; place++ {
 		name := fmt.Sprintf("s%d", place)
 		one := &simStore{disk: simulation.NewDisk(seed*31 + int64(place))}
@@ -86,10 +86,10 @@
 	return fleet
 }
 
-func (fleet *simFleet) open(one *simStore) {
+func (s *simFleet) open(one *simStore) {
 	store, err := OpenStore(one.disk, one.member.Disk)
 	if err != nil {
-		fleet.test.Fatal(err)
+		s.test.Fatal(err)
 	}
 	// Files are rewritten as soon as half of them says nothing any more.
 	store.rewrite = rewritePlan{bytes: 1 << 40, records: 6, lag: clock.Milliseconds(150)}
@@ -98,26 +98,26 @@
 }
 
 // take makes a process the holder of a new epoch; the one before may not notice.
-func (fleet *simFleet) take(name string) {
-	fleet.epoch++
-	holder := &simHolder{fleet: fleet, at: name, epoch: fleet.epoch, next: map[string]int64{}, forgets: map[string]bool{}}
-	set := append([]messages.Member(nil), fleet.set...)
+func (s *simFleet) take(name string) {
+	s.epoch++
+	holder := &simHolder{fleet: s, at: name, epoch: s.epoch, next: map[string]int64{}, forgets: map[string]bool{}}
+	set := append([]messages.Member(nil), s.set...)
 	copies := map[string]messages.Raised{}
 	started := false
 	for _, member := range set {
-		target := fleet.stores[member.Address]
-		fleet.world.Send(name, member.Address, func() {
+		target := s.stores[member.Address]
+		s.world.Send(name, member.Address, func() {
 			if target.down {
 				return
 			}
 			answer, err := target.store.Raise(&messages.Raise{Epoch: holder.epoch, Disk: member.Disk})
-			fleet.world.Send(member.Address, name, func() {
-				if err != nil || !answer.Granted || fleet.stores[name].down {
+			s.world.Send(member.Address, name, func() {
+				if err != nil || !answer.Granted || s.stores[name].down {
 					return
 				}
 				copies[register.Identity(member)] = answer
-				own := copies[register.Identity(fleet.stores[name].member)].Granted
-				if !started && own && lots.Enough(len(set), len(copies), fleet.budget) {
+				own := copies[register.Identity(s.stores[name].member)].Granted
+				if !started && own && lots.Enough(len(set), len(copies), s.budget) {
 					started = true
 					holder.begin(set, copies)
 				}
--- a/internal/batch/store/stop.go
+++ b/internal/batch/store/stop.go
@@ -12,28 +12,28 @@
 // stopRuns takes all acquisitions of a lot back whose end is decided, and tells the
 // drivers that hold some. The lock is held. A driver that can't be told learns it
 // when it renews, or stops when its lock ends.
-func (term *term) stopRuns(lot *lots.Lot) {
+func (t *term) stopRuns(lot *lots.Lot) {
 	var addresses []string
-	for _, driver := range term.dispatcher.Stop(lot) {
+	for _, driver := range t.dispatcher.Stop(lot) {
 		addresses = append(addresses, driver.Address)
 	}
-	if term.dispatcher.Unsure(clock.Now()) {
+	if t.dispatcher.Unsure(clock.Now()) {
 		// Earlier holders may have handed items of it to anybody.
 		addresses = nil
-		for _, entry := range term.server.Node.Live(membership.RoleStore) {
+		for _, entry := range t.server.Node.Live(membership.RoleStore) {
 			addresses = append(addresses, entry.Address)
 		}
-		addresses = append(addresses, term.server.Node.Own.Address)
+		addresses = append(addresses, t.server.Node.Own.Address)
 	}
 	for _, address := range addresses {
-		if address == term.server.Node.Own.Address {
-			go term.server.driver.stopLot(lot.ID)
+		if address == t.server.Node.Own.Address {
+			go t.server.driver.stopLot(lot.ID)
 			continue
 		}
 		go func() {
 			told, answer := &messages.StopRuns{Lot: lot.ID}, &messages.Nothing{}
 			for try := 0; try < 2; try++ {
-				if transport.Ask(term.server.Node.Wire, address, messages.KindStopRuns, told, answer, constants.CallTime) == nil {
+				if transport.Ask(t.server.Node.Wire, address, messages.KindStopRuns, told, answer, constants.CallTime) == nil {
 					return
 				}
 			}
@@ -43,43 +43,43 @@
 
 // driverAnswerers registers what drivers ask of the dispatcher, and what it tells
 // them.
-func (server *Server) driverAnswerers() {
-	runtime := server.Node
+func (s *Server) driverAnswerers() {
+	runtime := s.Node
 	runtime.Answer(messages.KindAcquire, func(body []byte) ([]byte, error) {
 		question := &messages.Acquire{}
 		if err := transport.Read(body, question); err != nil {
 			return nil, err
 		}
-		return transport.Write(server.acquire(question))
+		return transport.Write(s.acquire(question))
 	})
 	runtime.Answer(messages.KindAcknowledge, func(body []byte) ([]byte, error) {
 		question := &messages.Acknowledge{}
 		if err := transport.Read(body, question); err != nil {
 			return nil, err
 		}
-		return transport.Write(server.acknowledge(question))
+		return transport.Write(s.acknowledge(question))
 	})
 	runtime.Answer(messages.KindStopRuns, func(body []byte) ([]byte, error) {
 		told := &messages.StopRuns{}
 		if err := transport.Read(body, told); err != nil {
 			return nil, err
 		}
-		server.driver.stopLot(told.Lot)
+		s.driver.stopLot(told.Lot)
 		return transport.Write(&messages.Nothing{Taken: true})
 	})
 }
 
 // acquire and acknowledge are the dispatcher's side, for drivers here and elsewhere.
-func (server *Server) acquire(question *messages.Acquire) *messages.Acquired {
-	if current := server.current(); current != nil {
+func (s *Server) acquire(question *messages.Acquire) *messages.Acquired {
+	if current := s.current(); current != nil {
 		return current.acquire(question)
 	}
-	return &messages.Acquired{Elsewhere: true, Holder: server.elsewhere().Holder}
+	return &messages.Acquired{Elsewhere: true, Holder: s.elsewhere().Holder}
 }
 
-func (server *Server) acknowledge(question *messages.Acknowledge) *messages.Acknowledged {
-	if current := server.current(); current != nil {
+func (s *Server) acknowledge(question *messages.Acknowledge) *messages.Acknowledged {
+	if current := s.current(); current != nil {
 		return current.acknowledge(question)
 	}
-	return &messages.Acknowledged{Elsewhere: true, Holder: server.elsewhere().Holder}
+	return &messages.Acknowledged{Elsewhere: true, Holder: s.elsewhere().Holder}
 }
--- a/internal/batch/store/store.go
+++ b/internal/batch/store/store.go
@@ -67,14 +67,14 @@
 }
 
 // Disk is the identity of the disk.
-func (store *Store) Disk() string { return store.replica.Disk }
+func (s *Store) Disk() string { return s.replica.Disk }
 
-func (store *Store) write(records ...messages.ReplicaRecord) error {
-	_, err := store.writeAll(records)
+func (s *Store) write(records ...messages.ReplicaRecord) error {
+	_, err := s.writeAll(records)
 	return err
 }
 
-func (store *Store) writeAll(records []messages.ReplicaRecord) ([]int64, error) {
+func (s *Store) writeAll(records []messages.ReplicaRecord) ([]int64, error) {
 	bodies := make([][]byte, 0, len(records))
 	for place := range records {
 		body, err := records[place].MarshalMsg(nil)
@@ -83,32 +83,32 @@
 		}
 		bodies = append(bodies, body)
 	}
-	offsets, err := store.logfile.Append(bodies...)
+	offsets, err := s.logfile.Append(bodies...)
 	if err == nil {
-		err = store.logfile.Sync()
+		err = s.logfile.Sync()
 	}
 	return offsets, StoreDamaged.Wrap(err, "append")
 }
 
 // Raise takes a new holder's epoch.
-func (store *Store) Raise(question *messages.Raise) (messages.Raised, error) {
-	store.lock.Lock()
-	defer store.lock.Unlock()
-	answer, keep := store.replica.Raise(question)
+func (s *Store) Raise(question *messages.Raise) (messages.Raised, error) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	answer, keep := s.replica.Raise(question)
 	if keep {
-		if err := store.write(messages.ReplicaRecord{Fence: question.Epoch}); err != nil {
+		if err := s.write(messages.ReplicaRecord{Fence: question.Epoch}); err != nil {
 			return messages.Raised{}, err
 		}
-		store.replica.SetFence(question.Epoch)
+		s.replica.SetFence(question.Epoch)
 	}
 	return answer, nil
 }
 
 // Append takes records, and answers once they are synced.
-func (store *Store) Append(question *messages.Append) (messages.Appended, error) {
-	store.lock.Lock()
-	defer store.lock.Unlock()
-	plan, answer := store.replica.Append(question)
+func (s *Store) Append(question *messages.Append) (messages.Appended, error) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	plan, answer := s.replica.Append(question)
 	if !answer.Granted {
 		return answer, nil
 	}
@@ -125,35 +125,35 @@
 		records = append(records, messages.ReplicaRecord{Has: true, Entry: plan.Records[place]})
 	}
 	if len(records) > 0 {
-		offsets, err := store.writeAll(records)
+		offsets, err := s.writeAll(records)
 		if err != nil {
 			return messages.Appended{}, err
 		}
-		store.replica.Commit(plan, question.Epoch, offsets[marks:])
-		store.base.Store(store.replica.Base().Index)
+		s.replica.Commit(plan, question.Epoch, offsets[marks:])
+		s.base.Store(s.replica.Base().Index)
 	}
 	// Behind what joins on to the holder's records there may be a tail of an earlier one.
-	store.done = max(store.done, min(question.Done, answer.Last))
+	s.done = max(s.done, min(question.Done, answer.Last))
 	return answer, nil
 }
 
 // Read gives a record with its body.
-func (store *Store) Read(index int64) (*messages.Record, error) {
-	store.lock.Lock()
-	defer store.lock.Unlock()
-	return store.read(index)
+func (s *Store) Read(index int64) (*messages.Record, error) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return s.read(index)
 }
 
-func (store *Store) read(index int64) (*messages.Record, error) {
-	if index < 1 || index > store.replica.Last() {
+func (s *Store) read(index int64) (*messages.Record, error) {
+	if index < 1 || index > s.replica.Last() {
 		return nil, StoreDamaged.New("no such record")
 	}
-	slot, found := store.replica.Slot(index)
+	slot, found := s.replica.Slot(index)
 	if !found {
 		// It was compacted away: its lot was forgotten.
-		return &messages.Record{Index: index, Epoch: store.replica.EpochAt(index)}, nil
+		return &messages.Record{Index: index, Epoch: s.replica.EpochAt(index)}, nil
 	}
-	body, err := store.logfile.ReadAt(slot.Offset)
+	body, err := s.logfile.ReadAt(slot.Offset)
 	if err != nil {
 		return nil, StoreDamaged.Wrap(err, "read")
 	}
@@ -165,20 +165,20 @@
 }
 
 // Fetch gives a stretch of records. A copy that is not whole is no source.
-func (store *Store) Fetch(question *messages.Fetch) (*messages.Fetched, error) {
-	store.lock.Lock()
-	defer store.lock.Unlock()
-	if (question.Disk != "" && question.Disk != store.replica.Disk) || !store.replica.Whole() {
+func (s *Store) Fetch(question *messages.Fetch) (*messages.Fetched, error) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	if (question.Disk != "" && question.Disk != s.replica.Disk) || !s.replica.Whole() {
 		return &messages.Fetched{}, nil
 	}
-	answer := &messages.Fetched{Granted: true, Last: store.replica.Last()}
-	if base := store.replica.Base(); question.First <= base.Index {
+	answer := &messages.Fetched{Granted: true, Last: s.replica.Last()}
+	if base := s.replica.Base(); question.First <= base.Index {
 		answer.Base, answer.BaseEpoch = base.Index, base.Epoch
 	}
 	size := 0
 	var problem error
-	store.replica.Each(question.First, func(slot lots.Slot) bool {
-		record, err := store.read(slot.Index)
+	s.replica.Each(question.First, func(slot lots.Slot) bool {
+		record, err := s.read(slot.Index)
 		if err != nil {
 			problem = err
 			return false
@@ -194,10 +194,10 @@
 }
 
 // Book makes the book of lots from all records.
-func (store *Store) Book() (*lots.Book, error) {
+func (s *Store) Book() (*lots.Book, error) {
 	forgotten := map[string]int64{}
 	var records []*messages.Record
-	err := store.each(func(record *messages.Record) {
+	err := s.each(func(record *messages.Record) {
 		if record.Kind == messages.RecordForget {
 			forgotten[record.Lot] = record.Index
 		}
@@ -217,11 +217,11 @@
 }
 
 // each reads all records that are kept, in order.
-func (store *Store) each(visit func(record *messages.Record)) (problem error) {
-	store.lock.Lock()
-	defer store.lock.Unlock()
-	store.replica.Each(1, func(slot lots.Slot) bool {
-		record, err := store.read(slot.Index)
+func (s *Store) each(visit func(record *messages.Record)) (problem error) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.replica.Each(1, func(slot lots.Slot) bool {
+		record, err := s.read(slot.Index)
 		if err != nil {
 			problem = err
 			return false
@@ -233,18 +233,18 @@
 }
 
 // Compacted is the index up to which the records are compacted.
-func (store *Store) Compacted() int64 { return store.base.Load() }
+func (s *Store) Compacted() int64 { return s.base.Load() }
 
 // Extent gives what a holder compares.
-func (store *Store) Extent() lots.Extent {
-	store.lock.Lock()
-	defer store.lock.Unlock()
-	return store.replica.Extent()
+func (s *Store) Extent() lots.Extent {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return s.replica.Extent()
 }
 
 // EpochAt gives the epoch of a record.
-func (store *Store) EpochAt(index int64) uint64 {
-	store.lock.Lock()
-	defer store.lock.Unlock()
-	return store.replica.EpochAt(index)
+func (s *Store) EpochAt(index int64) uint64 {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return s.replica.EpochAt(index)
 }
--- a/internal/batch/store/swap_test.go
+++ b/internal/batch/store/swap_test.go
@@ -11,7 +11,7 @@
 )
 
 // Two that came back empty take their places at once; nobody else's place changes.
-func TestSwappedSet(test *testing.T) {
+func TestSwappedSet(t *testing.T) {
 	members := []messages.Member{{Name: "a", Disk: "1"}, {Name: "b", Disk: "2"}, {Name: "c", Disk: "3"}, {Name: "d", Disk: "4"}, {Name: "e", Disk: "5"}}
 	next := swapped(members, []swap{{&members[1], messages.Member{Name: "b", Disk: "7"}}, {&members[3], messages.Member{Name: "d", Disk: "8"}}})
 	disks := map[string]string{}
@@ -19,20 +19,20 @@
 		disks[member.Name] = member.Disk
 	}
 	if len(next) != 5 || disks["a"] != "1" || disks["b"] != "7" || disks["c"] != "3" || disks["d"] != "8" || disks["e"] != "5" {
-		test.Fatal(next)
+		t.Fatal(next)
 	}
 	if added := swapped(members, []swap{{nil, messages.Member{Name: "f"}}}); len(added) != 6 {
-		test.Fatal(added)
+		t.Fatal(added)
 	}
 	if same := swapped(members, nil); len(same) != 5 {
-		test.Fatal(same)
+		t.Fatal(same)
 	}
 }
 
 // Two newcomers of one time copy from two members, and nobody from the holder or
 // from a member that is far behind.
-func TestNewcomersShareNoSource(test *testing.T) {
-	one := rule(test, soleLocker(test, simulation.NewDisk(12)), 1)
+func TestNewcomersShareNoSource(t *testing.T) {
+	one := rule(t, soleLocker(t, simulation.NewDisk(12)), 1)
 	one.lock.Lock()
 	defer one.lock.Unlock()
 	done := one.press.Done()
@@ -44,24 +44,24 @@
 	first, _ := one.source(messages.Member{Name: "t", Address: "t"}, 0)
 	second, _ := one.source(messages.Member{Name: "u", Address: "u"}, 1)
 	if first == nil || second == nil || first.Name == second.Name {
-		test.Fatal(first, second)
+		t.Fatal(first, second)
 	}
 	for place := 0; place < 4; place++ {
 		if found, _ := one.source(messages.Member{Name: "r", Address: "r"}, place); found == nil || found.Name != "s" {
-			test.Fatal(place, found)
+			t.Fatal(place, found)
 		}
 	}
 }
 
 // A newcomer that answers but does not get on keeps another one out of the set only for
 // a while: the set is made whole by as much as can be.
-func TestSlowNewcomerHoldsNobodyUp(test *testing.T) {
-	one := rule(test, soleLocker(test, simulation.NewDisk(12)), 1)
+func TestSlowNewcomerHoldsNobodyUp(t *testing.T) {
+	one := rule(t, soleLocker(t, simulation.NewDisk(12)), 1)
 	room := transport.NewRoom()
 	one.server.Node.Wire = room.Transport("m")
 	store, err := OpenStore(simulation.NewDisk(13), "quick")
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	_ = room.Transport("quick").Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
 		question := &messages.Append{}
@@ -83,6 +83,6 @@
 	begun := clock.Now()
 	whole := one.ready([]swap{{nil, messages.Member{Name: "quick", Address: "quick", Disk: "quick"}}, {nil, messages.Member{Name: "slow", Address: "slow", Disk: "slow"}}})
 	if len(whole) != 1 || whole[0].in.Name != "quick" || clock.Now().Since(begun) > constants.SetChange/2 {
-		test.Fatal(whole, clock.Now().Since(begun))
+		t.Fatal(whole, clock.Now().Since(begun))
 	}
 }
--- a/internal/batch/store/term.go
+++ b/internal/batch/store/term.go
@@ -45,21 +45,21 @@
 }
 
 // end closes the term: nothing is told, run or written under its epoch any more.
-func (term *term) end(why string) {
-	term.ended.Do(func() {
-		term.server.Node.Log.Info("term ends", "epoch", term.duty.Epoch, "why", why)
-		close(term.stop)
-		term.lock.Lock()
-		defer term.lock.Unlock()
-		term.serving = false
-		term.ring()
-		term.freshen()
+func (t *term) end(why string) {
+	t.ended.Do(func() {
+		t.server.Node.Log.Info("term ends", "epoch", t.duty.Epoch, "why", why)
+		close(t.stop)
+		t.lock.Lock()
+		defer t.lock.Unlock()
+		t.serving = false
+		t.ring()
+		t.freshen()
 	})
 }
 
-func (term *term) over() bool {
+func (t *term) over() bool {
 	select {
-	case <-term.stop:
+	case <-t.stop:
 		return true
 	default:
 		return false
@@ -67,33 +67,33 @@
 }
 
 // ring wakes everybody who waits for a change. The lock is held.
-func (term *term) ring() {
-	close(term.bell)
-	term.bell = make(chan struct{})
+func (t *term) ring() {
+	close(t.bell)
+	t.bell = make(chan struct{})
 }
 
 // submit makes a record and has it copied. The lock is held.
-func (term *term) submit(record messages.Record) int64 {
-	record.Index, record.Epoch = term.press.Take(), term.duty.Epoch
-	term.recent = append(term.recent, record)
-	term.ring()
+func (t *term) submit(record messages.Record) int64 {
+	record.Index, record.Epoch = t.press.Take(), t.duty.Epoch
+	t.recent = append(t.recent, record)
+	t.ring()
 	return record.Index
 }
 
 // durable waits until a record is durable; false when that can't be known.
-func (term *term) durable(index int64, span clock.Span) bool {
+func (t *term) durable(index int64, span clock.Span) bool {
 	timer := clock.NewTimer(span)
 	defer timer.Stop()
 	for {
-		term.lock.Lock()
-		done, bell := term.press.Done() >= index, term.bell
-		term.lock.Unlock()
+		t.lock.Lock()
+		done, bell := t.press.Done() >= index, t.bell
+		t.lock.Unlock()
 		if done {
-			return !term.over()
+			return !t.over()
 		}
 		select {
 		case <-bell:
-		case <-term.stop:
+		case <-t.stop:
 			return false
 		case <-timer.C:
 			return false
@@ -102,61 +102,61 @@
 }
 
 // recentAt gives a record that is still in memory. The lock is held.
-func (term *term) recentAt(index int64) *messages.Record {
-	if len(term.recent) == 0 {
+func (t *term) recentAt(index int64) *messages.Record {
+	if len(t.recent) == 0 {
 		return nil
 	}
-	place := index - term.recent[0].Index
-	if place < 0 || place >= int64(len(term.recent)) {
+	place := index - t.recent[0].Index
+	if place < 0 || place >= int64(len(t.recent)) {
 		return nil
 	}
-	return &term.recent[place]
+	return &t.recent[place]
 }
 
 // matched notes a store's progress and applies what became durable.
-func (term *term) matched(identity string, index int64) {
-	term.lock.Lock()
-	defer term.lock.Unlock()
-	if !term.press.Matched(identity, index) {
+func (t *term) matched(identity string, index int64) {
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	if !t.press.Matched(identity, index) {
 		return
 	}
-	term.applyDone()
-	term.trim()
-	term.ring()
+	t.applyDone()
+	t.trim()
+	t.ring()
 }
 
-func (term *term) applyDone() {
-	for term.applied < term.press.Done() {
-		record := term.recentAt(term.applied + 1)
+func (t *term) applyDone() {
+	for t.applied < t.press.Done() {
+		record := t.recentAt(t.applied + 1)
 		if record == nil {
 			return
 		}
-		if err := term.book.Apply(record); err != nil {
-			term.server.Node.Log.Error("record not applied", "why", err.Error())
+		if err := t.book.Apply(record); err != nil {
+			t.server.Node.Log.Error("record not applied", "why", err.Error())
 		}
 		switch record.Kind {
 		case messages.RecordLot:
-			delete(term.taking, record.Lot)
-			delete(term.quota.coming, record.Lot)
-			if lot := term.book.Lot(record.Lot); lot != nil {
+			delete(t.taking, record.Lot)
+			delete(t.quota.coming, record.Lot)
+			if lot := t.book.Lot(record.Lot); lot != nil {
 				lot.Known = clock.Now()
 			}
-			term.freshen()
+			t.freshen()
 		}
-		term.applied++
+		t.applied++
 	}
 }
 
 // trim gives back the records that are durable and on our own disk; a store that
 // lags further behind is fed from there.
-func (term *term) trim() {
-	own := term.press.MatchOf(register.Identity(term.server.member()))
-	keep := min(own, term.applied)
+func (t *term) trim() {
+	own := t.press.MatchOf(register.Identity(t.server.member()))
+	keep := min(own, t.applied)
 	count := 0
-	for count < len(term.recent) && term.recent[count].Index <= keep {
+	for count < len(t.recent) && t.recent[count].Index <= keep {
 		count++
 	}
 	if count > 0 {
-		term.recent = append([]messages.Record(nil), term.recent[count:]...)
+		t.recent = append([]messages.Record(nil), t.recent[count:]...)
 	}
 }
--- a/internal/batch/store/upkeep_test.go
+++ b/internal/batch/store/upkeep_test.go
@@ -14,49 +14,49 @@
 
 // tidy rewrites files now and then, at a moment of each store's own. What it draws is its
 // own, so that the rest of a seed's history doesn't hang on it.
-func (fleet *simFleet) tidy(random *rand.Rand) {
-	for _, name := range simulation.Keys(fleet.stores) {
-		if one := fleet.stores[name]; !one.down && random.Intn(3) > 0 {
-			if err := one.store.Tidy(fleet.world.Now); err != nil && !one.faulty {
-				fleet.test.Fatal(err)
+func (s *simFleet) tidy(random *rand.Rand) {
+	for _, name := range simulation.Keys(s.stores) {
+		if one := s.stores[name]; !one.down && random.Intn(3) > 0 {
+			if err := one.store.Tidy(s.world.Now); err != nil && !one.faulty {
+				s.test.Fatal(err)
 			}
 		}
 	}
-	fleet.world.After(clock.Milliseconds(200), func() { fleet.tidy(random) })
+	s.world.After(clock.Milliseconds(200), func() { s.tidy(random) })
 }
 
 // forget drops lots that are done, as a holder does once their time is over; the newest
 // stay.
-func (holder *simHolder) forget() {
+func (s *simHolder) forget() {
 	const kept = 3
 	var done []*lots.Lot
-	for _, lot := range holder.book.Lots() {
-		if !lot.Open() && !holder.forgets[lot.ID] {
+	for _, lot := range s.book.Lots() {
+		if !lot.Open() && !s.forgets[lot.ID] {
 			done = append(done, lot)
 		}
 	}
 	for _, lot := range done[:max(len(done)-kept, 0)] {
-		holder.forgets[lot.ID], holder.fleet.dropped[lot.ID] = true, true
-		holder.submit(messages.Record{Kind: messages.RecordForget, Lot: lot.ID})
+		s.forgets[lot.ID], s.fleet.dropped[lot.ID] = true, true
+		s.submit(messages.Record{Kind: messages.RecordForget, Lot: lot.ID})
 		for place := range lot.Listings {
-			delete(holder.fleet.told, fmt.Sprintf("%s/%d", lot.ID, place))
+			delete(s.fleet.told, fmt.Sprintf("%s/%d", lot.ID, place))
 		}
 	}
 }
 
 // check compares a holder's book with all that was ever told.
-func (fleet *simFleet) check(holder *simHolder) {
+func (s *simFleet) check(holder *simHolder) {
 	for _, lot := range holder.book.Lots() {
-		if fleet.gone[lot.ID] {
-			fleet.test.Fatalf("holder of epoch %d has %s again", holder.epoch, lot.ID)
+		if s.gone[lot.ID] {
+			s.test.Fatalf("holder of epoch %d has %s again", holder.epoch, lot.ID)
 		}
 	}
-	for _, place := range simulation.Keys(fleet.told) {
+	for _, place := range simulation.Keys(s.told) {
 		lot, number, _ := strings.Cut(place, "/")
 		position, _ := strconv.Atoi(number)
 		found := holder.book.Lot(lot)
-		if found == nil || position >= len(found.Listings) || found.Listings[position].Item != fleet.told[place] {
-			fleet.test.Fatalf("holder of epoch %d lacks %s", holder.epoch, place)
+		if found == nil || position >= len(found.Listings) || found.Listings[position].Item != s.told[place] {
+			s.test.Fatalf("holder of epoch %d lacks %s", holder.epoch, place)
 		}
 	}
 }
--- a/internal/configuration/adapterplan/planner.go
+++ b/internal/configuration/adapterplan/planner.go
@@ -21,42 +21,42 @@
 }
 
 // complete gives a full assignment that agrees with what is settled, if there is one.
-func (one *planner) complete(settled partial) (partial, bool, error) {
-	one.counts.Asked++
+func (p *planner) complete(settled partial) (partial, bool, error) {
+	p.counts.Asked++
 	// Where choice is plenty the plainest guess is an answer; it costs least.
-	if _, guess := one.guess(settled, one.order()); guess != nil && one.problem.holds(guess) && one.keeps(guess) >= one.least {
+	if _, guess := p.guess(settled, p.order()); guess != nil && p.problem.holds(guess) && p.keeps(guess) >= p.least {
 		return guess, true, nil
 	}
-	if one.problem.short(settled) {
+	if p.problem.short(settled) {
 		return nil, false, nil
 	}
-	if one.least > 0 {
-		if _, _, keeps := one.problem.flow(settled, one.problem.copiesMeasure(settled), one.kept); keeps < one.least {
+	if p.least > 0 {
+		if _, _, keeps := p.problem.flow(settled, p.problem.copiesMeasure(settled), p.kept); keeps < p.least {
 			return nil, false, nil
 		}
 	}
-	one.counts.Solved++
-	encoding := newEncoding(one.problem, settled)
-	if one.least > 0 {
-		encoding.keep(one.kept, one.least)
+	p.counts.Solved++
+	encoding := newEncoding(p.problem, settled)
+	if p.least > 0 {
+		encoding.keep(p.kept, p.least)
 	}
-	full, found, err := encoding.solve(one.effort)
+	full, found, err := encoding.solve(p.effort)
 	if err != nil || !found {
 		return nil, false, err
 	}
-	if !one.problem.holds(full) || one.keeps(full) < one.least {
+	if !p.problem.holds(full) || p.keeps(full) < p.least {
 		return nil, false, Undecided.New("the solver's answer breaks a rule")
 	}
 	return full, true, nil
 }
 
 // keeps counts what a full assignment keeps of the earlier answer.
-func (one *planner) keeps(full partial) int {
+func (p *planner) keeps(full partial) int {
 	count := 0
 	for place := range full {
 		for node, is := range full[place] {
 			if is == stands {
-				count += weightOf(one.kept, place, node)
+				count += weightOf(p.kept, place, node)
 			}
 		}
 	}
@@ -113,7 +113,7 @@
 }
 
 // atLeast adds that the weights of what holds reach a sum.
-func (encoded *encoding) atLeast(literals, weights []int, sum int) {
+func (e *encoding) atLeast(literals, weights []int, sum int) {
 	total := len(literals)
 	if weights != nil {
 		total = 0
@@ -125,14 +125,14 @@
 		return
 	}
 	if total < sum {
-		encoded.never = true
+		e.never = true
 		return
 	}
-	encoded.constraints = append(encoded.constraints, solver.GtEq(literals, weights, sum))
+	e.constraints = append(e.constraints, solver.GtEq(literals, weights, sum))
 }
 
 // atMost adds that the weights of what holds do not pass a sum.
-func (encoded *encoding) atMost(literals, weights []int, sum int) {
+func (e *encoding) atMost(literals, weights []int, sum int) {
 	total := len(literals)
 	var opposite, sizes []int
 	for _, literal := range literals {
@@ -145,44 +145,44 @@
 			total += weight
 		}
 	}
-	encoded.atLeast(opposite, sizes, total-sum)
+	e.atLeast(opposite, sizes, total-sum)
 }
 
 // copies adds that a variable has exactly its copies.
-func (encoded *encoding) copies(place int) {
-	missing := encoded.problem.variables[place].copies
+func (e *encoding) copies(place int) {
+	missing := e.problem.variables[place].copies
 	var free []int
-	for node, is := range encoded.settled[place] {
+	for node, is := range e.settled[place] {
 		if is == stands {
 			missing--
 		}
-		if number := encoded.number[place][node]; number > 0 {
+		if number := e.number[place][node]; number > 0 {
 			free = append(free, -number)
 		}
 	}
-	encoded.atMost(free, nil, missing)
-	encoded.atLeast(free, nil, missing)
+	e.atMost(free, nil, missing)
+	e.atLeast(free, nil, missing)
 }
 
 // load adds slots and memory of a node.
-func (encoded *encoding) load(node int) {
-	host := &encoded.problem.nodes[node]
+func (e *encoding) load(node int) {
+	host := &e.problem.nodes[node]
 	slots, memory := host.Slots, wide
 	if host.MemoryMB != nil {
 		memory = *host.MemoryMB
 	}
 	var free, sizes, weights []int
-	for place := range encoded.problem.variables {
-		size, weight := len(encoded.problem.variables[place].names), encoded.problem.variables[place].memory
-		if encoded.settled[place][node] == stands {
+	for place := range e.problem.variables {
+		size, weight := len(e.problem.variables[place].names), e.problem.variables[place].memory
+		if e.settled[place][node] == stands {
 			slots, memory = slots-size, memory-weight
 		}
-		if number := encoded.number[place][node]; number > 0 {
+		if number := e.number[place][node]; number > 0 {
 			free, sizes, weights = append(free, -number), append(sizes, size), append(weights, weight)
 		}
 	}
-	encoded.atMost(free, sizes, slots)
+	e.atMost(free, sizes, slots)
 	if host.MemoryMB != nil {
-		encoded.atMost(free, weights, memory)
+		e.atMost(free, weights, memory)
 	}
 }
--- a/internal/configuration/configcheck/configcheck.go
+++ b/internal/configuration/configcheck/configcheck.go
@@ -33,31 +33,31 @@
 	return checker, checker.renew()
 }
 
-func (checker *Checker) renew() error {
-	checker.context = cuecontext.New()
-	checker.uses = 0
-	value := checker.context.CompileString(schemaText)
+func (c *Checker) renew() error {
+	c.context = cuecontext.New()
+	c.uses = 0
+	value := c.context.CompileString(schemaText)
 	if err := value.Err(); err != nil {
 		return routeconfig.Unreadable.Wrap(err, "schema")
 	}
-	checker.schema = value.LookupPath(cue.ParsePath("#Configuration"))
-	return routeconfig.Unreadable.Wrap(checker.schema.Err(), "schema")
+	c.schema = value.LookupPath(cue.ParsePath("#Configuration"))
+	return routeconfig.Unreadable.Wrap(c.schema.Err(), "schema")
 }
 
 // Check gives the configuration or every finding against it.
-func (checker *Checker) Check(body []byte) (*routeconfig.Config, []string) {
+func (c *Checker) Check(body []byte) (*routeconfig.Config, []string) {
 	config, err := routeconfig.Parse(body)
 	if err != nil {
 		return nil, []string{err.Error()}
 	}
-	findings := checker.shape(body)
+	findings := c.shape(body)
 	findings = append(findings, crossing(config)...)
 	return config, findings
 }
 
-func (checker *Checker) shape(body []byte) []string {
-	if checker.uses++; checker.uses > usesBeforeRenewal {
-		if err := checker.renew(); err != nil {
+func (c *Checker) shape(body []byte) []string {
+	if c.uses++; c.uses > usesBeforeRenewal {
+		if err := c.renew(); err != nil {
 			return []string{err.Error()}
 		}
 	}
@@ -65,7 +65,7 @@
 	if err != nil {
 		return []string{"can't be read: " + err.Error()}
 	}
-	value := checker.context.BuildExpr(expression).Unify(checker.schema)
+	value := c.context.BuildExpr(expression).Unify(c.schema)
 	var findings []string
 	for _, one := range errors.Errors(value.Validate(cue.Concrete(true))) {
 		findings = append(findings, one.Error())
--- a/internal/configuration/configcheck/configcheck_test.go
+++ b/internal/configuration/configcheck/configcheck_test.go
@@ -12,13 +12,13 @@
 {"name":"b","host":"h.example","path-prefix":"/one/two/","route-kind":"effectful","cutoff-ms":100,"backend":"t","later":1}],
 "backends":[{"name":"s","probe":"/health","conn-limit":9},{"name":"t"}],"limits":{"max-header-bytes":100},"also-later":{}}`
 
-func TestFindings(test *testing.T) {
+func TestFindings(t *testing.T) {
 	checker, err := New()
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	if _, findings := checker.Check([]byte(sound)); len(findings) != 0 {
-		test.Fatal(findings)
+		t.Fatal(findings)
 	}
 	for name, change := range map[string][2]string{
 		"cut short":       {`"also-later":{}}`, ``},
@@ -35,12 +35,12 @@
 		"more behind":     {`"also-later":{}}`, `"also-later":{}} {}`},
 	} {
 		if _, findings := checker.Check([]byte(strings.Replace(sound, change[0], change[1], 1))); len(findings) == 0 {
-			test.Errorf("%s: nothing found", name)
+			t.Errorf("%s: nothing found", name)
 		}
 	}
 }
 
-func TestLongestPrefixWins(test *testing.T) {
+func TestLongestPrefixWins(t *testing.T) {
 	config, _ := routeconfig.Parse([]byte(sound))
 	for path, want := range map[string]string{"/one/x": "a", "/one/two/x": "b", "/one/two": "a", "/one": "", "/": ""} {
 		got := ""
@@ -48,7 +48,7 @@
 			got = route.Name
 		}
 		if got != want {
-			test.Errorf("%s: %q, want %q", path, got, want)
+			t.Errorf("%s: %q, want %q", path, got, want)
 		}
 	}
 	counts := map[string]int{}
@@ -56,6 +56,6 @@
 		counts[config.Routes[0].Choose(float64(draw)/100)]++
 	}
 	if counts["s"] != 90 || counts["t"] != 10 {
-		test.Error(counts)
+		t.Error(counts)
 	}
 }
--- a/internal/configuration/openapiimport/openapiimport_test.go
+++ b/internal/configuration/openapiimport/openapiimport_test.go
@@ -22,27 +22,27 @@
     post: {responses: {"201": {description: made}}}
 `
 
-func TestImport(test *testing.T) {
+func TestImport(t *testing.T) {
 	routes, findings, err := Import([]byte(document), Options{Backend: "s", CutoffMs: 1000})
 	if err != nil || len(findings) != 0 || len(routes) != 3 {
-		test.Fatal(routes, findings, err)
+		t.Fatal(routes, findings, err)
 	}
 	want := map[string]string{"/v1/answers/": "streaming", "/v1/orders/": "idempotent", "/v1/payments/": "effectful"}
 	for _, route := range routes {
 		if want[route.Prefix] != route.KindName || route.Host != "api.example" || route.Backend != "s" {
-			test.Error(route)
+			t.Error(route)
 		}
 	}
 }
 
-func TestWhatCantBeMappedIsNamed(test *testing.T) {
+func TestWhatCantBeMappedIsNamed(t *testing.T) {
 	text := strings.Replace(document, "/orders/{id}", "/{anything}", 1)
 	text = strings.Replace(text, `"https://api.example/v1"`, `"/"`, 1)
 	_, findings, err := Import([]byte(text), Options{})
 	if err != nil || len(findings) != 2 || !strings.Contains(findings[0], "--host") || !strings.Contains(findings[1], "/{anything}") {
-		test.Fatal(findings, err)
+		t.Fatal(findings, err)
 	}
 	if _, _, err = Import([]byte("nothing: here"), Options{}); err == nil {
-		test.Fatal("no document was taken")
+		t.Fatal("no document was taken")
 	}
 }
--- a/internal/configuration/routeconfig/routeconfig.go
+++ b/internal/configuration/routeconfig/routeconfig.go
@@ -107,8 +107,8 @@
 }
 
 // Encode writes the configuration as an operator sends it.
-func (config *Config) Encode() []byte {
-	body, err := json.Marshal(config)
+func (c *Config) Encode() []byte {
+	body, err := json.Marshal(c)
 	if err != nil {
 		// Numbers that are no numbers: nobody but a program can put them there.
 		panic(err)
@@ -123,12 +123,12 @@
 }
 
 // Match finds the route of a request; nil where there is none.
-func (config *Config) Match(host, path string) *Route {
+func (c *Config) Match(host, path string) *Route {
 	host = strings.ToLower(host)
-	routes, found := config.byHost[host]
+	routes, found := c.byHost[host]
 	if !found {
 		if bare, _, err := net.SplitHostPort(host); err == nil {
-			routes = config.byHost[bare]
+			routes = c.byHost[bare]
 		}
 	}
 	for _, route := range routes {
@@ -140,8 +140,8 @@
 }
 
 // RouteNamed finds the route of a host and prefix, or nil.
-func (config *Config) RouteNamed(host, prefix string) *Route {
-	for _, route := range config.byHost[strings.ToLower(host)] {
+func (c *Config) RouteNamed(host, prefix string) *Route {
+	for _, route := range c.byHost[strings.ToLower(host)] {
 		if route.Prefix == prefix {
 			return route
 		}
@@ -150,14 +150,14 @@
 }
 
 // Service finds a service by name, or nil.
-func (config *Config) Service(name string) *Service { return config.service[name] }
+func (c *Config) Service(name string) *Service { return c.service[name] }
 
 // Place is where the route stands; Match can't tell two routes of one place apart.
-func (route *Route) Place() string { return strings.ToLower(route.Host) + route.Prefix }
+func (r *Route) Place() string { return strings.ToLower(r.Host) + r.Prefix }
 
 // Kind says what may be repeated on the route.
-func (route *Route) Kind() messages.RouteKind {
-	switch route.KindName {
+func (r *Route) Kind() messages.RouteKind {
+	switch r.KindName {
 	case "idempotent":
 		return messages.RouteIdempotent
 	case "streaming":
@@ -170,17 +170,17 @@
 }
 
 // Choose draws the service of one request: draw lies in [0, 1).
-func (route *Route) Choose(draw float64) string {
-	if len(route.Weighted) == 0 {
-		return route.Backend
+func (r *Route) Choose(draw float64) string {
+	if len(r.Weighted) == 0 {
+		return r.Backend
 	}
 	total := 0.0
-	for _, share := range route.Weighted {
+	for _, share := range r.Weighted {
 		total += share.Share
 	}
 	draw *= total
 	chosen := ""
-	for _, share := range route.Weighted {
+	for _, share := range r.Weighted {
 		if share.Share <= 0 {
 			continue
 		}
@@ -194,12 +194,12 @@
 }
 
 // Services names the services that requests of the route may go to.
-func (route *Route) Services() []string {
-	if len(route.Weighted) == 0 {
-		return []string{route.Backend}
+func (r *Route) Services() []string {
+	if len(r.Weighted) == 0 {
+		return []string{r.Backend}
 	}
 	var names []string
-	for _, share := range route.Weighted {
+	for _, share := range r.Weighted {
 		if share.Share > 0 {
 			names = append(names, share.Backend)
 		}
@@ -208,26 +208,26 @@
 }
 
 // Cutoff is the longest the operator wants a request held.
-func (route *Route) Cutoff() clock.Span {
-	if route.CutoffMs <= 0 {
+func (r *Route) Cutoff() clock.Span {
+	if r.CutoffMs <= 0 {
 		return clock.Milliseconds(3_600_000)
 	}
-	return clock.Milliseconds(route.CutoffMs)
+	return clock.Milliseconds(r.CutoffMs)
 }
 
 // Retain is how long after its lot was sent an item may still be run.
-func (route *Route) Retain() clock.Span {
-	if route.RetainS <= 0 {
+func (r *Route) Retain() clock.Span {
+	if r.RetainS <= 0 {
 		// Not stated: nothing may be given up for its age.
 		return clock.Milliseconds(24 * 3_600_000)
 	}
-	return clock.Milliseconds(route.RetainS * 1000)
+	return clock.Milliseconds(r.RetainS * 1000)
 }
 
 // Setpoint is the time within which an answer earns its full worth.
-func (route *Route) Setpoint() clock.Span {
-	if route.SetpointMs <= 0 {
+func (r *Route) Setpoint() clock.Span {
+	if r.SetpointMs <= 0 {
 		return clock.Milliseconds(1000)
 	}
-	return clock.Milliseconds(route.SetpointMs)
+	return clock.Milliseconds(r.SetpointMs)
 }
--- a/internal/control/assignments/assignments.go
+++ b/internal/control/assignments/assignments.go
@@ -16,19 +16,19 @@
 }
 
 // Take puts a chosen plan in force, never one that is older than the present one.
-func (board *Board) Take(told messages.PlanTold) bool {
-	if told.Revision <= board.told.Revision {
+func (b *Board) Take(told messages.PlanTold) bool {
+	if told.Revision <= b.told.Revision {
 		return false
 	}
-	board.told = told
+	b.told = told
 	return true
 }
 
 // Told gives what is in force.
-func (board *Board) Told() messages.PlanTold { return board.told }
+func (b *Board) Told() messages.PlanTold { return b.told }
 
 // Revision is its number, 0 for none.
-func (board *Board) Revision() int64 { return board.told.Revision }
+func (b *Board) Revision() int64 { return b.told.Revision }
 
 // Next gives the window that starts next after a minute of the day.
 func Next(windows []messages.PlanWindow, minute int) (messages.PlanWindow, bool) {
--- a/internal/control/assignments/assignments_test.go
+++ b/internal/control/assignments/assignments_test.go
@@ -7,37 +7,37 @@
 	"lemonarch/internal/platform/messages"
 )
 
-func TestNeverGoesBack(test *testing.T) {
+func TestNeverGoesBack(t *testing.T) {
 	board := Board{}
 	for _, step := range []struct {
 		revision int64
 		taken    bool
 	}{{0, false}, {2, true}, {2, false}, {1, false}, {7, true}, {3, false}} {
 		if board.Take(messages.PlanTold{Revision: step.revision}) != step.taken {
-			test.Fatal(step)
+			t.Fatal(step)
 		}
 	}
 	if board.Revision() != 7 {
-		test.Fatal(board.Revision())
+		t.Fatal(board.Revision())
 	}
 }
 
-func TestNextWindow(test *testing.T) {
+func TestNextWindow(t *testing.T) {
 	windows := []messages.PlanWindow{{Name: "nightly", Starts: "22:30"}, {Name: "morning", Starts: "05:45"}, {Name: "early", Starts: "05:45"}}
 	for minute, want := range map[int]string{0: "early", 5*60 + 44: "early", 5*60 + 45: "nightly", 22*60 + 29: "nightly", 22*60 + 30: "early", 23*60 + 59: "early"} {
 		if next, found := Next(windows, minute); !found || next.Name != want {
-			test.Errorf("minute %d: %s, want %s", minute, next.Name, want)
+			t.Errorf("minute %d: %s, want %s", minute, next.Name, want)
 		}
 	}
 	if next, found := Next(windows[:1], 22*60+30); !found || next.Name != "nightly" {
-		test.Error("the only window does not come again tomorrow")
+		t.Error("the only window does not come again tomorrow")
 	}
 	if _, found := Next(nil, 0); found {
-		test.Error("a window where there is none")
+		t.Error("a window where there is none")
 	}
 }
 
-func TestStatus(test *testing.T) {
+func TestStatus(t *testing.T) {
 	told := &messages.PlanTold{Revision: 3, Generation: 9, Windows: []messages.PlanWindow{{Name: "nightly", Starts: "22:30"}}, Gone: []string{"n2"},
 		Places: []messages.PlanPlace{{Window: "nightly", Adapter: "a", Node: "n1"}, {Window: "nightly", Adapter: "b", Node: "n2"}}, Collisions: []string{"window nightly: rules r: why"}}
 	text := func(node string) string {
@@ -48,16 +48,16 @@
 		return lines
 	}
 	if got := text("n1"); got != "3|9|nightly 22:30||||COLLISION, the last answer stays in force: window nightly: rules r: why\n3|9|nightly 22:30|n1|nightly|a|in force\n" {
-		test.Fatal(got)
+		t.Fatal(got)
 	}
 	if got := text(""); !strings.Contains(got, "|n2|||gone\n") || !strings.Contains(got, "|n2|nightly|b|in force\n") {
-		test.Fatal(got)
+		t.Fatal(got)
 	}
 	told.Collisions = nil
 	if got := text("n7"); got != "3|9|nightly 22:30|n7|||carries nothing\n" {
-		test.Fatal(got)
+		t.Fatal(got)
 	}
 	if len(Status(&messages.PlanTold{}, "n1", 0).Rows) != 0 {
-		test.Fatal("something shown where nothing is in force")
+		t.Fatal("something shown where nothing is in force")
 	}
 }
--- a/internal/control/broadcast/backlog.go
+++ b/internal/control/broadcast/backlog.go
@@ -44,42 +44,42 @@
 
 // Add notes that a process has not confirmed a generation (0 for none) and the changes
 // of some workers. It is told once more after a pause.
-func (backlog *Backlog) Add(entry messages.Entry, generation int64, workers []string, pause clock.Span, now clock.Moment) {
+func (b *Backlog) Add(entry messages.Entry, generation int64, workers []string, pause clock.Span, now clock.Moment) {
 	key := membership.Key(entry)
-	one := backlog.pending[key]
+	one := b.pending[key]
 	if one == nil || one.entry.Life != entry.Life {
 		one = &pending{workers: map[string]bool{}}
-		backlog.pending[key] = one
+		b.pending[key] = one
 	}
 	one.entry = entry
 	one.generation = max(one.generation, generation)
 	for _, id := range workers {
 		one.workers[id] = true
 	}
-	backlog.added++
-	one.added = backlog.added
+	b.added++
+	one.added = b.added
 	one.pause, one.next = constants.BacklogPause, now.Plus(pause)
 }
 
 // Due gives the deliveries to be made now. Processes whose life is not in the directory
 // any more are dropped; what the directory says of their configurations counts.
-func (backlog *Backlog) Due(directory []messages.Entry, now clock.Moment) []Delivery {
+func (b *Backlog) Due(directory []messages.Entry, now clock.Moment) []Delivery {
 	present := map[string]messages.Entry{}
 	for _, entry := range directory {
 		present[membership.Key(entry)] = entry
 	}
 	var due []Delivery
-	for _, key := range backlog.keys() {
-		one := backlog.pending[key]
+	for _, key := range b.keys() {
+		one := b.pending[key]
 		entry, found := present[key]
 		if !found || entry.Life != one.entry.Life {
-			delete(backlog.pending, key)
+			delete(b.pending, key)
 			continue
 		}
 		if entry.Generation >= one.generation {
 			one.generation = 0
 		}
-		if backlog.settled(key) || now < one.next {
+		if b.settled(key) || now < one.next {
 			continue
 		}
 		one.next, one.pause = now.Plus(one.pause), min(2*one.pause, constants.BacklogPauseMost)
@@ -89,9 +89,9 @@
 }
 
 // Confirmed takes the confirmation of a delivery.
-func (backlog *Backlog) Confirmed(delivery Delivery) {
+func (b *Backlog) Confirmed(delivery Delivery) {
 	key := membership.Key(delivery.Entry)
-	one := backlog.pending[key]
+	one := b.pending[key]
 	if one == nil || one.entry.Life != delivery.Entry.Life || one.added != delivery.added {
 		return
 	}
@@ -101,25 +101,25 @@
 	for _, id := range delivery.Workers {
 		delete(one.workers, id)
 	}
-	backlog.settled(key)
+	b.settled(key)
 }
 
 // settled drops a process that has confirmed everything.
-func (backlog *Backlog) settled(key string) bool {
-	one := backlog.pending[key]
+func (b *Backlog) settled(key string) bool {
+	one := b.pending[key]
 	if one.generation > 0 || len(one.workers) > 0 {
 		return false
 	}
-	delete(backlog.pending, key)
+	delete(b.pending, key)
 	return true
 }
 
 // Names gives the processes that have not confirmed everything.
-func (backlog *Backlog) Names() []string { return backlog.keys() }
+func (b *Backlog) Names() []string { return b.keys() }
 
-func (backlog *Backlog) keys() []string {
-	keys := make([]string, 0, len(backlog.pending))
-	for key := range backlog.pending {
+func (b *Backlog) keys() []string {
+	keys := make([]string, 0, len(b.pending))
+	for key := range b.pending {
 		keys = append(keys, key)
 	}
 	sort.Strings(keys)
--- a/internal/control/broadcast/backlog_test.go
+++ b/internal/control/broadcast/backlog_test.go
@@ -22,8 +22,8 @@
 // TestBacklogTellsUntilConfirmed: whoever has not confirmed everything is named, and is
 // told at least once in BacklogPauseMost, until it confirms or its life leaves the
 // directory; a confirmation never covers what was added after its delivery was made.
-func TestBacklogTellsUntilConfirmed(test *testing.T) {
-	rapid.Check(test, func(check *rapid.T) {
+func TestBacklogTellsUntilConfirmed(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
 		backlog, now := broadcast.NewBacklog(), clock.Moment(1)
 		lives, model := map[string]messages.Entry{}, map[string]*owed{}
 		name := rapid.SampledFrom([]string{"p", "q", "r"})
@@ -36,22 +36,22 @@
 			}
 			return entries
 		}
-		check.Repeat(map[string]func(*rapid.T){
-			"start": func(check *rapid.T) {
-				one := name.Draw(check, "name")
+		rt.Repeat(map[string]func(*rapid.T){
+			"start": func(rt *rapid.T) {
+				one := name.Draw(rt, "name")
 				lives[one] = messages.Entry{Name: one, Role: membership.RoleGateway, Life: lives[one].Life + 1, Address: one}
 				delete(model, one)
 				for place := range sent {
 					stale[place] = stale[place] || sent[place].Entry.Name == one
 				}
 			},
-			"add": func(check *rapid.T) {
-				one := name.Draw(check, "name")
+			"add": func(rt *rapid.T) {
+				one := name.Draw(rt, "name")
 				entry, present := lives[one]
 				if !present {
 					return
 				}
-				generation, worker := int64(rapid.IntRange(0, 5).Draw(check, "generation")), fmt.Sprint(rapid.IntRange(0, 3).Draw(check, "worker"))
+				generation, worker := int64(rapid.IntRange(0, 5).Draw(rt, "generation")), fmt.Sprint(rapid.IntRange(0, 3).Draw(rt, "worker"))
 				backlog.Add(entry, generation, []string{worker}, constants.BacklogPause, now)
 				if model[one] == nil {
 					model[one] = &owed{workers: map[string]bool{}}
@@ -62,7 +62,7 @@
 					stale[place] = stale[place] || sent[place].Entry.Name == one
 				}
 			},
-			"due": func(check *rapid.T) {
+			"due": func(rt *rapid.T) {
 				now = now.Plus(constants.BacklogPauseMost)
 				due := map[string]broadcast.Delivery{}
 				for _, delivery := range backlog.Due(directory(), now) {
@@ -71,25 +71,25 @@
 				}
 				for one, debt := range model {
 					if delivery, told := due[one]; !told || delivery.Generation != debt.generation || len(delivery.Workers) != len(debt.workers) {
-						check.Fatalf("%s is owed %+v, and is told %+v", one, debt, delivery)
+						rt.Fatalf("%s is owed %+v, and is told %+v", one, debt, delivery)
 					}
 				}
 				if len(due) != len(model) {
-					check.Fatalf("told %v, owed %v", due, model)
+					rt.Fatalf("told %v, owed %v", due, model)
 				}
 			},
-			"confirm": func(check *rapid.T) {
+			"confirm": func(rt *rapid.T) {
 				if len(sent) == 0 {
 					return
 				}
-				place := rapid.IntRange(0, len(sent)-1).Draw(check, "delivery")
+				place := rapid.IntRange(0, len(sent)-1).Draw(rt, "delivery")
 				backlog.Confirmed(sent[place])
 				if !stale[place] {
 					delete(model, sent[place].Entry.Name)
 				}
 			},
-			"leave": func(check *rapid.T) {
-				one := name.Draw(check, "name")
+			"leave": func(rt *rapid.T) {
+				one := name.Draw(rt, "name")
 				lives[one] = messages.Entry{Name: one, Role: membership.RoleGateway, Life: lives[one].Life + 1, Address: one}
 				backlog.Due(directory(), now)
 				delete(model, one)
@@ -97,14 +97,14 @@
 					stale[place] = stale[place] || sent[place].Entry.Name == one
 				}
 			},
-			"": func(check *rapid.T) {
+			"": func(rt *rapid.T) {
 				for one := range model {
 					named := false
 					for _, key := range backlog.Names() {
 						named = named || key == membership.RoleGateway+"/"+one
 					}
 					if !named {
-						check.Fatalf("%s is not named", one)
+						rt.Fatalf("%s is not named", one)
 					}
 				}
 			},
--- a/internal/control/broadcast/broadcast.go
+++ b/internal/control/broadcast/broadcast.go
@@ -118,9 +118,9 @@
 // fresh tells whether a process was heard lately: only then is it waited for.
 func fresh(entry messages.Entry) bool { return entry.AgeMs < constants.SilentAfter.Milliseconds() }
 
-func (job *Job) zones() []string {
+func (j *Job) zones() []string {
 	var zones []string
-	for zone := range job.branches {
+	for zone := range j.branches {
 		zones = append(zones, zone)
 	}
 	sort.Strings(zones)
@@ -128,18 +128,18 @@
 }
 
 // tell makes the sends that tell processes directly, or through a few of them.
-func (job *Job) tell(processes []messages.Entry) []Send {
+func (j *Job) tell(processes []messages.Entry) []Send {
 	var counts, silent []messages.Entry
 	for _, entry := range processes {
 		if fresh(entry) {
 			counts = append(counts, entry)
-			job.open[entry.Address] = true
+			j.open[entry.Address] = true
 		} else {
 			silent = append(silent, entry)
 		}
 	}
 	var sends []Send
-	if job.fan == 0 {
+	if j.fan == 0 {
 		for _, entry := range counts {
 			sends = append(sends, Send{Step: StepTell, Address: entry.Address})
 		}
@@ -148,10 +148,10 @@
 		for _, entry := range counts {
 			addresses = append(addresses, entry.Address)
 		}
-		sends = Split(addresses, job.fan)
+		sends = Split(addresses, j.fan)
 		for _, send := range sends {
 			for _, address := range send.Pass {
-				delete(job.open, address)
+				delete(j.open, address)
 			}
 		}
 	}
@@ -177,13 +177,13 @@
 }
 
 // next asks a zone's next controller, or tells its processes where none is left.
-func (job *Job) next(one *branch, zone string, now clock.Moment) []Send {
+func (j *Job) next(one *branch, zone string, now clock.Moment) []Send {
 	if one.settled {
 		return nil
 	}
 	if len(one.controllers) == 0 {
 		one.settled, one.relay = true, ""
-		return job.tell(one.processes)
+		return j.tell(one.processes)
 	}
 	var expect []uint32
 	for _, entry := range one.processes {
--- a/internal/control/broadcast/broadcast_test.go
+++ b/internal/control/broadcast/broadcast_test.go
@@ -15,8 +15,8 @@
 	return messages.Worker{ID: id, Backend: "s", Address: id + ":1", Zone: "h0", Capacity: 16, Phase: phase, Count: count}
 }
 
-func (one *fleet) controllers() (found []*node) {
-	for _, here := range one.nodes {
+func (f *fleet) controllers() (found []*node) {
+	for _, here := range f.nodes {
 		if here.own.Role == membership.RoleController {
 			found = append(found, here)
 		}
@@ -25,9 +25,9 @@
 }
 
 // trouble hits some controllers and some others, and gives who is no longer in touch.
-func (one *fleet) trouble(kind int, keep *node) map[*node]bool {
+func (f *fleet) trouble(kind int, keep *node) map[*node]bool {
 	out := map[*node]bool{}
-	controllers := one.controllers()
+	controllers := f.controllers()
 	hit := func(here *node) {
 		if here != keep {
 			here.down = true
@@ -37,7 +37,7 @@
 	switch kind {
 	case 1:
 		// Both controllers of one zone, at once and without notice.
-		zone := one.Random.Intn(4)
+		zone := f.Random.Intn(4)
 		for _, here := range controllers {
 			if here.own.Zone == fmt.Sprint("h", zone) {
 				hit(here)
@@ -45,17 +45,17 @@
 		}
 	case 2:
 		// One controller of each of two zones.
-		hit(controllers[one.Random.Intn(len(controllers)/2)])
-		hit(controllers[len(controllers)/2+one.Random.Intn(len(controllers)/2)])
+		hit(controllers[f.Random.Intn(len(controllers)/2)])
+		hit(controllers[len(controllers)/2+f.Random.Intn(len(controllers)/2)])
 	case 3:
 		// A controller hears the rest and is not heard: it is out, the rest is not.
-		here := controllers[one.Random.Intn(len(controllers))]
+		here := controllers[f.Random.Intn(len(controllers))]
 		if here == keep {
 			return out
 		}
 		out[here] = true
-		for _, other := range one.nodes {
-			one.Cut(here.own.Address, other.own.Address, true)
+		for _, other := range f.nodes {
+			f.Cut(here.own.Address, other.own.Address, true)
 		}
 	case 4:
 		// Two controllers can't reach a tenth of the fleet, which others can.
@@ -63,9 +63,9 @@
 			if here == keep {
 				continue
 			}
-			for place, other := range one.nodes {
+			for place, other := range f.nodes {
 				if place%10 == 3 && other.own.Role != membership.RoleController {
-					one.Cut(here.own.Address, other.own.Address, true)
+					f.Cut(here.own.Address, other.own.Address, true)
 				}
 			}
 		}
@@ -75,8 +75,8 @@
 
 // A drain is known at every process in touch before it is acknowledged, whichever
 // controllers are lost or half cut off in that moment, and never later than the bound.
-func TestDrainBindsFromItsAcknowledgement(test *testing.T) {
-	test.Parallel()
+func TestDrainBindsFromItsAcknowledgement(t *testing.T) {
+	t.Parallel()
 	for _, gateways := range []int{4, 20} {
 		for seed := int64(1); seed <= 10; seed++ {
 			one := newFleet(seed, 4, 2, 2, gateways)
@@ -86,25 +86,25 @@
 			one.Run(one.Now.Plus(4 * constants.ShufflePeriod))
 			for _, here := range one.nodes {
 				if _, known := here.registry.Get("w"); !known {
-					test.Fatalf("seed %d: %s never learnt of the worker", seed, here.own.Address)
+					t.Fatalf("seed %d: %s never learnt of the worker", seed, here.own.Address)
 				}
 			}
 			out := one.trouble(int(seed%5), taker)
 			worker, asked, acknowledged := steady("w", 2, messages.PhaseDraining), one.Now, clock.Moment(0)
 			if !taker.registry.Beat(worker, one.Now) {
-				test.Fatal("no change")
+				t.Fatal("no change")
 			}
 			taker.spread(&messages.Relay{Workers: []messages.Worker{worker}}, constants.TreeTime, func() {
 				acknowledged = one.Now
 				for _, here := range one.nodes {
 					if got, _ := here.registry.Get("w"); got.Phase != messages.PhaseDraining && !out[here] {
-						test.Fatalf("seed %d, trouble %d: %s does not know at the acknowledgement, %v later; asked %s", seed, seed%5, here.own.Address, one.Now.Since(asked), taker.own.Address)
+						t.Fatalf("seed %d, trouble %d: %s does not know at the acknowledgement, %v later; asked %s", seed, seed%5, here.own.Address, one.Now.Since(asked), taker.own.Address)
 					}
 				}
 			})
 			one.Run(one.Now.Plus(2 * constants.ShufflePeriod))
 			if acknowledged == 0 || acknowledged.Since(asked) > 1_000_000_000 {
-				test.Fatalf("seed %d: acknowledged after %v", seed, acknowledged.Since(asked))
+				t.Fatalf("seed %d: acknowledged after %v", seed, acknowledged.Since(asked))
 			}
 		}
 	}
@@ -112,8 +112,8 @@
 
 // On a network that loses calls, what the tree missed is pulled within the time that a
 // worker serves on after its drain.
-func TestMissedChangesArePulled(test *testing.T) {
-	test.Parallel()
+func TestMissedChangesArePulled(t *testing.T) {
+	t.Parallel()
 	for seed := int64(1); seed <= 10; seed++ {
 		one := newFleet(seed, 4, 2, 2, 10)
 		one.Run(clock.Moment(0).Plus(6 * constants.ShufflePeriod))
@@ -125,7 +125,7 @@
 		one.Run(one.Now.Plus(2500 * 1_000_000))
 		for _, here := range one.nodes {
 			if got, _ := here.registry.Get("w"); got.Phase != messages.PhaseDraining {
-				test.Fatalf("seed %d: %s", seed, here.own.Address)
+				t.Fatalf("seed %d: %s", seed, here.own.Address)
 			}
 		}
 	}
@@ -133,8 +133,8 @@
 
 // Every acknowledged configuration is in force at each process in touch within the
 // bound, under the same troubles and on a lossy network, and nobody ever goes back.
-func TestConfigurationsConverge(test *testing.T) {
-	test.Parallel()
+func TestConfigurationsConverge(t *testing.T) {
+	t.Parallel()
 	for seed := int64(1); seed <= 10; seed++ {
 		one := newFleet(seed, 4, 2, 3, 20)
 		one.Run(clock.Moment(0).Plus(6 * constants.ShufflePeriod))
@@ -155,14 +155,14 @@
 			one.Run(acknowledged.Plus(2500 * 1_000_000))
 			for _, here := range one.nodes {
 				if here.config != generation && !out[here] {
-					test.Fatalf("seed %d, trouble %d, generation %d: %s follows %d", seed, seed%5, generation, here.own.Address, here.config)
+					t.Fatalf("seed %d, trouble %d, generation %d: %s follows %d", seed, seed%5, generation, here.own.Address, here.config)
 				}
 			}
 		}
 		for _, here := range one.nodes {
 			for place := 1; place < len(here.taken); place++ {
 				if here.taken[place] <= here.taken[place-1] {
-					test.Fatalf("%s went back: %v", here.own.Address, here.taken)
+					t.Fatalf("%s went back: %v", here.own.Address, here.taken)
 				}
 			}
 		}
@@ -170,8 +170,8 @@
 }
 
 // Silence of a worker is told, that of a controller is not taken for one of its workers.
-func TestSilentWorkersAreToldAndOthersNotDoubted(test *testing.T) {
-	test.Parallel()
+func TestSilentWorkersAreToldAndOthersNotDoubted(t *testing.T) {
+	t.Parallel()
 	one := newFleet(3, 4, 2, 2, 10)
 	one.Run(clock.Moment(0).Plus(5 * constants.ShufflePeriod))
 	count, crashed := int64(0), false
@@ -210,7 +210,7 @@
 					continue
 				}
 				if got := here.registry.Standing(fmt.Sprint("w", place), one.Now, true); got < want || (place != 7 && got != want) {
-					test.Fatalf("second %d: %s takes w%d for %v", second, here.own.Address, place, got)
+					t.Fatalf("second %d: %s takes w%d for %v", second, here.own.Address, place, got)
 				}
 			}
 		}
--- a/internal/control/broadcast/control_test.go
+++ b/internal/control/broadcast/control_test.go
@@ -24,115 +24,115 @@
 
 // startControl makes the first controllers, five at most, the acceptors, and starts the
 // loops of the lease, the backlog and the second reports.
-func (one *fleet) startControl() {
+func (f *fleet) startControl() {
 	sets := messages.Register{}
-	for _, here := range one.controllers() {
+	for _, here := range f.controllers() {
 		if len(sets.Acceptors) < 5 {
 			sets.Acceptors = append(sets.Acceptors, messages.Member{Address: here.own.Address})
 		}
 	}
-	for _, here := range one.nodes {
+	for _, here := range f.nodes {
 		here.control.lease, here.control.sets, here.control.backlog = contact.New(), sets, broadcast.NewBacklog()
-		phase := func(period clock.Span) clock.Span { return clock.Span(one.Random.Int63n(int64(period))) }
+		phase := func(period clock.Span) clock.Span { return clock.Span(f.Random.Int63n(int64(period))) }
 		if here.own.Role == membership.RoleController {
-			one.every(here, phase(constants.ContactPeriod), constants.ContactPeriod, here.contactRound)
-			one.every(here, phase(constants.BacklogPeriod), constants.BacklogPeriod, here.tendBacklog)
+			f.every(here, phase(constants.ContactPeriod), constants.ContactPeriod, here.contactRound)
+			f.every(here, phase(constants.BacklogPeriod), constants.BacklogPeriod, here.tendBacklog)
 		} else {
-			one.every(here, phase(constants.SecondReportPeriod), constants.SecondReportPeriod, func() {
-				here.report(here.view.SecondControllers(here.control.first, one.Now), 3, true)
+			f.every(here, phase(constants.SecondReportPeriod), constants.SecondReportPeriod, func() {
+				here.report(here.view.SecondControllers(here.control.first, f.Now), 3, true)
 			})
 		}
 	}
 }
 
-func (one *fleet) every(here *node, first, period clock.Span, function func()) {
-	one.After(first, func() {
+func (f *fleet) every(here *node, first, period clock.Span, function func()) {
+	f.After(first, func() {
 		if !here.down {
 			function()
 		}
-		one.every(here, period, period, function)
+		f.every(here, period, period, function)
 	})
 }
 
-func (here *node) attached() bool {
-	return here.control.lease.Valid(&here.control.sets, here.fleet.Now)
+func (n *node) attached() bool {
+	return n.control.lease.Valid(&n.control.sets, n.fleet.Now)
 }
 
-func (here *node) contactRound() {
-	asked := here.fleet.Now
-	for _, member := range here.control.sets.Acceptors {
-		if member.Address == here.own.Address {
-			here.contactAnswered(member, asked, here.control.accepted)
+func (n *node) contactRound() {
+	asked := n.fleet.Now
+	for _, member := range n.control.sets.Acceptors {
+		if member.Address == n.own.Address {
+			n.contactAnswered(member, asked, n.control.accepted)
 			continue
 		}
-		here.call(member.Address, &messages.ContactAsk{}, constants.ContactTime, func(answer transport.Writable, failed bool) {
+		n.call(member.Address, &messages.ContactAsk{}, constants.ContactTime, func(answer transport.Writable, failed bool) {
 			if !failed {
-				here.contactAnswered(member, asked, answer.(*messages.ContactTold).Generation)
+				n.contactAnswered(member, asked, answer.(*messages.ContactTold).Generation)
 			}
 		})
 	}
 }
 
-func (here *node) contactAnswered(member messages.Member, asked clock.Moment, accepted int64) {
-	if !here.control.lease.Answered(member, asked, contact.Followed{Generation: accepted}, contact.Followed{Generation: here.config}) || here.control.catching {
+func (n *node) contactAnswered(member messages.Member, asked clock.Moment, accepted int64) {
+	if !n.control.lease.Answered(member, asked, contact.Followed{Generation: accepted}, contact.Followed{Generation: n.config}) || n.control.catching {
 		return
 	}
-	here.control.catching = true
-	here.fleet.After(constants.PushTime/2, func() {
-		here.control.catching = false
-		here.pull(accepted, member.Address)
+	n.control.catching = true
+	n.fleet.After(constants.PushTime/2, func() {
+		n.control.catching = false
+		n.pull(accepted, member.Address)
 	})
 }
 
-func (here *node) owe(update *messages.Relay, entries []messages.Entry, pause clock.Span) {
+func (n *node) owe(update *messages.Relay, entries []messages.Entry, pause clock.Span) {
 	var ids []string
 	for _, worker := range update.Workers {
 		ids = append(ids, worker.ID)
 	}
 	for _, entry := range entries {
-		here.control.backlog.Add(entry, update.Generation, ids, pause, here.fleet.Now)
+		n.control.backlog.Add(entry, update.Generation, ids, pause, n.fleet.Now)
 	}
 }
 
-func (here *node) tendBacklog() {
-	for _, delivery := range here.control.backlog.Due(here.view.All("", here.fleet.Now), here.fleet.Now) {
-		here.redeliver(delivery)
+func (n *node) tendBacklog() {
+	for _, delivery := range n.control.backlog.Due(n.view.All("", n.fleet.Now), n.fleet.Now) {
+		n.redeliver(delivery)
 	}
 }
 
-func (here *node) redeliver(delivery broadcast.Delivery) {
+func (n *node) redeliver(delivery broadcast.Delivery) {
 	var message transport.Writable = &messages.ConfigPush{Generation: delivery.Generation}
 	if len(delivery.Workers) > 0 {
 		push := &messages.RosterPush{}
 		for _, id := range delivery.Workers {
-			worker, _ := here.registry.Get(id)
+			worker, _ := n.registry.Get(id)
 			push.Workers = append(push.Workers, worker)
 		}
 		message = push
 	}
-	here.call(delivery.Entry.Address, message, constants.CallTime, func(answer transport.Writable, failed bool) {
+	n.call(delivery.Entry.Address, message, constants.CallTime, func(answer transport.Writable, failed bool) {
 		if !failed && answer.(*messages.Nothing).Taken {
-			here.control.backlog.Confirmed(delivery)
+			n.control.backlog.Confirmed(delivery)
 		}
 	})
 }
 
 // majority has a message taken by a majority of the acceptors; done runs once it was.
-func (here *node) majority(message transport.Writable, done func()) {
+func (n *node) majority(message transport.Writable, done func()) {
 	answered, ended := map[string]bool{}, false
 	took := func(member messages.Member) {
 		answered[register.Identity(member)] = true
-		if !ended && register.Quorum(&here.control.sets, answered) {
+		if !ended && register.Quorum(&n.control.sets, answered) {
 			ended = true
 			done()
 		}
 	}
-	for _, member := range here.control.sets.Acceptors {
-		if member.Address == here.own.Address {
-			here.answer(message, func(transport.Writable) { took(member) })
+	for _, member := range n.control.sets.Acceptors {
+		if member.Address == n.own.Address {
+			n.answer(message, func(transport.Writable) { took(member) })
 			continue
 		}
-		here.call(member.Address, message, constants.RoundTime, func(_ transport.Writable, failed bool) {
+		n.call(member.Address, message, constants.RoundTime, func(_ transport.Writable, failed bool) {
 			if !failed {
 				took(member)
 			}
@@ -142,35 +142,35 @@
 
 // order is an operator's call at this controller: acknowledged runs if it is answered
 // with 200.
-func (here *node) order(generation int64, acknowledged func()) {
-	if !here.attached() {
+func (n *node) order(generation int64, acknowledged func()) {
+	if !n.attached() {
 		return
 	}
-	here.majority(&messages.Accept{Value: messages.Register{Current: messages.Version{Generation: generation}}}, func() {
-		here.take(generation)
-		here.spread(&messages.Relay{Generation: generation, Body: body}, constants.PushTime, acknowledged)
+	n.majority(&messages.Accept{Value: messages.Register{Current: messages.Version{Generation: generation}}}, func() {
+		n.take(generation)
+		n.spread(&messages.Relay{Generation: generation, Body: body}, constants.PushTime, acknowledged)
 	})
 }
 
 // bind is a worker's drain at this controller: acknowledged runs if it is answered with
 // 200.
-func (here *node) bind(worker messages.Worker, acknowledged func()) {
-	if !here.attached() {
+func (n *node) bind(worker messages.Worker, acknowledged func()) {
+	if !n.attached() {
 		return
 	}
-	here.registry.Beat(worker, here.fleet.Now)
-	worker, _ = here.registry.Get(worker.ID)
+	n.registry.Beat(worker, n.fleet.Now)
+	worker, _ = n.registry.Get(worker.ID)
 	kept, told := false, false
 	end := func() {
 		if kept && told {
 			acknowledged()
 		}
 	}
-	here.majority(&messages.WorkersKeep{Workers: []messages.Worker{worker}}, func() {
+	n.majority(&messages.WorkersKeep{Workers: []messages.Worker{worker}}, func() {
 		kept = true
 		end()
 	})
-	here.spread(&messages.Relay{Workers: []messages.Worker{worker}}, constants.TreeTime, func() {
+	n.spread(&messages.Relay{Workers: []messages.Worker{worker}}, constants.TreeTime, func() {
 		told = true
 		end()
 	})
--- a/internal/control/broadcast/cost_test.go
+++ b/internal/control/broadcast/cost_test.go
@@ -60,8 +60,8 @@
 // Exchanges on membership and workers cost a gateway or a store no more than a
 // logarithm when the fleet grows from 24 to 392 processes with workers in proportion. A
 // controller's grows with the processes and workers that report to it, by a few bytes each.
-func TestCostANodeIsFlat(test *testing.T) {
-	test.Parallel()
+func TestCostANodeIsFlat(t *testing.T) {
+	t.Parallel()
 	sizes := []struct{ gateways, stores, workerList int }{{3, 1, 18}, {19, 4, 75}, {80, 16, 300}}
 	costs := []map[string]cost{}
 	for _, size := range sizes {
@@ -69,7 +69,7 @@
 		costs = append(costs, found)
 		for _, role := range simulation.Keys(found) {
 			one := found[role]
-			test.Logf("processes %d, workers %d: a %s sends %.1f messages, %.0f bytes, %.0f of them to other zones, each second",
+			t.Logf("processes %d, workers %d: a %s sends %.1f messages, %.0f bytes, %.0f of them to other zones, each second",
 				4*(2+size.gateways+size.stores), size.workerList, role, one.messages, one.bytes, one.far)
 		}
 	}
@@ -77,15 +77,15 @@
 	logarithm := math.Log2(392) / math.Log2(24)
 	for _, role := range []string{membership.RoleGateway, membership.RoleStore} {
 		if large[role].messages > 1.1*small[role].messages || large[role].far > 1.1*small[role].far+1 {
-			test.Errorf("a %s: %+v grew to %+v", role, small[role], large[role])
+			t.Errorf("a %s: %+v grew to %+v", role, small[role], large[role])
 		}
 	}
 	// Whose ages are asked is the bounded view: stores know all stores besides.
 	if large[membership.RoleGateway].bytes > 1.5*logarithm*small[membership.RoleGateway].bytes {
-		test.Errorf("a gateway: %+v grew to %+v", small[membership.RoleGateway], large[membership.RoleGateway])
+		t.Errorf("a gateway: %+v grew to %+v", small[membership.RoleGateway], large[membership.RoleGateway])
 	}
 	controller := large[membership.RoleController]
 	if reports := 392.0 / 8; controller.messages > 40+1.5*reports || controller.far > 8*4*(300+392) {
-		test.Errorf("a controller: %+v", controller)
+		t.Errorf("a controller: %+v", controller)
 	}
 }
