--- a/internal/control/broadcast/cut_test.go
+++ b/internal/control/broadcast/cut_test.go
@@ -57,41 +57,41 @@
 }
 
 // apply cuts the controller off, or joins it again.
-func (one *cut) apply(on bool) {
-	if one.how == frozen {
-		one.hit.down = on
+func (c *cut) apply(on bool) {
+	if c.how == frozen {
+		c.hit.down = on
 		return
 	}
-	for _, other := range one.fleet.nodes {
-		if other == one.hit || (one.how != fromAll && other.own.Role != membership.RoleController) {
+	for _, other := range c.fleet.nodes {
+		if other == c.hit || (c.how != fromAll && other.own.Role != membership.RoleController) {
 			continue
 		}
-		if one.how != deaf {
-			one.fleet.Cut(one.hit.own.Address, other.own.Address, on)
+		if c.how != deaf {
+			c.fleet.Cut(c.hit.own.Address, other.own.Address, on)
 		}
-		if one.how != unheard {
-			one.fleet.Cut(other.own.Address, one.hit.own.Address, on)
+		if c.how != unheard {
+			c.fleet.Cut(other.own.Address, c.hit.own.Address, on)
 		}
 	}
 }
 
 // excused tells whether a process need not know: only the one that is cut off itself.
-func (one *cut) excused(here *node) bool { return here == one.hit }
+func (c *cut) excused(here *node) bool { return here == c.hit }
 
 // order sends a change of the configuration to a controller drawn by lot, and to the
 // next until one confirms it.
-func (one *cut) order() {
-	one.newest++
-	generation, taker := one.newest, one.draw()
+func (c *cut) order() {
+	c.newest++
+	generation, taker := c.newest, c.draw()
 	taker.order(generation, func() {
-		one.acks++
-		if taker == one.hit && one.began > 0 && one.fleet.Now.Since(one.began) > constants.ContactLease+constants.PushTime {
-			one.test.Errorf("%s: a controller that is cut off confirmed generation %d", one.name, generation)
+		c.acks++
+		if taker == c.hit && c.began > 0 && c.fleet.Now.Since(c.began) > constants.ContactLease+constants.PushTime {
+			c.test.Errorf("%s: a controller that is cut off confirmed generation %d", c.name, generation)
 		}
-		one.fleet.After(convergeBound, func() {
-			for _, here := range one.fleet.nodes {
-				if here.config < generation && !one.excused(here) {
-					one.test.Errorf("%s: %s follows %d, %d was confirmed by %s", one.name, here.own.Address, here.config, generation, taker.own.Address)
+		c.fleet.After(convergeBound, func() {
+			for _, here := range c.fleet.nodes {
+				if here.config < generation && !c.excused(here) {
+					c.test.Errorf("%s: %s follows %d, %d was confirmed by %s", c.name, here.own.Address, here.config, generation, taker.own.Address)
 				}
 			}
 		})
@@ -99,20 +99,20 @@
 }
 
 // drain registers a worker, and has it drain a little later.
-func (one *cut) drain() {
-	one.worker++
-	id, first, taker := fmt.Sprint("w", one.worker), one.draw(), one.draw()
-	if !first.attached() || !first.registry.Beat(steady(id, 1, messages.PhaseSteady), one.fleet.Now) {
+func (c *cut) drain() {
+	c.worker++
+	id, first, taker := fmt.Sprint("w", c.worker), c.draw(), c.draw()
+	if !first.attached() || !first.registry.Beat(steady(id, 1, messages.PhaseSteady), c.fleet.Now) {
 		return
 	}
 	first.spread(&messages.Relay{Workers: []messages.Worker{steady(id, 1, messages.PhaseSteady)}}, constants.TreeTime, func() {})
-	one.fleet.After(second, func() {
+	c.fleet.After(second, func() {
 		taker.bind(steady(id, 2, messages.PhaseDraining), func() {
-			one.acks++
-			one.fleet.After(drainBound, func() {
-				for _, here := range one.fleet.nodes {
-					if got, known := here.registry.Get(id); known && got.Phase != messages.PhaseDraining && !one.excused(here) {
-						one.test.Errorf("%s: %s does not know that %s drains, acknowledged by %s", one.name, here.own.Address, id, taker.own.Address)
+			c.acks++
+			c.fleet.After(drainBound, func() {
+				for _, here := range c.fleet.nodes {
+					if got, known := here.registry.Get(id); known && got.Phase != messages.PhaseDraining && !c.excused(here) {
+						c.test.Errorf("%s: %s does not know that %s drains, acknowledged by %s", c.name, here.own.Address, id, taker.own.Address)
 					}
 				}
 			})
@@ -120,83 +120,83 @@
 	})
 }
 
-func (one *cut) draw() *node {
-	controllers := one.fleet.controllers()
-	taker := controllers[one.fleet.Random.Intn(len(controllers))]
+func (c *cut) draw() *node {
+	controllers := c.fleet.controllers()
+	taker := controllers[c.fleet.Random.Intn(len(controllers))]
 	for taker.down {
-		taker = controllers[one.fleet.Random.Intn(len(controllers))]
+		taker = controllers[c.fleet.Random.Intn(len(controllers))]
 	}
 	return taker
 }
 
 // knowsAll checks that every controller in touch takes every live process for live.
-func (one *cut) knowsAll() {
-	for _, here := range one.fleet.controllers() {
-		if one.excused(here) {
+func (c *cut) knowsAll() {
+	for _, here := range c.fleet.controllers() {
+		if c.excused(here) {
 			continue
 		}
 		live := map[string]bool{}
-		for _, entry := range here.view.Live("", one.fleet.Now) {
+		for _, entry := range here.view.Live("", c.fleet.Now) {
 			live[entry.Address] = true
 		}
-		for _, other := range one.fleet.nodes {
-			if other != here && !one.excused(other) && !live[other.own.Address] {
-				one.test.Errorf("%s: at %v %s takes %s for silent", one.name, one.fleet.Now, here.own.Address, other.own.Address)
+		for _, other := range c.fleet.nodes {
+			if other != here && !c.excused(other) && !live[other.own.Address] {
+				c.test.Errorf("%s: at %v %s takes %s for silent", c.name, c.fleet.Now, here.own.Address, other.own.Address)
 			}
 		}
 	}
 }
 
 // leftAlone checks that nobody goes on reporting to a controller that has lost contact.
-func (one *cut) leftAlone() {
+func (c *cut) leftAlone() {
 	bound := constants.ContactLease + constants.ShufflePeriod + 2*constants.ReportTime
-	if one.began == 0 || one.fleet.Now.Since(one.began) < bound {
+	if c.began == 0 || c.fleet.Now.Since(c.began) < bound {
 		return
 	}
-	for _, here := range one.fleet.nodes {
-		if here.control.first == one.hit.own.Address && here != one.hit {
-			one.test.Errorf("%s: %s still reports to it after %v", one.name, here.own.Address, one.fleet.Now.Since(one.began))
+	for _, here := range c.fleet.nodes {
+		if here.control.first == c.hit.own.Address && here != c.hit {
+			c.test.Errorf("%s: %s still reports to it after %v", c.name, here.own.Address, c.fleet.Now.Since(c.began))
 		}
 	}
 }
 
 // play runs one cut of a length, with orders and drains from before it until after it.
-func (one *cut) play(length clock.Span) {
-	fleet := one.fleet
+func (c *cut) play(length clock.Span) {
+	fleet := c.fleet
 	fleet.Run(clock.Moment(0).Plus(6 * second))
 	end := fleet.Now.Plus(length + 6*second)
 	var orders, drains, looks func()
 	repeat := func(period clock.Span, function func(), next *func()) {
 		*next = func() {
-			if fleet.Now < end && !one.test.Failed() {
+			if fleet.Now < end && !c.test.Failed() {
 				function()
 				fleet.After(period, *next)
 			}
 		}
 		fleet.After(period, *next)
 	}
-	repeat(700_000_000, one.order, &orders)
-	repeat(1_100_000_000, one.drain, &drains)
+	repeat(700_000_000, c.order, &orders)
+	repeat(1_100_000_000, c.drain, &drains)
 	repeat(500_000_000, func() {
-		one.knowsAll()
-		one.leftAlone()
+		c.knowsAll()
+		c.leftAlone()
 	}, &looks)
 	fleet.After(2*second, func() {
-		one.began = fleet.Now
-		one.apply(true)
+		c.began = fleet.Now
+		c.apply(true)
 		fleet.After(length, func() {
-			one.began = 0
-			one.apply(false)
+			c.began = 0
+			c.apply(false)
 		})
 	})
 	fleet.Run(end.Plus(convergeBound + second))
 	for _, here := range fleet.nodes {
-		if here.config < one.hit.config || one.hit.config < here.config {
-			one.test.Errorf("%s: at the end %s follows %d, the one that was cut off %d", one.name, here.own.Address, here.config, one.hit.config)
+		if here.config < c.hit.config || c.hit.config < here.config {
+			c.test.Errorf("%s: at the end %s follows %d, the one that was cut off %d", c.name, here.own.Address, here.config, c.hit.config)
 		}
 	}
-	if one.acks == 0 {
-		one.test.Errorf("%s: nothing was acknowledged", one.name)
+	if c.acks == 0 {
+		c.test.Errorf("%s: nothing was acknowledged", c.name)
 	}
 }
 
@@ -204,15 +204,15 @@
 // from all or frozen, for 1 to 60 s, with 3, 5 or 8 controllers: what is acknowledged
 // meanwhile is known at each process in touch within its bound, no live process is taken
 // for silent, nobody goes on reporting to the one that is cut off, and it confirms nothing.
-func TestOneControllerCutOff(test *testing.T) {
-	test.Parallel()
+func TestOneControllerCutOff(t *testing.T) {
+	t.Parallel()
 	sizes := []struct{ zones, controllers int }{{3, 1}, {5, 1}, {4, 2}}
 	for seed := 1; seed <= seeds(1); seed++ {
 		for _, size := range sizes {
 			for place := 0; place < size.zones*size.controllers; place++ {
-				test.Run(fmt.Sprintf("seed %d, %d controllers, number %d", seed, size.zones*size.controllers, place), func(test *testing.T) {
-					test.Parallel()
-					playCuts(test, int64(seed), size.zones, size.controllers, place)
+				t.Run(fmt.Sprintf("seed %d, %d controllers, number %d", seed, size.zones*size.controllers, place), func(t *testing.T) {
+					t.Parallel()
+					playCuts(t, int64(seed), size.zones, size.controllers, place)
 				})
 			}
 		}
@@ -220,18 +220,18 @@
 }
 
 // playCuts cuts one controller off in each direction, for each length.
-func playCuts(test *testing.T, seed int64, zones, controllers, place int) {
+func playCuts(t *testing.T, seed int64, zones, controllers, place int) {
 	for how := bothWays; how < directions; how++ {
 		for turn, length := range []clock.Span{1, 5, 12, 20, 60} {
 			if seeds(0) == 0 && (place+turn+int(how))%int(directions) != 0 {
 				// One direction each in CI: the rest is played on demand.
 				continue
 			}
-			one := &cut{test: test, fleet: newFleet(seed, zones, controllers, 1, 2), how: how}
+			one := &cut{test: t, fleet: newFleet(seed, zones, controllers, 1, 2), how: how}
 			one.hit = one.fleet.controllers()[place]
 			one.name = fmt.Sprintf("seed %d, %d controllers, %s, direction %d, %d s", seed, zones*controllers, one.hit.own.Address, how, length)
 			one.play(length * second)
-			if test.Failed() {
+			if t.Failed() {
 				return
 			}
 		}
--- a/internal/control/broadcast/drive_test.go
+++ b/internal/control/broadcast/drive_test.go
@@ -10,18 +10,18 @@
 )
 
 // drive makes the calls of a job, and ticks it while it lasts.
-func (here *node) drive(update *messages.Relay, job *broadcast.Job, sends []broadcast.Send, begun clock.Moment) {
+func (n *node) drive(update *messages.Relay, job *broadcast.Job, sends []broadcast.Send, begun clock.Moment) {
 	for _, send := range sends {
-		here.carry(update, job, send, begun)
+		n.carry(update, job, send, begun)
 	}
-	here.fleet.After(constants.RelayPatience/4, func() {
-		if !job.Done() && !here.down && here.fleet.Now.Since(begun) < constants.BulkCallTime {
-			here.drive(update, job, job.Tick(here.fleet.Now), begun)
+	n.fleet.After(constants.RelayPatience/4, func() {
+		if !job.Done() && !n.down && n.fleet.Now.Since(begun) < constants.BulkCallTime {
+			n.drive(update, job, job.Tick(n.fleet.Now), begun)
 		}
 	})
 }
 
-func (here *node) carry(update *messages.Relay, job *broadcast.Job, send broadcast.Send, begun clock.Moment) {
+func (n *node) carry(update *messages.Relay, job *broadcast.Job, send broadcast.Send, begun clock.Moment) {
 	var message transport.Writable
 	switch {
 	case send.Step == broadcast.StepRelay:
@@ -35,43 +35,43 @@
 	default:
 		message = &messages.RosterPush{Workers: update.Workers}
 	}
-	here.call(send.Address, message, constants.CallTime, func(answer transport.Writable, failed bool) {
+	n.call(send.Address, message, constants.CallTime, func(answer transport.Writable, failed bool) {
 		var next []broadcast.Send
 		if entry := job.Told(send); failed && send.Step == broadcast.StepTell && entry.Address != "" {
-			here.owe(update, []messages.Entry{entry}, constants.BacklogPause)
+			n.owe(update, []messages.Entry{entry}, constants.BacklogPause)
 		}
 		done, waited := answer.(*messages.RelayDone)
 		switch {
 		case failed || (waited && !done.Known):
-			next = job.Failed(send, here.fleet.Now)
+			next = job.Failed(send, n.fleet.Now)
 		case waited:
-			next = job.Took(send, done.Missing, here.fleet.Now)
+			next = job.Took(send, done.Missing, n.fleet.Now)
 		default:
-			next = job.Took(send, nil, here.fleet.Now)
+			next = job.Took(send, nil, n.fleet.Now)
 		}
 		for _, one := range next {
-			here.carry(update, job, one, begun)
+			n.carry(update, job, one, begun)
 		}
 	})
 }
 
 // spread tells the fleet; acknowledged runs once all in touch took it, or at the bound.
-func (here *node) spread(update *messages.Relay, bound clock.Span, acknowledged func()) {
-	here.fleet.number++
-	update.From, update.Number = membership.Key(here.own), here.fleet.number
-	begun := here.fleet.Now
-	job, sends := broadcast.Fleet(here.own, here.view.All("", begun), fan(update), begun)
+func (n *node) spread(update *messages.Relay, bound clock.Span, acknowledged func()) {
+	n.fleet.number++
+	update.From, update.Number = membership.Key(n.own), n.fleet.number
+	begun := n.fleet.Now
+	job, sends := broadcast.Fleet(n.own, n.view.All("", begun), fan(update), begun)
 	if update.Generation > 0 {
-		here.owe(update, job.Unconfirmed(sends), constants.BacklogPassedPause)
+		n.owe(update, job.Unconfirmed(sends), constants.BacklogPassedPause)
 	}
-	here.drive(update, job, sends, begun)
+	n.drive(update, job, sends, begun)
 	var look func()
 	look = func() {
-		if job.Done() || here.fleet.Now.Since(begun) >= bound {
+		if job.Done() || n.fleet.Now.Since(begun) >= bound {
 			acknowledged()
 			return
 		}
-		here.fleet.After(1_000_000, look)
+		n.fleet.After(1_000_000, look)
 	}
 	look()
 }
--- a/internal/control/broadcast/events.go
+++ b/internal/control/broadcast/events.go
@@ -10,12 +10,12 @@
 )
 
 // Took notes that a send was answered; missing is what a wait brought.
-func (job *Job) Took(send Send, missing []uint32, now clock.Moment) []Send {
+func (j *Job) Took(send Send, missing []uint32, now clock.Moment) []Send {
 	switch send.Step {
 	case StepTell:
-		delete(job.open, send.Address)
+		delete(j.open, send.Address)
 	case StepRelay:
-		one := job.branches[send.Zone]
+		one := j.branches[send.Zone]
 		if one.settled || one.relay != send.Address {
 			return nil
 		}
@@ -23,7 +23,7 @@
 		one.asked = now.Plus(constants.ZoneTime)
 		return []Send{{Step: StepWait, Address: send.Address, Zone: send.Zone}}
 	case StepWait:
-		one := job.branches[send.Zone]
+		one := j.branches[send.Zone]
 		if one.settled {
 			return nil
 		}
@@ -39,45 +39,45 @@
 				again = append(again, entry)
 			}
 		}
-		return job.tell(again)
+		return j.tell(again)
 	}
 	return nil
 }
 
 // Failed notes that a send was not answered or not taken.
-func (job *Job) Failed(send Send, now clock.Moment) []Send {
+func (j *Job) Failed(send Send, now clock.Moment) []Send {
 	if send.Step != StepTell {
-		one := job.branches[send.Zone]
+		one := j.branches[send.Zone]
 		if one.relay != send.Address {
 			return nil
 		}
-		return job.next(one, send.Zone, now)
+		return j.next(one, send.Zone, now)
 	}
-	if mark, known := job.marks[send.Address]; known && job.open[send.Address] {
-		job.missing[mark] = true
+	if mark, known := j.marks[send.Address]; known && j.open[send.Address] {
+		j.missing[mark] = true
 	}
-	delete(job.open, send.Address)
+	delete(j.open, send.Address)
 	if len(send.Pass) == 0 {
 		return nil
 	}
 	// The next of its part takes its place.
-	job.open[send.Pass[0]] = true
+	j.open[send.Pass[0]] = true
 	return []Send{{Step: StepTell, Address: send.Pass[0], Pass: send.Pass[1:]}}
 }
 
 // Told gives the process that a send goes to.
-func (job *Job) Told(send Send) messages.Entry { return job.entries[send.Address] }
+func (j *Job) Told(send Send) messages.Entry { return j.entries[send.Address] }
 
 // Unconfirmed gives the processes whose taking of a configuration this job does not hear
 // of: those of the owner's zone to which others pass it on, and those of other zones.
-func (job *Job) Unconfirmed(sends []Send) []messages.Entry {
+func (j *Job) Unconfirmed(sends []Send) []messages.Entry {
 	told := map[string]bool{}
 	for _, send := range sends {
 		told[send.Address] = send.Step == StepTell
 	}
 	var found []messages.Entry
-	for _, zone := range job.zones() {
-		for _, entry := range job.branches[zone].processes {
+	for _, zone := range j.zones() {
+		for _, entry := range j.branches[zone].processes {
 			if !told[entry.Address] {
 				found = append(found, entry)
 			}
@@ -87,35 +87,35 @@
 }
 
 // Tick goes on without controllers that take too long.
-func (job *Job) Tick(now clock.Moment) []Send {
+func (j *Job) Tick(now clock.Moment) []Send {
 	var sends []Send
-	for _, zone := range job.zones() {
-		one := job.branches[zone]
+	for _, zone := range j.zones() {
+		one := j.branches[zone]
 		if !one.settled && now.Since(one.asked) >= constants.RelayPatience {
-			sends = append(sends, job.next(one, zone, now)...)
+			sends = append(sends, j.next(one, zone, now)...)
 		}
 	}
 	return sends
 }
 
 // Done tells whether everybody who was heard lately took the update or failed to.
-func (job *Job) Done() bool {
-	for _, one := range job.branches {
+func (j *Job) Done() bool {
+	for _, one := range j.branches {
 		if !one.settled {
 			return false
 		}
 	}
-	return len(job.open) == 0
+	return len(j.open) == 0
 }
 
 // Missing gives the marks of those in touch that have not taken the update.
-func (job *Job) Missing() []uint32 {
+func (j *Job) Missing() []uint32 {
 	var marks []uint32
-	for mark := range job.missing {
+	for mark := range j.missing {
 		marks = append(marks, mark)
 	}
-	for address := range job.open {
-		if mark := job.marks[address]; !job.missing[mark] {
+	for address := range j.open {
+		if mark := j.marks[address]; !j.missing[mark] {
 			marks = append(marks, mark)
 		}
 	}
--- a/internal/control/broadcast/fleet_test.go
+++ b/internal/control/broadcast/fleet_test.go
@@ -66,118 +66,118 @@
 	return one
 }
 
-func (here *node) start(seed int64) {
-	here.view, here.registry = membership.NewView(here.own, seed), workers.New(beat)
-	here.reads, here.relays = map[string]*reads{}, map[string]*broadcast.Job{}
+func (n *node) start(seed int64) {
+	n.view, n.registry = membership.NewView(n.own, seed), workers.New(beat)
+	n.reads, n.relays = map[string]*reads{}, map[string]*broadcast.Job{}
 	// The seeds are the first controllers of three zones.
 	for zone := 0; zone < 3; zone++ {
 		name := fmt.Sprintf("%d-000", zone)
-		here.view.Heard([]messages.Entry{{}, {Name: name, Life: 1, Role: membership.RoleController, Zone: fmt.Sprint("h", zone), Address: "foreman/" + name}}, here.fleet.Now)
+		n.view.Heard([]messages.Entry{{}, {Name: name, Life: 1, Role: membership.RoleController, Zone: fmt.Sprint("h", zone), Address: "foreman/" + name}}, n.fleet.Now)
 	}
 }
 
-func (here *node) count(to *node, message transport.Writable) {
+func (n *node) count(to *node, message transport.Writable) {
 	const head = 17
 	body, _ := message.MarshalMsg(nil)
-	here.messages++
-	here.bytes += head + len(body)
-	if here.own.Zone != to.own.Zone {
-		here.far += head + len(body)
+	n.messages++
+	n.bytes += head + len(body)
+	if n.own.Zone != to.own.Zone {
+		n.far += head + len(body)
 	}
 }
 
 // call carries a question and its answer, or fails after the span.
-func (here *node) call(address string, question transport.Writable, span clock.Span, done func(answer transport.Writable, failed bool)) {
-	there, ended := here.fleet.named[address], false
+func (n *node) call(address string, question transport.Writable, span clock.Span, done func(answer transport.Writable, failed bool)) {
+	there, ended := n.fleet.named[address], false
 	end := func(answer transport.Writable, failed bool) {
-		if !ended && !here.down {
+		if !ended && !n.down {
 			ended = true
 			done(answer, failed)
 		}
 	}
-	here.fleet.After(span, func() { end(nil, true) })
+	n.fleet.After(span, func() { end(nil, true) })
 	if there == nil {
 		return
 	}
-	here.count(there, question)
-	here.fleet.Send(here.own.Address, address, func() {
+	n.count(there, question)
+	n.fleet.Send(n.own.Address, address, func() {
 		if there.down {
 			return
 		}
 		there.answer(question, func(answer transport.Writable) {
-			there.count(here, answer)
-			here.fleet.Send(address, here.own.Address, func() { end(answer, false) })
+			there.count(n, answer)
+			n.fleet.Send(address, n.own.Address, func() { end(answer, false) })
 		})
 	})
 }
 
-func (here *node) answer(question transport.Writable, back func(transport.Writable)) {
-	now := here.fleet.Now
+func (n *node) answer(question transport.Writable, back func(transport.Writable)) {
+	now := n.fleet.Now
 	switch one := question.(type) {
 	case *messages.Shuffle:
-		here.hear(one.Entries)
-		if here.own.Role != membership.RoleController {
-			back(&messages.Shuffle{Entries: here.view.Offer(now)})
+		n.hear(one.Entries)
+		if n.own.Role != membership.RoleController {
+			back(&messages.Shuffle{Entries: n.view.Offer(now)})
 			return
 		}
-		if !here.attached() {
-			back(&messages.Shuffle{Entries: []messages.Entry{here.view.Own()}, Detached: true})
+		if !n.attached() {
+			back(&messages.Shuffle{Entries: []messages.Entry{n.view.Own()}, Detached: true})
 			return
 		}
-		answer := here.view.Answer(one, now)
-		answer.Workers, answer.Judging, answer.Overdue = here.registry.Digest(here.own.Life), true, here.registry.Overdue(now)
+		answer := n.view.Answer(one, now)
+		answer.Workers, answer.Judging, answer.Overdue = n.registry.Digest(n.own.Life), true, n.registry.Overdue(now)
 		back(answer)
 	case *messages.ControllerBeat:
 		// What is told is chosen before it counts as told.
-		beat := here.beatFor(membership.Key(one.From))
-		here.heardBeat(one, now)
+		beat := n.beatFor(membership.Key(one.From))
+		n.heardBeat(one, now)
 		back(beat)
 	case *messages.RosterPull:
-		back(&messages.RosterPush{Workers: here.registry.Since(one.Since, now), Table: here.registry.Digest(here.own.Life)})
+		back(&messages.RosterPush{Workers: n.registry.Since(one.Since, now), Table: n.registry.Digest(n.own.Life)})
 	case *messages.DirectoryPull:
-		back(&messages.Shuffle{Entries: here.view.Since(one.Since, now), Table: here.view.Digest()})
+		back(&messages.Shuffle{Entries: n.view.Since(one.Since, now), Table: n.view.Digest()})
 	case *messages.RosterPush:
-		here.merge(one.Workers)
+		n.merge(one.Workers)
 		back(&messages.Nothing{Taken: true})
 	case *messages.ConfigPull:
-		back(&messages.ConfigPush{Generation: here.config, Body: body})
+		back(&messages.ConfigPush{Generation: n.config, Body: body})
 	case *messages.ConfigPush:
 		for _, send := range broadcast.Split(one.Pass, constants.BodyFan) {
-			here.passOn(one, send)
+			n.passOn(one, send)
 		}
 		if len(one.Body) > 0 {
-			here.take(one.Generation)
+			n.take(one.Generation)
 		}
-		here.pull(one.Generation, "")
-		back(&messages.Nothing{Taken: here.config >= one.Generation})
+		n.pull(one.Generation, "")
+		back(&messages.Nothing{Taken: n.config >= one.Generation})
 	case *messages.ContactAsk:
-		back(&messages.ContactTold{Generation: here.control.accepted})
+		back(&messages.ContactTold{Generation: n.control.accepted})
 	case *messages.Accept:
-		here.control.accepted = max(here.control.accepted, one.Value.Current.Generation)
+		n.control.accepted = max(n.control.accepted, one.Value.Current.Generation)
 		back(&messages.Accepted{Granted: true})
 	case *messages.WorkersKeep:
-		here.merge(one.Workers)
+		n.merge(one.Workers)
 		back(&messages.Nothing{Taken: true})
 	case *messages.Relay:
-		here.merge(one.Workers)
-		here.take(one.Generation)
-		job, sends := broadcast.Zone(here.own, here.view.All("", now), one.Expect, fan(one), now)
-		here.relays[fmt.Sprint(one.From, one.Number)] = job
-		here.drive(one, job, sends, now)
+		n.merge(one.Workers)
+		n.take(one.Generation)
+		job, sends := broadcast.Zone(n.own, n.view.All("", now), one.Expect, fan(one), now)
+		n.relays[fmt.Sprint(one.From, one.Number)] = job
+		n.drive(one, job, sends, now)
 		back(&messages.Nothing{Taken: true})
 	case *messages.RelayWait:
-		here.await(here.relays[fmt.Sprint(one.From, one.Number)], now, back)
+		n.await(n.relays[fmt.Sprint(one.From, one.Number)], now, back)
 	}
 }
 
-func (here *node) await(job *broadcast.Job, begun clock.Moment, back func(transport.Writable)) {
+func (n *node) await(job *broadcast.Job, begun clock.Moment, back func(transport.Writable)) {
 	switch {
 	case job == nil:
 		back(&messages.RelayDone{})
-	case job.Done() || here.fleet.Now.Since(begun) >= constants.ZoneTime:
+	case job.Done() || n.fleet.Now.Since(begun) >= constants.ZoneTime:
 		back(&messages.RelayDone{Known: true, Missing: job.Missing()})
 	default:
-		here.fleet.After(2_000_000, func() { here.await(job, begun, back) })
+		n.fleet.After(2_000_000, func() { n.await(job, begun, back) })
 	}
 }
 
@@ -190,25 +190,25 @@
 	return 0
 }
 
-func (here *node) passOn(push *messages.ConfigPush, send broadcast.Send) {
+func (n *node) passOn(push *messages.ConfigPush, send broadcast.Send) {
 	part := &messages.ConfigPush{Generation: push.Generation, Body: push.Body, Pass: send.Pass}
-	here.call(send.Address, part, constants.CallTime, func(_ transport.Writable, failed bool) {
+	n.call(send.Address, part, constants.CallTime, func(_ transport.Writable, failed bool) {
 		if failed && len(send.Pass) > 0 {
-			here.passOn(push, broadcast.Send{Address: send.Pass[0], Pass: send.Pass[1:]})
+			n.passOn(push, broadcast.Send{Address: send.Pass[0], Pass: send.Pass[1:]})
 		}
 	})
 }
 
-func (here *node) take(generation int64) {
-	if generation > here.config {
-		here.config = generation
-		here.taken = append(here.taken, generation)
-		here.view.SetGeneration(generation)
+func (n *node) take(generation int64) {
+	if generation > n.config {
+		n.config = generation
+		n.taken = append(n.taken, generation)
+		n.view.SetGeneration(generation)
 	}
 }
 
-func (here *node) merge(workerList []messages.Worker) {
+func (n *node) merge(workerList []messages.Worker) {
 	for _, worker := range workerList {
-		here.registry.Merge(worker, here.fleet.Now)
+		n.registry.Merge(worker, n.fleet.Now)
 	}
 }
--- a/internal/control/broadcast/loops_test.go
+++ b/internal/control/broadcast/loops_test.go
@@ -9,115 +9,115 @@
 )
 
 // hear takes entries, and pulls a configuration that somebody was seen to have.
-func (here *node) hear(entries []messages.Entry) {
-	here.view.Heard(entries, here.fleet.Now)
-	here.sawEntries(entries)
+func (n *node) hear(entries []messages.Entry) {
+	n.view.Heard(entries, n.fleet.Now)
+	n.sawEntries(entries)
 }
 
-func (here *node) sawEntries(entries []messages.Entry) {
+func (n *node) sawEntries(entries []messages.Entry) {
 	var newest messages.Entry
 	for _, entry := range entries {
 		if entry.Generation > newest.Generation {
 			newest = entry
 		}
 	}
-	here.pull(newest.Generation, newest.Address)
+	n.pull(newest.Generation, newest.Address)
 }
 
 // pull asks one process, then the controllers, until this one follows a generation.
-func (here *node) pull(generation int64, first string) {
-	if generation <= here.config || here.pulling {
+func (n *node) pull(generation int64, first string) {
+	if generation <= n.config || n.pulling {
 		return
 	}
-	here.pulling = true
+	n.pulling = true
 	var addresses []string
 	if first != "" {
 		addresses = []string{first}
 	}
-	for _, entry := range here.view.Controllers(here.fleet.Now) {
+	for _, entry := range n.view.Controllers(n.fleet.Now) {
 		addresses = append(addresses, entry.Address)
 	}
-	here.pullNext(generation, addresses)
+	n.pullNext(generation, addresses)
 }
 
-func (here *node) pullNext(generation int64, addresses []string) {
-	if len(addresses) == 0 || here.config >= generation {
-		here.pulling = false
+func (n *node) pullNext(generation int64, addresses []string) {
+	if len(addresses) == 0 || n.config >= generation {
+		n.pulling = false
 		return
 	}
-	here.call(addresses[0], &messages.ConfigPull{Known: here.config}, constants.CallTime, func(answer transport.Writable, failed bool) {
+	n.call(addresses[0], &messages.ConfigPull{Known: n.config}, constants.CallTime, func(answer transport.Writable, failed bool) {
 		if failed {
-			here.view.Failed(addresses[0], here.fleet.Now)
+			n.view.Failed(addresses[0], n.fleet.Now)
 		} else {
-			here.take(answer.(*messages.ConfigPush).Generation)
+			n.take(answer.(*messages.ConfigPush).Generation)
 		}
-		here.pullNext(generation, addresses[1:])
+		n.pullNext(generation, addresses[1:])
 	})
 }
 
 // period is the periodic report: a controller's with controllers, anybody else's with a controller.
-func (here *node) period() {
-	if here.own.Role == membership.RoleController {
-		here.fleet.After(constants.RosterPeriod, here.period)
-		if !here.down {
-			here.beatOthers()
+func (n *node) period() {
+	if n.own.Role == membership.RoleController {
+		n.fleet.After(constants.RosterPeriod, n.period)
+		if !n.down {
+			n.beatOthers()
 		}
 		return
 	}
-	here.fleet.After(constants.ShufflePeriod, here.period)
-	if !here.down {
-		here.report(here.view.Controllers(here.fleet.Now), 3, false)
+	n.fleet.After(constants.ShufflePeriod, n.period)
+	if !n.down {
+		n.report(n.view.Controllers(n.fleet.Now), 3, false)
 	}
 }
 
-func (here *node) report(controllers []messages.Entry, tries int, brief bool) {
+func (n *node) report(controllers []messages.Entry, tries int, brief bool) {
 	if len(controllers) == 0 || tries == 0 {
-		if partner := here.view.Partner(here.fleet.Now); partner != "" && !brief {
-			here.control.first = ""
-			here.call(partner, &messages.Shuffle{Entries: here.view.Offer(here.fleet.Now)}, constants.CallTime, func(answer transport.Writable, failed bool) {
+		if partner := n.view.Partner(n.fleet.Now); partner != "" && !brief {
+			n.control.first = ""
+			n.call(partner, &messages.Shuffle{Entries: n.view.Offer(n.fleet.Now)}, constants.CallTime, func(answer transport.Writable, failed bool) {
 				if !failed {
-					here.hear(answer.(*messages.Shuffle).Entries)
+					n.hear(answer.(*messages.Shuffle).Entries)
 				}
 			})
 		}
 		return
 	}
-	question, address := here.view.Question(), controllers[0].Address
+	question, address := n.view.Question(), controllers[0].Address
 	if brief {
-		question = here.view.BriefQuestion()
+		question = n.view.BriefQuestion()
 	}
-	here.call(address, question, constants.ReportTime, func(answer transport.Writable, failed bool) {
+	n.call(address, question, constants.ReportTime, func(answer transport.Writable, failed bool) {
 		if failed {
-			here.view.Failed(address, here.fleet.Now)
-			here.report(controllers[1:], tries-1, brief)
+			n.view.Failed(address, n.fleet.Now)
+			n.report(controllers[1:], tries-1, brief)
 			return
 		}
 		back := answer.(*messages.Shuffle)
 		if back.Detached {
-			here.view.Failed(address, here.fleet.Now)
-			here.report(controllers[1:], tries, brief)
+			n.view.Failed(address, n.fleet.Now)
+			n.report(controllers[1:], tries, brief)
 			return
 		}
 		if !brief {
-			here.control.first = address
+			n.control.first = address
 		}
-		here.view.Answered(question, back, here.fleet.Now)
-		here.sawEntries(back.Entries)
-		read := here.read(address)
-		if since, ask := behind(&read.workerList, back.Workers, here.registry.Digest(here.own.Life)); ask {
-			here.pullWorkers(address, since)
+		n.view.Answered(question, back, n.fleet.Now)
+		n.sawEntries(back.Entries)
+		read := n.read(address)
+		if since, ask := behind(&read.workerList, back.Workers, n.registry.Digest(n.own.Life)); ask {
+			n.pullWorkers(address, since)
 		}
 		if back.Judging {
-			here.registry.Judged(back.Overdue, here.fleet.Now)
+			n.registry.Judged(back.Overdue, n.fleet.Now)
 		}
 	})
 }
 
-func (here *node) read(key string) *reads {
-	if here.reads[key] == nil {
-		here.reads[key] = &reads{}
+func (n *node) read(key string) *reads {
+	if n.reads[key] == nil {
+		n.reads[key] = &reads{}
 	}
-	return here.reads[key]
+	return n.reads[key]
 }
 
 func behind(read *messages.Digest, told, own messages.Digest) (uint64, bool) {
@@ -131,54 +131,54 @@
 	return read.Clock, told.Clock > read.Clock
 }
 
-func (here *node) pullWorkers(address string, since uint64) {
-	here.call(address, &messages.RosterPull{Since: since}, constants.CallTime, func(answer transport.Writable, failed bool) {
+func (n *node) pullWorkers(address string, since uint64) {
+	n.call(address, &messages.RosterPull{Since: since}, constants.CallTime, func(answer transport.Writable, failed bool) {
 		if !failed {
 			back := answer.(*messages.RosterPush)
-			here.merge(back.Workers)
-			here.read(address).workerList = back.Table
+			n.merge(back.Workers)
+			n.read(address).workerList = back.Table
 		}
 	})
 }
 
-func (here *node) beatFor(key string) *messages.ControllerBeat {
-	since := here.read(key).told
-	beat := &messages.ControllerBeat{From: here.view.Own(), Workers: here.registry.Digest(here.own.Life), Processes: here.view.Digest(),
-		Beaten: here.registry.BeatenSince(since), Follow: here.view.Own().Generation}
-	beat.Met, beat.Behind = here.view.MetSince(since)
+func (n *node) beatFor(key string) *messages.ControllerBeat {
+	since := n.read(key).told
+	beat := &messages.ControllerBeat{From: n.view.Own(), Workers: n.registry.Digest(n.own.Life), Processes: n.view.Digest(),
+		Beaten: n.registry.BeatenSince(since), Follow: n.view.Own().Generation}
+	beat.Met, beat.Behind = n.view.MetSince(since)
 	return beat
 }
 
-func (here *node) beatOthers() {
-	now := here.fleet.Now
-	for _, entry := range here.view.All(membership.RoleController, now) {
+func (n *node) beatOthers() {
+	now := n.fleet.Now
+	for _, entry := range n.view.All(membership.RoleController, now) {
 		key := membership.Key(entry)
-		if key < membership.Key(here.own) && entry.AgeMs < 2*constants.RosterPeriod.Milliseconds() {
+		if key < membership.Key(n.own) && entry.AgeMs < 2*constants.RosterPeriod.Milliseconds() {
 			continue
 		}
-		here.call(entry.Address, here.beatFor(key), constants.CallTime, func(answer transport.Writable, failed bool) {
+		n.call(entry.Address, n.beatFor(key), constants.CallTime, func(answer transport.Writable, failed bool) {
 			if !failed {
-				here.heardBeat(answer.(*messages.ControllerBeat), now)
+				n.heardBeat(answer.(*messages.ControllerBeat), now)
 			}
 		})
 	}
 }
 
-func (here *node) heardBeat(beat *messages.ControllerBeat, told clock.Moment) {
-	now, address := here.fleet.Now, beat.From.Address
-	here.hear([]messages.Entry{beat.From})
-	read := here.read(membership.Key(beat.From))
+func (n *node) heardBeat(beat *messages.ControllerBeat, told clock.Moment) {
+	now, address := n.fleet.Now, beat.From.Address
+	n.hear([]messages.Entry{beat.From})
+	read := n.read(membership.Key(beat.From))
 	read.told = told
-	here.registry.Vouched(beat.Beaten, now)
-	here.view.Vouched(beat, now)
-	if since, ask := behind(&read.workerList, beat.Workers, here.registry.Digest(here.own.Life)); ask {
-		here.pullWorkers(address, since)
+	n.registry.Vouched(beat.Beaten, now)
+	n.view.Vouched(beat, now)
+	if since, ask := behind(&read.workerList, beat.Workers, n.registry.Digest(n.own.Life)); ask {
+		n.pullWorkers(address, since)
 	}
-	if since, ask := behind(&read.processes, beat.Processes, here.view.Digest()); ask {
-		here.call(address, &messages.DirectoryPull{Since: since}, constants.CallTime, func(answer transport.Writable, failed bool) {
+	if since, ask := behind(&read.processes, beat.Processes, n.view.Digest()); ask {
+		n.call(address, &messages.DirectoryPull{Since: since}, constants.CallTime, func(answer transport.Writable, failed bool) {
 			if !failed {
 				back := answer.(*messages.Shuffle)
-				here.hear(back.Entries)
+				n.hear(back.Entries)
 				read.processes = back.Table
 			}
 		})
--- a/internal/control/contact/contact.go
+++ b/internal/control/contact/contact.go
@@ -33,25 +33,25 @@
 // Answered takes the answer of an acceptor to a question that was sent at asked. It
 // reports whether the acceptor is ahead of what this process follows; such an answer
 // does not renew the lease.
-func (lease *Lease) Answered(acceptor messages.Member, asked clock.Moment, accepted, followed Followed) (ahead bool) {
+func (l *Lease) Answered(acceptor messages.Member, asked clock.Moment, accepted, followed Followed) (ahead bool) {
 	if accepted.SetEpoch > followed.SetEpoch || accepted.Generation > followed.Generation {
 		return true
 	}
 	identity := register.Identity(acceptor)
-	if last, known := lease.renewed[identity]; !known || asked > last {
-		lease.renewed[identity] = asked
+	if last, known := l.renewed[identity]; !known || asked > last {
+		l.renewed[identity] = asked
 	}
 	return false
 }
 
 // Valid tells whether majorities of all sets in force answered questions that were sent
 // within the length of the lease.
-func (lease *Lease) Valid(sets *messages.Register, now clock.Moment) bool {
+func (l *Lease) Valid(sets *messages.Register, now clock.Moment) bool {
 	if len(sets.Acceptors) == 0 {
 		return false
 	}
 	answered := map[string]bool{}
-	for identity, asked := range lease.renewed {
+	for identity, asked := range l.renewed {
 		if now.Since(asked) < constants.ContactLease {
 			answered[identity] = true
 		}
@@ -60,14 +60,14 @@
 }
 
 // Trim forgets acceptors that are no longer in a set.
-func (lease *Lease) Trim(sets *messages.Register) {
+func (l *Lease) Trim(sets *messages.Register) {
 	inside := map[string]bool{}
 	for _, member := range append(append([]messages.Member(nil), sets.Acceptors...), sets.Previous...) {
 		inside[register.Identity(member)] = true
 	}
-	for identity := range lease.renewed {
+	for identity := range l.renewed {
 		if !inside[identity] {
-			delete(lease.renewed, identity)
+			delete(l.renewed, identity)
 		}
 	}
 }
--- a/internal/control/contact/contact_test.go
+++ b/internal/control/contact/contact_test.go
@@ -41,11 +41,11 @@
 
 // propose has the next value accepted: a new configuration, or a set in which one member
 // gave its place up, by way of the joint set. It is acknowledged once majorities have it.
-func (one *play) propose() {
-	last := one.sets[len(one.sets)-1]
+func (p *play) propose() {
+	last := p.sets[len(p.sets)-1]
 	value := contact.Followed{SetEpoch: last.SetEpoch}
-	if count := len(one.history); count > 0 {
-		value = one.history[count-1].value
+	if count := len(p.history); count > 0 {
+		value = p.history[count-1].value
 	}
 	value.SetEpoch = last.SetEpoch
 	next := last
@@ -53,7 +53,7 @@
 	case len(last.Previous) > 0:
 		next.Previous = nil
 		value.SetEpoch++
-	case one.Random.Intn(4) == 0:
+	case p.Random.Intn(4) == 0:
 		next.Previous = last.Acceptors
 		next.Acceptors = append(append([]messages.Member(nil), last.Acceptors[1:]...), member(100+int(last.SetEpoch)))
 		value.SetEpoch++
@@ -63,76 +63,76 @@
 	next.SetEpoch = value.SetEpoch
 	answered := map[string]bool{}
 	targets := register.Targets(&next)
-	for _, place := range one.Random.Perm(len(targets)) {
-		if register.Quorum(&next, answered) && one.Random.Intn(2) == 0 {
+	for _, place := range p.Random.Perm(len(targets)) {
+		if register.Quorum(&next, answered) && p.Random.Intn(2) == 0 {
 			continue
 		}
-		one.accepted[register.Identity(targets[place])] = value
+		p.accepted[register.Identity(targets[place])] = value
 		answered[register.Identity(targets[place])] = true
 	}
-	one.sets = append(one.sets, next)
-	one.history = append(one.history, acknowledged{one.Now, value})
+	p.sets = append(p.sets, next)
+	p.history = append(p.history, acknowledged{p.Now, value})
 }
 
 // round asks every acceptor of the sets that the process follows.
-func (one *play) round() {
-	asked := one.Now
-	known := one.known()
+func (p *play) round() {
+	asked := p.Now
+	known := p.known()
 	for _, target := range register.Targets(&known) {
-		one.Send("process", target.Address, func() {
-			accepted := one.accepted[register.Identity(target)]
-			one.Send(target.Address, "process", func() {
-				one.lease.Answered(target, asked, accepted, one.followed)
+		p.Send("process", target.Address, func() {
+			accepted := p.accepted[register.Identity(target)]
+			p.Send(target.Address, "process", func() {
+				p.lease.Answered(target, asked, accepted, p.followed)
 			})
 		})
 	}
 }
 
-func (one *play) known() messages.Register {
-	for _, sets := range one.sets {
-		if sets.SetEpoch == one.followed.SetEpoch {
+func (p *play) known() messages.Register {
+	for _, sets := range p.sets {
+		if sets.SetEpoch == p.followed.SetEpoch {
 			return sets
 		}
 	}
-	one.test.Fatalf("seed %d: unknown epoch %d", one.seed, one.followed.SetEpoch)
+	p.test.Fatalf("seed %d: unknown epoch %d", p.seed, p.followed.SetEpoch)
 	return messages.Register{}
 }
 
 // check holds the invariant: while the lease is valid, whatever was acknowledged before
 // its length is followed.
-func (one *play) check() {
-	known := one.known()
-	if !one.lease.Valid(&known, one.Now) {
-		one.refusedAt++
+func (p *play) check() {
+	known := p.known()
+	if !p.lease.Valid(&known, p.Now) {
+		p.refusedAt++
 		return
 	}
-	one.validFor++
-	for _, earlier := range one.history {
-		late := one.Now.Since(earlier.at) >= constants.ContactLease
-		if late && (earlier.value.Generation > one.followed.Generation || earlier.value.SetEpoch > one.followed.SetEpoch) {
-			one.test.Fatalf("seed %d: valid at %v, follows %+v, %+v was acknowledged at %v", one.seed, one.Now, one.followed, earlier.value, earlier.at)
+	p.validFor++
+	for _, earlier := range p.history {
+		late := p.Now.Since(earlier.at) >= constants.ContactLease
+		if late && (earlier.value.Generation > p.followed.Generation || earlier.value.SetEpoch > p.followed.SetEpoch) {
+			p.test.Fatalf("seed %d: valid at %v, follows %+v, %+v was acknowledged at %v", p.seed, p.Now, p.followed, earlier.value, earlier.at)
 		}
 	}
 }
 
-func (one *play) every(period clock.Span, function func()) {
-	one.After(clock.Span(one.Random.Int63n(int64(period))), func() {
+func (p *play) every(period clock.Span, function func()) {
+	p.After(clock.Span(p.Random.Int63n(int64(period))), func() {
 		function()
-		one.every(period, function)
+		p.every(period, function)
 	})
 }
 
 // TestValidLeaseIsCurrent: a process with a valid lease follows every set and every
 // configuration that was acknowledged before the length of the lease, through losses,
 // cuts and changes of members.
-func TestValidLeaseIsCurrent(test *testing.T) {
+func TestValidLeaseIsCurrent(t *testing.T) {
 	seeds := 300
 	if many, err := strconv.Atoi(os.Getenv("LEMONARCH_SEEDS")); err == nil {
 		seeds = many
 	}
 	valid, refused := 0, 0
 	for seed := int64(1); seed <= int64(seeds); seed++ {
-		one := &play{World: simulation.NewWorld(seed), test: test, seed: seed, accepted: map[string]contact.Followed{}, lease: contact.New()}
+		one := &play{World: simulation.NewWorld(seed), test: t, seed: seed, accepted: map[string]contact.Followed{}, lease: contact.New()}
 		first := messages.Register{SetEpoch: 1}
 		for place := 0; place < 3+2*one.Random.Intn(2); place++ {
 			first.Acceptors = append(first.Acceptors, member(place))
@@ -159,7 +159,7 @@
 		valid, refused = valid+one.validFor, refused+one.refusedAt
 	}
 	if valid == 0 || refused == 0 {
-		test.Fatalf("valid %d times, not valid %d times", valid, refused)
+		t.Fatalf("valid %d times, not valid %d times", valid, refused)
 	}
-	test.Logf("valid %d times, not valid %d times", valid, refused)
+	t.Logf("valid %d times, not valid %d times", valid, refused)
 }
--- a/internal/control/controller/backlog.go
+++ b/internal/control/controller/backlog.go
@@ -11,49 +11,49 @@
 
 // addToBacklog notes processes that have not confirmed an update, so that they are told until
 // they do, or until they have been silent for so long that the directory drops them.
-func (controller *Controller) addToBacklog(update *messages.Relay, entries []messages.Entry, pause clock.Span) {
+func (c *Controller) addToBacklog(update *messages.Relay, entries []messages.Entry, pause clock.Span) {
 	var ids []string
 	for _, worker := range update.Workers {
 		ids = append(ids, worker.ID)
 	}
 	now := clock.Now()
-	controller.lock.Lock()
-	defer controller.lock.Unlock()
+	c.lock.Lock()
+	defer c.lock.Unlock()
 	for _, entry := range entries {
-		controller.backlog.Add(entry, update.Generation, ids, pause, now)
+		c.backlog.Add(entry, update.Generation, ids, pause, now)
 	}
 }
 
 // tendBacklog makes the deliveries that are due.
-func (controller *Controller) tendBacklog() {
+func (c *Controller) tendBacklog() {
 	now := clock.Now()
-	controller.lock.Lock()
-	if len(controller.backlog.Names()) == 0 {
-		controller.lock.Unlock()
+	c.lock.Lock()
+	if len(c.backlog.Names()) == 0 {
+		c.lock.Unlock()
 		return
 	}
-	controller.lock.Unlock()
-	directory := controller.Node.All("")
-	controller.lock.Lock()
-	due := controller.backlog.Due(directory, now)
+	c.lock.Unlock()
+	directory := c.Node.All("")
+	c.lock.Lock()
+	due := c.backlog.Due(directory, now)
 	updates := make([][]messages.Worker, len(due))
 	for place, delivery := range due {
 		for _, id := range delivery.Workers {
-			if worker, known := controller.registry.Get(id); known {
+			if worker, known := c.registry.Get(id); known {
 				updates[place] = append(updates[place], worker)
 			}
 		}
 	}
-	controller.lock.Unlock()
+	c.lock.Unlock()
 	for place, delivery := range due {
-		go controller.redeliver(delivery, updates[place])
+		go c.redeliver(delivery, updates[place])
 	}
 }
 
 // redeliver makes one delivery. A configuration is only named: the process pulls it from
 // the controllers of its zone, so that no single link carries all of them.
-func (controller *Controller) redeliver(delivery broadcast.Delivery, updates []messages.Worker) {
-	wire, address, from := controller.Node.Wire, delivery.Entry.Address, membership.Key(controller.Node.Own)
+func (c *Controller) redeliver(delivery broadcast.Delivery, updates []messages.Worker) {
+	wire, address, from := c.Node.Wire, delivery.Entry.Address, membership.Key(c.Node.Own)
 	taken := &messages.Nothing{Taken: true}
 	if len(updates) > 0 {
 		push := &messages.RosterPush{From: from, Workers: updates}
@@ -68,8 +68,8 @@
 		}
 	}
 	if taken.Taken {
-		controller.lock.Lock()
-		controller.backlog.Confirmed(delivery)
-		controller.lock.Unlock()
+		c.lock.Lock()
+		c.backlog.Confirmed(delivery)
+		c.lock.Unlock()
 	}
 }
--- a/internal/control/controller/batch.go
+++ b/internal/control/controller/batch.go
@@ -29,41 +29,41 @@
 }
 
 // add puts a change into the next batch. done closes once the fleet was told.
-func (batches *batches) add(worker messages.Worker, urgent bool) (done chan struct{}) {
-	batches.lock.Lock()
-	defer batches.lock.Unlock()
-	if batches.next == nil {
+func (b *batches) add(worker messages.Worker, urgent bool) (done chan struct{}) {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	if b.next == nil {
 		one := &batch{done: make(chan struct{})}
-		batches.next = one
-		batches.later(func() {
-			batches.lock.Lock()
-			defer batches.lock.Unlock()
-			if batches.next == one {
-				batches.launch()
+		b.next = one
+		b.later(func() {
+			b.lock.Lock()
+			defer b.lock.Unlock()
+			if b.next == one {
+				b.launch()
 			}
 		})
 	}
-	one := batches.next
+	one := b.next
 	one.workerList, one.urgent = append(one.workerList, worker), one.urgent || urgent
-	if one.urgent && batches.flying < constants.BatchesAtOnce {
-		batches.launch()
+	if one.urgent && b.flying < constants.BatchesAtOnce {
+		b.launch()
 	}
 	return one.done
 }
 
 // launch sends the next batch on its way. The lock is held.
-func (batches *batches) launch() {
-	one := batches.next
-	batches.next = nil
-	batches.flying++
+func (b *batches) launch() {
+	one := b.next
+	b.next = nil
+	b.flying++
 	go func() {
-		batches.spread(one.workerList)
+		b.spread(one.workerList)
 		close(one.done)
-		batches.lock.Lock()
-		defer batches.lock.Unlock()
-		batches.flying--
-		if batches.next != nil && batches.next.urgent {
-			batches.launch()
+		b.lock.Lock()
+		defer b.lock.Unlock()
+		b.flying--
+		if b.next != nil && b.next.urgent {
+			b.launch()
 		}
 	}()
 }
@@ -78,9 +78,9 @@
 
 // announce spreads a change. It waits for the fleet only where the caller's acknowledgement
 // binds it: a worker that is new may be known a moment later.
-func (controller *Controller) announce(worker messages.Worker) {
+func (c *Controller) announce(worker messages.Worker) {
 	binding := worker.Phase != messages.PhaseSteady
-	done := controller.batches.add(worker, binding)
+	done := c.batches.add(worker, binding)
 	if !binding {
 		return
 	}
--- a/internal/control/controller/batch_test.go
+++ b/internal/control/controller/batch_test.go
@@ -11,7 +11,7 @@
 
 // A fleet whose workers all start at once is told a few times; a drain leaves at once
 // and takes along what waits; nothing is told twice or never.
-func TestChangesGoTogetherAndDrainsAtOnce(test *testing.T) {
+func TestChangesGoTogetherAndDrainsAtOnce(t *testing.T) {
 	told := make(chan []messages.Worker, 1000)
 	release := make(chan struct{})
 	var windows []func()
@@ -24,26 +24,26 @@
 	}
 	select {
 	case early := <-told:
-		test.Fatalf("%d left before their window", len(early))
+		t.Fatalf("%d left before their window", len(early))
 	default:
 	}
 	done := one.add(messages.Worker{ID: "d0", Phase: messages.PhaseDraining}, true)
 	if first := <-told; len(first) != 301 || first[300].ID != "d0" {
-		test.Fatalf("%d left with the drain", len(first))
+		t.Fatalf("%d left with the drain", len(first))
 	}
 	select {
 	case <-done:
-		test.Fatal("done before the fleet was told")
+		t.Fatal("done before the fleet was told")
 	default:
 	}
 	if windows[0](); len(windows) != 1 || len(told) != 0 {
-		test.Fatal("the window sent what had left")
+		t.Fatal("the window sent what had left")
 	}
 	// As many batches as may be under way leave; the rest go together after one of them.
 	for place := 1; place < constants.BatchesAtOnce; place++ {
 		one.add(messages.Worker{ID: fmt.Sprint("d", place)}, true)
 		if alone := <-told; len(alone) != 1 {
-			test.Fatal(alone)
+			t.Fatal(alone)
 		}
 	}
 	var group sync.WaitGroup
@@ -63,13 +63,13 @@
 	group.Wait()
 	<-done
 	if count != 50 {
-		test.Fatal(count)
+		t.Fatal(count)
 	}
 	// What does not bind leaves once its window is over.
 	one.add(messages.Worker{ID: "f0"}, false)
 	one.add(messages.Worker{ID: "f1"}, false)
 	windows[len(windows)-1]()
 	if last := <-told; len(last) != 2 {
-		test.Fatal(last)
+		t.Fatal(last)
 	}
 }
--- a/internal/control/controller/binding.go
+++ b/internal/control/controller/binding.go
@@ -17,54 +17,54 @@
 	kept map[string]messages.Phase
 }
 
-func (binding *binding) isKept(worker messages.Worker) bool {
-	binding.lock.Lock()
-	defer binding.lock.Unlock()
-	return binding.kept[worker.ID] >= worker.Phase
+func (b *binding) isKept(worker messages.Worker) bool {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	return b.kept[worker.ID] >= worker.Phase
 }
 
-func (binding *binding) setKept(worker messages.Worker) {
-	binding.lock.Lock()
-	defer binding.lock.Unlock()
-	binding.kept[worker.ID] = max(binding.kept[worker.ID], worker.Phase)
+func (b *binding) setKept(worker messages.Worker) {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	b.kept[worker.ID] = max(b.kept[worker.ID], worker.Phase)
 }
 
 // trim forgets workers that the registry does not know any more.
-func (binding *binding) trim(known func(id string) bool) {
-	binding.lock.Lock()
-	defer binding.lock.Unlock()
-	for id := range binding.kept {
+func (b *binding) trim(known func(id string) bool) {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	for id := range b.kept {
 		if !known(id) {
-			delete(binding.kept, id)
+			delete(b.kept, id)
 		}
 	}
 }
 
 // remembered gives all that belongs in the file of workers.
-func (controller *Controller) remembered() []messages.Worker {
-	controller.lock.Lock()
-	defer controller.lock.Unlock()
-	return append(controller.registry.All(clock.Now()), controller.recalled...)
+func (c *Controller) remembered() []messages.Worker {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	return append(c.registry.All(clock.Now()), c.recalled...)
 }
 
 // keepAtMajority has a drain or a departure written to disk by a majority of the
 // acceptors, this process among them where it is one, and tells whether that was done
 // in time.
-func (controller *Controller) keepAtMajority(worker messages.Worker) bool {
-	controller.contact.lock.Lock()
-	sets := controller.contact.sets
-	controller.contact.lock.Unlock()
+func (c *Controller) keepAtMajority(worker messages.Worker) bool {
+	c.contact.lock.Lock()
+	sets := c.contact.sets
+	c.contact.lock.Unlock()
 	members := register.Targets(&sets)
 	answers := make(chan keepAnswer, len(members))
-	question := &messages.WorkersKeep{From: controller.Node.Own.Address, Workers: []messages.Worker{worker}}
+	question := &messages.WorkersKeep{From: c.Node.Own.Address, Workers: []messages.Worker{worker}}
 	for _, member := range members {
 		go func() {
-			if member.Address == controller.Node.Own.Address {
-				answers <- keepAnswer{member, controller.memory.keep(question.Workers)}
+			if member.Address == c.Node.Own.Address {
+				answers <- keepAnswer{member, c.memory.keep(question.Workers)}
 				return
 			}
 			back := &messages.ContactTold{}
-			err := transport.Ask(controller.Node.Wire, member.Address, messages.KindWorkersKeep, question, back, constants.TreeTime)
+			err := transport.Ask(c.Node.Wire, member.Address, messages.KindWorkersKeep, question, back, constants.TreeTime)
 			// It counts for the disk that it was written to.
 			member.Disk = back.Disk
 			answers <- keepAnswer{member, err}
@@ -93,10 +93,10 @@
 }
 
 // workersKept answers another controller that wants changes of workers on disk.
-func (controller *Controller) workersKept(question *messages.WorkersKeep) (transport.Writable, error) {
-	controller.mergeWorkers(question.Workers)
-	if err := controller.memory.keep(question.Workers); err != nil {
+func (c *Controller) workersKept(question *messages.WorkersKeep) (transport.Writable, error) {
+	c.mergeWorkers(question.Workers)
+	if err := c.memory.keep(question.Workers); err != nil {
 		return nil, err
 	}
-	return &messages.ContactTold{Disk: controller.Register.Disk()}, nil
+	return &messages.ContactTold{Disk: c.Register.Disk()}, nil
 }
--- a/internal/control/controller/budget_test.go
+++ b/internal/control/controller/budget_test.go
@@ -16,7 +16,7 @@
 
 // fleet makes controllers on machines 10.0.0.1 and so on, joined in memory; the first
 // three are the seeds. Machines named blank have no disk.
-func fleet(test *testing.T, count int, blank map[int]bool) (map[int]*Controller, *transport.Room) {
+func fleet(t *testing.T, count int, blank map[int]bool) (map[int]*Controller, *transport.Room) {
 	room, controllers := transport.NewRoom(), map[int]*Controller{}
 	for number := 1; number <= count; number++ {
 		one := &settings.Settings{NodeName: fmt.Sprint("m", number), Address: fmt.Sprint("10.0.0.", number), Zone: fmt.Sprint("h", number%4),
@@ -27,16 +27,16 @@
 		one.InQuorum = !blank[number]
 		controller, err := New(one, hclog.NewNullLogger())
 		if err != nil {
-			test.Fatal(err)
+			t.Fatal(err)
 		}
 		controller.Node.Wire = room.Transport(controller.Node.Own.Address)
 		if err = controller.Node.Wire.Serve(controller.Node.Handle); err != nil {
-			test.Fatal(err)
+			t.Fatal(err)
 		}
 		controllers[number] = controller
 	}
 	for _, one := range controllers {
-		keepContact(test, one)
+		keepContact(t, one)
 		for _, other := range controllers {
 			one.Node.Hear([]messages.Entry{other.Node.Own})
 		}
@@ -62,8 +62,8 @@
 
 // Eight controllers that know three seeds make a set of five, and no larger one,
 // whoever asks in whatever order.
-func TestSetGrowsToTheBudget(test *testing.T) {
-	controllers, room := fleet(test, 8, nil)
+func TestSetGrowsToTheBudget(t *testing.T) {
+	controllers, room := fleet(t, 8, nil)
 	for round := 0; round < 3; round++ {
 		for number := 1; number <= 8; number++ {
 			tend(controllers[number])
@@ -71,22 +71,22 @@
 	}
 	value, err := controllers[8].Register.Read()
 	if err != nil || len(value.Acceptors) != 5 || len(value.Previous) != 0 {
-		test.Fatal(err, len(value.Acceptors), len(value.Previous))
+		t.Fatal(err, len(value.Acceptors), len(value.Previous))
 	}
 	// Two of the seeds fall silent: the register still answers, and outlasts them.
 	room.Cut("10.0.0.1:7000", true)
 	room.Cut("10.0.0.2:7000", true)
 	if _, err = controllers[8].Register.Read(); err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 }
 
 // A controller without a disk runs, answers and has no vote; a seat that the seed
 // list gave to one goes to a machine with a disk.
-func TestControllerWithoutADisk(test *testing.T) {
-	controllers, _ := fleet(test, 8, map[int]bool{2: true, 7: true})
+func TestControllerWithoutADisk(t *testing.T) {
+	controllers, _ := fleet(t, 8, map[int]bool{2: true, 7: true})
 	if controllers[7].Node.Own.Disk != "" {
-		test.Fatal("tells of a disk that it has not")
+		t.Fatal("tells of a disk that it has not")
 	}
 	for round := 0; round < 4; round++ {
 		for _, number := range []int{7, 2, 4, 5, 6, 8} {
@@ -95,11 +95,11 @@
 	}
 	set := members(controllers[8])
 	if len(set) != 5 || set["10.0.0.2:7000"] || set["10.0.0.7:7000"] {
-		test.Fatal(set)
+		t.Fatal(set)
 	}
 	// The front without a vote still reads the register.
 	if value, err := controllers[7].Register.Read(); err != nil || len(value.Acceptors) != 5 {
-		test.Fatal(err, len(value.Acceptors))
+		t.Fatal(err, len(value.Acceptors))
 	}
 }
 
@@ -114,9 +114,9 @@
 
 // Nothing is acknowledged while two losses could take it away and others are there
 // to join; once the set is whole, or nobody can make it so, it is.
-func TestAcknowledgedOnlyInASetThatBearsTheBudget(test *testing.T) {
-	folder := test.TempDir()
-	controller, server := open(test, folder, true)
+func TestAcknowledgedOnlyInASetThatBearsTheBudget(t *testing.T) {
+	folder := t.TempDir()
+	controller, server := open(t, folder, true)
 	controller.Node.Settings.FaultBudget.Machines = 2
 	stayYoung(controller)
 	// The other one goes on reporting: on a slow machine it would be taken for silent.
@@ -125,53 +125,53 @@
 	go clock.Every(constants.ContactPeriod, controller.Node.Stop, func() { controller.Node.Hear(other) })
 	for tries := 0; generationInForce(controller) != 2; tries++ {
 		// In force, and held back; where contact was lost it was not put in force.
-		if status, body := call(test, server, "POST", "/-/Configuration.Replace", "0", config(2)); status != 504 || tries > 100 {
-			test.Fatal(status, body)
+		if status, body := call(t, server, "POST", "/-/Configuration.Replace", "0", config(2)); status != 504 || tries > 100 {
+			t.Fatal(status, body)
 		}
 	}
 	// A refusal needs no waiting.
-	if status, _ := clearCall(test, server, "POST", "/-/Configuration.Replace", "1", config(3)); status != 412 {
-		test.Fatal(status)
+	if status, _ := clearCall(t, server, "POST", "/-/Configuration.Replace", "1", config(3)); status != 412 {
+		t.Fatal(status)
 	}
 	// A base that may yet come into force allows no refusal.
-	if status, _ := call(test, server, "POST", "/-/Configuration.Replace", "7", config(9)); status != 504 {
-		test.Fatal(status)
+	if status, _ := call(t, server, "POST", "/-/Configuration.Replace", "7", config(9)); status != 504 {
+		t.Fatal(status)
 	}
 	growOld(controller)
-	if status, body := clearCall(test, server, "POST", "/-/Configuration.Replace", "0", config(2)); status != 200 {
-		test.Fatal(status, body)
+	if status, body := clearCall(t, server, "POST", "/-/Configuration.Replace", "0", config(2)); status != 200 {
+		t.Fatal(status, body)
 	}
 }
 
 // A seed without a disk counts for nothing at the first start: what is acknowledged
 // waits until machines with a disk have its seat.
-func TestFirstAcknowledgementWaitsForDisks(test *testing.T) {
-	controllers, _ := fleet(test, 4, map[int]bool{2: true})
+func TestFirstAcknowledgementWaitsForDisks(t *testing.T) {
+	controllers, _ := fleet(t, 4, map[int]bool{2: true})
 	one := controllers[1]
 	one.Node.Settings.FaultBudget.Machines = 1
 	controllers[4].Node.Settings.FaultBudget.Machines = 1
 	value, err := one.Register.Read()
 	if err != nil || one.bears(&value) {
-		test.Fatal("bears with a seed that has no disk: ", err)
+		t.Fatal("bears with a seed that has no disk: ", err)
 	}
 	tend(controllers[4])
 	if value, err = one.Register.Read(); err != nil || !one.bears(&value) {
-		test.Fatal("does not bear with three disks: ", err, members(one))
+		t.Fatal("does not bear with three disks: ", err, members(one))
 	}
 }
 
 // Long after the start a smaller set has to do only where nobody else answers: four
 // machines with a disk are there, and the set is of the three seeds.
-func TestSmallerSetHasToDoOnlyWhereNobodyElseAnswers(test *testing.T) {
-	controllers, room := fleet(test, 4, nil)
+func TestSmallerSetHasToDoOnlyWhereNobodyElseAnswers(t *testing.T) {
+	controllers, room := fleet(t, 4, nil)
 	one := controllers[1]
 	growOld(one)
 	value, err := one.Register.Read()
 	if err != nil || one.bears(&value) {
-		test.Fatal("acknowledges in a set of three while a fourth machine answers: ", err)
+		t.Fatal("acknowledges in a set of three while a fourth machine answers: ", err)
 	}
 	room.Cut(controllers[4].Node.Own.Address, true)
 	if !one.bears(&value) {
-		test.Fatal("waits for a machine that does not answer")
+		t.Fatal("waits for a machine that does not answer")
 	}
 }
--- a/internal/control/controller/calls.go
+++ b/internal/control/controller/calls.go
@@ -21,14 +21,14 @@
 const bodySlack = 4
 
 // calls is the tree of matchers for workers and the operator.
-func (controller *Controller) calls() http.Handler {
+func (c *Controller) calls() http.Handler {
 	tree := chi.NewRouter()
-	tree.Post("/-/Workers.Heartbeat/{id}", controller.beat)
-	tree.Post("/-/Workers.Depart/{id}", controller.depart)
-	tree.Post("/-/Configuration.Replace", controller.replace)
-	tree.Get("/-/Configuration.Read", controller.read)
-	tree.Post("/-/Retire.Open/{node}", controller.retireOpen)
-	tree.Get("/-/Retire.Read/{node}", controller.retireRead)
+	tree.Post("/-/Workers.Heartbeat/{id}", c.beat)
+	tree.Post("/-/Workers.Depart/{id}", c.depart)
+	tree.Post("/-/Configuration.Replace", c.replace)
+	tree.Get("/-/Configuration.Read", c.read)
+	tree.Post("/-/Retire.Open/{node}", c.retireOpen)
+	tree.Get("/-/Retire.Read/{node}", c.retireRead)
 	return tree
 }
 
@@ -46,19 +46,19 @@
 	return nil, false
 }
 
-func (controller *Controller) retireOpen(writer http.ResponseWriter, request *http.Request) {
-	if !controller.requireContact(writer) {
+func (c *Controller) retireOpen(writer http.ResponseWriter, request *http.Request) {
+	if !c.requireContact(writer) {
 		return
 	}
 	name := chi.URLParam(request, "node")
-	value, err := controller.Register.ReadSets()
+	value, err := c.Register.ReadSets()
 	if err != nil {
 		httpreply.Reason(writer, http.StatusGatewayTimeout, elsewhere)
 		return
 	}
 	known := slices.Contains(value.Retired, name)
 	var serving []string
-	for _, entry := range controller.Node.All(membership.RoleStore) {
+	for _, entry := range c.Node.All(membership.RoleStore) {
 		known = known || entry.Name == name
 		if entry.AgeMs < constants.SilentAfter.Milliseconds() && !entry.Leaving {
 			serving = append(serving, entry.Name)
@@ -67,7 +67,7 @@
 	for _, member := range value.Stores {
 		known = known || member.Name == name
 	}
-	if !known && clock.Now().Since(controller.begun) < constants.SilentAfter {
+	if !known && clock.Now().Since(c.begun) < constants.SilentAfter {
 		// A process that has just started can't tell unknown from not yet heard.
 		httpreply.Reason(writer, http.StatusServiceUnavailable, elsewhere)
 		return
@@ -78,24 +78,24 @@
 	}
 	// The count is part of the change: another order may be taken meanwhile.
 	var result register.Result
-	_, err = controller.Register.Change(register.RetireStore(name, serving, controller.setSize(), &result))
+	_, err = c.Register.Change(register.RetireStore(name, serving, c.setSize(), &result))
 	switch {
 	case err != nil:
 		httpreply.Reason(writer, http.StatusGatewayTimeout, err.Error())
 	case result == register.ResultTooFew:
 		httpreply.Reason(writer, http.StatusConflict, "too few would be left")
 	default:
-		controller.Node.Log.Info("retire opened", "node", name)
+		c.Node.Log.Info("retire opened", "node", name)
 		httpreply.JSON(writer, http.StatusOK, struct{}{})
 	}
 }
 
-func (controller *Controller) retireRead(writer http.ResponseWriter, request *http.Request) {
-	if !controller.requireContact(writer) {
+func (c *Controller) retireRead(writer http.ResponseWriter, request *http.Request) {
+	if !c.requireContact(writer) {
 		return
 	}
 	name := chi.URLParam(request, "node")
-	value, err := controller.Register.ReadSets()
+	value, err := c.Register.ReadSets()
 	if err != nil {
 		httpreply.Reason(writer, http.StatusGatewayTimeout, elsewhere)
 		return
--- a/internal/control/controller/calls_test.go
+++ b/internal/control/controller/calls_test.go
@@ -23,35 +23,35 @@
 		Seeds: []string{"127.0.0.1:21000"}, Bootstrap: bootstrap, DataDir: folder, HeartbeatMs: 1200}
 }
 
-func open(test *testing.T, folder string, bootstrap bool) (*Controller, *httptest.Server) {
+func open(t *testing.T, folder string, bootstrap bool) (*Controller, *httptest.Server) {
 	controller, err := New(nodeSettings(folder, bootstrap), hclog.NewNullLogger())
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
-	keepContact(test, controller)
-	meet(test, controller)
+	keepContact(t, controller)
+	meet(t, controller)
 	server := httptest.NewServer(controller.calls())
-	test.Cleanup(server.Close)
+	t.Cleanup(server.Close)
 	return controller, server
 }
 
 // keepContact runs the rounds of the contact lease, as Run does, until the test ends.
-func keepContact(test *testing.T, controller *Controller) {
+func keepContact(t *testing.T, controller *Controller) {
 	go clock.Every(constants.ContactPeriod, controller.Node.Stop, controller.contactRound)
-	test.Cleanup(controller.Node.End)
+	t.Cleanup(controller.Node.End)
 }
 
 // clearCall makes a call as an operator or a worker does: what gets no clear answer (503,
 // 504) is sent again. On a machine under load a contact lease may run out meanwhile.
-func clearCall(test *testing.T, server *httptest.Server, method, path, base, body string) (int, string) {
-	return callPast(test, server, method, path, base, body, http.StatusServiceUnavailable, http.StatusGatewayTimeout)
+func clearCall(t *testing.T, server *httptest.Server, method, path, base, body string) (int, string) {
+	return callPast(t, server, method, path, base, body, http.StatusServiceUnavailable, http.StatusGatewayTimeout)
 }
 
 // callPast makes a call until its status is none of the unclear ones.
-func callPast(test *testing.T, server *httptest.Server, method, path, base, body string, unclear ...int) (int, string) {
+func callPast(t *testing.T, server *httptest.Server, method, path, base, body string, unclear ...int) (int, string) {
 	const tries = 100
 	for try := 1; ; try++ {
-		status, text := call(test, server, method, path, base, body)
+		status, text := call(t, server, method, path, base, body)
 		if !slices.Contains(unclear, status) || try == tries {
 			return status, text
 		}
@@ -68,10 +68,10 @@
 
 // meet has a controller do what it does in its first second: contact the acceptors, and
 // hear a majority of them on the workers.
-func meet(test *testing.T, controller *Controller) {
+func meet(t *testing.T, controller *Controller) {
 	for tries := 0; !controller.inContact() || !controller.recallOnce(); tries++ {
 		if tries > 100 {
-			test.Fatal("a majority answers, and there is no contact")
+			t.Fatal("a majority answers, and there is no contact")
 		}
 		controller.contactRound()
 	}
@@ -88,14 +88,14 @@
 	controller.begun = clock.Now().Plus(-clock.Milliseconds(60_000))
 }
 
-func call(test *testing.T, server *httptest.Server, method, path, base, body string) (int, string) {
+func call(t *testing.T, server *httptest.Server, method, path, base, body string) (int, string) {
 	request, _ := http.NewRequest(method, server.URL+path, strings.NewReader(body))
 	if base != "" {
 		request.Header.Set(headerBase, base)
 	}
 	answer, err := http.DefaultClient.Do(request)
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	defer answer.Body.Close()
 	text, _ := io.ReadAll(answer.Body)
@@ -107,9 +107,9 @@
 }
 
 // What PROTOCOL says of changes, over a real disk, and again after a restart.
-func TestReplaceAndRead(test *testing.T) {
-	folder := test.TempDir()
-	_, server := open(test, folder, true)
+func TestReplaceAndRead(t *testing.T) {
+	folder := t.TempDir()
+	_, server := open(t, folder, true)
 	steps := []struct {
 		name, base, body string
 		status           int
@@ -126,22 +126,22 @@
 		{"resent late", "0", config(2), 200},
 	}
 	for _, step := range steps {
-		if status, body := clearCall(test, server, "POST", "/-/Configuration.Replace", step.base, step.body); status != step.status {
-			test.Errorf("%s: %d %s, want %d", step.name, status, body, step.status)
+		if status, body := clearCall(t, server, "POST", "/-/Configuration.Replace", step.base, step.body); status != step.status {
+			t.Errorf("%s: %d %s, want %d", step.name, status, body, step.status)
 		}
 	}
-	if status, body := clearCall(test, server, "GET", "/-/Configuration.Read", "", ""); status != 200 || body != config(5) {
-		test.Fatal(status, body)
+	if status, body := clearCall(t, server, "GET", "/-/Configuration.Read", "", ""); status != 200 || body != config(5) {
+		t.Fatal(status, body)
 	}
-	_, again := open(test, folder, false)
-	if status, body := clearCall(test, again, "GET", "/-/Configuration.Read", "", ""); status != 200 || body != config(5) {
-		test.Fatal("after a restart: ", status, body)
+	_, again := open(t, folder, false)
+	if status, body := clearCall(t, again, "GET", "/-/Configuration.Read", "", ""); status != 200 || body != config(5) {
+		t.Fatal("after a restart: ", status, body)
 	}
 }
 
-func TestWorkersCalls(test *testing.T) {
-	folder := test.TempDir()
-	controller, server := open(test, folder, true)
+func TestWorkersCalls(t *testing.T) {
+	folder := t.TempDir()
+	controller, server := open(t, folder, true)
 	beat := `{"backend":"s","address":"a:1","zone":"h","generation":"v1","capacity":4,"phase":"%s","call-count":%d}`
 	for _, step := range []struct {
 		path, body string
@@ -156,29 +156,29 @@
 		{"Workers.Depart/w", `{"call-count":6}`, 200, messages.PhaseGone},
 		{"Workers.Heartbeat/w", fmt.Sprintf(beat, "steady", 7), 200, messages.PhaseGone},
 	} {
-		status, body := clearCall(test, server, "POST", "/-/"+step.path, "", step.body)
+		status, body := clearCall(t, server, "POST", "/-/"+step.path, "", step.body)
 		worker, _ := controller.registry.Get("w")
 		if status != step.status || worker.Phase != step.phase {
-			test.Fatalf("%s %s: %d %s, phase %s", step.path, step.body, status, body, worker.Phase)
+			t.Fatalf("%s %s: %d %s, phase %s", step.path, step.body, status, body, worker.Phase)
 		}
 	}
 }
 
-func TestRetireOfUnknownAndOfTooMany(test *testing.T) {
-	controller, server := open(test, test.TempDir(), true)
+func TestRetireOfUnknownAndOfTooMany(t *testing.T) {
+	controller, server := open(t, t.TempDir(), true)
 	stayYoung(controller)
-	if status, _ := callPast(test, server, "POST", "/-/Retire.Open/store-1", "", "{}", http.StatusGatewayTimeout); status != 503 {
-		test.Fatal("a controller that has just started can't know: ", status)
+	if status, _ := callPast(t, server, "POST", "/-/Retire.Open/store-1", "", "{}", http.StatusGatewayTimeout); status != 503 {
+		t.Fatal("a controller that has just started can't know: ", status)
 	}
 	growOld(controller)
-	if status, _ := clearCall(test, server, "POST", "/-/Retire.Open/store-1", "", "{}"); status != 404 {
-		test.Fatal(status)
+	if status, _ := clearCall(t, server, "POST", "/-/Retire.Open/store-1", "", "{}"); status != 404 {
+		t.Fatal(status)
 	}
 	controller.Node.Hear([]messages.Entry{{Name: "store-1", Role: membership.RoleStore, Address: "x:1"}})
-	if status, _ := clearCall(test, server, "POST", "/-/Retire.Open/store-1", "", "{}"); status != 409 {
-		test.Fatal("the last store was to be emptied: ", status)
+	if status, _ := clearCall(t, server, "POST", "/-/Retire.Open/store-1", "", "{}"); status != 409 {
+		t.Fatal("the last store was to be emptied: ", status)
 	}
-	if status, _ := clearCall(test, server, "GET", "/-/Retire.Read/store-1", "", ""); status != 404 {
-		test.Fatal(status)
+	if status, _ := clearCall(t, server, "GET", "/-/Retire.Read/store-1", "", ""); status != 404 {
+		t.Fatal(status)
 	}
 }
--- a/internal/control/controller/contact.go
+++ b/internal/control/controller/contact.go
@@ -28,16 +28,16 @@
 }
 
 // registerContact registers the answer to other controllers' rounds.
-func (controller *Controller) registerContact() {
-	controller.Node.Answer(messages.KindContact, answer(func(_ *messages.ContactAsk) (transport.Writable, error) {
-		record := controller.Register.Record()
+func (c *Controller) registerContact() {
+	c.Node.Answer(messages.KindContact, answer(func(_ *messages.ContactAsk) (transport.Writable, error) {
+		record := c.Register.Record()
 		return &messages.ContactTold{Disk: record.Disk, SetEpoch: record.Value.SetEpoch, Generation: record.Value.Current.Generation}, nil
 	}))
 }
 
 // attached tells whether the contact lease is valid. It never waits.
-func (controller *Controller) attached() bool {
-	state := &controller.contact
+func (c *Controller) attached() bool {
+	state := &c.contact
 	state.lock.Lock()
 	defer state.lock.Unlock()
 	return state.lease.Valid(&state.sets, clock.Now())
@@ -45,21 +45,21 @@
 
 // inContact is attached for those who may wait a little: after a start or a freeze one
 // round decides whether the process is cut off at all.
-func (controller *Controller) inContact() bool {
-	if controller.attached() {
+func (c *Controller) inContact() bool {
+	if c.attached() {
 		return true
 	}
-	state := &controller.contact
+	state := &c.contact
 	state.lock.Lock()
 	overdue := state.asked == 0 || clock.Now().Since(state.asked) > constants.ContactPeriod+constants.ContactTime
 	state.lock.Unlock()
 	if overdue {
-		controller.contactRound()
+		c.contactRound()
 	}
 	state.lock.Lock()
 	end := state.asked.Plus(constants.ContactTime / 2)
 	state.lock.Unlock()
-	for !controller.attached() {
+	for !c.attached() {
 		if clock.Now() > end {
 			return false
 		}
@@ -69,29 +69,29 @@
 }
 
 // followed is what this process follows of the register.
-func (controller *Controller) followed() contact.Followed {
-	return contact.Followed{SetEpoch: controller.Register.Known().SetEpoch, Generation: controller.Node.Generation()}
+func (c *Controller) followed() contact.Followed {
+	return contact.Followed{SetEpoch: c.Register.Known().SetEpoch, Generation: c.Node.Generation()}
 }
 
 // contactRound asks all acceptors, this process's own among them.
-func (controller *Controller) contactRound() {
-	known := controller.Register.Known()
+func (c *Controller) contactRound() {
+	known := c.Register.Known()
 	known.Body, known.History = nil, nil
-	now, state := clock.Now(), &controller.contact
+	now, state := clock.Now(), &c.contact
 	state.lock.Lock()
 	state.asked, state.sets = now, known
 	state.lease.Trim(&known)
 	state.lock.Unlock()
 	for _, member := range register.Targets(&known) {
-		if member.Address == controller.Node.Own.Address {
-			record := controller.Register.Record()
-			controller.contactAnswered(member, now, &messages.ContactTold{Disk: record.Disk, SetEpoch: record.Value.SetEpoch, Generation: record.Value.Current.Generation})
+		if member.Address == c.Node.Own.Address {
+			record := c.Register.Record()
+			c.contactAnswered(member, now, &messages.ContactTold{Disk: record.Disk, SetEpoch: record.Value.SetEpoch, Generation: record.Value.Current.Generation})
 			continue
 		}
 		go func() {
 			told := &messages.ContactTold{}
-			if transport.Ask(controller.Node.Wire, member.Address, messages.KindContact, &messages.ContactAsk{From: controller.Node.Own.Address}, told, constants.ContactTime) == nil {
-				controller.contactAnswered(member, now, told)
+			if transport.Ask(c.Node.Wire, member.Address, messages.KindContact, &messages.ContactAsk{From: c.Node.Own.Address}, told, constants.ContactTime) == nil {
+				c.contactAnswered(member, now, told)
 			}
 		}()
 	}
@@ -99,38 +99,38 @@
 
 // contactAnswered takes one answer. Where the acceptor is ahead, the newer value is
 // looked for; until it is followed, that acceptor does not renew the lease.
-func (controller *Controller) contactAnswered(member messages.Member, asked clock.Moment, told *messages.ContactTold) {
+func (c *Controller) contactAnswered(member messages.Member, asked clock.Moment, told *messages.ContactTold) {
 	// The answer counts for the disk that gave it: an emptied machine is another acceptor.
 	member.Disk = told.Disk
-	accepted, followed, state := contact.Followed{SetEpoch: told.SetEpoch, Generation: told.Generation}, controller.followed(), &controller.contact
+	accepted, followed, state := contact.Followed{SetEpoch: told.SetEpoch, Generation: told.Generation}, c.followed(), &c.contact
 	state.lock.Lock()
 	ahead := state.lease.Answered(member, asked, accepted, followed)
 	look := ahead && !state.catching
 	state.catching = state.catching || look
 	state.lock.Unlock()
 	if look {
-		go controller.catchUp(accepted)
+		go c.catchUp(accepted)
 	}
 }
 
 // catchUp looks for a value that an acceptor has accepted and this process does not
 // follow. Its proposer is given the time to spread it first.
-func (controller *Controller) catchUp(accepted contact.Followed) {
+func (c *Controller) catchUp(accepted contact.Followed) {
 	clock.Sleep(constants.PushTime / 2)
-	if accepted.SetEpoch > controller.followed().SetEpoch {
-		if _, err := controller.Register.ReadSets(); err != nil {
-			controller.learnSets()
+	if accepted.SetEpoch > c.followed().SetEpoch {
+		if _, err := c.Register.ReadSets(); err != nil {
+			c.learnSets()
 		}
 	}
-	if accepted.Generation > controller.followed().Generation {
-		if value, err := controller.shared.Read(controller.Register.Read); err == nil {
-			controller.chosen(value, false)
+	if accepted.Generation > c.followed().Generation {
+		if value, err := c.shared.Read(c.Register.Read); err == nil {
+			c.chosen(value, false)
 		}
 	}
-	controller.contact.lock.Lock()
-	controller.contact.catching = false
-	controller.contact.lock.Unlock()
-	controller.contactRound()
+	c.contact.lock.Lock()
+	c.contact.catching = false
+	c.contact.lock.Unlock()
+	c.contactRound()
 }
 
 // whileAttached runs work that may end in an unclear result, and gives it up once the
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -143,29 +143,29 @@
 	}
 }
 
-func (controller *Controller) registerCalls() {
-	runtime := controller.Node
+func (c *Controller) registerCalls() {
+	runtime := c.Node
 	runtime.Answer(messages.KindPrepare, answer(func(question *messages.Prepare) (transport.Writable, error) {
-		back, err := controller.Register.Prepare(question)
+		back, err := c.Register.Prepare(question)
 		return &back, err
 	}))
 	runtime.Answer(messages.KindAccept, answer(func(question *messages.Accept) (transport.Writable, error) {
-		back, err := controller.Register.Accept(question)
+		back, err := c.Register.Accept(question)
 		return &back, err
 	}))
 	runtime.Answer(messages.KindAsk, answer(func(question *messages.HoldAsk) (transport.Writable, error) {
-		back := controller.Register.Hold(*question)
+		back := c.Register.Hold(*question)
 		return &back, nil
 	}))
-	runtime.Answer(messages.KindConfigPull, answer(controller.pulled))
+	runtime.Answer(messages.KindConfigPull, answer(c.pulled))
 	runtime.Answer(messages.KindRegisterRead, answer(func(_ *messages.Nothing) (transport.Writable, error) {
 		value, err := messages.Register{}, Detached.New("sets")
-		if controller.inContact() {
-			value, err = controller.sets.Read(controller.Register.ReadSets)
+		if c.inContact() {
+			value, err = c.sets.Read(c.Register.ReadSets)
 		}
 		if err != nil {
 			// The sets last seen in force still help a newcomer to find the acceptors.
-			known, seen := controller.Register.Chosen()
+			known, seen := c.Register.Chosen()
 			if !seen {
 				return &messages.DutyChanged{}, nil
 			}
@@ -174,30 +174,30 @@
 		value.Body = nil
 		return &messages.DutyChanged{Done: err == nil, Known: true, Value: value}, nil
 	}))
-	runtime.Answer(messages.KindDutyChange, answer(controller.changeDuty))
-	controller.registerTables()
-	controller.registerContact()
-	controller.registerRecall()
-	controller.registerNamed()
-	controller.registerPlans()
+	runtime.Answer(messages.KindDutyChange, answer(c.changeDuty))
+	c.registerTables()
+	c.registerContact()
+	c.registerRecall()
+	c.registerNamed()
+	c.registerPlans()
 }
 
 // Run serves until told to stop.
-func (controller *Controller) Run() error {
-	runtime := controller.Node
+func (c *Controller) Run() error {
+	runtime := c.Node
 	if err := runtime.Start(); err != nil {
 		return err
 	}
-	go controller.relearn()
-	go clock.Every(constants.ContactPeriod, runtime.Stop, controller.contactRound)
-	go clock.Every(constants.BacklogPeriod, runtime.Stop, controller.tendBacklog)
-	go clock.Every(constants.RosterPeriod, runtime.Stop, controller.beatOthers)
-	go clock.Every(constants.TendPeriod, runtime.Stop, controller.tendSet)
-	go clock.Every(constants.TendPeriod, runtime.Stop, func() { controller.tendNamed(controller.plans.localRegister) })
-	go clock.Every(constants.PlanPeriod, runtime.Stop, controller.tendPlans)
-	controller.server = &http.Server{Addr: runtime.Settings.Bind.Control, Handler: controller.calls(), ReadHeaderTimeout: constants.BulkCallTime}
+	go c.relearn()
+	go clock.Every(constants.ContactPeriod, runtime.Stop, c.contactRound)
+	go clock.Every(constants.BacklogPeriod, runtime.Stop, c.tendBacklog)
+	go clock.Every(constants.RosterPeriod, runtime.Stop, c.beatOthers)
+	go clock.Every(constants.TendPeriod, runtime.Stop, c.tendSet)
+	go clock.Every(constants.TendPeriod, runtime.Stop, func() { c.tendNamed(c.plans.localRegister) })
+	go clock.Every(constants.PlanPeriod, runtime.Stop, c.tendPlans)
+	c.server = &http.Server{Addr: runtime.Settings.Bind.Control, Handler: c.calls(), ReadHeaderTimeout: constants.BulkCallTime}
 	runtime.Log.Info("serving", "control", runtime.Settings.Bind.Control, "disk", runtime.Own.Disk)
-	err := controller.server.ListenAndServe()
+	err := c.server.ListenAndServe()
 	if err == http.ErrServerClosed {
 		return nil
 	}
@@ -205,8 +205,8 @@
 }
 
 // Leave stops in order: calls under way are answered first.
-func (controller *Controller) Leave() {
-	controller.Node.Leave()
-	errandStop(controller.server)
-	controller.Node.End()
+func (c *Controller) Leave() {
+	c.Node.Leave()
+	errandStop(c.server)
+	c.Node.End()
 }
--- a/internal/control/controller/learning_test.go
+++ b/internal/control/controller/learning_test.go
@@ -25,41 +25,41 @@
 
 // A controller that has just started acknowledges no drain, counts nobody and vouches for
 // no worker until a majority of the acceptors was heard on the workers.
-func TestStartingControllerLearnsFirst(test *testing.T) {
-	controllers, room := voters(test, 3)
+func TestStartingControllerLearnsFirst(t *testing.T) {
+	controllers, room := voters(t, 3)
 	starting := controllers[1]
 	server := httptest.NewServer(starting.calls())
 	defer server.Close()
 	room.Cut(controllers[2].Node.Own.Address, true)
 	room.Cut(controllers[3].Node.Own.Address, true)
 	if starting.recallOnce() || starting.inContact() {
-		test.Fatal("no majority answers")
+		t.Fatal("no majority answers")
 	}
-	if status, _ := call(test, server, "POST", "/-/Workers.Heartbeat/w", "", drainCall); status != 503 {
-		test.Fatal(status)
+	if status, _ := call(t, server, "POST", "/-/Workers.Heartbeat/w", "", drainCall); status != 503 {
+		t.Fatal(status)
 	}
 	if answer := reported(starting); !answer.Detached || len(answer.Counts) != 0 || answer.Judging || answer.Workers.Life != 0 {
-		test.Fatal(answer)
+		t.Fatal(answer)
 	}
-	if status, _ := call(test, server, "POST", "/-/Configuration.Replace", "0", config(2)); status != 504 {
-		test.Fatal(status)
+	if status, _ := call(t, server, "POST", "/-/Configuration.Replace", "0", config(2)); status != 504 {
+		t.Fatal(status)
 	}
 	room.Cut(controllers[2].Node.Own.Address, false)
 	starting.contactRound()
-	meet(test, starting)
+	meet(t, starting)
 	if answer := reported(starting); answer.Detached || len(answer.Counts) == 0 || !answer.Judging {
-		test.Fatal(answer)
+		t.Fatal(answer)
 	}
-	if status, body := clearCall(test, server, "POST", "/-/Workers.Heartbeat/w", "", drainCall); status != 200 {
-		test.Fatal(status, body)
+	if status, body := clearCall(t, server, "POST", "/-/Workers.Heartbeat/w", "", drainCall); status != 200 {
+		t.Fatal(status, body)
 	}
 }
 
 // A drain that the other acceptors do not write in time is not acknowledged, and the
 // worker hears so within the second that it waits.
-func TestDrainIsNotAcknowledgedByOneDisk(test *testing.T) {
-	controllers, _ := voters(test, 3)
-	meet(test, controllers[1])
+func TestDrainIsNotAcknowledgedByOneDisk(t *testing.T) {
+	controllers, _ := voters(t, 3)
+	meet(t, controllers[1])
 	server := httptest.NewServer(controllers[1].calls())
 	defer server.Close()
 	hang := make(chan struct{})
@@ -70,11 +70,11 @@
 			return nil, nil
 		})
 	}
-	if status, _ := call(test, server, "POST", "/-/Workers.Heartbeat/w", "", drainCall); status != 503 {
-		test.Fatal(status)
+	if status, _ := call(t, server, "POST", "/-/Workers.Heartbeat/w", "", drainCall); status != 503 {
+		t.Fatal(status)
 	}
 	const second, slack = 1_000_000_000, 100_000_000
 	if constants.ContactTime/2+constants.TreeTime > second-slack {
-		test.Fatal("the bounds of a worker's call do not fit into its second")
+		t.Fatal("the bounds of a worker's call do not fit into its second")
 	}
 }
--- a/internal/control/controller/memory.go
+++ b/internal/control/controller/memory.go
@@ -68,20 +68,20 @@
 // remember queues a change that binds nobody: a worker's call is not held up by the disk,
 // and a change that finds no room is written with the next rewrite, or told again by the
 // worker.
-func (memory *memory) remember(worker messages.Worker) {
+func (m *memory) remember(worker messages.Worker) {
 	select {
-	case memory.queue <- keeping{workers: []messages.Worker{worker}}:
+	case m.queue <- keeping{workers: []messages.Worker{worker}}:
 	default:
 	}
 }
 
 // keep returns once workers are on disk, with an error if that failed or took too long.
-func (memory *memory) keep(workers []messages.Worker) error {
+func (m *memory) keep(workers []messages.Worker) error {
 	timer := clock.NewTimer(constants.TreeTime)
 	defer timer.Stop()
 	one := keeping{workers: workers, done: make(chan error, 1)}
 	select {
-	case memory.queue <- one:
+	case m.queue <- one:
 	case <-timer.C:
 		return Forgotten.New("the disk lags behind")
 	}
@@ -94,32 +94,32 @@
 }
 
 // replace has the file written anew, without waiting for it.
-func (memory *memory) replace() {
+func (m *memory) replace() {
 	go func() {
-		memory.queue <- keeping{rewrite: true}
+		m.queue <- keeping{rewrite: true}
 	}()
 }
 
 // run writes what was queued, several changes with one sync. all gives every worker for
 // a rewrite of the file.
-func (memory *memory) run(stop <-chan struct{}, all func() []messages.Worker, log hclog.Logger) {
+func (m *memory) run(stop <-chan struct{}, all func() []messages.Worker, log hclog.Logger) {
 	for {
 		var batch []keeping
 		select {
 		case <-stop:
 			return
-		case one := <-memory.queue:
+		case one := <-m.queue:
 			batch = append(batch, one)
 		}
 		for more := true; more; {
 			select {
-			case one := <-memory.queue:
+			case one := <-m.queue:
 				batch = append(batch, one)
 			default:
 				more = false
 			}
 		}
-		err := memory.write(batch, all)
+		err := m.write(batch, all)
 		if err != nil {
 			log.Warn("workers not kept", "why", err.Error())
 		}
@@ -133,23 +133,23 @@
 
 // write puts a batch on disk. What is in the batch is in all as well: callers change the
 // registry first.
-func (memory *memory) write(batch []keeping, all func() []messages.Worker) error {
-	rewrite := memory.logfile.Size() > memoryLimit
+func (m *memory) write(batch []keeping, all func() []messages.Worker) error {
+	rewrite := m.logfile.Size() > memoryLimit
 	for _, one := range batch {
 		rewrite = rewrite || one.rewrite
 	}
 	if rewrite {
-		_, err := memory.logfile.Rewrite(recordlog.Once(packWorkers(all())...))
+		_, err := m.logfile.Rewrite(recordlog.Once(packWorkers(all())...))
 		return Forgotten.Wrap(err, "rewrite")
 	}
 	var records [][]byte
 	for _, one := range batch {
 		records = append(records, packWorkers(one.workers)...)
 	}
-	if _, err := memory.logfile.Append(records...); err != nil {
+	if _, err := m.logfile.Append(records...); err != nil {
 		return Forgotten.Wrap(err, "append")
 	}
-	return Forgotten.Wrap(memory.logfile.Sync(), "sync")
+	return Forgotten.Wrap(m.logfile.Sync(), "sync")
 }
 
 func packWorkers(workers []messages.Worker) [][]byte {
--- a/internal/control/controller/mounted_test.go
+++ b/internal/control/controller/mounted_test.go
@@ -20,59 +20,59 @@
 	recordlog.File
 }
 
-func (one *mounted) do(work func() error) error {
-	one.lock.Lock()
-	defer one.lock.Unlock()
-	if one.dead {
+func (m *mounted) do(work func() error) error {
+	m.lock.Lock()
+	defer m.lock.Unlock()
+	if m.dead {
 		return simulation.ErrFull
 	}
 	return work()
 }
 
-func (one *mounted) Open(name string) (file recordlog.File, err error) {
-	err = one.do(func() error {
-		inner, problem := one.disk.Open(name)
-		file = &mountedFile{one, inner}
+func (m *mounted) Open(name string) (file recordlog.File, err error) {
+	err = m.do(func() error {
+		inner, problem := m.disk.Open(name)
+		file = &mountedFile{m, inner}
 		return problem
 	})
 	return file, err
 }
 
-func (one *mounted) Rename(from, to string) error {
-	return one.do(func() error { return one.disk.Rename(from, to) })
+func (m *mounted) Rename(from, to string) error {
+	return m.do(func() error { return m.disk.Rename(from, to) })
 }
-func (one *mounted) Remove(name string) error {
-	return one.do(func() error { return one.disk.Remove(name) })
+func (m *mounted) Remove(name string) error {
+	return m.do(func() error { return m.disk.Remove(name) })
 }
-func (one *mounted) SyncFolder() error { return one.do(one.disk.SyncFolder) }
+func (m *mounted) SyncFolder() error { return m.do(m.disk.SyncFolder) }
 
-func (one *mountedFile) Write(text []byte) (count int, err error) {
-	err = one.mounted.do(func() error {
+func (m *mountedFile) Write(text []byte) (count int, err error) {
+	err = m.mounted.do(func() error {
 		var problem error
-		count, problem = one.File.Write(text)
+		count, problem = m.File.Write(text)
 		return problem
 	})
 	return count, err
 }
-func (one *mountedFile) Sync() error { return one.mounted.do(one.File.Sync) }
+func (m *mountedFile) Sync() error { return m.mounted.do(m.File.Sync) }
 
-func (one *mountedFile) Truncate(size int64) error {
-	return one.mounted.do(func() error { return one.File.Truncate(size) })
+func (m *mountedFile) Truncate(size int64) error {
+	return m.mounted.do(func() error { return m.File.Truncate(size) })
 }
 
-func (one *mountedFile) Size() (size int64, err error) {
-	err = one.mounted.do(func() error {
+func (m *mountedFile) Size() (size int64, err error) {
+	err = m.mounted.do(func() error {
 		var problem error
-		size, problem = one.File.Size()
+		size, problem = m.File.Size()
 		return problem
 	})
 	return size, err
 }
 
-func (one *mountedFile) ReadAt(into []byte, offset int64) (count int, err error) {
-	err = one.mounted.do(func() error {
+func (m *mountedFile) ReadAt(into []byte, offset int64) (count int, err error) {
+	err = m.mounted.do(func() error {
 		var problem error
-		count, problem = one.File.ReadAt(into, offset)
+		count, problem = m.File.ReadAt(into, offset)
 		return problem
 	})
 	return count, err
--- a/internal/control/controller/named.go
+++ b/internal/control/controller/named.go
@@ -16,17 +16,17 @@
 const PlansRegister = "plans"
 
 // called gives the register of a name. There is one so far.
-func (controller *Controller) called(name string) (*quorum.Register, error) {
+func (c *Controller) called(name string) (*quorum.Register, error) {
 	if name != PlansRegister {
 		return nil, node.Unable.New("no register is named " + name)
 	}
-	return controller.plans.localRegister, nil
+	return c.plans.localRegister, nil
 }
 
-func (controller *Controller) registerNamed() {
-	runtime := controller.Node
+func (c *Controller) registerNamed() {
+	runtime := c.Node
 	runtime.Answer(messages.KindNamedPrepare, answer(func(question *messages.NamedPrepare) (transport.Writable, error) {
-		localRegister, err := controller.called(question.Name)
+		localRegister, err := c.called(question.Name)
 		if err != nil {
 			return nil, err
 		}
@@ -34,7 +34,7 @@
 		return &back, err
 	}))
 	runtime.Answer(messages.KindNamedAccept, answer(func(question *messages.NamedAccept) (transport.Writable, error) {
-		localRegister, err := controller.called(question.Name)
+		localRegister, err := c.called(question.Name)
 		if err != nil {
 			return nil, err
 		}
@@ -42,7 +42,7 @@
 		return &back, err
 	}))
 	runtime.Answer(messages.KindNamedRead, answer(func(question *messages.NamedAsk) (transport.Writable, error) {
-		localRegister, err := controller.called(question.Name)
+		localRegister, err := c.called(question.Name)
 		if err != nil {
 			return nil, err
 		}
@@ -58,33 +58,33 @@
 
 // tendNamed keeps the acceptor set of a named register whole, as tendSet does for
 // the configuration.
-func (controller *Controller) tendNamed(localRegister *quorum.Register) {
+func (c *Controller) tendNamed(localRegister *quorum.Register) {
 	known := localRegister.Known()
 	if len(known.Acceptors) == 0 {
-		controller.learnNamed(localRegister)
+		c.learnNamed(localRegister)
 		return
 	}
-	tending := controller.tending(known)
+	tending := c.tending(known)
 	if !localRegister.NeedsTending(tending) {
 		return
 	}
-	controller.stagger()
+	c.stagger()
 	value, changed, err := localRegister.Tend(tending)
 	if err != nil {
-		controller.Node.Log.Warn("set not changed", "register", localRegister.Name, "why", err.Error())
-		controller.learnNamed(localRegister)
+		c.Node.Log.Warn("set not changed", "register", localRegister.Name, "why", err.Error())
+		c.learnNamed(localRegister)
 		return
 	}
 	if changed {
-		controller.Node.Log.Info("set changed", "register", localRegister.Name, "epoch", value.SetEpoch, "members", len(value.Acceptors))
+		c.Node.Log.Info("set changed", "register", localRegister.Name, "epoch", value.SetEpoch, "members", len(value.Acceptors))
 	}
 }
 
 // learnNamed asks other controllers for the acceptors of a named register.
-func (controller *Controller) learnNamed(localRegister *quorum.Register) {
-	controller.askOthers(func(address string) {
+func (c *Controller) learnNamed(localRegister *quorum.Register) {
+	c.askOthers(func(address string) {
 		back := &messages.DutyChanged{}
-		if transport.Ask(controller.Node.Wire, address, messages.KindNamedRead, &messages.NamedAsk{Name: localRegister.Name}, back, constants.CallTime) == nil {
+		if transport.Ask(c.Node.Wire, address, messages.KindNamedRead, &messages.NamedAsk{Name: localRegister.Name}, back, constants.CallTime) == nil {
 			localRegister.LearnSets(back.Value)
 		}
 	})
--- a/internal/control/controller/named_test.go
+++ b/internal/control/controller/named_test.go
@@ -22,26 +22,26 @@
 
 // voters makes controllers whose disks are in memory and vote all the same, so that the
 // test does not hang on how fast the machine's disk syncs.
-func voters(test *testing.T, count int) (map[int]*Controller, *transport.Room) {
+func voters(t *testing.T, count int) (map[int]*Controller, *transport.Room) {
 	room, controllers := transport.NewRoom(), map[int]*Controller{}
 	for number := 1; number <= count; number++ {
-		controllers[number] = voter(test, room, number, true)
+		controllers[number] = voter(t, room, number, true)
 	}
 	acquaint(controllers)
 	return controllers, room
 }
 
-func voter(test *testing.T, room *transport.Room, number int, first bool) *Controller {
+func voter(t *testing.T, room *transport.Room, number int, first bool) *Controller {
 	nodeSettings := &settings.Settings{NodeName: fmt.Sprint("m", number), Address: fmt.Sprint("10.0.0.", number), Zone: fmt.Sprint("h", number%4),
 		InternalPorts: []int{7000, 7010}, Seeds: []string{"10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"}, Bootstrap: first, InQuorum: true,
 		HeartbeatMs: 1200, FaultBudget: settings.FaultBudget{Machines: 2}}
 	controller, err := New(nodeSettings, hclog.NewNullLogger())
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	controller.Node.Wire = room.Transport(controller.Node.Own.Address)
 	if err = controller.Node.Wire.Serve(controller.Node.Handle); err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	return controller
 }
@@ -60,8 +60,8 @@
 // TestAssignmentsOutlastAWipeAndTwoLosses: the register of assignments grows to the
 // budget, a wiped member comes back as somebody else, and what was acknowledged is
 // read from the rest. The configuration's set is left as it was throughout.
-func TestAssignmentsOutlastAWipeAndTwoLosses(test *testing.T) {
-	controllers, room := voters(test, 8)
+func TestAssignmentsOutlastAWipeAndTwoLosses(t *testing.T) {
+	controllers, room := voters(t, 8)
 	for round := 0; round < 3; round++ {
 		for number := 1; number <= 8; number++ {
 			tendPlansNow(controllers[number])
@@ -69,29 +69,29 @@
 	}
 	set := controllers[8].plans.localRegister.Known()
 	if len(set.Acceptors) != 5 || len(set.Previous) != 0 {
-		test.Fatal("the set is of ", len(set.Acceptors), len(set.Previous))
+		t.Fatal("the set is of ", len(set.Acceptors), len(set.Previous))
 	}
 	if len(members(controllers[8])) != 3 {
-		test.Fatal("the configuration's set changed with it: ", members(controllers[8]))
+		t.Fatal("the configuration's set changed with it: ", members(controllers[8]))
 	}
-	rules, answer := rulesAndAnswer(test)
+	rules, answer := rulesAndAnswer(t)
 	acquaint(controllers)
 	back := &messages.PlanApplied{}
-	asked(test, controllers[1], messages.KindPlanApply, &messages.PlanApply{Rules: rules, Answer: answer}, back)
+	asked(t, controllers[1], messages.KindPlanApply, &messages.PlanApply{Rules: rules, Answer: answer}, back)
 	if !back.Taken || back.Revision != 1 {
-		test.Fatalf("%+v", back)
+		t.Fatalf("%+v", back)
 	}
 	room.Cut(controllers[1].Node.Own.Address, true)
 	before := controllers[3].plans.localRegister.Identity()
 	controllers[3].Node.Wire.Close()
 	// The same machine with an empty disk, which is no first start.
-	controllers[3] = voter(test, room, 3, false)
+	controllers[3] = voter(t, room, 3, false)
 	acquaint(controllers)
 	promise := &messages.Promise{}
-	asked(test, controllers[3], messages.KindNamedPrepare, &messages.NamedPrepare{Name: PlansRegister,
+	asked(t, controllers[3], messages.KindNamedPrepare, &messages.NamedPrepare{Name: PlansRegister,
 		Prepare: messages.Prepare{Ballot: messages.Ballot{Counter: 1 << 30, Node: "x"}, Disk: before.Disk}}, promise)
 	if promise.Granted {
-		test.Fatal("an amnesiac voted under its old name")
+		t.Fatal("an amnesiac voted under its old name")
 	}
 	for round := 0; round < 3; round++ {
 		tendPlansNow(controllers[3])
@@ -102,11 +102,11 @@
 		inside = inside || member.Disk == controllers[3].plans.localRegister.Identity().Disk
 	}
 	if !inside || len(known.Acceptors) != 5 {
-		test.Fatal("the wiped machine did not come back: ", known.Acceptors)
+		t.Fatal("the wiped machine did not come back: ", known.Acceptors)
 	}
 	room.Cut(controllers[2].Node.Own.Address, true)
 	told, err := controllers[3].planRead()
 	if err != nil || told.Revision != 1 || !bytes.Equal(told.Value.Rules, rules) {
-		test.Fatal(err, told)
+		t.Fatal(err, told)
 	}
 }
--- a/internal/control/controller/plans.go
+++ b/internal/control/controller/plans.go
@@ -27,48 +27,48 @@
 	changed       clock.Moment
 }
 
-func (controller *Controller) registerPlans() {
-	runtime := controller.Node
-	runtime.Answer(messages.KindPlanPull, answer(controller.planPulled))
-	runtime.Answer(messages.KindPlanApply, answer(controller.planApply))
+func (c *Controller) registerPlans() {
+	runtime := c.Node
+	runtime.Answer(messages.KindPlanPull, answer(c.planPulled))
+	runtime.Answer(messages.KindPlanApply, answer(c.planApply))
 	runtime.Report("assignments", func() *messages.Status {
-		told := controller.planTold()
+		told := c.planTold()
 		return assignments.Status(&told, "", clock.DayMinute())
 	})
-	controller.plans.localRegister.Accepted = func(int64) {
+	c.plans.localRegister.Accepted = func(int64) {
 		// Accepted is not chosen: a majority is asked. The generation told is the revision.
 		go func() {
 			clock.Sleep(constants.PushTime)
-			_, _ = controller.planRead()
+			_, _ = c.planRead()
 		}()
 	}
 }
 
-func (controller *Controller) planTold() messages.PlanTold {
-	controller.plans.lock.Lock()
-	defer controller.plans.lock.Unlock()
-	return controller.plans.board.Told()
+func (c *Controller) planTold() messages.PlanTold {
+	c.plans.lock.Lock()
+	defer c.plans.lock.Unlock()
+	return c.plans.board.Told()
 }
 
 // takePlan puts a chosen value in force here.
-func (controller *Controller) takePlan(told *messages.PlanTold) {
-	controller.plans.lock.Lock()
-	taken := controller.plans.board.Take(*told)
+func (c *Controller) takePlan(told *messages.PlanTold) {
+	c.plans.lock.Lock()
+	taken := c.plans.board.Take(*told)
 	if taken {
-		controller.plans.changed = clock.Now()
+		c.plans.changed = clock.Now()
 	}
-	controller.plans.lock.Unlock()
+	c.plans.lock.Unlock()
 	if taken {
-		controller.Node.Log.Info("assignments taken", "revision", told.Revision, "generation", told.Generation, "gone", len(told.Gone), "collisions", len(told.Collisions))
+		c.Node.Log.Info("assignments taken", "revision", told.Revision, "generation", told.Generation, "gone", len(told.Gone), "collisions", len(told.Collisions))
 	}
 }
 
 // planRead reads the register at a majority.
-func (controller *Controller) planRead() (*messages.PlanTold, error) {
-	if len(controller.plans.localRegister.Known().Acceptors) == 0 {
-		controller.learnNamed(controller.plans.localRegister)
+func (c *Controller) planRead() (*messages.PlanTold, error) {
+	if len(c.plans.localRegister.Known().Acceptors) == 0 {
+		c.learnNamed(c.plans.localRegister)
 	}
-	value, err := controller.plans.localRegister.Read()
+	value, err := c.plans.localRegister.Read()
 	if err != nil {
 		return nil, err
 	}
@@ -76,35 +76,35 @@
 	if err != nil {
 		return nil, err
 	}
-	controller.takePlan(told)
+	c.takePlan(told)
 	return told, nil
 }
 
 // sawPlan follows another controller that has a newer plan: what it tells is chosen.
-func (controller *Controller) sawPlan(revision int64, address string) {
-	controller.plans.lock.Lock()
-	behind := revision > controller.plans.board.Revision() && !controller.plans.pulling
-	controller.plans.pulling = controller.plans.pulling || behind
-	controller.plans.lock.Unlock()
+func (c *Controller) sawPlan(revision int64, address string) {
+	c.plans.lock.Lock()
+	behind := revision > c.plans.board.Revision() && !c.plans.pulling
+	c.plans.pulling = c.plans.pulling || behind
+	c.plans.lock.Unlock()
 	if !behind {
 		return
 	}
 	told := &messages.PlanTold{}
-	if transport.Ask(controller.Node.Wire, address, messages.KindPlanPull, &messages.PlanPull{Whole: true}, told, constants.CallTime) == nil {
-		controller.takePlan(told)
+	if transport.Ask(c.Node.Wire, address, messages.KindPlanPull, &messages.PlanPull{Whole: true}, told, constants.CallTime) == nil {
+		c.takePlan(told)
 	}
-	controller.plans.lock.Lock()
-	controller.plans.pulling = false
-	controller.plans.lock.Unlock()
+	c.plans.lock.Lock()
+	c.plans.pulling = false
+	c.plans.lock.Unlock()
 }
 
-func (controller *Controller) planPulled(question *messages.PlanPull) (transport.Writable, error) {
-	told := controller.planTold()
+func (c *Controller) planPulled(question *messages.PlanPull) (transport.Writable, error) {
+	told := c.planTold()
 	if question.Settled {
-		if !controller.inContact() {
+		if !c.inContact() {
 			return nil, Detached.New("assignments")
 		}
-		settled, err := controller.planRead()
+		settled, err := c.planRead()
 		if err != nil {
 			return nil, err
 		}
@@ -118,8 +118,8 @@
 
 // planApply puts an operator's rules in force on top of the revision that they were
 // planned on.
-func (controller *Controller) planApply(question *messages.PlanApply) (transport.Writable, error) {
-	now, err := controller.planRead()
+func (c *Controller) planApply(question *messages.PlanApply) (transport.Writable, error) {
+	now, err := c.planRead()
 	if err != nil {
 		return &messages.PlanApplied{Why: "no majority of the register answers: " + err.Error()}, nil
 	}
@@ -136,94 +136,94 @@
 	if err != nil {
 		return &messages.PlanApplied{Revision: now.Revision, Why: err.Error()}, nil
 	}
-	told, result, err := controller.putPlan(value, question.Base)
+	told, result, err := c.putPlan(value, question.Base)
 	if err != nil {
 		return &messages.PlanApplied{Unclear: errs.Of(err, register.Unclear), Why: err.Error()}, nil
 	}
 	if !result.Stands() {
 		return &messages.PlanApplied{Revision: told.Revision, Why: "another plan was put in force meanwhile"}, nil
 	}
-	controller.Node.Log.Info("assignments acknowledged", "revision", told.Revision, "generation", told.Generation)
+	c.Node.Log.Info("assignments acknowledged", "revision", told.Revision, "generation", told.Generation)
 	return &messages.PlanApplied{Taken: true, Revision: told.Revision}, nil
 }
 
 // putPlan writes a value on top of a revision, and waits until the set that holds it
 // bears the fault budget.
-func (controller *Controller) putPlan(next *messages.PlanValue, base int64) (*messages.PlanTold, register.Result, error) {
+func (c *Controller) putPlan(next *messages.PlanValue, base int64) (*messages.PlanTold, register.Result, error) {
 	version, body, err := adapterplan.Version(next, base)
 	if err != nil {
 		return nil, register.ResultOther, err
 	}
-	value, result, err := controller.plans.localRegister.Replace(version, body)
-	for end := clock.Now().Plus(constants.CallTime); err == nil && !controller.bears(&value); {
+	value, result, err := c.plans.localRegister.Replace(version, body)
+	for end := clock.Now().Plus(constants.CallTime); err == nil && !c.bears(&value); {
 		if clock.Now() > end {
 			return nil, result, register.Unclear.New("the set of acceptors is still growing")
 		}
 		clock.Sleep(constants.TickPeriod)
-		value, result, err = controller.plans.localRegister.Replace(version, body)
+		value, result, err = c.plans.localRegister.Replace(version, body)
 	}
 	if err != nil {
 		return nil, result, err
 	}
 	told, err := adapterplan.Told(value.Current, value.Body)
 	if err == nil {
-		controller.takePlan(told)
+		c.takePlan(told)
 	}
 	return told, result, err
 }
 
 // tendPlans looks after the register of assignments, and plans anew when a node of
 // the rules went or came back.
-func (controller *Controller) tendPlans() {
-	controller.tendNamed(controller.plans.localRegister)
-	told := controller.planTold()
-	if told.Revision == 0 || !controller.attached() || controller.learning() {
+func (c *Controller) tendPlans() {
+	c.tendNamed(c.plans.localRegister)
+	told := c.planTold()
+	if told.Revision == 0 || !c.attached() || c.learning() {
 		return
 	}
 	now := clock.Now()
-	controller.plans.lock.Lock()
-	gone := controller.plans.presence.Gone(&told, controller.present(), now)
-	calm := now.Since(controller.plans.changed) > constants.PlanPause
-	controller.plans.lock.Unlock()
+	c.plans.lock.Lock()
+	gone := c.plans.presence.Gone(&told, c.present(), now)
+	calm := now.Since(c.plans.changed) > constants.PlanPause
+	c.plans.lock.Unlock()
 	if !calm || slices.Equal(gone, told.Gone) {
 		return
 	}
 	// Another controller may have seen it first.
-	current, err := controller.planRead()
+	current, err := c.planRead()
 	if err != nil || current.Revision != told.Revision {
 		return
 	}
 	next, moves, err := adapterplan.Anew(&current.Value, gone)
 	if err != nil {
-		controller.Node.Log.Error("assignments not planned anew", "gone", strings.Join(gone, ","), "why", err.Error())
+		c.Node.Log.Error("assignments not planned anew", "gone", strings.Join(gone, ","), "why", err.Error())
 		return
 	}
-	after, result, err := controller.putPlan(next, current.Revision)
+	after, result, err := c.putPlan(next, current.Revision)
 	if err != nil || (!result.Stands()) {
 		return
 	}
 	coming, _ := assignments.Next(after.Windows, clock.DayMinute())
 	for _, line := range after.Collisions {
-		controller.Node.Log.Warn("assignments collide, the last answer stays in force", "revision", after.Revision, "gone", strings.Join(gone, ","),
+		c.Node.Log.Warn("assignments collide, the last answer stays in force", "revision", after.Revision, "gone", strings.Join(gone, ","),
 			"next-window", coming.Name, "starts", coming.Starts, "collision", line)
 	}
 	if len(after.Collisions) == 0 {
-		controller.Node.Log.Info("assignments planned anew", "revision", after.Revision, "gone", strings.Join(gone, ","), "moves", moves,
+		c.Node.Log.Info("assignments planned anew", "revision", after.Revision, "gone", strings.Join(gone, ","), "moves", moves,
 			"next-window", coming.Name, "starts", coming.Starts)
 	}
 }
 
 // present names the processes and workers that were heard lately.
-func (controller *Controller) present() map[string]bool {
-	live := map[string]bool{controller.Node.Own.Name: true}
-	for _, entry := range controller.Node.All("") {
+func (c *Controller) present() map[string]bool {
+	live := map[string]bool{c.Node.Own.Name: true}
+	for _, entry := range c.Node.All("") {
 		if entry.AgeMs < constants.SilentAfter.Milliseconds() && !entry.Leaving {
 			live[entry.Name] = true
 		}
 	}
-	controller.lock.Lock()
-	defer controller.lock.Unlock()
-	for _, worker := range controller.registry.All(clock.Now()) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	for _, worker := range c.registry.All(clock.Now()) {
 		if worker.Phase != messages.PhaseGone && worker.AgeMs < constants.ReplaceAfter.Milliseconds() {
 			live[worker.ID] = true
 		}
--- a/internal/control/controller/plans_test.go
+++ b/internal/control/controller/plans_test.go
@@ -14,26 +14,26 @@
 )
 
 // asked puts a question to a controller as the transport would.
-func asked(test *testing.T, controller *Controller, kind messages.Kind, question transport.Writable, back transport.Readable) {
+func asked(t *testing.T, controller *Controller, kind messages.Kind, question transport.Writable, back transport.Readable) {
 	body, _ := question.MarshalMsg(nil)
 	text, err := controller.Node.Handle(kind, body)
 	if err != nil {
-		test.Fatal(kind, err)
+		t.Fatal(kind, err)
 	}
 	if err = transport.Read(text, back); err != nil {
-		test.Fatal(kind, err)
+		t.Fatal(kind, err)
 	}
 }
 
-func rulesAndAnswer(test *testing.T, change ...string) (rules, answer []byte) {
+func rulesAndAnswer(t *testing.T, change ...string) (rules, answer []byte) {
 	text, err := os.ReadFile("../../../docs/assign/rules.toml")
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	changed := strings.NewReplacer(change...).Replace(string(text))
 	read, findings := adapterplan.Read([]byte(changed))
 	if len(findings) > 0 {
-		test.Fatal(findings)
+		t.Fatal(findings)
 	}
 	plan, _, _, _ := adapterplan.Plan(read, nil, nil)
 	body := &bytes.Buffer{}
@@ -43,14 +43,14 @@
 
 // TestApplyOverARealDisk: what PROTOCOL asks of configurations holds for assignments,
 // on a register that shares nothing with the configuration's.
-func TestApplyOverARealDisk(test *testing.T) {
-	folder := test.TempDir()
-	controller, server := open(test, folder, true)
-	if status, _ := clearCall(test, server, "POST", "/-/Configuration.Replace", "0", config(2)); status != 200 {
-		test.Fatal(status)
+func TestApplyOverARealDisk(t *testing.T) {
+	folder := t.TempDir()
+	controller, server := open(t, folder, true)
+	if status, _ := clearCall(t, server, "POST", "/-/Configuration.Replace", "0", config(2)); status != 200 {
+		t.Fatal(status)
 	}
-	rules, answer := rulesAndAnswer(test)
-	next, nextAnswer := rulesAndAnswer(test, "generation = 4", "generation = 5")
+	rules, answer := rulesAndAnswer(t)
+	next, nextAnswer := rulesAndAnswer(t, "generation = 4", "generation = 5")
 	for _, step := range []struct {
 		name     string
 		question messages.PlanApply
@@ -68,51 +68,51 @@
 		{"next", messages.PlanApply{Base: 1, Rules: next, Answer: nextAnswer}, true, 2, ""},
 	} {
 		back := &messages.PlanApplied{}
-		asked(test, controller, messages.KindPlanApply, &step.question, back)
+		asked(t, controller, messages.KindPlanApply, &step.question, back)
 		for tries := 0; back.Unclear && tries < 20; tries++ {
 			// A disk that syncs too slowly leaves it unclear: the same again tells.
-			asked(test, controller, messages.KindPlanApply, &step.question, back)
+			asked(t, controller, messages.KindPlanApply, &step.question, back)
 		}
 		if back.Taken != step.taken || back.Unclear || !strings.Contains(back.Why, step.why) || (step.revision > 0 && back.Revision > 0 && back.Revision != step.revision) {
-			test.Errorf("%s: %+v", step.name, back)
+			t.Errorf("%s: %+v", step.name, back)
 		}
 	}
-	if status, body := clearCall(test, server, "GET", "/-/Configuration.Read", "", ""); status != 200 || body != config(2) {
-		test.Fatal("the configuration was touched: ", status, body)
+	if status, body := clearCall(t, server, "GET", "/-/Configuration.Read", "", ""); status != 200 || body != config(2) {
+		t.Fatal("the configuration was touched: ", status, body)
 	}
-	again, server := open(test, folder, false)
+	again, server := open(t, folder, false)
 	told := &messages.PlanTold{}
-	asked(test, again, messages.KindPlanPull, &messages.PlanPull{Whole: true, Settled: true}, told)
+	asked(t, again, messages.KindPlanPull, &messages.PlanPull{Whole: true, Settled: true}, told)
 	if told.Revision != 2 || told.Generation != 5 || !bytes.Equal(told.Value.Rules, next) {
-		test.Fatal("after a restart: ", told.Revision, told.Generation)
+		t.Fatal("after a restart: ", told.Revision, told.Generation)
 	}
-	asked(test, again, messages.KindPlanPull, &messages.PlanPull{Node: "n3"}, told)
+	asked(t, again, messages.KindPlanPull, &messages.PlanPull{Node: "n3"}, told)
 	if len(told.Places) != 1 || told.Places[0].Adapter != "battery-fault-reader" || len(told.Value.Rules) != 0 {
-		test.Fatal(told)
+		t.Fatal(told)
 	}
-	if status, body := clearCall(test, server, "GET", "/-/Configuration.Read", "", ""); status != 200 || body != config(2) {
-		test.Fatal("after a restart the configuration is ", status, body)
+	if status, body := clearCall(t, server, "GET", "/-/Configuration.Read", "", ""); status != 200 || body != config(2) {
+		t.Fatal("after a restart the configuration is ", status, body)
 	}
 }
 
 // TestNamedBallotsAreTheirOwn: a high ballot in one register stops nobody in another.
-func TestNamedBallotsAreTheirOwn(test *testing.T) {
-	controller, server := open(test, test.TempDir(), true)
+func TestNamedBallotsAreTheirOwn(t *testing.T) {
+	controller, server := open(t, t.TempDir(), true)
 	identity := controller.plans.localRegister.Identity()
 	high := register.NewBallot(1<<40, "other", "disk", 1)
 	back := &messages.Promise{}
-	asked(test, controller, messages.KindNamedPrepare, &messages.NamedPrepare{Name: PlansRegister, Prepare: messages.Prepare{Ballot: high, Disk: identity.Disk}}, back)
+	asked(t, controller, messages.KindNamedPrepare, &messages.NamedPrepare{Name: PlansRegister, Prepare: messages.Prepare{Ballot: high, Disk: identity.Disk}}, back)
 	if !back.Granted {
-		test.Fatal("not granted")
+		t.Fatal("not granted")
 	}
 	if before := controller.Register.Record().Promised; before.Counter >= 1<<40 {
-		test.Fatal("the configuration's ballot moved: ", before)
+		t.Fatal("the configuration's ballot moved: ", before)
 	}
-	if status, _ := clearCall(test, server, "POST", "/-/Configuration.Replace", "0", config(2)); status != 200 {
-		test.Fatal(status)
+	if status, _ := clearCall(t, server, "POST", "/-/Configuration.Replace", "0", config(2)); status != 200 {
+		t.Fatal(status)
 	}
 	body, _ := (&messages.NamedPrepare{Name: "nobody's"}).MarshalMsg(nil)
 	if _, err := controller.Node.Handle(messages.KindNamedPrepare, body); err == nil {
-		test.Fatal("a register that nobody keeps promised something")
+		t.Fatal("a register that nobody keeps promised something")
 	}
 }
--- a/internal/control/controller/recall.go
+++ b/internal/control/controller/recall.go
@@ -14,28 +14,28 @@
 // acknowledged is on the disk, or in the memory, of at least one of them.
 
 // registerRecall registers the calls about the files of workers.
-func (controller *Controller) registerRecall() {
-	controller.Node.Answer(messages.KindWorkersKeep, answer(controller.workersKept))
-	controller.Node.Answer(messages.KindWorkersRecall, answer(func(_ *messages.WorkersRecall) (transport.Writable, error) {
-		back := &messages.WorkersRecalled{Disk: controller.Register.Disk(), SetEpoch: controller.Register.Known().SetEpoch}
-		controller.lock.Lock()
-		defer controller.lock.Unlock()
-		back.Vouching = controller.vouching.Load()
-		back.Workers = append(controller.registry.All(clock.Now()), controller.recalled...)
+func (c *Controller) registerRecall() {
+	c.Node.Answer(messages.KindWorkersKeep, answer(c.workersKept))
+	c.Node.Answer(messages.KindWorkersRecall, answer(func(_ *messages.WorkersRecall) (transport.Writable, error) {
+		back := &messages.WorkersRecalled{Disk: c.Register.Disk(), SetEpoch: c.Register.Known().SetEpoch}
+		c.lock.Lock()
+		defer c.lock.Unlock()
+		back.Vouching = c.vouching.Load()
+		back.Workers = append(c.registry.All(clock.Now()), c.recalled...)
 		return back, nil
 	}))
 }
 
 // recallWorkers asks the acceptors until a majority was heard.
-func (controller *Controller) recallWorkers() {
-	for !controller.recallOnce() {
+func (c *Controller) recallWorkers() {
+	for !c.recallOnce() {
 		select {
-		case <-controller.Node.Stop:
+		case <-c.Node.Stop:
 			return
 		case <-clock.After(constants.RecallPause):
 		}
 	}
-	controller.Node.Log.Info("workers known by a majority", "after-ms", clock.Now().Since(controller.begun).Milliseconds())
+	c.Node.Log.Info("workers known by a majority", "after-ms", clock.Now().Since(c.begun).Milliseconds())
 }
 
 // recallAnswer is an acceptor's answer to WorkersRecall.
@@ -46,12 +46,12 @@
 }
 
 // recallOnce makes one round, and tells whether a majority was heard.
-func (controller *Controller) recallOnce() bool {
-	sets := controller.Register.Known()
+func (c *Controller) recallOnce() bool {
+	sets := c.Register.Known()
 	members := register.Targets(&sets)
 	answers := make(chan recallAnswer, len(members))
 	for _, member := range members {
-		go func() { answers <- controller.recallFrom(member, sets.SetEpoch) }()
+		go func() { answers <- c.recallFrom(member, sets.SetEpoch) }()
 	}
 	answered, ahead := map[string]bool{}, len(members) == 0
 	var all []*messages.WorkersRecalled
@@ -68,24 +68,24 @@
 		}
 		answered[register.Identity(one.member)] = true
 		if register.Quorum(&sets, answered) {
-			controller.adopt(all)
+			c.adopt(all)
 			return true
 		}
 	}
 	if ahead {
-		controller.learnSets()
+		c.learnSets()
 	}
 	return false
 }
 
 // recallFrom asks one acceptor. Its answer counts for the disk that gave it.
-func (controller *Controller) recallFrom(member messages.Member, epoch uint64) recallAnswer {
-	if member.Address == controller.Node.Own.Address {
-		return recallAnswer{member: controller.Register.Identity(), told: &messages.WorkersRecalled{SetEpoch: epoch}}
+func (c *Controller) recallFrom(member messages.Member, epoch uint64) recallAnswer {
+	if member.Address == c.Node.Own.Address {
+		return recallAnswer{member: c.Register.Identity(), told: &messages.WorkersRecalled{SetEpoch: epoch}}
 	}
 	told := &messages.WorkersRecalled{}
-	question := &messages.WorkersRecall{From: controller.Node.Own.Address}
-	err := transport.Ask(controller.Node.Wire, member.Address, messages.KindWorkersRecall, question, told, constants.CallTime)
+	question := &messages.WorkersRecall{From: c.Node.Own.Address}
+	err := transport.Ask(c.Node.Wire, member.Address, messages.KindWorkersRecall, question, told, constants.CallTime)
 	member.Disk = told.Disk
 	return recallAnswer{member, told, err}
 }
@@ -93,11 +93,11 @@
 // adopt joins what a majority knows of workers with the file. Where one of them knows
 // them at first hand, a steady worker that only files name is taken for long gone: a
 // departure is forgotten after a while, and a file may be older than that.
-func (controller *Controller) adopt(all []*messages.WorkersRecalled) {
+func (c *Controller) adopt(all []*messages.WorkersRecalled) {
 	now, known, firstHand := clock.Now(), map[string]bool{}, false
 	phases := map[string]messages.Phase{}
-	controller.lock.Lock()
-	all = append(all, &messages.WorkersRecalled{Workers: controller.recalled})
+	c.lock.Lock()
+	all = append(all, &messages.WorkersRecalled{Workers: c.recalled})
 	for _, told := range all {
 		firstHand = firstHand || told.Vouching
 		for _, worker := range told.Workers {
@@ -110,14 +110,14 @@
 			// The furthest phase counts, whoever knows of it.
 			worker.Phase = phases[worker.ID]
 			if !firstHand || known[worker.ID] || worker.Phase != messages.PhaseSteady {
-				controller.registry.Merge(worker, now)
+				c.registry.Merge(worker, now)
 			}
 		}
 	}
-	controller.recalled = nil
-	controller.vouching.Store(true)
-	controller.lock.Unlock()
+	c.recalled = nil
+	c.vouching.Store(true)
+	c.lock.Unlock()
 	// What was learnt is kept here as well, now that this process may join the acceptors,
 	// and what was left out is not: the next start would recall it.
-	controller.memory.replace()
+	c.memory.replace()
 }
--- a/internal/control/controller/recall_test.go
+++ b/internal/control/controller/recall_test.go
@@ -37,55 +37,55 @@
 	count  int64
 }
 
-func (one *power) start(number int, first bool) *Controller {
+func (p *power) start(number int, first bool) *Controller {
 	nodeSettings := &settings.Settings{NodeName: fmt.Sprint("m", number), Address: fmt.Sprint("10.0.0.", number), Zone: fmt.Sprint("h", number),
 		InternalPorts: []int{7000, 7010}, Seeds: []string{"10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"}, Bootstrap: first, InQuorum: true,
 		HeartbeatMs: 1200, FaultBudget: settings.FaultBudget{Machines: 1}}
-	one.mounts[number] = &mounted{lock: &one.lock, disk: one.disks[number]}
-	controller, err := newOn(one.mounts[number], nodeSettings, hclog.NewNullLogger())
+	p.mounts[number] = &mounted{lock: &p.lock, disk: p.disks[number]}
+	controller, err := newOn(p.mounts[number], nodeSettings, hclog.NewNullLogger())
 	if err != nil {
-		one.test.Fatal(err)
+		p.test.Fatal(err)
 	}
-	controller.Node.Wire = one.room.Transport(controller.Node.Own.Address)
+	controller.Node.Wire = p.room.Transport(controller.Node.Own.Address)
 	if err = controller.Node.Wire.Serve(controller.Node.Handle); err != nil {
-		one.test.Fatal(err)
+		p.test.Fatal(err)
 	}
-	one.controllers[number] = controller
+	p.controllers[number] = controller
 	return controller
 }
 
 // lose ends a life as a loss of power does.
-func (one *power) lose(number int) {
-	controller := one.controllers[number]
+func (p *power) lose(number int) {
+	controller := p.controllers[number]
 	if controller == nil {
 		return
 	}
-	one.lock.Lock()
-	one.mounts[number].dead = true
-	one.lock.Unlock()
+	p.lock.Lock()
+	p.mounts[number].dead = true
+	p.lock.Unlock()
 	controller.Node.End()
 	controller.Node.Wire.(*transport.Twin).Close()
-	one.disks[number].PowerLoss()
-	delete(one.controllers, number)
+	p.disks[number].PowerLoss()
+	delete(p.controllers, number)
 }
 
 // join has a started controller learn what it can't know.
-func (one *power) join(controller *Controller) {
+func (p *power) join(controller *Controller) {
 	if len(controller.Register.Known().Acceptors) == 0 {
 		controller.learnSets()
 	}
-	meet(one.test, controller)
-	acquaint(one.controllers)
+	meet(p.test, controller)
+	acquaint(p.controllers)
 }
 
 // say makes a worker's call at a controller, and tells whether it was acknowledged.
-func (one *power) say(number int, id string, phase messages.Phase) bool {
-	one.count++
-	path, body := "/-/Workers.Heartbeat/"+id, fmt.Sprintf(`{"backend":"s","address":"a:1","zone":"h1","capacity":4,"phase":"%s","call-count":%d}`, phaseNames[phase], one.count)
+func (p *power) say(number int, id string, phase messages.Phase) bool {
+	p.count++
+	path, body := "/-/Workers.Heartbeat/"+id, fmt.Sprintf(`{"backend":"s","address":"a:1","zone":"h1","capacity":4,"phase":"%s","call-count":%d}`, phaseNames[phase], p.count)
 	if phase == messages.PhaseGone {
 		path = "/-/Workers.Depart/" + id
 	}
-	controller := one.controllers[number]
+	controller := p.controllers[number]
 	controller.contactRound()
 	writer := httptest.NewRecorder()
 	controller.calls().ServeHTTP(writer, httptest.NewRequest(http.MethodPost, path, strings.NewReader(body)))
@@ -93,69 +93,69 @@
 }
 
 // step makes one random step: a call of a worker, a cut, or a restart.
-func (one *power) step() {
-	number := 1 + one.random.Intn(3)
-	switch one.random.Intn(10) {
+func (p *power) step() {
+	number := 1 + p.random.Intn(3)
+	switch p.random.Intn(10) {
 	case 0:
 		for other := 1; other <= 3; other++ {
-			one.room.Cut(one.controllers[other].Node.Own.Address, false)
+			p.room.Cut(p.controllers[other].Node.Own.Address, false)
 		}
-		if one.random.Intn(2) == 0 {
-			one.room.Cut(one.controllers[number].Node.Own.Address, true)
+		if p.random.Intn(2) == 0 {
+			p.room.Cut(p.controllers[number].Node.Own.Address, true)
 		}
 	case 1:
 		for other := 1; other <= 3; other++ {
-			one.room.Cut(one.controllers[other].Node.Own.Address, false)
+			p.room.Cut(p.controllers[other].Node.Own.Address, false)
 		}
-		one.lose(number)
-		one.join(one.start(number, false))
+		p.lose(number)
+		p.join(p.start(number, false))
 	default:
-		id := fmt.Sprint("w", one.random.Intn(6))
-		phase := one.phases[id] + messages.Phase(one.random.Intn(2))
-		if phase <= messages.PhaseGone && one.say(number, id, phase) {
-			one.phases[id] = phase
+		id := fmt.Sprint("w", p.random.Intn(6))
+		phase := p.phases[id] + messages.Phase(p.random.Intn(2))
+		if phase <= messages.PhaseGone && p.say(number, id, phase) {
+			p.phases[id] = phase
 		}
 	}
 }
 
 // loseAll has all lose power, one perhaps its disk besides, and starts them again; where
 // no disk was lost, one may stay down.
-func (one *power) loseAll() {
+func (p *power) loseAll() {
 	for number := 1; number <= 3; number++ {
-		one.room.Cut(one.controllers[number].Node.Own.Address, false)
-		one.lose(number)
+		p.room.Cut(p.controllers[number].Node.Own.Address, false)
+		p.lose(number)
 	}
-	hit, wiped := 1+one.random.Intn(3), one.random.Intn(2) == 0
+	hit, wiped := 1+p.random.Intn(3), p.random.Intn(2) == 0
 	if wiped {
-		one.disks[hit].Wipe()
+		p.disks[hit].Wipe()
 	}
-	for _, place := range one.random.Perm(3) {
+	for _, place := range p.random.Perm(3) {
 		if number := place + 1; wiped || number != hit {
-			controller := one.start(number, false)
-			if _, err := controller.Node.Handle(messages.KindRosterPull, packed(one.test, &messages.RosterPull{})); err == nil {
-				one.test.Fatalf("seed %d: m%d vouches for workers before it has heard anybody", one.seed, number)
+			controller := p.start(number, false)
+			if _, err := controller.Node.Handle(messages.KindRosterPull, packed(p.test, &messages.RosterPull{})); err == nil {
+				p.test.Fatalf("seed %d: m%d vouches for workers before it has heard anybody", p.seed, number)
 			}
 		}
 	}
-	for _, controller := range one.controllers {
-		one.join(controller)
+	for _, controller := range p.controllers {
+		p.join(controller)
 	}
 }
 
-func packed(test *testing.T, message transport.Writable) []byte {
+func packed(t *testing.T, message transport.Writable) []byte {
 	body, err := message.MarshalMsg(nil)
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	return body
 }
 
-func (one *power) check() {
-	for number, controller := range one.controllers {
+func (p *power) check() {
+	for number, controller := range p.controllers {
 		controller.lock.Lock()
-		for id, phase := range one.phases {
+		for id, phase := range p.phases {
 			if worker, known := controller.registry.Get(id); known && worker.Phase < phase {
-				one.test.Errorf("seed %d: m%d takes %s for %s, %s was acknowledged", one.seed, number, id, worker.Phase, phase)
+				p.test.Errorf("seed %d: m%d takes %s for %s, %s was acknowledged", p.seed, number, id, worker.Phase, phase)
 			}
 		}
 		controller.lock.Unlock()
@@ -165,13 +165,13 @@
 // TestAcknowledgedDrainsOutlastALossOfPower: after any cuts and restarts, and a loss of
 // power of all with one disk lost or one machine down, no controller that vouches for the
 // workers takes one for steady whose drain or departure was acknowledged.
-func TestAcknowledgedDrainsOutlastALossOfPower(test *testing.T) {
+func TestAcknowledgedDrainsOutlastALossOfPower(t *testing.T) {
 	seeds, acknowledged := 60, 0
 	if many, err := strconv.Atoi(os.Getenv("LEMONARCH_SEEDS")); err == nil {
 		seeds = many
 	}
-	for seed := int64(1); seed <= int64(seeds) && !test.Failed(); seed++ {
-		one := &power{test: test, seed: seed, random: rand.New(rand.NewSource(seed)), room: transport.NewRoom(),
+	for seed := int64(1); seed <= int64(seeds) && !t.Failed(); seed++ {
+		one := &power{test: t, seed: seed, random: rand.New(rand.NewSource(seed)), room: transport.NewRoom(),
 			disks: map[int]*simulation.Disk{}, mounts: map[int]*mounted{}, controllers: map[int]*Controller{}, phases: map[string]messages.Phase{}}
 		for number := 1; number <= 3; number++ {
 			one.disks[number] = simulation.NewDisk(10*seed + int64(number))
@@ -195,7 +195,7 @@
 		}
 	}
 	if acknowledged == 0 {
-		test.Fatal("no drain was acknowledged")
+		t.Fatal("no drain was acknowledged")
 	}
-	test.Logf("%d drains and departures were acknowledged", acknowledged)
+	t.Logf("%d drains and departures were acknowledged", acknowledged)
 }
--- a/internal/control/controller/replace.go
+++ b/internal/control/controller/replace.go
@@ -20,21 +20,21 @@
 }
 
 // confirmed tells whether the version is in force.
-func (one *replaced) confirmed() bool {
-	return one.err == nil && one.result.Stands()
+func (r *replaced) confirmed() bool {
+	return r.err == nil && r.result.Stands()
 }
 
 // requireContact sends a caller away without a clear answer where this process has no
 // contact with a majority: it can neither confirm nor refuse.
-func (controller *Controller) requireContact(writer http.ResponseWriter) bool {
-	if controller.inContact() {
+func (c *Controller) requireContact(writer http.ResponseWriter) bool {
+	if c.inContact() {
 		return true
 	}
 	httpreply.Reason(writer, http.StatusGatewayTimeout, elsewhere)
 	return false
 }
 
-func (controller *Controller) replace(writer http.ResponseWriter, request *http.Request) {
+func (c *Controller) replace(writer http.ResponseWriter, request *http.Request) {
 	body, whole := readBody(writer, request, bodySlack*constants.RequestLimit)
 	if !whole {
 		return
@@ -44,47 +44,47 @@
 		httpreply.Reason(writer, http.StatusBadRequest, headerBase+" is missing or no number")
 		return
 	}
-	controller.checking.Lock()
-	config, findings := controller.checker.Check(body)
-	controller.checking.Unlock()
+	c.checking.Lock()
+	config, findings := c.checker.Check(body)
+	c.checking.Unlock()
 	if len(findings) > 0 {
-		controller.Node.Log.Info("configuration refused", "why", findings[0])
+		c.Node.Log.Info("configuration refused", "why", findings[0])
 		httpreply.JSON(writer, http.StatusBadRequest, refusal{Error: findings[0], Findings: findings})
 		return
 	}
-	if !controller.requireContact(writer) {
+	if !c.requireContact(writer) {
 		return
 	}
 	version := messages.Version{Generation: config.Generation, Base: base, Hash: routeconfig.Hash(body)}
-	one, attached := whileAttached(controller, func() replaced { return controller.putVersion(version, body) })
+	one, attached := whileAttached(c, func() replaced { return c.putVersion(version, body) })
 	if !attached {
 		one.err = Detached.New("contact was lost meanwhile")
 	}
 	if one.err != nil {
 		// Not in force for certain only without a second round; both are 5xx, and
 		// neither is a refusal.
-		controller.Node.Log.Warn("configuration unclear", "generation", config.Generation, "why", one.err.Error())
+		c.Node.Log.Warn("configuration unclear", "generation", config.Generation, "why", one.err.Error())
 		httpreply.Reason(writer, http.StatusGatewayTimeout, one.err.Error())
 		return
 	}
 	switch one.result {
 	case register.ResultTaken, register.ResultAlready:
-		controller.Node.Log.Info("configuration acknowledged", "generation", config.Generation)
+		c.Node.Log.Info("configuration acknowledged", "generation", config.Generation)
 		httpreply.JSON(writer, http.StatusOK, map[string]int64{"generation": config.Generation})
 	case register.ResultAhead:
 		// An earlier try that is still on its way could meet the base in force: no
 		// refusal holds for ever here.
 		httpreply.Reason(writer, http.StatusGatewayTimeout, "the base is not in force")
 	case register.ResultOther:
-		controller.refuse(writer, http.StatusPreconditionFailed, version, "another version is in place: "+strconv.FormatInt(one.value.Current.Generation, 10))
+		c.refuse(writer, http.StatusPreconditionFailed, version, "another version is in place: "+strconv.FormatInt(one.value.Current.Generation, 10))
 	default:
-		controller.refuse(writer, http.StatusBadRequest, version, "generation is not above the current one")
+		c.refuse(writer, http.StatusBadRequest, version, "generation is not above the current one")
 	}
 }
 
 // refuse answers an order that the register refused, and logs it.
-func (controller *Controller) refuse(writer http.ResponseWriter, status int, version messages.Version, why string) {
-	controller.Node.Log.Info("configuration refused", "generation", version.Generation, "base", version.Base, "why", why)
+func (c *Controller) refuse(writer http.ResponseWriter, status int, version messages.Version, why string) {
+	c.Node.Log.Info("configuration refused", "generation", version.Generation, "base", version.Base, "why", why)
 	httpreply.Reason(writer, status, why)
 }
 
@@ -96,10 +96,10 @@
 
 // putVersion puts a version in force, waits until the set that holds it outlasts the
 // fault budget, and has everybody told.
-func (controller *Controller) putVersion(version messages.Version, body []byte) replaced {
+func (c *Controller) putVersion(version messages.Version, body []byte) replaced {
 	var one replaced
-	one.value, one.result, one.err = controller.Register.Replace(version, body)
-	for end := clock.Now().Plus(constants.CallTime); one.confirmed() && !controller.bears(&one.value); {
+	one.value, one.result, one.err = c.Register.Replace(version, body)
+	for end := clock.Now().Plus(constants.CallTime); one.confirmed() && !c.bears(&one.value); {
 		if clock.Now() > end {
 			one.err = register.Unclear.New("the set of acceptors is still growing")
 			return one
@@ -107,19 +107,19 @@
 		// It is in force, yet the losses of the budget could take it away again: it is
 		// confirmed only once the set is whole, which takes the value along.
 		clock.Sleep(constants.TickPeriod)
-		one.value, one.result, one.err = controller.Register.Replace(version, body)
+		one.value, one.result, one.err = c.Register.Replace(version, body)
 	}
 	if one.err == nil {
-		controller.chosen(one.value, one.confirmed())
+		c.chosen(one.value, one.confirmed())
 	}
 	return one
 }
 
-func (controller *Controller) read(writer http.ResponseWriter, _ *http.Request) {
-	if !controller.requireContact(writer) {
+func (c *Controller) read(writer http.ResponseWriter, _ *http.Request) {
+	if !c.requireContact(writer) {
 		return
 	}
-	value, err := controller.Register.Read()
+	value, err := c.Register.Read()
 	if err != nil {
 		httpreply.Reason(writer, http.StatusGatewayTimeout, elsewhere)
 		return
--- a/internal/control/controller/report.go
+++ b/internal/control/controller/report.go
@@ -9,17 +9,17 @@
 )
 
 // reports registers what a controller says to the shell.
-func (controller *Controller) reports() {
-	controller.Node.Report("duty", controller.reportRegister)
-	controller.Node.Report("workers", controller.reportWorkers)
+func (c *Controller) reports() {
+	c.Node.Report("duty", c.reportRegister)
+	c.Node.Report("workers", c.reportWorkers)
 }
 
 // reportRegister tells what this process last knew of the register.
-func (controller *Controller) reportRegister() *messages.Status {
-	known := controller.Register.Known()
+func (c *Controller) reportRegister() *messages.Status {
+	known := c.Register.Known()
 	state := "stands by"
 	for _, member := range known.Acceptors {
-		if register.Identity(member) == register.Identity(controller.Register.Identity()) {
+		if register.Identity(member) == register.Identity(c.Register.Identity()) {
 			state = "votes"
 		}
 	}
@@ -27,11 +27,11 @@
 		{"register", state, strconv.FormatUint(known.SetEpoch, 10), strconv.Itoa(len(known.Acceptors)) + " acceptors"}}}
 }
 
-func (controller *Controller) reportWorkers() *messages.Status {
+func (c *Controller) reportWorkers() *messages.Status {
 	status := &messages.Status{Columns: []string{"worker", "service", "zone", "phase", "heard-ms", "capacity"}}
-	controller.lock.Lock()
-	defer controller.lock.Unlock()
-	for _, worker := range controller.registry.All(clock.Now()) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	for _, worker := range c.registry.All(clock.Now()) {
 		status.Rows = append(status.Rows, []string{worker.ID, worker.Backend, worker.Zone, worker.Phase.String(),
 			strconv.FormatInt(worker.AgeMs, 10), strconv.Itoa(worker.Capacity)})
 	}
--- a/internal/control/controller/sets.go
+++ b/internal/control/controller/sets.go
@@ -16,46 +16,46 @@
 )
 
 // setSize is how many acceptors bear the loss of the fault budget.
-func (controller *Controller) setSize() int { return 2*controller.Node.Settings.Budget() + 1 }
+func (c *Controller) setSize() int { return 2*c.Node.Settings.Budget() + 1 }
 
 // tendSet keeps the acceptor set whole: this process joins it in the place of its
 // own forgotten self or of a member that is gone, and ends changes that were left
 // half done. Each process only ever proposes itself.
-func (controller *Controller) tendSet() {
-	known := controller.Register.Known()
+func (c *Controller) tendSet() {
+	known := c.Register.Known()
 	if len(known.Acceptors) == 0 {
-		controller.learnSets()
+		c.learnSets()
 		return
 	}
-	tending := controller.tending(known)
+	tending := c.tending(known)
 	// Who has not heard a majority on the workers takes no place yet: it would count for
 	// what it does not know.
-	tending.Votes = tending.Votes && !controller.learning()
-	if !controller.Register.NeedsTending(tending) {
+	tending.Votes = tending.Votes && !c.learning()
+	if !c.Register.NeedsTending(tending) {
 		return
 	}
-	controller.stagger()
-	value, changed, err := controller.Register.Tend(tending)
+	c.stagger()
+	value, changed, err := c.Register.Tend(tending)
 	if err != nil {
-		controller.Node.Log.Warn("set not changed", "why", err.Error())
+		c.Node.Log.Warn("set not changed", "why", err.Error())
 		// The members known may all be gone.
-		controller.learnSets()
+		c.learnSets()
 		return
 	}
 	if changed {
-		controller.Node.Log.Info("set changed", "epoch", value.SetEpoch, "members", len(value.Acceptors))
+		c.Node.Log.Info("set changed", "epoch", value.SetEpoch, "members", len(value.Acceptors))
 	}
 }
 
 // hears tells whether a majority of a register's sets answers this process now. One that
 // is cut off would take its own deafness for the silence of a member, and have a live one
 // replaced as soon as the cut ends.
-func (controller *Controller) hears(known messages.Register) bool {
+func (c *Controller) hears(known messages.Register) bool {
 	members := register.Targets(&known)
 	heard := make(chan string, len(members))
 	for _, member := range members {
 		go func() {
-			if member.Address == controller.Node.Own.Address || controller.answers(member.Address) {
+			if member.Address == c.Node.Own.Address || c.answers(member.Address) {
 				heard <- register.Identity(member)
 				return
 			}
@@ -71,21 +71,21 @@
 
 // stagger parts several newcomers that would propose at once by a short random pause; a
 // process that has just started takes its place without one.
-func (controller *Controller) stagger() {
-	if clock.Now().Since(controller.begun) > constants.HoldTime {
+func (c *Controller) stagger() {
+	if clock.Now().Since(c.begun) > constants.HoldTime {
 		clock.Sleep(clock.Span(rand.Int63n(int64(constants.TendPeriod))))
 	}
 }
 
 // tending gathers what the decision on the set needs.
-func (controller *Controller) tending(known messages.Register) register.Tending {
+func (c *Controller) tending(known messages.Register) register.Tending {
 	blank := map[string]bool{}
-	for _, entry := range controller.Node.Live(membership.RoleController) {
+	for _, entry := range c.Node.Live(membership.RoleController) {
 		blank[entry.Address] = entry.Disk == ""
 	}
-	return register.Tending{Votes: votes(controller.Node.Settings), Size: controller.setSize(),
+	return register.Tending{Votes: votes(c.Node.Settings), Size: c.setSize(),
 		Blank: func(member messages.Member) bool { return blank[member.Address] },
-		Gone:  func(member messages.Member) bool { return controller.silent(member) && controller.hears(known) }}
+		Gone:  func(member messages.Member) bool { return c.silent(member) && c.hears(known) }}
 }
 
 // votes tells whether a process takes part in the register: one without a disk
@@ -108,41 +108,41 @@
 
 // bears tells whether what is acknowledged now outlasts the fault budget. A smaller
 // set has to do only where nobody else is there to join it.
-func (controller *Controller) bears(value *messages.Register) bool {
+func (c *Controller) bears(value *messages.Register) bool {
 	inside, heard := map[string]bool{}, map[string]bool{}
 	for _, member := range value.Acceptors {
 		inside[member.Address] = true
 	}
 	var outside []string
-	for _, entry := range controller.Node.Live(membership.RoleController) {
+	for _, entry := range c.Node.Live(membership.RoleController) {
 		heard[entry.Address] = entry.Disk != ""
 		if entry.Disk != "" && !inside[entry.Address] {
 			outside = append(outside, entry.Address)
 		}
 	}
-	young := clock.Now().Since(controller.begun) <= constants.GrowTime
+	young := clock.Now().Since(c.begun) <= constants.GrowTime
 	for _, member := range value.Acceptors {
 		// At the first start a seed may turn out to have no disk: it gives way first.
-		if young && controller.Node.Settings.Bootstrap && member.Address != controller.Node.Own.Address && !heard[member.Address] {
+		if young && c.Node.Settings.Bootstrap && member.Address != c.Node.Own.Address && !heard[member.Address] {
 			return false
 		}
 	}
 	own := 0
-	if votes(controller.Node.Settings) && !inside[controller.Register.Identity().Address] {
+	if votes(c.Node.Settings) && !inside[c.Register.Identity().Address] {
 		own = 1
 	}
-	if register.Bears(value, controller.setSize(), len(outside)+own) {
+	if register.Bears(value, c.setSize(), len(outside)+own) {
 		return true
 	}
 	// What was heard of may be gone: after the time to grow, who answers counts.
-	return !young && register.Bears(value, controller.setSize(), controller.answering(outside)+own)
+	return !young && register.Bears(value, c.setSize(), c.answering(outside)+own)
 }
 
 // answering counts the controllers that answer now.
-func (controller *Controller) answering(addresses []string) int {
+func (c *Controller) answering(addresses []string) int {
 	answers := make(chan bool, len(addresses))
 	for _, address := range addresses {
-		go func() { answers <- controller.answers(address) }()
+		go func() { answers <- c.answers(address) }()
 	}
 	count := 0
 	for range addresses {
@@ -155,22 +155,22 @@
 
 // answers tells whether a controller answers a small question now, also one that has
 // just started.
-func (controller *Controller) answers(address string) bool {
-	question, answer := &messages.ContactAsk{From: controller.Node.Own.Address}, &messages.ContactTold{}
-	return transport.Ask(controller.Node.Wire, address, messages.KindContact, question, answer, constants.RoundTime) == nil
+func (c *Controller) answers(address string) bool {
+	question, answer := &messages.ContactAsk{From: c.Node.Own.Address}, &messages.ContactTold{}
+	return transport.Ask(c.Node.Wire, address, messages.KindContact, question, answer, constants.RoundTime) == nil
 }
 
 // silent tells whether nobody has heard a member for long. One in our own zone is
 // taken for replaced by us, and sooner: until we have its place, the set bears one
 // loss less.
-func (controller *Controller) silent(member messages.Member) bool {
+func (c *Controller) silent(member messages.Member) bool {
 	patience, age, known := constants.ReplaceAfter, int64(0), false
-	for _, entry := range controller.Node.All(membership.RoleController) {
+	for _, entry := range c.Node.All(membership.RoleController) {
 		if entry.Address != member.Address || (known && entry.AgeMs >= age) {
 			continue
 		}
 		age, known = entry.AgeMs, true
-		if entry.Zone == controller.Node.Own.Zone {
+		if entry.Zone == c.Node.Own.Zone {
 			patience = constants.SucceedAfter
 		}
 	}
@@ -178,22 +178,22 @@
 		return false
 	}
 	// Who has just started knows too little of who was silent for how long.
-	up := clock.Now().Since(controller.begun)
+	up := clock.Now().Since(c.begun)
 	if (!known && up < constants.SilentAfter) || up < constants.HoldTime {
 		return false
 	}
 	// It is asked itself: one that answers now is not gone.
-	return !controller.answers(member.Address)
+	return !c.answers(member.Address)
 }
 
 // changeDuty changes duty or store set on behalf of a store.
-func (controller *Controller) changeDuty(question *messages.DutyChange) (transport.Writable, error) {
+func (c *Controller) changeDuty(question *messages.DutyChange) (transport.Writable, error) {
 	done := false
 	change := register.SetStores(question.Holder, question.Stores, &done)
 	if question.Take {
 		change = register.TakeDuty(question.Holder, question.ExpectEpoch, question.Stores, &done)
 	}
-	value, err := controller.Register.Change(change)
+	value, err := c.Register.Change(change)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/control/controller/shared.go
+++ b/internal/control/controller/shared.go
@@ -23,36 +23,36 @@
 }
 
 // Read gives a value read after the call began.
-func (shared *sharedRead) Read(read func() (messages.Register, error)) (messages.Register, error) {
-	shared.lock.Lock()
-	if shared.next == nil {
-		shared.next = &reading{done: make(chan struct{})}
+func (s *sharedRead) Read(read func() (messages.Register, error)) (messages.Register, error) {
+	s.lock.Lock()
+	if s.next == nil {
+		s.next = &reading{done: make(chan struct{})}
 	}
-	mine := shared.next
+	mine := s.next
 	mine.shares++
-	begin := !shared.busy
-	shared.busy = true
-	shared.lock.Unlock()
+	begin := !s.busy
+	s.busy = true
+	s.lock.Unlock()
 	if begin {
-		shared.run(read)
+		s.run(read)
 	}
 	<-mine.done
 	return mine.value, mine.err
 }
 
 // run reads as long as somebody waits.
-func (shared *sharedRead) run(read func() (messages.Register, error)) {
+func (s *sharedRead) run(read func() (messages.Register, error)) {
 	first := true
 	for {
-		shared.lock.Lock()
-		one := shared.next
-		shared.next = nil
+		s.lock.Lock()
+		one := s.next
+		s.next = nil
 		if one == nil {
-			shared.busy = false
-			shared.lock.Unlock()
+			s.busy = false
+			s.lock.Unlock()
 			return
 		}
-		shared.lock.Unlock()
+		s.lock.Unlock()
 		work := func() {
 			one.value, one.err = read()
 			close(one.done)
@@ -65,7 +65,7 @@
 		// The one that began has its answer; the rest go on without it.
 		go func() {
 			work()
-			shared.run(read)
+			s.run(read)
 		}()
 		return
 	}
--- a/internal/control/controller/shared_test.go
+++ b/internal/control/controller/shared_test.go
@@ -10,7 +10,7 @@
 )
 
 // Many that ask at once share a read, and none gets a value read before it asked.
-func TestReadsAreSharedButNeverOlderThanTheQuestion(test *testing.T) {
+func TestReadsAreSharedButNeverOlderThanTheQuestion(t *testing.T) {
 	const rounds, callers = 50, 20
 	var shared sharedRead
 	var localRegister, reads atomic.Int64
@@ -29,7 +29,7 @@
 		go func() {
 			defer group.Done()
 			if value, _ := shared.Read(read); value.SetEpoch < least {
-				test.Errorf("asked at %d, got %d", least, value.SetEpoch)
+				t.Errorf("asked at %d, got %d", least, value.SetEpoch)
 			}
 		}()
 	}
@@ -54,6 +54,6 @@
 	release <- struct{}{}
 	group.Wait()
 	if reads.Load() != rounds+1 {
-		test.Fatalf("%d reads for %d callers", reads.Load(), rounds*callers+1)
+		t.Fatalf("%d reads for %d callers", reads.Load(), rounds*callers+1)
 	}
 }
--- a/internal/control/controller/spread.go
+++ b/internal/control/controller/spread.go
@@ -17,33 +17,33 @@
 
 // chosen puts a value in force here and, where push is set, tells everybody
 // before the caller acknowledges it.
-func (controller *Controller) chosen(value messages.Register, push bool) {
+func (c *Controller) chosen(value messages.Register, push bool) {
 	if value.Current.Generation == 0 {
 		return
 	}
-	newer := value.Current.Generation > controller.Node.Generation()
-	controller.Node.Take(value.Body)
+	newer := value.Current.Generation > c.Node.Generation()
+	c.Node.Take(value.Body)
 	if push || newer {
 		update := &messages.Relay{Generation: value.Current.Generation, Body: value.Body}
 		if !push {
-			go controller.spread(update, constants.PushTime)
+			go c.spread(update, constants.PushTime)
 			return
 		}
-		controller.spread(update, constants.PushTime)
+		c.spread(update, constants.PushTime)
 	}
 }
 
 // accepted is told when our acceptor took a value. Its proposer may die right
 // after it has acknowledged it, so we look for ourselves a little later.
-func (controller *Controller) accepted(generation int64) {
-	if generation <= controller.Node.Generation() {
+func (c *Controller) accepted(generation int64) {
+	if generation <= c.Node.Generation() {
 		return
 	}
 	go func() {
 		clock.Sleep(constants.PushTime)
-		for round := 0; round < 5 && controller.Node.Generation() < generation; round++ {
-			if value, err := controller.Register.Read(); err == nil {
-				controller.chosen(value, false)
+		for round := 0; round < 5 && c.Node.Generation() < generation; round++ {
+			if value, err := c.Register.Read(); err == nil {
+				c.chosen(value, false)
 				return
 			}
 			clock.Sleep(constants.PushTime)
--- a/internal/control/controller/tree.go
+++ b/internal/control/controller/tree.go
@@ -24,9 +24,9 @@
 // directory gives every other process, the silent ones included, until constants.ForgetAfter
 // has passed since anybody heard of it: one that is silent to us may be in touch with
 // others. Who follows a generation already need not get it again.
-func (controller *Controller) directory(generation int64) []messages.Entry {
+func (c *Controller) directory(generation int64) []messages.Entry {
 	var found []messages.Entry
-	for _, entry := range controller.Node.All("") {
+	for _, entry := range c.Node.All("") {
 		has := generation > 0 && entry.Generation >= generation && entry.Role != membership.RoleController
 		if !has {
 			found = append(found, entry)
@@ -46,41 +46,41 @@
 
 // spread tells all processes down the tree. It returns once all in touch have taken
 // the update, or after the span; what is then under way goes on.
-func (controller *Controller) spread(update *messages.Relay, span clock.Span) {
-	update.From, update.Number = membership.Key(controller.Node.Own), controller.number.Add(1)
-	job, sends := broadcast.Fleet(controller.Node.Own, controller.directory(update.Generation), fan(update), clock.Now())
+func (c *Controller) spread(update *messages.Relay, span clock.Span) {
+	update.From, update.Number = membership.Key(c.Node.Own), c.number.Add(1)
+	job, sends := broadcast.Fleet(c.Node.Own, c.directory(update.Generation), fan(update), clock.Now())
 	if update.Generation > 0 {
-		controller.addToBacklog(update, job.Unconfirmed(sends), constants.BacklogPassedPause)
+		c.addToBacklog(update, job.Unconfirmed(sends), constants.BacklogPassedPause)
 	}
-	one := controller.deliver(update, job, sends)
+	one := c.deliver(update, job, sends)
 	timer := clock.NewTimer(span)
 	defer timer.Stop()
 	select {
 	case <-one.done:
 	case <-timer.C:
-		controller.Node.Log.Debug("update not taken by all in time", "missing", len(one.missing()))
+		c.Node.Log.Debug("update not taken by all in time", "missing", len(one.missing()))
 	}
 }
 
-func (one *transfer) missing() []uint32 {
-	one.lock.Lock()
-	defer one.lock.Unlock()
-	return one.job.Missing()
+func (t *transfer) missing() []uint32 {
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	return t.job.Missing()
 }
 
 // deliver makes the calls that a job asks for, until it is done or too late.
-func (controller *Controller) deliver(update *messages.Relay, job *broadcast.Job, sends []broadcast.Send) *transfer {
+func (c *Controller) deliver(update *messages.Relay, job *broadcast.Job, sends []broadcast.Send) *transfer {
 	one := &transfer{begun: clock.Now(), job: job, done: make(chan struct{})}
 	var ended sync.Once
 	var follow func(sends []broadcast.Send)
 	call := func(send broadcast.Send) {
-		missing, err := controller.send(update, send)
+		missing, err := c.send(update, send)
 		one.lock.Lock()
 		var next []broadcast.Send
 		if err != nil {
 			next = job.Failed(send, clock.Now())
 			if entry := job.Told(send); send.Step == broadcast.StepTell && entry.Address != "" {
-				controller.addToBacklog(update, []messages.Entry{entry}, constants.BacklogPause)
+				c.addToBacklog(update, []messages.Entry{entry}, constants.BacklogPause)
 			}
 		} else {
 			next = job.Took(send, missing, clock.Now())
@@ -117,8 +117,8 @@
 }
 
 // send makes one call of a job.
-func (controller *Controller) send(update *messages.Relay, send broadcast.Send) ([]uint32, error) {
-	wire := controller.Node.Wire
+func (c *Controller) send(update *messages.Relay, send broadcast.Send) ([]uint32, error) {
+	wire := c.Node.Wire
 	switch send.Step {
 	case broadcast.StepRelay:
 		part := *update
@@ -136,21 +136,21 @@
 		push := &messages.ConfigPush{Generation: update.Generation, Body: update.Body, Pass: send.Pass}
 		return nil, transport.Ask(wire, send.Address, messages.KindConfigPush, push, &messages.Nothing{}, constants.CallTime)
 	}
-	push := &messages.RosterPush{From: membership.Key(controller.Node.Own), Workers: update.Workers}
+	push := &messages.RosterPush{From: membership.Key(c.Node.Own), Workers: update.Workers}
 	return nil, transport.Ask(wire, send.Address, messages.KindRosterPush, push, &messages.Nothing{}, constants.CallTime)
 }
 
 func relayKey(from string, number uint64) string { return from + "#" + strconv.FormatUint(number, 10) }
 
 // relayed takes an update for this zone and begins to tell it.
-func (controller *Controller) relayed(update *messages.Relay) (transport.Writable, error) {
-	controller.mergeWorkers(update.Workers)
-	if update.Generation > controller.Node.Generation() {
-		controller.Node.Take(update.Body)
+func (c *Controller) relayed(update *messages.Relay) (transport.Writable, error) {
+	c.mergeWorkers(update.Workers)
+	if update.Generation > c.Node.Generation() {
+		c.Node.Take(update.Body)
 	}
 	expect := update.Expect[:0:0]
 	has := map[uint32]bool{}
-	for _, entry := range controller.directory(0) {
+	for _, entry := range c.directory(0) {
 		has[membership.MarkOf(entry)] = update.Generation > 0 && entry.Generation >= update.Generation
 	}
 	for _, mark := range update.Expect {
@@ -158,19 +158,19 @@
 			expect = append(expect, mark)
 		}
 	}
-	job, sends := broadcast.Zone(controller.Node.Own, controller.directory(update.Generation), expect, fan(update), clock.Now())
-	one := controller.deliver(update, job, sends)
-	controller.lock.Lock()
-	controller.relays[relayKey(update.From, update.Number)] = one
-	controller.lock.Unlock()
+	job, sends := broadcast.Zone(c.Node.Own, c.directory(update.Generation), expect, fan(update), clock.Now())
+	one := c.deliver(update, job, sends)
+	c.lock.Lock()
+	c.relays[relayKey(update.From, update.Number)] = one
+	c.lock.Unlock()
 	return &messages.Nothing{Taken: true}, nil
 }
 
 // relayWaited says whom of the zone a relayed update has not reached.
-func (controller *Controller) relayWaited(question *messages.RelayWait) (transport.Writable, error) {
-	controller.lock.Lock()
-	one := controller.relays[relayKey(question.From, question.Number)]
-	controller.lock.Unlock()
+func (c *Controller) relayWaited(question *messages.RelayWait) (transport.Writable, error) {
+	c.lock.Lock()
+	one := c.relays[relayKey(question.From, question.Number)]
+	c.lock.Unlock()
 	if one == nil {
 		return &messages.RelayDone{}, nil
 	}
--- a/internal/control/controller/workers.go
+++ b/internal/control/controller/workers.go
@@ -24,8 +24,8 @@
 	Count      int64   `json:"call-count"`
 }
 
-func (controller *Controller) beat(writer http.ResponseWriter, request *http.Request) {
-	if !controller.takesWorkers(writer) {
+func (c *Controller) beat(writer http.ResponseWriter, request *http.Request) {
+	if !c.takesWorkers(writer) {
 		return
 	}
 	body, whole := readBody(writer, request, constants.HeadLimit)
@@ -46,21 +46,21 @@
 	if call.Phase == "draining" {
 		worker.Phase = messages.PhaseDraining
 	}
-	controller.acknowledge(writer, worker)
+	c.acknowledge(writer, worker)
 }
 
 // takesWorkers tells whether this process can spread what a worker says. Where it can't,
 // the caller is sent to another one.
-func (controller *Controller) takesWorkers(writer http.ResponseWriter) bool {
-	if controller.learning() || !controller.inContact() {
+func (c *Controller) takesWorkers(writer http.ResponseWriter) bool {
+	if c.learning() || !c.inContact() {
 		httpreply.Reason(writer, http.StatusServiceUnavailable, elsewhere)
 		return false
 	}
 	return true
 }
 
-func (controller *Controller) depart(writer http.ResponseWriter, request *http.Request) {
-	if !controller.takesWorkers(writer) {
+func (c *Controller) depart(writer http.ResponseWriter, request *http.Request) {
+	if !c.takesWorkers(writer) {
 		return
 	}
 	body, whole := readBody(writer, request, constants.HeadLimit)
@@ -70,41 +70,41 @@
 	var call beatBody
 	// A departure needs nothing but the id; what the body adds is welcome.
 	_ = json.Unmarshal(body, &call)
-	controller.lock.Lock()
-	worker, known := controller.registry.Get(chi.URLParam(request, "id"))
-	controller.lock.Unlock()
+	c.lock.Lock()
+	worker, known := c.registry.Get(chi.URLParam(request, "id"))
+	c.lock.Unlock()
 	if !known {
 		worker = messages.Worker{ID: chi.URLParam(request, "id"), Backend: call.Backend, Address: call.Address, Zone: call.Zone}
 	}
 	worker.Phase = messages.PhaseGone
 	worker.Count = max(worker.Count+1, call.Count)
-	controller.acknowledge(writer, worker)
+	c.acknowledge(writer, worker)
 }
 
 // acknowledge applies a call of a worker and answers it. A drain or a departure is
 // acknowledged once a majority of the acceptors has it on disk and the processes in
 // touch were told; where that fails the caller asks another controller.
-func (controller *Controller) acknowledge(writer http.ResponseWriter, worker messages.Worker) {
-	controller.lock.Lock()
-	changed := controller.registry.Beat(worker, clock.Now())
-	worker, _ = controller.registry.Get(worker.ID)
-	controller.lock.Unlock()
+func (c *Controller) acknowledge(writer http.ResponseWriter, worker messages.Worker) {
+	c.lock.Lock()
+	changed := c.registry.Beat(worker, clock.Now())
+	worker, _ = c.registry.Get(worker.ID)
+	c.lock.Unlock()
 	if changed {
-		controller.Node.Log.Info("worker", "id", worker.ID, "service", worker.Backend, "phase", worker.Phase.String(), "address", worker.Address)
+		c.Node.Log.Info("worker", "id", worker.ID, "service", worker.Backend, "phase", worker.Phase.String(), "address", worker.Address)
 	}
 	switch {
 	case worker.Phase == messages.PhaseSteady:
 		if changed {
-			controller.memory.remember(worker)
-			controller.announce(worker)
+			c.memory.remember(worker)
+			c.announce(worker)
 		}
-	case !controller.binding.isKept(worker):
-		if !controller.bind(worker, changed) {
-			controller.Node.Log.Warn("not acknowledged: no majority has it on disk", "id", worker.ID, "phase", worker.Phase.String())
+	case !c.binding.isKept(worker):
+		if !c.bind(worker, changed) {
+			c.Node.Log.Warn("not acknowledged: no majority has it on disk", "id", worker.ID, "phase", worker.Phase.String())
 			httpreply.Reason(writer, http.StatusServiceUnavailable, elsewhere)
 			return
 		}
-		controller.binding.setKept(worker)
+		c.binding.setKept(worker)
 	}
 	httpreply.JSON(writer, http.StatusOK, struct{}{})
 }
@@ -112,11 +112,11 @@
 // bind has a drain or a departure told to all in touch and kept by a majority, at the
 // same time. What this process knew before is not announced once more, at each
 // controller that a draining worker calls: the reports bring it to everybody in touch.
-func (controller *Controller) bind(worker messages.Worker, announce bool) bool {
+func (c *Controller) bind(worker messages.Worker, announce bool) bool {
 	kept := make(chan bool, 1)
-	go func() { kept <- controller.keepAtMajority(worker) }()
+	go func() { kept <- c.keepAtMajority(worker) }()
 	if announce {
-		controller.announce(worker)
+		c.announce(worker)
 	}
 	return <-kept
 }
--- a/internal/control/lease/lease.go
+++ b/internal/control/lease/lease.go
@@ -30,10 +30,10 @@
 }
 
 // Ask answers a candidate or a holder that renews.
-func (grants *Grants) Ask(question messages.HoldAsk, inForce messages.Duty, now clock.Moment) messages.HoldAnswer {
+func (g *Grants) Ask(question messages.HoldAsk, inForce messages.Duty, now clock.Moment) messages.HoldAnswer {
 	answer := messages.HoldAnswer{Epoch: inForce.Epoch}
 	if question.Release {
-		grants.Release(question.Candidate, question.Life, question.Turn)
+		g.Release(question.Candidate, question.Life, question.Turn)
 		answer.Granted = true
 		return answer
 	}
@@ -43,30 +43,30 @@
 		answer.WaitMs = 1
 		return answer
 	}
-	free := now >= grants.until && now >= grants.silence
+	free := now >= g.until && now >= g.silence
 	// A new life of the same process shows that the old one is over; an old life
 	// that woke up gets nothing back.
-	same := grants.holder == question.Candidate && question.Life >= grants.life
-	restarted := inForce.Holder == question.Candidate && question.Life >= inForce.Life && grants.holder == ""
+	same := g.holder == question.Candidate && question.Life >= g.life
+	restarted := inForce.Holder == question.Candidate && question.Life >= inForce.Life && g.holder == ""
 	if !free && !same && !restarted {
-		answer.WaitMs = max(grants.until.Since(now), grants.silence.Since(now)).Milliseconds() + 1
+		answer.WaitMs = max(g.until.Since(now), g.silence.Since(now)).Milliseconds() + 1
 		return answer
 	}
-	if grants.holder != question.Candidate || grants.life != question.Life {
-		grants.turn = 0
+	if g.holder != question.Candidate || g.life != question.Life {
+		g.turn = 0
 	}
-	grants.holder, grants.life = question.Candidate, question.Life
-	grants.turn = max(grants.turn, question.Turn)
-	grants.until = now.Plus(constants.HoldTime)
+	g.holder, g.life = question.Candidate, question.Life
+	g.turn = max(g.turn, question.Turn)
+	g.until = now.Plus(constants.HoldTime)
 	answer.Granted = true
 	return answer
 }
 
 // Release ends a lease early, when its holder leaves in order. One that was sent before
 // the newest question granted came too late.
-func (grants *Grants) Release(holder string, life int64, turn uint64) {
-	if grants.holder == holder && grants.life == life && turn >= grants.turn {
-		grants.until = 0
+func (g *Grants) Release(holder string, life int64, turn uint64) {
+	if g.holder == holder && g.life == life && turn >= g.turn {
+		g.until = 0
 	}
 }
 
@@ -80,15 +80,15 @@
 
 // Renewed notes that a majority granted what was asked at a moment. The lease counts
 // from the asking, and ends a margin early.
-func (lease *Lease) Renewed(asked clock.Moment) {
+func (l *Lease) Renewed(asked clock.Moment) {
 	end := asked.Plus(constants.HoldTime - constants.HoldMargin)
-	if end > lease.until {
-		lease.until = end
+	if end > l.until {
+		l.until = end
 	}
 }
 
 // Stands tells whether the holder may act.
-func (lease *Lease) Stands(now clock.Moment) bool { return now < lease.until }
+func (l *Lease) Stands(now clock.Moment) bool { return now < l.until }
 
 // Drop gives the lease up.
-func (lease *Lease) Drop() { lease.until = 0 }
+func (l *Lease) Drop() { l.until = 0 }
--- a/internal/control/lease/simulation_test.go
+++ b/internal/control/lease/simulation_test.go
@@ -13,7 +13,7 @@
 
 // Three acceptors grant one held to three candidates under loss, delay, doubled
 // messages, cuts and restarts of acceptors: at no moment do two holds stand.
-func TestOneHoldStandsUnderTrouble(test *testing.T) {
+func TestOneHoldStandsUnderTrouble(t *testing.T) {
 	taken := 0
 	for seed := int64(1); seed <= 80; seed++ {
 		world := simulation.NewWorld(seed)
@@ -67,7 +67,7 @@
 				}
 			}
 			if standing > 1 {
-				test.Fatalf("seed %d: %d holds stand at once", seed, standing)
+				t.Fatalf("seed %d: %d holds stand at once", seed, standing)
 			}
 			switch world.Random.Intn(40) {
 			case 0:
@@ -81,6 +81,6 @@
 		}
 	}
 	if taken < 160 {
-		test.Fatal(fmt.Sprint("the held changed hands only ", taken, " times"))
+		t.Fatal(fmt.Sprint("the held changed hands only ", taken, " times"))
 	}
 }
--- a/internal/control/membership/bench_test.go
+++ b/internal/control/membership/bench_test.go
@@ -8,7 +8,7 @@
 )
 
 // BenchmarkAnswer is a controller's work for one report in a fleet of 390.
-func BenchmarkAnswer(scheduler *testing.B) {
+func BenchmarkAnswer(b *testing.B) {
 	own := entry(RoleController, 1)
 	own.Role = RoleController
 	view := NewView(own, 1)
@@ -23,8 +23,8 @@
 	for _, one := range view.Answer(question, 0).Entries[1:] {
 		question.Known = append(question.Known, MarkOf(one))
 	}
-	scheduler.ResetTimer()
-	for count := 0; count < scheduler.N; count++ {
+	b.ResetTimer()
+	for count := 0; count < b.N; count++ {
 		view.Heard(question.Entries, 0)
 		view.Answer(question, 0)
 	}
--- a/internal/control/membership/bound.go
+++ b/internal/control/membership/bound.go
@@ -62,24 +62,24 @@
 
 // trim forgets who was silent for long, and keeps the view within its bound: the
 // silent go first, then those that pick would not draw.
-func (view *View) trim(now clock.Moment) {
-	reference := view.reference(now)
-	if now.Since(view.trimmed) >= constants.ShufflePeriod {
-		view.trimmed = now
-		for key, known := range view.entries {
+func (v *View) trim(now clock.Moment) {
+	reference := v.reference(now)
+	if now.Since(v.trimmed) >= constants.ShufflePeriod {
+		v.trimmed = now
+		for key, known := range v.entries {
 			if reference.Since(known.heard) > constants.ForgetAfter {
-				view.drop(key)
+				v.drop(key)
 			}
 		}
 	}
 	for _, role := range []string{RoleGateway, RoleStore} {
-		if whole(view.own.Role, role) {
+		if whole(v.own.Role, role) {
 			continue
 		}
-		limit := Bound(view.Population(role, now))
+		limit := Bound(v.Population(role, now))
 		var live, silent []messages.Entry
-		for _, key := range view.keys() {
-			known := view.entries[key]
+		for _, key := range v.keys() {
+			known := v.entries[key]
 			switch {
 			case known.entry.Role != role:
 			case known.entry.Leaving || reference.Since(known.heard) >= constants.SilentAfter:
@@ -92,13 +92,13 @@
 			continue
 		}
 		kept := map[string]bool{}
-		chosen := pick(view.own, live, limit)
-		for _, entry := range append(chosen, pick(view.own, silent, limit-len(chosen))...) {
+		chosen := pick(v.own, live, limit)
+		for _, entry := range append(chosen, pick(v.own, silent, limit-len(chosen))...) {
 			kept[Key(entry)] = true
 		}
 		for _, entry := range append(live, silent...) {
 			if !kept[Key(entry)] {
-				view.drop(Key(entry))
+				v.drop(Key(entry))
 			}
 		}
 	}
--- a/internal/control/membership/cut_test.go
+++ b/internal/control/membership/cut_test.go
@@ -14,7 +14,7 @@
 // Views on a lossy network are cut in two halves and joined again: each half hears
 // the other as silent, keeps it in its view, and finds it again; a process that was
 // started anew meanwhile is known by its new life only.
-func TestViewsUnderCuts(test *testing.T) {
+func TestViewsUnderCuts(t *testing.T) {
 	for seed := int64(1); seed <= 30; seed++ {
 		world := simulation.NewWorld(seed)
 		world.Loss = 0.1
@@ -48,13 +48,13 @@
 		expect := func(when string, live bool) {
 			for _, name := range names {
 				if got := len(views[name].All("", world.Now)); got != len(names)-1 {
-					test.Fatalf("seed %d, %s: %s knows %d", seed, when, name, got)
+					t.Fatalf("seed %d, %s: %s knows %d", seed, when, name, got)
 				}
 				if live {
 					continue
 				}
 				if got := len(views[name].Live("", world.Now)); got > 5 {
-					test.Fatalf("seed %d, %s: %s takes %d for live", seed, when, name, got)
+					t.Fatalf("seed %d, %s: %s takes %d for live", seed, when, name, got)
 				}
 			}
 		}
@@ -78,7 +78,7 @@
 		expect("joined", true)
 		for _, other := range views["n1"].All("", world.Now) {
 			if other.Name == "n7" && other.Life != 2 {
-				test.Fatalf("seed %d: an old life is still believed in", seed)
+				t.Fatalf("seed %d: an old life is still believed in", seed)
 			}
 		}
 	}
--- a/internal/control/membership/exchange_test.go
+++ b/internal/control/membership/exchange_test.go
@@ -22,7 +22,7 @@
 
 // A process reports to its own zone's controllers before others, and to those last that
 // have just failed to answer, leave, or are known to be silent.
-func TestWhoIsReportedTo(test *testing.T) {
+func TestWhoIsReportedTo(t *testing.T) {
 	own := entry("own", 1)
 	own.Zone = "a"
 	view := NewView(own, 1)
@@ -31,27 +31,27 @@
 	}
 	first := order(view, 0)
 	if first[2] != 'r' {
-		test.Fatal(first)
+		t.Fatal(first)
 	}
 	address := string(first[0]) + ":1"
 	view.Failed(address, 0)
 	if got := order(view, 1); got != first[1:]+first[:1] {
-		test.Fatal(got)
+		t.Fatal(got)
 	}
 	later := clock.Moment(0).Plus(constants.SilentAfter)
 	view.Touched("foreman/r", later)
 	if got := order(view, later); got[0] != 'r' {
-		test.Fatal("silent ones come first: ", got)
+		t.Fatal("silent ones come first: ", got)
 	}
 	view.Touched("foreman/"+string(first[0]), later)
 	if got := order(view, later); got[0] != first[0] {
-		test.Fatal("it answers again: ", got)
+		t.Fatal("it answers again: ", got)
 	}
 }
 
 // A controller's answer fills an empty view to its bound, keeps it fresh, and tells of one
 // that fell silent by its age alone.
-func TestExchangeKeepsAView(test *testing.T) {
+func TestExchangeKeepsAView(t *testing.T) {
 	controller := NewView(controllerEntry("f", "a"), 1)
 	for place := 0; place < 120; place++ {
 		one := entry(fmt.Sprint("n", place), 1)
@@ -73,11 +73,11 @@
 		zones[entry.Zone]++
 	}
 	if got := len(view.All(RoleGateway, now)); got != Bound(120) || view.Population(RoleGateway, now) != 120 || zones["a"] < Bound(120)-3*(constants.FarLinks+1) {
-		test.Fatal(got, view.Population(RoleGateway, now), zones)
+		t.Fatal(got, view.Population(RoleGateway, now), zones)
 	}
 	for zone, count := range zones {
 		if count < constants.FarLinks {
-			test.Fatal(zone, count)
+			t.Fatal(zone, count)
 		}
 	}
 	// All but one go on speaking to the controller.
@@ -93,13 +93,13 @@
 	}
 	for _, entry := range view.All(RoleGateway, now) {
 		if live := entry.AgeMs < constants.SilentAfter.Milliseconds(); live == (entry.Name == silent) {
-			test.Fatalf("%s: heard %d ms ago", entry.Name, entry.AgeMs)
+			t.Fatalf("%s: heard %d ms ago", entry.Name, entry.AgeMs)
 		}
 	}
 	// Without a controller it goes on with those that it had.
 	before := len(view.Live(RoleGateway, now))
 	now = now.Plus(10 * constants.ShufflePeriod)
 	if got := len(view.Live(RoleGateway, now)); got != before {
-		test.Fatal("its own deafness made others silent: ", got, before)
+		t.Fatal("its own deafness made others silent: ", got, before)
 	}
 }
--- a/internal/control/membership/membership.go
+++ b/internal/control/membership/membership.go
@@ -58,48 +58,48 @@
 func Key(entry messages.Entry) string { return entry.Role + "/" + entry.Name }
 
 // Own gives the owner's entry.
-func (view *View) Own() messages.Entry { return view.own }
+func (v *View) Own() messages.Entry { return v.own }
 
 // SetLeaving marks the owner as going away.
-func (view *View) SetLeaving() { view.own.Leaving = true }
+func (v *View) SetLeaving() { v.own.Leaving = true }
 
 // SetGeneration notes which configuration the owner follows.
-func (view *View) SetGeneration(generation int64) { view.own.Generation = generation }
+func (v *View) SetGeneration(generation int64) { v.own.Generation = generation }
 
 // Heard notes entries from a shuffle. The first of them is the sender itself.
-func (view *View) Heard(entries []messages.Entry, now clock.Moment) {
+func (v *View) Heard(entries []messages.Entry, now clock.Moment) {
 	for place, entry := range entries {
-		view.merge(entry, now)
+		v.merge(entry, now)
 		if place == 0 {
-			view.touch(Key(entry), now)
+			v.touch(Key(entry), now)
 		}
 	}
-	view.trim(now)
+	v.trim(now)
 }
 
-func (view *View) merge(entry messages.Entry, now clock.Moment) {
+func (v *View) merge(entry messages.Entry, now clock.Moment) {
 	key := Key(entry)
 	age := clock.Span(entry.AgeMs) * 1_000_000
-	if key == Key(view.own) || entry.Address == "" || age > constants.ForgetAfter {
+	if key == Key(v.own) || entry.Address == "" || age > constants.ForgetAfter {
 		return
 	}
 	heard := now - clock.Moment(age)
-	known := view.entries[key]
+	known := v.entries[key]
 	switch {
 	case known == nil:
 		known = &seen{heard: heard}
-		view.entries[key], view.sorted = known, nil
-		view.put(known, entry)
+		v.entries[key], v.sorted = known, nil
+		v.put(known, entry)
 	case entry.Life > known.entry.Life:
 		known.heard, known.direct = heard, 0
-		view.put(known, entry)
+		v.put(known, entry)
 	case entry.Life == known.entry.Life:
 		// A life never stops leaving and never takes back a configuration.
 		entry.Leaving = entry.Leaving || known.entry.Leaving
 		entry.Generation = max(entry.Generation, known.entry.Generation)
 		known.heard = max(known.heard, heard)
 		if entry.Leaving != known.entry.Leaving {
-			view.put(known, entry)
+			v.put(known, entry)
 		} else {
 			known.entry = entry
 		}
@@ -107,75 +107,75 @@
 }
 
 // Touched notes a direct message from a process.
-func (view *View) Touched(key string, now clock.Moment) { view.touch(key, now) }
+func (v *View) Touched(key string, now clock.Moment) { v.touch(key, now) }
 
-func (view *View) touch(key string, now clock.Moment) {
-	if known := view.entries[key]; known != nil {
+func (v *View) touch(key string, now clock.Moment) {
+	if known := v.entries[key]; known != nil {
 		known.heard, known.direct = max(known.heard, now), max(known.direct, now)
-		delete(view.shunned, known.entry.Address)
+		delete(v.shunned, known.entry.Address)
 		if known.entry.Role == RoleController {
-			view.listened = max(view.listened, now)
+			v.listened = max(v.listened, now)
 		}
 	}
 }
 
 // Failed notes that a process did not answer: others are asked first for a while.
-func (view *View) Failed(address string, now clock.Moment) { view.shunned[address] = now }
+func (v *View) Failed(address string, now clock.Moment) { v.shunned[address] = now }
 
 // Offer gives what a shuffle carries: the owner, then a random part of the view.
-func (view *View) Offer(now clock.Moment) []messages.Entry {
-	offer := []messages.Entry{view.own}
-	keys := append([]string(nil), view.keys()...)
-	view.random.Shuffle(len(keys), func(left, right int) { keys[left], keys[right] = keys[right], keys[left] })
+func (v *View) Offer(now clock.Moment) []messages.Entry {
+	offer := []messages.Entry{v.own}
+	keys := append([]string(nil), v.keys()...)
+	v.random.Shuffle(len(keys), func(left, right int) { keys[left], keys[right] = keys[right], keys[left] })
 	for _, key := range keys[:min(len(keys), constants.ShuffleSize)] {
-		offer = append(offer, view.aged(view.entries[key], now))
+		offer = append(offer, v.aged(v.entries[key], now))
 	}
 	return offer
 }
 
-func (view *View) aged(known *seen, now clock.Moment) messages.Entry {
+func (v *View) aged(known *seen, now clock.Moment) messages.Entry {
 	entry := known.entry
 	entry.AgeMs = max(0, now.Since(known.heard).Milliseconds())
 	return entry
 }
 
-func (view *View) keys() []string {
-	if view.sorted == nil {
-		view.sorted = make([]string, 0, len(view.entries))
-		for key := range view.entries {
-			view.sorted = append(view.sorted, key)
+func (v *View) keys() []string {
+	if v.sorted == nil {
+		v.sorted = make([]string, 0, len(v.entries))
+		for key := range v.entries {
+			v.sorted = append(v.sorted, key)
 		}
-		sort.Strings(view.sorted)
+		sort.Strings(v.sorted)
 	}
-	return view.sorted
+	return v.sorted
 }
 
 // Partner draws the neighbour of the next shuffle, mostly in the owner's zone since
 // bytes between zones are dear; empty when none is known.
-func (view *View) Partner(now clock.Moment) string {
+func (v *View) Partner(now clock.Moment) string {
 	var live, near []string
-	for _, entry := range view.Live("", now) {
+	for _, entry := range v.Live("", now) {
 		live = append(live, entry.Address)
-		if entry.Zone == view.own.Zone {
+		if entry.Zone == v.own.Zone {
 			near = append(near, entry.Address)
 		}
 	}
-	if len(near) > 0 && view.random.Intn(constants.FarShuffle) > 0 {
+	if len(near) > 0 && v.random.Intn(constants.FarShuffle) > 0 {
 		live = near
 	}
 	if len(live) == 0 {
 		return ""
 	}
-	return live[view.random.Intn(len(live))]
+	return live[v.random.Intn(len(live))]
 }
 
 // All gives every entry of a role (or of all), the silent ones included, with
 // their ages.
-func (view *View) All(role string, now clock.Moment) []messages.Entry {
+func (v *View) All(role string, now clock.Moment) []messages.Entry {
 	var found []messages.Entry
-	for _, key := range view.keys() {
-		if known := view.entries[key]; role == "" || known.entry.Role == role {
-			found = append(found, view.aged(known, now))
+	for _, key := range v.keys() {
+		if known := v.entries[key]; role == "" || known.entry.Role == role {
+			found = append(found, v.aged(known, now))
 		}
 	}
 	return found
@@ -183,21 +183,21 @@
 
 // reference is the moment from which silence counts. Most of what a process hears of
 // others comes through controllers; while it hears none, it goes on with what it had.
-func (view *View) reference(now clock.Moment) clock.Moment {
-	if view.listened > 0 && view.own.Role != RoleController && now.Since(view.listened) > constants.SilentAfter {
-		return view.listened
+func (v *View) reference(now clock.Moment) clock.Moment {
+	if v.listened > 0 && v.own.Role != RoleController && now.Since(v.listened) > constants.SilentAfter {
+		return v.listened
 	}
 	return now
 }
 
 // Live gives the entries that were heard lately.
-func (view *View) Live(role string, now clock.Moment) []messages.Entry {
+func (v *View) Live(role string, now clock.Moment) []messages.Entry {
 	var found []messages.Entry
-	reference := view.reference(now)
-	for _, key := range view.keys() {
-		known := view.entries[key]
+	reference := v.reference(now)
+	for _, key := range v.keys() {
+		known := v.entries[key]
 		if (role == "" || known.entry.Role == role) && reference.Since(known.heard) < constants.SilentAfter {
-			found = append(found, view.aged(known, now))
+			found = append(found, v.aged(known, now))
 		}
 	}
 	return found
--- a/internal/control/membership/membership_test.go
+++ b/internal/control/membership/membership_test.go
@@ -14,7 +14,7 @@
 }
 
 // Many views that each know one seed learn of all others by shuffling.
-func TestViewsMeet(test *testing.T) {
+func TestViewsMeet(t *testing.T) {
 	const count = 25
 	views := map[string]*View{}
 	var names []string
@@ -41,35 +41,35 @@
 	}
 	for _, name := range names {
 		if got := len(views[name].All("", now)); got != count-1 {
-			test.Fatalf("%s knows %d of %d", name, got, count-1)
+			t.Fatalf("%s knows %d of %d", name, got, count-1)
 		}
 	}
 }
 
-func TestNewLifeReplacesOldAndOldNeverComesBack(test *testing.T) {
+func TestNewLifeReplacesOldAndOldNeverComesBack(t *testing.T) {
 	view := NewView(entry("own", 1), 1)
 	view.Heard([]messages.Entry{entry("a", 1)}, 10)
 	view.Heard([]messages.Entry{entry("a", 2)}, 20)
 	view.Heard([]messages.Entry{entry("a", 1)}, 30)
 	if got := view.All("", 30); len(got) != 1 || got[0].Life != 2 {
-		test.Fatal(got)
+		t.Fatal(got)
 	}
 }
 
-func TestSilenceIsOnlyAHint(test *testing.T) {
+func TestSilenceIsOnlyAHint(t *testing.T) {
 	view := NewView(entry("own", 1), 1)
 	view.Heard([]messages.Entry{entry("a", 1)}, 0)
 	later := clock.Moment(0).Plus(constants.SilentAfter)
 	if len(view.Live("", later)) != 0 || len(view.All("", later)) != 1 {
-		test.Fatal("a silent process is not live but still known")
+		t.Fatal("a silent process is not live but still known")
 	}
 	view.Touched("forge/a", later)
 	if len(view.Live("", later)) != 1 {
-		test.Fatal("a direct message makes it live again")
+		t.Fatal("a direct message makes it live again")
 	}
 }
 
-func TestViewIsBounded(test *testing.T) {
+func TestViewIsBounded(t *testing.T) {
 	const count = 300
 	view := NewView(entry("own", 1), 1)
 	view.Answered(&messages.Shuffle{}, &messages.Shuffle{Counts: []messages.Headcount{{Role: RoleGateway, Count: count}}}, 0)
@@ -77,7 +77,7 @@
 		view.Heard([]messages.Entry{entry(fmt.Sprint("n", place), 1)}, clock.Moment(place))
 	}
 	if got := len(view.All("", 0)); got != Bound(count) || got > 40 {
-		test.Fatalf("%d entries", got)
+		t.Fatalf("%d entries", got)
 	}
 	// Who matters is never dropped by the bound: controllers, and stores at a store.
 	for _, role := range []string{RoleController, RoleStore} {
@@ -90,7 +90,7 @@
 			keeper.Heard([]messages.Entry{one}, clock.Moment(place))
 		}
 		if len(keeper.All(RoleStore, 0)) != count || len(keeper.All(RoleController, 0)) != count {
-			test.Fatalf("a %s lost some", role)
+			t.Fatalf("a %s lost some", role)
 		}
 	}
 }
--- a/internal/control/membership/neighbours.go
+++ b/internal/control/membership/neighbours.go
@@ -28,20 +28,20 @@
 // Neighbours gives up to count live processes of a role, the lightest first: one in
 // another zone where there is one, the rest in the owner's own zone, and others only
 // where that has too few.
-func (view *View) Neighbours(role string, count int, now clock.Moment) []messages.Entry {
+func (v *View) Neighbours(role string, count int, now clock.Moment) []messages.Entry {
 	var near, far []messages.Entry
-	for _, entry := range view.Live(role, now) {
+	for _, entry := range v.Live(role, now) {
 		if entry.Leaving {
 			continue
 		}
-		if entry.Zone == view.own.Zone {
+		if entry.Zone == v.own.Zone {
 			near = append(near, entry)
 		} else {
 			far = append(far, entry)
 		}
 	}
-	view.sort(near)
-	view.sort(far)
+	v.sort(near)
+	v.sort(far)
 	if count < 1 {
 		return nil
 	}
@@ -53,8 +53,8 @@
 	return found[:min(len(found), count)]
 }
 
-func (view *View) sort(entries []messages.Entry) {
-	own := Key(view.own)
+func (v *View) sort(entries []messages.Entry) {
+	own := Key(v.own)
 	sort.Slice(entries, func(left, right int) bool {
 		return weigh(own, Key(entries[left])) < weigh(own, Key(entries[right]))
 	})
@@ -62,17 +62,17 @@
 
 // Population is how many live processes of a role there are, the owner included: as a
 // controller last told, or as many as are in view.
-func (view *View) Population(role string, now clock.Moment) int {
-	if told := view.counts[role]; told > 0 && view.own.Role != RoleController {
+func (v *View) Population(role string, now clock.Moment) int {
+	if told := v.counts[role]; told > 0 && v.own.Role != RoleController {
 		return told
 	}
-	count, reference := 0, view.reference(now)
-	for _, known := range view.entries {
+	count, reference := 0, v.reference(now)
+	for _, known := range v.entries {
 		if known.entry.Role == role && reference.Since(known.heard) < constants.SilentAfter {
 			count++
 		}
 	}
-	if view.own.Role == role {
+	if v.own.Role == role {
 		count++
 	}
 	return count
--- a/internal/control/membership/neighbours_test.go
+++ b/internal/control/membership/neighbours_test.go
@@ -7,7 +7,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-func TestNeighboursAreSteadyAndOneIsFar(test *testing.T) {
+func TestNeighboursAreSteadyAndOneIsFar(t *testing.T) {
 	own := entry("own", 1)
 	own.Zone = "a"
 	view := NewView(own, 1)
@@ -24,10 +24,10 @@
 		}
 	}
 	if len(first) != 4 || far != 1 {
-		test.Fatal(first)
+		t.Fatal(first)
 	}
 	if again := view.Neighbours(RoleGateway, 4, 0); fmt.Sprint(again) != fmt.Sprint(first) {
-		test.Fatal("not the same ones")
+		t.Fatal("not the same ones")
 	}
 	// One that leaves is replaced; the others stay.
 	gone := first[0]
@@ -35,9 +35,9 @@
 	view.Heard([]messages.Entry{gone}, 1)
 	next := view.Neighbours(RoleGateway, 4, 1)
 	if len(next) != 4 || next[0].Name != first[1].Name || next[1].Name != first[2].Name {
-		test.Fatal(next)
+		t.Fatal(next)
 	}
 	if all := view.Neighbours(RoleGateway, 100, 1); len(all) != 11 || view.Population(RoleGateway, 1) != 13 {
-		test.Fatal(len(all), view.Population(RoleGateway, 1))
+		t.Fatal(len(all), view.Population(RoleGateway, 1))
 	}
 }
--- a/internal/control/membership/table.go
+++ b/internal/control/membership/table.go
@@ -24,39 +24,39 @@
 }
 
 // put keeps a changed entry. The table's sum moves with it.
-func (view *View) put(known *seen, entry messages.Entry) {
+func (v *View) put(known *seen, entry messages.Entry) {
 	if known.change > 0 {
-		view.sum ^= sumOf(known.entry)
-		delete(view.marks, known.mark)
+		v.sum ^= sumOf(known.entry)
+		delete(v.marks, known.mark)
 	}
-	view.clockValue++
-	known.entry, known.change, known.mark = entry, view.clockValue, MarkOf(entry)
-	view.sum ^= sumOf(entry)
-	view.marks[known.mark] = Key(entry)
+	v.clockValue++
+	known.entry, known.change, known.mark = entry, v.clockValue, MarkOf(entry)
+	v.sum ^= sumOf(entry)
+	v.marks[known.mark] = Key(entry)
 }
 
-func (view *View) drop(key string) {
-	known := view.entries[key]
-	view.sum ^= sumOf(known.entry)
-	delete(view.marks, known.mark)
-	delete(view.drawn, key)
-	delete(view.shunned, known.entry.Address)
-	delete(view.entries, key)
-	view.sorted = nil
+func (v *View) drop(key string) {
+	known := v.entries[key]
+	v.sum ^= sumOf(known.entry)
+	delete(v.marks, known.mark)
+	delete(v.drawn, key)
+	delete(v.shunned, known.entry.Address)
+	delete(v.entries, key)
+	v.sorted = nil
 }
 
 // Digest stands for the entries and the owner: its sum is alike at two controllers that
 // know the same processes.
-func (view *View) Digest() messages.Digest {
-	return messages.Digest{Life: view.own.Life, Clock: view.clockValue, Sum: view.sum ^ sumOf(view.own), Count: len(view.entries) + 1}
+func (v *View) Digest() messages.Digest {
+	return messages.Digest{Life: v.own.Life, Clock: v.clockValue, Sum: v.sum ^ sumOf(v.own), Count: len(v.entries) + 1}
 }
 
 // Since gives the owner and the entries changed after a clock.
-func (view *View) Since(clockValue uint64, now clock.Moment) []messages.Entry {
-	found := []messages.Entry{view.own}
-	for _, key := range view.keys() {
-		if known := view.entries[key]; known.change > clockValue {
-			found = append(found, view.aged(known, now))
+func (v *View) Since(clockValue uint64, now clock.Moment) []messages.Entry {
+	found := []messages.Entry{v.own}
+	for _, key := range v.keys() {
+		if known := v.entries[key]; known.change > clockValue {
+			found = append(found, v.aged(known, now))
 		}
 	}
 	return found
@@ -64,13 +64,13 @@
 
 // MetSince gives the marks of the processes that reported to this one after a moment, and
 // which of them do not follow the owner's configuration.
-func (view *View) MetSince(moment clock.Moment) (met, behind []uint32) {
-	for _, known := range view.entries {
+func (v *View) MetSince(moment clock.Moment) (met, behind []uint32) {
+	for _, known := range v.entries {
 		if known.direct <= moment {
 			continue
 		}
 		met = append(met, known.mark)
-		if known.entry.Generation < view.own.Generation {
+		if known.entry.Generation < v.own.Generation {
 			behind = append(behind, known.mark)
 		}
 	}
@@ -81,13 +81,13 @@
 }
 
 // Vouched takes another controller's list of who has reported to it.
-func (view *View) Vouched(beat *messages.ControllerBeat, now clock.Moment) {
+func (v *View) Vouched(beat *messages.ControllerBeat, now clock.Moment) {
 	behind := map[uint32]bool{}
 	for _, mark := range beat.Behind {
 		behind[mark] = true
 	}
 	for _, mark := range beat.Met {
-		known := view.entries[view.marks[mark]]
+		known := v.entries[v.marks[mark]]
 		if known == nil {
 			continue
 		}
@@ -99,8 +99,8 @@
 }
 
 // Follows notes that a process has taken a configuration.
-func (view *View) Follows(key string, life, generation int64) {
-	if known := view.entries[key]; known != nil && known.entry.Life == life {
+func (v *View) Follows(key string, life, generation int64) {
+	if known := v.entries[key]; known != nil && known.entry.Life == life {
 		known.entry.Generation = max(known.entry.Generation, generation)
 	}
 }
--- a/internal/control/quorum/archive.go
+++ b/internal/control/quorum/archive.go
@@ -56,31 +56,31 @@
 }
 
 // extend follows a value that is about to be accepted, and syncs what is new.
-func (archive *archive) extend(value *messages.Register) error {
-	archive.writing.Lock()
-	defer archive.writing.Unlock()
-	archive.lock.Lock()
-	added, _ := archive.core.Extend(value, clock.Wall()/dayLength)
-	archive.lock.Unlock()
+func (a *archive) extend(value *messages.Register) error {
+	a.writing.Lock()
+	defer a.writing.Unlock()
+	a.lock.Lock()
+	added, _ := a.core.Extend(value, clock.Wall()/dayLength)
+	a.lock.Unlock()
 	switch {
 	case added != nil:
-		return archive.write([]messages.ArchiveChunk{*added})
-	case archive.stale:
-		return archive.write(nil)
+		return a.write([]messages.ArchiveChunk{*added})
+	case a.stale:
+		return a.write(nil)
 	default:
 		return nil
 	}
 }
 
 // write appends chunks, or rewrites the file where it is long or in doubt.
-func (archive *archive) write(chunks []messages.ArchiveChunk) error {
-	archive.lock.Lock()
-	forgot := archive.core.Forget(clock.Wall() / dayLength)
-	rewrite := forgot || archive.stale || archive.logfile.Size() > constants.ArchiveLimit
+func (a *archive) write(chunks []messages.ArchiveChunk) error {
+	a.lock.Lock()
+	forgot := a.core.Forget(clock.Wall() / dayLength)
+	rewrite := forgot || a.stale || a.logfile.Size() > constants.ArchiveLimit
 	if rewrite {
-		chunks = archive.core.Chunks()
+		chunks = a.core.Chunks()
 	}
-	archive.lock.Unlock()
+	a.lock.Unlock()
 	bodies := make([][]byte, 0, len(chunks))
 	for index := range chunks {
 		body, err := chunks[index].MarshalMsg(nil)
@@ -91,96 +91,96 @@
 	}
 	var err error
 	if rewrite {
-		_, err = archive.logfile.Rewrite(recordlog.Once(bodies...))
-	} else if _, err = archive.logfile.Append(bodies...); err == nil {
-		err = archive.logfile.Sync()
+		_, err = a.logfile.Rewrite(recordlog.Once(bodies...))
+	} else if _, err = a.logfile.Append(bodies...); err == nil {
+		err = a.logfile.Sync()
 	}
-	archive.stale = err != nil
+	a.stale = err != nil
 	return Damaged.Wrap(err, "write archive")
 }
 
 // answer answers another process.
-func (archive *archive) answer(question *messages.ArchiveQuestion) *messages.ArchiveAnswer {
-	archive.lock.Lock()
-	defer archive.lock.Unlock()
-	return archive.core.Answer(question)
+func (a *archive) answer(question *messages.ArchiveQuestion) *messages.ArchiveAnswer {
+	a.lock.Lock()
+	defer a.lock.Unlock()
+	return a.core.Answer(question)
 }
 
 // follows tells whether the archive is whole once the value is accepted.
-func (archive *archive) follows(value *messages.Register) bool {
-	archive.lock.Lock()
-	defer archive.lock.Unlock()
-	copied := archive.core
+func (a *archive) follows(value *messages.Register) bool {
+	a.lock.Lock()
+	defer a.lock.Unlock()
+	copied := a.core
 	_, whole := copied.Extend(value, 0)
 	return whole
 }
 
-func (archive *archive) held() uint64 {
-	archive.lock.Lock()
-	defer archive.lock.Unlock()
-	return archive.core.Held()
+func (a *archive) held() uint64 {
+	a.lock.Lock()
+	defer a.lock.Unlock()
+	return a.core.Held()
 }
 
 // fill takes chunks that another acceptor gave, and syncs them.
-func (archive *archive) fill(head messages.ArchiveHead, chunks []messages.ArchiveChunk) bool {
-	archive.writing.Lock()
-	defer archive.writing.Unlock()
-	archive.lock.Lock()
-	filled := archive.core.Fill(head, chunks)
-	archive.lock.Unlock()
-	return filled && archive.write(chunks) == nil
+func (a *archive) fill(head messages.ArchiveHead, chunks []messages.ArchiveChunk) bool {
+	a.writing.Lock()
+	defer a.writing.Unlock()
+	a.lock.Lock()
+	filled := a.core.Fill(head, chunks)
+	a.lock.Unlock()
+	return filled && a.write(chunks) == nil
 }
 
 // fillArchive gets the chunks that this acceptor lacks for a value which it is asked
 // to accept. The vote does not depend on it: without them it answers for no old
 // version, and asks again later.
-func (replica *Register) fillArchive(question *messages.Accept) {
-	record := replica.Record()
-	if question.Disk != record.Disk || register.Less(question.Ballot, record.Promised) || replica.archive.follows(&question.Value) {
+func (r *Register) fillArchive(question *messages.Accept) {
+	record := r.Record()
+	if question.Disk != record.Disk || register.Less(question.Ballot, record.Promised) || r.archive.follows(&question.Value) {
 		return
 	}
-	replica.archive.pulling.Lock()
-	defer replica.archive.pulling.Unlock()
-	if clock.Now() < replica.archive.retry || replica.archive.follows(&question.Value) {
+	r.archive.pulling.Lock()
+	defer r.archive.pulling.Unlock()
+	if clock.Now() < r.archive.retry || r.archive.follows(&question.Value) {
 		return
 	}
 	for _, member := range register.Targets(&question.Value) {
-		if member.Address != replica.Runtime.Own.Address && replica.pull(member, &question.Value) {
+		if member.Address != r.Runtime.Own.Address && r.pull(member, &question.Value) {
 			return
 		}
 	}
-	replica.archive.retry = clock.Now().Plus(constants.ArchiveRetry)
+	r.archive.retry = clock.Now().Plus(constants.ArchiveRetry)
 }
 
 // pull asks one acceptor for what is lacking, first after what is held and then for
 // all: what is held may belong to a value that was never chosen.
-func (replica *Register) pull(member messages.Member, value *messages.Register) bool {
-	for _, held := range []uint64{replica.archive.held(), 0} {
+func (r *Register) pull(member messages.Member, value *messages.Register) bool {
+	for _, held := range []uint64{r.archive.held(), 0} {
 		for {
-			answer := replica.askArchive(member, &messages.ArchiveQuestion{Head: value.Archive, Pull: true, Held: held})
+			answer := r.askArchive(member, &messages.ArchiveQuestion{Head: value.Archive, Pull: true, Held: held})
 			if answer == nil {
 				return false
 			}
-			if !replica.archive.fill(value.Archive, answer.Chunks) {
+			if !r.archive.fill(value.Archive, answer.Chunks) {
 				break
 			}
-			if replica.archive.follows(value) {
+			if r.archive.follows(value) {
 				return true
 			}
-			if held == replica.archive.held() {
+			if held == r.archive.held() {
 				break
 			}
-			held = replica.archive.held()
+			held = r.archive.held()
 		}
 	}
 	return false
 }
 
 // askArchive puts a question to one acceptor; nil where no answer comes.
-func (replica *Register) askArchive(member messages.Member, question *messages.ArchiveQuestion) *messages.ArchiveAnswer {
+func (r *Register) askArchive(member messages.Member, question *messages.ArchiveQuestion) *messages.ArchiveAnswer {
 	answer := &messages.Promise{}
-	kind, message := replica.prepare(&messages.Prepare{Disk: member.Disk, Query: true, Slim: true, Archive: question})
-	if transport.Ask(replica.Runtime.Wire, member.Address, kind, message, answer, constants.ArchivePull) != nil {
+	kind, message := r.prepare(&messages.Prepare{Disk: member.Disk, Query: true, Slim: true, Archive: question})
+	if transport.Ask(r.Runtime.Wire, member.Address, kind, message, answer, constants.ArchivePull) != nil {
 		return nil
 	}
 	return answer.Archive
