--- a/internal/control/quorum/catchup_test.go
+++ b/internal/control/quorum/catchup_test.go
@@ -33,8 +33,8 @@
 	taken   []messages.Version
 }
 
-func newCluster(test *testing.T, names ...string) *cluster {
-	one := &cluster{test: test, room: transport.NewRoom(), members: map[string]*member{}}
+func newCluster(t *testing.T, names ...string) *cluster {
+	one := &cluster{test: t, room: transport.NewRoom(), members: map[string]*member{}}
 	for _, name := range names {
 		one.first = append(one.first, messages.Member{Name: name, Address: name + ":7000", Disk: "first"})
 	}
@@ -46,15 +46,15 @@
 }
 
 // start opens the disk of a member and serves.
-func (one *cluster) start(name string) *member {
-	started := one.members[name]
-	replica, err := quorum.Open(started.disk, one.first, "first")
+func (c *cluster) start(name string) *member {
+	started := c.members[name]
+	replica, err := quorum.Open(started.disk, c.first, "first")
 	if err != nil {
-		one.test.Fatal(err)
+		c.test.Fatal(err)
 	}
 	runtime := node.New(&settings.Settings{NodeName: name, Address: name, InternalPorts: []int{7000, 7010}}, "controller", 0, "first", hclog.NewNullLogger())
 	runtime.Own.Address = name + ":7000"
-	started.wire = one.room.Transport(runtime.Own.Address)
+	started.wire = c.room.Transport(runtime.Own.Address)
 	runtime.Wire, replica.Runtime, started.replica = started.wire, runtime, replica
 	handler := func(kind messages.Kind, body []byte) ([]byte, error) {
 		if kind == messages.KindPrepare {
@@ -79,7 +79,7 @@
 		return transport.Write(&answer)
 	}
 	if err = started.wire.Serve(handler); err != nil {
-		one.test.Fatal(err)
+		c.test.Fatal(err)
 	}
 	return started
 }
@@ -97,37 +97,37 @@
 }
 
 // replace has a member put a version in force, until it has a clear result.
-func (one *cluster) replace(name string, version messages.Version, body []byte) (register.Result, error) {
+func (c *cluster) replace(name string, version messages.Version, body []byte) (register.Result, error) {
 	return clearly(func() (register.Result, error) {
-		_, result, err := one.members[name].replica.Replace(version, body)
+		_, result, err := c.members[name].replica.Replace(version, body)
 		return result, err
 	})
 }
 
 // change has a member take one more version.
-func (one *cluster) change(name string) {
-	base := int64(len(one.taken))
+func (c *cluster) change(name string) {
+	base := int64(len(c.taken))
 	version := messages.Version{Generation: base + 1, Base: base, Hash: fmt.Sprintf("%064d", base)}
-	if result, err := one.replace(name, version, make([]byte, 1000)); err != nil || !result.Stands() {
-		one.test.Fatalf("change %d: %d %v", base, result, err)
+	if result, err := c.replace(name, version, make([]byte, 1000)); err != nil || !result.Stands() {
+		c.test.Fatalf("change %d: %d %v", base, result, err)
 	}
-	one.taken = append(one.taken, version)
+	c.taken = append(c.taken, version)
 }
 
 // heard is how many bytes of questions and answers came to a member.
-func (one *cluster) heard(name string) int64 {
+func (c *cluster) heard(name string) int64 {
 	total := int64(0)
-	for _, reading := range one.members[name].wire.Meter().Readings() {
+	for _, reading := range c.members[name].wire.Meter().Readings() {
 		total += reading.Received.Bytes
 	}
 	return total
 }
 
 // size is the length of a member's file.
-func (one *cluster) size(name, file string) int64 {
-	opened, err := one.members[name].disk.Open(file)
+func (c *cluster) size(name, file string) int64 {
+	opened, err := c.members[name].disk.Open(file)
 	if err != nil {
-		one.test.Fatal(err)
+		c.test.Fatal(err)
 	}
 	length, _ := opened.Size()
 	return length
@@ -135,8 +135,8 @@
 
 // catchUp stops c, has others take changes, starts c again and has eight orders come at
 // once. It gives the bytes that c heard until it held the newest value.
-func catchUp(test *testing.T, changes int) int64 {
-	one := newCluster(test, "a", "b", "c")
+func catchUp(t *testing.T, changes int) int64 {
+	one := newCluster(t, "a", "b", "c")
 	one.change("a")
 	one.members["c"].wire.Close()
 	for range changes {
@@ -147,14 +147,14 @@
 	before := one.heard("c")
 	// It leads with the newest state only, though its own is old.
 	if value, err := clearly(restarted.replica.Read); err != nil || value.Current.Generation != int64(changes)+1 {
-		test.Fatalf("after %d changes (its own state is of %d) it reads %d: %v", changes, stale, value.Current.Generation, err)
+		t.Fatalf("after %d changes (its own state is of %d) it reads %d: %v", changes, stale, value.Current.Generation, err)
 	}
 	one.change("c")
 	one.race()
 	// A majority is enough for each change: the member is asked once more at most times.
 	for tries := 0; restarted.replica.Record().Value.Current != one.taken[len(one.taken)-1]; tries++ {
 		if tries == 20 {
-			test.Fatalf("holds %v, newest is %v", restarted.replica.Record().Value.Current, one.taken[len(one.taken)-1])
+			t.Fatalf("holds %v, newest is %v", restarted.replica.Record().Value.Current, one.taken[len(one.taken)-1])
 		}
 		one.change("c")
 	}
@@ -164,34 +164,34 @@
 		question := &messages.ArchiveQuestion{Head: head, Generation: version.Generation, Print: register.Print(version)}
 		answer, err := restarted.replica.Prepare(&messages.Prepare{Disk: "first", Query: true, Slim: true, Archive: question})
 		if err != nil || answer.Archive.Sought != messages.SoughtTaken {
-			test.Fatalf("the archive of the restarted member says %d of %v: %v", answer.Archive.Sought, version, err)
+			t.Fatalf("the archive of the restarted member says %d of %v: %v", answer.Archive.Sought, version, err)
 		}
 	}
 	for _, file := range []string{"register", "register-taken"} {
 		if length := one.size("a", file); length > 5<<20 {
-			test.Fatalf("%s is %d bytes long", file, length)
+			t.Fatalf("%s is %d bytes long", file, length)
 		}
 	}
-	test.Logf("%d changes missed: %d bytes heard, files of a member that was there %d and %d bytes", changes, used,
+	t.Logf("%d changes missed: %d bytes heard, files of a member that was there %d and %d bytes", changes, used,
 		one.size("a", "register"), one.size("a", "register-taken"))
 	return used
 }
 
 // race has eight orders on one base come at once through all members.
-func (one *cluster) race() {
-	base := int64(len(one.taken))
+func (c *cluster) race() {
+	base := int64(len(c.taken))
 	var group sync.WaitGroup
 	var lock sync.Mutex
 	var won []messages.Version
 	for index := range 8 {
-		name := one.first[index%len(one.first)].Name
+		name := c.first[index%len(c.first)].Name
 		version := messages.Version{Generation: base + 1, Base: base, Hash: fmt.Sprintf("race %d", index)}
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			result, err := one.replace(name, version, nil)
+			result, err := c.replace(name, version, nil)
 			if err != nil {
-				one.test.Errorf("%s has no clear result: %v", version.Hash, err)
+				c.test.Errorf("%s has no clear result: %v", version.Hash, err)
 			}
 			if err == nil && result.Stands() {
 				lock.Lock()
@@ -202,17 +202,17 @@
 	}
 	group.Wait()
 	if len(won) != 1 {
-		one.test.Fatalf("%d of eight orders on one base were acknowledged", len(won))
+		c.test.Fatalf("%d of eight orders on one base were acknowledged", len(won))
 	}
-	one.taken = append(one.taken, won...)
+	c.taken = append(c.taken, won...)
 }
 
 // A member that missed changes catches up with one value, whatever their number, and
 // with 8 bytes a version of archive.
-func TestCatchUpIsStateNotHistory(test *testing.T) {
-	few, many := catchUp(test, 300), catchUp(test, 2300)
+func TestCatchUpIsStateNotHistory(t *testing.T) {
+	few, many := catchUp(t, 300), catchUp(t, 2300)
 	archive := int64(2000 * 12)
 	if many-few > archive+8000 {
-		test.Fatalf("2,000 more changes took %d more bytes", many-few)
+		t.Fatalf("2,000 more changes took %d more bytes", many-few)
 	}
 }
--- a/internal/control/quorum/crash_test.go
+++ b/internal/control/quorum/crash_test.go
@@ -31,43 +31,43 @@
 }
 
 // open reads the disk as a process does at its start.
-func (one *lone) open() {
-	replica, err := quorum.Open(one.disk, []messages.Member{only}, only.Disk)
+func (l *lone) open() {
+	replica, err := quorum.Open(l.disk, []messages.Member{only}, only.Disk)
 	if err != nil {
-		one.test.Fatalf("the disk can't be read: %v", err)
+		l.test.Fatalf("the disk can't be read: %v", err)
 	}
 	replica.Runtime = &node.Node{Own: messages.Entry{Name: only.Name, Address: only.Address}}
-	one.replica = replica
-	one.life++
+	l.replica = replica
+	l.life++
 }
 
 // change takes a change through both rounds; an error of the disk ends it.
-func (one *lone) change(change register.Change) (messages.Register, error) {
-	one.counter++
-	proposal, sends := register.Begin(register.NewBallot(one.counter, "a", only.Disk, one.life), one.replica.Known(), change)
-	promise, err := one.replica.Prepare(sends[0].Prepare)
+func (l *lone) change(change register.Change) (messages.Register, error) {
+	l.counter++
+	proposal, sends := register.Begin(register.NewBallot(l.counter, "a", only.Disk, l.life), l.replica.Known(), change)
+	promise, err := l.replica.Prepare(sends[0].Prepare)
 	if err != nil {
 		return messages.Register{}, err
 	}
 	for _, send := range proposal.Promised(only, promise) {
-		accepted, err := one.replica.Accept(send.Accept)
+		accepted, err := l.replica.Accept(send.Accept)
 		if err != nil {
 			return messages.Register{}, err
 		}
 		proposal.Taken(only, accepted)
 	}
 	if proposal.Stage() != register.StageDone {
-		one.counter = max(one.counter, proposal.Highest().Counter)
+		l.counter = max(l.counter, proposal.Highest().Counter)
 		return messages.Register{}, errRefused
 	}
 	return proposal.Value(), nil
 }
 
 // told gives what a query tells of the value in force.
-func (one *lone) told() messages.Version {
-	answer, err := one.replica.Prepare(&messages.Prepare{Disk: only.Disk, Query: true, Slim: true})
+func (l *lone) told() messages.Version {
+	answer, err := l.replica.Prepare(&messages.Prepare{Disk: only.Disk, Query: true, Slim: true})
 	if err != nil {
-		one.test.Fatal(err)
+		l.test.Fatal(err)
 	}
 	return answer.Value.Current
 }
@@ -75,10 +75,10 @@
 // An acceptor's disk refuses any operation, or power fails at it, in the midst of
 // appends and rewrites of both files: what was acknowledged or told to a query stands
 // after each start, and each version taken is still known.
-func TestDiskFailsAtAnyOperation(test *testing.T) {
+func TestDiskFailsAtAnyOperation(t *testing.T) {
 	for seed := 1; seed <= simulation.Seeds(6); seed++ {
 		random := rand.New(rand.NewSource(int64(seed)))
-		one := &lone{test: test, disk: simulation.NewDisk(int64(seed))}
+		one := &lone{test: t, disk: simulation.NewDisk(int64(seed))}
 		one.open()
 		var taken []messages.Version
 		newest := messages.Version{}
@@ -100,30 +100,30 @@
 			}
 			told := one.told()
 			if told.Generation < newest.Generation {
-				test.Fatalf("seed %d: told %v after %v was acknowledged", seed, told, newest)
+				t.Fatalf("seed %d: told %v after %v was acknowledged", seed, told, newest)
 			}
 			if left < 0 && power {
 				one.disk.Intercept = nil
 				one.disk.PowerLoss()
 				one.open()
 				if after := one.told(); after.Generation < told.Generation || after.Generation < newest.Generation {
-					test.Fatalf("seed %d: %v after a loss of power, told %v and acknowledged %v before", seed, after, told, newest)
+					t.Fatalf("seed %d: %v after a loss of power, told %v and acknowledged %v before", seed, after, told, newest)
 				}
 			}
 			one.disk.Intercept = nil
 			value, err := one.change(register.Look)
 			if err != nil {
-				test.Fatalf("seed %d: the disk works again and yet: %v", seed, err)
+				t.Fatalf("seed %d: the disk works again and yet: %v", seed, err)
 			}
 			newest = value.Current
 		}
 		for _, version := range taken {
 			if _, result, err := one.replica.Replace(version, nil); err != nil || result != register.ResultAlready {
-				test.Fatalf("seed %d: %v was taken, sent again: %d %v", seed, version, result, err)
+				t.Fatalf("seed %d: %v was taken, sent again: %d %v", seed, version, result, err)
 			}
 		}
 		if len(taken) < 20 {
-			test.Fatalf("seed %d: only %d changes", seed, len(taken))
+			t.Fatalf("seed %d: only %d changes", seed, len(taken))
 		}
 	}
 }
--- a/internal/control/quorum/named.go
+++ b/internal/control/quorum/named.go
@@ -16,17 +16,17 @@
 }
 
 // prepare gives a message of the first round as it goes to the other acceptors.
-func (replica *Register) prepare(question *messages.Prepare) (messages.Kind, transport.Writable) {
-	if replica.Name == "" {
+func (r *Register) prepare(question *messages.Prepare) (messages.Kind, transport.Writable) {
+	if r.Name == "" {
 		return messages.KindPrepare, question
 	}
-	return messages.KindNamedPrepare, &messages.NamedPrepare{Name: replica.Name, Prepare: *question}
+	return messages.KindNamedPrepare, &messages.NamedPrepare{Name: r.Name, Prepare: *question}
 }
 
 // accept gives a message of the second round.
-func (replica *Register) accept(question *messages.Accept) (messages.Kind, transport.Writable) {
-	if replica.Name == "" {
+func (r *Register) accept(question *messages.Accept) (messages.Kind, transport.Writable) {
+	if r.Name == "" {
 		return messages.KindAccept, question
 	}
-	return messages.KindNamedAccept, &messages.NamedAccept{Name: replica.Name, Accept: *question}
+	return messages.KindNamedAccept, &messages.NamedAccept{Name: r.Name, Accept: *question}
 }
--- a/internal/control/quorum/propose.go
+++ b/internal/control/quorum/propose.go
@@ -16,25 +16,25 @@
 }
 
 // send takes one message of a proposal to its member.
-func (replica *Register) send(message register.Send, responses chan<- response) {
+func (r *Register) send(message register.Send, responses chan<- response) {
 	answer := response{member: message.Member}
-	local := message.Member.Address == replica.Runtime.Own.Address
+	local := message.Member.Address == r.Runtime.Own.Address
 	var err error
 	switch {
 	case message.Prepare != nil && local:
-		promise, problem := replica.Prepare(message.Prepare)
+		promise, problem := r.Prepare(message.Prepare)
 		answer.promise, err = &promise, problem
 	case message.Prepare != nil:
 		answer.promise = &messages.Promise{}
-		kind, question := replica.prepare(message.Prepare)
-		err = transport.Ask(replica.Runtime.Wire, message.Member.Address, kind, question, answer.promise, constants.RoundTime)
+		kind, question := r.prepare(message.Prepare)
+		err = transport.Ask(r.Runtime.Wire, message.Member.Address, kind, question, answer.promise, constants.RoundTime)
 	case local:
-		accepted, problem := replica.Accept(message.Accept)
+		accepted, problem := r.Accept(message.Accept)
 		answer.accepted, err = &accepted, problem
 	default:
 		answer.accepted = &messages.Accepted{}
-		kind, question := replica.accept(message.Accept)
-		err = transport.Ask(replica.Runtime.Wire, message.Member.Address, kind, question, answer.accepted, constants.RoundTime)
+		kind, question := r.accept(message.Accept)
+		err = transport.Ask(r.Runtime.Wire, message.Member.Address, kind, question, answer.accepted, constants.RoundTime)
 	}
 	if err == nil {
 		responses <- answer
@@ -42,18 +42,18 @@
 }
 
 // Change runs a change until it is in force or its outcome can't be known.
-func (replica *Register) Change(change register.Change) (messages.Register, error) {
+func (r *Register) Change(change register.Change) (messages.Register, error) {
 	end := clock.Now().Plus(constants.RegisterTime)
 	timer := clock.NewTimer(constants.RegisterTime)
 	defer timer.Stop()
 	select {
-	case replica.turn <- struct{}{}:
-		defer func() { <-replica.turn }()
+	case r.turn <- struct{}{}:
+		defer func() { <-r.turn }()
 	case <-timer.C:
 		return messages.Register{}, register.NoMajority.New("earlier changes took too long")
 	}
 	unclear, preempted := false, false
-	known := replica.Known()
+	known := r.Known()
 	took := clock.Span(0)
 	for lost := 0; clock.Now() < end; {
 		if lost > 0 {
@@ -62,15 +62,15 @@
 		if preempted {
 			// Whoever won may have settled the question: a look needs no ballot, so
 			// that it disturbs nobody.
-			if value, settled := replica.look(change); settled {
+			if value, settled := r.look(change); settled {
 				return value, nil
 			}
 		}
 		begun := clock.Now()
-		proposal := replica.attempt(known, change, end)
+		proposal := r.attempt(known, change, end)
 		took = clock.Now().Since(begun)
 		if proposal.Stage() == register.StageDone {
-			replica.learnChosen(proposal.Value())
+			r.learnChosen(proposal.Value())
 			known = proposal.Value()
 			if proposal.Unfinished() {
 				continue
@@ -80,9 +80,9 @@
 		lost++
 		preempted = proposal.Stage() == register.StageLost
 		unclear = unclear || proposal.Sent()
-		replica.lock.Lock()
-		replica.counter = max(replica.counter, proposal.Highest().Counter)
-		replica.lock.Unlock()
+		r.lock.Lock()
+		r.counter = max(r.counter, proposal.Highest().Counter)
+		r.lock.Unlock()
 		if newer := proposal.Newer(); newer != nil {
 			// Perhaps never chosen: good for the next attempt only.
 			known = *newer
@@ -95,8 +95,8 @@
 }
 
 // look asks whether the change would leave the value in force as it is.
-func (replica *Register) look(change register.Change) (messages.Register, bool) {
-	value := replica.quickRead(false)
+func (r *Register) look(change register.Change) (messages.Register, bool) {
+	value := r.quickRead(false)
 	if value == nil {
 		return messages.Register{}, false
 	}
@@ -105,17 +105,17 @@
 }
 
 // attempt takes one proposal through its rounds.
-func (replica *Register) attempt(known messages.Register, change register.Change, end clock.Moment) *register.Proposal {
-	replica.lock.Lock()
-	replica.counter++
-	own := replica.Runtime.Own
-	ballot := register.NewBallot(replica.counter, own.Name, own.Disk, own.Life)
-	replica.lock.Unlock()
+func (r *Register) attempt(known messages.Register, change register.Change, end clock.Moment) *register.Proposal {
+	r.lock.Lock()
+	r.counter++
+	own := r.Runtime.Own
+	ballot := register.NewBallot(r.counter, own.Name, own.Disk, own.Life)
+	r.lock.Unlock()
 	proposal, sends := register.Begin(ballot, known, change)
 	responses := make(chan response, 4*(len(sends)+2))
 	dispatch := func(list []register.Send) {
 		for _, message := range list {
-			go replica.send(message, responses)
+			go r.send(message, responses)
 		}
 	}
 	dispatch(sends)
--- a/internal/control/quorum/quorum.go
+++ b/internal/control/quorum/quorum.go
@@ -106,76 +106,76 @@
 }
 
 // LearnSets takes the sets that another process told of.
-func (replica *Register) LearnSets(value messages.Register) {
-	replica.lock.Lock()
-	defer replica.lock.Unlock()
+func (r *Register) LearnSets(value messages.Register) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
 	if len(value.Acceptors) == 0 {
 		return
 	}
-	if len(replica.known.Acceptors) == 0 || value.SetEpoch > replica.known.SetEpoch {
-		replica.know(value, false)
+	if len(r.known.Acceptors) == 0 || value.SetEpoch > r.known.SetEpoch {
+		r.know(value, false)
 	}
 }
 
 // learnChosen takes a value that a majority was seen to hold.
-func (replica *Register) learnChosen(value messages.Register) {
-	replica.lock.Lock()
-	defer replica.lock.Unlock()
-	if !replica.chosen || value.SetEpoch >= replica.known.SetEpoch {
-		replica.know(value, true)
+func (r *Register) learnChosen(value messages.Register) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	if !r.chosen || value.SetEpoch >= r.known.SetEpoch {
+		r.know(value, true)
 	}
 }
 
 // know takes a value's sets. The lock is held.
-func (replica *Register) know(value messages.Register, chosen bool) {
-	if value.SetEpoch > replica.newestEpoch {
-		replica.newestEpoch, replica.newestSince = value.SetEpoch, clock.Now()
+func (r *Register) know(value messages.Register, chosen bool) {
+	if value.SetEpoch > r.newestEpoch {
+		r.newestEpoch, r.newestSince = value.SetEpoch, clock.Now()
 	}
-	replica.known, replica.chosen = value, chosen
+	r.known, r.chosen = value, chosen
 }
 
 // Chosen gives the newest value known here, and whether this process saw a majority
 // hold it.
-func (replica *Register) Chosen() (value messages.Register, seen bool) {
-	replica.lock.Lock()
-	defer replica.lock.Unlock()
-	return replica.known, replica.chosen
+func (r *Register) Chosen() (value messages.Register, seen bool) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	return r.known, r.chosen
 }
 
 // JointFresh tells whether a joint set was met a short while ago: whoever proposed it
 // is about to end it.
-func (replica *Register) JointFresh() bool {
-	replica.lock.Lock()
-	defer replica.lock.Unlock()
-	return len(replica.known.Previous) > 0 && clock.Now().Since(replica.newestSince) < constants.JointTime
+func (r *Register) JointFresh() bool {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	return len(r.known.Previous) > 0 && clock.Now().Since(r.newestSince) < constants.JointTime
 }
 
 // Known gives the newest value known here, chosen or not: good for its sets.
-func (replica *Register) Known() messages.Register {
-	replica.lock.Lock()
-	defer replica.lock.Unlock()
-	return replica.known
+func (r *Register) Known() messages.Register {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	return r.known
 }
 
 // Identity is this process as an acceptor.
-func (replica *Register) Identity() messages.Member {
-	own := replica.Runtime.Own
-	return messages.Member{Name: own.Name, Disk: replica.Disk(), Address: own.Address, Zone: own.Zone}
+func (r *Register) Identity() messages.Member {
+	own := r.Runtime.Own
+	return messages.Member{Name: own.Name, Disk: r.Disk(), Address: own.Address, Zone: own.Zone}
 }
 
 // Disk is the identity of this acceptor's disk.
-func (replica *Register) Disk() string { return replica.Record().Disk }
+func (r *Register) Disk() string { return r.Record().Disk }
 
 // Record is what this acceptor has on disk.
-func (replica *Register) Record() messages.AcceptorRecord {
-	replica.lock.Lock()
-	defer replica.lock.Unlock()
-	return replica.durable
+func (r *Register) Record() messages.AcceptorRecord {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	return r.durable
 }
 
 // Hold answers a candidate for the lease of the lots.
-func (replica *Register) Hold(question messages.HoldAsk) messages.HoldAnswer {
-	replica.lock.Lock()
-	defer replica.lock.Unlock()
-	return replica.grants.Ask(question, replica.durable.Value.Duty, clock.Now())
+func (r *Register) Hold(question messages.HoldAsk) messages.HoldAnswer {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	return r.grants.Ask(question, r.durable.Value.Duty, clock.Now())
 }
--- a/internal/control/quorum/read.go
+++ b/internal/control/quorum/read.go
@@ -8,30 +8,30 @@
 )
 
 // Read gives the value in force.
-func (replica *Register) Read() (messages.Register, error) { return replica.read(false) }
+func (r *Register) Read() (messages.Register, error) { return r.read(false) }
 
 // ReadSets gives it without the configuration's body: stores ask often, and the body
 // would come from each acceptor each time.
-func (replica *Register) ReadSets() (messages.Register, error) {
-	value, err := replica.read(true)
+func (r *Register) ReadSets() (messages.Register, error) {
+	value, err := r.read(true)
 	value.Body = nil
 	return value, err
 }
 
-func (replica *Register) read(slim bool) (messages.Register, error) {
-	if value := replica.quickRead(slim); value != nil {
+func (r *Register) read(slim bool) (messages.Register, error) {
+	if value := r.quickRead(slim); value != nil {
 		return *value, nil
 	}
-	return replica.Change(register.Look)
+	return r.Change(register.Look)
 }
 
 // quickRead gives the value that a majority holds under one and the same ballot, or
 // nil where only a proposal can tell what is in force. Where the sets known here are
 // old, it goes on to those that it meets.
-func (replica *Register) quickRead(slim bool) *messages.Register {
-	known := replica.Known()
+func (r *Register) quickRead(slim bool) *messages.Register {
+	known := r.Known()
 	for range constants.ReadSteps {
-		value, newer := replica.readAt(known, slim)
+		value, newer := r.readAt(known, slim)
 		if newer == nil {
 			return value
 		}
@@ -41,12 +41,12 @@
 }
 
 // readAt reads at the sets of a value; newer is one with newer sets that it met.
-func (replica *Register) readAt(known messages.Register, slim bool) (value, newer *messages.Register) {
+func (r *Register) readAt(known messages.Register, slim bool) (value, newer *messages.Register) {
 	reading, sends := register.BeginReading(known)
 	responses := make(chan response, len(sends))
 	for _, message := range sends {
 		message.Prepare.Slim = slim
-		go replica.send(message, responses)
+		go r.send(message, responses)
 	}
 	timer := clock.NewTimer(constants.RoundTime)
 	defer timer.Stop()
@@ -55,7 +55,7 @@
 		case one := <-responses:
 			value, settled := reading.Heard(one.member, *one.promise)
 			if value != nil {
-				replica.learnChosen(*value)
+				r.learnChosen(*value)
 			}
 			if settled {
 				return value, reading.Newer()
--- a/internal/control/quorum/replace.go
+++ b/internal/control/quorum/replace.go
@@ -9,13 +9,13 @@
 // version that was taken before is acknowledged again, however many followed it.
 // Where nobody in reach can tell whether an old version was taken, the error is
 // register.Unclear: it must not be refused.
-func (replica *Register) Replace(version messages.Version, body []byte) (messages.Register, register.Result, error) {
+func (r *Register) Replace(version messages.Version, body []byte) (messages.Register, register.Result, error) {
 	var result register.Result
-	value, err := replica.Change(register.Replace(version, body, &result))
+	value, err := r.Change(register.Replace(version, body, &result))
 	if err != nil || result != register.ResultArchived {
 		return value, result, err
 	}
-	switch replica.seek(&value, version) {
+	switch r.seek(&value, version) {
 	case messages.SoughtTaken:
 		return value, register.ResultAlready, nil
 	case messages.SoughtNever:
@@ -26,16 +26,16 @@
 }
 
 // seek asks this process's archive and then those of the acceptors.
-func (replica *Register) seek(value *messages.Register, version messages.Version) messages.Sought {
+func (r *Register) seek(value *messages.Register, version messages.Version) messages.Sought {
 	question := &messages.ArchiveQuestion{Head: value.Archive, Generation: version.Generation, Print: register.Print(version)}
-	if sought := replica.archive.answer(question).Sought; sought != messages.SoughtUnknown {
+	if sought := r.archive.answer(question).Sought; sought != messages.SoughtUnknown {
 		return sought
 	}
 	for _, member := range register.Targets(value) {
-		if member.Address == replica.Runtime.Own.Address {
+		if member.Address == r.Runtime.Own.Address {
 			continue
 		}
-		if answer := replica.askArchive(member, question); answer != nil && answer.Sought != messages.SoughtUnknown {
+		if answer := r.askArchive(member, question); answer != nil && answer.Sought != messages.SoughtUnknown {
 			return answer.Sought
 		}
 	}
--- a/internal/control/quorum/tend.go
+++ b/internal/control/quorum/tend.go
@@ -11,34 +11,34 @@
 // the value in force and proposes the step that this one asks for. It tells whether the
 // set was changed. The caller gives what it knows of other processes; Own and Fresh are
 // filled in here.
-func (replica *Register) Tend(tending register.Tending) (value messages.Register, changed bool, err error) {
-	if !replica.NeedsTending(tending) {
+func (r *Register) Tend(tending register.Tending) (value messages.Register, changed bool, err error) {
+	if !r.NeedsTending(tending) {
 		return messages.Register{}, false, nil
 	}
-	seen, err := replica.readCalmly()
+	seen, err := r.readCalmly()
 	if err != nil || seen == nil {
 		return messages.Register{}, false, err
 	}
-	tending.Own, tending.Fresh = replica.Identity(), replica.JointFresh()
+	tending.Own, tending.Fresh = r.Identity(), r.JointFresh()
 	change := tending.Step(*seen)
 	if change == nil {
 		return *seen, false, nil
 	}
-	if value, err = replica.Change(change); err != nil {
+	if value, err = r.Change(change); err != nil {
 		return value, false, err
 	}
 	if len(value.Previous) > 0 {
-		value, err = replica.Change(register.Settle)
+		value, err = r.Change(register.Settle)
 	}
 	return value, err == nil && value.SetEpoch != seen.SetEpoch, err
 }
 
 // NeedsTending tells whether there is reason to read the value in force, and perhaps to
 // take a step.
-func (replica *Register) NeedsTending(tending register.Tending) bool {
-	tending.Own = replica.Identity()
-	accepted := replica.Record().Value
-	known, chosen := replica.Chosen()
+func (r *Register) NeedsTending(tending register.Tending) bool {
+	tending.Own = r.Identity()
+	accepted := r.Record().Value
+	known, chosen := r.Chosen()
 	// What this acceptor accepted may be a change of the set that was left half done.
 	return !chosen || accepted.SetEpoch > known.SetEpoch || tending.Step(known) != nil
 }
@@ -46,18 +46,18 @@
 // readCalmly reads without a ballot where it can. Where it can't, a change may be under
 // way: it looks once more a little later, and then only some of those who ask propose,
 // while the others come again.
-func (replica *Register) readCalmly() (*messages.Register, error) {
-	if value := replica.quickRead(true); value != nil {
+func (r *Register) readCalmly() (*messages.Register, error) {
+	if value := r.quickRead(true); value != nil {
 		return value, nil
 	}
 	clock.Sleep(constants.TendPause)
-	if value := replica.quickRead(true); value != nil {
+	if value := r.quickRead(true); value != nil {
 		return value, nil
 	}
 	if clock.Draw() >= constants.TendChance {
 		return nil, nil
 	}
-	value, err := replica.Change(register.Look)
+	value, err := r.Change(register.Look)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/control/register/acceptor.go
+++ b/internal/control/register/acceptor.go
@@ -12,27 +12,27 @@
 func NewAcceptor(state messages.AcceptorRecord) *Acceptor { return &Acceptor{state: state} }
 
 // Record is what must be on disk.
-func (acceptor *Acceptor) Record() messages.AcceptorRecord { return acceptor.state }
+func (a *Acceptor) Record() messages.AcceptorRecord { return a.state }
 
 // Disk is the identity of the acceptor's disk.
-func (acceptor *Acceptor) Disk() string { return acceptor.state.Disk }
+func (a *Acceptor) Disk() string { return a.state.Disk }
 
 // Value gives the accepted value, or the first one: an empty register whose
 // acceptors are the seeds of the system's first start.
-func (acceptor *Acceptor) Value() messages.Register {
-	if acceptor.state.HasValue {
-		return acceptor.state.Value
+func (a *Acceptor) Value() messages.Register {
+	if a.state.HasValue {
+		return a.state.Value
 	}
-	return messages.Register{Acceptors: acceptor.state.First}
+	return messages.Register{Acceptors: a.state.First}
 }
 
 // Prepare answers the first round; keep says whether the record changed.
-func (acceptor *Acceptor) Prepare(question *messages.Prepare) (answer messages.Promise, keep bool) {
-	answer = messages.Promise{Promised: acceptor.state.Promised, Accepted: acceptor.state.Accepted, Value: acceptor.Value()}
+func (a *Acceptor) Prepare(question *messages.Prepare) (answer messages.Promise, keep bool) {
+	answer = messages.Promise{Promised: a.state.Promised, Accepted: a.state.Accepted, Value: a.Value()}
 	// A call for another disk identity is for a member that this machine no
 	// longer is: an amnesiac must not vote under its old name.
-	if question.Disk != acceptor.state.Disk {
-		return messages.Promise{Value: acceptor.Value()}, false
+	if question.Disk != a.state.Disk {
+		return messages.Promise{Value: a.Value()}, false
 	}
 	if question.Query {
 		answer.Granted = true
@@ -41,23 +41,23 @@
 		}
 		return answer, false
 	}
-	if Less(question.Ballot, acceptor.state.Promised) {
+	if Less(question.Ballot, a.state.Promised) {
 		return answer, false
 	}
-	acceptor.state.Promised = question.Ballot
+	a.state.Promised = question.Ballot
 	answer.Promised, answer.Granted = question.Ballot, true
 	return answer, true
 }
 
 // Accept answers the second round.
-func (acceptor *Acceptor) Accept(question *messages.Accept) (answer messages.Accepted, keep bool) {
-	if question.Disk != acceptor.state.Disk {
+func (a *Acceptor) Accept(question *messages.Accept) (answer messages.Accepted, keep bool) {
+	if question.Disk != a.state.Disk {
 		return messages.Accepted{}, false
 	}
-	if Less(question.Ballot, acceptor.state.Promised) {
-		return messages.Accepted{Promised: acceptor.state.Promised}, false
+	if Less(question.Ballot, a.state.Promised) {
+		return messages.Accepted{Promised: a.state.Promised}, false
 	}
-	acceptor.state.Promised, acceptor.state.Accepted = question.Ballot, question.Ballot
-	acceptor.state.Value, acceptor.state.HasValue = question.Value, true
+	a.state.Promised, a.state.Accepted = question.Ballot, question.Ballot
+	a.state.Value, a.state.HasValue = question.Value, true
 	return messages.Accepted{Granted: true, Promised: question.Ballot}, true
 }
--- a/internal/control/register/archive_test.go
+++ b/internal/control/register/archive_test.go
@@ -30,23 +30,23 @@
 }
 
 // follow has an acceptor accept a value; what it gives back goes to its file.
-func (one *archives) follow(at int, value messages.Register) bool {
-	added, whole := one.kept[at].Extend(&value, one.day)
+func (a *archives) follow(at int, value messages.Register) bool {
+	added, whole := a.kept[at].Extend(&value, a.day)
 	if added != nil {
-		one.files[at] = append(one.files[at], *added)
+		a.files[at] = append(a.files[at], *added)
 	}
 	return whole
 }
 
 // fill has an acceptor pull what it lacks from another.
-func (one *archives) fill(at, from int) bool {
-	for _, held := range []uint64{one.kept[at].Held(), 0} {
-		for filled := true; filled; held = one.kept[at].Held() {
-			answer := one.kept[from].Answer(&messages.ArchiveQuestion{Head: one.value.Archive, Pull: true, Held: held})
-			if filled = one.kept[at].Fill(one.value.Archive, answer.Chunks); filled {
-				one.files[at] = append(one.files[at], answer.Chunks...)
+func (a *archives) fill(at, from int) bool {
+	for _, held := range []uint64{a.kept[at].Held(), 0} {
+		for filled := true; filled; held = a.kept[at].Held() {
+			answer := a.kept[from].Answer(&messages.ArchiveQuestion{Head: a.value.Archive, Pull: true, Held: held})
+			if filled = a.kept[at].Fill(a.value.Archive, answer.Chunks); filled {
+				a.files[at] = append(a.files[at], answer.Chunks...)
 			}
-			if one.follow(at, one.value) {
+			if a.follow(at, a.value) {
 				return true
 			}
 		}
@@ -55,10 +55,10 @@
 }
 
 // restart reads the file again.
-func (one *archives) restart(at int) {
-	one.kept[at] = &register.Archive{}
-	for _, chunk := range one.files[at] {
-		one.kept[at].Restore(chunk)
+func (a *archives) restart(at int) {
+	a.kept[at] = &register.Archive{}
+	for _, chunk := range a.files[at] {
+		a.kept[at].Restore(chunk)
 	}
 }
 
@@ -70,23 +70,23 @@
 }
 
 // check asks every archive about a version.
-func (one *archives) check(test *rapid.T, version messages.Version, taken, mayForget bool) {
+func (a *archives) check(rt *rapid.T, version messages.Version, taken, mayForget bool) {
 	var result register.Result
-	_, _ = register.Replace(version, nil, &result)(one.value)
+	_, _ = register.Replace(version, nil, &result)(a.value)
 	if result != register.ResultArchived {
 		if result.Stands() != taken {
-			test.Fatalf("the value says %d of %v, taken %v", result, version, taken)
+			rt.Fatalf("the value says %d of %v, taken %v", result, version, taken)
 		}
 		return
 	}
-	question := &messages.ArchiveQuestion{Head: one.value.Archive, Generation: version.Generation, Print: register.Print(version)}
-	for at, archive := range one.kept {
+	question := &messages.ArchiveQuestion{Head: a.value.Archive, Generation: version.Generation, Print: register.Print(version)}
+	for at, archive := range a.kept {
 		sought := archive.Answer(question).Sought
 		if (sought == messages.SoughtTaken && !taken) || (sought == messages.SoughtNever && taken) {
-			test.Fatalf("archive %d says %d of %v, taken %v", at, sought, version, taken)
+			rt.Fatalf("archive %d says %d of %v, taken %v", at, sought, version, taken)
 		}
-		if sought == messages.SoughtUnknown && !mayForget && archive.Covers(one.value.Archive) {
-			test.Fatalf("archive %d is whole and does not know %v", at, version)
+		if sought == messages.SoughtUnknown && !mayForget && archive.Covers(a.value.Archive) {
+			rt.Fatalf("archive %d is whole and does not know %v", at, version)
 		}
 	}
 }
@@ -94,14 +94,14 @@
 // Acceptors miss changes, accept values that are never chosen, restart, pull from each
 // other and forget by age: none ever says "never taken" of a version that was taken, or
 // the other way round, and one that is whole always knows.
-func TestArchiveNeverRefusesWhatWasTaken(test *testing.T) {
-	rapid.Check(test, func(test *rapid.T) {
+func TestArchiveNeverRefusesWhatWasTaken(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
 		one := newArchives(3)
 		forgot := false
-		test.Repeat(map[string]func(*rapid.T){
-			"change": func(test *rapid.T) {
-				away := rapid.IntRange(-1, 2).Draw(test, "away")
-				for range rapid.IntRange(1, 40).Draw(test, "changes") {
+		rt.Repeat(map[string]func(*rapid.T){
+			"change": func(rt *rapid.T) {
+				away := rapid.IntRange(-1, 2).Draw(rt, "away")
+				for range rapid.IntRange(1, 40).Draw(rt, "changes") {
 					value, version := next(one.value, fmt.Sprint(len(one.taken)))
 					one.value, one.taken = value, append(one.taken, version)
 					for at := range one.kept {
@@ -111,40 +111,40 @@
 					}
 				}
 			},
-			"unchosen": func(test *rapid.T) {
+			"unchosen": func(rt *rapid.T) {
 				// One acceptor alone accepts a run of values that lose.
-				at, value := rapid.IntRange(0, 2).Draw(test, "at"), one.value
-				for index := range rapid.IntRange(1, 20).Draw(test, "run") {
+				at, value := rapid.IntRange(0, 2).Draw(rt, "at"), one.value
+				for index := range rapid.IntRange(1, 20).Draw(rt, "run") {
 					value, _ = next(value, fmt.Sprint("lost", index))
 					one.follow(at, value)
 				}
 			},
-			"restart": func(test *rapid.T) { one.restart(rapid.IntRange(0, 2).Draw(test, "at")) },
-			"wipe": func(test *rapid.T) {
-				at := rapid.IntRange(0, 2).Draw(test, "at")
+			"restart": func(rt *rapid.T) { one.restart(rapid.IntRange(0, 2).Draw(rt, "at")) },
+			"wipe": func(rt *rapid.T) {
+				at := rapid.IntRange(0, 2).Draw(rt, "at")
 				one.files[at] = nil
 				one.restart(at)
 			},
-			"fill": func(test *rapid.T) {
-				at, from := rapid.IntRange(0, 2).Draw(test, "at"), rapid.IntRange(0, 2).Draw(test, "from")
+			"fill": func(rt *rapid.T) {
+				at, from := rapid.IntRange(0, 2).Draw(rt, "at"), rapid.IntRange(0, 2).Draw(rt, "from")
 				whole := one.kept[from].Covers(one.value.Archive)
 				if filled := one.fill(at, from); whole && !filled {
-					test.Fatalf("%d was not filled from %d, which is whole", at, from)
+					rt.Fatalf("%d was not filled from %d, which is whole", at, from)
 				}
 			},
-			"forget": func(test *rapid.T) {
-				one.day += int64(rapid.IntRange(0, constants.ArchiveDays).Draw(test, "days"))
-				at := rapid.IntRange(0, 2).Draw(test, "at")
+			"forget": func(rt *rapid.T) {
+				one.day += int64(rapid.IntRange(0, constants.ArchiveDays).Draw(rt, "days"))
+				at := rapid.IntRange(0, 2).Draw(rt, "at")
 				if one.kept[at].Forget(one.day) {
 					forgot = true
 					one.files[at] = one.kept[at].Chunks()
 				}
 			},
-			"": func(test *rapid.T) {
+			"": func(rt *rapid.T) {
 				for _, version := range one.taken {
-					one.check(test, version, true, forgot)
+					one.check(rt, version, true, forgot)
 					version.Hash += "x"
-					one.check(test, version, false, forgot)
+					one.check(rt, version, false, forgot)
 				}
 			},
 		})
@@ -152,7 +152,7 @@
 }
 
 // What travels with a value and what a pull brings, against the number of changes.
-func TestArchiveCost(test *testing.T) {
+func TestArchiveCost(t *testing.T) {
 	for _, changes := range []int{40, 300, 2300, 6900} {
 		one := newArchives(2)
 		for index := range changes {
@@ -167,12 +167,12 @@
 			body, _ := chunk.MarshalMsg(nil)
 			pulled += len(body)
 		}
-		test.Logf("%d changes: the value without its body %d bytes, the whole archive %d bytes", changes, len(message), pulled)
+		t.Logf("%d changes: the value without its body %d bytes, the whole archive %d bytes", changes, len(message), pulled)
 		if len(message) > 4000 || pulled > 64+12*changes {
-			test.Fatalf("%d changes: value %d bytes, archive %d bytes", changes, len(message), pulled)
+			t.Fatalf("%d changes: value %d bytes, archive %d bytes", changes, len(message), pulled)
 		}
 		if !one.fill(1, 0) {
-			test.Fatalf("%d changes: an empty archive was not filled", changes)
+			t.Fatalf("%d changes: an empty archive was not filled", changes)
 		}
 	}
 }
--- a/internal/control/register/budget_test.go
+++ b/internal/control/register/budget_test.go
@@ -11,18 +11,18 @@
 )
 
 // strike is the fault right after an acknowledgement, within the budget of two.
-func (one *grown) strike() {
-	names := simulation.Keys(one.controllers)
-	one.world.Random.Shuffle(len(names), func(left, right int) { names[left], names[right] = names[right], names[left] })
+func (g *grown) strike() {
+	names := simulation.Keys(g.controllers)
+	g.world.Random.Shuffle(len(names), func(left, right int) { names[left], names[right] = names[right], names[left] })
 	lost, others := names[:2], names[2:]
 	back := func(name string, wiped bool) {
-		one.world.After(clock.Milliseconds(300+1500*one.world.Random.Float64()), func() { one.start(name, wiped) })
+		g.world.After(clock.Milliseconds(300+1500*g.world.Random.Float64()), func() { g.start(name, wiped) })
 	}
-	switch one.world.Random.Intn(4) {
+	switch g.world.Random.Intn(4) {
 	case 0:
 		// Two disks are lost while all others lose power.
 		for _, name := range names {
-			one.stop(name)
+			g.stop(name)
 		}
 		for _, name := range lost {
 			back(name, true)
@@ -32,30 +32,30 @@
 		}
 	case 1:
 		for _, name := range lost {
-			one.stop(name)
-			back(name, one.world.Random.Intn(2) == 0)
+			g.stop(name)
+			back(name, g.world.Random.Intn(2) == 0)
 		}
 	case 2:
 		// Two machines are gone for good; others with empty disks come for them.
 		for _, name := range lost {
-			one.stop(name)
-			delete(one.controllers, name)
-			one.number++
-			fresh := fmt.Sprint(name, one.number)
-			one.world.After(clock.Milliseconds(2000*one.world.Random.Float64()), func() {
+			g.stop(name)
+			delete(g.controllers, name)
+			g.number++
+			fresh := fmt.Sprint(name, g.number)
+			g.world.After(clock.Milliseconds(2000*g.world.Random.Float64()), func() {
 				record := messages.AcceptorRecord{Disk: fresh}
 				member := messages.Member{Name: fresh, Address: fresh, Disk: fresh}
-				one.controllers[fresh] = &controller{member: member, disk: record, live: register.NewAcceptor(record)}
-				one.tend(fresh)
+				g.controllers[fresh] = &controller{member: member, disk: record, live: register.NewAcceptor(record)}
+				g.tend(fresh)
 			})
 		}
 	case 3:
 		for _, name := range lost {
-			one.world.Isolate(name, names, true)
+			g.world.Isolate(name, names, true)
 		}
-		one.world.After(clock.Milliseconds(3000), func() {
+		g.world.After(clock.Milliseconds(3000), func() {
 			for _, name := range lost {
-				one.world.Isolate(name, names, false)
+				g.world.Isolate(name, names, false)
 			}
 		})
 	}
@@ -63,9 +63,9 @@
 
 // The set grows from the three seeds to five before anything is acknowledged, and
 // whatever was acknowledged outlasts the loss of two at any moment after it.
-func TestBudgetOfTwo(test *testing.T) {
+func TestBudgetOfTwo(t *testing.T) {
 	for seed := int64(1); seed <= int64(simulation.Seeds(120)); seed++ {
-		one := newGrown(test, seed)
+		one := newGrown(t, seed)
 		one.world.Loss, one.world.Double = 0.02, 0.02
 		if seed%3 == 0 {
 			one.slow = 60
@@ -82,34 +82,34 @@
 			struck = false
 			one.insist(generation, generation-1)
 			if !one.until(clock.Milliseconds(budgetRecover), func() bool { return one.acked[generation] != "" }) {
-				test.Fatalf("seed %d: version %d not acknowledged after %v", seed, generation, one.world.Now.Since(begun))
+				t.Fatalf("seed %d: version %d not acknowledged after %v", seed, generation, one.world.Now.Since(begun))
 			}
 			// The next one has to come through within the time to recover.
 			one.world.Run(one.world.Now.Plus(clock.Milliseconds(1800)))
 			names := simulation.Keys(one.controllers)
 			if found := one.newest(names[one.world.Random.Intn(len(names))]); found >= 0 && found < generation {
-				test.Fatalf("seed %d: found %d, want %d", seed, found, generation)
+				t.Fatalf("seed %d: found %d, want %d", seed, found, generation)
 			}
 			// Troubles beyond the budget wait their turn.
 			if !one.until(clock.Milliseconds(60_000), one.whole) {
-				test.Fatalf("seed %d: the set is not whole a minute after a fault", seed)
+				t.Fatalf("seed %d: the set is not whole a minute after a fault", seed)
 			}
 		}
 	}
 }
 
 // Growing takes a small part of the time before traffic starts.
-func TestSetGrowsSoon(test *testing.T) {
+func TestSetGrowsSoon(t *testing.T) {
 	for seed := int64(1); seed <= 60; seed++ {
-		one := newGrown(test, seed)
+		one := newGrown(t, seed)
 		one.slow = 30
 		if !one.until(clock.Milliseconds(8000), one.whole) {
-			test.Fatalf("seed %d: not whole after %v", seed, one.world.Now)
+			t.Fatalf("seed %d: not whole after %v", seed, one.world.Now)
 		}
 		one.world.Run(one.world.Now.Plus(clock.Milliseconds(10_000)))
 		for _, name := range simulation.Keys(one.controllers) {
 			if count := len(one.controllers[name].known.Acceptors); count > budgetSize {
-				test.Fatalf("seed %d: %d members", seed, count)
+				t.Fatalf("seed %d: %d members", seed, count)
 			}
 		}
 	}
--- a/internal/control/register/contention_test.go
+++ b/internal/control/register/contention_test.go
@@ -12,36 +12,36 @@
 
 // burst has every process propose at once on one base, and tells how long it took
 // until all had a clear answer and how many attempts that needed.
-func (one *fleet) burst(generation *int64, base int64) (clock.Span, int) {
-	names := simulation.Keys(one.controllers)
-	begun, before, waiting := one.world.Now, one.attempts, len(names)
+func (f *fleet) burst(generation *int64, base int64) (clock.Span, int) {
+	names := simulation.Keys(f.controllers)
+	begun, before, waiting := f.world.Now, f.attempts, len(names)
 	var last clock.Moment
 	for _, name := range names {
 		*generation++
 		version := messages.Version{Generation: *generation, Base: base, Hash: name}
 		var result register.Result
-		one.change(name, register.Replace(version, []byte(name), &result), 1000, func(messages.Register, bool) {
+		f.change(name, register.Replace(version, []byte(name), &result), 1000, func(messages.Register, bool) {
 			waiting--
-			last = one.world.Now
+			last = f.world.Now
 		})
 	}
-	for waiting > 0 && one.world.Now.Since(begun) < 60*constants.RegisterTime {
-		one.world.Run(one.world.Now.Plus(clock.Milliseconds(10)))
+	for waiting > 0 && f.world.Now.Since(begun) < 60*constants.RegisterTime {
+		f.world.Run(f.world.Now.Plus(clock.Milliseconds(10)))
 	}
 	if waiting > 0 {
-		one.test.Fatalf("%d of %d proposers are still without an answer", waiting, len(names))
+		f.test.Fatalf("%d of %d proposers are still without an answer", waiting, len(names))
 	}
-	return last.Since(begun), one.attempts - before
+	return last.Since(begun), f.attempts - before
 }
 
 // Eight orders at once through eight processes, on disks that sync at once and on
 // slow ones: none is pushed out for ever.
-func TestEightAtOnceDoNotPushEachOtherOut(test *testing.T) {
+func TestEightAtOnceDoNotPushEachOtherOut(t *testing.T) {
 	for _, slow := range []float64{0, 10, 30, 60} {
 		var longest, total clock.Span
 		attempts, most, bursts := 0, 0, 0
 		for seed := int64(1); seed <= 20; seed++ {
-			one := newFleet(test, seed, "a", "b", "c", "d", "e")
+			one := newFleet(t, seed, "a", "b", "c", "d", "e")
 			for _, name := range []string{"f", "g", "h"} {
 				one.outsider(name)
 			}
@@ -53,10 +53,10 @@
 				attempts, most, bursts = attempts+count, max(most, count), bursts+1
 			}
 		}
-		test.Logf("sync up to %v ms: %d bursts, mean %v, longest %v, attempts mean %.1f, most %d", slow, bursts,
+		t.Logf("sync up to %v ms: %d bursts, mean %v, longest %v, attempts mean %.1f, most %d", slow, bursts,
 			total/clock.Span(bursts), longest, float64(attempts)/float64(bursts), most)
 		if longest > constants.RegisterTime {
-			test.Errorf("a burst took %v, over the time of one change", longest)
+			t.Errorf("a burst took %v, over the time of one change", longest)
 		}
 	}
 }
--- a/internal/control/register/drive_test.go
+++ b/internal/control/register/drive_test.go
@@ -26,28 +26,28 @@
 
 // change drives one change from a node; ended is called once with the outcome, or
 // never where the process dies.
-func (one *fleet) change(from string, change register.Change, tries int, ended func(value messages.Register, done bool)) {
-	if node := one.controllers[from]; node != nil {
-		one.propose(from, node.known, change, tries, 0, ended)
+func (f *fleet) change(from string, change register.Change, tries int, ended func(value messages.Register, done bool)) {
+	if node := f.controllers[from]; node != nil {
+		f.propose(from, node.known, change, tries, 0, ended)
 		return
 	}
 	ended(messages.Register{}, false)
 }
 
-func (one *fleet) propose(from string, known messages.Register, change register.Change, tries, lost int, ended func(value messages.Register, done bool)) {
-	node := one.controllers[from]
+func (f *fleet) propose(from string, known messages.Register, change register.Change, tries, lost int, ended func(value messages.Register, done bool)) {
+	node := f.controllers[from]
 	if node == nil || node.down || tries == 0 {
 		ended(messages.Register{}, false)
 		return
 	}
 	node.counter++
-	one.attempts++
+	f.attempts++
 	ballot := register.NewBallot(node.counter, from, node.member.Disk, node.life)
 	proposal, sends := register.Begin(ballot, known, change)
-	attempt := &try{fleet: one, from: from, node: node, life: node.life, known: known, change: change, proposal: proposal, begun: one.world.Now}
-	again := func() { one.propose(from, known, change, tries-1, lost+1, ended) }
+	attempt := &try{fleet: f, from: from, node: node, life: node.life, known: known, change: change, proposal: proposal, begun: f.world.Now}
+	again := func() { f.propose(from, known, change, tries-1, lost+1, ended) }
 	attempt.send(sends, func() { attempt.finish(tries, lost, ended) })
-	one.world.After(clock.Milliseconds(attemptTime), func() {
+	f.world.After(clock.Milliseconds(attemptTime), func() {
 		if !attempt.over && !attempt.dead() {
 			attempt.over = true
 			again()
@@ -56,72 +56,72 @@
 }
 
 // dead tells whether the life that made the attempt is over.
-func (attempt *try) dead() bool { return attempt.node.down || attempt.life != attempt.node.life }
+func (t *try) dead() bool { return t.node.down || t.life != t.node.life }
 
 // finish looks where the proposal stands.
-func (attempt *try) finish(tries, lost int, ended func(value messages.Register, done bool)) {
-	if attempt.over || attempt.dead() {
+func (t *try) finish(tries, lost int, ended func(value messages.Register, done bool)) {
+	if t.over || t.dead() {
 		return
 	}
-	node, proposal := attempt.node, attempt.proposal
+	node, proposal := t.node, t.proposal
 	switch proposal.Stage() {
 	case register.StageDone:
-		attempt.over = true
+		t.over = true
 		node.learnChosen(proposal.Value())
-		if attempt.chosen != nil {
-			attempt.chosen(proposal.Value())
+		if t.chosen != nil {
+			t.chosen(proposal.Value())
 		}
 		if proposal.Unfinished() {
-			attempt.propose(attempt.from, proposal.Value(), attempt.change, tries-1, lost, ended)
+			t.propose(t.from, proposal.Value(), t.change, tries-1, lost, ended)
 			return
 		}
 		ended(proposal.Value(), true)
 	case register.StageLost:
-		attempt.over = true
+		t.over = true
 		node.counter = max(node.counter, proposal.Highest().Counter)
-		known := attempt.known
+		known := t.known
 		if newer := proposal.Newer(); newer != nil {
 			known = *newer
 		}
-		attempt.world.After(register.Backoff(lost+1, attempt.world.Now.Since(attempt.begun), attempt.world.Random.Float64()), func() {
-			if attempt.dead() {
+		t.world.After(register.Backoff(lost+1, t.world.Now.Since(t.begun), t.world.Random.Float64()), func() {
+			if t.dead() {
 				return
 			}
-			attempt.look(attempt.from, attempt.change, func(value messages.Register, settled bool) {
+			t.look(t.from, t.change, func(value messages.Register, settled bool) {
 				if settled {
 					ended(value, true)
 					return
 				}
-				attempt.propose(attempt.from, known, attempt.change, tries-1, lost+1, ended)
+				t.propose(t.from, known, t.change, tries-1, lost+1, ended)
 			})
 		})
 	}
 }
 
 // send takes messages to their members and the answers back.
-func (attempt *try) send(list []register.Send, finish func()) {
-	one := attempt.fleet
+func (t *try) send(list []register.Send, finish func()) {
+	one := t.fleet
 	if len(list) > 0 && list[0].Accept != nil && one.world.Random.Float64() < one.crash {
 		// The worst moment: the second round is decided on, and some get it.
 		list = list[:one.world.Random.Intn(len(list))]
-		one.world.After(0, func() { one.bounce(attempt.from) })
+		one.world.After(0, func() { one.bounce(t.from) })
 	}
 	for _, message := range list {
 		target := one.controllers[message.Member.Address]
-		one.world.Send(attempt.from, message.Member.Address, func() {
+		one.world.Send(t.from, message.Member.Address, func() {
 			if target == nil || target.down || target.syncing.Since(one.world.Now) > constants.VoteWait {
 				return
 			}
 			if message.Prepare != nil {
 				answer, _ := target.live.Prepare(message.Prepare)
-				one.answer(target, attempt.from, func() { attempt.promised(message.Member, answer, finish) })
+				one.answer(target, t.from, func() { t.promised(message.Member, answer, finish) })
 				return
 			}
 			one.follow(target, &message.Accept.Value)
 			answer, _ := target.live.Accept(message.Accept)
-			one.answer(target, attempt.from, func() {
-				if !attempt.over && !attempt.dead() {
-					attempt.proposal.Taken(message.Member, answer)
+			one.answer(target, t.from, func() {
+				if !t.over && !t.dead() {
+					t.proposal.Taken(message.Member, answer)
 					finish()
 				}
 			})
@@ -129,16 +129,16 @@
 	}
 }
 
-func (attempt *try) promised(member messages.Member, answer messages.Promise, finish func()) {
-	if !attempt.over && !attempt.dead() {
-		attempt.send(attempt.proposal.Promised(member, answer), finish)
+func (t *try) promised(member messages.Member, answer messages.Promise, finish func()) {
+	if !t.over && !t.dead() {
+		t.send(t.proposal.Promised(member, answer), finish)
 		finish()
 	}
 }
 
 // look asks whether the change would leave the value in force as it is.
-func (one *fleet) look(from string, change register.Change, ended func(value messages.Register, settled bool)) {
-	node, over := one.controllers[from], false
+func (f *fleet) look(from string, change register.Change, ended func(value messages.Register, settled bool)) {
+	node, over := f.controllers[from], false
 	life := node.life
 	reading, sends := register.BeginReading(node.known)
 	end := func(value *messages.Register) {
@@ -151,63 +151,63 @@
 			return
 		}
 		node.learnChosen(*value)
-		if one.chosen != nil {
-			one.chosen(*value)
+		if f.chosen != nil {
+			f.chosen(*value)
 		}
 		_, verdict := change(*value)
 		ended(*value, verdict == register.VerdictKeep)
 	}
 	for _, message := range sends {
-		target := one.controllers[message.Member.Address]
-		one.world.Send(from, message.Member.Address, func() {
+		target := f.controllers[message.Member.Address]
+		f.world.Send(from, message.Member.Address, func() {
 			if target == nil || target.down {
 				return
 			}
 			answer, _ := register.NewAcceptor(target.disk).Prepare(message.Prepare)
-			one.world.Send(message.Member.Address, from, func() {
+			f.world.Send(message.Member.Address, from, func() {
 				if value, settled := reading.Heard(message.Member, answer); settled {
 					end(value)
 				}
 			})
 		})
 	}
-	one.world.After(clock.Milliseconds(attemptTime), func() { end(nil) })
+	f.world.After(clock.Milliseconds(attemptTime), func() { end(nil) })
 }
 
 // learnChosen takes a value that a majority was seen to hold.
-func (node *controller) learnChosen(value messages.Register) {
-	if !node.chosen || value.SetEpoch >= node.known.SetEpoch {
-		node.known, node.chosen = value, true
+func (c *controller) learnChosen(value messages.Register) {
+	if !c.chosen || value.SetEpoch >= c.known.SetEpoch {
+		c.known, c.chosen = value, true
 	}
 }
 
 // answer sends an answer once the disk behind it has synced, in order. What was not
 // synced when the process ends is lost.
-func (one *fleet) answer(node *controller, to string, function func()) {
+func (f *fleet) answer(node *controller, to string, function func()) {
 	record, file, life := node.live.Record(), node.archive.Chunks(), node.life
 	done := func() {
 		if node.life != life {
 			return
 		}
 		node.disk, node.file = record, file
-		one.world.Send(node.member.Address, to, function)
+		f.world.Send(node.member.Address, to, function)
 	}
-	if one.slow == 0 {
+	if f.slow == 0 {
 		done()
 		return
 	}
-	node.syncing = max(node.syncing, one.world.Now).Plus(clock.Milliseconds(one.slow * one.world.Random.Float64()))
-	one.world.After(node.syncing.Since(one.world.Now), done)
+	node.syncing = max(node.syncing, f.world.Now).Plus(clock.Milliseconds(f.slow * f.world.Random.Float64()))
+	f.world.After(node.syncing.Since(f.world.Now), done)
 }
 
 // follow keeps the archive beside a value that is about to be accepted, and pulls what
 // is lacking from another acceptor.
-func (one *fleet) follow(node *controller, value *messages.Register) {
+func (f *fleet) follow(node *controller, value *messages.Register) {
 	if _, whole := node.archive.Extend(value, 1); whole {
 		return
 	}
-	names := simulation.Keys(one.controllers)
-	other := one.controllers[names[one.world.Random.Intn(len(names))]]
+	names := simulation.Keys(f.controllers)
+	other := f.controllers[names[f.world.Random.Intn(len(names))]]
 	if other.down {
 		return
 	}
@@ -219,16 +219,16 @@
 }
 
 // bounce ends a process and starts it again from its disk.
-func (one *fleet) bounce(name string) {
-	node := one.controllers[name]
+func (f *fleet) bounce(name string) {
+	node := f.controllers[name]
 	if node == nil || node.down {
 		return
 	}
 	node.down = true
 	node.life++
-	one.world.After(clock.Milliseconds(200*one.world.Random.Float64()), func() {
+	f.world.After(clock.Milliseconds(200*f.world.Random.Float64()), func() {
 		if node.down {
-			one.restart(name)
+			f.restart(name)
 		}
 	})
 }
--- a/internal/control/register/grown_test.go
+++ b/internal/control/register/grown_test.go
@@ -35,16 +35,16 @@
 }
 
 // fresh tells whether a process met its set a short while ago.
-func (one *grown) fresh(name string) bool {
-	epoch := one.controllers[name].known.SetEpoch
-	if one.met[name].epoch < epoch {
-		one.met[name] = sighting{epoch, one.world.Now}
+func (g *grown) fresh(name string) bool {
+	epoch := g.controllers[name].known.SetEpoch
+	if g.met[name].epoch < epoch {
+		g.met[name] = sighting{epoch, g.world.Now}
 	}
-	return one.world.Now.Since(one.met[name].at) < constants.JointTime
+	return g.world.Now.Since(g.met[name].at) < constants.JointTime
 }
 
-func newGrown(test *testing.T, seed int64) *grown {
-	one := &grown{fleet: newFleet(test, seed, "a", "b", "c"), downSince: map[string]clock.Moment{}, met: map[string]sighting{}}
+func newGrown(t *testing.T, seed int64) *grown {
+	one := &grown{fleet: newFleet(t, seed, "a", "b", "c"), downSince: map[string]clock.Moment{}, met: map[string]sighting{}}
 	one.size = budgetSize
 	for _, name := range []string{"d", "e", "f", "g", "h"} {
 		one.outsider(name)
@@ -57,54 +57,54 @@
 
 // tend is what each process does about once in half a second: hear of newer sets
 // from others, then propose what the step says.
-func (one *grown) tend(name string) {
-	one.world.After(clock.Milliseconds(200+600*one.world.Random.Float64()), func() {
-		one.tend(name)
-		node := one.controllers[name]
+func (g *grown) tend(name string) {
+	g.world.After(clock.Milliseconds(200+600*g.world.Random.Float64()), func() {
+		g.tend(name)
+		node := g.controllers[name]
 		if node == nil || node.down {
 			return
 		}
-		names := simulation.Keys(one.controllers)
+		names := simulation.Keys(g.controllers)
 		for asked := 0; asked < 3; asked++ {
-			other := one.controllers[names[one.world.Random.Intn(len(names))]]
+			other := g.controllers[names[g.world.Random.Intn(len(names))]]
 			if !other.down && other.chosen && (other.known.SetEpoch > node.known.SetEpoch || len(node.known.Acceptors) == 0) {
 				node.known, node.chosen = other.known, false
 			}
 		}
-		tending := register.Tending{Own: node.member, Votes: true, Size: budgetSize, Gone: one.gone}
+		tending := register.Tending{Own: node.member, Votes: true, Size: budgetSize, Gone: g.gone}
 		if !node.chosen || node.disk.Value.SetEpoch > node.known.SetEpoch || tending.Step(node.known) != nil {
-			one.read(name, func(value messages.Register) {
-				tending.Fresh = one.fresh(name)
-				one.step(name, tending, value)
+			g.read(name, func(value messages.Register) {
+				tending.Fresh = g.fresh(name)
+				g.step(name, tending, value)
 			})
 		}
 	})
 }
 
 // step proposes what a chosen value asks for, and ends the joint set that it made.
-func (one *grown) step(name string, tending register.Tending, value messages.Register) {
+func (g *grown) step(name string, tending register.Tending, value messages.Register) {
 	change := tending.Step(value)
 	if change == nil {
 		return
 	}
-	one.change(name, change, 3, func(value messages.Register, done bool) {
+	g.change(name, change, 3, func(value messages.Register, done bool) {
 		if done && len(value.Previous) > 0 {
-			one.change(name, register.Settle, 3, func(messages.Register, bool) {})
+			g.change(name, register.Settle, 3, func(messages.Register, bool) {})
 		}
 	})
 }
 
 // read gives a process the value in force: quickly where that is clear, and by a
 // proposal at times where it is not, as a change may be under way.
-func (one *grown) read(name string, read func(value messages.Register)) {
-	one.look(name, register.Look, func(value messages.Register, settled bool) {
-		node := one.controllers[name]
+func (g *grown) read(name string, read func(value messages.Register)) {
+	g.look(name, register.Look, func(value messages.Register, settled bool) {
+		node := g.controllers[name]
 		switch {
 		case node == nil:
 		case settled:
 			read(value)
-		case one.world.Random.Intn(4) == 0:
-			one.change(name, register.Look, 2, func(value messages.Register, done bool) {
+		case g.world.Random.Intn(4) == 0:
+			g.change(name, register.Look, 2, func(value messages.Register, done bool) {
 				if done {
 					read(value)
 				}
@@ -113,34 +113,34 @@
 	})
 }
 
-func (one *grown) gone(member messages.Member) bool {
-	node := one.controllers[member.Address]
-	return node == nil || (node.down && one.world.Now.Since(one.downSince[member.Address]) > budgetSilence)
+func (g *grown) gone(member messages.Member) bool {
+	node := g.controllers[member.Address]
+	return node == nil || (node.down && g.world.Now.Since(g.downSince[member.Address]) > budgetSilence)
 }
 
-func (one *grown) stop(name string) {
-	one.controllers[name].down = true
-	one.downSince[name] = one.world.Now
+func (g *grown) stop(name string) {
+	g.controllers[name].down = true
+	g.downSince[name] = g.world.Now
 }
 
 // start brings a process back, with its disk or without.
-func (one *grown) start(name string, wiped bool) {
+func (g *grown) start(name string, wiped bool) {
 	if wiped {
-		one.wipe(name)
+		g.wipe(name)
 	}
-	one.restart(name)
+	g.restart(name)
 }
 
 // whole tells whether the newest set known anywhere is complete and all of it up.
-func (one *grown) whole() bool {
+func (g *grown) whole() bool {
 	var newest messages.Register
-	for _, name := range simulation.Keys(one.controllers) {
-		if node := one.controllers[name]; node.chosen && node.known.SetEpoch >= newest.SetEpoch {
+	for _, name := range simulation.Keys(g.controllers) {
+		if node := g.controllers[name]; node.chosen && node.known.SetEpoch >= newest.SetEpoch {
 			newest = node.known
 		}
 	}
 	for _, member := range newest.Acceptors {
-		node := one.controllers[member.Address]
+		node := g.controllers[member.Address]
 		if node == nil || node.down || node.member.Disk != member.Disk {
 			return false
 		}
@@ -149,22 +149,22 @@
 }
 
 // until runs the world in steps until something holds; false when it takes longer.
-func (one *grown) until(span clock.Span, holds func() bool) bool {
-	for end := one.world.Now.Plus(span); one.world.Now < end; {
+func (g *grown) until(span clock.Span, holds func() bool) bool {
+	for end := g.world.Now.Plus(span); g.world.Now < end; {
 		if holds() {
 			return true
 		}
-		one.world.Run(one.world.Now.Plus(clock.Milliseconds(50)))
+		g.world.Run(g.world.Now.Plus(clock.Milliseconds(50)))
 	}
 	return holds()
 }
 
 // insist sends a configuration to one process after another until it is told.
-func (one *grown) insist(generation, base int64) {
-	if one.acked[generation] != "" {
+func (g *grown) insist(generation, base int64) {
+	if g.acked[generation] != "" {
 		return
 	}
-	names := simulation.Keys(one.controllers)
-	one.replace(names[one.world.Random.Intn(len(names))], generation, base, fmt.Sprint(generation))
-	one.world.After(clock.Milliseconds(700), func() { one.insist(generation, base) })
+	names := simulation.Keys(g.controllers)
+	g.replace(names[g.world.Random.Intn(len(names))], generation, base, fmt.Sprint(generation))
+	g.world.After(clock.Milliseconds(700), func() { g.insist(generation, base) })
 }
--- a/internal/control/register/main_test.go
+++ b/internal/control/register/main_test.go
@@ -9,10 +9,10 @@
 )
 
 // TestMain makes the property tests play the same histories each time.
-func TestMain(tests *testing.M) {
+func TestMain(m *testing.M) {
 	if err := simulation.PinRapid(200); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	os.Exit(tests.Run())
+	os.Exit(m.Run())
 }
--- a/internal/control/register/operators_test.go
+++ b/internal/control/register/operators_test.go
@@ -40,8 +40,8 @@
 	counts map[string]int
 }
 
-func newOperators(test *testing.T, seed int64) *operators {
-	one := &operators{fleet: newFleet(test, seed, "a", "b", "c"), chain: map[int64]messages.Version{}, onTop: map[int64]messages.Version{}, counts: map[string]int{}}
+func newOperators(t *testing.T, seed int64) *operators {
+	one := &operators{fleet: newFleet(t, seed, "a", "b", "c"), chain: map[int64]messages.Version{}, onTop: map[int64]messages.Version{}, counts: map[string]int{}}
 	one.outsider("d")
 	one.outsider("e")
 	one.names = []string{"a", "b", "c", "d", "e"}
@@ -50,50 +50,50 @@
 }
 
 // note keeps the one true history, and fails where there are two.
-func (one *operators) note(value messages.Register) {
+func (o *operators) note(value messages.Register) {
 	for _, version := range append([]messages.Version{value.Current}, value.History...) {
 		if version.Generation == 0 {
 			continue
 		}
-		if other, known := one.chain[version.Generation]; known && other != version {
-			one.test.Fatalf("two histories: %v and %v", other, version)
+		if other, known := o.chain[version.Generation]; known && other != version {
+			o.test.Fatalf("two histories: %v and %v", other, version)
 		}
-		if other, known := one.onTop[version.Base]; known && other != version {
-			one.test.Fatalf("two versions on one base: %v and %v", other, version)
+		if other, known := o.onTop[version.Base]; known && other != version {
+			o.test.Fatalf("two versions on one base: %v and %v", other, version)
 		}
-		one.chain[version.Generation], one.onTop[version.Base] = version, version
+		o.chain[version.Generation], o.onTop[version.Base] = version, version
 	}
 }
 
 // try sends an order to one process; ended is told of a clear answer.
-func (one *operators) try(operator, at string, version messages.Version, ended func(status status)) {
+func (o *operators) try(operator, at string, version messages.Version, ended func(status status)) {
 	answer := func(status status) {
-		one.world.Send(at, operator, func() {
-			one.seen = append(one.seen, sighted{operator, at, version, status, one.world.Now})
+		o.world.Send(at, operator, func() {
+			o.seen = append(o.seen, sighted{operator, at, version, status, o.world.Now})
 			if status != unanswered {
 				ended(status)
 			}
 		})
 	}
-	one.world.Send(operator, at, func() {
-		if one.controllers[at].down {
+	o.world.Send(operator, at, func() {
+		if o.controllers[at].down {
 			return
 		}
 		var result register.Result
-		one.change(at, register.Replace(version, []byte(version.Hash), &result), 6, func(value messages.Register, done bool) {
-			one.conclude(at, &value, version, result, done, answer)
+		o.change(at, register.Replace(version, []byte(version.Hash), &result), 6, func(value messages.Register, done bool) {
+			o.conclude(at, &value, version, result, done, answer)
 		})
 	})
 }
 
 // conclude is what quorum.Register.Replace and the controller make of an outcome.
-func (one *operators) conclude(at string, value *messages.Register, version messages.Version, result register.Result, done bool, answer func(status)) {
+func (o *operators) conclude(at string, value *messages.Register, version messages.Version, result register.Result, done bool, answer func(status)) {
 	if done && result == register.ResultArchived {
-		one.counts["archived"]++
+		o.counts["archived"]++
 		question := &messages.ArchiveQuestion{Head: value.Archive, Generation: version.Generation, Print: register.Print(version)}
 		done = false
-		for _, name := range append([]string{at}, one.names...) {
-			node := one.controllers[name]
+		for _, name := range append([]string{at}, o.names...) {
+			node := o.controllers[name]
 			if sought := node.archive.Answer(question).Sought; !node.down && sought != messages.SoughtUnknown {
 				done, result = true, register.Refusal(value.Current, version)
 				if sought == messages.SoughtTaken {
@@ -114,95 +114,95 @@
 
 // order sends a version until a clear answer comes, each time to any process, often
 // before the first try has ended.
-func (one *operators) order(operator string, version messages.Version, tries int, ended func(status status)) {
+func (o *operators) order(operator string, version messages.Version, tries int, ended func(status status)) {
 	over := false
 	var again func(tries int)
 	again = func(tries int) {
 		if over || tries == 0 {
 			return
 		}
-		one.try(operator, one.names[one.world.Random.Intn(len(one.names))], version, func(status status) {
+		o.try(operator, o.names[o.world.Random.Intn(len(o.names))], version, func(status status) {
 			if !over {
 				over = true
 				ended(status)
 			}
 		})
-		one.world.After(clock.Milliseconds(10+600*one.world.Random.Float64()), func() { again(tries - 1) })
+		o.world.After(clock.Milliseconds(10+600*o.world.Random.Float64()), func() { again(tries - 1) })
 	}
 	again(tries)
 }
 
 // work is one operator: it builds on what it believes to be newest, at times with the
 // number or the very bytes of somebody else's order, at times sends an old one again.
-func (one *operators) work(operator string, orders int) {
+func (o *operators) work(operator string, orders int) {
 	newest := int64(0)
 	var step func(left int)
 	step = func(left int) {
 		if left == 0 {
 			return
 		}
-		random := one.world.Random
+		random := o.world.Random
 		version := messages.Version{Generation: newest + 1 + int64(random.Intn(2)), Base: newest, Hash: fmt.Sprint(operator, left)}
-		if len(one.sent) > 0 && random.Intn(4) == 0 {
-			version = one.sent[random.Intn(len(one.sent))]
-			one.counts["again"]++
+		if len(o.sent) > 0 && random.Intn(4) == 0 {
+			version = o.sent[random.Intn(len(o.sent))]
+			o.counts["again"]++
 		}
-		if len(one.sent) > 0 && random.Intn(8) == 0 {
+		if len(o.sent) > 0 && random.Intn(8) == 0 {
 			// Built on an order that has no answer yet.
-			base := one.sent[len(one.sent)-1]
+			base := o.sent[len(o.sent)-1]
 			version = messages.Version{Generation: base.Generation + 1, Base: base.Generation, Hash: fmt.Sprint("hasty", operator, left)}
 		}
-		one.sent = append(one.sent, version)
+		o.sent = append(o.sent, version)
 		over := false
 		next := func() {
 			if !over {
 				over = true
-				one.world.After(clock.Milliseconds(40*random.Float64()), func() { step(left - 1) })
+				o.world.After(clock.Milliseconds(40*random.Float64()), func() { step(left - 1) })
 			}
 		}
-		one.order(operator, version, 6, func(status status) {
+		o.order(operator, version, 6, func(status status) {
 			if status == acknowledged && version.Generation > newest {
 				newest = version.Generation
 				next()
 				return
 			}
-			one.change(one.names[random.Intn(len(one.names))], register.Look, 4, func(value messages.Register, done bool) {
+			o.change(o.names[random.Intn(len(o.names))], register.Look, 4, func(value messages.Register, done bool) {
 				if done {
 					newest = value.Current.Generation
 				}
 				next()
 			})
 		})
-		one.world.After(clock.Milliseconds(3000), next)
+		o.world.After(clock.Milliseconds(3000), next)
 	}
 	step(orders)
 }
 
 // trouble cuts, ends, and restarts processes, one at a time.
-func (one *operators) trouble() {
-	name := one.names[one.world.Random.Intn(len(one.names))]
-	switch one.world.Random.Intn(4) {
+func (o *operators) trouble() {
+	name := o.names[o.world.Random.Intn(len(o.names))]
+	switch o.world.Random.Intn(4) {
 	case 0:
-		one.world.Isolate(name, one.names, true)
-		one.world.After(clock.Milliseconds(700), func() { one.world.Isolate(name, one.names, false) })
+		o.world.Isolate(name, o.names, true)
+		o.world.After(clock.Milliseconds(700), func() { o.world.Isolate(name, o.names, false) })
 	case 1:
-		one.bounce(name)
+		o.bounce(name)
 	case 2:
-		other := one.names[one.world.Random.Intn(len(one.names))]
-		one.world.Cut(name, other, true)
-		one.world.After(clock.Milliseconds(900), func() { one.world.Cut(name, other, false) })
+		other := o.names[o.world.Random.Intn(len(o.names))]
+		o.world.Cut(name, other, true)
+		o.world.After(clock.Milliseconds(900), func() { o.world.Cut(name, other, false) })
 	}
-	one.world.After(clock.Milliseconds(2500*one.world.Random.Float64()), one.trouble)
+	o.world.After(clock.Milliseconds(2500*o.world.Random.Float64()), o.trouble)
 }
 
 // Eight operators send orders at once, each again where no clear answer came, while
 // messages are lost and doubled, links are cut, processes end between the two rounds
 // and come back from their disks. Nothing that came into force is ever refused, what
 // was refused never comes into force, and no two versions stand on one base.
-func TestOperatorsSeeOneHistory(test *testing.T) {
+func TestOperatorsSeeOneHistory(t *testing.T) {
 	total := map[string]int{}
 	for seed := int64(1); seed <= int64(simulation.Seeds(120)); seed++ {
-		one := newOperators(test, seed)
+		one := newOperators(t, seed)
 		one.world.Loss, one.world.Double, one.crash = 0.03, 0.03, 0.03
 		one.slow = float64(seed%3) * 8
 		for index := range 8 {
@@ -213,10 +213,10 @@
 		for _, answer := range one.seen {
 			stands := one.chain[answer.version.Generation] == answer.version
 			if answer.status == acknowledged && !stands {
-				test.Fatalf("seed %d: acknowledged, yet not in the history: %v", seed, answer)
+				t.Fatalf("seed %d: acknowledged, yet not in the history: %v", seed, answer)
 			}
 			if answer.status == refused && stands {
-				test.Fatalf("seed %d: refused, yet in the history: %v", seed, answer)
+				t.Fatalf("seed %d: refused, yet in the history: %v", seed, answer)
 			}
 			total[fmt.Sprint("status ", answer.status)]++
 		}
@@ -225,8 +225,8 @@
 			total[key] += one.counts[key]
 		}
 	}
-	test.Log(total)
+	t.Log(total)
 	if total["versions"] < 30*simulation.Seeds(120) || total["archived"] < simulation.Seeds(120) {
-		test.Fatalf("too little happened: %v", total)
+		t.Fatalf("too little happened: %v", total)
 	}
 }
--- a/internal/control/register/proposal.go
+++ b/internal/control/register/proposal.go
@@ -63,80 +63,80 @@
 }
 
 // Stage tells where the proposal stands.
-func (proposal *Proposal) Stage() Stage { return proposal.stage }
+func (p *Proposal) Stage() Stage { return p.stage }
 
 // Sent tells whether the second round was begun: from then on the outcome of a
 // change without an answer is unclear.
-func (proposal *Proposal) Sent() bool {
-	return proposal.stage == StageAccept || len(proposal.next.Acceptors) > 0
+func (p *Proposal) Sent() bool {
+	return p.stage == StageAccept || len(p.next.Acceptors) > 0
 }
 
 // Highest is the highest ballot met, for the next attempt.
-func (proposal *Proposal) Highest() messages.Ballot { return proposal.highest }
+func (p *Proposal) Highest() messages.Ballot { return p.highest }
 
 // Newer is a value with newer sets that was met, if any.
-func (proposal *Proposal) Newer() *messages.Register { return proposal.newer }
+func (p *Proposal) Newer() *messages.Register { return p.newer }
 
 // Value is the value that is now in force, once done.
-func (proposal *Proposal) Value() messages.Register { return proposal.next }
+func (p *Proposal) Value() messages.Register { return p.next }
 
 // Promised takes an answer to the first round.
-func (proposal *Proposal) Promised(member messages.Member, answer messages.Promise) []Send {
-	if proposal.stage != StagePrepare {
+func (p *Proposal) Promised(member messages.Member, answer messages.Promise) []Send {
+	if p.stage != StagePrepare {
 		return nil
 	}
-	if answer.Value.SetEpoch > proposal.known.SetEpoch {
+	if answer.Value.SetEpoch > p.known.SetEpoch {
 		// The sets have moved on: majorities of the old ones decide nothing now.
 		value := answer.Value
-		proposal.newer, proposal.stage = &value, StageLost
+		p.newer, p.stage = &value, StageLost
 		return nil
 	}
 	if !answer.Granted {
-		if Less(proposal.highest, answer.Promised) {
-			proposal.highest, proposal.stage = answer.Promised, StageLost
+		if Less(p.highest, answer.Promised) {
+			p.highest, p.stage = answer.Promised, StageLost
 		}
 		return nil
 	}
-	proposal.promises[Identity(member)] = answer
-	proposal.answered[Identity(member)] = true
-	if !Quorum(&proposal.known, proposal.answered) {
+	p.promises[Identity(member)] = answer
+	p.answered[Identity(member)] = true
+	if !Quorum(&p.known, p.answered) {
 		return nil
 	}
-	return proposal.secondRound()
+	return p.secondRound()
 }
 
-func (proposal *Proposal) secondRound() []Send {
-	current, highest := proposal.known, messages.Ballot{}
+func (p *Proposal) secondRound() []Send {
+	current, highest := p.known, messages.Ballot{}
 	found := false
-	for _, promise := range proposal.promises {
+	for _, promise := range p.promises {
 		if promise.Accepted.Counter > 0 && (!found || Less(highest, promise.Accepted)) {
 			// An unfinished value is finished first: it may have been chosen.
 			current, highest, found = promise.Value, promise.Accepted, true
 		}
 	}
 	if !found {
-		initial, possible := beforeAnyValue(&proposal.known)
+		initial, possible := beforeAnyValue(&p.known)
 		if !possible {
-			proposal.stage = StageLost
+			p.stage = StageLost
 			return nil
 		}
 		current = initial
 	}
-	next, verdict := proposal.change(current)
+	next, verdict := p.change(current)
 	if verdict == VerdictKeep {
 		next = current
 	}
-	if endsJoint(&current, &next) && !proposal.choseAt(highest, &current) {
+	if endsJoint(&current, &next) && !p.choseAt(highest, &current) {
 		// A joint set that was accepted somewhere may never have been chosen: members
 		// of the old set that never met it could choose something else.
-		next, proposal.unfinished = current, true
+		next, p.unfinished = current, true
 	}
-	proposal.next = next
-	proposal.stage = StageAccept
-	proposal.answered = map[string]bool{}
+	p.next = next
+	p.stage = StageAccept
+	p.answered = map[string]bool{}
 	var sends []Send
 	for _, member := range Targets(&next) {
-		sends = append(sends, Send{Member: member, Accept: &messages.Accept{Ballot: proposal.ballot, Disk: member.Disk, Value: next}})
+		sends = append(sends, Send{Member: member, Accept: &messages.Accept{Ballot: p.ballot, Disk: member.Disk, Value: next}})
 	}
 	return sends
 }
@@ -162,9 +162,9 @@
 }
 
 // choseAt tells whether the promises show that a value was chosen at a ballot.
-func (proposal *Proposal) choseAt(ballot messages.Ballot, value *messages.Register) bool {
+func (p *Proposal) choseAt(ballot messages.Ballot, value *messages.Register) bool {
 	holders := map[string]bool{}
-	for identity, promise := range proposal.promises {
+	for identity, promise := range p.promises {
 		holders[identity] = promise.Accepted == ballot
 	}
 	return Quorum(value, holders)
@@ -172,22 +172,22 @@
 
 // Unfinished tells that a proposal, though done, put nothing of its own in force:
 // it finished the change of another, and its own has to be proposed again.
-func (proposal *Proposal) Unfinished() bool { return proposal.unfinished }
+func (p *Proposal) Unfinished() bool { return p.unfinished }
 
 // Taken takes an answer to the second round.
-func (proposal *Proposal) Taken(member messages.Member, answer messages.Accepted) {
-	if proposal.stage != StageAccept {
+func (p *Proposal) Taken(member messages.Member, answer messages.Accepted) {
+	if p.stage != StageAccept {
 		return
 	}
 	if !answer.Granted {
-		if Less(proposal.highest, answer.Promised) {
-			proposal.highest, proposal.stage = answer.Promised, StageLost
+		if Less(p.highest, answer.Promised) {
+			p.highest, p.stage = answer.Promised, StageLost
 		}
 		return
 	}
-	proposal.answered[Identity(member)] = true
-	if Quorum(&proposal.next, proposal.answered) {
-		proposal.stage = StageDone
+	p.answered[Identity(member)] = true
+	if Quorum(&p.next, p.answered) {
+		p.stage = StageDone
 	}
 }
 
@@ -201,7 +201,7 @@
 }
 
 // Newer is a value with newer sets that was met, if any: to be read at those.
-func (reading *Reading) Newer() *messages.Register { return reading.newer }
+func (r *Reading) Newer() *messages.Register { return r.newer }
 
 // BeginReading opens a quick look.
 func BeginReading(known messages.Register) (*Reading, []Send) {
@@ -215,36 +215,36 @@
 
 // Heard takes an answer; settled means that no more are needed, and the value is
 // nil where a full round has to decide.
-func (reading *Reading) Heard(member messages.Member, answer messages.Promise) (value *messages.Register, settled bool) {
-	if answer.Value.SetEpoch > reading.known.SetEpoch {
+func (r *Reading) Heard(member messages.Member, answer messages.Promise) (value *messages.Register, settled bool) {
+	if answer.Value.SetEpoch > r.known.SetEpoch {
 		newer := answer.Value
-		reading.newer = &newer
+		r.newer = &newer
 		return nil, true
 	}
 	if !answer.Granted {
 		return nil, false
 	}
-	reading.answers[Identity(member)] = answer
-	reading.answered[Identity(member)] = true
-	if !Quorum(&reading.known, reading.answered) {
+	r.answers[Identity(member)] = answer
+	r.answered[Identity(member)] = true
+	if !Quorum(&r.known, r.answered) {
 		return nil, false
 	}
 	var newest messages.Ballot
-	for _, one := range reading.answers {
+	for _, one := range r.answers {
 		if Less(newest, one.Accepted) {
 			newest = one.Accepted
 		}
 	}
 	same := map[string]bool{}
 	var found messages.Register
-	for identity, one := range reading.answers {
+	for identity, one := range r.answers {
 		if one.Accepted == newest {
 			same[identity] = true
 			found = one.Value
 		}
 	}
-	if !Quorum(&reading.known, same) || (newest.Counter > 0 && found.SetEpoch != reading.known.SetEpoch) {
-		return nil, len(reading.answered) == len(Targets(&reading.known))
+	if !Quorum(&r.known, same) || (newest.Counter > 0 && found.SetEpoch != r.known.SetEpoch) {
+		return nil, len(r.answered) == len(Targets(&r.known))
 	}
 	return &found, true
 }
--- a/internal/control/register/register_test.go
+++ b/internal/control/register/register_test.go
@@ -48,8 +48,8 @@
 	told func(generation int64)
 }
 
-func newFleet(test *testing.T, seed int64, names ...string) *fleet {
-	one := &fleet{world: simulation.NewWorld(seed), controllers: map[string]*controller{}, acked: map[int64]string{}, onBase: map[int64]int64{}, test: test}
+func newFleet(t *testing.T, seed int64, names ...string) *fleet {
+	one := &fleet{world: simulation.NewWorld(seed), controllers: map[string]*controller{}, acked: map[int64]string{}, onBase: map[int64]int64{}, test: t}
 	var first []messages.Member
 	for _, name := range names {
 		first = append(first, messages.Member{Name: name, Address: name, Disk: "first"})
@@ -62,31 +62,31 @@
 }
 
 // outsider adds a process that proposes and does not vote.
-func (one *fleet) outsider(name string) {
-	first := one.controllers["a"].disk.First
+func (f *fleet) outsider(name string) {
+	first := f.controllers["a"].disk.First
 	record := messages.AcceptorRecord{Disk: name, First: first}
 	member := messages.Member{Name: name, Address: name, Disk: name}
-	one.controllers[name] = &controller{member: member, disk: record, live: register.NewAcceptor(record), known: messages.Register{Acceptors: first}, chosen: true}
+	f.controllers[name] = &controller{member: member, disk: record, live: register.NewAcceptor(record), known: messages.Register{Acceptors: first}, chosen: true}
 }
 
 // wipe gives a machine an empty disk and a new identity.
-func (one *fleet) wipe(name string) {
-	node := one.controllers[name]
-	node.member.Disk = fmt.Sprintf("new-%d", one.world.Random.Int63())
+func (f *fleet) wipe(name string) {
+	node := f.controllers[name]
+	node.member.Disk = fmt.Sprintf("new-%d", f.world.Random.Int63())
 	node.disk = messages.AcceptorRecord{Disk: node.member.Disk}
 	node.live = register.NewAcceptor(node.disk)
 	node.archive, node.file = register.Archive{}, nil
 }
 
 // restart reads the disk again: only what was kept is known.
-func (one *fleet) restart(name string) {
-	node := one.controllers[name]
+func (f *fleet) restart(name string) {
+	node := f.controllers[name]
 	node.live, node.down = register.NewAcceptor(node.disk), false
 	// A new life knows what its disk says, and nothing of what it proposed.
 	node.counter = 0
 	node.life++
 	node.known, node.chosen = node.live.Value(), false
-	node.syncing = one.world.Now
+	node.syncing = f.world.Now
 	node.archive = register.Archive{}
 	for _, chunk := range node.file {
 		node.archive.Restore(chunk)
@@ -94,48 +94,48 @@
 }
 
 // replace sends a configuration and checks what an acknowledgement promises.
-func (one *fleet) replace(from string, generation, base int64, mark string) {
+func (f *fleet) replace(from string, generation, base int64, mark string) {
 	version := messages.Version{Generation: generation, Base: base, Hash: mark}
 	var result register.Result
-	one.change(from, register.Replace(version, []byte(mark), &result), 8, func(value messages.Register, done bool) {
+	f.change(from, register.Replace(version, []byte(mark), &result), 8, func(value messages.Register, done bool) {
 		if !done {
 			return
 		}
-		one.world.Note("%s %d on %d: %d", from, generation, base, result)
-		if one.size > 0 && !register.Bears(&value, one.size, len(one.controllers)-len(value.Acceptors)) {
+		f.world.Note("%s %d on %d: %d", from, generation, base, result)
+		if f.size > 0 && !register.Bears(&value, f.size, len(f.controllers)-len(value.Acceptors)) {
 			// Not told yet: two losses could take it away again.
 			return
 		}
 		if result == register.ResultTaken || result == register.ResultAlready {
-			if other, known := one.onBase[base]; known && other != generation {
-				one.test.Fatalf("two changes on base %d acknowledged: %d and %d", base, other, generation)
+			if other, known := f.onBase[base]; known && other != generation {
+				f.test.Fatalf("two changes on base %d acknowledged: %d and %d", base, other, generation)
 			}
-			one.onBase[base] = generation
-			one.acked[generation] = mark
-			if one.told != nil {
-				one.told(generation)
+			f.onBase[base] = generation
+			f.acked[generation] = mark
+			if f.told != nil {
+				f.told(generation)
 			}
 		}
 	})
 }
 
 // newest reads the register and checks that nothing acknowledged is gone.
-func (one *fleet) newest(from string) int64 {
+func (f *fleet) newest(from string) int64 {
 	var found int64 = -1
-	one.change(from, register.Look, 12, func(value messages.Register, done bool) {
+	f.change(from, register.Look, 12, func(value messages.Register, done bool) {
 		if !done {
 			return
 		}
 		found = value.Current.Generation
-		for generation, mark := range one.acked {
+		for generation, mark := range f.acked {
 			if generation > found {
-				one.test.Fatalf("acknowledged %d (%s) is gone, newest is %d", generation, mark, found)
+				f.test.Fatalf("acknowledged %d (%s) is gone, newest is %d", generation, mark, found)
 			}
 			if generation == found && string(value.Body) != mark {
-				one.test.Fatalf("version %d holds another body", generation)
+				f.test.Fatalf("version %d holds another body", generation)
 			}
 		}
 	})
-	one.world.Run(one.world.Now.Plus(clock.Milliseconds(8000)))
+	f.world.Run(f.world.Now.Plus(clock.Milliseconds(8000)))
 	return found
 }
--- a/internal/control/register/replace.go
+++ b/internal/control/register/replace.go
@@ -30,7 +30,7 @@
 )
 
 // Stands tells whether the version asked for was taken, now or earlier.
-func (result Result) Stands() bool { return result == ResultTaken || result == ResultAlready }
+func (r Result) Stands() bool { return r == ResultTaken || r == ResultAlready }
 
 // Replace gives the change that puts a configuration in force on top of its
 // base. The outcome is written each time the change is shown a value; only the
--- a/internal/control/register/stores_test.go
+++ b/internal/control/register/stores_test.go
@@ -14,10 +14,10 @@
 // who is alive, among changes of the store set by the holder: as long as the views name
 // only machines that are alive, enough of them that are not retired remain, whatever
 // the order of the changes, and a retired machine is never brought into the set.
-func TestRetirementsLeaveEnoughStores(test *testing.T) {
-	rapid.Check(test, func(test *rapid.T) {
+func TestRetirementsLeaveEnoughStores(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
 		names := []string{"a", "b", "c", "d", "e", "f"}
-		least := rapid.IntRange(1, 5).Draw(test, "least")
+		least := rapid.IntRange(1, 5).Draw(rt, "least")
 		lease := messages.Duty{Holder: "a", Epoch: 1}
 		value := messages.Register{Duty: lease}
 		take := func(change register.Change) {
@@ -25,10 +25,10 @@
 				value = next
 			}
 		}
-		for range rapid.IntRange(1, 30).Draw(test, "orders") {
-			if rapid.Bool().Draw(test, "set") {
+		for range rapid.IntRange(1, 30).Draw(rt, "orders") {
+			if rapid.Bool().Draw(rt, "set") {
 				var stores []messages.Member
-				for _, name := range rapid.SliceOfNDistinct(rapid.SampledFrom(names), 1, 6, rapid.ID[string]).Draw(test, "stores") {
+				for _, name := range rapid.SliceOfNDistinct(rapid.SampledFrom(names), 1, 6, rapid.ID[string]).Draw(rt, "stores") {
 					stores = append(stores, messages.Member{Name: name})
 				}
 				before, done := value, false
@@ -36,14 +36,14 @@
 				for _, store := range value.Stores {
 					old := slices.ContainsFunc(before.Stores, func(member messages.Member) bool { return member.Name == store.Name })
 					if !old && slices.Contains(before.Retired, store.Name) {
-						test.Fatalf("%s was brought in while it is retired", store.Name)
+						rt.Fatalf("%s was brought in while it is retired", store.Name)
 					}
 				}
 				continue
 			}
 			var result register.Result
-			serving := rapid.SliceOfDistinct(rapid.SampledFrom(names), rapid.ID[string]).Draw(test, "serving")
-			name := rapid.SampledFrom(names).Draw(test, "name")
+			serving := rapid.SliceOfDistinct(rapid.SampledFrom(names), rapid.ID[string]).Draw(rt, "serving")
+			name := rapid.SampledFrom(names).Draw(rt, "name")
 			before := value
 			take(register.RetireStore(name, serving, least, &result))
 			remain := 0
@@ -53,10 +53,10 @@
 				}
 			}
 			if len(value.Retired) > 0 && remain < least {
-				test.Fatalf("%d remain of at least %d: %d after %v", remain, least, result, before.Retired)
+				rt.Fatalf("%d remain of at least %d: %d after %v", remain, least, result, before.Retired)
 			}
 			if slices.Contains(before.Retired, name) != (result == register.ResultAlready) {
-				test.Fatalf("%s: %d, retired before: %v", name, result, before.Retired)
+				rt.Fatalf("%s: %d, retired before: %v", name, result, before.Retired)
 			}
 		}
 	})
--- a/internal/control/register/tend.go
+++ b/internal/control/register/tend.go
@@ -24,43 +24,43 @@
 
 // Step gives the change of the set that this process should propose, or nil. Each
 // process proposes only itself, and one change at a time.
-func (tending Tending) Step(known messages.Register) Change {
+func (t Tending) Step(known messages.Register) Change {
 	if len(known.Acceptors) == 0 {
 		return nil
 	}
 	if len(known.Previous) > 0 {
-		if tending.Fresh && !newcomer(&known, tending.Own) {
+		if t.Fresh && !newcomer(&known, t.Own) {
 			return nil
 		}
 		// Somebody's change was left half done.
 		return Settle
 	}
-	if !tending.Votes {
+	if !t.Votes {
 		return nil
 	}
 	var blank *messages.Member
 	for index := range known.Acceptors {
 		member := known.Acceptors[index]
-		if Identity(member) == Identity(tending.Own) {
+		if Identity(member) == Identity(t.Own) {
 			return nil
 		}
-		if member.Address == tending.Own.Address {
+		if member.Address == t.Own.Address {
 			// The same machine with another disk: that member has no memory left.
-			return Join(tending.Own, &member, tending.Size)
+			return Join(t.Own, &member, t.Size)
 		}
-		if blank == nil && tending.Blank != nil && tending.Blank(member) {
+		if blank == nil && t.Blank != nil && t.Blank(member) {
 			blank = &member
 		}
 	}
 	if blank != nil {
-		return Join(tending.Own, blank, tending.Size)
+		return Join(t.Own, blank, t.Size)
 	}
-	if len(known.Acceptors) < tending.Size {
-		return Join(tending.Own, nil, tending.Size)
+	if len(known.Acceptors) < t.Size {
+		return Join(t.Own, nil, t.Size)
 	}
 	for index := range known.Acceptors {
-		if member := known.Acceptors[index]; tending.Gone(member) {
-			return Join(tending.Own, &member, tending.Size)
+		if member := known.Acceptors[index]; t.Gone(member) {
+			return Join(t.Own, &member, t.Size)
 		}
 	}
 	return nil
--- a/internal/control/register/trouble_test.go
+++ b/internal/control/register/trouble_test.go
@@ -9,10 +9,10 @@
 	"lemonarch/internal/platform/messages"
 )
 
-func TestRegisterUnderTrouble(test *testing.T) {
+func TestRegisterUnderTrouble(t *testing.T) {
 	names := []string{"a", "b", "c"}
 	for seed := int64(1); seed <= 150; seed++ {
-		one := newFleet(test, seed, names...)
+		one := newFleet(t, seed, names...)
 		one.world.Loss, one.world.Double = 0.05, 0.05
 		generation, base := int64(0), int64(0)
 		for round := 0; round < 12; round++ {
@@ -38,14 +38,14 @@
 			}
 		}
 		if len(one.acked) < 4 {
-			test.Fatalf("seed %d: only %d versions were acknowledged", seed, len(one.acked))
+			t.Fatalf("seed %d: only %d versions were acknowledged", seed, len(one.acked))
 		}
 	}
 }
 
-func TestSameSeedSameHistory(test *testing.T) {
+func TestSameSeedSameHistory(t *testing.T) {
 	sum := func() uint64 {
-		one := newFleet(test, 7, "a", "b", "c")
+		one := newFleet(t, 7, "a", "b", "c")
 		one.world.Loss = 0.1
 		for step := int64(1); step < 6; step++ {
 			one.replace("a", step, step-1, "x")
@@ -55,19 +55,19 @@
 		return one.world.Sum()
 	}
 	if first, second := sum(), sum(); first != second {
-		test.Fatal("one seed gave two histories")
+		t.Fatal("one seed gave two histories")
 	}
 }
 
 // A value stands on a and b; a loses its disk; then b and c lose power. The
 // amnesiac must neither vote in its old place nor make anybody forget.
-func TestAmnesia(test *testing.T) {
-	one := newFleet(test, 3, "a", "b", "c")
+func TestAmnesia(t *testing.T) {
+	one := newFleet(t, 3, "a", "b", "c")
 	one.world.Isolate("c", []string{"a", "b"}, true)
 	one.replace("a", 5, 0, "five")
 	one.world.Run(clock.Moment(2_000_000_000))
 	if one.acked[5] == "" {
-		test.Fatal("not acknowledged at a majority")
+		t.Fatal("not acknowledged at a majority")
 	}
 	one.wipe("a")
 	one.controllers["a"].known = one.controllers["c"].known
@@ -78,12 +78,12 @@
 	one.change("c", register.Look, 4, func(_ messages.Register, done bool) { decided = done })
 	one.world.Run(one.world.Now.Plus(clock.Milliseconds(4000)))
 	if decided {
-		test.Fatal("an amnesiac helped a majority")
+		t.Fatal("an amnesiac helped a majority")
 	}
 	one.restart("b")
 	one.restart("c")
 	if found := one.newest("c"); found != 5 {
-		test.Fatalf("found %d after the power loss, want 5", found)
+		t.Fatalf("found %d after the power loss, want 5", found)
 	}
 	// a takes its own place again under its new identity, then counts.
 	joined := false
@@ -94,18 +94,18 @@
 	one.change("a", register.Settle, 10, func(value messages.Register, done bool) { settled = done && len(value.Previous) == 0 })
 	one.world.Run(one.world.Now.Plus(clock.Milliseconds(4000)))
 	if !joined || !settled {
-		test.Fatal("the newcomer did not join")
+		t.Fatal("the newcomer did not join")
 	}
 	one.controllers["b"].down = true
 	if found := one.newest("c"); found != 5 {
-		test.Fatalf("found %d with the newcomer's vote, want 5", found)
+		t.Fatalf("found %d with the newcomer's vote, want 5", found)
 	}
 }
 
 // An unfinished value is finished by whoever meets it, and a version resent after
 // an unclear answer is acknowledged, never refused.
-func TestLostAcknowledgementThenResend(test *testing.T) {
-	one := newFleet(test, 11, "a", "b", "c")
+func TestLostAcknowledgementThenResend(t *testing.T) {
+	one := newFleet(t, 11, "a", "b", "c")
 	one.replace("a", 2, 0, "two")
 	one.world.Run(clock.Moment(1_000_000_000))
 	one.replace("b", 4, 2, "four")
@@ -114,22 +114,22 @@
 	one.change("c", register.Replace(messages.Version{Generation: 2, Hash: "two"}, []byte("two"), &result), 5, func(messages.Register, bool) {})
 	one.world.Run(one.world.Now.Plus(clock.Milliseconds(2000)))
 	if result != register.ResultAlready {
-		test.Fatalf("resent version got outcome %d", result)
+		t.Fatalf("resent version got outcome %d", result)
 	}
 	one.change("c", register.Replace(messages.Version{Generation: 6, Base: 2, Hash: "six"}, []byte("six"), &result), 5, func(messages.Register, bool) {})
 	one.world.Run(one.world.Now.Plus(clock.Milliseconds(2000)))
 	if result != register.ResultOther {
-		test.Fatalf("change on an old base got outcome %d", result)
+		t.Fatalf("change on an old base got outcome %d", result)
 	}
 }
 
 // A process that only proposes is killed in the middle of its rounds and started
 // again at once, while others resend what it had sent. Its new life may not use a
 // ballot of the old one for another value.
-func TestRestartedProposerUsesNoBallotTwice(test *testing.T) {
+func TestRestartedProposerUsesNoBallotTwice(t *testing.T) {
 	acked := 0
 	for seed := int64(1); seed <= 300; seed++ {
-		one := newFleet(test, seed, "a", "b", "c")
+		one := newFleet(t, seed, "a", "b", "c")
 		one.outsider("d")
 		one.world.Loss = 0.3
 		one.replace("a", 1, 0, "1")
@@ -149,7 +149,7 @@
 		acked += len(one.acked)
 	}
 	if acked < 500 {
-		test.Fatalf("only %d versions were acknowledged", acked)
+		t.Fatalf("only %d versions were acknowledged", acked)
 	}
 }
 
@@ -157,8 +157,8 @@
 // promised, and only a took it when d was killed. Its new life came to the same
 // counter by way of c, which had heard nothing, and had Y chosen by b and c. Who
 // reads at a and b must find Y.
-func TestTwoLivesOneCounter(test *testing.T) {
-	one := newFleet(test, 1, "a", "b", "c")
+func TestTwoLivesOneCounter(t *testing.T) {
+	one := newFleet(t, 1, "a", "b", "c")
 	accept := func(name string, ballot messages.Ballot, mark string) bool {
 		value := messages.Register{Acceptors: one.controllers["a"].disk.First, Current: messages.Version{Hash: mark}}
 		answer, _ := one.controllers[name].live.Accept(&messages.Accept{Ballot: ballot, Disk: "first", Value: value})
@@ -173,23 +173,23 @@
 	prepare("b", old)
 	accept("a", old, "X")
 	if !prepare("b", young).Granted || !prepare("c", young).Granted || !accept("b", young, "Y") || !accept("c", young, "Y") {
-		test.Fatal("the later life was refused, so this history says nothing")
+		t.Fatal("the later life was refused, so this history says nothing")
 	}
 	proposal, _ := register.Begin(register.NewBallot(9, "e", "disk", 1), messages.Register{Acceptors: one.controllers["a"].disk.First}, register.Look)
 	for _, name := range []string{"a", "b"} {
 		proposal.Promised(one.controllers[name].member, prepare(name, register.NewBallot(9, "e", "disk", 1)))
 	}
 	if got := proposal.Value().Current.Hash; got != "Y" {
-		test.Fatalf("read %q, although Y was chosen", got)
+		t.Fatalf("read %q, although Y was chosen", got)
 	}
 }
 
 // Members join and take each other's places while links are cut in one direction
 // or both and disks are slow; whatever was acknowledged stays.
-func TestSetChangesUnderCutsAndSlowDisks(test *testing.T) {
+func TestSetChangesUnderCutsAndSlowDisks(t *testing.T) {
 	joins := 0
 	for seed := int64(1); seed <= 80; seed++ {
-		one := newFleet(test, seed, "a", "b", "c")
+		one := newFleet(t, seed, "a", "b", "c")
 		one.outsider("d")
 		one.world.Loss = 0.03
 		one.slow = 120
@@ -227,6 +227,6 @@
 		}
 	}
 	if joins < 80 {
-		test.Fatalf("only %d changes of the set", joins)
+		t.Fatalf("only %d changes of the set", joins)
 	}
 }
--- a/internal/control/register/worst_test.go
+++ b/internal/control/register/worst_test.go
@@ -21,58 +21,58 @@
 }
 
 // repaired is told of each chosen value.
-func (one *worst) repaired(value messages.Register) {
-	if !one.armed || value.SetEpoch <= one.epoch {
+func (w *worst) repaired(value messages.Register) {
+	if !w.armed || value.SetEpoch <= w.epoch {
 		return
 	}
-	if len(value.Previous) > 0 && one.world.Random.Intn(3) == 0 {
+	if len(value.Previous) > 0 && w.world.Random.Intn(3) == 0 {
 		// The next step of the repair then.
-		one.epoch = value.SetEpoch
+		w.epoch = value.SetEpoch
 		return
 	}
-	one.armed = false
-	victim := one.victim(&value)
-	one.lost++
-	one.stop(victim)
-	wiped := one.world.Random.Intn(2) == 0
-	one.world.After(clock.Milliseconds(300+1500*one.world.Random.Float64()), func() { one.start(victim, wiped) })
+	w.armed = false
+	victim := w.victim(&value)
+	w.lost++
+	w.stop(victim)
+	wiped := w.world.Random.Intn(2) == 0
+	w.world.After(clock.Milliseconds(300+1500*w.world.Random.Float64()), func() { w.start(victim, wiped) })
 }
 
 // victim gives the newest member, the one before it, or any other that is up.
-func (one *worst) victim(value *messages.Register) string {
+func (w *worst) victim(value *messages.Register) string {
 	var up []string
 	for _, member := range register.Targets(value) {
-		if node := one.controllers[member.Address]; node != nil && !node.down {
+		if node := w.controllers[member.Address]; node != nil && !node.down {
 			up = append(up, member.Address)
 		}
 	}
 	newest := value.Acceptors[len(value.Acceptors)-1].Address
-	if node := one.controllers[newest]; node != nil && !node.down && one.world.Random.Intn(2) == 0 {
+	if node := w.controllers[newest]; node != nil && !node.down && w.world.Random.Intn(2) == 0 {
 		return newest
 	}
-	return up[one.world.Random.Intn(len(up))]
+	return up[w.world.Random.Intn(len(up))]
 }
 
 // strike takes one member away for good, with its disk; an empty successor comes.
-func (one *worst) strike(value messages.Register) {
-	member := value.Acceptors[one.world.Random.Intn(len(value.Acceptors))]
-	one.stop(member.Address)
-	delete(one.controllers, member.Address)
-	one.number++
-	fresh := fmt.Sprint("fresh", one.number)
-	one.armed, one.epoch = true, value.SetEpoch
-	one.world.After(clock.Milliseconds(1500*one.world.Random.Float64()), func() {
+func (w *worst) strike(value messages.Register) {
+	member := value.Acceptors[w.world.Random.Intn(len(value.Acceptors))]
+	w.stop(member.Address)
+	delete(w.controllers, member.Address)
+	w.number++
+	fresh := fmt.Sprint("fresh", w.number)
+	w.armed, w.epoch = true, value.SetEpoch
+	w.world.After(clock.Milliseconds(1500*w.world.Random.Float64()), func() {
 		record := messages.AcceptorRecord{Disk: fresh}
-		one.controllers[fresh] = &controller{member: messages.Member{Name: fresh, Address: fresh, Disk: fresh}, disk: record, live: register.NewAcceptor(record)}
-		one.tend(fresh)
+		w.controllers[fresh] = &controller{member: messages.Member{Name: fresh, Address: fresh, Disk: fresh}, disk: record, live: register.NewAcceptor(record)}
+		w.tend(fresh)
 	})
 }
 
 // newestSet gives the newest value known anywhere.
-func (one *worst) newestSet() messages.Register {
+func (w *worst) newestSet() messages.Register {
 	var newest messages.Register
-	for _, name := range simulation.Keys(one.controllers) {
-		if node := one.controllers[name]; node.chosen && node.known.SetEpoch >= newest.SetEpoch {
+	for _, name := range simulation.Keys(w.controllers) {
+		if node := w.controllers[name]; node.chosen && node.known.SetEpoch >= newest.SetEpoch {
 			newest = node.known
 		}
 	}
@@ -82,43 +82,43 @@
 // The second loss comes at each step of the repair of the first, right after the step
 // was chosen, with the disk and without: what was acknowledged stands, and a majority
 // comes back.
-func TestSecondLossAtEachStepOfARepair(test *testing.T) {
+func TestSecondLossAtEachStepOfARepair(t *testing.T) {
 	second := 0
 	for seed := int64(1); seed <= int64(simulation.Seeds(80)); seed++ {
-		one := &worst{grown: newGrown(test, seed)}
+		one := &worst{grown: newGrown(t, seed)}
 		one.world.Loss, one.world.Double = 0.02, 0.02
 		one.slow = float64(seed%3) * 15
 		one.fleet.chosen = one.repaired
 		if !one.until(clock.Milliseconds(20_000), one.whole) {
-			test.Fatalf("seed %d: not whole at first", seed)
+			t.Fatalf("seed %d: not whole at first", seed)
 		}
 		for generation := int64(1); generation <= 5; generation++ {
 			one.insist(generation, generation-1)
 			if !one.until(clock.Milliseconds(budgetRecover), func() bool { return one.acked[generation] != "" }) {
-				test.Fatalf("seed %d: version %d not acknowledged", seed, generation)
+				t.Fatalf("seed %d: version %d not acknowledged", seed, generation)
 			}
 			one.strike(one.newestSet())
 			if !one.until(clock.Milliseconds(60_000), one.whole) {
-				test.Fatalf("seed %d: not repaired a minute after a loss", seed)
+				t.Fatalf("seed %d: not repaired a minute after a loss", seed)
 			}
 			// A step that no proposer saw to its end brought no second loss.
 			one.armed = false
 			names := simulation.Keys(one.controllers)
 			if found := one.newest(names[one.world.Random.Intn(len(names))]); found >= 0 && found < generation {
-				test.Fatalf("seed %d: found %d, want %d", seed, found, generation)
+				t.Fatalf("seed %d: found %d, want %d", seed, found, generation)
 			}
 		}
 		second += one.lost
 	}
 	if second < 4*simulation.Seeds(80) {
-		test.Fatalf("only %d second losses", second)
+		t.Fatalf("only %d second losses", second)
 	}
 }
 
 // A joint set that only c accepted was never chosen: a and b may choose something else
 // on the old set. Who ends joint sets has to make it chosen first.
-func TestJointSetIsChosenBeforeItEnds(test *testing.T) {
-	one := newFleet(test, 1, "a", "b", "c")
+func TestJointSetIsChosenBeforeItEnds(t *testing.T) {
+	one := newFleet(t, 1, "a", "b", "c")
 	one.outsider("d")
 	first := messages.Register{Acceptors: one.controllers["a"].disk.First}
 	var out *messages.Member
@@ -133,9 +133,9 @@
 		sends = append(sends, proposal.Promised(node.member, answer)...)
 	}
 	if len(sends) == 0 {
-		test.Fatal("no second round, so this says nothing")
+		t.Fatal("no second round, so this says nothing")
 	}
 	if value := sends[0].Accept.Value; len(value.Previous) == 0 || !proposal.Unfinished() {
-		test.Fatal("ended a joint set that no majority of the old set had accepted")
+		t.Fatal("ended a joint set that no majority of the old set had accepted")
 	}
 }
--- a/internal/control/workers/lists_test.go
+++ b/internal/control/workers/lists_test.go
@@ -9,15 +9,15 @@
 )
 
 // The kept lists follow each change of the table.
-func TestKeptListsFollowTheTable(test *testing.T) {
+func TestKeptListsFollowTheTable(t *testing.T) {
 	table := New(1_200_000_000)
 	expect := func(what string, named, entries int) {
-		test.Helper()
+		t.Helper()
 		if got := len(table.Named("s")); got != named {
-			test.Errorf("%s: %d of the service, want %d", what, got, named)
+			t.Errorf("%s: %d of the service, want %d", what, got, named)
 		}
 		if got := len(table.Entries()); got != entries {
-			test.Errorf("%s: %d in all, want %d", what, got, entries)
+			t.Errorf("%s: %d in all, want %d", what, got, entries)
 		}
 	}
 	expect("empty", 0, 0)
@@ -30,7 +30,7 @@
 	table.Merge(messages.Worker{ID: "v", Backend: "t", Count: 2}, 2)
 	expect("one serves another", 0, 2)
 	if entries := table.Entries(); entries[0].ID != "v" || entries[0].Backend != "t" || entries[1].ID != "w" {
-		test.Error(entries)
+		t.Error(entries)
 	}
 	table.Forget(clock.Moment(2).Plus(2 * constants.ForgetAfter))
 	expect("forgotten", 0, 0)
--- a/internal/control/workers/table.go
+++ b/internal/control/workers/table.go
@@ -27,48 +27,48 @@
 }
 
 // put keeps a changed entry. The table's sum moves with it.
-func (registry *Registry) put(have *known, worker messages.Worker) {
+func (r *Registry) put(have *known, worker messages.Worker) {
 	if have.change > 0 {
-		registry.sum ^= sumOf(have.worker)
+		r.sum ^= sumOf(have.worker)
 	}
-	registry.clockValue++
-	registry.changed()
-	have.worker, have.change = worker, registry.clockValue
-	registry.sum ^= sumOf(worker)
+	r.clockValue++
+	r.changed()
+	have.worker, have.change = worker, r.clockValue
+	r.sum ^= sumOf(worker)
 }
 
 // changed drops the lists that were kept.
-func (registry *Registry) changed() {
-	clear(registry.named)
-	registry.entries = nil
+func (r *Registry) changed() {
+	clear(r.named)
+	r.entries = nil
 }
 
 // drop forgets an entry.
-func (registry *Registry) drop(id string) {
-	have := registry.workerList[id]
-	registry.sum ^= sumOf(have.worker)
-	registry.changed()
-	delete(registry.workerList, id)
-	delete(registry.marks, MarkOf(id))
-	delete(registry.overdue, MarkOf(id))
+func (r *Registry) drop(id string) {
+	have := r.workerList[id]
+	r.sum ^= sumOf(have.worker)
+	r.changed()
+	delete(r.workerList, id)
+	delete(r.marks, MarkOf(id))
+	delete(r.overdue, MarkOf(id))
 }
 
 // Digest stands for the table: its versions, not its beats.
-func (registry *Registry) Digest(life int64) messages.Digest {
-	return messages.Digest{Life: life, Clock: registry.clockValue, Sum: registry.sum, Count: len(registry.workerList)}
+func (r *Registry) Digest(life int64) messages.Digest {
+	return messages.Digest{Life: life, Clock: r.clockValue, Sum: r.sum, Count: len(r.workerList)}
 }
 
 // Clock counts the changes.
-func (registry *Registry) Clock() uint64 { return registry.clockValue }
+func (r *Registry) Clock() uint64 { return r.clockValue }
 
 // Beat takes a worker's own call and tells whether it changed anything that others
 // must hear. A plain heartbeat changes nothing: the version of an entry is the count
 // of the call that last changed it.
-func (registry *Registry) Beat(worker messages.Worker, now clock.Moment) bool {
-	have := registry.workerList[worker.ID]
+func (r *Registry) Beat(worker messages.Worker, now clock.Moment) bool {
+	have := r.workerList[worker.ID]
 	if have == nil {
-		changed := registry.Merge(worker, now)
-		have = registry.workerList[worker.ID]
+		changed := r.Merge(worker, now)
+		have = r.workerList[worker.ID]
 		have.latest, have.heard, have.direct = worker.Count, now, now
 		return changed
 	}
@@ -81,14 +81,14 @@
 	if worker.Phase <= was.Phase && (late || same || worker.Backend == "") {
 		return false
 	}
-	return registry.Merge(worker, now)
+	return r.Merge(worker, now)
 }
 
 // BeatenSince gives the marks of the workers whose calls were taken here after a
 // moment.
-func (registry *Registry) BeatenSince(moment clock.Moment) []uint32 {
+func (r *Registry) BeatenSince(moment clock.Moment) []uint32 {
 	var marks []uint32
-	for id, have := range registry.workerList {
+	for id, have := range r.workerList {
 		if have.direct > moment {
 			marks = append(marks, MarkOf(id))
 		}
@@ -98,20 +98,20 @@
 }
 
 // Vouched takes another controller's word on who has beaten there.
-func (registry *Registry) Vouched(marks []uint32, now clock.Moment) {
+func (r *Registry) Vouched(marks []uint32, now clock.Moment) {
 	for _, mark := range marks {
-		if have := registry.workerList[registry.marks[mark]]; have != nil {
+		if have := r.workerList[r.marks[mark]]; have != nil {
 			have.heard = max(have.heard, now)
 		}
 	}
 }
 
 // Overdue lists the steady workers that missed several beats, with their ages.
-func (registry *Registry) Overdue(now clock.Moment) []messages.Overdue {
+func (r *Registry) Overdue(now clock.Moment) []messages.Overdue {
 	var found []messages.Overdue
-	for id, have := range registry.workerList {
+	for id, have := range r.workerList {
 		silence := now.Since(have.heard)
-		if have.worker.Phase == messages.PhaseSteady && silence > constants.BeatsMissed*registry.heartbeat {
+		if have.worker.Phase == messages.PhaseSteady && silence > constants.BeatsMissed*r.heartbeat {
 			found = append(found, messages.Overdue{Mark: MarkOf(id), AgeMs: silence.Milliseconds()})
 		}
 	}
@@ -122,37 +122,37 @@
 // Judged takes a controller's list of all silent workers: whoever is not on it has
 // beaten within the beats that may be missed. Of two words on one worker the younger
 // counts.
-func (registry *Registry) Judged(list []messages.Overdue, now clock.Moment) {
+func (r *Registry) Judged(list []messages.Overdue, now clock.Moment) {
 	next := map[uint32]bool{}
 	for _, one := range list {
-		have := registry.workerList[registry.marks[one.Mark]]
+		have := r.workerList[r.marks[one.Mark]]
 		if have == nil {
 			continue
 		}
 		have.heard = max(have.heard, now-clock.Moment(one.AgeMs)*1_000_000)
-		if !registry.overdue[one.Mark] && registry.confirmed > 0 {
-			have.heard = max(have.heard, registry.confirmed-clock.Moment(constants.BeatsMissed*registry.heartbeat))
+		if !r.overdue[one.Mark] && r.confirmed > 0 {
+			have.heard = max(have.heard, r.confirmed-clock.Moment(constants.BeatsMissed*r.heartbeat))
 		}
 		next[one.Mark] = true
 	}
-	registry.overdue, registry.confirmed = next, now
+	r.overdue, r.confirmed = next, now
 }
 
 // silence is how long a worker has not been heard, by own ears or by a controller's.
-func (registry *Registry) silence(id string, have *known, now clock.Moment) clock.Span {
-	if registry.overdue[MarkOf(id)] {
+func (r *Registry) silence(id string, have *known, now clock.Moment) clock.Span {
+	if r.overdue[MarkOf(id)] {
 		return now.Since(have.heard)
 	}
-	return now.Since(max(have.heard, registry.confirmed))
+	return now.Since(max(have.heard, r.confirmed))
 }
 
 // Forget drops what was silent or gone for long. A process that controllers have told of
 // the silent ones forgets those only: its own deafness says nothing of the rest.
-func (registry *Registry) Forget(now clock.Moment) {
-	for id, have := range registry.workerList {
-		silent := registry.confirmed == 0 || registry.overdue[MarkOf(id)] || have.worker.Phase != messages.PhaseSteady
+func (r *Registry) Forget(now clock.Moment) {
+	for id, have := range r.workerList {
+		silent := r.confirmed == 0 || r.overdue[MarkOf(id)] || have.worker.Phase != messages.PhaseSteady
 		if silent && now.Since(have.heard) > constants.ForgetAfter {
-			registry.drop(id)
+			r.drop(id)
 		}
 	}
 }
--- a/internal/control/workers/table_test.go
+++ b/internal/control/workers/table_test.go
@@ -10,33 +10,33 @@
 	"lemonarch/internal/platform/messages"
 )
 
-func TestPlainBeatsChangeNothing(test *testing.T) {
+func TestPlainBeatsChangeNothing(t *testing.T) {
 	registry := New(beat)
 	if !registry.Beat(worker(1, messages.PhaseSteady), 0) {
-		test.Fatal("a new worker is a change")
+		t.Fatal("a new worker is a change")
 	}
 	was := registry.Digest(1)
 	for count := int64(2); count < 50; count++ {
 		if registry.Beat(worker(count, messages.PhaseSteady), clock.Moment(count*beat)) {
-			test.Fatal("a plain beat is told")
+			t.Fatal("a plain beat is told")
 		}
 	}
 	if registry.Digest(1) != was || len(registry.Since(was.Clock, 0)) != 0 {
-		test.Fatal("a plain beat moved the table")
+		t.Fatal("a plain beat moved the table")
 	}
 	if !registry.Beat(worker(50, messages.PhaseDraining), 50*beat) || registry.Digest(1) == was {
-		test.Fatal("a drain is no change")
+		t.Fatal("a drain is no change")
 	}
 	if registry.Beat(worker(49, messages.PhaseSteady), 50*beat) || registry.Beat(worker(51, messages.PhaseSteady), 51*beat) {
-		test.Fatal("a drain was taken back")
+		t.Fatal("a drain was taken back")
 	}
 	if got := registry.BeatenSince(50 * beat); len(got) != 1 || got[0] != MarkOf("w") {
-		test.Fatal(got)
+		t.Fatal(got)
 	}
 }
 
 // Whatever the order in which entries come, and however often, tables end alike.
-func TestTablesJoin(test *testing.T) {
+func TestTablesJoin(t *testing.T) {
 	for seed := int64(0); seed < 200; seed++ {
 		random := rand.New(rand.NewSource(seed))
 		var entries []messages.Worker
@@ -58,13 +58,13 @@
 			right.Merge(one, 0)
 		}
 		if left.Digest(0).Sum != right.Digest(0).Sum {
-			test.Fatalf("seed %d: %v %v", seed, left.All(0), right.All(0))
+			t.Fatalf("seed %d: %v %v", seed, left.All(0), right.All(0))
 		}
 	}
 }
 
 // A gateway that hears controllers but no beats takes nobody for silent whom they don't name.
-func TestSilenceIsToldByControllers(test *testing.T) {
+func TestSilenceIsToldByControllers(t *testing.T) {
 	registry := New(beat)
 	other := worker(1, messages.PhaseSteady)
 	other.ID = "x"
@@ -80,7 +80,7 @@
 		}
 		registry.Judged(silent, now)
 		if registry.Standing("w", now, true) != StandingGood {
-			test.Fatalf("round %d: a worker that beats is doubted", round)
+			t.Fatalf("round %d: a worker that beats is doubted", round)
 		}
 		want := StandingGood
 		switch {
@@ -90,32 +90,32 @@
 			want = StandingSuspect
 		}
 		if got := registry.Standing("x", now, true); got != want {
-			test.Fatalf("round %d: %v", round, got)
+			t.Fatalf("round %d: %v", round, got)
 		}
 	}
 	// It comes back: the next list does not name it.
 	registry.Judged(nil, now)
 	if registry.Standing("x", now, true) != StandingGood {
-		test.Fatal("still silent")
+		t.Fatal("still silent")
 	}
 	// Deaf for long: nothing is forgotten but what was known to be silent.
 	registry.Forget(now.Plus(3 * constants.ForgetAfter))
 	if len(registry.All(now)) != 2 {
-		test.Fatal("own deafness made workers go")
+		t.Fatal("own deafness made workers go")
 	}
 }
 
-func TestForgottenEntriesDoNotComeBack(test *testing.T) {
+func TestForgottenEntriesDoNotComeBack(t *testing.T) {
 	registry := New(beat)
 	gone := worker(3, messages.PhaseGone)
 	registry.Merge(gone, 0)
 	sum := New(beat).Digest(0).Sum
 	registry.Forget(clock.Moment(0).Plus(constants.ForgetAfter + 1))
 	if registry.Digest(0).Sum != sum {
-		test.Fatal("the sum keeps what was forgotten")
+		t.Fatal("the sum keeps what was forgotten")
 	}
 	gone.AgeMs = constants.ForgetAfter.Milliseconds() + 1
 	if registry.Merge(gone, 0) {
-		test.Fatal("taken back from one that has not forgotten yet")
+		t.Fatal("taken back from one that has not forgotten yet")
 	}
 }
--- a/internal/control/workers/workers.go
+++ b/internal/control/workers/workers.go
@@ -44,19 +44,19 @@
 // Merge takes a versioned entry and tells whether it changed the table. Entries join:
 // the description of the highest count and the furthest phase win, in whatever order
 // and however often they come, so that all tables end alike.
-func (registry *Registry) Merge(worker messages.Worker, now clock.Moment) bool {
+func (r *Registry) Merge(worker messages.Worker, now clock.Moment) bool {
 	age := clock.Span(worker.AgeMs) * 1_000_000
 	heard := now - clock.Moment(age)
 	worker.AgeMs = 0
-	have := registry.workerList[worker.ID]
+	have := r.workerList[worker.ID]
 	if have == nil {
 		if age > constants.ForgetAfter {
 			// Forgotten here, and not yet where it comes from.
 			return false
 		}
 		have = &known{heard: heard}
-		registry.workerList[worker.ID], registry.marks[MarkOf(worker.ID)] = have, worker.ID
-		registry.put(have, worker)
+		r.workerList[worker.ID], r.marks[MarkOf(worker.ID)] = have, worker.ID
+		r.put(have, worker)
 		return true
 	}
 	was := have.worker
@@ -72,17 +72,17 @@
 	if worker == was {
 		return false
 	}
-	registry.put(have, worker)
+	r.put(have, worker)
 	return true
 }
 
 // Since gives the workers changed after a count, aged.
-func (registry *Registry) Since(clockValue uint64, now clock.Moment) []messages.Worker {
+func (r *Registry) Since(clockValue uint64, now clock.Moment) []messages.Worker {
 	var found []messages.Worker
-	for id, have := range registry.workerList {
+	for id, have := range r.workerList {
 		if have.change > clockValue {
 			worker := have.worker
-			worker.AgeMs = registry.silence(id, have, now).Milliseconds()
+			worker.AgeMs = r.silence(id, have, now).Milliseconds()
 			found = append(found, worker)
 		}
 	}
@@ -91,8 +91,8 @@
 }
 
 // Get finds a worker.
-func (registry *Registry) Get(id string) (messages.Worker, bool) {
-	have := registry.workerList[id]
+func (r *Registry) Get(id string) (messages.Worker, bool) {
+	have := r.workerList[id]
 	if have == nil {
 		return messages.Worker{}, false
 	}
@@ -113,52 +113,52 @@
 
 // Standing judges a worker. listening is false while no controller was heard from
 // lately: then silence says nothing about the workers.
-func (registry *Registry) Standing(id string, now clock.Moment, listening bool) Standing {
-	have := registry.workerList[id]
+func (r *Registry) Standing(id string, now clock.Moment, listening bool) Standing {
+	have := r.workerList[id]
 	if have == nil || have.worker.Phase != messages.PhaseSteady {
 		return StandingOut
 	}
-	silence := registry.silence(id, have, now)
+	silence := r.silence(id, have, now)
 	switch {
 	case !listening:
 		return StandingGood
-	case silence > constants.BeatsGone*registry.heartbeat:
+	case silence > constants.BeatsGone*r.heartbeat:
 		return StandingOut
-	case silence > constants.BeatsMissed*registry.heartbeat+registry.heartbeat/2:
+	case silence > constants.BeatsMissed*r.heartbeat+r.heartbeat/2:
 		return StandingSuspect
 	}
 	return StandingGood
 }
 
 // All gives every worker, aged, in order.
-func (registry *Registry) All(now clock.Moment) []messages.Worker { return registry.Since(0, now) }
+func (r *Registry) All(now clock.Moment) []messages.Worker { return r.Since(0, now) }
 
 // Entries gives all workers in order of their ids, without ages. The list is kept until
 // the table changes, and must not be written to.
-func (registry *Registry) Entries() []messages.Worker {
-	if registry.entries == nil {
-		registry.entries = make([]messages.Worker, 0, len(registry.workerList))
-		for _, have := range registry.workerList {
-			registry.entries = append(registry.entries, have.worker)
+func (r *Registry) Entries() []messages.Worker {
+	if r.entries == nil {
+		r.entries = make([]messages.Worker, 0, len(r.workerList))
+		for _, have := range r.workerList {
+			r.entries = append(r.entries, have.worker)
 		}
-		sort.Slice(registry.entries, func(left, right int) bool { return registry.entries[left].ID < registry.entries[right].ID })
+		sort.Slice(r.entries, func(left, right int) bool { return r.entries[left].ID < r.entries[right].ID })
 	}
-	return registry.entries
+	return r.entries
 }
 
 // Named gives the steady workers of a service, in order of their ids. The list is kept
 // until the table changes, and must not be written to.
-func (registry *Registry) Named(service string) []messages.Worker {
-	found, kept := registry.named[service]
+func (r *Registry) Named(service string) []messages.Worker {
+	found, kept := r.named[service]
 	if kept {
 		return found
 	}
-	for _, have := range registry.workerList {
+	for _, have := range r.workerList {
 		if have.worker.Backend == service && have.worker.Phase == messages.PhaseSteady {
 			found = append(found, have.worker)
 		}
 	}
 	sort.Slice(found, func(left, right int) bool { return found[left].ID < found[right].ID })
-	registry.named[service] = found
+	r.named[service] = found
 	return found
 }
--- a/internal/control/workers/workers_test.go
+++ b/internal/control/workers/workers_test.go
@@ -14,40 +14,40 @@
 	return messages.Worker{ID: "w", Backend: "s", Address: "a:1", Capacity: 4, Count: count, Phase: phase}
 }
 
-func TestLateCallsAreKnownByTheirCount(test *testing.T) {
+func TestLateCallsAreKnownByTheirCount(t *testing.T) {
 	registry := New(beat)
 	registry.Merge(worker(5, messages.PhaseDraining), 0)
 	if registry.Merge(worker(4, messages.PhaseSteady), 1) {
-		test.Fatal("a late call changed something")
+		t.Fatal("a late call changed something")
 	}
 	// Even a later count never makes a life steady again.
 	registry.Merge(worker(6, messages.PhaseSteady), 2)
 	if got, _ := registry.Get("w"); got.Phase != messages.PhaseDraining {
-		test.Fatal(got.Phase)
+		t.Fatal(got.Phase)
 	}
 	if registry.Standing("w", 2, true) != StandingOut {
-		test.Fatal("a draining worker may be placed on")
+		t.Fatal("a draining worker may be placed on")
 	}
 }
 
-func TestDepartureBeforeAnythingElse(test *testing.T) {
+func TestDepartureBeforeAnythingElse(t *testing.T) {
 	registry := New(beat)
 	registry.Merge(messages.Worker{ID: "w", Phase: messages.PhaseGone, Count: 9}, 0)
 	registry.Merge(worker(8, messages.PhaseSteady), 1)
 	if registry.Standing("w", 1, true) != StandingOut {
-		test.Fatal("a late heartbeat brought a gone worker back")
+		t.Fatal("a late heartbeat brought a gone worker back")
 	}
 }
 
-func TestSilenceOfWorkersAndOfControllers(test *testing.T) {
+func TestSilenceOfWorkersAndOfControllers(t *testing.T) {
 	registry := New(beat)
 	registry.Merge(worker(1, messages.PhaseSteady), 0)
 	suspect := clock.Moment(0).Plus((constants.BeatsMissed + 1) * beat)
 	gone := clock.Moment(0).Plus((constants.BeatsGone + 1) * beat)
 	if registry.Standing("w", suspect, true) != StandingSuspect || registry.Standing("w", gone, true) != StandingOut {
-		test.Fatal("silence is not judged")
+		t.Fatal("silence is not judged")
 	}
 	if registry.Standing("w", gone, false) != StandingGood {
-		test.Fatal("a node that hears no controller must go on with what it has")
+		t.Fatal("a node that hears no controller must go on with what it has")
 	}
 }
--- a/internal/platform/clock/clock.go
+++ b/internal/platform/clock/clock.go
@@ -19,10 +19,10 @@
 func Now() Moment { return Moment(time.Since(begun)) }
 
 // Since gives the span from an earlier moment.
-func (moment Moment) Since(earlier Moment) Span { return Span(moment - earlier) }
+func (m Moment) Since(earlier Moment) Span { return Span(m - earlier) }
 
 // Plus gives a later moment.
-func (moment Moment) Plus(span Span) Moment { return moment + Moment(span) }
+func (m Moment) Plus(span Span) Moment { return m + Moment(span) }
 
 // Milliseconds turns a number of ms into a span.
 func Milliseconds(count float64) Span { return Span(count * float64(time.Millisecond)) }
--- a/internal/platform/errs/errs.go
+++ b/internal/platform/errs/errs.go
@@ -20,35 +20,35 @@
 func Define(name string) *Kind { return &Kind{name: name} }
 
 // Error gives the name of the kind.
-func (kind *Kind) Error() string { return kind.name }
+func (k *Kind) Error() string { return k.name }
 
 // New makes a error of this kind.
-func (kind *Kind) New(text string) error { return &Error{kind: kind, text: text} }
+func (k *Kind) New(text string) error { return &Error{kind: k, text: text} }
 
 // Wrap turns an error from below into one of this kind; nil stays nil.
-func (kind *Kind) Wrap(cause error, text string) error {
+func (k *Kind) Wrap(cause error, text string) error {
 	if cause == nil {
 		return nil
 	}
-	return &Error{kind: kind, text: text, cause: cause}
+	return &Error{kind: k, text: text, cause: cause}
 }
 
 // Error gives kind, text and cause on one line.
-func (one *Error) Error() string {
-	line := one.kind.name + ": " + one.text
-	if one.cause != nil {
-		line += ": " + one.cause.Error()
+func (e *Error) Error() string {
+	line := e.kind.name + ": " + e.text
+	if e.cause != nil {
+		line += ": " + e.cause.Error()
 	}
 	return line
 }
 
 // Unwrap gives the cause.
-func (one *Error) Unwrap() error { return one.cause }
+func (e *Error) Unwrap() error { return e.cause }
 
 // Is tells whether the target is this error's kind.
-func (one *Error) Is(target error) bool {
+func (e *Error) Is(target error) bool {
 	kind, isKind := target.(*Kind)
-	return isKind && kind == one.kind
+	return isKind && kind == e.kind
 }
 
 // Of tells whether any error in the chain is of the kind.
--- a/internal/platform/node/assignments.go
+++ b/internal/platform/node/assignments.go
@@ -16,37 +16,37 @@
 }
 
 // sawPlan pulls this node's part of a newer plan from the controller that told of it.
-func (runtime *Node) sawPlan(revision int64, address string) {
-	runtime.lock.Lock()
-	behind := revision > runtime.assigned.board.Revision() && !runtime.assigned.pulling && runtime.Own.Role != membership.RoleController
-	runtime.assigned.pulling = runtime.assigned.pulling || behind
-	runtime.lock.Unlock()
+func (n *Node) sawPlan(revision int64, address string) {
+	n.lock.Lock()
+	behind := revision > n.assigned.board.Revision() && !n.assigned.pulling && n.Own.Role != membership.RoleController
+	n.assigned.pulling = n.assigned.pulling || behind
+	n.lock.Unlock()
 	if !behind {
 		return
 	}
-	go runtime.pullPlan(address)
+	go n.pullPlan(address)
 }
 
-func (runtime *Node) pullPlan(address string) {
+func (n *Node) pullPlan(address string) {
 	told := &messages.PlanTold{}
-	err := transport.Ask(runtime.Wire, address, messages.KindPlanPull, &messages.PlanPull{Node: runtime.Own.Name}, told, constants.CallTime)
-	runtime.lock.Lock()
-	runtime.assigned.pulling = false
-	taken := err == nil && runtime.assigned.board.Take(*told)
-	runtime.lock.Unlock()
+	err := transport.Ask(n.Wire, address, messages.KindPlanPull, &messages.PlanPull{Node: n.Own.Name}, told, constants.CallTime)
+	n.lock.Lock()
+	n.assigned.pulling = false
+	taken := err == nil && n.assigned.board.Take(*told)
+	n.lock.Unlock()
 	if taken {
-		runtime.Log.Info("assignments taken", "revision", told.Revision, "generation", told.Generation, "copies", len(told.Places))
+		n.Log.Info("assignments taken", "revision", told.Revision, "generation", told.Generation, "copies", len(told.Places))
 	}
 }
 
 // Assigned gives what this node carries, for each window.
-func (runtime *Node) Assigned() messages.PlanTold {
-	runtime.lock.Lock()
-	defer runtime.lock.Unlock()
-	return runtime.assigned.board.Told()
+func (n *Node) Assigned() messages.PlanTold {
+	n.lock.Lock()
+	defer n.lock.Unlock()
+	return n.assigned.board.Told()
 }
 
-func (runtime *Node) reportAssigned() *messages.Status {
-	told := runtime.Assigned()
-	return assignments.Status(&told, runtime.Own.Name, clock.DayMinute())
+func (n *Node) reportAssigned() *messages.Status {
+	told := n.Assigned()
+	return assignments.Status(&told, n.Own.Name, clock.DayMinute())
 }
--- a/internal/platform/node/assignments_test.go
+++ b/internal/platform/node/assignments_test.go
@@ -13,7 +13,7 @@
 
 // TestNodePullsItsPartAndNeverGoesBack: a node follows the controller it speaks with,
 // asks only when that has something newer, and holds on to what it has.
-func TestNodePullsItsPartAndNeverGoesBack(test *testing.T) {
+func TestNodePullsItsPartAndNeverGoesBack(t *testing.T) {
 	room := transport.NewRoom()
 	revision, pulls, asker := int64(0), 0, ""
 	_ = room.Transport("controller:1").Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
@@ -30,7 +30,7 @@
 		revision = step.has
 		node.pullPlan("controller:1")
 		if told := node.Assigned(); told.Revision != step.want || len(told.Places) != 1 || asker != "n" {
-			test.Fatalf("controller has %d: %+v", step.has, told)
+			t.Fatalf("controller has %d: %+v", step.has, told)
 		}
 	}
 	before := pulls
@@ -38,14 +38,14 @@
 		node.sawPlan(seen, "controller:1")
 	}
 	if node.assigned.pulling || pulls != before {
-		test.Fatal("asked for what it has")
+		t.Fatal("asked for what it has")
 	}
 	if rows := node.reportAssigned().Rows; len(rows) != 1 || rows[0][0] != "5" {
-		test.Fatal(rows)
+		t.Fatal(rows)
 	}
 	room.Cut("controller:1", true)
 	node.pullPlan("controller:1")
 	if node.Assigned().Revision != 5 {
-		test.Fatal("a silent controller changed what is in force")
+		t.Fatal("a silent controller changed what is in force")
 	}
 }
--- a/internal/platform/node/config.go
+++ b/internal/platform/node/config.go
@@ -14,66 +14,66 @@
 )
 
 // OnConfig registers who is told of newer configurations.
-func (runtime *Node) OnConfig(function func(*routeconfig.Config)) {
-	runtime.onConfig = append(runtime.onConfig, function)
+func (n *Node) OnConfig(function func(*routeconfig.Config)) {
+	n.onConfig = append(n.onConfig, function)
 }
 
 // Config is the newest configuration known here, or nil.
-func (runtime *Node) Config() *routeconfig.Config {
-	runtime.lock.Lock()
-	defer runtime.lock.Unlock()
-	return runtime.config
+func (n *Node) Config() *routeconfig.Config {
+	n.lock.Lock()
+	defer n.lock.Unlock()
+	return n.config
 }
 
 // Generation is its number.
-func (runtime *Node) Generation() int64 {
-	if config := runtime.Config(); config != nil {
+func (n *Node) Generation() int64 {
+	if config := n.Config(); config != nil {
 		return config.Generation
 	}
 	return 0
 }
 
 // Take puts a chosen configuration in force, never an older one.
-func (runtime *Node) Take(body []byte) {
+func (n *Node) Take(body []byte) {
 	config, err := routeconfig.Parse(body)
 	if err != nil {
-		runtime.Log.Error("configuration unreadable", "why", err.Error())
+		n.Log.Error("configuration unreadable", "why", err.Error())
 		return
 	}
-	runtime.lock.Lock()
-	if runtime.config != nil && runtime.config.Generation >= config.Generation {
-		runtime.lock.Unlock()
+	n.lock.Lock()
+	if n.config != nil && n.config.Generation >= config.Generation {
+		n.lock.Unlock()
 		return
 	}
-	runtime.config = config
-	runtime.view.SetGeneration(config.Generation)
-	runtime.lock.Unlock()
-	runtime.Log.Info("configuration taken", "generation", config.Generation, "routes", len(config.Routes))
-	for _, function := range runtime.onConfig {
+	n.config = config
+	n.view.SetGeneration(config.Generation)
+	n.lock.Unlock()
+	n.Log.Info("configuration taken", "generation", config.Generation, "routes", len(config.Routes))
+	for _, function := range n.onConfig {
 		function(config)
 	}
 }
 
-func (runtime *Node) pushed(body []byte) ([]byte, error) {
+func (n *Node) pushed(body []byte) ([]byte, error) {
 	push := &messages.ConfigPush{}
 	if err := transport.Read(body, push); err != nil {
 		return nil, err
 	}
 	if len(push.Pass) > 0 {
-		go runtime.passOn(push)
+		go n.passOn(push)
 	}
-	if push.Generation > runtime.Generation() && len(push.Body) > 0 {
-		runtime.Take(push.Body)
+	if push.Generation > n.Generation() && len(push.Body) > 0 {
+		n.Take(push.Body)
 	}
 	// A push without a body only says that there is one.
-	runtime.SawGeneration(push.Generation)
-	return transport.Write(&messages.Nothing{Taken: runtime.Generation() >= push.Generation})
+	n.SawGeneration(push.Generation)
+	return transport.Write(&messages.Nothing{Taken: n.Generation() >= push.Generation})
 }
 
 // pulled answers another process that has seen this one follow a newer configuration.
 // What is followed here was chosen. Controllers answer for themselves.
-func (runtime *Node) pulled(_ []byte) ([]byte, error) {
-	config := runtime.Config()
+func (n *Node) pulled(_ []byte) ([]byte, error) {
+	config := n.Config()
 	if config == nil {
 		return nil, Unable.New("no configuration yet")
 	}
@@ -83,12 +83,12 @@
 // passOn sends a configuration on to the part of the zone that came with it, through a
 // few of that part, so that no single link carries it all. Whoever is missed pulls it on
 // seeing the newer generation.
-func (runtime *Node) passOn(push *messages.ConfigPush) {
+func (n *Node) passOn(push *messages.ConfigPush) {
 	for _, send := range broadcast.Split(push.Pass, constants.BodyFan) {
 		go func() {
 			for {
 				part := &messages.ConfigPush{Generation: push.Generation, Body: push.Body, Pass: send.Pass}
-				err := transport.Ask(runtime.Wire, send.Address, messages.KindConfigPush, part, &messages.Nothing{}, constants.CallTime)
+				err := transport.Ask(n.Wire, send.Address, messages.KindConfigPush, part, &messages.Nothing{}, constants.CallTime)
 				if err == nil || len(send.Pass) == 0 {
 					return
 				}
@@ -100,40 +100,40 @@
 }
 
 // SawGeneration pulls a configuration that somebody was seen to have.
-func (runtime *Node) SawGeneration(generation int64) { runtime.SawGenerationAt(generation, "") }
+func (n *Node) SawGeneration(generation int64) { n.SawGenerationAt(generation, "") }
 
 // SawGenerationAt pulls a configuration that the process at an address was seen to have;
 // it is asked first. The pull goes on until somebody gave that configuration or a newer
 // one: a controller that is behind must not end it.
-func (runtime *Node) SawGenerationAt(generation int64, address string) {
-	runtime.lock.Lock()
-	if runtime.pulling || (runtime.config != nil && runtime.config.Generation >= generation) || generation == 0 {
-		runtime.lock.Unlock()
+func (n *Node) SawGenerationAt(generation int64, address string) {
+	n.lock.Lock()
+	if n.pulling || (n.config != nil && n.config.Generation >= generation) || generation == 0 {
+		n.lock.Unlock()
 		return
 	}
-	runtime.pulling = true
-	runtime.lock.Unlock()
+	n.pulling = true
+	n.lock.Unlock()
 	go func() {
-		runtime.pullUntil(generation, address)
-		runtime.lock.Lock()
-		runtime.pulling = false
-		runtime.lock.Unlock()
+		n.pullUntil(generation, address)
+		n.lock.Lock()
+		n.pulling = false
+		n.lock.Unlock()
 	}()
 }
 
 // pullUntil asks one process, then the controllers, until this process follows a
 // generation, and tells whether any of them answered.
-func (runtime *Node) pullUntil(generation int64, first string) bool {
-	addresses := runtime.controllerAddresses()
+func (n *Node) pullUntil(generation int64, first string) bool {
+	addresses := n.controllerAddresses()
 	if first != "" {
 		addresses = append([]string{first}, addresses...)
 	}
 	any := false
 	for _, address := range addresses {
-		if runtime.pullFrom(address, false) {
+		if n.pullFrom(address, false) {
 			any = true
 		}
-		if runtime.Generation() >= generation {
+		if n.Generation() >= generation {
 			break
 		}
 	}
@@ -141,9 +141,9 @@
 }
 
 // pullSettled asks controllers until one of them has read the configuration at a majority.
-func (runtime *Node) pullSettled() bool {
-	for _, address := range runtime.controllerAddresses() {
-		if runtime.pullFrom(address, true) {
+func (n *Node) pullSettled() bool {
+	for _, address := range n.controllerAddresses() {
+		if n.pullFrom(address, true) {
 			return true
 		}
 	}
@@ -152,15 +152,15 @@
 
 // controllerAddresses gives the controllers to ask: those that have just failed to
 // answer, or are detached, come last.
-func (runtime *Node) controllerAddresses() []string {
+func (n *Node) controllerAddresses() []string {
 	var addresses []string
-	runtime.Viewed(func(view *membership.View) {
+	n.Viewed(func(view *membership.View) {
 		for _, entry := range view.Controllers(clock.Now()) {
 			addresses = append(addresses, entry.Address)
 		}
 	})
 	if len(addresses) == 0 {
-		addresses = runtime.Settings.SeedAddresses(constants.PortController)
+		addresses = n.Settings.SeedAddresses(constants.PortController)
 		rand.Shuffle(len(addresses), func(left, right int) { addresses[left], addresses[right] = addresses[right], addresses[left] })
 	}
 	return addresses
@@ -168,46 +168,46 @@
 
 // pullFrom asks one process for its configuration, or for a read at a majority, and
 // tells whether it answered.
-func (runtime *Node) pullFrom(address string, settled bool) bool {
-	question, span := &messages.ConfigPull{Known: runtime.Generation()}, constants.CallTime
+func (n *Node) pullFrom(address string, settled bool) bool {
+	question, span := &messages.ConfigPull{Known: n.Generation()}, constants.CallTime
 	if settled {
 		question.Known, span = -1, constants.RegisterTime
 	}
 	answer := &messages.ConfigPush{}
-	if transport.Ask(runtime.Wire, address, messages.KindConfigPull, question, answer, span) != nil {
-		runtime.Viewed(func(view *membership.View) { view.Failed(address, clock.Now()) })
+	if transport.Ask(n.Wire, address, messages.KindConfigPull, question, answer, span) != nil {
+		n.Viewed(func(view *membership.View) { view.Failed(address, clock.Now()) })
 		return false
 	}
 	if answer.Generation > 0 {
-		runtime.Take(answer.Body)
+		n.Take(answer.Body)
 	}
 	return true
 }
 
 // PullFirst is how a starting process learns the configuration: from a majority,
 // and only where none can be had for long, from whatever a controller knows.
-func (runtime *Node) PullFirst(done func()) {
+func (n *Node) PullFirst(done func()) {
 	const enough = 5_000_000_000
 	begun, pause := clock.Now(), constants.StartPause
 	for {
 		select {
-		case <-runtime.Stop:
+		case <-n.Stop:
 			return
 		default:
 		}
 		late := clock.Now().Since(begun) > enough
-		if (runtime.pullSettled() || (late && runtime.pullUntil(math.MaxInt64, ""))) && runtime.Config() != nil {
+		if (n.pullSettled() || (late && n.pullUntil(math.MaxInt64, ""))) && n.Config() != nil {
 			done()
 			return
 		}
-		if runtime.Config() != nil && late {
+		if n.Config() != nil && late {
 			done()
 			return
 		}
 		// The whole fleet may be asking a few controllers: the pause grows, and ends early
 		// when a configuration is pushed.
-		had := runtime.Config() != nil
-		for slept := clock.Span(0); slept < pause && (had || runtime.Config() == nil); slept += constants.StartPause {
+		had := n.Config() != nil
+		for slept := clock.Span(0); slept < pause && (had || n.Config() == nil); slept += constants.StartPause {
 			clock.Sleep(constants.StartPause)
 		}
 		pause = min(2*pause, constants.StartPauseMost)
--- a/internal/platform/node/node.go
+++ b/internal/platform/node/node.go
@@ -87,14 +87,14 @@
 }
 
 // Answer registers who answers a kind of call.
-func (runtime *Node) Answer(kind messages.Kind, answerer Answerer) {
-	runtime.answerers[kind] = answerer
+func (n *Node) Answer(kind messages.Kind, answerer Answerer) {
+	n.answerers[kind] = answerer
 }
 
 // Handle answers one call; what nobody answers is a later version's, skipped and
 // counted by the transport.
-func (runtime *Node) Handle(kind messages.Kind, body []byte) ([]byte, error) {
-	answerer := runtime.answerers[kind]
+func (n *Node) Handle(kind messages.Kind, body []byte) ([]byte, error) {
+	answerer := n.answerers[kind]
 	if answerer == nil {
 		return nil, nil
 	}
@@ -102,54 +102,54 @@
 }
 
 // Start serves calls and begins the loops.
-func (runtime *Node) Start() error {
-	err := runtime.Wire.Serve(runtime.Handle)
+func (n *Node) Start() error {
+	err := n.Wire.Serve(n.Handle)
 	if err != nil {
 		return Unable.Wrap(err, "serve")
 	}
-	go runtime.meet()
-	go runtime.countTraffic()
+	go n.meet()
+	go n.countTraffic()
 	return nil
 }
 
 // End stops the loops.
-func (runtime *Node) End() { runtime.ended.Do(func() { close(runtime.Stop) }) }
+func (n *Node) End() { n.ended.Do(func() { close(n.Stop) }) }
 
 // Touched notes a direct message from a process.
-func (runtime *Node) Touched(key string) {
-	runtime.lock.Lock()
-	defer runtime.lock.Unlock()
-	runtime.view.Touched(key, clock.Now())
+func (n *Node) Touched(key string) {
+	n.lock.Lock()
+	defer n.lock.Unlock()
+	n.view.Touched(key, clock.Now())
 }
 
 // Live gives the processes of a role that were heard lately.
-func (runtime *Node) Live(role string) []messages.Entry {
-	runtime.lock.Lock()
-	defer runtime.lock.Unlock()
-	return runtime.view.Live(role, clock.Now())
+func (n *Node) Live(role string) []messages.Entry {
+	n.lock.Lock()
+	defer n.lock.Unlock()
+	return n.view.Live(role, clock.Now())
 }
 
 // All gives every known process of a role.
-func (runtime *Node) All(role string) []messages.Entry {
-	runtime.lock.Lock()
-	defer runtime.lock.Unlock()
-	return runtime.view.All(role, clock.Now())
+func (n *Node) All(role string) []messages.Entry {
+	n.lock.Lock()
+	defer n.lock.Unlock()
+	return n.view.All(role, clock.Now())
 }
 
 // Leave marks this process as going away, and tells a controller at once.
-func (runtime *Node) Leave() {
-	runtime.logTraffic(hclog.Info)
-	runtime.lock.Lock()
-	runtime.view.SetLeaving()
-	runtime.lock.Unlock()
-	if runtime.Own.Role != membership.RoleController {
-		go runtime.exchange()
+func (n *Node) Leave() {
+	n.logTraffic(hclog.Info)
+	n.lock.Lock()
+	n.view.SetLeaving()
+	n.lock.Unlock()
+	if n.Own.Role != membership.RoleController {
+		go n.exchange()
 	}
 }
 
 // Spread sends one message to each process of the list at the same time and
 // waits for all answers or for the span.
-func (runtime *Node) Spread(entries []messages.Entry, kind messages.Kind, message transport.Writable, span clock.Span, failed func(messages.Entry)) {
+func (n *Node) Spread(entries []messages.Entry, kind messages.Kind, message transport.Writable, span clock.Span, failed func(messages.Entry)) {
 	body, err := message.MarshalMsg(nil)
 	if err != nil {
 		return
@@ -159,8 +159,8 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			if _, err := runtime.Wire.Call(entry.Address, kind, body, span); err == nil {
-				runtime.Touched(membership.Key(entry))
+			if _, err := n.Wire.Call(entry.Address, kind, body, span); err == nil {
+				n.Touched(membership.Key(entry))
 			} else if failed != nil {
 				failed(entry)
 			}
--- a/internal/platform/node/signals_test.go
+++ b/internal/platform/node/signals_test.go
@@ -28,9 +28,9 @@
 
 // Each reload gives one line, whatever the file holds by then, and reaches nothing but
 // the log; the file is read at the signal, not before.
-func TestReloadChecksTheFileOnly(test *testing.T) {
-	path := filepath.Join(test.TempDir(), "node.toml")
-	test.Setenv(settings.Variable, path)
+func TestReloadChecksTheFileOnly(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "node.toml")
+	t.Setenv(settings.Variable, path)
 	for _, one := range []struct{ text, want string }{
 		{validSettings, "hold from the next start"},
 		{strings.Replace(validSettings, "10.0.0.2:80", "10.9.0.2:80", 1), "hold from the next start"},
@@ -40,17 +40,17 @@
 		{"", "node-name is missing"},
 	} {
 		if err := os.WriteFile(path, []byte(one.text), 0o644); err != nil {
-			test.Fatal(err)
+			t.Fatal(err)
 		}
 		if got := reloadOnce(); strings.Count(got, "\n") != 1 || !strings.Contains(got, one.want) {
-			test.Errorf("want %q in one line, got %q", one.want, got)
+			t.Errorf("want %q in one line, got %q", one.want, got)
 		}
 	}
 	if err := os.Remove(path); err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	if got := reloadOnce(); strings.Count(got, "\n") != 1 || !strings.Contains(got, "can't read the file") {
-		test.Error(got)
+		t.Error(got)
 	}
 }
 
@@ -73,30 +73,30 @@
 type leaver struct{ left int }
 
 func (*leaver) Run() error { return nil }
-func (one *leaver) Leave() { one.left++ }
+func (l *leaver) Leave()   { l.left++ }
 
 // A termination reaches the process behind any number of reloads, and one that comes
 // before there is a process ends the start.
-func TestTerminationIsNotLostBehindReloads(test *testing.T) {
+func TestTerminationIsNotLostBehindReloads(t *testing.T) {
 	caught := catchSignals()
-	test.Cleanup(func() {
+	t.Cleanup(func() {
 		signal.Stop(caught.terminate)
 		signal.Stop(caught.reload)
 	})
 	for range 100 {
 		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
-			test.Fatal(err)
+			t.Fatal(err)
 		}
 	}
 	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	process, started := &leaver{}, newStarted()
 	started <- process
 	var text bytes.Buffer
 	leaveOnSignal(caught.terminate, started, lineLog(&text))
 	if process.left != 1 || !strings.Contains(text.String(), "signal="+syscall.SIGTERM.String()) {
-		test.Fatal(process.left, text.String())
+		t.Fatal(process.left, text.String())
 	}
 	early := make(chan os.Signal, 1)
 	early <- syscall.SIGTERM
--- a/internal/platform/node/status.go
+++ b/internal/platform/node/status.go
@@ -13,17 +13,17 @@
 
 // Report registers what this process says to a query of the shell. Reports read
 // only, and are short.
-func (runtime *Node) Report(query string, report func() *messages.Status) {
-	runtime.reports[query] = report
+func (n *Node) Report(query string, report func() *messages.Status) {
+	n.reports[query] = report
 }
 
-func (runtime *Node) reported(body []byte) ([]byte, error) {
+func (n *Node) reported(body []byte) ([]byte, error) {
 	question := &messages.StatusAsk{}
 	if err := transport.Read(body, question); err != nil {
 		return nil, err
 	}
 	answer := &messages.Status{}
-	if report := runtime.reports[question.Query]; report != nil {
+	if report := n.reports[question.Query]; report != nil {
 		answer = report()
 	}
 	if question.Zone != "" {
@@ -57,9 +57,9 @@
 }
 
 // reportZones counts the processes that this one knows by zone.
-func (runtime *Node) reportZones() *messages.Status {
+func (n *Node) reportZones() *messages.Status {
 	counts, zones := map[string]int{}, []string{}
-	for _, entry := range append([]messages.Entry{runtime.Own}, runtime.All("")...) {
+	for _, entry := range append([]messages.Entry{n.Own}, n.All("")...) {
 		if counts[entry.Zone] == 0 {
 			zones = append(zones, entry.Zone)
 		}
@@ -74,11 +74,11 @@
 }
 
 // reportNodes lists the view of this process, itself first.
-func (runtime *Node) reportNodes() *messages.Status {
+func (n *Node) reportNodes() *messages.Status {
 	status := &messages.Status{Columns: []string{"process", "zone", "address", "heard-ms", "generation", "leaving"}}
-	own := runtime.Own
-	own.Generation = runtime.Generation()
-	for _, entry := range append([]messages.Entry{own}, runtime.All("")...) {
+	own := n.Own
+	own.Generation = n.Generation()
+	for _, entry := range append([]messages.Entry{own}, n.All("")...) {
 		status.Rows = append(status.Rows, []string{membership.Key(entry), entry.Zone, entry.Address,
 			strconv.FormatInt(entry.AgeMs, 10), strconv.FormatInt(entry.Generation, 10), strconv.FormatBool(entry.Leaving)})
 	}
@@ -86,14 +86,14 @@
 }
 
 // reportSelf is one line on this process.
-func (runtime *Node) reportSelf() *messages.Status {
+func (n *Node) reportSelf() *messages.Status {
 	return &messages.Status{Columns: []string{"generation", "life-s", "view", "unknown-frames"}, Rows: [][]string{{
-		strconv.FormatInt(runtime.Generation(), 10), strconv.FormatInt((clock.Wall()-runtime.Own.Life)/1_000_000_000, 10),
-		strconv.Itoa(len(runtime.All(""))), runtime.unknownFrames()}}}
+		strconv.FormatInt(n.Generation(), 10), strconv.FormatInt((clock.Wall()-n.Own.Life)/1_000_000_000, 10),
+		strconv.Itoa(len(n.All(""))), n.unknownFrames()}}}
 }
 
-func (runtime *Node) unknownFrames() string {
-	if wire, real := runtime.Wire.(*transport.Wire); real {
+func (n *Node) unknownFrames() string {
+	if wire, real := n.Wire.(*transport.Wire); real {
 		return strconv.FormatInt(wire.Unknown(), 10)
 	}
 	return "0"
--- a/internal/platform/recordlog/fleeting.go
+++ b/internal/platform/recordlog/fleeting.go
@@ -17,77 +17,77 @@
 func NewFleeting() *Fleeting { return &Fleeting{files: map[string]*fleetingFile{}} }
 
 // Open opens a file, making it where it is missing.
-func (disk *Fleeting) Open(name string) (File, error) {
-	disk.lock.Lock()
-	defer disk.lock.Unlock()
-	if disk.files[name] == nil {
-		disk.files[name] = &fleetingFile{}
+func (f *Fleeting) Open(name string) (File, error) {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	if f.files[name] == nil {
+		f.files[name] = &fleetingFile{}
 	}
-	return disk.files[name], nil
+	return f.files[name], nil
 }
 
 // Rename replaces one file by another.
-func (disk *Fleeting) Rename(from, to string) error {
-	disk.lock.Lock()
-	defer disk.lock.Unlock()
-	file := disk.files[from]
+func (f *Fleeting) Rename(from, to string) error {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	file := f.files[from]
 	if file == nil {
 		return os.ErrNotExist
 	}
-	delete(disk.files, from)
-	disk.files[to] = file
+	delete(f.files, from)
+	f.files[to] = file
 	return nil
 }
 
 // Remove forgets a file.
-func (disk *Fleeting) Remove(name string) error {
-	disk.lock.Lock()
-	defer disk.lock.Unlock()
-	delete(disk.files, name)
+func (f *Fleeting) Remove(name string) error {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	delete(f.files, name)
 	return nil
 }
 
 // SyncFolder has nothing to do.
-func (disk *Fleeting) SyncFolder() error { return nil }
+func (f *Fleeting) SyncFolder() error { return nil }
 
 type fleetingFile struct {
 	lock sync.Mutex
 	text []byte
 }
 
-func (file *fleetingFile) Write(text []byte) (int, error) {
-	file.lock.Lock()
-	defer file.lock.Unlock()
-	file.text = append(file.text, text...)
+func (f *fleetingFile) Write(text []byte) (int, error) {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	f.text = append(f.text, text...)
 	return len(text), nil
 }
 
-func (file *fleetingFile) ReadAt(into []byte, offset int64) (int, error) {
-	file.lock.Lock()
-	defer file.lock.Unlock()
-	if offset >= int64(len(file.text)) {
+func (f *fleetingFile) ReadAt(into []byte, offset int64) (int, error) {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	if offset >= int64(len(f.text)) {
 		return 0, io.EOF
 	}
-	count := copy(into, file.text[offset:])
+	count := copy(into, f.text[offset:])
 	if count < len(into) {
 		return count, io.EOF
 	}
 	return count, nil
 }
 
-func (file *fleetingFile) Sync() error { return nil }
+func (f *fleetingFile) Sync() error { return nil }
 
-func (file *fleetingFile) Truncate(size int64) error {
-	file.lock.Lock()
-	defer file.lock.Unlock()
-	file.text = file.text[:min(size, int64(len(file.text)))]
+func (f *fleetingFile) Truncate(size int64) error {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	f.text = f.text[:min(size, int64(len(f.text)))]
 	return nil
 }
 
-func (file *fleetingFile) Size() (int64, error) {
-	file.lock.Lock()
-	defer file.lock.Unlock()
-	return int64(len(file.text)), nil
+func (f *fleetingFile) Size() (int64, error) {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	return int64(len(f.text)), nil
 }
 
-func (file *fleetingFile) Close() error { return nil }
+func (f *fleetingFile) Close() error { return nil }
--- a/internal/platform/recordlog/powerloss_test.go
+++ b/internal/platform/recordlog/powerloss_test.go
@@ -16,11 +16,11 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-func TestMain(main *testing.M) {
+func TestMain(m *testing.M) {
 	if err := simulation.PinRapid(1000); err != nil {
 		panic(err)
 	}
-	os.Exit(main.Run())
+	os.Exit(m.Run())
 }
 
 // machine plays random operations on one log file and knows what its disk may hold.
@@ -40,119 +40,119 @@
 	refusal    error
 }
 
-func (one *machine) intercept(operation simulation.Operation, _ string) error {
-	if one.operations < 0 {
+func (m *machine) intercept(operation simulation.Operation, _ string) error {
+	if m.operations < 0 {
 		return nil
 	}
-	if one.operations > 0 {
-		one.operations--
+	if m.operations > 0 {
+		m.operations--
 		return nil
 	}
-	return one.refusal
+	return m.refusal
 }
 
-func (one *machine) bodies(random *rapid.T, most int) (list []string, raw [][]byte) {
-	for count := rapid.IntRange(1, most).Draw(random, "count"); count > 0; count-- {
-		one.number++
-		body := fmt.Sprintf("%d:%s", one.number, strings.Repeat("x", rapid.SampledFrom([]int{0, 3, 40}).Draw(random, "length")))
+func (m *machine) bodies(rt *rapid.T, most int) (list []string, raw [][]byte) {
+	for count := rapid.IntRange(1, most).Draw(rt, "count"); count > 0; count-- {
+		m.number++
+		body := fmt.Sprintf("%d:%s", m.number, strings.Repeat("x", rapid.SampledFrom([]int{0, 3, 40}).Draw(rt, "length")))
 		list = append(list, body)
 		raw = append(raw, []byte(body))
 	}
 	return list, raw
 }
 
-func (one *machine) append(random *rapid.T) {
-	list, raw := one.bodies(random, 4)
-	offsets, err := one.logfile.Append(raw...)
+func (m *machine) append(rt *rapid.T) {
+	list, raw := m.bodies(rt, 4)
+	offsets, err := m.logfile.Append(raw...)
 	if err != nil {
-		one.mustBeTyped(random, err)
-		one.refused = append(one.refused, slices.Concat(one.tail, list))
+		m.mustBeTyped(rt, err)
+		m.refused = append(m.refused, slices.Concat(m.tail, list))
 		return
 	}
-	one.tail = append(one.tail, list...)
-	one.offsets = append(one.offsets, offsets...)
-	one.refused = nil
+	m.tail = append(m.tail, list...)
+	m.offsets = append(m.offsets, offsets...)
+	m.refused = nil
 }
 
-func (one *machine) sync(random *rapid.T) {
-	if err := one.logfile.Sync(); err != nil {
-		one.mustBeTyped(random, err)
-		one.refused = append(one.refused, one.tail)
-		one.offsets = one.offsets[:len(one.acked)]
-		one.tail = nil
+func (m *machine) sync(rt *rapid.T) {
+	if err := m.logfile.Sync(); err != nil {
+		m.mustBeTyped(rt, err)
+		m.refused = append(m.refused, m.tail)
+		m.offsets = m.offsets[:len(m.acked)]
+		m.tail = nil
 		return
 	}
-	one.acked = append(one.acked, one.tail...)
-	one.tail, one.refused, one.replacements = nil, nil, nil
+	m.acked = append(m.acked, m.tail...)
+	m.tail, m.refused, m.replacements = nil, nil, nil
 }
 
-func (one *machine) rewrite(random *rapid.T) {
-	list, raw := one.bodies(random, 6)
-	offsets, err := one.logfile.Rewrite(recordlog.Once(raw...))
+func (m *machine) rewrite(rt *rapid.T) {
+	list, raw := m.bodies(rt, 6)
+	offsets, err := m.logfile.Rewrite(recordlog.Once(raw...))
 	if err != nil {
-		one.mustBeTyped(random, err)
-		one.replacements = append(one.replacements, list)
+		m.mustBeTyped(rt, err)
+		m.replacements = append(m.replacements, list)
 		return
 	}
-	one.acked, one.offsets = list, offsets
-	one.tail, one.refused, one.replacements = nil, nil, nil
+	m.acked, m.offsets = list, offsets
+	m.tail, m.refused, m.replacements = nil, nil, nil
 }
 
 // read looks at a record by its offset.
-func (one *machine) read(random *rapid.T) {
-	if len(one.acked) == 0 {
+func (m *machine) read(rt *rapid.T) {
+	if len(m.acked) == 0 {
 		return
 	}
-	place := rapid.IntRange(0, len(one.acked)-1).Draw(random, "place")
-	body, err := one.logfile.ReadAt(one.offsets[place])
-	if err != nil || string(body) != one.acked[place] {
-		random.Fatalf("record %d reads %q (%v), not %q", place, body, err, one.acked[place])
+	place := rapid.IntRange(0, len(m.acked)-1).Draw(rt, "place")
+	body, err := m.logfile.ReadAt(m.offsets[place])
+	if err != nil || string(body) != m.acked[place] {
+		rt.Fatalf("record %d reads %q (%v), not %q", place, body, err, m.acked[place])
 	}
 }
 
-func (one *machine) mustBeTyped(random *rapid.T, err error) {
+func (m *machine) mustBeTyped(rt *rapid.T, err error) {
 	if !errs.Of(err, recordlog.Broken) {
-		random.Fatalf("not an error of the log: %v", err)
+		rt.Fatalf("not an error of the log: %v", err)
 	}
 	if errors.Is(err, syscall.ENOSPC) && !errs.Of(err, recordlog.Full) {
-		random.Fatalf("a full disk is not told: %v", err)
+		rt.Fatalf("a full disk is not told: %v", err)
 	}
 }
 
 // open starts a new life and checks what it finds.
-func (one *machine) open(random *rapid.T) {
-	one.operations, one.disk.Room = -1, -1
+func (m *machine) open(rt *rapid.T) {
+	m.operations, m.disk.Room = -1, -1
 	var found []string
 	var offsets []int64
-	logfile, err := recordlog.Open(one.disk, "file", func(offset int64, body []byte) error {
+	logfile, err := recordlog.Open(m.disk, "file", func(offset int64, body []byte) error {
 		found, offsets = append(found, string(body)), append(offsets, offset)
 		return nil
 	})
 	if err != nil {
-		random.Fatalf("not opened: %v", err)
+		rt.Fatalf("not opened: %v", err)
 	}
-	if !one.may(found) {
-		random.Fatalf("found %q\nacknowledged %q\ntail %q\nrefused %q\nreplacements %q", found, one.acked, one.tail, one.refused, one.replacements)
+	if !m.may(found) {
+		rt.Fatalf("found %q\nacknowledged %q\ntail %q\nrefused %q\nreplacements %q", found, m.acked, m.tail, m.refused, m.replacements)
 	}
-	if names := one.disk.Names(); len(names) != 1 {
-		random.Fatalf("files left over: %q", names)
+	if names := m.disk.Names(); len(names) != 1 {
+		rt.Fatalf("files left over: %q", names)
 	}
 	// What a life has read it acts on: from now on it has to stay.
-	one.logfile, one.acked, one.offsets = logfile, found, offsets
-	one.tail, one.refused, one.replacements = nil, nil, nil
+	m.logfile, m.acked, m.offsets = logfile, found, offsets
+	m.tail, m.refused, m.replacements = nil, nil, nil
 }
 
 // may tells whether a file may hold this: what was acknowledged and any beginning
 // of what followed, or a whole replacement.
-func (one *machine) may(found []string) bool {
-	for _, whole := range one.replacements {
+func (m *machine) may(found []string) bool {
+	for _, whole := range m.replacements {
 		if slices.Equal(found, whole) {
 			return true
 		}
 	}
-	for _, tail := range append(one.refused, one.tail) {
-		whole := slices.Concat(one.acked, tail)
-		if len(found) >= len(one.acked) && len(found) <= len(whole) && slices.Equal(found, whole[:len(found)]) {
+	for _, tail := range append(m.refused, m.tail) {
+		whole := slices.Concat(m.acked, tail)
+		if len(found) >= len(m.acked) && len(found) <= len(whole) && slices.Equal(found, whole[:len(found)]) {
 			return true
 		}
 	}
@@ -162,31 +162,31 @@
 // At any moment, in the middle of any operation, a process is killed, the machine
 // loses power, or the disk refuses: every acknowledged record is there when the
 // file is opened again, and a rewrite leaves the old or the new records, never less.
-func TestNothingAcknowledgedIsLost(test *testing.T) {
-	rapid.Check(test, func(random *rapid.T) {
-		one := &machine{disk: simulation.NewDisk(rapid.Int64().Draw(random, "seed")), operations: -1}
+func TestNothingAcknowledgedIsLost(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		one := &machine{disk: simulation.NewDisk(rapid.Int64().Draw(rt, "seed")), operations: -1}
 		one.disk.Intercept = one.intercept
-		one.open(random)
-		random.Repeat(map[string]func(*rapid.T){
+		one.open(rt)
+		rt.Repeat(map[string]func(*rapid.T){
 			"append":  one.append,
 			"sync":    one.sync,
 			"rewrite": one.rewrite,
 			"read":    one.read,
 			"kill":    one.open,
-			"lose power": func(random *rapid.T) {
+			"lose power": func(rt *rapid.T) {
 				one.disk.PowerLoss()
-				one.open(random)
+				one.open(rt)
 			},
-			"lose power soon": func(random *rapid.T) {
-				one.operations, one.refusal = rapid.IntRange(0, 6).Draw(random, "operations"), simulation.ErrDown
+			"lose power soon": func(rt *rapid.T) {
+				one.operations, one.refusal = rapid.IntRange(0, 6).Draw(rt, "operations"), simulation.ErrDown
 			},
-			"lose power while opening": func(random *rapid.T) {
-				one.operations, one.refusal = rapid.IntRange(0, 4).Draw(random, "operations"), simulation.ErrDown
+			"lose power while opening": func(rt *rapid.T) {
+				one.operations, one.refusal = rapid.IntRange(0, 4).Draw(rt, "operations"), simulation.ErrDown
 				_, _ = recordlog.Open(one.disk, "file", func(int64, []byte) error { return nil })
 				one.disk.PowerLoss()
-				one.open(random)
+				one.open(rt)
 			},
-			"fill":        func(random *rapid.T) { one.disk.Room = rapid.IntRange(0, 200).Draw(random, "room") },
+			"fill":        func(rt *rapid.T) { one.disk.Room = rapid.IntRange(0, 200).Draw(rt, "room") },
 			"make room":   func(*rapid.T) { one.disk.Room = -1 },
 			"disk fails":  func(*rapid.T) { one.operations, one.refusal = 0, syscall.EIO },
 			"disk serves": func(*rapid.T) { one.operations = -1 },
--- a/internal/platform/recordlog/recordlog.go
+++ b/internal/platform/recordlog/recordlog.go
@@ -80,28 +80,28 @@
 	return logfile, nil
 }
 
-func (logfile *Logfile) begin(each func(offset int64, body []byte) error) error {
-	if err := logfile.removeUnfinished(); err != nil {
+func (l *Logfile) begin(each func(offset int64, body []byte) error) error {
+	if err := l.removeUnfinished(); err != nil {
 		return err
 	}
 	// The name of a new file lasts only once its folder is synced.
-	if err := logfile.disk.SyncFolder(); err != nil {
-		return broken(err, "sync folder of "+logfile.name)
+	if err := l.disk.SyncFolder(); err != nil {
+		return broken(err, "sync folder of "+l.name)
 	}
-	return logfile.replay(each)
+	return l.replay(each)
 }
 
 // removeUnfinished takes away what a rewrite that was interrupted has left.
-func (logfile *Logfile) removeUnfinished() error {
-	fresh := logfile.name + freshSuffix
-	if err := logfile.disk.Remove(fresh); err != nil && !errors.Is(err, fs.ErrNotExist) {
+func (l *Logfile) removeUnfinished() error {
+	fresh := l.name + freshSuffix
+	if err := l.disk.Remove(fresh); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return broken(err, "remove "+fresh)
 	}
 	return nil
 }
 
-func (logfile *Logfile) replay(each func(offset int64, body []byte) error) error {
-	text, err := logfile.readAll()
+func (l *Logfile) replay(each func(offset int64, body []byte) error) error {
+	text, err := l.readAll()
 	if err != nil {
 		return err
 	}
@@ -110,7 +110,7 @@
 		body, _, whole := parseRecord(text[offset:])
 		if !whole {
 			if later, found := provenAfter(text, offset+1); found {
-				return Damage.New(fmt.Sprintf("file %s at byte %d, which was synced before the record at %d", logfile.name, offset, later))
+				return Damage.New(fmt.Sprintf("file %s at byte %d, which was synced before the record at %d", l.name, offset, later))
 			}
 			break
 		}
@@ -119,74 +119,74 @@
 		}
 		offset += headBytes + int64(len(body))
 	}
-	logfile.size, logfile.synced = offset, offset
-	logfile.uncut = offset < int64(len(text))
-	return logfile.Sync()
+	l.size, l.synced = offset, offset
+	l.uncut = offset < int64(len(text))
+	return l.Sync()
 }
 
-func (logfile *Logfile) readAll() ([]byte, error) {
-	length, err := logfile.file.Size()
+func (l *Logfile) readAll() ([]byte, error) {
+	length, err := l.file.Size()
 	if err != nil {
-		return nil, broken(err, "size of "+logfile.name)
+		return nil, broken(err, "size of "+l.name)
 	}
 	text := make([]byte, length)
 	if length == 0 {
 		return text, nil
 	}
-	if _, err = logfile.file.ReadAt(text, 0); err != nil && err != io.EOF {
-		return nil, broken(err, "read "+logfile.name)
+	if _, err = l.file.ReadAt(text, 0); err != nil && err != io.EOF {
+		return nil, broken(err, "read "+l.name)
 	}
 	return text, nil
 }
 
 // Append writes records without syncing and gives their offsets.
-func (logfile *Logfile) Append(bodies ...[]byte) ([]int64, error) {
-	return logfile.write(bodies, false)
+func (l *Logfile) Append(bodies ...[]byte) ([]int64, error) {
+	return l.write(bodies, false)
 }
 
 // write appends records; proof says that all of them prove what stands before them.
-func (logfile *Logfile) write(bodies [][]byte, proof bool) ([]int64, error) {
-	if err := logfile.repair(); err != nil {
+func (l *Logfile) write(bodies [][]byte, proof bool) ([]int64, error) {
+	if err := l.repair(); err != nil {
 		return nil, err
 	}
 	var text []byte
 	offsets := make([]int64, 0, len(bodies))
 	for _, body := range bodies {
 		if len(body) == 0 || len(body) > lengthMask {
-			return nil, Broken.New(fmt.Sprintf("record of %d bytes for %s", len(body), logfile.name))
+			return nil, Broken.New(fmt.Sprintf("record of %d bytes for %s", len(body), l.name))
 		}
-		offset := logfile.size + int64(len(text))
+		offset := l.size + int64(len(text))
 		offsets = append(offsets, offset)
-		text = appendRecord(text, body, proof || offset == logfile.synced)
+		text = appendRecord(text, body, proof || offset == l.synced)
 	}
-	if _, err := logfile.file.Write(text); err != nil {
-		logfile.uncut = true
-		_ = logfile.file.Truncate(logfile.size)
-		return nil, broken(err, "write "+logfile.name)
+	if _, err := l.file.Write(text); err != nil {
+		l.uncut = true
+		_ = l.file.Truncate(l.size)
+		return nil, broken(err, "write "+l.name)
 	}
-	logfile.size += int64(len(text))
+	l.size += int64(len(text))
 	switch {
 	case proof:
 		// A file that fails while it is filled is given up as a whole.
-	case len(logfile.pending) == 0:
-		logfile.pending = text
+	case len(l.pending) == 0:
+		l.pending = text
 	default:
-		logfile.pending = append(logfile.pending, text...)
+		l.pending = append(l.pending, text...)
 	}
 	return offsets, nil
 }
 
 // Sync makes all that was appended last.
-func (logfile *Logfile) Sync() error {
-	err := logfile.repair()
+func (l *Logfile) Sync() error {
+	err := l.repair()
 	if err == nil {
-		err = broken(logfile.file.Sync(), "sync "+logfile.name)
+		err = broken(l.file.Sync(), "sync "+l.name)
 	}
 	if err != nil {
-		logfile.size, logfile.pending, logfile.uncut = logfile.synced, nil, true
+		l.size, l.pending, l.uncut = l.synced, nil, true
 		return err
 	}
-	logfile.synced, logfile.pending = logfile.size, nil
+	l.synced, l.pending = l.size, nil
 	return nil
 }
 
@@ -194,50 +194,50 @@
 // cut and written again, since the system may have dropped it without telling later
 // syncs. It is synced before anything follows it, so that nothing that was cut can
 // come back between later records.
-func (logfile *Logfile) repair() error {
-	if logfile.nameless {
-		return Broken.New("a rewrite of " + logfile.name + " failed: its file may have no name")
+func (l *Logfile) repair() error {
+	if l.nameless {
+		return Broken.New("a rewrite of " + l.name + " failed: its file may have no name")
 	}
-	if !logfile.uncut {
+	if !l.uncut {
 		return nil
 	}
-	if err := logfile.file.Truncate(logfile.synced); err != nil {
-		return broken(err, "cut tail of "+logfile.name)
+	if err := l.file.Truncate(l.synced); err != nil {
+		return broken(err, "cut tail of "+l.name)
 	}
-	if len(logfile.pending) > 0 {
-		if _, err := logfile.file.Write(logfile.pending); err != nil {
-			return broken(err, "write "+logfile.name)
+	if len(l.pending) > 0 {
+		if _, err := l.file.Write(l.pending); err != nil {
+			return broken(err, "write "+l.name)
 		}
 	}
-	if err := logfile.file.Sync(); err != nil {
-		return broken(err, "sync "+logfile.name)
+	if err := l.file.Sync(); err != nil {
+		return broken(err, "sync "+l.name)
 	}
-	logfile.uncut = false
+	l.uncut = false
 	return nil
 }
 
 // ReadAt reads the record that starts at an offset.
-func (logfile *Logfile) ReadAt(offset int64) ([]byte, error) {
+func (l *Logfile) ReadAt(offset int64) ([]byte, error) {
 	var head [headBytes]byte
-	if _, err := logfile.file.ReadAt(head[:], offset); err != nil {
-		return nil, broken(err, "read "+logfile.name)
+	if _, err := l.file.ReadAt(head[:], offset); err != nil {
+		return nil, broken(err, "read "+l.name)
 	}
 	text := make([]byte, headBytes+bodyLength(head[:]))
-	if _, err := logfile.file.ReadAt(text, offset); err != nil && err != io.EOF {
-		return nil, broken(err, "read "+logfile.name)
+	if _, err := l.file.ReadAt(text, offset); err != nil && err != io.EOF {
+		return nil, broken(err, "read "+l.name)
 	}
 	body, _, whole := parseRecord(text)
 	if !whole {
-		return nil, Damage.New(fmt.Sprintf("file %s at byte %d", logfile.name, offset))
+		return nil, Damage.New(fmt.Sprintf("file %s at byte %d", l.name, offset))
 	}
 	return body, nil
 }
 
 // Size gives the length of the file.
-func (logfile *Logfile) Size() int64 { return logfile.size }
+func (l *Logfile) Size() int64 { return l.size }
 
 // Close closes the file.
-func (logfile *Logfile) Close() error { return logfile.file.Close() }
+func (l *Logfile) Close() error { return l.file.Close() }
 
 // broken types an error of the disk.
 func broken(err error, text string) error {
--- a/internal/platform/recordlog/recordlog_test.go
+++ b/internal/platform/recordlog/recordlog_test.go
@@ -15,7 +15,7 @@
 )
 
 // contract is what every disk has to keep.
-func contract(test *testing.T, make func() recordlog.Disk) {
+func contract(t *testing.T, make func() recordlog.Disk) {
 	read := func(disk recordlog.Disk) []string {
 		var found []string
 		logfile, err := recordlog.Open(disk, "file", func(_ int64, body []byte) error {
@@ -23,58 +23,58 @@
 			return nil
 		})
 		if err != nil {
-			test.Fatal(err)
+			t.Fatal(err)
 		}
 		logfile.Close()
 		return found
 	}
-	test.Run("records come back in order", func(test *testing.T) {
+	t.Run("records come back in order", func(t *testing.T) {
 		disk := make()
 		logfile, err := recordlog.Open(disk, "file", nil)
 		if err != nil {
-			test.Fatal(err)
+			t.Fatal(err)
 		}
 		offsets, err := logfile.Append([]byte("one"), []byte("two"))
 		if err != nil || logfile.Sync() != nil {
-			test.Fatal(err)
+			t.Fatal(err)
 		}
 		body, err := logfile.ReadAt(offsets[1])
 		if err != nil || string(body) != "two" {
-			test.Fatalf("read %q %v", body, err)
+			t.Fatalf("read %q %v", body, err)
 		}
 		if got := fmt.Sprint(read(disk)); got != "[one two]" {
-			test.Fatal(got)
+			t.Fatal(got)
 		}
 	})
-	test.Run("a rewrite keeps what it is given and nothing else", func(test *testing.T) {
+	t.Run("a rewrite keeps what it is given and nothing else", func(t *testing.T) {
 		disk := make()
 		logfile, _ := recordlog.Open(disk, "file", nil)
 		_, _ = logfile.Append([]byte("one"), []byte("two"), []byte("three"))
 		offsets, err := logfile.Rewrite(recordlog.Once([]byte("three")))
 		if err != nil || len(offsets) != 1 {
-			test.Fatal(err)
+			t.Fatal(err)
 		}
 		if _, err = logfile.Append([]byte("four")); err != nil || logfile.Sync() != nil {
-			test.Fatal(err)
+			t.Fatal(err)
 		}
 		if body, err := logfile.ReadAt(offsets[0]); err != nil || string(body) != "three" {
-			test.Fatalf("read %q %v", body, err)
+			t.Fatalf("read %q %v", body, err)
 		}
 		if got := fmt.Sprint(read(disk)); got != "[three four]" {
-			test.Fatal(got)
+			t.Fatal(got)
 		}
 	})
 }
 
-func TestContractModel(test *testing.T) {
-	contract(test, func() recordlog.Disk { return simulation.NewDisk(1) })
+func TestContractModel(t *testing.T) {
+	contract(t, func() recordlog.Disk { return simulation.NewDisk(1) })
 }
 
-func TestContractFolder(test *testing.T) {
-	contract(test, func() recordlog.Disk { return recordlog.Folder(test.TempDir()) })
+func TestContractFolder(t *testing.T) {
+	contract(t, func() recordlog.Disk { return recordlog.Folder(t.TempDir()) })
 }
 
-func TestPowerLossKeepsWhatWasSynced(test *testing.T) {
+func TestPowerLossKeepsWhatWasSynced(t *testing.T) {
 	for seed := int64(0); seed < 200; seed++ {
 		disk := simulation.NewDisk(seed)
 		logfile, _ := recordlog.Open(disk, "file", nil)
@@ -87,17 +87,17 @@
 			found = append(found, string(body))
 			return nil
 		}); err != nil {
-			test.Fatalf("seed %d: %v", seed, err)
+			t.Fatalf("seed %d: %v", seed, err)
 		}
 		if len(found) == 0 || found[0] != "synced" || (len(found) > 1 && found[1] != "perhaps") {
-			test.Fatalf("seed %d: %v", seed, found)
+			t.Fatalf("seed %d: %v", seed, found)
 		}
 	}
 }
 
 // Whatever byte is spoilt of what a later record proves to have been synced, the
 // file is refused; a bad byte behind that may be a write that was never synced.
-func TestDamageBeforeTheTailStops(test *testing.T) {
+func TestDamageBeforeTheTailStops(t *testing.T) {
 	proven := int64(2*8 + 6)
 	for offset := int64(0); offset < proven+8+5; offset++ {
 		disk := simulation.NewDisk(1)
@@ -113,10 +113,10 @@
 			return nil
 		})
 		if offset < proven && !errs.Of(err, recordlog.Damage) {
-			test.Fatalf("byte %d: got %v", offset, err)
+			t.Fatalf("byte %d: got %v", offset, err)
 		}
 		if offset >= proven && (err != nil || fmt.Sprint(found) != "[one two]") {
-			test.Fatalf("byte %d: %v %v", offset, found, err)
+			t.Fatalf("byte %d: %v %v", offset, found, err)
 		}
 	}
 }
@@ -128,7 +128,7 @@
 	return append(text, body...)
 }
 
-func TestFilesOfOlderVersionsAreRead(test *testing.T) {
+func TestFilesOfOlderVersionsAreRead(t *testing.T) {
 	disk := simulation.NewDisk(1)
 	file, _ := disk.Open("file")
 	_, _ = file.Write(append(older("one"), older("two")...))
@@ -139,24 +139,24 @@
 	}
 	logfile, err := recordlog.Open(disk, "file", each)
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	if _, err = logfile.Append([]byte("three")); err != nil || logfile.Sync() != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	found = nil
 	if _, err = recordlog.Open(disk, "file", each); err != nil || fmt.Sprint(found) != "[one two three]" {
-		test.Fatal(found, err)
+		t.Fatal(found, err)
 	}
 	disk.Spoil("file", 9)
 	if _, err = recordlog.Open(disk, "file", each); !errs.Of(err, recordlog.Damage) {
-		test.Fatalf("got %v", err)
+		t.Fatalf("got %v", err)
 	}
 }
 
 // A sync that hangs holds up its caller, and nothing is acknowledged before it ends.
-func TestStalledDisk(test *testing.T) {
-	synctest.Test(test, func(test *testing.T) {
+func TestStalledDisk(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
 		disk := simulation.NewDisk(1)
 		logfile, _ := recordlog.Open(disk, "file", nil)
 		_, _ = logfile.Append([]byte("one"))
@@ -173,24 +173,24 @@
 		}()
 		synctest.Wait()
 		if ended || disk.Syncs != before {
-			test.Fatal("acknowledged by a disk that answers nothing")
+			t.Fatal("acknowledged by a disk that answers nothing")
 		}
 		close(stalled)
 		synctest.Wait()
 		if !ended || disk.Syncs != before+1 {
-			test.Fatal("not ended with the stall")
+			t.Fatal("not ended with the stall")
 		}
 	})
 }
 
-func TestTornTailIsCutOnRealFiles(test *testing.T) {
-	folder := test.TempDir()
+func TestTornTailIsCutOnRealFiles(t *testing.T) {
+	folder := t.TempDir()
 	logfile, _ := recordlog.Open(recordlog.Folder(folder), "file", nil)
 	_, _ = logfile.Append([]byte("one"), []byte("two"))
 	_ = logfile.Sync()
 	path := filepath.Join(folder, "file")
 	if err := os.Truncate(path, logfile.Size()-1); err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	var found []string
 	again, err := recordlog.Open(recordlog.Folder(folder), "file", func(_ int64, body []byte) error {
@@ -198,24 +198,24 @@
 		return nil
 	})
 	if err != nil || fmt.Sprint(found) != "[one]" {
-		test.Fatal(found, err)
+		t.Fatal(found, err)
 	}
 	if _, err = again.Append([]byte("three")); err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 }
 
-func TestFullDiskRefusesAndKeepsWhatWas(test *testing.T) {
+func TestFullDiskRefusesAndKeepsWhatWas(t *testing.T) {
 	disk := simulation.NewDisk(1)
 	logfile, _ := recordlog.Open(disk, "file", nil)
 	_, _ = logfile.Append([]byte("one"))
 	disk.Room = 5
 	if _, err := logfile.Append([]byte("does not fit")); !errs.Of(err, recordlog.Broken) {
-		test.Fatalf("got %v", err)
+		t.Fatalf("got %v", err)
 	}
 	disk.Room = -1
 	if _, err := logfile.Append([]byte("two")); err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	var found []string
 	_, err := recordlog.Open(disk, "file", func(_ int64, body []byte) error {
@@ -223,6 +223,6 @@
 		return nil
 	})
 	if err != nil || fmt.Sprint(found) != "[one two]" {
-		test.Fatal(found, err)
+		t.Fatal(found, err)
 	}
 }
--- a/internal/platform/recordlog/rewrite.go
+++ b/internal/platform/recordlog/rewrite.go
@@ -16,47 +16,47 @@
 // a new file, synced, renamed over the old one, and the folder synced. After an
 // error the old records can still be read; if the rename may have been done,
 // nothing can be appended until a rewrite succeeds.
-func (logfile *Logfile) Rewrite(next func() ([]byte, bool, error)) ([]int64, error) {
-	if err := logfile.removeUnfinished(); err != nil {
+func (l *Logfile) Rewrite(next func() ([]byte, bool, error)) ([]int64, error) {
+	if err := l.removeUnfinished(); err != nil {
 		return nil, err
 	}
-	fresh := logfile.name + freshSuffix
-	file, err := logfile.disk.Open(fresh)
+	fresh := l.name + freshSuffix
+	file, err := l.disk.Open(fresh)
 	if err != nil {
 		return nil, broken(err, "open "+fresh)
 	}
-	made := &Logfile{disk: logfile.disk, name: fresh, file: file}
+	made := &Logfile{disk: l.disk, name: fresh, file: file}
 	offsets, err := made.fill(next)
 	if err == nil {
-		err = logfile.giveWay(fresh)
+		err = l.giveWay(fresh)
 	}
 	if err != nil {
 		file.Close()
-		if !logfile.nameless {
+		if !l.nameless {
 			// Its bytes are room that the disk may need.
-			_ = logfile.disk.Remove(fresh)
+			_ = l.disk.Remove(fresh)
 		}
 		return nil, err
 	}
-	logfile.file.Close()
-	logfile.file, logfile.size, logfile.synced = file, made.size, made.synced
-	logfile.pending, logfile.uncut, logfile.nameless = nil, false, false
+	l.file.Close()
+	l.file, l.size, l.synced = file, made.size, made.synced
+	l.pending, l.uncut, l.nameless = nil, false, false
 	return offsets, nil
 }
 
 // giveWay lets a new file take the name of this one.
-func (logfile *Logfile) giveWay(fresh string) error {
+func (l *Logfile) giveWay(fresh string) error {
 	// Also an operation that was refused may have been done.
-	logfile.nameless = true
-	if err := logfile.disk.Rename(fresh, logfile.name); err != nil {
+	l.nameless = true
+	if err := l.disk.Rename(fresh, l.name); err != nil {
 		return broken(err, "rename "+fresh)
 	}
-	return broken(logfile.disk.SyncFolder(), "sync folder of "+logfile.name)
+	return broken(l.disk.SyncFolder(), "sync folder of "+l.name)
 }
 
 // fill writes all records that next gives and syncs them. The file has no name that
 // is read before all of it is synced, so that each record proves those before it.
-func (logfile *Logfile) fill(next func() ([]byte, bool, error)) ([]int64, error) {
+func (l *Logfile) fill(next func() ([]byte, bool, error)) ([]int64, error) {
 	var offsets []int64
 	var batch [][]byte
 	size := 0
@@ -70,7 +70,7 @@
 			size += len(body)
 		}
 		if len(batch) > 0 && (!more || size > rewriteBatch) {
-			written, err := logfile.write(batch, true)
+			written, err := l.write(batch, true)
 			if err != nil {
 				return nil, err
 			}
@@ -78,7 +78,7 @@
 			batch, size = batch[:0], 0
 		}
 		if !more {
-			return offsets, logfile.Sync()
+			return offsets, l.Sync()
 		}
 	}
 }
@@ -100,8 +100,8 @@
 
 type realFile struct{ *os.File }
 
-func (one realFile) Size() (int64, error) {
-	facts, err := one.Stat()
+func (r realFile) Size() (int64, error) {
+	facts, err := r.Stat()
 	if err != nil {
 		return 0, err
 	}
@@ -109,8 +109,8 @@
 }
 
 // Open opens a file for appending and reading.
-func (folder Folder) Open(name string) (File, error) {
-	file, err := os.OpenFile(filepath.Join(string(folder), name), os.O_RDWR|os.O_CREATE|os.O_APPEND, 0o644)
+func (f Folder) Open(name string) (File, error) {
+	file, err := os.OpenFile(filepath.Join(string(f), name), os.O_RDWR|os.O_CREATE|os.O_APPEND, 0o644)
 	if err != nil {
 		return nil, err
 	}
@@ -118,18 +118,18 @@
 }
 
 // Rename gives a file another name.
-func (folder Folder) Rename(from, to string) error {
-	return os.Rename(filepath.Join(string(folder), from), filepath.Join(string(folder), to))
+func (f Folder) Rename(from, to string) error {
+	return os.Rename(filepath.Join(string(f), from), filepath.Join(string(f), to))
 }
 
 // Remove takes a file away.
-func (folder Folder) Remove(name string) error {
-	return os.Remove(filepath.Join(string(folder), name))
+func (f Folder) Remove(name string) error {
+	return os.Remove(filepath.Join(string(f), name))
 }
 
 // SyncFolder makes names last.
-func (folder Folder) SyncFolder() error {
-	handle, err := os.Open(string(folder))
+func (f Folder) SyncFolder() error {
+	handle, err := os.Open(string(f))
 	if err != nil {
 		return err
 	}
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -107,38 +107,38 @@
 }
 
 // Check lists every missing field and every senseless value.
-func (nodeSettings *Settings) Check() []string {
+func (s *Settings) Check() []string {
 	var findings []string
 	need := func(holds bool, text string) {
 		if !holds {
 			findings = append(findings, text)
 		}
 	}
-	need(nodeSettings.NodeName != "", "node-name is missing")
-	need(nodeSettings.Zone != "", "zone is missing")
-	need(net.ParseIP(nodeSettings.Address) != nil, "ip is missing or no address")
-	need(len(nodeSettings.InternalPorts) == 2 && nodeSettings.InternalPorts[0] > 0 &&
-		nodeSettings.InternalPorts[1] >= nodeSettings.InternalPorts[0]+2 && nodeSettings.InternalPorts[1] < 65536,
+	need(s.NodeName != "", "node-name is missing")
+	need(s.Zone != "", "zone is missing")
+	need(net.ParseIP(s.Address) != nil, "ip is missing or no address")
+	need(len(s.InternalPorts) == 2 && s.InternalPorts[0] > 0 &&
+		s.InternalPorts[1] >= s.InternalPorts[0]+2 && s.InternalPorts[1] < 65536,
 		"internal-ports must be two ports at least two apart")
-	need(len(nodeSettings.Seeds) > 0, "seeds is missing")
-	for _, seed := range nodeSettings.Seeds {
+	need(len(s.Seeds) > 0, "seeds is missing")
+	for _, seed := range s.Seeds {
 		need(addressValid(seed), "seeds holds "+strconv.Quote(seed)+", which is no address")
 	}
-	need(nodeSettings.Limits.MemoryMB > 16, "limits.memory-mb is missing or too small")
-	budget := nodeSettings.FaultBudget
+	need(s.Limits.MemoryMB > 16, "limits.memory-mb is missing or too small")
+	budget := s.FaultBudget
 	need(min(budget.Machines, budget.Zones, budget.Regions) >= 0, "fault-budget is below 0")
-	need(nodeSettings.HeartbeatMs > 0, "heartbeat-ms is missing or not above 0")
-	need(nodeSettings.Tolerances.GraceS > 0, "tolerances.grace-s is missing or not above 0")
-	for _, service := range nodeSettings.Serves {
+	need(s.HeartbeatMs > 0, "heartbeat-ms is missing or not above 0")
+	need(s.Tolerances.GraceS > 0, "tolerances.grace-s is missing or not above 0")
+	for _, service := range s.Serves {
 		switch service {
 		case "edge":
-			need(addressValid(nodeSettings.Bind.Ingress), "bind-addresses.ingress is missing or no address")
-			need(addressValid(nodeSettings.Bind.Readiness), "bind-addresses.readiness is missing or no address")
+			need(addressValid(s.Bind.Ingress), "bind-addresses.ingress is missing or no address")
+			need(addressValid(s.Bind.Readiness), "bind-addresses.readiness is missing or no address")
 		case "controller":
 			// Without data-dir it answers calls and has no vote.
-			need(addressValid(nodeSettings.Bind.Control), "bind-addresses.control is missing or no address")
+			need(addressValid(s.Bind.Control), "bind-addresses.control is missing or no address")
 		case "storage":
-			need(nodeSettings.DataDir != "", "data-dir is missing")
+			need(s.DataDir != "", "data-dir is missing")
 		}
 	}
 	return findings
@@ -154,35 +154,35 @@
 }
 
 // InternalAddress gives the address of a role's internal port on a machine.
-func (nodeSettings *Settings) InternalAddress(host string, offset int) string {
-	return net.JoinHostPort(host, strconv.Itoa(nodeSettings.InternalPorts[0]+offset))
+func (s *Settings) InternalAddress(host string, offset int) string {
+	return net.JoinHostPort(host, strconv.Itoa(s.InternalPorts[0]+offset))
 }
 
 // SeedAddresses gives the internal addresses of the controllers named as seeds.
-func (nodeSettings *Settings) SeedAddresses(offset int) []string {
+func (s *Settings) SeedAddresses(offset int) []string {
 	var addresses []string
-	for _, seed := range nodeSettings.Seeds {
+	for _, seed := range s.Seeds {
 		host, _, err := net.SplitHostPort(seed)
 		if err == nil {
-			addresses = append(addresses, nodeSettings.InternalAddress(host, offset))
+			addresses = append(addresses, s.InternalAddress(host, offset))
 		}
 	}
 	return addresses
 }
 
 // Budget gives how many members of a set may be lost at once.
-func (nodeSettings *Settings) Budget() int {
-	budget := nodeSettings.FaultBudget
+func (s *Settings) Budget() int {
+	budget := s.FaultBudget
 	// A set's members stand in different zones, so a lost zone loses one of them.
 	return max(budget.Machines, budget.Zones, budget.Regions)
 }
 
 // Grace is the time between SIGTERM and SIGKILL.
-func (nodeSettings *Settings) Grace() clock.Span {
-	return clock.Milliseconds(nodeSettings.Tolerances.GraceS * 1000)
+func (s *Settings) Grace() clock.Span {
+	return clock.Milliseconds(s.Tolerances.GraceS * 1000)
 }
 
 // Heartbeat is the usual time between two heartbeats of a worker.
-func (nodeSettings *Settings) Heartbeat() clock.Span {
-	return clock.Milliseconds(nodeSettings.HeartbeatMs)
+func (s *Settings) Heartbeat() clock.Span {
+	return clock.Milliseconds(s.HeartbeatMs)
 }
--- a/internal/platform/settings/settings_test.go
+++ b/internal/platform/settings/settings_test.go
@@ -22,17 +22,17 @@
 grace-s = 8
 `
 
-func TestSoundSettings(test *testing.T) {
+func TestSoundSettings(t *testing.T) {
 	nodeSettings, err := Parse([]byte(sound))
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	if got := nodeSettings.SeedAddresses(1); len(got) != 1 || got[0] != "10.0.0.2:7001" {
-		test.Fatal(got)
+		t.Fatal(got)
 	}
 }
 
-func TestEachBadSettingIsNamedInOneLine(test *testing.T) {
+func TestEachBadSettingIsNamedInOneLine(t *testing.T) {
 	for name, change := range map[string][2]string{
 		"node-name":               {`node-name = "n"`, ``},
 		"zone":                    {`zone = "z"`, ``},
@@ -51,7 +51,7 @@
 	} {
 		_, err := Parse([]byte(strings.Replace(sound, change[0], change[1], 1)))
 		if err == nil || !strings.Contains(err.Error(), name) || strings.Contains(err.Error(), "\n") {
-			test.Errorf("%s: %v", name, err)
+			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
--- a/internal/platform/transport/address_test.go
+++ b/internal/platform/transport/address_test.go
@@ -27,11 +27,11 @@
 var ownAddresses = claim{next: firstFreePort}
 
 // freeAddress gives an address where nobody listens, and that it gives nobody else.
-func freeAddress(test *testing.T) string {
+func freeAddress(t *testing.T) string {
 	ownAddresses.lock.Lock()
 	defer ownAddresses.lock.Unlock()
 	if ownAddresses.held == nil {
-		ownAddresses.take(test)
+		ownAddresses.take(t)
 	}
 	for ownAddresses.next < lastFreePort {
 		ownAddresses.next++
@@ -43,19 +43,19 @@
 			return address
 		}
 	}
-	test.Fatal("no free port is left")
+	t.Fatal("no free port is left")
 	return ""
 }
 
 // take finds a host that no other process has.
-func (one *claim) take(test *testing.T) {
+func (c *claim) take(t *testing.T) {
 	const tries = 1000
 	for number := os.Getpid(); number < os.Getpid()+tries; number++ {
 		host := fmt.Sprintf("127.%d.%d.253", 1+number/256%250, number%256)
 		if held, err := net.Listen("tcp4", fmt.Sprintf("%s:%d", host, firstFreePort)); err == nil {
-			one.host, one.held = host, held
+			c.host, c.held = host, held
 			return
 		}
 	}
-	test.Fatal("no loopback address is free")
+	t.Fatal("no loopback address is free")
 }
--- a/internal/platform/transport/dial_test.go
+++ b/internal/platform/transport/dial_test.go
@@ -34,7 +34,7 @@
 }
 
 // A peer that is out of reach holds no caller past its span, however many call it.
-func TestCallersDoNotQueueForDials(test *testing.T) {
+func TestCallersDoNotQueueForDials(t *testing.T) {
 	wire, release, dials := dialling()
 	defer close(release)
 	const callers = 20
@@ -42,10 +42,10 @@
 	for range callers {
 		// The dial never ends before them.
 		if err := <-ended; !errs.Of(err, Unreached) {
-			test.Fatal(err)
+			t.Fatal(err)
 		}
 	}
 	if dials.Load() != 1 {
-		test.Error("dials under way: ", dials.Load())
+		t.Error("dials under way: ", dials.Load())
 	}
 }
--- a/internal/platform/transport/everybyte_test.go
+++ b/internal/platform/transport/everybyte_test.go
@@ -19,7 +19,7 @@
 	runs map[string]int
 }
 
-func newLedger(test *testing.T, address, life string) *ledger {
+func newLedger(t *testing.T, address, life string) *ledger {
 	one := &ledger{wire: transport.NewWire(address), runs: map[string]int{}}
 	err := one.wire.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
 		one.lock.Lock()
@@ -28,15 +28,15 @@
 		return []byte(life + " to " + string(body)), nil
 	})
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	return one
 }
 
-func (one *ledger) ran(body string) int {
-	one.lock.Lock()
-	defer one.lock.Unlock()
-	return one.runs[body]
+func (l *ledger) ran(body string) int {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	return l.runs[body]
 }
 
 // frameLength is more than a call or an answer of this test has.
@@ -45,34 +45,34 @@
 // Whatever befalls the connection at whichever byte of a call or of its answer: each call
 // is worked on once at most, is never told as unreached where it was worked on, and each
 // answer is that of its own call.
-func TestTroubleAtEveryByteOfAFrame(test *testing.T) {
+func TestTroubleAtEveryByteOfAFrame(t *testing.T) {
 	for _, trouble := range faultrelay.Troubles() {
 		for place := 0; place < 2*frameLength; place++ {
 			struck := faultrelay.Strike{Trouble: trouble, Answer: place >= frameLength, At: place % frameLength}
-			test.Run(fmt.Sprint(trouble, struck.Answer, struck.At), func(test *testing.T) {
-				test.Parallel()
-				playFrames(test, struck)
+			t.Run(fmt.Sprint(trouble, struck.Answer, struck.At), func(t *testing.T) {
+				t.Parallel()
+				playFrames(t, struck)
 			})
 		}
 	}
 }
 
-func playFrames(test *testing.T, struck faultrelay.Strike) {
-	server := newLedger(test, "127.0.0.1:0", "one")
+func playFrames(t *testing.T, struck faultrelay.Strike) {
+	server := newLedger(t, "127.0.0.1:0", "one")
 	defer server.wire.Close()
 	relay, err := faultrelay.New(server.wire.Address())
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	client := transport.NewWire("")
 	defer client.Close()
 	call := func(body string) {
 		answer, err := client.Call(relay.Address(), messages.KindShuffle, []byte(body), clock.Milliseconds(60))
 		if err == nil && string(answer) != "one to "+body {
-			test.Errorf("%q got %q", body, answer)
+			t.Errorf("%q got %q", body, answer)
 		}
 		if errs.Of(err, transport.Unreached) && server.ran(body) > 0 {
-			test.Errorf("%q was told as unreached, and ran", body)
+			t.Errorf("%q was told as unreached, and ran", body)
 		}
 	}
 	call("rest")
@@ -91,15 +91,15 @@
 	relay.End()
 	for _, body := range []string{"rest", "left", "right", "next"} {
 		if ran := server.ran(body); ran > 1 {
-			test.Errorf("%q ran %d times", body, ran)
+			t.Errorf("%q ran %d times", body, ran)
 		}
 	}
 }
 
 // A call that waits for one life of a process is not answered by the next one at the same
 // address, and later calls are answered by that one alone.
-func TestNewLifeAtTheSameAddress(test *testing.T) {
-	address, hold, asked := freeAddress(test), newGate(), newGate()
+func TestNewLifeAtTheSameAddress(t *testing.T) {
+	address, hold, asked := freeAddress(t), newGate(), newGate()
 	first := transport.NewWire(address)
 	_ = first.Serve(func(messages.Kind, []byte) ([]byte, error) {
 		close(asked)
@@ -117,9 +117,9 @@
 	first.Close()
 	close(hold)
 	if err := <-ended; !errs.Of(err, transport.Unanswered) {
-		test.Fatal("the pending call ended with ", err)
+		t.Fatal("the pending call ended with ", err)
 	}
-	second := newLedger(test, address, "new")
+	second := newLedger(t, address, "new")
 	defer second.wire.Close()
 	for {
 		answer, err := client.Call(address, messages.KindShuffle, []byte("later"), enough)
@@ -128,11 +128,11 @@
 			continue
 		}
 		if err != nil || string(answer) != "new to later" {
-			test.Fatalf("%q %v", answer, err)
+			t.Fatalf("%q %v", answer, err)
 		}
 		break
 	}
 	if second.ran("pending") != 0 {
-		test.Fatal("the call came to the new life")
+		t.Fatal("the call came to the new life")
 	}
 }
