--- a/internal/platform/transport/line_test.go
+++ b/internal/platform/transport/line_test.go
@@ -22,32 +22,32 @@
 	writes  int
 }
 
-func (raw *halfWriter) Write(text []byte) (int, error) {
-	raw.lock.Lock()
-	defer raw.lock.Unlock()
-	raw.writes++
+func (h *halfWriter) Write(text []byte) (int, error) {
+	h.lock.Lock()
+	defer h.lock.Unlock()
+	h.writes++
 	switch {
-	case raw.closed:
+	case h.closed:
 		return 0, net.ErrClosed
-	case raw.writes == 1:
-		raw.written.Write(text[:len(text)/2])
+	case h.writes == 1:
+		h.written.Write(text[:len(text)/2])
 		return len(text) / 2, os.ErrDeadlineExceeded
 	}
-	return raw.written.Write(text)
+	return h.written.Write(text)
 }
 
-func (raw *halfWriter) SetWriteDeadline(clock.Time) error { return nil }
+func (h *halfWriter) SetWriteDeadline(clock.Time) error { return nil }
 
-func (raw *halfWriter) Close() error {
-	raw.lock.Lock()
-	defer raw.lock.Unlock()
-	raw.closed = true
+func (h *halfWriter) Close() error {
+	h.lock.Lock()
+	defer h.lock.Unlock()
+	h.closed = true
 	return nil
 }
 
 // After a part of a frame nothing follows on the connection, however many wait to write:
 // the receiver would take the next frame for the missing part.
-func TestNothingFollowsHalfAFrame(test *testing.T) {
+func TestNothingFollowsHalfAFrame(t *testing.T) {
 	raw := &halfWriter{}
 	wire := NewWire("")
 	peer := wire.peer("there")
@@ -62,52 +62,52 @@
 			defer group.Done()
 			outgoing := &frame{sort: sortCall, kind: messages.KindShuffle, body: []byte("body")}
 			if peer.write(current, outgoing, end, nil) == nil {
-				test.Error("a frame was written behind half a frame")
+				t.Error("a frame was written behind half a frame")
 			}
 		}()
 	}
 	current.writing.Unlock()
 	group.Wait()
 	if raw.written.Len() != (headBytes+4)/2 {
-		test.Error("bytes on the connection: ", raw.written.Len())
+		t.Error("bytes on the connection: ", raw.written.Len())
 	}
 }
 
 // A call whose time is over before its turn to write is never sent, and says so.
-func TestLateCallIsNotSent(test *testing.T) {
+func TestLateCallIsNotSent(t *testing.T) {
 	raw := &halfWriter{}
 	wire := NewWire("")
 	peer := wire.peer("there")
 	err := peer.write(&line{connection: raw}, &frame{sort: sortCall}, clock.Now()-1, nil)
 	if !errs.Of(err, Unreached) || raw.writes != 0 {
-		test.Fatal(err, raw.writes)
+		t.Fatal(err, raw.writes)
 	}
 }
 
 // An answer is delivered once, to the call that it names by number and kind.
-func TestAnswersNameTheirCall(test *testing.T) {
+func TestAnswersNameTheirCall(t *testing.T) {
 	one := waiter{kind: messages.KindShuffle, answer: make(chan frame, 2)}
 	current := &line{waiting: map[uint64]waiter{7: one}}
 	other := uint64(7) + 1<<lifeShift
 	for _, stray := range []frame{{sort: sortAnswer, kind: messages.KindShuffle, number: 8}, {sort: sortAnswer, kind: messages.KindShuffle, number: other},
 		{sort: sortCall, kind: messages.KindShuffle, number: 7}, {sort: sortTell, kind: messages.KindShuffle, number: 7}} {
 		if !current.deliver(stray) || len(one.answer) != 0 {
-			test.Fatal("taken for the answer: ", stray)
+			t.Fatal("taken for the answer: ", stray)
 		}
 	}
 	if current.deliver(frame{sort: sortAnswer, kind: messages.KindLotCall, number: 7}) || len(one.answer) != 0 {
-		test.Fatal("an answer of another kind was taken")
+		t.Fatal("an answer of another kind was taken")
 	}
 	for count := 0; count < 2; count++ {
 		if !current.deliver(frame{sort: sortAnswer, kind: messages.KindShuffle, number: 7}) || len(one.answer) != 1 {
-			test.Fatal("delivered ", len(one.answer))
+			t.Fatal("delivered ", len(one.answer))
 		}
 	}
 }
 
 // A call that is delivered twice on a connection is worked on once; senders of before did
 // not number their calls in order, and are served as they come.
-func TestDoubledCallIsWorkedOnOnce(test *testing.T) {
+func TestDoubledCallIsWorkedOnOnce(t *testing.T) {
 	for version, want := range map[byte][]uint64{orderedVersion: {5, 9, 12}, 1: {5, 9, 9, 5, 12}} {
 		near, far := net.Pipe()
 		go NewWire("").serveOne(far, func(_ messages.Kind, body []byte) ([]byte, error) { return body, nil })
@@ -122,7 +122,7 @@
 		for range want {
 			answer, err := readFrame(answers)
 			if err != nil {
-				test.Fatal(err)
+				t.Fatal(err)
 			}
 			got[answer.number]++
 		}
@@ -131,7 +131,7 @@
 		}
 		for number, surplus := range got {
 			if surplus != 0 {
-				test.Errorf("version %d: call %d was worked on %d times too often", version, number, surplus)
+				t.Errorf("version %d: call %d was worked on %d times too often", version, number, surplus)
 			}
 		}
 		near.Close()
--- a/internal/platform/transport/memory.go
+++ b/internal/platform/transport/memory.go
@@ -25,25 +25,25 @@
 }
 
 // Cut makes an address silent or lets it speak again.
-func (room *Room) Cut(address string, silent bool) {
-	room.lock.Lock()
-	defer room.lock.Unlock()
-	room.cut[address] = silent
+func (r *Room) Cut(address string, silent bool) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	r.cut[address] = silent
 }
 
 // Transport gives the twin that serves at an address.
-func (room *Room) Transport(address string) *Twin {
-	return &Twin{room: room, own: address, meter: room.meter(address)}
+func (r *Room) Transport(address string) *Twin {
+	return &Twin{room: r, own: address, meter: r.meter(address)}
 }
 
 // meter gives the meter of an address: it counts on when a process there starts anew.
-func (room *Room) meter(address string) *Meter {
-	room.lock.Lock()
-	defer room.lock.Unlock()
-	if room.meters[address] == nil {
-		room.meters[address] = NewMeter()
+func (r *Room) meter(address string) *Meter {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	if r.meters[address] == nil {
+		r.meters[address] = NewMeter()
 	}
-	return room.meters[address]
+	return r.meters[address]
 }
 
 // Twin is a transport in memory.
@@ -54,26 +54,26 @@
 }
 
 // Meter counts what this process says and hears.
-func (twin *Twin) Meter() *Meter { return twin.meter }
+func (t *Twin) Meter() *Meter { return t.meter }
 
 // Serve registers the handler.
-func (twin *Twin) Serve(handler Handler) error {
-	twin.room.lock.Lock()
-	defer twin.room.lock.Unlock()
-	if twin.room.handlers[twin.own] != nil {
-		return Unreached.New("address taken: " + twin.own)
+func (t *Twin) Serve(handler Handler) error {
+	t.room.lock.Lock()
+	defer t.room.lock.Unlock()
+	if t.room.handlers[t.own] != nil {
+		return Unreached.New("address taken: " + t.own)
 	}
-	twin.room.handlers[twin.own] = handler
+	t.room.handlers[t.own] = handler
 	return nil
 }
 
 // Call runs the other side's handler at once.
-func (twin *Twin) Call(address string, kind messages.Kind, body []byte, span clock.Span) ([]byte, error) {
-	handler, silent := twin.reach(address)
+func (t *Twin) Call(address string, kind messages.Kind, body []byte, span clock.Span) ([]byte, error) {
+	handler, silent := t.reach(address)
 	if handler == nil {
 		return nil, Unreached.New(address)
 	}
-	twin.meter.sent(kind, address, len(body))
+	t.meter.sent(kind, address, len(body))
 	if silent {
 		return nil, Unanswered.New(address + " silent")
 	}
@@ -82,20 +82,20 @@
 		err  error
 	}
 	answered := make(chan result, 1)
-	other := twin.room.meter(address)
-	other.received(kind, twin.own, len(body))
-	twin.room.note(twin.own, address, kind, false, body)
+	other := t.room.meter(address)
+	other.received(kind, t.own, len(body))
+	t.room.note(t.own, address, kind, false, body)
 	go func() {
 		answer, err := handler(kind, body)
-		other.sent(kind, twin.own, len(answer))
-		twin.room.note(address, twin.own, kind, true, answer)
+		other.sent(kind, t.own, len(answer))
+		t.room.note(address, t.own, kind, true, answer)
 		answered <- result{answer, err}
 	}()
 	timer := clock.NewTimer(span)
 	defer timer.Stop()
 	select {
 	case one := <-answered:
-		twin.meter.received(kind, address, len(one.body))
+		t.meter.received(kind, address, len(one.body))
 		if one.err != nil || one.body == nil {
 			return nil, Refused.New(address)
 		}
@@ -105,16 +105,16 @@
 	}
 }
 
-func (twin *Twin) reach(address string) (handler Handler, silent bool) {
-	twin.room.lock.Lock()
-	defer twin.room.lock.Unlock()
-	return twin.room.handlers[address], twin.room.cut[address] || twin.room.cut[twin.own]
+func (t *Twin) reach(address string) (handler Handler, silent bool) {
+	t.room.lock.Lock()
+	defer t.room.lock.Unlock()
+	return t.room.handlers[address], t.room.cut[address] || t.room.cut[t.own]
 }
 
 // Close takes the handler out of the room.
-func (twin *Twin) Close() {
-	twin.room.lock.Lock()
-	defer twin.room.lock.Unlock()
-	delete(twin.room.handlers, twin.own)
-	delete(twin.room.laters, twin.own)
+func (t *Twin) Close() {
+	t.room.lock.Lock()
+	defer t.room.lock.Unlock()
+	delete(t.room.handlers, t.own)
+	delete(t.room.laters, t.own)
 }
--- a/internal/platform/transport/meter.go
+++ b/internal/platform/transport/meter.go
@@ -23,7 +23,7 @@
 var placeNames = [places]string{"unknown", "own-zone", "other-zone"}
 
 // String names a place in reports.
-func (place Place) String() string { return placeNames[place] }
+func (p Place) String() string { return placeNames[p] }
 
 // Count is a number of messages with their encoded bytes, heads included.
 type Count struct {
@@ -61,37 +61,37 @@
 }
 
 // Learn says whether the host of an address stands in the own zone.
-func (meter *Meter) Learn(address string, own bool) {
+func (m *Meter) Learn(address string, own bool) {
 	place := PlaceOtherZone
 	if own {
 		place = PlaceOwnZone
 	}
-	meter.lock.Lock()
-	defer meter.lock.Unlock()
-	meter.hosts[hostOf(address)] = place
+	m.lock.Lock()
+	defer m.lock.Unlock()
+	m.hosts[hostOf(address)] = place
 }
 
-func (meter *Meter) flow(kind messages.Kind, address string) *Flow {
-	one := meter.flows[kind]
+func (m *Meter) flow(kind messages.Kind, address string) *Flow {
+	one := m.flows[kind]
 	if one == nil {
 		one = &[places]Flow{}
-		meter.flows[kind] = one
+		m.flows[kind] = one
 	}
-	return &one[meter.hosts[hostOf(address)]]
+	return &one[m.hosts[hostOf(address)]]
 }
 
-func (meter *Meter) sent(kind messages.Kind, address string, body int) {
-	meter.lock.Lock()
-	defer meter.lock.Unlock()
-	flow := meter.flow(kind, address)
+func (m *Meter) sent(kind messages.Kind, address string, body int) {
+	m.lock.Lock()
+	defer m.lock.Unlock()
+	flow := m.flow(kind, address)
 	flow.Sent.Messages++
 	flow.Sent.Bytes += int64(headBytes + body)
 }
 
-func (meter *Meter) received(kind messages.Kind, address string, body int) {
-	meter.lock.Lock()
-	defer meter.lock.Unlock()
-	flow := meter.flow(kind, address)
+func (m *Meter) received(kind messages.Kind, address string, body int) {
+	m.lock.Lock()
+	defer m.lock.Unlock()
+	flow := m.flow(kind, address)
 	flow.Received.Messages++
 	flow.Received.Bytes += int64(headBytes + body)
 }
@@ -104,11 +104,11 @@
 }
 
 // Readings gives what was counted since the start, the busiest first.
-func (meter *Meter) Readings() []Reading {
-	meter.lock.Lock()
-	defer meter.lock.Unlock()
+func (m *Meter) Readings() []Reading {
+	m.lock.Lock()
+	defer m.lock.Unlock()
 	var readings []Reading
-	for kind, flows := range meter.flows {
+	for kind, flows := range m.flows {
 		for place, flow := range flows {
 			if flow != (Flow{}) {
 				readings = append(readings, Reading{Kind: kind, Place: Place(place), Flow: flow})
@@ -126,9 +126,9 @@
 }
 
 // Total sums the readings of a place; PlaceUnknown sums all.
-func (meter *Meter) Total(place Place) Flow {
+func (m *Meter) Total(place Place) Flow {
 	var total Flow
-	for _, one := range meter.Readings() {
+	for _, one := range m.Readings() {
 		if place == PlaceUnknown || one.Place == place {
 			total.Sent.Messages += one.Sent.Messages
 			total.Sent.Bytes += one.Sent.Bytes
--- a/internal/platform/transport/meter_test.go
+++ b/internal/platform/transport/meter_test.go
@@ -8,11 +8,11 @@
 )
 
 // Both transports count a call and its answer at both ends, by kind and place.
-func TestTrafficIsCounted(test *testing.T) {
+func TestTrafficIsCounted(t *testing.T) {
 	room := transport.NewRoom()
 	makers := map[string]func() (transport.Transport, string){
 		"wire": func() (transport.Transport, string) {
-			address := freeAddress(test)
+			address := freeAddress(t)
 			return transport.NewWire(address), address
 		},
 		"twin": func() (transport.Transport, string) {
@@ -30,20 +30,20 @@
 		}
 		client.(transport.Metered).Meter().Learn(address, true)
 		if _, err := client.Call(address, messages.KindGossip, []byte("seven b"), enough); err != nil {
-			test.Fatal(name, err)
+			t.Fatal(name, err)
 		}
 		const head = 17
 		want := transport.Flow{Sent: transport.Count{Messages: 1, Bytes: head + 7}, Received: transport.Count{Messages: 1, Bytes: head + 4}}
 		if got := client.(transport.Metered).Meter().Total(transport.PlaceOwnZone); got != want {
-			test.Fatalf("%s: client counted %+v", name, got)
+			t.Fatalf("%s: client counted %+v", name, got)
 		}
 		readings := client.(transport.Metered).Meter().Readings()
 		if len(readings) != 1 || readings[0].Kind != messages.KindGossip || readings[0].Place != transport.PlaceOwnZone {
-			test.Fatalf("%s: %+v", name, readings)
+			t.Fatalf("%s: %+v", name, readings)
 		}
 		back := transport.Flow{Sent: want.Received, Received: want.Sent}
 		if got := server.(transport.Metered).Meter().Total(transport.PlaceUnknown); got != back {
-			test.Fatalf("%s: server counted %+v", name, got)
+			t.Fatalf("%s: server counted %+v", name, got)
 		}
 		server.Close()
 		client.Close()
--- a/internal/platform/transport/once.go
+++ b/internal/platform/transport/once.go
@@ -24,27 +24,27 @@
 
 // First tells whether a name comes for the first time. A call without a name is of
 // an older sender and always passes.
-func (once *Once) First(name string, now clock.Moment) bool {
+func (o *Once) First(name string, now clock.Moment) bool {
 	if name == "" {
 		return true
 	}
-	once.lock.Lock()
-	defer once.lock.Unlock()
-	if once.seen == nil {
-		once.seen = map[string]bool{}
+	o.lock.Lock()
+	defer o.lock.Unlock()
+	if o.seen == nil {
+		o.seen = map[string]bool{}
 	}
 	gone := 0
-	for gone < len(once.order) && now.Since(once.order[gone].at) > constants.FrameLife {
-		delete(once.seen, once.order[gone].name)
+	for gone < len(o.order) && now.Since(o.order[gone].at) > constants.FrameLife {
+		delete(o.seen, o.order[gone].name)
 		gone++
 	}
 	if gone > 0 {
-		once.order = append([]onceSeen(nil), once.order[gone:]...)
+		o.order = append([]onceSeen(nil), o.order[gone:]...)
 	}
-	if once.seen[name] {
+	if o.seen[name] {
 		return false
 	}
-	once.seen[name] = true
-	once.order = append(once.order, onceSeen{name, now})
+	o.seen[name] = true
+	o.order = append(o.order, onceSeen{name, now})
 	return true
 }
--- a/internal/platform/transport/once_test.go
+++ b/internal/platform/transport/once_test.go
@@ -8,16 +8,16 @@
 	"lemonarch/internal/platform/transport"
 )
 
-func TestEachNamedCallPassesOnce(test *testing.T) {
+func TestEachNamedCallPassesOnce(t *testing.T) {
 	once, now := &transport.Once{}, clock.Moment(1)
 	if !once.First("a", now) || !once.First("b", now) || once.First("a", now) || once.First("b", now.Plus(constants.FrameLife)) {
-		test.Fatal("a call passed twice, or a new one not at all")
+		t.Fatal("a call passed twice, or a new one not at all")
 	}
 	if one, other := once.First("", now), once.First("", now); !one || !other {
-		test.Fatal("a call without a name was held up")
+		t.Fatal("a call without a name was held up")
 	}
 	// What no frame can come from any more is forgotten, or memory would grow.
 	if !once.First("a", now.Plus(constants.FrameLife+2)) {
-		test.Fatal("never forgotten")
+		t.Fatal("never forgotten")
 	}
 }
--- a/internal/platform/transport/peer.go
+++ b/internal/platform/transport/peer.go
@@ -45,11 +45,11 @@
 	answer chan frame
 }
 
-func (one *peer) drop() {
-	one.lock.Lock()
-	current := one.current
-	one.current, one.closed = nil, true
-	one.lock.Unlock()
+func (p *peer) drop() {
+	p.lock.Lock()
+	current := p.current
+	p.current, p.closed = nil, true
+	p.lock.Unlock()
 	if current != nil {
 		current.end()
 	}
@@ -58,161 +58,161 @@
 // line gives the connection, and opens it where there is none. It waits until the end at
 // most, and never for a second dial: a peer that is out of reach would else hold its
 // callers for as many dials as there are of them.
-func (one *peer) line(end clock.Moment) (*line, error) {
-	one.lock.Lock()
-	if one.current != nil {
-		defer one.lock.Unlock()
-		return one.current, nil
+func (p *peer) line(end clock.Moment) (*line, error) {
+	p.lock.Lock()
+	if p.current != nil {
+		defer p.lock.Unlock()
+		return p.current, nil
 	}
 	// A peer that has just been out of reach is not dialled by every caller anew.
-	if one.failed != 0 && clock.Now().Since(one.failed) < constants.StartPause/2 {
-		defer one.lock.Unlock()
-		return nil, Unreached.New(one.address)
+	if p.failed != 0 && clock.Now().Since(p.failed) < constants.StartPause/2 {
+		defer p.lock.Unlock()
+		return nil, Unreached.New(p.address)
 	}
-	if one.attempt == nil {
-		one.attempt = &attempt{done: make(chan struct{})}
-		go one.open(one.attempt)
+	if p.attempt == nil {
+		p.attempt = &attempt{done: make(chan struct{})}
+		go p.open(p.attempt)
 	}
-	waited := one.attempt
-	one.lock.Unlock()
+	waited := p.attempt
+	p.lock.Unlock()
 	timer := clock.NewTimer(end.Since(clock.Now()))
 	defer timer.Stop()
 	select {
 	case <-waited.done:
 		return waited.line, waited.err
 	case <-timer.C:
-		return nil, Unreached.New(one.address + " not dialled in time")
+		return nil, Unreached.New(p.address + " not dialled in time")
 	}
 }
 
 // open dials and tells all who wait.
-func (one *peer) open(under *attempt) {
-	connection, err := one.wire.dial(one.address)
-	one.lock.Lock()
-	defer one.lock.Unlock()
+func (p *peer) open(under *attempt) {
+	connection, err := p.wire.dial(p.address)
+	p.lock.Lock()
+	defer p.lock.Unlock()
 	defer close(under.done)
-	one.attempt = nil
-	if err == nil && one.closed {
+	p.attempt = nil
+	if err == nil && p.closed {
 		connection.Close()
 		err = net.ErrClosed
 	}
 	if err != nil {
-		one.failed = clock.Now()
-		under.err = Unreached.Wrap(err, one.address)
+		p.failed = clock.Now()
+		under.err = Unreached.Wrap(err, p.address)
 		return
 	}
-	one.failed = 0
+	p.failed = 0
 	under.line = &line{connection: connection, waiting: map[uint64]waiter{}, heard: clock.Now()}
-	one.current = under.line
-	go one.listen(under.line)
+	p.current = under.line
+	go p.listen(under.line)
 }
 
-func (one *peer) listen(current *line) {
+func (p *peer) listen(current *line) {
 	reader := bufio.NewReaderSize(current.connection, 8<<10)
 	for {
 		answer, err := readFrame(reader)
 		if err != nil {
 			break
 		}
-		one.wire.meter.received(answer.kind, one.address, len(answer.body))
+		p.wire.meter.received(answer.kind, p.address, len(answer.body))
 		if !current.deliver(answer) {
 			break
 		}
 	}
-	one.forget(current)
+	p.forget(current)
 }
 
 // deliver hands an answer to the call that it names; what names none is nobody's. False
 // means that the line can't be trusted any more.
-func (current *line) deliver(answer frame) bool {
-	current.lock.Lock()
-	defer current.lock.Unlock()
-	current.heard = clock.Now()
+func (l *line) deliver(answer frame) bool {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	l.heard = clock.Now()
 	if answer.sort != sortAnswer && answer.sort != sortUnknown {
 		return true
 	}
-	waiting, known := current.waiting[answer.number]
+	waiting, known := l.waiting[answer.number]
 	if !known {
 		return true
 	}
 	if waiting.kind != answer.kind {
 		return false
 	}
-	delete(current.waiting, answer.number)
+	delete(l.waiting, answer.number)
 	waiting.answer <- answer
 	return true
 }
 
-func (one *peer) forget(current *line) {
-	one.lock.Lock()
-	if one.current == current {
-		one.current = nil
+func (p *peer) forget(current *line) {
+	p.lock.Lock()
+	if p.current == current {
+		p.current = nil
 	}
-	one.lock.Unlock()
+	p.lock.Unlock()
 	current.end()
 }
 
-func (current *line) end() {
-	current.connection.Close()
-	current.lock.Lock()
-	defer current.lock.Unlock()
-	current.dead = true
-	for number, waiting := range current.waiting {
+func (l *line) end() {
+	l.connection.Close()
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	l.dead = true
+	for number, waiting := range l.waiting {
 		close(waiting.answer)
-		delete(current.waiting, number)
+		delete(l.waiting, number)
 	}
 }
 
 // expect notes a call whose answer is waited for; false where the line has ended.
-func (current *line) expect(number uint64, waiting waiter) bool {
-	current.lock.Lock()
-	defer current.lock.Unlock()
-	if current.dead {
+func (l *line) expect(number uint64, waiting waiter) bool {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	if l.dead {
 		return false
 	}
-	current.waiting[number] = waiting
+	l.waiting[number] = waiting
 	return true
 }
 
 // withdraw ends the wait of a call that gives up, and tells whether nothing at all came
 // on the line since a moment.
-func (current *line) withdraw(number uint64, since clock.Moment) (silent bool) {
-	current.lock.Lock()
-	defer current.lock.Unlock()
-	delete(current.waiting, number)
-	return current.heard < since
+func (l *line) withdraw(number uint64, since clock.Moment) (silent bool) {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	delete(l.waiting, number)
+	return l.heard < since
 }
 
 // write numbers a frame and sends it, if its time is not over before its turn comes. The
 // receiver counts on rising numbers, so both happen under one lock. After a part of a
 // frame nothing may follow: the line ends before the next writer's turn.
-func (one *peer) write(current *line, outgoing *frame, end clock.Moment, before func(number uint64) bool) error {
+func (p *peer) write(current *line, outgoing *frame, end clock.Moment, before func(number uint64) bool) error {
 	current.writing.Lock()
 	defer current.writing.Unlock()
 	left := end.Since(clock.Now())
-	outgoing.number = one.wire.number.Add(1)
+	outgoing.number = p.wire.number.Add(1)
 	if left <= 0 || (before != nil && !before(outgoing.number)) {
-		return Unreached.New(one.address)
+		return Unreached.New(p.address)
 	}
-	one.wire.meter.sent(outgoing.kind, one.address, len(outgoing.body))
+	p.wire.meter.sent(outgoing.kind, p.address, len(outgoing.body))
 	_ = current.connection.SetWriteDeadline(clock.Deadline(left))
 	if _, err := current.connection.Write(appendFrame(make([]byte, 0, headBytes+len(outgoing.body)), *outgoing)); err != nil {
-		one.forget(current)
-		return Unanswered.Wrap(err, one.address)
+		p.forget(current)
+		return Unanswered.Wrap(err, p.address)
 	}
 	return nil
 }
 
 // call sends a call and waits for its answer. Its span counts from here, dial included.
-func (one *peer) call(question frame, span clock.Span) ([]byte, error) {
+func (p *peer) call(question frame, span clock.Span) ([]byte, error) {
 	end := clock.Now().Plus(span)
-	current, err := one.line(end)
+	current, err := p.line(end)
 	if err != nil {
 		return nil, err
 	}
 	asked := clock.Now()
 	waiting := waiter{kind: question.kind, answer: make(chan frame, 1)}
-	err = one.write(current, &question, end, func(number uint64) bool { return current.expect(number, waiting) })
+	err = p.write(current, &question, end, func(number uint64) bool { return current.expect(number, waiting) })
 	if err != nil {
 		return nil, err
 	}
@@ -221,18 +221,18 @@
 	select {
 	case answer, open := <-waiting.answer:
 		if !open {
-			return nil, Unanswered.New(one.address + " broke off")
+			return nil, Unanswered.New(p.address + " broke off")
 		}
 		if answer.sort != sortAnswer {
-			return nil, Refused.New(one.address)
+			return nil, Refused.New(p.address)
 		}
 		return answer.body, nil
 	case <-timer.C:
 		if current.withdraw(question.number, asked) {
 			// Nothing at all came in this time: the line may be cut, so the next
 			// call opens a new one.
-			one.forget(current)
+			p.forget(current)
 		}
-		return nil, Unanswered.New(one.address + " silent")
+		return nil, Unanswered.New(p.address + " silent")
 	}
 }
--- a/internal/platform/transport/post.go
+++ b/internal/platform/transport/post.go
@@ -32,55 +32,55 @@
 type Later func(kind messages.Kind, body []byte, reply func([]byte, error))
 
 // OnFrame names who is told of every frame; it must not block.
-func (room *Room) OnFrame(seen func(Frame)) {
-	room.lock.Lock()
-	defer room.lock.Unlock()
-	room.seen = seen
+func (r *Room) OnFrame(seen func(Frame)) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	r.seen = seen
 }
 
 // Simulate gives the room surroundings, which Post needs.
-func (room *Room) Simulate(surroundings Surroundings) {
-	room.lock.Lock()
-	defer room.lock.Unlock()
-	room.surroundings = surroundings
+func (r *Room) Simulate(surroundings Surroundings) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	r.surroundings = surroundings
 }
 
 // note tells of a frame with a body.
-func (room *Room) note(from, to string, kind messages.Kind, answer bool, body []byte) {
-	room.lock.Lock()
-	seen := room.seen
-	room.lock.Unlock()
+func (r *Room) note(from, to string, kind messages.Kind, answer bool, body []byte) {
+	r.lock.Lock()
+	seen := r.seen
+	r.lock.Unlock()
 	if seen != nil {
 		seen(Frame{From: from, To: to, Kind: kind, Answer: answer, Bytes: headBytes + len(body)})
 	}
 }
 
 // ServeLater registers who answers what is posted to this address, instead of Serve.
-func (twin *Twin) ServeLater(later Later) error {
-	twin.room.lock.Lock()
-	defer twin.room.lock.Unlock()
-	if twin.room.handlers[twin.own] != nil || twin.room.laters[twin.own] != nil {
-		return Unreached.New("address taken: " + twin.own)
+func (t *Twin) ServeLater(later Later) error {
+	t.room.lock.Lock()
+	defer t.room.lock.Unlock()
+	if t.room.handlers[t.own] != nil || t.room.laters[t.own] != nil {
+		return Unreached.New("address taken: " + t.own)
 	}
-	twin.room.laters[twin.own] = later
+	t.room.laters[t.own] = later
 	return nil
 }
 
 // later gives who answers at an address, nil where nobody does.
-func (twin *Twin) later(address string) (later Later, silent bool) {
-	handler, silent := twin.reach(address)
+func (t *Twin) later(address string) (later Later, silent bool) {
+	handler, silent := t.reach(address)
 	if handler != nil {
 		return func(kind messages.Kind, body []byte, reply func([]byte, error)) { reply(handler(kind, body)) }, silent
 	}
-	twin.room.lock.Lock()
-	defer twin.room.lock.Unlock()
-	return twin.room.laters[address], silent
+	t.room.lock.Lock()
+	defer t.room.lock.Unlock()
+	return t.room.laters[address], silent
 }
 
 // Post is Call on the simulated clock: nothing waits, then is run once with what came
 // of it. Like on the wire, a process that is not there is told apart from silence.
-func (twin *Twin) Post(address string, kind messages.Kind, body []byte, span clock.Span, then func([]byte, error)) {
-	room, own, around, ended := twin.room, twin.own, twin.room.surroundings, false
+func (t *Twin) Post(address string, kind messages.Kind, body []byte, span clock.Span, then func([]byte, error)) {
+	room, own, around, ended := t.room, t.own, t.room.surroundings, false
 	end := func(answer []byte, err error) {
 		if !ended {
 			ended = true
@@ -94,7 +94,7 @@
 	room.note(own, address, kind, false, body)
 	there := around.Delay(own, address)
 	around.Clock.After(there, func() {
-		later, silent := twin.later(address)
+		later, silent := t.later(address)
 		if silent || !around.Reach(own, address) {
 			lost(there)
 			return
@@ -113,7 +113,7 @@
 			room.note(address, own, kind, true, answer)
 			back := around.Delay(address, own)
 			around.Clock.After(back, func() {
-				if _, silent := twin.later(address); silent || !around.Reach(address, own) {
+				if _, silent := t.later(address); silent || !around.Reach(address, own) {
 					lost(there + back)
 					return
 				}
@@ -131,11 +131,11 @@
 }
 
 // PostTell is Tell on the simulated clock: one frame that nobody answers.
-func (twin *Twin) PostTell(address string, kind messages.Kind, body []byte) {
-	room, own, around := twin.room, twin.own, twin.room.surroundings
+func (t *Twin) PostTell(address string, kind messages.Kind, body []byte) {
+	room, own, around := t.room, t.own, t.room.surroundings
 	room.note(own, address, kind, false, body)
 	around.Clock.After(around.Delay(own, address), func() {
-		if later, silent := twin.later(address); later != nil && !silent && around.Reach(own, address) {
+		if later, silent := t.later(address); later != nil && !silent && around.Reach(own, address) {
 			later(kind, body, func([]byte, error) {})
 		}
 	})
--- a/internal/platform/transport/post_test.go
+++ b/internal/platform/transport/post_test.go
@@ -19,21 +19,21 @@
 	bytes          int
 }
 
-func (counters *counters) seen(frame transport.Frame) {
-	counters.lock.Lock()
-	defer counters.lock.Unlock()
+func (c *counters) seen(frame transport.Frame) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
 	if frame.Answer {
-		counters.answers++
+		c.answers++
 	} else {
-		counters.calls++
+		c.calls++
 	}
-	counters.bytes += frame.Bytes
+	c.bytes += frame.Bytes
 }
 
-func TestContractCountingMemory(test *testing.T) {
+func TestContractCountingMemory(t *testing.T) {
 	room, count, counted := transport.NewRoom(), 0, &counters{}
 	room.OnFrame(counted.seen)
-	contract(test, func() (transport.Transport, string) {
+	contract(t, func() (transport.Transport, string) {
 		count++
 		address := fmt.Sprint("node", count)
 		return room.Transport(address), address
@@ -43,7 +43,7 @@
 	// Five calls of the contract find somebody; the last of them is never answered in
 	// time, though its answer may come before we look.
 	if counted.calls != 5 || counted.answers < 4 {
-		test.Fatalf("counted %d calls and %d answers", counted.calls, counted.answers)
+		t.Fatalf("counted %d calls and %d answers", counted.calls, counted.answers)
 	}
 }
 
@@ -57,25 +57,25 @@
 	return room, world, counted, gone
 }
 
-func TestPostTakesItsTimeAndCounts(test *testing.T) {
+func TestPostTakesItsTimeAndCounts(t *testing.T) {
 	room, world, counted, _ := simulated()
 	_ = room.Transport("server").Serve(func(_ messages.Kind, body []byte) ([]byte, error) { return append([]byte("to "), body...), nil })
 	var answer string
 	at := clock.Moment(0)
 	room.Transport("client").Post("server", messages.KindShuffle, []byte("one"), enough, func(body []byte, err error) {
 		if err != nil {
-			test.Error(err)
+			t.Error(err)
 		}
 		answer, at = string(body), world.Now
 	})
 	world.Run(clock.Moment(enough))
 	// The head is 17 bytes: the frame format's contract.
 	if answer != "to one" || at != clock.Moment(clock.Milliseconds(2)) || counted.calls != 1 || counted.answers != 1 || counted.bytes != 17+3+17+6 {
-		test.Fatalf("%q at %d, %+v", answer, at, counted)
+		t.Fatalf("%q at %d, %+v", answer, at, counted)
 	}
 }
 
-func TestPostTellsSilenceRefusalAndAbsenceApart(test *testing.T) {
+func TestPostTellsSilenceRefusalAndAbsenceApart(t *testing.T) {
 	room, world, _, gone := simulated()
 	_ = room.Transport("server").Serve(func(kind messages.Kind, _ []byte) ([]byte, error) {
 		if kind == messages.KindGossip {
@@ -104,6 +104,6 @@
 	if len(results) != 4 || !errs.Of(results[0].err, transport.Refused) || !errs.Of(results[1].err, transport.Unreached) ||
 		!errs.Of(results[2].err, transport.Unanswered) || results[2].at != silent ||
 		!errs.Of(results[3].err, transport.Unanswered) || results[3].at != silent {
-		test.Fatalf("%+v", results)
+		t.Fatalf("%+v", results)
 	}
 }
--- a/internal/platform/transport/tell.go
+++ b/internal/platform/transport/tell.go
@@ -28,8 +28,8 @@
 
 // Tell sends one frame that is not answered: half the messages, and no wake-up for
 // an answer. Versions that do not know its sort skip and count it.
-func (wire *Wire) Tell(address string, kind messages.Kind, body []byte) error {
-	one := wire.peer(address)
+func (w *Wire) Tell(address string, kind messages.Kind, body []byte) error {
+	one := w.peer(address)
 	end := clock.Now().Plus(constants.DialTime)
 	current, err := one.line(end)
 	if err != nil {
@@ -40,15 +40,15 @@
 }
 
 // Tell runs the other side's handler; whatever it answers is dropped.
-func (twin *Twin) Tell(address string, kind messages.Kind, body []byte) error {
-	handler, silent := twin.reach(address)
+func (t *Twin) Tell(address string, kind messages.Kind, body []byte) error {
+	handler, silent := t.reach(address)
 	if handler == nil {
 		return Unreached.New(address)
 	}
-	twin.meter.sent(kind, address, len(body))
-	twin.room.note(twin.own, address, kind, false, body)
+	t.meter.sent(kind, address, len(body))
+	t.room.note(t.own, address, kind, false, body)
 	if !silent {
-		twin.room.meter(address).received(kind, twin.own, len(body))
+		t.room.meter(address).received(kind, t.own, len(body))
 		go func() { _, _ = handler(kind, body) }()
 	}
 	return nil
--- a/internal/platform/transport/tell_test.go
+++ b/internal/platform/transport/tell_test.go
@@ -11,7 +11,7 @@
 )
 
 // toldContract is what every transport keeps for what nobody answers.
-func toldContract(test *testing.T, make func() (transport.Transport, string)) {
+func toldContract(t *testing.T, make func() (transport.Transport, string)) {
 	server, address := make()
 	defer server.Close()
 	heard := newHeard()
@@ -22,43 +22,43 @@
 		return []byte("answer"), nil
 	})
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	client, nobody := make()
 	defer client.Close()
 	teller := client.(transport.Teller)
 	if err = teller.Tell(address, messages.KindGossip, []byte("word")); err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	select {
 	case word := <-heard:
 		if word != "word" {
-			test.Fatal(word)
+			t.Fatal(word)
 		}
 	case <-clock.After(enough):
-		test.Fatal("what was told never arrived")
+		t.Fatal("what was told never arrived")
 	}
 	// The line carries calls as before, and no answer of the told one comes between.
 	if answer, err := client.Call(address, messages.KindShuffle, nil, enough); err != nil || string(answer) != "answer" {
-		test.Fatalf("%q %v", answer, err)
+		t.Fatalf("%q %v", answer, err)
 	}
 	if err = teller.Tell(nobody, messages.KindGossip, nil); !errs.Of(err, transport.Unreached) {
-		test.Fatalf("told nobody: %v", err)
+		t.Fatalf("told nobody: %v", err)
 	}
 }
 
 func newHeard() chan string { return make(chan string, 8) }
 
-func TestToldContractWire(test *testing.T) {
-	toldContract(test, func() (transport.Transport, string) {
-		address := freeAddress(test)
+func TestToldContractWire(t *testing.T) {
+	toldContract(t, func() (transport.Transport, string) {
+		address := freeAddress(t)
 		return transport.NewWire(address), address
 	})
 }
 
-func TestToldContractMemory(test *testing.T) {
+func TestToldContractMemory(t *testing.T) {
 	room, count := transport.NewRoom(), 0
-	toldContract(test, func() (transport.Transport, string) {
+	toldContract(t, func() (transport.Transport, string) {
 		count++
 		address := fmt.Sprint("node", count)
 		return room.Transport(address), address
@@ -69,7 +69,7 @@
 type plain struct{ transport.Transport }
 
 // Over a transport without one-way messages a word is a call like any other.
-func TestToldAsACall(test *testing.T) {
+func TestToldAsACall(t *testing.T) {
 	room := transport.NewRoom()
 	server := room.Transport("a")
 	heard := newHeard()
@@ -78,6 +78,6 @@
 		return []byte{}, nil
 	})
 	if err := transport.Tell(plain{room.Transport("b")}, "a", messages.KindGossip, &messages.Nothing{}); err != nil || len(heard) != 1 {
-		test.Fatal(err, len(heard))
+		t.Fatal(err, len(heard))
 	}
 }
--- a/internal/platform/transport/transport_test.go
+++ b/internal/platform/transport/transport_test.go
@@ -15,8 +15,8 @@
 const enough = 5_000_000_000
 
 // contract is what every transport has to keep.
-func contract(test *testing.T, make func() (transport.Transport, string)) {
-	test.Run("answers go to their questions", func(test *testing.T) {
+func contract(t *testing.T, make func() (transport.Transport, string)) {
+	t.Run("answers go to their questions", func(t *testing.T) {
 		server, address := make()
 		defer server.Close()
 		release := [2]chan struct{}{}
@@ -30,7 +30,7 @@
 			return append([]byte("to "), body...), nil
 		})
 		if err != nil {
-			test.Fatal(err)
+			t.Fatal(err)
 		}
 		client, _ := make()
 		defer client.Close()
@@ -40,17 +40,17 @@
 			defer group.Done()
 			answer, err := client.Call(address, messages.KindShuffle, []byte{0}, enough)
 			if err != nil || string(answer) != "to \x00" {
-				test.Errorf("%q %v", answer, err)
+				t.Errorf("%q %v", answer, err)
 			}
 		}()
 		answer, err := client.Call(address, messages.KindShuffle, []byte{1}, enough)
 		if err != nil || string(answer) != "to \x01" {
-			test.Errorf("%q %v", answer, err)
+			t.Errorf("%q %v", answer, err)
 		}
 		close(release[0])
 		group.Wait()
 	})
-	test.Run("unknown kinds are refused and the rest goes on", func(test *testing.T) {
+	t.Run("unknown kinds are refused and the rest goes on", func(t *testing.T) {
 		server, address := make()
 		defer server.Close()
 		_ = server.Serve(func(kind messages.Kind, _ []byte) ([]byte, error) {
@@ -62,17 +62,17 @@
 		client, _ := make()
 		defer client.Close()
 		if _, err := client.Call(address, messages.Kind(9999), nil, enough); !errs.Of(err, transport.Refused) {
-			test.Fatalf("got %v", err)
+			t.Fatalf("got %v", err)
 		}
 		if answer, err := client.Call(address, messages.KindShuffle, nil, enough); err != nil || string(answer) != "known" {
-			test.Fatalf("%q %v", answer, err)
+			t.Fatalf("%q %v", answer, err)
 		}
 	})
-	test.Run("nobody there is told apart from no answer", func(test *testing.T) {
+	t.Run("nobody there is told apart from no answer", func(t *testing.T) {
 		client, address := make()
 		defer client.Close()
 		if _, err := client.Call(address, messages.KindShuffle, nil, enough); !errs.Of(err, transport.Unreached) {
-			test.Fatalf("got %v", err)
+			t.Fatalf("got %v", err)
 		}
 		server, busy := make()
 		defer server.Close()
@@ -87,57 +87,57 @@
 		caller, _ := make()
 		defer caller.Close()
 		if _, err := caller.Call(busy, messages.KindShuffle, nil, clock.Milliseconds(500)); !errs.Of(err, transport.Unanswered) {
-			test.Fatalf("got %v", err)
+			t.Fatalf("got %v", err)
 		}
 	})
 }
 
 func newGate() chan struct{} { return make(chan struct{}) }
 
-func TestContractWire(test *testing.T) {
-	contract(test, func() (transport.Transport, string) {
-		address := freeAddress(test)
+func TestContractWire(t *testing.T) {
+	contract(t, func() (transport.Transport, string) {
+		address := freeAddress(t)
 		return transport.NewWire(address), address
 	})
 }
 
-func TestContractMemory(test *testing.T) {
+func TestContractMemory(t *testing.T) {
 	room, count := transport.NewRoom(), 0
-	contract(test, func() (transport.Transport, string) {
+	contract(t, func() (transport.Transport, string) {
 		count++
 		address := fmt.Sprint("node", count)
 		return room.Transport(address), address
 	})
 }
 
-func TestDamagedFrameClosesTheConnection(test *testing.T) {
-	address := freeAddress(test)
+func TestDamagedFrameClosesTheConnection(t *testing.T) {
+	address := freeAddress(t)
 	server := transport.NewWire(address)
 	defer server.Close()
 	_ = server.Serve(func(messages.Kind, []byte) ([]byte, error) { return []byte("yes"), nil })
 	connection, err := net.Dial("tcp4", address)
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	defer connection.Close()
 	_, _ = connection.Write([]byte("this is no frame of ours at all"))
 	_ = connection.SetReadDeadline(clock.Deadline(enough))
 	var one [1]byte
 	if _, err = connection.Read(one[:]); err == nil {
-		test.Fatal("a damaged frame was answered")
+		t.Fatal("a damaged frame was answered")
 	}
 	client := transport.NewWire("")
 	defer client.Close()
 	if answer, err := client.Call(address, messages.KindShuffle, nil, enough); err != nil || string(answer) != "yes" {
-		test.Fatalf("%q %v", answer, err)
+		t.Fatalf("%q %v", answer, err)
 	}
 }
 
-func TestTrailingBytesAreAllowed(test *testing.T) {
+func TestTrailingBytesAreAllowed(t *testing.T) {
 	told := &messages.HolderTold{Duty: messages.Duty{Holder: "a", Epoch: 3}}
 	body, _ := told.MarshalMsg(nil)
 	back := &messages.HolderTold{}
 	if err := transport.Read(append(body, 1, 2, 3), back); err != nil || back.Duty.Epoch != 3 {
-		test.Fatal(back, err)
+		t.Fatal(back, err)
 	}
 }
--- a/internal/platform/transport/wire.go
+++ b/internal/platform/transport/wire.go
@@ -60,27 +60,27 @@
 const lifeShift = 32
 
 // Meter counts what this process says and hears.
-func (wire *Wire) Meter() *Meter { return wire.meter }
+func (w *Wire) Meter() *Meter { return w.meter }
 
 // Unknown counts frames of unknown kinds that were skipped.
-func (wire *Wire) Unknown() int64 { return wire.unknown.Load() }
+func (w *Wire) Unknown() int64 { return w.unknown.Load() }
 
 // Serve listens and hands calls to the handler.
-func (wire *Wire) Serve(handler Handler) error {
-	listener, err := net.Listen("tcp4", wire.own)
+func (w *Wire) Serve(handler Handler) error {
+	listener, err := net.Listen("tcp4", w.own)
 	if err != nil {
-		return Unreached.Wrap(err, "can't listen on "+wire.own)
+		return Unreached.Wrap(err, "can't listen on "+w.own)
 	}
-	wire.lock.Lock()
-	wire.listener = listener
-	wire.lock.Unlock()
+	w.lock.Lock()
+	w.listener = listener
+	w.lock.Unlock()
 	go func() {
 		for {
 			connection, err := listener.Accept()
 			if err != nil {
-				wire.lock.Lock()
-				closed := wire.closed
-				wire.lock.Unlock()
+				w.lock.Lock()
+				closed := w.closed
+				w.lock.Unlock()
 				if closed {
 					return
 				}
@@ -88,40 +88,40 @@
 				clock.Sleep(constants.BackoffBase)
 				continue
 			}
-			go wire.serveOne(connection, handler)
+			go w.serveOne(connection, handler)
 		}
 	}()
 	return nil
 }
 
 // Address is where the wire listens, once it serves.
-func (wire *Wire) Address() string {
-	wire.lock.Lock()
-	defer wire.lock.Unlock()
-	return wire.listener.Addr().String()
+func (w *Wire) Address() string {
+	w.lock.Lock()
+	defer w.lock.Unlock()
+	return w.listener.Addr().String()
 }
 
 // admit notes a caller's connection; false once this life is over.
-func (wire *Wire) admit(connection net.Conn) bool {
-	wire.lock.Lock()
-	defer wire.lock.Unlock()
-	if wire.closed {
+func (w *Wire) admit(connection net.Conn) bool {
+	w.lock.Lock()
+	defer w.lock.Unlock()
+	if w.closed {
 		return false
 	}
-	wire.accepted[connection] = struct{}{}
+	w.accepted[connection] = struct{}{}
 	return true
 }
 
-func (wire *Wire) release(connection net.Conn) {
+func (w *Wire) release(connection net.Conn) {
 	connection.Close()
-	wire.lock.Lock()
-	defer wire.lock.Unlock()
-	delete(wire.accepted, connection)
+	w.lock.Lock()
+	defer w.lock.Unlock()
+	delete(w.accepted, connection)
 }
 
-func (wire *Wire) serveOne(connection net.Conn, handler Handler) {
-	defer wire.release(connection)
-	if !wire.admit(connection) {
+func (w *Wire) serveOne(connection net.Conn, handler Handler) {
+	defer w.release(connection)
+	if !w.admit(connection) {
 		return
 	}
 	reader := bufio.NewReaderSize(connection, 8<<10)
@@ -138,27 +138,27 @@
 			continue
 		}
 		last = one.number
-		wire.meter.received(one.kind, caller, len(one.body))
+		w.meter.received(one.kind, caller, len(one.body))
 		if one.sort == sortTell {
 			go func() {
 				if body, err := handler(one.kind, one.body); err != nil || body == nil {
-					wire.unknown.Add(1)
+					w.unknown.Add(1)
 				}
 			}()
 			continue
 		}
 		if one.sort != sortCall {
-			wire.unknown.Add(1)
+			w.unknown.Add(1)
 			continue
 		}
 		go func() {
 			body, err := handler(one.kind, one.body)
 			answer := frame{sort: sortAnswer, kind: one.kind, number: one.number, body: body}
 			if err != nil || body == nil {
-				wire.unknown.Add(1)
+				w.unknown.Add(1)
 				answer.sort, answer.body = sortUnknown, nil
 			}
-			wire.meter.sent(one.kind, caller, len(answer.body))
+			w.meter.sent(one.kind, caller, len(answer.body))
 			writing.Lock()
 			defer writing.Unlock()
 			_ = connection.SetWriteDeadline(clock.Deadline(constants.BulkCallTime))
@@ -170,33 +170,33 @@
 }
 
 // Call sends one call and waits.
-func (wire *Wire) Call(address string, kind messages.Kind, body []byte, span clock.Span) ([]byte, error) {
-	return wire.peer(address).call(frame{sort: sortCall, kind: kind, body: body}, span)
+func (w *Wire) Call(address string, kind messages.Kind, body []byte, span clock.Span) ([]byte, error) {
+	return w.peer(address).call(frame{sort: sortCall, kind: kind, body: body}, span)
 }
 
-func (wire *Wire) peer(address string) *peer {
-	wire.lock.Lock()
-	defer wire.lock.Unlock()
-	one := wire.peers[address]
+func (w *Wire) peer(address string) *peer {
+	w.lock.Lock()
+	defer w.lock.Unlock()
+	one := w.peers[address]
 	if one == nil {
-		one = &peer{address: address, wire: wire}
-		wire.peers[address] = one
+		one = &peer{address: address, wire: w}
+		w.peers[address] = one
 	}
 	return one
 }
 
 // Close ends the listener and all connections.
-func (wire *Wire) Close() {
-	wire.lock.Lock()
-	defer wire.lock.Unlock()
-	wire.closed = true
-	if wire.listener != nil {
-		wire.listener.Close()
+func (w *Wire) Close() {
+	w.lock.Lock()
+	defer w.lock.Unlock()
+	w.closed = true
+	if w.listener != nil {
+		w.listener.Close()
 	}
-	for connection := range wire.accepted {
+	for connection := range w.accepted {
 		connection.Close()
 	}
-	for _, one := range wire.peers {
+	for _, one := range w.peers {
 		one.drop()
 	}
 }
--- a/internal/tooling/explore/explore.go
+++ b/internal/tooling/explore/explore.go
@@ -57,10 +57,10 @@
 }
 
 // String gives the figures of an exploration on one line.
-func (result Result) String() string {
-	line := fmt.Sprintf("states=%d steps=%d depth=%d whole=%v", result.States, result.Steps, result.Depth, result.Whole)
-	if result.Broken != nil {
-		line += fmt.Sprintf("\nbroken: %v after\n  %s", result.Broken, strings.Join(result.Trace, "\n  "))
+func (r Result) String() string {
+	line := fmt.Sprintf("states=%d steps=%d depth=%d whole=%v", r.States, r.Steps, r.Depth, r.Whole)
+	if r.Broken != nil {
+		line += fmt.Sprintf("\nbroken: %v after\n  %s", r.Broken, strings.Join(r.Trace, "\n  "))
 	}
 	return line
 }
@@ -117,14 +117,14 @@
 
 // follow gives the states one step behind those of a level. The steps of a batch are
 // worked out side by side, and taken in their order.
-func (one *walk) follow(level []open) []open {
+func (w *walk) follow(level []open) []open {
 	var next []open
-	for len(level) > 0 && one.result.Broken == nil {
+	for len(level) > 0 && w.result.Broken == nil {
 		batch := level[:min(len(level), batchStates)]
 		level = level[len(batch):]
-		for _, list := range one.expand(batch) {
+		for _, list := range w.expand(batch) {
 			for index := range list {
-				next = one.meet(next, &list[index])
+				next = w.meet(next, &list[index])
 			}
 		}
 	}
@@ -133,7 +133,7 @@
 
 // expand works out the steps of a batch; those that lead to states met before are
 // counted and left out.
-func (one *walk) expand(batch []open) [][]found {
+func (w *walk) expand(batch []open) [][]found {
 	lists := make([][]found, len(batch))
 	counts := make([]int, workers)
 	var group sync.WaitGroup
@@ -142,23 +142,23 @@
 			for place := worker; place < len(batch); place += workers {
 				steps := batch[place].state.Next()
 				counts[worker] += len(steps)
-				lists[place] = one.unmet(steps, batch[place].place)
+				lists[place] = w.unmet(steps, batch[place].place)
 				batch[place].state = nil
 			}
 		})
 	}
 	group.Wait()
 	for _, count := range counts {
-		one.result.Steps += count
+		w.result.Steps += count
 	}
 	return lists
 }
 
-func (one *walk) unmet(steps []Step, parent int32) []found {
+func (w *walk) unmet(steps []Step, parent int32) []found {
 	var list []found
 	for _, step := range steps {
 		name := keyOf(step.To)
-		if !one.seen[name] {
+		if !w.seen[name] {
 			list = append(list, found{key: name, state: step.To, name: step.Name, parent: parent, broken: step.To.Check()})
 		}
 	}
@@ -171,23 +171,23 @@
 }
 
 // meet adds a state to a level, unless it was met before.
-func (one *walk) meet(level []open, fresh *found) []open {
-	if one.seen[fresh.key] {
+func (w *walk) meet(level []open, fresh *found) []open {
+	if w.seen[fresh.key] {
 		return level
 	}
-	one.seen[fresh.key] = true
-	place := int32(len(one.visits))
-	one.visits = append(one.visits, visit{parent: fresh.parent, name: fresh.name})
-	if fresh.broken != nil && one.result.Broken == nil {
-		one.result.Broken, one.result.Trace = fresh.broken, one.trace(place)
+	w.seen[fresh.key] = true
+	place := int32(len(w.visits))
+	w.visits = append(w.visits, visit{parent: fresh.parent, name: fresh.name})
+	if fresh.broken != nil && w.result.Broken == nil {
+		w.result.Broken, w.result.Trace = fresh.broken, w.trace(place)
 	}
 	return append(level, open{state: fresh.state, place: place})
 }
 
-func (one *walk) trace(place int32) []string {
+func (w *walk) trace(place int32) []string {
 	var names []string
-	for ; place >= 0; place = one.visits[place].parent {
-		names = append([]string{one.visits[place].name}, names...)
+	for ; place >= 0; place = w.visits[place].parent {
+		names = append([]string{w.visits[place].name}, names...)
 	}
 	return names
 }
--- a/internal/tooling/explore/explore_test.go
+++ b/internal/tooling/explore/explore_test.go
@@ -14,9 +14,9 @@
 )
 
 // with gives a plan with a change to it.
-func (plan Plan) with(change func(plan *Plan)) Plan {
-	change(&plan)
-	return plan
+func (p Plan) with(change func(plan *Plan)) Plan {
+	change(&p)
+	return p
 }
 
 // exploration is one plan and the depth of CI, where it is not whole before.
@@ -28,8 +28,8 @@
 
 // Whatever the order of the messages, and whichever are lost, what was chosen is
 // followed only by what was built on it, and what was acknowledged was chosen.
-func TestRegister(test *testing.T) {
-	explore(test, []exploration{
+func TestRegister(t *testing.T) {
+	explore(t, []exploration{
 		{"two writers", twoWriters, 40},
 		{"two writers, two attempts", twoWriters.with(func(plan *Plan) { plan.Attempts = 2 }), 9},
 		{"two writers, a disk lost, a process restarted", twoWriters.with(func(plan *Plan) { plan.Wipes, plan.Restarts = 1, 1 }), 10},
@@ -40,28 +40,28 @@
 }
 
 // The same while the set of acceptors changes.
-func TestChangeOfMembers(test *testing.T) {
-	explore(test, []exploration{
+func TestChangeOfMembers(t *testing.T) {
+	explore(t, []exploration{
 		{"a disk lost, its machine joins again", amnesia, 12},
 		{"a member replaced that is not gone", replacement, 10},
 		{"a member replaced, a process restarted", replacement.with(func(plan *Plan) { plan.Restarts = 1 }), 8},
 	})
 }
 
-func explore(test *testing.T, list []exploration) {
+func explore(t *testing.T, list []exploration) {
 	for _, one := range list {
-		test.Run(one.name, func(test *testing.T) {
+		t.Run(one.name, func(t *testing.T) {
 			result := Run(NewFleet(one.plan), Depth(one.depth))
-			test.Log(result)
+			t.Log(result)
 			if result.Broken != nil {
-				test.Fail()
+				t.Fail()
 			}
 		})
 	}
 }
 
 // Each guard of the register, taken out, is missed within the depth of CI.
-func TestGuardsTakenOut(test *testing.T) {
+func TestGuardsTakenOut(t *testing.T) {
 	for _, one := range []struct {
 		name string
 		plan Plan
@@ -70,11 +70,11 @@
 		{"accepted values are ignored", twoWriters.with(func(plan *Plan) { plan.IgnoreAccepted = true })},
 		{"the old set is let go at once", replacement.with(func(plan *Plan) { plan.SettleAtOnce = true })},
 	} {
-		test.Run(one.name, func(test *testing.T) {
+		t.Run(one.name, func(t *testing.T) {
 			result := Run(NewFleet(one.plan), 12)
-			test.Log(result)
+			t.Log(result)
 			if result.Broken == nil {
-				test.Fatal("the exploration finds nothing wrong")
+				t.Fatal("the exploration finds nothing wrong")
 			}
 		})
 	}
--- a/internal/tooling/explore/faults.go
+++ b/internal/tooling/explore/faults.go
@@ -7,15 +7,15 @@
 
 // bearsLoss tells whether all members of the newest sets chosen have their disks: the
 // loss of one more is within the budget.
-func (one *fleet) bearsLoss() bool {
-	sets := &messages.Register{Acceptors: one.processes[0].first}
-	for index := range one.votes {
-		if one.votes[index].chosen {
-			sets = one.table.at(one.votes[index].value)
+func (f *fleet) bearsLoss() bool {
+	sets := &messages.Register{Acceptors: f.processes[0].first}
+	for index := range f.votes {
+		if f.votes[index].chosen {
+			sets = f.table.at(f.votes[index].value)
 		}
 	}
 	for _, member := range register.Targets(sets) {
-		if one.processes[one.at(member.Name)].disk != member.Disk {
+		if f.processes[f.at(member.Name)].disk != member.Disk {
 			return false
 		}
 	}
@@ -24,12 +24,12 @@
 
 // wipe takes a machine's disk: it comes back empty, under a new identity, and knows
 // only the sets that others tell it.
-func (one *fleet) wipe(place int) *fleet {
-	next := one.clone()
+func (f *fleet) wipe(place int) *fleet {
+	next := f.clone()
 	next.wipes--
 	at := &next.processes[place]
 	at.promised, at.accepted, at.value = messages.Ballot{}, messages.Ballot{}, none
-	if !one.plan.KeepIdentity {
+	if !f.plan.KeepIdentity {
 		at.disk += "'"
 		at.first = nil
 	}
@@ -44,16 +44,16 @@
 }
 
 // restart begins a process's next life with its disk.
-func (one *fleet) restart(place int) *fleet {
-	next := one.clone()
+func (f *fleet) restart(place int) *fleet {
+	next := f.clone()
 	next.restarts--
 	next.restarted(place)
 	next.tidy()
 	return next
 }
 
-func (one *fleet) restarted(place int) {
-	at := &one.processes[place]
+func (f *fleet) restarted(place int) {
+	at := &f.processes[place]
 	if at.proposer != nil {
 		run := *at.proposer
 		run.life++
@@ -61,9 +61,9 @@
 		at.proposer = &run
 	}
 	if at.value == none {
-		at.known = one.table.id(&messages.Register{Acceptors: at.first})
+		at.known = f.table.id(&messages.Register{Acceptors: at.first})
 		return
 	}
-	sets := setsOnly(one.table.at(at.value))
-	at.known = one.table.id(&sets)
+	sets := setsOnly(f.table.at(at.value))
+	at.known = f.table.id(&sets)
 }
--- a/internal/tooling/explore/fleet.go
+++ b/internal/tooling/explore/fleet.go
@@ -133,9 +133,9 @@
 	return one
 }
 
-func (one *fleet) at(name string) int {
-	for place := range one.processes {
-		if one.processes[place].name == name {
+func (f *fleet) at(name string) int {
+	for place := range f.processes {
+		if f.processes[place].name == name {
 			return place
 		}
 	}
@@ -143,43 +143,43 @@
 }
 
 // clone copies what steps change. Proposers are copied by those who change them.
-func (one *fleet) clone() *fleet {
-	next := *one
-	next.processes = append([]process(nil), one.processes...)
-	next.requests = append([]request(nil), one.requests...)
-	next.votes = append([]vote(nil), one.votes...)
+func (f *fleet) clone() *fleet {
+	next := *f
+	next.processes = append([]process(nil), f.processes...)
+	next.requests = append([]request(nil), f.requests...)
+	next.votes = append([]vote(nil), f.votes...)
 	return &next
 }
 
 // member is a process as an acceptor.
-func (one *process) member() messages.Member {
-	return messages.Member{Name: one.name, Address: one.name, Disk: one.disk}
+func (p *process) member() messages.Member {
+	return messages.Member{Name: p.name, Address: p.name, Disk: p.disk}
 }
 
 // acceptor gives the real acceptor with the process's record.
-func (one *fleet) acceptor(place int) *register.Acceptor {
-	at := &one.processes[place]
+func (f *fleet) acceptor(place int) *register.Acceptor {
+	at := &f.processes[place]
 	record := messages.AcceptorRecord{Disk: at.disk, First: at.first, Promised: at.promised, Accepted: at.accepted}
 	if at.value != none {
-		record.HasValue, record.Value = true, *one.table.at(at.value)
+		record.HasValue, record.Value = true, *f.table.at(at.value)
 	}
 	return register.NewAcceptor(record)
 }
 
 // keep takes over what the real acceptor has to have on disk.
-func (one *fleet) keep(place int, acceptor *register.Acceptor) {
-	at, record := &one.processes[place], acceptor.Record()
+func (f *fleet) keep(place int, acceptor *register.Acceptor) {
+	at, record := &f.processes[place], acceptor.Record()
 	at.promised, at.accepted = record.Promised, record.Accepted
 	if record.HasValue {
-		at.value = one.table.id(&record.Value)
+		at.value = f.table.id(&record.Value)
 	}
 }
 
 // learn takes the sets of a value that a process has met.
-func (one *fleet) learn(place int, value *messages.Register) {
-	known := one.table.at(one.processes[place].known)
+func (f *fleet) learn(place int, value *messages.Register) {
+	known := f.table.at(f.processes[place].known)
 	if len(value.Acceptors) > 0 && (value.SetEpoch >= known.SetEpoch || len(known.Acceptors) == 0) {
 		sets := setsOnly(value)
-		one.processes[place].known = one.table.id(&sets)
+		f.processes[place].known = f.table.id(&sets)
 	}
 }
--- a/internal/tooling/explore/key.go
+++ b/internal/tooling/explore/key.go
@@ -10,42 +10,42 @@
 
 // Key names the state. The answers of an attempt count as a set, and so do the
 // requests under way.
-func (one *fleet) Key() []byte {
+func (f *fleet) Key() []byte {
 	text := make([]byte, 0, 512)
-	for place := range one.processes {
-		text = one.processes[place].appendKey(text)
+	for place := range f.processes {
+		text = f.processes[place].appendKey(text)
 	}
-	keys := make([]string, 0, len(one.requests))
-	for index := range one.requests {
-		message := &one.requests[index]
+	keys := make([]string, 0, len(f.requests))
+	for index := range f.requests {
+		message := &f.requests[index]
 		line := appendBallot(make([]byte, 0, 40), message.ballot)
 		line = append(append(line, message.member.Name...), message.member.Disk...)
 		keys = append(keys, string(appendNumber(line, int64(message.value))))
 	}
 	text = appendSet(text, keys)
-	for index := range one.votes {
-		text = appendBallot(text, one.votes[index].ballot)
-		text = appendNumber(text, int64(one.votes[index].value))
-		text = strconv.AppendBool(text, one.votes[index].chosen)
-		names := make([]string, 0, len(one.votes[index].by))
-		for _, member := range one.votes[index].by {
+	for index := range f.votes {
+		text = appendBallot(text, f.votes[index].ballot)
+		text = appendNumber(text, int64(f.votes[index].value))
+		text = strconv.AppendBool(text, f.votes[index].chosen)
+		names := make([]string, 0, len(f.votes[index].by))
+		for _, member := range f.votes[index].by {
 			names = append(names, register.Identity(member))
 		}
 		text = appendSet(text, names)
 	}
-	for _, left := range []int{one.wipes, one.restarts, one.doubles} {
+	for _, left := range []int{f.wipes, f.restarts, f.doubles} {
 		text = appendNumber(text, int64(left))
 	}
 	return text
 }
 
-func (one *process) appendKey(text []byte) []byte {
-	text = append(text, one.disk...)
-	text = appendBallot(text, one.promised)
-	text = appendBallot(text, one.accepted)
-	text = appendNumber(text, int64(one.value))
-	text = appendNumber(text, int64(one.known))
-	run := one.proposer
+func (p *process) appendKey(text []byte) []byte {
+	text = append(text, p.disk...)
+	text = appendBallot(text, p.promised)
+	text = appendBallot(text, p.accepted)
+	text = appendNumber(text, int64(p.value))
+	text = appendNumber(text, int64(p.known))
+	run := p.proposer
 	if run == nil {
 		return text
 	}
--- a/internal/tooling/explore/leaseworld_test.go
+++ b/internal/tooling/explore/leaseworld_test.go
@@ -54,69 +54,69 @@
 	now      clock.Moment
 	nodes    [leaseNodes]leaseNode
 	duty     messages.Duty
-	inFlight []func(random *rapid.T)
+	inFlight []func(rt *rapid.T)
 	names    []string
 	takeover int
 }
 
-func newLeaseWorld(random *rapid.T) *leaseWorld {
+func newLeaseWorld(rt *rapid.T) *leaseWorld {
 	one := &leaseWorld{}
 	for place := range one.nodes {
-		rate := rapid.Float64Range(slowest, fastest).Draw(random, "rate")
+		rate := rapid.Float64Range(slowest, fastest).Draw(rt, "rate")
 		one.nodes[place] = leaseNode{rate: rate, name: fmt.Sprint("n", place), life: 1, grants: lease.NewGrants(0, true)}
 	}
 	return one
 }
 
 // clock is the steady clock of a machine's process.
-func (one *leaseWorld) clock(place int) clock.Moment {
-	node := &one.nodes[place]
-	return clock.Moment(float64(one.now-node.begun) * node.rate)
+func (l *leaseWorld) clock(place int) clock.Moment {
+	node := &l.nodes[place]
+	return clock.Moment(float64(l.now-node.begun) * node.rate)
 }
 
-func (one *leaseWorld) send(name string, function func(random *rapid.T)) {
-	one.inFlight, one.names = append(one.inFlight, function), append(one.names, name)
+func (l *leaseWorld) send(name string, function func(rt *rapid.T)) {
+	l.inFlight, l.names = append(l.inFlight, function), append(l.names, name)
 }
 
-func drawNode(random *rapid.T) int { return rapid.IntRange(0, leaseNodes-1).Draw(random, "node") }
+func drawNode(rt *rapid.T) int { return rapid.IntRange(0, leaseNodes-1).Draw(rt, "node") }
 
-func (one *leaseWorld) advance(random *rapid.T) {
-	one.now = one.now.Plus(clock.Milliseconds(float64(rapid.IntRange(1, 500).Draw(random, "ms"))))
+func (l *leaseWorld) advance(rt *rapid.T) {
+	l.now = l.now.Plus(clock.Milliseconds(float64(rapid.IntRange(1, 500).Draw(rt, "ms"))))
 }
 
 // ask opens a round of the candidate: it renews what it holds, or seeks the duty.
-func (one *leaseWorld) ask(random *rapid.T) {
-	place := drawNode(random)
-	node := &one.nodes[place]
-	if node.term.Epoch > 0 && !node.hold.Stands(one.clock(place)) {
+func (l *leaseWorld) ask(rt *rapid.T) {
+	place := drawNode(rt)
+	node := &l.nodes[place]
+	if node.term.Epoch > 0 && !node.hold.Stands(l.clock(place)) {
 		node.term = messages.Duty{}
 	}
 	question := messages.HoldAsk{Candidate: node.name, Life: node.life, Epoch: node.read.Epoch}
 	if node.term.Epoch > 0 {
 		question.Epoch = node.term.Epoch
 	}
-	current := &round{from: place, question: question, asked: one.clock(place), renews: node.term.Epoch > 0, granted: map[int]bool{}}
-	one.post(current)
+	current := &round{from: place, question: question, asked: l.clock(place), renews: node.term.Epoch > 0, granted: map[int]bool{}}
+	l.post(current)
 }
 
-func (one *leaseWorld) post(current *round) {
-	node := &one.nodes[current.from]
+func (l *leaseWorld) post(current *round) {
+	node := &l.nodes[current.from]
 	node.turn++
 	current.question.Turn = node.turn
 	node.current = current
-	for target := range one.nodes {
-		one.send(fmt.Sprintf("%v to n%d", current.question, target), func(*rapid.T) {
-			acceptor := &one.nodes[target]
-			answer := acceptor.grants.Ask(current.question, acceptor.view, one.clock(target))
-			one.send(fmt.Sprintf("n%d answers %v: %v", target, current.question, answer), func(random *rapid.T) {
-				one.hear(random, current, target, answer)
+	for target := range l.nodes {
+		l.send(fmt.Sprintf("%v to n%d", current.question, target), func(*rapid.T) {
+			acceptor := &l.nodes[target]
+			answer := acceptor.grants.Ask(current.question, acceptor.view, l.clock(target))
+			l.send(fmt.Sprintf("n%d answers %v: %v", target, current.question, answer), func(rt *rapid.T) {
+				l.hear(rt, current, target, answer)
 			})
 		})
 	}
 }
 
-func (one *leaseWorld) hear(random *rapid.T, current *round, from int, answer messages.HoldAnswer) {
-	node := &one.nodes[current.from]
+func (l *leaseWorld) hear(rt *rapid.T, current *round, from int, answer messages.HoldAnswer) {
+	node := &l.nodes[current.from]
 	if node.current != current || current.question.Release {
 		return
 	}
@@ -137,95 +137,95 @@
 		if current.latest <= current.question.Epoch && node.term.Epoch == current.question.Epoch {
 			node.hold.Renewed(current.asked)
 		}
-	case one.duty.Epoch == current.question.Epoch:
-		one.take(random, node, current)
+	case l.duty.Epoch == current.question.Epoch:
+		l.take(rt, node, current)
 	default:
-		one.release(node, current.from)
+		l.release(node, current.from)
 	}
 }
 
 // take raises the epoch in the register: a majority of the acceptors knows it.
-func (one *leaseWorld) take(random *rapid.T, node *leaseNode, current *round) {
-	one.duty = messages.Duty{Holder: node.name, Life: node.life, Epoch: one.duty.Epoch + 1}
-	without := rapid.IntRange(0, leaseNodes).Draw(random, "not told")
-	for place := range one.nodes {
+func (l *leaseWorld) take(rt *rapid.T, node *leaseNode, current *round) {
+	l.duty = messages.Duty{Holder: node.name, Life: node.life, Epoch: l.duty.Epoch + 1}
+	without := rapid.IntRange(0, leaseNodes).Draw(rt, "not told")
+	for place := range l.nodes {
 		if place != without {
-			one.nodes[place].view = one.duty
+			l.nodes[place].view = l.duty
 		}
 	}
-	node.term, node.read = one.duty, one.duty
+	node.term, node.read = l.duty, l.duty
 	node.hold.Renewed(current.asked)
-	one.takeover++
+	l.takeover++
 }
 
 // release gives back what was granted.
-func (one *leaseWorld) release(node *leaseNode, place int) {
+func (l *leaseWorld) release(node *leaseNode, place int) {
 	node.hold.Drop()
 	node.term = messages.Duty{}
-	one.post(&round{from: place, question: messages.HoldAsk{Candidate: node.name, Life: node.life, Epoch: node.read.Epoch, Release: true}})
+	l.post(&round{from: place, question: messages.HoldAsk{Candidate: node.name, Life: node.life, Epoch: node.read.Epoch, Release: true}})
 }
 
 // give up: a candidate that was not granted the duty in time, or leaves, releases it.
-func (one *leaseWorld) giveUp(random *rapid.T) {
-	place := drawNode(random)
-	one.release(&one.nodes[place], place)
+func (l *leaseWorld) giveUp(rt *rapid.T) {
+	place := drawNode(rt)
+	l.release(&l.nodes[place], place)
 }
 
-func (one *leaseWorld) deliver(random *rapid.T) {
-	if len(one.inFlight) == 0 {
+func (l *leaseWorld) deliver(rt *rapid.T) {
+	if len(l.inFlight) == 0 {
 		return
 	}
-	place := rapid.IntRange(0, len(one.inFlight)-1).Draw(random, "message")
-	random.Log(one.names[place])
-	function := one.inFlight[place]
-	if !rapid.Bool().Draw(random, "again") {
-		one.inFlight = append(one.inFlight[:place], one.inFlight[place+1:]...)
-		one.names = append(one.names[:place], one.names[place+1:]...)
+	place := rapid.IntRange(0, len(l.inFlight)-1).Draw(rt, "message")
+	rt.Log(l.names[place])
+	function := l.inFlight[place]
+	if !rapid.Bool().Draw(rt, "again") {
+		l.inFlight = append(l.inFlight[:place], l.inFlight[place+1:]...)
+		l.names = append(l.names[:place], l.names[place+1:]...)
 	}
-	function(random)
+	function(rt)
 }
 
 // exchange is a round of which most messages arrive at once; the others stay late.
-func (one *leaseWorld) exchange(random *rapid.T) {
-	before := len(one.inFlight)
-	if rapid.Bool().Draw(random, "up to date") {
-		for place := range one.nodes {
-			one.nodes[place].read = one.duty
+func (l *leaseWorld) exchange(rt *rapid.T) {
+	before := len(l.inFlight)
+	if rapid.Bool().Draw(rt, "up to date") {
+		for place := range l.nodes {
+			l.nodes[place].read = l.duty
 		}
 	}
-	one.ask(random)
-	for place := before; place < len(one.inFlight); {
-		if rapid.IntRange(0, 3).Draw(random, "late") == 0 {
+	l.ask(rt)
+	for place := before; place < len(l.inFlight); {
+		if rapid.IntRange(0, 3).Draw(rt, "late") == 0 {
 			place++
 			continue
 		}
-		random.Log(one.names[place])
-		function := one.inFlight[place]
-		one.inFlight = append(one.inFlight[:place], one.inFlight[place+1:]...)
-		one.names = append(one.names[:place], one.names[place+1:]...)
-		function(random)
+		rt.Log(l.names[place])
+		function := l.inFlight[place]
+		l.inFlight = append(l.inFlight[:place], l.inFlight[place+1:]...)
+		l.names = append(l.names[:place], l.names[place+1:]...)
+		function(rt)
 	}
 }
 
 // restart begins a machine's next life: its clock starts again, the acceptor keeps its
 // register value and forgets its grants, the candidate forgets all.
-func (one *leaseWorld) restart(random *rapid.T) {
-	node := &one.nodes[drawNode(random)]
-	node.begun, node.life, node.turn = one.now, node.life+1, 0
+func (l *leaseWorld) restart(rt *rapid.T) {
+	node := &l.nodes[drawNode(rt)]
+	node.begun, node.life, node.turn = l.now, node.life+1, 0
 	node.grants, node.hold, node.current = lease.NewGrants(0, false), lease.Hold{}, nil
 	node.term, node.read = messages.Duty{}, messages.Duty{}
 }
 
-func (one *leaseWorld) check(random *rapid.T) {
+func (l *leaseWorld) check(rt *rapid.T) {
 	standing := ""
 	count := 0
-	for place := range one.nodes {
-		if node := &one.nodes[place]; node.term.Epoch > 0 && node.hold.Stands(one.clock(place)) {
+	for place := range l.nodes {
+		if node := &l.nodes[place]; node.term.Epoch > 0 && node.hold.Stands(l.clock(place)) {
 			standing += fmt.Sprintf(" %s in epoch %d", node.name, node.term.Epoch)
 			count++
 		}
 	}
 	if count > 1 {
-		random.Fatalf("%d holds stand at once:%s", count, standing)
+		rt.Fatalf("%d holds stand at once:%s", count, standing)
 	}
 }
--- a/internal/tooling/explore/main_test.go
+++ b/internal/tooling/explore/main_test.go
@@ -7,9 +7,9 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-func TestMain(main *testing.M) {
+func TestMain(m *testing.M) {
 	if err := simulation.PinRapid(200); err != nil {
 		panic(err)
 	}
-	os.Exit(main.Run())
+	os.Exit(m.Run())
 }
--- a/internal/tooling/explore/tidy.go
+++ b/internal/tooling/explore/tidy.go
@@ -9,24 +9,24 @@
 
 // tidy drops messages that can change nothing any more: whoever would refuse them
 // now refuses them for ever.
-func (one *fleet) tidy() {
-	kept := one.requests[:0]
-	for index := range one.requests {
-		message := &one.requests[index]
-		at := &one.processes[one.at(message.member.Name)]
-		refused := register.Less(message.ballot, at.promised) || (at.disk != message.member.Disk && !one.plan.KeepIdentity)
-		if (message.value == none && one.waits(message)) || (message.value != none && !refused) {
+func (f *fleet) tidy() {
+	kept := f.requests[:0]
+	for index := range f.requests {
+		message := &f.requests[index]
+		at := &f.processes[f.at(message.member.Name)]
+		refused := register.Less(message.ballot, at.promised) || (at.disk != message.member.Disk && !f.plan.KeepIdentity)
+		if (message.value == none && f.waits(message)) || (message.value != none && !refused) {
 			kept = append(kept, *message)
 		}
 	}
-	one.requests = kept
-	one.votes = slices.DeleteFunc(one.votes, func(cast vote) bool { return !cast.chosen && !one.mayBeChosen(cast.ballot) })
+	f.requests = kept
+	f.votes = slices.DeleteFunc(f.votes, func(cast vote) bool { return !cast.chosen && !f.mayBeChosen(cast.ballot) })
 }
 
 // mayBeChosen tells whether accepts of a ballot are under way or can still be sent.
-func (one *fleet) mayBeChosen(ballot messages.Ballot) bool {
-	for index := range one.requests {
-		if one.requests[index].ballot == ballot {
+func (f *fleet) mayBeChosen(ballot messages.Ballot) bool {
+	for index := range f.requests {
+		if f.requests[index].ballot == ballot {
 			return true
 		}
 	}
--- a/internal/tooling/explore/values.go
+++ b/internal/tooling/explore/values.go
@@ -20,26 +20,26 @@
 
 func newValues() *values { return &values{index: map[string]valueID{}} }
 
-func (table *values) id(value *messages.Register) valueID {
+func (v *values) id(value *messages.Register) valueID {
 	text, err := value.MarshalMsg(nil)
 	if err != nil {
 		panic(err)
 	}
-	table.lock.Lock()
-	defer table.lock.Unlock()
-	id, known := table.index[string(text)]
+	v.lock.Lock()
+	defer v.lock.Unlock()
+	id, known := v.index[string(text)]
 	if !known {
-		id = valueID(len(table.list))
-		table.list = append(table.list, *value)
-		table.index[string(text)] = id
+		id = valueID(len(v.list))
+		v.list = append(v.list, *value)
+		v.index[string(text)] = id
 	}
 	return id
 }
 
-func (table *values) at(id valueID) *messages.Register {
-	table.lock.RLock()
-	defer table.lock.RUnlock()
-	return &table.list[id]
+func (v *values) at(id valueID) *messages.Register {
+	v.lock.RLock()
+	defer v.lock.RUnlock()
+	return &v.list[id]
 }
 
 // setsOnly gives a value that has nothing but another's sets: all that a proposer
--- a/internal/tooling/faultrelay/faultrelay.go
+++ b/internal/tooling/faultrelay/faultrelay.go
@@ -28,7 +28,7 @@
 var names = [...]string{"cut", "reset", "silence", "freeze", "double", "restart"}
 
 // String gives the name of a trouble.
-func (trouble Trouble) String() string { return names[trouble] }
+func (t Trouble) String() string { return names[t] }
 
 // Troubles lists all of them.
 func Troubles() []Trouble { return []Trouble{Cut, Reset, Silence, Freeze, Double, Restart} }
@@ -70,75 +70,75 @@
 }
 
 // Address is where callers connect.
-func (one *Relay) Address() string { return one.listener.Addr().String() }
+func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-func (one *Relay) accept() {
-	defer one.pumps.Done()
+func (r *Relay) accept() {
+	defer r.pumps.Done()
 	for {
-		near, err := one.listener.Accept()
+		near, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp4", one.target)
+		far, err := net.Dial("tcp4", r.target)
 		if err != nil {
 			near.Close()
 			continue
 		}
-		one.lock.Lock()
-		one.open = append(one.open, near, far)
-		if one.over {
+		r.lock.Lock()
+		r.open = append(r.open, near, far)
+		if r.over {
 			near.Close()
 		}
-		one.lock.Unlock()
-		one.pumps.Add(2)
-		go one.pump(near, far, 0)
-		go one.pump(far, near, 1)
+		r.lock.Unlock()
+		r.pumps.Add(2)
+		go r.pump(near, far, 0)
+		go r.pump(far, near, 1)
 	}
 }
 
 // Arm sets the strike and counts from here.
-func (one *Relay) Arm(next *Strike) {
-	one.lock.Lock()
-	defer one.lock.Unlock()
-	one.armed, one.passed, one.kept = next, [2]int{}, nil
+func (r *Relay) Arm(next *Strike) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	r.armed, r.passed, r.kept = next, [2]int{}, nil
 }
 
 // Counts tells how many bytes passed in each direction since the relay was armed.
-func (one *Relay) Counts() (request, answer int) {
-	one.lock.Lock()
-	defer one.lock.Unlock()
-	return one.passed[0], one.passed[1]
+func (r *Relay) Counts() (request, answer int) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	return r.passed[0], r.passed[1]
 }
 
 // due gives the strike, once, and how much of the bytes passes before it.
-func (one *Relay) due(direction int, bytes []byte) (*Strike, int) {
-	one.lock.Lock()
-	defer one.lock.Unlock()
-	before := one.passed[direction]
-	one.passed[direction] += len(bytes)
-	if one.armed == nil || one.armed.Answer != (direction == 1) {
+func (r *Relay) due(direction int, bytes []byte) (*Strike, int) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	before := r.passed[direction]
+	r.passed[direction] += len(bytes)
+	if r.armed == nil || r.armed.Answer != (direction == 1) {
 		return nil, 0
 	}
-	one.kept = append(one.kept, bytes...)
-	if one.passed[direction] < one.armed.At {
+	r.kept = append(r.kept, bytes...)
+	if r.passed[direction] < r.armed.At {
 		return nil, 0
 	}
-	struck := one.armed
-	one.armed = nil
+	struck := r.armed
+	r.armed = nil
 	return struck, struck.At - before
 }
 
-func (one *Relay) pump(from, to net.Conn, direction int) {
-	defer one.pumps.Done()
+func (r *Relay) pump(from, to net.Conn, direction int) {
+	defer r.pumps.Done()
 	defer to.Close()
 	buffer := make([]byte, 4<<10)
 	for {
 		count, err := from.Read(buffer)
 		if count > 0 {
-			struck, allowed := one.due(direction, buffer[:count])
+			struck, allowed := r.due(direction, buffer[:count])
 			if struck == nil {
 				_, _ = to.Write(buffer[:count])
-			} else if !one.befall(struck, from, to, buffer[:count], allowed) {
+			} else if !r.befall(struck, from, to, buffer[:count], allowed) {
 				return
 			}
 		}
@@ -149,20 +149,20 @@
 }
 
 // befall plays a strike; false ends the pump.
-func (one *Relay) befall(struck *Strike, from, to net.Conn, bytes []byte, allowed int) bool {
+func (r *Relay) befall(struck *Strike, from, to net.Conn, bytes []byte, allowed int) bool {
 	if struck.Trouble == Double {
 		_, _ = to.Write(bytes)
-		_, _ = to.Write(one.kept[:struck.At])
+		_, _ = to.Write(r.kept[:struck.At])
 		return true
 	}
 	_, _ = to.Write(bytes[:allowed])
 	switch struck.Trouble {
 	case Silence:
-		<-one.ended
+		<-r.ended
 	case Freeze:
 		select {
-		case <-one.thawed:
-		case <-one.ended:
+		case <-r.thawed:
+		case <-r.ended:
 		}
 		_, _ = to.Write(bytes[allowed:])
 		return true
@@ -176,20 +176,20 @@
 }
 
 // Thaw lets what is held back pass on.
-func (one *Relay) Thaw() { close(one.thawed) }
+func (r *Relay) Thaw() { close(r.thawed) }
 
 // End closes everything in order and waits until all that was under way has arrived.
-func (one *Relay) End() {
-	one.listener.Close()
-	close(one.ended)
-	one.lock.Lock()
-	one.over = true
-	for place, connection := range one.open {
+func (r *Relay) End() {
+	r.listener.Close()
+	close(r.ended)
+	r.lock.Lock()
+	r.over = true
+	for place, connection := range r.open {
 		if place%2 == 0 {
 			// Ends the way to the server once what was read has been written.
 			connection.Close()
 		}
 	}
-	one.lock.Unlock()
-	one.pumps.Wait()
+	r.lock.Unlock()
+	r.pumps.Wait()
 }
--- a/internal/tooling/faultrelay/faultrelay_test.go
+++ b/internal/tooling/faultrelay/faultrelay_test.go
@@ -8,21 +8,21 @@
 )
 
 // A relay ends whether a caller came before, while or after it does.
-func TestEndMeetsACallerThatIsJustComing(test *testing.T) {
+func TestEndMeetsACallerThatIsJustComing(t *testing.T) {
 	server, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	defer server.Close()
 	const rounds, patience = 300, 60_000
 	for round := range rounds {
 		relay, err := New(server.Addr().String())
 		if err != nil {
-			test.Fatal(err)
+			t.Fatal(err)
 		}
 		caller, err := net.Dial("tcp4", relay.Address())
 		if err != nil {
-			test.Fatal(err)
+			t.Fatal(err)
 		}
 		served := make(chan net.Conn, 1)
 		go func() {
@@ -42,7 +42,7 @@
 		select {
 		case <-ended:
 		case <-clock.After(clock.Milliseconds(patience)):
-			test.Fatal("does not end, round ", round)
+			t.Fatal("does not end, round ", round)
 		}
 		caller.Close()
 		// A caller that the relay never took is not served: this one ends the wait.
--- a/internal/tooling/fleetshell/controllers.go
+++ b/internal/tooling/fleetshell/controllers.go
@@ -9,11 +9,11 @@
 )
 
 // Controllers gives the addresses of the control processes that the seed knows.
-func (shell *Shell) Controllers() ([]string, error) {
+func (s *Shell) Controllers() ([]string, error) {
 	seen := &messages.Status{}
-	err := transport.Ask(shell.Transport, shell.Seed, messages.KindStatus, &messages.StatusAsk{Query: "nodes"}, seen, shell.Limit)
+	err := transport.Ask(s.Transport, s.Seed, messages.KindStatus, &messages.StatusAsk{Query: "nodes"}, seen, s.Limit)
 	if err != nil {
-		return nil, NoFleet.Wrap(err, "seed "+shell.Seed+" does not answer (its internal address is needed)")
+		return nil, NoFleet.Wrap(err, "seed "+s.Seed+" does not answer (its internal address is needed)")
 	}
 	var addresses []string
 	for _, row := range seen.Rows {
@@ -22,7 +22,7 @@
 		}
 	}
 	if len(addresses) == 0 {
-		return nil, NoFleet.New("seed " + shell.Seed + " knows no controller")
+		return nil, NoFleet.New("seed " + s.Seed + " knows no controller")
 	}
 	return addresses, nil
 }
--- a/internal/tooling/fleetshell/fleet.go
+++ b/internal/tooling/fleetshell/fleet.go
@@ -27,20 +27,20 @@
 // fleet gives every process: most know a part of the fleet only, controllers know all. One
 // is asked for the zones, and then for the processes of each zone, since an answer is
 // bounded. What the seed knows is used where no controller answers.
-func (shell *Shell) fleet(seen *messages.Status) []process {
+func (s *Shell) fleet(seen *messages.Status) []process {
 	found := map[string]process{}
 	for _, one := range processesOf(seen) {
 		found[one.key] = one
 	}
 	for _, one := range processesOf(seen) {
 		zones := &messages.Status{}
-		if one.role != membership.RoleController || shell.put(one.address, &messages.StatusAsk{Query: "zones"}, zones) != nil {
+		if one.role != membership.RoleController || s.put(one.address, &messages.StatusAsk{Query: "zones"}, zones) != nil {
 			continue
 		}
 		whole := true
 		for _, row := range zones.Rows {
 			part := &messages.Status{}
-			if shell.put(one.address, &messages.StatusAsk{Query: "nodes", Zone: row[0]}, part) != nil {
+			if s.put(one.address, &messages.StatusAsk{Query: "nodes", Zone: row[0]}, part) != nil {
 				whole = false
 				break
 			}
@@ -60,13 +60,13 @@
 	return all
 }
 
-func (shell *Shell) put(address string, question *messages.StatusAsk, answer *messages.Status) error {
-	return transport.Ask(shell.Transport, address, messages.KindStatus, question, answer, shell.Limit)
+func (s *Shell) put(address string, question *messages.StatusAsk, answer *messages.Status) error {
+	return transport.Ask(s.Transport, address, messages.KindStatus, question, answer, s.Limit)
 }
 
 // askZones puts a query to the processes of the roles, one zone after the other, so
 // that a large fleet does not answer all at once.
-func (shell *Shell) askZones(fleet []process, query string, roles []string) []Answer {
+func (s *Shell) askZones(fleet []process, query string, roles []string) []Answer {
 	var answers []Answer
 	zones, places := map[string][]int{}, []string{}
 	addresses := []string{}
@@ -90,7 +90,7 @@
 			go func() {
 				defer group.Done()
 				one := &answers[place]
-				one.Silent = shell.put(addresses[place], &messages.StatusAsk{Query: query}, &one.Status) != nil
+				one.Silent = s.put(addresses[place], &messages.StatusAsk{Query: query}, &one.Status) != nil
 			}()
 		}
 		group.Wait()
--- a/internal/tooling/fleetshell/fleet_test.go
+++ b/internal/tooling/fleetshell/fleet_test.go
@@ -11,7 +11,7 @@
 
 // A seed that knows few leads to a controller, which names all, zone by zone; a controller
 // that is silent is passed over.
-func TestAllAreAskedThroughAController(test *testing.T) {
+func TestAllAreAskedThroughAController(t *testing.T) {
 	room := transport.NewRoom()
 	columns := []string{"process", "zone", "address"}
 	row := func(key, zone string) []string { return []string{key, zone, key + ":1"} }
@@ -52,6 +52,6 @@
 		}
 	}
 	if err != nil || len(answers) != 152 || silent != 1 {
-		test.Fatal(len(answers), silent, err)
+		t.Fatal(len(answers), silent, err)
 	}
 }
--- a/internal/tooling/fleetshell/fleetshell.go
+++ b/internal/tooling/fleetshell/fleetshell.go
@@ -75,18 +75,18 @@
 }
 
 // Ask puts one query to every process that answers it.
-func (shell *Shell) Ask(query string) ([]Answer, error) {
+func (s *Shell) Ask(query string) ([]Answer, error) {
 	known, found := Queries[query]
 	if !found {
 		return nil, BadCall.New("unknown query " + query + "; there are: " + strings.Join(QueryNames(), ", "))
 	}
 	seen := &messages.Status{}
-	err := transport.Ask(shell.Transport, shell.Seed, messages.KindStatus, &messages.StatusAsk{Query: "nodes"}, seen, shell.Limit)
+	err := transport.Ask(s.Transport, s.Seed, messages.KindStatus, &messages.StatusAsk{Query: "nodes"}, seen, s.Limit)
 	if err != nil {
-		return nil, NoFleet.Wrap(err, "seed "+shell.Seed+" does not answer (its internal address is needed)")
+		return nil, NoFleet.Wrap(err, "seed "+s.Seed+" does not answer (its internal address is needed)")
 	}
 	if len(known.Roles) == 0 {
 		return named([]Answer{{Process: "seed", Status: *seen}}), nil
 	}
-	return named(shell.askZones(shell.fleet(seen), query, known.Roles)), nil
+	return named(s.askZones(s.fleet(seen), query, known.Roles)), nil
 }
--- a/internal/tooling/fleetshell/fleetshell_test.go
+++ b/internal/tooling/fleetshell/fleetshell_test.go
@@ -11,7 +11,7 @@
 	"lemonarch/internal/platform/transport"
 )
 
-func fleet(test *testing.T) (*transport.Room, transport.Transport) {
+func fleet(t *testing.T) (*transport.Room, transport.Transport) {
 	room := transport.NewRoom()
 	for _, name := range []string{"forge/a", "forge/b", "locker/c"} {
 		_ = room.Transport(name + ":1").Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
@@ -32,44 +32,44 @@
 	return room, room.Transport("shell")
 }
 
-func TestSilenceIsShown(test *testing.T) {
-	room, transport := fleet(test)
+func TestSilenceIsShown(t *testing.T) {
+	room, transport := fleet(t)
 	room.Cut("forge/b:1", true)
 	shell, err := New(transport, "forge/a:1", clock.Milliseconds(200))
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	answers, err := shell.Ask("index")
 	if err != nil || len(answers) != 3 || !answers[1].Silent || answers[0].Silent {
-		test.Fatal(answers, err)
+		t.Fatal(answers, err)
 	}
 	var table, list bytes.Buffer
 	Table(&table, answers)
 	if !strings.Contains(table.String(), "gateway/b  SILENT") || !strings.Contains(table.String(), "index of locker/c") {
-		test.Fatal(table.String())
+		t.Fatal(table.String())
 	}
 	if JSON(&list, answers) != nil || !strings.Contains(list.String(), `"silent": true`) {
-		test.Fatal(list.String())
+		t.Fatal(list.String())
 	}
 	if answers, _ = shell.Ask("nodes"); answers[0].Status.Rows[2][0] != "store/c" {
-		test.Fatal("the role's word on the wire is shown", answers)
+		t.Fatal("the role's word on the wire is shown", answers)
 	}
 	if answers, _ = shell.Ask("lots"); len(answers) != 1 || answers[0].Process != "store/c" {
-		test.Fatal(answers)
+		t.Fatal(answers)
 	}
 }
 
-func TestBadCalls(test *testing.T) {
-	_, transport := fleet(test)
+func TestBadCalls(t *testing.T) {
+	_, transport := fleet(t)
 	if _, err := New(transport, "nowhere", 1); !errs.Of(err, BadCall) {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	shell, _ := New(transport, "forge/a:1", clock.Milliseconds(200))
 	if _, err := shell.Ask("weather"); !errs.Of(err, BadCall) {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	lost, _ := New(transport, "forge/z:1", clock.Milliseconds(200))
 	if _, err := lost.Ask("nodes"); !errs.Of(err, NoFleet) {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 }
--- a/internal/tooling/hollowfleet/ages.go
+++ b/internal/tooling/hollowfleet/ages.go
@@ -19,13 +19,13 @@
 	ageBin  = 20 * 1_000_000
 )
 
-func (ages *ages) add(age clock.Span, known bool) {
-	ages.sum++
+func (a *ages) add(age clock.Span, known bool) {
+	a.sum++
 	if !known {
-		ages.never++
+		a.never++
 		return
 	}
-	ages.bins[min(int(age/ageBin), ageBins-1)]++
+	a.bins[min(int(age/ageBin), ageBins-1)]++
 }
 
 // Ages is how old the observations are that processes go by.
@@ -39,15 +39,15 @@
 	Looks      int64   `json:"looks"`
 }
 
-func (ages *ages) result() Ages {
-	if ages.sum == 0 {
+func (a *ages) result() Ages {
+	if a.sum == 0 {
 		return Ages{}
 	}
-	found := Ages{Looks: ages.sum, NeverShare: float64(ages.never) / float64(ages.sum)}
+	found := Ages{Looks: a.sum, NeverShare: float64(a.never) / float64(a.sum)}
 	// Of those ever heard: what was never heard has no age.
-	heard := ages.sum - ages.never
-	count, stale := int64(0), ages.never
-	for bin, many := range ages.bins {
+	heard := a.sum - a.never
+	count, stale := int64(0), a.never
+	for bin, many := range a.bins {
 		at := float64(bin+1) * ageBin / 1e6
 		if found.MedianMs == 0 && (count+many)*2 >= heard && heard > 0 {
 			found.MedianMs = at
@@ -60,7 +60,7 @@
 			stale += many
 		}
 	}
-	found.StaleShare = float64(stale) / float64(ages.sum)
+	found.StaleShare = float64(stale) / float64(a.sum)
 	return found
 }
 
--- a/internal/tooling/hollowfleet/backlog.go
+++ b/internal/tooling/hollowfleet/backlog.go
@@ -9,8 +9,8 @@
 )
 
 // addToBacklog notes processes that have not confirmed an update.
-func (registrations *registrations) addToBacklog(node *Node, update *messages.Relay, entries []messages.Entry, pause clock.Span) {
-	own := registrations.table(node)
+func (r *registrations) addToBacklog(node *Node, update *messages.Relay, entries []messages.Entry, pause clock.Span) {
+	own := r.table(node)
 	var ids []string
 	for _, worker := range update.Workers {
 		ids = append(ids, worker.ID)
@@ -23,28 +23,28 @@
 }
 
 // tendBacklog makes the deliveries that are due.
-func (registrations *registrations) tendBacklog(node *Node, own *table) {
+func (r *registrations) tendBacklog(node *Node, own *table) {
 	if len(own.backlog.Names()) == 0 {
 		return
 	}
-	directory := registrations.fleet.members.all(node)
+	directory := r.fleet.members.all(node)
 	var due []broadcast.Delivery
 	node.step(CoreBacklog, func() { due = own.backlog.Due(directory, node.now()) })
 	for _, delivery := range due {
-		registrations.redeliver(node, own, delivery)
+		r.redeliver(node, own, delivery)
 	}
 }
 
 // redeliver makes one delivery: changes of workers first, then the number of the
 // configuration, which the process pulls.
-func (registrations *registrations) redeliver(node *Node, own *table, delivery broadcast.Delivery) {
+func (r *registrations) redeliver(node *Node, own *table, delivery broadcast.Delivery) {
 	var updates []messages.Worker
 	for _, id := range delivery.Workers {
 		if worker, known := own.registry.Get(id); known {
 			updates = append(updates, worker)
 		}
 	}
-	name := func() { registrations.nameConfiguration(node, own, delivery) }
+	name := func() { r.nameConfiguration(node, own, delivery) }
 	if len(updates) == 0 {
 		name()
 		return
@@ -58,7 +58,7 @@
 }
 
 // nameConfiguration tells a process the generation that it has not confirmed.
-func (registrations *registrations) nameConfiguration(node *Node, own *table, delivery broadcast.Delivery) {
+func (r *registrations) nameConfiguration(node *Node, own *table, delivery broadcast.Delivery) {
 	if delivery.Generation == 0 {
 		own.backlog.Confirmed(delivery)
 		return
--- a/internal/tooling/hollowfleet/contacts.go
+++ b/internal/tooling/hollowfleet/contacts.go
@@ -25,70 +25,70 @@
 func (*contacts) Name() string { return "contact" }
 
 // stateOf gives a controller's lease, or nil for any other process.
-func (contacts *contacts) stateOf(node *Node) *contactState {
+func (c *contacts) stateOf(node *Node) *contactState {
 	own, _ := node.state[contactsPlace].(*contactState)
 	return own
 }
 
 // Begin starts the rounds of a controller.
-func (contacts *contacts) Begin(node *Node) any {
+func (c *contacts) Begin(node *Node) any {
 	if node.places() {
 		return nil
 	}
 	node.answerers[messages.KindContact] = reads(node, CoreContact, func(*messages.ContactAsk) transport.Writable {
-		return contacts.accepted(node)
+		return c.accepted(node)
 	})
-	node.every(constants.ContactPeriod, func() { contacts.round(node) })
+	node.every(constants.ContactPeriod, func() { c.round(node) })
 	return &contactState{lease: contact.New()}
 }
 
 // Drop lets go of the lease.
-func (contacts *contacts) Drop(node *Node) { node.state[contactsPlace] = nil }
+func (c *contacts) Drop(node *Node) { node.state[contactsPlace] = nil }
 
 // accepted is what this controller's acceptor tells of itself.
-func (contacts *contacts) accepted(node *Node) *messages.ContactTold {
-	record := contacts.fleet.configuration.stateOf(node).acceptor.Record()
+func (c *contacts) accepted(node *Node) *messages.ContactTold {
+	record := c.fleet.configuration.stateOf(node).acceptor.Record()
 	return &messages.ContactTold{Disk: record.Disk, SetEpoch: record.Value.SetEpoch, Generation: record.Value.Current.Generation}
 }
 
 // sets gives the acceptor sets that a controller knows.
-func (contacts *contacts) sets(node *Node) messages.Register {
-	known := contacts.fleet.configuration.stateOf(node).known
+func (c *contacts) sets(node *Node) messages.Register {
+	known := c.fleet.configuration.stateOf(node).known
 	known.Body, known.History = nil, nil
 	return known
 }
 
 // attached tells whether a controller's lease is valid.
-func (contacts *contacts) attached(node *Node) (valid bool) {
-	own, sets := contacts.stateOf(node), contacts.sets(node)
+func (c *contacts) attached(node *Node) (valid bool) {
+	own, sets := c.stateOf(node), c.sets(node)
 	node.step(CoreContact, func() { valid = own.lease.Valid(&sets, node.now()) })
 	return valid
 }
 
 // round asks all acceptors, this process's own among them.
-func (contacts *contacts) round(node *Node) {
-	own, sets, asked := contacts.stateOf(node), contacts.sets(node), node.now()
+func (c *contacts) round(node *Node) {
+	own, sets, asked := c.stateOf(node), c.sets(node), node.now()
 	node.step(CoreContact, func() { own.lease.Trim(&sets) })
 	for _, member := range register.Targets(&sets) {
 		if member.Address == node.own.Address {
-			contacts.answered(node, member, asked, contacts.accepted(node))
+			c.answered(node, member, asked, c.accepted(node))
 			continue
 		}
 		told := &messages.ContactTold{}
 		node.ask(CoreContact, member.Address, messages.KindContact, &messages.ContactAsk{From: node.own.Address}, told, constants.ContactTime, func(reached bool) {
 			if reached {
-				contacts.answered(node, member, asked, told)
+				c.answered(node, member, asked, told)
 			}
 		})
 	}
 }
 
 // answered takes one answer; the lease is not renewed by an acceptor that is ahead.
-func (contacts *contacts) answered(node *Node, member messages.Member, asked clock.Moment, told *messages.ContactTold) {
-	own := contacts.stateOf(node)
+func (c *contacts) answered(node *Node, member messages.Member, asked clock.Moment, told *messages.ContactTold) {
+	own := c.stateOf(node)
 	member.Disk = told.Disk
 	accepted := contact.Followed{SetEpoch: told.SetEpoch, Generation: told.Generation}
-	followed := contact.Followed{SetEpoch: contacts.sets(node).SetEpoch, Generation: node.generation}
+	followed := contact.Followed{SetEpoch: c.sets(node).SetEpoch, Generation: node.generation}
 	ahead := false
 	node.step(CoreContact, func() { ahead = own.lease.Answered(member, asked, accepted, followed) })
 	if !ahead || own.catching {
@@ -97,6 +97,6 @@
 	own.catching = true
 	node.after(constants.PushTime/2, func() {
 		own.catching = false
-		contacts.fleet.configuration.saw(node, accepted.Generation)
+		c.fleet.configuration.saw(node, accepted.Generation)
 	})
 }
--- a/internal/tooling/hollowfleet/controllers.go
+++ b/internal/tooling/hollowfleet/controllers.go
@@ -9,35 +9,35 @@
 )
 
 // beginBeats starts the exchange between controllers.
-func (registrations *registrations) beginBeats(node *Node, own *table) {
-	members := registrations.fleet.members
+func (r *registrations) beginBeats(node *Node, own *table) {
+	members := r.fleet.members
 	node.answerers[messages.KindControllerBeat] = reads(node, CoreMembership, func(beat *messages.ControllerBeat) transport.Writable {
-		back := registrations.report(node, own, membership.Key(beat.From))
+		back := r.report(node, own, membership.Key(beat.From))
 		told := node.now()
-		node.after(0, func() { node.step(CoreMembership, func() { registrations.heardBeat(node, own, beat, told) }) })
+		node.after(0, func() { node.step(CoreMembership, func() { r.heardBeat(node, own, beat, told) }) })
 		return back
 	})
 	node.answerers[messages.KindDirectoryPull] = reads(node, CoreMembership, func(question *messages.DirectoryPull) transport.Writable {
 		view := members.view(node)
 		return &messages.Shuffle{Entries: view.Since(question.Since, node.now()), Table: view.Digest()}
 	})
-	node.every(constants.RosterPeriod, func() { registrations.beatOthers(node, own) })
+	node.every(constants.RosterPeriod, func() { r.beatOthers(node, own) })
 }
 
 // report is what another controller is told.
-func (registrations *registrations) report(node *Node, own *table, key string) *messages.ControllerBeat {
+func (r *registrations) report(node *Node, own *table, key string) *messages.ControllerBeat {
 	since := clock.Moment(0)
 	if one := own.peers[key]; one != nil {
 		since = one.told
 	}
-	view := registrations.fleet.members.view(node)
+	view := r.fleet.members.view(node)
 	beat := &messages.ControllerBeat{From: view.Own(), Workers: own.registry.Digest(node.own.Life), Beaten: own.registry.BeatenSince(since),
 		Processes: view.Digest(), Follow: view.Own().Generation}
 	beat.Met, beat.Behind = view.MetSince(since)
 	return beat
 }
 
-func (registrations *registrations) beatOthers(node *Node, own *table) {
+func (r *registrations) beatOthers(node *Node, own *table) {
 	now := node.now()
 	addresses := map[string]string{}
 	node.step(CoreMembership, func() {
@@ -47,10 +47,10 @@
 				delete(own.relays, key)
 			}
 		}
-		for _, seed := range registrations.fleet.seeds {
+		for _, seed := range r.fleet.seeds {
 			addresses[seed] = ""
 		}
-		for _, entry := range registrations.fleet.members.view(node).All(membership.RoleController, now) {
+		for _, entry := range r.fleet.members.view(node).All(membership.RoleController, now) {
 			key := membership.Key(entry)
 			if key < membership.Key(node.own) && entry.AgeMs < 2*constants.RosterPeriod.Milliseconds() {
 				delete(addresses, entry.Address)
@@ -62,19 +62,19 @@
 	})
 	for _, address := range sortedKeys(addresses) {
 		var report *messages.ControllerBeat
-		node.step(CoreMembership, func() { report = registrations.report(node, own, addresses[address]) })
+		node.step(CoreMembership, func() { report = r.report(node, own, addresses[address]) })
 		back := &messages.ControllerBeat{}
 		node.ask(CoreMembership, address, messages.KindControllerBeat, report, back, constants.CallTime, func(reached bool) {
 			if reached {
-				registrations.heardBeat(node, own, back, now)
+				r.heardBeat(node, own, back, now)
 			}
 		})
 	}
 }
 
 // heardBeat takes another controller's report, and pulls what its tables have beyond ours.
-func (registrations *registrations) heardBeat(node *Node, own *table, beat *messages.ControllerBeat, told clock.Moment) {
-	members, now, key := registrations.fleet.members, node.now(), membership.Key(beat.From)
+func (r *registrations) heardBeat(node *Node, own *table, beat *messages.ControllerBeat, told clock.Moment) {
+	members, now, key := r.fleet.members, node.now(), membership.Key(beat.From)
 	members.heard(node, []messages.Entry{beat.From})
 	one := own.peers[key]
 	if one == nil {
@@ -89,7 +89,7 @@
 		back := &messages.RosterPush{}
 		node.ask(CoreWorkers, beat.From.Address, messages.KindRosterPull, &messages.RosterPull{Since: since}, back, constants.CallTime, func(reached bool) {
 			if reached {
-				registrations.merge(node, own, back.Workers)
+				r.merge(node, own, back.Workers)
 				one.registrations = back.Table
 			}
 		})
--- a/internal/tooling/hollowfleet/copies.go
+++ b/internal/tooling/hollowfleet/copies.go
@@ -7,7 +7,7 @@
 )
 
 // feed sends a store what it lacks, one order at a time.
-func (storage *storage) feed(node *Node, own *storeState, member messages.Member, identity string) {
+func (s *storage) feed(node *Node, own *storeState, member messages.Member, identity string) {
 	next := own.replication.MatchOf(identity) + 1
 	if own.sending[identity] || next > own.replication.Last() {
 		return
@@ -27,10 +27,10 @@
 		if answer.Granted {
 			node.step(CoreLots, func() {
 				if own.replication.Matched(identity, answer.Last) {
-					storage.apply(node, own)
+					s.apply(node, own)
 				}
 			})
-			storage.feed(node, own, member, identity)
+			s.feed(node, own, member, identity)
 		}
 	}
 	if member.Address == node.own.Address {
@@ -44,7 +44,7 @@
 	node.ask(CoreLots, member.Address, messages.KindAppend, order, back, constants.BulkCallTime, func(reached bool) {
 		if !reached {
 			own.sending[identity] = false
-			node.after(constants.TickPeriod*2, func() { storage.feed(node, own, member, identity) })
+			node.after(constants.TickPeriod*2, func() { s.feed(node, own, member, identity) })
 			return
 		}
 		matched(*back)
@@ -52,19 +52,19 @@
 }
 
 // apply takes what became durable into the book.
-func (storage *storage) apply(node *Node, own *storeState) {
+func (s *storage) apply(node *Node, own *storeState) {
 	for own.applied < own.replication.Done() {
 		record := own.recent[own.applied+1-own.first]
 		_ = own.book.Apply(&record)
 		switch record.Kind {
 		case messages.RecordLot:
-			storage.waits = append(storage.waits, clock.ToMilliseconds(node.now().Since(own.begun[record.Lot])))
+			s.waits = append(s.waits, clock.ToMilliseconds(node.now().Since(own.begun[record.Lot])))
 			delete(own.begun, record.Lot)
 		case messages.RecordOutput:
-			storage.listed++
+			s.listed++
 			if lot := own.book.Lot(record.Lot); lot != nil && len(lot.Listings) == lot.Sum() {
 				// Read by its client at once, in this world.
-				storage.submit(node, own, messages.Record{Kind: messages.RecordForget, Lot: record.Lot})
+				s.submit(node, own, messages.Record{Kind: messages.RecordForget, Lot: record.Lot})
 			}
 		}
 		own.applied++
@@ -80,7 +80,7 @@
 	own.durable = kept
 	// What is on all stores is given back; one that lags keeps it here.
 	keep := own.applied
-	for _, member := range storage.members {
+	for _, member := range s.members {
 		keep = min(keep, own.replication.MatchOf(member.Address+"#"+member.Disk))
 	}
 	if excess := keep + 1 - own.first; excess > 0 {
--- a/internal/tooling/hollowfleet/dispatch.go
+++ b/internal/tooling/hollowfleet/dispatch.go
@@ -25,20 +25,20 @@
 const itemService = "model-00"
 
 // beginDispatch lets the holder hand items out and take acknowledgements.
-func (storage *storage) beginDispatch(node *Node, own *storeState) {
+func (s *storage) beginDispatch(node *Node, own *storeState) {
 	own.dispatcher = lots.NewDispatcher(own.book, lotEpoch, 1, constants.LockUnstated, node.now())
-	own.dispatcher.Submit = func(record messages.Record) int64 { return storage.submit(node, own, record) }
+	own.dispatcher.Submit = func(record messages.Record) int64 { return s.submit(node, own, record) }
 	terms := func(lot *lots.Lot) lots.Terms { return lots.Terms{Due: lot.SentMs + 3_600_000} }
 	node.answerers[messages.KindAcquire] = func(body []byte, reply func(transport.Writable)) {
 		question := &messages.Acquire{}
 		node.step(CoreLots, func() { _ = transport.Read(body, question) })
-		storage.acquire(node, own, question, node.now(), terms, reply)
+		s.acquire(node, own, question, node.now(), terms, reply)
 	}
 	node.answerers[messages.KindAcknowledge] = func(body []byte, reply func(transport.Writable)) {
 		question := &messages.Acknowledge{}
 		node.step(CoreLots, func() {
 			if transport.Read(body, question) == nil {
-				storage.acknowledge(node, own, question, reply)
+				s.acknowledge(node, own, question, reply)
 			}
 		})
 	}
@@ -47,7 +47,7 @@
 }
 
 // acquire hands items out, or looks again a little later while there are none.
-func (storage *storage) acquire(node *Node, own *storeState, question *messages.Acquire, begun clock.Moment, terms func(*lots.Lot) lots.Terms, reply func(transport.Writable)) {
+func (s *storage) acquire(node *Node, own *storeState, question *messages.Acquire, begun clock.Moment, terms func(*lots.Lot) lots.Terms, reply func(transport.Writable)) {
 	answer := &messages.Acquired{LockMs: clock.ToMilliseconds(own.dispatcher.Lock), HeldMs: clock.ToMilliseconds(node.now().Since(begun))}
 	node.step(CoreLots, func() {
 		ask := &lots.AcquireAsk{Driver: lots.Driver{Name: question.Driver, Life: question.Life, Address: question.Address},
@@ -64,11 +64,11 @@
 		reply(answer)
 		return
 	}
-	node.after(constants.TickPeriod, func() { storage.acquire(node, own, question, begun, terms, reply) })
+	node.after(constants.TickPeriod, func() { s.acquire(node, own, question, begun, terms, reply) })
 }
 
 // acknowledge takes a batch; what needs a record is answered once that is durable.
-func (storage *storage) acknowledge(node *Node, own *storeState, question *messages.Acknowledge, reply func(transport.Writable)) {
+func (s *storage) acknowledge(node *Node, own *storeState, question *messages.Acknowledge, reply func(transport.Writable)) {
 	driver := lots.Driver{Name: question.Driver, Life: question.Life, Address: question.Address}
 	answer, last := &messages.Acknowledged{}, int64(0)
 	for place := range question.Entries {
@@ -84,18 +84,18 @@
 }
 
 // beginDriver lets a store run items.
-func (storage *storage) beginDriver(node *Node) *driverState {
+func (s *storage) beginDriver(node *Node) *driverState {
 	own := &driverState{core: itemdriver.New(), lock: constants.LockUnstated}
-	if storage.fleet.Plan.Lots == 0 {
+	if s.fleet.Plan.Lots == 0 {
 		return own
 	}
 	node.every(constants.TickPeriod, func() {
-		node.step(CoreDriver, func() { storage.halt(own.core.Lapsed(node.now())) })
+		node.step(CoreDriver, func() { s.halt(own.core.Lapsed(node.now())) })
 		if node.now().Since(own.renewed) >= own.lock/constants.RenewPart {
 			own.renewed = node.now()
-			storage.renewLocks(node, own)
+			s.renewLocks(node, own)
 		}
-		storage.ask(node, own)
+		s.ask(node, own)
 	})
 	return own
 }
@@ -104,23 +104,23 @@
 func (*storage) halt([]*itemdriver.Task) {}
 
 // room is how many items a driver runs: its part of a quarter of all places.
-func (storage *storage) room() int {
-	plan := storage.fleet.Plan
+func (s *storage) room() int {
+	plan := s.fleet.Plan
 	const share, capacity = 4, 16
 	return max(4, plan.Workers*capacity/share/max(1, plan.Nodes/plan.StoreEach))
 }
 
 // ask fills the room there is.
-func (storage *storage) ask(node *Node, own *driverState) {
-	room := storage.room() - own.running
-	if own.asking || room <= 0 || storage.holder.down {
+func (s *storage) ask(node *Node, own *driverState) {
+	room := s.room() - own.running
+	if own.asking || room <= 0 || s.holder.down {
 		return
 	}
 	own.asking = true
 	question := &messages.Acquire{Driver: node.own.Name, Life: node.own.Life, Address: node.own.Address,
 		Room: []messages.ServiceRoom{{Service: itemService, Count: room}}, HoldMs: int(constants.AcquireHold.Milliseconds())}
 	answer, asked := &messages.Acquired{}, node.now()
-	node.ask(CoreDriver, storage.holder.own.Address, messages.KindAcquire, question, answer, constants.AcquireHold+constants.CallTime, func(reached bool) {
+	node.ask(CoreDriver, s.holder.own.Address, messages.KindAcquire, question, answer, constants.AcquireHold+constants.CallTime, func(reached bool) {
 		own.asking = false
 		if !reached {
 			return
@@ -128,68 +128,68 @@
 		for _, task := range own.core.Take(answer, asked, node.now()) {
 			own.running++
 			task.Begun = true
-			node.after(clock.Milliseconds(storage.fleet.Plan.HeldMs*(0.5+node.random.Float64())), func() {
+			node.after(clock.Milliseconds(s.fleet.Plan.HeldMs*(0.5+node.random.Float64())), func() {
 				own.running--
-				storage.finish(node, own, task)
+				s.finish(node, own, task)
 			})
 		}
-		storage.ask(node, own)
+		s.ask(node, own)
 	})
 }
 
 // finish ends a run with its output, if it still may.
-func (storage *storage) finish(node *Node, own *driverState, task *itemdriver.Task) {
+func (s *storage) finish(node *Node, own *driverState, task *itemdriver.Task) {
 	node.step(CoreDriver, func() {
-		entry := messages.Acknowledgement{Kind: messages.AckAccept, Text: []byte(fmt.Sprintf("%*d", storage.fleet.Plan.ItemBytes, task.Number))}
+		entry := messages.Acknowledgement{Kind: messages.AckAccept, Text: []byte(fmt.Sprintf("%*d", s.fleet.Plan.ItemBytes, task.Number))}
 		if !task.May(node.now()) {
 			entry = messages.Acknowledgement{Kind: messages.AckRelease}
 		}
 		own.core.Done(task, entry)
 	})
-	node.after(constants.AckGather, func() { storage.speak(node, own) })
-	node.after(constants.AckGather, func() { storage.ask(node, own) })
+	node.after(constants.AckGather, func() { s.speak(node, own) })
+	node.after(constants.AckGather, func() { s.ask(node, own) })
 }
 
 // speak sends what is owed, one message at a time, and repeats what is not answered.
-func (storage *storage) speak(node *Node, own *driverState) {
+func (s *storage) speak(node *Node, own *driverState) {
 	var batch []messages.Acknowledgement
 	node.step(CoreDriver, func() { batch = append(own.core.Results(), own.core.Returns()...) })
 	if own.speaking || len(batch) == 0 {
 		return
 	}
 	own.speaking = true
-	storage.acknowledged(node, batch, func(answer *messages.Acknowledged) {
+	s.acknowledged(node, batch, func(answer *messages.Acknowledged) {
 		own.speaking = false
 		if answer == nil {
-			node.after(constants.AckPause, func() { storage.speak(node, own) })
+			node.after(constants.AckPause, func() { s.speak(node, own) })
 			return
 		}
 		own.core.Answered(batch, answer.Verdicts)
-		storage.speak(node, own)
+		s.speak(node, own)
 	})
 }
 
 // renewLocks asks for all locks to run anew, in one message.
-func (storage *storage) renewLocks(node *Node, own *driverState) {
+func (s *storage) renewLocks(node *Node, own *driverState) {
 	var entries []messages.Acknowledgement
 	node.step(CoreDriver, func() { entries = own.core.Renewals(node.now()) })
 	if len(entries) == 0 {
 		return
 	}
 	asked := node.now()
-	storage.acknowledged(node, entries, func(answer *messages.Acknowledged) {
+	s.acknowledged(node, entries, func(answer *messages.Acknowledged) {
 		if answer == nil {
 			own.renewed = 0
 			return
 		}
-		storage.halt(own.core.Renewed(entries, answer.Verdicts, asked, own.lock))
+		s.halt(own.core.Renewed(entries, answer.Verdicts, asked, own.lock))
 	})
 }
 
-func (storage *storage) acknowledged(node *Node, entries []messages.Acknowledgement, then func(*messages.Acknowledged)) {
+func (s *storage) acknowledged(node *Node, entries []messages.Acknowledgement, then func(*messages.Acknowledged)) {
 	question := &messages.Acknowledge{Driver: node.own.Name, Life: node.own.Life, Address: node.own.Address, Entries: entries}
 	answer := &messages.Acknowledged{}
-	node.ask(CoreDriver, storage.holder.own.Address, messages.KindAcknowledge, question, answer, constants.CallTime, func(reached bool) {
+	node.ask(CoreDriver, s.holder.own.Address, messages.KindAcknowledge, question, answer, constants.CallTime, func(reached bool) {
 		if !reached {
 			then(nil)
 			return
--- a/internal/tooling/hollowfleet/fit.go
+++ b/internal/tooling/hollowfleet/fit.go
@@ -44,13 +44,13 @@
 }
 
 // At gives the fit's value at a size.
-func (fit Fit) At(size float64) float64 {
+func (f Fit) At(size float64) float64 {
 	for _, one := range shapes {
-		if one.shape == fit.Shape && one.term != nil {
-			return fit.Base + fit.Slope*one.term(size)
+		if one.shape == f.Shape && one.term != nil {
+			return f.Base + f.Slope*one.term(size)
 		}
 	}
-	return fit.Base
+	return f.Base
 }
 
 // simpler is how much better a less simple shape must be to be taken.
--- a/internal/tooling/hollowfleet/fleet.go
+++ b/internal/tooling/hollowfleet/fleet.go
@@ -77,47 +77,47 @@
 	return fleet
 }
 
-func (fleet *Fleet) add(machine int, role string) *Node {
-	node := newNode(fleet, machine, role)
-	fleet.nodes = append(fleet.nodes, node)
-	fleet.byAddress[node.own.Address] = node
+func (f *Fleet) add(machine int, role string) *Node {
+	node := newNode(f, machine, role)
+	f.nodes = append(f.nodes, node)
+	f.byAddress[node.own.Address] = node
 	return node
 }
 
 // Run plays the plan and gives what came of it.
-func (fleet *Fleet) Run() *Result {
+func (f *Fleet) Run() *Result {
 	// Processor time is that of one thread, so the fleet stays on it.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	for _, node := range fleet.nodes {
+	for _, node := range f.nodes {
 		node.begin()
 	}
-	fleet.registrations.begin()
+	f.registrations.begin()
 	// There is a first configuration before anything is counted.
-	fleet.world.After(seconds(fleet.Plan.WarmS/2), func() { fleet.configuration.change(fleet.live(membership.RoleController)[0]) })
-	warm, whole := clock.Moment(seconds(fleet.Plan.WarmS)), clock.Moment(seconds(fleet.Plan.WarmS+fleet.Plan.DurationS))
-	fleet.play(warm, whole)
-	fleet.counting = true
-	for _, node := range fleet.nodes {
+	f.world.After(seconds(f.Plan.WarmS/2), func() { f.configuration.change(f.live(membership.RoleController)[0]) })
+	warm, whole := clock.Moment(seconds(f.Plan.WarmS)), clock.Moment(seconds(f.Plan.WarmS+f.Plan.DurationS))
+	f.play(warm, whole)
+	f.counting = true
+	for _, node := range f.nodes {
 		node.costs, node.out, node.in = [cores]Cost{}, [ways]Traffic{}, [ways]Traffic{}
 	}
-	fleet.troubles.begin()
-	fleet.gossip.sample()
-	fleet.play(whole, whole)
-	return fleet.result()
+	f.troubles.begin()
+	f.gossip.sample()
+	f.play(whole, whole)
+	return f.result()
 }
 
 // play runs the world in pieces and tells how far it is.
-func (fleet *Fleet) play(until, whole clock.Moment) {
-	teller := newTeller(fleet.progress)
-	for fleet.world.Now < until {
-		fleet.world.Run(min(until, fleet.world.Now+clock.Moment(seconds(1))))
-		teller.tell(fleet, whole)
+func (f *Fleet) play(until, whole clock.Moment) {
+	teller := newTeller(f.progress)
+	for f.world.Now < until {
+		f.world.Run(min(until, f.world.Now+clock.Moment(seconds(1))))
+		teller.tell(f, whole)
 	}
 }
 
-func (fleet *Fleet) way(from, to string) Way {
-	one, other := fleet.byAddress[from], fleet.byAddress[to]
+func (f *Fleet) way(from, to string) Way {
+	one, other := f.byAddress[from], f.byAddress[to]
 	switch {
 	case one.zone == other.zone:
 		return WayWithin
@@ -127,36 +127,36 @@
 	return WayRegions
 }
 
-func (fleet *Fleet) delay(from, to string) clock.Span {
-	base := [ways]float64{fleet.Plan.NearMs, fleet.Plan.ZonesMs, fleet.Plan.RegionMs}[fleet.way(from, to)]
-	return clock.Milliseconds(base * (1 + 0.2*fleet.world.Random.Float64()))
+func (f *Fleet) delay(from, to string) clock.Span {
+	base := [ways]float64{f.Plan.NearMs, f.Plan.ZonesMs, f.Plan.RegionMs}[f.way(from, to)]
+	return clock.Milliseconds(base * (1 + 0.2*f.world.Random.Float64()))
 }
 
-func (fleet *Fleet) reach(from, to string) bool {
-	one, other := fleet.byAddress[from], fleet.byAddress[to]
-	return !one.down && !other.down && (!fleet.parted || one.region == other.region)
+func (f *Fleet) reach(from, to string) bool {
+	one, other := f.byAddress[from], f.byAddress[to]
+	return !one.down && !other.down && (!f.parted || one.region == other.region)
 }
 
 // count is told of every frame.
-func (fleet *Fleet) count(frame transport.Frame) {
-	if !fleet.counting {
+func (f *Fleet) count(frame transport.Frame) {
+	if !f.counting {
 		return
 	}
-	way := fleet.way(frame.From, frame.To)
-	fleet.byAddress[frame.From].out[way].add(frame.Bytes)
-	fleet.byAddress[frame.To].in[way].add(frame.Bytes)
-	one := fleet.kinds[frame.Kind]
+	way := f.way(frame.From, frame.To)
+	f.byAddress[frame.From].out[way].add(frame.Bytes)
+	f.byAddress[frame.To].in[way].add(frame.Bytes)
+	one := f.kinds[frame.Kind]
 	if one == nil {
 		one = &[ways]Traffic{}
-		fleet.kinds[frame.Kind] = one
+		f.kinds[frame.Kind] = one
 	}
 	one[way].add(frame.Bytes)
 }
 
 // live gives the processes of a role that run, or of all roles.
-func (fleet *Fleet) live(role string) []*Node {
+func (f *Fleet) live(role string) []*Node {
 	var found []*Node
-	for _, node := range fleet.nodes {
+	for _, node := range f.nodes {
 		if !node.down && (role == "" || node.own.Role == role) {
 			found = append(found, node)
 		}
--- a/internal/tooling/hollowfleet/gossip.go
+++ b/internal/tooling/hollowfleet/gossip.go
@@ -39,20 +39,20 @@
 }
 
 // zoneSize is how many placing processes a zone has.
-func (neighbours *neighbours) zoneSize() int {
-	return max(len(neighbours.near)+1, neighbours.population/(len(neighbours.zones)+1))
+func (n *neighbours) zoneSize() int {
+	return max(len(n.near)+1, n.population/(len(n.zones)+1))
 }
 
 // Begin starts the gossip of a process that places work.
-func (gossip *gossip) Begin(node *Node) any {
+func (g *gossip) Begin(node *Node) any {
 	if !node.places() {
 		return nil
 	}
 	own := node.state[1].(*placing)
 	node.answerers[messages.KindGossip] = reads(node, CoreGossip, func(packet *messages.Gossip) transport.Writable {
 		own.scheduler.Heard(packet, node.now())
-		gossip.fleet.members.touched(node, packet.From)
-		gossip.fleet.configuration.saw(node, packet.Generation)
+		g.fleet.members.touched(node, packet.From)
+		g.fleet.configuration.saw(node, packet.Generation)
 		return taken()
 	})
 	node.answerers[messages.KindReading] = reads(node, CoreReadings, func(told *messages.ReadingTold) transport.Writable {
@@ -60,7 +60,7 @@
 		if told.Pass {
 			further := *told
 			further.Pass = false
-			node.after(0, func() { gossip.spreadReading(node, own, &further, false) })
+			node.after(0, func() { g.spreadReading(node, own, &further, false) })
 		}
 		return taken()
 	})
@@ -71,22 +71,22 @@
 	own.scheduler.OnReading(func(worker string, milliseconds float64) {
 		told := &messages.ReadingTold{From: membership.Key(node.own), Worker: worker, Reading: milliseconds}
 		// Called under the admission's lock.
-		node.after(0, func() { gossip.spreadReading(node, own, told, true) })
+		node.after(0, func() { g.spreadReading(node, own, told, true) })
 	})
-	node.every(constants.GossipPeriod, func() { gossip.period(node, own) })
+	node.every(constants.GossipPeriod, func() { g.period(node, own) })
 	return nil
 }
 
 // Drop has nothing of its own: health and index go with the workers.
 func (*gossip) Drop(*Node) {}
 
-func (gossip *gossip) period(node *Node, own *placing) {
+func (g *gossip) period(node *Node, own *placing) {
 	var packet *messages.Gossip
 	var told []messages.Entry
 	node.step(CoreGossip, func() {
 		packet = own.scheduler.Gossip(node.now())
 		packet.Generation = node.generation
-		view := gossip.fleet.members.view(node)
+		view := g.fleet.members.view(node)
 		own.neighbours = neighboursOf(node.own, view.All("", node.now()))
 		own.neighbours.population = view.Population(membership.RoleGateway, node.now()) + view.Population(membership.RoleStore, node.now())
 		told = append([]messages.Entry(nil), own.neighbours.gossip...)
@@ -133,45 +133,45 @@
 
 // sample looks now and then at how old the observation is that processes have of workers, and
 // how far it is from what these really have.
-func (gossip *gossip) sample() {
-	now := gossip.fleet.world.Now
-	for _, node := range gossip.fleet.live("") {
+func (g *gossip) sample() {
+	now := g.fleet.world.Now
+	for _, node := range g.fleet.live("") {
 		if !node.places() {
 			continue
 		}
-		own := gossip.fleet.registrations.placing(node)
-		for _, worker := range gossip.fleet.registrations.all {
+		own := g.fleet.registrations.placing(node)
+		for _, worker := range g.fleet.registrations.all {
 			if worker.Phase != messages.PhaseSteady {
 				continue
 			}
-			gossip.look(own.scheduler, worker.ID)
+			g.look(own.scheduler, worker.ID)
 			_, at := own.scheduler.Tracker.Of(worker.ID).Observed()
-			gossip.ages.add(now.Since(at), at > 0)
+			g.ages.add(now.Since(at), at > 0)
 			if worker.Zone == node.own.Zone {
-				gossip.near.add(now.Since(at), at > 0)
+				g.near.add(now.Since(at), at > 0)
 			}
 		}
 	}
-	for _, worker := range gossip.fleet.registrations.all {
-		has := float64(gossip.fleet.traffic.running[worker.ID])
-		gossip.had, gossip.hadSquares, gossip.hadCount = gossip.had+has, gossip.hadSquares+has*has, gossip.hadCount+1
+	for _, worker := range g.fleet.registrations.all {
+		has := float64(g.fleet.traffic.running[worker.ID])
+		g.had, g.hadSquares, g.hadCount = g.had+has, g.hadSquares+has*has, g.hadCount+1
 		if has > float64(worker.Capacity) {
-			gossip.full++
+			g.full++
 		}
 	}
-	gossip.fleet.world.After(seconds(5.3), gossip.sample)
+	g.fleet.world.After(seconds(5.3), g.sample)
 }
 
 // loads sums up what workers really had.
-func (gossip *gossip) loads() WorkerLoads {
-	count := max(gossip.hadCount, 1)
-	mean := gossip.had / count
-	return WorkerLoads{Mean: mean, Deviation: math.Sqrt(max(0, gossip.hadSquares/count-mean*mean)), OverFull: gossip.full / count,
-		BelievedOff: gossip.off / max(gossip.offCount, 1)}
+func (g *gossip) loads() WorkerLoads {
+	count := max(g.hadCount, 1)
+	mean := g.had / count
+	return WorkerLoads{Mean: mean, Deviation: math.Sqrt(max(0, g.hadSquares/count-mean*mean)), OverFull: g.full / count,
+		BelievedOff: g.off / max(g.offCount, 1)}
 }
 
-func (gossip *gossip) look(scheduler *admission.Scheduler, worker string) {
-	believed := scheduler.Tracker.Of(worker).Running(gossip.fleet.world.Now)
-	gossip.off += math.Abs(float64(believed - gossip.fleet.traffic.running[worker]))
-	gossip.offCount++
+func (g *gossip) look(scheduler *admission.Scheduler, worker string) {
+	believed := scheduler.Tracker.Of(worker).Running(g.fleet.world.Now)
+	g.off += math.Abs(float64(believed - g.fleet.traffic.running[worker]))
+	g.offCount++
 }
--- a/internal/tooling/hollowfleet/hollowfleet_test.go
+++ b/internal/tooling/hollowfleet/hollowfleet_test.go
@@ -22,41 +22,41 @@
 	return plan
 }
 
-func told(test *testing.T, result *Result) string {
+func told(t *testing.T, result *Result) string {
 	text, err := json.Marshal(result.Simulated)
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	return string(text)
 }
 
-func TestSameSeedSameResult(test *testing.T) {
+func TestSameSeedSameResult(t *testing.T) {
 	first, again, other := New(small(3), nil).Run(), New(small(3), nil).Run(), New(small(4), nil).Run()
-	if told(test, first) != told(test, again) {
-		test.Fatalf("one seed, two results:\n%s\n%s", told(test, first), told(test, again))
+	if told(t, first) != told(t, again) {
+		t.Fatalf("one seed, two results:\n%s\n%s", told(t, first), told(t, again))
 	}
-	if told(test, first) == told(test, other) {
-		test.Fatal("two seeds, one result")
+	if told(t, first) == told(t, other) {
+		t.Fatal("two seeds, one result")
 	}
 }
 
-func TestEverybodyLearns(test *testing.T) {
+func TestEverybodyLearns(t *testing.T) {
 	plan := small(5)
 	plan.ZoneS, plan.PartS, plan.Failures = 0, 0, 0
 	result := New(plan, nil).Run()
 	for _, kind := range []string{"configuration", "worker drains"} {
 		times := result.Simulated.Known[kind]
 		if times.Count == 0 || times.Unfinished > 0 || times.WorstMs > 1000 {
-			test.Errorf("%s: %+v", kind, times)
+			t.Errorf("%s: %+v", kind, times)
 		}
 	}
 	if result.Simulated.Lots.HandedIn == 0 || result.Simulated.Lots.Listed == 0 || result.Simulated.Lots.Durable.Count == 0 {
-		test.Errorf("lots: %+v", result.Simulated.Lots)
+		t.Errorf("lots: %+v", result.Simulated.Lots)
 	}
 	for _, role := range roleNames {
 		traffic, cost := result.Simulated.Roles[role], result.Measured.Roles[role]
 		if traffic.Processes == 0 || traffic.Out.Bytes <= 0 || traffic.In.Bytes <= 0 || cost.control() <= 0 || sum(cost.HeapKB) <= 0 {
-			test.Errorf("%s: %+v %+v", role, traffic, cost)
+			t.Errorf("%s: %+v %+v", role, traffic, cost)
 		}
 	}
 }
@@ -64,26 +64,26 @@
 // Controllers keep their leases and every process reports to two controllers. While regions
 // are parted neither half has a majority: orders are refused, and drains are not
 // acknowledged, until they meet again.
-func TestContactIsPlayed(test *testing.T) {
+func TestContactIsPlayed(t *testing.T) {
 	plan := small(7)
 	plan.ZoneS, plan.PartS, plan.Failures, plan.DurationS = 0, 0, 0, 20
 	result := New(plan, nil).Run()
 	// Four controllers ask three others: calls and answers of one kind.
 	asked := 4 * 3 * 2 / constants.ContactPeriod.Seconds()
 	if frames := framesOf(result, messages.KindContact); math.Abs(frames-asked) > 0.02*asked {
-		test.Errorf("%.1f contact frames a second, want %.1f", frames, asked)
+		t.Errorf("%.1f contact frames a second, want %.1f", frames, asked)
 	}
 	reports := float64(plan.Nodes) * 2 * (1 + 1/constants.SecondReportPeriod.Seconds())
 	if frames := framesOf(result, messages.KindShuffle); frames < 0.98*reports || frames > 1.2*reports {
-		test.Errorf("%.1f report frames a second, want %.1f and the shuffles", frames, reports)
+		t.Errorf("%.1f report frames a second, want %.1f and the shuffles", frames, reports)
 	}
 	if len(result.Simulated.Refused) > 0 {
-		test.Errorf("refused: %v", result.Simulated.Refused)
+		t.Errorf("refused: %v", result.Simulated.Refused)
 	}
 	plan.PartS = 10
 	parted := New(plan, nil).Run()
 	if parted.Simulated.Refused["configuration"] == 0 || parted.Simulated.Acknowledged["worker drains"].Count >= result.Simulated.Acknowledged["worker drains"].Count {
-		test.Errorf("parted: refused %v, acknowledged %+v", parted.Simulated.Refused, parted.Simulated.Acknowledged)
+		t.Errorf("parted: refused %v, acknowledged %+v", parted.Simulated.Refused, parted.Simulated.Acknowledged)
 	}
 }
 
@@ -96,7 +96,7 @@
 
 // What goes out of one process comes into another, or is on its way to one that is
 // gone; the kinds add up to the same.
-func TestBytesAddUp(test *testing.T) {
+func TestBytesAddUp(t *testing.T) {
 	plan := small(6)
 	plan.ZoneS, plan.PartS, plan.Failures = 0, 0, 0
 	result := New(plan, nil).Run()
@@ -111,11 +111,11 @@
 		}
 	}
 	if math.Abs(out-in) > 1e-6*out || math.Abs(out-kinds) > 1e-6*out {
-		test.Fatalf("out %f in %f by kind %f", out, in, kinds)
+		t.Fatalf("out %f in %f by kind %f", out, in, kinds)
 	}
 }
 
-func TestFitRecoversSlopes(test *testing.T) {
+func TestFitRecoversSlopes(t *testing.T) {
 	random := rand.New(rand.NewSource(1))
 	for _, one := range []struct {
 		shape Shape
@@ -132,18 +132,18 @@
 		}
 		best, all := BestFit(points)
 		if best.Shape != one.shape || len(all) != 4 {
-			test.Errorf("%s taken for %s", one.shape, best.Shape)
+			t.Errorf("%s taken for %s", one.shape, best.Shape)
 		}
 		if want := one.of(800); math.Abs(best.At(800)-want) > 0.06*want {
-			test.Errorf("%s: %f at 800, want %f", one.shape, best.At(800), want)
+			t.Errorf("%s: %f at 800, want %f", one.shape, best.At(800), want)
 		}
 		if best.Error > 0.05 {
-			test.Errorf("%s: error %f", one.shape, best.Error)
+			t.Errorf("%s: error %f", one.shape, best.Error)
 		}
 	}
 }
 
-func TestPlanNamesWhatIsSenseless(test *testing.T) {
+func TestPlanNamesWhatIsSenseless(t *testing.T) {
 	for flag, spoil := range map[string]func(*Plan){
 		"--nodes":        func(plan *Plan) { plan.Nodes = 1 },
 		"--zones":        func(plan *Plan) { plan.Zones = 51 },
@@ -160,24 +160,24 @@
 		spoil(&plan)
 		findings := plan.Check()
 		if len(findings) == 0 || !strings.HasPrefix(findings[0], flag+" ") {
-			test.Errorf("%s: %q", flag, findings)
+			t.Errorf("%s: %q", flag, findings)
 		}
 	}
 	if plan := Usual(); len(plan.Check()) > 0 {
-		test.Error(plan.Check())
+		t.Error(plan.Check())
 	}
 }
 
-func TestChartIsDrawnSmall(test *testing.T) {
-	folder := test.TempDir()
+func TestChartIsDrawnSmall(t *testing.T) {
+	folder := t.TempDir()
 	points := []Point{{25, 10}, {50, 20}, {100, 41}}
 	best, _ := BestFit(points)
 	chart := Chart{Title: "Some Title", Budget: 30, Lines: map[string]Slope{"gateway": {Unit: "ms", Points: points, Best: best}}}
 	if err := chart.Draw(folder); err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	found, err := os.Stat(folder + "/some-title.svg")
 	if err != nil || found.Size() < 1000 || found.Size() > 60<<10 {
-		test.Fatal(found, err)
+		t.Fatal(found, err)
 	}
 }
--- a/internal/tooling/hollowfleet/keep.go
+++ b/internal/tooling/hollowfleet/keep.go
@@ -9,17 +9,17 @@
 
 // beginKeep lets a controller keep binding changes of workers for another. The sync of
 // its disk takes no time here.
-func (registrations *registrations) beginKeep(node *Node, own *table) {
+func (r *registrations) beginKeep(node *Node, own *table) {
 	node.answerers[messages.KindWorkersKeep] = reads(node, CoreWorkers, func(question *messages.WorkersKeep) transport.Writable {
-		registrations.merge(node, own, question.Workers)
-		return registrations.fleet.contacts.accepted(node)
+		r.merge(node, own, question.Workers)
+		return r.fleet.contacts.accepted(node)
 	})
 }
 
 // keepAtMajority has a drain or a departure kept by a majority of the acceptors; done is
 // told then, or never where that fails.
-func (registrations *registrations) keepAtMajority(node *Node, worker messages.Worker, done func()) {
-	sets, answered := registrations.fleet.contacts.sets(node), map[string]bool{}
+func (r *registrations) keepAtMajority(node *Node, worker messages.Worker, done func()) {
+	sets, answered := r.fleet.contacts.sets(node), map[string]bool{}
 	once := onceOf(done)
 	kept := func(member messages.Member, disk string) {
 		member.Disk = disk
@@ -31,7 +31,7 @@
 	question := &messages.WorkersKeep{From: node.own.Address, Workers: []messages.Worker{worker}}
 	for _, member := range register.Targets(&sets) {
 		if member.Address == node.own.Address {
-			kept(member, registrations.fleet.contacts.accepted(node).Disk)
+			kept(member, r.fleet.contacts.accepted(node).Disk)
 			continue
 		}
 		back := &messages.ContactTold{}
--- a/internal/tooling/hollowfleet/lots.go
+++ b/internal/tooling/hollowfleet/lots.go
@@ -75,9 +75,9 @@
 func (*storage) Name() string { return "lots" }
 
 // Begin starts a store, and the holder's part at the holder.
-func (storage *storage) Begin(node *Node) any {
+func (s *storage) Begin(node *Node) any {
 	node.answerers[messages.KindHolderTold] = reads(node, CoreHolds, func(*messages.HolderTold) transport.Writable { return taken() })
-	if node.own.Role != membership.RoleStore || storage.holder == nil {
+	if node.own.Role != membership.RoleStore || s.holder == nil {
 		return nil
 	}
 	own := &storeState{replica: lots.NewReplica(node.own.Disk)}
@@ -85,23 +85,23 @@
 		answer := own.append(order)
 		return &answer
 	})
-	own.driver = storage.beginDriver(node)
-	if node != storage.holder {
+	own.driver = s.beginDriver(node)
+	if node != s.holder {
 		return own
 	}
-	own.replication, own.book = lots.NewPress(lotEpoch, storage.members, lotBudget, 1), lots.NewBook()
+	own.replication, own.book = lots.NewPress(lotEpoch, s.members, lotBudget, 1), lots.NewBook()
 	own.first, own.sending, own.begun = 1, map[string]bool{}, map[string]clock.Moment{}
 	node.answerers[messages.KindLotCall] = reads(node, CoreLots, func(call *messages.LotCall) transport.Writable {
 		own.begun[call.Lot] = node.now()
-		storage.submit(node, own, messages.Record{Kind: messages.RecordLot, Lot: call.Lot, AtMs: int64(node.now()) / 1_000_000, Host: call.Host, Body: call.Body})
+		s.submit(node, own, messages.Record{Kind: messages.RecordLot, Lot: call.Lot, AtMs: int64(node.now()) / 1_000_000, Host: call.Host, Body: call.Body})
 		return &messages.LotAnswer{Status: 202}
 	})
-	storage.beginDispatch(node, own)
-	node.every(constants.HoldRenewal, func() { storage.renew(node) })
+	s.beginDispatch(node, own)
+	node.every(constants.HoldRenewal, func() { s.renew(node) })
 	node.every(constants.HoldRenewal, func() {
-		for _, entry := range storage.fleet.members.all(node) {
+		for _, entry := range s.fleet.members.all(node) {
 			if entry.Role != membership.RoleController {
-				node.ask(CoreHolds, entry.Address, messages.KindHolderTold, &messages.HolderTold{Duty: storage.duty()}, &messages.Nothing{}, constants.HoldRenewal, func(bool) {})
+				node.ask(CoreHolds, entry.Address, messages.KindHolderTold, &messages.HolderTold{Duty: s.duty()}, &messages.Nothing{}, constants.HoldRenewal, func(bool) {})
 			}
 		}
 	})
@@ -109,60 +109,60 @@
 }
 
 // Drop lets go of lots.
-func (storage *storage) Drop(node *Node) { node.state[4] = nil }
+func (s *storage) Drop(node *Node) { node.state[4] = nil }
 
-func (storage *storage) duty() messages.Duty {
-	own := storage.holder.own
+func (s *storage) duty() messages.Duty {
+	own := s.holder.own
 	return messages.Duty{Holder: own.Name, Life: own.Life, Address: own.Address, Epoch: lotEpoch}
 }
 
 // renew asks every acceptor for the hold again.
-func (storage *storage) renew(node *Node) {
+func (s *storage) renew(node *Node) {
 	own := node.own
-	for _, seed := range storage.fleet.seeds {
+	for _, seed := range s.fleet.seeds {
 		node.ask(CoreHolds, seed, messages.KindAsk, &messages.HoldAsk{Candidate: own.Name, Life: own.Life}, &messages.HoldAnswer{}, constants.HoldRenewal, func(bool) {})
 	}
 }
 
 // append is what a store does with an order; there is no disk to write to.
-func (own *storeState) append(order *messages.Append) messages.Appended {
-	plan, answer := own.replica.Append(order)
+func (s *storeState) append(order *messages.Append) messages.Appended {
+	plan, answer := s.replica.Append(order)
 	if answer.Granted {
-		own.replica.Commit(plan, order.Epoch, make([]int64, len(plan.Records)))
+		s.replica.Commit(plan, order.Epoch, make([]int64, len(plan.Records)))
 	}
 	return answer
 }
 
 // handIn gives the holder a new lot from some edge process.
-func (storage *storage) handIn() {
-	edges := storage.fleet.live(membership.RoleGateway)
-	if len(edges) == 0 || storage.holder == nil || storage.holder.down {
+func (s *storage) handIn() {
+	edges := s.fleet.live(membership.RoleGateway)
+	if len(edges) == 0 || s.holder == nil || s.holder.down {
 		return
 	}
-	node := edges[storage.random.Intn(len(edges))]
-	storage.made++
-	name := fmt.Sprintf("lot-%08d", storage.made)
+	node := edges[s.random.Intn(len(edges))]
+	s.made++
+	name := fmt.Sprintf("lot-%08d", s.made)
 	body := &messages.LotBody{Path: "/v1/batch"}
-	for place := 0; place < storage.fleet.Plan.LotItems; place++ {
-		item := messages.LotItem{ID: fmt.Sprintf("item-%06d", place), Path: "/v1/generate", Tokens: 600, Body: make([]byte, storage.fleet.Plan.ItemBytes)}
+	for place := 0; place < s.fleet.Plan.LotItems; place++ {
+		item := messages.LotItem{ID: fmt.Sprintf("item-%06d", place), Path: "/v1/generate", Tokens: 600, Body: make([]byte, s.fleet.Plan.ItemBytes)}
 		body.Items = append(body.Items, item)
 	}
 	text, _ := body.MarshalMsg(nil)
 	if len(text) > constants.FrameLimit {
 		// No frame holds it: such a lot is refused before anything is taken.
-		storage.fleet.troubles.refused("lot")
+		s.fleet.troubles.refused("lot")
 		return
 	}
 	call := &messages.LotCall{Method: "POST", Host: "tenant.example", Path: "/v1/batch", Lot: name, Body: text}
-	node.ask(CoreLots, storage.holder.own.Address, messages.KindLotCall, call, &messages.LotAnswer{}, constants.BulkCallTime, func(bool) {})
+	node.ask(CoreLots, s.holder.own.Address, messages.KindLotCall, call, &messages.LotAnswer{}, constants.BulkCallTime, func(bool) {})
 }
 
 // submit makes a record at the holder and has it copied.
-func (storage *storage) submit(node *Node, own *storeState, record messages.Record) int64 {
+func (s *storage) submit(node *Node, own *storeState, record messages.Record) int64 {
 	record.Index, record.Epoch = own.replication.Take(), lotEpoch
 	own.recent = append(own.recent, record)
-	for _, member := range storage.members {
-		storage.feed(node, own, member, register.Identity(member))
+	for _, member := range s.members {
+		s.feed(node, own, member, register.Identity(member))
 	}
 	return record.Index
 }
--- a/internal/tooling/hollowfleet/members.go
+++ b/internal/tooling/hollowfleet/members.go
@@ -23,52 +23,52 @@
 // Name names it.
 func (*memberList) Name() string { return "membership" }
 
-func (members *memberList) view(node *Node) *membership.View { return node.state[0].(*seat).view }
+func (m *memberList) view(node *Node) *membership.View { return node.state[0].(*seat).view }
 
 // Begin starts the view of a process.
-func (members *memberList) Begin(node *Node) any {
+func (m *memberList) Begin(node *Node) any {
 	own := &seat{view: membership.NewView(node.own, node.random.Int63())}
 	node.answerers[messages.KindShuffle] = reads(node, CoreMembership, func(question *messages.Shuffle) transport.Writable {
-		members.heard(node, question.Entries)
+		m.heard(node, question.Entries)
 		if node.places() {
 			return &messages.Shuffle{Entries: own.view.Offer(node.now())}
 		}
 		answer := own.view.Answer(question, node.now())
-		members.fleet.registrations.addWorkers(node, answer)
+		m.fleet.registrations.addWorkers(node, answer)
 		return answer
 	})
-	members.meet(node, own, 0)
+	m.meet(node, own, 0)
 	return own
 }
 
 // Drop lets go of the view.
-func (members *memberList) Drop(node *Node) { node.state[0] = nil }
+func (m *memberList) Drop(node *Node) { node.state[0] = nil }
 
 // meet asks the seeds until a controller is known, then goes over to the periodic exchange.
-func (members *memberList) meet(node *Node, own *seat, round int) {
+func (m *memberList) meet(node *Node, own *seat, round int) {
 	const meetings = 10
 	node.after(clock.Span(node.random.Int63n(int64(constants.StartPause))), func() {
-		for _, seed := range members.fleet.seeds {
+		for _, seed := range m.fleet.seeds {
 			if seed != node.own.Address {
-				members.report(node, seed, false, func(reportResult) {})
+				m.report(node, seed, false, func(reportResult) {})
 			}
 		}
 		node.after(constants.StartPause*2, func() {
 			known := len(own.view.Live(membership.RoleController, node.now())) > 0
 			switch {
 			case !known || (!node.places() && round < meetings):
-				members.meet(node, own, round+1)
+				m.meet(node, own, round+1)
 			case node.places():
-				members.exchange(node, own)
-				node.every(constants.ShufflePeriod, func() { members.exchange(node, own) })
-				node.every(constants.SecondReportPeriod, func() { members.secondReport(node, own) })
+				m.exchange(node, own)
+				node.every(constants.ShufflePeriod, func() { m.exchange(node, own) })
+				node.every(constants.SecondReportPeriod, func() { m.secondReport(node, own) })
 			}
 		})
 	})
 }
 
 // exchange is the periodic exchange with a controller, or with others where none answers.
-func (members *memberList) exchange(node *Node, own *seat) {
+func (m *memberList) exchange(node *Node, own *seat) {
 	own.rounds++
 	round := own.rounds
 	var controllers []messages.Entry
@@ -76,21 +76,21 @@
 	after := func(first string) {
 		own.first = first
 		if first == "" || round%constants.NeighbourRounds == 0 {
-			members.neighbour(node, own)
+			m.neighbour(node, own)
 		}
 	}
-	members.reportToOneOf(node, controllers, false, func(first string) {
+	m.reportToOneOf(node, controllers, false, func(first string) {
 		if first != "" {
 			after(first)
 			return
 		}
-		seed := members.fleet.seeds[node.random.Intn(len(members.fleet.seeds))]
-		members.reportToOneOf(node, []messages.Entry{{Address: seed}}, false, after)
+		seed := m.fleet.seeds[node.random.Intn(len(m.fleet.seeds))]
+		m.reportToOneOf(node, []messages.Entry{{Address: seed}}, false, after)
 	})
 }
 
 // neighbour shuffles with a neighbour.
-func (members *memberList) neighbour(node *Node, own *seat) {
+func (m *memberList) neighbour(node *Node, own *seat) {
 	partner := ""
 	node.step(CoreMembership, func() { partner = own.view.Partner(node.now()) })
 	if partner == "" {
@@ -99,46 +99,46 @@
 	answer := &messages.Shuffle{}
 	node.ask(CoreMembership, partner, messages.KindShuffle, &messages.Shuffle{Entries: own.view.Offer(node.now())}, answer, constants.CallTime, func(reached bool) {
 		if reached {
-			members.heard(node, answer.Entries)
+			m.heard(node, answer.Entries)
 		}
 	})
 }
 
 // viewOf gives the view, or nil while the process is being started or let go.
-func (members *memberList) viewOf(node *Node) *membership.View {
+func (m *memberList) viewOf(node *Node) *membership.View {
 	if own, is := node.state[0].(*seat); is {
 		return own.view
 	}
 	return nil
 }
 
-func (members *memberList) heard(node *Node, entries []messages.Entry) {
-	members.view(node).Heard(entries, node.now())
-	members.saw(node, entries)
+func (m *memberList) heard(node *Node, entries []messages.Entry) {
+	m.view(node).Heard(entries, node.now())
+	m.saw(node, entries)
 }
 
-func (members *memberList) saw(node *Node, entries []messages.Entry) {
+func (m *memberList) saw(node *Node, entries []messages.Entry) {
 	newest := int64(0)
 	for _, entry := range entries {
 		newest = max(newest, entry.Generation)
 	}
-	members.fleet.configuration.saw(node, newest)
+	m.fleet.configuration.saw(node, newest)
 }
 
 // touched notes direct contact with a process.
-func (members *memberList) touched(node *Node, key string) {
-	members.view(node).Touched(key, node.now())
+func (m *memberList) touched(node *Node, key string) {
+	m.view(node).Touched(key, node.now())
 }
 
 // all gives every entry, those silent for some time included.
-func (members *memberList) all(node *Node) (entries []messages.Entry) {
-	node.step(CoreMembership, func() { entries = members.view(node).All("", node.now()) })
+func (m *memberList) all(node *Node) (entries []messages.Entry) {
+	node.step(CoreMembership, func() { entries = m.view(node).All("", node.now()) })
 	return entries
 }
 
 // trusts tells whether a process takes another for live.
-func (members *memberList) trusts(node *Node, key string) bool {
-	for _, entry := range members.view(node).Live("", node.now()) {
+func (m *memberList) trusts(node *Node, key string) bool {
+	for _, entry := range m.view(node).Live("", node.now()) {
 		if membership.Key(entry) == key {
 			return true
 		}
--- a/internal/tooling/hollowfleet/meter.go
+++ b/internal/tooling/hollowfleet/meter.go
@@ -27,7 +27,7 @@
 var coreNames = [cores]string{"membership", "workers", "gossip", "readings", "placement", "config", "register", "holds", "lots", "driver", "contact", "backlog"}
 
 // String names the core.
-func (core Core) String() string { return coreNames[core] }
+func (c Core) String() string { return coreNames[c] }
 
 // Cost is what a core took in one process: its steps, with the reading and writing of
 // their messages, and their processor time in ns.
@@ -48,14 +48,14 @@
 
 // step runs a step of a core and charges the process with it. Steps within steps are
 // charged to the inner core alone.
-func (node *Node) step(core Core, function func()) {
-	fleet := node.fleet
+func (n *Node) step(core Core, function func()) {
+	fleet := n.fleet
 	begun := threadTime()
 	outer := fleet.inner
 	fleet.inner = 0
 	function()
 	took := threadTime() - begun
-	cost := &node.costs[core]
+	cost := &n.costs[core]
 	cost.Steps++
 	cost.Nanoseconds += took - fleet.inner
 	fleet.inner = outer + took
@@ -80,7 +80,7 @@
 	Bytes  int64
 }
 
-func (traffic *Traffic) add(bytes int) {
-	traffic.Frames++
-	traffic.Bytes += int64(bytes)
+func (t *Traffic) add(bytes int) {
+	t.Frames++
+	t.Bytes += int64(bytes)
 }
--- a/internal/tooling/hollowfleet/node.go
+++ b/internal/tooling/hollowfleet/node.go
@@ -51,27 +51,27 @@
 }
 
 // begin starts a life of the process: empty cores, timers, answers.
-func (node *Node) begin() {
-	node.down = false
-	node.life++
-	node.own.Life += 1_000_000_000
-	node.generation = 0
-	node.answerers = map[messages.Kind]answerer{}
-	node.state = make([]any, len(node.fleet.mechanisms))
-	node.wire = node.fleet.network.Transport(node.own.Address)
-	for place, mechanism := range node.fleet.mechanisms {
-		node.state[place] = mechanism.Begin(node)
+func (n *Node) begin() {
+	n.down = false
+	n.life++
+	n.own.Life += 1_000_000_000
+	n.generation = 0
+	n.answerers = map[messages.Kind]answerer{}
+	n.state = make([]any, len(n.fleet.mechanisms))
+	n.wire = n.fleet.network.Transport(n.own.Address)
+	for place, mechanism := range n.fleet.mechanisms {
+		n.state[place] = mechanism.Begin(n)
 	}
-	_ = node.wire.ServeLater(func(kind messages.Kind, body []byte, reply func([]byte, error)) {
-		one := node.answerers[kind]
+	_ = n.wire.ServeLater(func(kind messages.Kind, body []byte, reply func([]byte, error)) {
+		one := n.answerers[kind]
 		if one == nil {
 			reply(nil, nil)
 			return
 		}
-		life := node.life
+		life := n.life
 		one(body, func(answer transport.Writable) {
 			switch {
-			case node.life != life:
+			case n.life != life:
 			case answer == nil:
 				reply(nil, nil)
 			default:
@@ -82,44 +82,44 @@
 }
 
 // end stops the process silently; the machine is silent from now on.
-func (node *Node) end() {
-	node.down = true
-	node.life++
-	node.wire.Close()
-	node.state = nil
+func (n *Node) end() {
+	n.down = true
+	n.life++
+	n.wire.Close()
+	n.state = nil
 }
 
 // places tells whether the process places work at workers.
-func (node *Node) places() bool { return node.own.Role != membership.RoleController }
+func (n *Node) places() bool { return n.own.Role != membership.RoleController }
 
 // now is the simulated moment.
-func (node *Node) now() clock.Moment { return node.fleet.world.Now }
+func (n *Node) now() clock.Moment { return n.fleet.world.Now }
 
 // after runs a function later, unless this life is over by then.
-func (node *Node) after(span clock.Span, function func()) {
-	life := node.life
-	node.fleet.world.After(span, func() {
-		if node.life == life {
+func (n *Node) after(span clock.Span, function func()) {
+	life := n.life
+	n.fleet.world.After(span, func() {
+		if n.life == life {
 			function()
 		}
 	})
 }
 
 // every runs a function each period, from a random part of the first on.
-func (node *Node) every(period clock.Span, function func()) {
+func (n *Node) every(period clock.Span, function func()) {
 	var again func()
 	again = func() {
 		function()
-		node.after(period, again)
+		n.after(period, again)
 	}
-	node.after(clock.Span(node.random.Int63n(int64(period))), again)
+	n.after(clock.Span(n.random.Int63n(int64(period))), again)
 }
 
 // post sends a call; then may be nil, and is run only in this life.
-func (node *Node) post(address string, kind messages.Kind, body []byte, span clock.Span, then func([]byte, error)) {
-	life := node.life
-	node.wire.Post(address, kind, body, span, func(answer []byte, err error) {
-		if then != nil && node.life == life {
+func (n *Node) post(address string, kind messages.Kind, body []byte, span clock.Span, then func([]byte, error)) {
+	life := n.life
+	n.wire.Post(address, kind, body, span, func(answer []byte, err error) {
+		if then != nil && n.life == life {
 			then(answer, err)
 		}
 	})
@@ -127,11 +127,11 @@
 
 // ask sends a message and reads the answer into another; then is told whether that
 // went well. Writing and reading are charged to the core, as is what then does.
-func (node *Node) ask(core Core, address string, kind messages.Kind, question transport.Writable, answer transport.Readable, span clock.Span, then func(reached bool)) {
+func (n *Node) ask(core Core, address string, kind messages.Kind, question transport.Writable, answer transport.Readable, span clock.Span, then func(reached bool)) {
 	var body []byte
-	node.step(core, func() { body, _ = question.MarshalMsg(nil) })
-	node.post(address, kind, body, span, func(back []byte, err error) {
-		node.step(core, func() {
+	n.step(core, func() { body, _ = question.MarshalMsg(nil) })
+	n.post(address, kind, body, span, func(back []byte, err error) {
+		n.step(core, func() {
 			if err == nil {
 				err = transport.Read(back, answer)
 			}
@@ -141,11 +141,11 @@
 }
 
 // tell sends one message one way to each entry.
-func (node *Node) tell(entries []messages.Entry, core Core, kind messages.Kind, message transport.Writable) {
+func (n *Node) tell(entries []messages.Entry, core Core, kind messages.Kind, message transport.Writable) {
 	var body []byte
-	node.step(core, func() { body, _ = message.MarshalMsg(nil) })
+	n.step(core, func() { body, _ = message.MarshalMsg(nil) })
 	for _, entry := range entries {
-		node.wire.PostTell(entry.Address, kind, body)
+		n.wire.PostTell(entry.Address, kind, body)
 	}
 }
 
--- a/internal/tooling/hollowfleet/plan.go
+++ b/internal/tooling/hollowfleet/plan.go
@@ -78,42 +78,42 @@
 )
 
 // Scale sets requests, in proportion to the nodes, where none are given.
-func (plan *Plan) Scale() {
-	if plan.Requests == 0 {
-		plan.Requests = PageRequests * float64(plan.Nodes) / PageNodes
+func (p *Plan) Scale() {
+	if p.Requests == 0 {
+		p.Requests = PageRequests * float64(p.Nodes) / PageNodes
 	}
 }
 
 // Check gives one line for each senseless value, with the name of its flag.
-func (plan *Plan) Check() []string {
+func (p *Plan) Check() []string {
 	var findings []string
 	need := func(holds bool, format string, values ...any) {
 		if !holds {
 			findings = append(findings, fmt.Sprintf(format, values...))
 		}
 	}
-	need(plan.Nodes >= 2 && plan.Nodes <= 4000, "--nodes must be 2 to 4000, not %d", plan.Nodes)
-	need(plan.Zones >= 1 && plan.Zones <= plan.Nodes, "--zones must be 1 to the number of nodes, not %d", plan.Zones)
-	need(plan.Regions >= 1 && plan.Regions <= plan.Zones, "--regions must be 1 to the number of zones, not %d", plan.Regions)
-	need(plan.Workers >= 1 && plan.Workers <= 20000, "--workers must be 1 to 20000, not %d", plan.Workers)
-	need(plan.StoreEach >= 2, "--store-each must be 2 or more, not %d", plan.StoreEach)
-	need(plan.Models >= 1, "--models must be 1 or more, not %d", plan.Models)
-	need(plan.LotItems >= 1 && plan.LotItems <= 1_000_000, "--lot-items must be 1 to 1000000, not %d", plan.LotItems)
-	need(plan.ItemBytes >= 1 && plan.ItemBytes <= 1<<20, "--item-bytes must be 1 to 1048576, not %d", plan.ItemBytes)
-	need(plan.ConfigBytes >= 200 && plan.ConfigBytes <= 8<<20, "--config-bytes must be 200 to 8388608, not %d", plan.ConfigBytes)
-	need(plan.DurationS > 0 && plan.DurationS <= 86400, "--duration must be above 0 and at most 24h")
-	need(plan.WarmS >= 0 && plan.WarmS <= 3600, "--warm must be 0 to 1h")
-	rates := map[string]float64{"--requests": plan.Requests, "--lots": plan.Lots, "--changes": plan.Changes,
-		"--turns": plan.Turns, "--failures": plan.Failures}
+	need(p.Nodes >= 2 && p.Nodes <= 4000, "--nodes must be 2 to 4000, not %d", p.Nodes)
+	need(p.Zones >= 1 && p.Zones <= p.Nodes, "--zones must be 1 to the number of nodes, not %d", p.Zones)
+	need(p.Regions >= 1 && p.Regions <= p.Zones, "--regions must be 1 to the number of zones, not %d", p.Regions)
+	need(p.Workers >= 1 && p.Workers <= 20000, "--workers must be 1 to 20000, not %d", p.Workers)
+	need(p.StoreEach >= 2, "--store-each must be 2 or more, not %d", p.StoreEach)
+	need(p.Models >= 1, "--models must be 1 or more, not %d", p.Models)
+	need(p.LotItems >= 1 && p.LotItems <= 1_000_000, "--lot-items must be 1 to 1000000, not %d", p.LotItems)
+	need(p.ItemBytes >= 1 && p.ItemBytes <= 1<<20, "--item-bytes must be 1 to 1048576, not %d", p.ItemBytes)
+	need(p.ConfigBytes >= 200 && p.ConfigBytes <= 8<<20, "--config-bytes must be 200 to 8388608, not %d", p.ConfigBytes)
+	need(p.DurationS > 0 && p.DurationS <= 86400, "--duration must be above 0 and at most 24h")
+	need(p.WarmS >= 0 && p.WarmS <= 3600, "--warm must be 0 to 1h")
+	rates := map[string]float64{"--requests": p.Requests, "--lots": p.Lots, "--changes": p.Changes,
+		"--turns": p.Turns, "--failures": p.Failures}
 	for _, name := range sortedKeys(rates) {
 		need(rates[name] >= 0, "%s must not be below 0", name)
 	}
-	losses := map[string]float64{"--rack": plan.RackS, "--zone": plan.ZoneS, "--part": plan.PartS}
+	losses := map[string]float64{"--rack": p.RackS, "--zone": p.ZoneS, "--part": p.PartS}
 	for _, name := range sortedKeys(losses) {
-		need(losses[name] >= 0 && losses[name] < plan.DurationS, "%s must be 0 or more and shorter than --duration", name)
+		need(losses[name] >= 0 && losses[name] < p.DurationS, "%s must be 0 or more and shorter than --duration", name)
 	}
-	need(plan.PartS == 0 || plan.Regions > 1, "--part needs two regions or more")
-	need(plan.HeartbeatMs > 0, "--heartbeat must be above 0")
+	need(p.PartS == 0 || p.Regions > 1, "--part needs two regions or more")
+	need(p.HeartbeatMs > 0, "--heartbeat must be above 0")
 	return findings
 }
 
--- a/internal/tooling/hollowfleet/plot.go
+++ b/internal/tooling/hollowfleet/plot.go
@@ -25,15 +25,15 @@
 }
 
 // Draw writes a chart as SVG into a folder, named after its title.
-func (chart Chart) Draw(folder string) error {
+func (c Chart) Draw(folder string) error {
 	picture := plot.New()
-	picture.Title.Text = chart.Title
+	picture.Title.Text = c.Title
 	picture.X.Label.Text = "nodes"
 	picture.X.Min, picture.Y.Min = 0, 0
 	picture.Legend.Top, picture.Legend.Left = true, true
 	place := 0
-	for _, name := range sortedKeys(chart.Lines) {
-		slope := chart.Lines[name]
+	for _, name := range sortedKeys(c.Lines) {
+		slope := c.Lines[name]
 		picture.Y.Label.Text = slope.Unit
 		points := plotter.XYs{}
 		for _, point := range slope.Points {
@@ -51,22 +51,22 @@
 		picture.X.Max, picture.Y.Max = PageNodes, max(picture.Y.Max, slope.Best.At(PageNodes))
 		place++
 	}
-	if chart.Budget > 0 {
-		budget := plotter.NewFunction(func(float64) float64 { return chart.Budget })
+	if c.Budget > 0 {
+		budget := plotter.NewFunction(func(float64) float64 { return c.Budget })
 		budget.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
 		picture.Add(budget)
 		picture.Legend.Add("budget", budget)
-		picture.Y.Max = max(picture.Y.Max, chart.Budget*1.1)
+		picture.Y.Max = max(picture.Y.Max, c.Budget*1.1)
 	}
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return Unplotted.Wrap(err, folder)
 	}
-	path := filepath.Join(folder, strings.ReplaceAll(strings.ToLower(chart.Title), " ", "-")+".svg")
+	path := filepath.Join(folder, strings.ReplaceAll(strings.ToLower(c.Title), " ", "-")+".svg")
 	return Unplotted.Wrap(picture.Save(16*vg.Centimeter, 10*vg.Centimeter, path), path)
 }
 
 // Draw writes the charts of a series.
-func (series *Series) Draw(folder, prefix string) error {
+func (s *Series) Draw(folder, prefix string) error {
 	for title, names := range map[string][]string{
 		"bytes":     {"gateway bytes", "store bytes", "controller bytes"},
 		"processor": {"gateway processor", "store processor", "controller processor"},
@@ -74,7 +74,7 @@
 	} {
 		chart := Chart{Title: prefix + " " + title, Lines: map[string]Slope{}}
 		for _, name := range names {
-			if slope, known := series.Slopes[name]; known {
+			if slope, known := s.Slopes[name]; known {
 				chart.Lines[name] = slope
 			}
 		}
--- a/internal/tooling/hollowfleet/probe_test.go
+++ b/internal/tooling/hollowfleet/probe_test.go
@@ -7,35 +7,35 @@
 	"testing"
 )
 
-func TestProbedLotsGrowWithTheirItems(test *testing.T) {
+func TestProbedLotsGrowWithTheirItems(t *testing.T) {
 	series := ProbeLots([]int{500, 4000, 16000}, 50, nil)
 	if len(series.Probes) != 3 || len(series.Slopes) != 6 {
-		test.Fatalf("%+v", series)
+		t.Fatalf("%+v", series)
 	}
 	for place, probe := range series.Probes {
 		if !probe.Fits || probe.TakeMs <= 0 || probe.OutputUs <= 0 || probe.HeapMB <= 0 {
-			test.Errorf("%+v", probe)
+			t.Errorf("%+v", probe)
 		}
 		if place > 0 && probe.HeapMB <= series.Probes[place-1].HeapMB {
-			test.Errorf("heap %f of %d items", probe.HeapMB, probe.Items)
+			t.Errorf("heap %f of %d items", probe.HeapMB, probe.Items)
 		}
 	}
 }
 
-func TestSpentIsReadOfTheKernel(test *testing.T) {
+func TestSpentIsReadOfTheKernel(t *testing.T) {
 	for count := 0; count < 30_000_000; count++ {
 		_ = count
 	}
 	found := spentBy(os.Getpid())
 	if found.resident <= 0 || found.own <= 0 || found.own > found.resident {
-		test.Fatalf("%+v", found)
+		t.Fatalf("%+v", found)
 	}
 	if gone := spentBy(1 << 30); gone != (spent{}) {
-		test.Fatalf("%+v of no process", gone)
+		t.Fatalf("%+v of no process", gone)
 	}
 }
 
-func TestTableTellsMeasuredFromFitted(test *testing.T) {
+func TestTableTellsMeasuredFromFitted(t *testing.T) {
 	points := []Point{{25, 10}, {50, 20}, {100, 40}}
 	best, _ := BestFit(points)
 	series := &Series{Runs: []*Result{{Plan: Plan{Nodes: 25}}, {Plan: Plan{Nodes: 50}}, {Plan: Plan{Nodes: 100}}},
@@ -44,19 +44,19 @@
 	series.Table(&text, "run.json")
 	if !strings.Contains(text.String(), "| gateway bytes (bytes a second) | 10 | 20 | 40 | linear (0%) | 156 fitted | run.json |") ||
 		strings.Contains(text.String(), "nothing") {
-		test.Fatal(text.String())
+		t.Fatal(text.String())
 	}
 	series.Slopes["gateway bytes"] = Slope{Unit: "bytes a second", Points: []Point{{25, 10}, {50, 20}, {390, 12345}}, Best: best}
 	text.Reset()
 	series.Table(&text, "run.json")
 	if !strings.Contains(text.String(), "12.3k measured") {
-		test.Fatal(text.String())
+		t.Fatal(text.String())
 	}
 }
 
-func TestFramesCostProcessorTime(test *testing.T) {
+func TestFramesCostProcessorTime(t *testing.T) {
 	cost, err := WireCost()
 	if err != nil || cost <= 0 || cost > 10_000 {
-		test.Fatal(cost, err)
+		t.Fatal(cost, err)
 	}
 }
--- a/internal/tooling/hollowfleet/propose.go
+++ b/internal/tooling/hollowfleet/propose.go
@@ -10,8 +10,8 @@
 
 // propose runs a change at the register until it is in force (then gets its value) or
 // its time is over (then gets nil).
-func (configuration *configuration) propose(node *Node, change register.Change, end clock.Moment, then func(*messages.Register)) {
-	own := configuration.stateOf(node)
+func (c *configuration) propose(node *Node, change register.Change, end clock.Moment, then func(*messages.Register)) {
+	own := c.stateOf(node)
 	own.counter++
 	var proposal *register.Proposal
 	var sends []register.Send
@@ -32,7 +32,7 @@
 	var carry func(sends []register.Send)
 	carry = func(sends []register.Send) {
 		for _, send := range sends {
-			configuration.carry(node, send, func(promise *messages.Promise, accepted *messages.Accepted) {
+			c.carry(node, send, func(promise *messages.Promise, accepted *messages.Accepted) {
 				var more []register.Send
 				node.step(CoreRegister, func() {
 					if promise != nil {
@@ -58,13 +58,13 @@
 			return
 		}
 		pause := constants.BackoffBase + clock.Span(node.random.Int63n(int64(constants.BackoffSpread)))
-		node.after(pause, func() { configuration.propose(node, change, end, then) })
+		node.after(pause, func() { c.propose(node, change, end, then) })
 	})
 }
 
 // carry takes one message of a proposal to its member.
-func (configuration *configuration) carry(node *Node, send register.Send, then func(*messages.Promise, *messages.Accepted)) {
-	own := configuration.stateOf(node)
+func (c *configuration) carry(node *Node, send register.Send, then func(*messages.Promise, *messages.Accepted)) {
+	own := c.stateOf(node)
 	if send.Member.Address == node.own.Address {
 		if send.Prepare != nil {
 			var answer messages.Promise
--- a/internal/tooling/hollowfleet/readings.go
+++ b/internal/tooling/hollowfleet/readings.go
@@ -8,7 +8,7 @@
 // spreadReading tells of a long prompt as loadgossip does: in the worker's zone those who
 // draw it, and one process there where that is another zone; first is false for a notice
 // that came from there.
-func (gossip *gossip) spreadReading(node *Node, own *placing, told *messages.ReadingTold, first bool) {
+func (g *gossip) spreadReading(node *Node, own *placing, told *messages.ReadingTold, first bool) {
 	zone := own.scheduler.ZoneOf(told.Worker)
 	if zone == node.own.Zone {
 		drawn, part := own.scheduler.DrawnBy(told.Worker, own.neighbours.near)
--- a/internal/tooling/hollowfleet/real.go
+++ b/internal/tooling/hollowfleet/real.go
@@ -75,18 +75,18 @@
 }
 
 // pause waits, unless a child dies.
-func (fleet *realFleet) pause(forS float64) error {
+func (r *realFleet) pause(forS float64) error {
 	select {
 	case <-clock.After(seconds(forS)):
 		return nil
-	case name := <-fleet.ended:
+	case name := <-r.ended:
 		return Unstarted.New(name + " ended by itself")
 	}
 }
 
-func (fleet *realFleet) nodeSettings(machine int, role string) string {
+func (r *realFleet) nodeSettings(machine int, role string) string {
 	var seeds []string
-	for seed := 0; seed < fleet.plan.Controllers; seed++ {
+	for seed := 0; seed < r.plan.Controllers; seed++ {
 		seeds = append(seeds, fmt.Sprintf("%q", net.JoinHostPort(machineAddress(seed), fmt.Sprint(portControl))))
 	}
 	own := machineAddress(machine)
@@ -112,33 +112,33 @@
 [tolerances]
 grace-s = 4
 status-s = 40
-`, machine, machine%max(fleet.plan.Controllers, 1), own, portInternal, portInternal+10, strings.Join(seeds, ", "),
-		filepath.Join(fleet.folder, role+fmt.Sprint(machine)), serves, own, portIngress, own, portReady, own, portControl)
+`, machine, machine%max(r.plan.Controllers, 1), own, portInternal, portInternal+10, strings.Join(seeds, ", "),
+		filepath.Join(r.folder, role+fmt.Sprint(machine)), serves, own, portIngress, own, portReady, own, portControl)
 }
 
-func (fleet *realFleet) start() error {
-	for machine := 0; machine < fleet.plan.Gateways+fleet.plan.Stores; machine++ {
+func (r *realFleet) start() error {
+	for machine := 0; machine < r.plan.Gateways+r.plan.Stores; machine++ {
 		roles := []string{membership.RoleGateway}
-		if machine >= fleet.plan.Gateways {
+		if machine >= r.plan.Gateways {
 			roles = []string{membership.RoleStore}
 		}
-		if machine < fleet.plan.Controllers {
+		if machine < r.plan.Controllers {
 			roles = append(roles, membership.RoleController)
 		}
 		for _, role := range roles {
-			path := filepath.Join(fleet.folder, fmt.Sprintf("%s-%d.toml", role, machine))
-			if err := os.WriteFile(path, []byte(fleet.nodeSettings(machine, role)), 0o600); err != nil {
+			path := filepath.Join(r.folder, fmt.Sprintf("%s-%d.toml", role, machine))
+			if err := os.WriteFile(path, []byte(r.nodeSettings(machine, role)), 0o600); err != nil {
 				return Unstarted.Wrap(err, "settings")
 			}
-			child := exec.Command(filepath.Join(fleet.plan.Programs, constants.RoleName(role)))
+			child := exec.Command(filepath.Join(r.plan.Programs, constants.RoleName(role)))
 			child.Env = append(os.Environ(), settings.Variable+"="+path)
 			if err := child.Start(); err != nil {
 				return Unstarted.Wrap(err, role)
 			}
-			fleet.children, fleet.roles = append(fleet.children, child), append(fleet.roles, constants.RoleName(role))
+			r.children, r.roles = append(r.children, child), append(r.roles, constants.RoleName(role))
 			go func() {
 				_ = child.Wait()
-				fleet.ended <- fmt.Sprintf("%s of machine %d", role, machine)
+				r.ended <- fmt.Sprintf("%s of machine %d", role, machine)
 			}()
 		}
 	}
@@ -146,19 +146,19 @@
 }
 
 // end kills every child, and waits for none longer than the kernel takes.
-func (fleet *realFleet) end() {
-	for _, child := range fleet.children {
+func (r *realFleet) end() {
+	for _, child := range r.children {
 		_ = child.Process.Kill()
 	}
-	for range fleet.children {
+	for range r.children {
 		select {
-		case <-fleet.ended:
+		case <-r.ended:
 		case <-clock.After(seconds(2)):
 		}
 	}
 }
 
-func (fleet *realFleet) call(controller int, path string, body []byte, header string) error {
+func (r *realFleet) call(controller int, path string, body []byte, header string) error {
 	request, err := http.NewRequest(http.MethodPost, fmt.Sprintf("http://%s:%d%s", machineAddress(controller), portControl, path), bytes.NewReader(body))
 	if err != nil {
 		return err
@@ -166,7 +166,7 @@
 	if header != "" {
 		request.Header.Set("Lemonarch-Base-Revision", header)
 	}
-	answer, err := fleet.client.Do(request)
+	answer, err := r.client.Do(request)
 	if err != nil {
 		return err
 	}
@@ -179,7 +179,7 @@
 }
 
 // configure hands the first configuration in, as soon as the controllers take it.
-func (fleet *realFleet) configure() error {
+func (r *realFleet) configure() error {
 	config := routeconfig.Config{
 		Generation: 1,
 		Routes: []routeconfig.Route{{Name: "r", Host: "a.example", Prefix: "/", KindName: "idempotent", CutoffMs: 2000, SetpointMs: 300,
@@ -190,10 +190,10 @@
 	body := config.Encode()
 	var err error
 	for range 40 {
-		if err = fleet.call(0, "/-/Configuration.Replace", body, "0"); err == nil {
+		if err = r.call(0, "/-/Configuration.Replace", body, "0"); err == nil {
 			return nil
 		}
-		if pause := fleet.pause(0.25); pause != nil {
+		if pause := r.pause(0.25); pause != nil {
 			return pause
 		}
 	}
@@ -214,11 +214,11 @@
 }
 
 // beat is one round of heartbeats of all workers.
-func (fleet *realFleet) beat() {
+func (r *realFleet) beat() {
 	now := clock.Wall()
-	for worker := 0; worker < fleet.plan.Workers; worker++ {
+	for worker := 0; worker < r.plan.Workers; worker++ {
 		body, _ := json.Marshal(heartbeat{Backend: realService, Address: fmt.Sprintf("127.78.%d.%d:9000", worker/200, worker%200+1),
 			Zone: "zone-0", Capacity: 16, Phase: "steady", Count: now})
-		_ = fleet.call(worker%fleet.plan.Controllers, fmt.Sprintf("/-/Workers.Heartbeat/worker-%04d", worker), body, "")
+		_ = r.call(worker%r.plan.Controllers, fmt.Sprintf("/-/Workers.Heartbeat/worker-%04d", worker), body, "")
 	}
 }
--- a/internal/tooling/hollowfleet/realplan.go
+++ b/internal/tooling/hollowfleet/realplan.go
@@ -52,20 +52,20 @@
 const realLimit = 64
 
 // Check gives one line for each senseless value.
-func (plan *RealPlan) Check() []string {
+func (r *RealPlan) Check() []string {
 	var findings []string
 	need := func(holds bool, format string, values ...any) {
 		if !holds {
 			findings = append(findings, fmt.Sprintf(format, values...))
 		}
 	}
-	need(plan.Gateways >= 1 && plan.Stores >= 0 && plan.Controllers >= 1, "--gateways and --controllers must be 1 or more, --stores 0 or more")
-	need(plan.Gateways+plan.Stores+plan.Controllers <= realLimit, "no more than %d processes in all", realLimit)
-	need(plan.Controllers <= plan.Gateways, "--controllers must not be above --gateways: each stands beside a gateway")
-	need(plan.Workers >= 1 && plan.Workers <= 2000, "--workers must be 1 to 2000")
-	need(plan.SettleS >= 0 && plan.CountS > 0, "--settle must be 0 or more and --duration above 0")
+	need(r.Gateways >= 1 && r.Stores >= 0 && r.Controllers >= 1, "--gateways and --controllers must be 1 or more, --stores 0 or more")
+	need(r.Gateways+r.Stores+r.Controllers <= realLimit, "no more than %d processes in all", realLimit)
+	need(r.Controllers <= r.Gateways, "--controllers must not be above --gateways: each stands beside a gateway")
+	need(r.Workers >= 1 && r.Workers <= 2000, "--workers must be 1 to 2000")
+	need(r.SettleS >= 0 && r.CountS > 0, "--settle must be 0 or more and --duration above 0")
 	for _, name := range []string{"gateway", "controller", "store"} {
-		_, err := os.Stat(filepath.Join(plan.Programs, name))
+		_, err := os.Stat(filepath.Join(r.Programs, name))
 		need(err == nil, "--programs has no %s: build them first", name)
 	}
 	return findings
--- a/internal/tooling/hollowfleet/register.go
+++ b/internal/tooling/hollowfleet/register.go
@@ -58,28 +58,28 @@
 // Name names it.
 func (*configuration) Name() string { return "configuration" }
 
-func (configuration *configuration) stateOf(node *Node) *registerState {
+func (c *configuration) stateOf(node *Node) *registerState {
 	own, _ := node.state[3].(*registerState)
 	return own
 }
 
 // Begin starts a controller's seat, or a follower.
-func (configuration *configuration) Begin(node *Node) any {
+func (c *configuration) Begin(node *Node) any {
 	node.answerers[messages.KindConfigPush] = reads(node, CoreConfig, func(push *messages.ConfigPush) transport.Writable {
 		if len(push.Pass) > 0 {
-			node.after(0, func() { configuration.passOn(node, push) })
+			node.after(0, func() { c.passOn(node, push) })
 		}
-		configuration.take(node, push.Generation, push.Body)
+		c.take(node, push.Generation, push.Body)
 		// A push without a body only says that there is one.
-		configuration.saw(node, push.Generation)
+		c.saw(node, push.Generation)
 		return &messages.Nothing{Taken: node.generation >= push.Generation}
 	})
-	acceptor := configuration.acceptors[node.own.Address]
+	acceptor := c.acceptors[node.own.Address]
 	if acceptor == nil {
-		node.after(constants.StartPause*2, func() { configuration.pull(node) })
+		node.after(constants.StartPause*2, func() { c.pull(node) })
 		return &follower{}
 	}
-	own := &registerState{acceptor: acceptor, grants: lease.NewGrants(node.now(), node.life == 1), known: configuration.first}
+	own := &registerState{acceptor: acceptor, grants: lease.NewGrants(node.now(), node.life == 1), known: c.first}
 	node.answerers[messages.KindPrepare] = reads(node, CoreRegister, func(question *messages.Prepare) transport.Writable {
 		answer, _ := acceptor.Prepare(question)
 		return &answer
@@ -95,15 +95,15 @@
 	node.answerers[messages.KindConfigPull] = reads(node, CoreConfig, func(*messages.ConfigPull) transport.Writable {
 		return &messages.ConfigPush{Generation: node.generation, Body: own.body}
 	})
-	node.after(constants.StartPause*2, func() { configuration.pull(node) })
+	node.after(constants.StartPause*2, func() { c.pull(node) })
 	return own
 }
 
 // Drop lets go of the configuration.
-func (configuration *configuration) Drop(node *Node) { node.state[3] = nil }
+func (c *configuration) Drop(node *Node) { node.state[3] = nil }
 
 // take puts a newer configuration in force.
-func (configuration *configuration) take(node *Node, generation int64, body []byte) {
+func (c *configuration) take(node *Node, generation int64, body []byte) {
 	if generation <= node.generation || len(body) == 0 {
 		return
 	}
@@ -113,14 +113,14 @@
 			return
 		}
 		node.generation = config.Generation
-		if view := configuration.fleet.members.viewOf(node); view != nil {
+		if view := c.fleet.members.viewOf(node); view != nil {
 			view.SetGeneration(config.Generation)
 		}
-		if own := configuration.stateOf(node); own != nil {
+		if own := c.stateOf(node); own != nil {
 			own.body = body
 		} else if other, is := node.state[3].(*follower); is {
 			other.config, other.body = config, body
-			if own := configuration.fleet.registrations.placing(node); own != nil {
+			if own := c.fleet.registrations.placing(node); own != nil {
 				own.scheduler.SetConfig(config)
 			}
 		}
@@ -128,7 +128,7 @@
 }
 
 // passOn sends a configuration on to the part of the zone that came with it.
-func (configuration *configuration) passOn(node *Node, push *messages.ConfigPush) {
+func (c *configuration) passOn(node *Node, push *messages.ConfigPush) {
 	for _, send := range broadcast.Split(push.Pass, constants.BodyFan) {
 		var try func(address string, pass []string)
 		try = func(address string, pass []string) {
@@ -144,38 +144,38 @@
 }
 
 // saw pulls a configuration that somebody was seen to have.
-func (configuration *configuration) saw(node *Node, generation int64) {
+func (c *configuration) saw(node *Node, generation int64) {
 	if other, is := node.state[3].(*follower); is && generation > node.generation && !other.pulling {
 		other.pulling = true
-		configuration.pull(node)
+		c.pull(node)
 		return
 	}
-	if configuration.stateOf(node) != nil && generation > node.generation {
-		configuration.pull(node)
+	if c.stateOf(node) != nil && generation > node.generation {
+		c.pull(node)
 	}
 }
 
 // pull asks controllers, the nearest that answer first, until one does.
-func (configuration *configuration) pull(node *Node) {
+func (c *configuration) pull(node *Node) {
 	var controllers []messages.Entry
-	node.step(CoreConfig, func() { controllers = configuration.fleet.members.view(node).Controllers(node.now()) })
-	address := configuration.fleet.seeds[node.random.Intn(len(configuration.fleet.seeds))]
+	node.step(CoreConfig, func() { controllers = c.fleet.members.view(node).Controllers(node.now()) })
+	address := c.fleet.seeds[node.random.Intn(len(c.fleet.seeds))]
 	if len(controllers) > 0 {
 		address = controllers[0].Address
 	}
 	if address == node.own.Address {
-		node.after(constants.StartPause, func() { configuration.pull(node) })
+		node.after(constants.StartPause, func() { c.pull(node) })
 		return
 	}
 	push := &messages.ConfigPush{}
 	node.ask(CoreConfig, address, messages.KindConfigPull, &messages.ConfigPull{Known: node.generation}, push, constants.CallTime, func(reached bool) {
 		if reached {
-			configuration.take(node, push.Generation, push.Body)
+			c.take(node, push.Generation, push.Body)
 		} else {
-			configuration.fleet.members.view(node).Failed(address, node.now())
+			c.fleet.members.view(node).Failed(address, node.now())
 		}
-		if !reached && node.generation < configuration.chosen {
-			node.after(constants.StartPause, func() { configuration.pull(node) })
+		if !reached && node.generation < c.chosen {
+			node.after(constants.StartPause, func() { c.pull(node) })
 			return
 		}
 		if other, is := node.state[3].(*follower); is {
@@ -185,26 +185,26 @@
 }
 
 // change has a controller take a new configuration, as an operator does.
-func (configuration *configuration) change(node *Node) {
-	fleet := configuration.fleet
-	configuration.changes++
+func (c *configuration) change(node *Node) {
+	fleet := c.fleet
+	c.changes++
 	if !fleet.contacts.attached(node) {
 		fleet.troubles.refused("configuration")
 		return
 	}
-	version := messages.Version{Generation: configuration.chosen + 1, Base: configuration.chosen}
-	body := configuration.body(version.Generation)
+	version := messages.Version{Generation: c.chosen + 1, Base: c.chosen}
+	body := c.body(version.Generation)
 	version.Hash = routeconfig.Hash(body)
 	var result register.Result
 	begun := fleet.world.Now
-	configuration.propose(node, register.Replace(version, body, &result), fleet.world.Now.Plus(constants.RegisterTime), func(value *messages.Register) {
+	c.propose(node, register.Replace(version, body, &result), fleet.world.Now.Plus(constants.RegisterTime), func(value *messages.Register) {
 		if value == nil {
 			fleet.troubles.refused("configuration")
 			return
 		}
-		configuration.chosen = max(configuration.chosen, value.Current.Generation)
+		c.chosen = max(c.chosen, value.Current.Generation)
 		fleet.troubles.track("configuration", node, func(one *Node) bool { return one.generation >= value.Current.Generation })
-		configuration.take(node, value.Current.Generation, value.Body)
+		c.take(node, value.Current.Generation, value.Body)
 		// The call is acknowledged when all have it or the time for it is over.
 		fleet.registrations.spread(node, CoreConfig, &messages.Relay{Generation: value.Current.Generation, Body: value.Body}, constants.PushTime, func() {
 			fleet.troubles.acknowledged("configuration", fleet.world.Now.Since(begun))
@@ -213,8 +213,8 @@
 }
 
 // body makes a configuration of about the planned length.
-func (configuration *configuration) body(generation int64) []byte {
-	plan := &configuration.fleet.Plan
+func (c *configuration) body(generation int64) []byte {
+	plan := &c.fleet.Plan
 	config := routeconfig.Config{Generation: generation}
 	for model := 0; model < plan.Models; model++ {
 		config.Services = append(config.Services, routeconfig.Service{Name: fmt.Sprintf("model-%02d", model), ConnLimit: 520,
--- a/internal/tooling/hollowfleet/result.go
+++ b/internal/tooling/hollowfleet/result.go
@@ -92,54 +92,54 @@
 // roleHolder is the store that holds the lots, told apart from the others.
 const roleHolder = "holder"
 
-func (fleet *Fleet) roleOf(node *Node) string {
-	if node == fleet.storage.holder {
+func (f *Fleet) roleOf(node *Node) string {
+	if node == f.storage.holder {
 		return roleHolder
 	}
 	return constants.RoleName(node.own.Role)
 }
 
-func (fleet *Fleet) result() *Result {
-	fleet.counting = false
-	fleet.troubles.close()
-	result := &Result{Plan: fleet.Plan, Simulated: Simulated{Roles: map[string]RoleTraffic{}, Kinds: map[string]map[string]Rate{},
-		Known: map[string]Times{}, Acknowledged: map[string]Times{}, Refused: fleet.troubles.refuse, Weights: fleet.gossip.ages.result(), Near: fleet.gossip.near.result(),
-		Lost: fleet.troubles.failed, Lots: LotSums{HandedIn: fleet.storage.made, Listed: fleet.storage.listed, Durable: timesOf(fleet.storage.waits, nil)}},
+func (f *Fleet) result() *Result {
+	f.counting = false
+	f.troubles.close()
+	result := &Result{Plan: f.Plan, Simulated: Simulated{Roles: map[string]RoleTraffic{}, Kinds: map[string]map[string]Rate{},
+		Known: map[string]Times{}, Acknowledged: map[string]Times{}, Refused: f.troubles.refuse, Weights: f.gossip.ages.result(), Near: f.gossip.near.result(),
+		Lost: f.troubles.failed, Lots: LotSums{HandedIn: f.storage.made, Listed: f.storage.listed, Durable: timesOf(f.storage.waits, nil)}},
 		Measured: Measured{Roles: map[string]RoleCost{}}}
-	result.Simulated.Loads = fleet.gossip.loads()
-	result.Simulated.Turned = float64(fleet.traffic.turned) / max(float64(fleet.traffic.asked), 1)
-	perSecond := 1 / fleet.Plan.DurationS
-	for kind, found := range fleet.kinds {
+	result.Simulated.Loads = f.gossip.loads()
+	result.Simulated.Turned = float64(f.traffic.turned) / max(float64(f.traffic.asked), 1)
+	perSecond := 1 / f.Plan.DurationS
+	for kind, found := range f.kinds {
 		rates := map[string]Rate{}
 		for way, traffic := range found {
 			rates[wayNames[way]] = Rate{float64(traffic.Frames) * perSecond, float64(traffic.Bytes) * perSecond}
 		}
 		result.Simulated.Kinds[kind.String()] = rates
 	}
-	for kind, taken := range fleet.troubles.taken {
-		result.Simulated.Known[kind] = timesOf(taken, fleet.troubles.missed[kind])
+	for kind, taken := range f.troubles.taken {
+		result.Simulated.Known[kind] = timesOf(taken, f.troubles.missed[kind])
 	}
-	for kind, missed := range fleet.troubles.missed {
+	for kind, missed := range f.troubles.missed {
 		if _, told := result.Simulated.Known[kind]; !told {
 			result.Simulated.Known[kind] = timesOf(nil, missed)
 		}
 	}
-	for kind, taken := range fleet.troubles.acked {
+	for kind, taken := range f.troubles.acked {
 		result.Simulated.Acknowledged[kind] = timesOf(taken, nil)
 	}
 	for _, role := range roleNames {
-		fleet.sumUp(result, role, perSecond)
+		f.sumUp(result, role, perSecond)
 	}
-	fleet.weigh(result)
+	f.weigh(result)
 	return result
 }
 
 // sumUp adds up one group of processes.
-func (fleet *Fleet) sumUp(result *Result, role string, perSecond float64) {
+func (f *Fleet) sumUp(result *Result, role string, perSecond float64) {
 	traffic, cost := RoleTraffic{Steps: map[string]float64{}}, RoleCost{Processor: map[string]float64{}, StepMicros: map[string]float64{}, HeapKB: map[string]float64{}}
 	steps := [cores]int64{}
-	for _, node := range fleet.nodes {
-		if fleet.roleOf(node) != role {
+	for _, node := range f.nodes {
+		if f.roleOf(node) != role {
 			continue
 		}
 		traffic.Processes++
@@ -187,7 +187,7 @@
 
 // weigh measures what processes keep, by letting go of one mechanism after the other.
 // The fleet is of no use afterwards.
-func (fleet *Fleet) weigh(result *Result) {
+func (f *Fleet) weigh(result *Result) {
 	before := heapBytes()
 	result.Measured.HeapMB = before / (1 << 20)
 	for _, role := range roleNames {
@@ -195,10 +195,10 @@
 		if !known {
 			continue
 		}
-		for _, mechanism := range fleet.mechanisms {
+		for _, mechanism := range f.mechanisms {
 			running := 0
-			for _, node := range fleet.nodes {
-				if !node.down && fleet.roleOf(node) == role {
+			for _, node := range f.nodes {
+				if !node.down && f.roleOf(node) == role {
 					running++
 					node.answerers = nil
 					node.life++
@@ -206,7 +206,7 @@
 				}
 			}
 			// What waits for these processes holds on to them as well.
-			fleet.world.Forget()
+			f.world.Forget()
 			after := heapBytes()
 			cost.HeapKB[mechanism.Name()] = max(0, before-after) / 1024 / float64(max(running, 1))
 			before = after
--- a/internal/tooling/hollowfleet/second_report.go
+++ b/internal/tooling/hollowfleet/second_report.go
@@ -10,15 +10,15 @@
 
 // secondReport is the short report to a controller other than the first, drawn anew
 // each time.
-func (members *memberList) secondReport(node *Node, own *seat) {
+func (m *memberList) secondReport(node *Node, own *seat) {
 	var controllers []messages.Entry
 	node.step(CoreMembership, func() { controllers = own.view.SecondControllers(own.first, node.now()) })
-	members.reportToOneOf(node, controllers, true, func(string) {})
+	m.reportToOneOf(node, controllers, true, func(string) {})
 }
 
 // reportToOneOf reports to the first controller of a list that is in contact with a
 // majority, and gives its address, or nothing where none is.
-func (members *memberList) reportToOneOf(node *Node, controllers []messages.Entry, brief bool, then func(address string)) {
+func (m *memberList) reportToOneOf(node *Node, controllers []messages.Entry, brief bool, then func(address string)) {
 	silent := 0
 	var try func(place int)
 	try = func(place int) {
@@ -27,7 +27,7 @@
 			return
 		}
 		address := controllers[place].Address
-		members.report(node, address, brief, func(result reportResult) {
+		m.report(node, address, brief, func(result reportResult) {
 			switch result {
 			case reportTaken:
 				then(address)
@@ -53,8 +53,8 @@
 )
 
 // report asks one controller and takes its answer.
-func (members *memberList) report(node *Node, address string, brief bool, then func(reportResult)) {
-	view := members.viewOf(node)
+func (m *memberList) report(node *Node, address string, brief bool, then func(reportResult)) {
+	view := m.viewOf(node)
 	if view == nil {
 		return
 	}
@@ -80,8 +80,8 @@
 			return
 		}
 		view.Answered(question, answer, node.now())
-		members.saw(node, answer.Entries)
-		members.fleet.registrations.heardController(node, address, answer)
+		m.saw(node, answer.Entries)
+		m.fleet.registrations.heardController(node, address, answer)
 		then(result)
 	})
 }
--- a/internal/tooling/hollowfleet/series.go
+++ b/internal/tooling/hollowfleet/series.go
@@ -48,24 +48,24 @@
 }
 
 // fit gives the slope of every figure that all runs have, from three sizes on.
-func (series *Series) fit() {
-	if len(series.Runs) < 3 {
+func (s *Series) fit() {
+	if len(s.Runs) < 3 {
 		return
 	}
 	for name, one := range figures() {
 		slope := Slope{Unit: one.unit}
-		for _, run := range series.Runs {
+		for _, run := range s.Runs {
 			if value, has := one.of(run); has {
 				slope.Points = append(slope.Points, Point{float64(run.Plan.Nodes), value})
 			}
 		}
-		if len(slope.Points) < len(series.Runs) {
+		if len(slope.Points) < len(s.Runs) {
 			continue
 		}
 		sort.Slice(slope.Points, func(left, right int) bool { return slope.Points[left].Size < slope.Points[right].Size })
 		slope.Best, slope.All = BestFit(slope.Points)
 		slope.AtPage = slope.Best.At(PageNodes)
-		series.Slopes[name] = slope
+		s.Slopes[name] = slope
 	}
 }
 
@@ -110,8 +110,8 @@
 }
 
 // control is the processor time that is not placement of requests.
-func (cost RoleCost) control() float64 {
-	return sum(cost.Processor) - cost.Processor[CorePlacement.String()]
+func (r RoleCost) control() float64 {
+	return sum(r.Processor) - r.Processor[CorePlacement.String()]
 }
 
 func sum(values map[string]float64) float64 {
--- a/internal/tooling/hollowfleet/spent.go
+++ b/internal/tooling/hollowfleet/spent.go
@@ -48,21 +48,21 @@
 	return found
 }
 
-func (fleet *realFleet) spent() []spent {
+func (r *realFleet) spent() []spent {
 	var all []spent
-	for _, child := range fleet.children {
+	for _, child := range r.children {
 		all = append(all, spentBy(child.Process.Pid))
 	}
 	return all
 }
 
 // sumUp gives the mean of each role.
-func (fleet *realFleet) sumUp(before, after []spent) *RealResult {
-	result := &RealResult{Plan: fleet.plan, Roles: map[string]RealRole{}}
-	for place, role := range fleet.roles {
+func (r *realFleet) sumUp(before, after []spent) *RealResult {
+	result := &RealResult{Plan: r.plan, Roles: map[string]RealRole{}}
+	for place, role := range r.roles {
 		one := result.Roles[role]
-		system := (after[place].system - before[place].system) / fleet.plan.CountS
-		busy := (after[place].user-before[place].user)/fleet.plan.CountS + system
+		system := (after[place].system - before[place].system) / r.plan.CountS
+		busy := (after[place].user-before[place].user)/r.plan.CountS + system
 		one.Processes++
 		one.ProcessorMs += busy
 		one.SystemMs += system
--- a/internal/tooling/hollowfleet/table.go
+++ b/internal/tooling/hollowfleet/table.go
@@ -10,19 +10,19 @@
 // Table writes the slopes of a series as rows of Markdown: the figure, its values by
 // size, the shape that fits best with its error, and the value at the size to come,
 // measured where a run was that large and fitted otherwise.
-func (series *Series) Table(writer io.Writer, source string) {
-	if len(series.Runs) == 0 {
+func (s *Series) Table(writer io.Writer, source string) {
+	if len(s.Runs) == 0 {
 		return
 	}
 	header, line := "| figure (unit) |", "|---|"
-	for _, run := range series.Runs {
+	for _, run := range s.Runs {
 		header += fmt.Sprintf(" %d |", run.Plan.Nodes)
 		line += "---|"
 	}
 	fmt.Fprintln(writer, header+" shape (error) | at 390 | run |")
 	fmt.Fprintln(writer, line+"---|---|---|")
-	for _, name := range sortedKeys(series.Slopes) {
-		slope := series.Slopes[name]
+	for _, name := range sortedKeys(s.Slopes) {
+		slope := s.Slopes[name]
 		if flat(slope) {
 			continue
 		}
--- a/internal/tooling/hollowfleet/teller.go
+++ b/internal/tooling/hollowfleet/teller.go
@@ -17,11 +17,11 @@
 
 func newTeller(writer io.Writer) *teller { return &teller{writer: writer, last: clock.Now()} }
 
-func (teller *teller) tell(fleet *Fleet, whole clock.Moment) {
-	if teller.writer == nil || clock.Now().Since(teller.last) < tellPeriod {
+func (t *teller) tell(fleet *Fleet, whole clock.Moment) {
+	if t.writer == nil || clock.Now().Since(t.last) < tellPeriod {
 		return
 	}
-	teller.last = clock.Now()
-	fmt.Fprintf(teller.writer, "hollow nodes=%d workers=%d simulated-s=%.0f of=%.0f\n", fleet.Plan.Nodes, fleet.Plan.Workers,
+	t.last = clock.Now()
+	fmt.Fprintf(t.writer, "hollow nodes=%d workers=%d simulated-s=%.0f of=%.0f\n", fleet.Plan.Nodes, fleet.Plan.Workers,
 		float64(fleet.world.Now)/1e9, float64(whole)/1e9)
 }
--- a/internal/tooling/hollowfleet/traffic.go
+++ b/internal/tooling/hollowfleet/traffic.go
@@ -32,23 +32,23 @@
 func (*traffic) Name() string { return "traffic" }
 
 // Begin lets requests come to an edge process.
-func (traffic *traffic) Begin(node *Node) any {
+func (t *traffic) Begin(node *Node) any {
 	if node.own.Role != membership.RoleGateway {
 		return nil
 	}
 	gateways := 0
-	for _, one := range traffic.fleet.nodes {
+	for _, one := range t.fleet.nodes {
 		if one.own.Role == membership.RoleGateway {
 			gateways++
 		}
 	}
-	rate := traffic.fleet.Plan.Requests / float64(gateways)
+	rate := t.fleet.Plan.Requests / float64(gateways)
 	if rate <= 0 {
 		return nil
 	}
 	var next func()
 	next = func() {
-		traffic.request(node, node.state[1].(*placing).scheduler)
+		t.request(node, node.state[1].(*placing).scheduler)
 		node.after(seconds(node.random.ExpFloat64()/rate), next)
 	}
 	node.after(seconds(1+node.random.ExpFloat64()/rate), next)
@@ -58,27 +58,27 @@
 // Drop has nothing.
 func (*traffic) Drop(*Node) {}
 
-func (traffic *traffic) request(node *Node, scheduler *admission.Scheduler) {
-	model := traffic.random.Intn(traffic.fleet.Plan.Models)
-	ask := &admission.Ask{Service: fmt.Sprintf("model-%02d", model), Prompt: traffic.prompt(node, model), Affine: true,
+func (t *traffic) request(node *Node, scheduler *admission.Scheduler) {
+	model := t.random.Intn(t.fleet.Plan.Models)
+	ask := &admission.Ask{Service: fmt.Sprintf("model-%02d", model), Prompt: t.prompt(node, model), Affine: true,
 		Setpoint: clock.Milliseconds(470), Deadline: node.now().Plus(seconds(20)), Patience: node.now().Plus(seconds(1))}
 	var answer admission.Answer
 	node.step(CorePlacement, func() { answer, _ = scheduler.Admit(ask, nil, node.now()) })
-	traffic.asked++
+	t.asked++
 	if answer.Grant == nil {
-		traffic.turned++
+		t.turned++
 		return
 	}
 	grant := answer.Grant
 	worker := grant.Worker.ID
-	traffic.running[worker]++
-	held := clock.Milliseconds(traffic.fleet.Plan.HeldMs * node.random.ExpFloat64())
-	load := func() string { return fmt.Sprintf("%d,0,%d", traffic.running[worker], grant.Worker.Capacity) }
+	t.running[worker]++
+	held := clock.Milliseconds(t.fleet.Plan.HeldMs * node.random.ExpFloat64())
+	load := func() string { return fmt.Sprintf("%d,0,%d", t.running[worker], grant.Worker.Capacity) }
 	node.after(held/10, func() { node.step(CorePlacement, func() { grant.First(load(), node.now()) }) })
 	// The worker ends the request also where its process is gone by then.
 	life := node.life
-	traffic.fleet.world.After(held, func() {
-		traffic.running[worker]--
+	t.fleet.world.After(held, func() {
+		t.running[worker]--
 		if node.life == life {
 			node.step(CorePlacement, func() { grant.End(admission.ResultServed, node.now()) })
 		}
@@ -87,9 +87,9 @@
 
 // prompt draws a prompt: a part that a model's requests share, a part of the tenant,
 // and the request's own. The lengths are assumed.
-func (traffic *traffic) prompt(node *Node, model int) prefixindex.Prompt {
-	long := node.random.Float64() < traffic.fleet.Plan.LongShare
-	tenant := traffic.tenant.Uint64()
+func (t *traffic) prompt(node *Node, model int) prefixindex.Prompt {
+	long := node.random.Float64() < t.fleet.Plan.LongShare
+	tenant := t.tenant.Uint64()
 	shared, kept, own := 430, 600, 300
 	if long {
 		kept, own = 6000, 3000
--- a/internal/tooling/hollowfleet/tree.go
+++ b/internal/tooling/hollowfleet/tree.go
@@ -19,12 +19,12 @@
 	waiting []func()
 }
 
-func (one *propagation) settle() {
-	if one.job.Done() {
-		for _, done := range one.waiting {
+func (p *propagation) settle() {
+	if p.job.Done() {
+		for _, done := range p.waiting {
 			done()
 		}
-		one.waiting = nil
+		p.waiting = nil
 	}
 }
 
@@ -40,9 +40,9 @@
 }
 
 // directory gives every other process that lacks a generation, the silent ones included.
-func (registrations *registrations) directory(node *Node, generation int64) []messages.Entry {
+func (r *registrations) directory(node *Node, generation int64) []messages.Entry {
 	var found []messages.Entry
-	for _, entry := range registrations.fleet.members.all(node) {
+	for _, entry := range r.fleet.members.all(node) {
 		has := generation > 0 && entry.Generation >= generation && entry.Role != membership.RoleController
 		if !has {
 			found = append(found, entry)
@@ -60,35 +60,35 @@
 
 // spread tells all processes down the tree; done is told when all in touch have taken
 // the update, or after the span.
-func (registrations *registrations) spread(node *Node, core Core, update *messages.Relay, span clock.Span, done func()) {
-	registrations.number++
-	update.From, update.Number = membership.Key(node.own), registrations.number
+func (r *registrations) spread(node *Node, core Core, update *messages.Relay, span clock.Span, done func()) {
+	r.number++
+	update.From, update.Number = membership.Key(node.own), r.number
 	one := &propagation{begun: node.now()}
 	var sends []broadcast.Send
-	directory := registrations.directory(node, update.Generation)
+	directory := r.directory(node, update.Generation)
 	node.step(core, func() { one.job, sends = broadcast.Fleet(node.own, directory, fan(update), node.now()) })
 	told := onceOf(done)
 	one.waiting = append(one.waiting, told)
 	if update.Generation > 0 {
-		registrations.addToBacklog(node, update, one.job.Unconfirmed(sends), constants.BacklogPassedPause)
+		r.addToBacklog(node, update, one.job.Unconfirmed(sends), constants.BacklogPassedPause)
 	}
 	node.after(span, told)
-	registrations.deliver(node, core, update, one, sends)
+	r.deliver(node, core, update, one, sends)
 }
 
 // deliver makes the calls that a job asks for, until it is done or too late.
-func (registrations *registrations) deliver(node *Node, core Core, update *messages.Relay, one *propagation, sends []broadcast.Send) {
+func (r *registrations) deliver(node *Node, core Core, update *messages.Relay, one *propagation, sends []broadcast.Send) {
 	var follow func(sends []broadcast.Send)
 	follow = func(sends []broadcast.Send) {
 		for _, send := range sends {
-			registrations.send(node, core, update, send, func(missing []uint32, reached bool) {
+			r.send(node, core, update, send, func(missing []uint32, reached bool) {
 				if reached {
 					follow(one.job.Took(send, missing, node.now()))
 					return
 				}
 				next := one.job.Failed(send, node.now())
 				if entry := one.job.Told(send); send.Step == broadcast.StepTell && entry.Address != "" {
-					registrations.addToBacklog(node, update, []messages.Entry{entry}, constants.BacklogPause)
+					r.addToBacklog(node, update, []messages.Entry{entry}, constants.BacklogPause)
 				}
 				follow(next)
 			})
@@ -107,7 +107,7 @@
 }
 
 // send makes one call of a job.
-func (registrations *registrations) send(node *Node, core Core, update *messages.Relay, send broadcast.Send, then func([]uint32, bool)) {
+func (r *registrations) send(node *Node, core Core, update *messages.Relay, send broadcast.Send, then func([]uint32, bool)) {
 	plain := func(reached bool) { then(nil, reached) }
 	switch {
 	case send.Step == broadcast.StepRelay:
@@ -137,13 +137,13 @@
 }
 
 // beginRelays lets a controller tell its zone on behalf of another.
-func (registrations *registrations) beginRelays(node *Node, own *table) {
+func (r *registrations) beginRelays(node *Node, own *table) {
 	node.answerers[messages.KindRelay] = reads(node, CoreWorkers, func(update *messages.Relay) transport.Writable {
-		registrations.merge(node, own, update.Workers)
-		registrations.fleet.configuration.take(node, update.Generation, update.Body)
+		r.merge(node, own, update.Workers)
+		r.fleet.configuration.take(node, update.Generation, update.Body)
 		expect := update.Expect[:0:0]
 		has := map[uint32]bool{}
-		for _, entry := range registrations.directory(node, 0) {
+		for _, entry := range r.directory(node, 0) {
 			has[membership.MarkOf(entry)] = update.Generation > 0 && entry.Generation >= update.Generation
 		}
 		for _, mark := range update.Expect {
@@ -153,9 +153,9 @@
 		}
 		one := &propagation{begun: node.now()}
 		var sends []broadcast.Send
-		one.job, sends = broadcast.Zone(node.own, registrations.directory(node, update.Generation), expect, fan(update), node.now())
+		one.job, sends = broadcast.Zone(node.own, r.directory(node, update.Generation), expect, fan(update), node.now())
 		own.relays[relayKey(update.From, update.Number)] = one
-		node.after(0, func() { registrations.deliver(node, coreOf(update), update, one, sends) })
+		node.after(0, func() { r.deliver(node, coreOf(update), update, one, sends) })
 		return taken()
 	})
 	node.answerers[messages.KindRelayWait] = func(body []byte, reply func(transport.Writable)) {
