--- a/internal/tooling/hollowfleet/troubles.go
+++ b/internal/tooling/hollowfleet/troubles.go
@@ -51,30 +51,30 @@
 }
 
 // at runs something at a rate a minute, until the run ends.
-func (troubles *troubles) at(perMinute float64, function func()) {
+func (t *troubles) at(perMinute float64, function func()) {
 	if perMinute <= 0 {
 		return
 	}
 	var next func()
 	next = func() {
 		function()
-		troubles.fleet.world.After(seconds(60/perMinute*(0.5+troubles.random.Float64())), next)
+		t.fleet.world.After(seconds(60/perMinute*(0.5+t.random.Float64())), next)
 	}
-	troubles.fleet.world.After(seconds(60/perMinute*troubles.random.Float64()), next)
+	t.fleet.world.After(seconds(60/perMinute*t.random.Float64()), next)
 }
 
-func (troubles *troubles) begin() {
-	fleet, plan := troubles.fleet, troubles.fleet.Plan
-	troubles.at(plan.Changes, func() {
+func (t *troubles) begin() {
+	fleet, plan := t.fleet, t.fleet.Plan
+	t.at(plan.Changes, func() {
 		if controllers := fleet.live(membership.RoleController); len(controllers) > 0 {
-			fleet.configuration.change(controllers[troubles.random.Intn(len(controllers))])
+			fleet.configuration.change(controllers[t.random.Intn(len(controllers))])
 		}
 	})
-	troubles.at(plan.Turns, fleet.registrations.turn)
-	troubles.at(plan.Lots, fleet.storage.handIn)
-	troubles.at(plan.Failures, func() {
-		machine := troubles.random.Intn(plan.Nodes)
-		troubles.lose("machine", func(node *Node) bool { return node.machine == machine }, plan.DownS)
+	t.at(plan.Turns, fleet.registrations.turn)
+	t.at(plan.Lots, fleet.storage.handIn)
+	t.at(plan.Failures, func() {
+		machine := t.random.Intn(plan.Nodes)
+		t.lose("machine", func(node *Node) bool { return node.machine == machine }, plan.DownS)
 	})
 	quarter := plan.DurationS / 4
 	once := func(lost, at float64, function func()) {
@@ -89,23 +89,23 @@
 	// A rack is a twentieth of a zone's machines, two at least.
 	once(plan.RackS, quarter/2, func() {
 		size := max(2, plan.Nodes/plan.Zones/20)
-		zone := troubles.random.Intn(plan.Zones)
-		troubles.lose("rack", func(node *Node) bool { return node.zone == zone && node.machine/plan.Zones < size }, plan.RackS)
+		zone := t.random.Intn(plan.Zones)
+		t.lose("rack", func(node *Node) bool { return node.zone == zone && node.machine/plan.Zones < size }, plan.RackS)
 	})
 	once(plan.ZoneS, quarter, func() {
-		zone := troubles.random.Intn(plan.Zones)
-		troubles.lose("zone", func(node *Node) bool { return node.zone == zone }, plan.ZoneS)
+		zone := t.random.Intn(plan.Zones)
+		t.lose("zone", func(node *Node) bool { return node.zone == zone }, plan.ZoneS)
 	})
 	once(plan.PartS, quarter*2, func() {
 		fleet.parted = true
 		fleet.world.After(seconds(plan.PartS), func() { fleet.parted = false })
 	})
-	troubles.look()
+	t.look()
 }
 
 // lose takes machines away, and brings them back as new lives.
-func (troubles *troubles) lose(kind string, among func(*Node) bool, forS float64) {
-	fleet := troubles.fleet
+func (t *troubles) lose(kind string, among func(*Node) bool, forS float64) {
+	fleet := t.fleet
 	var lost []*Node
 	gone := map[string]bool{}
 	for _, node := range fleet.nodes {
@@ -117,11 +117,11 @@
 	if len(lost) == 0 {
 		return
 	}
-	troubles.failed += len(lost)
+	t.failed += len(lost)
 	for _, node := range lost {
 		node.end()
 	}
-	troubles.track(kind+" lost", nil, func(node *Node) bool {
+	t.track(kind+" lost", nil, func(node *Node) bool {
 		for key := range gone {
 			if fleet.members.trusts(node, key) {
 				return false
@@ -137,28 +137,28 @@
 }
 
 // track follows news from a process (or from nobody, where it is a silence).
-func (troubles *troubles) track(kind string, from *Node, knows func(*Node) bool) {
-	if !troubles.fleet.counting {
+func (t *troubles) track(kind string, from *Node, knows func(*Node) bool) {
+	if !t.fleet.counting {
 		return
 	}
-	one := &track{kind: kind, begun: troubles.fleet.world.Now, left: map[*Node]int{}, knows: knows, patient: seconds(trackLimit), slow: from == nil}
-	for _, node := range troubles.fleet.live("") {
-		if from == nil || !troubles.fleet.parted || node.region == from.region {
+	one := &track{kind: kind, begun: t.fleet.world.Now, left: map[*Node]int{}, knows: knows, patient: seconds(trackLimit), slow: from == nil}
+	for _, node := range t.fleet.live("") {
+		if from == nil || !t.fleet.parted || node.region == from.region {
 			one.left[node] = node.life
 		}
 	}
 	one.count = len(one.left)
-	troubles.open = append(troubles.open, one)
-	if from != nil && troubles.fleet.parted {
-		troubles.afterParting(kind, from, knows)
+	t.open = append(t.open, one)
+	if from != nil && t.fleet.parted {
+		t.afterParting(kind, from, knows)
 	}
 }
 
 // afterParting follows the same news on the other side, from the moment of joining on.
-func (troubles *troubles) afterParting(kind string, from *Node, knows func(*Node) bool) {
-	fleet := troubles.fleet
+func (t *troubles) afterParting(kind string, from *Node, knows func(*Node) bool) {
+	fleet := t.fleet
 	if fleet.parted {
-		fleet.world.After(seconds(0.1), func() { troubles.afterParting(kind, from, knows) })
+		fleet.world.After(seconds(0.1), func() { t.afterParting(kind, from, knows) })
 		return
 	}
 	one := &track{kind: kind + ", once regions met again", begun: fleet.world.Now, left: map[*Node]int{}, knows: knows, patient: seconds(trackLimit)}
@@ -168,16 +168,16 @@
 		}
 	}
 	one.count = len(one.left)
-	troubles.open = append(troubles.open, one)
+	t.open = append(t.open, one)
 }
 
 // look sees who has learnt what; it repeats itself.
-func (troubles *troubles) look() {
-	now := troubles.fleet.world.Now
-	kept := troubles.open[:0]
-	troubles.looks++
-	for _, one := range troubles.open {
-		if one.slow && troubles.looks%10 != 0 {
+func (t *troubles) look() {
+	now := t.fleet.world.Now
+	kept := t.open[:0]
+	t.looks++
+	for _, one := range t.open {
+		if one.slow && t.looks%10 != 0 {
 			kept = append(kept, one)
 			continue
 		}
@@ -188,32 +188,32 @@
 		}
 		switch {
 		case len(one.left) == 0:
-			troubles.taken[one.kind] = append(troubles.taken[one.kind], clock.ToMilliseconds(now.Since(one.begun)))
+			t.taken[one.kind] = append(t.taken[one.kind], clock.ToMilliseconds(now.Since(one.begun)))
 		case now.Since(one.begun) > one.patient:
-			troubles.missed[one.kind] = append(troubles.missed[one.kind], float64(len(one.left))/float64(max(one.count, 1)))
+			t.missed[one.kind] = append(t.missed[one.kind], float64(len(one.left))/float64(max(one.count, 1)))
 		default:
 			kept = append(kept, one)
 		}
 	}
-	troubles.open = kept
-	troubles.fleet.world.After(trackPeriod, troubles.look)
+	t.open = kept
+	t.fleet.world.After(trackPeriod, t.look)
 }
 
-func (troubles *troubles) acknowledged(kind string, took clock.Span) {
-	if troubles.fleet.counting {
-		troubles.acked[kind] = append(troubles.acked[kind], clock.ToMilliseconds(took))
+func (t *troubles) acknowledged(kind string, took clock.Span) {
+	if t.fleet.counting {
+		t.acked[kind] = append(t.acked[kind], clock.ToMilliseconds(took))
 	}
 }
 
-func (troubles *troubles) refused(kind string) { troubles.refuse[kind]++ }
+func (t *troubles) refused(kind string) { t.refuse[kind]++ }
 
 // close counts the news that is still on its way as unfinished, unless it is young.
-func (troubles *troubles) close() {
-	now := troubles.fleet.world.Now
-	for _, one := range troubles.open {
+func (t *troubles) close() {
+	now := t.fleet.world.Now
+	for _, one := range t.open {
 		if now.Since(one.begun) >= seconds(settledAfter) {
-			troubles.missed[one.kind] = append(troubles.missed[one.kind], float64(len(one.left))/float64(max(one.count, 1)))
+			t.missed[one.kind] = append(t.missed[one.kind], float64(len(one.left))/float64(max(one.count, 1)))
 		}
 	}
-	troubles.open = nil
+	t.open = nil
 }
--- a/internal/tooling/hollowfleet/workers.go
+++ b/internal/tooling/hollowfleet/workers.go
@@ -54,12 +54,12 @@
 	return made
 }
 
-func (registrations *registrations) worker(number, life int) messages.Worker {
+func (r *registrations) worker(number, life int) messages.Worker {
 	// A model's workers stand in all zones.
-	zone := (number + number/registrations.fleet.Plan.Models) % registrations.fleet.Plan.Zones
-	return messages.Worker{ID: fmt.Sprintf("model-%02d-worker-%04d-%d", number%registrations.fleet.Plan.Models, number, life),
-		Backend: fmt.Sprintf("model-%02d", number%registrations.fleet.Plan.Models), Address: fmt.Sprintf("10.%d.%d.%d:9000", 100+zone, number/250, number%250),
-		Zone:     fmt.Sprintf("region-%d-zone-%d", zone*registrations.fleet.Plan.Regions/registrations.fleet.Plan.Zones, zone),
+	zone := (number + number/r.fleet.Plan.Models) % r.fleet.Plan.Zones
+	return messages.Worker{ID: fmt.Sprintf("model-%02d-worker-%04d-%d", number%r.fleet.Plan.Models, number, life),
+		Backend: fmt.Sprintf("model-%02d", number%r.fleet.Plan.Models), Address: fmt.Sprintf("10.%d.%d.%d:9000", 100+zone, number/250, number%250),
+		Zone:     fmt.Sprintf("region-%d-zone-%d", zone*r.fleet.Plan.Regions/r.fleet.Plan.Zones, zone),
 		Capacity: 16, Software: "1.0"}
 }
 
@@ -77,53 +77,53 @@
 }
 
 // Begin starts the workers of a process.
-func (registrations *registrations) Begin(node *Node) any {
-	heartbeat := clock.Milliseconds(registrations.fleet.Plan.HeartbeatMs)
+func (r *registrations) Begin(node *Node) any {
+	heartbeat := clock.Milliseconds(r.fleet.Plan.HeartbeatMs)
 	if node.places() {
 		own := &placing{scheduler: admission.New(node.own, heartbeat), read: map[string]messages.Digest{}}
 		node.answerers[messages.KindRosterPush] = reads(node, CoreWorkers, func(push *messages.RosterPush) transport.Writable {
 			own.scheduler.Merge(push.Workers, node.now())
-			registrations.fleet.members.touched(node, push.From)
+			r.fleet.members.touched(node, push.From)
 			return taken()
 		})
-		node.after(constants.StartPause, func() { registrations.pullFirst(node, own) })
+		node.after(constants.StartPause, func() { r.pullFirst(node, own) })
 		return own
 	}
 	own := &table{registry: workers.New(heartbeat), peers: map[string]*peer{}, relays: map[string]*propagation{}, backlog: broadcast.NewBacklog()}
 	node.answerers[messages.KindRosterPush] = reads(node, CoreWorkers, func(push *messages.RosterPush) transport.Writable {
-		registrations.merge(node, own, push.Workers)
-		registrations.fleet.members.touched(node, push.From)
+		r.merge(node, own, push.Workers)
+		r.fleet.members.touched(node, push.From)
 		return taken()
 	})
 	node.answerers[messages.KindRosterPull] = reads(node, CoreWorkers, func(question *messages.RosterPull) transport.Writable {
 		return &messages.RosterPush{From: membership.Key(node.own), Workers: own.registry.Since(question.Since, node.now()), Table: own.registry.Digest(node.own.Life)}
 	})
-	registrations.beginBeats(node, own)
-	registrations.beginRelays(node, own)
-	registrations.beginKeep(node, own)
-	node.every(constants.BacklogPeriod, func() { registrations.tendBacklog(node, own) })
+	r.beginBeats(node, own)
+	r.beginRelays(node, own)
+	r.beginKeep(node, own)
+	node.every(constants.BacklogPeriod, func() { r.tendBacklog(node, own) })
 	return own
 }
 
 // Drop lets go of the workers, and of the health and index beside it.
-func (registrations *registrations) Drop(node *Node) { node.state[1] = nil }
+func (r *registrations) Drop(node *Node) { node.state[1] = nil }
 
-func (registrations *registrations) merge(node *Node, own *table, list []messages.Worker) {
+func (r *registrations) merge(node *Node, own *table, list []messages.Worker) {
 	for _, worker := range list {
 		own.registry.Merge(worker, node.now())
 	}
 }
 
-func (registrations *registrations) pullFirst(node *Node, own *placing) {
-	seed := registrations.fleet.seeds[node.random.Intn(len(registrations.fleet.seeds))]
-	registrations.pull(node, own, seed, 0, func(reached bool) {
+func (r *registrations) pullFirst(node *Node, own *placing) {
+	seed := r.fleet.seeds[node.random.Intn(len(r.fleet.seeds))]
+	r.pull(node, own, seed, 0, func(reached bool) {
 		if !reached {
-			node.after(constants.StartPause, func() { registrations.pullFirst(node, own) })
+			node.after(constants.StartPause, func() { r.pullFirst(node, own) })
 		}
 	})
 }
 
-func (registrations *registrations) pull(node *Node, own *placing, address string, since uint64, then func(bool)) {
+func (r *registrations) pull(node *Node, own *placing, address string, since uint64, then func(bool)) {
 	back := &messages.RosterPush{}
 	question := &messages.RosterPull{From: membership.Key(node.own), Since: since}
 	node.ask(CoreWorkers, address, messages.KindRosterPull, question, back, constants.CallTime, func(reached bool) {
@@ -136,8 +136,8 @@
 }
 
 // heardController takes what a controller's periodic answer says of workers.
-func (registrations *registrations) heardController(node *Node, address string, answer *messages.Shuffle) {
-	own := registrations.placing(node)
+func (r *registrations) heardController(node *Node, address string, answer *messages.Shuffle) {
+	own := r.placing(node)
 	if own == nil || answer.Workers.Life == 0 {
 		return
 	}
@@ -146,7 +146,7 @@
 		since, ask := behind(&read, answer.Workers, own.scheduler.Table())
 		own.read[address] = read
 		if ask {
-			registrations.pull(node, own, address, since, func(bool) {})
+			r.pull(node, own, address, since, func(bool) {})
 		}
 		if answer.Judging {
 			own.scheduler.Judged(answer.Overdue, node.now())
@@ -168,12 +168,12 @@
 }
 
 // addWorkers adds what is known of workers to a controller's answer.
-func (registrations *registrations) addWorkers(node *Node, answer *messages.Shuffle) {
-	if !registrations.fleet.contacts.attached(node) {
+func (r *registrations) addWorkers(node *Node, answer *messages.Shuffle) {
+	if !r.fleet.contacts.attached(node) {
 		*answer = messages.Shuffle{Entries: answer.Entries[:1], Detached: true}
 		return
 	}
-	own := registrations.table(node)
+	own := r.table(node)
 	node.step(CoreWorkers, func() {
 		answer.Workers = own.registry.Digest(node.own.Life)
 		answer.Judging, answer.Overdue = true, own.registry.Overdue(node.now())
@@ -181,8 +181,8 @@
 }
 
 // note takes a worker's call at a controller; done is told when it is acknowledged.
-func (registrations *registrations) note(node *Node, worker messages.Worker, done func()) {
-	own := registrations.table(node)
+func (r *registrations) note(node *Node, worker messages.Worker, done func()) {
+	own := r.table(node)
 	changed := false
 	node.step(CoreWorkers, func() {
 		changed = own.registry.Beat(worker, node.now())
@@ -200,36 +200,36 @@
 	}
 	if worker.Phase != messages.PhaseSteady {
 		parts++
-		registrations.keepAtMajority(node, worker, settled)
+		r.keepAtMajority(node, worker, settled)
 	}
-	registrations.spread(node, CoreWorkers, &messages.Relay{Workers: []messages.Worker{worker}}, constants.TreeTime, settled)
+	r.spread(node, CoreWorkers, &messages.Relay{Workers: []messages.Worker{worker}}, constants.TreeTime, settled)
 }
 
 // controller gives the controller that a worker calls: its zone's, or any that runs. One
 // that is not in contact with a majority takes no call.
-func (registrations *registrations) controller(number int) *Node {
-	live := registrations.fleet.live(membership.RoleController)
+func (r *registrations) controller(number int) *Node {
+	live := r.fleet.live(membership.RoleController)
 	for _, node := range live {
-		if node.own.Zone == registrations.all[number].Zone && registrations.fleet.contacts.attached(node) {
+		if node.own.Zone == r.all[number].Zone && r.fleet.contacts.attached(node) {
 			return node
 		}
 	}
 	if len(live) == 0 {
 		return nil
 	}
-	other := live[registrations.random.Intn(len(live))]
-	if !registrations.fleet.contacts.attached(other) {
+	other := live[r.random.Intn(len(live))]
+	if !r.fleet.contacts.attached(other) {
 		return nil
 	}
 	return other
 }
 
 // knows gives a worker as a process knows it.
-func (registrations *registrations) knows(node *Node, id string) (messages.Worker, bool) {
-	if own := registrations.placing(node); own != nil {
+func (r *registrations) knows(node *Node, id string) (messages.Worker, bool) {
+	if own := r.placing(node); own != nil {
 		return own.scheduler.Registry.Get(id)
 	}
-	if own := registrations.table(node); own != nil {
+	if own := r.table(node); own != nil {
 		return own.registry.Get(id)
 	}
 	return messages.Worker{}, false
--- a/internal/tooling/lab/configuration.go
+++ b/internal/tooling/lab/configuration.go
@@ -8,8 +8,8 @@
 )
 
 // firstConfiguration is the lab's own: one route of each kind.
-func (plan *Plan) firstConfiguration() []byte {
-	shape := plan.shape()
+func (p *Plan) firstConfiguration() []byte {
+	shape := p.shape()
 	config := routeconfig.Config{
 		Generation: 1,
 		Routes: []routeconfig.Route{
--- a/internal/tooling/lab/endpoint.go
+++ b/internal/tooling/lab/endpoint.go
@@ -33,29 +33,29 @@
 }
 
 // Card gives the fleet's card.
-func (fleet *Fleet) Card() Card {
-	card := Card{Label: fleet.Plan.Label, Ingress: fleet.Plan.Ingress(), Controls: fleet.Plan.Controls(), Stride: fleet.Plan.shape().Stride,
-		Routes: fleet.Routes(), Programs: map[string]int{}, Workers: map[string]string{},
-		Seed: fleet.Plan.host(constants.LabEdgeHost, 0, constants.LabInternalPort+constants.PortController)}
-	for _, one := range fleet.processes {
+func (f *Fleet) Card() Card {
+	card := Card{Label: f.Plan.Label, Ingress: f.Plan.Ingress(), Controls: f.Plan.Controls(), Stride: f.Plan.shape().Stride,
+		Routes: f.Routes(), Programs: map[string]int{}, Workers: map[string]string{},
+		Seed: f.Plan.host(constants.LabEdgeHost, 0, constants.LabInternalPort+constants.PortController)}
+	for _, one := range f.processes {
 		card.Programs[one.node.name] = one.id()
 	}
-	for _, one := range fleet.places {
+	for _, one := range f.places {
 		card.Workers[one.name] = one.address
 	}
 	return card
 }
 
 // serveEndpoint opens the control endpoint, on loopback like everything else.
-func (fleet *Fleet) serveEndpoint() error {
-	listener, err := net.Listen("tcp4", fleet.Plan.Endpoint())
+func (f *Fleet) serveEndpoint() error {
+	listener, err := net.Listen("tcp4", f.Plan.Endpoint())
 	if err != nil {
-		return Unfit.New("control endpoint at " + fleet.Plan.Endpoint() + ": " + lastWords(err))
+		return Unfit.New("control endpoint at " + f.Plan.Endpoint() + ": " + lastWords(err))
 	}
 	tree := chi.NewRouter()
-	tree.Get("/fleet", func(writer http.ResponseWriter, _ *http.Request) { httpreply.JSON(writer, http.StatusOK, fleet.Card()) })
+	tree.Get("/fleet", func(writer http.ResponseWriter, _ *http.Request) { httpreply.JSON(writer, http.StatusOK, f.Card()) })
 	tree.Get("/runs", func(writer http.ResponseWriter, request *http.Request) {
-		runs, dropped := fleet.record.Of(request.URL.Query().Get("prefix"))
+		runs, dropped := f.record.Of(request.URL.Query().Get("prefix"))
 		httpreply.JSON(writer, http.StatusOK, Runs{runs, dropped})
 	})
 	tree.Post("/trouble", func(writer http.ResponseWriter, request *http.Request) {
@@ -66,13 +66,13 @@
 			httpreply.Reason(writer, http.StatusBadRequest, "trouble can't be read: "+err.Error())
 			return
 		}
-		if err := fleet.Trouble(trouble); err != nil {
+		if err := f.Trouble(trouble); err != nil {
 			httpreply.Reason(writer, http.StatusBadRequest, err.Error())
 			return
 		}
 		httpreply.JSON(writer, http.StatusOK, struct{}{})
 	})
-	fleet.endpoint = newEndpoint(listener, tree)
+	f.endpoint = newEndpoint(listener, tree)
 	return nil
 }
 
@@ -92,7 +92,7 @@
 }
 
 // close ends the server; its address is free then, also where it had not begun to serve.
-func (one *endpoint) close() {
-	_ = one.server.Close()
-	<-one.served
+func (e *endpoint) close() {
+	_ = e.server.Close()
+	<-e.served
 }
--- a/internal/tooling/lab/fleet.go
+++ b/internal/tooling/lab/fleet.go
@@ -76,43 +76,43 @@
 	return fleet, nil
 }
 
-func (fleet *Fleet) start(called contexts.Context, configuration []byte) error {
-	for _, node := range fleet.Plan.nodes() {
-		one := newProcess(&fleet.Plan, node, fleet.Folder, fleet.starter)
-		path, err := fleet.Plan.write(node, fleet.Folder, true)
+func (f *Fleet) start(called contexts.Context, configuration []byte) error {
+	for _, node := range f.Plan.nodes() {
+		one := newProcess(&f.Plan, node, f.Folder, f.starter)
+		path, err := f.Plan.write(node, f.Folder, true)
 		if err != nil {
 			return err
 		}
 		one.path = path
-		if err = one.run(fleet.died); err != nil {
+		if err = one.run(f.died); err != nil {
 			return err
 		}
-		fleet.processes = append(fleet.processes, one)
+		f.processes = append(f.processes, one)
 	}
-	for _, one := range fleet.Plan.places() {
-		if err := one.begin(fleet.record, fleet.Plan.Controls()); err != nil {
+	for _, one := range f.Plan.places() {
+		if err := one.begin(f.record, f.Plan.Controls()); err != nil {
 			return err
 		}
-		fleet.places = append(fleet.places, one)
+		f.places = append(f.places, one)
 	}
-	if err := fleet.serveEndpoint(); err != nil {
+	if err := f.serveEndpoint(); err != nil {
 		return err
 	}
 	end := clock.Now().Plus(constants.LabStartLimit)
-	if err := fleet.until(called, end, "the first configuration", func() error { return fleet.operator.first(configuration) }); err != nil {
+	if err := f.until(called, end, "the first configuration", func() error { return f.operator.first(configuration) }); err != nil {
 		return err
 	}
-	if err := fleet.until(called, end, "every gateway ready", fleet.ready); err != nil {
+	if err := f.until(called, end, "every gateway ready", f.ready); err != nil {
 		return err
 	}
-	return fleet.until(called, end, "a store on duty", fleet.lotsReady)
+	return f.until(called, end, "a store on duty", f.lotsReady)
 }
 
 // lotsReady asks for a lot that nobody handed in: only where the stores can be sure
 // is the answer 404, and from then on lots are taken.
-func (fleet *Fleet) lotsReady() error {
-	for _, address := range fleet.Plan.Ingress() {
-		answer, err := fleet.operator.ask(http.MethodGet, "http://"+address+"/-/lots/lab-start", nil, 0)
+func (f *Fleet) lotsReady() error {
+	for _, address := range f.Plan.Ingress() {
+		answer, err := f.operator.ask(http.MethodGet, "http://"+address+"/-/lots/lab-start", nil, 0)
 		if err != nil {
 			return err
 		}
@@ -124,16 +124,16 @@
 }
 
 // died keeps the first death; a fleet that is being stopped has none.
-func (fleet *Fleet) died(err error) {
+func (f *Fleet) died(err error) {
 	select {
-	case <-fleet.stopping:
-	case fleet.Died <- err:
+	case <-f.stopping:
+	case f.Died <- err:
 	default:
 	}
 }
 
 // until tries again and again, and tells of a death or of the last failure.
-func (fleet *Fleet) until(called contexts.Context, end clock.Moment, what string, function func() error) error {
+func (f *Fleet) until(called contexts.Context, end clock.Moment, what string, function func() error) error {
 	for {
 		err := function()
 		if err == nil {
@@ -144,7 +144,7 @@
 			return Unfit.Wrap(err, "no success with "+what)
 		}
 		select {
-		case err = <-fleet.Died:
+		case err = <-f.Died:
 			return err
 		case <-called.Done():
 			return Unfit.New("stopped while starting")
@@ -154,9 +154,9 @@
 }
 
 // ready asks every gateway whether it is.
-func (fleet *Fleet) ready() error {
-	for _, address := range fleet.Plan.Readiness() {
-		answer, err := fleet.operator.ask(http.MethodGet, "http://"+address+"/-/readiness", nil, 0)
+func (f *Fleet) ready() error {
+	for _, address := range f.Plan.Readiness() {
+		answer, err := f.operator.ask(http.MethodGet, "http://"+address+"/-/readiness", nil, 0)
 		if err != nil {
 			return err
 		}
@@ -168,16 +168,16 @@
 }
 
 // Stop ends everything that was started, each by its id.
-func (fleet *Fleet) Stop() {
-	fleet.once.Do(func() {
-		close(fleet.stopping)
+func (f *Fleet) Stop() {
+	f.once.Do(func() {
+		close(f.stopping)
 		// Troubles under way end first, so that none starts a process once more.
-		fleet.troubles.Wait()
-		if fleet.endpoint != nil {
-			fleet.endpoint.close()
+		f.troubles.Wait()
+		if f.endpoint != nil {
+			f.endpoint.close()
 		}
 		var group sync.WaitGroup
-		for _, one := range fleet.processes {
+		for _, one := range f.processes {
 			group.Add(1)
 			go func() {
 				defer group.Done()
@@ -185,14 +185,14 @@
 			}()
 		}
 		group.Wait()
-		for _, one := range fleet.places {
+		for _, one := range f.places {
 			one.crash()
 		}
-		if fleet.own {
-			os.RemoveAll(fleet.Folder)
+		if f.own {
+			os.RemoveAll(f.Folder)
 		}
 	})
 }
 
 // Routes gives the routes of the configuration in force, as far as it was sent here.
-func (fleet *Fleet) Routes() []routeconfig.Route { return fleet.operator.routes() }
+func (f *Fleet) Routes() []routeconfig.Route { return f.operator.routes() }
--- a/internal/tooling/lab/operator.go
+++ b/internal/tooling/lab/operator.go
@@ -17,7 +17,7 @@
 type refused string
 
 // Error gives the reason.
-func (one refused) Error() string { return string(one) }
+func (r refused) Error() string { return string(r) }
 
 // operator sends configurations, one on top of the other.
 type operator struct {
@@ -33,7 +33,7 @@
 
 var operatorClient = http.Client{Timeout: constants.LabGrace}
 
-func (operator *operator) ask(method, url string, body []byte, base int64) (answered, error) {
+func (o *operator) ask(method, url string, body []byte, base int64) (answered, error) {
 	request, err := http.NewRequest(method, url, bytes.NewReader(body))
 	if err != nil {
 		return answered{}, Unfit.Wrap(err, "call")
@@ -52,14 +52,14 @@
 }
 
 // first sends the first configuration.
-func (operator *operator) first(body []byte) error { return operator.send(body, 0) }
+func (o *operator) first(body []byte) error { return o.send(body, 0) }
 
 // addRoute sends the next one: the present one with one route more. Fields that this
 // program does not know stay as they are.
-func (operator *operator) addRoute() (generation int64, err error) {
-	operator.lock.Lock()
-	present := operator.config
-	operator.lock.Unlock()
+func (o *operator) addRoute() (generation int64, err error) {
+	o.lock.Lock()
+	present := o.config
+	o.lock.Unlock()
 	if present == nil {
 		return 0, Unfit.New("there is no configuration yet")
 	}
@@ -68,7 +68,7 @@
 	if err != nil {
 		return 0, Unfit.Wrap(err, "configuration")
 	}
-	return generation, operator.send(body, present.Generation)
+	return generation, o.send(body, present.Generation)
 }
 
 // withRoute gives a configuration a new generation and one route more.
@@ -93,11 +93,11 @@
 }
 
 // send sends a whole configuration to one control after the other until it is taken.
-func (operator *operator) send(body []byte, base int64) error {
+func (o *operator) send(body []byte, base int64) error {
 	var err error
-	for _, address := range operator.controls {
+	for _, address := range o.controls {
 		var answer answered
-		answer, err = operator.ask(http.MethodPost, "http://"+address+"/-/Configuration.Replace", body, base)
+		answer, err = o.ask(http.MethodPost, "http://"+address+"/-/Configuration.Replace", body, base)
 		switch {
 		case err != nil:
 		case answer.status == http.StatusOK:
@@ -105,9 +105,9 @@
 			if unreadable != nil {
 				return unreadable
 			}
-			operator.lock.Lock()
-			operator.config = config
-			operator.lock.Unlock()
+			o.lock.Lock()
+			o.config = config
+			o.lock.Unlock()
 			return nil
 		case answer.status >= 400 && answer.status < 500 && answer.status != http.StatusTooManyRequests && answer.status != http.StatusRequestTimeout:
 			return refused("configuration refused with " + strconv.Itoa(answer.status) + ": " + strings.TrimSpace(string(answer.body)))
@@ -118,11 +118,11 @@
 	return err
 }
 
-func (operator *operator) routes() []routeconfig.Route {
-	operator.lock.Lock()
-	defer operator.lock.Unlock()
-	if operator.config == nil {
+func (o *operator) routes() []routeconfig.Route {
+	o.lock.Lock()
+	defer o.lock.Unlock()
+	if o.config == nil {
 		return nil
 	}
-	return operator.config.Routes
+	return o.config.Routes
 }
--- a/internal/tooling/lab/plan.go
+++ b/internal/tooling/lab/plan.go
@@ -47,37 +47,37 @@
 }
 
 // Check gives the first thing that stands in the way, naming the flag.
-func (plan *Plan) Check() error {
+func (p *Plan) Check() error {
 	bounds := []struct {
 		name      string
 		value     int
 		low, high int
 	}{
-		{"gateways", plan.Gateways, 1, constants.LabStoreHost - constants.LabEdgeHost},
-		{"controllers", plan.Controllers, 1, 9},
-		{"stores", plan.Stores, 1, constants.LabWorkerHost - constants.LabStoreHost},
-		{"workers", plan.Workers, 1, 100},
-		{"plain-workers", plan.Plain, 1, 40},
-		{"zones", plan.Zones, 1, 9},
-		{"capacity", plan.Capacity, 1, 1000},
+		{"gateways", p.Gateways, 1, constants.LabStoreHost - constants.LabEdgeHost},
+		{"controllers", p.Controllers, 1, 9},
+		{"stores", p.Stores, 1, constants.LabWorkerHost - constants.LabStoreHost},
+		{"workers", p.Workers, 1, 100},
+		{"plain-workers", p.Plain, 1, 40},
+		{"zones", p.Zones, 1, 9},
+		{"capacity", p.Capacity, 1, 1000},
 	}
 	for _, one := range bounds {
 		if one.value < one.low || one.value > one.high {
 			return Unfit.New(fmt.Sprintf("%s must lie between %d and %d, not %d", one.name, one.low, one.high, one.value))
 		}
 	}
-	if count := plan.Gateways + plan.Controllers + plan.Stores; count > constants.LabProcesses {
+	if count := p.Gateways + p.Controllers + p.Stores; count > constants.LabProcesses {
 		return Unfit.New(fmt.Sprintf("gateways, controllers and stores make %d processes; at most %d", count, constants.LabProcesses))
 	}
-	if plan.CacheTokens < 1000 {
+	if p.CacheTokens < 1000 {
 		return Unfit.New("cache-tokens must be 1000 or more")
 	}
-	address := net.ParseIP(plan.Network + ".1")
+	address := net.ParseIP(p.Network + ".1")
 	if address == nil || address.To4() == nil || !address.IsLoopback() {
-		return Unfit.New("network must be three bytes of a loopback address, such as " + constants.LabNetwork + ", not " + strconv.Quote(plan.Network))
+		return Unfit.New("network must be three bytes of a loopback address, such as " + constants.LabNetwork + ", not " + strconv.Quote(p.Network))
 	}
 	for _, role := range []string{"gateway", "controller", "store"} {
-		path := filepath.Join(plan.Programs, role)
+		path := filepath.Join(p.Programs, role)
 		if state, err := os.Stat(path); err != nil || state.IsDir() || state.Mode()&0o111 == 0 {
 			return Unfit.New("no program " + path + "; build them: go build -buildvcs=false -ldflags=-linkmode=external -o target/ ./cmd/...")
 		}
@@ -92,58 +92,58 @@
 	disk                               bool
 }
 
-func (plan *Plan) host(first, place, port int) string {
-	return net.JoinHostPort(plan.Network+"."+strconv.Itoa(first+place), strconv.Itoa(port))
+func (p *Plan) host(first, place, port int) string {
+	return net.JoinHostPort(p.Network+"."+strconv.Itoa(first+place), strconv.Itoa(port))
 }
 
-func (plan *Plan) zone(place int) string { return "zone-" + strconv.Itoa(place%plan.Zones+1) }
+func (p *Plan) zone(place int) string { return "zone-" + strconv.Itoa(place%p.Zones+1) }
 
 // nodes lists the processes: controllers first, since the others ask them.
-func (plan *Plan) nodes() []node {
+func (p *Plan) nodes() []node {
 	var all []node
 	add := func(role string, count, first int, machine string, disk bool) {
 		for place := 0; place < count; place++ {
 			number := strconv.Itoa(place + 1)
-			all = append(all, node{role + "-" + number, role, machine + "-" + number, plan.Network + "." + strconv.Itoa(first+place), plan.zone(place), disk})
+			all = append(all, node{role + "-" + number, role, machine + "-" + number, p.Network + "." + strconv.Itoa(first+place), p.zone(place), disk})
 		}
 	}
-	add("controller", plan.Controllers, constants.LabEdgeHost, "edge", true)
-	add("store", plan.Stores, constants.LabStoreHost, "store", true)
-	add("gateway", plan.Gateways, constants.LabEdgeHost, "edge", false)
+	add("controller", p.Controllers, constants.LabEdgeHost, "edge", true)
+	add("store", p.Stores, constants.LabStoreHost, "store", true)
+	add("gateway", p.Gateways, constants.LabEdgeHost, "edge", false)
 	return all
 }
 
 // Ingress lists the addresses that downstreams call.
-func (plan *Plan) Ingress() []string { return plan.edges(plan.Gateways, constants.LabIngressPort) }
+func (p *Plan) Ingress() []string { return p.edges(p.Gateways, constants.LabIngressPort) }
 
 // Readiness lists the addresses that tell whether a gateway is ready.
-func (plan *Plan) Readiness() []string { return plan.edges(plan.Gateways, constants.LabReadyPort) }
+func (p *Plan) Readiness() []string { return p.edges(p.Gateways, constants.LabReadyPort) }
 
 // Controls lists the addresses that workers and the operator call.
-func (plan *Plan) Controls() []string { return plan.edges(plan.Controllers, constants.LabControlPort) }
+func (p *Plan) Controls() []string { return p.edges(p.Controllers, constants.LabControlPort) }
 
 // Endpoint is the address of the control endpoint.
-func (plan *Plan) Endpoint() string {
-	return plan.host(constants.LabEndpointHost, 0, constants.LabEndpointPort)
+func (p *Plan) Endpoint() string {
+	return p.host(constants.LabEndpointHost, 0, constants.LabEndpointPort)
 }
 
-func (plan *Plan) edges(count, port int) []string {
+func (p *Plan) edges(count, port int) []string {
 	var all []string
 	for place := 0; place < count; place++ {
-		all = append(all, plan.host(constants.LabEdgeHost, place, port))
+		all = append(all, p.host(constants.LabEdgeHost, place, port))
 	}
 	return all
 }
 
 // free checks that nobody holds the addresses, so that a busy port is told by name
 // before anything has started.
-func (plan *Plan) free() error {
-	addresses := append(append(plan.Ingress(), plan.Readiness()...), plan.Controls()...)
-	addresses = append(addresses, plan.Endpoint())
-	for place := 0; place < plan.Workers+plan.Plain; place++ {
-		addresses = append(addresses, plan.host(constants.LabWorkerHost, place, constants.LabWorkerPort))
+func (p *Plan) free() error {
+	addresses := append(append(p.Ingress(), p.Readiness()...), p.Controls()...)
+	addresses = append(addresses, p.Endpoint())
+	for place := 0; place < p.Workers+p.Plain; place++ {
+		addresses = append(addresses, p.host(constants.LabWorkerHost, place, constants.LabWorkerPort))
 	}
-	for _, one := range plan.nodes() {
+	for _, one := range p.nodes() {
 		offset := map[string]int{"controller": constants.PortController, "gateway": constants.PortGateway, "store": constants.PortStore}[one.role]
 		addresses = append(addresses, net.JoinHostPort(one.address, strconv.Itoa(constants.LabInternalPort+offset)))
 	}
--- a/internal/tooling/lab/process.go
+++ b/internal/tooling/lab/process.go
@@ -32,9 +32,9 @@
 	return starter
 }
 
-func (starter *starter) start(command *exec.Cmd) error {
+func (s *starter) start(command *exec.Cmd) error {
 	done := make(chan error)
-	starter.orders <- func() { done <- command.Start() }
+	s.orders <- func() { done <- command.Start() }
 	return <-done
 }
 
@@ -54,34 +54,34 @@
 }
 
 // run starts the program; died is told where it ends unexpectedly.
-func (one *process) run(died func(error)) error {
-	log, err := os.OpenFile(one.log, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+func (p *process) run(died func(error)) error {
+	log, err := os.OpenFile(p.log, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
-		return Unfit.Wrap(err, "log of "+one.node.name)
+		return Unfit.Wrap(err, "log of "+p.node.name)
 	}
-	command := exec.Command(one.program)
+	command := exec.Command(p.program)
 	command.Stdout, command.Stderr = log, log
-	command.Env = append(os.Environ(), settings.Variable+"="+one.path)
+	command.Env = append(os.Environ(), settings.Variable+"="+p.path)
 	// A group of its own: a Ctrl-C at the terminal reaches the lab alone, which then
 	// ends the others in order.
 	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	err = one.starter.start(command)
+	err = p.starter.start(command)
 	log.Close()
 	if err != nil {
-		return Unfit.Wrap(err, one.node.name)
+		return Unfit.Wrap(err, p.node.name)
 	}
 	ended := make(chan struct{})
-	one.lock.Lock()
-	one.command, one.ended, one.expected = command, ended, false
-	one.lock.Unlock()
+	p.lock.Lock()
+	p.command, p.ended, p.expected = command, ended, false
+	p.lock.Unlock()
 	go func() {
 		err := command.Wait()
-		one.lock.Lock()
-		expected := one.expected
-		one.lock.Unlock()
+		p.lock.Lock()
+		expected := p.expected
+		p.lock.Unlock()
 		close(ended)
 		if !expected {
-			died(Unfit.New(one.node.name + " ended by itself (" + resultOf(err) + "): " + one.lastLine()))
+			died(Unfit.New(p.node.name + " ended by itself (" + resultOf(err) + "): " + p.lastLine()))
 		}
 	}()
 	return nil
@@ -94,65 +94,65 @@
 	return err.Error()
 }
 
-func (one *process) lastLine() string {
-	text, _ := os.ReadFile(one.log)
+func (p *process) lastLine() string {
+	text, _ := os.ReadFile(p.log)
 	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
 	return lines[len(lines)-1]
 }
 
 // signal sends a signal to this process alone, by its id.
-func (one *process) signal(signal os.Signal, expected bool) {
-	one.lock.Lock()
-	defer one.lock.Unlock()
-	if one.command == nil {
+func (p *process) signal(signal os.Signal, expected bool) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	if p.command == nil {
 		return
 	}
-	one.expected = one.expected || expected
+	p.expected = p.expected || expected
 	select {
-	case <-one.ended:
+	case <-p.ended:
 	default:
-		_ = one.command.Process.Signal(signal)
+		_ = p.command.Process.Signal(signal)
 	}
 }
 
 // stop ends the process in order, and by force once its grace is over.
-func (one *process) stop() {
-	one.signal(syscall.SIGTERM, true)
+func (p *process) stop() {
+	p.signal(syscall.SIGTERM, true)
 	// A frozen process can't heed anything but SIGKILL.
-	one.signal(syscall.SIGCONT, true)
-	one.lock.Lock()
-	ended := one.ended
-	one.lock.Unlock()
+	p.signal(syscall.SIGCONT, true)
+	p.lock.Lock()
+	ended := p.ended
+	p.lock.Unlock()
 	if ended == nil {
 		return
 	}
 	select {
 	case <-ended:
 	case <-clock.After(constants.LabGrace):
-		one.signal(syscall.SIGKILL, true)
+		p.signal(syscall.SIGKILL, true)
 		<-ended
 	}
 }
 
 // kill ends the process at once.
-func (one *process) kill() {
-	one.signal(syscall.SIGKILL, true)
-	one.lock.Lock()
-	ended := one.ended
-	one.lock.Unlock()
+func (p *process) kill() {
+	p.signal(syscall.SIGKILL, true)
+	p.lock.Lock()
+	ended := p.ended
+	p.lock.Unlock()
 	if ended != nil {
 		<-ended
 	}
 }
 
 // id is the process id, or 0.
-func (one *process) id() int {
-	one.lock.Lock()
-	defer one.lock.Unlock()
-	if one.command == nil {
+func (p *process) id() int {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	if p.command == nil {
 		return 0
 	}
-	return one.command.Process.Pid
+	return p.command.Process.Pid
 }
 
 func newProcess(plan *Plan, one node, folder string, starter *starter) *process {
--- a/internal/tooling/lab/reload.go
+++ b/internal/tooling/lab/reload.go
@@ -9,8 +9,8 @@
 const unreadable = "seeds = ["
 
 // reload changes the settings file of a process, as of a later start, and sends SIGHUP.
-func (fleet *Fleet) reload(one *process, valid bool) error {
-	path, err := fleet.Plan.write(one.node, fleet.Folder, false)
+func (f *Fleet) reload(one *process, valid bool) error {
+	path, err := f.Plan.write(one.node, f.Folder, false)
 	if err != nil {
 		return err
 	}
--- a/internal/tooling/lab/reload_test.go
+++ b/internal/tooling/lab/reload_test.go
@@ -10,24 +10,24 @@
 )
 
 // A reload finds the changed file in place, and is no reason for a process to end.
-func TestReloadComesAfterTheFile(test *testing.T) {
+func TestReloadComesAfterTheFile(t *testing.T) {
 	// Where the tests run with SIGHUP ignored (nohup), their children inherit that, and a
 	// shell can't trap a signal that was ignored when it started.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
 	plan := NewPlan()
-	plan.Programs = programs(test, `trap 'cat "$LEMONARCH_SETTINGS" > "$LEMONARCH_SETTINGS.seen"; kill "$other"; exit 0' HUP; sleep 60 & other=$!; echo > "$LEMONARCH_SETTINGS.up"; wait`)
+	plan.Programs = programs(t, `trap 'cat "$LEMONARCH_SETTINGS" > "$LEMONARCH_SETTINGS.seen"; kill "$other"; exit 0' HUP; sleep 60 & other=$!; echo > "$LEMONARCH_SETTINGS.up"; wait`)
 	for valid, want := range map[bool]string{true: "bootstrap = false", false: unreadable} {
-		fleet := &Fleet{Plan: plan, Folder: test.TempDir(), stopping: make(chan struct{}), Died: make(chan error, 1)}
+		fleet := &Fleet{Plan: plan, Folder: t.TempDir(), stopping: make(chan struct{}), Died: make(chan error, 1)}
 		one := newProcess(&plan, plan.nodes()[0], fleet.Folder, newStarter())
 		path, err := plan.write(one.node, fleet.Folder, true)
 		if err != nil {
-			test.Fatal(err)
+			t.Fatal(err)
 		}
 		one.path = path
 		if err := one.run(fleet.died); err != nil {
-			test.Fatal(err)
+			t.Fatal(err)
 		}
 		for {
 			if _, err := os.Stat(path + ".up"); err == nil {
@@ -38,7 +38,7 @@
 		fleet.harm(one, Trouble{Kind: map[bool]string{true: kindReload, false: kindReloadBad}[valid]})
 		<-one.ended
 		if text, err := os.ReadFile(path + ".seen"); err != nil || !strings.Contains(string(text), want) {
-			test.Error(valid, err, string(text))
+			t.Error(valid, err, string(text))
 		}
 	}
 }
--- a/internal/tooling/lab/settings.go
+++ b/internal/tooling/lab/settings.go
@@ -23,7 +23,7 @@
 )
 
 // nodeSettings makes the settings of one process.
-func (plan *Plan) nodeSettings(one node, folder string, first bool) *settings.Settings {
+func (p *Plan) nodeSettings(one node, folder string, first bool) *settings.Settings {
 	nodeSettings := &settings.Settings{NodeName: one.machine, Role: one.role, MachineClass: "edge", Address: one.address, Zone: one.zone, Region: "lab",
 		InternalPorts: []int{constants.LabInternalPort, constants.LabInternalPort + 15}, Bootstrap: first, InQuorum: one.disk,
 		HeartbeatMs: clock.ToMilliseconds(constants.LabBeat), Zones: map[string]string{},
@@ -31,10 +31,10 @@
 		Tolerances: settings.Tolerances{DrainMs: constants.LabDrainMs, GraceS: constants.LabGrace.Seconds(), ConvergeMs: 2000, AckMs: 4000, SyncS: 5,
 			StatusS: 300, CancelMs: 3000, SettlingMs: 1000, AddressReuseS: 2, QuotaOvershoot: 0.1}}
 	// What may be lost is less than half of the smaller of the two sets.
-	nodeSettings.FaultBudget.Machines = (min(plan.Controllers, plan.Stores) - 1) / 2
-	nodeSettings.Seeds = plan.Controls()[:min(3, plan.Controllers)]
-	for place := 0; place < plan.Zones; place++ {
-		nodeSettings.Zones[plan.zone(place)] = "lab"
+	nodeSettings.FaultBudget.Machines = (min(p.Controllers, p.Stores) - 1) / 2
+	nodeSettings.Seeds = p.Controls()[:min(3, p.Controllers)]
+	for place := 0; place < p.Zones; place++ {
+		nodeSettings.Zones[p.zone(place)] = "lab"
 	}
 	bind := func(port int) string { return fmt.Sprintf("%s:%d", one.address, port) }
 	switch one.role {
@@ -54,8 +54,8 @@
 }
 
 // write puts the settings file of a process in place.
-func (plan *Plan) write(one node, folder string, first bool) (string, error) {
-	nodeSettings := plan.nodeSettings(one, folder, first)
+func (p *Plan) write(one node, folder string, first bool) (string, error) {
+	nodeSettings := p.nodeSettings(one, folder, first)
 	if findings := nodeSettings.Check(); len(findings) > 0 {
 		return "", Unfit.New("settings of " + one.name + ": " + findings[0])
 	}
--- a/internal/tooling/lab/trouble.go
+++ b/internal/tooling/lab/trouble.go
@@ -55,30 +55,30 @@
 }
 
 // Check tells what is wrong with a trouble, before anything is broken.
-func (trouble *Trouble) Check() error {
+func (t *Trouble) Check() error {
 	onProcess, onWorker := false, false
-	switch trouble.Kind {
+	switch t.Kind {
 	case kindKill, kindStop, kindFreeze, kindReload, kindReloadBad:
 		onProcess = true
 	case kindCrash, kindReplace, kindFlap, kindFaults:
 		onWorker = true
 	case kindConfigure:
 	default:
-		return Unfit.New("no such kind of trouble: " + strconv.Quote(trouble.Kind))
+		return Unfit.New("no such kind of trouble: " + strconv.Quote(t.Kind))
 	}
-	role, _, _ := strings.Cut(trouble.Target, "-")
+	role, _, _ := strings.Cut(t.Target, "-")
 	isProcess := role == "gateway" || role == "controller" || role == "store"
 	isWorker := role == "worker" || role == "plain"
 	if (onProcess && !isProcess) || (onWorker && !isWorker) {
-		return Unfit.New("target " + strconv.Quote(trouble.Target) + " does not fit the kind " + trouble.Kind)
+		return Unfit.New("target " + strconv.Quote(t.Target) + " does not fit the kind " + t.Kind)
 	}
-	if !(trouble.AtS >= 0) || !(trouble.ForS >= 0) || !(trouble.BackS >= 0) {
+	if !(t.AtS >= 0) || !(t.ForS >= 0) || !(t.BackS >= 0) {
 		return Unfit.New("at-s, for-s and back-s must not be below 0")
 	}
-	if (trouble.Kind == kindFreeze || trouble.Kind == kindFlap) && trouble.ForS == 0 {
-		return Unfit.New("a " + trouble.Kind + " needs for-s")
+	if (t.Kind == kindFreeze || t.Kind == kindFlap) && t.ForS == 0 {
+		return Unfit.New("a " + t.Kind + " needs for-s")
 	}
-	if findings := trouble.Faults.Check(); len(findings) > 0 {
+	if findings := t.Faults.Check(); len(findings) > 0 {
 		return Unfit.New("faults: " + findings[0])
 	}
 	return nil
@@ -89,36 +89,36 @@
 func seconds(count float64) clock.Span { return clock.Milliseconds(count * 1000) }
 
 // Trouble begins a trouble; it goes on by itself.
-func (fleet *Fleet) Trouble(trouble Trouble) error {
+func (f *Fleet) Trouble(trouble Trouble) error {
 	if err := trouble.Check(); err != nil {
 		return err
 	}
 	if trouble.Kind == kindConfigure {
-		_, err := fleet.operator.addRoute()
+		_, err := f.operator.addRoute()
 		return err
 	}
 	found := false
 	begin := func(function func()) {
 		found = true
-		fleet.troubles.Add(1)
+		f.troubles.Add(1)
 		go func() {
-			defer fleet.troubles.Done()
+			defer f.troubles.Done()
 			function()
 		}()
 	}
 	select {
-	case <-fleet.stopping:
+	case <-f.stopping:
 		return Unfit.New("the fleet is being stopped")
 	default:
 	}
-	for _, one := range fleet.processes {
+	for _, one := range f.processes {
 		if matches(one.node.name, trouble.Target) {
-			begin(func() { fleet.harm(one, trouble) })
+			begin(func() { f.harm(one, trouble) })
 		}
 	}
-	for _, one := range fleet.places {
+	for _, one := range f.places {
 		if matches(one.name, trouble.Target) {
-			begin(func() { fleet.disturb(one, trouble) })
+			begin(func() { f.disturb(one, trouble) })
 		}
 	}
 	if !found {
@@ -128,9 +128,9 @@
 }
 
 // pause waits, unless the fleet is stopped.
-func (fleet *Fleet) pause(span clock.Span) bool {
+func (f *Fleet) pause(span clock.Span) bool {
 	select {
-	case <-fleet.stopping:
+	case <-f.stopping:
 		return false
 	case <-clock.After(span):
 		return true
@@ -138,16 +138,16 @@
 }
 
 // harm does to a process what the trouble says.
-func (fleet *Fleet) harm(one *process, trouble Trouble) {
+func (f *Fleet) harm(one *process, trouble Trouble) {
 	switch trouble.Kind {
 	case kindReload, kindReloadBad:
-		if err := fleet.reload(one, trouble.Kind == kindReload); err != nil {
-			fleet.died(err)
+		if err := f.reload(one, trouble.Kind == kindReload); err != nil {
+			f.died(err)
 		}
 		return
 	case kindFreeze:
 		one.signal(syscall.SIGSTOP, false)
-		fleet.pause(seconds(trouble.ForS))
+		f.pause(seconds(trouble.ForS))
 		one.signal(syscall.SIGCONT, false)
 		return
 	case kindKill:
@@ -155,31 +155,31 @@
 	case kindStop:
 		one.stop()
 	}
-	if !fleet.pause(max(seconds(trouble.BackS), constants.LabRestart)) {
+	if !f.pause(max(seconds(trouble.BackS), constants.LabRestart)) {
 		return
 	}
 	// Not the first start any more: the disk holds what it held.
-	if _, err := fleet.Plan.write(one.node, fleet.Folder, false); err != nil {
-		fleet.died(err)
+	if _, err := f.Plan.write(one.node, f.Folder, false); err != nil {
+		f.died(err)
 		return
 	}
-	if err := one.run(fleet.died); err != nil {
-		fleet.died(err)
+	if err := one.run(f.died); err != nil {
+		f.died(err)
 	}
 }
 
 // disturb does to a worker what the trouble says.
-func (fleet *Fleet) disturb(one *place, trouble Trouble) {
+func (f *Fleet) disturb(one *place, trouble Trouble) {
 	back := max(seconds(trouble.BackS), constants.LabRestart)
 	begin := func() {
-		if err := one.begin(fleet.record, fleet.Plan.Controls()); err != nil {
-			fleet.died(err)
+		if err := one.begin(f.record, f.Plan.Controls()); err != nil {
+			f.died(err)
 		}
 	}
 	switch trouble.Kind {
 	case kindCrash:
 		one.crash()
-		if fleet.pause(back) {
+		if f.pause(back) {
 			begin()
 		}
 	case kindReplace:
@@ -188,18 +188,18 @@
 	case kindFlap:
 		for end := clock.Now().Plus(seconds(trouble.ForS)); clock.Now() < end; {
 			one.crash()
-			if !fleet.pause(back) {
+			if !f.pause(back) {
 				return
 			}
 			begin()
-			if !fleet.pause(back) {
+			if !f.pause(back) {
 				return
 			}
 		}
 	case kindFaults:
 		one.trouble(trouble.Faults)
 		if trouble.ForS > 0 {
-			fleet.pause(seconds(trouble.ForS))
+			f.pause(seconds(trouble.ForS))
 			one.trouble(workeremulator.Faults{})
 		}
 	}
--- a/internal/tooling/lab/workers.go
+++ b/internal/tooling/lab/workers.go
@@ -13,8 +13,8 @@
 )
 
 // shape is the engine of the fleet's model workers.
-func (plan *Plan) shape() workeremulator.Shape {
-	return workeremulator.Shape{Capacity: plan.Capacity, Queue: plan.Capacity / 2, CacheTokens: plan.CacheTokens, ReadPerMs: constants.LabReadPerMs,
+func (p *Plan) shape() workeremulator.Shape {
+	return workeremulator.Shape{Capacity: p.Capacity, Queue: p.Capacity / 2, CacheTokens: p.CacheTokens, ReadPerMs: constants.LabReadPerMs,
 		Step: constants.LabStep, StepEach: constants.LabStepEach, Stride: constants.LabStride}
 }
 
@@ -34,48 +34,48 @@
 	faults workeremulator.Faults
 }
 
-func (plan *Plan) places() []*place {
+func (p *Plan) places() []*place {
 	var all []*place
 	add := func(kind string, count int, nodeSettings workeremulator.Settings) {
 		for number := 0; number < count; number++ {
 			one := nodeSettings
-			one.Zone = plan.zone(number)
-			all = append(all, &place{name: kind + "-" + strconv.Itoa(number+1), nodeSettings: one, seed: plan.Seed*1000 + int64(len(all)),
-				address: plan.host(constants.LabWorkerHost, len(all), constants.LabWorkerPort)})
+			one.Zone = p.zone(number)
+			all = append(all, &place{name: kind + "-" + strconv.Itoa(number+1), nodeSettings: one, seed: p.Seed*1000 + int64(len(all)),
+				address: p.host(constants.LabWorkerHost, len(all), constants.LabWorkerPort)})
 		}
 	}
-	add("worker", plan.Workers, workeremulator.Settings{Service: ModelService, Model: ModelName, Shape: plan.shape(), ConnLimit: constants.LabConnLimit, Probe: ProbePath, Revision: 1, Warmup: constants.LabWarmup})
-	add("plain", plan.Plain, workeremulator.Settings{Service: PlainService, Work: constants.LabPlainWork, ConnLimit: constants.LabConnLimit, Probe: ProbePath,
+	add("worker", p.Workers, workeremulator.Settings{Service: ModelService, Model: ModelName, Shape: p.shape(), ConnLimit: constants.LabConnLimit, Probe: ProbePath, Revision: 1, Warmup: constants.LabWarmup})
+	add("plain", p.Plain, workeremulator.Settings{Service: PlainService, Work: constants.LabPlainWork, ConnLimit: constants.LabConnLimit, Probe: ProbePath,
 		Shape: workeremulator.Shape{Capacity: constants.LabPlainSlots, Queue: constants.LabPlainSlots}})
 	return all
 }
 
 // begin starts a new life: a new id, at the same address.
-func (one *place) begin(record *workeremulator.Record, controls []string) error {
-	one.lock.Lock()
-	defer one.lock.Unlock()
-	if one.worker != nil {
+func (p *place) begin(record *workeremulator.Record, controls []string) error {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	if p.worker != nil {
 		return nil
 	}
-	listener, err := net.Listen("tcp4", one.address)
+	listener, err := net.Listen("tcp4", p.address)
 	if err != nil {
-		return Unfit.New(one.name + " can't listen at " + one.address + ": " + lastWords(err))
+		return Unfit.New(p.name + " can't listen at " + p.address + ": " + lastWords(err))
 	}
-	one.life++
-	nodeSettings := one.nodeSettings
-	nodeSettings.ID = fmt.Sprintf("%s-life%d", one.name, one.life)
-	one.worker = workeremulator.NewWorker(nodeSettings, record, workeremulator.RealClock{}, one.seed+int64(one.life)*100_000)
-	one.worker.SetFaults(one.faults)
-	one.beater = workeremulator.NewBeater(one.worker, one.address, controls)
+	p.life++
+	nodeSettings := p.nodeSettings
+	nodeSettings.ID = fmt.Sprintf("%s-life%d", p.name, p.life)
+	p.worker = workeremulator.NewWorker(nodeSettings, record, workeremulator.RealClock{}, p.seed+int64(p.life)*100_000)
+	p.worker.SetFaults(p.faults)
+	p.beater = workeremulator.NewBeater(p.worker, p.address, controls)
 	until, halt := contexts.Stoppable(contexts.Background())
-	one.halt = halt
-	worker, served := one.worker, make(chan struct{})
-	one.served = served
+	p.halt = halt
+	worker, served := p.worker, make(chan struct{})
+	p.served = served
 	go func() {
 		defer close(served)
 		worker.Serve(listener)
 	}()
-	go one.beater.Keep(until, constants.LabBeat)
+	go p.beater.Keep(until, constants.LabBeat)
 	return nil
 }
 
@@ -87,39 +87,39 @@
 }
 
 // take gives the present life away, so that somebody ends it.
-func (one *place) take() (life emulated, found bool) {
-	one.lock.Lock()
-	defer one.lock.Unlock()
-	life = emulated{one.worker, one.beater, one.served}
-	if one.halt != nil {
-		one.halt()
+func (p *place) take() (life emulated, found bool) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	life = emulated{p.worker, p.beater, p.served}
+	if p.halt != nil {
+		p.halt()
 	}
-	one.worker, one.beater, one.halt = nil, nil, nil
+	p.worker, p.beater, p.halt = nil, nil, nil
 	return life, life.worker != nil
 }
 
 // crash ends the present life without a word; its address is free then.
-func (one *place) crash() {
-	if life, found := one.take(); found {
+func (p *place) crash() {
+	if life, found := p.take(); found {
 		life.worker.Crash()
 		<-life.served
 	}
 }
 
 // leave ends the present life in order; its address is free then.
-func (one *place) leave() {
-	if life, found := one.take(); found {
+func (p *place) leave() {
+	if life, found := p.take(); found {
 		life.beater.LeaveInOrder(clock.Milliseconds(constants.LabDrainMs))
 		<-life.served
 	}
 }
 
 // trouble switches faults on and off; they outlast the present life.
-func (one *place) trouble(faults workeremulator.Faults) {
-	one.lock.Lock()
-	defer one.lock.Unlock()
-	one.faults = faults
-	if one.worker != nil {
-		one.worker.SetFaults(faults)
+func (p *place) trouble(faults workeremulator.Faults) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	p.faults = faults
+	if p.worker != nil {
+		p.worker.SetFaults(faults)
 	}
 }
--- a/internal/tooling/linearize/controller.go
+++ b/internal/tooling/linearize/controller.go
@@ -23,9 +23,9 @@
 }
 
 // start reads the disk: nothing else is known to a new life.
-func (one *controller) start(identity string, first []messages.Member) error {
+func (c *controller) start(identity string, first []messages.Member) error {
 	record := messages.AcceptorRecord{}
-	logfile, err := recordlog.Open(one.disk, "register", func(_ int64, body []byte) error {
+	logfile, err := recordlog.Open(c.disk, "register", func(_ int64, body []byte) error {
 		record = messages.AcceptorRecord{}
 		_, problem := record.UnmarshalMsg(body)
 		return problem
@@ -33,39 +33,39 @@
 	if err != nil {
 		return err
 	}
-	one.logfile = logfile
+	c.logfile = logfile
 	if record.Disk == "" {
 		record.Disk, record.First = identity, first
 	}
-	one.acceptor = register.NewAcceptor(record)
-	one.down, one.counter, one.known = false, 0, one.acceptor.Value()
-	one.life++
-	return one.write()
+	c.acceptor = register.NewAcceptor(record)
+	c.down, c.counter, c.known = false, 0, c.acceptor.Value()
+	c.life++
+	return c.write()
 }
 
 // write appends the acceptor's record; sync makes it last.
-func (one *controller) write() error {
-	record := one.acceptor.Record()
+func (c *controller) write() error {
+	record := c.acceptor.Record()
 	body, err := record.MarshalMsg(nil)
 	if err == nil {
-		_, err = one.logfile.Append(body)
+		_, err = c.logfile.Append(body)
 	}
 	if err == nil {
-		err = one.logfile.Sync()
+		err = c.logfile.Sync()
 	}
 	return err
 }
 
-func (one *controller) member() messages.Member {
-	return messages.Member{Name: one.name, Address: one.name, Disk: one.acceptor.Disk()}
+func (c *controller) member() messages.Member {
+	return messages.Member{Name: c.name, Address: c.name, Disk: c.acceptor.Disk()}
 }
 
 // learn takes newer sets.
-func (one *controller) learn(value messages.Register) {
-	if len(value.Acceptors) > 0 && (value.SetEpoch >= one.known.SetEpoch || len(one.known.Acceptors) == 0) {
-		one.known = value
+func (c *controller) learn(value messages.Register) {
+	if len(value.Acceptors) > 0 && (value.SetEpoch >= c.known.SetEpoch || len(c.known.Acceptors) == 0) {
+		c.known = value
 	}
 }
 
 // identity names a disk that came back empty.
-func (one *controller) identity() string { return fmt.Sprintf("%s-%d", one.name, one.life) }
+func (c *controller) identity() string { return fmt.Sprintf("%s-%d", c.name, c.life) }
--- a/internal/tooling/linearize/faults.go
+++ b/internal/tooling/linearize/faults.go
@@ -4,76 +4,76 @@
 
 // trouble brings one fault after another, each once the one before is over and the set
 // of acceptors is whole again: within a budget of one machine.
-func (fleet *Fleet) trouble(until clock.Moment) {
-	fleet.after(100, 700, func() {
-		if fleet.world.Now > until {
+func (f *Fleet) trouble(until clock.Moment) {
+	f.after(100, 700, func() {
+		if f.world.Now > until {
 			return
 		}
-		if fleet.whole() {
-			fleet.strike()
+		if f.whole() {
+			f.strike()
 		}
-		fleet.trouble(until)
+		f.trouble(until)
 	})
 }
 
-func (fleet *Fleet) strike() {
-	victim := fleet.any()
-	switch fleet.world.Random.Intn(7) {
+func (f *Fleet) strike() {
+	victim := f.any()
+	switch f.world.Random.Intn(7) {
 	case 0:
-		fleet.cut(victim, true, true)
+		f.cut(victim, true, true)
 	case 1:
-		fleet.cut(victim, true, false)
+		f.cut(victim, true, false)
 	case 2:
-		fleet.cut(victim, false, true)
+		f.cut(victim, false, true)
 	case 3:
-		fleet.bounce(victim, fleet.world.Random.Intn(2) == 0)
+		f.bounce(victim, f.world.Random.Intn(2) == 0)
 	case 4:
 		// All lose power, or all are killed.
-		power := fleet.world.Random.Intn(2) == 0
-		for _, name := range fleet.names {
-			fleet.bounce(fleet.nodes[name], power)
+		power := f.world.Random.Intn(2) == 0
+		for _, name := range f.names {
+			f.bounce(f.nodes[name], power)
 		}
 	case 5:
-		fleet.wipe(victim)
+		f.wipe(victim)
 	case 6:
-		fleet.crash = true
+		f.crash = true
 	}
 }
 
 // cut cuts a machine off from all others and from the operators, one way or both.
-func (fleet *Fleet) cut(victim *controller, to, from bool) {
+func (f *Fleet) cut(victim *controller, to, from bool) {
 	set := func(cut bool) {
-		for _, name := range fleet.names {
-			fleet.world.Cut(name, victim.name, cut && to)
-			fleet.world.Cut(victim.name, name, cut && from)
+		for _, name := range f.names {
+			f.world.Cut(name, victim.name, cut && to)
+			f.world.Cut(victim.name, name, cut && from)
 		}
 	}
 	set(true)
-	fleet.after(300, 5000, func() { set(false) })
+	f.after(300, 5000, func() { set(false) })
 }
 
 // bounce ends a process; it is started again with its disk.
-func (fleet *Fleet) bounce(victim *controller, power bool) {
+func (f *Fleet) bounce(victim *controller, power bool) {
 	if victim.down {
 		return
 	}
-	victim.down, fleet.since[victim.name] = true, fleet.world.Now
+	victim.down, f.since[victim.name] = true, f.world.Now
 	if power {
 		victim.disk.PowerLoss()
 	}
-	fleet.after(50, 4000, func() { fleet.fail(victim.start("", nil)) })
+	f.after(50, 4000, func() { f.fail(victim.start("", nil)) })
 }
 
 // wipe ends a process; its machine comes back without what its disk held.
-func (fleet *Fleet) wipe(victim *controller) {
+func (f *Fleet) wipe(victim *controller) {
 	if victim.down {
 		return
 	}
-	victim.down, fleet.since[victim.name] = true, fleet.world.Now
+	victim.down, f.since[victim.name] = true, f.world.Now
 	identity := victim.identity()
-	if fleet.breaks.KeepIdentity {
+	if f.breaks.KeepIdentity {
 		identity = victim.acceptor.Disk()
 	}
 	victim.disk.Wipe()
-	fleet.after(50, 3000, func() { fleet.fail(victim.start(identity, nil)) })
+	f.after(50, 3000, func() { f.fail(victim.start(identity, nil)) })
 }
--- a/internal/tooling/linearize/fleet.go
+++ b/internal/tooling/linearize/fleet.go
@@ -65,65 +65,65 @@
 }
 
 // Run plays the fleet's day and gives the first error of its machinery.
-func (fleet *Fleet) Run(span clock.Span) error {
+func (f *Fleet) Run(span clock.Span) error {
 	for number := range operators {
-		fleet.operate(number, fleet.world.Now.Plus(span))
+		f.operate(number, f.world.Now.Plus(span))
 	}
-	fleet.trouble(fleet.world.Now.Plus(span))
-	fleet.world.Run(fleet.world.Now.Plus(span + clock.Milliseconds(20_000)))
-	return fleet.err
+	f.trouble(f.world.Now.Plus(span))
+	f.world.Run(f.world.Now.Plus(span + clock.Milliseconds(20_000)))
+	return f.err
 }
 
-func (fleet *Fleet) fail(err error) {
-	if fleet.err == nil {
-		fleet.err = err
+func (f *Fleet) fail(err error) {
+	if f.err == nil {
+		f.err = err
 	}
 }
 
 // after runs a function in a random time between two, in milliseconds.
-func (fleet *Fleet) after(least, most float64, function func()) {
-	fleet.world.After(clock.Milliseconds(least+(most-least)*fleet.world.Random.Float64()), function)
+func (f *Fleet) after(least, most float64, function func()) {
+	f.world.After(clock.Milliseconds(least+(most-least)*f.world.Random.Float64()), function)
 }
 
-func (fleet *Fleet) any() *controller {
-	return fleet.nodes[fleet.names[fleet.world.Random.Intn(len(fleet.names))]]
+func (f *Fleet) any() *controller {
+	return f.nodes[f.names[f.world.Random.Intn(len(f.names))]]
 }
 
 // tend is what each process does about once in half a second: hear of newer sets from
 // others, then propose what the step says.
-func (fleet *Fleet) tend(name string) {
-	fleet.after(200, 800, func() {
-		fleet.tend(name)
-		node := fleet.nodes[name]
+func (f *Fleet) tend(name string) {
+	f.after(200, 800, func() {
+		f.tend(name)
+		node := f.nodes[name]
 		if node.down {
 			return
 		}
-		if other := fleet.any(); !other.down && (other.known.SetEpoch > node.known.SetEpoch || len(node.known.Acceptors) == 0) {
+		if other := f.any(); !other.down && (other.known.SetEpoch > node.known.SetEpoch || len(node.known.Acceptors) == 0) {
 			known, life := other.known, node.life
-			fleet.world.Send(other.name, name, func() {
+			f.world.Send(other.name, name, func() {
 				if node.life == life {
 					node.learn(known)
 				}
 			})
 		}
-		tending := register.Tending{Own: node.member(), Votes: true, Size: setSize, Gone: fleet.gone}
+		tending := register.Tending{Own: node.member(), Votes: true, Size: setSize, Gone: f.gone}
 		if change := tending.Step(node.known); change != nil {
-			fleet.propose(node, change, attempts, func(*messages.Register) {})
+			f.propose(node, change, attempts, func(*messages.Register) {})
 		}
 	})
 }
 
-func (fleet *Fleet) gone(member messages.Member) bool {
-	node := fleet.nodes[member.Address]
-	return node.down && fleet.world.Now.Since(fleet.since[member.Address]) > clock.Milliseconds(silentMs)
+func (f *Fleet) gone(member messages.Member) bool {
+	node := f.nodes[member.Address]
+	return node.down && f.world.Now.Since(f.since[member.Address]) > clock.Milliseconds(silentMs)
 }
 
 // whole tells whether all machines are up, none is cut off, and the newest set known
 // anywhere is complete with the disks that its members have.
-func (fleet *Fleet) whole() bool {
+func (f *Fleet) whole() bool {
 	var newest messages.Register
-	for _, name := range fleet.names {
-		node := fleet.nodes[name]
+	for _, name := range f.names {
+		node := f.nodes[name]
 		if node.down {
 			return false
 		}
@@ -132,7 +132,7 @@
 		}
 	}
 	for _, member := range newest.Acceptors {
-		if fleet.nodes[member.Address].acceptor.Disk() != member.Disk {
+		if f.nodes[member.Address].acceptor.Disk() != member.Disk {
 			return false
 		}
 	}
--- a/internal/tooling/linearize/history.go
+++ b/internal/tooling/linearize/history.go
@@ -42,30 +42,30 @@
 
 // Begin notes that a client begins an operation at a moment. Until it ends, it counts
 // as unclear.
-func (history *History) Begin(client int, input any, unclear Reply, now int64) *Operation {
-	history.operations = append(history.operations, porcupine.Operation{
+func (h *History) Begin(client int, input any, unclear Reply, now int64) *Operation {
+	h.operations = append(h.operations, porcupine.Operation{
 		ClientId: client, Input: input, Call: now, Output: unclear, Return: math.MaxInt64,
 	})
-	return &Operation{history: history, place: len(history.operations) - 1}
+	return &Operation{history: h, place: len(h.operations) - 1}
 }
 
 // End notes its clear answer; an unclear one leaves it open for ever.
-func (operation *Operation) End(reply Reply, now int64) {
+func (o *Operation) End(reply Reply, now int64) {
 	if reply.Unclear() {
 		return
 	}
-	one := &operation.history.operations[operation.place]
+	one := &o.history.operations[o.place]
 	one.Output, one.Return = reply, now
 }
 
 // Len is the number of operations.
-func (history *History) Len() int { return len(history.operations) }
+func (h *History) Len() int { return len(h.operations) }
 
 // Clear is the number of operations with a clear answer.
-func (history *History) Clear() int {
+func (h *History) Clear() int {
 	count := 0
-	for index := range history.operations {
-		if history.operations[index].Return != math.MaxInt64 {
+	for index := range h.operations {
+		if h.operations[index].Return != math.MaxInt64 {
 			count++
 		}
 	}
@@ -73,21 +73,21 @@
 }
 
 // Check gives an error where no order explains the history.
-func (history *History) Check(model porcupine.Model, limit time.Duration) error {
-	switch porcupine.CheckOperationsTimeout(model, history.operations, limit) {
+func (h *History) Check(model porcupine.Model, limit time.Duration) error {
+	switch porcupine.CheckOperationsTimeout(model, h.operations, limit) {
 	case porcupine.Ok:
 		return nil
 	case porcupine.Illegal:
-		return Broken.New(history.describe(model))
+		return Broken.New(h.describe(model))
 	default:
-		return Undecided.New(fmt.Sprintf("%d operations in %v", len(history.operations), limit))
+		return Undecided.New(fmt.Sprintf("%d operations in %v", len(h.operations), limit))
 	}
 }
 
-func (history *History) describe(model porcupine.Model) string {
+func (h *History) describe(model porcupine.Model) string {
 	text := ""
-	for index := range history.operations {
-		one := &history.operations[index]
+	for index := range h.operations {
+		one := &h.operations[index]
 		end := "open"
 		if one.Return != math.MaxInt64 {
 			end = fmt.Sprintf("%.1f", float64(one.Return)/1e6)
--- a/internal/tooling/linearize/linearize_test.go
+++ b/internal/tooling/linearize/linearize_test.go
@@ -17,48 +17,48 @@
 )
 
 // play plays one seed's day and checks what the operators saw.
-func play(test *testing.T, seed int64, breaks Breaks) (*Fleet, error) {
+func play(t *testing.T, seed int64, breaks Breaks) (*Fleet, error) {
 	fleet := NewFleet(seed, breaks)
 	if err := fleet.Run(daySpan); err != nil {
-		test.Fatalf("seed %d: %v", seed, err)
+		t.Fatalf("seed %d: %v", seed, err)
 	}
 	return fleet, fleet.History.Check(RegisterModel(), checkLimit)
 }
 
-func TestOperatorsSeeARegister(test *testing.T) {
+func TestOperatorsSeeARegister(t *testing.T) {
 	calls, clear, changes := 0, 0, 0
 	for seed := range int64(simulation.Seeds(200)) {
-		fleet, err := play(test, seed, Breaks{})
+		fleet, err := play(t, seed, Breaks{})
 		if err != nil {
-			test.Fatalf("seed %d: %v", seed, err)
+			t.Fatalf("seed %d: %v", seed, err)
 		}
 		calls, clear = calls+fleet.History.Len(), clear+fleet.History.Clear()
 		for _, name := range fleet.names {
 			changes = max(changes, int(fleet.nodes[name].known.SetEpoch))
 		}
 	}
-	test.Logf("%d calls, %d with a clear answer, up to %d steps of the set in one history", calls, clear, changes)
+	t.Logf("%d calls, %d with a clear answer, up to %d steps of the set in one history", calls, clear, changes)
 	if clear*2 < calls {
-		test.Fatal("less than half of the calls had a clear answer: the simulation tests little")
+		t.Fatal("less than half of the calls had a clear answer: the simulation tests little")
 	}
 }
 
 // Each guard that is taken out shows in the history of some seed.
-func TestBrokenRegistersAreFound(test *testing.T) {
+func TestBrokenRegistersAreFound(t *testing.T) {
 	for name, breaks := range map[string]Breaks{
 		"a wiped acceptor keeps its identity":   {KeepIdentity: true},
 		"a read believes one acceptor":          {ReadOne: true},
 		"a resent version is refused":           {RefuseResent: true},
 		"an acceptor answers before its record": {AnswerUnsynced: true},
 	} {
-		test.Run(name, func(test *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			for seed := range int64(400) {
-				if _, err := play(test, seed, breaks); errs.Of(err, Broken) {
-					test.Logf("found with seed %d", seed)
+				if _, err := play(t, seed, breaks); errs.Of(err, Broken) {
+					t.Logf("found with seed %d", seed)
 					return
 				}
 			}
-			test.Fatal("not found in 400 seeds")
+			t.Fatal("not found in 400 seeds")
 		})
 	}
 }
--- a/internal/tooling/linearize/lots.go
+++ b/internal/tooling/linearize/lots.go
@@ -54,7 +54,7 @@
 }
 
 // Unclear says that nothing is known of the outcome.
-func (reply LotReply) Unclear() bool { return reply.Outcome == LotUnclear }
+func (l LotReply) Unclear() bool { return l.Outcome == LotUnclear }
 
 // lotState is the state of one sequential lot.
 type lotState struct {
@@ -67,8 +67,8 @@
 // resultEnd ends each result in a lotState; no text holds it.
 const resultEnd = "\x00"
 
-func (state lotState) list() []string {
-	list := strings.Split(state.results, resultEnd)
+func (l lotState) list() []string {
+	list := strings.Split(l.results, resultEnd)
 	return list[:len(list)-1]
 }
 
@@ -135,23 +135,23 @@
 }
 
 // read gives the state after a read that told these results.
-func (state lotState) read(from int, results []string) (lotState, bool) {
-	known := state.list()
+func (l lotState) read(from int, results []string) (lotState, bool) {
+	known := l.list()
 	if len(results) == 0 {
 		// At least one is told where one exists.
-		return state, len(known) <= from
+		return l, len(known) <= from
 	}
 	for place, text := range results {
 		position := from + place
 		known = append(known, make([]string, max(0, position+1-len(known)))...)
 		if known[position] != "" && known[position] != text {
-			return state, false
+			return l, false
 		}
 		known[position] = text
 	}
 	if slices.Contains(results, "") {
-		return state, false
+		return l, false
 	}
-	state.results = strings.Join(known, resultEnd) + resultEnd
-	return state, true
+	l.results = strings.Join(known, resultEnd) + resultEnd
+	return l, true
 }
--- a/internal/tooling/linearize/lots_test.go
+++ b/internal/tooling/linearize/lots_test.go
@@ -21,7 +21,7 @@
 	return history.Check(LotsModel(), checkLimit)
 }
 
-func TestLotsModel(test *testing.T) {
+func TestLotsModel(t *testing.T) {
 	handIn, end := LotCall{Kind: LotHandIn, Lot: "x"}, LotCall{Kind: LotEnd, Lot: "x"}
 	read := func(from int) LotCall { return LotCall{Kind: LotRead, Lot: "x", From: from} }
 	told := func(results ...string) LotReply { return LotReply{Outcome: LotDone, Results: results} }
@@ -42,7 +42,7 @@
 	} {
 		err := checkLots(one.list)
 		if one.legal && err != nil || !one.legal && !errs.Of(err, Broken) {
-			test.Errorf("%s: %v", name, err)
+			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
--- a/internal/tooling/linearize/operators.go
+++ b/internal/tooling/linearize/operators.go
@@ -19,43 +19,43 @@
 
 // operate is one operator's day: reads, versions on the version it last heard of, and
 // now and then bytes of another operator, an old base, or a number that was used.
-func (fleet *Fleet) operate(number int, until clock.Moment) {
+func (f *Fleet) operate(number int, until clock.Moment) {
 	var base int64
 	var last messages.Version
 	var next func()
 	next = func() {
-		if fleet.world.Now > until {
+		if f.world.Now > until {
 			return
 		}
 		call := RegisterCall{}
-		if fleet.world.Random.Intn(3) > 0 {
-			call.Version = fleet.version(number, base, last)
+		if f.world.Random.Intn(3) > 0 {
+			call.Version = f.version(number, base, last)
 			last = call.Version
 		}
-		fleet.call(number, call, func(reply RegisterReply) {
+		f.call(number, call, func(reply RegisterReply) {
 			if reply.Outcome == RegisterRead {
 				base = reply.Found.Generation
 			}
 			if reply.Outcome == RegisterTaken {
 				base = max(base, call.Version.Generation)
 			}
-			fleet.after(10, 900, next)
+			f.after(10, 900, next)
 		})
 	}
-	fleet.after(0, 500, next)
+	f.after(0, 500, next)
 }
 
-func (fleet *Fleet) version(number int, base int64, last messages.Version) messages.Version {
-	if last.Generation > 0 && fleet.world.Random.Intn(5) == 0 {
+func (f *Fleet) version(number int, base int64, last messages.Version) messages.Version {
+	if last.Generation > 0 && f.world.Random.Intn(5) == 0 {
 		// The same bytes once more, though they may have been answered.
 		return last
 	}
 	version := messages.Version{Base: base, Hash: fmt.Sprint("operator", number)}
-	if fleet.next <= base || fleet.world.Random.Intn(4) > 0 {
-		fleet.next = max(fleet.next, base) + 1
+	if f.next <= base || f.world.Random.Intn(4) > 0 {
+		f.next = max(f.next, base) + 1
 	}
-	version.Generation = fleet.next
-	if fleet.world.Random.Intn(4) == 0 {
+	version.Generation = f.next
+	if f.world.Random.Intn(4) == 0 {
 		// Two operators with the same bytes.
 		version.Hash = "shared"
 	}
@@ -63,15 +63,15 @@
 }
 
 // call sends a call until it has a clear answer or the operator gives up.
-func (fleet *Fleet) call(number int, call RegisterCall, ended func(reply RegisterReply)) {
-	operation := fleet.History.Begin(number, call, RegisterReply{}, int64(fleet.world.Now))
+func (f *Fleet) call(number int, call RegisterCall, ended func(reply RegisterReply)) {
+	operation := f.History.Begin(number, call, RegisterReply{}, int64(f.world.Now))
 	over := false
 	finish := func(reply RegisterReply) {
 		if over {
 			return
 		}
 		over = true
-		operation.End(reply, int64(fleet.world.Now))
+		operation.End(reply, int64(f.world.Now))
 		ended(reply)
 	}
 	var send func(left int)
@@ -83,25 +83,25 @@
 			finish(RegisterReply{})
 			return
 		}
-		node, own := fleet.any(), fmt.Sprint("operator", number)
-		fleet.world.Send(own, node.name, func() {
-			fleet.serve(node, call, func(reply RegisterReply) {
-				fleet.world.Send(node.name, own, func() {
+		node, own := f.any(), fmt.Sprint("operator", number)
+		f.world.Send(own, node.name, func() {
+			f.serve(node, call, func(reply RegisterReply) {
+				f.world.Send(node.name, own, func() {
 					if !reply.Unclear() {
 						finish(reply)
 					}
 				})
 			})
 		})
-		fleet.world.After(clock.Milliseconds(callMs), func() { send(left - 1) })
+		f.world.After(clock.Milliseconds(callMs), func() { send(left - 1) })
 	}
 	send(sendings)
 }
 
 // serve is what a control machine does with a call.
-func (fleet *Fleet) serve(node *controller, call RegisterCall, answer func(reply RegisterReply)) {
+func (f *Fleet) serve(node *controller, call RegisterCall, answer func(reply RegisterReply)) {
 	if call.Version.Generation == 0 {
-		fleet.read(node, func(value *messages.Register) {
+		f.read(node, func(value *messages.Register) {
 			if value != nil {
 				answer(RegisterReply{Outcome: RegisterRead, Found: value.Current})
 			}
@@ -110,10 +110,10 @@
 	}
 	var result register.Result
 	change := register.Replace(call.Version, []byte(call.Version.Hash), &result)
-	if fleet.breaks.RefuseResent {
+	if f.breaks.RefuseResent {
 		change = refuseResent(change, call.Version, &result)
 	}
-	fleet.propose(node, change, attempts, func(value *messages.Register) {
+	f.propose(node, change, attempts, func(value *messages.Register) {
 		if value != nil {
 			answer(RegisterReply{Outcome: outcome(result)})
 		}
--- a/internal/tooling/linearize/propose.go
+++ b/internal/tooling/linearize/propose.go
@@ -20,7 +20,7 @@
 
 // propose drives a change from a node. Ended is called once, with nil where the
 // outcome is unclear, or never where the process dies.
-func (fleet *Fleet) propose(node *controller, change register.Change, tries int, ended func(value *messages.Register)) {
+func (f *Fleet) propose(node *controller, change register.Change, tries int, ended func(value *messages.Register)) {
 	if node.down || tries == 0 || len(node.known.Acceptors) == 0 {
 		ended(nil)
 		return
@@ -28,14 +28,14 @@
 	node.counter++
 	ballot := register.NewBallot(node.counter, node.name, node.acceptor.Disk(), node.life)
 	proposal, sends := register.Begin(ballot, node.known, change)
-	one := &attempt{Fleet: fleet, node: node, life: node.life, proposal: proposal, ended: ended}
+	one := &attempt{Fleet: f, node: node, life: node.life, proposal: proposal, ended: ended}
 	one.again = func() {
 		if !one.dead() {
-			fleet.propose(node, change, tries-1, ended)
+			f.propose(node, change, tries-1, ended)
 		}
 	}
 	one.send(sends)
-	fleet.world.After(clock.Milliseconds(attemptMs), func() {
+	f.world.After(clock.Milliseconds(attemptMs), func() {
 		if !one.over {
 			one.over = true
 			one.again()
@@ -44,49 +44,49 @@
 }
 
 // dead tells whether the life that made the attempt is over.
-func (one *attempt) dead() bool { return one.node.down || one.node.life != one.life }
+func (a *attempt) dead() bool { return a.node.down || a.node.life != a.life }
 
-func (one *attempt) send(list []register.Send) {
-	if len(list) > 0 && list[0].Accept != nil && one.crash {
+func (a *attempt) send(list []register.Send) {
+	if len(list) > 0 && list[0].Accept != nil && a.crash {
 		// The worst moment: the second round is decided on, and some get it.
-		one.crash = false
-		list = list[:one.world.Random.Intn(len(list))]
-		one.world.After(0, func() { one.bounce(one.node, one.world.Random.Intn(2) == 0) })
+		a.crash = false
+		list = list[:a.world.Random.Intn(len(list))]
+		a.world.After(0, func() { a.bounce(a.node, a.world.Random.Intn(2) == 0) })
 	}
 	for _, message := range list {
-		target := one.nodes[message.Member.Address]
-		one.world.Send(one.node.name, target.name, func() {
+		target := a.nodes[message.Member.Address]
+		a.world.Send(a.node.name, target.name, func() {
 			if target.down {
 				return
 			}
 			if message.Prepare != nil {
 				answer, keep := target.acceptor.Prepare(message.Prepare)
-				one.answer(target, keep, func() { one.hear(one.proposal.Promised(message.Member, answer)) })
+				a.answer(target, keep, func() { a.hear(a.proposal.Promised(message.Member, answer)) })
 				return
 			}
 			answer, keep := target.acceptor.Accept(message.Accept)
 			if keep {
 				target.learn(message.Accept.Value)
 			}
-			one.answer(target, keep, func() {
-				one.proposal.Taken(message.Member, answer)
-				one.hear(nil)
+			a.answer(target, keep, func() {
+				a.proposal.Taken(message.Member, answer)
+				a.hear(nil)
 			})
 		})
 	}
 }
 
 // answer sends an answer once the record behind it is on disk.
-func (one *attempt) answer(target *controller, keep bool, arrived func()) {
-	if keep && !one.breaks.AnswerUnsynced {
-		one.fail(target.write())
+func (a *attempt) answer(target *controller, keep bool, arrived func()) {
+	if keep && !a.breaks.AnswerUnsynced {
+		a.fail(target.write())
 	}
-	one.after(0, 15, func() {
+	a.after(0, 15, func() {
 		if target.down {
 			return
 		}
-		one.world.Send(target.name, one.node.name, func() {
-			if !one.over && !one.dead() {
+		a.world.Send(target.name, a.node.name, func() {
+			if !a.over && !a.dead() {
 				arrived()
 			}
 		})
@@ -94,31 +94,31 @@
 }
 
 // hear sends what an answer led to, and looks where the proposal stands.
-func (one *attempt) hear(list []register.Send) {
-	one.send(list)
-	node, proposal := one.node, one.proposal
+func (a *attempt) hear(list []register.Send) {
+	a.send(list)
+	node, proposal := a.node, a.proposal
 	switch proposal.Stage() {
 	case register.StageDone:
-		one.over = true
+		a.over = true
 		value := proposal.Value()
 		node.learn(value)
 		if proposal.Unfinished() {
-			one.again()
+			a.again()
 			return
 		}
-		one.ended(&value)
+		a.ended(&value)
 	case register.StageLost:
-		one.over = true
+		a.over = true
 		node.counter = max(node.counter, proposal.Highest().Counter)
 		if newer := proposal.Newer(); newer != nil {
 			node.learn(*newer)
 		}
-		one.after(5, 120, one.again)
+		a.after(5, 120, a.again)
 	}
 }
 
 // read is the quick look, and a whole proposal where that does not settle it.
-func (fleet *Fleet) read(node *controller, ended func(value *messages.Register)) {
+func (f *Fleet) read(node *controller, ended func(value *messages.Register)) {
 	if node.down || len(node.known.Acceptors) == 0 {
 		ended(nil)
 		return
@@ -134,18 +134,18 @@
 			ended(value)
 			return
 		}
-		fleet.propose(node, register.Look, attempts, ended)
+		f.propose(node, register.Look, attempts, ended)
 	}
 	for _, message := range sends {
-		target := fleet.nodes[message.Member.Address]
-		fleet.world.Send(node.name, target.name, func() {
+		target := f.nodes[message.Member.Address]
+		f.world.Send(node.name, target.name, func() {
 			if target.down {
 				return
 			}
 			answer, _ := target.acceptor.Prepare(message.Prepare)
-			fleet.world.Send(target.name, node.name, func() {
+			f.world.Send(target.name, node.name, func() {
 				value, settled := reading.Heard(message.Member, answer)
-				if fleet.breaks.ReadOne {
+				if f.breaks.ReadOne {
 					value, settled = &answer.Value, true
 				}
 				if settled {
@@ -154,5 +154,5 @@
 			})
 		})
 	}
-	fleet.world.After(clock.Milliseconds(attemptMs), func() { settle(nil) })
+	f.world.After(clock.Milliseconds(attemptMs), func() { settle(nil) })
 }
--- a/internal/tooling/linearize/register.go
+++ b/internal/tooling/linearize/register.go
@@ -41,7 +41,7 @@
 }
 
 // Unclear says that nothing is known of the outcome.
-func (reply RegisterReply) Unclear() bool { return reply.Outcome == RegisterUnclear }
+func (r RegisterReply) Unclear() bool { return r.Outcome == RegisterUnclear }
 
 // chain is the state of the sequential register: the versions taken, oldest first, each
 // as its name and a line feed.
@@ -51,19 +51,19 @@
 	return fmt.Sprintf("%d on %d %s\n", version.Generation, version.Base, version.Hash)
 }
 
-func (taken chain) holds(version messages.Version) bool {
-	return strings.HasPrefix(string(taken), versionName(version)) || strings.Contains(string(taken), "\n"+versionName(version))
+func (c chain) holds(version messages.Version) bool {
+	return strings.HasPrefix(string(c), versionName(version)) || strings.Contains(string(c), "\n"+versionName(version))
 }
 
 // current is the name of the version in force, and its generation.
-func (taken chain) current() (string, int64) {
-	if taken == "" {
+func (c chain) current() (string, int64) {
+	if c == "" {
 		return "", 0
 	}
-	start := strings.LastIndexByte(string(taken[:len(taken)-1]), '\n') + 1
+	start := strings.LastIndexByte(string(c[:len(c)-1]), '\n') + 1
 	var generation int64
-	fmt.Sscan(string(taken[start:]), &generation)
-	return string(taken[start:]), generation
+	fmt.Sscan(string(c[start:]), &generation)
+	return string(c[start:]), generation
 }
 
 // RegisterModel is a compare-and-set register whose versions are known for ever once
--- a/internal/tooling/loadgen/check.go
+++ b/internal/tooling/loadgen/check.go
@@ -47,7 +47,7 @@
 }
 
 // event takes one event; false once the order is broken.
-func (one *follower) event(text string) bool {
+func (f *follower) event(text string) bool {
 	var id int64
 	data := ""
 	for _, line := range strings.Split(text, "\n") {
@@ -58,23 +58,23 @@
 		}
 	}
 	switch {
-	case id != one.last+1:
-		one.finding = &Finding{"ORDER", one.attempt, fmt.Sprintf("event %d follows event %d", id, one.last)}
-	case data != workeremulator.EventData(one.attempt, id):
-		one.finding = &Finding{"MIXED", one.attempt, fmt.Sprintf("event %d is not the worker's", id)}
-	case id > one.all:
-		one.finding = &Finding{"ORDER", one.attempt, fmt.Sprintf("event %d of %d", id, one.all)}
+	case id != f.last+1:
+		f.finding = &Finding{"ORDER", f.attempt, fmt.Sprintf("event %d follows event %d", id, f.last)}
+	case data != workeremulator.EventData(f.attempt, id):
+		f.finding = &Finding{"MIXED", f.attempt, fmt.Sprintf("event %d is not the worker's", id)}
+	case id > f.all:
+		f.finding = &Finding{"ORDER", f.attempt, fmt.Sprintf("event %d of %d", id, f.all)}
 	}
-	one.last = id
-	return one.finding == nil
+	f.last = id
+	return f.finding == nil
 }
 
 // end takes the clean end of a stream.
-func (one *follower) end() *Finding {
-	if one.finding == nil && one.last != one.all {
-		one.finding = &Finding{"ORDER", one.attempt, fmt.Sprintf("ends as complete behind event %d of %d", one.last, one.all)}
+func (f *follower) end() *Finding {
+	if f.finding == nil && f.last != f.all {
+		f.finding = &Finding{"ORDER", f.attempt, fmt.Sprintf("ends as complete behind event %d of %d", f.last, f.all)}
 	}
-	return one.finding
+	return f.finding
 }
 
 // checkRuns holds what was sent against what the workers ran.
@@ -129,26 +129,26 @@
 }
 
 // page takes what one read gave from a position on.
-func (one *lotCheck) page(cursor int, page *lotclient.Page) []Finding {
+func (l *lotCheck) page(cursor int, page *lotclient.Page) []Finding {
 	var findings []Finding
-	add := func(rule, what string) { findings = append(findings, Finding{rule, one.id, what}) }
-	if page.Sum != len(one.events) {
-		add("MIXED", fmt.Sprintf("sum is %d, items are %d", page.Sum, len(one.events)))
+	add := func(rule, what string) { findings = append(findings, Finding{rule, l.id, what}) }
+	if page.Sum != len(l.events) {
+		add("MIXED", fmt.Sprintf("sum is %d, items are %d", page.Sum, len(l.events)))
 	}
 	for place, output := range page.Outputs {
 		at := cursor + place
-		if at < len(one.listed) {
-			if one.listed[at] != output {
+		if at < len(l.listed) {
+			if l.listed[at] != output {
 				add("TWICE", fmt.Sprintf("position %d holds another result than before", at))
 			}
 			continue
 		}
-		if before, twice := one.position[output.ID]; twice {
+		if before, twice := l.position[output.ID]; twice {
 			add("TWICE", fmt.Sprintf("item %s stands at positions %d and %d", output.ID, before, at))
 		}
-		one.position[output.ID] = at
-		one.listed = append(one.listed, output)
-		events, known := one.events[output.ID]
+		l.position[output.ID] = at
+		l.listed = append(l.listed, output)
+		events, known := l.events[output.ID]
 		switch {
 		case !known:
 			add("MIXED", "item "+output.ID+" belongs to another lot")
--- a/internal/tooling/loadgen/check_test.go
+++ b/internal/tooling/loadgen/check_test.go
@@ -29,7 +29,7 @@
 }
 
 // Each way in which runs may differ from what was sent is caught, and only it.
-func TestRunsAgainstWhatWasSent(test *testing.T) {
+func TestRunsAgainstWhatWasSent(t *testing.T) {
 	for name, one := range map[string]struct {
 		runs []workeremulator.Run
 		edit func(sent *sent)
@@ -55,12 +55,12 @@
 			one.edit(all["a"])
 		}
 		if got := rules(checkRuns(all, one.runs)); got != one.want {
-			test.Errorf("%s: %q, not %q", name, got, one.want)
+			t.Errorf("%s: %q, not %q", name, got, one.want)
 		}
 	}
 }
 
-func TestStampAndBody(test *testing.T) {
+func TestStampAndBody(t *testing.T) {
 	body := []byte("b")
 	sound := workeremulator.PlainBody("a", body)
 	for name, one := range map[string]struct {
@@ -76,7 +76,7 @@
 		"another's answer": {workeremulator.Seal("w", "a"), "a", workeremulator.PlainBody("b", body), true},
 	} {
 		if got := checkPlain("a", body, one.seal, one.echoed, []byte(one.text)); (got != nil) != one.caught {
-			test.Error(name, got)
+			t.Error(name, got)
 		}
 	}
 }
@@ -85,7 +85,7 @@
 	return fmt.Sprintf("id: %d\ndata: %s\n", number, workeremulator.EventData("a", number))
 }
 
-func TestOrderOfEvents(test *testing.T) {
+func TestOrderOfEvents(t *testing.T) {
 	for name, one := range map[string]struct {
 		from   int64
 		events []string
@@ -115,12 +115,12 @@
 			got = follower.finding.Rule
 		}
 		if got != one.rule {
-			test.Errorf("%s: %q, not %q", name, got, one.rule)
+			t.Errorf("%s: %q, not %q", name, got, one.rule)
 		}
 	}
 }
 
-func TestPagesOfALot(test *testing.T) {
+func TestPagesOfALot(t *testing.T) {
 	first := lotclient.Output{ID: "i1", Phase: lotclient.Settled, Text: wholeText("i1", 2)}
 	second := lotclient.Output{ID: "i2", Phase: lotclient.Settled, Text: wholeText("i2", 3)}
 	dropped := lotclient.Output{ID: "i2", Phase: lotclient.Abandoned}
@@ -153,7 +153,7 @@
 			findings = append(findings, check.page(read.cursor, &lotclient.Page{Sum: read.sum, Outputs: read.outputs})...)
 		}
 		if got := rules(findings); got != one.want {
-			test.Errorf("%s: %q, not %q", name, got, one.want)
+			t.Errorf("%s: %q, not %q", name, got, one.want)
 		}
 	}
 }
--- a/internal/tooling/loadgen/drive.go
+++ b/internal/tooling/loadgen/drive.go
@@ -49,47 +49,47 @@
 }
 
 // play sends everything, with the troubles in between, and waits for the last answer.
-func (one *run) play(until contexts.Context, endpoint *Endpoint, troubles []lab.Trouble) {
+func (r *run) play(until contexts.Context, endpoint *Endpoint, troubles []lab.Trouble) {
 	var group sync.WaitGroup
 	begun := clock.Now()
 	for _, trouble := range troubles {
-		group.Go(func() { one.begin(until, begun, endpoint, trouble) })
+		group.Go(func() { r.begin(until, begun, endpoint, trouble) })
 	}
-	if one.options.LotRate > 0 {
-		group.Go(func() { one.sendLots(until, begun) })
+	if r.options.LotRate > 0 {
+		group.Go(func() { r.sendLots(until, begun) })
 	}
 	done := make(chan struct{})
-	if progress := one.options.Progress; progress != nil {
-		go clock.Every(constants.LoadProgress, done, func() { progress(one.result.sofar(clock.Now().Since(begun))) })
+	if progress := r.options.Progress; progress != nil {
+		go clock.Every(constants.LoadProgress, done, func() { progress(r.result.sofar(clock.Now().Since(begun))) })
 	}
-	one.orders(until, begun)
+	r.orders(until, begun)
 	group.Wait()
 	close(done)
-	if transport, is := one.client.(*http.Transport); is {
+	if transport, is := r.client.(*http.Transport); is {
 		transport.CloseIdleConnections()
 	}
-	one.result.Took = clock.Now().Since(begun).Seconds()
+	r.result.Took = clock.Now().Since(begun).Seconds()
 }
 
 // begin has the fleet begin a trouble at its time.
-func (one *run) begin(until contexts.Context, begun clock.Moment, endpoint *Endpoint, trouble lab.Trouble) {
+func (r *run) begin(until contexts.Context, begun clock.Moment, endpoint *Endpoint, trouble lab.Trouble) {
 	if !waitUntil(until, begun.Plus(clock.Milliseconds(trouble.AtS*1000))) {
 		return
 	}
 	if err := endpoint.Trouble(trouble); err != nil {
-		one.result.note("trouble " + trouble.Kind + " " + trouble.Target + ": " + err.Error())
+		r.result.note("trouble " + trouble.Kind + " " + trouble.Target + ": " + err.Error())
 	}
 }
 
 // compareWith holds what was sent against what the fleet's workers ran.
-func (one *run) compareWith(endpoint *Endpoint) error {
-	runs, err := endpoint.Runs(one.prefix)
+func (r *run) compareWith(endpoint *Endpoint) error {
+	runs, err := endpoint.Runs(r.prefix)
 	if err != nil {
 		return err
 	}
-	one.compare(runs.Runs)
+	r.compare(runs.Runs)
 	if runs.Dropped > 0 {
-		one.result.note(strconv.Itoa(runs.Dropped) + " runs no longer fitted into the record; the check is partial")
+		r.result.note(strconv.Itoa(runs.Dropped) + " runs no longer fitted into the record; the check is partial")
 	}
 	return nil
 }
@@ -101,13 +101,13 @@
 }
 
 // compare holds all that was sent against the record of the workers.
-func (one *run) compare(runs []workeremulator.Run) {
-	one.lock.Lock()
-	defer one.lock.Unlock()
-	for _, finding := range checkRuns(one.sent, runs) {
-		one.result.find(finding)
+func (r *run) compare(runs []workeremulator.Run) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	for _, finding := range checkRuns(r.sent, runs) {
+		r.result.find(finding)
 	}
-	one.result.Runs = len(runs)
+	r.result.Runs = len(runs)
 }
 
 // waitUntil waits for a moment; false where the context ends first.
@@ -121,54 +121,54 @@
 }
 
 // orders sends every order when it is due, whatever became of those before.
-func (one *run) orders(until contexts.Context, begun clock.Moment) {
+func (r *run) orders(until contexts.Context, begun clock.Moment) {
 	var group sync.WaitGroup
-	for _, due := range schedule(&one.options, one.routes, len(one.card.Ingress)) {
+	for _, due := range schedule(&r.options, r.routes, len(r.card.Ingress)) {
 		if at := begun.Plus(due.at); at > clock.Now() && !waitUntil(until, at) {
 			break
 		}
 		if until.Err() != nil {
 			break
 		}
-		one.lock.Lock()
-		full := one.open >= constants.LoadOpen
+		r.lock.Lock()
+		full := r.open >= constants.LoadOpen
 		if !full {
-			one.open++
+			r.open++
 		}
-		one.lock.Unlock()
+		r.lock.Unlock()
 		if full {
 			// Told, not hidden: a load tool that is full no longer sends its rate.
-			one.result.notSent()
+			r.result.notSent()
 			continue
 		}
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			one.serve(due.order)
-			one.lock.Lock()
-			one.open--
-			one.lock.Unlock()
+			r.serve(due.order)
+			r.lock.Lock()
+			r.open--
+			r.lock.Unlock()
 		}()
 	}
 	group.Wait()
 }
 
 // remember notes an attempt before it is sent.
-func (one *run) remember(attempt, path string, body []byte, route *routeconfig.Route, once, item bool) *sent {
+func (r *run) remember(attempt, path string, body []byte, route *routeconfig.Route, once, item bool) *sent {
 	services := []string{route.Backend}
 	for _, share := range route.Weighted {
 		services = append(services, share.Backend)
 	}
 	made := &sent{attempt: attempt, path: path, body: workeremulator.BodySum(body), services: services, once: once, item: item}
-	one.lock.Lock()
-	defer one.lock.Unlock()
-	one.sent[attempt] = made
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	r.sent[attempt] = made
 	return made
 }
 
 // settle notes what became of an attempt.
-func (one *run) settle(made *sent, promised, succeeded bool) {
-	one.lock.Lock()
-	defer one.lock.Unlock()
+func (r *run) settle(made *sent, promised, succeeded bool) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
 	made.promised, made.succeeded = promised, succeeded
 }
--- a/internal/tooling/loadgen/drive_test.go
+++ b/internal/tooling/loadgen/drive_test.go
@@ -21,16 +21,16 @@
 	now  clock.Moment
 }
 
-func (one *hasty) Now() clock.Moment {
-	one.lock.Lock()
-	defer one.lock.Unlock()
-	return one.now
+func (h *hasty) Now() clock.Moment {
+	h.lock.Lock()
+	defer h.lock.Unlock()
+	return h.now
 }
 
-func (one *hasty) After(span clock.Span, function func()) {
-	one.lock.Lock()
-	one.now = one.now.Plus(span)
-	one.lock.Unlock()
+func (h *hasty) After(span clock.Span, function func()) {
+	h.lock.Lock()
+	h.now = h.now.Plus(span)
+	h.lock.Unlock()
 	go function()
 }
 
@@ -41,16 +41,16 @@
 	before func(request *http.Request) *http.Response
 }
 
-func (direct *direct) RoundTrip(request *http.Request) (*http.Response, error) {
-	if direct.before != nil {
-		if answer := direct.before(request); answer != nil {
+func (d *direct) RoundTrip(request *http.Request) (*http.Response, error) {
+	if d.before != nil {
+		if answer := d.before(request); answer != nil {
 			return answer, nil
 		}
 	}
 	request.RequestURI = request.URL.RequestURI()
-	worker := direct.plain
+	worker := d.plain
 	if request.Header.Get("Lemonarch-Token-Count") != "" {
-		worker = direct.model
+		worker = d.model
 	}
 	recorder := httptest.NewRecorder()
 	worker.Handler().ServeHTTP(recorder, request)
@@ -65,8 +65,8 @@
 }
 
 // driven serves the orders of a short run one by one and compares the records.
-func driven(test *testing.T, faults workeremulator.Faults, before func(request *http.Request) *http.Response) *Result {
-	test.Helper()
+func driven(t *testing.T, faults workeremulator.Faults, before func(request *http.Request) *http.Response) *Result {
+	t.Helper()
 	shape := workeremulator.Shape{Capacity: 8, Queue: 4, CacheTokens: 60_000, ReadPerMs: 100, Step: time.Millisecond, Stride: 4}
 	record, instant := &workeremulator.Record{}, &hasty{now: clock.Moment(time.Second)}
 	front := &direct{before: before}
@@ -80,7 +80,7 @@
 	options.LotRate = 0
 	routes, err := options.routesOf(card)
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	one := newRun(options, card, routes, "t-")
 	one.client, one.pause = front, func(clock.Span) {}
@@ -103,19 +103,19 @@
 	return count
 }
 
-func TestSoundWorkersBreakNothing(test *testing.T) {
-	result := driven(test, workeremulator.Faults{}, nil)
+func TestSoundWorkersBreakNothing(t *testing.T) {
+	result := driven(t, workeremulator.Faults{}, nil)
 	if result.Broken != 0 || result.Served() != 60 || result.Worth != 1 || result.Runs != 60 {
-		test.Fatal(result.Findings, result.Served(), result.Worth, result.Runs, result.Causes)
+		t.Fatal(result.Findings, result.Served(), result.Worth, result.Runs, result.Causes)
 	}
 }
 
 // Each guard of the whole path, from the worker to the report, can fail.
-func TestBrokenWorkersAreCaught(test *testing.T) {
+func TestBrokenWorkersAreCaught(t *testing.T) {
 	for rule, faults := range map[string]workeremulator.Faults{"TWICE": {Twice: 1}, "ORDER": {Skip: 1}, "MIXED": {Forge: 1}} {
-		result := driven(test, faults, nil)
+		result := driven(t, faults, nil)
 		if result.Broken == 0 || found(result, rule) == 0 {
-			test.Error(rule, result.Findings)
+			t.Error(rule, result.Findings)
 		}
 	}
 }
@@ -131,13 +131,13 @@
 
 // A promise frees every kind for another try, a 502 only what may be repeated; each
 // try has an id of its own.
-func TestWhoTriesAgain(test *testing.T) {
+func TestWhoTriesAgain(t *testing.T) {
 	for status, want := range map[int]string{503: "failed 0", 502: "failed confirm review", 400: "failed confirm query review status"} {
 		seen := map[string]bool{}
-		result := driven(test, workeremulator.Faults{}, func(request *http.Request) *http.Response {
+		result := driven(t, workeremulator.Faults{}, func(request *http.Request) *http.Response {
 			attempt := request.Header.Get("Lemonarch-Attempt-Id")
 			if seen[attempt] {
-				test.Error("an attempt was sent twice", attempt)
+				t.Error("an attempt was sent twice", attempt)
 			}
 			seen[attempt] = true
 			if strings.HasSuffix(attempt, "-1") {
@@ -155,14 +155,14 @@
 			got = fmt.Sprint("failed ", 60-result.Served())
 		}
 		if got != want || result.Broken != 0 {
-			test.Error(status, got, result.Findings)
+			t.Error(status, got, result.Findings)
 		}
 	}
 }
 
 // A success that no worker gave is caught by the record.
-func TestInventedSuccess(test *testing.T) {
-	result := driven(test, workeremulator.Faults{}, func(request *http.Request) *http.Response {
+func TestInventedSuccess(t *testing.T) {
+	result := driven(t, workeremulator.Faults{}, func(request *http.Request) *http.Response {
 		attempt := request.Header.Get("Lemonarch-Attempt-Id")
 		if !strings.HasPrefix(request.URL.Path, "/status/") {
 			return nil
@@ -174,12 +174,12 @@
 		return recorder.Result()
 	})
 	if found(result, "MIXED") == 0 {
-		test.Fatal("nobody missed the runs")
+		t.Fatal("nobody missed the runs")
 	}
 }
 
 // The same seed gives the same orders, whatever the fleet.
-func TestScheduleFollowsItsSeed(test *testing.T) {
+func TestScheduleFollowsItsSeed(t *testing.T) {
 	options := NewOptions()
 	routes := map[string]*routeconfig.Route{}
 	text := func(seed int64) string {
@@ -191,9 +191,9 @@
 		return all
 	}
 	if first, again := text(1), text(1); first != again || first == text(2) {
-		test.Fatal("the schedule does not follow its seed")
+		t.Fatal("the schedule does not follow its seed")
 	}
 	if count := len(schedule(&options, routes, 3)); count < 500 || count > 700 {
-		test.Fatal("40 a second for 15 s made", count)
+		t.Fatal("40 a second for 15 s made", count)
 	}
 }
--- a/internal/tooling/loadgen/endpoint.go
+++ b/internal/tooling/loadgen/endpoint.go
@@ -37,14 +37,14 @@
 
 var endpointClient = http.Client{Timeout: constants.LabStartLimit}
 
-func (endpoint *Endpoint) ask(method, path string, body []byte, into any) error {
-	request, err := http.NewRequest(method, "http://"+endpoint.address+path, bytes.NewReader(body))
+func (e *Endpoint) ask(method, path string, body []byte, into any) error {
+	request, err := http.NewRequest(method, "http://"+e.address+path, bytes.NewReader(body))
 	if err != nil {
 		return Unfit.Wrap(err, "endpoint")
 	}
 	answer, err := endpointClient.Do(request)
 	if err != nil {
-		return Unfit.New("no fleet answers at " + endpoint.address + "; start a fleet with: lemonarch lab up")
+		return Unfit.New("no fleet answers at " + e.address + "; start a fleet with: lemonarch lab up")
 	}
 	defer answer.Body.Close()
 	text, err := io.ReadAll(answer.Body)
@@ -52,19 +52,19 @@
 		return Unfit.Wrap(err, "endpoint")
 	}
 	if answer.StatusCode != http.StatusOK {
-		return Unfit.New("the fleet at " + endpoint.address + " answered " + strconv.Itoa(answer.StatusCode) + ": " + strings.TrimSpace(string(text)))
+		return Unfit.New("the fleet at " + e.address + " answered " + strconv.Itoa(answer.StatusCode) + ": " + strings.TrimSpace(string(text)))
 	}
-	return Unfit.Wrap(json.Unmarshal(text, into), "the fleet at "+endpoint.address+" can't be understood")
+	return Unfit.Wrap(json.Unmarshal(text, into), "the fleet at "+e.address+" can't be understood")
 }
 
 // Card asks for the card, and takes it only where everything is on loopback.
-func (endpoint *Endpoint) Card() (*lab.Card, error) {
+func (e *Endpoint) Card() (*lab.Card, error) {
 	card := &lab.Card{}
-	if err := endpoint.ask(http.MethodGet, "/fleet", nil, card); err != nil {
+	if err := e.ask(http.MethodGet, "/fleet", nil, card); err != nil {
 		return nil, err
 	}
 	if len(card.Ingress) == 0 || card.Stride < 1 {
-		return nil, Unfit.New("the fleet at " + endpoint.address + " describes no fleet")
+		return nil, Unfit.New("the fleet at " + e.address + " describes no fleet")
 	}
 	for _, address := range card.Ingress {
 		if err := loopback(address); err != nil {
@@ -75,16 +75,16 @@
 }
 
 // Runs asks what the workers ran of the attempts that begin with the prefix.
-func (endpoint *Endpoint) Runs(prefix string) (*lab.Runs, error) {
+func (e *Endpoint) Runs(prefix string) (*lab.Runs, error) {
 	runs := &lab.Runs{}
-	return runs, endpoint.ask(http.MethodGet, "/runs?prefix="+url.QueryEscape(prefix), nil, runs)
+	return runs, e.ask(http.MethodGet, "/runs?prefix="+url.QueryEscape(prefix), nil, runs)
 }
 
 // Trouble has the fleet begin a trouble.
-func (endpoint *Endpoint) Trouble(trouble lab.Trouble) error {
+func (e *Endpoint) Trouble(trouble lab.Trouble) error {
 	body, err := json.Marshal(trouble)
 	if err != nil {
 		return Unfit.Wrap(err, "trouble")
 	}
-	return endpoint.ask(http.MethodPost, "/trouble", body, &struct{}{})
+	return e.ask(http.MethodPost, "/trouble", body, &struct{}{})
 }
--- a/internal/tooling/loadgen/experiment.go
+++ b/internal/tooling/loadgen/experiment.go
@@ -59,11 +59,11 @@
 	return one, options, one.check(options)
 }
 
-func (one *Experiment) check(options Options) error {
+func (e *Experiment) check(options Options) error {
 	processes := 0
 	seen := map[string]bool{}
-	for place := range one.Fleets {
-		plan := &one.Fleets[place]
+	for place := range e.Fleets {
+		plan := &e.Fleets[place]
 		if err := plan.Check(); err != nil {
 			return Unfit.New(plan.Label + ": " + err.Error())
 		}
@@ -76,8 +76,8 @@
 	if processes > constants.LabProcesses {
 		return Unfit.New(fmt.Sprintf("the fleets have %d processes together; at most %d", processes, constants.LabProcesses))
 	}
-	for place := range one.Trouble {
-		trouble := &one.Trouble[place]
+	for place := range e.Trouble {
+		trouble := &e.Trouble[place]
 		if err := trouble.Check(); err != nil {
 			return Unfit.New("trouble " + strconv.Itoa(place+1) + ": " + err.Error())
 		}
@@ -96,8 +96,8 @@
 
 // Run starts the fleets, sends the same load to all of them at the same time with
 // the same troubles, and ends them.
-func (one *Experiment) Run(until contexts.Context, options Options) ([]*Result, error) {
-	fleets, err := one.start(until, options.Progress)
+func (e *Experiment) Run(until contexts.Context, options Options) ([]*Result, error) {
+	fleets, err := e.start(until, options.Progress)
 	defer stop(fleets)
 	if err != nil {
 		return nil, err
@@ -117,7 +117,7 @@
 			case <-inner.Done():
 			}
 		}()
-		group.Go(func() { results[place], failures[place] = one.drive(inner, options, fleet) })
+		group.Go(func() { results[place], failures[place] = e.drive(inner, options, fleet) })
 	}
 	group.Wait()
 	select {
@@ -136,8 +136,8 @@
 
 // start starts the fleets one after the other; those that did are given also where one
 // did not.
-func (one *Experiment) start(until contexts.Context, progress func(string)) (fleets []*lab.Fleet, err error) {
-	for _, plan := range one.Fleets {
+func (e *Experiment) start(until contexts.Context, progress func(string)) (fleets []*lab.Fleet, err error) {
+	for _, plan := range e.Fleets {
 		if until.Err() != nil {
 			return fleets, Unfit.New("stopped")
 		}
@@ -163,10 +163,10 @@
 }
 
 // drive sends the load to one of the fleets.
-func (one *Experiment) drive(until contexts.Context, options Options, fleet *lab.Fleet) (*Result, error) {
+func (e *Experiment) drive(until contexts.Context, options Options, fleet *lab.Fleet) (*Result, error) {
 	endpoint, err := OpenEndpoint(fleet.Plan.Endpoint())
 	if err != nil {
 		return nil, err
 	}
-	return Drive(until, options, endpoint, one.Trouble)
+	return Drive(until, options, endpoint, e.Trouble)
 }
--- a/internal/tooling/loadgen/lots.go
+++ b/internal/tooling/loadgen/lots.go
@@ -16,50 +16,50 @@
 )
 
 // sendLots sends lots at their rate and follows each.
-func (one *run) sendLots(until contexts.Context, begun clock.Moment) {
-	random := rand.New(rand.NewSource(one.options.Seed + constants.LoadLotSeed))
+func (r *run) sendLots(until contexts.Context, begun clock.Moment) {
+	random := rand.New(rand.NewSource(r.options.Seed + constants.LoadLotSeed))
 	var group sync.WaitGroup
 	at := 0.0
 	for number := 0; ; number++ {
-		at += random.ExpFloat64() / one.options.LotRate * 1000
+		at += random.ExpFloat64() / r.options.LotRate * 1000
 		due := clock.Milliseconds(at)
 		if number == 0 {
 			// However short the load, there is one lot.
-			due = min(due, one.options.For/4)
+			due = min(due, r.options.For/4)
 		}
-		if due >= one.options.For || !waitUntil(until, begun.Plus(due)) {
+		if due >= r.options.For || !waitUntil(until, begun.Plus(due)) {
 			break
 		}
-		lot, check := one.makeLot(number, random)
-		node := random.Intn(len(one.card.Ingress))
+		lot, check := r.makeLot(number, random)
+		node := random.Intn(len(r.card.Ingress))
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			one.lot(check, lot, node)
+			r.lot(check, lot, node)
 		}()
 	}
 	group.Wait()
 }
 
-func (one *run) makeLot(number int, random *rand.Rand) (lotclient.Lot, *lotCheck) {
-	check := newLotCheck(one.prefix + "lot" + strconv.Itoa(number))
-	lot, route := lotclient.Lot{}, one.routes["batch"]
-	for place := 0; place < one.options.Items; place++ {
+func (r *run) makeLot(number int, random *rand.Rand) (lotclient.Lot, *lotCheck) {
+	check := newLotCheck(r.prefix + "lot" + strconv.Itoa(number))
+	lot, route := lotclient.Lot{}, r.routes["batch"]
+	for place := 0; place < r.options.Items; place++ {
 		prompt := profiles["batch"].prompt(random)
 		item := lotclient.Item{ID: check.id + "-" + strconv.Itoa(place), Path: fmt.Sprintf("%s%d/%d", route.Prefix, number, place),
 			Tokens: prompt.in + prompt.out, Body: []byte("item " + strconv.Itoa(place)), Headers: map[string]string{"Lemonarch-Model": lab.ModelName,
 				"Lemonarch-Token-Count": fmt.Sprintf("%d,%d", prompt.in, prompt.out), "Lemonarch-Prompt-Prefix": prompt.parts}}
-		check.events[item.ID] = workeremulator.Events(prompt.out, one.card.Stride)
+		check.events[item.ID] = workeremulator.Events(prompt.out, r.card.Stride)
 		lot.Requests = append(lot.Requests, item)
-		one.remember(item.ID, item.Path, item.Body, route, false, true)
+		r.remember(item.ID, item.Path, item.Body, route, false, true)
 	}
 	return lot, check
 }
 
 // lot hands one lot in, follows it to its end, and reads it once more from the start.
-func (one *run) lot(check *lotCheck, lot lotclient.Lot, node int) {
-	route := one.routes["batch"]
-	edges := append(append([]string(nil), one.card.Ingress[node:]...), one.card.Ingress[:node]...)
+func (r *run) lot(check *lotCheck, lot lotclient.Lot, node int) {
+	route := r.routes["batch"]
+	edges := append(append([]string(nil), r.card.Ingress[node:]...), r.card.Ingress[:node]...)
 	client := &lotclient.Client{Edges: edges, Host: route.Host}
 	limited, release := contexts.Timed(contexts.Background(), constants.LoadDrain)
 	defer release()
@@ -69,15 +69,15 @@
 	halt()
 	if err != nil {
 		refused := errs.Of(err, lotclient.Refused)
-		one.promiseItems(check, refused)
+		r.promiseItems(check, refused)
 		cause := "lot unclear"
 		if refused {
 			cause = "lot refused"
 		}
-		one.result.failItems(len(lot.Requests), cause)
+		r.result.failItems(len(lot.Requests), cause)
 		return
 	}
-	one.result.handIn(clock.Now().Since(begun))
+	r.result.handIn(clock.Now().Since(begun))
 	result, reads := clock.Milliseconds(route.ResultMs), 0
 	for len(check.listed) < len(lot.Requests) && limited.Err() == nil {
 		reads++
@@ -88,38 +88,38 @@
 		}
 		before := len(check.listed)
 		page, err := client.Read(limited, check.id, cursor, 0)
-		one.judgeRead(check, cursor, page, err)
+		r.judgeRead(check, cursor, page, err)
 		if err == nil {
 			took := clock.Now().Since(begun)
 			for _, output := range check.listed[before:] {
-				one.result.item(output.Phase == lotclient.Settled, took, took <= result)
+				r.result.item(output.Phase == lotclient.Settled, took, took <= result)
 			}
 		}
 		clock.Sleep(constants.LoadPollPause)
 	}
 	if missing := len(lot.Requests) - len(check.listed); missing > 0 {
-		one.result.failItems(missing, "item not listed")
+		r.result.failItems(missing, "item not listed")
 	}
-	one.readAgain(client, check)
+	r.readAgain(client, check)
 }
 
 // readAgain reads a lot from the start: what was read must come again.
-func (one *run) readAgain(client *lotclient.Client, check *lotCheck) {
+func (r *run) readAgain(client *lotclient.Client, check *lotCheck) {
 	limited, release := contexts.Timed(contexts.Background(), 2*constants.LotCallTime)
 	defer release()
 	for cursor, seen := 0, len(check.listed); cursor < seen; {
 		page, err := client.Read(limited, check.id, cursor, 0)
-		one.judgeRead(check, cursor, page, err)
+		r.judgeRead(check, cursor, page, err)
 		switch {
 		case err == nil && len(page.Outputs) == 0:
-			one.result.find(Finding{"LOST", check.id, fmt.Sprintf("position %d was read before, and is gone", cursor)})
+			r.result.find(Finding{"LOST", check.id, fmt.Sprintf("position %d was read before, and is gone", cursor)})
 			return
 		case err == nil:
 			cursor = page.Next
 		case !lotclient.Again(err):
 			return
 		case limited.Err() != nil:
-			one.result.note("lot " + check.id + " could not be read again: " + err.Error())
+			r.result.note("lot " + check.id + " could not be read again: " + err.Error())
 			return
 		default:
 			clock.Sleep(constants.LabRetry)
@@ -128,24 +128,24 @@
 }
 
 // judgeRead takes one read of a lot that was accepted.
-func (one *run) judgeRead(check *lotCheck, cursor int, page *lotclient.Page, err error) {
+func (r *run) judgeRead(check *lotCheck, cursor int, page *lotclient.Page, err error) {
 	switch {
 	case err == nil:
 		for _, finding := range check.page(cursor, page) {
-			one.result.find(finding)
+			r.result.find(finding)
 		}
 	case errs.Of(err, lotclient.Spoilt):
-		one.result.find(Finding{"MIXED", check.id, err.Error()})
+		r.result.find(Finding{"MIXED", check.id, err.Error()})
 	case !lotclient.Again(err):
-		one.result.find(Finding{"LOST", check.id, err.Error()})
+		r.result.find(Finding{"LOST", check.id, err.Error()})
 	}
 }
 
 // promiseItems notes that none of a lot's items may run.
-func (one *run) promiseItems(check *lotCheck, refused bool) {
-	one.lock.Lock()
-	defer one.lock.Unlock()
+func (r *run) promiseItems(check *lotCheck, refused bool) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
 	for item := range check.events {
-		one.sent[item].promised = refused
+		r.sent[item].promised = refused
 	}
 }
--- a/internal/tooling/loadgen/mix.go
+++ b/internal/tooling/loadgen/mix.go
@@ -89,13 +89,13 @@
 	parts   string
 }
 
-func (one profile) prompt(random *rand.Rand) prompt {
+func (p profile) prompt(random *rand.Rand) prompt {
 	between := func(low, high int) int { return low + random.Intn(high-low+1) }
-	head, session := random.Intn(one.counts), random.Intn(one.sessions)
+	head, session := random.Intn(p.counts), random.Intn(p.sessions)
 	// A session's part keeps its size, or kept parts would never be found again.
-	own := one.ownLow + session%(one.ownHigh-one.ownLow+1)
-	return prompt{in: int64(one.headTokens + own), out: int64(between(one.outLow, one.outHigh)),
-		parts: fmt.Sprintf("a%x:%d,b%x%x:%d", head+one.headTokens<<8, one.headTokens, head, session+one.headTokens<<32, own)}
+	own := p.ownLow + session%(p.ownHigh-p.ownLow+1)
+	return prompt{in: int64(p.headTokens + own), out: int64(between(p.outLow, p.outHigh)),
+		parts: fmt.Sprintf("a%x:%d,b%x%x:%d", head+p.headTokens<<8, p.headTokens, head, session+p.headTokens<<32, own)}
 }
 
 // order is one request that a client wants served.
@@ -108,7 +108,7 @@
 	body   []byte
 }
 
-func (one *order) plain() bool { return one.prompt.out == 0 }
+func (o *order) plain() bool { return o.prompt.out == 0 }
 
 // repeatable: may run more than once.
 func repeatable(route *routeconfig.Route) bool {
--- a/internal/tooling/loadgen/options.go
+++ b/internal/tooling/loadgen/options.go
@@ -34,35 +34,35 @@
 }
 
 // Check gives the first thing that stands in the way.
-func (options *Options) Check() error {
+func (o *Options) Check() error {
 	switch {
-	case !(options.Rate > 0 && options.Rate <= constants.LoadRate):
+	case !(o.Rate > 0 && o.Rate <= constants.LoadRate):
 		return Unfit.New(fmt.Sprintf("rate must be above 0 and at most %d", constants.LoadRate))
-	case !(options.LotRate >= 0 && options.LotRate <= constants.LoadRate):
+	case !(o.LotRate >= 0 && o.LotRate <= constants.LoadRate):
 		return Unfit.New(fmt.Sprintf("lots must lie between 0 and %d", constants.LoadRate))
-	case options.Items < 1 || options.Items > constants.LotItems:
+	case o.Items < 1 || o.Items > constants.LotItems:
 		return Unfit.New(fmt.Sprintf("items must lie between 1 and %d", constants.LotItems))
-	case options.For <= 0 || options.For > constants.LoadTime:
+	case o.For <= 0 || o.For > constants.LoadTime:
 		return Unfit.New(fmt.Sprintf("for must be above 0 and at most %s", constants.LoadTime))
-	case options.Count < 0 || options.Count > constants.LoadCount:
+	case o.Count < 0 || o.Count > constants.LoadCount:
 		return Unfit.New(fmt.Sprintf("count must lie between 0 and %d", constants.LoadCount))
-	case options.Tries < 1 || options.Tries > 5:
+	case o.Tries < 1 || o.Tries > 5:
 		return Unfit.New("tries must lie between 1 and 5")
 	}
 	return nil
 }
 
 // routesOf finds the route of each kind that the options name.
-func (options *Options) routesOf(card *lab.Card) (map[string]*routeconfig.Route, error) {
+func (o *Options) routesOf(card *lab.Card) (map[string]*routeconfig.Route, error) {
 	routes := map[string]*routeconfig.Route{}
 	for place := range card.Routes {
 		routes[card.Routes[place].Name] = &card.Routes[place]
 	}
 	wanted := []string{}
-	for _, share := range options.Mix {
+	for _, share := range o.Mix {
 		wanted = append(wanted, share.Kind)
 	}
-	if options.LotRate > 0 {
+	if o.LotRate > 0 {
 		wanted = append(wanted, "batch")
 	}
 	for _, name := range wanted {
@@ -96,6 +96,6 @@
 }
 
 // String gives it on one line.
-func (one Finding) String() string {
-	return strings.TrimSpace(one.Rule + " " + one.Attempt + ": " + one.What)
+func (f Finding) String() string {
+	return strings.TrimSpace(f.Rule + " " + f.Attempt + ": " + f.What)
 }
--- a/internal/tooling/loadgen/options_test.go
+++ b/internal/tooling/loadgen/options_test.go
@@ -11,19 +11,19 @@
 )
 
 // programs makes a folder that looks as if the programs were in it.
-func programs(test *testing.T) string {
-	folder := test.TempDir()
+func programs(t *testing.T) string {
+	folder := t.TempDir()
 	for _, name := range []string{"gateway", "controller", "store"} {
 		if err := os.WriteFile(filepath.Join(folder, name), nil, 0o755); err != nil {
-			test.Fatal(err)
+			t.Fatal(err)
 		}
 	}
 	return folder
 }
 
 // Each senseless file gets one line that names what is wrong.
-func TestExperimentsThatCanNotBe(test *testing.T) {
-	folder := programs(test)
+func TestExperimentsThatCanNotBe(t *testing.T) {
+	folder := programs(t)
 	for text, want := range map[string]string{
 		"rate = 0.0":                      "rate",
 		"rate = nan":                      "rate",
@@ -49,25 +49,25 @@
 	} {
 		_, _, err := ReadExperiment(text, folder)
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			test.Errorf("%q: %v", text, err)
+			t.Errorf("%q: %v", text, err)
 		}
 	}
 }
 
-func TestExperimentTakesWhatIsUsual(test *testing.T) {
-	folder := programs(test)
+func TestExperimentTakesWhatIsUsual(t *testing.T) {
+	folder := programs(t)
 	one, options, err := ReadExperiment("rate = 7.0\n[[fleet]]\ngateways = 1\n[[fleet]]\nlabel = \"b\"\ncapacity = 2\n", folder)
 	if err != nil || options.Rate != 7 || options.Items != NewOptions().Items || len(one.Fleets) != 2 {
-		test.Fatal(one, options, err)
+		t.Fatal(one, options, err)
 	}
 	first, second := one.Fleets[0], one.Fleets[1]
 	if first.Gateways != 1 || second.Gateways != 2 || second.Capacity != 2 || first.Capacity == 2 || second.Label != "b" || first.Network == second.Network || first.Programs != folder {
-		test.Fatal(first, second)
+		t.Fatal(first, second)
 	}
 }
 
 // Every field of a trouble can be set by its name in the file.
-func TestTroublesAreReadWhole(test *testing.T) {
+func TestTroublesAreReadWhole(t *testing.T) {
 	one, _, err := ReadExperiment(`[[trouble]]
 at-s = 1.0
 kind = "faults"
@@ -75,36 +75,36 @@
 for-s = 2.0
 back-s = 3.0
 faults = { fail = 0.1, full = 0.2, hang = 0.3, cut = 0.4, garble = 0.5, surplus = 0.6, twice = 0.7, skip = 0.8, forge = 0.9, late-ms = 1.0, never = 0.25, slow = 2.0, lying = true, forget-ms = 3.0 }
-`, programs(test))
+`, programs(t))
 	want := lab.Trouble{AtS: 1, Kind: "faults", Target: "worker-1", ForS: 2, BackS: 3, Faults: workeremulator.Faults{Fail: 0.1, Full: 0.2, Hang: 0.3,
 		Cut: 0.4, Garble: 0.5, Surplus: 0.6, Twice: 0.7, Skip: 0.8, Forge: 0.9, Never: 0.25, LateMs: 1, Slow: 2, Lying: true, ForgetMs: 3}}
 	if err != nil || len(one.Trouble) != 1 || one.Trouble[0] != want {
-		test.Fatal(one, err)
+		t.Fatal(one, err)
 	}
 }
 
 // The experiments that the documents name are sound.
-func TestExperimentsOfTheDocuments(test *testing.T) {
+func TestExperimentsOfTheDocuments(t *testing.T) {
 	files, _ := filepath.Glob("../../../docs/experiments/*.toml")
 	if len(files) == 0 {
-		test.Fatal("there are none")
+		t.Fatal("there are none")
 	}
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		if err == nil {
-			_, _, err = ReadExperiment(string(text), programs(test))
+			_, _, err = ReadExperiment(string(text), programs(t))
 		}
 		if err != nil {
-			test.Error(file, err)
+			t.Error(file, err)
 		}
 	}
 }
 
-func TestOnlyLoopbackIsLoaded(test *testing.T) {
+func TestOnlyLoopbackIsLoaded(t *testing.T) {
 	for address, allowed := range map[string]bool{"127.0.0.1:1": true, "http://127.9.0.1:7100/": true, "10.0.0.1:80": false, "0.0.0.0:80": false,
 		"example.com:80": false, "nonsense": false} {
 		if _, err := OpenEndpoint(address); (err == nil) != allowed {
-			test.Error(address, err)
+			t.Error(address, err)
 		}
 	}
 }
--- a/internal/tooling/loadgen/plot.go
+++ b/internal/tooling/loadgen/plot.go
@@ -24,15 +24,15 @@
 
 // line gives the latency of a kind by the share of the slowest: x is how many
 // requests there are to each one that takes longer.
-func (one *Kind) line() plotter.XYs {
+func (k *Kind) line() plotter.XYs {
 	var points plotter.XYs
 	for step := 1; step <= constants.LoadPlotSteps; step++ {
 		left := math.Pow(2, -float64(step))
-		if left*float64(one.times.TotalCount()) < 1 {
+		if left*float64(k.times.TotalCount()) < 1 {
 			// Beyond the last request there is nothing to draw.
 			break
 		}
-		points = append(points, plotter.XY{X: 1 / left, Y: max(float64(one.times.ValueAtPercentile(100*(1-left)))/1000, 0.1)})
+		points = append(points, plotter.XY{X: 1 / left, Y: max(float64(k.times.ValueAtPercentile(100*(1-left)))/1000, 0.1)})
 	}
 	return points
 }
--- a/internal/tooling/loadgen/plot_test.go
+++ b/internal/tooling/loadgen/plot_test.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-func TestPlot(test *testing.T) {
+func TestPlot(t *testing.T) {
 	result := newResult("lab")
-	path := filepath.Join(test.TempDir(), "latency.svg")
+	path := filepath.Join(t.TempDir(), "latency.svg")
 	if Plot(path, []*Result{result}) == nil {
-		test.Fatal("a plot of nothing")
+		t.Fatal("a plot of nothing")
 	}
 	for count := 1; count <= 1000; count++ {
 		result.item(true, time.Duration(count)*time.Millisecond, true)
 	}
 	points := result.kind("batch").line()
 	if len(points) != 9 || points[0].Y < 495 || points[0].Y > 505 || points[8].Y < 990 {
-		test.Fatal("1,000 requests have a half, a quarter and so on to one in 512", points)
+		t.Fatal("1,000 requests have a half, a quarter and so on to one in 512", points)
 	}
 	if err := Plot(path, []*Result{result}); err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	if state, err := os.Stat(path); err != nil || state.Size() < 1000 {
-		test.Fatal(state, err)
+		t.Fatal(state, err)
 	}
 	if CheckPlot("x.txt") == nil || Plot(filepath.Join(path, "x.svg"), []*Result{result}) == nil {
-		test.Fatal("a plot that can't be written")
+		t.Fatal("a plot that can't be written")
 	}
 }
--- a/internal/tooling/loadgen/result.go
+++ b/internal/tooling/loadgen/result.go
@@ -59,22 +59,22 @@
 }
 
 // kind finds the counts of a kind. The lock is held.
-func (result *Result) kind(name string) *Kind {
-	one := result.kinds[name]
+func (r *Result) kind(name string) *Kind {
+	one := r.kinds[name]
 	if one == nil {
 		one = &Kind{Name: name, times: hdrhistogram.New(1, constants.LoadTime.Microseconds(), constants.LoadDigits)}
-		result.kinds[name] = one
-		result.Kinds = append(result.Kinds, one)
-		sort.Slice(result.Kinds, func(left, right int) bool { return result.Kinds[left].Name < result.Kinds[right].Name })
+		r.kinds[name] = one
+		r.Kinds = append(r.Kinds, one)
+		sort.Slice(r.Kinds, func(left, right int) bool { return r.Kinds[left].Name < r.Kinds[right].Name })
 	}
 	return one
 }
 
-func (one *Kind) record(span clock.Span) { _ = one.times.RecordValue(max(span.Microseconds(), 1)) }
+func (k *Kind) record(span clock.Span) { _ = k.times.RecordValue(max(span.Microseconds(), 1)) }
 
 // count adds a share of the worth to what was earned. The lock is held.
-func (result *Result) count(name string, inTime, served bool) *Kind {
-	one, worth := result.kind(name), profiles[name].worth
+func (r *Result) count(name string, inTime, served bool) *Kind {
+	one, worth := r.kind(name), profiles[name].worth
 	one.Sent++
 	one.owed += worth
 	switch {
@@ -91,38 +91,38 @@
 }
 
 // serve counts an order that was served whole.
-func (result *Result) serve(order *order, state *served, now clock.Moment) {
-	result.lock.Lock()
-	defer result.lock.Unlock()
+func (r *Result) serve(order *order, state *served, now clock.Moment) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
 	first := state.first
 	if first == 0 {
 		first = now
 	}
 	took := first.Since(state.begun)
 	inTime := took <= order.route.Setpoint() && (order.route.GapMs <= 0 || state.gap <= clock.Milliseconds(order.route.GapMs))
-	result.count(order.kind, inTime, true).record(took)
+	r.count(order.kind, inTime, true).record(took)
 }
 
 // fail counts an order that was not served.
-func (result *Result) fail(order *order, cause string) {
-	result.lock.Lock()
-	defer result.lock.Unlock()
-	result.count(order.kind, false, false)
-	result.Causes[order.kind+": "+cause]++
+func (r *Result) fail(order *order, cause string) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	r.count(order.kind, false, false)
+	r.Causes[order.kind+": "+cause]++
 }
 
 // again counts a try that failed and is followed by another.
-func (result *Result) again(cause string) {
-	result.lock.Lock()
-	defer result.lock.Unlock()
-	result.Retried[cause]++
+func (r *Result) again(cause string) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	r.Retried[cause]++
 }
 
 // handIn notes how long the handing in of a lot took.
-func (result *Result) handIn(took clock.Span) {
-	result.lock.Lock()
-	defer result.lock.Unlock()
-	one := result.kind(handInKind)
+func (r *Result) handIn(took clock.Span) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	one := r.kind(handInKind)
 	one.Sent++
 	one.InTime++
 	one.record(took)
@@ -132,68 +132,68 @@
 const handInKind = "batch-202"
 
 // item counts one listed item.
-func (result *Result) item(settled bool, took clock.Span, inTime bool) {
-	result.lock.Lock()
-	defer result.lock.Unlock()
-	one := result.count("batch", settled && inTime, settled)
+func (r *Result) item(settled bool, took clock.Span, inTime bool) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	one := r.count("batch", settled && inTime, settled)
 	if settled {
 		one.record(took)
 	} else {
-		result.Causes["batch: item abandoned"]++
+		r.Causes["batch: item abandoned"]++
 	}
 }
 
 // failItems counts items that were never listed.
-func (result *Result) failItems(count int, cause string) {
-	result.lock.Lock()
-	defer result.lock.Unlock()
+func (r *Result) failItems(count int, cause string) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
 	for ; count > 0; count-- {
-		result.count("batch", false, false)
-		result.Causes["batch: "+cause]++
+		r.count("batch", false, false)
+		r.Causes["batch: "+cause]++
 	}
 }
 
-func (result *Result) notSent() {
-	result.lock.Lock()
-	defer result.lock.Unlock()
-	result.NotSent++
+func (r *Result) notSent() {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	r.NotSent++
 }
 
-func (result *Result) note(text string) {
-	result.lock.Lock()
-	defer result.lock.Unlock()
-	result.Notes = append(result.Notes, text)
+func (r *Result) note(text string) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	r.Notes = append(r.Notes, text)
 }
 
 // find keeps a broken promise.
-func (result *Result) find(finding Finding) {
-	result.lock.Lock()
-	defer result.lock.Unlock()
-	result.Broken++
-	if len(result.Findings) < constants.LoadFindings {
-		result.Findings = append(result.Findings, finding)
+func (r *Result) find(finding Finding) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	r.Broken++
+	if len(r.Findings) < constants.LoadFindings {
+		r.Findings = append(r.Findings, finding)
 	}
 }
 
 // sofar is one line of progress.
-func (result *Result) sofar(span clock.Span) string {
-	result.lock.Lock()
-	defer result.lock.Unlock()
+func (r *Result) sofar(span clock.Span) string {
+	r.lock.Lock()
+	defer r.lock.Unlock()
 	inTime, late, failed := 0, 0, 0
-	for _, one := range result.Kinds {
+	for _, one := range r.Kinds {
 		if one.Name != handInKind {
 			inTime, late, failed = inTime+one.InTime, late+one.Late, failed+one.Failed
 		}
 	}
-	return fmt.Sprintf("%s after=%.0fs in-time=%d late=%d failed=%d broken=%d", result.Label, span.Seconds(), inTime, late, failed, result.Broken)
+	return fmt.Sprintf("%s after=%.0fs in-time=%d late=%d failed=%d broken=%d", r.Label, span.Seconds(), inTime, late, failed, r.Broken)
 }
 
 // Close works out worth and percentiles.
-func (result *Result) Close() {
-	result.lock.Lock()
-	defer result.lock.Unlock()
+func (r *Result) Close() {
+	r.lock.Lock()
+	defer r.lock.Unlock()
 	earned, owed := 0.0, 0.0
-	for _, one := range result.Kinds {
+	for _, one := range r.Kinds {
 		earned, owed = earned+one.earned, owed+one.owed
 		if one.owed > 0 {
 			one.Worth = one.earned / one.owed
@@ -202,14 +202,14 @@
 		one.P50, one.P90, one.P99, one.Max = at(50), at(90), at(99), float64(one.times.Max())/1000
 	}
 	if owed > 0 {
-		result.Worth = earned / owed
+		r.Worth = earned / owed
 	}
 }
 
 // Served counts what was served at all, in time or late.
-func (result *Result) Served() int {
+func (r *Result) Served() int {
 	count := 0
-	for _, one := range result.Kinds {
+	for _, one := range r.Kinds {
 		if one.Name != handInKind {
 			count += one.InTime + one.Late
 		}
--- a/internal/tooling/loadgen/send.go
+++ b/internal/tooling/loadgen/send.go
@@ -39,38 +39,38 @@
 }
 
 // serve tries an order until it is served or may not be tried again.
-func (one *run) serve(order *order) {
+func (r *run) serve(order *order) {
 	now := clock.Now()
 	state := &served{begun: now, deadline: now.Plus(order.route.Cutoff())}
 	for try := 1; ; try++ {
-		got := one.try(order, state, try)
+		got := r.try(order, state, try)
 		if got.finding != nil {
-			one.result.find(*got.finding)
+			r.result.find(*got.finding)
 		}
 		if got.cause == "" {
-			one.result.serve(order, state, clock.Now())
+			r.result.serve(order, state, clock.Now())
 			return
 		}
 		wait := min(max(got.after, constants.LabRetry/4), state.deadline.Since(clock.Now())/3)
 		mayAgain := !got.final && (repeatable(order.route) || got.promise || got.unread)
-		if !mayAgain || try >= one.options.Tries || wait <= 0 {
-			one.result.fail(order, got.cause)
+		if !mayAgain || try >= r.options.Tries || wait <= 0 {
+			r.result.fail(order, got.cause)
 			return
 		}
-		one.result.again(got.cause)
-		one.pause(wait)
+		r.result.again(got.cause)
+		r.pause(wait)
 	}
 }
 
 // try sends one attempt to one node; each try is another attempt, at another node.
-func (one *run) try(order *order, state *served, try int) result {
-	attempt := one.prefix + strconv.Itoa(order.number) + "-" + strconv.Itoa(try)
+func (r *run) try(order *order, state *served, try int) result {
+	attempt := r.prefix + strconv.Itoa(order.number) + "-" + strconv.Itoa(try)
 	path := order.route.Prefix + strconv.Itoa(order.number)
-	made := one.remember(attempt, path, order.body, order.route, !repeatable(order.route), false)
+	made := r.remember(attempt, path, order.body, order.route, !repeatable(order.route), false)
 	left := state.deadline.Since(clock.Now())
 	limited, release := contexts.Timed(contexts.Background(), left)
 	defer release()
-	node := one.card.Ingress[(order.node+try-1)%len(one.card.Ingress)]
+	node := r.card.Ingress[(order.node+try-1)%len(r.card.Ingress)]
 	request, err := http.NewRequestWithContext(limited, http.MethodPost, "http://"+node+path, bytes.NewReader(order.body))
 	if err != nil {
 		return result{cause: "unsendable", final: true}
@@ -89,7 +89,7 @@
 	if state.lastID > 0 {
 		header.Set("Last-Event-Id", strconv.FormatInt(state.lastID, 10))
 	}
-	answer, err := one.client.RoundTrip(request)
+	answer, err := r.client.RoundTrip(request)
 	if err != nil {
 		cause := causeOf(err, limited)
 		return result{cause: cause, unread: cause == causeRefused}
@@ -98,13 +98,13 @@
 	var got result
 	switch {
 	case answer.StatusCode < 300 && order.route.Kind() == messages.RouteStreaming:
-		got = one.stream(order, state, attempt, answer, release)
+		got = r.stream(order, state, attempt, answer, release)
 	case answer.StatusCode < 300:
 		got = plain(order, state, attempt, answer)
 	default:
 		got = refusal(answer)
 	}
-	one.settle(made, got.promise, got.cause == "")
+	r.settle(made, got.promise, got.cause == "")
 	return got
 }
 
@@ -153,11 +153,11 @@
 }
 
 // stream reads a stream of events, and gives it up after a silence.
-func (one *run) stream(order *order, state *served, attempt string, answer *http.Response, halt func()) result {
+func (r *run) stream(order *order, state *served, attempt string, answer *http.Response, halt func()) result {
 	if finding := checkStamp(attempt, answer.Header.Get("Lemonarch-Server-Seal"), answer.Header.Get("Lemonarch-Attempt-Id")); finding != nil {
 		return result{cause: "not the answer", final: true, finding: finding}
 	}
-	follower := &follower{attempt: attempt, last: state.lastID, all: workeremulator.Events(order.prompt.out, one.card.Stride)}
+	follower := &follower{attempt: attempt, last: state.lastID, all: workeremulator.Events(order.prompt.out, r.card.Stride)}
 	silence := max(constants.LoadSilence, 4*order.route.Setpoint(), 8*clock.Milliseconds(order.route.GapMs))
 	var silent atomic.Bool
 	timer := time.AfterFunc(silence, func() { silent.Store(true); halt() })
--- a/internal/tooling/simulation/disk.go
+++ b/internal/tooling/simulation/disk.go
@@ -59,122 +59,122 @@
 }
 
 // Wipe empties it.
-func (disk *Disk) Wipe() {
-	disk.lock.Lock()
-	defer disk.lock.Unlock()
-	disk.names, disk.unsynced = map[string]*content{}, map[string][]*content{}
+func (d *Disk) Wipe() {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	d.names, d.unsynced = map[string]*content{}, map[string][]*content{}
 }
 
 // PowerLoss decides what is left of all that was not synced. In one of four cases
 // nothing of it is.
-func (disk *Disk) PowerLoss() {
-	disk.lock.Lock()
-	defer disk.lock.Unlock()
-	allLost := disk.random.Intn(4) == 0
-	for _, name := range Keys(disk.unsynced) {
-		choices := disk.unsynced[name]
+func (d *Disk) PowerLoss() {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	allLost := d.random.Intn(4) == 0
+	for _, name := range Keys(d.unsynced) {
+		choices := d.unsynced[name]
 		kept := 0
 		if !allLost {
-			kept = disk.random.Intn(len(choices))
+			kept = d.random.Intn(len(choices))
 		}
-		disk.set(name, choices[kept])
+		d.set(name, choices[kept])
 	}
-	disk.unsynced = map[string][]*content{}
-	for _, name := range Keys(disk.names) {
-		disk.names[name].powerLoss(disk.random, allLost)
+	d.unsynced = map[string][]*content{}
+	for _, name := range Keys(d.names) {
+		d.names[name].powerLoss(d.random, allLost)
 	}
 }
 
 // Spoil flips a byte of a file, as a failing disk would.
-func (disk *Disk) Spoil(name string, offset int) {
-	disk.lock.Lock()
-	defer disk.lock.Unlock()
-	file := disk.names[name]
+func (d *Disk) Spoil(name string, offset int) {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	file := d.names[name]
 	file.text[offset] ^= 0xff
 	file.settle()
 }
 
 // Names gives the names of the files there are.
-func (disk *Disk) Names() []string {
-	disk.lock.Lock()
-	defer disk.lock.Unlock()
-	return Keys(disk.names)
+func (d *Disk) Names() []string {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	return Keys(d.names)
 }
 
 // Open opens or makes a file.
-func (disk *Disk) Open(name string) (recordlog.File, error) {
-	if err := disk.intercept(OperationOpen, name); err != nil {
+func (d *Disk) Open(name string) (recordlog.File, error) {
+	if err := d.intercept(OperationOpen, name); err != nil {
 		return nil, err
 	}
-	disk.lock.Lock()
-	defer disk.lock.Unlock()
-	if disk.names[name] == nil {
-		disk.change(name, &content{})
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	if d.names[name] == nil {
+		d.change(name, &content{})
 	}
-	return &handle{disk: disk, name: name, file: disk.names[name]}, nil
+	return &handle{disk: d, name: name, file: d.names[name]}, nil
 }
 
 // Rename gives a file another name, which lasts with the folder.
-func (disk *Disk) Rename(from, to string) error {
-	if err := disk.intercept(OperationRename, from); err != nil {
+func (d *Disk) Rename(from, to string) error {
+	if err := d.intercept(OperationRename, from); err != nil {
 		return err
 	}
-	disk.lock.Lock()
-	defer disk.lock.Unlock()
-	file := disk.names[from]
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	file := d.names[from]
 	if file == nil {
 		return syscall.ENOENT
 	}
-	disk.change(to, file)
-	disk.change(from, nil)
+	d.change(to, file)
+	d.change(from, nil)
 	return nil
 }
 
 // Remove takes a file away.
-func (disk *Disk) Remove(name string) error {
-	if err := disk.intercept(OperationRemove, name); err != nil {
+func (d *Disk) Remove(name string) error {
+	if err := d.intercept(OperationRemove, name); err != nil {
 		return err
 	}
-	disk.lock.Lock()
-	defer disk.lock.Unlock()
-	if disk.names[name] == nil {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	if d.names[name] == nil {
 		return syscall.ENOENT
 	}
-	disk.change(name, nil)
+	d.change(name, nil)
 	return nil
 }
 
 // SyncFolder makes names last.
-func (disk *Disk) SyncFolder() error {
-	if err := disk.intercept(OperationSyncFolder, ""); err != nil {
+func (d *Disk) SyncFolder() error {
+	if err := d.intercept(OperationSyncFolder, ""); err != nil {
 		return err
 	}
-	disk.lock.Lock()
-	defer disk.lock.Unlock()
-	disk.unsynced = map[string][]*content{}
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	d.unsynced = map[string][]*content{}
 	return nil
 }
 
 // change notes what a name stands for from now on. The lock is held.
-func (disk *Disk) change(name string, file *content) {
-	if len(disk.unsynced[name]) == 0 {
-		disk.unsynced[name] = []*content{disk.names[name]}
+func (d *Disk) change(name string, file *content) {
+	if len(d.unsynced[name]) == 0 {
+		d.unsynced[name] = []*content{d.names[name]}
 	}
-	disk.unsynced[name] = append(disk.unsynced[name], file)
-	disk.set(name, file)
+	d.unsynced[name] = append(d.unsynced[name], file)
+	d.set(name, file)
 }
 
-func (disk *Disk) set(name string, file *content) {
+func (d *Disk) set(name string, file *content) {
 	if file == nil {
-		delete(disk.names, name)
+		delete(d.names, name)
 		return
 	}
-	disk.names[name] = file
+	d.names[name] = file
 }
 
-func (disk *Disk) intercept(operation Operation, name string) error {
-	if disk.Intercept == nil {
+func (d *Disk) intercept(operation Operation, name string) error {
+	if d.Intercept == nil {
 		return nil
 	}
-	return disk.Intercept(operation, name)
+	return d.Intercept(operation, name)
 }
--- a/internal/tooling/simulation/file.go
+++ b/internal/tooling/simulation/file.go
@@ -24,42 +24,42 @@
 }
 
 // settle makes all of it last.
-func (file *content) settle() {
-	file.synced = append([]byte(nil), file.text...)
-	file.writes = nil
+func (c *content) settle() {
+	c.synced = append([]byte(nil), c.text...)
+	c.writes = nil
 }
 
 // powerLoss decides of each unsynced change whether it is there, missing or torn.
-func (file *content) powerLoss(random *rand.Rand, allLost bool) {
-	file.text = append([]byte(nil), file.synced...)
-	for _, one := range file.writes {
+func (c *content) powerLoss(random *rand.Rand, allLost bool) {
+	c.text = append([]byte(nil), c.synced...)
+	for _, one := range c.writes {
 		if allLost {
 			break
 		}
 		switch random.Intn(3) {
 		case 0:
-			file.apply(one)
+			c.apply(one)
 		case 1:
-			file.applyTorn(one, random)
+			c.applyTorn(one, random)
 		}
 	}
-	file.settle()
+	c.settle()
 }
 
-func (file *content) apply(one write) {
+func (c *content) apply(one write) {
 	if one.truncate {
-		file.resize(one.offset)
+		c.resize(one.offset)
 		return
 	}
-	if end := one.offset + len(one.text); end > len(file.text) {
-		file.resize(end)
+	if end := one.offset + len(one.text); end > len(c.text) {
+		c.resize(end)
 	}
-	copy(file.text[one.offset:], one.text)
+	copy(c.text[one.offset:], one.text)
 }
 
 // applyTorn applies a beginning of a write, or pieces from anywhere in it; what is
 // missing between them reads as zeros.
-func (file *content) applyTorn(one write, random *rand.Rand) {
+func (c *content) applyTorn(one write, random *rand.Rand) {
 	if one.truncate || len(one.text) == 0 {
 		return
 	}
@@ -68,23 +68,23 @@
 		if len(one.text) > 0 && random.Intn(2) == 0 {
 			one.text[len(one.text)-1] ^= 0x5a
 		}
-		file.apply(one)
+		c.apply(one)
 		return
 	}
 	for start := 0; start < len(one.text); start += tornPiece {
 		if random.Intn(2) == 0 {
 			end := min(start+tornPiece, len(one.text))
-			file.apply(write{offset: one.offset + start, text: one.text[start:end]})
+			c.apply(write{offset: one.offset + start, text: one.text[start:end]})
 		}
 	}
 }
 
-func (file *content) resize(size int) {
-	if size <= len(file.text) {
-		file.text = file.text[:size:size]
+func (c *content) resize(size int) {
+	if size <= len(c.text) {
+		c.text = c.text[:size:size]
 		return
 	}
-	file.text = append(file.text, make([]byte, size-len(file.text))...)
+	c.text = append(c.text, make([]byte, size-len(c.text))...)
 }
 
 // handle is an open file.
@@ -95,66 +95,66 @@
 }
 
 // Write appends; a refused write may have taken a part.
-func (one *handle) Write(text []byte) (int, error) {
-	err := one.disk.intercept(OperationWrite, one.name)
-	one.disk.lock.Lock()
-	defer one.disk.lock.Unlock()
+func (h *handle) Write(text []byte) (int, error) {
+	err := h.disk.intercept(OperationWrite, h.name)
+	h.disk.lock.Lock()
+	defer h.disk.lock.Unlock()
 	part := len(text)
 	if err != nil {
-		part = one.disk.random.Intn(len(text) + 1)
+		part = h.disk.random.Intn(len(text) + 1)
 	}
-	if room := one.disk.Room; room >= 0 {
+	if room := h.disk.Room; room >= 0 {
 		if part > room {
 			part, err = room, ErrFull
 		}
-		one.disk.Room -= part
+		h.disk.Room -= part
 	}
-	change := write{offset: len(one.file.text), text: append([]byte(nil), text[:part]...)}
-	one.file.apply(change)
-	one.file.writes = append(one.file.writes, change)
+	change := write{offset: len(h.file.text), text: append([]byte(nil), text[:part]...)}
+	h.file.apply(change)
+	h.file.writes = append(h.file.writes, change)
 	return part, err
 }
 
-func (one *handle) ReadAt(into []byte, offset int64) (int, error) {
-	one.disk.lock.Lock()
-	defer one.disk.lock.Unlock()
-	if offset >= int64(len(one.file.text)) {
+func (h *handle) ReadAt(into []byte, offset int64) (int, error) {
+	h.disk.lock.Lock()
+	defer h.disk.lock.Unlock()
+	if offset >= int64(len(h.file.text)) {
 		return 0, io.EOF
 	}
-	count := copy(into, one.file.text[offset:])
+	count := copy(into, h.file.text[offset:])
 	if count < len(into) {
 		return count, io.EOF
 	}
 	return count, nil
 }
 
-func (one *handle) Sync() error {
-	if err := one.disk.intercept(OperationSync, one.name); err != nil {
+func (h *handle) Sync() error {
+	if err := h.disk.intercept(OperationSync, h.name); err != nil {
 		return err
 	}
-	one.disk.lock.Lock()
-	defer one.disk.lock.Unlock()
-	one.disk.Syncs++
-	one.file.settle()
+	h.disk.lock.Lock()
+	defer h.disk.lock.Unlock()
+	h.disk.Syncs++
+	h.file.settle()
 	return nil
 }
 
-func (one *handle) Truncate(size int64) error {
-	if err := one.disk.intercept(OperationTruncate, one.name); err != nil {
+func (h *handle) Truncate(size int64) error {
+	if err := h.disk.intercept(OperationTruncate, h.name); err != nil {
 		return err
 	}
-	one.disk.lock.Lock()
-	defer one.disk.lock.Unlock()
+	h.disk.lock.Lock()
+	defer h.disk.lock.Unlock()
 	change := write{truncate: true, offset: int(size)}
-	one.file.apply(change)
-	one.file.writes = append(one.file.writes, change)
+	h.file.apply(change)
+	h.file.writes = append(h.file.writes, change)
 	return nil
 }
 
-func (one *handle) Size() (int64, error) {
-	one.disk.lock.Lock()
-	defer one.disk.lock.Unlock()
-	return int64(len(one.file.text)), nil
+func (h *handle) Size() (int64, error) {
+	h.disk.lock.Lock()
+	defer h.disk.lock.Unlock()
+	return int64(len(h.file.text)), nil
 }
 
-func (one *handle) Close() error { return nil }
+func (h *handle) Close() error { return nil }
--- a/internal/tooling/simulation/world.go
+++ b/internal/tooling/simulation/world.go
@@ -18,23 +18,23 @@
 
 type events []event
 
-func (queue events) Len() int { return len(queue) }
-func (queue events) Less(left, right int) bool {
-	if queue[left].at != queue[right].at {
-		return queue[left].at < queue[right].at
+func (e events) Len() int { return len(e) }
+func (e events) Less(left, right int) bool {
+	if e[left].at != e[right].at {
+		return e[left].at < e[right].at
 	}
-	return queue[left].order < queue[right].order
+	return e[left].order < e[right].order
 }
-func (queue events) Swap(left, right int) { queue[left], queue[right] = queue[right], queue[left] }
+func (e events) Swap(left, right int) { e[left], e[right] = e[right], e[left] }
 
 // Push adds an event.
-func (queue *events) Push(one any) { *queue = append(*queue, one.(event)) }
+func (e *events) Push(one any) { *e = append(*e, one.(event)) }
 
 // Pop takes the last.
-func (queue *events) Pop() any {
-	old := *queue
+func (e *events) Pop() any {
+	old := *e
 	one := old[len(old)-1]
-	*queue = old[:len(old)-1]
+	*e = old[:len(old)-1]
 	return one
 }
 
@@ -56,34 +56,34 @@
 }
 
 // After runs a function at a later moment.
-func (world *World) After(span clock.Span, function func()) {
-	world.order++
-	heap.Push(&world.queue, event{world.Now.Plus(span), world.order, function})
+func (w *World) After(span clock.Span, function func()) {
+	w.order++
+	heap.Push(&w.queue, event{w.Now.Plus(span), w.order, function})
 }
 
 // Cut cuts one direction between two nodes, or joins it.
-func (world *World) Cut(from, to string, cut bool) { world.cuts[from+">"+to] = cut }
+func (w *World) Cut(from, to string, cut bool) { w.cuts[from+">"+to] = cut }
 
 // Isolate cuts a node off in both directions, or joins it.
-func (world *World) Isolate(node string, others []string, cut bool) {
+func (w *World) Isolate(node string, others []string, cut bool) {
 	for _, other := range others {
-		world.Cut(node, other, cut)
-		world.Cut(other, node, cut)
+		w.Cut(node, other, cut)
+		w.Cut(other, node, cut)
 	}
 }
 
 // Send carries a message: the function runs at the receiver, or never, or twice.
-func (world *World) Send(from, to string, function func()) {
+func (w *World) Send(from, to string, function func()) {
 	copies := 1
-	if world.Random.Float64() < world.Loss {
+	if w.Random.Float64() < w.Loss {
 		copies = 0
-	} else if world.Random.Float64() < world.Double {
+	} else if w.Random.Float64() < w.Double {
 		copies = 2
 	}
 	for ; copies > 0; copies-- {
-		delay := clock.Milliseconds(0.2 + 20*world.Random.Float64()*world.Random.Float64())
-		world.After(delay, func() {
-			if !world.cuts[from+">"+to] {
+		delay := clock.Milliseconds(0.2 + 20*w.Random.Float64()*w.Random.Float64())
+		w.After(delay, func() {
+			if !w.cuts[from+">"+to] {
 				function()
 			}
 		})
@@ -91,27 +91,27 @@
 }
 
 // Run plays events until a moment.
-func (world *World) Run(until clock.Moment) {
-	for len(world.queue) > 0 && world.queue[0].at <= until {
-		one := heap.Pop(&world.queue).(event)
-		world.Now = one.at
+func (w *World) Run(until clock.Moment) {
+	for len(w.queue) > 0 && w.queue[0].at <= until {
+		one := heap.Pop(&w.queue).(event)
+		w.Now = one.at
 		one.function()
 	}
-	world.Now = until
+	w.Now = until
 }
 
 // Forget drops every event that is still to come.
-func (world *World) Forget() { world.queue = nil }
+func (w *World) Forget() { w.queue = nil }
 
 // Note writes a line of history.
-func (world *World) Note(format string, values ...any) {
-	world.history = append(world.history, fmt.Sprintf("%d ", world.Now)+fmt.Sprintf(format, values...))
+func (w *World) Note(format string, values ...any) {
+	w.history = append(w.history, fmt.Sprintf("%d ", w.Now)+fmt.Sprintf(format, values...))
 }
 
 // Sum names the whole history: the same seed gives the same sum.
-func (world *World) Sum() uint64 {
+func (w *World) Sum() uint64 {
 	sum := fnv.New64a()
-	for _, line := range world.history {
+	for _, line := range w.history {
 		sum.Write([]byte(line))
 	}
 	return sum.Sum64()
--- a/internal/tooling/workeremulator/answer.go
+++ b/internal/tooling/workeremulator/answer.go
@@ -35,31 +35,31 @@
 	leaving                                                    bool
 }
 
-func (worker *Worker) draw(attempt string) fate {
-	worker.lock.Lock()
-	defer worker.lock.Unlock()
-	worker.handled++
-	faults := &worker.faults
-	return fate{fail: worker.chance(faults.Fail), full: worker.chance(faults.Full), hang: worker.chance(faults.Hang),
-		cut: worker.chance(faults.Cut), garble: worker.chance(faults.Garble), surplus: worker.chance(faults.Surplus),
-		skip: worker.chance(faults.Skip), forge: worker.chance(faults.Forge), late: faults.late(), leaving: worker.leaving, never: hopeless(attempt, faults.Never)}
+func (w *Worker) draw(attempt string) fate {
+	w.lock.Lock()
+	defer w.lock.Unlock()
+	w.handled++
+	faults := &w.faults
+	return fate{fail: w.chance(faults.Fail), full: w.chance(faults.Full), hang: w.chance(faults.Hang),
+		cut: w.chance(faults.Cut), garble: w.chance(faults.Garble), surplus: w.chance(faults.Surplus),
+		skip: w.chance(faults.Skip), forge: w.chance(faults.Forge), late: faults.late(), leaving: w.leaving, never: hopeless(attempt, faults.Never)}
 }
 
 // notRun answers that the request did not run and never will.
-func (worker *Worker) notRun(writer http.ResponseWriter, status int, why string) {
+func (w *Worker) notRun(writer http.ResponseWriter, status int, why string) {
 	writer.Header().Set(headerNotRun, "1")
 	httpreply.Reason(writer, status, why)
 }
 
 // answer serves one request of a route.
-func (worker *Worker) answer(writer http.ResponseWriter, request *http.Request) {
+func (w *Worker) answer(writer http.ResponseWriter, request *http.Request) {
 	header := request.Header
 	attempt := header.Get(headerAttempt)
 	body, err := io.ReadAll(io.LimitReader(request.Body, constants.RequestLimit*4))
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	fate := worker.draw(attempt)
+	fate := w.draw(attempt)
 	if fate.leaving {
 		writer.Header().Set("Connection", "close")
 	} else {
@@ -68,44 +68,44 @@
 	if attempt != "" {
 		writer.Header().Set(headerAttempt, attempt)
 	}
-	revision := strconv.FormatInt(worker.Settings.Revision, 10)
+	revision := strconv.FormatInt(w.Settings.Revision, 10)
 	switch target, expected := header.Get(headerTarget), header.Get(headerRevision); {
 	case attempt == "":
-		worker.notRun(writer, http.StatusBadRequest, headerAttempt+" is missing")
+		w.notRun(writer, http.StatusBadRequest, headerAttempt+" is missing")
 		return
-	case target != "" && target != worker.Settings.ID, expected != "" && expected != revision:
-		worker.notRun(writer, http.StatusMisdirectedRequest, "another worker is meant")
+	case target != "" && target != w.Settings.ID, expected != "" && expected != revision:
+		w.notRun(writer, http.StatusMisdirectedRequest, "another worker is meant")
 		return
 	case fate.full:
-		worker.notRun(writer, http.StatusServiceUnavailable, "full")
+		w.notRun(writer, http.StatusServiceUnavailable, "full")
 		return
 	}
-	ask, readable := worker.ask(header)
+	ask, readable := w.ask(header)
 	if !readable {
-		worker.notRun(writer, http.StatusBadRequest, headerTokens+" or "+headerPrefix+" can't be read")
+		w.notRun(writer, http.StatusBadRequest, headerTokens+" or "+headerPrefix+" can't be read")
 		return
 	}
-	about := Run{Attempt: attempt, Worker: worker.Settings.ID, Service: worker.Settings.Service, Method: request.Method,
+	about := Run{Attempt: attempt, Worker: w.Settings.ID, Service: w.Settings.Service, Method: request.Method,
 		Path: request.RequestURI, Body: BodySum(body), From: ask.From}
-	ticket, one := worker.enter(ask, about)
+	ticket, one := w.enter(ask, about)
 	// A worker drops a request once its connection has closed.
-	defer worker.leave(ticket)
-	talk := &exchange{worker: worker, writer: writer, request: request, body: body, attempt: attempt, fate: fate, ask: ask}
+	defer w.leave(ticket)
+	talk := &exchange{worker: w, writer: writer, request: request, body: body, attempt: attempt, fate: fate, ask: ask}
 	talk.run(one)
 }
 
 // ask reads what a request wants of the engine.
-func (worker *Worker) ask(header http.Header) (Ask, bool) {
+func (w *Worker) ask(header http.Header) (Ask, bool) {
 	ask := Ask{Model: header.Get(headerModel)}
 	if text := header.Get(headerTimeLeft); text != "" {
 		left, err := strconv.ParseFloat(text, 64)
 		if err != nil || left < 0 {
 			return ask, false
 		}
-		ask.Until = worker.clockValue.Now().Plus(clock.Milliseconds(left))
+		ask.Until = w.clockValue.Now().Plus(clock.Milliseconds(left))
 	}
-	if worker.Settings.Model == "" {
-		ask.Work = max(worker.Settings.Work, 1)
+	if w.Settings.Model == "" {
+		ask.Work = max(w.Settings.Work, 1)
 		return ask, true
 	}
 	readable := true
@@ -132,115 +132,115 @@
 }
 
 // run writes what the engine makes, until the answer is whole or broken.
-func (talk *exchange) run(one *waiter) {
-	if talk.fate.late > 0 {
+func (e *exchange) run(one *waiter) {
+	if e.fate.late > 0 {
 		bell := make(chan struct{})
-		talk.worker.clockValue.After(talk.fate.late, func() { close(bell) })
+		e.worker.clockValue.After(e.fate.late, func() { close(bell) })
 		select {
 		case <-bell:
-		case <-talk.request.Context().Done():
+		case <-e.request.Context().Done():
 			return
 		}
 	}
-	half := max(Events(talk.ask.Out, talk.worker.Settings.Shape.Stride)/2, 1)
+	half := max(Events(e.ask.Out, e.worker.Settings.Shape.Stride)/2, 1)
 	for {
 		var effect Effect
 		select {
 		case effect = <-one.effects:
-		case <-talk.request.Context().Done():
+		case <-e.request.Context().Done():
 			return
 		}
-		if talk.fate.hang && effect.Kind != EffectRefuse {
+		if e.fate.hang && effect.Kind != EffectRefuse {
 			// Silence, while the connection stays: only its other end can end it.
-			<-talk.request.Context().Done()
+			<-e.request.Context().Done()
 			return
 		}
 		switch effect.Kind {
 		case EffectRefuse:
-			talk.worker.notRun(talk.writer, http.StatusServiceUnavailable, "full, or too late")
+			e.worker.notRun(e.writer, http.StatusServiceUnavailable, "full, or too late")
 			return
 		case EffectExpire:
-			if talk.headSent {
+			if e.headSent {
 				panic(http.ErrAbortHandler)
 			}
-			httpreply.Reason(talk.writer, http.StatusGatewayTimeout, "out of time")
+			httpreply.Reason(e.writer, http.StatusGatewayTimeout, "out of time")
 			return
 		case EffectBegin:
-			if talk.garbled() {
+			if e.garbled() {
 				return
 			}
-			if talk.fate.never {
-				httpreply.Reason(talk.writer, http.StatusUnprocessableEntity, "can never be done")
+			if e.fate.never {
+				httpreply.Reason(e.writer, http.StatusUnprocessableEntity, "can never be done")
 				return
 			}
-			if talk.fate.fail {
-				httpreply.Reason(talk.writer, http.StatusInternalServerError, "failed")
+			if e.fate.fail {
+				httpreply.Reason(e.writer, http.StatusInternalServerError, "failed")
 				return
 			}
 		case EffectEvent:
-			if talk.fate.cut && effect.Number > half {
+			if e.fate.cut && effect.Number > half {
 				panic(http.ErrAbortHandler)
 			}
-			if !talk.fate.skip || effect.Number != half {
-				talk.event(effect.Number)
+			if !e.fate.skip || effect.Number != half {
+				e.event(effect.Number)
 			}
 		case EffectFinish:
-			if talk.finish() {
-				talk.worker.record.End(one.run)
+			if e.finish() {
+				e.worker.record.End(one.run)
 			}
 			return
 		}
 	}
 }
 
-func (talk *exchange) head(kind string) {
-	header := talk.writer.Header()
-	seal := Seal(talk.worker.Settings.ID, talk.attempt)
-	if talk.fate.forge {
-		seal = Seal(talk.worker.Settings.ID, "another")
+func (e *exchange) head(kind string) {
+	header := e.writer.Header()
+	seal := Seal(e.worker.Settings.ID, e.attempt)
+	if e.fate.forge {
+		seal = Seal(e.worker.Settings.ID, "another")
 	}
 	header.Set(headerSeal, seal)
 	header.Set("Content-Type", kind)
-	header.Set(headerWeights, strconv.FormatInt(talk.worker.Settings.Revision, 10))
-	talk.worker.lock.Lock()
-	header.Set(headerLoad, talk.worker.load())
-	talk.worker.lock.Unlock()
-	talk.headSent = true
+	header.Set(headerWeights, strconv.FormatInt(e.worker.Settings.Revision, 10))
+	e.worker.lock.Lock()
+	header.Set(headerLoad, e.worker.load())
+	e.worker.lock.Unlock()
+	e.headSent = true
 }
 
-func (talk *exchange) event(number int64) {
-	if !talk.headSent {
-		talk.head("text/event-stream")
+func (e *exchange) event(number int64) {
+	if !e.headSent {
+		e.head("text/event-stream")
 	}
-	fmt.Fprintf(talk.writer, "id: %d\ndata: %s\n\n", number, EventData(talk.attempt, number))
-	talk.flush()
+	fmt.Fprintf(e.writer, "id: %d\ndata: %s\n\n", number, EventData(e.attempt, number))
+	e.flush()
 }
 
-func (talk *exchange) flush() {
-	if flusher, can := talk.writer.(http.Flusher); can {
+func (e *exchange) flush() {
+	if flusher, can := e.writer.(http.Flusher); can {
 		flusher.Flush()
 	}
 }
 
 // finish ends an answer; false where it was broken on purpose.
-func (talk *exchange) finish() bool {
-	if talk.ask.Work == 0 {
-		if !talk.headSent {
-			talk.head("text/event-stream")
+func (e *exchange) finish() bool {
+	if e.ask.Work == 0 {
+		if !e.headSent {
+			e.head("text/event-stream")
 		}
 		return true
 	}
-	text := PlainBody(talk.attempt, talk.body)
-	talk.head("text/plain")
-	if talk.fate.surplus {
-		return talk.doubled(text)
+	text := PlainBody(e.attempt, e.body)
+	e.head("text/plain")
+	if e.fate.surplus {
+		return e.doubled(text)
 	}
-	talk.writer.Header().Set("Content-Length", strconv.Itoa(len(text)))
-	if talk.fate.cut {
-		_, _ = io.WriteString(talk.writer, text[:len(text)/2])
-		talk.flush()
+	e.writer.Header().Set("Content-Length", strconv.Itoa(len(text)))
+	if e.fate.cut {
+		_, _ = io.WriteString(e.writer, text[:len(text)/2])
+		e.flush()
 		panic(http.ErrAbortHandler)
 	}
-	_, _ = io.WriteString(talk.writer, text)
+	_, _ = io.WriteString(e.writer, text)
 	return true
 }
--- a/internal/tooling/workeremulator/beats.go
+++ b/internal/tooling/workeremulator/beats.go
@@ -57,33 +57,33 @@
 
 // Beat sends one heartbeat. The target of an earlier answer is called first, and is
 // forgotten once a beat fails there; then the controls come, by turns.
-func (beater *Beater) Beat() error { return beater.call("/-/Workers.Heartbeat/") }
+func (b *Beater) Beat() error { return b.call("/-/Workers.Heartbeat/") }
 
 // Depart says that the worker has gone.
-func (beater *Beater) Depart() error { return beater.call("/-/Workers.Depart/") }
+func (b *Beater) Depart() error { return b.call("/-/Workers.Depart/") }
 
-func (beater *Beater) call(path string) error {
-	beater.lock.Lock()
-	beater.count++
+func (b *Beater) call(path string) error {
+	b.lock.Lock()
+	b.count++
 	addresses := []string{}
-	if beater.target != "" {
-		addresses = append(addresses, beater.target)
+	if b.target != "" {
+		addresses = append(addresses, b.target)
 	}
-	for place := range beater.Controls {
-		addresses = append(addresses, beater.Controls[(beater.turn+place)%len(beater.Controls)])
+	for place := range b.Controls {
+		addresses = append(addresses, b.Controls[(b.turn+place)%len(b.Controls)])
 	}
-	beater.turn++
-	count, target := beater.count, beater.target
-	beater.lock.Unlock()
-	nodeSettings := &beater.Worker.Settings
-	body := beatBody{Backend: nodeSettings.Service, Address: beater.Address, Zone: nodeSettings.Zone, Generation: "v1", Capacity: nodeSettings.Shape.Capacity,
-		Phase: "steady", Stage: "both", Models: beater.Worker.models(), Count: count}
-	beater.Worker.lock.Lock()
-	body.WarmupMs = max(clock.ToMilliseconds(beater.Worker.warm.Since(beater.Worker.clockValue.Now())), 0)
-	if beater.Worker.leaving {
+	b.turn++
+	count, target := b.count, b.target
+	b.lock.Unlock()
+	nodeSettings := &b.Worker.Settings
+	body := beatBody{Backend: nodeSettings.Service, Address: b.Address, Zone: nodeSettings.Zone, Generation: "v1", Capacity: nodeSettings.Shape.Capacity,
+		Phase: "steady", Stage: "both", Models: b.Worker.models(), Count: count}
+	b.Worker.lock.Lock()
+	body.WarmupMs = max(clock.ToMilliseconds(b.Worker.warm.Since(b.Worker.clockValue.Now())), 0)
+	if b.Worker.leaving {
 		body.Phase = "draining"
 	}
-	beater.Worker.lock.Unlock()
+	b.Worker.lock.Unlock()
 	text, err := json.Marshal(body)
 	if err != nil {
 		return Unheard.Wrap(err, "body")
@@ -91,26 +91,26 @@
 	err = Unheard.New("nobody to call")
 	for _, address := range addresses {
 		var next string
-		if next, err = beater.send("http://"+address+path+nodeSettings.ID, text); err == nil {
-			beater.lock.Lock()
+		if next, err = b.send("http://"+address+path+nodeSettings.ID, text); err == nil {
+			b.lock.Lock()
 			if next != "" {
-				beater.target = next
+				b.target = next
 			}
-			beater.lock.Unlock()
+			b.lock.Unlock()
 			return nil
 		}
 		if address == target {
-			beater.lock.Lock()
-			beater.target = ""
-			beater.lock.Unlock()
+			b.lock.Lock()
+			b.target = ""
+			b.lock.Unlock()
 		}
 	}
 	return err
 }
 
 // send makes one call; an acknowledgement is a 2xx of bounded size in time.
-func (beater *Beater) send(url string, text []byte) (target string, err error) {
-	answer, err := beater.client.Post(url, "application/json", bytes.NewReader(text))
+func (b *Beater) send(url string, text []byte) (target string, err error) {
+	answer, err := b.client.Post(url, "application/json", bytes.NewReader(text))
 	if err != nil {
 		return "", Unheard.Wrap(err, "call")
 	}
@@ -131,19 +131,19 @@
 }
 
 // Keep sends heartbeats until the context ends.
-func (beater *Beater) Keep(until contexts.Context, period clock.Span) {
-	_ = beater.Beat()
-	clock.Every(period, until.Done(), func() { _ = beater.Beat() })
+func (b *Beater) Keep(until contexts.Context, period clock.Span) {
+	_ = b.Beat()
+	clock.Every(period, until.Done(), func() { _ = b.Beat() })
 }
 
 // LeaveInOrder says that the worker is draining, serves on for a while after that
 // was acknowledged, departs and ends.
-func (beater *Beater) LeaveInOrder(drain clock.Span) {
-	beater.Worker.Leave()
-	for tries := 0; beater.Beat() != nil && tries < len(beater.Controls)+2; tries++ {
+func (b *Beater) LeaveInOrder(drain clock.Span) {
+	b.Worker.Leave()
+	for tries := 0; b.Beat() != nil && tries < len(b.Controls)+2; tries++ {
 		clock.Sleep(constants.LabRetry)
 	}
 	clock.Sleep(drain + constants.EmulatorLeaveSlack)
-	_ = beater.Depart()
-	beater.Worker.End(constants.LabGrace)
+	_ = b.Depart()
+	b.Worker.End(constants.LabGrace)
 }
--- a/internal/tooling/workeremulator/beats_test.go
+++ b/internal/tooling/workeremulator/beats_test.go
@@ -11,7 +11,7 @@
 )
 
 // Beats carry a rising count, follow the told target, and forget it once it fails.
-func TestBeats(test *testing.T) {
+func TestBeats(t *testing.T) {
 	var lock sync.Mutex
 	var paths []string
 	var counts []int64
@@ -25,25 +25,25 @@
 			writer.WriteHeader(status)
 			fmt.Fprintf(writer, `{"beat-target":%s}`, strconv.Quote(target))
 		}))
-		test.Cleanup(server.Close)
+		t.Cleanup(server.Close)
 		return server
 	}
 	other := serve("other", "", 200)
 	first := serve("first", other.Listener.Addr().String(), 200)
-	worker, _, address, _ := start(test, plainSettings)
+	worker, _, address, _ := start(t, plainSettings)
 	beater := NewBeater(worker, address, []string{first.Listener.Addr().String()})
 	for count := 0; count < 2; count++ {
 		if err := beater.Beat(); err != nil {
-			test.Fatal(err)
+			t.Fatal(err)
 		}
 	}
 	other.Close()
 	worker.Leave()
 	if beater.Beat() != nil || beater.Depart() != nil {
-		test.Fatal("the first control still answers")
+		t.Fatal("the first control still answers")
 	}
 	want := "[first/-/Workers.Heartbeat/w1 steady other/-/Workers.Heartbeat/w1 steady first/-/Workers.Heartbeat/w1 draining first/-/Workers.Depart/w1 draining]"
 	if fmt.Sprint(paths) != want || fmt.Sprint(counts) != "[1 2 3 4]" {
-		test.Fatal(paths, counts)
+		t.Fatal(paths, counts)
 	}
 }
--- a/internal/tooling/workeremulator/cache.go
+++ b/internal/tooling/workeremulator/cache.go
@@ -57,94 +57,94 @@
 }
 
 // whole tells that a part need not be read.
-func (cache *cache) whole(part Part) bool {
-	one := cache.entries[part.Key]
+func (c *cache) whole(part Part) bool {
+	one := c.entries[part.Key]
 	return one != nil && one.whole
 }
 
 // read notes that a part was read to its end.
-func (cache *cache) read(part Part) {
-	if one := cache.entries[part.Key]; one != nil {
+func (c *cache) read(part Part) {
+	if one := c.entries[part.Key]; one != nil {
 		one.whole = true
 	}
 }
 
 // pin takes memory for parts, extra tokens included, next to what outputs hold.
-func (cache *cache) pin(parts []Part, extra, outputs int64) bool {
+func (c *cache) pin(parts []Part, extra, outputs int64) bool {
 	need := extra
 	for _, part := range parts {
-		if one := cache.entries[part.Key]; one != nil {
-			cache.grip(one, 1)
+		if one := c.entries[part.Key]; one != nil {
+			c.grip(one, 1)
 		} else {
 			need += part.Tokens
 		}
 	}
-	fits := cache.room(need, outputs)
+	fits := c.room(need, outputs)
 	for _, part := range parts {
-		one := cache.entries[part.Key]
+		one := c.entries[part.Key]
 		switch {
 		case one != nil && !fits:
-			cache.grip(one, -1)
+			c.grip(one, -1)
 		case one == nil && fits:
 			one = &entry{tokens: part.Tokens}
-			cache.entries[part.Key] = one
-			cache.held += part.Tokens
-			cache.grip(one, 1)
+			c.entries[part.Key] = one
+			c.held += part.Tokens
+			c.grip(one, 1)
 		}
 	}
 	return fits
 }
 
 // unpin lets parts go; those that were read stay kept until room is needed.
-func (cache *cache) unpin(parts []Part) {
+func (c *cache) unpin(parts []Part) {
 	for place := len(parts) - 1; place >= 0; place-- {
-		one := cache.entries[parts[place].Key]
+		one := c.entries[parts[place].Key]
 		if one == nil {
 			continue
 		}
-		cache.grip(one, -1)
-		cache.clockValue++
-		one.used = cache.clockValue
+		c.grip(one, -1)
+		c.clockValue++
+		one.used = c.clockValue
 		if one.pins == 0 && (!one.whole || strings.HasPrefix(parts[place].Key, "~")) {
-			cache.drop(parts[place].Key, one)
+			c.drop(parts[place].Key, one)
 		}
 	}
 }
 
 // room makes room for tokens; the parts unused for longest give way.
-func (cache *cache) room(tokens, outputs int64) bool {
-	if cache.limit <= 0 {
+func (c *cache) room(tokens, outputs int64) bool {
+	if c.limit <= 0 {
 		return true
 	}
-	if cache.pinned+outputs+tokens > cache.limit {
+	if c.pinned+outputs+tokens > c.limit {
 		return false
 	}
-	for cache.held+outputs+tokens > cache.limit {
+	for c.held+outputs+tokens > c.limit {
 		oldest := ""
-		for key, one := range cache.entries {
-			if one.pins == 0 && (oldest == "" || one.used < cache.entries[oldest].used) {
+		for key, one := range c.entries {
+			if one.pins == 0 && (oldest == "" || one.used < c.entries[oldest].used) {
 				oldest = key
 			}
 		}
-		cache.drop(oldest, cache.entries[oldest])
+		c.drop(oldest, c.entries[oldest])
 	}
 	return true
 }
 
-func (cache *cache) drop(key string, one *entry) {
-	cache.held -= one.tokens
-	delete(cache.entries, key)
+func (c *cache) drop(key string, one *entry) {
+	c.held -= one.tokens
+	delete(c.entries, key)
 }
 
 // grip counts who holds a part; what somebody holds can't give way.
-func (cache *cache) grip(one *entry, change int) {
+func (c *cache) grip(one *entry, change int) {
 	before := one.pins > 0
 	one.pins += change
 	switch after := one.pins > 0; {
 	case after && !before:
-		cache.pinned += one.tokens
+		c.pinned += one.tokens
 	case before && !after:
-		cache.pinned -= one.tokens
+		c.pinned -= one.tokens
 	}
 }
 
--- a/internal/tooling/workeremulator/calledoff_test.go
+++ b/internal/tooling/workeremulator/calledoff_test.go
@@ -16,28 +16,28 @@
 	reads int
 }
 
-func (raw *calledOff) Read(buffer []byte) (int, error) {
-	raw.reads++
-	if raw.reads == 1 {
+func (c *calledOff) Read(buffer []byte) (int, error) {
+	c.reads++
+	if c.reads == 1 {
 		return 0, os.ErrDeadlineExceeded
 	}
 	return copy(buffer, "x"), nil
 }
 
-func (raw *calledOff) Close() error { return nil }
+func (c *calledOff) Close() error { return nil }
 
 // The server calls a pending read off after an answer, at times only when the clock has
 // moved on: that must not count as a use of the connection.
-func TestReadCalledOffIsNoUse(test *testing.T) {
+func TestReadCalledOffIsNoUse(t *testing.T) {
 	clockValue := &hasty{now: clock.Moment(time.Second)}
 	worker := NewWorker(plainSettings, &Record{}, clockValue, 1)
 	worker.SetFaults(Faults{ForgetMs: 500})
 	one := &connection{Conn: &calledOff{}, listener: newLimitedListener(nil, worker), active: clockValue.Now()}
 	clockValue.After(time.Second, func() {})
 	if count, err := one.Read(make([]byte, 1)); count != 0 || err != os.ErrDeadlineExceeded {
-		test.Fatal(count, err)
+		t.Fatal(count, err)
 	}
 	if count, err := one.Read(make([]byte, 1)); count != 0 || err != net.ErrClosed {
-		test.Fatal("a forgotten connection was read from", count, err)
+		t.Fatal("a forgotten connection was read from", count, err)
 	}
 }
--- a/internal/tooling/workeremulator/engine.go
+++ b/internal/tooling/workeremulator/engine.go
@@ -43,38 +43,38 @@
 }
 
 // Step takes one event and gives what follows from it.
-func (engine *Engine) Step(event Event, now clock.Moment) []Effect {
-	engine.effects = nil
+func (e *Engine) Step(event Event, now clock.Moment) []Effect {
+	e.effects = nil
 	// What was due before the event comes first.
-	engine.catchUp(now)
+	e.catchUp(now)
 	switch event.Kind {
 	case EventArrive:
-		engine.arrive(event.Ask)
+		e.arrive(event.Ask)
 	case EventCancel:
-		engine.remove(event.Ticket)
+		e.remove(event.Ticket)
 	}
-	engine.expire(now)
-	engine.admit(now)
-	return engine.effects
+	e.expire(now)
+	e.admit(now)
+	return e.effects
 }
 
 // Next is when the next tick is due; false where nothing is under way.
-func (engine *Engine) Next() (clock.Moment, bool) {
+func (e *Engine) Next() (clock.Moment, bool) {
 	at, some := clock.Moment(0), false
 	earlier := func(moment clock.Moment) {
 		if !some || moment < at {
 			at, some = moment, true
 		}
 	}
-	if engine.tokens() > 0 {
-		earlier(engine.next)
+	if e.tokens() > 0 {
+		earlier(e.next)
 	}
-	for _, one := range engine.running {
+	for _, one := range e.running {
 		if one.ask.Work > 0 {
 			earlier(one.ends)
 		}
 	}
-	for _, list := range [][]*job{engine.running, engine.waiting} {
+	for _, list := range [][]*job{e.running, e.waiting} {
 		for _, one := range list {
 			if one.ask.Until > 0 {
 				earlier(one.ask.Until)
@@ -85,53 +85,53 @@
 }
 
 // State tells what is running and waiting, and what of the memory can't give way.
-func (engine *Engine) State() (running, waiting int, used int64) {
-	used = engine.cache.pinned
-	for _, one := range engine.running {
+func (e *Engine) State() (running, waiting int, used int64) {
+	used = e.cache.pinned
+	for _, one := range e.running {
 		used += one.out
 	}
-	return len(engine.running), len(engine.waiting), used
+	return len(e.running), len(e.waiting), used
 }
 
-func (engine *Engine) tell(kind EffectKind, one *job, number int64) {
-	engine.effects = append(engine.effects, Effect{kind, one.ask.Ticket, number})
+func (e *Engine) tell(kind EffectKind, one *job, number int64) {
+	e.effects = append(e.effects, Effect{kind, one.ask.Ticket, number})
 }
 
-func (engine *Engine) arrive(ask Ask) {
+func (e *Engine) arrive(ask Ask) {
 	one := &job{ask: ask, parts: partsOf(ask)}
 	if ask.Work == 0 {
 		// What the asker has already is read, not made again.
-		one.out = min(ask.From*int64(engine.shape.Stride), ask.Out)
+		one.out = min(ask.From*int64(e.shape.Stride), ask.Out)
 	}
-	tooLarge := ask.Work == 0 && engine.shape.CacheTokens > 0 && total(one.parts)+ask.Out > engine.shape.CacheTokens
-	if tooLarge || len(engine.running)+len(engine.waiting) >= engine.shape.Capacity+engine.shape.Queue {
-		engine.tell(EffectRefuse, one, 0)
+	tooLarge := ask.Work == 0 && e.shape.CacheTokens > 0 && total(one.parts)+ask.Out > e.shape.CacheTokens
+	if tooLarge || len(e.running)+len(e.waiting) >= e.shape.Capacity+e.shape.Queue {
+		e.tell(EffectRefuse, one, 0)
 		return
 	}
-	engine.waiting = append(engine.waiting, one)
+	e.waiting = append(e.waiting, one)
 }
 
 // admit lets waiting requests run in the order they came: engines know no ranks.
-func (engine *Engine) admit(now clock.Moment) {
-	for len(engine.waiting) > 0 && len(engine.running) < engine.shape.Capacity {
-		one := engine.waiting[0]
-		if one.ask.Work == 0 && !engine.hold(one) {
+func (e *Engine) admit(now clock.Moment) {
+	for len(e.waiting) > 0 && len(e.running) < e.shape.Capacity {
+		one := e.waiting[0]
+		if one.ask.Work == 0 && !e.hold(one) {
 			return
 		}
-		engine.waiting = engine.waiting[1:]
+		e.waiting = e.waiting[1:]
 		if one.ask.Work > 0 {
-			one.begun, one.ends = true, now.Plus(engine.slowed(one.ask.Work))
-			engine.tell(EffectBegin, one, 0)
-		} else if engine.tokens() == 0 {
-			engine.next = now.Plus(engine.stepSpan(1))
+			one.begun, one.ends = true, now.Plus(e.slowed(one.ask.Work))
+			e.tell(EffectBegin, one, 0)
+		} else if e.tokens() == 0 {
+			e.next = now.Plus(e.stepSpan(1))
 		}
-		engine.running = append(engine.running, one)
+		e.running = append(e.running, one)
 	}
 }
 
 // hold takes memory for a request and finds what of its prompt is kept.
-func (engine *Engine) hold(one *job) bool {
-	if !engine.cache.pin(one.parts, one.out, engine.outputs()) {
+func (e *Engine) hold(one *job) bool {
+	if !e.cache.pin(one.parts, one.out, e.outputs()) {
 		return false
 	}
 	one.pinned = true
@@ -139,9 +139,9 @@
 	kept := true
 	for place, part := range one.parts {
 		// A kept part counts only where all parts before it are kept as well.
-		kept = kept && engine.cache.whole(part)
+		kept = kept && e.cache.whole(part)
 		if kept {
-			engine.Reused += part.Tokens
+			e.Reused += part.Tokens
 		} else {
 			one.unread[place] = part.Tokens
 		}
@@ -150,17 +150,17 @@
 	return true
 }
 
-func (engine *Engine) outputs() int64 {
+func (e *Engine) outputs() int64 {
 	sum := int64(0)
-	for _, one := range engine.running {
+	for _, one := range e.running {
 		sum += one.out
 	}
 	return sum
 }
 
-func (engine *Engine) tokens() int {
+func (e *Engine) tokens() int {
 	count := 0
-	for _, one := range engine.running {
+	for _, one := range e.running {
 		if one.ask.Work == 0 {
 			count++
 		}
@@ -168,31 +168,31 @@
 	return count
 }
 
-func (engine *Engine) stepSpan(count int) clock.Span {
-	return max(engine.shape.Step+engine.shape.StepEach*clock.Span(count), 1)
+func (e *Engine) stepSpan(count int) clock.Span {
+	return max(e.shape.Step+e.shape.StepEach*clock.Span(count), 1)
 }
 
 // slowed: plain work takes up to twice as long on a full worker.
-func (engine *Engine) slowed(work clock.Span) clock.Span {
-	return work + work*clock.Span(len(engine.running))/clock.Span(max(engine.shape.Capacity, 1))
+func (e *Engine) slowed(work clock.Span) clock.Span {
+	return work + work*clock.Span(len(e.running))/clock.Span(max(e.shape.Capacity, 1))
 }
 
-func (engine *Engine) catchUp(now clock.Moment) {
-	for count := 0; count < constants.EmulatorEventLimit && engine.tokens() > 0 && engine.next <= now; count++ {
-		at, span := engine.next, engine.stepSpan(engine.tokens())
-		engine.round(span)
-		engine.admit(at)
-		engine.next = at.Plus(engine.stepSpan(max(engine.tokens(), 1)))
+func (e *Engine) catchUp(now clock.Moment) {
+	for count := 0; count < constants.EmulatorEventLimit && e.tokens() > 0 && e.next <= now; count++ {
+		at, span := e.next, e.stepSpan(e.tokens())
+		e.round(span)
+		e.admit(at)
+		e.next = at.Plus(e.stepSpan(max(e.tokens(), 1)))
 	}
 	var ended []*job
-	for _, one := range engine.running {
+	for _, one := range e.running {
 		if one.ask.Work > 0 && one.ends <= now {
 			ended = append(ended, one)
 		}
 	}
 	sort.SliceStable(ended, func(left, right int) bool { return ended[left].ends < ended[right].ends })
 	for _, one := range ended {
-		engine.tell(EffectFinish, one, 0)
-		engine.drop(one)
+		e.tell(EffectFinish, one, 0)
+		e.drop(one)
 	}
 }
--- a/internal/tooling/workeremulator/engine_test.go
+++ b/internal/tooling/workeremulator/engine_test.go
@@ -52,23 +52,23 @@
 func milliseconds(count float64) clock.Moment { return clock.Moment(clock.Milliseconds(count)) }
 
 // Each token comes more slowly as more requests run.
-func TestTokensSlowDownWithTheBatch(test *testing.T) {
+func TestTokensSlowDownWithTheBatch(t *testing.T) {
 	alone := drive(NewEngine(smallShape), map[clock.Moment][]Event{0: {arrive(1, 10, 40)}}, milliseconds(500))
 	full := drive(NewEngine(smallShape), map[clock.Moment][]Event{0: {arrive(1, 10, 40), arrive(2, 10, 40), arrive(3, 10, 40), arrive(4, 10, 40)}}, milliseconds(500))
 	first, second := of(alone, 1, EffectFinish), of(full, 1, EffectFinish)
 	if len(first) != 1 || len(second) != 1 || second[0].at < first[0].at*3/2 {
-		test.Fatal(first, second)
+		t.Fatal(first, second)
 	}
 }
 
 // A long prompt is read in pieces, between the tokens of others.
-func TestReadingGoesOnBetweenTokens(test *testing.T) {
+func TestReadingGoesOnBetweenTokens(t *testing.T) {
 	shape := smallShape
 	shape.ReadPerMs = 10
 	all := drive(NewEngine(shape), map[clock.Moment][]Event{0: {arrive(1, 10, 80)}, milliseconds(20): {arrive(2, 800, 4)}}, milliseconds(900))
 	begun := of(all, 2, EffectBegin)
 	if len(begun) != 1 || begun[0].at < milliseconds(90) {
-		test.Fatal("800 tokens at 10 a ms were read too soon", begun)
+		t.Fatal("800 tokens at 10 a ms were read too soon", begun)
 	}
 	between := 0
 	for _, event := range of(all, 1, EffectEvent) {
@@ -77,84 +77,84 @@
 		}
 	}
 	if between < 5 {
-		test.Fatal("the other stream stood still while the prompt was read", between)
+		t.Fatal("the other stream stood still while the prompt was read", between)
 	}
 }
 
 // Kept parts are not read again, provided that all before them are kept.
-func TestKeptPrefixIsNotReadAgain(test *testing.T) {
+func TestKeptPrefixIsNotReadAgain(t *testing.T) {
 	engine := NewEngine(smallShape)
 	shared, own := Part{"a", 300}, Part{"b", 100}
 	drive(engine, map[clock.Moment][]Event{0: {arrive(1, 400, 4, shared, own)}}, milliseconds(100))
 	if engine.ReadTokens != 400 || engine.Reused != 0 {
-		test.Fatal(engine.ReadTokens, engine.Reused)
+		t.Fatal(engine.ReadTokens, engine.Reused)
 	}
 	engine.Step(arrive(2, 400, 4, shared, Part{"c", 100}), milliseconds(101))
 	engine.Step(Event{}, milliseconds(200))
 	if engine.ReadTokens != 500 || engine.Reused != 300 {
-		test.Fatal("the shared part was read again", engine.ReadTokens, engine.Reused)
+		t.Fatal("the shared part was read again", engine.ReadTokens, engine.Reused)
 	}
 	// b is kept, but what stands before it here is not.
 	engine.Step(arrive(3, 150, 4, Part{"d", 50}, own), milliseconds(201))
 	engine.Step(Event{}, milliseconds(300))
 	if engine.ReadTokens != 650 || engine.Reused != 300 {
-		test.Fatal("a part counted as kept behind one that is not", engine.ReadTokens, engine.Reused)
+		t.Fatal("a part counted as kept behind one that is not", engine.ReadTokens, engine.Reused)
 	}
 }
 
 // The parts unused for longest give way.
-func TestOldestPartGivesWay(test *testing.T) {
+func TestOldestPartGivesWay(t *testing.T) {
 	engine := NewEngine(smallShape)
 	for place, key := range []string{"a", "b", "c", "a", "d"} {
 		engine.Step(arrive(int64(place), 300, 4, Part{key, 300}), milliseconds(float64(100*place)))
 		engine.Step(Event{}, milliseconds(float64(100*place+90)))
 	}
 	if !engine.cache.whole(Part{Key: "m/a"}) || engine.cache.whole(Part{Key: "m/b"}) || !engine.cache.whole(Part{Key: "m/d"}) {
-		test.Fatal(engine.cache.entries)
+		t.Fatal(engine.cache.entries)
 	}
 }
 
 // When memory runs out, the newest is put back, goes on later, and no event of its
 // stream is missing or doubled.
-func TestNewestIsPutBackAndGoesOn(test *testing.T) {
+func TestNewestIsPutBackAndGoesOn(t *testing.T) {
 	engine := NewEngine(smallShape)
 	all := drive(engine, map[clock.Moment][]Event{0: {arrive(1, 400, 200), arrive(2, 400, 200)}}, milliseconds(3000))
 	if engine.PutBacks == 0 || len(of(all, 1, EffectPutBack)) > 0 {
-		test.Fatal("the newest was not put back", engine.PutBacks)
+		t.Fatal("the newest was not put back", engine.PutBacks)
 	}
 	for _, ticket := range []int64{1, 2} {
-		follow(test, of(all, ticket, EffectEvent), 1, 50)
+		follow(t, of(all, ticket, EffectEvent), 1, 50)
 		if len(of(all, ticket, EffectFinish)) != 1 || len(of(all, ticket, EffectBegin)) != 1 {
-			test.Fatal("ticket", ticket, "did not finish once")
+			t.Fatal("ticket", ticket, "did not finish once")
 		}
 	}
 }
 
-func follow(test *testing.T, events []told, first, last int64) {
-	test.Helper()
+func follow(t *testing.T, events []told, first, last int64) {
+	t.Helper()
 	for place, event := range events {
 		if event.Number != first+int64(place) {
-			test.Fatal("event", event.Number, "at place", place)
+			t.Fatal("event", event.Number, "at place", place)
 		}
 	}
 	if int64(len(events)) != last-first+1 {
-		test.Fatal("events", len(events))
+		t.Fatal("events", len(events))
 	}
 }
 
-func TestResumeGoesOnBehindTheLastEvent(test *testing.T) {
+func TestResumeGoesOnBehindTheLastEvent(t *testing.T) {
 	event := arrive(1, 100, 40)
 	event.Ask.From = 3
 	all := drive(NewEngine(smallShape), map[clock.Moment][]Event{0: {event}}, milliseconds(300))
-	follow(test, of(all, 1, EffectEvent), 4, 10)
+	follow(t, of(all, 1, EffectEvent), 4, 10)
 	event.Ask.From = 10
 	all = drive(NewEngine(smallShape), map[clock.Moment][]Event{0: {event}}, milliseconds(300))
 	if len(of(all, 1, EffectEvent)) != 0 || len(of(all, 1, EffectFinish)) != 1 {
-		test.Fatal("nothing was left, and yet something came", all)
+		t.Fatal("nothing was left, and yet something came", all)
 	}
 }
 
-func TestFullTooLargeAndLate(test *testing.T) {
+func TestFullTooLargeAndLate(t *testing.T) {
 	var events []Event
 	for ticket := int64(1); ticket <= 7; ticket++ {
 		events = append(events, arrive(ticket, 10, 40))
@@ -164,13 +164,13 @@
 	late.Ask.Until = milliseconds(300)
 	all := drive(NewEngine(smallShape), map[clock.Moment][]Event{0: events, milliseconds(200): {large, late}}, milliseconds(400))
 	if len(of(all, 7, EffectRefuse)) != 1 || len(of(all, 6, EffectFinish)) != 1 || len(of(all, 8, EffectRefuse)) != 1 || len(of(all, 9, EffectExpire)) != 1 {
-		test.Fatal(all)
+		t.Fatal(all)
 	}
 }
 
 // Whatever comes in whatever order: places and memory keep their bounds, and every
 // request ends once, with all its events in order.
-func TestAnythingKeepsItsBounds(test *testing.T) {
+func TestAnythingKeepsItsBounds(t *testing.T) {
 	for seed := int64(0); seed < 30; seed++ {
 		random := rand.New(rand.NewSource(seed))
 		engine := NewEngine(smallShape)
@@ -181,7 +181,7 @@
 				switch effect.Kind {
 				case EffectEvent:
 					if effect.Number != last[effect.Ticket]+1 || !begun[effect.Ticket] {
-						test.Fatal("seed", seed, effect)
+						t.Fatal("seed", seed, effect)
 					}
 					last[effect.Ticket] = effect.Number
 				case EffectBegin:
@@ -192,7 +192,7 @@
 			}
 			running, waiting, used := engine.State()
 			if running > 4 || running+waiting > 6+1 || used > 1000 || engine.cache.held+engine.outputs() > 1000 {
-				test.Fatal("seed", seed, running, waiting, used, engine.cache.held)
+				t.Fatal("seed", seed, running, waiting, used, engine.cache.held)
 			}
 		}
 		now, count := clock.Moment(0), int64(0)
@@ -210,7 +210,7 @@
 		}
 		for ticket := int64(1); ticket <= count; ticket++ {
 			if ends[ticket] != 1 {
-				test.Fatal("seed", seed, "ticket", ticket, "ended", ends[ticket], "times")
+				t.Fatal("seed", seed, "ticket", ticket, "ended", ends[ticket], "times")
 			}
 		}
 	}
--- a/internal/tooling/workeremulator/faults.go
+++ b/internal/tooling/workeremulator/faults.go
@@ -37,19 +37,19 @@
 	ForgetMs float64 `toml:"forget-ms" json:"forget-ms,omitempty"`
 }
 
-func (faults *Faults) late() clock.Span   { return clock.Milliseconds(faults.LateMs) }
-func (faults *Faults) forget() clock.Span { return clock.Milliseconds(faults.ForgetMs) }
+func (f *Faults) late() clock.Span   { return clock.Milliseconds(f.LateMs) }
+func (f *Faults) forget() clock.Span { return clock.Milliseconds(f.ForgetMs) }
 
 // Check lists senseless values.
-func (faults *Faults) Check() []string {
+func (f *Faults) Check() []string {
 	var findings []string
-	for name, share := range map[string]float64{"fail": faults.Fail, "full": faults.Full, "hang": faults.Hang, "cut": faults.Cut,
-		"garble": faults.Garble, "surplus": faults.Surplus, "twice": faults.Twice, "skip": faults.Skip, "forge": faults.Forge, "never": faults.Never} {
+	for name, share := range map[string]float64{"fail": f.Fail, "full": f.Full, "hang": f.Hang, "cut": f.Cut,
+		"garble": f.Garble, "surplus": f.Surplus, "twice": f.Twice, "skip": f.Skip, "forge": f.Forge, "never": f.Never} {
 		if !(share >= 0 && share <= 1) {
 			findings = append(findings, name+" must lie between 0 and 1")
 		}
 	}
-	for name, value := range map[string]float64{"late-ms": faults.LateMs, "slow": faults.Slow, "forget-ms": faults.ForgetMs} {
+	for name, value := range map[string]float64{"late-ms": f.LateMs, "slow": f.Slow, "forget-ms": f.ForgetMs} {
 		if !(value >= 0) {
 			findings = append(findings, name+" must not be below 0")
 		}
--- a/internal/tooling/workeremulator/record.go
+++ b/internal/tooling/workeremulator/record.go
@@ -34,38 +34,38 @@
 }
 
 // Begin notes that a run has begun.
-func (record *Record) Begin(run Run) *Run {
-	record.lock.Lock()
-	defer record.lock.Unlock()
+func (r *Record) Begin(run Run) *Run {
+	r.lock.Lock()
+	defer r.lock.Unlock()
 	kept := &run
-	if len(record.runs) >= constants.EmulatorRunLimit {
+	if len(r.runs) >= constants.EmulatorRunLimit {
 		// Bounded: the check says that it saw only a part.
-		record.dropped++
+		r.dropped++
 		return kept
 	}
-	record.runs = append(record.runs, kept)
+	r.runs = append(r.runs, kept)
 	return kept
 }
 
 // End notes that a run gave its whole answer.
-func (record *Record) End(run *Run) {
-	record.lock.Lock()
-	defer record.lock.Unlock()
+func (r *Record) End(run *Run) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
 	run.Ended = true
 }
 
 // Of gives the runs whose attempt id begins with the prefix, and how many runs no
 // longer fitted into the record.
-func (record *Record) Of(prefix string) ([]Run, int) {
-	record.lock.Lock()
-	defer record.lock.Unlock()
+func (r *Record) Of(prefix string) ([]Run, int) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
 	runs := []Run{}
-	for _, run := range record.runs {
+	for _, run := range r.runs {
 		if strings.HasPrefix(run.Attempt, prefix) {
 			runs = append(runs, *run)
 		}
 	}
-	return runs, record.dropped
+	return runs, r.dropped
 }
 
 func sum(parts ...string) string {
--- a/internal/tooling/workeremulator/report.go
+++ b/internal/tooling/workeremulator/report.go
@@ -18,21 +18,21 @@
 
 // note keeps how things stand, and forgets all but what reports still need. The
 // lock is held.
-func (worker *Worker) note() {
-	now := worker.clockValue.Now()
-	running, waiting, used := worker.engine.State()
-	worker.history = append(worker.history, moment{now, running, waiting, used})
+func (w *Worker) note() {
+	now := w.clockValue.Now()
+	running, waiting, used := w.engine.State()
+	w.history = append(w.history, moment{now, running, waiting, used})
 	old := 0
-	for old+1 < len(worker.history) && worker.history[old+1].at.Plus(constants.EmulatorReportAge) <= now {
+	for old+1 < len(w.history) && w.history[old+1].at.Plus(constants.EmulatorReportAge) <= now {
 		old++
 	}
-	worker.history = worker.history[old:]
+	w.history = w.history[old:]
 }
 
 // stood gives how things stood a report's age ago. The lock is held.
-func (worker *Worker) stood() moment {
-	now, found := worker.clockValue.Now(), moment{}
-	for _, one := range worker.history {
+func (w *Worker) stood() moment {
+	now, found := w.clockValue.Now(), moment{}
+	for _, one := range w.history {
 		if one.at.Plus(constants.EmulatorReportAge) <= now {
 			found = one
 		}
@@ -58,24 +58,24 @@
 	Handled     int64         `json:"handled"`
 }
 
-func (worker *Worker) models() []modelReport {
-	if worker.Settings.Model == "" {
+func (w *Worker) models() []modelReport {
+	if w.Settings.Model == "" {
 		return []modelReport{}
 	}
-	return []modelReport{{Name: worker.Settings.Model, Generation: worker.Settings.Revision, Adapters: []string{}}}
+	return []modelReport{{Name: w.Settings.Model, Generation: w.Settings.Revision, Adapters: []string{}}}
 }
 
-func (worker *Worker) answerReport(writer http.ResponseWriter, _ *http.Request) {
-	worker.lock.Lock()
-	stood := worker.stood()
-	one := report{Stage: "both", Models: worker.models(), CallCount: worker.handled, Queued: stood.waiting, Active: stood.running, CacheUsed: stood.used,
-		CacheSize: worker.Settings.Shape.CacheTokens, Handled: worker.handled}
-	worker.lock.Unlock()
+func (w *Worker) answerReport(writer http.ResponseWriter, _ *http.Request) {
+	w.lock.Lock()
+	stood := w.stood()
+	one := report{Stage: "both", Models: w.models(), CallCount: w.handled, Queued: stood.waiting, Active: stood.running, CacheUsed: stood.used,
+		CacheSize: w.Settings.Shape.CacheTokens, Handled: w.handled}
+	w.lock.Unlock()
 	httpreply.JSON(writer, http.StatusOK, one)
 }
 
 // load is what Lemonarch-Worker-Load says. The lock is held.
-func (worker *Worker) load() string {
-	running, waiting, _ := worker.engine.State()
-	return strconv.Itoa(running) + "," + strconv.Itoa(waiting) + "," + strconv.Itoa(worker.Settings.Shape.Capacity)
+func (w *Worker) load() string {
+	running, waiting, _ := w.engine.State()
+	return strconv.Itoa(running) + "," + strconv.Itoa(waiting) + "," + strconv.Itoa(w.Settings.Shape.Capacity)
 }
--- a/internal/tooling/workeremulator/rim.go
+++ b/internal/tooling/workeremulator/rim.go
@@ -11,11 +11,11 @@
 )
 
 // garbled writes bytes that form no answer, where the fault asks for it.
-func (talk *exchange) garbled() bool {
-	if !talk.fate.garble {
+func (e *exchange) garbled() bool {
+	if !e.fate.garble {
 		return false
 	}
-	if connection := talk.hijack(); connection != nil {
+	if connection := e.hijack(); connection != nil {
 		_, _ = connection.Write([]byte("\x00this is no answer\r\n\r\n"))
 		connection.Close()
 	}
@@ -23,15 +23,15 @@
 }
 
 // doubled writes a whole answer, and the same once more behind it.
-func (talk *exchange) doubled(text string) bool {
+func (e *exchange) doubled(text string) bool {
 	answer := "HTTP/1.1 200 OK\r\n"
-	for name := range talk.writer.Header() {
+	for name := range e.writer.Header() {
 		if name != "Connection" {
-			answer += name + ": " + talk.writer.Header().Get(name) + "\r\n"
+			answer += name + ": " + e.writer.Header().Get(name) + "\r\n"
 		}
 	}
 	answer += fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(text), text)
-	connection := talk.hijack()
+	connection := e.hijack()
 	if connection == nil {
 		return false
 	}
@@ -40,8 +40,8 @@
 	return err == nil
 }
 
-func (talk *exchange) hijack() net.Conn {
-	hijacker, can := talk.writer.(http.Hijacker)
+func (e *exchange) hijack() net.Conn {
+	hijacker, can := e.writer.(http.Hijacker)
 	if !can {
 		return nil
 	}
@@ -53,14 +53,14 @@
 }
 
 // answerProbe waits for a slot as a request does, and says whether the worker is well.
-func (worker *Worker) answerProbe(writer http.ResponseWriter, request *http.Request) {
-	ticket, one := worker.enter(Ask{Work: 1}, Run{})
-	defer worker.leave(ticket)
+func (w *Worker) answerProbe(writer http.ResponseWriter, request *http.Request) {
+	ticket, one := w.enter(Ask{Work: 1}, Run{})
+	defer w.leave(ticket)
 	for done := false; !done; {
 		select {
 		case effect := <-one.effects:
 			if effect.Kind == EffectRefuse {
-				worker.notRun(writer, http.StatusServiceUnavailable, "full")
+				w.notRun(writer, http.StatusServiceUnavailable, "full")
 				return
 			}
 			done = effect.Kind == EffectFinish
@@ -68,11 +68,11 @@
 			return
 		}
 	}
-	worker.lock.Lock()
-	well := !worker.leaving != worker.faults.Lying
-	load := worker.load()
-	worker.lock.Unlock()
-	writer.Header().Set(headerID, worker.Settings.ID)
+	w.lock.Lock()
+	well := !w.leaving != w.faults.Lying
+	load := w.load()
+	w.lock.Unlock()
+	writer.Header().Set(headerID, w.Settings.ID)
 	writer.Header().Set(headerLoad, load)
 	status := http.StatusOK
 	if !well {
@@ -94,20 +94,20 @@
 }
 
 // Accept gives the next connection within the limit.
-func (listener *limitedListener) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
-		raw, err := listener.Listener.Accept()
+		raw, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		one := &connection{Conn: raw, listener: listener, active: listener.worker.clockValue.Now()}
-		listener.lock.Lock()
-		limit := listener.worker.Settings.ConnLimit
-		full := limit > 0 && len(listener.open) >= limit
+		one := &connection{Conn: raw, listener: l, active: l.worker.clockValue.Now()}
+		l.lock.Lock()
+		limit := l.worker.Settings.ConnLimit
+		full := limit > 0 && len(l.open) >= limit
 		if !full {
-			listener.open[one] = true
+			l.open[one] = true
 		}
-		listener.lock.Unlock()
+		l.lock.Unlock()
 		if full {
 			one.reset()
 			continue
@@ -117,14 +117,14 @@
 }
 
 // reset ends every connection with a reset.
-func (listener *limitedListener) reset() {
-	listener.Listener.Close()
-	listener.lock.Lock()
+func (l *limitedListener) reset() {
+	l.Listener.Close()
+	l.lock.Lock()
 	var all []*connection
-	for one := range listener.open {
+	for one := range l.open {
 		all = append(all, one)
 	}
-	listener.lock.Unlock()
+	l.lock.Unlock()
 	for _, one := range all {
 		one.reset()
 	}
@@ -141,46 +141,46 @@
 // Read notes that bytes came; what comes on a forgotten connection is reset. A read that
 // ends without bytes is no use of the connection: the server calls a pending read off
 // after each answer, which the other side can't see.
-func (one *connection) Read(buffer []byte) (int, error) {
-	count, err := one.Conn.Read(buffer)
+func (c *connection) Read(buffer []byte) (int, error) {
+	count, err := c.Conn.Read(buffer)
 	if count == 0 {
 		return 0, err
 	}
-	worker := one.listener.worker
+	worker := c.listener.worker
 	worker.lock.Lock()
 	forget := worker.faults.forget()
 	worker.lock.Unlock()
 	now := worker.clockValue.Now()
-	one.lock.Lock()
-	forgotten := forget > 0 && now.Since(one.active) > forget
-	one.active = now
-	one.lock.Unlock()
+	c.lock.Lock()
+	forgotten := forget > 0 && now.Since(c.active) > forget
+	c.active = now
+	c.lock.Unlock()
 	if forgotten {
-		one.reset()
+		c.reset()
 		return 0, net.ErrClosed
 	}
 	return count, err
 }
 
 // Write notes that the connection is in use.
-func (one *connection) Write(buffer []byte) (int, error) {
-	one.lock.Lock()
-	one.active = one.listener.worker.clockValue.Now()
-	one.lock.Unlock()
-	return one.Conn.Write(buffer)
+func (c *connection) Write(buffer []byte) (int, error) {
+	c.lock.Lock()
+	c.active = c.listener.worker.clockValue.Now()
+	c.lock.Unlock()
+	return c.Conn.Write(buffer)
 }
 
 // Close gives its place back.
-func (one *connection) Close() error {
-	one.listener.lock.Lock()
-	delete(one.listener.open, one)
-	one.listener.lock.Unlock()
-	return one.Conn.Close()
+func (c *connection) Close() error {
+	c.listener.lock.Lock()
+	delete(c.listener.open, c)
+	c.listener.lock.Unlock()
+	return c.Conn.Close()
 }
 
-func (one *connection) reset() {
-	if socket, is := one.Conn.(*net.TCPConn); is {
+func (c *connection) reset() {
+	if socket, is := c.Conn.(*net.TCPConn); is {
 		_ = socket.SetLinger(0)
 	}
-	one.Close()
+	c.Close()
 }
