--- a/internal/tooling/workeremulator/round.go
+++ b/internal/tooling/workeremulator/round.go
@@ -3,21 +3,21 @@
 import "lemonarch/internal/platform/clock"
 
 // round is one token of every running request, and one piece of reading.
-func (engine *Engine) round(span clock.Span) {
-	budget := int64(engine.shape.ReadPerMs * clock.ToMilliseconds(span))
+func (e *Engine) round(span clock.Span) {
+	budget := int64(e.shape.ReadPerMs * clock.ToMilliseconds(span))
 	// A copy: the round itself takes requests out of the list.
-	for _, one := range append([]*job(nil), engine.running...) {
+	for _, one := range append([]*job(nil), e.running...) {
 		if one.ask.Work > 0 || !one.pinned {
 			continue
 		}
-		if engine.read(one, &budget) {
-			engine.token(one)
+		if e.read(one, &budget) {
+			e.token(one)
 		}
 	}
 }
 
 // read reads as much of a prompt as the budget allows; true once nothing is left.
-func (engine *Engine) read(one *job, budget *int64) bool {
+func (e *Engine) read(one *job, budget *int64) bool {
 	did := false
 	for place := range one.unread {
 		if one.unread[place] == 0 {
@@ -27,29 +27,29 @@
 		piece := min(*budget, one.unread[place])
 		one.unread[place] -= piece
 		*budget -= piece
-		engine.ReadTokens += piece
+		e.ReadTokens += piece
 		if one.unread[place] > 0 {
 			return false
 		}
-		engine.cache.read(one.parts[place])
+		e.cache.read(one.parts[place])
 	}
 	if one.again > 0 {
 		did = true
 		piece := min(*budget, one.again)
 		one.again -= piece
 		*budget -= piece
-		engine.ReadTokens += piece
+		e.ReadTokens += piece
 	}
 	// The token comes with the next step: this one went into reading.
 	return !did
 }
 
 // token makes one token of a request, which may need room from others.
-func (engine *Engine) token(one *job) {
+func (e *Engine) token(one *job) {
 	if one.out < one.ask.Out {
-		for !engine.cache.room(1, engine.outputs()) {
-			newest := engine.newest()
-			engine.putBack(newest)
+		for !e.cache.room(1, e.outputs()) {
+			newest := e.newest()
+			e.putBack(newest)
 			if newest == one {
 				return
 			}
@@ -58,23 +58,23 @@
 	}
 	if !one.begun {
 		one.begun = true
-		engine.tell(EffectBegin, one, 0)
+		e.tell(EffectBegin, one, 0)
 	}
-	stride := int64(engine.shape.Stride)
+	stride := int64(e.shape.Stride)
 	whole := one.out == one.ask.Out
 	if number := (one.out + stride - 1) / stride; number > one.ask.From && (one.out%stride == 0 || whole) {
-		engine.tell(EffectEvent, one, number)
+		e.tell(EffectEvent, one, number)
 	}
 	if whole {
-		engine.tell(EffectFinish, one, 0)
-		engine.drop(one)
+		e.tell(EffectFinish, one, 0)
+		e.drop(one)
 	}
 }
 
-func (engine *Engine) newest() *job {
-	for place := len(engine.running) - 1; place >= 0; place-- {
-		if engine.running[place].ask.Work == 0 {
-			return engine.running[place]
+func (e *Engine) newest() *job {
+	for place := len(e.running) - 1; place >= 0; place-- {
+		if e.running[place].ask.Work == 0 {
+			return e.running[place]
 		}
 	}
 	return nil
@@ -82,45 +82,45 @@
 
 // putBack sets a request to the head of the queue; what it has made stays told, and
 // is read anew with its prompt.
-func (engine *Engine) putBack(one *job) {
-	engine.PutBacks++
-	engine.tell(EffectPutBack, one, 0)
-	engine.drop(one)
-	engine.waiting = append([]*job{one}, engine.waiting...)
+func (e *Engine) putBack(one *job) {
+	e.PutBacks++
+	e.tell(EffectPutBack, one, 0)
+	e.drop(one)
+	e.waiting = append([]*job{one}, e.waiting...)
 }
 
 // drop takes a running request out and lets its memory go; read parts stay kept.
-func (engine *Engine) drop(one *job) {
-	for place, other := range engine.running {
+func (e *Engine) drop(one *job) {
+	for place, other := range e.running {
 		if other == one {
-			engine.running = append(engine.running[:place:place], engine.running[place+1:]...)
+			e.running = append(e.running[:place:place], e.running[place+1:]...)
 			break
 		}
 	}
 	if one.pinned {
-		engine.cache.unpin(one.parts)
+		e.cache.unpin(one.parts)
 		one.pinned = false
 	}
 }
 
 // remove forgets a request, wherever it stands.
-func (engine *Engine) remove(ticket int64) {
-	for _, one := range engine.running {
+func (e *Engine) remove(ticket int64) {
+	for _, one := range e.running {
 		if one.ask.Ticket == ticket {
-			engine.drop(one)
+			e.drop(one)
 			return
 		}
 	}
-	for place, one := range engine.waiting {
+	for place, one := range e.waiting {
 		if one.ask.Ticket == ticket {
-			engine.waiting = append(engine.waiting[:place:place], engine.waiting[place+1:]...)
+			e.waiting = append(e.waiting[:place:place], e.waiting[place+1:]...)
 			return
 		}
 	}
 }
 
-func (engine *Engine) expire(now clock.Moment) {
-	for _, list := range [][]*job{engine.running, engine.waiting} {
+func (e *Engine) expire(now clock.Moment) {
+	for _, list := range [][]*job{e.running, e.waiting} {
 		for _, one := range append([]*job(nil), list...) {
 			if one.ask.Until == 0 || now < one.ask.Until {
 				continue
@@ -130,8 +130,8 @@
 				// Without a first token it has not run, and may say so.
 				kind = EffectRefuse
 			}
-			engine.tell(kind, one, 0)
-			engine.remove(one.ask.Ticket)
+			e.tell(kind, one, 0)
+			e.remove(one.ask.Ticket)
 		}
 	}
 }
--- a/internal/tooling/workeremulator/sender_test.go
+++ b/internal/tooling/workeremulator/sender_test.go
@@ -26,13 +26,13 @@
 ],"backends":[{"name":"s","conn-limit":50}],"limits":{"max-header-bytes":8192,"max-body-bytes":1000,"header-wait-ms":3000,"idle-ms":5000}}`
 
 // edge puts the real data plane in front of emulated workers; the first is preferred.
-func edge(test *testing.T, addresses ...string) string {
+func edge(t *testing.T, addresses ...string) string {
 	scheduler := admission.New(messages.Entry{Name: "n", Role: membership.RoleGateway, Zone: "h"}, time.Second)
 	sender := proxy.Sender{Scheduler: scheduler, Pool: workerconn.NewPool(), Budget: func(messages.Worker) int { return 20 }}
 	plane := proxy.New(sender, nil, hclog.NewNullLogger())
 	config, err := routeconfig.Parse([]byte(senderConfig))
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	plane.SetConfig(config)
 	var list []messages.Worker
@@ -41,11 +41,11 @@
 	}
 	scheduler.Merge(list, clock.Now())
 	server := httptest.NewServer(plane)
-	test.Cleanup(server.Close)
+	t.Cleanup(server.Close)
 	return server.Listener.Addr().String()
 }
 
-func through(test *testing.T, address, path string) (*http.Response, string, error) {
+func through(t *testing.T, address, path string) (*http.Response, string, error) {
 	request, _ := http.NewRequest(http.MethodPost, "http://"+address+path, strings.NewReader("body"))
 	request.Host = "h"
 	for name, value := range map[string]string{headerAttempt: "one", headerTokens: "20,32", headerPrefix: "a:10", headerModel: "m", headerTimeLeft: "3000"} {
@@ -69,34 +69,34 @@
 }
 
 // Our own sender and streams take an emulated worker for a real one.
-func TestSenderTakesTheStream(test *testing.T) {
-	_, record, address, _ := start(test, engineSettings)
-	answer, body, err := through(test, edge(test, address), "/rigid/x")
+func TestSenderTakesTheStream(t *testing.T) {
+	_, record, address, _ := start(t, engineSettings)
+	answer, body, err := through(t, edge(t, address), "/rigid/x")
 	if err != nil || answer.StatusCode != 200 || body != whole("one") {
-		test.Fatal(answer, body, err)
+		t.Fatal(answer, body, err)
 	}
 	if _, holds := Sealed(answer.Header.Get(headerSeal), "one"); !holds {
-		test.Fatal(answer.Header)
+		t.Fatal(answer.Header)
 	}
 	if runs, _ := record.Of(""); len(runs) != 1 || !runs[0].Ended {
-		test.Fatal(runs)
+		t.Fatal(runs)
 	}
 }
 
 // A stream that the first worker cuts goes on at the second, behind its last event.
-func TestSenderGoesOnElsewhere(test *testing.T) {
-	first, before, firstAddress, _ := start(test, engineSettings)
+func TestSenderGoesOnElsewhere(t *testing.T) {
+	first, before, firstAddress, _ := start(t, engineSettings)
 	first.SetFaults(Faults{Cut: 1})
 	nodeSettings := engineSettings
 	nodeSettings.ID = "w2"
-	_, after, secondAddress, _ := start(test, nodeSettings)
-	answer, body, err := through(test, edge(test, firstAddress, secondAddress), "/stream/x")
+	_, after, secondAddress, _ := start(t, nodeSettings)
+	answer, body, err := through(t, edge(t, firstAddress, secondAddress), "/stream/x")
 	if err != nil || answer.StatusCode != 200 || body != whole("one") {
-		test.Fatal(answer, body, err)
+		t.Fatal(answer, body, err)
 	}
 	runs, _ := before.Of("")
 	more, _ := after.Of("")
 	if len(runs) != 1 || len(more) != 1 || more[0].From != 4 {
-		test.Fatal(runs, more)
+		t.Fatal(runs, more)
 	}
 }
--- a/internal/tooling/workeremulator/warmup_test.go
+++ b/internal/tooling/workeremulator/warmup_test.go
@@ -8,24 +8,24 @@
 )
 
 // A worker is slow for its warm-up, says so in its beats, and is itself afterwards.
-func TestWarmup(test *testing.T) {
+func TestWarmup(t *testing.T) {
 	nodeSettings := engineSettings
 	nodeSettings.Warmup = time.Second
 	clockValue := &hasty{now: clock.Moment(time.Second)}
 	var later func()
 	worker := NewWorker(nodeSettings, &Record{}, holding{clockValue, &later}, 1)
 	if worker.engine.shape.Step != 2*smallShape.Step || worker.warm.Since(clockValue.Now()) != time.Second {
-		test.Fatal(worker.engine.shape, worker.warm)
+		t.Fatal(worker.engine.shape, worker.warm)
 	}
 	worker.SetFaults(Faults{Slow: 3})
 	if worker.engine.shape.Step != 6*smallShape.Step {
-		test.Fatal("trouble and warm-up do not add up", worker.engine.shape)
+		t.Fatal("trouble and warm-up do not add up", worker.engine.shape)
 	}
 	worker.SetFaults(Faults{})
 	clockValue.now = clock.Moment(2 * time.Second)
 	later()
 	if worker.engine.shape.Step != smallShape.Step || worker.engine.shape.ReadPerMs != smallShape.ReadPerMs {
-		test.Fatal("slow for ever", worker.engine.shape)
+		t.Fatal("slow for ever", worker.engine.shape)
 	}
 }
 
@@ -35,4 +35,4 @@
 	later *func()
 }
 
-func (clockValue holding) After(_ clock.Span, function func()) { *clockValue.later = function }
+func (h holding) After(_ clock.Span, function func()) { *h.later = function }
--- a/internal/tooling/workeremulator/worker.go
+++ b/internal/tooling/workeremulator/worker.go
@@ -99,131 +99,131 @@
 }
 
 // Handler answers requests without any socket, for tests of what stands in front.
-func (worker *Worker) Handler() http.Handler { return worker.server.Handler }
+func (w *Worker) Handler() http.Handler { return w.server.Handler }
 
 // Serve takes connections until the worker ends.
-func (worker *Worker) Serve(listener net.Listener) {
-	limited := newLimitedListener(listener, worker)
-	worker.lock.Lock()
-	worker.listener = limited
-	worker.lock.Unlock()
-	_ = worker.server.Serve(limited)
+func (w *Worker) Serve(listener net.Listener) {
+	limited := newLimitedListener(listener, w)
+	w.lock.Lock()
+	w.listener = limited
+	w.lock.Unlock()
+	_ = w.server.Serve(limited)
 }
 
 // SetFaults switches troubles on and off.
-func (worker *Worker) SetFaults(faults Faults) {
-	worker.lock.Lock()
-	defer worker.lock.Unlock()
-	worker.faults = faults
-	worker.pace()
+func (w *Worker) SetFaults(faults Faults) {
+	w.lock.Lock()
+	defer w.lock.Unlock()
+	w.faults = faults
+	w.pace()
 }
 
 // pace sets how fast the engine is just now. The lock is held.
-func (worker *Worker) pace() {
-	slow := max(worker.faults.Slow, 1)
-	if worker.clockValue.Now() < worker.warm {
+func (w *Worker) pace() {
+	slow := max(w.faults.Slow, 1)
+	if w.clockValue.Now() < w.warm {
 		slow *= constants.EmulatorWarmupSlow
 	}
-	shape := worker.Settings.Shape
-	worker.engine.shape.Step, worker.engine.shape.StepEach = clock.Span(float64(shape.Step)*slow), clock.Span(float64(shape.StepEach)*slow)
-	worker.engine.shape.ReadPerMs = shape.ReadPerMs / slow
+	shape := w.Settings.Shape
+	w.engine.shape.Step, w.engine.shape.StepEach = clock.Span(float64(shape.Step)*slow), clock.Span(float64(shape.StepEach)*slow)
+	w.engine.shape.ReadPerMs = shape.ReadPerMs / slow
 }
 
 // Crash ends a worker without a word: every connection is reset.
-func (worker *Worker) Crash() {
-	worker.lock.Lock()
-	worker.ended = true
-	listener := worker.listener
-	worker.lock.Unlock()
+func (w *Worker) Crash() {
+	w.lock.Lock()
+	w.ended = true
+	listener := w.listener
+	w.lock.Unlock()
 	if listener != nil {
 		listener.reset()
 	}
-	worker.server.Close()
+	w.server.Close()
 }
 
 // End closes a worker that has left in order; what still runs may finish within the span.
-func (worker *Worker) End(span clock.Span) {
+func (w *Worker) End(span clock.Span) {
 	limited, release := contexts.Timed(contexts.Background(), span)
 	defer release()
-	if worker.server.Shutdown(limited) != nil {
-		worker.server.Close()
+	if w.server.Shutdown(limited) != nil {
+		w.server.Close()
 	}
-	worker.lock.Lock()
-	defer worker.lock.Unlock()
-	worker.ended = true
+	w.lock.Lock()
+	defer w.lock.Unlock()
+	w.ended = true
 }
 
 // Leave makes it say Connection: close, and say that it is draining.
-func (worker *Worker) Leave() {
-	worker.lock.Lock()
-	defer worker.lock.Unlock()
-	worker.leaving = true
+func (w *Worker) Leave() {
+	w.lock.Lock()
+	defer w.lock.Unlock()
+	w.leaving = true
 }
 
 // chance draws whether a fault meets a request. The lock is held.
-func (worker *Worker) chance(share float64) bool { return share > 0 && worker.random.Float64() < share }
+func (w *Worker) chance(share float64) bool { return share > 0 && w.random.Float64() < share }
 
 // enter hands a request to the engine and gives where its effects come.
-func (worker *Worker) enter(ask Ask, about Run) (int64, *waiter) {
-	worker.lock.Lock()
-	defer worker.lock.Unlock()
-	worker.ticket++
-	ask.Ticket = worker.ticket
+func (w *Worker) enter(ask Ask, about Run) (int64, *waiter) {
+	w.lock.Lock()
+	defer w.lock.Unlock()
+	w.ticket++
+	ask.Ticket = w.ticket
 	// Room for all effects of one request: the engine never waits for a connection.
-	one := &waiter{effects: make(chan Effect, 8+Events(ask.Out, worker.engine.shape.Stride)), about: about}
-	worker.waiters[ask.Ticket] = one
-	worker.step(Event{Kind: EventArrive, Ask: ask})
+	one := &waiter{effects: make(chan Effect, 8+Events(ask.Out, w.engine.shape.Stride)), about: about}
+	w.waiters[ask.Ticket] = one
+	w.step(Event{Kind: EventArrive, Ask: ask})
 	return ask.Ticket, one
 }
 
 // leave takes a request back whose connection has closed.
-func (worker *Worker) leave(ticket int64) {
-	worker.lock.Lock()
-	defer worker.lock.Unlock()
-	delete(worker.waiters, ticket)
-	worker.step(Event{Kind: EventCancel, Ticket: ticket})
+func (w *Worker) leave(ticket int64) {
+	w.lock.Lock()
+	defer w.lock.Unlock()
+	delete(w.waiters, ticket)
+	w.step(Event{Kind: EventCancel, Ticket: ticket})
 }
 
 // step runs the engine and hands out its effects. The lock is held.
-func (worker *Worker) step(event Event) {
-	for _, effect := range worker.engine.Step(event, worker.clockValue.Now()) {
-		one := worker.waiters[effect.Ticket]
+func (w *Worker) step(event Event) {
+	for _, effect := range w.engine.Step(event, w.clockValue.Now()) {
+		one := w.waiters[effect.Ticket]
 		if one == nil || effect.Kind == EffectPutBack {
 			continue
 		}
 		if effect.Kind == EffectBegin && one.about.Attempt != "" {
-			one.run = worker.record.Begin(one.about)
-			if worker.chance(worker.faults.Twice) {
-				worker.record.Begin(one.about)
+			one.run = w.record.Begin(one.about)
+			if w.chance(w.faults.Twice) {
+				w.record.Begin(one.about)
 			}
 		}
 		one.effects <- effect
 		switch effect.Kind {
 		case EffectFinish, EffectRefuse, EffectExpire:
-			delete(worker.waiters, effect.Ticket)
+			delete(w.waiters, effect.Ticket)
 		}
 	}
-	worker.note()
-	worker.arm()
+	w.note()
+	w.arm()
 }
 
 // arm sets a timer for the engine's next tick, if none rings by then. The lock is held.
-func (worker *Worker) arm() {
-	at, some := worker.engine.Next()
-	if !some || worker.ended || (worker.timer > 0 && worker.timer <= at) {
+func (w *Worker) arm() {
+	at, some := w.engine.Next()
+	if !some || w.ended || (w.timer > 0 && w.timer <= at) {
 		return
 	}
-	now := worker.clockValue.Now()
-	worker.timer = max(at, now+1)
-	mine := worker.timer
-	worker.clockValue.After(worker.timer.Since(now), func() {
-		worker.lock.Lock()
-		defer worker.lock.Unlock()
-		if worker.timer != mine || worker.ended {
+	now := w.clockValue.Now()
+	w.timer = max(at, now+1)
+	mine := w.timer
+	w.clockValue.After(w.timer.Since(now), func() {
+		w.lock.Lock()
+		defer w.lock.Unlock()
+		if w.timer != mine || w.ended {
 			// A later call asked for an earlier tick, and that one has taken over.
 			return
 		}
-		worker.timer = 0
-		worker.step(Event{Kind: EventTick})
+		w.timer = 0
+		w.step(Event{Kind: EventTick})
 	})
 }
--- a/internal/tooling/workeremulator/worker_test.go
+++ b/internal/tooling/workeremulator/worker_test.go
@@ -22,32 +22,32 @@
 	now  clock.Moment
 }
 
-func (clockValue *hasty) Now() clock.Moment {
-	clockValue.lock.Lock()
-	defer clockValue.lock.Unlock()
-	return clockValue.now
+func (h *hasty) Now() clock.Moment {
+	h.lock.Lock()
+	defer h.lock.Unlock()
+	return h.now
 }
 
-func (clockValue *hasty) After(span clock.Span, function func()) {
-	clockValue.lock.Lock()
-	clockValue.now = clockValue.now.Plus(span)
-	clockValue.lock.Unlock()
+func (h *hasty) After(span clock.Span, function func()) {
+	h.lock.Lock()
+	h.now = h.now.Plus(span)
+	h.lock.Unlock()
 	go function()
 }
 
 var engineSettings = Settings{ID: "w1", Service: "s", Model: "m", Probe: "/health", Revision: 1, Shape: smallShape}
 var plainSettings = Settings{ID: "w1", Service: "s", Probe: "/health", Work: 10 * time.Millisecond, Shape: Shape{Capacity: 4, Queue: 2}}
 
-func start(test *testing.T, nodeSettings Settings) (*Worker, *Record, string, *hasty) {
-	test.Helper()
+func start(t *testing.T, nodeSettings Settings) (*Worker, *Record, string, *hasty) {
+	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	record, clockValue := &Record{}, &hasty{now: clock.Moment(time.Second)}
 	worker := NewWorker(nodeSettings, record, clockValue, 1)
 	go worker.Serve(listener)
-	test.Cleanup(worker.Crash)
+	t.Cleanup(worker.Crash)
 	return worker, record, listener.Addr().String(), clockValue
 }
 
@@ -67,95 +67,95 @@
 	return answer, string(body), err
 }
 
-func TestStreamSealAndRecord(test *testing.T) {
-	_, record, address, _ := start(test, engineSettings)
+func TestStreamSealAndRecord(t *testing.T) {
+	_, record, address, _ := start(t, engineSettings)
 	answer, body, err := ask(address, "one", headerTokens, "20,12", headerPrefix, "a:10", headerModel, "m", headerTarget, "w1", headerLast, "1")
 	want := fmt.Sprintf("id: 2\ndata: %s\n\nid: 3\ndata: %s\n\n", EventData("one", 2), EventData("one", 3))
 	if err != nil || body != want || answer.Header.Get(headerAttempt) != "one" || answer.Header.Get(headerLoad) == "" || answer.Header.Get("Keep-Alive") == "" {
-		test.Fatal(answer, body, err)
+		t.Fatal(answer, body, err)
 	}
 	if worker, holds := Sealed(answer.Header.Get(headerSeal), "one"); !holds || worker != "w1" {
-		test.Fatal(answer.Header)
+		t.Fatal(answer.Header)
 	}
 	runs, _ := record.Of("on")
 	if len(runs) != 1 || runs[0].From != 1 || runs[0].Path != "/a/b" || runs[0].Body != BodySum([]byte("body")) {
-		test.Fatal(runs)
+		t.Fatal(runs)
 	}
 }
 
-func TestWhatDidNotRunSaysSo(test *testing.T) {
-	worker, record, address, _ := start(test, plainSettings)
+func TestWhatDidNotRunSaysSo(t *testing.T) {
+	worker, record, address, _ := start(t, plainSettings)
 	for name, header := range map[string][]string{
 		"target": {headerTarget, "w2"}, "revision": {headerRevision, "7"}, "late": {headerTimeLeft, "0"},
 	} {
 		answer, _, err := ask(address, "one", header...)
 		if err != nil || answer.Header.Get(headerNotRun) == "" {
-			test.Fatal(name, answer, err)
+			t.Fatal(name, answer, err)
 		}
 	}
 	worker.SetFaults(Faults{Full: 1})
 	if answer, _, err := ask(address, "one"); err != nil || answer.StatusCode != 503 || answer.Header.Get(headerNotRun) == "" {
-		test.Fatal(answer, err)
+		t.Fatal(answer, err)
 	}
 	if answer, _, err := ask(address, ""); err != nil || answer.StatusCode != 400 {
-		test.Fatal(answer, err)
+		t.Fatal(answer, err)
 	}
 	if runs, _ := record.Of(""); len(runs) != 0 {
-		test.Fatal("something ran", runs)
+		t.Fatal("something ran", runs)
 	}
 }
 
-func TestProbeAndItsLies(test *testing.T) {
-	worker, _, address, _ := start(test, plainSettings)
+func TestProbeAndItsLies(t *testing.T) {
+	worker, _, address, _ := start(t, plainSettings)
 	get := func(path string) (int, string, http.Header) {
 		answer, err := http.Get("http://" + address + path)
 		if err != nil {
-			test.Fatal(err)
+			t.Fatal(err)
 		}
 		defer answer.Body.Close()
 		body, _ := io.ReadAll(answer.Body)
 		return answer.StatusCode, string(body), answer.Header
 	}
 	if status, _, header := get("/health"); status != 200 || header.Get(headerID) != "w1" || header.Get(headerLoad) == "" {
-		test.Fatal(status, header)
+		t.Fatal(status, header)
 	}
 	worker.SetFaults(Faults{Lying: true})
 	if status, _, _ := get("/health"); status != 503 {
-		test.Fatal(status)
+		t.Fatal(status)
 	}
 	worker.Leave()
 	if status, _, _ := get("/health"); status != 200 {
-		test.Fatal("a lying worker that leaves says that it is well", status)
+		t.Fatal("a lying worker that leaves says that it is well", status)
 	}
 	var told report
 	if _, body, _ := get("/-/report"); json.Unmarshal([]byte(body), &told) != nil || told.Stage != "both" {
-		test.Fatal(body)
+		t.Fatal(body)
 	}
 }
 
 // Each broken answer is broken in the way that its name says.
-func TestBrokenAnswers(test *testing.T) {
-	worker, record, address, _ := start(test, plainSettings)
+func TestBrokenAnswers(t *testing.T) {
+	worker, record, address, _ := start(t, plainSettings)
 	worker.SetFaults(Faults{Fail: 1})
 	if answer, _, err := ask(address, "fail"); err != nil || answer.StatusCode != 500 || answer.Header.Get(headerNotRun) != "" {
-		test.Fatal(answer, err)
+		t.Fatal(answer, err)
 	}
 	worker.SetFaults(Faults{Never: 1})
 	if answer, _, err := ask(address, "never"); err != nil || answer.StatusCode != 422 || answer.Header.Get(headerNotRun) != "" {
-		test.Fatal(answer, err)
+		t.Fatal(answer, err)
 	}
 	worker.SetFaults(Faults{Cut: 1})
 	if _, body, err := ask(address, "cut"); err == nil {
-		test.Fatal("a cut answer looked whole", body)
+		t.Fatal("a cut answer looked whole", body)
 	}
 	worker.SetFaults(Faults{Garble: 1})
 	if answer, _, err := ask(address, "garble"); err == nil {
-		test.Fatal(answer)
+		t.Fatal(answer)
 	}
 	worker.SetFaults(Faults{Surplus: 1})
 	connection, err := net.Dial("tcp4", address)
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	defer connection.Close()
 	fmt.Fprintf(connection, "POST /x HTTP/1.1\r\nHost: h\r\n%s: twice\r\nContent-Length: 0\r\n\r\n", headerAttempt)
@@ -163,22 +163,22 @@
 	for count := 0; count < 2; count++ {
 		answer, err := http.ReadResponse(reader, nil)
 		if err != nil || answer.Header.Get(headerAttempt) != "twice" {
-			test.Fatal(count, answer, err)
+			t.Fatal(count, answer, err)
 		}
 		_, _ = io.Copy(io.Discard, answer.Body)
 	}
 	if runs, _ := record.Of(""); len(runs) != 5 {
-		test.Fatal("a broken answer counts as run", runs)
+		t.Fatal("a broken answer counts as run", runs)
 	}
 }
 
 // Bytes on a connection that the worker has silently forgotten meet a reset.
-func TestForgottenConnection(test *testing.T) {
-	worker, record, address, clockValue := start(test, plainSettings)
+func TestForgottenConnection(t *testing.T) {
+	worker, record, address, clockValue := start(t, plainSettings)
 	worker.SetFaults(Faults{ForgetMs: 500})
 	connection, err := net.Dial("tcp4", address)
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	defer connection.Close()
 	reader := bufio.NewReader(connection)
@@ -191,31 +191,31 @@
 		return err
 	}
 	if err := send(); err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	clockValue.After(time.Second, func() {})
 	if err := send(); err == nil {
-		test.Fatal("a forgotten connection answered")
+		t.Fatal("a forgotten connection answered")
 	}
 	if runs, _ := record.Of(""); len(runs) != 1 {
-		test.Fatal(runs)
+		t.Fatal(runs)
 	}
 }
 
-func TestConnectionsBeyondTheLimitAreReset(test *testing.T) {
+func TestConnectionsBeyondTheLimitAreReset(t *testing.T) {
 	nodeSettings := plainSettings
 	nodeSettings.ConnLimit = 1
-	_, _, address, _ := start(test, nodeSettings)
+	_, _, address, _ := start(t, nodeSettings)
 	first, err := net.Dial("tcp4", address)
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	defer first.Close()
 	fmt.Fprintf(first, "GET /-/report HTTP/1.1\r\nHost: h\r\n\r\n")
 	if answer, err := http.ReadResponse(bufio.NewReader(first), nil); err != nil || answer.StatusCode != 200 {
-		test.Fatal(answer, err)
+		t.Fatal(answer, err)
 	}
 	if answer, _, err := ask(address, "one"); err == nil {
-		test.Fatal(answer)
+		t.Fatal(answer)
 	}
 }
--- a/internal/traffic/admission/admission.go
+++ b/internal/traffic/admission/admission.go
@@ -119,81 +119,81 @@
 }
 
 // Locked runs a function under the admission's lock.
-func (scheduler *Scheduler) Locked(function func()) {
-	scheduler.lock.Lock()
-	defer scheduler.lock.Unlock()
+func (s *Scheduler) Locked(function func()) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
 	function()
 }
 
 // SetConfig takes a newer configuration.
-func (scheduler *Scheduler) SetConfig(config *routeconfig.Config) {
-	scheduler.lock.Lock()
-	defer scheduler.lock.Unlock()
-	scheduler.config = config
+func (s *Scheduler) SetConfig(config *routeconfig.Config) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.config = config
 }
 
 // Listening notes that a controller was heard from.
-func (scheduler *Scheduler) Listening(now clock.Moment) { scheduler.listening = now }
+func (s *Scheduler) Listening(now clock.Moment) { s.listening = now }
 
 // Merge takes word of workers and places what waited for them.
-func (scheduler *Scheduler) Merge(workerList []messages.Worker, now clock.Moment) {
-	scheduler.lock.Lock()
-	scheduler.Listening(now)
+func (s *Scheduler) Merge(workerList []messages.Worker, now clock.Moment) {
+	s.lock.Lock()
+	s.Listening(now)
 	for _, worker := range workerList {
-		scheduler.born(worker, now)
-		scheduler.Registry.Merge(worker, now)
+		s.born(worker, now)
+		s.Registry.Merge(worker, now)
 		if worker.Phase == messages.PhaseGone {
-			scheduler.Tracker.Forget(worker.ID)
-			scheduler.Index.Forget(worker.ID)
+			s.Tracker.Forget(worker.ID)
+			s.Index.Forget(worker.ID)
 		}
 	}
-	scheduler.lock.Unlock()
-	scheduler.Pump(now)
+	s.lock.Unlock()
+	s.Pump(now)
 }
 
 // Admit places an ask at once, queues it, or refuses it. What is queued presses
 // on work of a lower rank.
-func (scheduler *Scheduler) Admit(ask *Ask, resume func(Answer), now clock.Moment) (Answer, Handle) {
-	answer, handle := scheduler.admit(ask, resume, now)
+func (s *Scheduler) Admit(ask *Ask, resume func(Answer), now clock.Moment) (Answer, Handle) {
+	answer, handle := s.admit(ask, resume, now)
 	if answer.Verdict == VerdictQueued {
-		scheduler.press(now)
+		s.press(now)
 	}
 	return answer, handle
 }
 
-func (scheduler *Scheduler) admit(ask *Ask, resume func(Answer), now clock.Moment) (Answer, Handle) {
-	scheduler.lock.Lock()
-	defer scheduler.lock.Unlock()
+func (s *Scheduler) admit(ask *Ask, resume func(Answer), now clock.Moment) (Answer, Handle) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
 	ask.arrived = now
 	// Those that waited longer in the same rank or a higher one go first.
-	if !scheduler.aheadWaiting(ask) {
-		if answer := scheduler.place(ask, now); answer.Verdict != VerdictNoRoom {
+	if !s.aheadWaiting(ask) {
+		if answer := s.place(ask, now); answer.Verdict != VerdictNoRoom {
 			return answer, Handle{}
 		}
 	}
 	if resume == nil {
-		return Answer{Verdict: VerdictNoRoom, Retry: scheduler.retryAfter(ask, now)}, Handle{}
+		return Answer{Verdict: VerdictNoRoom, Retry: s.retryAfter(ask, now)}, Handle{}
 	}
-	if wait, known := scheduler.expectedWait(ask, now); known && now.Plus(wait) > ask.Patience {
+	if wait, known := s.expectedWait(ask, now); known && now.Plus(wait) > ask.Patience {
 		// It can't be served in its time: said at once, not after a wait.
-		return Answer{Verdict: VerdictNoRoom, Retry: scheduler.retryAfter(ask, now)}, Handle{}
+		return Answer{Verdict: VerdictNoRoom, Retry: s.retryAfter(ask, now)}, Handle{}
 	}
 	one := &waiter{ask: ask, resume: resume}
-	one.handle = scheduler.slab.Put(one)
-	queue := append(scheduler.queues[ask.Service], one.handle)
+	one.handle = s.slab.Put(one)
+	queue := append(s.queues[ask.Service], one.handle)
 	sort.SliceStable(queue, func(left, right int) bool {
-		first, _ := scheduler.slab.Get(queue[left])
-		second, _ := scheduler.slab.Get(queue[right])
+		first, _ := s.slab.Get(queue[left])
+		second, _ := s.slab.Get(queue[right])
 		return first != nil && second != nil && first.ask.Priority < second.ask.Priority
 	})
-	scheduler.queues[ask.Service] = queue
-	scheduler.someWait()
+	s.queues[ask.Service] = queue
+	s.someWait()
 	return Answer{Verdict: VerdictQueued}, one.handle
 }
 
-func (scheduler *Scheduler) aheadWaiting(ask *Ask) bool {
-	for _, handle := range scheduler.queues[ask.Service] {
-		if one, found := scheduler.slab.Get(handle); found && one.ask.Priority <= ask.Priority {
+func (s *Scheduler) aheadWaiting(ask *Ask) bool {
+	for _, handle := range s.queues[ask.Service] {
+		if one, found := s.slab.Get(handle); found && one.ask.Priority <= ask.Priority {
 			return true
 		}
 	}
@@ -201,9 +201,9 @@
 }
 
 // Withdraw takes a waiting ask back; false means it was resumed already.
-func (scheduler *Scheduler) Withdraw(handle Handle) bool {
-	scheduler.lock.Lock()
-	defer scheduler.lock.Unlock()
-	_, found := scheduler.slab.Take(handle)
+func (s *Scheduler) Withdraw(handle Handle) bool {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	_, found := s.slab.Take(handle)
 	return found
 }
--- a/internal/traffic/admission/admission_test.go
+++ b/internal/traffic/admission/admission_test.go
@@ -10,11 +10,11 @@
 	"lemonarch/internal/platform/messages"
 )
 
-func scheduler(test *testing.T, capacity int, workerList ...string) *Scheduler {
+func scheduler(t *testing.T, capacity int, workerList ...string) *Scheduler {
 	one := New(messages.Entry{Name: "n", Role: membership.RoleGateway, Zone: "h"}, 1_200_000_000)
 	config, err := routeconfig.Parse([]byte(`{"generation":1,"backends":[{"name":"s"}]}`))
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	one.SetConfig(config)
 	var list []messages.Worker
@@ -29,30 +29,30 @@
 	return &Ask{Service: "s", Priority: priority, Setpoint: 200_000_000, Patience: 1_000_000_000}
 }
 
-func TestSlabKnowsLateHandles(test *testing.T) {
+func TestSlabKnowsLateHandles(t *testing.T) {
 	slab := Slab[string]{}
 	first := slab.Put("one")
 	if value, found := slab.Take(first); !found || value != "one" {
-		test.Fatal(value, found)
+		t.Fatal(value, found)
 	}
 	second := slab.Put("two")
 	if _, found := slab.Take(first); found {
-		test.Fatal("a late handle found another's value")
+		t.Fatal("a late handle found another's value")
 	}
 	if value, _ := slab.Get(second); value != "two" || slab.Len() != 1 {
-		test.Fatal(value)
+		t.Fatal(value)
 	}
 }
 
 // When a place becomes free the highest rank that waits gets it, and every one
 // that waits is resumed exactly once.
-func TestQueuesByRank(test *testing.T) {
-	one := scheduler(test, 1, "w")
+func TestQueuesByRank(t *testing.T) {
+	one := scheduler(t, 1, "w")
 	var grants []*Grant
 	for count := 0; count < 1+constants.RoomAhead; count++ {
 		answer, _ := one.Admit(ask(0), nil, 2)
 		if answer.Verdict != VerdictGranted {
-			test.Fatal(answer.Verdict)
+			t.Fatal(answer.Verdict)
 		}
 		grants = append(grants, answer.Grant)
 	}
@@ -66,7 +66,7 @@
 			}
 		}, 3)
 		if answer.Verdict != VerdictQueued {
-			test.Fatal(answer.Verdict)
+			t.Fatal(answer.Verdict)
 		}
 	}
 	wait(2)
@@ -75,50 +75,50 @@
 	grants[0].End(ResultServed, 4)
 	grants[1].End(ResultServed, 5)
 	if len(order) != 2 || order[0] != 0 || order[1] != 1 {
-		test.Fatal(order)
+		t.Fatal(order)
 	}
 	one.Pump(1_000_000_001)
 	if len(order) != 3 || order[2] != -2 {
-		test.Fatal("what can wait no longer must be refused: ", order)
+		t.Fatal("what can wait no longer must be refused: ", order)
 	}
 	one.Pump(1_000_000_002)
 	if len(order) != 3 {
-		test.Fatal("resumed twice")
+		t.Fatal("resumed twice")
 	}
 }
 
-func TestWithdrawnIsNeverResumed(test *testing.T) {
-	one := scheduler(test, 1, "w")
+func TestWithdrawnIsNeverResumed(t *testing.T) {
+	one := scheduler(t, 1, "w")
 	var grants []*Grant
 	for count := 0; count < 1+constants.RoomAhead; count++ {
 		answer, _ := one.Admit(ask(0), nil, 2)
 		grants = append(grants, answer.Grant)
 	}
-	_, handle := one.Admit(ask(0), func(Answer) { test.Fatal("resumed") }, 3)
+	_, handle := one.Admit(ask(0), func(Answer) { t.Fatal("resumed") }, 3)
 	if !one.Withdraw(handle) || one.Withdraw(handle) {
-		test.Fatal("a withdrawal holds once")
+		t.Fatal("a withdrawal holds once")
 	}
 	grants[0].End(ResultServed, 4)
 }
 
-func TestDrainedWorkerIsNeitherPlacedOnNorSentTo(test *testing.T) {
-	one := scheduler(test, 4, "w", "v")
+func TestDrainedWorkerIsNeitherPlacedOnNorSentTo(t *testing.T) {
+	one := scheduler(t, 4, "w", "v")
 	one.Merge([]messages.Worker{{ID: "w", Backend: "s", Count: 2, Phase: messages.PhaseDraining, Capacity: 4}}, 2)
 	if one.Allowed("w", 3) || !one.Allowed("v", 3) {
-		test.Fatal("a drain does not bind")
+		t.Fatal("a drain does not bind")
 	}
 	for count := 0; count < 6; count++ {
 		answer, _ := one.Admit(ask(0), nil, 3)
 		if answer.Verdict == VerdictGranted && answer.Grant.Worker.ID == "w" {
-			test.Fatal("placed on a draining worker")
+			t.Fatal("placed on a draining worker")
 		}
 	}
 }
 
 // Items of lots leave places to live requests, and take none while any live
 // request waits at a peer.
-func TestItemsLeaveRoom(test *testing.T) {
-	one := scheduler(test, 8, "w")
+func TestItemsLeaveRoom(t *testing.T) {
+	one := scheduler(t, 8, "w")
 	item := func() Verdict {
 		answer, _ := one.Admit(&Ask{Service: "s", Bulk: true, Priority: 2}, nil, 3)
 		return answer.Verdict
@@ -128,28 +128,28 @@
 		count++
 	}
 	if want := int(constants.BulkShare * 8); count != want {
-		test.Fatalf("%d items placed, want %d", count, want)
+		t.Fatalf("%d items placed, want %d", count, want)
 	}
-	other := scheduler(test, 8, "w")
+	other := scheduler(t, 8, "w")
 	other.Heard(&messages.Gossip{From: "forge/x", Pressure: []messages.Pressure{{Service: "s", Waiting: 3}}}, 2)
 	count = 0
 	for answer, _ := other.Admit(&Ask{Service: "s", Bulk: true, Priority: 2}, nil, 3); answer.Verdict == VerdictGranted; count++ {
 		answer, _ = other.Admit(&Ask{Service: "s", Bulk: true, Priority: 2}, nil, 3)
 	}
 	if count > 1 {
-		test.Fatal("items beyond the floor took places that live requests wait for: ", count)
+		t.Fatal("items beyond the floor took places that live requests wait for: ", count)
 	}
 }
 
 // A paused peer's word counts no more after three periods.
-func TestStaleGossipIsIgnored(test *testing.T) {
-	one := scheduler(test, 1, "w")
+func TestStaleGossipIsIgnored(t *testing.T) {
+	one := scheduler(t, 1, "w")
 	one.Heard(&messages.Gossip{From: "forge/x", Loads: load("w", 50, 0)}, 2)
 	if answer, _ := one.Admit(ask(0), nil, 3); answer.Verdict == VerdictGranted {
-		test.Fatal("placed on a worker that is full by a peer's word")
+		t.Fatal("placed on a worker that is full by a peer's word")
 	}
 	later := clock.Moment(2).Plus(constants.GossipStale)
 	if answer, _ := one.Admit(ask(0), nil, later); answer.Verdict != VerdictGranted {
-		test.Fatal("a stale word still counts")
+		t.Fatal("a stale word still counts")
 	}
 }
--- a/internal/traffic/admission/counters.go
+++ b/internal/traffic/admission/counters.go
@@ -8,23 +8,23 @@
 }
 
 // Counters gives the counts of a route.
-func (scheduler *Scheduler) Counters(route string) *Counters {
-	scheduler.countersLock.Lock()
-	defer scheduler.countersLock.Unlock()
-	counters := scheduler.tallies[route]
+func (s *Scheduler) Counters(route string) *Counters {
+	s.countersLock.Lock()
+	defer s.countersLock.Unlock()
+	counters := s.tallies[route]
 	if counters == nil {
 		counters = &Counters{}
-		scheduler.tallies[route] = counters
+		s.tallies[route] = counters
 	}
 	return counters
 }
 
 // Tallies lists them by route.
-func (scheduler *Scheduler) Tallies() map[string]*Counters {
-	scheduler.countersLock.Lock()
-	defer scheduler.countersLock.Unlock()
+func (s *Scheduler) Tallies() map[string]*Counters {
+	s.countersLock.Lock()
+	defer s.countersLock.Unlock()
 	copied := map[string]*Counters{}
-	for route, counters := range scheduler.tallies {
+	for route, counters := range s.tallies {
 		copied[route] = counters
 	}
 	return copied
--- a/internal/traffic/admission/displace.go
+++ b/internal/traffic/admission/displace.go
@@ -21,23 +21,23 @@
 
 // MayYield says that this grant's work may be displaced: yield breaks it off, and
 // its owner sets it back with all it has.
-func (grant *Grant) MayYield(yield func()) {
-	scheduler := grant.scheduler
+func (g *Grant) MayYield(yield func()) {
+	scheduler := g.scheduler
 	scheduler.lock.Lock()
 	defer scheduler.lock.Unlock()
-	scheduler.yields[grant] = &yielding{yield: yield}
+	scheduler.yields[g] = &yielding{yield: yield}
 }
 
 // OnPressure names who is told when requests find no room here.
-func (scheduler *Scheduler) OnPressure(tell func(words []messages.Pressure)) { scheduler.tell = tell }
+func (s *Scheduler) OnPressure(tell func(words []messages.Pressure)) { s.tell = tell }
 
 // Pressure lists what waits here, by service and rank. The lock is held.
-func (scheduler *Scheduler) waitingWords() []messages.Pressure {
+func (s *Scheduler) waitingWords() []messages.Pressure {
 	var words []messages.Pressure
-	for service, queue := range scheduler.queues {
+	for service, queue := range s.queues {
 		counts := map[int]int{}
 		for _, handle := range queue {
-			if one, found := scheduler.slab.Get(handle); found && !one.ask.Bulk {
+			if one, found := s.slab.Get(handle); found && !one.ask.Bulk {
 				counts[one.ask.Priority]++
 			}
 		}
@@ -55,22 +55,22 @@
 }
 
 // press displaces for what waits here, and tells the others.
-func (scheduler *Scheduler) press(now clock.Moment) {
-	scheduler.lock.Lock()
-	words := scheduler.waitingWords()
+func (s *Scheduler) press(now clock.Moment) {
+	s.lock.Lock()
+	words := s.waitingWords()
 	if len(words) == 0 {
-		scheduler.lock.Unlock()
+		s.lock.Unlock()
 		return
 	}
-	scheduler.pressure[ownPressure] = pressureWord{at: now, words: words}
-	yields := scheduler.victims(words, 1)
-	tell := scheduler.tell
-	if tell != nil && (scheduler.toldAt == 0 || now.Since(scheduler.toldAt) >= constants.PressurePeriod) {
-		scheduler.toldAt = now
+	s.pressure[ownPressure] = pressureWord{at: now, words: words}
+	yields := s.victims(words, 1)
+	tell := s.tell
+	if tell != nil && (s.toldAt == 0 || now.Since(s.toldAt) >= constants.PressurePeriod) {
+		s.toldAt = now
 	} else {
 		tell = nil
 	}
-	scheduler.lock.Unlock()
+	s.lock.Unlock()
 	for _, yield := range yields {
 		yield()
 	}
@@ -83,19 +83,19 @@
 const ownPressure = ""
 
 // Noted takes a peer's word that is not ours to act on: nothing new starts against it.
-func (scheduler *Scheduler) Noted(told *messages.PressureTold, now clock.Moment) {
-	scheduler.lock.Lock()
-	defer scheduler.lock.Unlock()
-	scheduler.hearPressure(told.From, told.Words, now)
+func (s *Scheduler) Noted(told *messages.PressureTold, now clock.Moment) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.hearPressure(told.From, told.Words, now)
 }
 
 // Pressed takes a peer's word and yields our part. sharers is how many processes
 // of our role got the same word.
-func (scheduler *Scheduler) Pressed(told *messages.PressureTold, sharers int, now clock.Moment) {
-	scheduler.lock.Lock()
-	scheduler.hearPressure(told.From, told.Words, now)
-	yields := scheduler.victims(told.Words, max(sharers, 1))
-	scheduler.lock.Unlock()
+func (s *Scheduler) Pressed(told *messages.PressureTold, sharers int, now clock.Moment) {
+	s.lock.Lock()
+	s.hearPressure(told.From, told.Words, now)
+	yields := s.victims(told.Words, max(sharers, 1))
+	s.lock.Unlock()
 	for _, yield := range yields {
 		yield()
 	}
@@ -103,12 +103,12 @@
 
 // victims picks what makes room: items before streams, the lowest rank first, and
 // of those the youngest, which has the least to read again. The lock is held.
-func (scheduler *Scheduler) victims(words []messages.Pressure, sharers int) []func() {
+func (s *Scheduler) victims(words []messages.Pressure, sharers int) []func() {
 	var yields []func()
 	for _, word := range words {
 		var candidates []*Grant
 		under := 0
-		for grant, one := range scheduler.yields {
+		for grant, one := range s.yields {
 			if grant.ask.Service != word.Service || grant.ask.Priority <= word.Priority {
 				continue
 			}
@@ -133,7 +133,7 @@
 			return first.number > second.number
 		})
 		wanted := (word.Waiting+sharers-1)/sharers - under
-		spare := scheduler.bulkRunning(word.Service) - under - scheduler.floor(word.Service)
+		spare := s.bulkRunning(word.Service) - under - s.floor(word.Service)
 		for _, grant := range candidates {
 			if wanted <= 0 {
 				break
@@ -145,18 +145,18 @@
 				spare--
 			}
 			wanted--
-			scheduler.yields[grant].asked = true
-			yields = append(yields, scheduler.yields[grant].yield)
+			s.yields[grant].asked = true
+			yields = append(yields, s.yields[grant].yield)
 		}
 	}
 	return yields
 }
 
 // bulkRunning is how many items of ours run at a service. The lock is held.
-func (scheduler *Scheduler) bulkRunning(service string) int {
+func (s *Scheduler) bulkRunning(service string) int {
 	count := 0
-	for _, worker := range scheduler.Registry.Named(service) {
-		count += scheduler.Tracker.Of(worker.ID).OwnBulk()
+	for _, worker := range s.Registry.Named(service) {
+		count += s.Tracker.Of(worker.ID).OwnBulk()
 	}
 	return count
 }
@@ -164,10 +164,10 @@
 // floor is how many places items keep whatever waits: a part of those of the workers
 // at which this process places items, so that all processes together keep one floor.
 // The lock is held.
-func (scheduler *Scheduler) floor(service string) int {
+func (s *Scheduler) floor(service string) int {
 	capacity := 0
-	for _, worker := range scheduler.Registry.Named(service) {
-		if scheduler.bulkOwn == nil || scheduler.bulkOwn[worker.ID] {
+	for _, worker := range s.Registry.Named(service) {
+		if s.bulkOwn == nil || s.bulkOwn[worker.ID] {
 			capacity += worker.Capacity
 		}
 	}
@@ -176,8 +176,8 @@
 
 // pressed tells whether requests of a higher rank wait for room at a service,
 // here or at a peer.
-func (scheduler *Scheduler) pressed(service string, priority int, now clock.Moment) bool {
-	for _, one := range scheduler.pressure {
+func (s *Scheduler) pressed(service string, priority int, now clock.Moment) bool {
+	for _, one := range s.pressure {
 		if now.Since(one.at) >= constants.PressureStale {
 			continue
 		}
@@ -191,15 +191,15 @@
 }
 
 // hearPressure takes a peer's word and drops those that count no more. The lock is held.
-func (scheduler *Scheduler) hearPressure(from string, words []messages.Pressure, now clock.Moment) {
-	for peer, one := range scheduler.pressure {
+func (s *Scheduler) hearPressure(from string, words []messages.Pressure, now clock.Moment) {
+	for peer, one := range s.pressure {
 		if now.Since(one.at) >= constants.PressureStale {
-			delete(scheduler.pressure, peer)
+			delete(s.pressure, peer)
 		}
 	}
 	if len(words) > 0 {
-		scheduler.pressure[from] = pressureWord{at: now, words: words}
+		s.pressure[from] = pressureWord{at: now, words: words}
 	} else {
-		delete(scheduler.pressure, from)
+		delete(s.pressure, from)
 	}
 }
--- a/internal/traffic/admission/displace_test.go
+++ b/internal/traffic/admission/displace_test.go
@@ -10,12 +10,12 @@
 )
 
 // fill takes places for work that may be displaced and counts who yields.
-func fill(test *testing.T, scheduler *Scheduler, count, priority int, bulk bool, yielded *[]int) []*Grant {
+func fill(t *testing.T, scheduler *Scheduler, count, priority int, bulk bool, yielded *[]int) []*Grant {
 	var grants []*Grant
 	for place := 0; place < count; place++ {
 		answer, _ := scheduler.Admit(&Ask{Service: "s", Bulk: bulk, Priority: priority, Setpoint: 1}, nil, clock.Moment(10+place))
 		if answer.Verdict != VerdictGranted {
-			test.Fatal("no place for number ", place)
+			t.Fatal("no place for number ", place)
 		}
 		answer.Grant.MayYield(func() { *yielded = append(*yielded, place) })
 		grants = append(grants, answer.Grant)
@@ -25,13 +25,13 @@
 
 // A request of a higher rank that finds no room makes the youngest item yield,
 // and gets its place.
-func TestHigherRankDisplacesTheYoungestItem(test *testing.T) {
-	scheduler := scheduler(test, 20, "w")
+func TestHigherRankDisplacesTheYoungestItem(t *testing.T) {
+	scheduler := scheduler(t, 20, "w")
 	var yielded []int
-	items := fill(test, scheduler, int(constants.BulkShare*20), 2, true, &yielded)
+	items := fill(t, scheduler, int(constants.BulkShare*20), 2, true, &yielded)
 	for count := 0; count < 20+constants.RoomAhead-len(items); count++ {
 		if answer, _ := scheduler.Admit(ask(0), nil, 100); answer.Verdict != VerdictGranted {
-			test.Fatal("no room for live requests beside the items")
+			t.Fatal("no room for live requests beside the items")
 		}
 	}
 	served := 0
@@ -41,112 +41,112 @@
 		}
 	}, 101)
 	if answer.Verdict != VerdictQueued || len(yielded) != 1 || yielded[0] != len(items)-1 {
-		test.Fatal(answer.Verdict, yielded)
+		t.Fatal(answer.Verdict, yielded)
 	}
 	// Asked once; its place is on the way and no second one is taken for it.
 	scheduler.PumpWaiting(102)
 	if len(yielded) != 1 {
-		test.Fatal("displaced twice for one request: ", yielded)
+		t.Fatal("displaced twice for one request: ", yielded)
 	}
 	items[yielded[0]].End(ResultCalledOff, 103)
 	if served != 1 {
-		test.Fatal("the place did not go to the one that waited")
+		t.Fatal("the place did not go to the one that waited")
 	}
 }
 
-func TestEqualAndHigherRanksAreNeverDisplaced(test *testing.T) {
-	scheduler := scheduler(test, 4, "w")
+func TestEqualAndHigherRanksAreNeverDisplaced(t *testing.T) {
+	scheduler := scheduler(t, 4, "w")
 	var yielded []int
-	fill(test, scheduler, 4+constants.RoomAhead, 1, false, &yielded)
+	fill(t, scheduler, 4+constants.RoomAhead, 1, false, &yielded)
 	scheduler.Admit(ask(1), func(Answer) {}, 100)
 	scheduler.Admit(ask(2), func(Answer) {}, 100)
 	if len(yielded) != 0 {
-		test.Fatal(yielded)
+		t.Fatal(yielded)
 	}
 	scheduler.Admit(ask(0), func(Answer) {}, 101)
 	if len(yielded) != 1 {
-		test.Fatal("a stream of a lower rank did not yield")
+		t.Fatal("a stream of a lower rank did not yield")
 	}
 }
 
 // Items yield before streams, whatever their ranks.
-func TestItemsYieldBeforeStreams(test *testing.T) {
-	scheduler := scheduler(test, 8, "w")
+func TestItemsYieldBeforeStreams(t *testing.T) {
+	scheduler := scheduler(t, 8, "w")
 	var items, streams []int
-	fill(test, scheduler, 6, 1, true, &items)
-	fill(test, scheduler, 2+constants.RoomAhead, 3, false, &streams)
+	fill(t, scheduler, 6, 1, true, &items)
+	fill(t, scheduler, 2+constants.RoomAhead, 3, false, &streams)
 	scheduler.Admit(ask(0), func(Answer) {}, 100)
 	if len(items) != 1 || len(streams) != 0 {
-		test.Fatal(items, streams)
+		t.Fatal(items, streams)
 	}
 }
 
 // A peer's pressure makes this node yield its share, but never below the floor.
-func TestPeersPressureAndTheFloor(test *testing.T) {
-	scheduler := scheduler(test, 40, "w")
+func TestPeersPressureAndTheFloor(t *testing.T) {
+	scheduler := scheduler(t, 40, "w")
 	var yielded []int
 	const items = 20
-	fill(test, scheduler, items, 2, true, &yielded)
+	fill(t, scheduler, items, 2, true, &yielded)
 	word := &messages.PressureTold{From: "forge/x", Words: []messages.Pressure{{Service: "s", Priority: 0, Waiting: 6}}}
 	scheduler.Pressed(word, 3, 100)
 	if len(yielded) != 2 {
-		test.Fatal("want a third of six, got ", yielded)
+		t.Fatal("want a third of six, got ", yielded)
 	}
 	word.Words[0].Waiting = 1000
 	scheduler.Pressed(word, 1, 101)
 	share, capacity := constants.DisplaceFloor, 40.0
 	floor := int(share*capacity) + 1
 	if len(yielded) != items-floor {
-		test.Fatalf("%d of %d yielded, the floor is %d", len(yielded), items, floor)
+		t.Fatalf("%d of %d yielded, the floor is %d", len(yielded), items, floor)
 	}
 	// While the pressure lasts no new items start; once it is stale they do.
 	if answer, _ := scheduler.Admit(&Ask{Service: "s", Bulk: true, Priority: 2}, nil, 102); answer.Verdict == VerdictGranted {
-		test.Fatal("an item started under pressure")
+		t.Fatal("an item started under pressure")
 	}
 	later := clock.Moment(101).Plus(constants.PressureStale)
 	if answer, _ := scheduler.Admit(&Ask{Service: "s", Bulk: true, Priority: 2}, nil, later); answer.Verdict != VerdictGranted {
-		test.Fatal("items wait for ever")
+		t.Fatal("items wait for ever")
 	}
 }
 
 // A word at second hand holds new items back and takes no place from anybody.
-func TestNotedPressureHoldsNewItemsBack(test *testing.T) {
-	scheduler := scheduler(test, 40, "w")
+func TestNotedPressureHoldsNewItemsBack(t *testing.T) {
+	scheduler := scheduler(t, 40, "w")
 	var yielded []int
-	fill(test, scheduler, 20, 2, true, &yielded)
+	fill(t, scheduler, 20, 2, true, &yielded)
 	word := &messages.PressureTold{From: "forge/x", Words: []messages.Pressure{{Service: "s", Priority: 0, Waiting: 6}}}
 	scheduler.Noted(word, 100)
 	if answer, _ := scheduler.Admit(&Ask{Service: "s", Bulk: true, Priority: 2}, nil, 101); answer.Verdict == VerdictGranted {
-		test.Fatal("an item started against a peer's pressure")
+		t.Fatal("an item started against a peer's pressure")
 	}
 	if len(yielded) != 0 {
-		test.Fatal("a word at second hand took places: ", yielded)
+		t.Fatal("a word at second hand took places: ", yielded)
 	}
 }
 
-func TestPressureIsToldOnceAPeriod(test *testing.T) {
-	scheduler := scheduler(test, 1, "w")
+func TestPressureIsToldOnceAPeriod(t *testing.T) {
+	scheduler := scheduler(t, 1, "w")
 	told := 0
 	scheduler.OnPressure(func([]messages.Pressure) { told++ })
 	for count := 0; count < 10; count++ {
 		scheduler.Admit(ask(0), func(Answer) {}, 100)
 	}
 	if told != 1 {
-		test.Fatal("told ", told)
+		t.Fatal("told ", told)
 	}
 	scheduler.PumpWaiting(clock.Moment(100).Plus(constants.PressurePeriod))
 	if told != 2 {
-		test.Fatal("told ", told)
+		t.Fatal("told ", told)
 	}
 }
 
 // A long prompt that a peer gave a worker counts as waiting there until it is read,
 // and items keep away from it.
-func TestPeersLongPromptIsAvoided(test *testing.T) {
-	one := scheduler(test, 8, "v", "w")
+func TestPeersLongPromptIsAvoided(t *testing.T) {
+	one := scheduler(t, 8, "v", "w")
 	config, err := routeconfig.Parse([]byte(`{"generation":2,"backends":[{"name":"s","engine":{"capacity":8,"cache-tokens":1000}}]}`))
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	one.SetConfig(config)
 	told := ""
@@ -154,7 +154,7 @@
 	one.PeerReads(&messages.ReadingTold{Worker: "v", Reading: 100}, 10)
 	for count := 0; count < 4; count++ {
 		if answer, _ := one.Admit(ask(0), nil, 11); answer.Grant == nil || answer.Grant.Worker.ID != "w" {
-			test.Fatal("placed behind a long prompt")
+			t.Fatal("placed behind a long prompt")
 		}
 	}
 	later := clock.Moment(10).Plus(clock.Milliseconds(100))
@@ -162,6 +162,6 @@
 	long.Affine, long.Prompt.Tokens = true, 10_000
 	answer, _ := one.Admit(long, nil, later)
 	if answer.Grant == nil || answer.Grant.Worker.ID != "v" || told != "v" {
-		test.Fatal("not placed on the free worker, or not told: ", told)
+		t.Fatal("not placed on the free worker, or not told: ", told)
 	}
 }
--- a/internal/traffic/admission/flow.go
+++ b/internal/traffic/admission/flow.go
@@ -17,14 +17,14 @@
 const flowFade = 0.99
 
 // flowed notes a request that was served. The lock is held.
-func (scheduler *Scheduler) flowed(grant *Grant, now clock.Moment) {
-	if scheduler.gossip.flows == nil {
-		scheduler.gossip.flows = map[string]*flow{}
+func (s *Scheduler) flowed(grant *Grant, now clock.Moment) {
+	if s.gossip.flows == nil {
+		s.gossip.flows = map[string]*flow{}
 	}
-	one := scheduler.gossip.flows[grant.ask.Service]
+	one := s.gossip.flows[grant.ask.Service]
 	if one == nil {
 		one = &flow{}
-		scheduler.gossip.flows[grant.ask.Service] = one
+		s.gossip.flows[grant.ask.Service] = one
 	}
 	one.tokens = flowFade*one.tokens + float64(grant.Fresh+grant.ask.Prompt.Out/2)
 	one.count = flowFade*one.count + 1
@@ -33,21 +33,21 @@
 
 // turnOthers adds what others have put into the workers' caches since the last
 // time. The lock is held.
-func (scheduler *Scheduler) turnOthers(now clock.Moment) {
-	span := clock.ToMilliseconds(now.Since(scheduler.gossip.turned))
-	first := scheduler.gossip.turned == 0
-	scheduler.gossip.turned = now
+func (s *Scheduler) turnOthers(now clock.Moment) {
+	span := clock.ToMilliseconds(now.Since(s.gossip.turned))
+	first := s.gossip.turned == 0
+	s.gossip.turned = now
 	if first {
 		return
 	}
-	for service, one := range scheduler.gossip.flows {
+	for service, one := range s.gossip.flows {
 		if one.stayMs <= 0 || one.tokens <= 0 {
 			continue
 		}
-		for _, worker := range scheduler.Registry.Named(service) {
-			health := scheduler.Tracker.Of(worker.ID)
+		for _, worker := range s.Registry.Named(service) {
+			health := s.Tracker.Of(worker.ID)
 			others := float64(health.Running(now) - health.Own())
-			scheduler.Index.OthersTurned(worker.ID, others*span*one.tokens/one.stayMs)
+			s.Index.OthersTurned(worker.ID, others*span*one.tokens/one.stayMs)
 		}
 	}
 }
--- a/internal/traffic/admission/gossip.go
+++ b/internal/traffic/admission/gossip.go
@@ -40,22 +40,22 @@
 
 // Gossip makes this node's packet. It is bounded whatever the size of the fleet:
 // what neighbours were told longest ago goes first, and what failed here before it.
-func (scheduler *Scheduler) Gossip(now clock.Moment) *messages.Gossip {
-	scheduler.lock.Lock()
-	defer scheduler.lock.Unlock()
-	packet := &messages.Gossip{Format: gossipFormat, From: scheduler.own.Role + "/" + scheduler.own.Name}
-	if scheduler.config != nil {
-		packet.Generation = scheduler.config.Generation
+func (s *Scheduler) Gossip(now clock.Moment) *messages.Gossip {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	packet := &messages.Gossip{Format: gossipFormat, From: s.own.Role + "/" + s.own.Name}
+	if s.config != nil {
+		packet.Generation = s.config.Generation
 	}
-	scheduler.turnOthers(now)
-	state := &scheduler.gossip
-	if all := scheduler.Registry.Entries(); state.spoken == nil || len(state.spoken) > 2*len(all) {
+	s.turnOthers(now)
+	state := &s.gossip
+	if all := s.Registry.Entries(); state.spoken == nil || len(state.spoken) > 2*len(all) {
 		// Workers that were forgotten leave their entries behind.
 		state.spoken = make(map[string]spoken, len(all))
 	}
 	found := state.found[:0]
-	for _, worker := range scheduler.Registry.Entries() {
-		health := scheduler.Tracker.Of(worker.ID)
+	for _, worker := range s.Registry.Entries() {
+		health := s.Tracker.Of(worker.ID)
 		word, told := health.Word(now)
 		if !told || worker.Phase == messages.PhaseGone {
 			delete(state.spoken, worker.ID)
@@ -75,7 +75,7 @@
 			// Like one that was never told of.
 			wait = now.Since(0)
 		}
-		found = append(found, loadWord{worker.ID, word, worker.Zone == scheduler.own.Zone, wait})
+		found = append(found, loadWord{worker.ID, word, worker.Zone == s.own.Zone, wait})
 	}
 	state.found = found
 	sort.SliceStable(found, func(left, right int) bool {
@@ -88,35 +88,35 @@
 	for _, one := range found[:min(len(found), constants.GossipLoads)] {
 		one.word.Name = messages.WorkerName(one.worker)
 		packet.Loads = messages.AppendLoad(packet.Loads, one.word)
-		_, seen := scheduler.Tracker.Of(one.worker).Observed()
+		_, seen := s.Tracker.Of(one.worker).Observed()
 		state.spoken[one.worker] = spoken{at: now, seen: seen}
 	}
-	for _, word := range scheduler.Index.Words(now, constants.GossipPrefixes, constants.GossipPrefixLeast) {
+	for _, word := range s.Index.Words(now, constants.GossipPrefixes, constants.GossipPrefixLeast) {
 		packet.Prefixes = messages.AppendPrefix(packet.Prefixes, word)
 	}
-	packet.Pressure = scheduler.waitingWords()
+	packet.Pressure = s.waitingWords()
 	return packet
 }
 
 // Heard takes a peer's packet.
-func (scheduler *Scheduler) Heard(packet *messages.Gossip, now clock.Moment) {
-	scheduler.lock.Lock()
-	defer scheduler.lock.Unlock()
+func (s *Scheduler) Heard(packet *messages.Gossip, now clock.Moment) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
 	for _, word := range messages.Loads(packet.Loads) {
-		if worker := scheduler.named(word.Name); worker != "" {
-			scheduler.Tracker.Of(worker).Peer(packet.From, word, now)
+		if worker := s.named(word.Name); worker != "" {
+			s.Tracker.Of(worker).Peer(packet.From, word, now)
 		}
 	}
-	scheduler.Index.Told(messages.Prefixes(packet.Prefixes, scheduler.named), now)
-	scheduler.hearPressure(packet.From, packet.Pressure, now)
+	s.Index.Told(messages.Prefixes(packet.Prefixes, s.named), now)
+	s.hearPressure(packet.From, packet.Pressure, now)
 }
 
 // named gives the worker of a short name. The lock is held.
-func (scheduler *Scheduler) named(short uint32) string {
-	state := &scheduler.gossip
+func (s *Scheduler) named(short uint32) string {
+	state := &s.gossip
 	// A change of the table is rare, and a list of other length is another list too.
-	all := scheduler.Registry.Entries()
-	if clockValue := scheduler.Registry.Clock(); state.names == nil || state.asOf != clockValue || state.count != len(all) {
+	all := s.Registry.Entries()
+	if clockValue := s.Registry.Clock(); state.names == nil || state.asOf != clockValue || state.count != len(all) {
 		state.names, state.asOf, state.count = make(map[uint32]string, len(all)), clockValue, len(all)
 		for _, worker := range all {
 			name := messages.WorkerName(worker.ID)
@@ -131,25 +131,25 @@
 }
 
 // Alert tells whether more placements are downgraded than the source finds sound.
-func (scheduler *Scheduler) Alert() (placements, downgrades int64, alert bool) {
-	scheduler.lock.Lock()
-	defer scheduler.lock.Unlock()
-	placements, downgrades = scheduler.Index.Placements, scheduler.Index.Downgrades
+func (s *Scheduler) Alert() (placements, downgrades int64, alert bool) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	placements, downgrades = s.Index.Placements, s.Index.Downgrades
 	const enough = 200
 	return placements, downgrades, placements > enough && float64(downgrades) > constants.DowngradeAlert*float64(placements)
 }
 
 // OnReading names who is told of long prompts; it must not block.
-func (scheduler *Scheduler) OnReading(tell func(worker string, milliseconds float64)) {
-	scheduler.tellReading = tell
+func (s *Scheduler) OnReading(tell func(worker string, milliseconds float64)) {
+	s.tellReading = tell
 }
 
 // PeerReads takes a peer's word of a long prompt.
-func (scheduler *Scheduler) PeerReads(told *messages.ReadingTold, now clock.Moment) {
-	scheduler.lock.Lock()
-	defer scheduler.lock.Unlock()
+func (s *Scheduler) PeerReads(told *messages.ReadingTold, now clock.Moment) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
 	// A word of more than a gossip period is no reading time but a mistake.
-	if _, known := scheduler.Registry.Get(told.Worker); known && told.Reading > 0 && told.Reading < clock.ToMilliseconds(constants.GossipPeriod) {
-		scheduler.Tracker.Of(told.Worker).PeerReads(clock.Milliseconds(told.Reading), now)
+	if _, known := s.Registry.Get(told.Worker); known && told.Reading > 0 && told.Reading < clock.ToMilliseconds(constants.GossipPeriod) {
+		s.Tracker.Of(told.Worker).PeerReads(clock.Milliseconds(told.Reading), now)
 	}
 }
--- a/internal/traffic/admission/gossip_test.go
+++ b/internal/traffic/admission/gossip_test.go
@@ -20,13 +20,13 @@
 
 // The age limit holds for the evidence, however often and by however fresh a packet
 // it was passed on.
-func TestAgeLimitHoldsUnderRelaying(test *testing.T) {
-	near, far := scheduler(test, 1, "w"), scheduler(test, 1, "w")
+func TestAgeLimitHoldsUnderRelaying(t *testing.T) {
+	near, far := scheduler(t, 1, "w"), scheduler(t, 1, "w")
 	near.Heard(&messages.Gossip{From: "forge/x", Loads: load("w", 50, 0)}, second(10))
 	packet := near.Gossip(second(12))
 	words := messages.Loads(packet.Loads)
 	if len(words) != 1 || words[0].Running != 50 || words[0].AgeMs < 2000 {
-		test.Fatalf("not passed on with its age: %+v", words)
+		t.Fatalf("not passed on with its age: %+v", words)
 	}
 	far.Heard(packet, second(12))
 	running := func(now clock.Moment) (count int) {
@@ -34,44 +34,44 @@
 		return count
 	}
 	if running(second(12)+1) != 50 {
-		test.Fatal("a relayed word did not count")
+		t.Fatal("a relayed word did not count")
 	}
 	late := second(10).Plus(constants.GossipStale)
 	if running(late) != 0 {
-		test.Fatal("relaying made a stale word young")
+		t.Fatal("relaying made a stale word young")
 	}
 	if again := near.Gossip(late + 1); len(again.Loads) > 0 {
-		test.Fatal("a stale word was passed on")
+		t.Fatal("a stale word was passed on")
 	}
 }
 
 // A peer that was paused with its packet in hand: what it then says is told with the
 // age that it has, and a word older than the limit never counts.
-func TestWordBeyondTheLimitNeverCounts(test *testing.T) {
-	one := scheduler(test, 1, "w")
+func TestWordBeyondTheLimitNeverCounts(t *testing.T) {
+	one := scheduler(t, 1, "w")
 	one.Heard(&messages.Gossip{From: "forge/x", Loads: load("w", 50, constants.GossipStale)}, second(10))
 	if answer, _ := one.Admit(ask(0), nil, second(10)); answer.Verdict != VerdictGranted {
-		test.Fatal("a word beyond the age limit counted")
+		t.Fatal("a word beyond the age limit counted")
 	}
 }
 
 // Of two words the younger counts, whichever comes last.
-func TestFreshestObservationWins(test *testing.T) {
-	one := scheduler(test, 4, "w")
+func TestFreshestObservationWins(t *testing.T) {
+	one := scheduler(t, 4, "w")
 	one.Heard(&messages.Gossip{From: "forge/x", Loads: load("w", 1, clock.Milliseconds(100))}, second(10))
 	one.Heard(&messages.Gossip{From: "forge/y", Loads: load("w", 200, clock.Milliseconds(2000))}, second(10)+1)
 	if answer, _ := one.Admit(ask(0), nil, second(10)+2); answer.Verdict != VerdictGranted {
-		test.Fatal("an older word counted over a younger one")
+		t.Fatal("an older word counted over a younger one")
 	}
 	one.Heard(&messages.Gossip{From: "forge/z", Loads: load("w", 200, 0)}, second(10)+3)
 	if answer, _ := one.Admit(ask(0), nil, second(10)+4); answer.Verdict == VerdictGranted {
-		test.Fatal("the younger word did not count")
+		t.Fatal("the younger word did not count")
 	}
 }
 
 // An observation is corrected by what was begun here since it was made.
-func TestOwnRequestsSinceTheObservationCount(test *testing.T) {
-	one := scheduler(test, 4, "w")
+func TestOwnRequestsSinceTheObservationCount(t *testing.T) {
+	one := scheduler(t, 4, "w")
 	one.Heard(&messages.Gossip{From: "forge/x", Loads: load("w", 4, 0)}, second(10))
 	granted := 0
 	for ; granted < 20; granted++ {
@@ -80,23 +80,23 @@
 		}
 	}
 	if granted != constants.RoomAhead {
-		test.Fatalf("%d placed on a worker that had its four, want %d", granted, constants.RoomAhead)
+		t.Fatalf("%d placed on a worker that had its four, want %d", granted, constants.RoomAhead)
 	}
 	// A later observation holds them already.
 	one.Heard(&messages.Gossip{From: "forge/x", Loads: load("w", 4, 0)}, second(11))
 	if answer, _ := one.Admit(ask(0), nil, second(11)+1); answer.Verdict != VerdictGranted {
-		test.Fatal("our own were counted twice")
+		t.Fatal("our own were counted twice")
 	}
 }
 
 // A packet is bounded whatever the size of the fleet, and what waited longest to be
 // told goes first, so every worker has its turn.
-func TestPacketIsBounded(test *testing.T) {
+func TestPacketIsBounded(t *testing.T) {
 	var names []string
 	for count := 0; count < 600; count++ {
 		names = append(names, fmt.Sprint("worker-", count))
 	}
-	one := scheduler(test, 16, names...)
+	one := scheduler(t, 16, names...)
 	told := map[uint32]int{}
 	largest := 0
 	for round := 1; round <= 7; round++ {
@@ -112,47 +112,47 @@
 		largest = max(largest, len(body))
 	}
 	if len(told) != len(names) {
-		test.Fatalf("%d of %d workers were told of in seven periods", len(told), len(names))
+		t.Fatalf("%d of %d workers were told of in seven periods", len(told), len(names))
 	}
 	if largest > 1400 {
-		test.Fatalf("a packet has %d bytes", largest)
+		t.Fatalf("a packet has %d bytes", largest)
 	}
 }
 
 // What a neighbour has heard from us is not said again while nothing is new.
-func TestNothingNewIsNotSaid(test *testing.T) {
-	one := scheduler(test, 4, "w")
+func TestNothingNewIsNotSaid(t *testing.T) {
+	one := scheduler(t, 4, "w")
 	one.Heard(&messages.Gossip{From: "forge/x", Loads: load("w", 2, 0)}, second(10))
 	if len(one.Gossip(second(10)).Loads) == 0 {
-		test.Fatal("news was not told")
+		t.Fatal("news was not told")
 	}
 	if len(one.Gossip(second(11)).Loads) != 0 {
-		test.Fatal("the same observation was told twice")
+		t.Fatal("the same observation was told twice")
 	}
 }
 
 // Words of a later version are longer; what this one knows of them counts.
-func TestLongerWordsAreRead(test *testing.T) {
+func TestLongerWordsAreRead(t *testing.T) {
 	words := []byte{9}
 	for _, worker := range []string{"v", "w"} {
 		words = append(words, load(worker, 50, 0)[1:]...)
 		words = append(words, 0xEE, 0xFF)
 	}
-	one := scheduler(test, 1, "v", "w")
+	one := scheduler(t, 1, "v", "w")
 	one.Heard(&messages.Gossip{Format: 3, From: "forge/x", Loads: append(words, 1, 2)}, second(10))
 	for _, worker := range []string{"v", "w"} {
 		running := 0
 		one.Locked(func() { running = one.Tracker.Of(worker).Running(second(10)) })
 		if running != 50 {
-			test.Fatalf("%s: %d read from words with trailing bytes", worker, running)
+			t.Fatalf("%s: %d read from words with trailing bytes", worker, running)
 		}
 	}
 }
 
 // One neighbour's suspicion may be its own trouble, two are evidence; and neither is
 // passed on as if it were ours.
-func TestSuspicionIsFirstHand(test *testing.T) {
-	one := scheduler(test, 4, "v", "w")
+func TestSuspicionIsFirstHand(t *testing.T) {
+	one := scheduler(t, 4, "v", "w")
 	word := messages.AppendLoad(nil, messages.LoadWord{Name: messages.WorkerName("v"), Running: messages.RunningUnknown, Trust: messages.TrustSuspect})
 	one.Heard(&messages.Gossip{From: "forge/x", Loads: word}, second(10))
 	suspect := func() (answer bool) {
@@ -160,20 +160,20 @@
 		return answer
 	}
 	if suspect() {
-		test.Fatal("one neighbour's word was enough")
+		t.Fatal("one neighbour's word was enough")
 	}
 	one.Heard(&messages.Gossip{From: "forge/y", Loads: word}, second(10))
 	if !suspect() {
-		test.Fatal("two neighbours' words were not enough")
+		t.Fatal("two neighbours' words were not enough")
 	}
 	if loads := one.Gossip(second(10) + 1).Loads; len(loads) != 0 {
-		test.Fatal("hearsay was passed on: ", loads)
+		t.Fatal("hearsay was passed on: ", loads)
 	}
 }
 
 // Turnover by Little's law comes near the true count, though nobody counts it.
-func TestTurnoverOfOthersIsEstimated(test *testing.T) {
-	one := scheduler(test, 100, "w")
+func TestTurnoverOfOthersIsEstimated(t *testing.T) {
+	one := scheduler(t, 100, "w")
 	asked := ask(0)
 	asked.Affine, asked.Prompt.Tokens = true, 1000
 	for count := 0; count < 50; count++ {
@@ -190,6 +190,6 @@
 	total := 0.0
 	one.Locked(func() { total = one.Index.OthersIn("w") })
 	if total < 180_000 || total > 220_000 {
-		test.Fatalf("%.0f tokens reckoned, 200000 came", total)
+		t.Fatalf("%.0f tokens reckoned, 200000 came", total)
 	}
 }
--- a/internal/traffic/admission/health.go
+++ b/internal/traffic/admission/health.go
@@ -31,10 +31,10 @@
 }
 
 // OnEjection names who is told of ejections and returns; it must not block.
-func (scheduler *Scheduler) OnEjection(tell func(Ejection)) { scheduler.tellEjection = tell }
+func (s *Scheduler) OnEjection(tell func(Ejection)) { s.tellEjection = tell }
 
 // judge takes an outcome into the health. The lock is held.
-func (scheduler *Scheduler) judge(grant *Grant, result Result, now clock.Moment) {
+func (s *Scheduler) judge(grant *Grant, result Result, now clock.Moment) {
 	worker := grant.Worker
 	if trouble, against := troubleOf[result]; against {
 		switch {
@@ -44,81 +44,81 @@
 		case result == ResultSilent && grant.silence > 0 && grant.silence < constants.SureSilence:
 			trouble = health.TroubleSlow
 		}
-		scheduler.troubled(worker, trouble, now)
+		s.troubled(worker, trouble, now)
 		return
 	}
-	if result == ResultServed && scheduler.Tracker.Went(worker.ID, worker.Backend, now) && scheduler.tellEjection != nil {
-		scheduler.tellEjection(Ejection{Worker: worker.ID, Service: worker.Backend})
+	if result == ResultServed && s.Tracker.Went(worker.ID, worker.Backend, now) && s.tellEjection != nil {
+		s.tellEjection(Ejection{Worker: worker.ID, Service: worker.Backend})
 	}
 }
 
-func (scheduler *Scheduler) troubled(worker messages.Worker, trouble health.Trouble, now clock.Moment) {
-	span := scheduler.Tracker.Troubled(worker.ID, worker.Backend, trouble, now)
-	scheduler.Tracker.Of(worker.ID).Failed(span, now)
-	if span > 0 && scheduler.tellEjection != nil {
-		scheduler.tellEjection(Ejection{Worker: worker.ID, Service: worker.Backend, Why: trouble.String(), For: span})
+func (s *Scheduler) troubled(worker messages.Worker, trouble health.Trouble, now clock.Moment) {
+	span := s.Tracker.Troubled(worker.ID, worker.Backend, trouble, now)
+	s.Tracker.Of(worker.ID).Failed(span, now)
+	if span > 0 && s.tellEjection != nil {
+		s.tellEjection(Ejection{Worker: worker.ID, Service: worker.Backend, Why: trouble.String(), For: span})
 	}
 }
 
 // born has the health look at a life that is new to us. The lock is held.
-func (scheduler *Scheduler) born(worker messages.Worker, now clock.Moment) {
-	if _, known := scheduler.Registry.Get(worker.ID); known || worker.Phase != messages.PhaseSteady {
+func (s *Scheduler) born(worker messages.Worker, now clock.Moment) {
+	if _, known := s.Registry.Get(worker.ID); known || worker.Phase != messages.PhaseSteady {
 		return
 	}
 	// A life that said that it leaves made room in order. Of one that we never heard
 	// of we can't tell.
 	orderly := true
-	if before, found := scheduler.Registry.Get(scheduler.Tracker.Lives(worker.Address)); found {
+	if before, found := s.Registry.Get(s.Tracker.Lives(worker.Address)); found {
 		orderly = before.Phase != messages.PhaseSteady
 	}
-	span := scheduler.Tracker.Born(worker.ID, worker.Backend, worker.Address, orderly, now)
-	if span > 0 && scheduler.tellEjection != nil {
-		scheduler.tellEjection(Ejection{Worker: worker.ID, Service: worker.Backend, Why: "flapping", For: span})
+	span := s.Tracker.Born(worker.ID, worker.Backend, worker.Address, orderly, now)
+	if span > 0 && s.tellEjection != nil {
+		s.tellEjection(Ejection{Worker: worker.ID, Service: worker.Backend, Why: "flapping", For: span})
 	}
 }
 
 // standings sorts out which workers of a service get no ordinary request. Our own
 // outcomes go before hearsay and before missing heartbeats.
-func (scheduler *Scheduler) apart(ask *Ask, workerList []messages.Worker, now clock.Moment) map[string]bool {
-	if !scheduler.Tracker.SomeApart() {
+func (s *Scheduler) apart(ask *Ask, workerList []messages.Worker, now clock.Moment) map[string]bool {
+	if !s.Tracker.SomeApart() {
 		return nil
 	}
 	names := make([]string, len(workerList))
 	for place := range workerList {
 		names[place] = workerList[place].ID
 	}
-	idle := func(worker string) bool { return scheduler.Tracker.Of(worker).Own() == 0 }
-	return scheduler.Tracker.Apart(names, ask.Repeatable || ask.Bulk, idle, now)
+	idle := func(worker string) bool { return s.Tracker.Of(worker).Own() == 0 }
+	return s.Tracker.Apart(names, ask.Repeatable || ask.Bulk, idle, now)
 }
 
 // suspect tells whether a worker is only asked where nobody else can be: ejected here,
 // or told of by peers or by missing heartbeats while nothing of ours speaks for it.
-func (scheduler *Scheduler) suspect(worker messages.Worker, standing workers.Standing, apart map[string]bool, now clock.Moment) bool {
+func (s *Scheduler) suspect(worker messages.Worker, standing workers.Standing, apart map[string]bool, now clock.Moment) bool {
 	if apart[worker.ID] {
 		return true
 	}
-	trust := scheduler.Tracker.Trust(worker.ID, worker.Backend)
-	if standing != workers.StandingSuspect && !scheduler.Tracker.Of(worker.ID).Told(now) {
+	trust := s.Tracker.Trust(worker.ID, worker.Backend)
+	if standing != workers.StandingSuspect && !s.Tracker.Of(worker.ID).Told(now) {
 		return false
 	}
 	return !trust.Proven(now)
 }
 
 // risk is what a worker's failures cost in ms of score, beyond what is usual.
-func (scheduler *Scheduler) risk(ask *Ask, worker messages.Worker, now clock.Moment) float64 {
-	usual := scheduler.Tracker.Usual(worker.Backend, now)
+func (s *Scheduler) risk(ask *Ask, worker messages.Worker, now clock.Moment) float64 {
+	usual := s.Tracker.Usual(worker.Backend, now)
 	cost := constants.ErrCostOnce
 	if ask.Repeatable || ask.Bulk {
 		cost = constants.ErrCost
 	}
-	return cost * max(0, scheduler.Tracker.Trust(worker.ID, worker.Backend).Rate(usual, now)-usual-constants.RiskFloor)
+	return cost * max(0, s.Tracker.Trust(worker.ID, worker.Backend).Rate(usual, now)-usual-constants.RiskFloor)
 }
 
 // TrustWord says in a word for the shell how a worker is trusted here: its rate of
 // failure, whether it is held or on trial, and the failures by kind. The lock is held.
-func (scheduler *Scheduler) TrustWord(worker messages.Worker, now clock.Moment) string {
-	trust := scheduler.Tracker.Trust(worker.ID, worker.Backend)
-	word := "rate=" + strconv.FormatFloat(trust.Rate(scheduler.Tracker.Usual(worker.Backend, now), now), 'f', 2, 64)
+func (s *Scheduler) TrustWord(worker messages.Worker, now clock.Moment) string {
+	trust := s.Tracker.Trust(worker.ID, worker.Backend)
+	word := "rate=" + strconv.FormatFloat(trust.Rate(s.Tracker.Usual(worker.Backend, now), now), 'f', 2, 64)
 	switch {
 	case trust.Held(now):
 		word += " held"
--- a/internal/traffic/admission/health_test.go
+++ b/internal/traffic/admission/health_test.go
@@ -31,34 +31,34 @@
 
 // An ejected worker gets nothing, then trials of what may be repeated only, and is back
 // with the first that goes well; each step is told.
-func TestEjectedAndBack(test *testing.T) {
+func TestEjectedAndBack(t *testing.T) {
 	for _, result := range []Result{ResultFailed, ResultRefused, ResultSilent, ResultErrored, ResultGoneAway} {
-		one := scheduler(test, 4, "v", "w", "x", "y")
+		one := scheduler(t, 4, "v", "w", "x", "y")
 		var told []Ejection
 		one.OnEjection(func(ejection Ejection) { told = append(told, ejection) })
 		now := second(2)
 		fails(one, "w", result, now)
 		if len(told) != 1 || told[0].Worker != "w" || told[0].For != constants.EjectFor {
-			test.Fatal(result, told)
+			t.Fatal(result, told)
 		}
 		if places(one, true, 40, now)["w"] > 0 {
-			test.Fatal(result, " placed on while ejected")
+			t.Fatal(result, " placed on while ejected")
 		}
 		now = now.Plus(constants.EjectFor)
 		if places(one, false, 40, now)["w"] > 0 {
-			test.Fatal(result, " what must not run twice was a trial")
+			t.Fatal(result, " what must not run twice was a trial")
 		}
 		fails(one, "w", ResultServed, now)
 		if len(told) != 2 || told[1].For != 0 {
-			test.Fatal(result, told)
+			t.Fatal(result, told)
 		}
 	}
 }
 
 // What our own side broke off, and a full worker, say nothing against it.
-func TestWhatSaysNothing(test *testing.T) {
-	one := scheduler(test, 4, "v", "w", "x")
-	one.OnEjection(func(ejection Ejection) { test.Fatal(ejection) })
+func TestWhatSaysNothing(t *testing.T) {
+	one := scheduler(t, 4, "v", "w", "x")
+	one.OnEjection(func(ejection Ejection) { t.Fatal(ejection) })
 	for count := 0; count < 5; count++ {
 		// A worker that was full is asked again later.
 		fails(one, "w", ResultCalledOff, second(2*count+2))
@@ -67,17 +67,17 @@
 }
 
 // Peers' words are heeded where nothing of ours speaks for a worker, and only there.
-func TestHearsayYieldsToOwnResults(test *testing.T) {
+func TestHearsayYieldsToOwnResults(t *testing.T) {
 	word := func(one *Scheduler, now clock.Moment) {
 		for _, peer := range []string{"forge/a", "forge/b"} {
 			one.Heard(&messages.Gossip{From: peer, Loads: messages.AppendLoad(nil, messages.LoadWord{Name: messages.WorkerName("w"), Running: messages.RunningUnknown, Trust: messages.TrustSuspect})}, now)
 		}
 	}
-	one := scheduler(test, 4, "v", "w", "x")
+	one := scheduler(t, 4, "v", "w", "x")
 	now := second(2)
 	word(one, now)
 	if places(one, false, 40, now)["w"] > 0 {
-		test.Fatal("hearsay was not heeded")
+		t.Fatal("hearsay was not heeded")
 	}
 	for count := 0; count < 3; count++ {
 		fails(one, "w", ResultServed, now)
@@ -88,14 +88,14 @@
 	answer, _ := one.Admit(wanted, nil, now)
 	suspect := one.suspect(answer.Grant.Worker, 0, nil, now)
 	if suspect {
-		test.Fatal("hearsay went before our own outcomes")
+		t.Fatal("hearsay went before our own outcomes")
 	}
 }
 
 // When everybody fails, most of the service is still asked.
-func TestMostOfAServiceIsAlwaysAsked(test *testing.T) {
+func TestMostOfAServiceIsAlwaysAsked(t *testing.T) {
 	workerList := []string{"a", "b", "c", "d", "e", "f"}
-	one := scheduler(test, 4, workerList...)
+	one := scheduler(t, 4, workerList...)
 	now := second(2)
 	for _, worker := range workerList {
 		fails(one, worker, ResultErrored, now)
@@ -108,6 +108,6 @@
 		}
 	}
 	if open < 4 {
-		test.Fatal("only ", open, " of 6 are asked")
+		t.Fatal("only ", open, " of 6 are asked")
 	}
 }
--- a/internal/traffic/admission/place.go
+++ b/internal/traffic/admission/place.go
@@ -9,68 +9,68 @@
 )
 
 // place nominates a worker that has room, within reach or else among all.
-func (scheduler *Scheduler) place(ask *Ask, now clock.Moment) Answer {
-	all := scheduler.Registry.Named(ask.Service)
-	some, more := scheduler.reach(ask, all, now)
-	answer := scheduler.placeAmong(ask, some, now)
+func (s *Scheduler) place(ask *Ask, now clock.Moment) Answer {
+	all := s.Registry.Named(ask.Service)
+	some, more := s.reach(ask, all, now)
+	answer := s.placeAmong(ask, some, now)
 	if more && answer.Verdict != VerdictGranted {
-		answer = scheduler.placeAmong(ask, all, now)
+		answer = s.placeAmong(ask, all, now)
 	}
 	return answer
 }
 
 // placeAmong nominates one of these workers.
-func (scheduler *Scheduler) placeAmong(ask *Ask, among []messages.Worker, now clock.Moment) Answer {
-	listening := scheduler.hears(now)
+func (s *Scheduler) placeAmong(ask *Ask, among []messages.Worker, now clock.Moment) Answer {
+	listening := s.hears(now)
 	engine := false
 	var cacheTokens int64
-	if scheduler.config != nil {
-		if service := scheduler.config.Service(ask.Service); service != nil && service.Engine != nil {
+	if s.config != nil {
+		if service := s.config.Service(ask.Service); service != nil && service.Engine != nil {
 			engine, cacheTokens = true, service.Engine.CacheTokens
 		}
 	}
-	neutral := scheduler.neutral(among, now)
+	neutral := s.neutral(among, now)
 	// The lists are used again by the next placement: all of it is under the lock.
-	workerList, candidates := scheduler.scratch.workerList[:0], scheduler.scratch.candidates[:0]
+	workerList, candidates := s.scratch.workerList[:0], s.scratch.candidates[:0]
 	known, open := 0, 0
-	apart := scheduler.apart(ask, among, now)
+	apart := s.apart(ask, among, now)
 	// The suspects are asked only where nobody else can be.
 	for _, worst := range []workers.Standing{workers.StandingGood, workers.StandingSuspect} {
 		for _, worker := range among {
-			standing := scheduler.Registry.Standing(worker.ID, now, listening)
+			standing := s.Registry.Standing(worker.ID, now, listening)
 			if standing == workers.StandingOut || standing > worst || excluded(ask, worker.ID) {
 				continue
 			}
 			known++
-			health := scheduler.Tracker.Of(worker.ID)
+			health := s.Tracker.Of(worker.ID)
 			running := health.Running(now)
 			if !health.Known(now) {
 				running = max(running, neutral)
 			}
-			suspect := scheduler.suspect(worker, standing, apart, now)
+			suspect := s.suspect(worker, standing, apart, now)
 			if suspect && worst == workers.StandingGood {
 				continue
 			}
 			open++
-			if scheduler.full(ask, worker, engine, running, now) {
+			if s.full(ask, worker, engine, running, now) {
 				continue
 			}
 			if ask.Bulk && engine && (health.Unread() >= constants.BulkUnread || health.PeersReading(now) > 0) {
 				// Items are read one after the other, so that live prompts get between.
 				continue
 			}
-			candidate := prefixindex.Candidate{Worker: worker.ID, WaitMs: scheduler.cost(worker.Zone)}
+			candidate := prefixindex.Candidate{Worker: worker.ID, WaitMs: s.cost(worker.Zone)}
 			if engine {
-				scheduler.Index.SetCache(worker.ID, cacheTokens)
-				candidate.WaitMs += float64(health.Pending())/scheduler.Index.Rate() + clock.ToMilliseconds(health.PeersReading(now)) + float64(running)*constants.StepGuess
+				s.Index.SetCache(worker.ID, cacheTokens)
+				candidate.WaitMs += float64(health.Pending())/s.Index.Rate() + clock.ToMilliseconds(health.PeersReading(now)) + float64(running)*constants.StepGuess
 			} else {
 				// A plain worker's wait grows with how full it is and how slow it has been.
-				candidate.WaitMs += health.TookMs()*(1+2*scheduler.faded(ask.Service, worker, running, neutral, now)/float64(max(worker.Capacity, 1))) + scheduler.spread()
+				candidate.WaitMs += health.TookMs()*(1+2*s.faded(ask.Service, worker, running, neutral, now)/float64(max(worker.Capacity, 1))) + s.spread()
 			}
 			if worker.WarmupMs > 0 {
 				candidate.RiskMs += float64(worker.WarmupMs) / 10
 			}
-			candidate.RiskMs += scheduler.risk(ask, worker, now)
+			candidate.RiskMs += s.risk(ask, worker, now)
 			if suspect {
 				candidate.RiskMs += constants.ErrPenalty
 			}
@@ -92,32 +92,32 @@
 		// Routes that are not affine use load alone.
 		prompt = prefixindex.Prompt{}
 	}
-	scheduler.scratch.workerList, scheduler.scratch.candidates = workerList, candidates
-	choice := scheduler.Index.Choose(&prompt, candidates, now)
+	s.scratch.workerList, s.scratch.candidates = workerList, candidates
+	choice := s.Index.Choose(&prompt, candidates, now)
 	worker := workerList[choice.Place]
-	scheduler.number++
-	grant := &Grant{Worker: worker, ask: ask, begun: now, scheduler: scheduler, number: scheduler.number}
-	health := scheduler.Tracker.Of(worker.ID)
+	s.number++
+	grant := &Grant{Worker: worker, ask: ask, begun: now, scheduler: s, number: s.number}
+	health := s.Tracker.Of(worker.ID)
 	grant.alone = health.Unread() == 0
 	if ask.Affine {
-		grant.Fresh = scheduler.Index.Placed(&ask.Prompt, worker.ID, now)
+		grant.Fresh = s.Index.Placed(&ask.Prompt, worker.ID, now)
 	}
 	health.Begin(ask.Bulk, grant.Fresh, now)
 	if grant.engine = engine; engine {
-		grant.reading = clock.Milliseconds(float64(max(health.Pending(), 0))/scheduler.Index.Rate()) + health.PeersReading(now)
+		grant.reading = clock.Milliseconds(float64(max(health.Pending(), 0))/s.Index.Rate()) + health.PeersReading(now)
 	}
-	if reading := float64(grant.Fresh) / scheduler.Index.Rate(); engine && reading > constants.LongReading && scheduler.tellReading != nil {
-		scheduler.tellReading(worker.ID, reading)
+	if reading := float64(grant.Fresh) / s.Index.Rate(); engine && reading > constants.LongReading && s.tellReading != nil {
+		s.tellReading(worker.ID, reading)
 	}
 	return Answer{Verdict: VerdictGranted, Grant: grant}
 }
 
 // room is how many requests a worker may have for this ask to be placed there.
-func (scheduler *Scheduler) room(ask *Ask, worker messages.Worker, now clock.Moment) int {
+func (s *Scheduler) room(ask *Ask, worker messages.Worker, now clock.Moment) int {
 	if !ask.Bulk {
 		return worker.Capacity + constants.RoomAhead
 	}
-	if scheduler.pressed(ask.Service, ask.Priority, now) && scheduler.bulkRunning(ask.Service) >= scheduler.floor(ask.Service) {
+	if s.pressed(ask.Service, ask.Priority, now) && s.bulkRunning(ask.Service) >= s.floor(ask.Service) {
 		// Live requests wait somewhere: items take no new places.
 		return 0
 	}
@@ -125,8 +125,8 @@
 }
 
 // hears tells whether a controller was heard from lately.
-func (scheduler *Scheduler) hears(now clock.Moment) bool {
-	return scheduler.listening > 0 && now.Since(scheduler.listening) < constants.SilentAfter
+func (s *Scheduler) hears(now clock.Moment) bool {
+	return s.listening > 0 && now.Since(s.listening) < constants.SilentAfter
 }
 
 func excluded(ask *Ask, worker string) bool {
@@ -143,30 +143,30 @@
 
 // Allowed tells whether a request may still be sent to the worker: a drain that
 // was acknowledged since the grant forbids it.
-func (scheduler *Scheduler) Allowed(worker string, now clock.Moment) bool {
-	scheduler.lock.Lock()
-	defer scheduler.lock.Unlock()
-	return scheduler.Registry.Standing(worker, now, false) != workers.StandingOut
+func (s *Scheduler) Allowed(worker string, now clock.Moment) bool {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return s.Registry.Standing(worker, now, false) != workers.StandingOut
 }
 
 // First notes the first event or the head of an answer.
-func (grant *Grant) First(load string, now clock.Moment) {
-	scheduler := grant.scheduler
+func (g *Grant) First(load string, now clock.Moment) {
+	scheduler := g.scheduler
 	scheduler.lock.Lock()
 	defer scheduler.lock.Unlock()
-	health := scheduler.Tracker.Of(grant.Worker.ID)
+	health := scheduler.Tracker.Of(g.Worker.ID)
 	if load != "" {
 		health.Load(load, now)
 	}
-	if grant.read {
+	if g.read {
 		return
 	}
-	grant.read = true
-	health.Read(grant.Fresh)
-	health.Answered(now.Since(grant.begun))
-	scheduler.pace(grant.Worker.Backend).first.Learn(clock.ToMilliseconds(max(now.Since(grant.begun)-grant.reading, 0)))
-	if grant.ask.Affine {
-		scheduler.Index.FirstEvent(&grant.ask.Prompt, grant.Worker.ID, grant.Fresh, now.Since(grant.begun), grant.alone, now)
+	g.read = true
+	health.Read(g.Fresh)
+	health.Answered(now.Since(g.begun))
+	scheduler.pace(g.Worker.Backend).first.Learn(clock.ToMilliseconds(max(now.Since(g.begun)-g.reading, 0)))
+	if g.ask.Affine {
+		scheduler.Index.FirstEvent(&g.ask.Prompt, g.Worker.ID, g.Fresh, now.Since(g.begun), g.alone, now)
 	}
 }
 
@@ -195,37 +195,37 @@
 )
 
 // End gives the entry back.
-func (grant *Grant) End(result Result, now clock.Moment) {
-	scheduler := grant.scheduler
+func (g *Grant) End(result Result, now clock.Moment) {
+	scheduler := g.scheduler
 	scheduler.lock.Lock()
-	delete(scheduler.yields, grant)
-	health := scheduler.Tracker.Of(grant.Worker.ID)
-	if !grant.read {
+	delete(scheduler.yields, g)
+	health := scheduler.Tracker.Of(g.Worker.ID)
+	if !g.read {
 		// No event came: what we gave it to read is not waited for any more.
-		grant.read = true
-		health.Read(grant.Fresh)
+		g.read = true
+		health.Read(g.Fresh)
 	}
-	health.End(grant.ask.Bulk, now)
-	scheduler.judge(grant, result, now)
+	health.End(g.ask.Bulk, now)
+	scheduler.judge(g, result, now)
 	switch result {
 	case ResultTurnedAway, ResultShed:
 		// It is full whatever we believed: let others be asked for a moment.
-		health.Full(grant.Worker.Capacity, now)
+		health.Full(g.Worker.Capacity, now)
 	case ResultGoneAway:
-		scheduler.Index.Drop(grant.Worker.ID)
+		scheduler.Index.Drop(g.Worker.ID)
 	case ResultServed:
-		scheduler.finished(grant.ask.Service, now)
-		scheduler.flowed(grant, now)
+		scheduler.finished(g.ask.Service, now)
+		scheduler.flowed(g, now)
 	}
 	scheduler.lock.Unlock()
 	scheduler.Pump(now)
 }
 
-func (scheduler *Scheduler) finished(service string, now clock.Moment) {
-	pace := scheduler.rates[service]
+func (s *Scheduler) finished(service string, now clock.Moment) {
+	pace := s.rates[service]
 	if pace == nil {
 		pace = &rate{since: now}
-		scheduler.rates[service] = pace
+		s.rates[service] = pace
 	}
 	pace.count++
 	if span := now.Since(pace.since); span > constants.GossipPeriod/2 {
--- a/internal/traffic/admission/place_bench_test.go
+++ b/internal/traffic/admission/place_bench_test.go
@@ -11,13 +11,13 @@
 )
 
 // BenchmarkPlacement is one short prompt placed and ended, by the size of its service.
-func BenchmarkPlacement(scheduler *testing.B) {
+func BenchmarkPlacement(b *testing.B) {
 	for _, count := range []int{18, 60, 600} {
-		scheduler.Run(fmt.Sprint(count, "-workers"), func(scheduler *testing.B) {
+		b.Run(fmt.Sprint(count, "-workers"), func(b *testing.B) {
 			one := New(messages.Entry{Name: "n", Role: membership.RoleGateway, Zone: "h0"}, 1_200_000_000)
 			config, err := routeconfig.Parse([]byte(`{"generation":2,"backends":[{"name":"s","engine":{"capacity":16,"cache-tokens":200000}}]}`))
 			if err != nil {
-				scheduler.Fatal(err)
+				b.Fatal(err)
 			}
 			one.SetConfig(config)
 			var list []messages.Worker
@@ -25,8 +25,8 @@
 				list = append(list, messages.Worker{ID: fmt.Sprintf("i-%04d", place), Backend: "s", Zone: fmt.Sprint("h", place%4), Capacity: 16, Count: 1})
 			}
 			one.Merge(list, 1)
-			scheduler.ReportAllocs()
-			for number := 0; scheduler.Loop(); number++ {
+			b.ReportAllocs()
+			for number := 0; b.Loop(); number++ {
 				now := clock.Moment(number+1) * 1_000_000
 				answer, _ := one.Admit(ask(0), nil, now)
 				answer.Grant.End(ResultServed, now+1000)
@@ -36,17 +36,17 @@
 }
 
 // BenchmarkGossip is one second of talk: a packet made and four taken.
-func BenchmarkGossip(scheduler *testing.B) {
+func BenchmarkGossip(b *testing.B) {
 	for _, count := range []int{18, 60, 600} {
-		scheduler.Run(fmt.Sprint(count, "-workers"), func(scheduler *testing.B) {
+		b.Run(fmt.Sprint(count, "-workers"), func(b *testing.B) {
 			one := New(messages.Entry{Name: "n", Role: membership.RoleGateway, Zone: "h0"}, 1_200_000_000)
 			var list []messages.Worker
 			for place := 0; place < count; place++ {
 				list = append(list, messages.Worker{ID: fmt.Sprintf("i-%04d", place), Backend: "s", Zone: fmt.Sprint("h", place%4), Capacity: 16, Count: 1})
 			}
 			one.Merge(list, 1)
-			scheduler.ReportAllocs()
-			for number := 1; scheduler.Loop(); number++ {
+			b.ReportAllocs()
+			for number := 1; b.Loop(); number++ {
 				now := second(number)
 				for peer := 0; peer < 4; peer++ {
 					packet := &messages.Gossip{From: fmt.Sprint("forge/", peer)}
--- a/internal/traffic/admission/pump.go
+++ b/internal/traffic/admission/pump.go
@@ -6,40 +6,40 @@
 )
 
 // someWait wakes whoever pumps; one word is enough.
-func (scheduler *Scheduler) someWait() {
+func (s *Scheduler) someWait() {
 	select {
-	case scheduler.waits <- struct{}{}:
+	case s.waits <- struct{}{}:
 	default:
 	}
 }
 
 // PumpWaiting pumps where anything waits, since patience may have run out, and tells
 // whether something still does.
-func (scheduler *Scheduler) PumpWaiting(now clock.Moment) bool {
-	if !scheduler.waiting() {
+func (s *Scheduler) PumpWaiting(now clock.Moment) bool {
+	if !s.waiting() {
 		return false
 	}
-	scheduler.Pump(now)
-	scheduler.press(now)
-	return scheduler.waiting()
+	s.Pump(now)
+	s.press(now)
+	return s.waiting()
 }
 
-func (scheduler *Scheduler) waiting() bool {
-	scheduler.lock.Lock()
-	defer scheduler.lock.Unlock()
-	return scheduler.slab.Len() > 0
+func (s *Scheduler) waiting() bool {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return s.slab.Len() > 0
 }
 
 // KeepPumping looks at those that wait each period, and sleeps while nobody does: an
 // idle process must not wake up for nothing.
-func (scheduler *Scheduler) KeepPumping(stop <-chan struct{}) {
+func (s *Scheduler) KeepPumping(stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
 			return
-		case <-scheduler.waits:
+		case <-s.waits:
 		}
-		for waiting := true; waiting; waiting = scheduler.PumpWaiting(clock.Now()) {
+		for waiting := true; waiting; waiting = s.PumpWaiting(clock.Now()) {
 			select {
 			case <-stop:
 				return
@@ -51,24 +51,24 @@
 
 // Pump resumes what can be placed now, in order of rank and age, and refuses
 // what can wait no longer.
-func (scheduler *Scheduler) Pump(now clock.Moment) {
+func (s *Scheduler) Pump(now clock.Moment) {
 	type resumption struct {
 		one    *waiter
 		answer Answer
 	}
 	var resumed []resumption
-	scheduler.lock.Lock()
-	for service, queue := range scheduler.queues {
+	s.lock.Lock()
+	for service, queue := range s.queues {
 		kept := queue[:0]
 		blocked := false
 		for _, handle := range queue {
-			one, found := scheduler.slab.Get(handle)
+			one, found := s.slab.Get(handle)
 			if !found {
 				continue
 			}
 			answer := Answer{Verdict: VerdictNoRoom}
 			if !blocked {
-				answer = scheduler.place(one.ask, now)
+				answer = s.place(one.ask, now)
 			}
 			if answer.Verdict == VerdictNoRoom && now < one.ask.Patience {
 				blocked = true
@@ -76,14 +76,14 @@
 				continue
 			}
 			if answer.Verdict == VerdictNoRoom {
-				answer.Retry = scheduler.retryAfter(one.ask, now)
+				answer.Retry = s.retryAfter(one.ask, now)
 			}
-			scheduler.slab.Take(handle)
+			s.slab.Take(handle)
 			resumed = append(resumed, resumption{one, answer})
 		}
-		scheduler.queues[service] = kept
+		s.queues[service] = kept
 	}
-	scheduler.lock.Unlock()
+	s.lock.Unlock()
 	for _, each := range resumed {
 		each.one.resume(each.answer)
 	}
--- a/internal/traffic/admission/pump_test.go
+++ b/internal/traffic/admission/pump_test.go
@@ -9,8 +9,8 @@
 
 // Nobody pumps an empty bench; one that waits is looked at until its patience ends,
 // and the next one that comes wakes the pump again.
-func TestPumpSleepsWhileNobodyWaits(test *testing.T) {
-	one := scheduler(test, 1, "w")
+func TestPumpSleepsWhileNobodyWaits(t *testing.T) {
+	one := scheduler(t, 1, "w")
 	stop, over := make(chan struct{}), make(chan struct{})
 	go func() {
 		one.KeepPumping(stop)
@@ -18,7 +18,7 @@
 	}()
 	for count := 0; count < 1+constants.RoomAhead; count++ {
 		if answer, _ := one.Admit(ask(0), nil, clock.Now()); answer.Verdict != VerdictGranted {
-			test.Fatal(answer.Verdict)
+			t.Fatal(answer.Verdict)
 		}
 	}
 	for round := 0; round < 2; round++ {
@@ -26,20 +26,20 @@
 		waits := ask(0)
 		waits.Patience = clock.Now().Plus(2 * constants.PumpPeriod)
 		if answer, _ := one.Admit(waits, func(late Answer) { refused <- late }, clock.Now()); answer.Verdict != VerdictQueued {
-			test.Fatal(answer.Verdict)
+			t.Fatal(answer.Verdict)
 		}
 		select {
 		case late := <-refused:
 			if late.Verdict != VerdictNoRoom {
-				test.Fatal(late.Verdict)
+				t.Fatal(late.Verdict)
 			}
 		case <-clock.After(5_000_000_000):
-			test.Fatal("nobody looked at the one that waited, round ", round)
+			t.Fatal("nobody looked at the one that waited, round ", round)
 		}
 	}
 	close(stop)
 	<-over
 	if one.PumpWaiting(clock.Now()) || len(one.waits) != 0 {
-		test.Fatal("something still waits")
+		t.Fatal("something still waits")
 	}
 }
--- a/internal/traffic/admission/reach.go
+++ b/internal/traffic/admission/reach.go
@@ -32,29 +32,29 @@
 
 // reach gives the workers that are weighed for an ask, and whether there are more.
 // The lock is held.
-func (scheduler *Scheduler) reach(ask *Ask, all []messages.Worker, now clock.Moment) (some []messages.Worker, more bool) {
+func (s *Scheduler) reach(ask *Ask, all []messages.Worker, now clock.Moment) (some []messages.Worker, more bool) {
 	if ask.Bulk || len(all) <= constants.ReachWhole {
 		// Items are placed by few processes, each of which needs the room of all.
 		return all, false
 	}
-	some = scheduler.scratch.reach[:0]
-	for _, worker := range scheduler.subset(ask.Service, all, now) {
+	some = s.scratch.reach[:0]
+	for _, worker := range s.subset(ask.Service, all, now) {
 		// A full one is no reason to wait while others are free elsewhere.
-		if scheduler.Tracker.Of(worker.ID).Running(now) < worker.Capacity && !excluded(ask, worker.ID) {
+		if s.Tracker.Of(worker.ID).Running(now) < worker.Capacity && !excluded(ask, worker.ID) {
 			some = append(some, worker)
 		}
 	}
 	if ask.Affine && ask.Prompt.Shared() >= constants.GossipPrefixLeast {
-		some = scheduler.atHome(ask, all, some)
+		some = s.atHome(ask, all, some)
 	}
-	scheduler.scratch.reach = some
+	s.scratch.reach = some
 	return some, true
 }
 
 // subset draws the node's workers by rendezvous: who comes or goes changes nobody
 // else's, and all workers are drawn by about as many nodes.
-func (scheduler *Scheduler) subset(service string, all []messages.Worker, now clock.Moment) []messages.Worker {
-	kept := scheduler.subsets[service]
+func (s *Scheduler) subset(service string, all []messages.Worker, now clock.Moment) []messages.Worker {
+	kept := s.subsets[service]
 	if kept.workerList != nil && now.Since(kept.at) < constants.GossipPeriod {
 		return kept.workerList
 	}
@@ -64,12 +64,12 @@
 		draw   uint64
 	}
 	var good []ranked
-	listening := scheduler.listening > 0 && now.Since(scheduler.listening) < constants.SilentAfter
+	listening := s.listening > 0 && now.Since(s.listening) < constants.SilentAfter
 	for _, worker := range all {
-		if scheduler.Registry.Standing(worker.ID, now, listening) != workers.StandingGood || scheduler.Tracker.Of(worker.ID).Suspect(now) {
+		if s.Registry.Standing(worker.ID, now, listening) != workers.StandingGood || s.Tracker.Of(worker.ID).Suspect(now) {
 			continue
 		}
-		good = append(good, ranked{worker, worker.Zone == scheduler.own.Zone, drawOf(scheduler.own, worker.ID)})
+		good = append(good, ranked{worker, worker.Zone == s.own.Zone, drawOf(s.own, worker.ID)})
 	}
 	sort.Slice(good, func(left, right int) bool {
 		if good[left].near != good[right].near {
@@ -81,10 +81,10 @@
 	for _, one := range good[:min(len(good), constants.ReachSubset)] {
 		fresh.workerList = append(fresh.workerList, one.worker)
 	}
-	if scheduler.subsets == nil {
-		scheduler.subsets = map[string]subset{}
+	if s.subsets == nil {
+		s.subsets = map[string]subset{}
 	}
-	scheduler.subsets[service] = fresh
+	s.subsets[service] = fresh
 	return fresh.workerList
 }
 
@@ -100,14 +100,14 @@
 
 // DrawnBy gives those of some nodes of a worker's zone that weigh it by their draw,
 // and whether nodes weigh a part of the workers at all.
-func (scheduler *Scheduler) DrawnBy(worker string, nodes []messages.Entry) (drawn []messages.Entry, part bool) {
-	scheduler.lock.Lock()
-	defer scheduler.lock.Unlock()
-	known, found := scheduler.Registry.Get(worker)
+func (s *Scheduler) DrawnBy(worker string, nodes []messages.Entry) (drawn []messages.Entry, part bool) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	known, found := s.Registry.Get(worker)
 	if !found {
 		return nil, false
 	}
-	all := scheduler.Registry.Named(known.Backend)
+	all := s.Registry.Named(known.Backend)
 	if len(all) <= constants.ReachWhole {
 		return nil, false
 	}
@@ -129,24 +129,24 @@
 }
 
 // ZoneOf gives the zone of a worker.
-func (scheduler *Scheduler) ZoneOf(worker string) string {
-	scheduler.lock.Lock()
-	defer scheduler.lock.Unlock()
-	known, _ := scheduler.Registry.Get(worker)
+func (s *Scheduler) ZoneOf(worker string) string {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	known, _ := s.Registry.Get(worker)
 	return known.Zone
 }
 
 // atHome adds the workers at which the prompt's prefix is at home or was seen.
-func (scheduler *Scheduler) atHome(ask *Ask, all, some []messages.Worker) []messages.Worker {
+func (s *Scheduler) atHome(ask *Ask, all, some []messages.Worker) []messages.Worker {
 	wanted := map[string]bool{}
 	ids := make([]string, len(all))
 	for place := range all {
 		ids[place] = all[place].ID
 	}
-	for _, worker := range scheduler.Index.Homes(&ask.Prompt, ids, constants.ReachHomes) {
+	for _, worker := range s.Index.Homes(&ask.Prompt, ids, constants.ReachHomes) {
 		wanted[worker] = true
 	}
-	for _, worker := range scheduler.Index.Holders(&ask.Prompt, constants.ReachHomes) {
+	for _, worker := range s.Index.Holders(&ask.Prompt, constants.ReachHomes) {
 		wanted[worker] = true
 	}
 	for _, worker := range some {
@@ -162,10 +162,10 @@
 
 // neutral is the mean load of those workers that there is evidence of: what one
 // without any is taken for, or it would seem the emptiest. The lock is held.
-func (scheduler *Scheduler) neutral(workerList []messages.Worker, now clock.Moment) int {
+func (s *Scheduler) neutral(workerList []messages.Worker, now clock.Moment) int {
 	total, count := 0, 0
 	for _, worker := range workerList {
-		if health := scheduler.Tracker.Of(worker.ID); health.Known(now) {
+		if health := s.Tracker.Of(worker.ID); health.Known(now) {
 			total += health.Running(now)
 			count++
 		}
--- a/internal/traffic/admission/reach_test.go
+++ b/internal/traffic/admission/reach_test.go
@@ -35,27 +35,27 @@
 
 // What has no warm prefix goes to a few workers of the own zone, and to others only
 // once these are full.
-func TestShortPromptsStayInTheSubset(test *testing.T) {
+func TestShortPromptsStayInTheSubset(t *testing.T) {
 	one := node("n", "h1", 4)
 	used := map[string]int{}
 	for count := 0; count < 4*constants.ReachSubset; count++ {
 		answer, _ := one.Admit(ask(0), nil, second(2)+clock.Moment(count))
 		if answer.Verdict != VerdictGranted || answer.Grant.Worker.Zone != "h1" {
-			test.Fatalf("number %d: %+v", count, answer)
+			t.Fatalf("number %d: %+v", count, answer)
 		}
 		used[answer.Grant.Worker.ID]++
 	}
 	if len(used) != constants.ReachSubset {
-		test.Fatalf("%d workers were used", len(used))
+		t.Fatalf("%d workers were used", len(used))
 	}
 	answer, _ := one.Admit(ask(0), nil, second(2)+100)
 	if answer.Verdict != VerdictGranted || used[answer.Grant.Worker.ID] > 0 {
-		test.Fatalf("waits behind its own few while others are free: %+v", answer)
+		t.Fatalf("waits behind its own few while others are free: %+v", answer)
 	}
 }
 
 // All workers are drawn by about as many nodes.
-func TestSubsetsSpread(test *testing.T) {
+func TestSubsetsSpread(t *testing.T) {
 	drawn := map[string]int{}
 	const nodes = 72
 	for place := 0; place < nodes; place++ {
@@ -67,14 +67,14 @@
 	mean := float64(nodes*constants.ReachSubset) / 60
 	for place := 0; place < 60; place++ {
 		if count := float64(drawn[fmt.Sprintf("i-%04d", place)]); count < 0.4*mean || count > 1.7*mean {
-			test.Fatalf("worker %d is drawn by %.0f nodes, the mean is %.1f", place, count, mean)
+			t.Fatalf("worker %d is drawn by %.0f nodes, the mean is %.1f", place, count, mean)
 		}
 	}
 }
 
 // A long prefix is at home at the same workers for every node, in reach or not; a
 // worker that fails leaves the subset.
-func TestLongPrefixGoesHome(test *testing.T) {
+func TestLongPrefixGoesHome(t *testing.T) {
 	long := func() *Ask {
 		return &Ask{Service: "s", Affine: true, Setpoint: 200_000_000, Patience: second(9), Prompt: prefixindex.Prompt{Tokens: 20_000,
 			Parts: []prefixindex.Part{{Name: 77, Tokens: 18_000}, {Name: 78, Tokens: 2_000}}}}
@@ -86,7 +86,7 @@
 			home = answer.Grant.Worker.ID
 		}
 		if answer.Grant.Worker.ID != home {
-			test.Fatalf("node %d places at %s, others at %s", place, answer.Grant.Worker.ID, home)
+			t.Fatalf("node %d places at %s, others at %s", place, answer.Grant.Worker.ID, home)
 		}
 	}
 	// Where a peer's word says that it is held, it goes there rather than home.
@@ -95,19 +95,19 @@
 	word := messages.AppendPrefix(nil, messages.Residency{Path: []byte{0, 0, 0, 0, 0, 0, 0, 77}, Tokens: 18_000, Worker: other, Chance: 1})
 	one.Heard(&messages.Gossip{From: "forge/x", Prefixes: word}, second(2))
 	if answer, _ := one.Admit(long(), nil, second(2)+1); answer.Grant.Worker.ID != other {
-		test.Fatal("placed at ", answer.Grant.Worker.ID)
+		t.Fatal("placed at ", answer.Grant.Worker.ID)
 	}
 	failed := one.subset("s", one.Registry.Named("s"), second(2))[0].ID
 	one.Locked(func() { one.Tracker.Of(failed).Failed(constants.EjectFor, second(4)) })
 	for _, worker := range one.subset("s", one.Registry.Named("s"), second(4)) {
 		if worker.ID == failed {
-			test.Fatal("a failing worker stays in the subset")
+			t.Fatal("a failing worker stays in the subset")
 		}
 	}
 }
 
 // Those who draw a worker are the nodes in whose subset it is.
-func TestDrawnByAgreesWithSubsets(test *testing.T) {
+func TestDrawnByAgreesWithSubsets(t *testing.T) {
 	var nodes []messages.Entry
 	benches := map[string]*Scheduler{}
 	for place := 0; place < 20; place++ {
@@ -118,7 +118,7 @@
 	one := benches["edge-0"]
 	drawn, part := one.DrawnBy("i-0001", nodes)
 	if !part || len(drawn) == 0 || len(drawn) == len(nodes) {
-		test.Fatal(len(drawn), part)
+		t.Fatal(len(drawn), part)
 	}
 	holding := map[string]bool{}
 	for _, entry := range drawn {
@@ -130,33 +130,33 @@
 			has = has || worker.ID == "i-0001"
 		}
 		if has != holding[name] {
-			test.Fatalf("%s weighs it: %v, told: %v", name, has, holding[name])
+			t.Fatalf("%s weighs it: %v, told: %v", name, has, holding[name])
 		}
 	}
-	if small, part := scheduler(test, 4, "w").DrawnBy("w", nodes); part || len(small) > 0 {
-		test.Fatal("a small service has no parts")
+	if small, part := scheduler(t, 4, "w").DrawnBy("w", nodes); part || len(small) > 0 {
+		t.Fatal("a small service has no parts")
 	}
 }
 
 // One full worker of two says little of the other, which must not stand idle.
-func TestNobodyIsFullOnAGuessFromFew(test *testing.T) {
-	one := scheduler(test, 4, "v", "w")
+func TestNobodyIsFullOnAGuessFromFew(t *testing.T) {
+	one := scheduler(t, 4, "v", "w")
 	one.Heard(&messages.Gossip{From: "forge/x", Loads: load("v", 6, 0)}, second(2))
 	if answer, _ := one.Admit(ask(0), nil, second(2)); answer.Verdict != VerdictGranted || answer.Grant.Worker.ID != "w" {
-		test.Fatal("refused while a worker stands idle")
+		t.Fatal("refused while a worker stands idle")
 	}
 }
 
 // A worker of which nothing is known seems neither empty nor full.
-func TestUnknownLoadIsTakenAtTheMean(test *testing.T) {
-	one := scheduler(test, 4, "v", "w", "x")
+func TestUnknownLoadIsTakenAtTheMean(t *testing.T) {
+	one := scheduler(t, 4, "v", "w", "x")
 	for _, worker := range []string{"v", "w"} {
 		one.Heard(&messages.Gossip{From: "forge/x", Loads: load(worker, 6, 0)}, second(2))
 	}
 	if answer, _ := one.Admit(ask(0), nil, second(2)); answer.Verdict == VerdictGranted {
-		test.Fatal("a worker without evidence was taken for an empty one")
+		t.Fatal("a worker without evidence was taken for an empty one")
 	}
 	if answer, _ := one.Admit(ask(0), nil, second(2).Plus(constants.GossipStale)); answer.Verdict != VerdictGranted {
-		test.Fatal("what is taken from stale words still counts")
+		t.Fatal("what is taken from stale words still counts")
 	}
 }
--- a/internal/traffic/admission/room.go
+++ b/internal/traffic/admission/room.go
@@ -7,32 +7,32 @@
 )
 
 // Workers lists the workers that are known, in order.
-func (scheduler *Scheduler) Workers(now clock.Moment) []messages.Worker {
-	scheduler.lock.Lock()
-	defer scheduler.lock.Unlock()
-	return scheduler.Registry.All(now)
+func (s *Scheduler) Workers(now clock.Moment) []messages.Worker {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return s.Registry.All(now)
 }
 
 // SetBulkOwn names the only workers at which this process places items.
-func (scheduler *Scheduler) SetBulkOwn(workerList map[string]bool) {
-	scheduler.lock.Lock()
-	defer scheduler.lock.Unlock()
-	scheduler.bulkOwn = workerList
+func (s *Scheduler) SetBulkOwn(workerList map[string]bool) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.bulkOwn = workerList
 }
 
 // BulkRoom counts the workers that have a place left for an item, whether or not
 // they read one already: so many items are worth holding ready.
-func (scheduler *Scheduler) BulkRoom(ask *Ask, now clock.Moment) int {
-	scheduler.lock.Lock()
-	defer scheduler.lock.Unlock()
-	listening := scheduler.hears(now)
+func (s *Scheduler) BulkRoom(ask *Ask, now clock.Moment) int {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	listening := s.hears(now)
 	count := 0
-	for _, worker := range scheduler.Registry.Named(ask.Service) {
-		if scheduler.Registry.Standing(worker.ID, now, listening) != workers.StandingGood || excluded(ask, worker.ID) {
+	for _, worker := range s.Registry.Named(ask.Service) {
+		if s.Registry.Standing(worker.ID, now, listening) != workers.StandingGood || excluded(ask, worker.ID) {
 			continue
 		}
-		health := scheduler.Tracker.Of(worker.ID)
-		if !health.Suspect(now) && health.Running(now) < scheduler.room(ask, worker, now) {
+		health := s.Tracker.Of(worker.ID)
+		if !health.Suspect(now) && health.Running(now) < s.room(ask, worker, now) {
 			count++
 		}
 	}
--- a/internal/traffic/admission/slab.go
+++ b/internal/traffic/admission/slab.go
@@ -21,23 +21,23 @@
 }
 
 // Put stores a value.
-func (slab *Slab[Value]) Put(value Value) Handle {
-	slab.used++
-	if count := len(slab.free); count > 0 {
-		place := slab.free[count-1]
-		slab.free = slab.free[:count-1]
-		one := &slab.cells[place]
+func (s *Slab[Value]) Put(value Value) Handle {
+	s.used++
+	if count := len(s.free); count > 0 {
+		place := s.free[count-1]
+		s.free = s.free[:count-1]
+		one := &s.cells[place]
 		one.taken, one.value = true, value
 		return Handle{place, one.generation}
 	}
-	slab.cells = append(slab.cells, cell[Value]{taken: true, value: value})
-	return Handle{len(slab.cells) - 1, 0}
+	s.cells = append(s.cells, cell[Value]{taken: true, value: value})
+	return Handle{len(s.cells) - 1, 0}
 }
 
 // Get finds a value; it is gone once taken.
-func (slab *Slab[Value]) Get(handle Handle) (Value, bool) {
-	if handle.place < len(slab.cells) {
-		if one := &slab.cells[handle.place]; one.taken && one.generation == handle.generation {
+func (s *Slab[Value]) Get(handle Handle) (Value, bool) {
+	if handle.place < len(s.cells) {
+		if one := &s.cells[handle.place]; one.taken && one.generation == handle.generation {
 			return one.value, true
 		}
 	}
@@ -47,18 +47,18 @@
 
 // Take removes a value; only the first caller gets it, so no continuation is
 // resumed twice.
-func (slab *Slab[Value]) Take(handle Handle) (Value, bool) {
-	value, found := slab.Get(handle)
+func (s *Slab[Value]) Take(handle Handle) (Value, bool) {
+	value, found := s.Get(handle)
 	if found {
 		var nothing Value
-		one := &slab.cells[handle.place]
+		one := &s.cells[handle.place]
 		one.value, one.taken = nothing, false
 		one.generation++
-		slab.free = append(slab.free, handle.place)
-		slab.used--
+		s.free = append(s.free, handle.place)
+		s.used--
 	}
 	return value, found
 }
 
 // Len is how many values are stored.
-func (slab *Slab[Value]) Len() int { return slab.used }
+func (s *Slab[Value]) Len() int { return s.used }
--- a/internal/traffic/admission/stale.go
+++ b/internal/traffic/admission/stale.go
@@ -16,22 +16,22 @@
 // full tells whether an ask finds no place at a worker. That a worker was full holds
 // for about one stay; then somebody must look. Items take no such chance, and nobody does
 // at an engine, whose batch stays full: there pressure makes room.
-func (scheduler *Scheduler) full(ask *Ask, worker messages.Worker, engine bool, running int, now clock.Moment) bool {
-	room := scheduler.room(ask, worker, now)
+func (s *Scheduler) full(ask *Ask, worker messages.Worker, engine bool, running int, now clock.Moment) bool {
+	room := s.room(ask, worker, now)
 	if running < room {
 		return false
 	}
-	health := scheduler.Tracker.Of(worker.ID)
+	health := s.Tracker.Of(worker.ID)
 	if ask.Bulk || engine || health.Own() >= room || !health.Known(now) {
 		return true
 	}
-	return health.Unread() > 0 || health.Age(now) <= max(constants.FullFor, scheduler.stay(ask.Service))
+	return health.Unread() > 0 || health.Age(now) <= max(constants.FullFor, s.stay(ask.Service))
 }
 
 // stay is the usual time of a request at a service's worker, as seen from here; zero
 // while nothing is known.
-func (scheduler *Scheduler) stay(service string) clock.Span {
-	one := scheduler.gossip.flows[service]
+func (s *Scheduler) stay(service string) clock.Span {
+	one := s.gossip.flows[service]
 	if one == nil || one.count == 0 {
 		return 0
 	}
@@ -40,9 +40,9 @@
 
 // faded is a load as it may be by now: an old observation says little more than the
 // mean of all does.
-func (scheduler *Scheduler) faded(service string, worker messages.Worker, running, neutral int, now clock.Moment) float64 {
-	health := scheduler.Tracker.Of(worker.ID)
-	stay := scheduler.stay(service)
+func (s *Scheduler) faded(service string, worker messages.Worker, running, neutral int, now clock.Moment) float64 {
+	health := s.Tracker.Of(worker.ID)
+	stay := s.stay(service)
 	if stay == 0 || !health.Known(now) {
 		return float64(running)
 	}
@@ -52,10 +52,10 @@
 
 // spread is a small random part of the score, in ms, less than the way to another
 // zone: among equals not all nodes must choose the first. It repeats with the node.
-func (scheduler *Scheduler) spread() float64 {
-	if scheduler.spreading == 0 {
-		scheduler.spreading = drawOf(scheduler.own, "")
+func (s *Scheduler) spread() float64 {
+	if s.spreading == 0 {
+		s.spreading = drawOf(s.own, "")
 	}
-	scheduler.spreading = prefixindex.Mix(scheduler.spreading + 0x9e3779b97f4a7c15)
-	return constants.SpreadMs * float64(scheduler.spreading>>11) / (1 << 53)
+	s.spreading = prefixindex.Mix(s.spreading + 0x9e3779b97f4a7c15)
+	return constants.SpreadMs * float64(s.spreading>>11) / (1 << 53)
 }
--- a/internal/traffic/admission/stale_test.go
+++ b/internal/traffic/admission/stale_test.go
@@ -12,37 +12,37 @@
 
 // That a worker was full holds for about one stay: then somebody must look, or no new
 // word would ever come from it. Items wait for one.
-func TestFullHoldsForOneStay(test *testing.T) {
-	one := scheduler(test, 4, "w")
+func TestFullHoldsForOneStay(t *testing.T) {
+	one := scheduler(t, 4, "w")
 	one.Heard(&messages.Gossip{From: "forge/x", Loads: load("w", 50, 0)}, second(10))
 	if answer, _ := one.Admit(ask(0), nil, second(10).Plus(constants.FullFor)); answer.Verdict == VerdictGranted {
-		test.Fatal("placed on a worker that was full a moment ago")
+		t.Fatal("placed on a worker that was full a moment ago")
 	}
 	later := second(10).Plus(constants.FullFor) + 1
 	if answer, _ := one.Admit(&Ask{Service: "s", Bulk: true, Priority: 2}, nil, later); answer.Verdict == VerdictGranted {
-		test.Fatal("an item took the chance")
+		t.Fatal("an item took the chance")
 	}
 	if answer, _ := one.Admit(ask(0), nil, later); answer.Verdict != VerdictGranted {
-		test.Fatal("nobody looks whether it is still full")
+		t.Fatal("nobody looks whether it is still full")
 	}
 	if answer, _ := one.Admit(ask(0), nil, later+1); answer.Verdict == VerdictGranted {
-		test.Fatal("a second one looks before the first has seen anything")
+		t.Fatal("a second one looks before the first has seen anything")
 	}
 	// Where requests stay long, it holds for longer.
-	slow := scheduler(test, 100, "v")
+	slow := scheduler(t, 100, "v")
 	for count := 0; count < 20; count++ {
 		answer, _ := slow.Admit(ask(0), nil, second(10))
 		answer.Grant.End(ResultServed, second(10).Plus(2*constants.GossipPeriod))
 	}
 	slow.Heard(&messages.Gossip{From: "forge/x", Loads: load("v", 200, 0)}, second(20))
 	if answer, _ := slow.Admit(ask(0), nil, second(21)); answer.Verdict == VerdictGranted {
-		test.Fatal("a worker of long requests is not empty after a second")
+		t.Fatal("a worker of long requests is not empty after a second")
 	}
 }
 
 // An old word says little more than the mean: it draws nobody to another zone.
-func TestOldWordsDrawNobody(test *testing.T) {
-	one := scheduler(test, 6, "v")
+func TestOldWordsDrawNobody(t *testing.T) {
+	one := scheduler(t, 6, "v")
 	one.Merge([]messages.Worker{{ID: "a", Backend: "s", Address: "a", Zone: "elsewhere", Capacity: 6, Count: 1}}, 1)
 	for count := 0; count < 40; count++ {
 		answer, _ := one.Admit(ask(0), nil, second(5))
@@ -60,15 +60,15 @@
 	}
 	hear(second(10))
 	if at(second(10)) != "a" {
-		test.Fatal("a fresh word was not followed")
+		t.Fatal("a fresh word was not followed")
 	}
 	if at(second(10).Plus(clock.Milliseconds(900))) != "v" {
-		test.Fatal("a word fifteen requests old still sends everybody to another zone")
+		t.Fatal("a word fifteen requests old still sends everybody to another zone")
 	}
 }
 
 // Among equals not every node chooses the same, and each repeats itself.
-func TestEqualsAreSpread(test *testing.T) {
+func TestEqualsAreSpread(t *testing.T) {
 	first := map[string]int{}
 	for place := 0; place < 40; place++ {
 		pick := func() string {
@@ -83,22 +83,22 @@
 		}
 		once := pick()
 		if once != pick() {
-			test.Fatal("a node does not repeat itself")
+			t.Fatal("a node does not repeat itself")
 		}
 		first[once]++
 	}
 	if len(first) != 4 {
-		test.Fatal("all nodes choose alike: ", first)
+		t.Fatal("all nodes choose alike: ", first)
 	}
 }
 
 // At an engine nobody looks: its batch stays full until something yields.
-func TestFullEngineIsNotLookedAt(test *testing.T) {
+func TestFullEngineIsNotLookedAt(t *testing.T) {
 	one := node("n", "h1", 4)
 	for place := 0; place < 60; place++ {
 		one.Heard(&messages.Gossip{From: "forge/x", Loads: load(fmt.Sprintf("i-%04d", place), 50, 0)}, second(10))
 	}
 	if answer, _ := one.Admit(ask(0), nil, second(12)); answer.Verdict == VerdictGranted {
-		test.Fatal("placed on a full engine")
+		t.Fatal("placed on a full engine")
 	}
 }
--- a/internal/traffic/admission/unread_test.go
+++ b/internal/traffic/admission/unread_test.go
@@ -4,23 +4,23 @@
 
 // A try that ends before its first event gives back what it had the worker read:
 // else the worker looks busy for ever, and no item is placed there any more.
-func TestEndGivesBackUnread(test *testing.T) {
+func TestEndGivesBackUnread(t *testing.T) {
 	for _, result := range []Result{ResultServed, ResultFailed, ResultTurnedAway, ResultCalledOff} {
-		one := scheduler(test, 4, "w")
+		one := scheduler(t, 4, "w")
 		question := ask(0)
 		question.Affine = true
 		question.Prompt.Tokens = 700
 		answer, _ := one.Admit(question, nil, 2)
 		if answer.Verdict != VerdictGranted {
-			test.Fatal(answer.Verdict)
+			t.Fatal(answer.Verdict)
 		}
 		health := one.Tracker.Of("w")
 		if health.Unread() != 1 || health.Pending() != int64(answer.Grant.Fresh) {
-			test.Fatal(health.Unread(), health.Pending())
+			t.Fatal(health.Unread(), health.Pending())
 		}
 		answer.Grant.End(result, 3)
 		if health.Unread() != 0 || health.Pending() != 0 {
-			test.Fatal(result, health.Unread(), health.Pending())
+			t.Fatal(result, health.Unread(), health.Pending())
 		}
 	}
 }
--- a/internal/traffic/admission/wait.go
+++ b/internal/traffic/admission/wait.go
@@ -6,22 +6,22 @@
 )
 
 // retryAfter tells when room is expected.
-func (scheduler *Scheduler) retryAfter(ask *Ask, now clock.Moment) clock.Span {
-	wait, known := scheduler.expectedWait(ask, now)
+func (s *Scheduler) retryAfter(ask *Ask, now clock.Moment) clock.Span {
+	wait, known := s.expectedWait(ask, now)
 	if !known {
 		wait = ask.Setpoint
 	}
 	return min(max(wait, 50*1_000_000), constants.GossipPeriod)
 }
 
-func (scheduler *Scheduler) expectedWait(ask *Ask, now clock.Moment) (clock.Span, bool) {
-	pace := scheduler.rates[ask.Service]
+func (s *Scheduler) expectedWait(ask *Ask, now clock.Moment) (clock.Span, bool) {
+	pace := s.rates[ask.Service]
 	if pace == nil || pace.perS <= 0 {
 		return 0, false
 	}
 	ahead := 1.0
-	for _, handle := range scheduler.queues[ask.Service] {
-		if one, found := scheduler.slab.Get(handle); found && one.ask.Priority <= ask.Priority {
+	for _, handle := range s.queues[ask.Service] {
+		if one, found := s.slab.Get(handle); found && one.ask.Priority <= ask.Priority {
 			ahead++
 		}
 	}
--- a/internal/traffic/gateway/connections.go
+++ b/internal/traffic/gateway/connections.go
@@ -27,30 +27,30 @@
 }
 
 // Accept gives the next connection.
-func (one *connections) Accept() (net.Conn, error) {
-	raw, err := one.Listener.Accept()
+func (c *connections) Accept() (net.Conn, error) {
+	raw, err := c.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	connection := &patientConnection{Conn: raw, owner: one}
-	one.lock.Lock()
-	defer one.lock.Unlock()
-	one.open[connection] = struct{}{}
+	connection := &patientConnection{Conn: raw, owner: c}
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	c.open[connection] = struct{}{}
 	return connection, nil
 }
 
-func (one *connections) forget(connection *patientConnection) {
-	one.lock.Lock()
-	defer one.lock.Unlock()
-	delete(one.open, connection)
+func (c *connections) forget(connection *patientConnection) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	delete(c.open, connection)
 }
 
 // list gives the connections that are open.
-func (one *connections) list() []*patientConnection {
-	one.lock.Lock()
-	defer one.lock.Unlock()
-	list := make([]*patientConnection, 0, len(one.open))
-	for connection := range one.open {
+func (c *connections) list() []*patientConnection {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	list := make([]*patientConnection, 0, len(c.open))
+	for connection := range c.open {
 		list = append(list, connection)
 	}
 	return list
@@ -59,33 +59,33 @@
 // setLimits takes the limits of a newer configuration. Clients go by the one that they
 // know, which may be the one before, so the longer time of the two is given; what rests
 // already is given it as well.
-func (one *connections) setLimits(limits routeconfig.Limits) {
-	one.lock.Lock()
+func (c *connections) setLimits(limits routeconfig.Limits) {
+	c.lock.Lock()
 	stated := clock.Milliseconds(limits.IdleMs)
-	one.idle, one.stated = max(stated, one.stated), stated
-	one.head = clock.Milliseconds(limits.HeaderWaitMs)
-	idle := one.idle
-	one.lock.Unlock()
+	c.idle, c.stated = max(stated, c.stated), stated
+	c.head = clock.Milliseconds(limits.HeaderWaitMs)
+	idle := c.idle
+	c.lock.Unlock()
 	now := clock.Now()
-	for _, connection := range one.list() {
+	for _, connection := range c.list() {
 		connection.extend(idle, now)
 	}
 }
 
 // patience is how long to wait for a client's next bytes.
-func (one *connections) patience(resting bool) clock.Span {
-	one.lock.Lock()
-	defer one.lock.Unlock()
+func (c *connections) patience(resting bool) clock.Span {
+	c.lock.Lock()
+	defer c.lock.Unlock()
 	if resting {
-		return one.idle
+		return c.idle
 	}
-	return one.head
+	return c.head
 }
 
 // busy counts the connections on which a request comes or is answered.
-func (one *connections) busy() int {
+func (c *connections) busy() int {
 	count := 0
-	for _, connection := range one.list() {
+	for _, connection := range c.list() {
 		if connection.busy() {
 			count++
 		}
@@ -95,10 +95,10 @@
 
 // end takes no more connections and closes those on which no request has begun to come.
 // It tells whether none is left.
-func (one *connections) end() bool {
-	one.Listener.Close()
-	for _, connection := range one.list() {
+func (c *connections) end() bool {
+	c.Listener.Close()
+	for _, connection := range c.list() {
 		connection.endResting()
 	}
-	return one.busy() == 0
+	return c.busy() == 0
 }
--- a/internal/traffic/gateway/connections_test.go
+++ b/internal/traffic/gateway/connections_test.go
@@ -22,19 +22,19 @@
 	closed   bool
 }
 
-func (raw *scripted) Read(into []byte) (int, error) {
-	read := raw.reads[0]
-	raw.reads = raw.reads[1:]
+func (s *scripted) Read(into []byte) (int, error) {
+	read := s.reads[0]
+	s.reads = s.reads[1:]
 	return read(into)
 }
 
-func (raw *scripted) SetReadDeadline(at time.Time) error {
-	raw.deadline = at
+func (s *scripted) SetReadDeadline(at time.Time) error {
+	s.deadline = at
 	return nil
 }
 
-func (raw *scripted) Close() error {
-	raw.closed = true
+func (s *scripted) Close() error {
+	s.closed = true
 	return nil
 }
 
@@ -56,48 +56,48 @@
 
 // A client rests by the idle time of the configuration that it knows: the one in force,
 // or the one before. Resting connections get more time, and never less.
-func TestIdleTimeFollowsTheConfiguration(test *testing.T) {
+func TestIdleTimeFollowsTheConfiguration(t *testing.T) {
 	owner := newConnections(nil, routeconfig.Limits{IdleMs: 5_000, HeaderWaitMs: 3_000})
 	_, first := resting(owner)
 	if left := given(first); left < 4 || left > 5.1 {
-		test.Error("by the first configuration: ", left)
+		t.Error("by the first configuration: ", left)
 	}
 	owner.setLimits(routeconfig.Limits{IdleMs: 15_000})
 	if left := given(first); left < 14 || left > 15.1 {
-		test.Error("a resting one after a longer time was set: ", left)
+		t.Error("a resting one after a longer time was set: ", left)
 	}
 	owner.setLimits(routeconfig.Limits{IdleMs: 2_000})
 	_, second := resting(owner)
 	if given(first) < 14 || given(second) < 14 {
-		test.Error("clients may still go by the longer time: ", given(first), given(second))
+		t.Error("clients may still go by the longer time: ", given(first), given(second))
 	}
 	owner.setLimits(routeconfig.Limits{IdleMs: 2_000})
 	_, third := resting(owner)
 	if left := given(third); left > 2.1 || given(first) < 14 {
-		test.Error("by the last configuration: ", left, given(first))
+		t.Error("by the last configuration: ", left, given(first))
 	}
 }
 
 // A process that stood still past the idle time looks once more before it gives up: the
 // request may lie there.
-func TestRequestThatCameWhileStandingStill(test *testing.T) {
+func TestRequestThatCameWhileStandingStill(t *testing.T) {
 	owner := newConnections(nil, routeconfig.Limits{IdleMs: 5_000})
 	connection, _ := resting(owner, timeIsOver, bytesCome)
 	if count, err := connection.Read(make([]byte, 4)); count != 4 || err != nil {
-		test.Fatal(count, err)
+		t.Fatal(count, err)
 	}
 	connection, _ = resting(owner, timeIsOver, timeIsOver)
 	if count, err := connection.Read(make([]byte, 4)); count != 0 || err == nil {
-		test.Fatal(count, err)
+		t.Fatal(count, err)
 	}
 }
 
 // At the end of a leaving process a request is either taken, and then not cut, or never
 // seen, so that the client may send it elsewhere.
-func TestEndingCutsNoRequest(test *testing.T) {
+func TestEndingCutsNoRequest(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	owner := newConnections(listener, routeconfig.Limits{IdleMs: 5_000})
 	late, lateRaw := resting(owner, func(into []byte) (int, error) {
@@ -107,26 +107,26 @@
 	})
 	taken, takenRaw := resting(owner, bytesCome)
 	if _, err := taken.Read(make([]byte, 4)); err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	if count, err := late.Read(make([]byte, 4)); count != 0 || err != net.ErrClosed || !lateRaw.closed {
-		test.Error("a request was taken from a connection that had ended", count, err)
+		t.Error("a request was taken from a connection that had ended", count, err)
 	}
 	if owner.end() || takenRaw.closed {
-		test.Error("a request that was taken is cut")
+		t.Error("a request that was taken is cut")
 	}
 	noteState(taken, http.StateIdle)
 	if !owner.end() || !takenRaw.closed {
-		test.Error("a connection that rests keeps the process")
+		t.Error("a connection that rests keeps the process")
 	}
 }
 
 // Requests that are sent at once on one connection are answered in their order; behind
 // one that is broken off, none is begun.
-func TestRequestsSentAtOnce(test *testing.T) {
+func TestRequestsSentAtOnce(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	begun := make(chan string, 4)
 	handler := func(writer http.ResponseWriter, request *http.Request) {
@@ -144,7 +144,7 @@
 	defer server.Close()
 	connection, err := net.Dial("tcp4", listener.Addr().String())
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	defer connection.Close()
 	for _, path := range []string{"/one", "/two", "/broken", "/never"} {
@@ -154,16 +154,16 @@
 	for _, path := range []string{"/one", "/two"} {
 		answer, err := http.ReadResponse(reader, nil)
 		if err != nil {
-			test.Fatal(path, err)
+			t.Fatal(path, err)
 		}
 		if body, err := io.ReadAll(answer.Body); err != nil || string(body) != path {
-			test.Fatalf("%s was answered %q %v", path, body, err)
+			t.Fatalf("%s was answered %q %v", path, body, err)
 		}
 	}
 	if rest, _ := io.ReadAll(reader); len(rest) > 0 {
-		test.Fatalf("behind a broken request: %q", rest)
+		t.Fatalf("behind a broken request: %q", rest)
 	}
 	if order := <-begun + <-begun + <-begun; order != "/one/two/broken" || len(begun) > 0 {
-		test.Fatal(order, len(begun))
+		t.Fatal(order, len(begun))
 	}
 }
--- a/internal/traffic/gateway/gate.go
+++ b/internal/traffic/gateway/gate.go
@@ -45,32 +45,32 @@
 }
 
 // learn takes word of who holds the duty.
-func (one *gate) learn(told *messages.HolderTold) {
-	one.lock.Lock()
-	defer one.lock.Unlock()
-	if told.Duty.Epoch > one.duty.Epoch && !told.Over {
-		close(one.changed)
-		one.changed = make(chan struct{})
+func (g *gate) learn(told *messages.HolderTold) {
+	g.lock.Lock()
+	defer g.lock.Unlock()
+	if told.Duty.Epoch > g.duty.Epoch && !told.Over {
+		close(g.changed)
+		g.changed = make(chan struct{})
 	}
-	if told.Duty.Epoch >= one.duty.Epoch {
-		one.duty, one.shunned = told.Duty, 0
+	if told.Duty.Epoch >= g.duty.Epoch {
+		g.duty, g.shunned = told.Duty, 0
 	}
 }
 
 // holder gives who is believed to hold the duty, unless it has just failed to
 // answer, and what closes when that changes.
-func (one *gate) holder() (string, chan struct{}) {
-	one.lock.Lock()
-	defer one.lock.Unlock()
-	if one.shunned > 0 && one.now().Since(one.shunned) < constants.HoldTime {
-		return "", one.changed
+func (g *gate) holder() (string, chan struct{}) {
+	g.lock.Lock()
+	defer g.lock.Unlock()
+	if g.shunned > 0 && g.now().Since(g.shunned) < constants.HoldTime {
+		return "", g.changed
 	}
-	return one.duty.Address, one.changed
+	return g.duty.Address, g.changed
 }
 
 // ask puts a call to one store. It does not wait on for one whose duty another
 // has taken since.
-func (one *gate) ask(address string, call *messages.LotCall, wait clock.Span, changed chan struct{}) (*messages.LotAnswer, error) {
+func (g *gate) ask(address string, call *messages.LotCall, wait clock.Span, changed chan struct{}) (*messages.LotAnswer, error) {
 	type result struct {
 		answer *messages.LotAnswer
 		err    error
@@ -78,14 +78,14 @@
 	back := make(chan result, 1)
 	go func() {
 		answer := &messages.LotAnswer{}
-		err := transport.Ask(one.runtime.Wire, address, messages.KindLotCall, call, answer, wait)
+		err := transport.Ask(g.runtime.Wire, address, messages.KindLotCall, call, answer, wait)
 		back <- result{answer, err}
 	}()
 	select {
 	case got := <-back:
 		return got.answer, got.err
 	case <-changed:
-		if current, _ := one.holder(); current == address {
+		if current, _ := g.holder(); current == address {
 			got := <-back
 			return got.answer, got.err
 		}
@@ -96,49 +96,49 @@
 
 // Pass asks the holder. The second result says whether the call may have had an
 // effect although no answer came.
-func (one *gate) Pass(call *messages.LotCall, span clock.Span) (*messages.LotAnswer, bool) {
-	end := one.now().Plus(span)
+func (g *gate) Pass(call *messages.LotCall, span clock.Span) (*messages.LotAnswer, bool) {
+	end := g.now().Plus(span)
 	given, failures, relays := promise{}, 0, map[string]bool{}
 	asked := map[string]bool{}
-	for one.now() < end {
+	for g.now() < end {
 		// A node that is cut off from the stores may still reach a gateway that is not.
 		if failures >= constants.RelayAfter && !call.Relayed && len(relays) < constants.RelayAfter {
-			answer, err := one.relay(call, end, relays)
+			answer, err := g.relay(call, end, relays)
 			given.heard(err)
 			if answer != nil {
 				return given.tell(call, answer), true
 			}
 		}
-		address, changed := one.holder()
+		address, changed := g.holder()
 		if address == "" || asked[address] {
-			address = one.another(membership.RoleStore, asked)
+			address = g.another(membership.RoleStore, asked)
 		}
 		if address == "" {
 			// Everybody was asked: the duty is changing hands, so wait a little.
-			one.pause(constants.HoldRenewal / 2)
+			g.pause(constants.HoldRenewal / 2)
 			asked = map[string]bool{}
 			continue
 		}
 		asked[address] = true
 		// A holder that is gone must not use up the whole time.
-		left := end.Since(one.now())
+		left := end.Since(g.now())
 		wait := min(left, constants.CallTime+clock.Milliseconds(float64(call.HoldMs)))
-		answer, err := one.ask(address, one.question(call, left), wait, changed)
+		answer, err := g.ask(address, g.question(call, left), wait, changed)
 		given.heard(err)
 		if err != nil {
 			failures++
-			one.lock.Lock()
-			if one.duty.Address == address {
-				one.shunned = one.now()
+			g.lock.Lock()
+			if g.duty.Address == address {
+				g.shunned = g.now()
 			}
-			one.lock.Unlock()
+			g.lock.Unlock()
 			continue
 		}
 		if answer.Elsewhere {
 			if answer.Holder != "" && !asked[answer.Holder] {
-				one.lock.Lock()
-				one.duty.Address, one.shunned = answer.Holder, 0
-				one.lock.Unlock()
+				g.lock.Lock()
+				g.duty.Address, g.shunned = answer.Holder, 0
+				g.lock.Unlock()
 			}
 			continue
 		}
@@ -149,18 +149,18 @@
 
 // relay has another gateway pass the call on. No answer and no failure mean that the
 // other could not either, and that nothing was taken.
-func (one *gate) relay(call *messages.LotCall, end clock.Moment, tried map[string]bool) (*messages.LotAnswer, error) {
-	address := one.another(membership.RoleGateway, tried)
+func (g *gate) relay(call *messages.LotCall, end clock.Moment, tried map[string]bool) (*messages.LotAnswer, error) {
+	address := g.another(membership.RoleGateway, tried)
 	if address == "" {
 		return nil, nil
 	}
 	tried[address] = true
-	left := end.Since(one.now())
-	relayed := one.question(call, left)
+	left := end.Since(g.now())
+	relayed := g.question(call, left)
 	relayed.Relayed = true
 	wait := min(left, constants.CallTime+clock.Milliseconds(float64(call.HoldMs)))
 	back := &messages.LotAnswer{}
-	if err := transport.Ask(one.runtime.Wire, address, messages.KindLotCall, relayed, back, wait); err != nil {
+	if err := transport.Ask(g.runtime.Wire, address, messages.KindLotCall, relayed, back, wait); err != nil {
 		return nil, err
 	}
 	if back.Elsewhere {
@@ -170,12 +170,12 @@
 }
 
 // relayed answers a call that another gateway could not pass on itself.
-func (one *gate) relayed(body []byte) ([]byte, error) {
+func (g *gate) relayed(body []byte) ([]byte, error) {
 	call := &messages.LotCall{}
 	if err := transport.Read(body, call); err != nil {
 		return nil, err
 	}
-	if !one.once.First(call.Ask, one.now()) {
+	if !g.once.First(call.Ask, g.now()) {
 		// The first copy is answered, or will be; a second might end otherwise.
 		return transport.Write(unknownResult())
 	}
@@ -187,7 +187,7 @@
 	if call.LiveMs > 0 {
 		span = min(span, clock.Milliseconds(float64(call.LiveMs)))
 	}
-	answer, maybe := one.Pass(call, span)
+	answer, maybe := g.Pass(call, span)
 	switch {
 	case answer != nil:
 	case maybe:
@@ -198,10 +198,10 @@
 	return transport.Write(answer)
 }
 
-func (one *gate) another(role string, asked map[string]bool) string {
-	entries := one.runtime.Live(role)
+func (g *gate) another(role string, asked map[string]bool) string {
+	entries := g.runtime.Live(role)
 	// Not always the same one: it may be cut off as well.
-	offset := int(one.draw() * float64(len(entries)))
+	offset := int(g.draw() * float64(len(entries)))
 	for place := range entries {
 		entry := entries[(place+offset)%len(entries)]
 		if !asked[entry.Address] {
--- a/internal/traffic/gateway/gate_test.go
+++ b/internal/traffic/gateway/gate_test.go
@@ -15,7 +15,7 @@
 
 // A call that waits for a holder that fell silent goes to the next one as soon as
 // that is known, not when its time is up.
-func TestCallsFollowTheDuty(test *testing.T) {
+func TestCallsFollowTheDuty(t *testing.T) {
 	room := transport.NewRoom()
 	nodeSettings := &settings.Settings{NodeName: "n", Address: "10.0.0.1", InternalPorts: []int{1, 9}}
 	runtime := node.New(nodeSettings, membership.RoleGateway, 1, "", hclog.NewNullLogger())
@@ -47,20 +47,20 @@
 	one.learn(&messages.HolderTold{Duty: messages.Duty{Epoch: 2, Address: "new"}})
 	got := <-back
 	if got.answer == nil || got.answer.Status != 202 || !got.maybe {
-		test.Fatal(got)
+		t.Fatal(got)
 	}
 	if waited := clock.Now().Since(begun); waited > clock.Milliseconds(600) {
-		test.Fatal("waited out the old holder: ", waited)
+		t.Fatal("waited out the old holder: ", waited)
 	}
 	// An older word changes nothing.
 	one.learn(&messages.HolderTold{Duty: messages.Duty{Epoch: 1, Address: "old"}})
 	if address, _ := one.holder(); address != "new" {
-		test.Fatal(address)
+		t.Fatal(address)
 	}
 }
 
 // A gateway that reaches no store has another gateway pass its calls on, once.
-func TestCutOffGatewayRelays(test *testing.T) {
+func TestCutOffGatewayRelays(t *testing.T) {
 	room := transport.NewRoom()
 	gates := map[string]*gate{}
 	for _, name := range []string{"cut", "near"} {
@@ -90,11 +90,11 @@
 	know("near", messages.Entry{Name: "z", Role: membership.RoleStore, Address: "store"})
 	answer, _ := gates["cut"].Pass(&messages.LotCall{Method: "POST", Lot: "l"}, clock.Milliseconds(5000))
 	if answer == nil || answer.Status != 202 || len(calls) != 1 || !calls[0] {
-		test.Fatal(answer, calls)
+		t.Fatal(answer, calls)
 	}
 	// Where the other gateway can't either, nothing ran and nothing is claimed.
 	room.Transport("store").Close()
 	if answer, maybe := gates["cut"].Pass(&messages.LotCall{Method: "POST", Lot: "l"}, clock.Milliseconds(1500)); answer != nil || maybe {
-		test.Fatal(answer, maybe)
+		t.Fatal(answer, maybe)
 	}
 }
--- a/internal/traffic/gateway/gateway.go
+++ b/internal/traffic/gateway/gateway.go
@@ -42,28 +42,28 @@
 }
 
 // configure takes a newer configuration.
-func (gateway *Gateway) configure(config *routeconfig.Config) {
-	if clients := gateway.clients.Load(); gateway.Proxy.SetConfig(config) && clients != nil {
+func (g *Gateway) configure(config *routeconfig.Config) {
+	if clients := g.clients.Load(); g.Proxy.SetConfig(config) && clients != nil {
 		clients.setLimits(config.Limits)
 	}
 }
 
 // Run serves until told to stop.
-func (gateway *Gateway) Run() error {
-	runtime := gateway.Node
+func (g *Gateway) Run() error {
+	runtime := g.Node
 	if err := runtime.Start(); err != nil {
 		return err
 	}
-	gateway.Gossip.Start()
-	go runtime.PullFirst(func() { gateway.settled.Store(true) })
+	g.Gossip.Start()
+	go runtime.PullFirst(func() { g.settled.Store(true) })
 	calls := chi.NewRouter()
-	calls.Get("/-/readiness", gateway.readiness)
-	gateway.ready = &http.Server{Addr: runtime.Settings.Bind.Readiness, Handler: calls, ReadHeaderTimeout: constants.BulkCallTime}
+	calls.Get("/-/readiness", g.readiness)
+	g.ready = &http.Server{Addr: runtime.Settings.Bind.Readiness, Handler: calls, ReadHeaderTimeout: constants.BulkCallTime}
 	readied, err := net.Listen("tcp4", runtime.Settings.Bind.Readiness)
 	if err != nil {
 		return node.Unable.Wrap(err, "readiness")
 	}
-	go func() { _ = gateway.ready.Serve(readied) }()
+	go func() { _ = g.ready.Serve(readied) }()
 	listener, err := net.Listen("tcp4", runtime.Settings.Bind.Ingress)
 	if err != nil {
 		return node.Unable.Wrap(err, "ingress")
@@ -71,8 +71,8 @@
 	for runtime.Config() == nil {
 		clock.Sleep(constants.PumpPeriod)
 	}
-	err = gateway.serve(listener)
-	if err == http.ErrServerClosed || gateway.Proxy.Leaving.Load() {
+	err = g.serve(listener)
+	if err == http.ErrServerClosed || g.Proxy.Leaving.Load() {
 		return nil
 	}
 	return node.Unable.Wrap(err, "ingress")
@@ -81,24 +81,24 @@
 // serve takes requests by the limits in force. The server's own limits only tell that
 // there are some; a larger head than the first configuration's is not refused, as a later
 // one may allow it.
-func (gateway *Gateway) serve(listener net.Listener) error {
-	limits := gateway.Node.Config().Limits
+func (g *Gateway) serve(listener net.Listener) error {
+	limits := g.Node.Config().Limits
 	clients := newConnections(listener, limits)
-	gateway.clients.Store(clients)
+	g.clients.Store(clients)
 	// One that came since is taken by whoever of us is later.
-	clients.setLimits(gateway.Node.Config().Limits)
-	gateway.ingress = &http.Server{Handler: gateway.Proxy, MaxHeaderBytes: max(limits.HeaderBytes, constants.HeadLimit),
+	clients.setLimits(g.Node.Config().Limits)
+	g.ingress = &http.Server{Handler: g.Proxy, MaxHeaderBytes: max(limits.HeaderBytes, constants.HeadLimit),
 		ReadHeaderTimeout: constants.BulkCallTime, IdleTimeout: constants.BulkCallTime, ConnState: noteState}
-	gateway.Node.Log.Info("serving", "ingress", gateway.Node.Settings.Bind.Ingress)
-	return gateway.ingress.Serve(clients)
+	g.Node.Log.Info("serving", "ingress", g.Node.Settings.Bind.Ingress)
+	return g.ingress.Serve(clients)
 }
 
 // readiness says yes only with a configuration that was read at a majority,
 // with workers to serve by, and while not leaving.
-func (gateway *Gateway) readiness(writer http.ResponseWriter, _ *http.Request) {
+func (g *Gateway) readiness(writer http.ResponseWriter, _ *http.Request) {
 	workerList := 0
-	gateway.Gossip.Scheduler.Locked(func() { workerList = len(gateway.Gossip.Scheduler.Registry.All(clock.Now())) })
-	if gateway.Proxy.Leaving.Load() || !gateway.settled.Load() || workerList == 0 {
+	g.Gossip.Scheduler.Locked(func() { workerList = len(g.Gossip.Scheduler.Registry.All(clock.Now())) })
+	if g.Proxy.Leaving.Load() || !g.settled.Load() || workerList == 0 {
 		httpreply.Text(writer, http.StatusServiceUnavailable, "not ready")
 		return
 	}
@@ -107,31 +107,31 @@
 
 // Leave drains: it says that it is not ready, still serves the connections that
 // come until the platform has seen it, ends what is under way, and stops.
-func (gateway *Gateway) Leave() {
-	gateway.Proxy.Leaving.Store(true)
-	gateway.Node.Leave()
+func (g *Gateway) Leave() {
+	g.Proxy.Leaving.Store(true)
+	g.Node.Leave()
 	begun := clock.Now()
-	end := begun.Plus(gateway.Node.Settings.Grace() - constants.LeaveMargin)
+	end := begun.Plus(g.Node.Settings.Grace() - constants.LeaveMargin)
 	for clock.Now() < end {
-		if clock.Now().Since(begun) > constants.DrainLinger && gateway.idle() {
+		if clock.Now().Since(begun) > constants.DrainLinger && g.idle() {
 			break
 		}
 		clock.Sleep(constants.PumpPeriod)
 	}
-	counts := &gateway.Proxy.Counts
-	gateway.Node.Log.Info("left", "served", counts.Served.Load(), "refused", counts.Refused.Load(), "failed", counts.Failed.Load(),
+	counts := &g.Proxy.Counts
+	g.Node.Log.Info("left", "served", counts.Served.Load(), "refused", counts.Refused.Load(), "failed", counts.Failed.Load(),
 		"resumed", counts.Resumed.Load(), "cut", counts.CutOff.Load())
-	gateway.Node.End()
-	if gateway.ingress != nil {
-		gateway.ingress.Close()
+	g.Node.End()
+	if g.ingress != nil {
+		g.ingress.Close()
 	}
 }
 
 // idle tells that no request comes or is answered, and that none will be taken any more.
-func (gateway *Gateway) idle() bool {
-	clients := gateway.clients.Load()
+func (g *Gateway) idle() bool {
+	clients := g.clients.Load()
 	if clients == nil {
 		return true
 	}
-	return clients.busy() == 0 && gateway.Proxy.Active() == 0 && clients.end()
+	return clients.busy() == 0 && g.Proxy.Active() == 0 && clients.end()
 }
--- a/internal/traffic/gateway/lotcall_test.go
+++ b/internal/traffic/gateway/lotcall_test.go
@@ -25,7 +25,7 @@
 	taken map[string]int
 }
 
-func newHolder(test *testing.T) *holder {
+func newHolder(t *testing.T) *holder {
 	one := &holder{wire: transport.NewWire("127.0.0.1:0"), taken: map[string]int{}}
 	err := one.wire.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
 		call := &messages.LotCall{}
@@ -40,15 +40,15 @@
 		return transport.Write(&messages.LotAnswer{Status: http.StatusOK, Body: []byte(call.Lot)})
 	})
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	return one
 }
 
-func (one *holder) took(lot string) int {
-	one.lock.Lock()
-	defer one.lock.Unlock()
-	return one.taken[lot]
+func (h *holder) took(lot string) int {
+	h.lock.Lock()
+	defer h.lock.Unlock()
+	return h.taken[lot]
 }
 
 // lotFrameLength is about as long as a hand-in of this test, or its answer, is on the wire.
@@ -57,25 +57,25 @@
 // Whatever befalls the connection to the store that holds the lots, at whichever byte: a
 // caller's answer is that of its own lot, and no hand-in that was taken is told as one that
 // never will be.
-func TestLotCallsAtEveryByte(test *testing.T) {
+func TestLotCallsAtEveryByte(t *testing.T) {
 	const step = 7
 	for _, trouble := range faultrelay.Troubles() {
 		for place := int(trouble) % step; place < 2*lotFrameLength; place += step {
 			struck := faultrelay.Strike{Trouble: trouble, Answer: place >= lotFrameLength, At: place % lotFrameLength}
-			test.Run(fmt.Sprint(trouble, struck.Answer, struck.At), func(test *testing.T) {
-				test.Parallel()
-				playLotCalls(test, struck)
+			t.Run(fmt.Sprint(trouble, struck.Answer, struck.At), func(t *testing.T) {
+				t.Parallel()
+				playLotCalls(t, struck)
 			})
 		}
 	}
 }
 
-func playLotCalls(test *testing.T, struck faultrelay.Strike) {
-	store := newHolder(test)
+func playLotCalls(t *testing.T, struck faultrelay.Strike) {
+	store := newHolder(t)
 	defer store.wire.Close()
 	relay, err := faultrelay.New(store.wire.Address())
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	nodeSettings := &settings.Settings{NodeName: "n", Address: "127.0.0.1", InternalPorts: []int{1, 9}}
 	runtime := node.New(nodeSettings, membership.RoleGateway, 1, "", hclog.NewNullLogger())
@@ -89,7 +89,7 @@
 	call := func(method, lot string) {
 		answer, maybe := one.Pass(&messages.LotCall{Method: method, Lot: lot}, clock.Milliseconds(40))
 		if answer != nil && answer.Status == http.StatusOK && string(answer.Body) != lot {
-			test.Errorf("%s %s was answered for %q", method, lot, answer.Body)
+			t.Errorf("%s %s was answered for %q", method, lot, answer.Body)
 		}
 		lock.Lock()
 		defer lock.Unlock()
@@ -111,10 +111,10 @@
 	relay.End()
 	for lot, never := range refused {
 		if never && store.took(lot) > 0 {
-			test.Errorf("%s was taken, and told as one that never will be", lot)
+			t.Errorf("%s was taken, and told as one that never will be", lot)
 		}
 		if store.took(lot) > 1 {
-			test.Errorf("%s was taken %d times", lot, store.took(lot))
+			t.Errorf("%s was taken %d times", lot, store.took(lot))
 		}
 	}
 }
--- a/internal/traffic/gateway/parting.go
+++ b/internal/traffic/gateway/parting.go
@@ -19,14 +19,14 @@
 
 // CloseWrite ends our side and lets the client come to its end. The standard server
 // asks for it where it answers a head or body that is too large.
-func (connection *patientConnection) CloseWrite() error {
-	half, can := connection.Conn.(halfCloser)
+func (p *patientConnection) CloseWrite() error {
+	half, can := p.Conn.(halfCloser)
 	if !can {
 		return nil
 	}
 	err := half.CloseWrite()
-	if err == nil && connection.Conn.SetReadDeadline(clock.Deadline(clock.Milliseconds(partingMs))) == nil {
-		_, _ = io.CopyN(io.Discard, connection.Conn, partingBytes)
+	if err == nil && p.Conn.SetReadDeadline(clock.Deadline(clock.Milliseconds(partingMs))) == nil {
+		_, _ = io.CopyN(io.Discard, p.Conn, partingBytes)
 	}
 	return err
 }
--- a/internal/traffic/gateway/parting_test.go
+++ b/internal/traffic/gateway/parting_test.go
@@ -14,10 +14,10 @@
 
 // A real client that sends far more than it may is told so, and is not cut off: by
 // 431 for its head, by 413 for its body.
-func TestTooLargeIsAnsweredNotReset(test *testing.T) {
+func TestTooLargeIsAnsweredNotReset(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	server := &http.Server{Handler: http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if _, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, 1000)); err != nil {
@@ -36,10 +36,10 @@
 			client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 			answer, err := client.Do(request)
 			if err != nil {
-				test.Fatal(want, err)
+				t.Fatal(want, err)
 			}
 			if _, err = io.ReadAll(answer.Body); err != nil || answer.StatusCode != want {
-				test.Fatal(want, answer.StatusCode, err)
+				t.Fatal(want, answer.StatusCode, err)
 			}
 			answer.Body.Close()
 		}
@@ -49,8 +49,8 @@
 // narrow gives connections that hold little unread, as links with small windows do.
 type narrow struct{ net.Listener }
 
-func (one narrow) Accept() (net.Conn, error) {
-	connection, err := one.Listener.Accept()
+func (n narrow) Accept() (net.Conn, error) {
+	connection, err := n.Listener.Accept()
 	if err == nil {
 		_ = connection.(*net.TCPConn).SetReadBuffer(32 << 10)
 	}
@@ -59,26 +59,26 @@
 
 // The whole of what was said is read, also by one that reads only after it has
 // sent everything.
-func TestLateReaderGetsItsAnswer(test *testing.T) {
+func TestLateReaderGetsItsAnswer(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	server := &http.Server{Handler: http.NotFoundHandler(), MaxHeaderBytes: 4096, ReadHeaderTimeout: clock.Milliseconds(3000), ConnState: noteState}
 	go func() { _ = server.Serve(newConnections(narrow{listener}, routeconfig.Limits{})) }()
 	defer server.Close()
 	connection, err := net.Dial("tcp4", listener.Addr().String())
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	defer connection.Close()
 	_ = connection.(*net.TCPConn).SetWriteBuffer(16 << 10)
 	if _, err = io.WriteString(connection, "GET / HTTP/1.1\r\nHost: h\r\nX-Long: "+strings.Repeat("x", 400_000)+"\r\n\r\n"); err != nil {
-		test.Fatal("cut off while sending: ", err)
+		t.Fatal("cut off while sending: ", err)
 	}
 	_ = connection.SetReadDeadline(clock.Deadline(5_000_000_000))
 	whole, err := io.ReadAll(connection)
 	if err != nil || !strings.HasPrefix(string(whole), "HTTP/1.1 431") {
-		test.Fatalf("%.40q %v", whole, err)
+		t.Fatalf("%.40q %v", whole, err)
 	}
 }
--- a/internal/traffic/gateway/promise.go
+++ b/internal/traffic/gateway/promise.go
@@ -19,13 +19,13 @@
 }
 
 // heard notes how a question ended.
-func (one *promise) heard(err error) {
-	one.unclear = one.unclear || (err != nil && !errs.Of(err, transport.Unreached))
+func (p *promise) heard(err error) {
+	p.unclear = p.unclear || (err != nil && !errs.Of(err, transport.Unreached))
 }
 
 // tell gives what may be said to the asker of what one process answered.
-func (one *promise) tell(call *messages.LotCall, answer *messages.LotAnswer) *messages.LotAnswer {
-	if call.Method == http.MethodPost && one.unclear && promises(answer.Status) {
+func (p *promise) tell(call *messages.LotCall, answer *messages.LotAnswer) *messages.LotAnswer {
+	if call.Method == http.MethodPost && p.unclear && promises(answer.Status) {
 		return unknownResult()
 	}
 	return answer
@@ -47,11 +47,11 @@
 
 // question makes the copy of a call that goes to one process. It has a name of its
 // own, and a hand-in says for how long it may be taken.
-func (one *gate) question(call *messages.LotCall, left clock.Span) *messages.LotCall {
+func (g *gate) question(call *messages.LotCall, left clock.Span) *messages.LotCall {
 	copied := *call
 	if call.Method == http.MethodPost {
-		own := one.runtime.Own
-		copied.Ask = own.Name + "#" + strconv.FormatInt(own.Life, 36) + "#" + strconv.FormatUint(one.asks.Add(1), 36)
+		own := g.runtime.Own
+		copied.Ask = own.Name + "#" + strconv.FormatInt(own.Life, 36) + "#" + strconv.FormatUint(g.asks.Add(1), 36)
 		copied.LiveMs = max(left.Milliseconds(), 1)
 	}
 	return &copied
--- a/internal/traffic/gateway/promise_test.go
+++ b/internal/traffic/gateway/promise_test.go
@@ -38,25 +38,25 @@
 	once        transport.Once
 }
 
-func (world *rough) deliver(address string, body []byte) []byte {
-	if one := world.gates[address]; one != nil {
+func (r *rough) deliver(address string, body []byte) []byte {
+	if one := r.gates[address]; one != nil {
 		answer, _ := one.relayed(body)
 		return answer
 	}
 	call := &messages.LotCall{}
 	_ = transport.Read(body, call)
-	one, answer := world.stores[address], &messages.LotAnswer{}
+	one, answer := r.stores[address], &messages.LotAnswer{}
 	switch {
-	case !one.once.First(call.Ask, world.now):
+	case !one.once.First(call.Ask, r.now):
 		answer.Status = 504
 	case !one.holds:
 		answer.Elsewhere = true
-	case world.taken[call.Lot] != "":
+	case r.taken[call.Lot] != "":
 		answer.Status = 202
 	case one.full:
 		answer.Status = 429
 	default:
-		world.taken[call.Lot] = string(call.Body)
+		r.taken[call.Lot] = string(call.Body)
 		answer.Status = 202
 	}
 	packed, _ := transport.Write(answer)
@@ -64,19 +64,19 @@
 }
 
 // turn lets the duty and the room change, and late frames arrive.
-func (world *rough) turn() {
+func (r *rough) turn() {
 	names := []string{"l0", "l1", "l2"}
-	if world.random.Intn(3) == 0 {
-		holder := names[world.random.Intn(3)]
+	if r.random.Intn(3) == 0 {
+		holder := names[r.random.Intn(3)]
 		for _, name := range names {
-			world.stores[name].holds = !world.vacant && name == holder && world.random.Intn(4) > 0
-			world.stores[name].full = world.random.Intn(2) == 0
+			r.stores[name].holds = !r.vacant && name == holder && r.random.Intn(4) > 0
+			r.stores[name].full = r.random.Intn(2) == 0
 		}
 	}
-	for len(world.late) > 0 && world.random.Intn(2) == 0 {
-		place := world.random.Intn(len(world.late))
-		frame := world.late[place]
-		world.late = append(world.late[:place], world.late[place+1:]...)
+	for len(r.late) > 0 && r.random.Intn(2) == 0 {
+		place := r.random.Intn(len(r.late))
+		frame := r.late[place]
+		r.late = append(r.late[:place], r.late[place+1:]...)
 		frame()
 	}
 }
@@ -84,11 +84,11 @@
 // connection is one gateway's transport.
 type connection struct{ world *rough }
 
-func (one connection) Serve(transport.Handler) error { return nil }
-func (one connection) Close()                        {}
+func (c connection) Serve(transport.Handler) error { return nil }
+func (c connection) Close()                        {}
 
-func (one connection) Call(address string, _ messages.Kind, body []byte, span clock.Span) ([]byte, error) {
-	world := one.world
+func (c connection) Call(address string, _ messages.Kind, body []byte, span clock.Span) ([]byte, error) {
+	world := c.world
 	world.turn()
 	again := func() { world.deliver(address, body) }
 	switch world.random.Intn(8 + world.calm) {
@@ -138,7 +138,7 @@
 
 // A lot is handed in at one node after the other while calls are slow, lost and
 // doubled in every order. A try that was told 429 or 503 never leaves a record.
-func TestRefusedLotsNeverStand(test *testing.T) {
+func TestRefusedLotsNeverStand(t *testing.T) {
 	told := map[int]int{}
 	for seed := int64(1); seed <= 1500; seed++ {
 		world := newRough(seed)
@@ -156,7 +156,7 @@
 				}
 				told[status]++
 				if status == 202 && world.taken[name] == "" {
-					test.Fatalf("seed %d: %s was told 202 and does not stand", seed, mark)
+					t.Fatalf("seed %d: %s was told 202 and does not stand", seed, mark)
 				}
 				if promises(status) {
 					refused[mark] = status
@@ -175,21 +175,21 @@
 		}
 		for lot, mark := range world.taken {
 			if status := refused[mark]; status > 0 {
-				test.Fatalf("seed %d: %s was told %d and then taken by that very try", seed, lot, status)
+				t.Fatalf("seed %d: %s was told %d and then taken by that very try", seed, lot, status)
 			}
 		}
 	}
 	for _, status := range []int{202, 429, 503, 504} {
 		if told[status] < 50 {
-			test.Error("too few to say anything: ", status, told)
+			t.Error("too few to say anything: ", status, told)
 		}
 	}
-	test.Log(told)
+	t.Log(told)
 }
 
 // The call that waited on a silent holder may still be taken there: a refusal by
 // the one after it is no promise.
-func TestRefusalAfterSilenceIsNoPromise(test *testing.T) {
+func TestRefusalAfterSilenceIsNoPromise(t *testing.T) {
 	room := transport.NewRoom()
 	nodeSettings := &settings.Settings{NodeName: "n", Address: "10.0.0.1", InternalPorts: []int{1, 9}}
 	runtime := node.New(nodeSettings, membership.RoleGateway, 1, "", hclog.NewNullLogger())
@@ -214,13 +214,13 @@
 	<-asked
 	one.learn(&messages.HolderTold{Duty: messages.Duty{Epoch: 2, Address: "new"}})
 	if answer := <-back; answer == nil || answer.Status != 504 {
-		test.Fatal(answer)
+		t.Fatal(answer)
 	}
 }
 
 // A relay that met silence says so: the first gateway, which reached nobody itself,
 // has nothing to promise.
-func TestSilenceBehindARelayIsNoPromise(test *testing.T) {
+func TestSilenceBehindARelayIsNoPromise(t *testing.T) {
 	world := newRough(1)
 	room := transport.NewRoom()
 	cut, near := world.gates["f0"], world.gates["f1"]
@@ -235,6 +235,6 @@
 	room.Cut("silent", true)
 	answer, maybe := cut.Pass(&messages.LotCall{Method: "POST", Lot: "l"}, clock.Milliseconds(3000))
 	if !maybe || (answer != nil && answer.Status != 504) {
-		test.Fatal(answer, maybe)
+		t.Fatal(answer, maybe)
 	}
 }
--- a/internal/traffic/gateway/slow.go
+++ b/internal/traffic/gateway/slow.go
@@ -33,103 +33,103 @@
 }
 
 // SetReadDeadline passes a deadline on, by the limits in force, and notes what it is for.
-func (connection *patientConnection) SetReadDeadline(at clock.Time) error {
+func (p *patientConnection) SetReadDeadline(at clock.Time) error {
 	ahead := clock.Ahead(at)
-	connection.bounded.Store(ahead)
-	connection.lock.Lock()
-	defer connection.lock.Unlock()
+	p.bounded.Store(ahead)
+	p.lock.Lock()
+	defer p.lock.Unlock()
 	if ahead {
-		span := connection.owner.patience(connection.resting)
+		span := p.owner.patience(p.resting)
 		if span <= 0 {
-			connection.bounded.Store(false)
-			return connection.Conn.SetReadDeadline(clock.Time{})
+			p.bounded.Store(false)
+			return p.Conn.SetReadDeadline(clock.Time{})
 		}
-		connection.until = clock.Now().Plus(span)
+		p.until = clock.Now().Plus(span)
 		at = clock.Deadline(span)
 	} else if at.IsZero() {
 		// The server has seen the first bytes of the next request.
-		connection.resting = false
+		p.resting = false
 	}
-	return connection.Conn.SetReadDeadline(at)
+	return p.Conn.SetReadDeadline(at)
 }
 
 // SetDeadline does the same.
-func (connection *patientConnection) SetDeadline(at clock.Time) error {
-	connection.bounded.Store(clock.Ahead(at))
-	return connection.Conn.SetDeadline(at)
+func (p *patientConnection) SetDeadline(at clock.Time) error {
+	p.bounded.Store(clock.Ahead(at))
+	return p.Conn.SetDeadline(at)
 }
 
 // Read answers where the time for a head is over: no other read of the server has
 // a deadline while a request comes.
-func (connection *patientConnection) Read(into []byte) (int, error) {
-	count, err := connection.Conn.Read(into)
-	if count == 0 && errors.Is(err, os.ErrDeadlineExceeded) && connection.rests() {
+func (p *patientConnection) Read(into []byte) (int, error) {
+	count, err := p.Conn.Read(into)
+	if count == 0 && errors.Is(err, os.ErrDeadlineExceeded) && p.rests() {
 		// This process may have stood still while the request came: look once more.
-		_ = connection.Conn.SetReadDeadline(clock.Deadline(constants.PumpPeriod))
-		count, err = connection.Conn.Read(into)
+		_ = p.Conn.SetReadDeadline(clock.Deadline(constants.PumpPeriod))
+		count, err = p.Conn.Read(into)
 	}
-	if count > 0 && !connection.begin() {
+	if count > 0 && !p.begin() {
 		return 0, net.ErrClosed
 	}
-	if err != nil && errors.Is(err, os.ErrDeadlineExceeded) && connection.busy() && connection.bounded.Load() {
-		_, _ = connection.Conn.Write([]byte(slowHead))
+	if err != nil && errors.Is(err, os.ErrDeadlineExceeded) && p.busy() && p.bounded.Load() {
+		_, _ = p.Conn.Write([]byte(slowHead))
 	}
 	return count, err
 }
 
 // begin notes that bytes of a request came; false where the connection had been ended
 // before, so that the request is not taken.
-func (connection *patientConnection) begin() bool {
-	connection.lock.Lock()
-	defer connection.lock.Unlock()
-	connection.reading = true
-	return !connection.ended
+func (p *patientConnection) begin() bool {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	p.reading = true
+	return !p.ended
 }
 
-func (connection *patientConnection) busy() bool {
-	connection.lock.Lock()
-	defer connection.lock.Unlock()
-	return connection.reading && !connection.ended
+func (p *patientConnection) busy() bool {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	return p.reading && !p.ended
 }
 
-func (connection *patientConnection) rests() bool {
-	connection.lock.Lock()
-	defer connection.lock.Unlock()
-	return connection.resting && connection.bounded.Load()
+func (p *patientConnection) rests() bool {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	return p.resting && p.bounded.Load()
 }
 
 // rest notes that an answer is whole and nothing of another request has been asked for.
-func (connection *patientConnection) rest(now clock.Moment) {
-	connection.lock.Lock()
-	defer connection.lock.Unlock()
-	connection.reading, connection.resting, connection.since = false, true, now
+func (p *patientConnection) rest(now clock.Moment) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	p.reading, p.resting, p.since = false, true, now
 }
 
 // extend gives a resting connection the time of newer limits, if that is longer.
-func (connection *patientConnection) extend(idle clock.Span, now clock.Moment) {
-	connection.lock.Lock()
-	defer connection.lock.Unlock()
-	until := connection.since.Plus(idle)
-	if connection.resting && connection.bounded.Load() && until > connection.until {
-		connection.until = until
-		_ = connection.Conn.SetReadDeadline(clock.Deadline(until.Since(now)))
+func (p *patientConnection) extend(idle clock.Span, now clock.Moment) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	until := p.since.Plus(idle)
+	if p.resting && p.bounded.Load() && until > p.until {
+		p.until = until
+		_ = p.Conn.SetReadDeadline(clock.Deadline(until.Since(now)))
 	}
 }
 
 // endResting closes the connection unless a request has begun to come.
-func (connection *patientConnection) endResting() {
-	connection.lock.Lock()
-	defer connection.lock.Unlock()
-	if !connection.reading && !connection.ended {
-		connection.ended = true
-		connection.Conn.Close()
+func (p *patientConnection) endResting() {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	if !p.reading && !p.ended {
+		p.ended = true
+		p.Conn.Close()
 	}
 }
 
 // Close ends the connection.
-func (connection *patientConnection) Close() error {
-	connection.owner.forget(connection)
-	return connection.Conn.Close()
+func (p *patientConnection) Close() error {
+	p.owner.forget(p)
+	return p.Conn.Close()
 }
 
 // noteState follows a connection through its requests.
--- a/internal/traffic/gateway/slow_test.go
+++ b/internal/traffic/gateway/slow_test.go
@@ -12,10 +12,10 @@
 	"lemonarch/internal/platform/clock"
 )
 
-func TestSlowAndLargeCounts(test *testing.T) {
+func TestSlowAndLargeCounts(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	passed := 0
 	server := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) { passed++ }),
@@ -33,27 +33,27 @@
 	} {
 		connection, err := net.Dial("tcp4", listener.Addr().String())
 		if err != nil {
-			test.Fatal(err)
+			t.Fatal(err)
 		}
 		_, _ = io.WriteString(connection, text)
 		_ = connection.SetReadDeadline(clock.Deadline(5_000_000_000))
 		line, err := bufio.NewReader(connection).ReadString('\n')
 		if err != nil || !strings.Contains(line, want) {
-			test.Errorf("%.30q: %q %v, want %s", text, line, err, want)
+			t.Errorf("%.30q: %q %v, want %s", text, line, err, want)
 		}
 		connection.Close()
 	}
 	if passed != 1 {
-		test.Errorf("passed on %d", passed)
+		t.Errorf("passed on %d", passed)
 	}
 }
 
 // The server calls reads of its own off by a deadline that is past; nothing may be
 // written then, or the next answer on the connection would be spoilt.
-func TestKeptConnectionsGetTheirAnswersOnly(test *testing.T) {
+func TestKeptConnectionsGetTheirAnswersOnly(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	server := &http.Server{Handler: http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		_, _ = io.Copy(io.Discard, request.Body)
@@ -66,7 +66,7 @@
 	defer server.Close()
 	connection, err := net.Dial("tcp4", listener.Addr().String())
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	defer connection.Close()
 	reader := bufio.NewReader(connection)
@@ -74,14 +74,14 @@
 		_, _ = io.WriteString(connection, "POST "+path+" HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nxx")
 		answer, err := http.ReadResponse(reader, nil)
 		if err != nil {
-			test.Fatal(path, err)
+			t.Fatal(path, err)
 		}
 		body, err := io.ReadAll(answer.Body)
 		if err != nil || answer.StatusCode != 200 || string(body) != path {
-			test.Fatal(path, answer.StatusCode, string(body), err)
+			t.Fatal(path, answer.StatusCode, string(body), err)
 		}
 	}
 	if reader.Buffered() > 0 {
-		test.Fatal("bytes that are no answer")
+		t.Fatal("bytes that are no answer")
 	}
 }
--- a/internal/traffic/health/apart.go
+++ b/internal/traffic/health/apart.go
@@ -18,9 +18,9 @@
 // Born notes a new life at an address. One that follows lives which died without
 // saying that they leave is on trial, and from the second such death on held back for
 // a growing time: it may be going down and up by turns.
-func (tracker *Tracker) Born(worker, service, address string, orderly bool, now clock.Moment) (span clock.Span) {
-	trust := tracker.Trust(worker, service)
-	known, found := tracker.trusts.births[address]
+func (t *Tracker) Born(worker, service, address string, orderly bool, now clock.Moment) (span clock.Span) {
+	trust := t.Trust(worker, service)
+	known, found := t.trusts.births[address]
 	if found && known.worker == worker {
 		return 0
 	}
@@ -30,53 +30,53 @@
 	if found && known.service == service && !orderly && now > known.at && now.Since(known.at) < constants.FlapWindow {
 		next.died = known.died + 1
 	}
-	tracker.trusts.births[address] = next
+	t.trusts.births[address] = next
 	if next.died < constants.FlapDeaths {
 		return 0
 	}
 	trust.level = min(next.died-constants.FlapDeaths, constants.EjectLevels)
 	trust.failedAt = now
-	return tracker.eject(worker, trust, now)
+	return t.eject(worker, trust, now)
 }
 
 // Lives names the life that answers at an address, if one is known.
-func (tracker *Tracker) Lives(address string) string { return tracker.trusts.births[address].worker }
+func (t *Tracker) Lives(address string) string { return t.trusts.births[address].worker }
 
 // Bury drops what is known of a worker's outcomes; its address stays known for a while.
-func (tracker *Tracker) Bury(worker string) {
-	delete(tracker.trusts.of, worker)
-	delete(tracker.trusts.apart, worker)
+func (t *Tracker) Bury(worker string) {
+	delete(t.trusts.of, worker)
+	delete(t.trusts.apart, worker)
 }
 
 // SweepTrust forgets addresses whose last birth is long past.
-func (tracker *Tracker) SweepTrust(now clock.Moment) {
-	for address, known := range tracker.trusts.births {
-		if now.Since(known.at) > constants.ForgetAfter && tracker.trusts.of[known.worker] == nil {
-			delete(tracker.trusts.births, address)
+func (t *Tracker) SweepTrust(now clock.Moment) {
+	for address, known := range t.trusts.births {
+		if now.Since(known.at) > constants.ForgetAfter && t.trusts.of[known.worker] == nil {
+			delete(t.trusts.births, address)
 		}
 	}
-	for worker, trust := range tracker.trusts.apart {
+	for worker, trust := range t.trusts.apart {
 		if now >= trust.trialEnd {
 			trust.trial = false
-			delete(tracker.trusts.apart, worker)
+			delete(t.trusts.apart, worker)
 		}
 	}
 }
 
 // SomeApart tells whether any worker is held or on trial.
-func (tracker *Tracker) SomeApart() bool { return len(tracker.trusts.apart) > 0 }
+func (t *Tracker) SomeApart() bool { return len(t.trusts.apart) > 0 }
 
 // Apart gives the workers that get no ordinary request now, of those named. Never more
 // than EjectShare of them: of too many, those that fail most. idle tells whether we
 // have nothing running at a worker; repeatable, whether the request may be a trial.
-func (tracker *Tracker) Apart(workerList []string, repeatable bool, idle func(worker string) bool, now clock.Moment) map[string]bool {
+func (t *Tracker) Apart(workerList []string, repeatable bool, idle func(worker string) bool, now clock.Moment) map[string]bool {
 	type one struct {
 		worker string
 		rate   float64
 	}
 	var held []one
 	for _, worker := range workerList {
-		trust := tracker.trusts.apart[worker]
+		trust := t.trusts.apart[worker]
 		if trust == nil {
 			continue
 		}
--- a/internal/traffic/health/health.go
+++ b/internal/traffic/health/health.go
@@ -37,71 +37,71 @@
 func New() *Tracker { return &Tracker{workerList: map[string]*Health{}} }
 
 // Of gives the health of a worker.
-func (tracker *Tracker) Of(worker string) *Health {
-	health := tracker.workerList[worker]
+func (t *Tracker) Of(worker string) *Health {
+	health := t.workerList[worker]
 	if health == nil {
 		health = &Health{}
-		tracker.workerList[worker] = health
+		t.workerList[worker] = health
 	}
 	return health
 }
 
 // Forget drops a worker.
-func (tracker *Tracker) Forget(worker string) {
-	delete(tracker.workerList, worker)
-	tracker.Bury(worker)
+func (t *Tracker) Forget(worker string) {
+	delete(t.workerList, worker)
+	t.Bury(worker)
 }
 
 // Begin notes a request of ours on its way.
-func (health *Health) Begin(bulk bool, fresh int, now clock.Moment) {
+func (h *Health) Begin(bulk bool, fresh int, now clock.Moment) {
 	if bulk {
-		health.bulk++
+		h.bulk++
 	} else {
-		health.live++
+		h.live++
 	}
-	health.pending += int64(fresh)
-	health.unread++
-	health.step(now)
+	h.pending += int64(fresh)
+	h.unread++
+	h.step(now)
 }
 
 // Read notes that a prompt was read: its first event has come.
-func (health *Health) Read(fresh int) {
-	health.pending -= int64(fresh)
-	health.unread--
+func (h *Health) Read(fresh int) {
+	h.pending -= int64(fresh)
+	h.unread--
 }
 
 // Pending is how many prompt tokens of ours wait to be read there, and Unread how
 // many requests.
-func (health *Health) Pending() int64 { return health.pending }
+func (h *Health) Pending() int64 { return h.pending }
 
 // Unread is how many requests of ours have had no first event yet.
-func (health *Health) Unread() int { return health.unread }
+func (h *Health) Unread() int { return h.unread }
 
 // PeerReads notes that a peer gave the worker a prompt that takes a time to read.
-func (health *Health) PeerReads(span clock.Span, now clock.Moment) {
-	health.peersRead = max(health.peersRead, now).Plus(span)
+func (h *Health) PeerReads(span clock.Span, now clock.Moment) {
+	h.peersRead = max(h.peersRead, now).Plus(span)
 }
 
 // PeersReading is how long the worker still reads what peers told of.
-func (health *Health) PeersReading(now clock.Moment) clock.Span {
-	return max(0, health.peersRead.Since(now))
+func (h *Health) PeersReading(now clock.Moment) clock.Span {
+	return max(0, h.peersRead.Since(now))
 }
 
 // End notes that a request of ours is over.
-func (health *Health) End(bulk bool, now clock.Moment) {
+func (h *Health) End(bulk bool, now clock.Moment) {
 	if bulk {
-		health.bulk--
+		h.bulk--
 	} else {
-		health.live--
+		h.live--
 	}
-	health.step(now)
+	h.step(now)
 }
 
 // Own is how many requests of ours are there.
-func (health *Health) Own() int { return health.live + health.bulk }
+func (h *Health) Own() int { return h.live + h.bulk }
 
 // OwnBulk is how many of them are items of lots.
-func (health *Health) OwnBulk() int { return health.bulk }
+func (h *Health) OwnBulk() int { return h.bulk }
 
 // ReadLoad reads a load header: running, waiting, slots.
 func ReadLoad(header string) (busy, slots int, known bool) {
@@ -121,49 +121,49 @@
 }
 
 // Load takes the load header of an answer.
-func (health *Health) Load(header string, now clock.Moment) {
+func (h *Health) Load(header string, now clock.Moment) {
 	if busy, _, known := ReadLoad(header); known {
-		health.observe(busy, now)
+		h.observe(busy, now)
 	}
 }
 
 // Failed notes a failure; peers are told of it while the worker is ejected here.
-func (health *Health) Failed(ejected clock.Span, now clock.Moment) {
-	health.failures++
+func (h *Health) Failed(ejected clock.Span, now clock.Moment) {
+	h.failures++
 	if ejected > 0 {
-		health.suspectUntil = now.Plus(ejected)
+		h.suspectUntil = now.Plus(ejected)
 	}
 }
 
 // Answered notes an answer that came as it should.
-func (health *Health) Answered(took clock.Span) {
-	health.answers++
+func (h *Health) Answered(took clock.Span) {
+	h.answers++
 	milliseconds := clock.ToMilliseconds(took)
-	if health.tookMs == 0 {
-		health.tookMs = milliseconds
+	if h.tookMs == 0 {
+		h.tookMs = milliseconds
 	}
-	health.tookMs += 0.1 * (milliseconds - health.tookMs)
+	h.tookMs += 0.1 * (milliseconds - h.tookMs)
 }
 
 // Suspect tells whether the worker is ejected here, or told of by peers.
-func (health *Health) Suspect(now clock.Moment) bool {
-	return now < health.suspectUntil || health.Told(now)
+func (h *Health) Suspect(now clock.Moment) bool {
+	return now < h.suspectUntil || h.Told(now)
 }
 
 // Told tells whether several peers have ejected the worker.
-func (health *Health) Told(now clock.Moment) bool {
-	return health.suspected(now)
+func (h *Health) Told(now clock.Moment) bool {
+	return h.suspected(now)
 }
 
 // TookMs is the usual time of an answer.
-func (health *Health) TookMs() float64 { return health.tookMs }
+func (h *Health) TookMs() float64 { return h.tookMs }
 
 // Counts gives answers and failures, for the shell.
-func (health *Health) Counts() (answers, failures int64) { return health.answers, health.failures }
+func (h *Health) Counts() (answers, failures int64) { return h.answers, h.failures }
 
 // Full notes that the worker turned a request away for want of room.
-func (health *Health) Full(capacity int, now clock.Moment) {
+func (h *Health) Full(capacity int, now clock.Moment) {
 	// Our own finding, for a moment: it may be our connections that are spent, so
 	// peers are not told.
-	health.full = observation{known: true, count: capacity + constants.RoomAhead, at: now, own: health.Own()}
+	h.full = observation{known: true, count: capacity + constants.RoomAhead, at: now, own: h.Own()}
 }
--- a/internal/traffic/health/pace.go
+++ b/internal/traffic/health/pace.go
@@ -14,39 +14,39 @@
 }
 
 // Learn takes a time in ms.
-func (pace *Pace) Learn(milliseconds float64) {
-	pace.count++
-	pace.budget = min(pace.budget+constants.SilenceEarned, constants.SilenceBudget)
-	if pace.count == 1 {
-		pace.mean, pace.deviation, pace.budget = milliseconds, milliseconds/2, constants.SilenceBudget/2
+func (p *Pace) Learn(milliseconds float64) {
+	p.count++
+	p.budget = min(p.budget+constants.SilenceEarned, constants.SilenceBudget)
+	if p.count == 1 {
+		p.mean, p.deviation, p.budget = milliseconds, milliseconds/2, constants.SilenceBudget/2
 		return
 	}
-	away := milliseconds - pace.mean
-	pace.mean += away / 8
+	away := milliseconds - p.mean
+	p.mean += away / 8
 	if away < 0 {
 		away = -away
 	}
-	pace.deviation += (away - pace.deviation) / 4
+	p.deviation += (away - p.deviation) / 4
 }
 
 // Beyond is the time past which a wait is out of the ordinary: between least and most;
 // most until enough was seen.
-func (pace *Pace) Beyond(least, most clock.Span) clock.Span {
-	if pace.count < constants.PaceLeast {
+func (p *Pace) Beyond(least, most clock.Span) clock.Span {
+	if p.count < constants.PaceLeast {
 		return most
 	}
-	return min(max(clock.Milliseconds(pace.mean+constants.PaceSpread*pace.deviation), least), most)
+	return min(max(clock.Milliseconds(p.mean+constants.PaceSpread*p.deviation), least), most)
 }
 
 // Spend takes one leave from silence out of the budget. When a whole service grows
 // slow, leaving for elsewhere would only add to its load: then the budget runs dry.
 // The wait itself is learnt, as the least that the answer would have taken.
-func (pace *Pace) Spend(waited clock.Span) bool {
-	if pace.budget < 1 {
+func (p *Pace) Spend(waited clock.Span) bool {
+	if p.budget < 1 {
 		return false
 	}
-	budget := pace.budget - 1
-	pace.Learn(clock.ToMilliseconds(waited))
-	pace.budget = budget
+	budget := p.budget - 1
+	p.Learn(clock.ToMilliseconds(waited))
+	p.budget = budget
 	return true
 }
--- a/internal/traffic/health/pace_test.go
+++ b/internal/traffic/health/pace_test.go
@@ -8,12 +8,12 @@
 )
 
 // Silence is judged by what a service has taught, within bounds.
-func TestPaceLearns(test *testing.T) {
+func TestPaceLearns(t *testing.T) {
 	random := rand.New(rand.NewSource(3))
 	pace := &Pace{}
 	least, most := clock.Milliseconds(40), clock.Milliseconds(900)
 	if pace.Beyond(least, most) != most {
-		test.Fatal("judged before anything was seen")
+		t.Fatal("judged before anything was seen")
 	}
 	over := 0
 	for count := 0; count < 1000; count++ {
@@ -24,16 +24,16 @@
 		pace.Learn(took)
 	}
 	if beyond := pace.Beyond(least, most); over > 5 || beyond > clock.Milliseconds(100) {
-		test.Fatal(over, beyond)
+		t.Fatal(over, beyond)
 	}
 	if pace.Beyond(clock.Milliseconds(300), most) != clock.Milliseconds(300) {
-		test.Fatal("the least does not hold")
+		t.Fatal("the least does not hold")
 	}
 }
 
 // A service that grows slow as a whole is not left by everybody: the budget runs dry,
 // and the silences teach what has become usual.
-func TestLeavesAreBounded(test *testing.T) {
+func TestLeavesAreBounded(t *testing.T) {
 	pace := &Pace{}
 	for count := 0; count < 100; count++ {
 		pace.Learn(20)
@@ -48,6 +48,6 @@
 		pace.Learn(400)
 	}
 	if left > 60 || pace.Beyond(least, most) < 2*before {
-		test.Fatal(left, before, pace.Beyond(least, most))
+		t.Fatal(left, before, pace.Beyond(least, most))
 	}
 }
--- a/internal/traffic/health/peers.go
+++ b/internal/traffic/health/peers.go
@@ -31,103 +31,103 @@
 }
 
 // observe takes a count as of a moment, unless a younger one is known.
-func (health *Health) observe(count int, at clock.Moment) bool {
-	if health.seen.known && at < health.seen.at {
+func (h *Health) observe(count int, at clock.Moment) bool {
+	if h.seen.known && at < h.seen.at {
 		return false
 	}
-	health.seen = observation{known: true, count: count, at: at, own: health.ownAt(at)}
+	h.seen = observation{known: true, count: count, at: at, own: h.ownAt(at)}
 	return true
 }
 
 // step remembers a change of our own count.
-func (health *Health) step(now clock.Moment) {
-	health.steps[health.stepped%ownSteps] = ownStep{at: now, own: health.Own()}
-	health.stepped++
+func (h *Health) step(now clock.Moment) {
+	h.steps[h.stepped%ownSteps] = ownStep{at: now, own: h.Own()}
+	h.stepped++
 }
 
 // ownAt is how many requests of ours were there at a moment, as far as remembered.
-func (health *Health) ownAt(at clock.Moment) int {
-	oldest := max(0, health.stepped-ownSteps)
-	for place := health.stepped - 1; place >= oldest; place-- {
-		if one := health.steps[place%ownSteps]; one.at <= at {
+func (h *Health) ownAt(at clock.Moment) int {
+	oldest := max(0, h.stepped-ownSteps)
+	for place := h.stepped - 1; place >= oldest; place-- {
+		if one := h.steps[place%ownSteps]; one.at <= at {
 			return one.own
 		}
 	}
 	if oldest == 0 {
 		return 0
 	}
-	return health.steps[oldest%ownSteps].own
+	return h.steps[oldest%ownSteps].own
 }
 
 // fresh tells whether the observation still counts: the age limit holds for the
 // age of the evidence, over however many nodes it came.
-func (health *Health) fresh(now clock.Moment) bool {
-	return health.seen.known && now.Since(health.seen.at) < constants.GossipStale
+func (h *Health) fresh(now clock.Moment) bool {
+	return h.seen.known && now.Since(h.seen.at) < constants.GossipStale
 }
 
 // Running estimates how many requests of all nodes are at the worker: the freshest
 // observation, corrected by what we ourselves have begun and ended since.
-func (health *Health) Running(now clock.Moment) int {
-	own := health.Own()
+func (h *Health) Running(now clock.Moment) int {
+	own := h.Own()
 	count := own
-	if health.fresh(now) {
-		count = max(count, health.seen.count+own-health.seen.own)
+	if h.fresh(now) {
+		count = max(count, h.seen.count+own-h.seen.own)
 	}
-	if health.full.known && now.Since(health.full.at) < constants.FullFor {
-		count = max(count, health.full.count+own-health.full.own)
+	if h.full.known && now.Since(h.full.at) < constants.FullFor {
+		count = max(count, h.full.count+own-h.full.own)
 	}
 	return count
 }
 
 // Known tells whether there is evidence of the worker's load.
-func (health *Health) Known(now clock.Moment) bool { return health.fresh(now) }
+func (h *Health) Known(now clock.Moment) bool { return h.fresh(now) }
 
 // Age is how old that evidence is.
-func (health *Health) Age(now clock.Moment) clock.Span { return now.Since(health.seen.at) }
+func (h *Health) Age(now clock.Moment) clock.Span { return now.Since(h.seen.at) }
 
 // Word is what we tell peers of the worker: the freshest observation, whoever made
 // it, and our own trust. told is false when there is nothing to tell.
-func (health *Health) Word(now clock.Moment) (word messages.LoadWord, told bool) {
+func (h *Health) Word(now clock.Moment) (word messages.LoadWord, told bool) {
 	word = messages.LoadWord{Running: messages.RunningUnknown, Trust: messages.TrustNone}
-	if health.fresh(now) {
-		word.Running, word.AgeMs, told = min(health.seen.count, messages.RunningUnknown-1), now.Since(health.seen.at).Milliseconds(), true
+	if h.fresh(now) {
+		word.Running, word.AgeMs, told = min(h.seen.count, messages.RunningUnknown-1), now.Since(h.seen.at).Milliseconds(), true
 	}
-	if now < health.suspectUntil {
+	if now < h.suspectUntil {
 		word.Trust, told = messages.TrustSuspect, true
 	}
 	return word, told
 }
 
 // Observed is the moment of the freshest observation and its count.
-func (health *Health) Observed() (count int, at clock.Moment) {
-	return health.seen.count, health.seen.at
+func (h *Health) Observed() (count int, at clock.Moment) {
+	return h.seen.count, h.seen.at
 }
 
 // Peer takes a neighbour's word. Its trust is its own evidence and counts as that.
-func (health *Health) Peer(from string, word messages.LoadWord, now clock.Moment) {
+func (h *Health) Peer(from string, word messages.LoadWord, now clock.Moment) {
 	age := clock.Milliseconds(float64(word.AgeMs))
 	if word.Running != messages.RunningUnknown {
-		health.observe(word.Running, now-clock.Moment(age))
+		h.observe(word.Running, now-clock.Moment(age))
 	}
 	if word.Trust != messages.TrustSuspect {
-		delete(health.suspects, from)
+		delete(h.suspects, from)
 		return
 	}
-	if health.suspects == nil {
-		health.suspects = map[string]clock.Moment{}
+	if h.suspects == nil {
+		h.suspects = map[string]clock.Moment{}
 	}
-	if len(health.suspects) >= suspectsLimit {
-		clear(health.suspects)
+	if len(h.suspects) >= suspectsLimit {
+		clear(h.suspects)
 	}
-	health.suspects[from] = now
+	h.suspects[from] = now
 }
 
 // suspected tells whether several neighbours have just met failures of the worker;
 // one alone may have a trouble of its own.
-func (health *Health) suspected(now clock.Moment) bool {
+func (h *Health) suspected(now clock.Moment) bool {
 	const several = 2
 	count := 0
-	for _, at := range health.suspects {
+	for _, at := range h.suspects {
 		if now.Since(at) < constants.GossipPeriod+constants.GossipPeriod/2 {
 			count++
 		}
--- a/internal/traffic/health/trust.go
+++ b/internal/traffic/health/trust.go
@@ -31,12 +31,12 @@
 var troubleNames = [troubleKinds]string{"refused", "reset", "silent", "error", "shed", "slow"}
 
 // String names the kind for logs and the shell.
-func (trouble Trouble) String() string { return troubleNames[trouble] }
+func (t Trouble) String() string { return troubleNames[t] }
 
 // weight is how much one failure of a kind counts: shedding and slowness are also
 // what a busy worker that is well does.
-func (trouble Trouble) weight() float64 {
-	if trouble == TroubleShed || trouble == TroubleSlow {
+func (t Trouble) weight() float64 {
+	if t == TroubleShed || t == TroubleSlow {
 		return constants.MildTrouble
 	}
 	return 1
@@ -76,68 +76,68 @@
 }
 
 // Trust gives what is known of a worker's outcomes.
-func (tracker *Tracker) Trust(worker, service string) *Trust {
-	if tracker.trusts.of == nil {
-		tracker.trusts = trustBook{of: map[string]*Trust{}, apart: map[string]*Trust{}, usuals: map[string]usual{}, births: map[string]birth{}}
+func (t *Tracker) Trust(worker, service string) *Trust {
+	if t.trusts.of == nil {
+		t.trusts = trustBook{of: map[string]*Trust{}, apart: map[string]*Trust{}, usuals: map[string]usual{}, births: map[string]birth{}}
 	}
-	trust := tracker.trusts.of[worker]
+	trust := t.trusts.of[worker]
 	if trust == nil {
 		trust = &Trust{service: service}
-		tracker.trusts.of[worker] = trust
+		t.trusts.of[worker] = trust
 	}
 	return trust
 }
 
 // fade lets old outcomes count less: a half each TrustHalf.
-func (trust *Trust) fade(now clock.Moment) {
-	span := now.Since(trust.at)
-	trust.at = now
+func (t *Trust) fade(now clock.Moment) {
+	span := now.Since(t.at)
+	t.at = now
 	if span >= 8*constants.TrustHalf {
-		trust.good, trust.bad = 0, 0
+		t.good, t.bad = 0, 0
 		return
 	}
 	for ; span >= constants.TrustHalf; span -= constants.TrustHalf {
-		trust.good, trust.bad = trust.good/2, trust.bad/2
+		t.good, t.bad = t.good/2, t.bad/2
 	}
 	// Linear within one half is near enough and needs no powers.
 	part := 1 - float64(span)/float64(2*constants.TrustHalf)
-	trust.good, trust.bad = trust.good*part, trust.bad*part
+	t.good, t.bad = t.good*part, t.bad*part
 }
 
 // Rate is the rate of failure in [0, 1]; a few outcomes are drawn to what is usual.
-func (trust *Trust) Rate(usual float64, now clock.Moment) float64 {
-	trust.fade(now)
-	return (trust.bad + constants.TrustPrior*usual) / (trust.good + trust.bad + constants.TrustPrior)
+func (t *Trust) Rate(usual float64, now clock.Moment) float64 {
+	t.fade(now)
+	return (t.bad + constants.TrustPrior*usual) / (t.good + t.bad + constants.TrustPrior)
 }
 
 // Proven tells that our own outcomes lately speak for the worker: then hearsay does
 // not count, since an illness may hold for some callers only.
-func (trust *Trust) Proven(now clock.Moment) bool {
-	trust.fade(now)
-	return trust.good >= constants.TrustProven && trust.bad < trust.good*constants.EjectRate
+func (t *Trust) Proven(now clock.Moment) bool {
+	t.fade(now)
+	return t.good >= constants.TrustProven && t.bad < t.good*constants.EjectRate
 }
 
 // Counts gives the failures by kind, in the order of Kinds.
-func (trust *Trust) Counts() []int64 { return trust.counts[:] }
+func (t *Trust) Counts() []int64 { return t.counts[:] }
 
 // Kinds names the kinds of failure.
 func Kinds() []string { return troubleNames[:] }
 
 // Held tells until when the worker is ejected here, and Trial whether it is on trial.
-func (trust *Trust) Held(now clock.Moment) bool { return now < trust.heldUntil }
+func (t *Trust) Held(now clock.Moment) bool { return now < t.heldUntil }
 
 // Trial tells whether only one repeatable request at a time may go there.
-func (trust *Trust) Trial(now clock.Moment) bool {
-	return trust.trial && now >= trust.heldUntil && now < trust.trialEnd
+func (t *Trust) Trial(now clock.Moment) bool {
+	return t.trial && now >= t.heldUntil && now < t.trialEnd
 }
 
 // Usual is the median rate of failure over a service's workers.
-func (tracker *Tracker) Usual(service string, now clock.Moment) float64 {
-	if known, found := tracker.trusts.usuals[service]; found && now.Since(known.at) < constants.UsualPeriod {
+func (t *Tracker) Usual(service string, now clock.Moment) float64 {
+	if known, found := t.trusts.usuals[service]; found && now.Since(known.at) < constants.UsualPeriod {
 		return known.rate
 	}
 	var rates []float64
-	for _, trust := range tracker.trusts.of {
+	for _, trust := range t.trusts.of {
 		if trust.service == service {
 			rates = append(rates, trust.Rate(0, now))
 		}
@@ -147,15 +147,15 @@
 		sort.Float64s(rates)
 		median = rates[(len(rates)-1)/2]
 	}
-	if tracker.trusts.usuals != nil {
-		tracker.trusts.usuals[service] = usual{rate: median, at: now}
+	if t.trusts.usuals != nil {
+		t.trusts.usuals[service] = usual{rate: median, at: now}
 	}
 	return median
 }
 
 // Went notes a whole answer. It returns true when that ends a trial.
-func (tracker *Tracker) Went(worker, service string, now clock.Moment) (returned bool) {
-	trust := tracker.Trust(worker, service)
+func (t *Tracker) Went(worker, service string, now clock.Moment) (returned bool) {
+	trust := t.Trust(worker, service)
 	trust.fade(now)
 	trust.good++
 	if trust.trial && now >= trust.heldUntil {
@@ -163,7 +163,7 @@
 			return false
 		}
 		trust.trial = false
-		delete(tracker.trusts.apart, worker)
+		delete(t.trusts.apart, worker)
 		return true
 	}
 	return false
@@ -171,9 +171,9 @@
 
 // Troubled notes a failure. A worker whose rate stands out from its service's median
 // is ejected, each time for longer; span is 0 when it is not.
-func (tracker *Tracker) Troubled(worker, service string, trouble Trouble, now clock.Moment) (span clock.Span) {
-	trust := tracker.Trust(worker, service)
-	usual := tracker.Usual(service, now)
+func (t *Tracker) Troubled(worker, service string, trouble Trouble, now clock.Moment) (span clock.Span) {
+	trust := t.Trust(worker, service)
+	usual := t.Usual(service, now)
 	if now.Since(trust.failedAt) > constants.EjectForget {
 		trust.level = 0
 	}
@@ -184,15 +184,15 @@
 	if trust.Held(now) || trust.Rate(usual, now) <= max(constants.EjectRate, constants.EjectOver*usual) {
 		return 0
 	}
-	return tracker.eject(worker, trust, now)
+	return t.eject(worker, trust, now)
 }
 
-func (tracker *Tracker) eject(worker string, trust *Trust, now clock.Moment) clock.Span {
+func (t *Tracker) eject(worker string, trust *Trust, now clock.Moment) clock.Span {
 	span := constants.EjectFor << trust.level
 	trust.level = min(trust.level+1, constants.EjectLevels)
 	trust.heldUntil, trust.trial, trust.owed = now.Plus(span), true, trust.level
 	// A service that gets no repeatable requests has no trials: time alone ends them.
 	trust.trialEnd = trust.heldUntil.Plus(2 * span)
-	tracker.trusts.apart[worker] = trust
+	t.trusts.apart[worker] = trust
 	return span
 }
--- a/internal/traffic/loadgossip/budget.go
+++ b/internal/traffic/loadgossip/budget.go
@@ -10,8 +10,8 @@
 // it: requests are placed by the load that all see, so the connections in use at a worker
 // follow what it takes at once, and a node never needs more than that. The eighth
 // keeps one node's burst from taking what others need.
-func (gossip *Gossip) budget(worker messages.Worker) int {
-	config := gossip.Node.Config()
+func (g *Gossip) budget(worker messages.Worker) int {
+	config := g.Node.Config()
 	if config == nil {
 		return 0
 	}
@@ -19,7 +19,7 @@
 	if one == nil || one.ConnLimit == 0 {
 		return 0
 	}
-	return connectionsFor(worker.Capacity, one.ConnLimit, gossip.Node.Own.Role)
+	return connectionsFor(worker.Capacity, one.ConnLimit, g.Node.Own.Role)
 }
 
 // connectionsFor is the budget by what the worker takes and allows.
--- a/internal/traffic/loadgossip/budget_test.go
+++ b/internal/traffic/loadgossip/budget_test.go
@@ -9,7 +9,7 @@
 
 // What a node may open follows from what a worker takes at once and allows, and
 // never falls under what it takes to serve at all.
-func TestConnectionsFollowTheWorker(test *testing.T) {
+func TestConnectionsFollowTheWorker(t *testing.T) {
 	for _, one := range []struct {
 		capacity, limit int
 		role            string
@@ -22,7 +22,7 @@
 		{24, 10, membership.RoleGateway, constants.LeastConnections},
 	} {
 		if got := connectionsFor(one.capacity, one.limit, one.role); got != one.want {
-			test.Errorf("%+v: %d", one, got)
+			t.Errorf("%+v: %d", one, got)
 		}
 	}
 }
--- a/internal/traffic/loadgossip/ejection.go
+++ b/internal/traffic/loadgossip/ejection.go
@@ -4,10 +4,10 @@
 
 // logEjection writes a line when a worker is ejected from ordinary placement here, and
 // when a request that went well has brought it back.
-func (gossip *Gossip) logEjection(told admission.Ejection) {
+func (g *Gossip) logEjection(told admission.Ejection) {
 	if told.For == 0 {
-		gossip.Node.Log.Info("worker returned", "worker", told.Worker, "service", told.Service)
+		g.Node.Log.Info("worker returned", "worker", told.Worker, "service", told.Service)
 		return
 	}
-	gossip.Node.Log.Info("worker ejected", "worker", told.Worker, "service", told.Service, "why", told.Why, "for-ms", told.For.Milliseconds())
+	g.Node.Log.Info("worker ejected", "worker", told.Worker, "service", told.Service, "why", told.Why, "for-ms", told.For.Milliseconds())
 }
--- a/internal/traffic/loadgossip/loadgossip.go
+++ b/internal/traffic/loadgossip/loadgossip.go
@@ -50,10 +50,10 @@
 }
 
 // Start begins the loops.
-func (gossip *Gossip) Start() {
-	stop := gossip.Node.Stop
-	go gossip.learnWorkers()
-	go clock.Every(constants.GossipPeriod, stop, gossip.gossip)
-	go gossip.Scheduler.KeepPumping(stop)
-	go clock.Every(constants.GossipPeriod/2, stop, func() { proxy.SweepConnections(gossip.Pool, gossip.Scheduler) })
+func (g *Gossip) Start() {
+	stop := g.Node.Stop
+	go g.learnWorkers()
+	go clock.Every(constants.GossipPeriod, stop, g.gossip)
+	go g.Scheduler.KeepPumping(stop)
+	go clock.Every(constants.GossipPeriod/2, stop, func() { proxy.SweepConnections(g.Pool, g.Scheduler) })
 }
--- a/internal/traffic/loadgossip/neighbours.go
+++ b/internal/traffic/loadgossip/neighbours.go
@@ -94,19 +94,19 @@
 }
 
 // about gives the present circle.
-func (gossip *Gossip) about() circle {
-	gossip.lock.Lock()
-	defer gossip.lock.Unlock()
-	return gossip.circle
+func (g *Gossip) about() circle {
+	g.lock.Lock()
+	defer g.lock.Unlock()
+	return g.circle
 }
 
 // lookAround finds it anew.
-func (gossip *Gossip) lookAround() circle {
-	found := around(gossip.Node.Own, gossip.Node.All(""))
-	found.population = gossip.Node.Population(membership.RoleGateway) + gossip.Node.Population(membership.RoleStore)
-	gossip.lock.Lock()
-	defer gossip.lock.Unlock()
-	gossip.circle = found
+func (g *Gossip) lookAround() circle {
+	found := around(g.Node.Own, g.Node.All(""))
+	found.population = g.Node.Population(membership.RoleGateway) + g.Node.Population(membership.RoleStore)
+	g.lock.Lock()
+	defer g.lock.Unlock()
+	g.circle = found
 	return found
 }
 
@@ -128,17 +128,17 @@
 
 // zoneSize is how many placing processes a zone has, this one's as far as it is in
 // view, else the mean.
-func (circle *circle) zoneSize() int {
-	return max(len(circle.near)+1, circle.population/(len(circle.zones)+1))
+func (c *circle) zoneSize() int {
+	return max(len(c.near)+1, c.population/(len(c.zones)+1))
 }
 
 // across draws whether this process tells somebody in another zone this period: each
 // zone tells each other about once, however many processes it has.
-func (circle *circle) across(draw func() float64) (messages.Entry, bool) {
-	if len(circle.zones) == 0 || draw() >= float64(len(circle.zones))/float64(circle.zoneSize()) {
+func (c *circle) across(draw func() float64) (messages.Entry, bool) {
+	if len(c.zones) == 0 || draw() >= float64(len(c.zones))/float64(c.zoneSize()) {
 		return messages.Entry{}, false
 	}
-	there := circle.zones[int(draw()*float64(len(circle.zones)))]
+	there := c.zones[int(draw()*float64(len(c.zones)))]
 	return there[int(draw()*float64(len(there)))], true
 }
 
--- a/internal/traffic/loadgossip/neighbours_test.go
+++ b/internal/traffic/loadgossip/neighbours_test.go
@@ -21,7 +21,7 @@
 
 // Everybody tells as many as tell him, nobody is left out, and a word gets round in
 // a few steps.
-func TestNeighboursReachAll(test *testing.T) {
+func TestNeighboursReachAll(t *testing.T) {
 	for _, count := range []int{2, 5, 18, 100} {
 		entries := zone("a", count)
 		told := map[string][]string{}
@@ -34,10 +34,10 @@
 		}
 		for _, own := range entries {
 			if len(told[own.Name]) != min(constants.GossipFanout, count-1) {
-				test.Fatalf("%s of %d tells %v", own.Name, count, told[own.Name])
+				t.Fatalf("%s of %d tells %v", own.Name, count, told[own.Name])
 			}
 			if heard[own.Name] == 0 {
-				test.Fatalf("nobody of %d tells %s", count, own.Name)
+				t.Fatalf("nobody of %d tells %s", count, own.Name)
 			}
 			reached := map[string]bool{own.Name: true}
 			steps, edge := 0, []string{own.Name}
@@ -54,14 +54,14 @@
 				edge = next
 			}
 			if len(reached) != count || steps > 9 {
-				test.Fatalf("%s reaches %d of %d in %d steps", own.Name, len(reached), count, steps)
+				t.Fatalf("%s reaches %d of %d in %d steps", own.Name, len(reached), count, steps)
 			}
 		}
 	}
 }
 
 // Who goes moves his own neighbours only.
-func TestNeighboursAreStable(test *testing.T) {
+func TestNeighboursAreStable(t *testing.T) {
 	entries := zone("a", 60)
 	moved := 0
 	for _, own := range entries[1:] {
@@ -74,12 +74,12 @@
 		}
 	}
 	if moved > 2*constants.GossipFanout {
-		test.Fatalf("one left and %d ties moved", moved)
+		t.Fatalf("one left and %d ties moved", moved)
 	}
 }
 
 // Each zone tells each other about once a period, whatever its size.
-func TestZonesTellEachOtherAtOneRate(test *testing.T) {
+func TestZonesTellEachOtherAtOneRate(t *testing.T) {
 	random := rand.New(rand.NewSource(7))
 	for _, count := range []int{4, 18, 100} {
 		var far []messages.Entry
@@ -98,7 +98,7 @@
 		}
 		for _, name := range []string{"b", "c", "d"} {
 			if rate := float64(told[name]) / periods; rate < 0.75 || rate > 1.25 {
-				test.Fatalf("%d processes tell %s %.2f times a period", count, name, rate)
+				t.Fatalf("%d processes tell %s %.2f times a period", count, name, rate)
 			}
 		}
 	}
@@ -106,7 +106,7 @@
 
 // A word of pressure goes to the stores near by, as far as there are some, to a
 // bounded number in all, and to each of the others in its turn.
-func TestPressureGoesToFewStores(test *testing.T) {
+func TestPressureGoesToFewStores(t *testing.T) {
 	var near, far []messages.Entry
 	for place := 0; place < 20; place++ {
 		near = append(near, messages.Entry{Name: fmt.Sprint("f", place), Role: membership.RoleGateway, Zone: "a"})
@@ -118,25 +118,25 @@
 	for round := 0; round < 200; round++ {
 		chosen := someStores(near, far, random.Float64)
 		if len(chosen) != constants.PressureFanout || chosen[0].Name != "own" {
-			test.Fatalf("%+v", chosen)
+			t.Fatalf("%+v", chosen)
 		}
 		for _, one := range chosen {
 			seen[one.Name] = true
 		}
 	}
 	if len(seen) != 21 {
-		test.Fatalf("only %d stores were ever told", len(seen))
+		t.Fatalf("only %d stores were ever told", len(seen))
 	}
 }
 
 // A small fleet is told of long readings whole, a large one near by.
-func TestReadingsAreBounded(test *testing.T) {
+func TestReadingsAreBounded(t *testing.T) {
 	small := around(zone("a", 4)[0], append(zone("a", 4), zone("b", 4)...))
 	if len(small.readings) != 7 {
-		test.Fatalf("%d of 7 told", len(small.readings))
+		t.Fatalf("%d of 7 told", len(small.readings))
 	}
 	large := around(zone("a", 40)[0], append(zone("a", 40), zone("b", 40)...))
 	if len(large.readings) != constants.ReadingFanout || large.readings[0].Zone != "a" {
-		test.Fatalf("%d told", len(large.readings))
+		t.Fatalf("%d told", len(large.readings))
 	}
 }
