--- a/internal/traffic/loadgossip/pressure_test.go
+++ b/internal/traffic/loadgossip/pressure_test.go
@@ -16,7 +16,7 @@
 
 // standing makes placing parts of several processes that know each other, over the
 // transport in memory.
-func standing(test *testing.T, roles ...string) (*transport.Room, []*Gossip) {
+func standing(t *testing.T, roles ...string) (*transport.Room, []*Gossip) {
 	room := transport.NewRoom()
 	var joined []*Gossip
 	for place, role := range roles {
@@ -42,13 +42,13 @@
 
 // Pressure of one gateway reaches stores that run items, those that it does not tell
 // itself as well, with a bounded number of words.
-func TestPressureReachesStores(test *testing.T) {
+func TestPressureReachesStores(t *testing.T) {
 	const stores = 6
 	roles := []string{membership.RoleGateway}
 	for place := 0; place < stores; place++ {
 		roles = append(roles, membership.RoleStore)
 	}
-	_, joined := standing(test, roles...)
+	_, joined := standing(t, roles...)
 	type word struct {
 		name   string
 		second bool
@@ -80,17 +80,17 @@
 		}
 		// Three are told, and each may pass it to three.
 		if words > (round+1)*12 {
-			test.Fatalf("%d words in %d rounds", words, round+1)
+			t.Fatalf("%d words in %d rounds", words, round+1)
 		}
 	}
 	if len(reached) != stores || second == 0 {
-		test.Fatalf("reached %v, %d words were passed on", reached, second)
+		t.Fatalf("reached %v, %d words were passed on", reached, second)
 	}
 }
 
 // A gossip packet reaches the neighbours one way and counts there.
-func TestGossipReachesNeighbours(test *testing.T) {
-	_, joined := standing(test, membership.RoleGateway, membership.RoleGateway, membership.RoleStore)
+func TestGossipReachesNeighbours(t *testing.T) {
+	_, joined := standing(t, membership.RoleGateway, membership.RoleGateway, membership.RoleStore)
 	heard := make(chan bool, 8)
 	for _, one := range joined[1:] {
 		_ = one.Node.Wire.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
@@ -105,14 +105,14 @@
 		select {
 		case <-heard:
 		case <-clock.After(5_000_000_000):
-			test.Fatal("a neighbour heard nothing")
+			t.Fatal("a neighbour heard nothing")
 		}
 	}
 	for _, one := range joined[1:] {
 		running := 0
 		one.Scheduler.Locked(func() { running = one.Scheduler.Tracker.Of("w").Running(clock.Now()) })
 		if running != 7 {
-			test.Fatalf("%s takes the worker for one with %d", one.Node.Own.Name, running)
+			t.Fatalf("%s takes the worker for one with %d", one.Node.Own.Name, running)
 		}
 	}
 }
--- a/internal/traffic/loadgossip/readings.go
+++ b/internal/traffic/loadgossip/readings.go
@@ -14,25 +14,25 @@
 
 // tellReading tells that a worker reads a long prompt. It is called under the
 // admission's lock.
-func (gossip *Gossip) tellReading(worker string, milliseconds float64) {
-	told := &messages.ReadingTold{From: membership.Key(gossip.Node.Own), Worker: worker, Reading: milliseconds}
-	go gossip.spreadReading(told, true)
+func (g *Gossip) tellReading(worker string, milliseconds float64) {
+	told := &messages.ReadingTold{From: membership.Key(g.Node.Own), Worker: worker, Reading: milliseconds}
+	go g.spreadReading(told, true)
 }
 
 // spreadReading tells it on; first is false for a word that came from another zone.
-func (gossip *Gossip) spreadReading(told *messages.ReadingTold, first bool) {
-	circle := gossip.about()
-	zone := gossip.Scheduler.ZoneOf(told.Worker)
-	if zone == gossip.Node.Own.Zone {
-		drawn, part := gossip.Scheduler.DrawnBy(told.Worker, circle.near)
+func (g *Gossip) spreadReading(told *messages.ReadingTold, first bool) {
+	circle := g.about()
+	zone := g.Scheduler.ZoneOf(told.Worker)
+	if zone == g.Node.Own.Zone {
+		drawn, part := g.Scheduler.DrawnBy(told.Worker, circle.near)
 		if !part {
 			drawn = circle.readings
 		}
-		gossip.tell(drawn[:min(len(drawn), constants.ReadingFanout)], messages.KindReading, told)
+		g.tell(drawn[:min(len(drawn), constants.ReadingFanout)], messages.KindReading, told)
 		return
 	}
-	if _, part := gossip.Scheduler.DrawnBy(told.Worker, nil); !part {
-		gossip.tell(circle.readings, messages.KindReading, told)
+	if _, part := g.Scheduler.DrawnBy(told.Worker, nil); !part {
+		g.tell(circle.readings, messages.KindReading, told)
 		return
 	}
 	if !first {
@@ -42,21 +42,21 @@
 		if there[0].Zone == zone {
 			further := *told
 			further.Pass = true
-			gossip.tell(there[int(draw()*float64(len(there))):][:1], messages.KindReading, &further)
+			g.tell(there[int(draw()*float64(len(there))):][:1], messages.KindReading, &further)
 		}
 	}
 }
 
-func (gossip *Gossip) reads(body []byte) ([]byte, error) {
+func (g *Gossip) reads(body []byte) ([]byte, error) {
 	told := &messages.ReadingTold{}
 	if err := transport.Read(body, told); err != nil {
 		return nil, err
 	}
-	gossip.Scheduler.PeerReads(told, clock.Now())
+	g.Scheduler.PeerReads(told, clock.Now())
 	if told.Pass {
 		further := *told
 		further.Pass = false
-		gossip.spreadReading(&further, false)
+		g.spreadReading(&further, false)
 	}
 	return transport.Write(&messages.Nothing{Taken: true})
 }
--- a/internal/traffic/loadgossip/report.go
+++ b/internal/traffic/loadgossip/report.go
@@ -13,17 +13,17 @@
 func number[Whole int | int64](value Whole) string { return strconv.FormatInt(int64(value), 10) }
 
 // reports registers what a placing process says to the shell.
-func (gossip *Gossip) reports() {
-	gossip.Node.Report("workers", gossip.reportWorkers)
-	gossip.Node.Report("index", gossip.reportIndex)
-	gossip.Node.Report("displacement", gossip.reportDisplacement)
+func (g *Gossip) reports() {
+	g.Node.Report("workers", g.reportWorkers)
+	g.Node.Report("index", g.reportIndex)
+	g.Node.Report("displacement", g.reportDisplacement)
 }
 
-func (gossip *Gossip) reportWorkers() *messages.Status {
+func (g *Gossip) reportWorkers() *messages.Status {
 	status := &messages.Status{Columns: []string{"worker", "service", "zone", "phase", "standing", "heard-ms", "live", "items", "running", "capacity", "suspect", "answers", "failures", "trust"}}
 	now := clock.Now()
 	standings := map[workers.Standing]string{workers.StandingGood: "good", workers.StandingSuspect: "suspect", workers.StandingOut: "out"}
-	scheduler := gossip.Scheduler
+	scheduler := g.Scheduler
 	scheduler.Locked(func() {
 		for _, worker := range scheduler.Registry.All(now) {
 			health := scheduler.Tracker.Of(worker.ID)
@@ -37,9 +37,9 @@
 	return status
 }
 
-func (gossip *Gossip) reportIndex() *messages.Status {
+func (g *Gossip) reportIndex() *messages.Status {
 	status := &messages.Status{Columns: []string{"prefixes", "placements", "hits", "residency_route_downgrades", "downgrade-share", "tokens-a-ms"}}
-	scheduler := gossip.Scheduler
+	scheduler := g.Scheduler
 	scheduler.Locked(func() {
 		index := scheduler.Index
 		share := 0.0
@@ -52,9 +52,9 @@
 	return status
 }
 
-func (gossip *Gossip) reportDisplacement() *messages.Status {
+func (g *Gossip) reportDisplacement() *messages.Status {
 	status := &messages.Status{Columns: []string{"route", "displaced", "resumed", "finished"}}
-	tallies := gossip.Scheduler.Tallies()
+	tallies := g.Scheduler.Tallies()
 	routes := make([]string, 0, len(tallies))
 	for route := range tallies {
 		routes = append(routes, route)
@@ -68,12 +68,12 @@
 }
 
 // logDisplacement writes a line for each route whose counts have changed.
-func (gossip *Gossip) logDisplacement() {
-	for route, counters := range gossip.Scheduler.Tallies() {
+func (g *Gossip) logDisplacement() {
+	for route, counters := range g.Scheduler.Tallies() {
 		displaced := counters.Displaced.Load()
-		if sum := displaced + counters.Resumed.Load() + counters.Finished.Load(); sum != gossip.logged[route] {
-			gossip.logged[route] = sum
-			gossip.Node.Log.Info("displacement", "route", route, "displaced", displaced, "resumed", counters.Resumed.Load(), "finished", counters.Finished.Load())
+		if sum := displaced + counters.Resumed.Load() + counters.Finished.Load(); sum != g.logged[route] {
+			g.logged[route] = sum
+			g.Node.Log.Info("displacement", "route", route, "displaced", displaced, "resumed", counters.Resumed.Load(), "finished", counters.Finished.Load())
 		}
 	}
 }
--- a/internal/traffic/loadgossip/staleness_test.go
+++ b/internal/traffic/loadgossip/staleness_test.go
@@ -60,9 +60,9 @@
 }
 
 // near gives the workers of a node's zone: what it places on.
-func (one *fleet) near(node *simNode) []string {
+func (f *fleet) near(node *simNode) []string {
 	var found []string
-	for _, worker := range one.workerList {
+	for _, worker := range f.workerList {
 		if worker.Zone == node.own.Zone {
 			found = append(found, worker.ID)
 		}
@@ -71,12 +71,12 @@
 }
 
 // observe lets a node hear a worker's load header, as in an answer to a request.
-func (one *fleet) observe(node *simNode, now clock.Moment) {
+func (f *fleet) observe(node *simNode, now clock.Moment) {
 	// A node's own subset is a part of its zone's workers.
-	near := one.near(node)
-	worker := near[one.random.Intn(min(len(near), constants.ReachSubset))]
+	near := f.near(node)
+	worker := near[f.random.Intn(min(len(near), constants.ReachSubset))]
 	if len(near) > constants.ReachSubset {
-		sum := fmt.Sprint(node.own.Name, one.random.Intn(constants.ReachSubset))
+		sum := fmt.Sprint(node.own.Name, f.random.Intn(constants.ReachSubset))
 		draw := 0
 		for _, outgoing := range sum {
 			draw = draw*31 + int(outgoing)
@@ -87,24 +87,24 @@
 }
 
 // gossip is one node's second.
-func (one *fleet) gossip(node *simNode, now clock.Moment) {
+func (f *fleet) gossip(node *simNode, now clock.Moment) {
 	packet := node.scheduler.Gossip(now)
 	circle := around(node.own, node.view.All("", now))
-	circle.population = len(one.nodes)
+	circle.population = len(f.nodes)
 	if node.ties.lonely(now) {
 		packet.Want = node.own.Address
 	}
 	told := append(append([]messages.Entry(nil), circle.gossip...), node.ties.adopted(circle.gossip, now)...)
-	if entry, drawn := circle.across(one.random.Float64); drawn {
+	if entry, drawn := circle.across(f.random.Float64); drawn {
 		told = append(told, entry)
-		one.far++
+		f.far++
 	}
 	body, _ := packet.MarshalMsg(nil)
 	for _, entry := range told {
-		one.packets++
-		one.bytes += len(body)
-		one.largest = max(one.largest, len(body))
-		other := one.byAddress[entry.Address]
+		f.packets++
+		f.bytes += len(body)
+		f.largest = max(f.largest, len(body))
+		other := f.byAddress[entry.Address]
 		if !other.paused {
 			other.heard++
 			other.ties.heard(packet, now)
@@ -114,22 +114,22 @@
 }
 
 // play runs whole seconds: rate requests a second and worker, over all nodes.
-func (one *fleet) play(from, seconds int, rate float64) {
+func (f *fleet) play(from, seconds int, rate float64) {
 	const steps = 20
 	step := clock.Moment(constants.GossipPeriod) / steps
 	start := clock.Moment(from) * clock.Moment(constants.GossipPeriod)
 	for count := 0; count < seconds*steps; count++ {
 		now := start + clock.Moment(count+1)*step
-		expected := rate * float64(len(one.workerList)) / steps
-		for requests := int(expected + one.random.Float64()); requests > 0; requests-- {
-			node := one.nodes[one.random.Intn(len(one.nodes))]
+		expected := rate * float64(len(f.workerList)) / steps
+		for requests := int(expected + f.random.Float64()); requests > 0; requests-- {
+			node := f.nodes[f.random.Intn(len(f.nodes))]
 			if !node.paused {
-				one.observe(node, now)
+				f.observe(node, now)
 			}
 		}
-		for _, node := range one.nodes {
+		for _, node := range f.nodes {
 			if phase := now % clock.Moment(constants.GossipPeriod); !node.paused && node.phase >= phase && node.phase < phase+step {
-				one.gossip(node, now)
+				f.gossip(node, now)
 			}
 		}
 	}
@@ -137,10 +137,10 @@
 
 // ages lists, over all nodes and the workers of their zones, how old the evidence is
 // that they place by; what is older than the limit counts for nothing.
-func (one *fleet) ages(now clock.Moment) (ages []float64, blind float64) {
+func (f *fleet) ages(now clock.Moment) (ages []float64, blind float64) {
 	none := 0
-	for _, node := range one.nodes {
-		for _, worker := range one.near(node) {
+	for _, node := range f.nodes {
+		for _, worker := range f.near(node) {
 			node.scheduler.Locked(func() {
 				word, told := node.scheduler.Tracker.Of(worker).Word(now)
 				if !told || word.Running == messages.RunningUnknown {
@@ -157,7 +157,7 @@
 
 // The cost of a node is the same in any fleet, and evidence of its zone's workers
 // stays well within the age limit for nearly all of it.
-func TestStalenessAndCostByFleetSize(test *testing.T) {
+func TestStalenessAndCostByFleetSize(t *testing.T) {
 	for _, size := range []struct{ nodes, workerList int }{{25, 40}, {100, 160}, {390, 600}} {
 		one := newFleet(11, size.nodes, size.workerList)
 		const seconds = 6
@@ -167,18 +167,18 @@
 		median, late := ages[len(ages)/2], ages[len(ages)*95/100]
 		packets := float64(one.packets) / seconds / float64(size.nodes)
 		bytes := float64(one.bytes) / seconds / float64(size.nodes)
-		test.Logf("%d nodes, %d workers: age median %.0f ms, p95 %.0f ms, without evidence %.3f; a node and second %.2f packets, %.0f bytes; largest %d; across zones %.1f packets a second in all",
+		t.Logf("%d nodes, %d workers: age median %.0f ms, p95 %.0f ms, without evidence %.3f; a node and second %.2f packets, %.0f bytes; largest %d; across zones %.1f packets a second in all",
 			size.nodes, size.workerList, median, late, blind, packets, bytes, one.largest, float64(one.far)/seconds)
 		limit := clock.ToMilliseconds(constants.GossipStale)
 		if median > limit/2 || late >= limit || blind > 0.15 {
-			test.Errorf("%d nodes: evidence too old", size.nodes)
+			t.Errorf("%d nodes: evidence too old", size.nodes)
 		}
 		if packets > constants.GossipFanout+1.5 || one.largest > 1400 {
-			test.Errorf("%d nodes: %.2f packets a node, largest %d bytes", size.nodes, packets, one.largest)
+			t.Errorf("%d nodes: %.2f packets a node, largest %d bytes", size.nodes, packets, one.largest)
 		}
 		for _, node := range one.nodes {
 			if node.heard < seconds {
-				test.Errorf("%d nodes: %s heard %d packets in %d s", size.nodes, node.own.Name, node.heard, seconds)
+				t.Errorf("%d nodes: %s heard %d packets in %d s", size.nodes, node.own.Name, node.heard, seconds)
 			}
 		}
 	}
@@ -186,7 +186,7 @@
 
 // A node that was paused says nothing that counts: its old evidence has aged, and
 // what it then tells is passed over.
-func TestPausedPeerMisleadsNobody(test *testing.T) {
+func TestPausedPeerMisleadsNobody(t *testing.T) {
 	one := newFleet(5, 25, 40)
 	one.play(1, 4, 4)
 	paused := one.nodes[3]
@@ -200,14 +200,14 @@
 	for _, node := range one.nodes {
 		node.scheduler.Locked(func() {
 			if running := node.scheduler.Tracker.Of(worker).Running(at.Plus(7 * constants.GossipPeriod)); running != 0 {
-				test.Errorf("%s still counts %d", node.own.Name, running)
+				t.Errorf("%s still counts %d", node.own.Name, running)
 			}
 		})
 	}
 }
 
 // The same seed repeats the same history.
-func TestFleetRepeats(test *testing.T) {
+func TestFleetRepeats(t *testing.T) {
 	sum := func() float64 {
 		one := newFleet(3, 40, 64)
 		one.play(1, 3, 4)
@@ -219,6 +219,6 @@
 		return total
 	}
 	if first, second := sum(), sum(); first != second {
-		test.Fatal(first, second)
+		t.Fatal(first, second)
 	}
 }
--- a/internal/traffic/loadgossip/ties.go
+++ b/internal/traffic/loadgossip/ties.go
@@ -24,37 +24,37 @@
 }
 
 // heard notes a packet.
-func (ties *ties) heard(packet *messages.Gossip, now clock.Moment) {
-	if ties.told == nil {
-		ties.told, ties.asked = map[string]clock.Moment{}, map[string]tie{}
+func (t *ties) heard(packet *messages.Gossip, now clock.Moment) {
+	if t.told == nil {
+		t.told, t.asked = map[string]clock.Moment{}, map[string]tie{}
 	}
-	ties.told[packet.From] = now
-	for from, at := range ties.told {
+	t.told[packet.From] = now
+	for from, at := range t.told {
 		if now.Since(at) >= constants.LonelyAfter {
-			delete(ties.told, from)
+			delete(t.told, from)
 		}
 	}
-	for from, one := range ties.asked {
+	for from, one := range t.asked {
 		if now.Since(one.at) >= constants.TieTime {
-			delete(ties.asked, from)
+			delete(t.asked, from)
 		}
 	}
-	if _, known := ties.asked[packet.From]; packet.Want != "" && (known || len(ties.asked) < constants.TieLimit) {
-		ties.asked[packet.From] = tie{packet.Want, now}
+	if _, known := t.asked[packet.From]; packet.Want != "" && (known || len(t.asked) < constants.TieLimit) {
+		t.asked[packet.From] = tie{packet.Want, now}
 	}
 }
 
 // lonely tells whether too few tell this process.
-func (ties *ties) lonely(now clock.Moment) bool {
-	if ties.begun == 0 {
-		ties.begun = now
+func (t *ties) lonely(now clock.Moment) bool {
+	if t.begun == 0 {
+		t.begun = now
 	}
-	if now.Since(ties.begun) < constants.LonelyAfter {
+	if now.Since(t.begun) < constants.LonelyAfter {
 		// They have had no time to speak.
 		return false
 	}
 	count := 0
-	for _, at := range ties.told {
+	for _, at := range t.told {
 		if now.Since(at) < constants.LonelyAfter {
 			count++
 		}
@@ -63,9 +63,9 @@
 }
 
 // adopted gives those who asked, beyond the ones that are told anyway.
-func (ties *ties) adopted(told []messages.Entry, now clock.Moment) []messages.Entry {
+func (t *ties) adopted(told []messages.Entry, now clock.Moment) []messages.Entry {
 	var found []messages.Entry
-	for _, one := range ties.asked {
+	for _, one := range t.asked {
 		known := now.Since(one.at) >= constants.TieTime
 		for _, entry := range told {
 			known = known || entry.Address == one.address
--- a/internal/traffic/loadgossip/words.go
+++ b/internal/traffic/loadgossip/words.go
@@ -10,98 +10,98 @@
 
 // tell sends one way; each in its own goroutine, since one that must be dialled must
 // not hold the others up.
-func (gossip *Gossip) tell(entries []messages.Entry, kind messages.Kind, message transport.Writable) {
+func (g *Gossip) tell(entries []messages.Entry, kind messages.Kind, message transport.Writable) {
 	for _, entry := range entries {
-		go func() { _ = transport.Tell(gossip.Node.Wire, entry.Address, kind, message) }()
+		go func() { _ = transport.Tell(g.Node.Wire, entry.Address, kind, message) }()
 	}
 }
 
 // gossip tells what changed most to a few neighbours, and now and then to another zone.
-func (gossip *Gossip) gossip() {
-	packet := gossip.Scheduler.Gossip(clock.Now())
-	packet.Generation = gossip.Node.Generation()
-	circle := gossip.lookAround()
+func (g *Gossip) gossip() {
+	packet := g.Scheduler.Gossip(clock.Now())
+	packet.Generation = g.Node.Generation()
+	circle := g.lookAround()
 	told := append([]messages.Entry(nil), circle.gossip...)
 	now := clock.Now()
-	gossip.lock.Lock()
+	g.lock.Lock()
 	// In a zone of few everybody tells everybody already.
-	if len(circle.near) > constants.GossipFanout && gossip.ties.lonely(now) {
-		packet.Want = gossip.Node.Own.Address
+	if len(circle.near) > constants.GossipFanout && g.ties.lonely(now) {
+		packet.Want = g.Node.Own.Address
 	}
-	told = append(told, gossip.ties.adopted(told, now)...)
-	gossip.lock.Unlock()
+	told = append(told, g.ties.adopted(told, now)...)
+	g.lock.Unlock()
 	if entry, drawn := circle.across(draw); drawn {
 		told = append(told, entry)
 	}
-	gossip.tell(told, messages.KindGossip, packet)
-	placements, downgrades, alert := gossip.Scheduler.Alert()
-	if alert && !gossip.alerted {
-		gossip.Node.Log.Warn("residency downgrades above threshold", "residency_route_downgrades", downgrades, "placements", placements)
+	g.tell(told, messages.KindGossip, packet)
+	placements, downgrades, alert := g.Scheduler.Alert()
+	if alert && !g.alerted {
+		g.Node.Log.Warn("residency downgrades above threshold", "residency_route_downgrades", downgrades, "placements", placements)
 	}
-	gossip.alerted = alert
-	gossip.logDisplacement()
+	g.alerted = alert
+	g.logDisplacement()
 }
 
-func (gossip *Gossip) gossiped(body []byte) ([]byte, error) {
+func (g *Gossip) gossiped(body []byte) ([]byte, error) {
 	packet := &messages.Gossip{}
 	if err := transport.Read(body, packet); err != nil {
 		return nil, err
 	}
 	now := clock.Now()
-	gossip.Scheduler.Heard(packet, now)
-	gossip.lock.Lock()
-	gossip.ties.heard(packet, now)
-	gossip.lock.Unlock()
-	gossip.Node.Touched(packet.From)
-	gossip.Node.SawGeneration(packet.Generation)
+	g.Scheduler.Heard(packet, now)
+	g.lock.Lock()
+	g.ties.heard(packet, now)
+	g.lock.Unlock()
+	g.Node.Touched(packet.From)
+	g.Node.SawGeneration(packet.Generation)
 	return transport.Write(&messages.Nothing{Taken: true})
 }
 
 // press tells at once that requests wait here, so that work of a lower rank makes
 // room well before the next gossip: a few stores, which pass it on among themselves,
 // and the neighbours. Each yields its part of what waits.
-func (gossip *Gossip) press(words []messages.Pressure) {
-	circle := gossip.about()
-	told := &messages.PressureTold{From: membership.Key(gossip.Node.Own), Words: words, Hops: constants.PressureHops}
+func (g *Gossip) press(words []messages.Pressure) {
+	circle := g.about()
+	told := &messages.PressureTold{From: membership.Key(g.Node.Own), Words: words, Hops: constants.PressureHops}
 	stores := someStores(circle.near, circle.far, draw)
 	told.Sharers = len(stores)
-	gossip.tell(stores, messages.KindPressure, told)
+	g.tell(stores, messages.KindPressure, told)
 	shared := *told
 	shared.Hops, shared.Sharers = 0, len(circle.gateways)+1
-	gossip.tell(circle.gateways, messages.KindPressure, &shared)
+	g.tell(circle.gateways, messages.KindPressure, &shared)
 }
 
-func (gossip *Gossip) pressed(body []byte) ([]byte, error) {
+func (g *Gossip) pressed(body []byte) ([]byte, error) {
 	told := &messages.PressureTold{}
 	if err := transport.Read(body, told); err != nil {
 		return nil, err
 	}
 	now := clock.Now()
 	if told.Sharers > 0 {
-		gossip.Scheduler.Pressed(told, told.Sharers, now)
+		g.Scheduler.Pressed(told, told.Sharers, now)
 	} else {
-		gossip.Scheduler.Noted(told, now)
+		g.Scheduler.Noted(told, now)
 	}
-	if told.Hops > 0 && gossip.mayPass(now) {
+	if told.Hops > 0 && g.mayPass(now) {
 		// Who has it at second hand starts nothing new for a while; the places
 		// themselves are given up by those who were asked.
-		circle := gossip.about()
+		circle := g.about()
 		further := *told
 		further.Hops, further.Sharers = told.Hops-1, 0
-		gossip.tell(someStores(circle.near, circle.far, draw), messages.KindPressure, &further)
+		g.tell(someStores(circle.near, circle.far, draw), messages.KindPressure, &further)
 	}
 	return transport.Write(&messages.Nothing{Taken: true})
 }
 
 // mayPass bounds how much of others' pressure a process passes on, whatever their
 // number.
-func (gossip *Gossip) mayPass(now clock.Moment) bool {
-	gossip.lock.Lock()
-	defer gossip.lock.Unlock()
-	if gossip.passedAt != 0 && now.Since(gossip.passedAt) < constants.PressurePeriod/2 {
+func (g *Gossip) mayPass(now clock.Moment) bool {
+	g.lock.Lock()
+	defer g.lock.Unlock()
+	if g.passedAt != 0 && now.Since(g.passedAt) < constants.PressurePeriod/2 {
 		return false
 	}
-	gossip.passedAt = now
+	g.passedAt = now
 	return true
 }
 
--- a/internal/traffic/prefixindex/branch.go
+++ b/internal/traffic/prefixindex/branch.go
@@ -25,52 +25,52 @@
 	return &sorted{keys: make([]byte, 0, limit), children: make([]*node, 0, limit), limit: limit}
 }
 
-func (small *sorted) place(edge byte) int {
-	return sort.Search(len(small.keys), func(index int) bool { return small.keys[index] >= edge })
+func (s *sorted) place(edge byte) int {
+	return sort.Search(len(s.keys), func(index int) bool { return s.keys[index] >= edge })
 }
 
-func (small *sorted) find(edge byte) *node {
-	if index := small.place(edge); index < len(small.keys) && small.keys[index] == edge {
-		return small.children[index]
+func (s *sorted) find(edge byte) *node {
+	if index := s.place(edge); index < len(s.keys) && s.keys[index] == edge {
+		return s.children[index]
 	}
 	return nil
 }
 
-func (small *sorted) add(edge byte, child *node) branch {
-	index := small.place(edge)
-	if index < len(small.keys) && small.keys[index] == edge {
-		small.children[index] = child
-		return small
+func (s *sorted) add(edge byte, child *node) branch {
+	index := s.place(edge)
+	if index < len(s.keys) && s.keys[index] == edge {
+		s.children[index] = child
+		return s
 	}
-	if len(small.keys) == small.limit {
-		return grow(small).add(edge, child)
+	if len(s.keys) == s.limit {
+		return grow(s).add(edge, child)
 	}
-	small.keys = append(small.keys, 0)
-	copy(small.keys[index+1:], small.keys[index:])
-	small.keys[index] = edge
-	small.children = append(small.children, nil)
-	copy(small.children[index+1:], small.children[index:])
-	small.children[index] = child
-	return small
+	s.keys = append(s.keys, 0)
+	copy(s.keys[index+1:], s.keys[index:])
+	s.keys[index] = edge
+	s.children = append(s.children, nil)
+	copy(s.children[index+1:], s.children[index:])
+	s.children[index] = child
+	return s
 }
 
-func (small *sorted) remove(edge byte) branch {
-	index := small.place(edge)
-	if index < len(small.keys) && small.keys[index] == edge {
-		small.keys = append(small.keys[:index], small.keys[index+1:]...)
-		small.children = append(small.children[:index], small.children[index+1:]...)
+func (s *sorted) remove(edge byte) branch {
+	index := s.place(edge)
+	if index < len(s.keys) && s.keys[index] == edge {
+		s.keys = append(s.keys[:index], s.keys[index+1:]...)
+		s.children = append(s.children[:index], s.children[index+1:]...)
 	}
-	if small.limit == 16 && len(small.keys) <= 3 {
-		return refill(newSorted(4), small)
+	if s.limit == 16 && len(s.keys) <= 3 {
+		return refill(newSorted(4), s)
 	}
-	return small
+	return s
 }
 
-func (small *sorted) count() int { return len(small.keys) }
+func (s *sorted) count() int { return len(s.keys) }
 
-func (small *sorted) each(visit func(edge byte, child *node)) {
-	for index, edge := range small.keys {
-		visit(edge, small.children[index])
+func (s *sorted) each(visit func(edge byte, child *node)) {
+	for index, edge := range s.keys {
+		visit(edge, s.children[index])
 	}
 }
 
@@ -81,50 +81,50 @@
 	used     int
 }
 
-func (medium *branch48) find(edge byte) *node {
-	if place := medium.index[edge]; place > 0 {
-		return medium.children[place-1]
+func (b *branch48) find(edge byte) *node {
+	if place := b.index[edge]; place > 0 {
+		return b.children[place-1]
 	}
 	return nil
 }
 
-func (medium *branch48) add(edge byte, child *node) branch {
-	if place := medium.index[edge]; place > 0 {
-		medium.children[place-1] = child
-		return medium
+func (b *branch48) add(edge byte, child *node) branch {
+	if place := b.index[edge]; place > 0 {
+		b.children[place-1] = child
+		return b
 	}
-	if medium.used == len(medium.children) {
-		return grow(medium).add(edge, child)
+	if b.used == len(b.children) {
+		return grow(b).add(edge, child)
 	}
-	for place := range medium.children {
-		if medium.children[place] == nil {
-			medium.children[place] = child
-			medium.index[edge] = byte(place + 1)
-			medium.used++
+	for place := range b.children {
+		if b.children[place] == nil {
+			b.children[place] = child
+			b.index[edge] = byte(place + 1)
+			b.used++
 			break
 		}
 	}
-	return medium
+	return b
 }
 
-func (medium *branch48) remove(edge byte) branch {
-	if place := medium.index[edge]; place > 0 {
-		medium.children[place-1] = nil
-		medium.index[edge] = 0
-		medium.used--
+func (b *branch48) remove(edge byte) branch {
+	if place := b.index[edge]; place > 0 {
+		b.children[place-1] = nil
+		b.index[edge] = 0
+		b.used--
 	}
-	if medium.used <= 12 {
-		return refill(newSorted(16), medium)
+	if b.used <= 12 {
+		return refill(newSorted(16), b)
 	}
-	return medium
+	return b
 }
 
-func (medium *branch48) count() int { return medium.used }
+func (b *branch48) count() int { return b.used }
 
-func (medium *branch48) each(visit func(edge byte, child *node)) {
-	for edge, place := range medium.index {
+func (b *branch48) each(visit func(edge byte, child *node)) {
+	for edge, place := range b.index {
 		if place > 0 {
-			visit(byte(edge), medium.children[place-1])
+			visit(byte(edge), b.children[place-1])
 		}
 	}
 }
@@ -135,31 +135,31 @@
 	used     int
 }
 
-func (large *branch256) find(edge byte) *node { return large.children[edge] }
+func (b *branch256) find(edge byte) *node { return b.children[edge] }
 
-func (large *branch256) add(edge byte, child *node) branch {
-	if large.children[edge] == nil {
-		large.used++
+func (b *branch256) add(edge byte, child *node) branch {
+	if b.children[edge] == nil {
+		b.used++
 	}
-	large.children[edge] = child
-	return large
+	b.children[edge] = child
+	return b
 }
 
-func (large *branch256) remove(edge byte) branch {
-	if large.children[edge] != nil {
-		large.children[edge] = nil
-		large.used--
+func (b *branch256) remove(edge byte) branch {
+	if b.children[edge] != nil {
+		b.children[edge] = nil
+		b.used--
 	}
-	if large.used <= 40 {
-		return refill(&branch48{}, large)
+	if b.used <= 40 {
+		return refill(&branch48{}, b)
 	}
-	return large
+	return b
 }
 
-func (large *branch256) count() int { return large.used }
+func (b *branch256) count() int { return b.used }
 
-func (large *branch256) each(visit func(edge byte, child *node)) {
-	for edge, child := range large.children {
+func (b *branch256) each(visit func(edge byte, child *node)) {
+	for edge, child := range b.children {
 		if child != nil {
 			visit(byte(edge), child)
 		}
--- a/internal/traffic/prefixindex/homes.go
+++ b/internal/traffic/prefixindex/homes.go
@@ -6,10 +6,10 @@
 )
 
 // Shared is how many tokens of the prompt others have too: the last part is its own.
-func (prompt *Prompt) Shared() int {
+func (p *Prompt) Shared() int {
 	shared := 0
-	for place := 0; place < len(prompt.Parts)-1; place++ {
-		shared += prompt.Parts[place].Tokens
+	for place := 0; place < len(p.Parts)-1; place++ {
+		shared += p.Parts[place].Tokens
 	}
 	return shared
 }
@@ -40,7 +40,7 @@
 
 // Homes gives the first homes of the prompt's prefix among workers: all nodes that
 // know the same workers come to the same ones.
-func (index *Index) Homes(prompt *Prompt, workerList []string, limit int) []string {
+func (i *Index) Homes(prompt *Prompt, workerList []string, limit int) []string {
 	if len(prompt.Parts) < 2 {
 		return nil
 	}
@@ -66,7 +66,7 @@
 
 // Holders gives workers that hold the prompt's prefix by what is known here, the
 // latest evidence first.
-func (index *Index) Holders(prompt *Prompt, limit int) []string {
+func (i *Index) Holders(prompt *Prompt, limit int) []string {
 	type holder struct {
 		worker string
 		seen   int64
@@ -76,7 +76,7 @@
 		return nil
 	}
 	key := prompt.key()
-	index.tree.Walk(key[:len(key)-8], func(_ int, leaf *Leaf) {
+	i.tree.Walk(key[:len(key)-8], func(_ int, leaf *Leaf) {
 		for worker, one := range leaf.stays {
 			found = append(found, holder{worker, int64(one.at)})
 		}
--- a/internal/traffic/prefixindex/index.go
+++ b/internal/traffic/prefixindex/index.go
@@ -64,9 +64,9 @@
 	return prompt
 }
 
-func (prompt *Prompt) key() []byte {
-	key := make([]byte, 0, 8*len(prompt.Parts))
-	for _, part := range prompt.Parts {
+func (p *Prompt) key() []byte {
+	key := make([]byte, 0, 8*len(p.Parts))
+	for _, part := range p.Parts {
 		key = binary.BigEndian.AppendUint64(key, part.Name)
 	}
 	return key
@@ -74,58 +74,58 @@
 
 // Placed notes that a prompt goes to a worker, and gives the tokens that had to
 // be read there anew by our reckoning.
-func (index *Index) Placed(prompt *Prompt, worker string, now clock.Moment) int {
-	index.Placements++
+func (i *Index) Placed(prompt *Prompt, worker string, now clock.Moment) int {
+	i.Placements++
 	key := prompt.key()
 	held := 0.0
 	tokens := 0
-	turn := index.turn(worker)
+	turn := i.turn(worker)
 	for position := range prompt.Parts {
 		tokens += prompt.Parts[position].Tokens
-		leaf := index.tree.Leaf(key[:8*(position+1)])
+		leaf := i.tree.Leaf(key[:8*(position+1)])
 		// The last part is the request's own until another request has it too.
 		leaf.shared = leaf.shared || position < len(prompt.Parts)-1 || leaf.used > 0
 		leaf.tokens, leaf.used = tokens, now
-		chance := index.residency(leaf, worker, now)
+		chance := i.residency(leaf, worker, now)
 		held = max(held, chance*float64(tokens))
 	}
 	fresh := max(prompt.Tokens, tokens) - int(held)
 	turn.own += int64(fresh + prompt.Out/2)
 	for position := range prompt.Parts {
-		leaf := index.tree.Leaf(key[:8*(position+1)])
+		leaf := i.tree.Leaf(key[:8*(position+1)])
 		if leaf.stays == nil {
 			leaf.stays = map[string]stay{}
 		}
 		leaf.stays[worker] = stay{at: now, turned: turn.total(), trust: 1, life: turn.life}
 	}
-	if index.tree.Size() > constants.IndexNodes {
-		index.shrink()
+	if i.tree.Size() > constants.IndexNodes {
+		i.shrink()
 	}
 	return fresh
 }
 
 // FirstEvent confirms or lowers what was believed: a first event that came as
 // late as a whole reading takes shows that the prefix was not there.
-func (index *Index) FirstEvent(prompt *Prompt, worker string, fresh int, waited clock.Span, alone bool, now clock.Moment) {
+func (i *Index) FirstEvent(prompt *Prompt, worker string, fresh int, waited clock.Span, alone bool, now clock.Moment) {
 	saved := max(prompt.Tokens, 1) - fresh
-	whole := float64(prompt.Tokens) / index.rate
-	short := float64(fresh) / index.rate
+	whole := float64(prompt.Tokens) / i.rate
+	short := float64(fresh) / i.rate
 	// What is left once the prompt was read is the making of the first event.
-	took := clock.ToMilliseconds(waited) - index.first
+	took := clock.ToMilliseconds(waited) - i.first
 	// Small prompts and busy workers tell nothing: the wait hides the reading.
 	const worthKnowing, muchOf, little = 2000, 0.8, 300
 	if saved < worthKnowing {
 		switch {
 		case alone && fresh > worthKnowing && took > 0:
-			index.rate += 0.05 * (min(max(float64(fresh)/took, 20), 2000) - index.rate)
+			i.rate += 0.05 * (min(max(float64(fresh)/took, 20), 2000) - i.rate)
 		case alone && fresh < little:
-			index.first += 0.02 * (min(clock.ToMilliseconds(waited), 4*constants.FirstGuess) - index.first)
+			i.first += 0.02 * (min(clock.ToMilliseconds(waited), 4*constants.FirstGuess) - i.first)
 		}
 		return
 	}
 	if took > short+muchOf*(whole-short) && alone {
 		key := prompt.key()
-		index.tree.Walk(key, func(_ int, leaf *Leaf) {
+		i.tree.Walk(key, func(_ int, leaf *Leaf) {
 			if one, known := leaf.stays[worker]; known {
 				// It is there now, since it was just read; but our estimate of how
 				// long it stays was too good, and that is what peers should hear.
@@ -137,11 +137,11 @@
 }
 
 // shrink drops the eighth of the leaves that were unused for longest.
-func (index *Index) shrink() {
+func (i *Index) shrink() {
 	var leaves []*Leaf
-	index.tree.Each(func(leaf *Leaf) { leaves = append(leaves, leaf) })
+	i.tree.Each(func(leaf *Leaf) { leaves = append(leaves, leaf) })
 	sort.Slice(leaves, func(left, right int) bool { return leaves[left].used < leaves[right].used })
 	for _, leaf := range leaves[:len(leaves)/8] {
-		index.tree.Remove(leaf.key)
+		i.tree.Remove(leaf.key)
 	}
 }
--- a/internal/traffic/prefixindex/prefixindex_test.go
+++ b/internal/traffic/prefixindex/prefixindex_test.go
@@ -26,7 +26,7 @@
 
 // The tree against a map: every key that was put in is found on the walk of any
 // longer key, whatever was removed in between.
-func TestTreeAgainstMap(test *testing.T) {
+func TestTreeAgainstMap(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(42)
 	properties := gopter.NewProperties(parameters)
 	properties.Property("walk finds exactly the prefixes that are there", prop.ForAll(func(numbers []uint16) bool {
@@ -68,10 +68,10 @@
 		}
 		return tree.Size() == len(known)
 	}, gen.SliceOf(gen.UInt16())))
-	properties.TestingRun(test)
+	properties.TestingRun(t)
 }
 
-func TestBranchesGrowAndShrink(test *testing.T) {
+func TestBranchesGrowAndShrink(t *testing.T) {
 	var tree Tree
 	for value := 0; value < 256; value++ {
 		tree.Leaf([]byte{1, byte(value)})
@@ -79,7 +79,7 @@
 	count := 0
 	tree.Each(func(*Leaf) { count++ })
 	if count != 256 {
-		test.Fatal(count)
+		t.Fatal(count)
 	}
 	for value := 0; value < 255; value++ {
 		tree.Remove([]byte{1, byte(value)})
@@ -87,103 +87,103 @@
 	found := 0
 	tree.Walk([]byte{1, 255}, func(int, *Leaf) { found++ })
 	if found != 1 || tree.Size() != 1 {
-		test.Fatal(found, tree.Size())
+		t.Fatal(found, tree.Size())
 	}
 }
 
 // A residency downgrade changes a real placement: the worker that had the prefix
 // has since turned its whole cache over.
-func TestDowngradeChangesPlacement(test *testing.T) {
+func TestDowngradeChangesPlacement(t *testing.T) {
 	index := NewIndex()
 	index.SetCache("first", 100_000)
 	index.SetCache("second", 100_000)
 	asked := prompt("aa", "x1", 12_000)
 	index.Placed(asked, "first", 0)
 	if choice := index.Choose(prompt("aa", "x2", 12_000), pair(20, 0), 1); choice.Place != 0 || choice.Downgraded {
-		test.Fatalf("a warm prefix was not followed: %+v", choice)
+		t.Fatalf("a warm prefix was not followed: %+v", choice)
 	}
 	index.Turned("first", 95_000)
 	choice := index.Choose(prompt("aa", "x3", 12_000), pair(60, 0), 2)
 	if choice.Place != 1 || !choice.Downgraded || index.Downgrades != 1 {
-		test.Fatalf("a prefix that must be gone was followed: %+v", choice)
+		t.Fatalf("a prefix that must be gone was followed: %+v", choice)
 	}
 }
 
 // It must not where the prefix is still there: over-discounting steals warm hits.
-func TestNoDowngradeWhileResident(test *testing.T) {
+func TestNoDowngradeWhileResident(t *testing.T) {
 	index := NewIndex()
 	index.SetCache("first", 100_000)
 	index.Placed(prompt("aa", "x1", 12_000), "first", 0)
 	index.Turned("first", 30_000)
 	choice := index.Choose(prompt("aa", "x2", 12_000), pair(60, 0), 1)
 	if choice.Place != 0 || choice.Downgraded || index.Downgrades != 0 {
-		test.Fatalf("%+v", choice)
+		t.Fatalf("%+v", choice)
 	}
 }
 
-func TestLoadOutweighsAShortPrefix(test *testing.T) {
+func TestLoadOutweighsAShortPrefix(t *testing.T) {
 	index := NewIndex()
 	index.Placed(prompt("aa", "x1", 300), "first", 0)
 	if choice := index.Choose(prompt("aa", "x2", 300), pair(40, 0), 1); choice.Place != 1 || choice.Downgraded {
-		test.Fatalf("%+v", choice)
+		t.Fatalf("%+v", choice)
 	}
 }
 
-func TestRestartedWorkerHoldsNothing(test *testing.T) {
+func TestRestartedWorkerHoldsNothing(t *testing.T) {
 	index := NewIndex()
 	index.Placed(prompt("aa", "x1", 12_000), "first", 0)
 	index.Drop("first")
 	if choice := index.Choose(prompt("aa", "x2", 12_000), pair(60, 0), 1); choice.Place != 1 || choice.Held != 0 {
-		test.Fatalf("a lost cache was believed in: %+v", choice)
+		t.Fatalf("a lost cache was believed in: %+v", choice)
 	}
 }
 
-func TestPeersWordCountsAndAges(test *testing.T) {
+func TestPeersWordCountsAndAges(t *testing.T) {
 	far, near := NewIndex(), NewIndex()
 	far.SetCache("first", 100_000)
 	far.Placed(prompt("aa", "x1", 12_000), "first", 0)
 	words := far.Words(1, 10, 1000)
 	if len(words) != 1 {
-		test.Fatalf("told %d words", len(words))
+		t.Fatalf("told %d words", len(words))
 	}
 	near.Told(words, 1)
 	if choice := near.Choose(prompt("aa", "x2", 12_000), pair(60, 0), 2); choice.Place != 0 {
-		test.Fatalf("a peer's word was not followed: %+v", choice)
+		t.Fatalf("a peer's word was not followed: %+v", choice)
 	}
 	stale := clock.Moment(1).Plus(constants.GossipStale)
 	if choice := near.Choose(prompt("aa", "x3", 12_000), pair(60, 0), stale); choice.Place != 1 {
-		test.Fatalf("a silent peer's word counted after three periods: %+v", choice)
+		t.Fatalf("a silent peer's word counted after three periods: %+v", choice)
 	}
 }
 
-func TestOwnNewerEvidenceBeatsAPeersOlderWord(test *testing.T) {
+func TestOwnNewerEvidenceBeatsAPeersOlderWord(t *testing.T) {
 	index := NewIndex()
 	index.SetCache("first", 100_000)
 	asked := prompt("aa", "x1", 12_000)
 	index.Placed(asked, "first", 1000)
 	index.Told([]messages.Residency{{Path: asked.key()[:8], Tokens: 12_000, Worker: "first", Chance: 0, AgeMs: 500}}, 2000)
 	if choice := index.Choose(prompt("aa", "x2", 12_000), pair(60, 0), 3000); choice.Place != 0 {
-		test.Fatalf("%+v", choice)
+		t.Fatalf("%+v", choice)
 	}
 }
 
-func TestIndexIsBounded(test *testing.T) {
+func TestIndexIsBounded(t *testing.T) {
 	index := NewIndex()
 	for count := 0; count < 3*constants.IndexNodes; count++ {
 		index.Placed(prompt("aa", fmt.Sprintf("%x", count), 100), "first", clock.Moment(count))
 	}
 	if index.tree.Size() > constants.IndexNodes {
-		test.Fatalf("%d leaves", index.tree.Size())
+		t.Fatalf("%d leaves", index.tree.Size())
 	}
 	// The one in use all the time is still there.
 	found := 0
 	index.tree.Walk(prompt("aa", "zz", 100).key(), func(int, *Leaf) { found++ })
 	if found == 0 {
-		test.Fatal("the shared prefix was dropped")
+		t.Fatal("the shared prefix was dropped")
 	}
 }
 
-func TestWordOfSlowFirstEventsLowersTrust(test *testing.T) {
+func TestWordOfSlowFirstEventsLowersTrust(t *testing.T) {
 	index := NewIndex()
 	index.SetCache("first", 100_000)
 	asked := prompt("aa", "x1", 12_000)
@@ -193,6 +193,6 @@
 	before := index.Words(2, 10, 1000)[0].Chance
 	index.FirstEvent(next, "first", fresh, clock.Milliseconds(constants.FirstGuess+12_200/constants.ReadRate), true, 2)
 	if after := index.Words(3, 10, 1000)[0].Chance; after >= before {
-		test.Fatalf("trust %v then %v", before, after)
+		t.Fatalf("trust %v then %v", before, after)
 	}
 }
--- a/internal/traffic/prefixindex/residency.go
+++ b/internal/traffic/prefixindex/residency.go
@@ -47,7 +47,7 @@
 	cache  int64
 }
 
-func (turn *turnover) total() int64 { return turn.own + int64(turn.others) }
+func (t *turnover) total() int64 { return t.own + int64(t.others) }
 
 // retained estimates, from what has entered the cache since, the chance that a
 // prefix is still there. A cache lets go of what was unused for longest; running
@@ -71,8 +71,8 @@
 // residency is the chance that a worker still holds the leaf's prefix. The
 // newest evidence wins; a peer's word that is older than three gossip periods
 // counts for nothing, so a paused or cut-off peer misleads nobody.
-func (index *Index) residency(leaf *Leaf, worker string, now clock.Moment) float64 {
-	turn := index.turns[worker]
+func (i *Index) residency(leaf *Leaf, worker string, now clock.Moment) float64 {
+	turn := i.turns[worker]
 	life := 0
 	if turn != nil {
 		life = turn.life
@@ -91,37 +91,37 @@
 }
 
 // Turned notes tokens that we put into a worker's cache.
-func (index *Index) Turned(worker string, tokens int64) { index.turn(worker).own += tokens }
+func (i *Index) Turned(worker string, tokens int64) { i.turn(worker).own += tokens }
 
 // OthersTurned adds an estimate of what all other callers have put in since.
-func (index *Index) OthersTurned(worker string, tokens float64) {
-	index.turn(worker).others += max(tokens, 0)
+func (i *Index) OthersTurned(worker string, tokens float64) {
+	i.turn(worker).others += max(tokens, 0)
 }
 
 // OthersIn is that estimate, in tokens since the worker was first known.
-func (index *Index) OthersIn(worker string) float64 { return index.turn(worker).others }
+func (i *Index) OthersIn(worker string) float64 { return i.turn(worker).others }
 
 // SetCache notes the size of a worker's cache, in tokens.
-func (index *Index) SetCache(worker string, tokens int64) { index.turn(worker).cache = tokens }
+func (i *Index) SetCache(worker string, tokens int64) { i.turn(worker).cache = tokens }
 
 // Drop forgets all that was known of a worker's cache: it was started anew,
 // reloaded, or drained and came back.
-func (index *Index) Drop(worker string) { index.turn(worker).life++ }
+func (i *Index) Drop(worker string) { i.turn(worker).life++ }
 
 // Forget takes a worker that is gone out of the books.
-func (index *Index) Forget(worker string) {
-	delete(index.turns, worker)
-	index.tree.Each(func(leaf *Leaf) {
+func (i *Index) Forget(worker string) {
+	delete(i.turns, worker)
+	i.tree.Each(func(leaf *Leaf) {
 		delete(leaf.stays, worker)
 		delete(leaf.told, worker)
 	})
 }
 
-func (index *Index) turn(worker string) *turnover {
-	turn := index.turns[worker]
+func (i *Index) turn(worker string) *turnover {
+	turn := i.turns[worker]
 	if turn == nil {
 		turn = &turnover{}
-		index.turns[worker] = turn
+		i.turns[worker] = turn
 	}
 	return turn
 }
--- a/internal/traffic/prefixindex/score.go
+++ b/internal/traffic/prefixindex/score.go
@@ -22,13 +22,13 @@
 
 // Choose folds match, residency and load into one score, in ms of waiting
 // saved, and gives the best candidate. A prompt without parts is placed by load.
-func (index *Index) Choose(prompt *Prompt, candidates []Candidate, now clock.Moment) Choice {
+func (i *Index) Choose(prompt *Prompt, candidates []Candidate, now clock.Moment) Choice {
 	type matched struct{ full, weighted float64 }
 	matches := make([]matched, len(candidates))
 	if len(prompt.Parts) > 0 {
-		index.tree.Walk(prompt.key(), func(_ int, leaf *Leaf) {
+		i.tree.Walk(prompt.key(), func(_ int, leaf *Leaf) {
 			for place := range candidates {
-				chance := index.residency(leaf, candidates[place].Worker, now)
+				chance := i.residency(leaf, candidates[place].Worker, now)
 				if _, known := leaf.stays[candidates[place].Worker]; !known && chance == 0 {
 					continue
 				}
@@ -39,7 +39,7 @@
 			}
 		})
 	}
-	first, second, worth := index.homes(prompt, candidates)
+	first, second, worth := i.homes(prompt, candidates)
 	best, believing := -1, -1
 	bestScore, believingScore := 0.0, 0.0
 	for place := range candidates {
@@ -51,11 +51,11 @@
 		case second:
 			load += secondHome * worth
 		}
-		score := matches[place].weighted/index.rate + load
+		score := matches[place].weighted/i.rate + load
 		if best < 0 || score > bestScore {
 			best, bestScore = place, score
 		}
-		if full := matches[place].full/index.rate + load; believing < 0 || full > believingScore {
+		if full := matches[place].full/i.rate + load; believing < 0 || full > believingScore {
 			believing, believingScore = place, full
 		}
 	}
@@ -65,10 +65,10 @@
 	choice := Choice{Place: best, Score: bestScore, Held: matches[best].weighted}
 	choice.Downgraded = believing != best && matches[believing].full > matches[believing].weighted
 	if choice.Downgraded {
-		index.Downgrades++
+		i.Downgrades++
 	}
 	if choice.Held > 0 {
-		index.Hits++
+		i.Hits++
 	}
 	return choice
 }
@@ -77,7 +77,7 @@
 // know nothing of a prefix yet should come to the same workers, so each prefix has
 // two homes, by a hash. A home is worth less than a warm prefix, and more than
 // small differences of load.
-func (index *Index) homes(prompt *Prompt, candidates []Candidate) (first, second int, worth float64) {
+func (i *Index) homes(prompt *Prompt, candidates []Candidate) (first, second int, worth float64) {
 	first, second = -1, -1
 	if len(prompt.Parts) < 2 {
 		return first, second, 0
@@ -94,7 +94,7 @@
 			second, next = place, draw
 		}
 	}
-	return first, second, float64(prompt.Shared()) / index.rate
+	return first, second, float64(prompt.Shared()) / i.rate
 }
 
 // The parts of a prefix's worth that its first and second home get (ours).
@@ -104,7 +104,7 @@
 )
 
 // Rate is the reading rate in tokens a ms, as streams have taught it.
-func (index *Index) Rate() float64 { return index.rate }
+func (i *Index) Rate() float64 { return i.rate }
 
 // Prefixes is how many prefixes are known.
-func (index *Index) Prefixes() int { return index.tree.Size() }
+func (i *Index) Prefixes() int { return i.tree.Size() }
--- a/internal/traffic/prefixindex/tree.go
+++ b/internal/traffic/prefixindex/tree.go
@@ -17,18 +17,18 @@
 	size int
 }
 
-func (place *node) way(edge byte) *node {
-	if place.ways == nil {
+func (n *node) way(edge byte) *node {
+	if n.ways == nil {
 		return nil
 	}
-	return place.ways.find(edge)
+	return n.ways.find(edge)
 }
 
-func (place *node) set(edge byte, child *node) {
-	if place.ways == nil {
-		place.ways = newSorted(4)
+func (n *node) set(edge byte, child *node) {
+	if n.ways == nil {
+		n.ways = newSorted(4)
 	}
-	place.ways = place.ways.add(edge, child)
+	n.ways = n.ways.add(edge, child)
 }
 
 func common(left, right []byte) int {
@@ -42,11 +42,11 @@
 }
 
 // Size is the number of leaves.
-func (tree *Tree) Size() int { return tree.size }
+func (t *Tree) Size() int { return t.size }
 
 // Leaf finds the leaf of a key, and makes it where it is missing.
-func (tree *Tree) Leaf(key []byte) *Leaf {
-	place, rest := &tree.root, key
+func (t *Tree) Leaf(key []byte) *Leaf {
+	place, rest := &t.root, key
 	for len(rest) > 0 {
 		next := place.way(rest[0])
 		if next == nil {
@@ -69,14 +69,14 @@
 	}
 	if place.leaf == nil {
 		place.leaf = &Leaf{key: bytes.Clone(key)}
-		tree.size++
+		t.size++
 	}
 	return place.leaf
 }
 
 // Walk visits the leaves of every prefix of the key, the shortest first.
-func (tree *Tree) Walk(key []byte, visit func(length int, leaf *Leaf)) {
-	place, depth := &tree.root, 0
+func (t *Tree) Walk(key []byte, visit func(length int, leaf *Leaf)) {
+	place, depth := &t.root, 0
 	for depth < len(key) {
 		next := place.way(key[depth])
 		if next == nil || !bytes.HasPrefix(key[depth:], next.path) {
@@ -91,9 +91,9 @@
 }
 
 // Remove takes the leaf of a key out, and folds what is left.
-func (tree *Tree) Remove(key []byte) {
-	if removeBelow(&tree.root, key) {
-		tree.size--
+func (t *Tree) Remove(key []byte) {
+	if removeBelow(&t.root, key) {
+		t.size--
 	}
 }
 
@@ -129,7 +129,7 @@
 }
 
 // Each visits every leaf.
-func (tree *Tree) Each(visit func(leaf *Leaf)) { eachBelow(&tree.root, visit) }
+func (t *Tree) Each(visit func(leaf *Leaf)) { eachBelow(&t.root, visit) }
 
 func eachBelow(place *node, visit func(leaf *Leaf)) {
 	if place.leaf != nil {
--- a/internal/traffic/prefixindex/words.go
+++ b/internal/traffic/prefixindex/words.go
@@ -31,14 +31,14 @@
 // Words gives what changed most since it was last told, of the long shared
 // prefixes: our own evidence first by how far it is from what neighbours still
 // believe of it, then what was heard and not yet passed on, each once and with its age.
-func (index *Index) Words(now clock.Moment, limit, least int) []messages.Residency {
+func (i *Index) Words(now clock.Moment, limit, least int) []messages.Residency {
 	var found []word
-	index.tree.Each(func(leaf *Leaf) {
+	i.tree.Each(func(leaf *Leaf) {
 		if !leaf.shared || leaf.tokens < least || now.Since(leaf.used) >= 30*constants.GossipPeriod {
 			return
 		}
 		for worker, one := range leaf.stays {
-			turn := index.turn(worker)
+			turn := i.turn(worker)
 			if one.life != turn.life {
 				continue
 			}
@@ -51,7 +51,7 @@
 		}
 		for worker, one := range leaf.told {
 			age := now.Since(one.at)
-			if one.passed || one.life != index.turn(worker).life || age >= constants.GossipStale {
+			if one.passed || one.life != i.turn(worker).life || age >= constants.GossipStale {
 				continue
 			}
 			if own, known := leaf.stays[worker]; known && own.at >= one.seen {
@@ -79,27 +79,27 @@
 }
 
 // before orders words; ties are broken by name, so that no order depends on chance.
-func (one *word) before(other *word) bool {
+func (w *word) before(other *word) bool {
 	switch {
-	case one.change != other.change:
-		return one.change > other.change
-	case one.seen != other.seen:
-		return one.seen > other.seen
-	case one.worker != other.worker:
-		return one.worker < other.worker
+	case w.change != other.change:
+		return w.change > other.change
+	case w.seen != other.seen:
+		return w.seen > other.seen
+	case w.worker != other.worker:
+		return w.worker < other.worker
 	}
-	return bytes.Compare(one.leaf.key, other.leaf.key) < 0
+	return bytes.Compare(w.leaf.key, other.leaf.key) < 0
 }
 
 // Told takes a peer's words. The age limit is that of the word, wherever it came by.
-func (index *Index) Told(words []messages.Residency, now clock.Moment) {
+func (i *Index) Told(words []messages.Residency, now clock.Moment) {
 	for _, word := range words {
 		said := now - clock.Moment(word.WordMs)*1_000_000
 		if len(word.Path) == 0 || len(word.Path)%8 != 0 || now.Since(said) >= constants.GossipStale {
 			continue
 		}
 		seen := now - clock.Moment(word.AgeMs)*1_000_000
-		leaf := index.tree.Leaf(word.Path)
+		leaf := i.tree.Leaf(word.Path)
 		leaf.tokens = max(leaf.tokens, word.Tokens)
 		leaf.used = max(leaf.used, seen)
 		leaf.shared = true
@@ -110,9 +110,9 @@
 		if leaf.told == nil {
 			leaf.told = map[string]told{}
 		}
-		leaf.told[word.Worker] = told{chance: float64(word.Chance), at: said, seen: seen, life: index.turn(word.Worker).life}
+		leaf.told[word.Worker] = told{chance: float64(word.Chance), at: said, seen: seen, life: i.turn(word.Worker).life}
 	}
-	if index.tree.Size() > constants.IndexNodes {
-		index.shrink()
+	if i.tree.Size() > constants.IndexNodes {
+		i.shrink()
 	}
 }
--- a/internal/traffic/proxy/bounds_test.go
+++ b/internal/traffic/proxy/bounds_test.go
@@ -25,7 +25,7 @@
 // Whatever befalls a request at its workers, in whichever order: one try of a client
 // reaches no more of them than its route allows, and a failure that bears a worker's seal
 // bears that worker's status.
-func TestTriesBoundTheWorkers(test *testing.T) {
+func TestTriesBoundTheWorkers(t *testing.T) {
 	var names []string
 	for name := range failures {
 		names = append(names, name)
@@ -38,26 +38,26 @@
 			for place := range 5 {
 				name := names[random.Intn(len(names))]
 				drawn += " " + name
-				workers = append(workers, newStandIn(test, fmt.Sprint("w", place), func(_ int, _ *http.Request, connection net.Conn) {
+				workers = append(workers, newStandIn(t, fmt.Sprint("w", place), func(_ int, _ *http.Request, connection net.Conn) {
 					write(connection, failures[name])
 					connection.Close()
 				}))
 			}
-			server, _ := edge(test, workers...)
-			answer, _, err := ask(test, server, path, nil)
+			server, _ := edge(t, workers...)
+			answer, _, err := ask(t, server, path, nil)
 			reached := 0
 			for _, worker := range workers {
 				reached += min(worker.seen(), 1)
 			}
 			if reached > 3 {
-				test.Errorf("%s%s: reached %d workers", path, drawn, reached)
+				t.Errorf("%s%s: reached %d workers", path, drawn, reached)
 			}
 			if err != nil {
 				continue
 			}
 			seals := map[string]int{"failed": http.StatusInternalServerError, "away": http.StatusServiceUnavailable}
 			if status, sealed := seals[answer.Header.Get(headerSeal)]; sealed && status != answer.StatusCode {
-				test.Errorf("%s%s: status %d under the seal %q", path, drawn, answer.StatusCode, answer.Header.Get(headerSeal))
+				t.Errorf("%s%s: status %d under the seal %q", path, drawn, answer.StatusCode, answer.Header.Get(headerSeal))
 			}
 		}
 	}
@@ -65,13 +65,13 @@
 
 // Whatever a worker leaves out, and however often, a request is held no longer than its
 // route's cutoff and a quarter of a second.
-func TestEveryWaitEndsWithTheCutoff(test *testing.T) {
+func TestEveryWaitEndsWithTheCutoff(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/stream/x", "/once/x", "/rigid/x"} {
 		for _, share := range []int{0, 20, 60, 95} {
-			test.Run(fmt.Sprint(path, share), func(test *testing.T) {
-				test.Parallel()
+			t.Run(fmt.Sprint(path, share), func(t *testing.T) {
+				t.Parallel()
 				hold := make(chan struct{})
-				test.Cleanup(func() { close(hold) })
+				t.Cleanup(func() { close(hold) })
 				script := func(_ int, request *http.Request, connection net.Conn) {
 					text := streamHead(request) + chunk(event(1)) + chunk(event(2)) + "0\r\n\r\n"
 					if !strings.HasPrefix(path, "/stream") && !strings.HasPrefix(path, "/rigid") {
@@ -80,19 +80,19 @@
 					write(connection, text[:len(text)*share/100])
 					<-hold
 				}
-				server, proxyServer := edge(test, newStandIn(test, "w1", script), newStandIn(test, "w2", script), newStandIn(test, "w3", script))
-				shorten(test, proxyServer)
+				server, proxyServer := edge(t, newStandIn(t, "w1", script), newStandIn(t, "w2", script), newStandIn(t, "w3", script))
+				shorten(t, proxyServer)
 				// A machine that stands still holds everybody: only what is late each time is.
 				const cutoffMs, tries = 300, 3
 				for try := 1; ; try++ {
 					begun := clock.Now()
-					_, _, _ = ask(test, server, path, map[string]string{headerAttempt: fmt.Sprint("try-", try)})
+					_, _, _ = ask(t, server, path, map[string]string{headerAttempt: fmt.Sprint("try-", try)})
 					took := clock.Now().Since(begun)
 					if took < clock.Milliseconds(cutoffMs+250) {
 						break
 					}
 					if try == tries {
-						test.Fatal("held for ", took)
+						t.Fatal("held for ", took)
 					}
 				}
 			})
@@ -101,29 +101,29 @@
 }
 
 // shorten sets a newer configuration, in which each route has 300 ms.
-func shorten(test *testing.T, proxyServer *Proxy) {
+func shorten(t *testing.T, proxyServer *Proxy) {
 	text := strings.Replace(testConfig, `"generation":1`, `"generation":2`, 1)
 	for _, cutoff := range []string{"3000", "700", "4000", "2000"} {
 		text = strings.Replace(text, `"cutoff-ms":`+cutoff, `"cutoff-ms":300`, 1)
 	}
-	setConfig(test, proxyServer, text)
+	setConfig(t, proxyServer, text)
 }
 
-func setConfig(test *testing.T, proxyServer *Proxy, text string) {
+func setConfig(t *testing.T, proxyServer *Proxy, text string) {
 	config, err := routeconfig.Parse([]byte(text))
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	if !proxyServer.SetConfig(config) {
-		test.Fatal("the configuration was not taken")
+		t.Fatal("the configuration was not taken")
 	}
 }
 
 // A configuration that drops the routes and the service cuts nothing that runs.
-func TestConfigurationCutsNothing(test *testing.T) {
+func TestConfigurationCutsNothing(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/stream/x", "/once/x", "/rigid/x"} {
 		half, whole := make(chan struct{}), make(chan struct{})
-		worker := newStandIn(test, "w1", func(_ int, request *http.Request, connection net.Conn) {
+		worker := newStandIn(t, "w1", func(_ int, request *http.Request, connection net.Conn) {
 			if strings.HasPrefix(path, "/stream") || strings.HasPrefix(path, "/rigid") {
 				write(connection, streamHead(request)+chunk(event(1)))
 				close(half)
@@ -135,20 +135,20 @@
 			<-whole
 			write(connection, wellDone(request, "for attempt-1"))
 		})
-		server, proxyServer := edge(test, worker)
+		server, proxyServer := edge(t, worker)
 		ended := make(chan error, 1)
 		go func() {
-			answer, body, err := ask(test, server, path, nil)
+			answer, body, err := ask(t, server, path, nil)
 			if err == nil && (answer.StatusCode != 200 || body != wholeAnswer(path, "attempt-1")) {
 				err = fmt.Errorf("%d %q", answer.StatusCode, body)
 			}
 			ended <- err
 		}()
 		<-half
-		setConfig(test, proxyServer, `{"generation":9,"channels":[],"backends":[],"limits":{"max-header-bytes":8192,"max-body-bytes":1000,"header-wait-ms":30,"idle-ms":50}}`)
+		setConfig(t, proxyServer, `{"generation":9,"channels":[],"backends":[],"limits":{"max-header-bytes":8192,"max-body-bytes":1000,"header-wait-ms":30,"idle-ms":50}}`)
 		close(whole)
 		if err := <-ended; err != nil {
-			test.Errorf("%s: %v", path, err)
+			t.Errorf("%s: %v", path, err)
 		}
 	}
 }
--- a/internal/traffic/proxy/core_test.go
+++ b/internal/traffic/proxy/core_test.go
@@ -14,7 +14,7 @@
 
 // No evidence lets an effectful request run twice, and nobody gets two runs
 // joined that do not follow each other.
-func TestMay(test *testing.T) {
+func TestMay(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(7)
 	parameters.MinSuccessfulTests = 2000
 	properties := gopter.NewProperties(parameters)
@@ -38,41 +38,41 @@
 		}
 		return true
 	}, gen.UInt8(), gen.Bool(), gen.Bool(), gen.Bool(), gen.Bool(), gen.Bool()))
-	properties.TestingRun(test)
+	properties.TestingRun(t)
 }
 
 func event(id int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id) }
 
 // However the bytes are cut, the same whole events come out.
-func TestSplitterAtEveryCut(test *testing.T) {
+func TestSplitterAtEveryCut(t *testing.T) {
 	text := "lemonarch-weight-versions: 3\n" + event(4) + event(5) + event(6)
 	for cut := 0; cut <= len(text); cut++ {
 		splitter := &Splitter{Next: 4}
 		first, follows := splitter.Feed([]byte(text[:cut]))
 		second, alsoFollows := splitter.Feed([]byte(text[cut:]))
 		if !follows || !alsoFollows || string(first)+string(second) != text || len(splitter.Rest()) > 0 || splitter.Last != 6 {
-			test.Fatalf("cut at %d: %q %q", cut, first, second)
+			t.Fatalf("cut at %d: %q %q", cut, first, second)
 		}
 	}
 }
 
-func TestSplitterRefusesWhatDoesNotFollow(test *testing.T) {
+func TestSplitterRefusesWhatDoesNotFollow(t *testing.T) {
 	for _, text := range []string{event(5), event(3), event(4) + event(6), event(4) + event(4)} {
 		splitter := &Splitter{Next: 4}
 		if _, follows := splitter.Feed([]byte(text)); follows {
-			test.Fatalf("%q was taken to follow event 3", text)
+			t.Fatalf("%q was taken to follow event 3", text)
 		}
 	}
 }
 
-func TestData(test *testing.T) {
+func TestData(t *testing.T) {
 	pieces := Data([]byte(event(1) + "id: 2\ndata: a\ndata: b\n\n"))
 	if len(pieces) != 2 || string(pieces[0]) != "piece 1" || string(pieces[1]) != "a\nb" {
-		test.Fatalf("%q", pieces)
+		t.Fatalf("%q", pieces)
 	}
 }
 
-func TestHeaderRules(test *testing.T) {
+func TestHeaderRules(t *testing.T) {
 	header := http.Header{}
 	header.Set("Connection", "close, X-Hop, Lemonarch-Attempt-Id")
 	header.Set("X-Hop", "1")
@@ -84,6 +84,6 @@
 	header.Set("Lemonarch-Attempt-Id", "id")
 	passed := Passed(header)
 	if len(passed) != 2 || passed.Get("X-Kept") != "2" || passed.Get("Lemonarch-Attempt-Id") != "id" {
-		test.Fatal(passed)
+		t.Fatal(passed)
 	}
 }
--- a/internal/traffic/proxy/displace_test.go
+++ b/internal/traffic/proxy/displace_test.go
@@ -12,10 +12,10 @@
 
 // A running stream of a lower rank makes room and goes on within the same answer:
 // every event comes once, the head stays, and the worker is not held to have failed.
-func TestDisplacedStreamGoesOnInTheSameAnswer(test *testing.T) {
+func TestDisplacedStreamGoesOnInTheSameAnswer(t *testing.T) {
 	reached, hold := make(chan struct{}), make(chan struct{})
 	defer close(hold)
-	worker := newStandIn(test, "w1", func(count int, request *http.Request, connection net.Conn) {
+	worker := newStandIn(t, "w1", func(count int, request *http.Request, connection net.Conn) {
 		from := 0
 		fmt.Sscan(request.Header.Get(headerLastEvent), &from)
 		write(connection, streamHead(request))
@@ -29,7 +29,7 @@
 		}
 		write(connection, "0\r\n\r\n")
 	})
-	server, proxyServer := edge(test, worker)
+	server, proxyServer := edge(t, worker)
 	go func() {
 		<-reached
 		// The first two events may still be on their way: press until it yields.
@@ -37,7 +37,7 @@
 			proxyServer.Scheduler.Pressed(&messages.PressureTold{From: "x", Words: []messages.Pressure{{Service: "s", Waiting: 1}}}, 1, clock.Now())
 		}
 	}()
-	answer, body, err := ask(test, server, "/stream/x", nil)
+	answer, body, err := ask(t, server, "/stream/x", nil)
 	want := ""
 	for id := 1; id <= 5; id++ {
 		want += event(id)
@@ -45,6 +45,6 @@
 	counters := proxyServer.Scheduler.Counters("stream")
 	if err != nil || answer.StatusCode != 200 || body != want || worker.seen() != 2 ||
 		counters.Displaced.Load() != 1 || counters.Resumed.Load() != 1 || counters.Finished.Load() != 1 {
-		test.Fatal(answer, body, err, worker.seen(), counters.Displaced.Load(), counters.Resumed.Load(), counters.Finished.Load())
+		t.Fatal(answer, body, err, worker.seen(), counters.Displaced.Load(), counters.Resumed.Load(), counters.Finished.Load())
 	}
 }
--- a/internal/traffic/proxy/events.go
+++ b/internal/traffic/proxy/events.go
@@ -21,46 +21,46 @@
 
 // Feed takes bytes and gives the whole events among them; false means that the
 // ids do not follow each other.
-func (splitter *Splitter) Feed(text []byte) (whole []byte, follows bool) {
-	splitter.rest = append(splitter.rest, text...)
+func (s *Splitter) Feed(text []byte) (whole []byte, follows bool) {
+	s.rest = append(s.rest, text...)
 	end := 0
 	for {
-		at := bytes.Index(splitter.rest[end:], blank)
+		at := bytes.Index(s.rest[end:], blank)
 		if at < 0 {
 			break
 		}
-		event := splitter.rest[end : end+at+len(blank)]
-		if !splitter.follow(event) {
-			return splitter.take(end), false
+		event := s.rest[end : end+at+len(blank)]
+		if !s.follow(event) {
+			return s.take(end), false
 		}
 		end += at + len(blank)
 	}
-	return splitter.take(end), true
+	return s.take(end), true
 }
 
-func (splitter *Splitter) take(end int) []byte {
-	whole := splitter.rest[:end:end]
-	splitter.rest = append([]byte(nil), splitter.rest[end:]...)
+func (s *Splitter) take(end int) []byte {
+	whole := s.rest[:end:end]
+	s.rest = append([]byte(nil), s.rest[end:]...)
 	return whole
 }
 
-func (splitter *Splitter) follow(event []byte) bool {
+func (s *Splitter) follow(event []byte) bool {
 	id, known := eventID(event)
 	if !known {
 		return true
 	}
-	if splitter.Next > 0 && id != splitter.Next {
+	if s.Next > 0 && id != s.Next {
 		return false
 	}
-	if splitter.Started && id != splitter.Last+1 {
+	if s.Started && id != s.Last+1 {
 		return false
 	}
-	splitter.Next, splitter.Last, splitter.Started = 0, id, true
+	s.Next, s.Last, s.Started = 0, id, true
 	return true
 }
 
 // Rest gives what has come of an unfinished event.
-func (splitter *Splitter) Rest() []byte { return splitter.rest }
+func (s *Splitter) Rest() []byte { return s.rest }
 
 func eventID(event []byte) (int64, bool) {
 	for len(event) > 0 {
--- a/internal/traffic/proxy/everybyte_test.go
+++ b/internal/traffic/proxy/everybyte_test.go
@@ -23,8 +23,8 @@
 	strike faultrelay.Strike
 }
 
-func (one *call) String() string {
-	return fmt.Sprintf("%s rested=%v %s answer=%v at=%d", one.path, one.rested, one.strike.Trouble, one.strike.Answer, one.strike.At)
+func (c *call) String() string {
+	return fmt.Sprintf("%s rested=%v %s answer=%v at=%d", c.path, c.rested, c.strike.Trouble, c.strike.Answer, c.strike.At)
 }
 
 // serveWhole answers every request whole, by the kind of its path.
@@ -50,39 +50,39 @@
 	node    *httptest.Server
 }
 
-func newStage(test *testing.T) *stage {
+func newStage(t *testing.T) *stage {
 	one := &stage{}
 	for place := range one.workers {
-		one.workers[place] = newStandIn(test, fmt.Sprint("w", place+1), serveWhole)
+		one.workers[place] = newStandIn(t, fmt.Sprint("w", place+1), serveWhole)
 		relay, err := faultrelay.New(one.workers[place].listener.Addr().String())
 		if err != nil {
-			test.Fatal(err)
+			t.Fatal(err)
 		}
 		one.relays[place] = relay
 	}
-	one.start(test)
+	one.start(t)
 	return one
 }
 
 // start starts a node that knows nothing of an earlier one.
-func (one *stage) start(test *testing.T) {
+func (s *stage) start(t *testing.T) {
 	var list []messages.Worker
-	for place, worker := range one.workers {
-		list = append(list, messages.Worker{ID: worker.id, Address: one.relays[place].Address()})
+	for place, worker := range s.workers {
+		list = append(list, messages.Worker{ID: worker.id, Address: s.relays[place].Address()})
 	}
-	one.node, _ = edgeFor(test, list)
+	s.node, _ = edgeFor(t, list)
 }
 
 // settle ends the relays and waits until the workers have read all that will ever come.
-func (one *stage) settle() {
-	for place := range one.workers {
-		one.relays[place].End()
-		one.workers[place].serving.Wait()
+func (s *stage) settle() {
+	for place := range s.workers {
+		s.relays[place].End()
+		s.workers[place].serving.Wait()
 	}
 }
 
-func (one *stage) ran(attempt string) int {
-	return one.workers[0].ran(attempt) + one.workers[1].ran(attempt)
+func (s *stage) ran(attempt string) int {
+	return s.workers[0].ran(attempt) + s.workers[1].ran(attempt)
 }
 
 // promised tells whether a status says that the request has not run and never will.
@@ -92,34 +92,34 @@
 }
 
 // play runs one case and gives what it broke.
-func (one *call) play(test *testing.T) string {
-	stage := newStage(test)
-	if one.rested {
+func (c *call) play(t *testing.T) string {
+	stage := newStage(t)
+	if c.rested {
 		for place := 0; place < 2; place++ {
-			if answer, _, err := ask(test, stage.node, "/safe/x", map[string]string{headerAttempt: fmt.Sprint("first-", place)}); err != nil || answer.StatusCode != 200 {
+			if answer, _, err := ask(t, stage.node, "/safe/x", map[string]string{headerAttempt: fmt.Sprint("first-", place)}); err != nil || answer.StatusCode != 200 {
 				return fmt.Sprint("no calm start: ", answer, err)
 			}
 		}
 	}
-	struck := one.strike
+	struck := c.strike
 	stage.relays[0].Arm(&struck)
 	headers := map[string]string{headerAttempt: "probe"}
 	if struck.Trouble == faultrelay.Silence || struck.Trouble == faultrelay.Freeze {
 		headers[headerTimeLeft] = "120"
 	}
-	answer, body, err := ask(test, stage.node, one.path, headers)
+	answer, body, err := ask(t, stage.node, c.path, headers)
 	if struck.Trouble == faultrelay.Restart {
 		stage.node.Close()
-		stage.start(test)
+		stage.start(t)
 	}
 	stage.relays[0].Thaw()
-	next, nextBody, nextErr := ask(test, stage.node, "/safe/x", map[string]string{headerAttempt: "next"})
+	next, nextBody, nextErr := ask(t, stage.node, "/safe/x", map[string]string{headerAttempt: "next"})
 	stage.settle()
-	return one.judge(stage.ran("probe"), answer, body, err) + one.judgeNext(next, nextBody, nextErr)
+	return c.judge(stage.ran("probe"), answer, body, err) + c.judgeNext(next, nextBody, nextErr)
 }
 
-func (one *call) judge(ran int, answer *http.Response, body string, err error) string {
-	repeatable := one.path == "/safe/x" || one.path == "/stream/x"
+func (c *call) judge(ran int, answer *http.Response, body string, err error) string {
+	repeatable := c.path == "/safe/x" || c.path == "/stream/x"
 	switch {
 	case !repeatable && ran > 1:
 		return fmt.Sprintf("ran %d times", ran)
@@ -127,13 +127,13 @@
 		return ""
 	case ran > 0 && promised(answer.StatusCode):
 		return fmt.Sprintf("ran, and answered %d", answer.StatusCode)
-	case answer.StatusCode == 200 && (body != wholeAnswer(one.path, "probe") || answer.Header.Get(headerAttempt) != "probe"):
+	case answer.StatusCode == 200 && (body != wholeAnswer(c.path, "probe") || answer.Header.Get(headerAttempt) != "probe"):
 		return fmt.Sprintf("answered %q for %q", body, answer.Header.Get(headerAttempt))
 	}
 	return ""
 }
 
-func (one *call) judgeNext(answer *http.Response, body string, err error) string {
+func (c *call) judgeNext(answer *http.Response, body string, err error) string {
 	if err == nil && answer.StatusCode == 200 && (body != "for next" || answer.Header.Get(headerAttempt) != "next") {
 		return fmt.Sprintf("the next one got %q", body)
 	}
@@ -141,11 +141,11 @@
 }
 
 // lengths measures a request and its answer on the wire.
-func lengths(test *testing.T, path string) (request, answer int) {
-	stage := newStage(test)
+func lengths(t *testing.T, path string) (request, answer int) {
+	stage := newStage(t)
 	stage.relays[0].Arm(nil)
-	if _, _, err := ask(test, stage.node, path, map[string]string{headerAttempt: "probe"}); err != nil {
-		test.Fatal(err)
+	if _, _, err := ask(t, stage.node, path, map[string]string{headerAttempt: "probe"}); err != nil {
+		t.Fatal(err)
 	}
 	stage.settle()
 	return stage.relays[0].Counts()
@@ -176,10 +176,10 @@
 // the answer, on a fresh or on a rested one: what may not be repeated runs once at most,
 // what ran is never refused as if it had not, a success is whole and the caller's own,
 // and so is the next caller's.
-func TestTroubleAtEveryByte(test *testing.T) {
+func TestTroubleAtEveryByte(t *testing.T) {
 	var calls []call
 	for _, path := range []string{"/once/x", "/rigid/x", "/safe/x", "/stream/x"} {
-		requestLength, answerLength := lengths(test, path)
+		requestLength, answerLength := lengths(t, path)
 		for _, trouble := range faultrelay.Troubles() {
 			for place := 0; place < requestLength+answerLength; place += stepOf(path, trouble) {
 				struck := faultrelay.Strike{Trouble: trouble, At: place}
@@ -195,13 +195,13 @@
 			}
 		}
 	}
-	test.Logf("%d cases", len(calls))
-	test.Run("cases", func(test *testing.T) {
+	t.Logf("%d cases", len(calls))
+	t.Run("cases", func(t *testing.T) {
 		for _, one := range calls {
-			test.Run(one.String(), func(test *testing.T) {
-				test.Parallel()
-				if broken := one.play(test); broken != "" {
-					test.Error(broken)
+			t.Run(one.String(), func(t *testing.T) {
+				t.Parallel()
+				if broken := one.play(t); broken != "" {
+					t.Error(broken)
 				}
 			})
 		}
--- a/internal/traffic/proxy/idle_test.go
+++ b/internal/traffic/proxy/idle_test.go
@@ -12,10 +12,10 @@
 
 // forgetful serves one request on each connection and resets it when it meets another:
 // it has forgotten the connection without a word.
-func forgetful(test *testing.T, id string) *standIn {
+func forgetful(t *testing.T, id string) *standIn {
 	served := map[net.Conn]bool{}
 	var worker *standIn
-	worker = newStandIn(test, id, func(_ int, request *http.Request, connection net.Conn) {
+	worker = newStandIn(t, id, func(_ int, request *http.Request, connection net.Conn) {
 		worker.lock.Lock()
 		second := served[connection]
 		served[connection] = true
@@ -33,22 +33,22 @@
 // A forgotten connection: what may be repeated goes again at once to the same worker, which
 // is not blamed, and what must not run twice doesn't ride on a connection that lay idle for
 // longer than such connections are known to last.
-func TestForgottenConnections(test *testing.T) {
-	worker := forgetful(test, "w1")
-	server, proxyServer := edge(test, worker)
+func TestForgottenConnections(t *testing.T) {
+	worker := forgetful(t, "w1")
+	server, proxyServer := edge(t, worker)
 	for count := 0; count < 6; count++ {
-		answer, body, err := ask(test, server, "/safe/x", map[string]string{headerAttempt: fmt.Sprint("safe-", count)})
+		answer, body, err := ask(t, server, "/safe/x", map[string]string{headerAttempt: fmt.Sprint("safe-", count)})
 		if err != nil || answer.StatusCode != 200 || body != "done" {
-			test.Fatal(count, answer, body, err)
+			t.Fatal(count, answer, body, err)
 		}
 	}
 	pool := proxyServer.Sender.Pool
 	if pool.Forgot.Load() == 0 {
-		test.Fatal("no connection was forgotten: the stand-in does not do its part")
+		t.Fatal("no connection was forgotten: the stand-in does not do its part")
 	}
 	safe := pool.SafeIdle("s")
 	if safe >= constants.SafeIdle {
-		test.Fatal("nothing was learnt: ", safe)
+		t.Fatal("nothing was learnt: ", safe)
 	}
 	suspect, failures := false, int64(0)
 	proxyServer.Scheduler.Locked(func() {
@@ -57,13 +57,13 @@
 		_, failures = health.Counts()
 	})
 	if suspect || failures > 0 {
-		test.Fatal("a forgotten connection was held against the worker")
+		t.Fatal("a forgotten connection was held against the worker")
 	}
 	for count := 0; count < 4; count++ {
 		<-clock.After(safe + clock.Milliseconds(1))
-		answer, body, err := ask(test, server, "/once/x", map[string]string{headerAttempt: fmt.Sprint("once-", count)})
+		answer, body, err := ask(t, server, "/once/x", map[string]string{headerAttempt: fmt.Sprint("once-", count)})
 		if err != nil || answer.StatusCode != 200 || body != "done" {
-			test.Fatal(count, answer, body, err)
+			t.Fatal(count, answer, body, err)
 		}
 	}
 }
--- a/internal/traffic/proxy/impatience.go
+++ b/internal/traffic/proxy/impatience.go
@@ -14,10 +14,10 @@
 // repeated goes on elsewhere, while tries are left and the service as a whole has not
 // grown slow. What may not waits on: silence gives no reason to end an answer sooner.
 // Either way the silence is noted, so that others are not sent into it.
-func (one *exchange) impatient(grant *admission.Grant) func(silence clock.Span) bool {
+func (e *exchange) impatient(grant *admission.Grant) func(silence clock.Span) bool {
 	return func(silence clock.Span) bool {
 		now := clock.Now()
-		if !one.repeatable() || one.sent+1 >= one.route.Tries {
+		if !e.repeatable() || e.sent+1 >= e.route.Tries {
 			grant.Doubt(silence, now)
 			return false
 		}
@@ -26,9 +26,9 @@
 }
 
 // resultOf tells what a try without an answer says of its worker.
-func (one *exchange) resultOf(err error) admission.Result {
+func (e *exchange) resultOf(err error) admission.Result {
 	switch {
-	case one.request.Context().Err() != nil, errs.Of(err, Stale):
+	case e.request.Context().Err() != nil, errs.Of(err, Stale):
 		return admission.ResultCalledOff
 	case errs.Of(err, workerconn.Spent):
 		// Nothing is wrong with the worker; we have too many connections to it.
--- a/internal/traffic/proxy/lots.go
+++ b/internal/traffic/proxy/lots.go
@@ -14,7 +14,7 @@
 )
 
 // lotCalls is the tree of matchers for the calls on lots.
-func (proxyServer *Proxy) lotCalls() *chi.Mux {
+func (p *Proxy) lotCalls() *chi.Mux {
 	tree := chi.NewRouter()
 	tree.Get("/-/lots/{lot}", func(writer http.ResponseWriter, request *http.Request) {
 		query := request.URL.Query()
@@ -28,13 +28,13 @@
 			cursor = value
 		}
 		hold, _ := strconv.Atoi(request.Header.Get(headerHold))
-		proxyServer.passCall(writer, &messages.LotCall{Method: http.MethodGet, Host: request.Host, Lot: chi.URLParam(request, "lot"), Cursor: cursor, HoldMs: max(hold, 0)})
+		p.passCall(writer, &messages.LotCall{Method: http.MethodGet, Host: request.Host, Lot: chi.URLParam(request, "lot"), Cursor: cursor, HoldMs: max(hold, 0)})
 	})
 	tree.Delete("/-/lots/{lot}", func(writer http.ResponseWriter, request *http.Request) {
-		proxyServer.passCall(writer, &messages.LotCall{Method: http.MethodDelete, Host: request.Host, Lot: chi.URLParam(request, "lot")})
+		p.passCall(writer, &messages.LotCall{Method: http.MethodDelete, Host: request.Host, Lot: chi.URLParam(request, "lot")})
 	})
 	tree.Get("/-/items/{lot}", func(writer http.ResponseWriter, request *http.Request) {
-		proxyServer.passCall(writer, &messages.LotCall{Method: "ITEM", Host: request.Host, Lot: chi.URLParam(request, "lot"), Item: request.URL.Query().Get("id")})
+		p.passCall(writer, &messages.LotCall{Method: "ITEM", Host: request.Host, Lot: chi.URLParam(request, "lot"), Item: request.URL.Query().Get("id")})
 	})
 	tree.NotFound(func(writer http.ResponseWriter, _ *http.Request) {
 		httpreply.Text(writer, http.StatusNotFound, "no such call")
@@ -42,9 +42,9 @@
 	return tree
 }
 
-func (proxyServer *Proxy) passCall(writer http.ResponseWriter, call *messages.LotCall) {
+func (p *Proxy) passCall(writer http.ResponseWriter, call *messages.LotCall) {
 	span := constants.CallTime*2 + clock.Milliseconds(float64(call.HoldMs))
-	answer, _ := proxyServer.Lots.Pass(call, span)
+	answer, _ := p.Lots.Pass(call, span)
 	if answer == nil {
 		// The holder can't be asked: a node that can't be sure says so.
 		httpreply.Later(writer, http.StatusServiceUnavailable, constants.HoldRenewal)
@@ -54,7 +54,7 @@
 }
 
 // handIn takes a lot on a bulk route.
-func (proxyServer *Proxy) handIn(writer http.ResponseWriter, request *http.Request, route *routeconfig.Route, path string, body []byte) {
+func (p *Proxy) handIn(writer http.ResponseWriter, request *http.Request, route *routeconfig.Route, path string, body []byte) {
 	if request.Method != http.MethodPost {
 		httpreply.Reason(writer, http.StatusMethodNotAllowed, "lots are handed in by POST")
 		return
@@ -65,18 +65,18 @@
 		return
 	}
 	call := &messages.LotCall{Method: http.MethodPost, Host: request.Host, Path: path, Lot: attempt, Body: body}
-	answer, maybe := proxyServer.Lots.Pass(call, min(constants.BulkCallTime, route.Cutoff()))
+	answer, maybe := p.Lots.Pass(call, min(constants.BulkCallTime, route.Cutoff()))
 	switch {
 	case answer != nil:
 		if answer.Status == http.StatusAccepted {
-			proxyServer.Counts.Served.Add(1)
+			p.Counts.Served.Add(1)
 		}
 		writeAnswer(writer, answer)
 	case maybe:
 		// It may have been taken: nothing may be promised.
 		httpreply.Reason(writer, http.StatusGatewayTimeout, "outcome unknown")
 	default:
-		proxyServer.Counts.Refused.Add(1)
+		p.Counts.Refused.Add(1)
 		httpreply.Later(writer, http.StatusServiceUnavailable, constants.HoldRenewal)
 	}
 }
--- a/internal/traffic/proxy/match_test.go
+++ b/internal/traffic/proxy/match_test.go
@@ -31,16 +31,16 @@
 
 // An answer that is not the caller's, cut at any byte, stands before its own on a
 // connection that was used before: it is nobody's, whatever it says.
-func TestStaleAnswersAreNobodys(test *testing.T) {
+func TestStaleAnswersAreNobodys(t *testing.T) {
 	var played, rode atomic.Int64
-	test.Run("cases", func(test *testing.T) {
+	t.Run("cases", func(t *testing.T) {
 		for name, stale := range staleAnswers {
 			for _, path := range []string{"/once/x", "/rigid/x", "/safe/x", "/stream/x"} {
 				for cut := len(stale); cut > 0; cut -= min(stepOf(path, faultrelay.Silence), 11) {
-					test.Run(fmt.Sprint(name, path, cut), func(test *testing.T) {
-						test.Parallel()
+					t.Run(fmt.Sprint(name, path, cut), func(t *testing.T) {
+						t.Parallel()
 						played.Add(1)
-						if playStale(test, path, stale[:cut]) {
+						if playStale(t, path, stale[:cut]) {
 							rode.Add(1)
 						}
 					})
@@ -50,48 +50,48 @@
 	})
 	// A machine that stands still lets a connection grow too old, but not most of them.
 	if rode.Load()*2 < played.Load() {
-		test.Errorf("only %d of %d requests travelled on a used connection", rode.Load(), played.Load())
+		t.Errorf("only %d of %d requests travelled on a used connection", rode.Load(), played.Load())
 	}
 }
 
 // playStale plays one case, and tells whether the request travelled on a used connection.
-func playStale(test *testing.T, path, stale string) bool {
+func playStale(t *testing.T, path, stale string) bool {
 	script := func(_ int, request *http.Request, connection net.Conn) {
 		if request.Header.Get(headerAttempt) == "probe" {
 			write(connection, stale)
 		}
 		serveWhole(0, request, connection)
 	}
-	first, second := newStandIn(test, "w1", script), newStandIn(test, "w2", serveWhole)
-	server, _ := edge(test, first, second)
-	if _, _, err := ask(test, server, "/safe/x", map[string]string{headerAttempt: "first"}); err != nil {
-		test.Fatal(err)
+	first, second := newStandIn(t, "w1", script), newStandIn(t, "w2", serveWhole)
+	server, _ := edge(t, first, second)
+	if _, _, err := ask(t, server, "/safe/x", map[string]string{headerAttempt: "first"}); err != nil {
+		t.Fatal(err)
 	}
-	answer, body, err := ask(test, server, path, map[string]string{headerAttempt: "probe", headerTimeLeft: "120"})
+	answer, body, err := ask(t, server, path, map[string]string{headerAttempt: "probe", headerTimeLeft: "120"})
 	one := call{path: path}
 	if broken := one.judge(first.ran("probe")+second.ran("probe"), answer, body, err); broken != "" {
-		test.Error(broken)
+		t.Error(broken)
 	}
 	rode := first.ran("probe") > 0 && first.accepted.Load() == 1
-	next, nextBody, nextErr := ask(test, server, "/safe/x", map[string]string{headerAttempt: "next"})
+	next, nextBody, nextErr := ask(t, server, "/safe/x", map[string]string{headerAttempt: "next"})
 	if broken := one.judgeNext(next, nextBody, nextErr); broken != "" {
-		test.Error(broken)
+		t.Error(broken)
 	}
 	return rode
 }
 
 // A worker's own 503 that does not say that it did not run the request is no promise, so
 // it is not passed on as one.
-func TestUnsaidPromiseIsNotMade(test *testing.T) {
+func TestUnsaidPromiseIsNotMade(t *testing.T) {
 	for _, status := range []string{"503 No", "429 No", "408 No"} {
 		for _, path := range []string{"/once/x", "/safe/x"} {
-			worker := newStandIn(test, "w1", func(_ int, _ *http.Request, connection net.Conn) {
+			worker := newStandIn(t, "w1", func(_ int, _ *http.Request, connection net.Conn) {
 				write(connection, "HTTP/1.1 "+status+"\r\nLemonarch-Server-Seal: seal\r\nContent-Length: 0\r\n\r\n")
 			})
-			server, _ := edge(test, worker)
-			answer, _, err := ask(test, server, path, nil)
+			server, _ := edge(t, worker)
+			answer, _, err := ask(t, server, path, nil)
 			if err != nil || answer.StatusCode != http.StatusBadGateway || answer.Header.Get(headerSeal) != "" {
-				test.Error(path, status, answer, err)
+				t.Error(path, status, answer, err)
 			}
 		}
 	}
@@ -99,30 +99,30 @@
 
 // The same id never travels twice on one connection: a late second answer to the first
 // would bear the name of the second.
-func TestSameIDTakesAnotherConnection(test *testing.T) {
-	worker := newStandIn(test, "w1", serveWhole)
-	server, proxyServer := edge(test, worker)
+func TestSameIDTakesAnotherConnection(t *testing.T) {
+	worker := newStandIn(t, "w1", serveWhole)
+	server, proxyServer := edge(t, worker)
 	for count := 0; count < 3; count++ {
 		for _, attempt := range []string{"again", fmt.Sprint("other-", count)} {
-			if _, _, err := ask(test, server, "/safe/x", map[string]string{headerAttempt: attempt}); err != nil {
-				test.Fatal(err)
+			if _, _, err := ask(t, server, "/safe/x", map[string]string{headerAttempt: attempt}); err != nil {
+				t.Fatal(err)
 			}
 		}
 	}
 	if opened := proxyServer.Sender.Pool.Opened.Load(); opened != 3 {
-		test.Error("connections opened: ", opened)
+		t.Error("connections opened: ", opened)
 	}
 }
 
 // A request that the connection did not take at all has not run.
-func TestUnsentHasNotRun(test *testing.T) {
-	worker := newStandIn(test, "w1", serveWhole)
-	_, proxyServer := edge(test, worker)
+func TestUnsentHasNotRun(t *testing.T) {
+	worker := newStandIn(t, "w1", serveWhole)
+	_, proxyServer := edge(t, worker)
 	sender := &proxyServer.Sender
 	granted, _ := proxyServer.Scheduler.Admit(&admission.Ask{Service: "s", Deadline: clock.Now().Plus(clock.Milliseconds(1000))}, nil, clock.Now())
 	outgoing := &Request{Method: http.MethodPost, Attempt: "probe", Text: []byte("x"), Until: clock.Now() - 1}
 	_, evidence, err := sender.Carry(granted.Grant, outgoing)
 	if err == nil || evidence.Sent {
-		test.Fatal(evidence, err)
+		t.Fatal(evidence, err)
 	}
 }
--- a/internal/traffic/proxy/proxy.go
+++ b/internal/traffic/proxy/proxy.go
@@ -53,40 +53,40 @@
 }
 
 // SetConfig takes a newer configuration; an older one never replaces it.
-func (proxyServer *Proxy) SetConfig(config *routeconfig.Config) bool {
+func (p *Proxy) SetConfig(config *routeconfig.Config) bool {
 	for {
-		current := proxyServer.config.Load()
+		current := p.config.Load()
 		if current != nil && current.Generation >= config.Generation {
 			return false
 		}
-		if proxyServer.config.CompareAndSwap(current, config) {
-			proxyServer.Scheduler.SetConfig(config)
+		if p.config.CompareAndSwap(current, config) {
+			p.Scheduler.SetConfig(config)
 			return true
 		}
 	}
 }
 
 // Config gives the configuration in force here, or nil.
-func (proxyServer *Proxy) Config() *routeconfig.Config { return proxyServer.config.Load() }
+func (p *Proxy) Config() *routeconfig.Config { return p.config.Load() }
 
 // Active is the number of requests under way.
-func (proxyServer *Proxy) Active() int64 { return proxyServer.active.Load() }
+func (p *Proxy) Active() int64 { return p.active.Load() }
 
 // ServeHTTP takes one request.
-func (proxyServer *Proxy) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+func (p *Proxy) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	arrived := clock.Now()
-	proxyServer.active.Add(1)
-	defer proxyServer.active.Add(-1)
-	if proxyServer.Leaving.Load() {
+	p.active.Add(1)
+	defer p.active.Add(-1)
+	if p.Leaving.Load() {
 		writer.Header().Set("Connection", "close")
 	}
 	target := request.RequestURI
 	path, _, _ := strings.Cut(target, "?")
 	if strings.HasPrefix(path, "/-/") {
-		proxyServer.calls.ServeHTTP(writer, request)
+		p.calls.ServeHTTP(writer, request)
 		return
 	}
-	config := proxyServer.Config()
+	config := p.Config()
 	if config == nil {
 		// Nothing ran and nothing will: a node without a configuration knows no route.
 		httpreply.Later(writer, http.StatusServiceUnavailable, constants.GossipPeriod/2)
@@ -103,18 +103,18 @@
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, limit))
 	if err != nil {
-		proxyServer.refuseBody(writer, err)
+		p.refuseBody(writer, err)
 		return
 	}
 	if route.Kind() == messages.RouteBulk {
-		proxyServer.handIn(writer, request, route, path, body)
+		p.handIn(writer, request, route, path, body)
 		return
 	}
-	exchange := proxyServer.begin(writer, request, route, body, arrived)
+	exchange := p.begin(writer, request, route, body, arrived)
 	exchange.travel()
 }
 
-func (proxyServer *Proxy) refuseBody(writer http.ResponseWriter, err error) {
+func (p *Proxy) refuseBody(writer http.ResponseWriter, err error) {
 	var tooLarge *http.MaxBytesError
 	if asTooLarge(err, &tooLarge) {
 		httpreply.Text(writer, http.StatusRequestEntityTooLarge, "body too large")
@@ -124,8 +124,8 @@
 	httpreply.Text(writer, http.StatusBadRequest, "body can't be read")
 }
 
-func (proxyServer *Proxy) begin(writer http.ResponseWriter, request *http.Request, route *routeconfig.Route, body []byte, arrived clock.Moment) *exchange {
-	one := &exchange{proxyServer: proxyServer, writer: writer, request: request, route: route, body: body, arrived: arrived}
+func (p *Proxy) begin(writer http.ResponseWriter, request *http.Request, route *routeconfig.Route, body []byte, arrived clock.Moment) *exchange {
+	one := &exchange{proxyServer: p, writer: writer, request: request, route: route, body: body, arrived: arrived}
 	span := route.Cutoff()
 	if left, stated := timeLeft(request.Header); stated {
 		span = min(span, left)
@@ -152,9 +152,9 @@
 }
 
 // Sweep does the upkeep of connections and queues.
-func (proxyServer *Proxy) Sweep() {
+func (p *Proxy) Sweep() {
 	now := clock.Now()
-	proxyServer.Scheduler.Pump(now)
+	p.Scheduler.Pump(now)
 }
 
 // SweepConnections drops idle connections past their time.
--- a/internal/traffic/proxy/refused.go
+++ b/internal/traffic/proxy/refused.go
@@ -18,11 +18,11 @@
 
 // truthful tells whether the worker's answer may be the outcome of the whole request. A
 // status that promises that nothing ran must not follow a run.
-func (answer *workerAnswer) truthful(mayRun bool) bool {
-	if answer.header.Get(headerNotRun) != "" {
+func (w *workerAnswer) truthful(mayRun bool) bool {
+	if w.header.Get(headerNotRun) != "" {
 		return !mayRun
 	}
-	switch answer.status {
+	switch w.status {
 	case http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return false
 	}
@@ -30,8 +30,8 @@
 }
 
 // turnedAway handles a worker that did not run the request.
-func (one *exchange) turnedAway(grant *admission.Grant, response *Response) (Repeat, bool) {
-	body, whole, err := one.proxyServer.Sender.ReadBody(response, constants.BufferedAnswer)
+func (e *exchange) turnedAway(grant *admission.Grant, response *Response) (Repeat, bool) {
+	body, whole, err := e.proxyServer.Sender.ReadBody(response, constants.BufferedAnswer)
 	result := admission.ResultTurnedAway
 	if grant.Shed(response.Load) {
 		result = admission.ResultShed
@@ -39,32 +39,32 @@
 	if response.Answer.StatusCode == http.StatusMisdirectedRequest {
 		// Somebody else answers at this address now.
 		result = admission.ResultGoneAway
-		one.proxyServer.Sender.Abandon(response)
+		e.proxyServer.Sender.Abandon(response)
 	} else if err != nil || !whole {
-		one.proxyServer.Sender.Abandon(response)
+		e.proxyServer.Sender.Abandon(response)
 	} else {
-		one.finish(response)
-		if !one.mayRun {
+		e.finish(response)
+		if !e.mayRun {
 			// After a run it could not be the outcome any more.
-			one.last = &workerAnswer{response.Answer.StatusCode, response.Answer.Header, body}
+			e.last = &workerAnswer{response.Answer.StatusCode, response.Answer.Header, body}
 		}
 	}
 	grant.End(result, clock.Now())
-	return one.judge(Evidence{Sent: true, NotRun: true}), false
+	return e.judge(Evidence{Sent: true, NotRun: true}), false
 }
 
 // refusedByWorker handles a worker's own failure: it has run.
-func (one *exchange) refusedByWorker(grant *admission.Grant, response *Response) (Repeat, bool) {
-	body, whole, err := one.proxyServer.Sender.ReadBody(response, constants.BufferedAnswer)
+func (e *exchange) refusedByWorker(grant *admission.Grant, response *Response) (Repeat, bool) {
+	body, whole, err := e.proxyServer.Sender.ReadBody(response, constants.BufferedAnswer)
 	if err != nil || !whole {
-		one.proxyServer.Sender.Abandon(response)
+		e.proxyServer.Sender.Abandon(response)
 		grant.End(admission.ResultFailed, clock.Now())
-		return one.judge(Evidence{Sent: true}), false
+		return e.judge(Evidence{Sent: true}), false
 	}
-	one.finish(response)
+	e.finish(response)
 	grant.End(errored(response.Answer.StatusCode), clock.Now())
-	one.last = &workerAnswer{response.Answer.StatusCode, response.Answer.Header, body}
-	repeat := one.judge(Evidence{Sent: true})
+	e.last = &workerAnswer{response.Answer.StatusCode, response.Answer.Header, body}
+	repeat := e.judge(Evidence{Sent: true})
 	if response.Answer.StatusCode < 500 {
 		// A worker's 4xx is its word on the request: another would say the same.
 		repeat = RepeatNever
--- a/internal/traffic/proxy/sender.go
+++ b/internal/traffic/proxy/sender.go
@@ -60,12 +60,12 @@
 }
 
 // Carry sends the request and reads the head of its answer.
-func (sender *Sender) Carry(grant *admission.Grant, outgoing *Request) (*Response, Evidence, error) {
+func (s *Sender) Carry(grant *admission.Grant, outgoing *Request) (*Response, Evidence, error) {
 	// A drain acknowledged since the grant binds: look once more before sending.
-	if !sender.Scheduler.Allowed(grant.Worker.ID, clock.Now()) {
+	if !s.Scheduler.Allowed(grant.Worker.ID, clock.Now()) {
 		return nil, Evidence{}, NotSent.New("worker is leaving")
 	}
-	connection, evidence, err := sender.send(grant, outgoing)
+	connection, evidence, err := s.send(grant, outgoing)
 	if err != nil {
 		return nil, evidence, err
 	}
@@ -74,7 +74,7 @@
 		err = provenSuccess(answer)
 	}
 	if err != nil {
-		sender.Pool.Drop(connection)
+		s.Pool.Drop(connection)
 		return nil, evidence, Spoilt.Wrap(err, grant.Worker.ID)
 	}
 	response := &Response{Answer: answer, Connection: connection, Impatient: outgoing.Impatient, Load: answer.Header.Get(headerLoad)}
@@ -84,16 +84,16 @@
 }
 
 // Finish puts the connection back after the whole answer was read.
-func (sender *Sender) Finish(response *Response) {
-	sender.Pool.Keep(response.Connection, response.Answer)
+func (s *Sender) Finish(response *Response) {
+	s.Pool.Keep(response.Connection, response.Answer)
 }
 
 // Abandon ends the connection: the worker drops what it still does.
-func (sender *Sender) Abandon(response *Response) { sender.Pool.Drop(response.Connection) }
+func (s *Sender) Abandon(response *Response) { s.Pool.Drop(response.Connection) }
 
 // ReadBody reads up to a limit; whole tells that nothing is left. A failure means
 // that the answer was cut.
-func (sender *Sender) ReadBody(response *Response, limit int) (body []byte, whole bool, err error) {
+func (s *Sender) ReadBody(response *Response, limit int) (body []byte, whole bool, err error) {
 	body, err = io.ReadAll(io.LimitReader(response.Answer.Body, int64(limit)+1))
 	if err != nil {
 		return body, false, Lost.Wrap(err, "body")
@@ -103,7 +103,7 @@
 
 // Stream reads an event stream: each is given whole events as they come. It
 // returns nil at the clean end.
-func (sender *Sender) Stream(response *Response, splitter *Splitter, until clock.Moment, patience clock.Span, each func(events []byte) error) error {
+func (s *Sender) Stream(response *Response, splitter *Splitter, until clock.Moment, patience clock.Span, each func(events []byte) error) error {
 	buffer := make([]byte, 8<<10)
 	chunked := response.Answer.ContentLength < 0
 	for {
--- a/internal/traffic/proxy/standin_test.go
+++ b/internal/traffic/proxy/standin_test.go
@@ -35,13 +35,13 @@
 	serving  sync.WaitGroup
 }
 
-func newStandIn(test *testing.T, id string, script func(count int, request *http.Request, connection net.Conn)) *standIn {
+func newStandIn(t *testing.T, id string, script func(count int, request *http.Request, connection net.Conn)) *standIn {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	worker := &standIn{id: id, listener: listener, script: script}
-	test.Cleanup(func() { listener.Close() })
+	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
 			connection, err := listener.Accept()
@@ -56,8 +56,8 @@
 	return worker
 }
 
-func (worker *standIn) serve(connection net.Conn) {
-	defer worker.serving.Done()
+func (s *standIn) serve(connection net.Conn) {
+	defer s.serving.Done()
 	defer connection.Close()
 	reader := bufio.NewReader(connection)
 	for {
@@ -67,26 +67,26 @@
 		}
 		body, _ := io.ReadAll(request.Body)
 		request.Body = io.NopCloser(strings.NewReader(string(body)))
-		worker.lock.Lock()
-		worker.requests = append(worker.requests, request)
-		count := len(worker.requests)
-		worker.lock.Unlock()
-		worker.script(count, request, connection)
+		s.lock.Lock()
+		s.requests = append(s.requests, request)
+		count := len(s.requests)
+		s.lock.Unlock()
+		s.script(count, request, connection)
 	}
 }
 
-func (worker *standIn) seen() int {
-	worker.lock.Lock()
-	defer worker.lock.Unlock()
-	return len(worker.requests)
+func (s *standIn) seen() int {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return len(s.requests)
 }
 
 // ran counts how often a request was read whole.
-func (worker *standIn) ran(attempt string) int {
-	worker.lock.Lock()
-	defer worker.lock.Unlock()
+func (s *standIn) ran(attempt string) int {
+	s.lock.Lock()
+	defer s.lock.Unlock()
 	count := 0
-	for _, request := range worker.requests {
+	for _, request := range s.requests {
 		if request.Header.Get(headerAttempt) == attempt {
 			count++
 		}
@@ -114,22 +114,22 @@
 ],"backends":[{"name":"s","conn-limit":50}],"limits":{"max-header-bytes":8192,"max-body-bytes":1000,"header-wait-ms":3000,"idle-ms":5000}}`
 
 // edge starts a data plane in front of stand-ins; the first listed is preferred.
-func edge(test *testing.T, workerList ...*standIn) (*httptest.Server, *Proxy) {
+func edge(t *testing.T, workerList ...*standIn) (*httptest.Server, *Proxy) {
 	var list []messages.Worker
 	for _, worker := range workerList {
 		list = append(list, messages.Worker{ID: worker.id, Address: worker.listener.Addr().String()})
 	}
-	return edgeFor(test, list)
+	return edgeFor(t, list)
 }
 
 // edgeFor does the same for workers that are known by id and address.
-func edgeFor(test *testing.T, list []messages.Worker) (*httptest.Server, *Proxy) {
+func edgeFor(t *testing.T, list []messages.Worker) (*httptest.Server, *Proxy) {
 	scheduler := admission.New(messages.Entry{Name: "n", Role: membership.RoleGateway, Zone: "h"}, 1_200_000_000)
 	sender := Sender{Scheduler: scheduler, Pool: workerconn.NewPool(), Budget: func(messages.Worker) int { return 20 }}
 	proxyServer := New(sender, nil, hclog.NewNullLogger())
 	config, err := routeconfig.Parse([]byte(testConfig))
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	proxyServer.SetConfig(config)
 	for place := range list {
@@ -141,15 +141,15 @@
 	}
 	scheduler.Merge(list, clock.Now())
 	server := httptest.NewServer(proxyServer)
-	test.Cleanup(server.Close)
+	t.Cleanup(server.Close)
 	return server, proxyServer
 }
 
 // ask sends one request over a connection of its own and gives what came back.
-func ask(test *testing.T, server *httptest.Server, path string, header map[string]string) (*http.Response, string, error) {
+func ask(t *testing.T, server *httptest.Server, path string, header map[string]string) (*http.Response, string, error) {
 	request, err := http.NewRequest(http.MethodPost, server.URL+path, strings.NewReader("the body"))
 	if err != nil {
-		test.Fatal(err)
+		t.Fatal(err)
 	}
 	request.Host = "h.example"
 	request.Header.Set(headerAttempt, "attempt-1")
--- a/internal/traffic/proxy/trouble_test.go
+++ b/internal/traffic/proxy/trouble_test.go
@@ -12,11 +12,11 @@
 )
 
 // taught has a service's usual times learnt, so that silence is known by them.
-func taught(test *testing.T, proxyServer *Proxy, ask admission.Ask) {
+func taught(t *testing.T, proxyServer *Proxy, ask admission.Ask) {
 	for count := 0; count < constants.PaceLeast; count++ {
 		answer, _ := proxyServer.Scheduler.Admit(&ask, nil, clock.Now())
 		if answer.Verdict != admission.VerdictGranted {
-			test.Fatal(answer.Verdict)
+			t.Fatal(answer.Verdict)
 		}
 		answer.Grant.First("", clock.Now())
 		answer.Grant.Paused(clock.Milliseconds(5))
@@ -26,69 +26,69 @@
 
 // A hang before the first byte: what may be repeated is served elsewhere well inside
 // the time after which clients give up, and the worker that hangs is noted.
-func TestHangBeforeTheFirstByte(test *testing.T) {
+func TestHangBeforeTheFirstByte(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/stream/x"} {
 		hold := make(chan struct{})
-		hanging := newStandIn(test, "w1", func(int, *http.Request, net.Conn) { <-hold })
-		good := newStandIn(test, "w2", func(_ int, request *http.Request, connection net.Conn) {
+		hanging := newStandIn(t, "w1", func(int, *http.Request, net.Conn) { <-hold })
+		good := newStandIn(t, "w2", func(_ int, request *http.Request, connection net.Conn) {
 			if strings.HasPrefix(path, "/stream") {
 				write(connection, streamHead(request)+chunk(event(1))+chunk(event(2))+chunk(""))
 				return
 			}
 			write(connection, wellDone(request, "done"))
 		})
-		server, proxyServer := edge(test, hanging, good)
-		taught(test, proxyServer, admission.Ask{Service: "s", Setpoint: clock.Milliseconds(100), Excluded: []string{"w1"}})
+		server, proxyServer := edge(t, hanging, good)
+		taught(t, proxyServer, admission.Ask{Service: "s", Setpoint: clock.Milliseconds(100), Excluded: []string{"w1"}})
 		begun := clock.Now()
-		answer, body, err := ask(test, server, path, nil)
+		answer, body, err := ask(t, server, path, nil)
 		took := clock.Now().Since(begun)
 		close(hold)
 		if err != nil || answer.StatusCode != 200 || hanging.seen() != 1 || good.seen() != 1 {
-			test.Fatal(path, answer, body, err, hanging.seen(), good.seen())
+			t.Fatal(path, answer, body, err, hanging.seen(), good.seen())
 		}
 		if took > constants.SilentWorker/2 {
-			test.Fatalf("%s: went on elsewhere only after %v", path, took)
+			t.Fatalf("%s: went on elsewhere only after %v", path, took)
 		}
 		var failures int64
 		proxyServer.Scheduler.Locked(func() { _, failures = proxyServer.Scheduler.Tracker.Of("w1").Counts() })
 		if failures != 1 {
-			test.Fatal("the hang was not noted once: ", failures)
+			t.Fatal("the hang was not noted once: ", failures)
 		}
 	}
 }
 
 // A hang after some events: the stream goes on elsewhere at the next event.
-func TestHangInTheStream(test *testing.T) {
+func TestHangInTheStream(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
-	hanging := newStandIn(test, "w1", func(_ int, request *http.Request, connection net.Conn) {
+	hanging := newStandIn(t, "w1", func(_ int, request *http.Request, connection net.Conn) {
 		write(connection, streamHead(request)+chunk(event(1))+chunk(event(2)))
 		<-hold
 	})
-	good := newStandIn(test, "w2", func(_ int, request *http.Request, connection net.Conn) {
+	good := newStandIn(t, "w2", func(_ int, request *http.Request, connection net.Conn) {
 		if request.Header.Get(headerLastEvent) != "2" {
-			test.Error("resumed after ", request.Header.Get(headerLastEvent))
+			t.Error("resumed after ", request.Header.Get(headerLastEvent))
 		}
 		write(connection, streamHead(request)+chunk(event(3))+chunk(""))
 	})
-	server, proxyServer := edge(test, hanging, good)
-	taught(test, proxyServer, admission.Ask{Service: "s", Setpoint: clock.Milliseconds(100), Excluded: []string{"w1"}})
-	answer, body, err := ask(test, server, "/stream/x", nil)
+	server, proxyServer := edge(t, hanging, good)
+	taught(t, proxyServer, admission.Ask{Service: "s", Setpoint: clock.Milliseconds(100), Excluded: []string{"w1"}})
+	answer, body, err := ask(t, server, "/stream/x", nil)
 	if err != nil || answer.StatusCode != 200 || body != event(1)+event(2)+event(3) {
-		test.Fatal(answer, body, err)
+		t.Fatal(answer, body, err)
 	}
 }
 
 // What must not run twice waits for a slow worker, which is doubted meanwhile.
-func TestHangOfWhatMustNotRunTwice(test *testing.T) {
+func TestHangOfWhatMustNotRunTwice(t *testing.T) {
 	answered := make(chan struct{})
-	slow := newStandIn(test, "w1", func(_ int, request *http.Request, connection net.Conn) {
+	slow := newStandIn(t, "w1", func(_ int, request *http.Request, connection net.Conn) {
 		<-answered
 		write(connection, wellDone(request, "late"))
 	})
-	other := newStandIn(test, "w2", func(int, *http.Request, net.Conn) { test.Error("run at a second worker") })
-	server, proxyServer := edge(test, slow, other)
-	taught(test, proxyServer, admission.Ask{Service: "s", Setpoint: clock.Milliseconds(100), Excluded: []string{"w1"}})
+	other := newStandIn(t, "w2", func(int, *http.Request, net.Conn) { t.Error("run at a second worker") })
+	server, proxyServer := edge(t, slow, other)
+	taught(t, proxyServer, admission.Ask{Service: "s", Setpoint: clock.Milliseconds(100), Excluded: []string{"w1"}})
 	go func() {
 		// Answers once the silence was noted, however fast this machine is.
 		for suspect := false; !suspect; {
@@ -97,15 +97,15 @@
 		}
 		close(answered)
 	}()
-	answer, body, err := ask(test, server, "/once/x", nil)
+	answer, body, err := ask(t, server, "/once/x", nil)
 	if err != nil || answer.StatusCode != 200 || body != "late" || slow.seen() != 1 {
-		test.Fatal(answer, body, err, slow.seen())
+		t.Fatal(answer, body, err, slow.seen())
 	}
 }
 
 // A worker that answers 500 and one that sheds although it has room are noted; a 504 at
 // the deadline and a 4xx are not.
-func TestAnswersThatSpeakAgainstAWorker(test *testing.T) {
+func TestAnswersThatSpeakAgainstAWorker(t *testing.T) {
 	for text, against := range map[string]bool{
 		"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n":                                                                true,
 		"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n":                                                                true,
@@ -115,16 +115,16 @@
 		"HTTP/1.1 503 Full\r\nLemonarch-Not-Executed: 1\r\nLemonarch-Worker-Load: 1,0,6\r\nContent-Length: 0\r\n\r\n": true,
 		"HTTP/1.1 503 Full\r\nLemonarch-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n":                                 false,
 	} {
-		worker := newStandIn(test, "w1", func(_ int, _ *http.Request, connection net.Conn) { write(connection, text) })
-		good := newStandIn(test, "w2", func(_ int, request *http.Request, connection net.Conn) { write(connection, wellDone(request, "done")) })
-		server, proxyServer := edge(test, worker, good)
-		if _, _, err := ask(test, server, "/safe/x", nil); err != nil {
-			test.Fatal(text, err)
+		worker := newStandIn(t, "w1", func(_ int, _ *http.Request, connection net.Conn) { write(connection, text) })
+		good := newStandIn(t, "w2", func(_ int, request *http.Request, connection net.Conn) { write(connection, wellDone(request, "done")) })
+		server, proxyServer := edge(t, worker, good)
+		if _, _, err := ask(t, server, "/safe/x", nil); err != nil {
+			t.Fatal(text, err)
 		}
 		var failures int64
 		proxyServer.Scheduler.Locked(func() { _, failures = proxyServer.Scheduler.Tracker.Of("w1").Counts() })
 		if against != (failures > 0) {
-			test.Fatalf("%q: %d failures noted", text, failures)
+			t.Fatalf("%q: %d failures noted", text, failures)
 		}
 	}
 }
--- a/internal/traffic/workerconn/await.go
+++ b/internal/traffic/workerconn/await.go
@@ -19,15 +19,15 @@
 }
 
 // Await waits for the next byte.
-func (connection *Connection) Await(wait Wait) error {
-	if connection.reader.Buffered() > 0 {
+func (c *Connection) Await(wait Wait) error {
+	if c.reader.Buffered() > 0 {
 		return nil
 	}
 	begun := clock.Now()
 	asked := begun
 	for {
 		now := clock.Now()
-		if now >= wait.Until && connection.silent() {
+		if now >= wait.Until && c.silent() {
 			return Silent.New("until the deadline")
 		}
 		span := max(wait.Until.Since(now), constants.PumpPeriod)
@@ -35,9 +35,9 @@
 			from := asked
 			if wait.Impatient == nil {
 				// A worker that still speaks on other connections is slow, not silent.
-				from = max(begun, clock.Moment(connection.worker.heard.Load()))
+				from = max(begun, clock.Moment(c.worker.heard.Load()))
 			}
-			if now.Since(from) >= wait.Patience && connection.silent() {
+			if now.Since(from) >= wait.Patience && c.silent() {
 				if wait.Impatient == nil || wait.Impatient(now.Since(begun)) {
 					return Silent.New("longer than usual")
 				}
@@ -45,11 +45,11 @@
 			}
 			span = min(span, max(wait.Patience-now.Since(from), constants.PumpPeriod/8))
 		}
-		_ = connection.connection.SetReadDeadline(clock.Deadline(span))
-		if _, err := connection.reader.Peek(1); err == nil {
-			connection.worker.heard.Store(int64(clock.Now()))
+		_ = c.connection.SetReadDeadline(clock.Deadline(span))
+		if _, err := c.reader.Peek(1); err == nil {
+			c.worker.heard.Store(int64(clock.Now()))
 			// What has begun to come may take until the end.
-			_ = connection.connection.SetReadDeadline(clock.Deadline(wait.Until.Since(clock.Now())))
+			_ = c.connection.SetReadDeadline(clock.Deadline(wait.Until.Since(clock.Now())))
 			return nil
 		} else if timeout, isNet := err.(net.Error); !isNet || !timeout.Timeout() {
 			return Broken.Wrap(err, "read")
@@ -59,7 +59,7 @@
 
 // silent tells that really nothing has come: on a starved processor the clock may run
 // out before the bytes that lie ready were looked at.
-func (connection *Connection) silent() bool {
-	_ = connection.connection.SetReadDeadline(clock.Deadline(constants.PumpPeriod))
-	return connection.quiet()
+func (c *Connection) silent() bool {
+	_ = c.connection.SetReadDeadline(clock.Deadline(constants.PumpPeriod))
+	return c.quiet()
 }
--- a/internal/traffic/workerconn/carried.go
+++ b/internal/traffic/workerconn/carried.go
@@ -15,17 +15,17 @@
 	next   int
 }
 
-func (list *carried) add(attempt string) {
-	if len(list.hashes) < constants.CarriedRequests {
-		list.hashes = append(list.hashes, hashOf(attempt))
+func (c *carried) add(attempt string) {
+	if len(c.hashes) < constants.CarriedRequests {
+		c.hashes = append(c.hashes, hashOf(attempt))
 		return
 	}
-	list.hashes[list.next] = hashOf(attempt)
-	list.next = (list.next + 1) % constants.CarriedRequests
+	c.hashes[c.next] = hashOf(attempt)
+	c.next = (c.next + 1) % constants.CarriedRequests
 }
 
-func (list *carried) has(attempt string) bool {
-	return slices.Contains(list.hashes, hashOf(attempt))
+func (c *carried) has(attempt string) bool {
+	return slices.Contains(c.hashes, hashOf(attempt))
 }
 
 func hashOf(attempt string) uint64 {
--- a/internal/traffic/workerconn/idle.go
+++ b/internal/traffic/workerconn/idle.go
@@ -26,99 +26,99 @@
 
 // Get gives an idle connection that still looks sound, or opens one within the budget.
 // What bears no id, and an id that has travelled on the connection, takes a new one.
-func (pool *Pool) Get(worker messages.Worker, budget int, attempt string, reuse Reuse) (*Connection, error) {
+func (p *Pool) Get(worker messages.Worker, budget int, attempt string, reuse Reuse) (*Connection, error) {
 	if attempt == "" {
 		reuse = ReuseNone
 	}
 	for {
-		pool.lock.Lock()
-		connections := pool.of(worker.ID)
+		p.lock.Lock()
+		connections := p.of(worker.ID)
 		count := len(connections.idle)
 		now := clock.Now()
 		// The newest idle one is the least likely to have been closed.
-		if count == 0 || !pool.may(connections.idle[count-1], attempt, reuse, now) {
+		if count == 0 || !p.may(connections.idle[count-1], attempt, reuse, now) {
 			if budget > 0 && connections.open >= budget && count > 0 {
 				// The oldest idle one makes room.
 				oldest := connections.idle[0]
 				connections.idle = append(connections.idle[:0], connections.idle[1:]...)
-				pool.lock.Unlock()
-				pool.Drop(oldest)
+				p.lock.Unlock()
+				p.Drop(oldest)
 				continue
 			}
 			if budget > 0 && connections.open >= budget {
-				pool.lock.Unlock()
+				p.lock.Unlock()
 				return nil, Spent.New(worker.ID)
 			}
 			connections.open++
-			pool.lock.Unlock()
-			return pool.open(worker, connections)
+			p.lock.Unlock()
+			return p.open(worker, connections)
 		}
 		connection := connections.idle[count-1]
 		connections.idle = connections.idle[:count-1]
-		pool.lock.Unlock()
+		p.lock.Unlock()
 		connection.Idle = now.Since(connection.idleSince)
 		if now < connection.idleUntil && connection.quiet() {
 			connection.Reused = true
 			return connection, nil
 		}
-		pool.Drop(connection)
+		p.Drop(connection)
 	}
 }
 
 // may tells whether a request may travel on an idle connection. The lock is held.
-func (pool *Pool) may(connection *Connection, attempt string, reuse Reuse, now clock.Moment) bool {
+func (p *Pool) may(connection *Connection, attempt string, reuse Reuse, now clock.Moment) bool {
 	switch {
 	case reuse == ReuseNone, connection.carried.has(attempt):
 		return false
 	case reuse == ReuseSafe:
-		return now.Since(connection.idleSince) <= pool.safeIdle(connection.backend)
+		return now.Since(connection.idleSince) <= p.safeIdle(connection.backend)
 	}
 	return true
 }
 
 // safeIdle is the time for which a service's connections are known to stay. The lock is held.
-func (pool *Pool) safeIdle(backend string) clock.Span {
-	if safe, known := pool.safe[backend]; known {
+func (p *Pool) safeIdle(backend string) clock.Span {
+	if safe, known := p.safe[backend]; known {
 		return safe
 	}
 	return constants.SafeIdle
 }
 
 // Survived learns from a connection that still worked after it was idle.
-func (pool *Pool) Survived(connection *Connection) {
+func (p *Pool) Survived(connection *Connection) {
 	if !connection.Reused {
 		return
 	}
-	pool.lock.Lock()
-	defer pool.lock.Unlock()
+	p.lock.Lock()
+	defer p.lock.Unlock()
 	// Half of what was seen to last, and slowly: one forgetful worker is enough.
-	if safe := pool.safeIdle(connection.backend); connection.Idle/2 > safe {
+	if safe := p.safeIdle(connection.backend); connection.Idle/2 > safe {
 		const slowly = 16
-		pool.safe[connection.backend] = min(safe+(connection.Idle/2-safe)/slowly, constants.SafeIdleMost)
+		p.safe[connection.backend] = min(safe+(connection.Idle/2-safe)/slowly, constants.SafeIdleMost)
 	}
 }
 
 // Forgotten learns from a reset on a connection that was idle, before any byte came back.
-func (pool *Pool) Forgotten(connection *Connection) {
-	pool.Forgot.Add(1)
-	pool.lock.Lock()
-	defer pool.lock.Unlock()
-	pool.safe[connection.backend] = max(min(pool.safeIdle(connection.backend), connection.Idle/2), constants.SafeIdleLeast)
+func (p *Pool) Forgotten(connection *Connection) {
+	p.Forgot.Add(1)
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	p.safe[connection.backend] = max(min(p.safeIdle(connection.backend), connection.Idle/2), constants.SafeIdleLeast)
 }
 
 // SafeIdle tells the learnt time.
-func (pool *Pool) SafeIdle(backend string) clock.Span {
-	pool.lock.Lock()
-	defer pool.lock.Unlock()
-	return pool.safeIdle(backend)
+func (p *Pool) SafeIdle(backend string) clock.Span {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	return p.safeIdle(backend)
 }
 
 // quiet tells that a connection neither ended nor holds bytes that nobody has read.
-func (connection *Connection) quiet() bool {
-	if connection.reader.Buffered() > 0 {
+func (c *Connection) quiet() bool {
+	if c.reader.Buffered() > 0 {
 		return false
 	}
-	raw, err := connection.connection.(*net.TCPConn).SyscallConn()
+	raw, err := c.connection.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return false
 	}
--- a/internal/traffic/workerconn/sweep.go
+++ b/internal/traffic/workerconn/sweep.go
@@ -3,11 +3,11 @@
 import "lemonarch/internal/platform/clock"
 
 // Sweep drops idle connections past their time and those of workers that are gone.
-func (pool *Pool) Sweep(gone func(worker string) bool) {
+func (p *Pool) Sweep(gone func(worker string) bool) {
 	now := clock.Now()
 	var stale []*Connection
-	pool.lock.Lock()
-	for id, connections := range pool.byWorker {
+	p.lock.Lock()
+	for id, connections := range p.byWorker {
 		kept := connections.idle[:0]
 		for _, connection := range connections.idle {
 			if now >= connection.idleUntil || gone(id) {
@@ -18,11 +18,11 @@
 		}
 		connections.idle = kept
 		if connections.open == 0 && gone(id) {
-			delete(pool.byWorker, id)
+			delete(p.byWorker, id)
 		}
 	}
-	pool.lock.Unlock()
+	p.lock.Unlock()
 	for _, connection := range stale {
-		pool.Drop(connection)
+		p.Drop(connection)
 	}
 }
--- a/internal/traffic/workerconn/workerconn.go
+++ b/internal/traffic/workerconn/workerconn.go
@@ -75,32 +75,32 @@
 	return &Pool{byWorker: map[string]*workerConnections{}, safe: map[string]clock.Span{}}
 }
 
-func (pool *Pool) of(id string) *workerConnections {
-	connections := pool.byWorker[id]
+func (p *Pool) of(id string) *workerConnections {
+	connections := p.byWorker[id]
 	if connections == nil {
 		connections = &workerConnections{}
-		pool.byWorker[id] = connections
+		p.byWorker[id] = connections
 	}
 	return connections
 }
 
-func (pool *Pool) open(worker messages.Worker, connections *workerConnections) (*Connection, error) {
+func (p *Pool) open(worker messages.Worker, connections *workerConnections) (*Connection, error) {
 	connection, err := transport.Dial(worker.Address, constants.WorkerDial, constants.SilentConnection)
 	if err != nil {
-		pool.lock.Lock()
+		p.lock.Lock()
 		connections.open--
-		pool.lock.Unlock()
+		p.lock.Unlock()
 		return nil, NoConnection.Wrap(err, worker.ID)
 	}
-	pool.Opened.Add(1)
+	p.Opened.Add(1)
 	return &Connection{connection: connection, reader: bufio.NewReaderSize(connection, 4<<10), worker: connections, backend: worker.Backend}, nil
 }
 
 // Send writes a whole request, which is named by the id that its answer will echo.
-func (connection *Connection) Send(attempt string, text []byte, until clock.Moment) error {
-	_ = connection.connection.SetWriteDeadline(clock.Deadline(until.Since(clock.Now())))
-	connection.carried.add(attempt)
-	count, err := connection.connection.Write(text)
+func (c *Connection) Send(attempt string, text []byte, until clock.Moment) error {
+	_ = c.connection.SetWriteDeadline(clock.Deadline(until.Since(clock.Now())))
+	c.carried.add(attempt)
+	count, err := c.connection.Write(text)
 	switch {
 	case err != nil && count == 0:
 		return Unsent.Wrap(err, "write")
@@ -111,12 +111,12 @@
 }
 
 // Taint notes that bytes of another request's answer came: the connection is not used again.
-func (connection *Connection) Taint() { connection.tainted = true }
+func (c *Connection) Taint() { c.tainted = true }
 
 // Answer reads the head of an answer.
-func (connection *Connection) Answer(method string) (*http.Response, error) {
+func (c *Connection) Answer(method string) (*http.Response, error) {
 	for {
-		answer, err := http.ReadResponse(connection.reader, &http.Request{Method: method})
+		answer, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil {
 			return nil, Broken.Wrap(err, "answer")
 		}
@@ -127,9 +127,9 @@
 }
 
 // Keep puts a connection back after a whole answer, if it may be used again.
-func (pool *Pool) Keep(connection *Connection, answer *http.Response) {
+func (p *Pool) Keep(connection *Connection, answer *http.Response) {
 	if !connection.reusable(answer) {
-		pool.Drop(connection)
+		p.Drop(connection)
 		return
 	}
 	idle := constants.ConnectionIdle
@@ -139,17 +139,17 @@
 	}
 	connection.idleSince = clock.Now()
 	connection.idleUntil = connection.idleSince.Plus(idle)
-	pool.lock.Lock()
-	defer pool.lock.Unlock()
+	p.lock.Lock()
+	defer p.lock.Unlock()
 	connection.worker.idle = append(connection.worker.idle, connection)
 }
 
 // reusable tells whether another request may travel on the connection after this answer.
 // What a HEAD's answer says of its length is not on the wire, so a second answer to it
 // could not be told from the next one's body.
-func (connection *Connection) reusable(answer *http.Response) bool {
-	return !connection.closed.Load() && !connection.tainted && !answer.Close &&
-		connection.reader.Buffered() == 0 && answer.Request.Method != http.MethodHead
+func (c *Connection) reusable(answer *http.Response) bool {
+	return !c.closed.Load() && !c.tainted && !answer.Close &&
+		c.reader.Buffered() == 0 && answer.Request.Method != http.MethodHead
 }
 
 func keepAlive(header string) clock.Span {
@@ -166,24 +166,24 @@
 }
 
 // Close ends the connection from any side, so that a reader wakes up.
-func (connection *Connection) Close() {
-	connection.halted.Store(true)
-	connection.shut()
+func (c *Connection) Close() {
+	c.halted.Store(true)
+	c.shut()
 }
 
 // Halted tells that it was our own side that ended the connection.
-func (connection *Connection) Halted() bool { return connection.halted.Load() }
+func (c *Connection) Halted() bool { return c.halted.Load() }
 
-func (connection *Connection) shut() {
-	if !connection.closed.Swap(true) {
-		connection.connection.Close()
+func (c *Connection) shut() {
+	if !c.closed.Swap(true) {
+		c.connection.Close()
 	}
 }
 
 // Drop ends a connection and gives its place in the budget back.
-func (pool *Pool) Drop(connection *Connection) {
+func (p *Pool) Drop(connection *Connection) {
 	connection.shut()
-	pool.lock.Lock()
-	defer pool.lock.Unlock()
+	p.lock.Lock()
+	defer p.lock.Unlock()
 	connection.worker.open--
 }
