--- a/internal/batch/store/pace.go
+++ b/internal/batch/store/pace.go
@@ -14,12 +14,12 @@
 // pace follows how quickly this machine works: the time of a fixed piece of work,
 // against the shortest that it ever took here. A step function without a clock.
 type pace struct {
-	best   clock.Span
-	recent []clock.Span
+	best   clock.Duration
+	recent []clock.Duration
 }
 
 // note takes a new time. A single long one says nothing: the collector may have run.
-func (p *pace) note(took clock.Span) {
+func (p *pace) note(took clock.Duration) {
 	if took <= 0 {
 		return
 	}
@@ -27,14 +27,14 @@
 		p.best = took
 	}
 	p.recent = append(p.recent, took)
-	if len(p.recent) > constants.PaceWindow {
-		p.recent = p.recent[len(p.recent)-constants.PaceWindow:]
+	if len(p.recent) > constants.SlownessWindow {
+		p.recent = p.recent[len(p.recent)-constants.SlownessWindow:]
 	}
 }
 
 // slow tells whether even the shortest of the latest times is far above the best.
 func (p *pace) slow() bool {
-	return len(p.recent) >= constants.PaceWindow && slices.Min(p.recent) > constants.PaceFactor*p.best
+	return len(p.recent) >= constants.SlownessWindow && slices.Min(p.recent) > constants.SlownessFactor*p.best
 }
 
 // lags follows, for the holder, how long each store takes over an order to append.
@@ -76,16 +76,16 @@
 // workload is the fixed piece of work, a few tens of microseconds long.
 var workload [32 << 10]byte
 
-func measure() clock.Span {
-	begun := clock.Now()
+func measure() clock.Duration {
+	start := clock.Now()
 	sum := fnv.New64a()
 	_, _ = sum.Write(workload[:])
-	return clock.Now().Since(begun)
+	return clock.Now().Sub(start)
 }
 
 // pacing measures this machine now and then.
 func (s *Server) pacing() {
-	clock.Every(constants.PacePeriod, s.Node.Stop, func() {
+	clock.Every(constants.SlownessPeriod, s.Node.Stop, func() {
 		took := measure()
 		s.lock.Lock()
 		s.pace.note(took)
@@ -95,28 +95,28 @@
 
 // reportPace says whether this machine is slow now: whoever looks for a store to
 // copy everything to asks it first.
-func (s *Server) reportPace() *messages.Status {
+func (s *Server) reportPace() *messages.StatusResponse {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	word := "usual"
 	if s.pace.slow() {
 		word = "slow"
 	}
-	return &messages.Status{Columns: []string{"pace", "best-us"}, Rows: [][]string{{word, number(s.pace.best.Microseconds())}}}
+	return &messages.StatusResponse{Columns: []string{"pace", "best-us"}, Rows: [][]string{{word, number(s.pace.best.Microseconds())}}}
 }
 
 // sluggish asks a machine that stands by; silence counts as slow.
 func (s *Server) sluggish(member messages.Member) bool {
-	answer := &messages.Status{}
-	err := transport.Ask(s.Node.Wire, member.Address, messages.KindStatus, &messages.StatusAsk{Query: "pace"}, answer, constants.RoundTime)
+	resp := &messages.StatusResponse{}
+	err := transport.Call(s.Node.Transport, member.Address, messages.KindStatus, &messages.StatusRequest{Query: "pace"}, resp, constants.RoundTimeout)
 	if err != nil {
 		return true
 	}
-	return len(answer.Rows) == 1 && len(answer.Rows[0]) > 0 && answer.Rows[0][0] == "slow"
+	return len(resp.Rows) == 1 && len(resp.Rows[0]) > 0 && resp.Rows[0][0] == "slow"
 }
 
 // lagged notes how long a store took over an order.
-func (t *term) lagged(identity string, took clock.Span) {
+func (t *term) lagged(identity string, took clock.Duration) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.lags.note(identity, clock.ToMilliseconds(took))
@@ -125,7 +125,7 @@
 // tooSlow tells whether the holder should give its duty up: its machine or its disk
 // is far slower than usual, others are there to take it, and it has not done so
 // only just, so that a duty that is slow everywhere does not wander.
-func (t *term) tooSlow(now clock.Moment) bool {
+func (t *term) tooSlow(now clock.Instant) bool {
 	server := t.server
 	t.lock.Lock()
 	disk := t.lags.behind(register.Identity(server.member()))
@@ -133,7 +133,7 @@
 	t.lock.Unlock()
 	server.lock.Lock()
 	defer server.lock.Unlock()
-	if alone || !(disk || server.pace.slow()) || (server.gaveUp > 0 && now.Since(server.gaveUp) < constants.GiveUpPause) {
+	if alone || !(disk || server.pace.slow()) || (server.gaveUp > 0 && now.Sub(server.gaveUp) < constants.ResignBackoff) {
 		return false
 	}
 	server.gaveUp = now
@@ -142,11 +142,11 @@
 
 // defers tells whether this process leaves the duty to others for now: it has just
 // given it up, or its machine is slow and it has not held back for long.
-func (s *Server) defers(now clock.Moment) bool {
+func (s *Server) defers(now clock.Instant) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if s.pace.slow() && (s.gaveUp == 0 || now.Since(s.gaveUp) >= constants.GiveUpPause) {
+	if s.pace.slow() && (s.gaveUp == 0 || now.Sub(s.gaveUp) >= constants.ResignBackoff) {
 		s.gaveUp = now
 	}
-	return s.gaveUp > 0 && now.Since(s.gaveUp) < constants.DeferTime
+	return s.gaveUp > 0 && now.Sub(s.gaveUp) < constants.YieldTime
 }
--- a/internal/batch/store/pace_test.go
+++ b/internal/batch/store/pace_test.go
@@ -17,60 +17,60 @@
 // longer at a stretch does, and it ends with the trouble.
 func TestPaceOfAMachine(t *testing.T) {
 	for seed := int64(1); seed <= 50; seed++ {
-		random, one := rand.New(rand.NewSource(seed)), &pace{}
-		took := func(factor float64) clock.Span {
+		random, p := rand.New(rand.NewSource(seed)), &pace{}
+		took := func(factor float64) clock.Duration {
 			noise := 1 + 0.4*random.Float64()
 			if random.Intn(6) == 0 {
 				noise *= 20
 			}
-			return clock.Span(factor * noise * 60_000)
+			return clock.Duration(factor * noise * 60_000)
 		}
 		for step := 0; step < 400; step++ {
-			one.note(took(1))
+			p.note(took(1))
 			// Four long times in a row by chance are rarer than one in a thousand.
-			if one.slow() && step%97 == 0 {
+			if p.slow() && step%97 == 0 {
 				t.Fatalf("seed %d: slow without a cause at %d", seed, step)
 			}
 		}
-		for step := 0; step < constants.PaceWindow; step++ {
-			one.note(took(7))
+		for step := 0; step < constants.SlownessWindow; step++ {
+			p.note(took(7))
 		}
-		if !one.slow() {
+		if !p.slow() {
 			t.Fatalf("seed %d: not seen", seed)
 		}
-		for step := 0; step < 3*constants.PaceWindow; step++ {
-			one.note(clock.Span(70_000))
+		for step := 0; step < 3*constants.SlownessWindow; step++ {
+			p.note(clock.Duration(70_000))
 		}
-		if one.slow() {
+		if p.slow() {
 			t.Fatalf("seed %d: still slow", seed)
 		}
 	}
 }
 
 func TestLagOfADisk(t *testing.T) {
-	one := newLags()
+	lags := newLags()
 	for round := 0; round < 20; round++ {
-		one.note("own", 5)
-		one.note("a", 7)
-		one.note("b", 8)
-		one.note("c", 9)
+		lags.note("own", 5)
+		lags.note("a", 7)
+		lags.note("b", 8)
+		lags.note("c", 9)
 	}
-	if one.behind("own") {
+	if lags.behind("own") {
 		t.Fatal("a usual disk was called slow")
 	}
 	for round := 0; round < 20; round++ {
-		one.note("own", 36)
+		lags.note("own", 36)
 	}
-	if !one.behind("own") || one.behind("a") {
-		t.Fatal(one.means)
+	if !lags.behind("own") || lags.behind("a") {
+		t.Fatal(lags.means)
 	}
 	// Where all are slow nobody is.
 	for round := 0; round < 30; round++ {
-		one.note("a", 40)
-		one.note("b", 41)
-		one.note("c", 42)
+		lags.note("a", 40)
+		lags.note("b", 41)
+		lags.note("c", 42)
 	}
-	if one.behind("own") {
+	if lags.behind("own") {
 		t.Fatal("as slow as the others, yet called slow")
 	}
 	few := newLags()
@@ -85,7 +85,7 @@
 func slowDown(server *Server) {
 	server.pace = pace{}
 	server.pace.note(10_000)
-	for step := 0; step < constants.PaceWindow; step++ {
+	for step := 0; step < constants.SlownessWindow; step++ {
 		server.pace.note(90_000)
 	}
 }
@@ -96,33 +96,33 @@
 	server := soleLocker(t, simulation.NewDisk(8))
 	own := server.member()
 	other := messages.Member{Name: "o", Address: "o", Disk: "o"}
-	one := newTerm(server, messages.Duty{Holder: "m", Epoch: 1}, []messages.Member{own, other}, 1)
-	now := clock.Moment(1_000_000_000)
-	if one.tooSlow(now) || server.defers(now) {
+	term := newTerm(server, messages.Leadership{Holder: "m", Epoch: 1}, []messages.Member{own, other}, 1)
+	now := clock.Instant(1_000_000_000)
+	if term.tooSlow(now) || server.defers(now) {
 		t.Fatal("gave up without a cause")
 	}
 	slowDown(server)
-	if !one.tooSlow(now) || one.tooSlow(now.Plus(clock.Milliseconds(100))) {
+	if !term.tooSlow(now) || term.tooSlow(now.Add(clock.Milliseconds(100))) {
 		t.Fatal("gives up never, or again at once")
 	}
-	if !server.defers(now.Plus(constants.DeferTime/2)) || server.defers(now.Plus(constants.DeferTime)) {
+	if !server.defers(now.Add(constants.YieldTime/2)) || server.defers(now.Add(constants.YieldTime)) {
 		t.Fatal("does not hold back, or for too long")
 	}
-	if !one.tooSlow(now.Plus(constants.GiveUpPause)) {
+	if !term.tooSlow(now.Add(constants.ResignBackoff)) {
 		t.Fatal("never gives up again")
 	}
 	// Alone it goes on, however slow.
-	alone := newTerm(server, messages.Duty{Holder: "m", Epoch: 2}, []messages.Member{own}, 1)
-	if alone.tooSlow(now.Plus(3 * constants.GiveUpPause)) {
+	alone := newTerm(server, messages.Leadership{Holder: "m", Epoch: 2}, []messages.Member{own}, 1)
+	if alone.tooSlow(now.Add(3 * constants.ResignBackoff)) {
 		t.Fatal("nobody is there to take it")
 	}
 	// A slow disk is a cause as well.
 	server.pace = pace{}
 	for round := 0; round < 10; round++ {
-		one.lagged(register.Identity(own), clock.Milliseconds(60))
-		one.lagged(register.Identity(other), clock.Milliseconds(6))
+		term.lagged(register.Identity(own), clock.Milliseconds(60))
+		term.lagged(register.Identity(other), clock.Milliseconds(6))
 	}
-	if !one.tooSlow(now.Plus(5 * constants.GiveUpPause)) {
+	if !term.tooSlow(now.Add(5 * constants.ResignBackoff)) {
 		t.Fatal("kept its duty on a slow disk")
 	}
 }
@@ -130,24 +130,24 @@
 // Repair takes no slow or silent store for a newcomer, and no member for gone that
 // still answers.
 func TestRepairChoosesAQuickStore(t *testing.T) {
-	server, room := soleLocker(t, simulation.NewDisk(9)), transport.NewRoom()
-	server.Node.Wire = room.Transport("m")
+	server, room := soleLocker(t, simulation.NewDisk(9)), transport.NewMemoryNetwork()
+	server.Node.Transport = room.Transport("m")
 	server.Node.Settings.FaultBudget.Machines = 1
 	server.begun -= 60_000_000_000
 	words := map[string]string{"s1": "slow", "s2": "usual"}
 	serve := func(name string) {
 		_ = room.Transport(name).Serve(func(messages.Kind, []byte) ([]byte, error) {
-			return transport.Write(&messages.Status{Rows: [][]string{{words[name], "9"}}})
+			return transport.Encode(&messages.StatusResponse{Rows: [][]string{{words[name], "9"}}})
 		})
 	}
 	serve("s1")
 	serve("s2")
 	members := []messages.Member{server.member(), {Name: "a", Address: "a", Disk: "a"}, {Name: "gone", Address: "gone", Disk: "g"}}
-	entries := func() map[string]messages.Entry {
-		known := map[string]messages.Entry{"gone": {Name: "gone", Disk: "g", AgeMs: 60_000}, "a": {Name: "a", Disk: "a"}}
+	entries := func() map[string]messages.NodeInfo {
+		known := map[string]messages.NodeInfo{"gone": {Name: "gone", Disk: "g", AgeMs: 60_000}, "a": {Name: "a", Disk: "a"}}
 		for number := 0; number < 3; number++ {
 			name := fmt.Sprint("s", number)
-			known[name] = messages.Entry{Name: name, Address: name, Disk: name}
+			known[name] = messages.NodeInfo{Name: name, Address: name, Disk: name}
 		}
 		return known
 	}
--- a/internal/batch/store/pack.go
+++ b/internal/batch/store/pack.go
@@ -10,8 +10,8 @@
 	"lemonarch/internal/platform/errs"
 )
 
-// TextDamaged is the error of an output whose text can't be unpacked.
-var TextDamaged = errs.Define("output text")
+// ErrCorruptOutput is the error of an output whose text can't be unpacked.
+var ErrCorruptOutput = errs.Define("output text")
 
 // packer is used by one run at a time: a writer holds buffers of its own.
 var packer struct {
@@ -23,7 +23,7 @@
 // once to it and once from it to each store, and between zones. Symbols alone are
 // weighed, which costs little of a small processor. What gets no smaller stays as it is.
 func pack(text []byte) (body []byte, packed bool) {
-	if len(text) < constants.PackLeast {
+	if len(text) < constants.CompressMinBytes {
 		return text, false
 	}
 	packer.Lock()
@@ -49,5 +49,5 @@
 		return body, nil
 	}
 	text, err := io.ReadAll(flate.NewReader(bytes.NewReader(body)))
-	return text, TextDamaged.Wrap(err, "unpack")
+	return text, ErrCorruptOutput.Wrap(err, "unpack")
 }
--- a/internal/batch/store/pack_test.go
+++ b/internal/batch/store/pack_test.go
@@ -15,22 +15,22 @@
 	for round := 0; round < 300; round++ {
 		text := make([]byte, random.Intn(9000))
 		requests := 1 + random.Intn(256)
-		for place := range text {
-			text[place] = byte(random.Intn(requests))
+		for i := range text {
+			text[i] = byte(random.Intn(requests))
 		}
 		body, packed := pack(text)
 		if len(body) > len(text) {
 			t.Fatal("longer: ", len(body), len(text))
 		}
-		if packed && len(text) < constants.PackLeast {
+		if packed && len(text) < constants.CompressMinBytes {
 			t.Fatal("packed though short: ", len(text))
 		}
 		if requests <= 32 && len(text) > 2000 && !packed {
 			t.Fatal("not packed: ", requests, len(text))
 		}
-		back, err := unpack(body, packed)
-		if err != nil || !bytes.Equal(back, text) {
-			t.Fatal(err, len(back), len(text))
+		resp, err := unpack(body, packed)
+		if err != nil || !bytes.Equal(resp, text) {
+			t.Fatal(err, len(resp), len(text))
 		}
 		if packed {
 			if cut, err := unpack(body[:len(body)/2], true); err == nil {
--- a/internal/batch/store/place.go
+++ b/internal/batch/store/place.go
@@ -17,7 +17,7 @@
 // all, the one with the highest hash. So drivers need not agree on each place, and a
 // driver that sees few others owns more.
 type ownership struct {
-	at         clock.Moment
+	at         clock.Instant
 	workerList map[string]bool
 }
 
@@ -44,25 +44,25 @@
 }
 
 // own gives the workers that are ours now.
-func (d *driver) own(now clock.Moment) map[string]bool {
+func (d *driver) own(now clock.Instant) map[string]bool {
 	d.lock.Lock()
-	if d.owned.workerList != nil && d.owned.at > 0 && now.Since(d.owned.at) < constants.OwnPeriod {
+	if d.owned.workerList != nil && d.owned.at > 0 && now.Sub(d.owned.at) < constants.OwnedWorkersPeriod {
 		defer d.lock.Unlock()
 		return d.owned.workerList
 	}
 	d.lock.Unlock()
 	runtime := d.server.Node
-	stores := map[string]string{runtime.Own.Name: runtime.Own.Zone}
+	stores := map[string]string{runtime.Self.Name: runtime.Self.Zone}
 	if !d.shared(stores, now) {
 		for _, entry := range runtime.Live(membership.RoleStore) {
-			if !entry.Leaving {
+			if !entry.Draining {
 				stores[entry.Name] = entry.Zone
 			}
 		}
 	}
 	workerList := map[string]bool{}
 	for _, worker := range d.server.Gossip.Scheduler.Workers(now) {
-		if owner(worker.ID, worker.Zone, stores) == runtime.Own.Name {
+		if owner(worker.ID, worker.Zone, stores) == runtime.Self.Name {
 			workerList[worker.ID] = true
 		}
 	}
@@ -81,7 +81,7 @@
 }
 
 // listed takes the dispatcher's list of drivers, which comes where it is new.
-func (d *driver) listed(version uint64, drivers []messages.DriverAt, now clock.Moment) {
+func (d *driver) listed(version uint64, drivers []messages.ExecutorInfo, now clock.Instant) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	if version > d.version {
@@ -93,21 +93,21 @@
 // shared adds the drivers on the dispatcher's list; false when it is old. The
 // dispatcher hears every driver twice a second, well before others take it for
 // silent.
-func (d *driver) shared(stores map[string]string, now clock.Moment) bool {
+func (d *driver) shared(stores map[string]string, now clock.Instant) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	if d.version == 0 || now.Since(d.driversAt) >= constants.SilentAfter {
+	if d.version == 0 || now.Sub(d.driversAt) >= constants.SuspectAfter {
 		return false
 	}
-	for _, one := range d.drivers {
-		stores[one.Name] = one.Zone
+	for _, info := range d.drivers {
+		stores[info.Name] = info.Zone
 	}
 	return true
 }
 
 // room is how many items to ask for: one for each worker of ours with a place left,
 // beside those that wait already.
-func (d *driver) room() []messages.ServiceRoom {
+func (d *driver) room() []messages.ServiceCapacity {
 	config, now := d.server.Node.Config(), clock.Now()
 	if config == nil {
 		return nil
@@ -117,12 +117,12 @@
 	all, waiting := d.core.Count()
 	leaving := d.leaving
 	d.lock.Unlock()
-	if leaving || all >= constants.RunningItems {
+	if leaving || all >= constants.RunningItemsMax {
 		return nil
 	}
 	counts := map[string]int{}
-	for place := range config.Routes {
-		route := &config.Routes[place]
+	for i := range config.Routes {
+		route := &config.Routes[i]
 		if route.Kind() != messages.RouteBulk {
 			continue
 		}
@@ -131,10 +131,10 @@
 			counts[service] = max(counts[service], free)
 		}
 	}
-	var room []messages.ServiceRoom
+	var room []messages.ServiceCapacity
 	for service, count := range counts {
 		if count > waiting {
-			room = append(room, messages.ServiceRoom{Service: service, Count: count - waiting})
+			room = append(room, messages.ServiceCapacity{Service: service, Count: count - waiting})
 		}
 	}
 	return room
@@ -163,29 +163,29 @@
 }
 
 // begin starts a task at a worker or gives it back; false while it waits on.
-func (d *driver) begin(task *itemdriver.Task, own map[string]bool, now clock.Moment) bool {
+func (d *driver) begin(task *itemdriver.Task, own map[string]bool, now clock.Instant) bool {
 	route := itemRoute(d.server.Node.Config(), task.Item)
 	d.lock.Lock()
-	unfit := d.leaving || !task.May(now) || now.Since(task.Since) > constants.BeginPatience
+	unfit := d.leaving || !task.May(now) || now.Sub(task.Since) > constants.PlacementWait
 	d.lock.Unlock()
 	if route == nil || unfit {
 		d.giveBack(task)
 		return true
 	}
 	item := task.Item
-	ask := &admission.Ask{Service: route.Choose(clock.Draw()), Affine: route.Affine, Bulk: true, Priority: route.Priority, Setpoint: route.Setpoint(), Among: own,
+	ask := &admission.Ask{Service: route.Choose(clock.Float64()), Affine: route.Affine, Bulk: true, Priority: route.Priority, Setpoint: route.Setpoint(), Among: own,
 		Prompt: prefixindex.ParsePrompt(item.Headers["Lemonarch-Model"], item.Headers["Lemonarch-Token-Count"], item.Headers["Lemonarch-Prompt-Prefix"])}
-	answer, _ := d.server.Gossip.Scheduler.Admit(ask, nil, now)
-	if answer.Verdict != admission.VerdictGranted {
+	resp, _ := d.server.Gossip.Scheduler.Admit(ask, nil, now)
+	if resp.Verdict != admission.VerdictGranted {
 		return false
 	}
 	d.lock.Lock()
 	may := task.May(clock.Now()) && !d.leaving
 	task.Begun = may
-	owed, displaceable := item.Owed, item.Displaced < constants.DisplaceLimit
+	owed, displaceable := item.Owed, item.Displaced < constants.PreemptionLimit
 	d.lock.Unlock()
 	if !may {
-		answer.Grant.End(admission.ResultCalledOff, now)
+		resp.Grant.End(admission.ResultCalledOff, now)
 		d.giveBack(task)
 		return true
 	}
@@ -193,9 +193,9 @@
 		d.server.Gossip.Scheduler.Counters(route.Name).Resumed.Add(1)
 	}
 	if displaceable {
-		answer.Grant.MayYield(func() { d.yield(task) })
+		resp.Grant.MayYield(func() { d.yield(task) })
 	}
-	go d.drive(route, task, answer.Grant)
+	go d.drive(route, task, resp.Grant)
 	ring(d.bell)
 	return true
 }
@@ -205,5 +205,5 @@
 	d.lock.Lock()
 	task.Item.SetBack(task.Run)
 	d.lock.Unlock()
-	d.done(task, messages.Acknowledgement{Kind: messages.AckRelease, Unbegun: true})
+	d.done(task, messages.Acknowledgement{Kind: messages.AckRelease, NotStarted: true})
 }
--- a/internal/batch/store/quota.go
+++ b/internal/batch/store/quota.go
@@ -31,8 +31,8 @@
 }
 
 // comes notes a lot that was given to the stores.
-func (q *quota) comes(call *messages.LotCall, tokens int64) {
-	q.coming[call.Lot] = coming{place{call.Host, call.Path}, tokens}
+func (q *quota) comes(call *messages.JobCallRequest, tokens int64) {
+	q.coming[call.Job] = coming{place{call.Host, call.Path}, tokens}
 }
 
 // route gives the bulk route of a place, matched once for each configuration.
@@ -54,9 +54,9 @@
 	total := t.book.Waiting(func(lot *lots.Lot) bool {
 		return !t.ending[lot.ID] && t.quota.route(config, place{lot.Host, lot.Path}) == route
 	})
-	for _, one := range t.quota.coming {
-		if t.quota.route(config, one.place) == route {
-			total += one.tokens
+	for _, coming := range t.quota.coming {
+		if t.quota.route(config, coming.place) == route {
+			total += coming.tokens
 		}
 	}
 	return total
--- a/internal/batch/store/replay_test.go
+++ b/internal/batch/store/replay_test.go
@@ -24,7 +24,7 @@
 // recordsOf makes records of one lot's output each, under one epoch.
 func recordsOf(epoch uint64, first, last int64) (records []messages.Record) {
 	for index := first; index <= last; index++ {
-		records = append(records, messages.Record{Index: index, Epoch: epoch, Kind: messages.RecordOutput, Lot: fmt.Sprint("l", index), Item: "i"})
+		records = append(records, messages.Record{Index: index, Epoch: epoch, Kind: messages.RecordOutput, Job: fmt.Sprint("l", index), Item: "i"})
 	}
 	return records
 }
@@ -38,7 +38,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		text += fmt.Sprintf("%d.%d:%s ", record.Index, record.Epoch, record.Lot)
+		text += fmt.Sprintf("%d.%d:%s ", record.Index, record.Epoch, record.Job)
 	}
 	return text
 }
@@ -52,7 +52,7 @@
 		t.Fatal(err)
 	}
 	send := func(epoch uint64, first, last int64) error {
-		_, err := store.Append(&messages.Append{Epoch: epoch, Disk: "d", PreviousIndex: first - 1, PreviousEpoch: store.EpochAt(first - 1), Records: recordsOf(epoch, first, last)})
+		_, err := store.Append(&messages.AppendRequest{Epoch: epoch, Disk: "d", PreviousIndex: first - 1, PreviousEpoch: store.EpochAt(first - 1), Records: recordsOf(epoch, first, last)})
 		return err
 	}
 	if err = send(1, 1, 3); err != nil {
@@ -83,10 +83,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _ = store.Append(&messages.Append{Epoch: 1, Disk: "d", Records: recordsOf(1, 1, 9)})
-	answer, err := store.Append(&messages.Append{Epoch: 2, Disk: "d", PreviousIndex: 3, PreviousEpoch: 1, Records: recordsOf(1, 4, 4), Done: 9})
-	if err != nil || !answer.Granted || store.done != 4 {
-		t.Fatal(answer, err, store.done)
+	_, _ = store.Append(&messages.AppendRequest{Epoch: 1, Disk: "d", Records: recordsOf(1, 1, 9)})
+	resp, err := store.Append(&messages.AppendRequest{Epoch: 2, Disk: "d", PreviousIndex: 3, PreviousEpoch: 1, Records: recordsOf(1, 4, 4), CommitIndex: 9})
+	if err != nil || !resp.Granted || store.done != 4 {
+		t.Fatal(resp, err, store.done)
 	}
 }
 
@@ -100,19 +100,19 @@
 			t.Fatal(err)
 		}
 		*refuse = true
-		if _, err = store.Raise(&messages.Raise{Epoch: 7, Disk: "d"}); err == nil {
+		if _, err = store.Raise(&messages.FenceRequest{Epoch: 7, Disk: "d"}); err == nil {
 			t.Fatal("granted though nothing was synced")
 		}
 		*refuse = false
-		if answer, err := store.Raise(&messages.Raise{Epoch: 7, Disk: "d"}); err != nil || !answer.Granted {
-			t.Fatal(answer, err)
+		if resp, err := store.Raise(&messages.FenceRequest{Epoch: 7, Disk: "d"}); err != nil || !resp.Granted {
+			t.Fatal(resp, err)
 		}
 		disk.PowerLoss()
 		again, err := OpenStore(disk, "d")
 		if err != nil {
 			t.Fatal(err)
 		}
-		if answer, _ := again.Append(&messages.Append{Epoch: 6, Disk: "d", Records: recordsOf(6, 1, 1)}); answer.Granted {
+		if resp, _ := again.Append(&messages.AppendRequest{Epoch: 6, Disk: "d", Records: recordsOf(6, 1, 1)}); resp.Granted {
 			t.Fatalf("seed %d: a fenced holder writes again after a loss of power", seed)
 		}
 	}
--- a/internal/batch/store/report.go
+++ b/internal/batch/store/report.go
@@ -21,8 +21,8 @@
 	s.Node.Report("pace", s.reportPace)
 }
 
-func (s *Server) reportDuty() *messages.Status {
-	status := &messages.Status{Columns: []string{"duty", "state", "epoch", "holder"}}
+func (s *Server) reportDuty() *messages.StatusResponse {
+	status := &messages.StatusResponse{Columns: []string{"duty", "state", "epoch", "holder"}}
 	row := []string{"lots", "follows", "", ""}
 	s.lock.Lock()
 	row[2], row[3] = number(s.told.Epoch), s.told.Holder
@@ -40,13 +40,13 @@
 	return status
 }
 
-func (s *Server) reportLots() *messages.Status {
-	status := &messages.Status{Columns: []string{"lot", "path", "age-s", "items", "listed", "acquired", "waiting-tokens", "deliveries", "lapses", "releases", "failures", "renewals", "state"}}
+func (s *Server) reportLots() *messages.StatusResponse {
+	status := &messages.StatusResponse{Columns: []string{"lot", "path", "age-s", "items", "listed", "acquired", "waiting-tokens", "deliveries", "lapses", "releases", "failures", "renewals", "state"}}
 	current := s.current()
 	if current == nil {
 		return status
 	}
-	now := clock.Wall() / 1_000_000
+	now := clock.WallNanos() / 1_000_000
 	current.lock.Lock()
 	defer current.lock.Unlock()
 	for _, lot := range current.book.Lots() {
@@ -76,10 +76,10 @@
 	return status
 }
 
-func (s *Server) reportStores() *messages.Status {
-	status := &messages.Status{Columns: []string{"store", "disk", "records", "missing", "state"}}
+func (s *Server) reportStores() *messages.StatusResponse {
+	status := &messages.StatusResponse{Columns: []string{"store", "disk", "records", "missing", "state"}}
 	last := s.Store.Extent().Last
-	status.Rows = append(status.Rows, []string{s.Node.Own.Name, s.Store.Disk(), number(last), "", "own copy"})
+	status.Rows = append(status.Rows, []string{s.Node.Self.Name, s.Store.Disk(), number(last), "", "own copy"})
 	current := s.current()
 	if current == nil {
 		return status
--- a/internal/batch/store/rim_faults_test.go
+++ b/internal/batch/store/rim_faults_test.go
@@ -17,18 +17,18 @@
 		fleet.work()
 		for _, fault := range fleet.random.Perm(4) {
 			old := fleet.holder()
-			name := old.Node.Own.Name
+			name := old.Node.Self.Name
 			number := int(name[1] - '0')
 			switch fault {
 			case 0:
-				fleet.room.Cut(old.Node.Own.Address, true)
+				fleet.room.SetPartitioned(old.Node.Self.Address, true)
 				fleet.work()
-				fleet.room.Cut(old.Node.Own.Address, false)
+				fleet.room.SetPartitioned(old.Node.Self.Address, false)
 			case 1:
 				fleet.stop(old)
 				fleet.disks[name].PowerLoss()
 				again := fleet.start(number, "unused")
-				if strings.HasPrefix(again.Node.Own.Disk, "unused") {
+				if strings.HasPrefix(again.Node.Self.Disk, "unused") {
 					t.Fatal("the disk forgot who it is")
 				}
 				go again.campaign()
--- a/internal/batch/store/rim_test.go
+++ b/internal/batch/store/rim_test.go
@@ -25,7 +25,7 @@
 // tested elsewhere.
 type rimRegister struct {
 	lock   sync.Mutex
-	value  messages.Register
+	value  messages.RegisterValue
 	grants *lease.Grants
 }
 
@@ -42,25 +42,25 @@
 	defer r.lock.Unlock()
 	switch kind {
 	case messages.KindRegisterRead:
-		return transport.Write(&messages.DutyChanged{Done: true, Known: true, Value: r.value})
-	case messages.KindAsk:
-		question := &messages.HoldAsk{}
-		if err := transport.Read(body, question); err != nil {
+		return transport.Encode(&messages.RegisterResponse{Applied: true, Known: true, Value: r.value})
+	case messages.KindLease:
+		req := &messages.LeaseRequest{}
+		if err := transport.Decode(body, req); err != nil {
 			return nil, err
 		}
-		back := r.grants.Ask(*question, r.value.Duty, clock.Now())
-		return transport.Write(&back)
-	case messages.KindDutyChange:
-		question, done := &messages.DutyChange{}, false
-		if err := transport.Read(body, question); err != nil {
+		resp := r.grants.Ask(*req, r.value.Leadership, clock.Now())
+		return transport.Encode(&resp)
+	case messages.KindRegisterChange:
+		req, done := &messages.RegisterChangeRequest{}, false
+		if err := transport.Decode(body, req); err != nil {
 			return nil, err
 		}
-		change := register.SetStores(question.Holder, question.Stores, &done)
-		if question.Take {
-			change = register.TakeDuty(question.Holder, question.ExpectEpoch, question.Stores, &done)
+		change := register.SetStores(req.Holder, req.Stores, &done)
+		if req.Campaign {
+			change = register.TakeDuty(req.Holder, req.ExpectEpoch, req.Stores, &done)
 		}
 		r.change(change)
-		return transport.Write(&messages.DutyChanged{Done: done, Known: true, Value: r.value})
+		return transport.Encode(&messages.RegisterResponse{Applied: done, Known: true, Value: r.value})
 	}
 	return nil, nil
 }
@@ -70,20 +70,20 @@
 type rimFleet struct {
 	test          *testing.T
 	random        *rand.Rand
-	room          *transport.Room
+	room          *transport.MemoryNetwork
 	localRegister *rimRegister
 	disks         map[string]*simulation.Disk
 	lock          sync.Mutex
 	stores        map[string]*Server
-	client        *transport.Twin
+	client        *transport.Memory
 	taken         []string
 	ended         map[string]bool
 }
 
 func newRimFleet(t *testing.T, seed int64) *rimFleet {
-	fleet := &rimFleet{test: t, random: rand.New(rand.NewSource(seed)), room: transport.NewRoom(), disks: map[string]*simulation.Disk{}, stores: map[string]*Server{}, ended: map[string]bool{}}
+	fleet := &rimFleet{test: t, random: rand.New(rand.NewSource(seed)), room: transport.NewMemoryNetwork(), disks: map[string]*simulation.Disk{}, stores: map[string]*Server{}, ended: map[string]bool{}}
 	fleet.localRegister = &rimRegister{grants: lease.NewGrants(clock.Now(), true),
-		value: messages.Register{Acceptors: []messages.Member{{Address: rimRegisterAddress, Disk: "r"}}}}
+		value: messages.RegisterValue{Acceptors: []messages.Member{{Address: rimRegisterAddress, Disk: "r"}}}}
 	_ = fleet.room.Transport(rimRegisterAddress).Serve(fleet.localRegister.answer)
 	fleet.client = fleet.room.Transport("client")
 	for number := 1; number <= 5; number++ {
@@ -99,8 +99,8 @@
 	}
 	t.Cleanup(func() {
 		close(stop)
-		for _, one := range fleet.all() {
-			fleet.stop(one)
+		for _, server := range fleet.all() {
+			fleet.stop(server)
 		}
 	})
 	return fleet
@@ -116,28 +116,28 @@
 	nodeSettings := &settings.Settings{NodeName: name, Address: fmt.Sprint("10.0.0.", number), Zone: fmt.Sprint("h", number%3), InternalPorts: []int{7000, 7010},
 		Seeds: []string{"10.0.0.99:80"}, HeartbeatMs: 1200, FaultBudget: settings.FaultBudget{Machines: 1}, Tolerances: settings.Tolerances{StatusS: 120, CancelMs: 3000}}
 	runtime := node.New(nodeSettings, membership.RoleStore, constants.PortStore, store.Disk(), hclog.NewNullLogger())
-	runtime.Wire = r.room.Transport(runtime.Own.Address)
-	one := &Server{Node: runtime, Gossip: loadgossip.New(runtime), Store: store, begun: clock.Now(), done: make(chan struct{})}
-	one.driver = newDriver(one)
-	one.answerers()
-	one.driverAnswerers()
-	one.reports()
-	runtime.Take([]byte(quotaConfig))
-	if err = runtime.Wire.Serve(runtime.Handle); err != nil {
+	runtime.Transport = r.room.Transport(runtime.Self.Address)
+	server := &Server{Node: runtime, Gossip: loadgossip.New(runtime), Store: store, begun: clock.Now(), done: make(chan struct{})}
+	server.driver = newDriver(server)
+	server.answerers()
+	server.driverAnswerers()
+	server.reports()
+	runtime.ApplyConfig([]byte(quotaConfig))
+	if err = runtime.Transport.Serve(runtime.Dispatch); err != nil {
 		r.test.Fatal(err)
 	}
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.stores[name] = one
-	return one
+	r.stores[name] = server
+	return server
 }
 
-func (r *rimFleet) stop(one *Server) {
-	if current := one.current(); current != nil {
+func (r *rimFleet) stop(server *Server) {
+	if current := server.current(); current != nil {
 		current.end("stopped")
 	}
-	one.Node.End()
-	one.Node.Wire.Close()
+	server.Node.Shutdown()
+	server.Node.Transport.Close()
 }
 
 func (r *rimFleet) all() []*Server {
@@ -153,10 +153,10 @@
 // meet keeps the processes known to each other, as shuffles do.
 func (r *rimFleet) meet() {
 	all := r.all()
-	for _, one := range all {
+	for _, server := range all {
 		for _, other := range all {
-			if one != other {
-				one.Node.Hear([]messages.Entry{other.Node.Own})
+			if server != other {
+				server.Node.Observe([]messages.NodeInfo{other.Node.Self})
 			}
 		}
 	}
@@ -164,7 +164,7 @@
 
 // until polls the world of real timers until something holds.
 func (r *rimFleet) until(what string, holds func() bool) {
-	for end := clock.Now().Plus(clock.Milliseconds(20_000)); !holds(); {
+	for end := clock.Now().Add(clock.Milliseconds(20_000)); !holds(); {
 		if clock.Now() > end {
 			r.test.Fatal("never: ", what)
 		}
@@ -173,15 +173,15 @@
 }
 
 // call asks one store after the other until one that holds the duty answers.
-func (r *rimFleet) call(call *messages.LotCall, want int) {
-	r.until(fmt.Sprint(call.Method, " ", call.Lot, " answered by ", want), func() bool {
-		for _, one := range r.all() {
-			answer := &messages.LotAnswer{}
-			if transport.Ask(r.client, one.Node.Own.Address, messages.KindLotCall, call, answer, clock.Milliseconds(700)) != nil || answer.Elsewhere || answer.Status >= 500 {
+func (r *rimFleet) call(call *messages.JobCallRequest, want int) {
+	r.until(fmt.Sprint(call.Method, " ", call.Job, " answered by ", want), func() bool {
+		for _, server := range r.all() {
+			resp := &messages.JobCallResponse{}
+			if transport.Call(r.client, server.Node.Self.Address, messages.KindJobCall, call, resp, clock.Milliseconds(700)) != nil || resp.NotLeader || resp.Status >= 500 {
 				continue
 			}
-			if answer.Status != want {
-				r.test.Fatalf("%s %s: %d by %s, want %d", call.Method, call.Lot, answer.Status, one.Node.Own.Name, want)
+			if resp.Status != want {
+				r.test.Fatalf("%s %s: %d by %s, want %d", call.Method, call.Job, resp.Status, server.Node.Self.Name, want)
 			}
 			return true
 		}
@@ -192,9 +192,9 @@
 func (r *rimFleet) holder() *Server {
 	var found *Server
 	r.until("a holder", func() bool {
-		for _, one := range r.all() {
-			if current := one.current(); current != nil && one.holds() && current.waitServing(0) {
-				found = one
+		for _, server := range r.all() {
+			if current := server.current(); current != nil && server.holds() && current.waitServing(0) {
+				found = server
 			}
 		}
 		return found != nil
@@ -210,11 +210,11 @@
 	// Few stay open, so that each new one fits.
 	if len(r.taken) > 2 {
 		old := r.taken[len(r.taken)-3]
-		r.call(&messages.LotCall{Method: "DELETE", Lot: old}, 200)
+		r.call(&messages.JobCallRequest{Method: "DELETE", Job: old}, 200)
 		r.ended[old] = true
 	}
-	for _, one := range r.taken {
-		r.call(&messages.LotCall{Method: "GET", Lot: one}, 200)
+	for _, element := range r.taken {
+		r.call(&messages.JobCallRequest{Method: "GET", Job: element}, 200)
 	}
 	current := r.holder().current()
 	if current == nil {
--- a/internal/batch/store/server.go
+++ b/internal/batch/store/server.go
@@ -33,30 +33,30 @@
 	hold    lease.Hold
 	turn    uint64
 	term    *term
-	value   messages.Register
-	read    clock.Moment
-	told    messages.Duty
-	toldAt  clock.Moment
-	begun   clock.Moment
+	value   messages.RegisterValue
+	read    clock.Instant
+	told    messages.Leadership
+	toldAt  clock.Instant
+	begun   clock.Instant
 	leaving atomic.Bool
 	driver  *driver
-	resting clock.Moment
+	resting clock.Instant
 	done    chan struct{}
 	// once knows the hand-ins that have come, so that a second copy of one is seen.
-	once transport.Once
+	once transport.Deduplicator
 	// pace is this machine's, gaveUp when it last left the duty to others for it.
 	pace   pace
-	gaveUp clock.Moment
+	gaveUp clock.Instant
 }
 
 // New opens the disk and prepares the process.
 func New(nodeSettings *settings.Settings, log hclog.Logger) (*Server, error) {
 	if err := os.MkdirAll(nodeSettings.DataDir, 0o755); err != nil {
-		return nil, StoreDamaged.Wrap(err, "data-dir")
+		return nil, ErrCorrupt.Wrap(err, "data-dir")
 	}
 	var name [8]byte
 	_, _ = rand.Read(name[:])
-	store, err := OpenStore(recordlog.Folder(nodeSettings.DataDir), hex.EncodeToString(name[:]))
+	store, err := OpenStore(recordlog.Directory(nodeSettings.DataDir), hex.EncodeToString(name[:]))
 	if err != nil {
 		return nil, err
 	}
@@ -73,66 +73,66 @@
 
 // member is this process as one of the store set.
 func (s *Server) member() messages.Member {
-	own := s.Node.Own
+	own := s.Node.Self
 	return messages.Member{Name: own.Name, Disk: own.Disk, Address: own.Address, Zone: own.Zone}
 }
 
 func (s *Server) answerers() {
 	runtime := s.Node
-	runtime.Answer(messages.KindRaise, func(body []byte) ([]byte, error) {
-		question := &messages.Raise{}
-		if err := transport.Read(body, question); err != nil {
+	runtime.Handle(messages.KindFence, func(body []byte) ([]byte, error) {
+		req := &messages.FenceRequest{}
+		if err := transport.Decode(body, req); err != nil {
 			return nil, err
 		}
-		answer, err := s.Store.Raise(question)
+		resp, err := s.Store.Raise(req)
 		if err != nil {
 			return nil, err
 		}
-		s.fenced(question.Epoch)
-		return transport.Write(&answer)
+		s.fenced(req.Epoch)
+		return transport.Encode(&resp)
 	})
-	runtime.Answer(messages.KindAppend, func(body []byte) ([]byte, error) {
-		question := &messages.Append{}
-		if err := transport.Read(body, question); err != nil {
+	runtime.Handle(messages.KindAppend, func(body []byte) ([]byte, error) {
+		req := &messages.AppendRequest{}
+		if err := transport.Decode(body, req); err != nil {
 			return nil, err
 		}
-		s.fenced(question.Epoch)
-		answer, err := s.Store.Append(question)
+		s.fenced(req.Epoch)
+		resp, err := s.Store.Append(req)
 		if err != nil {
 			runtime.Log.Error("append refused by disk", "why", err.Error())
 			return nil, err
 		}
-		return transport.Write(&answer)
+		return transport.Encode(&resp)
 	})
-	runtime.Answer(messages.KindFetch, func(body []byte) ([]byte, error) {
-		question := &messages.Fetch{}
-		if err := transport.Read(body, question); err != nil {
+	runtime.Handle(messages.KindFetch, func(body []byte) ([]byte, error) {
+		req := &messages.FetchRequest{}
+		if err := transport.Decode(body, req); err != nil {
 			return nil, err
 		}
-		answer, err := s.Store.Fetch(question)
+		resp, err := s.Store.Fetch(req)
 		if err != nil {
 			return nil, err
 		}
-		return transport.Write(answer)
+		return transport.Encode(resp)
 	})
-	runtime.Answer(messages.KindHolderTold, func(body []byte) ([]byte, error) {
-		told := &messages.HolderTold{}
-		if err := transport.Read(body, told); err != nil {
+	runtime.Handle(messages.KindLeaderAnnouncement, func(body []byte) ([]byte, error) {
+		announcement := &messages.LeaderAnnouncement{}
+		if err := transport.Decode(body, announcement); err != nil {
 			return nil, err
 		}
 		s.lock.Lock()
-		if told.Duty.Epoch >= s.told.Epoch {
-			s.told, s.toldAt = told.Duty, clock.Now()
-			if told.Over {
+		if announcement.Leadership.Epoch >= s.told.Epoch {
+			s.told, s.toldAt = announcement.Leadership, clock.Now()
+			if announcement.Resigned {
 				s.toldAt, s.read = 0, 0
 			}
 		}
 		s.lock.Unlock()
-		s.fenced(told.Duty.Epoch)
-		return transport.Write(&messages.Nothing{Taken: true})
+		s.fenced(announcement.Leadership.Epoch)
+		return transport.Encode(&messages.Ack{Accepted: true})
 	})
-	runtime.Answer(messages.KindLotCall, s.lotCall)
-	runtime.Answer(messages.KindCopy, s.copyFrom)
+	runtime.Handle(messages.KindJobCall, s.lotCall)
+	runtime.Handle(messages.KindCopy, s.copyFrom)
 }
 
 // fenced ends our own term when a later epoch is seen at work.
@@ -173,21 +173,21 @@
 			s.Node.Log.Error("file not rewritten", "why", err.Error())
 		}
 	})
-	s.Node.Log.Info("serving", "internal", s.Node.Own.Address, "disk", s.Node.Own.Disk)
+	s.Node.Log.Info("serving", "internal", s.Node.Self.Address, "disk", s.Node.Self.Disk)
 	s.campaign()
 	return nil
 }
 
-// Leave gives the duty up first, so that another takes it at once.
-func (s *Server) Leave() {
+// Shutdown gives the duty up first, so that another takes it at once.
+func (s *Server) Shutdown() {
 	s.leaving.Store(true)
-	s.Node.Leave()
+	s.Node.Drain()
 	if current := s.current(); current != nil {
 		current.end("leaving")
 		current.giveUp()
 	}
 	// What runs here goes back with its events, to whoever holds the duty next.
 	s.driver.leave()
-	s.Node.End()
+	s.Node.Shutdown()
 	clock.Sleep(constants.TickPeriod)
 }
--- a/internal/batch/store/sets.go
+++ b/internal/batch/store/sets.go
@@ -28,7 +28,7 @@
 	if busy {
 		return
 	}
-	if clock.Now().Since(server.readAt()) > constants.GossipPeriod && !server.readRegister() {
+	if clock.Now().Sub(server.readAt()) > constants.GossipPeriod && !server.readRegister() {
 		return
 	}
 	retired := map[string]bool{}
@@ -37,13 +37,13 @@
 		retired[name] = true
 	}
 	server.lock.Unlock()
-	if retired[server.Node.Own.Name] {
+	if retired[server.Node.Self.Name] {
 		// Another has to lead the way out: this machine's copies go elsewhere.
 		t.end("this machine is to be emptied")
 		t.giveUp()
 		return
 	}
-	entries := map[string]messages.Entry{}
+	entries := map[string]messages.NodeInfo{}
 	for _, entry := range server.Node.All(membership.RoleStore) {
 		entries[entry.Name] = entry
 	}
@@ -56,9 +56,9 @@
 		// All that came back empty take their places in one change: each second in
 		// which one of them is not whole counts against the fault budget.
 		swaps = swaps[:0]
-		for place := range members {
-			if back := wiped(members[place], entries, retired); back != nil && members[place].Name != server.Node.Own.Name {
-				swaps = append(swaps, swap{&members[place], *back})
+		for i := range members {
+			if resp := wiped(members[i], entries, retired); resp != nil && members[i].Name != server.Node.Self.Name {
+				swaps = append(swaps, swap{&members[i], *resp})
 			}
 		}
 	}
@@ -76,20 +76,20 @@
 	next := make([]messages.Member, 0, len(members)+1)
 	for _, member := range members {
 		stays := true
-		for _, one := range swaps {
-			stays = stays && (one.out == nil || register.Identity(member) != register.Identity(*one.out))
+		for _, s := range swaps {
+			stays = stays && (s.out == nil || register.Identity(member) != register.Identity(*s.out))
 		}
 		if stays {
 			next = append(next, member)
 		}
 	}
-	for _, one := range swaps {
-		next = append(next, one.in)
+	for _, s := range swaps {
+		next = append(next, s.in)
 	}
 	return next
 }
 
-func (s *Server) readAt() clock.Moment {
+func (s *Server) readAt() clock.Instant {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.read
@@ -97,7 +97,7 @@
 
 // quickChange names the next change whose newcomer is not slow, and asks a member
 // that seems silent for a last word.
-func (s *Server) quickChange(members []messages.Member, entries map[string]messages.Entry, retired map[string]bool) (out, newcomer *messages.Member) {
+func (s *Server) quickChange(members []messages.Member, entries map[string]messages.NodeInfo, retired map[string]bool) (out, newcomer *messages.Member) {
 	answering := map[string]bool{}
 	// Each further round leaves out a newcomer or a member.
 	for range len(entries) + len(members) {
@@ -120,23 +120,23 @@
 
 // silent asks a member itself: one that answers now is not gone.
 func (s *Server) silent(member messages.Member) bool {
-	return transport.Ask(s.Node.Wire, member.Address, messages.KindStatus, &messages.StatusAsk{Query: "pace"}, &messages.Status{}, constants.RoundTime) != nil
+	return transport.Call(s.Node.Transport, member.Address, messages.KindStatus, &messages.StatusRequest{Query: "pace"}, &messages.StatusResponse{}, constants.RoundTimeout) != nil
 }
 
 // nextChange names the member to be replaced and who takes its place; a nil member
 // with a newcomer means that the set is too small. What is nearest to loss goes first:
 // members that came back empty, a set with too few copies, members that are gone, and
 // only then those that are to be emptied, which still hold theirs.
-func (s *Server) nextChange(members []messages.Member, entries map[string]messages.Entry, retired, answering map[string]bool) (out, newcomer *messages.Member) {
+func (s *Server) nextChange(members []messages.Member, entries map[string]messages.NodeInfo, retired, answering map[string]bool) (out, newcomer *messages.Member) {
 	own := register.Identity(s.member())
 	for index := range members {
 		member := &members[index]
 		if register.Identity(*member) == own {
 			continue
 		}
-		if back := wiped(*member, entries, retired); back != nil {
+		if resp := wiped(*member, entries, retired); resp != nil {
 			// The same machine with an empty disk takes its own place again.
-			return member, back
+			return member, resp
 		}
 	}
 	spare := func(zone string) *messages.Member {
@@ -148,7 +148,7 @@
 		}
 		best := -1
 		for name, entry := range entries {
-			if inSet[name] || retired[name] || entry.Leaving || entry.Disk == "" || entry.AgeMs >= constants.SilentAfter.Milliseconds() {
+			if inSet[name] || retired[name] || entry.Draining || entry.Disk == "" || entry.AgeMs >= constants.SuspectAfter.Milliseconds() {
 				continue
 			}
 			worth := 0
@@ -169,7 +169,7 @@
 			return nil, found
 		}
 	}
-	up := clock.Now().Since(s.begun)
+	up := clock.Now().Sub(s.begun)
 	for index := range members {
 		member := &members[index]
 		entry, known := entries[member.Name]
@@ -180,7 +180,7 @@
 		patience := constants.ReplaceAfter
 		if found.Zone == member.Zone {
 			// A store in the same zone was most likely set up in its place.
-			patience = constants.SilentAfter
+			patience = constants.SuspectAfter
 		}
 		if (known && entry.AgeMs >= patience.Milliseconds()) || (!known && up >= constants.ReplaceAfter) {
 			return member, found
--- a/internal/batch/store/share_callers_test.go
+++ b/internal/batch/store/share_callers_test.go
@@ -26,9 +26,9 @@
 }
 
 // answered records a call that has its answer.
-func (s *shareCluster) answered(call linearize.LotCall, reply linearize.LotReply, begun clock.Moment) {
+func (s *shareCluster) answered(call linearize.LotCall, reply linearize.LotReply, start clock.Instant) {
 	s.callers.count++
-	operation := s.callers.history.Begin(s.callers.count, call, linearize.LotReply{}, int64(begun))
+	operation := s.callers.history.Begin(s.callers.count, call, linearize.LotReply{}, int64(start))
 	operation.End(reply, int64(s.world.Now))
 }
 
@@ -40,14 +40,14 @@
 		return
 	}
 	call := linearize.LotCall{Kind: linearize.LotRead, Lot: fmt.Sprint("job", 1+random.Intn(s.number)), From: random.Intn(2)}
-	begun, back := s.world.Now, clock.Milliseconds(40*random.Float64())
+	start, resp := s.world.Now, clock.Milliseconds(40*random.Float64())
 	s.world.After(clock.Milliseconds(40*random.Float64()), func() {
 		holder := s.holder
 		if s.serving(holder) == nil {
 			return
 		}
 		reply := s.page(holder, call)
-		s.world.After(back, func() { s.answered(call, reply, begun) })
+		s.world.After(resp, func() { s.answered(call, reply, start) })
 	})
 }
 
@@ -66,8 +66,8 @@
 
 // textOf is an output's text, from the holder's memory or its disk.
 func (s *shareCluster) textOf(holder *simHolder, listing lots.Listing) string {
-	if place := listing.Index - holder.first; place >= 0 && place < int64(len(holder.records)) {
-		return string(holder.records[place].Body)
+	if i := listing.Index - holder.first; i >= 0 && i < int64(len(holder.records)) {
+		return string(holder.records[i].Body)
 	}
 	record, err := s.stores[holder.at].store.Read(listing.Index)
 	if err != nil {
@@ -107,7 +107,7 @@
 			case listed[listing.Item] > 1:
 				s.test.Fatalf("seed %d: %s has two positions", seed, listing.Item)
 			case listing.Dropped && !s.rejected[listing.Item] && s.failures[listing.Item] < shareTries &&
-				s.world.Now.Since(s.sentAt[id]) < clock.Milliseconds(shareRetain):
+				s.world.Now.Sub(s.sentAt[id]) < clock.Milliseconds(shareRetain):
 				s.test.Fatalf("seed %d: %s was given up after %d failures", seed, listing.Item, s.failures[listing.Item])
 			case !listing.Dropped && string(record.Body) != want:
 				s.test.Fatalf("seed %d: %s has the text %q", seed, listing.Item, strings.ReplaceAll(string(record.Body), "\n", " "))
--- a/internal/batch/store/share_driver_test.go
+++ b/internal/batch/store/share_driver_test.go
@@ -18,11 +18,11 @@
 	life    int64
 	asking  bool
 	telling [2]bool
-	renewed clock.Moment
+	renewed clock.Instant
 	shown   uint64
 }
 
-func (s *simDriver) now() clock.Moment { return s.cluster.clockValue(s.name) }
+func (s *simDriver) now() clock.Instant { return s.cluster.clockValue(s.name) }
 
 func (s *simDriver) loop() {
 	cluster := s.cluster
@@ -34,7 +34,7 @@
 	if all, _ := s.core.Count(); all < 4 && !s.asking {
 		s.acquire()
 	}
-	due := s.now().Since(s.renewed) >= lockLength(shareCancel)/4
+	due := s.now().Sub(s.renewed) >= lockLength(shareCancel)/4
 	if cluster.holder != nil && (due || cluster.holder.epoch > s.shown) {
 		s.shown = cluster.holder.epoch
 		s.renew()
@@ -44,9 +44,9 @@
 }
 
 // at runs a function at the machine unless it is frozen or started anew by then.
-func (s *simDriver) at(life int64, function func()) func() {
+func (s *simDriver) at(incarnation int64, function func()) func() {
 	return func() {
-		if s.life == life {
+		if s.life == incarnation {
 			function()
 		}
 	}
@@ -57,38 +57,38 @@
 }
 
 func (s *simDriver) acquire() {
-	cluster, holder, life := s.cluster, s.cluster.holder, s.life
+	cluster, holder, incarnation := s.cluster, s.cluster.holder, s.life
 	if holder == nil {
 		return
 	}
 	s.asking = true
-	asked, who := s.now(), s.who()
+	sentAt, who := s.now(), s.who()
 	answered := false
-	cluster.world.After(clock.Milliseconds(200), s.at(life, func() {
+	cluster.world.After(clock.Milliseconds(200), s.at(incarnation, func() {
 		// The question timed out: an answer that comes later is dropped.
 		if !answered {
 			answered, s.asking = true, false
 		}
 	}))
 	cluster.send(s.name, holder.at, func() {
-		one := cluster.serving(holder)
-		if one == nil {
+		dispatcher := cluster.serving(holder)
+		if dispatcher == nil {
 			return
 		}
-		answer := &messages.Acquired{LockMs: clock.ToMilliseconds(one.Lock)}
+		resp := &messages.AcquireResponse{LockMs: clock.ToMilliseconds(dispatcher.Lock)}
 		ask := &lots.AcquireAsk{Driver: who, Room: map[string]int{"s": 2}, Terms: cluster.terms,
 			Service: func(*lots.Item) string { return "s" }}
-		for _, given := range one.Acquire(ask, cluster.clockValue(holder.at)) {
+		for _, given := range dispatcher.Acquire(ask, cluster.clockValue(holder.at)) {
 			item := given.Item
-			answer.Items = append(answer.Items, messages.AcquiredItem{Number: given.Number, Lot: item.Lot.ID, Item: item.LotItem, LastID: item.LastID,
-				Pieces: item.Pieces[:len(item.Pieces):len(item.Pieces)], Displaced: item.Displaced})
+			resp.Items = append(resp.Items, messages.AcquiredItem{Number: given.Number, Job: item.Lot.ID, Item: item.JobItem, LastID: item.LastID,
+				Events: item.Pieces[:len(item.Pieces):len(item.Pieces)], Preempted: item.Displaced})
 		}
-		cluster.send(holder.at, s.name, s.at(life, func() {
+		cluster.send(holder.at, s.name, s.at(incarnation, func() {
 			if answered {
 				return
 			}
 			answered, s.asking = true, false
-			for _, task := range s.core.Take(answer, asked, s.now()) {
+			for _, task := range s.core.Take(resp, sentAt, s.now()) {
 				s.begin(task)
 			}
 			cluster.single()
@@ -97,43 +97,43 @@
 }
 
 func (s *simDriver) acknowledge(entries []messages.Acknowledgement, epoch uint64, heard func(verdicts []messages.AckVerdict)) {
-	cluster, holder, life, who := s.cluster, s.cluster.holder, s.life, s.who()
+	cluster, holder, incarnation, who := s.cluster, s.cluster.holder, s.life, s.who()
 	if holder == nil {
 		return
 	}
 	cluster.send(s.name, holder.at, func() {
-		one := cluster.serving(holder)
-		if one == nil {
+		dispatcher := cluster.serving(holder)
+		if dispatcher == nil {
 			return
 		}
 		var verdicts []messages.AckVerdict
 		last := int64(0)
-		one.Heard(who, cluster.clockValue(holder.at))
-		for place := range entries {
-			step := one.Acknowledge(who, &entries[place], cluster.clockValue(holder.at))
+		dispatcher.Heard(who, cluster.clockValue(holder.at))
+		for i := range entries {
+			step := dispatcher.Acknowledge(who, &entries[i], cluster.clockValue(holder.at))
 			verdicts = append(verdicts, step.Verdict)
 			last = max(last, step.Index)
 		}
 		if epoch > 0 {
-			one.Listed(who, epoch, cluster.clockValue(holder.at))
+			dispatcher.Listed(who, epoch, cluster.clockValue(holder.at))
 		}
 		cluster.whenDurable(holder, last, 100, func() {
-			cluster.send(holder.at, s.name, s.at(life, func() { heard(verdicts) }))
+			cluster.send(holder.at, s.name, s.at(incarnation, func() { heard(verdicts) }))
 		})
 	})
 }
 
 func (s *simDriver) renew() {
-	asked := s.now()
-	s.renewed = asked
+	sentAt := s.now()
+	s.renewed = sentAt
 	if s.cluster.holder == nil {
 		return
 	}
 	epoch := s.cluster.holder.epoch
 	s.core.Fence(epoch)
-	if entries := s.core.Renewals(asked); true {
+	if entries := s.core.Renewals(sentAt); true {
 		s.acknowledge(entries, epoch, func(verdicts []messages.AckVerdict) {
-			s.halt(s.core.Renewed(entries, verdicts, asked, lockLength(shareCancel)))
+			s.halt(s.core.Renewed(entries, verdicts, sentAt, lockLength(shareCancel)))
 		})
 	}
 }
@@ -144,16 +144,16 @@
 		return
 	}
 	s.telling[lane] = true
-	life := s.life
-	s.cluster.world.After(clock.Milliseconds(120), s.at(life, func() { s.telling[lane] = false }))
+	incarnation := s.life
+	s.cluster.world.After(clock.Milliseconds(120), s.at(incarnation, func() { s.telling[lane] = false }))
 	s.acknowledge(batch, 0, func(verdicts []messages.AckVerdict) {
-		for place, entry := range batch {
-			if verdicts[place] != messages.AckTaken {
+		for i, entry := range batch {
+			if verdicts[i] != messages.AckRecorded {
 				continue
 			}
 			switch entry.Kind {
 			case messages.AckAccept:
-				s.cluster.accepted[entry.Item] = string(entry.Text)
+				s.cluster.accepted[entry.Item] = string(entry.Output)
 			case messages.AckReject:
 				s.cluster.accepted[entry.Item] = "rejected"
 			}
@@ -171,20 +171,20 @@
 
 func (s *simDriver) release(task *itemdriver.Task, entry messages.Acknowledgement) {
 	entry.Kind = messages.AckRelease
-	entry.Displaced = task.Item.Yielding()
+	entry.Preempted = task.Item.Yielding()
 	task.Item.SetBack(task.Run)
 	s.core.Done(task, entry)
 }
 
 // begin brings a task to a worker, which streams from where it is asked to.
 func (s *simDriver) begin(task *itemdriver.Task) {
-	cluster, life := s.cluster, s.life
-	cluster.world.After(clock.Milliseconds(10*cluster.world.Random.Float64()), s.at(life, func() {
+	cluster, incarnation := s.cluster, s.life
+	cluster.world.After(clock.Milliseconds(10*cluster.world.Random.Float64()), s.at(incarnation, func() {
 		if cluster.frozen[s.name] || !task.May(s.now()) {
 			return
 		}
-		if acked, ended := cluster.endAcked[task.Item.Lot.ID]; ended && cluster.world.Now.Since(acked) > clock.Milliseconds(shareCancel) {
-			cluster.test.Fatalf("%s reaches a worker %v after the end of its lot", task.Item.ID, cluster.world.Now.Since(acked))
+		if acked, ended := cluster.endAcked[task.Item.Lot.ID]; ended && cluster.world.Now.Sub(acked) > clock.Milliseconds(shareCancel) {
+			cluster.test.Fatalf("%s reaches a worker %v after the end of its lot", task.Item.ID, cluster.world.Now.Sub(acked))
 		}
 		task.Begun = true
 		chance := cluster.world.Random.Float64()
@@ -201,13 +201,13 @@
 }
 
 func (s *simDriver) stream(task *itemdriver.Task, next int64) {
-	cluster, life := s.cluster, s.life
-	cluster.world.After(clock.Milliseconds(20+200*cluster.world.Random.Float64()), s.at(life, func() {
+	cluster, incarnation := s.cluster, s.life
+	cluster.world.After(clock.Milliseconds(20+200*cluster.world.Random.Float64()), s.at(incarnation, func() {
 		switch {
 		case task.Stopped():
 		case cluster.frozen[s.name]:
 			// The events wait in the machine's buffers.
-			cluster.thawed[s.name] = append(cluster.thawed[s.name], s.at(life, func() { s.stream(task, next) }))
+			cluster.thawed[s.name] = append(cluster.thawed[s.name], s.at(incarnation, func() { s.stream(task, next) }))
 		case cluster.world.Random.Float64() < 0.03:
 			s.release(task, messages.Acknowledgement{})
 		case cluster.world.Random.Float64() < 0.02 && task.Item.Yield(task.Run):
@@ -222,7 +222,7 @@
 			for _, piece := range task.Item.Pieces {
 				text += string(piece) + "\n"
 			}
-			s.core.Done(task, messages.Acknowledgement{Kind: messages.AckAccept, Text: []byte(text)})
+			s.core.Done(task, messages.Acknowledgement{Kind: messages.AckAccept, Output: []byte(text)})
 		}
 	}))
 }
--- a/internal/batch/store/share_sim_test.go
+++ b/internal/batch/store/share_sim_test.go
@@ -37,8 +37,8 @@
 	accepted map[string]string
 	failures map[string]int
 	rejected map[string]bool
-	sentAt   map[string]clock.Moment
-	endAcked map[string]clock.Moment
+	sentAt   map[string]clock.Instant
+	endAcked map[string]clock.Instant
 	endAsked map[string]bool
 	seen     map[string]int64
 	// callers are the clients; what they draw is their own.
@@ -50,7 +50,7 @@
 	cluster := &shareCluster{simFleet: newSimFleet(t, seed, 4), drivers: map[string]*simDriver{}, dispatchers: map[*simHolder]*lots.Dispatcher{},
 		ending: map[*simHolder]map[string]bool{}, over: map[*simHolder]bool{}, frozen: map[string]bool{}, thawed: map[string][]func(){},
 		offset: map[string]float64{}, rate: map[string]float64{}, accepted: map[string]string{}, failures: map[string]int{},
-		rejected: map[string]bool{}, sentAt: map[string]clock.Moment{}, endAcked: map[string]clock.Moment{}, endAsked: map[string]bool{}, seen: map[string]int64{}}
+		rejected: map[string]bool{}, sentAt: map[string]clock.Instant{}, endAcked: map[string]clock.Instant{}, endAsked: map[string]bool{}, seen: map[string]int64{}}
 	cluster.callRandom = rand.New(rand.NewSource(seed))
 	for _, name := range []string{"s0", "s1", "s2", "s3", "d4", "d5"} {
 		cluster.offset[name] = 1e9 * (1 + 50*cluster.world.Random.Float64())
@@ -63,8 +63,8 @@
 }
 
 // clockValue is the steady clock of a machine.
-func (s *shareCluster) clockValue(name string) clock.Moment {
-	return clock.Moment(s.offset[name] + s.rate[name]*float64(s.world.Now))
+func (s *shareCluster) clockValue(name string) clock.Instant {
+	return clock.Instant(s.offset[name] + s.rate[name]*float64(s.world.Now))
 }
 
 // send carries a message; a frozen machine reads it when it is thawed.
@@ -94,33 +94,33 @@
 	if holder == nil || holder != s.holder || !holder.ready || s.over[holder] || s.stores[holder.at].down || s.frozen[holder.at] {
 		return nil
 	}
-	one := s.dispatchers[holder]
-	if one == nil {
-		one = lots.NewDispatcher(holder.book, holder.epoch, holder.first, lockLength(shareCancel), s.clockValue(holder.at))
-		one.Submit = holder.submit
+	dispatcher := s.dispatchers[holder]
+	if dispatcher == nil {
+		dispatcher = lots.NewDispatcher(holder.book, holder.epoch, holder.first, lockLength(shareCancel), s.clockValue(holder.at))
+		dispatcher.Submit = holder.submit
 		ending := map[string]bool{}
-		one.Closed = func(lot *lots.Lot) bool { return ending[lot.ID] }
-		one.Tries = func(*lots.Item) int { return shareTries }
-		s.dispatchers[holder], s.ending[holder] = one, ending
+		dispatcher.Closed = func(lot *lots.Lot) bool { return ending[lot.ID] }
+		dispatcher.Tries = func(*lots.Item) int { return shareTries }
+		s.dispatchers[holder], s.ending[holder] = dispatcher, ending
 	}
-	return one
+	return dispatcher
 }
 
 // terms gives lots up once they are older than retain-s; the wall clock is shared.
 func (s *shareCluster) terms(lot *lots.Lot) lots.Terms {
-	age := clock.ToMilliseconds(s.world.Now.Since(s.sentAt[lot.ID]))
+	age := clock.ToMilliseconds(s.world.Now.Sub(s.sentAt[lot.ID]))
 	return lots.Terms{Due: int64(s.sentAt[lot.ID]), Late: age > 8000, Over: age > shareRetain}
 }
 
 // tend is the holder's upkeep.
 func (s *shareCluster) tend() {
 	defer s.world.After(clock.Milliseconds(50), s.tend)
-	if one := s.serving(s.holder); one != nil {
+	if dispatcher := s.serving(s.holder); dispatcher != nil {
 		now := s.clockValue(s.holder.at)
-		one.Lapse(now)
-		one.Expire(s.terms, now)
-		one.Sure(now)
-		if now < one.Taken().Plus(one.Lock) && !one.Unsure(now) && s.seen[fmt.Sprint("sure", s.holder.epoch)] == 0 {
+		dispatcher.Lapse(now)
+		dispatcher.Expire(s.terms, now)
+		dispatcher.Sure(now)
+		if now < dispatcher.Taken().Add(dispatcher.Lock) && !dispatcher.Unsure(now) && s.seen[fmt.Sprint("sure", s.holder.epoch)] == 0 {
 			s.seen[fmt.Sprint("sure", s.holder.epoch)] = 1
 			s.seen["early"]++
 		}
@@ -152,18 +152,18 @@
 	}
 	s.number++
 	id := fmt.Sprint("job", s.number)
-	body := &messages.LotBody{Path: "/p/"}
-	for place := 0; place < items; place++ {
-		name := fmt.Sprintf("%s-%d", id, place)
-		if place == 0 && s.number%4 == 0 {
+	body := &messages.JobBody{Path: "/p/"}
+	for i := 0; i < items; i++ {
+		name := fmt.Sprintf("%s-%d", id, i)
+		if i == 0 && s.number%4 == 0 {
 			s.rejected[name] = true
 		}
-		body.Items = append(body.Items, messages.LotItem{ID: name, Tokens: 10, Headers: map[string]string{"Lemonarch-Prompt-Prefix": fmt.Sprintf("%d:9,%s:1", s.number%3, name)}})
+		body.Items = append(body.Items, messages.JobItem{ID: name, Tokens: 10, Headers: map[string]string{"Lemonarch-Prompt-Prefix": fmt.Sprintf("%d:9,%s:1", s.number%3, name)}})
 	}
 	packed, _ := body.MarshalMsg(nil)
 	s.sentAt[id] = s.world.Now
 	told := s.handedIn(id)
-	index := holder.submit(messages.Record{Kind: messages.RecordLot, Lot: id, Body: packed})
+	index := holder.submit(messages.Record{Kind: messages.RecordJob, Job: id, Body: packed})
 	s.whenDurable(holder, index, 100, told)
 }
 
@@ -171,25 +171,25 @@
 // on, drivers are told, and the end is acknowledged once it is durable.
 func (s *shareCluster) endLot(id string) {
 	holder := s.holder
-	one := s.serving(holder)
-	if one == nil || holder.book.Lot(id) == nil || s.endAsked[id] {
+	dispatcher := s.serving(holder)
+	if dispatcher == nil || holder.book.Lot(id) == nil || s.endAsked[id] {
 		return
 	}
 	s.endAsked[id] = true
-	begun := s.world.Now
+	start := s.world.Now
 	s.ending[holder][id] = true
 	var names []string
-	for _, driver := range one.Stop(holder.book.Lot(id)) {
+	for _, driver := range dispatcher.Stop(holder.book.Lot(id)) {
 		names = append(names, driver.Name)
 	}
 	for _, name := range names {
 		s.send(holder.at, name, func() { s.drivers[name].halt(s.drivers[name].core.StopLot(id)) })
 	}
-	index := holder.submit(messages.Record{Kind: messages.RecordEnd, Lot: id})
+	index := holder.submit(messages.Record{Kind: messages.RecordJobEnd, Job: id})
 	s.whenDurable(holder, index, 100, func() {
 		if _, known := s.endAcked[id]; !known {
 			s.endAcked[id] = s.world.Now
-			s.answered(linearize.LotCall{Kind: linearize.LotEnd, Lot: id}, linearize.LotReply{Outcome: linearize.LotDone}, begun)
+			s.answered(linearize.LotCall{Kind: linearize.LotEnd, Lot: id}, linearize.LotReply{Outcome: linearize.LotDone}, start)
 		}
 	})
 }
--- a/internal/batch/store/share_test.go
+++ b/internal/batch/store/share_test.go
@@ -26,17 +26,17 @@
 			cluster.world.After(clock.Milliseconds(300*random.Float64()), func() { cluster.endLot(id) })
 		}
 		victim := names[random.Intn(len(names))]
-		span := clock.Milliseconds(200 + 4000*random.Float64())
+		timeout := clock.Milliseconds(200 + 4000*random.Float64())
 		switch random.Intn(6) {
 		case 0:
 			if cluster.holder.at != victim {
 				cluster.freeze(victim)
-				cluster.world.After(span, func() { cluster.thaw(victim) })
+				cluster.world.After(timeout, func() { cluster.thaw(victim) })
 			}
 		case 1:
 			cluster.isolate(victim, names, true)
-			cluster.world.After(span, func() { cluster.isolate(victim, names, false) })
-			cluster.world.Run(cluster.world.Now.Plus(clock.Milliseconds(100)))
+			cluster.world.After(timeout, func() { cluster.isolate(victim, names, false) })
+			cluster.world.Run(cluster.world.Now.Add(clock.Milliseconds(100)))
 			if cluster.holder.at == victim {
 				cluster.isolate(victim, names, false)
 				cluster.move()
@@ -50,7 +50,7 @@
 		case 5:
 			cluster.slow(names, victim, 12)
 		}
-		cluster.world.Run(cluster.world.Now.Plus(clock.Milliseconds(200 + 900*random.Float64())))
+		cluster.world.Run(cluster.world.Now.Add(clock.Milliseconds(200 + 900*random.Float64())))
 	}
 	// A calm time: all that may end ends.
 	for _, name := range names {
@@ -58,9 +58,9 @@
 		cluster.isolate(name, names, false)
 	}
 	cluster.world.Loss, cluster.world.Double = 0, 0
-	cluster.world.Run(cluster.world.Now.Plus(clock.Milliseconds(6000)))
+	cluster.world.Run(cluster.world.Now.Add(clock.Milliseconds(6000)))
 	cluster.move()
-	cluster.world.Run(cluster.world.Now.Plus(clock.Milliseconds(35_000)))
+	cluster.world.Run(cluster.world.Now.Add(clock.Milliseconds(35_000)))
 	return cluster
 }
 
@@ -85,20 +85,20 @@
 // powerOrDisk takes a store's power or its whole disk, while another holds the duty.
 func (s *shareCluster) powerOrDisk(wipe bool, round int) {
 	victim := s.set[s.world.Random.Intn(len(s.set))]
-	one := s.stores[victim.Address]
-	one.down = true
+	store := s.stores[victim.Address]
+	store.down = true
 	s.drivers[victim.Address].restart()
-	one.disk.PowerLoss()
+	store.disk.PowerLoss()
 	if wipe {
-		one.disk.Wipe()
+		store.disk.Wipe()
 	}
 	s.move()
 	if wipe {
-		one.member.Disk = fmt.Sprintf("%s-%d", one.member.Name, round+1)
+		store.member.Disk = fmt.Sprintf("%s-%d", store.member.Name, round+1)
 	}
-	s.open(one)
+	s.open(store)
 	if wipe {
-		s.swap(victim, one.member)
+		s.swap(victim, store.member)
 	}
 }
 
@@ -117,13 +117,13 @@
 		cluster.judge(seed)
 		cluster.checkCalls(seed)
 		total["calls"] += int64(cluster.callers.history.Clear())
-		for _, one := range cluster.dispatchers {
-			total["lapses"] += one.Counts.Lapses
-			total["adopted"] += one.Counts.Adopted
-			total["releases"] += one.Counts.Releases
-			total["late"] += one.Counts.Late
-			total["failures"] += one.Counts.Failures
-			total["dropped"] += one.Counts.Dropped
+		for _, dispatcher := range cluster.dispatchers {
+			total["lapses"] += dispatcher.Counts.Lapses
+			total["adopted"] += dispatcher.Counts.Adopted
+			total["releases"] += dispatcher.Counts.Releases
+			total["late"] += dispatcher.Counts.Late
+			total["failures"] += dispatcher.Counts.Failures
+			total["dropped"] += dispatcher.Counts.Dropped
 		}
 		total["accepted"] += int64(len(cluster.accepted))
 		total["early"] += cluster.seen["early"]
--- a/internal/batch/store/simulation_holder_test.go
+++ b/internal/batch/store/simulation_holder_test.go
@@ -10,7 +10,7 @@
 )
 
 // begin goes on from the best copy. Fetching is done in one step here.
-func (s *simHolder) begin(set []messages.Member, copies map[string]messages.Raised) {
+func (s *simHolder) begin(set []messages.Member, copies map[string]messages.FenceResponse) {
 	own := s.fleet.stores[s.at]
 	best := lots.Best(copies)
 	if best != register.Identity(own.member) {
@@ -21,13 +21,13 @@
 			source := s.fleet.stores[member.Address]
 			target := copies[best]
 			for next := lots.Common(own.store.Extent(), lots.ExtentOf(&target)) + 1; next <= copies[best].Last; {
-				fetched, err := source.store.Fetch(&messages.Fetch{First: next})
+				fetched, err := source.store.Fetch(&messages.FetchRequest{First: next})
 				if err != nil || source.down || len(fetched.Records) == 0 {
 					return
 				}
-				answer, err := own.store.Append(&messages.Append{Epoch: s.epoch, Disk: own.member.Disk, PreviousIndex: next - 1,
+				resp, err := own.store.Append(&messages.AppendRequest{Epoch: s.epoch, Disk: own.member.Disk, PreviousIndex: next - 1,
 					PreviousEpoch: own.store.EpochAt(next - 1), Records: fetched.Records, Base: fetched.Base, BaseEpoch: fetched.BaseEpoch})
-				if err != nil || !answer.Granted {
+				if err != nil || !resp.Granted {
 					return
 				}
 				next = fetched.Records[len(fetched.Records)-1].Index + 1
@@ -42,7 +42,7 @@
 	}
 	s.book, s.first, s.applied = book, last+1, last
 	s.fleet.holder = s
-	s.submit(messages.Record{Kind: messages.RecordNothing})
+	s.submit(messages.Record{Kind: messages.RecordNoop})
 	for _, member := range set {
 		s.next[register.Identity(member)] = last + 1
 		s.feed(member)
@@ -66,11 +66,11 @@
 	if next > s.press.Last() {
 		return
 	}
-	order := &messages.Append{Epoch: s.epoch, Disk: member.Disk, PreviousIndex: next - 1, Done: s.press.Done()}
+	order := &messages.AppendRequest{Epoch: s.epoch, Disk: member.Disk, PreviousIndex: next - 1, CommitIndex: s.press.Done()}
 	if next >= s.first && next > fleet.stores[s.at].store.Compacted() {
 		order.Records = append(order.Records, s.records[next-s.first:]...)
 	} else {
-		fetched, err := fleet.stores[s.at].store.Fetch(&messages.Fetch{First: next})
+		fetched, err := fleet.stores[s.at].store.Fetch(&messages.FetchRequest{First: next})
 		if err != nil {
 			return
 		}
@@ -92,22 +92,22 @@
 		if target.down {
 			return
 		}
-		answer, err := target.store.Append(order)
+		resp, err := target.store.Append(order)
 		if err != nil {
 			return
 		}
 		fleet.world.Send(member.Address, s.at, func() {
 			switch {
-			case answer.Epoch > s.epoch:
+			case resp.Epoch > s.epoch:
 				// A later epoch was raised: the term ends, as the real one does.
 				s.fenced = true
-			case answer.Granted:
-				s.next[identity] = max(s.next[identity], answer.Last+1)
-				if s.press.Matched(identity, answer.Last) {
+			case resp.Granted:
+				s.next[identity] = max(s.next[identity], resp.Last+1)
+				if s.press.Matched(identity, resp.Last) {
 					s.apply()
 				}
-			case answer.Stretches != nil:
-				common := lots.Common(fleet.stores[s.at].store.Extent(), lots.ExtentBehind(&answer))
+			case resp.EpochRanges != nil:
+				common := lots.Common(fleet.stores[s.at].store.Extent(), lots.ExtentBehind(&resp))
 				s.next[identity] = min(common, next-1) + 1
 			}
 		})
@@ -125,14 +125,14 @@
 		}
 		s.applied++
 		if record.Kind == messages.RecordForget {
-			fleet.gone[record.Lot] = true
+			fleet.gone[record.Job] = true
 		}
 		// An earlier holder that hears late of its copies tells nothing that binds of a lot
 		// whose time was over meanwhile.
-		if record.Kind != messages.RecordOutput || fleet.dropped[record.Lot] {
+		if record.Kind != messages.RecordOutput || fleet.dropped[record.Job] {
 			continue
 		}
-		place := fmt.Sprintf("%s/%d", record.Lot, record.Position)
+		place := fmt.Sprintf("%s/%d", record.Job, record.Position)
 		if other, known := fleet.told[place]; known && other != record.Item {
 			fleet.test.Fatalf("position %s held %s and now holds %s", place, other, record.Item)
 		}
--- a/internal/batch/store/simulation_test.go
+++ b/internal/batch/store/simulation_test.go
@@ -62,7 +62,7 @@
 	isolated map[string]bool
 	// budget is how many stores may be lost at once.
 	budget int
-	lag    map[string]clock.Span
+	lag    map[string]clock.Duration
 }
 
 // newSimFleet makes stores of which the first three are the set, for a budget of one.
@@ -72,29 +72,29 @@
 
 func newSimFleetOf(t *testing.T, seed int64, count, budget, size int) *simFleet {
 	fleet := &simFleet{budget: budget, test: t, world: simulation.NewWorld(seed), stores: map[string]*simStore{}, told: map[string]string{}, toldAt: map[string]uint64{}, gone: map[string]bool{}, isolated: map[string]bool{}, dropped: map[string]bool{}, sent: map[string]traffic{}}
-	for place := 0; place < count; place++ {
-		name := fmt.Sprintf("s%d", place)
-		one := &simStore{disk: simulation.NewDisk(seed*31 + int64(place))}
-		one.member = messages.Member{Name: name, Address: name, Disk: name + "-0"}
-		fleet.open(one)
-		fleet.stores[name] = one
-		if place < size {
-			fleet.set = append(fleet.set, one.member)
+	for i := 0; i < count; i++ {
+		name := fmt.Sprintf("s%d", i)
+		store := &simStore{disk: simulation.NewDisk(seed*31 + int64(i))}
+		store.member = messages.Member{Name: name, Address: name, Disk: name + "-0"}
+		fleet.open(store)
+		fleet.stores[name] = store
+		if i < size {
+			fleet.set = append(fleet.set, store.member)
 		}
 	}
 	fleet.tidy(rand.New(rand.NewSource(seed)))
 	return fleet
 }
 
-func (s *simFleet) open(one *simStore) {
-	store, err := OpenStore(one.disk, one.member.Disk)
+func (s *simFleet) open(ss *simStore) {
+	store, err := OpenStore(ss.disk, ss.member.Disk)
 	if err != nil {
 		s.test.Fatal(err)
 	}
 	// Files are rewritten as soon as half of them says nothing any more.
 	store.rewrite = rewritePlan{bytes: 1 << 40, records: 6, lag: clock.Milliseconds(150)}
-	one.store, one.down = store, false
-	one.member.Disk = store.Disk()
+	ss.store, ss.down = store, false
+	ss.member.Disk = store.Disk()
 }
 
 // take makes a process the holder of a new epoch; the one before may not notice.
@@ -102,7 +102,7 @@
 	s.epoch++
 	holder := &simHolder{fleet: s, at: name, epoch: s.epoch, next: map[string]int64{}, forgets: map[string]bool{}}
 	set := append([]messages.Member(nil), s.set...)
-	copies := map[string]messages.Raised{}
+	copies := map[string]messages.FenceResponse{}
 	started := false
 	for _, member := range set {
 		target := s.stores[member.Address]
@@ -110,12 +110,12 @@
 			if target.down {
 				return
 			}
-			answer, err := target.store.Raise(&messages.Raise{Epoch: holder.epoch, Disk: member.Disk})
+			resp, err := target.store.Raise(&messages.FenceRequest{Epoch: holder.epoch, Disk: member.Disk})
 			s.world.Send(member.Address, name, func() {
-				if err != nil || !answer.Granted || s.stores[name].down {
+				if err != nil || !resp.Granted || s.stores[name].down {
 					return
 				}
-				copies[register.Identity(member)] = answer
+				copies[register.Identity(member)] = resp
 				own := copies[register.Identity(s.stores[name].member)].Granted
 				if !started && own && lots.Enough(len(set), len(copies), s.budget) {
 					started = true
--- a/internal/batch/store/stop.go
+++ b/internal/batch/store/stop.go
@@ -23,17 +23,17 @@
 		for _, entry := range t.server.Node.Live(membership.RoleStore) {
 			addresses = append(addresses, entry.Address)
 		}
-		addresses = append(addresses, t.server.Node.Own.Address)
+		addresses = append(addresses, t.server.Node.Self.Address)
 	}
 	for _, address := range addresses {
-		if address == t.server.Node.Own.Address {
+		if address == t.server.Node.Self.Address {
 			go t.server.driver.stopLot(lot.ID)
 			continue
 		}
 		go func() {
-			told, answer := &messages.StopRuns{Lot: lot.ID}, &messages.Nothing{}
+			told, resp := &messages.StopJobRequest{Job: lot.ID}, &messages.Ack{}
 			for try := 0; try < 2; try++ {
-				if transport.Ask(t.server.Node.Wire, address, messages.KindStopRuns, told, answer, constants.CallTime) == nil {
+				if transport.Call(t.server.Node.Transport, address, messages.KindStopJob, told, resp, constants.CallTimeout) == nil {
 					return
 				}
 			}
@@ -45,41 +45,41 @@
 // them.
 func (s *Server) driverAnswerers() {
 	runtime := s.Node
-	runtime.Answer(messages.KindAcquire, func(body []byte) ([]byte, error) {
-		question := &messages.Acquire{}
-		if err := transport.Read(body, question); err != nil {
+	runtime.Handle(messages.KindAcquire, func(body []byte) ([]byte, error) {
+		req := &messages.AcquireRequest{}
+		if err := transport.Decode(body, req); err != nil {
 			return nil, err
 		}
-		return transport.Write(s.acquire(question))
+		return transport.Encode(s.acquire(req))
 	})
-	runtime.Answer(messages.KindAcknowledge, func(body []byte) ([]byte, error) {
-		question := &messages.Acknowledge{}
-		if err := transport.Read(body, question); err != nil {
+	runtime.Handle(messages.KindAcknowledge, func(body []byte) ([]byte, error) {
+		req := &messages.AcknowledgeRequest{}
+		if err := transport.Decode(body, req); err != nil {
 			return nil, err
 		}
-		return transport.Write(s.acknowledge(question))
+		return transport.Encode(s.acknowledge(req))
 	})
-	runtime.Answer(messages.KindStopRuns, func(body []byte) ([]byte, error) {
-		told := &messages.StopRuns{}
-		if err := transport.Read(body, told); err != nil {
+	runtime.Handle(messages.KindStopJob, func(body []byte) ([]byte, error) {
+		told := &messages.StopJobRequest{}
+		if err := transport.Decode(body, told); err != nil {
 			return nil, err
 		}
-		s.driver.stopLot(told.Lot)
-		return transport.Write(&messages.Nothing{Taken: true})
+		s.driver.stopLot(told.Job)
+		return transport.Encode(&messages.Ack{Accepted: true})
 	})
 }
 
 // acquire and acknowledge are the dispatcher's side, for drivers here and elsewhere.
-func (s *Server) acquire(question *messages.Acquire) *messages.Acquired {
+func (s *Server) acquire(req *messages.AcquireRequest) *messages.AcquireResponse {
 	if current := s.current(); current != nil {
-		return current.acquire(question)
+		return current.acquire(req)
 	}
-	return &messages.Acquired{Elsewhere: true, Holder: s.elsewhere().Holder}
+	return &messages.AcquireResponse{NotLeader: true, Leader: s.elsewhere().Leader}
 }
 
-func (s *Server) acknowledge(question *messages.Acknowledge) *messages.Acknowledged {
+func (s *Server) acknowledge(req *messages.AcknowledgeRequest) *messages.AcknowledgeResponse {
 	if current := s.current(); current != nil {
-		return current.acknowledge(question)
+		return current.acknowledge(req)
 	}
-	return &messages.Acknowledged{Elsewhere: true, Holder: s.elsewhere().Holder}
+	return &messages.AcknowledgeResponse{NotLeader: true, Leader: s.elsewhere().Leader}
 }
--- a/internal/batch/store/store.go
+++ b/internal/batch/store/store.go
@@ -11,8 +11,8 @@
 	"lemonarch/internal/platform/recordlog"
 )
 
-// StoreDamaged is the error of a store whose disk can't be read or written.
-var StoreDamaged = errs.Define("store")
+// ErrCorrupt is the error of a store whose disk can't be read or written.
+var ErrCorrupt = errs.Define("store")
 
 // storeName is the file of the replica.
 const storeName = "replica"
@@ -21,7 +21,7 @@
 type Store struct {
 	lock    sync.Mutex
 	replica *lots.Replica
-	logfile *recordlog.Logfile
+	logfile *recordlog.Log
 	// done is the index up to which all is known to be durable.
 	done    int64
 	rewrite rewritePlan
@@ -34,26 +34,26 @@
 	store := &Store{replica: lots.NewReplica(""), rewrite: usualRewrite()}
 	logfile, err := recordlog.Open(disk, storeName, func(offset int64, body []byte) error {
 		record := messages.ReplicaRecord{}
-		if _, problem := record.UnmarshalMsg(body); problem != nil {
-			return StoreDamaged.Wrap(problem, storeName)
+		if _, cause := record.UnmarshalMsg(body); cause != nil {
+			return ErrCorrupt.Wrap(cause, storeName)
 		}
 		if record.Disk != "" {
 			store.replica.Disk = record.Disk
 		}
 		store.replica.SetFence(record.Fence)
-		if record.HasCut {
-			store.replica.Cut(record.CutTo)
+		if record.HasTruncation {
+			store.replica.Cut(record.TruncateTo)
 		}
 		if record.Base > 0 {
 			store.replica.Reset(lots.Base{Index: record.Base, Epoch: record.BaseEpoch})
 		}
-		if record.Has {
-			return StoreDamaged.Wrap(store.replica.Restore(&record.Entry, offset), storeName)
+		if record.HasEntry {
+			return ErrCorrupt.Wrap(store.replica.Restore(&record.Entry, offset), storeName)
 		}
 		return nil
 	})
 	if err != nil {
-		return nil, StoreDamaged.Wrap(err, "open")
+		return nil, ErrCorrupt.Wrap(err, "open")
 	}
 	store.logfile = logfile
 	store.base.Store(store.replica.Base().Index)
@@ -76,10 +76,10 @@
 
 func (s *Store) writeAll(records []messages.ReplicaRecord) ([]int64, error) {
 	bodies := make([][]byte, 0, len(records))
-	for place := range records {
-		body, err := records[place].MarshalMsg(nil)
+	for i := range records {
+		body, err := records[i].MarshalMsg(nil)
 		if err != nil {
-			return nil, StoreDamaged.Wrap(err, "record")
+			return nil, ErrCorrupt.Wrap(err, "record")
 		}
 		bodies = append(bodies, body)
 	}
@@ -87,54 +87,54 @@
 	if err == nil {
 		err = s.logfile.Sync()
 	}
-	return offsets, StoreDamaged.Wrap(err, "append")
+	return offsets, ErrCorrupt.Wrap(err, "append")
 }
 
 // Raise takes a new holder's epoch.
-func (s *Store) Raise(question *messages.Raise) (messages.Raised, error) {
+func (s *Store) Raise(req *messages.FenceRequest) (messages.FenceResponse, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	answer, keep := s.replica.Raise(question)
+	resp, keep := s.replica.Raise(req)
 	if keep {
-		if err := s.write(messages.ReplicaRecord{Fence: question.Epoch}); err != nil {
-			return messages.Raised{}, err
+		if err := s.write(messages.ReplicaRecord{Fence: req.Epoch}); err != nil {
+			return messages.FenceResponse{}, err
 		}
-		s.replica.SetFence(question.Epoch)
+		s.replica.SetFence(req.Epoch)
 	}
-	return answer, nil
+	return resp, nil
 }
 
 // Append takes records, and answers once they are synced.
-func (s *Store) Append(question *messages.Append) (messages.Appended, error) {
+func (s *Store) Append(req *messages.AppendRequest) (messages.AppendResponse, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	plan, answer := s.replica.Append(question)
-	if !answer.Granted {
-		return answer, nil
+	plan, resp := s.replica.Append(req)
+	if !resp.Granted {
+		return resp, nil
 	}
 	var records []messages.ReplicaRecord
 	if plan.Raise || plan.Cut || plan.Reset != nil {
-		head := messages.ReplicaRecord{Fence: question.Epoch, HasCut: plan.Cut, CutTo: plan.CutTo}
+		head := messages.ReplicaRecord{Fence: req.Epoch, HasTruncation: plan.Cut, TruncateTo: plan.CutTo}
 		if plan.Reset != nil {
 			head.Base, head.BaseEpoch = plan.Reset.Index, plan.Reset.Epoch
 		}
 		records = append(records, head)
 	}
-	marks := len(records)
-	for place := range plan.Records {
-		records = append(records, messages.ReplicaRecord{Has: true, Entry: plan.Records[place]})
+	hashes := len(records)
+	for i := range plan.Records {
+		records = append(records, messages.ReplicaRecord{HasEntry: true, Entry: plan.Records[i]})
 	}
 	if len(records) > 0 {
 		offsets, err := s.writeAll(records)
 		if err != nil {
-			return messages.Appended{}, err
+			return messages.AppendResponse{}, err
 		}
-		s.replica.Commit(plan, question.Epoch, offsets[marks:])
+		s.replica.Commit(plan, req.Epoch, offsets[hashes:])
 		s.base.Store(s.replica.Base().Index)
 	}
 	// Behind what joins on to the holder's records there may be a tail of an earlier one.
-	s.done = max(s.done, min(question.Done, answer.Last))
-	return answer, nil
+	s.done = max(s.done, min(req.CommitIndex, resp.Last))
+	return resp, nil
 }
 
 // Read gives a record with its body.
@@ -146,7 +146,7 @@
 
 func (s *Store) read(index int64) (*messages.Record, error) {
 	if index < 1 || index > s.replica.Last() {
-		return nil, StoreDamaged.New("no such record")
+		return nil, ErrCorrupt.New("no such record")
 	}
 	slot, found := s.replica.Slot(index)
 	if !found {
@@ -155,42 +155,42 @@
 	}
 	body, err := s.logfile.ReadAt(slot.Offset)
 	if err != nil {
-		return nil, StoreDamaged.Wrap(err, "read")
+		return nil, ErrCorrupt.Wrap(err, "read")
 	}
 	record := messages.ReplicaRecord{}
 	if _, err = record.UnmarshalMsg(body); err != nil {
-		return nil, StoreDamaged.Wrap(err, "read")
+		return nil, ErrCorrupt.Wrap(err, "read")
 	}
 	return &record.Entry, nil
 }
 
 // Fetch gives a stretch of records. A copy that is not whole is no source.
-func (s *Store) Fetch(question *messages.Fetch) (*messages.Fetched, error) {
+func (s *Store) Fetch(req *messages.FetchRequest) (*messages.FetchResponse, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if (question.Disk != "" && question.Disk != s.replica.Disk) || !s.replica.Whole() {
-		return &messages.Fetched{}, nil
+	if (req.Disk != "" && req.Disk != s.replica.Disk) || !s.replica.Whole() {
+		return &messages.FetchResponse{}, nil
 	}
-	answer := &messages.Fetched{Granted: true, Last: s.replica.Last()}
-	if base := s.replica.Base(); question.First <= base.Index {
-		answer.Base, answer.BaseEpoch = base.Index, base.Epoch
+	resp := &messages.FetchResponse{Granted: true, Last: s.replica.Last()}
+	if base := s.replica.Base(); req.First <= base.Index {
+		resp.Base, resp.BaseEpoch = base.Index, base.Epoch
 	}
 	size := 0
-	var problem error
-	s.replica.Each(question.First, func(slot lots.Slot) bool {
+	var cause error
+	s.replica.Each(req.First, func(slot lots.Slot) bool {
 		record, err := s.read(slot.Index)
 		if err != nil {
-			problem = err
+			cause = err
 			return false
 		}
 		size += len(record.Body) + 128
-		answer.Records = append(answer.Records, *record)
+		resp.Records = append(resp.Records, *record)
 		return size < constants.AppendBytes
 	})
-	if problem != nil {
-		return nil, problem
+	if cause != nil {
+		return nil, cause
 	}
-	return answer, nil
+	return resp, nil
 }
 
 // Book makes the book of lots from all records.
@@ -199,7 +199,7 @@
 	var records []*messages.Record
 	err := s.each(func(record *messages.Record) {
 		if record.Kind == messages.RecordForget {
-			forgotten[record.Lot] = record.Index
+			forgotten[record.Job] = record.Index
 		}
 		if record.Kind == messages.RecordOutput {
 			// Its text is read from disk when it is asked for.
@@ -209,7 +209,7 @@
 	})
 	book := lots.NewBook()
 	for _, record := range records {
-		if err == nil && (record.Lot == "" || record.Index > forgotten[record.Lot]) {
+		if err == nil && (record.Job == "" || record.Index > forgotten[record.Job]) {
 			err = book.Apply(record)
 		}
 	}
@@ -217,19 +217,19 @@
 }
 
 // each reads all records that are kept, in order.
-func (s *Store) each(visit func(record *messages.Record)) (problem error) {
+func (s *Store) each(visit func(record *messages.Record)) (cause error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.replica.Each(1, func(slot lots.Slot) bool {
 		record, err := s.read(slot.Index)
 		if err != nil {
-			problem = err
+			cause = err
 			return false
 		}
 		visit(record)
 		return true
 	})
-	return problem
+	return cause
 }
 
 // Compacted is the index up to which the records are compacted.
--- a/internal/batch/store/swap_test.go
+++ b/internal/batch/store/swap_test.go
@@ -32,23 +32,23 @@
 // Two newcomers of one time copy from two members, and nobody from the holder or
 // from a member that is far behind.
 func TestNewcomersShareNoSource(t *testing.T) {
-	one := rule(t, soleLocker(t, simulation.NewDisk(12)), 1)
-	one.lock.Lock()
-	defer one.lock.Unlock()
-	done := one.press.Done()
+	term := rule(t, soleLocker(t, simulation.NewDisk(12)), 1)
+	term.lock.Lock()
+	defer term.lock.Unlock()
+	done := term.press.Done()
 	for _, name := range []string{"r", "s", "t"} {
-		one.press.Members = append(one.press.Members, messages.Member{Name: name, Address: name, Disk: name})
+		term.press.Members = append(term.press.Members, messages.Member{Name: name, Address: name, Disk: name})
 	}
-	one.press.Matched("r#r", done)
-	one.press.Matched("s#s", done)
-	first, _ := one.source(messages.Member{Name: "t", Address: "t"}, 0)
-	second, _ := one.source(messages.Member{Name: "u", Address: "u"}, 1)
+	term.press.Matched("r#r", done)
+	term.press.Matched("s#s", done)
+	first, _ := term.source(messages.Member{Name: "t", Address: "t"}, 0)
+	second, _ := term.source(messages.Member{Name: "u", Address: "u"}, 1)
 	if first == nil || second == nil || first.Name == second.Name {
 		t.Fatal(first, second)
 	}
-	for place := 0; place < 4; place++ {
-		if found, _ := one.source(messages.Member{Name: "r", Address: "r"}, place); found == nil || found.Name != "s" {
-			t.Fatal(place, found)
+	for i := 0; i < 4; i++ {
+		if found, _ := term.source(messages.Member{Name: "r", Address: "r"}, i); found == nil || found.Name != "s" {
+			t.Fatal(i, found)
 		}
 	}
 }
@@ -56,33 +56,33 @@
 // A newcomer that answers but does not get on keeps another one out of the set only for
 // a while: the set is made whole by as much as can be.
 func TestSlowNewcomerHoldsNobodyUp(t *testing.T) {
-	one := rule(t, soleLocker(t, simulation.NewDisk(12)), 1)
-	room := transport.NewRoom()
-	one.server.Node.Wire = room.Transport("m")
+	term := rule(t, soleLocker(t, simulation.NewDisk(12)), 1)
+	room := transport.NewMemoryNetwork()
+	term.server.Node.Transport = room.Transport("m")
 	store, err := OpenStore(simulation.NewDisk(13), "quick")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = room.Transport("quick").Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
-		question := &messages.Append{}
-		if kind != messages.KindAppend || transport.Read(body, question) != nil {
-			return transport.Write(&messages.Status{})
+		req := &messages.AppendRequest{}
+		if kind != messages.KindAppend || transport.Decode(body, req) != nil {
+			return transport.Encode(&messages.StatusResponse{})
 		}
-		answer, problem := store.Append(question)
-		if problem != nil {
-			return nil, problem
+		resp, cause := store.Append(req)
+		if cause != nil {
+			return nil, cause
 		}
-		return transport.Write(&answer)
+		return transport.Encode(&resp)
 	})
 	_ = room.Transport("slow").Serve(func(kind messages.Kind, _ []byte) ([]byte, error) {
 		if kind == messages.KindAppend {
-			return nil, StoreDamaged.New("disk hangs")
+			return nil, ErrCorrupt.New("disk hangs")
 		}
-		return transport.Write(&messages.Status{})
+		return transport.Encode(&messages.StatusResponse{})
 	})
-	begun := clock.Now()
-	whole := one.ready([]swap{{nil, messages.Member{Name: "quick", Address: "quick", Disk: "quick"}}, {nil, messages.Member{Name: "slow", Address: "slow", Disk: "slow"}}})
-	if len(whole) != 1 || whole[0].in.Name != "quick" || clock.Now().Since(begun) > constants.SetChange/2 {
-		t.Fatal(whole, clock.Now().Since(begun))
+	start := clock.Now()
+	whole := term.ready([]swap{{nil, messages.Member{Name: "quick", Address: "quick", Disk: "quick"}}, {nil, messages.Member{Name: "slow", Address: "slow", Disk: "slow"}}})
+	if len(whole) != 1 || whole[0].in.Name != "quick" || clock.Now().Sub(start) > constants.SetChangeTimeout/2 {
+		t.Fatal(whole, clock.Now().Sub(start))
 	}
 }
--- a/internal/batch/store/takeover.go
+++ b/internal/batch/store/takeover.go
@@ -15,7 +15,7 @@
 func (t *term) takeOver() {
 	server := t.server
 	own := register.Identity(server.member())
-	var copies map[string]messages.Raised
+	var copies map[string]messages.FenceResponse
 	for {
 		copies = t.raise()
 		if lots.Enough(len(t.press.Members), len(copies), server.budget()) && copies[own].Granted {
@@ -45,17 +45,17 @@
 	t.openDispatcher(last + 1)
 	for _, member := range t.press.Members {
 		common := last
-		if one, known := copies[register.Identity(member)]; known {
-			common = lots.Common(extent, lots.ExtentOf(&one))
+		if response, known := copies[register.Identity(member)]; known {
+			common = lots.Common(extent, lots.ExtentOf(&response))
 		}
 		if register.Identity(member) == own {
 			common = last
 		}
 		t.feed(member, common)
 	}
-	index := t.submit(messages.Record{Kind: messages.RecordNothing})
+	index := t.submit(messages.Record{Kind: messages.RecordNoop})
 	t.lock.Unlock()
-	for !t.durable(index, constants.HoldTime) {
+	for !t.durable(index, constants.LeaseDuration) {
 		if t.over() {
 			return
 		}
@@ -66,7 +66,7 @@
 	t.ring()
 	t.lock.Unlock()
 	server.Node.Log.Info("duty served", "epoch", t.duty.Epoch, "records", last, "lots", lotList)
-	go clock.Every(constants.HoldRenewal, t.stop, t.tell)
+	go clock.Every(constants.LeaseRenewPeriod, t.stop, t.tell)
 	go clock.Every(constants.GossipPeriod/2, t.stop, t.tendSet)
 	go clock.Every(constants.GossipPeriod, t.stop, t.forget)
 	go t.tendItems()
@@ -76,35 +76,35 @@
 
 // raise asks every store of the set to take orders of this epoch only. It returns
 // once enough have answered; those that answer later are fed all the same.
-func (t *term) raise() map[string]messages.Raised {
+func (t *term) raise() map[string]messages.FenceResponse {
 	server := t.server
 	type heard struct {
 		identity string
-		answer   messages.Raised
+		answer   messages.FenceResponse
 	}
 	members := t.press.Members
 	answers := make(chan heard, len(members))
 	for _, member := range members {
 		go func() {
-			question := &messages.Raise{Epoch: t.duty.Epoch, Disk: member.Disk}
-			one := heard{identity: register.Identity(member)}
+			req := &messages.FenceRequest{Epoch: t.duty.Epoch, Disk: member.Disk}
+			h := heard{identity: register.Identity(member)}
 			var err error
-			if member.Address == server.Node.Own.Address {
-				one.answer, err = server.Store.Raise(question)
+			if member.Address == server.Node.Self.Address {
+				h.answer, err = server.Store.Raise(req)
 			} else {
-				err = transport.Ask(server.Node.Wire, member.Address, messages.KindRaise, question, &one.answer, constants.RoundTime)
+				err = transport.Call(server.Node.Transport, member.Address, messages.KindFence, req, &h.answer, constants.RoundTimeout)
 			}
 			if err != nil {
-				one.answer.Granted = false
+				h.answer.Granted = false
 			}
-			answers <- one
+			answers <- h
 		}()
 	}
-	copies := map[string]messages.Raised{}
+	copies := map[string]messages.FenceResponse{}
 	for range members {
-		one := <-answers
-		if one.answer.Granted {
-			copies[one.identity] = one.answer
+		h := <-answers
+		if h.answer.Granted {
+			copies[h.identity] = h.answer
 		}
 		if lots.Enough(len(members), len(copies), server.budget()) && copies[register.Identity(server.member())].Granted {
 			break
@@ -114,7 +114,7 @@
 }
 
 // catchUp cuts our own copy where it parts from the best one and fetches the rest.
-func (t *term) catchUp(best string, copies map[string]messages.Raised) bool {
+func (t *term) catchUp(best string, copies map[string]messages.FenceResponse) bool {
 	server := t.server
 	address := ""
 	for _, member := range t.press.Members {
@@ -128,15 +128,15 @@
 		if t.over() {
 			return false
 		}
-		fetched := &messages.Fetched{}
-		if transport.Ask(server.Node.Wire, address, messages.KindFetch, &messages.Fetch{First: next}, fetched, constants.BulkCallTime) != nil || len(fetched.Records) == 0 {
+		fetched := &messages.FetchResponse{}
+		if transport.Call(server.Node.Transport, address, messages.KindFetch, &messages.FetchRequest{First: next}, fetched, constants.BulkCallTimeout) != nil || len(fetched.Records) == 0 {
 			return false
 		}
-		order := &messages.Append{Epoch: t.duty.Epoch, Disk: server.Store.Disk(), PreviousIndex: next - 1,
+		order := &messages.AppendRequest{Epoch: t.duty.Epoch, Disk: server.Store.Disk(), PreviousIndex: next - 1,
 			PreviousEpoch: server.Store.EpochAt(next - 1), Records: fetched.Records,
 			Base: fetched.Base, BaseEpoch: fetched.BaseEpoch}
-		answer, err := server.Store.Append(order)
-		if err != nil || !answer.Granted {
+		resp, err := server.Store.Append(order)
+		if err != nil || !resp.Granted {
 			return false
 		}
 		next = fetched.Records[len(fetched.Records)-1].Index + 1
@@ -161,8 +161,8 @@
 // duty at once.
 func (t *term) giveUp() {
 	t.server.release()
-	told := &messages.HolderTold{Duty: t.duty, Over: true}
-	t.server.Node.Spread(t.server.Node.Live(membership.RoleStore), messages.KindHolderTold, told, constants.HoldRenewal, nil)
+	announcement := &messages.LeaderAnnouncement{Leadership: t.duty, Resigned: true}
+	t.server.Node.Multicast(t.server.Node.Live(membership.RoleStore), messages.KindLeaderAnnouncement, announcement, constants.LeaseRenewPeriod, nil)
 }
 
 // tell makes known who holds the duty: to stores each time, since one that does not hear
@@ -173,8 +173,8 @@
 		return
 	}
 	peers := t.server.Node.Live(membership.RoleStore)
-	if count := t.tells.Add(1); count <= constants.HolderReminder || count%constants.HolderReminder == 0 {
+	if count := t.tells.Add(1); count <= constants.LeaderReminderRounds || count%constants.LeaderReminderRounds == 0 {
 		peers = append(peers, t.server.Node.Live(membership.RoleGateway)...)
 	}
-	t.server.Node.Spread(peers, messages.KindHolderTold, &messages.HolderTold{Duty: t.duty}, constants.HoldRenewal, nil)
+	t.server.Node.Multicast(peers, messages.KindLeaderAnnouncement, &messages.LeaderAnnouncement{Leadership: t.duty}, constants.LeaseRenewPeriod, nil)
 }
--- a/internal/batch/store/term.go
+++ b/internal/batch/store/term.go
@@ -13,7 +13,7 @@
 // term is the time of one epoch in which this process holds the lots.
 type term struct {
 	server  *Server
-	duty    messages.Duty
+	duty    messages.Leadership
 	lock    sync.Mutex
 	press   *lots.Press
 	book    *lots.Book
@@ -29,7 +29,7 @@
 	bell    chan struct{}
 	// fresh wakes drivers that wait for items; begun is when the duty was taken.
 	fresh      chan struct{}
-	begun      clock.Moment
+	begun      clock.Instant
 	dispatcher *lots.Dispatcher
 	stop       chan struct{}
 	ended      sync.Once
@@ -38,8 +38,8 @@
 	lag        lots.Lag
 }
 
-func newTerm(server *Server, duty messages.Duty, stores []messages.Member, first int64) *term {
-	return &term{server: server, duty: duty, press: lots.NewPress(duty.Epoch, stores, server.budget(), first),
+func newTerm(server *Server, leadership messages.Leadership, stores []messages.Member, first int64) *term {
+	return &term{server: server, duty: leadership, press: lots.NewPress(leadership.Epoch, stores, server.budget(), first),
 		book: lots.NewBook(), applied: first - 1, taking: map[string]int64{}, quota: newQuota(), lags: newLags(), copies: map[string]int64{}, ending: map[string]bool{},
 		feeders: map[string]chan struct{}{}, bell: make(chan struct{}), fresh: make(chan struct{}), stop: make(chan struct{}), begun: clock.Now()}
 }
@@ -81,8 +81,8 @@
 }
 
 // durable waits until a record is durable; false when that can't be known.
-func (t *term) durable(index int64, span clock.Span) bool {
-	timer := clock.NewTimer(span)
+func (t *term) durable(index int64, timeout clock.Duration) bool {
+	timer := clock.NewTimer(timeout)
 	defer timer.Stop()
 	for {
 		t.lock.Lock()
@@ -106,11 +106,11 @@
 	if len(t.recent) == 0 {
 		return nil
 	}
-	place := index - t.recent[0].Index
-	if place < 0 || place >= int64(len(t.recent)) {
+	i := index - t.recent[0].Index
+	if i < 0 || i >= int64(len(t.recent)) {
 		return nil
 	}
-	return &t.recent[place]
+	return &t.recent[i]
 }
 
 // matched notes a store's progress and applies what became durable.
@@ -135,10 +135,10 @@
 			t.server.Node.Log.Error("record not applied", "why", err.Error())
 		}
 		switch record.Kind {
-		case messages.RecordLot:
-			delete(t.taking, record.Lot)
-			delete(t.quota.coming, record.Lot)
-			if lot := t.book.Lot(record.Lot); lot != nil {
+		case messages.RecordJob:
+			delete(t.taking, record.Job)
+			delete(t.quota.coming, record.Job)
+			if lot := t.book.Lot(record.Job); lot != nil {
 				lot.Known = clock.Now()
 			}
 			t.freshen()
--- a/internal/batch/store/upkeep_test.go
+++ b/internal/batch/store/upkeep_test.go
@@ -16,8 +16,8 @@
 // own, so that the rest of a seed's history doesn't hang on it.
 func (s *simFleet) tidy(random *rand.Rand) {
 	for _, name := range simulation.Keys(s.stores) {
-		if one := s.stores[name]; !one.down && random.Intn(3) > 0 {
-			if err := one.store.Tidy(s.world.Now); err != nil && !one.faulty {
+		if store := s.stores[name]; !store.down && random.Intn(3) > 0 {
+			if err := store.store.Tidy(s.world.Now); err != nil && !store.faulty {
 				s.test.Fatal(err)
 			}
 		}
@@ -37,9 +37,9 @@
 	}
 	for _, lot := range done[:max(len(done)-kept, 0)] {
 		s.forgets[lot.ID], s.fleet.dropped[lot.ID] = true, true
-		s.submit(messages.Record{Kind: messages.RecordForget, Lot: lot.ID})
-		for place := range lot.Listings {
-			delete(s.fleet.told, fmt.Sprintf("%s/%d", lot.ID, place))
+		s.submit(messages.Record{Kind: messages.RecordForget, Job: lot.ID})
+		for i := range lot.Listings {
+			delete(s.fleet.told, fmt.Sprintf("%s/%d", lot.ID, i))
 		}
 	}
 }
--- a/internal/configuration/adapterplan/planner.go
+++ b/internal/configuration/adapterplan/planner.go
@@ -45,7 +45,7 @@
 		return nil, false, err
 	}
 	if !p.problem.holds(full) || p.keeps(full) < p.least {
-		return nil, false, Undecided.New("the solver's answer breaks a rule")
+		return nil, false, ErrUndecided.New("the solver's answer breaks a rule")
 	}
 	return full, true, nil
 }
--- a/internal/configuration/configcheck/configcheck.go
+++ b/internal/configuration/configcheck/configcheck.go
@@ -38,10 +38,10 @@
 	c.uses = 0
 	value := c.context.CompileString(schemaText)
 	if err := value.Err(); err != nil {
-		return routeconfig.Unreadable.Wrap(err, "schema")
+		return routeconfig.ErrMalformed.Wrap(err, "schema")
 	}
 	c.schema = value.LookupPath(cue.ParsePath("#Configuration"))
-	return routeconfig.Unreadable.Wrap(c.schema.Err(), "schema")
+	return routeconfig.ErrMalformed.Wrap(c.schema.Err(), "schema")
 }
 
 // Check gives the configuration or every finding against it.
--- a/internal/configuration/openapiimport/openapiimport.go
+++ b/internal/configuration/openapiimport/openapiimport.go
@@ -13,8 +13,8 @@
 	"lemonarch/internal/platform/errs"
 )
 
-// Unreadable is the error of a file that is no OpenAPI document.
-var Unreadable = errs.Define("openapi")
+// ErrMalformed is the error of a file that is no OpenAPI document.
+var ErrMalformed = errs.Define("openapi")
 
 // Options are what the document does not say.
 type Options struct {
@@ -27,10 +27,10 @@
 func Import(text []byte, options Options) (routes []routeconfig.Route, findings []string, err error) {
 	document, err := openapi3.NewLoader().LoadFromData(text)
 	if err != nil {
-		return nil, nil, Unreadable.Wrap(err, "can't be read")
+		return nil, nil, ErrMalformed.Wrap(err, "can't be read")
 	}
 	if document.Paths == nil || document.Paths.Len() == 0 {
-		return nil, nil, Unreadable.New("no paths")
+		return nil, nil, ErrMalformed.New("no paths")
 	}
 	host, base, finding := place(document, options.Host)
 	if finding != "" {
--- a/internal/configuration/routeconfig/routeconfig.go
+++ b/internal/configuration/routeconfig/routeconfig.go
@@ -15,8 +15,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Unreadable is the error of a body that is no configuration.
-var Unreadable = errs.Define("configuration")
+// ErrMalformed is the error of a body that is no configuration.
+var ErrMalformed = errs.Define("configuration")
 
 // Share is one part of a weighted route.
 type Share struct {
@@ -83,7 +83,7 @@
 func Parse(body []byte) (*Config, error) {
 	config := &Config{}
 	if err := json.Unmarshal(body, config); err != nil {
-		return nil, Unreadable.Wrap(err, "can't be read")
+		return nil, ErrMalformed.Wrap(err, "can't be read")
 	}
 	config.Body = body
 	config.byHost = map[string][]*Route{}
@@ -208,7 +208,7 @@
 }
 
 // Cutoff is the longest the operator wants a request held.
-func (r *Route) Cutoff() clock.Span {
+func (r *Route) Cutoff() clock.Duration {
 	if r.CutoffMs <= 0 {
 		return clock.Milliseconds(3_600_000)
 	}
@@ -216,7 +216,7 @@
 }
 
 // Retain is how long after its lot was sent an item may still be run.
-func (r *Route) Retain() clock.Span {
+func (r *Route) Retain() clock.Duration {
 	if r.RetainS <= 0 {
 		// Not stated: nothing may be given up for its age.
 		return clock.Milliseconds(24 * 3_600_000)
@@ -225,7 +225,7 @@
 }
 
 // Setpoint is the time within which an answer earns its full worth.
-func (r *Route) Setpoint() clock.Span {
+func (r *Route) Setpoint() clock.Duration {
 	if r.SetpointMs <= 0 {
 		return clock.Milliseconds(1000)
 	}
--- a/internal/control/assignments/assignments.go
+++ b/internal/control/assignments/assignments.go
@@ -12,20 +12,20 @@
 
 // Board is what one process follows. Its owner guards it.
 type Board struct {
-	told messages.PlanTold
+	told messages.PlanResponse
 }
 
 // Take puts a chosen plan in force, never one that is older than the present one.
-func (b *Board) Take(told messages.PlanTold) bool {
-	if told.Revision <= b.told.Revision {
+func (b *Board) Take(plan messages.PlanResponse) bool {
+	if plan.Revision <= b.told.Revision {
 		return false
 	}
-	b.told = told
+	b.told = plan
 	return true
 }
 
 // Told gives what is in force.
-func (b *Board) Told() messages.PlanTold { return b.told }
+func (b *Board) Told() messages.PlanResponse { return b.told }
 
 // Revision is its number, 0 for none.
 func (b *Board) Revision() int64 { return b.told.Revision }
@@ -52,36 +52,36 @@
 }
 
 func minuteOf(starts string) (int, bool) {
-	hours, minutes, cut := strings.Cut(starts, ":")
+	hours, minutes, truncated := strings.Cut(starts, ":")
 	hour, wrongHour := strconv.Atoi(hours)
 	minute, wrongMinute := strconv.Atoi(minutes)
-	return hour*60 + minute, cut && wrongHour == nil && wrongMinute == nil
+	return hour*60 + minute, truncated && wrongHour == nil && wrongMinute == nil
 }
 
 // Status shows what is in force on a node, or on all where node is empty: one row a
 // copy, and one for each collision.
-func Status(told *messages.PlanTold, node string, minute int) *messages.Status {
-	status := &messages.Status{Columns: []string{"revision", "generation", "next-window", "node", "window", "adapter", "state"}}
-	if told.Revision == 0 {
+func Status(plan *messages.PlanResponse, node string, minute int) *messages.StatusResponse {
+	status := &messages.StatusResponse{Columns: []string{"revision", "generation", "next-window", "node", "window", "adapter", "state"}}
+	if plan.Revision == 0 {
 		return status
 	}
 	coming := "(none)"
-	if window, found := Next(told.Windows, minute); found {
+	if window, found := Next(plan.Windows, minute); found {
 		coming = window.Name + " " + window.Starts
 	}
 	row := func(node, window, adapter, state string) {
-		status.Rows = append(status.Rows, []string{strconv.FormatInt(told.Revision, 10), strconv.FormatInt(told.Generation, 10),
+		status.Rows = append(status.Rows, []string{strconv.FormatInt(plan.Revision, 10), strconv.FormatInt(plan.Generation, 10),
 			coming, node, window, adapter, state})
 	}
-	for _, line := range told.Collisions {
+	for _, line := range plan.Collisions {
 		row("", "", "", "COLLISION, the last answer stays in force: "+line)
 	}
-	for _, name := range told.Gone {
+	for _, name := range plan.Absent {
 		if node == "" || name == node {
 			row(name, "", "", "gone")
 		}
 	}
-	for _, place := range told.Places {
+	for _, place := range plan.Placements {
 		if node == "" || place.Node == node {
 			row(place.Node, place.Window, place.Adapter, "in force")
 		}
--- a/internal/control/assignments/assignments_test.go
+++ b/internal/control/assignments/assignments_test.go
@@ -13,7 +13,7 @@
 		revision int64
 		taken    bool
 	}{{0, false}, {2, true}, {2, false}, {1, false}, {7, true}, {3, false}} {
-		if board.Take(messages.PlanTold{Revision: step.revision}) != step.taken {
+		if board.Take(messages.PlanResponse{Revision: step.revision}) != step.taken {
 			t.Fatal(step)
 		}
 	}
@@ -38,11 +38,11 @@
 }
 
 func TestStatus(t *testing.T) {
-	told := &messages.PlanTold{Revision: 3, Generation: 9, Windows: []messages.PlanWindow{{Name: "nightly", Starts: "22:30"}}, Gone: []string{"n2"},
-		Places: []messages.PlanPlace{{Window: "nightly", Adapter: "a", Node: "n1"}, {Window: "nightly", Adapter: "b", Node: "n2"}}, Collisions: []string{"window nightly: rules r: why"}}
+	plan := &messages.PlanResponse{Revision: 3, Generation: 9, Windows: []messages.PlanWindow{{Name: "nightly", Starts: "22:30"}}, Absent: []string{"n2"},
+		Placements: []messages.PlanPlacement{{Window: "nightly", Adapter: "a", Node: "n1"}, {Window: "nightly", Adapter: "b", Node: "n2"}}, Collisions: []string{"window nightly: rules r: why"}}
 	text := func(node string) string {
 		lines := ""
-		for _, row := range Status(told, node, 0).Rows {
+		for _, row := range Status(plan, node, 0).Rows {
 			lines += strings.Join(row, "|") + "\n"
 		}
 		return lines
@@ -53,11 +53,11 @@
 	if got := text(""); !strings.Contains(got, "|n2|||gone\n") || !strings.Contains(got, "|n2|nightly|b|in force\n") {
 		t.Fatal(got)
 	}
-	told.Collisions = nil
+	plan.Collisions = nil
 	if got := text("n7"); got != "3|9|nightly 22:30|n7|||carries nothing\n" {
 		t.Fatal(got)
 	}
-	if len(Status(&messages.PlanTold{}, "n1", 0).Rows) != 0 {
+	if len(Status(&messages.PlanResponse{}, "n1", 0).Rows) != 0 {
 		t.Fatal("something shown where nothing is in force")
 	}
 }
--- a/internal/control/broadcast/backlog.go
+++ b/internal/control/broadcast/backlog.go
@@ -21,11 +21,11 @@
 
 // pending is what one process has not confirmed.
 type pending struct {
-	entry      messages.Entry
+	entry      messages.NodeInfo
 	generation int64
 	workers    map[string]bool
-	next       clock.Moment
-	pause      clock.Span
+	next       clock.Instant
+	pause      clock.Duration
 	// added is the last Add for this process: what was added after a delivery was made is
 	// not confirmed by it.
 	added uint64
@@ -33,7 +33,7 @@
 
 // Delivery is one call that tells a process what it has not confirmed.
 type Delivery struct {
-	Entry      messages.Entry
+	Entry      messages.NodeInfo
 	Generation int64
 	Workers    []string
 	added      uint64
@@ -44,46 +44,46 @@
 
 // Add notes that a process has not confirmed a generation (0 for none) and the changes
 // of some workers. It is told once more after a pause.
-func (b *Backlog) Add(entry messages.Entry, generation int64, workers []string, pause clock.Span, now clock.Moment) {
+func (b *Backlog) Add(entry messages.NodeInfo, generation int64, workers []string, backoff clock.Duration, now clock.Instant) {
 	key := membership.Key(entry)
-	one := b.pending[key]
-	if one == nil || one.entry.Life != entry.Life {
-		one = &pending{workers: map[string]bool{}}
-		b.pending[key] = one
+	p := b.pending[key]
+	if p == nil || p.entry.Incarnation != entry.Incarnation {
+		p = &pending{workers: map[string]bool{}}
+		b.pending[key] = p
 	}
-	one.entry = entry
-	one.generation = max(one.generation, generation)
+	p.entry = entry
+	p.generation = max(p.generation, generation)
 	for _, id := range workers {
-		one.workers[id] = true
+		p.workers[id] = true
 	}
 	b.added++
-	one.added = b.added
-	one.pause, one.next = constants.BacklogPause, now.Plus(pause)
+	p.added = b.added
+	p.pause, p.next = constants.BacklogBackoff, now.Add(backoff)
 }
 
 // Due gives the deliveries to be made now. Processes whose life is not in the directory
 // any more are dropped; what the directory says of their configurations counts.
-func (b *Backlog) Due(directory []messages.Entry, now clock.Moment) []Delivery {
-	present := map[string]messages.Entry{}
+func (b *Backlog) Due(directory []messages.NodeInfo, now clock.Instant) []Delivery {
+	present := map[string]messages.NodeInfo{}
 	for _, entry := range directory {
 		present[membership.Key(entry)] = entry
 	}
 	var due []Delivery
 	for _, key := range b.keys() {
-		one := b.pending[key]
+		pending := b.pending[key]
 		entry, found := present[key]
-		if !found || entry.Life != one.entry.Life {
+		if !found || entry.Incarnation != pending.entry.Incarnation {
 			delete(b.pending, key)
 			continue
 		}
-		if entry.Generation >= one.generation {
-			one.generation = 0
+		if entry.Generation >= pending.generation {
+			pending.generation = 0
 		}
-		if b.settled(key) || now < one.next {
+		if b.settled(key) || now < pending.next {
 			continue
 		}
-		one.next, one.pause = now.Plus(one.pause), min(2*one.pause, constants.BacklogPauseMost)
-		due = append(due, Delivery{Entry: entry, Generation: one.generation, Workers: sortedKeys(one.workers), added: one.added})
+		pending.next, pending.pause = now.Add(pending.pause), min(2*pending.pause, constants.BacklogBackoffMax)
+		due = append(due, Delivery{Entry: entry, Generation: pending.generation, Workers: sortedKeys(pending.workers), added: pending.added})
 	}
 	return due
 }
@@ -91,23 +91,23 @@
 // Confirmed takes the confirmation of a delivery.
 func (b *Backlog) Confirmed(delivery Delivery) {
 	key := membership.Key(delivery.Entry)
-	one := b.pending[key]
-	if one == nil || one.entry.Life != delivery.Entry.Life || one.added != delivery.added {
+	pending := b.pending[key]
+	if pending == nil || pending.entry.Incarnation != delivery.Entry.Incarnation || pending.added != delivery.added {
 		return
 	}
-	if one.generation <= delivery.Generation {
-		one.generation = 0
+	if pending.generation <= delivery.Generation {
+		pending.generation = 0
 	}
 	for _, id := range delivery.Workers {
-		delete(one.workers, id)
+		delete(pending.workers, id)
 	}
 	b.settled(key)
 }
 
 // settled drops a process that has confirmed everything.
 func (b *Backlog) settled(key string) bool {
-	one := b.pending[key]
-	if one.generation > 0 || len(one.workers) > 0 {
+	pending := b.pending[key]
+	if pending.generation > 0 || len(pending.workers) > 0 {
 		return false
 	}
 	delete(b.pending, key)
--- a/internal/control/broadcast/backlog_test.go
+++ b/internal/control/broadcast/backlog_test.go
@@ -20,17 +20,17 @@
 }
 
 // TestBacklogTellsUntilConfirmed: whoever has not confirmed everything is named, and is
-// told at least once in BacklogPauseMost, until it confirms or its life leaves the
+// told at least once in BacklogBackoffMax, until it confirms or its life leaves the
 // directory; a confirmation never covers what was added after its delivery was made.
 func TestBacklogTellsUntilConfirmed(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		backlog, now := broadcast.NewBacklog(), clock.Moment(1)
-		lives, model := map[string]messages.Entry{}, map[string]*owed{}
+		backlog, now := broadcast.NewBacklog(), clock.Instant(1)
+		lives, model := map[string]messages.NodeInfo{}, map[string]*owed{}
 		name := rapid.SampledFrom([]string{"p", "q", "r"})
 		var sent []broadcast.Delivery
 		// stale marks deliveries that were made before a later Add to their process.
 		stale := map[int]bool{}
-		directory := func() (entries []messages.Entry) {
+		directory := func() (entries []messages.NodeInfo) {
 			for _, entry := range lives {
 				entries = append(entries, entry)
 			}
@@ -38,40 +38,40 @@
 		}
 		rt.Repeat(map[string]func(*rapid.T){
 			"start": func(rt *rapid.T) {
-				one := name.Draw(rt, "name")
-				lives[one] = messages.Entry{Name: one, Role: membership.RoleGateway, Life: lives[one].Life + 1, Address: one}
-				delete(model, one)
-				for place := range sent {
-					stale[place] = stale[place] || sent[place].Entry.Name == one
+				found := name.Draw(rt, "name")
+				lives[found] = messages.NodeInfo{Name: found, Role: membership.RoleGateway, Incarnation: lives[found].Incarnation + 1, Address: found}
+				delete(model, found)
+				for i := range sent {
+					stale[i] = stale[i] || sent[i].Entry.Name == found
 				}
 			},
 			"add": func(rt *rapid.T) {
-				one := name.Draw(rt, "name")
-				entry, present := lives[one]
+				found := name.Draw(rt, "name")
+				entry, present := lives[found]
 				if !present {
 					return
 				}
 				generation, worker := int64(rapid.IntRange(0, 5).Draw(rt, "generation")), fmt.Sprint(rapid.IntRange(0, 3).Draw(rt, "worker"))
-				backlog.Add(entry, generation, []string{worker}, constants.BacklogPause, now)
-				if model[one] == nil {
-					model[one] = &owed{workers: map[string]bool{}}
+				backlog.Add(entry, generation, []string{worker}, constants.BacklogBackoff, now)
+				if model[found] == nil {
+					model[found] = &owed{workers: map[string]bool{}}
 				}
-				model[one].generation = max(model[one].generation, generation)
-				model[one].workers[worker] = true
-				for place := range sent {
-					stale[place] = stale[place] || sent[place].Entry.Name == one
+				model[found].generation = max(model[found].generation, generation)
+				model[found].workers[worker] = true
+				for i := range sent {
+					stale[i] = stale[i] || sent[i].Entry.Name == found
 				}
 			},
 			"due": func(rt *rapid.T) {
-				now = now.Plus(constants.BacklogPauseMost)
+				now = now.Add(constants.BacklogBackoffMax)
 				due := map[string]broadcast.Delivery{}
 				for _, delivery := range backlog.Due(directory(), now) {
 					due[delivery.Entry.Name] = delivery
 					sent = append(sent, delivery)
 				}
-				for one, debt := range model {
-					if delivery, told := due[one]; !told || delivery.Generation != debt.generation || len(delivery.Workers) != len(debt.workers) {
-						rt.Fatalf("%s is owed %+v, and is told %+v", one, debt, delivery)
+				for found, debt := range model {
+					if delivery, told := due[found]; !told || delivery.Generation != debt.generation || len(delivery.Workers) != len(debt.workers) {
+						rt.Fatalf("%s is owed %+v, and is told %+v", found, debt, delivery)
 					}
 				}
 				if len(due) != len(model) {
@@ -82,29 +82,29 @@
 				if len(sent) == 0 {
 					return
 				}
-				place := rapid.IntRange(0, len(sent)-1).Draw(rt, "delivery")
-				backlog.Confirmed(sent[place])
-				if !stale[place] {
-					delete(model, sent[place].Entry.Name)
+				i := rapid.IntRange(0, len(sent)-1).Draw(rt, "delivery")
+				backlog.Confirmed(sent[i])
+				if !stale[i] {
+					delete(model, sent[i].Entry.Name)
 				}
 			},
 			"leave": func(rt *rapid.T) {
-				one := name.Draw(rt, "name")
-				lives[one] = messages.Entry{Name: one, Role: membership.RoleGateway, Life: lives[one].Life + 1, Address: one}
+				found := name.Draw(rt, "name")
+				lives[found] = messages.NodeInfo{Name: found, Role: membership.RoleGateway, Incarnation: lives[found].Incarnation + 1, Address: found}
 				backlog.Due(directory(), now)
-				delete(model, one)
-				for place := range sent {
-					stale[place] = stale[place] || sent[place].Entry.Name == one
+				delete(model, found)
+				for i := range sent {
+					stale[i] = stale[i] || sent[i].Entry.Name == found
 				}
 			},
 			"": func(rt *rapid.T) {
-				for one := range model {
+				for found := range model {
 					named := false
 					for _, key := range backlog.Names() {
-						named = named || key == membership.RoleGateway+"/"+one
+						named = named || key == membership.RoleGateway+"/"+found
 					}
 					if !named {
-						rt.Fatalf("%s is not named", one)
+						rt.Fatalf("%s is not named", found)
 					}
 				}
 			},
--- a/internal/control/broadcast/broadcast.go
+++ b/internal/control/broadcast/broadcast.go
@@ -38,58 +38,58 @@
 
 // branch is the part of a job that one zone makes.
 type branch struct {
-	controllers []messages.Entry
-	processes   []messages.Entry
+	controllers []messages.NodeInfo
+	processes   []messages.NodeInfo
 	relay       string
-	asked       clock.Moment
+	asked       clock.Instant
 	// settled: nothing more is expected of the zone's controllers.
 	settled bool
 }
 
 // Job is one update on its way.
 type Job struct {
-	own      messages.Entry
+	own      messages.NodeInfo
 	fan      int
 	branches map[string]*branch
 	// open are the tells that are waited for, by address.
 	open    map[string]bool
 	missing map[uint32]bool
 	marks   map[string]uint32
-	entries map[string]messages.Entry
+	entries map[string]messages.NodeInfo
 }
 
 // Fleet begins a job for all processes of a directory but the owner. fan is how many of
 // a zone are told directly, each passing the update on to its part of the rest; 0 tells
 // each directly.
-func Fleet(own messages.Entry, directory []messages.Entry, fan int, now clock.Moment) (*Job, []Send) {
+func Fleet(own messages.NodeInfo, directory []messages.NodeInfo, fan int, now clock.Instant) (*Job, []Send) {
 	job := &Job{own: own, fan: fan, branches: map[string]*branch{}, open: map[string]bool{}, missing: map[uint32]bool{}, marks: map[string]uint32{},
-		entries: map[string]messages.Entry{}}
+		entries: map[string]messages.NodeInfo{}}
 	for _, entry := range directory {
 		if membership.Key(entry) == membership.Key(own) {
 			continue
 		}
-		one := job.branches[entry.Zone]
-		if one == nil {
-			one = &branch{}
-			job.branches[entry.Zone] = one
+		b := job.branches[entry.Zone]
+		if b == nil {
+			b = &branch{}
+			job.branches[entry.Zone] = b
 		}
 		job.marks[entry.Address] = membership.MarkOf(entry)
 		job.entries[entry.Address] = entry
-		one.processes = append(one.processes, entry)
-		if entry.Role == membership.RoleController && fresh(entry) && !entry.Leaving {
-			one.controllers = append(one.controllers, entry)
+		b.processes = append(b.processes, entry)
+		if entry.Role == membership.RoleController && fresh(entry) && !entry.Draining {
+			b.controllers = append(b.controllers, entry)
 		}
 	}
 	var sends []Send
 	for _, zone := range job.zones() {
-		one := job.branches[zone]
+		b := job.branches[zone]
 		// The freshest is asked first: it most likely lives.
-		sort.SliceStable(one.controllers, func(left, right int) bool { return one.controllers[left].AgeMs < one.controllers[right].AgeMs })
+		sort.SliceStable(b.controllers, func(left, right int) bool { return b.controllers[left].AgeMs < b.controllers[right].AgeMs })
 		if zone == own.Zone {
-			one.settled = true
-			sends = append(sends, job.tell(one.processes)...)
+			b.settled = true
+			sends = append(sends, job.tell(b.processes)...)
 		} else {
-			sends = append(sends, job.next(one, zone, now)...)
+			sends = append(sends, job.next(b, zone, now)...)
 		}
 	}
 	return job, sends
@@ -97,8 +97,8 @@
 
 // Zone begins a job for the owner's zone alone, on behalf of another. Those of the
 // expected that the owner does not know are missing from the start.
-func Zone(own messages.Entry, directory []messages.Entry, expect []uint32, fan int, now clock.Moment) (*Job, []Send) {
-	var near []messages.Entry
+func Zone(own messages.NodeInfo, directory []messages.NodeInfo, expect []uint32, fan int, now clock.Instant) (*Job, []Send) {
+	var near []messages.NodeInfo
 	known := map[uint32]bool{membership.MarkOf(own): true}
 	for _, entry := range directory {
 		if entry.Zone == own.Zone {
@@ -107,16 +107,16 @@
 		}
 	}
 	job, sends := Fleet(own, near, fan, now)
-	for _, mark := range expect {
-		if !known[mark] {
-			job.missing[mark] = true
+	for _, hash := range expect {
+		if !known[hash] {
+			job.missing[hash] = true
 		}
 	}
 	return job, sends
 }
 
 // fresh tells whether a process was heard lately: only then is it waited for.
-func fresh(entry messages.Entry) bool { return entry.AgeMs < constants.SilentAfter.Milliseconds() }
+func fresh(entry messages.NodeInfo) bool { return entry.AgeMs < constants.SuspectAfter.Milliseconds() }
 
 func (j *Job) zones() []string {
 	var zones []string
@@ -128,8 +128,8 @@
 }
 
 // tell makes the sends that tell processes directly, or through a few of them.
-func (j *Job) tell(processes []messages.Entry) []Send {
-	var counts, silent []messages.Entry
+func (j *Job) tell(processes []messages.NodeInfo) []Send {
+	var counts, silent []messages.NodeInfo
 	for _, entry := range processes {
 		if fresh(entry) {
 			counts = append(counts, entry)
@@ -166,31 +166,31 @@
 func Split(addresses []string, fan int) []Send {
 	count := min(fan, len(addresses))
 	sends := make([]Send, count)
-	for place, address := range addresses {
-		if place < count {
-			sends[place] = Send{Step: StepTell, Address: address}
+	for i, address := range addresses {
+		if i < count {
+			sends[i] = Send{Step: StepTell, Address: address}
 		} else {
-			sends[place%count].Pass = append(sends[place%count].Pass, address)
+			sends[i%count].Pass = append(sends[i%count].Pass, address)
 		}
 	}
 	return sends
 }
 
 // next asks a zone's next controller, or tells its processes where none is left.
-func (j *Job) next(one *branch, zone string, now clock.Moment) []Send {
-	if one.settled {
+func (j *Job) next(b *branch, zone string, now clock.Instant) []Send {
+	if b.settled {
 		return nil
 	}
-	if len(one.controllers) == 0 {
-		one.settled, one.relay = true, ""
-		return j.tell(one.processes)
+	if len(b.controllers) == 0 {
+		b.settled, b.relay = true, ""
+		return j.tell(b.processes)
 	}
 	var expect []uint32
-	for _, entry := range one.processes {
+	for _, entry := range b.processes {
 		if fresh(entry) {
 			expect = append(expect, membership.MarkOf(entry))
 		}
 	}
-	one.relay, one.asked, one.controllers = one.controllers[0].Address, now, one.controllers[1:]
-	return []Send{{Step: StepRelay, Address: one.relay, Zone: zone, Expect: expect}}
+	b.relay, b.asked, b.controllers = b.controllers[0].Address, now, b.controllers[1:]
+	return []Send{{Step: StepRelay, Address: b.relay, Zone: zone, Expect: expect}}
 }
--- a/internal/control/broadcast/broadcast_test.go
+++ b/internal/control/broadcast/broadcast_test.go
@@ -12,7 +12,7 @@
 )
 
 func steady(id string, count int64, phase messages.Phase) messages.Worker {
-	return messages.Worker{ID: id, Backend: "s", Address: id + ":1", Zone: "h0", Capacity: 16, Phase: phase, Count: count}
+	return messages.Worker{ID: id, Backend: "s", Address: id + ":1", Zone: "h0", Capacity: 16, Phase: phase, CallCount: count}
 }
 
 func (f *fleet) controllers() (found []*node) {
@@ -63,8 +63,8 @@
 			if here == keep {
 				continue
 			}
-			for place, other := range f.nodes {
-				if place%10 == 3 && other.own.Role != membership.RoleController {
+			for i, other := range f.nodes {
+				if i%10 == 3 && other.own.Role != membership.RoleController {
 					f.Cut(here.own.Address, other.own.Address, true)
 				}
 			}
@@ -79,32 +79,32 @@
 	t.Parallel()
 	for _, gateways := range []int{4, 20} {
 		for seed := int64(1); seed <= 10; seed++ {
-			one := newFleet(seed, 4, 2, 2, gateways)
-			one.Run(clock.Moment(0).Plus(6 * constants.ShufflePeriod))
-			taker := one.controllers()[one.Random.Intn(8)]
-			taker.registry.Beat(steady("w", 1, messages.PhaseSteady), one.Now)
-			one.Run(one.Now.Plus(4 * constants.ShufflePeriod))
-			for _, here := range one.nodes {
+			fleet := newFleet(seed, 4, 2, 2, gateways)
+			fleet.Run(clock.Instant(0).Add(6 * constants.ShufflePeriod))
+			taker := fleet.controllers()[fleet.Random.Intn(8)]
+			taker.registry.Beat(steady("w", 1, messages.PhaseSteady), fleet.Now)
+			fleet.Run(fleet.Now.Add(4 * constants.ShufflePeriod))
+			for _, here := range fleet.nodes {
 				if _, known := here.registry.Get("w"); !known {
 					t.Fatalf("seed %d: %s never learnt of the worker", seed, here.own.Address)
 				}
 			}
-			out := one.trouble(int(seed%5), taker)
-			worker, asked, acknowledged := steady("w", 2, messages.PhaseDraining), one.Now, clock.Moment(0)
-			if !taker.registry.Beat(worker, one.Now) {
+			out := fleet.trouble(int(seed%5), taker)
+			worker, sentAt, acknowledged := steady("w", 2, messages.PhaseDraining), fleet.Now, clock.Instant(0)
+			if !taker.registry.Beat(worker, fleet.Now) {
 				t.Fatal("no change")
 			}
-			taker.spread(&messages.Relay{Workers: []messages.Worker{worker}}, constants.TreeTime, func() {
-				acknowledged = one.Now
-				for _, here := range one.nodes {
+			taker.spread(&messages.RelayRequest{Workers: []messages.Worker{worker}}, constants.BroadcastTimeout, func() {
+				acknowledged = fleet.Now
+				for _, here := range fleet.nodes {
 					if got, _ := here.registry.Get("w"); got.Phase != messages.PhaseDraining && !out[here] {
-						t.Fatalf("seed %d, trouble %d: %s does not know at the acknowledgement, %v later; asked %s", seed, seed%5, here.own.Address, one.Now.Since(asked), taker.own.Address)
+						t.Fatalf("seed %d, trouble %d: %s does not know at the acknowledgement, %v later; asked %s", seed, seed%5, here.own.Address, fleet.Now.Sub(sentAt), taker.own.Address)
 					}
 				}
 			})
-			one.Run(one.Now.Plus(2 * constants.ShufflePeriod))
-			if acknowledged == 0 || acknowledged.Since(asked) > 1_000_000_000 {
-				t.Fatalf("seed %d: acknowledged after %v", seed, acknowledged.Since(asked))
+			fleet.Run(fleet.Now.Add(2 * constants.ShufflePeriod))
+			if acknowledged == 0 || acknowledged.Sub(sentAt) > 1_000_000_000 {
+				t.Fatalf("seed %d: acknowledged after %v", seed, acknowledged.Sub(sentAt))
 			}
 		}
 	}
@@ -115,15 +115,15 @@
 func TestMissedChangesArePulled(t *testing.T) {
 	t.Parallel()
 	for seed := int64(1); seed <= 10; seed++ {
-		one := newFleet(seed, 4, 2, 2, 10)
-		one.Run(clock.Moment(0).Plus(6 * constants.ShufflePeriod))
-		taker := one.controllers()[0]
-		taker.registry.Beat(steady("w", 1, messages.PhaseSteady), one.Now)
-		one.Run(one.Now.Plus(4 * constants.ShufflePeriod))
+		fleet := newFleet(seed, 4, 2, 2, 10)
+		fleet.Run(clock.Instant(0).Add(6 * constants.ShufflePeriod))
+		taker := fleet.controllers()[0]
+		taker.registry.Beat(steady("w", 1, messages.PhaseSteady), fleet.Now)
+		fleet.Run(fleet.Now.Add(4 * constants.ShufflePeriod))
 		// The tree fails as a whole: only the digests are left.
-		taker.registry.Beat(steady("w", 2, messages.PhaseDraining), one.Now)
-		one.Run(one.Now.Plus(2500 * 1_000_000))
-		for _, here := range one.nodes {
+		taker.registry.Beat(steady("w", 2, messages.PhaseDraining), fleet.Now)
+		fleet.Run(fleet.Now.Add(2500 * 1_000_000))
+		for _, here := range fleet.nodes {
 			if got, _ := here.registry.Get("w"); got.Phase != messages.PhaseDraining {
 				t.Fatalf("seed %d: %s", seed, here.own.Address)
 			}
@@ -136,32 +136,32 @@
 func TestConfigurationsConverge(t *testing.T) {
 	t.Parallel()
 	for seed := int64(1); seed <= 10; seed++ {
-		one := newFleet(seed, 4, 2, 3, 20)
-		one.Run(clock.Moment(0).Plus(6 * constants.ShufflePeriod))
+		fleet := newFleet(seed, 4, 2, 3, 20)
+		fleet.Run(clock.Instant(0).Add(6 * constants.ShufflePeriod))
 		out := map[*node]bool{}
 		for generation := int64(1); generation <= 3; generation++ {
-			taker := one.controllers()[one.Random.Intn(8)]
+			taker := fleet.controllers()[fleet.Random.Intn(8)]
 			for out[taker] {
-				taker = one.controllers()[one.Random.Intn(8)]
+				taker = fleet.controllers()[fleet.Random.Intn(8)]
 			}
 			if generation == 2 {
-				out = one.trouble(int(seed%5), taker)
-				one.Loss = 0.02
+				out = fleet.trouble(int(seed%5), taker)
+				fleet.Loss = 0.02
 			}
 			taker.take(generation)
-			acknowledged := clock.Moment(0)
-			taker.spread(&messages.Relay{Generation: generation, Body: body}, constants.PushTime, func() { acknowledged = one.Now })
-			one.Run(one.Now.Plus(constants.PushTime + 10_000_000))
-			one.Run(acknowledged.Plus(2500 * 1_000_000))
-			for _, here := range one.nodes {
+			acknowledged := clock.Instant(0)
+			taker.spread(&messages.RelayRequest{Generation: generation, Body: body}, constants.PushTimeout, func() { acknowledged = fleet.Now })
+			fleet.Run(fleet.Now.Add(constants.PushTimeout + 10_000_000))
+			fleet.Run(acknowledged.Add(2500 * 1_000_000))
+			for _, here := range fleet.nodes {
 				if here.config != generation && !out[here] {
 					t.Fatalf("seed %d, trouble %d, generation %d: %s follows %d", seed, seed%5, generation, here.own.Address, here.config)
 				}
 			}
 		}
-		for _, here := range one.nodes {
-			for place := 1; place < len(here.taken); place++ {
-				if here.taken[place] <= here.taken[place-1] {
+		for _, here := range fleet.nodes {
+			for i := 1; i < len(here.taken); i++ {
+				if here.taken[i] <= here.taken[i-1] {
 					t.Fatalf("%s went back: %v", here.own.Address, here.taken)
 				}
 			}
@@ -172,45 +172,45 @@
 // Silence of a worker is told, that of a controller is not taken for one of its workers.
 func TestSilentWorkersAreToldAndOthersNotDoubted(t *testing.T) {
 	t.Parallel()
-	one := newFleet(3, 4, 2, 2, 10)
-	one.Run(clock.Moment(0).Plus(5 * constants.ShufflePeriod))
+	fleet := newFleet(3, 4, 2, 2, 10)
+	fleet.Run(clock.Instant(0).Add(5 * constants.ShufflePeriod))
 	count, crashed := int64(0), false
 	var beatAll func()
 	beatAll = func() {
-		one.After(beat, beatAll)
+		fleet.After(beat, beatAll)
 		count++
-		for place := 0; place < 30; place++ {
-			taker := one.controllers()[one.Random.Intn(8)]
+		for i := 0; i < 30; i++ {
+			taker := fleet.controllers()[fleet.Random.Intn(8)]
 			for taker.down {
 				// A worker that is not answered calls the next node.
-				taker = one.controllers()[one.Random.Intn(8)]
+				taker = fleet.controllers()[fleet.Random.Intn(8)]
 			}
-			if id := fmt.Sprint("w", place); !(crashed && place == 7) && taker.registry.Beat(steady(id, count, messages.PhaseSteady), one.Now) {
+			if id := fmt.Sprint("w", i); !(crashed && i == 7) && taker.registry.Beat(steady(id, count, messages.PhaseSteady), fleet.Now) {
 				worker, _ := taker.registry.Get(id)
-				taker.spread(&messages.Relay{Workers: []messages.Worker{worker}}, constants.TreeTime, func() {})
+				taker.spread(&messages.RelayRequest{Workers: []messages.Worker{worker}}, constants.BroadcastTimeout, func() {})
 			}
 		}
 	}
 	beatAll()
-	one.Run(one.Now.Plus(10 * constants.ShufflePeriod))
-	one.controllers()[2].down, crashed = true, true
+	fleet.Run(fleet.Now.Add(10 * constants.ShufflePeriod))
+	fleet.controllers()[2].down, crashed = true, true
 	for second := 1; second <= 20; second++ {
-		one.Run(one.Now.Plus(constants.ShufflePeriod))
-		for _, here := range one.nodes {
+		fleet.Run(fleet.Now.Add(constants.ShufflePeriod))
+		for _, here := range fleet.nodes {
 			if here.own.Role != membership.RoleGateway {
 				continue
 			}
-			for place := 0; place < 30; place++ {
+			for i := 0; i < 30; i++ {
 				want := workers.StandingGood
-				if place == 7 && second >= 15 {
+				if i == 7 && second >= 15 {
 					want = workers.StandingOut
-				} else if place == 7 && second >= 7 {
+				} else if i == 7 && second >= 7 {
 					want = workers.StandingSuspect
-				} else if place == 7 {
+				} else if i == 7 {
 					continue
 				}
-				if got := here.registry.Standing(fmt.Sprint("w", place), one.Now, true); got < want || (place != 7 && got != want) {
-					t.Fatalf("second %d: %s takes w%d for %v", second, here.own.Address, place, got)
+				if got := here.registry.Standing(fmt.Sprint("w", i), fleet.Now, true); got < want || (i != 7 && got != want) {
+					t.Fatalf("second %d: %s takes w%d for %v", second, here.own.Address, i, got)
 				}
 			}
 		}
--- a/internal/control/broadcast/control_test.go
+++ b/internal/control/broadcast/control_test.go
@@ -16,7 +16,7 @@
 	// first is the controller that took the last full report.
 	first    string
 	lease    *contact.Lease
-	sets     messages.Register
+	sets     messages.RegisterValue
 	accepted int64
 	catching bool
 	backlog  *broadcast.Backlog
@@ -25,7 +25,7 @@
 // startControl makes the first controllers, five at most, the acceptors, and starts the
 // loops of the lease, the backlog and the second reports.
 func (f *fleet) startControl() {
-	sets := messages.Register{}
+	sets := messages.RegisterValue{}
 	for _, here := range f.controllers() {
 		if len(sets.Acceptors) < 5 {
 			sets.Acceptors = append(sets.Acceptors, messages.Member{Address: here.own.Address})
@@ -33,7 +33,7 @@
 	}
 	for _, here := range f.nodes {
 		here.control.lease, here.control.sets, here.control.backlog = contact.New(), sets, broadcast.NewBacklog()
-		phase := func(period clock.Span) clock.Span { return clock.Span(f.Random.Int63n(int64(period))) }
+		phase := func(period clock.Duration) clock.Duration { return clock.Duration(f.Random.Int63n(int64(period))) }
 		if here.own.Role == membership.RoleController {
 			f.every(here, phase(constants.ContactPeriod), constants.ContactPeriod, here.contactRound)
 			f.every(here, phase(constants.BacklogPeriod), constants.BacklogPeriod, here.tendBacklog)
@@ -45,7 +45,7 @@
 	}
 }
 
-func (f *fleet) every(here *node, first, period clock.Span, function func()) {
+func (f *fleet) every(here *node, first, period clock.Duration, function func()) {
 	f.After(first, func() {
 		if !here.down {
 			function()
@@ -59,38 +59,38 @@
 }
 
 func (n *node) contactRound() {
-	asked := n.fleet.Now
+	sentAt := n.fleet.Now
 	for _, member := range n.control.sets.Acceptors {
 		if member.Address == n.own.Address {
-			n.contactAnswered(member, asked, n.control.accepted)
+			n.contactAnswered(member, sentAt, n.control.accepted)
 			continue
 		}
-		n.call(member.Address, &messages.ContactAsk{}, constants.ContactTime, func(answer transport.Writable, failed bool) {
+		n.call(member.Address, &messages.ContactRequest{}, constants.ContactTimeout, func(resp transport.Marshaler, failed bool) {
 			if !failed {
-				n.contactAnswered(member, asked, answer.(*messages.ContactTold).Generation)
+				n.contactAnswered(member, sentAt, resp.(*messages.ContactResponse).Generation)
 			}
 		})
 	}
 }
 
-func (n *node) contactAnswered(member messages.Member, asked clock.Moment, accepted int64) {
-	if !n.control.lease.Answered(member, asked, contact.Followed{Generation: accepted}, contact.Followed{Generation: n.config}) || n.control.catching {
+func (n *node) contactAnswered(member messages.Member, sentAt clock.Instant, accepted int64) {
+	if !n.control.lease.Answered(member, sentAt, contact.Followed{Generation: accepted}, contact.Followed{Generation: n.config}) || n.control.catching {
 		return
 	}
 	n.control.catching = true
-	n.fleet.After(constants.PushTime/2, func() {
+	n.fleet.After(constants.PushTimeout/2, func() {
 		n.control.catching = false
 		n.pull(accepted, member.Address)
 	})
 }
 
-func (n *node) owe(update *messages.Relay, entries []messages.Entry, pause clock.Span) {
+func (n *node) owe(update *messages.RelayRequest, entries []messages.NodeInfo, backoff clock.Duration) {
 	var ids []string
 	for _, worker := range update.Workers {
 		ids = append(ids, worker.ID)
 	}
 	for _, entry := range entries {
-		n.control.backlog.Add(entry, update.Generation, ids, pause, n.fleet.Now)
+		n.control.backlog.Add(entry, update.Generation, ids, backoff, n.fleet.Now)
 	}
 }
 
@@ -101,24 +101,24 @@
 }
 
 func (n *node) redeliver(delivery broadcast.Delivery) {
-	var message transport.Writable = &messages.ConfigPush{Generation: delivery.Generation}
+	var message transport.Marshaler = &messages.ConfigPush{Generation: delivery.Generation}
 	if len(delivery.Workers) > 0 {
-		push := &messages.RosterPush{}
+		push := &messages.WorkersUpdate{}
 		for _, id := range delivery.Workers {
 			worker, _ := n.registry.Get(id)
 			push.Workers = append(push.Workers, worker)
 		}
 		message = push
 	}
-	n.call(delivery.Entry.Address, message, constants.CallTime, func(answer transport.Writable, failed bool) {
-		if !failed && answer.(*messages.Nothing).Taken {
+	n.call(delivery.Entry.Address, message, constants.CallTimeout, func(resp transport.Marshaler, failed bool) {
+		if !failed && resp.(*messages.Ack).Accepted {
 			n.control.backlog.Confirmed(delivery)
 		}
 	})
 }
 
 // majority has a message taken by a majority of the acceptors; done runs once it was.
-func (n *node) majority(message transport.Writable, done func()) {
+func (n *node) majority(message transport.Marshaler, done func()) {
 	answered, ended := map[string]bool{}, false
 	took := func(member messages.Member) {
 		answered[register.Identity(member)] = true
@@ -129,10 +129,10 @@
 	}
 	for _, member := range n.control.sets.Acceptors {
 		if member.Address == n.own.Address {
-			n.answer(message, func(transport.Writable) { took(member) })
+			n.answer(message, func(transport.Marshaler) { took(member) })
 			continue
 		}
-		n.call(member.Address, message, constants.RoundTime, func(_ transport.Writable, failed bool) {
+		n.call(member.Address, message, constants.RoundTimeout, func(_ transport.Marshaler, failed bool) {
 			if !failed {
 				took(member)
 			}
@@ -146,9 +146,9 @@
 	if !n.attached() {
 		return
 	}
-	n.majority(&messages.Accept{Value: messages.Register{Current: messages.Version{Generation: generation}}}, func() {
+	n.majority(&messages.AcceptRequest{Value: messages.RegisterValue{Current: messages.Version{Generation: generation}}}, func() {
 		n.take(generation)
-		n.spread(&messages.Relay{Generation: generation, Body: body}, constants.PushTime, acknowledged)
+		n.spread(&messages.RelayRequest{Generation: generation, Body: body}, constants.PushTimeout, acknowledged)
 	})
 }
 
@@ -166,11 +166,11 @@
 			acknowledged()
 		}
 	}
-	n.majority(&messages.WorkersKeep{Workers: []messages.Worker{worker}}, func() {
+	n.majority(&messages.WorkersPersistRequest{Workers: []messages.Worker{worker}}, func() {
 		kept = true
 		end()
 	})
-	n.spread(&messages.Relay{Workers: []messages.Worker{worker}}, constants.TreeTime, func() {
+	n.spread(&messages.RelayRequest{Workers: []messages.Worker{worker}}, constants.BroadcastTimeout, func() {
 		told = true
 		end()
 	})
--- a/internal/control/broadcast/cost_test.go
+++ b/internal/control/broadcast/cost_test.go
@@ -19,31 +19,31 @@
 
 // idle runs a calm fleet whose workers beat, and gives the cost by role.
 func idle(seed int64, gateways, stores, workerList int) map[string]cost {
-	one := newFleet(seed, 4, 2, stores, gateways)
+	fleet := newFleet(seed, 4, 2, stores, gateways)
 	count := int64(0)
 	var beatAll func()
 	beatAll = func() {
-		one.After(beat, beatAll)
+		fleet.After(beat, beatAll)
 		count++
-		for place := 0; place < workerList; place++ {
-			taker, id, number := one.controllers()[one.Random.Intn(8)], fmt.Sprintf("i-%08x", place*7919), count
-			one.After(clock.Span(one.Random.Int63n(beat)), func() {
-				if taker.registry.Beat(steady(id, number, messages.PhaseSteady), one.Now) {
+		for i := 0; i < workerList; i++ {
+			taker, id, number := fleet.controllers()[fleet.Random.Intn(8)], fmt.Sprintf("i-%08x", i*7919), count
+			fleet.After(clock.Duration(fleet.Random.Int63n(beat)), func() {
+				if taker.registry.Beat(steady(id, number, messages.PhaseSteady), fleet.Now) {
 					worker, _ := taker.registry.Get(id)
-					taker.spread(&messages.Relay{Workers: []messages.Worker{worker}}, constants.TreeTime, func() {})
+					taker.spread(&messages.RelayRequest{Workers: []messages.Worker{worker}}, constants.BroadcastTimeout, func() {})
 				}
 			})
 		}
 	}
 	beatAll()
-	one.Run(clock.Moment(0).Plus(8 * constants.ShufflePeriod))
+	fleet.Run(clock.Instant(0).Add(8 * constants.ShufflePeriod))
 	const seconds = 10
-	for _, here := range one.nodes {
+	for _, here := range fleet.nodes {
 		here.messages, here.bytes, here.far = 0, 0, 0
 	}
-	one.Run(one.Now.Plus(seconds * constants.ShufflePeriod))
+	fleet.Run(fleet.Now.Add(seconds * constants.ShufflePeriod))
 	sums, counts := map[string]cost{}, map[string]float64{}
-	for _, here := range one.nodes {
+	for _, here := range fleet.nodes {
 		sum := sums[here.own.Role]
 		sum.messages += float64(here.messages) / seconds
 		sum.bytes += float64(here.bytes) / seconds
@@ -68,9 +68,9 @@
 		found := idle(1, size.gateways, size.stores, size.workerList)
 		costs = append(costs, found)
 		for _, role := range simulation.Keys(found) {
-			one := found[role]
+			c := found[role]
 			t.Logf("processes %d, workers %d: a %s sends %.1f messages, %.0f bytes, %.0f of them to other zones, each second",
-				4*(2+size.gateways+size.stores), size.workerList, role, one.messages, one.bytes, one.far)
+				4*(2+size.gateways+size.stores), size.workerList, role, c.messages, c.bytes, c.far)
 		}
 	}
 	small, large := costs[0], costs[2]
--- a/internal/control/broadcast/cut_test.go
+++ b/internal/control/broadcast/cut_test.go
@@ -49,7 +49,7 @@
 	fleet  *fleet
 	hit    *node
 	how    direction
-	began  clock.Moment
+	began  clock.Instant
 	name   string
 	newest int64
 	worker int
@@ -85,7 +85,7 @@
 	generation, taker := c.newest, c.draw()
 	taker.order(generation, func() {
 		c.acks++
-		if taker == c.hit && c.began > 0 && c.fleet.Now.Since(c.began) > constants.ContactLease+constants.PushTime {
+		if taker == c.hit && c.began > 0 && c.fleet.Now.Sub(c.began) > constants.ContactLease+constants.PushTimeout {
 			c.test.Errorf("%s: a controller that is cut off confirmed generation %d", c.name, generation)
 		}
 		c.fleet.After(convergeBound, func() {
@@ -105,7 +105,7 @@
 	if !first.attached() || !first.registry.Beat(steady(id, 1, messages.PhaseSteady), c.fleet.Now) {
 		return
 	}
-	first.spread(&messages.Relay{Workers: []messages.Worker{steady(id, 1, messages.PhaseSteady)}}, constants.TreeTime, func() {})
+	first.spread(&messages.RelayRequest{Workers: []messages.Worker{steady(id, 1, messages.PhaseSteady)}}, constants.BroadcastTimeout, func() {})
 	c.fleet.After(second, func() {
 		taker.bind(steady(id, 2, messages.PhaseDraining), func() {
 			c.acks++
@@ -149,24 +149,24 @@
 
 // leftAlone checks that nobody goes on reporting to a controller that has lost contact.
 func (c *cut) leftAlone() {
-	bound := constants.ContactLease + constants.ShufflePeriod + 2*constants.ReportTime
-	if c.began == 0 || c.fleet.Now.Since(c.began) < bound {
+	bound := constants.ContactLease + constants.ShufflePeriod + 2*constants.ReportTimeout
+	if c.began == 0 || c.fleet.Now.Sub(c.began) < bound {
 		return
 	}
 	for _, here := range c.fleet.nodes {
 		if here.control.first == c.hit.own.Address && here != c.hit {
-			c.test.Errorf("%s: %s still reports to it after %v", c.name, here.own.Address, c.fleet.Now.Since(c.began))
+			c.test.Errorf("%s: %s still reports to it after %v", c.name, here.own.Address, c.fleet.Now.Sub(c.began))
 		}
 	}
 }
 
 // play runs one cut of a length, with orders and drains from before it until after it.
-func (c *cut) play(length clock.Span) {
+func (c *cut) play(length clock.Duration) {
 	fleet := c.fleet
-	fleet.Run(clock.Moment(0).Plus(6 * second))
-	end := fleet.Now.Plus(length + 6*second)
+	fleet.Run(clock.Instant(0).Add(6 * second))
+	end := fleet.Now.Add(length + 6*second)
 	var orders, drains, looks func()
-	repeat := func(period clock.Span, function func(), next *func()) {
+	repeat := func(period clock.Duration, function func(), next *func()) {
 		*next = func() {
 			if fleet.Now < end && !c.test.Failed() {
 				function()
@@ -189,7 +189,7 @@
 			c.apply(false)
 		})
 	})
-	fleet.Run(end.Plus(convergeBound + second))
+	fleet.Run(end.Add(convergeBound + second))
 	for _, here := range fleet.nodes {
 		if here.config < c.hit.config || c.hit.config < here.config {
 			c.test.Errorf("%s: at the end %s follows %d, the one that was cut off %d", c.name, here.own.Address, here.config, c.hit.config)
@@ -209,10 +209,10 @@
 	sizes := []struct{ zones, controllers int }{{3, 1}, {5, 1}, {4, 2}}
 	for seed := 1; seed <= seeds(1); seed++ {
 		for _, size := range sizes {
-			for place := 0; place < size.zones*size.controllers; place++ {
-				t.Run(fmt.Sprintf("seed %d, %d controllers, number %d", seed, size.zones*size.controllers, place), func(t *testing.T) {
+			for i := 0; i < size.zones*size.controllers; i++ {
+				t.Run(fmt.Sprintf("seed %d, %d controllers, number %d", seed, size.zones*size.controllers, i), func(t *testing.T) {
 					t.Parallel()
-					playCuts(t, int64(seed), size.zones, size.controllers, place)
+					playCuts(t, int64(seed), size.zones, size.controllers, i)
 				})
 			}
 		}
@@ -220,17 +220,17 @@
 }
 
 // playCuts cuts one controller off in each direction, for each length.
-func playCuts(t *testing.T, seed int64, zones, controllers, place int) {
+func playCuts(t *testing.T, seed int64, zones, controllers, i int) {
 	for how := bothWays; how < directions; how++ {
-		for turn, length := range []clock.Span{1, 5, 12, 20, 60} {
-			if seeds(0) == 0 && (place+turn+int(how))%int(directions) != 0 {
+		for turn, length := range []clock.Duration{1, 5, 12, 20, 60} {
+			if seeds(0) == 0 && (i+turn+int(how))%int(directions) != 0 {
 				// One direction each in CI: the rest is played on demand.
 				continue
 			}
-			one := &cut{test: t, fleet: newFleet(seed, zones, controllers, 1, 2), how: how}
-			one.hit = one.fleet.controllers()[place]
-			one.name = fmt.Sprintf("seed %d, %d controllers, %s, direction %d, %d s", seed, zones*controllers, one.hit.own.Address, how, length)
-			one.play(length * second)
+			c := &cut{test: t, fleet: newFleet(seed, zones, controllers, 1, 2), how: how}
+			c.hit = c.fleet.controllers()[i]
+			c.name = fmt.Sprintf("seed %d, %d controllers, %s, direction %d, %d s", seed, zones*controllers, c.hit.own.Address, how, length)
+			c.play(length * second)
 			if t.Failed() {
 				return
 			}
--- a/internal/control/broadcast/drive_test.go
+++ b/internal/control/broadcast/drive_test.go
@@ -10,37 +10,37 @@
 )
 
 // drive makes the calls of a job, and ticks it while it lasts.
-func (n *node) drive(update *messages.Relay, job *broadcast.Job, sends []broadcast.Send, begun clock.Moment) {
+func (n *node) drive(update *messages.RelayRequest, job *broadcast.Job, sends []broadcast.Send, start clock.Instant) {
 	for _, send := range sends {
-		n.carry(update, job, send, begun)
+		n.carry(update, job, send, start)
 	}
-	n.fleet.After(constants.RelayPatience/4, func() {
-		if !job.Done() && !n.down && n.fleet.Now.Since(begun) < constants.BulkCallTime {
-			n.drive(update, job, job.Tick(n.fleet.Now), begun)
+	n.fleet.After(constants.RelayTimeout/4, func() {
+		if !job.Done() && !n.down && n.fleet.Now.Sub(start) < constants.BulkCallTimeout {
+			n.drive(update, job, job.Tick(n.fleet.Now), start)
 		}
 	})
 }
 
-func (n *node) carry(update *messages.Relay, job *broadcast.Job, send broadcast.Send, begun clock.Moment) {
-	var message transport.Writable
+func (n *node) carry(update *messages.RelayRequest, job *broadcast.Job, send broadcast.Send, start clock.Instant) {
+	var message transport.Marshaler
 	switch {
 	case send.Step == broadcast.StepRelay:
 		part := *update
 		part.Expect = send.Expect
 		message = &part
 	case send.Step == broadcast.StepWait:
-		message = &messages.RelayWait{From: update.From, Number: update.Number}
+		message = &messages.RelayWaitRequest{From: update.From, Sequence: update.Sequence}
 	case update.Generation > 0:
-		message = &messages.ConfigPush{Generation: update.Generation, Body: update.Body, Pass: send.Pass}
+		message = &messages.ConfigPush{Generation: update.Generation, Body: update.Body, ForwardTo: send.Pass}
 	default:
-		message = &messages.RosterPush{Workers: update.Workers}
+		message = &messages.WorkersUpdate{Workers: update.Workers}
 	}
-	n.call(send.Address, message, constants.CallTime, func(answer transport.Writable, failed bool) {
+	n.call(send.Address, message, constants.CallTimeout, func(resp transport.Marshaler, failed bool) {
 		var next []broadcast.Send
 		if entry := job.Told(send); failed && send.Step == broadcast.StepTell && entry.Address != "" {
-			n.owe(update, []messages.Entry{entry}, constants.BacklogPause)
+			n.owe(update, []messages.NodeInfo{entry}, constants.BacklogBackoff)
 		}
-		done, waited := answer.(*messages.RelayDone)
+		done, waited := resp.(*messages.RelayWaitResponse)
 		switch {
 		case failed || (waited && !done.Known):
 			next = job.Failed(send, n.fleet.Now)
@@ -49,25 +49,25 @@
 		default:
 			next = job.Took(send, nil, n.fleet.Now)
 		}
-		for _, one := range next {
-			n.carry(update, job, one, begun)
+		for _, s := range next {
+			n.carry(update, job, s, start)
 		}
 	})
 }
 
 // spread tells the fleet; acknowledged runs once all in touch took it, or at the bound.
-func (n *node) spread(update *messages.Relay, bound clock.Span, acknowledged func()) {
+func (n *node) spread(update *messages.RelayRequest, bound clock.Duration, acknowledged func()) {
 	n.fleet.number++
-	update.From, update.Number = membership.Key(n.own), n.fleet.number
-	begun := n.fleet.Now
-	job, sends := broadcast.Fleet(n.own, n.view.All("", begun), fan(update), begun)
+	update.From, update.Sequence = membership.Key(n.own), n.fleet.number
+	start := n.fleet.Now
+	job, sends := broadcast.Fleet(n.own, n.view.All("", start), fan(update), start)
 	if update.Generation > 0 {
-		n.owe(update, job.Unconfirmed(sends), constants.BacklogPassedPause)
+		n.owe(update, job.Unconfirmed(sends), constants.BacklogForwardedDelay)
 	}
-	n.drive(update, job, sends, begun)
+	n.drive(update, job, sends, start)
 	var look func()
 	look = func() {
-		if job.Done() || n.fleet.Now.Since(begun) >= bound {
+		if job.Done() || n.fleet.Now.Sub(start) >= bound {
 			acknowledged()
 			return
 		}
--- a/internal/control/broadcast/events.go
+++ b/internal/control/broadcast/events.go
@@ -10,31 +10,31 @@
 )
 
 // Took notes that a send was answered; missing is what a wait brought.
-func (j *Job) Took(send Send, missing []uint32, now clock.Moment) []Send {
+func (j *Job) Took(send Send, missing []uint32, now clock.Instant) []Send {
 	switch send.Step {
 	case StepTell:
 		delete(j.open, send.Address)
 	case StepRelay:
-		one := j.branches[send.Zone]
-		if one.settled || one.relay != send.Address {
+		branch := j.branches[send.Zone]
+		if branch.settled || branch.relay != send.Address {
 			return nil
 		}
 		// It lives and is at it: it is given the time that its zone may take.
-		one.asked = now.Plus(constants.ZoneTime)
+		branch.asked = now.Add(constants.ZoneBroadcastTimeout)
 		return []Send{{Step: StepWait, Address: send.Address, Zone: send.Zone}}
 	case StepWait:
-		one := j.branches[send.Zone]
-		if one.settled {
+		branch := j.branches[send.Zone]
+		if branch.settled {
 			return nil
 		}
-		one.settled = true
+		branch.settled = true
 		left := map[uint32]bool{}
-		for _, mark := range missing {
-			left[mark] = true
+		for _, hash := range missing {
+			left[hash] = true
 		}
 		// Whom the relay could not reach may be in reach from here.
-		var again []messages.Entry
-		for _, entry := range one.processes {
+		var again []messages.NodeInfo
+		for _, entry := range branch.processes {
 			if left[membership.MarkOf(entry)] {
 				again = append(again, entry)
 			}
@@ -45,16 +45,16 @@
 }
 
 // Failed notes that a send was not answered or not taken.
-func (j *Job) Failed(send Send, now clock.Moment) []Send {
+func (j *Job) Failed(send Send, now clock.Instant) []Send {
 	if send.Step != StepTell {
-		one := j.branches[send.Zone]
-		if one.relay != send.Address {
+		branch := j.branches[send.Zone]
+		if branch.relay != send.Address {
 			return nil
 		}
-		return j.next(one, send.Zone, now)
+		return j.next(branch, send.Zone, now)
 	}
-	if mark, known := j.marks[send.Address]; known && j.open[send.Address] {
-		j.missing[mark] = true
+	if hash, known := j.marks[send.Address]; known && j.open[send.Address] {
+		j.missing[hash] = true
 	}
 	delete(j.open, send.Address)
 	if len(send.Pass) == 0 {
@@ -66,16 +66,16 @@
 }
 
 // Told gives the process that a send goes to.
-func (j *Job) Told(send Send) messages.Entry { return j.entries[send.Address] }
+func (j *Job) Told(send Send) messages.NodeInfo { return j.entries[send.Address] }
 
 // Unconfirmed gives the processes whose taking of a configuration this job does not hear
 // of: those of the owner's zone to which others pass it on, and those of other zones.
-func (j *Job) Unconfirmed(sends []Send) []messages.Entry {
+func (j *Job) Unconfirmed(sends []Send) []messages.NodeInfo {
 	told := map[string]bool{}
 	for _, send := range sends {
 		told[send.Address] = send.Step == StepTell
 	}
-	var found []messages.Entry
+	var found []messages.NodeInfo
 	for _, zone := range j.zones() {
 		for _, entry := range j.branches[zone].processes {
 			if !told[entry.Address] {
@@ -87,12 +87,12 @@
 }
 
 // Tick goes on without controllers that take too long.
-func (j *Job) Tick(now clock.Moment) []Send {
+func (j *Job) Tick(now clock.Instant) []Send {
 	var sends []Send
 	for _, zone := range j.zones() {
-		one := j.branches[zone]
-		if !one.settled && now.Since(one.asked) >= constants.RelayPatience {
-			sends = append(sends, j.next(one, zone, now)...)
+		branch := j.branches[zone]
+		if !branch.settled && now.Sub(branch.asked) >= constants.RelayTimeout {
+			sends = append(sends, j.next(branch, zone, now)...)
 		}
 	}
 	return sends
@@ -100,8 +100,8 @@
 
 // Done tells whether everybody who was heard lately took the update or failed to.
 func (j *Job) Done() bool {
-	for _, one := range j.branches {
-		if !one.settled {
+	for _, branch := range j.branches {
+		if !branch.settled {
 			return false
 		}
 	}
@@ -110,15 +110,15 @@
 
 // Missing gives the marks of those in touch that have not taken the update.
 func (j *Job) Missing() []uint32 {
-	var marks []uint32
-	for mark := range j.missing {
-		marks = append(marks, mark)
+	var hashes []uint32
+	for hash := range j.missing {
+		hashes = append(hashes, hash)
 	}
 	for address := range j.open {
-		if mark := j.marks[address]; !j.missing[mark] {
-			marks = append(marks, mark)
+		if hash := j.marks[address]; !j.missing[hash] {
+			hashes = append(hashes, hash)
 		}
 	}
-	sort.Slice(marks, func(left, right int) bool { return marks[left] < marks[right] })
-	return marks
+	sort.Slice(hashes, func(left, right int) bool { return hashes[left] < hashes[right] })
+	return hashes
 }
--- a/internal/control/broadcast/fleet_test.go
+++ b/internal/control/broadcast/fleet_test.go
@@ -19,7 +19,7 @@
 // rims of the real processes join them.
 type node struct {
 	fleet    *fleet
-	own      messages.Entry
+	own      messages.NodeInfo
 	view     *membership.View
 	registry *workers.Registry
 	config   int64
@@ -35,7 +35,7 @@
 
 type reads struct {
 	workerList, processes messages.Digest
-	told                  clock.Moment
+	told                  clock.Instant
 }
 
 // fleet is many nodes in one world.
@@ -47,23 +47,23 @@
 }
 
 func newFleet(seed int64, zones, controllers, stores, gateways int) *fleet {
-	one := &fleet{World: simulation.NewWorld(seed), named: map[string]*node{}}
+	f := &fleet{World: simulation.NewWorld(seed), named: map[string]*node{}}
 	for zone := 0; zone < zones; zone++ {
 		for role, count := range map[string]int{membership.RoleController: controllers, membership.RoleStore: stores, membership.RoleGateway: gateways} {
-			for place := 0; place < count; place++ {
-				name := fmt.Sprintf("%d-%03d", zone, place)
-				one.named[role+"/"+name] = &node{fleet: one, own: messages.Entry{Name: name, Life: 1, Role: role, Zone: fmt.Sprint("h", zone), Address: role + "/" + name}}
+			for i := 0; i < count; i++ {
+				name := fmt.Sprintf("%d-%03d", zone, i)
+				f.named[role+"/"+name] = &node{fleet: f, own: messages.NodeInfo{Name: name, Incarnation: 1, Role: role, Zone: fmt.Sprint("h", zone), Address: role + "/" + name}}
 			}
 		}
 	}
-	for place, address := range simulation.Keys(one.named) {
-		here := one.named[address]
-		here.start(seed*1000 + int64(place))
-		one.nodes = append(one.nodes, here)
-		one.After(clock.Span(one.Random.Int63n(int64(constants.ShufflePeriod))), here.period)
+	for i, address := range simulation.Keys(f.named) {
+		here := f.named[address]
+		here.start(seed*1000 + int64(i))
+		f.nodes = append(f.nodes, here)
+		f.After(clock.Duration(f.Random.Int63n(int64(constants.ShufflePeriod))), here.period)
 	}
-	one.startControl()
-	return one
+	f.startControl()
+	return f
 }
 
 func (n *node) start(seed int64) {
@@ -72,11 +72,11 @@
 	// The seeds are the first controllers of three zones.
 	for zone := 0; zone < 3; zone++ {
 		name := fmt.Sprintf("%d-000", zone)
-		n.view.Heard([]messages.Entry{{}, {Name: name, Life: 1, Role: membership.RoleController, Zone: fmt.Sprint("h", zone), Address: "foreman/" + name}}, n.fleet.Now)
+		n.view.Heard([]messages.NodeInfo{{}, {Name: name, Incarnation: 1, Role: membership.RoleController, Zone: fmt.Sprint("h", zone), Address: "foreman/" + name}}, n.fleet.Now)
 	}
 }
 
-func (n *node) count(to *node, message transport.Writable) {
+func (n *node) count(to *node, message transport.Marshaler) {
 	const head = 17
 	body, _ := message.MarshalMsg(nil)
 	n.messages++
@@ -87,112 +87,112 @@
 }
 
 // call carries a question and its answer, or fails after the span.
-func (n *node) call(address string, question transport.Writable, span clock.Span, done func(answer transport.Writable, failed bool)) {
+func (n *node) call(address string, req transport.Marshaler, timeout clock.Duration, done func(resp transport.Marshaler, failed bool)) {
 	there, ended := n.fleet.named[address], false
-	end := func(answer transport.Writable, failed bool) {
+	end := func(resp transport.Marshaler, failed bool) {
 		if !ended && !n.down {
 			ended = true
-			done(answer, failed)
+			done(resp, failed)
 		}
 	}
-	n.fleet.After(span, func() { end(nil, true) })
+	n.fleet.After(timeout, func() { end(nil, true) })
 	if there == nil {
 		return
 	}
-	n.count(there, question)
+	n.count(there, req)
 	n.fleet.Send(n.own.Address, address, func() {
 		if there.down {
 			return
 		}
-		there.answer(question, func(answer transport.Writable) {
-			there.count(n, answer)
-			n.fleet.Send(address, n.own.Address, func() { end(answer, false) })
+		there.answer(req, func(resp transport.Marshaler) {
+			there.count(n, resp)
+			n.fleet.Send(address, n.own.Address, func() { end(resp, false) })
 		})
 	})
 }
 
-func (n *node) answer(question transport.Writable, back func(transport.Writable)) {
+func (n *node) answer(req transport.Marshaler, response func(transport.Marshaler)) {
 	now := n.fleet.Now
-	switch one := question.(type) {
+	switch found := req.(type) {
 	case *messages.Shuffle:
-		n.hear(one.Entries)
+		n.hear(found.Entries)
 		if n.own.Role != membership.RoleController {
-			back(&messages.Shuffle{Entries: n.view.Offer(now)})
+			response(&messages.Shuffle{Entries: n.view.Offer(now)})
 			return
 		}
 		if !n.attached() {
-			back(&messages.Shuffle{Entries: []messages.Entry{n.view.Own()}, Detached: true})
+			response(&messages.Shuffle{Entries: []messages.NodeInfo{n.view.Own()}, Detached: true})
 			return
 		}
-		answer := n.view.Answer(one, now)
-		answer.Workers, answer.Judging, answer.Overdue = n.registry.Digest(n.own.Life), true, n.registry.Overdue(now)
-		back(answer)
-	case *messages.ControllerBeat:
+		resp := n.view.Answer(found, now)
+		resp.Workers, resp.OverdueComplete, resp.Overdue = n.registry.Digest(n.own.Incarnation), true, n.registry.Overdue(now)
+		response(resp)
+	case *messages.ControllerHeartbeat:
 		// What is told is chosen before it counts as told.
-		beat := n.beatFor(membership.Key(one.From))
-		n.heardBeat(one, now)
-		back(beat)
-	case *messages.RosterPull:
-		back(&messages.RosterPush{Workers: n.registry.Since(one.Since, now), Table: n.registry.Digest(n.own.Life)})
-	case *messages.DirectoryPull:
-		back(&messages.Shuffle{Entries: n.view.Since(one.Since, now), Table: n.view.Digest()})
-	case *messages.RosterPush:
-		n.merge(one.Workers)
-		back(&messages.Nothing{Taken: true})
+		heartbeat := n.beatFor(membership.Key(found.From))
+		n.heardBeat(found, now)
+		response(heartbeat)
+	case *messages.WorkersPullRequest:
+		response(&messages.WorkersUpdate{Workers: n.registry.Since(found.Since, now), Table: n.registry.Digest(n.own.Incarnation)})
+	case *messages.DirectoryPullRequest:
+		response(&messages.Shuffle{Entries: n.view.Since(found.Since, now), Table: n.view.Digest()})
+	case *messages.WorkersUpdate:
+		n.merge(found.Workers)
+		response(&messages.Ack{Accepted: true})
 	case *messages.ConfigPull:
-		back(&messages.ConfigPush{Generation: n.config, Body: body})
+		response(&messages.ConfigPush{Generation: n.config, Body: body})
 	case *messages.ConfigPush:
-		for _, send := range broadcast.Split(one.Pass, constants.BodyFan) {
-			n.passOn(one, send)
+		for _, send := range broadcast.Split(found.ForwardTo, constants.BodyFanout) {
+			n.passOn(found, send)
 		}
-		if len(one.Body) > 0 {
-			n.take(one.Generation)
+		if len(found.Body) > 0 {
+			n.take(found.Generation)
 		}
-		n.pull(one.Generation, "")
-		back(&messages.Nothing{Taken: n.config >= one.Generation})
-	case *messages.ContactAsk:
-		back(&messages.ContactTold{Generation: n.control.accepted})
-	case *messages.Accept:
-		n.control.accepted = max(n.control.accepted, one.Value.Current.Generation)
-		back(&messages.Accepted{Granted: true})
-	case *messages.WorkersKeep:
-		n.merge(one.Workers)
-		back(&messages.Nothing{Taken: true})
-	case *messages.Relay:
-		n.merge(one.Workers)
-		n.take(one.Generation)
-		job, sends := broadcast.Zone(n.own, n.view.All("", now), one.Expect, fan(one), now)
-		n.relays[fmt.Sprint(one.From, one.Number)] = job
-		n.drive(one, job, sends, now)
-		back(&messages.Nothing{Taken: true})
-	case *messages.RelayWait:
-		n.await(n.relays[fmt.Sprint(one.From, one.Number)], now, back)
+		n.pull(found.Generation, "")
+		response(&messages.Ack{Accepted: n.config >= found.Generation})
+	case *messages.ContactRequest:
+		response(&messages.ContactResponse{Generation: n.control.accepted})
+	case *messages.AcceptRequest:
+		n.control.accepted = max(n.control.accepted, found.Value.Current.Generation)
+		response(&messages.AcceptResponse{Granted: true})
+	case *messages.WorkersPersistRequest:
+		n.merge(found.Workers)
+		response(&messages.Ack{Accepted: true})
+	case *messages.RelayRequest:
+		n.merge(found.Workers)
+		n.take(found.Generation)
+		job, sends := broadcast.Zone(n.own, n.view.All("", now), found.Expect, fan(found), now)
+		n.relays[fmt.Sprint(found.From, found.Sequence)] = job
+		n.drive(found, job, sends, now)
+		response(&messages.Ack{Accepted: true})
+	case *messages.RelayWaitRequest:
+		n.await(n.relays[fmt.Sprint(found.From, found.Sequence)], now, response)
 	}
 }
 
-func (n *node) await(job *broadcast.Job, begun clock.Moment, back func(transport.Writable)) {
+func (n *node) await(job *broadcast.Job, start clock.Instant, resp func(transport.Marshaler)) {
 	switch {
 	case job == nil:
-		back(&messages.RelayDone{})
-	case job.Done() || n.fleet.Now.Since(begun) >= constants.ZoneTime:
-		back(&messages.RelayDone{Known: true, Missing: job.Missing()})
+		resp(&messages.RelayWaitResponse{})
+	case job.Done() || n.fleet.Now.Sub(start) >= constants.ZoneBroadcastTimeout:
+		resp(&messages.RelayWaitResponse{Known: true, Missing: job.Missing()})
 	default:
-		n.fleet.After(2_000_000, func() { n.await(job, begun, back) })
+		n.fleet.After(2_000_000, func() { n.await(job, start, resp) })
 	}
 }
 
 var body = make([]byte, 4000)
 
-func fan(update *messages.Relay) int {
+func fan(update *messages.RelayRequest) int {
 	if update.Generation > 0 {
-		return 2 * constants.BodyFan
+		return 2 * constants.BodyFanout
 	}
 	return 0
 }
 
 func (n *node) passOn(push *messages.ConfigPush, send broadcast.Send) {
-	part := &messages.ConfigPush{Generation: push.Generation, Body: push.Body, Pass: send.Pass}
-	n.call(send.Address, part, constants.CallTime, func(_ transport.Writable, failed bool) {
+	part := &messages.ConfigPush{Generation: push.Generation, Body: push.Body, ForwardTo: send.Pass}
+	n.call(send.Address, part, constants.CallTimeout, func(_ transport.Marshaler, failed bool) {
 		if failed && len(send.Pass) > 0 {
 			n.passOn(push, broadcast.Send{Address: send.Pass[0], Pass: send.Pass[1:]})
 		}
--- a/internal/control/broadcast/loops_test.go
+++ b/internal/control/broadcast/loops_test.go
@@ -9,13 +9,13 @@
 )
 
 // hear takes entries, and pulls a configuration that somebody was seen to have.
-func (n *node) hear(entries []messages.Entry) {
+func (n *node) hear(entries []messages.NodeInfo) {
 	n.view.Heard(entries, n.fleet.Now)
 	n.sawEntries(entries)
 }
 
-func (n *node) sawEntries(entries []messages.Entry) {
-	var newest messages.Entry
+func (n *node) sawEntries(entries []messages.NodeInfo) {
+	var newest messages.NodeInfo
 	for _, entry := range entries {
 		if entry.Generation > newest.Generation {
 			newest = entry
@@ -45,11 +45,11 @@
 		n.pulling = false
 		return
 	}
-	n.call(addresses[0], &messages.ConfigPull{Known: n.config}, constants.CallTime, func(answer transport.Writable, failed bool) {
+	n.call(addresses[0], &messages.ConfigPull{Known: n.config}, constants.CallTimeout, func(resp transport.Marshaler, failed bool) {
 		if failed {
 			n.view.Failed(addresses[0], n.fleet.Now)
 		} else {
-			n.take(answer.(*messages.ConfigPush).Generation)
+			n.take(resp.(*messages.ConfigPush).Generation)
 		}
 		n.pullNext(generation, addresses[1:])
 	})
@@ -58,7 +58,7 @@
 // period is the periodic report: a controller's with controllers, anybody else's with a controller.
 func (n *node) period() {
 	if n.own.Role == membership.RoleController {
-		n.fleet.After(constants.RosterPeriod, n.period)
+		n.fleet.After(constants.ControllerHeartbeatPeriod, n.period)
 		if !n.down {
 			n.beatOthers()
 		}
@@ -70,30 +70,30 @@
 	}
 }
 
-func (n *node) report(controllers []messages.Entry, tries int, brief bool) {
+func (n *node) report(controllers []messages.NodeInfo, tries int, brief bool) {
 	if len(controllers) == 0 || tries == 0 {
 		if partner := n.view.Partner(n.fleet.Now); partner != "" && !brief {
 			n.control.first = ""
-			n.call(partner, &messages.Shuffle{Entries: n.view.Offer(n.fleet.Now)}, constants.CallTime, func(answer transport.Writable, failed bool) {
+			n.call(partner, &messages.Shuffle{Entries: n.view.Offer(n.fleet.Now)}, constants.CallTimeout, func(resp transport.Marshaler, failed bool) {
 				if !failed {
-					n.hear(answer.(*messages.Shuffle).Entries)
+					n.hear(resp.(*messages.Shuffle).Entries)
 				}
 			})
 		}
 		return
 	}
-	question, address := n.view.Question(), controllers[0].Address
+	req, address := n.view.Question(), controllers[0].Address
 	if brief {
-		question = n.view.BriefQuestion()
+		req = n.view.BriefQuestion()
 	}
-	n.call(address, question, constants.ReportTime, func(answer transport.Writable, failed bool) {
+	n.call(address, req, constants.ReportTimeout, func(resp transport.Marshaler, failed bool) {
 		if failed {
 			n.view.Failed(address, n.fleet.Now)
 			n.report(controllers[1:], tries-1, brief)
 			return
 		}
-		back := answer.(*messages.Shuffle)
-		if back.Detached {
+		response := resp.(*messages.Shuffle)
+		if response.Detached {
 			n.view.Failed(address, n.fleet.Now)
 			n.report(controllers[1:], tries, brief)
 			return
@@ -101,14 +101,14 @@
 		if !brief {
 			n.control.first = address
 		}
-		n.view.Answered(question, back, n.fleet.Now)
-		n.sawEntries(back.Entries)
+		n.view.Answered(req, response, n.fleet.Now)
+		n.sawEntries(response.Entries)
 		read := n.read(address)
-		if since, ask := behind(&read.workerList, back.Workers, n.registry.Digest(n.own.Life)); ask {
+		if since, ask := behind(&read.workerList, response.Workers, n.registry.Digest(n.own.Incarnation)); ask {
 			n.pullWorkers(address, since)
 		}
-		if back.Judging {
-			n.registry.Judged(back.Overdue, n.fleet.Now)
+		if response.OverdueComplete {
+			n.registry.Judged(response.Overdue, n.fleet.Now)
 		}
 	})
 }
@@ -125,61 +125,61 @@
 		*read = told
 		return 0, false
 	}
-	if read.Life != told.Life {
+	if read.Incarnation != told.Incarnation {
 		return 0, true
 	}
 	return read.Clock, told.Clock > read.Clock
 }
 
 func (n *node) pullWorkers(address string, since uint64) {
-	n.call(address, &messages.RosterPull{Since: since}, constants.CallTime, func(answer transport.Writable, failed bool) {
+	n.call(address, &messages.WorkersPullRequest{Since: since}, constants.CallTimeout, func(resp transport.Marshaler, failed bool) {
 		if !failed {
-			back := answer.(*messages.RosterPush)
-			n.merge(back.Workers)
-			n.read(address).workerList = back.Table
+			response := resp.(*messages.WorkersUpdate)
+			n.merge(response.Workers)
+			n.read(address).workerList = response.Table
 		}
 	})
 }
 
-func (n *node) beatFor(key string) *messages.ControllerBeat {
+func (n *node) beatFor(key string) *messages.ControllerHeartbeat {
 	since := n.read(key).told
-	beat := &messages.ControllerBeat{From: n.view.Own(), Workers: n.registry.Digest(n.own.Life), Processes: n.view.Digest(),
-		Beaten: n.registry.BeatenSince(since), Follow: n.view.Own().Generation}
-	beat.Met, beat.Behind = n.view.MetSince(since)
-	return beat
+	heartbeat := &messages.ControllerHeartbeat{From: n.view.Own(), Workers: n.registry.Digest(n.own.Incarnation), Processes: n.view.Digest(),
+		SeenWorkers: n.registry.BeatenSince(since), Generation: n.view.Own().Generation}
+	heartbeat.SeenNodes, heartbeat.LaggingNodes = n.view.MetSince(since)
+	return heartbeat
 }
 
 func (n *node) beatOthers() {
 	now := n.fleet.Now
 	for _, entry := range n.view.All(membership.RoleController, now) {
 		key := membership.Key(entry)
-		if key < membership.Key(n.own) && entry.AgeMs < 2*constants.RosterPeriod.Milliseconds() {
+		if key < membership.Key(n.own) && entry.AgeMs < 2*constants.ControllerHeartbeatPeriod.Milliseconds() {
 			continue
 		}
-		n.call(entry.Address, n.beatFor(key), constants.CallTime, func(answer transport.Writable, failed bool) {
+		n.call(entry.Address, n.beatFor(key), constants.CallTimeout, func(resp transport.Marshaler, failed bool) {
 			if !failed {
-				n.heardBeat(answer.(*messages.ControllerBeat), now)
+				n.heardBeat(resp.(*messages.ControllerHeartbeat), now)
 			}
 		})
 	}
 }
 
-func (n *node) heardBeat(beat *messages.ControllerBeat, told clock.Moment) {
-	now, address := n.fleet.Now, beat.From.Address
-	n.hear([]messages.Entry{beat.From})
-	read := n.read(membership.Key(beat.From))
+func (n *node) heardBeat(heartbeat *messages.ControllerHeartbeat, told clock.Instant) {
+	now, address := n.fleet.Now, heartbeat.From.Address
+	n.hear([]messages.NodeInfo{heartbeat.From})
+	read := n.read(membership.Key(heartbeat.From))
 	read.told = told
-	n.registry.Vouched(beat.Beaten, now)
-	n.view.Vouched(beat, now)
-	if since, ask := behind(&read.workerList, beat.Workers, n.registry.Digest(n.own.Life)); ask {
+	n.registry.Vouched(heartbeat.SeenWorkers, now)
+	n.view.Vouched(heartbeat, now)
+	if since, ask := behind(&read.workerList, heartbeat.Workers, n.registry.Digest(n.own.Incarnation)); ask {
 		n.pullWorkers(address, since)
 	}
-	if since, ask := behind(&read.processes, beat.Processes, n.view.Digest()); ask {
-		n.call(address, &messages.DirectoryPull{Since: since}, constants.CallTime, func(answer transport.Writable, failed bool) {
+	if since, ask := behind(&read.processes, heartbeat.Processes, n.view.Digest()); ask {
+		n.call(address, &messages.DirectoryPullRequest{Since: since}, constants.CallTimeout, func(resp transport.Marshaler, failed bool) {
 			if !failed {
-				back := answer.(*messages.Shuffle)
-				n.hear(back.Entries)
-				read.processes = back.Table
+				response := resp.(*messages.Shuffle)
+				n.hear(response.Entries)
+				read.processes = response.Table
 			}
 		})
 	}
--- a/internal/control/contact/contact.go
+++ b/internal/control/contact/contact.go
@@ -24,35 +24,35 @@
 // Lease is a process's proof of contact with the acceptors.
 type Lease struct {
 	// renewed holds, for each acceptor, when its last renewing answer was asked for.
-	renewed map[string]clock.Moment
+	renewed map[string]clock.Instant
 }
 
 // New gives a lease that was never renewed.
-func New() *Lease { return &Lease{renewed: map[string]clock.Moment{}} }
+func New() *Lease { return &Lease{renewed: map[string]clock.Instant{}} }
 
 // Answered takes the answer of an acceptor to a question that was sent at asked. It
 // reports whether the acceptor is ahead of what this process follows; such an answer
 // does not renew the lease.
-func (l *Lease) Answered(acceptor messages.Member, asked clock.Moment, accepted, followed Followed) (ahead bool) {
+func (l *Lease) Answered(acceptor messages.Member, sentAt clock.Instant, accepted, followed Followed) (ahead bool) {
 	if accepted.SetEpoch > followed.SetEpoch || accepted.Generation > followed.Generation {
 		return true
 	}
 	identity := register.Identity(acceptor)
-	if last, known := l.renewed[identity]; !known || asked > last {
-		l.renewed[identity] = asked
+	if last, known := l.renewed[identity]; !known || sentAt > last {
+		l.renewed[identity] = sentAt
 	}
 	return false
 }
 
 // Valid tells whether majorities of all sets in force answered questions that were sent
 // within the length of the lease.
-func (l *Lease) Valid(sets *messages.Register, now clock.Moment) bool {
+func (l *Lease) Valid(sets *messages.RegisterValue, now clock.Instant) bool {
 	if len(sets.Acceptors) == 0 {
 		return false
 	}
 	answered := map[string]bool{}
-	for identity, asked := range l.renewed {
-		if now.Since(asked) < constants.ContactLease {
+	for identity, sentAt := range l.renewed {
+		if now.Sub(sentAt) < constants.ContactLease {
 			answered[identity] = true
 		}
 	}
@@ -60,7 +60,7 @@
 }
 
 // Trim forgets acceptors that are no longer in a set.
-func (l *Lease) Trim(sets *messages.Register) {
+func (l *Lease) Trim(sets *messages.RegisterValue) {
 	inside := map[string]bool{}
 	for _, member := range append(append([]messages.Member(nil), sets.Acceptors...), sets.Previous...) {
 		inside[register.Identity(member)] = true
--- a/internal/control/contact/contact_test.go
+++ b/internal/control/contact/contact_test.go
@@ -16,7 +16,7 @@
 
 // acknowledged is a value that a majority accepted, and when that was.
 type acknowledged struct {
-	at    clock.Moment
+	at    clock.Instant
 	value contact.Followed
 }
 
@@ -26,7 +26,7 @@
 	*simulation.World
 	test      *testing.T
 	seed      int64
-	sets      []messages.Register
+	sets      []messages.RegisterValue
 	accepted  map[string]contact.Followed
 	lease     *contact.Lease
 	followed  contact.Followed
@@ -35,8 +35,8 @@
 	refusedAt int
 }
 
-func member(place int) messages.Member {
-	return messages.Member{Address: fmt.Sprint("a", place), Disk: fmt.Sprint("d", place)}
+func member(i int) messages.Member {
+	return messages.Member{Address: fmt.Sprint("a", i), Disk: fmt.Sprint("d", i)}
 }
 
 // propose has the next value accepted: a new configuration, or a set in which one member
@@ -63,12 +63,12 @@
 	next.SetEpoch = value.SetEpoch
 	answered := map[string]bool{}
 	targets := register.Targets(&next)
-	for _, place := range p.Random.Perm(len(targets)) {
+	for _, i := range p.Random.Perm(len(targets)) {
 		if register.Quorum(&next, answered) && p.Random.Intn(2) == 0 {
 			continue
 		}
-		p.accepted[register.Identity(targets[place])] = value
-		answered[register.Identity(targets[place])] = true
+		p.accepted[register.Identity(targets[i])] = value
+		answered[register.Identity(targets[i])] = true
 	}
 	p.sets = append(p.sets, next)
 	p.history = append(p.history, acknowledged{p.Now, value})
@@ -76,26 +76,26 @@
 
 // round asks every acceptor of the sets that the process follows.
 func (p *play) round() {
-	asked := p.Now
+	sentAt := p.Now
 	known := p.known()
 	for _, target := range register.Targets(&known) {
 		p.Send("process", target.Address, func() {
 			accepted := p.accepted[register.Identity(target)]
 			p.Send(target.Address, "process", func() {
-				p.lease.Answered(target, asked, accepted, p.followed)
+				p.lease.Answered(target, sentAt, accepted, p.followed)
 			})
 		})
 	}
 }
 
-func (p *play) known() messages.Register {
+func (p *play) known() messages.RegisterValue {
 	for _, sets := range p.sets {
 		if sets.SetEpoch == p.followed.SetEpoch {
 			return sets
 		}
 	}
 	p.test.Fatalf("seed %d: unknown epoch %d", p.seed, p.followed.SetEpoch)
-	return messages.Register{}
+	return messages.RegisterValue{}
 }
 
 // check holds the invariant: while the lease is valid, whatever was acknowledged before
@@ -108,15 +108,15 @@
 	}
 	p.validFor++
 	for _, earlier := range p.history {
-		late := p.Now.Since(earlier.at) >= constants.ContactLease
+		late := p.Now.Sub(earlier.at) >= constants.ContactLease
 		if late && (earlier.value.Generation > p.followed.Generation || earlier.value.SetEpoch > p.followed.SetEpoch) {
 			p.test.Fatalf("seed %d: valid at %v, follows %+v, %+v was acknowledged at %v", p.seed, p.Now, p.followed, earlier.value, earlier.at)
 		}
 	}
 }
 
-func (p *play) every(period clock.Span, function func()) {
-	p.After(clock.Span(p.Random.Int63n(int64(period))), func() {
+func (p *play) every(period clock.Duration, function func()) {
+	p.After(clock.Duration(p.Random.Int63n(int64(period))), func() {
 		function()
 		p.every(period, function)
 	})
@@ -132,31 +132,31 @@
 	}
 	valid, refused := 0, 0
 	for seed := int64(1); seed <= int64(seeds); seed++ {
-		one := &play{World: simulation.NewWorld(seed), test: t, seed: seed, accepted: map[string]contact.Followed{}, lease: contact.New()}
-		first := messages.Register{SetEpoch: 1}
-		for place := 0; place < 3+2*one.Random.Intn(2); place++ {
-			first.Acceptors = append(first.Acceptors, member(place))
+		p := &play{World: simulation.NewWorld(seed), test: t, seed: seed, accepted: map[string]contact.Followed{}, lease: contact.New()}
+		first := messages.RegisterValue{SetEpoch: 1}
+		for i := 0; i < 3+2*p.Random.Intn(2); i++ {
+			first.Acceptors = append(first.Acceptors, member(i))
 		}
-		one.sets, one.followed = []messages.Register{first}, contact.Followed{SetEpoch: 1}
-		one.Loss, one.Double = 0.1*one.Random.Float64(), 0.05
-		one.every(constants.ContactPeriod, one.round)
-		one.every(2*constants.ContactPeriod, one.propose)
-		one.every(50_000_000, one.check)
+		p.sets, p.followed = []messages.RegisterValue{first}, contact.Followed{SetEpoch: 1}
+		p.Loss, p.Double = 0.1*p.Random.Float64(), 0.05
+		p.every(constants.ContactPeriod, p.round)
+		p.every(2*constants.ContactPeriod, p.propose)
+		p.every(50_000_000, p.check)
 		// It catches up now and then, and is cut off from some acceptors for a while.
-		one.every(3*constants.ContactPeriod, func() {
-			if count := len(one.history); count > 0 && one.Random.Intn(3) > 0 {
-				one.followed = one.history[count-1].value
+		p.every(3*constants.ContactPeriod, func() {
+			if count := len(p.history); count > 0 && p.Random.Intn(3) > 0 {
+				p.followed = p.history[count-1].value
 			}
 		})
-		one.every(4*constants.ContactPeriod, func() {
-			known := one.known()
+		p.every(4*constants.ContactPeriod, func() {
+			known := p.known()
 			for _, target := range known.Acceptors {
-				one.Cut("process", target.Address, one.Random.Intn(3) == 0)
-				one.Cut(target.Address, "process", one.Random.Intn(3) == 0)
+				p.Cut("process", target.Address, p.Random.Intn(3) == 0)
+				p.Cut(target.Address, "process", p.Random.Intn(3) == 0)
 			}
 		})
-		one.Run(clock.Moment(0).Plus(40 * constants.ContactLease))
-		valid, refused = valid+one.validFor, refused+one.refusedAt
+		p.Run(clock.Instant(0).Add(40 * constants.ContactLease))
+		valid, refused = valid+p.validFor, refused+p.refusedAt
 	}
 	if valid == 0 || refused == 0 {
 		t.Fatalf("valid %d times, not valid %d times", valid, refused)
--- a/internal/control/controller/backlog.go
+++ b/internal/control/controller/backlog.go
@@ -11,7 +11,7 @@
 
 // addToBacklog notes processes that have not confirmed an update, so that they are told until
 // they do, or until they have been silent for so long that the directory drops them.
-func (c *Controller) addToBacklog(update *messages.Relay, entries []messages.Entry, pause clock.Span) {
+func (c *Controller) addToBacklog(update *messages.RelayRequest, entries []messages.NodeInfo, backoff clock.Duration) {
 	var ids []string
 	for _, worker := range update.Workers {
 		ids = append(ids, worker.ID)
@@ -20,7 +20,7 @@
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	for _, entry := range entries {
-		c.backlog.Add(entry, update.Generation, ids, pause, now)
+		c.backlog.Add(entry, update.Generation, ids, backoff, now)
 	}
 }
 
@@ -37,37 +37,37 @@
 	c.lock.Lock()
 	due := c.backlog.Due(directory, now)
 	updates := make([][]messages.Worker, len(due))
-	for place, delivery := range due {
+	for i, delivery := range due {
 		for _, id := range delivery.Workers {
 			if worker, known := c.registry.Get(id); known {
-				updates[place] = append(updates[place], worker)
+				updates[i] = append(updates[i], worker)
 			}
 		}
 	}
 	c.lock.Unlock()
-	for place, delivery := range due {
-		go c.redeliver(delivery, updates[place])
+	for i, delivery := range due {
+		go c.redeliver(delivery, updates[i])
 	}
 }
 
 // redeliver makes one delivery. A configuration is only named: the process pulls it from
 // the controllers of its zone, so that no single link carries all of them.
 func (c *Controller) redeliver(delivery broadcast.Delivery, updates []messages.Worker) {
-	wire, address, from := c.Node.Wire, delivery.Entry.Address, membership.Key(c.Node.Own)
-	taken := &messages.Nothing{Taken: true}
+	wire, address, from := c.Node.Transport, delivery.Entry.Address, membership.Key(c.Node.Self)
+	taken := &messages.Ack{Accepted: true}
 	if len(updates) > 0 {
-		push := &messages.RosterPush{From: from, Workers: updates}
-		if transport.Ask(wire, address, messages.KindRosterPush, push, &messages.Nothing{}, constants.CallTime) != nil {
+		push := &messages.WorkersUpdate{From: from, Workers: updates}
+		if transport.Call(wire, address, messages.KindWorkersUpdate, push, &messages.Ack{}, constants.CallTimeout) != nil {
 			return
 		}
 	}
 	if delivery.Generation > 0 {
 		push := &messages.ConfigPush{Generation: delivery.Generation}
-		if transport.Ask(wire, address, messages.KindConfigPush, push, taken, constants.CallTime) != nil {
+		if transport.Call(wire, address, messages.KindConfigPush, push, taken, constants.CallTimeout) != nil {
 			return
 		}
 	}
-	if taken.Taken {
+	if taken.Accepted {
 		c.lock.Lock()
 		c.backlog.Confirmed(delivery)
 		c.lock.Unlock()
--- a/internal/control/controller/batch.go
+++ b/internal/control/controller/batch.go
@@ -33,32 +33,32 @@
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	if b.next == nil {
-		one := &batch{done: make(chan struct{})}
-		b.next = one
+		ba := &batch{done: make(chan struct{})}
+		b.next = ba
 		b.later(func() {
 			b.lock.Lock()
 			defer b.lock.Unlock()
-			if b.next == one {
+			if b.next == ba {
 				b.launch()
 			}
 		})
 	}
-	one := b.next
-	one.workerList, one.urgent = append(one.workerList, worker), one.urgent || urgent
-	if one.urgent && b.flying < constants.BatchesAtOnce {
+	ba := b.next
+	ba.workerList, ba.urgent = append(ba.workerList, worker), ba.urgent || urgent
+	if ba.urgent && b.flying < constants.UpdateBatchesInFlight {
 		b.launch()
 	}
-	return one.done
+	return ba.done
 }
 
 // launch sends the next batch on its way. The lock is held.
 func (b *batches) launch() {
-	one := b.next
+	batch := b.next
 	b.next = nil
 	b.flying++
 	go func() {
-		b.spread(one.workerList)
-		close(one.done)
+		b.spread(batch.workerList)
+		close(batch.done)
 		b.lock.Lock()
 		defer b.lock.Unlock()
 		b.flying--
@@ -71,7 +71,7 @@
 // afterWindow runs a function once the window is over.
 func afterWindow(function func()) {
 	go func() {
-		clock.Sleep(constants.BatchWindow)
+		clock.Sleep(constants.UpdateBatchWindow)
 		function()
 	}()
 }
@@ -84,7 +84,7 @@
 	if !binding {
 		return
 	}
-	timer := clock.NewTimer(constants.TreeTime)
+	timer := clock.NewTimer(constants.BroadcastTimeout)
 	defer timer.Stop()
 	select {
 	case <-done:
--- a/internal/control/controller/batch_test.go
+++ b/internal/control/controller/batch_test.go
@@ -15,19 +15,19 @@
 	told := make(chan []messages.Worker, 1000)
 	release := make(chan struct{})
 	var windows []func()
-	one := &batches{spread: func(workerList []messages.Worker) {
+	b := &batches{spread: func(workerList []messages.Worker) {
 		told <- workerList
 		<-release
 	}, later: func(function func()) { windows = append(windows, function) }}
-	for place := 0; place < 300; place++ {
-		one.add(messages.Worker{ID: fmt.Sprint("w", place)}, false)
+	for i := 0; i < 300; i++ {
+		b.add(messages.Worker{ID: fmt.Sprint("w", i)}, false)
 	}
 	select {
 	case early := <-told:
 		t.Fatalf("%d left before their window", len(early))
 	default:
 	}
-	done := one.add(messages.Worker{ID: "d0", Phase: messages.PhaseDraining}, true)
+	done := b.add(messages.Worker{ID: "d0", Phase: messages.PhaseDraining}, true)
 	if first := <-told; len(first) != 301 || first[300].ID != "d0" {
 		t.Fatalf("%d left with the drain", len(first))
 	}
@@ -40,15 +40,15 @@
 		t.Fatal("the window sent what had left")
 	}
 	// As many batches as may be under way leave; the rest go together after one of them.
-	for place := 1; place < constants.BatchesAtOnce; place++ {
-		one.add(messages.Worker{ID: fmt.Sprint("d", place)}, true)
+	for i := 1; i < constants.UpdateBatchesInFlight; i++ {
+		b.add(messages.Worker{ID: fmt.Sprint("d", i)}, true)
 		if alone := <-told; len(alone) != 1 {
 			t.Fatal(alone)
 		}
 	}
 	var group sync.WaitGroup
-	for place := 0; place < 50; place++ {
-		waits := one.add(messages.Worker{ID: fmt.Sprint("e", place)}, true)
+	for i := 0; i < 50; i++ {
+		waits := b.add(messages.Worker{ID: fmt.Sprint("e", i)}, true)
 		group.Add(1)
 		go func() {
 			defer group.Done()
@@ -66,8 +66,8 @@
 		t.Fatal(count)
 	}
 	// What does not bind leaves once its window is over.
-	one.add(messages.Worker{ID: "f0"}, false)
-	one.add(messages.Worker{ID: "f1"}, false)
+	b.add(messages.Worker{ID: "f0"}, false)
+	b.add(messages.Worker{ID: "f1"}, false)
 	windows[len(windows)-1]()
 	if last := <-told; len(last) != 2 {
 		t.Fatal(last)
--- a/internal/control/controller/binding.go
+++ b/internal/control/controller/binding.go
@@ -56,26 +56,26 @@
 	c.contact.lock.Unlock()
 	members := register.Targets(&sets)
 	answers := make(chan keepAnswer, len(members))
-	question := &messages.WorkersKeep{From: c.Node.Own.Address, Workers: []messages.Worker{worker}}
+	req := &messages.WorkersPersistRequest{From: c.Node.Self.Address, Workers: []messages.Worker{worker}}
 	for _, member := range members {
 		go func() {
-			if member.Address == c.Node.Own.Address {
-				answers <- keepAnswer{member, c.memory.keep(question.Workers)}
+			if member.Address == c.Node.Self.Address {
+				answers <- keepAnswer{member, c.memory.keep(req.Workers)}
 				return
 			}
-			back := &messages.ContactTold{}
-			err := transport.Ask(c.Node.Wire, member.Address, messages.KindWorkersKeep, question, back, constants.TreeTime)
+			resp := &messages.ContactResponse{}
+			err := transport.Call(c.Node.Transport, member.Address, messages.KindWorkersPersist, req, resp, constants.BroadcastTimeout)
 			// It counts for the disk that it was written to.
-			member.Disk = back.Disk
+			member.Disk = resp.Disk
 			answers <- keepAnswer{member, err}
 		}()
 	}
-	timer, answered := clock.NewTimer(constants.TreeTime), map[string]bool{}
+	timer, answered := clock.NewTimer(constants.BroadcastTimeout), map[string]bool{}
 	defer timer.Stop()
 	for range members {
 		select {
-		case one := <-answers:
-			answered[register.Identity(one.member)] = one.err == nil
+		case answer := <-answers:
+			answered[register.Identity(answer.member)] = answer.err == nil
 		case <-timer.C:
 			return false
 		}
@@ -86,17 +86,17 @@
 	return false
 }
 
-// keepAnswer is an acceptor's answer to WorkersKeep.
+// keepAnswer is an acceptor's answer to WorkersPersistRequest.
 type keepAnswer struct {
 	member messages.Member
 	err    error
 }
 
 // workersKept answers another controller that wants changes of workers on disk.
-func (c *Controller) workersKept(question *messages.WorkersKeep) (transport.Writable, error) {
-	c.mergeWorkers(question.Workers)
-	if err := c.memory.keep(question.Workers); err != nil {
+func (c *Controller) workersKept(req *messages.WorkersPersistRequest) (transport.Marshaler, error) {
+	c.mergeWorkers(req.Workers)
+	if err := c.memory.keep(req.Workers); err != nil {
 		return nil, err
 	}
-	return &messages.ContactTold{Disk: c.Register.Disk()}, nil
+	return &messages.ContactResponse{Disk: c.Register.Disk()}, nil
 }
--- a/internal/control/controller/budget_test.go
+++ b/internal/control/controller/budget_test.go
@@ -16,29 +16,29 @@
 
 // fleet makes controllers on machines 10.0.0.1 and so on, joined in memory; the first
 // three are the seeds. Machines named blank have no disk.
-func fleet(t *testing.T, count int, blank map[int]bool) (map[int]*Controller, *transport.Room) {
-	room, controllers := transport.NewRoom(), map[int]*Controller{}
+func fleet(t *testing.T, count int, blank map[int]bool) (map[int]*Controller, *transport.MemoryNetwork) {
+	room, controllers := transport.NewMemoryNetwork(), map[int]*Controller{}
 	for number := 1; number <= count; number++ {
-		one := &settings.Settings{NodeName: fmt.Sprint("m", number), Address: fmt.Sprint("10.0.0.", number), Zone: fmt.Sprint("h", number%4),
+		found := &settings.Settings{NodeName: fmt.Sprint("m", number), Address: fmt.Sprint("10.0.0.", number), Zone: fmt.Sprint("h", number%4),
 			InternalPorts: []int{7000, 7010}, Seeds: []string{"10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"}, Bootstrap: true,
 			HeartbeatMs: 1200, FaultBudget: settings.FaultBudget{Machines: 2}}
 		// Those that count in the quorum vote, here from memory: a real disk's syncs
 		// would make the outcome hang on the load of the machine that tests.
-		one.InQuorum = !blank[number]
-		controller, err := New(one, hclog.NewNullLogger())
+		found.InQuorum = !blank[number]
+		controller, err := New(found, hclog.NewNullLogger())
 		if err != nil {
 			t.Fatal(err)
 		}
-		controller.Node.Wire = room.Transport(controller.Node.Own.Address)
-		if err = controller.Node.Wire.Serve(controller.Node.Handle); err != nil {
+		controller.Node.Transport = room.Transport(controller.Node.Self.Address)
+		if err = controller.Node.Transport.Serve(controller.Node.Dispatch); err != nil {
 			t.Fatal(err)
 		}
 		controllers[number] = controller
 	}
-	for _, one := range controllers {
-		keepContact(t, one)
+	for _, found := range controllers {
+		keepContact(t, found)
 		for _, other := range controllers {
-			one.Node.Hear([]messages.Entry{other.Node.Own})
+			found.Node.Observe([]messages.NodeInfo{other.Node.Self})
 		}
 	}
 	return controllers, room
@@ -74,8 +74,8 @@
 		t.Fatal(err, len(value.Acceptors), len(value.Previous))
 	}
 	// Two of the seeds fall silent: the register still answers, and outlasts them.
-	room.Cut("10.0.0.1:7000", true)
-	room.Cut("10.0.0.2:7000", true)
+	room.SetPartitioned("10.0.0.1:7000", true)
+	room.SetPartitioned("10.0.0.2:7000", true)
 	if _, err = controllers[8].Register.Read(); err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 // list gave to one goes to a machine with a disk.
 func TestControllerWithoutADisk(t *testing.T) {
 	controllers, _ := fleet(t, 8, map[int]bool{2: true, 7: true})
-	if controllers[7].Node.Own.Disk != "" {
+	if controllers[7].Node.Self.Disk != "" {
 		t.Fatal("tells of a disk that it has not")
 	}
 	for round := 0; round < 4; round++ {
@@ -120,9 +120,9 @@
 	controller.Node.Settings.FaultBudget.Machines = 2
 	stayYoung(controller)
 	// The other one goes on reporting: on a slow machine it would be taken for silent.
-	other := []messages.Entry{{Name: "other", Role: membership.RoleController, Address: "127.0.0.1:9", Disk: "d"}}
-	controller.Node.Hear(other)
-	go clock.Every(constants.ContactPeriod, controller.Node.Stop, func() { controller.Node.Hear(other) })
+	other := []messages.NodeInfo{{Name: "other", Role: membership.RoleController, Address: "127.0.0.1:9", Disk: "d"}}
+	controller.Node.Observe(other)
+	go clock.Every(constants.ContactPeriod, controller.Node.Stop, func() { controller.Node.Observe(other) })
 	for tries := 0; generationInForce(controller) != 2; tries++ {
 		// In force, and held back; where contact was lost it was not put in force.
 		if status, body := call(t, server, "POST", "/-/Configuration.Replace", "0", config(2)); status != 504 || tries > 100 {
@@ -147,16 +147,16 @@
 // waits until machines with a disk have its seat.
 func TestFirstAcknowledgementWaitsForDisks(t *testing.T) {
 	controllers, _ := fleet(t, 4, map[int]bool{2: true})
-	one := controllers[1]
-	one.Node.Settings.FaultBudget.Machines = 1
+	controller := controllers[1]
+	controller.Node.Settings.FaultBudget.Machines = 1
 	controllers[4].Node.Settings.FaultBudget.Machines = 1
-	value, err := one.Register.Read()
-	if err != nil || one.bears(&value) {
+	value, err := controller.Register.Read()
+	if err != nil || controller.bears(&value) {
 		t.Fatal("bears with a seed that has no disk: ", err)
 	}
 	tend(controllers[4])
-	if value, err = one.Register.Read(); err != nil || !one.bears(&value) {
-		t.Fatal("does not bear with three disks: ", err, members(one))
+	if value, err = controller.Register.Read(); err != nil || !controller.bears(&value) {
+		t.Fatal("does not bear with three disks: ", err, members(controller))
 	}
 }
 
@@ -164,14 +164,14 @@
 // machines with a disk are there, and the set is of the three seeds.
 func TestSmallerSetHasToDoOnlyWhereNobodyElseAnswers(t *testing.T) {
 	controllers, room := fleet(t, 4, nil)
-	one := controllers[1]
-	growOld(one)
-	value, err := one.Register.Read()
-	if err != nil || one.bears(&value) {
+	controller := controllers[1]
+	growOld(controller)
+	value, err := controller.Register.Read()
+	if err != nil || controller.bears(&value) {
 		t.Fatal("acknowledges in a set of three while a fourth machine answers: ", err)
 	}
-	room.Cut(controllers[4].Node.Own.Address, true)
-	if !one.bears(&value) {
+	room.SetPartitioned(controllers[4].Node.Self.Address, true)
+	if !controller.bears(&value) {
 		t.Fatal("waits for a machine that does not answer")
 	}
 }
--- a/internal/control/controller/calls.go
+++ b/internal/control/controller/calls.go
@@ -39,9 +39,9 @@
 	}
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		httpreply.Reason(writer, http.StatusRequestEntityTooLarge, "body too large")
+		httpreply.Error(writer, http.StatusRequestEntityTooLarge, "body too large")
 	} else {
-		httpreply.Reason(writer, http.StatusBadRequest, "body cut short")
+		httpreply.Error(writer, http.StatusBadRequest, "body cut short")
 	}
 	return nil, false
 }
@@ -53,27 +53,27 @@
 	name := chi.URLParam(request, "node")
 	value, err := c.Register.ReadSets()
 	if err != nil {
-		httpreply.Reason(writer, http.StatusGatewayTimeout, elsewhere)
+		httpreply.Error(writer, http.StatusGatewayTimeout, elsewhere)
 		return
 	}
 	known := slices.Contains(value.Retired, name)
 	var serving []string
 	for _, entry := range c.Node.All(membership.RoleStore) {
 		known = known || entry.Name == name
-		if entry.AgeMs < constants.SilentAfter.Milliseconds() && !entry.Leaving {
+		if entry.AgeMs < constants.SuspectAfter.Milliseconds() && !entry.Draining {
 			serving = append(serving, entry.Name)
 		}
 	}
 	for _, member := range value.Stores {
 		known = known || member.Name == name
 	}
-	if !known && clock.Now().Since(c.begun) < constants.SilentAfter {
+	if !known && clock.Now().Sub(c.begun) < constants.SuspectAfter {
 		// A process that has just started can't tell unknown from not yet heard.
-		httpreply.Reason(writer, http.StatusServiceUnavailable, elsewhere)
+		httpreply.Error(writer, http.StatusServiceUnavailable, elsewhere)
 		return
 	}
 	if !known {
-		httpreply.Reason(writer, http.StatusNotFound, "no such storage machine")
+		httpreply.Error(writer, http.StatusNotFound, "no such storage machine")
 		return
 	}
 	// The count is part of the change: another order may be taken meanwhile.
@@ -81,9 +81,9 @@
 	_, err = c.Register.Change(register.RetireStore(name, serving, c.setSize(), &result))
 	switch {
 	case err != nil:
-		httpreply.Reason(writer, http.StatusGatewayTimeout, err.Error())
+		httpreply.Error(writer, http.StatusGatewayTimeout, err.Error())
 	case result == register.ResultTooFew:
-		httpreply.Reason(writer, http.StatusConflict, "too few would be left")
+		httpreply.Error(writer, http.StatusConflict, "too few would be left")
 	default:
 		c.Node.Log.Info("retire opened", "node", name)
 		httpreply.JSON(writer, http.StatusOK, struct{}{})
@@ -97,11 +97,11 @@
 	name := chi.URLParam(request, "node")
 	value, err := c.Register.ReadSets()
 	if err != nil {
-		httpreply.Reason(writer, http.StatusGatewayTimeout, elsewhere)
+		httpreply.Error(writer, http.StatusGatewayTimeout, elsewhere)
 		return
 	}
 	if !slices.Contains(value.Retired, name) {
-		httpreply.Reason(writer, http.StatusNotFound, "not being retired")
+		httpreply.Error(writer, http.StatusNotFound, "not being retired")
 		return
 	}
 	phase := "settled"
