--- a/internal/control/controller/calls_test.go
+++ b/internal/control/controller/calls_test.go
@@ -38,7 +38,7 @@
 // keepContact runs the rounds of the contact lease, as Run does, until the test ends.
 func keepContact(t *testing.T, controller *Controller) {
 	go clock.Every(constants.ContactPeriod, controller.Node.Stop, controller.contactRound)
-	t.Cleanup(controller.Node.End)
+	t.Cleanup(controller.Node.Shutdown)
 }
 
 // clearCall makes a call as an operator or a worker does: what gets no clear answer (503,
@@ -80,12 +80,12 @@
 // stayYoung has a controller act as one does that has just started, however slow the
 // machine is that tests.
 func stayYoung(controller *Controller) {
-	controller.begun = clock.Now().Plus(clock.Milliseconds(3_600_000))
+	controller.begun = clock.Now().Add(clock.Milliseconds(3_600_000))
 }
 
 // growOld has a controller act as a minute after its start.
 func growOld(controller *Controller) {
-	controller.begun = clock.Now().Plus(-clock.Milliseconds(60_000))
+	controller.begun = clock.Now().Add(-clock.Milliseconds(60_000))
 }
 
 func call(t *testing.T, server *httptest.Server, method, path, base, body string) (int, string) {
@@ -93,13 +93,13 @@
 	if base != "" {
 		request.Header.Set(headerBase, base)
 	}
-	answer, err := http.DefaultClient.Do(request)
+	resp, err := http.DefaultClient.Do(request)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer answer.Body.Close()
-	text, _ := io.ReadAll(answer.Body)
-	return answer.StatusCode, string(text)
+	defer resp.Body.Close()
+	text, _ := io.ReadAll(resp.Body)
+	return resp.StatusCode, string(text)
 }
 
 func config(generation int) string {
@@ -142,19 +142,19 @@
 func TestWorkersCalls(t *testing.T) {
 	folder := t.TempDir()
 	controller, server := open(t, folder, true)
-	beat := `{"backend":"s","address":"a:1","zone":"h","generation":"v1","capacity":4,"phase":"%s","call-count":%d}`
+	heartbeat := `{"backend":"s","address":"a:1","zone":"h","generation":"v1","capacity":4,"phase":"%s","call-count":%d}`
 	for _, step := range []struct {
 		path, body string
 		status     int
 		phase      messages.Phase
 	}{
-		{"Workers.Heartbeat/w", fmt.Sprintf(beat, "steady", 3), 200, messages.PhaseSteady},
-		{"Workers.Heartbeat/w", fmt.Sprintf(beat, "draining", 5), 200, messages.PhaseDraining},
-		{"Workers.Heartbeat/w", fmt.Sprintf(beat, "steady", 4), 200, messages.PhaseDraining},
+		{"Workers.Heartbeat/w", fmt.Sprintf(heartbeat, "steady", 3), 200, messages.PhaseSteady},
+		{"Workers.Heartbeat/w", fmt.Sprintf(heartbeat, "draining", 5), 200, messages.PhaseDraining},
+		{"Workers.Heartbeat/w", fmt.Sprintf(heartbeat, "steady", 4), 200, messages.PhaseDraining},
 		{"Workers.Heartbeat/w", "{", 400, messages.PhaseDraining},
 		{"Workers.Heartbeat/w", `{"call-count":9}`, 400, messages.PhaseDraining},
-		{"Workers.Depart/w", `{"call-count":6}`, 200, messages.PhaseGone},
-		{"Workers.Heartbeat/w", fmt.Sprintf(beat, "steady", 7), 200, messages.PhaseGone},
+		{"Workers.Depart/w", `{"call-count":6}`, 200, messages.PhaseDeparted},
+		{"Workers.Heartbeat/w", fmt.Sprintf(heartbeat, "steady", 7), 200, messages.PhaseDeparted},
 	} {
 		status, body := clearCall(t, server, "POST", "/-/"+step.path, "", step.body)
 		worker, _ := controller.registry.Get("w")
@@ -174,7 +174,7 @@
 	if status, _ := clearCall(t, server, "POST", "/-/Retire.Open/store-1", "", "{}"); status != 404 {
 		t.Fatal(status)
 	}
-	controller.Node.Hear([]messages.Entry{{Name: "store-1", Role: membership.RoleStore, Address: "x:1"}})
+	controller.Node.Observe([]messages.NodeInfo{{Name: "store-1", Role: membership.RoleStore, Address: "x:1"}})
 	if status, _ := clearCall(t, server, "POST", "/-/Retire.Open/store-1", "", "{}"); status != 409 {
 		t.Fatal("the last store was to be emptied: ", status)
 	}
--- a/internal/control/controller/contact.go
+++ b/internal/control/controller/contact.go
@@ -12,26 +12,26 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// Detached is the error of a controller that is not in contact with a majority of the
+// ErrNoContact is the error of a controller that is not in contact with a majority of the
 // acceptors: it can neither confirm nor refuse anything.
-var Detached = errs.Define("no contact with a majority")
+var ErrNoContact = errs.Define("no contact with a majority")
 
 // contactState is the contact lease with the sets that it was last checked against. It
 // has a lock of its own: a disk that hangs must not hang the answers.
 type contactState struct {
 	lock  sync.Mutex
 	lease *contact.Lease
-	sets  messages.Register
-	asked clock.Moment
+	sets  messages.RegisterValue
+	asked clock.Instant
 	// catching is set while a newer value is being looked for.
 	catching bool
 }
 
 // registerContact registers the answer to other controllers' rounds.
 func (c *Controller) registerContact() {
-	c.Node.Answer(messages.KindContact, answer(func(_ *messages.ContactAsk) (transport.Writable, error) {
+	c.Node.Handle(messages.KindContact, answer(func(_ *messages.ContactRequest) (transport.Marshaler, error) {
 		record := c.Register.Record()
-		return &messages.ContactTold{Disk: record.Disk, SetEpoch: record.Value.SetEpoch, Generation: record.Value.Current.Generation}, nil
+		return &messages.ContactResponse{Disk: record.Disk, SetEpoch: record.Value.SetEpoch, Generation: record.Value.Current.Generation}, nil
 	}))
 }
 
@@ -51,13 +51,13 @@
 	}
 	state := &c.contact
 	state.lock.Lock()
-	overdue := state.asked == 0 || clock.Now().Since(state.asked) > constants.ContactPeriod+constants.ContactTime
+	overdue := state.asked == 0 || clock.Now().Sub(state.asked) > constants.ContactPeriod+constants.ContactTimeout
 	state.lock.Unlock()
 	if overdue {
 		c.contactRound()
 	}
 	state.lock.Lock()
-	end := state.asked.Plus(constants.ContactTime / 2)
+	end := state.asked.Add(constants.ContactTimeout / 2)
 	state.lock.Unlock()
 	for !c.attached() {
 		if clock.Now() > end {
@@ -83,15 +83,15 @@
 	state.lease.Trim(&known)
 	state.lock.Unlock()
 	for _, member := range register.Targets(&known) {
-		if member.Address == c.Node.Own.Address {
+		if member.Address == c.Node.Self.Address {
 			record := c.Register.Record()
-			c.contactAnswered(member, now, &messages.ContactTold{Disk: record.Disk, SetEpoch: record.Value.SetEpoch, Generation: record.Value.Current.Generation})
+			c.contactAnswered(member, now, &messages.ContactResponse{Disk: record.Disk, SetEpoch: record.Value.SetEpoch, Generation: record.Value.Current.Generation})
 			continue
 		}
 		go func() {
-			told := &messages.ContactTold{}
-			if transport.Ask(c.Node.Wire, member.Address, messages.KindContact, &messages.ContactAsk{From: c.Node.Own.Address}, told, constants.ContactTime) == nil {
-				c.contactAnswered(member, now, told)
+			resp := &messages.ContactResponse{}
+			if transport.Call(c.Node.Transport, member.Address, messages.KindContact, &messages.ContactRequest{From: c.Node.Self.Address}, resp, constants.ContactTimeout) == nil {
+				c.contactAnswered(member, now, resp)
 			}
 		}()
 	}
@@ -99,12 +99,12 @@
 
 // contactAnswered takes one answer. Where the acceptor is ahead, the newer value is
 // looked for; until it is followed, that acceptor does not renew the lease.
-func (c *Controller) contactAnswered(member messages.Member, asked clock.Moment, told *messages.ContactTold) {
+func (c *Controller) contactAnswered(member messages.Member, sentAt clock.Instant, resp *messages.ContactResponse) {
 	// The answer counts for the disk that gave it: an emptied machine is another acceptor.
-	member.Disk = told.Disk
-	accepted, followed, state := contact.Followed{SetEpoch: told.SetEpoch, Generation: told.Generation}, c.followed(), &c.contact
+	member.Disk = resp.Disk
+	accepted, followed, state := contact.Followed{SetEpoch: resp.SetEpoch, Generation: resp.Generation}, c.followed(), &c.contact
 	state.lock.Lock()
-	ahead := state.lease.Answered(member, asked, accepted, followed)
+	ahead := state.lease.Answered(member, sentAt, accepted, followed)
 	look := ahead && !state.catching
 	state.catching = state.catching || look
 	state.lock.Unlock()
@@ -116,7 +116,7 @@
 // catchUp looks for a value that an acceptor has accepted and this process does not
 // follow. Its proposer is given the time to spread it first.
 func (c *Controller) catchUp(accepted contact.Followed) {
-	clock.Sleep(constants.PushTime / 2)
+	clock.Sleep(constants.PushTimeout / 2)
 	if accepted.SetEpoch > c.followed().SetEpoch {
 		if _, err := c.Register.ReadSets(); err != nil {
 			c.learnSets()
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -46,7 +46,7 @@
 	shared   sharedRead
 	sets     sharedRead
 	batches  batches
-	begun    clock.Moment
+	begun    clock.Instant
 	server   *http.Server
 	memory   *memory
 	plans    plans
@@ -110,10 +110,10 @@
 	localRegister.Accepted = controller.accepted
 	controller.batches.later = afterWindow
 	controller.batches.spread = func(workerList []messages.Worker) {
-		controller.spread(&messages.Relay{Workers: workerList}, constants.TreeTime)
+		controller.spread(&messages.RelayRequest{Workers: workerList}, constants.BroadcastTimeout)
 	}
 	// Numbers of updates must differ from those of an earlier life.
-	controller.number.Store(uint64(runtime.Own.Life))
+	controller.number.Store(uint64(runtime.Self.Incarnation))
 	controller.registerCalls()
 	controller.reports()
 	go controller.memory.run(runtime.Stop, controller.remembered, log)
@@ -128,38 +128,38 @@
 
 func answer[Question any, Pointer interface {
 	*Question
-	transport.Readable
-}](function func(question Pointer) (transport.Writable, error)) node.Answerer {
+	transport.Unmarshaler
+}](function func(req Pointer) (transport.Marshaler, error)) node.Handler {
 	return func(body []byte) ([]byte, error) {
-		question := Pointer(new(Question))
-		if err := transport.Read(body, question); err != nil {
+		req := Pointer(new(Question))
+		if err := transport.Decode(body, req); err != nil {
 			return nil, err
 		}
-		back, err := function(question)
+		resp, err := function(req)
 		if err != nil {
 			return nil, err
 		}
-		return transport.Write(back)
+		return transport.Encode(resp)
 	}
 }
 
 func (c *Controller) registerCalls() {
 	runtime := c.Node
-	runtime.Answer(messages.KindPrepare, answer(func(question *messages.Prepare) (transport.Writable, error) {
-		back, err := c.Register.Prepare(question)
-		return &back, err
+	runtime.Handle(messages.KindPrepare, answer(func(req *messages.PrepareRequest) (transport.Marshaler, error) {
+		resp, err := c.Register.Prepare(req)
+		return &resp, err
 	}))
-	runtime.Answer(messages.KindAccept, answer(func(question *messages.Accept) (transport.Writable, error) {
-		back, err := c.Register.Accept(question)
-		return &back, err
+	runtime.Handle(messages.KindAccept, answer(func(req *messages.AcceptRequest) (transport.Marshaler, error) {
+		resp, err := c.Register.Accept(req)
+		return &resp, err
 	}))
-	runtime.Answer(messages.KindAsk, answer(func(question *messages.HoldAsk) (transport.Writable, error) {
-		back := c.Register.Hold(*question)
-		return &back, nil
+	runtime.Handle(messages.KindLease, answer(func(req *messages.LeaseRequest) (transport.Marshaler, error) {
+		resp := c.Register.Hold(*req)
+		return &resp, nil
 	}))
-	runtime.Answer(messages.KindConfigPull, answer(c.pulled))
-	runtime.Answer(messages.KindRegisterRead, answer(func(_ *messages.Nothing) (transport.Writable, error) {
-		value, err := messages.Register{}, Detached.New("sets")
+	runtime.Handle(messages.KindConfigPull, answer(c.pulled))
+	runtime.Handle(messages.KindRegisterRead, answer(func(_ *messages.Ack) (transport.Marshaler, error) {
+		value, err := messages.RegisterValue{}, ErrNoContact.New("sets")
 		if c.inContact() {
 			value, err = c.sets.Read(c.Register.ReadSets)
 		}
@@ -167,14 +167,14 @@
 			// The sets last seen in force still help a newcomer to find the acceptors.
 			known, seen := c.Register.Chosen()
 			if !seen {
-				return &messages.DutyChanged{}, nil
+				return &messages.RegisterResponse{}, nil
 			}
 			value = known
 		}
 		value.Body = nil
-		return &messages.DutyChanged{Done: err == nil, Known: true, Value: value}, nil
+		return &messages.RegisterResponse{Applied: err == nil, Known: true, Value: value}, nil
 	}))
-	runtime.Answer(messages.KindDutyChange, answer(c.changeDuty))
+	runtime.Handle(messages.KindRegisterChange, answer(c.changeDuty))
 	c.registerTables()
 	c.registerContact()
 	c.registerRecall()
@@ -191,22 +191,22 @@
 	go c.relearn()
 	go clock.Every(constants.ContactPeriod, runtime.Stop, c.contactRound)
 	go clock.Every(constants.BacklogPeriod, runtime.Stop, c.tendBacklog)
-	go clock.Every(constants.RosterPeriod, runtime.Stop, c.beatOthers)
-	go clock.Every(constants.TendPeriod, runtime.Stop, c.tendSet)
-	go clock.Every(constants.TendPeriod, runtime.Stop, func() { c.tendNamed(c.plans.localRegister) })
+	go clock.Every(constants.ControllerHeartbeatPeriod, runtime.Stop, c.beatOthers)
+	go clock.Every(constants.ReconcilePeriod, runtime.Stop, c.tendSet)
+	go clock.Every(constants.ReconcilePeriod, runtime.Stop, func() { c.tendNamed(c.plans.localRegister) })
 	go clock.Every(constants.PlanPeriod, runtime.Stop, c.tendPlans)
-	c.server = &http.Server{Addr: runtime.Settings.Bind.Control, Handler: c.calls(), ReadHeaderTimeout: constants.BulkCallTime}
-	runtime.Log.Info("serving", "control", runtime.Settings.Bind.Control, "disk", runtime.Own.Disk)
+	c.server = &http.Server{Addr: runtime.Settings.Bind.Control, Handler: c.calls(), ReadHeaderTimeout: constants.BulkCallTimeout}
+	runtime.Log.Info("serving", "control", runtime.Settings.Bind.Control, "disk", runtime.Self.Disk)
 	err := c.server.ListenAndServe()
 	if err == http.ErrServerClosed {
 		return nil
 	}
-	return node.Unable.Wrap(err, "control")
+	return node.ErrUnavailable.Wrap(err, "control")
 }
 
-// Leave stops in order: calls under way are answered first.
-func (c *Controller) Leave() {
-	c.Node.Leave()
+// Shutdown stops in order: calls under way are answered first.
+func (c *Controller) Shutdown() {
+	c.Node.Drain()
 	errandStop(c.server)
-	c.Node.End()
+	c.Node.Shutdown()
 }
--- a/internal/control/controller/golden_test.go
+++ b/internal/control/controller/golden_test.go
@@ -13,10 +13,10 @@
 
 // goldenWorkers are the workers of the golden files, as they were written one by one.
 var goldenWorkers = []messages.Worker{
-	{ID: "w1", Backend: "model", Address: "10.0.1.1:9000", Zone: "north", Capacity: 24, WarmupMs: 300, Count: 3, Software: "g7"},
-	{ID: "w2", Backend: "model", Address: "10.0.1.2:9000", Zone: "south", Capacity: 12, Count: 9, Software: "g7"},
-	{ID: "w1", Backend: "model", Address: "10.0.1.1:9000", Zone: "north", Capacity: 24, Phase: messages.PhaseDraining, Count: 4, Software: "g7"},
-	{ID: "w2", Backend: "model", Address: "10.0.1.2:9000", Zone: "south", Capacity: 12, Phase: messages.PhaseGone, Count: 10, Software: "g7"},
+	{ID: "w1", Backend: "model", Address: "10.0.1.1:9000", Zone: "north", Capacity: 24, WarmupMs: 300, CallCount: 3, Software: "g7"},
+	{ID: "w2", Backend: "model", Address: "10.0.1.2:9000", Zone: "south", Capacity: 12, CallCount: 9, Software: "g7"},
+	{ID: "w1", Backend: "model", Address: "10.0.1.1:9000", Zone: "north", Capacity: 24, Phase: messages.PhaseDraining, CallCount: 4, Software: "g7"},
+	{ID: "w2", Backend: "model", Address: "10.0.1.2:9000", Zone: "south", Capacity: 12, Phase: messages.PhaseDeparted, CallCount: 10, Software: "g7"},
 }
 
 func checkGolden(t *testing.T, path, golden string) {
@@ -38,7 +38,7 @@
 // earlier version wrote, and read, also with a torn tail.
 func TestGoldenWorkersFile(t *testing.T) {
 	dir := t.TempDir()
-	memory, _, err := openMemory(recordlog.Folder(dir))
+	memory, _, err := openMemory(recordlog.Directory(dir))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,8 +59,8 @@
 		torn   int
 		second messages.Phase
 	}{
-		{"workers-appended", 0, messages.PhaseGone},
-		{"workers-rewritten", 0, messages.PhaseGone},
+		{"workers-appended", 0, messages.PhaseDeparted},
+		{"workers-rewritten", 0, messages.PhaseDeparted},
 		{"workers-appended", 3, messages.PhaseSteady},
 	} {
 		text, err := os.ReadFile(filepath.Join("testdata", file.golden))
@@ -71,7 +71,7 @@
 		if err = os.WriteFile(filepath.Join(dir, "workers"), text[:len(text)-file.torn], 0o644); err != nil {
 			t.Fatal(err)
 		}
-		_, workers, err := openMemory(recordlog.Folder(dir))
+		_, workers, err := openMemory(recordlog.Directory(dir))
 		if err != nil {
 			t.Fatal(file.golden, err)
 		}
@@ -86,13 +86,13 @@
 func TestGoldenNames(t *testing.T) {
 	dir := t.TempDir()
 	first := []messages.Member{{Address: "10.0.0.1:7660", Disk: "first"}}
-	if _, err := quorum.Open(recordlog.Folder(dir), first, "first"); err != nil {
+	if _, err := quorum.Open(recordlog.Directory(dir), first, "first"); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := quorum.OpenNamed(recordlog.Folder(dir), PlansRegister, first, "first"); err != nil {
+	if _, err := quorum.OpenNamed(recordlog.Directory(dir), PlansRegister, first, "first"); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := openMemory(recordlog.Folder(dir)); err != nil {
+	if _, _, err := openMemory(recordlog.Directory(dir)); err != nil {
 		t.Fatal(err)
 	}
 	entries, err := os.ReadDir(dir)
--- a/internal/control/controller/learn.go
+++ b/internal/control/controller/learn.go
@@ -29,7 +29,7 @@
 				return
 			}
 		}
-		clock.Sleep(constants.StartPause)
+		clock.Sleep(constants.StartBackoff)
 	}
 }
 
@@ -37,10 +37,10 @@
 // one that was away for long, knows of none or of old ones.
 func (c *Controller) learnSets() {
 	c.askOthers(func(address string) {
-		back := &messages.DutyChanged{}
-		if transport.Ask(c.Node.Wire, address, messages.KindRegisterRead, &messages.Nothing{}, back, constants.CallTime) == nil {
+		resp := &messages.RegisterResponse{}
+		if transport.Call(c.Node.Transport, address, messages.KindRegisterRead, &messages.Ack{}, resp, constants.CallTimeout) == nil {
 			// Without its body this value is good for its sets only.
-			c.Register.LearnSets(back.Value)
+			c.Register.LearnSets(resp.Value)
 		}
 	})
 }
@@ -56,7 +56,7 @@
 	for _, entry := range runtime.Live(membership.RoleController) {
 		addresses[entry.Address] = true
 	}
-	delete(addresses, runtime.Own.Address)
+	delete(addresses, runtime.Self.Address)
 	var group sync.WaitGroup
 	for address := range addresses {
 		group.Add(1)
@@ -68,11 +68,11 @@
 	group.Wait()
 }
 
-func (c *Controller) pulled(question *messages.ConfigPull) (transport.Writable, error) {
-	if question.Known < 0 && !c.inContact() {
-		return nil, Detached.New("configuration")
+func (c *Controller) pulled(req *messages.ConfigPull) (transport.Marshaler, error) {
+	if req.Known < 0 && !c.inContact() {
+		return nil, ErrNoContact.New("configuration")
 	}
-	if question.Known < 0 || c.Node.Config() == nil {
+	if req.Known < 0 || c.Node.Config() == nil {
 		value, err := c.shared.Read(c.Register.Read)
 		if err != nil {
 			return nil, err
--- a/internal/control/controller/learning_test.go
+++ b/internal/control/controller/learning_test.go
@@ -14,13 +14,13 @@
 
 // reported gives a controller's answer to a gateway's report.
 func reported(controller *Controller) *messages.Shuffle {
-	var answer *messages.Shuffle
-	asker := messages.Entry{Name: "f", Role: membership.RoleGateway, Address: "127.0.0.3:1", Zone: "h"}
+	var resp *messages.Shuffle
+	asker := messages.NodeInfo{Name: "f", Role: membership.RoleGateway, Address: "127.0.0.3:1", Zone: "h"}
 	controller.Node.Viewed(func(view *membership.View) {
-		answer = view.Answer(&messages.Shuffle{Entries: []messages.Entry{asker}}, clock.Now())
+		resp = view.Answer(&messages.Shuffle{Entries: []messages.NodeInfo{asker}}, clock.Now())
 	})
-	controller.addWorkers(answer)
-	return answer
+	controller.addWorkers(resp)
+	return resp
 }
 
 // A controller that has just started acknowledges no drain, counts nobody and vouches for
@@ -30,25 +30,25 @@
 	starting := controllers[1]
 	server := httptest.NewServer(starting.calls())
 	defer server.Close()
-	room.Cut(controllers[2].Node.Own.Address, true)
-	room.Cut(controllers[3].Node.Own.Address, true)
+	room.SetPartitioned(controllers[2].Node.Self.Address, true)
+	room.SetPartitioned(controllers[3].Node.Self.Address, true)
 	if starting.recallOnce() || starting.inContact() {
 		t.Fatal("no majority answers")
 	}
 	if status, _ := call(t, server, "POST", "/-/Workers.Heartbeat/w", "", drainCall); status != 503 {
 		t.Fatal(status)
 	}
-	if answer := reported(starting); !answer.Detached || len(answer.Counts) != 0 || answer.Judging || answer.Workers.Life != 0 {
-		t.Fatal(answer)
+	if resp := reported(starting); !resp.Detached || len(resp.Counts) != 0 || resp.OverdueComplete || resp.Workers.Incarnation != 0 {
+		t.Fatal(resp)
 	}
 	if status, _ := call(t, server, "POST", "/-/Configuration.Replace", "0", config(2)); status != 504 {
 		t.Fatal(status)
 	}
-	room.Cut(controllers[2].Node.Own.Address, false)
+	room.SetPartitioned(controllers[2].Node.Self.Address, false)
 	starting.contactRound()
 	meet(t, starting)
-	if answer := reported(starting); answer.Detached || len(answer.Counts) == 0 || !answer.Judging {
-		t.Fatal(answer)
+	if resp := reported(starting); resp.Detached || len(resp.Counts) == 0 || !resp.OverdueComplete {
+		t.Fatal(resp)
 	}
 	if status, body := clearCall(t, server, "POST", "/-/Workers.Heartbeat/w", "", drainCall); status != 200 {
 		t.Fatal(status, body)
@@ -65,7 +65,7 @@
 	hang := make(chan struct{})
 	defer close(hang)
 	for number := 2; number <= 3; number++ {
-		controllers[number].Node.Answer(messages.KindWorkersKeep, func([]byte) ([]byte, error) {
+		controllers[number].Node.Handle(messages.KindWorkersPersist, func([]byte) ([]byte, error) {
 			<-hang
 			return nil, nil
 		})
@@ -74,7 +74,7 @@
 		t.Fatal(status)
 	}
 	const second, slack = 1_000_000_000, 100_000_000
-	if constants.ContactTime/2+constants.TreeTime > second-slack {
+	if constants.ContactTimeout/2+constants.BroadcastTimeout > second-slack {
 		t.Fatal("the bounds of a worker's call do not fit into its second")
 	}
 }
--- a/internal/control/controller/memory.go
+++ b/internal/control/controller/memory.go
@@ -17,14 +17,14 @@
 	memoryLimit = 512 << 10
 )
 
-// Forgotten is the error of a file of workers that can't be kept.
-var Forgotten = errs.Define("workers on disk")
+// ErrWorkersFile is the error of a file of workers that can't be kept.
+var ErrWorkersFile = errs.Define("workers on disk")
 
 // memory is the file of known workers. A drain or a departure is on the disks of a
 // majority of the acceptors before it is acknowledged (binding.go). A steady worker is
 // written when the disk has time for it: its next heartbeat says the same.
 type memory struct {
-	logfile *recordlog.Logfile
+	logfile *recordlog.Log
 	queue   chan keeping
 }
 
@@ -42,8 +42,8 @@
 	var order []string
 	logfile, err := recordlog.Open(disk, memoryName, func(_ int64, body []byte) error {
 		worker := messages.Worker{}
-		if _, problem := worker.UnmarshalMsg(body); problem != nil {
-			return Forgotten.Wrap(problem, memoryName)
+		if _, cause := worker.UnmarshalMsg(body); cause != nil {
+			return ErrWorkersFile.Wrap(cause, memoryName)
 		}
 		if _, seen := known[worker.ID]; !seen {
 			order = append(order, worker.ID)
@@ -53,7 +53,7 @@
 		return nil
 	})
 	if err != nil {
-		return nil, nil, Forgotten.Wrap(err, "open")
+		return nil, nil, ErrWorkersFile.Wrap(err, "open")
 	}
 	var workerList []messages.Worker
 	for _, id := range order {
@@ -77,19 +77,19 @@
 
 // keep returns once workers are on disk, with an error if that failed or took too long.
 func (m *memory) keep(workers []messages.Worker) error {
-	timer := clock.NewTimer(constants.TreeTime)
+	timer := clock.NewTimer(constants.BroadcastTimeout)
 	defer timer.Stop()
-	one := keeping{workers: workers, done: make(chan error, 1)}
+	k := keeping{workers: workers, done: make(chan error, 1)}
 	select {
-	case m.queue <- one:
+	case m.queue <- k:
 	case <-timer.C:
-		return Forgotten.New("the disk lags behind")
+		return ErrWorkersFile.New("the disk lags behind")
 	}
 	select {
-	case err := <-one.done:
+	case err := <-k.done:
 		return err
 	case <-timer.C:
-		return Forgotten.New("the disk lags behind")
+		return ErrWorkersFile.New("the disk lags behind")
 	}
 }
 
@@ -108,13 +108,13 @@
 		select {
 		case <-stop:
 			return
-		case one := <-m.queue:
-			batch = append(batch, one)
+		case k := <-m.queue:
+			batch = append(batch, k)
 		}
 		for more := true; more; {
 			select {
-			case one := <-m.queue:
-				batch = append(batch, one)
+			case k := <-m.queue:
+				batch = append(batch, k)
 			default:
 				more = false
 			}
@@ -123,9 +123,9 @@
 		if err != nil {
 			log.Warn("workers not kept", "why", err.Error())
 		}
-		for _, one := range batch {
-			if one.done != nil {
-				one.done <- err
+		for _, k := range batch {
+			if k.done != nil {
+				k.done <- err
 			}
 		}
 	}
@@ -135,21 +135,21 @@
 // registry first.
 func (m *memory) write(batch []keeping, all func() []messages.Worker) error {
 	rewrite := m.logfile.Size() > memoryLimit
-	for _, one := range batch {
-		rewrite = rewrite || one.rewrite
+	for _, k := range batch {
+		rewrite = rewrite || k.rewrite
 	}
 	if rewrite {
-		_, err := m.logfile.Rewrite(recordlog.Once(packWorkers(all())...))
-		return Forgotten.Wrap(err, "rewrite")
+		_, err := m.logfile.Rewrite(recordlog.Records(packWorkers(all())...))
+		return ErrWorkersFile.Wrap(err, "rewrite")
 	}
 	var records [][]byte
-	for _, one := range batch {
-		records = append(records, packWorkers(one.workers)...)
+	for _, k := range batch {
+		records = append(records, packWorkers(k.workers)...)
 	}
 	if _, err := m.logfile.Append(records...); err != nil {
-		return Forgotten.Wrap(err, "append")
+		return ErrWorkersFile.Wrap(err, "append")
 	}
-	return Forgotten.Wrap(m.logfile.Sync(), "sync")
+	return ErrWorkersFile.Wrap(m.logfile.Sync(), "sync")
 }
 
 func packWorkers(workers []messages.Worker) [][]byte {
--- a/internal/control/controller/mounted_test.go
+++ b/internal/control/controller/mounted_test.go
@@ -31,9 +31,9 @@
 
 func (m *mounted) Open(name string) (file recordlog.File, err error) {
 	err = m.do(func() error {
-		inner, problem := m.disk.Open(name)
+		inner, cause := m.disk.Open(name)
 		file = &mountedFile{m, inner}
-		return problem
+		return cause
 	})
 	return file, err
 }
@@ -44,13 +44,13 @@
 func (m *mounted) Remove(name string) error {
 	return m.do(func() error { return m.disk.Remove(name) })
 }
-func (m *mounted) SyncFolder() error { return m.do(m.disk.SyncFolder) }
+func (m *mounted) SyncDirectory() error { return m.do(m.disk.SyncDirectory) }
 
 func (m *mountedFile) Write(text []byte) (count int, err error) {
 	err = m.mounted.do(func() error {
-		var problem error
-		count, problem = m.File.Write(text)
-		return problem
+		var cause error
+		count, cause = m.File.Write(text)
+		return cause
 	})
 	return count, err
 }
@@ -62,18 +62,18 @@
 
 func (m *mountedFile) Size() (size int64, err error) {
 	err = m.mounted.do(func() error {
-		var problem error
-		size, problem = m.File.Size()
-		return problem
+		var cause error
+		size, cause = m.File.Size()
+		return cause
 	})
 	return size, err
 }
 
 func (m *mountedFile) ReadAt(into []byte, offset int64) (count int, err error) {
 	err = m.mounted.do(func() error {
-		var problem error
-		count, problem = m.File.ReadAt(into, offset)
-		return problem
+		var cause error
+		count, cause = m.File.ReadAt(into, offset)
+		return cause
 	})
 	return count, err
 }
--- a/internal/control/controller/named.go
+++ b/internal/control/controller/named.go
@@ -18,41 +18,41 @@
 // called gives the register of a name. There is one so far.
 func (c *Controller) called(name string) (*quorum.Register, error) {
 	if name != PlansRegister {
-		return nil, node.Unable.New("no register is named " + name)
+		return nil, node.ErrUnavailable.New("no register is named " + name)
 	}
 	return c.plans.localRegister, nil
 }
 
 func (c *Controller) registerNamed() {
 	runtime := c.Node
-	runtime.Answer(messages.KindNamedPrepare, answer(func(question *messages.NamedPrepare) (transport.Writable, error) {
-		localRegister, err := c.called(question.Name)
+	runtime.Handle(messages.KindNamedPrepare, answer(func(req *messages.NamedPrepareRequest) (transport.Marshaler, error) {
+		localRegister, err := c.called(req.Name)
 		if err != nil {
 			return nil, err
 		}
-		back, err := localRegister.Prepare(&question.Prepare)
-		return &back, err
+		resp, err := localRegister.Prepare(&req.Request)
+		return &resp, err
 	}))
-	runtime.Answer(messages.KindNamedAccept, answer(func(question *messages.NamedAccept) (transport.Writable, error) {
-		localRegister, err := c.called(question.Name)
+	runtime.Handle(messages.KindNamedAccept, answer(func(req *messages.NamedAcceptRequest) (transport.Marshaler, error) {
+		localRegister, err := c.called(req.Name)
 		if err != nil {
 			return nil, err
 		}
-		back, err := localRegister.Accept(&question.Accept)
-		return &back, err
+		resp, err := localRegister.Accept(&req.Request)
+		return &resp, err
 	}))
-	runtime.Answer(messages.KindNamedRead, answer(func(question *messages.NamedAsk) (transport.Writable, error) {
-		localRegister, err := c.called(question.Name)
+	runtime.Handle(messages.KindNamedRead, answer(func(req *messages.NamedReadRequest) (transport.Marshaler, error) {
+		localRegister, err := c.called(req.Name)
 		if err != nil {
 			return nil, err
 		}
 		// Good for its sets only, and only where they were seen to be in force.
 		value, seen := localRegister.Chosen()
 		if !seen {
-			return &messages.DutyChanged{}, nil
+			return &messages.RegisterResponse{}, nil
 		}
 		value.Body = nil
-		return &messages.DutyChanged{Known: true, Value: value}, nil
+		return &messages.RegisterResponse{Known: true, Value: value}, nil
 	}))
 }
 
@@ -83,9 +83,9 @@
 // learnNamed asks other controllers for the acceptors of a named register.
 func (c *Controller) learnNamed(localRegister *quorum.Register) {
 	c.askOthers(func(address string) {
-		back := &messages.DutyChanged{}
-		if transport.Ask(c.Node.Wire, address, messages.KindNamedRead, &messages.NamedAsk{Name: localRegister.Name}, back, constants.CallTime) == nil {
-			localRegister.LearnSets(back.Value)
+		resp := &messages.RegisterResponse{}
+		if transport.Call(c.Node.Transport, address, messages.KindNamedRead, &messages.NamedReadRequest{Name: localRegister.Name}, resp, constants.CallTimeout) == nil {
+			localRegister.LearnSets(resp.Value)
 		}
 	})
 }
--- a/internal/control/controller/named_test.go
+++ b/internal/control/controller/named_test.go
@@ -22,8 +22,8 @@
 
 // voters makes controllers whose disks are in memory and vote all the same, so that the
 // test does not hang on how fast the machine's disk syncs.
-func voters(t *testing.T, count int) (map[int]*Controller, *transport.Room) {
-	room, controllers := transport.NewRoom(), map[int]*Controller{}
+func voters(t *testing.T, count int) (map[int]*Controller, *transport.MemoryNetwork) {
+	room, controllers := transport.NewMemoryNetwork(), map[int]*Controller{}
 	for number := 1; number <= count; number++ {
 		controllers[number] = voter(t, room, number, true)
 	}
@@ -31,7 +31,7 @@
 	return controllers, room
 }
 
-func voter(t *testing.T, room *transport.Room, number int, first bool) *Controller {
+func voter(t *testing.T, room *transport.MemoryNetwork, number int, first bool) *Controller {
 	nodeSettings := &settings.Settings{NodeName: fmt.Sprint("m", number), Address: fmt.Sprint("10.0.0.", number), Zone: fmt.Sprint("h", number%4),
 		InternalPorts: []int{7000, 7010}, Seeds: []string{"10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"}, Bootstrap: first, InQuorum: true,
 		HeartbeatMs: 1200, FaultBudget: settings.FaultBudget{Machines: 2}}
@@ -39,8 +39,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	controller.Node.Wire = room.Transport(controller.Node.Own.Address)
-	if err = controller.Node.Wire.Serve(controller.Node.Handle); err != nil {
+	controller.Node.Transport = room.Transport(controller.Node.Self.Address)
+	if err = controller.Node.Transport.Serve(controller.Node.Dispatch); err != nil {
 		t.Fatal(err)
 	}
 	return controller
@@ -48,10 +48,10 @@
 
 // acquaint has all hear of all, as their beats would.
 func acquaint(controllers map[int]*Controller) {
-	for _, one := range controllers {
+	for _, controller := range controllers {
 		for _, other := range controllers {
-			if one != other {
-				one.Node.Hear([]messages.Entry{other.Node.Own})
+			if controller != other {
+				controller.Node.Observe([]messages.NodeInfo{other.Node.Self})
 			}
 		}
 	}
@@ -74,22 +74,22 @@
 	if len(members(controllers[8])) != 3 {
 		t.Fatal("the configuration's set changed with it: ", members(controllers[8]))
 	}
-	rules, answer := rulesAndAnswer(t)
+	rules, resp := rulesAndAnswer(t)
 	acquaint(controllers)
-	back := &messages.PlanApplied{}
-	asked(t, controllers[1], messages.KindPlanApply, &messages.PlanApply{Rules: rules, Answer: answer}, back)
-	if !back.Taken || back.Revision != 1 {
-		t.Fatalf("%+v", back)
+	response := &messages.PlanApplyResponse{}
+	asked(t, controllers[1], messages.KindPlanApply, &messages.PlanApplyRequest{Rules: rules, Solution: resp}, response)
+	if !response.Applied || response.Revision != 1 {
+		t.Fatalf("%+v", response)
 	}
-	room.Cut(controllers[1].Node.Own.Address, true)
+	room.SetPartitioned(controllers[1].Node.Self.Address, true)
 	before := controllers[3].plans.localRegister.Identity()
-	controllers[3].Node.Wire.Close()
+	controllers[3].Node.Transport.Close()
 	// The same machine with an empty disk, which is no first start.
 	controllers[3] = voter(t, room, 3, false)
 	acquaint(controllers)
-	promise := &messages.Promise{}
-	asked(t, controllers[3], messages.KindNamedPrepare, &messages.NamedPrepare{Name: PlansRegister,
-		Prepare: messages.Prepare{Ballot: messages.Ballot{Counter: 1 << 30, Node: "x"}, Disk: before.Disk}}, promise)
+	promise := &messages.PrepareResponse{}
+	asked(t, controllers[3], messages.KindNamedPrepare, &messages.NamedPrepareRequest{Name: PlansRegister,
+		Request: messages.PrepareRequest{Ballot: messages.Ballot{Counter: 1 << 30, Node: "x"}, Disk: before.Disk}}, promise)
 	if promise.Granted {
 		t.Fatal("an amnesiac voted under its old name")
 	}
@@ -104,9 +104,9 @@
 	if !inside || len(known.Acceptors) != 5 {
 		t.Fatal("the wiped machine did not come back: ", known.Acceptors)
 	}
-	room.Cut(controllers[2].Node.Own.Address, true)
-	told, err := controllers[3].planRead()
-	if err != nil || told.Revision != 1 || !bytes.Equal(told.Value.Rules, rules) {
-		t.Fatal(err, told)
+	room.SetPartitioned(controllers[2].Node.Self.Address, true)
+	plan, err := controllers[3].planRead()
+	if err != nil || plan.Revision != 1 || !bytes.Equal(plan.Value.Rules, rules) {
+		t.Fatal(err, plan)
 	}
 }
--- a/internal/control/controller/plans.go
+++ b/internal/control/controller/plans.go
@@ -24,47 +24,47 @@
 	board         assignments.Board
 	pulling       bool
 	presence      adapterplan.Presence
-	changed       clock.Moment
+	changed       clock.Instant
 }
 
 func (c *Controller) registerPlans() {
 	runtime := c.Node
-	runtime.Answer(messages.KindPlanPull, answer(c.planPulled))
-	runtime.Answer(messages.KindPlanApply, answer(c.planApply))
-	runtime.Report("assignments", func() *messages.Status {
-		told := c.planTold()
-		return assignments.Status(&told, "", clock.DayMinute())
+	runtime.Handle(messages.KindPlanPull, answer(c.planPulled))
+	runtime.Handle(messages.KindPlanApply, answer(c.planApply))
+	runtime.Report("assignments", func() *messages.StatusResponse {
+		plan := c.planTold()
+		return assignments.Status(&plan, "", clock.DayMinute())
 	})
 	c.plans.localRegister.Accepted = func(int64) {
 		// Accepted is not chosen: a majority is asked. The generation told is the revision.
 		go func() {
-			clock.Sleep(constants.PushTime)
+			clock.Sleep(constants.PushTimeout)
 			_, _ = c.planRead()
 		}()
 	}
 }
 
-func (c *Controller) planTold() messages.PlanTold {
+func (c *Controller) planTold() messages.PlanResponse {
 	c.plans.lock.Lock()
 	defer c.plans.lock.Unlock()
 	return c.plans.board.Told()
 }
 
 // takePlan puts a chosen value in force here.
-func (c *Controller) takePlan(told *messages.PlanTold) {
+func (c *Controller) takePlan(plan *messages.PlanResponse) {
 	c.plans.lock.Lock()
-	taken := c.plans.board.Take(*told)
+	taken := c.plans.board.Take(*plan)
 	if taken {
 		c.plans.changed = clock.Now()
 	}
 	c.plans.lock.Unlock()
 	if taken {
-		c.Node.Log.Info("assignments taken", "revision", told.Revision, "generation", told.Generation, "gone", len(told.Gone), "collisions", len(told.Collisions))
+		c.Node.Log.Info("assignments taken", "revision", plan.Revision, "generation", plan.Generation, "gone", len(plan.Absent), "collisions", len(plan.Collisions))
 	}
 }
 
 // planRead reads the register at a majority.
-func (c *Controller) planRead() (*messages.PlanTold, error) {
+func (c *Controller) planRead() (*messages.PlanResponse, error) {
 	if len(c.plans.localRegister.Known().Acceptors) == 0 {
 		c.learnNamed(c.plans.localRegister)
 	}
@@ -72,15 +72,15 @@
 	if err != nil {
 		return nil, err
 	}
-	told, err := adapterplan.Told(value.Current, value.Body)
+	plan, err := adapterplan.Told(value.Current, value.Body)
 	if err != nil {
 		return nil, err
 	}
-	c.takePlan(told)
-	return told, nil
+	c.takePlan(plan)
+	return plan, nil
 }
 
-// sawPlan follows another controller that has a newer plan: what it tells is chosen.
+// observePlan follows another controller that has a newer plan: what it tells is chosen.
 func (c *Controller) sawPlan(revision int64, address string) {
 	c.plans.lock.Lock()
 	behind := revision > c.plans.board.Revision() && !c.plans.pulling
@@ -89,75 +89,75 @@
 	if !behind {
 		return
 	}
-	told := &messages.PlanTold{}
-	if transport.Ask(c.Node.Wire, address, messages.KindPlanPull, &messages.PlanPull{Whole: true}, told, constants.CallTime) == nil {
-		c.takePlan(told)
+	plan := &messages.PlanResponse{}
+	if transport.Call(c.Node.Transport, address, messages.KindPlanPull, &messages.PlanRequest{Complete: true}, plan, constants.CallTimeout) == nil {
+		c.takePlan(plan)
 	}
 	c.plans.lock.Lock()
 	c.plans.pulling = false
 	c.plans.lock.Unlock()
 }
 
-func (c *Controller) planPulled(question *messages.PlanPull) (transport.Writable, error) {
-	told := c.planTold()
-	if question.Settled {
+func (c *Controller) planPulled(req *messages.PlanRequest) (transport.Marshaler, error) {
+	plan := c.planTold()
+	if req.Linearizable {
 		if !c.inContact() {
-			return nil, Detached.New("assignments")
+			return nil, ErrNoContact.New("assignments")
 		}
 		settled, err := c.planRead()
 		if err != nil {
 			return nil, err
 		}
-		told = *settled
+		plan = *settled
 	}
-	if question.Whole {
-		return &told, nil
+	if req.Complete {
+		return &plan, nil
 	}
-	return adapterplan.Part(&told, question.Node), nil
+	return adapterplan.Part(&plan, req.Node), nil
 }
 
 // planApply puts an operator's rules in force on top of the revision that they were
 // planned on.
-func (c *Controller) planApply(question *messages.PlanApply) (transport.Writable, error) {
+func (c *Controller) planApply(req *messages.PlanApplyRequest) (transport.Marshaler, error) {
 	now, err := c.planRead()
 	if err != nil {
-		return &messages.PlanApplied{Why: "no majority of the register answers: " + err.Error()}, nil
+		return &messages.PlanApplyResponse{Reason: "no majority of the register answers: " + err.Error()}, nil
 	}
-	if len(question.Rules)+len(question.Answer) > constants.PlanBody {
-		return &messages.PlanApplied{Why: "rules and answer are too large for the register"}, nil
+	if len(req.Rules)+len(req.Solution) > constants.PlanBody {
+		return &messages.PlanApplyResponse{Reason: "rules and answer are too large for the register"}, nil
 	}
-	if string(now.Value.Rules) == string(question.Rules) {
-		return &messages.PlanApplied{Taken: true, Revision: now.Revision, Why: "in force already"}, nil
+	if string(now.Value.Rules) == string(req.Rules) {
+		return &messages.PlanApplyResponse{Applied: true, Revision: now.Revision, Reason: "in force already"}, nil
 	}
-	if now.Revision != question.Base {
-		return &messages.PlanApplied{Revision: now.Revision, Why: "another plan was put in force meanwhile"}, nil
+	if now.Revision != req.Base {
+		return &messages.PlanApplyResponse{Revision: now.Revision, Reason: "another plan was put in force meanwhile"}, nil
 	}
-	value, err := adapterplan.Enact(&now.Value, question.Rules, question.Answer)
+	value, err := adapterplan.Enact(&now.Value, req.Rules, req.Solution)
 	if err != nil {
-		return &messages.PlanApplied{Revision: now.Revision, Why: err.Error()}, nil
+		return &messages.PlanApplyResponse{Revision: now.Revision, Reason: err.Error()}, nil
 	}
-	told, result, err := c.putPlan(value, question.Base)
+	plan, result, err := c.putPlan(value, req.Base)
 	if err != nil {
-		return &messages.PlanApplied{Unclear: errs.Of(err, register.Unclear), Why: err.Error()}, nil
+		return &messages.PlanApplyResponse{Unclear: errs.Is(err, register.ErrOutcomeUnknown), Reason: err.Error()}, nil
 	}
 	if !result.Stands() {
-		return &messages.PlanApplied{Revision: told.Revision, Why: "another plan was put in force meanwhile"}, nil
+		return &messages.PlanApplyResponse{Revision: plan.Revision, Reason: "another plan was put in force meanwhile"}, nil
 	}
-	c.Node.Log.Info("assignments acknowledged", "revision", told.Revision, "generation", told.Generation)
-	return &messages.PlanApplied{Taken: true, Revision: told.Revision}, nil
+	c.Node.Log.Info("assignments acknowledged", "revision", plan.Revision, "generation", plan.Generation)
+	return &messages.PlanApplyResponse{Applied: true, Revision: plan.Revision}, nil
 }
 
 // putPlan writes a value on top of a revision, and waits until the set that holds it
 // bears the fault budget.
-func (c *Controller) putPlan(next *messages.PlanValue, base int64) (*messages.PlanTold, register.Result, error) {
+func (c *Controller) putPlan(next *messages.PlanValue, base int64) (*messages.PlanResponse, register.Result, error) {
 	version, body, err := adapterplan.Version(next, base)
 	if err != nil {
 		return nil, register.ResultOther, err
 	}
 	value, result, err := c.plans.localRegister.Replace(version, body)
-	for end := clock.Now().Plus(constants.CallTime); err == nil && !c.bears(&value); {
+	for end := clock.Now().Add(constants.CallTimeout); err == nil && !c.bears(&value); {
 		if clock.Now() > end {
-			return nil, result, register.Unclear.New("the set of acceptors is still growing")
+			return nil, result, register.ErrOutcomeUnknown.New("the set of acceptors is still growing")
 		}
 		clock.Sleep(constants.TickPeriod)
 		value, result, err = c.plans.localRegister.Replace(version, body)
@@ -165,32 +165,32 @@
 	if err != nil {
 		return nil, result, err
 	}
-	told, err := adapterplan.Told(value.Current, value.Body)
+	plan, err := adapterplan.Told(value.Current, value.Body)
 	if err == nil {
-		c.takePlan(told)
+		c.takePlan(plan)
 	}
-	return told, result, err
+	return plan, result, err
 }
 
 // tendPlans looks after the register of assignments, and plans anew when a node of
 // the rules went or came back.
 func (c *Controller) tendPlans() {
 	c.tendNamed(c.plans.localRegister)
-	told := c.planTold()
-	if told.Revision == 0 || !c.attached() || c.learning() {
+	plan := c.planTold()
+	if plan.Revision == 0 || !c.attached() || c.learning() {
 		return
 	}
 	now := clock.Now()
 	c.plans.lock.Lock()
-	gone := c.plans.presence.Gone(&told, c.present(), now)
-	calm := now.Since(c.plans.changed) > constants.PlanPause
+	gone := c.plans.presence.Gone(&plan, c.present(), now)
+	calm := now.Sub(c.plans.changed) > constants.PlanBackoff
 	c.plans.lock.Unlock()
-	if !calm || slices.Equal(gone, told.Gone) {
+	if !calm || slices.Equal(gone, plan.Absent) {
 		return
 	}
 	// Another controller may have seen it first.
 	current, err := c.planRead()
-	if err != nil || current.Revision != told.Revision {
+	if err != nil || current.Revision != plan.Revision {
 		return
 	}
 	next, moves, err := adapterplan.Anew(&current.Value, gone)
@@ -215,16 +215,16 @@
 
 // present names the processes and workers that were heard lately.
 func (c *Controller) present() map[string]bool {
-	live := map[string]bool{c.Node.Own.Name: true}
+	live := map[string]bool{c.Node.Self.Name: true}
 	for _, entry := range c.Node.All("") {
-		if entry.AgeMs < constants.SilentAfter.Milliseconds() && !entry.Leaving {
+		if entry.AgeMs < constants.SuspectAfter.Milliseconds() && !entry.Draining {
 			live[entry.Name] = true
 		}
 	}
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	for _, worker := range c.registry.All(clock.Now()) {
-		if worker.Phase != messages.PhaseGone && worker.AgeMs < constants.ReplaceAfter.Milliseconds() {
+		if worker.Phase != messages.PhaseDeparted && worker.AgeMs < constants.ReplaceAfter.Milliseconds() {
 			live[worker.ID] = true
 		}
 	}
--- a/internal/control/controller/plans_test.go
+++ b/internal/control/controller/plans_test.go
@@ -14,18 +14,18 @@
 )
 
 // asked puts a question to a controller as the transport would.
-func asked(t *testing.T, controller *Controller, kind messages.Kind, question transport.Writable, back transport.Readable) {
-	body, _ := question.MarshalMsg(nil)
-	text, err := controller.Node.Handle(kind, body)
+func asked(t *testing.T, controller *Controller, kind messages.Kind, req transport.Marshaler, resp transport.Unmarshaler) {
+	body, _ := req.MarshalMsg(nil)
+	text, err := controller.Node.Dispatch(kind, body)
 	if err != nil {
 		t.Fatal(kind, err)
 	}
-	if err = transport.Read(text, back); err != nil {
+	if err = transport.Decode(text, resp); err != nil {
 		t.Fatal(kind, err)
 	}
 }
 
-func rulesAndAnswer(t *testing.T, change ...string) (rules, answer []byte) {
+func rulesAndAnswer(t *testing.T, change ...string) (rules, resp []byte) {
 	text, err := os.ReadFile("../../../docs/assign/rules.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -49,46 +49,46 @@
 	if status, _ := clearCall(t, server, "POST", "/-/Configuration.Replace", "0", config(2)); status != 200 {
 		t.Fatal(status)
 	}
-	rules, answer := rulesAndAnswer(t)
+	rules, resp := rulesAndAnswer(t)
 	next, nextAnswer := rulesAndAnswer(t, "generation = 4", "generation = 5")
 	for _, step := range []struct {
 		name     string
-		question messages.PlanApply
+		question messages.PlanApplyRequest
 		taken    bool
 		revision int64
 		why      string
 	}{
-		{"wrong base", messages.PlanApply{Base: 3, Rules: rules, Answer: answer}, false, 0, "another plan"},
-		{"first", messages.PlanApply{Base: 0, Rules: rules, Answer: answer}, true, 1, ""},
-		{"resent", messages.PlanApply{Base: 0, Rules: rules, Answer: answer}, true, 1, "in force already"},
-		{"lost its race", messages.PlanApply{Base: 0, Rules: next, Answer: nextAnswer}, false, 1, "another plan"},
-		{"answer of other rules", messages.PlanApply{Base: 1, Rules: next, Answer: answer}, false, 1, "another generation"},
-		{"old generation", messages.PlanApply{Base: 1, Rules: append([]byte("# older\n"), rules...), Answer: answer}, false, 1, "generation is not above"},
-		{"too large", messages.PlanApply{Base: 1, Rules: append(bytes.Repeat([]byte("# long\n"), constants.PlanBody/7), next...), Answer: nextAnswer}, false, 1, "too large"},
-		{"next", messages.PlanApply{Base: 1, Rules: next, Answer: nextAnswer}, true, 2, ""},
+		{"wrong base", messages.PlanApplyRequest{Base: 3, Rules: rules, Solution: resp}, false, 0, "another plan"},
+		{"first", messages.PlanApplyRequest{Base: 0, Rules: rules, Solution: resp}, true, 1, ""},
+		{"resent", messages.PlanApplyRequest{Base: 0, Rules: rules, Solution: resp}, true, 1, "in force already"},
+		{"lost its race", messages.PlanApplyRequest{Base: 0, Rules: next, Solution: nextAnswer}, false, 1, "another plan"},
+		{"answer of other rules", messages.PlanApplyRequest{Base: 1, Rules: next, Solution: resp}, false, 1, "another generation"},
+		{"old generation", messages.PlanApplyRequest{Base: 1, Rules: append([]byte("# older\n"), rules...), Solution: resp}, false, 1, "generation is not above"},
+		{"too large", messages.PlanApplyRequest{Base: 1, Rules: append(bytes.Repeat([]byte("# long\n"), constants.PlanBody/7), next...), Solution: nextAnswer}, false, 1, "too large"},
+		{"next", messages.PlanApplyRequest{Base: 1, Rules: next, Solution: nextAnswer}, true, 2, ""},
 	} {
-		back := &messages.PlanApplied{}
-		asked(t, controller, messages.KindPlanApply, &step.question, back)
-		for tries := 0; back.Unclear && tries < 20; tries++ {
+		response := &messages.PlanApplyResponse{}
+		asked(t, controller, messages.KindPlanApply, &step.question, response)
+		for tries := 0; response.Unclear && tries < 20; tries++ {
 			// A disk that syncs too slowly leaves it unclear: the same again tells.
-			asked(t, controller, messages.KindPlanApply, &step.question, back)
+			asked(t, controller, messages.KindPlanApply, &step.question, response)
 		}
-		if back.Taken != step.taken || back.Unclear || !strings.Contains(back.Why, step.why) || (step.revision > 0 && back.Revision > 0 && back.Revision != step.revision) {
-			t.Errorf("%s: %+v", step.name, back)
+		if response.Applied != step.taken || response.Unclear || !strings.Contains(response.Reason, step.why) || (step.revision > 0 && response.Revision > 0 && response.Revision != step.revision) {
+			t.Errorf("%s: %+v", step.name, response)
 		}
 	}
 	if status, body := clearCall(t, server, "GET", "/-/Configuration.Read", "", ""); status != 200 || body != config(2) {
 		t.Fatal("the configuration was touched: ", status, body)
 	}
 	again, server := open(t, folder, false)
-	told := &messages.PlanTold{}
-	asked(t, again, messages.KindPlanPull, &messages.PlanPull{Whole: true, Settled: true}, told)
-	if told.Revision != 2 || told.Generation != 5 || !bytes.Equal(told.Value.Rules, next) {
-		t.Fatal("after a restart: ", told.Revision, told.Generation)
+	plan := &messages.PlanResponse{}
+	asked(t, again, messages.KindPlanPull, &messages.PlanRequest{Complete: true, Linearizable: true}, plan)
+	if plan.Revision != 2 || plan.Generation != 5 || !bytes.Equal(plan.Value.Rules, next) {
+		t.Fatal("after a restart: ", plan.Revision, plan.Generation)
 	}
-	asked(t, again, messages.KindPlanPull, &messages.PlanPull{Node: "n3"}, told)
-	if len(told.Places) != 1 || told.Places[0].Adapter != "battery-fault-reader" || len(told.Value.Rules) != 0 {
-		t.Fatal(told)
+	asked(t, again, messages.KindPlanPull, &messages.PlanRequest{Node: "n3"}, plan)
+	if len(plan.Placements) != 1 || plan.Placements[0].Adapter != "battery-fault-reader" || len(plan.Value.Rules) != 0 {
+		t.Fatal(plan)
 	}
 	if status, body := clearCall(t, server, "GET", "/-/Configuration.Read", "", ""); status != 200 || body != config(2) {
 		t.Fatal("after a restart the configuration is ", status, body)
@@ -100,9 +100,9 @@
 	controller, server := open(t, t.TempDir(), true)
 	identity := controller.plans.localRegister.Identity()
 	high := register.NewBallot(1<<40, "other", "disk", 1)
-	back := &messages.Promise{}
-	asked(t, controller, messages.KindNamedPrepare, &messages.NamedPrepare{Name: PlansRegister, Prepare: messages.Prepare{Ballot: high, Disk: identity.Disk}}, back)
-	if !back.Granted {
+	resp := &messages.PrepareResponse{}
+	asked(t, controller, messages.KindNamedPrepare, &messages.NamedPrepareRequest{Name: PlansRegister, Request: messages.PrepareRequest{Ballot: high, Disk: identity.Disk}}, resp)
+	if !resp.Granted {
 		t.Fatal("not granted")
 	}
 	if before := controller.Register.Record().Promised; before.Counter >= 1<<40 {
@@ -111,8 +111,8 @@
 	if status, _ := clearCall(t, server, "POST", "/-/Configuration.Replace", "0", config(2)); status != 200 {
 		t.Fatal(status)
 	}
-	body, _ := (&messages.NamedPrepare{Name: "nobody's"}).MarshalMsg(nil)
-	if _, err := controller.Node.Handle(messages.KindNamedPrepare, body); err == nil {
+	body, _ := (&messages.NamedPrepareRequest{Name: "nobody's"}).MarshalMsg(nil)
+	if _, err := controller.Node.Dispatch(messages.KindNamedPrepare, body); err == nil {
 		t.Fatal("a register that nobody keeps promised something")
 	}
 }
--- a/internal/control/controller/recall.go
+++ b/internal/control/controller/recall.go
@@ -15,14 +15,14 @@
 
 // registerRecall registers the calls about the files of workers.
 func (c *Controller) registerRecall() {
-	c.Node.Answer(messages.KindWorkersKeep, answer(c.workersKept))
-	c.Node.Answer(messages.KindWorkersRecall, answer(func(_ *messages.WorkersRecall) (transport.Writable, error) {
-		back := &messages.WorkersRecalled{Disk: c.Register.Disk(), SetEpoch: c.Register.Known().SetEpoch}
+	c.Node.Handle(messages.KindWorkersPersist, answer(c.workersKept))
+	c.Node.Handle(messages.KindWorkersRecover, answer(func(_ *messages.WorkersRecoverRequest) (transport.Marshaler, error) {
+		resp := &messages.WorkersRecoverResponse{Disk: c.Register.Disk(), SetEpoch: c.Register.Known().SetEpoch}
 		c.lock.Lock()
 		defer c.lock.Unlock()
-		back.Vouching = c.vouching.Load()
-		back.Workers = append(c.registry.All(clock.Now()), c.recalled...)
-		return back, nil
+		resp.Authoritative = c.vouching.Load()
+		resp.Workers = append(c.registry.All(clock.Now()), c.recalled...)
+		return resp, nil
 	}))
 }
 
@@ -32,16 +32,16 @@
 		select {
 		case <-c.Node.Stop:
 			return
-		case <-clock.After(constants.RecallPause):
+		case <-clock.After(constants.RecoverBackoff):
 		}
 	}
-	c.Node.Log.Info("workers known by a majority", "after-ms", clock.Now().Since(c.begun).Milliseconds())
+	c.Node.Log.Info("workers known by a majority", "after-ms", clock.Now().Sub(c.begun).Milliseconds())
 }
 
-// recallAnswer is an acceptor's answer to WorkersRecall.
+// recallAnswer is an acceptor's answer to WorkersRecoverRequest.
 type recallAnswer struct {
 	member messages.Member
-	told   *messages.WorkersRecalled
+	told   *messages.WorkersRecoverResponse
 	err    error
 }
 
@@ -54,19 +54,19 @@
 		go func() { answers <- c.recallFrom(member, sets.SetEpoch) }()
 	}
 	answered, ahead := map[string]bool{}, len(members) == 0
-	var all []*messages.WorkersRecalled
+	var all []*messages.WorkersRecoverResponse
 	for range members {
-		one := <-answers
-		if one.err != nil {
+		answer := <-answers
+		if answer.err != nil {
 			continue
 		}
-		all = append(all, one.told)
-		if one.told.SetEpoch > sets.SetEpoch {
+		all = append(all, answer.told)
+		if answer.told.SetEpoch > sets.SetEpoch {
 			// It may be of another set: it counts once that set is known here.
 			ahead = true
 			continue
 		}
-		answered[register.Identity(one.member)] = true
+		answered[register.Identity(answer.member)] = true
 		if register.Quorum(&sets, answered) {
 			c.adopt(all)
 			return true
@@ -80,33 +80,33 @@
 
 // recallFrom asks one acceptor. Its answer counts for the disk that gave it.
 func (c *Controller) recallFrom(member messages.Member, epoch uint64) recallAnswer {
-	if member.Address == c.Node.Own.Address {
-		return recallAnswer{member: c.Register.Identity(), told: &messages.WorkersRecalled{SetEpoch: epoch}}
+	if member.Address == c.Node.Self.Address {
+		return recallAnswer{member: c.Register.Identity(), told: &messages.WorkersRecoverResponse{SetEpoch: epoch}}
 	}
-	told := &messages.WorkersRecalled{}
-	question := &messages.WorkersRecall{From: c.Node.Own.Address}
-	err := transport.Ask(c.Node.Wire, member.Address, messages.KindWorkersRecall, question, told, constants.CallTime)
-	member.Disk = told.Disk
-	return recallAnswer{member, told, err}
+	resp := &messages.WorkersRecoverResponse{}
+	req := &messages.WorkersRecoverRequest{From: c.Node.Self.Address}
+	err := transport.Call(c.Node.Transport, member.Address, messages.KindWorkersRecover, req, resp, constants.CallTimeout)
+	member.Disk = resp.Disk
+	return recallAnswer{member, resp, err}
 }
 
 // adopt joins what a majority knows of workers with the file. Where one of them knows
 // them at first hand, a steady worker that only files name is taken for long gone: a
 // departure is forgotten after a while, and a file may be older than that.
-func (c *Controller) adopt(all []*messages.WorkersRecalled) {
+func (c *Controller) adopt(all []*messages.WorkersRecoverResponse) {
 	now, known, firstHand := clock.Now(), map[string]bool{}, false
 	phases := map[string]messages.Phase{}
 	c.lock.Lock()
-	all = append(all, &messages.WorkersRecalled{Workers: c.recalled})
-	for _, told := range all {
-		firstHand = firstHand || told.Vouching
-		for _, worker := range told.Workers {
-			known[worker.ID] = known[worker.ID] || told.Vouching
+	all = append(all, &messages.WorkersRecoverResponse{Workers: c.recalled})
+	for _, resp := range all {
+		firstHand = firstHand || resp.Authoritative
+		for _, worker := range resp.Workers {
+			known[worker.ID] = known[worker.ID] || resp.Authoritative
 			phases[worker.ID] = max(phases[worker.ID], worker.Phase)
 		}
 	}
-	for _, told := range all {
-		for _, worker := range told.Workers {
+	for _, resp := range all {
+		for _, worker := range resp.Workers {
 			// The furthest phase counts, whoever knows of it.
 			worker.Phase = phases[worker.ID]
 			if !firstHand || known[worker.ID] || worker.Phase != messages.PhaseSteady {
--- a/internal/control/controller/recall_test.go
+++ b/internal/control/controller/recall_test.go
@@ -27,7 +27,7 @@
 	test        *testing.T
 	seed        int64
 	random      *rand.Rand
-	room        *transport.Room
+	room        *transport.MemoryNetwork
 	lock        sync.Mutex
 	disks       map[int]*simulation.Disk
 	mounts      map[int]*mounted
@@ -46,8 +46,8 @@
 	if err != nil {
 		p.test.Fatal(err)
 	}
-	controller.Node.Wire = p.room.Transport(controller.Node.Own.Address)
-	if err = controller.Node.Wire.Serve(controller.Node.Handle); err != nil {
+	controller.Node.Transport = p.room.Transport(controller.Node.Self.Address)
+	if err = controller.Node.Transport.Serve(controller.Node.Dispatch); err != nil {
 		p.test.Fatal(err)
 	}
 	p.controllers[number] = controller
@@ -63,8 +63,8 @@
 	p.lock.Lock()
 	p.mounts[number].dead = true
 	p.lock.Unlock()
-	controller.Node.End()
-	controller.Node.Wire.(*transport.Twin).Close()
+	controller.Node.Shutdown()
+	controller.Node.Transport.(*transport.Memory).Close()
 	p.disks[number].PowerLoss()
 	delete(p.controllers, number)
 }
@@ -82,7 +82,7 @@
 func (p *power) say(number int, id string, phase messages.Phase) bool {
 	p.count++
 	path, body := "/-/Workers.Heartbeat/"+id, fmt.Sprintf(`{"backend":"s","address":"a:1","zone":"h1","capacity":4,"phase":"%s","call-count":%d}`, phaseNames[phase], p.count)
-	if phase == messages.PhaseGone {
+	if phase == messages.PhaseDeparted {
 		path = "/-/Workers.Depart/" + id
 	}
 	controller := p.controllers[number]
@@ -98,21 +98,21 @@
 	switch p.random.Intn(10) {
 	case 0:
 		for other := 1; other <= 3; other++ {
-			p.room.Cut(p.controllers[other].Node.Own.Address, false)
+			p.room.SetPartitioned(p.controllers[other].Node.Self.Address, false)
 		}
 		if p.random.Intn(2) == 0 {
-			p.room.Cut(p.controllers[number].Node.Own.Address, true)
+			p.room.SetPartitioned(p.controllers[number].Node.Self.Address, true)
 		}
 	case 1:
 		for other := 1; other <= 3; other++ {
-			p.room.Cut(p.controllers[other].Node.Own.Address, false)
+			p.room.SetPartitioned(p.controllers[other].Node.Self.Address, false)
 		}
 		p.lose(number)
 		p.join(p.start(number, false))
 	default:
 		id := fmt.Sprint("w", p.random.Intn(6))
 		phase := p.phases[id] + messages.Phase(p.random.Intn(2))
-		if phase <= messages.PhaseGone && p.say(number, id, phase) {
+		if phase <= messages.PhaseDeparted && p.say(number, id, phase) {
 			p.phases[id] = phase
 		}
 	}
@@ -122,17 +122,17 @@
 // no disk was lost, one may stay down.
 func (p *power) loseAll() {
 	for number := 1; number <= 3; number++ {
-		p.room.Cut(p.controllers[number].Node.Own.Address, false)
+		p.room.SetPartitioned(p.controllers[number].Node.Self.Address, false)
 		p.lose(number)
 	}
 	hit, wiped := 1+p.random.Intn(3), p.random.Intn(2) == 0
 	if wiped {
 		p.disks[hit].Wipe()
 	}
-	for _, place := range p.random.Perm(3) {
-		if number := place + 1; wiped || number != hit {
+	for _, i := range p.random.Perm(3) {
+		if number := i + 1; wiped || number != hit {
 			controller := p.start(number, false)
-			if _, err := controller.Node.Handle(messages.KindRosterPull, packed(p.test, &messages.RosterPull{})); err == nil {
+			if _, err := controller.Node.Dispatch(messages.KindWorkersPull, packed(p.test, &messages.WorkersPullRequest{})); err == nil {
 				p.test.Fatalf("seed %d: m%d vouches for workers before it has heard anybody", p.seed, number)
 			}
 		}
@@ -142,7 +142,7 @@
 	}
 }
 
-func packed(t *testing.T, message transport.Writable) []byte {
+func packed(t *testing.T, message transport.Marshaler) []byte {
 	body, err := message.MarshalMsg(nil)
 	if err != nil {
 		t.Fatal(err)
@@ -171,27 +171,27 @@
 		seeds = many
 	}
 	for seed := int64(1); seed <= int64(seeds) && !t.Failed(); seed++ {
-		one := &power{test: t, seed: seed, random: rand.New(rand.NewSource(seed)), room: transport.NewRoom(),
+		p := &power{test: t, seed: seed, random: rand.New(rand.NewSource(seed)), room: transport.NewMemoryNetwork(),
 			disks: map[int]*simulation.Disk{}, mounts: map[int]*mounted{}, controllers: map[int]*Controller{}, phases: map[string]messages.Phase{}}
 		for number := 1; number <= 3; number++ {
-			one.disks[number] = simulation.NewDisk(10*seed + int64(number))
-			one.start(number, true)
+			p.disks[number] = simulation.NewDisk(10*seed + int64(number))
+			p.start(number, true)
 		}
 		for number := 1; number <= 3; number++ {
-			one.join(one.controllers[number])
+			p.join(p.controllers[number])
 		}
 		for steps := 0; steps < 25; steps++ {
-			one.step()
+			p.step()
 		}
-		one.loseAll()
-		one.check()
-		for _, phase := range one.phases {
+		p.loseAll()
+		p.check()
+		for _, phase := range p.phases {
 			if phase > messages.PhaseSteady {
 				acknowledged++
 			}
 		}
 		for number := 1; number <= 3; number++ {
-			one.lose(number)
+			p.lose(number)
 		}
 	}
 	if acknowledged == 0 {
--- a/internal/control/controller/replace.go
+++ b/internal/control/controller/replace.go
@@ -14,7 +14,7 @@
 
 // replaced is how a change of the configuration came out.
 type replaced struct {
-	value  messages.Register
+	value  messages.RegisterValue
 	result register.Result
 	err    error
 }
@@ -30,18 +30,18 @@
 	if c.inContact() {
 		return true
 	}
-	httpreply.Reason(writer, http.StatusGatewayTimeout, elsewhere)
+	httpreply.Error(writer, http.StatusGatewayTimeout, elsewhere)
 	return false
 }
 
 func (c *Controller) replace(writer http.ResponseWriter, request *http.Request) {
-	body, whole := readBody(writer, request, bodySlack*constants.RequestLimit)
-	if !whole {
+	body, complete := readBody(writer, request, bodySlack*constants.RequestLimit)
+	if !complete {
 		return
 	}
 	base, err := strconv.ParseInt(request.Header.Get(headerBase), 10, 64)
 	if err != nil || base < 0 {
-		httpreply.Reason(writer, http.StatusBadRequest, headerBase+" is missing or no number")
+		httpreply.Error(writer, http.StatusBadRequest, headerBase+" is missing or no number")
 		return
 	}
 	c.checking.Lock()
@@ -56,27 +56,27 @@
 		return
 	}
 	version := messages.Version{Generation: config.Generation, Base: base, Hash: routeconfig.Hash(body)}
-	one, attached := whileAttached(c, func() replaced { return c.putVersion(version, body) })
+	r, attached := whileAttached(c, func() replaced { return c.putVersion(version, body) })
 	if !attached {
-		one.err = Detached.New("contact was lost meanwhile")
+		r.err = ErrNoContact.New("contact was lost meanwhile")
 	}
-	if one.err != nil {
+	if r.err != nil {
 		// Not in force for certain only without a second round; both are 5xx, and
 		// neither is a refusal.
-		c.Node.Log.Warn("configuration unclear", "generation", config.Generation, "why", one.err.Error())
-		httpreply.Reason(writer, http.StatusGatewayTimeout, one.err.Error())
+		c.Node.Log.Warn("configuration unclear", "generation", config.Generation, "why", r.err.Error())
+		httpreply.Error(writer, http.StatusGatewayTimeout, r.err.Error())
 		return
 	}
-	switch one.result {
+	switch r.result {
 	case register.ResultTaken, register.ResultAlready:
 		c.Node.Log.Info("configuration acknowledged", "generation", config.Generation)
 		httpreply.JSON(writer, http.StatusOK, map[string]int64{"generation": config.Generation})
 	case register.ResultAhead:
 		// An earlier try that is still on its way could meet the base in force: no
 		// refusal holds for ever here.
-		httpreply.Reason(writer, http.StatusGatewayTimeout, "the base is not in force")
+		httpreply.Error(writer, http.StatusGatewayTimeout, "the base is not in force")
 	case register.ResultOther:
-		c.refuse(writer, http.StatusPreconditionFailed, version, "another version is in place: "+strconv.FormatInt(one.value.Current.Generation, 10))
+		c.refuse(writer, http.StatusPreconditionFailed, version, "another version is in place: "+strconv.FormatInt(r.value.Current.Generation, 10))
 	default:
 		c.refuse(writer, http.StatusBadRequest, version, "generation is not above the current one")
 	}
@@ -85,7 +85,7 @@
 // refuse answers an order that the register refused, and logs it.
 func (c *Controller) refuse(writer http.ResponseWriter, status int, version messages.Version, why string) {
 	c.Node.Log.Info("configuration refused", "generation", version.Generation, "base", version.Base, "why", why)
-	httpreply.Reason(writer, status, why)
+	httpreply.Error(writer, status, why)
 }
 
 // refusal is the body of an answer to a configuration that is not valid.
@@ -97,22 +97,22 @@
 // putVersion puts a version in force, waits until the set that holds it outlasts the
 // fault budget, and has everybody told.
 func (c *Controller) putVersion(version messages.Version, body []byte) replaced {
-	var one replaced
-	one.value, one.result, one.err = c.Register.Replace(version, body)
-	for end := clock.Now().Plus(constants.CallTime); one.confirmed() && !c.bears(&one.value); {
+	var r replaced
+	r.value, r.result, r.err = c.Register.Replace(version, body)
+	for end := clock.Now().Add(constants.CallTimeout); r.confirmed() && !c.bears(&r.value); {
 		if clock.Now() > end {
-			one.err = register.Unclear.New("the set of acceptors is still growing")
-			return one
+			r.err = register.ErrOutcomeUnknown.New("the set of acceptors is still growing")
+			return r
 		}
 		// It is in force, yet the losses of the budget could take it away again: it is
 		// confirmed only once the set is whole, which takes the value along.
 		clock.Sleep(constants.TickPeriod)
-		one.value, one.result, one.err = c.Register.Replace(version, body)
+		r.value, r.result, r.err = c.Register.Replace(version, body)
 	}
-	if one.err == nil {
-		c.chosen(one.value, one.confirmed())
+	if r.err == nil {
+		c.chosen(r.value, r.confirmed())
 	}
-	return one
+	return r
 }
 
 func (c *Controller) read(writer http.ResponseWriter, _ *http.Request) {
@@ -121,11 +121,11 @@
 	}
 	value, err := c.Register.Read()
 	if err != nil {
-		httpreply.Reason(writer, http.StatusGatewayTimeout, elsewhere)
+		httpreply.Error(writer, http.StatusGatewayTimeout, elsewhere)
 		return
 	}
 	if value.Current.Generation == 0 {
-		httpreply.Reason(writer, http.StatusNotFound, "no configuration yet")
+		httpreply.Error(writer, http.StatusNotFound, "no configuration yet")
 		return
 	}
 	httpreply.Bytes(writer, http.StatusOK, "application/json", value.Body)
--- a/internal/control/controller/report.go
+++ b/internal/control/controller/report.go
@@ -15,7 +15,7 @@
 }
 
 // reportRegister tells what this process last knew of the register.
-func (c *Controller) reportRegister() *messages.Status {
+func (c *Controller) reportRegister() *messages.StatusResponse {
 	known := c.Register.Known()
 	state := "stands by"
 	for _, member := range known.Acceptors {
@@ -23,12 +23,12 @@
 			state = "votes"
 		}
 	}
-	return &messages.Status{Columns: []string{"duty", "state", "epoch", "holder"}, Rows: [][]string{
+	return &messages.StatusResponse{Columns: []string{"duty", "state", "epoch", "holder"}, Rows: [][]string{
 		{"register", state, strconv.FormatUint(known.SetEpoch, 10), strconv.Itoa(len(known.Acceptors)) + " acceptors"}}}
 }
 
-func (c *Controller) reportWorkers() *messages.Status {
-	status := &messages.Status{Columns: []string{"worker", "service", "zone", "phase", "heard-ms", "capacity"}}
+func (c *Controller) reportWorkers() *messages.StatusResponse {
+	status := &messages.StatusResponse{Columns: []string{"worker", "service", "zone", "phase", "heard-ms", "capacity"}}
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	for _, worker := range c.registry.All(clock.Now()) {
--- a/internal/control/controller/sets.go
+++ b/internal/control/controller/sets.go
@@ -50,12 +50,12 @@
 // hears tells whether a majority of a register's sets answers this process now. One that
 // is cut off would take its own deafness for the silence of a member, and have a live one
 // replaced as soon as the cut ends.
-func (c *Controller) hears(known messages.Register) bool {
+func (c *Controller) hears(known messages.RegisterValue) bool {
 	members := register.Targets(&known)
 	heard := make(chan string, len(members))
 	for _, member := range members {
 		go func() {
-			if member.Address == c.Node.Own.Address || c.answers(member.Address) {
+			if member.Address == c.Node.Self.Address || c.answers(member.Address) {
 				heard <- register.Identity(member)
 				return
 			}
@@ -72,13 +72,13 @@
 // stagger parts several newcomers that would propose at once by a short random pause; a
 // process that has just started takes its place without one.
 func (c *Controller) stagger() {
-	if clock.Now().Since(c.begun) > constants.HoldTime {
-		clock.Sleep(clock.Span(rand.Int63n(int64(constants.TendPeriod))))
+	if clock.Now().Sub(c.begun) > constants.LeaseDuration {
+		clock.Sleep(clock.Duration(rand.Int63n(int64(constants.ReconcilePeriod))))
 	}
 }
 
 // tending gathers what the decision on the set needs.
-func (c *Controller) tending(known messages.Register) register.Tending {
+func (c *Controller) tending(known messages.RegisterValue) register.Tending {
 	blank := map[string]bool{}
 	for _, entry := range c.Node.Live(membership.RoleController) {
 		blank[entry.Address] = entry.Disk == ""
@@ -98,17 +98,17 @@
 // openDisk gives the folder of the settings, or one in memory where there is none.
 func openDisk(nodeSettings *settings.Settings) (recordlog.Disk, error) {
 	if nodeSettings.DataDir == "" {
-		return recordlog.NewFleeting(), nil
+		return recordlog.NewMemoryDisk(), nil
 	}
 	if err := os.MkdirAll(nodeSettings.DataDir, 0o755); err != nil {
-		return nil, quorum.Damaged.Wrap(err, "data-dir")
+		return nil, quorum.ErrDisk.Wrap(err, "data-dir")
 	}
-	return recordlog.Folder(nodeSettings.DataDir), nil
+	return recordlog.Directory(nodeSettings.DataDir), nil
 }
 
 // bears tells whether what is acknowledged now outlasts the fault budget. A smaller
 // set has to do only where nobody else is there to join it.
-func (c *Controller) bears(value *messages.Register) bool {
+func (c *Controller) bears(value *messages.RegisterValue) bool {
 	inside, heard := map[string]bool{}, map[string]bool{}
 	for _, member := range value.Acceptors {
 		inside[member.Address] = true
@@ -120,10 +120,10 @@
 			outside = append(outside, entry.Address)
 		}
 	}
-	young := clock.Now().Since(c.begun) <= constants.GrowTime
+	young := clock.Now().Sub(c.begun) <= constants.SetGrowthTimeout
 	for _, member := range value.Acceptors {
 		// At the first start a seed may turn out to have no disk: it gives way first.
-		if young && c.Node.Settings.Bootstrap && member.Address != c.Node.Own.Address && !heard[member.Address] {
+		if young && c.Node.Settings.Bootstrap && member.Address != c.Node.Self.Address && !heard[member.Address] {
 			return false
 		}
 	}
@@ -156,8 +156,8 @@
 // answers tells whether a controller answers a small question now, also one that has
 // just started.
 func (c *Controller) answers(address string) bool {
-	question, answer := &messages.ContactAsk{From: c.Node.Own.Address}, &messages.ContactTold{}
-	return transport.Ask(c.Node.Wire, address, messages.KindContact, question, answer, constants.RoundTime) == nil
+	req, resp := &messages.ContactRequest{From: c.Node.Self.Address}, &messages.ContactResponse{}
+	return transport.Call(c.Node.Transport, address, messages.KindContact, req, resp, constants.RoundTimeout) == nil
 }
 
 // silent tells whether nobody has heard a member for long. One in our own zone is
@@ -170,7 +170,7 @@
 			continue
 		}
 		age, known = entry.AgeMs, true
-		if entry.Zone == c.Node.Own.Zone {
+		if entry.Zone == c.Node.Self.Zone {
 			patience = constants.SucceedAfter
 		}
 	}
@@ -178,8 +178,8 @@
 		return false
 	}
 	// Who has just started knows too little of who was silent for how long.
-	up := clock.Now().Since(c.begun)
-	if (!known && up < constants.SilentAfter) || up < constants.HoldTime {
+	up := clock.Now().Sub(c.begun)
+	if (!known && up < constants.SuspectAfter) || up < constants.LeaseDuration {
 		return false
 	}
 	// It is asked itself: one that answers now is not gone.
@@ -187,16 +187,16 @@
 }
 
 // changeDuty changes duty or store set on behalf of a store.
-func (c *Controller) changeDuty(question *messages.DutyChange) (transport.Writable, error) {
+func (c *Controller) changeDuty(req *messages.RegisterChangeRequest) (transport.Marshaler, error) {
 	done := false
-	change := register.SetStores(question.Holder, question.Stores, &done)
-	if question.Take {
-		change = register.TakeDuty(question.Holder, question.ExpectEpoch, question.Stores, &done)
+	change := register.SetStores(req.Holder, req.Stores, &done)
+	if req.Campaign {
+		change = register.TakeDuty(req.Holder, req.ExpectEpoch, req.Stores, &done)
 	}
 	value, err := c.Register.Change(change)
 	if err != nil {
 		return nil, err
 	}
 	value.Body = nil
-	return &messages.DutyChanged{Done: done, Known: true, Value: value}, nil
+	return &messages.RegisterResponse{Applied: done, Known: true, Value: value}, nil
 }
--- a/internal/control/controller/shared.go
+++ b/internal/control/controller/shared.go
@@ -18,12 +18,12 @@
 type reading struct {
 	done   chan struct{}
 	shares int
-	value  messages.Register
+	value  messages.RegisterValue
 	err    error
 }
 
 // Read gives a value read after the call began.
-func (s *sharedRead) Read(read func() (messages.Register, error)) (messages.Register, error) {
+func (s *sharedRead) Read(read func() (messages.RegisterValue, error)) (messages.RegisterValue, error) {
 	s.lock.Lock()
 	if s.next == nil {
 		s.next = &reading{done: make(chan struct{})}
@@ -41,21 +41,21 @@
 }
 
 // run reads as long as somebody waits.
-func (s *sharedRead) run(read func() (messages.Register, error)) {
+func (s *sharedRead) run(read func() (messages.RegisterValue, error)) {
 	first := true
 	for {
 		s.lock.Lock()
-		one := s.next
+		reading := s.next
 		s.next = nil
-		if one == nil {
+		if reading == nil {
 			s.busy = false
 			s.lock.Unlock()
 			return
 		}
 		s.lock.Unlock()
 		work := func() {
-			one.value, one.err = read()
-			close(one.done)
+			reading.value, reading.err = read()
+			close(reading.done)
 		}
 		if first {
 			work()
--- a/internal/control/controller/shared_test.go
+++ b/internal/control/controller/shared_test.go
@@ -14,11 +14,11 @@
 	const rounds, callers = 50, 20
 	var shared sharedRead
 	var localRegister, reads atomic.Int64
-	begun, release := make(chan struct{}), make(chan struct{})
-	read := func() (messages.Register, error) {
-		value := messages.Register{SetEpoch: uint64(localRegister.Load())}
+	start, release := make(chan struct{}), make(chan struct{})
+	read := func() (messages.RegisterValue, error) {
+		value := messages.RegisterValue{SetEpoch: uint64(localRegister.Load())}
 		reads.Add(1)
-		begun <- struct{}{}
+		start <- struct{}{}
 		<-release
 		return value, nil
 	}
@@ -34,7 +34,7 @@
 		}()
 	}
 	ask()
-	<-begun
+	<-start
 	for round := 0; round < rounds; round++ {
 		// A read is under way; all who come now share the one after it.
 		localRegister.Add(1)
@@ -49,7 +49,7 @@
 			shared.lock.Unlock()
 		}
 		release <- struct{}{}
-		<-begun
+		<-start
 	}
 	release <- struct{}{}
 	group.Wait()
--- a/internal/control/controller/slim_test.go
+++ b/internal/control/controller/slim_test.go
@@ -14,7 +14,7 @@
 		t.Fatal(status, body)
 	}
 	known := controller.Register.Known()
-	promise, err := controller.Register.Prepare(&messages.Prepare{Disk: controller.Node.Own.Disk, Query: true, Slim: true})
+	promise, err := controller.Register.Prepare(&messages.PrepareRequest{Disk: controller.Node.Self.Disk, Query: true, WithoutBody: true})
 	if err != nil || !promise.Granted || promise.Value.Body != nil || len(promise.Value.Acceptors) != len(known.Acceptors) {
 		t.Fatal(promise, err)
 	}
--- a/internal/control/controller/spread.go
+++ b/internal/control/controller/spread.go
@@ -10,26 +10,26 @@
 )
 
 func errandStop(server *http.Server) {
-	stopping, done := contexts.Timed(contexts.Background(), constants.BulkCallTime)
+	stopping, done := contexts.WithTimeout(contexts.Background(), constants.BulkCallTimeout)
 	defer done()
 	_ = server.Shutdown(stopping)
 }
 
 // chosen puts a value in force here and, where push is set, tells everybody
 // before the caller acknowledges it.
-func (c *Controller) chosen(value messages.Register, push bool) {
+func (c *Controller) chosen(value messages.RegisterValue, push bool) {
 	if value.Current.Generation == 0 {
 		return
 	}
 	newer := value.Current.Generation > c.Node.Generation()
-	c.Node.Take(value.Body)
+	c.Node.ApplyConfig(value.Body)
 	if push || newer {
-		update := &messages.Relay{Generation: value.Current.Generation, Body: value.Body}
+		update := &messages.RelayRequest{Generation: value.Current.Generation, Body: value.Body}
 		if !push {
-			go c.spread(update, constants.PushTime)
+			go c.spread(update, constants.PushTimeout)
 			return
 		}
-		c.spread(update, constants.PushTime)
+		c.spread(update, constants.PushTimeout)
 	}
 }
 
@@ -40,13 +40,13 @@
 		return
 	}
 	go func() {
-		clock.Sleep(constants.PushTime)
+		clock.Sleep(constants.PushTimeout)
 		for round := 0; round < 5 && c.Node.Generation() < generation; round++ {
 			if value, err := c.Register.Read(); err == nil {
 				c.chosen(value, false)
 				return
 			}
-			clock.Sleep(constants.PushTime)
+			clock.Sleep(constants.PushTimeout)
 		}
 	}()
 }
--- a/internal/control/controller/tables.go
+++ b/internal/control/controller/tables.go
@@ -12,44 +12,44 @@
 // and when it was last told who has beaten here.
 type peer struct {
 	workerList, processes messages.Digest
-	told                  clock.Moment
+	told                  clock.Instant
 }
 
 // registerTables registers what concerns the tables of workers and processes.
 func (c *Controller) registerTables() {
 	runtime := c.Node
-	runtime.Answer(messages.KindRosterPush, answer(func(question *messages.RosterPush) (transport.Writable, error) {
-		c.mergeWorkers(question.Workers)
-		runtime.Touched(question.From)
-		return &messages.Nothing{Taken: true}, nil
+	runtime.Handle(messages.KindWorkersUpdate, answer(func(req *messages.WorkersUpdate) (transport.Marshaler, error) {
+		c.mergeWorkers(req.Workers)
+		runtime.MarkContacted(req.From)
+		return &messages.Ack{Accepted: true}, nil
 	}))
-	runtime.Answer(messages.KindRosterPull, answer(func(question *messages.RosterPull) (transport.Writable, error) {
+	runtime.Handle(messages.KindWorkersPull, answer(func(req *messages.WorkersPullRequest) (transport.Marshaler, error) {
 		if c.learning() {
 			// What the file says may be older than a drain that was acknowledged.
-			return nil, Detached.New("workers not known yet")
+			return nil, ErrNoContact.New("workers not known yet")
 		}
 		c.lock.Lock()
 		defer c.lock.Unlock()
-		return &messages.RosterPush{From: membership.Key(runtime.Own), Workers: c.registry.Since(question.Since, clock.Now()),
-			Table: c.registry.Digest(runtime.Own.Life)}, nil
+		return &messages.WorkersUpdate{From: membership.Key(runtime.Self), Workers: c.registry.Since(req.Since, clock.Now()),
+			Table: c.registry.Digest(runtime.Self.Incarnation)}, nil
 	}))
-	runtime.Answer(messages.KindDirectoryPull, answer(func(question *messages.DirectoryPull) (transport.Writable, error) {
-		back := &messages.Shuffle{}
+	runtime.Handle(messages.KindDirectoryPull, answer(func(req *messages.DirectoryPullRequest) (transport.Marshaler, error) {
+		resp := &messages.Shuffle{}
 		runtime.Viewed(func(view *membership.View) {
-			back.Entries, back.Table = view.Since(question.Since, clock.Now()), view.Digest()
+			resp.Entries, resp.Table = view.Since(req.Since, clock.Now()), view.Digest()
 		})
-		return back, nil
+		return resp, nil
 	}))
-	runtime.Answer(messages.KindControllerBeat, answer(func(question *messages.ControllerBeat) (transport.Writable, error) {
+	runtime.Handle(messages.KindControllerHeartbeat, answer(func(req *messages.ControllerHeartbeat) (transport.Marshaler, error) {
 		// What is told here is chosen before it counts as told.
 		now := clock.Now()
-		back := c.beatFor(membership.Key(question.From))
-		go c.heardBeat(question, now)
-		return back, nil
+		resp := c.beatFor(membership.Key(req.From))
+		go c.heardBeat(req, now)
+		return resp, nil
 	}))
-	runtime.Answer(messages.KindRelay, answer(c.relayed))
-	runtime.Answer(messages.KindRelayWait, answer(c.relayWaited))
-	runtime.OnAnswer(c.addWorkers)
+	runtime.Handle(messages.KindRelay, answer(c.relayed))
+	runtime.Handle(messages.KindRelayWait, answer(c.relayWaited))
+	runtime.OnReportResponse(c.addWorkers)
 }
 
 func (c *Controller) mergeWorkers(workerList []messages.Worker) {
@@ -70,38 +70,38 @@
 // addWorkers completes the answer to a process's report: a digest of the table of
 // workers, and who is silent. A controller that is not in contact with a majority, or
 // has just started, says that and nothing else.
-func (c *Controller) addWorkers(answer *messages.Shuffle) {
+func (c *Controller) addWorkers(resp *messages.Shuffle) {
 	if !c.attached() {
-		*answer = messages.Shuffle{Entries: answer.Entries[:1], Detached: true}
+		*resp = messages.Shuffle{Entries: resp.Entries[:1], Detached: true}
 		return
 	}
 	if c.learning() {
 		// It knows too few yet to say how many there are, or who is silent.
-		answer.Counts = nil
+		resp.Counts = nil
 		return
 	}
 	plan := c.planTold().Revision
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	answer.Workers, answer.Plan = c.registry.Digest(c.Node.Own.Life), plan
-	answer.Judging, answer.Overdue = true, c.registry.Overdue(clock.Now())
+	resp.Workers, resp.PlanRevision = c.registry.Digest(c.Node.Self.Incarnation), plan
+	resp.OverdueComplete, resp.Overdue = true, c.registry.Overdue(clock.Now())
 }
 
 // beatFor is what another controller is told: digests, and who was heard here directly.
-func (c *Controller) beatFor(key string) *messages.ControllerBeat {
+func (c *Controller) beatFor(key string) *messages.ControllerHeartbeat {
 	c.lock.Lock()
-	since := clock.Moment(0)
-	if one := c.peers[key]; one != nil {
-		since = one.told
+	since := clock.Instant(0)
+	if peer := c.peers[key]; peer != nil {
+		since = peer.told
 	}
-	beat := &messages.ControllerBeat{Workers: c.registry.Digest(c.Node.Own.Life), Beaten: c.registry.BeatenSince(since)}
-	beat.Plan = c.planTold().Revision
+	heartbeat := &messages.ControllerHeartbeat{Workers: c.registry.Digest(c.Node.Self.Incarnation), SeenWorkers: c.registry.BeatenSince(since)}
+	heartbeat.PlanRevision = c.planTold().Revision
 	c.lock.Unlock()
 	c.Node.Viewed(func(view *membership.View) {
-		beat.From, beat.Processes, beat.Follow = view.Own(), view.Digest(), view.Own().Generation
-		beat.Met, beat.Behind = view.MetSince(since)
+		heartbeat.From, heartbeat.Processes, heartbeat.Generation = view.Own(), view.Digest(), view.Own().Generation
+		heartbeat.SeenNodes, heartbeat.LaggingNodes = view.MetSince(since)
 	})
-	return beat
+	return heartbeat
 }
 
 // beatOthers exchanges a beat with every other controller: there are few. Of two, the one
@@ -109,13 +109,13 @@
 func (c *Controller) beatOthers() {
 	runtime, now := c.Node, clock.Now()
 	c.lock.Lock()
-	c.registry.Forget(now.Plus(-constants.ForgetAfter))
+	c.registry.Forget(now.Add(-constants.ForgetAfter))
 	c.binding.trim(func(id string) bool {
 		_, known := c.registry.Get(id)
 		return known
 	})
-	for key, one := range c.relays {
-		if now.Since(one.begun) > constants.BulkCallTime {
+	for key, transfer := range c.relays {
+		if now.Sub(transfer.begun) > constants.BulkCallTimeout {
 			delete(c.relays, key)
 		}
 	}
@@ -126,18 +126,18 @@
 	}
 	for _, entry := range runtime.All(membership.RoleController) {
 		key := membership.Key(entry)
-		if key < membership.Key(runtime.Own) && entry.AgeMs < 2*constants.RosterPeriod.Milliseconds() {
+		if key < membership.Key(runtime.Self) && entry.AgeMs < 2*constants.ControllerHeartbeatPeriod.Milliseconds() {
 			delete(addresses, entry.Address)
 			continue
 		}
 		addresses[entry.Address] = key
 	}
-	delete(addresses, runtime.Own.Address)
+	delete(addresses, runtime.Self.Address)
 	for address, key := range addresses {
 		go func() {
-			back := &messages.ControllerBeat{}
-			if transport.Ask(runtime.Wire, address, messages.KindControllerBeat, c.beatFor(key), back, constants.CallTime) == nil {
-				c.heardBeat(back, now)
+			resp := &messages.ControllerHeartbeat{}
+			if transport.Call(runtime.Transport, address, messages.KindControllerHeartbeat, c.beatFor(key), resp, constants.CallTimeout) == nil {
+				c.heardBeat(resp, now)
 			}
 		}()
 	}
@@ -145,44 +145,44 @@
 
 // heardBeat takes another controller's beat, and pulls what its tables have beyond ours.
 // told is when that controller was given our own beat.
-func (c *Controller) heardBeat(beat *messages.ControllerBeat, told clock.Moment) {
-	runtime, now, key := c.Node, clock.Now(), membership.Key(beat.From)
-	runtime.Hear([]messages.Entry{beat.From})
-	go c.sawPlan(beat.Plan, beat.From.Address)
+func (c *Controller) heardBeat(heartbeat *messages.ControllerHeartbeat, told clock.Instant) {
+	runtime, now, key := c.Node, clock.Now(), membership.Key(heartbeat.From)
+	runtime.Observe([]messages.NodeInfo{heartbeat.From})
+	go c.sawPlan(heartbeat.PlanRevision, heartbeat.From.Address)
 	c.lock.Lock()
-	one := c.peers[key]
-	if one == nil {
-		one = &peer{}
-		c.peers[key] = one
+	p := c.peers[key]
+	if p == nil {
+		p = &peer{}
+		c.peers[key] = p
 	}
-	one.told = told
-	c.registry.Vouched(beat.Beaten, now)
-	workerList := c.registry.Digest(runtime.Own.Life)
-	sinceWorkers, askWorkers := behind(&one.workerList, beat.Workers, workerList)
+	p.told = told
+	c.registry.Vouched(heartbeat.SeenWorkers, now)
+	workerList := c.registry.Digest(runtime.Self.Incarnation)
+	sinceWorkers, askWorkers := behind(&p.workerList, heartbeat.Workers, workerList)
 	c.lock.Unlock()
 	var processes messages.Digest
 	runtime.Viewed(func(view *membership.View) {
-		view.Vouched(beat, now)
+		view.Vouched(heartbeat, now)
 		processes = view.Digest()
 	})
 	c.lock.Lock()
-	sinceProcesses, askProcesses := behind(&one.processes, beat.Processes, processes)
+	sinceProcesses, askProcesses := behind(&p.processes, heartbeat.Processes, processes)
 	c.lock.Unlock()
 	if askWorkers {
-		back := &messages.RosterPush{}
-		if transport.Ask(runtime.Wire, beat.From.Address, messages.KindRosterPull, &messages.RosterPull{Since: sinceWorkers}, back, constants.CallTime) == nil {
-			c.mergeWorkers(back.Workers)
+		resp := &messages.WorkersUpdate{}
+		if transport.Call(runtime.Transport, heartbeat.From.Address, messages.KindWorkersPull, &messages.WorkersPullRequest{Since: sinceWorkers}, resp, constants.CallTimeout) == nil {
+			c.mergeWorkers(resp.Workers)
 			c.lock.Lock()
-			one.workerList = back.Table
+			p.workerList = resp.Table
 			c.lock.Unlock()
 		}
 	}
 	if askProcesses {
-		back := &messages.Shuffle{}
-		if transport.Ask(runtime.Wire, beat.From.Address, messages.KindDirectoryPull, &messages.DirectoryPull{Since: sinceProcesses}, back, constants.CallTime) == nil {
-			runtime.Hear(back.Entries)
+		resp := &messages.Shuffle{}
+		if transport.Call(runtime.Transport, heartbeat.From.Address, messages.KindDirectoryPull, &messages.DirectoryPullRequest{Since: sinceProcesses}, resp, constants.CallTimeout) == nil {
+			runtime.Observe(resp.Entries)
 			c.lock.Lock()
-			one.processes = back.Table
+			p.processes = resp.Table
 			c.lock.Unlock()
 		}
 	}
@@ -195,7 +195,7 @@
 		*read = told
 		return 0, false
 	}
-	if read.Life != told.Life {
+	if read.Incarnation != told.Incarnation {
 		return 0, true
 	}
 	return read.Clock, told.Clock > read.Clock
--- a/internal/control/controller/tree.go
+++ b/internal/control/controller/tree.go
@@ -15,7 +15,7 @@
 
 // transfer is an update on its way down the tree.
 type transfer struct {
-	begun clock.Moment
+	begun clock.Instant
 	lock  sync.Mutex
 	job   *broadcast.Job
 	done  chan struct{}
@@ -24,8 +24,8 @@
 // directory gives every other process, the silent ones included, until constants.ForgetAfter
 // has passed since anybody heard of it: one that is silent to us may be in touch with
 // others. Who follows a generation already need not get it again.
-func (c *Controller) directory(generation int64) []messages.Entry {
-	var found []messages.Entry
+func (c *Controller) directory(generation int64) []messages.NodeInfo {
+	var found []messages.NodeInfo
 	for _, entry := range c.Node.All("") {
 		has := generation > 0 && entry.Generation >= generation && entry.Role != membership.RoleController
 		if !has {
@@ -37,28 +37,28 @@
 
 // fan is how many of a zone get an update directly: an update of a worker is short, a
 // configuration is not.
-func fan(update *messages.Relay) int {
+func fan(update *messages.RelayRequest) int {
 	if update.Generation > 0 {
-		return 2 * constants.BodyFan
+		return 2 * constants.BodyFanout
 	}
 	return 0
 }
 
 // spread tells all processes down the tree. It returns once all in touch have taken
 // the update, or after the span; what is then under way goes on.
-func (c *Controller) spread(update *messages.Relay, span clock.Span) {
-	update.From, update.Number = membership.Key(c.Node.Own), c.number.Add(1)
-	job, sends := broadcast.Fleet(c.Node.Own, c.directory(update.Generation), fan(update), clock.Now())
+func (c *Controller) spread(update *messages.RelayRequest, timeout clock.Duration) {
+	update.From, update.Sequence = membership.Key(c.Node.Self), c.number.Add(1)
+	job, sends := broadcast.Fleet(c.Node.Self, c.directory(update.Generation), fan(update), clock.Now())
 	if update.Generation > 0 {
-		c.addToBacklog(update, job.Unconfirmed(sends), constants.BacklogPassedPause)
+		c.addToBacklog(update, job.Unconfirmed(sends), constants.BacklogForwardedDelay)
 	}
-	one := c.deliver(update, job, sends)
-	timer := clock.NewTimer(span)
+	transfer := c.deliver(update, job, sends)
+	timer := clock.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case <-one.done:
+	case <-transfer.done:
 	case <-timer.C:
-		c.Node.Log.Debug("update not taken by all in time", "missing", len(one.missing()))
+		c.Node.Log.Debug("update not taken by all in time", "missing", len(transfer.missing()))
 	}
 }
 
@@ -69,116 +69,116 @@
 }
 
 // deliver makes the calls that a job asks for, until it is done or too late.
-func (c *Controller) deliver(update *messages.Relay, job *broadcast.Job, sends []broadcast.Send) *transfer {
-	one := &transfer{begun: clock.Now(), job: job, done: make(chan struct{})}
+func (c *Controller) deliver(update *messages.RelayRequest, job *broadcast.Job, sends []broadcast.Send) *transfer {
+	t := &transfer{begun: clock.Now(), job: job, done: make(chan struct{})}
 	var ended sync.Once
 	var follow func(sends []broadcast.Send)
 	call := func(send broadcast.Send) {
 		missing, err := c.send(update, send)
-		one.lock.Lock()
+		t.lock.Lock()
 		var next []broadcast.Send
 		if err != nil {
 			next = job.Failed(send, clock.Now())
 			if entry := job.Told(send); send.Step == broadcast.StepTell && entry.Address != "" {
-				c.addToBacklog(update, []messages.Entry{entry}, constants.BacklogPause)
+				c.addToBacklog(update, []messages.NodeInfo{entry}, constants.BacklogBackoff)
 			}
 		} else {
 			next = job.Took(send, missing, clock.Now())
 		}
-		one.lock.Unlock()
+		t.lock.Unlock()
 		follow(next)
 	}
 	follow = func(sends []broadcast.Send) {
 		for _, send := range sends {
 			go call(send)
 		}
-		one.lock.Lock()
+		t.lock.Lock()
 		done := job.Done()
-		one.lock.Unlock()
+		t.lock.Unlock()
 		if done {
-			ended.Do(func() { close(one.done) })
+			ended.Do(func() { close(t.done) })
 		}
 	}
 	follow(sends)
 	go func() {
-		for clock.Now().Since(one.begun) < constants.BulkCallTime {
+		for clock.Now().Sub(t.begun) < constants.BulkCallTimeout {
 			select {
-			case <-one.done:
+			case <-t.done:
 				return
-			case <-clock.After(constants.RelayPatience / 4):
+			case <-clock.After(constants.RelayTimeout / 4):
 			}
-			one.lock.Lock()
+			t.lock.Lock()
 			next := job.Tick(clock.Now())
-			one.lock.Unlock()
+			t.lock.Unlock()
 			follow(next)
 		}
 	}()
-	return one
+	return t
 }
 
 // send makes one call of a job.
-func (c *Controller) send(update *messages.Relay, send broadcast.Send) ([]uint32, error) {
-	wire := c.Node.Wire
+func (c *Controller) send(update *messages.RelayRequest, send broadcast.Send) ([]uint32, error) {
+	wire := c.Node.Transport
 	switch send.Step {
 	case broadcast.StepRelay:
 		part := *update
 		part.Expect = send.Expect
-		return nil, transport.Ask(wire, send.Address, messages.KindRelay, &part, &messages.Nothing{}, constants.CallTime)
+		return nil, transport.Call(wire, send.Address, messages.KindRelay, &part, &messages.Ack{}, constants.CallTimeout)
 	case broadcast.StepWait:
-		back := &messages.RelayDone{}
-		err := transport.Ask(wire, send.Address, messages.KindRelayWait, &messages.RelayWait{From: update.From, Number: update.Number}, back, constants.CallTime)
-		if err == nil && !back.Known {
-			err = quorum.Damaged.New("relay forgot")
+		resp := &messages.RelayWaitResponse{}
+		err := transport.Call(wire, send.Address, messages.KindRelayWait, &messages.RelayWaitRequest{From: update.From, Sequence: update.Sequence}, resp, constants.CallTimeout)
+		if err == nil && !resp.Known {
+			err = quorum.ErrDisk.New("relay forgot")
 		}
-		return back.Missing, err
+		return resp.Missing, err
 	}
 	if update.Generation > 0 {
-		push := &messages.ConfigPush{Generation: update.Generation, Body: update.Body, Pass: send.Pass}
-		return nil, transport.Ask(wire, send.Address, messages.KindConfigPush, push, &messages.Nothing{}, constants.CallTime)
+		push := &messages.ConfigPush{Generation: update.Generation, Body: update.Body, ForwardTo: send.Pass}
+		return nil, transport.Call(wire, send.Address, messages.KindConfigPush, push, &messages.Ack{}, constants.CallTimeout)
 	}
-	push := &messages.RosterPush{From: membership.Key(c.Node.Own), Workers: update.Workers}
-	return nil, transport.Ask(wire, send.Address, messages.KindRosterPush, push, &messages.Nothing{}, constants.CallTime)
+	push := &messages.WorkersUpdate{From: membership.Key(c.Node.Self), Workers: update.Workers}
+	return nil, transport.Call(wire, send.Address, messages.KindWorkersUpdate, push, &messages.Ack{}, constants.CallTimeout)
 }
 
 func relayKey(from string, number uint64) string { return from + "#" + strconv.FormatUint(number, 10) }
 
 // relayed takes an update for this zone and begins to tell it.
-func (c *Controller) relayed(update *messages.Relay) (transport.Writable, error) {
+func (c *Controller) relayed(update *messages.RelayRequest) (transport.Marshaler, error) {
 	c.mergeWorkers(update.Workers)
 	if update.Generation > c.Node.Generation() {
-		c.Node.Take(update.Body)
+		c.Node.ApplyConfig(update.Body)
 	}
 	expect := update.Expect[:0:0]
 	has := map[uint32]bool{}
 	for _, entry := range c.directory(0) {
 		has[membership.MarkOf(entry)] = update.Generation > 0 && entry.Generation >= update.Generation
 	}
-	for _, mark := range update.Expect {
-		if !has[mark] {
-			expect = append(expect, mark)
+	for _, hash := range update.Expect {
+		if !has[hash] {
+			expect = append(expect, hash)
 		}
 	}
-	job, sends := broadcast.Zone(c.Node.Own, c.directory(update.Generation), expect, fan(update), clock.Now())
-	one := c.deliver(update, job, sends)
+	job, sends := broadcast.Zone(c.Node.Self, c.directory(update.Generation), expect, fan(update), clock.Now())
+	transfer := c.deliver(update, job, sends)
 	c.lock.Lock()
-	c.relays[relayKey(update.From, update.Number)] = one
+	c.relays[relayKey(update.From, update.Sequence)] = transfer
 	c.lock.Unlock()
-	return &messages.Nothing{Taken: true}, nil
+	return &messages.Ack{Accepted: true}, nil
 }
 
 // relayWaited says whom of the zone a relayed update has not reached.
-func (c *Controller) relayWaited(question *messages.RelayWait) (transport.Writable, error) {
+func (c *Controller) relayWaited(req *messages.RelayWaitRequest) (transport.Marshaler, error) {
 	c.lock.Lock()
-	one := c.relays[relayKey(question.From, question.Number)]
+	transfer := c.relays[relayKey(req.From, req.Sequence)]
 	c.lock.Unlock()
-	if one == nil {
-		return &messages.RelayDone{}, nil
+	if transfer == nil {
+		return &messages.RelayWaitResponse{}, nil
 	}
-	timer := clock.NewTimer(constants.ZoneTime)
+	timer := clock.NewTimer(constants.ZoneBroadcastTimeout)
 	defer timer.Stop()
 	select {
-	case <-one.done:
+	case <-transfer.done:
 	case <-timer.C:
 	}
-	return &messages.RelayDone{Known: true, Missing: one.missing()}, nil
+	return &messages.RelayWaitResponse{Known: true, Missing: transfer.missing()}, nil
 }
--- a/internal/control/controller/workers.go
+++ b/internal/control/controller/workers.go
@@ -28,19 +28,19 @@
 	if !c.takesWorkers(writer) {
 		return
 	}
-	body, whole := readBody(writer, request, constants.HeadLimit)
-	if !whole {
+	body, complete := readBody(writer, request, constants.HeadLimit)
+	if !complete {
 		return
 	}
 	var call beatBody
 	if err := json.Unmarshal(body, &call); err != nil {
-		httpreply.Reason(writer, http.StatusBadRequest, "body can't be read: "+err.Error())
+		httpreply.Error(writer, http.StatusBadRequest, "body can't be read: "+err.Error())
 		return
 	}
 	worker := messages.Worker{ID: chi.URLParam(request, "id"), Backend: call.Backend, Address: call.Address, Zone: call.Zone,
-		Capacity: call.Capacity, WarmupMs: int64(call.WarmupMs), Count: call.Count}
+		Capacity: call.Capacity, WarmupMs: int64(call.WarmupMs), CallCount: call.Count}
 	if worker.Backend == "" || worker.Address == "" || worker.Capacity < 1 {
-		httpreply.Reason(writer, http.StatusBadRequest, "backend, address or capacity is missing")
+		httpreply.Error(writer, http.StatusBadRequest, "backend, address or capacity is missing")
 		return
 	}
 	if call.Phase == "draining" {
@@ -53,7 +53,7 @@
 // the caller is sent to another one.
 func (c *Controller) takesWorkers(writer http.ResponseWriter) bool {
 	if c.learning() || !c.inContact() {
-		httpreply.Reason(writer, http.StatusServiceUnavailable, elsewhere)
+		httpreply.Error(writer, http.StatusServiceUnavailable, elsewhere)
 		return false
 	}
 	return true
@@ -63,8 +63,8 @@
 	if !c.takesWorkers(writer) {
 		return
 	}
-	body, whole := readBody(writer, request, constants.HeadLimit)
-	if !whole {
+	body, complete := readBody(writer, request, constants.HeadLimit)
+	if !complete {
 		return
 	}
 	var call beatBody
@@ -76,8 +76,8 @@
 	if !known {
 		worker = messages.Worker{ID: chi.URLParam(request, "id"), Backend: call.Backend, Address: call.Address, Zone: call.Zone}
 	}
-	worker.Phase = messages.PhaseGone
-	worker.Count = max(worker.Count+1, call.Count)
+	worker.Phase = messages.PhaseDeparted
+	worker.CallCount = max(worker.CallCount+1, call.Count)
 	c.acknowledge(writer, worker)
 }
 
@@ -101,7 +101,7 @@
 	case !c.binding.isKept(worker):
 		if !c.bind(worker, changed) {
 			c.Node.Log.Warn("not acknowledged: no majority has it on disk", "id", worker.ID, "phase", worker.Phase.String())
-			httpreply.Reason(writer, http.StatusServiceUnavailable, elsewhere)
+			httpreply.Error(writer, http.StatusServiceUnavailable, elsewhere)
 			return
 		}
 		c.binding.setKept(worker)
--- a/internal/control/lease/lease.go
+++ b/internal/control/lease/lease.go
@@ -15,64 +15,64 @@
 	holder  string
 	life    int64
 	turn    uint64
-	until   clock.Moment
-	silence clock.Moment
+	until   clock.Instant
+	silence clock.Instant
 }
 
 // NewGrants starts a side. One that may have granted a lease before it restarted
 // grants nothing until that has run out.
-func NewGrants(now clock.Moment, first bool) *Grants {
+func NewGrants(now clock.Instant, first bool) *Grants {
 	grants := &Grants{}
 	if !first {
-		grants.silence = now.Plus(constants.HoldTime)
+		grants.silence = now.Add(constants.LeaseDuration)
 	}
 	return grants
 }
 
 // Ask answers a candidate or a holder that renews.
-func (g *Grants) Ask(question messages.HoldAsk, inForce messages.Duty, now clock.Moment) messages.HoldAnswer {
-	answer := messages.HoldAnswer{Epoch: inForce.Epoch}
-	if question.Release {
-		g.Release(question.Candidate, question.Life, question.Turn)
-		answer.Granted = true
-		return answer
+func (g *Grants) Ask(req messages.LeaseRequest, inForce messages.Leadership, now clock.Instant) messages.LeaseResponse {
+	resp := messages.LeaseResponse{Epoch: inForce.Epoch}
+	if req.Release {
+		g.Release(req.Candidate, req.Incarnation, req.Sequence)
+		resp.Granted = true
+		return resp
 	}
-	renews := inForce.Epoch > 0 && inForce.Holder == question.Candidate && question.Epoch == inForce.Epoch && inForce.Life == question.Life
-	if inForce.Epoch > question.Epoch && !renews {
+	renews := inForce.Epoch > 0 && inForce.Holder == req.Candidate && req.Epoch == inForce.Epoch && inForce.Incarnation == req.Incarnation
+	if inForce.Epoch > req.Epoch && !renews {
 		// Somebody took the lots since: the asker has to learn of it first.
-		answer.WaitMs = 1
-		return answer
+		resp.WaitMs = 1
+		return resp
 	}
 	free := now >= g.until && now >= g.silence
 	// A new life of the same process shows that the old one is over; an old life
 	// that woke up gets nothing back.
-	same := g.holder == question.Candidate && question.Life >= g.life
-	restarted := inForce.Holder == question.Candidate && question.Life >= inForce.Life && g.holder == ""
+	same := g.holder == req.Candidate && req.Incarnation >= g.life
+	restarted := inForce.Holder == req.Candidate && req.Incarnation >= inForce.Incarnation && g.holder == ""
 	if !free && !same && !restarted {
-		answer.WaitMs = max(g.until.Since(now), g.silence.Since(now)).Milliseconds() + 1
-		return answer
+		resp.WaitMs = max(g.until.Sub(now), g.silence.Sub(now)).Milliseconds() + 1
+		return resp
 	}
-	if g.holder != question.Candidate || g.life != question.Life {
+	if g.holder != req.Candidate || g.life != req.Incarnation {
 		g.turn = 0
 	}
-	g.holder, g.life = question.Candidate, question.Life
-	g.turn = max(g.turn, question.Turn)
-	g.until = now.Plus(constants.HoldTime)
-	answer.Granted = true
-	return answer
+	g.holder, g.life = req.Candidate, req.Incarnation
+	g.turn = max(g.turn, req.Sequence)
+	g.until = now.Add(constants.LeaseDuration)
+	resp.Granted = true
+	return resp
 }
 
 // Release ends a lease early, when its holder leaves in order. One that was sent before
 // the newest question granted came too late.
-func (g *Grants) Release(holder string, life int64, turn uint64) {
-	if g.holder == holder && g.life == life && turn >= g.turn {
+func (g *Grants) Release(holder string, incarnation int64, turn uint64) {
+	if g.holder == holder && g.life == incarnation && turn >= g.turn {
 		g.until = 0
 	}
 }
 
 // Lease is the holder's side.
 type Lease struct {
-	until clock.Moment
+	until clock.Instant
 }
 
 // Hold is the earlier name of Lease.
@@ -80,15 +80,15 @@
 
 // Renewed notes that a majority granted what was asked at a moment. The lease counts
 // from the asking, and ends a margin early.
-func (l *Lease) Renewed(asked clock.Moment) {
-	end := asked.Plus(constants.HoldTime - constants.HoldMargin)
+func (l *Lease) Renewed(sentAt clock.Instant) {
+	end := sentAt.Add(constants.LeaseDuration - constants.LeaseSafetyMargin)
 	if end > l.until {
 		l.until = end
 	}
 }
 
 // Stands tells whether the holder may act.
-func (l *Lease) Stands(now clock.Moment) bool { return now < l.until }
+func (l *Lease) Stands(now clock.Instant) bool { return now < l.until }
 
 // Drop gives the lease up.
 func (l *Lease) Drop() { l.until = 0 }
--- a/internal/control/lease/simulation_test.go
+++ b/internal/control/lease/simulation_test.go
@@ -25,41 +25,41 @@
 			grants[name] = lease.NewGrants(world.Now, true)
 			holds[name] = &lease.Lease{}
 		}
-		held := messages.Duty{}
+		held := messages.Leadership{}
 		var campaign func(name string)
 		campaign = func(name string) {
-			pause := constants.HoldRenewal + clock.Span(world.Random.Int63n(int64(constants.HoldRenewal)))
-			world.After(pause, func() { campaign(name) })
-			asked, granted, over := world.Now, map[string]bool{}, false
-			question := messages.HoldAsk{Candidate: name, Life: 1, Epoch: held.Epoch}
+			backoff := constants.LeaseRenewPeriod + clock.Duration(world.Random.Int63n(int64(constants.LeaseRenewPeriod)))
+			world.After(backoff, func() { campaign(name) })
+			sentAt, granted, over := world.Now, map[string]bool{}, false
+			req := messages.LeaseRequest{Candidate: name, Incarnation: 1, Epoch: held.Epoch}
 			for _, acceptor := range nodes {
 				world.Send(name, acceptor, func() {
-					answer := grants[acceptor].Ask(question, held, world.Now)
+					resp := grants[acceptor].Ask(req, held, world.Now)
 					world.Send(acceptor, name, func() {
-						if !answer.Granted || over {
+						if !resp.Granted || over {
 							return
 						}
 						if granted[acceptor] = true; len(granted) == 2 {
 							over = true
 							if held.Holder != name {
 								// The register raises the epoch; an older question loses there.
-								if question.Epoch != held.Epoch {
+								if req.Epoch != held.Epoch {
 									return
 								}
-								held = messages.Duty{Holder: name, Life: 1, Epoch: held.Epoch + 1}
+								held = messages.Leadership{Holder: name, Incarnation: 1, Epoch: held.Epoch + 1}
 								taken++
 							}
-							holds[name].Renewed(asked)
+							holds[name].Renewed(sentAt)
 						}
 					})
 				})
 			}
 		}
 		for _, name := range nodes {
-			world.After(clock.Span(world.Random.Int63n(int64(constants.HoldTime))), func() { campaign(name) })
+			world.After(clock.Duration(world.Random.Int63n(int64(constants.LeaseDuration))), func() { campaign(name) })
 		}
 		for step := 0; step < 400; step++ {
-			world.Run(world.Now.Plus(clock.Milliseconds(50)))
+			world.Run(world.Now.Add(clock.Milliseconds(50)))
 			standing := 0
 			for _, name := range nodes {
 				if holds[name].Stands(world.Now) {
@@ -76,7 +76,7 @@
 			case 1:
 				cut := nodes[world.Random.Intn(3)]
 				world.Isolate(cut, nodes, true)
-				world.After(3*constants.HoldTime, func() { world.Isolate(cut, nodes, false) })
+				world.After(3*constants.LeaseDuration, func() { world.Isolate(cut, nodes, false) })
 			}
 		}
 	}
--- a/internal/control/membership/bench_test.go
+++ b/internal/control/membership/bench_test.go
@@ -12,20 +12,20 @@
 	own := entry(RoleController, 1)
 	own.Role = RoleController
 	view := NewView(own, 1)
-	var asker messages.Entry
-	for place := 0; place < 390; place++ {
-		one := entry(fmt.Sprint("n", place), 1)
-		one.Zone = fmt.Sprint("h", place%4)
-		asker = one
-		view.Heard([]messages.Entry{one}, 0)
+	var asker messages.NodeInfo
+	for i := 0; i < 390; i++ {
+		info := entry(fmt.Sprint("n", i), 1)
+		info.Zone = fmt.Sprint("h", i%4)
+		asker = info
+		view.Heard([]messages.NodeInfo{info}, 0)
 	}
-	question := &messages.Shuffle{Entries: []messages.Entry{asker}}
-	for _, one := range view.Answer(question, 0).Entries[1:] {
-		question.Known = append(question.Known, MarkOf(one))
+	req := &messages.Shuffle{Entries: []messages.NodeInfo{asker}}
+	for _, info := range view.Answer(req, 0).Entries[1:] {
+		req.KnownHashes = append(req.KnownHashes, MarkOf(info))
 	}
 	b.ResetTimer()
 	for count := 0; count < b.N; count++ {
-		view.Heard(question.Entries, 0)
-		view.Answer(question, 0)
+		view.Heard(req.Entries, 0)
+		view.Answer(req, 0)
 	}
 }
--- a/internal/control/membership/bound.go
+++ b/internal/control/membership/bound.go
@@ -24,7 +24,7 @@
 // pick draws the part of a role's processes that an owner keeps: the lightest, two in
 // each other zone at least, and those of its own zone before the rest. Whoever draws
 // from the same list draws the same.
-func pick(owner messages.Entry, entries []messages.Entry, limit int) []messages.Entry {
+func pick(owner messages.NodeInfo, entries []messages.NodeInfo, limit int) []messages.NodeInfo {
 	if len(entries) <= limit {
 		return entries
 	}
@@ -35,12 +35,12 @@
 		place  int
 	}
 	own, order := Key(owner), make([]weighed, len(entries))
-	for place, entry := range entries {
-		order[place] = weighed{weigh(own, Key(entry)), place}
+	for i, entry := range entries {
+		order[i] = weighed{weigh(own, Key(entry)), i}
 	}
 	sort.Slice(order, func(left, right int) bool { return order[left].weight < order[right].weight })
 	far := map[string]int{}
-	rank := func(entry *messages.Entry) int {
+	rank := func(entry *messages.NodeInfo) int {
 		if entry.Zone == owner.Zone {
 			return 1
 		}
@@ -50,11 +50,11 @@
 		}
 		return 2
 	}
-	var ranked [3][]messages.Entry
-	for _, one := range order {
-		entry := &entries[one.place]
-		place := rank(entry)
-		ranked[place] = append(ranked[place], *entry)
+	var ranked [3][]messages.NodeInfo
+	for _, w := range order {
+		entry := &entries[w.place]
+		i := rank(entry)
+		ranked[i] = append(ranked[i], *entry)
 	}
 	all := append(append(ranked[0], ranked[1]...), ranked[2]...)
 	return all[:limit]
@@ -62,12 +62,12 @@
 
 // trim forgets who was silent for long, and keeps the view within its bound: the
 // silent go first, then those that pick would not draw.
-func (v *View) trim(now clock.Moment) {
+func (v *View) trim(now clock.Instant) {
 	reference := v.reference(now)
-	if now.Since(v.trimmed) >= constants.ShufflePeriod {
+	if now.Sub(v.trimmed) >= constants.ShufflePeriod {
 		v.trimmed = now
 		for key, known := range v.entries {
-			if reference.Since(known.heard) > constants.ForgetAfter {
+			if reference.Sub(known.heard) > constants.ForgetAfter {
 				v.drop(key)
 			}
 		}
@@ -77,12 +77,12 @@
 			continue
 		}
 		limit := Bound(v.Population(role, now))
-		var live, silent []messages.Entry
+		var live, silent []messages.NodeInfo
 		for _, key := range v.keys() {
 			known := v.entries[key]
 			switch {
 			case known.entry.Role != role:
-			case known.entry.Leaving || reference.Since(known.heard) >= constants.SilentAfter:
+			case known.entry.Draining || reference.Sub(known.heard) >= constants.SuspectAfter:
 				silent = append(silent, known.entry)
 			default:
 				live = append(live, known.entry)
--- a/internal/control/membership/cut_test.go
+++ b/internal/control/membership/cut_test.go
@@ -19,14 +19,14 @@
 		world := simulation.NewWorld(seed)
 		world.Loss = 0.1
 		views, names := map[string]*membership.View{}, []string{}
-		entry := func(name string, life int64) messages.Entry {
-			return messages.Entry{Name: name, Life: life, Role: membership.RoleGateway, Address: name}
+		entry := func(name string, incarnation int64) messages.NodeInfo {
+			return messages.NodeInfo{Name: name, Incarnation: incarnation, Role: membership.RoleGateway, Address: name}
 		}
-		for place := 0; place < 12; place++ {
-			name := fmt.Sprint("n", place)
+		for i := 0; i < 12; i++ {
+			name := fmt.Sprint("n", i)
 			names = append(names, name)
-			views[name] = membership.NewView(entry(name, 1), seed*100+int64(place))
-			views[name].Heard([]messages.Entry{entry("n0", 1)}, 0)
+			views[name] = membership.NewView(entry(name, 1), seed*100+int64(i))
+			views[name].Heard([]messages.NodeInfo{entry("n0", 1)}, 0)
 		}
 		var shuffle func(name string)
 		shuffle = func(name string) {
@@ -38,12 +38,12 @@
 			offer := views[name].Offer(world.Now)
 			world.Send(name, partner, func() {
 				views[partner].Heard(offer, world.Now)
-				back := views[partner].Offer(world.Now)
-				world.Send(partner, name, func() { views[name].Heard(back, world.Now) })
+				resp := views[partner].Offer(world.Now)
+				world.Send(partner, name, func() { views[name].Heard(resp, world.Now) })
 			})
 		}
 		for _, name := range names {
-			world.After(clock.Span(world.Random.Int63n(int64(constants.ShufflePeriod))), func() { shuffle(name) })
+			world.After(clock.Duration(world.Random.Int63n(int64(constants.ShufflePeriod))), func() { shuffle(name) })
 		}
 		expect := func(when string, live bool) {
 			for _, name := range names {
@@ -58,7 +58,7 @@
 				}
 			}
 		}
-		world.Run(world.Now.Plus(15 * constants.ShufflePeriod))
+		world.Run(world.Now.Add(15 * constants.ShufflePeriod))
 		expect("met", true)
 		cut := func(apart bool) {
 			for _, left := range names[:6] {
@@ -69,15 +69,15 @@
 			}
 		}
 		cut(true)
-		world.Run(world.Now.Plus(10 * constants.ShufflePeriod))
+		world.Run(world.Now.Add(10 * constants.ShufflePeriod))
 		expect("apart", false)
 		views["n7"] = membership.NewView(entry("n7", 2), seed)
-		views["n7"].Heard([]messages.Entry{entry("n8", 1)}, world.Now)
+		views["n7"].Heard([]messages.NodeInfo{entry("n8", 1)}, world.Now)
 		cut(false)
-		world.Run(world.Now.Plus(20 * constants.ShufflePeriod))
+		world.Run(world.Now.Add(20 * constants.ShufflePeriod))
 		expect("joined", true)
 		for _, other := range views["n1"].All("", world.Now) {
-			if other.Name == "n7" && other.Life != 2 {
+			if other.Name == "n7" && other.Incarnation != 2 {
 				t.Fatalf("seed %d: an old life is still believed in", seed)
 			}
 		}
--- a/internal/control/membership/exchange.go
+++ b/internal/control/membership/exchange.go
@@ -14,65 +14,65 @@
 // Question is what the owner says in its periodic exchange with a controller: itself, and
 // whose ages it wants.
 func (v *View) Question() *messages.Shuffle {
-	question := &messages.Shuffle{Entries: []messages.Entry{v.own}}
+	req := &messages.Shuffle{Entries: []messages.NodeInfo{v.own}}
 	for _, key := range v.keys() {
-		question.Known = append(question.Known, v.entries[key].mark)
+		req.KnownHashes = append(req.KnownHashes, v.entries[key].mark)
 	}
-	return question
+	return req
 }
 
 // BriefQuestion is the owner's short report to a second controller: a sign of life, and
 // a question for what is new.
 func (v *View) BriefQuestion() *messages.Shuffle {
-	return &messages.Shuffle{Entries: []messages.Entry{v.own}, Brief: true}
+	return &messages.Shuffle{Entries: []messages.NodeInfo{v.own}, Brief: true}
 }
 
 // Answer is a controller's: itself, the ages asked for, whom the asker should know and
 // does not, and how many there are of each role.
-func (v *View) Answer(question *messages.Shuffle, now clock.Moment) *messages.Shuffle {
-	answer := &messages.Shuffle{Entries: []messages.Entry{v.own}}
-	if question.Brief {
-		return answer
+func (v *View) Answer(req *messages.Shuffle, now clock.Instant) *messages.Shuffle {
+	resp := &messages.Shuffle{Entries: []messages.NodeInfo{v.own}}
+	if req.Brief {
+		return resp
 	}
 	has := map[uint32]bool{}
-	for _, mark := range question.Known {
-		has[mark] = true
-		answer.Ages = append(answer.Ages, v.age(mark, now))
+	for _, hash := range req.KnownHashes {
+		has[hash] = true
+		resp.Ages = append(resp.Ages, v.age(hash, now))
 	}
-	if len(question.Entries) == 0 {
-		return answer
+	if len(req.Entries) == 0 {
+		return resp
 	}
-	one := v.draw(question.Entries[0], now)
-	answer.Counts = one.counts
-	for _, key := range one.keys {
+	draw := v.draw(req.Entries[0], now)
+	resp.Counts = draw.counts
+	for _, key := range draw.keys {
 		known := v.entries[key]
-		if known != nil && !has[known.mark] && len(answer.Entries) <= constants.ShuffleSize && now.Since(known.heard) < constants.SilentAfter {
-			answer.Entries = append(answer.Entries, v.aged(known, now))
+		if known != nil && !has[known.mark] && len(resp.Entries) <= constants.ShuffleSize && now.Sub(known.heard) < constants.SuspectAfter {
+			resp.Entries = append(resp.Entries, v.aged(known, now))
 		}
 	}
-	return answer
+	return resp
 }
 
 // draw is whom a process should know, and how many there are.
 type draw struct {
 	clockValue uint64
-	at         clock.Moment
+	at         clock.Instant
 	keys       []string
-	counts     []messages.Headcount
+	counts     []messages.RoleCount
 }
 
 // draw gives whom an asker should know. Reckoning that goes over the whole directory,
 // so it is done anew only after a change or a while.
-func (v *View) draw(asker messages.Entry, now clock.Moment) draw {
-	if one, done := v.drawn[Key(asker)]; done && one.clockValue == v.clockValue && now.Since(one.at) < constants.DrawAfter {
-		return one
+func (v *View) draw(asker messages.NodeInfo, now clock.Instant) draw {
+	if d, done := v.drawn[Key(asker)]; done && d.clockValue == v.clockValue && now.Sub(d.at) < constants.ViewReuseTime {
+		return d
 	}
-	one := draw{clockValue: v.clockValue, at: now}
+	d := draw{clockValue: v.clockValue, at: now}
 	for _, role := range []string{RoleController, RoleStore, RoleGateway} {
-		one.counts = append(one.counts, messages.Headcount{Role: role, Count: v.Population(role, now)})
-		var others []messages.Entry
+		d.counts = append(d.counts, messages.RoleCount{Role: role, Count: v.Population(role, now)})
+		var others []messages.NodeInfo
 		for _, entry := range v.Live(role, now) {
-			if Key(entry) != Key(asker) && (!entry.Leaving || role == RoleController) {
+			if Key(entry) != Key(asker) && (!entry.Draining || role == RoleController) {
 				others = append(others, entry)
 			}
 		}
@@ -80,52 +80,52 @@
 			others = pick(asker, others, Bound(v.Population(role, now)))
 		}
 		for _, entry := range others {
-			one.keys = append(one.keys, Key(entry))
+			d.keys = append(d.keys, Key(entry))
 		}
 	}
-	v.drawn[Key(asker)] = one
-	return one
+	v.drawn[Key(asker)] = d
+	return d
 }
 
 // age gives what is told of a process: one that is as fresh as reports come is told as
 // just heard, so that only silence shows.
-func (v *View) age(mark uint32, now clock.Moment) uint16 {
-	key, found := v.marks[mark]
+func (v *View) age(hash uint32, now clock.Instant) uint16 {
+	key, found := v.marks[hash]
 	if !found {
-		if mark == MarkOf(v.own) {
+		if hash == MarkOf(v.own) {
 			return 0
 		}
 		return messages.AgeUnknown
 	}
-	age := now.Since(v.entries[key].heard)
-	if age < constants.FreshReport {
+	age := now.Sub(v.entries[key].heard)
+	if age < constants.FreshReportAge {
 		return 0
 	}
 	return uint16(min(int64(age)/ageStep, messages.AgeUnknown))
 }
 
 // Answered takes a controller's answer to a question.
-func (v *View) Answered(question, answer *messages.Shuffle, now clock.Moment) {
-	for place, mark := range question.Known {
-		if place >= len(answer.Ages) || answer.Ages[place] == messages.AgeUnknown {
+func (v *View) Answered(req, resp *messages.Shuffle, now clock.Instant) {
+	for i, hash := range req.KnownHashes {
+		if i >= len(resp.Ages) || resp.Ages[i] == messages.AgeUnknown {
 			continue
 		}
-		if known := v.entries[v.marks[mark]]; known != nil {
-			known.heard = max(known.heard, now-clock.Moment(answer.Ages[place])*ageStep)
+		if known := v.entries[v.marks[hash]]; known != nil {
+			known.heard = max(known.heard, now-clock.Instant(resp.Ages[i])*ageStep)
 		}
 	}
-	for _, one := range answer.Counts {
-		v.counts[one.Role] = one.Count
+	for _, count := range resp.Counts {
+		v.counts[count.Role] = count.Count
 	}
-	v.Heard(answer.Entries, now)
+	v.Heard(resp.Entries, now)
 }
 
 // Controllers gives the controllers in the order in which the owner reports to them: those of
 // its zone first, those that have just failed or are silent last.
-func (v *View) Controllers(now clock.Moment) []messages.Entry {
+func (v *View) Controllers(now clock.Instant) []messages.NodeInfo {
 	entries := v.All(RoleController, now)
 	own := Key(v.own)
-	rank := func(entry messages.Entry) int {
+	rank := func(entry messages.NodeInfo) int {
 		switch {
 		case !v.usable(entry, now):
 			return 2
@@ -135,27 +135,27 @@
 		return 0
 	}
 	sort.SliceStable(entries, func(left, right int) bool {
-		one, other := rank(entries[left]), rank(entries[right])
-		return one < other || (one == other && weigh(own, Key(entries[left])) < weigh(own, Key(entries[right])))
+		found, other := rank(entries[left]), rank(entries[right])
+		return found < other || (found == other && weigh(own, Key(entries[left])) < weigh(own, Key(entries[right])))
 	})
 	return entries
 }
 
 // usable tells whether a controller is worth asking: it was heard lately and did not
 // just fail to answer, or answer that it is detached.
-func (v *View) usable(entry messages.Entry, now clock.Moment) bool {
+func (v *View) usable(entry messages.NodeInfo, now clock.Instant) bool {
 	failed, shunned := v.shunned[entry.Address]
-	if shunned && now.Since(failed) < constants.SilentAfter {
+	if shunned && now.Sub(failed) < constants.SuspectAfter {
 		return false
 	}
-	return !entry.Leaving && entry.AgeMs < constants.SilentAfter.Milliseconds()
+	return !entry.Draining && entry.AgeMs < constants.SuspectAfter.Milliseconds()
 }
 
 // SecondControllers gives the controllers other than the first in the order in which a
 // short report tries them: the usable ones of other zones in random order, then the
 // usable ones of the owner's zone, then the rest.
-func (v *View) SecondControllers(first string, now clock.Moment) []messages.Entry {
-	var ranked [3][]messages.Entry
+func (v *View) SecondControllers(first string, now clock.Instant) []messages.NodeInfo {
+	var ranked [3][]messages.NodeInfo
 	for _, entry := range v.All(RoleController, now) {
 		switch {
 		case entry.Address == first:
@@ -167,7 +167,7 @@
 			ranked[1] = append(ranked[1], entry)
 		}
 	}
-	var entries []messages.Entry
+	var entries []messages.NodeInfo
 	for _, group := range ranked {
 		v.random.Shuffle(len(group), func(left, right int) { group[left], group[right] = group[right], group[left] })
 		entries = append(entries, group...)
--- a/internal/control/membership/exchange_test.go
+++ b/internal/control/membership/exchange_test.go
@@ -9,11 +9,11 @@
 	"lemonarch/internal/platform/messages"
 )
 
-func controllerEntry(name, zone string) messages.Entry {
-	return messages.Entry{Name: name, Life: 1, Role: RoleController, Zone: zone, Address: name + ":1"}
+func controllerEntry(name, zone string) messages.NodeInfo {
+	return messages.NodeInfo{Name: name, Incarnation: 1, Role: RoleController, Zone: zone, Address: name + ":1"}
 }
 
-func order(view *View, now clock.Moment) (names string) {
+func order(view *View, now clock.Instant) (names string) {
 	for _, entry := range view.Controllers(now) {
 		names += entry.Name
 	}
@@ -26,8 +26,8 @@
 	own := entry("own", 1)
 	own.Zone = "a"
 	view := NewView(own, 1)
-	for _, one := range []messages.Entry{controllerEntry("p", "a"), controllerEntry("q", "a"), controllerEntry("r", "b")} {
-		view.Heard([]messages.Entry{one}, 0)
+	for _, info := range []messages.NodeInfo{controllerEntry("p", "a"), controllerEntry("q", "a"), controllerEntry("r", "b")} {
+		view.Heard([]messages.NodeInfo{info}, 0)
 	}
 	first := order(view, 0)
 	if first[2] != 'r' {
@@ -38,7 +38,7 @@
 	if got := order(view, 1); got != first[1:]+first[:1] {
 		t.Fatal(got)
 	}
-	later := clock.Moment(0).Plus(constants.SilentAfter)
+	later := clock.Instant(0).Add(constants.SuspectAfter)
 	view.Touched("foreman/r", later)
 	if got := order(view, later); got[0] != 'r' {
 		t.Fatal("silent ones come first: ", got)
@@ -53,17 +53,17 @@
 // that fell silent by its age alone.
 func TestExchangeKeepsAView(t *testing.T) {
 	controller := NewView(controllerEntry("f", "a"), 1)
-	for place := 0; place < 120; place++ {
-		one := entry(fmt.Sprint("n", place), 1)
-		one.Zone = []string{"a", "b", "c", "d"}[place%4]
-		controller.Heard([]messages.Entry{one}, 0)
+	for i := 0; i < 120; i++ {
+		info := entry(fmt.Sprint("n", i), 1)
+		info.Zone = []string{"a", "b", "c", "d"}[i%4]
+		controller.Heard([]messages.NodeInfo{info}, 0)
 	}
 	own := entry("n0", 1)
 	own.Zone = "a"
-	view, now := NewView(own, 1), clock.Moment(0)
+	view, now := NewView(own, 1), clock.Instant(0)
 	talk := func() {
-		question := view.Question()
-		view.Answered(question, controller.Answer(question, now), now)
+		req := view.Question()
+		view.Answered(req, controller.Answer(req, now), now)
 	}
 	for round := 0; round < 4; round++ {
 		talk()
@@ -83,22 +83,22 @@
 	// All but one go on speaking to the controller.
 	silent := view.All(RoleGateway, now)[0].Name
 	for round := 0; round < 6; round++ {
-		now = now.Plus(constants.ShufflePeriod)
-		for place := 0; place < 120; place++ {
-			if name := fmt.Sprint("n", place); name != silent {
+		now = now.Add(constants.ShufflePeriod)
+		for i := 0; i < 120; i++ {
+			if name := fmt.Sprint("n", i); name != silent {
 				controller.Touched("forge/"+name, now)
 			}
 		}
 		talk()
 	}
 	for _, entry := range view.All(RoleGateway, now) {
-		if live := entry.AgeMs < constants.SilentAfter.Milliseconds(); live == (entry.Name == silent) {
+		if live := entry.AgeMs < constants.SuspectAfter.Milliseconds(); live == (entry.Name == silent) {
 			t.Fatalf("%s: heard %d ms ago", entry.Name, entry.AgeMs)
 		}
 	}
 	// Without a controller it goes on with those that it had.
 	before := len(view.Live(RoleGateway, now))
-	now = now.Plus(10 * constants.ShufflePeriod)
+	now = now.Add(10 * constants.ShufflePeriod)
 	if got := len(view.Live(RoleGateway, now)); got != before {
 		t.Fatal("its own deafness made others silent: ", got, before)
 	}
--- a/internal/control/membership/membership.go
+++ b/internal/control/membership/membership.go
@@ -21,9 +21,9 @@
 )
 
 type seen struct {
-	entry messages.Entry
+	entry messages.NodeInfo
 	// heard is the last sign of life of any kind, direct the last one to this process itself.
-	heard, direct clock.Moment
+	heard, direct clock.Instant
 	change        uint64
 	mark          uint32
 }
@@ -31,7 +31,7 @@
 // View is what a process knows of others: a controller keeps all, the rest a bounded
 // part (see trim).
 type View struct {
-	own     messages.Entry
+	own     messages.NodeInfo
 	entries map[string]*seen
 	marks   map[uint32]string
 	// sorted holds the keys in order, nil after one came or went.
@@ -40,65 +40,65 @@
 	// clockValue counts the changes, sum stands for the entries.
 	clockValue, sum uint64
 	// listened is when a controller was last heard, heads how many processes it told of.
-	listened clock.Moment
-	trimmed  clock.Moment
+	listened clock.Instant
+	trimmed  clock.Instant
 	counts   map[string]int
-	shunned  map[string]clock.Moment
+	shunned  map[string]clock.Instant
 	// drawn remembers for a while whom each asker should know (controllers only).
 	drawn map[string]draw
 }
 
 // NewView makes a view that holds its owner alone.
-func NewView(own messages.Entry, seed int64) *View {
+func NewView(own messages.NodeInfo, seed int64) *View {
 	return &View{own: own, entries: map[string]*seen{}, marks: map[uint32]string{}, random: rand.New(rand.NewSource(seed)),
-		counts: map[string]int{}, shunned: map[string]clock.Moment{}, drawn: map[string]draw{}}
+		counts: map[string]int{}, shunned: map[string]clock.Instant{}, drawn: map[string]draw{}}
 }
 
 // Key names a process: a machine runs one of each role at most.
-func Key(entry messages.Entry) string { return entry.Role + "/" + entry.Name }
+func Key(entry messages.NodeInfo) string { return entry.Role + "/" + entry.Name }
 
 // Own gives the owner's entry.
-func (v *View) Own() messages.Entry { return v.own }
+func (v *View) Own() messages.NodeInfo { return v.own }
 
 // SetLeaving marks the owner as going away.
-func (v *View) SetLeaving() { v.own.Leaving = true }
+func (v *View) SetLeaving() { v.own.Draining = true }
 
 // SetGeneration notes which configuration the owner follows.
 func (v *View) SetGeneration(generation int64) { v.own.Generation = generation }
 
 // Heard notes entries from a shuffle. The first of them is the sender itself.
-func (v *View) Heard(entries []messages.Entry, now clock.Moment) {
-	for place, entry := range entries {
+func (v *View) Heard(entries []messages.NodeInfo, now clock.Instant) {
+	for i, entry := range entries {
 		v.merge(entry, now)
-		if place == 0 {
+		if i == 0 {
 			v.touch(Key(entry), now)
 		}
 	}
 	v.trim(now)
 }
 
-func (v *View) merge(entry messages.Entry, now clock.Moment) {
+func (v *View) merge(entry messages.NodeInfo, now clock.Instant) {
 	key := Key(entry)
-	age := clock.Span(entry.AgeMs) * 1_000_000
+	age := clock.Duration(entry.AgeMs) * 1_000_000
 	if key == Key(v.own) || entry.Address == "" || age > constants.ForgetAfter {
 		return
 	}
-	heard := now - clock.Moment(age)
+	heard := now - clock.Instant(age)
 	known := v.entries[key]
 	switch {
 	case known == nil:
 		known = &seen{heard: heard}
 		v.entries[key], v.sorted = known, nil
 		v.put(known, entry)
-	case entry.Life > known.entry.Life:
+	case entry.Incarnation > known.entry.Incarnation:
 		known.heard, known.direct = heard, 0
 		v.put(known, entry)
-	case entry.Life == known.entry.Life:
+	case entry.Incarnation == known.entry.Incarnation:
 		// A life never stops leaving and never takes back a configuration.
-		entry.Leaving = entry.Leaving || known.entry.Leaving
+		entry.Draining = entry.Draining || known.entry.Draining
 		entry.Generation = max(entry.Generation, known.entry.Generation)
 		known.heard = max(known.heard, heard)
-		if entry.Leaving != known.entry.Leaving {
+		if entry.Draining != known.entry.Draining {
 			v.put(known, entry)
 		} else {
 			known.entry = entry
@@ -107,9 +107,9 @@
 }
 
 // Touched notes a direct message from a process.
-func (v *View) Touched(key string, now clock.Moment) { v.touch(key, now) }
+func (v *View) Touched(key string, now clock.Instant) { v.touch(key, now) }
 
-func (v *View) touch(key string, now clock.Moment) {
+func (v *View) touch(key string, now clock.Instant) {
 	if known := v.entries[key]; known != nil {
 		known.heard, known.direct = max(known.heard, now), max(known.direct, now)
 		delete(v.shunned, known.entry.Address)
@@ -120,11 +120,11 @@
 }
 
 // Failed notes that a process did not answer: others are asked first for a while.
-func (v *View) Failed(address string, now clock.Moment) { v.shunned[address] = now }
+func (v *View) Failed(address string, now clock.Instant) { v.shunned[address] = now }
 
 // Offer gives what a shuffle carries: the owner, then a random part of the view.
-func (v *View) Offer(now clock.Moment) []messages.Entry {
-	offer := []messages.Entry{v.own}
+func (v *View) Offer(now clock.Instant) []messages.NodeInfo {
+	offer := []messages.NodeInfo{v.own}
 	keys := append([]string(nil), v.keys()...)
 	v.random.Shuffle(len(keys), func(left, right int) { keys[left], keys[right] = keys[right], keys[left] })
 	for _, key := range keys[:min(len(keys), constants.ShuffleSize)] {
@@ -133,9 +133,9 @@
 	return offer
 }
 
-func (v *View) aged(known *seen, now clock.Moment) messages.Entry {
+func (v *View) aged(known *seen, now clock.Instant) messages.NodeInfo {
 	entry := known.entry
-	entry.AgeMs = max(0, now.Since(known.heard).Milliseconds())
+	entry.AgeMs = max(0, now.Sub(known.heard).Milliseconds())
 	return entry
 }
 
@@ -152,7 +152,7 @@
 
 // Partner draws the neighbour of the next shuffle, mostly in the owner's zone since
 // bytes between zones are dear; empty when none is known.
-func (v *View) Partner(now clock.Moment) string {
+func (v *View) Partner(now clock.Instant) string {
 	var live, near []string
 	for _, entry := range v.Live("", now) {
 		live = append(live, entry.Address)
@@ -171,8 +171,8 @@
 
 // All gives every entry of a role (or of all), the silent ones included, with
 // their ages.
-func (v *View) All(role string, now clock.Moment) []messages.Entry {
-	var found []messages.Entry
+func (v *View) All(role string, now clock.Instant) []messages.NodeInfo {
+	var found []messages.NodeInfo
 	for _, key := range v.keys() {
 		if known := v.entries[key]; role == "" || known.entry.Role == role {
 			found = append(found, v.aged(known, now))
@@ -183,20 +183,20 @@
 
 // reference is the moment from which silence counts. Most of what a process hears of
 // others comes through controllers; while it hears none, it goes on with what it had.
-func (v *View) reference(now clock.Moment) clock.Moment {
-	if v.listened > 0 && v.own.Role != RoleController && now.Since(v.listened) > constants.SilentAfter {
+func (v *View) reference(now clock.Instant) clock.Instant {
+	if v.listened > 0 && v.own.Role != RoleController && now.Sub(v.listened) > constants.SuspectAfter {
 		return v.listened
 	}
 	return now
 }
 
 // Live gives the entries that were heard lately.
-func (v *View) Live(role string, now clock.Moment) []messages.Entry {
-	var found []messages.Entry
+func (v *View) Live(role string, now clock.Instant) []messages.NodeInfo {
+	var found []messages.NodeInfo
 	reference := v.reference(now)
 	for _, key := range v.keys() {
 		known := v.entries[key]
-		if (role == "" || known.entry.Role == role) && reference.Since(known.heard) < constants.SilentAfter {
+		if (role == "" || known.entry.Role == role) && reference.Sub(known.heard) < constants.SuspectAfter {
 			found = append(found, v.aged(known, now))
 		}
 	}
--- a/internal/control/membership/membership_test.go
+++ b/internal/control/membership/membership_test.go
@@ -9,8 +9,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-func entry(name string, life int64) messages.Entry {
-	return messages.Entry{Name: name, Life: life, Role: RoleGateway, Address: name + ":1"}
+func entry(name string, incarnation int64) messages.NodeInfo {
+	return messages.NodeInfo{Name: name, Incarnation: incarnation, Role: RoleGateway, Address: name + ":1"}
 }
 
 // Many views that each know one seed learn of all others by shuffling.
@@ -18,17 +18,17 @@
 	const count = 25
 	views := map[string]*View{}
 	var names []string
-	for place := 0; place < count; place++ {
-		one := entry(fmt.Sprint("n", place), 1)
-		views[one.Address] = NewView(one, int64(place))
-		names = append(names, one.Address)
+	for i := 0; i < count; i++ {
+		info := entry(fmt.Sprint("n", i), 1)
+		views[info.Address] = NewView(info, int64(i))
+		names = append(names, info.Address)
 	}
-	now := clock.Moment(0)
+	now := clock.Instant(0)
 	for _, name := range names[1:] {
 		views[names[0]].Heard(views[name].Offer(now), now)
 	}
 	for round := 0; round < 8; round++ {
-		now = now.Plus(constants.ShufflePeriod)
+		now = now.Add(constants.ShufflePeriod)
 		for _, name := range names {
 			partner := views[name].Partner(now)
 			if partner == "" {
@@ -48,18 +48,18 @@
 
 func TestNewLifeReplacesOldAndOldNeverComesBack(t *testing.T) {
 	view := NewView(entry("own", 1), 1)
-	view.Heard([]messages.Entry{entry("a", 1)}, 10)
-	view.Heard([]messages.Entry{entry("a", 2)}, 20)
-	view.Heard([]messages.Entry{entry("a", 1)}, 30)
-	if got := view.All("", 30); len(got) != 1 || got[0].Life != 2 {
+	view.Heard([]messages.NodeInfo{entry("a", 1)}, 10)
+	view.Heard([]messages.NodeInfo{entry("a", 2)}, 20)
+	view.Heard([]messages.NodeInfo{entry("a", 1)}, 30)
+	if got := view.All("", 30); len(got) != 1 || got[0].Incarnation != 2 {
 		t.Fatal(got)
 	}
 }
 
 func TestSilenceIsOnlyAHint(t *testing.T) {
 	view := NewView(entry("own", 1), 1)
-	view.Heard([]messages.Entry{entry("a", 1)}, 0)
-	later := clock.Moment(0).Plus(constants.SilentAfter)
+	view.Heard([]messages.NodeInfo{entry("a", 1)}, 0)
+	later := clock.Instant(0).Add(constants.SuspectAfter)
 	if len(view.Live("", later)) != 0 || len(view.All("", later)) != 1 {
 		t.Fatal("a silent process is not live but still known")
 	}
@@ -72,22 +72,22 @@
 func TestViewIsBounded(t *testing.T) {
 	const count = 300
 	view := NewView(entry("own", 1), 1)
-	view.Answered(&messages.Shuffle{}, &messages.Shuffle{Counts: []messages.Headcount{{Role: RoleGateway, Count: count}}}, 0)
-	for place := 0; place < count; place++ {
-		view.Heard([]messages.Entry{entry(fmt.Sprint("n", place), 1)}, clock.Moment(place))
+	view.Answered(&messages.Shuffle{}, &messages.Shuffle{Counts: []messages.RoleCount{{Role: RoleGateway, Count: count}}}, 0)
+	for i := 0; i < count; i++ {
+		view.Heard([]messages.NodeInfo{entry(fmt.Sprint("n", i), 1)}, clock.Instant(i))
 	}
 	if got := len(view.All("", 0)); got != Bound(count) || got > 40 {
 		t.Fatalf("%d entries", got)
 	}
 	// Who matters is never dropped by the bound: controllers, and stores at a store.
 	for _, role := range []string{RoleController, RoleStore} {
-		keeper := NewView(messages.Entry{Name: "own", Role: role, Address: "own:1"}, 1)
-		for place := 0; place < count; place++ {
-			one := entry(fmt.Sprint("n", place), 1)
-			one.Role = RoleStore
-			keeper.Heard([]messages.Entry{one}, clock.Moment(place))
-			one.Role = RoleController
-			keeper.Heard([]messages.Entry{one}, clock.Moment(place))
+		keeper := NewView(messages.NodeInfo{Name: "own", Role: role, Address: "own:1"}, 1)
+		for i := 0; i < count; i++ {
+			info := entry(fmt.Sprint("n", i), 1)
+			info.Role = RoleStore
+			keeper.Heard([]messages.NodeInfo{info}, clock.Instant(i))
+			info.Role = RoleController
+			keeper.Heard([]messages.NodeInfo{info}, clock.Instant(i))
 		}
 		if len(keeper.All(RoleStore, 0)) != count || len(keeper.All(RoleController, 0)) != count {
 			t.Fatalf("a %s lost some", role)
--- a/internal/control/membership/neighbours.go
+++ b/internal/control/membership/neighbours.go
@@ -28,10 +28,10 @@
 // Neighbours gives up to count live processes of a role, the lightest first: one in
 // another zone where there is one, the rest in the owner's own zone, and others only
 // where that has too few.
-func (v *View) Neighbours(role string, count int, now clock.Moment) []messages.Entry {
-	var near, far []messages.Entry
+func (v *View) Neighbours(role string, count int, now clock.Instant) []messages.NodeInfo {
+	var near, far []messages.NodeInfo
 	for _, entry := range v.Live(role, now) {
-		if entry.Leaving {
+		if entry.Draining {
 			continue
 		}
 		if entry.Zone == v.own.Zone {
@@ -53,7 +53,7 @@
 	return found[:min(len(found), count)]
 }
 
-func (v *View) sort(entries []messages.Entry) {
+func (v *View) sort(entries []messages.NodeInfo) {
 	own := Key(v.own)
 	sort.Slice(entries, func(left, right int) bool {
 		return weigh(own, Key(entries[left])) < weigh(own, Key(entries[right]))
@@ -62,13 +62,13 @@
 
 // Population is how many live processes of a role there are, the owner included: as a
 // controller last told, or as many as are in view.
-func (v *View) Population(role string, now clock.Moment) int {
+func (v *View) Population(role string, now clock.Instant) int {
 	if told := v.counts[role]; told > 0 && v.own.Role != RoleController {
 		return told
 	}
 	count, reference := 0, v.reference(now)
 	for _, known := range v.entries {
-		if known.entry.Role == role && reference.Since(known.heard) < constants.SilentAfter {
+		if known.entry.Role == role && reference.Sub(known.heard) < constants.SuspectAfter {
 			count++
 		}
 	}
--- a/internal/control/membership/neighbours_test.go
+++ b/internal/control/membership/neighbours_test.go
@@ -11,15 +11,15 @@
 	own := entry("own", 1)
 	own.Zone = "a"
 	view := NewView(own, 1)
-	for place := 0; place < 12; place++ {
-		one := entry(fmt.Sprint("n", place), 1)
-		one.Zone = []string{"a", "b"}[place%2]
-		view.Heard([]messages.Entry{one}, 0)
+	for i := 0; i < 12; i++ {
+		info := entry(fmt.Sprint("n", i), 1)
+		info.Zone = []string{"a", "b"}[i%2]
+		view.Heard([]messages.NodeInfo{info}, 0)
 	}
 	first := view.Neighbours(RoleGateway, 4, 0)
 	far := 0
-	for _, one := range first {
-		if one.Zone != "a" {
+	for _, info := range first {
+		if info.Zone != "a" {
 			far++
 		}
 	}
@@ -31,8 +31,8 @@
 	}
 	// One that leaves is replaced; the others stay.
 	gone := first[0]
-	gone.Leaving = true
-	view.Heard([]messages.Entry{gone}, 1)
+	gone.Draining = true
+	view.Heard([]messages.NodeInfo{gone}, 1)
 	next := view.Neighbours(RoleGateway, 4, 1)
 	if len(next) != 4 || next[0].Name != first[1].Name || next[1].Name != first[2].Name {
 		t.Fatal(next)
--- a/internal/control/quorum/archive.go
+++ b/internal/control/quorum/archive.go
@@ -22,7 +22,7 @@
 type archive struct {
 	// writing is held while the file is written; lock guards core and is not.
 	writing sync.Mutex
-	logfile *recordlog.Logfile
+	logfile *recordlog.Log
 	lock    sync.Mutex
 	core    register.Archive
 	// stale says that the file lacks what core holds.
@@ -30,7 +30,7 @@
 	// pulling is held by the one that asks others for chunks; retry is when the
 	// next may do so.
 	pulling sync.Mutex
-	retry   clock.Moment
+	retry   clock.Instant
 }
 
 func openArchive(disk recordlog.Disk, name string) (*archive, error) {
@@ -38,13 +38,13 @@
 	read := func(_ int64, body []byte) error {
 		chunk := messages.ArchiveChunk{}
 		if _, err := chunk.UnmarshalMsg(body); err != nil {
-			return recordlog.Damage.Wrap(err, name)
+			return recordlog.ErrCorrupt.Wrap(err, name)
 		}
 		made.core.Restore(chunk)
 		return nil
 	}
 	logfile, err := recordlog.Open(disk, name, read)
-	if errs.Of(err, recordlog.Damage) {
+	if errs.Is(err, recordlog.ErrCorrupt) {
 		// Other acceptors hold the same chain.
 		made.core = register.Archive{}
 		if err = disk.Remove(name); err == nil {
@@ -52,15 +52,15 @@
 		}
 	}
 	made.logfile = logfile
-	return made, Damaged.Wrap(err, "open archive")
+	return made, ErrDisk.Wrap(err, "open archive")
 }
 
 // extend follows a value that is about to be accepted, and syncs what is new.
-func (a *archive) extend(value *messages.Register) error {
+func (a *archive) extend(value *messages.RegisterValue) error {
 	a.writing.Lock()
 	defer a.writing.Unlock()
 	a.lock.Lock()
-	added, _ := a.core.Extend(value, clock.Wall()/dayLength)
+	added, _ := a.core.Extend(value, clock.WallNanos()/dayLength)
 	a.lock.Unlock()
 	switch {
 	case added != nil:
@@ -75,7 +75,7 @@
 // write appends chunks, or rewrites the file where it is long or in doubt.
 func (a *archive) write(chunks []messages.ArchiveChunk) error {
 	a.lock.Lock()
-	forgot := a.core.Forget(clock.Wall() / dayLength)
+	forgot := a.core.Forget(clock.WallNanos() / dayLength)
 	rewrite := forgot || a.stale || a.logfile.Size() > constants.ArchiveLimit
 	if rewrite {
 		chunks = a.core.Chunks()
@@ -85,34 +85,34 @@
 	for index := range chunks {
 		body, err := chunks[index].MarshalMsg(nil)
 		if err != nil {
-			return Damaged.Wrap(err, "archive chunk")
+			return ErrDisk.Wrap(err, "archive chunk")
 		}
 		bodies = append(bodies, body)
 	}
 	var err error
 	if rewrite {
-		_, err = a.logfile.Rewrite(recordlog.Once(bodies...))
+		_, err = a.logfile.Rewrite(recordlog.Records(bodies...))
 	} else if _, err = a.logfile.Append(bodies...); err == nil {
 		err = a.logfile.Sync()
 	}
 	a.stale = err != nil
-	return Damaged.Wrap(err, "write archive")
+	return ErrDisk.Wrap(err, "write archive")
 }
 
 // answer answers another process.
-func (a *archive) answer(question *messages.ArchiveQuestion) *messages.ArchiveAnswer {
+func (a *archive) answer(req *messages.ArchiveRequest) *messages.ArchiveResponse {
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	return a.core.Answer(question)
+	return a.core.Answer(req)
 }
 
 // follows tells whether the archive is whole once the value is accepted.
-func (a *archive) follows(value *messages.Register) bool {
+func (a *archive) follows(value *messages.RegisterValue) bool {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	copied := a.core
-	_, whole := copied.Extend(value, 0)
-	return whole
+	_, complete := copied.Extend(value, 0)
+	return complete
 }
 
 func (a *archive) held() uint64 {
@@ -134,34 +134,34 @@
 // fillArchive gets the chunks that this acceptor lacks for a value which it is asked
 // to accept. The vote does not depend on it: without them it answers for no old
 // version, and asks again later.
-func (r *Register) fillArchive(question *messages.Accept) {
+func (r *Register) fillArchive(req *messages.AcceptRequest) {
 	record := r.Record()
-	if question.Disk != record.Disk || register.Less(question.Ballot, record.Promised) || r.archive.follows(&question.Value) {
+	if req.Disk != record.Disk || register.Less(req.Ballot, record.Promised) || r.archive.follows(&req.Value) {
 		return
 	}
 	r.archive.pulling.Lock()
 	defer r.archive.pulling.Unlock()
-	if clock.Now() < r.archive.retry || r.archive.follows(&question.Value) {
+	if clock.Now() < r.archive.retry || r.archive.follows(&req.Value) {
 		return
 	}
-	for _, member := range register.Targets(&question.Value) {
-		if member.Address != r.Runtime.Own.Address && r.pull(member, &question.Value) {
+	for _, member := range register.Targets(&req.Value) {
+		if member.Address != r.Runtime.Self.Address && r.pull(member, &req.Value) {
 			return
 		}
 	}
-	r.archive.retry = clock.Now().Plus(constants.ArchiveRetry)
+	r.archive.retry = clock.Now().Add(constants.ArchiveRetryBackoff)
 }
 
 // pull asks one acceptor for what is lacking, first after what is held and then for
 // all: what is held may belong to a value that was never chosen.
-func (r *Register) pull(member messages.Member, value *messages.Register) bool {
+func (r *Register) pull(member messages.Member, value *messages.RegisterValue) bool {
 	for _, held := range []uint64{r.archive.held(), 0} {
 		for {
-			answer := r.askArchive(member, &messages.ArchiveQuestion{Head: value.Archive, Pull: true, Held: held})
-			if answer == nil {
+			resp := r.askArchive(member, &messages.ArchiveRequest{Head: value.Archive, Pull: true, LastChunk: held})
+			if resp == nil {
 				return false
 			}
-			if !r.archive.fill(value.Archive, answer.Chunks) {
+			if !r.archive.fill(value.Archive, resp.Chunks) {
 				break
 			}
 			if r.archive.follows(value) {
@@ -177,11 +177,11 @@
 }
 
 // askArchive puts a question to one acceptor; nil where no answer comes.
-func (r *Register) askArchive(member messages.Member, question *messages.ArchiveQuestion) *messages.ArchiveAnswer {
-	answer := &messages.Promise{}
-	kind, message := r.prepare(&messages.Prepare{Disk: member.Disk, Query: true, Slim: true, Archive: question})
-	if transport.Ask(r.Runtime.Wire, member.Address, kind, message, answer, constants.ArchivePull) != nil {
+func (r *Register) askArchive(member messages.Member, req *messages.ArchiveRequest) *messages.ArchiveResponse {
+	resp := &messages.PrepareResponse{}
+	kind, message := r.prepare(&messages.PrepareRequest{Disk: member.Disk, Query: true, WithoutBody: true, Archive: req})
+	if transport.Call(r.Runtime.Transport, member.Address, kind, message, resp, constants.ArchivePullTimeout) != nil {
 		return nil
 	}
-	return answer.Archive
+	return resp.Archive
 }
--- a/internal/control/quorum/catchup_test.go
+++ b/internal/control/quorum/catchup_test.go
@@ -20,29 +20,29 @@
 // member is one process with a register on a disk in memory.
 type member struct {
 	replica *quorum.Register
-	disk    *recordlog.Fleeting
-	wire    *transport.Twin
+	disk    *recordlog.MemoryDisk
+	wire    *transport.Memory
 }
 
 // cluster is some members joined in memory.
 type cluster struct {
 	test    *testing.T
-	room    *transport.Room
+	room    *transport.MemoryNetwork
 	first   []messages.Member
 	members map[string]*member
 	taken   []messages.Version
 }
 
 func newCluster(t *testing.T, names ...string) *cluster {
-	one := &cluster{test: t, room: transport.NewRoom(), members: map[string]*member{}}
+	c := &cluster{test: t, room: transport.NewMemoryNetwork(), members: map[string]*member{}}
 	for _, name := range names {
-		one.first = append(one.first, messages.Member{Name: name, Address: name + ":7000", Disk: "first"})
+		c.first = append(c.first, messages.Member{Name: name, Address: name + ":7000", Disk: "first"})
 	}
 	for _, name := range names {
-		one.members[name] = &member{disk: recordlog.NewFleeting()}
-		one.start(name)
+		c.members[name] = &member{disk: recordlog.NewMemoryDisk()}
+		c.start(name)
 	}
-	return one
+	return c
 }
 
 // start opens the disk of a member and serves.
@@ -53,30 +53,30 @@
 		c.test.Fatal(err)
 	}
 	runtime := node.New(&settings.Settings{NodeName: name, Address: name, InternalPorts: []int{7000, 7010}}, "controller", 0, "first", hclog.NewNullLogger())
-	runtime.Own.Address = name + ":7000"
-	started.wire = c.room.Transport(runtime.Own.Address)
-	runtime.Wire, replica.Runtime, started.replica = started.wire, runtime, replica
+	runtime.Self.Address = name + ":7000"
+	started.wire = c.room.Transport(runtime.Self.Address)
+	runtime.Transport, replica.Runtime, started.replica = started.wire, runtime, replica
 	handler := func(kind messages.Kind, body []byte) ([]byte, error) {
 		if kind == messages.KindPrepare {
-			question := &messages.Prepare{}
-			if err := transport.Read(body, question); err != nil {
+			req := &messages.PrepareRequest{}
+			if err := transport.Decode(body, req); err != nil {
 				return nil, err
 			}
-			answer, err := replica.Prepare(question)
+			resp, err := replica.Prepare(req)
 			if err != nil {
 				return nil, err
 			}
-			return transport.Write(&answer)
+			return transport.Encode(&resp)
 		}
-		question := &messages.Accept{}
-		if err := transport.Read(body, question); err != nil {
+		req := &messages.AcceptRequest{}
+		if err := transport.Decode(body, req); err != nil {
 			return nil, err
 		}
-		answer, err := replica.Accept(question)
+		resp, err := replica.Accept(req)
 		if err != nil {
 			return nil, err
 		}
-		return transport.Write(&answer)
+		return transport.Encode(&resp)
 	}
 	if err = started.wire.Serve(handler); err != nil {
 		c.test.Fatal(err)
@@ -90,7 +90,7 @@
 	const tries = 20
 	for try := 1; ; try++ {
 		value, err := call()
-		if try == tries || !errs.Of(err, register.NoMajority) && !errs.Of(err, register.Unclear) {
+		if try == tries || !errs.Is(err, register.ErrNoQuorum) && !errs.Is(err, register.ErrOutcomeUnknown) {
 			return value, err
 		}
 	}
@@ -117,7 +117,7 @@
 // heard is how many bytes of questions and answers came to a member.
 func (c *cluster) heard(name string) int64 {
 	total := int64(0)
-	for _, reading := range c.members[name].wire.Meter().Readings() {
+	for _, reading := range c.members[name].wire.Meter().Samples() {
 		total += reading.Received.Bytes
 	}
 	return total
@@ -136,44 +136,44 @@
 // catchUp stops c, has others take changes, starts c again and has eight orders come at
 // once. It gives the bytes that c heard until it held the newest value.
 func catchUp(t *testing.T, changes int) int64 {
-	one := newCluster(t, "a", "b", "c")
-	one.change("a")
-	one.members["c"].wire.Close()
+	cluster := newCluster(t, "a", "b", "c")
+	cluster.change("a")
+	cluster.members["c"].wire.Close()
 	for range changes {
-		one.change("a")
+		cluster.change("a")
 	}
-	stale := one.members["c"].replica.Known().Current.Generation
-	restarted := one.start("c")
-	before := one.heard("c")
+	stale := cluster.members["c"].replica.Known().Current.Generation
+	restarted := cluster.start("c")
+	before := cluster.heard("c")
 	// It leads with the newest state only, though its own is old.
 	if value, err := clearly(restarted.replica.Read); err != nil || value.Current.Generation != int64(changes)+1 {
 		t.Fatalf("after %d changes (its own state is of %d) it reads %d: %v", changes, stale, value.Current.Generation, err)
 	}
-	one.change("c")
-	one.race()
+	cluster.change("c")
+	cluster.race()
 	// A majority is enough for each change: the member is asked once more at most times.
-	for tries := 0; restarted.replica.Record().Value.Current != one.taken[len(one.taken)-1]; tries++ {
+	for tries := 0; restarted.replica.Record().Value.Current != cluster.taken[len(cluster.taken)-1]; tries++ {
 		if tries == 20 {
-			t.Fatalf("holds %v, newest is %v", restarted.replica.Record().Value.Current, one.taken[len(one.taken)-1])
+			t.Fatalf("holds %v, newest is %v", restarted.replica.Record().Value.Current, cluster.taken[len(cluster.taken)-1])
 		}
-		one.change("c")
+		cluster.change("c")
 	}
-	used := one.heard("c") - before
+	used := cluster.heard("c") - before
 	head := restarted.replica.Record().Value.Archive
-	for _, version := range one.taken[:len(one.taken)-64] {
-		question := &messages.ArchiveQuestion{Head: head, Generation: version.Generation, Print: register.Print(version)}
-		answer, err := restarted.replica.Prepare(&messages.Prepare{Disk: "first", Query: true, Slim: true, Archive: question})
-		if err != nil || answer.Archive.Sought != messages.SoughtTaken {
-			t.Fatalf("the archive of the restarted member says %d of %v: %v", answer.Archive.Sought, version, err)
+	for _, version := range cluster.taken[:len(cluster.taken)-64] {
+		req := &messages.ArchiveRequest{Head: head, Generation: version.Generation, Fingerprint: register.Print(version)}
+		resp, err := restarted.replica.Prepare(&messages.PrepareRequest{Disk: "first", Query: true, WithoutBody: true, Archive: req})
+		if err != nil || resp.Archive.Status != messages.VersionCommitted {
+			t.Fatalf("the archive of the restarted member says %d of %v: %v", resp.Archive.Status, version, err)
 		}
 	}
 	for _, file := range []string{"register", "register-taken"} {
-		if length := one.size("a", file); length > 5<<20 {
+		if length := cluster.size("a", file); length > 5<<20 {
 			t.Fatalf("%s is %d bytes long", file, length)
 		}
 	}
 	t.Logf("%d changes missed: %d bytes heard, files of a member that was there %d and %d bytes", changes, used,
-		one.size("a", "register"), one.size("a", "register-taken"))
+		cluster.size("a", "register"), cluster.size("a", "register-taken"))
 	return used
 }
 
--- a/internal/control/quorum/crash_test.go
+++ b/internal/control/quorum/crash_test.go
@@ -36,40 +36,40 @@
 	if err != nil {
 		l.test.Fatalf("the disk can't be read: %v", err)
 	}
-	replica.Runtime = &node.Node{Own: messages.Entry{Name: only.Name, Address: only.Address}}
+	replica.Runtime = &node.Node{Self: messages.NodeInfo{Name: only.Name, Address: only.Address}}
 	l.replica = replica
 	l.life++
 }
 
 // change takes a change through both rounds; an error of the disk ends it.
-func (l *lone) change(change register.Change) (messages.Register, error) {
+func (l *lone) change(change register.Change) (messages.RegisterValue, error) {
 	l.counter++
 	proposal, sends := register.Begin(register.NewBallot(l.counter, "a", only.Disk, l.life), l.replica.Known(), change)
 	promise, err := l.replica.Prepare(sends[0].Prepare)
 	if err != nil {
-		return messages.Register{}, err
+		return messages.RegisterValue{}, err
 	}
 	for _, send := range proposal.Promised(only, promise) {
 		accepted, err := l.replica.Accept(send.Accept)
 		if err != nil {
-			return messages.Register{}, err
+			return messages.RegisterValue{}, err
 		}
 		proposal.Taken(only, accepted)
 	}
 	if proposal.Stage() != register.StageDone {
 		l.counter = max(l.counter, proposal.Highest().Counter)
-		return messages.Register{}, errRefused
+		return messages.RegisterValue{}, errRefused
 	}
 	return proposal.Value(), nil
 }
 
 // told gives what a query tells of the value in force.
 func (l *lone) told() messages.Version {
-	answer, err := l.replica.Prepare(&messages.Prepare{Disk: only.Disk, Query: true, Slim: true})
+	resp, err := l.replica.Prepare(&messages.PrepareRequest{Disk: only.Disk, Query: true, WithoutBody: true})
 	if err != nil {
 		l.test.Fatal(err)
 	}
-	return answer.Value.Current
+	return resp.Value.Current
 }
 
 // An acceptor's disk refuses any operation, or power fails at it, in the midst of
@@ -78,13 +78,13 @@
 func TestDiskFailsAtAnyOperation(t *testing.T) {
 	for seed := 1; seed <= simulation.Seeds(6); seed++ {
 		random := rand.New(rand.NewSource(int64(seed)))
-		one := &lone{test: t, disk: simulation.NewDisk(int64(seed))}
-		one.open()
+		l := &lone{test: t, disk: simulation.NewDisk(int64(seed))}
+		l.open()
 		var taken []messages.Version
 		newest := messages.Version{}
 		for range 60 {
 			left, power := 3+random.Intn(40), random.Intn(2) == 0
-			one.disk.Intercept = func(simulation.Operation, string) error {
+			l.disk.Intercept = func(simulation.Operation, string) error {
 				if left--; left < 0 && (power || left == -1) {
 					return errRefused
 				}
@@ -93,32 +93,32 @@
 			version := messages.Version{Generation: newest.Generation + 1, Base: newest.Generation, Hash: fmt.Sprint(random.Int63())}
 			body := make([]byte, bodyBytes)
 			var result register.Result
-			_, err := one.change(register.Replace(version, body, &result))
+			_, err := l.change(register.Replace(version, body, &result))
 			if err == nil && result == register.ResultTaken {
 				taken = append(taken, version)
 				newest = version
 			}
-			told := one.told()
+			told := l.told()
 			if told.Generation < newest.Generation {
 				t.Fatalf("seed %d: told %v after %v was acknowledged", seed, told, newest)
 			}
 			if left < 0 && power {
-				one.disk.Intercept = nil
-				one.disk.PowerLoss()
-				one.open()
-				if after := one.told(); after.Generation < told.Generation || after.Generation < newest.Generation {
+				l.disk.Intercept = nil
+				l.disk.PowerLoss()
+				l.open()
+				if after := l.told(); after.Generation < told.Generation || after.Generation < newest.Generation {
 					t.Fatalf("seed %d: %v after a loss of power, told %v and acknowledged %v before", seed, after, told, newest)
 				}
 			}
-			one.disk.Intercept = nil
-			value, err := one.change(register.Look)
+			l.disk.Intercept = nil
+			value, err := l.change(register.Look)
 			if err != nil {
 				t.Fatalf("seed %d: the disk works again and yet: %v", seed, err)
 			}
 			newest = value.Current
 		}
 		for _, version := range taken {
-			if _, result, err := one.replica.Replace(version, nil); err != nil || result != register.ResultAlready {
+			if _, result, err := l.replica.Replace(version, nil); err != nil || result != register.ResultAlready {
 				t.Fatalf("seed %d: %v was taken, sent again: %d %v", seed, version, result, err)
 			}
 		}
--- a/internal/control/quorum/golden_test.go
+++ b/internal/control/quorum/golden_test.go
@@ -25,20 +25,20 @@
 // writeGolden has an acceptor take goldenVersions versions one after the other.
 func writeGolden(t *testing.T, dir string) *Register {
 	t.Helper()
-	replica, err := Open(recordlog.Folder(dir), goldenFirst, "first")
+	replica, err := Open(recordlog.Directory(dir), goldenFirst, "first")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for generation := int64(1); generation <= goldenVersions; generation++ {
 		ballot := messages.Ballot{Counter: uint64(generation), Node: "a"}
-		if _, err = replica.Prepare(&messages.Prepare{Ballot: ballot, Disk: "first"}); err != nil {
+		if _, err = replica.Prepare(&messages.PrepareRequest{Ballot: ballot, Disk: "first"}); err != nil {
 			t.Fatal(err)
 		}
 		version := messages.Version{Generation: generation, Base: generation - 1, Hash: fmt.Sprint("h", generation)}
 		var result register.Result
 		value, _ := register.Replace(version, fmt.Appendf(nil, "body %d", generation), &result)(replica.Record().Value)
-		if answer, err := replica.Accept(&messages.Accept{Ballot: ballot, Disk: "first", Value: value}); err != nil || !answer.Granted {
-			t.Fatal(answer, err)
+		if resp, err := replica.Accept(&messages.AcceptRequest{Ballot: ballot, Disk: "first", Value: value}); err != nil || !resp.Granted {
+			t.Fatal(resp, err)
 		}
 	}
 	return replica
@@ -82,7 +82,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := replica.logfile.Rewrite(recordlog.Once(body)); err != nil {
+	if _, err := replica.logfile.Rewrite(recordlog.Records(body)); err != nil {
 		t.Fatal(err)
 	}
 	sameAsGolden(t, filepath.Join(dir, "register"), "register-rewritten")
@@ -102,7 +102,7 @@
 			dir := t.TempDir()
 			copyGolden(t, file.golden, dir, "register", file.torn)
 			copyGolden(t, "register-taken-appended", dir, "register-taken", 0)
-			replica, err := Open(recordlog.Folder(dir), nil, "other")
+			replica, err := Open(recordlog.Directory(dir), nil, "other")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -121,7 +121,7 @@
 		t.Run(golden, func(t *testing.T) {
 			dir := t.TempDir()
 			copyGolden(t, golden, dir, "register-taken", 0)
-			archive, err := openArchive(recordlog.Folder(dir), "register-taken")
+			archive, err := openArchive(recordlog.Directory(dir), "register-taken")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -136,7 +136,7 @@
 				}
 			} else {
 				other := t.TempDir()
-				if archive, err = openArchive(recordlog.Folder(other), "register-taken"); err != nil {
+				if archive, err = openArchive(recordlog.Directory(other), "register-taken"); err != nil {
 					t.Fatal(err)
 				}
 				for i := range chunks[1:] {
@@ -151,7 +151,7 @@
 	}
 	dir := t.TempDir()
 	copyGolden(t, "register-taken-appended", dir, "register-taken", 3)
-	if archive, err := openArchive(recordlog.Folder(dir), "register-taken"); err != nil || archive.held() != goldenChunks-1 {
+	if archive, err := openArchive(recordlog.Directory(dir), "register-taken"); err != nil || archive.held() != goldenChunks-1 {
 		t.Errorf("torn tail: %v", err)
 	}
 }
--- a/internal/control/quorum/named.go
+++ b/internal/control/quorum/named.go
@@ -16,17 +16,17 @@
 }
 
 // prepare gives a message of the first round as it goes to the other acceptors.
-func (r *Register) prepare(question *messages.Prepare) (messages.Kind, transport.Writable) {
+func (r *Register) prepare(req *messages.PrepareRequest) (messages.Kind, transport.Marshaler) {
 	if r.Name == "" {
-		return messages.KindPrepare, question
+		return messages.KindPrepare, req
 	}
-	return messages.KindNamedPrepare, &messages.NamedPrepare{Name: r.Name, Prepare: *question}
+	return messages.KindNamedPrepare, &messages.NamedPrepareRequest{Name: r.Name, Request: *req}
 }
 
 // accept gives a message of the second round.
-func (r *Register) accept(question *messages.Accept) (messages.Kind, transport.Writable) {
+func (r *Register) accept(req *messages.AcceptRequest) (messages.Kind, transport.Marshaler) {
 	if r.Name == "" {
-		return messages.KindAccept, question
+		return messages.KindAccept, req
 	}
-	return messages.KindNamedAccept, &messages.NamedAccept{Name: r.Name, Accept: *question}
+	return messages.KindNamedAccept, &messages.NamedAcceptRequest{Name: r.Name, Request: *req}
 }
--- a/internal/control/quorum/propose.go
+++ b/internal/control/quorum/propose.go
@@ -11,53 +11,53 @@
 // response is one answer to a message of a proposal.
 type response struct {
 	member   messages.Member
-	promise  *messages.Promise
-	accepted *messages.Accepted
+	promise  *messages.PrepareResponse
+	accepted *messages.AcceptResponse
 }
 
 // send takes one message of a proposal to its member.
 func (r *Register) send(message register.Send, responses chan<- response) {
-	answer := response{member: message.Member}
-	local := message.Member.Address == r.Runtime.Own.Address
+	resp := response{member: message.Member}
+	local := message.Member.Address == r.Runtime.Self.Address
 	var err error
 	switch {
 	case message.Prepare != nil && local:
-		promise, problem := r.Prepare(message.Prepare)
-		answer.promise, err = &promise, problem
+		promise, cause := r.Prepare(message.Prepare)
+		resp.promise, err = &promise, cause
 	case message.Prepare != nil:
-		answer.promise = &messages.Promise{}
-		kind, question := r.prepare(message.Prepare)
-		err = transport.Ask(r.Runtime.Wire, message.Member.Address, kind, question, answer.promise, constants.RoundTime)
+		resp.promise = &messages.PrepareResponse{}
+		kind, req := r.prepare(message.Prepare)
+		err = transport.Call(r.Runtime.Transport, message.Member.Address, kind, req, resp.promise, constants.RoundTimeout)
 	case local:
-		accepted, problem := r.Accept(message.Accept)
-		answer.accepted, err = &accepted, problem
+		accepted, cause := r.Accept(message.Accept)
+		resp.accepted, err = &accepted, cause
 	default:
-		answer.accepted = &messages.Accepted{}
-		kind, question := r.accept(message.Accept)
-		err = transport.Ask(r.Runtime.Wire, message.Member.Address, kind, question, answer.accepted, constants.RoundTime)
+		resp.accepted = &messages.AcceptResponse{}
+		kind, req := r.accept(message.Accept)
+		err = transport.Call(r.Runtime.Transport, message.Member.Address, kind, req, resp.accepted, constants.RoundTimeout)
 	}
 	if err == nil {
-		responses <- answer
+		responses <- resp
 	}
 }
 
 // Change runs a change until it is in force or its outcome can't be known.
-func (r *Register) Change(change register.Change) (messages.Register, error) {
-	end := clock.Now().Plus(constants.RegisterTime)
-	timer := clock.NewTimer(constants.RegisterTime)
+func (r *Register) Change(change register.Change) (messages.RegisterValue, error) {
+	end := clock.Now().Add(constants.RegisterTimeout)
+	timer := clock.NewTimer(constants.RegisterTimeout)
 	defer timer.Stop()
 	select {
 	case r.turn <- struct{}{}:
 		defer func() { <-r.turn }()
 	case <-timer.C:
-		return messages.Register{}, register.NoMajority.New("earlier changes took too long")
+		return messages.RegisterValue{}, register.ErrNoQuorum.New("earlier changes took too long")
 	}
 	unclear, preempted := false, false
 	known := r.Known()
-	took := clock.Span(0)
+	took := clock.Duration(0)
 	for lost := 0; clock.Now() < end; {
 		if lost > 0 {
-			clock.Sleep(register.Backoff(lost, took, clock.Draw()))
+			clock.Sleep(register.Backoff(lost, took, clock.Float64()))
 		}
 		if preempted {
 			// Whoever won may have settled the question: a look needs no ballot, so
@@ -66,9 +66,9 @@
 				return value, nil
 			}
 		}
-		begun := clock.Now()
+		start := clock.Now()
 		proposal := r.attempt(known, change, end)
-		took = clock.Now().Since(begun)
+		took = clock.Now().Sub(start)
 		if proposal.Stage() == register.StageDone {
 			r.learnChosen(proposal.Value())
 			known = proposal.Value()
@@ -89,27 +89,27 @@
 		}
 	}
 	if unclear {
-		return messages.Register{}, register.Unclear.New("no second majority in time")
+		return messages.RegisterValue{}, register.ErrOutcomeUnknown.New("no second majority in time")
 	}
-	return messages.Register{}, register.NoMajority.New("no first majority in time")
+	return messages.RegisterValue{}, register.ErrNoQuorum.New("no first majority in time")
 }
 
 // look asks whether the change would leave the value in force as it is.
-func (r *Register) look(change register.Change) (messages.Register, bool) {
+func (r *Register) look(change register.Change) (messages.RegisterValue, bool) {
 	value := r.quickRead(false)
 	if value == nil {
-		return messages.Register{}, false
+		return messages.RegisterValue{}, false
 	}
 	_, verdict := change(*value)
 	return *value, verdict == register.VerdictKeep
 }
 
 // attempt takes one proposal through its rounds.
-func (r *Register) attempt(known messages.Register, change register.Change, end clock.Moment) *register.Proposal {
+func (r *Register) attempt(known messages.RegisterValue, change register.Change, end clock.Instant) *register.Proposal {
 	r.lock.Lock()
 	r.counter++
-	own := r.Runtime.Own
-	ballot := register.NewBallot(r.counter, own.Name, own.Disk, own.Life)
+	own := r.Runtime.Self
+	ballot := register.NewBallot(r.counter, own.Name, own.Disk, own.Incarnation)
 	r.lock.Unlock()
 	proposal, sends := register.Begin(ballot, known, change)
 	responses := make(chan response, 4*(len(sends)+2))
@@ -119,15 +119,15 @@
 		}
 	}
 	dispatch(sends)
-	timer := clock.NewTimer(min(2*constants.RoundTime, end.Since(clock.Now())))
+	timer := clock.NewTimer(min(2*constants.RoundTimeout, end.Sub(clock.Now())))
 	defer timer.Stop()
 	for proposal.Stage() != register.StageDone && proposal.Stage() != register.StageLost {
 		select {
-		case one := <-responses:
-			if one.promise != nil {
-				dispatch(proposal.Promised(one.member, *one.promise))
+		case re := <-responses:
+			if re.promise != nil {
+				dispatch(proposal.Promised(re.member, *re.promise))
 			} else {
-				proposal.Taken(one.member, *one.accepted)
+				proposal.Taken(re.member, *re.accepted)
 			}
 		case <-timer.C:
 			return proposal
--- a/internal/control/quorum/quorum.go
+++ b/internal/control/quorum/quorum.go
@@ -15,11 +15,11 @@
 	"lemonarch/internal/platform/recordlog"
 )
 
-// Damaged is the error of a register whose disk can't be read or written.
-var Damaged = errs.Define("register disk")
+// ErrDisk is the error of a register whose disk can't be read or written.
+var ErrDisk = errs.Define("register disk")
 
-// Busy is the error of an acceptor whose disk is behind with its votes.
-var Busy = errs.Define("register busy")
+// ErrBusy is the error of an acceptor whose disk is behind with its votes.
+var ErrBusy = errs.Define("register busy")
 
 // logfileName is the file of the acceptor, and logfileLimit the length in bytes at
 // which it is rewritten (ours).
@@ -42,7 +42,7 @@
 	// guards the two fields below.
 	voting   sync.Mutex
 	acceptor *register.Acceptor
-	logfile  *recordlog.Logfile
+	logfile  *recordlog.Log
 
 	// lock guards the fields below. It is never held while disk or network is
 	// waited for, so that a disk that hangs stops nothing but votes.
@@ -52,11 +52,11 @@
 	// known is the newest value known here, good for its sets; chosen says that this
 	// process saw a majority hold it. One that was only accepted somewhere may have
 	// lost, and must not be passed on.
-	known  messages.Register
+	known  messages.RegisterValue
 	chosen bool
 	// newestEpoch is the newest set known so far, and newestSince when it was met.
 	newestEpoch uint64
-	newestSince clock.Moment
+	newestSince clock.Instant
 	counter     uint64
 
 	archive *archive
@@ -74,14 +74,14 @@
 	logfile, err := recordlog.Open(disk, file, func(_ int64, body []byte) error {
 		// Each record replaces the one before.
 		next := messages.AcceptorRecord{}
-		if _, problem := next.UnmarshalMsg(body); problem != nil {
-			return Damaged.Wrap(problem, file)
+		if _, cause := next.UnmarshalMsg(body); cause != nil {
+			return ErrDisk.Wrap(cause, file)
 		}
 		state = next
 		return nil
 	})
 	if err != nil {
-		return nil, Damaged.Wrap(err, "open")
+		return nil, ErrDisk.Wrap(err, "open")
 	}
 	fresh := state.Disk == ""
 	if fresh {
@@ -106,7 +106,7 @@
 }
 
 // LearnSets takes the sets that another process told of.
-func (r *Register) LearnSets(value messages.Register) {
+func (r *Register) LearnSets(value messages.RegisterValue) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	if len(value.Acceptors) == 0 {
@@ -118,7 +118,7 @@
 }
 
 // learnChosen takes a value that a majority was seen to hold.
-func (r *Register) learnChosen(value messages.Register) {
+func (r *Register) learnChosen(value messages.RegisterValue) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	if !r.chosen || value.SetEpoch >= r.known.SetEpoch {
@@ -127,7 +127,7 @@
 }
 
 // know takes a value's sets. The lock is held.
-func (r *Register) know(value messages.Register, chosen bool) {
+func (r *Register) know(value messages.RegisterValue, chosen bool) {
 	if value.SetEpoch > r.newestEpoch {
 		r.newestEpoch, r.newestSince = value.SetEpoch, clock.Now()
 	}
@@ -136,7 +136,7 @@
 
 // Chosen gives the newest value known here, and whether this process saw a majority
 // hold it.
-func (r *Register) Chosen() (value messages.Register, seen bool) {
+func (r *Register) Chosen() (value messages.RegisterValue, seen bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.known, r.chosen
@@ -147,11 +147,11 @@
 func (r *Register) JointFresh() bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	return len(r.known.Previous) > 0 && clock.Now().Since(r.newestSince) < constants.JointTime
+	return len(r.known.Previous) > 0 && clock.Now().Sub(r.newestSince) < constants.JointSetOwnerTime
 }
 
 // Known gives the newest value known here, chosen or not: good for its sets.
-func (r *Register) Known() messages.Register {
+func (r *Register) Known() messages.RegisterValue {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.known
@@ -159,7 +159,7 @@
 
 // Identity is this process as an acceptor.
 func (r *Register) Identity() messages.Member {
-	own := r.Runtime.Own
+	own := r.Runtime.Self
 	return messages.Member{Name: own.Name, Disk: r.Disk(), Address: own.Address, Zone: own.Zone}
 }
 
@@ -174,8 +174,8 @@
 }
 
 // Hold answers a candidate for the lease of the lots.
-func (r *Register) Hold(question messages.HoldAsk) messages.HoldAnswer {
+func (r *Register) Hold(req messages.LeaseRequest) messages.LeaseResponse {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	return r.grants.Ask(question, r.durable.Value.Duty, clock.Now())
+	return r.grants.Ask(req, r.durable.Value.Leadership, clock.Now())
 }
--- a/internal/control/quorum/tend.go
+++ b/internal/control/quorum/tend.go
@@ -11,13 +11,13 @@
 // the value in force and proposes the step that this one asks for. It tells whether the
 // set was changed. The caller gives what it knows of other processes; Own and Fresh are
 // filled in here.
-func (r *Register) Tend(tending register.Tending) (value messages.Register, changed bool, err error) {
+func (r *Register) Tend(tending register.Tending) (value messages.RegisterValue, changed bool, err error) {
 	if !r.NeedsTending(tending) {
-		return messages.Register{}, false, nil
+		return messages.RegisterValue{}, false, nil
 	}
 	seen, err := r.readCalmly()
 	if err != nil || seen == nil {
-		return messages.Register{}, false, err
+		return messages.RegisterValue{}, false, err
 	}
 	tending.Own, tending.Fresh = r.Identity(), r.JointFresh()
 	change := tending.Step(*seen)
@@ -46,15 +46,15 @@
 // readCalmly reads without a ballot where it can. Where it can't, a change may be under
 // way: it looks once more a little later, and then only some of those who ask propose,
 // while the others come again.
-func (r *Register) readCalmly() (*messages.Register, error) {
+func (r *Register) readCalmly() (*messages.RegisterValue, error) {
 	if value := r.quickRead(true); value != nil {
 		return value, nil
 	}
-	clock.Sleep(constants.TendPause)
+	clock.Sleep(constants.ReconcileBackoff)
 	if value := r.quickRead(true); value != nil {
 		return value, nil
 	}
-	if clock.Draw() >= constants.TendChance {
+	if clock.Float64() >= constants.ReconcileProbability {
 		return nil, nil
 	}
 	value, err := r.Change(register.Look)
--- a/internal/control/quorum/vote.go
+++ b/internal/control/quorum/vote.go
@@ -9,79 +9,79 @@
 )
 
 // Prepare answers a first round, or a query about what is on disk.
-func (r *Register) Prepare(question *messages.Prepare) (messages.Promise, error) {
-	if question.Query {
-		return r.query(question), nil
+func (r *Register) Prepare(req *messages.PrepareRequest) (messages.PrepareResponse, error) {
+	if req.Query {
+		return r.query(req), nil
 	}
 	if err := r.begin(); err != nil {
-		return messages.Promise{}, err
+		return messages.PrepareResponse{}, err
 	}
 	defer r.voting.Unlock()
 	before := r.acceptor.Record()
-	answer, changed := r.acceptor.Prepare(question)
+	resp, changed := r.acceptor.Prepare(req)
 	if !changed {
-		return answer, nil
+		return resp, nil
 	}
 	if err := r.keep(before); err != nil {
-		return messages.Promise{}, err
+		return messages.PrepareResponse{}, err
 	}
-	return answer, nil
+	return resp, nil
 }
 
 // begin waits for the votes before. Who has waited for long will have given up before a
 // second round: such votes would only keep those behind them waiting too.
 func (r *Register) begin() error {
-	asked := clock.Now()
+	sentAt := clock.Now()
 	r.voting.Lock()
-	if clock.Now().Since(asked) <= constants.VoteWait {
+	if clock.Now().Sub(sentAt) <= constants.VoteWaitMax {
 		return nil
 	}
 	r.voting.Unlock()
-	return Busy.New("votes wait for the disk")
+	return ErrBusy.New("votes wait for the disk")
 }
 
 // query answers from what has reached the disk: a vote that is still being written
 // has not been given.
-func (r *Register) query(question *messages.Prepare) messages.Promise {
-	answer, _ := register.NewAcceptor(r.Record()).Prepare(question)
-	if question.Archive != nil {
-		answer.Archive = r.archive.answer(question.Archive)
+func (r *Register) query(req *messages.PrepareRequest) messages.PrepareResponse {
+	resp, _ := register.NewAcceptor(r.Record()).Prepare(req)
+	if req.Archive != nil {
+		resp.Archive = r.archive.answer(req.Archive)
 	}
-	return answer
+	return resp
 }
 
 // Accept answers a second round.
-func (r *Register) Accept(question *messages.Accept) (messages.Accepted, error) {
-	r.fillArchive(question)
-	answer, changed, err := r.vote(question)
+func (r *Register) Accept(req *messages.AcceptRequest) (messages.AcceptResponse, error) {
+	r.fillArchive(req)
+	resp, changed, err := r.vote(req)
 	if err != nil {
-		return messages.Accepted{}, err
+		return messages.AcceptResponse{}, err
 	}
 	if changed && r.Accepted != nil {
-		r.Accepted(question.Value.Current.Generation)
+		r.Accepted(req.Value.Current.Generation)
 	}
-	return answer, nil
+	return resp, nil
 }
 
-func (r *Register) vote(question *messages.Accept) (messages.Accepted, bool, error) {
+func (r *Register) vote(req *messages.AcceptRequest) (messages.AcceptResponse, bool, error) {
 	if err := r.begin(); err != nil {
-		return messages.Accepted{}, false, err
+		return messages.AcceptResponse{}, false, err
 	}
 	defer r.voting.Unlock()
 	before := r.acceptor.Record()
-	answer, changed := r.acceptor.Accept(question)
+	resp, changed := r.acceptor.Accept(req)
 	if !changed {
-		return answer, false, nil
+		return resp, false, nil
 	}
 	// The archive first: a value on disk whose past is not would leave a gap.
-	if err := r.archive.extend(&question.Value); err != nil {
+	if err := r.archive.extend(&req.Value); err != nil {
 		r.acceptor = register.NewAcceptor(before)
-		return answer, false, err
+		return resp, false, err
 	}
 	if err := r.keep(before); err != nil {
-		return answer, false, err
+		return resp, false, err
 	}
-	return answer, true, nil
+	return resp, true, nil
 }
 
 // keep puts the acceptor's record on disk before anybody is told of it. Where that
@@ -103,16 +103,16 @@
 	record := r.acceptor.Record()
 	body, err := record.MarshalMsg(nil)
 	if err != nil {
-		return Damaged.Wrap(err, "record")
+		return ErrDisk.Wrap(err, "record")
 	}
 	if r.logfile.Size() > logfileLimit {
 		// A rewrite that failed is tried again by the next vote, as the old file is
 		// still as long.
-		_, err = r.logfile.Rewrite(recordlog.Once(body))
-		return Damaged.Wrap(err, "rewrite")
+		_, err = r.logfile.Rewrite(recordlog.Records(body))
+		return ErrDisk.Wrap(err, "rewrite")
 	}
 	if _, err = r.logfile.Append(body); err == nil {
 		err = r.logfile.Sync()
 	}
-	return Damaged.Wrap(err, "append")
+	return ErrDisk.Wrap(err, "append")
 }
--- a/internal/control/register/acceptor.go
+++ b/internal/control/register/acceptor.go
@@ -19,45 +19,45 @@
 
 // Value gives the accepted value, or the first one: an empty register whose
 // acceptors are the seeds of the system's first start.
-func (a *Acceptor) Value() messages.Register {
+func (a *Acceptor) Value() messages.RegisterValue {
 	if a.state.HasValue {
 		return a.state.Value
 	}
-	return messages.Register{Acceptors: a.state.First}
+	return messages.RegisterValue{Acceptors: a.state.First}
 }
 
 // Prepare answers the first round; keep says whether the record changed.
-func (a *Acceptor) Prepare(question *messages.Prepare) (answer messages.Promise, keep bool) {
-	answer = messages.Promise{Promised: a.state.Promised, Accepted: a.state.Accepted, Value: a.Value()}
+func (a *Acceptor) Prepare(req *messages.PrepareRequest) (resp messages.PrepareResponse, keep bool) {
+	resp = messages.PrepareResponse{Promised: a.state.Promised, Accepted: a.state.Accepted, Value: a.Value()}
 	// A call for another disk identity is for a member that this machine no
 	// longer is: an amnesiac must not vote under its old name.
-	if question.Disk != a.state.Disk {
-		return messages.Promise{Value: a.Value()}, false
+	if req.Disk != a.state.Disk {
+		return messages.PrepareResponse{Value: a.Value()}, false
 	}
-	if question.Query {
-		answer.Granted = true
-		if question.Slim {
-			answer.Value.Body = nil
+	if req.Query {
+		resp.Granted = true
+		if req.WithoutBody {
+			resp.Value.Body = nil
 		}
-		return answer, false
+		return resp, false
 	}
-	if Less(question.Ballot, a.state.Promised) {
-		return answer, false
+	if Less(req.Ballot, a.state.Promised) {
+		return resp, false
 	}
-	a.state.Promised = question.Ballot
-	answer.Promised, answer.Granted = question.Ballot, true
-	return answer, true
+	a.state.Promised = req.Ballot
+	resp.Promised, resp.Granted = req.Ballot, true
+	return resp, true
 }
 
 // Accept answers the second round.
-func (a *Acceptor) Accept(question *messages.Accept) (answer messages.Accepted, keep bool) {
-	if question.Disk != a.state.Disk {
-		return messages.Accepted{}, false
+func (a *Acceptor) Accept(req *messages.AcceptRequest) (resp messages.AcceptResponse, keep bool) {
+	if req.Disk != a.state.Disk {
+		return messages.AcceptResponse{}, false
 	}
-	if Less(question.Ballot, a.state.Promised) {
-		return messages.Accepted{Promised: a.state.Promised}, false
+	if Less(req.Ballot, a.state.Promised) {
+		return messages.AcceptResponse{Promised: a.state.Promised}, false
 	}
-	a.state.Promised, a.state.Accepted = question.Ballot, question.Ballot
-	a.state.Value, a.state.HasValue = question.Value, true
-	return messages.Accepted{Granted: true, Promised: question.Ballot}, true
+	a.state.Promised, a.state.Accepted = req.Ballot, req.Ballot
+	a.state.Value, a.state.HasValue = req.Value, true
+	return messages.AcceptResponse{Granted: true, Promised: req.Ballot}, true
 }
--- a/internal/control/register/archive.go
+++ b/internal/control/register/archive.go
@@ -20,10 +20,10 @@
 // Restore takes a chunk read from disk: it replaces those from its index on. The first
 // chunk of a chain, or one without prints, replaces all.
 func (a *Archive) Restore(chunk messages.ArchiveChunk) {
-	if chunk.Index == 1 && len(chunk.Prints) > 0 {
+	if chunk.Index == 1 && len(chunk.Fingerprints) > 0 {
 		*a = Archive{}
 	}
-	if len(chunk.Prints) == 0 {
+	if len(chunk.Fingerprints) == 0 {
 		a.base, a.chunks = chunk, nil
 		return
 	}
@@ -68,7 +68,7 @@
 
 // Extend follows a value that the acceptor is about to accept. It gives the chunk
 // to be written down, if any, and tells whether the archive is whole then.
-func (a *Archive) Extend(value *messages.Register, day int64) (added *messages.ArchiveChunk, whole bool) {
+func (a *Archive) Extend(value *messages.RegisterValue, day int64) (added *messages.ArchiveChunk, complete bool) {
 	if a.Covers(value.Archive) {
 		return nil, true
 	}
@@ -82,7 +82,7 @@
 		return nil, false
 	}
 	before, held := a.at(chunk.Index - 1)
-	if !held || chain(before.Digest, chunk.Prints) != chunk.Digest {
+	if !held || chain(before.Digest, chunk.Fingerprints) != chunk.Digest {
 		return nil, false
 	}
 	chunk.Day = day
@@ -96,12 +96,12 @@
 		return false
 	}
 	made := Archive{base: a.base, chunks: append([]messages.ArchiveChunk{}, a.chunks...)}
-	if len(chunks[0].Prints) == 0 || chunks[0].Index == 1 {
+	if len(chunks[0].Fingerprints) == 0 || chunks[0].Index == 1 {
 		made = Archive{}
 	}
 	for _, chunk := range chunks {
 		before, held := made.at(chunk.Index - 1)
-		if len(chunk.Prints) > 0 && (!held || chain(before.Digest, chunk.Prints) != chunk.Digest) {
+		if len(chunk.Fingerprints) > 0 && (!held || chain(before.Digest, chunk.Fingerprints) != chunk.Digest) {
 			return false
 		}
 		made.Restore(chunk)
@@ -124,35 +124,35 @@
 		return false
 	}
 	a.base = a.chunks[kept-1]
-	a.base.Prints = nil
+	a.base.Fingerprints = nil
 	a.chunks = append([]messages.ArchiveChunk{}, a.chunks[kept:]...)
 	return true
 }
 
 // Answer answers another process.
-func (a *Archive) Answer(question *messages.ArchiveQuestion) *messages.ArchiveAnswer {
-	answer := &messages.ArchiveAnswer{Sought: a.seek(question)}
-	if question.Pull {
-		answer.Chunks = a.after(question.Held)
+func (a *Archive) Answer(req *messages.ArchiveRequest) *messages.ArchiveResponse {
+	resp := &messages.ArchiveResponse{Status: a.seek(req)}
+	if req.Pull {
+		resp.Chunks = a.after(req.LastChunk)
 	}
-	return answer
+	return resp
 }
 
-func (a *Archive) seek(question *messages.ArchiveQuestion) messages.Sought {
-	if question.Generation == 0 || !a.Covers(question.Head) {
-		return messages.SoughtUnknown
+func (a *Archive) seek(req *messages.ArchiveRequest) messages.VersionStatus {
+	if req.Generation == 0 || !a.Covers(req.Head) {
+		return messages.VersionUnknown
 	}
 	for _, chunk := range a.chunks {
-		for at := 0; at+8 <= len(chunk.Prints) && chunk.Index <= question.Head.Chunks; at += 8 {
-			if binary.BigEndian.Uint64(chunk.Prints[at:]) == question.Print {
-				return messages.SoughtTaken
+		for at := 0; at+8 <= len(chunk.Fingerprints) && chunk.Index <= req.Head.Chunks; at += 8 {
+			if binary.BigEndian.Uint64(chunk.Fingerprints[at:]) == req.Fingerprint {
+				return messages.VersionCommitted
 			}
 		}
 	}
-	if question.Generation <= a.base.Last || question.Generation < question.Head.Since {
-		return messages.SoughtUnknown
+	if req.Generation <= a.base.Last || req.Generation < req.Head.Since {
+		return messages.VersionUnknown
 	}
-	return messages.SoughtNever
+	return messages.VersionNeverCommitted
 }
 
 // after gives the chunks after an index; from the base on where some are forgotten.
--- a/internal/control/register/archive_test.go
+++ b/internal/control/register/archive_test.go
@@ -13,7 +13,7 @@
 
 // archives is a model of some acceptors' archives beside the one true history.
 type archives struct {
-	value messages.Register
+	value messages.RegisterValue
 	taken []messages.Version
 	kept  []*register.Archive
 	files [][]messages.ArchiveChunk
@@ -21,30 +21,30 @@
 }
 
 func newArchives(count int) *archives {
-	one := &archives{value: messages.Register{}, day: 100}
+	a := &archives{value: messages.RegisterValue{}, day: 100}
 	for range count {
-		one.kept = append(one.kept, &register.Archive{})
-		one.files = append(one.files, nil)
+		a.kept = append(a.kept, &register.Archive{})
+		a.files = append(a.files, nil)
 	}
-	return one
+	return a
 }
 
 // follow has an acceptor accept a value; what it gives back goes to its file.
-func (a *archives) follow(at int, value messages.Register) bool {
-	added, whole := a.kept[at].Extend(&value, a.day)
+func (a *archives) follow(at int, value messages.RegisterValue) bool {
+	added, complete := a.kept[at].Extend(&value, a.day)
 	if added != nil {
 		a.files[at] = append(a.files[at], *added)
 	}
-	return whole
+	return complete
 }
 
 // fill has an acceptor pull what it lacks from another.
 func (a *archives) fill(at, from int) bool {
 	for _, held := range []uint64{a.kept[at].Held(), 0} {
 		for filled := true; filled; held = a.kept[at].Held() {
-			answer := a.kept[from].Answer(&messages.ArchiveQuestion{Head: a.value.Archive, Pull: true, Held: held})
-			if filled = a.kept[at].Fill(a.value.Archive, answer.Chunks); filled {
-				a.files[at] = append(a.files[at], answer.Chunks...)
+			resp := a.kept[from].Answer(&messages.ArchiveRequest{Head: a.value.Archive, Pull: true, LastChunk: held})
+			if filled = a.kept[at].Fill(a.value.Archive, resp.Chunks); filled {
+				a.files[at] = append(a.files[at], resp.Chunks...)
 			}
 			if a.follow(at, a.value) {
 				return true
@@ -62,7 +62,7 @@
 	}
 }
 
-func next(value messages.Register, hash string) (messages.Register, messages.Version) {
+func next(value messages.RegisterValue, hash string) (messages.RegisterValue, messages.Version) {
 	version := messages.Version{Generation: value.Current.Generation + 2, Base: value.Current.Generation, Hash: hash}
 	var result register.Result
 	changed, _ := register.Replace(version, []byte(hash), &result)(value)
@@ -79,13 +79,13 @@
 		}
 		return
 	}
-	question := &messages.ArchiveQuestion{Head: a.value.Archive, Generation: version.Generation, Print: register.Print(version)}
+	req := &messages.ArchiveRequest{Head: a.value.Archive, Generation: version.Generation, Fingerprint: register.Print(version)}
 	for at, archive := range a.kept {
-		sought := archive.Answer(question).Sought
-		if (sought == messages.SoughtTaken && !taken) || (sought == messages.SoughtNever && taken) {
+		sought := archive.Answer(req).Status
+		if (sought == messages.VersionCommitted && !taken) || (sought == messages.VersionNeverCommitted && taken) {
 			rt.Fatalf("archive %d says %d of %v, taken %v", at, sought, version, taken)
 		}
-		if sought == messages.SoughtUnknown && !mayForget && archive.Covers(a.value.Archive) {
+		if sought == messages.VersionUnknown && !mayForget && archive.Covers(a.value.Archive) {
 			rt.Fatalf("archive %d is whole and does not know %v", at, version)
 		}
 	}
@@ -96,55 +96,55 @@
 // the other way round, and one that is whole always knows.
 func TestArchiveNeverRefusesWhatWasTaken(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		one := newArchives(3)
+		archives := newArchives(3)
 		forgot := false
 		rt.Repeat(map[string]func(*rapid.T){
 			"change": func(rt *rapid.T) {
 				away := rapid.IntRange(-1, 2).Draw(rt, "away")
 				for range rapid.IntRange(1, 40).Draw(rt, "changes") {
-					value, version := next(one.value, fmt.Sprint(len(one.taken)))
-					one.value, one.taken = value, append(one.taken, version)
-					for at := range one.kept {
+					value, version := next(archives.value, fmt.Sprint(len(archives.taken)))
+					archives.value, archives.taken = value, append(archives.taken, version)
+					for at := range archives.kept {
 						if at != away {
-							one.follow(at, value)
+							archives.follow(at, value)
 						}
 					}
 				}
 			},
 			"unchosen": func(rt *rapid.T) {
 				// One acceptor alone accepts a run of values that lose.
-				at, value := rapid.IntRange(0, 2).Draw(rt, "at"), one.value
+				at, value := rapid.IntRange(0, 2).Draw(rt, "at"), archives.value
 				for index := range rapid.IntRange(1, 20).Draw(rt, "run") {
 					value, _ = next(value, fmt.Sprint("lost", index))
-					one.follow(at, value)
+					archives.follow(at, value)
 				}
 			},
-			"restart": func(rt *rapid.T) { one.restart(rapid.IntRange(0, 2).Draw(rt, "at")) },
+			"restart": func(rt *rapid.T) { archives.restart(rapid.IntRange(0, 2).Draw(rt, "at")) },
 			"wipe": func(rt *rapid.T) {
 				at := rapid.IntRange(0, 2).Draw(rt, "at")
-				one.files[at] = nil
-				one.restart(at)
+				archives.files[at] = nil
+				archives.restart(at)
 			},
 			"fill": func(rt *rapid.T) {
 				at, from := rapid.IntRange(0, 2).Draw(rt, "at"), rapid.IntRange(0, 2).Draw(rt, "from")
-				whole := one.kept[from].Covers(one.value.Archive)
-				if filled := one.fill(at, from); whole && !filled {
+				complete := archives.kept[from].Covers(archives.value.Archive)
+				if filled := archives.fill(at, from); complete && !filled {
 					rt.Fatalf("%d was not filled from %d, which is whole", at, from)
 				}
 			},
 			"forget": func(rt *rapid.T) {
-				one.day += int64(rapid.IntRange(0, constants.ArchiveDays).Draw(rt, "days"))
+				archives.day += int64(rapid.IntRange(0, constants.ArchiveDays).Draw(rt, "days"))
 				at := rapid.IntRange(0, 2).Draw(rt, "at")
-				if one.kept[at].Forget(one.day) {
+				if archives.kept[at].Forget(archives.day) {
 					forgot = true
-					one.files[at] = one.kept[at].Chunks()
+					archives.files[at] = archives.kept[at].Chunks()
 				}
 			},
 			"": func(rt *rapid.T) {
-				for _, version := range one.taken {
-					one.check(rt, version, true, forgot)
+				for _, version := range archives.taken {
+					archives.check(rt, version, true, forgot)
 					version.Hash += "x"
-					one.check(rt, version, false, forgot)
+					archives.check(rt, version, false, forgot)
 				}
 			},
 		})
@@ -154,16 +154,16 @@
 // What travels with a value and what a pull brings, against the number of changes.
 func TestArchiveCost(t *testing.T) {
 	for _, changes := range []int{40, 300, 2300, 6900} {
-		one := newArchives(2)
+		archives := newArchives(2)
 		for index := range changes {
-			value, version := next(one.value, fmt.Sprintf("%064d", index))
-			one.value, one.taken = value, append(one.taken, version)
-			one.follow(0, value)
+			value, version := next(archives.value, fmt.Sprintf("%064d", index))
+			archives.value, archives.taken = value, append(archives.taken, version)
+			archives.follow(0, value)
 		}
-		one.value.Body = nil
-		message, _ := one.value.MarshalMsg(nil)
+		archives.value.Body = nil
+		message, _ := archives.value.MarshalMsg(nil)
 		pulled := 0
-		for _, chunk := range one.kept[0].Chunks() {
+		for _, chunk := range archives.kept[0].Chunks() {
 			body, _ := chunk.MarshalMsg(nil)
 			pulled += len(body)
 		}
@@ -171,7 +171,7 @@
 		if len(message) > 4000 || pulled > 64+12*changes {
 			t.Fatalf("%d changes: value %d bytes, archive %d bytes", changes, len(message), pulled)
 		}
-		if !one.fill(1, 0) {
+		if !archives.fill(1, 0) {
 			t.Fatalf("%d changes: an empty archive was not filled", changes)
 		}
 	}
--- a/internal/control/register/ballot.go
+++ b/internal/control/register/ballot.go
@@ -12,17 +12,17 @@
 
 // The errors of the register.
 var (
-	// Unclear means that a change may or may not be in force.
-	Unclear = errs.Define("register outcome unclear")
-	// NoMajority means that nothing was changed, for want of a majority.
-	NoMajority = errs.Define("register without a majority")
+	// ErrOutcomeUnknown means that a change may or may not be in force.
+	ErrOutcomeUnknown = errs.Define("register outcome unclear")
+	// ErrNoQuorum means that nothing was changed, for want of a majority.
+	ErrNoQuorum = errs.Define("register without a majority")
 )
 
 // NewBallot names an attempt. The life is part of the name: a proposer that is
 // started again has forgotten which counters it used, and two values under one
 // ballot could both be taken for chosen.
-func NewBallot(counter uint64, name, disk string, life int64) messages.Ballot {
-	return messages.Ballot{Counter: counter, Node: name + "#" + disk + "#" + strconv.FormatInt(life, 10)}
+func NewBallot(counter uint64, name, disk string, incarnation int64) messages.Ballot {
+	return messages.Ballot{Counter: counter, Node: name + "#" + disk + "#" + strconv.FormatInt(incarnation, 10)}
 }
 
 // Less orders ballots.
@@ -49,7 +49,7 @@
 func Identity(member messages.Member) string { return member.Address + "#" + member.Disk }
 
 // Quorum tells whether a value's sets are both answered by more than half.
-func Quorum(value *messages.Register, answered map[string]bool) bool {
+func Quorum(value *messages.RegisterValue, answered map[string]bool) bool {
 	if !Majority(value.Acceptors, answered) {
 		return false
 	}
@@ -57,7 +57,7 @@
 }
 
 // Targets gives every member of a value's sets once.
-func Targets(value *messages.Register) []messages.Member {
+func Targets(value *messages.RegisterValue) []messages.Member {
 	seen := map[string]bool{}
 	var members []messages.Member
 	for _, set := range [][]messages.Member{value.Acceptors, value.Previous} {
--- a/internal/control/register/budget_test.go
+++ b/internal/control/register/budget_test.go
@@ -15,7 +15,7 @@
 	names := simulation.Keys(g.controllers)
 	g.world.Random.Shuffle(len(names), func(left, right int) { names[left], names[right] = names[right], names[left] })
 	lost, others := names[:2], names[2:]
-	back := func(name string, wiped bool) {
+	resp := func(name string, wiped bool) {
 		g.world.After(clock.Milliseconds(300+1500*g.world.Random.Float64()), func() { g.start(name, wiped) })
 	}
 	switch g.world.Random.Intn(4) {
@@ -25,15 +25,15 @@
 			g.stop(name)
 		}
 		for _, name := range lost {
-			back(name, true)
+			resp(name, true)
 		}
 		for _, name := range others {
-			back(name, false)
+			resp(name, false)
 		}
 	case 1:
 		for _, name := range lost {
 			g.stop(name)
-			back(name, g.world.Random.Intn(2) == 0)
+			resp(name, g.world.Random.Intn(2) == 0)
 		}
 	case 2:
 		// Two machines are gone for good; others with empty disks come for them.
@@ -65,33 +65,33 @@
 // whatever was acknowledged outlasts the loss of two at any moment after it.
 func TestBudgetOfTwo(t *testing.T) {
 	for seed := int64(1); seed <= int64(simulation.Seeds(120)); seed++ {
-		one := newGrown(t, seed)
-		one.world.Loss, one.world.Double = 0.02, 0.02
+		grown := newGrown(t, seed)
+		grown.world.Loss, grown.world.Double = 0.02, 0.02
 		if seed%3 == 0 {
-			one.slow = 60
+			grown.slow = 60
 		}
-		begun := one.world.Now
+		start := grown.world.Now
 		struck := false
-		one.told = func(int64) {
+		grown.told = func(int64) {
 			if !struck {
 				struck = true
-				one.strike()
+				grown.strike()
 			}
 		}
 		for generation := int64(1); generation <= 5; generation++ {
 			struck = false
-			one.insist(generation, generation-1)
-			if !one.until(clock.Milliseconds(budgetRecover), func() bool { return one.acked[generation] != "" }) {
-				t.Fatalf("seed %d: version %d not acknowledged after %v", seed, generation, one.world.Now.Since(begun))
+			grown.insist(generation, generation-1)
+			if !grown.until(clock.Milliseconds(budgetRecover), func() bool { return grown.acked[generation] != "" }) {
+				t.Fatalf("seed %d: version %d not acknowledged after %v", seed, generation, grown.world.Now.Sub(start))
 			}
 			// The next one has to come through within the time to recover.
-			one.world.Run(one.world.Now.Plus(clock.Milliseconds(1800)))
-			names := simulation.Keys(one.controllers)
-			if found := one.newest(names[one.world.Random.Intn(len(names))]); found >= 0 && found < generation {
+			grown.world.Run(grown.world.Now.Add(clock.Milliseconds(1800)))
+			names := simulation.Keys(grown.controllers)
+			if found := grown.newest(names[grown.world.Random.Intn(len(names))]); found >= 0 && found < generation {
 				t.Fatalf("seed %d: found %d, want %d", seed, found, generation)
 			}
 			// Troubles beyond the budget wait their turn.
-			if !one.until(clock.Milliseconds(60_000), one.whole) {
+			if !grown.until(clock.Milliseconds(60_000), grown.whole) {
 				t.Fatalf("seed %d: the set is not whole a minute after a fault", seed)
 			}
 		}
@@ -101,14 +101,14 @@
 // Growing takes a small part of the time before traffic starts.
 func TestSetGrowsSoon(t *testing.T) {
 	for seed := int64(1); seed <= 60; seed++ {
-		one := newGrown(t, seed)
-		one.slow = 30
-		if !one.until(clock.Milliseconds(8000), one.whole) {
-			t.Fatalf("seed %d: not whole after %v", seed, one.world.Now)
+		grown := newGrown(t, seed)
+		grown.slow = 30
+		if !grown.until(clock.Milliseconds(8000), grown.whole) {
+			t.Fatalf("seed %d: not whole after %v", seed, grown.world.Now)
 		}
-		one.world.Run(one.world.Now.Plus(clock.Milliseconds(10_000)))
-		for _, name := range simulation.Keys(one.controllers) {
-			if count := len(one.controllers[name].known.Acceptors); count > budgetSize {
+		grown.world.Run(grown.world.Now.Add(clock.Milliseconds(10_000)))
+		for _, name := range simulation.Keys(grown.controllers) {
+			if count := len(grown.controllers[name].known.Acceptors); count > budgetSize {
 				t.Fatalf("seed %d: %d members", seed, count)
 			}
 		}
