--- a/internal/control/register/contention_test.go
+++ b/internal/control/register/contention_test.go
@@ -12,50 +12,50 @@
 
 // burst has every process propose at once on one base, and tells how long it took
 // until all had a clear answer and how many attempts that needed.
-func (f *fleet) burst(generation *int64, base int64) (clock.Span, int) {
+func (f *fleet) burst(generation *int64, base int64) (clock.Duration, int) {
 	names := simulation.Keys(f.controllers)
-	begun, before, waiting := f.world.Now, f.attempts, len(names)
-	var last clock.Moment
+	start, before, waiting := f.world.Now, f.attempts, len(names)
+	var last clock.Instant
 	for _, name := range names {
 		*generation++
 		version := messages.Version{Generation: *generation, Base: base, Hash: name}
 		var result register.Result
-		f.change(name, register.Replace(version, []byte(name), &result), 1000, func(messages.Register, bool) {
+		f.change(name, register.Replace(version, []byte(name), &result), 1000, func(messages.RegisterValue, bool) {
 			waiting--
 			last = f.world.Now
 		})
 	}
-	for waiting > 0 && f.world.Now.Since(begun) < 60*constants.RegisterTime {
-		f.world.Run(f.world.Now.Plus(clock.Milliseconds(10)))
+	for waiting > 0 && f.world.Now.Sub(start) < 60*constants.RegisterTimeout {
+		f.world.Run(f.world.Now.Add(clock.Milliseconds(10)))
 	}
 	if waiting > 0 {
 		f.test.Fatalf("%d of %d proposers are still without an answer", waiting, len(names))
 	}
-	return last.Since(begun), f.attempts - before
+	return last.Sub(start), f.attempts - before
 }
 
 // Eight orders at once through eight processes, on disks that sync at once and on
 // slow ones: none is pushed out for ever.
 func TestEightAtOnceDoNotPushEachOtherOut(t *testing.T) {
 	for _, slow := range []float64{0, 10, 30, 60} {
-		var longest, total clock.Span
+		var longest, total clock.Duration
 		attempts, most, bursts := 0, 0, 0
 		for seed := int64(1); seed <= 20; seed++ {
-			one := newFleet(t, seed, "a", "b", "c", "d", "e")
+			fleet := newFleet(t, seed, "a", "b", "c", "d", "e")
 			for _, name := range []string{"f", "g", "h"} {
-				one.outsider(name)
+				fleet.outsider(name)
 			}
-			one.slow = slow
+			fleet.slow = slow
 			generation := int64(0)
 			for range 10 {
-				span, count := one.burst(&generation, one.newest("a"))
-				longest, total = max(longest, span), total+span
+				timeout, count := fleet.burst(&generation, fleet.newest("a"))
+				longest, total = max(longest, timeout), total+timeout
 				attempts, most, bursts = attempts+count, max(most, count), bursts+1
 			}
 		}
 		t.Logf("sync up to %v ms: %d bursts, mean %v, longest %v, attempts mean %.1f, most %d", slow, bursts,
-			total/clock.Span(bursts), longest, float64(attempts)/float64(bursts), most)
-		if longest > constants.RegisterTime {
+			total/clock.Duration(bursts), longest, float64(attempts)/float64(bursts), most)
+		if longest > constants.RegisterTimeout {
 			t.Errorf("a burst took %v, over the time of one change", longest)
 		}
 	}
--- a/internal/control/register/drive_test.go
+++ b/internal/control/register/drive_test.go
@@ -17,27 +17,27 @@
 	from     string
 	node     *controller
 	life     int64
-	known    messages.Register
+	known    messages.RegisterValue
 	change   register.Change
 	proposal *register.Proposal
 	over     bool
-	begun    clock.Moment
+	begun    clock.Instant
 }
 
 // change drives one change from a node; ended is called once with the outcome, or
 // never where the process dies.
-func (f *fleet) change(from string, change register.Change, tries int, ended func(value messages.Register, done bool)) {
+func (f *fleet) change(from string, change register.Change, tries int, ended func(value messages.RegisterValue, done bool)) {
 	if node := f.controllers[from]; node != nil {
 		f.propose(from, node.known, change, tries, 0, ended)
 		return
 	}
-	ended(messages.Register{}, false)
+	ended(messages.RegisterValue{}, false)
 }
 
-func (f *fleet) propose(from string, known messages.Register, change register.Change, tries, lost int, ended func(value messages.Register, done bool)) {
+func (f *fleet) propose(from string, known messages.RegisterValue, change register.Change, tries, lost int, ended func(value messages.RegisterValue, done bool)) {
 	node := f.controllers[from]
 	if node == nil || node.down || tries == 0 {
-		ended(messages.Register{}, false)
+		ended(messages.RegisterValue{}, false)
 		return
 	}
 	node.counter++
@@ -59,7 +59,7 @@
 func (t *try) dead() bool { return t.node.down || t.life != t.node.life }
 
 // finish looks where the proposal stands.
-func (t *try) finish(tries, lost int, ended func(value messages.Register, done bool)) {
+func (t *try) finish(tries, lost int, ended func(value messages.RegisterValue, done bool)) {
 	if t.over || t.dead() {
 		return
 	}
@@ -83,11 +83,11 @@
 		if newer := proposal.Newer(); newer != nil {
 			known = *newer
 		}
-		t.world.After(register.Backoff(lost+1, t.world.Now.Since(t.begun), t.world.Random.Float64()), func() {
+		t.world.After(register.Backoff(lost+1, t.world.Now.Sub(t.begun), t.world.Random.Float64()), func() {
 			if t.dead() {
 				return
 			}
-			t.look(t.from, t.change, func(value messages.Register, settled bool) {
+			t.look(t.from, t.change, func(value messages.RegisterValue, settled bool) {
 				if settled {
 					ended(value, true)
 					return
@@ -100,28 +100,28 @@
 
 // send takes messages to their members and the answers back.
 func (t *try) send(list []register.Send, finish func()) {
-	one := t.fleet
-	if len(list) > 0 && list[0].Accept != nil && one.world.Random.Float64() < one.crash {
+	fleet := t.fleet
+	if len(list) > 0 && list[0].Accept != nil && fleet.world.Random.Float64() < fleet.crash {
 		// The worst moment: the second round is decided on, and some get it.
-		list = list[:one.world.Random.Intn(len(list))]
-		one.world.After(0, func() { one.bounce(t.from) })
+		list = list[:fleet.world.Random.Intn(len(list))]
+		fleet.world.After(0, func() { fleet.bounce(t.from) })
 	}
 	for _, message := range list {
-		target := one.controllers[message.Member.Address]
-		one.world.Send(t.from, message.Member.Address, func() {
-			if target == nil || target.down || target.syncing.Since(one.world.Now) > constants.VoteWait {
+		target := fleet.controllers[message.Member.Address]
+		fleet.world.Send(t.from, message.Member.Address, func() {
+			if target == nil || target.down || target.syncing.Sub(fleet.world.Now) > constants.VoteWaitMax {
 				return
 			}
 			if message.Prepare != nil {
-				answer, _ := target.live.Prepare(message.Prepare)
-				one.answer(target, t.from, func() { t.promised(message.Member, answer, finish) })
+				resp, _ := target.live.Prepare(message.Prepare)
+				fleet.answer(target, t.from, func() { t.promised(message.Member, resp, finish) })
 				return
 			}
-			one.follow(target, &message.Accept.Value)
-			answer, _ := target.live.Accept(message.Accept)
-			one.answer(target, t.from, func() {
+			fleet.follow(target, &message.Accept.Value)
+			resp, _ := target.live.Accept(message.Accept)
+			fleet.answer(target, t.from, func() {
 				if !t.over && !t.dead() {
-					t.proposal.Taken(message.Member, answer)
+					t.proposal.Taken(message.Member, resp)
 					finish()
 				}
 			})
@@ -129,25 +129,25 @@
 	}
 }
 
-func (t *try) promised(member messages.Member, answer messages.Promise, finish func()) {
+func (t *try) promised(member messages.Member, resp messages.PrepareResponse, finish func()) {
 	if !t.over && !t.dead() {
-		t.send(t.proposal.Promised(member, answer), finish)
+		t.send(t.proposal.Promised(member, resp), finish)
 		finish()
 	}
 }
 
 // look asks whether the change would leave the value in force as it is.
-func (f *fleet) look(from string, change register.Change, ended func(value messages.Register, settled bool)) {
+func (f *fleet) look(from string, change register.Change, ended func(value messages.RegisterValue, settled bool)) {
 	node, over := f.controllers[from], false
-	life := node.life
+	incarnation := node.life
 	reading, sends := register.BeginReading(node.known)
-	end := func(value *messages.Register) {
-		if over || node.down || life != node.life {
+	end := func(value *messages.RegisterValue) {
+		if over || node.down || incarnation != node.life {
 			return
 		}
 		over = true
 		if value == nil {
-			ended(messages.Register{}, false)
+			ended(messages.RegisterValue{}, false)
 			return
 		}
 		node.learnChosen(*value)
@@ -163,9 +163,9 @@
 			if target == nil || target.down {
 				return
 			}
-			answer, _ := register.NewAcceptor(target.disk).Prepare(message.Prepare)
+			resp, _ := register.NewAcceptor(target.disk).Prepare(message.Prepare)
 			f.world.Send(message.Member.Address, from, func() {
-				if value, settled := reading.Heard(message.Member, answer); settled {
+				if value, settled := reading.Heard(message.Member, resp); settled {
 					end(value)
 				}
 			})
@@ -175,7 +175,7 @@
 }
 
 // learnChosen takes a value that a majority was seen to hold.
-func (c *controller) learnChosen(value messages.Register) {
+func (c *controller) learnChosen(value messages.RegisterValue) {
 	if !c.chosen || value.SetEpoch >= c.known.SetEpoch {
 		c.known, c.chosen = value, true
 	}
@@ -184,9 +184,9 @@
 // answer sends an answer once the disk behind it has synced, in order. What was not
 // synced when the process ends is lost.
 func (f *fleet) answer(node *controller, to string, function func()) {
-	record, file, life := node.live.Record(), node.archive.Chunks(), node.life
+	record, file, incarnation := node.live.Record(), node.archive.Chunks(), node.life
 	done := func() {
-		if node.life != life {
+		if node.life != incarnation {
 			return
 		}
 		node.disk, node.file = record, file
@@ -196,14 +196,14 @@
 		done()
 		return
 	}
-	node.syncing = max(node.syncing, f.world.Now).Plus(clock.Milliseconds(f.slow * f.world.Random.Float64()))
-	f.world.After(node.syncing.Since(f.world.Now), done)
+	node.syncing = max(node.syncing, f.world.Now).Add(clock.Milliseconds(f.slow * f.world.Random.Float64()))
+	f.world.After(node.syncing.Sub(f.world.Now), done)
 }
 
 // follow keeps the archive beside a value that is about to be accepted, and pulls what
 // is lacking from another acceptor.
-func (f *fleet) follow(node *controller, value *messages.Register) {
-	if _, whole := node.archive.Extend(value, 1); whole {
+func (f *fleet) follow(node *controller, value *messages.RegisterValue) {
+	if _, complete := node.archive.Extend(value, 1); complete {
 		return
 	}
 	names := simulation.Keys(f.controllers)
@@ -212,8 +212,8 @@
 		return
 	}
 	for _, held := range []uint64{node.archive.Held(), 0} {
-		answer := other.archive.Answer(&messages.ArchiveQuestion{Head: value.Archive, Pull: true, Held: held})
-		node.archive.Fill(value.Archive, answer.Chunks)
+		resp := other.archive.Answer(&messages.ArchiveRequest{Head: value.Archive, Pull: true, LastChunk: held})
+		node.archive.Fill(value.Archive, resp.Chunks)
 	}
 	node.archive.Extend(value, 1)
 }
--- a/internal/control/register/grown_test.go
+++ b/internal/control/register/grown_test.go
@@ -22,7 +22,7 @@
 // grown is a fleet whose processes look after the set by themselves.
 type grown struct {
 	*fleet
-	downSince map[string]clock.Moment
+	downSince map[string]clock.Instant
 	number    int
 	// met is when each process first saw the set that it knows.
 	met map[string]sighting
@@ -31,7 +31,7 @@
 // sighting is an epoch of the set and when it was first seen.
 type sighting struct {
 	epoch uint64
-	at    clock.Moment
+	at    clock.Instant
 }
 
 // fresh tells whether a process met its set a short while ago.
@@ -40,19 +40,19 @@
 	if g.met[name].epoch < epoch {
 		g.met[name] = sighting{epoch, g.world.Now}
 	}
-	return g.world.Now.Since(g.met[name].at) < constants.JointTime
+	return g.world.Now.Sub(g.met[name].at) < constants.JointSetOwnerTime
 }
 
 func newGrown(t *testing.T, seed int64) *grown {
-	one := &grown{fleet: newFleet(t, seed, "a", "b", "c"), downSince: map[string]clock.Moment{}, met: map[string]sighting{}}
-	one.size = budgetSize
+	g := &grown{fleet: newFleet(t, seed, "a", "b", "c"), downSince: map[string]clock.Instant{}, met: map[string]sighting{}}
+	g.size = budgetSize
 	for _, name := range []string{"d", "e", "f", "g", "h"} {
-		one.outsider(name)
+		g.outsider(name)
 	}
-	for _, name := range simulation.Keys(one.controllers) {
-		one.tend(name)
+	for _, name := range simulation.Keys(g.controllers) {
+		g.tend(name)
 	}
-	return one
+	return g
 }
 
 // tend is what each process does about once in half a second: hear of newer sets
@@ -73,7 +73,7 @@
 		}
 		tending := register.Tending{Own: node.member, Votes: true, Size: budgetSize, Gone: g.gone}
 		if !node.chosen || node.disk.Value.SetEpoch > node.known.SetEpoch || tending.Step(node.known) != nil {
-			g.read(name, func(value messages.Register) {
+			g.read(name, func(value messages.RegisterValue) {
 				tending.Fresh = g.fresh(name)
 				g.step(name, tending, value)
 			})
@@ -82,29 +82,29 @@
 }
 
 // step proposes what a chosen value asks for, and ends the joint set that it made.
-func (g *grown) step(name string, tending register.Tending, value messages.Register) {
+func (g *grown) step(name string, tending register.Tending, value messages.RegisterValue) {
 	change := tending.Step(value)
 	if change == nil {
 		return
 	}
-	g.change(name, change, 3, func(value messages.Register, done bool) {
+	g.change(name, change, 3, func(value messages.RegisterValue, done bool) {
 		if done && len(value.Previous) > 0 {
-			g.change(name, register.Settle, 3, func(messages.Register, bool) {})
+			g.change(name, register.Settle, 3, func(messages.RegisterValue, bool) {})
 		}
 	})
 }
 
 // read gives a process the value in force: quickly where that is clear, and by a
 // proposal at times where it is not, as a change may be under way.
-func (g *grown) read(name string, read func(value messages.Register)) {
-	g.look(name, register.Look, func(value messages.Register, settled bool) {
+func (g *grown) read(name string, read func(value messages.RegisterValue)) {
+	g.look(name, register.Look, func(value messages.RegisterValue, settled bool) {
 		node := g.controllers[name]
 		switch {
 		case node == nil:
 		case settled:
 			read(value)
 		case g.world.Random.Intn(4) == 0:
-			g.change(name, register.Look, 2, func(value messages.Register, done bool) {
+			g.change(name, register.Look, 2, func(value messages.RegisterValue, done bool) {
 				if done {
 					read(value)
 				}
@@ -115,7 +115,7 @@
 
 func (g *grown) gone(member messages.Member) bool {
 	node := g.controllers[member.Address]
-	return node == nil || (node.down && g.world.Now.Since(g.downSince[member.Address]) > budgetSilence)
+	return node == nil || (node.down && g.world.Now.Sub(g.downSince[member.Address]) > budgetSilence)
 }
 
 func (g *grown) stop(name string) {
@@ -133,7 +133,7 @@
 
 // whole tells whether the newest set known anywhere is complete and all of it up.
 func (g *grown) whole() bool {
-	var newest messages.Register
+	var newest messages.RegisterValue
 	for _, name := range simulation.Keys(g.controllers) {
 		if node := g.controllers[name]; node.chosen && node.known.SetEpoch >= newest.SetEpoch {
 			newest = node.known
@@ -149,12 +149,12 @@
 }
 
 // until runs the world in steps until something holds; false when it takes longer.
-func (g *grown) until(span clock.Span, holds func() bool) bool {
-	for end := g.world.Now.Plus(span); g.world.Now < end; {
+func (g *grown) until(timeout clock.Duration, holds func() bool) bool {
+	for end := g.world.Now.Add(timeout); g.world.Now < end; {
 		if holds() {
 			return true
 		}
-		g.world.Run(g.world.Now.Plus(clock.Milliseconds(50)))
+		g.world.Run(g.world.Now.Add(clock.Milliseconds(50)))
 	}
 	return holds()
 }
--- a/internal/control/register/history.go
+++ b/internal/control/register/history.go
@@ -26,7 +26,7 @@
 
 // archivedInClear is how many versions at the beginning of the history are in the
 // archive too.
-func archivedInClear(value *messages.Register) int {
+func archivedInClear(value *messages.RegisterValue) int {
 	if value.Archive.Chunks == 0 {
 		return 0
 	}
@@ -35,7 +35,7 @@
 
 // remember gives the history and the archive's head once the current version is
 // followed by another.
-func remember(current *messages.Register) ([]messages.Version, messages.ArchiveHead) {
+func remember(current *messages.RegisterValue) ([]messages.Version, messages.ArchiveHead) {
 	history := append([]messages.Version{}, current.History...)
 	head := current.Archive
 	if current.Current.Generation > 0 {
@@ -73,31 +73,31 @@
 }
 
 // newestChunk gives the chunk that stands in clear at the beginning of the history.
-func newestChunk(value *messages.Register) (messages.ArchiveChunk, bool) {
+func newestChunk(value *messages.RegisterValue) (messages.ArchiveChunk, bool) {
 	inClear := archivedInClear(value)
 	if inClear < constants.ArchiveChunk {
 		return messages.ArchiveChunk{}, false
 	}
 	return messages.ArchiveChunk{Index: value.Archive.Chunks, Digest: value.Archive.Digest,
-		Last: value.History[inClear-1].Generation, Prints: prints(value.History[:inClear])}, true
+		Last: value.History[inClear-1].Generation, Fingerprints: prints(value.History[:inClear])}, true
 }
 
 // recall tells what the value itself knows of a version: taken, never taken, or
 // unknown, where only the archive can tell.
-func recall(value *messages.Register, version messages.Version) messages.Sought {
+func recall(value *messages.RegisterValue, version messages.Version) messages.VersionStatus {
 	if value.Current.Generation > 0 && value.Current == version {
-		return messages.SoughtTaken
+		return messages.VersionCommitted
 	}
 	for _, earlier := range value.History {
 		if earlier == version {
-			return messages.SoughtTaken
+			return messages.VersionCommitted
 		}
 	}
 	// Generations rise along the chain: what is younger than the history's first
 	// version would stand in it.
 	archived := value.Archive.Chunks > 1 || value.Archive.Since > 0
 	if archived && len(value.History) > 0 && version.Generation < value.History[0].Generation {
-		return messages.SoughtUnknown
+		return messages.VersionUnknown
 	}
-	return messages.SoughtNever
+	return messages.VersionNeverCommitted
 }
--- a/internal/control/register/operators_test.go
+++ b/internal/control/register/operators_test.go
@@ -25,7 +25,7 @@
 	at       string
 	version  messages.Version
 	status   status
-	when     clock.Moment
+	when     clock.Instant
 }
 
 // operators send orders to a fleet, again where no clear answer came, and keep what
@@ -41,16 +41,16 @@
 }
 
 func newOperators(t *testing.T, seed int64) *operators {
-	one := &operators{fleet: newFleet(t, seed, "a", "b", "c"), chain: map[int64]messages.Version{}, onTop: map[int64]messages.Version{}, counts: map[string]int{}}
-	one.outsider("d")
-	one.outsider("e")
-	one.names = []string{"a", "b", "c", "d", "e"}
-	one.fleet.chosen = one.note
-	return one
+	o := &operators{fleet: newFleet(t, seed, "a", "b", "c"), chain: map[int64]messages.Version{}, onTop: map[int64]messages.Version{}, counts: map[string]int{}}
+	o.outsider("d")
+	o.outsider("e")
+	o.names = []string{"a", "b", "c", "d", "e"}
+	o.fleet.chosen = o.note
+	return o
 }
 
 // note keeps the one true history, and fails where there are two.
-func (o *operators) note(value messages.Register) {
+func (o *operators) note(value messages.RegisterValue) {
 	for _, version := range append([]messages.Version{value.Current}, value.History...) {
 		if version.Generation == 0 {
 			continue
@@ -67,7 +67,7 @@
 
 // try sends an order to one process; ended is told of a clear answer.
 func (o *operators) try(operator, at string, version messages.Version, ended func(status status)) {
-	answer := func(status status) {
+	resp := func(status status) {
 		o.world.Send(at, operator, func() {
 			o.seen = append(o.seen, sighted{operator, at, version, status, o.world.Now})
 			if status != unanswered {
@@ -80,23 +80,23 @@
 			return
 		}
 		var result register.Result
-		o.change(at, register.Replace(version, []byte(version.Hash), &result), 6, func(value messages.Register, done bool) {
-			o.conclude(at, &value, version, result, done, answer)
+		o.change(at, register.Replace(version, []byte(version.Hash), &result), 6, func(value messages.RegisterValue, done bool) {
+			o.conclude(at, &value, version, result, done, resp)
 		})
 	})
 }
 
 // conclude is what quorum.Register.Replace and the controller make of an outcome.
-func (o *operators) conclude(at string, value *messages.Register, version messages.Version, result register.Result, done bool, answer func(status)) {
+func (o *operators) conclude(at string, value *messages.RegisterValue, version messages.Version, result register.Result, done bool, resp func(status)) {
 	if done && result == register.ResultArchived {
 		o.counts["archived"]++
-		question := &messages.ArchiveQuestion{Head: value.Archive, Generation: version.Generation, Print: register.Print(version)}
+		req := &messages.ArchiveRequest{Head: value.Archive, Generation: version.Generation, Fingerprint: register.Print(version)}
 		done = false
 		for _, name := range append([]string{at}, o.names...) {
 			node := o.controllers[name]
-			if sought := node.archive.Answer(question).Sought; !node.down && sought != messages.SoughtUnknown {
+			if sought := node.archive.Answer(req).Status; !node.down && sought != messages.VersionUnknown {
 				done, result = true, register.Refusal(value.Current, version)
-				if sought == messages.SoughtTaken {
+				if sought == messages.VersionCommitted {
 					result = register.ResultAlready
 				}
 			}
@@ -104,11 +104,11 @@
 	}
 	switch {
 	case !done || result == register.ResultAhead:
-		answer(unanswered)
+		resp(unanswered)
 	case result.Stands():
-		answer(acknowledged)
+		resp(acknowledged)
 	default:
-		answer(refused)
+		resp(refused)
 	}
 }
 
@@ -166,7 +166,7 @@
 				next()
 				return
 			}
-			o.change(o.names[random.Intn(len(o.names))], register.Look, 4, func(value messages.Register, done bool) {
+			o.change(o.names[random.Intn(len(o.names))], register.Look, 4, func(value messages.RegisterValue, done bool) {
 				if done {
 					newest = value.Current.Generation
 				}
@@ -202,27 +202,27 @@
 func TestOperatorsSeeOneHistory(t *testing.T) {
 	total := map[string]int{}
 	for seed := int64(1); seed <= int64(simulation.Seeds(120)); seed++ {
-		one := newOperators(t, seed)
-		one.world.Loss, one.world.Double, one.crash = 0.03, 0.03, 0.03
-		one.slow = float64(seed%3) * 8
+		operators := newOperators(t, seed)
+		operators.world.Loss, operators.world.Double, operators.crash = 0.03, 0.03, 0.03
+		operators.slow = float64(seed%3) * 8
 		for index := range 8 {
-			one.work(fmt.Sprint("operator", index), 14)
+			operators.work(fmt.Sprint("operator", index), 14)
 		}
-		one.trouble()
-		one.world.Run(clock.Moment(clock.Milliseconds(60_000)))
-		for _, answer := range one.seen {
-			stands := one.chain[answer.version.Generation] == answer.version
-			if answer.status == acknowledged && !stands {
-				t.Fatalf("seed %d: acknowledged, yet not in the history: %v", seed, answer)
+		operators.trouble()
+		operators.world.Run(clock.Instant(clock.Milliseconds(60_000)))
+		for _, resp := range operators.seen {
+			stands := operators.chain[resp.version.Generation] == resp.version
+			if resp.status == acknowledged && !stands {
+				t.Fatalf("seed %d: acknowledged, yet not in the history: %v", seed, resp)
 			}
-			if answer.status == refused && stands {
-				t.Fatalf("seed %d: refused, yet in the history: %v", seed, answer)
+			if resp.status == refused && stands {
+				t.Fatalf("seed %d: refused, yet in the history: %v", seed, resp)
 			}
-			total[fmt.Sprint("status ", answer.status)]++
+			total[fmt.Sprint("status ", resp.status)]++
 		}
-		total["versions"] += len(one.chain)
-		for _, key := range simulation.Keys(one.counts) {
-			total[key] += one.counts[key]
+		total["versions"] += len(operators.chain)
+		for _, key := range simulation.Keys(operators.counts) {
+			total[key] += operators.counts[key]
 		}
 	}
 	t.Log(total)
--- a/internal/control/register/proposal.go
+++ b/internal/control/register/proposal.go
@@ -14,7 +14,7 @@
 )
 
 // Change turns the current value into the next one.
-type Change func(current messages.Register) (messages.Register, Verdict)
+type Change func(current messages.RegisterValue) (messages.RegisterValue, Verdict)
 
 // Stage is where a proposal stands.
 type Stage int
@@ -31,33 +31,33 @@
 // Send is one message of a proposal to a member.
 type Send struct {
 	Member  messages.Member
-	Prepare *messages.Prepare
-	Accept  *messages.Accept
+	Prepare *messages.PrepareRequest
+	Accept  *messages.AcceptRequest
 }
 
 // Proposal is one attempt to read or change the register.
 type Proposal struct {
 	ballot   messages.Ballot
-	known    messages.Register
+	known    messages.RegisterValue
 	change   Change
 	stage    Stage
-	promises map[string]messages.Promise
+	promises map[string]messages.PrepareResponse
 	answered map[string]bool
-	next     messages.Register
+	next     messages.RegisterValue
 	highest  messages.Ballot
-	newer    *messages.Register
+	newer    *messages.RegisterValue
 	// unfinished says that the second round only finishes what was found, and that
 	// the change has to be proposed again on top of it.
 	unfinished bool
 }
 
 // Begin opens an attempt against the sets of the newest value known.
-func Begin(ballot messages.Ballot, known messages.Register, change Change) (*Proposal, []Send) {
+func Begin(ballot messages.Ballot, known messages.RegisterValue, change Change) (*Proposal, []Send) {
 	proposal := &Proposal{ballot: ballot, known: known, change: change, highest: ballot,
-		promises: map[string]messages.Promise{}, answered: map[string]bool{}}
+		promises: map[string]messages.PrepareResponse{}, answered: map[string]bool{}}
 	var sends []Send
 	for _, member := range Targets(&known) {
-		sends = append(sends, Send{Member: member, Prepare: &messages.Prepare{Ballot: ballot, Disk: member.Disk}})
+		sends = append(sends, Send{Member: member, Prepare: &messages.PrepareRequest{Ballot: ballot, Disk: member.Disk}})
 	}
 	return proposal, sends
 }
@@ -75,29 +75,29 @@
 func (p *Proposal) Highest() messages.Ballot { return p.highest }
 
 // Newer is a value with newer sets that was met, if any.
-func (p *Proposal) Newer() *messages.Register { return p.newer }
+func (p *Proposal) Newer() *messages.RegisterValue { return p.newer }
 
 // Value is the value that is now in force, once done.
-func (p *Proposal) Value() messages.Register { return p.next }
+func (p *Proposal) Value() messages.RegisterValue { return p.next }
 
 // Promised takes an answer to the first round.
-func (p *Proposal) Promised(member messages.Member, answer messages.Promise) []Send {
+func (p *Proposal) Promised(member messages.Member, resp messages.PrepareResponse) []Send {
 	if p.stage != StagePrepare {
 		return nil
 	}
-	if answer.Value.SetEpoch > p.known.SetEpoch {
+	if resp.Value.SetEpoch > p.known.SetEpoch {
 		// The sets have moved on: majorities of the old ones decide nothing now.
-		value := answer.Value
+		value := resp.Value
 		p.newer, p.stage = &value, StageLost
 		return nil
 	}
-	if !answer.Granted {
-		if Less(p.highest, answer.Promised) {
-			p.highest, p.stage = answer.Promised, StageLost
+	if !resp.Granted {
+		if Less(p.highest, resp.Promised) {
+			p.highest, p.stage = resp.Promised, StageLost
 		}
 		return nil
 	}
-	p.promises[Identity(member)] = answer
+	p.promises[Identity(member)] = resp
 	p.answered[Identity(member)] = true
 	if !Quorum(&p.known, p.answered) {
 		return nil
@@ -136,7 +136,7 @@
 	p.answered = map[string]bool{}
 	var sends []Send
 	for _, member := range Targets(&next) {
-		sends = append(sends, Send{Member: member, Accept: &messages.Accept{Ballot: p.ballot, Disk: member.Disk, Value: next}})
+		sends = append(sends, Send{Member: member, Accept: &messages.AcceptRequest{Ballot: p.ballot, Disk: member.Disk, Value: next}})
 	}
 	return sends
 }
@@ -145,24 +145,24 @@
 // set. The sets known may be those of a joint that was accepted somewhere and never
 // chosen; its new half counts for nothing then. Sets of a later epoch are built on a
 // chosen value, which a quorum of them can't miss.
-func beforeAnyValue(known *messages.Register) (initial messages.Register, possible bool) {
+func beforeAnyValue(known *messages.RegisterValue) (initial messages.RegisterValue, possible bool) {
 	switch {
 	case known.SetEpoch == 0:
-		return messages.Register{Acceptors: known.Acceptors}, true
+		return messages.RegisterValue{Acceptors: known.Acceptors}, true
 	case known.SetEpoch == 1 && len(known.Previous) > 0:
-		return messages.Register{Acceptors: known.Previous}, true
+		return messages.RegisterValue{Acceptors: known.Previous}, true
 	default:
-		return messages.Register{}, false
+		return messages.RegisterValue{}, false
 	}
 }
 
 // endsJoint tells whether a change lets go of the set before.
-func endsJoint(current, next *messages.Register) bool {
+func endsJoint(current, next *messages.RegisterValue) bool {
 	return len(current.Previous) > 0 && next.SetEpoch != current.SetEpoch
 }
 
 // choseAt tells whether the promises show that a value was chosen at a ballot.
-func (p *Proposal) choseAt(ballot messages.Ballot, value *messages.Register) bool {
+func (p *Proposal) choseAt(ballot messages.Ballot, value *messages.RegisterValue) bool {
 	holders := map[string]bool{}
 	for identity, promise := range p.promises {
 		holders[identity] = promise.Accepted == ballot
@@ -175,13 +175,13 @@
 func (p *Proposal) Unfinished() bool { return p.unfinished }
 
 // Taken takes an answer to the second round.
-func (p *Proposal) Taken(member messages.Member, answer messages.Accepted) {
+func (p *Proposal) Taken(member messages.Member, resp messages.AcceptResponse) {
 	if p.stage != StageAccept {
 		return
 	}
-	if !answer.Granted {
-		if Less(p.highest, answer.Promised) {
-			p.highest, p.stage = answer.Promised, StageLost
+	if !resp.Granted {
+		if Less(p.highest, resp.Promised) {
+			p.highest, p.stage = resp.Promised, StageLost
 		}
 		return
 	}
@@ -194,53 +194,53 @@
 // Reading is a quick look: if a majority holds one and the same ballot and none
 // a higher one, its value is in force and nothing needs to be written.
 type Reading struct {
-	known    messages.Register
-	answers  map[string]messages.Promise
+	known    messages.RegisterValue
+	answers  map[string]messages.PrepareResponse
 	answered map[string]bool
-	newer    *messages.Register
+	newer    *messages.RegisterValue
 }
 
 // Newer is a value with newer sets that was met, if any: to be read at those.
-func (r *Reading) Newer() *messages.Register { return r.newer }
+func (r *Reading) Newer() *messages.RegisterValue { return r.newer }
 
 // BeginReading opens a quick look.
-func BeginReading(known messages.Register) (*Reading, []Send) {
-	reading := &Reading{known: known, answers: map[string]messages.Promise{}, answered: map[string]bool{}}
+func BeginReading(known messages.RegisterValue) (*Reading, []Send) {
+	reading := &Reading{known: known, answers: map[string]messages.PrepareResponse{}, answered: map[string]bool{}}
 	var sends []Send
 	for _, member := range Targets(&known) {
-		sends = append(sends, Send{Member: member, Prepare: &messages.Prepare{Disk: member.Disk, Query: true}})
+		sends = append(sends, Send{Member: member, Prepare: &messages.PrepareRequest{Disk: member.Disk, Query: true}})
 	}
 	return reading, sends
 }
 
 // Heard takes an answer; settled means that no more are needed, and the value is
 // nil where a full round has to decide.
-func (r *Reading) Heard(member messages.Member, answer messages.Promise) (value *messages.Register, settled bool) {
-	if answer.Value.SetEpoch > r.known.SetEpoch {
-		newer := answer.Value
+func (r *Reading) Heard(member messages.Member, resp messages.PrepareResponse) (value *messages.RegisterValue, settled bool) {
+	if resp.Value.SetEpoch > r.known.SetEpoch {
+		newer := resp.Value
 		r.newer = &newer
 		return nil, true
 	}
-	if !answer.Granted {
+	if !resp.Granted {
 		return nil, false
 	}
-	r.answers[Identity(member)] = answer
+	r.answers[Identity(member)] = resp
 	r.answered[Identity(member)] = true
 	if !Quorum(&r.known, r.answered) {
 		return nil, false
 	}
 	var newest messages.Ballot
-	for _, one := range r.answers {
-		if Less(newest, one.Accepted) {
-			newest = one.Accepted
+	for _, response := range r.answers {
+		if Less(newest, response.Accepted) {
+			newest = response.Accepted
 		}
 	}
 	same := map[string]bool{}
-	var found messages.Register
-	for identity, one := range r.answers {
-		if one.Accepted == newest {
+	var found messages.RegisterValue
+	for identity, response := range r.answers {
+		if response.Accepted == newest {
 			same[identity] = true
-			found = one.Value
+			found = response.Value
 		}
 	}
 	if !Quorum(&r.known, same) || (newest.Counter > 0 && found.SetEpoch != r.known.SetEpoch) {
--- a/internal/control/register/register_test.go
+++ b/internal/control/register/register_test.go
@@ -18,14 +18,14 @@
 	down    bool
 	counter uint64
 	life    int64
-	known   messages.Register
+	known   messages.RegisterValue
 	// chosen says that a majority was seen to hold what is known.
 	chosen bool
 	// archive is what is known of versions taken long ago, and file what of it is
 	// on disk. syncing is when the disk is done with what it was given.
 	archive register.Archive
 	file    []messages.ArchiveChunk
-	syncing clock.Moment
+	syncing clock.Instant
 }
 
 type fleet struct {
@@ -39,7 +39,7 @@
 	// crash is the chance that a proposer dies between its two rounds.
 	crash float64
 	// chosen, where set, is told of each value that was chosen.
-	chosen func(value messages.Register)
+	chosen func(value messages.RegisterValue)
 	// attempts counts proposals begun.
 	attempts int
 	// size, where it is set, is how many acceptors bear the fault budget: nothing
@@ -49,16 +49,16 @@
 }
 
 func newFleet(t *testing.T, seed int64, names ...string) *fleet {
-	one := &fleet{world: simulation.NewWorld(seed), controllers: map[string]*controller{}, acked: map[int64]string{}, onBase: map[int64]int64{}, test: t}
+	f := &fleet{world: simulation.NewWorld(seed), controllers: map[string]*controller{}, acked: map[int64]string{}, onBase: map[int64]int64{}, test: t}
 	var first []messages.Member
 	for _, name := range names {
 		first = append(first, messages.Member{Name: name, Address: name, Disk: "first"})
 	}
 	for _, member := range first {
 		record := messages.AcceptorRecord{Disk: member.Disk, First: first}
-		one.controllers[member.Address] = &controller{member: member, disk: record, live: register.NewAcceptor(record), known: messages.Register{Acceptors: first}, chosen: true}
+		f.controllers[member.Address] = &controller{member: member, disk: record, live: register.NewAcceptor(record), known: messages.RegisterValue{Acceptors: first}, chosen: true}
 	}
-	return one
+	return f
 }
 
 // outsider adds a process that proposes and does not vote.
@@ -66,7 +66,7 @@
 	first := f.controllers["a"].disk.First
 	record := messages.AcceptorRecord{Disk: name, First: first}
 	member := messages.Member{Name: name, Address: name, Disk: name}
-	f.controllers[name] = &controller{member: member, disk: record, live: register.NewAcceptor(record), known: messages.Register{Acceptors: first}, chosen: true}
+	f.controllers[name] = &controller{member: member, disk: record, live: register.NewAcceptor(record), known: messages.RegisterValue{Acceptors: first}, chosen: true}
 }
 
 // wipe gives a machine an empty disk and a new identity.
@@ -97,7 +97,7 @@
 func (f *fleet) replace(from string, generation, base int64, mark string) {
 	version := messages.Version{Generation: generation, Base: base, Hash: mark}
 	var result register.Result
-	f.change(from, register.Replace(version, []byte(mark), &result), 8, func(value messages.Register, done bool) {
+	f.change(from, register.Replace(version, []byte(mark), &result), 8, func(value messages.RegisterValue, done bool) {
 		if !done {
 			return
 		}
@@ -122,7 +122,7 @@
 // newest reads the register and checks that nothing acknowledged is gone.
 func (f *fleet) newest(from string) int64 {
 	var found int64 = -1
-	f.change(from, register.Look, 12, func(value messages.Register, done bool) {
+	f.change(from, register.Look, 12, func(value messages.RegisterValue, done bool) {
 		if !done {
 			return
 		}
@@ -136,6 +136,6 @@
 			}
 		}
 	})
-	f.world.Run(f.world.Now.Plus(clock.Milliseconds(8000)))
+	f.world.Run(f.world.Now.Add(clock.Milliseconds(8000)))
 	return found
 }
--- a/internal/control/register/replace.go
+++ b/internal/control/register/replace.go
@@ -36,13 +36,13 @@
 // base. The outcome is written each time the change is shown a value; only the
 // last showing counts.
 func Replace(version messages.Version, body []byte, result *Result) Change {
-	return func(current messages.Register) (messages.Register, Verdict) {
+	return func(current messages.RegisterValue) (messages.RegisterValue, Verdict) {
 		switch recall(&current, version) {
-		case messages.SoughtTaken:
+		case messages.VersionCommitted:
 			// Sent again after an unclear answer.
 			*result = ResultAlready
 			return current, VerdictKeep
-		case messages.SoughtUnknown:
+		case messages.VersionUnknown:
 			*result = ResultArchived
 			return current, VerdictKeep
 		}
@@ -73,20 +73,20 @@
 
 // TakeDuty gives the change by which a store becomes the holder of the lots: it
 // raises the epoch, so that whoever held it before can change nothing any more.
-func TakeDuty(holder messages.Duty, expected uint64, first []messages.Member, done *bool) Change {
-	return func(current messages.Register) (messages.Register, Verdict) {
+func TakeDuty(holder messages.Leadership, expected uint64, first []messages.Member, done *bool) Change {
+	return func(current messages.RegisterValue) (messages.RegisterValue, Verdict) {
 		*done = false
-		if current.Duty.Epoch == expected+1 && current.Duty.Holder == holder.Holder && current.Duty.Life == holder.Life {
+		if current.Leadership.Epoch == expected+1 && current.Leadership.Holder == holder.Holder && current.Leadership.Incarnation == holder.Incarnation {
 			// The answer to an earlier try was lost.
 			*done = true
 			return current, VerdictKeep
 		}
-		if current.Duty.Epoch != expected {
+		if current.Leadership.Epoch != expected {
 			return current, VerdictKeep
 		}
 		next := current
-		next.Duty = holder
-		next.Duty.Epoch = expected + 1
+		next.Leadership = holder
+		next.Leadership.Epoch = expected + 1
 		if len(next.Stores) == 0 {
 			next.Stores = first
 		}
@@ -97,10 +97,10 @@
 
 // SetStores gives the change of the store set. Only the holder of the epoch may
 // make it, and only one member at a time.
-func SetStores(holder messages.Duty, stores []messages.Member, done *bool) Change {
-	return func(current messages.Register) (messages.Register, Verdict) {
+func SetStores(holder messages.Leadership, stores []messages.Member, done *bool) Change {
+	return func(current messages.RegisterValue) (messages.RegisterValue, Verdict) {
 		*done = false
-		if current.Duty.Epoch != holder.Epoch || current.Duty.Holder != holder.Holder || current.Duty.Life != holder.Life {
+		if current.Leadership.Epoch != holder.Epoch || current.Leadership.Holder != holder.Holder || current.Leadership.Incarnation != holder.Incarnation {
 			return current, VerdictKeep
 		}
 		if joinsRetired(&current, stores) {
@@ -123,7 +123,7 @@
 
 // joinsRetired tells whether a store set names a machine that is to be emptied and was
 // not in the set before.
-func joinsRetired(current *messages.Register, stores []messages.Member) bool {
+func joinsRetired(current *messages.RegisterValue, stores []messages.Member) bool {
 	in := func(members []messages.Member, name string) bool {
 		return slices.ContainsFunc(members, func(member messages.Member) bool { return member.Name == name })
 	}
@@ -149,7 +149,7 @@
 // machines that this process knows to be alive, and those that the agreed value has
 // retired meanwhile, through whichever process, count no more.
 func RetireStore(name string, serving []string, least int, result *Result) Change {
-	return func(current messages.Register) (messages.Register, Verdict) {
+	return func(current messages.RegisterValue) (messages.RegisterValue, Verdict) {
 		if slices.Contains(current.Retired, name) {
 			*result = ResultAlready
 			return current, VerdictKeep
--- a/internal/control/register/set.go
+++ b/internal/control/register/set.go
@@ -8,7 +8,7 @@
 // has its size takes nobody without giving somebody up: several newcomers may have
 // seen the same gap.
 func Join(newcomer messages.Member, out *messages.Member, size int) Change {
-	return func(current messages.Register) (messages.Register, Verdict) {
+	return func(current messages.RegisterValue) (messages.RegisterValue, Verdict) {
 		if len(current.Previous) > 0 {
 			// One change at a time: that of another is ended first. The proposer may
 			// know of none, where it knows an end that was never chosen.
@@ -40,7 +40,7 @@
 }
 
 // Settle ends a change of the set.
-func Settle(current messages.Register) (messages.Register, Verdict) {
+func Settle(current messages.RegisterValue) (messages.RegisterValue, Verdict) {
 	if len(current.Previous) == 0 {
 		return current, VerdictKeep
 	}
@@ -50,4 +50,6 @@
 }
 
 // Look changes nothing.
-func Look(current messages.Register) (messages.Register, Verdict) { return current, VerdictKeep }
+func Look(current messages.RegisterValue) (messages.RegisterValue, Verdict) {
+	return current, VerdictKeep
+}
--- a/internal/control/register/stores_test.go
+++ b/internal/control/register/stores_test.go
@@ -18,8 +18,8 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		names := []string{"a", "b", "c", "d", "e", "f"}
 		least := rapid.IntRange(1, 5).Draw(rt, "least")
-		lease := messages.Duty{Holder: "a", Epoch: 1}
-		value := messages.Register{Duty: lease}
+		lease := messages.Leadership{Holder: "a", Epoch: 1}
+		value := messages.RegisterValue{Leadership: lease}
 		take := func(change register.Change) {
 			if next, verdict := change(value); verdict == register.VerdictWrite {
 				value = next
--- a/internal/control/register/tend.go
+++ b/internal/control/register/tend.go
@@ -24,7 +24,7 @@
 
 // Step gives the change of the set that this process should propose, or nil. Each
 // process proposes only itself, and one change at a time.
-func (t Tending) Step(known messages.Register) Change {
+func (t Tending) Step(known messages.RegisterValue) Change {
 	if len(known.Acceptors) == 0 {
 		return nil
 	}
@@ -67,7 +67,7 @@
 }
 
 // newcomer tells whether a member is in a joint set's new half only.
-func newcomer(known *messages.Register, own messages.Member) bool {
+func newcomer(known *messages.RegisterValue, own messages.Member) bool {
 	in := func(members []messages.Member) bool {
 		return slices.ContainsFunc(members, func(member messages.Member) bool { return Identity(member) == Identity(own) })
 	}
@@ -77,7 +77,7 @@
 // Bears tells whether the loss of the fault budget leaves a majority: what a
 // smaller set acknowledged could be lost within the budget. Others is how many
 // processes with a disk stand outside and could still join.
-func Bears(value *messages.Register, size, others int) bool {
+func Bears(value *messages.RegisterValue, size, others int) bool {
 	whole := min(size, len(value.Acceptors)+others)
 	return len(value.Acceptors) >= whole && (len(value.Previous) == 0 || len(value.Previous) >= whole)
 }
--- a/internal/control/register/worst_test.go
+++ b/internal/control/register/worst_test.go
@@ -21,7 +21,7 @@
 }
 
 // repaired is told of each chosen value.
-func (w *worst) repaired(value messages.Register) {
+func (w *worst) repaired(value messages.RegisterValue) {
 	if !w.armed || value.SetEpoch <= w.epoch {
 		return
 	}
@@ -39,7 +39,7 @@
 }
 
 // victim gives the newest member, the one before it, or any other that is up.
-func (w *worst) victim(value *messages.Register) string {
+func (w *worst) victim(value *messages.RegisterValue) string {
 	var up []string
 	for _, member := range register.Targets(value) {
 		if node := w.controllers[member.Address]; node != nil && !node.down {
@@ -54,7 +54,7 @@
 }
 
 // strike takes one member away for good, with its disk; an empty successor comes.
-func (w *worst) strike(value messages.Register) {
+func (w *worst) strike(value messages.RegisterValue) {
 	member := value.Acceptors[w.world.Random.Intn(len(value.Acceptors))]
 	w.stop(member.Address)
 	delete(w.controllers, member.Address)
@@ -69,8 +69,8 @@
 }
 
 // newestSet gives the newest value known anywhere.
-func (w *worst) newestSet() messages.Register {
-	var newest messages.Register
+func (w *worst) newestSet() messages.RegisterValue {
+	var newest messages.RegisterValue
 	for _, name := range simulation.Keys(w.controllers) {
 		if node := w.controllers[name]; node.chosen && node.known.SetEpoch >= newest.SetEpoch {
 			newest = node.known
@@ -85,30 +85,30 @@
 func TestSecondLossAtEachStepOfARepair(t *testing.T) {
 	second := 0
 	for seed := int64(1); seed <= int64(simulation.Seeds(80)); seed++ {
-		one := &worst{grown: newGrown(t, seed)}
-		one.world.Loss, one.world.Double = 0.02, 0.02
-		one.slow = float64(seed%3) * 15
-		one.fleet.chosen = one.repaired
-		if !one.until(clock.Milliseconds(20_000), one.whole) {
+		w := &worst{grown: newGrown(t, seed)}
+		w.world.Loss, w.world.Double = 0.02, 0.02
+		w.slow = float64(seed%3) * 15
+		w.fleet.chosen = w.repaired
+		if !w.until(clock.Milliseconds(20_000), w.whole) {
 			t.Fatalf("seed %d: not whole at first", seed)
 		}
 		for generation := int64(1); generation <= 5; generation++ {
-			one.insist(generation, generation-1)
-			if !one.until(clock.Milliseconds(budgetRecover), func() bool { return one.acked[generation] != "" }) {
+			w.insist(generation, generation-1)
+			if !w.until(clock.Milliseconds(budgetRecover), func() bool { return w.acked[generation] != "" }) {
 				t.Fatalf("seed %d: version %d not acknowledged", seed, generation)
 			}
-			one.strike(one.newestSet())
-			if !one.until(clock.Milliseconds(60_000), one.whole) {
+			w.strike(w.newestSet())
+			if !w.until(clock.Milliseconds(60_000), w.whole) {
 				t.Fatalf("seed %d: not repaired a minute after a loss", seed)
 			}
 			// A step that no proposer saw to its end brought no second loss.
-			one.armed = false
-			names := simulation.Keys(one.controllers)
-			if found := one.newest(names[one.world.Random.Intn(len(names))]); found >= 0 && found < generation {
+			w.armed = false
+			names := simulation.Keys(w.controllers)
+			if found := w.newest(names[w.world.Random.Intn(len(names))]); found >= 0 && found < generation {
 				t.Fatalf("seed %d: found %d, want %d", seed, found, generation)
 			}
 		}
-		second += one.lost
+		second += w.lost
 	}
 	if second < 4*simulation.Seeds(80) {
 		t.Fatalf("only %d second losses", second)
@@ -118,19 +118,19 @@
 // A joint set that only c accepted was never chosen: a and b may choose something else
 // on the old set. Who ends joint sets has to make it chosen first.
 func TestJointSetIsChosenBeforeItEnds(t *testing.T) {
-	one := newFleet(t, 1, "a", "b", "c")
-	one.outsider("d")
-	first := messages.Register{Acceptors: one.controllers["a"].disk.First}
+	fleet := newFleet(t, 1, "a", "b", "c")
+	fleet.outsider("d")
+	first := messages.RegisterValue{Acceptors: fleet.controllers["a"].disk.First}
 	var out *messages.Member
-	joint, _ := register.Join(one.controllers["d"].member, out, 4)(first)
+	joint, _ := register.Join(fleet.controllers["d"].member, out, 4)(first)
 	ballot := register.NewBallot(1, "d", "d", 0)
-	one.controllers["c"].live.Accept(&messages.Accept{Ballot: ballot, Disk: "first", Value: joint})
+	fleet.controllers["c"].live.Accept(&messages.AcceptRequest{Ballot: ballot, Disk: "first", Value: joint})
 	proposal, _ := register.Begin(register.NewBallot(2, "e", "e", 0), joint, register.Settle)
 	var sends []register.Send
 	for _, name := range []string{"b", "c", "d"} {
-		node := one.controllers[name]
-		answer, _ := node.live.Prepare(&messages.Prepare{Ballot: register.NewBallot(2, "e", "e", 0), Disk: node.member.Disk})
-		sends = append(sends, proposal.Promised(node.member, answer)...)
+		node := fleet.controllers[name]
+		resp, _ := node.live.Prepare(&messages.PrepareRequest{Ballot: register.NewBallot(2, "e", "e", 0), Disk: node.member.Disk})
+		sends = append(sends, proposal.Promised(node.member, resp)...)
 	}
 	if len(sends) == 0 {
 		t.Fatal("no second round, so this says nothing")
--- a/internal/control/workers/lists_test.go
+++ b/internal/control/workers/lists_test.go
@@ -21,17 +21,17 @@
 		}
 	}
 	expect("empty", 0, 0)
-	table.Merge(messages.Worker{ID: "v", Backend: "s", Count: 1}, 1)
+	table.Merge(messages.Worker{ID: "v", Backend: "s", CallCount: 1}, 1)
 	expect("one", 1, 1)
-	table.Merge(messages.Worker{ID: "w", Backend: "s", Count: 1}, 1)
+	table.Merge(messages.Worker{ID: "w", Backend: "s", CallCount: 1}, 1)
 	expect("two", 2, 2)
-	table.Merge(messages.Worker{ID: "w", Backend: "s", Count: 2, Phase: messages.PhaseDraining}, 2)
+	table.Merge(messages.Worker{ID: "w", Backend: "s", CallCount: 2, Phase: messages.PhaseDraining}, 2)
 	expect("one drains", 1, 2)
-	table.Merge(messages.Worker{ID: "v", Backend: "t", Count: 2}, 2)
+	table.Merge(messages.Worker{ID: "v", Backend: "t", CallCount: 2}, 2)
 	expect("one serves another", 0, 2)
 	if entries := table.Entries(); entries[0].ID != "v" || entries[0].Backend != "t" || entries[1].ID != "w" {
 		t.Error(entries)
 	}
-	table.Forget(clock.Moment(2).Plus(2 * constants.ForgetAfter))
+	table.Forget(clock.Instant(2).Add(2 * constants.ForgetAfter))
 	expect("forgotten", 0, 0)
 }
--- a/internal/control/workers/table.go
+++ b/internal/control/workers/table.go
@@ -22,7 +22,7 @@
 // sumOf stands for one versioned entry in the sum of the table.
 func sumOf(worker messages.Worker) uint64 {
 	sum := fnv.New64a()
-	_, _ = sum.Write([]byte(worker.ID + "/" + strconv.FormatInt(worker.Count, 16) + "/" + strconv.Itoa(int(worker.Phase))))
+	_, _ = sum.Write([]byte(worker.ID + "/" + strconv.FormatInt(worker.CallCount, 16) + "/" + strconv.Itoa(int(worker.Phase))))
 	return sum.Sum64()
 }
 
@@ -54,8 +54,8 @@
 }
 
 // Digest stands for the table: its versions, not its beats.
-func (r *Registry) Digest(life int64) messages.Digest {
-	return messages.Digest{Life: life, Clock: r.clockValue, Sum: r.sum, Count: len(r.workerList)}
+func (r *Registry) Digest(incarnation int64) messages.Digest {
+	return messages.Digest{Incarnation: incarnation, Clock: r.clockValue, Sum: r.sum, Count: len(r.workerList)}
 }
 
 // Clock counts the changes.
@@ -64,16 +64,16 @@
 // Beat takes a worker's own call and tells whether it changed anything that others
 // must hear. A plain heartbeat changes nothing: the version of an entry is the count
 // of the call that last changed it.
-func (r *Registry) Beat(worker messages.Worker, now clock.Moment) bool {
+func (r *Registry) Beat(worker messages.Worker, now clock.Instant) bool {
 	have := r.workerList[worker.ID]
 	if have == nil {
 		changed := r.Merge(worker, now)
 		have = r.workerList[worker.ID]
-		have.latest, have.heard, have.direct = worker.Count, now, now
+		have.latest, have.heard, have.direct = worker.CallCount, now, now
 		return changed
 	}
-	late := worker.Count <= max(have.latest, have.worker.Count)
-	have.latest = max(have.latest, worker.Count)
+	late := worker.CallCount <= max(have.latest, have.worker.CallCount)
+	have.latest = max(have.latest, worker.CallCount)
 	have.heard, have.direct = max(have.heard, now), now
 	was := have.worker
 	same := worker.Address == was.Address && worker.Backend == was.Backend && worker.Capacity == was.Capacity &&
@@ -86,72 +86,72 @@
 
 // BeatenSince gives the marks of the workers whose calls were taken here after a
 // moment.
-func (r *Registry) BeatenSince(moment clock.Moment) []uint32 {
-	var marks []uint32
+func (r *Registry) BeatenSince(instant clock.Instant) []uint32 {
+	var hashes []uint32
 	for id, have := range r.workerList {
-		if have.direct > moment {
-			marks = append(marks, MarkOf(id))
+		if have.direct > instant {
+			hashes = append(hashes, MarkOf(id))
 		}
 	}
-	sort.Slice(marks, func(left, right int) bool { return marks[left] < marks[right] })
-	return marks
+	sort.Slice(hashes, func(left, right int) bool { return hashes[left] < hashes[right] })
+	return hashes
 }
 
 // Vouched takes another controller's word on who has beaten there.
-func (r *Registry) Vouched(marks []uint32, now clock.Moment) {
-	for _, mark := range marks {
-		if have := r.workerList[r.marks[mark]]; have != nil {
+func (r *Registry) Vouched(hashes []uint32, now clock.Instant) {
+	for _, hash := range hashes {
+		if have := r.workerList[r.marks[hash]]; have != nil {
 			have.heard = max(have.heard, now)
 		}
 	}
 }
 
 // Overdue lists the steady workers that missed several beats, with their ages.
-func (r *Registry) Overdue(now clock.Moment) []messages.Overdue {
+func (r *Registry) Overdue(now clock.Instant) []messages.Overdue {
 	var found []messages.Overdue
 	for id, have := range r.workerList {
-		silence := now.Since(have.heard)
-		if have.worker.Phase == messages.PhaseSteady && silence > constants.BeatsMissed*r.heartbeat {
-			found = append(found, messages.Overdue{Mark: MarkOf(id), AgeMs: silence.Milliseconds()})
+		silence := now.Sub(have.heard)
+		if have.worker.Phase == messages.PhaseSteady && silence > constants.HeartbeatsSuspect*r.heartbeat {
+			found = append(found, messages.Overdue{WorkerHash: MarkOf(id), AgeMs: silence.Milliseconds()})
 		}
 	}
-	sort.Slice(found, func(left, right int) bool { return found[left].Mark < found[right].Mark })
+	sort.Slice(found, func(left, right int) bool { return found[left].WorkerHash < found[right].WorkerHash })
 	return found
 }
 
 // Judged takes a controller's list of all silent workers: whoever is not on it has
 // beaten within the beats that may be missed. Of two words on one worker the younger
 // counts.
-func (r *Registry) Judged(list []messages.Overdue, now clock.Moment) {
+func (r *Registry) Judged(list []messages.Overdue, now clock.Instant) {
 	next := map[uint32]bool{}
-	for _, one := range list {
-		have := r.workerList[r.marks[one.Mark]]
+	for _, overdue := range list {
+		have := r.workerList[r.marks[overdue.WorkerHash]]
 		if have == nil {
 			continue
 		}
-		have.heard = max(have.heard, now-clock.Moment(one.AgeMs)*1_000_000)
-		if !r.overdue[one.Mark] && r.confirmed > 0 {
-			have.heard = max(have.heard, r.confirmed-clock.Moment(constants.BeatsMissed*r.heartbeat))
+		have.heard = max(have.heard, now-clock.Instant(overdue.AgeMs)*1_000_000)
+		if !r.overdue[overdue.WorkerHash] && r.confirmed > 0 {
+			have.heard = max(have.heard, r.confirmed-clock.Instant(constants.HeartbeatsSuspect*r.heartbeat))
 		}
-		next[one.Mark] = true
+		next[overdue.WorkerHash] = true
 	}
 	r.overdue, r.confirmed = next, now
 }
 
 // silence is how long a worker has not been heard, by own ears or by a controller's.
-func (r *Registry) silence(id string, have *known, now clock.Moment) clock.Span {
+func (r *Registry) silence(id string, have *known, now clock.Instant) clock.Duration {
 	if r.overdue[MarkOf(id)] {
-		return now.Since(have.heard)
+		return now.Sub(have.heard)
 	}
-	return now.Since(max(have.heard, r.confirmed))
+	return now.Sub(max(have.heard, r.confirmed))
 }
 
 // Forget drops what was silent or gone for long. A process that controllers have told of
 // the silent ones forgets those only: its own deafness says nothing of the rest.
-func (r *Registry) Forget(now clock.Moment) {
+func (r *Registry) Forget(now clock.Instant) {
 	for id, have := range r.workerList {
 		silent := r.confirmed == 0 || r.overdue[MarkOf(id)] || have.worker.Phase != messages.PhaseSteady
-		if silent && now.Since(have.heard) > constants.ForgetAfter {
+		if silent && now.Sub(have.heard) > constants.ForgetAfter {
 			r.drop(id)
 		}
 	}
--- a/internal/control/workers/table_test.go
+++ b/internal/control/workers/table_test.go
@@ -17,7 +17,7 @@
 	}
 	was := registry.Digest(1)
 	for count := int64(2); count < 50; count++ {
-		if registry.Beat(worker(count, messages.PhaseSteady), clock.Moment(count*beat)) {
+		if registry.Beat(worker(count, messages.PhaseSteady), clock.Instant(count*beat)) {
 			t.Fatal("a plain beat is told")
 		}
 	}
@@ -40,22 +40,22 @@
 	for seed := int64(0); seed < 200; seed++ {
 		random := rand.New(rand.NewSource(seed))
 		var entries []messages.Worker
-		for place := 0; place < 12; place++ {
-			one := worker(random.Int63n(5)+1, messages.Phase(random.Intn(3)))
-			one.ID = fmt.Sprint("w", random.Intn(3))
-			one.Capacity = int(one.Count)
-			if one.Phase == messages.PhaseGone && random.Intn(2) == 0 {
-				one.Backend, one.Address, one.Capacity = "", "", 0
+		for i := 0; i < 12; i++ {
+			found := worker(random.Int63n(5)+1, messages.Phase(random.Intn(3)))
+			found.ID = fmt.Sprint("w", random.Intn(3))
+			found.Capacity = int(found.CallCount)
+			if found.Phase == messages.PhaseDeparted && random.Intn(2) == 0 {
+				found.Backend, found.Address, found.Capacity = "", "", 0
 			}
-			entries = append(entries, one)
+			entries = append(entries, found)
 		}
 		left, right := New(beat), New(beat)
-		for _, one := range entries {
-			left.Merge(one, 0)
+		for _, found := range entries {
+			left.Merge(found, 0)
 		}
-		random.Shuffle(len(entries), func(one, other int) { entries[one], entries[other] = entries[other], entries[one] })
-		for _, one := range append(entries, entries...) {
-			right.Merge(one, 0)
+		random.Shuffle(len(entries), func(found, other int) { entries[found], entries[other] = entries[other], entries[found] })
+		for _, found := range append(entries, entries...) {
+			right.Merge(found, 0)
 		}
 		if left.Digest(0).Sum != right.Digest(0).Sum {
 			t.Fatalf("seed %d: %v %v", seed, left.All(0), right.All(0))
@@ -70,13 +70,13 @@
 	other.ID = "x"
 	registry.Merge(worker(1, messages.PhaseSteady), 0)
 	registry.Merge(other, 0)
-	now := clock.Moment(0)
+	now := clock.Instant(0)
 	silent := []messages.Overdue{}
 	for round := int64(1); round <= 60; round++ {
-		now = clock.Moment(round * beat)
+		now = clock.Instant(round * beat)
 		silent = silent[:0]
-		if round > constants.BeatsMissed {
-			silent = append(silent, messages.Overdue{Mark: MarkOf("x"), AgeMs: (now / 1_000_000).Since(0).Nanoseconds()})
+		if round > constants.HeartbeatsSuspect {
+			silent = append(silent, messages.Overdue{WorkerHash: MarkOf("x"), AgeMs: (now / 1_000_000).Sub(0).Nanoseconds()})
 		}
 		registry.Judged(silent, now)
 		if registry.Standing("w", now, true) != StandingGood {
@@ -84,9 +84,9 @@
 		}
 		want := StandingGood
 		switch {
-		case round > constants.BeatsGone:
+		case round > constants.HeartbeatsDeparted:
 			want = StandingOut
-		case round > constants.BeatsMissed:
+		case round > constants.HeartbeatsSuspect:
 			want = StandingSuspect
 		}
 		if got := registry.Standing("x", now, true); got != want {
@@ -99,7 +99,7 @@
 		t.Fatal("still silent")
 	}
 	// Deaf for long: nothing is forgotten but what was known to be silent.
-	registry.Forget(now.Plus(3 * constants.ForgetAfter))
+	registry.Forget(now.Add(3 * constants.ForgetAfter))
 	if len(registry.All(now)) != 2 {
 		t.Fatal("own deafness made workers go")
 	}
@@ -107,10 +107,10 @@
 
 func TestForgottenEntriesDoNotComeBack(t *testing.T) {
 	registry := New(beat)
-	gone := worker(3, messages.PhaseGone)
+	gone := worker(3, messages.PhaseDeparted)
 	registry.Merge(gone, 0)
 	sum := New(beat).Digest(0).Sum
-	registry.Forget(clock.Moment(0).Plus(constants.ForgetAfter + 1))
+	registry.Forget(clock.Instant(0).Add(constants.ForgetAfter + 1))
 	if registry.Digest(0).Sum != sum {
 		t.Fatal("the sum keeps what was forgotten")
 	}
--- a/internal/control/workers/workers.go
+++ b/internal/control/workers/workers.go
@@ -16,7 +16,7 @@
 	// latest is the count of the last call, heard the last beat known of, direct the
 	// last one that was taken here.
 	latest        int64
-	heard, direct clock.Moment
+	heard, direct clock.Instant
 	change        uint64
 }
 
@@ -24,19 +24,19 @@
 type Registry struct {
 	workerList map[string]*known
 	marks      map[uint32]string
-	heartbeat  clock.Span
+	heartbeat  clock.Duration
 	clockValue uint64
 	sum        uint64
 	// overdue are the marks on the last list of silent workers, confirmed its moment.
 	overdue   map[uint32]bool
-	confirmed clock.Moment
+	confirmed clock.Instant
 	// named are the lists by service and entries all, empty after a change.
 	named   map[string][]messages.Worker
 	entries []messages.Worker
 }
 
 // New makes an empty workers.
-func New(heartbeat clock.Span) *Registry {
+func New(heartbeat clock.Duration) *Registry {
 	return &Registry{workerList: map[string]*known{}, marks: map[uint32]string{}, heartbeat: heartbeat, overdue: map[uint32]bool{},
 		named: map[string][]messages.Worker{}}
 }
@@ -44,9 +44,9 @@
 // Merge takes a versioned entry and tells whether it changed the table. Entries join:
 // the description of the highest count and the furthest phase win, in whatever order
 // and however often they come, so that all tables end alike.
-func (r *Registry) Merge(worker messages.Worker, now clock.Moment) bool {
-	age := clock.Span(worker.AgeMs) * 1_000_000
-	heard := now - clock.Moment(age)
+func (r *Registry) Merge(worker messages.Worker, now clock.Instant) bool {
+	age := clock.Duration(worker.AgeMs) * 1_000_000
+	heard := now - clock.Instant(age)
 	worker.AgeMs = 0
 	have := r.workerList[worker.ID]
 	if have == nil {
@@ -60,14 +60,14 @@
 		return true
 	}
 	was := have.worker
-	if worker.Backend == "" || (worker.Count <= was.Count && was.Backend != "") {
+	if worker.Backend == "" || (worker.CallCount <= was.CallCount && was.Backend != "") {
 		// A departure carries no description, and what is late has an old one.
 		late := worker
 		worker = was
-		worker.Count, worker.Phase = max(was.Count, late.Count), max(was.Phase, late.Phase)
+		worker.CallCount, worker.Phase = max(was.CallCount, late.CallCount), max(was.Phase, late.Phase)
 	}
 	worker.Phase = max(worker.Phase, was.Phase)
-	worker.Count = max(worker.Count, was.Count)
+	worker.CallCount = max(worker.CallCount, was.CallCount)
 	have.heard = max(have.heard, heard)
 	if worker == was {
 		return false
@@ -77,7 +77,7 @@
 }
 
 // Since gives the workers changed after a count, aged.
-func (r *Registry) Since(clockValue uint64, now clock.Moment) []messages.Worker {
+func (r *Registry) Since(clockValue uint64, now clock.Instant) []messages.Worker {
 	var found []messages.Worker
 	for id, have := range r.workerList {
 		if have.change > clockValue {
@@ -113,7 +113,7 @@
 
 // Standing judges a worker. listening is false while no controller was heard from
 // lately: then silence says nothing about the workers.
-func (r *Registry) Standing(id string, now clock.Moment, listening bool) Standing {
+func (r *Registry) Standing(id string, now clock.Instant, listening bool) Standing {
 	have := r.workerList[id]
 	if have == nil || have.worker.Phase != messages.PhaseSteady {
 		return StandingOut
@@ -122,16 +122,16 @@
 	switch {
 	case !listening:
 		return StandingGood
-	case silence > constants.BeatsGone*r.heartbeat:
+	case silence > constants.HeartbeatsDeparted*r.heartbeat:
 		return StandingOut
-	case silence > constants.BeatsMissed*r.heartbeat+r.heartbeat/2:
+	case silence > constants.HeartbeatsSuspect*r.heartbeat+r.heartbeat/2:
 		return StandingSuspect
 	}
 	return StandingGood
 }
 
 // All gives every worker, aged, in order.
-func (r *Registry) All(now clock.Moment) []messages.Worker { return r.Since(0, now) }
+func (r *Registry) All(now clock.Instant) []messages.Worker { return r.Since(0, now) }
 
 // Entries gives all workers in order of their ids, without ages. The list is kept until
 // the table changes, and must not be written to.
--- a/internal/control/workers/workers_test.go
+++ b/internal/control/workers/workers_test.go
@@ -11,7 +11,7 @@
 const beat = 1_200_000_000
 
 func worker(count int64, phase messages.Phase) messages.Worker {
-	return messages.Worker{ID: "w", Backend: "s", Address: "a:1", Capacity: 4, Count: count, Phase: phase}
+	return messages.Worker{ID: "w", Backend: "s", Address: "a:1", Capacity: 4, CallCount: count, Phase: phase}
 }
 
 func TestLateCallsAreKnownByTheirCount(t *testing.T) {
@@ -32,7 +32,7 @@
 
 func TestDepartureBeforeAnythingElse(t *testing.T) {
 	registry := New(beat)
-	registry.Merge(messages.Worker{ID: "w", Phase: messages.PhaseGone, Count: 9}, 0)
+	registry.Merge(messages.Worker{ID: "w", Phase: messages.PhaseDeparted, CallCount: 9}, 0)
 	registry.Merge(worker(8, messages.PhaseSteady), 1)
 	if registry.Standing("w", 1, true) != StandingOut {
 		t.Fatal("a late heartbeat brought a gone worker back")
@@ -42,8 +42,8 @@
 func TestSilenceOfWorkersAndOfControllers(t *testing.T) {
 	registry := New(beat)
 	registry.Merge(worker(1, messages.PhaseSteady), 0)
-	suspect := clock.Moment(0).Plus((constants.BeatsMissed + 1) * beat)
-	gone := clock.Moment(0).Plus((constants.BeatsGone + 1) * beat)
+	suspect := clock.Instant(0).Add((constants.HeartbeatsSuspect + 1) * beat)
+	gone := clock.Instant(0).Add((constants.HeartbeatsDeparted + 1) * beat)
 	if registry.Standing("w", suspect, true) != StandingSuspect || registry.Standing("w", gone, true) != StandingOut {
 		t.Fatal("silence is not judged")
 	}
--- a/internal/platform/clock/clock.go
+++ b/internal/platform/clock/clock.go
@@ -7,46 +7,46 @@
 	"time"
 )
 
-// Moment is a point on the steady clock, in nanoseconds since the process began.
-type Moment int64
+// Instant is a point on the steady clock, in nanoseconds since the process began.
+type Instant int64
 
-// Span is a length of time.
-type Span = time.Duration
+// Duration is a length of time.
+type Duration = time.Duration
 
-var begun = time.Now()
+var processStart = time.Now()
 
 // Now gives the present moment on the steady clock.
-func Now() Moment { return Moment(time.Since(begun)) }
+func Now() Instant { return Instant(time.Since(processStart)) }
 
-// Since gives the span from an earlier moment.
-func (m Moment) Since(earlier Moment) Span { return Span(m - earlier) }
+// Sub gives the span from an earlier moment.
+func (m Instant) Sub(earlier Instant) Duration { return Duration(m - earlier) }
 
-// Plus gives a later moment.
-func (m Moment) Plus(span Span) Moment { return m + Moment(span) }
+// Add gives a later moment.
+func (m Instant) Add(timeout Duration) Instant { return m + Instant(timeout) }
 
 // Milliseconds turns a number of ms into a span.
-func Milliseconds(count float64) Span { return Span(count * float64(time.Millisecond)) }
+func Milliseconds(count float64) Duration { return Duration(count * float64(time.Millisecond)) }
 
 // ToMilliseconds gives a span in ms.
-func ToMilliseconds(span Span) float64 { return float64(span) / float64(time.Millisecond) }
+func ToMilliseconds(timeout Duration) float64 { return float64(timeout) / float64(time.Millisecond) }
 
-// Wall gives the time of day in ns, for names of lives and for ages across restarts.
-func Wall() int64 { return time.Now().UnixNano() }
+// WallNanos gives the time of day in ns, for names of lives and for ages across restarts.
+func WallNanos() int64 { return time.Now().UnixNano() }
 
 // Sleep waits. Only the rims (sockets, timers) may call it.
-func Sleep(span Span) { time.Sleep(span) }
+func Sleep(timeout Duration) { time.Sleep(timeout) }
 
 // Deadline gives the wall deadline that sockets want.
-func Deadline(span Span) time.Time { return time.Now().Add(span) }
+func Deadline(timeout Duration) time.Time { return time.Now().Add(timeout) }
 
 // Timer fires once.
 type Timer = time.Timer
 
 // NewTimer makes a timer.
-func NewTimer(span Span) *Timer { return time.NewTimer(span) }
+func NewTimer(timeout Duration) *Timer { return time.NewTimer(timeout) }
 
 // Every calls the function each period until the stop channel closes.
-func Every(period Span, stop <-chan struct{}, function func()) {
+func Every(period Duration, stop <-chan struct{}, function func()) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
 	for {
@@ -60,20 +60,20 @@
 }
 
 // After gives a channel that speaks once the span is over.
-func After(span Span) <-chan time.Time { return time.After(span) }
+func After(timeout Duration) <-chan time.Time { return time.After(timeout) }
 
-// Bell gives a channel that closes once the span is over.
-func Bell(span Span) chan struct{} {
+// ClosedAfter gives a channel that closes once the span is over.
+func ClosedAfter(timeout Duration) chan struct{} {
 	bell := make(chan struct{})
-	time.AfterFunc(span, func() { close(bell) })
+	time.AfterFunc(timeout, func() { close(bell) })
 	return bell
 }
 
-// Draw gives a random number in [0, 1).
-func Draw() float64 { return rand.Float64() }
+// Float64 gives a random number in [0, 1).
+func Float64() float64 { return rand.Float64() }
 
 // Time is a point that sockets know.
 type Time = time.Time
 
-// Ahead tells whether a deadline is set and lies ahead.
-func Ahead(at Time) bool { return !at.IsZero() && time.Until(at) > 0 }
+// IsFuture tells whether a deadline is set and lies ahead.
+func IsFuture(at Time) bool { return !at.IsZero() && time.Until(at) > 0 }
--- a/internal/platform/constants/assign.go
+++ b/internal/platform/constants/assign.go
@@ -18,12 +18,12 @@
 	PlanBody = 256 << 10
 	// PlanPeriod is how often a controller looks whether a node of the rules is gone (ours).
 	PlanPeriod = 2 * time.Second
-	// PlanSilence is the silence after which a node is taken for gone (ours): longer
+	// PlanAbsentAfter is the silence after which a node is taken for gone (ours): longer
 	// than a restart, and short against the time before a window.
-	PlanSilence = 20 * time.Second
-	// PlanPause is the least time between two plans that a controller makes by itself
+	PlanAbsentAfter = 20 * time.Second
+	// PlanBackoff is the least time between two plans that a controller makes by itself
 	// (ours), so that a node which comes and goes does not move adapters each time.
-	PlanPause = 10 * time.Second
+	PlanBackoff = 10 * time.Second
 	// PlanForget is when a node that was seen counts as never seen (ours).
 	PlanForget = 24 * time.Hour
 )
--- a/internal/platform/constants/constants.go
+++ b/internal/platform/constants/constants.go
@@ -14,66 +14,66 @@
 	// FrameLimit bounds one frame in bytes: a lot of the largest allowed body
 	// plus its framing must fit.
 	FrameLimit = 48 << 20
-	// FrameLife is how long a frame may still come after it was sent (ours): our
-	// connections end after SilentConnection without an answer, and a process may be
+	// FrameLifetime is how long a frame may still come after it was sent (ours): our
+	// connections end after ConnectionTimeout without an answer, and a process may be
 	// frozen for seconds with frames unread.
-	FrameLife = 40 * time.Second
+	FrameLifetime = 40 * time.Second
 	// FrameVersion is told in each frame, so that mixed versions can work. From 2 on, the
 	// numbers of calls rise along a connection.
 	FrameVersion = 2
-	// DialTime bounds a connection attempt between our processes: links are a
+	// DialTimeout bounds a connection attempt between our processes: links are a
 	// few ms long, so silence for longer means a cut (ours).
-	DialTime = 400 * time.Millisecond
-	// CallTime bounds an ordinary call between our processes (ours): under the
+	DialTimeout = 400 * time.Millisecond
+	// CallTimeout bounds an ordinary call between our processes (ours): under the
 	// second in which an outside caller moves on.
-	CallTime = 800 * time.Millisecond
-	// StartPause is the pause between two tries of a starting process to learn what
+	CallTimeout = 800 * time.Millisecond
+	// StartBackoff is the pause between two tries of a starting process to learn what
 	// it needs (ours): each is time in which it can't serve.
-	StartPause = 40 * time.Millisecond
-	// StartPauseMost is what that pause grows to (ours).
-	StartPauseMost = 320 * time.Millisecond
-	// PushTime bounds the wait for peers to take a push before a worker's call
+	StartBackoff = 40 * time.Millisecond
+	// StartBackoffMax is what that pause grows to (ours).
+	StartBackoffMax = 320 * time.Millisecond
+	// PushTimeout bounds the wait for peers to take a push before a worker's call
 	// is acknowledged; the worker waits a second at most.
-	PushTime = 350 * time.Millisecond
-	// SilentConnection is the TCP_USER_TIMEOUT of our connections (ours): behind a cut
+	PushTimeout = 350 * time.Millisecond
+	// ConnectionTimeout is the TCP_USER_TIMEOUT of our connections (ours): behind a cut
 	// nothing answers, and a hung connection must not hold a caller.
-	SilentConnection = 1500 * time.Millisecond
-	// BulkCallTime bounds calls that carry lots or long stretches of records.
-	BulkCallTime = 3 * time.Second
+	ConnectionTimeout = 1500 * time.Millisecond
+	// BulkCallTimeout bounds calls that carry lots or long stretches of records.
+	BulkCallTimeout = 3 * time.Second
 )
 
 // Register and holds.
 const (
-	// RoundTime bounds one round of the register (ours): a sync, even on a slow
+	// RoundTimeout bounds one round of the register (ours): a sync, even on a slow
 	// disk, and a link there and back.
-	RoundTime = 500 * time.Millisecond
-	// RegisterTime bounds a whole change including repeats.
-	RegisterTime = 2500 * time.Millisecond
+	RoundTimeout = 500 * time.Millisecond
+	// RegisterTimeout bounds a whole change including repeats.
+	RegisterTimeout = 2500 * time.Millisecond
 	// BackoffBase is the least pause before a proposer tries again.
 	BackoffBase = 8 * time.Millisecond
 	// BackoffSpread is the random part of that pause: it parts two duelists.
 	BackoffSpread = 60 * time.Millisecond
-	// GrowTime is how long after its start a controller holds acknowledgements back while
+	// SetGrowthTimeout is how long after its start a controller holds acknowledgements back while
 	// the set of acceptors can't yet bear the fault budget and others could join it
 	// (ours): joining takes well under a second each.
-	GrowTime = 10 * time.Second
-	// HoldTime is the length of a hold on a duty (ours): long enough for a slow
+	SetGrowthTimeout = 10 * time.Second
+	// LeaseDuration is the length of a hold on a duty (ours): long enough for a slow
 	// sync, short enough that lots wait little after a crash.
-	HoldTime = time.Second
-	// HoldMargin is how much earlier than its end a holder stops.
-	HoldMargin = 200 * time.Millisecond
-	// HoldRenewal is the time between renewals.
-	HoldRenewal = 250 * time.Millisecond
+	LeaseDuration = time.Second
+	// LeaseSafetyMargin is how much earlier than its end a holder stops.
+	LeaseSafetyMargin = 200 * time.Millisecond
+	// LeaseRenewPeriod is the time between renewals.
+	LeaseRenewPeriod = 250 * time.Millisecond
 )
 
 // Workers.
 const (
-	// BeatsMissed is how many heartbeats a worker may miss before it is suspect.
-	BeatsMissed = 3
-	// BeatsGone is how many make it gone for good.
-	BeatsGone = 10
-	// RosterPeriod is the time between two workers messages to each peer.
-	RosterPeriod = 700 * time.Millisecond
+	// HeartbeatsSuspect is how many heartbeats a worker may miss before it is suspect.
+	HeartbeatsSuspect = 3
+	// HeartbeatsDeparted is how many make it gone for good.
+	HeartbeatsDeparted = 10
+	// ControllerHeartbeatPeriod is the time between two workers messages to each peer.
+	ControllerHeartbeatPeriod = 700 * time.Millisecond
 )
 
 // Placement.
@@ -104,12 +104,12 @@
 
 // Displacement.
 const (
-	// DisplaceFloor is the part of a service's places that items keep whatever
+	// PreemptionFloor is the part of a service's places that items keep whatever
 	// waits (ours): the low tier must not starve for good.
-	DisplaceFloor = 0.08
-	// DisplaceLimit is how often one item may be displaced before it keeps its
+	PreemptionFloor = 0.08
+	// PreemptionLimit is how often one item may be displaced before it keeps its
 	// place (ours): ageing, for the same reason.
-	DisplaceLimit = 3
+	PreemptionLimit = 3
 	// PressurePeriod is the least time between two words of pressure (ours), and
 	// PressureStale the age at which a word counts no more.
 	PressurePeriod = 100 * time.Millisecond
@@ -148,11 +148,11 @@
 	// ConnectionPartItems that of one which runs items (ours).
 	ConnectionPart      = 0.125
 	ConnectionPartItems = 0.2
-	// DrainLinger is how long a leaving node still takes new connections: the
+	// DrainAcceptTime is how long a leaving node still takes new connections: the
 	// platform needs two missed probes, a second apart, to see it leave.
-	DrainLinger = 2600 * time.Millisecond
-	// LeaveMargin is how long before SIGKILL a leaving node ends by itself.
-	LeaveMargin = 600 * time.Millisecond
+	DrainAcceptTime = 2600 * time.Millisecond
+	// ShutdownMargin is how long before SIGKILL a leaving node ends by itself.
+	ShutdownMargin = 600 * time.Millisecond
 	// RoomAhead is how many requests may wait at a worker beyond its capacity.
 	RoomAhead = 2
 	// QueueShare is the part of a request's aim that it may wait for room (ours):
@@ -162,30 +162,30 @@
 
 // Lots.
 const (
-	// RunningItems bounds how many items one holder runs at a time (ours): its
+	// RunningItemsMax bounds how many items one holder runs at a time (ours): its
 	// processor has to keep up with their events.
-	RunningItems = 400
-	// RetryItem is the pause before an item that was set back is placed again.
-	RetryItem = 60 * time.Millisecond
-	// SetChange bounds the copying to a newcomer; what was copied stays there.
-	SetChange = 20 * time.Second
-	// FirstMeeting is how long stores wait for each other at the first start
+	RunningItemsMax = 400
+	// ItemRetryBackoff is the pause before an item that was set back is placed again.
+	ItemRetryBackoff = 60 * time.Millisecond
+	// SetChangeTimeout bounds the copying to a newcomer; what was copied stays there.
+	SetChangeTimeout = 20 * time.Second
+	// BootstrapWait is how long stores wait for each other at the first start
 	// before they make do with fewer.
-	FirstMeeting = 4 * time.Second
-	// LotItems is the largest number of items in a lot (PROTOCOL).
-	LotItems = 200
+	BootstrapWait = 4 * time.Second
+	// JobItemsMax is the largest number of items in a lot (PROTOCOL).
+	JobItemsMax = 200
 	// PageBytes is the most a read returns in results (PROTOCOL: 1 MB).
 	PageBytes = 900 << 10
 	// AppendBytes bounds one stretch of records sent to a store.
 	AppendBytes = 1 << 20
-	// BulkShare is the part of a worker's places that items may fill when no
+	// BatchCapacityShare is the part of a worker's places that items may fill when no
 	// live request wants them (ours).
-	BulkShare = 0.75
-	// BulkUnread is how many items may wait at a worker for their first event when
+	BatchCapacityShare = 0.75
+	// BatchPrefillsPerWorker is how many items may wait at a worker for their first event when
 	// one more is placed there (ours): workers read in the order of arrival, so each
 	// is time that a live request waits. Letting first events set the pace measured
 	// better than reckoning the reading time.
-	BulkUnread = 1
+	BatchPrefillsPerWorker = 1
 	// TickPeriod is the period of the store's own upkeep.
 	TickPeriod = 50 * time.Millisecond
 	// RewriteBytes is the least size at which a file of records is rewritten.
@@ -196,8 +196,8 @@
 const (
 	// StatusRows bounds what one process says to a query of the shell (ours).
 	StatusRows = 200
-	// StatusTime is how long the shell waits for one process unless told otherwise.
-	StatusTime = 700 * time.Millisecond
+	// StatusTimeout is how long the shell waits for one process unless told otherwise.
+	StatusTimeout = 700 * time.Millisecond
 	// TrafficPeriod is the time between two lines of counters in a log at debug level.
 	TrafficPeriod = 10 * time.Second
 )
--- a/internal/platform/constants/pace.go
+++ b/internal/platform/constants/pace.go
@@ -4,12 +4,12 @@
 
 // Slow machines and disks.
 const (
-	// PacePeriod is the time between two measurements of a machine's pace (ours).
-	PacePeriod = 250 * time.Millisecond
-	// PaceWindow is how many measurements must all be long (ours): a second's.
-	PaceWindow = 4
-	// PaceFactor is how many times the best time counts as slow (ours).
-	PaceFactor = 3
+	// SlownessPeriod is the time between two measurements of a machine's pace (ours).
+	SlownessPeriod = 250 * time.Millisecond
+	// SlownessWindow is how many measurements must all be long (ours): a second's.
+	SlownessWindow = 4
+	// SlownessFactor is how many times the best time counts as slow (ours).
+	SlownessFactor = 3
 	// LagWeight is the weight of a store's newest time in its mean (ours).
 	LagWeight = 0.2
 	// LagLeast is how many times must be known of a store (ours).
@@ -21,10 +21,10 @@
 	// CopyGap is how many records a newcomer may lack of what is durable when the
 	// holder sends it the rest itself (ours): a part of a second's.
 	CopyGap = 64
-	// GiveUpPause is the least time between two times that a process gives its duty
+	// ResignBackoff is the least time between two times that a process gives its duty
 	// up for being slow (ours).
-	GiveUpPause = 10 * time.Second
-	// DeferTime is how long a slow process leaves the duty to others (ours); after
+	ResignBackoff = 10 * time.Second
+	// YieldTime is how long a slow process leaves the duty to others (ours); after
 	// that a slow holder is better than none.
-	DeferTime = 2 * time.Second
+	YieldTime = 2 * time.Second
 )
--- a/internal/platform/constants/register.go
+++ b/internal/platform/constants/register.go
@@ -17,30 +17,30 @@
 	// ArchiveLimit is the length in bytes at which the archive's file is rewritten
 	// (ours): three days of 2,300 changes take a tenth of it.
 	ArchiveLimit = 1 << 20
-	// ArchivePull bounds one question for missing chunks (ours): it is asked inside
-	// a second round, which has RoundTime.
-	ArchivePull = 150 * time.Millisecond
-	// ArchiveRetry is the pause after a pull that did not complete the archive (ours):
+	// ArchivePullTimeout bounds one question for missing chunks (ours): it is asked inside
+	// a second round, which has RoundTimeout.
+	ArchivePullTimeout = 150 * time.Millisecond
+	// ArchiveRetryBackoff is the pause after a pull that did not complete the archive (ours):
 	// votes must not wait for it each time.
-	ArchiveRetry = 2 * time.Second
-	// VoteWait is how long a vote may wait for those before it at an acceptor whose disk
-	// is slow (ours): a quarter of RoundTime, so that both rounds still end in time.
-	VoteWait = RoundTime / 4
-	// JointTime is for how long the newcomer alone ends a joint set of acceptors
+	ArchiveRetryBackoff = 2 * time.Second
+	// VoteWaitMax is how long a vote may wait for those before it at an acceptor whose disk
+	// is slow (ours): a quarter of RoundTimeout, so that both rounds still end in time.
+	VoteWaitMax = RoundTimeout / 4
+	// JointSetOwnerTime is for how long the newcomer alone ends a joint set of acceptors
 	// (ours): two rounds on slow disks and one lost message.
-	JointTime = 1500 * time.Millisecond
-	// ReadSteps is how often a read goes on to newer sets that it meets (ours): one of
+	JointSetOwnerTime = 1500 * time.Millisecond
+	// ReadAttempts is how often a read goes on to newer sets that it meets (ours): one of
 	// them may change meanwhile.
-	ReadSteps = 4
-	// TendChance is the chance that a process which looks after the set of acceptors
+	ReadAttempts = 4
+	// ReconcileProbability is the chance that a process which looks after the set of acceptors
 	// proposes where a read is not clear (ours): a change may be under way.
-	TendChance = 0.25
-	// TendPause is the pause before it looks again (ours): the second round of a change
+	ReconcileProbability = 0.25
+	// ReconcileBackoff is the pause before it looks again (ours): the second round of a change
 	// reaches the last acceptor within it.
-	TendPause = 30 * time.Millisecond
+	ReconcileBackoff = 30 * time.Millisecond
 	// BackoffDoublings is how often the random part of a proposer's pause doubles, and
-	// BackoffLongest bounds it (ours): eight proposers at once all have an answer
-	// within RegisterTime on disks that take up to 60 ms for each sync.
+	// BackoffMax bounds it (ours): eight proposers at once all have an answer
+	// within RegisterTimeout on disks that take up to 60 ms for each sync.
 	BackoffDoublings = 3
-	BackoffLongest   = 800 * time.Millisecond
+	BackoffMax       = 800 * time.Millisecond
 )
--- a/internal/platform/constants/replicas.go
+++ b/internal/platform/constants/replicas.go
@@ -13,7 +13,7 @@
 	// RewriteLag is for how long records have been durable before a rewrite drops any of
 	// them (ours): a member that is further behind has to be copied anew.
 	RewriteLag = 20 * time.Second
-	// NewcomerPatience is how much longer than the first newcomer of a change the others
+	// JoinerWait is how much longer than the first newcomer of a change the others
 	// may take, beside as long again (ours).
-	NewcomerPatience = time.Second
+	JoinerWait = time.Second
 )
--- a/internal/platform/constants/views.go
+++ b/internal/platform/constants/views.go
@@ -16,26 +16,26 @@
 	FarLinks = 2
 	// FarShuffle: one shuffle in so many leaves the zone (ours); those bytes are dear.
 	FarShuffle = 4
-	// DrawAfter is how long a controller goes by what it reckoned of whom a process should
+	// ViewReuseTime is how long a controller goes by what it reckoned of whom a process should
 	// know, while nobody came or went (ours).
-	DrawAfter = 5 * time.Second
-	// FreshReport is the age below which a controller tells a process as just heard (ours):
+	ViewReuseTime = 5 * time.Second
+	// FreshReportAge is the age below which a controller tells a process as just heard (ours):
 	// a report a second, and a word between controllers.
-	FreshReport = 1800 * time.Millisecond
+	FreshReportAge = 1800 * time.Millisecond
 	// NeighbourRounds: in one round of so many a process shuffles with a neighbour
 	// besides its word with a controller (ours): that matters only once controllers are gone.
 	NeighbourRounds = 10
-	// SilentAfter is the silence after which a process is taken for silent.
-	SilentAfter = 3 * time.Second
+	// SuspectAfter is the silence after which a process is taken for silent.
+	SuspectAfter = 3 * time.Second
 	// ForgetAfter is the silence after which an entry leaves the view.
 	ForgetAfter = 45 * time.Second
 	// SucceedAfter is the silence after which a process takes the place of a silent member
 	// of its own zone (ours): word through others makes silence look up to 1.4 s shorter, and
 	// all of it has to end well within sync-s.
 	SucceedAfter = 2 * time.Second
-	// TendPeriod is how often a controller looks whether the sets of acceptors need it (ours):
+	// ReconcilePeriod is how often a controller looks whether the sets of acceptors need it (ours):
 	// a newcomer has to be a member well within sync-s after its start, silence included.
-	TendPeriod = 250 * time.Millisecond
+	ReconcilePeriod = 250 * time.Millisecond
 	// ReplaceAfter is the silence after which a standing-by process may take a
 	// silent member's place in the acceptor or store set (ours): longer than a
 	// process takes to be started again.
@@ -44,25 +44,25 @@
 
 // Spreading.
 const (
-	// ReportTime bounds the periodic word with a controller (ours): another one is asked
+	// ReportTimeout bounds the periodic word with a controller (ours): another one is asked
 	// then, well before the next period.
-	ReportTime = 400 * time.Millisecond
-	// TreeTime bounds the wait for the whole fleet to take word of a worker before the
+	ReportTimeout = 400 * time.Millisecond
+	// BroadcastTimeout bounds the wait for the whole fleet to take word of a worker before the
 	// worker's call is acknowledged (ours): it waits a second at most.
-	TreeTime = 650 * time.Millisecond
-	// BatchWindow is how long a new worker waits for others, so that all are told
-	// together, and BatchesAtOnce how many words that bind may be under way (ours).
-	BatchWindow   = 120 * time.Millisecond
-	BatchesAtOnce = 8
-	// HolderReminder: gateways are told of a duty's holder in its first rounds, as many as
+	BroadcastTimeout = 650 * time.Millisecond
+	// UpdateBatchWindow is how long a new worker waits for others, so that all are told
+	// together, and UpdateBatchesInFlight how many words that bind may be under way (ours).
+	UpdateBatchWindow     = 120 * time.Millisecond
+	UpdateBatchesInFlight = 8
+	// LeaderReminderRounds: gateways are told of a duty's holder in its first rounds, as many as
 	// this, and then in one of so many (ours).
-	HolderReminder = 8
-	// RelayPatience is how long a controller may take to say that it tells its zone, and
-	// ZoneTime how long that may take (ours): then another way is gone. Both, twice,
+	LeaderReminderRounds = 8
+	// RelayTimeout is how long a controller may take to say that it tells its zone, and
+	// ZoneBroadcastTimeout how long that may take (ours): then another way is gone. Both, twice,
 	// must fit into the bound above.
-	RelayPatience = 120 * time.Millisecond
-	ZoneTime      = 180 * time.Millisecond
-	// BodyFan is how many processes a process sends a configuration to (ours): with a
+	RelayTimeout         = 120 * time.Millisecond
+	ZoneBroadcastTimeout = 180 * time.Millisecond
+	// BodyFanout is how many processes a process sends a configuration to (ours): with a
 	// link of 30 Mbit/s, a body of 100 KB takes 27 ms each.
-	BodyFan = 3
+	BodyFanout = 3
 )
--- a/internal/platform/contexts/contexts.go
+++ b/internal/platform/contexts/contexts.go
@@ -12,16 +12,16 @@
 // Background is the context that is never cancelled.
 func Background() Context { return context.Background() }
 
-// AfterEnd runs a function once the context is cancelled; halt undoes it.
-func AfterEnd(parent Context, function func()) (halt func()) {
+// AfterFunc runs a function once the context is cancelled; halt undoes it.
+func AfterFunc(parent Context, function func()) (halt func()) {
 	stop := context.AfterFunc(parent, function)
 	return func() { stop() }
 }
 
-// Timed gives a context that is cancelled after a span.
-func Timed(parent Context, span time.Duration) (Context, func()) {
-	return context.WithTimeout(parent, span)
+// WithTimeout gives a context that is cancelled after a span.
+func WithTimeout(parent Context, timeout time.Duration) (Context, func()) {
+	return context.WithTimeout(parent, timeout)
 }
 
-// Stoppable gives a context that its maker may cancel.
-func Stoppable(parent Context) (Context, func()) { return context.WithCancel(parent) }
+// WithCancel gives a context that its maker may cancel.
+func WithCancel(parent Context) (Context, func()) { return context.WithCancel(parent) }
--- a/internal/platform/errs/errs.go
+++ b/internal/platform/errs/errs.go
@@ -51,5 +51,5 @@
 	return isKind && kind == e.kind
 }
 
-// Of tells whether any error in the chain is of the kind.
-func Of(chain error, kind *Kind) bool { return eris.Is(chain, kind) }
+// Is tells whether any error in the chain is of the kind.
+func Is(chain error, kind *Kind) bool { return eris.Is(chain, kind) }
--- a/internal/platform/httpreply/httpreply.go
+++ b/internal/platform/httpreply/httpreply.go
@@ -27,8 +27,8 @@
 	_, _ = writer.Write(body)
 }
 
-// Reason writes a status with a reason in a JSON body.
-func Reason(writer Writer, status int, reason string) {
+// Error writes a status with a reason in a JSON body.
+func Error(writer Writer, status int, reason string) {
 	JSON(writer, status, map[string]string{"error": reason})
 }
 
@@ -40,10 +40,10 @@
 	_, _ = writer.Write([]byte(text))
 }
 
-// Later refuses with the promise that nothing ran or will run, and says when to
+// RetryAfter refuses with the promise that nothing ran or will run, and says when to
 // come back.
-func Later(writer Writer, status int, span clock.Span) {
-	writer.Header().Set("Retry-After", strconv.FormatFloat(span.Seconds(), 'f', 3, 64))
+func RetryAfter(writer Writer, status int, timeout clock.Duration) {
+	writer.Header().Set("Retry-After", strconv.FormatFloat(timeout.Seconds(), 'f', 3, 64))
 	Text(writer, status, "no room now")
 }
 
--- a/internal/platform/messages/archive.go
+++ b/internal/platform/messages/archive.go
@@ -27,37 +27,37 @@
 	Last int64 `msg:"l"`
 	// Day is the day of its writing, counted from 1970 by the writer's clock.
 	Day int64 `msg:"t"`
-	// Prints holds 8 bytes a version.
-	Prints []byte `msg:"p"`
+	// Fingerprints holds 8 bytes a version.
+	Fingerprints []byte `msg:"p"`
 }
 
-// ArchiveQuestion asks an acceptor about versions taken, beside a query.
-type ArchiveQuestion struct {
+// ArchiveRequest asks an acceptor about versions taken, beside a query.
+type ArchiveRequest struct {
 	// Head is the chain that the asker goes by.
 	Head ArchiveHead `msg:"h"`
 	// Generation and Print are of the version sought; zero for none.
-	Generation int64  `msg:"g"`
-	Print      uint64 `msg:"p"`
+	Generation  int64  `msg:"g"`
+	Fingerprint uint64 `msg:"p"`
 	// Pull wants the chunks after Held.
-	Pull bool   `msg:"w"`
-	Held uint64 `msg:"n"`
+	Pull      bool   `msg:"w"`
+	LastChunk uint64 `msg:"n"`
 }
 
-// ArchiveAnswer answers it.
-type ArchiveAnswer struct {
-	Sought Sought         `msg:"s"`
+// ArchiveResponse answers it.
+type ArchiveResponse struct {
+	Status VersionStatus  `msg:"s"`
 	Chunks []ArchiveChunk `msg:"c"`
 }
 
-// Sought says what an archive knows of a version.
-type Sought uint8
+// VersionStatus says what an archive knows of a version.
+type VersionStatus uint8
 
 // What it may know.
 const (
-	// SoughtUnknown: it holds another chain, or has forgotten versions that old.
-	SoughtUnknown Sought = iota
-	// SoughtTaken: the version was taken.
-	SoughtTaken
-	// SoughtNever: it never was.
-	SoughtNever
+	// VersionUnknown: it holds another chain, or has forgotten versions that old.
+	VersionUnknown VersionStatus = iota
+	// VersionCommitted: the version was taken.
+	VersionCommitted
+	// VersionNeverCommitted: it never was.
+	VersionNeverCommitted
 )
--- a/internal/platform/messages/archive_gen.go
+++ b/internal/platform/messages/archive_gen.go
@@ -6,94 +6,6 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// MarshalMsg implements msgp.Marshaler
-func (z *ArchiveAnswer) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "s"
-	o = append(o, 0x82, 0xa1, 0x73)
-	o = msgp.AppendUint8(o, uint8(z.Sought))
-	// string "c"
-	o = append(o, 0xa1, 0x63)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Chunks)))
-	for za0001 := range z.Chunks {
-		o, err = z.Chunks[za0001].MarshalMsg(o)
-		if err != nil {
-			err = msgp.WrapError(err, "Chunks", za0001)
-			return
-		}
-	}
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *ArchiveAnswer) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "s":
-			{
-				var zb0002 uint8
-				zb0002, bts, err = msgp.ReadUint8Bytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Sought")
-					return
-				}
-				z.Sought = Sought(zb0002)
-			}
-		case "c":
-			var zb0003 uint32
-			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Chunks")
-				return
-			}
-			if cap(z.Chunks) >= int(zb0003) {
-				z.Chunks = (z.Chunks)[:zb0003]
-			} else {
-				z.Chunks = make([]ArchiveChunk, zb0003)
-			}
-			for za0001 := range z.Chunks {
-				bts, err = z.Chunks[za0001].UnmarshalMsg(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Chunks", za0001)
-					return
-				}
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *ArchiveAnswer) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint8Size + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Chunks {
-		s += z.Chunks[za0001].Msgsize()
-	}
-	return
-}
-
 // MarshalMsg implements msgp.Marshaler
 func (z *ArchiveChunk) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -112,7 +24,7 @@
 	o = msgp.AppendInt64(o, z.Day)
 	// string "p"
 	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendBytes(o, z.Prints)
+	o = msgp.AppendBytes(o, z.Fingerprints)
 	return
 }
 
@@ -159,9 +71,9 @@
 				return
 			}
 		case "p":
-			z.Prints, bts, err = msgp.ReadBytesBytes(bts, z.Prints)
+			z.Fingerprints, bts, err = msgp.ReadBytesBytes(bts, z.Fingerprints)
 			if err != nil {
-				err = msgp.WrapError(err, "Prints")
+				err = msgp.WrapError(err, "Fingerprints")
 				return
 			}
 		default:
@@ -178,7 +90,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *ArchiveChunk) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize + (16 * (msgp.ByteSize)) + 2 + msgp.Int64Size + 2 + msgp.Int64Size + 2 + msgp.BytesPrefixSize + len(z.Prints)
+	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize + (16 * (msgp.ByteSize)) + 2 + msgp.Int64Size + 2 + msgp.Int64Size + 2 + msgp.BytesPrefixSize + len(z.Fingerprints)
 	return
 }
 
@@ -253,7 +165,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *ArchiveQuestion) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *ArchiveRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 5
 	// string "h"
@@ -268,18 +180,18 @@
 	o = msgp.AppendInt64(o, z.Generation)
 	// string "p"
 	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendUint64(o, z.Print)
+	o = msgp.AppendUint64(o, z.Fingerprint)
 	// string "w"
 	o = append(o, 0xa1, 0x77)
 	o = msgp.AppendBool(o, z.Pull)
 	// string "n"
 	o = append(o, 0xa1, 0x6e)
-	o = msgp.AppendUint64(o, z.Held)
+	o = msgp.AppendUint64(o, z.LastChunk)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *ArchiveQuestion) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *ArchiveRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -309,9 +221,9 @@
 				return
 			}
 		case "p":
-			z.Print, bts, err = msgp.ReadUint64Bytes(bts)
+			z.Fingerprint, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Print")
+				err = msgp.WrapError(err, "Fingerprint")
 				return
 			}
 		case "w":
@@ -321,9 +233,9 @@
 				return
 			}
 		case "n":
-			z.Held, bts, err = msgp.ReadUint64Bytes(bts)
+			z.LastChunk, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Held")
+				err = msgp.WrapError(err, "LastChunk")
 				return
 			}
 		default:
@@ -339,11 +251,99 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *ArchiveQuestion) Msgsize() (s int) {
+func (z *ArchiveRequest) Msgsize() (s int) {
 	s = 1 + 2 + z.Head.Msgsize() + 2 + msgp.Int64Size + 2 + msgp.Uint64Size + 2 + msgp.BoolSize + 2 + msgp.Uint64Size
 	return
 }
 
+// MarshalMsg implements msgp.Marshaler
+func (z *ArchiveResponse) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 2
+	// string "s"
+	o = append(o, 0x82, 0xa1, 0x73)
+	o = msgp.AppendUint8(o, uint8(z.Status))
+	// string "c"
+	o = append(o, 0xa1, 0x63)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Chunks)))
+	for za0001 := range z.Chunks {
+		o, err = z.Chunks[za0001].MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "Chunks", za0001)
+			return
+		}
+	}
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *ArchiveResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "s":
+			{
+				var zb0002 uint8
+				zb0002, bts, err = msgp.ReadUint8Bytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Status")
+					return
+				}
+				z.Status = VersionStatus(zb0002)
+			}
+		case "c":
+			var zb0003 uint32
+			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Chunks")
+				return
+			}
+			if cap(z.Chunks) >= int(zb0003) {
+				z.Chunks = (z.Chunks)[:zb0003]
+			} else {
+				z.Chunks = make([]ArchiveChunk, zb0003)
+			}
+			for za0001 := range z.Chunks {
+				bts, err = z.Chunks[za0001].UnmarshalMsg(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Chunks", za0001)
+					return
+				}
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *ArchiveResponse) Msgsize() (s int) {
+	s = 1 + 2 + msgp.Uint8Size + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.Chunks {
+		s += z.Chunks[za0001].Msgsize()
+	}
+	return
+}
+
 // MarshalMsg implements msgp.Marshaler
 func (z *ChainDigest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -369,14 +369,14 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Sought) MarshalMsg(b []byte) (o []byte, err error) {
+func (z VersionStatus) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	o = msgp.AppendUint8(o, uint8(z))
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Sought) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *VersionStatus) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	{
 		var zb0001 uint8
 		zb0001, bts, err = msgp.ReadUint8Bytes(bts)
@@ -384,14 +384,14 @@
 			err = msgp.WrapError(err)
 			return
 		}
-		(*z) = Sought(zb0001)
+		(*z) = VersionStatus(zb0001)
 	}
 	o = bts
 	return
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Sought) Msgsize() (s int) {
+func (z VersionStatus) Msgsize() (s int) {
 	s = msgp.Uint8Size
 	return
 }
--- a/internal/platform/messages/contact_gen.go
+++ b/internal/platform/messages/contact_gen.go
@@ -7,7 +7,7 @@
 )
 
 // MarshalMsg implements msgp.Marshaler
-func (z ContactAsk) MarshalMsg(b []byte) (o []byte, err error) {
+func (z ContactRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 1
 	// string "f"
@@ -17,7 +17,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *ContactAsk) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *ContactRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -53,13 +53,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z ContactAsk) Msgsize() (s int) {
+func (z ContactRequest) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.From)
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z ContactTold) MarshalMsg(b []byte) (o []byte, err error) {
+func (z ContactResponse) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 3
 	// string "d"
@@ -75,7 +75,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *ContactTold) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *ContactResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -123,13 +123,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z ContactTold) Msgsize() (s int) {
+func (z ContactResponse) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.Disk) + 2 + msgp.Uint64Size + 2 + msgp.Int64Size
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *WorkersKeep) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *WorkersPersistRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
 	// string "f"
@@ -149,7 +149,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *WorkersKeep) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *WorkersPersistRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -204,7 +204,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *WorkersKeep) Msgsize() (s int) {
+func (z *WorkersPersistRequest) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Workers {
 		s += z.Workers[za0001].Msgsize()
@@ -213,7 +213,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z WorkersRecall) MarshalMsg(b []byte) (o []byte, err error) {
+func (z WorkersRecoverRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 1
 	// string "f"
@@ -223,7 +223,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *WorkersRecall) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *WorkersRecoverRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -259,18 +259,18 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z WorkersRecall) Msgsize() (s int) {
+func (z WorkersRecoverRequest) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.From)
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *WorkersRecalled) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *WorkersRecoverResponse) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 4
 	// string "v"
 	o = append(o, 0x84, 0xa1, 0x76)
-	o = msgp.AppendBool(o, z.Vouching)
+	o = msgp.AppendBool(o, z.Authoritative)
 	// string "d"
 	o = append(o, 0xa1, 0x64)
 	o = msgp.AppendString(o, z.Disk)
@@ -291,7 +291,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *WorkersRecalled) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *WorkersRecoverResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -309,9 +309,9 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "v":
-			z.Vouching, bts, err = msgp.ReadBoolBytes(bts)
+			z.Authoritative, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Vouching")
+				err = msgp.WrapError(err, "Authoritative")
 				return
 			}
 		case "d":
@@ -358,7 +358,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *WorkersRecalled) Msgsize() (s int) {
+func (z *WorkersRecoverResponse) Msgsize() (s int) {
 	s = 1 + 2 + msgp.BoolSize + 2 + msgp.StringPrefixSize + len(z.Disk) + 2 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Workers {
 		s += z.Workers[za0001].Msgsize()
--- a/internal/platform/messages/dispatch_gen.go
+++ b/internal/platform/messages/dispatch_gen.go
@@ -7,15 +7,15 @@
 )
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Acknowledge) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *AcknowledgeRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 8
 	// string "d"
 	o = append(o, 0x88, 0xa1, 0x64)
-	o = msgp.AppendString(o, z.Driver)
+	o = msgp.AppendString(o, z.Executor)
 	// string "l"
 	o = append(o, 0xa1, 0x6c)
-	o = msgp.AppendInt64(o, z.Life)
+	o = msgp.AppendInt64(o, z.Incarnation)
 	// string "a"
 	o = append(o, 0xa1, 0x61)
 	o = msgp.AppendString(o, z.Address)
@@ -34,10 +34,10 @@
 	o = msgp.AppendString(o, z.Zone)
 	// string "k"
 	o = append(o, 0xa1, 0x6b)
-	o = msgp.AppendUint64(o, z.Known)
+	o = msgp.AppendUint64(o, z.KnownVersion)
 	// string "g"
 	o = append(o, 0xa1, 0x67)
-	o = msgp.AppendBool(o, z.Leaving)
+	o = msgp.AppendBool(o, z.Draining)
 	// string "p"
 	o = append(o, 0xa1, 0x70)
 	o = msgp.AppendUint64(o, z.Epoch)
@@ -45,7 +45,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Acknowledge) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *AcknowledgeRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -63,15 +63,15 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "d":
-			z.Driver, bts, err = msgp.ReadStringBytes(bts)
+			z.Executor, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Driver")
+				err = msgp.WrapError(err, "Executor")
 				return
 			}
 		case "l":
-			z.Life, bts, err = msgp.ReadInt64Bytes(bts)
+			z.Incarnation, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Life")
+				err = msgp.WrapError(err, "Incarnation")
 				return
 			}
 		case "a":
@@ -106,15 +106,15 @@
 				return
 			}
 		case "k":
-			z.Known, bts, err = msgp.ReadUint64Bytes(bts)
+			z.KnownVersion, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Known")
+				err = msgp.WrapError(err, "KnownVersion")
 				return
 			}
 		case "g":
-			z.Leaving, bts, err = msgp.ReadBoolBytes(bts)
+			z.Draining, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Leaving")
+				err = msgp.WrapError(err, "Draining")
 				return
 			}
 		case "p":
@@ -136,8 +136,8 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Acknowledge) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Driver) + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.Address) + 2 + msgp.ArrayHeaderSize
+func (z *AcknowledgeRequest) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Executor) + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.Address) + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Entries {
 		s += z.Entries[za0001].Msgsize()
 	}
@@ -146,15 +146,15 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Acknowledged) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *AcknowledgeResponse) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 5
 	// string "e"
 	o = append(o, 0x85, 0xa1, 0x65)
-	o = msgp.AppendBool(o, z.Elsewhere)
+	o = msgp.AppendBool(o, z.NotLeader)
 	// string "h"
 	o = append(o, 0xa1, 0x68)
-	o = msgp.AppendString(o, z.Holder)
+	o = msgp.AppendString(o, z.Leader)
 	// string "v"
 	o = append(o, 0xa1, 0x76)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Verdicts)))
@@ -170,21 +170,21 @@
 	o = msgp.AppendUint64(o, z.Version)
 	// string "d"
 	o = append(o, 0xa1, 0x64)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Drivers)))
-	for za0002 := range z.Drivers {
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Executors)))
+	for za0002 := range z.Executors {
 		// map header, size 2
 		// string "n"
 		o = append(o, 0x82, 0xa1, 0x6e)
-		o = msgp.AppendString(o, z.Drivers[za0002].Name)
+		o = msgp.AppendString(o, z.Executors[za0002].Name)
 		// string "h"
 		o = append(o, 0xa1, 0x68)
-		o = msgp.AppendString(o, z.Drivers[za0002].Zone)
+		o = msgp.AppendString(o, z.Executors[za0002].Zone)
 	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Acknowledged) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *AcknowledgeResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -202,15 +202,15 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "e":
-			z.Elsewhere, bts, err = msgp.ReadBoolBytes(bts)
+			z.NotLeader, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Elsewhere")
+				err = msgp.WrapError(err, "NotLeader")
 				return
 			}
 		case "h":
-			z.Holder, bts, err = msgp.ReadStringBytes(bts)
+			z.Leader, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Holder")
+				err = msgp.WrapError(err, "Leader")
 				return
 			}
 		case "v":
@@ -242,45 +242,45 @@
 			var zb0003 uint32
 			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Drivers")
+				err = msgp.WrapError(err, "Executors")
 				return
 			}
-			if cap(z.Drivers) >= int(zb0003) {
-				z.Drivers = (z.Drivers)[:zb0003]
+			if cap(z.Executors) >= int(zb0003) {
+				z.Executors = (z.Executors)[:zb0003]
 			} else {
-				z.Drivers = make([]DriverAt, zb0003)
+				z.Executors = make([]ExecutorInfo, zb0003)
 			}
-			for za0002 := range z.Drivers {
+			for za0002 := range z.Executors {
 				var zb0004 uint32
 				zb0004, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Drivers", za0002)
+					err = msgp.WrapError(err, "Executors", za0002)
 					return
 				}
 				for zb0004 > 0 {
 					zb0004--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Drivers", za0002)
+						err = msgp.WrapError(err, "Executors", za0002)
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "n":
-						z.Drivers[za0002].Name, bts, err = msgp.ReadStringBytes(bts)
+						z.Executors[za0002].Name, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Drivers", za0002, "Name")
+							err = msgp.WrapError(err, "Executors", za0002, "Name")
 							return
 						}
 					case "h":
-						z.Drivers[za0002].Zone, bts, err = msgp.ReadStringBytes(bts)
+						z.Executors[za0002].Zone, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Drivers", za0002, "Zone")
+							err = msgp.WrapError(err, "Executors", za0002, "Zone")
 							return
 						}
 					default:
 						bts, err = msgp.Skip(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Drivers", za0002)
+							err = msgp.WrapError(err, "Executors", za0002)
 							return
 						}
 					}
@@ -299,14 +299,14 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Acknowledged) Msgsize() (s int) {
-	s = 1 + 2 + msgp.BoolSize + 2 + msgp.StringPrefixSize + len(z.Holder) + 2 + msgp.ArrayHeaderSize
+func (z *AcknowledgeResponse) Msgsize() (s int) {
+	s = 1 + 2 + msgp.BoolSize + 2 + msgp.StringPrefixSize + len(z.Leader) + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Verdicts {
 		s += z.Verdicts[za0001].Msgsize()
 	}
 	s += 2 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize
-	for za0002 := range z.Drivers {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.Drivers[za0002].Name) + 2 + msgp.StringPrefixSize + len(z.Drivers[za0002].Zone)
+	for za0002 := range z.Executors {
+		s += 1 + 2 + msgp.StringPrefixSize + len(z.Executors[za0002].Name) + 2 + msgp.StringPrefixSize + len(z.Executors[za0002].Zone)
 	}
 	return
 }
@@ -327,21 +327,21 @@
 	}
 	// string "l"
 	o = append(o, 0xa1, 0x6c)
-	o = msgp.AppendString(o, z.Lot)
+	o = msgp.AppendString(o, z.Job)
 	// string "i"
 	o = append(o, 0xa1, 0x69)
 	o = msgp.AppendString(o, z.Item)
 	// string "t"
 	o = append(o, 0xa1, 0x74)
-	o = msgp.AppendBytes(o, z.Text)
+	o = msgp.AppendBytes(o, z.Output)
 	// string "z"
 	o = append(o, 0xa1, 0x7a)
-	o = msgp.AppendBool(o, z.Packed)
+	o = msgp.AppendBool(o, z.Compressed)
 	// string "g"
 	o = append(o, 0xa1, 0x67)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Pieces)))
-	for za0001 := range z.Pieces {
-		o = msgp.AppendBytes(o, z.Pieces[za0001])
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Events)))
+	for za0001 := range z.Events {
+		o = msgp.AppendBytes(o, z.Events[za0001])
 	}
 	// string "e"
 	o = append(o, 0xa1, 0x65)
@@ -351,10 +351,10 @@
 	o = msgp.AppendBool(o, z.Failed)
 	// string "y"
 	o = append(o, 0xa1, 0x79)
-	o = msgp.AppendBool(o, z.Displaced)
+	o = msgp.AppendBool(o, z.Preempted)
 	// string "u"
 	o = append(o, 0xa1, 0x75)
-	o = msgp.AppendBool(o, z.Unbegun)
+	o = msgp.AppendBool(o, z.NotStarted)
 	return
 }
 
@@ -389,9 +389,9 @@
 				return
 			}
 		case "l":
-			z.Lot, bts, err = msgp.ReadStringBytes(bts)
+			z.Job, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Lot")
+				err = msgp.WrapError(err, "Job")
 				return
 			}
 		case "i":
@@ -401,33 +401,33 @@
 				return
 			}
 		case "t":
-			z.Text, bts, err = msgp.ReadBytesBytes(bts, z.Text)
+			z.Output, bts, err = msgp.ReadBytesBytes(bts, z.Output)
 			if err != nil {
-				err = msgp.WrapError(err, "Text")
+				err = msgp.WrapError(err, "Output")
 				return
 			}
 		case "z":
-			z.Packed, bts, err = msgp.ReadBoolBytes(bts)
+			z.Compressed, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Packed")
+				err = msgp.WrapError(err, "Compressed")
 				return
 			}
 		case "g":
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Pieces")
+				err = msgp.WrapError(err, "Events")
 				return
 			}
-			if cap(z.Pieces) >= int(zb0002) {
-				z.Pieces = (z.Pieces)[:zb0002]
+			if cap(z.Events) >= int(zb0002) {
+				z.Events = (z.Events)[:zb0002]
 			} else {
-				z.Pieces = make([][]byte, zb0002)
+				z.Events = make([][]byte, zb0002)
 			}
-			for za0001 := range z.Pieces {
-				z.Pieces[za0001], bts, err = msgp.ReadBytesBytes(bts, z.Pieces[za0001])
+			for za0001 := range z.Events {
+				z.Events[za0001], bts, err = msgp.ReadBytesBytes(bts, z.Events[za0001])
 				if err != nil {
-					err = msgp.WrapError(err, "Pieces", za0001)
+					err = msgp.WrapError(err, "Events", za0001)
 					return
 				}
 			}
@@ -444,15 +444,15 @@
 				return
 			}
 		case "y":
-			z.Displaced, bts, err = msgp.ReadBoolBytes(bts)
+			z.Preempted, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Displaced")
+				err = msgp.WrapError(err, "Preempted")
 				return
 			}
 		case "u":
-			z.Unbegun, bts, err = msgp.ReadBoolBytes(bts)
+			z.NotStarted, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Unbegun")
+				err = msgp.WrapError(err, "NotStarted")
 				return
 			}
 		default:
@@ -469,53 +469,53 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Acknowledgement) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + z.Kind.Msgsize() + 2 + msgp.StringPrefixSize + len(z.Lot) + 2 + msgp.StringPrefixSize + len(z.Item) + 2 + msgp.BytesPrefixSize + len(z.Text) + 2 + msgp.BoolSize + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Pieces {
-		s += msgp.BytesPrefixSize + len(z.Pieces[za0001])
+	s = 1 + 2 + msgp.Uint64Size + 2 + z.Kind.Msgsize() + 2 + msgp.StringPrefixSize + len(z.Job) + 2 + msgp.StringPrefixSize + len(z.Item) + 2 + msgp.BytesPrefixSize + len(z.Output) + 2 + msgp.BoolSize + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.Events {
+		s += msgp.BytesPrefixSize + len(z.Events[za0001])
 	}
 	s += 2 + msgp.Int64Size + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + msgp.BoolSize
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Acquire) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *AcquireRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 7
 	// string "d"
 	o = append(o, 0x87, 0xa1, 0x64)
-	o = msgp.AppendString(o, z.Driver)
+	o = msgp.AppendString(o, z.Executor)
 	// string "l"
 	o = append(o, 0xa1, 0x6c)
-	o = msgp.AppendInt64(o, z.Life)
+	o = msgp.AppendInt64(o, z.Incarnation)
 	// string "a"
 	o = append(o, 0xa1, 0x61)
 	o = msgp.AppendString(o, z.Address)
 	// string "r"
 	o = append(o, 0xa1, 0x72)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Room)))
-	for za0001 := range z.Room {
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Capacity)))
+	for za0001 := range z.Capacity {
 		// map header, size 2
 		// string "s"
 		o = append(o, 0x82, 0xa1, 0x73)
-		o = msgp.AppendString(o, z.Room[za0001].Service)
+		o = msgp.AppendString(o, z.Capacity[za0001].Service)
 		// string "c"
 		o = append(o, 0xa1, 0x63)
-		o = msgp.AppendInt(o, z.Room[za0001].Count)
+		o = msgp.AppendInt(o, z.Capacity[za0001].Count)
 	}
 	// string "h"
 	o = append(o, 0xa1, 0x68)
-	o = msgp.AppendInt(o, z.HoldMs)
+	o = msgp.AppendInt(o, z.WaitMs)
 	// string "z"
 	o = append(o, 0xa1, 0x7a)
 	o = msgp.AppendString(o, z.Zone)
 	// string "k"
 	o = append(o, 0xa1, 0x6b)
-	o = msgp.AppendUint64(o, z.Known)
+	o = msgp.AppendUint64(o, z.KnownVersion)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Acquire) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *AcquireRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -533,15 +533,15 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "d":
-			z.Driver, bts, err = msgp.ReadStringBytes(bts)
+			z.Executor, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Driver")
+				err = msgp.WrapError(err, "Executor")
 				return
 			}
 		case "l":
-			z.Life, bts, err = msgp.ReadInt64Bytes(bts)
+			z.Incarnation, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Life")
+				err = msgp.WrapError(err, "Incarnation")
 				return
 			}
 		case "a":
@@ -554,54 +554,54 @@
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Room")
+				err = msgp.WrapError(err, "Capacity")
 				return
 			}
-			if cap(z.Room) >= int(zb0002) {
-				z.Room = (z.Room)[:zb0002]
+			if cap(z.Capacity) >= int(zb0002) {
+				z.Capacity = (z.Capacity)[:zb0002]
 			} else {
-				z.Room = make([]ServiceRoom, zb0002)
+				z.Capacity = make([]ServiceCapacity, zb0002)
 			}
-			for za0001 := range z.Room {
+			for za0001 := range z.Capacity {
 				var zb0003 uint32
 				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Room", za0001)
+					err = msgp.WrapError(err, "Capacity", za0001)
 					return
 				}
 				for zb0003 > 0 {
 					zb0003--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Room", za0001)
+						err = msgp.WrapError(err, "Capacity", za0001)
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "s":
-						z.Room[za0001].Service, bts, err = msgp.ReadStringBytes(bts)
+						z.Capacity[za0001].Service, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Room", za0001, "Service")
+							err = msgp.WrapError(err, "Capacity", za0001, "Service")
 							return
 						}
 					case "c":
-						z.Room[za0001].Count, bts, err = msgp.ReadIntBytes(bts)
+						z.Capacity[za0001].Count, bts, err = msgp.ReadIntBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Room", za0001, "Count")
+							err = msgp.WrapError(err, "Capacity", za0001, "Count")
 							return
 						}
 					default:
 						bts, err = msgp.Skip(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Room", za0001)
+							err = msgp.WrapError(err, "Capacity", za0001)
 							return
 						}
 					}
 				}
 			}
 		case "h":
-			z.HoldMs, bts, err = msgp.ReadIntBytes(bts)
+			z.WaitMs, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "HoldMs")
+				err = msgp.WrapError(err, "WaitMs")
 				return
 			}
 		case "z":
@@ -611,9 +611,9 @@
 				return
 			}
 		case "k":
-			z.Known, bts, err = msgp.ReadUint64Bytes(bts)
+			z.KnownVersion, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Known")
+				err = msgp.WrapError(err, "KnownVersion")
 				return
 			}
 		default:
@@ -629,28 +629,28 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Acquire) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Driver) + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.Address) + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Room {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.Room[za0001].Service) + 2 + msgp.IntSize
+func (z *AcquireRequest) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Executor) + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.Address) + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.Capacity {
+		s += 1 + 2 + msgp.StringPrefixSize + len(z.Capacity[za0001].Service) + 2 + msgp.IntSize
 	}
 	s += 2 + msgp.IntSize + 2 + msgp.StringPrefixSize + len(z.Zone) + 2 + msgp.Uint64Size
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Acquired) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *AcquireResponse) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 7
 	// string "e"
 	o = append(o, 0x87, 0xa1, 0x65)
-	o = msgp.AppendBool(o, z.Elsewhere)
+	o = msgp.AppendBool(o, z.NotLeader)
 	// string "h"
 	o = append(o, 0xa1, 0x68)
-	o = msgp.AppendString(o, z.Holder)
+	o = msgp.AppendString(o, z.Leader)
 	// string "w"
 	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendFloat64(o, z.HeldMs)
+	o = msgp.AppendFloat64(o, z.WaitedMs)
 	// string "k"
 	o = append(o, 0xa1, 0x6b)
 	o = msgp.AppendFloat64(o, z.LockMs)
@@ -669,21 +669,21 @@
 	o = msgp.AppendUint64(o, z.Version)
 	// string "d"
 	o = append(o, 0xa1, 0x64)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Drivers)))
-	for za0002 := range z.Drivers {
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Executors)))
+	for za0002 := range z.Executors {
 		// map header, size 2
 		// string "n"
 		o = append(o, 0x82, 0xa1, 0x6e)
-		o = msgp.AppendString(o, z.Drivers[za0002].Name)
+		o = msgp.AppendString(o, z.Executors[za0002].Name)
 		// string "h"
 		o = append(o, 0xa1, 0x68)
-		o = msgp.AppendString(o, z.Drivers[za0002].Zone)
+		o = msgp.AppendString(o, z.Executors[za0002].Zone)
 	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Acquired) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *AcquireResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -701,21 +701,21 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "e":
-			z.Elsewhere, bts, err = msgp.ReadBoolBytes(bts)
+			z.NotLeader, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Elsewhere")
+				err = msgp.WrapError(err, "NotLeader")
 				return
 			}
 		case "h":
-			z.Holder, bts, err = msgp.ReadStringBytes(bts)
+			z.Leader, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Holder")
+				err = msgp.WrapError(err, "Leader")
 				return
 			}
 		case "w":
-			z.HeldMs, bts, err = msgp.ReadFloat64Bytes(bts)
+			z.WaitedMs, bts, err = msgp.ReadFloat64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "HeldMs")
+				err = msgp.WrapError(err, "WaitedMs")
 				return
 			}
 		case "k":
@@ -753,45 +753,45 @@
 			var zb0003 uint32
 			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Drivers")
+				err = msgp.WrapError(err, "Executors")
 				return
 			}
-			if cap(z.Drivers) >= int(zb0003) {
-				z.Drivers = (z.Drivers)[:zb0003]
+			if cap(z.Executors) >= int(zb0003) {
+				z.Executors = (z.Executors)[:zb0003]
 			} else {
-				z.Drivers = make([]DriverAt, zb0003)
+				z.Executors = make([]ExecutorInfo, zb0003)
 			}
-			for za0002 := range z.Drivers {
+			for za0002 := range z.Executors {
 				var zb0004 uint32
 				zb0004, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Drivers", za0002)
+					err = msgp.WrapError(err, "Executors", za0002)
 					return
 				}
 				for zb0004 > 0 {
 					zb0004--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Drivers", za0002)
+						err = msgp.WrapError(err, "Executors", za0002)
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "n":
-						z.Drivers[za0002].Name, bts, err = msgp.ReadStringBytes(bts)
+						z.Executors[za0002].Name, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Drivers", za0002, "Name")
+							err = msgp.WrapError(err, "Executors", za0002, "Name")
 							return
 						}
 					case "h":
-						z.Drivers[za0002].Zone, bts, err = msgp.ReadStringBytes(bts)
+						z.Executors[za0002].Zone, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Drivers", za0002, "Zone")
+							err = msgp.WrapError(err, "Executors", za0002, "Zone")
 							return
 						}
 					default:
 						bts, err = msgp.Skip(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Drivers", za0002)
+							err = msgp.WrapError(err, "Executors", za0002)
 							return
 						}
 					}
@@ -810,14 +810,14 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Acquired) Msgsize() (s int) {
-	s = 1 + 2 + msgp.BoolSize + 2 + msgp.StringPrefixSize + len(z.Holder) + 2 + msgp.Float64Size + 2 + msgp.Float64Size + 2 + msgp.ArrayHeaderSize
+func (z *AcquireResponse) Msgsize() (s int) {
+	s = 1 + 2 + msgp.BoolSize + 2 + msgp.StringPrefixSize + len(z.Leader) + 2 + msgp.Float64Size + 2 + msgp.Float64Size + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Items {
 		s += z.Items[za0001].Msgsize()
 	}
 	s += 2 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize
-	for za0002 := range z.Drivers {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.Drivers[za0002].Name) + 2 + msgp.StringPrefixSize + len(z.Drivers[za0002].Zone)
+	for za0002 := range z.Executors {
+		s += 1 + 2 + msgp.StringPrefixSize + len(z.Executors[za0002].Name) + 2 + msgp.StringPrefixSize + len(z.Executors[za0002].Zone)
 	}
 	return
 }
@@ -831,7 +831,7 @@
 	o = msgp.AppendUint64(o, z.Number)
 	// string "l"
 	o = append(o, 0xa1, 0x6c)
-	o = msgp.AppendString(o, z.Lot)
+	o = msgp.AppendString(o, z.Job)
 	// string "h"
 	o = append(o, 0xa1, 0x68)
 	o = msgp.AppendString(o, z.Host)
@@ -840,7 +840,7 @@
 	o = msgp.AppendString(o, z.Path)
 	// string "t"
 	o = append(o, 0xa1, 0x74)
-	o = msgp.AppendInt64(o, z.SentMs)
+	o = msgp.AppendInt64(o, z.SubmittedMs)
 	// string "i"
 	o = append(o, 0xa1, 0x69)
 	o, err = z.Item.MarshalMsg(o)
@@ -853,13 +853,13 @@
 	o = msgp.AppendInt64(o, z.LastID)
 	// string "g"
 	o = append(o, 0xa1, 0x67)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Pieces)))
-	for za0001 := range z.Pieces {
-		o = msgp.AppendBytes(o, z.Pieces[za0001])
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Events)))
+	for za0001 := range z.Events {
+		o = msgp.AppendBytes(o, z.Events[za0001])
 	}
 	// string "y"
 	o = append(o, 0xa1, 0x79)
-	o = msgp.AppendInt(o, z.Displaced)
+	o = msgp.AppendInt(o, z.Preempted)
 	// string "o"
 	o = append(o, 0xa1, 0x6f)
 	o = msgp.AppendBool(o, z.Owed)
@@ -891,9 +891,9 @@
 				return
 			}
 		case "l":
-			z.Lot, bts, err = msgp.ReadStringBytes(bts)
+			z.Job, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Lot")
+				err = msgp.WrapError(err, "Job")
 				return
 			}
 		case "h":
@@ -909,9 +909,9 @@
 				return
 			}
 		case "t":
-			z.SentMs, bts, err = msgp.ReadInt64Bytes(bts)
+			z.SubmittedMs, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "SentMs")
+				err = msgp.WrapError(err, "SubmittedMs")
 				return
 			}
 		case "i":
@@ -930,25 +930,25 @@
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Pieces")
+				err = msgp.WrapError(err, "Events")
 				return
 			}
-			if cap(z.Pieces) >= int(zb0002) {
-				z.Pieces = (z.Pieces)[:zb0002]
+			if cap(z.Events) >= int(zb0002) {
+				z.Events = (z.Events)[:zb0002]
 			} else {
-				z.Pieces = make([][]byte, zb0002)
+				z.Events = make([][]byte, zb0002)
 			}
-			for za0001 := range z.Pieces {
-				z.Pieces[za0001], bts, err = msgp.ReadBytesBytes(bts, z.Pieces[za0001])
+			for za0001 := range z.Events {
+				z.Events[za0001], bts, err = msgp.ReadBytesBytes(bts, z.Events[za0001])
 				if err != nil {
-					err = msgp.WrapError(err, "Pieces", za0001)
+					err = msgp.WrapError(err, "Events", za0001)
 					return
 				}
 			}
 		case "y":
-			z.Displaced, bts, err = msgp.ReadIntBytes(bts)
+			z.Preempted, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Displaced")
+				err = msgp.WrapError(err, "Preempted")
 				return
 			}
 		case "o":
@@ -971,16 +971,16 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *AcquiredItem) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Lot) + 2 + msgp.StringPrefixSize + len(z.Host) + 2 + msgp.StringPrefixSize + len(z.Path) + 2 + msgp.Int64Size + 2 + z.Item.Msgsize() + 2 + msgp.Int64Size + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Pieces {
-		s += msgp.BytesPrefixSize + len(z.Pieces[za0001])
+	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Job) + 2 + msgp.StringPrefixSize + len(z.Host) + 2 + msgp.StringPrefixSize + len(z.Path) + 2 + msgp.Int64Size + 2 + z.Item.Msgsize() + 2 + msgp.Int64Size + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.Events {
+		s += msgp.BytesPrefixSize + len(z.Events[za0001])
 	}
 	s += 2 + msgp.IntSize + 2 + msgp.BoolSize
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z DriverAt) MarshalMsg(b []byte) (o []byte, err error) {
+func (z ExecutorInfo) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
 	// string "n"
@@ -993,7 +993,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *DriverAt) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *ExecutorInfo) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1035,13 +1035,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z DriverAt) Msgsize() (s int) {
+func (z ExecutorInfo) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.StringPrefixSize + len(z.Zone)
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z ServiceRoom) MarshalMsg(b []byte) (o []byte, err error) {
+func (z ServiceCapacity) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
 	// string "s"
@@ -1054,7 +1054,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *ServiceRoom) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *ServiceCapacity) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1096,23 +1096,23 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z ServiceRoom) Msgsize() (s int) {
+func (z ServiceCapacity) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.Service) + 2 + msgp.IntSize
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z StopRuns) MarshalMsg(b []byte) (o []byte, err error) {
+func (z StopJobRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 1
 	// string "l"
 	o = append(o, 0x81, 0xa1, 0x6c)
-	o = msgp.AppendString(o, z.Lot)
+	o = msgp.AppendString(o, z.Job)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *StopRuns) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *StopJobRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1130,9 +1130,9 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "l":
-			z.Lot, bts, err = msgp.ReadStringBytes(bts)
+			z.Job, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Lot")
+				err = msgp.WrapError(err, "Job")
 				return
 			}
 		default:
@@ -1148,7 +1148,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z StopRuns) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Lot)
+func (z StopJobRequest) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Job)
 	return
 }
--- a/internal/platform/messages/gossip.go
+++ b/internal/platform/messages/gossip.go
@@ -24,54 +24,54 @@
 
 // The trust that a load word tells, always the speaker's own evidence.
 const (
-	TrustNone    = 255
-	TrustSuspect = 0
+	HealthUnknown = 255
+	HealthSuspect = 0
 )
 
-// LoadWord is one observation of a worker. It needs no origin: of two words on one
+// LoadSample is one observation of a worker. It needs no origin: of two words on one
 // worker the younger counts.
-type LoadWord struct {
-	// Name is the hash of the worker's id.
-	Name uint32
+type LoadSample struct {
+	// WorkerHash is the hash of the worker's id.
+	WorkerHash uint32
 	// Running is how many requests of all callers were there.
 	Running int
 	// AgeMs is how long ago the worker said so; it travels with the word.
 	AgeMs int64
-	// Trust is the speaker's own evidence, never passed on.
-	Trust uint8
+	// Health is the speaker's own evidence, never passed on.
+	Health uint8
 }
 
-// WorkerName is the short name of a worker in packed words.
-func WorkerName(worker string) uint32 {
+// WorkerHash is the short name of a worker in packed words.
+func WorkerHash(worker string) uint32 {
 	sum := fnv.New32a()
 	sum.Write([]byte(worker))
 	return sum.Sum32()
 }
 
-// agedByte rounds an age up: no word may seem younger than it is.
-func agedByte(milliseconds int64) byte {
+// ageByte rounds an age up: no word may seem younger than it is.
+func ageByte(milliseconds int64) byte {
 	return byte(min(max((milliseconds+AgeUnitMs-1)/AgeUnitMs, 0), 255))
 }
 
 // AppendLoad adds a word to a list.
-func AppendLoad(list []byte, word LoadWord) []byte {
+func AppendLoad(list []byte, word LoadSample) []byte {
 	if len(list) == 0 {
 		list = append(list, loadBytes)
 	}
-	list = binary.BigEndian.AppendUint32(list, word.Name)
-	return append(list, byte(min(max(word.Running, 0), RunningUnknown)), agedByte(word.AgeMs), word.Trust)
+	list = binary.BigEndian.AppendUint32(list, word.WorkerHash)
+	return append(list, byte(min(max(word.Running, 0), RunningUnknown)), ageByte(word.AgeMs), word.Health)
 }
 
-// Loads reads a list; one that is cut short gives what is whole.
-func Loads(list []byte) []LoadWord {
+// ParseLoads reads a list; one that is cut short gives what is whole.
+func ParseLoads(list []byte) []LoadSample {
 	if len(list) == 0 || list[0] < loadBytes {
 		return nil
 	}
 	size, list := int(list[0]), list[1:]
-	words := make([]LoadWord, 0, len(list)/size)
+	words := make([]LoadSample, 0, len(list)/size)
 	for ; len(list) >= size; list = list[size:] {
-		words = append(words, LoadWord{Name: binary.BigEndian.Uint32(list), Running: int(list[4]),
-			AgeMs: int64(list[5]) * AgeUnitMs, Trust: list[6]})
+		words = append(words, LoadSample{WorkerHash: binary.BigEndian.Uint32(list), Running: int(list[4]),
+			AgeMs: int64(list[5]) * AgeUnitMs, Health: list[6]})
 	}
 	return words
 }
@@ -87,14 +87,14 @@
 	}
 	list = append(list, byte(parts))
 	list = append(list, word.Path...)
-	list = binary.BigEndian.AppendUint32(list, WorkerName(word.Worker))
+	list = binary.BigEndian.AppendUint32(list, WorkerHash(word.Worker))
 	list = binary.BigEndian.AppendUint16(list, uint16(min(word.Tokens/tokenUnit, 1<<16-1)))
-	list = append(list, byte(min(max(word.Chance, 0), 1)*255), agedByte(word.WordMs))
+	list = append(list, byte(min(max(word.Probability, 0), 1)*255), ageByte(word.SampleAgeMs))
 	return binary.BigEndian.AppendUint16(list, uint16(min((word.AgeMs+AgeUnitMs-1)/AgeUnitMs, 1<<16-1)))
 }
 
-// Prefixes reads a list; name gives the worker of a short name, or nothing.
-func Prefixes(list []byte, name func(uint32) string) []Residency {
+// ParsePrefixes reads a list; name gives the worker of a short name, or nothing.
+func ParsePrefixes(list []byte, name func(uint32) string) []Residency {
 	if len(list) == 0 || list[0] < prefixBytes {
 		return nil
 	}
@@ -108,8 +108,8 @@
 		path, fixed := list[1:1+8*parts], list[1+8*parts:]
 		if worker := name(binary.BigEndian.Uint32(fixed)); worker != "" {
 			words = append(words, Residency{Path: append([]byte(nil), path...), Worker: worker,
-				Tokens: int(binary.BigEndian.Uint16(fixed[4:])) * tokenUnit, Chance: float32(fixed[6]) / 255,
-				WordMs: int64(fixed[7]) * AgeUnitMs, AgeMs: int64(binary.BigEndian.Uint16(fixed[8:])) * AgeUnitMs})
+				Tokens: int(binary.BigEndian.Uint16(fixed[4:])) * tokenUnit, Probability: float32(fixed[6]) / 255,
+				SampleAgeMs: int64(fixed[7]) * AgeUnitMs, AgeMs: int64(binary.BigEndian.Uint16(fixed[8:])) * AgeUnitMs})
 		}
 		list = fixed[size:]
 	}
--- a/internal/platform/messages/kinds.go
+++ b/internal/platform/messages/kinds.go
@@ -20,29 +20,29 @@
 	KindShuffle
 	KindPrepare
 	KindAccept
-	KindAsk
+	KindLease
 	KindConfigPush
 	KindConfigPull
-	KindRosterPush
-	KindRosterPull
+	KindWorkersUpdate
+	KindWorkersPull
 	KindGossip
-	KindLotCall
-	KindRaise
+	KindJobCall
+	KindFence
 	KindAppend
 	KindFetch
-	KindHolderTold
+	KindLeaderAnnouncement
 	KindStatus
 	KindRegisterRead
-	KindDutyChange
+	KindRegisterChange
 	KindPressure
-	KindReading
-	KindControllerBeat
+	KindPrefill
+	KindControllerHeartbeat
 	KindDirectoryPull
 	KindRelay
 	KindRelayWait
 	KindAcquire
 	KindAcknowledge
-	KindStopRuns
+	KindStopJob
 	KindNamedPrepare
 	KindNamedAccept
 	KindNamedRead
@@ -50,8 +50,8 @@
 	KindPlanApply
 	KindCopy
 	KindContact
-	KindWorkersKeep
-	KindWorkersRecall
+	KindWorkersPersist
+	KindWorkersRecover
 )
 
 // Phase is a worker's phase.
@@ -61,7 +61,7 @@
 const (
 	PhaseSteady Phase = iota
 	PhaseDraining
-	PhaseGone
+	PhaseDeparted
 )
 
 // RecordKind names a record of lots.
@@ -69,17 +69,17 @@
 
 // The record kinds.
 const (
-	RecordNothing RecordKind = iota
-	RecordLot
+	RecordNoop RecordKind = iota
+	RecordJob
 	RecordOutput
-	RecordEnd
+	RecordJobEnd
 	RecordForget
-	// RecordErr: an acquisition of an item ended with a 500, which counts.
-	RecordErr
-	// RecordDriver: a driver's life may hold acquisitions of this epoch.
-	RecordDriver
-	// RecordSure: no acquisition of an earlier epoch stands that was not adopted.
-	RecordSure
+	// RecordItemError: an acquisition of an item ended with a 500, which counts.
+	RecordItemError
+	// RecordExecutor: a driver's life may hold acquisitions of this epoch.
+	RecordExecutor
+	// RecordAcquisitionsKnown: no acquisition of an earlier epoch stands that was not adopted.
+	RecordAcquisitionsKnown
 )
 
 // RouteKind says what may be repeated.
@@ -111,8 +111,8 @@
 const (
 	// AckUnknown: nothing is known; the driver repeats it.
 	AckUnknown AckVerdict = iota
-	// AckTaken: recorded, durably where it has to be.
-	AckTaken
+	// AckRecorded: recorded, durably where it has to be.
+	AckRecorded
 	// AckRenewed: the lock runs anew.
 	AckRenewed
 	// AckStopped: the acquisition is over; the run must stop.
--- a/internal/platform/messages/kinds_string.go
+++ b/internal/platform/messages/kinds_string.go
@@ -12,29 +12,29 @@
 	_ = x[KindShuffle-1]
 	_ = x[KindPrepare-2]
 	_ = x[KindAccept-3]
-	_ = x[KindAsk-4]
+	_ = x[KindLease-4]
 	_ = x[KindConfigPush-5]
 	_ = x[KindConfigPull-6]
-	_ = x[KindRosterPush-7]
-	_ = x[KindRosterPull-8]
+	_ = x[KindWorkersUpdate-7]
+	_ = x[KindWorkersPull-8]
 	_ = x[KindGossip-9]
-	_ = x[KindLotCall-10]
-	_ = x[KindRaise-11]
+	_ = x[KindJobCall-10]
+	_ = x[KindFence-11]
 	_ = x[KindAppend-12]
 	_ = x[KindFetch-13]
-	_ = x[KindHolderTold-14]
+	_ = x[KindLeaderAnnouncement-14]
 	_ = x[KindStatus-15]
 	_ = x[KindRegisterRead-16]
-	_ = x[KindDutyChange-17]
+	_ = x[KindRegisterChange-17]
 	_ = x[KindPressure-18]
-	_ = x[KindReading-19]
-	_ = x[KindControllerBeat-20]
+	_ = x[KindPrefill-19]
+	_ = x[KindControllerHeartbeat-20]
 	_ = x[KindDirectoryPull-21]
 	_ = x[KindRelay-22]
 	_ = x[KindRelayWait-23]
 	_ = x[KindAcquire-24]
 	_ = x[KindAcknowledge-25]
-	_ = x[KindStopRuns-26]
+	_ = x[KindStopJob-26]
 	_ = x[KindNamedPrepare-27]
 	_ = x[KindNamedAccept-28]
 	_ = x[KindNamedRead-29]
@@ -42,13 +42,13 @@
 	_ = x[KindPlanApply-31]
 	_ = x[KindCopy-32]
 	_ = x[KindContact-33]
-	_ = x[KindWorkersKeep-34]
-	_ = x[KindWorkersRecall-35]
+	_ = x[KindWorkersPersist-34]
+	_ = x[KindWorkersRecover-35]
 }
 
-const _Kind_name = "KindNoneKindShuffleKindPrepareKindAcceptKindAskKindConfigPushKindConfigPullKindRosterPushKindRosterPullKindGossipKindLotCallKindRaiseKindAppendKindFetchKindHolderToldKindStatusKindRegisterReadKindDutyChangeKindPressureKindReadingKindControllerBeatKindDirectoryPullKindRelayKindRelayWaitKindAcquireKindAcknowledgeKindStopRunsKindNamedPrepareKindNamedAcceptKindNamedReadKindPlanPullKindPlanApplyKindCopyKindContactKindWorkersKeepKindWorkersRecall"
+const _Kind_name = "KindNoneKindShuffleKindPrepareKindAcceptKindLeaseKindConfigPushKindConfigPullKindWorkersUpdateKindWorkersPullKindGossipKindJobCallKindFenceKindAppendKindFetchKindLeaderAnnouncementKindStatusKindRegisterReadKindRegisterChangeKindPressureKindPrefillKindControllerHeartbeatKindDirectoryPullKindRelayKindRelayWaitKindAcquireKindAcknowledgeKindStopJobKindNamedPrepareKindNamedAcceptKindNamedReadKindPlanPullKindPlanApplyKindCopyKindContactKindWorkersPersistKindWorkersRecover"
 
-var _Kind_index = [...]uint16{0, 8, 19, 30, 40, 47, 61, 75, 89, 103, 113, 124, 133, 143, 152, 166, 176, 192, 206, 218, 229, 247, 264, 273, 286, 297, 312, 324, 340, 355, 368, 380, 393, 401, 412, 427, 444}
+var _Kind_index = [...]uint16{0, 8, 19, 30, 40, 49, 63, 77, 94, 109, 119, 130, 139, 149, 158, 180, 190, 206, 224, 236, 247, 270, 287, 296, 309, 320, 335, 346, 362, 377, 390, 402, 415, 423, 434, 452, 470}
 
 func (i Kind) String() string {
 	idx := int(i) - 0
@@ -63,12 +63,12 @@
 	var x [1]struct{}
 	_ = x[PhaseSteady-0]
 	_ = x[PhaseDraining-1]
-	_ = x[PhaseGone-2]
+	_ = x[PhaseDeparted-2]
 }
 
-const _Phase_name = "PhaseSteadyPhaseDrainingPhaseGone"
+const _Phase_name = "PhaseSteadyPhaseDrainingPhaseDeparted"
 
-var _Phase_index = [...]uint8{0, 11, 24, 33}
+var _Phase_index = [...]uint8{0, 11, 24, 37}
 
 func (i Phase) String() string {
 	idx := int(i) - 0
@@ -81,19 +81,19 @@
 	// An "invalid array index" compiler error signifies that the constant values have changed.
 	// Re-run the stringer command to generate them again.
 	var x [1]struct{}
-	_ = x[RecordNothing-0]
-	_ = x[RecordLot-1]
+	_ = x[RecordNoop-0]
+	_ = x[RecordJob-1]
 	_ = x[RecordOutput-2]
-	_ = x[RecordEnd-3]
+	_ = x[RecordJobEnd-3]
 	_ = x[RecordForget-4]
-	_ = x[RecordErr-5]
-	_ = x[RecordDriver-6]
-	_ = x[RecordSure-7]
+	_ = x[RecordItemError-5]
+	_ = x[RecordExecutor-6]
+	_ = x[RecordAcquisitionsKnown-7]
 }
 
-const _RecordKind_name = "RecordNothingRecordLotRecordOutputRecordEndRecordForgetRecordErrRecordDriverRecordSure"
+const _RecordKind_name = "RecordNoopRecordJobRecordOutputRecordJobEndRecordForgetRecordItemErrorRecordExecutorRecordAcquisitionsKnown"
 
-var _RecordKind_index = [...]uint8{0, 13, 22, 34, 43, 55, 64, 76, 86}
+var _RecordKind_index = [...]uint8{0, 10, 19, 31, 43, 55, 70, 84, 107}
 
 func (i RecordKind) String() string {
 	idx := int(i) - 0
@@ -149,15 +149,15 @@
 	// Re-run the stringer command to generate them again.
 	var x [1]struct{}
 	_ = x[AckUnknown-0]
-	_ = x[AckTaken-1]
+	_ = x[AckRecorded-1]
 	_ = x[AckRenewed-2]
 	_ = x[AckStopped-3]
 	_ = x[AckTerminal-4]
 }
 
-const _AckVerdict_name = "AckUnknownAckTakenAckRenewedAckStoppedAckTerminal"
+const _AckVerdict_name = "AckUnknownAckRecordedAckRenewedAckStoppedAckTerminal"
 
-var _AckVerdict_index = [...]uint8{0, 10, 18, 28, 38, 49}
+var _AckVerdict_index = [...]uint8{0, 10, 21, 31, 41, 52}
 
 func (i AckVerdict) String() string {
 	idx := int(i) - 0
--- a/internal/platform/messages/lots_gen.go
+++ b/internal/platform/messages/lots_gen.go
@@ -7,7 +7,7 @@
 )
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Append) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *AppendRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 8
 	// string "e"
@@ -34,7 +34,7 @@
 	}
 	// string "o"
 	o = append(o, 0xa1, 0x6f)
-	o = msgp.AppendInt64(o, z.Done)
+	o = msgp.AppendInt64(o, z.CommitIndex)
 	// string "b"
 	o = append(o, 0xa1, 0x62)
 	o = msgp.AppendInt64(o, z.Base)
@@ -45,7 +45,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Append) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *AppendRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -106,9 +106,9 @@
 				}
 			}
 		case "o":
-			z.Done, bts, err = msgp.ReadInt64Bytes(bts)
+			z.CommitIndex, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Done")
+				err = msgp.WrapError(err, "CommitIndex")
 				return
 			}
 		case "b":
@@ -136,7 +136,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Append) Msgsize() (s int) {
+func (z *AppendRequest) Msgsize() (s int) {
 	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Disk) + 2 + msgp.Int64Size + 2 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Records {
 		s += z.Records[za0001].Msgsize()
@@ -146,7 +146,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Appended) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *AppendResponse) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 5
 	// string "k"
@@ -160,15 +160,15 @@
 	o = msgp.AppendInt64(o, z.Last)
 	// string "s"
 	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Stretches)))
-	for za0001 := range z.Stretches {
+	o = msgp.AppendArrayHeader(o, uint32(len(z.EpochRanges)))
+	for za0001 := range z.EpochRanges {
 		// map header, size 2
 		// string "e"
 		o = append(o, 0x82, 0xa1, 0x65)
-		o = msgp.AppendUint64(o, z.Stretches[za0001].Epoch)
+		o = msgp.AppendUint64(o, z.EpochRanges[za0001].Epoch)
 		// string "f"
 		o = append(o, 0xa1, 0x66)
-		o = msgp.AppendInt64(o, z.Stretches[za0001].First)
+		o = msgp.AppendInt64(o, z.EpochRanges[za0001].First)
 	}
 	// string "b"
 	o = append(o, 0xa1, 0x62)
@@ -177,7 +177,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Appended) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *AppendResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -216,45 +216,45 @@
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Stretches")
+				err = msgp.WrapError(err, "EpochRanges")
 				return
 			}
-			if cap(z.Stretches) >= int(zb0002) {
-				z.Stretches = (z.Stretches)[:zb0002]
+			if cap(z.EpochRanges) >= int(zb0002) {
+				z.EpochRanges = (z.EpochRanges)[:zb0002]
 			} else {
-				z.Stretches = make([]Stretch, zb0002)
+				z.EpochRanges = make([]EpochRange, zb0002)
 			}
-			for za0001 := range z.Stretches {
+			for za0001 := range z.EpochRanges {
 				var zb0003 uint32
 				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Stretches", za0001)
+					err = msgp.WrapError(err, "EpochRanges", za0001)
 					return
 				}
 				for zb0003 > 0 {
 					zb0003--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Stretches", za0001)
+						err = msgp.WrapError(err, "EpochRanges", za0001)
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "e":
-						z.Stretches[za0001].Epoch, bts, err = msgp.ReadUint64Bytes(bts)
+						z.EpochRanges[za0001].Epoch, bts, err = msgp.ReadUint64Bytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Stretches", za0001, "Epoch")
+							err = msgp.WrapError(err, "EpochRanges", za0001, "Epoch")
 							return
 						}
 					case "f":
-						z.Stretches[za0001].First, bts, err = msgp.ReadInt64Bytes(bts)
+						z.EpochRanges[za0001].First, bts, err = msgp.ReadInt64Bytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Stretches", za0001, "First")
+							err = msgp.WrapError(err, "EpochRanges", za0001, "First")
 							return
 						}
 					default:
 						bts, err = msgp.Skip(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Stretches", za0001)
+							err = msgp.WrapError(err, "EpochRanges", za0001)
 							return
 						}
 					}
@@ -279,13 +279,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Appended) Msgsize() (s int) {
-	s = 1 + 2 + msgp.BoolSize + 2 + msgp.Uint64Size + 2 + msgp.Int64Size + 2 + msgp.ArrayHeaderSize + (len(z.Stretches) * (5 + msgp.Uint64Size + msgp.Int64Size)) + 2 + msgp.Int64Size
+func (z *AppendResponse) Msgsize() (s int) {
+	s = 1 + 2 + msgp.BoolSize + 2 + msgp.Uint64Size + 2 + msgp.Int64Size + 2 + msgp.ArrayHeaderSize + (len(z.EpochRanges) * (5 + msgp.Uint64Size + msgp.Int64Size)) + 2 + msgp.Int64Size
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *CopyOrder) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *CopyRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 6
 	// string "e"
@@ -310,7 +310,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *CopyOrder) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *CopyRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -376,29 +376,26 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *CopyOrder) Msgsize() (s int) {
+func (z *CopyRequest) Msgsize() (s int) {
 	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Disk) + 2 + msgp.StringPrefixSize + len(z.Source) + 2 + msgp.StringPrefixSize + len(z.SourceDisk) + 2 + msgp.Int64Size + 2 + msgp.Int64Size
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Fetch) MarshalMsg(b []byte) (o []byte, err error) {
+func (z EpochRange) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 3
-	// string "f"
-	o = append(o, 0x83, 0xa1, 0x66)
-	o = msgp.AppendInt64(o, z.First)
+	// map header, size 2
 	// string "e"
-	o = append(o, 0xa1, 0x65)
+	o = append(o, 0x82, 0xa1, 0x65)
 	o = msgp.AppendUint64(o, z.Epoch)
-	// string "d"
-	o = append(o, 0xa1, 0x64)
-	o = msgp.AppendString(o, z.Disk)
+	// string "f"
+	o = append(o, 0xa1, 0x66)
+	o = msgp.AppendInt64(o, z.First)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Fetch) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *EpochRange) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -415,12 +412,67 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
+		case "e":
+			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Epoch")
+				return
+			}
 		case "f":
 			z.First, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "First")
 				return
 			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z EpochRange) Msgsize() (s int) {
+	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.Int64Size
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z FenceRequest) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 2
+	// string "e"
+	o = append(o, 0x82, 0xa1, 0x65)
+	o = msgp.AppendUint64(o, z.Epoch)
+	// string "d"
+	o = append(o, 0xa1, 0x64)
+	o = msgp.AppendString(o, z.Disk)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *FenceRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
 		case "e":
 			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
@@ -446,42 +498,44 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Fetch) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Int64Size + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Disk)
+func (z FenceRequest) Msgsize() (s int) {
+	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Disk)
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Fetched) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *FenceResponse) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 5
 	// string "k"
 	o = append(o, 0x85, 0xa1, 0x6b)
 	o = msgp.AppendBool(o, z.Granted)
-	// string "r"
-	o = append(o, 0xa1, 0x72)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Records)))
-	for za0001 := range z.Records {
-		o, err = z.Records[za0001].MarshalMsg(o)
-		if err != nil {
-			err = msgp.WrapError(err, "Records", za0001)
-			return
-		}
-	}
+	// string "e"
+	o = append(o, 0xa1, 0x65)
+	o = msgp.AppendUint64(o, z.Epoch)
 	// string "l"
 	o = append(o, 0xa1, 0x6c)
 	o = msgp.AppendInt64(o, z.Last)
+	// string "s"
+	o = append(o, 0xa1, 0x73)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.EpochRanges)))
+	for za0001 := range z.EpochRanges {
+		// map header, size 2
+		// string "e"
+		o = append(o, 0x82, 0xa1, 0x65)
+		o = msgp.AppendUint64(o, z.EpochRanges[za0001].Epoch)
+		// string "f"
+		o = append(o, 0xa1, 0x66)
+		o = msgp.AppendInt64(o, z.EpochRanges[za0001].First)
+	}
 	// string "b"
 	o = append(o, 0xa1, 0x62)
 	o = msgp.AppendInt64(o, z.Base)
-	// string "z"
-	o = append(o, 0xa1, 0x7a)
-	o = msgp.AppendUint64(o, z.BaseEpoch)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Fetched) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *FenceResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -504,30 +558,65 @@
 				err = msgp.WrapError(err, "Granted")
 				return
 			}
-		case "r":
+		case "e":
+			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Epoch")
+				return
+			}
+		case "l":
+			z.Last, bts, err = msgp.ReadInt64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Last")
+				return
+			}
+		case "s":
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Records")
+				err = msgp.WrapError(err, "EpochRanges")
 				return
 			}
-			if cap(z.Records) >= int(zb0002) {
-				z.Records = (z.Records)[:zb0002]
+			if cap(z.EpochRanges) >= int(zb0002) {
+				z.EpochRanges = (z.EpochRanges)[:zb0002]
 			} else {
-				z.Records = make([]Record, zb0002)
+				z.EpochRanges = make([]EpochRange, zb0002)
 			}
-			for za0001 := range z.Records {
-				bts, err = z.Records[za0001].UnmarshalMsg(bts)
+			for za0001 := range z.EpochRanges {
+				var zb0003 uint32
+				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Records", za0001)
+					err = msgp.WrapError(err, "EpochRanges", za0001)
 					return
 				}
-			}
-		case "l":
-			z.Last, bts, err = msgp.ReadInt64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Last")
-				return
+				for zb0003 > 0 {
+					zb0003--
+					field, bts, err = msgp.ReadMapKeyZC(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "EpochRanges", za0001)
+						return
+					}
+					switch msgp.UnsafeString(field) {
+					case "e":
+						z.EpochRanges[za0001].Epoch, bts, err = msgp.ReadUint64Bytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "EpochRanges", za0001, "Epoch")
+							return
+						}
+					case "f":
+						z.EpochRanges[za0001].First, bts, err = msgp.ReadInt64Bytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "EpochRanges", za0001, "First")
+							return
+						}
+					default:
+						bts, err = msgp.Skip(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "EpochRanges", za0001)
+							return
+						}
+					}
+				}
 			}
 		case "b":
 			z.Base, bts, err = msgp.ReadInt64Bytes(bts)
@@ -535,12 +624,6 @@
 				err = msgp.WrapError(err, "Base")
 				return
 			}
-		case "z":
-			z.BaseEpoch, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "BaseEpoch")
-				return
-			}
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -554,34 +637,29 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Fetched) Msgsize() (s int) {
-	s = 1 + 2 + msgp.BoolSize + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Records {
-		s += z.Records[za0001].Msgsize()
-	}
-	s += 2 + msgp.Int64Size + 2 + msgp.Int64Size + 2 + msgp.Uint64Size
+func (z *FenceResponse) Msgsize() (s int) {
+	s = 1 + 2 + msgp.BoolSize + 2 + msgp.Uint64Size + 2 + msgp.Int64Size + 2 + msgp.ArrayHeaderSize + (len(z.EpochRanges) * (5 + msgp.Uint64Size + msgp.Int64Size)) + 2 + msgp.Int64Size
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *HolderTold) MarshalMsg(b []byte) (o []byte, err error) {
+func (z FetchRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
+	// map header, size 3
+	// string "f"
+	o = append(o, 0x83, 0xa1, 0x66)
+	o = msgp.AppendInt64(o, z.First)
+	// string "e"
+	o = append(o, 0xa1, 0x65)
+	o = msgp.AppendUint64(o, z.Epoch)
 	// string "d"
-	o = append(o, 0x82, 0xa1, 0x64)
-	o, err = z.Duty.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "Duty")
-		return
-	}
-	// string "o"
-	o = append(o, 0xa1, 0x6f)
-	o = msgp.AppendBool(o, z.Over)
+	o = append(o, 0xa1, 0x64)
+	o = msgp.AppendString(o, z.Disk)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *HolderTold) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *FetchRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -598,16 +676,22 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "d":
-			bts, err = z.Duty.UnmarshalMsg(bts)
+		case "f":
+			z.First, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Duty")
+				err = msgp.WrapError(err, "First")
 				return
 			}
-		case "o":
-			z.Over, bts, err = msgp.ReadBoolBytes(bts)
+		case "e":
+			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Over")
+				err = msgp.WrapError(err, "Epoch")
+				return
+			}
+		case "d":
+			z.Disk, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Disk")
 				return
 			}
 		default:
@@ -623,38 +707,42 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *HolderTold) Msgsize() (s int) {
-	s = 1 + 2 + z.Duty.Msgsize() + 2 + msgp.BoolSize
+func (z FetchRequest) Msgsize() (s int) {
+	s = 1 + 2 + msgp.Int64Size + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Disk)
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *LotAnswer) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *FetchResponse) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 6
-	// string "s"
-	o = append(o, 0x86, 0xa1, 0x73)
-	o = msgp.AppendInt(o, z.Status)
-	// string "b"
-	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendBytes(o, z.Body)
+	// map header, size 5
+	// string "k"
+	o = append(o, 0x85, 0xa1, 0x6b)
+	o = msgp.AppendBool(o, z.Granted)
 	// string "r"
 	o = append(o, 0xa1, 0x72)
-	o = msgp.AppendInt(o, z.RetryMs)
-	// string "e"
-	o = append(o, 0xa1, 0x65)
-	o = msgp.AppendBool(o, z.Elsewhere)
-	// string "h"
-	o = append(o, 0xa1, 0x68)
-	o = msgp.AppendString(o, z.Holder)
-	// string "k"
-	o = append(o, 0xa1, 0x6b)
-	o = msgp.AppendString(o, z.Kind)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Records)))
+	for za0001 := range z.Records {
+		o, err = z.Records[za0001].MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "Records", za0001)
+			return
+		}
+	}
+	// string "l"
+	o = append(o, 0xa1, 0x6c)
+	o = msgp.AppendInt64(o, z.Last)
+	// string "b"
+	o = append(o, 0xa1, 0x62)
+	o = msgp.AppendInt64(o, z.Base)
+	// string "z"
+	o = append(o, 0xa1, 0x7a)
+	o = msgp.AppendUint64(o, z.BaseEpoch)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *LotAnswer) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *FetchResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -671,40 +759,47 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "s":
-			z.Status, bts, err = msgp.ReadIntBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Status")
-				return
-			}
-		case "b":
-			z.Body, bts, err = msgp.ReadBytesBytes(bts, z.Body)
+		case "k":
+			z.Granted, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Body")
+				err = msgp.WrapError(err, "Granted")
 				return
 			}
 		case "r":
-			z.RetryMs, bts, err = msgp.ReadIntBytes(bts)
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "RetryMs")
+				err = msgp.WrapError(err, "Records")
 				return
 			}
-		case "e":
-			z.Elsewhere, bts, err = msgp.ReadBoolBytes(bts)
+			if cap(z.Records) >= int(zb0002) {
+				z.Records = (z.Records)[:zb0002]
+			} else {
+				z.Records = make([]Record, zb0002)
+			}
+			for za0001 := range z.Records {
+				bts, err = z.Records[za0001].UnmarshalMsg(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Records", za0001)
+					return
+				}
+			}
+		case "l":
+			z.Last, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Elsewhere")
+				err = msgp.WrapError(err, "Last")
 				return
 			}
-		case "h":
-			z.Holder, bts, err = msgp.ReadStringBytes(bts)
+		case "b":
+			z.Base, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Holder")
+				err = msgp.WrapError(err, "Base")
 				return
 			}
-		case "k":
-			z.Kind, bts, err = msgp.ReadStringBytes(bts)
+		case "z":
+			z.BaseEpoch, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Kind")
+				err = msgp.WrapError(err, "BaseEpoch")
 				return
 			}
 		default:
@@ -720,13 +815,17 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *LotAnswer) Msgsize() (s int) {
-	s = 1 + 2 + msgp.IntSize + 2 + msgp.BytesPrefixSize + len(z.Body) + 2 + msgp.IntSize + 2 + msgp.BoolSize + 2 + msgp.StringPrefixSize + len(z.Holder) + 2 + msgp.StringPrefixSize + len(z.Kind)
+func (z *FetchResponse) Msgsize() (s int) {
+	s = 1 + 2 + msgp.BoolSize + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.Records {
+		s += z.Records[za0001].Msgsize()
+	}
+	s += 2 + msgp.Int64Size + 2 + msgp.Int64Size + 2 + msgp.Uint64Size
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *LotBody) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *JobBody) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
 	// string "p"
@@ -746,7 +845,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *LotBody) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *JobBody) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -779,7 +878,7 @@
 			if cap(z.Items) >= int(zb0002) {
 				z.Items = (z.Items)[:zb0002]
 			} else {
-				z.Items = make([]LotItem, zb0002)
+				z.Items = make([]JobItem, zb0002)
 			}
 			for za0001 := range z.Items {
 				bts, err = z.Items[za0001].UnmarshalMsg(bts)
@@ -801,7 +900,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *LotBody) Msgsize() (s int) {
+func (z *JobBody) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.Path) + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Items {
 		s += z.Items[za0001].Msgsize()
@@ -810,7 +909,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *LotCall) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *JobCallRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 11
 	// string "m"
@@ -824,7 +923,7 @@
 	o = msgp.AppendString(o, z.Path)
 	// string "l"
 	o = append(o, 0xa1, 0x6c)
-	o = msgp.AppendString(o, z.Lot)
+	o = msgp.AppendString(o, z.Job)
 	// string "i"
 	o = append(o, 0xa1, 0x69)
 	o = msgp.AppendString(o, z.Item)
@@ -833,24 +932,24 @@
 	o = msgp.AppendInt(o, z.Cursor)
 	// string "w"
 	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendInt(o, z.HoldMs)
+	o = msgp.AppendInt(o, z.WaitMs)
 	// string "b"
 	o = append(o, 0xa1, 0x62)
 	o = msgp.AppendBytes(o, z.Body)
 	// string "y"
 	o = append(o, 0xa1, 0x79)
-	o = msgp.AppendBool(o, z.Relayed)
+	o = msgp.AppendBool(o, z.Forwarded)
 	// string "k"
 	o = append(o, 0xa1, 0x6b)
-	o = msgp.AppendString(o, z.Ask)
+	o = msgp.AppendString(o, z.RequestID)
 	// string "t"
 	o = append(o, 0xa1, 0x74)
-	o = msgp.AppendInt64(o, z.LiveMs)
+	o = msgp.AppendInt64(o, z.TTLMs)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *LotCall) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *JobCallRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -886,9 +985,9 @@
 				return
 			}
 		case "l":
-			z.Lot, bts, err = msgp.ReadStringBytes(bts)
+			z.Job, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Lot")
+				err = msgp.WrapError(err, "Job")
 				return
 			}
 		case "i":
@@ -904,9 +1003,9 @@
 				return
 			}
 		case "w":
-			z.HoldMs, bts, err = msgp.ReadIntBytes(bts)
+			z.WaitMs, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "HoldMs")
+				err = msgp.WrapError(err, "WaitMs")
 				return
 			}
 		case "b":
@@ -916,21 +1015,21 @@
 				return
 			}
 		case "y":
-			z.Relayed, bts, err = msgp.ReadBoolBytes(bts)
+			z.Forwarded, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Relayed")
+				err = msgp.WrapError(err, "Forwarded")
 				return
 			}
 		case "k":
-			z.Ask, bts, err = msgp.ReadStringBytes(bts)
+			z.RequestID, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Ask")
+				err = msgp.WrapError(err, "RequestID")
 				return
 			}
 		case "t":
-			z.LiveMs, bts, err = msgp.ReadInt64Bytes(bts)
+			z.TTLMs, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "LiveMs")
+				err = msgp.WrapError(err, "TTLMs")
 				return
 			}
 		default:
@@ -946,13 +1045,110 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *LotCall) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Method) + 2 + msgp.StringPrefixSize + len(z.Host) + 2 + msgp.StringPrefixSize + len(z.Path) + 2 + msgp.StringPrefixSize + len(z.Lot) + 2 + msgp.StringPrefixSize + len(z.Item) + 2 + msgp.IntSize + 2 + msgp.IntSize + 2 + msgp.BytesPrefixSize + len(z.Body) + 2 + msgp.BoolSize + 2 + msgp.StringPrefixSize + len(z.Ask) + 2 + msgp.Int64Size
+func (z *JobCallRequest) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Method) + 2 + msgp.StringPrefixSize + len(z.Host) + 2 + msgp.StringPrefixSize + len(z.Path) + 2 + msgp.StringPrefixSize + len(z.Job) + 2 + msgp.StringPrefixSize + len(z.Item) + 2 + msgp.IntSize + 2 + msgp.IntSize + 2 + msgp.BytesPrefixSize + len(z.Body) + 2 + msgp.BoolSize + 2 + msgp.StringPrefixSize + len(z.RequestID) + 2 + msgp.Int64Size
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *LotItem) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *JobCallResponse) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 6
+	// string "s"
+	o = append(o, 0x86, 0xa1, 0x73)
+	o = msgp.AppendInt(o, z.Status)
+	// string "b"
+	o = append(o, 0xa1, 0x62)
+	o = msgp.AppendBytes(o, z.Body)
+	// string "r"
+	o = append(o, 0xa1, 0x72)
+	o = msgp.AppendInt(o, z.RetryAfterMs)
+	// string "e"
+	o = append(o, 0xa1, 0x65)
+	o = msgp.AppendBool(o, z.NotLeader)
+	// string "h"
+	o = append(o, 0xa1, 0x68)
+	o = msgp.AppendString(o, z.Leader)
+	// string "k"
+	o = append(o, 0xa1, 0x6b)
+	o = msgp.AppendString(o, z.ContentType)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *JobCallResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "s":
+			z.Status, bts, err = msgp.ReadIntBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Status")
+				return
+			}
+		case "b":
+			z.Body, bts, err = msgp.ReadBytesBytes(bts, z.Body)
+			if err != nil {
+				err = msgp.WrapError(err, "Body")
+				return
+			}
+		case "r":
+			z.RetryAfterMs, bts, err = msgp.ReadIntBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "RetryAfterMs")
+				return
+			}
+		case "e":
+			z.NotLeader, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "NotLeader")
+				return
+			}
+		case "h":
+			z.Leader, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Leader")
+				return
+			}
+		case "k":
+			z.ContentType, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "ContentType")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *JobCallResponse) Msgsize() (s int) {
+	s = 1 + 2 + msgp.IntSize + 2 + msgp.BytesPrefixSize + len(z.Body) + 2 + msgp.IntSize + 2 + msgp.BoolSize + 2 + msgp.StringPrefixSize + len(z.Leader) + 2 + msgp.StringPrefixSize + len(z.ContentType)
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *JobItem) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 5
 	// string "i"
@@ -978,7 +1174,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *LotItem) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *JobItem) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1057,115 +1253,40 @@
 	}
 	o = bts
 	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *LotItem) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.ID) + 2 + msgp.StringPrefixSize + len(z.Path) + 2 + msgp.MapHeaderSize
-	if z.Headers != nil {
-		for za0001, za0002 := range z.Headers {
-			_ = za0002
-			s += msgp.StringPrefixSize + len(za0001) + msgp.StringPrefixSize + len(za0002)
-		}
-	}
-	s += 2 + msgp.BytesPrefixSize + len(z.Body) + 2 + msgp.Int64Size
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z Raise) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "e"
-	o = append(o, 0x82, 0xa1, 0x65)
-	o = msgp.AppendUint64(o, z.Epoch)
-	// string "d"
-	o = append(o, 0xa1, 0x64)
-	o = msgp.AppendString(o, z.Disk)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Raise) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "e":
-			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Epoch")
-				return
-			}
-		case "d":
-			z.Disk, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Disk")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Raise) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Disk)
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *Raised) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 5
-	// string "k"
-	o = append(o, 0x85, 0xa1, 0x6b)
-	o = msgp.AppendBool(o, z.Granted)
-	// string "e"
-	o = append(o, 0xa1, 0x65)
-	o = msgp.AppendUint64(o, z.Epoch)
-	// string "l"
-	o = append(o, 0xa1, 0x6c)
-	o = msgp.AppendInt64(o, z.Last)
-	// string "s"
-	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Stretches)))
-	for za0001 := range z.Stretches {
-		// map header, size 2
-		// string "e"
-		o = append(o, 0x82, 0xa1, 0x65)
-		o = msgp.AppendUint64(o, z.Stretches[za0001].Epoch)
-		// string "f"
-		o = append(o, 0xa1, 0x66)
-		o = msgp.AppendInt64(o, z.Stretches[za0001].First)
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *JobItem) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.ID) + 2 + msgp.StringPrefixSize + len(z.Path) + 2 + msgp.MapHeaderSize
+	if z.Headers != nil {
+		for za0001, za0002 := range z.Headers {
+			_ = za0002
+			s += msgp.StringPrefixSize + len(za0001) + msgp.StringPrefixSize + len(za0002)
+		}
 	}
-	// string "b"
-	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendInt64(o, z.Base)
+	s += 2 + msgp.BytesPrefixSize + len(z.Body) + 2 + msgp.Int64Size
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *LeaderAnnouncement) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 2
+	// string "d"
+	o = append(o, 0x82, 0xa1, 0x64)
+	o, err = z.Leadership.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "Leadership")
+		return
+	}
+	// string "o"
+	o = append(o, 0xa1, 0x6f)
+	o = msgp.AppendBool(o, z.Resigned)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Raised) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *LeaderAnnouncement) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1182,76 +1303,16 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "k":
-			z.Granted, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Granted")
-				return
-			}
-		case "e":
-			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Epoch")
-				return
-			}
-		case "l":
-			z.Last, bts, err = msgp.ReadInt64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Last")
-				return
-			}
-		case "s":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		case "d":
+			bts, err = z.Leadership.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Stretches")
+				err = msgp.WrapError(err, "Leadership")
 				return
 			}
-			if cap(z.Stretches) >= int(zb0002) {
-				z.Stretches = (z.Stretches)[:zb0002]
-			} else {
-				z.Stretches = make([]Stretch, zb0002)
-			}
-			for za0001 := range z.Stretches {
-				var zb0003 uint32
-				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Stretches", za0001)
-					return
-				}
-				for zb0003 > 0 {
-					zb0003--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Stretches", za0001)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "e":
-						z.Stretches[za0001].Epoch, bts, err = msgp.ReadUint64Bytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Stretches", za0001, "Epoch")
-							return
-						}
-					case "f":
-						z.Stretches[za0001].First, bts, err = msgp.ReadInt64Bytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Stretches", za0001, "First")
-							return
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Stretches", za0001)
-							return
-						}
-					}
-				}
-			}
-		case "b":
-			z.Base, bts, err = msgp.ReadInt64Bytes(bts)
+		case "o":
+			z.Resigned, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Base")
+				err = msgp.WrapError(err, "Resigned")
 				return
 			}
 		default:
@@ -1267,8 +1328,8 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Raised) Msgsize() (s int) {
-	s = 1 + 2 + msgp.BoolSize + 2 + msgp.Uint64Size + 2 + msgp.Int64Size + 2 + msgp.ArrayHeaderSize + (len(z.Stretches) * (5 + msgp.Uint64Size + msgp.Int64Size)) + 2 + msgp.Int64Size
+func (z *LeaderAnnouncement) Msgsize() (s int) {
+	s = 1 + 2 + z.Leadership.Msgsize() + 2 + msgp.BoolSize
 	return
 }
 
@@ -1291,7 +1352,7 @@
 	}
 	// string "l"
 	o = append(o, 0xa1, 0x6c)
-	o = msgp.AppendString(o, z.Lot)
+	o = msgp.AppendString(o, z.Job)
 	// string "i"
 	o = append(o, 0xa1, 0x69)
 	o = msgp.AppendString(o, z.Item)
@@ -1318,7 +1379,7 @@
 	o = msgp.AppendUint64(o, z.Acquisition)
 	// string "z"
 	o = append(o, 0xa1, 0x7a)
-	o = msgp.AppendBool(o, z.Packed)
+	o = msgp.AppendBool(o, z.Compressed)
 	return
 }
 
@@ -1359,9 +1420,9 @@
 				return
 			}
 		case "l":
-			z.Lot, bts, err = msgp.ReadStringBytes(bts)
+			z.Job, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Lot")
+				err = msgp.WrapError(err, "Job")
 				return
 			}
 		case "i":
@@ -1413,9 +1474,9 @@
 				return
 			}
 		case "z":
-			z.Packed, bts, err = msgp.ReadBoolBytes(bts)
+			z.Compressed, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Packed")
+				err = msgp.WrapError(err, "Compressed")
 				return
 			}
 		default:
@@ -1432,7 +1493,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Record) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Int64Size + 2 + msgp.Uint64Size + 2 + z.Kind.Msgsize() + 2 + msgp.StringPrefixSize + len(z.Lot) + 2 + msgp.StringPrefixSize + len(z.Item) + 2 + msgp.IntSize + 2 + msgp.BoolSize + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.Route) + 2 + msgp.StringPrefixSize + len(z.Host) + 2 + msgp.BytesPrefixSize + len(z.Body) + 2 + msgp.Uint64Size + 2 + msgp.BoolSize
+	s = 1 + 2 + msgp.Int64Size + 2 + msgp.Uint64Size + 2 + z.Kind.Msgsize() + 2 + msgp.StringPrefixSize + len(z.Job) + 2 + msgp.StringPrefixSize + len(z.Item) + 2 + msgp.IntSize + 2 + msgp.BoolSize + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.Route) + 2 + msgp.StringPrefixSize + len(z.Host) + 2 + msgp.BytesPrefixSize + len(z.Body) + 2 + msgp.Uint64Size + 2 + msgp.BoolSize
 	return
 }
 
@@ -1445,13 +1506,13 @@
 	o = msgp.AppendUint64(o, z.Fence)
 	// string "c"
 	o = append(o, 0xa1, 0x63)
-	o = msgp.AppendInt64(o, z.CutTo)
+	o = msgp.AppendInt64(o, z.TruncateTo)
 	// string "k"
 	o = append(o, 0xa1, 0x6b)
-	o = msgp.AppendBool(o, z.HasCut)
+	o = msgp.AppendBool(o, z.HasTruncation)
 	// string "h"
 	o = append(o, 0xa1, 0x68)
-	o = msgp.AppendBool(o, z.Has)
+	o = msgp.AppendBool(o, z.HasEntry)
 	// string "e"
 	o = append(o, 0xa1, 0x65)
 	o, err = z.Entry.MarshalMsg(o)
@@ -1496,21 +1557,21 @@
 				return
 			}
 		case "c":
-			z.CutTo, bts, err = msgp.ReadInt64Bytes(bts)
+			z.TruncateTo, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "CutTo")
+				err = msgp.WrapError(err, "TruncateTo")
 				return
 			}
 		case "k":
-			z.HasCut, bts, err = msgp.ReadBoolBytes(bts)
+			z.HasTruncation, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "HasCut")
+				err = msgp.WrapError(err, "HasTruncation")
 				return
 			}
 		case "h":
-			z.Has, bts, err = msgp.ReadBoolBytes(bts)
+			z.HasEntry, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Has")
+				err = msgp.WrapError(err, "HasEntry")
 				return
 			}
 		case "e":
@@ -1556,7 +1617,68 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Status) MarshalMsg(b []byte) (o []byte, err error) {
+func (z StatusRequest) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 2
+	// string "q"
+	o = append(o, 0x82, 0xa1, 0x71)
+	o = msgp.AppendString(o, z.Query)
+	// string "h"
+	o = append(o, 0xa1, 0x68)
+	o = msgp.AppendString(o, z.Zone)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *StatusRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "q":
+			z.Query, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Query")
+				return
+			}
+		case "h":
+			z.Zone, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Zone")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z StatusRequest) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Query) + 2 + msgp.StringPrefixSize + len(z.Zone)
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *StatusResponse) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
 	// string "c"
@@ -1578,7 +1700,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Status) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *StatusResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1659,7 +1781,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Status) Msgsize() (s int) {
+func (z *StatusResponse) Msgsize() (s int) {
 	s = 1 + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Columns {
 		s += msgp.StringPrefixSize + len(z.Columns[za0001])
@@ -1673,125 +1795,3 @@
 	}
 	return
 }
-
-// MarshalMsg implements msgp.Marshaler
-func (z StatusAsk) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "q"
-	o = append(o, 0x82, 0xa1, 0x71)
-	o = msgp.AppendString(o, z.Query)
-	// string "h"
-	o = append(o, 0xa1, 0x68)
-	o = msgp.AppendString(o, z.Zone)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *StatusAsk) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "q":
-			z.Query, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Query")
-				return
-			}
-		case "h":
-			z.Zone, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Zone")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z StatusAsk) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Query) + 2 + msgp.StringPrefixSize + len(z.Zone)
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z Stretch) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "e"
-	o = append(o, 0x82, 0xa1, 0x65)
-	o = msgp.AppendUint64(o, z.Epoch)
-	// string "f"
-	o = append(o, 0xa1, 0x66)
-	o = msgp.AppendInt64(o, z.First)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Stretch) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "e":
-			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Epoch")
-				return
-			}
-		case "f":
-			z.First, bts, err = msgp.ReadInt64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "First")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Stretch) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.Int64Size
-	return
-}
