--- a/internal/platform/messages/members.go
+++ b/internal/platform/messages/members.go
@@ -1,16 +1,16 @@
 package messages
 
-// Entry is what a process tells of itself and of others.
-type Entry struct {
-	Name       string `msg:"n"`
-	Life       int64  `msg:"l"`
-	Role       string `msg:"r"`
-	Zone       string `msg:"h"`
-	Address    string `msg:"a"`
-	Disk       string `msg:"d"`
-	AgeMs      int64  `msg:"g"`
-	Leaving    bool   `msg:"x"`
-	Generation int64  `msg:"c"`
+// NodeInfo is what a process tells of itself and of others.
+type NodeInfo struct {
+	Name        string `msg:"n"`
+	Incarnation int64  `msg:"l"`
+	Role        string `msg:"r"`
+	Zone        string `msg:"h"`
+	Address     string `msg:"a"`
+	Disk        string `msg:"d"`
+	AgeMs       int64  `msg:"g"`
+	Draining    bool   `msg:"x"`
+	Generation  int64  `msg:"c"`
 }
 
 // Ballot orders the rounds of the register.
@@ -34,113 +34,113 @@
 	Hash       string `msg:"h"`
 }
 
-// Duty says which process holds the lots, fenced by its epoch.
-type Duty struct {
-	Holder  string `msg:"h"`
-	Life    int64  `msg:"l"`
-	Address string `msg:"a"`
-	Epoch   uint64 `msg:"e"`
-}
-
-// Register is the value that the acceptors agree on.
-type Register struct {
-	Current   Version   `msg:"c"`
-	Body      []byte    `msg:"b"`
-	History   []Version `msg:"y"`
-	Acceptors []Member  `msg:"a"`
-	Previous  []Member  `msg:"p"`
-	SetEpoch  uint64    `msg:"e"`
-	Stores    []Member  `msg:"s"`
-	Retired   []string  `msg:"r"`
-	Duty      Duty      `msg:"d"`
+// Leadership says which process holds the lots, fenced by its epoch.
+type Leadership struct {
+	Holder      string `msg:"h"`
+	Incarnation int64  `msg:"l"`
+	Address     string `msg:"a"`
+	Epoch       uint64 `msg:"e"`
+}
+
+// RegisterValue is the value that the acceptors agree on.
+type RegisterValue struct {
+	Current    Version    `msg:"c"`
+	Body       []byte     `msg:"b"`
+	History    []Version  `msg:"y"`
+	Acceptors  []Member   `msg:"a"`
+	Previous   []Member   `msg:"p"`
+	SetEpoch   uint64     `msg:"e"`
+	Stores     []Member   `msg:"s"`
+	Retired    []string   `msg:"r"`
+	Leadership Leadership `msg:"d"`
 	// Archive names what was taken before the history begins.
 	Archive ArchiveHead `msg:"x"`
 }
 
-// Prepare opens a round; Query only reads and promises nothing.
-type Prepare struct {
+// PrepareRequest opens a round; Query only reads and promises nothing.
+type PrepareRequest struct {
 	Ballot Ballot `msg:"b"`
 	Disk   string `msg:"d"`
 	Query  bool   `msg:"q"`
-	// Slim wants a query's answer without the configuration's body.
-	Slim bool `msg:"s"`
+	// WithoutBody wants a query's answer without the configuration's body.
+	WithoutBody bool `msg:"s"`
 	// Archive asks about versions taken long ago, beside a query.
-	Archive *ArchiveQuestion `msg:"x,omitempty"`
+	Archive *ArchiveRequest `msg:"x,omitempty"`
 }
 
-// Promise answers Prepare.
-type Promise struct {
-	Granted  bool     `msg:"k"`
-	Promised Ballot   `msg:"p"`
-	Accepted Ballot   `msg:"a"`
-	Value    Register `msg:"v"`
+// PrepareResponse answers Prepare.
+type PrepareResponse struct {
+	Granted  bool          `msg:"k"`
+	Promised Ballot        `msg:"p"`
+	Accepted Ballot        `msg:"a"`
+	Value    RegisterValue `msg:"v"`
 	// Archive answers a question for it.
-	Archive *ArchiveAnswer `msg:"x,omitempty"`
+	Archive *ArchiveResponse `msg:"x,omitempty"`
 }
 
-// Accept asks an acceptor to take a value.
-type Accept struct {
-	Ballot Ballot   `msg:"b"`
-	Disk   string   `msg:"d"`
-	Value  Register `msg:"v"`
+// AcceptRequest asks an acceptor to take a value.
+type AcceptRequest struct {
+	Ballot Ballot        `msg:"b"`
+	Disk   string        `msg:"d"`
+	Value  RegisterValue `msg:"v"`
 }
 
-// Accepted answers Accept.
-type Accepted struct {
+// AcceptResponse answers Accept.
+type AcceptResponse struct {
 	Granted  bool   `msg:"k"`
 	Promised Ballot `msg:"p"`
 }
 
-// HoldAsk asks an acceptor to grant or renew the hold on a duty.
-type HoldAsk struct {
-	Candidate string `msg:"c"`
-	Life      int64  `msg:"l"`
-	Epoch     uint64 `msg:"e"`
+// LeaseRequest asks an acceptor to grant or renew the hold on a duty.
+type LeaseRequest struct {
+	Candidate   string `msg:"c"`
+	Incarnation int64  `msg:"l"`
+	Epoch       uint64 `msg:"e"`
 	// Release gives back what was granted.
 	Release bool `msg:"r"`
-	// Turn counts the questions of a life: a release that comes late gives back
+	// Sequence counts the questions of a life: a release that comes late gives back
 	// nothing that was granted after it was sent.
-	Turn uint64 `msg:"t"`
+	Sequence uint64 `msg:"t"`
 }
 
-// HoldAnswer grants it or says for how long it will not.
-type HoldAnswer struct {
+// LeaseResponse grants it or says for how long it will not.
+type LeaseResponse struct {
 	Granted bool   `msg:"k"`
 	WaitMs  int64  `msg:"w"`
 	Epoch   uint64 `msg:"e"`
 }
 
-// DutyChange asks a controller to change the duty or the store set in the register.
-type DutyChange struct {
-	Take        bool     `msg:"t"`
-	Holder      Duty     `msg:"h"`
-	ExpectEpoch uint64   `msg:"x"`
-	Stores      []Member `msg:"s"`
+// RegisterChangeRequest asks a controller to change the duty or the store set in the register.
+type RegisterChangeRequest struct {
+	Campaign    bool       `msg:"t"`
+	Holder      Leadership `msg:"h"`
+	ExpectEpoch uint64     `msg:"x"`
+	Stores      []Member   `msg:"s"`
 }
 
-// DutyChanged answers with the register as it then stood, without the body.
-type DutyChanged struct {
-	Done  bool     `msg:"k"`
-	Known bool     `msg:"n"`
-	Value Register `msg:"v"`
+// RegisterResponse answers with the register as it then stood, without the body.
+type RegisterResponse struct {
+	Applied bool          `msg:"k"`
+	Known   bool          `msg:"n"`
+	Value   RegisterValue `msg:"v"`
 }
 
 // AcceptorRecord is what an acceptor keeps on disk. Each replaces the one before.
 type AcceptorRecord struct {
-	Disk     string   `msg:"d"`
-	First    []Member `msg:"f"`
-	Promised Ballot   `msg:"p"`
-	Accepted Ballot   `msg:"a"`
-	HasValue bool     `msg:"h"`
-	Value    Register `msg:"v"`
+	Disk     string        `msg:"d"`
+	First    []Member      `msg:"f"`
+	Promised Ballot        `msg:"p"`
+	Accepted Ballot        `msg:"a"`
+	HasValue bool          `msg:"h"`
+	Value    RegisterValue `msg:"v"`
 }
 
 // ConfigPush carries a chosen configuration.
 type ConfigPush struct {
 	Generation int64  `msg:"g"`
 	Body       []byte `msg:"b"`
-	// Pass names the addresses to which the receiver passes it on.
-	Pass []string `msg:"p"`
+	// ForwardTo names the addresses to which the receiver passes it on.
+	ForwardTo []string `msg:"p"`
 }
 
 // ConfigPull asks for the newest one; it is answered by ConfigPush.
@@ -150,32 +150,32 @@
 
 // Worker is a registered worker.
 type Worker struct {
-	ID       string `msg:"i"`
-	Backend  string `msg:"b"`
-	Address  string `msg:"a"`
-	Zone     string `msg:"h"`
-	Capacity int    `msg:"c"`
-	Phase    Phase  `msg:"p"`
-	WarmupMs int64  `msg:"w"`
-	Count    int64  `msg:"n"`
-	AgeMs    int64  `msg:"g"`
-	Software string `msg:"s"`
+	ID        string `msg:"i"`
+	Backend   string `msg:"b"`
+	Address   string `msg:"a"`
+	Zone      string `msg:"h"`
+	Capacity  int    `msg:"c"`
+	Phase     Phase  `msg:"p"`
+	WarmupMs  int64  `msg:"w"`
+	CallCount int64  `msg:"n"`
+	AgeMs     int64  `msg:"g"`
+	Software  string `msg:"s"`
 }
 
-// Nothing is an empty answer.
-type Nothing struct {
-	Taken bool `msg:"t"`
+// Ack is an empty answer.
+type Ack struct {
+	Accepted bool `msg:"t"`
 }
 
 // Residency is a node's word on how likely a worker still holds a prefix.
 type Residency struct {
-	Path   []byte  `msg:"p"`
-	Tokens int     `msg:"t"`
-	Worker string  `msg:"w"`
-	Chance float32 `msg:"c"`
-	// AgeMs is the age of the evidence, WordMs that of the word itself.
-	AgeMs  int64 `msg:"a"`
-	WordMs int64 `msg:"m"`
+	Path        []byte  `msg:"p"`
+	Tokens      int     `msg:"t"`
+	Worker      string  `msg:"w"`
+	Probability float32 `msg:"c"`
+	// AgeMs is the age of the evidence, SampleAgeMs that of the word itself.
+	AgeMs       int64 `msg:"a"`
+	SampleAgeMs int64 `msg:"m"`
 }
 
 // Gossip carries what changed most, once a period. Loads and Prefixes are packed
@@ -188,8 +188,8 @@
 	Loads      []byte     `msg:"o"`
 	Prefixes   []byte     `msg:"x"`
 	Pressure   []Pressure `msg:"p"`
-	// Want is the address at which the sender wants to be told, when too few tell it.
-	Want string `msg:"q"`
+	// ReplyTo is the address at which the sender wants to be told, when too few tell it.
+	ReplyTo string `msg:"q"`
 }
 
 // Pressure says that requests of a rank wait for room at a service.
@@ -199,21 +199,21 @@
 	Waiting  int    `msg:"w"`
 }
 
-// PressureTold carries it at once, ahead of the next gossip.
-type PressureTold struct {
-	From  string     `msg:"f"`
-	Words []Pressure `msg:"w"`
+// PressureNotice carries it at once, ahead of the next gossip.
+type PressureNotice struct {
+	From    string     `msg:"f"`
+	Entries []Pressure `msg:"w"`
 	// Hops is how often it may still be passed on. Sharers is how many are asked to
 	// make room; none means that it is only to be known.
 	Hops    int `msg:"h"`
 	Sharers int `msg:"s"`
 }
 
-// ReadingTold says that a worker has a long prompt to read, ahead of the next gossip.
-type ReadingTold struct {
+// PrefillNotice says that a worker has a long prompt to read, ahead of the next gossip.
+type PrefillNotice struct {
 	From    string  `msg:"f"`
 	Worker  string  `msg:"w"`
-	Reading float64 `msg:"r"`
-	// Pass asks the receiver to tell those of its zone who place on the worker.
-	Pass bool `msg:"p"`
+	Prefill float64 `msg:"r"`
+	// Forward asks the receiver to tell those of its zone who place on the worker.
+	Forward bool `msg:"p"`
 }
--- a/internal/platform/messages/members_gen.go
+++ b/internal/platform/messages/members_gen.go
@@ -7,7 +7,7 @@
 )
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Accept) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *AcceptRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 3
 	// string "b"
@@ -33,7 +33,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Accept) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *AcceptRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -110,13 +110,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Accept) Msgsize() (s int) {
+func (z *AcceptRequest) Msgsize() (s int) {
 	s = 1 + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Ballot.Node) + 2 + msgp.StringPrefixSize + len(z.Disk) + 2 + z.Value.Msgsize()
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Accepted) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *AcceptResponse) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
 	// string "k"
@@ -135,7 +135,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Accepted) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *AcceptResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -206,7 +206,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Accepted) Msgsize() (s int) {
+func (z *AcceptResponse) Msgsize() (s int) {
 	s = 1 + 2 + msgp.BoolSize + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Promised.Node)
 	return
 }
@@ -406,6 +406,58 @@
 	return
 }
 
+// MarshalMsg implements msgp.Marshaler
+func (z Ack) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 1
+	// string "t"
+	o = append(o, 0x81, 0xa1, 0x74)
+	o = msgp.AppendBool(o, z.Accepted)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *Ack) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "t":
+			z.Accepted, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Accepted")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z Ack) Msgsize() (s int) {
+	s = 1 + 2 + msgp.BoolSize
+	return
+}
+
 // MarshalMsg implements msgp.Marshaler
 func (z Ballot) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -531,9 +583,9 @@
 	o = msgp.AppendBytes(o, z.Body)
 	// string "p"
 	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Pass)))
-	for za0001 := range z.Pass {
-		o = msgp.AppendString(o, z.Pass[za0001])
+	o = msgp.AppendArrayHeader(o, uint32(len(z.ForwardTo)))
+	for za0001 := range z.ForwardTo {
+		o = msgp.AppendString(o, z.ForwardTo[za0001])
 	}
 	return
 }
@@ -572,18 +624,18 @@
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Pass")
+				err = msgp.WrapError(err, "ForwardTo")
 				return
 			}
-			if cap(z.Pass) >= int(zb0002) {
-				z.Pass = (z.Pass)[:zb0002]
+			if cap(z.ForwardTo) >= int(zb0002) {
+				z.ForwardTo = (z.ForwardTo)[:zb0002]
 			} else {
-				z.Pass = make([]string, zb0002)
+				z.ForwardTo = make([]string, zb0002)
 			}
-			for za0001 := range z.Pass {
-				z.Pass[za0001], bts, err = msgp.ReadStringBytes(bts)
+			for za0001 := range z.ForwardTo {
+				z.ForwardTo[za0001], bts, err = msgp.ReadStringBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Pass", za0001)
+					err = msgp.WrapError(err, "ForwardTo", za0001)
 					return
 				}
 			}
@@ -602,33 +654,54 @@
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *ConfigPush) Msgsize() (s int) {
 	s = 1 + 2 + msgp.Int64Size + 2 + msgp.BytesPrefixSize + len(z.Body) + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Pass {
-		s += msgp.StringPrefixSize + len(z.Pass[za0001])
+	for za0001 := range z.ForwardTo {
+		s += msgp.StringPrefixSize + len(z.ForwardTo[za0001])
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Duty) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *Gossip) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 4
-	// string "h"
-	o = append(o, 0x84, 0xa1, 0x68)
-	o = msgp.AppendString(o, z.Holder)
-	// string "l"
-	o = append(o, 0xa1, 0x6c)
-	o = msgp.AppendInt64(o, z.Life)
-	// string "a"
-	o = append(o, 0xa1, 0x61)
-	o = msgp.AppendString(o, z.Address)
-	// string "e"
-	o = append(o, 0xa1, 0x65)
-	o = msgp.AppendUint64(o, z.Epoch)
+	// map header, size 7
+	// string "v"
+	o = append(o, 0x87, 0xa1, 0x76)
+	o = msgp.AppendInt(o, z.Format)
+	// string "f"
+	o = append(o, 0xa1, 0x66)
+	o = msgp.AppendString(o, z.From)
+	// string "g"
+	o = append(o, 0xa1, 0x67)
+	o = msgp.AppendInt64(o, z.Generation)
+	// string "o"
+	o = append(o, 0xa1, 0x6f)
+	o = msgp.AppendBytes(o, z.Loads)
+	// string "x"
+	o = append(o, 0xa1, 0x78)
+	o = msgp.AppendBytes(o, z.Prefixes)
+	// string "p"
+	o = append(o, 0xa1, 0x70)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Pressure)))
+	for za0001 := range z.Pressure {
+		// map header, size 3
+		// string "s"
+		o = append(o, 0x83, 0xa1, 0x73)
+		o = msgp.AppendString(o, z.Pressure[za0001].Service)
+		// string "p"
+		o = append(o, 0xa1, 0x70)
+		o = msgp.AppendInt(o, z.Pressure[za0001].Priority)
+		// string "w"
+		o = append(o, 0xa1, 0x77)
+		o = msgp.AppendInt(o, z.Pressure[za0001].Waiting)
+	}
+	// string "q"
+	o = append(o, 0xa1, 0x71)
+	o = msgp.AppendString(o, z.ReplyTo)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Duty) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Gossip) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -645,28 +718,94 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "h":
-			z.Holder, bts, err = msgp.ReadStringBytes(bts)
+		case "v":
+			z.Format, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Holder")
+				err = msgp.WrapError(err, "Format")
 				return
 			}
-		case "l":
-			z.Life, bts, err = msgp.ReadInt64Bytes(bts)
+		case "f":
+			z.From, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Life")
+				err = msgp.WrapError(err, "From")
 				return
 			}
-		case "a":
-			z.Address, bts, err = msgp.ReadStringBytes(bts)
+		case "g":
+			z.Generation, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Address")
+				err = msgp.WrapError(err, "Generation")
 				return
 			}
-		case "e":
-			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
+		case "o":
+			z.Loads, bts, err = msgp.ReadBytesBytes(bts, z.Loads)
 			if err != nil {
-				err = msgp.WrapError(err, "Epoch")
+				err = msgp.WrapError(err, "Loads")
+				return
+			}
+		case "x":
+			z.Prefixes, bts, err = msgp.ReadBytesBytes(bts, z.Prefixes)
+			if err != nil {
+				err = msgp.WrapError(err, "Prefixes")
+				return
+			}
+		case "p":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Pressure")
+				return
+			}
+			if cap(z.Pressure) >= int(zb0002) {
+				z.Pressure = (z.Pressure)[:zb0002]
+			} else {
+				z.Pressure = make([]Pressure, zb0002)
+			}
+			for za0001 := range z.Pressure {
+				var zb0003 uint32
+				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Pressure", za0001)
+					return
+				}
+				for zb0003 > 0 {
+					zb0003--
+					field, bts, err = msgp.ReadMapKeyZC(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Pressure", za0001)
+						return
+					}
+					switch msgp.UnsafeString(field) {
+					case "s":
+						z.Pressure[za0001].Service, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Pressure", za0001, "Service")
+							return
+						}
+					case "p":
+						z.Pressure[za0001].Priority, bts, err = msgp.ReadIntBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Pressure", za0001, "Priority")
+							return
+						}
+					case "w":
+						z.Pressure[za0001].Waiting, bts, err = msgp.ReadIntBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Pressure", za0001, "Waiting")
+							return
+						}
+					default:
+						bts, err = msgp.Skip(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Pressure", za0001)
+							return
+						}
+					}
+				}
+			}
+		case "q":
+			z.ReplyTo, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "ReplyTo")
 				return
 			}
 		default:
@@ -682,43 +821,36 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Duty) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Holder) + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.Address) + 2 + msgp.Uint64Size
+func (z *Gossip) Msgsize() (s int) {
+	s = 1 + 2 + msgp.IntSize + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.Int64Size + 2 + msgp.BytesPrefixSize + len(z.Loads) + 2 + msgp.BytesPrefixSize + len(z.Prefixes) + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.Pressure {
+		s += 1 + 2 + msgp.StringPrefixSize + len(z.Pressure[za0001].Service) + 2 + msgp.IntSize + 2 + msgp.IntSize
+	}
+	s += 2 + msgp.StringPrefixSize + len(z.ReplyTo)
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *DutyChange) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *Leadership) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 4
-	// string "t"
-	o = append(o, 0x84, 0xa1, 0x74)
-	o = msgp.AppendBool(o, z.Take)
 	// string "h"
-	o = append(o, 0xa1, 0x68)
-	o, err = z.Holder.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "Holder")
-		return
-	}
-	// string "x"
-	o = append(o, 0xa1, 0x78)
-	o = msgp.AppendUint64(o, z.ExpectEpoch)
-	// string "s"
-	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Stores)))
-	for za0001 := range z.Stores {
-		o, err = z.Stores[za0001].MarshalMsg(o)
-		if err != nil {
-			err = msgp.WrapError(err, "Stores", za0001)
-			return
-		}
-	}
+	o = append(o, 0x84, 0xa1, 0x68)
+	o = msgp.AppendString(o, z.Holder)
+	// string "l"
+	o = append(o, 0xa1, 0x6c)
+	o = msgp.AppendInt64(o, z.Incarnation)
+	// string "a"
+	o = append(o, 0xa1, 0x61)
+	o = msgp.AppendString(o, z.Address)
+	// string "e"
+	o = append(o, 0xa1, 0x65)
+	o = msgp.AppendUint64(o, z.Epoch)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *DutyChange) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Leadership) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -735,42 +867,29 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "t":
-			z.Take, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Take")
-				return
-			}
 		case "h":
-			bts, err = z.Holder.UnmarshalMsg(bts)
+			z.Holder, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Holder")
 				return
 			}
-		case "x":
-			z.ExpectEpoch, bts, err = msgp.ReadUint64Bytes(bts)
+		case "l":
+			z.Incarnation, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "ExpectEpoch")
+				err = msgp.WrapError(err, "Incarnation")
 				return
 			}
-		case "s":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		case "a":
+			z.Address, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Stores")
+				err = msgp.WrapError(err, "Address")
 				return
 			}
-			if cap(z.Stores) >= int(zb0002) {
-				z.Stores = (z.Stores)[:zb0002]
-			} else {
-				z.Stores = make([]Member, zb0002)
-			}
-			for za0001 := range z.Stores {
-				bts, err = z.Stores[za0001].UnmarshalMsg(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Stores", za0001)
-					return
-				}
+		case "e":
+			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Epoch")
+				return
 			}
 		default:
 			bts, err = msgp.Skip(bts)
@@ -785,36 +904,117 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *DutyChange) Msgsize() (s int) {
-	s = 1 + 2 + msgp.BoolSize + 2 + z.Holder.Msgsize() + 2 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Stores {
-		s += z.Stores[za0001].Msgsize()
-	}
+func (z *Leadership) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Holder) + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.Address) + 2 + msgp.Uint64Size
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *DutyChanged) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *LeaseRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 3
-	// string "k"
-	o = append(o, 0x83, 0xa1, 0x6b)
-	o = msgp.AppendBool(o, z.Done)
-	// string "n"
-	o = append(o, 0xa1, 0x6e)
-	o = msgp.AppendBool(o, z.Known)
-	// string "v"
-	o = append(o, 0xa1, 0x76)
-	o, err = z.Value.MarshalMsg(o)
+	// map header, size 5
+	// string "c"
+	o = append(o, 0x85, 0xa1, 0x63)
+	o = msgp.AppendString(o, z.Candidate)
+	// string "l"
+	o = append(o, 0xa1, 0x6c)
+	o = msgp.AppendInt64(o, z.Incarnation)
+	// string "e"
+	o = append(o, 0xa1, 0x65)
+	o = msgp.AppendUint64(o, z.Epoch)
+	// string "r"
+	o = append(o, 0xa1, 0x72)
+	o = msgp.AppendBool(o, z.Release)
+	// string "t"
+	o = append(o, 0xa1, 0x74)
+	o = msgp.AppendUint64(o, z.Sequence)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *LeaseRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Value")
+		err = msgp.WrapError(err)
 		return
 	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "c":
+			z.Candidate, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Candidate")
+				return
+			}
+		case "l":
+			z.Incarnation, bts, err = msgp.ReadInt64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Incarnation")
+				return
+			}
+		case "e":
+			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Epoch")
+				return
+			}
+		case "r":
+			z.Release, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Release")
+				return
+			}
+		case "t":
+			z.Sequence, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Sequence")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *LeaseRequest) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Candidate) + 2 + msgp.Int64Size + 2 + msgp.Uint64Size + 2 + msgp.BoolSize + 2 + msgp.Uint64Size
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z LeaseResponse) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 3
+	// string "k"
+	o = append(o, 0x83, 0xa1, 0x6b)
+	o = msgp.AppendBool(o, z.Granted)
+	// string "w"
+	o = append(o, 0xa1, 0x77)
+	o = msgp.AppendInt64(o, z.WaitMs)
+	// string "e"
+	o = append(o, 0xa1, 0x65)
+	o = msgp.AppendUint64(o, z.Epoch)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *DutyChanged) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *LeaseResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -832,21 +1032,100 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "k":
-			z.Done, bts, err = msgp.ReadBoolBytes(bts)
+			z.Granted, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Done")
+				err = msgp.WrapError(err, "Granted")
+				return
+			}
+		case "w":
+			z.WaitMs, bts, err = msgp.ReadInt64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "WaitMs")
+				return
+			}
+		case "e":
+			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Epoch")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
 				return
 			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z LeaseResponse) Msgsize() (s int) {
+	s = 1 + 2 + msgp.BoolSize + 2 + msgp.Int64Size + 2 + msgp.Uint64Size
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *Member) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 4
+	// string "n"
+	o = append(o, 0x84, 0xa1, 0x6e)
+	o = msgp.AppendString(o, z.Name)
+	// string "d"
+	o = append(o, 0xa1, 0x64)
+	o = msgp.AppendString(o, z.Disk)
+	// string "a"
+	o = append(o, 0xa1, 0x61)
+	o = msgp.AppendString(o, z.Address)
+	// string "h"
+	o = append(o, 0xa1, 0x68)
+	o = msgp.AppendString(o, z.Zone)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *Member) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
 		case "n":
-			z.Known, bts, err = msgp.ReadBoolBytes(bts)
+			z.Name, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Known")
+				err = msgp.WrapError(err, "Name")
 				return
 			}
-		case "v":
-			bts, err = z.Value.UnmarshalMsg(bts)
+		case "d":
+			z.Disk, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Value")
+				err = msgp.WrapError(err, "Disk")
+				return
+			}
+		case "a":
+			z.Address, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Address")
+				return
+			}
+		case "h":
+			z.Zone, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Zone")
 				return
 			}
 		default:
@@ -862,13 +1141,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *DutyChanged) Msgsize() (s int) {
-	s = 1 + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + z.Value.Msgsize()
+func (z *Member) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.StringPrefixSize + len(z.Disk) + 2 + msgp.StringPrefixSize + len(z.Address) + 2 + msgp.StringPrefixSize + len(z.Zone)
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Entry) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *NodeInfo) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 9
 	// string "n"
@@ -876,7 +1155,7 @@
 	o = msgp.AppendString(o, z.Name)
 	// string "l"
 	o = append(o, 0xa1, 0x6c)
-	o = msgp.AppendInt64(o, z.Life)
+	o = msgp.AppendInt64(o, z.Incarnation)
 	// string "r"
 	o = append(o, 0xa1, 0x72)
 	o = msgp.AppendString(o, z.Role)
@@ -894,7 +1173,7 @@
 	o = msgp.AppendInt64(o, z.AgeMs)
 	// string "x"
 	o = append(o, 0xa1, 0x78)
-	o = msgp.AppendBool(o, z.Leaving)
+	o = msgp.AppendBool(o, z.Draining)
 	// string "c"
 	o = append(o, 0xa1, 0x63)
 	o = msgp.AppendInt64(o, z.Generation)
@@ -902,7 +1181,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Entry) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *NodeInfo) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -926,9 +1205,9 @@
 				return
 			}
 		case "l":
-			z.Life, bts, err = msgp.ReadInt64Bytes(bts)
+			z.Incarnation, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Life")
+				err = msgp.WrapError(err, "Incarnation")
 				return
 			}
 		case "r":
@@ -962,9 +1241,9 @@
 				return
 			}
 		case "x":
-			z.Leaving, bts, err = msgp.ReadBoolBytes(bts)
+			z.Draining, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Leaving")
+				err = msgp.WrapError(err, "Draining")
 				return
 			}
 		case "c":
@@ -986,53 +1265,32 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Entry) Msgsize() (s int) {
+func (z *NodeInfo) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.Role) + 2 + msgp.StringPrefixSize + len(z.Zone) + 2 + msgp.StringPrefixSize + len(z.Address) + 2 + msgp.StringPrefixSize + len(z.Disk) + 2 + msgp.Int64Size + 2 + msgp.BoolSize + 2 + msgp.Int64Size
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Gossip) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *PrefillNotice) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 7
-	// string "v"
-	o = append(o, 0x87, 0xa1, 0x76)
-	o = msgp.AppendInt(o, z.Format)
+	// map header, size 4
 	// string "f"
-	o = append(o, 0xa1, 0x66)
+	o = append(o, 0x84, 0xa1, 0x66)
 	o = msgp.AppendString(o, z.From)
-	// string "g"
-	o = append(o, 0xa1, 0x67)
-	o = msgp.AppendInt64(o, z.Generation)
-	// string "o"
-	o = append(o, 0xa1, 0x6f)
-	o = msgp.AppendBytes(o, z.Loads)
-	// string "x"
-	o = append(o, 0xa1, 0x78)
-	o = msgp.AppendBytes(o, z.Prefixes)
+	// string "w"
+	o = append(o, 0xa1, 0x77)
+	o = msgp.AppendString(o, z.Worker)
+	// string "r"
+	o = append(o, 0xa1, 0x72)
+	o = msgp.AppendFloat64(o, z.Prefill)
 	// string "p"
 	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Pressure)))
-	for za0001 := range z.Pressure {
-		// map header, size 3
-		// string "s"
-		o = append(o, 0x83, 0xa1, 0x73)
-		o = msgp.AppendString(o, z.Pressure[za0001].Service)
-		// string "p"
-		o = append(o, 0xa1, 0x70)
-		o = msgp.AppendInt(o, z.Pressure[za0001].Priority)
-		// string "w"
-		o = append(o, 0xa1, 0x77)
-		o = msgp.AppendInt(o, z.Pressure[za0001].Waiting)
-	}
-	// string "q"
-	o = append(o, 0xa1, 0x71)
-	o = msgp.AppendString(o, z.Want)
+	o = msgp.AppendBool(o, z.Forward)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Gossip) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *PrefillNotice) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1049,100 +1307,34 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "v":
-			z.Format, bts, err = msgp.ReadIntBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Format")
-				return
-			}
 		case "f":
 			z.From, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "From")
 				return
 			}
-		case "g":
-			z.Generation, bts, err = msgp.ReadInt64Bytes(bts)
+		case "w":
+			z.Worker, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Generation")
+				err = msgp.WrapError(err, "Worker")
 				return
 			}
-		case "o":
-			z.Loads, bts, err = msgp.ReadBytesBytes(bts, z.Loads)
+		case "r":
+			z.Prefill, bts, err = msgp.ReadFloat64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Loads")
+				err = msgp.WrapError(err, "Prefill")
 				return
 			}
-		case "x":
-			z.Prefixes, bts, err = msgp.ReadBytesBytes(bts, z.Prefixes)
+		case "p":
+			z.Forward, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Prefixes")
+				err = msgp.WrapError(err, "Forward")
 				return
 			}
-		case "p":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		default:
+			bts, err = msgp.Skip(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Pressure")
-				return
-			}
-			if cap(z.Pressure) >= int(zb0002) {
-				z.Pressure = (z.Pressure)[:zb0002]
-			} else {
-				z.Pressure = make([]Pressure, zb0002)
-			}
-			for za0001 := range z.Pressure {
-				var zb0003 uint32
-				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Pressure", za0001)
-					return
-				}
-				for zb0003 > 0 {
-					zb0003--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Pressure", za0001)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "s":
-						z.Pressure[za0001].Service, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Pressure", za0001, "Service")
-							return
-						}
-					case "p":
-						z.Pressure[za0001].Priority, bts, err = msgp.ReadIntBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Pressure", za0001, "Priority")
-							return
-						}
-					case "w":
-						z.Pressure[za0001].Waiting, bts, err = msgp.ReadIntBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Pressure", za0001, "Waiting")
-							return
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Pressure", za0001)
-							return
-						}
-					}
-				}
-			}
-		case "q":
-			z.Want, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Want")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
+				err = msgp.WrapError(err)
 				return
 			}
 		}
@@ -1152,194 +1344,64 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Gossip) Msgsize() (s int) {
-	s = 1 + 2 + msgp.IntSize + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.Int64Size + 2 + msgp.BytesPrefixSize + len(z.Loads) + 2 + msgp.BytesPrefixSize + len(z.Prefixes) + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Pressure {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.Pressure[za0001].Service) + 2 + msgp.IntSize + 2 + msgp.IntSize
-	}
-	s += 2 + msgp.StringPrefixSize + len(z.Want)
+func (z *PrefillNotice) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.StringPrefixSize + len(z.Worker) + 2 + msgp.Float64Size + 2 + msgp.BoolSize
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z HoldAnswer) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *PrepareRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 3
-	// string "k"
-	o = append(o, 0x83, 0xa1, 0x6b)
-	o = msgp.AppendBool(o, z.Granted)
-	// string "w"
-	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendInt64(o, z.WaitMs)
-	// string "e"
-	o = append(o, 0xa1, 0x65)
-	o = msgp.AppendUint64(o, z.Epoch)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *HoldAnswer) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "k":
-			z.Granted, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Granted")
-				return
-			}
-		case "w":
-			z.WaitMs, bts, err = msgp.ReadInt64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "WaitMs")
-				return
-			}
-		case "e":
-			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Epoch")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
+	// check for omitted fields
+	zb0001Len := uint32(5)
+	var zb0001Mask uint8 /* 5 bits */
+	_ = zb0001Mask
+	if z.Archive == nil {
+		zb0001Len--
+		zb0001Mask |= 0x10
 	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z HoldAnswer) Msgsize() (s int) {
-	s = 1 + 2 + msgp.BoolSize + 2 + msgp.Int64Size + 2 + msgp.Uint64Size
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *HoldAsk) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 5
-	// string "c"
-	o = append(o, 0x85, 0xa1, 0x63)
-	o = msgp.AppendString(o, z.Candidate)
-	// string "l"
-	o = append(o, 0xa1, 0x6c)
-	o = msgp.AppendInt64(o, z.Life)
-	// string "e"
-	o = append(o, 0xa1, 0x65)
-	o = msgp.AppendUint64(o, z.Epoch)
-	// string "r"
-	o = append(o, 0xa1, 0x72)
-	o = msgp.AppendBool(o, z.Release)
-	// string "t"
-	o = append(o, 0xa1, 0x74)
-	o = msgp.AppendUint64(o, z.Turn)
-	return
-}
+	// variable map header, size zb0001Len
+	o = append(o, 0x80|uint8(zb0001Len))
 
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *HoldAsk) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "c":
-			z.Candidate, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Candidate")
-				return
-			}
-		case "l":
-			z.Life, bts, err = msgp.ReadInt64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Life")
-				return
-			}
-		case "e":
-			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Epoch")
-				return
-			}
-		case "r":
-			z.Release, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Release")
-				return
-			}
-		case "t":
-			z.Turn, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Turn")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
+	// skip if no fields are to be emitted
+	if zb0001Len != 0 {
+		// string "b"
+		o = append(o, 0xa1, 0x62)
+		// map header, size 2
+		// string "c"
+		o = append(o, 0x82, 0xa1, 0x63)
+		o = msgp.AppendUint64(o, z.Ballot.Counter)
+		// string "n"
+		o = append(o, 0xa1, 0x6e)
+		o = msgp.AppendString(o, z.Ballot.Node)
+		// string "d"
+		o = append(o, 0xa1, 0x64)
+		o = msgp.AppendString(o, z.Disk)
+		// string "q"
+		o = append(o, 0xa1, 0x71)
+		o = msgp.AppendBool(o, z.Query)
+		// string "s"
+		o = append(o, 0xa1, 0x73)
+		o = msgp.AppendBool(o, z.WithoutBody)
+		if (zb0001Mask & 0x10) == 0 { // if not omitted
+			// string "x"
+			o = append(o, 0xa1, 0x78)
+			if z.Archive == nil {
+				o = msgp.AppendNil(o)
+			} else {
+				o, err = z.Archive.MarshalMsg(o)
+				if err != nil {
+					err = msgp.WrapError(err, "Archive")
+					return
+				}
 			}
 		}
 	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *HoldAsk) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Candidate) + 2 + msgp.Int64Size + 2 + msgp.Uint64Size + 2 + msgp.BoolSize + 2 + msgp.Uint64Size
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *Member) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 4
-	// string "n"
-	o = append(o, 0x84, 0xa1, 0x6e)
-	o = msgp.AppendString(o, z.Name)
-	// string "d"
-	o = append(o, 0xa1, 0x64)
-	o = msgp.AppendString(o, z.Disk)
-	// string "a"
-	o = append(o, 0xa1, 0x61)
-	o = msgp.AppendString(o, z.Address)
-	// string "h"
-	o = append(o, 0xa1, 0x68)
-	o = msgp.AppendString(o, z.Zone)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Member) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *PrepareRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1356,81 +1418,75 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "n":
-			z.Name, bts, err = msgp.ReadStringBytes(bts)
+		case "b":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Name")
+				err = msgp.WrapError(err, "Ballot")
 				return
 			}
+			for zb0002 > 0 {
+				zb0002--
+				field, bts, err = msgp.ReadMapKeyZC(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Ballot")
+					return
+				}
+				switch msgp.UnsafeString(field) {
+				case "c":
+					z.Ballot.Counter, bts, err = msgp.ReadUint64Bytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Ballot", "Counter")
+						return
+					}
+				case "n":
+					z.Ballot.Node, bts, err = msgp.ReadStringBytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Ballot", "Node")
+						return
+					}
+				default:
+					bts, err = msgp.Skip(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Ballot")
+						return
+					}
+				}
+			}
 		case "d":
 			z.Disk, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Disk")
 				return
 			}
-		case "a":
-			z.Address, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Address")
-				return
-			}
-		case "h":
-			z.Zone, bts, err = msgp.ReadStringBytes(bts)
+		case "q":
+			z.Query, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Zone")
+				err = msgp.WrapError(err, "Query")
 				return
 			}
-		default:
-			bts, err = msgp.Skip(bts)
+		case "s":
+			z.WithoutBody, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err)
+				err = msgp.WrapError(err, "WithoutBody")
 				return
 			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Member) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.StringPrefixSize + len(z.Disk) + 2 + msgp.StringPrefixSize + len(z.Address) + 2 + msgp.StringPrefixSize + len(z.Zone)
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z Nothing) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 1
-	// string "t"
-	o = append(o, 0x81, 0xa1, 0x74)
-	o = msgp.AppendBool(o, z.Taken)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Nothing) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "t":
-			z.Taken, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Taken")
-				return
+		case "x":
+			if msgp.IsNil(bts) {
+				bts, err = msgp.ReadNilBytes(bts)
+				if err != nil {
+					return
+				}
+				z.Archive = nil
+			} else {
+				if z.Archive == nil {
+					z.Archive = new(ArchiveRequest)
+				}
+				bts, err = z.Archive.UnmarshalMsg(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Archive")
+					return
+				}
 			}
 		default:
 			bts, err = msgp.Skip(bts)
@@ -1445,13 +1501,18 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Nothing) Msgsize() (s int) {
-	s = 1 + 2 + msgp.BoolSize
+func (z *PrepareRequest) Msgsize() (s int) {
+	s = 1 + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Ballot.Node) + 2 + msgp.StringPrefixSize + len(z.Disk) + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2
+	if z.Archive == nil {
+		s += msgp.NilSize
+	} else {
+		s += z.Archive.Msgsize()
+	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Prepare) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *PrepareResponse) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// check for omitted fields
 	zb0001Len := uint32(5)
@@ -1466,24 +1527,34 @@
 
 	// skip if no fields are to be emitted
 	if zb0001Len != 0 {
-		// string "b"
-		o = append(o, 0xa1, 0x62)
+		// string "k"
+		o = append(o, 0xa1, 0x6b)
+		o = msgp.AppendBool(o, z.Granted)
+		// string "p"
+		o = append(o, 0xa1, 0x70)
 		// map header, size 2
 		// string "c"
 		o = append(o, 0x82, 0xa1, 0x63)
-		o = msgp.AppendUint64(o, z.Ballot.Counter)
+		o = msgp.AppendUint64(o, z.Promised.Counter)
 		// string "n"
 		o = append(o, 0xa1, 0x6e)
-		o = msgp.AppendString(o, z.Ballot.Node)
-		// string "d"
-		o = append(o, 0xa1, 0x64)
-		o = msgp.AppendString(o, z.Disk)
-		// string "q"
-		o = append(o, 0xa1, 0x71)
-		o = msgp.AppendBool(o, z.Query)
-		// string "s"
-		o = append(o, 0xa1, 0x73)
-		o = msgp.AppendBool(o, z.Slim)
+		o = msgp.AppendString(o, z.Promised.Node)
+		// string "a"
+		o = append(o, 0xa1, 0x61)
+		// map header, size 2
+		// string "c"
+		o = append(o, 0x82, 0xa1, 0x63)
+		o = msgp.AppendUint64(o, z.Accepted.Counter)
+		// string "n"
+		o = append(o, 0xa1, 0x6e)
+		o = msgp.AppendString(o, z.Accepted.Node)
+		// string "v"
+		o = append(o, 0xa1, 0x76)
+		o, err = z.Value.MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "Value")
+			return
+		}
 		if (zb0001Mask & 0x10) == 0 { // if not omitted
 			// string "x"
 			o = append(o, 0xa1, 0x78)
@@ -1502,7 +1573,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Prepare) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *PrepareResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1519,57 +1590,86 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "b":
+		case "k":
+			z.Granted, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Granted")
+				return
+			}
+		case "p":
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Ballot")
+				err = msgp.WrapError(err, "Promised")
+				return
+			}
+			for zb0002 > 0 {
+				zb0002--
+				field, bts, err = msgp.ReadMapKeyZC(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Promised")
+					return
+				}
+				switch msgp.UnsafeString(field) {
+				case "c":
+					z.Promised.Counter, bts, err = msgp.ReadUint64Bytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Promised", "Counter")
+						return
+					}
+				case "n":
+					z.Promised.Node, bts, err = msgp.ReadStringBytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Promised", "Node")
+						return
+					}
+				default:
+					bts, err = msgp.Skip(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Promised")
+						return
+					}
+				}
+			}
+		case "a":
+			var zb0003 uint32
+			zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Accepted")
 				return
 			}
-			for zb0002 > 0 {
-				zb0002--
+			for zb0003 > 0 {
+				zb0003--
 				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Ballot")
+					err = msgp.WrapError(err, "Accepted")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "c":
-					z.Ballot.Counter, bts, err = msgp.ReadUint64Bytes(bts)
+					z.Accepted.Counter, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Ballot", "Counter")
+						err = msgp.WrapError(err, "Accepted", "Counter")
 						return
 					}
 				case "n":
-					z.Ballot.Node, bts, err = msgp.ReadStringBytes(bts)
+					z.Accepted.Node, bts, err = msgp.ReadStringBytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Ballot", "Node")
+						err = msgp.WrapError(err, "Accepted", "Node")
 						return
 					}
 				default:
 					bts, err = msgp.Skip(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Ballot")
+						err = msgp.WrapError(err, "Accepted")
 						return
 					}
 				}
 			}
-		case "d":
-			z.Disk, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Disk")
-				return
-			}
-		case "q":
-			z.Query, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Query")
-				return
-			}
-		case "s":
-			z.Slim, bts, err = msgp.ReadBoolBytes(bts)
+		case "v":
+			bts, err = z.Value.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Slim")
+				err = msgp.WrapError(err, "Value")
 				return
 			}
 		case "x":
@@ -1581,7 +1681,7 @@
 				z.Archive = nil
 			} else {
 				if z.Archive == nil {
-					z.Archive = new(ArchiveQuestion)
+					z.Archive = new(ArchiveResponse)
 				}
 				bts, err = z.Archive.UnmarshalMsg(bts)
 				if err != nil {
@@ -1602,8 +1702,8 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Prepare) Msgsize() (s int) {
-	s = 1 + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Ballot.Node) + 2 + msgp.StringPrefixSize + len(z.Disk) + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2
+func (z *PrepareResponse) Msgsize() (s int) {
+	s = 1 + 2 + msgp.BoolSize + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Promised.Node) + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Accepted.Node) + 2 + z.Value.Msgsize() + 2
 	if z.Archive == nil {
 		s += msgp.NilSize
 	} else {
@@ -1683,7 +1783,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *PressureTold) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *PressureNotice) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 4
 	// string "f"
@@ -1691,18 +1791,18 @@
 	o = msgp.AppendString(o, z.From)
 	// string "w"
 	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Words)))
-	for za0001 := range z.Words {
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Entries)))
+	for za0001 := range z.Entries {
 		// map header, size 3
 		// string "s"
 		o = append(o, 0x83, 0xa1, 0x73)
-		o = msgp.AppendString(o, z.Words[za0001].Service)
+		o = msgp.AppendString(o, z.Entries[za0001].Service)
 		// string "p"
 		o = append(o, 0xa1, 0x70)
-		o = msgp.AppendInt(o, z.Words[za0001].Priority)
+		o = msgp.AppendInt(o, z.Entries[za0001].Priority)
 		// string "w"
 		o = append(o, 0xa1, 0x77)
-		o = msgp.AppendInt(o, z.Words[za0001].Waiting)
+		o = msgp.AppendInt(o, z.Entries[za0001].Waiting)
 	}
 	// string "h"
 	o = append(o, 0xa1, 0x68)
@@ -1714,7 +1814,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *PressureTold) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *PressureNotice) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1741,51 +1841,51 @@
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Words")
+				err = msgp.WrapError(err, "Entries")
 				return
 			}
-			if cap(z.Words) >= int(zb0002) {
-				z.Words = (z.Words)[:zb0002]
+			if cap(z.Entries) >= int(zb0002) {
+				z.Entries = (z.Entries)[:zb0002]
 			} else {
-				z.Words = make([]Pressure, zb0002)
+				z.Entries = make([]Pressure, zb0002)
 			}
-			for za0001 := range z.Words {
+			for za0001 := range z.Entries {
 				var zb0003 uint32
 				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Words", za0001)
+					err = msgp.WrapError(err, "Entries", za0001)
 					return
 				}
 				for zb0003 > 0 {
 					zb0003--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Words", za0001)
+						err = msgp.WrapError(err, "Entries", za0001)
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "s":
-						z.Words[za0001].Service, bts, err = msgp.ReadStringBytes(bts)
+						z.Entries[za0001].Service, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Words", za0001, "Service")
+							err = msgp.WrapError(err, "Entries", za0001, "Service")
 							return
 						}
 					case "p":
-						z.Words[za0001].Priority, bts, err = msgp.ReadIntBytes(bts)
+						z.Entries[za0001].Priority, bts, err = msgp.ReadIntBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Words", za0001, "Priority")
+							err = msgp.WrapError(err, "Entries", za0001, "Priority")
 							return
 						}
 					case "w":
-						z.Words[za0001].Waiting, bts, err = msgp.ReadIntBytes(bts)
+						z.Entries[za0001].Waiting, bts, err = msgp.ReadIntBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Words", za0001, "Waiting")
+							err = msgp.WrapError(err, "Entries", za0001, "Waiting")
 							return
 						}
 					default:
 						bts, err = msgp.Skip(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Words", za0001)
+							err = msgp.WrapError(err, "Entries", za0001)
 							return
 						}
 					}
@@ -1816,78 +1916,47 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *PressureTold) Msgsize() (s int) {
+func (z *PressureNotice) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Words {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.Words[za0001].Service) + 2 + msgp.IntSize + 2 + msgp.IntSize
+	for za0001 := range z.Entries {
+		s += 1 + 2 + msgp.StringPrefixSize + len(z.Entries[za0001].Service) + 2 + msgp.IntSize + 2 + msgp.IntSize
 	}
 	s += 2 + msgp.IntSize + 2 + msgp.IntSize
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Promise) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *RegisterChangeRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// check for omitted fields
-	zb0001Len := uint32(5)
-	var zb0001Mask uint8 /* 5 bits */
-	_ = zb0001Mask
-	if z.Archive == nil {
-		zb0001Len--
-		zb0001Mask |= 0x10
+	// map header, size 4
+	// string "t"
+	o = append(o, 0x84, 0xa1, 0x74)
+	o = msgp.AppendBool(o, z.Campaign)
+	// string "h"
+	o = append(o, 0xa1, 0x68)
+	o, err = z.Holder.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "Holder")
+		return
 	}
-	// variable map header, size zb0001Len
-	o = append(o, 0x80|uint8(zb0001Len))
-
-	// skip if no fields are to be emitted
-	if zb0001Len != 0 {
-		// string "k"
-		o = append(o, 0xa1, 0x6b)
-		o = msgp.AppendBool(o, z.Granted)
-		// string "p"
-		o = append(o, 0xa1, 0x70)
-		// map header, size 2
-		// string "c"
-		o = append(o, 0x82, 0xa1, 0x63)
-		o = msgp.AppendUint64(o, z.Promised.Counter)
-		// string "n"
-		o = append(o, 0xa1, 0x6e)
-		o = msgp.AppendString(o, z.Promised.Node)
-		// string "a"
-		o = append(o, 0xa1, 0x61)
-		// map header, size 2
-		// string "c"
-		o = append(o, 0x82, 0xa1, 0x63)
-		o = msgp.AppendUint64(o, z.Accepted.Counter)
-		// string "n"
-		o = append(o, 0xa1, 0x6e)
-		o = msgp.AppendString(o, z.Accepted.Node)
-		// string "v"
-		o = append(o, 0xa1, 0x76)
-		o, err = z.Value.MarshalMsg(o)
+	// string "x"
+	o = append(o, 0xa1, 0x78)
+	o = msgp.AppendUint64(o, z.ExpectEpoch)
+	// string "s"
+	o = append(o, 0xa1, 0x73)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Stores)))
+	for za0001 := range z.Stores {
+		o, err = z.Stores[za0001].MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Value")
+			err = msgp.WrapError(err, "Stores", za0001)
 			return
 		}
-		if (zb0001Mask & 0x10) == 0 { // if not omitted
-			// string "x"
-			o = append(o, 0xa1, 0x78)
-			if z.Archive == nil {
-				o = msgp.AppendNil(o)
-			} else {
-				o, err = z.Archive.MarshalMsg(o)
-				if err != nil {
-					err = msgp.WrapError(err, "Archive")
-					return
-				}
-			}
-		}
 	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Promise) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *RegisterChangeRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1904,102 +1973,40 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "k":
-			z.Granted, bts, err = msgp.ReadBoolBytes(bts)
+		case "t":
+			z.Campaign, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Granted")
+				err = msgp.WrapError(err, "Campaign")
 				return
 			}
-		case "p":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
+		case "h":
+			bts, err = z.Holder.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Promised")
+				err = msgp.WrapError(err, "Holder")
 				return
 			}
-			for zb0002 > 0 {
-				zb0002--
-				field, bts, err = msgp.ReadMapKeyZC(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Promised")
-					return
-				}
-				switch msgp.UnsafeString(field) {
-				case "c":
-					z.Promised.Counter, bts, err = msgp.ReadUint64Bytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Promised", "Counter")
-						return
-					}
-				case "n":
-					z.Promised.Node, bts, err = msgp.ReadStringBytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Promised", "Node")
-						return
-					}
-				default:
-					bts, err = msgp.Skip(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Promised")
-						return
-					}
-				}
-			}
-		case "a":
-			var zb0003 uint32
-			zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+		case "x":
+			z.ExpectEpoch, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Accepted")
+				err = msgp.WrapError(err, "ExpectEpoch")
 				return
 			}
-			for zb0003 > 0 {
-				zb0003--
-				field, bts, err = msgp.ReadMapKeyZC(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Accepted")
-					return
-				}
-				switch msgp.UnsafeString(field) {
-				case "c":
-					z.Accepted.Counter, bts, err = msgp.ReadUint64Bytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Accepted", "Counter")
-						return
-					}
-				case "n":
-					z.Accepted.Node, bts, err = msgp.ReadStringBytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Accepted", "Node")
-						return
-					}
-				default:
-					bts, err = msgp.Skip(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Accepted")
-						return
-					}
-				}
-			}
-		case "v":
-			bts, err = z.Value.UnmarshalMsg(bts)
+		case "s":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Value")
+				err = msgp.WrapError(err, "Stores")
 				return
 			}
-		case "x":
-			if msgp.IsNil(bts) {
-				bts, err = msgp.ReadNilBytes(bts)
-				if err != nil {
-					return
-				}
-				z.Archive = nil
+			if cap(z.Stores) >= int(zb0002) {
+				z.Stores = (z.Stores)[:zb0002]
 			} else {
-				if z.Archive == nil {
-					z.Archive = new(ArchiveAnswer)
-				}
-				bts, err = z.Archive.UnmarshalMsg(bts)
+				z.Stores = make([]Member, zb0002)
+			}
+			for za0001 := range z.Stores {
+				bts, err = z.Stores[za0001].UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Archive")
+					err = msgp.WrapError(err, "Stores", za0001)
 					return
 				}
 			}
@@ -2016,37 +2023,36 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Promise) Msgsize() (s int) {
-	s = 1 + 2 + msgp.BoolSize + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Promised.Node) + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Accepted.Node) + 2 + z.Value.Msgsize() + 2
-	if z.Archive == nil {
-		s += msgp.NilSize
-	} else {
-		s += z.Archive.Msgsize()
+func (z *RegisterChangeRequest) Msgsize() (s int) {
+	s = 1 + 2 + msgp.BoolSize + 2 + z.Holder.Msgsize() + 2 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.Stores {
+		s += z.Stores[za0001].Msgsize()
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *ReadingTold) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *RegisterResponse) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 4
-	// string "f"
-	o = append(o, 0x84, 0xa1, 0x66)
-	o = msgp.AppendString(o, z.From)
-	// string "w"
-	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendString(o, z.Worker)
-	// string "r"
-	o = append(o, 0xa1, 0x72)
-	o = msgp.AppendFloat64(o, z.Reading)
-	// string "p"
-	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendBool(o, z.Pass)
+	// map header, size 3
+	// string "k"
+	o = append(o, 0x83, 0xa1, 0x6b)
+	o = msgp.AppendBool(o, z.Applied)
+	// string "n"
+	o = append(o, 0xa1, 0x6e)
+	o = msgp.AppendBool(o, z.Known)
+	// string "v"
+	o = append(o, 0xa1, 0x76)
+	o, err = z.Value.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "Value")
+		return
+	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *ReadingTold) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *RegisterResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -2063,28 +2069,22 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "f":
-			z.From, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "From")
-				return
-			}
-		case "w":
-			z.Worker, bts, err = msgp.ReadStringBytes(bts)
+		case "k":
+			z.Applied, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Worker")
+				err = msgp.WrapError(err, "Applied")
 				return
 			}
-		case "r":
-			z.Reading, bts, err = msgp.ReadFloat64Bytes(bts)
+		case "n":
+			z.Known, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Reading")
+				err = msgp.WrapError(err, "Known")
 				return
 			}
-		case "p":
-			z.Pass, bts, err = msgp.ReadBoolBytes(bts)
+		case "v":
+			bts, err = z.Value.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Pass")
+				err = msgp.WrapError(err, "Value")
 				return
 			}
 		default:
@@ -2100,13 +2100,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *ReadingTold) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.StringPrefixSize + len(z.Worker) + 2 + msgp.Float64Size + 2 + msgp.BoolSize
+func (z *RegisterResponse) Msgsize() (s int) {
+	s = 1 + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + z.Value.Msgsize()
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Register) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *RegisterValue) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 10
 	// string "c"
@@ -2180,9 +2180,9 @@
 	}
 	// string "d"
 	o = append(o, 0xa1, 0x64)
-	o, err = z.Duty.MarshalMsg(o)
+	o, err = z.Leadership.MarshalMsg(o)
 	if err != nil {
-		err = msgp.WrapError(err, "Duty")
+		err = msgp.WrapError(err, "Leadership")
 		return
 	}
 	// string "x"
@@ -2196,7 +2196,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Register) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *RegisterValue) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -2397,9 +2397,9 @@
 				}
 			}
 		case "d":
-			bts, err = z.Duty.UnmarshalMsg(bts)
+			bts, err = z.Leadership.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Duty")
+				err = msgp.WrapError(err, "Leadership")
 				return
 			}
 		case "x":
@@ -2421,7 +2421,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Register) Msgsize() (s int) {
+func (z *RegisterValue) Msgsize() (s int) {
 	s = 1 + 2 + 1 + 2 + msgp.Int64Size + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.Current.Hash) + 2 + msgp.BytesPrefixSize + len(z.Body) + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.History {
 		s += 1 + 2 + msgp.Int64Size + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.History[za0001].Hash)
@@ -2442,7 +2442,7 @@
 	for za0005 := range z.Retired {
 		s += msgp.StringPrefixSize + len(z.Retired[za0005])
 	}
-	s += 2 + z.Duty.Msgsize() + 2 + z.Archive.Msgsize()
+	s += 2 + z.Leadership.Msgsize() + 2 + z.Archive.Msgsize()
 	return
 }
 
@@ -2461,13 +2461,13 @@
 	o = msgp.AppendString(o, z.Worker)
 	// string "c"
 	o = append(o, 0xa1, 0x63)
-	o = msgp.AppendFloat32(o, z.Chance)
+	o = msgp.AppendFloat32(o, z.Probability)
 	// string "a"
 	o = append(o, 0xa1, 0x61)
 	o = msgp.AppendInt64(o, z.AgeMs)
 	// string "m"
 	o = append(o, 0xa1, 0x6d)
-	o = msgp.AppendInt64(o, z.WordMs)
+	o = msgp.AppendInt64(o, z.SampleAgeMs)
 	return
 }
 
@@ -2508,9 +2508,9 @@
 				return
 			}
 		case "c":
-			z.Chance, bts, err = msgp.ReadFloat32Bytes(bts)
+			z.Probability, bts, err = msgp.ReadFloat32Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Chance")
+				err = msgp.WrapError(err, "Probability")
 				return
 			}
 		case "a":
@@ -2520,9 +2520,9 @@
 				return
 			}
 		case "m":
-			z.WordMs, bts, err = msgp.ReadInt64Bytes(bts)
+			z.SampleAgeMs, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "WordMs")
+				err = msgp.WrapError(err, "SampleAgeMs")
 				return
 			}
 		default:
@@ -2644,7 +2644,7 @@
 	o = msgp.AppendInt64(o, z.WarmupMs)
 	// string "n"
 	o = append(o, 0xa1, 0x6e)
-	o = msgp.AppendInt64(o, z.Count)
+	o = msgp.AppendInt64(o, z.CallCount)
 	// string "g"
 	o = append(o, 0xa1, 0x67)
 	o = msgp.AppendInt64(o, z.AgeMs)
@@ -2715,9 +2715,9 @@
 				return
 			}
 		case "n":
-			z.Count, bts, err = msgp.ReadInt64Bytes(bts)
+			z.CallCount, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Count")
+				err = msgp.WrapError(err, "CallCount")
 				return
 			}
 		case "g":
--- a/internal/platform/messages/plans_gen.go
+++ b/internal/platform/messages/plans_gen.go
@@ -7,7 +7,7 @@
 )
 
 // MarshalMsg implements msgp.Marshaler
-func (z *NamedAccept) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *NamedAcceptRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
 	// string "n"
@@ -15,16 +15,16 @@
 	o = msgp.AppendString(o, z.Name)
 	// string "a"
 	o = append(o, 0xa1, 0x61)
-	o, err = z.Accept.MarshalMsg(o)
+	o, err = z.Request.MarshalMsg(o)
 	if err != nil {
-		err = msgp.WrapError(err, "Accept")
+		err = msgp.WrapError(err, "Request")
 		return
 	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *NamedAccept) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *NamedAcceptRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -48,9 +48,9 @@
 				return
 			}
 		case "a":
-			bts, err = z.Accept.UnmarshalMsg(bts)
+			bts, err = z.Request.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Accept")
+				err = msgp.WrapError(err, "Request")
 				return
 			}
 		default:
@@ -66,23 +66,30 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *NamedAccept) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + z.Accept.Msgsize()
+func (z *NamedAcceptRequest) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + z.Request.Msgsize()
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z NamedAsk) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *NamedPrepareRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 1
+	// map header, size 2
 	// string "n"
-	o = append(o, 0x81, 0xa1, 0x6e)
+	o = append(o, 0x82, 0xa1, 0x6e)
 	o = msgp.AppendString(o, z.Name)
+	// string "p"
+	o = append(o, 0xa1, 0x70)
+	o, err = z.Request.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "Request")
+		return
+	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *NamedAsk) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *NamedPrepareRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -105,6 +112,12 @@
 				err = msgp.WrapError(err, "Name")
 				return
 			}
+		case "p":
+			bts, err = z.Request.UnmarshalMsg(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Request")
+				return
+			}
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -118,30 +131,23 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z NamedAsk) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name)
+func (z *NamedPrepareRequest) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + z.Request.Msgsize()
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *NamedPrepare) MarshalMsg(b []byte) (o []byte, err error) {
+func (z NamedReadRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
+	// map header, size 1
 	// string "n"
-	o = append(o, 0x82, 0xa1, 0x6e)
+	o = append(o, 0x81, 0xa1, 0x6e)
 	o = msgp.AppendString(o, z.Name)
-	// string "p"
-	o = append(o, 0xa1, 0x70)
-	o, err = z.Prepare.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "Prepare")
-		return
-	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *NamedPrepare) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *NamedReadRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -164,12 +170,6 @@
 				err = msgp.WrapError(err, "Name")
 				return
 			}
-		case "p":
-			bts, err = z.Prepare.UnmarshalMsg(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Prepare")
-				return
-			}
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -183,32 +183,29 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *NamedPrepare) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + z.Prepare.Msgsize()
+func (z NamedReadRequest) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name)
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *PlanApplied) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *PlanApplyRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 4
-	// string "k"
-	o = append(o, 0x84, 0xa1, 0x6b)
-	o = msgp.AppendBool(o, z.Taken)
-	// string "u"
-	o = append(o, 0xa1, 0x75)
-	o = msgp.AppendBool(o, z.Unclear)
-	// string "v"
-	o = append(o, 0xa1, 0x76)
-	o = msgp.AppendInt64(o, z.Revision)
-	// string "w"
-	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendString(o, z.Why)
+	// map header, size 3
+	// string "b"
+	o = append(o, 0x83, 0xa1, 0x62)
+	o = msgp.AppendInt64(o, z.Base)
+	// string "r"
+	o = append(o, 0xa1, 0x72)
+	o = msgp.AppendBytes(o, z.Rules)
+	// string "a"
+	o = append(o, 0xa1, 0x61)
+	o = msgp.AppendBytes(o, z.Solution)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *PlanApplied) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *PlanApplyRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -225,28 +222,22 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "k":
-			z.Taken, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Taken")
-				return
-			}
-		case "u":
-			z.Unclear, bts, err = msgp.ReadBoolBytes(bts)
+		case "b":
+			z.Base, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Unclear")
+				err = msgp.WrapError(err, "Base")
 				return
 			}
-		case "v":
-			z.Revision, bts, err = msgp.ReadInt64Bytes(bts)
+		case "r":
+			z.Rules, bts, err = msgp.ReadBytesBytes(bts, z.Rules)
 			if err != nil {
-				err = msgp.WrapError(err, "Revision")
+				err = msgp.WrapError(err, "Rules")
 				return
 			}
-		case "w":
-			z.Why, bts, err = msgp.ReadStringBytes(bts)
+		case "a":
+			z.Solution, bts, err = msgp.ReadBytesBytes(bts, z.Solution)
 			if err != nil {
-				err = msgp.WrapError(err, "Why")
+				err = msgp.WrapError(err, "Solution")
 				return
 			}
 		default:
@@ -262,29 +253,32 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *PlanApplied) Msgsize() (s int) {
-	s = 1 + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.Why)
+func (z *PlanApplyRequest) Msgsize() (s int) {
+	s = 1 + 2 + msgp.Int64Size + 2 + msgp.BytesPrefixSize + len(z.Rules) + 2 + msgp.BytesPrefixSize + len(z.Solution)
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *PlanApply) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *PlanApplyResponse) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 3
-	// string "b"
-	o = append(o, 0x83, 0xa1, 0x62)
-	o = msgp.AppendInt64(o, z.Base)
-	// string "r"
-	o = append(o, 0xa1, 0x72)
-	o = msgp.AppendBytes(o, z.Rules)
-	// string "a"
-	o = append(o, 0xa1, 0x61)
-	o = msgp.AppendBytes(o, z.Answer)
+	// map header, size 4
+	// string "k"
+	o = append(o, 0x84, 0xa1, 0x6b)
+	o = msgp.AppendBool(o, z.Applied)
+	// string "u"
+	o = append(o, 0xa1, 0x75)
+	o = msgp.AppendBool(o, z.Unclear)
+	// string "v"
+	o = append(o, 0xa1, 0x76)
+	o = msgp.AppendInt64(o, z.Revision)
+	// string "w"
+	o = append(o, 0xa1, 0x77)
+	o = msgp.AppendString(o, z.Reason)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *PlanApply) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *PlanApplyResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -301,22 +295,28 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "b":
-			z.Base, bts, err = msgp.ReadInt64Bytes(bts)
+		case "k":
+			z.Applied, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Base")
+				err = msgp.WrapError(err, "Applied")
 				return
 			}
-		case "r":
-			z.Rules, bts, err = msgp.ReadBytesBytes(bts, z.Rules)
+		case "u":
+			z.Unclear, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Rules")
+				err = msgp.WrapError(err, "Unclear")
 				return
 			}
-		case "a":
-			z.Answer, bts, err = msgp.ReadBytesBytes(bts, z.Answer)
+		case "v":
+			z.Revision, bts, err = msgp.ReadInt64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Revision")
+				return
+			}
+		case "w":
+			z.Reason, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Answer")
+				err = msgp.WrapError(err, "Reason")
 				return
 			}
 		default:
@@ -332,13 +332,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *PlanApply) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Int64Size + 2 + msgp.BytesPrefixSize + len(z.Rules) + 2 + msgp.BytesPrefixSize + len(z.Answer)
+func (z *PlanApplyResponse) Msgsize() (s int) {
+	s = 1 + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.Reason)
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z PlanPlace) MarshalMsg(b []byte) (o []byte, err error) {
+func (z PlanPlacement) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 3
 	// string "w"
@@ -354,7 +354,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *PlanPlace) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *PlanPlacement) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -402,13 +402,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z PlanPlace) Msgsize() (s int) {
+func (z PlanPlacement) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.Window) + 2 + msgp.StringPrefixSize + len(z.Adapter) + 2 + msgp.StringPrefixSize + len(z.Node)
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z PlanPull) MarshalMsg(b []byte) (o []byte, err error) {
+func (z PlanRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 3
 	// string "n"
@@ -416,15 +416,15 @@
 	o = msgp.AppendString(o, z.Node)
 	// string "w"
 	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendBool(o, z.Whole)
+	o = msgp.AppendBool(o, z.Complete)
 	// string "s"
 	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendBool(o, z.Settled)
+	o = msgp.AppendBool(o, z.Linearizable)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *PlanPull) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *PlanRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -448,15 +448,15 @@
 				return
 			}
 		case "w":
-			z.Whole, bts, err = msgp.ReadBoolBytes(bts)
+			z.Complete, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Whole")
+				err = msgp.WrapError(err, "Complete")
 				return
 			}
 		case "s":
-			z.Settled, bts, err = msgp.ReadBoolBytes(bts)
+			z.Linearizable, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Settled")
+				err = msgp.WrapError(err, "Linearizable")
 				return
 			}
 		default:
@@ -472,13 +472,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z PlanPull) Msgsize() (s int) {
+func (z PlanRequest) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.Node) + 2 + msgp.BoolSize + 2 + msgp.BoolSize
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *PlanTold) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *PlanResponse) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 8
 	// string "v"
@@ -501,24 +501,24 @@
 	}
 	// string "p"
 	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Places)))
-	for za0002 := range z.Places {
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Placements)))
+	for za0002 := range z.Placements {
 		// map header, size 3
 		// string "w"
 		o = append(o, 0x83, 0xa1, 0x77)
-		o = msgp.AppendString(o, z.Places[za0002].Window)
+		o = msgp.AppendString(o, z.Placements[za0002].Window)
 		// string "a"
 		o = append(o, 0xa1, 0x61)
-		o = msgp.AppendString(o, z.Places[za0002].Adapter)
+		o = msgp.AppendString(o, z.Placements[za0002].Adapter)
 		// string "n"
 		o = append(o, 0xa1, 0x6e)
-		o = msgp.AppendString(o, z.Places[za0002].Node)
+		o = msgp.AppendString(o, z.Placements[za0002].Node)
 	}
 	// string "x"
 	o = append(o, 0xa1, 0x78)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Gone)))
-	for za0003 := range z.Gone {
-		o = msgp.AppendString(o, z.Gone[za0003])
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Absent)))
+	for za0003 := range z.Absent {
+		o = msgp.AppendString(o, z.Absent[za0003])
 	}
 	// string "o"
 	o = append(o, 0xa1, 0x6f)
@@ -543,7 +543,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *PlanTold) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *PlanResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -624,51 +624,51 @@
 			var zb0004 uint32
 			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Places")
+				err = msgp.WrapError(err, "Placements")
 				return
 			}
-			if cap(z.Places) >= int(zb0004) {
-				z.Places = (z.Places)[:zb0004]
+			if cap(z.Placements) >= int(zb0004) {
+				z.Placements = (z.Placements)[:zb0004]
 			} else {
-				z.Places = make([]PlanPlace, zb0004)
+				z.Placements = make([]PlanPlacement, zb0004)
 			}
-			for za0002 := range z.Places {
+			for za0002 := range z.Placements {
 				var zb0005 uint32
 				zb0005, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Places", za0002)
+					err = msgp.WrapError(err, "Placements", za0002)
 					return
 				}
 				for zb0005 > 0 {
 					zb0005--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Places", za0002)
+						err = msgp.WrapError(err, "Placements", za0002)
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "w":
-						z.Places[za0002].Window, bts, err = msgp.ReadStringBytes(bts)
+						z.Placements[za0002].Window, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Places", za0002, "Window")
+							err = msgp.WrapError(err, "Placements", za0002, "Window")
 							return
 						}
 					case "a":
-						z.Places[za0002].Adapter, bts, err = msgp.ReadStringBytes(bts)
+						z.Placements[za0002].Adapter, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Places", za0002, "Adapter")
+							err = msgp.WrapError(err, "Placements", za0002, "Adapter")
 							return
 						}
 					case "n":
-						z.Places[za0002].Node, bts, err = msgp.ReadStringBytes(bts)
+						z.Placements[za0002].Node, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Places", za0002, "Node")
+							err = msgp.WrapError(err, "Placements", za0002, "Node")
 							return
 						}
 					default:
 						bts, err = msgp.Skip(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Places", za0002)
+							err = msgp.WrapError(err, "Placements", za0002)
 							return
 						}
 					}
@@ -678,18 +678,18 @@
 			var zb0006 uint32
 			zb0006, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Gone")
+				err = msgp.WrapError(err, "Absent")
 				return
 			}
-			if cap(z.Gone) >= int(zb0006) {
-				z.Gone = (z.Gone)[:zb0006]
+			if cap(z.Absent) >= int(zb0006) {
+				z.Absent = (z.Absent)[:zb0006]
 			} else {
-				z.Gone = make([]string, zb0006)
+				z.Absent = make([]string, zb0006)
 			}
-			for za0003 := range z.Gone {
-				z.Gone[za0003], bts, err = msgp.ReadStringBytes(bts)
+			for za0003 := range z.Absent {
+				z.Absent[za0003], bts, err = msgp.ReadStringBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Gone", za0003)
+					err = msgp.WrapError(err, "Absent", za0003)
 					return
 				}
 			}
@@ -750,18 +750,18 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *PlanTold) Msgsize() (s int) {
+func (z *PlanResponse) Msgsize() (s int) {
 	s = 1 + 2 + msgp.Int64Size + 2 + msgp.Int64Size + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Windows {
 		s += 1 + 2 + msgp.StringPrefixSize + len(z.Windows[za0001].Name) + 2 + msgp.StringPrefixSize + len(z.Windows[za0001].Starts)
 	}
 	s += 2 + msgp.ArrayHeaderSize
-	for za0002 := range z.Places {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.Places[za0002].Window) + 2 + msgp.StringPrefixSize + len(z.Places[za0002].Adapter) + 2 + msgp.StringPrefixSize + len(z.Places[za0002].Node)
+	for za0002 := range z.Placements {
+		s += 1 + 2 + msgp.StringPrefixSize + len(z.Placements[za0002].Window) + 2 + msgp.StringPrefixSize + len(z.Placements[za0002].Adapter) + 2 + msgp.StringPrefixSize + len(z.Placements[za0002].Node)
 	}
 	s += 2 + msgp.ArrayHeaderSize
-	for za0003 := range z.Gone {
-		s += msgp.StringPrefixSize + len(z.Gone[za0003])
+	for za0003 := range z.Absent {
+		s += msgp.StringPrefixSize + len(z.Absent[za0003])
 	}
 	s += 2 + msgp.ArrayHeaderSize
 	for za0004 := range z.Nodes {
@@ -784,12 +784,12 @@
 	o = msgp.AppendBytes(o, z.Rules)
 	// string "a"
 	o = append(o, 0xa1, 0x61)
-	o = msgp.AppendBytes(o, z.Answer)
+	o = msgp.AppendBytes(o, z.Solution)
 	// string "g"
 	o = append(o, 0xa1, 0x67)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Gone)))
-	for za0001 := range z.Gone {
-		o = msgp.AppendString(o, z.Gone[za0001])
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Absent)))
+	for za0001 := range z.Absent {
+		o = msgp.AppendString(o, z.Absent[za0001])
 	}
 	// string "c"
 	o = append(o, 0xa1, 0x63)
@@ -822,27 +822,27 @@
 				return
 			}
 		case "a":
-			z.Answer, bts, err = msgp.ReadBytesBytes(bts, z.Answer)
+			z.Solution, bts, err = msgp.ReadBytesBytes(bts, z.Solution)
 			if err != nil {
-				err = msgp.WrapError(err, "Answer")
+				err = msgp.WrapError(err, "Solution")
 				return
 			}
 		case "g":
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Gone")
+				err = msgp.WrapError(err, "Absent")
 				return
 			}
-			if cap(z.Gone) >= int(zb0002) {
-				z.Gone = (z.Gone)[:zb0002]
+			if cap(z.Absent) >= int(zb0002) {
+				z.Absent = (z.Absent)[:zb0002]
 			} else {
-				z.Gone = make([]string, zb0002)
+				z.Absent = make([]string, zb0002)
 			}
-			for za0001 := range z.Gone {
-				z.Gone[za0001], bts, err = msgp.ReadStringBytes(bts)
+			for za0001 := range z.Absent {
+				z.Absent[za0001], bts, err = msgp.ReadStringBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Gone", za0001)
+					err = msgp.WrapError(err, "Absent", za0001)
 					return
 				}
 			}
@@ -866,9 +866,9 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *PlanValue) Msgsize() (s int) {
-	s = 1 + 2 + msgp.BytesPrefixSize + len(z.Rules) + 2 + msgp.BytesPrefixSize + len(z.Answer) + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Gone {
-		s += msgp.StringPrefixSize + len(z.Gone[za0001])
+	s = 1 + 2 + msgp.BytesPrefixSize + len(z.Rules) + 2 + msgp.BytesPrefixSize + len(z.Solution) + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.Absent {
+		s += msgp.StringPrefixSize + len(z.Absent[za0001])
 	}
 	s += 2 + msgp.BytesPrefixSize + len(z.Collisions)
 	return
--- a/internal/platform/messages/views_gen.go
+++ b/internal/platform/messages/views_gen.go
@@ -7,7 +7,7 @@
 )
 
 // MarshalMsg implements msgp.Marshaler
-func (z *ControllerBeat) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *ControllerHeartbeat) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 8
 	// string "f"
@@ -33,33 +33,33 @@
 	}
 	// string "b"
 	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Beaten)))
-	for za0001 := range z.Beaten {
-		o = msgp.AppendUint32(o, z.Beaten[za0001])
+	o = msgp.AppendArrayHeader(o, uint32(len(z.SeenWorkers)))
+	for za0001 := range z.SeenWorkers {
+		o = msgp.AppendUint32(o, z.SeenWorkers[za0001])
 	}
 	// string "m"
 	o = append(o, 0xa1, 0x6d)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Met)))
-	for za0002 := range z.Met {
-		o = msgp.AppendUint32(o, z.Met[za0002])
+	o = msgp.AppendArrayHeader(o, uint32(len(z.SeenNodes)))
+	for za0002 := range z.SeenNodes {
+		o = msgp.AppendUint32(o, z.SeenNodes[za0002])
 	}
 	// string "g"
 	o = append(o, 0xa1, 0x67)
-	o = msgp.AppendInt64(o, z.Follow)
+	o = msgp.AppendInt64(o, z.Generation)
 	// string "u"
 	o = append(o, 0xa1, 0x75)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Behind)))
-	for za0003 := range z.Behind {
-		o = msgp.AppendUint32(o, z.Behind[za0003])
+	o = msgp.AppendArrayHeader(o, uint32(len(z.LaggingNodes)))
+	for za0003 := range z.LaggingNodes {
+		o = msgp.AppendUint32(o, z.LaggingNodes[za0003])
 	}
 	// string "v"
 	o = append(o, 0xa1, 0x76)
-	o = msgp.AppendInt64(o, z.Plan)
+	o = msgp.AppendInt64(o, z.PlanRevision)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *ControllerBeat) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *ControllerHeartbeat) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -98,18 +98,18 @@
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Beaten")
+				err = msgp.WrapError(err, "SeenWorkers")
 				return
 			}
-			if cap(z.Beaten) >= int(zb0002) {
-				z.Beaten = (z.Beaten)[:zb0002]
+			if cap(z.SeenWorkers) >= int(zb0002) {
+				z.SeenWorkers = (z.SeenWorkers)[:zb0002]
 			} else {
-				z.Beaten = make([]uint32, zb0002)
+				z.SeenWorkers = make([]uint32, zb0002)
 			}
-			for za0001 := range z.Beaten {
-				z.Beaten[za0001], bts, err = msgp.ReadUint32Bytes(bts)
+			for za0001 := range z.SeenWorkers {
+				z.SeenWorkers[za0001], bts, err = msgp.ReadUint32Bytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Beaten", za0001)
+					err = msgp.WrapError(err, "SeenWorkers", za0001)
 					return
 				}
 			}
@@ -117,50 +117,50 @@
 			var zb0003 uint32
 			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Met")
+				err = msgp.WrapError(err, "SeenNodes")
 				return
 			}
-			if cap(z.Met) >= int(zb0003) {
-				z.Met = (z.Met)[:zb0003]
+			if cap(z.SeenNodes) >= int(zb0003) {
+				z.SeenNodes = (z.SeenNodes)[:zb0003]
 			} else {
-				z.Met = make([]uint32, zb0003)
+				z.SeenNodes = make([]uint32, zb0003)
 			}
-			for za0002 := range z.Met {
-				z.Met[za0002], bts, err = msgp.ReadUint32Bytes(bts)
+			for za0002 := range z.SeenNodes {
+				z.SeenNodes[za0002], bts, err = msgp.ReadUint32Bytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Met", za0002)
+					err = msgp.WrapError(err, "SeenNodes", za0002)
 					return
 				}
 			}
 		case "g":
-			z.Follow, bts, err = msgp.ReadInt64Bytes(bts)
+			z.Generation, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Follow")
+				err = msgp.WrapError(err, "Generation")
 				return
 			}
 		case "u":
 			var zb0004 uint32
 			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Behind")
+				err = msgp.WrapError(err, "LaggingNodes")
 				return
 			}
-			if cap(z.Behind) >= int(zb0004) {
-				z.Behind = (z.Behind)[:zb0004]
+			if cap(z.LaggingNodes) >= int(zb0004) {
+				z.LaggingNodes = (z.LaggingNodes)[:zb0004]
 			} else {
-				z.Behind = make([]uint32, zb0004)
+				z.LaggingNodes = make([]uint32, zb0004)
 			}
-			for za0003 := range z.Behind {
-				z.Behind[za0003], bts, err = msgp.ReadUint32Bytes(bts)
+			for za0003 := range z.LaggingNodes {
+				z.LaggingNodes[za0003], bts, err = msgp.ReadUint32Bytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Behind", za0003)
+					err = msgp.WrapError(err, "LaggingNodes", za0003)
 					return
 				}
 			}
 		case "v":
-			z.Plan, bts, err = msgp.ReadInt64Bytes(bts)
+			z.PlanRevision, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Plan")
+				err = msgp.WrapError(err, "PlanRevision")
 				return
 			}
 		default:
@@ -176,8 +176,8 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *ControllerBeat) Msgsize() (s int) {
-	s = 1 + 2 + z.From.Msgsize() + 2 + z.Workers.Msgsize() + 2 + z.Processes.Msgsize() + 2 + msgp.ArrayHeaderSize + (len(z.Beaten) * (msgp.Uint32Size)) + 2 + msgp.ArrayHeaderSize + (len(z.Met) * (msgp.Uint32Size)) + 2 + msgp.Int64Size + 2 + msgp.ArrayHeaderSize + (len(z.Behind) * (msgp.Uint32Size)) + 2 + msgp.Int64Size
+func (z *ControllerHeartbeat) Msgsize() (s int) {
+	s = 1 + 2 + z.From.Msgsize() + 2 + z.Workers.Msgsize() + 2 + z.Processes.Msgsize() + 2 + msgp.ArrayHeaderSize + (len(z.SeenWorkers) * (msgp.Uint32Size)) + 2 + msgp.ArrayHeaderSize + (len(z.SeenNodes) * (msgp.Uint32Size)) + 2 + msgp.Int64Size + 2 + msgp.ArrayHeaderSize + (len(z.LaggingNodes) * (msgp.Uint32Size)) + 2 + msgp.Int64Size
 	return
 }
 
@@ -187,7 +187,7 @@
 	// map header, size 4
 	// string "l"
 	o = append(o, 0x84, 0xa1, 0x6c)
-	o = msgp.AppendInt64(o, z.Life)
+	o = msgp.AppendInt64(o, z.Incarnation)
 	// string "c"
 	o = append(o, 0xa1, 0x63)
 	o = msgp.AppendUint64(o, z.Clock)
@@ -219,9 +219,9 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "l":
-			z.Life, bts, err = msgp.ReadInt64Bytes(bts)
+			z.Incarnation, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Life")
+				err = msgp.WrapError(err, "Incarnation")
 				return
 			}
 		case "c":
@@ -261,7 +261,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z DirectoryPull) MarshalMsg(b []byte) (o []byte, err error) {
+func (z DirectoryPullRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 1
 	// string "s"
@@ -271,7 +271,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *DirectoryPull) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *DirectoryPullRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -307,79 +307,18 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z DirectoryPull) Msgsize() (s int) {
+func (z DirectoryPullRequest) Msgsize() (s int) {
 	s = 1 + 2 + msgp.Uint64Size
 	return
 }
 
-// MarshalMsg implements msgp.Marshaler
-func (z Headcount) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "r"
-	o = append(o, 0x82, 0xa1, 0x72)
-	o = msgp.AppendString(o, z.Role)
-	// string "n"
-	o = append(o, 0xa1, 0x6e)
-	o = msgp.AppendInt(o, z.Count)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Headcount) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "r":
-			z.Role, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Role")
-				return
-			}
-		case "n":
-			z.Count, bts, err = msgp.ReadIntBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Count")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Headcount) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Role) + 2 + msgp.IntSize
-	return
-}
-
 // MarshalMsg implements msgp.Marshaler
 func (z Overdue) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
 	// string "m"
 	o = append(o, 0x82, 0xa1, 0x6d)
-	o = msgp.AppendUint32(o, z.Mark)
+	o = msgp.AppendUint32(o, z.WorkerHash)
 	// string "g"
 	o = append(o, 0xa1, 0x67)
 	o = msgp.AppendInt64(o, z.AgeMs)
@@ -405,9 +344,9 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "m":
-			z.Mark, bts, err = msgp.ReadUint32Bytes(bts)
+			z.WorkerHash, bts, err = msgp.ReadUint32Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Mark")
+				err = msgp.WrapError(err, "WorkerHash")
 				return
 			}
 		case "g":
@@ -435,7 +374,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Relay) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *RelayRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 6
 	// string "f"
@@ -443,7 +382,7 @@
 	o = msgp.AppendString(o, z.From)
 	// string "n"
 	o = append(o, 0xa1, 0x6e)
-	o = msgp.AppendUint64(o, z.Number)
+	o = msgp.AppendUint64(o, z.Sequence)
 	// string "x"
 	o = append(o, 0xa1, 0x78)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Expect)))
@@ -470,7 +409,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Relay) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *RelayRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -494,9 +433,9 @@
 				return
 			}
 		case "n":
-			z.Number, bts, err = msgp.ReadUint64Bytes(bts)
+			z.Sequence, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Number")
+				err = msgp.WrapError(err, "Sequence")
 				return
 			}
 		case "x":
@@ -562,7 +501,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Relay) Msgsize() (s int) {
+func (z *RelayRequest) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize + (len(z.Expect) * (msgp.Uint32Size)) + 2 + msgp.ArrayHeaderSize
 	for za0002 := range z.Workers {
 		s += z.Workers[za0002].Msgsize()
@@ -572,84 +511,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *RelayDone) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "k"
-	o = append(o, 0x82, 0xa1, 0x6b)
-	o = msgp.AppendBool(o, z.Known)
-	// string "m"
-	o = append(o, 0xa1, 0x6d)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Missing)))
-	for za0001 := range z.Missing {
-		o = msgp.AppendUint32(o, z.Missing[za0001])
-	}
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *RelayDone) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "k":
-			z.Known, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Known")
-				return
-			}
-		case "m":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Missing")
-				return
-			}
-			if cap(z.Missing) >= int(zb0002) {
-				z.Missing = (z.Missing)[:zb0002]
-			} else {
-				z.Missing = make([]uint32, zb0002)
-			}
-			for za0001 := range z.Missing {
-				z.Missing[za0001], bts, err = msgp.ReadUint32Bytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Missing", za0001)
-					return
-				}
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *RelayDone) Msgsize() (s int) {
-	s = 1 + 2 + msgp.BoolSize + 2 + msgp.ArrayHeaderSize + (len(z.Missing) * (msgp.Uint32Size))
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z RelayWait) MarshalMsg(b []byte) (o []byte, err error) {
+func (z RelayWaitRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
 	// string "f"
@@ -657,12 +519,12 @@
 	o = msgp.AppendString(o, z.From)
 	// string "n"
 	o = append(o, 0xa1, 0x6e)
-	o = msgp.AppendUint64(o, z.Number)
+	o = msgp.AppendUint64(o, z.Sequence)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *RelayWait) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *RelayWaitRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -686,9 +548,9 @@
 				return
 			}
 		case "n":
-			z.Number, bts, err = msgp.ReadUint64Bytes(bts)
+			z.Sequence, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Number")
+				err = msgp.WrapError(err, "Sequence")
 				return
 			}
 		default:
@@ -704,26 +566,29 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z RelayWait) Msgsize() (s int) {
+func (z RelayWaitRequest) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.Uint64Size
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z RosterPull) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *RelayWaitResponse) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
-	// string "f"
-	o = append(o, 0x82, 0xa1, 0x66)
-	o = msgp.AppendString(o, z.From)
-	// string "s"
-	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendUint64(o, z.Since)
+	// string "k"
+	o = append(o, 0x82, 0xa1, 0x6b)
+	o = msgp.AppendBool(o, z.Known)
+	// string "m"
+	o = append(o, 0xa1, 0x6d)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Missing)))
+	for za0001 := range z.Missing {
+		o = msgp.AppendUint32(o, z.Missing[za0001])
+	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *RosterPull) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *RelayWaitResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -740,18 +605,31 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "f":
-			z.From, bts, err = msgp.ReadStringBytes(bts)
+		case "k":
+			z.Known, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "From")
+				err = msgp.WrapError(err, "Known")
 				return
 			}
-		case "s":
-			z.Since, bts, err = msgp.ReadUint64Bytes(bts)
+		case "m":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Since")
+				err = msgp.WrapError(err, "Missing")
 				return
 			}
+			if cap(z.Missing) >= int(zb0002) {
+				z.Missing = (z.Missing)[:zb0002]
+			} else {
+				z.Missing = make([]uint32, zb0002)
+			}
+			for za0001 := range z.Missing {
+				z.Missing[za0001], bts, err = msgp.ReadUint32Bytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Missing", za0001)
+					return
+				}
+			}
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -765,40 +643,26 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z RosterPull) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.Uint64Size
+func (z *RelayWaitResponse) Msgsize() (s int) {
+	s = 1 + 2 + msgp.BoolSize + 2 + msgp.ArrayHeaderSize + (len(z.Missing) * (msgp.Uint32Size))
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *RosterPush) MarshalMsg(b []byte) (o []byte, err error) {
+func (z RoleCount) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 3
-	// string "f"
-	o = append(o, 0x83, 0xa1, 0x66)
-	o = msgp.AppendString(o, z.From)
-	// string "w"
-	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Workers)))
-	for za0001 := range z.Workers {
-		o, err = z.Workers[za0001].MarshalMsg(o)
-		if err != nil {
-			err = msgp.WrapError(err, "Workers", za0001)
-			return
-		}
-	}
-	// string "d"
-	o = append(o, 0xa1, 0x64)
-	o, err = z.Table.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "Table")
-		return
-	}
+	// map header, size 2
+	// string "r"
+	o = append(o, 0x82, 0xa1, 0x72)
+	o = msgp.AppendString(o, z.Role)
+	// string "n"
+	o = append(o, 0xa1, 0x6e)
+	o = msgp.AppendInt(o, z.Count)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *RosterPush) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *RoleCount) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -815,35 +679,16 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "f":
-			z.From, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "From")
-				return
-			}
-		case "w":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		case "r":
+			z.Role, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Workers")
+				err = msgp.WrapError(err, "Role")
 				return
 			}
-			if cap(z.Workers) >= int(zb0002) {
-				z.Workers = (z.Workers)[:zb0002]
-			} else {
-				z.Workers = make([]Worker, zb0002)
-			}
-			for za0001 := range z.Workers {
-				bts, err = z.Workers[za0001].UnmarshalMsg(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Workers", za0001)
-					return
-				}
-			}
-		case "d":
-			bts, err = z.Table.UnmarshalMsg(bts)
+		case "n":
+			z.Count, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Table")
+				err = msgp.WrapError(err, "Count")
 				return
 			}
 		default:
@@ -859,12 +704,8 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *RosterPush) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Workers {
-		s += z.Workers[za0001].Msgsize()
-	}
-	s += 2 + z.Table.Msgsize()
+func (z RoleCount) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Role) + 2 + msgp.IntSize
 	return
 }
 
@@ -884,9 +725,9 @@
 	}
 	// string "k"
 	o = append(o, 0xa1, 0x6b)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Known)))
-	for za0002 := range z.Known {
-		o = msgp.AppendUint32(o, z.Known[za0002])
+	o = msgp.AppendArrayHeader(o, uint32(len(z.KnownHashes)))
+	for za0002 := range z.KnownHashes {
+		o = msgp.AppendUint32(o, z.KnownHashes[za0002])
 	}
 	// string "g"
 	o = append(o, 0xa1, 0x67)
@@ -896,7 +737,7 @@
 	}
 	// string "j"
 	o = append(o, 0xa1, 0x6a)
-	o = msgp.AppendBool(o, z.Judging)
+	o = msgp.AppendBool(o, z.OverdueComplete)
 	// string "w"
 	o = append(o, 0xa1, 0x77)
 	o, err = z.Workers.MarshalMsg(o)
@@ -911,7 +752,7 @@
 		// map header, size 2
 		// string "m"
 		o = append(o, 0x82, 0xa1, 0x6d)
-		o = msgp.AppendUint32(o, z.Overdue[za0004].Mark)
+		o = msgp.AppendUint32(o, z.Overdue[za0004].WorkerHash)
 		// string "g"
 		o = append(o, 0xa1, 0x67)
 		o = msgp.AppendInt64(o, z.Overdue[za0004].AgeMs)
@@ -937,7 +778,7 @@
 	}
 	// string "v"
 	o = append(o, 0xa1, 0x76)
-	o = msgp.AppendInt64(o, z.Plan)
+	o = msgp.AppendInt64(o, z.PlanRevision)
 	// string "y"
 	o = append(o, 0xa1, 0x79)
 	o = msgp.AppendBool(o, z.Brief)
@@ -975,7 +816,7 @@
 			if cap(z.Entries) >= int(zb0002) {
 				z.Entries = (z.Entries)[:zb0002]
 			} else {
-				z.Entries = make([]Entry, zb0002)
+				z.Entries = make([]NodeInfo, zb0002)
 			}
 			for za0001 := range z.Entries {
 				bts, err = z.Entries[za0001].UnmarshalMsg(bts)
@@ -988,18 +829,18 @@
 			var zb0003 uint32
 			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Known")
+				err = msgp.WrapError(err, "KnownHashes")
 				return
 			}
-			if cap(z.Known) >= int(zb0003) {
-				z.Known = (z.Known)[:zb0003]
+			if cap(z.KnownHashes) >= int(zb0003) {
+				z.KnownHashes = (z.KnownHashes)[:zb0003]
 			} else {
-				z.Known = make([]uint32, zb0003)
+				z.KnownHashes = make([]uint32, zb0003)
 			}
-			for za0002 := range z.Known {
-				z.Known[za0002], bts, err = msgp.ReadUint32Bytes(bts)
+			for za0002 := range z.KnownHashes {
+				z.KnownHashes[za0002], bts, err = msgp.ReadUint32Bytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Known", za0002)
+					err = msgp.WrapError(err, "KnownHashes", za0002)
 					return
 				}
 			}
@@ -1023,9 +864,9 @@
 				}
 			}
 		case "j":
-			z.Judging, bts, err = msgp.ReadBoolBytes(bts)
+			z.OverdueComplete, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Judging")
+				err = msgp.WrapError(err, "OverdueComplete")
 				return
 			}
 		case "w":
@@ -1062,9 +903,9 @@
 					}
 					switch msgp.UnsafeString(field) {
 					case "m":
-						z.Overdue[za0004].Mark, bts, err = msgp.ReadUint32Bytes(bts)
+						z.Overdue[za0004].WorkerHash, bts, err = msgp.ReadUint32Bytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Overdue", za0004, "Mark")
+							err = msgp.WrapError(err, "Overdue", za0004, "WorkerHash")
 							return
 						}
 					case "g":
@@ -1092,7 +933,7 @@
 			if cap(z.Counts) >= int(zb0007) {
 				z.Counts = (z.Counts)[:zb0007]
 			} else {
-				z.Counts = make([]Headcount, zb0007)
+				z.Counts = make([]RoleCount, zb0007)
 			}
 			for za0005 := range z.Counts {
 				var zb0008 uint32
@@ -1137,9 +978,9 @@
 				return
 			}
 		case "v":
-			z.Plan, bts, err = msgp.ReadInt64Bytes(bts)
+			z.PlanRevision, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Plan")
+				err = msgp.WrapError(err, "PlanRevision")
 				return
 			}
 		case "y":
@@ -1172,10 +1013,169 @@
 	for za0001 := range z.Entries {
 		s += z.Entries[za0001].Msgsize()
 	}
-	s += 2 + msgp.ArrayHeaderSize + (len(z.Known) * (msgp.Uint32Size)) + 2 + msgp.ArrayHeaderSize + (len(z.Ages) * (msgp.Uint16Size)) + 2 + msgp.BoolSize + 2 + z.Workers.Msgsize() + 2 + msgp.ArrayHeaderSize + (len(z.Overdue) * (5 + msgp.Uint32Size + msgp.Int64Size)) + 2 + msgp.ArrayHeaderSize
+	s += 2 + msgp.ArrayHeaderSize + (len(z.KnownHashes) * (msgp.Uint32Size)) + 2 + msgp.ArrayHeaderSize + (len(z.Ages) * (msgp.Uint16Size)) + 2 + msgp.BoolSize + 2 + z.Workers.Msgsize() + 2 + msgp.ArrayHeaderSize + (len(z.Overdue) * (5 + msgp.Uint32Size + msgp.Int64Size)) + 2 + msgp.ArrayHeaderSize
 	for za0005 := range z.Counts {
 		s += 1 + 2 + msgp.StringPrefixSize + len(z.Counts[za0005].Role) + 2 + msgp.IntSize
 	}
 	s += 2 + z.Table.Msgsize() + 2 + msgp.Int64Size + 2 + msgp.BoolSize + 2 + msgp.BoolSize
 	return
 }
+
+// MarshalMsg implements msgp.Marshaler
+func (z WorkersPullRequest) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 2
+	// string "f"
+	o = append(o, 0x82, 0xa1, 0x66)
+	o = msgp.AppendString(o, z.From)
+	// string "s"
+	o = append(o, 0xa1, 0x73)
+	o = msgp.AppendUint64(o, z.Since)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *WorkersPullRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "f":
+			z.From, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "From")
+				return
+			}
+		case "s":
+			z.Since, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Since")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z WorkersPullRequest) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.Uint64Size
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *WorkersUpdate) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 3
+	// string "f"
+	o = append(o, 0x83, 0xa1, 0x66)
+	o = msgp.AppendString(o, z.From)
+	// string "w"
+	o = append(o, 0xa1, 0x77)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Workers)))
+	for za0001 := range z.Workers {
+		o, err = z.Workers[za0001].MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "Workers", za0001)
+			return
+		}
+	}
+	// string "d"
+	o = append(o, 0xa1, 0x64)
+	o, err = z.Table.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "Table")
+		return
+	}
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *WorkersUpdate) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "f":
+			z.From, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "From")
+				return
+			}
+		case "w":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Workers")
+				return
+			}
+			if cap(z.Workers) >= int(zb0002) {
+				z.Workers = (z.Workers)[:zb0002]
+			} else {
+				z.Workers = make([]Worker, zb0002)
+			}
+			for za0001 := range z.Workers {
+				bts, err = z.Workers[za0001].UnmarshalMsg(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Workers", za0001)
+					return
+				}
+			}
+		case "d":
+			bts, err = z.Table.UnmarshalMsg(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Table")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *WorkersUpdate) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.Workers {
+		s += z.Workers[za0001].Msgsize()
+	}
+	s += 2 + z.Table.Msgsize()
+	return
+}
--- a/internal/platform/node/assignments.go
+++ b/internal/platform/node/assignments.go
@@ -15,10 +15,10 @@
 	pulling bool
 }
 
-// sawPlan pulls this node's part of a newer plan from the controller that told of it.
-func (n *Node) sawPlan(revision int64, address string) {
+// observePlan pulls this node's part of a newer plan from the controller that told of it.
+func (n *Node) observePlan(revision int64, address string) {
 	n.lock.Lock()
-	behind := revision > n.assigned.board.Revision() && !n.assigned.pulling && n.Own.Role != membership.RoleController
+	behind := revision > n.assigned.board.Revision() && !n.assigned.pulling && n.Self.Role != membership.RoleController
 	n.assigned.pulling = n.assigned.pulling || behind
 	n.lock.Unlock()
 	if !behind {
@@ -28,25 +28,25 @@
 }
 
 func (n *Node) pullPlan(address string) {
-	told := &messages.PlanTold{}
-	err := transport.Ask(n.Wire, address, messages.KindPlanPull, &messages.PlanPull{Node: n.Own.Name}, told, constants.CallTime)
+	plan := &messages.PlanResponse{}
+	err := transport.Call(n.Transport, address, messages.KindPlanPull, &messages.PlanRequest{Node: n.Self.Name}, plan, constants.CallTimeout)
 	n.lock.Lock()
 	n.assigned.pulling = false
-	taken := err == nil && n.assigned.board.Take(*told)
+	taken := err == nil && n.assigned.board.Take(*plan)
 	n.lock.Unlock()
 	if taken {
-		n.Log.Info("assignments taken", "revision", told.Revision, "generation", told.Generation, "copies", len(told.Places))
+		n.Log.Info("assignments taken", "revision", plan.Revision, "generation", plan.Generation, "copies", len(plan.Placements))
 	}
 }
 
 // Assigned gives what this node carries, for each window.
-func (n *Node) Assigned() messages.PlanTold {
+func (n *Node) Assigned() messages.PlanResponse {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	return n.assigned.board.Told()
 }
 
-func (n *Node) reportAssigned() *messages.Status {
-	told := n.Assigned()
-	return assignments.Status(&told, n.Own.Name, clock.DayMinute())
+func (n *Node) reportAssigned() *messages.StatusResponse {
+	plan := n.Assigned()
+	return assignments.Status(&plan, n.Self.Name, clock.DayMinute())
 }
--- a/internal/platform/node/assignments_test.go
+++ b/internal/platform/node/assignments_test.go
@@ -14,28 +14,28 @@
 // TestNodePullsItsPartAndNeverGoesBack: a node follows the controller it speaks with,
 // asks only when that has something newer, and holds on to what it has.
 func TestNodePullsItsPartAndNeverGoesBack(t *testing.T) {
-	room := transport.NewRoom()
+	room := transport.NewMemoryNetwork()
 	revision, pulls, asker := int64(0), 0, ""
 	_ = room.Transport("controller:1").Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
-		question := &messages.PlanPull{}
-		if kind != messages.KindPlanPull || transport.Read(body, question) != nil {
+		req := &messages.PlanRequest{}
+		if kind != messages.KindPlanPull || transport.Decode(body, req) != nil {
 			return nil, nil
 		}
-		pulls, asker = pulls+1, question.Node
-		return transport.Write(&messages.PlanTold{Revision: revision, Places: []messages.PlanPlace{{Window: "w", Adapter: "a", Node: question.Node}}})
+		pulls, asker = pulls+1, req.Node
+		return transport.Encode(&messages.PlanResponse{Revision: revision, Placements: []messages.PlanPlacement{{Window: "w", Adapter: "a", Node: req.Node}}})
 	})
 	node := New(&settings.Settings{NodeName: "n", Address: "127.0.0.1", InternalPorts: []int{21100, 21110}}, membership.RoleGateway, 1, "", hclog.NewNullLogger())
-	node.Wire = room.Transport("node:1")
+	node.Transport = room.Transport("node:1")
 	for _, step := range []struct{ has, want int64 }{{2, 2}, {1, 2}, {5, 5}, {4, 5}} {
 		revision = step.has
 		node.pullPlan("controller:1")
-		if told := node.Assigned(); told.Revision != step.want || len(told.Places) != 1 || asker != "n" {
-			t.Fatalf("controller has %d: %+v", step.has, told)
+		if plan := node.Assigned(); plan.Revision != step.want || len(plan.Placements) != 1 || asker != "n" {
+			t.Fatalf("controller has %d: %+v", step.has, plan)
 		}
 	}
 	before := pulls
 	for _, seen := range []int64{0, 4, 5} {
-		node.sawPlan(seen, "controller:1")
+		node.observePlan(seen, "controller:1")
 	}
 	if node.assigned.pulling || pulls != before {
 		t.Fatal("asked for what it has")
@@ -43,7 +43,7 @@
 	if rows := node.reportAssigned().Rows; len(rows) != 1 || rows[0][0] != "5" {
 		t.Fatal(rows)
 	}
-	room.Cut("controller:1", true)
+	room.SetPartitioned("controller:1", true)
 	node.pullPlan("controller:1")
 	if node.Assigned().Revision != 5 {
 		t.Fatal("a silent controller changed what is in force")
--- a/internal/platform/node/config.go
+++ b/internal/platform/node/config.go
@@ -33,8 +33,8 @@
 	return 0
 }
 
-// Take puts a chosen configuration in force, never an older one.
-func (n *Node) Take(body []byte) {
+// ApplyConfig puts a chosen configuration in force, never an older one.
+func (n *Node) ApplyConfig(body []byte) {
 	config, err := routeconfig.Parse(body)
 	if err != nil {
 		n.Log.Error("configuration unreadable", "why", err.Error())
@@ -54,41 +54,41 @@
 	}
 }
 
-func (n *Node) pushed(body []byte) ([]byte, error) {
+func (n *Node) handleConfigPush(body []byte) ([]byte, error) {
 	push := &messages.ConfigPush{}
-	if err := transport.Read(body, push); err != nil {
+	if err := transport.Decode(body, push); err != nil {
 		return nil, err
 	}
-	if len(push.Pass) > 0 {
-		go n.passOn(push)
+	if len(push.ForwardTo) > 0 {
+		go n.forward(push)
 	}
 	if push.Generation > n.Generation() && len(push.Body) > 0 {
-		n.Take(push.Body)
+		n.ApplyConfig(push.Body)
 	}
 	// A push without a body only says that there is one.
-	n.SawGeneration(push.Generation)
-	return transport.Write(&messages.Nothing{Taken: n.Generation() >= push.Generation})
+	n.ObserveGeneration(push.Generation)
+	return transport.Encode(&messages.Ack{Accepted: n.Generation() >= push.Generation})
 }
 
-// pulled answers another process that has seen this one follow a newer configuration.
+// handleConfigPull answers another process that has seen this one follow a newer configuration.
 // What is followed here was chosen. Controllers answer for themselves.
-func (n *Node) pulled(_ []byte) ([]byte, error) {
+func (n *Node) handleConfigPull(_ []byte) ([]byte, error) {
 	config := n.Config()
 	if config == nil {
-		return nil, Unable.New("no configuration yet")
+		return nil, ErrUnavailable.New("no configuration yet")
 	}
-	return transport.Write(&messages.ConfigPush{Generation: config.Generation, Body: config.Body})
+	return transport.Encode(&messages.ConfigPush{Generation: config.Generation, Body: config.Body})
 }
 
-// passOn sends a configuration on to the part of the zone that came with it, through a
+// forward sends a configuration on to the part of the zone that came with it, through a
 // few of that part, so that no single link carries it all. Whoever is missed pulls it on
 // seeing the newer generation.
-func (n *Node) passOn(push *messages.ConfigPush) {
-	for _, send := range broadcast.Split(push.Pass, constants.BodyFan) {
+func (n *Node) forward(push *messages.ConfigPush) {
+	for _, send := range broadcast.Split(push.ForwardTo, constants.BodyFanout) {
 		go func() {
 			for {
-				part := &messages.ConfigPush{Generation: push.Generation, Body: push.Body, Pass: send.Pass}
-				err := transport.Ask(n.Wire, send.Address, messages.KindConfigPush, part, &messages.Nothing{}, constants.CallTime)
+				part := &messages.ConfigPush{Generation: push.Generation, Body: push.Body, ForwardTo: send.Pass}
+				err := transport.Call(n.Transport, send.Address, messages.KindConfigPush, part, &messages.Ack{}, constants.CallTimeout)
 				if err == nil || len(send.Pass) == 0 {
 					return
 				}
@@ -99,13 +99,13 @@
 	}
 }
 
-// SawGeneration pulls a configuration that somebody was seen to have.
-func (n *Node) SawGeneration(generation int64) { n.SawGenerationAt(generation, "") }
+// ObserveGeneration pulls a configuration that somebody was seen to have.
+func (n *Node) ObserveGeneration(generation int64) { n.ObserveGenerationAt(generation, "") }
 
-// SawGenerationAt pulls a configuration that the process at an address was seen to have;
+// ObserveGenerationAt pulls a configuration that the process at an address was seen to have;
 // it is asked first. The pull goes on until somebody gave that configuration or a newer
 // one: a controller that is behind must not end it.
-func (n *Node) SawGenerationAt(generation int64, address string) {
+func (n *Node) ObserveGenerationAt(generation int64, address string) {
 	n.lock.Lock()
 	if n.pulling || (n.config != nil && n.config.Generation >= generation) || generation == 0 {
 		n.lock.Unlock()
@@ -140,8 +140,8 @@
 	return any
 }
 
-// pullSettled asks controllers until one of them has read the configuration at a majority.
-func (n *Node) pullSettled() bool {
+// pullLinearizable asks controllers until one of them has read the configuration at a majority.
+func (n *Node) pullLinearizable() bool {
 	for _, address := range n.controllerAddresses() {
 		if n.pullFrom(address, true) {
 			return true
@@ -169,17 +169,17 @@
 // pullFrom asks one process for its configuration, or for a read at a majority, and
 // tells whether it answered.
 func (n *Node) pullFrom(address string, settled bool) bool {
-	question, span := &messages.ConfigPull{Known: n.Generation()}, constants.CallTime
+	req, timeout := &messages.ConfigPull{Known: n.Generation()}, constants.CallTimeout
 	if settled {
-		question.Known, span = -1, constants.RegisterTime
+		req.Known, timeout = -1, constants.RegisterTimeout
 	}
-	answer := &messages.ConfigPush{}
-	if transport.Ask(n.Wire, address, messages.KindConfigPull, question, answer, span) != nil {
+	resp := &messages.ConfigPush{}
+	if transport.Call(n.Transport, address, messages.KindConfigPull, req, resp, timeout) != nil {
 		n.Viewed(func(view *membership.View) { view.Failed(address, clock.Now()) })
 		return false
 	}
-	if answer.Generation > 0 {
-		n.Take(answer.Body)
+	if resp.Generation > 0 {
+		n.ApplyConfig(resp.Body)
 	}
 	return true
 }
@@ -188,15 +188,15 @@
 // and only where none can be had for long, from whatever a controller knows.
 func (n *Node) PullFirst(done func()) {
 	const enough = 5_000_000_000
-	begun, pause := clock.Now(), constants.StartPause
+	start, backoff := clock.Now(), constants.StartBackoff
 	for {
 		select {
 		case <-n.Stop:
 			return
 		default:
 		}
-		late := clock.Now().Since(begun) > enough
-		if (n.pullSettled() || (late && n.pullUntil(math.MaxInt64, ""))) && n.Config() != nil {
+		late := clock.Now().Sub(start) > enough
+		if (n.pullLinearizable() || (late && n.pullUntil(math.MaxInt64, ""))) && n.Config() != nil {
 			done()
 			return
 		}
@@ -207,9 +207,9 @@
 		// The whole fleet may be asking a few controllers: the pause grows, and ends early
 		// when a configuration is pushed.
 		had := n.Config() != nil
-		for slept := clock.Span(0); slept < pause && (had || n.Config() == nil); slept += constants.StartPause {
-			clock.Sleep(constants.StartPause)
+		for slept := clock.Duration(0); slept < backoff && (had || n.Config() == nil); slept += constants.StartBackoff {
+			clock.Sleep(constants.StartBackoff)
 		}
-		pause = min(2*pause, constants.StartPauseMost)
+		backoff = min(2*backoff, constants.StartBackoffMax)
 	}
 }
--- a/internal/platform/node/exchange.go
+++ b/internal/platform/node/exchange.go
@@ -10,26 +10,26 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// OnAnswer registers who adds to what a controller answers in the periodic exchange.
-func (n *Node) OnAnswer(function func(answer *messages.Shuffle)) { n.onAnswer = function }
+// OnReportResponse registers who adds to what a controller answers in the periodic exchange.
+func (n *Node) OnReportResponse(function func(resp *messages.Shuffle)) { n.onReportResponse = function }
 
-// OnWord registers who hears what a controller answered.
-func (n *Node) OnWord(function func(address string, answer *messages.Shuffle)) {
-	n.onWord = function
+// OnControllerReport registers who hears what a controller answered.
+func (n *Node) OnControllerReport(function func(address string, resp *messages.Shuffle)) {
+	n.onControllerReport = function
 }
 
 // meet asks the seeds until a controller is known, then goes over to the periodic
 // exchange. Controllers have a period of their own (the controller's beat).
 func (n *Node) meet() {
 	const meetings = 10
-	controller := n.Own.Role == membership.RoleController
+	controller := n.Self.Role == membership.RoleController
 	for round := 0; ; round++ {
 		for _, seed := range n.Settings.SeedAddresses(constants.PortController) {
-			if seed != n.Own.Address {
+			if seed != n.Self.Address {
 				go n.report(seed, false)
 			}
 		}
-		clock.Sleep(constants.StartPause * 2)
+		clock.Sleep(constants.StartBackoff * 2)
 		// Controllers that all start at once go on until they have met.
 		if len(n.Live(membership.RoleController)) > 0 && (!controller || round > meetings) {
 			break
@@ -45,7 +45,7 @@
 	}
 	n.exchange()
 	// Processes that start at one moment must not all ask at one moment ever after.
-	clock.Sleep(clock.Span(rand.Int63n(int64(constants.ShufflePeriod))))
+	clock.Sleep(clock.Duration(rand.Int63n(int64(constants.ShufflePeriod))))
 	go clock.Every(constants.SecondReportPeriod, n.Stop, n.secondReport)
 	clock.Every(constants.ShufflePeriod, n.Stop, n.exchange)
 }
@@ -63,7 +63,7 @@
 	if first == "" {
 		// The seeds may know controllers that started since.
 		seeds := n.Settings.SeedAddresses(constants.PortController)
-		first = n.reportToOneOf([]messages.Entry{{Address: seeds[rand.Intn(len(seeds))]}}, false)
+		first = n.reportToOneOf([]messages.NodeInfo{{Address: seeds[rand.Intn(len(seeds))]}}, false)
 	}
 	n.lock.Lock()
 	n.firstController = first
@@ -89,12 +89,12 @@
 
 // reportToOneOf reports to the first controller of a list that is in contact with a
 // majority, and gives its address. It gives up after a few that are silent.
-func (n *Node) reportToOneOf(controllers []messages.Entry, brief bool) string {
+func (n *Node) reportToOneOf(controllers []messages.NodeInfo, brief bool) string {
 	const silentMost = 3
-	for silent, place := 0, 0; place < len(controllers) && silent < silentMost; place++ {
-		switch n.report(controllers[place].Address, brief) {
+	for silent, i := 0, 0; i < len(controllers) && silent < silentMost; i++ {
+		switch n.report(controllers[i].Address, brief) {
 		case reportTaken:
-			return controllers[place].Address
+			return controllers[i].Address
 		case reportSilent:
 			silent++
 		}
@@ -118,16 +118,16 @@
 // report asks one controller and takes its answer.
 func (n *Node) report(address string, brief bool) reportResult {
 	n.lock.Lock()
-	question := n.view.BriefQuestion()
+	req := n.view.BriefQuestion()
 	if !brief {
-		question = n.view.Question()
+		req = n.view.Question()
 	}
 	n.lock.Unlock()
-	answer := &messages.Shuffle{}
+	resp := &messages.Shuffle{}
 	result := reportTaken
-	if transport.Ask(n.Wire, address, messages.KindShuffle, question, answer, constants.ReportTime) != nil {
+	if transport.Call(n.Transport, address, messages.KindShuffle, req, resp, constants.ReportTimeout) != nil {
 		result = reportSilent
-	} else if answer.Detached {
+	} else if resp.Detached {
 		result = reportDetached
 	}
 	if result != reportTaken {
@@ -137,68 +137,68 @@
 		return result
 	}
 	n.lock.Lock()
-	n.learnPlaces(answer.Entries)
-	n.view.Answered(question, answer, clock.Now())
+	n.recordLocalities(resp.Entries)
+	n.view.Answered(req, resp, clock.Now())
 	n.lock.Unlock()
-	n.sawEntries(answer.Entries)
-	n.sawPlan(answer.Plan, address)
-	if n.onWord != nil {
-		n.onWord(address, answer)
+	n.observeEntries(resp.Entries)
+	n.observePlan(resp.PlanRevision, address)
+	if n.onControllerReport != nil {
+		n.onControllerReport(address, resp)
 	}
 	return result
 }
 
 func (n *Node) shuffleWith(address string) {
 	n.lock.Lock()
-	question := &messages.Shuffle{Entries: n.view.Offer(clock.Now())}
+	req := &messages.Shuffle{Entries: n.view.Offer(clock.Now())}
 	n.lock.Unlock()
-	answer := &messages.Shuffle{}
-	if transport.Ask(n.Wire, address, messages.KindShuffle, question, answer, constants.CallTime) == nil {
-		n.heard(answer.Entries)
+	resp := &messages.Shuffle{}
+	if transport.Call(n.Transport, address, messages.KindShuffle, req, resp, constants.CallTimeout) == nil {
+		n.heard(resp.Entries)
 	}
 }
 
 func (n *Node) shuffled(body []byte) ([]byte, error) {
-	question := &messages.Shuffle{}
-	if err := transport.Read(body, question); err != nil {
+	req := &messages.Shuffle{}
+	if err := transport.Decode(body, req); err != nil {
 		return nil, err
 	}
-	n.heard(question.Entries)
+	n.heard(req.Entries)
 	n.lock.Lock()
-	var answer *messages.Shuffle
-	if n.Own.Role == membership.RoleController {
-		answer = n.view.Answer(question, clock.Now())
+	var resp *messages.Shuffle
+	if n.Self.Role == membership.RoleController {
+		resp = n.view.Answer(req, clock.Now())
 	} else {
-		answer = &messages.Shuffle{Entries: n.view.Offer(clock.Now())}
+		resp = &messages.Shuffle{Entries: n.view.Offer(clock.Now())}
 	}
 	n.lock.Unlock()
-	if n.onAnswer != nil {
-		n.onAnswer(answer)
+	if n.onReportResponse != nil {
+		n.onReportResponse(resp)
 	}
-	return transport.Write(answer)
+	return transport.Encode(resp)
 }
 
-// Hear takes entries as a shuffle brings them.
-func (n *Node) Hear(entries []messages.Entry) { n.heard(entries) }
+// Observe takes entries as a shuffle brings them.
+func (n *Node) Observe(entries []messages.NodeInfo) { n.heard(entries) }
 
-func (n *Node) heard(entries []messages.Entry) {
+func (n *Node) heard(entries []messages.NodeInfo) {
 	n.lock.Lock()
-	n.learnPlaces(entries)
+	n.recordLocalities(entries)
 	n.view.Heard(entries, clock.Now())
 	n.lock.Unlock()
-	n.sawEntries(entries)
+	n.observeEntries(entries)
 }
 
-// sawEntries follows the newest configuration that an entry names, and asks the process
+// observeEntries follows the newest configuration that an entry names, and asks the process
 // of that entry for it first: others may not have it.
-func (n *Node) sawEntries(entries []messages.Entry) {
-	var newest messages.Entry
+func (n *Node) observeEntries(entries []messages.NodeInfo) {
+	var newest messages.NodeInfo
 	for _, entry := range entries {
 		if entry.Generation > newest.Generation {
 			newest = entry
 		}
 	}
-	n.SawGenerationAt(newest.Generation, newest.Address)
+	n.ObserveGenerationAt(newest.Generation, newest.Address)
 }
 
 // Viewed runs a function on the view, which must not be kept.
--- a/internal/platform/node/neighbours.go
+++ b/internal/platform/node/neighbours.go
@@ -8,7 +8,7 @@
 // Neighbours gives up to count live processes of a role: the same ones as long as
 // they live, one of them in another zone where there is one, the rest in this zone
 // as far as it has them.
-func (n *Node) Neighbours(role string, count int) []messages.Entry {
+func (n *Node) Neighbours(role string, count int) []messages.NodeInfo {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	return n.view.Neighbours(role, count, clock.Now())
--- a/internal/platform/node/node.go
+++ b/internal/platform/node/node.go
@@ -20,30 +20,30 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// Unable is the error of a process that can't do what it was asked.
-var Unable = errs.Define("process unable")
+// ErrUnavailable is the error of a process that can't do what it was asked.
+var ErrUnavailable = errs.Define("process unable")
 
-// Answerer answers one kind of call.
-type Answerer func(body []byte) ([]byte, error)
+// Handler answers one kind of call.
+type Handler func(body []byte) ([]byte, error)
 
 // Node is the runtime of one process.
 type Node struct {
-	Settings *settings.Settings
-	Own      messages.Entry
-	Wire     transport.Transport
-	Log      hclog.Logger
-	Stop     chan struct{}
-
-	lock      sync.Mutex
-	view      *membership.View
-	answerers map[messages.Kind]Answerer
-	config    *routeconfig.Config
-	onConfig  []func(*routeconfig.Config)
-	pulling   bool
-	reports   map[string]func() *messages.Status
-	onAnswer  func(answer *messages.Shuffle)
-	onWord    func(address string, answer *messages.Shuffle)
-	rounds    int
+	Settings  *settings.Settings
+	Self      messages.NodeInfo
+	Transport transport.Transport
+	Log       hclog.Logger
+	Stop      chan struct{}
+
+	lock               sync.Mutex
+	view               *membership.View
+	handlers           map[messages.Kind]Handler
+	config             *routeconfig.Config
+	onConfig           []func(*routeconfig.Config)
+	pulling            bool
+	reports            map[string]func() *messages.StatusResponse
+	onReportResponse   func(resp *messages.Shuffle)
+	onControllerReport func(address string, resp *messages.Shuffle)
+	rounds             int
 	// firstController is the address of the controller that took the last full report.
 	firstController string
 	assigned        assigned
@@ -68,33 +68,33 @@
 
 // New makes the runtime of a process of a role.
 func New(nodeSettings *settings.Settings, role string, port int, disk string, log hclog.Logger) *Node {
-	own := messages.Entry{Name: nodeSettings.NodeName, Life: clock.Wall(), Role: role, Zone: nodeSettings.Zone,
+	own := messages.NodeInfo{Name: nodeSettings.NodeName, Incarnation: clock.WallNanos(), Role: role, Zone: nodeSettings.Zone,
 		Address: nodeSettings.InternalAddress(nodeSettings.Address, port), Disk: disk}
-	runtime := &Node{Settings: nodeSettings, Own: own, Wire: transport.NewWire(own.Address), Log: log, Stop: make(chan struct{}),
-		view: membership.NewView(own, own.Life), answerers: map[messages.Kind]Answerer{},
-		reports: map[string]func() *messages.Status{}}
-	runtime.Answer(messages.KindShuffle, runtime.shuffled)
-	runtime.Answer(messages.KindConfigPush, runtime.pushed)
-	runtime.Answer(messages.KindConfigPull, runtime.pulled)
-	runtime.Answer(messages.KindStatus, runtime.reported)
+	runtime := &Node{Settings: nodeSettings, Self: own, Transport: transport.NewTCP(own.Address), Log: log, Stop: make(chan struct{}),
+		view: membership.NewView(own, own.Incarnation), handlers: map[messages.Kind]Handler{},
+		reports: map[string]func() *messages.StatusResponse{}}
+	runtime.Handle(messages.KindShuffle, runtime.shuffled)
+	runtime.Handle(messages.KindConfigPush, runtime.handleConfigPush)
+	runtime.Handle(messages.KindConfigPull, runtime.handleConfigPull)
+	runtime.Handle(messages.KindStatus, runtime.handleStatus)
 	runtime.Report("nodes", runtime.reportNodes)
 	runtime.Report("zones", runtime.reportZones)
 	runtime.Report("config", runtime.reportSelf)
 	runtime.Report("traffic", runtime.reportTraffic)
 	runtime.Report("assignments", runtime.reportAssigned)
-	runtime.learnPlaces([]messages.Entry{own})
+	runtime.recordLocalities([]messages.NodeInfo{own})
 	return runtime
 }
 
-// Answer registers who answers a kind of call.
-func (n *Node) Answer(kind messages.Kind, answerer Answerer) {
-	n.answerers[kind] = answerer
+// Handle registers who answers a kind of call.
+func (n *Node) Handle(kind messages.Kind, answerer Handler) {
+	n.handlers[kind] = answerer
 }
 
-// Handle answers one call; what nobody answers is a later version's, skipped and
+// Dispatch answers one call; what nobody answers is a later version's, skipped and
 // counted by the transport.
-func (n *Node) Handle(kind messages.Kind, body []byte) ([]byte, error) {
-	answerer := n.answerers[kind]
+func (n *Node) Dispatch(kind messages.Kind, body []byte) ([]byte, error) {
+	answerer := n.handlers[kind]
 	if answerer == nil {
 		return nil, nil
 	}
@@ -103,53 +103,53 @@
 
 // Start serves calls and begins the loops.
 func (n *Node) Start() error {
-	err := n.Wire.Serve(n.Handle)
+	err := n.Transport.Serve(n.Dispatch)
 	if err != nil {
-		return Unable.Wrap(err, "serve")
+		return ErrUnavailable.Wrap(err, "serve")
 	}
 	go n.meet()
 	go n.countTraffic()
 	return nil
 }
 
-// End stops the loops.
-func (n *Node) End() { n.ended.Do(func() { close(n.Stop) }) }
+// Shutdown stops the loops.
+func (n *Node) Shutdown() { n.ended.Do(func() { close(n.Stop) }) }
 
-// Touched notes a direct message from a process.
-func (n *Node) Touched(key string) {
+// MarkContacted notes a direct message from a process.
+func (n *Node) MarkContacted(key string) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	n.view.Touched(key, clock.Now())
 }
 
 // Live gives the processes of a role that were heard lately.
-func (n *Node) Live(role string) []messages.Entry {
+func (n *Node) Live(role string) []messages.NodeInfo {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	return n.view.Live(role, clock.Now())
 }
 
 // All gives every known process of a role.
-func (n *Node) All(role string) []messages.Entry {
+func (n *Node) All(role string) []messages.NodeInfo {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	return n.view.All(role, clock.Now())
 }
 
-// Leave marks this process as going away, and tells a controller at once.
-func (n *Node) Leave() {
+// Drain marks this process as going away, and tells a controller at once.
+func (n *Node) Drain() {
 	n.logTraffic(hclog.Info)
 	n.lock.Lock()
 	n.view.SetLeaving()
 	n.lock.Unlock()
-	if n.Own.Role != membership.RoleController {
+	if n.Self.Role != membership.RoleController {
 		go n.exchange()
 	}
 }
 
-// Spread sends one message to each process of the list at the same time and
+// Multicast sends one message to each process of the list at the same time and
 // waits for all answers or for the span.
-func (n *Node) Spread(entries []messages.Entry, kind messages.Kind, message transport.Writable, span clock.Span, failed func(messages.Entry)) {
+func (n *Node) Multicast(entries []messages.NodeInfo, kind messages.Kind, message transport.Marshaler, timeout clock.Duration, failed func(messages.NodeInfo)) {
 	body, err := message.MarshalMsg(nil)
 	if err != nil {
 		return
@@ -159,8 +159,8 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			if _, err := n.Wire.Call(entry.Address, kind, body, span); err == nil {
-				n.Touched(membership.Key(entry))
+			if _, err := n.Transport.Call(entry.Address, kind, body, timeout); err == nil {
+				n.MarkContacted(membership.Key(entry))
 			} else if failed != nil {
 				failed(entry)
 			}
--- a/internal/platform/node/run.go
+++ b/internal/platform/node/run.go
@@ -13,13 +13,13 @@
 type Process interface {
 	// Run serves until Leave was called or it can't go on.
 	Run() error
-	// Leave stops in order.
-	Leave()
+	// Shutdown stops in order.
+	Shutdown()
 }
 
 // Exit codes of the daemons.
 const (
-	exitLeft     = 0
+	exitOK       = 0
 	exitFailed   = 1
 	exitSettings = 2
 )
@@ -39,7 +39,7 @@
 	go checkOnReload(caught.reload, settings.Load, log)
 	go func() {
 		leaveOnSignal(caught.terminate, started, log)
-		os.Exit(exitLeft)
+		os.Exit(exitOK)
 	}()
 	process, err := make(nodeSettings, log)
 	if err != nil {
--- a/internal/platform/node/signals.go
+++ b/internal/platform/node/signals.go
@@ -35,7 +35,7 @@
 	log.Info("leaving", "signal", received.String())
 	select {
 	case process := <-started:
-		process.Leave()
+		process.Shutdown()
 	default:
 	}
 }
--- a/internal/platform/node/signals_test.go
+++ b/internal/platform/node/signals_test.go
@@ -31,7 +31,7 @@
 func TestReloadChecksTheFileOnly(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.toml")
 	t.Setenv(settings.Variable, path)
-	for _, one := range []struct{ text, want string }{
+	for _, found := range []struct{ text, want string }{
 		{validSettings, "hold from the next start"},
 		{strings.Replace(validSettings, "10.0.0.2:80", "10.9.0.2:80", 1), "hold from the next start"},
 		{strings.Replace(validSettings, "1200", "0", 1), "heartbeat-ms"},
@@ -39,11 +39,11 @@
 		{"\x00", "not readable as TOML"},
 		{"", "node-name is missing"},
 	} {
-		if err := os.WriteFile(path, []byte(one.text), 0o644); err != nil {
+		if err := os.WriteFile(path, []byte(found.text), 0o644); err != nil {
 			t.Fatal(err)
 		}
-		if got := reloadOnce(); strings.Count(got, "\n") != 1 || !strings.Contains(got, one.want) {
-			t.Errorf("want %q in one line, got %q", one.want, got)
+		if got := reloadOnce(); strings.Count(got, "\n") != 1 || !strings.Contains(got, found.want) {
+			t.Errorf("want %q in one line, got %q", found.want, got)
 		}
 	}
 	if err := os.Remove(path); err != nil {
@@ -72,8 +72,8 @@
 // leaver counts how often it was told to leave.
 type leaver struct{ left int }
 
-func (*leaver) Run() error { return nil }
-func (l *leaver) Leave()   { l.left++ }
+func (*leaver) Run() error  { return nil }
+func (l *leaver) Shutdown() { l.left++ }
 
 // A termination reaches the process behind any number of reloads, and one that comes
 // before there is a process ends the start.
--- a/internal/platform/node/status.go
+++ b/internal/platform/node/status.go
@@ -13,42 +13,42 @@
 
 // Report registers what this process says to a query of the shell. Reports read
 // only, and are short.
-func (n *Node) Report(query string, report func() *messages.Status) {
+func (n *Node) Report(query string, report func() *messages.StatusResponse) {
 	n.reports[query] = report
 }
 
-func (n *Node) reported(body []byte) ([]byte, error) {
-	question := &messages.StatusAsk{}
-	if err := transport.Read(body, question); err != nil {
+func (n *Node) handleStatus(body []byte) ([]byte, error) {
+	req := &messages.StatusRequest{}
+	if err := transport.Decode(body, req); err != nil {
 		return nil, err
 	}
-	answer := &messages.Status{}
-	if report := n.reports[question.Query]; report != nil {
-		answer = report()
+	resp := &messages.StatusResponse{}
+	if report := n.reports[req.Query]; report != nil {
+		resp = report()
 	}
-	if question.Zone != "" {
-		answer.Rows = ofZone(answer, question.Zone)
+	if req.Zone != "" {
+		resp.Rows = ofZone(resp, req.Zone)
 	}
-	if len(answer.Rows) > constants.StatusRows {
+	if len(resp.Rows) > constants.StatusRows {
 		// A bounded answer costs a node little; the cut is told.
-		left := len(answer.Rows) - constants.StatusRows
-		answer.Rows = answer.Rows[:constants.StatusRows]
-		more := make([]string, len(answer.Columns))
+		left := len(resp.Rows) - constants.StatusRows
+		resp.Rows = resp.Rows[:constants.StatusRows]
+		more := make([]string, len(resp.Columns))
 		more[0] = "(" + strconv.Itoa(left) + " more)"
-		answer.Rows = append(answer.Rows, more)
+		resp.Rows = append(resp.Rows, more)
 	}
-	return transport.Write(answer)
+	return transport.Encode(resp)
 }
 
 // ofZone keeps the rows that name a zone in their column of that name.
-func ofZone(status *messages.Status, zone string) [][]string {
+func ofZone(status *messages.StatusResponse, zone string) [][]string {
 	var kept [][]string
-	for place, column := range status.Columns {
+	for i, column := range status.Columns {
 		if column != "zone" {
 			continue
 		}
 		for _, row := range status.Rows {
-			if place < len(row) && row[place] == zone {
+			if i < len(row) && row[i] == zone {
 				kept = append(kept, row)
 			}
 		}
@@ -57,16 +57,16 @@
 }
 
 // reportZones counts the processes that this one knows by zone.
-func (n *Node) reportZones() *messages.Status {
+func (n *Node) reportZones() *messages.StatusResponse {
 	counts, zones := map[string]int{}, []string{}
-	for _, entry := range append([]messages.Entry{n.Own}, n.All("")...) {
+	for _, entry := range append([]messages.NodeInfo{n.Self}, n.All("")...) {
 		if counts[entry.Zone] == 0 {
 			zones = append(zones, entry.Zone)
 		}
 		counts[entry.Zone]++
 	}
 	sort.Strings(zones)
-	status := &messages.Status{Columns: []string{"zone", "processes"}}
+	status := &messages.StatusResponse{Columns: []string{"zone", "processes"}}
 	for _, zone := range zones {
 		status.Rows = append(status.Rows, []string{zone, strconv.Itoa(counts[zone])})
 	}
@@ -74,26 +74,26 @@
 }
 
 // reportNodes lists the view of this process, itself first.
-func (n *Node) reportNodes() *messages.Status {
-	status := &messages.Status{Columns: []string{"process", "zone", "address", "heard-ms", "generation", "leaving"}}
-	own := n.Own
+func (n *Node) reportNodes() *messages.StatusResponse {
+	status := &messages.StatusResponse{Columns: []string{"process", "zone", "address", "heard-ms", "generation", "leaving"}}
+	own := n.Self
 	own.Generation = n.Generation()
-	for _, entry := range append([]messages.Entry{own}, n.All("")...) {
+	for _, entry := range append([]messages.NodeInfo{own}, n.All("")...) {
 		status.Rows = append(status.Rows, []string{membership.Key(entry), entry.Zone, entry.Address,
-			strconv.FormatInt(entry.AgeMs, 10), strconv.FormatInt(entry.Generation, 10), strconv.FormatBool(entry.Leaving)})
+			strconv.FormatInt(entry.AgeMs, 10), strconv.FormatInt(entry.Generation, 10), strconv.FormatBool(entry.Draining)})
 	}
 	return status
 }
 
 // reportSelf is one line on this process.
-func (n *Node) reportSelf() *messages.Status {
-	return &messages.Status{Columns: []string{"generation", "life-s", "view", "unknown-frames"}, Rows: [][]string{{
-		strconv.FormatInt(n.Generation(), 10), strconv.FormatInt((clock.Wall()-n.Own.Life)/1_000_000_000, 10),
+func (n *Node) reportSelf() *messages.StatusResponse {
+	return &messages.StatusResponse{Columns: []string{"generation", "life-s", "view", "unknown-frames"}, Rows: [][]string{{
+		strconv.FormatInt(n.Generation(), 10), strconv.FormatInt((clock.WallNanos()-n.Self.Incarnation)/1_000_000_000, 10),
 		strconv.Itoa(len(n.All(""))), n.unknownFrames()}}}
 }
 
 func (n *Node) unknownFrames() string {
-	if wire, real := n.Wire.(*transport.Wire); real {
+	if wire, real := n.Transport.(*transport.TCP); real {
 		return strconv.FormatInt(wire.Unknown(), 10)
 	}
 	return "0"
--- a/internal/platform/node/traffic.go
+++ b/internal/platform/node/traffic.go
@@ -13,40 +13,40 @@
 
 // meter gives the transport's counters; a transport without any counts nothing.
 func (n *Node) meter() *transport.Meter {
-	if metered, able := n.Wire.(transport.Metered); able {
+	if metered, able := n.Transport.(transport.Metered); able {
 		return metered.Meter()
 	}
 	return transport.NewMeter()
 }
 
-// learnPlaces tells the counters which hosts stand in this zone.
-func (n *Node) learnPlaces(entries []messages.Entry) {
+// recordLocalities tells the counters which hosts stand in this zone.
+func (n *Node) recordLocalities(entries []messages.NodeInfo) {
 	meter := n.meter()
 	for _, entry := range entries {
 		if entry.Zone != "" {
-			meter.Learn(entry.Address, entry.Zone == n.Own.Zone)
+			meter.SetLocality(entry.Address, entry.Zone == n.Self.Zone)
 		}
 	}
 }
 
 // reportTraffic lists what was said and heard since the start, the busiest first.
-func (n *Node) reportTraffic() *messages.Status {
-	status := &messages.Status{Columns: []string{"kind", "place", "sent", "sent-bytes", "received", "received-bytes", "life-s"}}
-	life := strconv.FormatInt((clock.Wall()-n.Own.Life)/1_000_000_000, 10)
+func (n *Node) reportTraffic() *messages.StatusResponse {
+	status := &messages.StatusResponse{Columns: []string{"kind", "place", "sent", "sent-bytes", "received", "received-bytes", "life-s"}}
+	life := strconv.FormatInt((clock.WallNanos()-n.Self.Incarnation)/1_000_000_000, 10)
 	number := func(value int64) string { return strconv.FormatInt(value, 10) }
-	for _, one := range n.meter().Readings() {
-		status.Rows = append(status.Rows, []string{one.Kind.String(), one.Place.String(), number(one.Sent.Messages),
-			number(one.Sent.Bytes), number(one.Received.Messages), number(one.Received.Bytes), life})
+	for _, sample := range n.meter().Samples() {
+		status.Rows = append(status.Rows, []string{sample.Kind.String(), sample.Locality.String(), number(sample.Sent.Messages),
+			number(sample.Sent.Bytes), number(sample.Received.Messages), number(sample.Received.Bytes), life})
 	}
 	return status
 }
 
 // logTraffic writes the counters as one line, with a pair for each kind and place.
 func (n *Node) logTraffic(level hclog.Level) {
-	values := []any{"life-ms", (clock.Wall() - n.Own.Life) / 1_000_000}
-	for _, one := range n.meter().Readings() {
-		values = append(values, one.Kind.String()+"/"+one.Place.String(), strconv.FormatInt(one.Sent.Messages, 10)+"msg+"+
-			strconv.FormatInt(one.Sent.Bytes, 10)+"B")
+	values := []any{"life-ms", (clock.WallNanos() - n.Self.Incarnation) / 1_000_000}
+	for _, sample := range n.meter().Samples() {
+		values = append(values, sample.Kind.String()+"/"+sample.Locality.String(), strconv.FormatInt(sample.Sent.Messages, 10)+"msg+"+
+			strconv.FormatInt(sample.Sent.Bytes, 10)+"B")
 	}
 	n.Log.Log(level, "traffic sent", values...)
 }
--- a/internal/platform/recordlog/fleeting.go
+++ b/internal/platform/recordlog/fleeting.go
@@ -6,28 +6,28 @@
 	"sync"
 )
 
-// Fleeting is a folder in memory, for a process on a machine without a disk: what
+// MemoryDisk is a folder in memory, for a process on a machine without a disk: what
 // it holds ends with the process, as if the disk came back empty each time.
-type Fleeting struct {
+type MemoryDisk struct {
 	lock  sync.Mutex
-	files map[string]*fleetingFile
+	files map[string]*memoryFile
 }
 
-// NewFleeting makes an empty one.
-func NewFleeting() *Fleeting { return &Fleeting{files: map[string]*fleetingFile{}} }
+// NewMemoryDisk makes an empty one.
+func NewMemoryDisk() *MemoryDisk { return &MemoryDisk{files: map[string]*memoryFile{}} }
 
 // Open opens a file, making it where it is missing.
-func (f *Fleeting) Open(name string) (File, error) {
+func (f *MemoryDisk) Open(name string) (File, error) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	if f.files[name] == nil {
-		f.files[name] = &fleetingFile{}
+		f.files[name] = &memoryFile{}
 	}
 	return f.files[name], nil
 }
 
 // Rename replaces one file by another.
-func (f *Fleeting) Rename(from, to string) error {
+func (f *MemoryDisk) Rename(from, to string) error {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	file := f.files[from]
@@ -40,29 +40,29 @@
 }
 
 // Remove forgets a file.
-func (f *Fleeting) Remove(name string) error {
+func (f *MemoryDisk) Remove(name string) error {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	delete(f.files, name)
 	return nil
 }
 
-// SyncFolder has nothing to do.
-func (f *Fleeting) SyncFolder() error { return nil }
+// SyncDirectory has nothing to do.
+func (f *MemoryDisk) SyncDirectory() error { return nil }
 
-type fleetingFile struct {
+type memoryFile struct {
 	lock sync.Mutex
 	text []byte
 }
 
-func (f *fleetingFile) Write(text []byte) (int, error) {
+func (f *memoryFile) Write(text []byte) (int, error) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.text = append(f.text, text...)
 	return len(text), nil
 }
 
-func (f *fleetingFile) ReadAt(into []byte, offset int64) (int, error) {
+func (f *memoryFile) ReadAt(into []byte, offset int64) (int, error) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	if offset >= int64(len(f.text)) {
@@ -75,19 +75,19 @@
 	return count, nil
 }
 
-func (f *fleetingFile) Sync() error { return nil }
+func (f *memoryFile) Sync() error { return nil }
 
-func (f *fleetingFile) Truncate(size int64) error {
+func (f *memoryFile) Truncate(size int64) error {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.text = f.text[:min(size, int64(len(f.text)))]
 	return nil
 }
 
-func (f *fleetingFile) Size() (int64, error) {
+func (f *memoryFile) Size() (int64, error) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	return int64(len(f.text)), nil
 }
 
-func (f *fleetingFile) Close() error { return nil }
+func (f *memoryFile) Close() error { return nil }
--- a/internal/platform/recordlog/format.go
+++ b/internal/platform/recordlog/format.go
@@ -10,22 +10,22 @@
 // the body. Records that older versions wrote have no flags, and a checksum of the
 // body alone.
 const (
-	headBytes = 8
-	// flagged marks a record whose checksum covers its first word.
-	flagged = 1 << 31
-	// proving marks a record before which everything was synced when it was written.
-	proving = 1 << 30
+	headerBytes = 8
+	// checksumsHeader marks a record whose checksum covers its first word.
+	checksumsHeader = 1 << 31
+	// provesPrefix marks a record before which everything was synced when it was written.
+	provesPrefix = 1 << 30
 
-	lengthMask = proving - 1
+	lengthMask = provesPrefix - 1
 )
 
 var table = crc32.MakeTable(crc32.Castagnoli)
 
 // appendRecord appends a record to a text.
 func appendRecord(text, body []byte, proof bool) []byte {
-	first := uint32(len(body)) | flagged
+	first := uint32(len(body)) | checksumsHeader
 	if proof {
-		first |= proving
+		first |= provesPrefix
 	}
 	text = binary.BigEndian.AppendUint32(text, first)
 	text = binary.BigEndian.AppendUint32(text, checksum(first, body))
@@ -33,7 +33,7 @@
 }
 
 func checksum(first uint32, body []byte) uint32 {
-	if first&flagged == 0 {
+	if first&checksumsHeader == 0 {
 		return crc32.Checksum(body, table)
 	}
 	var word [4]byte
@@ -47,27 +47,27 @@
 // parseRecord reads the record at the beginning of a text. Proof says that what
 // stands before it was synced; an older version's record says so too, since it may
 // have been.
-func parseRecord(text []byte) (body []byte, proof, whole bool) {
-	if len(text) < headBytes {
+func parseRecord(text []byte) (body []byte, proof, complete bool) {
+	if len(text) < headerBytes {
 		return nil, false, false
 	}
 	first, length := binary.BigEndian.Uint32(text), bodyLength(text)
-	if length == 0 || length > int64(len(text)-headBytes) {
+	if length == 0 || length > int64(len(text)-headerBytes) {
 		return nil, false, false
 	}
-	body = text[headBytes : headBytes+length]
+	body = text[headerBytes : headerBytes+length]
 	if checksum(first, body) != binary.BigEndian.Uint32(text[4:]) {
 		return nil, false, false
 	}
-	return body, first&flagged == 0 || first&proving != 0, true
+	return body, first&checksumsHeader == 0 || first&provesPrefix != 0, true
 }
 
-// provenAfter looks for a whole record which shows that what stands before it was
+// findProofAfter looks for a whole record which shows that what stands before it was
 // synced. Of what no sync has covered, any part may be missing while a later one is
 // there; only what was synced can have been damaged.
-func provenAfter(text []byte, offset int64) (int64, bool) {
-	for ; offset+headBytes < int64(len(text)); offset++ {
-		if _, proof, whole := parseRecord(text[offset:]); whole && proof {
+func findProofAfter(text []byte, offset int64) (int64, bool) {
+	for ; offset+headerBytes < int64(len(text)); offset++ {
+		if _, proof, complete := parseRecord(text[offset:]); complete && proof {
 			return offset, true
 		}
 	}
--- a/internal/platform/recordlog/powerloss_test.go
+++ b/internal/platform/recordlog/powerloss_test.go
@@ -26,7 +26,7 @@
 // machine plays random operations on one log file and knows what its disk may hold.
 type machine struct {
 	disk    *simulation.Disk
-	logfile *recordlog.Logfile
+	logfile *recordlog.Log
 	number  int
 	// acked is what must be there, tail what was appended after it without a sync.
 	acked, tail []string
@@ -88,7 +88,7 @@
 
 func (m *machine) rewrite(rt *rapid.T) {
 	list, raw := m.bodies(rt, 6)
-	offsets, err := m.logfile.Rewrite(recordlog.Once(raw...))
+	offsets, err := m.logfile.Rewrite(recordlog.Records(raw...))
 	if err != nil {
 		m.mustBeTyped(rt, err)
 		m.replacements = append(m.replacements, list)
@@ -103,18 +103,18 @@
 	if len(m.acked) == 0 {
 		return
 	}
-	place := rapid.IntRange(0, len(m.acked)-1).Draw(rt, "place")
-	body, err := m.logfile.ReadAt(m.offsets[place])
-	if err != nil || string(body) != m.acked[place] {
-		rt.Fatalf("record %d reads %q (%v), not %q", place, body, err, m.acked[place])
+	i := rapid.IntRange(0, len(m.acked)-1).Draw(rt, "place")
+	body, err := m.logfile.ReadAt(m.offsets[i])
+	if err != nil || string(body) != m.acked[i] {
+		rt.Fatalf("record %d reads %q (%v), not %q", i, body, err, m.acked[i])
 	}
 }
 
 func (m *machine) mustBeTyped(rt *rapid.T, err error) {
-	if !errs.Of(err, recordlog.Broken) {
+	if !errs.Is(err, recordlog.ErrDisk) {
 		rt.Fatalf("not an error of the log: %v", err)
 	}
-	if errors.Is(err, syscall.ENOSPC) && !errs.Of(err, recordlog.Full) {
+	if errors.Is(err, syscall.ENOSPC) && !errs.Is(err, recordlog.ErrDiskFull) {
 		rt.Fatalf("a full disk is not told: %v", err)
 	}
 }
@@ -164,32 +164,32 @@
 // file is opened again, and a rewrite leaves the old or the new records, never less.
 func TestNothingAcknowledgedIsLost(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		one := &machine{disk: simulation.NewDisk(rapid.Int64().Draw(rt, "seed")), operations: -1}
-		one.disk.Intercept = one.intercept
-		one.open(rt)
+		m := &machine{disk: simulation.NewDisk(rapid.Int64().Draw(rt, "seed")), operations: -1}
+		m.disk.Intercept = m.intercept
+		m.open(rt)
 		rt.Repeat(map[string]func(*rapid.T){
-			"append":  one.append,
-			"sync":    one.sync,
-			"rewrite": one.rewrite,
-			"read":    one.read,
-			"kill":    one.open,
+			"append":  m.append,
+			"sync":    m.sync,
+			"rewrite": m.rewrite,
+			"read":    m.read,
+			"kill":    m.open,
 			"lose power": func(rt *rapid.T) {
-				one.disk.PowerLoss()
-				one.open(rt)
+				m.disk.PowerLoss()
+				m.open(rt)
 			},
 			"lose power soon": func(rt *rapid.T) {
-				one.operations, one.refusal = rapid.IntRange(0, 6).Draw(rt, "operations"), simulation.ErrDown
+				m.operations, m.refusal = rapid.IntRange(0, 6).Draw(rt, "operations"), simulation.ErrDown
 			},
 			"lose power while opening": func(rt *rapid.T) {
-				one.operations, one.refusal = rapid.IntRange(0, 4).Draw(rt, "operations"), simulation.ErrDown
-				_, _ = recordlog.Open(one.disk, "file", func(int64, []byte) error { return nil })
-				one.disk.PowerLoss()
-				one.open(rt)
+				m.operations, m.refusal = rapid.IntRange(0, 4).Draw(rt, "operations"), simulation.ErrDown
+				_, _ = recordlog.Open(m.disk, "file", func(int64, []byte) error { return nil })
+				m.disk.PowerLoss()
+				m.open(rt)
 			},
-			"fill":        func(rt *rapid.T) { one.disk.Room = rapid.IntRange(0, 200).Draw(rt, "room") },
-			"make room":   func(*rapid.T) { one.disk.Room = -1 },
-			"disk fails":  func(*rapid.T) { one.operations, one.refusal = 0, syscall.EIO },
-			"disk serves": func(*rapid.T) { one.operations = -1 },
+			"fill":        func(rt *rapid.T) { m.disk.Room = rapid.IntRange(0, 200).Draw(rt, "room") },
+			"make room":   func(*rapid.T) { m.disk.Room = -1 },
+			"disk fails":  func(*rapid.T) { m.operations, m.refusal = 0, syscall.EIO },
+			"disk serves": func(*rapid.T) { m.operations = -1 },
 		})
 	})
 }
--- a/internal/platform/recordlog/recordlog.go
+++ b/internal/platform/recordlog/recordlog.go
@@ -21,12 +21,12 @@
 
 // The errors of the store.
 var (
-	// Damage means a record that was whole once and no longer is.
-	Damage = errs.Define("record damaged")
-	// Broken means that the disk refused an operation.
-	Broken = errs.Define("disk refused")
-	// Full means that the disk takes no more bytes; such an error is Broken too.
-	Full = errs.Define("disk full")
+	// ErrCorrupt means a record that was whole once and no longer is.
+	ErrCorrupt = errs.Define("record damaged")
+	// ErrDisk means that the disk refused an operation.
+	ErrDisk = errs.Define("disk refused")
+	// ErrDiskFull means that the disk takes no more bytes; such an error is Broken too.
+	ErrDiskFull = errs.Define("disk full")
 )
 
 // File is an open file.
@@ -45,12 +45,12 @@
 	Open(name string) (File, error)
 	Rename(from, to string) error
 	Remove(name string) error
-	// SyncFolder makes names last.
-	SyncFolder() error
+	// SyncDirectory makes names last.
+	SyncDirectory() error
 }
 
-// Logfile is one file of records.
-type Logfile struct {
+// Log is one file of records.
+type Log struct {
 	disk Disk
 	name string
 	file File
@@ -58,111 +58,111 @@
 	size, synced int64
 	// pending is what was appended since that sync, in case it must be written again.
 	pending []byte
-	// uncut says that the file may hold something else behind synced.
-	uncut bool
-	// nameless says that a rewrite failed at its rename or later: the open file may
+	// tailDirty says that the file may hold something else behind synced.
+	tailDirty bool
+	// unlinked says that a rewrite failed at its rename or later: the open file may
 	// have lost its name, and what is written to it would be lost with it.
-	nameless bool
+	unlinked bool
 }
 
 // Open reads all whole records, in order, and cuts a torn tail. What it has read
 // lasts, also if the process that wrote it was killed before its sync.
-func Open(disk Disk, name string, each func(offset int64, body []byte) error) (*Logfile, error) {
+func Open(disk Disk, name string, each func(offset int64, body []byte) error) (*Log, error) {
 	file, err := disk.Open(name)
 	if err != nil {
-		return nil, broken(err, "open "+name)
+		return nil, diskError(err, "open "+name)
 	}
-	logfile := &Logfile{disk: disk, name: name, file: file}
-	if err = logfile.begin(each); err != nil {
+	logfile := &Log{disk: disk, name: name, file: file}
+	if err = logfile.recover(each); err != nil {
 		file.Close()
 		return nil, err
 	}
 	return logfile, nil
 }
 
-func (l *Logfile) begin(each func(offset int64, body []byte) error) error {
+func (l *Log) recover(each func(offset int64, body []byte) error) error {
 	if err := l.removeUnfinished(); err != nil {
 		return err
 	}
 	// The name of a new file lasts only once its folder is synced.
-	if err := l.disk.SyncFolder(); err != nil {
-		return broken(err, "sync folder of "+l.name)
+	if err := l.disk.SyncDirectory(); err != nil {
+		return diskError(err, "sync folder of "+l.name)
 	}
 	return l.replay(each)
 }
 
 // removeUnfinished takes away what a rewrite that was interrupted has left.
-func (l *Logfile) removeUnfinished() error {
-	fresh := l.name + freshSuffix
+func (l *Log) removeUnfinished() error {
+	fresh := l.name + rewriteSuffix
 	if err := l.disk.Remove(fresh); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return broken(err, "remove "+fresh)
+		return diskError(err, "remove "+fresh)
 	}
 	return nil
 }
 
-func (l *Logfile) replay(each func(offset int64, body []byte) error) error {
+func (l *Log) replay(each func(offset int64, body []byte) error) error {
 	text, err := l.readAll()
 	if err != nil {
 		return err
 	}
 	offset := int64(0)
 	for offset < int64(len(text)) {
-		body, _, whole := parseRecord(text[offset:])
-		if !whole {
-			if later, found := provenAfter(text, offset+1); found {
-				return Damage.New(fmt.Sprintf("file %s at byte %d, which was synced before the record at %d", l.name, offset, later))
+		body, _, complete := parseRecord(text[offset:])
+		if !complete {
+			if later, found := findProofAfter(text, offset+1); found {
+				return ErrCorrupt.New(fmt.Sprintf("file %s at byte %d, which was synced before the record at %d", l.name, offset, later))
 			}
 			break
 		}
 		if err = each(offset, body); err != nil {
 			return err
 		}
-		offset += headBytes + int64(len(body))
+		offset += headerBytes + int64(len(body))
 	}
 	l.size, l.synced = offset, offset
-	l.uncut = offset < int64(len(text))
+	l.tailDirty = offset < int64(len(text))
 	return l.Sync()
 }
 
-func (l *Logfile) readAll() ([]byte, error) {
+func (l *Log) readAll() ([]byte, error) {
 	length, err := l.file.Size()
 	if err != nil {
-		return nil, broken(err, "size of "+l.name)
+		return nil, diskError(err, "size of "+l.name)
 	}
 	text := make([]byte, length)
 	if length == 0 {
 		return text, nil
 	}
 	if _, err = l.file.ReadAt(text, 0); err != nil && err != io.EOF {
-		return nil, broken(err, "read "+l.name)
+		return nil, diskError(err, "read "+l.name)
 	}
 	return text, nil
 }
 
 // Append writes records without syncing and gives their offsets.
-func (l *Logfile) Append(bodies ...[]byte) ([]int64, error) {
+func (l *Log) Append(bodies ...[]byte) ([]int64, error) {
 	return l.write(bodies, false)
 }
 
 // write appends records; proof says that all of them prove what stands before them.
-func (l *Logfile) write(bodies [][]byte, proof bool) ([]int64, error) {
-	if err := l.repair(); err != nil {
+func (l *Log) write(bodies [][]byte, proof bool) ([]int64, error) {
+	if err := l.repairTail(); err != nil {
 		return nil, err
 	}
 	var text []byte
 	offsets := make([]int64, 0, len(bodies))
 	for _, body := range bodies {
 		if len(body) == 0 || len(body) > lengthMask {
-			return nil, Broken.New(fmt.Sprintf("record of %d bytes for %s", len(body), l.name))
+			return nil, ErrDisk.New(fmt.Sprintf("record of %d bytes for %s", len(body), l.name))
 		}
 		offset := l.size + int64(len(text))
 		offsets = append(offsets, offset)
 		text = appendRecord(text, body, proof || offset == l.synced)
 	}
 	if _, err := l.file.Write(text); err != nil {
-		l.uncut = true
+		l.tailDirty = true
 		_ = l.file.Truncate(l.size)
-		return nil, broken(err, "write "+l.name)
+		return nil, diskError(err, "write "+l.name)
 	}
 	l.size += int64(len(text))
 	switch {
@@ -177,72 +177,72 @@
 }
 
 // Sync makes all that was appended last.
-func (l *Logfile) Sync() error {
-	err := l.repair()
+func (l *Log) Sync() error {
+	err := l.repairTail()
 	if err == nil {
-		err = broken(l.file.Sync(), "sync "+l.name)
+		err = diskError(l.file.Sync(), "sync "+l.name)
 	}
 	if err != nil {
-		l.size, l.pending, l.uncut = l.synced, nil, true
+		l.size, l.pending, l.tailDirty = l.synced, nil, true
 		return err
 	}
 	l.synced, l.pending = l.size, nil
 	return nil
 }
 
-// repair puts the file right after a refused operation: what no sync has covered is
+// repairTail puts the file right after a refused operation: what no sync has covered is
 // cut and written again, since the system may have dropped it without telling later
 // syncs. It is synced before anything follows it, so that nothing that was cut can
 // come back between later records.
-func (l *Logfile) repair() error {
-	if l.nameless {
-		return Broken.New("a rewrite of " + l.name + " failed: its file may have no name")
+func (l *Log) repairTail() error {
+	if l.unlinked {
+		return ErrDisk.New("a rewrite of " + l.name + " failed: its file may have no name")
 	}
-	if !l.uncut {
+	if !l.tailDirty {
 		return nil
 	}
 	if err := l.file.Truncate(l.synced); err != nil {
-		return broken(err, "cut tail of "+l.name)
+		return diskError(err, "cut tail of "+l.name)
 	}
 	if len(l.pending) > 0 {
 		if _, err := l.file.Write(l.pending); err != nil {
-			return broken(err, "write "+l.name)
+			return diskError(err, "write "+l.name)
 		}
 	}
 	if err := l.file.Sync(); err != nil {
-		return broken(err, "sync "+l.name)
+		return diskError(err, "sync "+l.name)
 	}
-	l.uncut = false
+	l.tailDirty = false
 	return nil
 }
 
 // ReadAt reads the record that starts at an offset.
-func (l *Logfile) ReadAt(offset int64) ([]byte, error) {
-	var head [headBytes]byte
+func (l *Log) ReadAt(offset int64) ([]byte, error) {
+	var head [headerBytes]byte
 	if _, err := l.file.ReadAt(head[:], offset); err != nil {
-		return nil, broken(err, "read "+l.name)
+		return nil, diskError(err, "read "+l.name)
 	}
-	text := make([]byte, headBytes+bodyLength(head[:]))
+	text := make([]byte, headerBytes+bodyLength(head[:]))
 	if _, err := l.file.ReadAt(text, offset); err != nil && err != io.EOF {
-		return nil, broken(err, "read "+l.name)
+		return nil, diskError(err, "read "+l.name)
 	}
-	body, _, whole := parseRecord(text)
-	if !whole {
-		return nil, Damage.New(fmt.Sprintf("file %s at byte %d", l.name, offset))
+	body, _, complete := parseRecord(text)
+	if !complete {
+		return nil, ErrCorrupt.New(fmt.Sprintf("file %s at byte %d", l.name, offset))
 	}
 	return body, nil
 }
 
 // Size gives the length of the file.
-func (l *Logfile) Size() int64 { return l.size }
+func (l *Log) Size() int64 { return l.size }
 
 // Close closes the file.
-func (l *Logfile) Close() error { return l.file.Close() }
+func (l *Log) Close() error { return l.file.Close() }
 
-// broken types an error of the disk.
-func broken(err error, text string) error {
+// diskError types an error of the disk.
+func diskError(err error, text string) error {
 	if errors.Is(err, syscall.ENOSPC) {
-		err = Full.Wrap(err, "no space left")
+		err = ErrDiskFull.Wrap(err, "no space left")
 	}
-	return Broken.Wrap(err, text)
+	return ErrDisk.Wrap(err, text)
 }
--- a/internal/platform/recordlog/recordlog_test.go
+++ b/internal/platform/recordlog/recordlog_test.go
@@ -50,7 +50,7 @@
 		disk := make()
 		logfile, _ := recordlog.Open(disk, "file", nil)
 		_, _ = logfile.Append([]byte("one"), []byte("two"), []byte("three"))
-		offsets, err := logfile.Rewrite(recordlog.Once([]byte("three")))
+		offsets, err := logfile.Rewrite(recordlog.Records([]byte("three")))
 		if err != nil || len(offsets) != 1 {
 			t.Fatal(err)
 		}
@@ -71,7 +71,7 @@
 }
 
 func TestContractFolder(t *testing.T) {
-	contract(t, func() recordlog.Disk { return recordlog.Folder(t.TempDir()) })
+	contract(t, func() recordlog.Disk { return recordlog.Directory(t.TempDir()) })
 }
 
 func TestPowerLossKeepsWhatWasSynced(t *testing.T) {
@@ -112,7 +112,7 @@
 			found = append(found, string(body))
 			return nil
 		})
-		if offset < proven && !errs.Of(err, recordlog.Damage) {
+		if offset < proven && !errs.Is(err, recordlog.ErrCorrupt) {
 			t.Fatalf("byte %d: got %v", offset, err)
 		}
 		if offset >= proven && (err != nil || fmt.Sprint(found) != "[one two]") {
@@ -149,7 +149,7 @@
 		t.Fatal(found, err)
 	}
 	disk.Spoil("file", 9)
-	if _, err = recordlog.Open(disk, "file", each); !errs.Of(err, recordlog.Damage) {
+	if _, err = recordlog.Open(disk, "file", each); !errs.Is(err, recordlog.ErrCorrupt) {
 		t.Fatalf("got %v", err)
 	}
 }
@@ -185,7 +185,7 @@
 
 func TestTornTailIsCutOnRealFiles(t *testing.T) {
 	folder := t.TempDir()
-	logfile, _ := recordlog.Open(recordlog.Folder(folder), "file", nil)
+	logfile, _ := recordlog.Open(recordlog.Directory(folder), "file", nil)
 	_, _ = logfile.Append([]byte("one"), []byte("two"))
 	_ = logfile.Sync()
 	path := filepath.Join(folder, "file")
@@ -193,7 +193,7 @@
 		t.Fatal(err)
 	}
 	var found []string
-	again, err := recordlog.Open(recordlog.Folder(folder), "file", func(_ int64, body []byte) error {
+	again, err := recordlog.Open(recordlog.Directory(folder), "file", func(_ int64, body []byte) error {
 		found = append(found, string(body))
 		return nil
 	})
@@ -210,7 +210,7 @@
 	logfile, _ := recordlog.Open(disk, "file", nil)
 	_, _ = logfile.Append([]byte("one"))
 	disk.Room = 5
-	if _, err := logfile.Append([]byte("does not fit")); !errs.Of(err, recordlog.Broken) {
+	if _, err := logfile.Append([]byte("does not fit")); !errs.Is(err, recordlog.ErrDisk) {
 		t.Fatalf("got %v", err)
 	}
 	disk.Room = -1
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -15,8 +15,8 @@
 // Variable names the variable that holds the path of the settings file.
 const Variable = "LEMONARCH_SETTINGS"
 
-// Invalid is the kind of every settings error.
-var Invalid = errs.Define("settings")
+// ErrInvalid is the kind of every settings error.
+var ErrInvalid = errs.Define("settings")
 
 // Settings is what a process is told at its start. Unknown fields are ignored.
 type Settings struct {
@@ -79,7 +79,7 @@
 func Load() (*Settings, error) {
 	path := os.Getenv(Variable)
 	if path == "" {
-		return nil, Invalid.New(Variable + " is not set")
+		return nil, ErrInvalid.New(Variable + " is not set")
 	}
 	return LoadFile(path)
 }
@@ -88,7 +88,7 @@
 func LoadFile(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, Invalid.Wrap(err, "can't read the file")
+		return nil, ErrInvalid.Wrap(err, "can't read the file")
 	}
 	return Parse(text)
 }
@@ -97,11 +97,11 @@
 func Parse(text []byte) (*Settings, error) {
 	nodeSettings := &Settings{}
 	if _, err := toml.Decode(string(text), nodeSettings); err != nil {
-		return nil, Invalid.Wrap(err, "not readable as TOML")
+		return nil, ErrInvalid.Wrap(err, "not readable as TOML")
 	}
 	if findings := nodeSettings.Check(); len(findings) > 0 {
 		// One clear line: the first finding is named, the rest through check.
-		return nodeSettings, Invalid.New(findings[0])
+		return nodeSettings, ErrInvalid.New(findings[0])
 	}
 	return nodeSettings, nil
 }
@@ -178,11 +178,11 @@
 }
 
 // Grace is the time between SIGTERM and SIGKILL.
-func (s *Settings) Grace() clock.Span {
+func (s *Settings) Grace() clock.Duration {
 	return clock.Milliseconds(s.Tolerances.GraceS * 1000)
 }
 
 // Heartbeat is the usual time between two heartbeats of a worker.
-func (s *Settings) Heartbeat() clock.Span {
+func (s *Settings) Heartbeat() clock.Duration {
 	return clock.Milliseconds(s.HeartbeatMs)
 }
--- a/internal/platform/transport/dial_test.go
+++ b/internal/platform/transport/dial_test.go
@@ -11,8 +11,8 @@
 )
 
 // dialling is a wire whose dials last until they are released, and are counted.
-func dialling() (wire *Wire, release chan struct{}, dials *atomic.Int64) {
-	wire, release, dials = NewWire(""), make(chan struct{}), &atomic.Int64{}
+func dialling() (wire *TCP, release chan struct{}, dials *atomic.Int64) {
+	wire, release, dials = NewTCP(""), make(chan struct{}), &atomic.Int64{}
 	wire.dial = func(string) (net.Conn, error) {
 		dials.Add(1)
 		<-release
@@ -22,11 +22,11 @@
 }
 
 // callAtOnce makes many calls to one peer and hands over how each ended.
-func callAtOnce(wire *Wire, count int, span clock.Span) <-chan error {
+func callAtOnce(wire *TCP, count int, timeout clock.Duration) <-chan error {
 	ended := make(chan error, count)
 	for range count {
 		go func() {
-			_, err := wire.Call("there", messages.KindShuffle, nil, span)
+			_, err := wire.Call("there", messages.KindShuffle, nil, timeout)
 			ended <- err
 		}()
 	}
@@ -41,7 +41,7 @@
 	ended := callAtOnce(wire, callers, clock.Milliseconds(50))
 	for range callers {
 		// The dial never ends before them.
-		if err := <-ended; !errs.Of(err, Unreached) {
+		if err := <-ended; !errs.Is(err, ErrUnreachable) {
 			t.Fatal(err)
 		}
 	}
--- a/internal/platform/transport/everybyte_test.go
+++ b/internal/platform/transport/everybyte_test.go
@@ -14,23 +14,23 @@
 
 // ledger is a server that keeps count of the calls that it worked on.
 type ledger struct {
-	wire *transport.Wire
+	wire *transport.TCP
 	lock sync.Mutex
 	runs map[string]int
 }
 
 func newLedger(t *testing.T, address, life string) *ledger {
-	one := &ledger{wire: transport.NewWire(address), runs: map[string]int{}}
-	err := one.wire.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
-		one.lock.Lock()
-		defer one.lock.Unlock()
-		one.runs[string(body)]++
+	l := &ledger{wire: transport.NewTCP(address), runs: map[string]int{}}
+	err := l.wire.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
+		l.lock.Lock()
+		defer l.lock.Unlock()
+		l.runs[string(body)]++
 		return []byte(life + " to " + string(body)), nil
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return one
+	return l
 }
 
 func (l *ledger) ran(body string) int {
@@ -47,8 +47,8 @@
 // answer is that of its own call.
 func TestTroubleAtEveryByteOfAFrame(t *testing.T) {
 	for _, trouble := range faultrelay.Troubles() {
-		for place := 0; place < 2*frameLength; place++ {
-			struck := faultrelay.Strike{Trouble: trouble, Answer: place >= frameLength, At: place % frameLength}
+		for i := 0; i < 2*frameLength; i++ {
+			struck := faultrelay.Strike{Trouble: trouble, Answer: i >= frameLength, At: i % frameLength}
 			t.Run(fmt.Sprint(trouble, struck.Answer, struck.At), func(t *testing.T) {
 				t.Parallel()
 				playFrames(t, struck)
@@ -64,14 +64,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	client := transport.NewWire("")
+	client := transport.NewTCP("")
 	defer client.Close()
 	call := func(body string) {
-		answer, err := client.Call(relay.Address(), messages.KindShuffle, []byte(body), clock.Milliseconds(60))
-		if err == nil && string(answer) != "one to "+body {
-			t.Errorf("%q got %q", body, answer)
+		resp, err := client.Call(relay.Address(), messages.KindShuffle, []byte(body), clock.Milliseconds(60))
+		if err == nil && string(resp) != "one to "+body {
+			t.Errorf("%q got %q", body, resp)
 		}
-		if errs.Of(err, transport.Unreached) && server.ran(body) > 0 {
+		if errs.Is(err, transport.ErrUnreachable) && server.ran(body) > 0 {
 			t.Errorf("%q was told as unreached, and ran", body)
 		}
 	}
@@ -100,13 +100,13 @@
 // address, and later calls are answered by that one alone.
 func TestNewLifeAtTheSameAddress(t *testing.T) {
 	address, hold, asked := freeAddress(t), newGate(), newGate()
-	first := transport.NewWire(address)
+	first := transport.NewTCP(address)
 	_ = first.Serve(func(messages.Kind, []byte) ([]byte, error) {
 		close(asked)
 		<-hold
 		return []byte("old"), nil
 	})
-	client := transport.NewWire("")
+	client := transport.NewTCP("")
 	defer client.Close()
 	ended := make(chan error, 1)
 	go func() {
@@ -116,19 +116,19 @@
 	<-asked
 	first.Close()
 	close(hold)
-	if err := <-ended; !errs.Of(err, transport.Unanswered) {
+	if err := <-ended; !errs.Is(err, transport.ErrTimeout) {
 		t.Fatal("the pending call ended with ", err)
 	}
 	second := newLedger(t, address, "new")
 	defer second.wire.Close()
 	for {
-		answer, err := client.Call(address, messages.KindShuffle, []byte("later"), enough)
-		if errs.Of(err, transport.Unreached) {
+		resp, err := client.Call(address, messages.KindShuffle, []byte("later"), enough)
+		if errs.Is(err, transport.ErrUnreachable) {
 			// The caller remembers for a moment that nobody was there.
 			continue
 		}
-		if err != nil || string(answer) != "new to later" {
-			t.Fatalf("%q %v", answer, err)
+		if err != nil || string(resp) != "new to later" {
+			t.Fatalf("%q %v", resp, err)
 		}
 		break
 	}
--- a/internal/platform/transport/line_test.go
+++ b/internal/platform/transport/line_test.go
@@ -49,18 +49,18 @@
 // the receiver would take the next frame for the missing part.
 func TestNothingFollowsHalfAFrame(t *testing.T) {
 	raw := &halfWriter{}
-	wire := NewWire("")
+	wire := NewTCP("")
 	peer := wire.peer("there")
-	current := &line{connection: raw, waiting: map[uint64]waiter{}}
+	current := &peerConn{conn: raw, pending: map[uint64]pendingCall{}}
 	peer.current = current
-	end := clock.Now().Plus(clock.Milliseconds(60_000))
+	end := clock.Now().Add(clock.Milliseconds(60_000))
 	current.writing.Lock()
 	var group sync.WaitGroup
 	for count := 0; count < 8; count++ {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			outgoing := &frame{sort: sortCall, kind: messages.KindShuffle, body: []byte("body")}
+			outgoing := &frame{frameType: frameRequest, kind: messages.KindShuffle, body: []byte("body")}
 			if peer.write(current, outgoing, end, nil) == nil {
 				t.Error("a frame was written behind half a frame")
 			}
@@ -68,7 +68,7 @@
 	}
 	current.writing.Unlock()
 	group.Wait()
-	if raw.written.Len() != (headBytes+4)/2 {
+	if raw.written.Len() != (headerBytes+4)/2 {
 		t.Error("bytes on the connection: ", raw.written.Len())
 	}
 }
@@ -76,31 +76,31 @@
 // A call whose time is over before its turn to write is never sent, and says so.
 func TestLateCallIsNotSent(t *testing.T) {
 	raw := &halfWriter{}
-	wire := NewWire("")
+	wire := NewTCP("")
 	peer := wire.peer("there")
-	err := peer.write(&line{connection: raw}, &frame{sort: sortCall}, clock.Now()-1, nil)
-	if !errs.Of(err, Unreached) || raw.writes != 0 {
+	err := peer.write(&peerConn{conn: raw}, &frame{frameType: frameRequest}, clock.Now()-1, nil)
+	if !errs.Is(err, ErrUnreachable) || raw.writes != 0 {
 		t.Fatal(err, raw.writes)
 	}
 }
 
 // An answer is delivered once, to the call that it names by number and kind.
 func TestAnswersNameTheirCall(t *testing.T) {
-	one := waiter{kind: messages.KindShuffle, answer: make(chan frame, 2)}
-	current := &line{waiting: map[uint64]waiter{7: one}}
-	other := uint64(7) + 1<<lifeShift
-	for _, stray := range []frame{{sort: sortAnswer, kind: messages.KindShuffle, number: 8}, {sort: sortAnswer, kind: messages.KindShuffle, number: other},
-		{sort: sortCall, kind: messages.KindShuffle, number: 7}, {sort: sortTell, kind: messages.KindShuffle, number: 7}} {
-		if !current.deliver(stray) || len(one.answer) != 0 {
+	call := pendingCall{kind: messages.KindShuffle, response: make(chan frame, 2)}
+	current := &peerConn{pending: map[uint64]pendingCall{7: call}}
+	other := uint64(7) + 1<<incarnationShift
+	for _, stray := range []frame{{frameType: frameResponse, kind: messages.KindShuffle, number: 8}, {frameType: frameResponse, kind: messages.KindShuffle, number: other},
+		{frameType: frameRequest, kind: messages.KindShuffle, number: 7}, {frameType: frameNotification, kind: messages.KindShuffle, number: 7}} {
+		if !current.deliver(stray) || len(call.response) != 0 {
 			t.Fatal("taken for the answer: ", stray)
 		}
 	}
-	if current.deliver(frame{sort: sortAnswer, kind: messages.KindLotCall, number: 7}) || len(one.answer) != 0 {
+	if current.deliver(frame{frameType: frameResponse, kind: messages.KindJobCall, number: 7}) || len(call.response) != 0 {
 		t.Fatal("an answer of another kind was taken")
 	}
 	for count := 0; count < 2; count++ {
-		if !current.deliver(frame{sort: sortAnswer, kind: messages.KindShuffle, number: 7}) || len(one.answer) != 1 {
-			t.Fatal("delivered ", len(one.answer))
+		if !current.deliver(frame{frameType: frameResponse, kind: messages.KindShuffle, number: 7}) || len(call.response) != 1 {
+			t.Fatal("delivered ", len(call.response))
 		}
 	}
 }
@@ -108,23 +108,23 @@
 // A call that is delivered twice on a connection is worked on once; senders of before did
 // not number their calls in order, and are served as they come.
 func TestDoubledCallIsWorkedOnOnce(t *testing.T) {
-	for version, want := range map[byte][]uint64{orderedVersion: {5, 9, 12}, 1: {5, 9, 9, 5, 12}} {
+	for version, want := range map[byte][]uint64{orderedFrameVersion: {5, 9, 12}, 1: {5, 9, 9, 5, 12}} {
 		near, far := net.Pipe()
-		go NewWire("").serveOne(far, func(_ messages.Kind, body []byte) ([]byte, error) { return body, nil })
+		go NewTCP("").serveConnection(far, func(_ messages.Kind, body []byte) ([]byte, error) { return body, nil })
 		go func() {
 			for _, number := range []uint64{5, 9, 9, 5, 12} {
-				text := appendFrame(nil, frame{sort: sortCall, kind: messages.KindShuffle, number: number, body: []byte("body")})
+				text := appendFrame(nil, frame{frameType: frameRequest, kind: messages.KindShuffle, number: number, body: []byte("body")})
 				text[1] = version
 				_, _ = near.Write(text)
 			}
 		}()
 		got, answers := map[uint64]int{}, bufio.NewReader(near)
 		for range want {
-			answer, err := readFrame(answers)
+			resp, err := readFrame(answers)
 			if err != nil {
 				t.Fatal(err)
 			}
-			got[answer.number]++
+			got[resp.number]++
 		}
 		for _, number := range want {
 			got[number]--
--- a/internal/platform/transport/memory.go
+++ b/internal/platform/transport/memory.go
@@ -7,37 +7,37 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Room is the in-memory world that joins twins of the transport in tests.
-type Room struct {
-	lock     sync.Mutex
-	handlers map[string]Handler
-	cut      map[string]bool
-	// seen is told of every frame; surroundings is what Post works in.
-	seen         func(Frame)
-	surroundings Surroundings
-	meters       map[string]*Meter
-	laters       map[string]Later
+// MemoryNetwork is the in-memory world that joins twins of the transport in tests.
+type MemoryNetwork struct {
+	lock        sync.Mutex
+	handlers    map[string]Handler
+	partitioned map[string]bool
+	// onFrame is told of every frame; surroundings is what Post works in.
+	onFrame       func(ObservedFrame)
+	environment   Environment
+	meters        map[string]*Meter
+	asyncHandlers map[string]AsyncHandler
 }
 
-// NewRoom makes an empty room.
-func NewRoom() *Room {
-	return &Room{handlers: map[string]Handler{}, cut: map[string]bool{}, meters: map[string]*Meter{}, laters: map[string]Later{}}
+// NewMemoryNetwork makes an empty room.
+func NewMemoryNetwork() *MemoryNetwork {
+	return &MemoryNetwork{handlers: map[string]Handler{}, partitioned: map[string]bool{}, meters: map[string]*Meter{}, asyncHandlers: map[string]AsyncHandler{}}
 }
 
-// Cut makes an address silent or lets it speak again.
-func (r *Room) Cut(address string, silent bool) {
+// SetPartitioned makes an address silent or lets it speak again.
+func (r *MemoryNetwork) SetPartitioned(address string, silent bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.cut[address] = silent
+	r.partitioned[address] = silent
 }
 
 // Transport gives the twin that serves at an address.
-func (r *Room) Transport(address string) *Twin {
-	return &Twin{room: r, own: address, meter: r.meter(address)}
+func (r *MemoryNetwork) Transport(address string) *Memory {
+	return &Memory{network: r, own: address, meter: r.meter(address)}
 }
 
 // meter gives the meter of an address: it counts on when a process there starts anew.
-func (r *Room) meter(address string) *Meter {
+func (r *MemoryNetwork) meter(address string) *Meter {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	if r.meters[address] == nil {
@@ -46,75 +46,75 @@
 	return r.meters[address]
 }
 
-// Twin is a transport in memory.
-type Twin struct {
-	room  *Room
-	own   string
-	meter *Meter
+// Memory is a transport in memory.
+type Memory struct {
+	network *MemoryNetwork
+	own     string
+	meter   *Meter
 }
 
 // Meter counts what this process says and hears.
-func (t *Twin) Meter() *Meter { return t.meter }
+func (t *Memory) Meter() *Meter { return t.meter }
 
 // Serve registers the handler.
-func (t *Twin) Serve(handler Handler) error {
-	t.room.lock.Lock()
-	defer t.room.lock.Unlock()
-	if t.room.handlers[t.own] != nil {
-		return Unreached.New("address taken: " + t.own)
+func (t *Memory) Serve(handler Handler) error {
+	t.network.lock.Lock()
+	defer t.network.lock.Unlock()
+	if t.network.handlers[t.own] != nil {
+		return ErrUnreachable.New("address taken: " + t.own)
 	}
-	t.room.handlers[t.own] = handler
+	t.network.handlers[t.own] = handler
 	return nil
 }
 
 // Call runs the other side's handler at once.
-func (t *Twin) Call(address string, kind messages.Kind, body []byte, span clock.Span) ([]byte, error) {
-	handler, silent := t.reach(address)
+func (t *Memory) Call(address string, kind messages.Kind, body []byte, timeout clock.Duration) ([]byte, error) {
+	handler, silent := t.handlerAt(address)
 	if handler == nil {
-		return nil, Unreached.New(address)
+		return nil, ErrUnreachable.New(address)
 	}
 	t.meter.sent(kind, address, len(body))
 	if silent {
-		return nil, Unanswered.New(address + " silent")
+		return nil, ErrTimeout.New(address + " silent")
 	}
 	type result struct {
 		body []byte
 		err  error
 	}
 	answered := make(chan result, 1)
-	other := t.room.meter(address)
+	other := t.network.meter(address)
 	other.received(kind, t.own, len(body))
-	t.room.note(t.own, address, kind, false, body)
+	t.network.observe(t.own, address, kind, false, body)
 	go func() {
-		answer, err := handler(kind, body)
-		other.sent(kind, t.own, len(answer))
-		t.room.note(address, t.own, kind, true, answer)
-		answered <- result{answer, err}
+		resp, err := handler(kind, body)
+		other.sent(kind, t.own, len(resp))
+		t.network.observe(address, t.own, kind, true, resp)
+		answered <- result{resp, err}
 	}()
-	timer := clock.NewTimer(span)
+	timer := clock.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case one := <-answered:
-		t.meter.received(kind, address, len(one.body))
-		if one.err != nil || one.body == nil {
-			return nil, Refused.New(address)
+	case r := <-answered:
+		t.meter.received(kind, address, len(r.body))
+		if r.err != nil || r.body == nil {
+			return nil, ErrRejected.New(address)
 		}
-		return one.body, nil
+		return r.body, nil
 	case <-timer.C:
-		return nil, Unanswered.New(address + " silent")
+		return nil, ErrTimeout.New(address + " silent")
 	}
 }
 
-func (t *Twin) reach(address string) (handler Handler, silent bool) {
-	t.room.lock.Lock()
-	defer t.room.lock.Unlock()
-	return t.room.handlers[address], t.room.cut[address] || t.room.cut[t.own]
+func (t *Memory) handlerAt(address string) (handler Handler, silent bool) {
+	t.network.lock.Lock()
+	defer t.network.lock.Unlock()
+	return t.network.handlers[address], t.network.partitioned[address] || t.network.partitioned[t.own]
 }
 
 // Close takes the handler out of the room.
-func (t *Twin) Close() {
-	t.room.lock.Lock()
-	defer t.room.lock.Unlock()
-	delete(t.room.handlers, t.own)
-	delete(t.room.laters, t.own)
+func (t *Memory) Close() {
+	t.network.lock.Lock()
+	defer t.network.lock.Unlock()
+	delete(t.network.handlers, t.own)
+	delete(t.network.asyncHandlers, t.own)
 }
--- a/internal/platform/transport/meter.go
+++ b/internal/platform/transport/meter.go
@@ -8,22 +8,22 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Place is where the other side of a message stands.
-type Place int
+// Locality is where the other side of a message stands.
+type Locality int
 
 // The places.
 const (
-	// PlaceUnknown: the caller has not said where that host stands.
-	PlaceUnknown Place = iota
-	PlaceOwnZone
-	PlaceOtherZone
-	places
+	// LocalityUnknown: the caller has not said where that host stands.
+	LocalityUnknown Locality = iota
+	LocalitySameZone
+	LocalityOtherZone
+	localities
 )
 
-var placeNames = [places]string{"unknown", "own-zone", "other-zone"}
+var localityNames = [localities]string{"unknown", "own-zone", "other-zone"}
 
 // String names a place in reports.
-func (p Place) String() string { return placeNames[p] }
+func (p Locality) String() string { return localityNames[p] }
 
 // Count is a number of messages with their encoded bytes, heads included.
 type Count struct {
@@ -44,13 +44,13 @@
 // as its own zone's.
 type Meter struct {
 	lock  sync.Mutex
-	hosts map[string]Place
-	flows map[messages.Kind]*[places]Flow
+	hosts map[string]Locality
+	flows map[messages.Kind]*[localities]Flow
 }
 
 // NewMeter makes a meter that knows of no host yet.
 func NewMeter() *Meter {
-	return &Meter{hosts: map[string]Place{}, flows: map[messages.Kind]*[places]Flow{}}
+	return &Meter{hosts: map[string]Locality{}, flows: map[messages.Kind]*[localities]Flow{}}
 }
 
 func hostOf(address string) string {
@@ -60,11 +60,11 @@
 	return address
 }
 
-// Learn says whether the host of an address stands in the own zone.
-func (m *Meter) Learn(address string, own bool) {
-	place := PlaceOtherZone
+// SetLocality says whether the host of an address stands in the own zone.
+func (m *Meter) SetLocality(address string, own bool) {
+	place := LocalityOtherZone
 	if own {
-		place = PlaceOwnZone
+		place = LocalitySameZone
 	}
 	m.lock.Lock()
 	defer m.lock.Unlock()
@@ -72,12 +72,12 @@
 }
 
 func (m *Meter) flow(kind messages.Kind, address string) *Flow {
-	one := m.flows[kind]
-	if one == nil {
-		one = &[places]Flow{}
-		m.flows[kind] = one
+	found := m.flows[kind]
+	if found == nil {
+		found = &[localities]Flow{}
+		m.flows[kind] = found
 	}
-	return &one[m.hosts[hostOf(address)]]
+	return &found[m.hosts[hostOf(address)]]
 }
 
 func (m *Meter) sent(kind messages.Kind, address string, body int) {
@@ -85,7 +85,7 @@
 	defer m.lock.Unlock()
 	flow := m.flow(kind, address)
 	flow.Sent.Messages++
-	flow.Sent.Bytes += int64(headBytes + body)
+	flow.Sent.Bytes += int64(headerBytes + body)
 }
 
 func (m *Meter) received(kind messages.Kind, address string, body int) {
@@ -93,47 +93,47 @@
 	defer m.lock.Unlock()
 	flow := m.flow(kind, address)
 	flow.Received.Messages++
-	flow.Received.Bytes += int64(headBytes + body)
+	flow.Received.Bytes += int64(headerBytes + body)
 }
 
-// Reading is one line of a meter.
-type Reading struct {
-	Kind  messages.Kind
-	Place Place
+// FlowSample is one line of a meter.
+type FlowSample struct {
+	Kind     messages.Kind
+	Locality Locality
 	Flow
 }
 
-// Readings gives what was counted since the start, the busiest first.
-func (m *Meter) Readings() []Reading {
+// Samples gives what was counted since the start, the busiest first.
+func (m *Meter) Samples() []FlowSample {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	var readings []Reading
+	var readings []FlowSample
 	for kind, flows := range m.flows {
-		for place, flow := range flows {
+		for i, flow := range flows {
 			if flow != (Flow{}) {
-				readings = append(readings, Reading{Kind: kind, Place: Place(place), Flow: flow})
+				readings = append(readings, FlowSample{Kind: kind, Locality: Locality(i), Flow: flow})
 			}
 		}
 	}
 	sort.Slice(readings, func(left, right int) bool {
-		one, other := readings[left], readings[right]
-		if one.Sent.Bytes != other.Sent.Bytes {
-			return one.Sent.Bytes > other.Sent.Bytes
+		sample, other := readings[left], readings[right]
+		if sample.Sent.Bytes != other.Sent.Bytes {
+			return sample.Sent.Bytes > other.Sent.Bytes
 		}
-		return one.Kind < other.Kind || (one.Kind == other.Kind && one.Place < other.Place)
+		return sample.Kind < other.Kind || (sample.Kind == other.Kind && sample.Locality < other.Locality)
 	})
 	return readings
 }
 
-// Total sums the readings of a place; PlaceUnknown sums all.
-func (m *Meter) Total(place Place) Flow {
+// Total sums the readings of a place; LocalityUnknown sums all.
+func (m *Meter) Total(place Locality) Flow {
 	var total Flow
-	for _, one := range m.Readings() {
-		if place == PlaceUnknown || one.Place == place {
-			total.Sent.Messages += one.Sent.Messages
-			total.Sent.Bytes += one.Sent.Bytes
-			total.Received.Messages += one.Received.Messages
-			total.Received.Bytes += one.Received.Bytes
+	for _, sample := range m.Samples() {
+		if place == LocalityUnknown || sample.Locality == place {
+			total.Sent.Messages += sample.Sent.Messages
+			total.Sent.Bytes += sample.Sent.Bytes
+			total.Received.Messages += sample.Received.Messages
+			total.Received.Bytes += sample.Received.Bytes
 		}
 	}
 	return total
