--- a/internal/platform/transport/meter_test.go
+++ b/internal/platform/transport/meter_test.go
@@ -9,11 +9,11 @@
 
 // Both transports count a call and its answer at both ends, by kind and place.
 func TestTrafficIsCounted(t *testing.T) {
-	room := transport.NewRoom()
+	room := transport.NewMemoryNetwork()
 	makers := map[string]func() (transport.Transport, string){
 		"wire": func() (transport.Transport, string) {
 			address := freeAddress(t)
-			return transport.NewWire(address), address
+			return transport.NewTCP(address), address
 		},
 		"twin": func() (transport.Transport, string) {
 			return room.Transport("server:1"), "server:1"
@@ -26,23 +26,23 @@
 		if name == "twin" {
 			client = room.Transport("client:1")
 		} else {
-			client = transport.NewWire("")
+			client = transport.NewTCP("")
 		}
-		client.(transport.Metered).Meter().Learn(address, true)
+		client.(transport.Metered).Meter().SetLocality(address, true)
 		if _, err := client.Call(address, messages.KindGossip, []byte("seven b"), enough); err != nil {
 			t.Fatal(name, err)
 		}
 		const head = 17
 		want := transport.Flow{Sent: transport.Count{Messages: 1, Bytes: head + 7}, Received: transport.Count{Messages: 1, Bytes: head + 4}}
-		if got := client.(transport.Metered).Meter().Total(transport.PlaceOwnZone); got != want {
+		if got := client.(transport.Metered).Meter().Total(transport.LocalitySameZone); got != want {
 			t.Fatalf("%s: client counted %+v", name, got)
 		}
-		readings := client.(transport.Metered).Meter().Readings()
-		if len(readings) != 1 || readings[0].Kind != messages.KindGossip || readings[0].Place != transport.PlaceOwnZone {
+		readings := client.(transport.Metered).Meter().Samples()
+		if len(readings) != 1 || readings[0].Kind != messages.KindGossip || readings[0].Locality != transport.LocalitySameZone {
 			t.Fatalf("%s: %+v", name, readings)
 		}
-		back := transport.Flow{Sent: want.Received, Received: want.Sent}
-		if got := server.(transport.Metered).Meter().Total(transport.PlaceUnknown); got != back {
+		resp := transport.Flow{Sent: want.Received, Received: want.Sent}
+		if got := server.(transport.Metered).Meter().Total(transport.LocalityUnknown); got != resp {
 			t.Fatalf("%s: server counted %+v", name, got)
 		}
 		server.Close()
--- a/internal/platform/transport/once.go
+++ b/internal/platform/transport/once.go
@@ -7,24 +7,24 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// Once lets each numbered call through once. A frame may come twice, or long after
+// Deduplicator lets each numbered call through once. A frame may come twice, or long after
 // its sender was given an answer to the first copy: a second copy that was worked
 // on would contradict that answer.
-type Once struct {
+type Deduplicator struct {
 	lock sync.Mutex
 	seen map[string]bool
 	// order holds the names in order of arrival, so that old ones are forgotten.
-	order []onceSeen
+	order []seenRequest
 }
 
-type onceSeen struct {
+type seenRequest struct {
 	name string
-	at   clock.Moment
+	at   clock.Instant
 }
 
-// First tells whether a name comes for the first time. A call without a name is of
+// FirstSeen tells whether a name comes for the first time. A call without a name is of
 // an older sender and always passes.
-func (o *Once) First(name string, now clock.Moment) bool {
+func (o *Deduplicator) FirstSeen(name string, now clock.Instant) bool {
 	if name == "" {
 		return true
 	}
@@ -34,17 +34,17 @@
 		o.seen = map[string]bool{}
 	}
 	gone := 0
-	for gone < len(o.order) && now.Since(o.order[gone].at) > constants.FrameLife {
+	for gone < len(o.order) && now.Sub(o.order[gone].at) > constants.FrameLifetime {
 		delete(o.seen, o.order[gone].name)
 		gone++
 	}
 	if gone > 0 {
-		o.order = append([]onceSeen(nil), o.order[gone:]...)
+		o.order = append([]seenRequest(nil), o.order[gone:]...)
 	}
 	if o.seen[name] {
 		return false
 	}
 	o.seen[name] = true
-	o.order = append(o.order, onceSeen{name, now})
+	o.order = append(o.order, seenRequest{name, now})
 	return true
 }
--- a/internal/platform/transport/post.go
+++ b/internal/platform/transport/post.go
@@ -5,123 +5,123 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Frame is one frame as a room saw it pass: a call, the answer to one, or what nobody
+// ObservedFrame is one frame as a room saw it pass: a call, the answer to one, or what nobody
 // answers. Bytes are those that the wire would carry, head included; what TCP and IP
 // add is not in it.
-type Frame struct {
+type ObservedFrame struct {
 	From, To string
 	Kind     messages.Kind
-	Answer   bool
+	Response bool
 	Bytes    int
 }
 
 // Clock runs a function after a span: the simulated world of tests and hollow fleets.
 type Clock interface {
-	After(span clock.Span, function func())
+	After(timeout clock.Duration, function func())
 }
 
-// Surroundings is what a simulated room needs: a clock, how long a frame is under way
+// Environment is what a simulated room needs: a clock, how long a frame is under way
 // between two addresses, and whether it arrives at all.
-type Surroundings struct {
-	Clock Clock
-	Delay func(from, to string) clock.Span
-	Reach func(from, to string) bool
+type Environment struct {
+	Clock     Clock
+	Delay     func(from, to string) clock.Duration
+	Reachable func(from, to string) bool
 }
 
-// Later answers a call on the simulated clock, at once or later; reply is run once.
-type Later func(kind messages.Kind, body []byte, reply func([]byte, error))
+// AsyncHandler answers a call on the simulated clock, at once or later; reply is run once.
+type AsyncHandler func(kind messages.Kind, body []byte, reply func([]byte, error))
 
 // OnFrame names who is told of every frame; it must not block.
-func (r *Room) OnFrame(seen func(Frame)) {
+func (r *MemoryNetwork) OnFrame(seen func(ObservedFrame)) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.seen = seen
+	r.onFrame = seen
 }
 
 // Simulate gives the room surroundings, which Post needs.
-func (r *Room) Simulate(surroundings Surroundings) {
+func (r *MemoryNetwork) Simulate(surroundings Environment) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.surroundings = surroundings
+	r.environment = surroundings
 }
 
-// note tells of a frame with a body.
-func (r *Room) note(from, to string, kind messages.Kind, answer bool, body []byte) {
+// observe tells of a frame with a body.
+func (r *MemoryNetwork) observe(from, to string, kind messages.Kind, resp bool, body []byte) {
 	r.lock.Lock()
-	seen := r.seen
+	seen := r.onFrame
 	r.lock.Unlock()
 	if seen != nil {
-		seen(Frame{From: from, To: to, Kind: kind, Answer: answer, Bytes: headBytes + len(body)})
+		seen(ObservedFrame{From: from, To: to, Kind: kind, Response: resp, Bytes: headerBytes + len(body)})
 	}
 }
 
-// ServeLater registers who answers what is posted to this address, instead of Serve.
-func (t *Twin) ServeLater(later Later) error {
-	t.room.lock.Lock()
-	defer t.room.lock.Unlock()
-	if t.room.handlers[t.own] != nil || t.room.laters[t.own] != nil {
-		return Unreached.New("address taken: " + t.own)
+// ServeAsync registers who answers what is posted to this address, instead of Serve.
+func (t *Memory) ServeAsync(later AsyncHandler) error {
+	t.network.lock.Lock()
+	defer t.network.lock.Unlock()
+	if t.network.handlers[t.own] != nil || t.network.asyncHandlers[t.own] != nil {
+		return ErrUnreachable.New("address taken: " + t.own)
 	}
-	t.room.laters[t.own] = later
+	t.network.asyncHandlers[t.own] = later
 	return nil
 }
 
-// later gives who answers at an address, nil where nobody does.
-func (t *Twin) later(address string) (later Later, silent bool) {
-	handler, silent := t.reach(address)
+// asyncHandlerAt gives who answers at an address, nil where nobody does.
+func (t *Memory) asyncHandlerAt(address string) (later AsyncHandler, silent bool) {
+	handler, silent := t.handlerAt(address)
 	if handler != nil {
 		return func(kind messages.Kind, body []byte, reply func([]byte, error)) { reply(handler(kind, body)) }, silent
 	}
-	t.room.lock.Lock()
-	defer t.room.lock.Unlock()
-	return t.room.laters[address], silent
+	t.network.lock.Lock()
+	defer t.network.lock.Unlock()
+	return t.network.asyncHandlers[address], silent
 }
 
-// Post is Call on the simulated clock: nothing waits, then is run once with what came
+// CallAsync is Call on the simulated clock: nothing waits, then is run once with what came
 // of it. Like on the wire, a process that is not there is told apart from silence.
-func (t *Twin) Post(address string, kind messages.Kind, body []byte, span clock.Span, then func([]byte, error)) {
-	room, own, around, ended := t.room, t.own, t.room.surroundings, false
-	end := func(answer []byte, err error) {
+func (t *Memory) CallAsync(address string, kind messages.Kind, body []byte, timeout clock.Duration, then func([]byte, error)) {
+	room, own, around, ended := t.network, t.own, t.network.environment, false
+	end := func(resp []byte, err error) {
 		if !ended {
 			ended = true
-			then(answer, err)
+			then(resp, err)
 		}
 	}
 	// Most calls are answered in time: the clock is asked only for those that may not be.
-	lost := func(gone clock.Span) {
-		around.Clock.After(max(0, span-gone), func() { end(nil, Unanswered.New(address+" silent")) })
+	lost := func(gone clock.Duration) {
+		around.Clock.After(max(0, timeout-gone), func() { end(nil, ErrTimeout.New(address+" silent")) })
 	}
-	room.note(own, address, kind, false, body)
+	room.observe(own, address, kind, false, body)
 	there := around.Delay(own, address)
 	around.Clock.After(there, func() {
-		later, silent := t.later(address)
-		if silent || !around.Reach(own, address) {
+		later, silent := t.asyncHandlerAt(address)
+		if silent || !around.Reachable(own, address) {
 			lost(there)
 			return
 		}
 		if later == nil {
-			around.Clock.After(there, func() { end(nil, Unreached.New(address)) })
+			around.Clock.After(there, func() { end(nil, ErrUnreachable.New(address)) })
 			return
 		}
 		replied := false
-		later(kind, body, func(answer []byte, err error) {
+		later(kind, body, func(resp []byte, err error) {
 			replied = true
-			refused := err != nil || answer == nil
+			refused := err != nil || resp == nil
 			if refused {
-				answer = nil
+				resp = nil
 			}
-			room.note(address, own, kind, true, answer)
-			back := around.Delay(address, own)
-			around.Clock.After(back, func() {
-				if _, silent := t.later(address); silent || !around.Reach(address, own) {
-					lost(there + back)
+			room.observe(address, own, kind, true, resp)
+			response := around.Delay(address, own)
+			around.Clock.After(response, func() {
+				if _, silent := t.asyncHandlerAt(address); silent || !around.Reachable(address, own) {
+					lost(there + response)
 					return
 				}
 				if refused {
-					end(nil, Refused.New(address))
+					end(nil, ErrRejected.New(address))
 					return
 				}
-				end(answer, nil)
+				end(resp, nil)
 			})
 		})
 		if !replied {
@@ -130,12 +130,12 @@
 	})
 }
 
-// PostTell is Tell on the simulated clock: one frame that nobody answers.
-func (t *Twin) PostTell(address string, kind messages.Kind, body []byte) {
-	room, own, around := t.room, t.own, t.room.surroundings
-	room.note(own, address, kind, false, body)
+// NotifyAsync is Tell on the simulated clock: one frame that nobody answers.
+func (t *Memory) NotifyAsync(address string, kind messages.Kind, body []byte) {
+	room, own, around := t.network, t.own, t.network.environment
+	room.observe(own, address, kind, false, body)
 	around.Clock.After(around.Delay(own, address), func() {
-		if later, silent := t.later(address); later != nil && !silent && around.Reach(own, address) {
+		if later, silent := t.asyncHandlerAt(address); later != nil && !silent && around.Reachable(own, address) {
 			later(kind, body, func([]byte, error) {})
 		}
 	})
--- a/internal/platform/transport/post_test.go
+++ b/internal/platform/transport/post_test.go
@@ -19,10 +19,10 @@
 	bytes          int
 }
 
-func (c *counters) seen(frame transport.Frame) {
+func (c *counters) seen(frame transport.ObservedFrame) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	if frame.Answer {
+	if frame.Response {
 		c.answers++
 	} else {
 		c.calls++
@@ -31,7 +31,7 @@
 }
 
 func TestContractCountingMemory(t *testing.T) {
-	room, count, counted := transport.NewRoom(), 0, &counters{}
+	room, count, counted := transport.NewMemoryNetwork(), 0, &counters{}
 	room.OnFrame(counted.seen)
 	contract(t, func() (transport.Transport, string) {
 		count++
@@ -48,30 +48,30 @@
 }
 
 // simulated makes a room on a fake clock with a millisecond each way.
-func simulated() (*transport.Room, *simulation.World, *counters, map[string]bool) {
-	room, world, counted, gone := transport.NewRoom(), simulation.NewWorld(1), &counters{}, map[string]bool{}
+func simulated() (*transport.MemoryNetwork, *simulation.World, *counters, map[string]bool) {
+	room, world, counted, gone := transport.NewMemoryNetwork(), simulation.NewWorld(1), &counters{}, map[string]bool{}
 	room.OnFrame(counted.seen)
-	room.Simulate(transport.Surroundings{Clock: world,
-		Delay: func(string, string) clock.Span { return clock.Milliseconds(1) },
-		Reach: func(from, to string) bool { return !gone[from] && !gone[to] }})
+	room.Simulate(transport.Environment{Clock: world,
+		Delay:     func(string, string) clock.Duration { return clock.Milliseconds(1) },
+		Reachable: func(from, to string) bool { return !gone[from] && !gone[to] }})
 	return room, world, counted, gone
 }
 
 func TestPostTakesItsTimeAndCounts(t *testing.T) {
 	room, world, counted, _ := simulated()
 	_ = room.Transport("server").Serve(func(_ messages.Kind, body []byte) ([]byte, error) { return append([]byte("to "), body...), nil })
-	var answer string
-	at := clock.Moment(0)
-	room.Transport("client").Post("server", messages.KindShuffle, []byte("one"), enough, func(body []byte, err error) {
+	var resp string
+	at := clock.Instant(0)
+	room.Transport("client").CallAsync("server", messages.KindShuffle, []byte("one"), enough, func(body []byte, err error) {
 		if err != nil {
 			t.Error(err)
 		}
-		answer, at = string(body), world.Now
+		resp, at = string(body), world.Now
 	})
-	world.Run(clock.Moment(enough))
+	world.Run(clock.Instant(enough))
 	// The head is 17 bytes: the frame format's contract.
-	if answer != "to one" || at != clock.Moment(clock.Milliseconds(2)) || counted.calls != 1 || counted.answers != 1 || counted.bytes != 17+3+17+6 {
-		t.Fatalf("%q at %d, %+v", answer, at, counted)
+	if resp != "to one" || at != clock.Instant(clock.Milliseconds(2)) || counted.calls != 1 || counted.answers != 1 || counted.bytes != 17+3+17+6 {
+		t.Fatalf("%q at %d, %+v", resp, at, counted)
 	}
 }
 
@@ -86,24 +86,24 @@
 	})
 	type result struct {
 		err error
-		at  clock.Moment
+		at  clock.Instant
 	}
 	var results []result
 	post := func(address string, kind messages.Kind) {
-		begun := world.Now
-		room.Transport("client").Post(address, kind, nil, clock.Milliseconds(30), func(_ []byte, err error) {
-			results = append(results, result{err, world.Now - begun})
+		start := world.Now
+		room.Transport("client").CallAsync(address, kind, nil, clock.Milliseconds(30), func(_ []byte, err error) {
+			results = append(results, result{err, world.Now - start})
 		})
-		world.Run(world.Now + clock.Moment(enough))
+		world.Run(world.Now + clock.Instant(enough))
 	}
 	post("server", messages.Kind(9999))
 	post("nobody", messages.KindShuffle)
 	post("server", messages.KindGossip)
 	post("server", messages.KindShuffle)
-	silent := clock.Moment(clock.Milliseconds(30))
-	if len(results) != 4 || !errs.Of(results[0].err, transport.Refused) || !errs.Of(results[1].err, transport.Unreached) ||
-		!errs.Of(results[2].err, transport.Unanswered) || results[2].at != silent ||
-		!errs.Of(results[3].err, transport.Unanswered) || results[3].at != silent {
+	silent := clock.Instant(clock.Milliseconds(30))
+	if len(results) != 4 || !errs.Is(results[0].err, transport.ErrRejected) || !errs.Is(results[1].err, transport.ErrUnreachable) ||
+		!errs.Is(results[2].err, transport.ErrTimeout) || results[2].at != silent ||
+		!errs.Is(results[3].err, transport.ErrTimeout) || results[3].at != silent {
 		t.Fatalf("%+v", results)
 	}
 }
--- a/internal/platform/transport/tell_test.go
+++ b/internal/platform/transport/tell_test.go
@@ -26,8 +26,8 @@
 	}
 	client, nobody := make()
 	defer client.Close()
-	teller := client.(transport.Teller)
-	if err = teller.Tell(address, messages.KindGossip, []byte("word")); err != nil {
+	teller := client.(transport.Notifier)
+	if err = teller.Notify(address, messages.KindGossip, []byte("word")); err != nil {
 		t.Fatal(err)
 	}
 	select {
@@ -39,10 +39,10 @@
 		t.Fatal("what was told never arrived")
 	}
 	// The line carries calls as before, and no answer of the told one comes between.
-	if answer, err := client.Call(address, messages.KindShuffle, nil, enough); err != nil || string(answer) != "answer" {
-		t.Fatalf("%q %v", answer, err)
+	if resp, err := client.Call(address, messages.KindShuffle, nil, enough); err != nil || string(resp) != "answer" {
+		t.Fatalf("%q %v", resp, err)
 	}
-	if err = teller.Tell(nobody, messages.KindGossip, nil); !errs.Of(err, transport.Unreached) {
+	if err = teller.Notify(nobody, messages.KindGossip, nil); !errs.Is(err, transport.ErrUnreachable) {
 		t.Fatalf("told nobody: %v", err)
 	}
 }
@@ -52,12 +52,12 @@
 func TestToldContractWire(t *testing.T) {
 	toldContract(t, func() (transport.Transport, string) {
 		address := freeAddress(t)
-		return transport.NewWire(address), address
+		return transport.NewTCP(address), address
 	})
 }
 
 func TestToldContractMemory(t *testing.T) {
-	room, count := transport.NewRoom(), 0
+	room, count := transport.NewMemoryNetwork(), 0
 	toldContract(t, func() (transport.Transport, string) {
 		count++
 		address := fmt.Sprint("node", count)
@@ -70,14 +70,14 @@
 
 // Over a transport without one-way messages a word is a call like any other.
 func TestToldAsACall(t *testing.T) {
-	room := transport.NewRoom()
+	room := transport.NewMemoryNetwork()
 	server := room.Transport("a")
 	heard := newHeard()
 	_ = server.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
 		heard <- "called"
 		return []byte{}, nil
 	})
-	if err := transport.Tell(plain{room.Transport("b")}, "a", messages.KindGossip, &messages.Nothing{}); err != nil || len(heard) != 1 {
+	if err := transport.Notify(plain{room.Transport("b")}, "a", messages.KindGossip, &messages.Ack{}); err != nil || len(heard) != 1 {
 		t.Fatal(err, len(heard))
 	}
 }
--- a/internal/platform/transport/transport.go
+++ b/internal/platform/transport/transport.go
@@ -10,14 +10,14 @@
 
 // The errors of the transport.
 var (
-	// Unreached means that the call certainly did not arrive.
-	Unreached = errs.Define("peer unreached")
-	// Unanswered means that it may have arrived.
-	Unanswered = errs.Define("peer unanswered")
-	// Refused means that the peer does not know the call or could not read it.
-	Refused = errs.Define("peer refused")
-	// Damaged means bytes that are no frame.
-	Damaged = errs.Define("frame damaged")
+	// ErrUnreachable means that the call certainly did not arrive.
+	ErrUnreachable = errs.Define("peer unreached")
+	// ErrTimeout means that it may have arrived.
+	ErrTimeout = errs.Define("peer unanswered")
+	// ErrRejected means that the peer does not know the call or could not read it.
+	ErrRejected = errs.Define("peer refused")
+	// ErrMalformed means bytes that are no frame.
+	ErrMalformed = errs.Define("frame damaged")
 )
 
 // Handler answers a call; a nil answer with no error means an unknown kind.
@@ -26,49 +26,49 @@
 // Transport carries calls between processes.
 type Transport interface {
 	// Call sends a body and waits for the answer.
-	Call(address string, kind messages.Kind, body []byte, span clock.Span) ([]byte, error)
+	Call(address string, kind messages.Kind, body []byte, timeout clock.Duration) ([]byte, error)
 	// Serve hands calls that arrive at this process to the handler.
 	Serve(handler Handler) error
 	// Close ends it.
 	Close()
 }
 
-// Writable is a message that can be written.
-type Writable interface {
+// Marshaler is a message that can be written.
+type Marshaler interface {
 	MarshalMsg([]byte) ([]byte, error)
 }
 
-// Readable is a message that can be read.
-type Readable interface {
+// Unmarshaler is a message that can be read.
+type Unmarshaler interface {
 	UnmarshalMsg([]byte) ([]byte, error)
 }
 
-// Ask sends a message and reads the answer into another.
-func Ask(transport Transport, address string, kind messages.Kind, question Writable, answer Readable, span clock.Span) error {
-	body, err := question.MarshalMsg(nil)
+// Call sends a message and reads the answer into another.
+func Call(transport Transport, address string, kind messages.Kind, req Marshaler, resp Unmarshaler, timeout clock.Duration) error {
+	body, err := req.MarshalMsg(nil)
 	if err != nil {
-		return Damaged.Wrap(err, "question can't be written")
+		return ErrMalformed.Wrap(err, "question can't be written")
 	}
-	back, err := transport.Call(address, kind, body, span)
+	response, err := transport.Call(address, kind, body, timeout)
 	if err != nil {
 		return err
 	}
-	if _, err = answer.UnmarshalMsg(back); err != nil {
+	if _, err = resp.UnmarshalMsg(response); err != nil {
 		// Bytes after the message are allowed: later versions may add some.
-		return Damaged.Wrap(err, "answer can't be read")
+		return ErrMalformed.Wrap(err, "answer can't be read")
 	}
 	return nil
 }
 
-// Read turns the body of a call into a message.
-func Read(body []byte, message Readable) error {
+// Decode turns the body of a call into a message.
+func Decode(body []byte, message Unmarshaler) error {
 	if _, err := message.UnmarshalMsg(body); err != nil {
-		return Damaged.Wrap(err, "call can't be read")
+		return ErrMalformed.Wrap(err, "call can't be read")
 	}
 	return nil
 }
 
-// Write turns a message into the body of an answer.
-func Write(message Writable) ([]byte, error) {
+// Encode turns a message into the body of an answer.
+func Encode(message Marshaler) ([]byte, error) {
 	return message.MarshalMsg(nil)
 }
--- a/internal/platform/transport/transport_test.go
+++ b/internal/platform/transport/transport_test.go
@@ -23,8 +23,8 @@
 		release[0], release[1] = newGate(), newGate()
 		err := server.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
 			// The first question is answered last.
-			place := int(body[0])
-			if place == 0 {
+			i := int(body[0])
+			if i == 0 {
 				<-release[0]
 			}
 			return append([]byte("to "), body...), nil
@@ -38,14 +38,14 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			answer, err := client.Call(address, messages.KindShuffle, []byte{0}, enough)
-			if err != nil || string(answer) != "to \x00" {
-				t.Errorf("%q %v", answer, err)
+			resp, err := client.Call(address, messages.KindShuffle, []byte{0}, enough)
+			if err != nil || string(resp) != "to \x00" {
+				t.Errorf("%q %v", resp, err)
 			}
 		}()
-		answer, err := client.Call(address, messages.KindShuffle, []byte{1}, enough)
-		if err != nil || string(answer) != "to \x01" {
-			t.Errorf("%q %v", answer, err)
+		resp, err := client.Call(address, messages.KindShuffle, []byte{1}, enough)
+		if err != nil || string(resp) != "to \x01" {
+			t.Errorf("%q %v", resp, err)
 		}
 		close(release[0])
 		group.Wait()
@@ -61,17 +61,17 @@
 		})
 		client, _ := make()
 		defer client.Close()
-		if _, err := client.Call(address, messages.Kind(9999), nil, enough); !errs.Of(err, transport.Refused) {
+		if _, err := client.Call(address, messages.Kind(9999), nil, enough); !errs.Is(err, transport.ErrRejected) {
 			t.Fatalf("got %v", err)
 		}
-		if answer, err := client.Call(address, messages.KindShuffle, nil, enough); err != nil || string(answer) != "known" {
-			t.Fatalf("%q %v", answer, err)
+		if resp, err := client.Call(address, messages.KindShuffle, nil, enough); err != nil || string(resp) != "known" {
+			t.Fatalf("%q %v", resp, err)
 		}
 	})
 	t.Run("nobody there is told apart from no answer", func(t *testing.T) {
 		client, address := make()
 		defer client.Close()
-		if _, err := client.Call(address, messages.KindShuffle, nil, enough); !errs.Of(err, transport.Unreached) {
+		if _, err := client.Call(address, messages.KindShuffle, nil, enough); !errs.Is(err, transport.ErrUnreachable) {
 			t.Fatalf("got %v", err)
 		}
 		server, busy := make()
@@ -86,7 +86,7 @@
 		// caller remembers for a moment that nobody was.
 		caller, _ := make()
 		defer caller.Close()
-		if _, err := caller.Call(busy, messages.KindShuffle, nil, clock.Milliseconds(500)); !errs.Of(err, transport.Unanswered) {
+		if _, err := caller.Call(busy, messages.KindShuffle, nil, clock.Milliseconds(500)); !errs.Is(err, transport.ErrTimeout) {
 			t.Fatalf("got %v", err)
 		}
 	})
@@ -97,12 +97,12 @@
 func TestContractWire(t *testing.T) {
 	contract(t, func() (transport.Transport, string) {
 		address := freeAddress(t)
-		return transport.NewWire(address), address
+		return transport.NewTCP(address), address
 	})
 }
 
 func TestContractMemory(t *testing.T) {
-	room, count := transport.NewRoom(), 0
+	room, count := transport.NewMemoryNetwork(), 0
 	contract(t, func() (transport.Transport, string) {
 		count++
 		address := fmt.Sprint("node", count)
@@ -112,7 +112,7 @@
 
 func TestDamagedFrameClosesTheConnection(t *testing.T) {
 	address := freeAddress(t)
-	server := transport.NewWire(address)
+	server := transport.NewTCP(address)
 	defer server.Close()
 	_ = server.Serve(func(messages.Kind, []byte) ([]byte, error) { return []byte("yes"), nil })
 	connection, err := net.Dial("tcp4", address)
@@ -122,22 +122,22 @@
 	defer connection.Close()
 	_, _ = connection.Write([]byte("this is no frame of ours at all"))
 	_ = connection.SetReadDeadline(clock.Deadline(enough))
-	var one [1]byte
-	if _, err = connection.Read(one[:]); err == nil {
+	var found [1]byte
+	if _, err = connection.Read(found[:]); err == nil {
 		t.Fatal("a damaged frame was answered")
 	}
-	client := transport.NewWire("")
+	client := transport.NewTCP("")
 	defer client.Close()
-	if answer, err := client.Call(address, messages.KindShuffle, nil, enough); err != nil || string(answer) != "yes" {
-		t.Fatalf("%q %v", answer, err)
+	if resp, err := client.Call(address, messages.KindShuffle, nil, enough); err != nil || string(resp) != "yes" {
+		t.Fatalf("%q %v", resp, err)
 	}
 }
 
 func TestTrailingBytesAreAllowed(t *testing.T) {
-	told := &messages.HolderTold{Duty: messages.Duty{Holder: "a", Epoch: 3}}
-	body, _ := told.MarshalMsg(nil)
-	back := &messages.HolderTold{}
-	if err := transport.Read(append(body, 1, 2, 3), back); err != nil || back.Duty.Epoch != 3 {
-		t.Fatal(back, err)
+	announcement := &messages.LeaderAnnouncement{Leadership: messages.Leadership{Holder: "a", Epoch: 3}}
+	body, _ := announcement.MarshalMsg(nil)
+	resp := &messages.LeaderAnnouncement{}
+	if err := transport.Decode(append(body, 1, 2, 3), resp); err != nil || resp.Leadership.Epoch != 3 {
+		t.Fatal(resp, err)
 	}
 }
--- a/internal/platform/transport/wire.go
+++ b/internal/platform/transport/wire.go
@@ -17,8 +17,8 @@
 const userTimeout = 0x12
 
 // Dial opens a connection whose silence under unacknowledged bytes is bounded.
-func Dial(address string, span, silence clock.Span) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: span, KeepAlive: -1}
+func Dial(address string, timeout, silence clock.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1}
 	dialer.Control = func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(descriptor uintptr) {
 			// Behind a cut nothing comes back: the kernel gives up for us.
@@ -29,11 +29,11 @@
 }
 
 func dialPeer(address string) (net.Conn, error) {
-	return Dial(address, constants.DialTime, constants.SilentConnection)
+	return Dial(address, constants.DialTimeout, constants.ConnectionTimeout)
 }
 
-// Wire is the transport over TCP.
-type Wire struct {
+// TCP is the transport over TCP.
+type TCP struct {
 	own      string
 	meter    *Meter
 	lock     sync.Mutex
@@ -48,28 +48,28 @@
 	dial func(address string) (net.Conn, error)
 }
 
-// NewWire makes a transport that listens on its own address when it serves.
-func NewWire(own string) *Wire {
-	wire := &Wire{own: own, meter: NewMeter(), peers: map[string]*peer{}, accepted: map[net.Conn]struct{}{}, dial: dialPeer}
+// NewTCP makes a transport that listens on its own address when it serves.
+func NewTCP(own string) *TCP {
+	wire := &TCP{own: own, meter: NewMeter(), peers: map[string]*peer{}, accepted: map[net.Conn]struct{}{}, dial: dialPeer}
 	// The upper half names this life: no number of an earlier one comes again.
-	wire.number.Store(uint64(rand.Uint32()) << lifeShift)
+	wire.number.Store(uint64(rand.Uint32()) << incarnationShift)
 	return wire
 }
 
-// lifeShift leaves the lower half of a call's number for counting.
-const lifeShift = 32
+// incarnationShift leaves the lower half of a call's number for counting.
+const incarnationShift = 32
 
 // Meter counts what this process says and hears.
-func (w *Wire) Meter() *Meter { return w.meter }
+func (w *TCP) Meter() *Meter { return w.meter }
 
 // Unknown counts frames of unknown kinds that were skipped.
-func (w *Wire) Unknown() int64 { return w.unknown.Load() }
+func (w *TCP) Unknown() int64 { return w.unknown.Load() }
 
 // Serve listens and hands calls to the handler.
-func (w *Wire) Serve(handler Handler) error {
+func (w *TCP) Serve(handler Handler) error {
 	listener, err := net.Listen("tcp4", w.own)
 	if err != nil {
-		return Unreached.Wrap(err, "can't listen on "+w.own)
+		return ErrUnreachable.Wrap(err, "can't listen on "+w.own)
 	}
 	w.lock.Lock()
 	w.listener = listener
@@ -88,21 +88,21 @@
 				clock.Sleep(constants.BackoffBase)
 				continue
 			}
-			go w.serveOne(connection, handler)
+			go w.serveConnection(connection, handler)
 		}
 	}()
 	return nil
 }
 
 // Address is where the wire listens, once it serves.
-func (w *Wire) Address() string {
+func (w *TCP) Address() string {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	return w.listener.Addr().String()
 }
 
 // admit notes a caller's connection; false once this life is over.
-func (w *Wire) admit(connection net.Conn) bool {
+func (w *TCP) admit(connection net.Conn) bool {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	if w.closed {
@@ -112,14 +112,14 @@
 	return true
 }
 
-func (w *Wire) release(connection net.Conn) {
+func (w *TCP) release(connection net.Conn) {
 	connection.Close()
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	delete(w.accepted, connection)
 }
 
-func (w *Wire) serveOne(connection net.Conn, handler Handler) {
+func (w *TCP) serveConnection(connection net.Conn, handler Handler) {
 	defer w.release(connection)
 	if !w.admit(connection) {
 		return
@@ -129,40 +129,40 @@
 	var writing sync.Mutex
 	last := uint64(0)
 	for {
-		one, err := readFrame(reader)
+		f, err := readFrame(reader)
 		if err != nil {
 			return
 		}
-		if one.version >= orderedVersion && one.number <= last {
+		if f.version >= orderedFrameVersion && f.number <= last {
 			// A frame that came twice: its first copy was worked on.
 			continue
 		}
-		last = one.number
-		w.meter.received(one.kind, caller, len(one.body))
-		if one.sort == sortTell {
+		last = f.number
+		w.meter.received(f.kind, caller, len(f.body))
+		if f.frameType == frameNotification {
 			go func() {
-				if body, err := handler(one.kind, one.body); err != nil || body == nil {
+				if body, err := handler(f.kind, f.body); err != nil || body == nil {
 					w.unknown.Add(1)
 				}
 			}()
 			continue
 		}
-		if one.sort != sortCall {
+		if f.frameType != frameRequest {
 			w.unknown.Add(1)
 			continue
 		}
 		go func() {
-			body, err := handler(one.kind, one.body)
-			answer := frame{sort: sortAnswer, kind: one.kind, number: one.number, body: body}
+			body, err := handler(f.kind, f.body)
+			resp := frame{frameType: frameResponse, kind: f.kind, number: f.number, body: body}
 			if err != nil || body == nil {
 				w.unknown.Add(1)
-				answer.sort, answer.body = sortUnknown, nil
+				resp.frameType, resp.body = frameRejected, nil
 			}
-			w.meter.sent(one.kind, caller, len(answer.body))
+			w.meter.sent(f.kind, caller, len(resp.body))
 			writing.Lock()
 			defer writing.Unlock()
-			_ = connection.SetWriteDeadline(clock.Deadline(constants.BulkCallTime))
-			if _, err := connection.Write(appendFrame(nil, answer)); err != nil {
+			_ = connection.SetWriteDeadline(clock.Deadline(constants.BulkCallTimeout))
+			if _, err := connection.Write(appendFrame(nil, resp)); err != nil {
 				connection.Close()
 			}
 		}()
@@ -170,23 +170,23 @@
 }
 
 // Call sends one call and waits.
-func (w *Wire) Call(address string, kind messages.Kind, body []byte, span clock.Span) ([]byte, error) {
-	return w.peer(address).call(frame{sort: sortCall, kind: kind, body: body}, span)
+func (w *TCP) Call(address string, kind messages.Kind, body []byte, timeout clock.Duration) ([]byte, error) {
+	return w.peer(address).call(frame{frameType: frameRequest, kind: kind, body: body}, timeout)
 }
 
-func (w *Wire) peer(address string) *peer {
+func (w *TCP) peer(address string) *peer {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	one := w.peers[address]
-	if one == nil {
-		one = &peer{address: address, wire: w}
-		w.peers[address] = one
+	p := w.peers[address]
+	if p == nil {
+		p = &peer{address: address, transport: w}
+		w.peers[address] = p
 	}
-	return one
+	return p
 }
 
 // Close ends the listener and all connections.
-func (w *Wire) Close() {
+func (w *TCP) Close() {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.closed = true
@@ -196,7 +196,7 @@
 	for connection := range w.accepted {
 		connection.Close()
 	}
-	for _, one := range w.peers {
-		one.drop()
+	for _, peer := range w.peers {
+		peer.close()
 	}
 }
--- a/internal/tooling/explore/faults.go
+++ b/internal/tooling/explore/faults.go
@@ -8,7 +8,7 @@
 // bearsLoss tells whether all members of the newest sets chosen have their disks: the
 // loss of one more is within the budget.
 func (f *fleet) bearsLoss() bool {
-	sets := &messages.Register{Acceptors: f.processes[0].first}
+	sets := &messages.RegisterValue{Acceptors: f.processes[0].first}
 	for index := range f.votes {
 		if f.votes[index].chosen {
 			sets = f.table.at(f.votes[index].value)
@@ -61,7 +61,7 @@
 		at.proposer = &run
 	}
 	if at.value == none {
-		at.known = f.table.id(&messages.Register{Acceptors: at.first})
+		at.known = f.table.id(&messages.RegisterValue{Acceptors: at.first})
 		return
 	}
 	sets := setsOnly(f.table.at(at.value))
--- a/internal/tooling/explore/fleet.go
+++ b/internal/tooling/explore/fleet.go
@@ -73,8 +73,8 @@
 // answer is one message that came back to a proposer.
 type answer struct {
 	member   messages.Member
-	promise  *messages.Promise
-	accepted *messages.Accepted
+	promise  *messages.PrepareResponse
+	accepted *messages.AcceptResponse
 	// key names it within the attempt.
 	key string
 }
@@ -117,7 +117,7 @@
 	for _, name := range plan.Members {
 		first = append(first, messages.Member{Name: name, Address: name, Disk: "1"})
 	}
-	initial := one.table.id(&messages.Register{Acceptors: first})
+	initial := one.table.id(&messages.RegisterValue{Acceptors: first})
 	for _, name := range plan.Members {
 		one.processes = append(one.processes, process{name: name, disk: "1", first: first, value: none, known: initial})
 	}
@@ -176,7 +176,7 @@
 }
 
 // learn takes the sets of a value that a process has met.
-func (f *fleet) learn(place int, value *messages.Register) {
+func (f *fleet) learn(place int, value *messages.RegisterValue) {
 	known := f.table.at(f.processes[place].known)
 	if len(value.Acceptors) > 0 && (value.SetEpoch >= known.SetEpoch || len(known.Acceptors) == 0) {
 		sets := setsOnly(value)
--- a/internal/tooling/explore/invariants.go
+++ b/internal/tooling/explore/invariants.go
@@ -69,7 +69,7 @@
 }
 
 // told notes what a writer's operator is told.
-func (f *fleet) told(run *proposer, value *messages.Register, result register.Result) {
+func (f *fleet) told(run *proposer, value *messages.RegisterValue, result register.Result) {
 	if run.version.Generation == 0 {
 		return
 	}
@@ -139,7 +139,7 @@
 // missable tells whether a proposal to the sets of a value could miss what was chosen:
 // whether acceptors that hold neither the chosen value nor a later one, and know of no
 // newer sets, make a quorum.
-func (f *fleet) missable(cast *vote, sets *messages.Register) bool {
+func (f *fleet) missable(cast *vote, sets *messages.RegisterValue) bool {
 	ignorant := map[string]bool{}
 	for place := range f.processes {
 		at := &f.processes[place]
--- a/internal/tooling/explore/leaseworld_test.go
+++ b/internal/tooling/explore/leaseworld_test.go
@@ -22,11 +22,11 @@
 // leaseNode is an acceptor and a candidate on one machine, with a clock of their own.
 type leaseNode struct {
 	rate  float64
-	begun clock.Moment
+	begun clock.Instant
 	// grants and view are the acceptor: its side of the lease, and the duty as its
 	// register value names it.
 	grants *lease.Grants
-	view   messages.Duty
+	view   messages.Leadership
 	// hold, term and read are the candidate: term is its duty while it holds one, and
 	// read the newest duty that it knows.
 	name string
@@ -35,15 +35,15 @@
 	// current is the one round that it waits for.
 	current *round
 	hold    lease.Hold
-	term    messages.Duty
-	read    messages.Duty
+	term    messages.Leadership
+	read    messages.Leadership
 }
 
 // round is one question to all acceptors.
 type round struct {
 	from     int
-	question messages.HoldAsk
-	asked    clock.Moment
+	question messages.LeaseRequest
+	asked    clock.Instant
 	renews   bool
 	granted  map[int]bool
 	latest   uint64
@@ -51,9 +51,9 @@
 
 // leaseWorld plays candidates that seek, renew and release one duty, as stores do.
 type leaseWorld struct {
-	now      clock.Moment
+	now      clock.Instant
 	nodes    [leaseNodes]leaseNode
-	duty     messages.Duty
+	duty     messages.Leadership
 	inFlight []func(rt *rapid.T)
 	names    []string
 	takeover int
@@ -69,9 +69,9 @@
 }
 
 // clock is the steady clock of a machine's process.
-func (l *leaseWorld) clock(place int) clock.Moment {
+func (l *leaseWorld) clock(place int) clock.Instant {
 	node := &l.nodes[place]
-	return clock.Moment(float64(l.now-node.begun) * node.rate)
+	return clock.Instant(float64(l.now-node.begun) * node.rate)
 }
 
 func (l *leaseWorld) send(name string, function func(rt *rapid.T)) {
@@ -81,7 +81,7 @@
 func drawNode(rt *rapid.T) int { return rapid.IntRange(0, leaseNodes-1).Draw(rt, "node") }
 
 func (l *leaseWorld) advance(rt *rapid.T) {
-	l.now = l.now.Plus(clock.Milliseconds(float64(rapid.IntRange(1, 500).Draw(rt, "ms"))))
+	l.now = l.now.Add(clock.Milliseconds(float64(rapid.IntRange(1, 500).Draw(rt, "ms"))))
 }
 
 // ask opens a round of the candidate: it renews what it holds, or seeks the duty.
@@ -89,9 +89,9 @@
 	place := drawNode(rt)
 	node := &l.nodes[place]
 	if node.term.Epoch > 0 && !node.hold.Stands(l.clock(place)) {
-		node.term = messages.Duty{}
+		node.term = messages.Leadership{}
 	}
-	question := messages.HoldAsk{Candidate: node.name, Life: node.life, Epoch: node.read.Epoch}
+	question := messages.LeaseRequest{Candidate: node.name, Incarnation: node.life, Epoch: node.read.Epoch}
 	if node.term.Epoch > 0 {
 		question.Epoch = node.term.Epoch
 	}
@@ -102,7 +102,7 @@
 func (l *leaseWorld) post(current *round) {
 	node := &l.nodes[current.from]
 	node.turn++
-	current.question.Turn = node.turn
+	current.question.Sequence = node.turn
 	node.current = current
 	for target := range l.nodes {
 		l.send(fmt.Sprintf("%v to n%d", current.question, target), func(*rapid.T) {
@@ -115,7 +115,7 @@
 	}
 }
 
-func (l *leaseWorld) hear(rt *rapid.T, current *round, from int, answer messages.HoldAnswer) {
+func (l *leaseWorld) hear(rt *rapid.T, current *round, from int, answer messages.LeaseResponse) {
 	node := &l.nodes[current.from]
 	if node.current != current || current.question.Release {
 		return
@@ -146,7 +146,7 @@
 
 // take raises the epoch in the register: a majority of the acceptors knows it.
 func (l *leaseWorld) take(rt *rapid.T, node *leaseNode, current *round) {
-	l.duty = messages.Duty{Holder: node.name, Life: node.life, Epoch: l.duty.Epoch + 1}
+	l.duty = messages.Leadership{Holder: node.name, Incarnation: node.life, Epoch: l.duty.Epoch + 1}
 	without := rapid.IntRange(0, leaseNodes).Draw(rt, "not told")
 	for place := range l.nodes {
 		if place != without {
@@ -161,8 +161,8 @@
 // release gives back what was granted.
 func (l *leaseWorld) release(node *leaseNode, place int) {
 	node.hold.Drop()
-	node.term = messages.Duty{}
-	l.post(&round{from: place, question: messages.HoldAsk{Candidate: node.name, Life: node.life, Epoch: node.read.Epoch, Release: true}})
+	node.term = messages.Leadership{}
+	l.post(&round{from: place, question: messages.LeaseRequest{Candidate: node.name, Incarnation: node.life, Epoch: node.read.Epoch, Release: true}})
 }
 
 // give up: a candidate that was not granted the duty in time, or leaves, releases it.
@@ -213,7 +213,7 @@
 	node := &l.nodes[drawNode(rt)]
 	node.begun, node.life, node.turn = l.now, node.life+1, 0
 	node.grants, node.hold, node.current = lease.NewGrants(0, false), lease.Hold{}, nil
-	node.term, node.read = messages.Duty{}, messages.Duty{}
+	node.term, node.read = messages.Leadership{}, messages.Leadership{}
 }
 
 func (l *leaseWorld) check(rt *rapid.T) {
--- a/internal/tooling/explore/steps.go
+++ b/internal/tooling/explore/steps.go
@@ -47,7 +47,7 @@
 
 // change gives what a proposer proposes next, or nil; result is what a writer's
 // change came to.
-func (f *fleet) change(place int, known *messages.Register, result *register.Result) register.Change {
+func (f *fleet) change(place int, known *messages.RegisterValue, result *register.Result) register.Change {
 	at := &f.processes[place]
 	if at.proposer.version.Generation > 0 {
 		return register.Replace(at.proposer.version, []byte(at.proposer.version.Hash), result)
@@ -58,7 +58,7 @@
 	if change == nil || !f.plan.SettleAtOnce {
 		return change
 	}
-	return func(current messages.Register) (messages.Register, register.Verdict) {
+	return func(current messages.RegisterValue) (messages.RegisterValue, register.Verdict) {
 		next, verdict := change(current)
 		next.Previous = nil
 		return next, verdict
@@ -160,7 +160,7 @@
 	message := f.requests[index]
 	target := f.at(message.member.Name)
 	acceptor := f.acceptor(target)
-	promise, _ := acceptor.Prepare(&messages.Prepare{Ballot: message.ballot, Disk: f.asked(&message)})
+	promise, _ := acceptor.Prepare(&messages.PrepareRequest{Ballot: message.ballot, Disk: f.asked(&message)})
 	known := f.table.at(f.processes[message.from].proposer.known)
 	if !promise.Granted && promise.Value.SetEpoch <= known.SetEpoch {
 		return steps
@@ -182,7 +182,7 @@
 	message := f.requests[index]
 	target, value := f.at(message.member.Name), f.table.at(message.value)
 	acceptor := f.acceptor(target)
-	accepted, _ := acceptor.Accept(&messages.Accept{Ballot: message.ballot, Disk: f.asked(&message), Value: *value})
+	accepted, _ := acceptor.Accept(&messages.AcceptRequest{Ballot: message.ballot, Disk: f.asked(&message), Value: *value})
 	if !accepted.Granted {
 		return steps
 	}
@@ -194,7 +194,7 @@
 	if run := f.processes[message.from].proposer; voters != nil && run.ballot == message.ballot && !run.settled {
 		heard := next.clone()
 		for _, voter := range voters {
-			heard.hear(message.from, answer{member: voter, accepted: &messages.Accepted{Granted: true, Promised: message.ballot}})
+			heard.hear(message.from, answer{member: voter, accepted: &messages.AcceptResponse{Granted: true, Promised: message.ballot}})
 		}
 		heard.tidy()
 		steps = append(steps, Step{Name: name + ", and told", To: heard, Message: true})
--- a/internal/tooling/explore/values.go
+++ b/internal/tooling/explore/values.go
@@ -14,13 +14,13 @@
 // states hold small numbers. Values in it are never changed.
 type values struct {
 	lock  sync.RWMutex
-	list  []messages.Register
+	list  []messages.RegisterValue
 	index map[string]valueID
 }
 
 func newValues() *values { return &values{index: map[string]valueID{}} }
 
-func (v *values) id(value *messages.Register) valueID {
+func (v *values) id(value *messages.RegisterValue) valueID {
 	text, err := value.MarshalMsg(nil)
 	if err != nil {
 		panic(err)
@@ -36,7 +36,7 @@
 	return id
 }
 
-func (v *values) at(id valueID) *messages.Register {
+func (v *values) at(id valueID) *messages.RegisterValue {
 	v.lock.RLock()
 	defer v.lock.RUnlock()
 	return &v.list[id]
@@ -44,12 +44,12 @@
 
 // setsOnly gives a value that has nothing but another's sets: all that a proposer
 // uses of the newest value it knows.
-func setsOnly(value *messages.Register) messages.Register {
-	return messages.Register{Acceptors: value.Acceptors, Previous: value.Previous, SetEpoch: value.SetEpoch}
+func setsOnly(value *messages.RegisterValue) messages.RegisterValue {
+	return messages.RegisterValue{Acceptors: value.Acceptors, Previous: value.Previous, SetEpoch: value.SetEpoch}
 }
 
 // versions gives the versions taken in a value, oldest first.
-func versions(value *messages.Register) []messages.Version {
+func versions(value *messages.RegisterValue) []messages.Version {
 	if value.Current.Generation == 0 {
 		return nil
 	}
@@ -58,7 +58,7 @@
 
 // follows tells whether a value was built on another one: it holds all its versions
 // in the same order, and sets that are the same or newer.
-func follows(later, earlier *messages.Register) bool {
+func follows(later, earlier *messages.RegisterValue) bool {
 	taken, before := versions(later), versions(earlier)
 	if len(taken) < len(before) || later.SetEpoch < earlier.SetEpoch {
 		return false
@@ -71,7 +71,7 @@
 	return later.SetEpoch > earlier.SetEpoch || sameSets(later, earlier)
 }
 
-func sameSets(left, right *messages.Register) bool {
+func sameSets(left, right *messages.RegisterValue) bool {
 	return sameMembers(left.Acceptors, right.Acceptors) && sameMembers(left.Previous, right.Previous)
 }
 
--- a/internal/tooling/fleetshell/controllers.go
+++ b/internal/tooling/fleetshell/controllers.go
@@ -10,10 +10,10 @@
 
 // Controllers gives the addresses of the control processes that the seed knows.
 func (s *Shell) Controllers() ([]string, error) {
-	seen := &messages.Status{}
-	err := transport.Ask(s.Transport, s.Seed, messages.KindStatus, &messages.StatusAsk{Query: "nodes"}, seen, s.Limit)
+	seen := &messages.StatusResponse{}
+	err := transport.Call(s.Transport, s.Seed, messages.KindStatus, &messages.StatusRequest{Query: "nodes"}, seen, s.Limit)
 	if err != nil {
-		return nil, NoFleet.Wrap(err, "seed "+s.Seed+" does not answer (its internal address is needed)")
+		return nil, ErrNoFleet.Wrap(err, "seed "+s.Seed+" does not answer (its internal address is needed)")
 	}
 	var addresses []string
 	for _, row := range seen.Rows {
@@ -22,7 +22,7 @@
 		}
 	}
 	if len(addresses) == 0 {
-		return nil, NoFleet.New("seed " + s.Seed + " knows no controller")
+		return nil, ErrNoFleet.New("seed " + s.Seed + " knows no controller")
 	}
 	return addresses, nil
 }
--- a/internal/tooling/fleetshell/fleet.go
+++ b/internal/tooling/fleetshell/fleet.go
@@ -15,7 +15,7 @@
 	key, role, zone, address string
 }
 
-func processesOf(status *messages.Status) (found []process) {
+func processesOf(status *messages.StatusResponse) (found []process) {
 	for _, row := range status.Rows {
 		if role, _, named := strings.Cut(row[0], "/"); named && len(row) > 2 {
 			found = append(found, process{row[0], role, row[1], row[2]})
@@ -27,20 +27,20 @@
 // fleet gives every process: most know a part of the fleet only, controllers know all. One
 // is asked for the zones, and then for the processes of each zone, since an answer is
 // bounded. What the seed knows is used where no controller answers.
-func (s *Shell) fleet(seen *messages.Status) []process {
+func (s *Shell) fleet(seen *messages.StatusResponse) []process {
 	found := map[string]process{}
 	for _, one := range processesOf(seen) {
 		found[one.key] = one
 	}
 	for _, one := range processesOf(seen) {
-		zones := &messages.Status{}
-		if one.role != membership.RoleController || s.put(one.address, &messages.StatusAsk{Query: "zones"}, zones) != nil {
+		zones := &messages.StatusResponse{}
+		if one.role != membership.RoleController || s.put(one.address, &messages.StatusRequest{Query: "zones"}, zones) != nil {
 			continue
 		}
 		whole := true
 		for _, row := range zones.Rows {
-			part := &messages.Status{}
-			if s.put(one.address, &messages.StatusAsk{Query: "nodes", Zone: row[0]}, part) != nil {
+			part := &messages.StatusResponse{}
+			if s.put(one.address, &messages.StatusRequest{Query: "nodes", Zone: row[0]}, part) != nil {
 				whole = false
 				break
 			}
@@ -60,8 +60,8 @@
 	return all
 }
 
-func (s *Shell) put(address string, question *messages.StatusAsk, answer *messages.Status) error {
-	return transport.Ask(s.Transport, address, messages.KindStatus, question, answer, s.Limit)
+func (s *Shell) put(address string, question *messages.StatusRequest, answer *messages.StatusResponse) error {
+	return transport.Call(s.Transport, address, messages.KindStatus, question, answer, s.Limit)
 }
 
 // askZones puts a query to the processes of the roles, one zone after the other, so
@@ -90,7 +90,7 @@
 			go func() {
 				defer group.Done()
 				one := &answers[place]
-				one.Silent = s.put(addresses[place], &messages.StatusAsk{Query: query}, &one.Status) != nil
+				one.Silent = s.put(addresses[place], &messages.StatusRequest{Query: query}, &one.Status) != nil
 			}()
 		}
 		group.Wait()
--- a/internal/tooling/fleetshell/fleet_test.go
+++ b/internal/tooling/fleetshell/fleet_test.go
@@ -12,7 +12,7 @@
 // A seed that knows few leads to a controller, which names all, zone by zone; a controller
 // that is silent is passed over.
 func TestAllAreAskedThroughAController(t *testing.T) {
-	room := transport.NewRoom()
+	room := transport.NewMemoryNetwork()
 	columns := []string{"process", "zone", "address"}
 	row := func(key, zone string) []string { return []string{key, zone, key + ":1"} }
 	zones := map[string][][]string{"a": {row("foreman/y", "a"), row("foreman/x", "a")}, "b": {}}
@@ -22,19 +22,19 @@
 	}
 	serve := func(name string) {
 		_ = room.Transport(name + ":1").Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
-			question, answer := &messages.StatusAsk{}, &messages.Status{Columns: []string{"what"}, Rows: [][]string{{"own"}}}
-			if err := transport.Read(body, question); err != nil {
+			question, answer := &messages.StatusRequest{}, &messages.StatusResponse{Columns: []string{"what"}, Rows: [][]string{{"own"}}}
+			if err := transport.Decode(body, question); err != nil {
 				return nil, err
 			}
 			switch {
 			case question.Query == "zones":
-				answer = &messages.Status{Columns: []string{"zone", "processes"}, Rows: [][]string{{"a", "77"}, {"b", "75"}}}
+				answer = &messages.StatusResponse{Columns: []string{"zone", "processes"}, Rows: [][]string{{"a", "77"}, {"b", "75"}}}
 			case question.Query == "nodes" && question.Zone != "":
-				answer = &messages.Status{Columns: columns, Rows: zones[question.Zone]}
+				answer = &messages.StatusResponse{Columns: columns, Rows: zones[question.Zone]}
 			case question.Query == "nodes":
-				answer = &messages.Status{Columns: columns, Rows: [][]string{row("foreman/x", "a"), row("foreman/y", "a"), row("forge/n0", "a")}}
+				answer = &messages.StatusResponse{Columns: columns, Rows: [][]string{row("foreman/x", "a"), row("foreman/y", "a"), row("forge/n0", "a")}}
 			}
-			return transport.Write(answer)
+			return transport.Encode(answer)
 		})
 	}
 	for _, list := range zones {
@@ -42,7 +42,7 @@
 			serve(one[0])
 		}
 	}
-	room.Cut("foreman/x:1", true)
+	room.SetPartitioned("foreman/x:1", true)
 	shell, _ := New(room.Transport("shell"), "forge/n0:1", clock.Milliseconds(500))
 	answers, err := shell.Ask("config")
 	silent := 0
--- a/internal/tooling/fleetshell/fleetshell.go
+++ b/internal/tooling/fleetshell/fleetshell.go
@@ -16,10 +16,10 @@
 
 // The errors of the shell.
 var (
-	// BadCall means that the question itself is wrong.
-	BadCall = errs.Define("bad call")
-	// NoFleet means that the seed does not answer.
-	NoFleet = errs.Define("no fleet")
+	// ErrInvalidCall means that the question itself is wrong.
+	ErrInvalidCall = errs.Define("bad call")
+	// ErrNoFleet means that the seed does not answer.
+	ErrNoFleet = errs.Define("no fleet")
 )
 
 // Queries names each query with the roles that answer it and what it shows.
@@ -55,21 +55,21 @@
 type Answer struct {
 	Process string
 	Silent  bool
-	Status  messages.Status
+	Status  messages.StatusResponse
 }
 
 // Shell asks over a transport.
 type Shell struct {
 	Transport transport.Transport
 	Seed      string
-	Limit     clock.Span
+	Limit     clock.Duration
 }
 
 // New checks the address of the seed.
-func New(carrier transport.Transport, seed string, limit clock.Span) (*Shell, error) {
+func New(carrier transport.Transport, seed string, limit clock.Duration) (*Shell, error) {
 	host, port, err := net.SplitHostPort(seed)
 	if err != nil || host == "" || port == "" {
-		return nil, BadCall.New("seed " + seed + " is no address of the form host:port")
+		return nil, ErrInvalidCall.New("seed " + seed + " is no address of the form host:port")
 	}
 	return &Shell{Transport: carrier, Seed: seed, Limit: limit}, nil
 }
@@ -78,12 +78,12 @@
 func (s *Shell) Ask(query string) ([]Answer, error) {
 	known, found := Queries[query]
 	if !found {
-		return nil, BadCall.New("unknown query " + query + "; there are: " + strings.Join(QueryNames(), ", "))
+		return nil, ErrInvalidCall.New("unknown query " + query + "; there are: " + strings.Join(QueryNames(), ", "))
 	}
-	seen := &messages.Status{}
-	err := transport.Ask(s.Transport, s.Seed, messages.KindStatus, &messages.StatusAsk{Query: "nodes"}, seen, s.Limit)
+	seen := &messages.StatusResponse{}
+	err := transport.Call(s.Transport, s.Seed, messages.KindStatus, &messages.StatusRequest{Query: "nodes"}, seen, s.Limit)
 	if err != nil {
-		return nil, NoFleet.Wrap(err, "seed "+s.Seed+" does not answer (its internal address is needed)")
+		return nil, ErrNoFleet.Wrap(err, "seed "+s.Seed+" does not answer (its internal address is needed)")
 	}
 	if len(known.Roles) == 0 {
 		return named([]Answer{{Process: "seed", Status: *seen}}), nil
--- a/internal/tooling/fleetshell/fleetshell_test.go
+++ b/internal/tooling/fleetshell/fleetshell_test.go
@@ -11,22 +11,22 @@
 	"lemonarch/internal/platform/transport"
 )
 
-func fleet(t *testing.T) (*transport.Room, transport.Transport) {
-	room := transport.NewRoom()
+func fleet(t *testing.T) (*transport.MemoryNetwork, transport.Transport) {
+	room := transport.NewMemoryNetwork()
 	for _, name := range []string{"forge/a", "forge/b", "locker/c"} {
 		_ = room.Transport(name + ":1").Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
-			question := &messages.StatusAsk{}
-			if kind != messages.KindStatus || transport.Read(body, question) != nil {
+			question := &messages.StatusRequest{}
+			if kind != messages.KindStatus || transport.Decode(body, question) != nil {
 				return nil, nil
 			}
-			answer := &messages.Status{Columns: []string{"what"}, Rows: [][]string{{question.Query + " of " + name}}}
+			answer := &messages.StatusResponse{Columns: []string{"what"}, Rows: [][]string{{question.Query + " of " + name}}}
 			if question.Query == "nodes" {
-				answer = &messages.Status{Columns: []string{"process", "zone", "address"}}
+				answer = &messages.StatusResponse{Columns: []string{"process", "zone", "address"}}
 				for _, other := range []string{"forge/a", "forge/b", "locker/c"} {
 					answer.Rows = append(answer.Rows, []string{other, "h", other + ":1"})
 				}
 			}
-			return transport.Write(answer)
+			return transport.Encode(answer)
 		})
 	}
 	return room, room.Transport("shell")
@@ -34,7 +34,7 @@
 
 func TestSilenceIsShown(t *testing.T) {
 	room, transport := fleet(t)
-	room.Cut("forge/b:1", true)
+	room.SetPartitioned("forge/b:1", true)
 	shell, err := New(transport, "forge/a:1", clock.Milliseconds(200))
 	if err != nil {
 		t.Fatal(err)
@@ -61,15 +61,15 @@
 
 func TestBadCalls(t *testing.T) {
 	_, transport := fleet(t)
-	if _, err := New(transport, "nowhere", 1); !errs.Of(err, BadCall) {
+	if _, err := New(transport, "nowhere", 1); !errs.Is(err, ErrInvalidCall) {
 		t.Fatal(err)
 	}
 	shell, _ := New(transport, "forge/a:1", clock.Milliseconds(200))
-	if _, err := shell.Ask("weather"); !errs.Of(err, BadCall) {
+	if _, err := shell.Ask("weather"); !errs.Is(err, ErrInvalidCall) {
 		t.Fatal(err)
 	}
 	lost, _ := New(transport, "forge/z:1", clock.Milliseconds(200))
-	if _, err := lost.Ask("nodes"); !errs.Of(err, NoFleet) {
+	if _, err := lost.Ask("nodes"); !errs.Is(err, ErrNoFleet) {
 		t.Fatal(err)
 	}
 }
--- a/internal/tooling/hollowfleet/ages.go
+++ b/internal/tooling/hollowfleet/ages.go
@@ -19,7 +19,7 @@
 	ageBin  = 20 * 1_000_000
 )
 
-func (a *ages) add(age clock.Span, known bool) {
+func (a *ages) add(age clock.Duration, known bool) {
 	a.sum++
 	if !known {
 		a.never++
@@ -56,7 +56,7 @@
 			found.P95Ms = at
 		}
 		count += many
-		if clock.Span(bin)*ageBin >= constants.GossipStale {
+		if clock.Duration(bin)*ageBin >= constants.GossipStale {
 			stale += many
 		}
 	}
--- a/internal/tooling/hollowfleet/backlog.go
+++ b/internal/tooling/hollowfleet/backlog.go
@@ -9,7 +9,7 @@
 )
 
 // addToBacklog notes processes that have not confirmed an update.
-func (r *registrations) addToBacklog(node *Node, update *messages.Relay, entries []messages.Entry, pause clock.Span) {
+func (r *registrations) addToBacklog(node *Node, update *messages.RelayRequest, entries []messages.NodeInfo, pause clock.Duration) {
 	own := r.table(node)
 	var ids []string
 	for _, worker := range update.Workers {
@@ -49,8 +49,8 @@
 		name()
 		return
 	}
-	push := &messages.RosterPush{From: membership.Key(node.own), Workers: updates}
-	node.ask(CoreBacklog, delivery.Entry.Address, messages.KindRosterPush, push, &messages.Nothing{}, constants.CallTime, func(reached bool) {
+	push := &messages.WorkersUpdate{From: membership.Key(node.own), Workers: updates}
+	node.ask(CoreBacklog, delivery.Entry.Address, messages.KindWorkersUpdate, push, &messages.Ack{}, constants.CallTimeout, func(reached bool) {
 		if reached {
 			name()
 		}
@@ -63,10 +63,10 @@
 		own.backlog.Confirmed(delivery)
 		return
 	}
-	taken := &messages.Nothing{}
+	taken := &messages.Ack{}
 	push := &messages.ConfigPush{Generation: delivery.Generation}
-	node.ask(CoreBacklog, delivery.Entry.Address, messages.KindConfigPush, push, taken, constants.CallTime, func(reached bool) {
-		if reached && taken.Taken {
+	node.ask(CoreBacklog, delivery.Entry.Address, messages.KindConfigPush, push, taken, constants.CallTimeout, func(reached bool) {
+		if reached && taken.Accepted {
 			own.backlog.Confirmed(delivery)
 		}
 	})
--- a/internal/tooling/hollowfleet/beats.go
+++ b/internal/tooling/hollowfleet/beats.go
@@ -14,18 +14,18 @@
 			r.call(number, func() {})
 			r.fleet.world.After(period, beat)
 		}
-		r.fleet.world.After(clock.Span(r.random.Int63n(int64(period))), beat)
+		r.fleet.world.After(clock.Duration(r.random.Int63n(int64(period))), beat)
 	}
 }
 
 // call is one heartbeat of a worker.
 func (r *registrations) call(number int, done func()) {
 	worker := &r.all[number]
-	if worker.Phase == messages.PhaseGone {
+	if worker.Phase == messages.PhaseDeparted {
 		return
 	}
 	if node := r.controller(number); node != nil {
-		worker.Count++
+		worker.CallCount++
 		r.note(node, *worker, done)
 	}
 }
@@ -47,11 +47,11 @@
 		// Who never heard of the worker sends it nothing either.
 		return !node.places() || !found || known.Phase != messages.PhaseSteady
 	})
-	r.call(number, func() { fleet.troubles.acknowledged("worker drains", fleet.world.Now.Since(begun)) })
+	r.call(number, func() { fleet.troubles.acknowledged("worker drains", fleet.world.Now.Sub(begun)) })
 	fleet.world.After(seconds(4), func() {
-		worker.Phase = messages.PhaseGone
+		worker.Phase = messages.PhaseDeparted
 		if node := r.controller(number); node != nil {
-			worker.Count++
+			worker.CallCount++
 			r.note(node, *worker, func() {})
 		}
 	})
--- a/internal/tooling/hollowfleet/contacts.go
+++ b/internal/tooling/hollowfleet/contacts.go
@@ -35,7 +35,7 @@
 	if node.places() {
 		return nil
 	}
-	node.answerers[messages.KindContact] = reads(node, CoreContact, func(*messages.ContactAsk) transport.Writable {
+	node.answerers[messages.KindContact] = reads(node, CoreContact, func(*messages.ContactRequest) transport.Marshaler {
 		return c.accepted(node)
 	})
 	node.every(constants.ContactPeriod, func() { c.round(node) })
@@ -46,13 +46,13 @@
 func (c *contacts) Drop(node *Node) { node.state[contactsPlace] = nil }
 
 // accepted is what this controller's acceptor tells of itself.
-func (c *contacts) accepted(node *Node) *messages.ContactTold {
+func (c *contacts) accepted(node *Node) *messages.ContactResponse {
 	record := c.fleet.configuration.stateOf(node).acceptor.Record()
-	return &messages.ContactTold{Disk: record.Disk, SetEpoch: record.Value.SetEpoch, Generation: record.Value.Current.Generation}
+	return &messages.ContactResponse{Disk: record.Disk, SetEpoch: record.Value.SetEpoch, Generation: record.Value.Current.Generation}
 }
 
 // sets gives the acceptor sets that a controller knows.
-func (c *contacts) sets(node *Node) messages.Register {
+func (c *contacts) sets(node *Node) messages.RegisterValue {
 	known := c.fleet.configuration.stateOf(node).known
 	known.Body, known.History = nil, nil
 	return known
@@ -74,8 +74,8 @@
 			c.answered(node, member, asked, c.accepted(node))
 			continue
 		}
-		told := &messages.ContactTold{}
-		node.ask(CoreContact, member.Address, messages.KindContact, &messages.ContactAsk{From: node.own.Address}, told, constants.ContactTime, func(reached bool) {
+		told := &messages.ContactResponse{}
+		node.ask(CoreContact, member.Address, messages.KindContact, &messages.ContactRequest{From: node.own.Address}, told, constants.ContactTimeout, func(reached bool) {
 			if reached {
 				c.answered(node, member, asked, told)
 			}
@@ -84,7 +84,7 @@
 }
 
 // answered takes one answer; the lease is not renewed by an acceptor that is ahead.
-func (c *contacts) answered(node *Node, member messages.Member, asked clock.Moment, told *messages.ContactTold) {
+func (c *contacts) answered(node *Node, member messages.Member, asked clock.Instant, told *messages.ContactResponse) {
 	own := c.stateOf(node)
 	member.Disk = told.Disk
 	accepted := contact.Followed{SetEpoch: told.SetEpoch, Generation: told.Generation}
@@ -95,7 +95,7 @@
 		return
 	}
 	own.catching = true
-	node.after(constants.PushTime/2, func() {
+	node.after(constants.PushTimeout/2, func() {
 		own.catching = false
 		c.fleet.configuration.saw(node, accepted.Generation)
 	})
--- a/internal/tooling/hollowfleet/controllers.go
+++ b/internal/tooling/hollowfleet/controllers.go
@@ -11,29 +11,29 @@
 // beginBeats starts the exchange between controllers.
 func (r *registrations) beginBeats(node *Node, own *table) {
 	members := r.fleet.members
-	node.answerers[messages.KindControllerBeat] = reads(node, CoreMembership, func(beat *messages.ControllerBeat) transport.Writable {
+	node.answerers[messages.KindControllerHeartbeat] = reads(node, CoreMembership, func(beat *messages.ControllerHeartbeat) transport.Marshaler {
 		back := r.report(node, own, membership.Key(beat.From))
 		told := node.now()
 		node.after(0, func() { node.step(CoreMembership, func() { r.heardBeat(node, own, beat, told) }) })
 		return back
 	})
-	node.answerers[messages.KindDirectoryPull] = reads(node, CoreMembership, func(question *messages.DirectoryPull) transport.Writable {
+	node.answerers[messages.KindDirectoryPull] = reads(node, CoreMembership, func(question *messages.DirectoryPullRequest) transport.Marshaler {
 		view := members.view(node)
 		return &messages.Shuffle{Entries: view.Since(question.Since, node.now()), Table: view.Digest()}
 	})
-	node.every(constants.RosterPeriod, func() { r.beatOthers(node, own) })
+	node.every(constants.ControllerHeartbeatPeriod, func() { r.beatOthers(node, own) })
 }
 
 // report is what another controller is told.
-func (r *registrations) report(node *Node, own *table, key string) *messages.ControllerBeat {
-	since := clock.Moment(0)
+func (r *registrations) report(node *Node, own *table, key string) *messages.ControllerHeartbeat {
+	since := clock.Instant(0)
 	if one := own.peers[key]; one != nil {
 		since = one.told
 	}
 	view := r.fleet.members.view(node)
-	beat := &messages.ControllerBeat{From: view.Own(), Workers: own.registry.Digest(node.own.Life), Beaten: own.registry.BeatenSince(since),
-		Processes: view.Digest(), Follow: view.Own().Generation}
-	beat.Met, beat.Behind = view.MetSince(since)
+	beat := &messages.ControllerHeartbeat{From: view.Own(), Workers: own.registry.Digest(node.own.Incarnation), SeenWorkers: own.registry.BeatenSince(since),
+		Processes: view.Digest(), Generation: view.Own().Generation}
+	beat.SeenNodes, beat.LaggingNodes = view.MetSince(since)
 	return beat
 }
 
@@ -41,9 +41,9 @@
 	now := node.now()
 	addresses := map[string]string{}
 	node.step(CoreMembership, func() {
-		own.registry.Forget(now.Plus(-constants.ForgetAfter))
+		own.registry.Forget(now.Add(-constants.ForgetAfter))
 		for key, one := range own.relays {
-			if now.Since(one.begun) > constants.BulkCallTime {
+			if now.Sub(one.begun) > constants.BulkCallTimeout {
 				delete(own.relays, key)
 			}
 		}
@@ -52,7 +52,7 @@
 		}
 		for _, entry := range r.fleet.members.view(node).All(membership.RoleController, now) {
 			key := membership.Key(entry)
-			if key < membership.Key(node.own) && entry.AgeMs < 2*constants.RosterPeriod.Milliseconds() {
+			if key < membership.Key(node.own) && entry.AgeMs < 2*constants.ControllerHeartbeatPeriod.Milliseconds() {
 				delete(addresses, entry.Address)
 				continue
 			}
@@ -61,10 +61,10 @@
 		delete(addresses, node.own.Address)
 	})
 	for _, address := range sortedKeys(addresses) {
-		var report *messages.ControllerBeat
+		var report *messages.ControllerHeartbeat
 		node.step(CoreMembership, func() { report = r.report(node, own, addresses[address]) })
-		back := &messages.ControllerBeat{}
-		node.ask(CoreMembership, address, messages.KindControllerBeat, report, back, constants.CallTime, func(reached bool) {
+		back := &messages.ControllerHeartbeat{}
+		node.ask(CoreMembership, address, messages.KindControllerHeartbeat, report, back, constants.CallTimeout, func(reached bool) {
 			if reached {
 				r.heardBeat(node, own, back, now)
 			}
@@ -73,21 +73,21 @@
 }
 
 // heardBeat takes another controller's report, and pulls what its tables have beyond ours.
-func (r *registrations) heardBeat(node *Node, own *table, beat *messages.ControllerBeat, told clock.Moment) {
+func (r *registrations) heardBeat(node *Node, own *table, beat *messages.ControllerHeartbeat, told clock.Instant) {
 	members, now, key := r.fleet.members, node.now(), membership.Key(beat.From)
-	members.heard(node, []messages.Entry{beat.From})
+	members.heard(node, []messages.NodeInfo{beat.From})
 	one := own.peers[key]
 	if one == nil {
 		one = &peer{}
 		own.peers[key] = one
 	}
 	one.told = told
-	own.registry.Vouched(beat.Beaten, now)
+	own.registry.Vouched(beat.SeenWorkers, now)
 	view := members.view(node)
 	view.Vouched(beat, now)
-	if since, ask := behind(&one.registrations, beat.Workers, own.registry.Digest(node.own.Life)); ask {
-		back := &messages.RosterPush{}
-		node.ask(CoreWorkers, beat.From.Address, messages.KindRosterPull, &messages.RosterPull{Since: since}, back, constants.CallTime, func(reached bool) {
+	if since, ask := behind(&one.registrations, beat.Workers, own.registry.Digest(node.own.Incarnation)); ask {
+		back := &messages.WorkersUpdate{}
+		node.ask(CoreWorkers, beat.From.Address, messages.KindWorkersPull, &messages.WorkersPullRequest{Since: since}, back, constants.CallTimeout, func(reached bool) {
 			if reached {
 				r.merge(node, own, back.Workers)
 				one.registrations = back.Table
@@ -96,7 +96,7 @@
 	}
 	if since, ask := behind(&one.processes, beat.Processes, view.Digest()); ask {
 		back := &messages.Shuffle{}
-		node.ask(CoreMembership, beat.From.Address, messages.KindDirectoryPull, &messages.DirectoryPull{Since: since}, back, constants.CallTime, func(reached bool) {
+		node.ask(CoreMembership, beat.From.Address, messages.KindDirectoryPull, &messages.DirectoryPullRequest{Since: since}, back, constants.CallTimeout, func(reached bool) {
 			if reached {
 				members.heard(node, back.Entries)
 				one.processes = back.Table
--- a/internal/tooling/hollowfleet/copies.go
+++ b/internal/tooling/hollowfleet/copies.go
@@ -13,7 +13,7 @@
 		return
 	}
 	own.sending[identity] = true
-	order := &messages.Append{Epoch: lotEpoch, Disk: member.Disk, PreviousIndex: next - 1, Done: own.replication.Done()}
+	order := &messages.AppendRequest{Epoch: lotEpoch, Disk: member.Disk, PreviousIndex: next - 1, CommitIndex: own.replication.Done()}
 	if next > 1 {
 		order.PreviousEpoch = lotEpoch
 	}
@@ -22,7 +22,7 @@
 		order.Records = append(order.Records, own.recent[place])
 		size += len(own.recent[place].Body) + 128
 	}
-	matched := func(answer messages.Appended) {
+	matched := func(answer messages.AppendResponse) {
 		own.sending[identity] = false
 		if answer.Granted {
 			node.step(CoreLots, func() {
@@ -34,14 +34,14 @@
 		}
 	}
 	if member.Address == node.own.Address {
-		var answer messages.Appended
+		var answer messages.AppendResponse
 		node.step(CoreLots, func() { answer = own.append(order) })
 		// A sync of our own disk, as long as one in the zone.
 		node.after(clock.Milliseconds(5), func() { matched(answer) })
 		return
 	}
-	back := &messages.Appended{}
-	node.ask(CoreLots, member.Address, messages.KindAppend, order, back, constants.BulkCallTime, func(reached bool) {
+	back := &messages.AppendResponse{}
+	node.ask(CoreLots, member.Address, messages.KindAppend, order, back, constants.BulkCallTimeout, func(reached bool) {
 		if !reached {
 			own.sending[identity] = false
 			node.after(constants.TickPeriod*2, func() { s.feed(node, own, member, identity) })
@@ -57,14 +57,14 @@
 		record := own.recent[own.applied+1-own.first]
 		_ = own.book.Apply(&record)
 		switch record.Kind {
-		case messages.RecordLot:
-			s.waits = append(s.waits, clock.ToMilliseconds(node.now().Since(own.begun[record.Lot])))
-			delete(own.begun, record.Lot)
+		case messages.RecordJob:
+			s.waits = append(s.waits, clock.ToMilliseconds(node.now().Sub(own.begun[record.Job])))
+			delete(own.begun, record.Job)
 		case messages.RecordOutput:
 			s.listed++
-			if lot := own.book.Lot(record.Lot); lot != nil && len(lot.Listings) == lot.Sum() {
+			if lot := own.book.Lot(record.Job); lot != nil && len(lot.Listings) == lot.Sum() {
 				// Read by its client at once, in this world.
-				s.submit(node, own, messages.Record{Kind: messages.RecordForget, Lot: record.Lot})
+				s.submit(node, own, messages.Record{Kind: messages.RecordForget, Job: record.Job})
 			}
 		}
 		own.applied++
--- a/internal/tooling/hollowfleet/dispatch.go
+++ b/internal/tooling/hollowfleet/dispatch.go
@@ -17,8 +17,8 @@
 	running int
 	// speaking: results are on their way; asking: a question for items is out.
 	speaking, asking bool
-	renewed          clock.Moment
-	lock             clock.Span
+	renewed          clock.Instant
+	lock             clock.Duration
 }
 
 // itemService is the service of all items: which one it is decides nothing here.
@@ -29,15 +29,15 @@
 	own.dispatcher = lots.NewDispatcher(own.book, lotEpoch, 1, constants.LockUnstated, node.now())
 	own.dispatcher.Submit = func(record messages.Record) int64 { return s.submit(node, own, record) }
 	terms := func(lot *lots.Lot) lots.Terms { return lots.Terms{Due: lot.SentMs + 3_600_000} }
-	node.answerers[messages.KindAcquire] = func(body []byte, reply func(transport.Writable)) {
-		question := &messages.Acquire{}
-		node.step(CoreLots, func() { _ = transport.Read(body, question) })
+	node.answerers[messages.KindAcquire] = func(body []byte, reply func(transport.Marshaler)) {
+		question := &messages.AcquireRequest{}
+		node.step(CoreLots, func() { _ = transport.Decode(body, question) })
 		s.acquire(node, own, question, node.now(), terms, reply)
 	}
-	node.answerers[messages.KindAcknowledge] = func(body []byte, reply func(transport.Writable)) {
-		question := &messages.Acknowledge{}
+	node.answerers[messages.KindAcknowledge] = func(body []byte, reply func(transport.Marshaler)) {
+		question := &messages.AcknowledgeRequest{}
 		node.step(CoreLots, func() {
-			if transport.Read(body, question) == nil {
+			if transport.Decode(body, question) == nil {
 				s.acknowledge(node, own, question, reply)
 			}
 		})
@@ -47,20 +47,20 @@
 }
 
 // acquire hands items out, or looks again a little later while there are none.
-func (s *storage) acquire(node *Node, own *storeState, question *messages.Acquire, begun clock.Moment, terms func(*lots.Lot) lots.Terms, reply func(transport.Writable)) {
-	answer := &messages.Acquired{LockMs: clock.ToMilliseconds(own.dispatcher.Lock), HeldMs: clock.ToMilliseconds(node.now().Since(begun))}
+func (s *storage) acquire(node *Node, own *storeState, question *messages.AcquireRequest, begun clock.Instant, terms func(*lots.Lot) lots.Terms, reply func(transport.Marshaler)) {
+	answer := &messages.AcquireResponse{LockMs: clock.ToMilliseconds(own.dispatcher.Lock), WaitedMs: clock.ToMilliseconds(node.now().Sub(begun))}
 	node.step(CoreLots, func() {
-		ask := &lots.AcquireAsk{Driver: lots.Driver{Name: question.Driver, Life: question.Life, Address: question.Address},
+		ask := &lots.AcquireAsk{Driver: lots.Driver{Name: question.Executor, Life: question.Incarnation, Address: question.Address},
 			Room: map[string]int{}, Terms: terms, Service: func(*lots.Item) string { return itemService }}
-		for _, room := range question.Room {
+		for _, room := range question.Capacity {
 			ask.Room[room.Service] = room.Count
 		}
 		for _, one := range own.dispatcher.Acquire(ask, node.now()) {
-			answer.Items = append(answer.Items, messages.AcquiredItem{Number: one.Number, Lot: one.Item.Lot.ID, Host: one.Item.Lot.Host,
-				Path: one.Item.Lot.Path, SentMs: one.Item.Lot.SentMs, Item: one.Item.LotItem})
+			answer.Items = append(answer.Items, messages.AcquiredItem{Number: one.Number, Job: one.Item.Lot.ID, Host: one.Item.Lot.Host,
+				Path: one.Item.Lot.Path, SubmittedMs: one.Item.Lot.SentMs, Item: one.Item.JobItem})
 		}
 	})
-	if len(answer.Items) > 0 || node.now().Since(begun) >= constants.AcquireHold {
+	if len(answer.Items) > 0 || node.now().Sub(begun) >= constants.AcquireWait {
 		reply(answer)
 		return
 	}
@@ -68,9 +68,9 @@
 }
 
 // acknowledge takes a batch; what needs a record is answered once that is durable.
-func (s *storage) acknowledge(node *Node, own *storeState, question *messages.Acknowledge, reply func(transport.Writable)) {
-	driver := lots.Driver{Name: question.Driver, Life: question.Life, Address: question.Address}
-	answer, last := &messages.Acknowledged{}, int64(0)
+func (s *storage) acknowledge(node *Node, own *storeState, question *messages.AcknowledgeRequest, reply func(transport.Marshaler)) {
+	driver := lots.Driver{Name: question.Executor, Life: question.Incarnation, Address: question.Address}
+	answer, last := &messages.AcknowledgeResponse{}, int64(0)
 	for place := range question.Entries {
 		step := own.dispatcher.Acknowledge(driver, &question.Entries[place], node.now())
 		last = max(last, step.Index)
@@ -91,7 +91,7 @@
 	}
 	node.every(constants.TickPeriod, func() {
 		node.step(CoreDriver, func() { s.halt(own.core.Lapsed(node.now())) })
-		if node.now().Since(own.renewed) >= own.lock/constants.RenewPart {
+		if node.now().Sub(own.renewed) >= own.lock/constants.RenewalsPerLock {
 			own.renewed = node.now()
 			s.renewLocks(node, own)
 		}
@@ -117,10 +117,10 @@
 		return
 	}
 	own.asking = true
-	question := &messages.Acquire{Driver: node.own.Name, Life: node.own.Life, Address: node.own.Address,
-		Room: []messages.ServiceRoom{{Service: itemService, Count: room}}, HoldMs: int(constants.AcquireHold.Milliseconds())}
-	answer, asked := &messages.Acquired{}, node.now()
-	node.ask(CoreDriver, s.holder.own.Address, messages.KindAcquire, question, answer, constants.AcquireHold+constants.CallTime, func(reached bool) {
+	question := &messages.AcquireRequest{Executor: node.own.Name, Incarnation: node.own.Incarnation, Address: node.own.Address,
+		Capacity: []messages.ServiceCapacity{{Service: itemService, Count: room}}, WaitMs: int(constants.AcquireWait.Milliseconds())}
+	answer, asked := &messages.AcquireResponse{}, node.now()
+	node.ask(CoreDriver, s.holder.own.Address, messages.KindAcquire, question, answer, constants.AcquireWait+constants.CallTimeout, func(reached bool) {
 		own.asking = false
 		if !reached {
 			return
@@ -140,14 +140,14 @@
 // finish ends a run with its output, if it still may.
 func (s *storage) finish(node *Node, own *driverState, task *itemdriver.Task) {
 	node.step(CoreDriver, func() {
-		entry := messages.Acknowledgement{Kind: messages.AckAccept, Text: []byte(fmt.Sprintf("%*d", s.fleet.Plan.ItemBytes, task.Number))}
+		entry := messages.Acknowledgement{Kind: messages.AckAccept, Output: []byte(fmt.Sprintf("%*d", s.fleet.Plan.ItemBytes, task.Number))}
 		if !task.May(node.now()) {
 			entry = messages.Acknowledgement{Kind: messages.AckRelease}
 		}
 		own.core.Done(task, entry)
 	})
-	node.after(constants.AckGather, func() { s.speak(node, own) })
-	node.after(constants.AckGather, func() { s.ask(node, own) })
+	node.after(constants.AckBatchWindow, func() { s.speak(node, own) })
+	node.after(constants.AckBatchWindow, func() { s.ask(node, own) })
 }
 
 // speak sends what is owed, one message at a time, and repeats what is not answered.
@@ -158,10 +158,10 @@
 		return
 	}
 	own.speaking = true
-	s.acknowledged(node, batch, func(answer *messages.Acknowledged) {
+	s.acknowledged(node, batch, func(answer *messages.AcknowledgeResponse) {
 		own.speaking = false
 		if answer == nil {
-			node.after(constants.AckPause, func() { s.speak(node, own) })
+			node.after(constants.AckBackoff, func() { s.speak(node, own) })
 			return
 		}
 		own.core.Answered(batch, answer.Verdicts)
@@ -177,7 +177,7 @@
 		return
 	}
 	asked := node.now()
-	s.acknowledged(node, entries, func(answer *messages.Acknowledged) {
+	s.acknowledged(node, entries, func(answer *messages.AcknowledgeResponse) {
 		if answer == nil {
 			own.renewed = 0
 			return
@@ -186,10 +186,10 @@
 	})
 }
 
-func (s *storage) acknowledged(node *Node, entries []messages.Acknowledgement, then func(*messages.Acknowledged)) {
-	question := &messages.Acknowledge{Driver: node.own.Name, Life: node.own.Life, Address: node.own.Address, Entries: entries}
-	answer := &messages.Acknowledged{}
-	node.ask(CoreDriver, s.holder.own.Address, messages.KindAcknowledge, question, answer, constants.CallTime, func(reached bool) {
+func (s *storage) acknowledged(node *Node, entries []messages.Acknowledgement, then func(*messages.AcknowledgeResponse)) {
+	question := &messages.AcknowledgeRequest{Executor: node.own.Name, Incarnation: node.own.Incarnation, Address: node.own.Address, Entries: entries}
+	answer := &messages.AcknowledgeResponse{}
+	node.ask(CoreDriver, s.holder.own.Address, messages.KindAcknowledge, question, answer, constants.CallTimeout, func(reached bool) {
 		if !reached {
 			then(nil)
 			return
--- a/internal/tooling/hollowfleet/fleet.go
+++ b/internal/tooling/hollowfleet/fleet.go
@@ -27,7 +27,7 @@
 type Fleet struct {
 	Plan          Plan
 	world         *simulation.World
-	network       *transport.Room
+	network       *transport.MemoryNetwork
 	nodes         []*Node
 	byAddress     map[string]*Node
 	mechanisms    []Mechanism
@@ -53,10 +53,10 @@
 // New builds a fleet; progress, where not nil, is told how far long runs are.
 func New(plan Plan, progress io.Writer) *Fleet {
 	plan.Scale()
-	fleet := &Fleet{Plan: plan, world: simulation.NewWorld(plan.Seed), network: transport.NewRoom(), byAddress: map[string]*Node{},
+	fleet := &Fleet{Plan: plan, world: simulation.NewWorld(plan.Seed), network: transport.NewMemoryNetwork(), byAddress: map[string]*Node{},
 		kinds: map[messages.Kind]*[ways]Traffic{}, progress: progress}
 	fleet.network.OnFrame(fleet.count)
-	fleet.network.Simulate(transport.Surroundings{Clock: fleet.world, Delay: fleet.delay, Reach: fleet.reach})
+	fleet.network.Simulate(transport.Environment{Clock: fleet.world, Delay: fleet.delay, Reachable: fleet.reach})
 	hasController := map[int]bool{}
 	for machine := 0; machine < plan.Nodes; machine++ {
 		role := membership.RoleGateway
@@ -95,7 +95,7 @@
 	f.registrations.begin()
 	// There is a first configuration before anything is counted.
 	f.world.After(seconds(f.Plan.WarmS/2), func() { f.configuration.change(f.live(membership.RoleController)[0]) })
-	warm, whole := clock.Moment(seconds(f.Plan.WarmS)), clock.Moment(seconds(f.Plan.WarmS+f.Plan.DurationS))
+	warm, whole := clock.Instant(seconds(f.Plan.WarmS)), clock.Instant(seconds(f.Plan.WarmS+f.Plan.DurationS))
 	f.play(warm, whole)
 	f.counting = true
 	for _, node := range f.nodes {
@@ -108,10 +108,10 @@
 }
 
 // play runs the world in pieces and tells how far it is.
-func (f *Fleet) play(until, whole clock.Moment) {
+func (f *Fleet) play(until, whole clock.Instant) {
 	teller := newTeller(f.progress)
 	for f.world.Now < until {
-		f.world.Run(min(until, f.world.Now+clock.Moment(seconds(1))))
+		f.world.Run(min(until, f.world.Now+clock.Instant(seconds(1))))
 		teller.tell(f, whole)
 	}
 }
@@ -127,7 +127,7 @@
 	return WayRegions
 }
 
-func (f *Fleet) delay(from, to string) clock.Span {
+func (f *Fleet) delay(from, to string) clock.Duration {
 	base := [ways]float64{f.Plan.NearMs, f.Plan.ZonesMs, f.Plan.RegionMs}[f.way(from, to)]
 	return clock.Milliseconds(base * (1 + 0.2*f.world.Random.Float64()))
 }
@@ -138,7 +138,7 @@
 }
 
 // count is told of every frame.
-func (f *Fleet) count(frame transport.Frame) {
+func (f *Fleet) count(frame transport.ObservedFrame) {
 	if !f.counting {
 		return
 	}
--- a/internal/tooling/hollowfleet/gossip.go
+++ b/internal/tooling/hollowfleet/gossip.go
@@ -32,9 +32,9 @@
 
 // neighbours is whom a process tells.
 type neighbours struct {
-	near, far        []messages.Entry
-	zones            [][]messages.Entry
-	gossip, readings []messages.Entry
+	near, far        []messages.NodeInfo
+	zones            [][]messages.NodeInfo
+	gossip, readings []messages.NodeInfo
 	population       int
 }
 
@@ -49,27 +49,27 @@
 		return nil
 	}
 	own := node.state[1].(*placing)
-	node.answerers[messages.KindGossip] = reads(node, CoreGossip, func(packet *messages.Gossip) transport.Writable {
+	node.answerers[messages.KindGossip] = reads(node, CoreGossip, func(packet *messages.Gossip) transport.Marshaler {
 		own.scheduler.Heard(packet, node.now())
 		g.fleet.members.touched(node, packet.From)
 		g.fleet.configuration.saw(node, packet.Generation)
 		return taken()
 	})
-	node.answerers[messages.KindReading] = reads(node, CoreReadings, func(told *messages.ReadingTold) transport.Writable {
+	node.answerers[messages.KindPrefill] = reads(node, CoreReadings, func(told *messages.PrefillNotice) transport.Marshaler {
 		own.scheduler.PeerReads(told, node.now())
-		if told.Pass {
+		if told.Forward {
 			further := *told
-			further.Pass = false
+			further.Forward = false
 			node.after(0, func() { g.spreadReading(node, own, &further, false) })
 		}
 		return taken()
 	})
-	node.answerers[messages.KindPressure] = reads(node, CoreReadings, func(told *messages.PressureTold) transport.Writable {
+	node.answerers[messages.KindPressure] = reads(node, CoreReadings, func(told *messages.PressureNotice) transport.Marshaler {
 		own.scheduler.Pressed(told, max(told.Sharers, 1), node.now())
 		return taken()
 	})
 	own.scheduler.OnReading(func(worker string, milliseconds float64) {
-		told := &messages.ReadingTold{From: membership.Key(node.own), Worker: worker, Reading: milliseconds}
+		told := &messages.PrefillNotice{From: membership.Key(node.own), Worker: worker, Prefill: milliseconds}
 		// Called under the admission's lock.
 		node.after(0, func() { g.spreadReading(node, own, told, true) })
 	})
@@ -82,14 +82,14 @@
 
 func (g *gossip) period(node *Node, own *placing) {
 	var packet *messages.Gossip
-	var told []messages.Entry
+	var told []messages.NodeInfo
 	node.step(CoreGossip, func() {
 		packet = own.scheduler.Gossip(node.now())
 		packet.Generation = node.generation
 		view := g.fleet.members.view(node)
 		own.neighbours = neighboursOf(node.own, view.All("", node.now()))
 		own.neighbours.population = view.Population(membership.RoleGateway, node.now()) + view.Population(membership.RoleStore, node.now())
-		told = append([]messages.Entry(nil), own.neighbours.gossip...)
+		told = append([]messages.NodeInfo(nil), own.neighbours.gossip...)
 		// Each zone tells each other about once a period, however many it has.
 		if zones := own.neighbours.zones; len(zones) > 0 && node.random.Float64() < float64(len(zones))/float64(own.neighbours.zoneSize()) {
 			there := zones[node.random.Intn(len(zones))]
@@ -100,12 +100,12 @@
 }
 
 // neighboursOf finds whom a process tells, as loadgossip does.
-func neighboursOf(own messages.Entry, known []messages.Entry) neighbours {
+func neighboursOf(own messages.NodeInfo, known []messages.NodeInfo) neighbours {
 	found := neighbours{}
 	for _, entry := range known {
 		switch {
 		case entry.Role != membership.RoleGateway && entry.Role != membership.RoleStore,
-			entry.Leaving || entry.AgeMs >= constants.NeighbourAge.Milliseconds():
+			entry.Draining || entry.AgeMs >= constants.NeighbourAge.Milliseconds():
 		case entry.Zone == own.Zone:
 			found.near = append(found.near, entry)
 		default:
@@ -146,9 +146,9 @@
 			}
 			g.look(own.scheduler, worker.ID)
 			_, at := own.scheduler.Tracker.Of(worker.ID).Observed()
-			g.ages.add(now.Since(at), at > 0)
+			g.ages.add(now.Sub(at), at > 0)
 			if worker.Zone == node.own.Zone {
-				g.near.add(now.Since(at), at > 0)
+				g.near.add(now.Sub(at), at > 0)
 			}
 		}
 	}
--- a/internal/tooling/hollowfleet/keep.go
+++ b/internal/tooling/hollowfleet/keep.go
@@ -10,7 +10,7 @@
 // beginKeep lets a controller keep binding changes of workers for another. The sync of
 // its disk takes no time here.
 func (r *registrations) beginKeep(node *Node, own *table) {
-	node.answerers[messages.KindWorkersKeep] = reads(node, CoreWorkers, func(question *messages.WorkersKeep) transport.Writable {
+	node.answerers[messages.KindWorkersPersist] = reads(node, CoreWorkers, func(question *messages.WorkersPersistRequest) transport.Marshaler {
 		r.merge(node, own, question.Workers)
 		return r.fleet.contacts.accepted(node)
 	})
@@ -28,14 +28,14 @@
 			once()
 		}
 	}
-	question := &messages.WorkersKeep{From: node.own.Address, Workers: []messages.Worker{worker}}
+	question := &messages.WorkersPersistRequest{From: node.own.Address, Workers: []messages.Worker{worker}}
 	for _, member := range register.Targets(&sets) {
 		if member.Address == node.own.Address {
 			kept(member, r.fleet.contacts.accepted(node).Disk)
 			continue
 		}
-		back := &messages.ContactTold{}
-		node.ask(CoreWorkers, member.Address, messages.KindWorkersKeep, question, back, constants.TreeTime, func(reached bool) {
+		back := &messages.ContactResponse{}
+		node.ask(CoreWorkers, member.Address, messages.KindWorkersPersist, question, back, constants.BroadcastTimeout, func(reached bool) {
 			if reached {
 				kept(member, back.Disk)
 			}
--- a/internal/tooling/hollowfleet/lots.go
+++ b/internal/tooling/hollowfleet/lots.go
@@ -39,7 +39,7 @@
 	first       int64
 	applied     int64
 	sending     map[string]bool
-	begun       map[string]clock.Moment
+	begun       map[string]clock.Instant
 	// durable are those who wait for a record.
 	durable []waiting
 }
@@ -76,12 +76,12 @@
 
 // Begin starts a store, and the holder's part at the holder.
 func (s *storage) Begin(node *Node) any {
-	node.answerers[messages.KindHolderTold] = reads(node, CoreHolds, func(*messages.HolderTold) transport.Writable { return taken() })
+	node.answerers[messages.KindLeaderAnnouncement] = reads(node, CoreHolds, func(*messages.LeaderAnnouncement) transport.Marshaler { return taken() })
 	if node.own.Role != membership.RoleStore || s.holder == nil {
 		return nil
 	}
 	own := &storeState{replica: lots.NewReplica(node.own.Disk)}
-	node.answerers[messages.KindAppend] = reads(node, CoreLots, func(order *messages.Append) transport.Writable {
+	node.answerers[messages.KindAppend] = reads(node, CoreLots, func(order *messages.AppendRequest) transport.Marshaler {
 		answer := own.append(order)
 		return &answer
 	})
@@ -90,18 +90,18 @@
 		return own
 	}
 	own.replication, own.book = lots.NewPress(lotEpoch, s.members, lotBudget, 1), lots.NewBook()
-	own.first, own.sending, own.begun = 1, map[string]bool{}, map[string]clock.Moment{}
-	node.answerers[messages.KindLotCall] = reads(node, CoreLots, func(call *messages.LotCall) transport.Writable {
-		own.begun[call.Lot] = node.now()
-		s.submit(node, own, messages.Record{Kind: messages.RecordLot, Lot: call.Lot, AtMs: int64(node.now()) / 1_000_000, Host: call.Host, Body: call.Body})
-		return &messages.LotAnswer{Status: 202}
+	own.first, own.sending, own.begun = 1, map[string]bool{}, map[string]clock.Instant{}
+	node.answerers[messages.KindJobCall] = reads(node, CoreLots, func(call *messages.JobCallRequest) transport.Marshaler {
+		own.begun[call.Job] = node.now()
+		s.submit(node, own, messages.Record{Kind: messages.RecordJob, Job: call.Job, AtMs: int64(node.now()) / 1_000_000, Host: call.Host, Body: call.Body})
+		return &messages.JobCallResponse{Status: 202}
 	})
 	s.beginDispatch(node, own)
-	node.every(constants.HoldRenewal, func() { s.renew(node) })
-	node.every(constants.HoldRenewal, func() {
+	node.every(constants.LeaseRenewPeriod, func() { s.renew(node) })
+	node.every(constants.LeaseRenewPeriod, func() {
 		for _, entry := range s.fleet.members.all(node) {
 			if entry.Role != membership.RoleController {
-				node.ask(CoreHolds, entry.Address, messages.KindHolderTold, &messages.HolderTold{Duty: s.duty()}, &messages.Nothing{}, constants.HoldRenewal, func(bool) {})
+				node.ask(CoreHolds, entry.Address, messages.KindLeaderAnnouncement, &messages.LeaderAnnouncement{Leadership: s.duty()}, &messages.Ack{}, constants.LeaseRenewPeriod, func(bool) {})
 			}
 		}
 	})
@@ -111,21 +111,21 @@
 // Drop lets go of lots.
 func (s *storage) Drop(node *Node) { node.state[4] = nil }
 
-func (s *storage) duty() messages.Duty {
+func (s *storage) duty() messages.Leadership {
 	own := s.holder.own
-	return messages.Duty{Holder: own.Name, Life: own.Life, Address: own.Address, Epoch: lotEpoch}
+	return messages.Leadership{Holder: own.Name, Incarnation: own.Incarnation, Address: own.Address, Epoch: lotEpoch}
 }
 
 // renew asks every acceptor for the hold again.
 func (s *storage) renew(node *Node) {
 	own := node.own
 	for _, seed := range s.fleet.seeds {
-		node.ask(CoreHolds, seed, messages.KindAsk, &messages.HoldAsk{Candidate: own.Name, Life: own.Life}, &messages.HoldAnswer{}, constants.HoldRenewal, func(bool) {})
+		node.ask(CoreHolds, seed, messages.KindLease, &messages.LeaseRequest{Candidate: own.Name, Incarnation: own.Incarnation}, &messages.LeaseResponse{}, constants.LeaseRenewPeriod, func(bool) {})
 	}
 }
 
 // append is what a store does with an order; there is no disk to write to.
-func (s *storeState) append(order *messages.Append) messages.Appended {
+func (s *storeState) append(order *messages.AppendRequest) messages.AppendResponse {
 	plan, answer := s.replica.Append(order)
 	if answer.Granted {
 		s.replica.Commit(plan, order.Epoch, make([]int64, len(plan.Records)))
@@ -142,9 +142,9 @@
 	node := edges[s.random.Intn(len(edges))]
 	s.made++
 	name := fmt.Sprintf("lot-%08d", s.made)
-	body := &messages.LotBody{Path: "/v1/batch"}
+	body := &messages.JobBody{Path: "/v1/batch"}
 	for place := 0; place < s.fleet.Plan.LotItems; place++ {
-		item := messages.LotItem{ID: fmt.Sprintf("item-%06d", place), Path: "/v1/generate", Tokens: 600, Body: make([]byte, s.fleet.Plan.ItemBytes)}
+		item := messages.JobItem{ID: fmt.Sprintf("item-%06d", place), Path: "/v1/generate", Tokens: 600, Body: make([]byte, s.fleet.Plan.ItemBytes)}
 		body.Items = append(body.Items, item)
 	}
 	text, _ := body.MarshalMsg(nil)
@@ -153,8 +153,8 @@
 		s.fleet.troubles.refused("lot")
 		return
 	}
-	call := &messages.LotCall{Method: "POST", Host: "tenant.example", Path: "/v1/batch", Lot: name, Body: text}
-	node.ask(CoreLots, s.holder.own.Address, messages.KindLotCall, call, &messages.LotAnswer{}, constants.BulkCallTime, func(bool) {})
+	call := &messages.JobCallRequest{Method: "POST", Host: "tenant.example", Path: "/v1/batch", Job: name, Body: text}
+	node.ask(CoreLots, s.holder.own.Address, messages.KindJobCall, call, &messages.JobCallResponse{}, constants.BulkCallTimeout, func(bool) {})
 }
 
 // submit makes a record at the holder and has it copied.
--- a/internal/tooling/hollowfleet/members.go
+++ b/internal/tooling/hollowfleet/members.go
@@ -28,7 +28,7 @@
 // Begin starts the view of a process.
 func (m *memberList) Begin(node *Node) any {
 	own := &seat{view: membership.NewView(node.own, node.random.Int63())}
-	node.answerers[messages.KindShuffle] = reads(node, CoreMembership, func(question *messages.Shuffle) transport.Writable {
+	node.answerers[messages.KindShuffle] = reads(node, CoreMembership, func(question *messages.Shuffle) transport.Marshaler {
 		m.heard(node, question.Entries)
 		if node.places() {
 			return &messages.Shuffle{Entries: own.view.Offer(node.now())}
@@ -47,13 +47,13 @@
 // meet asks the seeds until a controller is known, then goes over to the periodic exchange.
 func (m *memberList) meet(node *Node, own *seat, round int) {
 	const meetings = 10
-	node.after(clock.Span(node.random.Int63n(int64(constants.StartPause))), func() {
+	node.after(clock.Duration(node.random.Int63n(int64(constants.StartBackoff))), func() {
 		for _, seed := range m.fleet.seeds {
 			if seed != node.own.Address {
 				m.report(node, seed, false, func(reportResult) {})
 			}
 		}
-		node.after(constants.StartPause*2, func() {
+		node.after(constants.StartBackoff*2, func() {
 			known := len(own.view.Live(membership.RoleController, node.now())) > 0
 			switch {
 			case !known || (!node.places() && round < meetings):
@@ -71,7 +71,7 @@
 func (m *memberList) exchange(node *Node, own *seat) {
 	own.rounds++
 	round := own.rounds
-	var controllers []messages.Entry
+	var controllers []messages.NodeInfo
 	node.step(CoreMembership, func() { controllers = own.view.Controllers(node.now()) })
 	after := func(first string) {
 		own.first = first
@@ -85,7 +85,7 @@
 			return
 		}
 		seed := m.fleet.seeds[node.random.Intn(len(m.fleet.seeds))]
-		m.reportToOneOf(node, []messages.Entry{{Address: seed}}, false, after)
+		m.reportToOneOf(node, []messages.NodeInfo{{Address: seed}}, false, after)
 	})
 }
 
@@ -97,7 +97,7 @@
 		return
 	}
 	answer := &messages.Shuffle{}
-	node.ask(CoreMembership, partner, messages.KindShuffle, &messages.Shuffle{Entries: own.view.Offer(node.now())}, answer, constants.CallTime, func(reached bool) {
+	node.ask(CoreMembership, partner, messages.KindShuffle, &messages.Shuffle{Entries: own.view.Offer(node.now())}, answer, constants.CallTimeout, func(reached bool) {
 		if reached {
 			m.heard(node, answer.Entries)
 		}
@@ -112,12 +112,12 @@
 	return nil
 }
 
-func (m *memberList) heard(node *Node, entries []messages.Entry) {
+func (m *memberList) heard(node *Node, entries []messages.NodeInfo) {
 	m.view(node).Heard(entries, node.now())
 	m.saw(node, entries)
 }
 
-func (m *memberList) saw(node *Node, entries []messages.Entry) {
+func (m *memberList) saw(node *Node, entries []messages.NodeInfo) {
 	newest := int64(0)
 	for _, entry := range entries {
 		newest = max(newest, entry.Generation)
@@ -131,7 +131,7 @@
 }
 
 // all gives every entry, those silent for some time included.
-func (m *memberList) all(node *Node) (entries []messages.Entry) {
+func (m *memberList) all(node *Node) (entries []messages.NodeInfo) {
 	node.step(CoreMembership, func() { entries = m.view(node).All("", node.now()) })
 	return entries
 }
--- a/internal/tooling/hollowfleet/node.go
+++ b/internal/tooling/hollowfleet/node.go
@@ -12,18 +12,18 @@
 )
 
 // answerer answers one kind of call, at once or later.
-type answerer func(body []byte, reply func(transport.Writable))
+type answerer func(body []byte, reply func(transport.Marshaler))
 
 // Node is one hollow process.
 type Node struct {
 	fleet     *Fleet
-	own       messages.Entry
+	own       messages.NodeInfo
 	machine   int
 	zone      int
 	region    int
 	down      bool
 	life      int
-	wire      *transport.Twin
+	wire      *transport.Memory
 	random    *rand.Rand
 	answerers map[messages.Kind]answerer
 	costs     [cores]Cost
@@ -42,10 +42,10 @@
 	zone := machine % fleet.Plan.Zones
 	node := &Node{fleet: fleet, machine: machine, zone: zone, region: zone * fleet.Plan.Regions / fleet.Plan.Zones,
 		random: rand.New(rand.NewSource(fleet.Plan.Seed*7919 + int64(machine)*3 + int64(portOf(role))))}
-	node.own = messages.Entry{Name: fmt.Sprintf("node-%04d", machine), Life: 1_700_000_000_000_000_000 + int64(machine), Role: role,
+	node.own = messages.NodeInfo{Name: fmt.Sprintf("node-%04d", machine), Incarnation: 1_700_000_000_000_000_000 + int64(machine), Role: role,
 		Zone: fmt.Sprintf("region-%d-zone-%d", node.region, zone), Address: fmt.Sprintf("10.%d.%d.%d:%d", zone, machine/250, machine%250, 7000+portOf(role))}
 	if role != membership.RoleGateway {
-		node.own.Disk = fmt.Sprintf("%016x", node.own.Life*2654435761)
+		node.own.Disk = fmt.Sprintf("%016x", node.own.Incarnation*2654435761)
 	}
 	return node
 }
@@ -54,7 +54,7 @@
 func (n *Node) begin() {
 	n.down = false
 	n.life++
-	n.own.Life += 1_000_000_000
+	n.own.Incarnation += 1_000_000_000
 	n.generation = 0
 	n.answerers = map[messages.Kind]answerer{}
 	n.state = make([]any, len(n.fleet.mechanisms))
@@ -62,20 +62,20 @@
 	for place, mechanism := range n.fleet.mechanisms {
 		n.state[place] = mechanism.Begin(n)
 	}
-	_ = n.wire.ServeLater(func(kind messages.Kind, body []byte, reply func([]byte, error)) {
+	_ = n.wire.ServeAsync(func(kind messages.Kind, body []byte, reply func([]byte, error)) {
 		one := n.answerers[kind]
 		if one == nil {
 			reply(nil, nil)
 			return
 		}
 		life := n.life
-		one(body, func(answer transport.Writable) {
+		one(body, func(answer transport.Marshaler) {
 			switch {
 			case n.life != life:
 			case answer == nil:
 				reply(nil, nil)
 			default:
-				reply(transport.Write(answer))
+				reply(transport.Encode(answer))
 			}
 		})
 	})
@@ -93,10 +93,10 @@
 func (n *Node) places() bool { return n.own.Role != membership.RoleController }
 
 // now is the simulated moment.
-func (n *Node) now() clock.Moment { return n.fleet.world.Now }
+func (n *Node) now() clock.Instant { return n.fleet.world.Now }
 
 // after runs a function later, unless this life is over by then.
-func (n *Node) after(span clock.Span, function func()) {
+func (n *Node) after(span clock.Duration, function func()) {
 	life := n.life
 	n.fleet.world.After(span, func() {
 		if n.life == life {
@@ -106,19 +106,19 @@
 }
 
 // every runs a function each period, from a random part of the first on.
-func (n *Node) every(period clock.Span, function func()) {
+func (n *Node) every(period clock.Duration, function func()) {
 	var again func()
 	again = func() {
 		function()
 		n.after(period, again)
 	}
-	n.after(clock.Span(n.random.Int63n(int64(period))), again)
+	n.after(clock.Duration(n.random.Int63n(int64(period))), again)
 }
 
 // post sends a call; then may be nil, and is run only in this life.
-func (n *Node) post(address string, kind messages.Kind, body []byte, span clock.Span, then func([]byte, error)) {
+func (n *Node) post(address string, kind messages.Kind, body []byte, span clock.Duration, then func([]byte, error)) {
 	life := n.life
-	n.wire.Post(address, kind, body, span, func(answer []byte, err error) {
+	n.wire.CallAsync(address, kind, body, span, func(answer []byte, err error) {
 		if then != nil && n.life == life {
 			then(answer, err)
 		}
@@ -127,13 +127,13 @@
 
 // ask sends a message and reads the answer into another; then is told whether that
 // went well. Writing and reading are charged to the core, as is what then does.
-func (n *Node) ask(core Core, address string, kind messages.Kind, question transport.Writable, answer transport.Readable, span clock.Span, then func(reached bool)) {
+func (n *Node) ask(core Core, address string, kind messages.Kind, question transport.Marshaler, answer transport.Unmarshaler, span clock.Duration, then func(reached bool)) {
 	var body []byte
 	n.step(core, func() { body, _ = question.MarshalMsg(nil) })
 	n.post(address, kind, body, span, func(back []byte, err error) {
 		n.step(core, func() {
 			if err == nil {
-				err = transport.Read(back, answer)
+				err = transport.Decode(back, answer)
 			}
 			then(err == nil)
 		})
@@ -141,24 +141,24 @@
 }
 
 // tell sends one message one way to each entry.
-func (n *Node) tell(entries []messages.Entry, core Core, kind messages.Kind, message transport.Writable) {
+func (n *Node) tell(entries []messages.NodeInfo, core Core, kind messages.Kind, message transport.Marshaler) {
 	var body []byte
 	n.step(core, func() { body, _ = message.MarshalMsg(nil) })
 	for _, entry := range entries {
-		n.wire.PostTell(entry.Address, kind, body)
+		n.wire.NotifyAsync(entry.Address, kind, body)
 	}
 }
 
 // reads makes an answerer of a function that takes a message and answers at once.
 func reads[Message any, Pointer interface {
 	*Message
-	transport.Readable
-}](node *Node, core Core, function func(Pointer) transport.Writable) answerer {
-	return func(body []byte, reply func(transport.Writable)) {
-		var answer transport.Writable
+	transport.Unmarshaler
+}](node *Node, core Core, function func(Pointer) transport.Marshaler) answerer {
+	return func(body []byte, reply func(transport.Marshaler)) {
+		var answer transport.Marshaler
 		node.step(core, func() {
 			message := Pointer(new(Message))
-			if transport.Read(body, message) == nil {
+			if transport.Decode(body, message) == nil {
 				answer = function(message)
 			}
 		})
@@ -167,4 +167,4 @@
 }
 
 // taken is the empty answer.
-func taken() transport.Writable { return &messages.Nothing{Taken: true} }
+func taken() transport.Marshaler { return &messages.Ack{Accepted: true} }
--- a/internal/tooling/hollowfleet/plan.go
+++ b/internal/tooling/hollowfleet/plan.go
@@ -23,12 +23,12 @@
 	Workers   int `json:"workers"`
 	Models    int `json:"models"`
 	Tenants   int `json:"tenants"`
-	// Requests a second; each is placed at a worker and held there for HeldMs. LongShare
+	// Requests a second; each is placed at a worker and held there for WaitedMs. LongShare
 	// is the part of them with a long prompt, which is told to peers.
 	Requests  float64 `json:"requests-a-second"`
 	HeldMs    float64 `json:"request-held-ms"`
 	LongShare float64 `json:"long-share"`
-	// Lots a minute of LotItems items each, with bodies and outputs of ItemBytes.
+	// Lots a minute of JobItemsMax items each, with bodies and outputs of ItemBytes.
 	Lots      float64 `json:"lots-a-minute"`
 	LotItems  int     `json:"lot-items"`
 	ItemBytes int     `json:"item-bytes"`
@@ -118,7 +118,7 @@
 }
 
 // seconds turns seconds into a span.
-func seconds(count float64) clock.Span { return clock.Span(count * float64(time.Second)) }
+func seconds(count float64) clock.Duration { return clock.Duration(count * float64(time.Second)) }
 
 // The budgets for control at one node: processor ms a second (4.4% of a core), bytes a
 // second, and memory in KB.
--- a/internal/tooling/hollowfleet/plot.go
+++ b/internal/tooling/hollowfleet/plot.go
@@ -13,8 +13,8 @@
 	"lemonarch/internal/platform/errs"
 )
 
-// Unplotted is the error of a plot that can't be made.
-var Unplotted = errs.Define("plot")
+// ErrPlot is the error of a plot that can't be made.
+var ErrPlot = errs.Define("plot")
 
 // Chart is one picture: slopes by name, from one series or several.
 type Chart struct {
@@ -41,7 +41,7 @@
 		}
 		dots, err := plotter.NewScatter(points)
 		if err != nil {
-			return Unplotted.Wrap(err, name)
+			return ErrPlot.Wrap(err, name)
 		}
 		dots.Color, dots.Shape = plotutil.Color(place), plotutil.Shape(place)
 		line := plotter.NewFunction(slope.Best.At)
@@ -59,10 +59,10 @@
 		picture.Y.Max = max(picture.Y.Max, c.Budget*1.1)
 	}
 	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return Unplotted.Wrap(err, folder)
+		return ErrPlot.Wrap(err, folder)
 	}
 	path := filepath.Join(folder, strings.ReplaceAll(strings.ToLower(c.Title), " ", "-")+".svg")
-	return Unplotted.Wrap(picture.Save(16*vg.Centimeter, 10*vg.Centimeter, path), path)
+	return ErrPlot.Wrap(picture.Save(16*vg.Centimeter, 10*vg.Centimeter, path), path)
 }
 
 // Draw writes the charts of a series.
--- a/internal/tooling/hollowfleet/probe.go
+++ b/internal/tooling/hollowfleet/probe.go
@@ -96,11 +96,11 @@
 	probe.TakeMs = timed(func() { _ = book.Apply(record) }) / 1e6
 	probe.HeapMB = (heapBytes() - before) / (1 << 20)
 	probe.WaitingMs = timed(func() { book.Waiting(func(*lots.Lot) bool { return true }) }) / 1e6
-	lot := book.Lot(record.Lot)
+	lot := book.Lot(record.Job)
 	stride := max(1, size/sampledOutputs)
 	count, spent := 0, 0.0
 	for place := 0; place < size; place += stride {
-		output := &messages.Record{Kind: messages.RecordOutput, Lot: record.Lot, Item: lot.Items[place].ID, Position: len(lot.Listings)}
+		output := &messages.Record{Kind: messages.RecordOutput, Job: record.Job, Item: lot.Items[place].ID, Position: len(lot.Listings)}
 		spent += timed(func() { _ = book.Apply(output) })
 		count++
 	}
@@ -109,7 +109,7 @@
 	before = heapBytes()
 	replica := lots.NewReplica("disk")
 	for place := 0; place <= size; place++ {
-		replica.Put(&messages.Record{Epoch: lotEpoch, Kind: messages.RecordOutput, Lot: record.Lot}, int64(place))
+		replica.Put(&messages.Record{Epoch: lotEpoch, Kind: messages.RecordOutput, Job: record.Job}, int64(place))
 	}
 	probe.ReplicaKB = (heapBytes() - before) / 1024
 	runtime.KeepAlive(replica)
@@ -120,13 +120,13 @@
 
 // lotRecord makes the record of a lot.
 func lotRecord(size, itemBytes int) *messages.Record {
-	body := &messages.LotBody{Path: "/v1/batch"}
+	body := &messages.JobBody{Path: "/v1/batch"}
 	text := make([]byte, itemBytes)
 	for place := 0; place < size; place++ {
-		body.Items = append(body.Items, messages.LotItem{ID: fmt.Sprintf("item-%06d", place), Path: "/v1/generate", Tokens: 600, Body: text})
+		body.Items = append(body.Items, messages.JobItem{ID: fmt.Sprintf("item-%06d", place), Path: "/v1/generate", Tokens: 600, Body: text})
 	}
 	whole, _ := body.MarshalMsg(nil)
-	return &messages.Record{Kind: messages.RecordLot, Lot: "lot-00000001", Index: 1, Epoch: lotEpoch, Body: whole}
+	return &messages.Record{Kind: messages.RecordJob, Job: "lot-00000001", Index: 1, Epoch: lotEpoch, Body: whole}
 }
 
 // timed is a function's processor time in ns.
--- a/internal/tooling/hollowfleet/propose.go
+++ b/internal/tooling/hollowfleet/propose.go
@@ -10,13 +10,13 @@
 
 // propose runs a change at the register until it is in force (then gets its value) or
 // its time is over (then gets nil).
-func (c *configuration) propose(node *Node, change register.Change, end clock.Moment, then func(*messages.Register)) {
+func (c *configuration) propose(node *Node, change register.Change, end clock.Instant, then func(*messages.RegisterValue)) {
 	own := c.stateOf(node)
 	own.counter++
 	var proposal *register.Proposal
 	var sends []register.Send
 	node.step(CoreRegister, func() {
-		ballot := register.NewBallot(own.counter, node.own.Name, firstDisk, node.own.Life)
+		ballot := register.NewBallot(own.counter, node.own.Name, firstDisk, node.own.Incarnation)
 		proposal, sends = register.Begin(ballot, own.known, change)
 	})
 	settled := false
@@ -32,7 +32,7 @@
 	var carry func(sends []register.Send)
 	carry = func(sends []register.Send) {
 		for _, send := range sends {
-			c.carry(node, send, func(promise *messages.Promise, accepted *messages.Accepted) {
+			c.carry(node, send, func(promise *messages.PrepareResponse, accepted *messages.AcceptResponse) {
 				var more []register.Send
 				node.step(CoreRegister, func() {
 					if promise != nil {
@@ -47,7 +47,7 @@
 		}
 	}
 	carry(sends)
-	node.after(constants.RoundTime, func() {
+	node.after(constants.RoundTimeout, func() {
 		if settled {
 			return
 		}
@@ -57,38 +57,38 @@
 			then(nil)
 			return
 		}
-		pause := constants.BackoffBase + clock.Span(node.random.Int63n(int64(constants.BackoffSpread)))
+		pause := constants.BackoffBase + clock.Duration(node.random.Int63n(int64(constants.BackoffSpread)))
 		node.after(pause, func() { c.propose(node, change, end, then) })
 	})
 }
 
 // carry takes one message of a proposal to its member.
-func (c *configuration) carry(node *Node, send register.Send, then func(*messages.Promise, *messages.Accepted)) {
+func (c *configuration) carry(node *Node, send register.Send, then func(*messages.PrepareResponse, *messages.AcceptResponse)) {
 	own := c.stateOf(node)
 	if send.Member.Address == node.own.Address {
 		if send.Prepare != nil {
-			var answer messages.Promise
+			var answer messages.PrepareResponse
 			node.step(CoreRegister, func() { answer, _ = own.acceptor.Prepare(send.Prepare) })
 			then(&answer, nil)
 			return
 		}
-		var answer messages.Accepted
+		var answer messages.AcceptResponse
 		node.step(CoreRegister, func() { answer, _ = own.acceptor.Accept(send.Accept) })
 		then(nil, &answer)
 		return
 	}
-	kind, message := messages.KindAccept, transport.Writable(send.Accept)
+	kind, message := messages.KindAccept, transport.Marshaler(send.Accept)
 	if send.Prepare != nil {
 		kind, message = messages.KindPrepare, send.Prepare
 	}
-	promise, accepted := &messages.Promise{}, &messages.Accepted{}
-	var answer transport.Readable = accepted
+	promise, accepted := &messages.PrepareResponse{}, &messages.AcceptResponse{}
+	var answer transport.Unmarshaler = accepted
 	if send.Prepare != nil {
 		answer, accepted = promise, nil
 	} else {
 		promise = nil
 	}
-	node.ask(CoreRegister, send.Member.Address, kind, message, answer, constants.RoundTime, func(reached bool) {
+	node.ask(CoreRegister, send.Member.Address, kind, message, answer, constants.RoundTimeout, func(reached bool) {
 		if reached {
 			then(promise, accepted)
 		}
--- a/internal/tooling/hollowfleet/readings.go
+++ b/internal/tooling/hollowfleet/readings.go
@@ -8,18 +8,18 @@
 // spreadReading tells of a long prompt as loadgossip does: in the worker's zone those who
 // draw it, and one process there where that is another zone; first is false for a notice
 // that came from there.
-func (g *gossip) spreadReading(node *Node, own *placing, told *messages.ReadingTold, first bool) {
+func (g *gossip) spreadReading(node *Node, own *placing, told *messages.PrefillNotice, first bool) {
 	zone := own.scheduler.ZoneOf(told.Worker)
 	if zone == node.own.Zone {
 		drawn, part := own.scheduler.DrawnBy(told.Worker, own.neighbours.near)
 		if !part {
 			drawn = own.neighbours.readings
 		}
-		node.tell(drawn[:min(len(drawn), constants.ReadingFanout)], CoreReadings, messages.KindReading, told)
+		node.tell(drawn[:min(len(drawn), constants.ReadingFanout)], CoreReadings, messages.KindPrefill, told)
 		return
 	}
 	if _, part := own.scheduler.DrawnBy(told.Worker, nil); !part {
-		node.tell(own.neighbours.readings, CoreReadings, messages.KindReading, told)
+		node.tell(own.neighbours.readings, CoreReadings, messages.KindPrefill, told)
 		return
 	}
 	if !first {
@@ -28,8 +28,8 @@
 	for _, there := range own.neighbours.zones {
 		if there[0].Zone == zone {
 			further := *told
-			further.Pass = true
-			node.tell([]messages.Entry{there[node.random.Intn(len(there))]}, CoreReadings, messages.KindReading, &further)
+			further.Forward = true
+			node.tell([]messages.NodeInfo{there[node.random.Intn(len(there))]}, CoreReadings, messages.KindPrefill, &further)
 		}
 	}
 }
--- a/internal/tooling/hollowfleet/real.go
+++ b/internal/tooling/hollowfleet/real.go
@@ -47,7 +47,7 @@
 func PlayReal(plan RealPlan, progress io.Writer) (*RealResult, error) {
 	folder, err := os.MkdirTemp("", "hollow")
 	if err != nil {
-		return nil, Unstarted.Wrap(err, "folder")
+		return nil, ErrNotStarted.Wrap(err, "folder")
 	}
 	defer os.RemoveAll(folder)
 	fleet := &realFleet{plan: plan, folder: folder, ended: make(chan string, realLimit), client: http.Client{Timeout: clock.Milliseconds(3000)}}
@@ -80,7 +80,7 @@
 	case <-clock.After(seconds(forS)):
 		return nil
 	case name := <-r.ended:
-		return Unstarted.New(name + " ended by itself")
+		return ErrNotStarted.New(name + " ended by itself")
 	}
 }
 
@@ -128,12 +128,12 @@
 		for _, role := range roles {
 			path := filepath.Join(r.folder, fmt.Sprintf("%s-%d.toml", role, machine))
 			if err := os.WriteFile(path, []byte(r.nodeSettings(machine, role)), 0o600); err != nil {
-				return Unstarted.Wrap(err, "settings")
+				return ErrNotStarted.Wrap(err, "settings")
 			}
 			child := exec.Command(filepath.Join(r.plan.Programs, constants.RoleName(role)))
 			child.Env = append(os.Environ(), settings.Variable+"="+path)
 			if err := child.Start(); err != nil {
-				return Unstarted.Wrap(err, role)
+				return ErrNotStarted.Wrap(err, role)
 			}
 			r.children, r.roles = append(r.children, child), append(r.roles, constants.RoleName(role))
 			go func() {
@@ -173,7 +173,7 @@
 	defer answer.Body.Close()
 	_, _ = io.Copy(io.Discard, answer.Body)
 	if answer.StatusCode != http.StatusOK {
-		return Unstarted.New(path + " was answered by " + answer.Status)
+		return ErrNotStarted.New(path + " was answered by " + answer.Status)
 	}
 	return nil
 }
@@ -197,7 +197,7 @@
 			return pause
 		}
 	}
-	return Unstarted.Wrap(err, "first configuration")
+	return ErrNotStarted.Wrap(err, "first configuration")
 }
 
 // realService is the service of the workers that beat.
@@ -215,7 +215,7 @@
 
 // beat is one round of heartbeats of all workers.
 func (r *realFleet) beat() {
-	now := clock.Wall()
+	now := clock.WallNanos()
 	for worker := 0; worker < r.plan.Workers; worker++ {
 		body, _ := json.Marshal(heartbeat{Backend: realService, Address: fmt.Sprintf("127.78.%d.%d:9000", worker/200, worker%200+1),
 			Zone: "zone-0", Capacity: 16, Phase: "steady", Count: now})
--- a/internal/tooling/hollowfleet/realplan.go
+++ b/internal/tooling/hollowfleet/realplan.go
@@ -8,8 +8,8 @@
 	"lemonarch/internal/platform/errs"
 )
 
-// Unstarted is the error of real processes that can't be played.
-var Unstarted = errs.Define("real processes")
+// ErrNotStarted is the error of real processes that can't be played.
+var ErrNotStarted = errs.Define("real processes")
 
 // RealPlan is a small fleet of the real programs on loopback, at rest: no request, no
 // lot, workers that beat. It is the check of what the hollow fleet leaves out, sockets
--- a/internal/tooling/hollowfleet/register.go
+++ b/internal/tooling/hollowfleet/register.go
@@ -22,7 +22,7 @@
 type configuration struct {
 	fleet     *Fleet
 	acceptors map[string]*register.Acceptor
-	first     messages.Register
+	first     messages.RegisterValue
 	random    *rand.Rand
 	chosen    int64
 	changes   int
@@ -32,7 +32,7 @@
 type registerState struct {
 	acceptor *register.Acceptor
 	grants   *lease.Grants
-	known    messages.Register
+	known    messages.RegisterValue
 	counter  uint64
 	body     []byte
 }
@@ -65,37 +65,37 @@
 
 // Begin starts a controller's seat, or a follower.
 func (c *configuration) Begin(node *Node) any {
-	node.answerers[messages.KindConfigPush] = reads(node, CoreConfig, func(push *messages.ConfigPush) transport.Writable {
-		if len(push.Pass) > 0 {
+	node.answerers[messages.KindConfigPush] = reads(node, CoreConfig, func(push *messages.ConfigPush) transport.Marshaler {
+		if len(push.ForwardTo) > 0 {
 			node.after(0, func() { c.passOn(node, push) })
 		}
 		c.take(node, push.Generation, push.Body)
 		// A push without a body only says that there is one.
 		c.saw(node, push.Generation)
-		return &messages.Nothing{Taken: node.generation >= push.Generation}
+		return &messages.Ack{Accepted: node.generation >= push.Generation}
 	})
 	acceptor := c.acceptors[node.own.Address]
 	if acceptor == nil {
-		node.after(constants.StartPause*2, func() { c.pull(node) })
+		node.after(constants.StartBackoff*2, func() { c.pull(node) })
 		return &follower{}
 	}
 	own := &registerState{acceptor: acceptor, grants: lease.NewGrants(node.now(), node.life == 1), known: c.first}
-	node.answerers[messages.KindPrepare] = reads(node, CoreRegister, func(question *messages.Prepare) transport.Writable {
+	node.answerers[messages.KindPrepare] = reads(node, CoreRegister, func(question *messages.PrepareRequest) transport.Marshaler {
 		answer, _ := acceptor.Prepare(question)
 		return &answer
 	})
-	node.answerers[messages.KindAccept] = reads(node, CoreRegister, func(question *messages.Accept) transport.Writable {
+	node.answerers[messages.KindAccept] = reads(node, CoreRegister, func(question *messages.AcceptRequest) transport.Marshaler {
 		answer, _ := acceptor.Accept(question)
 		return &answer
 	})
-	node.answerers[messages.KindAsk] = reads(node, CoreHolds, func(question *messages.HoldAsk) transport.Writable {
-		answer := own.grants.Ask(*question, acceptor.Value().Duty, node.now())
+	node.answerers[messages.KindLease] = reads(node, CoreHolds, func(question *messages.LeaseRequest) transport.Marshaler {
+		answer := own.grants.Ask(*question, acceptor.Value().Leadership, node.now())
 		return &answer
 	})
-	node.answerers[messages.KindConfigPull] = reads(node, CoreConfig, func(*messages.ConfigPull) transport.Writable {
+	node.answerers[messages.KindConfigPull] = reads(node, CoreConfig, func(*messages.ConfigPull) transport.Marshaler {
 		return &messages.ConfigPush{Generation: node.generation, Body: own.body}
 	})
-	node.after(constants.StartPause*2, func() { c.pull(node) })
+	node.after(constants.StartBackoff*2, func() { c.pull(node) })
 	return own
 }
 
@@ -127,13 +127,13 @@
 	})
 }
 
-// passOn sends a configuration on to the part of the zone that came with it.
+// forward sends a configuration on to the part of the zone that came with it.
 func (c *configuration) passOn(node *Node, push *messages.ConfigPush) {
-	for _, send := range broadcast.Split(push.Pass, constants.BodyFan) {
+	for _, send := range broadcast.Split(push.ForwardTo, constants.BodyFanout) {
 		var try func(address string, pass []string)
 		try = func(address string, pass []string) {
-			part := &messages.ConfigPush{Generation: push.Generation, Body: push.Body, Pass: pass}
-			node.ask(CoreConfig, address, messages.KindConfigPush, part, &messages.Nothing{}, constants.CallTime, func(reached bool) {
+			part := &messages.ConfigPush{Generation: push.Generation, Body: push.Body, ForwardTo: pass}
+			node.ask(CoreConfig, address, messages.KindConfigPush, part, &messages.Ack{}, constants.CallTimeout, func(reached bool) {
 				if !reached && len(pass) > 0 {
 					try(pass[0], pass[1:])
 				}
@@ -157,25 +157,25 @@
 
 // pull asks controllers, the nearest that answer first, until one does.
 func (c *configuration) pull(node *Node) {
-	var controllers []messages.Entry
+	var controllers []messages.NodeInfo
 	node.step(CoreConfig, func() { controllers = c.fleet.members.view(node).Controllers(node.now()) })
 	address := c.fleet.seeds[node.random.Intn(len(c.fleet.seeds))]
 	if len(controllers) > 0 {
 		address = controllers[0].Address
 	}
 	if address == node.own.Address {
-		node.after(constants.StartPause, func() { c.pull(node) })
+		node.after(constants.StartBackoff, func() { c.pull(node) })
 		return
 	}
 	push := &messages.ConfigPush{}
-	node.ask(CoreConfig, address, messages.KindConfigPull, &messages.ConfigPull{Known: node.generation}, push, constants.CallTime, func(reached bool) {
+	node.ask(CoreConfig, address, messages.KindConfigPull, &messages.ConfigPull{Known: node.generation}, push, constants.CallTimeout, func(reached bool) {
 		if reached {
 			c.take(node, push.Generation, push.Body)
 		} else {
 			c.fleet.members.view(node).Failed(address, node.now())
 		}
 		if !reached && node.generation < c.chosen {
-			node.after(constants.StartPause, func() { c.pull(node) })
+			node.after(constants.StartBackoff, func() { c.pull(node) })
 			return
 		}
 		if other, is := node.state[3].(*follower); is {
@@ -197,7 +197,7 @@
 	version.Hash = routeconfig.Hash(body)
 	var result register.Result
 	begun := fleet.world.Now
-	c.propose(node, register.Replace(version, body, &result), fleet.world.Now.Plus(constants.RegisterTime), func(value *messages.Register) {
+	c.propose(node, register.Replace(version, body, &result), fleet.world.Now.Add(constants.RegisterTimeout), func(value *messages.RegisterValue) {
 		if value == nil {
 			fleet.troubles.refused("configuration")
 			return
@@ -206,8 +206,8 @@
 		fleet.troubles.track("configuration", node, func(one *Node) bool { return one.generation >= value.Current.Generation })
 		c.take(node, value.Current.Generation, value.Body)
 		// The call is acknowledged when all have it or the time for it is over.
-		fleet.registrations.spread(node, CoreConfig, &messages.Relay{Generation: value.Current.Generation, Body: value.Body}, constants.PushTime, func() {
-			fleet.troubles.acknowledged("configuration", fleet.world.Now.Since(begun))
+		fleet.registrations.spread(node, CoreConfig, &messages.RelayRequest{Generation: value.Current.Generation, Body: value.Body}, constants.PushTimeout, func() {
+			fleet.troubles.acknowledged("configuration", fleet.world.Now.Sub(begun))
 		})
 	})
 }
--- a/internal/tooling/hollowfleet/second_report.go
+++ b/internal/tooling/hollowfleet/second_report.go
@@ -11,14 +11,14 @@
 // secondReport is the short report to a controller other than the first, drawn anew
 // each time.
 func (m *memberList) secondReport(node *Node, own *seat) {
-	var controllers []messages.Entry
+	var controllers []messages.NodeInfo
 	node.step(CoreMembership, func() { controllers = own.view.SecondControllers(own.first, node.now()) })
 	m.reportToOneOf(node, controllers, true, func(string) {})
 }
 
 // reportToOneOf reports to the first controller of a list that is in contact with a
 // majority, and gives its address, or nothing where none is.
-func (m *memberList) reportToOneOf(node *Node, controllers []messages.Entry, brief bool, then func(address string)) {
+func (m *memberList) reportToOneOf(node *Node, controllers []messages.NodeInfo, brief bool, then func(address string)) {
 	silent := 0
 	var try func(place int)
 	try = func(place int) {
@@ -66,7 +66,7 @@
 		}
 	})
 	answer := &messages.Shuffle{}
-	node.ask(CoreMembership, address, messages.KindShuffle, question, answer, constants.ReportTime, func(reached bool) {
+	node.ask(CoreMembership, address, messages.KindShuffle, question, answer, constants.ReportTimeout, func(reached bool) {
 		result := reportTaken
 		switch {
 		case !reached:
--- a/internal/tooling/hollowfleet/teller.go
+++ b/internal/tooling/hollowfleet/teller.go
@@ -10,15 +10,15 @@
 // teller says now and then how far a long run is.
 type teller struct {
 	writer io.Writer
-	last   clock.Moment
+	last   clock.Instant
 }
 
 const tellPeriod = 5_000_000_000
 
 func newTeller(writer io.Writer) *teller { return &teller{writer: writer, last: clock.Now()} }
 
-func (t *teller) tell(fleet *Fleet, whole clock.Moment) {
-	if t.writer == nil || clock.Now().Since(t.last) < tellPeriod {
+func (t *teller) tell(fleet *Fleet, whole clock.Instant) {
+	if t.writer == nil || clock.Now().Sub(t.last) < tellPeriod {
 		return
 	}
 	t.last = clock.Now()
--- a/internal/tooling/hollowfleet/traffic.go
+++ b/internal/tooling/hollowfleet/traffic.go
@@ -61,7 +61,7 @@
 func (t *traffic) request(node *Node, scheduler *admission.Scheduler) {
 	model := t.random.Intn(t.fleet.Plan.Models)
 	ask := &admission.Ask{Service: fmt.Sprintf("model-%02d", model), Prompt: t.prompt(node, model), Affine: true,
-		Setpoint: clock.Milliseconds(470), Deadline: node.now().Plus(seconds(20)), Patience: node.now().Plus(seconds(1))}
+		Setpoint: clock.Milliseconds(470), Deadline: node.now().Add(seconds(20)), Patience: node.now().Add(seconds(1))}
 	var answer admission.Answer
 	node.step(CorePlacement, func() { answer, _ = scheduler.Admit(ask, nil, node.now()) })
 	t.asked++
--- a/internal/tooling/hollowfleet/tree.go
+++ b/internal/tooling/hollowfleet/tree.go
@@ -13,7 +13,7 @@
 
 // propagation is an update on its way down the tree.
 type propagation struct {
-	begun clock.Moment
+	begun clock.Instant
 	job   *broadcast.Job
 	// waiting are those told once it is done.
 	waiting []func()
@@ -40,8 +40,8 @@
 }
 
 // directory gives every other process that lacks a generation, the silent ones included.
-func (r *registrations) directory(node *Node, generation int64) []messages.Entry {
-	var found []messages.Entry
+func (r *registrations) directory(node *Node, generation int64) []messages.NodeInfo {
+	var found []messages.NodeInfo
 	for _, entry := range r.fleet.members.all(node) {
 		has := generation > 0 && entry.Generation >= generation && entry.Role != membership.RoleController
 		if !has {
@@ -51,18 +51,18 @@
 	return found
 }
 
-func fan(update *messages.Relay) int {
+func fan(update *messages.RelayRequest) int {
 	if update.Generation > 0 {
-		return 2 * constants.BodyFan
+		return 2 * constants.BodyFanout
 	}
 	return 0
 }
 
 // spread tells all processes down the tree; done is told when all in touch have taken
 // the update, or after the span.
-func (r *registrations) spread(node *Node, core Core, update *messages.Relay, span clock.Span, done func()) {
+func (r *registrations) spread(node *Node, core Core, update *messages.RelayRequest, span clock.Duration, done func()) {
 	r.number++
-	update.From, update.Number = membership.Key(node.own), r.number
+	update.From, update.Sequence = membership.Key(node.own), r.number
 	one := &propagation{begun: node.now()}
 	var sends []broadcast.Send
 	directory := r.directory(node, update.Generation)
@@ -70,14 +70,14 @@
 	told := onceOf(done)
 	one.waiting = append(one.waiting, told)
 	if update.Generation > 0 {
-		r.addToBacklog(node, update, one.job.Unconfirmed(sends), constants.BacklogPassedPause)
+		r.addToBacklog(node, update, one.job.Unconfirmed(sends), constants.BacklogForwardedDelay)
 	}
 	node.after(span, told)
 	r.deliver(node, core, update, one, sends)
 }
 
 // deliver makes the calls that a job asks for, until it is done or too late.
-func (r *registrations) deliver(node *Node, core Core, update *messages.Relay, one *propagation, sends []broadcast.Send) {
+func (r *registrations) deliver(node *Node, core Core, update *messages.RelayRequest, one *propagation, sends []broadcast.Send) {
 	var follow func(sends []broadcast.Send)
 	follow = func(sends []broadcast.Send) {
 		for _, send := range sends {
@@ -88,7 +88,7 @@
 				}
 				next := one.job.Failed(send, node.now())
 				if entry := one.job.Told(send); send.Step == broadcast.StepTell && entry.Address != "" {
-					r.addToBacklog(node, update, []messages.Entry{entry}, constants.BacklogPause)
+					r.addToBacklog(node, update, []messages.NodeInfo{entry}, constants.BacklogBackoff)
 				}
 				follow(next)
 			})
@@ -98,38 +98,38 @@
 	follow(sends)
 	var tick func()
 	tick = func() {
-		if !one.job.Done() && node.now().Since(one.begun) < constants.BulkCallTime {
+		if !one.job.Done() && node.now().Sub(one.begun) < constants.BulkCallTimeout {
 			node.step(core, func() { follow(one.job.Tick(node.now())) })
-			node.after(constants.RelayPatience/4, tick)
+			node.after(constants.RelayTimeout/4, tick)
 		}
 	}
-	node.after(constants.RelayPatience/4, tick)
+	node.after(constants.RelayTimeout/4, tick)
 }
 
 // send makes one call of a job.
-func (r *registrations) send(node *Node, core Core, update *messages.Relay, send broadcast.Send, then func([]uint32, bool)) {
+func (r *registrations) send(node *Node, core Core, update *messages.RelayRequest, send broadcast.Send, then func([]uint32, bool)) {
 	plain := func(reached bool) { then(nil, reached) }
 	switch {
 	case send.Step == broadcast.StepRelay:
 		part := *update
 		part.Expect = send.Expect
-		node.ask(core, send.Address, messages.KindRelay, &part, &messages.Nothing{}, constants.CallTime, plain)
+		node.ask(core, send.Address, messages.KindRelay, &part, &messages.Ack{}, constants.CallTimeout, plain)
 	case send.Step == broadcast.StepWait:
-		back := &messages.RelayDone{}
-		node.ask(core, send.Address, messages.KindRelayWait, &messages.RelayWait{From: update.From, Number: update.Number}, back, constants.CallTime,
+		back := &messages.RelayWaitResponse{}
+		node.ask(core, send.Address, messages.KindRelayWait, &messages.RelayWaitRequest{From: update.From, Sequence: update.Sequence}, back, constants.CallTimeout,
 			func(reached bool) { then(back.Missing, reached && back.Known) })
 	case update.Generation > 0:
-		push := &messages.ConfigPush{Generation: update.Generation, Body: update.Body, Pass: send.Pass}
-		node.ask(core, send.Address, messages.KindConfigPush, push, &messages.Nothing{}, constants.CallTime, plain)
+		push := &messages.ConfigPush{Generation: update.Generation, Body: update.Body, ForwardTo: send.Pass}
+		node.ask(core, send.Address, messages.KindConfigPush, push, &messages.Ack{}, constants.CallTimeout, plain)
 	default:
-		push := &messages.RosterPush{From: membership.Key(node.own), Workers: update.Workers}
-		node.ask(core, send.Address, messages.KindRosterPush, push, &messages.Nothing{}, constants.CallTime, plain)
+		push := &messages.WorkersUpdate{From: membership.Key(node.own), Workers: update.Workers}
+		node.ask(core, send.Address, messages.KindWorkersUpdate, push, &messages.Ack{}, constants.CallTimeout, plain)
 	}
 }
 
 func relayKey(from string, number uint64) string { return from + "#" + strconv.FormatUint(number, 10) }
 
-func coreOf(update *messages.Relay) Core {
+func coreOf(update *messages.RelayRequest) Core {
 	if update.Generation > 0 {
 		return CoreConfig
 	}
@@ -138,7 +138,7 @@
 
 // beginRelays lets a controller tell its zone on behalf of another.
 func (r *registrations) beginRelays(node *Node, own *table) {
-	node.answerers[messages.KindRelay] = reads(node, CoreWorkers, func(update *messages.Relay) transport.Writable {
+	node.answerers[messages.KindRelay] = reads(node, CoreWorkers, func(update *messages.RelayRequest) transport.Marshaler {
 		r.merge(node, own, update.Workers)
 		r.fleet.configuration.take(node, update.Generation, update.Body)
 		expect := update.Expect[:0:0]
@@ -154,21 +154,21 @@
 		one := &propagation{begun: node.now()}
 		var sends []broadcast.Send
 		one.job, sends = broadcast.Zone(node.own, r.directory(node, update.Generation), expect, fan(update), node.now())
-		own.relays[relayKey(update.From, update.Number)] = one
+		own.relays[relayKey(update.From, update.Sequence)] = one
 		node.after(0, func() { r.deliver(node, coreOf(update), update, one, sends) })
 		return taken()
 	})
-	node.answerers[messages.KindRelayWait] = func(body []byte, reply func(transport.Writable)) {
-		question := &messages.RelayWait{}
-		node.step(CoreWorkers, func() { _ = transport.Read(body, question) })
-		one := own.relays[relayKey(question.From, question.Number)]
+	node.answerers[messages.KindRelayWait] = func(body []byte, reply func(transport.Marshaler)) {
+		question := &messages.RelayWaitRequest{}
+		node.step(CoreWorkers, func() { _ = transport.Decode(body, question) })
+		one := own.relays[relayKey(question.From, question.Sequence)]
 		if one == nil {
-			reply(&messages.RelayDone{})
+			reply(&messages.RelayWaitResponse{})
 			return
 		}
-		say := onceOf(func() { reply(&messages.RelayDone{Known: true, Missing: one.job.Missing()}) })
+		say := onceOf(func() { reply(&messages.RelayWaitResponse{Known: true, Missing: one.job.Missing()}) })
 		one.waiting = append(one.waiting, say)
-		node.after(constants.ZoneTime, say)
+		node.after(constants.ZoneBroadcastTimeout, say)
 		node.after(0, one.settle)
 	}
 }
--- a/internal/tooling/hollowfleet/troubles.go
+++ b/internal/tooling/hollowfleet/troubles.go
@@ -24,11 +24,11 @@
 // track follows one piece of news until every process it concerns has it.
 type track struct {
 	kind    string
-	begun   clock.Moment
+	begun   clock.Instant
 	left    map[*Node]int
 	count   int
 	knows   func(*Node) bool
-	patient clock.Span
+	patient clock.Duration
 	// slow says that asking is dear, and is done at every tenth look.
 	slow bool
 }
@@ -188,8 +188,8 @@
 		}
 		switch {
 		case len(one.left) == 0:
-			t.taken[one.kind] = append(t.taken[one.kind], clock.ToMilliseconds(now.Since(one.begun)))
-		case now.Since(one.begun) > one.patient:
+			t.taken[one.kind] = append(t.taken[one.kind], clock.ToMilliseconds(now.Sub(one.begun)))
+		case now.Sub(one.begun) > one.patient:
 			t.missed[one.kind] = append(t.missed[one.kind], float64(len(one.left))/float64(max(one.count, 1)))
 		default:
 			kept = append(kept, one)
@@ -199,7 +199,7 @@
 	t.fleet.world.After(trackPeriod, t.look)
 }
 
-func (t *troubles) acknowledged(kind string, took clock.Span) {
+func (t *troubles) acknowledged(kind string, took clock.Duration) {
 	if t.fleet.counting {
 		t.acked[kind] = append(t.acked[kind], clock.ToMilliseconds(took))
 	}
@@ -211,7 +211,7 @@
 func (t *troubles) close() {
 	now := t.fleet.world.Now
 	for _, one := range t.open {
-		if now.Since(one.begun) >= seconds(settledAfter) {
+		if now.Sub(one.begun) >= seconds(settledAfter) {
 			t.missed[one.kind] = append(t.missed[one.kind], float64(len(one.left))/float64(max(one.count, 1)))
 		}
 	}
--- a/internal/tooling/hollowfleet/wirecost.go
+++ b/internal/tooling/hollowfleet/wirecost.go
@@ -22,7 +22,7 @@
 func WireCost() (float64, error) {
 	// An address of its own for each process, beyond those of any fleet.
 	address := machineAddress(10_000+os.Getpid()%40_000) + ":17099"
-	server, client := transport.NewWire(address), transport.NewWire("")
+	server, client := transport.NewTCP(address), transport.NewTCP("")
 	defer server.Close()
 	defer client.Close()
 	if err := server.Serve(func(messages.Kind, []byte) ([]byte, error) { return make([]byte, wireBody), nil }); err != nil {
@@ -39,7 +39,7 @@
 	before := processTime()
 	for range wireCalls {
 		if err := call(); err != nil {
-			return 0, Unstarted.Wrap(err, "wire")
+			return 0, ErrNotStarted.Wrap(err, "wire")
 		}
 	}
 	return float64(processTime()-before) / 1e3 / (2 * wireCalls), nil
--- a/internal/tooling/hollowfleet/workers.go
+++ b/internal/tooling/hollowfleet/workers.go
@@ -43,7 +43,7 @@
 // peer is what a controller remembers of another one.
 type peer struct {
 	registrations, processes messages.Digest
-	told                     clock.Moment
+	told                     clock.Instant
 }
 
 func newWorkers(fleet *Fleet) *registrations {
@@ -81,22 +81,22 @@
 	heartbeat := clock.Milliseconds(r.fleet.Plan.HeartbeatMs)
 	if node.places() {
 		own := &placing{scheduler: admission.New(node.own, heartbeat), read: map[string]messages.Digest{}}
-		node.answerers[messages.KindRosterPush] = reads(node, CoreWorkers, func(push *messages.RosterPush) transport.Writable {
+		node.answerers[messages.KindWorkersUpdate] = reads(node, CoreWorkers, func(push *messages.WorkersUpdate) transport.Marshaler {
 			own.scheduler.Merge(push.Workers, node.now())
 			r.fleet.members.touched(node, push.From)
 			return taken()
 		})
-		node.after(constants.StartPause, func() { r.pullFirst(node, own) })
+		node.after(constants.StartBackoff, func() { r.pullFirst(node, own) })
 		return own
 	}
 	own := &table{registry: workers.New(heartbeat), peers: map[string]*peer{}, relays: map[string]*propagation{}, backlog: broadcast.NewBacklog()}
-	node.answerers[messages.KindRosterPush] = reads(node, CoreWorkers, func(push *messages.RosterPush) transport.Writable {
+	node.answerers[messages.KindWorkersUpdate] = reads(node, CoreWorkers, func(push *messages.WorkersUpdate) transport.Marshaler {
 		r.merge(node, own, push.Workers)
 		r.fleet.members.touched(node, push.From)
 		return taken()
 	})
-	node.answerers[messages.KindRosterPull] = reads(node, CoreWorkers, func(question *messages.RosterPull) transport.Writable {
-		return &messages.RosterPush{From: membership.Key(node.own), Workers: own.registry.Since(question.Since, node.now()), Table: own.registry.Digest(node.own.Life)}
+	node.answerers[messages.KindWorkersPull] = reads(node, CoreWorkers, func(question *messages.WorkersPullRequest) transport.Marshaler {
+		return &messages.WorkersUpdate{From: membership.Key(node.own), Workers: own.registry.Since(question.Since, node.now()), Table: own.registry.Digest(node.own.Incarnation)}
 	})
 	r.beginBeats(node, own)
 	r.beginRelays(node, own)
@@ -118,15 +118,15 @@
 	seed := r.fleet.seeds[node.random.Intn(len(r.fleet.seeds))]
 	r.pull(node, own, seed, 0, func(reached bool) {
 		if !reached {
-			node.after(constants.StartPause, func() { r.pullFirst(node, own) })
+			node.after(constants.StartBackoff, func() { r.pullFirst(node, own) })
 		}
 	})
 }
 
 func (r *registrations) pull(node *Node, own *placing, address string, since uint64, then func(bool)) {
-	back := &messages.RosterPush{}
-	question := &messages.RosterPull{From: membership.Key(node.own), Since: since}
-	node.ask(CoreWorkers, address, messages.KindRosterPull, question, back, constants.CallTime, func(reached bool) {
+	back := &messages.WorkersUpdate{}
+	question := &messages.WorkersPullRequest{From: membership.Key(node.own), Since: since}
+	node.ask(CoreWorkers, address, messages.KindWorkersPull, question, back, constants.CallTimeout, func(reached bool) {
 		if reached {
 			own.scheduler.Merge(back.Workers, node.now())
 			own.read[address] = back.Table
@@ -138,7 +138,7 @@
 // heardController takes what a controller's periodic answer says of workers.
 func (r *registrations) heardController(node *Node, address string, answer *messages.Shuffle) {
 	own := r.placing(node)
-	if own == nil || answer.Workers.Life == 0 {
+	if own == nil || answer.Workers.Incarnation == 0 {
 		return
 	}
 	node.step(CoreWorkers, func() {
@@ -148,7 +148,7 @@
 		if ask {
 			r.pull(node, own, address, since, func(bool) {})
 		}
-		if answer.Judging {
+		if answer.OverdueComplete {
 			own.scheduler.Judged(answer.Overdue, node.now())
 		}
 	})
@@ -161,7 +161,7 @@
 		*read = told
 		return 0, false
 	}
-	if read.Life != told.Life {
+	if read.Incarnation != told.Incarnation {
 		return 0, true
 	}
 	return read.Clock, told.Clock > read.Clock
@@ -175,8 +175,8 @@
 	}
 	own := r.table(node)
 	node.step(CoreWorkers, func() {
-		answer.Workers = own.registry.Digest(node.own.Life)
-		answer.Judging, answer.Overdue = true, own.registry.Overdue(node.now())
+		answer.Workers = own.registry.Digest(node.own.Incarnation)
+		answer.OverdueComplete, answer.Overdue = true, own.registry.Overdue(node.now())
 	})
 }
 
@@ -202,7 +202,7 @@
 		parts++
 		r.keepAtMajority(node, worker, settled)
 	}
-	r.spread(node, CoreWorkers, &messages.Relay{Workers: []messages.Worker{worker}}, constants.TreeTime, settled)
+	r.spread(node, CoreWorkers, &messages.RelayRequest{Workers: []messages.Worker{worker}}, constants.BroadcastTimeout, settled)
 }
 
 // controller gives the controller that a worker calls: its zone's, or any that runs. One
--- a/internal/tooling/lab/endpoint.go
+++ b/internal/tooling/lab/endpoint.go
@@ -50,7 +50,7 @@
 func (f *Fleet) serveEndpoint() error {
 	listener, err := net.Listen("tcp4", f.Plan.Endpoint())
 	if err != nil {
-		return Unfit.New("control endpoint at " + f.Plan.Endpoint() + ": " + lastWords(err))
+		return ErrInvalidLab.New("control endpoint at " + f.Plan.Endpoint() + ": " + lastWords(err))
 	}
 	tree := chi.NewRouter()
 	tree.Get("/fleet", func(writer http.ResponseWriter, _ *http.Request) { httpreply.JSON(writer, http.StatusOK, f.Card()) })
@@ -63,11 +63,11 @@
 		reader := json.NewDecoder(http.MaxBytesReader(writer, request.Body, constants.HeadLimit))
 		reader.DisallowUnknownFields()
 		if err := reader.Decode(&trouble); err != nil {
-			httpreply.Reason(writer, http.StatusBadRequest, "trouble can't be read: "+err.Error())
+			httpreply.Error(writer, http.StatusBadRequest, "trouble can't be read: "+err.Error())
 			return
 		}
 		if err := f.Trouble(trouble); err != nil {
-			httpreply.Reason(writer, http.StatusBadRequest, err.Error())
+			httpreply.Error(writer, http.StatusBadRequest, err.Error())
 			return
 		}
 		httpreply.JSON(writer, http.StatusOK, struct{}{})
--- a/internal/tooling/lab/fleet.go
+++ b/internal/tooling/lab/fleet.go
@@ -44,7 +44,7 @@
 	if plan.Configuration != "" {
 		text, err := os.ReadFile(plan.Configuration)
 		if err != nil {
-			return nil, Unfit.Wrap(err, "configuration")
+			return nil, ErrInvalidLab.Wrap(err, "configuration")
 		}
 		configuration = text
 	}
@@ -53,18 +53,18 @@
 	}
 	programs, err := filepath.Abs(plan.Programs)
 	if err != nil {
-		return nil, Unfit.Wrap(err, "programs")
+		return nil, ErrInvalidLab.Wrap(err, "programs")
 	}
 	plan.Programs = programs
 	fleet := &Fleet{Plan: plan, Folder: folder, Died: make(chan error, 1), record: &workeremulator.Record{}, starter: newStarter(),
 		stopping: make(chan struct{}), operator: operator{controls: plan.Controls()}}
 	if folder == "" {
 		if fleet.Folder, err = os.MkdirTemp("", "lemonarch-lab-"); err != nil {
-			return nil, Unfit.Wrap(err, "temporary folder")
+			return nil, ErrInvalidLab.Wrap(err, "temporary folder")
 		}
 		fleet.own = true
 	} else if err = os.MkdirAll(folder, 0o755); err != nil {
-		return nil, Unfit.Wrap(err, "folder")
+		return nil, ErrInvalidLab.Wrap(err, "folder")
 	}
 	if fleet.Folder, err = filepath.Abs(fleet.Folder); err == nil {
 		err = fleet.start(called, configuration)
@@ -98,7 +98,7 @@
 	if err := f.serveEndpoint(); err != nil {
 		return err
 	}
-	end := clock.Now().Plus(constants.LabStartLimit)
+	end := clock.Now().Add(constants.LabStartLimit)
 	if err := f.until(called, end, "the first configuration", func() error { return f.operator.first(configuration) }); err != nil {
 		return err
 	}
@@ -117,7 +117,7 @@
 			return err
 		}
 		if answer.status != http.StatusNotFound {
-			return Unfit.New(address + " can't answer for lots yet")
+			return ErrInvalidLab.New(address + " can't answer for lots yet")
 		}
 	}
 	return nil
@@ -133,7 +133,7 @@
 }
 
 // until tries again and again, and tells of a death or of the last failure.
-func (f *Fleet) until(called contexts.Context, end clock.Moment, what string, function func() error) error {
+func (f *Fleet) until(called contexts.Context, end clock.Instant, what string, function func() error) error {
 	for {
 		err := function()
 		if err == nil {
@@ -141,13 +141,13 @@
 		}
 		var final refused
 		if errors.As(err, &final) || clock.Now() >= end {
-			return Unfit.Wrap(err, "no success with "+what)
+			return ErrInvalidLab.Wrap(err, "no success with "+what)
 		}
 		select {
 		case err = <-f.Died:
 			return err
 		case <-called.Done():
-			return Unfit.New("stopped while starting")
+			return ErrInvalidLab.New("stopped while starting")
 		case <-clock.After(constants.LabRetry):
 		}
 	}
@@ -161,7 +161,7 @@
 			return err
 		}
 		if answer.status != http.StatusOK {
-			return Unfit.New(address + " is not ready")
+			return ErrInvalidLab.New(address + " is not ready")
 		}
 	}
 	return nil
--- a/internal/tooling/lab/lab_test.go
+++ b/internal/tooling/lab/lab_test.go
@@ -149,7 +149,7 @@
 func TestStartThatIsCalledOff(t *testing.T) {
 	plan := NewPlan()
 	plan.Network, plan.Programs = ownNetwork(t), programs(t, "exec sleep 60")
-	called, halt := contexts.Stoppable(contexts.Background())
+	called, halt := contexts.WithCancel(contexts.Background())
 	halt()
 	fleet, err := Start(called, plan, t.TempDir())
 	if err == nil {
--- a/internal/tooling/lab/operator.go
+++ b/internal/tooling/lab/operator.go
@@ -36,7 +36,7 @@
 func (o *operator) ask(method, url string, body []byte, base int64) (answered, error) {
 	request, err := http.NewRequest(method, url, bytes.NewReader(body))
 	if err != nil {
-		return answered{}, Unfit.Wrap(err, "call")
+		return answered{}, ErrInvalidLab.Wrap(err, "call")
 	}
 	if body != nil {
 		request.Header.Set("Lemonarch-Base-Revision", strconv.FormatInt(base, 10))
@@ -44,11 +44,11 @@
 	}
 	answer, err := operatorClient.Do(request)
 	if err != nil {
-		return answered{}, Unfit.New(lastWords(err))
+		return answered{}, ErrInvalidLab.New(lastWords(err))
 	}
 	defer answer.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(answer.Body, 64<<10))
-	return answered{answer.StatusCode, text}, Unfit.Wrap(err, "answer")
+	return answered{answer.StatusCode, text}, ErrInvalidLab.Wrap(err, "answer")
 }
 
 // first sends the first configuration.
@@ -61,12 +61,12 @@
 	present := o.config
 	o.lock.Unlock()
 	if present == nil {
-		return 0, Unfit.New("there is no configuration yet")
+		return 0, ErrInvalidLab.New("there is no configuration yet")
 	}
 	generation = present.Generation + 1
 	body, err := withRoute(present.Body, generation, addedRoute(generation))
 	if err != nil {
-		return 0, Unfit.Wrap(err, "configuration")
+		return 0, ErrInvalidLab.Wrap(err, "configuration")
 	}
 	return generation, o.send(body, present.Generation)
 }
@@ -112,7 +112,7 @@
 		case answer.status >= 400 && answer.status < 500 && answer.status != http.StatusTooManyRequests && answer.status != http.StatusRequestTimeout:
 			return refused("configuration refused with " + strconv.Itoa(answer.status) + ": " + strings.TrimSpace(string(answer.body)))
 		default:
-			err = Unfit.New(address + " answered " + strconv.Itoa(answer.status))
+			err = ErrInvalidLab.New(address + " answered " + strconv.Itoa(answer.status))
 		}
 	}
 	return err
--- a/internal/tooling/lab/plan.go
+++ b/internal/tooling/lab/plan.go
@@ -14,8 +14,8 @@
 	"lemonarch/internal/platform/errs"
 )
 
-// Unfit is the error of a plan that can't be carried out.
-var Unfit = errs.Define("lab")
+// ErrInvalidLab is the error of a plan that can't be carried out.
+var ErrInvalidLab = errs.Define("lab")
 
 // Plan says what a fleet consists of.
 type Plan struct {
@@ -63,23 +63,23 @@
 	}
 	for _, one := range bounds {
 		if one.value < one.low || one.value > one.high {
-			return Unfit.New(fmt.Sprintf("%s must lie between %d and %d, not %d", one.name, one.low, one.high, one.value))
+			return ErrInvalidLab.New(fmt.Sprintf("%s must lie between %d and %d, not %d", one.name, one.low, one.high, one.value))
 		}
 	}
 	if count := p.Gateways + p.Controllers + p.Stores; count > constants.LabProcesses {
-		return Unfit.New(fmt.Sprintf("gateways, controllers and stores make %d processes; at most %d", count, constants.LabProcesses))
+		return ErrInvalidLab.New(fmt.Sprintf("gateways, controllers and stores make %d processes; at most %d", count, constants.LabProcesses))
 	}
 	if p.CacheTokens < 1000 {
-		return Unfit.New("cache-tokens must be 1000 or more")
+		return ErrInvalidLab.New("cache-tokens must be 1000 or more")
 	}
 	address := net.ParseIP(p.Network + ".1")
 	if address == nil || address.To4() == nil || !address.IsLoopback() {
-		return Unfit.New("network must be three bytes of a loopback address, such as " + constants.LabNetwork + ", not " + strconv.Quote(p.Network))
+		return ErrInvalidLab.New("network must be three bytes of a loopback address, such as " + constants.LabNetwork + ", not " + strconv.Quote(p.Network))
 	}
 	for _, role := range []string{"gateway", "controller", "store"} {
 		path := filepath.Join(p.Programs, role)
 		if state, err := os.Stat(path); err != nil || state.IsDir() || state.Mode()&0o111 == 0 {
-			return Unfit.New("no program " + path + "; build them: go build -buildvcs=false -ldflags=-linkmode=external -o target/ ./cmd/...")
+			return ErrInvalidLab.New("no program " + path + "; build them: go build -buildvcs=false -ldflags=-linkmode=external -o target/ ./cmd/...")
 		}
 	}
 	return nil
@@ -150,7 +150,7 @@
 	for _, address := range addresses {
 		listener, err := net.Listen("tcp4", address)
 		if err != nil {
-			return Unfit.New(address + " can't be had (" + lastWords(err) + "); is another lab running? --network names other addresses")
+			return ErrInvalidLab.New(address + " can't be had (" + lastWords(err) + "); is another lab running? --network names other addresses")
 		}
 		listener.Close()
 	}
--- a/internal/tooling/lab/process.go
+++ b/internal/tooling/lab/process.go
@@ -57,7 +57,7 @@
 func (p *process) run(died func(error)) error {
 	log, err := os.OpenFile(p.log, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
-		return Unfit.Wrap(err, "log of "+p.node.name)
+		return ErrInvalidLab.Wrap(err, "log of "+p.node.name)
 	}
 	command := exec.Command(p.program)
 	command.Stdout, command.Stderr = log, log
@@ -68,7 +68,7 @@
 	err = p.starter.start(command)
 	log.Close()
 	if err != nil {
-		return Unfit.Wrap(err, p.node.name)
+		return ErrInvalidLab.Wrap(err, p.node.name)
 	}
 	ended := make(chan struct{})
 	p.lock.Lock()
@@ -81,7 +81,7 @@
 		p.lock.Unlock()
 		close(ended)
 		if !expected {
-			died(Unfit.New(p.node.name + " ended by itself (" + resultOf(err) + "): " + p.lastLine()))
+			died(ErrInvalidLab.New(p.node.name + " ended by itself (" + resultOf(err) + "): " + p.lastLine()))
 		}
 	}()
 	return nil
--- a/internal/tooling/lab/reload.go
+++ b/internal/tooling/lab/reload.go
@@ -16,7 +16,7 @@
 	}
 	if !valid {
 		if err := os.WriteFile(path, []byte(unreadable), 0o644); err != nil {
-			return Unfit.Wrap(err, "settings of "+one.node.name)
+			return ErrInvalidLab.Wrap(err, "settings of "+one.node.name)
 		}
 	}
 	one.signal(syscall.SIGHUP, false)
--- a/internal/tooling/lab/settings.go
+++ b/internal/tooling/lab/settings.go
@@ -57,17 +57,17 @@
 func (p *Plan) write(one node, folder string, first bool) (string, error) {
 	nodeSettings := p.nodeSettings(one, folder, first)
 	if findings := nodeSettings.Check(); len(findings) > 0 {
-		return "", Unfit.New("settings of " + one.name + ": " + findings[0])
+		return "", ErrInvalidLab.New("settings of " + one.name + ": " + findings[0])
 	}
 	if nodeSettings.DataDir != "" {
 		if err := os.MkdirAll(nodeSettings.DataDir, 0o755); err != nil {
-			return "", Unfit.Wrap(err, "data folder of "+one.name)
+			return "", ErrInvalidLab.Wrap(err, "data folder of "+one.name)
 		}
 	}
 	var text bytes.Buffer
 	if err := toml.NewEncoder(&text).Encode(nodeSettings); err != nil {
-		return "", Unfit.Wrap(err, "settings of "+one.name)
+		return "", ErrInvalidLab.Wrap(err, "settings of "+one.name)
 	}
 	path := filepath.Join(folder, one.name+".toml")
-	return path, Unfit.Wrap(os.WriteFile(path, text.Bytes(), 0o644), "settings of "+one.name)
+	return path, ErrInvalidLab.Wrap(os.WriteFile(path, text.Bytes(), 0o644), "settings of "+one.name)
 }
--- a/internal/tooling/lab/trouble.go
+++ b/internal/tooling/lab/trouble.go
@@ -64,29 +64,29 @@
 		onWorker = true
 	case kindConfigure:
 	default:
-		return Unfit.New("no such kind of trouble: " + strconv.Quote(t.Kind))
+		return ErrInvalidLab.New("no such kind of trouble: " + strconv.Quote(t.Kind))
 	}
 	role, _, _ := strings.Cut(t.Target, "-")
 	isProcess := role == "gateway" || role == "controller" || role == "store"
 	isWorker := role == "worker" || role == "plain"
 	if (onProcess && !isProcess) || (onWorker && !isWorker) {
-		return Unfit.New("target " + strconv.Quote(t.Target) + " does not fit the kind " + t.Kind)
+		return ErrInvalidLab.New("target " + strconv.Quote(t.Target) + " does not fit the kind " + t.Kind)
 	}
 	if !(t.AtS >= 0) || !(t.ForS >= 0) || !(t.BackS >= 0) {
-		return Unfit.New("at-s, for-s and back-s must not be below 0")
+		return ErrInvalidLab.New("at-s, for-s and back-s must not be below 0")
 	}
 	if (t.Kind == kindFreeze || t.Kind == kindFlap) && t.ForS == 0 {
-		return Unfit.New("a " + t.Kind + " needs for-s")
+		return ErrInvalidLab.New("a " + t.Kind + " needs for-s")
 	}
 	if findings := t.Faults.Check(); len(findings) > 0 {
-		return Unfit.New("faults: " + findings[0])
+		return ErrInvalidLab.New("faults: " + findings[0])
 	}
 	return nil
 }
 
 func matches(name, target string) bool { return name == target || strings.HasPrefix(name, target+"-") }
 
-func seconds(count float64) clock.Span { return clock.Milliseconds(count * 1000) }
+func seconds(count float64) clock.Duration { return clock.Milliseconds(count * 1000) }
 
 // Trouble begins a trouble; it goes on by itself.
 func (f *Fleet) Trouble(trouble Trouble) error {
@@ -108,7 +108,7 @@
 	}
 	select {
 	case <-f.stopping:
-		return Unfit.New("the fleet is being stopped")
+		return ErrInvalidLab.New("the fleet is being stopped")
 	default:
 	}
 	for _, one := range f.processes {
@@ -122,13 +122,13 @@
 		}
 	}
 	if !found {
-		return Unfit.New("nothing here is called " + strconv.Quote(trouble.Target))
+		return ErrInvalidLab.New("nothing here is called " + strconv.Quote(trouble.Target))
 	}
 	return nil
 }
 
 // pause waits, unless the fleet is stopped.
-func (f *Fleet) pause(span clock.Span) bool {
+func (f *Fleet) pause(span clock.Duration) bool {
 	select {
 	case <-f.stopping:
 		return false
@@ -186,7 +186,7 @@
 		one.leave()
 		begin()
 	case kindFlap:
-		for end := clock.Now().Plus(seconds(trouble.ForS)); clock.Now() < end; {
+		for end := clock.Now().Add(seconds(trouble.ForS)); clock.Now() < end; {
 			one.crash()
 			if !f.pause(back) {
 				return
--- a/internal/tooling/lab/workers.go
+++ b/internal/tooling/lab/workers.go
@@ -59,7 +59,7 @@
 	}
 	listener, err := net.Listen("tcp4", p.address)
 	if err != nil {
-		return Unfit.New(p.name + " can't listen at " + p.address + ": " + lastWords(err))
+		return ErrInvalidLab.New(p.name + " can't listen at " + p.address + ": " + lastWords(err))
 	}
 	p.life++
 	nodeSettings := p.nodeSettings
@@ -67,7 +67,7 @@
 	p.worker = workeremulator.NewWorker(nodeSettings, record, workeremulator.RealClock{}, p.seed+int64(p.life)*100_000)
 	p.worker.SetFaults(p.faults)
 	p.beater = workeremulator.NewBeater(p.worker, p.address, controls)
-	until, halt := contexts.Stoppable(contexts.Background())
+	until, halt := contexts.WithCancel(contexts.Background())
 	p.halt = halt
 	worker, served := p.worker, make(chan struct{})
 	p.served = served
--- a/internal/tooling/linearize/controller.go
+++ b/internal/tooling/linearize/controller.go
@@ -14,12 +14,12 @@
 type controller struct {
 	name     string
 	disk     *simulation.Disk
-	logfile  *recordlog.Logfile
+	logfile  *recordlog.Log
 	acceptor *register.Acceptor
 	down     bool
 	life     int64
 	counter  uint64
-	known    messages.Register
+	known    messages.RegisterValue
 }
 
 // start reads the disk: nothing else is known to a new life.
@@ -61,7 +61,7 @@
 }
 
 // learn takes newer sets.
-func (c *controller) learn(value messages.Register) {
+func (c *controller) learn(value messages.RegisterValue) {
 	if len(value.Acceptors) > 0 && (value.SetEpoch >= c.known.SetEpoch || len(c.known.Acceptors) == 0) {
 		c.known = value
 	}
--- a/internal/tooling/linearize/faults.go
+++ b/internal/tooling/linearize/faults.go
@@ -4,7 +4,7 @@
 
 // trouble brings one fault after another, each once the one before is over and the set
 // of acceptors is whole again: within a budget of one machine.
-func (f *Fleet) trouble(until clock.Moment) {
+func (f *Fleet) trouble(until clock.Instant) {
 	f.after(100, 700, func() {
 		if f.world.Now > until {
 			return
--- a/internal/tooling/linearize/fleet.go
+++ b/internal/tooling/linearize/fleet.go
@@ -38,7 +38,7 @@
 	world   *simulation.World
 	names   []string
 	nodes   map[string]*controller
-	since   map[string]clock.Moment
+	since   map[string]clock.Instant
 	// crash says that the next proposer that begins its second round dies in it.
 	crash bool
 	// next is the highest generation that any operator has used.
@@ -49,7 +49,7 @@
 // NewFleet makes a fleet of five control machines, three of them acceptors.
 func NewFleet(seed int64, breaks Breaks) *Fleet {
 	fleet := &Fleet{breaks: breaks, world: simulation.NewWorld(seed), names: []string{"a", "b", "c", "d", "e"},
-		nodes: map[string]*controller{}, since: map[string]clock.Moment{}}
+		nodes: map[string]*controller{}, since: map[string]clock.Instant{}}
 	fleet.world.Loss, fleet.world.Double = 0.05, 0.05
 	var first []messages.Member
 	for _, name := range fleet.names[:setSize] {
@@ -65,12 +65,12 @@
 }
 
 // Run plays the fleet's day and gives the first error of its machinery.
-func (f *Fleet) Run(span clock.Span) error {
+func (f *Fleet) Run(span clock.Duration) error {
 	for number := range operators {
-		f.operate(number, f.world.Now.Plus(span))
+		f.operate(number, f.world.Now.Add(span))
 	}
-	f.trouble(f.world.Now.Plus(span))
-	f.world.Run(f.world.Now.Plus(span + clock.Milliseconds(20_000)))
+	f.trouble(f.world.Now.Add(span))
+	f.world.Run(f.world.Now.Add(span + clock.Milliseconds(20_000)))
 	return f.err
 }
 
@@ -108,20 +108,20 @@
 		}
 		tending := register.Tending{Own: node.member(), Votes: true, Size: setSize, Gone: f.gone}
 		if change := tending.Step(node.known); change != nil {
-			f.propose(node, change, attempts, func(*messages.Register) {})
+			f.propose(node, change, attempts, func(*messages.RegisterValue) {})
 		}
 	})
 }
 
 func (f *Fleet) gone(member messages.Member) bool {
 	node := f.nodes[member.Address]
-	return node.down && f.world.Now.Since(f.since[member.Address]) > clock.Milliseconds(silentMs)
+	return node.down && f.world.Now.Sub(f.since[member.Address]) > clock.Milliseconds(silentMs)
 }
 
 // whole tells whether all machines are up, none is cut off, and the newest set known
 // anywhere is complete with the disks that its members have.
 func (f *Fleet) whole() bool {
-	var newest messages.Register
+	var newest messages.RegisterValue
 	for _, name := range f.names {
 		node := f.nodes[name]
 		if node.down {
--- a/internal/tooling/linearize/history.go
+++ b/internal/tooling/linearize/history.go
@@ -16,10 +16,10 @@
 
 // The errors of a check.
 var (
-	// Broken means that no order of the calls explains the answers.
-	Broken = errs.Define("history not linearizable")
-	// Undecided means that the check was given up for want of time.
-	Undecided = errs.Define("history not decided")
+	// ErrNotLinearizable means that no order of the calls explains the answers.
+	ErrNotLinearizable = errs.Define("history not linearizable")
+	// ErrUndecided means that the check was given up for want of time.
+	ErrUndecided = errs.Define("history not decided")
 )
 
 // Reply is what a caller was told of an operation.
@@ -78,9 +78,9 @@
 	case porcupine.Ok:
 		return nil
 	case porcupine.Illegal:
-		return Broken.New(h.describe(model))
+		return ErrNotLinearizable.New(h.describe(model))
 	default:
-		return Undecided.New(fmt.Sprintf("%d operations in %v", len(h.operations), limit))
+		return ErrUndecided.New(fmt.Sprintf("%d operations in %v", len(h.operations), limit))
 	}
 }
 
--- a/internal/tooling/linearize/linearize_test.go
+++ b/internal/tooling/linearize/linearize_test.go
@@ -11,7 +11,7 @@
 
 const (
 	// daySpan is how long operators call in one history, in ns of the fake clock.
-	daySpan = clock.Span(12_000_000_000)
+	daySpan = clock.Duration(12_000_000_000)
 	// checkLimit is how long one history may be checked.
 	checkLimit = 20 * time.Second
 )
@@ -53,7 +53,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range int64(400) {
-				if _, err := play(t, seed, breaks); errs.Of(err, Broken) {
+				if _, err := play(t, seed, breaks); errs.Is(err, ErrNotLinearizable) {
 					t.Logf("found with seed %d", seed)
 					return
 				}
--- a/internal/tooling/linearize/lots.go
+++ b/internal/tooling/linearize/lots.go
@@ -8,7 +8,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// LotKind is the kind of a LotCall.
+// LotKind is the kind of a JobCallRequest.
 type LotKind int
 
 // The kinds of calls for lots.
@@ -22,7 +22,7 @@
 	LotEnd
 )
 
-// LotCall is a client's call for one lot.
+// JobCallRequest is a client's call for one lot.
 type LotCall struct {
 	Kind LotKind
 	Lot  string
@@ -30,7 +30,7 @@
 	From int
 }
 
-// LotOutcome is the kind of answer to a LotCall.
+// LotOutcome is the kind of answer to a JobCallRequest.
 type LotOutcome int
 
 // The outcomes.
@@ -45,7 +45,7 @@
 	LotMissing
 )
 
-// LotReply is the answer to a LotCall.
+// LotReply is the answer to a JobCallRequest.
 type LotReply struct {
 	Outcome LotOutcome
 	// Results are what a read told, from its position on, each as one text that names
--- a/internal/tooling/linearize/lots_test.go
+++ b/internal/tooling/linearize/lots_test.go
@@ -41,7 +41,7 @@
 		"two readers at once disagree": {false, []lotOperation{{0, 1, handIn, told()}, {2, 5, read(0), told("a")}, {3, 4, read(0), told("b")}}},
 	} {
 		err := checkLots(one.list)
-		if one.legal && err != nil || !one.legal && !errs.Of(err, Broken) {
+		if one.legal && err != nil || !one.legal && !errs.Is(err, ErrNotLinearizable) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/tooling/linearize/operators.go
+++ b/internal/tooling/linearize/operators.go
@@ -19,7 +19,7 @@
 
 // operate is one operator's day: reads, versions on the version it last heard of, and
 // now and then bytes of another operator, an old base, or a number that was used.
-func (f *Fleet) operate(number int, until clock.Moment) {
+func (f *Fleet) operate(number int, until clock.Instant) {
 	var base int64
 	var last messages.Version
 	var next func()
@@ -101,7 +101,7 @@
 // serve is what a control machine does with a call.
 func (f *Fleet) serve(node *controller, call RegisterCall, answer func(reply RegisterReply)) {
 	if call.Version.Generation == 0 {
-		f.read(node, func(value *messages.Register) {
+		f.read(node, func(value *messages.RegisterValue) {
 			if value != nil {
 				answer(RegisterReply{Outcome: RegisterRead, Found: value.Current})
 			}
@@ -113,7 +113,7 @@
 	if f.breaks.RefuseResent {
 		change = refuseResent(change, call.Version, &result)
 	}
-	f.propose(node, change, attempts, func(value *messages.Register) {
+	f.propose(node, change, attempts, func(value *messages.RegisterValue) {
 		if value != nil {
 			answer(RegisterReply{Outcome: outcome(result)})
 		}
@@ -135,7 +135,7 @@
 
 // refuseResent is the change of Breaks.RefuseResent.
 func refuseResent(change register.Change, version messages.Version, result *register.Result) register.Change {
-	return func(current messages.Register) (messages.Register, register.Verdict) {
+	return func(current messages.RegisterValue) (messages.RegisterValue, register.Verdict) {
 		next, verdict := change(current)
 		if *result == register.ResultAlready && current.Current.Generation != version.Base {
 			*result = register.ResultOther
--- a/internal/tooling/linearize/propose.go
+++ b/internal/tooling/linearize/propose.go
@@ -15,12 +15,12 @@
 	over     bool
 	// again makes the next attempt, and ended takes the outcome.
 	again func()
-	ended func(value *messages.Register)
+	ended func(value *messages.RegisterValue)
 }
 
 // propose drives a change from a node. Ended is called once, with nil where the
 // outcome is unclear, or never where the process dies.
-func (f *Fleet) propose(node *controller, change register.Change, tries int, ended func(value *messages.Register)) {
+func (f *Fleet) propose(node *controller, change register.Change, tries int, ended func(value *messages.RegisterValue)) {
 	if node.down || tries == 0 || len(node.known.Acceptors) == 0 {
 		ended(nil)
 		return
@@ -118,14 +118,14 @@
 }
 
 // read is the quick look, and a whole proposal where that does not settle it.
-func (f *Fleet) read(node *controller, ended func(value *messages.Register)) {
+func (f *Fleet) read(node *controller, ended func(value *messages.RegisterValue)) {
 	if node.down || len(node.known.Acceptors) == 0 {
 		ended(nil)
 		return
 	}
 	reading, sends := register.BeginReading(node.known)
 	life, over := node.life, false
-	settle := func(value *messages.Register) {
+	settle := func(value *messages.RegisterValue) {
 		if over || node.down || node.life != life {
 			return
 		}
--- a/internal/tooling/loadgen/drive.go
+++ b/internal/tooling/loadgen/drive.go
@@ -21,7 +21,7 @@
 	routes  map[string]*routeconfig.Route
 	prefix  string
 	client  http.RoundTripper
-	pause   func(clock.Span)
+	pause   func(clock.Duration)
 	result  *Result
 
 	lock sync.Mutex
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	one := newRun(options, card, routes, "ld"+strconv.FormatInt(clock.Wall(), 36)+"-")
+	one := newRun(options, card, routes, "ld"+strconv.FormatInt(clock.WallNanos(), 36)+"-")
 	one.play(until, endpoint, troubles)
 	return one.result, one.compareWith(endpoint)
 }
@@ -60,7 +60,7 @@
 	}
 	done := make(chan struct{})
 	if progress := r.options.Progress; progress != nil {
-		go clock.Every(constants.LoadProgress, done, func() { progress(r.result.sofar(clock.Now().Since(begun))) })
+		go clock.Every(constants.LoadProgress, done, func() { progress(r.result.sofar(clock.Now().Sub(begun))) })
 	}
 	r.orders(until, begun)
 	group.Wait()
@@ -68,12 +68,12 @@
 	if transport, is := r.client.(*http.Transport); is {
 		transport.CloseIdleConnections()
 	}
-	r.result.Took = clock.Now().Since(begun).Seconds()
+	r.result.Took = clock.Now().Sub(begun).Seconds()
 }
 
 // begin has the fleet begin a trouble at its time.
-func (r *run) begin(until contexts.Context, begun clock.Moment, endpoint *Endpoint, trouble lab.Trouble) {
-	if !waitUntil(until, begun.Plus(clock.Milliseconds(trouble.AtS*1000))) {
+func (r *run) begin(until contexts.Context, begun clock.Instant, endpoint *Endpoint, trouble lab.Trouble) {
+	if !waitUntil(until, begun.Add(clock.Milliseconds(trouble.AtS*1000))) {
 		return
 	}
 	if err := endpoint.Trouble(trouble); err != nil {
@@ -111,20 +111,20 @@
 }
 
 // waitUntil waits for a moment; false where the context ends first.
-func waitUntil(until contexts.Context, at clock.Moment) bool {
+func waitUntil(until contexts.Context, at clock.Instant) bool {
 	select {
 	case <-until.Done():
 		return false
-	case <-clock.After(at.Since(clock.Now())):
+	case <-clock.After(at.Sub(clock.Now())):
 		return true
 	}
 }
 
 // orders sends every order when it is due, whatever became of those before.
-func (r *run) orders(until contexts.Context, begun clock.Moment) {
+func (r *run) orders(until contexts.Context, begun clock.Instant) {
 	var group sync.WaitGroup
 	for _, due := range schedule(&r.options, r.routes, len(r.card.Ingress)) {
-		if at := begun.Plus(due.at); at > clock.Now() && !waitUntil(until, at) {
+		if at := begun.Add(due.at); at > clock.Now() && !waitUntil(until, at) {
 			break
 		}
 		if until.Err() != nil {
--- a/internal/tooling/loadgen/drive_test.go
+++ b/internal/tooling/loadgen/drive_test.go
@@ -18,18 +18,18 @@
 // hasty is a clock that does not wait.
 type hasty struct {
 	lock sync.Mutex
-	now  clock.Moment
+	now  clock.Instant
 }
 
-func (h *hasty) Now() clock.Moment {
+func (h *hasty) Now() clock.Instant {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	return h.now
 }
 
-func (h *hasty) After(span clock.Span, function func()) {
+func (h *hasty) After(span clock.Duration, function func()) {
 	h.lock.Lock()
-	h.now = h.now.Plus(span)
+	h.now = h.now.Add(span)
 	h.lock.Unlock()
 	go function()
 }
@@ -68,7 +68,7 @@
 func driven(t *testing.T, faults workeremulator.Faults, before func(request *http.Request) *http.Response) *Result {
 	t.Helper()
 	shape := workeremulator.Shape{Capacity: 8, Queue: 4, CacheTokens: 60_000, ReadPerMs: 100, Step: time.Millisecond, Stride: 4}
-	record, instant := &workeremulator.Record{}, &hasty{now: clock.Moment(time.Second)}
+	record, instant := &workeremulator.Record{}, &hasty{now: clock.Instant(time.Second)}
 	front := &direct{before: before}
 	front.model = workeremulator.NewWorker(workeremulator.Settings{ID: "w1", Service: "model", Model: "m", Shape: shape}, record, instant, 1)
 	front.plain = workeremulator.NewWorker(workeremulator.Settings{ID: "w2", Service: "clerk", Work: time.Millisecond, Shape: workeremulator.Shape{Capacity: 8}}, record, instant, 2)
@@ -83,7 +83,7 @@
 		t.Fatal(err)
 	}
 	one := newRun(options, card, routes, "t-")
-	one.client, one.pause = front, func(clock.Span) {}
+	one.client, one.pause = front, func(clock.Duration) {}
 	for _, due := range schedule(&options, routes, 2) {
 		one.serve(due.order)
 	}
--- a/internal/tooling/loadgen/endpoint.go
+++ b/internal/tooling/loadgen/endpoint.go
@@ -21,10 +21,10 @@
 func loopback(address string) error {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
-		return Unfit.New(strconv.Quote(address) + " is no host:port")
+		return ErrInvalidLoad.New(strconv.Quote(address) + " is no host:port")
 	}
 	if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
-		return Unfit.New(address + " is not on loopback; load goes to a lab on this machine only")
+		return ErrInvalidLoad.New(address + " is not on loopback; load goes to a lab on this machine only")
 	}
 	return nil
 }
@@ -40,21 +40,21 @@
 func (e *Endpoint) ask(method, path string, body []byte, into any) error {
 	request, err := http.NewRequest(method, "http://"+e.address+path, bytes.NewReader(body))
 	if err != nil {
-		return Unfit.Wrap(err, "endpoint")
+		return ErrInvalidLoad.Wrap(err, "endpoint")
 	}
 	answer, err := endpointClient.Do(request)
 	if err != nil {
-		return Unfit.New("no fleet answers at " + e.address + "; start a fleet with: lemonarch lab up")
+		return ErrInvalidLoad.New("no fleet answers at " + e.address + "; start a fleet with: lemonarch lab up")
 	}
 	defer answer.Body.Close()
 	text, err := io.ReadAll(answer.Body)
 	if err != nil {
-		return Unfit.Wrap(err, "endpoint")
+		return ErrInvalidLoad.Wrap(err, "endpoint")
 	}
 	if answer.StatusCode != http.StatusOK {
-		return Unfit.New("the fleet at " + e.address + " answered " + strconv.Itoa(answer.StatusCode) + ": " + strings.TrimSpace(string(text)))
+		return ErrInvalidLoad.New("the fleet at " + e.address + " answered " + strconv.Itoa(answer.StatusCode) + ": " + strings.TrimSpace(string(text)))
 	}
-	return Unfit.Wrap(json.Unmarshal(text, into), "the fleet at "+e.address+" can't be understood")
+	return ErrInvalidLoad.Wrap(json.Unmarshal(text, into), "the fleet at "+e.address+" can't be understood")
 }
 
 // Card asks for the card, and takes it only where everything is on loopback.
@@ -64,7 +64,7 @@
 		return nil, err
 	}
 	if len(card.Ingress) == 0 || card.Stride < 1 {
-		return nil, Unfit.New("the fleet at " + e.address + " describes no fleet")
+		return nil, ErrInvalidLoad.New("the fleet at " + e.address + " describes no fleet")
 	}
 	for _, address := range card.Ingress {
 		if err := loopback(address); err != nil {
@@ -84,7 +84,7 @@
 func (e *Endpoint) Trouble(trouble lab.Trouble) error {
 	body, err := json.Marshal(trouble)
 	if err != nil {
-		return Unfit.Wrap(err, "trouble")
+		return ErrInvalidLoad.Wrap(err, "trouble")
 	}
 	return e.ask(http.MethodPost, "/trouble", body, &struct{}{})
 }
--- a/internal/tooling/loadgen/experiment.go
+++ b/internal/tooling/loadgen/experiment.go
@@ -25,7 +25,7 @@
 		Fleets []map[string]any `toml:"fleet"`
 	}
 	if _, err := toml.Decode(text, &count); err != nil {
-		return nil, usual, Unfit.New("experiment can't be read: " + strings.ReplaceAll(err.Error(), "\n", " "))
+		return nil, usual, ErrInvalidLoad.New("experiment can't be read: " + strings.ReplaceAll(err.Error(), "\n", " "))
 	}
 	for place := range count.Fleets {
 		plan := lab.NewPlan()
@@ -40,10 +40,10 @@
 	}
 	known, err := toml.Decode(text, one)
 	if err != nil {
-		return nil, usual, Unfit.New("experiment can't be read: " + strings.ReplaceAll(err.Error(), "\n", " "))
+		return nil, usual, ErrInvalidLoad.New("experiment can't be read: " + strings.ReplaceAll(err.Error(), "\n", " "))
 	}
 	if extra := known.Undecoded(); len(extra) > 0 {
-		return nil, usual, Unfit.New("experiment: unknown field " + extra[0].String())
+		return nil, usual, ErrInvalidLoad.New("experiment: unknown field " + extra[0].String())
 	}
 	options := usual
 	options.Rate, options.LotRate, options.Items, options.Count, options.Tries, options.Seed = one.Rate, one.LotRate, one.Items, one.Count, one.Tries, one.Seed
@@ -65,24 +65,24 @@
 	for place := range e.Fleets {
 		plan := &e.Fleets[place]
 		if err := plan.Check(); err != nil {
-			return Unfit.New(plan.Label + ": " + err.Error())
+			return ErrInvalidLoad.New(plan.Label + ": " + err.Error())
 		}
 		if seen[plan.Network] || seen[plan.Label] {
-			return Unfit.New("two fleets have the same label or network: " + plan.Label)
+			return ErrInvalidLoad.New("two fleets have the same label or network: " + plan.Label)
 		}
 		seen[plan.Network], seen[plan.Label] = true, true
 		processes += plan.Gateways + plan.Controllers + plan.Stores
 	}
 	if processes > constants.LabProcesses {
-		return Unfit.New(fmt.Sprintf("the fleets have %d processes together; at most %d", processes, constants.LabProcesses))
+		return ErrInvalidLoad.New(fmt.Sprintf("the fleets have %d processes together; at most %d", processes, constants.LabProcesses))
 	}
 	for place := range e.Trouble {
 		trouble := &e.Trouble[place]
 		if err := trouble.Check(); err != nil {
-			return Unfit.New("trouble " + strconv.Itoa(place+1) + ": " + err.Error())
+			return ErrInvalidLoad.New("trouble " + strconv.Itoa(place+1) + ": " + err.Error())
 		}
 		if clock.Milliseconds(trouble.AtS*1000) >= options.For {
-			return Unfit.New("trouble " + strconv.Itoa(place+1) + ": at-s lies behind the end of the load")
+			return ErrInvalidLoad.New("trouble " + strconv.Itoa(place+1) + ": at-s lies behind the end of the load")
 		}
 	}
 	return nil
@@ -103,7 +103,7 @@
 		return nil, err
 	}
 	// A death ends the whole experiment: what is left would be compared unequally.
-	inner, halt := contexts.Stoppable(until)
+	inner, halt := contexts.WithCancel(until)
 	defer halt()
 	deaths := make(chan error, len(fleets))
 	results, failures := make([]*Result, len(fleets)), make([]error, len(fleets))
@@ -112,7 +112,7 @@
 		go func() {
 			select {
 			case err := <-fleet.Died:
-				deaths <- Unfit.New(fleet.Plan.Label + ": " + err.Error())
+				deaths <- ErrInvalidLoad.New(fleet.Plan.Label + ": " + err.Error())
 				halt()
 			case <-inner.Done():
 			}
@@ -139,11 +139,11 @@
 func (e *Experiment) start(until contexts.Context, progress func(string)) (fleets []*lab.Fleet, err error) {
 	for _, plan := range e.Fleets {
 		if until.Err() != nil {
-			return fleets, Unfit.New("stopped")
+			return fleets, ErrInvalidLoad.New("stopped")
 		}
 		fleet, err := lab.Start(until, plan, "")
 		if err != nil {
-			return fleets, Unfit.New(plan.Label + ": " + err.Error())
+			return fleets, ErrInvalidLoad.New(plan.Label + ": " + err.Error())
 		}
 		fleets = append(fleets, fleet)
 		if progress != nil {
--- a/internal/tooling/loadgen/lots.go
+++ b/internal/tooling/loadgen/lots.go
@@ -16,7 +16,7 @@
 )
 
 // sendLots sends lots at their rate and follows each.
-func (r *run) sendLots(until contexts.Context, begun clock.Moment) {
+func (r *run) sendLots(until contexts.Context, begun clock.Instant) {
 	random := rand.New(rand.NewSource(r.options.Seed + constants.LoadLotSeed))
 	var group sync.WaitGroup
 	at := 0.0
@@ -27,7 +27,7 @@
 			// However short the load, there is one lot.
 			due = min(due, r.options.For/4)
 		}
-		if due >= r.options.For || !waitUntil(until, begun.Plus(due)) {
+		if due >= r.options.For || !waitUntil(until, begun.Add(due)) {
 			break
 		}
 		lot, check := r.makeLot(number, random)
@@ -61,14 +61,14 @@
 	route := r.routes["batch"]
 	edges := append(append([]string(nil), r.card.Ingress[node:]...), r.card.Ingress[:node]...)
 	client := &lotclient.Client{Edges: edges, Host: route.Host}
-	limited, release := contexts.Timed(contexts.Background(), constants.LoadDrain)
+	limited, release := contexts.WithTimeout(contexts.Background(), constants.LoadDrain)
 	defer release()
 	begun := clock.Now()
-	handing, halt := contexts.Timed(limited, 2*constants.LotCallTime)
+	handing, halt := contexts.WithTimeout(limited, 2*constants.LotCallTime)
 	_, err := client.HandIn(handing, check.id, route.Prefix+"lot", lot)
 	halt()
 	if err != nil {
-		refused := errs.Of(err, lotclient.Refused)
+		refused := errs.Is(err, lotclient.ErrRejected)
 		r.promiseItems(check, refused)
 		cause := "lot unclear"
 		if refused {
@@ -77,7 +77,7 @@
 		r.result.failItems(len(lot.Requests), cause)
 		return
 	}
-	r.result.handIn(clock.Now().Since(begun))
+	r.result.handIn(clock.Now().Sub(begun))
 	result, reads := clock.Milliseconds(route.ResultMs), 0
 	for len(check.listed) < len(lot.Requests) && limited.Err() == nil {
 		reads++
@@ -90,7 +90,7 @@
 		page, err := client.Read(limited, check.id, cursor, 0)
 		r.judgeRead(check, cursor, page, err)
 		if err == nil {
-			took := clock.Now().Since(begun)
+			took := clock.Now().Sub(begun)
 			for _, output := range check.listed[before:] {
 				r.result.item(output.Phase == lotclient.Settled, took, took <= result)
 			}
@@ -105,7 +105,7 @@
 
 // readAgain reads a lot from the start: what was read must come again.
 func (r *run) readAgain(client *lotclient.Client, check *lotCheck) {
-	limited, release := contexts.Timed(contexts.Background(), 2*constants.LotCallTime)
+	limited, release := contexts.WithTimeout(contexts.Background(), 2*constants.LotCallTime)
 	defer release()
 	for cursor, seen := 0, len(check.listed); cursor < seen; {
 		page, err := client.Read(limited, check.id, cursor, 0)
@@ -134,7 +134,7 @@
 		for _, finding := range check.page(cursor, page) {
 			r.result.find(finding)
 		}
-	case errs.Of(err, lotclient.Spoilt):
+	case errs.Is(err, lotclient.ErrCorruptResponse):
 		r.result.find(Finding{"MIXED", check.id, err.Error()})
 	case !lotclient.Again(err):
 		r.result.find(Finding{"LOST", check.id, err.Error()})
--- a/internal/tooling/loadgen/mix.go
+++ b/internal/tooling/loadgen/mix.go
@@ -17,8 +17,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Unfit is the error of options or experiments that can't be carried out.
-var Unfit = errs.Define("load")
+// ErrInvalidLoad is the error of options or experiments that can't be carried out.
+var ErrInvalidLoad = errs.Define("load")
 
 // profile says what one kind of request looks like. All figures are ours.
 type profile struct {
@@ -54,14 +54,14 @@
 		part, err := strconv.ParseFloat(value, 64)
 		_, known := profiles[name]
 		if err != nil || !(part >= 0) || part > constants.LoadRate || !known || name == "batch" || seen[name] {
-			return nil, Unfit.New("mix: " + strconv.Quote(field) + " is not NAME=PART with a NAME of query, review, confirm or status, once")
+			return nil, ErrInvalidLoad.New("mix: " + strconv.Quote(field) + " is not NAME=PART with a NAME of query, review, confirm or status, once")
 		}
 		seen[name] = true
 		total += part
 		mix = append(mix, Share{name, part})
 	}
 	if total <= 0 {
-		return nil, Unfit.New("mix: its parts add up to 0")
+		return nil, ErrInvalidLoad.New("mix: its parts add up to 0")
 	}
 	sort.Slice(mix, func(left, right int) bool { return mix[left].Kind < mix[right].Kind })
 	return mix, nil
@@ -117,7 +117,7 @@
 
 // planned is when an order is due, from the start of the load.
 type planned struct {
-	at    clock.Span
+	at    clock.Duration
 	order *order
 }
 
--- a/internal/tooling/loadgen/options.go
+++ b/internal/tooling/loadgen/options.go
@@ -17,7 +17,7 @@
 	Rate, LotRate float64
 	Items         int
 	Mix           []Share
-	For           clock.Span
+	For           clock.Duration
 	// Count bounds the requests; 0 is up to the time.
 	Count int
 	// Tries is how often a client tries in all.
@@ -37,17 +37,17 @@
 func (o *Options) Check() error {
 	switch {
 	case !(o.Rate > 0 && o.Rate <= constants.LoadRate):
-		return Unfit.New(fmt.Sprintf("rate must be above 0 and at most %d", constants.LoadRate))
+		return ErrInvalidLoad.New(fmt.Sprintf("rate must be above 0 and at most %d", constants.LoadRate))
 	case !(o.LotRate >= 0 && o.LotRate <= constants.LoadRate):
-		return Unfit.New(fmt.Sprintf("lots must lie between 0 and %d", constants.LoadRate))
-	case o.Items < 1 || o.Items > constants.LotItems:
-		return Unfit.New(fmt.Sprintf("items must lie between 1 and %d", constants.LotItems))
+		return ErrInvalidLoad.New(fmt.Sprintf("lots must lie between 0 and %d", constants.LoadRate))
+	case o.Items < 1 || o.Items > constants.JobItemsMax:
+		return ErrInvalidLoad.New(fmt.Sprintf("items must lie between 1 and %d", constants.JobItemsMax))
 	case o.For <= 0 || o.For > constants.LoadTime:
-		return Unfit.New(fmt.Sprintf("for must be above 0 and at most %s", constants.LoadTime))
+		return ErrInvalidLoad.New(fmt.Sprintf("for must be above 0 and at most %s", constants.LoadTime))
 	case o.Count < 0 || o.Count > constants.LoadCount:
-		return Unfit.New(fmt.Sprintf("count must lie between 0 and %d", constants.LoadCount))
+		return ErrInvalidLoad.New(fmt.Sprintf("count must lie between 0 and %d", constants.LoadCount))
 	case o.Tries < 1 || o.Tries > 5:
-		return Unfit.New("tries must lie between 1 and 5")
+		return ErrInvalidLoad.New("tries must lie between 1 and 5")
 	}
 	return nil
 }
@@ -67,7 +67,7 @@
 	}
 	for _, name := range wanted {
 		if routes[name] == nil {
-			return nil, Unfit.New("the fleet's configuration has no route called " + name)
+			return nil, ErrInvalidLoad.New("the fleet's configuration has no route called " + name)
 		}
 	}
 	return routes, nil
--- a/internal/tooling/loadgen/plot.go
+++ b/internal/tooling/loadgen/plot.go
@@ -19,7 +19,7 @@
 	case ".svg", ".png", ".pdf":
 		return nil
 	}
-	return Unfit.New("plot: " + path + " must end in .svg, .png or .pdf")
+	return ErrInvalidLoad.New("plot: " + path + " must end in .svg, .png or .pdf")
 }
 
 // line gives the latency of a kind by the share of the slowest: x is how many
@@ -57,7 +57,7 @@
 			}
 			line, err := plotter.NewLine(points)
 			if err != nil {
-				return Unfit.Wrap(err, "plot")
+				return ErrInvalidLoad.Wrap(err, "plot")
 			}
 			// A kind keeps its colour, a fleet its dashes, so that pairs are found.
 			line.Color, line.Dashes, line.Width = plotutil.Color(place), plotutil.Dashes(fleet), vg.Points(1.5)
@@ -67,9 +67,9 @@
 		}
 	}
 	if drawn == 0 {
-		return Unfit.New("plot: too little was served")
+		return ErrInvalidLoad.New("plot: too little was served")
 	}
 	// Room on the right, so that the legend covers no line.
 	picture.X.Max *= constants.LoadLegendRoom
-	return Unfit.Wrap(picture.Save(18*vg.Centimeter, 12*vg.Centimeter, path), "plot")
+	return ErrInvalidLoad.Wrap(picture.Save(18*vg.Centimeter, 12*vg.Centimeter, path), "plot")
 }
--- a/internal/tooling/loadgen/result.go
+++ b/internal/tooling/loadgen/result.go
@@ -70,7 +70,7 @@
 	return one
 }
 
-func (k *Kind) record(span clock.Span) { _ = k.times.RecordValue(max(span.Microseconds(), 1)) }
+func (k *Kind) record(span clock.Duration) { _ = k.times.RecordValue(max(span.Microseconds(), 1)) }
 
 // count adds a share of the worth to what was earned. The lock is held.
 func (r *Result) count(name string, inTime, served bool) *Kind {
@@ -91,14 +91,14 @@
 }
 
 // serve counts an order that was served whole.
-func (r *Result) serve(order *order, state *served, now clock.Moment) {
+func (r *Result) serve(order *order, state *served, now clock.Instant) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	first := state.first
 	if first == 0 {
 		first = now
 	}
-	took := first.Since(state.begun)
+	took := first.Sub(state.begun)
 	inTime := took <= order.route.Setpoint() && (order.route.GapMs <= 0 || state.gap <= clock.Milliseconds(order.route.GapMs))
 	r.count(order.kind, inTime, true).record(took)
 }
@@ -119,7 +119,7 @@
 }
 
 // handIn notes how long the handing in of a lot took.
-func (r *Result) handIn(took clock.Span) {
+func (r *Result) handIn(took clock.Duration) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	one := r.kind(handInKind)
@@ -132,7 +132,7 @@
 const handInKind = "batch-202"
 
 // item counts one listed item.
-func (r *Result) item(settled bool, took clock.Span, inTime bool) {
+func (r *Result) item(settled bool, took clock.Duration, inTime bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	one := r.count("batch", settled && inTime, settled)
@@ -176,7 +176,7 @@
 }
 
 // sofar is one line of progress.
-func (r *Result) sofar(span clock.Span) string {
+func (r *Result) sofar(span clock.Duration) string {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	inTime, late, failed := 0, 0, 0
--- a/internal/tooling/loadgen/send.go
+++ b/internal/tooling/loadgen/send.go
@@ -26,22 +26,22 @@
 	// unread: no node can have read it, so that any kind may be sent again.
 	unread  bool
 	final   bool
-	after   clock.Span
+	after   clock.Duration
 	finding *Finding
 }
 
 // served is what is known of an order over all its tries.
 type served struct {
-	begun, deadline clock.Moment
-	first, last     clock.Moment
-	gap             clock.Span
+	begun, deadline clock.Instant
+	first, last     clock.Instant
+	gap             clock.Duration
 	lastID          int64
 }
 
 // serve tries an order until it is served or may not be tried again.
 func (r *run) serve(order *order) {
 	now := clock.Now()
-	state := &served{begun: now, deadline: now.Plus(order.route.Cutoff())}
+	state := &served{begun: now, deadline: now.Add(order.route.Cutoff())}
 	for try := 1; ; try++ {
 		got := r.try(order, state, try)
 		if got.finding != nil {
@@ -51,7 +51,7 @@
 			r.result.serve(order, state, clock.Now())
 			return
 		}
-		wait := min(max(got.after, constants.LabRetry/4), state.deadline.Since(clock.Now())/3)
+		wait := min(max(got.after, constants.LabRetry/4), state.deadline.Sub(clock.Now())/3)
 		mayAgain := !got.final && (repeatable(order.route) || got.promise || got.unread)
 		if !mayAgain || try >= r.options.Tries || wait <= 0 {
 			r.result.fail(order, got.cause)
@@ -67,8 +67,8 @@
 	attempt := r.prefix + strconv.Itoa(order.number) + "-" + strconv.Itoa(try)
 	path := order.route.Prefix + strconv.Itoa(order.number)
 	made := r.remember(attempt, path, order.body, order.route, !repeatable(order.route), false)
-	left := state.deadline.Since(clock.Now())
-	limited, release := contexts.Timed(contexts.Background(), left)
+	left := state.deadline.Sub(clock.Now())
+	limited, release := contexts.WithTimeout(contexts.Background(), left)
 	defer release()
 	node := r.card.Ingress[(order.node+try-1)%len(r.card.Ingress)]
 	request, err := http.NewRequestWithContext(limited, http.MethodPost, "http://"+node+path, bytes.NewReader(order.body))
@@ -186,7 +186,7 @@
 		if state.first == 0 {
 			state.first = now
 		} else {
-			state.gap = max(state.gap, now.Since(state.last))
+			state.gap = max(state.gap, now.Sub(state.last))
 		}
 		state.last = now
 		if !follower.event(event) {
--- a/internal/tooling/simulation/disk.go
+++ b/internal/tooling/simulation/disk.go
@@ -144,8 +144,8 @@
 	return nil
 }
 
-// SyncFolder makes names last.
-func (d *Disk) SyncFolder() error {
+// SyncDirectory makes names last.
+func (d *Disk) SyncDirectory() error {
 	if err := d.intercept(OperationSyncFolder, ""); err != nil {
 		return err
 	}
--- a/internal/tooling/simulation/world.go
+++ b/internal/tooling/simulation/world.go
@@ -11,7 +11,7 @@
 )
 
 type event struct {
-	at       clock.Moment
+	at       clock.Instant
 	order    int
 	function func()
 }
@@ -41,7 +41,7 @@
 // World is a fake clock with a network that delays, loses, doubles and cuts.
 type World struct {
 	Random *rand.Rand
-	Now    clock.Moment
+	Now    clock.Instant
 	queue  events
 	order  int
 	// Loss and Double are chances for each message.
@@ -56,9 +56,9 @@
 }
 
 // After runs a function at a later moment.
-func (w *World) After(span clock.Span, function func()) {
+func (w *World) After(span clock.Duration, function func()) {
 	w.order++
-	heap.Push(&w.queue, event{w.Now.Plus(span), w.order, function})
+	heap.Push(&w.queue, event{w.Now.Add(span), w.order, function})
 }
 
 // Cut cuts one direction between two nodes, or joins it.
@@ -91,7 +91,7 @@
 }
 
 // Run plays events until a moment.
-func (w *World) Run(until clock.Moment) {
+func (w *World) Run(until clock.Instant) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		one := heap.Pop(&w.queue).(event)
 		w.Now = one.at
--- a/internal/tooling/workeremulator/answer.go
+++ b/internal/tooling/workeremulator/answer.go
@@ -31,7 +31,7 @@
 // fate is which troubles one request meets.
 type fate struct {
 	fail, full, hang, cut, garble, surplus, skip, forge, never bool
-	late                                                       clock.Span
+	late                                                       clock.Duration
 	leaving                                                    bool
 }
 
@@ -48,7 +48,7 @@
 // notRun answers that the request did not run and never will.
 func (w *Worker) notRun(writer http.ResponseWriter, status int, why string) {
 	writer.Header().Set(headerNotRun, "1")
-	httpreply.Reason(writer, status, why)
+	httpreply.Error(writer, status, why)
 }
 
 // answer serves one request of a route.
@@ -102,7 +102,7 @@
 		if err != nil || left < 0 {
 			return ask, false
 		}
-		ask.Until = w.clockValue.Now().Plus(clock.Milliseconds(left))
+		ask.Until = w.clockValue.Now().Add(clock.Milliseconds(left))
 	}
 	if w.Settings.Model == "" {
 		ask.Work = max(w.Settings.Work, 1)
@@ -163,18 +163,18 @@
 			if e.headSent {
 				panic(http.ErrAbortHandler)
 			}
-			httpreply.Reason(e.writer, http.StatusGatewayTimeout, "out of time")
+			httpreply.Error(e.writer, http.StatusGatewayTimeout, "out of time")
 			return
 		case EffectBegin:
 			if e.garbled() {
 				return
 			}
 			if e.fate.never {
-				httpreply.Reason(e.writer, http.StatusUnprocessableEntity, "can never be done")
+				httpreply.Error(e.writer, http.StatusUnprocessableEntity, "can never be done")
 				return
 			}
 			if e.fate.fail {
-				httpreply.Reason(e.writer, http.StatusInternalServerError, "failed")
+				httpreply.Error(e.writer, http.StatusInternalServerError, "failed")
 				return
 			}
 		case EffectEvent:
--- a/internal/tooling/workeremulator/ask.go
+++ b/internal/tooling/workeremulator/ask.go
@@ -12,7 +12,7 @@
 	ReadPerMs float64
 	// Step is the time of one token of all running requests; StepEach is added for
 	// each of them, so that tokens come more slowly as more run.
-	Step, StepEach clock.Span
+	Step, StepEach clock.Duration
 	// Stride is how many tokens one event of a stream holds.
 	Stride int
 }
@@ -28,9 +28,9 @@
 	// From is the last event that the asker has already.
 	From int64
 	// Work, where above 0, makes it a plain request that takes so long and has no tokens.
-	Work clock.Span
+	Work clock.Duration
 	// Until is when work on it ceases; 0 is never.
-	Until clock.Moment
+	Until clock.Instant
 }
 
 // EventKind says what happens to an engine.
--- a/internal/tooling/workeremulator/beats.go
+++ b/internal/tooling/workeremulator/beats.go
@@ -13,8 +13,8 @@
 	"lemonarch/internal/platform/errs"
 )
 
-// Unheard is the error of a call that nobody acknowledged.
-var Unheard = errs.Define("call not acknowledged")
+// ErrNotAcknowledged is the error of a call that nobody acknowledged.
+var ErrNotAcknowledged = errs.Define("call not acknowledged")
 
 // Beater registers a worker by its calls.
 type Beater struct {
@@ -35,7 +35,7 @@
 	beater := &Beater{Worker: worker, Address: address, Controls: controls}
 	beater.client = http.Client{Timeout: constants.EmulatorBeatWait, CheckRedirect: func(_ *http.Request, via []*http.Request) error {
 		if len(via) > constants.EmulatorRedirects {
-			return Unheard.New("redirected too often")
+			return ErrNotAcknowledged.New("redirected too often")
 		}
 		return nil
 	}}
@@ -79,16 +79,16 @@
 	body := beatBody{Backend: nodeSettings.Service, Address: b.Address, Zone: nodeSettings.Zone, Generation: "v1", Capacity: nodeSettings.Shape.Capacity,
 		Phase: "steady", Stage: "both", Models: b.Worker.models(), Count: count}
 	b.Worker.lock.Lock()
-	body.WarmupMs = max(clock.ToMilliseconds(b.Worker.warm.Since(b.Worker.clockValue.Now())), 0)
+	body.WarmupMs = max(clock.ToMilliseconds(b.Worker.warm.Sub(b.Worker.clockValue.Now())), 0)
 	if b.Worker.leaving {
 		body.Phase = "draining"
 	}
 	b.Worker.lock.Unlock()
 	text, err := json.Marshal(body)
 	if err != nil {
-		return Unheard.Wrap(err, "body")
+		return ErrNotAcknowledged.Wrap(err, "body")
 	}
-	err = Unheard.New("nobody to call")
+	err = ErrNotAcknowledged.New("nobody to call")
 	for _, address := range addresses {
 		var next string
 		if next, err = b.send("http://"+address+path+nodeSettings.ID, text); err == nil {
@@ -112,15 +112,15 @@
 func (b *Beater) send(url string, text []byte) (target string, err error) {
 	answer, err := b.client.Post(url, "application/json", bytes.NewReader(text))
 	if err != nil {
-		return "", Unheard.Wrap(err, "call")
+		return "", ErrNotAcknowledged.Wrap(err, "call")
 	}
 	defer answer.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(answer.Body, constants.EmulatorBeatBytes+1))
 	if err != nil {
-		return "", Unheard.Wrap(err, "answer")
+		return "", ErrNotAcknowledged.Wrap(err, "answer")
 	}
 	if answer.StatusCode < 200 || answer.StatusCode > 299 || len(body) > constants.EmulatorBeatBytes {
-		return "", Unheard.New(answer.Status)
+		return "", ErrNotAcknowledged.New(answer.Status)
 	}
 	var told struct {
 		Target string `json:"beat-target"`
@@ -131,14 +131,14 @@
 }
 
 // Keep sends heartbeats until the context ends.
-func (b *Beater) Keep(until contexts.Context, period clock.Span) {
+func (b *Beater) Keep(until contexts.Context, period clock.Duration) {
 	_ = b.Beat()
 	clock.Every(period, until.Done(), func() { _ = b.Beat() })
 }
 
 // LeaveInOrder says that the worker is draining, serves on for a while after that
 // was acknowledged, departs and ends.
-func (b *Beater) LeaveInOrder(drain clock.Span) {
+func (b *Beater) LeaveInOrder(drain clock.Duration) {
 	b.Worker.Leave()
 	for tries := 0; b.Beat() != nil && tries < len(b.Controls)+2; tries++ {
 		clock.Sleep(constants.LabRetry)
--- a/internal/tooling/workeremulator/calledoff_test.go
+++ b/internal/tooling/workeremulator/calledoff_test.go
@@ -29,7 +29,7 @@
 // The server calls a pending read off after an answer, at times only when the clock has
 // moved on: that must not count as a use of the connection.
 func TestReadCalledOffIsNoUse(t *testing.T) {
-	clockValue := &hasty{now: clock.Moment(time.Second)}
+	clockValue := &hasty{now: clock.Instant(time.Second)}
 	worker := NewWorker(plainSettings, &Record{}, clockValue, 1)
 	worker.SetFaults(Faults{ForgetMs: 500})
 	one := &connection{Conn: &calledOff{}, listener: newLimitedListener(nil, worker), active: clockValue.Now()}
--- a/internal/tooling/workeremulator/engine.go
+++ b/internal/tooling/workeremulator/engine.go
@@ -21,7 +21,7 @@
 	again  int64
 	out    int64
 	begun  bool
-	ends   clock.Moment
+	ends   clock.Instant
 }
 
 // Engine is a batching engine without I/O.
@@ -30,7 +30,7 @@
 	running []*job
 	waiting []*job
 	cache   *cache
-	next    clock.Moment
+	next    clock.Instant
 	effects []Effect
 	// ReadTokens counts prompt tokens that were read, Reused those that were kept.
 	ReadTokens, Reused, PutBacks int64
@@ -43,7 +43,7 @@
 }
 
 // Step takes one event and gives what follows from it.
-func (e *Engine) Step(event Event, now clock.Moment) []Effect {
+func (e *Engine) Step(event Event, now clock.Instant) []Effect {
 	e.effects = nil
 	// What was due before the event comes first.
 	e.catchUp(now)
@@ -59,9 +59,9 @@
 }
 
 // Next is when the next tick is due; false where nothing is under way.
-func (e *Engine) Next() (clock.Moment, bool) {
-	at, some := clock.Moment(0), false
-	earlier := func(moment clock.Moment) {
+func (e *Engine) Next() (clock.Instant, bool) {
+	at, some := clock.Instant(0), false
+	earlier := func(moment clock.Instant) {
 		if !some || moment < at {
 			at, some = moment, true
 		}
@@ -112,7 +112,7 @@
 }
 
 // admit lets waiting requests run in the order they came: engines know no ranks.
-func (e *Engine) admit(now clock.Moment) {
+func (e *Engine) admit(now clock.Instant) {
 	for len(e.waiting) > 0 && len(e.running) < e.shape.Capacity {
 		one := e.waiting[0]
 		if one.ask.Work == 0 && !e.hold(one) {
@@ -120,10 +120,10 @@
 		}
 		e.waiting = e.waiting[1:]
 		if one.ask.Work > 0 {
-			one.begun, one.ends = true, now.Plus(e.slowed(one.ask.Work))
+			one.begun, one.ends = true, now.Add(e.slowed(one.ask.Work))
 			e.tell(EffectBegin, one, 0)
 		} else if e.tokens() == 0 {
-			e.next = now.Plus(e.stepSpan(1))
+			e.next = now.Add(e.stepSpan(1))
 		}
 		e.running = append(e.running, one)
 	}
@@ -168,21 +168,21 @@
 	return count
 }
 
-func (e *Engine) stepSpan(count int) clock.Span {
-	return max(e.shape.Step+e.shape.StepEach*clock.Span(count), 1)
+func (e *Engine) stepSpan(count int) clock.Duration {
+	return max(e.shape.Step+e.shape.StepEach*clock.Duration(count), 1)
 }
 
 // slowed: plain work takes up to twice as long on a full worker.
-func (e *Engine) slowed(work clock.Span) clock.Span {
-	return work + work*clock.Span(len(e.running))/clock.Span(max(e.shape.Capacity, 1))
+func (e *Engine) slowed(work clock.Duration) clock.Duration {
+	return work + work*clock.Duration(len(e.running))/clock.Duration(max(e.shape.Capacity, 1))
 }
 
-func (e *Engine) catchUp(now clock.Moment) {
+func (e *Engine) catchUp(now clock.Instant) {
 	for count := 0; count < constants.EmulatorEventLimit && e.tokens() > 0 && e.next <= now; count++ {
 		at, span := e.next, e.stepSpan(e.tokens())
 		e.round(span)
 		e.admit(at)
-		e.next = at.Plus(e.stepSpan(max(e.tokens(), 1)))
+		e.next = at.Add(e.stepSpan(max(e.tokens(), 1)))
 	}
 	var ended []*job
 	for _, one := range e.running {
