--- a/internal/tooling/workeremulator/engine_test.go
+++ b/internal/tooling/workeremulator/engine_test.go
@@ -14,17 +14,17 @@
 // drive runs an engine until nothing is under way, and notes when what happened.
 type told struct {
 	Effect
-	at clock.Moment
+	at clock.Instant
 }
 
-func drive(engine *Engine, events map[clock.Moment][]Event, limit clock.Moment) []told {
+func drive(engine *Engine, events map[clock.Instant][]Event, limit clock.Instant) []told {
 	var all []told
-	note := func(effects []Effect, now clock.Moment) {
+	note := func(effects []Effect, now clock.Instant) {
 		for _, effect := range effects {
 			all = append(all, told{effect, now})
 		}
 	}
-	for now := clock.Moment(0); now <= limit; now += clock.Moment(time.Millisecond / 4) {
+	for now := clock.Instant(0); now <= limit; now += clock.Instant(time.Millisecond / 4) {
 		for _, event := range events[now] {
 			note(engine.Step(event, now), now)
 		}
@@ -49,12 +49,12 @@
 	return Event{Kind: EventArrive, Ask: Ask{Ticket: ticket, Model: "m", In: in, Out: out, Parts: parts}}
 }
 
-func milliseconds(count float64) clock.Moment { return clock.Moment(clock.Milliseconds(count)) }
+func milliseconds(count float64) clock.Instant { return clock.Instant(clock.Milliseconds(count)) }
 
 // Each token comes more slowly as more requests run.
 func TestTokensSlowDownWithTheBatch(t *testing.T) {
-	alone := drive(NewEngine(smallShape), map[clock.Moment][]Event{0: {arrive(1, 10, 40)}}, milliseconds(500))
-	full := drive(NewEngine(smallShape), map[clock.Moment][]Event{0: {arrive(1, 10, 40), arrive(2, 10, 40), arrive(3, 10, 40), arrive(4, 10, 40)}}, milliseconds(500))
+	alone := drive(NewEngine(smallShape), map[clock.Instant][]Event{0: {arrive(1, 10, 40)}}, milliseconds(500))
+	full := drive(NewEngine(smallShape), map[clock.Instant][]Event{0: {arrive(1, 10, 40), arrive(2, 10, 40), arrive(3, 10, 40), arrive(4, 10, 40)}}, milliseconds(500))
 	first, second := of(alone, 1, EffectFinish), of(full, 1, EffectFinish)
 	if len(first) != 1 || len(second) != 1 || second[0].at < first[0].at*3/2 {
 		t.Fatal(first, second)
@@ -65,7 +65,7 @@
 func TestReadingGoesOnBetweenTokens(t *testing.T) {
 	shape := smallShape
 	shape.ReadPerMs = 10
-	all := drive(NewEngine(shape), map[clock.Moment][]Event{0: {arrive(1, 10, 80)}, milliseconds(20): {arrive(2, 800, 4)}}, milliseconds(900))
+	all := drive(NewEngine(shape), map[clock.Instant][]Event{0: {arrive(1, 10, 80)}, milliseconds(20): {arrive(2, 800, 4)}}, milliseconds(900))
 	begun := of(all, 2, EffectBegin)
 	if len(begun) != 1 || begun[0].at < milliseconds(90) {
 		t.Fatal("800 tokens at 10 a ms were read too soon", begun)
@@ -85,7 +85,7 @@
 func TestKeptPrefixIsNotReadAgain(t *testing.T) {
 	engine := NewEngine(smallShape)
 	shared, own := Part{"a", 300}, Part{"b", 100}
-	drive(engine, map[clock.Moment][]Event{0: {arrive(1, 400, 4, shared, own)}}, milliseconds(100))
+	drive(engine, map[clock.Instant][]Event{0: {arrive(1, 400, 4, shared, own)}}, milliseconds(100))
 	if engine.ReadTokens != 400 || engine.Reused != 0 {
 		t.Fatal(engine.ReadTokens, engine.Reused)
 	}
@@ -118,7 +118,7 @@
 // stream is missing or doubled.
 func TestNewestIsPutBackAndGoesOn(t *testing.T) {
 	engine := NewEngine(smallShape)
-	all := drive(engine, map[clock.Moment][]Event{0: {arrive(1, 400, 200), arrive(2, 400, 200)}}, milliseconds(3000))
+	all := drive(engine, map[clock.Instant][]Event{0: {arrive(1, 400, 200), arrive(2, 400, 200)}}, milliseconds(3000))
 	if engine.PutBacks == 0 || len(of(all, 1, EffectPutBack)) > 0 {
 		t.Fatal("the newest was not put back", engine.PutBacks)
 	}
@@ -145,10 +145,10 @@
 func TestResumeGoesOnBehindTheLastEvent(t *testing.T) {
 	event := arrive(1, 100, 40)
 	event.Ask.From = 3
-	all := drive(NewEngine(smallShape), map[clock.Moment][]Event{0: {event}}, milliseconds(300))
+	all := drive(NewEngine(smallShape), map[clock.Instant][]Event{0: {event}}, milliseconds(300))
 	follow(t, of(all, 1, EffectEvent), 4, 10)
 	event.Ask.From = 10
-	all = drive(NewEngine(smallShape), map[clock.Moment][]Event{0: {event}}, milliseconds(300))
+	all = drive(NewEngine(smallShape), map[clock.Instant][]Event{0: {event}}, milliseconds(300))
 	if len(of(all, 1, EffectEvent)) != 0 || len(of(all, 1, EffectFinish)) != 1 {
 		t.Fatal("nothing was left, and yet something came", all)
 	}
@@ -162,7 +162,7 @@
 	large := arrive(8, 2000, 4)
 	late := arrive(9, 10, 800)
 	late.Ask.Until = milliseconds(300)
-	all := drive(NewEngine(smallShape), map[clock.Moment][]Event{0: events, milliseconds(200): {large, late}}, milliseconds(400))
+	all := drive(NewEngine(smallShape), map[clock.Instant][]Event{0: events, milliseconds(200): {large, late}}, milliseconds(400))
 	if len(of(all, 7, EffectRefuse)) != 1 || len(of(all, 6, EffectFinish)) != 1 || len(of(all, 8, EffectRefuse)) != 1 || len(of(all, 9, EffectExpire)) != 1 {
 		t.Fatal(all)
 	}
@@ -195,9 +195,9 @@
 				t.Fatal("seed", seed, running, waiting, used, engine.cache.held)
 			}
 		}
-		now, count := clock.Moment(0), int64(0)
+		now, count := clock.Instant(0), int64(0)
 		for round := 0; round < 2000; round++ {
-			now += clock.Moment(random.Int63n(int64(2 * time.Millisecond)))
+			now += clock.Instant(random.Int63n(int64(2 * time.Millisecond)))
 			if random.Intn(8) == 0 && round < 1500 {
 				count++
 				event := arrive(count, 20+random.Int63n(300), 1+random.Int63n(60), Part{strconv.Itoa(random.Intn(4)), 20})
--- a/internal/tooling/workeremulator/report.go
+++ b/internal/tooling/workeremulator/report.go
@@ -11,7 +11,7 @@
 
 // moment is how things stood at some time.
 type moment struct {
-	at               clock.Moment
+	at               clock.Instant
 	running, waiting int
 	used             int64
 }
@@ -23,7 +23,7 @@
 	running, waiting, used := w.engine.State()
 	w.history = append(w.history, moment{now, running, waiting, used})
 	old := 0
-	for old+1 < len(w.history) && w.history[old+1].at.Plus(constants.EmulatorReportAge) <= now {
+	for old+1 < len(w.history) && w.history[old+1].at.Add(constants.EmulatorReportAge) <= now {
 		old++
 	}
 	w.history = w.history[old:]
@@ -33,7 +33,7 @@
 func (w *Worker) stood() moment {
 	now, found := w.clockValue.Now(), moment{}
 	for _, one := range w.history {
-		if one.at.Plus(constants.EmulatorReportAge) <= now {
+		if one.at.Add(constants.EmulatorReportAge) <= now {
 			found = one
 		}
 	}
--- a/internal/tooling/workeremulator/rim.go
+++ b/internal/tooling/workeremulator/rim.go
@@ -135,7 +135,7 @@
 	net.Conn
 	listener *limitedListener
 	lock     sync.Mutex
-	active   clock.Moment
+	active   clock.Instant
 }
 
 // Read notes that bytes came; what comes on a forgotten connection is reset. A read that
@@ -152,7 +152,7 @@
 	worker.lock.Unlock()
 	now := worker.clockValue.Now()
 	c.lock.Lock()
-	forgotten := forget > 0 && now.Since(c.active) > forget
+	forgotten := forget > 0 && now.Sub(c.active) > forget
 	c.active = now
 	c.lock.Unlock()
 	if forgotten {
--- a/internal/tooling/workeremulator/round.go
+++ b/internal/tooling/workeremulator/round.go
@@ -3,7 +3,7 @@
 import "lemonarch/internal/platform/clock"
 
 // round is one token of every running request, and one piece of reading.
-func (e *Engine) round(span clock.Span) {
+func (e *Engine) round(span clock.Duration) {
 	budget := int64(e.shape.ReadPerMs * clock.ToMilliseconds(span))
 	// A copy: the round itself takes requests out of the list.
 	for _, one := range append([]*job(nil), e.running...) {
@@ -119,7 +119,7 @@
 	}
 }
 
-func (e *Engine) expire(now clock.Moment) {
+func (e *Engine) expire(now clock.Instant) {
 	for _, list := range [][]*job{e.running, e.waiting} {
 		for _, one := range append([]*job(nil), list...) {
 			if one.ask.Until == 0 || now < one.ask.Until {
--- a/internal/tooling/workeremulator/sender_test.go
+++ b/internal/tooling/workeremulator/sender_test.go
@@ -27,7 +27,7 @@
 
 // edge puts the real data plane in front of emulated workers; the first is preferred.
 func edge(t *testing.T, addresses ...string) string {
-	scheduler := admission.New(messages.Entry{Name: "n", Role: membership.RoleGateway, Zone: "h"}, time.Second)
+	scheduler := admission.New(messages.NodeInfo{Name: "n", Role: membership.RoleGateway, Zone: "h"}, time.Second)
 	sender := proxy.Sender{Scheduler: scheduler, Pool: workerconn.NewPool(), Budget: func(messages.Worker) int { return 20 }}
 	plane := proxy.New(sender, nil, hclog.NewNullLogger())
 	config, err := routeconfig.Parse([]byte(senderConfig))
@@ -37,7 +37,7 @@
 	plane.SetConfig(config)
 	var list []messages.Worker
 	for place, address := range addresses {
-		list = append(list, messages.Worker{ID: fmt.Sprint("w", place+1), Backend: "s", Address: address, Zone: strings.Repeat("h", place+1), Capacity: 4, Count: 1})
+		list = append(list, messages.Worker{ID: fmt.Sprint("w", place+1), Backend: "s", Address: address, Zone: strings.Repeat("h", place+1), Capacity: 4, CallCount: 1})
 	}
 	scheduler.Merge(list, clock.Now())
 	server := httptest.NewServer(plane)
--- a/internal/tooling/workeremulator/warmup_test.go
+++ b/internal/tooling/workeremulator/warmup_test.go
@@ -11,10 +11,10 @@
 func TestWarmup(t *testing.T) {
 	nodeSettings := engineSettings
 	nodeSettings.Warmup = time.Second
-	clockValue := &hasty{now: clock.Moment(time.Second)}
+	clockValue := &hasty{now: clock.Instant(time.Second)}
 	var later func()
 	worker := NewWorker(nodeSettings, &Record{}, holding{clockValue, &later}, 1)
-	if worker.engine.shape.Step != 2*smallShape.Step || worker.warm.Since(clockValue.Now()) != time.Second {
+	if worker.engine.shape.Step != 2*smallShape.Step || worker.warm.Sub(clockValue.Now()) != time.Second {
 		t.Fatal(worker.engine.shape, worker.warm)
 	}
 	worker.SetFaults(Faults{Slow: 3})
@@ -22,7 +22,7 @@
 		t.Fatal("trouble and warm-up do not add up", worker.engine.shape)
 	}
 	worker.SetFaults(Faults{})
-	clockValue.now = clock.Moment(2 * time.Second)
+	clockValue.now = clock.Instant(2 * time.Second)
 	later()
 	if worker.engine.shape.Step != smallShape.Step || worker.engine.shape.ReadPerMs != smallShape.ReadPerMs {
 		t.Fatal("slow for ever", worker.engine.shape)
@@ -35,4 +35,4 @@
 	later *func()
 }
 
-func (h holding) After(_ clock.Span, function func()) { *h.later = function }
+func (h holding) After(_ clock.Duration, function func()) { *h.later = function }
--- a/internal/tooling/workeremulator/worker.go
+++ b/internal/tooling/workeremulator/worker.go
@@ -16,31 +16,31 @@
 
 // Clock is the time of a worker; tests hand in one that does not wait.
 type Clock interface {
-	Now() clock.Moment
-	After(span clock.Span, function func())
+	Now() clock.Instant
+	After(span clock.Duration, function func())
 }
 
 // RealClock is the machine's.
 type RealClock struct{}
 
 // Now gives the present moment.
-func (RealClock) Now() clock.Moment { return clock.Now() }
+func (RealClock) Now() clock.Instant { return clock.Now() }
 
 // After calls a function once a span is over.
-func (RealClock) After(span clock.Span, function func()) { time.AfterFunc(span, function) }
+func (RealClock) After(span clock.Duration, function func()) { time.AfterFunc(span, function) }
 
 // Settings describe one worker.
 type Settings struct {
 	ID, Service, Zone string
 	// Model is empty for a worker of plain requests; these take Work each.
 	Model     string
-	Work      clock.Span
+	Work      clock.Duration
 	Shape     Shape
 	ConnLimit int
 	// Probe is the path of health questions.
 	Probe string
 	// Warmup is how long a life is slow from its start, by half.
-	Warmup clock.Span
+	Warmup clock.Duration
 	// Revision is the version of its weights.
 	Revision int64
 }
@@ -63,9 +63,9 @@
 	engine     *Engine
 	waiters    map[int64]*waiter
 	ticket     int64
-	timer      clock.Moment
+	timer      clock.Instant
 	faults     Faults
-	warm       clock.Moment
+	warm       clock.Instant
 	leaving    bool
 	ended      bool
 	handled    int64
@@ -77,7 +77,7 @@
 // NewWorker makes a worker; the seed decides which requests its faults meet.
 func NewWorker(nodeSettings Settings, record *Record, clockValue Clock, seed int64) *Worker {
 	nodeSettings.Shape.Stride = max(nodeSettings.Shape.Stride, 1)
-	worker := &Worker{warm: clockValue.Now().Plus(nodeSettings.Warmup), Settings: nodeSettings, clockValue: clockValue, record: record, random: rand.New(rand.NewSource(seed)),
+	worker := &Worker{warm: clockValue.Now().Add(nodeSettings.Warmup), Settings: nodeSettings, clockValue: clockValue, record: record, random: rand.New(rand.NewSource(seed)),
 		engine: NewEngine(nodeSettings.Shape), waiters: map[int64]*waiter{}}
 	worker.pace()
 	if nodeSettings.Warmup > 0 {
@@ -125,7 +125,7 @@
 		slow *= constants.EmulatorWarmupSlow
 	}
 	shape := w.Settings.Shape
-	w.engine.shape.Step, w.engine.shape.StepEach = clock.Span(float64(shape.Step)*slow), clock.Span(float64(shape.StepEach)*slow)
+	w.engine.shape.Step, w.engine.shape.StepEach = clock.Duration(float64(shape.Step)*slow), clock.Duration(float64(shape.StepEach)*slow)
 	w.engine.shape.ReadPerMs = shape.ReadPerMs / slow
 }
 
@@ -142,8 +142,8 @@
 }
 
 // End closes a worker that has left in order; what still runs may finish within the span.
-func (w *Worker) End(span clock.Span) {
-	limited, release := contexts.Timed(contexts.Background(), span)
+func (w *Worker) End(span clock.Duration) {
+	limited, release := contexts.WithTimeout(contexts.Background(), span)
 	defer release()
 	if w.server.Shutdown(limited) != nil {
 		w.server.Close()
@@ -216,7 +216,7 @@
 	now := w.clockValue.Now()
 	w.timer = max(at, now+1)
 	mine := w.timer
-	w.clockValue.After(w.timer.Since(now), func() {
+	w.clockValue.After(w.timer.Sub(now), func() {
 		w.lock.Lock()
 		defer w.lock.Unlock()
 		if w.timer != mine || w.ended {
--- a/internal/tooling/workeremulator/worker_test.go
+++ b/internal/tooling/workeremulator/worker_test.go
@@ -19,18 +19,18 @@
 // with the clock set forward.
 type hasty struct {
 	lock sync.Mutex
-	now  clock.Moment
+	now  clock.Instant
 }
 
-func (h *hasty) Now() clock.Moment {
+func (h *hasty) Now() clock.Instant {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	return h.now
 }
 
-func (h *hasty) After(span clock.Span, function func()) {
+func (h *hasty) After(span clock.Duration, function func()) {
 	h.lock.Lock()
-	h.now = h.now.Plus(span)
+	h.now = h.now.Add(span)
 	h.lock.Unlock()
 	go function()
 }
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	record, clockValue := &Record{}, &hasty{now: clock.Moment(time.Second)}
+	record, clockValue := &Record{}, &hasty{now: clock.Instant(time.Second)}
 	worker := NewWorker(nodeSettings, record, clockValue, 1)
 	go worker.Serve(listener)
 	t.Cleanup(worker.Crash)
--- a/internal/traffic/admission/admission.go
+++ b/internal/traffic/admission/admission.go
@@ -24,14 +24,14 @@
 	// Repeatable: it may be sent to another worker if this one fails.
 	Repeatable bool
 	Priority   int
-	Setpoint   clock.Span
+	Setpoint   clock.Duration
 	// Deadline is when the client stops waiting; Patience when we stop queueing.
-	Deadline clock.Moment
-	Patience clock.Moment
+	Deadline clock.Instant
+	Patience clock.Instant
 	Excluded []string
 	// Among, where not nil, names the only workers that may be asked.
 	Among   map[string]bool
-	arrived clock.Moment
+	arrived clock.Instant
 }
 
 // Verdict is how an ask came out.
@@ -52,7 +52,7 @@
 type Answer struct {
 	Verdict Verdict
 	Grant   *Grant
-	Retry   clock.Span
+	Retry   clock.Duration
 }
 
 type waiter struct {
@@ -71,13 +71,13 @@
 	slab      Slab[*waiter]
 	queues    map[string][]Handle
 	rates     map[string]*rate
-	listening clock.Moment
-	own       messages.Entry
+	listening clock.Instant
+	own       messages.NodeInfo
 	cost      func(zone string) float64
 	pressure  map[string]pressureWord
 	yields    map[*Grant]*yielding
 	tell      func(words []messages.Pressure)
-	toldAt    clock.Moment
+	toldAt    clock.Instant
 	// tellReading must not block: it is called under the lock.
 	tellReading  func(worker string, milliseconds float64)
 	gossip       gossipState
@@ -97,13 +97,13 @@
 
 // rate follows how many requests a service finishes a second, as seen from here.
 type rate struct {
-	since clock.Moment
+	since clock.Instant
 	count float64
 	perS  float64
 }
 
 // New makes a admission for a process.
-func New(own messages.Entry, heartbeat clock.Span) *Scheduler {
+func New(own messages.NodeInfo, heartbeat clock.Duration) *Scheduler {
 	scheduler := &Scheduler{Registry: workers.New(heartbeat), Tracker: health.New(), Index: prefixindex.NewIndex(),
 		queues: map[string][]Handle{}, rates: map[string]*rate{}, own: own,
 		pressure: map[string]pressureWord{}, yields: map[*Grant]*yielding{}, tallies: map[string]*Counters{},
@@ -133,16 +133,16 @@
 }
 
 // Listening notes that a controller was heard from.
-func (s *Scheduler) Listening(now clock.Moment) { s.listening = now }
+func (s *Scheduler) Listening(now clock.Instant) { s.listening = now }
 
 // Merge takes word of workers and places what waited for them.
-func (s *Scheduler) Merge(workerList []messages.Worker, now clock.Moment) {
+func (s *Scheduler) Merge(workerList []messages.Worker, now clock.Instant) {
 	s.lock.Lock()
 	s.Listening(now)
 	for _, worker := range workerList {
 		s.born(worker, now)
 		s.Registry.Merge(worker, now)
-		if worker.Phase == messages.PhaseGone {
+		if worker.Phase == messages.PhaseDeparted {
 			s.Tracker.Forget(worker.ID)
 			s.Index.Forget(worker.ID)
 		}
@@ -153,7 +153,7 @@
 
 // Admit places an ask at once, queues it, or refuses it. What is queued presses
 // on work of a lower rank.
-func (s *Scheduler) Admit(ask *Ask, resume func(Answer), now clock.Moment) (Answer, Handle) {
+func (s *Scheduler) Admit(ask *Ask, resume func(Answer), now clock.Instant) (Answer, Handle) {
 	answer, handle := s.admit(ask, resume, now)
 	if answer.Verdict == VerdictQueued {
 		s.press(now)
@@ -161,7 +161,7 @@
 	return answer, handle
 }
 
-func (s *Scheduler) admit(ask *Ask, resume func(Answer), now clock.Moment) (Answer, Handle) {
+func (s *Scheduler) admit(ask *Ask, resume func(Answer), now clock.Instant) (Answer, Handle) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	ask.arrived = now
@@ -174,7 +174,7 @@
 	if resume == nil {
 		return Answer{Verdict: VerdictNoRoom, Retry: s.retryAfter(ask, now)}, Handle{}
 	}
-	if wait, known := s.expectedWait(ask, now); known && now.Plus(wait) > ask.Patience {
+	if wait, known := s.expectedWait(ask, now); known && now.Add(wait) > ask.Patience {
 		// It can't be served in its time: said at once, not after a wait.
 		return Answer{Verdict: VerdictNoRoom, Retry: s.retryAfter(ask, now)}, Handle{}
 	}
--- a/internal/traffic/admission/admission_test.go
+++ b/internal/traffic/admission/admission_test.go
@@ -11,7 +11,7 @@
 )
 
 func scheduler(t *testing.T, capacity int, workerList ...string) *Scheduler {
-	one := New(messages.Entry{Name: "n", Role: membership.RoleGateway, Zone: "h"}, 1_200_000_000)
+	one := New(messages.NodeInfo{Name: "n", Role: membership.RoleGateway, Zone: "h"}, 1_200_000_000)
 	config, err := routeconfig.Parse([]byte(`{"generation":1,"backends":[{"name":"s"}]}`))
 	if err != nil {
 		t.Fatal(err)
@@ -19,7 +19,7 @@
 	one.SetConfig(config)
 	var list []messages.Worker
 	for _, name := range workerList {
-		list = append(list, messages.Worker{ID: name, Backend: "s", Address: "a", Zone: "h", Capacity: capacity, Count: 1})
+		list = append(list, messages.Worker{ID: name, Backend: "s", Address: "a", Zone: "h", Capacity: capacity, CallCount: 1})
 	}
 	one.Merge(list, 1)
 	return one
@@ -103,7 +103,7 @@
 
 func TestDrainedWorkerIsNeitherPlacedOnNorSentTo(t *testing.T) {
 	one := scheduler(t, 4, "w", "v")
-	one.Merge([]messages.Worker{{ID: "w", Backend: "s", Count: 2, Phase: messages.PhaseDraining, Capacity: 4}}, 2)
+	one.Merge([]messages.Worker{{ID: "w", Backend: "s", CallCount: 2, Phase: messages.PhaseDraining, Capacity: 4}}, 2)
 	if one.Allowed("w", 3) || !one.Allowed("v", 3) {
 		t.Fatal("a drain does not bind")
 	}
@@ -127,7 +127,7 @@
 	for item() == VerdictGranted {
 		count++
 	}
-	if want := int(constants.BulkShare * 8); count != want {
+	if want := int(constants.BatchCapacityShare * 8); count != want {
 		t.Fatalf("%d items placed, want %d", count, want)
 	}
 	other := scheduler(t, 8, "w")
@@ -148,7 +148,7 @@
 	if answer, _ := one.Admit(ask(0), nil, 3); answer.Verdict == VerdictGranted {
 		t.Fatal("placed on a worker that is full by a peer's word")
 	}
-	later := clock.Moment(2).Plus(constants.GossipStale)
+	later := clock.Instant(2).Add(constants.GossipStale)
 	if answer, _ := one.Admit(ask(0), nil, later); answer.Verdict != VerdictGranted {
 		t.Fatal("a stale word still counts")
 	}
--- a/internal/traffic/admission/displace.go
+++ b/internal/traffic/admission/displace.go
@@ -9,7 +9,7 @@
 )
 
 type pressureWord struct {
-	at    clock.Moment
+	at    clock.Instant
 	words []messages.Pressure
 }
 
@@ -55,7 +55,7 @@
 }
 
 // press displaces for what waits here, and tells the others.
-func (s *Scheduler) press(now clock.Moment) {
+func (s *Scheduler) press(now clock.Instant) {
 	s.lock.Lock()
 	words := s.waitingWords()
 	if len(words) == 0 {
@@ -65,7 +65,7 @@
 	s.pressure[ownPressure] = pressureWord{at: now, words: words}
 	yields := s.victims(words, 1)
 	tell := s.tell
-	if tell != nil && (s.toldAt == 0 || now.Since(s.toldAt) >= constants.PressurePeriod) {
+	if tell != nil && (s.toldAt == 0 || now.Sub(s.toldAt) >= constants.PressurePeriod) {
 		s.toldAt = now
 	} else {
 		tell = nil
@@ -83,18 +83,18 @@
 const ownPressure = ""
 
 // Noted takes a peer's word that is not ours to act on: nothing new starts against it.
-func (s *Scheduler) Noted(told *messages.PressureTold, now clock.Moment) {
+func (s *Scheduler) Noted(told *messages.PressureNotice, now clock.Instant) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.hearPressure(told.From, told.Words, now)
+	s.hearPressure(told.From, told.Entries, now)
 }
 
 // Pressed takes a peer's word and yields our part. sharers is how many processes
 // of our role got the same word.
-func (s *Scheduler) Pressed(told *messages.PressureTold, sharers int, now clock.Moment) {
+func (s *Scheduler) Pressed(told *messages.PressureNotice, sharers int, now clock.Instant) {
 	s.lock.Lock()
-	s.hearPressure(told.From, told.Words, now)
-	yields := s.victims(told.Words, max(sharers, 1))
+	s.hearPressure(told.From, told.Entries, now)
+	yields := s.victims(told.Entries, max(sharers, 1))
 	s.lock.Unlock()
 	for _, yield := range yields {
 		yield()
@@ -171,14 +171,14 @@
 			capacity += worker.Capacity
 		}
 	}
-	return int(constants.DisplaceFloor*float64(capacity)) + 1
+	return int(constants.PreemptionFloor*float64(capacity)) + 1
 }
 
 // pressed tells whether requests of a higher rank wait for room at a service,
 // here or at a peer.
-func (s *Scheduler) pressed(service string, priority int, now clock.Moment) bool {
+func (s *Scheduler) pressed(service string, priority int, now clock.Instant) bool {
 	for _, one := range s.pressure {
-		if now.Since(one.at) >= constants.PressureStale {
+		if now.Sub(one.at) >= constants.PressureStale {
 			continue
 		}
 		for _, word := range one.words {
@@ -191,9 +191,9 @@
 }
 
 // hearPressure takes a peer's word and drops those that count no more. The lock is held.
-func (s *Scheduler) hearPressure(from string, words []messages.Pressure, now clock.Moment) {
+func (s *Scheduler) hearPressure(from string, words []messages.Pressure, now clock.Instant) {
 	for peer, one := range s.pressure {
-		if now.Since(one.at) >= constants.PressureStale {
+		if now.Sub(one.at) >= constants.PressureStale {
 			delete(s.pressure, peer)
 		}
 	}
--- a/internal/traffic/admission/displace_test.go
+++ b/internal/traffic/admission/displace_test.go
@@ -13,7 +13,7 @@
 func fill(t *testing.T, scheduler *Scheduler, count, priority int, bulk bool, yielded *[]int) []*Grant {
 	var grants []*Grant
 	for place := 0; place < count; place++ {
-		answer, _ := scheduler.Admit(&Ask{Service: "s", Bulk: bulk, Priority: priority, Setpoint: 1}, nil, clock.Moment(10+place))
+		answer, _ := scheduler.Admit(&Ask{Service: "s", Bulk: bulk, Priority: priority, Setpoint: 1}, nil, clock.Instant(10+place))
 		if answer.Verdict != VerdictGranted {
 			t.Fatal("no place for number ", place)
 		}
@@ -28,7 +28,7 @@
 func TestHigherRankDisplacesTheYoungestItem(t *testing.T) {
 	scheduler := scheduler(t, 20, "w")
 	var yielded []int
-	items := fill(t, scheduler, int(constants.BulkShare*20), 2, true, &yielded)
+	items := fill(t, scheduler, int(constants.BatchCapacityShare*20), 2, true, &yielded)
 	for count := 0; count < 20+constants.RoomAhead-len(items); count++ {
 		if answer, _ := scheduler.Admit(ask(0), nil, 100); answer.Verdict != VerdictGranted {
 			t.Fatal("no room for live requests beside the items")
@@ -87,14 +87,14 @@
 	var yielded []int
 	const items = 20
 	fill(t, scheduler, items, 2, true, &yielded)
-	word := &messages.PressureTold{From: "forge/x", Words: []messages.Pressure{{Service: "s", Priority: 0, Waiting: 6}}}
+	word := &messages.PressureNotice{From: "forge/x", Entries: []messages.Pressure{{Service: "s", Priority: 0, Waiting: 6}}}
 	scheduler.Pressed(word, 3, 100)
 	if len(yielded) != 2 {
 		t.Fatal("want a third of six, got ", yielded)
 	}
-	word.Words[0].Waiting = 1000
+	word.Entries[0].Waiting = 1000
 	scheduler.Pressed(word, 1, 101)
-	share, capacity := constants.DisplaceFloor, 40.0
+	share, capacity := constants.PreemptionFloor, 40.0
 	floor := int(share*capacity) + 1
 	if len(yielded) != items-floor {
 		t.Fatalf("%d of %d yielded, the floor is %d", len(yielded), items, floor)
@@ -103,7 +103,7 @@
 	if answer, _ := scheduler.Admit(&Ask{Service: "s", Bulk: true, Priority: 2}, nil, 102); answer.Verdict == VerdictGranted {
 		t.Fatal("an item started under pressure")
 	}
-	later := clock.Moment(101).Plus(constants.PressureStale)
+	later := clock.Instant(101).Add(constants.PressureStale)
 	if answer, _ := scheduler.Admit(&Ask{Service: "s", Bulk: true, Priority: 2}, nil, later); answer.Verdict != VerdictGranted {
 		t.Fatal("items wait for ever")
 	}
@@ -114,7 +114,7 @@
 	scheduler := scheduler(t, 40, "w")
 	var yielded []int
 	fill(t, scheduler, 20, 2, true, &yielded)
-	word := &messages.PressureTold{From: "forge/x", Words: []messages.Pressure{{Service: "s", Priority: 0, Waiting: 6}}}
+	word := &messages.PressureNotice{From: "forge/x", Entries: []messages.Pressure{{Service: "s", Priority: 0, Waiting: 6}}}
 	scheduler.Noted(word, 100)
 	if answer, _ := scheduler.Admit(&Ask{Service: "s", Bulk: true, Priority: 2}, nil, 101); answer.Verdict == VerdictGranted {
 		t.Fatal("an item started against a peer's pressure")
@@ -134,7 +134,7 @@
 	if told != 1 {
 		t.Fatal("told ", told)
 	}
-	scheduler.PumpWaiting(clock.Moment(100).Plus(constants.PressurePeriod))
+	scheduler.PumpWaiting(clock.Instant(100).Add(constants.PressurePeriod))
 	if told != 2 {
 		t.Fatal("told ", told)
 	}
@@ -151,13 +151,13 @@
 	one.SetConfig(config)
 	told := ""
 	one.OnReading(func(worker string, _ float64) { told = worker })
-	one.PeerReads(&messages.ReadingTold{Worker: "v", Reading: 100}, 10)
+	one.PeerReads(&messages.PrefillNotice{Worker: "v", Prefill: 100}, 10)
 	for count := 0; count < 4; count++ {
 		if answer, _ := one.Admit(ask(0), nil, 11); answer.Grant == nil || answer.Grant.Worker.ID != "w" {
 			t.Fatal("placed behind a long prompt")
 		}
 	}
-	later := clock.Moment(10).Plus(clock.Milliseconds(100))
+	later := clock.Instant(10).Add(clock.Milliseconds(100))
 	long := ask(0)
 	long.Affine, long.Prompt.Tokens = true, 10_000
 	answer, _ := one.Admit(long, nil, later)
--- a/internal/traffic/admission/flow.go
+++ b/internal/traffic/admission/flow.go
@@ -17,7 +17,7 @@
 const flowFade = 0.99
 
 // flowed notes a request that was served. The lock is held.
-func (s *Scheduler) flowed(grant *Grant, now clock.Moment) {
+func (s *Scheduler) flowed(grant *Grant, now clock.Instant) {
 	if s.gossip.flows == nil {
 		s.gossip.flows = map[string]*flow{}
 	}
@@ -28,13 +28,13 @@
 	}
 	one.tokens = flowFade*one.tokens + float64(grant.Fresh+grant.ask.Prompt.Out/2)
 	one.count = flowFade*one.count + 1
-	one.stayMs = flowFade*one.stayMs + clock.ToMilliseconds(now.Since(grant.begun))
+	one.stayMs = flowFade*one.stayMs + clock.ToMilliseconds(now.Sub(grant.begun))
 }
 
 // turnOthers adds what others have put into the workers' caches since the last
 // time. The lock is held.
-func (s *Scheduler) turnOthers(now clock.Moment) {
-	span := clock.ToMilliseconds(now.Since(s.gossip.turned))
+func (s *Scheduler) turnOthers(now clock.Instant) {
+	span := clock.ToMilliseconds(now.Sub(s.gossip.turned))
 	first := s.gossip.turned == 0
 	s.gossip.turned = now
 	if first {
--- a/internal/traffic/admission/gossip.go
+++ b/internal/traffic/admission/gossip.go
@@ -13,8 +13,8 @@
 
 // spoken is what was last told of a worker.
 type spoken struct {
-	at   clock.Moment
-	seen clock.Moment
+	at   clock.Instant
+	seen clock.Instant
 }
 
 // gossipState is what the gossip of one node remembers.
@@ -27,20 +27,20 @@
 	count  int
 	found  []loadWord
 	flows  map[string]*flow
-	turned clock.Moment
+	turned clock.Instant
 }
 
 // loadWord is a word that may be told, with how long the last one is old.
 type loadWord struct {
 	worker string
-	word   messages.LoadWord
+	word   messages.LoadSample
 	near   bool
-	wait   clock.Span
+	wait   clock.Duration
 }
 
 // Gossip makes this node's packet. It is bounded whatever the size of the fleet:
 // what neighbours were told longest ago goes first, and what failed here before it.
-func (s *Scheduler) Gossip(now clock.Moment) *messages.Gossip {
+func (s *Scheduler) Gossip(now clock.Instant) *messages.Gossip {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	packet := &messages.Gossip{Format: gossipFormat, From: s.own.Role + "/" + s.own.Name}
@@ -57,23 +57,23 @@
 	for _, worker := range s.Registry.Entries() {
 		health := s.Tracker.Of(worker.ID)
 		word, told := health.Word(now)
-		if !told || worker.Phase == messages.PhaseGone {
+		if !told || worker.Phase == messages.PhaseDeparted {
 			delete(state.spoken, worker.ID)
 			continue
 		}
 		last, before := state.spoken[worker.ID]
 		_, seen := health.Observed()
-		if before && word.Trust == messages.TrustNone && seen <= last.seen {
+		if before && word.Health == messages.HealthUnknown && seen <= last.seen {
 			// They have heard this very observation from us.
 			continue
 		}
-		if word.Trust == messages.TrustNone && word.AgeMs > constants.GossipWorth.Milliseconds() {
+		if word.Health == messages.HealthUnknown && word.AgeMs > constants.GossipWorth.Milliseconds() {
 			continue
 		}
-		wait := now.Since(last.at)
-		if word.Trust == messages.TrustSuspect {
+		wait := now.Sub(last.at)
+		if word.Health == messages.HealthSuspect {
 			// Like one that was never told of.
-			wait = now.Since(0)
+			wait = now.Sub(0)
 		}
 		found = append(found, loadWord{worker.ID, word, worker.Zone == s.own.Zone, wait})
 	}
@@ -86,7 +86,7 @@
 		return found[left].wait > found[right].wait
 	})
 	for _, one := range found[:min(len(found), constants.GossipLoads)] {
-		one.word.Name = messages.WorkerName(one.worker)
+		one.word.WorkerHash = messages.WorkerHash(one.worker)
 		packet.Loads = messages.AppendLoad(packet.Loads, one.word)
 		_, seen := s.Tracker.Of(one.worker).Observed()
 		state.spoken[one.worker] = spoken{at: now, seen: seen}
@@ -99,15 +99,15 @@
 }
 
 // Heard takes a peer's packet.
-func (s *Scheduler) Heard(packet *messages.Gossip, now clock.Moment) {
+func (s *Scheduler) Heard(packet *messages.Gossip, now clock.Instant) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	for _, word := range messages.Loads(packet.Loads) {
-		if worker := s.named(word.Name); worker != "" {
+	for _, word := range messages.ParseLoads(packet.Loads) {
+		if worker := s.named(word.WorkerHash); worker != "" {
 			s.Tracker.Of(worker).Peer(packet.From, word, now)
 		}
 	}
-	s.Index.Told(messages.Prefixes(packet.Prefixes, s.named), now)
+	s.Index.Told(messages.ParsePrefixes(packet.Prefixes, s.named), now)
 	s.hearPressure(packet.From, packet.Pressure, now)
 }
 
@@ -119,7 +119,7 @@
 	if clockValue := s.Registry.Clock(); state.names == nil || state.asOf != clockValue || state.count != len(all) {
 		state.names, state.asOf, state.count = make(map[uint32]string, len(all)), clockValue, len(all)
 		for _, worker := range all {
-			name := messages.WorkerName(worker.ID)
+			name := messages.WorkerHash(worker.ID)
 			if _, taken := state.names[name]; taken {
 				state.names[name] = ""
 				continue
@@ -145,11 +145,11 @@
 }
 
 // PeerReads takes a peer's word of a long prompt.
-func (s *Scheduler) PeerReads(told *messages.ReadingTold, now clock.Moment) {
+func (s *Scheduler) PeerReads(told *messages.PrefillNotice, now clock.Instant) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	// A word of more than a gossip period is no reading time but a mistake.
-	if _, known := s.Registry.Get(told.Worker); known && told.Reading > 0 && told.Reading < clock.ToMilliseconds(constants.GossipPeriod) {
-		s.Tracker.Of(told.Worker).PeerReads(clock.Milliseconds(told.Reading), now)
+	if _, known := s.Registry.Get(told.Worker); known && told.Prefill > 0 && told.Prefill < clock.ToMilliseconds(constants.GossipPeriod) {
+		s.Tracker.Of(told.Worker).PeerReads(clock.Milliseconds(told.Prefill), now)
 	}
 }
--- a/internal/traffic/admission/gossip_test.go
+++ b/internal/traffic/admission/gossip_test.go
@@ -10,13 +10,13 @@
 )
 
 // load packs one word on a worker's load.
-func load(worker string, running int, age clock.Span) []byte {
-	return messages.AppendLoad(nil, messages.LoadWord{Name: messages.WorkerName(worker), Running: running,
-		AgeMs: age.Milliseconds(), Trust: messages.TrustNone})
+func load(worker string, running int, age clock.Duration) []byte {
+	return messages.AppendLoad(nil, messages.LoadSample{WorkerHash: messages.WorkerHash(worker), Running: running,
+		AgeMs: age.Milliseconds(), Health: messages.HealthUnknown})
 }
 
 // second is a moment in whole seconds.
-func second(count int) clock.Moment { return clock.Moment(count) * 1_000_000_000 }
+func second(count int) clock.Instant { return clock.Instant(count) * 1_000_000_000 }
 
 // The age limit holds for the evidence, however often and by however fresh a packet
 // it was passed on.
@@ -24,19 +24,19 @@
 	near, far := scheduler(t, 1, "w"), scheduler(t, 1, "w")
 	near.Heard(&messages.Gossip{From: "forge/x", Loads: load("w", 50, 0)}, second(10))
 	packet := near.Gossip(second(12))
-	words := messages.Loads(packet.Loads)
+	words := messages.ParseLoads(packet.Loads)
 	if len(words) != 1 || words[0].Running != 50 || words[0].AgeMs < 2000 {
 		t.Fatalf("not passed on with its age: %+v", words)
 	}
 	far.Heard(packet, second(12))
-	running := func(now clock.Moment) (count int) {
+	running := func(now clock.Instant) (count int) {
 		far.Locked(func() { count = far.Tracker.Of("w").Running(now) })
 		return count
 	}
 	if running(second(12)+1) != 50 {
 		t.Fatal("a relayed word did not count")
 	}
-	late := second(10).Plus(constants.GossipStale)
+	late := second(10).Add(constants.GossipStale)
 	if running(late) != 0 {
 		t.Fatal("relaying made a stale word young")
 	}
@@ -75,7 +75,7 @@
 	one.Heard(&messages.Gossip{From: "forge/x", Loads: load("w", 4, 0)}, second(10))
 	granted := 0
 	for ; granted < 20; granted++ {
-		if answer, _ := one.Admit(ask(0), nil, second(10)+clock.Moment(granted)+1); answer.Verdict != VerdictGranted {
+		if answer, _ := one.Admit(ask(0), nil, second(10)+clock.Instant(granted)+1); answer.Verdict != VerdictGranted {
 			break
 		}
 	}
@@ -105,8 +105,8 @@
 			one.Heard(&messages.Gossip{From: "forge/x", Loads: load(name, round, 0)}, now)
 		}
 		packet := one.Gossip(now)
-		for _, word := range messages.Loads(packet.Loads) {
-			told[word.Name]++
+		for _, word := range messages.ParseLoads(packet.Loads) {
+			told[word.WorkerHash]++
 		}
 		body, _ := packet.MarshalMsg(nil)
 		largest = max(largest, len(body))
@@ -153,7 +153,7 @@
 // passed on as if it were ours.
 func TestSuspicionIsFirstHand(t *testing.T) {
 	one := scheduler(t, 4, "v", "w")
-	word := messages.AppendLoad(nil, messages.LoadWord{Name: messages.WorkerName("v"), Running: messages.RunningUnknown, Trust: messages.TrustSuspect})
+	word := messages.AppendLoad(nil, messages.LoadSample{WorkerHash: messages.WorkerHash("v"), Running: messages.RunningUnknown, Health: messages.HealthSuspect})
 	one.Heard(&messages.Gossip{From: "forge/x", Loads: word}, second(10))
 	suspect := func() (answer bool) {
 		one.Locked(func() { answer = one.Tracker.Of("v").Suspect(second(10) + 1) })
@@ -178,14 +178,14 @@
 	asked.Affine, asked.Prompt.Tokens = true, 1000
 	for count := 0; count < 50; count++ {
 		answer, _ := one.Admit(asked, nil, second(10))
-		answer.Grant.End(ResultServed, second(10).Plus(clock.Milliseconds(500)))
+		answer.Grant.End(ResultServed, second(10).Add(clock.Milliseconds(500)))
 	}
 	one.Gossip(second(20))
 	// Others have 10 requests there at any time, each 1000 tokens in half a second:
 	// twenty thousand tokens a second.
-	for now := second(20); now < second(30); now = now.Plus(constants.GossipPeriod) {
-		one.Heard(&messages.Gossip{From: "forge/x", Loads: load("w", 10, 0)}, now.Plus(constants.GossipPeriod)-1)
-		one.Gossip(now.Plus(constants.GossipPeriod))
+	for now := second(20); now < second(30); now = now.Add(constants.GossipPeriod) {
+		one.Heard(&messages.Gossip{From: "forge/x", Loads: load("w", 10, 0)}, now.Add(constants.GossipPeriod)-1)
+		one.Gossip(now.Add(constants.GossipPeriod))
 	}
 	total := 0.0
 	one.Locked(func() { total = one.Index.OthersIn("w") })
--- a/internal/traffic/admission/grant.go
+++ b/internal/traffic/admission/grant.go
@@ -10,7 +10,7 @@
 	Worker    messages.Worker
 	Fresh     int
 	ask       *Ask
-	begun     clock.Moment
+	begun     clock.Instant
 	read      bool
 	scheduler *Scheduler
 	alone     bool
@@ -18,8 +18,8 @@
 	engine    bool
 	// reading is the time that the worker needed, by our reckoning, for the prompts
 	// before ours and for ours.
-	reading clock.Span
+	reading clock.Duration
 	// doubt is how far a silence was noted, and silence the one we left from.
 	doubt   int
-	silence clock.Span
+	silence clock.Duration
 }
--- a/internal/traffic/admission/health.go
+++ b/internal/traffic/admission/health.go
@@ -16,7 +16,7 @@
 	// Why is the kind of the last failure, or "flapping".
 	Why string
 	// For is how long; 0 means that it is back.
-	For clock.Span
+	For clock.Duration
 }
 
 // troubleOf maps outcomes that say something against a worker.
@@ -34,7 +34,7 @@
 func (s *Scheduler) OnEjection(tell func(Ejection)) { s.tellEjection = tell }
 
 // judge takes an outcome into the health. The lock is held.
-func (s *Scheduler) judge(grant *Grant, result Result, now clock.Moment) {
+func (s *Scheduler) judge(grant *Grant, result Result, now clock.Instant) {
 	worker := grant.Worker
 	if trouble, against := troubleOf[result]; against {
 		switch {
@@ -52,7 +52,7 @@
 	}
 }
 
-func (s *Scheduler) troubled(worker messages.Worker, trouble health.Trouble, now clock.Moment) {
+func (s *Scheduler) troubled(worker messages.Worker, trouble health.Trouble, now clock.Instant) {
 	span := s.Tracker.Troubled(worker.ID, worker.Backend, trouble, now)
 	s.Tracker.Of(worker.ID).Failed(span, now)
 	if span > 0 && s.tellEjection != nil {
@@ -61,7 +61,7 @@
 }
 
 // born has the health look at a life that is new to us. The lock is held.
-func (s *Scheduler) born(worker messages.Worker, now clock.Moment) {
+func (s *Scheduler) born(worker messages.Worker, now clock.Instant) {
 	if _, known := s.Registry.Get(worker.ID); known || worker.Phase != messages.PhaseSteady {
 		return
 	}
@@ -79,7 +79,7 @@
 
 // standings sorts out which workers of a service get no ordinary request. Our own
 // outcomes go before hearsay and before missing heartbeats.
-func (s *Scheduler) apart(ask *Ask, workerList []messages.Worker, now clock.Moment) map[string]bool {
+func (s *Scheduler) apart(ask *Ask, workerList []messages.Worker, now clock.Instant) map[string]bool {
 	if !s.Tracker.SomeApart() {
 		return nil
 	}
@@ -93,7 +93,7 @@
 
 // suspect tells whether a worker is only asked where nobody else can be: ejected here,
 // or told of by peers or by missing heartbeats while nothing of ours speaks for it.
-func (s *Scheduler) suspect(worker messages.Worker, standing workers.Standing, apart map[string]bool, now clock.Moment) bool {
+func (s *Scheduler) suspect(worker messages.Worker, standing workers.Standing, apart map[string]bool, now clock.Instant) bool {
 	if apart[worker.ID] {
 		return true
 	}
@@ -105,7 +105,7 @@
 }
 
 // risk is what a worker's failures cost in ms of score, beyond what is usual.
-func (s *Scheduler) risk(ask *Ask, worker messages.Worker, now clock.Moment) float64 {
+func (s *Scheduler) risk(ask *Ask, worker messages.Worker, now clock.Instant) float64 {
 	usual := s.Tracker.Usual(worker.Backend, now)
 	cost := constants.ErrCostOnce
 	if ask.Repeatable || ask.Bulk {
@@ -116,7 +116,7 @@
 
 // TrustWord says in a word for the shell how a worker is trusted here: its rate of
 // failure, whether it is held or on trial, and the failures by kind. The lock is held.
-func (s *Scheduler) TrustWord(worker messages.Worker, now clock.Moment) string {
+func (s *Scheduler) TrustWord(worker messages.Worker, now clock.Instant) string {
 	trust := s.Tracker.Trust(worker.ID, worker.Backend)
 	word := "rate=" + strconv.FormatFloat(trust.Rate(s.Tracker.Usual(worker.Backend, now), now), 'f', 2, 64)
 	switch {
--- a/internal/traffic/admission/health_test.go
+++ b/internal/traffic/admission/health_test.go
@@ -9,7 +9,7 @@
 )
 
 // fails has a worker fail one request.
-func fails(one *Scheduler, worker string, result Result, now clock.Moment) {
+func fails(one *Scheduler, worker string, result Result, now clock.Instant) {
 	wanted := ask(0)
 	wanted.Repeatable, wanted.Among = true, map[string]bool{worker: true}
 	answer, _ := one.Admit(wanted, nil, now)
@@ -17,7 +17,7 @@
 }
 
 // places counts where requests go that are given back at once, without an outcome.
-func places(one *Scheduler, repeatable bool, count int, now clock.Moment) map[string]int {
+func places(one *Scheduler, repeatable bool, count int, now clock.Instant) map[string]int {
 	found := map[string]int{}
 	for ; count > 0; count-- {
 		wanted := ask(0)
@@ -44,7 +44,7 @@
 		if places(one, true, 40, now)["w"] > 0 {
 			t.Fatal(result, " placed on while ejected")
 		}
-		now = now.Plus(constants.EjectFor)
+		now = now.Add(constants.EjectFor)
 		if places(one, false, 40, now)["w"] > 0 {
 			t.Fatal(result, " what must not run twice was a trial")
 		}
@@ -68,9 +68,9 @@
 
 // Peers' words are heeded where nothing of ours speaks for a worker, and only there.
 func TestHearsayYieldsToOwnResults(t *testing.T) {
-	word := func(one *Scheduler, now clock.Moment) {
+	word := func(one *Scheduler, now clock.Instant) {
 		for _, peer := range []string{"forge/a", "forge/b"} {
-			one.Heard(&messages.Gossip{From: peer, Loads: messages.AppendLoad(nil, messages.LoadWord{Name: messages.WorkerName("w"), Running: messages.RunningUnknown, Trust: messages.TrustSuspect})}, now)
+			one.Heard(&messages.Gossip{From: peer, Loads: messages.AppendLoad(nil, messages.LoadSample{WorkerHash: messages.WorkerHash("w"), Running: messages.RunningUnknown, Health: messages.HealthSuspect})}, now)
 		}
 	}
 	one := scheduler(t, 4, "v", "w", "x")
--- a/internal/traffic/admission/place.go
+++ b/internal/traffic/admission/place.go
@@ -9,7 +9,7 @@
 )
 
 // place nominates a worker that has room, within reach or else among all.
-func (s *Scheduler) place(ask *Ask, now clock.Moment) Answer {
+func (s *Scheduler) place(ask *Ask, now clock.Instant) Answer {
 	all := s.Registry.Named(ask.Service)
 	some, more := s.reach(ask, all, now)
 	answer := s.placeAmong(ask, some, now)
@@ -20,7 +20,7 @@
 }
 
 // placeAmong nominates one of these workers.
-func (s *Scheduler) placeAmong(ask *Ask, among []messages.Worker, now clock.Moment) Answer {
+func (s *Scheduler) placeAmong(ask *Ask, among []messages.Worker, now clock.Instant) Answer {
 	listening := s.hears(now)
 	engine := false
 	var cacheTokens int64
@@ -55,7 +55,7 @@
 			if s.full(ask, worker, engine, running, now) {
 				continue
 			}
-			if ask.Bulk && engine && (health.Unread() >= constants.BulkUnread || health.PeersReading(now) > 0) {
+			if ask.Bulk && engine && (health.Unread() >= constants.BatchPrefillsPerWorker || health.PeersReading(now) > 0) {
 				// Items are read one after the other, so that live prompts get between.
 				continue
 			}
@@ -113,7 +113,7 @@
 }
 
 // room is how many requests a worker may have for this ask to be placed there.
-func (s *Scheduler) room(ask *Ask, worker messages.Worker, now clock.Moment) int {
+func (s *Scheduler) room(ask *Ask, worker messages.Worker, now clock.Instant) int {
 	if !ask.Bulk {
 		return worker.Capacity + constants.RoomAhead
 	}
@@ -121,12 +121,12 @@
 		// Live requests wait somewhere: items take no new places.
 		return 0
 	}
-	return int(constants.BulkShare * float64(worker.Capacity))
+	return int(constants.BatchCapacityShare * float64(worker.Capacity))
 }
 
 // hears tells whether a controller was heard from lately.
-func (s *Scheduler) hears(now clock.Moment) bool {
-	return s.listening > 0 && now.Since(s.listening) < constants.SilentAfter
+func (s *Scheduler) hears(now clock.Instant) bool {
+	return s.listening > 0 && now.Sub(s.listening) < constants.SuspectAfter
 }
 
 func excluded(ask *Ask, worker string) bool {
@@ -143,14 +143,14 @@
 
 // Allowed tells whether a request may still be sent to the worker: a drain that
 // was acknowledged since the grant forbids it.
-func (s *Scheduler) Allowed(worker string, now clock.Moment) bool {
+func (s *Scheduler) Allowed(worker string, now clock.Instant) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.Registry.Standing(worker, now, false) != workers.StandingOut
 }
 
 // First notes the first event or the head of an answer.
-func (g *Grant) First(load string, now clock.Moment) {
+func (g *Grant) First(load string, now clock.Instant) {
 	scheduler := g.scheduler
 	scheduler.lock.Lock()
 	defer scheduler.lock.Unlock()
@@ -163,10 +163,10 @@
 	}
 	g.read = true
 	health.Read(g.Fresh)
-	health.Answered(now.Since(g.begun))
-	scheduler.pace(g.Worker.Backend).first.Learn(clock.ToMilliseconds(max(now.Since(g.begun)-g.reading, 0)))
+	health.Answered(now.Sub(g.begun))
+	scheduler.pace(g.Worker.Backend).first.Learn(clock.ToMilliseconds(max(now.Sub(g.begun)-g.reading, 0)))
 	if g.ask.Affine {
-		scheduler.Index.FirstEvent(&g.ask.Prompt, g.Worker.ID, g.Fresh, now.Since(g.begun), g.alone, now)
+		scheduler.Index.FirstEvent(&g.ask.Prompt, g.Worker.ID, g.Fresh, now.Sub(g.begun), g.alone, now)
 	}
 }
 
@@ -195,7 +195,7 @@
 )
 
 // End gives the entry back.
-func (g *Grant) End(result Result, now clock.Moment) {
+func (g *Grant) End(result Result, now clock.Instant) {
 	scheduler := g.scheduler
 	scheduler.lock.Lock()
 	delete(scheduler.yields, g)
@@ -221,14 +221,14 @@
 	scheduler.Pump(now)
 }
 
-func (s *Scheduler) finished(service string, now clock.Moment) {
+func (s *Scheduler) finished(service string, now clock.Instant) {
 	pace := s.rates[service]
 	if pace == nil {
 		pace = &rate{since: now}
 		s.rates[service] = pace
 	}
 	pace.count++
-	if span := now.Since(pace.since); span > constants.GossipPeriod/2 {
+	if span := now.Sub(pace.since); span > constants.GossipPeriod/2 {
 		fresh := pace.count / span.Seconds()
 		if pace.perS == 0 {
 			pace.perS = fresh
--- a/internal/traffic/admission/place_bench_test.go
+++ b/internal/traffic/admission/place_bench_test.go
@@ -14,7 +14,7 @@
 func BenchmarkPlacement(b *testing.B) {
 	for _, count := range []int{18, 60, 600} {
 		b.Run(fmt.Sprint(count, "-workers"), func(b *testing.B) {
-			one := New(messages.Entry{Name: "n", Role: membership.RoleGateway, Zone: "h0"}, 1_200_000_000)
+			one := New(messages.NodeInfo{Name: "n", Role: membership.RoleGateway, Zone: "h0"}, 1_200_000_000)
 			config, err := routeconfig.Parse([]byte(`{"generation":2,"backends":[{"name":"s","engine":{"capacity":16,"cache-tokens":200000}}]}`))
 			if err != nil {
 				b.Fatal(err)
@@ -22,12 +22,12 @@
 			one.SetConfig(config)
 			var list []messages.Worker
 			for place := 0; place < count; place++ {
-				list = append(list, messages.Worker{ID: fmt.Sprintf("i-%04d", place), Backend: "s", Zone: fmt.Sprint("h", place%4), Capacity: 16, Count: 1})
+				list = append(list, messages.Worker{ID: fmt.Sprintf("i-%04d", place), Backend: "s", Zone: fmt.Sprint("h", place%4), Capacity: 16, CallCount: 1})
 			}
 			one.Merge(list, 1)
 			b.ReportAllocs()
 			for number := 0; b.Loop(); number++ {
-				now := clock.Moment(number+1) * 1_000_000
+				now := clock.Instant(number+1) * 1_000_000
 				answer, _ := one.Admit(ask(0), nil, now)
 				answer.Grant.End(ResultServed, now+1000)
 			}
@@ -39,10 +39,10 @@
 func BenchmarkGossip(b *testing.B) {
 	for _, count := range []int{18, 60, 600} {
 		b.Run(fmt.Sprint(count, "-workers"), func(b *testing.B) {
-			one := New(messages.Entry{Name: "n", Role: membership.RoleGateway, Zone: "h0"}, 1_200_000_000)
+			one := New(messages.NodeInfo{Name: "n", Role: membership.RoleGateway, Zone: "h0"}, 1_200_000_000)
 			var list []messages.Worker
 			for place := 0; place < count; place++ {
-				list = append(list, messages.Worker{ID: fmt.Sprintf("i-%04d", place), Backend: "s", Zone: fmt.Sprint("h", place%4), Capacity: 16, Count: 1})
+				list = append(list, messages.Worker{ID: fmt.Sprintf("i-%04d", place), Backend: "s", Zone: fmt.Sprint("h", place%4), Capacity: 16, CallCount: 1})
 			}
 			one.Merge(list, 1)
 			b.ReportAllocs()
@@ -51,7 +51,7 @@
 				for peer := 0; peer < 4; peer++ {
 					packet := &messages.Gossip{From: fmt.Sprint("forge/", peer)}
 					for place := 0; place < min(count, 144); place++ {
-						packet.Loads = messages.AppendLoad(packet.Loads, messages.LoadWord{Name: messages.WorkerName(list[(place+peer*144)%count].ID), Running: 5, Trust: messages.TrustNone})
+						packet.Loads = messages.AppendLoad(packet.Loads, messages.LoadSample{WorkerHash: messages.WorkerHash(list[(place+peer*144)%count].ID), Running: 5, Health: messages.HealthUnknown})
 					}
 					one.Heard(packet, now)
 				}
--- a/internal/traffic/admission/pump.go
+++ b/internal/traffic/admission/pump.go
@@ -15,7 +15,7 @@
 
 // PumpWaiting pumps where anything waits, since patience may have run out, and tells
 // whether something still does.
-func (s *Scheduler) PumpWaiting(now clock.Moment) bool {
+func (s *Scheduler) PumpWaiting(now clock.Instant) bool {
 	if !s.waiting() {
 		return false
 	}
@@ -51,7 +51,7 @@
 
 // Pump resumes what can be placed now, in order of rank and age, and refuses
 // what can wait no longer.
-func (s *Scheduler) Pump(now clock.Moment) {
+func (s *Scheduler) Pump(now clock.Instant) {
 	type resumption struct {
 		one    *waiter
 		answer Answer
--- a/internal/traffic/admission/pump_test.go
+++ b/internal/traffic/admission/pump_test.go
@@ -24,7 +24,7 @@
 	for round := 0; round < 2; round++ {
 		refused := make(chan Answer, 1)
 		waits := ask(0)
-		waits.Patience = clock.Now().Plus(2 * constants.PumpPeriod)
+		waits.Patience = clock.Now().Add(2 * constants.PumpPeriod)
 		if answer, _ := one.Admit(waits, func(late Answer) { refused <- late }, clock.Now()); answer.Verdict != VerdictQueued {
 			t.Fatal(answer.Verdict)
 		}
--- a/internal/traffic/admission/reach.go
+++ b/internal/traffic/admission/reach.go
@@ -26,13 +26,13 @@
 // subset is the stable part of a service's workers for this node, found anew each
 // period from those in good standing.
 type subset struct {
-	at         clock.Moment
+	at         clock.Instant
 	workerList []messages.Worker
 }
 
 // reach gives the workers that are weighed for an ask, and whether there are more.
 // The lock is held.
-func (s *Scheduler) reach(ask *Ask, all []messages.Worker, now clock.Moment) (some []messages.Worker, more bool) {
+func (s *Scheduler) reach(ask *Ask, all []messages.Worker, now clock.Instant) (some []messages.Worker, more bool) {
 	if ask.Bulk || len(all) <= constants.ReachWhole {
 		// Items are placed by few processes, each of which needs the room of all.
 		return all, false
@@ -53,9 +53,9 @@
 
 // subset draws the node's workers by rendezvous: who comes or goes changes nobody
 // else's, and all workers are drawn by about as many nodes.
-func (s *Scheduler) subset(service string, all []messages.Worker, now clock.Moment) []messages.Worker {
+func (s *Scheduler) subset(service string, all []messages.Worker, now clock.Instant) []messages.Worker {
 	kept := s.subsets[service]
-	if kept.workerList != nil && now.Since(kept.at) < constants.GossipPeriod {
+	if kept.workerList != nil && now.Sub(kept.at) < constants.GossipPeriod {
 		return kept.workerList
 	}
 	type ranked struct {
@@ -64,7 +64,7 @@
 		draw   uint64
 	}
 	var good []ranked
-	listening := s.listening > 0 && now.Since(s.listening) < constants.SilentAfter
+	listening := s.listening > 0 && now.Sub(s.listening) < constants.SuspectAfter
 	for _, worker := range all {
 		if s.Registry.Standing(worker.ID, now, listening) != workers.StandingGood || s.Tracker.Of(worker.ID).Suspect(now) {
 			continue
@@ -89,7 +89,7 @@
 }
 
 // drawOf is a node's draw for a worker; it weighs those with the highest.
-func drawOf(node messages.Entry, worker string) uint64 {
+func drawOf(node messages.NodeInfo, worker string) uint64 {
 	sum := fnv.New64a()
 	sum.Write([]byte(worker))
 	sum.Write([]byte(node.Role))
@@ -100,7 +100,7 @@
 
 // DrawnBy gives those of some nodes of a worker's zone that weigh it by their draw,
 // and whether nodes weigh a part of the workers at all.
-func (s *Scheduler) DrawnBy(worker string, nodes []messages.Entry) (drawn []messages.Entry, part bool) {
+func (s *Scheduler) DrawnBy(worker string, nodes []messages.NodeInfo) (drawn []messages.NodeInfo, part bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	known, found := s.Registry.Get(worker)
@@ -162,7 +162,7 @@
 
 // neutral is the mean load of those workers that there is evidence of: what one
 // without any is taken for, or it would seem the emptiest. The lock is held.
-func (s *Scheduler) neutral(workerList []messages.Worker, now clock.Moment) int {
+func (s *Scheduler) neutral(workerList []messages.Worker, now clock.Instant) int {
 	total, count := 0, 0
 	for _, worker := range workerList {
 		if health := s.Tracker.Of(worker.ID); health.Known(now) {
--- a/internal/traffic/admission/reach_test.go
+++ b/internal/traffic/admission/reach_test.go
@@ -17,13 +17,13 @@
 	var list []messages.Worker
 	for place := 0; place < 60; place++ {
 		list = append(list, messages.Worker{ID: fmt.Sprintf("i-%04d", place), Backend: "s", Address: "a",
-			Zone: fmt.Sprint("h", place%4), Capacity: capacity, Count: 1})
+			Zone: fmt.Sprint("h", place%4), Capacity: capacity, CallCount: 1})
 	}
 	one.Merge(list, 1)
 }
 
 func node(name, zone string, capacity int) *Scheduler {
-	one := New(messages.Entry{Name: name, Role: membership.RoleGateway, Zone: zone}, 1_200_000_000)
+	one := New(messages.NodeInfo{Name: name, Role: membership.RoleGateway, Zone: zone}, 1_200_000_000)
 	config, err := routeconfig.Parse([]byte(`{"generation":2,"backends":[{"name":"s","engine":{"capacity":4,"cache-tokens":200000}}]}`))
 	if err != nil {
 		panic(err)
@@ -39,7 +39,7 @@
 	one := node("n", "h1", 4)
 	used := map[string]int{}
 	for count := 0; count < 4*constants.ReachSubset; count++ {
-		answer, _ := one.Admit(ask(0), nil, second(2)+clock.Moment(count))
+		answer, _ := one.Admit(ask(0), nil, second(2)+clock.Instant(count))
 		if answer.Verdict != VerdictGranted || answer.Grant.Worker.Zone != "h1" {
 			t.Fatalf("number %d: %+v", count, answer)
 		}
@@ -92,7 +92,7 @@
 	// Where a peer's word says that it is held, it goes there rather than home.
 	one := node("edge-0", "h0", 4)
 	other := "i-0033"
-	word := messages.AppendPrefix(nil, messages.Residency{Path: []byte{0, 0, 0, 0, 0, 0, 0, 77}, Tokens: 18_000, Worker: other, Chance: 1})
+	word := messages.AppendPrefix(nil, messages.Residency{Path: []byte{0, 0, 0, 0, 0, 0, 0, 77}, Tokens: 18_000, Worker: other, Probability: 1})
 	one.Heard(&messages.Gossip{From: "forge/x", Prefixes: word}, second(2))
 	if answer, _ := one.Admit(long(), nil, second(2)+1); answer.Grant.Worker.ID != other {
 		t.Fatal("placed at ", answer.Grant.Worker.ID)
@@ -108,11 +108,11 @@
 
 // Those who draw a worker are the nodes in whose subset it is.
 func TestDrawnByAgreesWithSubsets(t *testing.T) {
-	var nodes []messages.Entry
+	var nodes []messages.NodeInfo
 	benches := map[string]*Scheduler{}
 	for place := 0; place < 20; place++ {
 		name := fmt.Sprint("edge-", place)
-		nodes = append(nodes, messages.Entry{Name: name, Role: membership.RoleGateway, Zone: "h1"})
+		nodes = append(nodes, messages.NodeInfo{Name: name, Role: membership.RoleGateway, Zone: "h1"})
 		benches[name] = node(name, "h1", 4)
 	}
 	one := benches["edge-0"]
@@ -156,7 +156,7 @@
 	if answer, _ := one.Admit(ask(0), nil, second(2)); answer.Verdict == VerdictGranted {
 		t.Fatal("a worker without evidence was taken for an empty one")
 	}
-	if answer, _ := one.Admit(ask(0), nil, second(2).Plus(constants.GossipStale)); answer.Verdict != VerdictGranted {
+	if answer, _ := one.Admit(ask(0), nil, second(2).Add(constants.GossipStale)); answer.Verdict != VerdictGranted {
 		t.Fatal("what is taken from stale words still counts")
 	}
 }
--- a/internal/traffic/admission/room.go
+++ b/internal/traffic/admission/room.go
@@ -7,7 +7,7 @@
 )
 
 // Workers lists the workers that are known, in order.
-func (s *Scheduler) Workers(now clock.Moment) []messages.Worker {
+func (s *Scheduler) Workers(now clock.Instant) []messages.Worker {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.Registry.All(now)
@@ -22,7 +22,7 @@
 
 // BulkRoom counts the workers that have a place left for an item, whether or not
 // they read one already: so many items are worth holding ready.
-func (s *Scheduler) BulkRoom(ask *Ask, now clock.Moment) int {
+func (s *Scheduler) BulkRoom(ask *Ask, now clock.Instant) int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	listening := s.hears(now)
--- a/internal/traffic/admission/room_test.go
+++ b/internal/traffic/admission/room_test.go
@@ -25,8 +25,8 @@
 		}
 		answer.Grant.MayYield(func() { yielded++ })
 	}
-	scheduler.Pressed(&messages.PressureTold{From: "forge/x", Words: []messages.Pressure{{Service: "s", Priority: 0, Waiting: 90}}}, 1, 20)
-	if share := constants.DisplaceFloor; yielded != 40-int(share*capacity)-1 {
+	scheduler.Pressed(&messages.PressureNotice{From: "forge/x", Entries: []messages.Pressure{{Service: "s", Priority: 0, Waiting: 90}}}, 1, 20)
+	if share := constants.PreemptionFloor; yielded != 40-int(share*capacity)-1 {
 		t.Fatal("yielded ", yielded)
 	}
 }
--- a/internal/traffic/admission/silence.go
+++ b/internal/traffic/admission/silence.go
@@ -26,7 +26,7 @@
 }
 
 // Patience is the silence before the first event that is out of the ordinary.
-func (g *Grant) Patience() clock.Span {
+func (g *Grant) Patience() clock.Duration {
 	scheduler := g.scheduler
 	scheduler.lock.Lock()
 	defer scheduler.lock.Unlock()
@@ -35,17 +35,17 @@
 	if !g.engine {
 		most = max(constants.SilentPlain*aim, constants.SilentPlainLeast)
 	}
-	least := min(clock.Span(constants.SilenceShare*float64(aim)), most)
+	least := min(clock.Duration(constants.SilenceShare*float64(aim)), most)
 	return g.reading + scheduler.pace(g.Worker.Backend).first.Beyond(least, most)
 }
 
 // GapPatience is the silence between two events that is out of the ordinary, where
 // pauses up to a length keep an answer in time.
-func (g *Grant) GapPatience(longest clock.Span) clock.Span {
+func (g *Grant) GapPatience(longest clock.Duration) clock.Duration {
 	scheduler := g.scheduler
 	scheduler.lock.Lock()
 	defer scheduler.lock.Unlock()
-	least := clock.Span(constants.SilenceShare * float64(longest))
+	least := clock.Duration(constants.SilenceShare * float64(longest))
 	if longest <= 0 {
 		least = constants.SilentWorker
 	}
@@ -53,7 +53,7 @@
 }
 
 // Paused notes the longest pause of a stream that came whole.
-func (g *Grant) Paused(longest clock.Span) {
+func (g *Grant) Paused(longest clock.Duration) {
 	if longest <= 0 {
 		return
 	}
@@ -64,7 +64,7 @@
 }
 
 // Leave asks to go on elsewhere after a silence.
-func (g *Grant) Leave(silence clock.Span, now clock.Moment) bool {
+func (g *Grant) Leave(silence clock.Duration, now clock.Instant) bool {
 	scheduler := g.scheduler
 	scheduler.lock.Lock()
 	defer scheduler.lock.Unlock()
@@ -78,7 +78,7 @@
 
 // Doubt notes a silence that has to be waited out: at first it counts as slowness, and
 // when it lasts as silence.
-func (g *Grant) Doubt(silence clock.Span, now clock.Moment) {
+func (g *Grant) Doubt(silence clock.Duration, now clock.Instant) {
 	scheduler := g.scheduler
 	scheduler.lock.Lock()
 	defer scheduler.lock.Unlock()
@@ -100,7 +100,7 @@
 )
 
 // Told takes the load header of an answer that is no run.
-func (g *Grant) Told(load string, now clock.Moment) {
+func (g *Grant) Told(load string, now clock.Instant) {
 	if load == "" {
 		return
 	}
--- a/internal/traffic/admission/stale.go
+++ b/internal/traffic/admission/stale.go
@@ -16,7 +16,7 @@
 // full tells whether an ask finds no place at a worker. That a worker was full holds
 // for about one stay; then somebody must look. Items take no such chance, and nobody does
 // at an engine, whose batch stays full: there pressure makes room.
-func (s *Scheduler) full(ask *Ask, worker messages.Worker, engine bool, running int, now clock.Moment) bool {
+func (s *Scheduler) full(ask *Ask, worker messages.Worker, engine bool, running int, now clock.Instant) bool {
 	room := s.room(ask, worker, now)
 	if running < room {
 		return false
@@ -30,7 +30,7 @@
 
 // stay is the usual time of a request at a service's worker, as seen from here; zero
 // while nothing is known.
-func (s *Scheduler) stay(service string) clock.Span {
+func (s *Scheduler) stay(service string) clock.Duration {
 	one := s.gossip.flows[service]
 	if one == nil || one.count == 0 {
 		return 0
@@ -40,7 +40,7 @@
 
 // faded is a load as it may be by now: an old observation says little more than the
 // mean of all does.
-func (s *Scheduler) faded(service string, worker messages.Worker, running, neutral int, now clock.Moment) float64 {
+func (s *Scheduler) faded(service string, worker messages.Worker, running, neutral int, now clock.Instant) float64 {
 	health := s.Tracker.Of(worker.ID)
 	stay := s.stay(service)
 	if stay == 0 || !health.Known(now) {
--- a/internal/traffic/admission/stale_test.go
+++ b/internal/traffic/admission/stale_test.go
@@ -15,10 +15,10 @@
 func TestFullHoldsForOneStay(t *testing.T) {
 	one := scheduler(t, 4, "w")
 	one.Heard(&messages.Gossip{From: "forge/x", Loads: load("w", 50, 0)}, second(10))
-	if answer, _ := one.Admit(ask(0), nil, second(10).Plus(constants.FullFor)); answer.Verdict == VerdictGranted {
+	if answer, _ := one.Admit(ask(0), nil, second(10).Add(constants.FullFor)); answer.Verdict == VerdictGranted {
 		t.Fatal("placed on a worker that was full a moment ago")
 	}
-	later := second(10).Plus(constants.FullFor) + 1
+	later := second(10).Add(constants.FullFor) + 1
 	if answer, _ := one.Admit(&Ask{Service: "s", Bulk: true, Priority: 2}, nil, later); answer.Verdict == VerdictGranted {
 		t.Fatal("an item took the chance")
 	}
@@ -32,7 +32,7 @@
 	slow := scheduler(t, 100, "v")
 	for count := 0; count < 20; count++ {
 		answer, _ := slow.Admit(ask(0), nil, second(10))
-		answer.Grant.End(ResultServed, second(10).Plus(2*constants.GossipPeriod))
+		answer.Grant.End(ResultServed, second(10).Add(2*constants.GossipPeriod))
 	}
 	slow.Heard(&messages.Gossip{From: "forge/x", Loads: load("v", 200, 0)}, second(20))
 	if answer, _ := slow.Admit(ask(0), nil, second(21)); answer.Verdict == VerdictGranted {
@@ -43,17 +43,17 @@
 // An old word says little more than the mean: it draws nobody to another zone.
 func TestOldWordsDrawNobody(t *testing.T) {
 	one := scheduler(t, 6, "v")
-	one.Merge([]messages.Worker{{ID: "a", Backend: "s", Address: "a", Zone: "elsewhere", Capacity: 6, Count: 1}}, 1)
+	one.Merge([]messages.Worker{{ID: "a", Backend: "s", Address: "a", Zone: "elsewhere", Capacity: 6, CallCount: 1}}, 1)
 	for count := 0; count < 40; count++ {
 		answer, _ := one.Admit(ask(0), nil, second(5))
-		answer.Grant.First("", second(5).Plus(clock.Milliseconds(60)))
-		answer.Grant.End(ResultServed, second(5).Plus(clock.Milliseconds(60)))
+		answer.Grant.First("", second(5).Add(clock.Milliseconds(60)))
+		answer.Grant.End(ResultServed, second(5).Add(clock.Milliseconds(60)))
 	}
-	hear := func(now clock.Moment) {
+	hear := func(now clock.Instant) {
 		loads := append(load("v", 4, 0), load("a", 0, 0)[1:]...)
 		one.Heard(&messages.Gossip{From: "forge/x", Loads: loads}, now)
 	}
-	at := func(now clock.Moment) string {
+	at := func(now clock.Instant) string {
 		answer, _ := one.Admit(ask(0), nil, now)
 		answer.Grant.End(ResultCalledOff, now)
 		return answer.Grant.Worker.ID
@@ -62,7 +62,7 @@
 	if at(second(10)) != "a" {
 		t.Fatal("a fresh word was not followed")
 	}
-	if at(second(10).Plus(clock.Milliseconds(900))) != "v" {
+	if at(second(10).Add(clock.Milliseconds(900))) != "v" {
 		t.Fatal("a word fifteen requests old still sends everybody to another zone")
 	}
 }
@@ -72,10 +72,10 @@
 	first := map[string]int{}
 	for place := 0; place < 40; place++ {
 		pick := func() string {
-			one := New(messages.Entry{Name: string(rune('a' + place)), Role: membership.RoleGateway, Zone: "h"}, 1_200_000_000)
+			one := New(messages.NodeInfo{Name: string(rune('a' + place)), Role: membership.RoleGateway, Zone: "h"}, 1_200_000_000)
 			var list []messages.Worker
 			for _, name := range []string{"v", "w", "x", "y"} {
-				list = append(list, messages.Worker{ID: name, Backend: "s", Zone: "h", Capacity: 4, Count: 1})
+				list = append(list, messages.Worker{ID: name, Backend: "s", Zone: "h", Capacity: 4, CallCount: 1})
 			}
 			one.Merge(list, 1)
 			answer, _ := one.Admit(ask(0), nil, 2)
--- a/internal/traffic/admission/wait.go
+++ b/internal/traffic/admission/wait.go
@@ -6,7 +6,7 @@
 )
 
 // retryAfter tells when room is expected.
-func (s *Scheduler) retryAfter(ask *Ask, now clock.Moment) clock.Span {
+func (s *Scheduler) retryAfter(ask *Ask, now clock.Instant) clock.Duration {
 	wait, known := s.expectedWait(ask, now)
 	if !known {
 		wait = ask.Setpoint
@@ -14,7 +14,7 @@
 	return min(max(wait, 50*1_000_000), constants.GossipPeriod)
 }
 
-func (s *Scheduler) expectedWait(ask *Ask, now clock.Moment) (clock.Span, bool) {
+func (s *Scheduler) expectedWait(ask *Ask, now clock.Instant) (clock.Duration, bool) {
 	pace := s.rates[ask.Service]
 	if pace == nil || pace.perS <= 0 {
 		return 0, false
--- a/internal/traffic/admission/workers.go
+++ b/internal/traffic/admission/workers.go
@@ -7,7 +7,7 @@
 
 // Judged takes a controller's list of the workers that are silent. It says, too, that a
 // controller was heard.
-func (s *Scheduler) Judged(silent []messages.Overdue, now clock.Moment) {
+func (s *Scheduler) Judged(silent []messages.Overdue, now clock.Instant) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.listening = now
@@ -19,5 +19,5 @@
 func (s *Scheduler) Table() messages.Digest {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return s.Registry.Digest(s.own.Life)
+	return s.Registry.Digest(s.own.Incarnation)
 }
--- a/internal/traffic/gateway/connections.go
+++ b/internal/traffic/gateway/connections.go
@@ -15,9 +15,9 @@
 	lock sync.Mutex
 	open map[*patientConnection]struct{}
 	// idle is how long a connection may rest, and head how long a head may take.
-	idle, head clock.Span
+	idle, head clock.Duration
 	// stated is the idle time of the newest configuration.
-	stated clock.Span
+	stated clock.Duration
 }
 
 func newConnections(listener net.Listener, limits routeconfig.Limits) *connections {
@@ -73,7 +73,7 @@
 }
 
 // patience is how long to wait for a client's next bytes.
-func (c *connections) patience(resting bool) clock.Span {
+func (c *connections) patience(resting bool) clock.Duration {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if resting {
--- a/internal/traffic/gateway/gate.go
+++ b/internal/traffic/gateway/gate.go
@@ -16,44 +16,44 @@
 type gate struct {
 	runtime *node.Node
 	lock    sync.Mutex
-	duty    messages.Duty
+	duty    messages.Leadership
 	// changed closes when another takes the duty; shunned is when the known holder
 	// last failed to answer.
 	changed chan struct{}
-	shunned clock.Moment
+	shunned clock.Instant
 	// asks numbers the questions; once knows those that were relayed through us.
 	asks atomic.Uint64
-	once transport.Once
+	once transport.Deduplicator
 	// now, pause and draw are the clock and the dice, so that tests can set them.
-	now   func() clock.Moment
-	pause func(clock.Span)
+	now   func() clock.Instant
+	pause func(clock.Duration)
 	draw  func() float64
 }
 
 func newGate(runtime *node.Node) *gate {
-	one := &gate{runtime: runtime, changed: make(chan struct{}), now: clock.Now, pause: clock.Sleep, draw: clock.Draw}
-	runtime.Answer(messages.KindHolderTold, func(body []byte) ([]byte, error) {
-		told := &messages.HolderTold{}
-		if err := transport.Read(body, told); err != nil {
+	one := &gate{runtime: runtime, changed: make(chan struct{}), now: clock.Now, pause: clock.Sleep, draw: clock.Float64}
+	runtime.Handle(messages.KindLeaderAnnouncement, func(body []byte) ([]byte, error) {
+		told := &messages.LeaderAnnouncement{}
+		if err := transport.Decode(body, told); err != nil {
 			return nil, err
 		}
 		one.learn(told)
-		return transport.Write(&messages.Nothing{Taken: true})
+		return transport.Encode(&messages.Ack{Accepted: true})
 	})
-	runtime.Answer(messages.KindLotCall, one.relayed)
+	runtime.Handle(messages.KindJobCall, one.relayed)
 	return one
 }
 
 // learn takes word of who holds the duty.
-func (g *gate) learn(told *messages.HolderTold) {
+func (g *gate) learn(told *messages.LeaderAnnouncement) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	if told.Duty.Epoch > g.duty.Epoch && !told.Over {
+	if told.Leadership.Epoch > g.duty.Epoch && !told.Resigned {
 		close(g.changed)
 		g.changed = make(chan struct{})
 	}
-	if told.Duty.Epoch >= g.duty.Epoch {
-		g.duty, g.shunned = told.Duty, 0
+	if told.Leadership.Epoch >= g.duty.Epoch {
+		g.duty, g.shunned = told.Leadership, 0
 	}
 }
 
@@ -62,7 +62,7 @@
 func (g *gate) holder() (string, chan struct{}) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	if g.shunned > 0 && g.now().Since(g.shunned) < constants.HoldTime {
+	if g.shunned > 0 && g.now().Sub(g.shunned) < constants.LeaseDuration {
 		return "", g.changed
 	}
 	return g.duty.Address, g.changed
@@ -70,15 +70,15 @@
 
 // ask puts a call to one store. It does not wait on for one whose duty another
 // has taken since.
-func (g *gate) ask(address string, call *messages.LotCall, wait clock.Span, changed chan struct{}) (*messages.LotAnswer, error) {
+func (g *gate) ask(address string, call *messages.JobCallRequest, wait clock.Duration, changed chan struct{}) (*messages.JobCallResponse, error) {
 	type result struct {
-		answer *messages.LotAnswer
+		answer *messages.JobCallResponse
 		err    error
 	}
 	back := make(chan result, 1)
 	go func() {
-		answer := &messages.LotAnswer{}
-		err := transport.Ask(g.runtime.Wire, address, messages.KindLotCall, call, answer, wait)
+		answer := &messages.JobCallResponse{}
+		err := transport.Call(g.runtime.Transport, address, messages.KindJobCall, call, answer, wait)
 		back <- result{answer, err}
 	}()
 	select {
@@ -90,19 +90,19 @@
 			return got.answer, got.err
 		}
 		// It may still answer, and it may have taken the call: nothing is promised.
-		return nil, transport.Unanswered.New(address + " lost its duty")
+		return nil, transport.ErrTimeout.New(address + " lost its duty")
 	}
 }
 
 // Pass asks the holder. The second result says whether the call may have had an
 // effect although no answer came.
-func (g *gate) Pass(call *messages.LotCall, span clock.Span) (*messages.LotAnswer, bool) {
-	end := g.now().Plus(span)
+func (g *gate) Pass(call *messages.JobCallRequest, span clock.Duration) (*messages.JobCallResponse, bool) {
+	end := g.now().Add(span)
 	given, failures, relays := promise{}, 0, map[string]bool{}
 	asked := map[string]bool{}
 	for g.now() < end {
 		// A node that is cut off from the stores may still reach a gateway that is not.
-		if failures >= constants.RelayAfter && !call.Relayed && len(relays) < constants.RelayAfter {
+		if failures >= constants.RelayAfter && !call.Forwarded && len(relays) < constants.RelayAfter {
 			answer, err := g.relay(call, end, relays)
 			given.heard(err)
 			if answer != nil {
@@ -115,14 +115,14 @@
 		}
 		if address == "" {
 			// Everybody was asked: the duty is changing hands, so wait a little.
-			g.pause(constants.HoldRenewal / 2)
+			g.pause(constants.LeaseRenewPeriod / 2)
 			asked = map[string]bool{}
 			continue
 		}
 		asked[address] = true
 		// A holder that is gone must not use up the whole time.
-		left := end.Since(g.now())
-		wait := min(left, constants.CallTime+clock.Milliseconds(float64(call.HoldMs)))
+		left := end.Sub(g.now())
+		wait := min(left, constants.CallTimeout+clock.Milliseconds(float64(call.WaitMs)))
 		answer, err := g.ask(address, g.question(call, left), wait, changed)
 		given.heard(err)
 		if err != nil {
@@ -134,10 +134,10 @@
 			g.lock.Unlock()
 			continue
 		}
-		if answer.Elsewhere {
-			if answer.Holder != "" && !asked[answer.Holder] {
+		if answer.NotLeader {
+			if answer.Leader != "" && !asked[answer.Leader] {
 				g.lock.Lock()
-				g.duty.Address, g.shunned = answer.Holder, 0
+				g.duty.Address, g.shunned = answer.Leader, 0
 				g.lock.Unlock()
 			}
 			continue
@@ -149,21 +149,21 @@
 
 // relay has another gateway pass the call on. No answer and no failure mean that the
 // other could not either, and that nothing was taken.
-func (g *gate) relay(call *messages.LotCall, end clock.Moment, tried map[string]bool) (*messages.LotAnswer, error) {
+func (g *gate) relay(call *messages.JobCallRequest, end clock.Instant, tried map[string]bool) (*messages.JobCallResponse, error) {
 	address := g.another(membership.RoleGateway, tried)
 	if address == "" {
 		return nil, nil
 	}
 	tried[address] = true
-	left := end.Since(g.now())
+	left := end.Sub(g.now())
 	relayed := g.question(call, left)
-	relayed.Relayed = true
-	wait := min(left, constants.CallTime+clock.Milliseconds(float64(call.HoldMs)))
-	back := &messages.LotAnswer{}
-	if err := transport.Ask(g.runtime.Wire, address, messages.KindLotCall, relayed, back, wait); err != nil {
+	relayed.Forwarded = true
+	wait := min(left, constants.CallTimeout+clock.Milliseconds(float64(call.WaitMs)))
+	back := &messages.JobCallResponse{}
+	if err := transport.Call(g.runtime.Transport, address, messages.KindJobCall, relayed, back, wait); err != nil {
 		return nil, err
 	}
-	if back.Elsewhere {
+	if back.NotLeader {
 		return nil, nil
 	}
 	return back, nil
@@ -171,21 +171,21 @@
 
 // relayed answers a call that another gateway could not pass on itself.
 func (g *gate) relayed(body []byte) ([]byte, error) {
-	call := &messages.LotCall{}
-	if err := transport.Read(body, call); err != nil {
+	call := &messages.JobCallRequest{}
+	if err := transport.Decode(body, call); err != nil {
 		return nil, err
 	}
-	if !g.once.First(call.Ask, g.now()) {
+	if !g.once.FirstSeen(call.RequestID, g.now()) {
 		// The first copy is answered, or will be; a second might end otherwise.
-		return transport.Write(unknownResult())
+		return transport.Encode(unknownResult())
 	}
 	// Whatever the sender says: a call is passed on by two gateways at most.
-	call.Relayed = true
+	call.Forwarded = true
 	// It must say what it knows before the sender stops waiting, and go on no longer
 	// than the call may live.
-	span := constants.CallTime*3/4 + clock.Milliseconds(float64(call.HoldMs))
-	if call.LiveMs > 0 {
-		span = min(span, clock.Milliseconds(float64(call.LiveMs)))
+	span := constants.CallTimeout*3/4 + clock.Milliseconds(float64(call.WaitMs))
+	if call.TTLMs > 0 {
+		span = min(span, clock.Milliseconds(float64(call.TTLMs)))
 	}
 	answer, maybe := g.Pass(call, span)
 	switch {
@@ -193,9 +193,9 @@
 	case maybe:
 		answer = unknownResult()
 	default:
-		answer = &messages.LotAnswer{Elsewhere: true}
+		answer = &messages.JobCallResponse{NotLeader: true}
 	}
-	return transport.Write(answer)
+	return transport.Encode(answer)
 }
 
 func (g *gate) another(role string, asked map[string]bool) string {
--- a/internal/traffic/gateway/gate_test.go
+++ b/internal/traffic/gateway/gate_test.go
@@ -16,10 +16,10 @@
 // A call that waits for a holder that fell silent goes to the next one as soon as
 // that is known, not when its time is up.
 func TestCallsFollowTheDuty(t *testing.T) {
-	room := transport.NewRoom()
+	room := transport.NewMemoryNetwork()
 	nodeSettings := &settings.Settings{NodeName: "n", Address: "10.0.0.1", InternalPorts: []int{1, 9}}
 	runtime := node.New(nodeSettings, membership.RoleGateway, 1, "", hclog.NewNullLogger())
-	runtime.Wire = room.Transport("gateway")
+	runtime.Transport = room.Transport("gateway")
 	one := newGate(runtime)
 	asked := make(chan struct{})
 	hold := make(chan struct{})
@@ -30,30 +30,30 @@
 		return nil, nil
 	})
 	_ = room.Transport("new").Serve(func(messages.Kind, []byte) ([]byte, error) {
-		return transport.Write(&messages.LotAnswer{Status: 202})
+		return transport.Encode(&messages.JobCallResponse{Status: 202})
 	})
-	one.duty = messages.Duty{Epoch: 1, Address: "old"}
+	one.duty = messages.Leadership{Epoch: 1, Address: "old"}
 	type result struct {
-		answer *messages.LotAnswer
+		answer *messages.JobCallResponse
 		maybe  bool
 	}
 	back := make(chan result, 1)
 	go func() {
-		answer, maybe := one.Pass(&messages.LotCall{Method: "POST", Lot: "l"}, clock.Milliseconds(60_000))
+		answer, maybe := one.Pass(&messages.JobCallRequest{Method: "POST", Job: "l"}, clock.Milliseconds(60_000))
 		back <- result{answer, maybe}
 	}()
 	<-asked
 	begun := clock.Now()
-	one.learn(&messages.HolderTold{Duty: messages.Duty{Epoch: 2, Address: "new"}})
+	one.learn(&messages.LeaderAnnouncement{Leadership: messages.Leadership{Epoch: 2, Address: "new"}})
 	got := <-back
 	if got.answer == nil || got.answer.Status != 202 || !got.maybe {
 		t.Fatal(got)
 	}
-	if waited := clock.Now().Since(begun); waited > clock.Milliseconds(600) {
+	if waited := clock.Now().Sub(begun); waited > clock.Milliseconds(600) {
 		t.Fatal("waited out the old holder: ", waited)
 	}
 	// An older word changes nothing.
-	one.learn(&messages.HolderTold{Duty: messages.Duty{Epoch: 1, Address: "old"}})
+	one.learn(&messages.LeaderAnnouncement{Leadership: messages.Leadership{Epoch: 1, Address: "old"}})
 	if address, _ := one.holder(); address != "new" {
 		t.Fatal(address)
 	}
@@ -61,15 +61,15 @@
 
 // A gateway that reaches no store has another gateway pass its calls on, once.
 func TestCutOffGatewayRelays(t *testing.T) {
-	room := transport.NewRoom()
+	room := transport.NewMemoryNetwork()
 	gates := map[string]*gate{}
 	for _, name := range []string{"cut", "near"} {
 		nodeSettings := &settings.Settings{NodeName: name, Address: "10.0.0.1", InternalPorts: []int{1, 9}}
 		runtime := node.New(nodeSettings, membership.RoleGateway, 1, "", hclog.NewNullLogger())
-		runtime.Wire = room.Transport(name)
+		runtime.Transport = room.Transport(name)
 		gates[name] = newGate(runtime)
-		_ = runtime.Wire.Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
-			if kind != messages.KindLotCall {
+		_ = runtime.Transport.Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
+			if kind != messages.KindJobCall {
 				return nil, nil
 			}
 			return gates[name].relayed(body)
@@ -77,24 +77,24 @@
 	}
 	var calls []bool
 	_ = room.Transport("store").Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
-		call := &messages.LotCall{}
-		_ = transport.Read(body, call)
-		calls = append(calls, call.Relayed)
-		return transport.Write(&messages.LotAnswer{Status: 202})
+		call := &messages.JobCallRequest{}
+		_ = transport.Decode(body, call)
+		calls = append(calls, call.Forwarded)
+		return transport.Encode(&messages.JobCallResponse{Status: 202})
 	})
 	// The cut one knows stores that it can't reach, and one gateway that it can.
-	know := func(name string, entries ...messages.Entry) { gates[name].runtime.Hear(entries) }
-	know("cut", messages.Entry{Name: "x", Role: membership.RoleStore, Address: "nowhere-1"},
-		messages.Entry{Name: "y", Role: membership.RoleStore, Address: "nowhere-2"},
-		messages.Entry{Name: "near", Role: membership.RoleGateway, Address: "near"})
-	know("near", messages.Entry{Name: "z", Role: membership.RoleStore, Address: "store"})
-	answer, _ := gates["cut"].Pass(&messages.LotCall{Method: "POST", Lot: "l"}, clock.Milliseconds(5000))
+	know := func(name string, entries ...messages.NodeInfo) { gates[name].runtime.Observe(entries) }
+	know("cut", messages.NodeInfo{Name: "x", Role: membership.RoleStore, Address: "nowhere-1"},
+		messages.NodeInfo{Name: "y", Role: membership.RoleStore, Address: "nowhere-2"},
+		messages.NodeInfo{Name: "near", Role: membership.RoleGateway, Address: "near"})
+	know("near", messages.NodeInfo{Name: "z", Role: membership.RoleStore, Address: "store"})
+	answer, _ := gates["cut"].Pass(&messages.JobCallRequest{Method: "POST", Job: "l"}, clock.Milliseconds(5000))
 	if answer == nil || answer.Status != 202 || len(calls) != 1 || !calls[0] {
 		t.Fatal(answer, calls)
 	}
 	// Where the other gateway can't either, nothing ran and nothing is claimed.
 	room.Transport("store").Close()
-	if answer, maybe := gates["cut"].Pass(&messages.LotCall{Method: "POST", Lot: "l"}, clock.Milliseconds(1500)); answer != nil || maybe {
+	if answer, maybe := gates["cut"].Pass(&messages.JobCallRequest{Method: "POST", Job: "l"}, clock.Milliseconds(1500)); answer != nil || maybe {
 		t.Fatal(answer, maybe)
 	}
 }
--- a/internal/traffic/gateway/gateway.go
+++ b/internal/traffic/gateway/gateway.go
@@ -58,15 +58,15 @@
 	go runtime.PullFirst(func() { g.settled.Store(true) })
 	calls := chi.NewRouter()
 	calls.Get("/-/readiness", g.readiness)
-	g.ready = &http.Server{Addr: runtime.Settings.Bind.Readiness, Handler: calls, ReadHeaderTimeout: constants.BulkCallTime}
+	g.ready = &http.Server{Addr: runtime.Settings.Bind.Readiness, Handler: calls, ReadHeaderTimeout: constants.BulkCallTimeout}
 	readied, err := net.Listen("tcp4", runtime.Settings.Bind.Readiness)
 	if err != nil {
-		return node.Unable.Wrap(err, "readiness")
+		return node.ErrUnavailable.Wrap(err, "readiness")
 	}
 	go func() { _ = g.ready.Serve(readied) }()
 	listener, err := net.Listen("tcp4", runtime.Settings.Bind.Ingress)
 	if err != nil {
-		return node.Unable.Wrap(err, "ingress")
+		return node.ErrUnavailable.Wrap(err, "ingress")
 	}
 	for runtime.Config() == nil {
 		clock.Sleep(constants.PumpPeriod)
@@ -75,7 +75,7 @@
 	if err == http.ErrServerClosed || g.Proxy.Leaving.Load() {
 		return nil
 	}
-	return node.Unable.Wrap(err, "ingress")
+	return node.ErrUnavailable.Wrap(err, "ingress")
 }
 
 // serve takes requests by the limits in force. The server's own limits only tell that
@@ -88,7 +88,7 @@
 	// One that came since is taken by whoever of us is later.
 	clients.setLimits(g.Node.Config().Limits)
 	g.ingress = &http.Server{Handler: g.Proxy, MaxHeaderBytes: max(limits.HeaderBytes, constants.HeadLimit),
-		ReadHeaderTimeout: constants.BulkCallTime, IdleTimeout: constants.BulkCallTime, ConnState: noteState}
+		ReadHeaderTimeout: constants.BulkCallTimeout, IdleTimeout: constants.BulkCallTimeout, ConnState: noteState}
 	g.Node.Log.Info("serving", "ingress", g.Node.Settings.Bind.Ingress)
 	return g.ingress.Serve(clients)
 }
@@ -105,15 +105,15 @@
 	httpreply.Text(writer, http.StatusOK, "ready")
 }
 
-// Leave drains: it says that it is not ready, still serves the connections that
+// Shutdown drains: it says that it is not ready, still serves the connections that
 // come until the platform has seen it, ends what is under way, and stops.
-func (g *Gateway) Leave() {
+func (g *Gateway) Shutdown() {
 	g.Proxy.Leaving.Store(true)
-	g.Node.Leave()
+	g.Node.Drain()
 	begun := clock.Now()
-	end := begun.Plus(g.Node.Settings.Grace() - constants.LeaveMargin)
+	end := begun.Add(g.Node.Settings.Grace() - constants.ShutdownMargin)
 	for clock.Now() < end {
-		if clock.Now().Since(begun) > constants.DrainLinger && g.idle() {
+		if clock.Now().Sub(begun) > constants.DrainAcceptTime && g.idle() {
 			break
 		}
 		clock.Sleep(constants.PumpPeriod)
@@ -121,7 +121,7 @@
 	counts := &g.Proxy.Counts
 	g.Node.Log.Info("left", "served", counts.Served.Load(), "refused", counts.Refused.Load(), "failed", counts.Failed.Load(),
 		"resumed", counts.Resumed.Load(), "cut", counts.CutOff.Load())
-	g.Node.End()
+	g.Node.Shutdown()
 	if g.ingress != nil {
 		g.ingress.Close()
 	}
--- a/internal/traffic/gateway/lotcall_test.go
+++ b/internal/traffic/gateway/lotcall_test.go
@@ -20,24 +20,24 @@
 // holder is a store that answers each call with the name of its lot, and keeps count of
 // the hand-ins that it took.
 type holder struct {
-	wire  *transport.Wire
+	wire  *transport.TCP
 	lock  sync.Mutex
 	taken map[string]int
 }
 
 func newHolder(t *testing.T) *holder {
-	one := &holder{wire: transport.NewWire("127.0.0.1:0"), taken: map[string]int{}}
+	one := &holder{wire: transport.NewTCP("127.0.0.1:0"), taken: map[string]int{}}
 	err := one.wire.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
-		call := &messages.LotCall{}
-		if err := transport.Read(body, call); err != nil {
+		call := &messages.JobCallRequest{}
+		if err := transport.Decode(body, call); err != nil {
 			return nil, err
 		}
 		if call.Method == http.MethodPost {
 			one.lock.Lock()
-			one.taken[call.Lot]++
+			one.taken[call.Job]++
 			one.lock.Unlock()
 		}
-		return transport.Write(&messages.LotAnswer{Status: http.StatusOK, Body: []byte(call.Lot)})
+		return transport.Encode(&messages.JobCallResponse{Status: http.StatusOK, Body: []byte(call.Job)})
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -79,15 +79,15 @@
 	}
 	nodeSettings := &settings.Settings{NodeName: "n", Address: "127.0.0.1", InternalPorts: []int{1, 9}}
 	runtime := node.New(nodeSettings, membership.RoleGateway, 1, "", hclog.NewNullLogger())
-	wire := transport.NewWire("")
+	wire := transport.NewTCP("")
 	defer wire.Close()
-	runtime.Wire = wire
+	runtime.Transport = wire
 	one := newGate(runtime)
-	one.duty = messages.Duty{Epoch: 1, Address: relay.Address()}
+	one.duty = messages.Leadership{Epoch: 1, Address: relay.Address()}
 	var lock sync.Mutex
 	refused := map[string]bool{}
 	call := func(method, lot string) {
-		answer, maybe := one.Pass(&messages.LotCall{Method: method, Lot: lot}, clock.Milliseconds(40))
+		answer, maybe := one.Pass(&messages.JobCallRequest{Method: method, Job: lot}, clock.Milliseconds(40))
 		if answer != nil && answer.Status == http.StatusOK && string(answer.Body) != lot {
 			t.Errorf("%s %s was answered for %q", method, lot, answer.Body)
 		}
--- a/internal/traffic/gateway/promise.go
+++ b/internal/traffic/gateway/promise.go
@@ -20,11 +20,11 @@
 
 // heard notes how a question ended.
 func (p *promise) heard(err error) {
-	p.unclear = p.unclear || (err != nil && !errs.Of(err, transport.Unreached))
+	p.unclear = p.unclear || (err != nil && !errs.Is(err, transport.ErrUnreachable))
 }
 
 // tell gives what may be said to the asker of what one process answered.
-func (p *promise) tell(call *messages.LotCall, answer *messages.LotAnswer) *messages.LotAnswer {
+func (p *promise) tell(call *messages.JobCallRequest, answer *messages.JobCallResponse) *messages.JobCallResponse {
 	if call.Method == http.MethodPost && p.unclear && promises(answer.Status) {
 		return unknownResult()
 	}
@@ -41,18 +41,18 @@
 }
 
 // unknownResult promises nothing: the asker may hand the same lot in again.
-func unknownResult() *messages.LotAnswer {
-	return &messages.LotAnswer{Status: http.StatusGatewayTimeout, Body: []byte(`{"error":"outcome unknown"}`)}
+func unknownResult() *messages.JobCallResponse {
+	return &messages.JobCallResponse{Status: http.StatusGatewayTimeout, Body: []byte(`{"error":"outcome unknown"}`)}
 }
 
 // question makes the copy of a call that goes to one process. It has a name of its
 // own, and a hand-in says for how long it may be taken.
-func (g *gate) question(call *messages.LotCall, left clock.Span) *messages.LotCall {
+func (g *gate) question(call *messages.JobCallRequest, left clock.Duration) *messages.JobCallRequest {
 	copied := *call
 	if call.Method == http.MethodPost {
-		own := g.runtime.Own
-		copied.Ask = own.Name + "#" + strconv.FormatInt(own.Life, 36) + "#" + strconv.FormatUint(g.asks.Add(1), 36)
-		copied.LiveMs = max(left.Milliseconds(), 1)
+		own := g.runtime.Self
+		copied.RequestID = own.Name + "#" + strconv.FormatInt(own.Incarnation, 36) + "#" + strconv.FormatUint(g.asks.Add(1), 36)
+		copied.TTLMs = max(left.Milliseconds(), 1)
 	}
 	return &copied
 }
--- a/internal/traffic/gateway/promise_test.go
+++ b/internal/traffic/gateway/promise_test.go
@@ -19,7 +19,7 @@
 // lost. One seed gives one history: nothing in it waits.
 type rough struct {
 	random *rand.Rand
-	now    clock.Moment
+	now    clock.Instant
 	gates  map[string]*gate
 	stores map[string]*keeper
 	// late holds the frames that are still under way.
@@ -35,7 +35,7 @@
 // keeper is a store as far as hand-ins see it.
 type keeper struct {
 	holds, full bool
-	once        transport.Once
+	once        transport.Deduplicator
 }
 
 func (r *rough) deliver(address string, body []byte) []byte {
@@ -43,23 +43,23 @@
 		answer, _ := one.relayed(body)
 		return answer
 	}
-	call := &messages.LotCall{}
-	_ = transport.Read(body, call)
-	one, answer := r.stores[address], &messages.LotAnswer{}
+	call := &messages.JobCallRequest{}
+	_ = transport.Decode(body, call)
+	one, answer := r.stores[address], &messages.JobCallResponse{}
 	switch {
-	case !one.once.First(call.Ask, r.now):
+	case !one.once.FirstSeen(call.RequestID, r.now):
 		answer.Status = 504
 	case !one.holds:
-		answer.Elsewhere = true
-	case r.taken[call.Lot] != "":
+		answer.NotLeader = true
+	case r.taken[call.Job] != "":
 		answer.Status = 202
 	case one.full:
 		answer.Status = 429
 	default:
-		r.taken[call.Lot] = string(call.Body)
+		r.taken[call.Job] = string(call.Body)
 		answer.Status = 202
 	}
-	packed, _ := transport.Write(answer)
+	packed, _ := transport.Encode(answer)
 	return packed
 }
 
@@ -87,24 +87,24 @@
 func (c connection) Serve(transport.Handler) error { return nil }
 func (c connection) Close()                        {}
 
-func (c connection) Call(address string, _ messages.Kind, body []byte, span clock.Span) ([]byte, error) {
+func (c connection) Call(address string, _ messages.Kind, body []byte, span clock.Duration) ([]byte, error) {
 	world := c.world
 	world.turn()
 	again := func() { world.deliver(address, body) }
 	switch world.random.Intn(8 + world.calm) {
 	case 0:
-		world.now = world.now.Plus(span)
-		return nil, transport.Unanswered.New("lost")
+		world.now = world.now.Add(span)
+		return nil, transport.ErrTimeout.New("lost")
 	case 1:
-		world.now = world.now.Plus(span)
+		world.now = world.now.Add(span)
 		world.late = append(world.late, again)
-		return nil, transport.Unanswered.New("slow")
+		return nil, transport.ErrTimeout.New("slow")
 	case 2:
-		world.now = world.now.Plus(span)
+		world.now = world.now.Add(span)
 		world.deliver(address, body)
-		return nil, transport.Unanswered.New("answer lost")
+		return nil, transport.ErrTimeout.New("answer lost")
 	case 3:
-		return nil, transport.Unreached.New("nobody there")
+		return nil, transport.ErrUnreachable.New("nobody there")
 	case 4:
 		world.late = append(world.late, again)
 	}
@@ -114,22 +114,22 @@
 func newRough(seed int64) *rough {
 	world := &rough{random: rand.New(rand.NewSource(seed)), now: 1, gates: map[string]*gate{}, stores: map[string]*keeper{}, taken: map[string]string{}}
 	world.calm, world.vacant = world.random.Intn(3)*60, world.random.Intn(4) == 0
-	entries := []messages.Entry{}
+	entries := []messages.NodeInfo{}
 	for number := 0; number < 3; number++ {
 		name := fmt.Sprint("l", number)
 		world.stores[name] = &keeper{}
-		entries = append(entries, messages.Entry{Name: name, Role: membership.RoleStore, Address: name})
-		entries = append(entries, messages.Entry{Name: fmt.Sprint("f", number), Role: membership.RoleGateway, Address: fmt.Sprint("f", number)})
+		entries = append(entries, messages.NodeInfo{Name: name, Role: membership.RoleStore, Address: name})
+		entries = append(entries, messages.NodeInfo{Name: fmt.Sprint("f", number), Role: membership.RoleGateway, Address: fmt.Sprint("f", number)})
 	}
 	for number := 0; number < 3; number++ {
 		name := fmt.Sprint("f", number)
 		nodeSettings := &settings.Settings{NodeName: name, Address: "10.0.0.1", InternalPorts: []int{1, 9}}
 		runtime := node.New(nodeSettings, membership.RoleGateway, 1, "", hclog.NewNullLogger())
-		runtime.Wire = connection{world}
-		runtime.Hear(entries)
+		runtime.Transport = connection{world}
+		runtime.Observe(entries)
 		one := newGate(runtime)
-		one.now = func() clock.Moment { return world.now }
-		one.pause = func(span clock.Span) { world.now = world.now.Plus(span); world.turn() }
+		one.now = func() clock.Instant { return world.now }
+		one.pause = func(span clock.Duration) { world.now = world.now.Add(span); world.turn() }
 		one.draw = world.random.Float64
 		world.gates[name] = one
 	}
@@ -146,7 +146,7 @@
 		for lot := 0; lot < 2; lot++ {
 			for try := 0; try < 3; try++ {
 				name, mark := fmt.Sprint("lot", lot), fmt.Sprint(lot, "/", try)
-				call := &messages.LotCall{Method: "POST", Lot: name, Body: []byte(mark)}
+				call := &messages.JobCallRequest{Method: "POST", Job: name, Body: []byte(mark)}
 				answer, maybe := world.gates[fmt.Sprint("f", try)].Pass(call, clock.Milliseconds(3000))
 				status := 503
 				if answer != nil {
@@ -190,10 +190,10 @@
 // The call that waited on a silent holder may still be taken there: a refusal by
 // the one after it is no promise.
 func TestRefusalAfterSilenceIsNoPromise(t *testing.T) {
-	room := transport.NewRoom()
+	room := transport.NewMemoryNetwork()
 	nodeSettings := &settings.Settings{NodeName: "n", Address: "10.0.0.1", InternalPorts: []int{1, 9}}
 	runtime := node.New(nodeSettings, membership.RoleGateway, 1, "", hclog.NewNullLogger())
-	runtime.Wire = room.Transport("gateway")
+	runtime.Transport = room.Transport("gateway")
 	one := newGate(runtime)
 	asked, hold := make(chan struct{}), make(chan struct{})
 	defer close(hold)
@@ -203,16 +203,16 @@
 		return nil, nil
 	})
 	_ = room.Transport("new").Serve(func(messages.Kind, []byte) ([]byte, error) {
-		return transport.Write(&messages.LotAnswer{Status: 429})
+		return transport.Encode(&messages.JobCallResponse{Status: 429})
 	})
-	one.duty = messages.Duty{Epoch: 1, Address: "old"}
-	back := make(chan *messages.LotAnswer, 1)
+	one.duty = messages.Leadership{Epoch: 1, Address: "old"}
+	back := make(chan *messages.JobCallResponse, 1)
 	go func() {
-		answer, _ := one.Pass(&messages.LotCall{Method: "POST", Lot: "l"}, clock.Milliseconds(60_000))
+		answer, _ := one.Pass(&messages.JobCallRequest{Method: "POST", Job: "l"}, clock.Milliseconds(60_000))
 		back <- answer
 	}()
 	<-asked
-	one.learn(&messages.HolderTold{Duty: messages.Duty{Epoch: 2, Address: "new"}})
+	one.learn(&messages.LeaderAnnouncement{Leadership: messages.Leadership{Epoch: 2, Address: "new"}})
 	if answer := <-back; answer == nil || answer.Status != 504 {
 		t.Fatal(answer)
 	}
@@ -222,18 +222,18 @@
 // has nothing to promise.
 func TestSilenceBehindARelayIsNoPromise(t *testing.T) {
 	world := newRough(1)
-	room := transport.NewRoom()
+	room := transport.NewMemoryNetwork()
 	cut, near := world.gates["f0"], world.gates["f1"]
 	for _, one := range []*gate{cut, near} {
-		one.runtime.Wire = room.Transport(one.runtime.Own.Name)
+		one.runtime.Transport = room.Transport(one.runtime.Self.Name)
 	}
-	_ = near.runtime.Wire.Serve(func(_ messages.Kind, body []byte) ([]byte, error) { return near.relayed(body) })
+	_ = near.runtime.Transport.Serve(func(_ messages.Kind, body []byte) ([]byte, error) { return near.relayed(body) })
 	// The stores are known under addresses at which the first gateway finds nobody,
 	// and the second finds one that stays silent.
-	near.duty = messages.Duty{Epoch: 1, Address: "silent"}
+	near.duty = messages.Leadership{Epoch: 1, Address: "silent"}
 	_ = room.Transport("silent").Serve(func(messages.Kind, []byte) ([]byte, error) { return nil, nil })
-	room.Cut("silent", true)
-	answer, maybe := cut.Pass(&messages.LotCall{Method: "POST", Lot: "l"}, clock.Milliseconds(3000))
+	room.SetPartitioned("silent", true)
+	answer, maybe := cut.Pass(&messages.JobCallRequest{Method: "POST", Job: "l"}, clock.Milliseconds(3000))
 	if !maybe || (answer != nil && answer.Status != 504) {
 		t.Fatal(answer, maybe)
 	}
--- a/internal/traffic/gateway/slow.go
+++ b/internal/traffic/gateway/slow.go
@@ -27,14 +27,14 @@
 	// reading is set while a request has begun to come or is under way, and resting
 	// while none has, since an answer; until is how long it may.
 	reading, resting bool
-	since, until     clock.Moment
+	since, until     clock.Instant
 	// ended is set once the connection was closed between two requests.
 	ended bool
 }
 
 // SetReadDeadline passes a deadline on, by the limits in force, and notes what it is for.
 func (p *patientConnection) SetReadDeadline(at clock.Time) error {
-	ahead := clock.Ahead(at)
+	ahead := clock.IsFuture(at)
 	p.bounded.Store(ahead)
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -44,7 +44,7 @@
 			p.bounded.Store(false)
 			return p.Conn.SetReadDeadline(clock.Time{})
 		}
-		p.until = clock.Now().Plus(span)
+		p.until = clock.Now().Add(span)
 		at = clock.Deadline(span)
 	} else if at.IsZero() {
 		// The server has seen the first bytes of the next request.
@@ -55,7 +55,7 @@
 
 // SetDeadline does the same.
 func (p *patientConnection) SetDeadline(at clock.Time) error {
-	p.bounded.Store(clock.Ahead(at))
+	p.bounded.Store(clock.IsFuture(at))
 	return p.Conn.SetDeadline(at)
 }
 
@@ -99,20 +99,20 @@
 }
 
 // rest notes that an answer is whole and nothing of another request has been asked for.
-func (p *patientConnection) rest(now clock.Moment) {
+func (p *patientConnection) rest(now clock.Instant) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.reading, p.resting, p.since = false, true, now
 }
 
 // extend gives a resting connection the time of newer limits, if that is longer.
-func (p *patientConnection) extend(idle clock.Span, now clock.Moment) {
+func (p *patientConnection) extend(idle clock.Duration, now clock.Instant) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	until := p.since.Plus(idle)
+	until := p.since.Add(idle)
 	if p.resting && p.bounded.Load() && until > p.until {
 		p.until = until
-		_ = p.Conn.SetReadDeadline(clock.Deadline(until.Since(now)))
+		_ = p.Conn.SetReadDeadline(clock.Deadline(until.Sub(now)))
 	}
 }
 
--- a/internal/traffic/health/apart.go
+++ b/internal/traffic/health/apart.go
@@ -12,13 +12,13 @@
 type birth struct {
 	worker, service string
 	died            int
-	at              clock.Moment
+	at              clock.Instant
 }
 
 // Born notes a new life at an address. One that follows lives which died without
 // saying that they leave is on trial, and from the second such death on held back for
 // a growing time: it may be going down and up by turns.
-func (t *Tracker) Born(worker, service, address string, orderly bool, now clock.Moment) (span clock.Span) {
+func (t *Tracker) Born(worker, service, address string, orderly bool, now clock.Instant) (span clock.Duration) {
 	trust := t.Trust(worker, service)
 	known, found := t.trusts.births[address]
 	if found && known.worker == worker {
@@ -27,7 +27,7 @@
 	next := birth{worker: worker, service: service, at: now}
 	// An address may be given to another service: its past is another's. Lives heard of
 	// in one word, as when a process starts, tell nothing of who died.
-	if found && known.service == service && !orderly && now > known.at && now.Since(known.at) < constants.FlapWindow {
+	if found && known.service == service && !orderly && now > known.at && now.Sub(known.at) < constants.FlapWindow {
 		next.died = known.died + 1
 	}
 	t.trusts.births[address] = next
@@ -49,9 +49,9 @@
 }
 
 // SweepTrust forgets addresses whose last birth is long past.
-func (t *Tracker) SweepTrust(now clock.Moment) {
+func (t *Tracker) SweepTrust(now clock.Instant) {
 	for address, known := range t.trusts.births {
-		if now.Since(known.at) > constants.ForgetAfter && t.trusts.of[known.worker] == nil {
+		if now.Sub(known.at) > constants.ForgetAfter && t.trusts.of[known.worker] == nil {
 			delete(t.trusts.births, address)
 		}
 	}
@@ -69,7 +69,7 @@
 // Apart gives the workers that get no ordinary request now, of those named. Never more
 // than EjectShare of them: of too many, those that fail most. idle tells whether we
 // have nothing running at a worker; repeatable, whether the request may be a trial.
-func (t *Tracker) Apart(workerList []string, repeatable bool, idle func(worker string) bool, now clock.Moment) map[string]bool {
+func (t *Tracker) Apart(workerList []string, repeatable bool, idle func(worker string) bool, now clock.Instant) map[string]bool {
 	type one struct {
 		worker string
 		rate   float64
--- a/internal/traffic/health/health.go
+++ b/internal/traffic/health/health.go
@@ -15,13 +15,13 @@
 	live, bulk   int
 	pending      int64
 	unread       int
-	peersRead    clock.Moment
+	peersRead    clock.Instant
 	seen         observation
 	steps        [ownSteps]ownStep
 	stepped      int
 	full         observation
-	suspects     map[string]clock.Moment
-	suspectUntil clock.Moment
+	suspects     map[string]clock.Instant
+	suspectUntil clock.Instant
 	tookMs       float64
 	failures     int64
 	answers      int64
@@ -53,7 +53,7 @@
 }
 
 // Begin notes a request of ours on its way.
-func (h *Health) Begin(bulk bool, fresh int, now clock.Moment) {
+func (h *Health) Begin(bulk bool, fresh int, now clock.Instant) {
 	if bulk {
 		h.bulk++
 	} else {
@@ -78,17 +78,17 @@
 func (h *Health) Unread() int { return h.unread }
 
 // PeerReads notes that a peer gave the worker a prompt that takes a time to read.
-func (h *Health) PeerReads(span clock.Span, now clock.Moment) {
-	h.peersRead = max(h.peersRead, now).Plus(span)
+func (h *Health) PeerReads(span clock.Duration, now clock.Instant) {
+	h.peersRead = max(h.peersRead, now).Add(span)
 }
 
 // PeersReading is how long the worker still reads what peers told of.
-func (h *Health) PeersReading(now clock.Moment) clock.Span {
-	return max(0, h.peersRead.Since(now))
+func (h *Health) PeersReading(now clock.Instant) clock.Duration {
+	return max(0, h.peersRead.Sub(now))
 }
 
 // End notes that a request of ours is over.
-func (h *Health) End(bulk bool, now clock.Moment) {
+func (h *Health) End(bulk bool, now clock.Instant) {
 	if bulk {
 		h.bulk--
 	} else {
@@ -121,22 +121,22 @@
 }
 
 // Load takes the load header of an answer.
-func (h *Health) Load(header string, now clock.Moment) {
+func (h *Health) Load(header string, now clock.Instant) {
 	if busy, _, known := ReadLoad(header); known {
 		h.observe(busy, now)
 	}
 }
 
 // Failed notes a failure; peers are told of it while the worker is ejected here.
-func (h *Health) Failed(ejected clock.Span, now clock.Moment) {
+func (h *Health) Failed(ejected clock.Duration, now clock.Instant) {
 	h.failures++
 	if ejected > 0 {
-		h.suspectUntil = now.Plus(ejected)
+		h.suspectUntil = now.Add(ejected)
 	}
 }
 
 // Answered notes an answer that came as it should.
-func (h *Health) Answered(took clock.Span) {
+func (h *Health) Answered(took clock.Duration) {
 	h.answers++
 	milliseconds := clock.ToMilliseconds(took)
 	if h.tookMs == 0 {
@@ -146,12 +146,12 @@
 }
 
 // Suspect tells whether the worker is ejected here, or told of by peers.
-func (h *Health) Suspect(now clock.Moment) bool {
+func (h *Health) Suspect(now clock.Instant) bool {
 	return now < h.suspectUntil || h.Told(now)
 }
 
 // Told tells whether several peers have ejected the worker.
-func (h *Health) Told(now clock.Moment) bool {
+func (h *Health) Told(now clock.Instant) bool {
 	return h.suspected(now)
 }
 
@@ -162,7 +162,7 @@
 func (h *Health) Counts() (answers, failures int64) { return h.answers, h.failures }
 
 // Full notes that the worker turned a request away for want of room.
-func (h *Health) Full(capacity int, now clock.Moment) {
+func (h *Health) Full(capacity int, now clock.Instant) {
 	// Our own finding, for a moment: it may be our connections that are spent, so
 	// peers are not told.
 	h.full = observation{known: true, count: capacity + constants.RoomAhead, at: now, own: h.Own()}
--- a/internal/traffic/health/pace.go
+++ b/internal/traffic/health/pace.go
@@ -31,7 +31,7 @@
 
 // Beyond is the time past which a wait is out of the ordinary: between least and most;
 // most until enough was seen.
-func (p *Pace) Beyond(least, most clock.Span) clock.Span {
+func (p *Pace) Beyond(least, most clock.Duration) clock.Duration {
 	if p.count < constants.PaceLeast {
 		return most
 	}
@@ -41,7 +41,7 @@
 // Spend takes one leave from silence out of the budget. When a whole service grows
 // slow, leaving for elsewhere would only add to its load: then the budget runs dry.
 // The wait itself is learnt, as the least that the answer would have taken.
-func (p *Pace) Spend(waited clock.Span) bool {
+func (p *Pace) Spend(waited clock.Duration) bool {
 	if p.budget < 1 {
 		return false
 	}
--- a/internal/traffic/health/peers.go
+++ b/internal/traffic/health/peers.go
@@ -20,18 +20,18 @@
 type observation struct {
 	known bool
 	count int
-	at    clock.Moment
+	at    clock.Instant
 	// own is how many of these requests were ours.
 	own int
 }
 
 type ownStep struct {
-	at  clock.Moment
+	at  clock.Instant
 	own int
 }
 
 // observe takes a count as of a moment, unless a younger one is known.
-func (h *Health) observe(count int, at clock.Moment) bool {
+func (h *Health) observe(count int, at clock.Instant) bool {
 	if h.seen.known && at < h.seen.at {
 		return false
 	}
@@ -40,13 +40,13 @@
 }
 
 // step remembers a change of our own count.
-func (h *Health) step(now clock.Moment) {
+func (h *Health) step(now clock.Instant) {
 	h.steps[h.stepped%ownSteps] = ownStep{at: now, own: h.Own()}
 	h.stepped++
 }
 
 // ownAt is how many requests of ours were there at a moment, as far as remembered.
-func (h *Health) ownAt(at clock.Moment) int {
+func (h *Health) ownAt(at clock.Instant) int {
 	oldest := max(0, h.stepped-ownSteps)
 	for place := h.stepped - 1; place >= oldest; place-- {
 		if one := h.steps[place%ownSteps]; one.at <= at {
@@ -61,60 +61,60 @@
 
 // fresh tells whether the observation still counts: the age limit holds for the
 // age of the evidence, over however many nodes it came.
-func (h *Health) fresh(now clock.Moment) bool {
-	return h.seen.known && now.Since(h.seen.at) < constants.GossipStale
+func (h *Health) fresh(now clock.Instant) bool {
+	return h.seen.known && now.Sub(h.seen.at) < constants.GossipStale
 }
 
 // Running estimates how many requests of all nodes are at the worker: the freshest
 // observation, corrected by what we ourselves have begun and ended since.
-func (h *Health) Running(now clock.Moment) int {
+func (h *Health) Running(now clock.Instant) int {
 	own := h.Own()
 	count := own
 	if h.fresh(now) {
 		count = max(count, h.seen.count+own-h.seen.own)
 	}
-	if h.full.known && now.Since(h.full.at) < constants.FullFor {
+	if h.full.known && now.Sub(h.full.at) < constants.FullFor {
 		count = max(count, h.full.count+own-h.full.own)
 	}
 	return count
 }
 
 // Known tells whether there is evidence of the worker's load.
-func (h *Health) Known(now clock.Moment) bool { return h.fresh(now) }
+func (h *Health) Known(now clock.Instant) bool { return h.fresh(now) }
 
 // Age is how old that evidence is.
-func (h *Health) Age(now clock.Moment) clock.Span { return now.Since(h.seen.at) }
+func (h *Health) Age(now clock.Instant) clock.Duration { return now.Sub(h.seen.at) }
 
 // Word is what we tell peers of the worker: the freshest observation, whoever made
 // it, and our own trust. told is false when there is nothing to tell.
-func (h *Health) Word(now clock.Moment) (word messages.LoadWord, told bool) {
-	word = messages.LoadWord{Running: messages.RunningUnknown, Trust: messages.TrustNone}
+func (h *Health) Word(now clock.Instant) (word messages.LoadSample, told bool) {
+	word = messages.LoadSample{Running: messages.RunningUnknown, Health: messages.HealthUnknown}
 	if h.fresh(now) {
-		word.Running, word.AgeMs, told = min(h.seen.count, messages.RunningUnknown-1), now.Since(h.seen.at).Milliseconds(), true
+		word.Running, word.AgeMs, told = min(h.seen.count, messages.RunningUnknown-1), now.Sub(h.seen.at).Milliseconds(), true
 	}
 	if now < h.suspectUntil {
-		word.Trust, told = messages.TrustSuspect, true
+		word.Health, told = messages.HealthSuspect, true
 	}
 	return word, told
 }
 
 // Observed is the moment of the freshest observation and its count.
-func (h *Health) Observed() (count int, at clock.Moment) {
+func (h *Health) Observed() (count int, at clock.Instant) {
 	return h.seen.count, h.seen.at
 }
 
 // Peer takes a neighbour's word. Its trust is its own evidence and counts as that.
-func (h *Health) Peer(from string, word messages.LoadWord, now clock.Moment) {
+func (h *Health) Peer(from string, word messages.LoadSample, now clock.Instant) {
 	age := clock.Milliseconds(float64(word.AgeMs))
 	if word.Running != messages.RunningUnknown {
-		h.observe(word.Running, now-clock.Moment(age))
+		h.observe(word.Running, now-clock.Instant(age))
 	}
-	if word.Trust != messages.TrustSuspect {
+	if word.Health != messages.HealthSuspect {
 		delete(h.suspects, from)
 		return
 	}
 	if h.suspects == nil {
-		h.suspects = map[string]clock.Moment{}
+		h.suspects = map[string]clock.Instant{}
 	}
 	if len(h.suspects) >= suspectsLimit {
 		clear(h.suspects)
@@ -124,11 +124,11 @@
 
 // suspected tells whether several neighbours have just met failures of the worker;
 // one alone may have a trouble of its own.
-func (h *Health) suspected(now clock.Moment) bool {
+func (h *Health) suspected(now clock.Instant) bool {
 	const several = 2
 	count := 0
 	for _, at := range h.suspects {
-		if now.Since(at) < constants.GossipPeriod+constants.GossipPeriod/2 {
+		if now.Sub(at) < constants.GossipPeriod+constants.GossipPeriod/2 {
 			count++
 		}
 	}
--- a/internal/traffic/health/trust.go
+++ b/internal/traffic/health/trust.go
@@ -47,13 +47,13 @@
 	service string
 	// good and bad are decayed counts of outcomes.
 	good, bad float64
-	at        clock.Moment
+	at        clock.Instant
 	level     int
-	failedAt  clock.Moment
-	heldUntil clock.Moment
+	failedAt  clock.Instant
+	heldUntil clock.Instant
 	// trial holds from the end of an ejection until requests have gone well.
 	trial    bool
-	trialEnd clock.Moment
+	trialEnd clock.Instant
 	// owed is how many trials must still go well: as many as there were ejections.
 	owed   int
 	counts [troubleKinds]int64
@@ -72,7 +72,7 @@
 // usual is the median rate of failure of a service, kept for a moment.
 type usual struct {
 	rate float64
-	at   clock.Moment
+	at   clock.Instant
 }
 
 // Trust gives what is known of a worker's outcomes.
@@ -89,8 +89,8 @@
 }
 
 // fade lets old outcomes count less: a half each TrustHalf.
-func (t *Trust) fade(now clock.Moment) {
-	span := now.Since(t.at)
+func (t *Trust) fade(now clock.Instant) {
+	span := now.Sub(t.at)
 	t.at = now
 	if span >= 8*constants.TrustHalf {
 		t.good, t.bad = 0, 0
@@ -105,14 +105,14 @@
 }
 
 // Rate is the rate of failure in [0, 1]; a few outcomes are drawn to what is usual.
-func (t *Trust) Rate(usual float64, now clock.Moment) float64 {
+func (t *Trust) Rate(usual float64, now clock.Instant) float64 {
 	t.fade(now)
 	return (t.bad + constants.TrustPrior*usual) / (t.good + t.bad + constants.TrustPrior)
 }
 
 // Proven tells that our own outcomes lately speak for the worker: then hearsay does
 // not count, since an illness may hold for some callers only.
-func (t *Trust) Proven(now clock.Moment) bool {
+func (t *Trust) Proven(now clock.Instant) bool {
 	t.fade(now)
 	return t.good >= constants.TrustProven && t.bad < t.good*constants.EjectRate
 }
@@ -124,16 +124,16 @@
 func Kinds() []string { return troubleNames[:] }
 
 // Held tells until when the worker is ejected here, and Trial whether it is on trial.
-func (t *Trust) Held(now clock.Moment) bool { return now < t.heldUntil }
+func (t *Trust) Held(now clock.Instant) bool { return now < t.heldUntil }
 
 // Trial tells whether only one repeatable request at a time may go there.
-func (t *Trust) Trial(now clock.Moment) bool {
+func (t *Trust) Trial(now clock.Instant) bool {
 	return t.trial && now >= t.heldUntil && now < t.trialEnd
 }
 
 // Usual is the median rate of failure over a service's workers.
-func (t *Tracker) Usual(service string, now clock.Moment) float64 {
-	if known, found := t.trusts.usuals[service]; found && now.Since(known.at) < constants.UsualPeriod {
+func (t *Tracker) Usual(service string, now clock.Instant) float64 {
+	if known, found := t.trusts.usuals[service]; found && now.Sub(known.at) < constants.UsualPeriod {
 		return known.rate
 	}
 	var rates []float64
@@ -154,7 +154,7 @@
 }
 
 // Went notes a whole answer. It returns true when that ends a trial.
-func (t *Tracker) Went(worker, service string, now clock.Moment) (returned bool) {
+func (t *Tracker) Went(worker, service string, now clock.Instant) (returned bool) {
 	trust := t.Trust(worker, service)
 	trust.fade(now)
 	trust.good++
@@ -171,10 +171,10 @@
 
 // Troubled notes a failure. A worker whose rate stands out from its service's median
 // is ejected, each time for longer; span is 0 when it is not.
-func (t *Tracker) Troubled(worker, service string, trouble Trouble, now clock.Moment) (span clock.Span) {
+func (t *Tracker) Troubled(worker, service string, trouble Trouble, now clock.Instant) (span clock.Duration) {
 	trust := t.Trust(worker, service)
 	usual := t.Usual(service, now)
-	if now.Since(trust.failedAt) > constants.EjectForget {
+	if now.Sub(trust.failedAt) > constants.EjectForget {
 		trust.level = 0
 	}
 	trust.fade(now)
@@ -187,12 +187,12 @@
 	return t.eject(worker, trust, now)
 }
 
-func (t *Tracker) eject(worker string, trust *Trust, now clock.Moment) clock.Span {
+func (t *Tracker) eject(worker string, trust *Trust, now clock.Instant) clock.Duration {
 	span := constants.EjectFor << trust.level
 	trust.level = min(trust.level+1, constants.EjectLevels)
-	trust.heldUntil, trust.trial, trust.owed = now.Plus(span), true, trust.level
+	trust.heldUntil, trust.trial, trust.owed = now.Add(span), true, trust.level
 	// A service that gets no repeatable requests has no trials: time alone ends them.
-	trust.trialEnd = trust.heldUntil.Plus(2 * span)
+	trust.trialEnd = trust.heldUntil.Add(2 * span)
 	t.trusts.apart[worker] = trust
 	return span
 }
--- a/internal/traffic/health/trust_test.go
+++ b/internal/traffic/health/trust_test.go
@@ -9,7 +9,7 @@
 	"lemonarch/internal/platform/constants"
 )
 
-const second = clock.Moment(1_000_000_000)
+const second = clock.Instant(1_000_000_000)
 
 func names(count int) []string {
 	var found []string
@@ -34,7 +34,7 @@
 		sent := map[string]int{}
 		now := second
 		for count := 0; count < 600; count++ {
-			now = now.Plus(100_000_000)
+			now = now.Add(100_000_000)
 			apart := tracker.Apart(workerList, true, always, now)
 			var open []string
 			for _, worker := range workerList {
@@ -115,10 +115,10 @@
 		if more := tracker.Troubled("w00", "s", TroubleRefused, now+1); more != 0 {
 			t.Fatal("ejected anew while ejected")
 		}
-		now = now.Plus(span)
+		now = now.Add(span)
 		want = min(2*want, constants.EjectFor<<constants.EjectLevels)
 	}
-	later := now.Plus(constants.EjectForget + 1)
+	later := now.Add(constants.EjectForget + 1)
 	if span := tracker.Troubled("w00", "s", TroubleRefused, later); span != constants.EjectFor {
 		t.Fatal("an old failure still counts: ", span)
 	}
@@ -132,7 +132,7 @@
 	if !tracker.Apart(workerList, true, always, second+1)["w00"] {
 		t.Fatal("placed on while ejected")
 	}
-	now := second.Plus(span)
+	now := second.Add(span)
 	switch {
 	case tracker.Apart(workerList, true, always, now)["w00"]:
 		t.Fatal("no trial")
@@ -146,7 +146,7 @@
 	}
 	other := tracker.Troubled("w01", "s", TroubleSilent, now)
 	// Without trials, time alone brings it back.
-	end := now.Plus(3*other + 1)
+	end := now.Add(3*other + 1)
 	tracker.SweepTrust(end)
 	if tracker.Apart(workerList, false, never, end)["w01"] {
 		t.Fatal("a service without repeatable requests keeps a worker out for good")
@@ -159,7 +159,7 @@
 	random := rand.New(rand.NewSource(5))
 	now := second
 	for count := 0; count < 400; count++ {
-		now = now.Plus(20_000_000)
+		now = now.Add(20_000_000)
 		worker := workerList[random.Intn(len(workerList))]
 		if random.Float64() < 0.4 {
 			span := tracker.Troubled(worker, "s", TroubleError, now)
@@ -184,7 +184,7 @@
 	if !trust.Proven(second + 1) {
 		t.Fatal("two whole answers prove nothing")
 	}
-	if trust.Proven(second.Plus(8 * constants.TrustHalf)) {
+	if trust.Proven(second.Add(8 * constants.TrustHalf)) {
 		t.Fatal("old answers still prove")
 	}
 	tracker.Troubled("w00", "s", TroubleReset, second+2)
@@ -198,15 +198,15 @@
 func TestFlappingLives(t *testing.T) {
 	tracker := New()
 	now := second
-	var spans []clock.Span
+	var spans []clock.Duration
 	for life := 0; life < 6; life++ {
 		spans = append(spans, tracker.Born(fmt.Sprint("life", life), "s", "a:1", false, now))
 		if again := tracker.Born(fmt.Sprint("life", life), "s", "a:1", false, now); again != 0 {
 			t.Fatal("a word heard twice is a death")
 		}
-		now = now.Plus(1_400_000_000)
+		now = now.Add(1_400_000_000)
 	}
-	want := []clock.Span{0, 0, constants.EjectFor, 2 * constants.EjectFor, 4 * constants.EjectFor, 8 * constants.EjectFor}
+	want := []clock.Duration{0, 0, constants.EjectFor, 2 * constants.EjectFor, 4 * constants.EjectFor, 8 * constants.EjectFor}
 	for place := range want {
 		if spans[place] != want[place] {
 			t.Fatal(spans)
@@ -232,6 +232,6 @@
 		if seldom.Born(fmt.Sprint("life", life), "s", "a:1", false, now) != 0 {
 			t.Fatal("deaths far apart count as flapping")
 		}
-		now = now.Plus(constants.FlapWindow + 1)
+		now = now.Add(constants.FlapWindow + 1)
 	}
 }
--- a/internal/traffic/loadgossip/budget.go
+++ b/internal/traffic/loadgossip/budget.go
@@ -19,7 +19,7 @@
 	if one == nil || one.ConnLimit == 0 {
 		return 0
 	}
-	return connectionsFor(worker.Capacity, one.ConnLimit, g.Node.Own.Role)
+	return connectionsFor(worker.Capacity, one.ConnLimit, g.Node.Self.Role)
 }
 
 // connectionsFor is the budget by what the worker takes and allows.
--- a/internal/traffic/loadgossip/loadgossip.go
+++ b/internal/traffic/loadgossip/loadgossip.go
@@ -28,20 +28,20 @@
 	lock     sync.Mutex
 	circle   circle
 	ties     ties
-	passedAt clock.Moment
+	passedAt clock.Instant
 }
 
 // New makes the placing part and registers what it answers.
 func New(runtime *node.Node) *Gossip {
-	gossip := &Gossip{Node: runtime, Scheduler: admission.New(runtime.Own, runtime.Settings.Heartbeat()), Pool: workerconn.NewPool(),
+	gossip := &Gossip{Node: runtime, Scheduler: admission.New(runtime.Self, runtime.Settings.Heartbeat()), Pool: workerconn.NewPool(),
 		logged: map[string]int64{}, tables: tables{read: map[string]messages.Digest{}}}
 	gossip.Sender = proxy.Sender{Scheduler: gossip.Scheduler, Pool: gossip.Pool, Budget: gossip.budget}
-	runtime.Answer(messages.KindRosterPush, gossip.rosterPushed)
-	runtime.OnWord(gossip.heardController)
-	runtime.Answer(messages.KindGossip, gossip.gossiped)
-	runtime.Answer(messages.KindPressure, gossip.pressed)
+	runtime.Handle(messages.KindWorkersUpdate, gossip.rosterPushed)
+	runtime.OnControllerReport(gossip.heardController)
+	runtime.Handle(messages.KindGossip, gossip.gossiped)
+	runtime.Handle(messages.KindPressure, gossip.pressed)
 	gossip.Scheduler.OnPressure(gossip.press)
-	runtime.Answer(messages.KindReading, gossip.reads)
+	runtime.Handle(messages.KindPrefill, gossip.reads)
 	gossip.Scheduler.OnReading(gossip.tellReading)
 	gossip.Scheduler.OnEjection(gossip.logEjection)
 	gossip.reports()
--- a/internal/traffic/loadgossip/neighbours.go
+++ b/internal/traffic/loadgossip/neighbours.go
@@ -12,7 +12,7 @@
 )
 
 // draws is a process's name as a number, from which its places in the rings follow.
-func draws(entry messages.Entry) uint64 {
+func draws(entry messages.NodeInfo) uint64 {
 	sum := fnv.New64a()
 	sum.Write([]byte(entry.Role))
 	sum.Write([]byte{'/'})
@@ -29,13 +29,13 @@
 // Neighbours gives whom a process tells: its successor in each of so many rings, in
 // which everybody stands by a hash of the name. Each is told by as many as it tells,
 // nobody needs a list of all, and who comes or goes moves its own neighbours only.
-func Neighbours(own messages.Entry, entries []messages.Entry, fanout int) []messages.Entry {
+func Neighbours(own messages.NodeInfo, entries []messages.NodeInfo, fanout int) []messages.NodeInfo {
 	names := make([]uint64, len(entries))
 	for position := range entries {
 		names[position] = draws(entries[position])
 	}
 	myself := draws(own)
-	var chosen []messages.Entry
+	var chosen []messages.NodeInfo
 	for number := 0; number < 4*fanout && len(chosen) < min(fanout, len(entries)); number++ {
 		place := ring(myself, number)
 		next, least := -1, uint64(0)
@@ -52,7 +52,7 @@
 	return chosen
 }
 
-func holds(entries []messages.Entry, one messages.Entry) bool {
+func holds(entries []messages.NodeInfo, one messages.NodeInfo) bool {
 	for _, entry := range entries {
 		if membership.Key(entry) == membership.Key(one) {
 			return true
@@ -63,20 +63,20 @@
 
 // circle is whom this process tells, found anew each period.
 type circle struct {
-	near, far                  []messages.Entry
-	zones                      [][]messages.Entry
+	near, far                  []messages.NodeInfo
+	zones                      [][]messages.NodeInfo
 	population                 int
-	gossip, gateways, readings []messages.Entry
+	gossip, gateways, readings []messages.NodeInfo
 }
 
 // around finds the circle from what is known of others. Nothing else needs to know
 // how neighbours are found.
-func around(own messages.Entry, known []messages.Entry) circle {
+func around(own messages.NodeInfo, known []messages.NodeInfo) circle {
 	found := circle{}
 	for _, entry := range known {
 		switch {
 		case entry.Role != membership.RoleGateway && entry.Role != membership.RoleStore,
-			entry.Leaving || entry.AgeMs >= constants.NeighbourAge.Milliseconds():
+			entry.Draining || entry.AgeMs >= constants.NeighbourAge.Milliseconds():
 		case entry.Zone == own.Zone:
 			found.near = append(found.near, entry)
 		default:
@@ -102,7 +102,7 @@
 
 // lookAround finds it anew.
 func (g *Gossip) lookAround() circle {
-	found := around(g.Node.Own, g.Node.All(""))
+	found := around(g.Node.Self, g.Node.All(""))
 	found.population = g.Node.Population(membership.RoleGateway) + g.Node.Population(membership.RoleStore)
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -111,7 +111,7 @@
 }
 
 // byZone parts processes by their zones, whose names come in order.
-func byZone(entries []messages.Entry) (zones [][]messages.Entry) {
+func byZone(entries []messages.NodeInfo) (zones [][]messages.NodeInfo) {
 	places := map[string]int{}
 	for _, entry := range entries {
 		place, known := places[entry.Zone]
@@ -134,13 +134,13 @@
 
 // across draws whether this process tells somebody in another zone this period: each
 // zone tells each other about once, however many processes it has.
-func (c *circle) across(draw func() float64) (messages.Entry, bool) {
+func (c *circle) across(draw func() float64) (messages.NodeInfo, bool) {
 	if len(c.zones) == 0 || draw() >= float64(len(c.zones))/float64(c.zoneSize()) {
-		return messages.Entry{}, false
+		return messages.NodeInfo{}, false
 	}
 	there := c.zones[int(draw()*float64(len(c.zones)))]
 	return there[int(draw()*float64(len(there)))], true
 }
 
 // draw is the chance of a running process.
-func draw() float64 { return clock.Draw() }
+func draw() float64 { return clock.Float64() }
--- a/internal/traffic/loadgossip/neighbours_test.go
+++ b/internal/traffic/loadgossip/neighbours_test.go
@@ -11,10 +11,10 @@
 )
 
 // zone makes the processes of one zone.
-func zone(name string, count int) []messages.Entry {
-	var entries []messages.Entry
+func zone(name string, count int) []messages.NodeInfo {
+	var entries []messages.NodeInfo
 	for place := 0; place < count; place++ {
-		entries = append(entries, messages.Entry{Name: fmt.Sprint(name, "-", place), Role: membership.RoleGateway, Zone: name, Address: fmt.Sprint(name, place)})
+		entries = append(entries, messages.NodeInfo{Name: fmt.Sprint(name, "-", place), Role: membership.RoleGateway, Zone: name, Address: fmt.Sprint(name, place)})
 	}
 	return entries
 }
@@ -82,7 +82,7 @@
 func TestZonesTellEachOtherAtOneRate(t *testing.T) {
 	random := rand.New(rand.NewSource(7))
 	for _, count := range []int{4, 18, 100} {
-		var far []messages.Entry
+		var far []messages.NodeInfo
 		for _, name := range []string{"b", "c", "d"} {
 			far = append(far, zone(name, count)...)
 		}
@@ -107,12 +107,12 @@
 // A word of pressure goes to the stores near by, as far as there are some, to a
 // bounded number in all, and to each of the others in its turn.
 func TestPressureGoesToFewStores(t *testing.T) {
-	var near, far []messages.Entry
+	var near, far []messages.NodeInfo
 	for place := 0; place < 20; place++ {
-		near = append(near, messages.Entry{Name: fmt.Sprint("f", place), Role: membership.RoleGateway, Zone: "a"})
-		far = append(far, messages.Entry{Name: fmt.Sprint("l", place), Role: membership.RoleStore, Zone: "b"})
+		near = append(near, messages.NodeInfo{Name: fmt.Sprint("f", place), Role: membership.RoleGateway, Zone: "a"})
+		far = append(far, messages.NodeInfo{Name: fmt.Sprint("l", place), Role: membership.RoleStore, Zone: "b"})
 	}
-	near = append(near, messages.Entry{Name: "own", Role: membership.RoleStore, Zone: "a"})
+	near = append(near, messages.NodeInfo{Name: "own", Role: membership.RoleStore, Zone: "a"})
 	random := rand.New(rand.NewSource(1))
 	seen := map[string]bool{}
 	for round := 0; round < 200; round++ {
--- a/internal/traffic/loadgossip/pressure_test.go
+++ b/internal/traffic/loadgossip/pressure_test.go
@@ -16,25 +16,25 @@
 
 // standing makes placing parts of several processes that know each other, over the
 // transport in memory.
-func standing(t *testing.T, roles ...string) (*transport.Room, []*Gossip) {
-	room := transport.NewRoom()
+func standing(t *testing.T, roles ...string) (*transport.MemoryNetwork, []*Gossip) {
+	room := transport.NewMemoryNetwork()
 	var joined []*Gossip
 	for place, role := range roles {
 		nodeSettings := &settings.Settings{NodeName: fmt.Sprint("n", place), Zone: "h", Address: fmt.Sprint("10.0.0.", place+1), HeartbeatMs: 1200,
 			InternalPorts: []int{100, 110}, Seeds: []string{"10.0.0.99:1"}}
 		runtime := node.New(nodeSettings, role, 1, "", hclog.NewNullLogger())
-		runtime.Wire = room.Transport(runtime.Own.Address)
+		runtime.Transport = room.Transport(runtime.Self.Address)
 		joined = append(joined, New(runtime))
 	}
 	for _, one := range joined {
-		var others []messages.Entry
+		var others []messages.NodeInfo
 		for _, other := range joined {
 			if other != one {
-				others = append(others, other.Node.Own)
+				others = append(others, other.Node.Self)
 			}
 		}
-		one.Node.Hear(others)
-		one.Scheduler.Merge([]messages.Worker{{ID: "w", Backend: "s", Zone: "h", Capacity: 1, Count: 1}}, clock.Now())
+		one.Node.Observe(others)
+		one.Scheduler.Merge([]messages.Worker{{ID: "w", Backend: "s", Zone: "h", Capacity: 1, CallCount: 1}}, clock.Now())
 		one.lookAround()
 	}
 	return room, joined
@@ -55,10 +55,10 @@
 	}
 	heard := make(chan word, 64)
 	for _, one := range joined[1:] {
-		name := one.Node.Own.Name
-		_ = one.Node.Wire.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
-			told := &messages.PressureTold{}
-			_ = transport.Read(body, told)
+		name := one.Node.Self.Name
+		_ = one.Node.Transport.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
+			told := &messages.PressureNotice{}
+			_ = transport.Decode(body, told)
 			heard <- word{name, told.Sharers == 0}
 			return one.pressed(body)
 		})
@@ -93,7 +93,7 @@
 	_, joined := standing(t, membership.RoleGateway, membership.RoleGateway, membership.RoleStore)
 	heard := make(chan bool, 8)
 	for _, one := range joined[1:] {
-		_ = one.Node.Wire.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
+		_ = one.Node.Transport.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
 			answer, err := one.gossiped(body)
 			heard <- true
 			return answer, err
@@ -112,7 +112,7 @@
 		running := 0
 		one.Scheduler.Locked(func() { running = one.Scheduler.Tracker.Of("w").Running(clock.Now()) })
 		if running != 7 {
-			t.Fatalf("%s takes the worker for one with %d", one.Node.Own.Name, running)
+			t.Fatalf("%s takes the worker for one with %d", one.Node.Self.Name, running)
 		}
 	}
 }
--- a/internal/traffic/loadgossip/readings.go
+++ b/internal/traffic/loadgossip/readings.go
@@ -15,24 +15,24 @@
 // tellReading tells that a worker reads a long prompt. It is called under the
 // admission's lock.
 func (g *Gossip) tellReading(worker string, milliseconds float64) {
-	told := &messages.ReadingTold{From: membership.Key(g.Node.Own), Worker: worker, Reading: milliseconds}
+	told := &messages.PrefillNotice{From: membership.Key(g.Node.Self), Worker: worker, Prefill: milliseconds}
 	go g.spreadReading(told, true)
 }
 
 // spreadReading tells it on; first is false for a word that came from another zone.
-func (g *Gossip) spreadReading(told *messages.ReadingTold, first bool) {
+func (g *Gossip) spreadReading(told *messages.PrefillNotice, first bool) {
 	circle := g.about()
 	zone := g.Scheduler.ZoneOf(told.Worker)
-	if zone == g.Node.Own.Zone {
+	if zone == g.Node.Self.Zone {
 		drawn, part := g.Scheduler.DrawnBy(told.Worker, circle.near)
 		if !part {
 			drawn = circle.readings
 		}
-		g.tell(drawn[:min(len(drawn), constants.ReadingFanout)], messages.KindReading, told)
+		g.tell(drawn[:min(len(drawn), constants.ReadingFanout)], messages.KindPrefill, told)
 		return
 	}
 	if _, part := g.Scheduler.DrawnBy(told.Worker, nil); !part {
-		g.tell(circle.readings, messages.KindReading, told)
+		g.tell(circle.readings, messages.KindPrefill, told)
 		return
 	}
 	if !first {
@@ -41,22 +41,22 @@
 	for _, there := range circle.zones {
 		if there[0].Zone == zone {
 			further := *told
-			further.Pass = true
-			g.tell(there[int(draw()*float64(len(there))):][:1], messages.KindReading, &further)
+			further.Forward = true
+			g.tell(there[int(draw()*float64(len(there))):][:1], messages.KindPrefill, &further)
 		}
 	}
 }
 
 func (g *Gossip) reads(body []byte) ([]byte, error) {
-	told := &messages.ReadingTold{}
-	if err := transport.Read(body, told); err != nil {
+	told := &messages.PrefillNotice{}
+	if err := transport.Decode(body, told); err != nil {
 		return nil, err
 	}
 	g.Scheduler.PeerReads(told, clock.Now())
-	if told.Pass {
+	if told.Forward {
 		further := *told
-		further.Pass = false
+		further.Forward = false
 		g.spreadReading(&further, false)
 	}
-	return transport.Write(&messages.Nothing{Taken: true})
+	return transport.Encode(&messages.Ack{Accepted: true})
 }
--- a/internal/traffic/loadgossip/report.go
+++ b/internal/traffic/loadgossip/report.go
@@ -19,8 +19,8 @@
 	g.Node.Report("displacement", g.reportDisplacement)
 }
 
-func (g *Gossip) reportWorkers() *messages.Status {
-	status := &messages.Status{Columns: []string{"worker", "service", "zone", "phase", "standing", "heard-ms", "live", "items", "running", "capacity", "suspect", "answers", "failures", "trust"}}
+func (g *Gossip) reportWorkers() *messages.StatusResponse {
+	status := &messages.StatusResponse{Columns: []string{"worker", "service", "zone", "phase", "standing", "heard-ms", "live", "items", "running", "capacity", "suspect", "answers", "failures", "trust"}}
 	now := clock.Now()
 	standings := map[workers.Standing]string{workers.StandingGood: "good", workers.StandingSuspect: "suspect", workers.StandingOut: "out"}
 	scheduler := g.Scheduler
@@ -37,8 +37,8 @@
 	return status
 }
 
-func (g *Gossip) reportIndex() *messages.Status {
-	status := &messages.Status{Columns: []string{"prefixes", "placements", "hits", "residency_route_downgrades", "downgrade-share", "tokens-a-ms"}}
+func (g *Gossip) reportIndex() *messages.StatusResponse {
+	status := &messages.StatusResponse{Columns: []string{"prefixes", "placements", "hits", "residency_route_downgrades", "downgrade-share", "tokens-a-ms"}}
 	scheduler := g.Scheduler
 	scheduler.Locked(func() {
 		index := scheduler.Index
@@ -52,8 +52,8 @@
 	return status
 }
 
-func (g *Gossip) reportDisplacement() *messages.Status {
-	status := &messages.Status{Columns: []string{"route", "displaced", "resumed", "finished"}}
+func (g *Gossip) reportDisplacement() *messages.StatusResponse {
+	status := &messages.StatusResponse{Columns: []string{"route", "displaced", "resumed", "finished"}}
 	tallies := g.Scheduler.Tallies()
 	routes := make([]string, 0, len(tallies))
 	for route := range tallies {
--- a/internal/traffic/loadgossip/staleness_test.go
+++ b/internal/traffic/loadgossip/staleness_test.go
@@ -28,10 +28,10 @@
 }
 
 type simNode struct {
-	own       messages.Entry
+	own       messages.NodeInfo
 	view      *membership.View
 	scheduler *admission.Scheduler
-	phase     clock.Moment
+	phase     clock.Instant
 	heard     int
 	paused    bool
 	ties      ties
@@ -41,16 +41,16 @@
 	one := &fleet{random: rand.New(rand.NewSource(seed)), byAddress: map[string]*simNode{}}
 	for place := 0; place < workerList; place++ {
 		one.workerList = append(one.workerList, messages.Worker{ID: fmt.Sprintf("i-%05d", place), Backend: "s", Zone: fmt.Sprint("h", place%4),
-			Capacity: 16, Count: 1})
+			Capacity: 16, CallCount: 1})
 	}
-	var entries []messages.Entry
+	var entries []messages.NodeInfo
 	for place := 0; place < nodes; place++ {
-		entries = append(entries, messages.Entry{Name: fmt.Sprint("edge-", place), Role: membership.RoleGateway, Zone: fmt.Sprint("h", place%4),
-			Address: fmt.Sprint("a", place), Life: 1})
+		entries = append(entries, messages.NodeInfo{Name: fmt.Sprint("edge-", place), Role: membership.RoleGateway, Zone: fmt.Sprint("h", place%4),
+			Address: fmt.Sprint("a", place), Incarnation: 1})
 	}
 	for place, own := range entries {
 		node := &simNode{own: own, view: membership.NewView(own, int64(place)), scheduler: admission.New(own, 1_200_000_000),
-			phase: clock.Moment(one.random.Int63n(int64(constants.GossipPeriod)))}
+			phase: clock.Instant(one.random.Int63n(int64(constants.GossipPeriod)))}
 		node.view.Heard(entries, 0)
 		node.scheduler.Merge(one.workerList, 0)
 		one.nodes = append(one.nodes, node)
@@ -71,7 +71,7 @@
 }
 
 // observe lets a node hear a worker's load header, as in an answer to a request.
-func (f *fleet) observe(node *simNode, now clock.Moment) {
+func (f *fleet) observe(node *simNode, now clock.Instant) {
 	// A node's own subset is a part of its zone's workers.
 	near := f.near(node)
 	worker := near[f.random.Intn(min(len(near), constants.ReachSubset))]
@@ -87,14 +87,14 @@
 }
 
 // gossip is one node's second.
-func (f *fleet) gossip(node *simNode, now clock.Moment) {
+func (f *fleet) gossip(node *simNode, now clock.Instant) {
 	packet := node.scheduler.Gossip(now)
 	circle := around(node.own, node.view.All("", now))
 	circle.population = len(f.nodes)
 	if node.ties.lonely(now) {
-		packet.Want = node.own.Address
+		packet.ReplyTo = node.own.Address
 	}
-	told := append(append([]messages.Entry(nil), circle.gossip...), node.ties.adopted(circle.gossip, now)...)
+	told := append(append([]messages.NodeInfo(nil), circle.gossip...), node.ties.adopted(circle.gossip, now)...)
 	if entry, drawn := circle.across(f.random.Float64); drawn {
 		told = append(told, entry)
 		f.far++
@@ -108,7 +108,7 @@
 		if !other.paused {
 			other.heard++
 			other.ties.heard(packet, now)
-			other.scheduler.Heard(packet, now.Plus(clock.Milliseconds(1)))
+			other.scheduler.Heard(packet, now.Add(clock.Milliseconds(1)))
 		}
 	}
 }
@@ -116,10 +116,10 @@
 // play runs whole seconds: rate requests a second and worker, over all nodes.
 func (f *fleet) play(from, seconds int, rate float64) {
 	const steps = 20
-	step := clock.Moment(constants.GossipPeriod) / steps
-	start := clock.Moment(from) * clock.Moment(constants.GossipPeriod)
+	step := clock.Instant(constants.GossipPeriod) / steps
+	start := clock.Instant(from) * clock.Instant(constants.GossipPeriod)
 	for count := 0; count < seconds*steps; count++ {
-		now := start + clock.Moment(count+1)*step
+		now := start + clock.Instant(count+1)*step
 		expected := rate * float64(len(f.workerList)) / steps
 		for requests := int(expected + f.random.Float64()); requests > 0; requests-- {
 			node := f.nodes[f.random.Intn(len(f.nodes))]
@@ -128,7 +128,7 @@
 			}
 		}
 		for _, node := range f.nodes {
-			if phase := now % clock.Moment(constants.GossipPeriod); !node.paused && node.phase >= phase && node.phase < phase+step {
+			if phase := now % clock.Instant(constants.GossipPeriod); !node.paused && node.phase >= phase && node.phase < phase+step {
 				f.gossip(node, now)
 			}
 		}
@@ -137,7 +137,7 @@
 
 // ages lists, over all nodes and the workers of their zones, how old the evidence is
 // that they place by; what is older than the limit counts for nothing.
-func (f *fleet) ages(now clock.Moment) (ages []float64, blind float64) {
+func (f *fleet) ages(now clock.Instant) (ages []float64, blind float64) {
 	none := 0
 	for _, node := range f.nodes {
 		for _, worker := range f.near(node) {
@@ -162,7 +162,7 @@
 		one := newFleet(11, size.nodes, size.workerList)
 		const seconds = 6
 		one.play(1, seconds, 4)
-		now := clock.Moment(seconds+1) * clock.Moment(constants.GossipPeriod)
+		now := clock.Instant(seconds+1) * clock.Instant(constants.GossipPeriod)
 		ages, blind := one.ages(now)
 		median, late := ages[len(ages)/2], ages[len(ages)*95/100]
 		packets := float64(one.packets) / seconds / float64(size.nodes)
@@ -192,14 +192,14 @@
 	paused := one.nodes[3]
 	paused.paused = true
 	worker := one.near(paused)[0]
-	at := clock.Moment(5) * clock.Moment(constants.GossipPeriod)
+	at := clock.Instant(5) * clock.Instant(constants.GossipPeriod)
 	paused.scheduler.Locked(func() { paused.scheduler.Tracker.Of(worker).Load("200,0,16", at) })
 	one.play(5, 4, 0)
 	paused.paused = false
 	one.play(9, 3, 0)
 	for _, node := range one.nodes {
 		node.scheduler.Locked(func() {
-			if running := node.scheduler.Tracker.Of(worker).Running(at.Plus(7 * constants.GossipPeriod)); running != 0 {
+			if running := node.scheduler.Tracker.Of(worker).Running(at.Add(7 * constants.GossipPeriod)); running != 0 {
 				t.Errorf("%s still counts %d", node.own.Name, running)
 			}
 		})
@@ -211,7 +211,7 @@
 	sum := func() float64 {
 		one := newFleet(3, 40, 64)
 		one.play(1, 3, 4)
-		ages, blind := one.ages(clock.Moment(4) * clock.Moment(constants.GossipPeriod))
+		ages, blind := one.ages(clock.Instant(4) * clock.Instant(constants.GossipPeriod))
 		total := blind + float64(one.bytes)
 		for _, age := range ages {
 			total += math.Sqrt(age)
--- a/internal/traffic/loadgossip/words.go
+++ b/internal/traffic/loadgossip/words.go
@@ -10,9 +10,9 @@
 
 // tell sends one way; each in its own goroutine, since one that must be dialled must
 // not hold the others up.
-func (g *Gossip) tell(entries []messages.Entry, kind messages.Kind, message transport.Writable) {
+func (g *Gossip) tell(entries []messages.NodeInfo, kind messages.Kind, message transport.Marshaler) {
 	for _, entry := range entries {
-		go func() { _ = transport.Tell(g.Node.Wire, entry.Address, kind, message) }()
+		go func() { _ = transport.Notify(g.Node.Transport, entry.Address, kind, message) }()
 	}
 }
 
@@ -21,12 +21,12 @@
 	packet := g.Scheduler.Gossip(clock.Now())
 	packet.Generation = g.Node.Generation()
 	circle := g.lookAround()
-	told := append([]messages.Entry(nil), circle.gossip...)
+	told := append([]messages.NodeInfo(nil), circle.gossip...)
 	now := clock.Now()
 	g.lock.Lock()
 	// In a zone of few everybody tells everybody already.
 	if len(circle.near) > constants.GossipFanout && g.ties.lonely(now) {
-		packet.Want = g.Node.Own.Address
+		packet.ReplyTo = g.Node.Self.Address
 	}
 	told = append(told, g.ties.adopted(told, now)...)
 	g.lock.Unlock()
@@ -44,7 +44,7 @@
 
 func (g *Gossip) gossiped(body []byte) ([]byte, error) {
 	packet := &messages.Gossip{}
-	if err := transport.Read(body, packet); err != nil {
+	if err := transport.Decode(body, packet); err != nil {
 		return nil, err
 	}
 	now := clock.Now()
@@ -52,9 +52,9 @@
 	g.lock.Lock()
 	g.ties.heard(packet, now)
 	g.lock.Unlock()
-	g.Node.Touched(packet.From)
-	g.Node.SawGeneration(packet.Generation)
-	return transport.Write(&messages.Nothing{Taken: true})
+	g.Node.MarkContacted(packet.From)
+	g.Node.ObserveGeneration(packet.Generation)
+	return transport.Encode(&messages.Ack{Accepted: true})
 }
 
 // press tells at once that requests wait here, so that work of a lower rank makes
@@ -62,7 +62,7 @@
 // and the neighbours. Each yields its part of what waits.
 func (g *Gossip) press(words []messages.Pressure) {
 	circle := g.about()
-	told := &messages.PressureTold{From: membership.Key(g.Node.Own), Words: words, Hops: constants.PressureHops}
+	told := &messages.PressureNotice{From: membership.Key(g.Node.Self), Entries: words, Hops: constants.PressureHops}
 	stores := someStores(circle.near, circle.far, draw)
 	told.Sharers = len(stores)
 	g.tell(stores, messages.KindPressure, told)
@@ -72,8 +72,8 @@
 }
 
 func (g *Gossip) pressed(body []byte) ([]byte, error) {
-	told := &messages.PressureTold{}
-	if err := transport.Read(body, told); err != nil {
+	told := &messages.PressureNotice{}
+	if err := transport.Decode(body, told); err != nil {
 		return nil, err
 	}
 	now := clock.Now()
@@ -90,15 +90,15 @@
 		further.Hops, further.Sharers = told.Hops-1, 0
 		g.tell(someStores(circle.near, circle.far, draw), messages.KindPressure, &further)
 	}
-	return transport.Write(&messages.Nothing{Taken: true})
+	return transport.Encode(&messages.Ack{Accepted: true})
 }
 
 // mayPass bounds how much of others' pressure a process passes on, whatever their
 // number.
-func (g *Gossip) mayPass(now clock.Moment) bool {
+func (g *Gossip) mayPass(now clock.Instant) bool {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	if g.passedAt != 0 && now.Since(g.passedAt) < constants.PressurePeriod/2 {
+	if g.passedAt != 0 && now.Sub(g.passedAt) < constants.PressurePeriod/2 {
 		return false
 	}
 	g.passedAt = now
@@ -107,10 +107,10 @@
 
 // someStores draws a few stores: of the own zone, which run items on the workers
 // there, and one of another, so that each is reached in its turn.
-func someStores(near, far []messages.Entry, draw func() float64) []messages.Entry {
+func someStores(near, far []messages.NodeInfo, draw func() float64) []messages.NodeInfo {
 	here, there := only(near, membership.RoleStore), only(far, membership.RoleStore)
-	var chosen []messages.Entry
-	take := func(from *[]messages.Entry, limit int) {
+	var chosen []messages.NodeInfo
+	take := func(from *[]messages.NodeInfo, limit int) {
 		for list := *from; len(list) > 0 && len(chosen) < limit; list = *from {
 			place := int(draw() * float64(len(list)))
 			chosen = append(chosen, list[place])
@@ -124,8 +124,8 @@
 	return chosen
 }
 
-func only(entries []messages.Entry, role string) []messages.Entry {
-	var found []messages.Entry
+func only(entries []messages.NodeInfo, role string) []messages.NodeInfo {
+	var found []messages.NodeInfo
 	for _, entry := range entries {
 		if entry.Role == role {
 			found = append(found, entry)
--- a/internal/traffic/loadgossip/workers.go
+++ b/internal/traffic/loadgossip/workers.go
@@ -26,7 +26,7 @@
 		t.read[address] = told
 		return 0, false
 	}
-	if read.Life != told.Life {
+	if read.Incarnation != told.Incarnation {
 		return 0, true
 	}
 	return read.Clock, told.Clock > read.Clock
@@ -44,14 +44,14 @@
 				return
 			}
 		}
-		clock.Sleep(constants.StartPause)
+		clock.Sleep(constants.StartBackoff)
 	}
 }
 
 func (g *Gossip) pullWorkers(address string, since uint64) bool {
-	back := &messages.RosterPush{}
-	question := &messages.RosterPull{From: membership.Key(g.Node.Own), Since: since}
-	if transport.Ask(g.Node.Wire, address, messages.KindRosterPull, question, back, constants.CallTime) != nil {
+	back := &messages.WorkersUpdate{}
+	question := &messages.WorkersPullRequest{From: membership.Key(g.Node.Self), Since: since}
+	if transport.Call(g.Node.Transport, address, messages.KindWorkersPull, question, back, constants.CallTimeout) != nil {
 		return false
 	}
 	g.Scheduler.Merge(back.Workers, clock.Now())
@@ -64,23 +64,23 @@
 // heardController takes what a controller's periodic answer says of workers: who is silent,
 // and a digest of its table, so that a change that was missed is pulled.
 func (g *Gossip) heardController(address string, answer *messages.Shuffle) {
-	if answer.Workers.Life == 0 {
+	if answer.Workers.Incarnation == 0 {
 		return
 	}
 	if since, ask := g.tables.behind(address, answer.Workers, g.Scheduler.Table()); ask {
 		g.pullWorkers(address, since)
 	}
-	if answer.Judging {
+	if answer.OverdueComplete {
 		g.Scheduler.Judged(answer.Overdue, clock.Now())
 	}
 }
 
 func (g *Gossip) rosterPushed(body []byte) ([]byte, error) {
-	push := &messages.RosterPush{}
-	if err := transport.Read(body, push); err != nil {
+	push := &messages.WorkersUpdate{}
+	if err := transport.Decode(body, push); err != nil {
 		return nil, err
 	}
 	g.Scheduler.Merge(push.Workers, clock.Now())
-	g.Node.Touched(push.From)
-	return transport.Write(&messages.Nothing{Taken: true})
+	g.Node.MarkContacted(push.From)
+	return transport.Encode(&messages.Ack{Accepted: true})
 }
--- a/internal/traffic/prefixindex/index.go
+++ b/internal/traffic/prefixindex/index.go
@@ -74,7 +74,7 @@
 
 // Placed notes that a prompt goes to a worker, and gives the tokens that had to
 // be read there anew by our reckoning.
-func (i *Index) Placed(prompt *Prompt, worker string, now clock.Moment) int {
+func (i *Index) Placed(prompt *Prompt, worker string, now clock.Instant) int {
 	i.Placements++
 	key := prompt.key()
 	held := 0.0
@@ -106,7 +106,7 @@
 
 // FirstEvent confirms or lowers what was believed: a first event that came as
 // late as a whole reading takes shows that the prefix was not there.
-func (i *Index) FirstEvent(prompt *Prompt, worker string, fresh int, waited clock.Span, alone bool, now clock.Moment) {
+func (i *Index) FirstEvent(prompt *Prompt, worker string, fresh int, waited clock.Duration, alone bool, now clock.Instant) {
 	saved := max(prompt.Tokens, 1) - fresh
 	whole := float64(prompt.Tokens) / i.rate
 	short := float64(fresh) / i.rate
--- a/internal/traffic/prefixindex/prefixindex_test.go
+++ b/internal/traffic/prefixindex/prefixindex_test.go
@@ -150,7 +150,7 @@
 	if choice := near.Choose(prompt("aa", "x2", 12_000), pair(60, 0), 2); choice.Place != 0 {
 		t.Fatalf("a peer's word was not followed: %+v", choice)
 	}
-	stale := clock.Moment(1).Plus(constants.GossipStale)
+	stale := clock.Instant(1).Add(constants.GossipStale)
 	if choice := near.Choose(prompt("aa", "x3", 12_000), pair(60, 0), stale); choice.Place != 1 {
 		t.Fatalf("a silent peer's word counted after three periods: %+v", choice)
 	}
@@ -161,7 +161,7 @@
 	index.SetCache("first", 100_000)
 	asked := prompt("aa", "x1", 12_000)
 	index.Placed(asked, "first", 1000)
-	index.Told([]messages.Residency{{Path: asked.key()[:8], Tokens: 12_000, Worker: "first", Chance: 0, AgeMs: 500}}, 2000)
+	index.Told([]messages.Residency{{Path: asked.key()[:8], Tokens: 12_000, Worker: "first", Probability: 0, AgeMs: 500}}, 2000)
 	if choice := index.Choose(prompt("aa", "x2", 12_000), pair(60, 0), 3000); choice.Place != 0 {
 		t.Fatalf("%+v", choice)
 	}
@@ -170,7 +170,7 @@
 func TestIndexIsBounded(t *testing.T) {
 	index := NewIndex()
 	for count := 0; count < 3*constants.IndexNodes; count++ {
-		index.Placed(prompt("aa", fmt.Sprintf("%x", count), 100), "first", clock.Moment(count))
+		index.Placed(prompt("aa", fmt.Sprintf("%x", count), 100), "first", clock.Instant(count))
 	}
 	if index.tree.Size() > constants.IndexNodes {
 		t.Fatalf("%d leaves", index.tree.Size())
@@ -190,9 +190,9 @@
 	index.Placed(asked, "first", 0)
 	next := prompt("aa", "x2", 12_000)
 	fresh := index.Placed(next, "first", 1)
-	before := index.Words(2, 10, 1000)[0].Chance
+	before := index.Words(2, 10, 1000)[0].Probability
 	index.FirstEvent(next, "first", fresh, clock.Milliseconds(constants.FirstGuess+12_200/constants.ReadRate), true, 2)
-	if after := index.Words(3, 10, 1000)[0].Chance; after >= before {
+	if after := index.Words(3, 10, 1000)[0].Probability; after >= before {
 		t.Fatalf("trust %v then %v", before, after)
 	}
 }
--- a/internal/traffic/prefixindex/residency.go
+++ b/internal/traffic/prefixindex/residency.go
@@ -14,27 +14,27 @@
 	tokens int
 	// shared: more than one request had this prefix, or it is no request's whole.
 	shared bool
-	used   clock.Moment
+	used   clock.Instant
 	stays  map[string]stay
 	told   map[string]told
 }
 
 // stay is our own evidence: we placed this prefix at a worker.
 type stay struct {
-	at     clock.Moment
+	at     clock.Instant
 	turned int64
 	trust  float64
 	life   int
 	// spoken is the chance last told to neighbours, and when.
 	spoken   float64
-	spokenAt clock.Moment
+	spokenAt clock.Instant
 }
 
 // told is a peer's word: at is when it was said, seen when its evidence was met.
 type told struct {
 	chance float64
-	at     clock.Moment
-	seen   clock.Moment
+	at     clock.Instant
+	seen   clock.Instant
 	life   int
 	passed bool
 }
@@ -71,20 +71,20 @@
 // residency is the chance that a worker still holds the leaf's prefix. The
 // newest evidence wins; a peer's word that is older than three gossip periods
 // counts for nothing, so a paused or cut-off peer misleads nobody.
-func (i *Index) residency(leaf *Leaf, worker string, now clock.Moment) float64 {
+func (i *Index) residency(leaf *Leaf, worker string, now clock.Instant) float64 {
 	turn := i.turns[worker]
 	life := 0
 	if turn != nil {
 		life = turn.life
 	}
-	chance, at := 0.0, clock.Moment(-1)
+	chance, at := 0.0, clock.Instant(-1)
 	if own, known := leaf.stays[worker]; known && own.life == life {
 		chance, at = own.trust, own.at
 		if turn != nil {
 			chance *= retained(turn.total()-own.turned, turn.cache)
 		}
 	}
-	if word, known := leaf.told[worker]; known && word.life == life && now.Since(word.at) < constants.GossipStale && word.seen > at {
+	if word, known := leaf.told[worker]; known && word.life == life && now.Sub(word.at) < constants.GossipStale && word.seen > at {
 		chance = word.chance
 	}
 	return chance
--- a/internal/traffic/prefixindex/score.go
+++ b/internal/traffic/prefixindex/score.go
@@ -22,7 +22,7 @@
 
 // Choose folds match, residency and load into one score, in ms of waiting
 // saved, and gives the best candidate. A prompt without parts is placed by load.
-func (i *Index) Choose(prompt *Prompt, candidates []Candidate, now clock.Moment) Choice {
+func (i *Index) Choose(prompt *Prompt, candidates []Candidate, now clock.Instant) Choice {
 	type matched struct{ full, weighted float64 }
 	matches := make([]matched, len(candidates))
 	if len(prompt.Parts) > 0 {
--- a/internal/traffic/prefixindex/words.go
+++ b/internal/traffic/prefixindex/words.go
@@ -23,18 +23,18 @@
 	worker string
 	chance float64
 	change float64
-	said   clock.Moment
-	seen   clock.Moment
+	said   clock.Instant
+	seen   clock.Instant
 	own    bool
 }
 
 // Words gives what changed most since it was last told, of the long shared
 // prefixes: our own evidence first by how far it is from what neighbours still
 // believe of it, then what was heard and not yet passed on, each once and with its age.
-func (i *Index) Words(now clock.Moment, limit, least int) []messages.Residency {
+func (i *Index) Words(now clock.Instant, limit, least int) []messages.Residency {
 	var found []word
 	i.tree.Each(func(leaf *Leaf) {
-		if !leaf.shared || leaf.tokens < least || now.Since(leaf.used) >= 30*constants.GossipPeriod {
+		if !leaf.shared || leaf.tokens < least || now.Sub(leaf.used) >= 30*constants.GossipPeriod {
 			return
 		}
 		for worker, one := range leaf.stays {
@@ -44,13 +44,13 @@
 			}
 			chance := one.trust * retained(turn.total()-one.turned, turn.cache)
 			// Who was told forgets it at the age limit.
-			believed := one.spoken * max(0, 1-float64(now.Since(one.spokenAt))/float64(constants.GossipStale))
+			believed := one.spoken * max(0, 1-float64(now.Sub(one.spokenAt))/float64(constants.GossipStale))
 			if change := math.Abs(chance - believed); change >= spokenChange {
 				found = append(found, word{leaf, worker, chance, change, now, one.at, true})
 			}
 		}
 		for worker, one := range leaf.told {
-			age := now.Since(one.at)
+			age := now.Sub(one.at)
 			if one.passed || one.life != i.turn(worker).life || age >= constants.GossipStale {
 				continue
 			}
@@ -73,7 +73,7 @@
 			one.leaf.told[one.worker] = kept
 		}
 		words = append(words, messages.Residency{Path: one.leaf.key, Tokens: one.leaf.tokens, Worker: one.worker,
-			Chance: float32(one.chance), AgeMs: now.Since(one.seen).Milliseconds(), WordMs: now.Since(one.said).Milliseconds()})
+			Probability: float32(one.chance), AgeMs: now.Sub(one.seen).Milliseconds(), SampleAgeMs: now.Sub(one.said).Milliseconds()})
 	}
 	return words
 }
@@ -92,25 +92,25 @@
 }
 
 // Told takes a peer's words. The age limit is that of the word, wherever it came by.
-func (i *Index) Told(words []messages.Residency, now clock.Moment) {
+func (i *Index) Told(words []messages.Residency, now clock.Instant) {
 	for _, word := range words {
-		said := now - clock.Moment(word.WordMs)*1_000_000
-		if len(word.Path) == 0 || len(word.Path)%8 != 0 || now.Since(said) >= constants.GossipStale {
+		said := now - clock.Instant(word.SampleAgeMs)*1_000_000
+		if len(word.Path) == 0 || len(word.Path)%8 != 0 || now.Sub(said) >= constants.GossipStale {
 			continue
 		}
-		seen := now - clock.Moment(word.AgeMs)*1_000_000
+		seen := now - clock.Instant(word.AgeMs)*1_000_000
 		leaf := i.tree.Leaf(word.Path)
 		leaf.tokens = max(leaf.tokens, word.Tokens)
 		leaf.used = max(leaf.used, seen)
 		leaf.shared = true
 		have, known := leaf.told[word.Worker]
-		if known && (have.seen > seen.Plus(agesRounded) || (have.seen >= seen && have.at >= said)) {
+		if known && (have.seen > seen.Add(agesRounded) || (have.seen >= seen && have.at >= said)) {
 			continue
 		}
 		if leaf.told == nil {
 			leaf.told = map[string]told{}
 		}
-		leaf.told[word.Worker] = told{chance: float64(word.Chance), at: said, seen: seen, life: i.turn(word.Worker).life}
+		leaf.told[word.Worker] = told{chance: float64(word.Probability), at: said, seen: seen, life: i.turn(word.Worker).life}
 	}
 	if i.tree.Size() > constants.IndexNodes {
 		i.shrink()
--- a/internal/traffic/proxy/bounds_test.go
+++ b/internal/traffic/proxy/bounds_test.go
@@ -87,7 +87,7 @@
 				for try := 1; ; try++ {
 					begun := clock.Now()
 					_, _, _ = ask(t, server, path, map[string]string{headerAttempt: fmt.Sprint("try-", try)})
-					took := clock.Now().Since(begun)
+					took := clock.Now().Sub(begun)
 					if took < clock.Milliseconds(cutoffMs+250) {
 						break
 					}
--- a/internal/traffic/proxy/displace_test.go
+++ b/internal/traffic/proxy/displace_test.go
@@ -34,7 +34,7 @@
 		<-reached
 		// The first two events may still be on their way: press until it yields.
 		for proxyServer.Scheduler.Counters("stream").Displaced.Load() == 0 {
-			proxyServer.Scheduler.Pressed(&messages.PressureTold{From: "x", Words: []messages.Pressure{{Service: "s", Waiting: 1}}}, 1, clock.Now())
+			proxyServer.Scheduler.Pressed(&messages.PressureNotice{From: "x", Entries: []messages.Pressure{{Service: "s", Waiting: 1}}}, 1, clock.Now())
 		}
 	}()
 	answer, body, err := ask(t, server, "/stream/x", nil)
--- a/internal/traffic/proxy/exchange.go
+++ b/internal/traffic/proxy/exchange.go
@@ -29,8 +29,8 @@
 	attempt     string
 	stated      bool
 	sized       bool
-	arrived     clock.Moment
-	deadline    clock.Moment
+	arrived     clock.Instant
+	deadline    clock.Instant
 
 	sent       int
 	unsent     int
@@ -88,14 +88,14 @@
 // admit gets an entry, waiting in the queue where that can still pay.
 func (e *exchange) admit() admission.Answer {
 	now := clock.Now()
-	left := e.deadline.Since(now)
+	left := e.deadline.Sub(now)
 	if e.sent == 0 {
 		// A refusal within a quarter of the aim still leaves the client time.
-		patience := clock.Span(float64(e.ask.Setpoint) * constants.QueueShare)
-		e.ask.Patience = min(e.arrived.Plus(patience), e.deadline)
+		patience := clock.Duration(float64(e.ask.Setpoint) * constants.QueueShare)
+		e.ask.Patience = min(e.arrived.Add(patience), e.deadline)
 	} else {
 		// It has run in part: nobody can be told to come back, so wait longer.
-		e.ask.Patience = now.Plus(left / 2)
+		e.ask.Patience = now.Add(left / 2)
 	}
 	resumed := make(chan admission.Answer, 1)
 	answer, handle := e.proxyServer.Scheduler.Admit(&e.ask, func(late admission.Answer) { resumed <- late }, now)
@@ -118,7 +118,7 @@
 func (e *exchange) outgoing(grant *admission.Grant) *Request {
 	own := map[string]string{headerTarget: grant.Worker.ID}
 	if e.stated {
-		left := e.deadline.Since(clock.Now()).Milliseconds()
+		left := e.deadline.Sub(clock.Now()).Milliseconds()
 		own[headerTimeLeft] = strconv.FormatInt(max(left, 1), 10)
 	}
 	if e.hasEvent {
@@ -180,7 +180,7 @@
 
 // whenGone closes the connection once the client is gone: the worker then stops.
 func (e *exchange) whenGone() (halt func()) {
-	return contexts.AfterEnd(e.request.Context(), func() {
+	return contexts.AfterFunc(e.request.Context(), func() {
 		e.closeConnection()
 	})
 }
@@ -230,6 +230,6 @@
 		httpreply.Text(e.writer, status, "no whole answer")
 	default:
 		proxyServer.Counts.Refused.Add(1)
-		httpreply.Later(e.writer, http.StatusServiceUnavailable, answer.Retry)
+		httpreply.RetryAfter(e.writer, http.StatusServiceUnavailable, answer.Retry)
 	}
 }
--- a/internal/traffic/proxy/headers.go
+++ b/internal/traffic/proxy/headers.go
@@ -110,7 +110,7 @@
 }
 
 // timeLeft reads how long the client will wait.
-func timeLeft(header http.Header) (clock.Span, bool) {
+func timeLeft(header http.Header) (clock.Duration, bool) {
 	text := header.Get(headerTimeLeft)
 	if text == "" {
 		return 0, false
--- a/internal/traffic/proxy/impatience.go
+++ b/internal/traffic/proxy/impatience.go
@@ -14,8 +14,8 @@
 // repeated goes on elsewhere, while tries are left and the service as a whole has not
 // grown slow. What may not waits on: silence gives no reason to end an answer sooner.
 // Either way the silence is noted, so that others are not sent into it.
-func (e *exchange) impatient(grant *admission.Grant) func(silence clock.Span) bool {
-	return func(silence clock.Span) bool {
+func (e *exchange) impatient(grant *admission.Grant) func(silence clock.Duration) bool {
+	return func(silence clock.Duration) bool {
 		now := clock.Now()
 		if !e.repeatable() || e.sent+1 >= e.route.Tries {
 			grant.Doubt(silence, now)
@@ -28,14 +28,14 @@
 // resultOf tells what a try without an answer says of its worker.
 func (e *exchange) resultOf(err error) admission.Result {
 	switch {
-	case e.request.Context().Err() != nil, errs.Of(err, Stale):
+	case e.request.Context().Err() != nil, errs.Is(err, ErrStaleConnection):
 		return admission.ResultCalledOff
-	case errs.Of(err, workerconn.Spent):
+	case errs.Is(err, workerconn.ErrPoolExhausted):
 		// Nothing is wrong with the worker; we have too many connections to it.
 		return admission.ResultTurnedAway
-	case errs.Of(err, workerconn.NoConnection):
+	case errs.Is(err, workerconn.ErrNoConnection):
 		return admission.ResultRefused
-	case errs.Of(err, workerconn.Silent):
+	case errs.Is(err, workerconn.ErrWorkerUnresponsive):
 		return admission.ResultSilent
 	}
 	return admission.ResultFailed
--- a/internal/traffic/proxy/lots.go
+++ b/internal/traffic/proxy/lots.go
@@ -22,19 +22,19 @@
 		if text := query.Get("page-cursor"); text != "" {
 			value, err := strconv.Atoi(text)
 			if err != nil || value < 0 {
-				httpreply.Reason(writer, http.StatusBadRequest, "page-cursor is no position")
+				httpreply.Error(writer, http.StatusBadRequest, "page-cursor is no position")
 				return
 			}
 			cursor = value
 		}
 		hold, _ := strconv.Atoi(request.Header.Get(headerHold))
-		p.passCall(writer, &messages.LotCall{Method: http.MethodGet, Host: request.Host, Lot: chi.URLParam(request, "lot"), Cursor: cursor, HoldMs: max(hold, 0)})
+		p.passCall(writer, &messages.JobCallRequest{Method: http.MethodGet, Host: request.Host, Job: chi.URLParam(request, "lot"), Cursor: cursor, WaitMs: max(hold, 0)})
 	})
 	tree.Delete("/-/lots/{lot}", func(writer http.ResponseWriter, request *http.Request) {
-		p.passCall(writer, &messages.LotCall{Method: http.MethodDelete, Host: request.Host, Lot: chi.URLParam(request, "lot")})
+		p.passCall(writer, &messages.JobCallRequest{Method: http.MethodDelete, Host: request.Host, Job: chi.URLParam(request, "lot")})
 	})
 	tree.Get("/-/items/{lot}", func(writer http.ResponseWriter, request *http.Request) {
-		p.passCall(writer, &messages.LotCall{Method: "ITEM", Host: request.Host, Lot: chi.URLParam(request, "lot"), Item: request.URL.Query().Get("id")})
+		p.passCall(writer, &messages.JobCallRequest{Method: "ITEM", Host: request.Host, Job: chi.URLParam(request, "lot"), Item: request.URL.Query().Get("id")})
 	})
 	tree.NotFound(func(writer http.ResponseWriter, _ *http.Request) {
 		httpreply.Text(writer, http.StatusNotFound, "no such call")
@@ -42,12 +42,12 @@
 	return tree
 }
 
-func (p *Proxy) passCall(writer http.ResponseWriter, call *messages.LotCall) {
-	span := constants.CallTime*2 + clock.Milliseconds(float64(call.HoldMs))
+func (p *Proxy) passCall(writer http.ResponseWriter, call *messages.JobCallRequest) {
+	span := constants.CallTimeout*2 + clock.Milliseconds(float64(call.WaitMs))
 	answer, _ := p.Lots.Pass(call, span)
 	if answer == nil {
 		// The holder can't be asked: a node that can't be sure says so.
-		httpreply.Later(writer, http.StatusServiceUnavailable, constants.HoldRenewal)
+		httpreply.RetryAfter(writer, http.StatusServiceUnavailable, constants.LeaseRenewPeriod)
 		return
 	}
 	writeAnswer(writer, answer)
@@ -56,16 +56,16 @@
 // handIn takes a lot on a bulk route.
 func (p *Proxy) handIn(writer http.ResponseWriter, request *http.Request, route *routeconfig.Route, path string, body []byte) {
 	if request.Method != http.MethodPost {
-		httpreply.Reason(writer, http.StatusMethodNotAllowed, "lots are handed in by POST")
+		httpreply.Error(writer, http.StatusMethodNotAllowed, "lots are handed in by POST")
 		return
 	}
 	attempt := request.Header.Get(headerAttempt)
 	if attempt == "" {
-		httpreply.Reason(writer, http.StatusBadRequest, headerAttempt+" is missing")
+		httpreply.Error(writer, http.StatusBadRequest, headerAttempt+" is missing")
 		return
 	}
-	call := &messages.LotCall{Method: http.MethodPost, Host: request.Host, Path: path, Lot: attempt, Body: body}
-	answer, maybe := p.Lots.Pass(call, min(constants.BulkCallTime, route.Cutoff()))
+	call := &messages.JobCallRequest{Method: http.MethodPost, Host: request.Host, Path: path, Job: attempt, Body: body}
+	answer, maybe := p.Lots.Pass(call, min(constants.BulkCallTimeout, route.Cutoff()))
 	switch {
 	case answer != nil:
 		if answer.Status == http.StatusAccepted {
@@ -74,18 +74,18 @@
 		writeAnswer(writer, answer)
 	case maybe:
 		// It may have been taken: nothing may be promised.
-		httpreply.Reason(writer, http.StatusGatewayTimeout, "outcome unknown")
+		httpreply.Error(writer, http.StatusGatewayTimeout, "outcome unknown")
 	default:
 		p.Counts.Refused.Add(1)
-		httpreply.Later(writer, http.StatusServiceUnavailable, constants.HoldRenewal)
+		httpreply.RetryAfter(writer, http.StatusServiceUnavailable, constants.LeaseRenewPeriod)
 	}
 }
 
-func writeAnswer(writer http.ResponseWriter, answer *messages.LotAnswer) {
-	if answer.RetryMs > 0 {
-		writer.Header().Set("Retry-After", strconv.FormatFloat(float64(answer.RetryMs)/1000, 'f', 3, 64))
+func writeAnswer(writer http.ResponseWriter, answer *messages.JobCallResponse) {
+	if answer.RetryAfterMs > 0 {
+		writer.Header().Set("Retry-After", strconv.FormatFloat(float64(answer.RetryAfterMs)/1000, 'f', 3, 64))
 	}
-	kind := answer.Kind
+	kind := answer.ContentType
 	if kind == "" {
 		kind = "application/json"
 	}
--- a/internal/traffic/proxy/match.go
+++ b/internal/traffic/proxy/match.go
@@ -12,10 +12,10 @@
 
 // Why an answer is not taken.
 var (
-	// Foreign: the answer does not name the request.
-	Foreign = errs.Define("answer to another request")
-	// Unproven: a success that can't be known to be the worker's whole answer.
-	Unproven = errs.Define("success is not proven")
+	// ErrResponseMismatch: the answer does not name the request.
+	ErrResponseMismatch = errs.Define("answer to another request")
+	// ErrUnprovenSuccess: a success that can't be known to be the worker's whole answer.
+	ErrUnprovenSuccess = errs.Define("success is not proven")
 )
 
 // protocolName begins every status line.
@@ -35,7 +35,7 @@
 			return nil, err
 		}
 		if glued(answer) {
-			return nil, Foreign.New("two heads in one")
+			return nil, ErrResponseMismatch.New("two heads in one")
 		}
 		echoed := answer.Header.Get(headerAttempt)
 		if echoed == outgoing.Attempt || (echoed == "" && !named) {
@@ -43,7 +43,7 @@
 		}
 		connection.Taint()
 		if echoed == "" || surplus == surplusLimit || !readPast(answer) {
-			return nil, Foreign.New(echoed)
+			return nil, ErrResponseMismatch.New(echoed)
 		}
 		if err = connection.Await(outgoing.wait()); err != nil {
 			return nil, err
@@ -90,11 +90,11 @@
 	case answer.StatusCode >= 300:
 		return nil
 	case answer.Header.Get(headerSeal) == "":
-		return Unproven.New("no stamp")
+		return ErrUnprovenSuccess.New("no stamp")
 	case answer.Header.Get("Content-Encoding") != "":
-		return Unproven.New("encoded")
+		return ErrUnprovenSuccess.New("encoded")
 	case !framed(answer):
-		return Unproven.New("no length")
+		return ErrUnprovenSuccess.New("no length")
 	}
 	return nil
 }
--- a/internal/traffic/proxy/match_test.go
+++ b/internal/traffic/proxy/match_test.go
@@ -119,7 +119,7 @@
 	worker := newStandIn(t, "w1", serveWhole)
 	_, proxyServer := edge(t, worker)
 	sender := &proxyServer.Sender
-	granted, _ := proxyServer.Scheduler.Admit(&admission.Ask{Service: "s", Deadline: clock.Now().Plus(clock.Milliseconds(1000))}, nil, clock.Now())
+	granted, _ := proxyServer.Scheduler.Admit(&admission.Ask{Service: "s", Deadline: clock.Now().Add(clock.Milliseconds(1000))}, nil, clock.Now())
 	outgoing := &Request{Method: http.MethodPost, Attempt: "probe", Text: []byte("x"), Until: clock.Now() - 1}
 	_, evidence, err := sender.Carry(granted.Grant, outgoing)
 	if err == nil || evidence.Sent {
--- a/internal/traffic/proxy/proxy.go
+++ b/internal/traffic/proxy/proxy.go
@@ -24,7 +24,7 @@
 
 // LotGate passes a call on a lot to whoever holds it.
 type LotGate interface {
-	Pass(call *messages.LotCall, span clock.Span) (*messages.LotAnswer, bool)
+	Pass(call *messages.JobCallRequest, span clock.Duration) (*messages.JobCallResponse, bool)
 }
 
 // Proxy serves clients.
@@ -89,7 +89,7 @@
 	config := p.Config()
 	if config == nil {
 		// Nothing ran and nothing will: a node without a configuration knows no route.
-		httpreply.Later(writer, http.StatusServiceUnavailable, constants.GossipPeriod/2)
+		httpreply.RetryAfter(writer, http.StatusServiceUnavailable, constants.GossipPeriod/2)
 		return
 	}
 	route := config.Match(request.Host, path)
@@ -124,14 +124,14 @@
 	httpreply.Text(writer, http.StatusBadRequest, "body can't be read")
 }
 
-func (p *Proxy) begin(writer http.ResponseWriter, request *http.Request, route *routeconfig.Route, body []byte, arrived clock.Moment) *exchange {
+func (p *Proxy) begin(writer http.ResponseWriter, request *http.Request, route *routeconfig.Route, body []byte, arrived clock.Instant) *exchange {
 	one := &exchange{proxyServer: p, writer: writer, request: request, route: route, body: body, arrived: arrived}
 	span := route.Cutoff()
 	if left, stated := timeLeft(request.Header); stated {
 		span = min(span, left)
 		one.stated = true
 	}
-	one.deadline = arrived.Plus(span)
+	one.deadline = arrived.Add(span)
 	one.attempt = request.Header.Get(headerAttempt)
 	one.method = request.Method
 	one.passed = Passed(request.Header)
@@ -164,7 +164,7 @@
 		gone := false
 		scheduler.Locked(func() {
 			known, found := scheduler.Registry.Get(worker)
-			gone = !found || known.Phase == messages.PhaseGone
+			gone = !found || known.Phase == messages.PhaseDeparted
 		})
 		return gone
 	})
--- a/internal/traffic/proxy/proxy_test.go
+++ b/internal/traffic/proxy/proxy_test.go
@@ -48,7 +48,7 @@
 		answer, _, err := ask(t, server, "/once/x", nil)
 		ran := first.seen() + second.seen()
 		// Only where this process stood still past the route's time may it not have run.
-		late := clock.Now().Since(begun) >= clock.Milliseconds(onceCutoffMs)
+		late := clock.Now().Sub(begun) >= clock.Milliseconds(onceCutoffMs)
 		if ran > 1 || (ran == 0 && !late) {
 			t.Fatalf("cut at %d: run %d times", cut, ran)
 		}
--- a/internal/traffic/proxy/relay.go
+++ b/internal/traffic/proxy/relay.go
@@ -10,8 +10,8 @@
 	"lemonarch/internal/traffic/admission"
 )
 
-// clientGone means that our own client ended the connection.
-var clientGone = errs.Define("client gone")
+// errClientGone means that our own client ended the connection.
+var errClientGone = errs.Define("client gone")
 
 // plain passes on an answer that is no stream. It is held whole where it is
 // small, so that a cut can be mended before the client has seen a byte.
@@ -86,7 +86,7 @@
 			e.lastID, e.hasEvent = splitter.Last, true
 		}
 		if _, problem := e.writer.Write(events); problem != nil {
-			return clientGone.Wrap(problem, "write")
+			return errClientGone.Wrap(problem, "write")
 		}
 		if flusher != nil {
 			flusher.Flush()
@@ -114,7 +114,7 @@
 		e.wasDisplaced, e.setBack = true, true
 		e.proxyServer.Scheduler.Counters(e.route.Name).Displaced.Add(1)
 	}
-	if errs.Of(err, clientGone) || e.request.Context().Err() != nil || clock.Now() >= e.deadline {
+	if errs.Is(err, errClientGone) || e.request.Context().Err() != nil || clock.Now() >= e.deadline {
 		result = admission.ResultCalledOff
 	}
 	grant.End(result, clock.Now())
@@ -124,14 +124,14 @@
 
 // pauses follows the longest pause of one stream.
 type pauses struct {
-	last    clock.Moment
-	longest clock.Span
+	last    clock.Instant
+	longest clock.Duration
 	some    bool
 }
 
-func (p *pauses) event(now clock.Moment) {
+func (p *pauses) event(now clock.Instant) {
 	if p.some {
-		p.longest = max(p.longest, now.Since(p.last))
+		p.longest = max(p.longest, now.Sub(p.last))
 	}
 	p.last, p.some = now, true
 }
@@ -140,7 +140,7 @@
 // another worker within the same answer and still end in time. What must not run
 // twice never yields.
 func (e *exchange) mayYield(grant *admission.Grant) {
-	left := e.deadline.Since(clock.Now())
+	left := e.deadline.Sub(clock.Now())
 	if !e.repeatable() || e.sent+1 >= e.route.Tries || left < e.route.Setpoint()+constants.StreamReserve {
 		return
 	}
--- a/internal/traffic/proxy/send.go
+++ b/internal/traffic/proxy/send.go
@@ -19,13 +19,13 @@
 	for {
 		connection, err := s.Pool.Get(grant.Worker, s.Budget(grant.Worker), outgoing.Attempt, reuse)
 		if err != nil {
-			return nil, evidence, NotSent.Wrap(err, grant.Worker.ID)
+			return nil, evidence, ErrNotSent.Wrap(err, grant.Worker.ID)
 		}
 		if outgoing.Halt != nil {
 			outgoing.Halt(connection)
 		}
 		err = connection.Send(outgoing.Attempt, outgoing.Text, outgoing.Until)
-		if !errs.Of(err, workerconn.Unsent) {
+		if !errs.Is(err, workerconn.ErrNotSent) {
 			evidence.Sent = true
 		}
 		if err == nil {
@@ -46,18 +46,18 @@
 // afterBreak decides on a connection that broke before any byte came back: whether the
 // request goes again to the same worker on a new connection, and else what befell it.
 func (s *Sender) afterBreak(connection *workerconn.Connection, outgoing *Request, evidence Evidence, err error) (again bool, failure *errs.Kind) {
-	failure = Lost
+	failure = ErrResponseLost
 	if !evidence.Sent {
-		failure = NotSent
+		failure = ErrNotSent
 	}
-	if !connection.Reused || connection.Halted() || errs.Of(err, workerconn.Silent) {
+	if !connection.Reused || connection.Halted() || errs.Is(err, workerconn.ErrWorkerUnresponsive) {
 		return false, failure
 	}
 	// On a connection that had lain idle it was most likely forgotten. The request may have
 	// run all the same: only what is repeatable, or was not sent at all, goes again.
 	s.Pool.Forgotten(connection)
 	if evidence.Sent && !outgoing.Repeatable {
-		return false, Stale
+		return false, ErrStaleConnection
 	}
 	return true, nil
 }
--- a/internal/traffic/proxy/sender.go
+++ b/internal/traffic/proxy/sender.go
@@ -13,14 +13,14 @@
 
 // The errors of a try at a worker.
 var (
-	// NotSent: no byte reached a worker.
-	NotSent = errs.Define("not sent")
-	// Spoilt: what came is not the answer to the request.
-	Spoilt = errs.Define("answer spoilt")
-	// Lost: silence, a reset or a cut after sending.
-	Lost = errs.Define("answer lost")
-	// Stale: the worker had forgotten the idle connection; this says nothing about its health.
-	Stale = errs.Define("connection forgotten")
+	// ErrNotSent: no byte reached a worker.
+	ErrNotSent = errs.Define("not sent")
+	// ErrCorruptResponse: what came is not the answer to the request.
+	ErrCorruptResponse = errs.Define("answer spoilt")
+	// ErrResponseLost: silence, a reset or a cut after sending.
+	ErrResponseLost = errs.Define("answer lost")
+	// ErrStaleConnection: the worker had forgotten the idle connection; this says nothing about its health.
+	ErrStaleConnection = errs.Define("connection forgotten")
 )
 
 // Sender carries one request to one worker. Gateways and stores share it.
@@ -36,10 +36,10 @@
 	Method   string
 	Attempt  string
 	Text     []byte
-	Until    clock.Moment
-	Patience clock.Span
+	Until    clock.Instant
+	Patience clock.Duration
 	// Impatient decides on a silence longer than Patience, see workerconn.Wait.
-	Impatient func(silence clock.Span) bool
+	Impatient func(silence clock.Duration) bool
 	// Repeatable: it may travel on any idle connection, and is sent again when its worker has
 	// forgotten that connection.
 	Repeatable bool
@@ -56,14 +56,14 @@
 	Load       string
 	NotRun     bool
 	// Impatient is asked about silences in the stream.
-	Impatient func(silence clock.Span) bool
+	Impatient func(silence clock.Duration) bool
 }
 
 // Carry sends the request and reads the head of its answer.
 func (s *Sender) Carry(grant *admission.Grant, outgoing *Request) (*Response, Evidence, error) {
 	// A drain acknowledged since the grant binds: look once more before sending.
 	if !s.Scheduler.Allowed(grant.Worker.ID, clock.Now()) {
-		return nil, Evidence{}, NotSent.New("worker is leaving")
+		return nil, Evidence{}, ErrNotSent.New("worker is leaving")
 	}
 	connection, evidence, err := s.send(grant, outgoing)
 	if err != nil {
@@ -75,7 +75,7 @@
 	}
 	if err != nil {
 		s.Pool.Drop(connection)
-		return nil, evidence, Spoilt.Wrap(err, grant.Worker.ID)
+		return nil, evidence, ErrCorruptResponse.Wrap(err, grant.Worker.ID)
 	}
 	response := &Response{Answer: answer, Connection: connection, Impatient: outgoing.Impatient, Load: answer.Header.Get(headerLoad)}
 	response.NotRun = answer.Header.Get(headerNotRun) != "" || answer.StatusCode == http.StatusMisdirectedRequest
@@ -96,20 +96,20 @@
 func (s *Sender) ReadBody(response *Response, limit int) (body []byte, whole bool, err error) {
 	body, err = io.ReadAll(io.LimitReader(response.Answer.Body, int64(limit)+1))
 	if err != nil {
-		return body, false, Lost.Wrap(err, "body")
+		return body, false, ErrResponseLost.Wrap(err, "body")
 	}
 	return body, len(body) <= limit, nil
 }
 
 // Stream reads an event stream: each is given whole events as they come. It
 // returns nil at the clean end.
-func (s *Sender) Stream(response *Response, splitter *Splitter, until clock.Moment, patience clock.Span, each func(events []byte) error) error {
+func (s *Sender) Stream(response *Response, splitter *Splitter, until clock.Instant, patience clock.Duration, each func(events []byte) error) error {
 	buffer := make([]byte, 8<<10)
 	chunked := response.Answer.ContentLength < 0
 	for {
 		if chunked {
 			if err := response.Connection.Await(workerconn.Wait{Until: until, Patience: patience, Impatient: response.Impatient}); err != nil {
-				return Lost.Wrap(err, "stream")
+				return ErrResponseLost.Wrap(err, "stream")
 			}
 		}
 		count, err := response.Answer.Body.Read(buffer)
@@ -121,17 +121,17 @@
 				}
 			}
 			if !follows {
-				return Spoilt.New("events do not follow each other")
+				return ErrCorruptResponse.New("events do not follow each other")
 			}
 		}
 		if err == io.EOF {
 			if len(splitter.Rest()) > 0 {
-				return Spoilt.New("stream ends inside an event")
+				return ErrCorruptResponse.New("stream ends inside an event")
 			}
 			return nil
 		}
 		if err != nil {
-			return Lost.Wrap(err, "stream")
+			return ErrResponseLost.Wrap(err, "stream")
 		}
 	}
 }
--- a/internal/traffic/proxy/standin_test.go
+++ b/internal/traffic/proxy/standin_test.go
@@ -124,7 +124,7 @@
 
 // edgeFor does the same for workers that are known by id and address.
 func edgeFor(t *testing.T, list []messages.Worker) (*httptest.Server, *Proxy) {
-	scheduler := admission.New(messages.Entry{Name: "n", Role: membership.RoleGateway, Zone: "h"}, 1_200_000_000)
+	scheduler := admission.New(messages.NodeInfo{Name: "n", Role: membership.RoleGateway, Zone: "h"}, 1_200_000_000)
 	sender := Sender{Scheduler: scheduler, Pool: workerconn.NewPool(), Budget: func(messages.Worker) int { return 20 }}
 	proxyServer := New(sender, nil, hclog.NewNullLogger())
 	config, err := routeconfig.Parse([]byte(testConfig))
@@ -134,7 +134,7 @@
 	proxyServer.SetConfig(config)
 	for place := range list {
 		// The others stand in another zone, which costs them the tie.
-		list[place].Backend, list[place].Zone, list[place].Capacity, list[place].Count = "s", "h", 4, 1
+		list[place].Backend, list[place].Zone, list[place].Capacity, list[place].CallCount = "s", "h", 4, 1
 		if place > 0 {
 			list[place].Zone = "far" + fmt.Sprint(place)
 		}
--- a/internal/traffic/proxy/trouble_test.go
+++ b/internal/traffic/proxy/trouble_test.go
@@ -41,7 +41,7 @@
 		taught(t, proxyServer, admission.Ask{Service: "s", Setpoint: clock.Milliseconds(100), Excluded: []string{"w1"}})
 		begun := clock.Now()
 		answer, body, err := ask(t, server, path, nil)
-		took := clock.Now().Since(begun)
+		took := clock.Now().Sub(begun)
 		close(hold)
 		if err != nil || answer.StatusCode != 200 || hanging.seen() != 1 || good.seen() != 1 {
 			t.Fatal(path, answer, body, err, hanging.seen(), good.seen())
--- a/internal/traffic/workerconn/await.go
+++ b/internal/traffic/workerconn/await.go
@@ -9,13 +9,13 @@
 
 // Wait says how long to wait for the next byte.
 type Wait struct {
-	Until clock.Moment
+	Until clock.Instant
 	// Patience is the silence after which Impatient is asked, and again after each
 	// further one; zero waits until the end.
-	Patience clock.Span
+	Patience clock.Duration
 	// Impatient decides whether to give the worker up after a silence on this connection.
 	// Where nil, it is given up once it was silent on all its connections for that long.
-	Impatient func(silence clock.Span) bool
+	Impatient func(silence clock.Duration) bool
 }
 
 // Await waits for the next byte.
@@ -28,31 +28,31 @@
 	for {
 		now := clock.Now()
 		if now >= wait.Until && c.silent() {
-			return Silent.New("until the deadline")
+			return ErrWorkerUnresponsive.New("until the deadline")
 		}
-		span := max(wait.Until.Since(now), constants.PumpPeriod)
+		span := max(wait.Until.Sub(now), constants.PumpPeriod)
 		if wait.Patience > 0 {
 			from := asked
 			if wait.Impatient == nil {
 				// A worker that still speaks on other connections is slow, not silent.
-				from = max(begun, clock.Moment(c.worker.heard.Load()))
+				from = max(begun, clock.Instant(c.worker.heard.Load()))
 			}
-			if now.Since(from) >= wait.Patience && c.silent() {
-				if wait.Impatient == nil || wait.Impatient(now.Since(begun)) {
-					return Silent.New("longer than usual")
+			if now.Sub(from) >= wait.Patience && c.silent() {
+				if wait.Impatient == nil || wait.Impatient(now.Sub(begun)) {
+					return ErrWorkerUnresponsive.New("longer than usual")
 				}
 				asked, from = now, now
 			}
-			span = min(span, max(wait.Patience-now.Since(from), constants.PumpPeriod/8))
+			span = min(span, max(wait.Patience-now.Sub(from), constants.PumpPeriod/8))
 		}
 		_ = c.connection.SetReadDeadline(clock.Deadline(span))
 		if _, err := c.reader.Peek(1); err == nil {
 			c.worker.heard.Store(int64(clock.Now()))
 			// What has begun to come may take until the end.
-			_ = c.connection.SetReadDeadline(clock.Deadline(wait.Until.Since(clock.Now())))
+			_ = c.connection.SetReadDeadline(clock.Deadline(wait.Until.Sub(clock.Now())))
 			return nil
 		} else if timeout, isNet := err.(net.Error); !isNet || !timeout.Timeout() {
-			return Broken.Wrap(err, "read")
+			return ErrConnectionBroken.Wrap(err, "read")
 		}
 	}
 }
--- a/internal/traffic/workerconn/idle.go
+++ b/internal/traffic/workerconn/idle.go
@@ -47,7 +47,7 @@
 			}
 			if budget > 0 && connections.open >= budget {
 				p.lock.Unlock()
-				return nil, Spent.New(worker.ID)
+				return nil, ErrPoolExhausted.New(worker.ID)
 			}
 			connections.open++
 			p.lock.Unlock()
@@ -56,7 +56,7 @@
 		connection := connections.idle[count-1]
 		connections.idle = connections.idle[:count-1]
 		p.lock.Unlock()
-		connection.Idle = now.Since(connection.idleSince)
+		connection.Idle = now.Sub(connection.idleSince)
 		if now < connection.idleUntil && connection.quiet() {
 			connection.Reused = true
 			return connection, nil
@@ -66,18 +66,18 @@
 }
 
 // may tells whether a request may travel on an idle connection. The lock is held.
-func (p *Pool) may(connection *Connection, attempt string, reuse Reuse, now clock.Moment) bool {
+func (p *Pool) may(connection *Connection, attempt string, reuse Reuse, now clock.Instant) bool {
 	switch {
 	case reuse == ReuseNone, connection.carried.has(attempt):
 		return false
 	case reuse == ReuseSafe:
-		return now.Since(connection.idleSince) <= p.safeIdle(connection.backend)
+		return now.Sub(connection.idleSince) <= p.safeIdle(connection.backend)
 	}
 	return true
 }
 
 // safeIdle is the time for which a service's connections are known to stay. The lock is held.
-func (p *Pool) safeIdle(backend string) clock.Span {
+func (p *Pool) safeIdle(backend string) clock.Duration {
 	if safe, known := p.safe[backend]; known {
 		return safe
 	}
@@ -107,7 +107,7 @@
 }
 
 // SafeIdle tells the learnt time.
-func (p *Pool) SafeIdle(backend string) clock.Span {
+func (p *Pool) SafeIdle(backend string) clock.Duration {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	return p.safeIdle(backend)
--- a/internal/traffic/workerconn/workerconn.go
+++ b/internal/traffic/workerconn/workerconn.go
@@ -21,16 +21,16 @@
 
 // The errors of connections.
 var (
-	// NoConnection means that nothing was sent.
-	NoConnection = errs.Define("no connection to worker")
-	// Spent means that nothing was sent, for want of a place in the budget.
-	Spent = errs.Define("connection budget spent")
-	// Unsent means that the connection took no byte of the request, which has not run.
-	Unsent = errs.Define("request unsent")
-	// Broken means that the request was sent, in part or whole, and may have run.
-	Broken = errs.Define("connection broken")
-	// Silent means that the worker said nothing in time.
-	Silent = errs.Define("worker silent")
+	// ErrNoConnection means that nothing was sent.
+	ErrNoConnection = errs.Define("no connection to worker")
+	// ErrPoolExhausted means that nothing was sent, for want of a place in the budget.
+	ErrPoolExhausted = errs.Define("connection budget spent")
+	// ErrNotSent means that the connection took no byte of the request, which has not run.
+	ErrNotSent = errs.Define("request unsent")
+	// ErrConnectionBroken means that the request was sent, in part or whole, and may have run.
+	ErrConnectionBroken = errs.Define("connection broken")
+	// ErrWorkerUnresponsive means that the worker said nothing in time.
+	ErrWorkerUnresponsive = errs.Define("worker silent")
 )
 
 // Connection is one connection to one life of a worker.
@@ -38,13 +38,13 @@
 	connection net.Conn
 	reader     *bufio.Reader
 	worker     *workerConnections
-	idleSince  clock.Moment
-	idleUntil  clock.Moment
+	idleSince  clock.Instant
+	idleUntil  clock.Instant
 	backend    string
 	// Reused tells that it has carried a request before, and Idle how long it then lay
 	// unused.
 	Reused bool
-	Idle   clock.Span
+	Idle   clock.Duration
 	closed atomic.Bool
 	// carried holds the requests that travelled on it.
 	carried carried
@@ -64,7 +64,7 @@
 type Pool struct {
 	lock     sync.Mutex
 	byWorker map[string]*workerConnections
-	safe     map[string]clock.Span
+	safe     map[string]clock.Duration
 	Opened   atomic.Int64
 	// Forgot counts idle connections that turned out to be forgotten by their worker.
 	Forgot atomic.Int64
@@ -72,7 +72,7 @@
 
 // NewPool makes an empty one.
 func NewPool() *Pool {
-	return &Pool{byWorker: map[string]*workerConnections{}, safe: map[string]clock.Span{}}
+	return &Pool{byWorker: map[string]*workerConnections{}, safe: map[string]clock.Duration{}}
 }
 
 func (p *Pool) of(id string) *workerConnections {
@@ -85,27 +85,27 @@
 }
 
 func (p *Pool) open(worker messages.Worker, connections *workerConnections) (*Connection, error) {
-	connection, err := transport.Dial(worker.Address, constants.WorkerDial, constants.SilentConnection)
+	connection, err := transport.Dial(worker.Address, constants.WorkerDial, constants.ConnectionTimeout)
 	if err != nil {
 		p.lock.Lock()
 		connections.open--
 		p.lock.Unlock()
-		return nil, NoConnection.Wrap(err, worker.ID)
+		return nil, ErrNoConnection.Wrap(err, worker.ID)
 	}
 	p.Opened.Add(1)
 	return &Connection{connection: connection, reader: bufio.NewReaderSize(connection, 4<<10), worker: connections, backend: worker.Backend}, nil
 }
 
 // Send writes a whole request, which is named by the id that its answer will echo.
-func (c *Connection) Send(attempt string, text []byte, until clock.Moment) error {
-	_ = c.connection.SetWriteDeadline(clock.Deadline(until.Since(clock.Now())))
+func (c *Connection) Send(attempt string, text []byte, until clock.Instant) error {
+	_ = c.connection.SetWriteDeadline(clock.Deadline(until.Sub(clock.Now())))
 	c.carried.add(attempt)
 	count, err := c.connection.Write(text)
 	switch {
 	case err != nil && count == 0:
-		return Unsent.Wrap(err, "write")
+		return ErrNotSent.Wrap(err, "write")
 	case err != nil:
-		return Broken.Wrap(err, "write")
+		return ErrConnectionBroken.Wrap(err, "write")
 	}
 	return nil
 }
@@ -118,7 +118,7 @@
 	for {
 		answer, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil {
-			return nil, Broken.Wrap(err, "answer")
+			return nil, ErrConnectionBroken.Wrap(err, "answer")
 		}
 		if answer.StatusCode >= 200 {
 			return answer, nil
@@ -138,7 +138,7 @@
 		idle = min(idle, stated*3/5)
 	}
 	connection.idleSince = clock.Now()
-	connection.idleUntil = connection.idleSince.Plus(idle)
+	connection.idleUntil = connection.idleSince.Add(idle)
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	connection.worker.idle = append(connection.worker.idle, connection)
@@ -152,7 +152,7 @@
 		c.reader.Buffered() == 0 && answer.Request.Method != http.MethodHead
 }
 
-func keepAlive(header string) clock.Span {
+func keepAlive(header string) clock.Duration {
 	for _, field := range strings.Split(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if strings.EqualFold(name, "timeout") {
