--- a/internal/batch/itemdriver/itemdriver.go
+++ b/internal/batch/itemdriver/itemdriver.go
@@ -17,28 +17,28 @@
 	Item   *lots.Item
 	Run    int
 	// Since is when it was acquired; Begun says that it is at a worker.
-	Since clock.Instant
-	Begun bool
-	// until is the end of the lock by our own steady clock, less the margin.
-	until   clock.Instant
-	stopped bool
-	// moved is when it was acquired or last brought events.
-	moved clock.Instant
+	Since   clock.Instant
+	Started bool
+	// lockedUntil is the end of the lock by our own steady clock, less the margin.
+	lockedUntil clock.Instant
+	stopped     bool
+	// lastProgress is when it was acquired or last brought events.
+	lastProgress clock.Instant
 }
 
-// Moved notes that a task's stream brought events.
-func (t *Task) Moved(now clock.Instant) { t.moved = now }
+// MarkProgress notes that a task's stream brought events.
+func (t *Task) MarkProgress(now clock.Instant) { t.lastProgress = now }
 
 // Stopped tells whether the run may go on no more.
 func (t *Task) Stopped() bool { return t.stopped }
 
 // Runner keeps the tasks of one process.
 type Runner struct {
-	tasks   map[uint64]*Task
-	durable queue
-	soft    queue
-	// fence is the epoch below which nothing handed out is taken any more.
-	fence uint64
+	tasks    map[uint64]*Task
+	results  queue
+	releases queue
+	// fencedEpoch is the epoch below which nothing handed out is taken any more.
+	fencedEpoch uint64
 }
 
 // New makes one without tasks.
@@ -47,35 +47,35 @@
 // Count is how many tasks there are; waiting is how many of them have no place yet.
 func (r *Runner) Count() (all, waiting int) {
 	for _, task := range r.tasks {
-		if !task.Begun {
+		if !task.Started {
 			waiting++
 		}
 	}
 	return len(r.tasks), waiting
 }
 
-// Take adds what the dispatcher handed out to a question asked at a moment. The
+// Add adds what the dispatcher handed out to a question asked at a moment. The
 // lock is reckoned from the asking and the time that the question was held, so it
 // ends here no later than at the dispatcher, however late the answer came.
-func (r *Runner) Take(resp *messages.AcquireResponse, sentAt, now clock.Instant) []*Task {
+func (r *Runner) Add(resp *messages.AcquireResponse, sentAt, now clock.Instant) []*Task {
 	until := sentAt.Add(clock.Milliseconds(resp.WaitedMs + resp.LockMs)).Add(-constants.LockMargin)
 	var taken []*Task
 	for i := range resp.Items {
 		acquiredItem := &resp.Items[i]
-		if r.tasks[acquiredItem.Number] != nil || now >= until || lots.EpochOf(acquiredItem.Number) < r.fence {
+		if r.tasks[acquiredItem.Number] != nil || now >= until || lots.EpochOf(acquiredItem.Number) < r.fencedEpoch {
 			continue
 		}
-		lot := &lots.Lot{ID: acquiredItem.Job, Host: acquiredItem.Host, Path: acquiredItem.Path, SentMs: acquiredItem.SubmittedMs}
-		item := &lots.Item{JobItem: acquiredItem.Item, Lot: lot, Pieces: acquiredItem.Events, LastID: acquiredItem.LastID, Displaced: acquiredItem.Preempted, Owed: acquiredItem.Owed}
-		task := &Task{Number: acquiredItem.Number, Item: item, Run: item.Begin(), Since: now, until: until, moved: now}
+		job := &lots.Job{ID: acquiredItem.Job, Host: acquiredItem.Host, Path: acquiredItem.Path, SubmittedMs: acquiredItem.SubmittedMs}
+		item := &lots.Item{JobItem: acquiredItem.Item, Job: job, Events: acquiredItem.Events, LastID: acquiredItem.LastID, Preempted: acquiredItem.Preempted, OwedResume: acquiredItem.Owed}
+		task := &Task{Number: acquiredItem.Number, Item: item, Run: item.StartRun(), Since: now, lockedUntil: until, lastProgress: now}
 		r.tasks[task.Number] = task
 		taken = append(taken, task)
 	}
 	return taken
 }
 
-// May tells whether a task may be sent to a worker or go on there at this moment.
-func (t *Task) May(now clock.Instant) bool { return !t.stopped && now < t.until }
+// MayRun tells whether a task may be sent to a worker or go on there at this moment.
+func (t *Task) MayRun(now clock.Instant) bool { return !t.stopped && now < t.lockedUntil }
 
 // All gives the tasks in order, so that no history depends on chance.
 func (r *Runner) All() []*Task {
@@ -89,23 +89,23 @@
 
 // Fence says that a holder of an epoch is told all that is held here: answers of
 // earlier holders that are still on their way are not taken any more.
-func (r *Runner) Fence(epoch uint64) { r.fence = max(r.fence, epoch) }
+func (r *Runner) Fence(epoch uint64) { r.fencedEpoch = max(r.fencedEpoch, epoch) }
 
 // Renewals asks for locks to run anew, in one message: of all that brings events, or
 // may still be waiting for its first. Anything else is left to lapse.
 func (r *Runner) Renewals(now clock.Instant) []messages.Acknowledgement {
 	var entries []messages.Acknowledgement
 	for _, task := range r.All() {
-		if task.May(now) && now.Sub(task.moved) < constants.RenewWithoutEventsMax {
-			entries = append(entries, messages.Acknowledgement{Kind: messages.AckRenew, Number: task.Number, Job: task.Item.Lot.ID, Item: task.Item.ID})
+		if task.MayRun(now) && now.Sub(task.lastProgress) < constants.RenewWithoutEventsMax {
+			entries = append(entries, messages.Acknowledgement{Kind: messages.AckRenew, Number: task.Number, Job: task.Item.Job.ID, Item: task.Item.ID})
 		}
 	}
 	return entries
 }
 
-// Renewed takes the verdicts on renewals that were asked at a moment, and names the
+// HandleRenewals takes the verdicts on renewals that were asked at a moment, and names the
 // runs that have to stop.
-func (r *Runner) Renewed(entries []messages.Acknowledgement, verdicts []messages.AckVerdict, sentAt clock.Instant, lock clock.Duration) []*Task {
+func (r *Runner) HandleRenewals(entries []messages.Acknowledgement, verdicts []messages.AckVerdict, sentAt clock.Instant, lock clock.Duration) []*Task {
 	var stopped []*Task
 	for i := range entries {
 		task := r.tasks[entries[i].Number]
@@ -114,7 +114,7 @@
 		}
 		switch verdicts[i] {
 		case messages.AckRenewed:
-			task.until = max(task.until, sentAt.Add(lock-constants.LockMargin))
+			task.lockedUntil = max(task.lockedUntil, sentAt.Add(lock-constants.LockMargin))
 		case messages.AckStopped, messages.AckTerminal:
 			stopped = append(stopped, r.Stop(task)...)
 		}
@@ -127,18 +127,18 @@
 func (r *Runner) Lapsed(now clock.Instant) []*Task {
 	var stopped []*Task
 	for _, task := range r.All() {
-		if now >= task.until {
+		if now >= task.lockedUntil {
 			stopped = append(stopped, r.Stop(task)...)
 		}
 	}
 	return stopped
 }
 
-// StopLot names the runs of a lot that has ended.
-func (r *Runner) StopLot(lot string) []*Task {
+// StopJob names the runs of a lot that has ended.
+func (r *Runner) StopJob(jobID string) []*Task {
 	var stopped []*Task
 	for _, task := range r.All() {
-		if task.Item.Lot.ID == lot {
+		if task.Item.Job.ID == jobID {
 			stopped = append(stopped, r.Stop(task)...)
 		}
 	}
@@ -160,13 +160,13 @@
 		return
 	}
 	delete(r.tasks, task.Number)
-	entry.Number, entry.Job, entry.Item = task.Number, task.Item.Lot.ID, task.Item.ID
+	entry.Number, entry.Job, entry.Item = task.Number, task.Item.Job.ID, task.Item.ID
 	if entry.Kind == messages.AckRelease {
-		entry.Events, entry.LastID = task.Item.Pieces, task.Item.LastID
+		entry.Events, entry.LastID = task.Item.Events, task.Item.LastID
 	}
 	if entry.Kind == messages.AckRelease && !entry.Failed {
-		r.soft.add(entry)
+		r.releases.add(entry)
 		return
 	}
-	r.durable.add(entry)
+	r.results.add(entry)
 }
--- a/internal/batch/itemdriver/itemdriver_test.go
+++ b/internal/batch/itemdriver/itemdriver_test.go
@@ -23,12 +23,12 @@
 // However late an answer comes, the lock ends here before it does at the dispatcher.
 func TestLockIsReckonedFromTheAsking(t *testing.T) {
 	runner := New()
-	if tasks := runner.Take(given(1), ms(0), ms(2500)); len(tasks) != 0 {
+	if tasks := runner.Add(given(1), ms(0), ms(2500)); len(tasks) != 0 {
 		t.Fatal("taken after its lock had ended")
 	}
-	task := runner.Take(given(2), ms(0), ms(2000))[0]
+	task := runner.Add(given(2), ms(0), ms(2000))[0]
 	end := ms(2500).Add(-constants.LockMargin)
-	if !task.May(end-1) || task.May(end) || len(runner.Lapsed(end-1)) != 0 {
+	if !task.MayRun(end-1) || task.MayRun(end) || len(runner.Lapsed(end-1)) != 0 {
 		t.Fatal("the lock ends at another time")
 	}
 	if stopped := runner.Lapsed(end); len(stopped) != 1 || len(runner.Lapsed(end)) != 0 || len(runner.Renewals(end)) != 0 {
@@ -38,16 +38,16 @@
 
 func TestRenewalCountsFromItsAsking(t *testing.T) {
 	runner := New()
-	task := runner.Take(given(1), ms(0), ms(500))[0]
+	task := runner.Add(given(1), ms(0), ms(500))[0]
 	entries := runner.Renewals(ms(1000))
-	runner.Renewed(entries, []messages.AckVerdict{messages.AckRenewed}, ms(1000), lock)
-	if !task.May(ms(2800)) || task.May(ms(3000)) {
+	runner.HandleRenewals(entries, []messages.AckVerdict{messages.AckRenewed}, ms(1000), lock)
+	if !task.MayRun(ms(2800)) || task.MayRun(ms(3000)) {
 		t.Fatal("renewed for another time")
 	}
-	if stopped := runner.Renewed(entries, []messages.AckVerdict{messages.AckUnknown}, ms(1500), lock); len(stopped) != 0 || task.May(ms(3000)) {
+	if stopped := runner.HandleRenewals(entries, []messages.AckVerdict{messages.AckUnknown}, ms(1500), lock); len(stopped) != 0 || task.MayRun(ms(3000)) {
 		t.Fatal("an unclear answer renewed or stopped it")
 	}
-	if stopped := runner.Renewed(entries, []messages.AckVerdict{messages.AckStopped}, ms(1500), lock); len(stopped) != 1 || !task.Stopped() {
+	if stopped := runner.HandleRenewals(entries, []messages.AckVerdict{messages.AckStopped}, ms(1500), lock); len(stopped) != 1 || !task.Stopped() {
 		t.Fatal("not stopped")
 	}
 }
@@ -55,37 +55,37 @@
 // An acknowledgement is repeated until it is answered, under the same number.
 func TestAcknowledgementsAreRepeated(t *testing.T) {
 	runner := New()
-	for _, task := range runner.Take(given(1, 2, 3), ms(0), ms(500)) {
+	for _, task := range runner.Add(given(1, 2, 3), ms(0), ms(500)) {
 		kind := messages.AckAccept
 		if task.Number == 3 {
 			kind = messages.AckRelease
-			task.Item.Gather(task.Run, [][]byte{[]byte("x")}, 1)
+			task.Item.AppendEvents(task.Run, [][]byte{[]byte("x")}, 1)
 		}
 		runner.Done(task, messages.Acknowledgement{Kind: kind})
 		runner.Done(task, messages.Acknowledgement{Kind: messages.AckReject})
 	}
 	batch := runner.Results()
-	if len(batch) != 2 || runner.Owing() != 3 {
-		t.Fatal(len(batch), runner.Owing())
+	if len(batch) != 2 || runner.Unacknowledged() != 3 {
+		t.Fatal(len(batch), runner.Unacknowledged())
 	}
-	runner.Answered(batch, nil)
-	runner.Answered(batch, []messages.AckVerdict{messages.AckUnknown, messages.AckTerminal})
+	runner.HandleVerdicts(batch, nil)
+	runner.HandleVerdicts(batch, []messages.AckVerdict{messages.AckUnknown, messages.AckTerminal})
 	if batch = runner.Results(); len(batch) != 1 || batch[0].Number != 1 || batch[0].Kind != messages.AckAccept {
 		t.Fatal(batch)
 	}
-	if resp := runner.Returns(); len(resp) != 1 || resp[0].LastID != 1 || len(resp[0].Events) != 1 {
+	if resp := runner.Releases(); len(resp) != 1 || resp[0].LastID != 1 || len(resp[0].Events) != 1 {
 		t.Fatal(resp)
 	}
-	runner.Answered(batch, []messages.AckVerdict{messages.AckRecorded})
-	if len(runner.Results()) != 0 || runner.Owing() != 1 {
+	runner.HandleVerdicts(batch, []messages.AckVerdict{messages.AckRecorded})
+	if len(runner.Results()) != 0 || runner.Unacknowledged() != 1 {
 		t.Fatal("answered, and repeated")
 	}
 }
 
 func TestStopOfALot(t *testing.T) {
 	runner := New()
-	runner.Take(given(1, 2), ms(0), ms(500))
-	if len(runner.StopLot("other")) != 0 || len(runner.StopLot("l")) != 2 || len(runner.StopLot("l")) != 0 {
+	runner.Add(given(1, 2), ms(0), ms(500))
+	if len(runner.StopJob("other")) != 0 || len(runner.StopJob("l")) != 2 || len(runner.StopJob("l")) != 0 {
 		t.Fatal("not each run once")
 	}
 }
@@ -96,7 +96,7 @@
 	for number := uint64(1); number <= constants.AckEntries+5; number++ {
 		numbers = append(numbers, number)
 	}
-	for _, task := range runner.Take(given(numbers...), ms(0), ms(500)) {
+	for _, task := range runner.Add(given(numbers...), ms(0), ms(500)) {
 		runner.Done(task, messages.Acknowledgement{Kind: messages.AckAccept, Output: make([]byte, 10)})
 	}
 	if len(runner.Results()) != constants.AckEntries {
@@ -107,9 +107,9 @@
 // Once a later holder was told what is held here, an earlier one's answer is late.
 func TestFence(t *testing.T) {
 	runner := New()
-	runner.Take(given(5<<40|1), ms(0), ms(100))
+	runner.Add(given(5<<40|1), ms(0), ms(100))
 	runner.Fence(6)
-	if len(runner.Take(given(5<<40|2), ms(0), ms(100))) != 0 || len(runner.Take(given(6<<40|1), ms(0), ms(100))) != 1 || len(runner.Renewals(ms(100))) != 2 {
+	if len(runner.Add(given(5<<40|2), ms(0), ms(100))) != 0 || len(runner.Add(given(6<<40|1), ms(0), ms(100))) != 1 || len(runner.Renewals(ms(100))) != 2 {
 		t.Fatal("what an earlier holder handed out was taken, or what is held was dropped")
 	}
 }
@@ -117,19 +117,19 @@
 // A run that hangs is not renewed for ever: its lock lapses, and it is stopped.
 func TestHangingRunsAreNotRenewed(t *testing.T) {
 	runner := New()
-	task := runner.Take(given(1), ms(0), ms(0))[0]
+	task := runner.Add(given(1), ms(0), ms(0))[0]
 	for at := 500.0; at < 20_000; at += 500 {
 		entries := runner.Renewals(ms(at))
 		if at <= 10_000 {
-			task.Moved(ms(at))
+			task.MarkProgress(ms(at))
 		}
 		hangs := clock.Milliseconds(at-10_000) >= constants.RenewWithoutEventsMax
 		if (len(entries) == 0) != hangs {
 			t.Fatal("renewed or not at ", at)
 		}
-		runner.Renewed(entries, []messages.AckVerdict{messages.AckRenewed}, ms(at), lock)
+		runner.HandleRenewals(entries, []messages.AckVerdict{messages.AckRenewed}, ms(at), lock)
 	}
-	if !task.May(ms(16_000)) || len(runner.Lapsed(ms(17_000))) != 1 {
+	if !task.MayRun(ms(16_000)) || len(runner.Lapsed(ms(17_000))) != 1 {
 		t.Fatal("not stopped")
 	}
 }
--- a/internal/batch/itemdriver/queue.go
+++ b/internal/batch/itemdriver/queue.go
@@ -50,18 +50,18 @@
 
 // Results gives a batch of what ends items or counts against them; its answer waits
 // for disks. Returns gives a batch of releases, which does not.
-func (r *Runner) Results() []messages.Acknowledgement { return r.durable.batch() }
+func (r *Runner) Results() []messages.Acknowledgement { return r.results.batch() }
 
-// Returns gives a batch of releases.
-func (r *Runner) Returns() []messages.Acknowledgement { return r.soft.batch() }
+// Releases gives a batch of releases.
+func (r *Runner) Releases() []messages.Acknowledgement { return r.releases.batch() }
 
-// Answered takes the verdicts on a batch of either sort.
-func (r *Runner) Answered(batch []messages.Acknowledgement, verdicts []messages.AckVerdict) {
-	r.durable.answered(batch, verdicts)
-	r.soft.answered(batch, verdicts)
+// HandleVerdicts takes the verdicts on a batch of either sort.
+func (r *Runner) HandleVerdicts(batch []messages.Acknowledgement, verdicts []messages.AckVerdict) {
+	r.results.answered(batch, verdicts)
+	r.releases.answered(batch, verdicts)
 }
 
-// Owing is how many acknowledgements are not answered yet.
-func (r *Runner) Owing() int {
-	return len(r.durable.entries) + len(r.soft.entries)
+// Unacknowledged is how many acknowledgements are not answered yet.
+func (r *Runner) Unacknowledged() int {
+	return len(r.results.entries) + len(r.releases.entries)
 }
--- a/internal/batch/lotclient/lotclient.go
+++ b/internal/batch/lotclient/lotclient.go
@@ -112,7 +112,7 @@
 		return answer{}, ErrOutcomeUnknown.Wrap(err, edge)
 	}
 	defer got.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(got.Body, constants.LotAnswerLimit))
+	output, err := io.ReadAll(io.LimitReader(got.Body, constants.LotAnswerLimit))
 	if err != nil {
 		c.turn++
 		return answer{}, ErrOutcomeUnknown.Wrap(err, edge)
@@ -121,16 +121,16 @@
 		c.turn++
 	}
 	seconds, _ := strconv.ParseFloat(got.Header.Get("Retry-After"), 64)
-	return answer{got.StatusCode, text, clock.Milliseconds(max(seconds, 0) * 1000)}, nil
+	return answer{got.StatusCode, output, clock.Milliseconds(max(seconds, 0) * 1000)}, nil
 }
 
 // HandIn sends a lot under its id until it is taken or the context ends. What may
 // have been taken is sent again unchanged: the system takes it once.
-func (c *Client) HandIn(until contexts.Context, id, path string, lot Lot) (tries int, err error) {
-	if len(lot.Requests) == 0 || len(lot.Requests) > constants.JobItemsMax {
+func (c *Client) HandIn(until contexts.Context, id, path string, job Lot) (tries int, err error) {
+	if len(job.Requests) == 0 || len(job.Requests) > constants.JobItemsMax {
 		return 0, ErrInvalidCall.New("a lot holds 1 to " + strconv.Itoa(constants.JobItemsMax) + " items")
 	}
-	body, err := json.Marshal(lot)
+	body, err := json.Marshal(job)
 	if err != nil {
 		return 0, ErrInvalidCall.Wrap(err, "lot")
 	}
--- a/internal/batch/lotclient/lotclient_test.go
+++ b/internal/batch/lotclient/lotclient_test.go
@@ -43,8 +43,8 @@
 	return func(*http.Request, []byte) (int, string) { return status, text }
 }
 
-func client(t *testing.T, steps ...func(*http.Request, []byte) (int, string)) (*Client, *script) {
-	play := &script{test: t, steps: steps}
+func client(t *testing.T, outcomes ...func(*http.Request, []byte) (int, string)) (*Client, *script) {
+	play := &script{test: t, steps: outcomes}
 	return &Client{Edges: []string{"a:1", "b:1"}, Host: "h", Transport: play, Pause: func(clock.Duration) {}}, play
 }
 
@@ -57,8 +57,8 @@
 		func(_ *http.Request, body []byte) (int, string) { first = body; return 0, "" },
 		says(503, ""),
 		func(request *http.Request, body []byte) (int, string) {
-			var lot Lot
-			if string(body) != string(first) || json.Unmarshal(body, &lot) != nil || string(lot.Requests[0].Body) != "\x01\x02\xfa" ||
+			var job Lot
+			if string(body) != string(first) || json.Unmarshal(body, &job) != nil || string(job.Requests[0].Body) != "\x01\x02\xfa" ||
 				request.Host != "h" || request.Header.Get("Lemonarch-Attempt-Id") != "lot" {
 				t.Error("not the same lot", string(body))
 			}
--- a/internal/batch/lots/account_test.go
+++ b/internal/batch/lots/account_test.go
@@ -15,21 +15,21 @@
 	old.take("y", 1, ms(1))
 	next := newEndpoint(t, 2, old.records, ms(100))
 	// Word for an earlier holder, or of another life, accounts for nobody.
-	next.Heard(Driver{Name: "x"}, ms(110))
-	next.Listed(Driver{Name: "x"}, 1, ms(110))
-	next.Listed(Driver{Name: "y", Life: 7}, 2, ms(110))
+	next.ObserveExecutor(Executor{Name: "x"}, ms(110))
+	next.ReportedAll(Executor{Name: "x"}, 1, ms(110))
+	next.ReportedAll(Executor{Name: "y", Incarnation: 7}, 2, ms(110))
 	if len(next.take("z", 3, ms(110))) != 0 {
 		t.Fatal("sure although nobody has shown anything")
 	}
 	// The next life of a driver says that what it held is gone.
-	next.Heard(Driver{Name: "y", Life: 1}, ms(120))
-	if !next.Unsure(ms(130)) || len(next.take("z", 3, ms(130))) != 0 {
+	next.ObserveExecutor(Executor{Name: "y", Incarnation: 1}, ms(120))
+	if !next.Uncertain(ms(130)) || len(next.take("z", 3, ms(130))) != 0 {
 		t.Fatal("sure although one has shown nothing")
 	}
 	if next.say("x", messages.AckRenew, given[0].Number, "a", ms(140)) != messages.AckRenewed {
 		t.Fatal("not adopted")
 	}
-	next.Listed(Driver{Name: "x"}, 2, ms(140))
+	next.ReportedAll(Executor{Name: "x"}, 2, ms(140))
 	if left := next.take("z", 3, ms(140)); len(left) != 2 || left[0].Item.ID != "b" {
 		t.Fatal("not sure although all are accounted for: ", names(left))
 	}
@@ -40,18 +40,18 @@
 func TestEntrantsAreOnRecord(t *testing.T) {
 	endpoint := newEndpoint(t, 1, nil, 0)
 	endpoint.lot("l", "a", "b")
-	ask := &AcquireAsk{Driver: Driver{Name: "x"}, Room: map[string]int{"s": 1}, Terms: func(*Lot) Terms { return Terms{} }, Service: func(*Item) string { return "s" }}
-	begin, repeat := endpoint.Acquire(ask, ms(1)), endpoint.Acquire(ask, ms(1))
+	options := &AcquireOptions{Executor: Executor{Name: "x"}, Capacity: map[string]int{"s": 1}, Terms: func(*Job) JobTerms { return JobTerms{} }, Service: func(*Item) string { return "s" }}
+	begin, repeat := endpoint.Acquire(options, ms(1)), endpoint.Acquire(options, ms(1))
 	if len(begin) != 0 || len(repeat) != 0 || len(endpoint.records) != 2 {
 		t.Fatal("handed out before the driver was on record")
 	}
 	endpoint.settle()
-	found := endpoint.Acquire(ask, ms(1))
+	found := endpoint.Acquire(options, ms(1))
 	if len(found) != 1 || len(endpoint.records) != 2 {
 		t.Fatal("not handed out")
 	}
 	second := newEndpoint(t, 2, endpoint.records, ms(100))
-	second.Sure(ms(200))
+	second.RecordAcquisitionsKnown(ms(200))
 	if len(second.records) != 2 {
 		t.Fatal("sure too early")
 	}
@@ -59,19 +59,19 @@
 	if second.say("x", messages.AckRenew, found[0].Number, "a", ms(200)) != messages.AckRenewed {
 		t.Fatal("not adopted")
 	}
-	second.Sure(ms(3000))
-	second.Sure(ms(3000))
+	second.RecordAcquisitionsKnown(ms(3000))
+	second.RecordAcquisitionsKnown(ms(3000))
 	second.settle()
 	if len(second.records) != 4 {
 		t.Fatal(len(second.records))
 	}
 	third := newEndpoint(t, 3, second.records, ms(3100))
-	if !third.Unsure(ms(3200)) {
+	if !third.Uncertain(ms(3200)) {
 		t.Fatal("an adopted acquisition was forgotten")
 	}
-	third.Sure(ms(9000))
+	third.RecordAcquisitionsKnown(ms(9000))
 	third.settle()
-	if fourth := newEndpoint(t, 4, third.records, ms(9100)); fourth.Unsure(ms(9101)) {
+	if fourth := newEndpoint(t, 4, third.records, ms(9100)); fourth.Uncertain(ms(9101)) {
 		t.Fatal("drivers of long ago are waited for")
 	}
 }
--- a/internal/batch/lots/acquire.go
+++ b/internal/batch/lots/acquire.go
@@ -7,102 +7,102 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// Terms is what the configuration says of a lot at this moment.
-type Terms struct {
+// JobTerms is what the configuration says of a lot at this moment.
+type JobTerms struct {
 	// Due is when its results are due, in ms of the time of day.
 	Due int64
-	// Late: it can't be in time any more, however soon it is run.
-	Late bool
-	// Over: its route is gone, or its retain-s has passed.
-	Over bool
+	// Overdue: it can't be in time any more, however soon it is run.
+	Overdue bool
+	// Expired: its route is gone, or its retain-s has passed.
+	Expired bool
 }
 
-// AcquireAsk is a driver's question.
-type AcquireAsk struct {
-	Driver Driver
-	// Room is how many places the driver has at each service.
-	Room map[string]int
+// AcquireOptions is a driver's question.
+type AcquireOptions struct {
+	Executor Executor
+	// Capacity is how many places the driver has at each service.
+	Capacity map[string]int
 	// Terms gives the terms of a lot, Service the service of an item.
-	Terms   func(lot *Lot) Terms
+	Terms   func(job *Job) JobTerms
 	Service func(item *Item) string
 }
 
-// home is the driver that a shared prefix was handed to last.
-type home struct {
-	driver string
-	at     clock.Instant
+// prefixOwner is the driver that a shared prefix was handed to last.
+type prefixOwner struct {
+	executor string
+	at       clock.Instant
 }
 
-// windowFactor is how many candidates are weighed for each place (ours): among
+// candidatesPerSlot is how many candidates are weighed for each place (ours): among
 // those due soonest, items whose shared prefix the driver has come first.
-const windowFactor = 4
+const candidatesPerSlot = 4
 
-// homesLimit bounds what is remembered of prefixes (ours).
-const homesLimit = 4096
+// prefixOwnersLimit bounds what is remembered of prefixes (ours).
+const prefixOwnersLimit = 4096
 
 // Acquire hands out items by due time, those that can still be in time first, and
 // among those due soonest the ones whose shared prefix the driver had before.
-func (d *Dispatcher) Acquire(ask *AcquireAsk, now clock.Instant) []*Acquisition {
-	if d.Enter(ask.Driver) > 0 {
+func (d *Dispatcher) Acquire(options *AcquireOptions, now clock.Instant) []*Acquisition {
+	if d.RegisterExecutor(options.Executor) > 0 {
 		return nil
 	}
-	room := 0
-	for _, count := range ask.Room {
-		room += count
+	freeCapacity := 0
+	for _, count := range options.Capacity {
+		freeCapacity += count
 	}
 	var taken []*Acquisition
-	order := d.rank(ask.Terms, now)
-	for _, part := range [][]dueLot{order.inTime, order.late} {
-		if room == 0 {
+	order := d.rank(options.Terms, now)
+	for _, part := range [][]dueJob{order.inTime, order.overdue} {
+		if freeCapacity == 0 {
 			break
 		}
-		for _, item := range d.window(part, ask, room*windowFactor, now) {
-			if room == 0 {
+		for _, item := range d.candidates(part, options, freeCapacity*candidatesPerSlot, now) {
+			if freeCapacity == 0 {
 				return taken
 			}
-			service := ask.Service(item)
-			if ask.Room[service] == 0 {
+			service := options.Service(item)
+			if options.Capacity[service] == 0 {
 				continue
 			}
-			acquisition := d.grant(item, ask.Driver, 0, now)
+			acquisition := d.grant(item, options.Executor, 0, now)
 			if acquisition == nil {
 				continue
 			}
-			ask.Room[service]--
-			room--
+			options.Capacity[service]--
+			freeCapacity--
 			d.Counts.Deliveries++
-			d.settleHome(item, ask.Driver.Name, now)
+			d.assignPrefix(item, options.Executor.Name, now)
 			taken = append(taken, acquisition)
 		}
 	}
 	return taken
 }
 
-// window gives the free items due soonest, the driver's own prefixes first, so
+// candidates gives the free items due soonest, the driver's own prefixes first, so
 // that shared parts are read by few workers. No item is kept for a driver: a place
 // that stands empty meanwhile cost more than the reading (measured).
-func (d *Dispatcher) window(lotList []dueLot, ask *AcquireAsk, limit int, now clock.Instant) []*Item {
+func (d *Dispatcher) candidates(jobs []dueJob, options *AcquireOptions, limit int, now clock.Instant) []*Item {
 	var first, own, others []*Item
 	found := func() int { return len(first) + len(own) + len(others) }
-	for _, lot := range lotList {
+	for _, job := range jobs {
 		if found() >= limit {
 			break
 		}
-		if !d.mayHandOut(lot.lot, ask, now) {
+		if !d.mayDispatch(job.job, options, now) {
 			continue
 		}
-		lot.lot.eachAvailable(func(item *Item) bool {
-			if !d.free(item, now) {
+		job.job.eachAvailable(func(item *Item) bool {
+			if !d.available(item, now) {
 				return true
 			}
-			if item.seen == 0 {
-				item.seen = now
+			if item.passedOverSince == 0 {
+				item.passedOverSince = now
 			}
-			switch at, known := d.homes[prefixOf(item)]; {
-			case now.Sub(item.seen) >= constants.PrefixWait:
+			switch at, known := d.prefixOwners[prefixOf(item)]; {
+			case now.Sub(item.passedOverSince) >= constants.PrefixWait:
 				// Passed over long enough: the driver that has its prefix may have no room.
 				first = append(first, item)
-			case known && at.driver == ask.Driver.Name:
+			case known && at.executor == options.Executor.Name:
 				own = append(own, item)
 			default:
 				others = append(others, item)
@@ -113,28 +113,28 @@
 	return append(append(first, own...), others...)
 }
 
-// mayHandOut tells whether items of a lot may be handed out now.
-func (d *Dispatcher) mayHandOut(lot *Lot, ask *AcquireAsk, now clock.Instant) bool {
-	if lot.available.count == 0 || !lot.Open() || d.Book.Lot(lot.ID) != lot || d.Closed(lot) {
+// mayDispatch tells whether items of a lot may be handed out now.
+func (d *Dispatcher) mayDispatch(job *Job, options *AcquireOptions, now clock.Instant) bool {
+	if job.available.count == 0 || !job.Open() || d.Jobs.Job(job.ID) != job || d.Ending(job) {
 		return false
 	}
-	if lot.Index < d.before && now < d.unsure {
+	if job.Index < d.firstIndex && now < d.uncertainUntil {
 		return false
 	}
-	return !ask.Terms(lot).Over
+	return !options.Terms(job).Expired
 }
 
-func (d *Dispatcher) settleHome(item *Item, driver string, now clock.Instant) {
+func (d *Dispatcher) assignPrefix(item *Item, executor string, now clock.Instant) {
 	prefix := prefixOf(item)
 	if prefix == "" {
 		return
 	}
-	if len(d.homes) >= homesLimit {
-		d.homes = map[string]home{}
+	if len(d.prefixOwners) >= prefixOwnersLimit {
+		d.prefixOwners = map[string]prefixOwner{}
 	}
-	at, known := d.homes[prefix]
-	if !known || at.driver == driver || now.Sub(at.at) >= constants.PrefixStale {
-		d.homes[prefix] = home{driver, now}
+	at, known := d.prefixOwners[prefix]
+	if !known || at.executor == executor || now.Sub(at.at) >= constants.PrefixStale {
+		d.prefixOwners[prefix] = prefixOwner{executor, now}
 	}
 }
 
--- a/internal/batch/lots/acquire_test.go
+++ b/internal/batch/lots/acquire_test.go
@@ -16,7 +16,7 @@
 		body.Items = append(body.Items, messages.JobItem{ID: fmt.Sprint(id, i), Headers: map[string]string{"Lemonarch-Prompt-Prefix": prefix + ":9,own:1"}})
 	}
 	packed, _ := body.MarshalMsg(nil)
-	e.Submit(messages.Record{Kind: messages.RecordJob, Job: id, Body: packed, AtMs: int64(len(e.records))})
+	e.Append(messages.Record{Kind: messages.RecordJob, Job: id, Body: packed, AtMs: int64(len(e.records))})
 	e.settle()
 }
 
@@ -59,21 +59,21 @@
 	endpoint.lot("a", "a")
 	endpoint.lot("b", "b")
 	endpoint.lot("c", "c")
-	order := map[string]Terms{"a": {Due: 1, Late: true}, "b": {Due: 9}, "c": {Due: 5}, "d": {Over: true}}
+	order := map[string]JobTerms{"a": {Due: 1, Overdue: true}, "b": {Due: 9}, "c": {Due: 5}, "d": {Expired: true}}
 	endpoint.lot("d", "d")
-	endpoint.Enter(Driver{Name: "x"})
+	endpoint.RegisterExecutor(Executor{Name: "x"})
 	endpoint.settle()
-	given := endpoint.Acquire(&AcquireAsk{Driver: Driver{Name: "x"}, Room: map[string]int{"s": 9},
-		Terms: func(lot *Lot) Terms { return order[lot.ID] }, Service: func(*Item) string { return "s" }}, ms(1))
+	given := endpoint.Acquire(&AcquireOptions{Executor: Executor{Name: "x"}, Capacity: map[string]int{"s": 9},
+		Terms: func(job *Job) JobTerms { return order[job.ID] }, Service: func(*Item) string { return "s" }}, ms(1))
 	if names(given) != "c b a " {
 		t.Fatal(names(given))
 	}
 }
 
 // slowAvailable walks every item: what the kept list must agree with.
-func slowAvailable(lot *Lot) string {
+func slowAvailable(job *Job) string {
 	text := ""
-	for _, item := range lot.Items {
+	for _, item := range job.Items {
 		if item.State == ItemAvailable {
 			text += item.ID + " "
 		}
@@ -81,9 +81,9 @@
 	return text
 }
 
-func keptAvailable(lot *Lot) string {
+func keptAvailable(job *Job) string {
 	text := ""
-	lot.eachAvailable(func(item *Item) bool {
+	job.eachAvailable(func(item *Item) bool {
 		text += item.ID + " "
 		return true
 	})
@@ -91,24 +91,24 @@
 }
 
 // benchBacklog is a backlog of whole lots, all of whose items wait.
-func benchBacklog(b *testing.B, items int) (*Dispatcher, *AcquireAsk) {
-	book := NewBook()
+func benchBacklog(b *testing.B, items int) (*Dispatcher, *AcquireOptions) {
+	jobs := NewJobTable()
 	for number := 0; number*constants.JobItemsMax < items; number++ {
-		addLotOf(b, book, fmt.Sprint(number), "/0", constants.JobItemsMax, 900).SentMs = int64(number)
+		addLotOf(b, jobs, fmt.Sprint(number), "/0", constants.JobItemsMax, 900).SubmittedMs = int64(number)
 	}
-	dispatcher, index := NewDispatcher(book, 1, 0, endpointLock, 0), int64(0)
-	dispatcher.Submit = func(record messages.Record) int64 {
+	dispatcher, index := NewDispatcher(jobs, 1, 0, endpointLock, 0), int64(0)
+	dispatcher.Append = func(record messages.Record) int64 {
 		index++
 		record.Index, record.Epoch = index, 1
 		if record.Kind == messages.RecordExecutor {
-			_ = book.Apply(&record)
+			_ = jobs.Apply(&record)
 		}
 		return index
 	}
-	ask := &AcquireAsk{Driver: Driver{Name: "x"}, Service: func(*Item) string { return "s" },
-		Terms: func(lot *Lot) Terms { return Terms{Due: lot.SentMs} }}
-	dispatcher.Enter(ask.Driver)
-	return dispatcher, ask
+	options := &AcquireOptions{Executor: Executor{Name: "x"}, Service: func(*Item) string { return "s" },
+		Terms: func(job *Job) JobTerms { return JobTerms{Due: job.SubmittedMs} }}
+	dispatcher.RegisterExecutor(options.Executor)
+	return dispatcher, options
 }
 
 // BenchmarkAcquire measures one item acquired and given back, as a driver asks that
@@ -116,13 +116,13 @@
 func BenchmarkAcquire(b *testing.B) {
 	for _, items := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(items), func(b *testing.B) {
-			dispatcher, ask := benchBacklog(b, items)
+			dispatcher, options := benchBacklog(b, items)
 			now := ms(1)
 			for b.Loop() {
 				now = now.Add(clock.Milliseconds(0.2))
-				ask.Room = map[string]int{"s": 1}
-				for _, given := range dispatcher.Acquire(ask, now) {
-					dispatcher.setBack(given, 0, now)
+				options.Capacity = map[string]int{"s": 1}
+				for _, given := range dispatcher.Acquire(options, now) {
+					dispatcher.requeue(given, 0, now)
 				}
 			}
 		})
--- a/internal/batch/lots/available.go
+++ b/internal/batch/lots/available.go
@@ -48,84 +48,84 @@
 	}
 }
 
-// become changes an item's state; its lot follows which items are available and how
+// setState changes an item's state; its lot follows which items are available and how
 // many tokens wait.
-func (i *Item) become(state ItemState) {
-	waited := i.Waits()
+func (i *Item) setState(state ItemState) {
+	waited := i.Unfinished()
 	i.State = state
-	i.Lot.available.set(i.place, state == ItemAvailable)
-	switch waits := i.Waits(); {
+	i.Job.available.set(i.position, state == ItemAvailable)
+	switch waits := i.Unfinished(); {
 	case waited && !waits:
-		i.Lot.waiting -= i.Tokens
+		i.Job.waitingTokens -= i.Tokens
 	case !waited && waits:
-		i.Lot.waiting += i.Tokens
+		i.Job.waitingTokens += i.Tokens
 	}
 }
 
 // eachAvailable visits the available items of a lot in order until visit says stop.
-func (l *Lot) eachAvailable(visit func(item *Item) bool) {
+func (l *Job) eachAvailable(visit func(item *Item) bool) {
 	l.available.each(func(i int) bool { return visit(l.Items[i]) })
 }
 
-// dueLot is an open lot with its due time.
-type dueLot struct {
-	lot *Lot
+// dueJob is an open lot with its due time.
+type dueJob struct {
+	job *Job
 	due int64
 }
 
-// ranking is the order in which open lots are handed out: those that can still be in
+// dueOrder is the order in which open lots are handed out: those that can still be in
 // time first, each part by due time. Sorting all lots on every question would cost
 // more than the items that it hands out, so the order is kept for RankPeriod; lots
 // that come meanwhile are put in place. Whether a lot may be handed out at all is
 // asked anew for each lot that is visited.
-type ranking struct {
-	inTime, late []dueLot
-	at           clock.Instant
-	ranked       bool
+type dueOrder struct {
+	inTime, overdue []dueJob
+	at              clock.Instant
+	ranked          bool
 }
 
 // rank brings the order up to date.
-func (d *Dispatcher) rank(terms func(lot *Lot) Terms, now clock.Instant) *ranking {
+func (d *Dispatcher) rank(terms func(job *Job) JobTerms, now clock.Instant) *dueOrder {
 	order := &d.order
 	if order.ranked && now.Sub(order.at) < constants.RankPeriod {
-		for _, lot := range d.Book.takeFresh() {
-			order.insert(lot, terms(lot))
+		for _, job := range d.Jobs.takeUnranked() {
+			order.insert(job, terms(job))
 		}
 		return order
 	}
-	d.Book.takeFresh()
-	*order = ranking{inTime: order.inTime[:0], late: order.late[:0], at: now, ranked: true}
-	for _, lot := range d.Book.openLots() {
-		found := terms(lot)
-		if found.Late {
-			order.late = append(order.late, dueLot{lot, found.Due})
+	d.Jobs.takeUnranked()
+	*order = dueOrder{inTime: order.inTime[:0], overdue: order.overdue[:0], at: now, ranked: true}
+	for _, job := range d.Jobs.openJobs() {
+		found := terms(job)
+		if found.Overdue {
+			order.overdue = append(order.overdue, dueJob{job, found.Due})
 		} else {
-			order.inTime = append(order.inTime, dueLot{lot, found.Due})
+			order.inTime = append(order.inTime, dueJob{job, found.Due})
 		}
 	}
-	byDue := func(left, right dueLot) int { return int(min(max(left.due-right.due, -1), 1)) }
+	byDue := func(left, right dueJob) int { return int(min(max(left.due-right.due, -1), 1)) }
 	slices.SortStableFunc(order.inTime, byDue)
-	slices.SortStableFunc(order.late, byDue)
+	slices.SortStableFunc(order.overdue, byDue)
 	return order
 }
 
 // insert puts a new lot behind those that are due no later.
-func (r *ranking) insert(lot *Lot, terms Terms) {
+func (r *dueOrder) insert(job *Job, terms JobTerms) {
 	part := &r.inTime
-	if terms.Late {
-		part = &r.late
+	if terms.Overdue {
+		part = &r.overdue
 	}
 	i := sort.Search(len(*part), func(i int) bool { return (*part)[i].due > terms.Due })
-	*part = slices.Insert(*part, i, dueLot{lot, terms.Due})
+	*part = slices.Insert(*part, i, dueJob{job, terms.Due})
 }
 
-// openLots gives the lots with items to run, the order in which they came kept, and
+// openJobs gives the lots with items to run, the order in which they came kept, and
 // forgets the others.
-func (b *Book) openLots() []*Lot {
+func (b *JobTable) openJobs() []*Job {
 	kept := b.opened[:0]
-	for _, lot := range b.opened {
-		if lot.Open() && b.lotList[lot.ID] == lot {
-			kept = append(kept, lot)
+	for _, job := range b.opened {
+		if job.Open() && b.jobs[job.ID] == job {
+			kept = append(kept, job)
 		}
 	}
 	clear(b.opened[len(kept):])
@@ -133,9 +133,9 @@
 	return kept
 }
 
-// takeFresh gives the lots that came since it was asked last.
-func (b *Book) takeFresh() []*Lot {
-	fresh := b.fresh
-	b.fresh = nil
+// takeUnranked gives the lots that came since it was asked last.
+func (b *JobTable) takeUnranked() []*Job {
+	fresh := b.unranked
+	b.unranked = nil
 	return fresh
 }
--- a/internal/batch/lots/compaction.go
+++ b/internal/batch/lots/compaction.go
@@ -5,20 +5,20 @@
 // forgottenAt tells at which index each lot was forgotten last, up to an index.
 func (r *Replica) forgottenAt(upTo int64) map[string]int64 {
 	forgotten := map[string]int64{}
-	r.Each(1, func(slot Slot) bool {
+	r.Each(1, func(slot IndexEntry) bool {
 		if slot.Kind == messages.RecordForget && slot.Index <= upTo {
-			forgotten[slot.Lot] = slot.Index
+			forgotten[slot.Job] = slot.Index
 		}
 		return slot.Index < upTo
 	})
 	return forgotten
 }
 
-// sureEpoch is the latest epoch, up to an index, whose holder knew that no acquisition
+// acquisitionsKnownEpoch is the latest epoch, up to an index, whose holder knew that no acquisition
 // of an earlier one stands.
-func (r *Replica) sureEpoch(upTo int64) uint64 {
+func (r *Replica) acquisitionsKnownEpoch(upTo int64) uint64 {
 	epoch := uint64(0)
-	r.Each(1, func(slot Slot) bool {
+	r.Each(1, func(slot IndexEntry) bool {
 		if slot.Kind == messages.RecordAcquisitionsKnown && slot.Index <= upTo {
 			epoch = max(epoch, slot.Epoch)
 		}
@@ -27,12 +27,12 @@
 	return epoch
 }
 
-// Gone gives the test of which records say nothing any more once all up to an index
+// Obsolete gives the test of which records say nothing any more once all up to an index
 // are durable: those of forgotten lots, the word that forgot them included, of drivers
 // that hold nothing, and those without a content.
-func (r *Replica) Gone(upTo int64) func(slot Slot) bool {
-	forgotten, sure := r.forgottenAt(upTo), r.sureEpoch(upTo)
-	return func(slot Slot) bool {
+func (r *Replica) Obsolete(upTo int64) func(slot IndexEntry) bool {
+	forgotten, sure := r.forgottenAt(upTo), r.acquisitionsKnownEpoch(upTo)
+	return func(slot IndexEntry) bool {
 		if slot.Index > upTo {
 			return false
 		}
@@ -42,15 +42,15 @@
 		case messages.RecordExecutor:
 			return slot.Epoch < sure
 		}
-		return slot.Index <= forgotten[slot.Lot]
+		return slot.Index <= forgotten[slot.Job]
 	}
 }
 
 // Weight adds up what a rewrite up to an index would keep and drop.
 func (r *Replica) Weight(upTo int64) (keptBytes int64, kept, dropped int) {
-	gone := r.Gone(upTo)
-	r.Each(1, func(slot Slot) bool {
-		if gone(slot) {
+	obsolete := r.Obsolete(upTo)
+	r.Each(1, func(slot IndexEntry) bool {
+		if obsolete(slot) {
 			dropped++
 		} else {
 			kept++
@@ -63,14 +63,14 @@
 
 // Compacted gives the records that stay when all up to an index is compacted. The one
 // at the index always stays, empty where it says nothing: it ends the sparse part.
-func (r *Replica) Compacted(upTo int64) (base Base, stay []Slot) {
+func (r *Replica) Compacted(upTo int64) (base Base, stay []IndexEntry) {
 	base = Base{upTo, r.EpochAt(upTo)}
-	gone := r.Gone(upTo)
-	r.Each(1, func(slot Slot) bool {
+	obsolete := r.Obsolete(upTo)
+	r.Each(1, func(slot IndexEntry) bool {
 		switch {
-		case slot.Index == upTo && gone(slot):
-			stay = append(stay, Slot{Index: upTo, Epoch: slot.Epoch, Size: recordOverhead, Kind: messages.RecordNoop, Offset: -1})
-		case !gone(slot):
+		case slot.Index == upTo && obsolete(slot):
+			stay = append(stay, IndexEntry{Index: upTo, Epoch: slot.Epoch, Size: recordOverhead, Kind: messages.RecordNoop, Offset: -1})
+		case !obsolete(slot):
 			stay = append(stay, slot)
 		}
 		return true
@@ -79,11 +79,11 @@
 }
 
 // Compact takes a rewrite that is synced: the records that stay, where they stand now.
-func (r *Replica) Compact(base Base, stay []Slot) {
+func (r *Replica) Compact(base Base, stay []IndexEntry) {
 	count := 0
 	for count < len(stay) && stay[count].Index <= base.Index {
 		count++
 	}
 	r.base = base
-	r.sparse, r.slots = stay[:count:count], stay[count:]
+	r.sparse, r.entries = stay[:count:count], stay[count:]
 }
--- a/internal/batch/lots/dispatch.go
+++ b/internal/batch/lots/dispatch.go
@@ -6,25 +6,25 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Driver is a process that runs items, in one life.
-type Driver struct {
-	Name    string
-	Life    int64
-	Address string
-	Zone    string
+// Executor is a process that runs items, in one life.
+type Executor struct {
+	Name        string
+	Incarnation int64
+	Address     string
+	Zone        string
 }
 
 // Acquisition is one item with one driver, for the length of a lock.
 type Acquisition struct {
 	// Number is unique over all epochs.
-	Number uint64
-	Driver Driver
-	Item   *Item
-	run    int
-	begun  clock.Instant
-	until  clock.Instant
-	// fresh says that the run began at the first event, so that its time teaches.
-	fresh bool
+	Number    uint64
+	Executor  Executor
+	Item      *Item
+	run       int
+	startedAt clock.Instant
+	expiresAt clock.Instant
+	// fromStart says that the run began at the first event, so that its time teaches.
+	fromStart bool
 }
 
 // Dispatcher decides which driver may run an item now. It is a share group over the
@@ -32,42 +32,42 @@
 // owner guards it with a lock and gives it the time and a way to submit records.
 // Several can live in one process, each with a book of its own.
 type Dispatcher struct {
-	Book *Book
+	Jobs *JobTable
 	// Lock is how long an acquisition stands without an acknowledgement.
 	Lock clock.Duration
-	// Closed tells whether a lot's end is on its way: nothing of it is acquired.
-	Closed func(lot *Lot) bool
-	// Submit has a record made durable and gives its index.
-	Submit func(record messages.Record) int64
-	// Tries is how many answers of 500 end an item.
-	Tries func(item *Item) int
-	// TookMs is the usual time of a whole run.
-	TookMs float64
-	Counts DispatchCounts
-
-	epoch  uint64
-	serial uint64
-	live   map[uint64]*Acquisition
-	// before is the index of the first record of this epoch: items of earlier lots
+	// Ending tells whether a lot's end is on its way: nothing of it is acquired.
+	Ending func(job *Job) bool
+	// Append has a record made durable and gives its index.
+	Append func(record messages.Record) int64
+	// Attempts is how many answers of 500 end an item.
+	Attempts func(item *Item) int
+	// MeanRunMs is the usual time of a whole run.
+	MeanRunMs float64
+	Counts    DispatchCounts
+
+	epoch    uint64
+	serial   uint64
+	inFlight map[uint64]*Acquisition
+	// firstIndex is the index of the first record of this epoch: items of earlier lots
 	// may be with drivers until unsure.
-	before int64
-	unsure clock.Instant
-	taken  clock.Instant
-	homes  map[string]home
-	order  ranking
-	// drivers are those that were heard lately; version counts their changes.
-	drivers map[string]*seenDriver
-	version uint64
-	// entering are drivers whose record is on its way; unheard are those of earlier
+	firstIndex     int64
+	uncertainUntil clock.Instant
+	startedAt      clock.Instant
+	prefixOwners   map[string]prefixOwner
+	order          dueOrder
+	// executors are those that were heard lately; version counts their changes.
+	executors map[string]*executorState
+	version   uint64
+	// registering are drivers whose record is on its way; unheard are those of earlier
 	// epochs that have not shown what they hold.
-	entering map[entrant]int64
-	unheard  map[entrant]bool
-	sure     bool
+	registering       map[executorID]int64
+	unaccounted       map[executorID]bool
+	acquisitionsKnown bool
 }
 
 // DispatchCounts are for the operator.
 type DispatchCounts struct {
-	Deliveries, Lapses, Releases, Failures, Renewals, Adopted, Settled, Dropped, Late int64
+	Deliveries, Lapses, Releases, Failures, Renewals, Adopted, Completed, Abandoned, Late int64
 }
 
 // serialBits is the part of an acquisition number that counts within an epoch.
@@ -79,55 +79,55 @@
 // NewDispatcher starts the dispatcher of an epoch. Lots with records before the
 // index may be acquired from earlier holders until a lock length after the moment
 // at which the last of them can have handed anything out.
-func NewDispatcher(book *Book, epoch uint64, before int64, lock clock.Duration, taken clock.Instant) *Dispatcher {
-	dispatcher := &Dispatcher{Book: book, Lock: lock, epoch: epoch, before: before, unsure: taken.Add(lock), taken: taken,
-		live: map[uint64]*Acquisition{}, homes: map[string]home{}, drivers: map[string]*seenDriver{},
-		entering: map[entrant]int64{}, unheard: map[entrant]bool{},
-		Closed: func(*Lot) bool { return false }, Tries: func(*Item) int { return 1 }}
-	for each := range book.entrants {
-		dispatcher.unheard[each] = true
+func NewDispatcher(jobs *JobTable, epoch uint64, before int64, lock clock.Duration, taken clock.Instant) *Dispatcher {
+	dispatcher := &Dispatcher{Jobs: jobs, Lock: lock, epoch: epoch, firstIndex: before, uncertainUntil: taken.Add(lock), startedAt: taken,
+		inFlight: map[uint64]*Acquisition{}, prefixOwners: map[string]prefixOwner{}, executors: map[string]*executorState{},
+		registering: map[executorID]int64{}, unaccounted: map[executorID]bool{},
+		Ending: func(*Job) bool { return false }, Attempts: func(*Item) int { return 1 }}
+	for each := range jobs.executors {
+		dispatcher.unaccounted[each] = true
 	}
-	dispatcher.reckon(taken)
+	dispatcher.updateUncertainty(taken)
 	return dispatcher
 }
 
-// Live is how many acquisitions stand.
-func (d *Dispatcher) Live() int { return len(d.live) }
+// InFlight is how many acquisitions stand.
+func (d *Dispatcher) InFlight() int { return len(d.inFlight) }
 
 // Holding lists the drivers that hold acquisitions of a lot.
-func (d *Dispatcher) Holding(lot *Lot) []Driver {
-	var drivers []Driver
-	seen := map[Driver]bool{}
-	for _, item := range lot.Items {
-		if item.held != nil && !seen[item.held.Driver] {
-			seen[item.held.Driver] = true
-			drivers = append(drivers, item.held.Driver)
+func (d *Dispatcher) Holding(job *Job) []Executor {
+	var executors []Executor
+	seen := map[Executor]bool{}
+	for _, item := range job.Items {
+		if item.acquisition != nil && !seen[item.acquisition.Executor] {
+			seen[item.acquisition.Executor] = true
+			executors = append(executors, item.acquisition.Executor)
 		}
 	}
-	return drivers
+	return executors
 }
 
-// Taken is when this dispatcher's holder took the duty.
-func (d *Dispatcher) Taken() clock.Instant { return d.taken }
+// StartedAt is when this dispatcher's holder took the duty.
+func (d *Dispatcher) StartedAt() clock.Instant { return d.startedAt }
 
-// Unsure tells whether earlier holders' acquisitions may still stand somewhere.
-func (d *Dispatcher) Unsure(now clock.Instant) bool { return now < d.unsure }
+// Uncertain tells whether earlier holders' acquisitions may still stand somewhere.
+func (d *Dispatcher) Uncertain(now clock.Instant) bool { return now < d.uncertainUntil }
 
-// perhapsHeld tells whether an earlier holder may have handed the item out.
-func (d *Dispatcher) perhapsHeld(item *Item, now clock.Instant) bool {
-	return item.Lot.Index < d.before && now < d.unsure
+// maybeAcquired tells whether an earlier holder may have handed the item out.
+func (d *Dispatcher) maybeAcquired(item *Item, now clock.Instant) bool {
+	return item.Job.Index < d.firstIndex && now < d.uncertainUntil
 }
 
-// free tells whether an item may be acquired now.
-func (d *Dispatcher) free(item *Item, now clock.Instant) bool {
-	return item.State == ItemAvailable && item.held == nil && now >= item.pause && !d.perhapsHeld(item, now)
+// available tells whether an item may be acquired now.
+func (d *Dispatcher) available(item *Item, now clock.Instant) bool {
+	return item.State == ItemAvailable && item.acquisition == nil && now >= item.availableAt && !d.maybeAcquired(item, now)
 }
 
 // grant acquires an item for a driver; the number is new, or one that its driver
 // has shown after a takeover.
-func (d *Dispatcher) grant(item *Item, driver Driver, number uint64, now clock.Instant) *Acquisition {
+func (d *Dispatcher) grant(item *Item, executor Executor, number uint64, now clock.Instant) *Acquisition {
 	fresh := item.LastID == 0 && number == 0
-	run := item.Begin()
+	run := item.StartRun()
 	if run == 0 {
 		return nil
 	}
@@ -135,81 +135,81 @@
 		d.serial++
 		number = d.epoch<<serialBits | d.serial
 	}
-	acquisition := &Acquisition{Number: number, Driver: driver, Item: item, run: run, begun: now, until: now.Add(d.Lock), fresh: fresh}
-	item.held, item.seen = acquisition, 0
-	d.live[number] = acquisition
+	acquisition := &Acquisition{Number: number, Executor: executor, Item: item, run: run, startedAt: now, expiresAt: now.Add(d.Lock), fromStart: fresh}
+	item.acquisition, item.passedOverSince = acquisition, 0
+	d.inFlight[number] = acquisition
 	return acquisition
 }
 
-// drop ends an acquisition, whatever comes next.
-func (d *Dispatcher) drop(acquisition *Acquisition) {
+// endAcquisition ends an acquisition, whatever comes next.
+func (d *Dispatcher) endAcquisition(acquisition *Acquisition) {
 	if acquisition == nil {
 		return
 	}
-	delete(d.live, acquisition.Number)
-	if acquisition.Item.held == acquisition {
-		acquisition.Item.held = nil
+	delete(d.inFlight, acquisition.Number)
+	if acquisition.Item.acquisition == acquisition {
+		acquisition.Item.acquisition = nil
 	}
 }
 
-// setBack makes an item available again after a pause.
-func (d *Dispatcher) setBack(acquisition *Acquisition, backoff clock.Duration, now clock.Instant) {
-	d.drop(acquisition)
-	acquisition.Item.SetBack(acquisition.run)
-	acquisition.Item.pause = now.Add(backoff)
+// requeue makes an item available again after a pause.
+func (d *Dispatcher) requeue(acquisition *Acquisition, backoff clock.Duration, now clock.Instant) {
+	d.endAcquisition(acquisition)
+	acquisition.Item.Requeue(acquisition.run)
+	acquisition.Item.availableAt = now.Add(backoff)
 }
 
-// Lapse makes items available whose lock ran out unacknowledged. A lapse never ends
+// ExpireLocks makes items available whose lock ran out unacknowledged. A lapse never ends
 // an item: it waits longer each time, so that one that kills drivers costs little.
-func (d *Dispatcher) Lapse(now clock.Instant) int {
+func (d *Dispatcher) ExpireLocks(now clock.Instant) int {
 	count := 0
-	for _, acquisition := range d.live {
-		if now < acquisition.until {
+	for _, acquisition := range d.inFlight {
+		if now < acquisition.expiresAt {
 			continue
 		}
 		acquisition.Item.Lapses++
 		count++
-		d.setBack(acquisition, growing(acquisition.Item.Lapses), now)
+		d.requeue(acquisition, retryBackoff(acquisition.Item.Lapses), now)
 	}
 	d.Counts.Lapses += int64(count)
 	return count
 }
 
-// growing is the pause after so many lapses or releases.
-func growing(count int) clock.Duration {
+// retryBackoff is the pause after so many lapses or releases.
+func retryBackoff(count int) clock.Duration {
 	const doublings = 5
 	return constants.ItemRetryBackoff << min(max(count-1, 0), doublings)
 }
 
-// Stop ends all acquisitions of a lot whose end is decided, and names the drivers
+// StopJob ends all acquisitions of a lot whose end is decided, and names the drivers
 // that have to stop.
-func (d *Dispatcher) Stop(lot *Lot) []Driver {
-	drivers := d.Holding(lot)
-	for _, item := range lot.Items {
-		if acquisition := item.held; acquisition != nil {
-			d.drop(acquisition)
-			item.SetBack(acquisition.run)
+func (d *Dispatcher) StopJob(job *Job) []Executor {
+	executors := d.Holding(job)
+	for _, item := range job.Items {
+		if acquisition := item.acquisition; acquisition != nil {
+			d.endAcquisition(acquisition)
+			item.Requeue(acquisition.run)
 		}
 	}
-	return drivers
+	return executors
 }
 
-// Expire archives what waits and has come to a terminal ground: its route is gone
+// AbandonExpired archives what waits and has come to a terminal ground: its route is gone
 // or its retain-s is over, as the terms of its lot say, or its tries are spent.
-func (d *Dispatcher) Expire(terms func(lot *Lot) Terms, now clock.Instant) int {
+func (d *Dispatcher) AbandonExpired(terms func(job *Job) JobTerms, now clock.Instant) int {
 	count := 0
-	for _, lot := range d.Book.openLots() {
-		if d.Closed(lot) {
+	for _, job := range d.Jobs.openJobs() {
+		if d.Ending(job) {
 			continue
 		}
-		over := terms(lot).Over
-		lot.eachAvailable(func(item *Item) bool {
+		over := terms(job).Expired
+		job.eachAvailable(func(item *Item) bool {
 			// A whole output that a driver may still bring is an output.
-			if d.perhapsHeld(item, now) {
+			if d.maybeAcquired(item, now) {
 				return true
 			}
-			if over || (len(item.FailedBy) > 0 && len(item.FailedBy) >= d.Tries(item)) {
-				d.archive(item, 0, 0)
+			if over || (len(item.FailedBy) > 0 && len(item.FailedBy) >= d.Attempts(item)) {
+				d.abandon(item, 0, 0)
 				count++
 			}
 			return true
@@ -218,22 +218,22 @@
 	return count
 }
 
-// archive ends an item with the result that it is abandoned.
-func (d *Dispatcher) archive(item *Item, run int, number uint64) bool {
-	if !item.GiveUp(run) {
+// abandon ends an item with the result that it is abandoned.
+func (d *Dispatcher) abandon(item *Item, run int, number uint64) bool {
+	if !item.Abandon(run) {
 		return false
 	}
-	d.Counts.Dropped++
-	d.close(item, number, nil, false, true)
+	d.Counts.Abandoned++
+	d.appendResult(item, number, nil, false, true)
 	return true
 }
 
-// close submits the one terminal record of an item, at the next position.
-func (d *Dispatcher) close(item *Item, number uint64, text []byte, packed, dropped bool) {
-	lot := item.Lot
-	position := len(lot.Listings) + lot.giving
-	lot.giving++
-	item.closer = number
-	item.closing = d.Submit(messages.Record{Kind: messages.RecordOutput, Job: lot.ID, Item: item.ID,
-		Position: position, Dropped: dropped, Body: text, Compressed: packed, Acquisition: number})
+// appendResult submits the one terminal record of an item, at the next position.
+func (d *Dispatcher) appendResult(item *Item, number uint64, output []byte, compressed, abandoned bool) {
+	job := item.Job
+	position := len(job.Listings) + job.pendingListings
+	job.pendingListings++
+	item.closedBy = number
+	item.closingIndex = d.Append(messages.Record{Kind: messages.RecordOutput, Job: job.ID, Item: item.ID,
+		Position: position, Abandoned: abandoned, Body: output, Compressed: compressed, Acquisition: number})
 }
--- a/internal/batch/lots/dispatch_test.go
+++ b/internal/batch/lots/dispatch_test.go
@@ -14,7 +14,7 @@
 	test    *testing.T
 	records []messages.Record
 	applied int
-	terms   Terms
+	terms   JobTerms
 }
 
 const endpointLock = clock.Duration(2_000_000_000)
@@ -23,15 +23,15 @@
 
 // newEndpoint goes on from records, as a new holder does; taken is when it took the duty.
 func newEndpoint(t *testing.T, epoch uint64, records []messages.Record, taken clock.Instant) *endpoint {
-	book := NewBook()
+	jobs := NewJobTable()
 	for i := range records {
-		if err := book.Apply(&records[i]); err != nil {
+		if err := jobs.Apply(&records[i]); err != nil {
 			t.Fatal(err)
 		}
 	}
-	e := &endpoint{Dispatcher: NewDispatcher(book, epoch, int64(len(records)+1), endpointLock, taken), test: t, records: records, applied: len(records)}
-	e.Tries = func(*Item) int { return 2 }
-	e.Submit = func(record messages.Record) int64 {
+	e := &endpoint{Dispatcher: NewDispatcher(jobs, epoch, int64(len(records)+1), endpointLock, taken), test: t, records: records, applied: len(records)}
+	e.Attempts = func(*Item) int { return 2 }
+	e.Append = func(record messages.Record) int64 {
 		record.Index, record.Epoch = int64(len(e.records)+1), epoch
 		e.records = append(e.records, record)
 		return record.Index
@@ -42,7 +42,7 @@
 // settle makes all records durable.
 func (e *endpoint) settle() {
 	for ; e.applied < len(e.records); e.applied++ {
-		if err := e.Book.Apply(&e.records[e.applied]); err != nil {
+		if err := e.Jobs.Apply(&e.records[e.applied]); err != nil {
 			e.test.Fatal(err)
 		}
 	}
@@ -54,24 +54,24 @@
 		body.Items = append(body.Items, messages.JobItem{ID: item, Tokens: 1})
 	}
 	packed, _ := body.MarshalMsg(nil)
-	e.Submit(messages.Record{Kind: messages.RecordJob, Job: id, Body: packed, AtMs: int64(len(e.records))})
+	e.Append(messages.Record{Kind: messages.RecordJob, Job: id, Body: packed, AtMs: int64(len(e.records))})
 	e.settle()
 }
 
-func (e *endpoint) take(driver string, room int, now clock.Instant) []*Acquisition {
-	if e.Enter(Driver{Name: driver}) > 0 {
+func (e *endpoint) take(executor string, freeCapacity int, now clock.Instant) []*Acquisition {
+	if e.RegisterExecutor(Executor{Name: executor}) > 0 {
 		e.settle()
 	}
-	return e.Acquire(&AcquireAsk{Driver: Driver{Name: driver}, Room: map[string]int{"s": room},
-		Terms: func(lot *Lot) Terms { return Terms{Due: lot.SentMs, Late: e.terms.Late} }, Service: func(*Item) string { return "s" }}, now)
+	return e.Acquire(&AcquireOptions{Executor: Executor{Name: executor}, Capacity: map[string]int{"s": freeCapacity},
+		Terms: func(job *Job) JobTerms { return JobTerms{Due: job.SubmittedMs, Overdue: e.terms.Overdue} }, Service: func(*Item) string { return "s" }}, now)
 }
 
-func (e *endpoint) say(driver string, kind messages.AckKind, number uint64, item string, now clock.Instant, more ...func(*messages.Acknowledgement)) messages.AckVerdict {
+func (e *endpoint) say(executor string, kind messages.AckKind, number uint64, item string, now clock.Instant, more ...func(*messages.Acknowledgement)) messages.AckVerdict {
 	entry := &messages.Acknowledgement{Kind: kind, Number: number, Job: "l", Item: item}
 	for _, found := range more {
 		found(entry)
 	}
-	return e.Acknowledge(Driver{Name: driver}, entry, now).Verdict
+	return e.Acknowledge(Executor{Name: executor}, entry, now).Verdict
 }
 
 func events(count int) func(*messages.Acknowledgement) {
@@ -93,7 +93,7 @@
 		t.Fatal("not one acquisition")
 	}
 	// Renewed it stands on; a lapse returns it after a pause, however often.
-	if endpoint.say("x", messages.AckRenew, found[0].Number, "a", ms(1500)) != messages.AckRenewed || endpoint.Lapse(ms(2500)) != 0 {
+	if endpoint.say("x", messages.AckRenew, found[0].Number, "a", ms(1500)) != messages.AckRenewed || endpoint.ExpireLocks(ms(2500)) != 0 {
 		t.Fatal("a renewed lock lapsed")
 	}
 	if endpoint.say("y", messages.AckRenew, found[0].Number, "a", ms(2500)) != messages.AckStopped {
@@ -101,13 +101,13 @@
 	}
 	now := ms(3500)
 	for lapse := 1; lapse <= 40; lapse++ {
-		if endpoint.Lapse(now) != 1 || len(endpoint.take("y", 1, now)) != 0 {
+		if endpoint.ExpireLocks(now) != 1 || len(endpoint.take("y", 1, now)) != 0 {
 			t.Fatal("lapse ", lapse)
 		}
-		if endpoint.Expire(func(*Lot) Terms { return Terms{} }, now) != 0 {
+		if endpoint.AbandonExpired(func(*Job) JobTerms { return JobTerms{} }, now) != 0 {
 			t.Fatal("a lapse ended an item")
 		}
-		if now = now.Add(growing(lapse)); len(endpoint.take("y", 1, now)) != 1 {
+		if now = now.Add(retryBackoff(lapse)); len(endpoint.take("y", 1, now)) != 1 {
 			t.Fatal("a lapse did not return the item: ", lapse)
 		}
 		now = now.Add(endpointLock)
@@ -121,7 +121,7 @@
 	endpoint := newEndpoint(t, 1, nil, 0)
 	endpoint.lot("l", "a")
 	first := endpoint.take("x", 1, ms(1))[0].Number
-	endpoint.Lapse(ms(2001))
+	endpoint.ExpireLocks(ms(2001))
 	second := endpoint.take("y", 1, ms(4000))[0].Number
 	text := func(entry *messages.Acknowledgement) { entry.Output = []byte("t") }
 	// A complete output is an output; told again before or after it is durable, it is
@@ -136,7 +136,7 @@
 		}
 		endpoint.settle()
 	}
-	if len(endpoint.records) != 4 || len(endpoint.Book.Lot("l").Listings) != 1 || endpoint.Counts.Late != 2 {
+	if len(endpoint.records) != 4 || len(endpoint.Jobs.Job("l").Listings) != 1 || endpoint.Counts.Late != 2 {
 		t.Fatal(len(endpoint.records), endpoint.Counts)
 	}
 	// A later holder answers the repeat the same, from the record.
@@ -151,22 +151,22 @@
 	endpoint := newEndpoint(t, 1, nil, 0)
 	endpoint.lot("l", "a")
 	first := endpoint.take("x", 1, ms(1))[0].Number
-	endpoint.Lapse(ms(2001))
+	endpoint.ExpireLocks(ms(2001))
 	// Late events count while nobody runs the item; fewer never replace more.
 	endpoint.say("x", messages.AckRelease, first, "a", ms(2100), events(3))
 	endpoint.say("x", messages.AckRelease, first, "a", ms(2100), events(2))
 	second := endpoint.take("y", 1, ms(4000))
-	if item := second[0].Item; item.LastID != 3 || len(item.Pieces) != 3 {
-		t.Fatal(item.LastID, len(item.Pieces))
+	if item := second[0].Item; item.LastID != 3 || len(item.Events) != 3 {
+		t.Fatal(item.LastID, len(item.Events))
 	}
 	// A run that goes on from three must not find five beneath it.
 	endpoint.say("x", messages.AckRelease, first, "a", ms(4100), events(5))
-	if item := second[0].Item; item.LastID != 3 || endpoint.Live() != 1 {
+	if item := second[0].Item; item.LastID != 3 || endpoint.InFlight() != 1 {
 		t.Fatal("a late release changed what another goes on from")
 	}
 	endpoint.say("y", messages.AckRelease, second[0].Number, "a", ms(4200), events(4))
-	if item := second[0].Item; item.LastID != 4 || endpoint.Live() != 0 || item.Releases != 1 {
-		t.Fatal(item.LastID, endpoint.Live())
+	if item := second[0].Item; item.LastID != 4 || endpoint.InFlight() != 0 || item.Releases != 1 {
+		t.Fatal(item.LastID, endpoint.InFlight())
 	}
 }
 
@@ -177,16 +177,16 @@
 	for repeat := 0; repeat < 5; repeat++ {
 		endpoint.say("x", messages.AckRelease, first, "a", ms(10), failed)
 	}
-	if item := endpoint.Book.Lot("l").Find("a"); item.State != ItemAvailable || len(item.FailedBy) != 1 {
+	if item := endpoint.Jobs.Job("l").Item("a"); item.State != ItemAvailable || len(item.FailedBy) != 1 {
 		t.Fatal("one 500 counted as ", len(item.FailedBy))
 	}
 	// The count outlives the holder, and so does what was counted.
 	next := newEndpoint(t, 2, endpoint.records, ms(1000))
-	if item := next.Book.Lot("l").Find("a"); len(item.FailedBy) != 1 {
+	if item := next.Jobs.Job("l").Item("a"); len(item.FailedBy) != 1 {
 		t.Fatal("the count was lost with its holder")
 	}
 	next.say("x", messages.AckRelease, first, "a", ms(1001), failed)
-	if item := next.Book.Lot("l").Find("a"); len(item.FailedBy) != 1 || item.State != ItemAvailable {
+	if item := next.Jobs.Job("l").Item("a"); len(item.FailedBy) != 1 || item.State != ItemAvailable {
 		t.Fatal("after a takeover it counts as ", len(item.FailedBy))
 	}
 	second := next.take("y", 1, ms(4000))[0].Number
@@ -194,7 +194,7 @@
 		t.Fatal("not taken")
 	}
 	next.settle()
-	if item := next.Book.Lot("l").Find("a"); item.State != ItemArchived {
+	if item := next.Jobs.Job("l").Item("a"); item.State != ItemAbandoned {
 		t.Fatal("tries answers of 500 did not end it: ", item.State)
 	}
 }
@@ -233,9 +233,9 @@
 	endpoint.lot("l", "a", "b")
 	found := endpoint.take("x", 1, ms(1))[0].Number
 	closed := true
-	endpoint.Closed = func(*Lot) bool { return closed }
-	if drivers := endpoint.Stop(endpoint.Book.Lot("l")); len(drivers) != 1 || drivers[0].Name != "x" || endpoint.Live() != 0 {
-		t.Fatal(drivers)
+	endpoint.Ending = func(*Job) bool { return closed }
+	if executors := endpoint.StopJob(endpoint.Jobs.Job("l")); len(executors) != 1 || executors[0].Name != "x" || endpoint.InFlight() != 0 {
+		t.Fatal(executors)
 	}
 	if len(endpoint.take("y", 2, ms(100))) != 0 || endpoint.say("x", messages.AckRenew, found, "a", ms(100)) != messages.AckTerminal ||
 		endpoint.say("x", messages.AckAccept, found, "a", ms(100)) != messages.AckTerminal {
--- a/internal/batch/lots/item.go
+++ b/internal/batch/lots/item.go
@@ -16,10 +16,10 @@
 	ItemAcquired
 	// ItemClosing: its terminal record is being made durable.
 	ItemClosing
-	// ItemSettled: its output stands at a position for good.
-	ItemSettled
-	// ItemArchived: it is listed as abandoned for good.
-	ItemArchived
+	// ItemCompleted: its output stands at a position for good.
+	ItemCompleted
+	// ItemAbandoned: it is listed as abandoned for good.
+	ItemAbandoned
 )
 
 // Item is one item of a lot, as the dispatcher keeps it and as a driver that
@@ -28,36 +28,36 @@
 type Item struct {
 	messages.JobItem
 	State ItemState
-	// Pieces are the events gathered so far; LastID is the last one's id.
-	Pieces [][]byte
+	// Events are the events gathered so far; LastID is the last one's id.
+	Events [][]byte
 	LastID int64
 	// FailedBy names the acquisitions that ended with a 500, each counted once.
 	FailedBy []uint64
-	// Displaced counts how often it made room; Runs how often it was delivered.
-	Displaced int
+	// Preempted counts how often it made room; Runs how often it was delivered.
+	Preempted int
 	Runs      int
 	// Lapses, Releases and Renewals count what befell its acquisitions.
 	Lapses, Releases, Renewals int
-	// Owed says that it made room and was not begun again yet.
-	Owed     bool
-	Lot      *Lot
-	yielding bool
-	// closer is the acquisition whose record ends the item, closing its index.
-	closer  uint64
-	closing int64
-	held    *Acquisition
-	// place is the item's place in its lot.
-	place int
-	// pause is when it may be acquired again; seen is when it was first found free.
-	pause, seen clock.Instant
+	// OwedResume says that it made room and was not begun again yet.
+	OwedResume bool
+	Job        *Job
+	yielding   bool
+	// closedBy is the acquisition whose record ends the item, closing its index.
+	closedBy     uint64
+	closingIndex int64
+	acquisition  *Acquisition
+	// position is the item's place in its lot.
+	position int
+	// availableAt is when it may be acquired again; seen is when it was first found free.
+	availableAt, passedOverSince clock.Instant
 }
 
-// Begin starts a run and names it; zero when there is nothing to run.
-func (i *Item) Begin() int {
-	if i.State != ItemAvailable || i.Lot.Ended {
+// StartRun starts a run and names it; zero when there is nothing to run.
+func (i *Item) StartRun() int {
+	if i.State != ItemAvailable || i.Job.Ended {
 		return 0
 	}
-	i.become(ItemAcquired)
+	i.setState(ItemAcquired)
 	i.yielding = false
 	i.Runs++
 	return i.Runs
@@ -65,16 +65,16 @@
 
 // running tells whether a run is the one that goes on now.
 func (i *Item) running(run int) bool {
-	return i.State == ItemAcquired && i.Runs == run && !i.Lot.Ended
+	return i.State == ItemAcquired && i.Runs == run && !i.Job.Ended
 }
 
-// Gather adds events of a run, up to an id. What follows a yield is not taken:
+// AppendEvents adds events of a run, up to an id. What follows a yield is not taken:
 // the next run goes on after the last event that was.
-func (i *Item) Gather(run int, pieces [][]byte, last int64) bool {
+func (i *Item) AppendEvents(run int, events [][]byte, last int64) bool {
 	if !i.running(run) || i.yielding {
 		return false
 	}
-	i.Pieces = append(i.Pieces, pieces...)
+	i.Events = append(i.Events, events...)
 	i.LastID = max(i.LastID, last)
 	return true
 }
@@ -85,24 +85,24 @@
 		return false
 	}
 	i.yielding = true
-	i.Displaced++
+	i.Preempted++
 	return true
 }
 
 // Yielding tells whether the run that goes on now was asked to make room.
 func (i *Item) Yielding() bool { return i.yielding }
 
-// SetBack ends a run without a result: the item keeps its place by age and all
+// Requeue ends a run without a result: the item keeps its place by age and all
 // events that carry an id; what can't be gone on from is dropped.
-func (i *Item) SetBack(run int) bool {
+func (i *Item) Requeue(run int) bool {
 	if i.State != ItemAcquired || i.Runs != run {
 		return false
 	}
-	i.Owed = i.Owed || i.yielding
-	i.become(ItemAvailable)
+	i.OwedResume = i.OwedResume || i.yielding
+	i.setState(ItemAvailable)
 	i.yielding = false
 	if i.LastID == 0 {
-		i.Pieces = nil
+		i.Events = nil
 	}
 	return true
 }
@@ -112,28 +112,28 @@
 	if !i.running(run) || i.yielding {
 		return false
 	}
-	i.become(ItemClosing)
+	i.setState(ItemClosing)
 	return true
 }
 
-// GiveUp ends an item that waits, or the run that found it hopeless, with the
+// Abandon ends an item that waits, or the run that found it hopeless, with the
 // result that it is abandoned.
-func (i *Item) GiveUp(run int) bool {
-	if i.Lot.Ended || !(i.State == ItemAvailable || i.running(run)) {
+func (i *Item) Abandon(run int) bool {
+	if i.Job.Ended || !(i.State == ItemAvailable || i.running(run)) {
 		return false
 	}
-	i.become(ItemClosing)
+	i.setState(ItemClosing)
 	return true
 }
 
-// Waits tells whether no worker has finished the item.
-func (i *Item) Waits() bool { return i.State == ItemAvailable || i.State == ItemAcquired }
+// Unfinished tells whether no worker has finished the item.
+func (i *Item) Unfinished() bool { return i.State == ItemAvailable || i.State == ItemAcquired }
 
 // Terminal tells whether the item's one result stands durably.
-func (i *Item) Terminal() bool { return i.State == ItemSettled || i.State == ItemArchived }
+func (i *Item) Terminal() bool { return i.State == ItemCompleted || i.State == ItemAbandoned }
 
-// fail counts a 500 of an acquisition; false when it was counted before.
-func (i *Item) fail(number uint64) bool {
+// countFailure counts a 500 of an acquisition; false when it was counted before.
+func (i *Item) countFailure(number uint64) bool {
 	for _, found := range i.FailedBy {
 		if found == number {
 			return false
--- a/internal/batch/lots/item_test.go
+++ b/internal/batch/lots/item_test.go
@@ -17,79 +17,79 @@
 	parameters.MinSuccessfulTests = 3000
 	properties := gopter.NewProperties(parameters)
 	const whole = 4
-	properties.Property("one outcome", prop.ForAll(func(steps []uint8) bool {
-		item := &Item{Lot: &Lot{}}
+	properties.Property("one outcome", prop.ForAll(func(outcomes []uint8) bool {
+		item := &Item{Job: &Job{}}
 		var runs []int
 		results := 0
 		position := map[int]int64{}
-		for _, step := range steps {
+		for _, step := range outcomes {
 			run := 0
 			if len(runs) > 0 {
 				run = runs[int(step>>3)%len(runs)]
 			}
 			switch step % 6 {
 			case 0:
-				if next := item.Begin(); next > 0 {
+				if next := item.StartRun(); next > 0 {
 					runs = append(runs, next)
 					position[next] = item.LastID
 				}
 			case 1:
 				// The worker's stream goes on from where the run began.
-				if next := position[run] + 1; run > 0 && next <= whole && item.Gather(run, [][]byte{[]byte(fmt.Sprint(next))}, next) {
+				if next := position[run] + 1; run > 0 && next <= whole && item.AppendEvents(run, [][]byte{[]byte(fmt.Sprint(next))}, next) {
 					position[run] = next
 				}
 			case 2:
 				item.Yield(run)
 			case 3:
-				item.SetBack(run)
+				item.Requeue(run)
 			case 4:
 				if run > 0 && position[run] == whole && item.Finish(run) {
 					results++
 				}
 			case 5:
-				if step > 250 && item.GiveUp(run) {
+				if step > 250 && item.Abandon(run) {
 					results++
 				}
 			}
-			for i, piece := range item.Pieces {
+			for i, piece := range item.Events {
 				if string(piece) != fmt.Sprint(i+1) {
 					return false
 				}
 			}
 		}
 		if results == 1 {
-			return item.State == ItemClosing && item.Begin() == 0
+			return item.State == ItemClosing && item.StartRun() == 0
 		}
 		// Without a result there is always a way on: no path ends without one.
 		for _, run := range runs {
-			item.SetBack(run)
+			item.Requeue(run)
 		}
-		run := item.Begin()
+		run := item.StartRun()
 		for next := item.LastID + 1; next <= whole; next++ {
-			if !item.Gather(run, [][]byte{[]byte(fmt.Sprint(next))}, next) {
+			if !item.AppendEvents(run, [][]byte{[]byte(fmt.Sprint(next))}, next) {
 				return false
 			}
 		}
-		return results == 0 && run > 0 && len(item.Pieces) == whole && item.Finish(run)
+		return results == 0 && run > 0 && len(item.Events) == whole && item.Finish(run)
 	}, gen.SliceOf(gen.UInt8())))
 	properties.TestingRun(t)
 }
 
 func TestEventsWithoutIdsAreNotGoneOnFrom(t *testing.T) {
-	item := &Item{Lot: &Lot{}}
-	run := item.Begin()
-	item.Gather(run, [][]byte{[]byte("a")}, 0)
-	item.SetBack(run)
-	if len(item.Pieces) != 0 {
+	item := &Item{Job: &Job{}}
+	run := item.StartRun()
+	item.AppendEvents(run, [][]byte{[]byte("a")}, 0)
+	item.Requeue(run)
+	if len(item.Events) != 0 {
 		t.Fatal("events that nobody can continue were kept")
 	}
 }
 
 func TestEndedLotRunsNothing(t *testing.T) {
-	item := &Item{Lot: &Lot{}}
-	run := item.Begin()
-	item.Lot.Ended = true
-	if item.Gather(run, [][]byte{[]byte("a")}, 1) || item.Finish(run) || !item.SetBack(run) || item.Begin() != 0 {
+	item := &Item{Job: &Job{}}
+	run := item.StartRun()
+	item.Job.Ended = true
+	if item.AppendEvents(run, [][]byte{[]byte("a")}, 1) || item.Finish(run) || !item.Requeue(run) || item.StartRun() != 0 {
 		t.Fatal("an ended lot goes on")
 	}
 }
--- a/internal/batch/lots/lag.go
+++ b/internal/batch/lots/lag.go
@@ -2,8 +2,8 @@
 
 import "lemonarch/internal/platform/clock"
 
-// Lag follows how long a holder's own store takes to sync what the others have.
-type Lag struct {
+// ReplicaLag follows how long a holder's own store takes to sync what the others have.
+type ReplicaLag struct {
 	target int64
 	since  clock.Instant
 }
@@ -11,7 +11,7 @@
 // Behind takes how far the own store has synced and up to where records are durable.
 // It gives the time for which the own store has not reached what was durable when it
 // was first seen behind; zero when it keeps up.
-func (l *Lag) Behind(match, done int64, now clock.Instant) clock.Duration {
+func (l *ReplicaLag) Behind(match, done int64, now clock.Instant) clock.Duration {
 	if l.target == 0 || match >= l.target {
 		l.target = 0
 		if match < done {
--- a/internal/batch/lots/lag_test.go
+++ b/internal/batch/lots/lag_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestLag(t *testing.T) {
-	lag := &Lag{}
+	lag := &ReplicaLag{}
 	if lag.Behind(5, 5, ms(0)) != 0 || lag.Behind(5, 9, ms(100)) != 0 {
 		t.Fatal("behind at once")
 	}
--- a/internal/batch/lots/older_test.go
+++ b/internal/batch/lots/older_test.go
@@ -8,12 +8,12 @@
 
 // A time of day that was stepped, here or where a lot was taken, ends nothing early.
 func TestSteppedClocksEndNothing(t *testing.T) {
-	lot := &Lot{SentMs: 1_000_000, Known: ms(5000)}
+	job := &Job{SubmittedMs: 1_000_000, KnownSince: ms(5000)}
 	timeout := clock.Duration(60_000_000_000)
-	if lot.Older(timeout, 9_000_000, ms(6000)) || lot.Older(timeout, 900_000, ms(90_000)) || lot.Older(timeout, 1_060_000, ms(90_000)) {
+	if job.OlderThan(timeout, 9_000_000, ms(6000)) || job.OlderThan(timeout, 900_000, ms(90_000)) || job.OlderThan(timeout, 1_060_000, ms(90_000)) {
 		t.Fatal("older by one clock alone")
 	}
-	if !lot.Older(timeout, 1_060_001, ms(65_001)) {
+	if !job.OlderThan(timeout, 1_060_001, ms(65_001)) {
 		t.Fatal("never older")
 	}
 }
--- a/internal/batch/lots/replica.go
+++ b/internal/batch/lots/replica.go
@@ -12,12 +12,12 @@
 // ErrRecordGap is the error of a record that does not follow those before it.
 var ErrRecordGap = errs.Define("gap in the records")
 
-// Slot is what a store remembers of a record; its body stays on disk.
-type Slot struct {
+// IndexEntry is what a store remembers of a record; its body stays on disk.
+type IndexEntry struct {
 	Index  int64
 	Epoch  uint64
 	Offset int64
-	Lot    string
+	Job    string
 	// Size is about how many bytes the record takes on disk.
 	Size int32
 	Kind messages.RecordKind
@@ -26,8 +26,8 @@
 // recordOverhead is about what a record takes on disk beside its body, in bytes.
 const recordOverhead = 128
 
-func slotOf(record *messages.Record, index, offset int64) Slot {
-	return Slot{Index: index, Epoch: record.Epoch, Offset: offset, Lot: record.Job,
+func indexEntryOf(record *messages.Record, index, offset int64) IndexEntry {
+	return IndexEntry{Index: index, Epoch: record.Epoch, Offset: offset, Job: record.Job,
 		Size: int32(len(record.Body) + recordOverhead), Kind: record.Kind}
 }
 
@@ -42,51 +42,51 @@
 // Replica is one store's copy of the records, in the order the holders gave them.
 // Its caller syncs what a step returns before it answers.
 type Replica struct {
-	Disk  string
-	fence uint64
-	base  Base
+	Disk        string
+	fencedEpoch uint64
+	base        Base
 	// sparse are the records kept of those up to the base, slots all that follow it.
-	sparse, slots []Slot
+	sparse, entries []IndexEntry
 }
 
 // NewReplica makes an empty one.
 func NewReplica(disk string) *Replica { return &Replica{Disk: disk} }
 
-// Fence is the epoch below which orders are refused.
-func (r *Replica) Fence() uint64 { return r.fence }
+// FencedEpoch is the epoch below which orders are refused.
+func (r *Replica) FencedEpoch() uint64 { return r.fencedEpoch }
 
-// SetFence is for reading the disk.
-func (r *Replica) SetFence(epoch uint64) { r.fence = max(r.fence, epoch) }
+// SetFencedEpoch is for reading the disk.
+func (r *Replica) SetFencedEpoch(epoch uint64) { r.fencedEpoch = max(r.fencedEpoch, epoch) }
 
 // Base is the point up to which the replica is compacted; zero where it never was.
 func (r *Replica) Base() Base { return r.base }
 
-// position is the index of the last sparse record.
-func (r *Replica) position() int64 {
+// lastSparse is the index of the last sparse record.
+func (r *Replica) lastSparse() int64 {
 	if len(r.sparse) == 0 {
 		return 0
 	}
 	return r.sparse[len(r.sparse)-1].Index
 }
 
-// Whole tells whether all up to the base is here: the record at the base, which is
+// Complete tells whether all up to the base is here: the record at the base, which is
 // always kept, comes last.
-func (r *Replica) Whole() bool { return r.position() == r.base.Index }
+func (r *Replica) Complete() bool { return r.lastSparse() == r.base.Index }
 
 // Last is the index of the last record; indexes begin at 1.
-func (r *Replica) Last() int64 { return r.position() + int64(len(r.slots)) }
+func (r *Replica) Last() int64 { return r.lastSparse() + int64(len(r.entries)) }
 
-// Slot gives the slot at an index; there is none where the record was compacted away.
-func (r *Replica) Slot(index int64) (Slot, bool) {
+// EntryAt gives the slot at an index; there is none where the record was compacted away.
+func (r *Replica) EntryAt(index int64) (IndexEntry, bool) {
 	if offset := index - r.base.Index - 1; offset >= 0 {
-		if offset >= int64(len(r.slots)) {
-			return Slot{}, false
+		if offset >= int64(len(r.entries)) {
+			return IndexEntry{}, false
 		}
-		return r.slots[offset], true
+		return r.entries[offset], true
 	}
 	i := r.sparseAt(index)
 	if i == len(r.sparse) || r.sparse[i].Index != index {
-		return Slot{}, false
+		return IndexEntry{}, false
 	}
 	return r.sparse[i], true
 }
@@ -105,87 +105,87 @@
 	case index <= r.base.Index:
 		return r.base.Epoch
 	}
-	return r.slots[index-r.base.Index-1].Epoch
+	return r.entries[index-r.base.Index-1].Epoch
 }
 
 // Each visits the records that are kept from an index on until visit says stop.
-func (r *Replica) Each(first int64, visit func(slot Slot) bool) {
+func (r *Replica) Each(first int64, visit func(slot IndexEntry) bool) {
 	for _, slot := range r.sparse[r.sparseAt(first):] {
 		if !visit(slot) {
 			return
 		}
 	}
-	for i := max(first-r.base.Index-1, 0); i < int64(len(r.slots)); i++ {
-		if !visit(r.slots[i]) {
+	for i := max(first-r.base.Index-1, 0); i < int64(len(r.entries)); i++ {
+		if !visit(r.entries[i]) {
 			return
 		}
 	}
 }
 
 // Extent tells which records are here and which epochs wrote them.
-func (r *Replica) Extent() Extent {
-	extent := Extent{Last: r.Last(), Base: r.base.Index}
+func (r *Replica) Extent() LogExtent {
+	extent := LogExtent{Last: r.Last(), Base: r.base.Index}
 	note := func(epoch uint64, first int64) {
-		if count := len(extent.Stretches); count == 0 || extent.Stretches[count-1].Epoch != epoch {
-			extent.Stretches = append(extent.Stretches, messages.EpochRange{Epoch: epoch, First: first})
+		if count := len(extent.EpochRanges); count == 0 || extent.EpochRanges[count-1].Epoch != epoch {
+			extent.EpochRanges = append(extent.EpochRanges, messages.EpochRange{Epoch: epoch, First: first})
 		}
 	}
 	if r.base.Index > 0 {
 		note(r.base.Epoch, 1)
 	}
-	for _, slot := range r.slots {
+	for _, slot := range r.entries {
 		note(slot.Epoch, slot.Index)
 	}
 	return extent
 }
 
-// Raise answers a new holder; keep says that the fence must be synced before that, and
+// Fence answers a new holder; keep says that the fence must be synced before that, and
 // then set. It is not set here: where the sync fails, a second try has to sync it too.
-func (r *Replica) Raise(req *messages.FenceRequest) (resp messages.FenceResponse, keep bool) {
-	resp = messages.FenceResponse{Epoch: r.fence}
+func (r *Replica) Fence(req *messages.FenceRequest) (resp messages.FenceResponse, keep bool) {
+	resp = messages.FenceResponse{Epoch: r.fencedEpoch}
 	// A disk that came back empty is not the store that was asked for.
-	if req.Disk != r.Disk || req.Epoch < r.fence {
+	if req.Disk != r.Disk || req.Epoch < r.fencedEpoch {
 		return resp, false
 	}
-	keep = req.Epoch > r.fence
+	keep = req.Epoch > r.fencedEpoch
 	extent := r.Extent()
-	return messages.FenceResponse{Granted: true, Epoch: req.Epoch, Last: extent.Last, EpochRanges: extent.Stretches, Base: extent.Base}, keep
+	return messages.FenceResponse{Granted: true, Epoch: req.Epoch, Last: extent.Last, EpochRanges: extent.EpochRanges, Base: extent.Base}, keep
 }
 
-// Cut drops everything after an index.
-func (r *Replica) Cut(index int64) {
+// Truncate drops everything after an index.
+func (r *Replica) Truncate(index int64) {
 	if index >= r.base.Index {
-		r.slots = r.slots[:min(index-r.base.Index, int64(len(r.slots)))]
+		r.entries = r.entries[:min(index-r.base.Index, int64(len(r.entries)))]
 		return
 	}
-	r.slots = nil
+	r.entries = nil
 	r.sparse = r.sparse[:r.sparseAt(index+1)]
 }
 
-// Put adds the record that follows.
-func (r *Replica) Put(record *messages.Record, offset int64) {
+// Add adds the record that follows.
+func (r *Replica) Add(record *messages.Record, offset int64) {
 	if r.base.Index > 0 && record.Index <= r.base.Index {
-		r.sparse = append(r.sparse, slotOf(record, record.Index, offset))
+		r.sparse = append(r.sparse, indexEntryOf(record, record.Index, offset))
 		return
 	}
-	r.slots = append(r.slots, slotOf(record, r.Last()+1, offset))
+	r.entries = append(r.entries, indexEntryOf(record, r.Last()+1, offset))
 }
 
 // Restore adds a record that is read from disk. One that is there already was written
 // before a sync failed, and again after: the later one and what follows it counts.
 func (r *Replica) Restore(record *messages.Record, offset int64) error {
 	sparse := record.Index <= r.base.Index
-	if !sparse && (record.Index > r.Last()+1 || !r.Whole()) {
+	if !sparse && (record.Index > r.Last()+1 || !r.Complete()) {
 		return ErrRecordGap.New("record that does not follow")
 	}
 	if record.Index <= r.Last() {
-		r.Cut(record.Index - 1)
+		r.Truncate(record.Index - 1)
 	}
-	r.Put(record, offset)
+	r.Add(record, offset)
 	return nil
 }
 
 // Reset begins a copy that is compacted up to a base: what was here is dropped.
 func (r *Replica) Reset(base Base) {
-	r.base, r.sparse, r.slots = base, nil, nil
+	r.base, r.sparse, r.entries = base, nil, nil
 }
--- a/internal/batch/lots/state.go
+++ b/internal/batch/lots/state.go
@@ -13,119 +13,121 @@
 
 // Listing is one position.
 type Listing struct {
-	Item    string
-	Dropped bool
-	Index   int64
+	Item      string
+	Abandoned bool
+	Index     int64
 }
 
-// Lot is one lot.
-type Lot struct {
-	ID       string
-	Host     string
-	Path     string
-	SentMs   int64
-	Index    int64
-	Items    []*Item
-	Listings []Listing
-	Ended    bool
-	sum      int
-	open     int
-	// Known is when this holder came to know the lot, by its steady clock.
-	Known clock.Instant
-	// giving counts positions that were given and are not yet durable.
-	giving int
+// Job is one lot.
+type Job struct {
+	ID          string
+	Host        string
+	Path        string
+	SubmittedMs int64
+	Index       int64
+	Items       []*Item
+	Listings    []Listing
+	Ended       bool
+	total       int
+	open        int
+	// KnownSince is when this holder came to know the lot, by its steady clock.
+	KnownSince clock.Instant
+	// pendingListings counts positions that were given and are not yet durable.
+	pendingListings int
 	// available are the items that may be acquired, waiting the tokens of those that
 	// no worker has finished.
-	available availableSet
-	waiting   int64
-	// named leads from ids to items: a lot may hold hundreds of thousands, and each
+	available     availableSet
+	waitingTokens int64
+	// itemByID leads from ids to items: a lot may hold hundreds of thousands, and each
 	// output looks for its own.
-	named map[string]*Item
+	itemByID map[string]*Item
 }
 
-// Older tells whether a lot is older than a span: by the time of day, and known here
+// OlderThan tells whether a lot is older than a span: by the time of day, and known here
 // for as long. A time of day that was stepped, here or where the lot was taken, must
 // end nothing early; after a takeover things end later instead.
-func (l *Lot) Older(timeout clock.Duration, wallMs int64, now clock.Instant) bool {
-	return wallMs-l.SentMs > timeout.Milliseconds() && now.Sub(l.Known) > timeout
+func (l *Job) OlderThan(timeout clock.Duration, wallMs int64, now clock.Instant) bool {
+	return wallMs-l.SubmittedMs > timeout.Milliseconds() && now.Sub(l.KnownSince) > timeout
 }
 
-// Giving counts the positions that are on their way to the stores.
-func (l *Lot) Giving() int { return l.giving }
+// PendingListings counts the positions that are on their way to the stores.
+func (l *Job) PendingListings() int { return l.pendingListings }
 
-// Sum is the number of items.
-func (l *Lot) Sum() int { return l.sum }
+// Total is the number of items.
+func (l *Job) Total() int { return l.total }
 
 // Open tells whether results may still come.
-func (l *Lot) Open() bool { return !l.Ended && l.open > 0 }
+func (l *Job) Open() bool { return !l.Ended && l.open > 0 }
 
-// Book is what the durable records say.
-type Book struct {
-	lotList map[string]*Lot
-	order   []*Lot
+// JobTable is what the durable records say.
+type JobTable struct {
+	jobs  map[string]*Job
+	order []*Job
 	// opened holds every lot that still has items to run, and some that no more do.
-	opened []*Lot
-	// fresh are the lots that came since the dispatcher ranked them last.
-	fresh []*Lot
-	// entrants are the drivers that may hold acquisitions, with their epoch.
-	entrants map[entrant]uint64
+	opened []*Job
+	// unranked are the lots that came since the dispatcher ranked them last.
+	unranked []*Job
+	// executors are the drivers that may hold acquisitions, with their epoch.
+	executors map[executorID]uint64
 }
 
-// NewBook makes an empty book.
-func NewBook() *Book { return &Book{lotList: map[string]*Lot{}, entrants: map[entrant]uint64{}} }
+// NewJobTable makes an empty book.
+func NewJobTable() *JobTable {
+	return &JobTable{jobs: map[string]*Job{}, executors: map[executorID]uint64{}}
+}
 
-// Lot finds a lot, or nil.
-func (b *Book) Lot(id string) *Lot { return b.lotList[id] }
+// Job finds a lot, or nil.
+func (b *JobTable) Job(id string) *Job { return b.jobs[id] }
 
-// Lots gives all lots, the oldest first.
-func (b *Book) Lots() []*Lot { return b.order }
+// Jobs gives all lots, the oldest first.
+func (b *JobTable) Jobs() []*Job { return b.order }
 
 // Apply takes a durable record.
-func (b *Book) Apply(record *messages.Record) error {
+func (b *JobTable) Apply(record *messages.Record) error {
 	switch record.Kind {
 	case messages.RecordJob:
-		return b.addLot(record)
+		return b.addJob(record)
 	case messages.RecordOutput:
-		lot := b.lotList[record.Job]
-		if lot == nil || record.Position != len(lot.Listings) {
+		job := b.jobs[record.Job]
+		if job == nil || record.Position != len(job.Listings) {
 			return ErrMalformed.New("output out of place in lot " + record.Job)
 		}
-		lot.Listings = append(lot.Listings, Listing{Item: record.Item, Dropped: record.Dropped, Index: record.Index})
-		lot.giving = max(lot.giving-1, 0)
-		if item := lot.Find(record.Item); item != nil && !item.Terminal() {
-			state := ItemSettled
-			if record.Dropped {
-				state = ItemArchived
+		job.Listings = append(job.Listings, Listing{Item: record.Item, Abandoned: record.Abandoned, Index: record.Index})
+		job.pendingListings = max(job.pendingListings-1, 0)
+		if item := job.Item(record.Item); item != nil && !item.Terminal() {
+			state := ItemCompleted
+			if record.Abandoned {
+				state = ItemAbandoned
 			}
-			item.become(state)
-			item.closer = record.Acquisition
+			item.setState(state)
+			item.closedBy = record.Acquisition
 			// What is listed is read from disk: the rest is given back.
-			item.Body, item.Pieces, item.Headers = nil, nil, nil
-			lot.open--
+			item.Body, item.Events, item.Headers = nil, nil, nil
+			job.open--
 		}
 	case messages.RecordExecutor:
-		b.enter(record)
+		b.addExecutor(record)
 	case messages.RecordAcquisitionsKnown:
-		b.clear(record.Epoch)
+		b.dropExecutorsBefore(record.Epoch)
 	case messages.RecordItemError:
-		if lot := b.lotList[record.Job]; lot != nil {
-			if item := lot.Find(record.Item); item != nil {
-				item.fail(record.Acquisition)
+		if job := b.jobs[record.Job]; job != nil {
+			if item := job.Item(record.Item); item != nil {
+				item.countFailure(record.Acquisition)
 			}
 		}
 	case messages.RecordJobEnd:
-		if lot := b.lotList[record.Job]; lot != nil {
-			lot.Ended = true
-			for _, item := range lot.Items {
-				item.Body, item.Pieces, item.Headers = nil, nil, nil
+		if job := b.jobs[record.Job]; job != nil {
+			job.Ended = true
+			for _, item := range job.Items {
+				item.Body, item.Events, item.Headers = nil, nil, nil
 			}
 		}
 	case messages.RecordForget:
-		delete(b.lotList, record.Job)
+		delete(b.jobs, record.Job)
 		kept := b.order[:0]
-		for _, lot := range b.order {
-			if lot.ID != record.Job {
-				kept = append(kept, lot)
+		for _, job := range b.order {
+			if job.ID != record.Job {
+				kept = append(kept, job)
 			}
 		}
 		b.order = kept
@@ -133,42 +135,42 @@
 	return nil
 }
 
-func (b *Book) addLot(record *messages.Record) error {
-	if b.lotList[record.Job] != nil {
+func (b *JobTable) addJob(record *messages.Record) error {
+	if b.jobs[record.Job] != nil {
 		return nil
 	}
 	body := &messages.JobBody{}
 	if _, err := body.UnmarshalMsg(record.Body); err != nil {
 		return ErrMalformed.Wrap(err, "lot "+record.Job)
 	}
-	lot := &Lot{ID: record.Job, Host: record.Host, Path: body.Path, SentMs: record.AtMs, Index: record.Index, sum: len(body.Items), open: len(body.Items),
-		Items: make([]*Item, 0, len(body.Items)), available: newAvailableSet(len(body.Items)), named: make(map[string]*Item, len(body.Items))}
+	job := &Job{ID: record.Job, Host: record.Host, Path: body.Path, SubmittedMs: record.AtMs, Index: record.Index, total: len(body.Items), open: len(body.Items),
+		Items: make([]*Item, 0, len(body.Items)), available: newAvailableSet(len(body.Items)), itemByID: make(map[string]*Item, len(body.Items))}
 	for i := range body.Items {
-		item := &Item{JobItem: body.Items[i], Lot: lot, place: i}
-		lot.Items = append(lot.Items, item)
-		lot.named[item.ID] = item
-		lot.available.set(i, true)
-		lot.waiting += item.Tokens
+		item := &Item{JobItem: body.Items[i], Job: job, position: i}
+		job.Items = append(job.Items, item)
+		job.itemByID[item.ID] = item
+		job.available.set(i, true)
+		job.waitingTokens += item.Tokens
 	}
-	b.lotList[lot.ID] = lot
-	b.order = append(b.order, lot)
-	b.opened = append(b.opened, lot)
-	b.fresh = append(b.fresh, lot)
-	sort.SliceStable(b.order, func(left, right int) bool { return b.order[left].SentMs < b.order[right].SentMs })
+	b.jobs[job.ID] = job
+	b.order = append(b.order, job)
+	b.opened = append(b.opened, job)
+	b.unranked = append(b.unranked, job)
+	sort.SliceStable(b.order, func(left, right int) bool { return b.order[left].SubmittedMs < b.order[right].SubmittedMs })
 	return nil
 }
 
 // Waiting adds up the tokens of items that no worker has finished. Only open lots
 // are walked: finished ones are kept for minutes, and hand-ins come in bursts.
-func (b *Book) Waiting(belongs func(lot *Lot) bool) int64 {
+func (b *JobTable) Waiting(belongs func(job *Job) bool) int64 {
 	total := int64(0)
-	for _, lot := range b.openLots() {
-		if belongs(lot) {
-			total += lot.waiting
+	for _, job := range b.openJobs() {
+		if belongs(job) {
+			total += job.waitingTokens
 		}
 	}
 	return total
 }
 
-// Find gives an item of a lot, or nil.
-func (l *Lot) Find(id string) *Item { return l.named[id] }
+// Item gives an item of a lot, or nil.
+func (l *Job) Item(id string) *Item { return l.itemByID[id] }
--- a/internal/batch/store/acknowledge.go
+++ b/internal/batch/store/acknowledge.go
@@ -8,7 +8,7 @@
 )
 
 // renew asks for all locks in one message.
-func (d *driver) renew(entries []messages.Acknowledgement, epoch uint64) {
+func (d *executorLoop) renew(entries []messages.Acknowledgement, epoch uint64) {
 	sentAt := clock.Now()
 	resp := d.acknowledge(entries, epoch, constants.CallTimeout/2)
 	d.lock.Lock()
@@ -16,41 +16,41 @@
 	d.renewing = false
 	if resp == nil {
 		// Asked again at once: the duty may have changed hands.
-		d.renewed = 0
+		d.renewedAt = 0
 		return
 	}
-	d.halt(d.core.Renewed(entries, resp.Verdicts, sentAt, d.lockSpan))
+	d.stopRunsLocked(d.core.HandleRenewals(entries, resp.Verdicts, sentAt, d.lockDuration))
 }
 
 // acknowledge carries a batch to the dispatcher; nil when it was not answered.
-func (d *driver) acknowledge(entries []messages.Acknowledgement, epoch uint64, timeout clock.Duration) *messages.AcknowledgeResponse {
-	own, holder := d.server.Node.Self, d.server.holder()
+func (d *executorLoop) acknowledge(entries []messages.Acknowledgement, epoch uint64, timeout clock.Duration) *messages.AcknowledgeResponse {
+	own, leader := d.server.Node.Self, d.server.leaderAddress()
 	d.lock.Lock()
-	leaving := d.leaving
+	draining := d.draining
 	d.lock.Unlock()
 	req := &messages.AcknowledgeRequest{Executor: own.Name, Incarnation: own.Incarnation, Address: own.Address, Zone: own.Zone, Entries: entries,
-		KnownVersion: d.known(), Draining: leaving, Epoch: epoch}
+		KnownVersion: d.knownVersion(), Draining: draining, Epoch: epoch}
 	resp := &messages.AcknowledgeResponse{}
-	if holder == own.Address {
+	if leader == own.Address {
 		resp = d.server.acknowledge(req)
-	} else if holder == "" || transport.Call(d.server.Node.Transport, holder, messages.KindAcknowledge, req, resp, timeout) != nil {
+	} else if leader == "" || transport.Call(d.server.Node.Transport, leader, messages.KindAcknowledge, req, resp, timeout) != nil {
 		return nil
 	}
 	if resp.NotLeader {
 		return nil
 	}
-	d.listed(resp.Version, resp.Executors, clock.Now())
+	d.updateExecutors(resp.Version, resp.Executors, clock.Now())
 	return resp
 }
 
 // acknowledgeLoop repeats acknowledgements until they are answered.
-func (d *driver) acknowledgeLoop(bell chan struct{}, gather func() []messages.Acknowledgement) {
+func (d *executorLoop) acknowledgeLoop(changed chan struct{}, gather func() []messages.Acknowledgement) {
 	stop := d.server.Node.Stop
 	for {
 		select {
 		case <-stop:
 			return
-		case <-bell:
+		case <-changed:
 		case <-clock.After(constants.AcquireWait):
 		}
 		for {
@@ -63,7 +63,7 @@
 			backoff := constants.AckBatchWindow
 			if resp := d.acknowledge(batch, 0, constants.RoundTimeout+constants.CallTimeout); resp != nil {
 				d.lock.Lock()
-				d.core.Answered(batch, resp.Verdicts)
+				d.core.HandleVerdicts(batch, resp.Verdicts)
 				d.lock.Unlock()
 			} else {
 				backoff = constants.AckBackoff
--- a/internal/batch/store/budget_test.go
+++ b/internal/batch/store/budget_test.go
@@ -88,7 +88,7 @@
 // Records outlast the loss of any two of five stores right after they were told:
 // disks lost while all others lose power, kills, and machines gone for good.
 func TestLotsUnderLossOfTwo(t *testing.T) {
-	told := 0
+	announcement := 0
 	for seed := int64(1); seed <= int64(simulation.Seeds(40)); seed++ {
 		fleet := newSimFleetOf(t, seed, 9, 2, 5)
 		if seed%4 == 0 {
@@ -165,9 +165,9 @@
 				t.Fatalf("seed %d: the set names a disk that is gone", seed)
 			}
 		}
-		told += fleet.tellings
+		announcement += fleet.tellings
 	}
-	if told < 300 {
-		t.Fatalf("only %d results were told in all", told)
+	if announcement < 300 {
+		t.Fatalf("only %d results were told in all", announcement)
 	}
 }
--- a/internal/batch/store/calls.go
+++ b/internal/batch/store/calls.go
@@ -11,39 +11,39 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// lotCall answers a client's call that a gateway passed on.
-func (s *Server) lotCall(body []byte) ([]byte, error) {
+// handleJobCall answers a client's call that a gateway passed on.
+func (s *Server) handleJobCall(body []byte) ([]byte, error) {
 	call := &messages.JobCallRequest{}
 	if err := transport.Decode(body, call); err != nil {
 		return nil, err
 	}
-	if !s.fresh(call, clock.Now()) {
+	if !s.firstSeen(call, clock.Now()) {
 		// The first copy is answered, or will be; a second might end otherwise.
 		return transport.Encode(refuse(http.StatusGatewayTimeout, "outcome unknown"))
 	}
 	current := s.current()
 	if current == nil {
-		return transport.Encode(s.elsewhere())
+		return transport.Encode(s.notLeader())
 	}
 	resp := current.serve(call)
 	// A hold that ran out meanwhile makes what we know old: say nothing of it.
-	if !s.holds() || current.over() {
+	if !s.holdsLease() || current.closed() {
 		if call.Method == http.MethodPost && resp.Status != http.StatusAccepted && !resp.NotLeader {
 			return transport.Encode(&messages.JobCallResponse{Status: http.StatusGatewayTimeout, Body: reason("outcome unknown")})
 		}
 		if call.Method != http.MethodPost {
-			return transport.Encode(s.elsewhere())
+			return transport.Encode(s.notLeader())
 		}
 	}
 	return transport.Encode(resp)
 }
 
-func (s *Server) elsewhere() *messages.JobCallResponse {
+func (s *Server) notLeader() *messages.JobCallResponse {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	resp := &messages.JobCallResponse{NotLeader: true}
-	if s.toldAt > 0 && clock.Now().Sub(s.toldAt) < constants.LeaseDuration && s.told.Address != s.Node.Self.Address {
-		resp.Leader = s.told.Address
+	if s.announcedAt > 0 && clock.Now().Sub(s.announcedAt) < constants.LeaseDuration && s.announced.Address != s.Node.Self.Address {
+		resp.Leader = s.announced.Address
 	}
 	return resp
 }
@@ -65,26 +65,26 @@
 	}
 	switch call.Method {
 	case http.MethodPost:
-		return t.handIn(call)
+		return t.submitJob(call)
 	case http.MethodDelete:
-		return t.endLot(call)
+		return t.endJob(call)
 	case "ITEM":
 		return t.itemBody(call)
 	}
-	return t.readLot(call)
+	return t.readJob(call)
 }
 
 func (t *term) waitServing(timeout clock.Duration) bool {
 	end := clock.Now().Add(timeout)
 	for {
 		t.lock.Lock()
-		serving, bell := t.serving, t.bell
+		serving, changed := t.serving, t.changed
 		t.lock.Unlock()
 		if serving {
-			return t.server.holds()
+			return t.server.holdsLease()
 		}
 		select {
-		case <-bell:
+		case <-changed:
 		case <-t.stop:
 			return false
 		case <-clock.After(end.Sub(clock.Now())):
@@ -93,23 +93,23 @@
 	}
 }
 
-// readLot gives results from a position on, waiting for one where asked to.
-func (t *term) readLot(call *messages.JobCallRequest) *messages.JobCallResponse {
+// readJob gives results from a position on, waiting for one where asked to.
+func (t *term) readJob(call *messages.JobCallRequest) *messages.JobCallResponse {
 	end := clock.Now().Add(clock.Milliseconds(float64(call.WaitMs)))
 	for {
 		t.lock.Lock()
-		lot := t.book.Lot(call.Job)
-		if lot == nil {
+		job := t.jobs.Job(call.Job)
+		if job == nil {
 			t.lock.Unlock()
 			return refuse(http.StatusNotFound, "no such lot")
 		}
-		listings, open, sum, bell := lot.Listings, lot.Open(), lot.Sum(), t.bell
+		listings, open, sum, changed := job.Listings, job.Open(), job.Total(), t.changed
 		t.lock.Unlock()
 		if len(listings) > call.Cursor || !open || clock.Now() >= end {
 			return t.page(sum, call.Cursor, listings)
 		}
 		select {
-		case <-bell:
+		case <-changed:
 		case <-t.stop:
 			return t.page(sum, call.Cursor, listings)
 		case <-clock.After(end.Sub(clock.Now())):
@@ -133,19 +133,19 @@
 	page := outputPage{Sum: sum, Next: cursor, Outputs: []outputLine{}}
 	size := 0
 	for i := cursor; i < len(listings); i++ {
-		text, err := t.text(listings[i].Index)
+		output, err := t.output(listings[i].Index)
 		if err != nil {
 			t.server.Node.Log.Error("output can't be read", "why", err.Error())
 			return refuse(http.StatusServiceUnavailable, "output can't be read now")
 		}
-		if size += len(text) + 128; size > constants.PageBytes && i > cursor {
+		if size += len(output) + 128; size > constants.PageBytes && i > cursor {
 			break
 		}
 		phase := "settled"
-		if listings[i].Dropped {
+		if listings[i].Abandoned {
 			phase = "abandoned"
 		}
-		page.Outputs = append(page.Outputs, outputLine{ID: listings[i].Item, Phase: phase, Text: string(text)})
+		page.Outputs = append(page.Outputs, outputLine{ID: listings[i].Item, Phase: phase, Text: string(output)})
 		page.Next = i + 1
 	}
 	body, err := json.Marshal(page)
@@ -155,73 +155,73 @@
 	return &messages.JobCallResponse{Status: http.StatusOK, Body: body}
 }
 
-// text gives an output's text: from memory while it is new, else from disk.
-func (t *term) text(index int64) ([]byte, error) {
+// output gives an output's text: from memory while it is new, else from disk.
+func (t *term) output(index int64) ([]byte, error) {
 	t.lock.Lock()
 	if record := t.recentAt(index); record != nil {
-		body, packed := record.Body, record.Compressed
+		body, compressed := record.Body, record.Compressed
 		t.lock.Unlock()
-		return unpack(body, packed)
+		return decompress(body, compressed)
 	}
 	t.lock.Unlock()
-	record, err := t.server.Store.Read(index)
+	record, err := t.server.Log.Read(index)
 	if err != nil {
 		return nil, err
 	}
-	return unpack(record.Body, record.Compressed)
+	return decompress(record.Body, record.Compressed)
 }
 
 func (t *term) itemBody(call *messages.JobCallRequest) *messages.JobCallResponse {
 	t.lock.Lock()
-	lot := t.book.Lot(call.Job)
-	if lot == nil {
+	job := t.jobs.Job(call.Job)
+	if job == nil {
 		t.lock.Unlock()
 		return refuse(http.StatusNotFound, "no such lot")
 	}
-	item := lot.Find(call.Item)
+	item := job.Item(call.Item)
 	if item == nil {
 		t.lock.Unlock()
 		return refuse(http.StatusNotFound, "no such item")
 	}
-	body, index := item.Body, lot.Index
+	body, index := item.Body, job.Index
 	t.lock.Unlock()
 	if body == nil {
 		// It is listed, or its lot has ended: the body is still in the lot's record.
-		record, err := t.server.Store.Read(index)
+		record, err := t.server.Log.Read(index)
 		if err != nil {
 			return refuse(http.StatusServiceUnavailable, "body can't be read now")
 		}
-		whole := &messages.JobBody{}
-		if _, err = whole.UnmarshalMsg(record.Body); err != nil {
+		complete := &messages.JobBody{}
+		if _, err = complete.UnmarshalMsg(record.Body); err != nil {
 			return refuse(http.StatusServiceUnavailable, "body can't be read now")
 		}
-		for i := range whole.Items {
-			if whole.Items[i].ID == call.Item {
-				body = whole.Items[i].Body
+		for i := range complete.Items {
+			if complete.Items[i].ID == call.Item {
+				body = complete.Items[i].Body
 			}
 		}
 	}
 	return &messages.JobCallResponse{Status: http.StatusOK, ContentType: "application/octet-stream", Body: body}
 }
 
-// endLot ends a lot for good.
-func (t *term) endLot(call *messages.JobCallRequest) *messages.JobCallResponse {
+// endJob ends a lot for good.
+func (t *term) endJob(call *messages.JobCallRequest) *messages.JobCallResponse {
 	t.lock.Lock()
-	lot := t.book.Lot(call.Job)
-	if lot == nil {
+	job := t.jobs.Job(call.Job)
+	if job == nil {
 		t.lock.Unlock()
 		return refuse(http.StatusNotFound, "no such lot")
 	}
-	if lot.Ended {
+	if job.Ended {
 		t.lock.Unlock()
 		return &messages.JobCallResponse{Status: http.StatusOK, Body: []byte("{}")}
 	}
 	// Nothing of it is begun any more, and what runs is broken off at once.
-	t.ending[lot.ID] = true
-	t.stopRuns(lot)
-	index := t.submit(messages.Record{Kind: messages.RecordJobEnd, Job: lot.ID})
+	t.ending[job.ID] = true
+	t.stopJobRuns(job)
+	index := t.appendRecord(messages.Record{Kind: messages.RecordJobEnd, Job: job.ID})
 	t.lock.Unlock()
-	if !t.durable(index, constants.CallTimeout) {
+	if !t.awaitCommit(index, constants.CallTimeout) {
 		return refuse(http.StatusGatewayTimeout, "end not yet durable")
 	}
 	return &messages.JobCallResponse{Status: http.StatusOK, Body: []byte("{}")}
@@ -229,17 +229,17 @@
 
 // forget drops lots whose time is over, so that files can be rewritten.
 func (t *term) forget() {
-	if !t.server.holds() {
+	if !t.server.holdsLease() {
 		return
 	}
 	keep := clock.Milliseconds(t.server.Node.Settings.Tolerances.StatusS * 1000)
 	wall, now := clock.WallNanos()/1_000_000, clock.Now()
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	for _, lot := range t.book.Lots() {
-		if !lot.Open() && lot.Older(keep, wall, now) && !t.ending["forget "+lot.ID] && lot.Giving() == 0 {
-			t.ending["forget "+lot.ID] = true
-			t.submit(messages.Record{Kind: messages.RecordForget, Job: lot.ID})
+	for _, job := range t.jobs.Jobs() {
+		if !job.Open() && job.OlderThan(keep, wall, now) && !t.ending["forget "+job.ID] && job.PendingListings() == 0 {
+			t.ending["forget "+job.ID] = true
+			t.appendRecord(messages.Record{Kind: messages.RecordForget, Job: job.ID})
 		}
 	}
 }
--- a/internal/batch/store/compact.go
+++ b/internal/batch/store/compact.go
@@ -7,43 +7,43 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// rewritePlan decides when the file is rewritten.
-type rewritePlan struct {
+// compactionPolicy decides when the file is rewritten.
+type compactionPolicy struct {
 	// bytes and records are the least sizes at which it pays.
 	bytes   int64
 	records int
 	// durable notes what was durable at which moment: the rewrite goes up to where
 	// members that lag a little are too, since others would have to be copied anew.
-	durable []durableAt
+	durable []commitMark
 	lag     clock.Duration
 	// weighed is the index of the last record when the file was weighed last.
 	weighed int64
 }
 
-type durableAt struct {
-	at   clock.Instant
-	done int64
+type commitMark struct {
+	at    clock.Instant
+	index int64
 }
 
-func usualRewrite() rewritePlan {
-	return rewritePlan{bytes: constants.RewriteBytes, records: constants.RewriteRecords, lag: constants.RewriteLag}
+func defaultCompactionPolicy() compactionPolicy {
+	return compactionPolicy{bytes: constants.RewriteBytes, records: constants.RewriteRecords, lag: constants.RewriteLag}
 }
 
 // upTo notes what is durable now and gives what was so a while ago.
-func (r *rewritePlan) upTo(done int64, now clock.Instant) int64 {
-	r.durable = append(r.durable, durableAt{now, done})
+func (r *compactionPolicy) upTo(done int64, now clock.Instant) int64 {
+	r.durable = append(r.durable, commitMark{now, done})
 	for len(r.durable) > 1 && now.Sub(r.durable[1].at) >= r.lag {
 		r.durable = r.durable[1:]
 	}
 	if now.Sub(r.durable[0].at) < r.lag {
 		return 0
 	}
-	return r.durable[0].done
+	return r.durable[0].index
 }
 
 // weighs tells whether enough has come since to weigh the file again: what says nothing
 // any more was made so by new records.
-func (r *rewritePlan) weighs(last int64) bool {
+func (r *compactionPolicy) weighs(last int64) bool {
 	const part = 8
 	if last >= r.weighed && last-r.weighed < int64(r.records/part) {
 		return false
@@ -55,17 +55,17 @@
 // pays tells whether a rewrite drops at least as much as it has to write: each byte and
 // each record is then written a bounded number of times, and the file holds no more than
 // twice what still counts, beside the least sizes.
-func (r *rewritePlan) pays(size, keptBytes int64, kept, dropped int) bool {
+func (r *compactionPolicy) pays(size, keptBytes int64, kept, dropped int) bool {
 	long := size >= r.bytes && keptBytes*2 <= size
 	return long || (dropped >= r.records && dropped >= kept)
 }
 
-// Tidy rewrites the file once much of it says nothing any more.
-func (s *Store) Tidy(now clock.Instant) error {
+// CompactIfDue rewrites the file once much of it says nothing any more.
+func (s *ReplicaLog) CompactIfDue(now clock.Instant) error {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	upTo := s.rewrite.upTo(s.done, now)
-	if upTo <= s.replica.Base().Index || !s.replica.Whole() || !s.rewrite.weighs(s.replica.Last()) {
+	upTo := s.rewrite.upTo(s.commitIndex, now)
+	if upTo <= s.replica.Base().Index || !s.replica.Complete() || !s.rewrite.weighs(s.replica.Last()) {
 		return nil
 	}
 	keptBytes, kept, dropped := s.replica.Weight(upTo)
@@ -76,16 +76,16 @@
 }
 
 // compact writes a new file: who we are and the fence, the base, and what stays.
-func (s *Store) compact(upTo int64) error {
+func (s *ReplicaLog) compact(upTo int64) error {
 	base, stay := s.replica.Compacted(upTo)
 	i := -1
 	offsets, err := s.logfile.Rewrite(func() ([]byte, bool, error) {
-		record := messages.ReplicaRecord{Disk: s.replica.Disk, Fence: s.replica.Fence(), Base: base.Index, BaseEpoch: base.Epoch}
+		record := messages.ReplicaRecord{Disk: s.replica.Disk, Fence: s.replica.FencedEpoch(), Base: base.Index, BaseEpoch: base.Epoch}
 		switch {
 		case i >= len(stay):
 			return nil, false, nil
 		case i >= 0:
-			entry, err := s.stays(stay[i])
+			entry, err := s.recordToKeep(stay[i])
 			if err != nil {
 				return nil, false, err
 			}
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// stays gives a record that goes into the new file.
-func (s *Store) stays(slot lots.Slot) (*messages.Record, error) {
+// recordToKeep gives a record that goes into the new file.
+func (s *ReplicaLog) recordToKeep(slot lots.IndexEntry) (*messages.Record, error) {
 	if slot.Offset < 0 {
 		return &messages.Record{Index: slot.Index, Epoch: slot.Epoch, Kind: slot.Kind}, nil
 	}
--- a/internal/batch/store/copy.go
+++ b/internal/batch/store/copy.go
@@ -10,33 +10,35 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// copySpan is the time that newcomers have to copy everything. It ends early for all of
+// copyDeadline is the time that newcomers have to copy everything. It ends early for all of
 // them when the others have waited long enough for the slowest.
-type copySpan struct {
+type copyDeadline struct {
 	end    clock.Instant
 	closed atomic.Bool
 }
 
-func newCopySpan() *copySpan { return &copySpan{end: clock.Now().Add(constants.SetChangeTimeout)} }
+func newCopyDeadline() *copyDeadline {
+	return &copyDeadline{end: clock.Now().Add(constants.SetChangeTimeout)}
+}
 
-func (c *copySpan) over() bool { return c.closed.Load() || clock.Now() >= c.end }
+func (c *copyDeadline) passed() bool { return c.closed.Load() || clock.Now() >= c.end }
 
-// copied has a newcomer fetch what is durable from a member, and gives the index up
+// copyTo has a newcomer fetch what is durable from a member, and gives the index up
 // to which it has it. The holder's own link carries each new record to every store;
 // old ones need not take that way, and a wiped store has to be whole again soon.
-func (t *term) copied(newcomer messages.Member, i int, timeout *copySpan) int64 {
-	identity := register.Identity(newcomer)
+func (t *term) copyTo(joiner messages.Member, i int, timeout *copyDeadline) int64 {
+	identity := register.Identity(joiner)
 	last := int64(0)
 	for {
 		t.lock.Lock()
 		done := t.copies[identity]
-		source, target := t.source(newcomer, i)
+		source, target := t.source(joiner, i)
 		t.lock.Unlock()
-		if source == nil || target <= done || (done > 0 && caughtUp(target-done, last)) || timeout.over() || t.over() {
+		if source == nil || target <= done || (done > 0 && caughtUp(target-done, last)) || timeout.passed() || t.closed() {
 			return done
 		}
 		last = target - done
-		further := t.copyRound(newcomer, *source, done, target, timeout)
+		further := t.copyRound(joiner, *source, done, target, timeout)
 		t.lock.Lock()
 		t.copies[identity] = further
 		t.lock.Unlock()
@@ -55,17 +57,17 @@
 }
 
 // copyRound copies up to what was durable when it began; meanwhile more comes.
-func (t *term) copyRound(newcomer, source messages.Member, done, target int64, timeout *copySpan) int64 {
+func (t *term) copyRound(joiner, source messages.Member, done, target int64, timeout *copyDeadline) int64 {
 	first, start := done, clock.Now()
 	defer func() {
-		t.server.Node.Log.Info("store copied to", "store", newcomer.Name, "source", source.Name, "from", first, "to", done, "of", target,
+		t.server.Node.Log.Info("store copied to", "store", joiner.Name, "source", source.Name, "from", first, "to", done, "of", target,
 			"took-ms", clock.Now().Sub(start).Milliseconds())
 	}()
-	for done < target && !timeout.over() && !t.over() {
+	for done < target && !timeout.passed() && !t.closed() {
 		resp := &messages.AppendResponse{}
-		req := &messages.CopyRequest{Epoch: t.duty.Epoch, Disk: newcomer.Disk, Source: source.Address, SourceDisk: source.Disk, First: done + 1, Last: target}
-		if err := transport.Call(t.server.Node.Transport, newcomer.Address, messages.KindCopy, req, resp, constants.BulkCallTimeout); err != nil || !resp.Granted || resp.Last <= done {
-			t.server.Node.Log.Info("store copy ends early", "store", newcomer.Name, "source", source.Name, "at", done, "granted", resp.Granted, "failed", err != nil)
+		req := &messages.CopyRequest{Epoch: t.leadership.Epoch, Disk: joiner.Disk, Source: source.Address, SourceDisk: source.Disk, First: done + 1, Last: target}
+		if err := transport.Call(t.server.Node.Transport, joiner.Address, messages.KindCopy, req, resp, constants.BulkCallTimeout); err != nil || !resp.Granted || resp.Last <= done {
+			t.server.Node.Log.Info("store copy ends early", "store", joiner.Name, "source", source.Name, "at", done, "granted", resp.Granted, "failed", err != nil)
 			break
 		}
 		done = resp.Last
@@ -73,8 +75,8 @@
 	return done
 }
 
-// wiped gives a member's machine with its new disk, where it came back empty.
-func wiped(member messages.Member, entries map[string]messages.NodeInfo, retired map[string]bool) *messages.Member {
+// diskLost gives a member's machine with its new disk, where it came back empty.
+func diskLost(member messages.Member, entries map[string]messages.NodeInfo, retired map[string]bool) *messages.Member {
 	entry, known := entries[member.Name]
 	if !known || entry.Disk == member.Disk || entry.Disk == "" || retired[member.Name] || entry.AgeMs >= constants.SuspectAfter.Milliseconds() {
 		return nil
@@ -86,21 +88,21 @@
 // and the newcomer. What a store has synced under this epoch is what we have. place
 // tells newcomers of one time apart: they had better not share one source's link. The
 // lock is held.
-func (t *term) source(newcomer messages.Member, i int) (*messages.Member, int64) {
+func (t *term) source(joiner messages.Member, i int) (*messages.Member, int64) {
 	best, own := int64(0), t.server.Node.Self.Address
 	has := func(member messages.Member) int64 {
-		if member.Address == own || member.Address == newcomer.Address {
+		if member.Address == own || member.Address == joiner.Address {
 			return 0
 		}
-		return min(t.press.MatchOf(register.Identity(member)), t.press.Done())
+		return min(t.replicator.MatchIndex(register.Identity(member)), t.replicator.CommitIndex())
 	}
-	for _, member := range t.press.Members {
+	for _, member := range t.replicator.Members {
 		best = max(best, has(member))
 	}
 	var able []*messages.Member
-	for index := range t.press.Members {
-		if match := has(t.press.Members[index]); match > 0 && match+constants.CopyGap >= best {
-			able = append(able, &t.press.Members[index])
+	for index := range t.replicator.Members {
+		if match := has(t.replicator.Members[index]); match > 0 && match+constants.CopyGap >= best {
+			able = append(able, &t.replicator.Members[index])
 		}
 	}
 	if len(able) == 0 {
@@ -110,29 +112,29 @@
 	return found, has(*found)
 }
 
-// copyFrom fetches one stretch of records from another store and keeps it.
-func (s *Server) copyFrom(body []byte) ([]byte, error) {
-	order := &messages.CopyRequest{}
-	if err := transport.Decode(body, order); err != nil {
+// handleCopy fetches one stretch of records from another store and keeps it.
+func (s *Server) handleCopy(body []byte) ([]byte, error) {
+	request := &messages.CopyRequest{}
+	if err := transport.Decode(body, request); err != nil {
 		return nil, err
 	}
-	s.fenced(order.Epoch)
+	s.observeEpoch(request.Epoch)
 	fetched := &messages.FetchResponse{}
-	req := &messages.FetchRequest{First: order.First, Epoch: order.Epoch, Disk: order.SourceDisk}
-	if err := transport.Call(s.Node.Transport, order.Source, messages.KindFetch, req, fetched, constants.BulkCallTimeout/2); err != nil {
+	req := &messages.FetchRequest{First: request.First, Epoch: request.Epoch, Disk: request.SourceDisk}
+	if err := transport.Call(s.Node.Transport, request.Source, messages.KindFetch, req, fetched, constants.BulkCallTimeout/2); err != nil {
 		return nil, err
 	}
 	records := fetched.Records
 	// What the source has compacted is durable, also behind what was asked for.
-	last := max(order.Last, fetched.Base)
+	last := max(request.Last, fetched.Base)
 	for len(records) > 0 && records[len(records)-1].Index > last {
 		records = records[:len(records)-1]
 	}
 	if !fetched.Granted || len(records) == 0 {
 		return transport.Encode(&messages.AppendResponse{})
 	}
-	resp, err := s.Store.Append(&messages.AppendRequest{Epoch: order.Epoch, Disk: order.Disk, PreviousIndex: order.First - 1,
-		PreviousEpoch: s.Store.EpochAt(order.First - 1), Records: records,
+	resp, err := s.Log.Append(&messages.AppendRequest{Epoch: request.Epoch, Disk: request.Disk, PreviousIndex: request.First - 1,
+		PreviousEpoch: s.Log.EpochAt(request.First - 1), Records: records,
 		Base: fetched.Base, BaseEpoch: fetched.BaseEpoch})
 	if err != nil {
 		return nil, err
--- a/internal/batch/store/copy_test.go
+++ b/internal/batch/store/copy_test.go
@@ -19,19 +19,19 @@
 	}
 	holder := fleet.holder()
 	current := holder.current()
-	newcomer := fleet.outside()
+	joiner := fleet.outside()
 	appended := 0
 	fleet.room.OnFrame(func(frame transport.ObservedFrame) {
-		if !frame.Response && frame.Kind == messages.KindAppend && frame.To == newcomer.Node.Self.Address && frame.From == holder.Node.Self.Address {
+		if !frame.Response && frame.Kind == messages.KindAppend && frame.To == joiner.Node.Self.Address && frame.From == holder.Node.Self.Address {
 			appended++
 		}
 	})
-	done := current.copied(newcomer.member(), 0, newCopySpan())
+	done := current.copyTo(joiner.member(), 0, newCopyDeadline())
 	current.lock.Lock()
-	durable := current.press.Done()
+	durable := current.replicator.CommitIndex()
 	current.lock.Unlock()
-	extent := newcomer.Store.Extent()
-	last, stretches := extent.Last, extent.Stretches
+	extent := joiner.Log.Extent()
+	last, epochRanges := extent.Last, extent.EpochRanges
 	if done == 0 || last != done || appended > 0 || done > durable {
 		t.Fatal(done, last, appended, durable)
 	}
@@ -39,13 +39,13 @@
 	// the holder's own disk may be one that is still behind what is durable.
 	inside := fleet.records()
 	for index := int64(1); index <= done; index++ {
-		left, _ := newcomer.Store.Read(index)
+		left, _ := joiner.Log.Read(index)
 		compared := 0
 		for _, server := range fleet.all() {
 			if _, member := inside[server.Node.Self.Name]; !member {
 				continue
 			}
-			right, err := server.Store.Read(index)
+			right, err := server.Log.Read(index)
 			if err != nil {
 				continue
 			}
@@ -58,11 +58,11 @@
 			t.Fatal("durable with ", compared, " copies: ", index)
 		}
 	}
-	if len(stretches) == 0 {
+	if len(epochRanges) == 0 {
 		t.Fatal("no epochs")
 	}
 	body, _ := transport.Encode(&messages.FetchRequest{First: 1, Disk: "another"})
-	response, err := newcomer.Node.Dispatch(messages.KindFetch, body)
+	response, err := joiner.Node.Dispatch(messages.KindFetch, body)
 	resp := &messages.FetchResponse{}
 	if err != nil || transport.Decode(response, resp) != nil || resp.Granted || len(resp.Records) > 0 {
 		t.Fatal("a store answered for a disk that it has not")
@@ -85,31 +85,31 @@
 // that counts, and the holder goes on from there.
 func TestCopyGoesOnFromTheHolder(t *testing.T) {
 	term := rule(t, soleLocker(t, simulation.NewDisk(12)), 1)
-	if done := term.copied(messages.Member{Name: "n", Address: "nowhere", Disk: "n"}, 0, newCopySpan()); done != 0 {
+	if done := term.copyTo(messages.Member{Name: "n", Address: "nowhere", Disk: "n"}, 0, newCopyDeadline()); done != 0 {
 		t.Fatal("copied without a source: ", done)
 	}
 	term.lock.Lock()
-	term.press.Members = append(term.press.Members, messages.Member{Name: "s", Address: "s", Disk: "s"})
-	term.press.Matched("s#s", term.press.Done())
+	term.replicator.Members = append(term.replicator.Members, messages.Member{Name: "s", Address: "s", Disk: "s"})
+	term.replicator.UpdateMatch("s#s", term.replicator.CommitIndex())
 	term.lock.Unlock()
-	room := transport.NewMemoryNetwork()
-	term.server.Node.Transport = room.Transport("m")
+	freeCapacity := transport.NewMemoryNetwork()
+	term.server.Node.Transport = freeCapacity.Transport("m")
 	first := true
-	_ = room.Transport("n").Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
-		order := &messages.CopyRequest{}
-		if kind != messages.KindCopy || transport.Decode(body, order) != nil || order.Source != "s" || order.SourceDisk != "s" {
-			t.Error(kind, order)
+	_ = freeCapacity.Transport("n").Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
+		req := &messages.CopyRequest{}
+		if kind != messages.KindCopy || transport.Decode(body, req) != nil || req.Source != "s" || req.SourceDisk != "s" {
+			t.Error(kind, req)
 		}
 		if !first {
 			return transport.Encode(&messages.AppendResponse{})
 		}
 		first = false
-		return transport.Encode(&messages.AppendResponse{Granted: true, Last: order.First})
+		return transport.Encode(&messages.AppendResponse{Granted: true, Last: req.First})
 	})
 	term.lock.Lock()
-	durable := term.press.Done()
+	durable := term.replicator.CommitIndex()
 	term.lock.Unlock()
-	if done := term.copied(messages.Member{Name: "n", Address: "n", Disk: "n"}, 0, newCopySpan()); done != min(1, durable) {
+	if done := term.copyTo(messages.Member{Name: "n", Address: "n", Disk: "n"}, 0, newCopyDeadline()); done != min(1, durable) {
 		t.Fatal(done, durable)
 	}
 }
--- a/internal/batch/store/displacement_test.go
+++ b/internal/batch/store/displacement_test.go
@@ -52,14 +52,14 @@
 	}
 	scheduler.Merge(list, s.world.Now)
 	scheduler.OnPressure(func(words []messages.Pressure) {
-		told := &messages.PressureNotice{From: role + "/" + name, Entries: words}
+		announcement := &messages.PressureNotice{From: role + "/" + name, Entries: words}
 		for _, other := range simulation.Keys(s.benches) {
 			if other == name {
 				continue
 			}
 			s.world.Send(name, other, func() {
 				if s.benches[other] != nil {
-					s.benches[other].Pressed(told, 1, s.world.Now)
+					s.benches[other].Pressed(announcement, 1, s.world.Now)
 				}
 			})
 		}
@@ -136,8 +136,8 @@
 		s.running = map[*lots.Item]func(){}
 		s.scheduler(name, "store")
 	}
-	for _, lot := range holder.book.Lots() {
-		for _, item := range lot.Items {
+	for _, job := range holder.book.Jobs() {
+		for _, item := range job.Items {
 			if item.State == lots.ItemAvailable {
 				s.start(holder, name, item)
 			}
@@ -150,7 +150,7 @@
 	if resp.Verdict != admission.VerdictGranted {
 		return
 	}
-	run := item.Begin()
+	run := item.StartRun()
 	if run == 0 {
 		resp.Grant.End(admission.ResultCalledOff, s.world.Now)
 		return
@@ -160,11 +160,11 @@
 	setBack := func(result admission.Result) {
 		if !over {
 			over = true
-			item.SetBack(run)
+			item.Requeue(run)
 			s.leave(resp.Grant, result)
 		}
 	}
-	if item.Displaced < 3 {
+	if item.Preempted < 3 {
 		resp.Grant.MayYield(func() {
 			if item.Yield(run) {
 				s.taken["displaced"]++
@@ -184,7 +184,7 @@
 		case s.world.Random.Float64() < 0.01:
 			setBack(admission.ResultFailed)
 		case next <= clusterEvents:
-			item.Gather(run, [][]byte{[]byte(fmt.Sprintf("%s.%d", item.ID, next))}, next)
+			item.AppendEvents(run, [][]byte{[]byte(fmt.Sprintf("%s.%d", item.ID, next))}, next)
 			next++
 			s.world.After(clock.Milliseconds(12), step)
 		default:
@@ -200,23 +200,23 @@
 
 func (s *simCluster) finish(holder *simHolder, item *lots.Item, run int) {
 	if !item.Finish(run) {
-		item.SetBack(run)
+		item.Requeue(run)
 		return
 	}
-	lot := item.Lot
-	position := s.place(holder, lot)
+	job := item.Job
+	position := s.place(holder, job)
 	text := ""
-	for _, piece := range item.Pieces {
+	for _, piece := range item.Events {
 		text += string(piece) + "\n"
 	}
-	holder.submit(messages.Record{Kind: messages.RecordOutput, Job: lot.ID, Item: item.ID, Position: position, Body: []byte(text)})
+	holder.submit(messages.Record{Kind: messages.RecordOutput, Job: job.ID, Item: item.ID, Position: position, Body: []byte(text)})
 }
 
 // place counts the positions given so far, durable or on their way.
-func (s *simCluster) place(holder *simHolder, lot *lots.Lot) int {
-	count := len(lot.Listings)
+func (s *simCluster) place(holder *simHolder, job *lots.Job) int {
+	count := len(job.Listings)
 	for _, record := range holder.records {
-		if record.Index > holder.applied && record.Kind == messages.RecordOutput && record.Job == lot.ID {
+		if record.Index > holder.applied && record.Kind == messages.RecordOutput && record.Job == job.ID {
 			count++
 		}
 	}
--- a/internal/batch/store/drive.go
+++ b/internal/batch/store/drive.go
@@ -16,9 +16,9 @@
 	"lemonarch/internal/traffic/workerconn"
 )
 
-// drive takes one item to one worker, gathers its events, and derives the
+// run takes one item to one worker, gathers its events, and derives the
 // acknowledgement from how the stream ends.
-func (d *driver) drive(route *routeconfig.Route, task *itemdriver.Task, grant *admission.Grant) {
+func (d *executorLoop) run(route *routeconfig.Route, task *itemdriver.Task, grant *admission.Grant) {
 	sender := &d.server.Gossip.Sender
 	outgoing := d.outgoing(route, task, grant.Worker.ID)
 	response, evidence, err := sender.Carry(grant, outgoing)
@@ -39,17 +39,17 @@
 	if response.NotRun || status >= 300 {
 		grant.Told(response.Load, clock.Now())
 		_, complete, err := sender.ReadBody(response, constants.BufferedAnswer)
-		d.letGo(task)
+		d.forgetConnection(task)
 		if err == nil && complete {
 			sender.Finish(response)
 		} else {
 			sender.Abandon(response)
 		}
-		d.refused(route, task, grant, response.NotRun, status)
+		d.handleRejection(route, task, grant, response.NotRun, status)
 		return
 	}
 	grant.First(response.Load, clock.Now())
-	ring(d.bell)
+	signal(d.wake)
 	d.place()
 	splitter := &proxy.Splitter{}
 	if task.Item.LastID > 0 {
@@ -58,13 +58,13 @@
 	err = sender.Stream(response, splitter, outgoing.Until, outgoing.Patience, func(events []byte) error {
 		d.lock.Lock()
 		defer d.lock.Unlock()
-		if task.Stopped() || !task.Item.Gather(task.Run, proxy.Data(events), splitter.Last) {
+		if task.Stopped() || !task.Item.AppendEvents(task.Run, proxy.Data(events), splitter.Last) {
 			return proxy.ErrNotSent.New("called off")
 		}
-		task.Moved(clock.Now())
+		task.MarkProgress(clock.Now())
 		return nil
 	})
-	d.letGo(task)
+	d.forgetConnection(task)
 	if err != nil {
 		sender.Abandon(response)
 		d.release(route, task, grant, admission.ResultFailed, messages.Acknowledgement{}, err.Error())
@@ -73,7 +73,7 @@
 	sender.Finish(response)
 	d.lock.Lock()
 	complete := task.Item.Finish(task.Run)
-	displaced := task.Item.Displaced > 0
+	displaced := task.Item.Preempted > 0
 	d.lock.Unlock()
 	if !complete {
 		// It was asked to make room in its last moment: its run counts as set back.
@@ -84,19 +84,19 @@
 		d.server.Gossip.Scheduler.Counters(route.Name).Finished.Add(1)
 	}
 	grant.End(admission.ResultServed, clock.Now())
-	text, packed := pack(bytes.Join(task.Item.Pieces, []byte("\n")))
-	d.done(task, messages.Acknowledgement{Kind: messages.AckAccept, Output: text, Compressed: packed})
+	output, compressed := compress(bytes.Join(task.Item.Events, []byte("\n")))
+	d.done(task, messages.Acknowledgement{Kind: messages.AckAccept, Output: output, Compressed: compressed})
 }
 
-// letGo takes a connection out of reach before it may serve somebody else.
-func (d *driver) letGo(task *itemdriver.Task) {
+// forgetConnection takes a connection out of reach before it may serve somebody else.
+func (d *executorLoop) forgetConnection(task *itemdriver.Task) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	delete(d.connections, task)
 }
 
-// refused handles an answer that is no stream of events.
-func (d *driver) refused(route *routeconfig.Route, task *itemdriver.Task, grant *admission.Grant, notRun bool, status int) {
+// handleRejection handles an answer that is no stream of events.
+func (d *executorLoop) handleRejection(route *routeconfig.Route, task *itemdriver.Task, grant *admission.Grant, notRun bool, status int) {
 	switch {
 	case status == http.StatusMisdirectedRequest:
 		d.release(route, task, grant, admission.ResultGoneAway, messages.Acknowledgement{NotStarted: true}, "another worker answers")
@@ -113,7 +113,7 @@
 }
 
 // yield breaks off a run that has to make room; the run itself sets the item back.
-func (d *driver) yield(task *itemdriver.Task) {
+func (d *executorLoop) yield(task *itemdriver.Task) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	if !task.Item.Yield(task.Run) {
@@ -125,7 +125,7 @@
 }
 
 // release gives an item back with what was gathered.
-func (d *driver) release(route *routeconfig.Route, task *itemdriver.Task, grant *admission.Grant, result admission.Result, entry messages.Acknowledgement, why string) {
+func (d *executorLoop) release(route *routeconfig.Route, task *itemdriver.Task, grant *admission.Grant, result admission.Result, entry messages.Acknowledgement, reason string) {
 	entry.Kind = messages.AckRelease
 	d.lock.Lock()
 	entry.Preempted = task.Item.Yielding()
@@ -133,29 +133,29 @@
 		// Our own doing: it says nothing against the worker.
 		result = admission.ResultCalledOff
 	}
-	task.Item.SetBack(task.Run)
+	task.Item.Requeue(task.Run)
 	d.lock.Unlock()
 	if entry.Preempted {
 		d.server.Gossip.Scheduler.Counters(route.Name).Displaced.Add(1)
 	}
 	grant.End(result, clock.Now())
 	d.done(task, entry)
-	d.server.Node.Log.Debug("item released", "item", task.Item.ID, "worker", grant.Worker.ID, "displaced", entry.Preempted, "why", why)
+	d.server.Node.Log.Debug("item released", "item", task.Item.ID, "worker", grant.Worker.ID, "displaced", entry.Preempted, "why", reason)
 }
 
 // done ends a task here and has its acknowledgement carried.
-func (d *driver) done(task *itemdriver.Task, entry messages.Acknowledgement) {
+func (d *executorLoop) done(task *itemdriver.Task, entry messages.Acknowledgement) {
 	d.lock.Lock()
 	delete(d.connections, task)
 	d.core.Done(task, entry)
 	d.lock.Unlock()
-	ring(d.results)
-	ring(d.returns)
-	ring(d.bell)
+	signal(d.results)
+	signal(d.releases)
+	signal(d.wake)
 }
 
 // outgoing writes an item's request.
-func (d *driver) outgoing(route *routeconfig.Route, task *itemdriver.Task, worker string) *proxy.Request {
+func (d *executorLoop) outgoing(route *routeconfig.Route, task *itemdriver.Task, worker string) *proxy.Request {
 	item, header := task.Item, http.Header{}
 	for name, value := range item.Headers {
 		header.Set(name, value)
@@ -164,15 +164,15 @@
 	if item.LastID > 0 {
 		own["Last-Event-Id"] = strconv.FormatInt(item.LastID, 10)
 	}
-	left := item.Lot.SentMs + route.Retain().Milliseconds() - clock.WallNanos()/1_000_000
+	left := item.Job.SubmittedMs + route.Retain().Milliseconds() - clock.WallNanos()/1_000_000
 	return &proxy.Request{Method: http.MethodPost, Attempt: item.ID, Seal: true, Repeatable: true, Patience: 2 * constants.SilentWorker,
-		Text:  proxy.Head(http.MethodPost, item.Path, item.Lot.Host, proxy.Passed(header), own, item.Body),
+		Text:  proxy.Head(http.MethodPost, item.Path, item.Job.Host, proxy.Passed(header), own, item.Body),
 		Until: clock.Now().Add(max(clock.Milliseconds(float64(left)), constants.RunTimeMin)),
 		Halt: func(connection *workerconn.Connection) {
 			d.lock.Lock()
 			defer d.lock.Unlock()
 			d.connections[task] = connection
-			if !task.May(clock.Now()) || task.Item.Yielding() {
+			if !task.MayRun(clock.Now()) || task.Item.Yielding() {
 				// Stopped while its connection was being opened: nothing is sent.
 				d.core.Stop(task)
 				connection.Close()
--- a/internal/batch/store/driver.go
+++ b/internal/batch/store/driver.go
@@ -11,79 +11,79 @@
 	"lemonarch/internal/traffic/workerconn"
 )
 
-// driver runs items on the workers that this process owns for lots.
-type driver struct {
+// executorLoop runs items on the workers that this process owns for lots.
+type executorLoop struct {
 	server      *Server
 	lock        sync.Mutex
 	core        *itemdriver.Runner
 	connections map[*itemdriver.Task]*workerconn.Connection
 	waiting     []*itemdriver.Task
-	bell        chan struct{}
+	wake        chan struct{}
 	results     chan struct{}
-	returns     chan struct{}
-	// lockSpan is the lock's length as the dispatcher last told it; renewed is when
+	releases    chan struct{}
+	// lockDuration is the lock's length as the dispatcher last told it; renewed is when
 	// the locks were last renewed.
-	lockSpan clock.Duration
-	renewed  clock.Instant
-	renewing bool
-	// shown is the latest epoch whose holder was told all that we hold.
-	shown   uint64
-	leaving bool
-	owned   ownership
-	// drivers is the dispatcher's list, as of a version and a moment.
-	drivers   []messages.ExecutorInfo
-	version   uint64
-	driversAt clock.Instant
+	lockDuration clock.Duration
+	renewedAt    clock.Instant
+	renewing     bool
+	// reportedEpoch is the latest epoch whose holder was told all that we hold.
+	reportedEpoch uint64
+	draining      bool
+	ownership     workerOwnership
+	// executors is the dispatcher's list, as of a version and a moment.
+	executors   []messages.ExecutorInfo
+	version     uint64
+	executorsAt clock.Instant
 }
 
-func newDriver(server *Server) *driver {
-	return &driver{server: server, core: itemdriver.New(), connections: map[*itemdriver.Task]*workerconn.Connection{}, bell: make(chan struct{}, 1),
-		results: make(chan struct{}, 1), returns: make(chan struct{}, 1), lockSpan: lockLength(server.Node.Settings.Tolerances.CancelMs)}
+func newExecutorLoop(server *Server) *executorLoop {
+	return &executorLoop{server: server, core: itemdriver.New(), connections: map[*itemdriver.Task]*workerconn.Connection{}, wake: make(chan struct{}, 1),
+		results: make(chan struct{}, 1), releases: make(chan struct{}, 1), lockDuration: lockDuration(server.Node.Settings.Tolerances.CancelMs)}
 }
 
-// ring wakes a loop; one ring is kept while it is at work.
-func ring(bell chan struct{}) {
+// signal wakes a loop; one ring is kept while it is at work.
+func signal(changed chan struct{}) {
 	select {
-	case bell <- struct{}{}:
+	case changed <- struct{}{}:
 	default:
 	}
 }
 
-// run begins the loops.
-func (d *driver) run() {
+// runLoops begins the loops.
+func (d *executorLoop) runLoops() {
 	go d.acquireLoop()
 	go d.acknowledgeLoop(d.results, d.core.Results)
-	go d.acknowledgeLoop(d.returns, d.core.Returns)
-	go clock.Every(constants.TickPeriod, d.server.Node.Stop, d.tend)
+	go d.acknowledgeLoop(d.releases, d.core.Releases)
+	go clock.Every(constants.TickPeriod, d.server.Node.Stop, d.maintain)
 }
 
-// holder is the address of the dispatcher, or nothing.
-func (s *Server) holder() string {
+// leaderAddress is the address of the dispatcher, or nothing.
+func (s *Server) leaderAddress() string {
 	if s.current() != nil {
 		return s.Node.Self.Address
 	}
-	return s.elsewhere().Leader
+	return s.notLeader().Leader
 }
 
-// holderEpoch is the epoch of the dispatcher, as far as we know.
-func (s *Server) holderEpoch() uint64 {
+// leaderEpoch is the epoch of the dispatcher, as far as we know.
+func (s *Server) leaderEpoch() uint64 {
 	if current := s.current(); current != nil {
-		return current.duty.Epoch
+		return current.leadership.Epoch
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return s.told.Epoch
+	return s.announced.Epoch
 }
 
 // acquireLoop keeps as many items as there are places for.
-func (d *driver) acquireLoop() {
+func (d *executorLoop) acquireLoop() {
 	stop := d.server.Node.Stop
 	for {
-		room, holder := d.room(), d.server.holder()
+		freeCapacity, leader := d.freeCapacity(), d.server.leaderAddress()
 		backoff := clock.Duration(0)
-		if len(room) == 0 || holder == "" {
+		if len(freeCapacity) == 0 || leader == "" {
 			backoff = constants.TickPeriod
-		} else if !d.acquire(holder, room) {
+		} else if !d.acquire(leader, freeCapacity) {
 			backoff = constants.AckBackoff
 		}
 		select {
@@ -95,7 +95,7 @@
 			select {
 			case <-stop:
 				return
-			case <-d.bell:
+			case <-d.wake:
 			case <-clock.After(backoff):
 			}
 		}
@@ -103,45 +103,45 @@
 }
 
 // acquire asks once; false when the dispatcher could not be asked.
-func (d *driver) acquire(holder string, room []messages.ServiceCapacity) bool {
+func (d *executorLoop) acquire(leader string, freeCapacity []messages.ServiceCapacity) bool {
 	own := d.server.Node.Self
-	req := &messages.AcquireRequest{Executor: own.Name, Incarnation: own.Incarnation, Address: own.Address, Zone: own.Zone, Capacity: room,
-		WaitMs: int(constants.AcquireWait.Milliseconds()), KnownVersion: d.known()}
+	req := &messages.AcquireRequest{Executor: own.Name, Incarnation: own.Incarnation, Address: own.Address, Zone: own.Zone, Capacity: freeCapacity,
+		WaitMs: int(constants.AcquireWait.Milliseconds()), KnownVersion: d.knownVersion()}
 	resp := &messages.AcquireResponse{}
 	sentAt := clock.Now()
-	if holder == own.Address {
+	if leader == own.Address {
 		resp = d.server.acquire(req)
-	} else if transport.Call(d.server.Node.Transport, holder, messages.KindAcquire, req, resp, constants.AcquireWait+constants.CallTimeout) != nil {
+	} else if transport.Call(d.server.Node.Transport, leader, messages.KindAcquire, req, resp, constants.AcquireWait+constants.CallTimeout) != nil {
 		return false
 	}
 	if resp.NotLeader {
 		return false
 	}
 	now := clock.Now()
-	d.listed(resp.Version, resp.Executors, now)
+	d.updateExecutors(resp.Version, resp.Executors, now)
 	d.lock.Lock()
-	d.lockSpan = clock.Milliseconds(resp.LockMs)
-	d.waiting = append(d.waiting, d.core.Take(resp, sentAt, now)...)
+	d.lockDuration = clock.Milliseconds(resp.LockMs)
+	d.waiting = append(d.waiting, d.core.Add(resp, sentAt, now)...)
 	d.lock.Unlock()
 	d.place()
 	return true
 }
 
-// tend places what waits, stops what may not go on, and renews the locks.
-func (d *driver) tend() {
-	now, epoch := clock.Now(), d.server.holderEpoch()
+// maintain places what waits, stops what may not go on, and renews the locks.
+func (d *executorLoop) maintain() {
+	now, epoch := clock.Now(), d.server.leaderEpoch()
 	d.lock.Lock()
-	d.halt(d.core.Lapsed(now))
-	due := !d.renewing && now.Sub(d.renewed) >= d.lockSpan/constants.RenewalsPerLock
+	d.stopRunsLocked(d.core.Lapsed(now))
+	due := !d.renewing && now.Sub(d.renewedAt) >= d.lockDuration/constants.RenewalsPerLock
 	// A new holder is shown at once what we hold.
-	due = due || epoch > d.shown
+	due = due || epoch > d.reportedEpoch
 	var entries []messages.Acknowledgement
 	if due {
 		// With nothing to renew it still says that this driver is there.
 		entries = d.core.Renewals(now)
 		d.core.Fence(epoch)
-		d.shown = max(d.shown, epoch)
-		d.renewed = now
+		d.reportedEpoch = max(d.reportedEpoch, epoch)
+		d.renewedAt = now
 		d.renewing = true
 	}
 	d.lock.Unlock()
@@ -151,8 +151,8 @@
 	d.place()
 }
 
-// halt breaks runs off; each sets its item back by itself. The lock is held.
-func (d *driver) halt(tasks []*itemdriver.Task) {
+// stopRunsLocked breaks runs off; each sets its item back by itself. The lock is held.
+func (d *executorLoop) stopRunsLocked(tasks []*itemdriver.Task) {
 	for _, task := range tasks {
 		if connection := d.connections[task]; connection != nil {
 			connection.Close()
@@ -160,19 +160,19 @@
 	}
 }
 
-// stopLot breaks off whatever runs of a lot.
-func (d *driver) stopLot(lot string) {
+// stopJob breaks off whatever runs of a lot.
+func (d *executorLoop) stopJob(jobID string) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	d.halt(d.core.StopLot(lot))
+	d.stopRunsLocked(d.core.StopJob(jobID))
 }
 
-// leave gives everything back before the process ends.
-func (d *driver) leave() {
+// drain gives everything back before the process ends.
+func (d *executorLoop) drain() {
 	d.lock.Lock()
-	d.leaving = true
+	d.draining = true
 	for _, task := range d.core.All() {
-		d.halt(d.core.Stop(task))
+		d.stopRunsLocked(d.core.Stop(task))
 	}
 	d.lock.Unlock()
 	d.place()
@@ -180,7 +180,7 @@
 	for clock.Now() < end {
 		d.lock.Lock()
 		all, _ := d.core.Count()
-		owing := d.core.Owing()
+		owing := d.core.Unacknowledged()
 		d.lock.Unlock()
 		if all == 0 && owing == 0 {
 			return
--- a/internal/batch/store/driver_test.go
+++ b/internal/batch/store/driver_test.go
@@ -72,17 +72,17 @@
 	te := rule(t, server, 1)
 	server.Gossip.Scheduler.SetConfig(server.Node.Config())
 	server.Gossip.Scheduler.Merge([]messages.Worker{{ID: "w", Backend: "s", Address: strings.TrimPrefix(upstream.URL, "http://"), Capacity: 12, CallCount: 1}}, clock.Now())
-	server.driver.run()
+	server.executor.runLoops()
 	t.Cleanup(server.Node.Shutdown)
 	return te, worker
 }
 
-func outputs(t *testing.T, te *term, lot string, sum int) map[string]outputLine {
+func outputs(t *testing.T, te *term, jobID string, sum int) map[string]outputLine {
 	found := map[string]outputLine{}
 	end := clock.Now().Add(clock.Milliseconds(15_000))
 	for len(found) < sum && clock.Now() < end {
 		page := outputPage{}
-		if err := json.Unmarshal(te.readLot(&messages.JobCallRequest{Job: lot, Cursor: len(found), WaitMs: 1000}).Body, &page); err != nil {
+		if err := json.Unmarshal(te.readJob(&messages.JobCallRequest{Job: jobID, Cursor: len(found), WaitMs: 1000}).Body, &page); err != nil {
 			t.Fatal(err)
 		}
 		for _, line := range page.Outputs {
@@ -102,13 +102,13 @@
 // RELEASE with the events so far, a 500 one that counts, a 422 a REJECT.
 func TestDriverDerivesAcknowledgements(t *testing.T) {
 	term, worker := driven(t, 11)
-	if resp := term.handIn(lotCallOf("mixed", 5)); resp.Status != 202 {
+	if resp := term.submitJob(lotCallOf("mixed", 5)); resp.Status != 202 {
 		t.Fatal(resp.Status)
 	}
 	for id, line := range outputs(t, term, "mixed", 5) {
-		whole := fmt.Sprintf("%s.1\n%s.2\n%s.3\n%s.4", id, id, id, id)
-		dropped := strings.HasSuffix(id, "-0") || strings.HasSuffix(id, "-1")
-		if (line.Phase == "abandoned") != dropped || (!dropped && line.Text != whole) {
+		complete := fmt.Sprintf("%s.1\n%s.2\n%s.3\n%s.4", id, id, id, id)
+		abandoned := strings.HasSuffix(id, "-0") || strings.HasSuffix(id, "-1")
+		if (line.Phase == "abandoned") != abandoned || (!abandoned && line.Text != complete) {
 			t.Fatal(line)
 		}
 	}
@@ -123,7 +123,7 @@
 // The end of a lot breaks its runs off at once, and none begins again.
 func TestEndStopsRuns(t *testing.T) {
 	term, worker := driven(t, 12)
-	if resp := term.handIn(lotCallOf("stuck", 3)); resp.Status != 202 {
+	if resp := term.submitJob(lotCallOf("stuck", 3)); resp.Status != 202 {
 		t.Fatal(resp.Status)
 	}
 	start := map[string]bool{}
@@ -135,7 +135,7 @@
 			t.Fatal("not all were begun: ", start)
 		}
 	}
-	if resp := term.endLot(&messages.JobCallRequest{Job: "stuck"}); resp.Status != 200 {
+	if resp := term.endJob(&messages.JobCallRequest{Job: "stuck"}); resp.Status != 200 {
 		t.Fatal(resp.Status)
 	}
 	for count := 0; count < 3; count++ {
@@ -146,7 +146,7 @@
 		}
 	}
 	// The next lot is run to its end meanwhile; nothing of the ended one is.
-	if resp := term.handIn(lotCallOf("next", 2)); resp.Status != 202 {
+	if resp := term.submitJob(lotCallOf("next", 2)); resp.Status != 202 {
 		t.Fatal(resp.Status)
 	}
 	outputs(t, term, "next", 2)
@@ -166,11 +166,11 @@
 	if !server.eligible() || register.Identity(server.member()) == "" {
 		t.Fatal("a member of the set is not eligible")
 	}
-	server.rest(clock.Now().Add(clock.Milliseconds(60_000)))
+	server.yieldUntilInstant(clock.Now().Add(clock.Milliseconds(60_000)))
 	if server.eligible() {
 		t.Fatal("it asks for the duty again")
 	}
-	server.rest(clock.Now())
+	server.yieldUntilInstant(clock.Now())
 	if !server.eligible() {
 		t.Fatal("it rests for ever")
 	}
--- a/internal/batch/store/duty.go
+++ b/internal/batch/store/duty.go
@@ -12,9 +12,9 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// holderQuiet is how long a holder may say nothing before others ask for its
+// leaderTimeout is how long a holder may say nothing before others ask for its
 // duty (ours): its hold ends about then anyway.
-const holderQuiet = constants.LeaseDuration - constants.LeaseSafetyMargin
+const leaderTimeout = constants.LeaseDuration - constants.LeaseSafetyMargin
 
 // campaign keeps the duty while we hold it and asks for it while nobody does.
 func (s *Server) campaign() {
@@ -22,21 +22,21 @@
 		select {
 		case <-s.Node.Stop:
 			return
-		case <-clock.After(s.step()):
+		case <-clock.After(s.campaignStep()):
 		}
 	}
 }
 
-// step does what is due and gives the time until the next step.
-func (s *Server) step() clock.Duration {
+// campaignStep does what is due and gives the time until the next step.
+func (s *Server) campaignStep() clock.Duration {
 	if current := s.current(); current != nil {
 		return s.renew(current)
 	}
 	s.lock.Lock()
-	told, toldAt, readAt := s.told, s.toldAt, s.read
+	announcement, toldAt, readAt := s.announced, s.announcedAt, s.lastRead
 	s.lock.Unlock()
 	now := clock.Now()
-	if toldAt > 0 && now.Sub(toldAt) < holderQuiet && told.Address != s.Node.Self.Address {
+	if toldAt > 0 && now.Sub(toldAt) < leaderTimeout && announcement.Address != s.Node.Self.Address {
 		return constants.TickPeriod * 2
 	}
 	if now.Sub(readAt) > constants.LeaseRenewPeriod || readAt == 0 {
@@ -44,10 +44,10 @@
 			return constants.TickPeriod * 4
 		}
 	}
-	if !s.eligible() || s.defers(now) {
+	if !s.eligible() || s.yields(now) {
 		return constants.TickPeriod * 4
 	}
-	return s.seekDuty()
+	return s.campaignOnce()
 }
 
 // eligible tells whether we may hold the duty: only a member of the set has all
@@ -56,7 +56,7 @@
 	s.lock.Lock()
 	value := s.value
 	s.lock.Unlock()
-	if s.leaving.Load() || s.rests() {
+	if s.draining.Load() || s.isYielding() {
 		return false
 	}
 	for _, name := range value.Retired {
@@ -84,7 +84,7 @@
 		known = append(known, messages.Member{Name: entry.Name, Disk: entry.Disk, Address: entry.Address, Zone: entry.Zone})
 	}
 	// Wait for the others as long as the start may take.
-	if len(known) < size && clock.Now().Sub(s.begun) < constants.BootstrapWait {
+	if len(known) < size && clock.Now().Sub(s.startedAt) < constants.BootstrapWait {
 		return nil
 	}
 	var chosen []messages.Member
@@ -108,7 +108,7 @@
 			continue
 		}
 		s.lock.Lock()
-		s.value, s.read = resp.Value, clock.Now()
+		s.value, s.lastRead = resp.Value, clock.Now()
 		s.lock.Unlock()
 		return true
 	}
@@ -132,35 +132,35 @@
 	return addresses
 }
 
-// ask puts a question to every acceptor and tells whether a majority granted it.
+// requestLease puts a question to every acceptor and tells whether a majority granted it.
 // It does not wait for those that stay silent once the others have decided.
-func (s *Server) ask(req messages.LeaseRequest) (granted bool, latest uint64) {
+func (s *Server) requestLease(req messages.LeaseRequest) (granted bool, latest uint64) {
 	s.lock.Lock()
 	acceptors := s.value.Acceptors
-	s.turn++
-	req.Sequence = s.turn
+	s.sequence++
+	req.Sequence = s.sequence
 	s.lock.Unlock()
 	type heard struct {
 		identity string
 		answer   messages.LeaseResponse
 		failed   bool
 	}
-	answers := make(chan heard, len(acceptors))
+	responses := make(chan heard, len(acceptors))
 	for _, member := range acceptors {
 		go func() {
-			h := heard{identity: register.Identity(member)}
-			h.failed = transport.Call(s.Node.Transport, member.Address, messages.KindLease, &req, &h.answer, constants.LeaseRenewPeriod) != nil
-			answers <- h
+			result := heard{identity: register.Identity(member)}
+			result.failed = transport.Call(s.Node.Transport, member.Address, messages.KindLease, &req, &result.answer, constants.LeaseRenewPeriod) != nil
+			responses <- result
 		}()
 	}
 	answered := map[string]bool{}
 	for range acceptors {
-		h := <-answers
-		if h.failed {
+		result := <-responses
+		if result.failed {
 			continue
 		}
-		latest = max(latest, h.answer.Epoch)
-		answered[h.identity] = h.answer.Granted
+		latest = max(latest, result.answer.Epoch)
+		answered[result.identity] = result.answer.Granted
 		if register.Majority(acceptors, answered) {
 			return true, latest
 		}
@@ -171,39 +171,39 @@
 // renew extends our hold; it is given up when it can't be.
 func (s *Server) renew(current *term) clock.Duration {
 	sentAt := clock.Now()
-	granted, latest := s.ask(messages.LeaseRequest{Candidate: s.Node.Self.Name, Incarnation: s.Node.Self.Incarnation, Epoch: current.duty.Epoch})
-	if granted && latest <= current.duty.Epoch {
+	granted, latest := s.requestLease(messages.LeaseRequest{Candidate: s.Node.Self.Name, Incarnation: s.Node.Self.Incarnation, Epoch: current.leadership.Epoch})
+	if granted && latest <= current.leadership.Epoch {
 		s.lock.Lock()
-		s.hold.Renewed(sentAt)
+		s.lease.Renewed(sentAt)
 		s.lock.Unlock()
 	}
 	switch {
-	case latest > current.duty.Epoch:
-		current.end("the register names a later epoch")
-	case !s.holds():
-		current.end("hold ran out")
+	case latest > current.leadership.Epoch:
+		current.close("the register names a later epoch")
+	case !s.holdsLease():
+		current.close("hold ran out")
 	}
 	return max(constants.LeaseRenewPeriod-clock.Now().Sub(sentAt), constants.TickPeriod)
 }
 
 func (s *Server) release() {
 	s.lock.Lock()
-	s.hold.Drop()
+	s.lease.Revoke()
 	epoch := s.value.Leadership.Epoch
 	s.lock.Unlock()
-	s.ask(messages.LeaseRequest{Candidate: s.Node.Self.Name, Incarnation: s.Node.Self.Incarnation, Epoch: epoch, Release: true})
+	s.requestLease(messages.LeaseRequest{Candidate: s.Node.Self.Name, Incarnation: s.Node.Self.Incarnation, Epoch: epoch, Release: true})
 }
 
-// seekDuty asks for the duty, and takes it in the register once a majority grants
+// campaignOnce asks for the duty, and takes it in the register once a majority grants
 // the hold.
-func (s *Server) seekDuty() clock.Duration {
+func (s *Server) campaignOnce() clock.Duration {
 	s.lock.Lock()
 	value := s.value
 	s.lock.Unlock()
 	backoff := constants.TickPeriod*3 + clock.Duration(rand.Int63n(int64(constants.LeaseRenewPeriod)))
 	sentAt := clock.Now()
 	own := s.Node.Self
-	granted, _ := s.ask(messages.LeaseRequest{Candidate: own.Name, Incarnation: own.Incarnation, Epoch: value.Leadership.Epoch})
+	granted, _ := s.requestLease(messages.LeaseRequest{Candidate: own.Name, Incarnation: own.Incarnation, Epoch: value.Leadership.Epoch})
 	if !granted {
 		// Two candidates must not keep each other out by halves.
 		s.release()
@@ -215,14 +215,14 @@
 	}
 	change := &messages.RegisterChangeRequest{Campaign: true, ExpectEpoch: value.Leadership.Epoch, Stores: stores,
 		Holder: messages.Leadership{Holder: own.Name, Incarnation: own.Incarnation, Address: own.Address}}
-	changed, known := s.changeDuty(change)
+	changed, known := s.changeRegister(change)
 	if !known || !changed.Applied {
 		s.release()
 		return backoff
 	}
 	s.lock.Lock()
-	s.value, s.read = changed.Value, clock.Now()
-	s.hold.Renewed(sentAt)
+	s.value, s.lastRead = changed.Value, clock.Now()
+	s.lease.Renewed(sentAt)
 	next := newTerm(s, changed.Value.Leadership, changed.Value.Stores, 1)
 	s.term = next
 	s.lock.Unlock()
@@ -230,14 +230,14 @@
 	for _, member := range changed.Value.Stores {
 		names = append(names, member.Name)
 	}
-	s.Node.Log.Info("duty taken", "epoch", next.duty.Epoch, "stores", strings.Join(names, ","))
+	s.Node.Log.Info("duty taken", "epoch", next.leadership.Epoch, "stores", strings.Join(names, ","))
 	go next.takeOver()
 	return constants.TickPeriod
 }
 
-// changeDuty has a controller change the register; known is false where the outcome
+// changeRegister has a controller change the register; known is false where the outcome
 // can't be told.
-func (s *Server) changeDuty(change *messages.RegisterChangeRequest) (*messages.RegisterResponse, bool) {
+func (s *Server) changeRegister(change *messages.RegisterChangeRequest) (*messages.RegisterResponse, bool) {
 	for _, address := range s.controllers() {
 		resp := &messages.RegisterResponse{}
 		if transport.Call(s.Node.Transport, address, messages.KindRegisterChange, change, resp, constants.RegisterTimeout) == nil {
--- a/internal/batch/store/golden_test.go
+++ b/internal/batch/store/golden_test.go
@@ -25,9 +25,9 @@
 
 // writeGoldenReplica has a store take the records in two epochs, the second one after a
 // record that is cut again.
-func writeGoldenReplica(t *testing.T, dir string) *Store {
+func writeGoldenReplica(t *testing.T, dir string) *ReplicaLog {
 	t.Helper()
-	store, err := OpenStore(recordlog.Directory(dir), "disk-1")
+	store, err := OpenReplicaLog(recordlog.Directory(dir), "disk-1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 			t.Fatal(resp, err)
 		}
 	}
-	if resp, err := store.Raise(&messages.FenceRequest{Epoch: 4, Disk: "disk-1"}); err != nil || !resp.Granted {
+	if resp, err := store.Fence(&messages.FenceRequest{Epoch: 4, Disk: "disk-1"}); err != nil || !resp.Granted {
 		t.Fatal(resp, err)
 	}
 	cut := messages.Record{Index: 6, Epoch: 4, Kind: messages.RecordJobEnd, Job: "new"}
@@ -82,15 +82,15 @@
 		{"replica-rewritten", 0, 8, 5},
 		{"replica-appended", 3, 7, 0},
 	} {
-		text, err := os.ReadFile(filepath.Join("testdata", file.golden))
+		output, err := os.ReadFile(filepath.Join("testdata", file.golden))
 		if err != nil {
 			t.Fatal(err)
 		}
 		dir := t.TempDir()
-		if err = os.WriteFile(filepath.Join(dir, "replica"), text[:len(text)-file.torn], 0o644); err != nil {
+		if err = os.WriteFile(filepath.Join(dir, "replica"), output[:len(output)-file.torn], 0o644); err != nil {
 			t.Fatal(err)
 		}
-		store, err := OpenStore(recordlog.Directory(dir), "other")
+		store, err := OpenReplicaLog(recordlog.Directory(dir), "other")
 		if err != nil {
 			t.Fatal(file.golden, err)
 		}
--- a/internal/batch/store/handin.go
+++ b/internal/batch/store/handin.go
@@ -14,8 +14,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// lotJSON is a lot as it is handed in.
-type lotJSON struct {
+// jobJSON is a lot as it is handed in.
+type jobJSON struct {
 	Requests []struct {
 		ID      string            `json:"id"`
 		Path    string            `json:"path"`
@@ -25,9 +25,9 @@
 	} `json:"requests"`
 }
 
-// readLotJSON checks a lot; the reason says what is wrong with it.
-func readLotJSON(call *messages.JobCallRequest) (body *messages.JobBody, tokens int64, status int, reason string) {
-	lot := lotJSON{}
+// parseJob checks a lot; the reason says what is wrong with it.
+func parseJob(call *messages.JobCallRequest) (body *messages.JobBody, tokens int64, status int, reason string) {
+	lot := jobJSON{}
 	if err := json.Unmarshal(call.Body, &lot); err != nil {
 		return nil, 0, http.StatusBadRequest, "lot can't be read: " + err.Error()
 	}
@@ -68,21 +68,21 @@
 	return route
 }
 
-// handIn takes a lot: checked, within the quota, and durable before it is told.
-func (t *term) handIn(call *messages.JobCallRequest) *messages.JobCallResponse {
+// submitJob takes a lot: checked, within the quota, and durable before it is told.
+func (t *term) submitJob(call *messages.JobCallRequest) *messages.JobCallResponse {
 	accepted := &messages.JobCallResponse{Status: http.StatusAccepted, Body: []byte("{}")}
 	t.lock.Lock()
-	known, taking := t.book.Lot(call.Job) != nil, t.taking[call.Job]
+	known, submitting := t.jobs.Job(call.Job) != nil, t.submitting[call.Job]
 	t.lock.Unlock()
 	if known {
 		return accepted
 	}
-	if taking > 0 {
-		return t.awaitTaken(taking, accepted)
+	if submitting > 0 {
+		return t.awaitSubmitted(submitting, accepted)
 	}
-	body, tokens, status, why := readLotJSON(call)
+	body, tokens, status, cause := parseJob(call)
 	if body == nil {
-		return refuse(status, why)
+		return refuse(status, cause)
 	}
 	config := t.server.Node.Config()
 	route := routeOf(config, call.Host, call.Path)
@@ -95,35 +95,35 @@
 		return refuse(http.StatusBadRequest, "lot can't be kept")
 	}
 	t.lock.Lock()
-	if t.book.Lot(call.Job) != nil || t.taking[call.Job] > 0 {
-		taking = t.taking[call.Job]
+	if t.jobs.Job(call.Job) != nil || t.submitting[call.Job] > 0 {
+		submitting = t.submitting[call.Job]
 		t.lock.Unlock()
-		return t.awaitTaken(taking, accepted)
+		return t.awaitSubmitted(submitting, accepted)
 	}
 	if expired(call, clock.Now()) {
 		// Whoever asked has given up, or was told that this one counts for nothing.
 		t.lock.Unlock()
 		return &messages.JobCallResponse{NotLeader: true}
 	}
-	if route.BacklogCap > 0 && t.waiting(config, route)+tokens > route.BacklogCap {
+	if route.BacklogCap > 0 && t.waitingTokens(config, route)+tokens > route.BacklogCap {
 		t.lock.Unlock()
 		return &messages.JobCallResponse{Status: http.StatusTooManyRequests, Body: reason("backlog is full"), RetryAfterMs: int(constants.GossipPeriod.Milliseconds())}
 	}
-	index := t.submit(messages.Record{Kind: messages.RecordJob, Job: call.Job, Host: call.Host, Route: route.Name,
+	index := t.appendRecord(messages.Record{Kind: messages.RecordJob, Job: call.Job, Host: call.Host, Route: route.Name,
 		AtMs: clock.WallNanos() / 1_000_000, Body: packed})
-	t.taking[call.Job] = index
-	t.quota.comes(call, tokens)
+	t.submitting[call.Job] = index
+	t.quota.addPending(call, tokens)
 	t.lock.Unlock()
-	return t.awaitTaken(index, accepted)
+	return t.awaitSubmitted(index, accepted)
 }
 
-// fresh tells whether a question comes for the first time, and turns the span that
+// firstSeen tells whether a question comes for the first time, and turns the span that
 // it brought into a moment of our own clock.
-func (s *Server) fresh(call *messages.JobCallRequest, now clock.Instant) bool {
+func (s *Server) firstSeen(call *messages.JobCallRequest, now clock.Instant) bool {
 	if call.TTLMs > 0 {
 		call.ExpiresAt = int64(now.Add(clock.Milliseconds(float64(call.TTLMs))))
 	}
-	return s.once.FirstSeen(call.RequestID, now)
+	return s.deduplicator.FirstSeen(call.RequestID, now)
 }
 
 // expired tells whether the time in which a hand-in may be taken is over.
@@ -131,8 +131,8 @@
 	return call.ExpiresAt > 0 && int64(now) >= call.ExpiresAt
 }
 
-func (t *term) awaitTaken(index int64, accepted *messages.JobCallResponse) *messages.JobCallResponse {
-	if t.durable(index, constants.RegisterTimeout) {
+func (t *term) awaitSubmitted(index int64, accepted *messages.JobCallResponse) *messages.JobCallResponse {
+	if t.awaitCommit(index, constants.RegisterTimeout) {
 		return accepted
 	}
 	return refuse(http.StatusGatewayTimeout, "lot not yet durable")
--- a/internal/batch/store/handin_test.go
+++ b/internal/batch/store/handin_test.go
@@ -20,17 +20,17 @@
 
 // soleLocker is a store that holds the lots alone, on a fake disk.
 func soleLocker(t *testing.T, disk *simulation.Disk) *Server {
-	store, err := OpenStore(disk, "disk")
+	store, err := OpenReplicaLog(disk, "disk")
 	if err != nil {
 		t.Fatal(err)
 	}
 	nodeSettings := &settings.Settings{NodeName: "m", Address: "10.0.0.1", InternalPorts: []int{1, 9}, HeartbeatMs: 1200}
 	runtime := node.New(nodeSettings, "store", 2, store.Disk(), hclog.NewNullLogger())
 	runtime.Transport = transport.NewMemoryNetwork().Transport("m")
-	server := &Server{Node: runtime, Gossip: loadgossip.New(runtime), Store: store, begun: clock.Now()}
-	server.driver = newDriver(server)
+	server := &Server{Node: runtime, Gossip: loadgossip.New(runtime), Log: store, startedAt: clock.Now()}
+	server.executor = newExecutorLoop(server)
 	runtime.ApplyConfig([]byte(quotaConfig))
-	server.hold.Renewed(clock.Now().Add(clock.Milliseconds(600_000)))
+	server.lease.Renewed(clock.Now().Add(clock.Milliseconds(600_000)))
 	return server
 }
 
@@ -42,7 +42,7 @@
 	if !te.waitServing(clock.Milliseconds(5000)) {
 		t.Fatal("does not serve")
 	}
-	t.Cleanup(func() { te.end("test is over") })
+	t.Cleanup(func() { te.close("test is over") })
 	return te
 }
 
@@ -69,22 +69,22 @@
 		go func() {
 			defer group.Done()
 			// Each lot of 30 tokens is sent twice; three of them fit into 100.
-			resp := term.handIn(lotCallOf(fmt.Sprint("lot", number/2), 2))
+			resp := term.submitJob(lotCallOf(fmt.Sprint("lot", number/2), 2))
 			lock.Lock()
 			defer lock.Unlock()
 			statuses[resp.Status]++
 		}()
 	}
 	group.Wait()
-	if statuses[202] < 3 || statuses[202] > 6 || statuses[202]+statuses[429] != 24 || len(term.book.Lots()) != 3 {
-		t.Fatal(statuses, len(term.book.Lots()))
+	if statuses[202] < 3 || statuses[202] > 6 || statuses[202]+statuses[429] != 24 || len(term.jobs.Jobs()) != 3 {
+		t.Fatal(statuses, len(term.jobs.Jobs()))
 	}
 	// Resent to whoever holds the lots later, a taken lot is still taken.
-	taken := term.book.Lots()[0].ID
-	term.end("another takes over")
+	taken := term.jobs.Jobs()[0].ID
+	term.close("another takes over")
 	next := rule(t, term.server, 2)
-	if resp := next.handIn(lotCallOf(taken, 2)); resp.Status != 202 || len(next.book.Lots()) != 3 {
-		t.Fatal(resp.Status, len(next.book.Lots()))
+	if resp := next.submitJob(lotCallOf(taken, 2)); resp.Status != 202 || len(next.jobs.Jobs()) != 3 {
+		t.Fatal(resp.Status, len(next.jobs.Jobs()))
 	}
 }
 
@@ -93,7 +93,7 @@
 func TestCancelDuringHandOver(t *testing.T) {
 	disk := simulation.NewDisk(2)
 	term := rule(t, soleLocker(t, disk), 1)
-	if resp := term.handIn(lotCallOf("lot", 3)); resp.Status != 202 {
+	if resp := term.submitJob(lotCallOf("lot", 3)); resp.Status != 202 {
 		t.Fatal(resp.Status)
 	}
 	req := &messages.AcquireRequest{Executor: "d", Incarnation: 1, Capacity: []messages.ServiceCapacity{{Service: "s", Count: 2}}}
@@ -111,29 +111,29 @@
 	if first != messages.AckRecorded || again != messages.AckRecorded {
 		t.Fatal("output not taken")
 	}
-	if resp := term.endLot(&messages.JobCallRequest{Job: "lot"}); resp.Status != 200 {
+	if resp := term.endJob(&messages.JobCallRequest{Job: "lot"}); resp.Status != 200 {
 		t.Fatal(resp.Status)
 	}
 	// A run that was under way brings nothing any more.
 	if accept(1, "late") != messages.AckTerminal || len(term.acquire(req).Items) != 0 {
 		t.Fatal("an ended lot goes on")
 	}
-	term.end("another takes over")
+	term.close("another takes over")
 	disk.PowerLoss()
 	next := rule(t, soleLocker(t, disk), 2)
-	lot := next.book.Lot("lot")
-	if lot == nil || !lot.Ended || lot.Open() || len(lot.Listings) != 1 || lot.Listings[0].Item != item.ID {
-		t.Fatalf("%+v", lot)
+	job := next.jobs.Job("lot")
+	if job == nil || !job.Ended || job.Open() || len(job.Listings) != 1 || job.Listings[0].Item != item.ID {
+		t.Fatalf("%+v", job)
 	}
-	for _, each := range lot.Items {
-		if !each.Terminal() && each.Begin() != 0 {
+	for _, each := range job.Items {
+		if !each.Terminal() && each.StartRun() != 0 {
 			t.Fatal("an item of an ended lot would run: ", each.ID)
 		}
 	}
-	if resp := next.endLot(&messages.JobCallRequest{Job: "lot"}); resp.Status != 200 {
+	if resp := next.endJob(&messages.JobCallRequest{Job: "lot"}); resp.Status != 200 {
 		t.Fatal("a repeated end: ", resp.Status)
 	}
-	text := string(next.readLot(&messages.JobCallRequest{Job: "lot"}).Body)
+	text := string(next.readJob(&messages.JobCallRequest{Job: "lot"}).Body)
 	if want := fmt.Sprintf(`{"sum":3,"next-token":1,"outputs":[{"id":"%s","phase":"settled","text":"text"}]}`, item.ID); text != want {
 		t.Fatal(text)
 	}
@@ -150,12 +150,12 @@
 		429: {lotCallOf("x", 7)},
 	} {
 		for _, each := range call {
-			if resp := term.handIn(each); resp.Status != status {
+			if resp := term.submitJob(each); resp.Status != status {
 				t.Error(status, resp.Status, string(resp.Body))
 			}
 		}
 	}
-	if term.readLot(&messages.JobCallRequest{Job: "x"}).Status != 404 || term.itemBody(&messages.JobCallRequest{Job: "x"}).Status != 404 || term.endLot(&messages.JobCallRequest{Job: "x"}).Status != 404 {
+	if term.readJob(&messages.JobCallRequest{Job: "x"}).Status != 404 || term.itemBody(&messages.JobCallRequest{Job: "x"}).Status != 404 || term.endJob(&messages.JobCallRequest{Job: "x"}).Status != 404 {
 		t.Error("an unknown lot was known")
 	}
 }
--- a/internal/batch/store/history_test.go
+++ b/internal/batch/store/history_test.go
@@ -46,7 +46,7 @@
 func (s *simFleet) bringBack(name string, before traffic) cost {
 	identity := register.Identity(s.stores[name].member)
 	start, holder := s.world.Now, s.holder
-	for try := 0; holder.press.MatchOf(identity) < holder.press.Last(); try++ {
+	for try := 0; holder.press.MatchIndex(identity) < holder.press.Last(); try++ {
 		if try > 400 {
 			s.test.Fatal("never caught up")
 		}
@@ -55,7 +55,7 @@
 	store := s.stores[name].store
 	took := cost{records: s.sent[name].records - before.records, bytes: s.sent[name].bytes - before.bytes,
 		file: int(store.logfile.Size()), span: s.world.Now.Sub(start)}
-	store.replica.Each(1, func(lots.Slot) bool {
+	store.replica.Each(1, func(lots.IndexEntry) bool {
 		took.slots++
 		return true
 	})
@@ -117,9 +117,9 @@
 // traffic is what a store was sent.
 type traffic struct{ records, bytes int }
 
-func (s *simFleet) count(to string, order *messages.AppendRequest) {
+func (s *simFleet) count(to string, req *messages.AppendRequest) {
 	traffic := s.sent[to]
-	traffic.records += len(order.Records)
-	traffic.bytes += order.Msgsize()
+	traffic.records += len(req.Records)
+	traffic.bytes += req.Msgsize()
 	s.sent[to] = traffic
 }
--- a/internal/batch/store/losses_test.go
+++ b/internal/batch/store/losses_test.go
@@ -64,7 +64,7 @@
 	fleet, holder, identity := s.fleet, s.holder, register.Identity(s.in)
 	fleet.swapBegin(s.in)
 	target := holder.press.Last()
-	reached := func() bool { return holder.press.MatchOf(identity) >= target }
+	reached := func() bool { return holder.press.MatchIndex(identity) >= target }
 	if step == stepCopying {
 		return fleet.until(func() bool { return fleet.stores[s.in.Address].store.Extent().Last > 0 })
 	}
@@ -79,7 +79,7 @@
 	if step == stepBothSets {
 		return true
 	}
-	if !fleet.until(func() bool { return holder.press.Done() >= index }) {
+	if !fleet.until(func() bool { return holder.press.CommitIndex() >= index }) {
 		return false
 	}
 	if step == stepDurable {
@@ -177,7 +177,7 @@
 
 // worstLosses plays one seed: in each round a member is replaced, and the worst losses
 // strike at a step of it, right after or in the middle of an acknowledgement.
-func worstLosses(t *testing.T, seed int64, steps map[int]int) {
+func worstLosses(t *testing.T, seed int64, outcomes map[int]int) {
 	budget := 1 + int(seed%2)
 	fleet := newSimFleetOf(t, seed, 2*budget+4, budget, 2*budget+1)
 	fleet.world.Loss, fleet.world.Double = 0.03, 0.03
@@ -204,7 +204,7 @@
 		}
 		lost := change.victims(step)
 		fleet.strike(lost, round)
-		steps[step]++
+		outcomes[step]++
 		fleet.takeAny()
 		fleet.untilTold()
 		fleet.mend(lost)
@@ -216,14 +216,14 @@
 // LEMONARCH_SEEDS sets the number of seeds.
 func TestSetChangesUnderWorstLosses(t *testing.T) {
 	seeds := int64(simulation.Seeds(200))
-	steps := map[int]int{}
+	outcomes := map[int]int{}
 	for seed := int64(1); seed <= seeds; seed++ {
-		worstLosses(t, seed, steps)
+		worstLosses(t, seed, outcomes)
 	}
 	for step := 0; step < stepCount; step++ {
-		if int64(steps[step]) < seeds/4 {
-			t.Fatal("too few losses at a step: ", steps)
+		if int64(outcomes[step]) < seeds/4 {
+			t.Fatal("too few losses at a step: ", outcomes)
 		}
 	}
-	t.Log("losses by step: ", steps)
+	t.Log("losses by step: ", outcomes)
 }
--- a/internal/batch/store/lotjson_test.go
+++ b/internal/batch/store/lotjson_test.go
@@ -32,7 +32,7 @@
 	b.SetBytes(int64(len(call.Body)))
 	b.ReportAllocs()
 	for b.Loop() {
-		lot := lotJSON{}
+		lot := jobJSON{}
 		if err := json.Unmarshal(call.Body, &lot); err != nil {
 			b.Fatal(err)
 		}
@@ -44,9 +44,9 @@
 	b.SetBytes(int64(len(call.Body)))
 	b.ReportAllocs()
 	for b.Loop() {
-		body, _, _, why := readLotJSON(call)
+		body, _, _, reason := parseJob(call)
 		if body == nil {
-			b.Fatal(why)
+			b.Fatal(reason)
 		}
 		if _, err := body.MarshalMsg(nil); err != nil {
 			b.Fatal(err)
@@ -56,16 +56,16 @@
 
 // What can't be read whole is refused by either reader, and what can is the same.
 func TestReaderOfLots(t *testing.T) {
-	whole := string(largeLot(2).Body)
-	texts := []string{whole, "", "{", "[]", "null", "{}", whole + "x", whole[:len(whole)-1], whole[:200],
-		strings.Replace(whole, `"tokens":940`, `"tokens":9.4`, 1), strings.Replace(whole, `"tokens":940`, `"tokens":"9"`, 1),
-		strings.Replace(whole, `"body":"`, `"body":"*`, 1), strings.Replace(whole, `"id":"`, `"id":3,"x":"`, 1),
-		strings.Replace(whole, `"headers":{`, `"headers":[`, 1), strings.Replace(whole, `"headers":{`, `"headers":{"a":null,`, 1),
-		strings.Replace(whole, `"id":"`, `"id":"\u00e9\n`, 1), strings.Replace(whole, `"tokens":940`, `"tokens":99999999999999999999`, 1)}
+	complete := string(largeLot(2).Body)
+	texts := []string{complete, "", "{", "[]", "null", "{}", complete + "x", complete[:len(complete)-1], complete[:200],
+		strings.Replace(complete, `"tokens":940`, `"tokens":9.4`, 1), strings.Replace(complete, `"tokens":940`, `"tokens":"9"`, 1),
+		strings.Replace(complete, `"body":"`, `"body":"*`, 1), strings.Replace(complete, `"id":"`, `"id":3,"x":"`, 1),
+		strings.Replace(complete, `"headers":{`, `"headers":[`, 1), strings.Replace(complete, `"headers":{`, `"headers":{"a":null,`, 1),
+		strings.Replace(complete, `"id":"`, `"id":"\u00e9\n`, 1), strings.Replace(complete, `"tokens":940`, `"tokens":99999999999999999999`, 1)}
 	for _, text := range texts {
-		standard := lotJSON{}
+		standard := jobJSON{}
 		err := json.Unmarshal([]byte(text), &standard)
-		body, tokens, _, why := readLotJSON(&messages.JobCallRequest{Path: "/b/", Body: []byte(text)})
+		body, tokens, _, reason := parseJob(&messages.JobCallRequest{Path: "/b/", Body: []byte(text)})
 		if err != nil || len(standard.Requests) == 0 {
 			if body != nil {
 				t.Errorf("taken, although unreadable: %.60q", text)
@@ -77,7 +77,7 @@
 			sum += found.Tokens
 		}
 		if body == nil || tokens != sum || len(body.Items) != len(standard.Requests) {
-			t.Errorf("%.60q: %s", text, why)
+			t.Errorf("%.60q: %s", text, reason)
 			continue
 		}
 		for i, found := range standard.Requests {
--- a/internal/batch/store/lots_test.go
+++ b/internal/batch/store/lots_test.go
@@ -100,15 +100,15 @@
 }
 
 // swapBegin has the holder send everything to a newcomer.
-func (s *simFleet) swapBegin(newcomer messages.Member) {
-	if s.holder.next[register.Identity(newcomer)] == 0 {
-		s.holder.next[register.Identity(newcomer)] = 1
-		s.holder.feed(newcomer)
+func (s *simFleet) swapBegin(joiner messages.Member) {
+	if s.holder.next[register.Identity(joiner)] == 0 {
+		s.holder.next[register.Identity(joiner)] = 1
+		s.holder.feed(joiner)
 	}
 }
 
 // swap replaces a member by another store, as the holder's changeSet does.
-func (s *simFleet) swap(out, newcomer messages.Member) {
+func (s *simFleet) swap(out, joiner messages.Member) {
 	holder := s.holder
 	var next []messages.Member
 	for _, member := range s.set {
@@ -116,18 +116,18 @@
 			next = append(next, member)
 		}
 	}
-	next = append(next, newcomer)
-	s.swapBegin(newcomer)
+	next = append(next, joiner)
+	s.swapBegin(joiner)
 	target := holder.press.Last()
-	for try := 0; try < 200 && holder.press.MatchOf(register.Identity(newcomer)) < target; try++ {
+	for try := 0; try < 200 && holder.press.MatchIndex(register.Identity(joiner)) < target; try++ {
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(30)))
 	}
 	holder.press.Next = next
 	index := holder.submit(messages.Record{Kind: messages.RecordNoop})
-	for try := 0; try < 200 && holder.press.Done() < index; try++ {
+	for try := 0; try < 200 && holder.press.CommitIndex() < index; try++ {
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(30)))
 	}
-	if holder.press.Done() < index {
+	if holder.press.CommitIndex() < index {
 		s.test.Fatal("both sets never agreed")
 	}
 	s.set = next
@@ -135,7 +135,7 @@
 }
 
 func TestLotsUnderTrouble(t *testing.T) {
-	told := 0
+	announcement := 0
 	for seed := int64(1); seed <= int64(simulation.Seeds(60)); seed++ {
 		fleet := newSimFleet(t, seed, 4)
 		fleet.world.Loss, fleet.world.Double = 0.05, 0.05
@@ -223,10 +223,10 @@
 			fleet.open(store)
 		}
 		fleet.takeAny()
-		told += fleet.tellings
+		announcement += fleet.tellings
 	}
-	if told < 1000 {
-		t.Fatalf("only %d results were told in all", told)
+	if announcement < 1000 {
+		t.Fatalf("only %d results were told in all", announcement)
 	}
 }
 
--- a/internal/batch/store/mending_test.go
+++ b/internal/batch/store/mending_test.go
@@ -12,7 +12,7 @@
 // What is nearest to loss is mended first, and what can't be mended holds nothing up.
 func TestOrderOfMending(t *testing.T) {
 	server := soleLocker(t, simulation.NewDisk(3))
-	server.begun = clock.Now().Add(-clock.Duration(constants.ReplaceAfter) * 2)
+	server.startedAt = clock.Now().Add(-clock.Duration(constants.ReplaceAfter) * 2)
 	server.Node.Settings.FaultBudget.Machines = 1
 	member := func(name string) messages.Member {
 		return messages.Member{Name: name, Address: name, Disk: name, Zone: name}
--- a/internal/batch/store/overload_test.go
+++ b/internal/batch/store/overload_test.go
@@ -80,16 +80,16 @@
 				t.Fatalf("seed %d: live request %d ended %d times", seed, number, cluster.live[number])
 			}
 		}
-		lotList := cluster.holder.book.Lots()
-		if len(lotList) == 0 {
+		jobs := cluster.holder.book.Jobs()
+		if len(jobs) == 0 {
 			t.Fatalf("seed %d: no lots", seed)
 		}
-		for _, lot := range lotList {
-			if len(lot.Listings) != lot.Sum() {
-				t.Fatalf("seed %d: lot %s lists %d of %d", seed, lot.ID, len(lot.Listings), lot.Sum())
+		for _, job := range jobs {
+			if len(job.Listings) != job.Total() {
+				t.Fatalf("seed %d: lot %s lists %d of %d", seed, job.ID, len(job.Listings), job.Total())
 			}
 			listed := map[string]int{}
-			for _, listing := range lot.Listings {
+			for _, listing := range job.Listings {
 				listed[listing.Item]++
 				record, err := cluster.stores[cluster.holder.at].store.Read(listing.Index)
 				if err != nil {
--- a/internal/batch/store/pace.go
+++ b/internal/batch/store/pace.go
@@ -11,15 +11,15 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// pace follows how quickly this machine works: the time of a fixed piece of work,
+// slowness follows how quickly this machine works: the time of a fixed piece of work,
 // against the shortest that it ever took here. A step function without a clock.
-type pace struct {
+type slowness struct {
 	best   clock.Duration
 	recent []clock.Duration
 }
 
 // note takes a new time. A single long one says nothing: the collector may have run.
-func (p *pace) note(took clock.Duration) {
+func (p *slowness) note(took clock.Duration) {
 	if took <= 0 {
 		return
 	}
@@ -33,20 +33,22 @@
 }
 
 // slow tells whether even the shortest of the latest times is far above the best.
-func (p *pace) slow() bool {
+func (p *slowness) slow() bool {
 	return len(p.recent) >= constants.SlownessWindow && slices.Min(p.recent) > constants.SlownessFactor*p.best
 }
 
-// lags follows, for the holder, how long each store takes over an order to append.
-type lags struct {
+// appendLatency follows, for the holder, how long each store takes over an order to append.
+type appendLatency struct {
 	means map[string]float64
 	count map[string]int
 }
 
-func newLags() lags { return lags{means: map[string]float64{}, count: map[string]int{}} }
+func newAppendLatency() appendLatency {
+	return appendLatency{means: map[string]float64{}, count: map[string]int{}}
+}
 
 // note takes a new time of a store, in ms.
-func (l *lags) note(identity string, took float64) {
+func (l *appendLatency) note(identity string, took float64) {
 	l.count[identity]++
 	if l.count[identity] == 1 {
 		l.means[identity] = took
@@ -58,7 +60,7 @@
 // behind tells whether a store's disk is far slower than the usual one of the
 // others. Its own disk answers a holder without a link in between, so a long time
 // is the disk's.
-func (l *lags) behind(identity string) bool {
+func (l *appendLatency) behind(identity string) bool {
 	var others []float64
 	for name, mean := range l.means {
 		if name != identity && l.count[name] >= constants.LagLeast {
@@ -83,30 +85,30 @@
 	return clock.Now().Sub(start)
 }
 
-// pacing measures this machine now and then.
-func (s *Server) pacing() {
+// measureSlowness measures this machine now and then.
+func (s *Server) measureSlowness() {
 	clock.Every(constants.SlownessPeriod, s.Node.Stop, func() {
 		took := measure()
 		s.lock.Lock()
-		s.pace.note(took)
+		s.slowness.note(took)
 		s.lock.Unlock()
 	})
 }
 
-// reportPace says whether this machine is slow now: whoever looks for a store to
+// reportSlowness says whether this machine is slow now: whoever looks for a store to
 // copy everything to asks it first.
-func (s *Server) reportPace() *messages.StatusResponse {
+func (s *Server) reportSlowness() *messages.StatusResponse {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	word := "usual"
-	if s.pace.slow() {
+	if s.slowness.slow() {
 		word = "slow"
 	}
-	return &messages.StatusResponse{Columns: []string{"pace", "best-us"}, Rows: [][]string{{word, number(s.pace.best.Microseconds())}}}
+	return &messages.StatusResponse{Columns: []string{"pace", "best-us"}, Rows: [][]string{{word, number(s.slowness.best.Microseconds())}}}
 }
 
-// sluggish asks a machine that stands by; silence counts as slow.
-func (s *Server) sluggish(member messages.Member) bool {
+// isSlow asks a machine that stands by; silence counts as slow.
+func (s *Server) isSlow(member messages.Member) bool {
 	resp := &messages.StatusResponse{}
 	err := transport.Call(s.Node.Transport, member.Address, messages.KindStatus, &messages.StatusRequest{Query: "pace"}, resp, constants.RoundTimeout)
 	if err != nil {
@@ -115,11 +117,11 @@
 	return len(resp.Rows) == 1 && len(resp.Rows[0]) > 0 && resp.Rows[0][0] == "slow"
 }
 
-// lagged notes how long a store took over an order.
-func (t *term) lagged(identity string, took clock.Duration) {
+// noteAppendLatency notes how long a store took over an order.
+func (t *term) noteAppendLatency(identity string, took clock.Duration) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	t.lags.note(identity, clock.ToMilliseconds(took))
+	t.appendLatency.note(identity, clock.ToMilliseconds(took))
 }
 
 // tooSlow tells whether the holder should give its duty up: its machine or its disk
@@ -128,25 +130,25 @@
 func (t *term) tooSlow(now clock.Instant) bool {
 	server := t.server
 	t.lock.Lock()
-	disk := t.lags.behind(register.Identity(server.member()))
-	alone := len(t.press.Members) < 2
+	disk := t.appendLatency.behind(register.Identity(server.member()))
+	alone := len(t.replicator.Members) < 2
 	t.lock.Unlock()
 	server.lock.Lock()
 	defer server.lock.Unlock()
-	if alone || !(disk || server.pace.slow()) || (server.gaveUp > 0 && now.Sub(server.gaveUp) < constants.ResignBackoff) {
+	if alone || !(disk || server.slowness.slow()) || (server.resignedAt > 0 && now.Sub(server.resignedAt) < constants.ResignBackoff) {
 		return false
 	}
-	server.gaveUp = now
+	server.resignedAt = now
 	return true
 }
 
-// defers tells whether this process leaves the duty to others for now: it has just
+// yields tells whether this process leaves the duty to others for now: it has just
 // given it up, or its machine is slow and it has not held back for long.
-func (s *Server) defers(now clock.Instant) bool {
+func (s *Server) yields(now clock.Instant) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if s.pace.slow() && (s.gaveUp == 0 || now.Sub(s.gaveUp) >= constants.ResignBackoff) {
-		s.gaveUp = now
+	if s.slowness.slow() && (s.resignedAt == 0 || now.Sub(s.resignedAt) >= constants.ResignBackoff) {
+		s.resignedAt = now
 	}
-	return s.gaveUp > 0 && now.Sub(s.gaveUp) < constants.YieldTime
+	return s.resignedAt > 0 && now.Sub(s.resignedAt) < constants.YieldTime
 }
--- a/internal/batch/store/pace_test.go
+++ b/internal/batch/store/pace_test.go
@@ -17,7 +17,7 @@
 // longer at a stretch does, and it ends with the trouble.
 func TestPaceOfAMachine(t *testing.T) {
 	for seed := int64(1); seed <= 50; seed++ {
-		random, p := rand.New(rand.NewSource(seed)), &pace{}
+		random, p := rand.New(rand.NewSource(seed)), &slowness{}
 		took := func(factor float64) clock.Duration {
 			noise := 1 + 0.4*random.Float64()
 			if random.Intn(6) == 0 {
@@ -48,7 +48,7 @@
 }
 
 func TestLagOfADisk(t *testing.T) {
-	lags := newLags()
+	lags := newAppendLatency()
 	for round := 0; round < 20; round++ {
 		lags.note("own", 5)
 		lags.note("a", 7)
@@ -73,7 +73,7 @@
 	if lags.behind("own") {
 		t.Fatal("as slow as the others, yet called slow")
 	}
-	few := newLags()
+	few := newAppendLatency()
 	few.note("own", 500)
 	few.note("a", 1)
 	if few.behind("own") {
@@ -83,10 +83,10 @@
 
 // slowDown makes a machine look slow to itself.
 func slowDown(server *Server) {
-	server.pace = pace{}
-	server.pace.note(10_000)
+	server.slowness = slowness{}
+	server.slowness.note(10_000)
 	for step := 0; step < constants.SlownessWindow; step++ {
-		server.pace.note(90_000)
+		server.slowness.note(90_000)
 	}
 }
 
@@ -98,14 +98,14 @@
 	other := messages.Member{Name: "o", Address: "o", Disk: "o"}
 	term := newTerm(server, messages.Leadership{Holder: "m", Epoch: 1}, []messages.Member{own, other}, 1)
 	now := clock.Instant(1_000_000_000)
-	if term.tooSlow(now) || server.defers(now) {
+	if term.tooSlow(now) || server.yields(now) {
 		t.Fatal("gave up without a cause")
 	}
 	slowDown(server)
 	if !term.tooSlow(now) || term.tooSlow(now.Add(clock.Milliseconds(100))) {
 		t.Fatal("gives up never, or again at once")
 	}
-	if !server.defers(now.Add(constants.YieldTime/2)) || server.defers(now.Add(constants.YieldTime)) {
+	if !server.yields(now.Add(constants.YieldTime/2)) || server.yields(now.Add(constants.YieldTime)) {
 		t.Fatal("does not hold back, or for too long")
 	}
 	if !term.tooSlow(now.Add(constants.ResignBackoff)) {
@@ -117,10 +117,10 @@
 		t.Fatal("nobody is there to take it")
 	}
 	// A slow disk is a cause as well.
-	server.pace = pace{}
+	server.slowness = slowness{}
 	for round := 0; round < 10; round++ {
-		term.lagged(register.Identity(own), clock.Milliseconds(60))
-		term.lagged(register.Identity(other), clock.Milliseconds(6))
+		term.noteAppendLatency(register.Identity(own), clock.Milliseconds(60))
+		term.noteAppendLatency(register.Identity(other), clock.Milliseconds(6))
 	}
 	if !term.tooSlow(now.Add(5 * constants.ResignBackoff)) {
 		t.Fatal("kept its duty on a slow disk")
@@ -130,13 +130,13 @@
 // Repair takes no slow or silent store for a newcomer, and no member for gone that
 // still answers.
 func TestRepairChoosesAQuickStore(t *testing.T) {
-	server, room := soleLocker(t, simulation.NewDisk(9)), transport.NewMemoryNetwork()
-	server.Node.Transport = room.Transport("m")
+	server, freeCapacity := soleLocker(t, simulation.NewDisk(9)), transport.NewMemoryNetwork()
+	server.Node.Transport = freeCapacity.Transport("m")
 	server.Node.Settings.FaultBudget.Machines = 1
-	server.begun -= 60_000_000_000
+	server.startedAt -= 60_000_000_000
 	words := map[string]string{"s1": "slow", "s2": "usual"}
 	serve := func(name string) {
-		_ = room.Transport(name).Serve(func(messages.Kind, []byte) ([]byte, error) {
+		_ = freeCapacity.Transport(name).Serve(func(messages.Kind, []byte) ([]byte, error) {
 			return transport.Encode(&messages.StatusResponse{Rows: [][]string{{words[name], "9"}}})
 		})
 	}
@@ -151,21 +151,21 @@
 		}
 		return known
 	}
-	out, newcomer := server.quickChange(members, entries(), map[string]bool{})
-	if out == nil || out.Name != "gone" || newcomer == nil || newcomer.Name != "s2" {
-		t.Fatal(out, newcomer)
+	out, joiner := server.nextResponsiveChange(members, entries(), map[string]bool{})
+	if out == nil || out.Name != "gone" || joiner == nil || joiner.Name != "s2" {
+		t.Fatal(out, joiner)
 	}
 	words["s2"] = "slow"
-	if _, newcomer = server.quickChange(members, entries(), map[string]bool{}); newcomer != nil {
-		t.Fatal("took a slow store: ", newcomer.Name)
+	if _, joiner = server.nextResponsiveChange(members, entries(), map[string]bool{}); joiner != nil {
+		t.Fatal("took a slow store: ", joiner.Name)
 	}
 	words["s2"] = "usual"
 	serve("gone")
-	if out, newcomer = server.quickChange(members, entries(), map[string]bool{}); newcomer != nil {
+	if out, joiner = server.nextResponsiveChange(members, entries(), map[string]bool{}); joiner != nil {
 		t.Fatal("replaced a member that answers: ", out.Name)
 	}
 	// One that is to be emptied goes although it answers.
-	if out, newcomer = server.quickChange(members, entries(), map[string]bool{"gone": true}); newcomer == nil || out.Name != "gone" {
-		t.Fatal(out, newcomer)
+	if out, joiner = server.nextResponsiveChange(members, entries(), map[string]bool{"gone": true}); joiner == nil || out.Name != "gone" {
+		t.Fatal(out, joiner)
 	}
 }
--- a/internal/batch/store/pack.go
+++ b/internal/batch/store/pack.go
@@ -13,41 +13,41 @@
 // ErrCorruptOutput is the error of an output whose text can't be unpacked.
 var ErrCorruptOutput = errs.Define("output text")
 
-// packer is used by one run at a time: a writer holds buffers of its own.
-var packer struct {
+// compressor is used by one run at a time: a writer holds buffers of its own.
+var compressor struct {
 	sync.Mutex
 	writer *flate.Writer
 }
 
-// pack compresses an output where its run ended: its text goes over the holder's link
+// compress compresses an output where its run ended: its text goes over the holder's link
 // once to it and once from it to each store, and between zones. Symbols alone are
 // weighed, which costs little of a small processor. What gets no smaller stays as it is.
-func pack(text []byte) (body []byte, packed bool) {
-	if len(text) < constants.CompressMinBytes {
-		return text, false
+func compress(output []byte) (body []byte, compressed bool) {
+	if len(output) < constants.CompressMinBytes {
+		return output, false
 	}
-	packer.Lock()
-	defer packer.Unlock()
+	compressor.Lock()
+	defer compressor.Unlock()
 	var out bytes.Buffer
-	if packer.writer == nil {
-		packer.writer, _ = flate.NewWriter(&out, flate.HuffmanOnly)
+	if compressor.writer == nil {
+		compressor.writer, _ = flate.NewWriter(&out, flate.HuffmanOnly)
 	} else {
-		packer.writer.Reset(&out)
+		compressor.writer.Reset(&out)
 	}
-	if _, err := packer.writer.Write(text); err != nil {
-		return text, false
+	if _, err := compressor.writer.Write(output); err != nil {
+		return output, false
 	}
-	if packer.writer.Close() != nil || out.Len() >= len(text) {
-		return text, false
+	if compressor.writer.Close() != nil || out.Len() >= len(output) {
+		return output, false
 	}
 	return out.Bytes(), true
 }
 
-// unpack gives the text of an output back.
-func unpack(body []byte, packed bool) ([]byte, error) {
-	if !packed {
+// decompress gives the text of an output back.
+func decompress(body []byte, compressed bool) ([]byte, error) {
+	if !compressed {
 		return body, nil
 	}
-	text, err := io.ReadAll(flate.NewReader(bytes.NewReader(body)))
-	return text, ErrCorruptOutput.Wrap(err, "unpack")
+	output, err := io.ReadAll(flate.NewReader(bytes.NewReader(body)))
+	return output, ErrCorruptOutput.Wrap(err, "unpack")
 }
--- a/internal/batch/store/pack_test.go
+++ b/internal/batch/store/pack_test.go
@@ -13,27 +13,27 @@
 func TestPackedTextComesBack(t *testing.T) {
 	random := rand.New(rand.NewSource(7))
 	for round := 0; round < 300; round++ {
-		text := make([]byte, random.Intn(9000))
+		output := make([]byte, random.Intn(9000))
 		requests := 1 + random.Intn(256)
-		for i := range text {
-			text[i] = byte(random.Intn(requests))
+		for i := range output {
+			output[i] = byte(random.Intn(requests))
 		}
-		body, packed := pack(text)
-		if len(body) > len(text) {
-			t.Fatal("longer: ", len(body), len(text))
+		body, compressed := compress(output)
+		if len(body) > len(output) {
+			t.Fatal("longer: ", len(body), len(output))
 		}
-		if packed && len(text) < constants.CompressMinBytes {
-			t.Fatal("packed though short: ", len(text))
+		if compressed && len(output) < constants.CompressMinBytes {
+			t.Fatal("packed though short: ", len(output))
 		}
-		if requests <= 32 && len(text) > 2000 && !packed {
-			t.Fatal("not packed: ", requests, len(text))
+		if requests <= 32 && len(output) > 2000 && !compressed {
+			t.Fatal("not packed: ", requests, len(output))
 		}
-		resp, err := unpack(body, packed)
-		if err != nil || !bytes.Equal(resp, text) {
-			t.Fatal(err, len(resp), len(text))
+		resp, err := decompress(body, compressed)
+		if err != nil || !bytes.Equal(resp, output) {
+			t.Fatal(err, len(resp), len(output))
 		}
-		if packed {
-			if cut, err := unpack(body[:len(body)/2], true); err == nil {
+		if compressed {
+			if cut, err := decompress(body[:len(body)/2], true); err == nil {
 				t.Fatal("half a text was given out: ", len(cut))
 			}
 		}
--- a/internal/batch/store/place.go
+++ b/internal/batch/store/place.go
@@ -12,13 +12,13 @@
 	"lemonarch/internal/traffic/prefixindex"
 )
 
-// ownership is which workers this process places items at. Each worker is owned by
+// workerOwnership is which workers this process places items at. Each worker is owned by
 // one store as far as the stores see each other: of those in its zone, else of
 // all, the one with the highest hash. So drivers need not agree on each place, and a
 // driver that sees few others owns more.
-type ownership struct {
-	at         clock.Instant
-	workerList map[string]bool
+type workerOwnership struct {
+	at      clock.Instant
+	workers map[string]bool
 }
 
 // owner picks the owner of a worker among stores (name to zone).
@@ -43,81 +43,81 @@
 	return best
 }
 
-// own gives the workers that are ours now.
-func (d *driver) own(now clock.Instant) map[string]bool {
+// ownedWorkers gives the workers that are ours now.
+func (d *executorLoop) ownedWorkers(now clock.Instant) map[string]bool {
 	d.lock.Lock()
-	if d.owned.workerList != nil && d.owned.at > 0 && now.Sub(d.owned.at) < constants.OwnedWorkersPeriod {
+	if d.ownership.workers != nil && d.ownership.at > 0 && now.Sub(d.ownership.at) < constants.OwnedWorkersPeriod {
 		defer d.lock.Unlock()
-		return d.owned.workerList
+		return d.ownership.workers
 	}
 	d.lock.Unlock()
 	runtime := d.server.Node
 	stores := map[string]string{runtime.Self.Name: runtime.Self.Zone}
-	if !d.shared(stores, now) {
+	if !d.addExecutors(stores, now) {
 		for _, entry := range runtime.Live(membership.RoleStore) {
 			if !entry.Draining {
 				stores[entry.Name] = entry.Zone
 			}
 		}
 	}
-	workerList := map[string]bool{}
+	workers := map[string]bool{}
 	for _, worker := range d.server.Gossip.Scheduler.Workers(now) {
 		if owner(worker.ID, worker.Zone, stores) == runtime.Self.Name {
-			workerList[worker.ID] = true
+			workers[worker.ID] = true
 		}
 	}
-	d.server.Gossip.Scheduler.SetBulkOwn(workerList)
+	d.server.Gossip.Scheduler.SetBulkOwn(workers)
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	d.owned = ownership{now, workerList}
-	return workerList
+	d.ownership = workerOwnership{now, workers}
+	return workers
 }
 
-// known is the version of the list of drivers that we have.
-func (d *driver) known() uint64 {
+// knownVersion is the version of the list of drivers that we have.
+func (d *executorLoop) knownVersion() uint64 {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return d.version
 }
 
-// listed takes the dispatcher's list of drivers, which comes where it is new.
-func (d *driver) listed(version uint64, drivers []messages.ExecutorInfo, now clock.Instant) {
+// updateExecutors takes the dispatcher's list of drivers, which comes where it is new.
+func (d *executorLoop) updateExecutors(version uint64, executors []messages.ExecutorInfo, now clock.Instant) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	if version > d.version {
-		d.version, d.drivers, d.owned.at = version, drivers, 0
+		d.version, d.executors, d.ownership.at = version, executors, 0
 	}
-	d.driversAt = now
+	d.executorsAt = now
 }
 
-// shared adds the drivers on the dispatcher's list; false when it is old. The
+// addExecutors adds the drivers on the dispatcher's list; false when it is old. The
 // dispatcher hears every driver twice a second, well before others take it for
 // silent.
-func (d *driver) shared(stores map[string]string, now clock.Instant) bool {
+func (d *executorLoop) addExecutors(stores map[string]string, now clock.Instant) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	if d.version == 0 || now.Sub(d.driversAt) >= constants.SuspectAfter {
+	if d.version == 0 || now.Sub(d.executorsAt) >= constants.SuspectAfter {
 		return false
 	}
-	for _, info := range d.drivers {
+	for _, info := range d.executors {
 		stores[info.Name] = info.Zone
 	}
 	return true
 }
 
-// room is how many items to ask for: one for each worker of ours with a place left,
+// freeCapacity is how many items to ask for: one for each worker of ours with a place left,
 // beside those that wait already.
-func (d *driver) room() []messages.ServiceCapacity {
+func (d *executorLoop) freeCapacity() []messages.ServiceCapacity {
 	config, now := d.server.Node.Config(), clock.Now()
 	if config == nil {
 		return nil
 	}
-	own := d.own(now)
+	owned := d.ownedWorkers(now)
 	d.lock.Lock()
 	all, waiting := d.core.Count()
-	leaving := d.leaving
+	draining := d.draining
 	d.lock.Unlock()
-	if leaving || all >= constants.RunningItemsMax {
+	if draining || all >= constants.RunningItemsMax {
 		return nil
 	}
 	counts := map[string]int{}
@@ -127,23 +127,23 @@
 			continue
 		}
 		for _, service := range route.Services() {
-			free := d.server.Gossip.Scheduler.BulkRoom(&admission.Ask{Service: service, Bulk: true, Priority: route.Priority, Among: own}, now)
+			free := d.server.Gossip.Scheduler.BulkRoom(&admission.Ask{Service: service, Bulk: true, Priority: route.Priority, Among: owned}, now)
 			counts[service] = max(counts[service], free)
 		}
 	}
-	var room []messages.ServiceCapacity
+	var freeCapacity []messages.ServiceCapacity
 	for service, count := range counts {
 		if count > waiting {
-			room = append(room, messages.ServiceCapacity{Service: service, Count: count - waiting})
+			freeCapacity = append(freeCapacity, messages.ServiceCapacity{Service: service, Count: count - waiting})
 		}
 	}
-	return room
+	return freeCapacity
 }
 
 // place finds workers for what waits. What finds none for a while goes back.
-func (d *driver) place() {
+func (d *executorLoop) place() {
 	now := clock.Now()
-	own := d.own(now)
+	owned := d.ownedWorkers(now)
 	d.lock.Lock()
 	waiting := d.waiting
 	d.waiting = nil
@@ -153,7 +153,7 @@
 	}
 	var left []*itemdriver.Task
 	for _, task := range waiting {
-		if !d.begin(task, own, now) {
+		if !d.start(task, owned, now) {
 			left = append(left, task)
 		}
 	}
@@ -162,31 +162,31 @@
 	d.lock.Unlock()
 }
 
-// begin starts a task at a worker or gives it back; false while it waits on.
-func (d *driver) begin(task *itemdriver.Task, own map[string]bool, now clock.Instant) bool {
+// start starts a task at a worker or gives it back; false while it waits on.
+func (d *executorLoop) start(task *itemdriver.Task, owned map[string]bool, now clock.Instant) bool {
 	route := itemRoute(d.server.Node.Config(), task.Item)
 	d.lock.Lock()
-	unfit := d.leaving || !task.May(now) || now.Sub(task.Since) > constants.PlacementWait
+	unfit := d.draining || !task.MayRun(now) || now.Sub(task.Since) > constants.PlacementWait
 	d.lock.Unlock()
 	if route == nil || unfit {
-		d.giveBack(task)
+		d.releaseUnstarted(task)
 		return true
 	}
 	item := task.Item
-	ask := &admission.Ask{Service: route.Choose(clock.Float64()), Affine: route.Affine, Bulk: true, Priority: route.Priority, Setpoint: route.Setpoint(), Among: own,
+	demand := &admission.Ask{Service: route.Choose(clock.Float64()), Affine: route.Affine, Bulk: true, Priority: route.Priority, Setpoint: route.Setpoint(), Among: owned,
 		Prompt: prefixindex.ParsePrompt(item.Headers["Lemonarch-Model"], item.Headers["Lemonarch-Token-Count"], item.Headers["Lemonarch-Prompt-Prefix"])}
-	resp, _ := d.server.Gossip.Scheduler.Admit(ask, nil, now)
+	resp, _ := d.server.Gossip.Scheduler.Admit(demand, nil, now)
 	if resp.Verdict != admission.VerdictGranted {
 		return false
 	}
 	d.lock.Lock()
-	may := task.May(clock.Now()) && !d.leaving
-	task.Begun = may
-	owed, displaceable := item.Owed, item.Displaced < constants.PreemptionLimit
+	may := task.MayRun(clock.Now()) && !d.draining
+	task.Started = may
+	owed, displaceable := item.OwedResume, item.Preempted < constants.PreemptionLimit
 	d.lock.Unlock()
 	if !may {
 		resp.Grant.End(admission.ResultCalledOff, now)
-		d.giveBack(task)
+		d.releaseUnstarted(task)
 		return true
 	}
 	if owed {
@@ -195,15 +195,15 @@
 	if displaceable {
 		resp.Grant.MayYield(func() { d.yield(task) })
 	}
-	go d.drive(route, task, resp.Grant)
-	ring(d.bell)
+	go d.run(route, task, resp.Grant)
+	signal(d.wake)
 	return true
 }
 
-// giveBack releases an item that was not begun.
-func (d *driver) giveBack(task *itemdriver.Task) {
+// releaseUnstarted releases an item that was not begun.
+func (d *executorLoop) releaseUnstarted(task *itemdriver.Task) {
 	d.lock.Lock()
-	task.Item.SetBack(task.Run)
+	task.Item.Requeue(task.Run)
 	d.lock.Unlock()
 	d.done(task, messages.Acknowledgement{Kind: messages.AckRelease, NotStarted: true})
 }
