--- a/internal/batch/store/promise_test.go
+++ b/internal/batch/store/promise_test.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	response, err := server.lotCall(body)
+	response, err := server.handleJobCall(body)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,7 +45,7 @@
 	if resp := put(t, term.server, &messages.JobCallRequest{Method: "DELETE", Job: "full"}); resp.Status != 200 {
 		t.Fatal(resp.Status)
 	}
-	if resp := put(t, term.server, late); resp.Status != 504 || term.book.Lot("late") != nil {
+	if resp := put(t, term.server, late); resp.Status != 504 || term.jobs.Job("late") != nil {
 		t.Fatal("a refused question was taken: ", resp.Status)
 	}
 	late.RequestID = "f#3"
@@ -53,14 +53,14 @@
 		t.Fatal(resp.Status)
 	}
 	// Sent on by one that held nothing, then met by the same process as the holder.
-	term.end("another takes over")
+	term.close("another takes over")
 	moved := lotCallOf("moved", 2)
 	moved.RequestID = "f#4"
 	if resp := put(t, term.server, moved); !resp.NotLeader {
 		t.Fatal(resp.Status)
 	}
 	next := rule(t, term.server, 2)
-	if resp := put(t, term.server, moved); resp.Status != 504 || next.book.Lot("moved") != nil {
+	if resp := put(t, term.server, moved); resp.Status != 504 || next.jobs.Job("moved") != nil {
 		t.Fatal("a question that was sent on was taken: ", resp.Status)
 	}
 }
@@ -92,8 +92,8 @@
 			t.Error("two outcomes of ", ask)
 		}
 	}
-	if len(term.book.Lots()) != 3 {
-		t.Fatal(len(term.book.Lots()))
+	if len(term.jobs.Jobs()) != 3 {
+		t.Fatal(len(term.jobs.Jobs()))
 	}
 }
 
@@ -103,20 +103,20 @@
 	term := rule(t, soleLocker(t, simulation.NewDisk(6)), 1)
 	call := lotCallOf("lot", 1)
 	call.ExpiresAt = int64(clock.Now())
-	if resp := term.handIn(call); !resp.NotLeader || term.book.Lot("lot") != nil {
+	if resp := term.submitJob(call); !resp.NotLeader || term.jobs.Job("lot") != nil {
 		t.Fatal("taken after its time: ", resp.Status)
 	}
 	call.ExpiresAt = int64(clock.Now().Add(clock.Milliseconds(60_000)))
-	if resp := term.handIn(call); resp.Status != 202 {
+	if resp := term.submitJob(call); resp.Status != 202 {
 		t.Fatal(resp.Status)
 	}
 	call.ExpiresAt = int64(clock.Now())
-	if resp := term.handIn(call); resp.Status != 202 {
+	if resp := term.submitJob(call); resp.Status != 202 {
 		t.Fatal(resp.Status)
 	}
 	// The span that a frame carries is counted from its arrival.
 	slow, now := &messages.JobCallRequest{TTLMs: 60_000}, clock.Instant(7)
-	term.server.fresh(slow, now)
+	term.server.firstSeen(slow, now)
 	if expired(slow, now.Add(clock.Milliseconds(59_999))) || !expired(slow, now.Add(clock.Milliseconds(60_000))) {
 		t.Fatal(slow.ExpiresAt)
 	}
--- a/internal/batch/store/quota.go
+++ b/internal/batch/store/quota.go
@@ -9,36 +9,36 @@
 // quota knows what counts against a route beside the book: lots on their way to
 // the stores, and which route a place belongs to under the newest configuration.
 type quota struct {
-	coming map[string]coming
-	config *routeconfig.Config
-	routes map[place]*routeconfig.Route
+	pending map[string]pendingJob
+	config  *routeconfig.Config
+	routes  map[submitPath]*routeconfig.Route
 }
 
-// coming is a lot that is not durable yet.
-type coming struct {
-	place
+// pendingJob is a lot that is not durable yet.
+type pendingJob struct {
+	submitPath
 	tokens int64
 }
 
-// place is where a lot was handed in.
-type place struct{ host, path string }
+// submitPath is where a lot was handed in.
+type submitPath struct{ host, path string }
 
-// placesKept bounds the places remembered (ours): each lot may have a path of its own.
-const placesKept = 4096
+// submitPathsMax bounds the places remembered (ours): each lot may have a path of its own.
+const submitPathsMax = 4096
 
 func newQuota() quota {
-	return quota{coming: map[string]coming{}, routes: map[place]*routeconfig.Route{}}
+	return quota{pending: map[string]pendingJob{}, routes: map[submitPath]*routeconfig.Route{}}
 }
 
-// comes notes a lot that was given to the stores.
-func (q *quota) comes(call *messages.JobCallRequest, tokens int64) {
-	q.coming[call.Job] = coming{place{call.Host, call.Path}, tokens}
+// addPending notes a lot that was given to the stores.
+func (q *quota) addPending(call *messages.JobCallRequest, tokens int64) {
+	q.pending[call.Job] = pendingJob{submitPath{call.Host, call.Path}, tokens}
 }
 
 // route gives the bulk route of a place, matched once for each configuration.
-func (q *quota) route(config *routeconfig.Config, at place) *routeconfig.Route {
-	if q.config != config || len(q.routes) > placesKept {
-		q.config, q.routes = config, map[place]*routeconfig.Route{}
+func (q *quota) route(config *routeconfig.Config, at submitPath) *routeconfig.Route {
+	if q.config != config || len(q.routes) > submitPathsMax {
+		q.config, q.routes = config, map[submitPath]*routeconfig.Route{}
 	}
 	route, known := q.routes[at]
 	if !known {
@@ -48,14 +48,14 @@
 	return route
 }
 
-// waiting adds up the tokens that wait on a route, lots on their way to the
+// waitingTokens adds up the tokens that wait on a route, lots on their way to the
 // stores included. The lock is held.
-func (t *term) waiting(config *routeconfig.Config, route *routeconfig.Route) int64 {
-	total := t.book.Waiting(func(lot *lots.Lot) bool {
-		return !t.ending[lot.ID] && t.quota.route(config, place{lot.Host, lot.Path}) == route
+func (t *term) waitingTokens(config *routeconfig.Config, route *routeconfig.Route) int64 {
+	total := t.jobs.Waiting(func(job *lots.Job) bool {
+		return !t.ending[job.ID] && t.quota.route(config, submitPath{job.Host, job.Path}) == route
 	})
-	for _, coming := range t.quota.coming {
-		if t.quota.route(config, coming.place) == route {
+	for _, coming := range t.quota.pending {
+		if t.quota.route(config, coming.submitPath) == route {
 			total += coming.tokens
 		}
 	}
--- a/internal/batch/store/quota_test.go
+++ b/internal/batch/store/quota_test.go
@@ -22,18 +22,18 @@
 	}
 	term.lock.Lock()
 	defer term.lock.Unlock()
-	term.quota.comes(&messages.JobCallRequest{Host: "h", Path: "/b/1", Job: "x"}, 40)
-	term.quota.comes(&messages.JobCallRequest{Host: "h", Path: "/c/1", Job: "y"}, 7)
-	if got := term.waiting(config, first); got != 40 {
+	term.quota.addPending(&messages.JobCallRequest{Host: "h", Path: "/b/1", Job: "x"}, 40)
+	term.quota.addPending(&messages.JobCallRequest{Host: "h", Path: "/c/1", Job: "y"}, 7)
+	if got := term.waitingTokens(config, first); got != 40 {
 		t.Error(got)
 	}
-	if got := term.waiting(config, other); got != 7 {
+	if got := term.waitingTokens(config, other); got != 7 {
 		t.Error(got)
 	}
 	// The next version makes the matches of the last one worthless.
 	term.server.Node.ApplyConfig([]byte(strings.Replace(second, `"generation":1`, `"generation":3`, 1)))
 	config = term.server.Node.Config()
-	if got := term.waiting(config, routeOf(config, "h", "/b/")); got != 40 {
+	if got := term.waitingTokens(config, routeOf(config, "h", "/b/")); got != 40 {
 		t.Error(got)
 	}
 }
--- a/internal/batch/store/replay_test.go
+++ b/internal/batch/store/replay_test.go
@@ -30,7 +30,7 @@
 }
 
 // history names a store's records, read from its disk.
-func history(t *testing.T, store *Store) string {
+func history(t *testing.T, store *ReplicaLog) string {
 	last := store.Extent().Last
 	text := ""
 	for index := int64(1); index <= last; index++ {
@@ -47,7 +47,7 @@
 // them twice, and a process that reads it must not take the second for what follows.
 func TestFailedSyncLeavesNoRecordTwice(t *testing.T) {
 	disk, refuse := refusing(1)
-	store, err := OpenStore(disk, "d")
+	store, err := OpenReplicaLog(disk, "d")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	want := history(t, store)
-	again, err := OpenStore(disk, "d")
+	again, err := OpenReplicaLog(disk, "d")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,14 +79,14 @@
 // A tail that an earlier holder left is not durable, though the holder of now says
 // that so many records are: what a record says there must not be acted on.
 func TestStaleTailIsNotDurable(t *testing.T) {
-	store, err := OpenStore(simulation.NewDisk(1), "d")
+	store, err := OpenReplicaLog(simulation.NewDisk(1), "d")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, _ = store.Append(&messages.AppendRequest{Epoch: 1, Disk: "d", Records: recordsOf(1, 1, 9)})
 	resp, err := store.Append(&messages.AppendRequest{Epoch: 2, Disk: "d", PreviousIndex: 3, PreviousEpoch: 1, Records: recordsOf(1, 4, 4), CommitIndex: 9})
-	if err != nil || !resp.Granted || store.done != 4 {
-		t.Fatal(resp, err, store.done)
+	if err != nil || !resp.Granted || store.commitIndex != 4 {
+		t.Fatal(resp, err, store.commitIndex)
 	}
 }
 
@@ -95,20 +95,20 @@
 func TestRaiseIsSyncedBeforeItIsGranted(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
 		disk, refuse := refusing(seed)
-		store, err := OpenStore(disk, "d")
+		store, err := OpenReplicaLog(disk, "d")
 		if err != nil {
 			t.Fatal(err)
 		}
 		*refuse = true
-		if _, err = store.Raise(&messages.FenceRequest{Epoch: 7, Disk: "d"}); err == nil {
+		if _, err = store.Fence(&messages.FenceRequest{Epoch: 7, Disk: "d"}); err == nil {
 			t.Fatal("granted though nothing was synced")
 		}
 		*refuse = false
-		if resp, err := store.Raise(&messages.FenceRequest{Epoch: 7, Disk: "d"}); err != nil || !resp.Granted {
+		if resp, err := store.Fence(&messages.FenceRequest{Epoch: 7, Disk: "d"}); err != nil || !resp.Granted {
 			t.Fatal(resp, err)
 		}
 		disk.PowerLoss()
-		again, err := OpenStore(disk, "d")
+		again, err := OpenReplicaLog(disk, "d")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/batch/store/report.go
+++ b/internal/batch/store/report.go
@@ -15,17 +15,17 @@
 
 // reports registers what a store says to the shell.
 func (s *Server) reports() {
-	s.Node.Report("duty", s.reportDuty)
-	s.Node.Report("lots", s.reportLots)
+	s.Node.Report("duty", s.reportLeadership)
+	s.Node.Report("lots", s.reportJobs)
 	s.Node.Report("stores", s.reportStores)
-	s.Node.Report("pace", s.reportPace)
+	s.Node.Report("pace", s.reportSlowness)
 }
 
-func (s *Server) reportDuty() *messages.StatusResponse {
+func (s *Server) reportLeadership() *messages.StatusResponse {
 	status := &messages.StatusResponse{Columns: []string{"duty", "state", "epoch", "holder"}}
 	row := []string{"lots", "follows", "", ""}
 	s.lock.Lock()
-	row[2], row[3] = number(s.told.Epoch), s.told.Holder
+	row[2], row[3] = number(s.announced.Epoch), s.announced.Holder
 	s.lock.Unlock()
 	if current := s.current(); current != nil {
 		current.lock.Lock()
@@ -34,13 +34,13 @@
 			row[1] = "holds"
 		}
 		current.lock.Unlock()
-		row[2], row[3] = number(current.duty.Epoch), current.duty.Holder
+		row[2], row[3] = number(current.leadership.Epoch), current.leadership.Holder
 	}
 	status.Rows = [][]string{row}
 	return status
 }
 
-func (s *Server) reportLots() *messages.StatusResponse {
+func (s *Server) reportJobs() *messages.StatusResponse {
 	status := &messages.StatusResponse{Columns: []string{"lot", "path", "age-s", "items", "listed", "acquired", "waiting-tokens", "deliveries", "lapses", "releases", "failures", "renewals", "state"}}
 	current := s.current()
 	if current == nil {
@@ -49,16 +49,16 @@
 	now := clock.WallNanos() / 1_000_000
 	current.lock.Lock()
 	defer current.lock.Unlock()
-	for _, lot := range current.book.Lots() {
+	for _, job := range current.jobs.Jobs() {
 		state, tokens := "open", int64(0)
-		if lot.Ended {
+		if job.Ended {
 			state = "ended"
-		} else if !lot.Open() {
+		} else if !job.Open() {
 			state = "done"
 		}
 		acquired, deliveries, lapses, releases, failures, renewals := 0, 0, 0, 0, 0, 0
-		for _, item := range lot.Items {
-			if lot.Open() && item.Waits() {
+		for _, item := range job.Items {
+			if job.Open() && item.Unfinished() {
 				tokens += item.Tokens
 			}
 			if item.State == lots.ItemAcquired {
@@ -70,25 +70,25 @@
 			failures += len(item.FailedBy)
 			renewals += item.Renewals
 		}
-		status.Rows = append(status.Rows, []string{lot.ID, lot.Path, number((now - lot.SentMs) / 1000), number(lot.Sum()),
-			number(len(lot.Listings)), number(acquired), number(tokens), number(deliveries), number(lapses), number(releases), number(failures), number(renewals), state})
+		status.Rows = append(status.Rows, []string{job.ID, job.Path, number((now - job.SubmittedMs) / 1000), number(job.Total()),
+			number(len(job.Listings)), number(acquired), number(tokens), number(deliveries), number(lapses), number(releases), number(failures), number(renewals), state})
 	}
 	return status
 }
 
 func (s *Server) reportStores() *messages.StatusResponse {
 	status := &messages.StatusResponse{Columns: []string{"store", "disk", "records", "missing", "state"}}
-	last := s.Store.Extent().Last
-	status.Rows = append(status.Rows, []string{s.Node.Self.Name, s.Store.Disk(), number(last), "", "own copy"})
+	last := s.Log.Extent().Last
+	status.Rows = append(status.Rows, []string{s.Node.Self.Name, s.Log.Disk(), number(last), "", "own copy"})
 	current := s.current()
 	if current == nil {
 		return status
 	}
 	current.lock.Lock()
 	defer current.lock.Unlock()
-	for _, member := range current.press.Members {
-		match := current.press.MatchOf(register.Identity(member))
-		status.Rows = append(status.Rows, []string{member.Name, member.Disk, number(match), number(current.press.Last() - match), "in the set"})
+	for _, member := range current.replicator.Members {
+		match := current.replicator.MatchIndex(register.Identity(member))
+		status.Rows = append(status.Rows, []string{member.Name, member.Disk, number(match), number(current.replicator.Last() - match), "in the set"})
 	}
 	return status
 }
--- a/internal/batch/store/rim_test.go
+++ b/internal/batch/store/rim_test.go
@@ -26,7 +26,7 @@
 type rimRegister struct {
 	lock   sync.Mutex
 	value  messages.RegisterValue
-	grants *lease.Grants
+	grants *lease.Grantor
 }
 
 const rimRegisterAddress = "10.0.0.99:7000"
@@ -48,7 +48,7 @@
 		if err := transport.Decode(body, req); err != nil {
 			return nil, err
 		}
-		resp := r.grants.Ask(*req, r.value.Leadership, clock.Now())
+		resp := r.grants.Grant(*req, r.value.Leadership, clock.Now())
 		return transport.Encode(&resp)
 	case messages.KindRegisterChange:
 		req, done := &messages.RegisterChangeRequest{}, false
@@ -57,7 +57,7 @@
 		}
 		change := register.SetStores(req.Holder, req.Stores, &done)
 		if req.Campaign {
-			change = register.TakeDuty(req.Holder, req.ExpectEpoch, req.Stores, &done)
+			change = register.Campaign(req.Holder, req.ExpectEpoch, req.Stores, &done)
 		}
 		r.change(change)
 		return transport.Encode(&messages.RegisterResponse{Applied: done, Known: true, Value: r.value})
@@ -82,7 +82,7 @@
 
 func newRimFleet(t *testing.T, seed int64) *rimFleet {
 	fleet := &rimFleet{test: t, random: rand.New(rand.NewSource(seed)), room: transport.NewMemoryNetwork(), disks: map[string]*simulation.Disk{}, stores: map[string]*Server{}, ended: map[string]bool{}}
-	fleet.localRegister = &rimRegister{grants: lease.NewGrants(clock.Now(), true),
+	fleet.localRegister = &rimRegister{grants: lease.NewGrantor(clock.Now(), true),
 		value: messages.RegisterValue{Acceptors: []messages.Member{{Address: rimRegisterAddress, Disk: "r"}}}}
 	_ = fleet.room.Transport(rimRegisterAddress).Serve(fleet.localRegister.answer)
 	fleet.client = fleet.room.Transport("client")
@@ -109,7 +109,7 @@
 // start opens a process on the disk of its machine.
 func (r *rimFleet) start(number int, identity string) *Server {
 	name := fmt.Sprint("s", number)
-	store, err := OpenStore(r.disks[name], identity)
+	store, err := OpenReplicaLog(r.disks[name], identity)
 	if err != nil {
 		r.test.Fatal(err)
 	}
@@ -117,10 +117,10 @@
 		Seeds: []string{"10.0.0.99:80"}, HeartbeatMs: 1200, FaultBudget: settings.FaultBudget{Machines: 1}, Tolerances: settings.Tolerances{StatusS: 120, CancelMs: 3000}}
 	runtime := node.New(nodeSettings, membership.RoleStore, constants.PortStore, store.Disk(), hclog.NewNullLogger())
 	runtime.Transport = r.room.Transport(runtime.Self.Address)
-	server := &Server{Node: runtime, Gossip: loadgossip.New(runtime), Store: store, begun: clock.Now(), done: make(chan struct{})}
-	server.driver = newDriver(server)
-	server.answerers()
-	server.driverAnswerers()
+	server := &Server{Node: runtime, Gossip: loadgossip.New(runtime), Log: store, startedAt: clock.Now(), done: make(chan struct{})}
+	server.executor = newExecutorLoop(server)
+	server.registerHandlers()
+	server.registerExecutorHandlers()
 	server.reports()
 	runtime.ApplyConfig([]byte(quotaConfig))
 	if err = runtime.Transport.Serve(runtime.Dispatch); err != nil {
@@ -134,7 +134,7 @@
 
 func (r *rimFleet) stop(server *Server) {
 	if current := server.current(); current != nil {
-		current.end("stopped")
+		current.close("stopped")
 	}
 	server.Node.Shutdown()
 	server.Node.Transport.Close()
@@ -193,7 +193,7 @@
 	var found *Server
 	r.until("a holder", func() bool {
 		for _, server := range r.all() {
-			if current := server.current(); current != nil && server.holds() && current.waitServing(0) {
+			if current := server.current(); current != nil && server.holdsLease() && current.waitServing(0) {
 				found = server
 			}
 		}
@@ -204,9 +204,9 @@
 
 // work hands a lot in, ends an older one, and looks for all that was told.
 func (r *rimFleet) work() {
-	lot := fmt.Sprint("lot", len(r.taken))
-	r.call(lotCallOf(lot, 1), 202)
-	r.taken = append(r.taken, lot)
+	jobID := fmt.Sprint("lot", len(r.taken))
+	r.call(lotCallOf(jobID, 1), 202)
+	r.taken = append(r.taken, jobID)
 	// Few stay open, so that each new one fits.
 	if len(r.taken) > 2 {
 		old := r.taken[len(r.taken)-3]
@@ -222,9 +222,9 @@
 	}
 	current.lock.Lock()
 	defer current.lock.Unlock()
-	for lot := range r.ended {
-		if found := current.book.Lot(lot); found != nil && !found.Ended {
-			r.test.Fatal("an ended lot is open again: ", lot)
+	for jobID := range r.ended {
+		if found := current.jobs.Job(jobID); found != nil && !found.Ended {
+			r.test.Fatal("an ended lot is open again: ", jobID)
 		}
 	}
 }
--- a/internal/batch/store/server.go
+++ b/internal/batch/store/server.go
@@ -27,26 +27,26 @@
 type Server struct {
 	Node   *node.Node
 	Gossip *loadgossip.Gossip
-	Store  *Store
+	Log    *ReplicaLog
 
-	lock    sync.Mutex
-	hold    lease.Hold
-	turn    uint64
-	term    *term
-	value   messages.RegisterValue
-	read    clock.Instant
-	told    messages.Leadership
-	toldAt  clock.Instant
-	begun   clock.Instant
-	leaving atomic.Bool
-	driver  *driver
-	resting clock.Instant
-	done    chan struct{}
-	// once knows the hand-ins that have come, so that a second copy of one is seen.
-	once transport.Deduplicator
-	// pace is this machine's, gaveUp when it last left the duty to others for it.
-	pace   pace
-	gaveUp clock.Instant
+	lock        sync.Mutex
+	lease       lease.Hold
+	sequence    uint64
+	term        *term
+	value       messages.RegisterValue
+	lastRead    clock.Instant
+	announced   messages.Leadership
+	announcedAt clock.Instant
+	startedAt   clock.Instant
+	draining    atomic.Bool
+	executor    *executorLoop
+	yieldUntil  clock.Instant
+	done        chan struct{}
+	// deduplicator knows the hand-ins that have come, so that a second copy of one is seen.
+	deduplicator transport.Deduplicator
+	// slowness is this machine's, resignedAt when it last left the duty to others for it.
+	slowness   slowness
+	resignedAt clock.Instant
 }
 
 // New opens the disk and prepares the process.
@@ -56,15 +56,15 @@
 	}
 	var name [8]byte
 	_, _ = rand.Read(name[:])
-	store, err := OpenStore(recordlog.Directory(nodeSettings.DataDir), hex.EncodeToString(name[:]))
+	store, err := OpenReplicaLog(recordlog.Directory(nodeSettings.DataDir), hex.EncodeToString(name[:]))
 	if err != nil {
 		return nil, err
 	}
 	runtime := node.New(nodeSettings, membership.RoleStore, constants.PortStore, store.Disk(), log)
-	server := &Server{Node: runtime, Gossip: loadgossip.New(runtime), Store: store, begun: clock.Now(), done: make(chan struct{})}
-	server.driver = newDriver(server)
-	server.answerers()
-	server.driverAnswerers()
+	server := &Server{Node: runtime, Gossip: loadgossip.New(runtime), Log: store, startedAt: clock.Now(), done: make(chan struct{})}
+	server.executor = newExecutorLoop(server)
+	server.registerHandlers()
+	server.registerExecutorHandlers()
 	server.reports()
 	return server, nil
 }
@@ -77,18 +77,18 @@
 	return messages.Member{Name: own.Name, Disk: own.Disk, Address: own.Address, Zone: own.Zone}
 }
 
-func (s *Server) answerers() {
+func (s *Server) registerHandlers() {
 	runtime := s.Node
 	runtime.Handle(messages.KindFence, func(body []byte) ([]byte, error) {
 		req := &messages.FenceRequest{}
 		if err := transport.Decode(body, req); err != nil {
 			return nil, err
 		}
-		resp, err := s.Store.Raise(req)
+		resp, err := s.Log.Fence(req)
 		if err != nil {
 			return nil, err
 		}
-		s.fenced(req.Epoch)
+		s.observeEpoch(req.Epoch)
 		return transport.Encode(&resp)
 	})
 	runtime.Handle(messages.KindAppend, func(body []byte) ([]byte, error) {
@@ -96,8 +96,8 @@
 		if err := transport.Decode(body, req); err != nil {
 			return nil, err
 		}
-		s.fenced(req.Epoch)
-		resp, err := s.Store.Append(req)
+		s.observeEpoch(req.Epoch)
+		resp, err := s.Log.Append(req)
 		if err != nil {
 			runtime.Log.Error("append refused by disk", "why", err.Error())
 			return nil, err
@@ -109,7 +109,7 @@
 		if err := transport.Decode(body, req); err != nil {
 			return nil, err
 		}
-		resp, err := s.Store.Fetch(req)
+		resp, err := s.Log.Fetch(req)
 		if err != nil {
 			return nil, err
 		}
@@ -121,24 +121,24 @@
 			return nil, err
 		}
 		s.lock.Lock()
-		if announcement.Leadership.Epoch >= s.told.Epoch {
-			s.told, s.toldAt = announcement.Leadership, clock.Now()
+		if announcement.Leadership.Epoch >= s.announced.Epoch {
+			s.announced, s.announcedAt = announcement.Leadership, clock.Now()
 			if announcement.Resigned {
-				s.toldAt, s.read = 0, 0
+				s.announcedAt, s.lastRead = 0, 0
 			}
 		}
 		s.lock.Unlock()
-		s.fenced(announcement.Leadership.Epoch)
+		s.observeEpoch(announcement.Leadership.Epoch)
 		return transport.Encode(&messages.Ack{Accepted: true})
 	})
-	runtime.Handle(messages.KindJobCall, s.lotCall)
-	runtime.Handle(messages.KindCopy, s.copyFrom)
+	runtime.Handle(messages.KindJobCall, s.handleJobCall)
+	runtime.Handle(messages.KindCopy, s.handleCopy)
 }
 
-// fenced ends our own term when a later epoch is seen at work.
-func (s *Server) fenced(epoch uint64) {
-	if current := s.current(); current != nil && current.duty.Epoch < epoch {
-		current.end("a later epoch is at work")
+// observeEpoch ends our own term when a later epoch is seen at work.
+func (s *Server) observeEpoch(epoch uint64) {
+	if current := s.current(); current != nil && current.leadership.Epoch < epoch {
+		current.close("a later epoch is at work")
 	}
 }
 
@@ -146,17 +146,17 @@
 func (s *Server) current() *term {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if s.term != nil && s.term.over() {
+	if s.term != nil && s.term.closed() {
 		return nil
 	}
 	return s.term
 }
 
-// holds tells whether we may act as the holder at this moment.
-func (s *Server) holds() bool {
+// holdsLease tells whether we may act as the holder at this moment.
+func (s *Server) holdsLease() bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return s.hold.Stands(clock.Now())
+	return s.lease.Valid(clock.Now())
 }
 
 // Run serves until told to stop.
@@ -165,11 +165,11 @@
 		return err
 	}
 	s.Gossip.Start()
-	s.driver.run()
-	go s.pacing()
+	s.executor.runLoops()
+	go s.measureSlowness()
 	go s.Node.PullFirst(func() {})
 	go clock.Every(constants.GossipPeriod*2, s.Node.Stop, func() {
-		if err := s.Store.Tidy(clock.Now()); err != nil {
+		if err := s.Log.CompactIfDue(clock.Now()); err != nil {
 			s.Node.Log.Error("file not rewritten", "why", err.Error())
 		}
 	})
@@ -180,14 +180,14 @@
 
 // Shutdown gives the duty up first, so that another takes it at once.
 func (s *Server) Shutdown() {
-	s.leaving.Store(true)
+	s.draining.Store(true)
 	s.Node.Drain()
 	if current := s.current(); current != nil {
-		current.end("leaving")
-		current.giveUp()
+		current.close("leaving")
+		current.resign()
 	}
 	// What runs here goes back with its events, to whoever holds the duty next.
-	s.driver.leave()
+	s.executor.drain()
 	s.Node.Shutdown()
 	clock.Sleep(constants.TickPeriod)
 }
--- a/internal/batch/store/sets.go
+++ b/internal/batch/store/sets.go
@@ -9,20 +9,20 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// tendSet keeps the store set whole: a member that is to be emptied, that came
+// reconcileSet keeps the store set whole: a member that is to be emptied, that came
 // back with an empty disk, or that stays silent is replaced by one that first gets
 // a copy of everything.
-func (t *term) tendSet() {
+func (t *term) reconcileSet() {
 	server := t.server
-	if !server.holds() {
+	if !server.holdsLease() {
 		return
 	}
 	t.lock.Lock()
-	members, busy := t.press.Members, t.press.Next != nil
+	members, busy := t.replicator.Members, t.replicator.Next != nil
 	t.lock.Unlock()
 	if t.tooSlow(clock.Now()) {
-		t.end("this machine or its disk is slow")
-		t.giveUp()
+		t.close("this machine or its disk is slow")
+		t.resign()
 		return
 	}
 	if busy {
@@ -39,51 +39,51 @@
 	server.lock.Unlock()
 	if retired[server.Node.Self.Name] {
 		// Another has to lead the way out: this machine's copies go elsewhere.
-		t.end("this machine is to be emptied")
-		t.giveUp()
+		t.close("this machine is to be emptied")
+		t.resign()
 		return
 	}
 	entries := map[string]messages.NodeInfo{}
 	for _, entry := range server.Node.All(membership.RoleStore) {
 		entries[entry.Name] = entry
 	}
-	out, newcomer := server.quickChange(members, entries, retired)
-	if newcomer == nil {
+	out, joiner := server.nextResponsiveChange(members, entries, retired)
+	if joiner == nil {
 		return
 	}
-	swaps := []swap{{out, *newcomer}}
-	if out != nil && out.Name == newcomer.Name {
+	replacements := []replacement{{out, *joiner}}
+	if out != nil && out.Name == joiner.Name {
 		// All that came back empty take their places in one change: each second in
 		// which one of them is not whole counts against the fault budget.
-		swaps = swaps[:0]
+		replacements = replacements[:0]
 		for i := range members {
-			if resp := wiped(members[i], entries, retired); resp != nil && members[i].Name != server.Node.Self.Name {
-				swaps = append(swaps, swap{&members[i], *resp})
+			if resp := diskLost(members[i], entries, retired); resp != nil && members[i].Name != server.Node.Self.Name {
+				replacements = append(replacements, replacement{&members[i], *resp})
 			}
 		}
 	}
-	t.changeSet(members, swaps)
+	t.changeSet(members, replacements)
 }
 
-// swap puts a newcomer into a member's place, or adds it where out is nil.
-type swap struct {
+// replacement puts a newcomer into a member's place, or adds it where out is nil.
+type replacement struct {
 	out *messages.Member
 	in  messages.Member
 }
 
-// swapped gives the set after the swaps.
-func swapped(members []messages.Member, swaps []swap) []messages.Member {
+// withReplacements gives the set after the swaps.
+func withReplacements(members []messages.Member, replacements []replacement) []messages.Member {
 	next := make([]messages.Member, 0, len(members)+1)
 	for _, member := range members {
 		stays := true
-		for _, s := range swaps {
+		for _, s := range replacements {
 			stays = stays && (s.out == nil || register.Identity(member) != register.Identity(*s.out))
 		}
 		if stays {
 			next = append(next, member)
 		}
 	}
-	for _, s := range swaps {
+	for _, s := range replacements {
 		next = append(next, s.in)
 	}
 	return next
@@ -92,34 +92,34 @@
 func (s *Server) readAt() clock.Instant {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return s.read
+	return s.lastRead
 }
 
-// quickChange names the next change whose newcomer is not slow, and asks a member
+// nextResponsiveChange names the next change whose newcomer is not slow, and asks a member
 // that seems silent for a last word.
-func (s *Server) quickChange(members []messages.Member, entries map[string]messages.NodeInfo, retired map[string]bool) (out, newcomer *messages.Member) {
+func (s *Server) nextResponsiveChange(members []messages.Member, entries map[string]messages.NodeInfo, retired map[string]bool) (out, joiner *messages.Member) {
 	answering := map[string]bool{}
 	// Each further round leaves out a newcomer or a member.
 	for range len(entries) + len(members) {
-		out, newcomer = s.nextChange(members, entries, retired, answering)
+		out, joiner = s.nextChange(members, entries, retired, answering)
 		switch {
-		case newcomer == nil || (out != nil && out.Name == newcomer.Name):
-			return out, newcomer
-		case s.sluggish(*newcomer):
-			s.Node.Log.Info("store passed over as slow or silent", "store", newcomer.Name)
+		case joiner == nil || (out != nil && out.Name == joiner.Name):
+			return out, joiner
+		case s.isSlow(*joiner):
+			s.Node.Log.Info("store passed over as slow or silent", "store", joiner.Name)
 			// A store that everything must be copied to first had better be quick.
-			delete(entries, newcomer.Name)
-		case out != nil && !retired[out.Name] && !s.silent(*out):
+			delete(entries, joiner.Name)
+		case out != nil && !retired[out.Name] && !s.isSilent(*out):
 			answering[out.Name] = true
 		default:
-			return out, newcomer
+			return out, joiner
 		}
 	}
 	return nil, nil
 }
 
-// silent asks a member itself: one that answers now is not gone.
-func (s *Server) silent(member messages.Member) bool {
+// isSilent asks a member itself: one that answers now is not gone.
+func (s *Server) isSilent(member messages.Member) bool {
 	return transport.Call(s.Node.Transport, member.Address, messages.KindStatus, &messages.StatusRequest{Query: "pace"}, &messages.StatusResponse{}, constants.RoundTimeout) != nil
 }
 
@@ -127,14 +127,14 @@
 // with a newcomer means that the set is too small. What is nearest to loss goes first:
 // members that came back empty, a set with too few copies, members that are gone, and
 // only then those that are to be emptied, which still hold theirs.
-func (s *Server) nextChange(members []messages.Member, entries map[string]messages.NodeInfo, retired, answering map[string]bool) (out, newcomer *messages.Member) {
+func (s *Server) nextChange(members []messages.Member, entries map[string]messages.NodeInfo, retired, answering map[string]bool) (out, joiner *messages.Member) {
 	own := register.Identity(s.member())
 	for index := range members {
 		member := &members[index]
 		if register.Identity(*member) == own {
 			continue
 		}
-		if resp := wiped(*member, entries, retired); resp != nil {
+		if resp := diskLost(*member, entries, retired); resp != nil {
 			// The same machine with an empty disk takes its own place again.
 			return member, resp
 		}
@@ -151,14 +151,14 @@
 			if inSet[name] || retired[name] || entry.Draining || entry.Disk == "" || entry.AgeMs >= constants.SuspectAfter.Milliseconds() {
 				continue
 			}
-			worth := 0
+			score := 0
 			if entry.Zone == zone {
-				worth = 2
+				score = 2
 			} else if !zones[entry.Zone] {
-				worth = 1
+				score = 1
 			}
-			if worth > best || (worth == best && name < found.Name) {
-				best = worth
+			if score > best || (score == best && name < found.Name) {
+				best = score
 				found = &messages.Member{Name: entry.Name, Disk: entry.Disk, Address: entry.Address, Zone: entry.Zone}
 			}
 		}
@@ -169,7 +169,7 @@
 			return nil, found
 		}
 	}
-	up := clock.Now().Sub(s.begun)
+	up := clock.Now().Sub(s.startedAt)
 	for index := range members {
 		member := &members[index]
 		entry, known := entries[member.Name]
--- a/internal/batch/store/share_callers_test.go
+++ b/internal/batch/store/share_callers_test.go
@@ -18,7 +18,7 @@
 }
 
 // handedIn records a hand-in; told notes the 202.
-func (s *shareCluster) handedIn(id string) (told func()) {
+func (s *shareCluster) handedIn(id string) (announcement func()) {
 	s.callers.count++
 	operation := s.callers.history.Begin(s.callers.count, linearize.LotCall{Kind: linearize.LotHandIn, Lot: id},
 		linearize.LotReply{}, int64(s.world.Now))
@@ -53,13 +53,13 @@
 
 // page is what a holder that serves says of a lot.
 func (s *shareCluster) page(holder *simHolder, call linearize.LotCall) linearize.LotReply {
-	lot := holder.book.Lot(call.Lot)
-	if lot == nil {
+	job := holder.book.Job(call.Lot)
+	if job == nil {
 		return linearize.LotReply{Outcome: linearize.LotMissing}
 	}
 	reply := linearize.LotReply{Outcome: linearize.LotDone}
-	for _, listing := range lot.Listings[min(call.From, len(lot.Listings)):] {
-		reply.Results = append(reply.Results, fmt.Sprint(listing.Item, " ", listing.Dropped, " ", s.textOf(holder, listing)))
+	for _, listing := range job.Listings[min(call.From, len(job.Listings)):] {
+		reply.Results = append(reply.Results, fmt.Sprint(listing.Item, " ", listing.Abandoned, " ", s.textOf(holder, listing)))
 	}
 	return reply
 }
@@ -86,14 +86,14 @@
 // judge compares the last holder's book with all that was seen outside.
 func (s *shareCluster) judge(seed int64) {
 	var ids []string
-	for _, lot := range s.holder.book.Lots() {
-		ids = append(ids, lot.ID)
+	for _, job := range s.holder.book.Jobs() {
+		ids = append(ids, job.ID)
 	}
 	sort.Strings(ids)
 	for _, id := range ids {
-		lot := s.holder.book.Lot(id)
+		job := s.holder.book.Job(id)
 		listed := map[string]int{}
-		for _, listing := range lot.Listings {
+		for _, listing := range job.Listings {
 			listed[listing.Item]++
 			record, err := s.stores[s.holder.at].store.Read(listing.Index)
 			if err != nil {
@@ -106,23 +106,23 @@
 			switch {
 			case listed[listing.Item] > 1:
 				s.test.Fatalf("seed %d: %s has two positions", seed, listing.Item)
-			case listing.Dropped && !s.rejected[listing.Item] && s.failures[listing.Item] < shareTries &&
+			case listing.Abandoned && !s.rejected[listing.Item] && s.failures[listing.Item] < shareTries &&
 				s.world.Now.Sub(s.sentAt[id]) < clock.Milliseconds(shareRetain):
 				s.test.Fatalf("seed %d: %s was given up after %d failures", seed, listing.Item, s.failures[listing.Item])
-			case !listing.Dropped && string(record.Body) != want:
+			case !listing.Abandoned && string(record.Body) != want:
 				s.test.Fatalf("seed %d: %s has the text %q", seed, listing.Item, strings.ReplaceAll(string(record.Body), "\n", " "))
-			case listing.Dropped && s.accepted[listing.Item] != "" && s.accepted[listing.Item] != "rejected":
+			case listing.Abandoned && s.accepted[listing.Item] != "" && s.accepted[listing.Item] != "rejected":
 				s.test.Fatalf("seed %d: %s was acknowledged and then given up", seed, listing.Item)
 			}
 		}
-		for _, item := range lot.Items {
-			if listed[item.ID] == 0 && (s.accepted[item.ID] != "" || !lot.Ended) {
+		for _, item := range job.Items {
+			if listed[item.ID] == 0 && (s.accepted[item.ID] != "" || !job.Ended) {
 				s.test.Fatalf("seed %d: %s is not listed; state %d, acknowledged %q, lapses %d", seed, item.ID, item.State, s.accepted[item.ID], item.Lapses)
 			}
 		}
 	}
 	for id := range s.endAcked {
-		if lot := s.holder.book.Lot(id); lot == nil || !lot.Ended {
+		if job := s.holder.book.Job(id); job == nil || !job.Ended {
 			s.test.Fatalf("seed %d: the end of %s is lost", seed, id)
 		}
 	}
--- a/internal/batch/store/share_driver_test.go
+++ b/internal/batch/store/share_driver_test.go
@@ -34,13 +34,13 @@
 	if all, _ := s.core.Count(); all < 4 && !s.asking {
 		s.acquire()
 	}
-	due := s.now().Sub(s.renewed) >= lockLength(shareCancel)/4
+	due := s.now().Sub(s.renewed) >= lockDuration(shareCancel)/4
 	if cluster.holder != nil && (due || cluster.holder.epoch > s.shown) {
 		s.shown = cluster.holder.epoch
 		s.renew()
 	}
 	s.tell(0, s.core.Results())
-	s.tell(1, s.core.Returns())
+	s.tell(1, s.core.Releases())
 }
 
 // at runs a function at the machine unless it is frozen or started anew by then.
@@ -52,8 +52,8 @@
 	}
 }
 
-func (s *simDriver) who() lots.Driver {
-	return lots.Driver{Name: s.name, Life: s.life, Address: s.name}
+func (s *simDriver) who() lots.Executor {
+	return lots.Executor{Name: s.name, Incarnation: s.life, Address: s.name}
 }
 
 func (s *simDriver) acquire() {
@@ -76,19 +76,19 @@
 			return
 		}
 		resp := &messages.AcquireResponse{LockMs: clock.ToMilliseconds(dispatcher.Lock)}
-		ask := &lots.AcquireAsk{Driver: who, Room: map[string]int{"s": 2}, Terms: cluster.terms,
+		options := &lots.AcquireOptions{Executor: who, Capacity: map[string]int{"s": 2}, Terms: cluster.terms,
 			Service: func(*lots.Item) string { return "s" }}
-		for _, given := range dispatcher.Acquire(ask, cluster.clockValue(holder.at)) {
+		for _, given := range dispatcher.Acquire(options, cluster.clockValue(holder.at)) {
 			item := given.Item
-			resp.Items = append(resp.Items, messages.AcquiredItem{Number: given.Number, Job: item.Lot.ID, Item: item.JobItem, LastID: item.LastID,
-				Events: item.Pieces[:len(item.Pieces):len(item.Pieces)], Preempted: item.Displaced})
+			resp.Items = append(resp.Items, messages.AcquiredItem{Number: given.Number, Job: item.Job.ID, Item: item.JobItem, LastID: item.LastID,
+				Events: item.Events[:len(item.Events):len(item.Events)], Preempted: item.Preempted})
 		}
 		cluster.send(holder.at, s.name, s.at(incarnation, func() {
 			if answered {
 				return
 			}
 			answered, s.asking = true, false
-			for _, task := range s.core.Take(resp, sentAt, s.now()) {
+			for _, task := range s.core.Add(resp, sentAt, s.now()) {
 				s.begin(task)
 			}
 			cluster.single()
@@ -108,14 +108,14 @@
 		}
 		var verdicts []messages.AckVerdict
 		last := int64(0)
-		dispatcher.Heard(who, cluster.clockValue(holder.at))
+		dispatcher.ObserveExecutor(who, cluster.clockValue(holder.at))
 		for i := range entries {
-			step := dispatcher.Acknowledge(who, &entries[i], cluster.clockValue(holder.at))
-			verdicts = append(verdicts, step.Verdict)
-			last = max(last, step.Index)
+			outcome := dispatcher.Acknowledge(who, &entries[i], cluster.clockValue(holder.at))
+			verdicts = append(verdicts, outcome.Verdict)
+			last = max(last, outcome.Index)
 		}
 		if epoch > 0 {
-			dispatcher.Listed(who, epoch, cluster.clockValue(holder.at))
+			dispatcher.ReportedAll(who, epoch, cluster.clockValue(holder.at))
 		}
 		cluster.whenDurable(holder, last, 100, func() {
 			cluster.send(holder.at, s.name, s.at(incarnation, func() { heard(verdicts) }))
@@ -133,7 +133,7 @@
 	s.core.Fence(epoch)
 	if entries := s.core.Renewals(sentAt); true {
 		s.acknowledge(entries, epoch, func(verdicts []messages.AckVerdict) {
-			s.halt(s.core.Renewed(entries, verdicts, sentAt, lockLength(shareCancel)))
+			s.halt(s.core.HandleRenewals(entries, verdicts, sentAt, lockDuration(shareCancel)))
 		})
 	}
 }
@@ -158,7 +158,7 @@
 				s.cluster.accepted[entry.Item] = "rejected"
 			}
 		}
-		s.core.Answered(batch, verdicts)
+		s.core.HandleVerdicts(batch, verdicts)
 	})
 }
 
@@ -172,7 +172,7 @@
 func (s *simDriver) release(task *itemdriver.Task, entry messages.Acknowledgement) {
 	entry.Kind = messages.AckRelease
 	entry.Preempted = task.Item.Yielding()
-	task.Item.SetBack(task.Run)
+	task.Item.Requeue(task.Run)
 	s.core.Done(task, entry)
 }
 
@@ -180,13 +180,13 @@
 func (s *simDriver) begin(task *itemdriver.Task) {
 	cluster, incarnation := s.cluster, s.life
 	cluster.world.After(clock.Milliseconds(10*cluster.world.Random.Float64()), s.at(incarnation, func() {
-		if cluster.frozen[s.name] || !task.May(s.now()) {
+		if cluster.frozen[s.name] || !task.MayRun(s.now()) {
 			return
 		}
-		if acked, ended := cluster.endAcked[task.Item.Lot.ID]; ended && cluster.world.Now.Sub(acked) > clock.Milliseconds(shareCancel) {
+		if acked, ended := cluster.endAcked[task.Item.Job.ID]; ended && cluster.world.Now.Sub(acked) > clock.Milliseconds(shareCancel) {
 			cluster.test.Fatalf("%s reaches a worker %v after the end of its lot", task.Item.ID, cluster.world.Now.Sub(acked))
 		}
-		task.Begun = true
+		task.Started = true
 		chance := cluster.world.Random.Float64()
 		switch {
 		case cluster.rejected[task.Item.ID]:
@@ -213,13 +213,13 @@
 		case cluster.world.Random.Float64() < 0.02 && task.Item.Yield(task.Run):
 			s.release(task, messages.Acknowledgement{})
 		case next <= shareEvents:
-			if task.Item.Gather(task.Run, [][]byte{[]byte(fmt.Sprintf("%s.%d", task.Item.ID, next))}, next) {
-				task.Moved(s.now())
+			if task.Item.AppendEvents(task.Run, [][]byte{[]byte(fmt.Sprintf("%s.%d", task.Item.ID, next))}, next) {
+				task.MarkProgress(s.now())
 				s.stream(task, next+1)
 			}
 		case task.Item.Finish(task.Run):
 			text := ""
-			for _, piece := range task.Item.Pieces {
+			for _, piece := range task.Item.Events {
 				text += string(piece) + "\n"
 			}
 			s.core.Done(task, messages.Acknowledgement{Kind: messages.AckAccept, Output: []byte(text)})
--- a/internal/batch/store/share_sim_test.go
+++ b/internal/batch/store/share_sim_test.go
@@ -62,7 +62,7 @@
 	return cluster
 }
 
-// clockValue is the steady clock of a machine.
+// version is the steady clock of a machine.
 func (s *shareCluster) clockValue(name string) clock.Instant {
 	return clock.Instant(s.offset[name] + s.rate[name]*float64(s.world.Now))
 }
@@ -96,20 +96,20 @@
 	}
 	dispatcher := s.dispatchers[holder]
 	if dispatcher == nil {
-		dispatcher = lots.NewDispatcher(holder.book, holder.epoch, holder.first, lockLength(shareCancel), s.clockValue(holder.at))
-		dispatcher.Submit = holder.submit
+		dispatcher = lots.NewDispatcher(holder.book, holder.epoch, holder.first, lockDuration(shareCancel), s.clockValue(holder.at))
+		dispatcher.Append = holder.submit
 		ending := map[string]bool{}
-		dispatcher.Closed = func(lot *lots.Lot) bool { return ending[lot.ID] }
-		dispatcher.Tries = func(*lots.Item) int { return shareTries }
+		dispatcher.Ending = func(job *lots.Job) bool { return ending[job.ID] }
+		dispatcher.Attempts = func(*lots.Item) int { return shareTries }
 		s.dispatchers[holder], s.ending[holder] = dispatcher, ending
 	}
 	return dispatcher
 }
 
 // terms gives lots up once they are older than retain-s; the wall clock is shared.
-func (s *shareCluster) terms(lot *lots.Lot) lots.Terms {
-	age := clock.ToMilliseconds(s.world.Now.Sub(s.sentAt[lot.ID]))
-	return lots.Terms{Due: int64(s.sentAt[lot.ID]), Late: age > 8000, Over: age > shareRetain}
+func (s *shareCluster) terms(job *lots.Job) lots.JobTerms {
+	age := clock.ToMilliseconds(s.world.Now.Sub(s.sentAt[job.ID]))
+	return lots.JobTerms{Due: int64(s.sentAt[job.ID]), Overdue: age > 8000, Expired: age > shareRetain}
 }
 
 // tend is the holder's upkeep.
@@ -117,10 +117,10 @@
 	defer s.world.After(clock.Milliseconds(50), s.tend)
 	if dispatcher := s.serving(s.holder); dispatcher != nil {
 		now := s.clockValue(s.holder.at)
-		dispatcher.Lapse(now)
-		dispatcher.Expire(s.terms, now)
-		dispatcher.Sure(now)
-		if now < dispatcher.Taken().Add(dispatcher.Lock) && !dispatcher.Unsure(now) && s.seen[fmt.Sprint("sure", s.holder.epoch)] == 0 {
+		dispatcher.ExpireLocks(now)
+		dispatcher.AbandonExpired(s.terms, now)
+		dispatcher.RecordAcquisitionsKnown(now)
+		if now < dispatcher.StartedAt().Add(dispatcher.Lock) && !dispatcher.Uncertain(now) && s.seen[fmt.Sprint("sure", s.holder.epoch)] == 0 {
 			s.seen[fmt.Sprint("sure", s.holder.epoch)] = 1
 			s.seen["early"]++
 		}
@@ -133,7 +133,7 @@
 	held := map[string]string{}
 	for _, name := range simulation.Keys(s.drivers) {
 		for _, task := range s.drivers[name].core.All() {
-			if !task.May(s.clockValue(name)) {
+			if !task.MayRun(s.clockValue(name)) {
 				continue
 			}
 			if other, twice := held[task.Item.ID]; twice {
@@ -162,28 +162,28 @@
 	}
 	packed, _ := body.MarshalMsg(nil)
 	s.sentAt[id] = s.world.Now
-	told := s.handedIn(id)
+	announcement := s.handedIn(id)
 	index := holder.submit(messages.Record{Kind: messages.RecordJob, Job: id, Body: packed})
-	s.whenDurable(holder, index, 100, told)
+	s.whenDurable(holder, index, 100, announcement)
 }
 
-// endLot ends a lot as the real holder does: nothing is acquired from the decision
+// endJob ends a lot as the real holder does: nothing is acquired from the decision
 // on, drivers are told, and the end is acknowledged once it is durable.
 func (s *shareCluster) endLot(id string) {
 	holder := s.holder
 	dispatcher := s.serving(holder)
-	if dispatcher == nil || holder.book.Lot(id) == nil || s.endAsked[id] {
+	if dispatcher == nil || holder.book.Job(id) == nil || s.endAsked[id] {
 		return
 	}
 	s.endAsked[id] = true
 	start := s.world.Now
 	s.ending[holder][id] = true
 	var names []string
-	for _, driver := range dispatcher.Stop(holder.book.Lot(id)) {
-		names = append(names, driver.Name)
+	for _, executor := range dispatcher.StopJob(holder.book.Job(id)) {
+		names = append(names, executor.Name)
 	}
 	for _, name := range names {
-		s.send(holder.at, name, func() { s.drivers[name].halt(s.drivers[name].core.StopLot(id)) })
+		s.send(holder.at, name, func() { s.drivers[name].halt(s.drivers[name].core.StopJob(id)) })
 	}
 	index := holder.submit(messages.Record{Kind: messages.RecordJobEnd, Job: id})
 	s.whenDurable(holder, index, 100, func() {
@@ -198,7 +198,7 @@
 func (s *shareCluster) whenDurable(holder *simHolder, index int64, tries int, function func()) {
 	switch {
 	case s.serving(holder) == nil || tries == 0:
-	case index == 0 || holder.press.Done() >= index:
+	case index == 0 || holder.press.CommitIndex() >= index:
 		function()
 	default:
 		s.world.After(clock.Milliseconds(5), func() { s.whenDurable(holder, index, tries-1, function) })
--- a/internal/batch/store/share_test.go
+++ b/internal/batch/store/share_test.go
@@ -123,7 +123,7 @@
 			total["releases"] += dispatcher.Counts.Releases
 			total["late"] += dispatcher.Counts.Late
 			total["failures"] += dispatcher.Counts.Failures
-			total["dropped"] += dispatcher.Counts.Dropped
+			total["dropped"] += dispatcher.Counts.Abandoned
 		}
 		total["accepted"] += int64(len(cluster.accepted))
 		total["early"] += cluster.seen["early"]
--- a/internal/batch/store/simulation_holder_test.go
+++ b/internal/batch/store/simulation_holder_test.go
@@ -12,7 +12,7 @@
 // begin goes on from the best copy. Fetching is done in one step here.
 func (s *simHolder) begin(set []messages.Member, copies map[string]messages.FenceResponse) {
 	own := s.fleet.stores[s.at]
-	best := lots.Best(copies)
+	best := lots.BestCopy(copies)
 	if best != register.Identity(own.member) {
 		for _, member := range set {
 			if register.Identity(member) != best {
@@ -20,7 +20,7 @@
 			}
 			source := s.fleet.stores[member.Address]
 			target := copies[best]
-			for next := lots.Common(own.store.Extent(), lots.ExtentOf(&target)) + 1; next <= copies[best].Last; {
+			for next := lots.CommonIndex(own.store.Extent(), lots.ExtentOfFence(&target)) + 1; next <= copies[best].Last; {
 				fetched, err := source.store.Fetch(&messages.FetchRequest{First: next})
 				if err != nil || source.down || len(fetched.Records) == 0 {
 					return
@@ -35,12 +35,12 @@
 		}
 	}
 	last := own.store.Extent().Last
-	s.press = lots.NewPress(s.epoch, set, s.fleet.budget, last+1)
-	book, err := own.store.Book()
+	s.press = lots.NewReplicator(s.epoch, set, s.fleet.budget, last+1)
+	jobs, err := own.store.Jobs()
 	if err != nil {
 		s.fleet.test.Fatal(err)
 	}
-	s.book, s.first, s.applied = book, last+1, last
+	s.book, s.first, s.applied = jobs, last+1, last
 	s.fleet.holder = s
 	s.submit(messages.Record{Kind: messages.RecordNoop})
 	for _, member := range set {
@@ -50,7 +50,7 @@
 }
 
 func (s *simHolder) submit(record messages.Record) int64 {
-	record.Index, record.Epoch = s.press.Take(), s.epoch
+	record.Index, record.Epoch = s.press.NextIndex(), s.epoch
 	s.records = append(s.records, record)
 	return record.Index
 }
@@ -66,33 +66,33 @@
 	if next > s.press.Last() {
 		return
 	}
-	order := &messages.AppendRequest{Epoch: s.epoch, Disk: member.Disk, PreviousIndex: next - 1, CommitIndex: s.press.Done()}
+	req := &messages.AppendRequest{Epoch: s.epoch, Disk: member.Disk, PreviousIndex: next - 1, CommitIndex: s.press.CommitIndex()}
 	if next >= s.first && next > fleet.stores[s.at].store.Compacted() {
-		order.Records = append(order.Records, s.records[next-s.first:]...)
+		req.Records = append(req.Records, s.records[next-s.first:]...)
 	} else {
 		fetched, err := fleet.stores[s.at].store.Fetch(&messages.FetchRequest{First: next})
 		if err != nil {
 			return
 		}
-		order.Base, order.BaseEpoch = fetched.Base, fetched.BaseEpoch
+		req.Base, req.BaseEpoch = fetched.Base, fetched.BaseEpoch
 		for _, record := range fetched.Records {
 			if record.Index < s.first || fetched.Base > 0 {
-				order.Records = append(order.Records, record)
+				req.Records = append(req.Records, record)
 			}
 		}
 	}
 	if next-1 >= s.first {
-		order.PreviousEpoch = s.epoch
+		req.PreviousEpoch = s.epoch
 	} else {
-		order.PreviousEpoch = fleet.stores[s.at].store.EpochAt(next - 1)
+		req.PreviousEpoch = fleet.stores[s.at].store.EpochAt(next - 1)
 	}
 	target := fleet.stores[member.Address]
-	fleet.count(member.Address, order)
+	fleet.count(member.Address, req)
 	fleet.slowly(s.at, member.Address, func() {
 		if target.down {
 			return
 		}
-		resp, err := target.store.Append(order)
+		resp, err := target.store.Append(req)
 		if err != nil {
 			return
 		}
@@ -103,11 +103,11 @@
 				s.fenced = true
 			case resp.Granted:
 				s.next[identity] = max(s.next[identity], resp.Last+1)
-				if s.press.Matched(identity, resp.Last) {
+				if s.press.UpdateMatch(identity, resp.Last) {
 					s.apply()
 				}
 			case resp.EpochRanges != nil:
-				common := lots.Common(fleet.stores[s.at].store.Extent(), lots.ExtentBehind(&resp))
+				common := lots.CommonIndex(fleet.stores[s.at].store.Extent(), lots.ExtentOfAppend(&resp))
 				s.next[identity] = min(common, next-1) + 1
 			}
 		})
@@ -118,7 +118,7 @@
 func (s *simHolder) apply() {
 	s.ready = true
 	fleet := s.fleet
-	for s.applied < s.press.Done() {
+	for s.applied < s.press.CommitIndex() {
 		record := s.records[s.applied+1-s.first]
 		if err := s.book.Apply(&record); err != nil {
 			fleet.test.Fatal(err)
--- a/internal/batch/store/simulation_test.go
+++ b/internal/batch/store/simulation_test.go
@@ -17,7 +17,7 @@
 type simStore struct {
 	member messages.Member
 	disk   *simulation.Disk
-	store  *Store
+	store  *ReplicaLog
 	down   bool
 	// faulty says that its disk may refuse what it is asked for.
 	faulty bool
@@ -27,8 +27,8 @@
 	fleet   *simFleet
 	at      string
 	epoch   uint64
-	press   *lots.Press
-	book    *lots.Book
+	press   *lots.Replicator
+	book    *lots.JobTable
 	records []messages.Record
 	applied int64
 	next    map[string]int64
@@ -87,12 +87,12 @@
 }
 
 func (s *simFleet) open(ss *simStore) {
-	store, err := OpenStore(ss.disk, ss.member.Disk)
+	store, err := OpenReplicaLog(ss.disk, ss.member.Disk)
 	if err != nil {
 		s.test.Fatal(err)
 	}
 	// Files are rewritten as soon as half of them says nothing any more.
-	store.rewrite = rewritePlan{bytes: 1 << 40, records: 6, lag: clock.Milliseconds(150)}
+	store.rewrite = compactionPolicy{bytes: 1 << 40, records: 6, lag: clock.Milliseconds(150)}
 	ss.store, ss.down = store, false
 	ss.member.Disk = store.Disk()
 }
@@ -110,14 +110,14 @@
 			if target.down {
 				return
 			}
-			resp, err := target.store.Raise(&messages.FenceRequest{Epoch: holder.epoch, Disk: member.Disk})
+			resp, err := target.store.Fence(&messages.FenceRequest{Epoch: holder.epoch, Disk: member.Disk})
 			s.world.Send(member.Address, name, func() {
 				if err != nil || !resp.Granted || s.stores[name].down {
 					return
 				}
 				copies[register.Identity(member)] = resp
 				own := copies[register.Identity(s.stores[name].member)].Granted
-				if !started && own && lots.Enough(len(set), len(copies), s.budget) {
+				if !started && own && lots.EnoughFenced(len(set), len(copies), s.budget) {
 					started = true
 					holder.begin(set, copies)
 				}
--- a/internal/batch/store/stop.go
+++ b/internal/batch/store/stop.go
@@ -9,15 +9,15 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// stopRuns takes all acquisitions of a lot back whose end is decided, and tells the
+// stopJobRuns takes all acquisitions of a lot back whose end is decided, and tells the
 // drivers that hold some. The lock is held. A driver that can't be told learns it
 // when it renews, or stops when its lock ends.
-func (t *term) stopRuns(lot *lots.Lot) {
+func (t *term) stopJobRuns(job *lots.Job) {
 	var addresses []string
-	for _, driver := range t.dispatcher.Stop(lot) {
-		addresses = append(addresses, driver.Address)
+	for _, executor := range t.dispatcher.StopJob(job) {
+		addresses = append(addresses, executor.Address)
 	}
-	if t.dispatcher.Unsure(clock.Now()) {
+	if t.dispatcher.Uncertain(clock.Now()) {
 		// Earlier holders may have handed items of it to anybody.
 		addresses = nil
 		for _, entry := range t.server.Node.Live(membership.RoleStore) {
@@ -27,13 +27,13 @@
 	}
 	for _, address := range addresses {
 		if address == t.server.Node.Self.Address {
-			go t.server.driver.stopLot(lot.ID)
+			go t.server.executor.stopJob(job.ID)
 			continue
 		}
 		go func() {
-			told, resp := &messages.StopJobRequest{Job: lot.ID}, &messages.Ack{}
+			announcement, resp := &messages.StopJobRequest{Job: job.ID}, &messages.Ack{}
 			for try := 0; try < 2; try++ {
-				if transport.Call(t.server.Node.Transport, address, messages.KindStopJob, told, resp, constants.CallTimeout) == nil {
+				if transport.Call(t.server.Node.Transport, address, messages.KindStopJob, announcement, resp, constants.CallTimeout) == nil {
 					return
 				}
 			}
@@ -41,9 +41,9 @@
 	}
 }
 
-// driverAnswerers registers what drivers ask of the dispatcher, and what it tells
+// registerExecutorHandlers registers what drivers ask of the dispatcher, and what it tells
 // them.
-func (s *Server) driverAnswerers() {
+func (s *Server) registerExecutorHandlers() {
 	runtime := s.Node
 	runtime.Handle(messages.KindAcquire, func(body []byte) ([]byte, error) {
 		req := &messages.AcquireRequest{}
@@ -60,11 +60,11 @@
 		return transport.Encode(s.acknowledge(req))
 	})
 	runtime.Handle(messages.KindStopJob, func(body []byte) ([]byte, error) {
-		told := &messages.StopJobRequest{}
-		if err := transport.Decode(body, told); err != nil {
+		announcement := &messages.StopJobRequest{}
+		if err := transport.Decode(body, announcement); err != nil {
 			return nil, err
 		}
-		s.driver.stopLot(told.Job)
+		s.executor.stopJob(announcement.Job)
 		return transport.Encode(&messages.Ack{Accepted: true})
 	})
 }
@@ -74,12 +74,12 @@
 	if current := s.current(); current != nil {
 		return current.acquire(req)
 	}
-	return &messages.AcquireResponse{NotLeader: true, Leader: s.elsewhere().Leader}
+	return &messages.AcquireResponse{NotLeader: true, Leader: s.notLeader().Leader}
 }
 
 func (s *Server) acknowledge(req *messages.AcknowledgeRequest) *messages.AcknowledgeResponse {
 	if current := s.current(); current != nil {
 		return current.acknowledge(req)
 	}
-	return &messages.AcknowledgeResponse{NotLeader: true, Leader: s.elsewhere().Leader}
+	return &messages.AcknowledgeResponse{NotLeader: true, Leader: s.notLeader().Leader}
 }
--- a/internal/batch/store/store.go
+++ b/internal/batch/store/store.go
@@ -14,41 +14,41 @@
 // ErrCorrupt is the error of a store whose disk can't be read or written.
 var ErrCorrupt = errs.Define("store")
 
-// storeName is the file of the replica.
-const storeName = "replica"
+// replicaFileName is the file of the replica.
+const replicaFileName = "replica"
 
-// Store is the disk round a replica: it syncs before it answers.
-type Store struct {
+// ReplicaLog is the disk round a replica: it syncs before it answers.
+type ReplicaLog struct {
 	lock    sync.Mutex
 	replica *lots.Replica
 	logfile *recordlog.Log
-	// done is the index up to which all is known to be durable.
-	done    int64
-	rewrite rewritePlan
+	// commitIndex is the index up to which all is known to be durable.
+	commitIndex int64
+	rewrite     compactionPolicy
 	// base is the replica's, for those who must not wait for a sync.
 	base atomic.Int64
 }
 
-// OpenStore reads the disk; an empty one gets the new identity.
-func OpenStore(disk recordlog.Disk, identity string) (*Store, error) {
-	store := &Store{replica: lots.NewReplica(""), rewrite: usualRewrite()}
-	logfile, err := recordlog.Open(disk, storeName, func(offset int64, body []byte) error {
+// OpenReplicaLog reads the disk; an empty one gets the new identity.
+func OpenReplicaLog(disk recordlog.Disk, identity string) (*ReplicaLog, error) {
+	store := &ReplicaLog{replica: lots.NewReplica(""), rewrite: defaultCompactionPolicy()}
+	logfile, err := recordlog.Open(disk, replicaFileName, func(offset int64, body []byte) error {
 		record := messages.ReplicaRecord{}
 		if _, cause := record.UnmarshalMsg(body); cause != nil {
-			return ErrCorrupt.Wrap(cause, storeName)
+			return ErrCorrupt.Wrap(cause, replicaFileName)
 		}
 		if record.Disk != "" {
 			store.replica.Disk = record.Disk
 		}
-		store.replica.SetFence(record.Fence)
+		store.replica.SetFencedEpoch(record.Fence)
 		if record.HasTruncation {
-			store.replica.Cut(record.TruncateTo)
+			store.replica.Truncate(record.TruncateTo)
 		}
 		if record.Base > 0 {
 			store.replica.Reset(lots.Base{Index: record.Base, Epoch: record.BaseEpoch})
 		}
 		if record.HasEntry {
-			return ErrCorrupt.Wrap(store.replica.Restore(&record.Entry, offset), storeName)
+			return ErrCorrupt.Wrap(store.replica.Restore(&record.Entry, offset), replicaFileName)
 		}
 		return nil
 	})
@@ -67,14 +67,14 @@
 }
 
 // Disk is the identity of the disk.
-func (s *Store) Disk() string { return s.replica.Disk }
+func (s *ReplicaLog) Disk() string { return s.replica.Disk }
 
-func (s *Store) write(records ...messages.ReplicaRecord) error {
+func (s *ReplicaLog) write(records ...messages.ReplicaRecord) error {
 	_, err := s.writeAll(records)
 	return err
 }
 
-func (s *Store) writeAll(records []messages.ReplicaRecord) ([]int64, error) {
+func (s *ReplicaLog) writeAll(records []messages.ReplicaRecord) ([]int64, error) {
 	bodies := make([][]byte, 0, len(records))
 	for i := range records {
 		body, err := records[i].MarshalMsg(nil)
@@ -90,22 +90,22 @@
 	return offsets, ErrCorrupt.Wrap(err, "append")
 }
 
-// Raise takes a new holder's epoch.
-func (s *Store) Raise(req *messages.FenceRequest) (messages.FenceResponse, error) {
+// Fence takes a new holder's epoch.
+func (s *ReplicaLog) Fence(req *messages.FenceRequest) (messages.FenceResponse, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	resp, keep := s.replica.Raise(req)
+	resp, keep := s.replica.Fence(req)
 	if keep {
 		if err := s.write(messages.ReplicaRecord{Fence: req.Epoch}); err != nil {
 			return messages.FenceResponse{}, err
 		}
-		s.replica.SetFence(req.Epoch)
+		s.replica.SetFencedEpoch(req.Epoch)
 	}
 	return resp, nil
 }
 
 // Append takes records, and answers once they are synced.
-func (s *Store) Append(req *messages.AppendRequest) (messages.AppendResponse, error) {
+func (s *ReplicaLog) Append(req *messages.AppendRequest) (messages.AppendResponse, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	plan, resp := s.replica.Append(req)
@@ -113,8 +113,8 @@
 		return resp, nil
 	}
 	var records []messages.ReplicaRecord
-	if plan.Raise || plan.Cut || plan.Reset != nil {
-		head := messages.ReplicaRecord{Fence: req.Epoch, HasTruncation: plan.Cut, TruncateTo: plan.CutTo}
+	if plan.RaiseFence || plan.Truncate || plan.Reset != nil {
+		head := messages.ReplicaRecord{Fence: req.Epoch, HasTruncation: plan.Truncate, TruncateTo: plan.TruncateTo}
 		if plan.Reset != nil {
 			head.Base, head.BaseEpoch = plan.Reset.Index, plan.Reset.Epoch
 		}
@@ -133,22 +133,22 @@
 		s.base.Store(s.replica.Base().Index)
 	}
 	// Behind what joins on to the holder's records there may be a tail of an earlier one.
-	s.done = max(s.done, min(req.CommitIndex, resp.Last))
+	s.commitIndex = max(s.commitIndex, min(req.CommitIndex, resp.Last))
 	return resp, nil
 }
 
 // Read gives a record with its body.
-func (s *Store) Read(index int64) (*messages.Record, error) {
+func (s *ReplicaLog) Read(index int64) (*messages.Record, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.read(index)
 }
 
-func (s *Store) read(index int64) (*messages.Record, error) {
+func (s *ReplicaLog) read(index int64) (*messages.Record, error) {
 	if index < 1 || index > s.replica.Last() {
 		return nil, ErrCorrupt.New("no such record")
 	}
-	slot, found := s.replica.Slot(index)
+	slot, found := s.replica.EntryAt(index)
 	if !found {
 		// It was compacted away: its lot was forgotten.
 		return &messages.Record{Index: index, Epoch: s.replica.EpochAt(index)}, nil
@@ -165,10 +165,10 @@
 }
 
 // Fetch gives a stretch of records. A copy that is not whole is no source.
-func (s *Store) Fetch(req *messages.FetchRequest) (*messages.FetchResponse, error) {
+func (s *ReplicaLog) Fetch(req *messages.FetchRequest) (*messages.FetchResponse, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if (req.Disk != "" && req.Disk != s.replica.Disk) || !s.replica.Whole() {
+	if (req.Disk != "" && req.Disk != s.replica.Disk) || !s.replica.Complete() {
 		return &messages.FetchResponse{}, nil
 	}
 	resp := &messages.FetchResponse{Granted: true, Last: s.replica.Last()}
@@ -177,7 +177,7 @@
 	}
 	size := 0
 	var cause error
-	s.replica.Each(req.First, func(slot lots.Slot) bool {
+	s.replica.Each(req.First, func(slot lots.IndexEntry) bool {
 		record, err := s.read(slot.Index)
 		if err != nil {
 			cause = err
@@ -193,8 +193,8 @@
 	return resp, nil
 }
 
-// Book makes the book of lots from all records.
-func (s *Store) Book() (*lots.Book, error) {
+// Jobs makes the book of lots from all records.
+func (s *ReplicaLog) Jobs() (*lots.JobTable, error) {
 	forgotten := map[string]int64{}
 	var records []*messages.Record
 	err := s.each(func(record *messages.Record) {
@@ -207,20 +207,20 @@
 		}
 		records = append(records, record)
 	})
-	book := lots.NewBook()
+	jobs := lots.NewJobTable()
 	for _, record := range records {
 		if err == nil && (record.Job == "" || record.Index > forgotten[record.Job]) {
-			err = book.Apply(record)
+			err = jobs.Apply(record)
 		}
 	}
-	return book, err
+	return jobs, err
 }
 
 // each reads all records that are kept, in order.
-func (s *Store) each(visit func(record *messages.Record)) (cause error) {
+func (s *ReplicaLog) each(visit func(record *messages.Record)) (cause error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.replica.Each(1, func(slot lots.Slot) bool {
+	s.replica.Each(1, func(slot lots.IndexEntry) bool {
 		record, err := s.read(slot.Index)
 		if err != nil {
 			cause = err
@@ -233,17 +233,17 @@
 }
 
 // Compacted is the index up to which the records are compacted.
-func (s *Store) Compacted() int64 { return s.base.Load() }
+func (s *ReplicaLog) Compacted() int64 { return s.base.Load() }
 
 // Extent gives what a holder compares.
-func (s *Store) Extent() lots.Extent {
+func (s *ReplicaLog) Extent() lots.LogExtent {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.replica.Extent()
 }
 
 // EpochAt gives the epoch of a record.
-func (s *Store) EpochAt(index int64) uint64 {
+func (s *ReplicaLog) EpochAt(index int64) uint64 {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.replica.EpochAt(index)
--- a/internal/batch/store/swap_test.go
+++ b/internal/batch/store/swap_test.go
@@ -13,7 +13,7 @@
 // Two that came back empty take their places at once; nobody else's place changes.
 func TestSwappedSet(t *testing.T) {
 	members := []messages.Member{{Name: "a", Disk: "1"}, {Name: "b", Disk: "2"}, {Name: "c", Disk: "3"}, {Name: "d", Disk: "4"}, {Name: "e", Disk: "5"}}
-	next := swapped(members, []swap{{&members[1], messages.Member{Name: "b", Disk: "7"}}, {&members[3], messages.Member{Name: "d", Disk: "8"}}})
+	next := withReplacements(members, []replacement{{&members[1], messages.Member{Name: "b", Disk: "7"}}, {&members[3], messages.Member{Name: "d", Disk: "8"}}})
 	disks := map[string]string{}
 	for _, member := range next {
 		disks[member.Name] = member.Disk
@@ -21,10 +21,10 @@
 	if len(next) != 5 || disks["a"] != "1" || disks["b"] != "7" || disks["c"] != "3" || disks["d"] != "8" || disks["e"] != "5" {
 		t.Fatal(next)
 	}
-	if added := swapped(members, []swap{{nil, messages.Member{Name: "f"}}}); len(added) != 6 {
+	if added := withReplacements(members, []replacement{{nil, messages.Member{Name: "f"}}}); len(added) != 6 {
 		t.Fatal(added)
 	}
-	if same := swapped(members, nil); len(same) != 5 {
+	if same := withReplacements(members, nil); len(same) != 5 {
 		t.Fatal(same)
 	}
 }
@@ -35,12 +35,12 @@
 	term := rule(t, soleLocker(t, simulation.NewDisk(12)), 1)
 	term.lock.Lock()
 	defer term.lock.Unlock()
-	done := term.press.Done()
+	done := term.replicator.CommitIndex()
 	for _, name := range []string{"r", "s", "t"} {
-		term.press.Members = append(term.press.Members, messages.Member{Name: name, Address: name, Disk: name})
+		term.replicator.Members = append(term.replicator.Members, messages.Member{Name: name, Address: name, Disk: name})
 	}
-	term.press.Matched("r#r", done)
-	term.press.Matched("s#s", done)
+	term.replicator.UpdateMatch("r#r", done)
+	term.replicator.UpdateMatch("s#s", done)
 	first, _ := term.source(messages.Member{Name: "t", Address: "t"}, 0)
 	second, _ := term.source(messages.Member{Name: "u", Address: "u"}, 1)
 	if first == nil || second == nil || first.Name == second.Name {
@@ -57,13 +57,13 @@
 // a while: the set is made whole by as much as can be.
 func TestSlowNewcomerHoldsNobodyUp(t *testing.T) {
 	term := rule(t, soleLocker(t, simulation.NewDisk(12)), 1)
-	room := transport.NewMemoryNetwork()
-	term.server.Node.Transport = room.Transport("m")
-	store, err := OpenStore(simulation.NewDisk(13), "quick")
+	freeCapacity := transport.NewMemoryNetwork()
+	term.server.Node.Transport = freeCapacity.Transport("m")
+	store, err := OpenReplicaLog(simulation.NewDisk(13), "quick")
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = room.Transport("quick").Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
+	_ = freeCapacity.Transport("quick").Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
 		req := &messages.AppendRequest{}
 		if kind != messages.KindAppend || transport.Decode(body, req) != nil {
 			return transport.Encode(&messages.StatusResponse{})
@@ -74,15 +74,15 @@
 		}
 		return transport.Encode(&resp)
 	})
-	_ = room.Transport("slow").Serve(func(kind messages.Kind, _ []byte) ([]byte, error) {
+	_ = freeCapacity.Transport("slow").Serve(func(kind messages.Kind, _ []byte) ([]byte, error) {
 		if kind == messages.KindAppend {
 			return nil, ErrCorrupt.New("disk hangs")
 		}
 		return transport.Encode(&messages.StatusResponse{})
 	})
 	start := clock.Now()
-	whole := term.ready([]swap{{nil, messages.Member{Name: "quick", Address: "quick", Disk: "quick"}}, {nil, messages.Member{Name: "slow", Address: "slow", Disk: "slow"}}})
-	if len(whole) != 1 || whole[0].in.Name != "quick" || clock.Now().Sub(start) > constants.SetChangeTimeout/2 {
-		t.Fatal(whole, clock.Now().Sub(start))
+	complete := term.syncJoiners([]replacement{{nil, messages.Member{Name: "quick", Address: "quick", Disk: "quick"}}, {nil, messages.Member{Name: "slow", Address: "slow", Disk: "slow"}}})
+	if len(complete) != 1 || complete[0].in.Name != "quick" || clock.Now().Sub(start) > constants.SetChangeTimeout/2 {
+		t.Fatal(complete, clock.Now().Sub(start))
 	}
 }
--- a/internal/batch/store/term.go
+++ b/internal/batch/store/term.go
@@ -12,52 +12,52 @@
 
 // term is the time of one epoch in which this process holds the lots.
 type term struct {
-	server  *Server
-	duty    messages.Leadership
-	lock    sync.Mutex
-	press   *lots.Press
-	book    *lots.Book
-	recent  []messages.Record
-	applied int64
-	taking  map[string]int64
-	quota   quota
-	lags    lags
+	server        *Server
+	leadership    messages.Leadership
+	lock          sync.Mutex
+	replicator    *lots.Replicator
+	jobs          *lots.JobTable
+	recent        []messages.Record
+	applied       int64
+	submitting    map[string]int64
+	quota         quota
+	appendLatency appendLatency
 	// copies says how far newcomers have copied.
 	copies  map[string]int64
 	ending  map[string]bool
 	feeders map[string]chan struct{}
-	bell    chan struct{}
-	// fresh wakes drivers that wait for items; begun is when the duty was taken.
-	fresh      chan struct{}
-	begun      clock.Instant
-	dispatcher *lots.Dispatcher
-	stop       chan struct{}
-	ended      sync.Once
-	serving    bool
-	tells      atomic.Int64
-	lag        lots.Lag
+	changed chan struct{}
+	// itemsAvailable wakes drivers that wait for items; begun is when the duty was taken.
+	itemsAvailable chan struct{}
+	startedAt      clock.Instant
+	dispatcher     *lots.Dispatcher
+	stop           chan struct{}
+	closeOnce      sync.Once
+	serving        bool
+	announcements  atomic.Int64
+	replicaLag     lots.ReplicaLag
 }
 
 func newTerm(server *Server, leadership messages.Leadership, stores []messages.Member, first int64) *term {
-	return &term{server: server, duty: leadership, press: lots.NewPress(leadership.Epoch, stores, server.budget(), first),
-		book: lots.NewBook(), applied: first - 1, taking: map[string]int64{}, quota: newQuota(), lags: newLags(), copies: map[string]int64{}, ending: map[string]bool{},
-		feeders: map[string]chan struct{}{}, bell: make(chan struct{}), fresh: make(chan struct{}), stop: make(chan struct{}), begun: clock.Now()}
+	return &term{server: server, leadership: leadership, replicator: lots.NewReplicator(leadership.Epoch, stores, server.budget(), first),
+		jobs: lots.NewJobTable(), applied: first - 1, submitting: map[string]int64{}, quota: newQuota(), appendLatency: newAppendLatency(), copies: map[string]int64{}, ending: map[string]bool{},
+		feeders: map[string]chan struct{}{}, changed: make(chan struct{}), itemsAvailable: make(chan struct{}), stop: make(chan struct{}), startedAt: clock.Now()}
 }
 
-// end closes the term: nothing is told, run or written under its epoch any more.
-func (t *term) end(why string) {
-	t.ended.Do(func() {
-		t.server.Node.Log.Info("term ends", "epoch", t.duty.Epoch, "why", why)
+// close closes the term: nothing is told, run or written under its epoch any more.
+func (t *term) close(reason string) {
+	t.closeOnce.Do(func() {
+		t.server.Node.Log.Info("term ends", "epoch", t.leadership.Epoch, "why", reason)
 		close(t.stop)
 		t.lock.Lock()
 		defer t.lock.Unlock()
 		t.serving = false
-		t.ring()
-		t.freshen()
+		t.notifyLocked()
+		t.wakeExecutorsLocked()
 	})
 }
 
-func (t *term) over() bool {
+func (t *term) closed() bool {
 	select {
 	case <-t.stop:
 		return true
@@ -66,33 +66,33 @@
 	}
 }
 
-// ring wakes everybody who waits for a change. The lock is held.
-func (t *term) ring() {
-	close(t.bell)
-	t.bell = make(chan struct{})
+// notifyLocked wakes everybody who waits for a change. The lock is held.
+func (t *term) notifyLocked() {
+	close(t.changed)
+	t.changed = make(chan struct{})
 }
 
-// submit makes a record and has it copied. The lock is held.
-func (t *term) submit(record messages.Record) int64 {
-	record.Index, record.Epoch = t.press.Take(), t.duty.Epoch
+// appendRecord makes a record and has it copied. The lock is held.
+func (t *term) appendRecord(record messages.Record) int64 {
+	record.Index, record.Epoch = t.replicator.NextIndex(), t.leadership.Epoch
 	t.recent = append(t.recent, record)
-	t.ring()
+	t.notifyLocked()
 	return record.Index
 }
 
-// durable waits until a record is durable; false when that can't be known.
-func (t *term) durable(index int64, timeout clock.Duration) bool {
+// awaitCommit waits until a record is durable; false when that can't be known.
+func (t *term) awaitCommit(index int64, timeout clock.Duration) bool {
 	timer := clock.NewTimer(timeout)
 	defer timer.Stop()
 	for {
 		t.lock.Lock()
-		done, bell := t.press.Done() >= index, t.bell
+		done, changed := t.replicator.CommitIndex() >= index, t.changed
 		t.lock.Unlock()
 		if done {
-			return !t.over()
+			return !t.closed()
 		}
 		select {
-		case <-bell:
+		case <-changed:
 		case <-t.stop:
 			return false
 		case <-timer.C:
@@ -113,44 +113,44 @@
 	return &t.recent[i]
 }
 
-// matched notes a store's progress and applies what became durable.
-func (t *term) matched(identity string, index int64) {
+// handleMatch notes a store's progress and applies what became durable.
+func (t *term) handleMatch(identity string, index int64) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	if !t.press.Matched(identity, index) {
+	if !t.replicator.UpdateMatch(identity, index) {
 		return
 	}
-	t.applyDone()
-	t.trim()
-	t.ring()
+	t.applyCommittedLocked()
+	t.trimRecentLocked()
+	t.notifyLocked()
 }
 
-func (t *term) applyDone() {
-	for t.applied < t.press.Done() {
+func (t *term) applyCommittedLocked() {
+	for t.applied < t.replicator.CommitIndex() {
 		record := t.recentAt(t.applied + 1)
 		if record == nil {
 			return
 		}
-		if err := t.book.Apply(record); err != nil {
+		if err := t.jobs.Apply(record); err != nil {
 			t.server.Node.Log.Error("record not applied", "why", err.Error())
 		}
 		switch record.Kind {
 		case messages.RecordJob:
-			delete(t.taking, record.Job)
-			delete(t.quota.coming, record.Job)
-			if lot := t.book.Lot(record.Job); lot != nil {
-				lot.Known = clock.Now()
+			delete(t.submitting, record.Job)
+			delete(t.quota.pending, record.Job)
+			if job := t.jobs.Job(record.Job); job != nil {
+				job.KnownSince = clock.Now()
 			}
-			t.freshen()
+			t.wakeExecutorsLocked()
 		}
 		t.applied++
 	}
 }
 
-// trim gives back the records that are durable and on our own disk; a store that
+// trimRecentLocked gives back the records that are durable and on our own disk; a store that
 // lags further behind is fed from there.
-func (t *term) trim() {
-	own := t.press.MatchOf(register.Identity(t.server.member()))
+func (t *term) trimRecentLocked() {
+	own := t.replicator.MatchIndex(register.Identity(t.server.member()))
 	keep := min(own, t.applied)
 	count := 0
 	for count < len(t.recent) && t.recent[count].Index <= keep {
--- a/internal/batch/store/upkeep_test.go
+++ b/internal/batch/store/upkeep_test.go
@@ -17,7 +17,7 @@
 func (s *simFleet) tidy(random *rand.Rand) {
 	for _, name := range simulation.Keys(s.stores) {
 		if store := s.stores[name]; !store.down && random.Intn(3) > 0 {
-			if err := store.store.Tidy(s.world.Now); err != nil && !store.faulty {
+			if err := store.store.CompactIfDue(s.world.Now); err != nil && !store.faulty {
 				s.test.Fatal(err)
 			}
 		}
@@ -29,32 +29,32 @@
 // stay.
 func (s *simHolder) forget() {
 	const kept = 3
-	var done []*lots.Lot
-	for _, lot := range s.book.Lots() {
-		if !lot.Open() && !s.forgets[lot.ID] {
-			done = append(done, lot)
+	var done []*lots.Job
+	for _, job := range s.book.Jobs() {
+		if !job.Open() && !s.forgets[job.ID] {
+			done = append(done, job)
 		}
 	}
-	for _, lot := range done[:max(len(done)-kept, 0)] {
-		s.forgets[lot.ID], s.fleet.dropped[lot.ID] = true, true
-		s.submit(messages.Record{Kind: messages.RecordForget, Job: lot.ID})
-		for i := range lot.Listings {
-			delete(s.fleet.told, fmt.Sprintf("%s/%d", lot.ID, i))
+	for _, job := range done[:max(len(done)-kept, 0)] {
+		s.forgets[job.ID], s.fleet.dropped[job.ID] = true, true
+		s.submit(messages.Record{Kind: messages.RecordForget, Job: job.ID})
+		for i := range job.Listings {
+			delete(s.fleet.told, fmt.Sprintf("%s/%d", job.ID, i))
 		}
 	}
 }
 
 // check compares a holder's book with all that was ever told.
 func (s *simFleet) check(holder *simHolder) {
-	for _, lot := range holder.book.Lots() {
-		if s.gone[lot.ID] {
-			s.test.Fatalf("holder of epoch %d has %s again", holder.epoch, lot.ID)
+	for _, job := range holder.book.Jobs() {
+		if s.gone[job.ID] {
+			s.test.Fatalf("holder of epoch %d has %s again", holder.epoch, job.ID)
 		}
 	}
 	for _, place := range simulation.Keys(s.told) {
-		lot, number, _ := strings.Cut(place, "/")
+		jobID, number, _ := strings.Cut(place, "/")
 		position, _ := strconv.Atoi(number)
-		found := holder.book.Lot(lot)
+		found := holder.book.Job(jobID)
 		if found == nil || position >= len(found.Listings) || found.Listings[position].Item != s.told[place] {
 			s.test.Fatalf("holder of epoch %d lacks %s", holder.epoch, place)
 		}
--- a/internal/control/assignments/assignments.go
+++ b/internal/control/assignments/assignments.go
@@ -10,25 +10,25 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Board is what one process follows. Its owner guards it.
-type Board struct {
-	told messages.PlanResponse
+// Table is what one process follows. Its owner guards it.
+type Table struct {
+	plan messages.PlanResponse
 }
 
-// Take puts a chosen plan in force, never one that is older than the present one.
-func (b *Board) Take(plan messages.PlanResponse) bool {
-	if plan.Revision <= b.told.Revision {
+// Apply puts a chosen plan in force, never one that is older than the present one.
+func (b *Table) Apply(plan messages.PlanResponse) bool {
+	if plan.Revision <= b.plan.Revision {
 		return false
 	}
-	b.told = plan
+	b.plan = plan
 	return true
 }
 
-// Told gives what is in force.
-func (b *Board) Told() messages.PlanResponse { return b.told }
+// Plan gives what is in force.
+func (b *Table) Plan() messages.PlanResponse { return b.plan }
 
 // Revision is its number, 0 for none.
-func (b *Board) Revision() int64 { return b.told.Revision }
+func (b *Table) Revision() int64 { return b.plan.Revision }
 
 // Next gives the window that starts next after a minute of the day.
 func Next(windows []messages.PlanWindow, minute int) (messages.PlanWindow, bool) {
--- a/internal/control/assignments/assignments_test.go
+++ b/internal/control/assignments/assignments_test.go
@@ -8,12 +8,12 @@
 )
 
 func TestNeverGoesBack(t *testing.T) {
-	board := Board{}
+	board := Table{}
 	for _, step := range []struct {
 		revision int64
 		taken    bool
 	}{{0, false}, {2, true}, {2, false}, {1, false}, {7, true}, {3, false}} {
-		if board.Take(messages.PlanResponse{Revision: step.revision}) != step.taken {
+		if board.Apply(messages.PlanResponse{Revision: step.revision}) != step.taken {
 			t.Fatal(step)
 		}
 	}
--- a/internal/control/broadcast/backlog.go
+++ b/internal/control/broadcast/backlog.go
@@ -14,18 +14,18 @@
 // A process leaves the backlog once it has confirmed everything, or once the directory
 // no longer holds its life (see Due).
 type Backlog struct {
-	pending map[string]*pending
+	nodes map[string]*undelivered
 	// added counts the calls of Add.
 	added uint64
 }
 
-// pending is what one process has not confirmed.
-type pending struct {
+// undelivered is what one process has not confirmed.
+type undelivered struct {
 	entry      messages.NodeInfo
 	generation int64
 	workers    map[string]bool
 	next       clock.Instant
-	pause      clock.Duration
+	backoff    clock.Duration
 	// added is the last Add for this process: what was added after a delivery was made is
 	// not confirmed by it.
 	added uint64
@@ -40,16 +40,16 @@
 }
 
 // NewBacklog makes an empty backlog.
-func NewBacklog() *Backlog { return &Backlog{pending: map[string]*pending{}} }
+func NewBacklog() *Backlog { return &Backlog{nodes: map[string]*undelivered{}} }
 
 // Add notes that a process has not confirmed a generation (0 for none) and the changes
 // of some workers. It is told once more after a pause.
 func (b *Backlog) Add(entry messages.NodeInfo, generation int64, workers []string, backoff clock.Duration, now clock.Instant) {
 	key := membership.Key(entry)
-	p := b.pending[key]
+	p := b.nodes[key]
 	if p == nil || p.entry.Incarnation != entry.Incarnation {
-		p = &pending{workers: map[string]bool{}}
-		b.pending[key] = p
+		p = &undelivered{workers: map[string]bool{}}
+		b.nodes[key] = p
 	}
 	p.entry = entry
 	p.generation = max(p.generation, generation)
@@ -58,7 +58,7 @@
 	}
 	b.added++
 	p.added = b.added
-	p.pause, p.next = constants.BacklogBackoff, now.Add(backoff)
+	p.backoff, p.next = constants.BacklogBackoff, now.Add(backoff)
 }
 
 // Due gives the deliveries to be made now. Processes whose life is not in the directory
@@ -70,19 +70,19 @@
 	}
 	var due []Delivery
 	for _, key := range b.keys() {
-		pending := b.pending[key]
+		pending := b.nodes[key]
 		entry, found := present[key]
 		if !found || entry.Incarnation != pending.entry.Incarnation {
-			delete(b.pending, key)
+			delete(b.nodes, key)
 			continue
 		}
 		if entry.Generation >= pending.generation {
 			pending.generation = 0
 		}
-		if b.settled(key) || now < pending.next {
+		if b.dropIfConfirmed(key) || now < pending.next {
 			continue
 		}
-		pending.next, pending.pause = now.Add(pending.pause), min(2*pending.pause, constants.BacklogBackoffMax)
+		pending.next, pending.backoff = now.Add(pending.backoff), min(2*pending.backoff, constants.BacklogBackoffMax)
 		due = append(due, Delivery{Entry: entry, Generation: pending.generation, Workers: sortedKeys(pending.workers), added: pending.added})
 	}
 	return due
@@ -91,7 +91,7 @@
 // Confirmed takes the confirmation of a delivery.
 func (b *Backlog) Confirmed(delivery Delivery) {
 	key := membership.Key(delivery.Entry)
-	pending := b.pending[key]
+	pending := b.nodes[key]
 	if pending == nil || pending.entry.Incarnation != delivery.Entry.Incarnation || pending.added != delivery.added {
 		return
 	}
@@ -101,16 +101,16 @@
 	for _, id := range delivery.Workers {
 		delete(pending.workers, id)
 	}
-	b.settled(key)
+	b.dropIfConfirmed(key)
 }
 
-// settled drops a process that has confirmed everything.
-func (b *Backlog) settled(key string) bool {
-	pending := b.pending[key]
+// dropIfConfirmed drops a process that has confirmed everything.
+func (b *Backlog) dropIfConfirmed(key string) bool {
+	pending := b.nodes[key]
 	if pending.generation > 0 || len(pending.workers) > 0 {
 		return false
 	}
-	delete(b.pending, key)
+	delete(b.nodes, key)
 	return true
 }
 
@@ -118,8 +118,8 @@
 func (b *Backlog) Names() []string { return b.keys() }
 
 func (b *Backlog) keys() []string {
-	keys := make([]string, 0, len(b.pending))
-	for key := range b.pending {
+	keys := make([]string, 0, len(b.nodes))
+	for key := range b.nodes {
 		keys = append(keys, key)
 	}
 	sort.Strings(keys)
--- a/internal/control/broadcast/broadcast.go
+++ b/internal/control/broadcast/broadcast.go
@@ -17,8 +17,8 @@
 
 // The steps.
 const (
-	// StepTell: take the update, and pass it on to the addresses in Pass.
-	StepTell Step = iota
+	// StepDeliver: take the update, and pass it on to the addresses in Pass.
+	StepDeliver Step = iota
 	// StepRelay: take the update and tell your zone; answered at once.
 	StepRelay
 	// StepWait: say whom of your zone you could not reach, once you know.
@@ -41,28 +41,28 @@
 	controllers []messages.NodeInfo
 	processes   []messages.NodeInfo
 	relay       string
-	asked       clock.Instant
-	// settled: nothing more is expected of the zone's controllers.
-	settled bool
+	requestedAt clock.Instant
+	// complete: nothing more is expected of the zone's controllers.
+	complete bool
 }
 
-// Job is one update on its way.
-type Job struct {
-	own      messages.NodeInfo
+// Tree is one update on its way.
+type Tree struct {
+	self     messages.NodeInfo
 	fan      int
 	branches map[string]*branch
-	// open are the tells that are waited for, by address.
-	open    map[string]bool
+	// pending are the tells that are waited for, by address.
+	pending map[string]bool
 	missing map[uint32]bool
-	marks   map[string]uint32
+	hashes  map[string]uint32
 	entries map[string]messages.NodeInfo
 }
 
-// Fleet begins a job for all processes of a directory but the owner. fan is how many of
+// NewTree begins a job for all processes of a directory but the owner. fan is how many of
 // a zone are told directly, each passing the update on to its part of the rest; 0 tells
 // each directly.
-func Fleet(own messages.NodeInfo, directory []messages.NodeInfo, fan int, now clock.Instant) (*Job, []Send) {
-	job := &Job{own: own, fan: fan, branches: map[string]*branch{}, open: map[string]bool{}, missing: map[uint32]bool{}, marks: map[string]uint32{},
+func NewTree(own messages.NodeInfo, directory []messages.NodeInfo, fan int, now clock.Instant) (*Tree, []Send) {
+	job := &Tree{self: own, fan: fan, branches: map[string]*branch{}, pending: map[string]bool{}, missing: map[uint32]bool{}, hashes: map[string]uint32{},
 		entries: map[string]messages.NodeInfo{}}
 	for _, entry := range directory {
 		if membership.Key(entry) == membership.Key(own) {
@@ -73,10 +73,10 @@
 			b = &branch{}
 			job.branches[entry.Zone] = b
 		}
-		job.marks[entry.Address] = membership.MarkOf(entry)
+		job.hashes[entry.Address] = membership.Hash(entry)
 		job.entries[entry.Address] = entry
 		b.processes = append(b.processes, entry)
-		if entry.Role == membership.RoleController && fresh(entry) && !entry.Draining {
+		if entry.Role == membership.RoleController && recentlySeen(entry) && !entry.Draining {
 			b.controllers = append(b.controllers, entry)
 		}
 	}
@@ -86,8 +86,8 @@
 		// The freshest is asked first: it most likely lives.
 		sort.SliceStable(b.controllers, func(left, right int) bool { return b.controllers[left].AgeMs < b.controllers[right].AgeMs })
 		if zone == own.Zone {
-			b.settled = true
-			sends = append(sends, job.tell(b.processes)...)
+			b.complete = true
+			sends = append(sends, job.deliver(b.processes)...)
 		} else {
 			sends = append(sends, job.next(b, zone, now)...)
 		}
@@ -95,18 +95,18 @@
 	return job, sends
 }
 
-// Zone begins a job for the owner's zone alone, on behalf of another. Those of the
+// NewZoneTree begins a job for the owner's zone alone, on behalf of another. Those of the
 // expected that the owner does not know are missing from the start.
-func Zone(own messages.NodeInfo, directory []messages.NodeInfo, expect []uint32, fan int, now clock.Instant) (*Job, []Send) {
+func NewZoneTree(own messages.NodeInfo, directory []messages.NodeInfo, expect []uint32, fan int, now clock.Instant) (*Tree, []Send) {
 	var near []messages.NodeInfo
-	known := map[uint32]bool{membership.MarkOf(own): true}
+	known := map[uint32]bool{membership.Hash(own): true}
 	for _, entry := range directory {
 		if entry.Zone == own.Zone {
 			near = append(near, entry)
-			known[membership.MarkOf(entry)] = true
+			known[membership.Hash(entry)] = true
 		}
 	}
-	job, sends := Fleet(own, near, fan, now)
+	job, sends := NewTree(own, near, fan, now)
 	for _, hash := range expect {
 		if !known[hash] {
 			job.missing[hash] = true
@@ -115,10 +115,12 @@
 	return job, sends
 }
 
-// fresh tells whether a process was heard lately: only then is it waited for.
-func fresh(entry messages.NodeInfo) bool { return entry.AgeMs < constants.SuspectAfter.Milliseconds() }
+// recentlySeen tells whether a process was heard lately: only then is it waited for.
+func recentlySeen(entry messages.NodeInfo) bool {
+	return entry.AgeMs < constants.SuspectAfter.Milliseconds()
+}
 
-func (j *Job) zones() []string {
+func (j *Tree) zones() []string {
 	var zones []string
 	for zone := range j.branches {
 		zones = append(zones, zone)
@@ -127,13 +129,13 @@
 	return zones
 }
 
-// tell makes the sends that tell processes directly, or through a few of them.
-func (j *Job) tell(processes []messages.NodeInfo) []Send {
+// deliver makes the sends that tell processes directly, or through a few of them.
+func (j *Tree) deliver(processes []messages.NodeInfo) []Send {
 	var counts, silent []messages.NodeInfo
 	for _, entry := range processes {
-		if fresh(entry) {
+		if recentlySeen(entry) {
 			counts = append(counts, entry)
-			j.open[entry.Address] = true
+			j.pending[entry.Address] = true
 		} else {
 			silent = append(silent, entry)
 		}
@@ -141,7 +143,7 @@
 	var sends []Send
 	if j.fan == 0 {
 		for _, entry := range counts {
-			sends = append(sends, Send{Step: StepTell, Address: entry.Address})
+			sends = append(sends, Send{Step: StepDeliver, Address: entry.Address})
 		}
 	} else {
 		var addresses []string
@@ -151,13 +153,13 @@
 		sends = Split(addresses, j.fan)
 		for _, send := range sends {
 			for _, address := range send.Pass {
-				delete(j.open, address)
+				delete(j.pending, address)
 			}
 		}
 	}
 	// The silent ones are told as well, each for itself: nobody waits for them.
 	for _, entry := range silent {
-		sends = append(sends, Send{Step: StepTell, Address: entry.Address})
+		sends = append(sends, Send{Step: StepDeliver, Address: entry.Address})
 	}
 	return sends
 }
@@ -168,7 +170,7 @@
 	sends := make([]Send, count)
 	for i, address := range addresses {
 		if i < count {
-			sends[i] = Send{Step: StepTell, Address: address}
+			sends[i] = Send{Step: StepDeliver, Address: address}
 		} else {
 			sends[i%count].Pass = append(sends[i%count].Pass, address)
 		}
@@ -177,20 +179,20 @@
 }
 
 // next asks a zone's next controller, or tells its processes where none is left.
-func (j *Job) next(b *branch, zone string, now clock.Instant) []Send {
-	if b.settled {
+func (j *Tree) next(b *branch, zone string, now clock.Instant) []Send {
+	if b.complete {
 		return nil
 	}
 	if len(b.controllers) == 0 {
-		b.settled, b.relay = true, ""
-		return j.tell(b.processes)
+		b.complete, b.relay = true, ""
+		return j.deliver(b.processes)
 	}
 	var expect []uint32
 	for _, entry := range b.processes {
-		if fresh(entry) {
-			expect = append(expect, membership.MarkOf(entry))
+		if recentlySeen(entry) {
+			expect = append(expect, membership.Hash(entry))
 		}
 	}
-	b.relay, b.asked, b.controllers = b.controllers[0].Address, now, b.controllers[1:]
+	b.relay, b.requestedAt, b.controllers = b.controllers[0].Address, now, b.controllers[1:]
 	return []Send{{Step: StepRelay, Address: b.relay, Zone: zone, Expect: expect}}
 }
--- a/internal/control/broadcast/broadcast_test.go
+++ b/internal/control/broadcast/broadcast_test.go
@@ -82,7 +82,7 @@
 			fleet := newFleet(seed, 4, 2, 2, gateways)
 			fleet.Run(clock.Instant(0).Add(6 * constants.ShufflePeriod))
 			taker := fleet.controllers()[fleet.Random.Intn(8)]
-			taker.registry.Beat(steady("w", 1, messages.PhaseSteady), fleet.Now)
+			taker.registry.Heartbeat(steady("w", 1, messages.PhaseSteady), fleet.Now)
 			fleet.Run(fleet.Now.Add(4 * constants.ShufflePeriod))
 			for _, here := range fleet.nodes {
 				if _, known := here.registry.Get("w"); !known {
@@ -91,7 +91,7 @@
 			}
 			out := fleet.trouble(int(seed%5), taker)
 			worker, sentAt, acknowledged := steady("w", 2, messages.PhaseDraining), fleet.Now, clock.Instant(0)
-			if !taker.registry.Beat(worker, fleet.Now) {
+			if !taker.registry.Heartbeat(worker, fleet.Now) {
 				t.Fatal("no change")
 			}
 			taker.spread(&messages.RelayRequest{Workers: []messages.Worker{worker}}, constants.BroadcastTimeout, func() {
@@ -118,10 +118,10 @@
 		fleet := newFleet(seed, 4, 2, 2, 10)
 		fleet.Run(clock.Instant(0).Add(6 * constants.ShufflePeriod))
 		taker := fleet.controllers()[0]
-		taker.registry.Beat(steady("w", 1, messages.PhaseSteady), fleet.Now)
+		taker.registry.Heartbeat(steady("w", 1, messages.PhaseSteady), fleet.Now)
 		fleet.Run(fleet.Now.Add(4 * constants.ShufflePeriod))
 		// The tree fails as a whole: only the digests are left.
-		taker.registry.Beat(steady("w", 2, messages.PhaseDraining), fleet.Now)
+		taker.registry.Heartbeat(steady("w", 2, messages.PhaseDraining), fleet.Now)
 		fleet.Run(fleet.Now.Add(2500 * 1_000_000))
 		for _, here := range fleet.nodes {
 			if got, _ := here.registry.Get("w"); got.Phase != messages.PhaseDraining {
@@ -185,7 +185,7 @@
 				// A worker that is not answered calls the next node.
 				taker = fleet.controllers()[fleet.Random.Intn(8)]
 			}
-			if id := fmt.Sprint("w", i); !(crashed && i == 7) && taker.registry.Beat(steady(id, count, messages.PhaseSteady), fleet.Now) {
+			if id := fmt.Sprint("w", i); !(crashed && i == 7) && taker.registry.Heartbeat(steady(id, count, messages.PhaseSteady), fleet.Now) {
 				worker, _ := taker.registry.Get(id)
 				taker.spread(&messages.RelayRequest{Workers: []messages.Worker{worker}}, constants.BroadcastTimeout, func() {})
 			}
@@ -201,15 +201,15 @@
 				continue
 			}
 			for i := 0; i < 30; i++ {
-				want := workers.StandingGood
+				want := workers.StatusHealthy
 				if i == 7 && second >= 15 {
-					want = workers.StandingOut
+					want = workers.StatusUnavailable
 				} else if i == 7 && second >= 7 {
-					want = workers.StandingSuspect
+					want = workers.StatusSuspect
 				} else if i == 7 {
 					continue
 				}
-				if got := here.registry.Standing(fmt.Sprint("w", i), fleet.Now, true); got < want || (i != 7 && got != want) {
+				if got := here.registry.Status(fmt.Sprint("w", i), fleet.Now, true); got < want || (i != 7 && got != want) {
 					t.Fatalf("second %d: %s takes w%d for %v", second, here.own.Address, i, got)
 				}
 			}
--- a/internal/control/broadcast/control_test.go
+++ b/internal/control/broadcast/control_test.go
@@ -74,7 +74,7 @@
 }
 
 func (n *node) contactAnswered(member messages.Member, sentAt clock.Instant, accepted int64) {
-	if !n.control.lease.Answered(member, sentAt, contact.Followed{Generation: accepted}, contact.Followed{Generation: n.config}) || n.control.catching {
+	if !n.control.lease.Observe(member, sentAt, contact.Versions{Generation: accepted}, contact.Versions{Generation: n.config}) || n.control.catching {
 		return
 	}
 	n.control.catching = true
@@ -158,16 +158,16 @@
 	if !n.attached() {
 		return
 	}
-	n.registry.Beat(worker, n.fleet.Now)
+	n.registry.Heartbeat(worker, n.fleet.Now)
 	worker, _ = n.registry.Get(worker.ID)
-	kept, told := false, false
+	retained, told := false, false
 	end := func() {
-		if kept && told {
+		if retained && told {
 			acknowledged()
 		}
 	}
 	n.majority(&messages.WorkersPersistRequest{Workers: []messages.Worker{worker}}, func() {
-		kept = true
+		retained = true
 		end()
 	})
 	n.spread(&messages.RelayRequest{Workers: []messages.Worker{worker}}, constants.BroadcastTimeout, func() {
--- a/internal/control/broadcast/cost_test.go
+++ b/internal/control/broadcast/cost_test.go
@@ -18,17 +18,17 @@
 }
 
 // idle runs a calm fleet whose workers beat, and gives the cost by role.
-func idle(seed int64, gateways, stores, workerList int) map[string]cost {
+func idle(seed int64, gateways, stores, workers int) map[string]cost {
 	fleet := newFleet(seed, 4, 2, stores, gateways)
 	count := int64(0)
 	var beatAll func()
 	beatAll = func() {
 		fleet.After(beat, beatAll)
 		count++
-		for i := 0; i < workerList; i++ {
+		for i := 0; i < workers; i++ {
 			taker, id, number := fleet.controllers()[fleet.Random.Intn(8)], fmt.Sprintf("i-%08x", i*7919), count
 			fleet.After(clock.Duration(fleet.Random.Int63n(beat)), func() {
-				if taker.registry.Beat(steady(id, number, messages.PhaseSteady), fleet.Now) {
+				if taker.registry.Heartbeat(steady(id, number, messages.PhaseSteady), fleet.Now) {
 					worker, _ := taker.registry.Get(id)
 					taker.spread(&messages.RelayRequest{Workers: []messages.Worker{worker}}, constants.BroadcastTimeout, func() {})
 				}
--- a/internal/control/broadcast/cut_test.go
+++ b/internal/control/broadcast/cut_test.go
@@ -102,7 +102,7 @@
 func (c *cut) drain() {
 	c.worker++
 	id, first, taker := fmt.Sprint("w", c.worker), c.draw(), c.draw()
-	if !first.attached() || !first.registry.Beat(steady(id, 1, messages.PhaseSteady), c.fleet.Now) {
+	if !first.attached() || !first.registry.Heartbeat(steady(id, 1, messages.PhaseSteady), c.fleet.Now) {
 		return
 	}
 	first.spread(&messages.RelayRequest{Workers: []messages.Worker{steady(id, 1, messages.PhaseSteady)}}, constants.BroadcastTimeout, func() {})
--- a/internal/control/broadcast/drive_test.go
+++ b/internal/control/broadcast/drive_test.go
@@ -10,7 +10,7 @@
 )
 
 // drive makes the calls of a job, and ticks it while it lasts.
-func (n *node) drive(update *messages.RelayRequest, job *broadcast.Job, sends []broadcast.Send, start clock.Instant) {
+func (n *node) drive(update *messages.RelayRequest, job *broadcast.Tree, sends []broadcast.Send, start clock.Instant) {
 	for _, send := range sends {
 		n.carry(update, job, send, start)
 	}
@@ -21,7 +21,7 @@
 	})
 }
 
-func (n *node) carry(update *messages.RelayRequest, job *broadcast.Job, send broadcast.Send, start clock.Instant) {
+func (n *node) carry(update *messages.RelayRequest, job *broadcast.Tree, send broadcast.Send, start clock.Instant) {
 	var message transport.Marshaler
 	switch {
 	case send.Step == broadcast.StepRelay:
@@ -37,17 +37,17 @@
 	}
 	n.call(send.Address, message, constants.CallTimeout, func(resp transport.Marshaler, failed bool) {
 		var next []broadcast.Send
-		if entry := job.Told(send); failed && send.Step == broadcast.StepTell && entry.Address != "" {
+		if entry := job.Receiver(send); failed && send.Step == broadcast.StepDeliver && entry.Address != "" {
 			n.owe(update, []messages.NodeInfo{entry}, constants.BacklogBackoff)
 		}
 		done, waited := resp.(*messages.RelayWaitResponse)
 		switch {
 		case failed || (waited && !done.Known):
-			next = job.Failed(send, n.fleet.Now)
+			next = job.HandleFailure(send, n.fleet.Now)
 		case waited:
-			next = job.Took(send, done.Missing, n.fleet.Now)
+			next = job.HandleResponse(send, done.Missing, n.fleet.Now)
 		default:
-			next = job.Took(send, nil, n.fleet.Now)
+			next = job.HandleResponse(send, nil, n.fleet.Now)
 		}
 		for _, s := range next {
 			n.carry(update, job, s, start)
@@ -60,7 +60,7 @@
 	n.fleet.number++
 	update.From, update.Sequence = membership.Key(n.own), n.fleet.number
 	start := n.fleet.Now
-	job, sends := broadcast.Fleet(n.own, n.view.All("", start), fan(update), start)
+	job, sends := broadcast.NewTree(n.own, n.view.All("", start), fan(update), start)
 	if update.Generation > 0 {
 		n.owe(update, job.Unconfirmed(sends), constants.BacklogForwardedDelay)
 	}
--- a/internal/control/broadcast/events.go
+++ b/internal/control/broadcast/events.go
@@ -9,25 +9,25 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Took notes that a send was answered; missing is what a wait brought.
-func (j *Job) Took(send Send, missing []uint32, now clock.Instant) []Send {
+// HandleResponse notes that a send was answered; missing is what a wait brought.
+func (j *Tree) HandleResponse(send Send, missing []uint32, now clock.Instant) []Send {
 	switch send.Step {
-	case StepTell:
-		delete(j.open, send.Address)
+	case StepDeliver:
+		delete(j.pending, send.Address)
 	case StepRelay:
 		branch := j.branches[send.Zone]
-		if branch.settled || branch.relay != send.Address {
+		if branch.complete || branch.relay != send.Address {
 			return nil
 		}
 		// It lives and is at it: it is given the time that its zone may take.
-		branch.asked = now.Add(constants.ZoneBroadcastTimeout)
+		branch.requestedAt = now.Add(constants.ZoneBroadcastTimeout)
 		return []Send{{Step: StepWait, Address: send.Address, Zone: send.Zone}}
 	case StepWait:
 		branch := j.branches[send.Zone]
-		if branch.settled {
+		if branch.complete {
 			return nil
 		}
-		branch.settled = true
+		branch.complete = true
 		left := map[uint32]bool{}
 		for _, hash := range missing {
 			left[hash] = true
@@ -35,45 +35,45 @@
 		// Whom the relay could not reach may be in reach from here.
 		var again []messages.NodeInfo
 		for _, entry := range branch.processes {
-			if left[membership.MarkOf(entry)] {
+			if left[membership.Hash(entry)] {
 				again = append(again, entry)
 			}
 		}
-		return j.tell(again)
+		return j.deliver(again)
 	}
 	return nil
 }
 
-// Failed notes that a send was not answered or not taken.
-func (j *Job) Failed(send Send, now clock.Instant) []Send {
-	if send.Step != StepTell {
+// HandleFailure notes that a send was not answered or not taken.
+func (j *Tree) HandleFailure(send Send, now clock.Instant) []Send {
+	if send.Step != StepDeliver {
 		branch := j.branches[send.Zone]
 		if branch.relay != send.Address {
 			return nil
 		}
 		return j.next(branch, send.Zone, now)
 	}
-	if hash, known := j.marks[send.Address]; known && j.open[send.Address] {
+	if hash, known := j.hashes[send.Address]; known && j.pending[send.Address] {
 		j.missing[hash] = true
 	}
-	delete(j.open, send.Address)
+	delete(j.pending, send.Address)
 	if len(send.Pass) == 0 {
 		return nil
 	}
 	// The next of its part takes its place.
-	j.open[send.Pass[0]] = true
-	return []Send{{Step: StepTell, Address: send.Pass[0], Pass: send.Pass[1:]}}
+	j.pending[send.Pass[0]] = true
+	return []Send{{Step: StepDeliver, Address: send.Pass[0], Pass: send.Pass[1:]}}
 }
 
-// Told gives the process that a send goes to.
-func (j *Job) Told(send Send) messages.NodeInfo { return j.entries[send.Address] }
+// Receiver gives the process that a send goes to.
+func (j *Tree) Receiver(send Send) messages.NodeInfo { return j.entries[send.Address] }
 
 // Unconfirmed gives the processes whose taking of a configuration this job does not hear
 // of: those of the owner's zone to which others pass it on, and those of other zones.
-func (j *Job) Unconfirmed(sends []Send) []messages.NodeInfo {
+func (j *Tree) Unconfirmed(sends []Send) []messages.NodeInfo {
 	told := map[string]bool{}
 	for _, send := range sends {
-		told[send.Address] = send.Step == StepTell
+		told[send.Address] = send.Step == StepDeliver
 	}
 	var found []messages.NodeInfo
 	for _, zone := range j.zones() {
@@ -87,11 +87,11 @@
 }
 
 // Tick goes on without controllers that take too long.
-func (j *Job) Tick(now clock.Instant) []Send {
+func (j *Tree) Tick(now clock.Instant) []Send {
 	var sends []Send
 	for _, zone := range j.zones() {
 		branch := j.branches[zone]
-		if !branch.settled && now.Sub(branch.asked) >= constants.RelayTimeout {
+		if !branch.complete && now.Sub(branch.requestedAt) >= constants.RelayTimeout {
 			sends = append(sends, j.next(branch, zone, now)...)
 		}
 	}
@@ -99,23 +99,23 @@
 }
 
 // Done tells whether everybody who was heard lately took the update or failed to.
-func (j *Job) Done() bool {
+func (j *Tree) Done() bool {
 	for _, branch := range j.branches {
-		if !branch.settled {
+		if !branch.complete {
 			return false
 		}
 	}
-	return len(j.open) == 0
+	return len(j.pending) == 0
 }
 
 // Missing gives the marks of those in touch that have not taken the update.
-func (j *Job) Missing() []uint32 {
+func (j *Tree) Missing() []uint32 {
 	var hashes []uint32
 	for hash := range j.missing {
 		hashes = append(hashes, hash)
 	}
-	for address := range j.open {
-		if hash := j.marks[address]; !j.missing[hash] {
+	for address := range j.pending {
+		if hash := j.hashes[address]; !j.missing[hash] {
 			hashes = append(hashes, hash)
 		}
 	}
--- a/internal/control/broadcast/fleet_test.go
+++ b/internal/control/broadcast/fleet_test.go
@@ -25,7 +25,7 @@
 	config   int64
 	down     bool
 	reads    map[string]*reads
-	relays   map[string]*broadcast.Job
+	relays   map[string]*broadcast.Tree
 	pulling  bool
 	control  control
 	// messages and bytes sent, those to other zones apart.
@@ -68,11 +68,11 @@
 
 func (n *node) start(seed int64) {
 	n.view, n.registry = membership.NewView(n.own, seed), workers.New(beat)
-	n.reads, n.relays = map[string]*reads{}, map[string]*broadcast.Job{}
+	n.reads, n.relays = map[string]*reads{}, map[string]*broadcast.Tree{}
 	// The seeds are the first controllers of three zones.
 	for zone := 0; zone < 3; zone++ {
 		name := fmt.Sprintf("%d-000", zone)
-		n.view.Heard([]messages.NodeInfo{{}, {Name: name, Incarnation: 1, Role: membership.RoleController, Zone: fmt.Sprint("h", zone), Address: "foreman/" + name}}, n.fleet.Now)
+		n.view.Observe([]messages.NodeInfo{{}, {Name: name, Incarnation: 1, Role: membership.RoleController, Zone: fmt.Sprint("h", zone), Address: "foreman/" + name}}, n.fleet.Now)
 	}
 }
 
@@ -121,10 +121,10 @@
 			return
 		}
 		if !n.attached() {
-			response(&messages.Shuffle{Entries: []messages.NodeInfo{n.view.Own()}, Detached: true})
+			response(&messages.Shuffle{Entries: []messages.NodeInfo{n.view.Self()}, Detached: true})
 			return
 		}
-		resp := n.view.Answer(found, now)
+		resp := n.view.RespondToReport(found, now)
 		resp.Workers, resp.OverdueComplete, resp.Overdue = n.registry.Digest(n.own.Incarnation), true, n.registry.Overdue(now)
 		response(resp)
 	case *messages.ControllerHeartbeat:
@@ -161,7 +161,7 @@
 	case *messages.RelayRequest:
 		n.merge(found.Workers)
 		n.take(found.Generation)
-		job, sends := broadcast.Zone(n.own, n.view.All("", now), found.Expect, fan(found), now)
+		job, sends := broadcast.NewZoneTree(n.own, n.view.All("", now), found.Expect, fan(found), now)
 		n.relays[fmt.Sprint(found.From, found.Sequence)] = job
 		n.drive(found, job, sends, now)
 		response(&messages.Ack{Accepted: true})
@@ -170,7 +170,7 @@
 	}
 }
 
-func (n *node) await(job *broadcast.Job, start clock.Instant, resp func(transport.Marshaler)) {
+func (n *node) await(job *broadcast.Tree, start clock.Instant, resp func(transport.Marshaler)) {
 	switch {
 	case job == nil:
 		resp(&messages.RelayWaitResponse{})
@@ -207,8 +207,8 @@
 	}
 }
 
-func (n *node) merge(workerList []messages.Worker) {
-	for _, worker := range workerList {
+func (n *node) merge(workers []messages.Worker) {
+	for _, worker := range workers {
 		n.registry.Merge(worker, n.fleet.Now)
 	}
 }
--- a/internal/control/broadcast/loops_test.go
+++ b/internal/control/broadcast/loops_test.go
@@ -10,7 +10,7 @@
 
 // hear takes entries, and pulls a configuration that somebody was seen to have.
 func (n *node) hear(entries []messages.NodeInfo) {
-	n.view.Heard(entries, n.fleet.Now)
+	n.view.Observe(entries, n.fleet.Now)
 	n.sawEntries(entries)
 }
 
@@ -82,9 +82,9 @@
 		}
 		return
 	}
-	req, address := n.view.Question(), controllers[0].Address
+	req, address := n.view.Report(), controllers[0].Address
 	if brief {
-		req = n.view.BriefQuestion()
+		req = n.view.BriefReport()
 	}
 	n.call(address, req, constants.ReportTimeout, func(resp transport.Marshaler, failed bool) {
 		if failed {
@@ -101,14 +101,14 @@
 		if !brief {
 			n.control.first = address
 		}
-		n.view.Answered(req, response, n.fleet.Now)
+		n.view.HandleReportResponse(req, response, n.fleet.Now)
 		n.sawEntries(response.Entries)
 		read := n.read(address)
 		if since, ask := behind(&read.workerList, response.Workers, n.registry.Digest(n.own.Incarnation)); ask {
 			n.pullWorkers(address, since)
 		}
 		if response.OverdueComplete {
-			n.registry.Judged(response.Overdue, n.fleet.Now)
+			n.registry.ApplyOverdue(response.Overdue, n.fleet.Now)
 		}
 	})
 }
@@ -143,9 +143,9 @@
 
 func (n *node) beatFor(key string) *messages.ControllerHeartbeat {
 	since := n.read(key).told
-	heartbeat := &messages.ControllerHeartbeat{From: n.view.Own(), Workers: n.registry.Digest(n.own.Incarnation), Processes: n.view.Digest(),
-		SeenWorkers: n.registry.BeatenSince(since), Generation: n.view.Own().Generation}
-	heartbeat.SeenNodes, heartbeat.LaggingNodes = n.view.MetSince(since)
+	heartbeat := &messages.ControllerHeartbeat{From: n.view.Self(), Workers: n.registry.Digest(n.own.Incarnation), Processes: n.view.Digest(),
+		SeenWorkers: n.registry.HeartbeatsSince(since), Generation: n.view.Self().Generation}
+	heartbeat.SeenNodes, heartbeat.LaggingNodes = n.view.ContactedSince(since)
 	return heartbeat
 }
 
@@ -169,8 +169,8 @@
 	n.hear([]messages.NodeInfo{heartbeat.From})
 	read := n.read(membership.Key(heartbeat.From))
 	read.told = told
-	n.registry.Vouched(heartbeat.SeenWorkers, now)
-	n.view.Vouched(heartbeat, now)
+	n.registry.ConfirmHeartbeats(heartbeat.SeenWorkers, now)
+	n.view.HandleHeartbeat(heartbeat, now)
 	if since, ask := behind(&read.workerList, heartbeat.Workers, n.registry.Digest(n.own.Incarnation)); ask {
 		n.pullWorkers(address, since)
 	}
--- a/internal/control/contact/contact.go
+++ b/internal/control/contact/contact.go
@@ -15,8 +15,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Followed is what a process follows, or what an acceptor has accepted.
-type Followed struct {
+// Versions is what a process follows, or what an acceptor has accepted.
+type Versions struct {
 	SetEpoch   uint64
 	Generation int64
 }
@@ -30,10 +30,10 @@
 // New gives a lease that was never renewed.
 func New() *Lease { return &Lease{renewed: map[string]clock.Instant{}} }
 
-// Answered takes the answer of an acceptor to a question that was sent at asked. It
+// Observe takes the answer of an acceptor to a question that was sent at asked. It
 // reports whether the acceptor is ahead of what this process follows; such an answer
 // does not renew the lease.
-func (l *Lease) Answered(acceptor messages.Member, sentAt clock.Instant, accepted, followed Followed) (ahead bool) {
+func (l *Lease) Observe(acceptor messages.Member, sentAt clock.Instant, accepted, followed Versions) (ahead bool) {
 	if accepted.SetEpoch > followed.SetEpoch || accepted.Generation > followed.Generation {
 		return true
 	}
--- a/internal/control/contact/contact_test.go
+++ b/internal/control/contact/contact_test.go
@@ -17,7 +17,7 @@
 // acknowledged is a value that a majority accepted, and when that was.
 type acknowledged struct {
 	at    clock.Instant
-	value contact.Followed
+	value contact.Versions
 }
 
 // play is one process that keeps a lease while others change the set and the
@@ -27,9 +27,9 @@
 	test      *testing.T
 	seed      int64
 	sets      []messages.RegisterValue
-	accepted  map[string]contact.Followed
+	accepted  map[string]contact.Versions
 	lease     *contact.Lease
-	followed  contact.Followed
+	followed  contact.Versions
 	history   []acknowledged
 	validFor  int
 	refusedAt int
@@ -43,7 +43,7 @@
 // gave its place up, by way of the joint set. It is acknowledged once majorities have it.
 func (p *play) propose() {
 	last := p.sets[len(p.sets)-1]
-	value := contact.Followed{SetEpoch: last.SetEpoch}
+	value := contact.Versions{SetEpoch: last.SetEpoch}
 	if count := len(p.history); count > 0 {
 		value = p.history[count-1].value
 	}
@@ -82,7 +82,7 @@
 		p.Send("process", target.Address, func() {
 			accepted := p.accepted[register.Identity(target)]
 			p.Send(target.Address, "process", func() {
-				p.lease.Answered(target, sentAt, accepted, p.followed)
+				p.lease.Observe(target, sentAt, accepted, p.followed)
 			})
 		})
 	}
@@ -132,12 +132,12 @@
 	}
 	valid, refused := 0, 0
 	for seed := int64(1); seed <= int64(seeds); seed++ {
-		p := &play{World: simulation.NewWorld(seed), test: t, seed: seed, accepted: map[string]contact.Followed{}, lease: contact.New()}
+		p := &play{World: simulation.NewWorld(seed), test: t, seed: seed, accepted: map[string]contact.Versions{}, lease: contact.New()}
 		first := messages.RegisterValue{SetEpoch: 1}
 		for i := 0; i < 3+2*p.Random.Intn(2); i++ {
 			first.Acceptors = append(first.Acceptors, member(i))
 		}
-		p.sets, p.followed = []messages.RegisterValue{first}, contact.Followed{SetEpoch: 1}
+		p.sets, p.followed = []messages.RegisterValue{first}, contact.Versions{SetEpoch: 1}
 		p.Loss, p.Double = 0.1*p.Random.Float64(), 0.05
 		p.every(constants.ContactPeriod, p.round)
 		p.every(2*constants.ContactPeriod, p.propose)
--- a/internal/control/controller/backlog.go
+++ b/internal/control/controller/backlog.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// tendBacklog makes the deliveries that are due.
-func (c *Controller) tendBacklog() {
+// retryBacklog makes the deliveries that are due.
+func (c *Controller) retryBacklog() {
 	now := clock.Now()
 	c.lock.Lock()
 	if len(c.backlog.Names()) == 0 {
--- a/internal/control/controller/batch.go
+++ b/internal/control/controller/batch.go
@@ -14,11 +14,11 @@
 type batches struct {
 	lock sync.Mutex
 	next *batch
-	// flying is how many batches are under way.
-	flying int
-	spread func(workerList []messages.Worker)
-	// later runs a function once the window is over.
-	later func(function func())
+	// inFlight is how many batches are under way.
+	inFlight  int
+	broadcast func(workers []messages.Worker)
+	// afterWindow runs a function once the window is over.
+	afterWindow func(function func())
 }
 
 // batch is changes that go together.
@@ -35,7 +35,7 @@
 	if b.next == nil {
 		ba := &batch{done: make(chan struct{})}
 		b.next = ba
-		b.later(func() {
+		b.afterWindow(func() {
 			b.lock.Lock()
 			defer b.lock.Unlock()
 			if b.next == ba {
@@ -45,7 +45,7 @@
 	}
 	ba := b.next
 	ba.workerList, ba.urgent = append(ba.workerList, worker), ba.urgent || urgent
-	if ba.urgent && b.flying < constants.UpdateBatchesInFlight {
+	if ba.urgent && b.inFlight < constants.UpdateBatchesInFlight {
 		b.launch()
 	}
 	return ba.done
@@ -55,21 +55,21 @@
 func (b *batches) launch() {
 	batch := b.next
 	b.next = nil
-	b.flying++
+	b.inFlight++
 	go func() {
-		b.spread(batch.workerList)
+		b.broadcast(batch.workerList)
 		close(batch.done)
 		b.lock.Lock()
 		defer b.lock.Unlock()
-		b.flying--
+		b.inFlight--
 		if b.next != nil && b.next.urgent {
 			b.launch()
 		}
 	}()
 }
 
-// afterWindow runs a function once the window is over.
-func afterWindow(function func()) {
+// afterBatchWindow runs a function once the window is over.
+func afterBatchWindow(function func()) {
 	go func() {
 		clock.Sleep(constants.UpdateBatchWindow)
 		function()
--- a/internal/control/controller/batch_test.go
+++ b/internal/control/controller/batch_test.go
@@ -15,10 +15,10 @@
 	told := make(chan []messages.Worker, 1000)
 	release := make(chan struct{})
 	var windows []func()
-	b := &batches{spread: func(workerList []messages.Worker) {
-		told <- workerList
+	b := &batches{broadcast: func(workers []messages.Worker) {
+		told <- workers
 		<-release
-	}, later: func(function func()) { windows = append(windows, function) }}
+	}, afterWindow: func(function func()) { windows = append(windows, function) }}
 	for i := 0; i < 300; i++ {
 		b.add(messages.Worker{ID: fmt.Sprint("w", i)}, false)
 	}
--- a/internal/control/controller/binding.go
+++ b/internal/control/controller/binding.go
@@ -10,71 +10,71 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// binding remembers which drains and departures a majority of the acceptors has on disk:
+// durableDrains remembers which drains and departures a majority of the acceptors has on disk:
 // only these are acknowledged.
-type binding struct {
-	lock sync.Mutex
-	kept map[string]messages.Phase
+type durableDrains struct {
+	lock   sync.Mutex
+	phases map[string]messages.Phase
 }
 
-func (b *binding) isKept(worker messages.Worker) bool {
+func (b *durableDrains) isDurable(worker messages.Worker) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	return b.kept[worker.ID] >= worker.Phase
+	return b.phases[worker.ID] >= worker.Phase
 }
 
-func (b *binding) setKept(worker messages.Worker) {
+func (b *durableDrains) setDurable(worker messages.Worker) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	b.kept[worker.ID] = max(b.kept[worker.ID], worker.Phase)
+	b.phases[worker.ID] = max(b.phases[worker.ID], worker.Phase)
 }
 
 // trim forgets workers that the registry does not know any more.
-func (b *binding) trim(known func(id string) bool) {
+func (b *durableDrains) trim(known func(id string) bool) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	for id := range b.kept {
+	for id := range b.phases {
 		if !known(id) {
-			delete(b.kept, id)
+			delete(b.phases, id)
 		}
 	}
 }
 
-// remembered gives all that belongs in the file of workers.
-func (c *Controller) remembered() []messages.Worker {
+// workersToPersist gives all that belongs in the file of workers.
+func (c *Controller) workersToPersist() []messages.Worker {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	return append(c.registry.All(clock.Now()), c.recalled...)
+	return append(c.registry.All(clock.Now()), c.fromFile...)
 }
 
-// keepAtMajority has a drain or a departure written to disk by a majority of the
+// persistAtQuorum has a drain or a departure written to disk by a majority of the
 // acceptors, this process among them where it is one, and tells whether that was done
 // in time.
-func (c *Controller) keepAtMajority(worker messages.Worker) bool {
+func (c *Controller) persistAtQuorum(worker messages.Worker) bool {
 	c.contact.lock.Lock()
 	sets := c.contact.sets
 	c.contact.lock.Unlock()
 	members := register.Targets(&sets)
-	answers := make(chan keepAnswer, len(members))
+	responses := make(chan persistResult, len(members))
 	req := &messages.WorkersPersistRequest{From: c.Node.Self.Address, Workers: []messages.Worker{worker}}
 	for _, member := range members {
 		go func() {
 			if member.Address == c.Node.Self.Address {
-				answers <- keepAnswer{member, c.memory.keep(req.Workers)}
+				responses <- persistResult{member, c.workerFile.persist(req.Workers)}
 				return
 			}
 			resp := &messages.ContactResponse{}
 			err := transport.Call(c.Node.Transport, member.Address, messages.KindWorkersPersist, req, resp, constants.BroadcastTimeout)
 			// It counts for the disk that it was written to.
 			member.Disk = resp.Disk
-			answers <- keepAnswer{member, err}
+			responses <- persistResult{member, err}
 		}()
 	}
 	timer, answered := clock.NewTimer(constants.BroadcastTimeout), map[string]bool{}
 	defer timer.Stop()
 	for range members {
 		select {
-		case answer := <-answers:
+		case answer := <-responses:
 			answered[register.Identity(answer.member)] = answer.err == nil
 		case <-timer.C:
 			return false
@@ -86,16 +86,16 @@
 	return false
 }
 
-// keepAnswer is an acceptor's answer to WorkersPersistRequest.
-type keepAnswer struct {
+// persistResult is an acceptor's answer to WorkersPersistRequest.
+type persistResult struct {
 	member messages.Member
 	err    error
 }
 
-// workersKept answers another controller that wants changes of workers on disk.
-func (c *Controller) workersKept(req *messages.WorkersPersistRequest) (transport.Marshaler, error) {
+// handleWorkersPersist answers another controller that wants changes of workers on disk.
+func (c *Controller) handleWorkersPersist(req *messages.WorkersPersistRequest) (transport.Marshaler, error) {
 	c.mergeWorkers(req.Workers)
-	if err := c.memory.keep(req.Workers); err != nil {
+	if err := c.workerFile.persist(req.Workers); err != nil {
 		return nil, err
 	}
 	return &messages.ContactResponse{Disk: c.Register.Disk()}, nil
--- a/internal/control/controller/calls.go
+++ b/internal/control/controller/calls.go
@@ -17,18 +17,18 @@
 
 const headerBase = "Lemonarch-Base-Revision"
 
-// bodySlack is how much larger a configuration may be than a request body.
-const bodySlack = 4
+// bodyLimitFactor is how much larger a configuration may be than a request body.
+const bodyLimitFactor = 4
 
 // calls is the tree of matchers for workers and the operator.
 func (c *Controller) calls() http.Handler {
 	tree := chi.NewRouter()
-	tree.Post("/-/Workers.Heartbeat/{id}", c.beat)
-	tree.Post("/-/Workers.Depart/{id}", c.depart)
-	tree.Post("/-/Configuration.Replace", c.replace)
-	tree.Get("/-/Configuration.Read", c.read)
-	tree.Post("/-/Retire.Open/{node}", c.retireOpen)
-	tree.Get("/-/Retire.Read/{node}", c.retireRead)
+	tree.Post("/-/Workers.Heartbeat/{id}", c.handleHeartbeat)
+	tree.Post("/-/Workers.Depart/{id}", c.handleDepart)
+	tree.Post("/-/Configuration.Replace", c.handleReplace)
+	tree.Get("/-/Configuration.Read", c.handleRead)
+	tree.Post("/-/Retire.Open/{node}", c.handleRetireOpen)
+	tree.Get("/-/Retire.Read/{node}", c.handleRetireRead)
 	return tree
 }
 
@@ -46,14 +46,14 @@
 	return nil, false
 }
 
-func (c *Controller) retireOpen(writer http.ResponseWriter, request *http.Request) {
+func (c *Controller) handleRetireOpen(writer http.ResponseWriter, request *http.Request) {
 	if !c.requireContact(writer) {
 		return
 	}
 	name := chi.URLParam(request, "node")
 	value, err := c.Register.ReadSets()
 	if err != nil {
-		httpreply.Error(writer, http.StatusGatewayTimeout, elsewhere)
+		httpreply.Error(writer, http.StatusGatewayTimeout, noClearAnswer)
 		return
 	}
 	known := slices.Contains(value.Retired, name)
@@ -67,9 +67,9 @@
 	for _, member := range value.Stores {
 		known = known || member.Name == name
 	}
-	if !known && clock.Now().Sub(c.begun) < constants.SuspectAfter {
+	if !known && clock.Now().Sub(c.startedAt) < constants.SuspectAfter {
 		// A process that has just started can't tell unknown from not yet heard.
-		httpreply.Error(writer, http.StatusServiceUnavailable, elsewhere)
+		httpreply.Error(writer, http.StatusServiceUnavailable, noClearAnswer)
 		return
 	}
 	if !known {
@@ -82,7 +82,7 @@
 	switch {
 	case err != nil:
 		httpreply.Error(writer, http.StatusGatewayTimeout, err.Error())
-	case result == register.ResultTooFew:
+	case result == register.ResultTooFewStores:
 		httpreply.Error(writer, http.StatusConflict, "too few would be left")
 	default:
 		c.Node.Log.Info("retire opened", "node", name)
@@ -90,14 +90,14 @@
 	}
 }
 
-func (c *Controller) retireRead(writer http.ResponseWriter, request *http.Request) {
+func (c *Controller) handleRetireRead(writer http.ResponseWriter, request *http.Request) {
 	if !c.requireContact(writer) {
 		return
 	}
 	name := chi.URLParam(request, "node")
 	value, err := c.Register.ReadSets()
 	if err != nil {
-		httpreply.Error(writer, http.StatusGatewayTimeout, elsewhere)
+		httpreply.Error(writer, http.StatusGatewayTimeout, noClearAnswer)
 		return
 	}
 	if !slices.Contains(value.Retired, name) {
--- a/internal/control/controller/calls_test.go
+++ b/internal/control/controller/calls_test.go
@@ -48,11 +48,11 @@
 }
 
 // callPast makes a call until its status is none of the unclear ones.
-func callPast(t *testing.T, server *httptest.Server, method, path, base, body string, unclear ...int) (int, string) {
+func callPast(t *testing.T, server *httptest.Server, method, path, base, body string, outcomeUnknown ...int) (int, string) {
 	const tries = 100
 	for try := 1; ; try++ {
 		status, text := call(t, server, method, path, base, body)
-		if !slices.Contains(unclear, status) || try == tries {
+		if !slices.Contains(outcomeUnknown, status) || try == tries {
 			return status, text
 		}
 		<-clock.After(constants.TickPeriod)
@@ -61,7 +61,7 @@
 
 // hear has a controller hear the acceptors on the workers, where a majority answers.
 func hear(controller *Controller) {
-	for tries := 0; controller.learning() && tries < 3 && !controller.recallOnce(); tries++ {
+	for tries := 0; controller.recovering() && tries < 3 && !controller.recoverRound(); tries++ {
 		continue
 	}
 }
@@ -69,7 +69,7 @@
 // meet has a controller do what it does in its first second: contact the acceptors, and
 // hear a majority of them on the workers.
 func meet(t *testing.T, controller *Controller) {
-	for tries := 0; !controller.inContact() || !controller.recallOnce(); tries++ {
+	for tries := 0; !controller.awaitContact() || !controller.recoverRound(); tries++ {
 		if tries > 100 {
 			t.Fatal("a majority answers, and there is no contact")
 		}
@@ -80,12 +80,12 @@
 // stayYoung has a controller act as one does that has just started, however slow the
 // machine is that tests.
 func stayYoung(controller *Controller) {
-	controller.begun = clock.Now().Add(clock.Milliseconds(3_600_000))
+	controller.startedAt = clock.Now().Add(clock.Milliseconds(3_600_000))
 }
 
 // growOld has a controller act as a minute after its start.
 func growOld(controller *Controller) {
-	controller.begun = clock.Now().Add(-clock.Milliseconds(60_000))
+	controller.startedAt = clock.Now().Add(-clock.Milliseconds(60_000))
 }
 
 func call(t *testing.T, server *httptest.Server, method, path, base, body string) (int, string) {
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -32,29 +32,29 @@
 
 // Controller is one control process.
 type Controller struct {
-	Node     *node.Node
-	Register *quorum.Register
-	checker  *configcheck.Checker
-	checking sync.Mutex
-	lock     sync.Mutex
-	registry *workers.Registry
-	peers    map[string]*peer
-	relays   map[string]*transfer
-	number   atomic.Uint64
-	// vouching is set once a majority of the acceptors was heard on the workers.
-	vouching atomic.Bool
-	shared   sharedRead
-	sets     sharedRead
-	batches  batches
-	begun    clock.Instant
-	server   *http.Server
-	memory   *memory
-	plans    plans
-	contact  contactState
-	binding  binding
-	backlog  *broadcast.Backlog
-	// recalled are the workers of the file, until a majority was heard on them.
-	recalled []messages.Worker
+	Node       *node.Node
+	Register   *quorum.Replica
+	checker    *configcheck.Checker
+	checking   sync.Mutex
+	lock       sync.Mutex
+	registry   *workers.Registry
+	peers      map[string]*peer
+	deliveries map[string]*delivery
+	sequence   atomic.Uint64
+	// recovered is set once a majority of the acceptors was heard on the workers.
+	recovered     atomic.Bool
+	shared        sharedRead
+	sets          sharedRead
+	batches       batches
+	startedAt     clock.Instant
+	server        *http.Server
+	workerFile    *workerFile
+	plans         planState
+	contact       contactState
+	durableDrains durableDrains
+	backlog       *broadcast.Backlog
+	// fromFile are the workers of the file, until a majority was heard on them.
+	fromFile []messages.Worker
 }
 
 // New opens the disk and prepares the process.
@@ -79,7 +79,7 @@
 			}
 		}
 	}
-	localRegister, err := quorum.Open(disk, first, identity)
+	replica, err := quorum.Open(disk, first, identity)
 	if err != nil {
 		return nil, err
 	}
@@ -91,32 +91,32 @@
 	if err != nil {
 		return nil, err
 	}
-	kept, workerList, err := openMemory(disk)
+	retained, list, err := openWorkerFile(disk)
 	if err != nil {
 		return nil, err
 	}
-	told := localRegister.Disk()
-	if !votes(nodeSettings) {
+	told := replica.Disk()
+	if !isVoter(nodeSettings) {
 		// Told so, that those with a disk take the place that a seed list gave us.
 		told = ""
 	}
 	runtime := node.New(nodeSettings, membership.RoleController, constants.PortController, told, log)
-	localRegister.Runtime, named.Runtime = runtime, runtime
-	controller := &Controller{Node: runtime, Register: localRegister, checker: checker, registry: workers.New(nodeSettings.Heartbeat()),
-		peers: map[string]*peer{}, relays: map[string]*transfer{}, begun: clock.Now(), memory: kept, plans: plans{localRegister: named},
-		backlog: broadcast.NewBacklog(), recalled: workerList}
+	replica.Node, named.Node = runtime, runtime
+	controller := &Controller{Node: runtime, Register: replica, checker: checker, registry: workers.New(nodeSettings.Heartbeat()),
+		peers: map[string]*peer{}, deliveries: map[string]*delivery{}, startedAt: clock.Now(), workerFile: retained, plans: planState{replica: named},
+		backlog: broadcast.NewBacklog(), fromFile: list}
 	controller.contact.lease = contact.New()
-	controller.binding.kept = map[string]messages.Phase{}
-	localRegister.Accepted = controller.accepted
-	controller.batches.later = afterWindow
-	controller.batches.spread = func(workerList []messages.Worker) {
-		controller.spread(&messages.RelayRequest{Workers: workerList}, constants.BroadcastTimeout)
+	controller.durableDrains.phases = map[string]messages.Phase{}
+	replica.OnAccepted = controller.onAccepted
+	controller.batches.afterWindow = afterBatchWindow
+	controller.batches.broadcast = func(list []messages.Worker) {
+		controller.broadcast(&messages.RelayRequest{Workers: list}, constants.BroadcastTimeout)
 	}
 	// Numbers of updates must differ from those of an earlier life.
-	controller.number.Store(uint64(runtime.Self.Incarnation))
+	controller.sequence.Store(uint64(runtime.Self.Incarnation))
 	controller.registerCalls()
 	controller.reports()
-	go controller.memory.run(runtime.Stop, controller.remembered, log)
+	go controller.workerFile.run(runtime.Stop, controller.workersToPersist, log)
 	return controller, nil
 }
 
@@ -126,7 +126,7 @@
 	return hex.EncodeToString(bytes[:])
 }
 
-func answer[Question any, Pointer interface {
+func handle[Question any, Pointer interface {
 	*Question
 	transport.Unmarshaler
 }](function func(req Pointer) (transport.Marshaler, error)) node.Handler {
@@ -145,22 +145,22 @@
 
 func (c *Controller) registerCalls() {
 	runtime := c.Node
-	runtime.Handle(messages.KindPrepare, answer(func(req *messages.PrepareRequest) (transport.Marshaler, error) {
+	runtime.Handle(messages.KindPrepare, handle(func(req *messages.PrepareRequest) (transport.Marshaler, error) {
 		resp, err := c.Register.Prepare(req)
 		return &resp, err
 	}))
-	runtime.Handle(messages.KindAccept, answer(func(req *messages.AcceptRequest) (transport.Marshaler, error) {
+	runtime.Handle(messages.KindAccept, handle(func(req *messages.AcceptRequest) (transport.Marshaler, error) {
 		resp, err := c.Register.Accept(req)
 		return &resp, err
 	}))
-	runtime.Handle(messages.KindLease, answer(func(req *messages.LeaseRequest) (transport.Marshaler, error) {
-		resp := c.Register.Hold(*req)
+	runtime.Handle(messages.KindLease, handle(func(req *messages.LeaseRequest) (transport.Marshaler, error) {
+		resp := c.Register.GrantLease(*req)
 		return &resp, nil
 	}))
-	runtime.Handle(messages.KindConfigPull, answer(c.pulled))
-	runtime.Handle(messages.KindRegisterRead, answer(func(_ *messages.Ack) (transport.Marshaler, error) {
+	runtime.Handle(messages.KindConfigPull, handle(c.handleConfigPull))
+	runtime.Handle(messages.KindRegisterRead, handle(func(_ *messages.Ack) (transport.Marshaler, error) {
 		value, err := messages.RegisterValue{}, ErrNoContact.New("sets")
-		if c.inContact() {
+		if c.awaitContact() {
 			value, err = c.sets.Read(c.Register.ReadSets)
 		}
 		if err != nil {
@@ -174,10 +174,10 @@
 		value.Body = nil
 		return &messages.RegisterResponse{Applied: err == nil, Known: true, Value: value}, nil
 	}))
-	runtime.Handle(messages.KindRegisterChange, answer(c.changeDuty))
+	runtime.Handle(messages.KindRegisterChange, handle(c.handleRegisterChange))
 	c.registerTables()
 	c.registerContact()
-	c.registerRecall()
+	c.registerRecovery()
 	c.registerNamed()
 	c.registerPlans()
 }
@@ -188,13 +188,13 @@
 	if err := runtime.Start(); err != nil {
 		return err
 	}
-	go c.relearn()
+	go c.catchUpFromPeers()
 	go clock.Every(constants.ContactPeriod, runtime.Stop, c.contactRound)
-	go clock.Every(constants.BacklogPeriod, runtime.Stop, c.tendBacklog)
-	go clock.Every(constants.ControllerHeartbeatPeriod, runtime.Stop, c.beatOthers)
-	go clock.Every(constants.ReconcilePeriod, runtime.Stop, c.tendSet)
-	go clock.Every(constants.ReconcilePeriod, runtime.Stop, func() { c.tendNamed(c.plans.localRegister) })
-	go clock.Every(constants.PlanPeriod, runtime.Stop, c.tendPlans)
+	go clock.Every(constants.BacklogPeriod, runtime.Stop, c.retryBacklog)
+	go clock.Every(constants.ControllerHeartbeatPeriod, runtime.Stop, c.heartbeatPeers)
+	go clock.Every(constants.ReconcilePeriod, runtime.Stop, c.reconcileSet)
+	go clock.Every(constants.ReconcilePeriod, runtime.Stop, func() { c.reconcileNamedSet(c.plans.replica) })
+	go clock.Every(constants.PlanPeriod, runtime.Stop, c.reconcilePlan)
 	c.server = &http.Server{Addr: runtime.Settings.Bind.Control, Handler: c.calls(), ReadHeaderTimeout: constants.BulkCallTimeout}
 	runtime.Log.Info("serving", "control", runtime.Settings.Bind.Control, "disk", runtime.Self.Disk)
 	err := c.server.ListenAndServe()
@@ -207,6 +207,6 @@
 // Shutdown stops in order: calls under way are answered first.
 func (c *Controller) Shutdown() {
 	c.Node.Drain()
-	errandStop(c.server)
+	stopServer(c.server)
 	c.Node.Shutdown()
 }
--- a/internal/control/controller/golden_test.go
+++ b/internal/control/controller/golden_test.go
@@ -38,18 +38,18 @@
 // earlier version wrote, and read, also with a torn tail.
 func TestGoldenWorkersFile(t *testing.T) {
 	dir := t.TempDir()
-	memory, _, err := openMemory(recordlog.Directory(dir))
+	memory, _, err := openWorkerFile(recordlog.Directory(dir))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, worker := range goldenWorkers {
-		if err = memory.write([]keeping{{workers: []messages.Worker{worker}}}, nil); err != nil {
+		if err = memory.write([]writeRequest{{workers: []messages.Worker{worker}}}, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
 	checkGolden(t, filepath.Join(dir, "workers"), "workers-appended")
 	newest := goldenWorkers[2:]
-	if err = memory.write([]keeping{{rewrite: true}}, func() []messages.Worker { return newest }); err != nil {
+	if err = memory.write([]writeRequest{{rewrite: true}}, func() []messages.Worker { return newest }); err != nil {
 		t.Fatal(err)
 	}
 	checkGolden(t, filepath.Join(dir, "workers"), "workers-rewritten")
@@ -71,7 +71,7 @@
 		if err = os.WriteFile(filepath.Join(dir, "workers"), text[:len(text)-file.torn], 0o644); err != nil {
 			t.Fatal(err)
 		}
-		_, workers, err := openMemory(recordlog.Directory(dir))
+		_, workers, err := openWorkerFile(recordlog.Directory(dir))
 		if err != nil {
 			t.Fatal(file.golden, err)
 		}
@@ -92,7 +92,7 @@
 	if _, err := quorum.OpenNamed(recordlog.Directory(dir), PlansRegister, first, "first"); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := openMemory(recordlog.Directory(dir)); err != nil {
+	if _, _, err := openWorkerFile(recordlog.Directory(dir)); err != nil {
 		t.Fatal(err)
 	}
 	entries, err := os.ReadDir(dir)
--- a/internal/control/controller/learn.go
+++ b/internal/control/controller/learn.go
@@ -10,22 +10,22 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// relearn gets from peers what this process can't know after its start.
-func (c *Controller) relearn() {
+// catchUpFromPeers gets from peers what this process can't know after its start.
+func (c *Controller) catchUpFromPeers() {
 	runtime := c.Node
-	c.beatOthers()
-	go c.recallWorkers()
+	c.heartbeatPeers()
+	go c.recoverWorkers()
 	for round := 0; ; round++ {
 		select {
 		case <-runtime.Stop:
 			return
 		default:
 		}
-		c.learnSets()
+		c.syncSets()
 		if len(c.Register.Known().Acceptors) > 0 {
 			if value, err := c.Register.Read(); err == nil {
-				c.chosen(value, false)
-				_, _ = c.planRead()
+				c.applyChosen(value, false)
+				_, _ = c.readPlan()
 				return
 			}
 		}
@@ -33,21 +33,21 @@
 	}
 }
 
-// learnSets asks other controllers who the acceptors are: one with an empty disk, or
+// syncSets asks other controllers who the acceptors are: one with an empty disk, or
 // one that was away for long, knows of none or of old ones.
-func (c *Controller) learnSets() {
-	c.askOthers(func(address string) {
+func (c *Controller) syncSets() {
+	c.forEachController(func(address string) {
 		resp := &messages.RegisterResponse{}
 		if transport.Call(c.Node.Transport, address, messages.KindRegisterRead, &messages.Ack{}, resp, constants.CallTimeout) == nil {
 			// Without its body this value is good for its sets only.
-			c.Register.LearnSets(resp.Value)
+			c.Register.ObserveSets(resp.Value)
 		}
 	})
 }
 
-// askOthers runs a question to each seed and each live controller but this one, all at
+// forEachController runs a question to each seed and each live controller but this one, all at
 // the same time, and returns once every one has answered or failed to.
-func (c *Controller) askOthers(ask func(address string)) {
+func (c *Controller) forEachController(ask func(address string)) {
 	runtime := c.Node
 	addresses := map[string]bool{}
 	for _, address := range runtime.Settings.SeedAddresses(constants.PortController) {
@@ -68,8 +68,8 @@
 	group.Wait()
 }
 
-func (c *Controller) pulled(req *messages.ConfigPull) (transport.Marshaler, error) {
-	if req.Known < 0 && !c.inContact() {
+func (c *Controller) handleConfigPull(req *messages.ConfigPull) (transport.Marshaler, error) {
+	if req.Known < 0 && !c.awaitContact() {
 		return nil, ErrNoContact.New("configuration")
 	}
 	if req.Known < 0 || c.Node.Config() == nil {
@@ -77,7 +77,7 @@
 		if err != nil {
 			return nil, err
 		}
-		c.chosen(value, false)
+		c.applyChosen(value, false)
 		return &messages.ConfigPush{Generation: value.Current.Generation, Body: value.Body}, nil
 	}
 	config := c.Node.Config()
--- a/internal/control/controller/learning_test.go
+++ b/internal/control/controller/learning_test.go
@@ -17,7 +17,7 @@
 	var resp *messages.Shuffle
 	asker := messages.NodeInfo{Name: "f", Role: membership.RoleGateway, Address: "127.0.0.3:1", Zone: "h"}
 	controller.Node.Viewed(func(view *membership.View) {
-		resp = view.Answer(&messages.Shuffle{Entries: []messages.NodeInfo{asker}}, clock.Now())
+		resp = view.RespondToReport(&messages.Shuffle{Entries: []messages.NodeInfo{asker}}, clock.Now())
 	})
 	controller.addWorkers(resp)
 	return resp
@@ -32,7 +32,7 @@
 	defer server.Close()
 	room.SetPartitioned(controllers[2].Node.Self.Address, true)
 	room.SetPartitioned(controllers[3].Node.Self.Address, true)
-	if starting.recallOnce() || starting.inContact() {
+	if starting.recoverRound() || starting.awaitContact() {
 		t.Fatal("no majority answers")
 	}
 	if status, _ := call(t, server, "POST", "/-/Workers.Heartbeat/w", "", drainCall); status != 503 {
--- a/internal/control/controller/memory.go
+++ b/internal/control/controller/memory.go
@@ -10,40 +10,40 @@
 	"lemonarch/internal/platform/recordlog"
 )
 
-// memoryName is the file of known workers, and memoryLimit its length in bytes at
+// workerFileName is the file of known workers, and workerFileLimit its length in bytes at
 // which it is rewritten (ours).
 const (
-	memoryName  = "workers"
-	memoryLimit = 512 << 10
+	workerFileName  = "workers"
+	workerFileLimit = 512 << 10
 )
 
 // ErrWorkersFile is the error of a file of workers that can't be kept.
 var ErrWorkersFile = errs.Define("workers on disk")
 
-// memory is the file of known workers. A drain or a departure is on the disks of a
+// workerFile is the file of known workers. A drain or a departure is on the disks of a
 // majority of the acceptors before it is acknowledged (binding.go). A steady worker is
 // written when the disk has time for it: its next heartbeat says the same.
-type memory struct {
+type workerFile struct {
 	logfile *recordlog.Log
-	queue   chan keeping
+	queue   chan writeRequest
 }
 
-// keeping is a list of workers to be written. done, where there is one, gets the result
+// writeRequest is a list of workers to be written. done, where there is one, gets the result
 // once they are on disk. rewrite asks for the whole file anew.
-type keeping struct {
+type writeRequest struct {
 	workers []messages.Worker
 	rewrite bool
 	done    chan error
 }
 
-// openMemory reads the file: the last record of each worker counts.
-func openMemory(disk recordlog.Disk) (*memory, []messages.Worker, error) {
+// openWorkerFile reads the file: the last record of each worker counts.
+func openWorkerFile(disk recordlog.Disk) (*workerFile, []messages.Worker, error) {
 	known := map[string]messages.Worker{}
 	var order []string
-	logfile, err := recordlog.Open(disk, memoryName, func(_ int64, body []byte) error {
+	logfile, err := recordlog.Open(disk, workerFileName, func(_ int64, body []byte) error {
 		worker := messages.Worker{}
 		if _, cause := worker.UnmarshalMsg(body); cause != nil {
-			return ErrWorkersFile.Wrap(cause, memoryName)
+			return ErrWorkersFile.Wrap(cause, workerFileName)
 		}
 		if _, seen := known[worker.ID]; !seen {
 			order = append(order, worker.ID)
@@ -55,31 +55,31 @@
 	if err != nil {
 		return nil, nil, ErrWorkersFile.Wrap(err, "open")
 	}
-	var workerList []messages.Worker
+	var workers []messages.Worker
 	for _, id := range order {
 		worker := known[id]
 		worker.AgeMs = 0
-		workerList = append(workerList, worker)
+		workers = append(workers, worker)
 	}
 	const waiting = 256
-	return &memory{logfile: logfile, queue: make(chan keeping, waiting)}, workerList, nil
+	return &workerFile{logfile: logfile, queue: make(chan writeRequest, waiting)}, workers, nil
 }
 
-// remember queues a change that binds nobody: a worker's call is not held up by the disk,
+// enqueue queues a change that binds nobody: a worker's call is not held up by the disk,
 // and a change that finds no room is written with the next rewrite, or told again by the
 // worker.
-func (m *memory) remember(worker messages.Worker) {
+func (m *workerFile) enqueue(worker messages.Worker) {
 	select {
-	case m.queue <- keeping{workers: []messages.Worker{worker}}:
+	case m.queue <- writeRequest{workers: []messages.Worker{worker}}:
 	default:
 	}
 }
 
-// keep returns once workers are on disk, with an error if that failed or took too long.
-func (m *memory) keep(workers []messages.Worker) error {
+// persist returns once workers are on disk, with an error if that failed or took too long.
+func (m *workerFile) persist(workers []messages.Worker) error {
 	timer := clock.NewTimer(constants.BroadcastTimeout)
 	defer timer.Stop()
-	k := keeping{workers: workers, done: make(chan error, 1)}
+	k := writeRequest{workers: workers, done: make(chan error, 1)}
 	select {
 	case m.queue <- k:
 	case <-timer.C:
@@ -93,18 +93,18 @@
 	}
 }
 
-// replace has the file written anew, without waiting for it.
-func (m *memory) replace() {
+// requestRewrite has the file written anew, without waiting for it.
+func (m *workerFile) requestRewrite() {
 	go func() {
-		m.queue <- keeping{rewrite: true}
+		m.queue <- writeRequest{rewrite: true}
 	}()
 }
 
 // run writes what was queued, several changes with one sync. all gives every worker for
 // a rewrite of the file.
-func (m *memory) run(stop <-chan struct{}, all func() []messages.Worker, log hclog.Logger) {
+func (m *workerFile) run(stop <-chan struct{}, all func() []messages.Worker, log hclog.Logger) {
 	for {
-		var batch []keeping
+		var batch []writeRequest
 		select {
 		case <-stop:
 			return
@@ -133,18 +133,18 @@
 
 // write puts a batch on disk. What is in the batch is in all as well: callers change the
 // registry first.
-func (m *memory) write(batch []keeping, all func() []messages.Worker) error {
-	rewrite := m.logfile.Size() > memoryLimit
+func (m *workerFile) write(batch []writeRequest, all func() []messages.Worker) error {
+	rewrite := m.logfile.Size() > workerFileLimit
 	for _, k := range batch {
 		rewrite = rewrite || k.rewrite
 	}
 	if rewrite {
-		_, err := m.logfile.Rewrite(recordlog.Records(packWorkers(all())...))
+		_, err := m.logfile.Rewrite(recordlog.Records(encodeWorkers(all())...))
 		return ErrWorkersFile.Wrap(err, "rewrite")
 	}
 	var records [][]byte
 	for _, k := range batch {
-		records = append(records, packWorkers(k.workers)...)
+		records = append(records, encodeWorkers(k.workers)...)
 	}
 	if _, err := m.logfile.Append(records...); err != nil {
 		return ErrWorkersFile.Wrap(err, "append")
@@ -152,7 +152,7 @@
 	return ErrWorkersFile.Wrap(m.logfile.Sync(), "sync")
 }
 
-func packWorkers(workers []messages.Worker) [][]byte {
+func encodeWorkers(workers []messages.Worker) [][]byte {
 	var records [][]byte
 	for _, worker := range workers {
 		body, _ := worker.MarshalMsg(nil)
--- a/internal/control/controller/named.go
+++ b/internal/control/controller/named.go
@@ -15,39 +15,39 @@
 // PlansRegister is the register of the assignments.
 const PlansRegister = "plans"
 
-// called gives the register of a name. There is one so far.
-func (c *Controller) called(name string) (*quorum.Register, error) {
+// namedRegister gives the register of a name. There is one so far.
+func (c *Controller) namedRegister(name string) (*quorum.Replica, error) {
 	if name != PlansRegister {
 		return nil, node.ErrUnavailable.New("no register is named " + name)
 	}
-	return c.plans.localRegister, nil
+	return c.plans.replica, nil
 }
 
 func (c *Controller) registerNamed() {
 	runtime := c.Node
-	runtime.Handle(messages.KindNamedPrepare, answer(func(req *messages.NamedPrepareRequest) (transport.Marshaler, error) {
-		localRegister, err := c.called(req.Name)
+	runtime.Handle(messages.KindNamedPrepare, handle(func(req *messages.NamedPrepareRequest) (transport.Marshaler, error) {
+		replica, err := c.namedRegister(req.Name)
 		if err != nil {
 			return nil, err
 		}
-		resp, err := localRegister.Prepare(&req.Request)
+		resp, err := replica.Prepare(&req.Request)
 		return &resp, err
 	}))
-	runtime.Handle(messages.KindNamedAccept, answer(func(req *messages.NamedAcceptRequest) (transport.Marshaler, error) {
-		localRegister, err := c.called(req.Name)
+	runtime.Handle(messages.KindNamedAccept, handle(func(req *messages.NamedAcceptRequest) (transport.Marshaler, error) {
+		replica, err := c.namedRegister(req.Name)
 		if err != nil {
 			return nil, err
 		}
-		resp, err := localRegister.Accept(&req.Request)
+		resp, err := replica.Accept(&req.Request)
 		return &resp, err
 	}))
-	runtime.Handle(messages.KindNamedRead, answer(func(req *messages.NamedReadRequest) (transport.Marshaler, error) {
-		localRegister, err := c.called(req.Name)
+	runtime.Handle(messages.KindNamedRead, handle(func(req *messages.NamedReadRequest) (transport.Marshaler, error) {
+		replica, err := c.namedRegister(req.Name)
 		if err != nil {
 			return nil, err
 		}
 		// Good for its sets only, and only where they were seen to be in force.
-		value, seen := localRegister.Chosen()
+		value, seen := replica.Chosen()
 		if !seen {
 			return &messages.RegisterResponse{}, nil
 		}
@@ -56,36 +56,36 @@
 	}))
 }
 
-// tendNamed keeps the acceptor set of a named register whole, as tendSet does for
+// reconcileNamedSet keeps the acceptor set of a named register whole, as reconcileSet does for
 // the configuration.
-func (c *Controller) tendNamed(localRegister *quorum.Register) {
-	known := localRegister.Known()
+func (c *Controller) reconcileNamedSet(replica *quorum.Replica) {
+	known := replica.Known()
 	if len(known.Acceptors) == 0 {
-		c.learnNamed(localRegister)
+		c.syncNamedSets(replica)
 		return
 	}
-	tending := c.tending(known)
-	if !localRegister.NeedsTending(tending) {
+	tending := c.setReconciler(known)
+	if !replica.NeedsReconcile(tending) {
 		return
 	}
 	c.stagger()
-	value, changed, err := localRegister.Tend(tending)
+	value, changed, err := replica.ReconcileSet(tending)
 	if err != nil {
-		c.Node.Log.Warn("set not changed", "register", localRegister.Name, "why", err.Error())
-		c.learnNamed(localRegister)
+		c.Node.Log.Warn("set not changed", "register", replica.Name, "why", err.Error())
+		c.syncNamedSets(replica)
 		return
 	}
 	if changed {
-		c.Node.Log.Info("set changed", "register", localRegister.Name, "epoch", value.SetEpoch, "members", len(value.Acceptors))
+		c.Node.Log.Info("set changed", "register", replica.Name, "epoch", value.SetEpoch, "members", len(value.Acceptors))
 	}
 }
 
-// learnNamed asks other controllers for the acceptors of a named register.
-func (c *Controller) learnNamed(localRegister *quorum.Register) {
-	c.askOthers(func(address string) {
+// syncNamedSets asks other controllers for the acceptors of a named register.
+func (c *Controller) syncNamedSets(replica *quorum.Replica) {
+	c.forEachController(func(address string) {
 		resp := &messages.RegisterResponse{}
-		if transport.Call(c.Node.Transport, address, messages.KindNamedRead, &messages.NamedReadRequest{Name: localRegister.Name}, resp, constants.CallTimeout) == nil {
-			localRegister.LearnSets(resp.Value)
+		if transport.Call(c.Node.Transport, address, messages.KindNamedRead, &messages.NamedReadRequest{Name: replica.Name}, resp, constants.CallTimeout) == nil {
+			replica.ObserveSets(resp.Value)
 		}
 	})
 }
--- a/internal/control/controller/named_test.go
+++ b/internal/control/controller/named_test.go
@@ -16,8 +16,8 @@
 // tendPlansNow has a controller look after the register of assignments as one does in
 // its first second.
 func tendPlansNow(controller *Controller) {
-	controller.begun = clock.Now()
-	controller.tendNamed(controller.plans.localRegister)
+	controller.startedAt = clock.Now()
+	controller.reconcileNamedSet(controller.plans.replica)
 }
 
 // voters makes controllers whose disks are in memory and vote all the same, so that the
@@ -67,7 +67,7 @@
 			tendPlansNow(controllers[number])
 		}
 	}
-	set := controllers[8].plans.localRegister.Known()
+	set := controllers[8].plans.replica.Known()
 	if len(set.Acceptors) != 5 || len(set.Previous) != 0 {
 		t.Fatal("the set is of ", len(set.Acceptors), len(set.Previous))
 	}
@@ -82,7 +82,7 @@
 		t.Fatalf("%+v", response)
 	}
 	room.SetPartitioned(controllers[1].Node.Self.Address, true)
-	before := controllers[3].plans.localRegister.Identity()
+	before := controllers[3].plans.replica.Identity()
 	controllers[3].Node.Transport.Close()
 	// The same machine with an empty disk, which is no first start.
 	controllers[3] = voter(t, room, 3, false)
@@ -96,16 +96,16 @@
 	for round := 0; round < 3; round++ {
 		tendPlansNow(controllers[3])
 	}
-	known := controllers[3].plans.localRegister.Known()
+	known := controllers[3].plans.replica.Known()
 	inside := false
 	for _, member := range known.Acceptors {
-		inside = inside || member.Disk == controllers[3].plans.localRegister.Identity().Disk
+		inside = inside || member.Disk == controllers[3].plans.replica.Identity().Disk
 	}
 	if !inside || len(known.Acceptors) != 5 {
 		t.Fatal("the wiped machine did not come back: ", known.Acceptors)
 	}
 	room.SetPartitioned(controllers[2].Node.Self.Address, true)
-	plan, err := controllers[3].planRead()
+	plan, err := controllers[3].readPlan()
 	if err != nil || plan.Revision != 1 || !bytes.Equal(plan.Value.Rules, rules) {
 		t.Fatal(err, plan)
 	}
--- a/internal/control/controller/plans.go
+++ b/internal/control/controller/plans.go
@@ -16,44 +16,44 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// plans is a controller's part in the assignments of adapters: it keeps what is in
+// planState is a controller's part in the assignments of adapters: it keeps what is in
 // force, puts an operator's change in force, and plans anew when a node is gone.
-type plans struct {
-	localRegister *quorum.Register
-	lock          sync.Mutex
-	board         assignments.Board
-	pulling       bool
-	presence      adapterplan.Presence
-	changed       clock.Instant
+type planState struct {
+	replica  *quorum.Replica
+	lock     sync.Mutex
+	table    assignments.Table
+	pulling  bool
+	presence adapterplan.Presence
+	changed  clock.Instant
 }
 
 func (c *Controller) registerPlans() {
 	runtime := c.Node
-	runtime.Handle(messages.KindPlanPull, answer(c.planPulled))
-	runtime.Handle(messages.KindPlanApply, answer(c.planApply))
+	runtime.Handle(messages.KindPlanPull, handle(c.handlePlanRequest))
+	runtime.Handle(messages.KindPlanApply, handle(c.handlePlanApply))
 	runtime.Report("assignments", func() *messages.StatusResponse {
-		plan := c.planTold()
+		plan := c.currentPlan()
 		return assignments.Status(&plan, "", clock.DayMinute())
 	})
-	c.plans.localRegister.Accepted = func(int64) {
+	c.plans.replica.OnAccepted = func(int64) {
 		// Accepted is not chosen: a majority is asked. The generation told is the revision.
 		go func() {
 			clock.Sleep(constants.PushTimeout)
-			_, _ = c.planRead()
+			_, _ = c.readPlan()
 		}()
 	}
 }
 
-func (c *Controller) planTold() messages.PlanResponse {
+func (c *Controller) currentPlan() messages.PlanResponse {
 	c.plans.lock.Lock()
 	defer c.plans.lock.Unlock()
-	return c.plans.board.Told()
+	return c.plans.table.Plan()
 }
 
-// takePlan puts a chosen value in force here.
-func (c *Controller) takePlan(plan *messages.PlanResponse) {
+// applyPlan puts a chosen value in force here.
+func (c *Controller) applyPlan(plan *messages.PlanResponse) {
 	c.plans.lock.Lock()
-	taken := c.plans.board.Take(*plan)
+	taken := c.plans.table.Apply(*plan)
 	if taken {
 		c.plans.changed = clock.Now()
 	}
@@ -63,12 +63,12 @@
 	}
 }
 
-// planRead reads the register at a majority.
-func (c *Controller) planRead() (*messages.PlanResponse, error) {
-	if len(c.plans.localRegister.Known().Acceptors) == 0 {
-		c.learnNamed(c.plans.localRegister)
+// readPlan reads the register at a majority.
+func (c *Controller) readPlan() (*messages.PlanResponse, error) {
+	if len(c.plans.replica.Known().Acceptors) == 0 {
+		c.syncNamedSets(c.plans.replica)
 	}
-	value, err := c.plans.localRegister.Read()
+	value, err := c.plans.replica.Read()
 	if err != nil {
 		return nil, err
 	}
@@ -76,14 +76,14 @@
 	if err != nil {
 		return nil, err
 	}
-	c.takePlan(plan)
+	c.applyPlan(plan)
 	return plan, nil
 }
 
 // observePlan follows another controller that has a newer plan: what it tells is chosen.
-func (c *Controller) sawPlan(revision int64, address string) {
+func (c *Controller) observePlan(revision int64, address string) {
 	c.plans.lock.Lock()
-	behind := revision > c.plans.board.Revision() && !c.plans.pulling
+	behind := revision > c.plans.table.Revision() && !c.plans.pulling
 	c.plans.pulling = c.plans.pulling || behind
 	c.plans.lock.Unlock()
 	if !behind {
@@ -91,24 +91,24 @@
 	}
 	plan := &messages.PlanResponse{}
 	if transport.Call(c.Node.Transport, address, messages.KindPlanPull, &messages.PlanRequest{Complete: true}, plan, constants.CallTimeout) == nil {
-		c.takePlan(plan)
+		c.applyPlan(plan)
 	}
 	c.plans.lock.Lock()
 	c.plans.pulling = false
 	c.plans.lock.Unlock()
 }
 
-func (c *Controller) planPulled(req *messages.PlanRequest) (transport.Marshaler, error) {
-	plan := c.planTold()
+func (c *Controller) handlePlanRequest(req *messages.PlanRequest) (transport.Marshaler, error) {
+	plan := c.currentPlan()
 	if req.Linearizable {
-		if !c.inContact() {
+		if !c.awaitContact() {
 			return nil, ErrNoContact.New("assignments")
 		}
-		settled, err := c.planRead()
+		decided, err := c.readPlan()
 		if err != nil {
 			return nil, err
 		}
-		plan = *settled
+		plan = *decided
 	}
 	if req.Complete {
 		return &plan, nil
@@ -116,10 +116,10 @@
 	return adapterplan.Part(&plan, req.Node), nil
 }
 
-// planApply puts an operator's rules in force on top of the revision that they were
+// handlePlanApply puts an operator's rules in force on top of the revision that they were
 // planned on.
-func (c *Controller) planApply(req *messages.PlanApplyRequest) (transport.Marshaler, error) {
-	now, err := c.planRead()
+func (c *Controller) handlePlanApply(req *messages.PlanApplyRequest) (transport.Marshaler, error) {
+	now, err := c.readPlan()
 	if err != nil {
 		return &messages.PlanApplyResponse{Reason: "no majority of the register answers: " + err.Error()}, nil
 	}
@@ -136,79 +136,79 @@
 	if err != nil {
 		return &messages.PlanApplyResponse{Revision: now.Revision, Reason: err.Error()}, nil
 	}
-	plan, result, err := c.putPlan(value, req.Base)
+	plan, result, err := c.commitPlan(value, req.Base)
 	if err != nil {
 		return &messages.PlanApplyResponse{Unclear: errs.Is(err, register.ErrOutcomeUnknown), Reason: err.Error()}, nil
 	}
-	if !result.Stands() {
+	if !result.InForce() {
 		return &messages.PlanApplyResponse{Revision: plan.Revision, Reason: "another plan was put in force meanwhile"}, nil
 	}
 	c.Node.Log.Info("assignments acknowledged", "revision", plan.Revision, "generation", plan.Generation)
 	return &messages.PlanApplyResponse{Applied: true, Revision: plan.Revision}, nil
 }
 
-// putPlan writes a value on top of a revision, and waits until the set that holds it
+// commitPlan writes a value on top of a revision, and waits until the set that holds it
 // bears the fault budget.
-func (c *Controller) putPlan(next *messages.PlanValue, base int64) (*messages.PlanResponse, register.Result, error) {
+func (c *Controller) commitPlan(next *messages.PlanValue, base int64) (*messages.PlanResponse, register.Result, error) {
 	version, body, err := adapterplan.Version(next, base)
 	if err != nil {
-		return nil, register.ResultOther, err
+		return nil, register.ResultConflict, err
 	}
-	value, result, err := c.plans.localRegister.Replace(version, body)
-	for end := clock.Now().Add(constants.CallTimeout); err == nil && !c.bears(&value); {
+	value, result, err := c.plans.replica.Replace(version, body)
+	for end := clock.Now().Add(constants.CallTimeout); err == nil && !c.toleratesBudget(&value); {
 		if clock.Now() > end {
 			return nil, result, register.ErrOutcomeUnknown.New("the set of acceptors is still growing")
 		}
 		clock.Sleep(constants.TickPeriod)
-		value, result, err = c.plans.localRegister.Replace(version, body)
+		value, result, err = c.plans.replica.Replace(version, body)
 	}
 	if err != nil {
 		return nil, result, err
 	}
 	plan, err := adapterplan.Told(value.Current, value.Body)
 	if err == nil {
-		c.takePlan(plan)
+		c.applyPlan(plan)
 	}
 	return plan, result, err
 }
 
-// tendPlans looks after the register of assignments, and plans anew when a node of
+// reconcilePlan looks after the register of assignments, and plans anew when a node of
 // the rules went or came back.
-func (c *Controller) tendPlans() {
-	c.tendNamed(c.plans.localRegister)
-	plan := c.planTold()
-	if plan.Revision == 0 || !c.attached() || c.learning() {
+func (c *Controller) reconcilePlan() {
+	c.reconcileNamedSet(c.plans.replica)
+	plan := c.currentPlan()
+	if plan.Revision == 0 || !c.hasContact() || c.recovering() {
 		return
 	}
 	now := clock.Now()
 	c.plans.lock.Lock()
-	gone := c.plans.presence.Gone(&plan, c.present(), now)
+	departed := c.plans.presence.Gone(&plan, c.present(), now)
 	calm := now.Sub(c.plans.changed) > constants.PlanBackoff
 	c.plans.lock.Unlock()
-	if !calm || slices.Equal(gone, plan.Absent) {
+	if !calm || slices.Equal(departed, plan.Absent) {
 		return
 	}
 	// Another controller may have seen it first.
-	current, err := c.planRead()
+	current, err := c.readPlan()
 	if err != nil || current.Revision != plan.Revision {
 		return
 	}
-	next, moves, err := adapterplan.Anew(&current.Value, gone)
+	next, moves, err := adapterplan.Anew(&current.Value, departed)
 	if err != nil {
-		c.Node.Log.Error("assignments not planned anew", "gone", strings.Join(gone, ","), "why", err.Error())
+		c.Node.Log.Error("assignments not planned anew", "gone", strings.Join(departed, ","), "why", err.Error())
 		return
 	}
-	after, result, err := c.putPlan(next, current.Revision)
-	if err != nil || (!result.Stands()) {
+	after, result, err := c.commitPlan(next, current.Revision)
+	if err != nil || (!result.InForce()) {
 		return
 	}
 	coming, _ := assignments.Next(after.Windows, clock.DayMinute())
 	for _, line := range after.Collisions {
-		c.Node.Log.Warn("assignments collide, the last answer stays in force", "revision", after.Revision, "gone", strings.Join(gone, ","),
+		c.Node.Log.Warn("assignments collide, the last answer stays in force", "revision", after.Revision, "gone", strings.Join(departed, ","),
 			"next-window", coming.Name, "starts", coming.Starts, "collision", line)
 	}
 	if len(after.Collisions) == 0 {
-		c.Node.Log.Info("assignments planned anew", "revision", after.Revision, "gone", strings.Join(gone, ","), "moves", moves,
+		c.Node.Log.Info("assignments planned anew", "revision", after.Revision, "gone", strings.Join(departed, ","), "moves", moves,
 			"next-window", coming.Name, "starts", coming.Starts)
 	}
 }
--- a/internal/control/controller/plans_test.go
+++ b/internal/control/controller/plans_test.go
@@ -98,7 +98,7 @@
 // TestNamedBallotsAreTheirOwn: a high ballot in one register stops nobody in another.
 func TestNamedBallotsAreTheirOwn(t *testing.T) {
 	controller, server := open(t, t.TempDir(), true)
-	identity := controller.plans.localRegister.Identity()
+	identity := controller.plans.replica.Identity()
 	high := register.NewBallot(1<<40, "other", "disk", 1)
 	resp := &messages.PrepareResponse{}
 	asked(t, controller, messages.KindNamedPrepare, &messages.NamedPrepareRequest{Name: PlansRegister, Request: messages.PrepareRequest{Ballot: high, Disk: identity.Disk}}, resp)
--- a/internal/control/controller/recall.go
+++ b/internal/control/controller/recall.go
@@ -13,91 +13,91 @@
 // it is told to anybody until a majority of the acceptors was heard: a drain that was
 // acknowledged is on the disk, or in the memory, of at least one of them.
 
-// registerRecall registers the calls about the files of workers.
-func (c *Controller) registerRecall() {
-	c.Node.Handle(messages.KindWorkersPersist, answer(c.workersKept))
-	c.Node.Handle(messages.KindWorkersRecover, answer(func(_ *messages.WorkersRecoverRequest) (transport.Marshaler, error) {
+// registerRecovery registers the calls about the files of workers.
+func (c *Controller) registerRecovery() {
+	c.Node.Handle(messages.KindWorkersPersist, handle(c.handleWorkersPersist))
+	c.Node.Handle(messages.KindWorkersRecover, handle(func(_ *messages.WorkersRecoverRequest) (transport.Marshaler, error) {
 		resp := &messages.WorkersRecoverResponse{Disk: c.Register.Disk(), SetEpoch: c.Register.Known().SetEpoch}
 		c.lock.Lock()
 		defer c.lock.Unlock()
-		resp.Authoritative = c.vouching.Load()
-		resp.Workers = append(c.registry.All(clock.Now()), c.recalled...)
+		resp.Authoritative = c.recovered.Load()
+		resp.Workers = append(c.registry.All(clock.Now()), c.fromFile...)
 		return resp, nil
 	}))
 }
 
-// recallWorkers asks the acceptors until a majority was heard.
-func (c *Controller) recallWorkers() {
-	for !c.recallOnce() {
+// recoverWorkers asks the acceptors until a majority was heard.
+func (c *Controller) recoverWorkers() {
+	for !c.recoverRound() {
 		select {
 		case <-c.Node.Stop:
 			return
 		case <-clock.After(constants.RecoverBackoff):
 		}
 	}
-	c.Node.Log.Info("workers known by a majority", "after-ms", clock.Now().Sub(c.begun).Milliseconds())
+	c.Node.Log.Info("workers known by a majority", "after-ms", clock.Now().Sub(c.startedAt).Milliseconds())
 }
 
-// recallAnswer is an acceptor's answer to WorkersRecoverRequest.
-type recallAnswer struct {
+// recoverResult is an acceptor's answer to WorkersRecoverRequest.
+type recoverResult struct {
 	member messages.Member
-	told   *messages.WorkersRecoverResponse
+	resp   *messages.WorkersRecoverResponse
 	err    error
 }
 
-// recallOnce makes one round, and tells whether a majority was heard.
-func (c *Controller) recallOnce() bool {
+// recoverRound makes one round, and tells whether a majority was heard.
+func (c *Controller) recoverRound() bool {
 	sets := c.Register.Known()
 	members := register.Targets(&sets)
-	answers := make(chan recallAnswer, len(members))
+	responses := make(chan recoverResult, len(members))
 	for _, member := range members {
-		go func() { answers <- c.recallFrom(member, sets.SetEpoch) }()
+		go func() { responses <- c.recoverFrom(member, sets.SetEpoch) }()
 	}
 	answered, ahead := map[string]bool{}, len(members) == 0
 	var all []*messages.WorkersRecoverResponse
 	for range members {
-		answer := <-answers
+		answer := <-responses
 		if answer.err != nil {
 			continue
 		}
-		all = append(all, answer.told)
-		if answer.told.SetEpoch > sets.SetEpoch {
+		all = append(all, answer.resp)
+		if answer.resp.SetEpoch > sets.SetEpoch {
 			// It may be of another set: it counts once that set is known here.
 			ahead = true
 			continue
 		}
 		answered[register.Identity(answer.member)] = true
 		if register.Quorum(&sets, answered) {
-			c.adopt(all)
+			c.mergeRecovered(all)
 			return true
 		}
 	}
 	if ahead {
-		c.learnSets()
+		c.syncSets()
 	}
 	return false
 }
 
-// recallFrom asks one acceptor. Its answer counts for the disk that gave it.
-func (c *Controller) recallFrom(member messages.Member, epoch uint64) recallAnswer {
+// recoverFrom asks one acceptor. Its answer counts for the disk that gave it.
+func (c *Controller) recoverFrom(member messages.Member, epoch uint64) recoverResult {
 	if member.Address == c.Node.Self.Address {
-		return recallAnswer{member: c.Register.Identity(), told: &messages.WorkersRecoverResponse{SetEpoch: epoch}}
+		return recoverResult{member: c.Register.Identity(), resp: &messages.WorkersRecoverResponse{SetEpoch: epoch}}
 	}
 	resp := &messages.WorkersRecoverResponse{}
 	req := &messages.WorkersRecoverRequest{From: c.Node.Self.Address}
 	err := transport.Call(c.Node.Transport, member.Address, messages.KindWorkersRecover, req, resp, constants.CallTimeout)
 	member.Disk = resp.Disk
-	return recallAnswer{member, resp, err}
+	return recoverResult{member, resp, err}
 }
 
-// adopt joins what a majority knows of workers with the file. Where one of them knows
+// mergeRecovered joins what a majority knows of workers with the file. Where one of them knows
 // them at first hand, a steady worker that only files name is taken for long gone: a
 // departure is forgotten after a while, and a file may be older than that.
-func (c *Controller) adopt(all []*messages.WorkersRecoverResponse) {
+func (c *Controller) mergeRecovered(all []*messages.WorkersRecoverResponse) {
 	now, known, firstHand := clock.Now(), map[string]bool{}, false
 	phases := map[string]messages.Phase{}
 	c.lock.Lock()
-	all = append(all, &messages.WorkersRecoverResponse{Workers: c.recalled})
+	all = append(all, &messages.WorkersRecoverResponse{Workers: c.fromFile})
 	for _, resp := range all {
 		firstHand = firstHand || resp.Authoritative
 		for _, worker := range resp.Workers {
@@ -114,10 +114,10 @@
 			}
 		}
 	}
-	c.recalled = nil
-	c.vouching.Store(true)
+	c.fromFile = nil
+	c.recovered.Store(true)
 	c.lock.Unlock()
 	// What was learnt is kept here as well, now that this process may join the acceptors,
 	// and what was left out is not: the next start would recall it.
-	c.memory.replace()
+	c.workerFile.requestRewrite()
 }
--- a/internal/control/controller/recall_test.go
+++ b/internal/control/controller/recall_test.go
@@ -72,7 +72,7 @@
 // join has a started controller learn what it can't know.
 func (p *power) join(controller *Controller) {
 	if len(controller.Register.Known().Acceptors) == 0 {
-		controller.learnSets()
+		controller.syncSets()
 	}
 	meet(p.test, controller)
 	acquaint(p.controllers)
--- a/internal/control/controller/replace.go
+++ b/internal/control/controller/replace.go
@@ -12,30 +12,30 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// replaced is how a change of the configuration came out.
-type replaced struct {
+// replaceOutcome is how a change of the configuration came out.
+type replaceOutcome struct {
 	value  messages.RegisterValue
 	result register.Result
 	err    error
 }
 
 // confirmed tells whether the version is in force.
-func (r *replaced) confirmed() bool {
-	return r.err == nil && r.result.Stands()
+func (r *replaceOutcome) confirmed() bool {
+	return r.err == nil && r.result.InForce()
 }
 
 // requireContact sends a caller away without a clear answer where this process has no
 // contact with a majority: it can neither confirm nor refuse.
 func (c *Controller) requireContact(writer http.ResponseWriter) bool {
-	if c.inContact() {
+	if c.awaitContact() {
 		return true
 	}
-	httpreply.Error(writer, http.StatusGatewayTimeout, elsewhere)
+	httpreply.Error(writer, http.StatusGatewayTimeout, noClearAnswer)
 	return false
 }
 
-func (c *Controller) replace(writer http.ResponseWriter, request *http.Request) {
-	body, complete := readBody(writer, request, bodySlack*constants.RequestLimit)
+func (c *Controller) handleReplace(writer http.ResponseWriter, request *http.Request) {
+	body, complete := readBody(writer, request, bodyLimitFactor*constants.RequestLimit)
 	if !complete {
 		return
 	}
@@ -56,7 +56,7 @@
 		return
 	}
 	version := messages.Version{Generation: config.Generation, Base: base, Hash: routeconfig.Hash(body)}
-	r, attached := whileAttached(c, func() replaced { return c.putVersion(version, body) })
+	r, attached := whileInContact(c, func() replaceOutcome { return c.commitVersion(version, body) })
 	if !attached {
 		r.err = ErrNoContact.New("contact was lost meanwhile")
 	}
@@ -68,14 +68,14 @@
 		return
 	}
 	switch r.result {
-	case register.ResultTaken, register.ResultAlready:
+	case register.ResultApplied, register.ResultAlreadyApplied:
 		c.Node.Log.Info("configuration acknowledged", "generation", config.Generation)
 		httpreply.JSON(writer, http.StatusOK, map[string]int64{"generation": config.Generation})
-	case register.ResultAhead:
+	case register.ResultBaseAhead:
 		// An earlier try that is still on its way could meet the base in force: no
 		// refusal holds for ever here.
 		httpreply.Error(writer, http.StatusGatewayTimeout, "the base is not in force")
-	case register.ResultOther:
+	case register.ResultConflict:
 		c.refuse(writer, http.StatusPreconditionFailed, version, "another version is in place: "+strconv.FormatInt(r.value.Current.Generation, 10))
 	default:
 		c.refuse(writer, http.StatusBadRequest, version, "generation is not above the current one")
@@ -94,12 +94,12 @@
 	Findings []string `json:"findings"`
 }
 
-// putVersion puts a version in force, waits until the set that holds it outlasts the
+// commitVersion puts a version in force, waits until the set that holds it outlasts the
 // fault budget, and has everybody told.
-func (c *Controller) putVersion(version messages.Version, body []byte) replaced {
-	var r replaced
+func (c *Controller) commitVersion(version messages.Version, body []byte) replaceOutcome {
+	var r replaceOutcome
 	r.value, r.result, r.err = c.Register.Replace(version, body)
-	for end := clock.Now().Add(constants.CallTimeout); r.confirmed() && !c.bears(&r.value); {
+	for end := clock.Now().Add(constants.CallTimeout); r.confirmed() && !c.toleratesBudget(&r.value); {
 		if clock.Now() > end {
 			r.err = register.ErrOutcomeUnknown.New("the set of acceptors is still growing")
 			return r
@@ -110,18 +110,18 @@
 		r.value, r.result, r.err = c.Register.Replace(version, body)
 	}
 	if r.err == nil {
-		c.chosen(r.value, r.confirmed())
+		c.applyChosen(r.value, r.confirmed())
 	}
 	return r
 }
 
-func (c *Controller) read(writer http.ResponseWriter, _ *http.Request) {
+func (c *Controller) handleRead(writer http.ResponseWriter, _ *http.Request) {
 	if !c.requireContact(writer) {
 		return
 	}
 	value, err := c.Register.Read()
 	if err != nil {
-		httpreply.Error(writer, http.StatusGatewayTimeout, elsewhere)
+		httpreply.Error(writer, http.StatusGatewayTimeout, noClearAnswer)
 		return
 	}
 	if value.Current.Generation == 0 {
--- a/internal/control/controller/sets.go
+++ b/internal/control/controller/sets.go
@@ -18,28 +18,28 @@
 // setSize is how many acceptors bear the loss of the fault budget.
 func (c *Controller) setSize() int { return 2*c.Node.Settings.Budget() + 1 }
 
-// tendSet keeps the acceptor set whole: this process joins it in the place of its
+// reconcileSet keeps the acceptor set whole: this process joins it in the place of its
 // own forgotten self or of a member that is gone, and ends changes that were left
 // half done. Each process only ever proposes itself.
-func (c *Controller) tendSet() {
+func (c *Controller) reconcileSet() {
 	known := c.Register.Known()
 	if len(known.Acceptors) == 0 {
-		c.learnSets()
+		c.syncSets()
 		return
 	}
-	tending := c.tending(known)
+	tending := c.setReconciler(known)
 	// Who has not heard a majority on the workers takes no place yet: it would count for
 	// what it does not know.
-	tending.Votes = tending.Votes && !c.learning()
-	if !c.Register.NeedsTending(tending) {
+	tending.Votes = tending.Votes && !c.recovering()
+	if !c.Register.NeedsReconcile(tending) {
 		return
 	}
 	c.stagger()
-	value, changed, err := c.Register.Tend(tending)
+	value, changed, err := c.Register.ReconcileSet(tending)
 	if err != nil {
 		c.Node.Log.Warn("set not changed", "why", err.Error())
 		// The members known may all be gone.
-		c.learnSets()
+		c.syncSets()
 		return
 	}
 	if changed {
@@ -47,15 +47,15 @@
 	}
 }
 
-// hears tells whether a majority of a register's sets answers this process now. One that
+// reachesQuorum tells whether a majority of a register's sets answers this process now. One that
 // is cut off would take its own deafness for the silence of a member, and have a live one
 // replaced as soon as the cut ends.
-func (c *Controller) hears(known messages.RegisterValue) bool {
+func (c *Controller) reachesQuorum(known messages.RegisterValue) bool {
 	members := register.Targets(&known)
 	heard := make(chan string, len(members))
 	for _, member := range members {
 		go func() {
-			if member.Address == c.Node.Self.Address || c.answers(member.Address) {
+			if member.Address == c.Node.Self.Address || c.responds(member.Address) {
 				heard <- register.Identity(member)
 				return
 			}
@@ -72,26 +72,26 @@
 // stagger parts several newcomers that would propose at once by a short random pause; a
 // process that has just started takes its place without one.
 func (c *Controller) stagger() {
-	if clock.Now().Sub(c.begun) > constants.LeaseDuration {
+	if clock.Now().Sub(c.startedAt) > constants.LeaseDuration {
 		clock.Sleep(clock.Duration(rand.Int63n(int64(constants.ReconcilePeriod))))
 	}
 }
 
-// tending gathers what the decision on the set needs.
-func (c *Controller) tending(known messages.RegisterValue) register.Tending {
+// setReconciler gathers what the decision on the set needs.
+func (c *Controller) setReconciler(known messages.RegisterValue) register.SetReconciler {
 	blank := map[string]bool{}
 	for _, entry := range c.Node.Live(membership.RoleController) {
 		blank[entry.Address] = entry.Disk == ""
 	}
-	return register.Tending{Votes: votes(c.Node.Settings), Size: c.setSize(),
-		Blank: func(member messages.Member) bool { return blank[member.Address] },
-		Gone:  func(member messages.Member) bool { return c.silent(member) && c.hears(known) }}
+	return register.SetReconciler{Votes: isVoter(c.Node.Settings), Size: c.setSize(),
+		Diskless: func(member messages.Member) bool { return blank[member.Address] },
+		Departed: func(member messages.Member) bool { return c.isSilent(member) && c.reachesQuorum(known) }}
 }
 
-// votes tells whether a process takes part in the register: one without a disk
+// isVoter tells whether a process takes part in the register: one without a disk
 // forgets at each start what it promised. Where no control machine has a disk, the
 // settings count those without one in the quorum all the same.
-func votes(nodeSettings *settings.Settings) bool {
+func isVoter(nodeSettings *settings.Settings) bool {
 	return nodeSettings.DataDir != "" || nodeSettings.InQuorum
 }
 
@@ -106,64 +106,64 @@
 	return recordlog.Directory(nodeSettings.DataDir), nil
 }
 
-// bears tells whether what is acknowledged now outlasts the fault budget. A smaller
+// toleratesBudget tells whether what is acknowledged now outlasts the fault budget. A smaller
 // set has to do only where nobody else is there to join it.
-func (c *Controller) bears(value *messages.RegisterValue) bool {
-	inside, heard := map[string]bool{}, map[string]bool{}
+func (c *Controller) toleratesBudget(value *messages.RegisterValue) bool {
+	inside, responded := map[string]bool{}, map[string]bool{}
 	for _, member := range value.Acceptors {
 		inside[member.Address] = true
 	}
 	var outside []string
 	for _, entry := range c.Node.Live(membership.RoleController) {
-		heard[entry.Address] = entry.Disk != ""
+		responded[entry.Address] = entry.Disk != ""
 		if entry.Disk != "" && !inside[entry.Address] {
 			outside = append(outside, entry.Address)
 		}
 	}
-	young := clock.Now().Sub(c.begun) <= constants.SetGrowthTimeout
+	young := clock.Now().Sub(c.startedAt) <= constants.SetGrowthTimeout
 	for _, member := range value.Acceptors {
 		// At the first start a seed may turn out to have no disk: it gives way first.
-		if young && c.Node.Settings.Bootstrap && member.Address != c.Node.Self.Address && !heard[member.Address] {
+		if young && c.Node.Settings.Bootstrap && member.Address != c.Node.Self.Address && !responded[member.Address] {
 			return false
 		}
 	}
 	own := 0
-	if votes(c.Node.Settings) && !inside[c.Register.Identity().Address] {
+	if isVoter(c.Node.Settings) && !inside[c.Register.Identity().Address] {
 		own = 1
 	}
-	if register.Bears(value, c.setSize(), len(outside)+own) {
+	if register.ToleratesBudget(value, c.setSize(), len(outside)+own) {
 		return true
 	}
 	// What was heard of may be gone: after the time to grow, who answers counts.
-	return !young && register.Bears(value, c.setSize(), c.answering(outside)+own)
+	return !young && register.ToleratesBudget(value, c.setSize(), c.countResponding(outside)+own)
 }
 
-// answering counts the controllers that answer now.
-func (c *Controller) answering(addresses []string) int {
-	answers := make(chan bool, len(addresses))
+// countResponding counts the controllers that answer now.
+func (c *Controller) countResponding(addresses []string) int {
+	responses := make(chan bool, len(addresses))
 	for _, address := range addresses {
-		go func() { answers <- c.answers(address) }()
+		go func() { responses <- c.responds(address) }()
 	}
 	count := 0
 	for range addresses {
-		if <-answers {
+		if <-responses {
 			count++
 		}
 	}
 	return count
 }
 
-// answers tells whether a controller answers a small question now, also one that has
+// responds tells whether a controller answers a small question now, also one that has
 // just started.
-func (c *Controller) answers(address string) bool {
+func (c *Controller) responds(address string) bool {
 	req, resp := &messages.ContactRequest{From: c.Node.Self.Address}, &messages.ContactResponse{}
 	return transport.Call(c.Node.Transport, address, messages.KindContact, req, resp, constants.RoundTimeout) == nil
 }
 
-// silent tells whether nobody has heard a member for long. One in our own zone is
+// isSilent tells whether nobody has heard a member for long. One in our own zone is
 // taken for replaced by us, and sooner: until we have its place, the set bears one
 // loss less.
-func (c *Controller) silent(member messages.Member) bool {
+func (c *Controller) isSilent(member messages.Member) bool {
 	patience, age, known := constants.ReplaceAfter, int64(0), false
 	for _, entry := range c.Node.All(membership.RoleController) {
 		if entry.Address != member.Address || (known && entry.AgeMs >= age) {
@@ -178,20 +178,20 @@
 		return false
 	}
 	// Who has just started knows too little of who was silent for how long.
-	up := clock.Now().Sub(c.begun)
+	up := clock.Now().Sub(c.startedAt)
 	if (!known && up < constants.SuspectAfter) || up < constants.LeaseDuration {
 		return false
 	}
 	// It is asked itself: one that answers now is not gone.
-	return !c.answers(member.Address)
+	return !c.responds(member.Address)
 }
 
-// changeDuty changes duty or store set on behalf of a store.
-func (c *Controller) changeDuty(req *messages.RegisterChangeRequest) (transport.Marshaler, error) {
+// handleRegisterChange changes duty or store set on behalf of a store.
+func (c *Controller) handleRegisterChange(req *messages.RegisterChangeRequest) (transport.Marshaler, error) {
 	done := false
 	change := register.SetStores(req.Holder, req.Stores, &done)
 	if req.Campaign {
-		change = register.TakeDuty(req.Holder, req.ExpectEpoch, req.Stores, &done)
+		change = register.Campaign(req.Holder, req.ExpectEpoch, req.Stores, &done)
 	}
 	value, err := c.Register.Change(change)
 	if err != nil {
--- a/internal/control/controller/shared.go
+++ b/internal/control/controller/shared.go
@@ -11,11 +11,11 @@
 // came may be older than the question, so newcomers wait for the next one.
 type sharedRead struct {
 	lock sync.Mutex
-	next *reading
+	next *sharedReadRound
 	busy bool
 }
 
-type reading struct {
+type sharedReadRound struct {
 	done   chan struct{}
 	shares int
 	value  messages.RegisterValue
@@ -26,7 +26,7 @@
 func (s *sharedRead) Read(read func() (messages.RegisterValue, error)) (messages.RegisterValue, error) {
 	s.lock.Lock()
 	if s.next == nil {
-		s.next = &reading{done: make(chan struct{})}
+		s.next = &sharedReadRound{done: make(chan struct{})}
 	}
 	mine := s.next
 	mine.shares++
--- a/internal/control/controller/shared_test.go
+++ b/internal/control/controller/shared_test.go
@@ -13,10 +13,10 @@
 func TestReadsAreSharedButNeverOlderThanTheQuestion(t *testing.T) {
 	const rounds, callers = 50, 20
 	var shared sharedRead
-	var localRegister, reads atomic.Int64
+	var replica, reads atomic.Int64
 	start, release := make(chan struct{}), make(chan struct{})
 	read := func() (messages.RegisterValue, error) {
-		value := messages.RegisterValue{SetEpoch: uint64(localRegister.Load())}
+		value := messages.RegisterValue{SetEpoch: uint64(replica.Load())}
 		reads.Add(1)
 		start <- struct{}{}
 		<-release
@@ -24,7 +24,7 @@
 	}
 	var group sync.WaitGroup
 	ask := func() {
-		least := uint64(localRegister.Load())
+		least := uint64(replica.Load())
 		group.Add(1)
 		go func() {
 			defer group.Done()
@@ -37,7 +37,7 @@
 	<-start
 	for round := 0; round < rounds; round++ {
 		// A read is under way; all who come now share the one after it.
-		localRegister.Add(1)
+		replica.Add(1)
 		for caller := 0; caller < callers; caller++ {
 			ask()
 		}
--- a/internal/control/controller/spread.go
+++ b/internal/control/controller/spread.go
@@ -9,15 +9,15 @@
 	"lemonarch/internal/platform/messages"
 )
 
-func errandStop(server *http.Server) {
+func stopServer(server *http.Server) {
 	stopping, done := contexts.WithTimeout(contexts.Background(), constants.BulkCallTimeout)
 	defer done()
 	_ = server.Shutdown(stopping)
 }
 
-// chosen puts a value in force here and, where push is set, tells everybody
+// applyChosen puts a value in force here and, where push is set, tells everybody
 // before the caller acknowledges it.
-func (c *Controller) chosen(value messages.RegisterValue, push bool) {
+func (c *Controller) applyChosen(value messages.RegisterValue, push bool) {
 	if value.Current.Generation == 0 {
 		return
 	}
@@ -26,16 +26,16 @@
 	if push || newer {
 		update := &messages.RelayRequest{Generation: value.Current.Generation, Body: value.Body}
 		if !push {
-			go c.spread(update, constants.PushTimeout)
+			go c.broadcast(update, constants.PushTimeout)
 			return
 		}
-		c.spread(update, constants.PushTimeout)
+		c.broadcast(update, constants.PushTimeout)
 	}
 }
 
-// accepted is told when our acceptor took a value. Its proposer may die right
+// onAccepted is told when our acceptor took a value. Its proposer may die right
 // after it has acknowledged it, so we look for ourselves a little later.
-func (c *Controller) accepted(generation int64) {
+func (c *Controller) onAccepted(generation int64) {
 	if generation <= c.Node.Generation() {
 		return
 	}
@@ -43,7 +43,7 @@
 		clock.Sleep(constants.PushTimeout)
 		for round := 0; round < 5 && c.Node.Generation() < generation; round++ {
 			if value, err := c.Register.Read(); err == nil {
-				c.chosen(value, false)
+				c.applyChosen(value, false)
 				return
 			}
 			clock.Sleep(constants.PushTimeout)
--- a/internal/control/controller/tables.go
+++ b/internal/control/controller/tables.go
@@ -12,19 +12,19 @@
 // and when it was last told who has beaten here.
 type peer struct {
 	workerList, processes messages.Digest
-	told                  clock.Instant
+	lastHeartbeat         clock.Instant
 }
 
 // registerTables registers what concerns the tables of workers and processes.
 func (c *Controller) registerTables() {
 	runtime := c.Node
-	runtime.Handle(messages.KindWorkersUpdate, answer(func(req *messages.WorkersUpdate) (transport.Marshaler, error) {
+	runtime.Handle(messages.KindWorkersUpdate, handle(func(req *messages.WorkersUpdate) (transport.Marshaler, error) {
 		c.mergeWorkers(req.Workers)
 		runtime.MarkContacted(req.From)
 		return &messages.Ack{Accepted: true}, nil
 	}))
-	runtime.Handle(messages.KindWorkersPull, answer(func(req *messages.WorkersPullRequest) (transport.Marshaler, error) {
-		if c.learning() {
+	runtime.Handle(messages.KindWorkersPull, handle(func(req *messages.WorkersPullRequest) (transport.Marshaler, error) {
+		if c.recovering() {
 			// What the file says may be older than a drain that was acknowledged.
 			return nil, ErrNoContact.New("workers not known yet")
 		}
@@ -33,90 +33,90 @@
 		return &messages.WorkersUpdate{From: membership.Key(runtime.Self), Workers: c.registry.Since(req.Since, clock.Now()),
 			Table: c.registry.Digest(runtime.Self.Incarnation)}, nil
 	}))
-	runtime.Handle(messages.KindDirectoryPull, answer(func(req *messages.DirectoryPullRequest) (transport.Marshaler, error) {
+	runtime.Handle(messages.KindDirectoryPull, handle(func(req *messages.DirectoryPullRequest) (transport.Marshaler, error) {
 		resp := &messages.Shuffle{}
 		runtime.Viewed(func(view *membership.View) {
 			resp.Entries, resp.Table = view.Since(req.Since, clock.Now()), view.Digest()
 		})
 		return resp, nil
 	}))
-	runtime.Handle(messages.KindControllerHeartbeat, answer(func(req *messages.ControllerHeartbeat) (transport.Marshaler, error) {
+	runtime.Handle(messages.KindControllerHeartbeat, handle(func(req *messages.ControllerHeartbeat) (transport.Marshaler, error) {
 		// What is told here is chosen before it counts as told.
 		now := clock.Now()
-		resp := c.beatFor(membership.Key(req.From))
-		go c.heardBeat(req, now)
+		resp := c.heartbeatFor(membership.Key(req.From))
+		go c.handleControllerHeartbeat(req, now)
 		return resp, nil
 	}))
-	runtime.Handle(messages.KindRelay, answer(c.relayed))
-	runtime.Handle(messages.KindRelayWait, answer(c.relayWaited))
+	runtime.Handle(messages.KindRelay, handle(c.handleRelay))
+	runtime.Handle(messages.KindRelayWait, handle(c.handleRelayWait))
 	runtime.OnReportResponse(c.addWorkers)
 }
 
-func (c *Controller) mergeWorkers(workerList []messages.Worker) {
+func (c *Controller) mergeWorkers(workers []messages.Worker) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	for _, worker := range workerList {
+	for _, worker := range workers {
 		if c.registry.Merge(worker, clock.Now()) {
-			c.memory.remember(worker)
+			c.workerFile.enqueue(worker)
 		}
 	}
 }
 
-// learning tells whether this process has started and has not heard a majority of the
+// recovering tells whether this process has started and has not heard a majority of the
 // acceptors on the workers yet: till then it takes no calls of workers, who go to the
 // next, and vouches for none.
-func (c *Controller) learning() bool { return !c.vouching.Load() }
+func (c *Controller) recovering() bool { return !c.recovered.Load() }
 
 // addWorkers completes the answer to a process's report: a digest of the table of
 // workers, and who is silent. A controller that is not in contact with a majority, or
 // has just started, says that and nothing else.
 func (c *Controller) addWorkers(resp *messages.Shuffle) {
-	if !c.attached() {
+	if !c.hasContact() {
 		*resp = messages.Shuffle{Entries: resp.Entries[:1], Detached: true}
 		return
 	}
-	if c.learning() {
+	if c.recovering() {
 		// It knows too few yet to say how many there are, or who is silent.
 		resp.Counts = nil
 		return
 	}
-	plan := c.planTold().Revision
+	plan := c.currentPlan().Revision
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	resp.Workers, resp.PlanRevision = c.registry.Digest(c.Node.Self.Incarnation), plan
 	resp.OverdueComplete, resp.Overdue = true, c.registry.Overdue(clock.Now())
 }
 
-// beatFor is what another controller is told: digests, and who was heard here directly.
-func (c *Controller) beatFor(key string) *messages.ControllerHeartbeat {
+// heartbeatFor is what another controller is told: digests, and who was heard here directly.
+func (c *Controller) heartbeatFor(key string) *messages.ControllerHeartbeat {
 	c.lock.Lock()
 	since := clock.Instant(0)
 	if peer := c.peers[key]; peer != nil {
-		since = peer.told
+		since = peer.lastHeartbeat
 	}
-	heartbeat := &messages.ControllerHeartbeat{Workers: c.registry.Digest(c.Node.Self.Incarnation), SeenWorkers: c.registry.BeatenSince(since)}
-	heartbeat.PlanRevision = c.planTold().Revision
+	heartbeat := &messages.ControllerHeartbeat{Workers: c.registry.Digest(c.Node.Self.Incarnation), SeenWorkers: c.registry.HeartbeatsSince(since)}
+	heartbeat.PlanRevision = c.currentPlan().Revision
 	c.lock.Unlock()
 	c.Node.Viewed(func(view *membership.View) {
-		heartbeat.From, heartbeat.Processes, heartbeat.Generation = view.Own(), view.Digest(), view.Own().Generation
-		heartbeat.SeenNodes, heartbeat.LaggingNodes = view.MetSince(since)
+		heartbeat.From, heartbeat.Processes, heartbeat.Generation = view.Self(), view.Digest(), view.Self().Generation
+		heartbeat.SeenNodes, heartbeat.LaggingNodes = view.ContactedSince(since)
 	})
 	return heartbeat
 }
 
-// beatOthers exchanges a beat with every other controller: there are few. Of two, the one
+// heartbeatPeers exchanges a beat with every other controller: there are few. Of two, the one
 // with the lesser name begins, unless it has been silent for long.
-func (c *Controller) beatOthers() {
+func (c *Controller) heartbeatPeers() {
 	runtime, now := c.Node, clock.Now()
 	c.lock.Lock()
 	c.registry.Forget(now.Add(-constants.ForgetAfter))
-	c.binding.trim(func(id string) bool {
+	c.durableDrains.trim(func(id string) bool {
 		_, known := c.registry.Get(id)
 		return known
 	})
-	for key, transfer := range c.relays {
-		if now.Sub(transfer.begun) > constants.BulkCallTimeout {
-			delete(c.relays, key)
+	for key, transfer := range c.deliveries {
+		if now.Sub(transfer.startedAt) > constants.BulkCallTimeout {
+			delete(c.deliveries, key)
 		}
 	}
 	c.lock.Unlock()
@@ -136,37 +136,37 @@
 	for address, key := range addresses {
 		go func() {
 			resp := &messages.ControllerHeartbeat{}
-			if transport.Call(runtime.Transport, address, messages.KindControllerHeartbeat, c.beatFor(key), resp, constants.CallTimeout) == nil {
-				c.heardBeat(resp, now)
+			if transport.Call(runtime.Transport, address, messages.KindControllerHeartbeat, c.heartbeatFor(key), resp, constants.CallTimeout) == nil {
+				c.handleControllerHeartbeat(resp, now)
 			}
 		}()
 	}
 }
 
-// heardBeat takes another controller's beat, and pulls what its tables have beyond ours.
+// handleControllerHeartbeat takes another controller's beat, and pulls what its tables have beyond ours.
 // told is when that controller was given our own beat.
-func (c *Controller) heardBeat(heartbeat *messages.ControllerHeartbeat, told clock.Instant) {
+func (c *Controller) handleControllerHeartbeat(heartbeat *messages.ControllerHeartbeat, told clock.Instant) {
 	runtime, now, key := c.Node, clock.Now(), membership.Key(heartbeat.From)
 	runtime.Observe([]messages.NodeInfo{heartbeat.From})
-	go c.sawPlan(heartbeat.PlanRevision, heartbeat.From.Address)
+	go c.observePlan(heartbeat.PlanRevision, heartbeat.From.Address)
 	c.lock.Lock()
 	p := c.peers[key]
 	if p == nil {
 		p = &peer{}
 		c.peers[key] = p
 	}
-	p.told = told
-	c.registry.Vouched(heartbeat.SeenWorkers, now)
-	workerList := c.registry.Digest(runtime.Self.Incarnation)
-	sinceWorkers, askWorkers := behind(&p.workerList, heartbeat.Workers, workerList)
+	p.lastHeartbeat = told
+	c.registry.ConfirmHeartbeats(heartbeat.SeenWorkers, now)
+	workers := c.registry.Digest(runtime.Self.Incarnation)
+	sinceWorkers, askWorkers := needsPull(&p.workerList, heartbeat.Workers, workers)
 	c.lock.Unlock()
 	var processes messages.Digest
 	runtime.Viewed(func(view *membership.View) {
-		view.Vouched(heartbeat, now)
+		view.HandleHeartbeat(heartbeat, now)
 		processes = view.Digest()
 	})
 	c.lock.Lock()
-	sinceProcesses, askProcesses := behind(&p.processes, heartbeat.Processes, processes)
+	sinceProcesses, askProcesses := needsPull(&p.processes, heartbeat.Processes, processes)
 	c.lock.Unlock()
 	if askWorkers {
 		resp := &messages.WorkersUpdate{}
@@ -188,9 +188,9 @@
 	}
 }
 
-// behind tells whether another's table may hold something beyond ours, and from which
+// needsPull tells whether another's table may hold something beyond ours, and from which
 // clock on to ask. read is how far that table was read.
-func behind(read *messages.Digest, told, own messages.Digest) (since uint64, ask bool) {
+func needsPull(read *messages.Digest, told, own messages.Digest) (since uint64, ask bool) {
 	if told.Sum == own.Sum {
 		*read = told
 		return 0, false
--- a/internal/control/controller/tree.go
+++ b/internal/control/controller/tree.go
@@ -13,12 +13,12 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// transfer is an update on its way down the tree.
-type transfer struct {
-	begun clock.Instant
-	lock  sync.Mutex
-	job   *broadcast.Job
-	done  chan struct{}
+// delivery is an update on its way down the tree.
+type delivery struct {
+	startedAt clock.Instant
+	lock      sync.Mutex
+	tree      *broadcast.Tree
+	done      chan struct{}
 }
 
 // directory gives every other process, the silent ones included, until constants.ForgetAfter
@@ -35,20 +35,20 @@
 	return found
 }
 
-// fan is how many of a zone get an update directly: an update of a worker is short, a
+// fanout is how many of a zone get an update directly: an update of a worker is short, a
 // configuration is not.
-func fan(update *messages.RelayRequest) int {
+func fanout(update *messages.RelayRequest) int {
 	if update.Generation > 0 {
 		return 2 * constants.BodyFanout
 	}
 	return 0
 }
 
-// spread tells all processes down the tree. It returns once all in touch have taken
+// broadcast tells all processes down the tree. It returns once all in touch have taken
 // the update, or after the span; what is then under way goes on.
-func (c *Controller) spread(update *messages.RelayRequest, timeout clock.Duration) {
-	update.From, update.Sequence = membership.Key(c.Node.Self), c.number.Add(1)
-	job, sends := broadcast.Fleet(c.Node.Self, c.directory(update.Generation), fan(update), clock.Now())
+func (c *Controller) broadcast(update *messages.RelayRequest, timeout clock.Duration) {
+	update.From, update.Sequence = membership.Key(c.Node.Self), c.sequence.Add(1)
+	job, sends := broadcast.NewTree(c.Node.Self, c.directory(update.Generation), fanout(update), clock.Now())
 	if update.Generation > 0 {
 		c.addToBacklog(update, job.Unconfirmed(sends), constants.BacklogForwardedDelay)
 	}
@@ -62,15 +62,15 @@
 	}
 }
 
-func (t *transfer) missing() []uint32 {
+func (t *delivery) missing() []uint32 {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	return t.job.Missing()
+	return t.tree.Missing()
 }
 
 // deliver makes the calls that a job asks for, until it is done or too late.
-func (c *Controller) deliver(update *messages.RelayRequest, job *broadcast.Job, sends []broadcast.Send) *transfer {
-	t := &transfer{begun: clock.Now(), job: job, done: make(chan struct{})}
+func (c *Controller) deliver(update *messages.RelayRequest, job *broadcast.Tree, sends []broadcast.Send) *delivery {
+	t := &delivery{startedAt: clock.Now(), tree: job, done: make(chan struct{})}
 	var ended sync.Once
 	var follow func(sends []broadcast.Send)
 	call := func(send broadcast.Send) {
@@ -78,12 +78,12 @@
 		t.lock.Lock()
 		var next []broadcast.Send
 		if err != nil {
-			next = job.Failed(send, clock.Now())
-			if entry := job.Told(send); send.Step == broadcast.StepTell && entry.Address != "" {
+			next = job.HandleFailure(send, clock.Now())
+			if entry := job.Receiver(send); send.Step == broadcast.StepDeliver && entry.Address != "" {
 				c.addToBacklog(update, []messages.NodeInfo{entry}, constants.BacklogBackoff)
 			}
 		} else {
-			next = job.Took(send, missing, clock.Now())
+			next = job.HandleResponse(send, missing, clock.Now())
 		}
 		t.lock.Unlock()
 		follow(next)
@@ -101,7 +101,7 @@
 	}
 	follow(sends)
 	go func() {
-		for clock.Now().Sub(t.begun) < constants.BulkCallTimeout {
+		for clock.Now().Sub(t.startedAt) < constants.BulkCallTimeout {
 			select {
 			case <-t.done:
 				return
@@ -142,8 +142,8 @@
 
 func relayKey(from string, number uint64) string { return from + "#" + strconv.FormatUint(number, 10) }
 
-// relayed takes an update for this zone and begins to tell it.
-func (c *Controller) relayed(update *messages.RelayRequest) (transport.Marshaler, error) {
+// handleRelay takes an update for this zone and begins to tell it.
+func (c *Controller) handleRelay(update *messages.RelayRequest) (transport.Marshaler, error) {
 	c.mergeWorkers(update.Workers)
 	if update.Generation > c.Node.Generation() {
 		c.Node.ApplyConfig(update.Body)
@@ -151,25 +151,25 @@
 	expect := update.Expect[:0:0]
 	has := map[uint32]bool{}
 	for _, entry := range c.directory(0) {
-		has[membership.MarkOf(entry)] = update.Generation > 0 && entry.Generation >= update.Generation
+		has[membership.Hash(entry)] = update.Generation > 0 && entry.Generation >= update.Generation
 	}
 	for _, hash := range update.Expect {
 		if !has[hash] {
 			expect = append(expect, hash)
 		}
 	}
-	job, sends := broadcast.Zone(c.Node.Self, c.directory(update.Generation), expect, fan(update), clock.Now())
+	job, sends := broadcast.NewZoneTree(c.Node.Self, c.directory(update.Generation), expect, fanout(update), clock.Now())
 	transfer := c.deliver(update, job, sends)
 	c.lock.Lock()
-	c.relays[relayKey(update.From, update.Sequence)] = transfer
+	c.deliveries[relayKey(update.From, update.Sequence)] = transfer
 	c.lock.Unlock()
 	return &messages.Ack{Accepted: true}, nil
 }
 
-// relayWaited says whom of the zone a relayed update has not reached.
-func (c *Controller) relayWaited(req *messages.RelayWaitRequest) (transport.Marshaler, error) {
+// handleRelayWait says whom of the zone a relayed update has not reached.
+func (c *Controller) handleRelayWait(req *messages.RelayWaitRequest) (transport.Marshaler, error) {
 	c.lock.Lock()
-	transfer := c.relays[relayKey(req.From, req.Sequence)]
+	transfer := c.deliveries[relayKey(req.From, req.Sequence)]
 	c.lock.Unlock()
 	if transfer == nil {
 		return &messages.RelayWaitResponse{}, nil
