--- a/internal/control/controller/workers.go
+++ b/internal/control/controller/workers.go
@@ -12,8 +12,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// beatBody is a worker's call.
-type beatBody struct {
+// heartbeatBody is a worker's call.
+type heartbeatBody struct {
 	Backend    string  `json:"backend"`
 	Address    string  `json:"address"`
 	Zone       string  `json:"zone"`
@@ -24,15 +24,15 @@
 	Count      int64   `json:"call-count"`
 }
 
-func (c *Controller) beat(writer http.ResponseWriter, request *http.Request) {
-	if !c.takesWorkers(writer) {
+func (c *Controller) handleHeartbeat(writer http.ResponseWriter, request *http.Request) {
+	if !c.acceptsWorkerCalls(writer) {
 		return
 	}
 	body, complete := readBody(writer, request, constants.HeadLimit)
 	if !complete {
 		return
 	}
-	var call beatBody
+	var call heartbeatBody
 	if err := json.Unmarshal(body, &call); err != nil {
 		httpreply.Error(writer, http.StatusBadRequest, "body can't be read: "+err.Error())
 		return
@@ -49,25 +49,25 @@
 	c.acknowledge(writer, worker)
 }
 
-// takesWorkers tells whether this process can spread what a worker says. Where it can't,
+// acceptsWorkerCalls tells whether this process can spread what a worker says. Where it can't,
 // the caller is sent to another one.
-func (c *Controller) takesWorkers(writer http.ResponseWriter) bool {
-	if c.learning() || !c.inContact() {
-		httpreply.Error(writer, http.StatusServiceUnavailable, elsewhere)
+func (c *Controller) acceptsWorkerCalls(writer http.ResponseWriter) bool {
+	if c.recovering() || !c.awaitContact() {
+		httpreply.Error(writer, http.StatusServiceUnavailable, noClearAnswer)
 		return false
 	}
 	return true
 }
 
-func (c *Controller) depart(writer http.ResponseWriter, request *http.Request) {
-	if !c.takesWorkers(writer) {
+func (c *Controller) handleDepart(writer http.ResponseWriter, request *http.Request) {
+	if !c.acceptsWorkerCalls(writer) {
 		return
 	}
 	body, complete := readBody(writer, request, constants.HeadLimit)
 	if !complete {
 		return
 	}
-	var call beatBody
+	var call heartbeatBody
 	// A departure needs nothing but the id; what the body adds is welcome.
 	_ = json.Unmarshal(body, &call)
 	c.lock.Lock()
@@ -86,7 +86,7 @@
 // touch were told; where that fails the caller asks another controller.
 func (c *Controller) acknowledge(writer http.ResponseWriter, worker messages.Worker) {
 	c.lock.Lock()
-	changed := c.registry.Beat(worker, clock.Now())
+	changed := c.registry.Heartbeat(worker, clock.Now())
 	worker, _ = c.registry.Get(worker.ID)
 	c.lock.Unlock()
 	if changed {
@@ -95,28 +95,28 @@
 	switch {
 	case worker.Phase == messages.PhaseSteady:
 		if changed {
-			c.memory.remember(worker)
+			c.workerFile.enqueue(worker)
 			c.announce(worker)
 		}
-	case !c.binding.isKept(worker):
-		if !c.bind(worker, changed) {
+	case !c.durableDrains.isDurable(worker):
+		if !c.commitWorkerChange(worker, changed) {
 			c.Node.Log.Warn("not acknowledged: no majority has it on disk", "id", worker.ID, "phase", worker.Phase.String())
-			httpreply.Error(writer, http.StatusServiceUnavailable, elsewhere)
+			httpreply.Error(writer, http.StatusServiceUnavailable, noClearAnswer)
 			return
 		}
-		c.binding.setKept(worker)
+		c.durableDrains.setDurable(worker)
 	}
 	httpreply.JSON(writer, http.StatusOK, struct{}{})
 }
 
-// bind has a drain or a departure told to all in touch and kept by a majority, at the
+// commitWorkerChange has a drain or a departure told to all in touch and kept by a majority, at the
 // same time. What this process knew before is not announced once more, at each
 // controller that a draining worker calls: the reports bring it to everybody in touch.
-func (c *Controller) bind(worker messages.Worker, announce bool) bool {
-	kept := make(chan bool, 1)
-	go func() { kept <- c.keepAtMajority(worker) }()
+func (c *Controller) commitWorkerChange(worker messages.Worker, announce bool) bool {
+	retained := make(chan bool, 1)
+	go func() { retained <- c.persistAtQuorum(worker) }()
 	if announce {
 		c.announce(worker)
 	}
-	return <-kept
+	return <-retained
 }
--- a/internal/control/lease/lease.go
+++ b/internal/control/lease/lease.go
@@ -10,27 +10,27 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Grants is an acceptor's side.
-type Grants struct {
-	holder  string
-	life    int64
-	turn    uint64
-	until   clock.Instant
-	silence clock.Instant
+// Grantor is an acceptor's side.
+type Grantor struct {
+	holder      string
+	incarnation int64
+	sequence    uint64
+	until       clock.Instant
+	quietUntil  clock.Instant
 }
 
-// NewGrants starts a side. One that may have granted a lease before it restarted
+// NewGrantor starts a side. One that may have granted a lease before it restarted
 // grants nothing until that has run out.
-func NewGrants(now clock.Instant, first bool) *Grants {
-	grants := &Grants{}
+func NewGrantor(now clock.Instant, first bool) *Grantor {
+	grants := &Grantor{}
 	if !first {
-		grants.silence = now.Add(constants.LeaseDuration)
+		grants.quietUntil = now.Add(constants.LeaseDuration)
 	}
 	return grants
 }
 
-// Ask answers a candidate or a holder that renews.
-func (g *Grants) Ask(req messages.LeaseRequest, inForce messages.Leadership, now clock.Instant) messages.LeaseResponse {
+// Grant answers a candidate or a holder that renews.
+func (g *Grantor) Grant(req messages.LeaseRequest, inForce messages.Leadership, now clock.Instant) messages.LeaseResponse {
 	resp := messages.LeaseResponse{Epoch: inForce.Epoch}
 	if req.Release {
 		g.Release(req.Candidate, req.Incarnation, req.Sequence)
@@ -43,20 +43,20 @@
 		resp.WaitMs = 1
 		return resp
 	}
-	free := now >= g.until && now >= g.silence
+	free := now >= g.until && now >= g.quietUntil
 	// A new life of the same process shows that the old one is over; an old life
 	// that woke up gets nothing back.
-	same := g.holder == req.Candidate && req.Incarnation >= g.life
+	same := g.holder == req.Candidate && req.Incarnation >= g.incarnation
 	restarted := inForce.Holder == req.Candidate && req.Incarnation >= inForce.Incarnation && g.holder == ""
 	if !free && !same && !restarted {
-		resp.WaitMs = max(g.until.Sub(now), g.silence.Sub(now)).Milliseconds() + 1
+		resp.WaitMs = max(g.until.Sub(now), g.quietUntil.Sub(now)).Milliseconds() + 1
 		return resp
 	}
-	if g.holder != req.Candidate || g.life != req.Incarnation {
-		g.turn = 0
+	if g.holder != req.Candidate || g.incarnation != req.Incarnation {
+		g.sequence = 0
 	}
-	g.holder, g.life = req.Candidate, req.Incarnation
-	g.turn = max(g.turn, req.Sequence)
+	g.holder, g.incarnation = req.Candidate, req.Incarnation
+	g.sequence = max(g.sequence, req.Sequence)
 	g.until = now.Add(constants.LeaseDuration)
 	resp.Granted = true
 	return resp
@@ -64,8 +64,8 @@
 
 // Release ends a lease early, when its holder leaves in order. One that was sent before
 // the newest question granted came too late.
-func (g *Grants) Release(holder string, incarnation int64, turn uint64) {
-	if g.holder == holder && g.life == incarnation && turn >= g.turn {
+func (g *Grantor) Release(holder string, incarnation int64, turn uint64) {
+	if g.holder == holder && g.incarnation == incarnation && turn >= g.sequence {
 		g.until = 0
 	}
 }
@@ -87,8 +87,8 @@
 	}
 }
 
-// Stands tells whether the holder may act.
-func (l *Lease) Stands(now clock.Instant) bool { return now < l.until }
+// Valid tells whether the holder may act.
+func (l *Lease) Valid(now clock.Instant) bool { return now < l.until }
 
-// Drop gives the lease up.
-func (l *Lease) Drop() { l.until = 0 }
+// Revoke gives the lease up.
+func (l *Lease) Revoke() { l.until = 0 }
--- a/internal/control/lease/lease_test.go
+++ b/internal/control/lease/lease_test.go
@@ -9,54 +9,54 @@
 )
 
 func TestOneHolderAtATime(t *testing.T) {
-	grants := NewGrants(0, true)
-	if !grants.Ask(messages.LeaseRequest{Candidate: "a", Incarnation: 1}, messages.Leadership{}, 1).Granted {
+	grants := NewGrantor(0, true)
+	if !grants.Grant(messages.LeaseRequest{Candidate: "a", Incarnation: 1}, messages.Leadership{}, 1).Granted {
 		t.Fatal("a free held was not granted")
 	}
-	held := messages.Leadership{Holder: "a", Incarnation: 1, Epoch: 1}
-	if grants.Ask(messages.LeaseRequest{Candidate: "b", Incarnation: 1, Epoch: 1}, held, 2).Granted {
+	found := messages.Leadership{Holder: "a", Incarnation: 1, Epoch: 1}
+	if grants.Grant(messages.LeaseRequest{Candidate: "b", Incarnation: 1, Epoch: 1}, found, 2).Granted {
 		t.Fatal("granted twice")
 	}
 	end := clock.Instant(1).Add(constants.LeaseDuration)
-	if !grants.Ask(messages.LeaseRequest{Candidate: "b", Incarnation: 1, Epoch: 1}, held, end).Granted {
+	if !grants.Grant(messages.LeaseRequest{Candidate: "b", Incarnation: 1, Epoch: 1}, found, end).Granted {
 		t.Fatal("not granted after its end")
 	}
-	if grants.Ask(messages.LeaseRequest{Candidate: "a", Incarnation: 1, Epoch: 1}, held, end+1).Granted {
+	if grants.Grant(messages.LeaseRequest{Candidate: "a", Incarnation: 1, Epoch: 1}, found, end+1).Granted {
 		t.Fatal("a holder that overslept got it back")
 	}
 }
 
 func TestRestartedAcceptorIsSilentForOneHold(t *testing.T) {
-	grants := NewGrants(0, false)
-	held := messages.Leadership{Holder: "a", Incarnation: 1, Epoch: 1}
-	if grants.Ask(messages.LeaseRequest{Candidate: "b", Incarnation: 1, Epoch: 1}, held, 10).Granted {
+	grants := NewGrantor(0, false)
+	found := messages.Leadership{Holder: "a", Incarnation: 1, Epoch: 1}
+	if grants.Grant(messages.LeaseRequest{Candidate: "b", Incarnation: 1, Epoch: 1}, found, 10).Granted {
 		t.Fatal("granted what it may have granted before")
 	}
 	// The holder itself may go on: nobody else can have it.
-	if !grants.Ask(messages.LeaseRequest{Candidate: "a", Incarnation: 1, Epoch: 1}, held, 11).Granted {
+	if !grants.Grant(messages.LeaseRequest{Candidate: "a", Incarnation: 1, Epoch: 1}, found, 11).Granted {
 		t.Fatal("the holder was refused")
 	}
 }
 
 func TestOldLifeAndOldEpochGetNothing(t *testing.T) {
-	grants := NewGrants(0, true)
-	held := messages.Leadership{Holder: "a", Incarnation: 2, Epoch: 5}
-	if !grants.Ask(messages.LeaseRequest{Candidate: "a", Incarnation: 2, Epoch: 5}, held, 1).Granted {
+	grants := NewGrantor(0, true)
+	found := messages.Leadership{Holder: "a", Incarnation: 2, Epoch: 5}
+	if !grants.Grant(messages.LeaseRequest{Candidate: "a", Incarnation: 2, Epoch: 5}, found, 1).Granted {
 		t.Fatal("the holder was refused")
 	}
-	if grants.Ask(messages.LeaseRequest{Candidate: "a", Incarnation: 1, Epoch: 5}, held, 2).Granted {
+	if grants.Grant(messages.LeaseRequest{Candidate: "a", Incarnation: 1, Epoch: 5}, found, 2).Granted {
 		t.Fatal("an old life woke up and was granted")
 	}
-	if grants.Ask(messages.LeaseRequest{Candidate: "b", Incarnation: 1, Epoch: 4}, held, clock.Instant(2).Add(constants.LeaseDuration)).Granted {
+	if grants.Grant(messages.LeaseRequest{Candidate: "b", Incarnation: 1, Epoch: 4}, found, clock.Instant(2).Add(constants.LeaseDuration)).Granted {
 		t.Fatal("granted on an old epoch")
 	}
 }
 
 func TestReleaseFreesAtOnce(t *testing.T) {
-	grants := NewGrants(0, true)
-	grants.Ask(messages.LeaseRequest{Candidate: "a", Incarnation: 1}, messages.Leadership{}, 1)
-	grants.Ask(messages.LeaseRequest{Candidate: "a", Incarnation: 1, Release: true}, messages.Leadership{}, 2)
-	if !grants.Ask(messages.LeaseRequest{Candidate: "b", Incarnation: 1}, messages.Leadership{}, 3).Granted {
+	grants := NewGrantor(0, true)
+	grants.Grant(messages.LeaseRequest{Candidate: "a", Incarnation: 1}, messages.Leadership{}, 1)
+	grants.Grant(messages.LeaseRequest{Candidate: "a", Incarnation: 1, Release: true}, messages.Leadership{}, 2)
+	if !grants.Grant(messages.LeaseRequest{Candidate: "b", Incarnation: 1}, messages.Leadership{}, 3).Granted {
 		t.Fatal("not free after its release")
 	}
 }
@@ -65,7 +65,7 @@
 	own := Lease{}
 	own.Renewed(100)
 	end := clock.Instant(100).Add(constants.LeaseDuration - constants.LeaseSafetyMargin)
-	if !own.Stands(end-1) || own.Stands(end) {
+	if !own.Valid(end-1) || own.Valid(end) {
 		t.Fatal("a hold must end a margin before the grants do")
 	}
 }
--- a/internal/control/lease/simulation_test.go
+++ b/internal/control/lease/simulation_test.go
@@ -19,34 +19,34 @@
 		world := simulation.NewWorld(seed)
 		world.Loss, world.Double = 0.1, 0.05
 		nodes := []string{"a", "b", "c"}
-		grants := map[string]*lease.Grants{}
+		grants := map[string]*lease.Grantor{}
 		holds := map[string]*lease.Lease{}
 		for _, name := range nodes {
-			grants[name] = lease.NewGrants(world.Now, true)
+			grants[name] = lease.NewGrantor(world.Now, true)
 			holds[name] = &lease.Lease{}
 		}
-		held := messages.Leadership{}
+		found := messages.Leadership{}
 		var campaign func(name string)
 		campaign = func(name string) {
 			backoff := constants.LeaseRenewPeriod + clock.Duration(world.Random.Int63n(int64(constants.LeaseRenewPeriod)))
 			world.After(backoff, func() { campaign(name) })
 			sentAt, granted, over := world.Now, map[string]bool{}, false
-			req := messages.LeaseRequest{Candidate: name, Incarnation: 1, Epoch: held.Epoch}
+			req := messages.LeaseRequest{Candidate: name, Incarnation: 1, Epoch: found.Epoch}
 			for _, acceptor := range nodes {
 				world.Send(name, acceptor, func() {
-					resp := grants[acceptor].Ask(req, held, world.Now)
+					resp := grants[acceptor].Grant(req, found, world.Now)
 					world.Send(acceptor, name, func() {
 						if !resp.Granted || over {
 							return
 						}
 						if granted[acceptor] = true; len(granted) == 2 {
 							over = true
-							if held.Holder != name {
+							if found.Holder != name {
 								// The register raises the epoch; an older question loses there.
-								if req.Epoch != held.Epoch {
+								if req.Epoch != found.Epoch {
 									return
 								}
-								held = messages.Leadership{Holder: name, Incarnation: 1, Epoch: held.Epoch + 1}
+								found = messages.Leadership{Holder: name, Incarnation: 1, Epoch: found.Epoch + 1}
 								taken++
 							}
 							holds[name].Renewed(sentAt)
@@ -62,7 +62,7 @@
 			world.Run(world.Now.Add(clock.Milliseconds(50)))
 			standing := 0
 			for _, name := range nodes {
-				if holds[name].Stands(world.Now) {
+				if holds[name].Valid(world.Now) {
 					standing++
 				}
 			}
@@ -72,7 +72,7 @@
 			switch world.Random.Intn(40) {
 			case 0:
 				// An acceptor forgets what it granted; it is silent for one own.
-				grants[nodes[world.Random.Intn(3)]] = lease.NewGrants(world.Now, false)
+				grants[nodes[world.Random.Intn(3)]] = lease.NewGrantor(world.Now, false)
 			case 1:
 				cut := nodes[world.Random.Intn(3)]
 				world.Isolate(cut, nodes, true)
--- a/internal/control/membership/bench_test.go
+++ b/internal/control/membership/bench_test.go
@@ -17,15 +17,15 @@
 		info := entry(fmt.Sprint("n", i), 1)
 		info.Zone = fmt.Sprint("h", i%4)
 		asker = info
-		view.Heard([]messages.NodeInfo{info}, 0)
+		view.Observe([]messages.NodeInfo{info}, 0)
 	}
 	req := &messages.Shuffle{Entries: []messages.NodeInfo{asker}}
-	for _, info := range view.Answer(req, 0).Entries[1:] {
-		req.KnownHashes = append(req.KnownHashes, MarkOf(info))
+	for _, info := range view.RespondToReport(req, 0).Entries[1:] {
+		req.KnownHashes = append(req.KnownHashes, Hash(info))
 	}
 	b.ResetTimer()
 	for count := 0; count < b.N; count++ {
-		view.Heard(req.Entries, 0)
-		view.Answer(req, 0)
+		view.Observe(req.Entries, 0)
+		view.RespondToReport(req, 0)
 	}
 }
--- a/internal/control/membership/bound.go
+++ b/internal/control/membership/bound.go
@@ -9,22 +9,22 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Bound is how many processes of one role a bounded view holds in a fleet that has so
+// ViewSize is how many processes of one role a bounded view holds in a fleet that has so
 // many: twice the logarithm and a constant, with which a random graph holds together.
-func Bound(population int) int {
+func ViewSize(population int) int {
 	return constants.ViewBase + 2*bits.Len(uint(max(population, 1)-1))
 }
 
-// whole tells whether a process keeps all of a role: controllers keep everybody, everybody
+// keepsAll tells whether a process keeps all of a role: controllers keep everybody, everybody
 // keeps the controllers, and stores keep stores, since duties move between them.
-func whole(owner, role string) bool {
+func keepsAll(owner, role string) bool {
 	return owner == RoleController || role == RoleController || (owner == RoleStore && role == RoleStore)
 }
 
-// pick draws the part of a role's processes that an owner keeps: the lightest, two in
+// selectPeers draws the part of a role's processes that an owner keeps: the lightest, two in
 // each other zone at least, and those of its own zone before the rest. Whoever draws
 // from the same list draws the same.
-func pick(owner messages.NodeInfo, entries []messages.NodeInfo, limit int) []messages.NodeInfo {
+func selectPeers(owner messages.NodeInfo, entries []messages.NodeInfo, limit int) []messages.NodeInfo {
 	if len(entries) <= limit {
 		return entries
 	}
@@ -36,7 +36,7 @@
 	}
 	own, order := Key(owner), make([]weighed, len(entries))
 	for i, entry := range entries {
-		order[i] = weighed{weigh(own, Key(entry)), i}
+		order[i] = weighed{rendezvousWeight(own, Key(entry)), i}
 	}
 	sort.Slice(order, func(left, right int) bool { return order[left].weight < order[right].weight })
 	far := map[string]int{}
@@ -66,38 +66,38 @@
 	reference := v.reference(now)
 	if now.Sub(v.trimmed) >= constants.ShufflePeriod {
 		v.trimmed = now
-		for key, known := range v.entries {
-			if reference.Sub(known.heard) > constants.ForgetAfter {
+		for key, known := range v.peers {
+			if reference.Sub(known.lastContact) > constants.ForgetAfter {
 				v.drop(key)
 			}
 		}
 	}
 	for _, role := range []string{RoleGateway, RoleStore} {
-		if whole(v.own.Role, role) {
+		if keepsAll(v.self.Role, role) {
 			continue
 		}
-		limit := Bound(v.Population(role, now))
+		limit := ViewSize(v.Population(role, now))
 		var live, silent []messages.NodeInfo
 		for _, key := range v.keys() {
-			known := v.entries[key]
+			known := v.peers[key]
 			switch {
-			case known.entry.Role != role:
-			case known.entry.Draining || reference.Sub(known.heard) >= constants.SuspectAfter:
-				silent = append(silent, known.entry)
+			case known.info.Role != role:
+			case known.info.Draining || reference.Sub(known.lastContact) >= constants.SuspectAfter:
+				silent = append(silent, known.info)
 			default:
-				live = append(live, known.entry)
+				live = append(live, known.info)
 			}
 		}
 		if len(live)+len(silent) <= limit {
 			continue
 		}
-		kept := map[string]bool{}
-		chosen := pick(v.own, live, limit)
-		for _, entry := range append(chosen, pick(v.own, silent, limit-len(chosen))...) {
-			kept[Key(entry)] = true
+		retained := map[string]bool{}
+		chosen := selectPeers(v.self, live, limit)
+		for _, entry := range append(chosen, selectPeers(v.self, silent, limit-len(chosen))...) {
+			retained[Key(entry)] = true
 		}
 		for _, entry := range append(live, silent...) {
-			if !kept[Key(entry)] {
+			if !retained[Key(entry)] {
 				v.drop(Key(entry))
 			}
 		}
--- a/internal/control/membership/cut_test.go
+++ b/internal/control/membership/cut_test.go
@@ -26,7 +26,7 @@
 			name := fmt.Sprint("n", i)
 			names = append(names, name)
 			views[name] = membership.NewView(entry(name, 1), seed*100+int64(i))
-			views[name].Heard([]messages.NodeInfo{entry("n0", 1)}, 0)
+			views[name].Observe([]messages.NodeInfo{entry("n0", 1)}, 0)
 		}
 		var shuffle func(name string)
 		shuffle = func(name string) {
@@ -37,9 +37,9 @@
 			}
 			offer := views[name].Offer(world.Now)
 			world.Send(name, partner, func() {
-				views[partner].Heard(offer, world.Now)
+				views[partner].Observe(offer, world.Now)
 				resp := views[partner].Offer(world.Now)
-				world.Send(partner, name, func() { views[name].Heard(resp, world.Now) })
+				world.Send(partner, name, func() { views[name].Observe(resp, world.Now) })
 			})
 		}
 		for _, name := range names {
@@ -72,7 +72,7 @@
 		world.Run(world.Now.Add(10 * constants.ShufflePeriod))
 		expect("apart", false)
 		views["n7"] = membership.NewView(entry("n7", 2), seed)
-		views["n7"].Heard([]messages.NodeInfo{entry("n8", 1)}, world.Now)
+		views["n7"].Observe([]messages.NodeInfo{entry("n8", 1)}, world.Now)
 		cut(false)
 		world.Run(world.Now.Add(20 * constants.ShufflePeriod))
 		expect("joined", true)
--- a/internal/control/membership/exchange.go
+++ b/internal/control/membership/exchange.go
@@ -11,26 +11,26 @@
 // ageStep is the unit of the ages in an exchange, in ns.
 const ageStep = 10_000_000
 
-// Question is what the owner says in its periodic exchange with a controller: itself, and
+// Report is what the owner says in its periodic exchange with a controller: itself, and
 // whose ages it wants.
-func (v *View) Question() *messages.Shuffle {
-	req := &messages.Shuffle{Entries: []messages.NodeInfo{v.own}}
+func (v *View) Report() *messages.Shuffle {
+	req := &messages.Shuffle{Entries: []messages.NodeInfo{v.self}}
 	for _, key := range v.keys() {
-		req.KnownHashes = append(req.KnownHashes, v.entries[key].mark)
+		req.KnownHashes = append(req.KnownHashes, v.peers[key].hash)
 	}
 	return req
 }
 
-// BriefQuestion is the owner's short report to a second controller: a sign of life, and
+// BriefReport is the owner's short report to a second controller: a sign of life, and
 // a question for what is new.
-func (v *View) BriefQuestion() *messages.Shuffle {
-	return &messages.Shuffle{Entries: []messages.NodeInfo{v.own}, Brief: true}
+func (v *View) BriefReport() *messages.Shuffle {
+	return &messages.Shuffle{Entries: []messages.NodeInfo{v.self}, Brief: true}
 }
 
-// Answer is a controller's: itself, the ages asked for, whom the asker should know and
+// RespondToReport is a controller's: itself, the ages asked for, whom the asker should know and
 // does not, and how many there are of each role.
-func (v *View) Answer(req *messages.Shuffle, now clock.Instant) *messages.Shuffle {
-	resp := &messages.Shuffle{Entries: []messages.NodeInfo{v.own}}
+func (v *View) RespondToReport(req *messages.Shuffle, now clock.Instant) *messages.Shuffle {
+	resp := &messages.Shuffle{Entries: []messages.NodeInfo{v.self}}
 	if req.Brief {
 		return resp
 	}
@@ -42,32 +42,32 @@
 	if len(req.Entries) == 0 {
 		return resp
 	}
-	draw := v.draw(req.Entries[0], now)
+	draw := v.recommend(req.Entries[0], now)
 	resp.Counts = draw.counts
 	for _, key := range draw.keys {
-		known := v.entries[key]
-		if known != nil && !has[known.mark] && len(resp.Entries) <= constants.ShuffleSize && now.Sub(known.heard) < constants.SuspectAfter {
-			resp.Entries = append(resp.Entries, v.aged(known, now))
+		known := v.peers[key]
+		if known != nil && !has[known.hash] && len(resp.Entries) <= constants.ShuffleSize && now.Sub(known.lastContact) < constants.SuspectAfter {
+			resp.Entries = append(resp.Entries, v.withAge(known, now))
 		}
 	}
 	return resp
 }
 
-// draw is whom a process should know, and how many there are.
-type draw struct {
-	clockValue uint64
-	at         clock.Instant
-	keys       []string
-	counts     []messages.RoleCount
+// recommendation is whom a process should know, and how many there are.
+type recommendation struct {
+	version uint64
+	at      clock.Instant
+	keys    []string
+	counts  []messages.RoleCount
 }
 
-// draw gives whom an asker should know. Reckoning that goes over the whole directory,
+// recommend gives whom an asker should know. Reckoning that goes over the whole directory,
 // so it is done anew only after a change or a while.
-func (v *View) draw(asker messages.NodeInfo, now clock.Instant) draw {
-	if d, done := v.drawn[Key(asker)]; done && d.clockValue == v.clockValue && now.Sub(d.at) < constants.ViewReuseTime {
+func (v *View) recommend(asker messages.NodeInfo, now clock.Instant) recommendation {
+	if d, done := v.recommended[Key(asker)]; done && d.version == v.version && now.Sub(d.at) < constants.ViewReuseTime {
 		return d
 	}
-	d := draw{clockValue: v.clockValue, at: now}
+	d := recommendation{version: v.version, at: now}
 	for _, role := range []string{RoleController, RoleStore, RoleGateway} {
 		d.counts = append(d.counts, messages.RoleCount{Role: role, Count: v.Population(role, now)})
 		var others []messages.NodeInfo
@@ -76,67 +76,67 @@
 				others = append(others, entry)
 			}
 		}
-		if !whole(asker.Role, role) {
-			others = pick(asker, others, Bound(v.Population(role, now)))
+		if !keepsAll(asker.Role, role) {
+			others = selectPeers(asker, others, ViewSize(v.Population(role, now)))
 		}
 		for _, entry := range others {
 			d.keys = append(d.keys, Key(entry))
 		}
 	}
-	v.drawn[Key(asker)] = d
+	v.recommended[Key(asker)] = d
 	return d
 }
 
 // age gives what is told of a process: one that is as fresh as reports come is told as
 // just heard, so that only silence shows.
 func (v *View) age(hash uint32, now clock.Instant) uint16 {
-	key, found := v.marks[hash]
+	key, found := v.keyByHash[hash]
 	if !found {
-		if hash == MarkOf(v.own) {
+		if hash == Hash(v.self) {
 			return 0
 		}
 		return messages.AgeUnknown
 	}
-	age := now.Sub(v.entries[key].heard)
+	age := now.Sub(v.peers[key].lastContact)
 	if age < constants.FreshReportAge {
 		return 0
 	}
 	return uint16(min(int64(age)/ageStep, messages.AgeUnknown))
 }
 
-// Answered takes a controller's answer to a question.
-func (v *View) Answered(req, resp *messages.Shuffle, now clock.Instant) {
+// HandleReportResponse takes a controller's answer to a question.
+func (v *View) HandleReportResponse(req, resp *messages.Shuffle, now clock.Instant) {
 	for i, hash := range req.KnownHashes {
 		if i >= len(resp.Ages) || resp.Ages[i] == messages.AgeUnknown {
 			continue
 		}
-		if known := v.entries[v.marks[hash]]; known != nil {
-			known.heard = max(known.heard, now-clock.Instant(resp.Ages[i])*ageStep)
+		if known := v.peers[v.keyByHash[hash]]; known != nil {
+			known.lastContact = max(known.lastContact, now-clock.Instant(resp.Ages[i])*ageStep)
 		}
 	}
 	for _, count := range resp.Counts {
 		v.counts[count.Role] = count.Count
 	}
-	v.Heard(resp.Entries, now)
+	v.Observe(resp.Entries, now)
 }
 
 // Controllers gives the controllers in the order in which the owner reports to them: those of
 // its zone first, those that have just failed or are silent last.
 func (v *View) Controllers(now clock.Instant) []messages.NodeInfo {
 	entries := v.All(RoleController, now)
-	own := Key(v.own)
+	own := Key(v.self)
 	rank := func(entry messages.NodeInfo) int {
 		switch {
 		case !v.usable(entry, now):
 			return 2
-		case entry.Zone != v.own.Zone:
+		case entry.Zone != v.self.Zone:
 			return 1
 		}
 		return 0
 	}
 	sort.SliceStable(entries, func(left, right int) bool {
 		found, other := rank(entries[left]), rank(entries[right])
-		return found < other || (found == other && weigh(own, Key(entries[left])) < weigh(own, Key(entries[right])))
+		return found < other || (found == other && rendezvousWeight(own, Key(entries[left])) < rendezvousWeight(own, Key(entries[right])))
 	})
 	return entries
 }
@@ -144,7 +144,7 @@
 // usable tells whether a controller is worth asking: it was heard lately and did not
 // just fail to answer, or answer that it is detached.
 func (v *View) usable(entry messages.NodeInfo, now clock.Instant) bool {
-	failed, shunned := v.shunned[entry.Address]
+	failed, shunned := v.failedAt[entry.Address]
 	if shunned && now.Sub(failed) < constants.SuspectAfter {
 		return false
 	}
@@ -161,7 +161,7 @@
 		case entry.Address == first:
 		case !v.usable(entry, now):
 			ranked[2] = append(ranked[2], entry)
-		case entry.Zone != v.own.Zone:
+		case entry.Zone != v.self.Zone:
 			ranked[0] = append(ranked[0], entry)
 		default:
 			ranked[1] = append(ranked[1], entry)
--- a/internal/control/membership/exchange_test.go
+++ b/internal/control/membership/exchange_test.go
@@ -27,7 +27,7 @@
 	own.Zone = "a"
 	view := NewView(own, 1)
 	for _, info := range []messages.NodeInfo{controllerEntry("p", "a"), controllerEntry("q", "a"), controllerEntry("r", "b")} {
-		view.Heard([]messages.NodeInfo{info}, 0)
+		view.Observe([]messages.NodeInfo{info}, 0)
 	}
 	first := order(view, 0)
 	if first[2] != 'r' {
@@ -39,11 +39,11 @@
 		t.Fatal(got)
 	}
 	later := clock.Instant(0).Add(constants.SuspectAfter)
-	view.Touched("foreman/r", later)
+	view.MarkContacted("foreman/r", later)
 	if got := order(view, later); got[0] != 'r' {
 		t.Fatal("silent ones come first: ", got)
 	}
-	view.Touched("foreman/"+string(first[0]), later)
+	view.MarkContacted("foreman/"+string(first[0]), later)
 	if got := order(view, later); got[0] != first[0] {
 		t.Fatal("it answers again: ", got)
 	}
@@ -56,14 +56,14 @@
 	for i := 0; i < 120; i++ {
 		info := entry(fmt.Sprint("n", i), 1)
 		info.Zone = []string{"a", "b", "c", "d"}[i%4]
-		controller.Heard([]messages.NodeInfo{info}, 0)
+		controller.Observe([]messages.NodeInfo{info}, 0)
 	}
 	own := entry("n0", 1)
 	own.Zone = "a"
 	view, now := NewView(own, 1), clock.Instant(0)
 	talk := func() {
-		req := view.Question()
-		view.Answered(req, controller.Answer(req, now), now)
+		req := view.Report()
+		view.HandleReportResponse(req, controller.RespondToReport(req, now), now)
 	}
 	for round := 0; round < 4; round++ {
 		talk()
@@ -72,7 +72,7 @@
 	for _, entry := range view.Live(RoleGateway, now) {
 		zones[entry.Zone]++
 	}
-	if got := len(view.All(RoleGateway, now)); got != Bound(120) || view.Population(RoleGateway, now) != 120 || zones["a"] < Bound(120)-3*(constants.FarLinks+1) {
+	if got := len(view.All(RoleGateway, now)); got != ViewSize(120) || view.Population(RoleGateway, now) != 120 || zones["a"] < ViewSize(120)-3*(constants.FarLinks+1) {
 		t.Fatal(got, view.Population(RoleGateway, now), zones)
 	}
 	for zone, count := range zones {
@@ -86,7 +86,7 @@
 		now = now.Add(constants.ShufflePeriod)
 		for i := 0; i < 120; i++ {
 			if name := fmt.Sprint("n", i); name != silent {
-				controller.Touched("forge/"+name, now)
+				controller.MarkContacted("forge/"+name, now)
 			}
 		}
 		talk()
--- a/internal/control/membership/membership.go
+++ b/internal/control/membership/membership.go
@@ -20,58 +20,58 @@
 	RoleStore      = "locker"
 )
 
-type seen struct {
-	entry messages.NodeInfo
-	// heard is the last sign of life of any kind, direct the last one to this process itself.
-	heard, direct clock.Instant
-	change        uint64
-	mark          uint32
+type peer struct {
+	info messages.NodeInfo
+	// lastContact is the last sign of life of any kind, direct the last one to this process itself.
+	lastContact, lastDirect clock.Instant
+	change                  uint64
+	hash                    uint32
 }
 
 // View is what a process knows of others: a controller keeps all, the rest a bounded
 // part (see trim).
 type View struct {
-	own     messages.NodeInfo
-	entries map[string]*seen
-	marks   map[uint32]string
+	self      messages.NodeInfo
+	peers     map[string]*peer
+	keyByHash map[uint32]string
 	// sorted holds the keys in order, nil after one came or went.
 	sorted []string
 	random *rand.Rand
-	// clockValue counts the changes, sum stands for the entries.
-	clockValue, sum uint64
-	// listened is when a controller was last heard, heads how many processes it told of.
-	listened clock.Instant
-	trimmed  clock.Instant
-	counts   map[string]int
-	shunned  map[string]clock.Instant
-	// drawn remembers for a while whom each asker should know (controllers only).
-	drawn map[string]draw
+	// version counts the changes, sum stands for the entries.
+	version, sum uint64
+	// lastController is when a controller was last heard, heads how many processes it told of.
+	lastController clock.Instant
+	trimmed        clock.Instant
+	counts         map[string]int
+	failedAt       map[string]clock.Instant
+	// recommended remembers for a while whom each asker should know (controllers only).
+	recommended map[string]recommendation
 }
 
 // NewView makes a view that holds its owner alone.
 func NewView(own messages.NodeInfo, seed int64) *View {
-	return &View{own: own, entries: map[string]*seen{}, marks: map[uint32]string{}, random: rand.New(rand.NewSource(seed)),
-		counts: map[string]int{}, shunned: map[string]clock.Instant{}, drawn: map[string]draw{}}
+	return &View{self: own, peers: map[string]*peer{}, keyByHash: map[uint32]string{}, random: rand.New(rand.NewSource(seed)),
+		counts: map[string]int{}, failedAt: map[string]clock.Instant{}, recommended: map[string]recommendation{}}
 }
 
 // Key names a process: a machine runs one of each role at most.
 func Key(entry messages.NodeInfo) string { return entry.Role + "/" + entry.Name }
 
-// Own gives the owner's entry.
-func (v *View) Own() messages.NodeInfo { return v.own }
+// Self gives the owner's entry.
+func (v *View) Self() messages.NodeInfo { return v.self }
 
-// SetLeaving marks the owner as going away.
-func (v *View) SetLeaving() { v.own.Draining = true }
+// SetDraining marks the owner as going away.
+func (v *View) SetDraining() { v.self.Draining = true }
 
 // SetGeneration notes which configuration the owner follows.
-func (v *View) SetGeneration(generation int64) { v.own.Generation = generation }
+func (v *View) SetGeneration(generation int64) { v.self.Generation = generation }
 
-// Heard notes entries from a shuffle. The first of them is the sender itself.
-func (v *View) Heard(entries []messages.NodeInfo, now clock.Instant) {
+// Observe notes entries from a shuffle. The first of them is the sender itself.
+func (v *View) Observe(entries []messages.NodeInfo, now clock.Instant) {
 	for i, entry := range entries {
 		v.merge(entry, now)
 		if i == 0 {
-			v.touch(Key(entry), now)
+			v.markContacted(Key(entry), now)
 		}
 	}
 	v.trim(now)
@@ -80,69 +80,69 @@
 func (v *View) merge(entry messages.NodeInfo, now clock.Instant) {
 	key := Key(entry)
 	age := clock.Duration(entry.AgeMs) * 1_000_000
-	if key == Key(v.own) || entry.Address == "" || age > constants.ForgetAfter {
+	if key == Key(v.self) || entry.Address == "" || age > constants.ForgetAfter {
 		return
 	}
-	heard := now - clock.Instant(age)
-	known := v.entries[key]
+	lastContact := now - clock.Instant(age)
+	known := v.peers[key]
 	switch {
 	case known == nil:
-		known = &seen{heard: heard}
-		v.entries[key], v.sorted = known, nil
+		known = &peer{lastContact: lastContact}
+		v.peers[key], v.sorted = known, nil
 		v.put(known, entry)
-	case entry.Incarnation > known.entry.Incarnation:
-		known.heard, known.direct = heard, 0
+	case entry.Incarnation > known.info.Incarnation:
+		known.lastContact, known.lastDirect = lastContact, 0
 		v.put(known, entry)
-	case entry.Incarnation == known.entry.Incarnation:
+	case entry.Incarnation == known.info.Incarnation:
 		// A life never stops leaving and never takes back a configuration.
-		entry.Draining = entry.Draining || known.entry.Draining
-		entry.Generation = max(entry.Generation, known.entry.Generation)
-		known.heard = max(known.heard, heard)
-		if entry.Draining != known.entry.Draining {
+		entry.Draining = entry.Draining || known.info.Draining
+		entry.Generation = max(entry.Generation, known.info.Generation)
+		known.lastContact = max(known.lastContact, lastContact)
+		if entry.Draining != known.info.Draining {
 			v.put(known, entry)
 		} else {
-			known.entry = entry
+			known.info = entry
 		}
 	}
 }
 
-// Touched notes a direct message from a process.
-func (v *View) Touched(key string, now clock.Instant) { v.touch(key, now) }
+// MarkContacted notes a direct message from a process.
+func (v *View) MarkContacted(key string, now clock.Instant) { v.markContacted(key, now) }
 
-func (v *View) touch(key string, now clock.Instant) {
-	if known := v.entries[key]; known != nil {
-		known.heard, known.direct = max(known.heard, now), max(known.direct, now)
-		delete(v.shunned, known.entry.Address)
-		if known.entry.Role == RoleController {
-			v.listened = max(v.listened, now)
+func (v *View) markContacted(key string, now clock.Instant) {
+	if known := v.peers[key]; known != nil {
+		known.lastContact, known.lastDirect = max(known.lastContact, now), max(known.lastDirect, now)
+		delete(v.failedAt, known.info.Address)
+		if known.info.Role == RoleController {
+			v.lastController = max(v.lastController, now)
 		}
 	}
 }
 
 // Failed notes that a process did not answer: others are asked first for a while.
-func (v *View) Failed(address string, now clock.Instant) { v.shunned[address] = now }
+func (v *View) Failed(address string, now clock.Instant) { v.failedAt[address] = now }
 
 // Offer gives what a shuffle carries: the owner, then a random part of the view.
 func (v *View) Offer(now clock.Instant) []messages.NodeInfo {
-	offer := []messages.NodeInfo{v.own}
+	offer := []messages.NodeInfo{v.self}
 	keys := append([]string(nil), v.keys()...)
 	v.random.Shuffle(len(keys), func(left, right int) { keys[left], keys[right] = keys[right], keys[left] })
 	for _, key := range keys[:min(len(keys), constants.ShuffleSize)] {
-		offer = append(offer, v.aged(v.entries[key], now))
+		offer = append(offer, v.withAge(v.peers[key], now))
 	}
 	return offer
 }
 
-func (v *View) aged(known *seen, now clock.Instant) messages.NodeInfo {
-	entry := known.entry
-	entry.AgeMs = max(0, now.Sub(known.heard).Milliseconds())
+func (v *View) withAge(known *peer, now clock.Instant) messages.NodeInfo {
+	entry := known.info
+	entry.AgeMs = max(0, now.Sub(known.lastContact).Milliseconds())
 	return entry
 }
 
 func (v *View) keys() []string {
 	if v.sorted == nil {
-		v.sorted = make([]string, 0, len(v.entries))
-		for key := range v.entries {
+		v.sorted = make([]string, 0, len(v.peers))
+		for key := range v.peers {
 			v.sorted = append(v.sorted, key)
 		}
 		sort.Strings(v.sorted)
@@ -156,7 +156,7 @@
 	var live, near []string
 	for _, entry := range v.Live("", now) {
 		live = append(live, entry.Address)
-		if entry.Zone == v.own.Zone {
+		if entry.Zone == v.self.Zone {
 			near = append(near, entry.Address)
 		}
 	}
@@ -174,8 +174,8 @@
 func (v *View) All(role string, now clock.Instant) []messages.NodeInfo {
 	var found []messages.NodeInfo
 	for _, key := range v.keys() {
-		if known := v.entries[key]; role == "" || known.entry.Role == role {
-			found = append(found, v.aged(known, now))
+		if known := v.peers[key]; role == "" || known.info.Role == role {
+			found = append(found, v.withAge(known, now))
 		}
 	}
 	return found
@@ -184,8 +184,8 @@
 // reference is the moment from which silence counts. Most of what a process hears of
 // others comes through controllers; while it hears none, it goes on with what it had.
 func (v *View) reference(now clock.Instant) clock.Instant {
-	if v.listened > 0 && v.own.Role != RoleController && now.Sub(v.listened) > constants.SuspectAfter {
-		return v.listened
+	if v.lastController > 0 && v.self.Role != RoleController && now.Sub(v.lastController) > constants.SuspectAfter {
+		return v.lastController
 	}
 	return now
 }
@@ -195,9 +195,9 @@
 	var found []messages.NodeInfo
 	reference := v.reference(now)
 	for _, key := range v.keys() {
-		known := v.entries[key]
-		if (role == "" || known.entry.Role == role) && reference.Sub(known.heard) < constants.SuspectAfter {
-			found = append(found, v.aged(known, now))
+		known := v.peers[key]
+		if (role == "" || known.info.Role == role) && reference.Sub(known.lastContact) < constants.SuspectAfter {
+			found = append(found, v.withAge(known, now))
 		}
 	}
 	return found
--- a/internal/control/membership/membership_test.go
+++ b/internal/control/membership/membership_test.go
@@ -25,7 +25,7 @@
 	}
 	now := clock.Instant(0)
 	for _, name := range names[1:] {
-		views[names[0]].Heard(views[name].Offer(now), now)
+		views[names[0]].Observe(views[name].Offer(now), now)
 	}
 	for round := 0; round < 8; round++ {
 		now = now.Add(constants.ShufflePeriod)
@@ -35,8 +35,8 @@
 				partner = names[0]
 			}
 			offer := views[partner].Offer(now)
-			views[partner].Heard(views[name].Offer(now), now)
-			views[name].Heard(offer, now)
+			views[partner].Observe(views[name].Offer(now), now)
+			views[name].Observe(offer, now)
 		}
 	}
 	for _, name := range names {
@@ -48,9 +48,9 @@
 
 func TestNewLifeReplacesOldAndOldNeverComesBack(t *testing.T) {
 	view := NewView(entry("own", 1), 1)
-	view.Heard([]messages.NodeInfo{entry("a", 1)}, 10)
-	view.Heard([]messages.NodeInfo{entry("a", 2)}, 20)
-	view.Heard([]messages.NodeInfo{entry("a", 1)}, 30)
+	view.Observe([]messages.NodeInfo{entry("a", 1)}, 10)
+	view.Observe([]messages.NodeInfo{entry("a", 2)}, 20)
+	view.Observe([]messages.NodeInfo{entry("a", 1)}, 30)
 	if got := view.All("", 30); len(got) != 1 || got[0].Incarnation != 2 {
 		t.Fatal(got)
 	}
@@ -58,12 +58,12 @@
 
 func TestSilenceIsOnlyAHint(t *testing.T) {
 	view := NewView(entry("own", 1), 1)
-	view.Heard([]messages.NodeInfo{entry("a", 1)}, 0)
+	view.Observe([]messages.NodeInfo{entry("a", 1)}, 0)
 	later := clock.Instant(0).Add(constants.SuspectAfter)
 	if len(view.Live("", later)) != 0 || len(view.All("", later)) != 1 {
 		t.Fatal("a silent process is not live but still known")
 	}
-	view.Touched("forge/a", later)
+	view.MarkContacted("forge/a", later)
 	if len(view.Live("", later)) != 1 {
 		t.Fatal("a direct message makes it live again")
 	}
@@ -72,11 +72,11 @@
 func TestViewIsBounded(t *testing.T) {
 	const count = 300
 	view := NewView(entry("own", 1), 1)
-	view.Answered(&messages.Shuffle{}, &messages.Shuffle{Counts: []messages.RoleCount{{Role: RoleGateway, Count: count}}}, 0)
+	view.HandleReportResponse(&messages.Shuffle{}, &messages.Shuffle{Counts: []messages.RoleCount{{Role: RoleGateway, Count: count}}}, 0)
 	for i := 0; i < count; i++ {
-		view.Heard([]messages.NodeInfo{entry(fmt.Sprint("n", i), 1)}, clock.Instant(i))
+		view.Observe([]messages.NodeInfo{entry(fmt.Sprint("n", i), 1)}, clock.Instant(i))
 	}
-	if got := len(view.All("", 0)); got != Bound(count) || got > 40 {
+	if got := len(view.All("", 0)); got != ViewSize(count) || got > 40 {
 		t.Fatalf("%d entries", got)
 	}
 	// Who matters is never dropped by the bound: controllers, and stores at a store.
@@ -85,9 +85,9 @@
 		for i := 0; i < count; i++ {
 			info := entry(fmt.Sprint("n", i), 1)
 			info.Role = RoleStore
-			keeper.Heard([]messages.NodeInfo{info}, clock.Instant(i))
+			keeper.Observe([]messages.NodeInfo{info}, clock.Instant(i))
 			info.Role = RoleController
-			keeper.Heard([]messages.NodeInfo{info}, clock.Instant(i))
+			keeper.Observe([]messages.NodeInfo{info}, clock.Instant(i))
 		}
 		if len(keeper.All(RoleStore, 0)) != count || len(keeper.All(RoleController, 0)) != count {
 			t.Fatalf("a %s lost some", role)
--- a/internal/control/membership/neighbours.go
+++ b/internal/control/membership/neighbours.go
@@ -9,10 +9,10 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// weigh is the rendezvous hash of two processes. Whoever keeps the lightest of all
+// rendezvousWeight is the rendezvous hash of two processes. Whoever keeps the lightest of all
 // that it hears of keeps a random and yet steady sample (a min-wise sample): how
 // often somebody is named does not count.
-func weigh(own, other string) uint64 {
+func rendezvousWeight(own, other string) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(own))
 	_, _ = sum.Write([]byte{0})
@@ -34,7 +34,7 @@
 		if entry.Draining {
 			continue
 		}
-		if entry.Zone == v.own.Zone {
+		if entry.Zone == v.self.Zone {
 			near = append(near, entry)
 		} else {
 			far = append(far, entry)
@@ -54,25 +54,25 @@
 }
 
 func (v *View) sort(entries []messages.NodeInfo) {
-	own := Key(v.own)
+	own := Key(v.self)
 	sort.Slice(entries, func(left, right int) bool {
-		return weigh(own, Key(entries[left])) < weigh(own, Key(entries[right]))
+		return rendezvousWeight(own, Key(entries[left])) < rendezvousWeight(own, Key(entries[right]))
 	})
 }
 
 // Population is how many live processes of a role there are, the owner included: as a
 // controller last told, or as many as are in view.
 func (v *View) Population(role string, now clock.Instant) int {
-	if told := v.counts[role]; told > 0 && v.own.Role != RoleController {
+	if told := v.counts[role]; told > 0 && v.self.Role != RoleController {
 		return told
 	}
 	count, reference := 0, v.reference(now)
-	for _, known := range v.entries {
-		if known.entry.Role == role && reference.Sub(known.heard) < constants.SuspectAfter {
+	for _, known := range v.peers {
+		if known.info.Role == role && reference.Sub(known.lastContact) < constants.SuspectAfter {
 			count++
 		}
 	}
-	if v.own.Role == role {
+	if v.self.Role == role {
 		count++
 	}
 	return count
--- a/internal/control/membership/neighbours_test.go
+++ b/internal/control/membership/neighbours_test.go
@@ -14,7 +14,7 @@
 	for i := 0; i < 12; i++ {
 		info := entry(fmt.Sprint("n", i), 1)
 		info.Zone = []string{"a", "b"}[i%2]
-		view.Heard([]messages.NodeInfo{info}, 0)
+		view.Observe([]messages.NodeInfo{info}, 0)
 	}
 	first := view.Neighbours(RoleGateway, 4, 0)
 	far := 0
@@ -30,9 +30,9 @@
 		t.Fatal("not the same ones")
 	}
 	// One that leaves is replaced; the others stay.
-	gone := first[0]
-	gone.Draining = true
-	view.Heard([]messages.NodeInfo{gone}, 1)
+	departed := first[0]
+	departed.Draining = true
+	view.Observe([]messages.NodeInfo{departed}, 1)
 	next := view.Neighbours(RoleGateway, 4, 1)
 	if len(next) != 4 || next[0].Name != first[1].Name || next[1].Name != first[2].Name {
 		t.Fatal(next)
--- a/internal/control/quorum/archive.go
+++ b/internal/control/quorum/archive.go
@@ -29,8 +29,8 @@
 	stale bool
 	// pulling is held by the one that asks others for chunks; retry is when the
 	// next may do so.
-	pulling sync.Mutex
-	retry   clock.Instant
+	pulling  sync.Mutex
+	nextPull clock.Instant
 }
 
 func openArchive(disk recordlog.Disk, name string) (*archive, error) {
@@ -99,15 +99,15 @@
 	return ErrDisk.Wrap(err, "write archive")
 }
 
-// answer answers another process.
-func (a *archive) answer(req *messages.ArchiveRequest) *messages.ArchiveResponse {
+// lookup answers another process.
+func (a *archive) lookup(req *messages.ArchiveRequest) *messages.ArchiveResponse {
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	return a.core.Answer(req)
+	return a.core.Lookup(req)
 }
 
-// follows tells whether the archive is whole once the value is accepted.
-func (a *archive) follows(value *messages.RegisterValue) bool {
+// completeFor tells whether the archive is whole once the value is accepted.
+func (a *archive) completeFor(value *messages.RegisterValue) bool {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	copied := a.core
@@ -115,10 +115,10 @@
 	return complete
 }
 
-func (a *archive) held() uint64 {
+func (a *archive) lastChunk() uint64 {
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	return a.core.Held()
+	return a.core.LastChunk()
 }
 
 // fill takes chunks that another acceptor gave, and syncs them.
@@ -134,53 +134,53 @@
 // fillArchive gets the chunks that this acceptor lacks for a value which it is asked
 // to accept. The vote does not depend on it: without them it answers for no old
 // version, and asks again later.
-func (r *Register) fillArchive(req *messages.AcceptRequest) {
+func (r *Replica) fillArchive(req *messages.AcceptRequest) {
 	record := r.Record()
-	if req.Disk != record.Disk || register.Less(req.Ballot, record.Promised) || r.archive.follows(&req.Value) {
+	if req.Disk != record.Disk || register.Less(req.Ballot, record.Promised) || r.archive.completeFor(&req.Value) {
 		return
 	}
 	r.archive.pulling.Lock()
 	defer r.archive.pulling.Unlock()
-	if clock.Now() < r.archive.retry || r.archive.follows(&req.Value) {
+	if clock.Now() < r.archive.nextPull || r.archive.completeFor(&req.Value) {
 		return
 	}
 	for _, member := range register.Targets(&req.Value) {
-		if member.Address != r.Runtime.Self.Address && r.pull(member, &req.Value) {
+		if member.Address != r.Node.Self.Address && r.pullArchive(member, &req.Value) {
 			return
 		}
 	}
-	r.archive.retry = clock.Now().Add(constants.ArchiveRetryBackoff)
+	r.archive.nextPull = clock.Now().Add(constants.ArchiveRetryBackoff)
 }
 
-// pull asks one acceptor for what is lacking, first after what is held and then for
+// pullArchive asks one acceptor for what is lacking, first after what is held and then for
 // all: what is held may belong to a value that was never chosen.
-func (r *Register) pull(member messages.Member, value *messages.RegisterValue) bool {
-	for _, held := range []uint64{r.archive.held(), 0} {
+func (r *Replica) pullArchive(member messages.Member, value *messages.RegisterValue) bool {
+	for _, found := range []uint64{r.archive.lastChunk(), 0} {
 		for {
-			resp := r.askArchive(member, &messages.ArchiveRequest{Head: value.Archive, Pull: true, LastChunk: held})
+			resp := r.requestArchive(member, &messages.ArchiveRequest{Head: value.Archive, Pull: true, LastChunk: found})
 			if resp == nil {
 				return false
 			}
 			if !r.archive.fill(value.Archive, resp.Chunks) {
 				break
 			}
-			if r.archive.follows(value) {
+			if r.archive.completeFor(value) {
 				return true
 			}
-			if held == r.archive.held() {
+			if found == r.archive.lastChunk() {
 				break
 			}
-			held = r.archive.held()
+			found = r.archive.lastChunk()
 		}
 	}
 	return false
 }
 
-// askArchive puts a question to one acceptor; nil where no answer comes.
-func (r *Register) askArchive(member messages.Member, req *messages.ArchiveRequest) *messages.ArchiveResponse {
+// requestArchive puts a question to one acceptor; nil where no answer comes.
+func (r *Replica) requestArchive(member messages.Member, req *messages.ArchiveRequest) *messages.ArchiveResponse {
 	resp := &messages.PrepareResponse{}
-	kind, message := r.prepare(&messages.PrepareRequest{Disk: member.Disk, Query: true, WithoutBody: true, Archive: req})
-	if transport.Call(r.Runtime.Transport, member.Address, kind, message, resp, constants.ArchivePullTimeout) != nil {
+	kind, message := r.prepareMessage(&messages.PrepareRequest{Disk: member.Disk, Query: true, WithoutBody: true, Archive: req})
+	if transport.Call(r.Node.Transport, member.Address, kind, message, resp, constants.ArchivePullTimeout) != nil {
 		return nil
 	}
 	return resp.Archive
--- a/internal/control/quorum/catchup_test.go
+++ b/internal/control/quorum/catchup_test.go
@@ -19,7 +19,7 @@
 
 // member is one process with a register on a disk in memory.
 type member struct {
-	replica *quorum.Register
+	replica *quorum.Replica
 	disk    *recordlog.MemoryDisk
 	wire    *transport.Memory
 }
@@ -55,7 +55,7 @@
 	runtime := node.New(&settings.Settings{NodeName: name, Address: name, InternalPorts: []int{7000, 7010}}, "controller", 0, "first", hclog.NewNullLogger())
 	runtime.Self.Address = name + ":7000"
 	started.wire = c.room.Transport(runtime.Self.Address)
-	runtime.Transport, replica.Runtime, started.replica = started.wire, runtime, replica
+	runtime.Transport, replica.Node, started.replica = started.wire, runtime, replica
 	handler := func(kind messages.Kind, body []byte) ([]byte, error) {
 		if kind == messages.KindPrepare {
 			req := &messages.PrepareRequest{}
@@ -108,7 +108,7 @@
 func (c *cluster) change(name string) {
 	base := int64(len(c.taken))
 	version := messages.Version{Generation: base + 1, Base: base, Hash: fmt.Sprintf("%064d", base)}
-	if result, err := c.replace(name, version, make([]byte, 1000)); err != nil || !result.Stands() {
+	if result, err := c.replace(name, version, make([]byte, 1000)); err != nil || !result.InForce() {
 		c.test.Fatalf("change %d: %d %v", base, result, err)
 	}
 	c.taken = append(c.taken, version)
@@ -161,7 +161,7 @@
 	used := cluster.heard("c") - before
 	head := restarted.replica.Record().Value.Archive
 	for _, version := range cluster.taken[:len(cluster.taken)-64] {
-		req := &messages.ArchiveRequest{Head: head, Generation: version.Generation, Fingerprint: register.Print(version)}
+		req := &messages.ArchiveRequest{Head: head, Generation: version.Generation, Fingerprint: register.Fingerprint(version)}
 		resp, err := restarted.replica.Prepare(&messages.PrepareRequest{Disk: "first", Query: true, WithoutBody: true, Archive: req})
 		if err != nil || resp.Archive.Status != messages.VersionCommitted {
 			t.Fatalf("the archive of the restarted member says %d of %v: %v", resp.Archive.Status, version, err)
@@ -193,7 +193,7 @@
 			if err != nil {
 				c.test.Errorf("%s has no clear result: %v", version.Hash, err)
 			}
-			if err == nil && result.Stands() {
+			if err == nil && result.InForce() {
 				lock.Lock()
 				won = append(won, version)
 				lock.Unlock()
--- a/internal/control/quorum/crash_test.go
+++ b/internal/control/quorum/crash_test.go
@@ -25,7 +25,7 @@
 type lone struct {
 	test    *testing.T
 	disk    *simulation.Disk
-	replica *quorum.Register
+	replica *quorum.Replica
 	counter uint64
 	life    int64
 }
@@ -36,7 +36,7 @@
 	if err != nil {
 		l.test.Fatalf("the disk can't be read: %v", err)
 	}
-	replica.Runtime = &node.Node{Self: messages.NodeInfo{Name: only.Name, Address: only.Address}}
+	replica.Node = &node.Node{Self: messages.NodeInfo{Name: only.Name, Address: only.Address}}
 	l.replica = replica
 	l.life++
 }
@@ -44,17 +44,17 @@
 // change takes a change through both rounds; an error of the disk ends it.
 func (l *lone) change(change register.Change) (messages.RegisterValue, error) {
 	l.counter++
-	proposal, sends := register.Begin(register.NewBallot(l.counter, "a", only.Disk, l.life), l.replica.Known(), change)
+	proposal, sends := register.NewProposal(register.NewBallot(l.counter, "a", only.Disk, l.life), l.replica.Known(), change)
 	promise, err := l.replica.Prepare(sends[0].Prepare)
 	if err != nil {
 		return messages.RegisterValue{}, err
 	}
-	for _, send := range proposal.Promised(only, promise) {
+	for _, send := range proposal.HandlePrepareResponse(only, promise) {
 		accepted, err := l.replica.Accept(send.Accept)
 		if err != nil {
 			return messages.RegisterValue{}, err
 		}
-		proposal.Taken(only, accepted)
+		proposal.HandleAcceptResponse(only, accepted)
 	}
 	if proposal.Stage() != register.StageDone {
 		l.counter = max(l.counter, proposal.Highest().Counter)
@@ -94,7 +94,7 @@
 			body := make([]byte, bodyBytes)
 			var result register.Result
 			_, err := l.change(register.Replace(version, body, &result))
-			if err == nil && result == register.ResultTaken {
+			if err == nil && result == register.ResultApplied {
 				taken = append(taken, version)
 				newest = version
 			}
@@ -111,14 +111,14 @@
 				}
 			}
 			l.disk.Intercept = nil
-			value, err := l.change(register.Look)
+			value, err := l.change(register.ReadOnly)
 			if err != nil {
 				t.Fatalf("seed %d: the disk works again and yet: %v", seed, err)
 			}
 			newest = value.Current
 		}
 		for _, version := range taken {
-			if _, result, err := l.replica.Replace(version, nil); err != nil || result != register.ResultAlready {
+			if _, result, err := l.replica.Replace(version, nil); err != nil || result != register.ResultAlreadyApplied {
 				t.Fatalf("seed %d: %v was taken, sent again: %d %v", seed, version, result, err)
 			}
 		}
--- a/internal/control/quorum/golden_test.go
+++ b/internal/control/quorum/golden_test.go
@@ -23,7 +23,7 @@
 )
 
 // writeGolden has an acceptor take goldenVersions versions one after the other.
-func writeGolden(t *testing.T, dir string) *Register {
+func writeGolden(t *testing.T, dir string) *Replica {
 	t.Helper()
 	replica, err := Open(recordlog.Directory(dir), goldenFirst, "first")
 	if err != nil {
@@ -125,8 +125,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if archive.held() != goldenChunks {
-				t.Fatalf("%d chunks held", archive.held())
+			if archive.lastChunk() != goldenChunks {
+				t.Fatalf("%d chunks held", archive.lastChunk())
 			}
 			chunks := archive.core.Chunks()
 			if golden == "register-taken-rewritten" {
@@ -151,7 +151,7 @@
 	}
 	dir := t.TempDir()
 	copyGolden(t, "register-taken-appended", dir, "register-taken", 3)
-	if archive, err := openArchive(recordlog.Directory(dir), "register-taken"); err != nil || archive.held() != goldenChunks-1 {
+	if archive, err := openArchive(recordlog.Directory(dir), "register-taken"); err != nil || archive.lastChunk() != goldenChunks-1 {
 		t.Errorf("torn tail: %v", err)
 	}
 }
--- a/internal/control/quorum/named.go
+++ b/internal/control/quorum/named.go
@@ -7,7 +7,7 @@
 )
 
 // OpenNamed opens the register of that name.
-func OpenNamed(disk recordlog.Disk, name string, first []messages.Member, identity string) (*Register, error) {
+func OpenNamed(disk recordlog.Disk, name string, first []messages.Member, identity string) (*Replica, error) {
 	replica, err := open(disk, logfileName+"-"+name, first, identity)
 	if err == nil {
 		replica.Name = name
@@ -15,16 +15,16 @@
 	return replica, err
 }
 
-// prepare gives a message of the first round as it goes to the other acceptors.
-func (r *Register) prepare(req *messages.PrepareRequest) (messages.Kind, transport.Marshaler) {
+// prepareMessage gives a message of the first round as it goes to the other acceptors.
+func (r *Replica) prepareMessage(req *messages.PrepareRequest) (messages.Kind, transport.Marshaler) {
 	if r.Name == "" {
 		return messages.KindPrepare, req
 	}
 	return messages.KindNamedPrepare, &messages.NamedPrepareRequest{Name: r.Name, Request: *req}
 }
 
-// accept gives a message of the second round.
-func (r *Register) accept(req *messages.AcceptRequest) (messages.Kind, transport.Marshaler) {
+// acceptMessage gives a message of the second round.
+func (r *Replica) acceptMessage(req *messages.AcceptRequest) (messages.Kind, transport.Marshaler) {
 	if r.Name == "" {
 		return messages.KindAccept, req
 	}
--- a/internal/control/quorum/propose.go
+++ b/internal/control/quorum/propose.go
@@ -8,17 +8,17 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// response is one answer to a message of a proposal.
-type response struct {
+// memberResponse is one answer to a message of a proposal.
+type memberResponse struct {
 	member   messages.Member
 	promise  *messages.PrepareResponse
 	accepted *messages.AcceptResponse
 }
 
 // send takes one message of a proposal to its member.
-func (r *Register) send(message register.Send, responses chan<- response) {
-	resp := response{member: message.Member}
-	local := message.Member.Address == r.Runtime.Self.Address
+func (r *Replica) send(message register.Send, responses chan<- memberResponse) {
+	resp := memberResponse{member: message.Member}
+	local := message.Member.Address == r.Node.Self.Address
 	var err error
 	switch {
 	case message.Prepare != nil && local:
@@ -26,15 +26,15 @@
 		resp.promise, err = &promise, cause
 	case message.Prepare != nil:
 		resp.promise = &messages.PrepareResponse{}
-		kind, req := r.prepare(message.Prepare)
-		err = transport.Call(r.Runtime.Transport, message.Member.Address, kind, req, resp.promise, constants.RoundTimeout)
+		kind, req := r.prepareMessage(message.Prepare)
+		err = transport.Call(r.Node.Transport, message.Member.Address, kind, req, resp.promise, constants.RoundTimeout)
 	case local:
 		accepted, cause := r.Accept(message.Accept)
 		resp.accepted, err = &accepted, cause
 	default:
 		resp.accepted = &messages.AcceptResponse{}
-		kind, req := r.accept(message.Accept)
-		err = transport.Call(r.Runtime.Transport, message.Member.Address, kind, req, resp.accepted, constants.RoundTimeout)
+		kind, req := r.acceptMessage(message.Accept)
+		err = transport.Call(r.Node.Transport, message.Member.Address, kind, req, resp.accepted, constants.RoundTimeout)
 	}
 	if err == nil {
 		responses <- resp
@@ -42,17 +42,17 @@
 }
 
 // Change runs a change until it is in force or its outcome can't be known.
-func (r *Register) Change(change register.Change) (messages.RegisterValue, error) {
+func (r *Replica) Change(change register.Change) (messages.RegisterValue, error) {
 	end := clock.Now().Add(constants.RegisterTimeout)
 	timer := clock.NewTimer(constants.RegisterTimeout)
 	defer timer.Stop()
 	select {
-	case r.turn <- struct{}{}:
-		defer func() { <-r.turn }()
+	case r.proposing <- struct{}{}:
+		defer func() { <-r.proposing }()
 	case <-timer.C:
 		return messages.RegisterValue{}, register.ErrNoQuorum.New("earlier changes took too long")
 	}
-	unclear, preempted := false, false
+	outcomeUnknown, preempted := false, false
 	known := r.Known()
 	took := clock.Duration(0)
 	for lost := 0; clock.Now() < end; {
@@ -62,7 +62,7 @@
 		if preempted {
 			// Whoever won may have settled the question: a look needs no ballot, so
 			// that it disturbs nobody.
-			if value, settled := r.look(change); settled {
+			if value, decided := r.unchangedBy(change); decided {
 				return value, nil
 			}
 		}
@@ -70,16 +70,16 @@
 		proposal := r.attempt(known, change, end)
 		took = clock.Now().Sub(start)
 		if proposal.Stage() == register.StageDone {
-			r.learnChosen(proposal.Value())
+			r.observeChosen(proposal.Value())
 			known = proposal.Value()
-			if proposal.Unfinished() {
+			if proposal.FinishedOther() {
 				continue
 			}
 			return proposal.Value(), nil
 		}
 		lost++
 		preempted = proposal.Stage() == register.StageLost
-		unclear = unclear || proposal.Sent()
+		outcomeUnknown = outcomeUnknown || proposal.AcceptSent()
 		r.lock.Lock()
 		r.counter = max(r.counter, proposal.Highest().Counter)
 		r.lock.Unlock()
@@ -88,31 +88,31 @@
 			known = *newer
 		}
 	}
-	if unclear {
+	if outcomeUnknown {
 		return messages.RegisterValue{}, register.ErrOutcomeUnknown.New("no second majority in time")
 	}
 	return messages.RegisterValue{}, register.ErrNoQuorum.New("no first majority in time")
 }
 
-// look asks whether the change would leave the value in force as it is.
-func (r *Register) look(change register.Change) (messages.RegisterValue, bool) {
+// unchangedBy asks whether the change would leave the value in force as it is.
+func (r *Replica) unchangedBy(change register.Change) (messages.RegisterValue, bool) {
 	value := r.quickRead(false)
 	if value == nil {
 		return messages.RegisterValue{}, false
 	}
 	_, verdict := change(*value)
-	return *value, verdict == register.VerdictKeep
+	return *value, verdict == register.VerdictUnchanged
 }
 
 // attempt takes one proposal through its rounds.
-func (r *Register) attempt(known messages.RegisterValue, change register.Change, end clock.Instant) *register.Proposal {
+func (r *Replica) attempt(known messages.RegisterValue, change register.Change, end clock.Instant) *register.Proposal {
 	r.lock.Lock()
 	r.counter++
-	own := r.Runtime.Self
+	own := r.Node.Self
 	ballot := register.NewBallot(r.counter, own.Name, own.Disk, own.Incarnation)
 	r.lock.Unlock()
-	proposal, sends := register.Begin(ballot, known, change)
-	responses := make(chan response, 4*(len(sends)+2))
+	proposal, sends := register.NewProposal(ballot, known, change)
+	responses := make(chan memberResponse, 4*(len(sends)+2))
 	dispatch := func(list []register.Send) {
 		for _, message := range list {
 			go r.send(message, responses)
@@ -125,9 +125,9 @@
 		select {
 		case re := <-responses:
 			if re.promise != nil {
-				dispatch(proposal.Promised(re.member, *re.promise))
+				dispatch(proposal.HandlePrepareResponse(re.member, *re.promise))
 			} else {
-				proposal.Taken(re.member, *re.accepted)
+				proposal.HandleAcceptResponse(re.member, *re.accepted)
 			}
 		case <-timer.C:
 			return proposal
--- a/internal/control/quorum/quorum.go
+++ b/internal/control/quorum/quorum.go
@@ -28,15 +28,15 @@
 	logfileLimit = 4 << 20
 )
 
-// Register drives the cores of register and leases: it syncs before it answers, and
+// Replica drives the cores of register and leases: it syncs before it answers, and
 // sends proposals to the other acceptors.
-type Register struct {
+type Replica struct {
 	// Name is empty for the configuration's register.
 	Name string
-	// Runtime is the process that sends proposals; it is set before the first.
-	Runtime *node.Node
-	// Accepted, where set, is told of each value that this acceptor accepted.
-	Accepted func(generation int64)
+	// Node is the process that sends proposals; it is set before the first.
+	Node *node.Node
+	// OnAccepted, where set, is told of each value that this acceptor accepted.
+	OnAccepted func(generation int64)
 
 	// voting is held while the acceptor decides and its record goes to disk. It
 	// guards the two fields below.
@@ -48,7 +48,7 @@
 	// waited for, so that a disk that hangs stops nothing but votes.
 	lock    sync.Mutex
 	durable messages.AcceptorRecord
-	grants  *lease.Grants
+	grantor *lease.Grantor
 	// known is the newest value known here, good for its sets; chosen says that this
 	// process saw a majority hold it. One that was only accepted somewhere may have
 	// lost, and must not be passed on.
@@ -60,16 +60,16 @@
 	counter     uint64
 
 	archive *archive
-	// turn holds one token: two proposals from here would only duel.
-	turn chan struct{}
+	// proposing holds one token: two proposals from here would only duel.
+	proposing chan struct{}
 }
 
 // Open reads the disk; disk names its identity.
-func Open(disk recordlog.Disk, first []messages.Member, newIdentity string) (*Register, error) {
+func Open(disk recordlog.Disk, first []messages.Member, newIdentity string) (*Replica, error) {
 	return open(disk, logfileName, first, newIdentity)
 }
 
-func open(disk recordlog.Disk, file string, first []messages.Member, newIdentity string) (*Register, error) {
+func open(disk recordlog.Disk, file string, first []messages.Member, newIdentity string) (*Replica, error) {
 	state := messages.AcceptorRecord{}
 	logfile, err := recordlog.Open(disk, file, func(_ int64, body []byte) error {
 		// Each record replaces the one before.
@@ -87,7 +87,7 @@
 	if fresh {
 		state.Disk, state.First = newIdentity, first
 	}
-	replica := &Register{acceptor: register.NewAcceptor(state), logfile: logfile, durable: state, turn: make(chan struct{}, 1)}
+	replica := &Replica{acceptor: register.NewAcceptor(state), logfile: logfile, durable: state, proposing: make(chan struct{}, 1)}
 	if fresh {
 		if err = replica.persist(); err != nil {
 			return nil, err
@@ -97,7 +97,7 @@
 		return nil, err
 	}
 	// Only a first start with all others new as well may grant leases at once.
-	replica.grants = lease.NewGrants(clock.Now(), fresh && len(first) > 0)
+	replica.grantor = lease.NewGrantor(clock.Now(), fresh && len(first) > 0)
 	replica.known = replica.acceptor.Value()
 	// Nothing else than the first set can be in force where nothing was accepted yet.
 	replica.chosen = fresh && len(first) > 0
@@ -105,29 +105,29 @@
 	return replica, nil
 }
 
-// LearnSets takes the sets that another process told of.
-func (r *Register) LearnSets(value messages.RegisterValue) {
+// ObserveSets takes the sets that another process told of.
+func (r *Replica) ObserveSets(value messages.RegisterValue) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	if len(value.Acceptors) == 0 {
 		return
 	}
 	if len(r.known.Acceptors) == 0 || value.SetEpoch > r.known.SetEpoch {
-		r.know(value, false)
+		r.setKnown(value, false)
 	}
 }
 
-// learnChosen takes a value that a majority was seen to hold.
-func (r *Register) learnChosen(value messages.RegisterValue) {
+// observeChosen takes a value that a majority was seen to hold.
+func (r *Replica) observeChosen(value messages.RegisterValue) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	if !r.chosen || value.SetEpoch >= r.known.SetEpoch {
-		r.know(value, true)
+		r.setKnown(value, true)
 	}
 }
 
-// know takes a value's sets. The lock is held.
-func (r *Register) know(value messages.RegisterValue, chosen bool) {
+// setKnown takes a value's sets. The lock is held.
+func (r *Replica) setKnown(value messages.RegisterValue, chosen bool) {
 	if value.SetEpoch > r.newestEpoch {
 		r.newestEpoch, r.newestSince = value.SetEpoch, clock.Now()
 	}
@@ -136,46 +136,46 @@
 
 // Chosen gives the newest value known here, and whether this process saw a majority
 // hold it.
-func (r *Register) Chosen() (value messages.RegisterValue, seen bool) {
+func (r *Replica) Chosen() (value messages.RegisterValue, seen bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.known, r.chosen
 }
 
-// JointFresh tells whether a joint set was met a short while ago: whoever proposed it
+// JointRecent tells whether a joint set was met a short while ago: whoever proposed it
 // is about to end it.
-func (r *Register) JointFresh() bool {
+func (r *Replica) JointRecent() bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return len(r.known.Previous) > 0 && clock.Now().Sub(r.newestSince) < constants.JointSetOwnerTime
 }
 
 // Known gives the newest value known here, chosen or not: good for its sets.
-func (r *Register) Known() messages.RegisterValue {
+func (r *Replica) Known() messages.RegisterValue {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.known
 }
 
 // Identity is this process as an acceptor.
-func (r *Register) Identity() messages.Member {
-	own := r.Runtime.Self
+func (r *Replica) Identity() messages.Member {
+	own := r.Node.Self
 	return messages.Member{Name: own.Name, Disk: r.Disk(), Address: own.Address, Zone: own.Zone}
 }
 
 // Disk is the identity of this acceptor's disk.
-func (r *Register) Disk() string { return r.Record().Disk }
+func (r *Replica) Disk() string { return r.Record().Disk }
 
 // Record is what this acceptor has on disk.
-func (r *Register) Record() messages.AcceptorRecord {
+func (r *Replica) Record() messages.AcceptorRecord {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.durable
 }
 
-// Hold answers a candidate for the lease of the lots.
-func (r *Register) Hold(req messages.LeaseRequest) messages.LeaseResponse {
+// GrantLease answers a candidate for the lease of the lots.
+func (r *Replica) GrantLease(req messages.LeaseRequest) messages.LeaseResponse {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	return r.grants.Ask(req, r.durable.Value.Leadership, clock.Now())
+	return r.grantor.Grant(req, r.durable.Value.Leadership, clock.Now())
 }
--- a/internal/control/quorum/read.go
+++ b/internal/control/quorum/read.go
@@ -8,30 +8,30 @@
 )
 
 // Read gives the value in force.
-func (r *Register) Read() (messages.RegisterValue, error) { return r.read(false) }
+func (r *Replica) Read() (messages.RegisterValue, error) { return r.read(false) }
 
 // ReadSets gives it without the configuration's body: stores ask often, and the body
 // would come from each acceptor each time.
-func (r *Register) ReadSets() (messages.RegisterValue, error) {
+func (r *Replica) ReadSets() (messages.RegisterValue, error) {
 	value, err := r.read(true)
 	value.Body = nil
 	return value, err
 }
 
-func (r *Register) read(slim bool) (messages.RegisterValue, error) {
-	if value := r.quickRead(slim); value != nil {
+func (r *Replica) read(withoutBody bool) (messages.RegisterValue, error) {
+	if value := r.quickRead(withoutBody); value != nil {
 		return *value, nil
 	}
-	return r.Change(register.Look)
+	return r.Change(register.ReadOnly)
 }
 
 // quickRead gives the value that a majority holds under one and the same ballot, or
 // nil where only a proposal can tell what is in force. Where the sets known here are
 // old, it goes on to those that it meets.
-func (r *Register) quickRead(slim bool) *messages.RegisterValue {
+func (r *Replica) quickRead(withoutBody bool) *messages.RegisterValue {
 	known := r.Known()
 	for range constants.ReadAttempts {
-		value, newer := r.readAt(known, slim)
+		value, newer := r.readAt(known, withoutBody)
 		if newer == nil {
 			return value
 		}
@@ -41,11 +41,11 @@
 }
 
 // readAt reads at the sets of a value; newer is one with newer sets that it met.
-func (r *Register) readAt(known messages.RegisterValue, slim bool) (value, newer *messages.RegisterValue) {
-	reading, sends := register.BeginReading(known)
-	responses := make(chan response, len(sends))
+func (r *Replica) readAt(known messages.RegisterValue, withoutBody bool) (value, newer *messages.RegisterValue) {
+	reading, sends := register.NewQuorumRead(known)
+	responses := make(chan memberResponse, len(sends))
 	for _, message := range sends {
-		message.Prepare.WithoutBody = slim
+		message.Prepare.WithoutBody = withoutBody
 		go r.send(message, responses)
 	}
 	timer := clock.NewTimer(constants.RoundTimeout)
@@ -53,11 +53,11 @@
 	for range sends {
 		select {
 		case re := <-responses:
-			value, settled := reading.Heard(re.member, *re.promise)
+			value, decided := reading.HandlePrepareResponse(re.member, *re.promise)
 			if value != nil {
-				r.learnChosen(*value)
+				r.observeChosen(*value)
 			}
-			if settled {
+			if decided {
 				return value, reading.Newer()
 			}
 		case <-timer.C:
--- a/internal/control/quorum/tend.go
+++ b/internal/control/quorum/tend.go
@@ -7,20 +7,20 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Tend looks after the acceptor set: where the sets known here ask for a step, it reads
+// ReconcileSet looks after the acceptor set: where the sets known here ask for a step, it reads
 // the value in force and proposes the step that this one asks for. It tells whether the
 // set was changed. The caller gives what it knows of other processes; Own and Fresh are
 // filled in here.
-func (r *Register) Tend(tending register.Tending) (value messages.RegisterValue, changed bool, err error) {
-	if !r.NeedsTending(tending) {
+func (r *Replica) ReconcileSet(tending register.SetReconciler) (value messages.RegisterValue, changed bool, err error) {
+	if !r.NeedsReconcile(tending) {
 		return messages.RegisterValue{}, false, nil
 	}
-	seen, err := r.readCalmly()
+	seen, err := r.readWithBackoff()
 	if err != nil || seen == nil {
 		return messages.RegisterValue{}, false, err
 	}
-	tending.Own, tending.Fresh = r.Identity(), r.JointFresh()
-	change := tending.Step(*seen)
+	tending.Own, tending.JointRecent = r.Identity(), r.JointRecent()
+	change := tending.NextChange(*seen)
 	if change == nil {
 		return *seen, false, nil
 	}
@@ -28,25 +28,25 @@
 		return value, false, err
 	}
 	if len(value.Previous) > 0 {
-		value, err = r.Change(register.Settle)
+		value, err = r.Change(register.EndJoint)
 	}
 	return value, err == nil && value.SetEpoch != seen.SetEpoch, err
 }
 
-// NeedsTending tells whether there is reason to read the value in force, and perhaps to
+// NeedsReconcile tells whether there is reason to read the value in force, and perhaps to
 // take a step.
-func (r *Register) NeedsTending(tending register.Tending) bool {
+func (r *Replica) NeedsReconcile(tending register.SetReconciler) bool {
 	tending.Own = r.Identity()
 	accepted := r.Record().Value
 	known, chosen := r.Chosen()
 	// What this acceptor accepted may be a change of the set that was left half done.
-	return !chosen || accepted.SetEpoch > known.SetEpoch || tending.Step(known) != nil
+	return !chosen || accepted.SetEpoch > known.SetEpoch || tending.NextChange(known) != nil
 }
 
-// readCalmly reads without a ballot where it can. Where it can't, a change may be under
+// readWithBackoff reads without a ballot where it can. Where it can't, a change may be under
 // way: it looks once more a little later, and then only some of those who ask propose,
 // while the others come again.
-func (r *Register) readCalmly() (*messages.RegisterValue, error) {
+func (r *Replica) readWithBackoff() (*messages.RegisterValue, error) {
 	if value := r.quickRead(true); value != nil {
 		return value, nil
 	}
@@ -57,7 +57,7 @@
 	if clock.Float64() >= constants.ReconcileProbability {
 		return nil, nil
 	}
-	value, err := r.Change(register.Look)
+	value, err := r.Change(register.ReadOnly)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/control/quorum/vote.go
+++ b/internal/control/quorum/vote.go
@@ -9,11 +9,11 @@
 )
 
 // Prepare answers a first round, or a query about what is on disk.
-func (r *Register) Prepare(req *messages.PrepareRequest) (messages.PrepareResponse, error) {
+func (r *Replica) Prepare(req *messages.PrepareRequest) (messages.PrepareResponse, error) {
 	if req.Query {
 		return r.query(req), nil
 	}
-	if err := r.begin(); err != nil {
+	if err := r.lockVoting(); err != nil {
 		return messages.PrepareResponse{}, err
 	}
 	defer r.voting.Unlock()
@@ -22,15 +22,15 @@
 	if !changed {
 		return resp, nil
 	}
-	if err := r.keep(before); err != nil {
+	if err := r.persistOrRevert(before); err != nil {
 		return messages.PrepareResponse{}, err
 	}
 	return resp, nil
 }
 
-// begin waits for the votes before. Who has waited for long will have given up before a
+// lockVoting waits for the votes before. Who has waited for long will have given up before a
 // second round: such votes would only keep those behind them waiting too.
-func (r *Register) begin() error {
+func (r *Replica) lockVoting() error {
 	sentAt := clock.Now()
 	r.voting.Lock()
 	if clock.Now().Sub(sentAt) <= constants.VoteWaitMax {
@@ -42,29 +42,29 @@
 
 // query answers from what has reached the disk: a vote that is still being written
 // has not been given.
-func (r *Register) query(req *messages.PrepareRequest) messages.PrepareResponse {
+func (r *Replica) query(req *messages.PrepareRequest) messages.PrepareResponse {
 	resp, _ := register.NewAcceptor(r.Record()).Prepare(req)
 	if req.Archive != nil {
-		resp.Archive = r.archive.answer(req.Archive)
+		resp.Archive = r.archive.lookup(req.Archive)
 	}
 	return resp
 }
 
 // Accept answers a second round.
-func (r *Register) Accept(req *messages.AcceptRequest) (messages.AcceptResponse, error) {
+func (r *Replica) Accept(req *messages.AcceptRequest) (messages.AcceptResponse, error) {
 	r.fillArchive(req)
 	resp, changed, err := r.vote(req)
 	if err != nil {
 		return messages.AcceptResponse{}, err
 	}
-	if changed && r.Accepted != nil {
-		r.Accepted(req.Value.Current.Generation)
+	if changed && r.OnAccepted != nil {
+		r.OnAccepted(req.Value.Current.Generation)
 	}
 	return resp, nil
 }
 
-func (r *Register) vote(req *messages.AcceptRequest) (messages.AcceptResponse, bool, error) {
-	if err := r.begin(); err != nil {
+func (r *Replica) vote(req *messages.AcceptRequest) (messages.AcceptResponse, bool, error) {
+	if err := r.lockVoting(); err != nil {
 		return messages.AcceptResponse{}, false, err
 	}
 	defer r.voting.Unlock()
@@ -78,15 +78,15 @@
 		r.acceptor = register.NewAcceptor(before)
 		return resp, false, err
 	}
-	if err := r.keep(before); err != nil {
+	if err := r.persistOrRevert(before); err != nil {
 		return resp, false, err
 	}
 	return resp, true, nil
 }
 
-// keep puts the acceptor's record on disk before anybody is told of it. Where that
+// persistOrRevert puts the acceptor's record on disk before anybody is told of it. Where that
 // fails the acceptor goes back to the record before: it has promised nothing.
-func (r *Register) keep(before messages.AcceptorRecord) error {
+func (r *Replica) persistOrRevert(before messages.AcceptorRecord) error {
 	if err := r.persist(); err != nil {
 		r.acceptor = register.NewAcceptor(before)
 		return err
@@ -99,7 +99,7 @@
 }
 
 // persist writes the record and syncs it.
-func (r *Register) persist() error {
+func (r *Replica) persist() error {
 	record := r.acceptor.Record()
 	body, err := record.MarshalMsg(nil)
 	if err != nil {
--- a/internal/control/register/archive.go
+++ b/internal/control/register/archive.go
@@ -30,8 +30,8 @@
 	if chunk.Index <= a.base.Index || chunk.Index > a.last().Index+1 {
 		return
 	}
-	kept := chunk.Index - a.base.Index - 1
-	a.chunks = append(a.chunks[:kept:kept], chunk)
+	retained := chunk.Index - a.base.Index - 1
+	a.chunks = append(a.chunks[:retained:retained], chunk)
 }
 
 // Chunks gives all that has to stand in the file, the base first.
@@ -39,8 +39,8 @@
 	return append([]messages.ArchiveChunk{a.base}, a.chunks...)
 }
 
-// Held is the index of the newest chunk held.
-func (a *Archive) Held() uint64 { return a.last().Index }
+// LastChunk is the index of the newest chunk held.
+func (a *Archive) LastChunk() uint64 { return a.last().Index }
 
 func (a *Archive) last() messages.ArchiveChunk {
 	if len(a.chunks) == 0 {
@@ -62,8 +62,8 @@
 
 // Covers tells whether this archive holds the chain of a head.
 func (a *Archive) Covers(head messages.ArchiveHead) bool {
-	chunk, held := a.at(head.Chunks)
-	return held && chunk.Digest == head.Digest
+	chunk, found := a.at(head.Chunks)
+	return found && chunk.Digest == head.Digest
 }
 
 // Extend follows a value that the acceptor is about to accept. It gives the chunk
@@ -81,8 +81,8 @@
 	if !inClear {
 		return nil, false
 	}
-	before, held := a.at(chunk.Index - 1)
-	if !held || chain(before.Digest, chunk.Fingerprints) != chunk.Digest {
+	before, found := a.at(chunk.Index - 1)
+	if !found || chain(before.Digest, chunk.Fingerprints) != chunk.Digest {
 		return nil, false
 	}
 	chunk.Day = day
@@ -100,13 +100,13 @@
 		made = Archive{}
 	}
 	for _, chunk := range chunks {
-		before, held := made.at(chunk.Index - 1)
-		if len(chunk.Fingerprints) > 0 && (!held || chain(before.Digest, chunk.Fingerprints) != chunk.Digest) {
+		before, found := made.at(chunk.Index - 1)
+		if len(chunk.Fingerprints) > 0 && (!found || chain(before.Digest, chunk.Fingerprints) != chunk.Digest) {
 			return false
 		}
 		made.Restore(chunk)
 	}
-	if made.Held() < head.Chunks || made.Covers(head) {
+	if made.LastChunk() < head.Chunks || made.Covers(head) {
 		*a = made
 		return true
 	}
@@ -116,29 +116,29 @@
 // Forget drops the chunks that are older than constants.ArchiveDays, and tells
 // whether any was.
 func (a *Archive) Forget(day int64) bool {
-	kept := 0
-	for kept < len(a.chunks) && a.chunks[kept].Day+constants.ArchiveDays < day {
-		kept++
+	retained := 0
+	for retained < len(a.chunks) && a.chunks[retained].Day+constants.ArchiveDays < day {
+		retained++
 	}
-	if kept == 0 {
+	if retained == 0 {
 		return false
 	}
-	a.base = a.chunks[kept-1]
+	a.base = a.chunks[retained-1]
 	a.base.Fingerprints = nil
-	a.chunks = append([]messages.ArchiveChunk{}, a.chunks[kept:]...)
+	a.chunks = append([]messages.ArchiveChunk{}, a.chunks[retained:]...)
 	return true
 }
 
-// Answer answers another process.
-func (a *Archive) Answer(req *messages.ArchiveRequest) *messages.ArchiveResponse {
-	resp := &messages.ArchiveResponse{Status: a.seek(req)}
+// Lookup answers another process.
+func (a *Archive) Lookup(req *messages.ArchiveRequest) *messages.ArchiveResponse {
+	resp := &messages.ArchiveResponse{Status: a.status(req)}
 	if req.Pull {
 		resp.Chunks = a.after(req.LastChunk)
 	}
 	return resp
 }
 
-func (a *Archive) seek(req *messages.ArchiveRequest) messages.VersionStatus {
+func (a *Archive) status(req *messages.ArchiveRequest) messages.VersionStatus {
 	if req.Generation == 0 || !a.Covers(req.Head) {
 		return messages.VersionUnknown
 	}
@@ -156,10 +156,10 @@
 }
 
 // after gives the chunks after an index; from the base on where some are forgotten.
-func (a *Archive) after(held uint64) []messages.ArchiveChunk {
+func (a *Archive) after(found uint64) []messages.ArchiveChunk {
 	all := a.Chunks()
-	if held >= a.base.Index {
-		all = a.chunks[min(held-a.base.Index, uint64(len(a.chunks))):]
+	if found >= a.base.Index {
+		all = a.chunks[min(found-a.base.Index, uint64(len(a.chunks))):]
 	}
 	return all[:min(len(all), constants.ArchiveBatch)]
 }
--- a/internal/control/register/archive_test.go
+++ b/internal/control/register/archive_test.go
@@ -40,9 +40,9 @@
 
 // fill has an acceptor pull what it lacks from another.
 func (a *archives) fill(at, from int) bool {
-	for _, held := range []uint64{a.kept[at].Held(), 0} {
-		for filled := true; filled; held = a.kept[at].Held() {
-			resp := a.kept[from].Answer(&messages.ArchiveRequest{Head: a.value.Archive, Pull: true, LastChunk: held})
+	for _, found := range []uint64{a.kept[at].LastChunk(), 0} {
+		for filled := true; filled; found = a.kept[at].LastChunk() {
+			resp := a.kept[from].Lookup(&messages.ArchiveRequest{Head: a.value.Archive, Pull: true, LastChunk: found})
 			if filled = a.kept[at].Fill(a.value.Archive, resp.Chunks); filled {
 				a.files[at] = append(a.files[at], resp.Chunks...)
 			}
@@ -73,15 +73,15 @@
 func (a *archives) check(rt *rapid.T, version messages.Version, taken, mayForget bool) {
 	var result register.Result
 	_, _ = register.Replace(version, nil, &result)(a.value)
-	if result != register.ResultArchived {
-		if result.Stands() != taken {
+	if result != register.ResultNeedsArchive {
+		if result.InForce() != taken {
 			rt.Fatalf("the value says %d of %v, taken %v", result, version, taken)
 		}
 		return
 	}
-	req := &messages.ArchiveRequest{Head: a.value.Archive, Generation: version.Generation, Fingerprint: register.Print(version)}
+	req := &messages.ArchiveRequest{Head: a.value.Archive, Generation: version.Generation, Fingerprint: register.Fingerprint(version)}
 	for at, archive := range a.kept {
-		sought := archive.Answer(req).Status
+		sought := archive.Lookup(req).Status
 		if (sought == messages.VersionCommitted && !taken) || (sought == messages.VersionNeverCommitted && taken) {
 			rt.Fatalf("archive %d says %d of %v, taken %v", at, sought, version, taken)
 		}
--- a/internal/control/register/drive_test.go
+++ b/internal/control/register/drive_test.go
@@ -43,7 +43,7 @@
 	node.counter++
 	f.attempts++
 	ballot := register.NewBallot(node.counter, from, node.member.Disk, node.life)
-	proposal, sends := register.Begin(ballot, known, change)
+	proposal, sends := register.NewProposal(ballot, known, change)
 	attempt := &try{fleet: f, from: from, node: node, life: node.life, known: known, change: change, proposal: proposal, begun: f.world.Now}
 	again := func() { f.propose(from, known, change, tries-1, lost+1, ended) }
 	attempt.send(sends, func() { attempt.finish(tries, lost, ended) })
@@ -71,7 +71,7 @@
 		if t.chosen != nil {
 			t.chosen(proposal.Value())
 		}
-		if proposal.Unfinished() {
+		if proposal.FinishedOther() {
 			t.propose(t.from, proposal.Value(), t.change, tries-1, lost, ended)
 			return
 		}
@@ -87,8 +87,8 @@
 			if t.dead() {
 				return
 			}
-			t.look(t.from, t.change, func(value messages.RegisterValue, settled bool) {
-				if settled {
+			t.look(t.from, t.change, func(value messages.RegisterValue, decided bool) {
+				if decided {
 					ended(value, true)
 					return
 				}
@@ -121,7 +121,7 @@
 			resp, _ := target.live.Accept(message.Accept)
 			fleet.answer(target, t.from, func() {
 				if !t.over && !t.dead() {
-					t.proposal.Taken(message.Member, resp)
+					t.proposal.HandleAcceptResponse(message.Member, resp)
 					finish()
 				}
 			})
@@ -131,16 +131,16 @@
 
 func (t *try) promised(member messages.Member, resp messages.PrepareResponse, finish func()) {
 	if !t.over && !t.dead() {
-		t.send(t.proposal.Promised(member, resp), finish)
+		t.send(t.proposal.HandlePrepareResponse(member, resp), finish)
 		finish()
 	}
 }
 
 // look asks whether the change would leave the value in force as it is.
-func (f *fleet) look(from string, change register.Change, ended func(value messages.RegisterValue, settled bool)) {
+func (f *fleet) look(from string, change register.Change, ended func(value messages.RegisterValue, decided bool)) {
 	node, over := f.controllers[from], false
 	incarnation := node.life
-	reading, sends := register.BeginReading(node.known)
+	reading, sends := register.NewQuorumRead(node.known)
 	end := func(value *messages.RegisterValue) {
 		if over || node.down || incarnation != node.life {
 			return
@@ -155,7 +155,7 @@
 			f.chosen(*value)
 		}
 		_, verdict := change(*value)
-		ended(*value, verdict == register.VerdictKeep)
+		ended(*value, verdict == register.VerdictUnchanged)
 	}
 	for _, message := range sends {
 		target := f.controllers[message.Member.Address]
@@ -165,7 +165,7 @@
 			}
 			resp, _ := register.NewAcceptor(target.disk).Prepare(message.Prepare)
 			f.world.Send(message.Member.Address, from, func() {
-				if value, settled := reading.Heard(message.Member, resp); settled {
+				if value, decided := reading.HandlePrepareResponse(message.Member, resp); decided {
 					end(value)
 				}
 			})
@@ -174,7 +174,7 @@
 	f.world.After(clock.Milliseconds(attemptTime), func() { end(nil) })
 }
 
-// learnChosen takes a value that a majority was seen to hold.
+// observeChosen takes a value that a majority was seen to hold.
 func (c *controller) learnChosen(value messages.RegisterValue) {
 	if !c.chosen || value.SetEpoch >= c.known.SetEpoch {
 		c.known, c.chosen = value, true
@@ -211,8 +211,8 @@
 	if other.down {
 		return
 	}
-	for _, held := range []uint64{node.archive.Held(), 0} {
-		resp := other.archive.Answer(&messages.ArchiveRequest{Head: value.Archive, Pull: true, LastChunk: held})
+	for _, found := range []uint64{node.archive.LastChunk(), 0} {
+		resp := other.archive.Lookup(&messages.ArchiveRequest{Head: value.Archive, Pull: true, LastChunk: found})
 		node.archive.Fill(value.Archive, resp.Chunks)
 	}
 	node.archive.Extend(value, 1)
--- a/internal/control/register/grown_test.go
+++ b/internal/control/register/grown_test.go
@@ -71,10 +71,10 @@
 				node.known, node.chosen = other.known, false
 			}
 		}
-		tending := register.Tending{Own: node.member, Votes: true, Size: budgetSize, Gone: g.gone}
-		if !node.chosen || node.disk.Value.SetEpoch > node.known.SetEpoch || tending.Step(node.known) != nil {
+		tending := register.SetReconciler{Own: node.member, Votes: true, Size: budgetSize, Departed: g.gone}
+		if !node.chosen || node.disk.Value.SetEpoch > node.known.SetEpoch || tending.NextChange(node.known) != nil {
 			g.read(name, func(value messages.RegisterValue) {
-				tending.Fresh = g.fresh(name)
+				tending.JointRecent = g.fresh(name)
 				g.step(name, tending, value)
 			})
 		}
@@ -82,14 +82,14 @@
 }
 
 // step proposes what a chosen value asks for, and ends the joint set that it made.
-func (g *grown) step(name string, tending register.Tending, value messages.RegisterValue) {
-	change := tending.Step(value)
+func (g *grown) step(name string, tending register.SetReconciler, value messages.RegisterValue) {
+	change := tending.NextChange(value)
 	if change == nil {
 		return
 	}
 	g.change(name, change, 3, func(value messages.RegisterValue, done bool) {
 		if done && len(value.Previous) > 0 {
-			g.change(name, register.Settle, 3, func(messages.RegisterValue, bool) {})
+			g.change(name, register.EndJoint, 3, func(messages.RegisterValue, bool) {})
 		}
 	})
 }
@@ -97,14 +97,14 @@
 // read gives a process the value in force: quickly where that is clear, and by a
 // proposal at times where it is not, as a change may be under way.
 func (g *grown) read(name string, read func(value messages.RegisterValue)) {
-	g.look(name, register.Look, func(value messages.RegisterValue, settled bool) {
+	g.look(name, register.ReadOnly, func(value messages.RegisterValue, decided bool) {
 		node := g.controllers[name]
 		switch {
 		case node == nil:
-		case settled:
+		case decided:
 			read(value)
 		case g.world.Random.Intn(4) == 0:
-			g.change(name, register.Look, 2, func(value messages.RegisterValue, done bool) {
+			g.change(name, register.ReadOnly, 2, func(value messages.RegisterValue, done bool) {
 				if done {
 					read(value)
 				}
--- a/internal/control/register/history.go
+++ b/internal/control/register/history.go
@@ -15,8 +15,8 @@
 // in clear at the beginning of the History: an acceptor that missed fewer changes
 // than a chunk holds can write it down without asking anybody.
 
-// Print gives the 8 bytes by which the archive knows a version.
-func Print(version messages.Version) uint64 {
+// Fingerprint gives the 8 bytes by which the archive knows a version.
+func Fingerprint(version messages.Version) uint64 {
 	var head [16]byte
 	binary.BigEndian.PutUint64(head[:8], uint64(version.Generation))
 	binary.BigEndian.PutUint64(head[8:], uint64(version.Base))
@@ -24,24 +24,24 @@
 	return binary.BigEndian.Uint64(sum[:8])
 }
 
-// archivedInClear is how many versions at the beginning of the history are in the
+// archivedInHistory is how many versions at the beginning of the history are in the
 // archive too.
-func archivedInClear(value *messages.RegisterValue) int {
+func archivedInHistory(value *messages.RegisterValue) int {
 	if value.Archive.Chunks == 0 {
 		return 0
 	}
 	return min(constants.ArchiveChunk, len(value.History))
 }
 
-// remember gives the history and the archive's head once the current version is
+// appendHistory gives the history and the archive's head once the current version is
 // followed by another.
-func remember(current *messages.RegisterValue) ([]messages.Version, messages.ArchiveHead) {
+func appendHistory(current *messages.RegisterValue) ([]messages.Version, messages.ArchiveHead) {
 	history := append([]messages.Version{}, current.History...)
 	head := current.Archive
 	if current.Current.Generation > 0 {
 		history = append(history, current.Current)
 	}
-	inClear := archivedInClear(current)
+	inClear := archivedInHistory(current)
 	open := history[inClear:]
 	if len(open) <= constants.ArchiveChunk {
 		return history, head
@@ -50,16 +50,16 @@
 		// Written by a program that kept a short history and no archive.
 		head.Since = open[0].Generation
 	}
-	head.Digest = chain(head.Digest, prints(open[:constants.ArchiveChunk]))
+	head.Digest = chain(head.Digest, fingerprints(open[:constants.ArchiveChunk]))
 	head.Chunks++
 	return open, head
 }
 
-// prints gives the bytes of a chunk.
-func prints(versions []messages.Version) []byte {
+// fingerprints gives the bytes of a chunk.
+func fingerprints(versions []messages.Version) []byte {
 	bytes := make([]byte, 0, 8*len(versions))
 	for _, version := range versions {
-		bytes = binary.BigEndian.AppendUint64(bytes, Print(version))
+		bytes = binary.BigEndian.AppendUint64(bytes, Fingerprint(version))
 	}
 	return bytes
 }
@@ -74,17 +74,17 @@
 
 // newestChunk gives the chunk that stands in clear at the beginning of the history.
 func newestChunk(value *messages.RegisterValue) (messages.ArchiveChunk, bool) {
-	inClear := archivedInClear(value)
+	inClear := archivedInHistory(value)
 	if inClear < constants.ArchiveChunk {
 		return messages.ArchiveChunk{}, false
 	}
 	return messages.ArchiveChunk{Index: value.Archive.Chunks, Digest: value.Archive.Digest,
-		Last: value.History[inClear-1].Generation, Fingerprints: prints(value.History[:inClear])}, true
+		Last: value.History[inClear-1].Generation, Fingerprints: fingerprints(value.History[:inClear])}, true
 }
 
-// recall tells what the value itself knows of a version: taken, never taken, or
+// versionStatus tells what the value itself knows of a version: taken, never taken, or
 // unknown, where only the archive can tell.
-func recall(value *messages.RegisterValue, version messages.Version) messages.VersionStatus {
+func versionStatus(value *messages.RegisterValue, version messages.Version) messages.VersionStatus {
 	if value.Current.Generation > 0 && value.Current == version {
 		return messages.VersionCommitted
 	}
--- a/internal/control/register/operators_test.go
+++ b/internal/control/register/operators_test.go
@@ -88,24 +88,24 @@
 
 // conclude is what quorum.Register.Replace and the controller make of an outcome.
 func (o *operators) conclude(at string, value *messages.RegisterValue, version messages.Version, result register.Result, done bool, resp func(status)) {
-	if done && result == register.ResultArchived {
+	if done && result == register.ResultNeedsArchive {
 		o.counts["archived"]++
-		req := &messages.ArchiveRequest{Head: value.Archive, Generation: version.Generation, Fingerprint: register.Print(version)}
+		req := &messages.ArchiveRequest{Head: value.Archive, Generation: version.Generation, Fingerprint: register.Fingerprint(version)}
 		done = false
 		for _, name := range append([]string{at}, o.names...) {
 			node := o.controllers[name]
-			if sought := node.archive.Answer(req).Status; !node.down && sought != messages.VersionUnknown {
-				done, result = true, register.Refusal(value.Current, version)
+			if sought := node.archive.Lookup(req).Status; !node.down && sought != messages.VersionUnknown {
+				done, result = true, register.CheckSuccessor(value.Current, version)
 				if sought == messages.VersionCommitted {
-					result = register.ResultAlready
+					result = register.ResultAlreadyApplied
 				}
 			}
 		}
 	}
 	switch {
-	case !done || result == register.ResultAhead:
+	case !done || result == register.ResultBaseAhead:
 		resp(unanswered)
-	case result.Stands():
+	case result.InForce():
 		resp(acknowledged)
 	default:
 		resp(refused)
@@ -166,7 +166,7 @@
 				next()
 				return
 			}
-			o.change(o.names[random.Intn(len(o.names))], register.Look, 4, func(value messages.RegisterValue, done bool) {
+			o.change(o.names[random.Intn(len(o.names))], register.ReadOnly, 4, func(value messages.RegisterValue, done bool) {
 				if done {
 					newest = value.Current.Generation
 				}
--- a/internal/control/register/proposal.go
+++ b/internal/control/register/proposal.go
@@ -9,8 +9,8 @@
 const (
 	// VerdictWrite: write the value that was returned.
 	VerdictWrite Verdict = iota
-	// VerdictKeep: nothing to write, the value as shown answers the question.
-	VerdictKeep
+	// VerdictUnchanged: nothing to write, the value as shown answers the question.
+	VerdictUnchanged
 )
 
 // Change turns the current value into the next one.
@@ -46,13 +46,13 @@
 	next     messages.RegisterValue
 	highest  messages.Ballot
 	newer    *messages.RegisterValue
-	// unfinished says that the second round only finishes what was found, and that
+	// finishedOther says that the second round only finishes what was found, and that
 	// the change has to be proposed again on top of it.
-	unfinished bool
+	finishedOther bool
 }
 
-// Begin opens an attempt against the sets of the newest value known.
-func Begin(ballot messages.Ballot, known messages.RegisterValue, change Change) (*Proposal, []Send) {
+// NewProposal opens an attempt against the sets of the newest value known.
+func NewProposal(ballot messages.Ballot, known messages.RegisterValue, change Change) (*Proposal, []Send) {
 	proposal := &Proposal{ballot: ballot, known: known, change: change, highest: ballot,
 		promises: map[string]messages.PrepareResponse{}, answered: map[string]bool{}}
 	var sends []Send
@@ -65,9 +65,9 @@
 // Stage tells where the proposal stands.
 func (p *Proposal) Stage() Stage { return p.stage }
 
-// Sent tells whether the second round was begun: from then on the outcome of a
+// AcceptSent tells whether the second round was begun: from then on the outcome of a
 // change without an answer is unclear.
-func (p *Proposal) Sent() bool {
+func (p *Proposal) AcceptSent() bool {
 	return p.stage == StageAccept || len(p.next.Acceptors) > 0
 }
 
@@ -80,8 +80,8 @@
 // Value is the value that is now in force, once done.
 func (p *Proposal) Value() messages.RegisterValue { return p.next }
 
-// Promised takes an answer to the first round.
-func (p *Proposal) Promised(member messages.Member, resp messages.PrepareResponse) []Send {
+// HandlePrepareResponse takes an answer to the first round.
+func (p *Proposal) HandlePrepareResponse(member messages.Member, resp messages.PrepareResponse) []Send {
 	if p.stage != StagePrepare {
 		return nil
 	}
@@ -115,7 +115,7 @@
 		}
 	}
 	if !found {
-		initial, possible := beforeAnyValue(&p.known)
+		initial, possible := initialValue(&p.known)
 		if !possible {
 			p.stage = StageLost
 			return nil
@@ -123,13 +123,13 @@
 		current = initial
 	}
 	next, verdict := p.change(current)
-	if verdict == VerdictKeep {
+	if verdict == VerdictUnchanged {
 		next = current
 	}
-	if endsJoint(&current, &next) && !p.choseAt(highest, &current) {
+	if leavesJoint(&current, &next) && !p.choseAt(highest, &current) {
 		// A joint set that was accepted somewhere may never have been chosen: members
 		// of the old set that never met it could choose something else.
-		next, p.unfinished = current, true
+		next, p.finishedOther = current, true
 	}
 	p.next = next
 	p.stage = StageAccept
@@ -141,11 +141,11 @@
 	return sends
 }
 
-// beforeAnyValue gives the register as it is where a quorum holds no value: the first
+// initialValue gives the register as it is where a quorum holds no value: the first
 // set. The sets known may be those of a joint that was accepted somewhere and never
 // chosen; its new half counts for nothing then. Sets of a later epoch are built on a
 // chosen value, which a quorum of them can't miss.
-func beforeAnyValue(known *messages.RegisterValue) (initial messages.RegisterValue, possible bool) {
+func initialValue(known *messages.RegisterValue) (initial messages.RegisterValue, possible bool) {
 	switch {
 	case known.SetEpoch == 0:
 		return messages.RegisterValue{Acceptors: known.Acceptors}, true
@@ -156,8 +156,8 @@
 	}
 }
 
-// endsJoint tells whether a change lets go of the set before.
-func endsJoint(current, next *messages.RegisterValue) bool {
+// leavesJoint tells whether a change lets go of the set before.
+func leavesJoint(current, next *messages.RegisterValue) bool {
 	return len(current.Previous) > 0 && next.SetEpoch != current.SetEpoch
 }
 
@@ -170,12 +170,12 @@
 	return Quorum(value, holders)
 }
 
-// Unfinished tells that a proposal, though done, put nothing of its own in force:
+// FinishedOther tells that a proposal, though done, put nothing of its own in force:
 // it finished the change of another, and its own has to be proposed again.
-func (p *Proposal) Unfinished() bool { return p.unfinished }
+func (p *Proposal) FinishedOther() bool { return p.finishedOther }
 
-// Taken takes an answer to the second round.
-func (p *Proposal) Taken(member messages.Member, resp messages.AcceptResponse) {
+// HandleAcceptResponse takes an answer to the second round.
+func (p *Proposal) HandleAcceptResponse(member messages.Member, resp messages.AcceptResponse) {
 	if p.stage != StageAccept {
 		return
 	}
@@ -191,21 +191,21 @@
 	}
 }
 
-// Reading is a quick look: if a majority holds one and the same ballot and none
+// QuorumRead is a quick look: if a majority holds one and the same ballot and none
 // a higher one, its value is in force and nothing needs to be written.
-type Reading struct {
-	known    messages.RegisterValue
-	answers  map[string]messages.PrepareResponse
-	answered map[string]bool
-	newer    *messages.RegisterValue
+type QuorumRead struct {
+	known     messages.RegisterValue
+	responses map[string]messages.PrepareResponse
+	answered  map[string]bool
+	newer     *messages.RegisterValue
 }
 
 // Newer is a value with newer sets that was met, if any: to be read at those.
-func (r *Reading) Newer() *messages.RegisterValue { return r.newer }
+func (r *QuorumRead) Newer() *messages.RegisterValue { return r.newer }
 
-// BeginReading opens a quick look.
-func BeginReading(known messages.RegisterValue) (*Reading, []Send) {
-	reading := &Reading{known: known, answers: map[string]messages.PrepareResponse{}, answered: map[string]bool{}}
+// NewQuorumRead opens a quick look.
+func NewQuorumRead(known messages.RegisterValue) (*QuorumRead, []Send) {
+	reading := &QuorumRead{known: known, responses: map[string]messages.PrepareResponse{}, answered: map[string]bool{}}
 	var sends []Send
 	for _, member := range Targets(&known) {
 		sends = append(sends, Send{Member: member, Prepare: &messages.PrepareRequest{Disk: member.Disk, Query: true}})
@@ -213,9 +213,9 @@
 	return reading, sends
 }
 
-// Heard takes an answer; settled means that no more are needed, and the value is
+// HandlePrepareResponse takes an answer; settled means that no more are needed, and the value is
 // nil where a full round has to decide.
-func (r *Reading) Heard(member messages.Member, resp messages.PrepareResponse) (value *messages.RegisterValue, settled bool) {
+func (r *QuorumRead) HandlePrepareResponse(member messages.Member, resp messages.PrepareResponse) (value *messages.RegisterValue, decided bool) {
 	if resp.Value.SetEpoch > r.known.SetEpoch {
 		newer := resp.Value
 		r.newer = &newer
@@ -224,20 +224,20 @@
 	if !resp.Granted {
 		return nil, false
 	}
-	r.answers[Identity(member)] = resp
+	r.responses[Identity(member)] = resp
 	r.answered[Identity(member)] = true
 	if !Quorum(&r.known, r.answered) {
 		return nil, false
 	}
 	var newest messages.Ballot
-	for _, response := range r.answers {
+	for _, response := range r.responses {
 		if Less(newest, response.Accepted) {
 			newest = response.Accepted
 		}
 	}
 	same := map[string]bool{}
 	var found messages.RegisterValue
-	for identity, response := range r.answers {
+	for identity, response := range r.responses {
 		if response.Accepted == newest {
 			same[identity] = true
 			found = response.Value
--- a/internal/control/register/register_test.go
+++ b/internal/control/register/register_test.go
@@ -102,11 +102,11 @@
 			return
 		}
 		f.world.Note("%s %d on %d: %d", from, generation, base, result)
-		if f.size > 0 && !register.Bears(&value, f.size, len(f.controllers)-len(value.Acceptors)) {
+		if f.size > 0 && !register.ToleratesBudget(&value, f.size, len(f.controllers)-len(value.Acceptors)) {
 			// Not told yet: two losses could take it away again.
 			return
 		}
-		if result == register.ResultTaken || result == register.ResultAlready {
+		if result == register.ResultApplied || result == register.ResultAlreadyApplied {
 			if other, known := f.onBase[base]; known && other != generation {
 				f.test.Fatalf("two changes on base %d acknowledged: %d and %d", base, other, generation)
 			}
@@ -122,7 +122,7 @@
 // newest reads the register and checks that nothing acknowledged is gone.
 func (f *fleet) newest(from string) int64 {
 	var found int64 = -1
-	f.change(from, register.Look, 12, func(value messages.RegisterValue, done bool) {
+	f.change(from, register.ReadOnly, 12, func(value messages.RegisterValue, done bool) {
 		if !done {
 			return
 		}
--- a/internal/control/register/replace.go
+++ b/internal/control/register/replace.go
@@ -11,78 +11,78 @@
 
 // The outcomes.
 const (
-	// ResultTaken: the change is in force.
-	ResultTaken Result = iota
-	// ResultAlready: this very version was taken before.
-	ResultAlready
-	// ResultOther: another version is in place.
-	ResultOther
-	// ResultOld: the generation is not above the current one.
-	ResultOld
-	// ResultArchived: the version is too old for the value to know whether it was
+	// ResultApplied: the change is in force.
+	ResultApplied Result = iota
+	// ResultAlreadyApplied: this very version was taken before.
+	ResultAlreadyApplied
+	// ResultConflict: another version is in place.
+	ResultConflict
+	// ResultGenerationTooOld: the generation is not above the current one.
+	ResultGenerationTooOld
+	// ResultNeedsArchive: the version is too old for the value to know whether it was
 	// taken; the archive has to tell.
-	ResultArchived
-	// ResultTooFew: what is asked would leave too few members.
-	ResultTooFew
-	// ResultAhead: the base is younger than the current version. It may yet come into
+	ResultNeedsArchive
+	// ResultTooFewStores: what is asked would leave too few members.
+	ResultTooFewStores
+	// ResultBaseAhead: the base is younger than the current version. It may yet come into
 	// force, and an earlier try of the same order may meet it then: no refusal.
-	ResultAhead
+	ResultBaseAhead
 )
 
-// Stands tells whether the version asked for was taken, now or earlier.
-func (r Result) Stands() bool { return r == ResultTaken || r == ResultAlready }
+// InForce tells whether the version asked for was taken, now or earlier.
+func (r Result) InForce() bool { return r == ResultApplied || r == ResultAlreadyApplied }
 
 // Replace gives the change that puts a configuration in force on top of its
 // base. The outcome is written each time the change is shown a value; only the
 // last showing counts.
 func Replace(version messages.Version, body []byte, result *Result) Change {
 	return func(current messages.RegisterValue) (messages.RegisterValue, Verdict) {
-		switch recall(&current, version) {
+		switch versionStatus(&current, version) {
 		case messages.VersionCommitted:
 			// Sent again after an unclear answer.
-			*result = ResultAlready
-			return current, VerdictKeep
+			*result = ResultAlreadyApplied
+			return current, VerdictUnchanged
 		case messages.VersionUnknown:
-			*result = ResultArchived
-			return current, VerdictKeep
+			*result = ResultNeedsArchive
+			return current, VerdictUnchanged
 		}
-		if *result = Refusal(current.Current, version); *result != ResultTaken {
-			return current, VerdictKeep
+		if *result = CheckSuccessor(current.Current, version); *result != ResultApplied {
+			return current, VerdictUnchanged
 		}
 		next := current
-		next.History, next.Archive = remember(&current)
+		next.History, next.Archive = appendHistory(&current)
 		next.Current, next.Body = version, body
 		return next, VerdictWrite
 	}
 }
 
-// Refusal says why a version that was never taken can't follow the current one, or
-// ResultTaken where it can.
-func Refusal(current, version messages.Version) Result {
+// CheckSuccessor says why a version that was never taken can't follow the current one, or
+// ResultApplied where it can.
+func CheckSuccessor(current, version messages.Version) Result {
 	switch {
 	case version.Base > current.Generation:
-		return ResultAhead
+		return ResultBaseAhead
 	case version.Base < current.Generation:
-		return ResultOther
+		return ResultConflict
 	case version.Generation <= current.Generation:
-		return ResultOld
+		return ResultGenerationTooOld
 	default:
-		return ResultTaken
+		return ResultApplied
 	}
 }
 
-// TakeDuty gives the change by which a store becomes the holder of the lots: it
+// Campaign gives the change by which a store becomes the holder of the lots: it
 // raises the epoch, so that whoever held it before can change nothing any more.
-func TakeDuty(holder messages.Leadership, expected uint64, first []messages.Member, done *bool) Change {
+func Campaign(holder messages.Leadership, expected uint64, first []messages.Member, done *bool) Change {
 	return func(current messages.RegisterValue) (messages.RegisterValue, Verdict) {
 		*done = false
 		if current.Leadership.Epoch == expected+1 && current.Leadership.Holder == holder.Holder && current.Leadership.Incarnation == holder.Incarnation {
 			// The answer to an earlier try was lost.
 			*done = true
-			return current, VerdictKeep
+			return current, VerdictUnchanged
 		}
 		if current.Leadership.Epoch != expected {
-			return current, VerdictKeep
+			return current, VerdictUnchanged
 		}
 		next := current
 		next.Leadership = holder
@@ -101,19 +101,19 @@
 	return func(current messages.RegisterValue) (messages.RegisterValue, Verdict) {
 		*done = false
 		if current.Leadership.Epoch != holder.Epoch || current.Leadership.Holder != holder.Holder || current.Leadership.Incarnation != holder.Incarnation {
-			return current, VerdictKeep
+			return current, VerdictUnchanged
 		}
-		if joinsRetired(&current, stores) {
+		if addsRetired(&current, stores) {
 			// Retired while it was brought in: nothing may be kept there alone.
-			return current, VerdictKeep
+			return current, VerdictUnchanged
 		}
-		if joinsRetired(&current, stores) {
+		if addsRetired(&current, stores) {
 			// Retired while it was brought in: nothing may be kept there alone.
-			return current, VerdictKeep
+			return current, VerdictUnchanged
 		}
 		*done = true
 		if sameMembers(current.Stores, stores) {
-			return current, VerdictKeep
+			return current, VerdictUnchanged
 		}
 		next := current
 		next.Stores = stores
@@ -121,9 +121,9 @@
 	}
 }
 
-// joinsRetired tells whether a store set names a machine that is to be emptied and was
+// addsRetired tells whether a store set names a machine that is to be emptied and was
 // not in the set before.
-func joinsRetired(current *messages.RegisterValue, stores []messages.Member) bool {
+func addsRetired(current *messages.RegisterValue, stores []messages.Member) bool {
 	in := func(members []messages.Member, name string) bool {
 		return slices.ContainsFunc(members, func(member messages.Member) bool { return member.Name == name })
 	}
@@ -151,8 +151,8 @@
 func RetireStore(name string, serving []string, least int, result *Result) Change {
 	return func(current messages.RegisterValue) (messages.RegisterValue, Verdict) {
 		if slices.Contains(current.Retired, name) {
-			*result = ResultAlready
-			return current, VerdictKeep
+			*result = ResultAlreadyApplied
+			return current, VerdictUnchanged
 		}
 		remaining := map[string]bool{}
 		for _, other := range serving {
@@ -161,10 +161,10 @@
 			}
 		}
 		if len(remaining) < least {
-			*result = ResultTooFew
-			return current, VerdictKeep
+			*result = ResultTooFewStores
+			return current, VerdictUnchanged
 		}
-		*result = ResultTaken
+		*result = ResultApplied
 		next := current
 		next.Retired = append(slices.Clone(current.Retired), name)
 		return next, VerdictWrite
--- a/internal/control/register/set.go
+++ b/internal/control/register/set.go
@@ -7,21 +7,21 @@
 // one until Settle, so that majorities of both must agree in between. A set that
 // has its size takes nobody without giving somebody up: several newcomers may have
 // seen the same gap.
-func Join(newcomer messages.Member, out *messages.Member, size int) Change {
+func Join(joiner messages.Member, out *messages.Member, size int) Change {
 	return func(current messages.RegisterValue) (messages.RegisterValue, Verdict) {
 		if len(current.Previous) > 0 {
 			// One change at a time: that of another is ended first. The proposer may
 			// know of none, where it knows an end that was never chosen.
-			return Settle(current)
+			return EndJoint(current)
 		}
 		if out == nil && len(current.Acceptors) >= size {
-			return current, VerdictKeep
+			return current, VerdictUnchanged
 		}
 		var next []messages.Member
 		removed := false
 		for _, member := range current.Acceptors {
-			if Identity(member) == Identity(newcomer) {
-				return current, VerdictKeep
+			if Identity(member) == Identity(joiner) {
+				return current, VerdictUnchanged
 			}
 			if out != nil && Identity(member) == Identity(*out) {
 				removed = true
@@ -30,26 +30,26 @@
 			next = append(next, member)
 		}
 		if out != nil && !removed {
-			return current, VerdictKeep
+			return current, VerdictUnchanged
 		}
 		current.Previous = current.Acceptors
-		current.Acceptors = append(next, newcomer)
+		current.Acceptors = append(next, joiner)
 		current.SetEpoch++
 		return current, VerdictWrite
 	}
 }
 
-// Settle ends a change of the set.
-func Settle(current messages.RegisterValue) (messages.RegisterValue, Verdict) {
+// EndJoint ends a change of the set.
+func EndJoint(current messages.RegisterValue) (messages.RegisterValue, Verdict) {
 	if len(current.Previous) == 0 {
-		return current, VerdictKeep
+		return current, VerdictUnchanged
 	}
 	current.Previous = nil
 	current.SetEpoch++
 	return current, VerdictWrite
 }
 
-// Look changes nothing.
-func Look(current messages.RegisterValue) (messages.RegisterValue, Verdict) {
-	return current, VerdictKeep
+// ReadOnly changes nothing.
+func ReadOnly(current messages.RegisterValue) (messages.RegisterValue, Verdict) {
+	return current, VerdictUnchanged
 }
--- a/internal/control/register/stores_test.go
+++ b/internal/control/register/stores_test.go
@@ -55,7 +55,7 @@
 			if len(value.Retired) > 0 && remain < least {
 				rt.Fatalf("%d remain of at least %d: %d after %v", remain, least, result, before.Retired)
 			}
-			if slices.Contains(before.Retired, name) != (result == register.ResultAlready) {
+			if slices.Contains(before.Retired, name) != (result == register.ResultAlreadyApplied) {
 				rt.Fatalf("%s: %d, retired before: %v", name, result, before.Retired)
 			}
 		}
--- a/internal/control/register/tend.go
+++ b/internal/control/register/tend.go
@@ -6,34 +6,34 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Tending is what a process knows when it looks after the acceptor set.
-type Tending struct {
+// SetReconciler is what a process knows when it looks after the acceptor set.
+type SetReconciler struct {
 	Own messages.Member
 	// Votes says that this process may take a place: it has a disk of its own.
 	Votes bool
 	// Size is how many members bear the loss of the fault budget (2f + 1).
 	Size int
-	// Fresh says that a joint set has stood for a short time only: the newcomer, who
+	// JointRecent says that a joint set has stood for a short time only: the newcomer, who
 	// proposed it, ends it, and others stay out of its way.
-	Fresh bool
-	// Blank says of a member that it has no disk, and Gone that it was silent for
+	JointRecent bool
+	// Diskless says of a member that it has no disk, and Gone that it was silent for
 	// long; Gone is asked only where nothing else is to be done.
-	Blank func(member messages.Member) bool
-	Gone  func(member messages.Member) bool
+	Diskless func(member messages.Member) bool
+	Departed func(member messages.Member) bool
 }
 
-// Step gives the change of the set that this process should propose, or nil. Each
+// NextChange gives the change of the set that this process should propose, or nil. Each
 // process proposes only itself, and one change at a time.
-func (t Tending) Step(known messages.RegisterValue) Change {
+func (t SetReconciler) NextChange(known messages.RegisterValue) Change {
 	if len(known.Acceptors) == 0 {
 		return nil
 	}
 	if len(known.Previous) > 0 {
-		if t.Fresh && !newcomer(&known, t.Own) {
+		if t.JointRecent && !isJoiner(&known, t.Own) {
 			return nil
 		}
 		// Somebody's change was left half done.
-		return Settle
+		return EndJoint
 	}
 	if !t.Votes {
 		return nil
@@ -48,7 +48,7 @@
 			// The same machine with another disk: that member has no memory left.
 			return Join(t.Own, &member, t.Size)
 		}
-		if blank == nil && t.Blank != nil && t.Blank(member) {
+		if blank == nil && t.Diskless != nil && t.Diskless(member) {
 			blank = &member
 		}
 	}
@@ -59,25 +59,25 @@
 		return Join(t.Own, nil, t.Size)
 	}
 	for index := range known.Acceptors {
-		if member := known.Acceptors[index]; t.Gone(member) {
+		if member := known.Acceptors[index]; t.Departed(member) {
 			return Join(t.Own, &member, t.Size)
 		}
 	}
 	return nil
 }
 
-// newcomer tells whether a member is in a joint set's new half only.
-func newcomer(known *messages.RegisterValue, own messages.Member) bool {
+// isJoiner tells whether a member is in a joint set's new half only.
+func isJoiner(known *messages.RegisterValue, own messages.Member) bool {
 	in := func(members []messages.Member) bool {
 		return slices.ContainsFunc(members, func(member messages.Member) bool { return Identity(member) == Identity(own) })
 	}
 	return in(known.Acceptors) && !in(known.Previous)
 }
 
-// Bears tells whether the loss of the fault budget leaves a majority: what a
+// ToleratesBudget tells whether the loss of the fault budget leaves a majority: what a
 // smaller set acknowledged could be lost within the budget. Others is how many
 // processes with a disk stand outside and could still join.
-func Bears(value *messages.RegisterValue, size, others int) bool {
+func ToleratesBudget(value *messages.RegisterValue, size, others int) bool {
 	whole := min(size, len(value.Acceptors)+others)
 	return len(value.Acceptors) >= whole && (len(value.Previous) == 0 || len(value.Previous) >= whole)
 }
--- a/internal/control/register/trouble_test.go
+++ b/internal/control/register/trouble_test.go
@@ -75,7 +75,7 @@
 	// With b away the wiped a and the outdated c must not make a majority.
 	fleet.controllers["b"].down = true
 	decided := false
-	fleet.change("c", register.Look, 4, func(_ messages.RegisterValue, done bool) { decided = done })
+	fleet.change("c", register.ReadOnly, 4, func(_ messages.RegisterValue, done bool) { decided = done })
 	fleet.world.Run(fleet.world.Now.Add(clock.Milliseconds(4000)))
 	if decided {
 		t.Fatal("an amnesiac helped a majority")
@@ -91,7 +91,7 @@
 	fleet.change("a", register.Join(fleet.controllers["a"].member, &old, 3), 10, func(_ messages.RegisterValue, done bool) { joined = done })
 	fleet.world.Run(fleet.world.Now.Add(clock.Milliseconds(4000)))
 	settled := false
-	fleet.change("a", register.Settle, 10, func(value messages.RegisterValue, done bool) { settled = done && len(value.Previous) == 0 })
+	fleet.change("a", register.EndJoint, 10, func(value messages.RegisterValue, done bool) { settled = done && len(value.Previous) == 0 })
 	fleet.world.Run(fleet.world.Now.Add(clock.Milliseconds(4000)))
 	if !joined || !settled {
 		t.Fatal("the newcomer did not join")
@@ -113,12 +113,12 @@
 	var result register.Result
 	fleet.change("c", register.Replace(messages.Version{Generation: 2, Hash: "two"}, []byte("two"), &result), 5, func(messages.RegisterValue, bool) {})
 	fleet.world.Run(fleet.world.Now.Add(clock.Milliseconds(2000)))
-	if result != register.ResultAlready {
+	if result != register.ResultAlreadyApplied {
 		t.Fatalf("resent version got outcome %d", result)
 	}
 	fleet.change("c", register.Replace(messages.Version{Generation: 6, Base: 2, Hash: "six"}, []byte("six"), &result), 5, func(messages.RegisterValue, bool) {})
 	fleet.world.Run(fleet.world.Now.Add(clock.Milliseconds(2000)))
-	if result != register.ResultOther {
+	if result != register.ResultConflict {
 		t.Fatalf("change on an old base got outcome %d", result)
 	}
 }
@@ -175,9 +175,9 @@
 	if !prepare("b", young).Granted || !prepare("c", young).Granted || !accept("b", young, "Y") || !accept("c", young, "Y") {
 		t.Fatal("the later life was refused, so this history says nothing")
 	}
-	proposal, _ := register.Begin(register.NewBallot(9, "e", "disk", 1), messages.RegisterValue{Acceptors: fleet.controllers["a"].disk.First}, register.Look)
+	proposal, _ := register.NewProposal(register.NewBallot(9, "e", "disk", 1), messages.RegisterValue{Acceptors: fleet.controllers["a"].disk.First}, register.ReadOnly)
 	for _, name := range []string{"a", "b"} {
-		proposal.Promised(fleet.controllers[name].member, prepare(name, register.NewBallot(9, "e", "disk", 1)))
+		proposal.HandlePrepareResponse(fleet.controllers[name].member, prepare(name, register.NewBallot(9, "e", "disk", 1)))
 	}
 	if got := proposal.Value().Current.Hash; got != "Y" {
 		t.Fatalf("read %q, although Y was chosen", got)
@@ -215,7 +215,7 @@
 					fleet.change(name, register.Join(fleet.controllers[name].member, &out, 3), 10, func(_ messages.RegisterValue, done bool) {
 						if done {
 							joins++
-							fleet.change(name, register.Settle, 10, func(messages.RegisterValue, bool) {})
+							fleet.change(name, register.EndJoint, 10, func(messages.RegisterValue, bool) {})
 						}
 					})
 				}
--- a/internal/control/register/worst_test.go
+++ b/internal/control/register/worst_test.go
@@ -125,17 +125,17 @@
 	joint, _ := register.Join(fleet.controllers["d"].member, out, 4)(first)
 	ballot := register.NewBallot(1, "d", "d", 0)
 	fleet.controllers["c"].live.Accept(&messages.AcceptRequest{Ballot: ballot, Disk: "first", Value: joint})
-	proposal, _ := register.Begin(register.NewBallot(2, "e", "e", 0), joint, register.Settle)
+	proposal, _ := register.NewProposal(register.NewBallot(2, "e", "e", 0), joint, register.EndJoint)
 	var sends []register.Send
 	for _, name := range []string{"b", "c", "d"} {
 		node := fleet.controllers[name]
 		resp, _ := node.live.Prepare(&messages.PrepareRequest{Ballot: register.NewBallot(2, "e", "e", 0), Disk: node.member.Disk})
-		sends = append(sends, proposal.Promised(node.member, resp)...)
+		sends = append(sends, proposal.HandlePrepareResponse(node.member, resp)...)
 	}
 	if len(sends) == 0 {
 		t.Fatal("no second round, so this says nothing")
 	}
-	if value := sends[0].Accept.Value; len(value.Previous) == 0 || !proposal.Unfinished() {
+	if value := sends[0].Accept.Value; len(value.Previous) == 0 || !proposal.FinishedOther() {
 		t.Fatal("ended a joint set that no majority of the old set had accepted")
 	}
 }
--- a/internal/control/workers/lists_test.go
+++ b/internal/control/workers/lists_test.go
@@ -13,10 +13,10 @@
 	table := New(1_200_000_000)
 	expect := func(what string, named, entries int) {
 		t.Helper()
-		if got := len(table.Named("s")); got != named {
+		if got := len(table.ByService("s")); got != named {
 			t.Errorf("%s: %d of the service, want %d", what, got, named)
 		}
-		if got := len(table.Entries()); got != entries {
+		if got := len(table.Sorted()); got != entries {
 			t.Errorf("%s: %d in all, want %d", what, got, entries)
 		}
 	}
@@ -29,7 +29,7 @@
 	expect("one drains", 1, 2)
 	table.Merge(messages.Worker{ID: "v", Backend: "t", CallCount: 2}, 2)
 	expect("one serves another", 0, 2)
-	if entries := table.Entries(); entries[0].ID != "v" || entries[0].Backend != "t" || entries[1].ID != "w" {
+	if entries := table.Sorted(); entries[0].ID != "v" || entries[0].Backend != "t" || entries[1].ID != "w" {
 		t.Error(entries)
 	}
 	table.Forget(clock.Instant(2).Add(2 * constants.ForgetAfter))
--- a/internal/control/workers/table.go
+++ b/internal/control/workers/table.go
@@ -10,72 +10,72 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// MarkOf is the short hash by which a worker is named where its id is known to both
+// Hash is the short hash by which a worker is named where its id is known to both
 // sides. Two workers with one mark, a chance of one in 20,000 at 600 workers, only
 // vouch for each other's beats.
-func MarkOf(id string) uint32 {
+func Hash(id string) uint32 {
 	sum := fnv.New32a()
 	_, _ = sum.Write([]byte(id))
 	return sum.Sum32()
 }
 
-// sumOf stands for one versioned entry in the sum of the table.
-func sumOf(worker messages.Worker) uint64 {
+// checksum stands for one versioned entry in the sum of the table.
+func checksum(worker messages.Worker) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(worker.ID + "/" + strconv.FormatInt(worker.CallCount, 16) + "/" + strconv.Itoa(int(worker.Phase))))
 	return sum.Sum64()
 }
 
 // put keeps a changed entry. The table's sum moves with it.
-func (r *Registry) put(have *known, worker messages.Worker) {
+func (r *Registry) put(have *entry, worker messages.Worker) {
 	if have.change > 0 {
-		r.sum ^= sumOf(have.worker)
+		r.sum ^= checksum(have.worker)
 	}
-	r.clockValue++
-	r.changed()
-	have.worker, have.change = worker, r.clockValue
-	r.sum ^= sumOf(worker)
+	r.version++
+	r.invalidateLists()
+	have.worker, have.change = worker, r.version
+	r.sum ^= checksum(worker)
 }
 
-// changed drops the lists that were kept.
-func (r *Registry) changed() {
-	clear(r.named)
-	r.entries = nil
+// invalidateLists drops the lists that were kept.
+func (r *Registry) invalidateLists() {
+	clear(r.byService)
+	r.sorted = nil
 }
 
 // drop forgets an entry.
 func (r *Registry) drop(id string) {
-	have := r.workerList[id]
-	r.sum ^= sumOf(have.worker)
-	r.changed()
-	delete(r.workerList, id)
-	delete(r.marks, MarkOf(id))
-	delete(r.overdue, MarkOf(id))
+	entry := r.entries[id]
+	r.sum ^= checksum(entry.worker)
+	r.invalidateLists()
+	delete(r.entries, id)
+	delete(r.idByHash, Hash(id))
+	delete(r.overdue, Hash(id))
 }
 
 // Digest stands for the table: its versions, not its beats.
 func (r *Registry) Digest(incarnation int64) messages.Digest {
-	return messages.Digest{Incarnation: incarnation, Clock: r.clockValue, Sum: r.sum, Count: len(r.workerList)}
+	return messages.Digest{Incarnation: incarnation, Clock: r.version, Sum: r.sum, Count: len(r.entries)}
 }
 
-// Clock counts the changes.
-func (r *Registry) Clock() uint64 { return r.clockValue }
+// Version counts the changes.
+func (r *Registry) Version() uint64 { return r.version }
 
-// Beat takes a worker's own call and tells whether it changed anything that others
+// Heartbeat takes a worker's own call and tells whether it changed anything that others
 // must hear. A plain heartbeat changes nothing: the version of an entry is the count
 // of the call that last changed it.
-func (r *Registry) Beat(worker messages.Worker, now clock.Instant) bool {
-	have := r.workerList[worker.ID]
-	if have == nil {
+func (r *Registry) Heartbeat(worker messages.Worker, now clock.Instant) bool {
+	entry := r.entries[worker.ID]
+	if entry == nil {
 		changed := r.Merge(worker, now)
-		have = r.workerList[worker.ID]
-		have.latest, have.heard, have.direct = worker.CallCount, now, now
+		entry = r.entries[worker.ID]
+		entry.lastCallCount, entry.lastHeartbeat, entry.lastDirect = worker.CallCount, now, now
 		return changed
 	}
-	late := worker.CallCount <= max(have.latest, have.worker.CallCount)
-	have.latest = max(have.latest, worker.CallCount)
-	have.heard, have.direct = max(have.heard, now), now
-	was := have.worker
+	late := worker.CallCount <= max(entry.lastCallCount, entry.worker.CallCount)
+	entry.lastCallCount = max(entry.lastCallCount, worker.CallCount)
+	entry.lastHeartbeat, entry.lastDirect = max(entry.lastHeartbeat, now), now
+	was := entry.worker
 	same := worker.Address == was.Address && worker.Backend == was.Backend && worker.Capacity == was.Capacity &&
 		(worker.WarmupMs > 0) == (was.WarmupMs > 0)
 	if worker.Phase <= was.Phase && (late || same || worker.Backend == "") {
@@ -84,24 +84,24 @@
 	return r.Merge(worker, now)
 }
 
-// BeatenSince gives the marks of the workers whose calls were taken here after a
+// HeartbeatsSince gives the marks of the workers whose calls were taken here after a
 // moment.
-func (r *Registry) BeatenSince(instant clock.Instant) []uint32 {
+func (r *Registry) HeartbeatsSince(instant clock.Instant) []uint32 {
 	var hashes []uint32
-	for id, have := range r.workerList {
-		if have.direct > instant {
-			hashes = append(hashes, MarkOf(id))
+	for id, entry := range r.entries {
+		if entry.lastDirect > instant {
+			hashes = append(hashes, Hash(id))
 		}
 	}
 	sort.Slice(hashes, func(left, right int) bool { return hashes[left] < hashes[right] })
 	return hashes
 }
 
-// Vouched takes another controller's word on who has beaten there.
-func (r *Registry) Vouched(hashes []uint32, now clock.Instant) {
+// ConfirmHeartbeats takes another controller's word on who has beaten there.
+func (r *Registry) ConfirmHeartbeats(hashes []uint32, now clock.Instant) {
 	for _, hash := range hashes {
-		if have := r.workerList[r.marks[hash]]; have != nil {
-			have.heard = max(have.heard, now)
+		if entry := r.entries[r.idByHash[hash]]; entry != nil {
+			entry.lastHeartbeat = max(entry.lastHeartbeat, now)
 		}
 	}
 }
@@ -109,49 +109,49 @@
 // Overdue lists the steady workers that missed several beats, with their ages.
 func (r *Registry) Overdue(now clock.Instant) []messages.Overdue {
 	var found []messages.Overdue
-	for id, have := range r.workerList {
-		silence := now.Sub(have.heard)
-		if have.worker.Phase == messages.PhaseSteady && silence > constants.HeartbeatsSuspect*r.heartbeat {
-			found = append(found, messages.Overdue{WorkerHash: MarkOf(id), AgeMs: silence.Milliseconds()})
+	for id, entry := range r.entries {
+		silence := now.Sub(entry.lastHeartbeat)
+		if entry.worker.Phase == messages.PhaseSteady && silence > constants.HeartbeatsSuspect*r.heartbeatPeriod {
+			found = append(found, messages.Overdue{WorkerHash: Hash(id), AgeMs: silence.Milliseconds()})
 		}
 	}
 	sort.Slice(found, func(left, right int) bool { return found[left].WorkerHash < found[right].WorkerHash })
 	return found
 }
 
-// Judged takes a controller's list of all silent workers: whoever is not on it has
+// ApplyOverdue takes a controller's list of all silent workers: whoever is not on it has
 // beaten within the beats that may be missed. Of two words on one worker the younger
 // counts.
-func (r *Registry) Judged(list []messages.Overdue, now clock.Instant) {
+func (r *Registry) ApplyOverdue(list []messages.Overdue, now clock.Instant) {
 	next := map[uint32]bool{}
 	for _, overdue := range list {
-		have := r.workerList[r.marks[overdue.WorkerHash]]
-		if have == nil {
+		entry := r.entries[r.idByHash[overdue.WorkerHash]]
+		if entry == nil {
 			continue
 		}
-		have.heard = max(have.heard, now-clock.Instant(overdue.AgeMs)*1_000_000)
+		entry.lastHeartbeat = max(entry.lastHeartbeat, now-clock.Instant(overdue.AgeMs)*1_000_000)
 		if !r.overdue[overdue.WorkerHash] && r.confirmed > 0 {
-			have.heard = max(have.heard, r.confirmed-clock.Instant(constants.HeartbeatsSuspect*r.heartbeat))
+			entry.lastHeartbeat = max(entry.lastHeartbeat, r.confirmed-clock.Instant(constants.HeartbeatsSuspect*r.heartbeatPeriod))
 		}
 		next[overdue.WorkerHash] = true
 	}
 	r.overdue, r.confirmed = next, now
 }
 
-// silence is how long a worker has not been heard, by own ears or by a controller's.
-func (r *Registry) silence(id string, have *known, now clock.Instant) clock.Duration {
-	if r.overdue[MarkOf(id)] {
-		return now.Sub(have.heard)
+// silentFor is how long a worker has not been heard, by own ears or by a controller's.
+func (r *Registry) silentFor(id string, have *entry, now clock.Instant) clock.Duration {
+	if r.overdue[Hash(id)] {
+		return now.Sub(have.lastHeartbeat)
 	}
-	return now.Sub(max(have.heard, r.confirmed))
+	return now.Sub(max(have.lastHeartbeat, r.confirmed))
 }
 
 // Forget drops what was silent or gone for long. A process that controllers have told of
 // the silent ones forgets those only: its own deafness says nothing of the rest.
 func (r *Registry) Forget(now clock.Instant) {
-	for id, have := range r.workerList {
-		silent := r.confirmed == 0 || r.overdue[MarkOf(id)] || have.worker.Phase != messages.PhaseSteady
-		if silent && now.Sub(have.heard) > constants.ForgetAfter {
+	for id, entry := range r.entries {
+		silent := r.confirmed == 0 || r.overdue[Hash(id)] || entry.worker.Phase != messages.PhaseSteady
+		if silent && now.Sub(entry.lastHeartbeat) > constants.ForgetAfter {
 			r.drop(id)
 		}
 	}
--- a/internal/control/workers/table_test.go
+++ b/internal/control/workers/table_test.go
@@ -12,25 +12,25 @@
 
 func TestPlainBeatsChangeNothing(t *testing.T) {
 	registry := New(beat)
-	if !registry.Beat(worker(1, messages.PhaseSteady), 0) {
+	if !registry.Heartbeat(worker(1, messages.PhaseSteady), 0) {
 		t.Fatal("a new worker is a change")
 	}
 	was := registry.Digest(1)
 	for count := int64(2); count < 50; count++ {
-		if registry.Beat(worker(count, messages.PhaseSteady), clock.Instant(count*beat)) {
+		if registry.Heartbeat(worker(count, messages.PhaseSteady), clock.Instant(count*beat)) {
 			t.Fatal("a plain beat is told")
 		}
 	}
 	if registry.Digest(1) != was || len(registry.Since(was.Clock, 0)) != 0 {
 		t.Fatal("a plain beat moved the table")
 	}
-	if !registry.Beat(worker(50, messages.PhaseDraining), 50*beat) || registry.Digest(1) == was {
+	if !registry.Heartbeat(worker(50, messages.PhaseDraining), 50*beat) || registry.Digest(1) == was {
 		t.Fatal("a drain is no change")
 	}
-	if registry.Beat(worker(49, messages.PhaseSteady), 50*beat) || registry.Beat(worker(51, messages.PhaseSteady), 51*beat) {
+	if registry.Heartbeat(worker(49, messages.PhaseSteady), 50*beat) || registry.Heartbeat(worker(51, messages.PhaseSteady), 51*beat) {
 		t.Fatal("a drain was taken back")
 	}
-	if got := registry.BeatenSince(50 * beat); len(got) != 1 || got[0] != MarkOf("w") {
+	if got := registry.HeartbeatsSince(50 * beat); len(got) != 1 || got[0] != Hash("w") {
 		t.Fatal(got)
 	}
 }
@@ -76,26 +76,26 @@
 		now = clock.Instant(round * beat)
 		silent = silent[:0]
 		if round > constants.HeartbeatsSuspect {
-			silent = append(silent, messages.Overdue{WorkerHash: MarkOf("x"), AgeMs: (now / 1_000_000).Sub(0).Nanoseconds()})
+			silent = append(silent, messages.Overdue{WorkerHash: Hash("x"), AgeMs: (now / 1_000_000).Sub(0).Nanoseconds()})
 		}
-		registry.Judged(silent, now)
-		if registry.Standing("w", now, true) != StandingGood {
+		registry.ApplyOverdue(silent, now)
+		if registry.Status("w", now, true) != StatusHealthy {
 			t.Fatalf("round %d: a worker that beats is doubted", round)
 		}
-		want := StandingGood
+		want := StatusHealthy
 		switch {
 		case round > constants.HeartbeatsDeparted:
-			want = StandingOut
+			want = StatusUnavailable
 		case round > constants.HeartbeatsSuspect:
-			want = StandingSuspect
+			want = StatusSuspect
 		}
-		if got := registry.Standing("x", now, true); got != want {
+		if got := registry.Status("x", now, true); got != want {
 			t.Fatalf("round %d: %v", round, got)
 		}
 	}
 	// It comes back: the next list does not name it.
-	registry.Judged(nil, now)
-	if registry.Standing("x", now, true) != StandingGood {
+	registry.ApplyOverdue(nil, now)
+	if registry.Status("x", now, true) != StatusHealthy {
 		t.Fatal("still silent")
 	}
 	// Deaf for long: nothing is forgotten but what was known to be silent.
@@ -107,15 +107,15 @@
 
 func TestForgottenEntriesDoNotComeBack(t *testing.T) {
 	registry := New(beat)
-	gone := worker(3, messages.PhaseDeparted)
-	registry.Merge(gone, 0)
+	departed := worker(3, messages.PhaseDeparted)
+	registry.Merge(departed, 0)
 	sum := New(beat).Digest(0).Sum
 	registry.Forget(clock.Instant(0).Add(constants.ForgetAfter + 1))
 	if registry.Digest(0).Sum != sum {
 		t.Fatal("the sum keeps what was forgotten")
 	}
-	gone.AgeMs = constants.ForgetAfter.Milliseconds() + 1
-	if registry.Merge(gone, 0) {
+	departed.AgeMs = constants.ForgetAfter.Milliseconds() + 1
+	if registry.Merge(departed, 0) {
 		t.Fatal("taken back from one that has not forgotten yet")
 	}
 }
--- a/internal/control/workers/workers.go
+++ b/internal/control/workers/workers.go
@@ -10,35 +10,35 @@
 	"lemonarch/internal/platform/messages"
 )
 
-type known struct {
+type entry struct {
 	// worker holds the last change; its count is the version.
 	worker messages.Worker
-	// latest is the count of the last call, heard the last beat known of, direct the
+	// lastCallCount is the count of the last call, heard the last beat known of, direct the
 	// last one that was taken here.
-	latest        int64
-	heard, direct clock.Instant
-	change        uint64
+	lastCallCount             int64
+	lastHeartbeat, lastDirect clock.Instant
+	change                    uint64
 }
 
 // Registry is the soft state of registration.
 type Registry struct {
-	workerList map[string]*known
-	marks      map[uint32]string
-	heartbeat  clock.Duration
-	clockValue uint64
-	sum        uint64
+	entries         map[string]*entry
+	idByHash        map[uint32]string
+	heartbeatPeriod clock.Duration
+	version         uint64
+	sum             uint64
 	// overdue are the marks on the last list of silent workers, confirmed its moment.
 	overdue   map[uint32]bool
 	confirmed clock.Instant
-	// named are the lists by service and entries all, empty after a change.
-	named   map[string][]messages.Worker
-	entries []messages.Worker
+	// byService are the lists by service and entries all, empty after a change.
+	byService map[string][]messages.Worker
+	sorted    []messages.Worker
 }
 
 // New makes an empty workers.
 func New(heartbeat clock.Duration) *Registry {
-	return &Registry{workerList: map[string]*known{}, marks: map[uint32]string{}, heartbeat: heartbeat, overdue: map[uint32]bool{},
-		named: map[string][]messages.Worker{}}
+	return &Registry{entries: map[string]*entry{}, idByHash: map[uint32]string{}, heartbeatPeriod: heartbeat, overdue: map[uint32]bool{},
+		byService: map[string][]messages.Worker{}}
 }
 
 // Merge takes a versioned entry and tells whether it changed the table. Entries join:
@@ -46,16 +46,16 @@
 // and however often they come, so that all tables end alike.
 func (r *Registry) Merge(worker messages.Worker, now clock.Instant) bool {
 	age := clock.Duration(worker.AgeMs) * 1_000_000
-	heard := now - clock.Instant(age)
+	lastContact := now - clock.Instant(age)
 	worker.AgeMs = 0
-	have := r.workerList[worker.ID]
+	have := r.entries[worker.ID]
 	if have == nil {
 		if age > constants.ForgetAfter {
 			// Forgotten here, and not yet where it comes from.
 			return false
 		}
-		have = &known{heard: heard}
-		r.workerList[worker.ID], r.marks[MarkOf(worker.ID)] = have, worker.ID
+		have = &entry{lastHeartbeat: lastContact}
+		r.entries[worker.ID], r.idByHash[Hash(worker.ID)] = have, worker.ID
 		r.put(have, worker)
 		return true
 	}
@@ -68,7 +68,7 @@
 	}
 	worker.Phase = max(worker.Phase, was.Phase)
 	worker.CallCount = max(worker.CallCount, was.CallCount)
-	have.heard = max(have.heard, heard)
+	have.lastHeartbeat = max(have.lastHeartbeat, lastContact)
 	if worker == was {
 		return false
 	}
@@ -77,12 +77,12 @@
 }
 
 // Since gives the workers changed after a count, aged.
-func (r *Registry) Since(clockValue uint64, now clock.Instant) []messages.Worker {
+func (r *Registry) Since(version uint64, now clock.Instant) []messages.Worker {
 	var found []messages.Worker
-	for id, have := range r.workerList {
-		if have.change > clockValue {
-			worker := have.worker
-			worker.AgeMs = r.silence(id, have, now).Milliseconds()
+	for id, entry := range r.entries {
+		if entry.change > version {
+			worker := entry.worker
+			worker.AgeMs = r.silentFor(id, entry, now).Milliseconds()
 			found = append(found, worker)
 		}
 	}
@@ -92,73 +92,73 @@
 
 // Get finds a worker.
 func (r *Registry) Get(id string) (messages.Worker, bool) {
-	have := r.workerList[id]
-	if have == nil {
+	entry := r.entries[id]
+	if entry == nil {
 		return messages.Worker{}, false
 	}
-	return have.worker, true
+	return entry.worker, true
 }
 
-// Standing is how a worker looks by its heartbeats.
-type Standing int
+// Status is how a worker looks by its heartbeats.
+type Status int
 
 // The standings.
 const (
-	StandingGood Standing = iota
-	// StandingSuspect: several heartbeats are missing.
-	StandingSuspect
-	// StandingOut: draining, gone, or silent for long.
-	StandingOut
+	StatusHealthy Status = iota
+	// StatusSuspect: several heartbeats are missing.
+	StatusSuspect
+	// StatusUnavailable: draining, gone, or silent for long.
+	StatusUnavailable
 )
 
-// Standing judges a worker. listening is false while no controller was heard from
+// Status judges a worker. listening is false while no controller was heard from
 // lately: then silence says nothing about the workers.
-func (r *Registry) Standing(id string, now clock.Instant, listening bool) Standing {
-	have := r.workerList[id]
-	if have == nil || have.worker.Phase != messages.PhaseSteady {
-		return StandingOut
+func (r *Registry) Status(id string, now clock.Instant, listening bool) Status {
+	entry := r.entries[id]
+	if entry == nil || entry.worker.Phase != messages.PhaseSteady {
+		return StatusUnavailable
 	}
-	silence := r.silence(id, have, now)
+	silence := r.silentFor(id, entry, now)
 	switch {
 	case !listening:
-		return StandingGood
-	case silence > constants.HeartbeatsDeparted*r.heartbeat:
-		return StandingOut
-	case silence > constants.HeartbeatsSuspect*r.heartbeat+r.heartbeat/2:
-		return StandingSuspect
+		return StatusHealthy
+	case silence > constants.HeartbeatsDeparted*r.heartbeatPeriod:
+		return StatusUnavailable
+	case silence > constants.HeartbeatsSuspect*r.heartbeatPeriod+r.heartbeatPeriod/2:
+		return StatusSuspect
 	}
-	return StandingGood
+	return StatusHealthy
 }
 
 // All gives every worker, aged, in order.
 func (r *Registry) All(now clock.Instant) []messages.Worker { return r.Since(0, now) }
 
-// Entries gives all workers in order of their ids, without ages. The list is kept until
+// Sorted gives all workers in order of their ids, without ages. The list is kept until
 // the table changes, and must not be written to.
-func (r *Registry) Entries() []messages.Worker {
-	if r.entries == nil {
-		r.entries = make([]messages.Worker, 0, len(r.workerList))
-		for _, have := range r.workerList {
-			r.entries = append(r.entries, have.worker)
+func (r *Registry) Sorted() []messages.Worker {
+	if r.sorted == nil {
+		r.sorted = make([]messages.Worker, 0, len(r.entries))
+		for _, entry := range r.entries {
+			r.sorted = append(r.sorted, entry.worker)
 		}
-		sort.Slice(r.entries, func(left, right int) bool { return r.entries[left].ID < r.entries[right].ID })
+		sort.Slice(r.sorted, func(left, right int) bool { return r.sorted[left].ID < r.sorted[right].ID })
 	}
-	return r.entries
+	return r.sorted
 }
 
-// Named gives the steady workers of a service, in order of their ids. The list is kept
+// ByService gives the steady workers of a service, in order of their ids. The list is kept
 // until the table changes, and must not be written to.
-func (r *Registry) Named(service string) []messages.Worker {
-	found, kept := r.named[service]
-	if kept {
+func (r *Registry) ByService(service string) []messages.Worker {
+	found, retained := r.byService[service]
+	if retained {
 		return found
 	}
-	for _, have := range r.workerList {
-		if have.worker.Backend == service && have.worker.Phase == messages.PhaseSteady {
-			found = append(found, have.worker)
+	for _, entry := range r.entries {
+		if entry.worker.Backend == service && entry.worker.Phase == messages.PhaseSteady {
+			found = append(found, entry.worker)
 		}
 	}
 	sort.Slice(found, func(left, right int) bool { return found[left].ID < found[right].ID })
-	r.named[service] = found
+	r.byService[service] = found
 	return found
 }
--- a/internal/control/workers/workers_test.go
+++ b/internal/control/workers/workers_test.go
@@ -25,7 +25,7 @@
 	if got, _ := registry.Get("w"); got.Phase != messages.PhaseDraining {
 		t.Fatal(got.Phase)
 	}
-	if registry.Standing("w", 2, true) != StandingOut {
+	if registry.Status("w", 2, true) != StatusUnavailable {
 		t.Fatal("a draining worker may be placed on")
 	}
 }
@@ -34,7 +34,7 @@
 	registry := New(beat)
 	registry.Merge(messages.Worker{ID: "w", Phase: messages.PhaseDeparted, CallCount: 9}, 0)
 	registry.Merge(worker(8, messages.PhaseSteady), 1)
-	if registry.Standing("w", 1, true) != StandingOut {
+	if registry.Status("w", 1, true) != StatusUnavailable {
 		t.Fatal("a late heartbeat brought a gone worker back")
 	}
 }
@@ -43,11 +43,11 @@
 	registry := New(beat)
 	registry.Merge(worker(1, messages.PhaseSteady), 0)
 	suspect := clock.Instant(0).Add((constants.HeartbeatsSuspect + 1) * beat)
-	gone := clock.Instant(0).Add((constants.HeartbeatsDeparted + 1) * beat)
-	if registry.Standing("w", suspect, true) != StandingSuspect || registry.Standing("w", gone, true) != StandingOut {
+	departed := clock.Instant(0).Add((constants.HeartbeatsDeparted + 1) * beat)
+	if registry.Status("w", suspect, true) != StatusSuspect || registry.Status("w", departed, true) != StatusUnavailable {
 		t.Fatal("silence is not judged")
 	}
-	if registry.Standing("w", gone, false) != StandingGood {
+	if registry.Status("w", departed, false) != StatusHealthy {
 		t.Fatal("a node that hears no controller must go on with what it has")
 	}
 }
--- a/internal/platform/messages/lots.go
+++ b/internal/platform/messages/lots.go
@@ -36,17 +36,17 @@
 
 // Record is one durable fact about a lot. Lots, outputs and ends are never changed.
 type Record struct {
-	Index    int64      `msg:"x"`
-	Epoch    uint64     `msg:"e"`
-	Kind     RecordKind `msg:"k"`
-	Job      string     `msg:"l"`
-	Item     string     `msg:"i"`
-	Position int        `msg:"p"`
-	Dropped  bool       `msg:"d"`
-	AtMs     int64      `msg:"t"`
-	Route    string     `msg:"r"`
-	Host     string     `msg:"h"`
-	Body     []byte     `msg:"b"`
+	Index     int64      `msg:"x"`
+	Epoch     uint64     `msg:"e"`
+	Kind      RecordKind `msg:"k"`
+	Job       string     `msg:"l"`
+	Item      string     `msg:"i"`
+	Position  int        `msg:"p"`
+	Abandoned bool       `msg:"d"`
+	AtMs      int64      `msg:"t"`
+	Route     string     `msg:"r"`
+	Host      string     `msg:"h"`
+	Body      []byte     `msg:"b"`
 	// Acquisition is the acquisition whose acknowledgement this records, if any.
 	Acquisition uint64 `msg:"a"`
 	// Compressed says that the body of an output is compressed (DEFLATE).
--- a/internal/platform/messages/lots_gen.go
+++ b/internal/platform/messages/lots_gen.go
@@ -1361,7 +1361,7 @@
 	o = msgp.AppendInt(o, z.Position)
 	// string "d"
 	o = append(o, 0xa1, 0x64)
-	o = msgp.AppendBool(o, z.Dropped)
+	o = msgp.AppendBool(o, z.Abandoned)
 	// string "t"
 	o = append(o, 0xa1, 0x74)
 	o = msgp.AppendInt64(o, z.AtMs)
@@ -1438,9 +1438,9 @@
 				return
 			}
 		case "d":
-			z.Dropped, bts, err = msgp.ReadBoolBytes(bts)
+			z.Abandoned, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Dropped")
+				err = msgp.WrapError(err, "Abandoned")
 				return
 			}
 		case "t":
--- a/internal/platform/node/assignments.go
+++ b/internal/platform/node/assignments.go
@@ -11,7 +11,7 @@
 
 // assigned is what a process that is no controller knows of the assignments: its own part.
 type assigned struct {
-	board   assignments.Board
+	board   assignments.Table
 	pulling bool
 }
 
@@ -32,7 +32,7 @@
 	err := transport.Call(n.Transport, address, messages.KindPlanPull, &messages.PlanRequest{Node: n.Self.Name}, plan, constants.CallTimeout)
 	n.lock.Lock()
 	n.assigned.pulling = false
-	taken := err == nil && n.assigned.board.Take(*plan)
+	taken := err == nil && n.assigned.board.Apply(*plan)
 	n.lock.Unlock()
 	if taken {
 		n.Log.Info("assignments taken", "revision", plan.Revision, "generation", plan.Generation, "copies", len(plan.Placements))
@@ -43,7 +43,7 @@
 func (n *Node) Assigned() messages.PlanResponse {
 	n.lock.Lock()
 	defer n.lock.Unlock()
-	return n.assigned.board.Told()
+	return n.assigned.board.Plan()
 }
 
 func (n *Node) reportAssigned() *messages.StatusResponse {
--- a/internal/platform/node/exchange.go
+++ b/internal/platform/node/exchange.go
@@ -118,9 +118,9 @@
 // report asks one controller and takes its answer.
 func (n *Node) report(address string, brief bool) reportResult {
 	n.lock.Lock()
-	req := n.view.BriefQuestion()
+	req := n.view.BriefReport()
 	if !brief {
-		req = n.view.Question()
+		req = n.view.Report()
 	}
 	n.lock.Unlock()
 	resp := &messages.Shuffle{}
@@ -138,7 +138,7 @@
 	}
 	n.lock.Lock()
 	n.recordLocalities(resp.Entries)
-	n.view.Answered(req, resp, clock.Now())
+	n.view.HandleReportResponse(req, resp, clock.Now())
 	n.lock.Unlock()
 	n.observeEntries(resp.Entries)
 	n.observePlan(resp.PlanRevision, address)
@@ -167,7 +167,7 @@
 	n.lock.Lock()
 	var resp *messages.Shuffle
 	if n.Self.Role == membership.RoleController {
-		resp = n.view.Answer(req, clock.Now())
+		resp = n.view.RespondToReport(req, clock.Now())
 	} else {
 		resp = &messages.Shuffle{Entries: n.view.Offer(clock.Now())}
 	}
@@ -184,7 +184,7 @@
 func (n *Node) heard(entries []messages.NodeInfo) {
 	n.lock.Lock()
 	n.recordLocalities(entries)
-	n.view.Heard(entries, clock.Now())
+	n.view.Observe(entries, clock.Now())
 	n.lock.Unlock()
 	n.observeEntries(entries)
 }
--- a/internal/platform/node/node.go
+++ b/internal/platform/node/node.go
@@ -119,7 +119,7 @@
 func (n *Node) MarkContacted(key string) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
-	n.view.Touched(key, clock.Now())
+	n.view.MarkContacted(key, clock.Now())
 }
 
 // Live gives the processes of a role that were heard lately.
@@ -140,7 +140,7 @@
 func (n *Node) Drain() {
 	n.logTraffic(hclog.Info)
 	n.lock.Lock()
-	n.view.SetLeaving()
+	n.view.SetDraining()
 	n.lock.Unlock()
 	if n.Self.Role != membership.RoleController {
 		go n.exchange()
--- a/internal/platform/transport/line_test.go
+++ b/internal/platform/transport/line_test.go
@@ -118,9 +118,9 @@
 				_, _ = near.Write(text)
 			}
 		}()
-		got, answers := map[uint64]int{}, bufio.NewReader(near)
+		got, responses := map[uint64]int{}, bufio.NewReader(near)
 		for range want {
-			resp, err := readFrame(answers)
+			resp, err := readFrame(responses)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/tooling/explore/invariants.go
+++ b/internal/tooling/explore/invariants.go
@@ -73,10 +73,10 @@
 	if run.version.Generation == 0 {
 		return
 	}
-	if result.Stands() && !f.wasChosen(run.version) {
+	if result.InForce() && !f.wasChosen(run.version) {
 		f.broken = fmt.Errorf("acknowledged and never chosen: %v", run.version)
 	}
-	if !result.Stands() && f.wasChosen(run.version) {
+	if !result.InForce() && f.wasChosen(run.version) {
 		f.broken = fmt.Errorf("refused and chosen: %v", run.version)
 	}
 	run.told = true
--- a/internal/tooling/explore/leaseworld_test.go
+++ b/internal/tooling/explore/leaseworld_test.go
@@ -25,7 +25,7 @@
 	begun clock.Instant
 	// grants and view are the acceptor: its side of the lease, and the duty as its
 	// register value names it.
-	grants *lease.Grants
+	grants *lease.Grantor
 	view   messages.Leadership
 	// hold, term and read are the candidate: term is its duty while it holds one, and
 	// read the newest duty that it knows.
@@ -63,7 +63,7 @@
 	one := &leaseWorld{}
 	for place := range one.nodes {
 		rate := rapid.Float64Range(slowest, fastest).Draw(rt, "rate")
-		one.nodes[place] = leaseNode{rate: rate, name: fmt.Sprint("n", place), life: 1, grants: lease.NewGrants(0, true)}
+		one.nodes[place] = leaseNode{rate: rate, name: fmt.Sprint("n", place), life: 1, grants: lease.NewGrantor(0, true)}
 	}
 	return one
 }
@@ -88,7 +88,7 @@
 func (l *leaseWorld) ask(rt *rapid.T) {
 	place := drawNode(rt)
 	node := &l.nodes[place]
-	if node.term.Epoch > 0 && !node.hold.Stands(l.clock(place)) {
+	if node.term.Epoch > 0 && !node.hold.Valid(l.clock(place)) {
 		node.term = messages.Leadership{}
 	}
 	question := messages.LeaseRequest{Candidate: node.name, Incarnation: node.life, Epoch: node.read.Epoch}
@@ -107,7 +107,7 @@
 	for target := range l.nodes {
 		l.send(fmt.Sprintf("%v to n%d", current.question, target), func(*rapid.T) {
 			acceptor := &l.nodes[target]
-			answer := acceptor.grants.Ask(current.question, acceptor.view, l.clock(target))
+			answer := acceptor.grants.Grant(current.question, acceptor.view, l.clock(target))
 			l.send(fmt.Sprintf("n%d answers %v: %v", target, current.question, answer), func(rt *rapid.T) {
 				l.hear(rt, current, target, answer)
 			})
@@ -160,7 +160,7 @@
 
 // release gives back what was granted.
 func (l *leaseWorld) release(node *leaseNode, place int) {
-	node.hold.Drop()
+	node.hold.Revoke()
 	node.term = messages.Leadership{}
 	l.post(&round{from: place, question: messages.LeaseRequest{Candidate: node.name, Incarnation: node.life, Epoch: node.read.Epoch, Release: true}})
 }
@@ -212,7 +212,7 @@
 func (l *leaseWorld) restart(rt *rapid.T) {
 	node := &l.nodes[drawNode(rt)]
 	node.begun, node.life, node.turn = l.now, node.life+1, 0
-	node.grants, node.hold, node.current = lease.NewGrants(0, false), lease.Hold{}, nil
+	node.grants, node.hold, node.current = lease.NewGrantor(0, false), lease.Hold{}, nil
 	node.term, node.read = messages.Leadership{}, messages.Leadership{}
 }
 
@@ -220,7 +220,7 @@
 	standing := ""
 	count := 0
 	for place := range l.nodes {
-		if node := &l.nodes[place]; node.term.Epoch > 0 && node.hold.Stands(l.clock(place)) {
+		if node := &l.nodes[place]; node.term.Epoch > 0 && node.hold.Valid(l.clock(place)) {
 			standing += fmt.Sprintf(" %s in epoch %d", node.name, node.term.Epoch)
 			count++
 		}
--- a/internal/tooling/explore/steps.go
+++ b/internal/tooling/explore/steps.go
@@ -52,9 +52,9 @@
 	if at.proposer.version.Generation > 0 {
 		return register.Replace(at.proposer.version, []byte(at.proposer.version.Hash), result)
 	}
-	tending := register.Tending{Own: at.member(), Votes: true, Size: modelSize,
-		Gone: func(member messages.Member) bool { return member.Address == f.plan.Suspect }}
-	change := tending.Step(*known)
+	tending := register.SetReconciler{Own: at.member(), Votes: true, Size: modelSize,
+		Departed: func(member messages.Member) bool { return member.Address == f.plan.Suspect }}
+	change := tending.NextChange(*known)
 	if change == nil || !f.plan.SettleAtOnce {
 		return change
 	}
@@ -107,12 +107,12 @@
 func (f *fleet) play(place int, result *register.Result) (*register.Proposal, []register.Send) {
 	run := f.processes[place].proposer
 	known := f.table.at(run.known)
-	proposal, sends := register.Begin(run.ballot, *known, f.change(place, known, result))
+	proposal, sends := register.NewProposal(run.ballot, *known, f.change(place, known, result))
 	for _, got := range run.answers {
 		if got.promise != nil {
-			sends = proposal.Promised(got.member, *got.promise)
+			sends = proposal.HandlePrepareResponse(got.member, *got.promise)
 		} else {
-			proposal.Taken(got.member, *got.accepted)
+			proposal.HandleAcceptResponse(got.member, *got.accepted)
 			sends = nil
 		}
 	}
--- a/internal/tooling/hollowfleet/backlog.go
+++ b/internal/tooling/hollowfleet/backlog.go
@@ -22,7 +22,7 @@
 	})
 }
 
-// tendBacklog makes the deliveries that are due.
+// retryBacklog makes the deliveries that are due.
 func (r *registrations) tendBacklog(node *Node, own *table) {
 	if len(own.backlog.Names()) == 0 {
 		return
--- a/internal/tooling/hollowfleet/contacts.go
+++ b/internal/tooling/hollowfleet/contacts.go
@@ -87,10 +87,10 @@
 func (c *contacts) answered(node *Node, member messages.Member, asked clock.Instant, told *messages.ContactResponse) {
 	own := c.stateOf(node)
 	member.Disk = told.Disk
-	accepted := contact.Followed{SetEpoch: told.SetEpoch, Generation: told.Generation}
-	followed := contact.Followed{SetEpoch: c.sets(node).SetEpoch, Generation: node.generation}
+	accepted := contact.Versions{SetEpoch: told.SetEpoch, Generation: told.Generation}
+	followed := contact.Versions{SetEpoch: c.sets(node).SetEpoch, Generation: node.generation}
 	ahead := false
-	node.step(CoreContact, func() { ahead = own.lease.Answered(member, asked, accepted, followed) })
+	node.step(CoreContact, func() { ahead = own.lease.Observe(member, asked, accepted, followed) })
 	if !ahead || own.catching {
 		return
 	}
--- a/internal/tooling/hollowfleet/controllers.go
+++ b/internal/tooling/hollowfleet/controllers.go
@@ -31,9 +31,9 @@
 		since = one.told
 	}
 	view := r.fleet.members.view(node)
-	beat := &messages.ControllerHeartbeat{From: view.Own(), Workers: own.registry.Digest(node.own.Incarnation), SeenWorkers: own.registry.BeatenSince(since),
-		Processes: view.Digest(), Generation: view.Own().Generation}
-	beat.SeenNodes, beat.LaggingNodes = view.MetSince(since)
+	beat := &messages.ControllerHeartbeat{From: view.Self(), Workers: own.registry.Digest(node.own.Incarnation), SeenWorkers: own.registry.HeartbeatsSince(since),
+		Processes: view.Digest(), Generation: view.Self().Generation}
+	beat.SeenNodes, beat.LaggingNodes = view.ContactedSince(since)
 	return beat
 }
 
@@ -72,7 +72,7 @@
 	}
 }
 
-// heardBeat takes another controller's report, and pulls what its tables have beyond ours.
+// handleControllerHeartbeat takes another controller's report, and pulls what its tables have beyond ours.
 func (r *registrations) heardBeat(node *Node, own *table, beat *messages.ControllerHeartbeat, told clock.Instant) {
 	members, now, key := r.fleet.members, node.now(), membership.Key(beat.From)
 	members.heard(node, []messages.NodeInfo{beat.From})
@@ -82,9 +82,9 @@
 		own.peers[key] = one
 	}
 	one.told = told
-	own.registry.Vouched(beat.SeenWorkers, now)
+	own.registry.ConfirmHeartbeats(beat.SeenWorkers, now)
 	view := members.view(node)
-	view.Vouched(beat, now)
+	view.HandleHeartbeat(beat, now)
 	if since, ask := behind(&one.registrations, beat.Workers, own.registry.Digest(node.own.Incarnation)); ask {
 		back := &messages.WorkersUpdate{}
 		node.ask(CoreWorkers, beat.From.Address, messages.KindWorkersPull, &messages.WorkersPullRequest{Since: since}, back, constants.CallTimeout, func(reached bool) {
--- a/internal/tooling/hollowfleet/copies.go
+++ b/internal/tooling/hollowfleet/copies.go
@@ -8,12 +8,12 @@
 
 // feed sends a store what it lacks, one order at a time.
 func (s *storage) feed(node *Node, own *storeState, member messages.Member, identity string) {
-	next := own.replication.MatchOf(identity) + 1
+	next := own.replication.MatchIndex(identity) + 1
 	if own.sending[identity] || next > own.replication.Last() {
 		return
 	}
 	own.sending[identity] = true
-	order := &messages.AppendRequest{Epoch: lotEpoch, Disk: member.Disk, PreviousIndex: next - 1, CommitIndex: own.replication.Done()}
+	order := &messages.AppendRequest{Epoch: lotEpoch, Disk: member.Disk, PreviousIndex: next - 1, CommitIndex: own.replication.CommitIndex()}
 	if next > 1 {
 		order.PreviousEpoch = lotEpoch
 	}
@@ -26,7 +26,7 @@
 		own.sending[identity] = false
 		if answer.Granted {
 			node.step(CoreLots, func() {
-				if own.replication.Matched(identity, answer.Last) {
+				if own.replication.UpdateMatch(identity, answer.Last) {
 					s.apply(node, own)
 				}
 			})
@@ -53,7 +53,7 @@
 
 // apply takes what became durable into the book.
 func (s *storage) apply(node *Node, own *storeState) {
-	for own.applied < own.replication.Done() {
+	for own.applied < own.replication.CommitIndex() {
 		record := own.recent[own.applied+1-own.first]
 		_ = own.book.Apply(&record)
 		switch record.Kind {
@@ -62,7 +62,7 @@
 			delete(own.begun, record.Job)
 		case messages.RecordOutput:
 			s.listed++
-			if lot := own.book.Lot(record.Job); lot != nil && len(lot.Listings) == lot.Sum() {
+			if lot := own.book.Job(record.Job); lot != nil && len(lot.Listings) == lot.Total() {
 				// Read by its client at once, in this world.
 				s.submit(node, own, messages.Record{Kind: messages.RecordForget, Job: record.Job})
 			}
@@ -71,7 +71,7 @@
 	}
 	kept := own.durable[:0]
 	for _, one := range own.durable {
-		if one.index > own.replication.Done() {
+		if one.index > own.replication.CommitIndex() {
 			kept = append(kept, one)
 			continue
 		}
@@ -81,7 +81,7 @@
 	// What is on all stores is given back; one that lags keeps it here.
 	keep := own.applied
 	for _, member := range s.members {
-		keep = min(keep, own.replication.MatchOf(member.Address+"#"+member.Disk))
+		keep = min(keep, own.replication.MatchIndex(member.Address+"#"+member.Disk))
 	}
 	if excess := keep + 1 - own.first; excess > 0 {
 		own.recent = append([]messages.Record(nil), own.recent[excess:]...)
--- a/internal/tooling/hollowfleet/dispatch.go
+++ b/internal/tooling/hollowfleet/dispatch.go
@@ -27,8 +27,8 @@
 // beginDispatch lets the holder hand items out and take acknowledgements.
 func (s *storage) beginDispatch(node *Node, own *storeState) {
 	own.dispatcher = lots.NewDispatcher(own.book, lotEpoch, 1, constants.LockUnstated, node.now())
-	own.dispatcher.Submit = func(record messages.Record) int64 { return s.submit(node, own, record) }
-	terms := func(lot *lots.Lot) lots.Terms { return lots.Terms{Due: lot.SentMs + 3_600_000} }
+	own.dispatcher.Append = func(record messages.Record) int64 { return s.submit(node, own, record) }
+	terms := func(lot *lots.Job) lots.JobTerms { return lots.JobTerms{Due: lot.SubmittedMs + 3_600_000} }
 	node.answerers[messages.KindAcquire] = func(body []byte, reply func(transport.Marshaler)) {
 		question := &messages.AcquireRequest{}
 		node.step(CoreLots, func() { _ = transport.Decode(body, question) })
@@ -42,22 +42,22 @@
 			}
 		})
 	}
-	node.every(constants.TickPeriod, func() { node.step(CoreLots, func() { own.dispatcher.Lapse(node.now()) }) })
-	node.every(constants.ExpirePeriod, func() { node.step(CoreLots, func() { own.dispatcher.Expire(terms, node.now()) }) })
+	node.every(constants.TickPeriod, func() { node.step(CoreLots, func() { own.dispatcher.ExpireLocks(node.now()) }) })
+	node.every(constants.ExpirePeriod, func() { node.step(CoreLots, func() { own.dispatcher.AbandonExpired(terms, node.now()) }) })
 }
 
 // acquire hands items out, or looks again a little later while there are none.
-func (s *storage) acquire(node *Node, own *storeState, question *messages.AcquireRequest, begun clock.Instant, terms func(*lots.Lot) lots.Terms, reply func(transport.Marshaler)) {
+func (s *storage) acquire(node *Node, own *storeState, question *messages.AcquireRequest, begun clock.Instant, terms func(*lots.Job) lots.JobTerms, reply func(transport.Marshaler)) {
 	answer := &messages.AcquireResponse{LockMs: clock.ToMilliseconds(own.dispatcher.Lock), WaitedMs: clock.ToMilliseconds(node.now().Sub(begun))}
 	node.step(CoreLots, func() {
-		ask := &lots.AcquireAsk{Driver: lots.Driver{Name: question.Executor, Life: question.Incarnation, Address: question.Address},
-			Room: map[string]int{}, Terms: terms, Service: func(*lots.Item) string { return itemService }}
+		ask := &lots.AcquireOptions{Executor: lots.Executor{Name: question.Executor, Incarnation: question.Incarnation, Address: question.Address},
+			Capacity: map[string]int{}, Terms: terms, Service: func(*lots.Item) string { return itemService }}
 		for _, room := range question.Capacity {
-			ask.Room[room.Service] = room.Count
+			ask.Capacity[room.Service] = room.Count
 		}
 		for _, one := range own.dispatcher.Acquire(ask, node.now()) {
-			answer.Items = append(answer.Items, messages.AcquiredItem{Number: one.Number, Job: one.Item.Lot.ID, Host: one.Item.Lot.Host,
-				Path: one.Item.Lot.Path, SubmittedMs: one.Item.Lot.SentMs, Item: one.Item.JobItem})
+			answer.Items = append(answer.Items, messages.AcquiredItem{Number: one.Number, Job: one.Item.Job.ID, Host: one.Item.Job.Host,
+				Path: one.Item.Job.Path, SubmittedMs: one.Item.Job.SubmittedMs, Item: one.Item.JobItem})
 		}
 	})
 	if len(answer.Items) > 0 || node.now().Sub(begun) >= constants.AcquireWait {
@@ -69,14 +69,14 @@
 
 // acknowledge takes a batch; what needs a record is answered once that is durable.
 func (s *storage) acknowledge(node *Node, own *storeState, question *messages.AcknowledgeRequest, reply func(transport.Marshaler)) {
-	driver := lots.Driver{Name: question.Executor, Life: question.Incarnation, Address: question.Address}
+	driver := lots.Executor{Name: question.Executor, Incarnation: question.Incarnation, Address: question.Address}
 	answer, last := &messages.AcknowledgeResponse{}, int64(0)
 	for place := range question.Entries {
 		step := own.dispatcher.Acknowledge(driver, &question.Entries[place], node.now())
 		last = max(last, step.Index)
 		answer.Verdicts = append(answer.Verdicts, step.Verdict)
 	}
-	if last <= own.replication.Done() {
+	if last <= own.replication.CommitIndex() {
 		reply(answer)
 		return
 	}
@@ -125,9 +125,9 @@
 		if !reached {
 			return
 		}
-		for _, task := range own.core.Take(answer, asked, node.now()) {
+		for _, task := range own.core.Add(answer, asked, node.now()) {
 			own.running++
-			task.Begun = true
+			task.Started = true
 			node.after(clock.Milliseconds(s.fleet.Plan.HeldMs*(0.5+node.random.Float64())), func() {
 				own.running--
 				s.finish(node, own, task)
@@ -141,7 +141,7 @@
 func (s *storage) finish(node *Node, own *driverState, task *itemdriver.Task) {
 	node.step(CoreDriver, func() {
 		entry := messages.Acknowledgement{Kind: messages.AckAccept, Output: []byte(fmt.Sprintf("%*d", s.fleet.Plan.ItemBytes, task.Number))}
-		if !task.May(node.now()) {
+		if !task.MayRun(node.now()) {
 			entry = messages.Acknowledgement{Kind: messages.AckRelease}
 		}
 		own.core.Done(task, entry)
@@ -153,7 +153,7 @@
 // speak sends what is owed, one message at a time, and repeats what is not answered.
 func (s *storage) speak(node *Node, own *driverState) {
 	var batch []messages.Acknowledgement
-	node.step(CoreDriver, func() { batch = append(own.core.Results(), own.core.Returns()...) })
+	node.step(CoreDriver, func() { batch = append(own.core.Results(), own.core.Releases()...) })
 	if own.speaking || len(batch) == 0 {
 		return
 	}
@@ -164,7 +164,7 @@
 			node.after(constants.AckBackoff, func() { s.speak(node, own) })
 			return
 		}
-		own.core.Answered(batch, answer.Verdicts)
+		own.core.HandleVerdicts(batch, answer.Verdicts)
 		s.speak(node, own)
 	})
 }
@@ -182,7 +182,7 @@
 			own.renewed = 0
 			return
 		}
-		s.halt(own.core.Renewed(entries, answer.Verdicts, asked, own.lock))
+		s.halt(own.core.HandleRenewals(entries, answer.Verdicts, asked, own.lock))
 	})
 }
 
--- a/internal/tooling/hollowfleet/lots.go
+++ b/internal/tooling/hollowfleet/lots.go
@@ -33,8 +33,8 @@
 	driver  *driverState
 	// The holder's: the dispatcher, and the records that are not on all stores yet.
 	dispatcher  *lots.Dispatcher
-	replication *lots.Press
-	book        *lots.Book
+	replication *lots.Replicator
+	book        *lots.JobTable
 	recent      []messages.Record
 	first       int64
 	applied     int64
@@ -89,7 +89,7 @@
 	if node != s.holder {
 		return own
 	}
-	own.replication, own.book = lots.NewPress(lotEpoch, s.members, lotBudget, 1), lots.NewBook()
+	own.replication, own.book = lots.NewReplicator(lotEpoch, s.members, lotBudget, 1), lots.NewJobTable()
 	own.first, own.sending, own.begun = 1, map[string]bool{}, map[string]clock.Instant{}
 	node.answerers[messages.KindJobCall] = reads(node, CoreLots, func(call *messages.JobCallRequest) transport.Marshaler {
 		own.begun[call.Job] = node.now()
@@ -133,7 +133,7 @@
 	return answer
 }
 
-// handIn gives the holder a new lot from some edge process.
+// submitJob gives the holder a new lot from some edge process.
 func (s *storage) handIn() {
 	edges := s.fleet.live(membership.RoleGateway)
 	if len(edges) == 0 || s.holder == nil || s.holder.down {
@@ -159,7 +159,7 @@
 
 // submit makes a record at the holder and has it copied.
 func (s *storage) submit(node *Node, own *storeState, record messages.Record) int64 {
-	record.Index, record.Epoch = own.replication.Take(), lotEpoch
+	record.Index, record.Epoch = own.replication.NextIndex(), lotEpoch
 	own.recent = append(own.recent, record)
 	for _, member := range s.members {
 		s.feed(node, own, member, register.Identity(member))
--- a/internal/tooling/hollowfleet/members.go
+++ b/internal/tooling/hollowfleet/members.go
@@ -33,7 +33,7 @@
 		if node.places() {
 			return &messages.Shuffle{Entries: own.view.Offer(node.now())}
 		}
-		answer := own.view.Answer(question, node.now())
+		answer := own.view.RespondToReport(question, node.now())
 		m.fleet.registrations.addWorkers(node, answer)
 		return answer
 	})
@@ -113,7 +113,7 @@
 }
 
 func (m *memberList) heard(node *Node, entries []messages.NodeInfo) {
-	m.view(node).Heard(entries, node.now())
+	m.view(node).Observe(entries, node.now())
 	m.saw(node, entries)
 }
 
@@ -127,7 +127,7 @@
 
 // touched notes direct contact with a process.
 func (m *memberList) touched(node *Node, key string) {
-	m.view(node).Touched(key, node.now())
+	m.view(node).MarkContacted(key, node.now())
 }
 
 // all gives every entry, those silent for some time included.
--- a/internal/tooling/hollowfleet/probe.go
+++ b/internal/tooling/hollowfleet/probe.go
@@ -92,11 +92,11 @@
 	probe.BodyBytes = len(record.Body)
 	probe.Fits = len(record.Body) < constants.FrameLimit
 	before := heapBytes()
-	book := lots.NewBook()
+	book := lots.NewJobTable()
 	probe.TakeMs = timed(func() { _ = book.Apply(record) }) / 1e6
 	probe.HeapMB = (heapBytes() - before) / (1 << 20)
-	probe.WaitingMs = timed(func() { book.Waiting(func(*lots.Lot) bool { return true }) }) / 1e6
-	lot := book.Lot(record.Job)
+	probe.WaitingMs = timed(func() { book.Waiting(func(*lots.Job) bool { return true }) }) / 1e6
+	lot := book.Job(record.Job)
 	stride := max(1, size/sampledOutputs)
 	count, spent := 0, 0.0
 	for place := 0; place < size; place += stride {
@@ -109,7 +109,7 @@
 	before = heapBytes()
 	replica := lots.NewReplica("disk")
 	for place := 0; place <= size; place++ {
-		replica.Put(&messages.Record{Epoch: lotEpoch, Kind: messages.RecordOutput, Job: record.Job}, int64(place))
+		replica.Add(&messages.Record{Epoch: lotEpoch, Kind: messages.RecordOutput, Job: record.Job}, int64(place))
 	}
 	probe.ReplicaKB = (heapBytes() - before) / 1024
 	runtime.KeepAlive(replica)
--- a/internal/tooling/hollowfleet/propose.go
+++ b/internal/tooling/hollowfleet/propose.go
@@ -17,7 +17,7 @@
 	var sends []register.Send
 	node.step(CoreRegister, func() {
 		ballot := register.NewBallot(own.counter, node.own.Name, firstDisk, node.own.Incarnation)
-		proposal, sends = register.Begin(ballot, own.known, change)
+		proposal, sends = register.NewProposal(ballot, own.known, change)
 	})
 	settled := false
 	look := func() {
@@ -36,9 +36,9 @@
 				var more []register.Send
 				node.step(CoreRegister, func() {
 					if promise != nil {
-						more = proposal.Promised(send.Member, *promise)
+						more = proposal.HandlePrepareResponse(send.Member, *promise)
 					} else {
-						proposal.Taken(send.Member, *accepted)
+						proposal.HandleAcceptResponse(send.Member, *accepted)
 					}
 				})
 				carry(more)
--- a/internal/tooling/hollowfleet/register.go
+++ b/internal/tooling/hollowfleet/register.go
@@ -31,7 +31,7 @@
 // registerState is what a controller keeps of the register.
 type registerState struct {
 	acceptor *register.Acceptor
-	grants   *lease.Grants
+	grants   *lease.Grantor
 	known    messages.RegisterValue
 	counter  uint64
 	body     []byte
@@ -79,7 +79,7 @@
 		node.after(constants.StartBackoff*2, func() { c.pull(node) })
 		return &follower{}
 	}
-	own := &registerState{acceptor: acceptor, grants: lease.NewGrants(node.now(), node.life == 1), known: c.first}
+	own := &registerState{acceptor: acceptor, grants: lease.NewGrantor(node.now(), node.life == 1), known: c.first}
 	node.answerers[messages.KindPrepare] = reads(node, CoreRegister, func(question *messages.PrepareRequest) transport.Marshaler {
 		answer, _ := acceptor.Prepare(question)
 		return &answer
@@ -89,7 +89,7 @@
 		return &answer
 	})
 	node.answerers[messages.KindLease] = reads(node, CoreHolds, func(question *messages.LeaseRequest) transport.Marshaler {
-		answer := own.grants.Ask(*question, acceptor.Value().Leadership, node.now())
+		answer := own.grants.Grant(*question, acceptor.Value().Leadership, node.now())
 		return &answer
 	})
 	node.answerers[messages.KindConfigPull] = reads(node, CoreConfig, func(*messages.ConfigPull) transport.Marshaler {
--- a/internal/tooling/hollowfleet/second_report.go
+++ b/internal/tooling/hollowfleet/second_report.go
@@ -60,9 +60,9 @@
 	}
 	var question *messages.Shuffle
 	node.step(CoreMembership, func() {
-		question = view.BriefQuestion()
+		question = view.BriefReport()
 		if !brief {
-			question = view.Question()
+			question = view.Report()
 		}
 	})
 	answer := &messages.Shuffle{}
@@ -79,7 +79,7 @@
 			then(result)
 			return
 		}
-		view.Answered(question, answer, node.now())
+		view.HandleReportResponse(question, answer, node.now())
 		m.saw(node, answer.Entries)
 		m.fleet.registrations.heardController(node, address, answer)
 		then(result)
--- a/internal/tooling/hollowfleet/tree.go
+++ b/internal/tooling/hollowfleet/tree.go
@@ -14,7 +14,7 @@
 // propagation is an update on its way down the tree.
 type propagation struct {
 	begun clock.Instant
-	job   *broadcast.Job
+	job   *broadcast.Tree
 	// waiting are those told once it is done.
 	waiting []func()
 }
@@ -66,7 +66,7 @@
 	one := &propagation{begun: node.now()}
 	var sends []broadcast.Send
 	directory := r.directory(node, update.Generation)
-	node.step(core, func() { one.job, sends = broadcast.Fleet(node.own, directory, fan(update), node.now()) })
+	node.step(core, func() { one.job, sends = broadcast.NewTree(node.own, directory, fan(update), node.now()) })
 	told := onceOf(done)
 	one.waiting = append(one.waiting, told)
 	if update.Generation > 0 {
@@ -83,11 +83,11 @@
 		for _, send := range sends {
 			r.send(node, core, update, send, func(missing []uint32, reached bool) {
 				if reached {
-					follow(one.job.Took(send, missing, node.now()))
+					follow(one.job.HandleResponse(send, missing, node.now()))
 					return
 				}
-				next := one.job.Failed(send, node.now())
-				if entry := one.job.Told(send); send.Step == broadcast.StepTell && entry.Address != "" {
+				next := one.job.HandleFailure(send, node.now())
+				if entry := one.job.Receiver(send); send.Step == broadcast.StepDeliver && entry.Address != "" {
 					r.addToBacklog(node, update, []messages.NodeInfo{entry}, constants.BacklogBackoff)
 				}
 				follow(next)
@@ -144,7 +144,7 @@
 		expect := update.Expect[:0:0]
 		has := map[uint32]bool{}
 		for _, entry := range r.directory(node, 0) {
-			has[membership.MarkOf(entry)] = update.Generation > 0 && entry.Generation >= update.Generation
+			has[membership.Hash(entry)] = update.Generation > 0 && entry.Generation >= update.Generation
 		}
 		for _, mark := range update.Expect {
 			if !has[mark] {
@@ -153,7 +153,7 @@
 		}
 		one := &propagation{begun: node.now()}
 		var sends []broadcast.Send
-		one.job, sends = broadcast.Zone(node.own, r.directory(node, update.Generation), expect, fan(update), node.now())
+		one.job, sends = broadcast.NewZoneTree(node.own, r.directory(node, update.Generation), expect, fan(update), node.now())
 		own.relays[relayKey(update.From, update.Sequence)] = one
 		node.after(0, func() { r.deliver(node, coreOf(update), update, one, sends) })
 		return taken()
--- a/internal/tooling/hollowfleet/workers.go
+++ b/internal/tooling/hollowfleet/workers.go
@@ -185,7 +185,7 @@
 	own := r.table(node)
 	changed := false
 	node.step(CoreWorkers, func() {
-		changed = own.registry.Beat(worker, node.now())
+		changed = own.registry.Heartbeat(worker, node.now())
 		worker, _ = own.registry.Get(worker.ID)
 	})
 	if !changed {
--- a/internal/tooling/linearize/fleet.go
+++ b/internal/tooling/linearize/fleet.go
@@ -106,8 +106,8 @@
 				}
 			})
 		}
-		tending := register.Tending{Own: node.member(), Votes: true, Size: setSize, Gone: f.gone}
-		if change := tending.Step(node.known); change != nil {
+		tending := register.SetReconciler{Own: node.member(), Votes: true, Size: setSize, Departed: f.gone}
+		if change := tending.NextChange(node.known); change != nil {
 			f.propose(node, change, attempts, func(*messages.RegisterValue) {})
 		}
 	})
--- a/internal/tooling/linearize/operators.go
+++ b/internal/tooling/linearize/operators.go
@@ -122,11 +122,11 @@
 
 func outcome(result register.Result) RegisterOutcome {
 	switch result {
-	case register.ResultTaken, register.ResultAlready:
+	case register.ResultApplied, register.ResultAlreadyApplied:
 		return RegisterTaken
-	case register.ResultOther:
+	case register.ResultConflict:
 		return RegisterOther
-	case register.ResultOld:
+	case register.ResultGenerationTooOld:
 		return RegisterOld
 	default:
 		return RegisterUnclear
@@ -137,8 +137,8 @@
 func refuseResent(change register.Change, version messages.Version, result *register.Result) register.Change {
 	return func(current messages.RegisterValue) (messages.RegisterValue, register.Verdict) {
 		next, verdict := change(current)
-		if *result == register.ResultAlready && current.Current.Generation != version.Base {
-			*result = register.ResultOther
+		if *result == register.ResultAlreadyApplied && current.Current.Generation != version.Base {
+			*result = register.ResultConflict
 		}
 		return next, verdict
 	}
--- a/internal/tooling/linearize/propose.go
+++ b/internal/tooling/linearize/propose.go
@@ -27,7 +27,7 @@
 	}
 	node.counter++
 	ballot := register.NewBallot(node.counter, node.name, node.acceptor.Disk(), node.life)
-	proposal, sends := register.Begin(ballot, node.known, change)
+	proposal, sends := register.NewProposal(ballot, node.known, change)
 	one := &attempt{Fleet: f, node: node, life: node.life, proposal: proposal, ended: ended}
 	one.again = func() {
 		if !one.dead() {
@@ -61,7 +61,7 @@
 			}
 			if message.Prepare != nil {
 				answer, keep := target.acceptor.Prepare(message.Prepare)
-				a.answer(target, keep, func() { a.hear(a.proposal.Promised(message.Member, answer)) })
+				a.answer(target, keep, func() { a.hear(a.proposal.HandlePrepareResponse(message.Member, answer)) })
 				return
 			}
 			answer, keep := target.acceptor.Accept(message.Accept)
@@ -69,7 +69,7 @@
 				target.learn(message.Accept.Value)
 			}
 			a.answer(target, keep, func() {
-				a.proposal.Taken(message.Member, answer)
+				a.proposal.HandleAcceptResponse(message.Member, answer)
 				a.hear(nil)
 			})
 		})
@@ -102,7 +102,7 @@
 		a.over = true
 		value := proposal.Value()
 		node.learn(value)
-		if proposal.Unfinished() {
+		if proposal.FinishedOther() {
 			a.again()
 			return
 		}
@@ -123,7 +123,7 @@
 		ended(nil)
 		return
 	}
-	reading, sends := register.BeginReading(node.known)
+	reading, sends := register.NewQuorumRead(node.known)
 	life, over := node.life, false
 	settle := func(value *messages.RegisterValue) {
 		if over || node.down || node.life != life {
@@ -134,7 +134,7 @@
 			ended(value)
 			return
 		}
-		f.propose(node, register.Look, attempts, ended)
+		f.propose(node, register.ReadOnly, attempts, ended)
 	}
 	for _, message := range sends {
 		target := f.nodes[message.Member.Address]
@@ -144,7 +144,7 @@
 			}
 			answer, _ := target.acceptor.Prepare(message.Prepare)
 			f.world.Send(target.name, node.name, func() {
-				value, settled := reading.Heard(message.Member, answer)
+				value, settled := reading.HandlePrepareResponse(message.Member, answer)
 				if f.breaks.ReadOne {
 					value, settled = &answer.Value, true
 				}
--- a/internal/tooling/loadgen/result.go
+++ b/internal/tooling/loadgen/result.go
@@ -118,7 +118,7 @@
 	r.Retried[cause]++
 }
 
-// handIn notes how long the handing in of a lot took.
+// submitJob notes how long the handing in of a lot took.
 func (r *Result) handIn(took clock.Duration) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/traffic/admission/displace.go
+++ b/internal/traffic/admission/displace.go
@@ -155,7 +155,7 @@
 // bulkRunning is how many items of ours run at a service. The lock is held.
 func (s *Scheduler) bulkRunning(service string) int {
 	count := 0
-	for _, worker := range s.Registry.Named(service) {
+	for _, worker := range s.Registry.ByService(service) {
 		count += s.Tracker.Of(worker.ID).OwnBulk()
 	}
 	return count
@@ -166,7 +166,7 @@
 // The lock is held.
 func (s *Scheduler) floor(service string) int {
 	capacity := 0
-	for _, worker := range s.Registry.Named(service) {
+	for _, worker := range s.Registry.ByService(service) {
 		if s.bulkOwn == nil || s.bulkOwn[worker.ID] {
 			capacity += worker.Capacity
 		}
--- a/internal/traffic/admission/flow.go
+++ b/internal/traffic/admission/flow.go
@@ -44,7 +44,7 @@
 		if one.stayMs <= 0 || one.tokens <= 0 {
 			continue
 		}
-		for _, worker := range s.Registry.Named(service) {
+		for _, worker := range s.Registry.ByService(service) {
 			health := s.Tracker.Of(worker.ID)
 			others := float64(health.Running(now) - health.Own())
 			s.Index.OthersTurned(worker.ID, others*span*one.tokens/one.stayMs)
--- a/internal/traffic/admission/gossip.go
+++ b/internal/traffic/admission/gossip.go
@@ -49,12 +49,12 @@
 	}
 	s.turnOthers(now)
 	state := &s.gossip
-	if all := s.Registry.Entries(); state.spoken == nil || len(state.spoken) > 2*len(all) {
+	if all := s.Registry.Sorted(); state.spoken == nil || len(state.spoken) > 2*len(all) {
 		// Workers that were forgotten leave their entries behind.
 		state.spoken = make(map[string]spoken, len(all))
 	}
 	found := state.found[:0]
-	for _, worker := range s.Registry.Entries() {
+	for _, worker := range s.Registry.Sorted() {
 		health := s.Tracker.Of(worker.ID)
 		word, told := health.Word(now)
 		if !told || worker.Phase == messages.PhaseDeparted {
@@ -115,8 +115,8 @@
 func (s *Scheduler) named(short uint32) string {
 	state := &s.gossip
 	// A change of the table is rare, and a list of other length is another list too.
-	all := s.Registry.Entries()
-	if clockValue := s.Registry.Clock(); state.names == nil || state.asOf != clockValue || state.count != len(all) {
+	all := s.Registry.Sorted()
+	if clockValue := s.Registry.Version(); state.names == nil || state.asOf != clockValue || state.count != len(all) {
 		state.names, state.asOf, state.count = make(map[uint32]string, len(all)), clockValue, len(all)
 		for _, worker := range all {
 			name := messages.WorkerHash(worker.ID)
--- a/internal/traffic/admission/health.go
+++ b/internal/traffic/admission/health.go
@@ -93,12 +93,12 @@
 
 // suspect tells whether a worker is only asked where nobody else can be: ejected here,
 // or told of by peers or by missing heartbeats while nothing of ours speaks for it.
-func (s *Scheduler) suspect(worker messages.Worker, standing workers.Standing, apart map[string]bool, now clock.Instant) bool {
+func (s *Scheduler) suspect(worker messages.Worker, standing workers.Status, apart map[string]bool, now clock.Instant) bool {
 	if apart[worker.ID] {
 		return true
 	}
 	trust := s.Tracker.Trust(worker.ID, worker.Backend)
-	if standing != workers.StandingSuspect && !s.Tracker.Of(worker.ID).Told(now) {
+	if standing != workers.StatusSuspect && !s.Tracker.Of(worker.ID).Told(now) {
 		return false
 	}
 	return !trust.Proven(now)
--- a/internal/traffic/admission/health_test.go
+++ b/internal/traffic/admission/health_test.go
@@ -103,7 +103,7 @@
 	open := 0
 	for _, worker := range workerList {
 		answer, _ := one.Admit(&Ask{Service: "s", Setpoint: 1, Among: map[string]bool{worker: true}}, nil, now)
-		if !one.apart(ask(0), one.Registry.Named("s"), now)[worker] && answer.Verdict == VerdictGranted {
+		if !one.apart(ask(0), one.Registry.ByService("s"), now)[worker] && answer.Verdict == VerdictGranted {
 			open++
 		}
 	}
--- a/internal/traffic/admission/place.go
+++ b/internal/traffic/admission/place.go
@@ -10,7 +10,7 @@
 
 // place nominates a worker that has room, within reach or else among all.
 func (s *Scheduler) place(ask *Ask, now clock.Instant) Answer {
-	all := s.Registry.Named(ask.Service)
+	all := s.Registry.ByService(ask.Service)
 	some, more := s.reach(ask, all, now)
 	answer := s.placeAmong(ask, some, now)
 	if more && answer.Verdict != VerdictGranted {
@@ -35,10 +35,10 @@
 	known, open := 0, 0
 	apart := s.apart(ask, among, now)
 	// The suspects are asked only where nobody else can be.
-	for _, worst := range []workers.Standing{workers.StandingGood, workers.StandingSuspect} {
+	for _, worst := range []workers.Status{workers.StatusHealthy, workers.StatusSuspect} {
 		for _, worker := range among {
-			standing := s.Registry.Standing(worker.ID, now, listening)
-			if standing == workers.StandingOut || standing > worst || excluded(ask, worker.ID) {
+			standing := s.Registry.Status(worker.ID, now, listening)
+			if standing == workers.StatusUnavailable || standing > worst || excluded(ask, worker.ID) {
 				continue
 			}
 			known++
@@ -48,7 +48,7 @@
 				running = max(running, neutral)
 			}
 			suspect := s.suspect(worker, standing, apart, now)
-			if suspect && worst == workers.StandingGood {
+			if suspect && worst == workers.StatusHealthy {
 				continue
 			}
 			open++
@@ -146,7 +146,7 @@
 func (s *Scheduler) Allowed(worker string, now clock.Instant) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return s.Registry.Standing(worker, now, false) != workers.StandingOut
+	return s.Registry.Status(worker, now, false) != workers.StatusUnavailable
 }
 
 // First notes the first event or the head of an answer.
--- a/internal/traffic/admission/reach.go
+++ b/internal/traffic/admission/reach.go
@@ -66,7 +66,7 @@
 	var good []ranked
 	listening := s.listening > 0 && now.Sub(s.listening) < constants.SuspectAfter
 	for _, worker := range all {
-		if s.Registry.Standing(worker.ID, now, listening) != workers.StandingGood || s.Tracker.Of(worker.ID).Suspect(now) {
+		if s.Registry.Status(worker.ID, now, listening) != workers.StatusHealthy || s.Tracker.Of(worker.ID).Suspect(now) {
 			continue
 		}
 		good = append(good, ranked{worker, worker.Zone == s.own.Zone, drawOf(s.own, worker.ID)})
@@ -107,7 +107,7 @@
 	if !found {
 		return nil, false
 	}
-	all := s.Registry.Named(known.Backend)
+	all := s.Registry.ByService(known.Backend)
 	if len(all) <= constants.ReachWhole {
 		return nil, false
 	}
--- a/internal/traffic/admission/reach_test.go
+++ b/internal/traffic/admission/reach_test.go
@@ -60,7 +60,7 @@
 	const nodes = 72
 	for place := 0; place < nodes; place++ {
 		one := node(fmt.Sprint("edge-", place), fmt.Sprint("h", place%4), 4)
-		for _, worker := range one.subset("s", one.Registry.Named("s"), second(2)) {
+		for _, worker := range one.subset("s", one.Registry.ByService("s"), second(2)) {
 			drawn[worker.ID]++
 		}
 	}
@@ -97,9 +97,9 @@
 	if answer, _ := one.Admit(long(), nil, second(2)+1); answer.Grant.Worker.ID != other {
 		t.Fatal("placed at ", answer.Grant.Worker.ID)
 	}
-	failed := one.subset("s", one.Registry.Named("s"), second(2))[0].ID
+	failed := one.subset("s", one.Registry.ByService("s"), second(2))[0].ID
 	one.Locked(func() { one.Tracker.Of(failed).Failed(constants.EjectFor, second(4)) })
-	for _, worker := range one.subset("s", one.Registry.Named("s"), second(4)) {
+	for _, worker := range one.subset("s", one.Registry.ByService("s"), second(4)) {
 		if worker.ID == failed {
 			t.Fatal("a failing worker stays in the subset")
 		}
@@ -126,7 +126,7 @@
 	}
 	for name, scheduler := range benches {
 		has := false
-		for _, worker := range scheduler.subset("s", scheduler.Registry.Named("s"), second(2)) {
+		for _, worker := range scheduler.subset("s", scheduler.Registry.ByService("s"), second(2)) {
 			has = has || worker.ID == "i-0001"
 		}
 		if has != holding[name] {
--- a/internal/traffic/admission/room.go
+++ b/internal/traffic/admission/room.go
@@ -27,8 +27,8 @@
 	defer s.lock.Unlock()
 	listening := s.hears(now)
 	count := 0
-	for _, worker := range s.Registry.Named(ask.Service) {
-		if s.Registry.Standing(worker.ID, now, listening) != workers.StandingGood || excluded(ask, worker.ID) {
+	for _, worker := range s.Registry.ByService(ask.Service) {
+		if s.Registry.Status(worker.ID, now, listening) != workers.StatusHealthy || excluded(ask, worker.ID) {
 			continue
 		}
 		health := s.Tracker.Of(worker.ID)
--- a/internal/traffic/admission/workers.go
+++ b/internal/traffic/admission/workers.go
@@ -11,7 +11,7 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.listening = now
-	s.Registry.Judged(silent, now)
+	s.Registry.ApplyOverdue(silent, now)
 	s.Registry.Forget(now)
 }
 
--- a/internal/traffic/health/health.go
+++ b/internal/traffic/health/health.go
@@ -155,7 +155,7 @@
 	return h.suspected(now)
 }
 
-// TookMs is the usual time of an answer.
+// MeanRunMs is the usual time of an answer.
 func (h *Health) TookMs() float64 { return h.tookMs }
 
 // Counts gives answers and failures, for the shell.
--- a/internal/traffic/loadgossip/report.go
+++ b/internal/traffic/loadgossip/report.go
@@ -22,14 +22,14 @@
 func (g *Gossip) reportWorkers() *messages.StatusResponse {
 	status := &messages.StatusResponse{Columns: []string{"worker", "service", "zone", "phase", "standing", "heard-ms", "live", "items", "running", "capacity", "suspect", "answers", "failures", "trust"}}
 	now := clock.Now()
-	standings := map[workers.Standing]string{workers.StandingGood: "good", workers.StandingSuspect: "suspect", workers.StandingOut: "out"}
+	standings := map[workers.Status]string{workers.StatusHealthy: "good", workers.StatusSuspect: "suspect", workers.StatusUnavailable: "out"}
 	scheduler := g.Scheduler
 	scheduler.Locked(func() {
 		for _, worker := range scheduler.Registry.All(now) {
 			health := scheduler.Tracker.Of(worker.ID)
 			answers, failures := health.Counts()
 			status.Rows = append(status.Rows, []string{worker.ID, worker.Backend, worker.Zone, worker.Phase.String(),
-				standings[scheduler.Registry.Standing(worker.ID, now, true)], number(worker.AgeMs), number(health.Own() - health.OwnBulk()),
+				standings[scheduler.Registry.Status(worker.ID, now, true)], number(worker.AgeMs), number(health.Own() - health.OwnBulk()),
 				number(health.OwnBulk()), number(health.Running(now)), number(worker.Capacity), strconv.FormatBool(health.Suspect(now)),
 				number(answers), number(failures), scheduler.TrustWord(worker, now)})
 		}
--- a/internal/traffic/loadgossip/staleness_test.go
+++ b/internal/traffic/loadgossip/staleness_test.go
@@ -51,7 +51,7 @@
 	for place, own := range entries {
 		node := &simNode{own: own, view: membership.NewView(own, int64(place)), scheduler: admission.New(own, 1_200_000_000),
 			phase: clock.Instant(one.random.Int63n(int64(constants.GossipPeriod)))}
-		node.view.Heard(entries, 0)
+		node.view.Observe(entries, 0)
 		node.scheduler.Merge(one.workerList, 0)
 		one.nodes = append(one.nodes, node)
 		one.byAddress[own.Address] = node
--- a/internal/traffic/proxy/exchange.go
+++ b/internal/traffic/proxy/exchange.go
@@ -40,7 +40,7 @@
 	hasEvent   bool
 	connection atomic.Pointer[workerconn.Connection]
 	last       *workerAnswer
-	// displaced is set by whoever asks for our place; setBack holds until the next
+	// displaced is set by whoever asks for our place; requeue holds until the next
 	// try, wasDisplaced to the end.
 	displaced    atomic.Bool
 	wasDisplaced bool
@@ -204,7 +204,7 @@
 	e.proxyServer.Sender.Finish(response)
 }
 
-// giveUp ends the request with the one outcome that is true.
+// resign ends the request with the one outcome that is true.
 func (e *exchange) giveUp(answer admission.Answer) {
 	proxyServer := e.proxyServer
 	switch {
--- a/internal/traffic/proxy/lots.go
+++ b/internal/traffic/proxy/lots.go
@@ -53,7 +53,7 @@
 	writeAnswer(writer, answer)
 }
 
-// handIn takes a lot on a bulk route.
+// submitJob takes a lot on a bulk route.
 func (p *Proxy) handIn(writer http.ResponseWriter, request *http.Request, route *routeconfig.Route, path string, body []byte) {
 	if request.Method != http.MethodPost {
 		httpreply.Error(writer, http.StatusMethodNotAllowed, "lots are handed in by POST")
