--- a/cmd/lemonarch/lots.go
+++ b/cmd/lemonarch/lots.go
@@ -15,7 +15,7 @@
 
 	"github.com/spf13/cobra"
 
-	"lemonarch/internal/batch/lotclient"
+	"lemonarch/internal/batch/jobclient"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/contexts"
 	"lemonarch/internal/tooling/lab"
@@ -40,7 +40,7 @@
 }
 
 // run gives a client and a context that ends with the limit or a signal.
-func (l *lotFlags) run(function func(until contexts.Context, client *lotclient.Client) error) error {
+func (l *lotFlags) run(function func(until contexts.Context, client *jobclient.Client) error) error {
 	if len(l.edges) == 0 {
 		return coded{exitUnusable, "--edge is missing"}
 	}
@@ -56,7 +56,7 @@
 	defer release()
 	until, halt := signal.NotifyContext(limited, syscall.SIGINT, syscall.SIGTERM)
 	defer halt()
-	err := function(until, &lotclient.Client{Edges: l.edges, Host: l.host})
+	err := function(until, &jobclient.Client{Edges: l.edges, Host: l.host})
 	if err != nil {
 		var known coded
 		if errors.As(err, &known) {
@@ -84,12 +84,12 @@
 				if err != nil {
 					return coded{exitUnusable, err.Error()}
 				}
-				lot = lotclient.Lot{}
+				lot = jobclient.Lot{}
 				if err = json.Unmarshal(text, &lot); err != nil {
 					return coded{exitUnusable, arguments[0] + ": " + oneLine(err)}
 				}
 			}
-			return flags.run(func(until contexts.Context, client *lotclient.Client) error {
+			return flags.run(func(until contexts.Context, client *jobclient.Client) error {
 				tries, err := client.HandIn(until, id, path, lot)
 				if err != nil {
 					return err
@@ -112,17 +112,17 @@
 func followCommand(flags *lotFlags) *cobra.Command {
 	return &cobra.Command{Use: "follow LOT", Args: cobra.ExactArgs(1), Short: "Follow a lot to its end, with progress",
 		RunE: func(command *cobra.Command, arguments []string) error {
-			return flags.run(func(until contexts.Context, client *lotclient.Client) error {
+			return flags.run(func(until contexts.Context, client *jobclient.Client) error {
 				return followLot(command, until, client, arguments[0])
 			})
 		}}
 }
 
-func followLot(command *cobra.Command, until contexts.Context, client *lotclient.Client, id string) error {
+func followLot(command *cobra.Command, until contexts.Context, client *jobclient.Client, id string) error {
 	begun, settled, abandoned := clock.Now(), 0, 0
-	err := client.Follow(until, id, 0, func(page *lotclient.Page) error {
+	err := client.Follow(until, id, 0, func(page *jobclient.Page) error {
 		for _, output := range page.Outputs {
-			if output.Phase == lotclient.Settled {
+			if output.Phase == jobclient.Settled {
 				settled++
 			} else {
 				abandoned++
@@ -147,11 +147,11 @@
 			if from < 0 {
 				return coded{exitUnusable, "--from must not be below 0"}
 			}
-			return flags.run(func(until contexts.Context, client *lotclient.Client) error {
+			return flags.run(func(until contexts.Context, client *jobclient.Client) error {
 				writer := json.NewEncoder(command.OutOrStdout())
 				for cursor := from; ; {
 					page, err := client.Read(until, arguments[0], cursor, 0)
-					if err != nil && lotclient.Again(err) && until.Err() == nil {
+					if err != nil && jobclient.Again(err) && until.Err() == nil {
 						clock.Sleep(clock.Milliseconds(200))
 						continue
 					}
@@ -178,14 +178,14 @@
 func endCommand(flags *lotFlags) *cobra.Command {
 	return &cobra.Command{Use: "end LOT", Args: cobra.ExactArgs(1), Short: "End a lot: nothing more of it is run",
 		RunE: func(command *cobra.Command, arguments []string) error {
-			return flags.run(func(until contexts.Context, client *lotclient.Client) error {
+			return flags.run(func(until contexts.Context, client *jobclient.Client) error {
 				for {
 					err := client.End(until, arguments[0])
 					if err == nil {
 						fmt.Fprintln(command.OutOrStdout(), "ended: lot="+arguments[0])
 						return nil
 					}
-					if !lotclient.Again(err) || until.Err() != nil {
+					if !jobclient.Again(err) || until.Err() != nil {
 						return err
 					}
 					clock.Sleep(clock.Milliseconds(200))
@@ -201,10 +201,10 @@
 }
 
 // sampleLot makes items that the lab's own configuration can run.
-func sampleLot(id string, count int) lotclient.Lot {
-	lot := lotclient.Lot{}
+func sampleLot(id string, count int) jobclient.Lot {
+	lot := jobclient.Lot{}
 	for number := 0; number < count; number++ {
-		lot.Requests = append(lot.Requests, lotclient.Item{ID: id + "-" + strconv.Itoa(number), Path: "/batch/" + strconv.Itoa(number), Tokens: 640,
+		lot.Requests = append(lot.Requests, jobclient.Item{ID: id + "-" + strconv.Itoa(number), Path: "/batch/" + strconv.Itoa(number), Tokens: 640,
 			Body: []byte("sample " + strconv.Itoa(number)), Headers: map[string]string{"Lemonarch-Model": lab.ModelName,
 				"Lemonarch-Token-Count": "600,40", "Lemonarch-Prompt-Prefix": fmt.Sprintf("5a5a:400,%x:200", 0x10000+number)}})
 	}
--- a/internal/batch/lots/dispatch.go
+++ b/internal/batch/dispatch/dispatcher.go
@@ -1,4 +1,14 @@
-package lots
+// Package dispatch decides which executor may run an item of a batch job now, without I/O.
+//
+// JobTable is what the committed records say: jobs, their items, and the position of each
+// result. Dispatcher is a share group over it: an executor acquires items under a lock that
+// it renews, and acknowledges each with an output, a rejection or a release. Acquisitions
+// are soft state; only results, counted failures and ends of jobs are records. A new
+// leader treats every unfinished item of earlier jobs as perhaps acquired until each
+// executor has reported what it holds, or one lock duration has passed, so that no item
+// runs twice at a time across a takeover. docs/design.md names the source and what was
+// changed.
+package dispatch
 
 import (
 	"lemonarch/internal/platform/clock"
--- a/internal/batch/lots/item_test.go
+++ b/internal/batch/dispatch/item_test.go
@@ -1,4 +1,4 @@
-package lots
+package dispatch
 
 import (
 	"fmt"
--- a/internal/batch/itemdriver/itemdriver.go
+++ b/internal/batch/executor/runner.go
@@ -1,11 +1,12 @@
-// Package itemdriver is the driver of items: it keeps what a process has acquired,
-// under which lock, and what it has yet to acknowledge. Step functions without I/O.
-package itemdriver
+// Package executor keeps what a process that runs items of batch jobs has acquired, under
+// which lock, and which acknowledgements it still has to send. Step functions without I/O;
+// package store runs the items.
+package executor
 
 import (
 	"sort"
 
-	"lemonarch/internal/batch/lots"
+	"lemonarch/internal/batch/dispatch"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
 	"lemonarch/internal/platform/messages"
@@ -14,7 +15,7 @@
 // Task is one acquired item.
 type Task struct {
 	Number uint64
-	Item   *lots.Item
+	Item   *dispatch.Item
 	Run    int
 	// Since is when it was acquired; Begun says that it is at a worker.
 	Since   clock.Instant
@@ -62,11 +63,11 @@
 	var taken []*Task
 	for i := range resp.Items {
 		acquiredItem := &resp.Items[i]
-		if r.tasks[acquiredItem.Number] != nil || now >= until || lots.EpochOf(acquiredItem.Number) < r.fencedEpoch {
+		if r.tasks[acquiredItem.Number] != nil || now >= until || dispatch.EpochOf(acquiredItem.Number) < r.fencedEpoch {
 			continue
 		}
-		job := &lots.Job{ID: acquiredItem.Job, Host: acquiredItem.Host, Path: acquiredItem.Path, SubmittedMs: acquiredItem.SubmittedMs}
-		item := &lots.Item{JobItem: acquiredItem.Item, Job: job, Events: acquiredItem.Events, LastID: acquiredItem.LastID, Preempted: acquiredItem.Preempted, OwedResume: acquiredItem.Owed}
+		job := &dispatch.Job{ID: acquiredItem.Job, Host: acquiredItem.Host, Path: acquiredItem.Path, SubmittedMs: acquiredItem.SubmittedMs}
+		item := &dispatch.Item{JobItem: acquiredItem.Item, Job: job, Events: acquiredItem.Events, LastID: acquiredItem.LastID, Preempted: acquiredItem.Preempted, OwedResume: acquiredItem.Owed}
 		task := &Task{Number: acquiredItem.Number, Item: item, Run: item.StartRun(), Since: now, lockedUntil: until, lastProgress: now}
 		r.tasks[task.Number] = task
 		taken = append(taken, task)
--- a/internal/batch/itemdriver/itemdriver_test.go
+++ b/internal/batch/executor/runner_test.go
@@ -1,4 +1,4 @@
-package itemdriver
+package executor
 
 import (
 	"testing"
--- a/internal/batch/lotclient/lotclient.go
+++ b/internal/batch/jobclient/jobclient.go
@@ -1,6 +1,6 @@
-// Package lotclient is a client for lots: it hands them in, reads and follows them, and
+// Package jobclient is a client for lots: it hands them in, reads and follows them, and
 // ends them, by the calls that any edge node takes.
-package lotclient
+package jobclient
 
 import (
 	"bytes"
--- a/internal/batch/lotclient/lotclient_test.go
+++ b/internal/batch/jobclient/jobclient_test.go
@@ -1,4 +1,4 @@
-package lotclient
+package jobclient
 
 import (
 	"encoding/json"
--- a/internal/batch/lots/lag.go
+++ b/internal/batch/replication/lag.go
@@ -1,4 +1,4 @@
-package lots
+package replication
 
 import "lemonarch/internal/platform/clock"
 
--- a/internal/batch/lots/lag_test.go
+++ b/internal/batch/replication/lag_test.go
@@ -1,6 +1,13 @@
-package lots
+package replication
 
-import "testing"
+import (
+	"testing"
+
+	"lemonarch/internal/platform/clock"
+)
+
+// ms is an instant of the simulated clock.
+func ms(count float64) clock.Instant { return clock.Instant(clock.Milliseconds(count)) }
 
 func TestLag(t *testing.T) {
 	lag := &ReplicaLag{}
--- a/internal/batch/lots/replica.go
+++ b/internal/batch/replication/replica.go
@@ -1,6 +1,6 @@
-// Package lots keeps lots: the replica of one store, the replication by which the
-// holder has records copied, and the book of lots. Step functions without I/O.
-package lots
+// Package replication is the replicated log of records, without I/O: the replica of one
+// store, how the leader counts copies, and what a new leader goes on from.
+package replication
 
 import (
 	"sort"
--- a/internal/batch/lots/lots_test.go
+++ b/internal/batch/replication/replication_test.go
@@ -1,4 +1,4 @@
-package lots
+package replication
 
 import (
 	"testing"
@@ -80,27 +80,27 @@
 }
 
 func TestDurableNeedsCopiesAndOwnEpoch(t *testing.T) {
-	press := NewReplicator(4, []messages.Member{member("a"), member("b"), member("c")}, 1, 11)
-	press.NextIndex()
+	replicator := NewReplicator(4, []messages.Member{member("a"), member("b"), member("c")}, 1, 11)
+	replicator.NextIndex()
 	identity := func(name string) string { return register.Identity(member(name)) }
 	// Copies of earlier records decide nothing by their number.
-	if press.UpdateMatch(identity("a"), 10) || press.UpdateMatch(identity("b"), 10) {
+	if replicator.UpdateMatch(identity("a"), 10) || replicator.UpdateMatch(identity("b"), 10) {
 		t.Fatal("an earlier epoch's record was called durable")
 	}
-	if press.UpdateMatch(identity("a"), 11) {
+	if replicator.UpdateMatch(identity("a"), 11) {
 		t.Fatal("durable with one copy")
 	}
-	if !press.UpdateMatch(identity("c"), 11) || press.CommitIndex() != 11 {
+	if !replicator.UpdateMatch(identity("c"), 11) || replicator.CommitIndex() != 11 {
 		t.Fatal("not durable with two copies")
 	}
 	// While the set changes, both sets have to have it.
-	press.Next = []messages.Member{member("a"), member("c"), member("d")}
-	press.NextIndex()
-	press.UpdateMatch(identity("a"), 12)
-	if press.UpdateMatch(identity("b"), 12) {
+	replicator.Next = []messages.Member{member("a"), member("c"), member("d")}
+	replicator.NextIndex()
+	replicator.UpdateMatch(identity("a"), 12)
+	if replicator.UpdateMatch(identity("b"), 12) {
 		t.Fatal("durable without the next set")
 	}
-	if !press.UpdateMatch(identity("d"), 12) {
+	if !replicator.UpdateMatch(identity("d"), 12) {
 		t.Fatal("not durable in both sets")
 	}
 }
@@ -119,32 +119,6 @@
 	}
 }
 
-func TestPositionsNeverChange(t *testing.T) {
-	jobs := NewJobTable()
-	body := &messages.JobBody{Items: []messages.JobItem{{ID: "x", Tokens: 5}, {ID: "y", Tokens: 7}}}
-	packed, _ := body.MarshalMsg(nil)
-	apply := func(record messages.Record) error { return jobs.Apply(&record) }
-	if apply(messages.Record{Kind: messages.RecordJob, Job: "l", Body: packed}) != nil {
-		t.Fatal("lot refused")
-	}
-	all := func(*Job) bool { return true }
-	if jobs.Waiting(all) != 12 {
-		t.Fatal(jobs.Waiting(all))
-	}
-	if apply(messages.Record{Kind: messages.RecordOutput, Job: "l", Item: "y"}) != nil || jobs.Waiting(all) != 5 {
-		t.Fatal("output refused")
-	}
-	if apply(messages.Record{Kind: messages.RecordOutput, Job: "l", Item: "x", Position: 0}) == nil {
-		t.Fatal("a position was given twice")
-	}
-	if apply(messages.Record{Kind: messages.RecordJobEnd, Job: "l"}) != nil || jobs.Job("l").Open() || jobs.Waiting(all) != 0 {
-		t.Fatal("an ended lot is open")
-	}
-	if got := jobs.Job("l").Listings; len(got) != 1 || got[0].Item != "y" {
-		t.Fatal(got)
-	}
-}
-
 func TestEnough(t *testing.T) {
 	if EnoughFenced(3, 1, 1) || !EnoughFenced(3, 2, 1) || EnoughFenced(4, 2, 1) || !EnoughFenced(4, 3, 1) || !EnoughFenced(1, 1, 1) || EnoughFenced(2, 0, 1) {
 		t.Fatal("wrong read quorum")
--- a/internal/batch/store/calls.go
+++ b/internal/batch/store/calls.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"net/http"
 
-	"lemonarch/internal/batch/lots"
+	"lemonarch/internal/batch/dispatch"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
 	"lemonarch/internal/platform/messages"
@@ -129,7 +129,7 @@
 	Text  string `json:"text"`
 }
 
-func (t *term) page(sum, cursor int, listings []lots.Listing) *messages.JobCallResponse {
+func (t *term) page(sum, cursor int, listings []dispatch.Listing) *messages.JobCallResponse {
 	page := outputPage{Sum: sum, Next: cursor, Outputs: []outputLine{}}
 	size := 0
 	for i := cursor; i < len(listings); i++ {
--- a/internal/batch/store/compact.go
+++ b/internal/batch/store/compact.go
@@ -1,7 +1,7 @@
 package store
 
 import (
-	"lemonarch/internal/batch/lots"
+	"lemonarch/internal/batch/replication"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
 	"lemonarch/internal/platform/messages"
@@ -107,7 +107,7 @@
 }
 
 // recordToKeep gives a record that goes into the new file.
-func (s *ReplicaLog) recordToKeep(slot lots.IndexEntry) (*messages.Record, error) {
+func (s *ReplicaLog) recordToKeep(slot replication.IndexEntry) (*messages.Record, error) {
 	if slot.Offset < 0 {
 		return &messages.Record{Index: slot.Index, Epoch: slot.Epoch, Kind: slot.Kind}, nil
 	}
--- a/internal/batch/store/copy_test.go
+++ b/internal/batch/store/copy_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"lemonarch/internal/batch/lots"
+	"lemonarch/internal/batch/replication"
 	"lemonarch/internal/platform/messages"
 	"lemonarch/internal/platform/transport"
 	"lemonarch/internal/tooling/simulation"
@@ -54,7 +54,7 @@
 				t.Fatal(index, server.Node.Self.Name)
 			}
 		}
-		if compared < lots.CopiesNeeded(len(inside), holder.budget()) {
+		if compared < replication.CopiesNeeded(len(inside), holder.budget()) {
 			t.Fatal("durable with ", compared, " copies: ", index)
 		}
 	}
--- a/internal/batch/store/dispatch.go
+++ b/internal/batch/store/dispatch.go
@@ -1,7 +1,7 @@
 package store
 
 import (
-	"lemonarch/internal/batch/lots"
+	"lemonarch/internal/batch/dispatch"
 	"lemonarch/internal/configuration/routeconfig"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
@@ -19,10 +19,10 @@
 // openDispatcher makes the dispatcher of this epoch. The lock is held.
 func (t *term) openDispatcher(before int64) {
 	lock := lockDuration(t.server.Node.Settings.Tolerances.CancelMs)
-	dispatcher := lots.NewDispatcher(t.jobs, t.leadership.Epoch, before, lock, t.startedAt)
+	dispatcher := dispatch.NewDispatcher(t.jobs, t.leadership.Epoch, before, lock, t.startedAt)
 	dispatcher.Append = t.appendRecord
-	dispatcher.Ending = func(job *lots.Job) bool { return t.ending[job.ID] }
-	dispatcher.Attempts = func(item *lots.Item) int {
+	dispatcher.Ending = func(job *dispatch.Job) bool { return t.ending[job.ID] }
+	dispatcher.Attempts = func(item *dispatch.Item) int {
 		if route := itemRoute(t.server.Node.Config(), item); route != nil {
 			return route.Tries
 		}
@@ -32,7 +32,7 @@
 }
 
 // itemRoute is the bulk route of an item, or else that of its lot.
-func itemRoute(config *routeconfig.Config, item *lots.Item) *routeconfig.Route {
+func itemRoute(config *routeconfig.Config, item *dispatch.Item) *routeconfig.Route {
 	if own := routeOf(config, item.Job.Host, item.Path); own != nil {
 		return own
 	}
@@ -41,15 +41,15 @@
 
 // terms says what a configuration means for a lot now. The lock is held while it is
 // asked.
-func (t *term) terms(config *routeconfig.Config) func(job *lots.Job) lots.JobTerms {
+func (t *term) terms(config *routeconfig.Config) func(job *dispatch.Job) dispatch.JobTerms {
 	wall, now := clock.WallNanos()/1_000_000, clock.Now()
-	return func(job *lots.Job) lots.JobTerms {
+	return func(job *dispatch.Job) dispatch.JobTerms {
 		route := t.quota.route(config, submitPath{job.Host, job.Path})
 		if route == nil {
-			return lots.JobTerms{Expired: true}
+			return dispatch.JobTerms{Expired: true}
 		}
 		age := wall - job.SubmittedMs
-		return lots.JobTerms{Due: job.SubmittedMs + int64(route.ResultMs), Expired: job.OlderThan(route.Retain(), wall, now),
+		return dispatch.JobTerms{Due: job.SubmittedMs + int64(route.ResultMs), Expired: job.OlderThan(route.Retain(), wall, now),
 			Overdue: float64(age)+t.dispatcher.MeanRunMs > route.ResultMs}
 	}
 }
@@ -61,8 +61,8 @@
 		return &messages.AcquireResponse{NotLeader: true}
 	}
 	end := start.Add(min(clock.Milliseconds(float64(req.WaitMs)), constants.AcquireWait))
-	options := &lots.AcquireOptions{Executor: lots.Executor{Name: req.Executor, Incarnation: req.Incarnation, Address: req.Address, Zone: req.Zone},
-		Service: func(item *lots.Item) string {
+	options := &dispatch.AcquireOptions{Executor: dispatch.Executor{Name: req.Executor, Incarnation: req.Incarnation, Address: req.Address, Zone: req.Zone},
+		Service: func(item *dispatch.Item) string {
 			if route := itemRoute(t.server.Node.Config(), item); route != nil {
 				return route.Choose(clock.Float64())
 			}
@@ -107,7 +107,7 @@
 }
 
 // itemsForExecutor writes acquisitions down for their driver. The lock is held.
-func (t *term) itemsForExecutor(taken []*lots.Acquisition) *messages.AcquireResponse {
+func (t *term) itemsForExecutor(taken []*dispatch.Acquisition) *messages.AcquireResponse {
 	resp := &messages.AcquireResponse{LockMs: clock.ToMilliseconds(t.dispatcher.Lock)}
 	for _, acquisition := range taken {
 		item := acquisition.Item
@@ -126,9 +126,9 @@
 	if !t.waitServing(constants.CallTimeout / 2) {
 		return &messages.AcknowledgeResponse{NotLeader: true}
 	}
-	executor := lots.Executor{Name: req.Executor, Incarnation: req.Incarnation, Address: req.Address, Zone: req.Zone}
+	executor := dispatch.Executor{Name: req.Executor, Incarnation: req.Incarnation, Address: req.Address, Zone: req.Zone}
 	resp := &messages.AcknowledgeResponse{}
-	outcomes := make([]lots.AckOutcome, len(req.Entries))
+	outcomes := make([]dispatch.AckOutcome, len(req.Entries))
 	last := int64(0)
 	now := clock.Now()
 	t.lock.Lock()
--- a/internal/batch/store/displacement_test.go
+++ b/internal/batch/store/displacement_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"lemonarch/internal/batch/lots"
+	"lemonarch/internal/batch/dispatch"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/messages"
 	"lemonarch/internal/tooling/simulation"
@@ -18,7 +18,7 @@
 	benches    map[string]*admission.Scheduler
 	workerList map[string]int
 	cut        map[string]bool
-	running    map[*lots.Item]func()
+	running    map[*dispatch.Item]func()
 	// What the outside saw: events of an item as its result was made durable, and
 	// how each live request ended.
 	results  map[string][]string
@@ -35,7 +35,7 @@
 
 func newCluster(t *testing.T, seed int64) *simCluster {
 	cluster := &simCluster{simFleet: newSimFleet(t, seed, 3), benches: map[string]*admission.Scheduler{}, workerList: map[string]int{},
-		cut: map[string]bool{}, running: map[*lots.Item]func(){}, results: map[string][]string{}, live: map[int]int{}, taken: map[string]int{}}
+		cut: map[string]bool{}, running: map[*dispatch.Item]func(){}, results: map[string][]string{}, live: map[int]int{}, taken: map[string]int{}}
 	for _, name := range []string{"e0", "e1", "e2"} {
 		cluster.scheduler(name, "gateway")
 	}
@@ -133,19 +133,19 @@
 				delete(s.benches, old)
 			}
 		}
-		s.running = map[*lots.Item]func(){}
+		s.running = map[*dispatch.Item]func(){}
 		s.scheduler(name, "store")
 	}
 	for _, job := range holder.book.Jobs() {
 		for _, item := range job.Items {
-			if item.State == lots.ItemAvailable {
+			if item.State == dispatch.ItemAvailable {
 				s.start(holder, name, item)
 			}
 		}
 	}
 }
 
-func (s *simCluster) start(holder *simHolder, name string, item *lots.Item) {
+func (s *simCluster) start(holder *simHolder, name string, item *dispatch.Item) {
 	resp, _ := s.benches[name].Admit(&admission.Ask{Service: "s", Bulk: true, Priority: 2}, nil, s.world.Now)
 	if resp.Verdict != admission.VerdictGranted {
 		return
@@ -198,7 +198,7 @@
 	s.world.After(clock.Milliseconds(12), step)
 }
 
-func (s *simCluster) finish(holder *simHolder, item *lots.Item, run int) {
+func (s *simCluster) finish(holder *simHolder, item *dispatch.Item, run int) {
 	if !item.Finish(run) {
 		item.Requeue(run)
 		return
@@ -213,7 +213,7 @@
 }
 
 // place counts the positions given so far, durable or on their way.
-func (s *simCluster) place(holder *simHolder, job *lots.Job) int {
+func (s *simCluster) place(holder *simHolder, job *dispatch.Job) int {
 	count := len(job.Listings)
 	for _, record := range holder.records {
 		if record.Index > holder.applied && record.Kind == messages.RecordOutput && record.Job == job.ID {
--- a/internal/batch/store/drive.go
+++ b/internal/batch/store/drive.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"strconv"
 
-	"lemonarch/internal/batch/itemdriver"
+	"lemonarch/internal/batch/executor"
 	"lemonarch/internal/configuration/routeconfig"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
@@ -18,7 +18,7 @@
 
 // run takes one item to one worker, gathers its events, and derives the
 // acknowledgement from how the stream ends.
-func (d *executorLoop) run(route *routeconfig.Route, task *itemdriver.Task, grant *admission.Grant) {
+func (d *executorLoop) run(route *routeconfig.Route, task *executor.Task, grant *admission.Grant) {
 	sender := &d.server.Gossip.Sender
 	outgoing := d.outgoing(route, task, grant.Worker.ID)
 	response, evidence, err := sender.Carry(grant, outgoing)
@@ -89,14 +89,14 @@
 }
 
 // forgetConnection takes a connection out of reach before it may serve somebody else.
-func (d *executorLoop) forgetConnection(task *itemdriver.Task) {
+func (d *executorLoop) forgetConnection(task *executor.Task) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	delete(d.connections, task)
 }
 
 // handleRejection handles an answer that is no stream of events.
-func (d *executorLoop) handleRejection(route *routeconfig.Route, task *itemdriver.Task, grant *admission.Grant, notRun bool, status int) {
+func (d *executorLoop) handleRejection(route *routeconfig.Route, task *executor.Task, grant *admission.Grant, notRun bool, status int) {
 	switch {
 	case status == http.StatusMisdirectedRequest:
 		d.release(route, task, grant, admission.ResultGoneAway, messages.Acknowledgement{NotStarted: true}, "another worker answers")
@@ -113,7 +113,7 @@
 }
 
 // yield breaks off a run that has to make room; the run itself sets the item back.
-func (d *executorLoop) yield(task *itemdriver.Task) {
+func (d *executorLoop) yield(task *executor.Task) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	if !task.Item.Yield(task.Run) {
@@ -125,7 +125,7 @@
 }
 
 // release gives an item back with what was gathered.
-func (d *executorLoop) release(route *routeconfig.Route, task *itemdriver.Task, grant *admission.Grant, result admission.Result, entry messages.Acknowledgement, reason string) {
+func (d *executorLoop) release(route *routeconfig.Route, task *executor.Task, grant *admission.Grant, result admission.Result, entry messages.Acknowledgement, reason string) {
 	entry.Kind = messages.AckRelease
 	d.lock.Lock()
 	entry.Preempted = task.Item.Yielding()
@@ -144,7 +144,7 @@
 }
 
 // done ends a task here and has its acknowledgement carried.
-func (d *executorLoop) done(task *itemdriver.Task, entry messages.Acknowledgement) {
+func (d *executorLoop) done(task *executor.Task, entry messages.Acknowledgement) {
 	d.lock.Lock()
 	delete(d.connections, task)
 	d.core.Done(task, entry)
@@ -155,7 +155,7 @@
 }
 
 // outgoing writes an item's request.
-func (d *executorLoop) outgoing(route *routeconfig.Route, task *itemdriver.Task, worker string) *proxy.Request {
+func (d *executorLoop) outgoing(route *routeconfig.Route, task *executor.Task, worker string) *proxy.Request {
 	item, header := task.Item, http.Header{}
 	for name, value := range item.Headers {
 		header.Set(name, value)
--- a/internal/batch/store/driver.go
+++ b/internal/batch/store/driver.go
@@ -3,7 +3,7 @@
 import (
 	"sync"
 
-	"lemonarch/internal/batch/itemdriver"
+	"lemonarch/internal/batch/executor"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
 	"lemonarch/internal/platform/messages"
@@ -15,9 +15,9 @@
 type executorLoop struct {
 	server      *Server
 	lock        sync.Mutex
-	core        *itemdriver.Runner
-	connections map[*itemdriver.Task]*workerconn.Connection
-	waiting     []*itemdriver.Task
+	core        *executor.Runner
+	connections map[*executor.Task]*workerconn.Connection
+	waiting     []*executor.Task
 	wake        chan struct{}
 	results     chan struct{}
 	releases    chan struct{}
@@ -37,7 +37,7 @@
 }
 
 func newExecutorLoop(server *Server) *executorLoop {
-	return &executorLoop{server: server, core: itemdriver.New(), connections: map[*itemdriver.Task]*workerconn.Connection{}, wake: make(chan struct{}, 1),
+	return &executorLoop{server: server, core: executor.New(), connections: map[*executor.Task]*workerconn.Connection{}, wake: make(chan struct{}, 1),
 		results: make(chan struct{}, 1), releases: make(chan struct{}, 1), lockDuration: lockDuration(server.Node.Settings.Tolerances.CancelMs)}
 }
 
@@ -152,7 +152,7 @@
 }
 
 // stopRunsLocked breaks runs off; each sets its item back by itself. The lock is held.
-func (d *executorLoop) stopRunsLocked(tasks []*itemdriver.Task) {
+func (d *executorLoop) stopRunsLocked(tasks []*executor.Task) {
 	for _, task := range tasks {
 		if connection := d.connections[task]; connection != nil {
 			connection.Close()
--- a/internal/batch/store/feed.go
+++ b/internal/batch/store/feed.go
@@ -1,7 +1,7 @@
 package store
 
 import (
-	"lemonarch/internal/batch/lots"
+	"lemonarch/internal/batch/replication"
 	"lemonarch/internal/control/register"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
@@ -69,7 +69,7 @@
 			t.close("a later epoch was raised")
 			return
 		case resp.EpochRanges != nil || resp.Last < next-1:
-			next = min(lots.CommonIndex(t.server.Log.Extent(), lots.ExtentOfAppend(resp)), next-1) + 1
+			next = min(replication.CommonIndex(t.server.Log.Extent(), replication.ExtentOfAppend(resp)), next-1) + 1
 		default:
 			// Another disk answers at that address: the set will be mended.
 			select {
--- a/internal/batch/store/history_test.go
+++ b/internal/batch/store/history_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"lemonarch/internal/batch/lots"
+	"lemonarch/internal/batch/replication"
 	"lemonarch/internal/control/register"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/messages"
@@ -55,7 +55,7 @@
 	store := s.stores[name].store
 	took := cost{records: s.sent[name].records - before.records, bytes: s.sent[name].bytes - before.bytes,
 		file: int(store.logfile.Size()), span: s.world.Now.Sub(start)}
-	store.replica.Each(1, func(lots.IndexEntry) bool {
+	store.replica.Each(1, func(replication.IndexEntry) bool {
 		took.slots++
 		return true
 	})
--- a/internal/batch/store/place.go
+++ b/internal/batch/store/place.go
@@ -3,7 +3,7 @@
 import (
 	"hash/fnv"
 
-	"lemonarch/internal/batch/itemdriver"
+	"lemonarch/internal/batch/executor"
 	"lemonarch/internal/control/membership"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
@@ -151,7 +151,7 @@
 	if len(waiting) == 0 {
 		return
 	}
-	var left []*itemdriver.Task
+	var left []*executor.Task
 	for _, task := range waiting {
 		if !d.start(task, owned, now) {
 			left = append(left, task)
@@ -163,7 +163,7 @@
 }
 
 // start starts a task at a worker or gives it back; false while it waits on.
-func (d *executorLoop) start(task *itemdriver.Task, owned map[string]bool, now clock.Instant) bool {
+func (d *executorLoop) start(task *executor.Task, owned map[string]bool, now clock.Instant) bool {
 	route := itemRoute(d.server.Node.Config(), task.Item)
 	d.lock.Lock()
 	unfit := d.draining || !task.MayRun(now) || now.Sub(task.Since) > constants.PlacementWait
@@ -201,7 +201,7 @@
 }
 
 // releaseUnstarted releases an item that was not begun.
-func (d *executorLoop) releaseUnstarted(task *itemdriver.Task) {
+func (d *executorLoop) releaseUnstarted(task *executor.Task) {
 	d.lock.Lock()
 	task.Item.Requeue(task.Run)
 	d.lock.Unlock()
--- a/internal/batch/store/quota.go
+++ b/internal/batch/store/quota.go
@@ -1,7 +1,7 @@
 package store
 
 import (
-	"lemonarch/internal/batch/lots"
+	"lemonarch/internal/batch/dispatch"
 	"lemonarch/internal/configuration/routeconfig"
 	"lemonarch/internal/platform/messages"
 )
@@ -51,7 +51,7 @@
 // waitingTokens adds up the tokens that wait on a route, lots on their way to the
 // stores included. The lock is held.
 func (t *term) waitingTokens(config *routeconfig.Config, route *routeconfig.Route) int64 {
-	total := t.jobs.Waiting(func(job *lots.Job) bool {
+	total := t.jobs.Waiting(func(job *dispatch.Job) bool {
 		return !t.ending[job.ID] && t.quota.route(config, submitPath{job.Host, job.Path}) == route
 	})
 	for _, coming := range t.quota.pending {
--- a/internal/batch/store/report.go
+++ b/internal/batch/store/report.go
@@ -3,7 +3,7 @@
 import (
 	"strconv"
 
-	"lemonarch/internal/batch/lots"
+	"lemonarch/internal/batch/dispatch"
 	"lemonarch/internal/control/register"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/messages"
@@ -61,7 +61,7 @@
 			if job.Open() && item.Unfinished() {
 				tokens += item.Tokens
 			}
-			if item.State == lots.ItemAcquired {
+			if item.State == dispatch.ItemAcquired {
 				acquired++
 			}
 			deliveries += item.Runs
--- a/internal/batch/store/share_callers_test.go
+++ b/internal/batch/store/share_callers_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"lemonarch/internal/batch/lots"
+	"lemonarch/internal/batch/dispatch"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/tooling/linearize"
 )
@@ -65,7 +65,7 @@
 }
 
 // textOf is an output's text, from the holder's memory or its disk.
-func (s *shareCluster) textOf(holder *simHolder, listing lots.Listing) string {
+func (s *shareCluster) textOf(holder *simHolder, listing dispatch.Listing) string {
 	if i := listing.Index - holder.first; i >= 0 && i < int64(len(holder.records)) {
 		return string(holder.records[i].Body)
 	}
--- a/internal/batch/store/share_driver_test.go
+++ b/internal/batch/store/share_driver_test.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
-	"lemonarch/internal/batch/itemdriver"
-	"lemonarch/internal/batch/lots"
+	"lemonarch/internal/batch/dispatch"
+	"lemonarch/internal/batch/executor"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/messages"
 )
@@ -14,7 +14,7 @@
 type simDriver struct {
 	cluster *shareCluster
 	name    string
-	core    *itemdriver.Runner
+	core    *executor.Runner
 	life    int64
 	asking  bool
 	telling [2]bool
@@ -52,8 +52,8 @@
 	}
 }
 
-func (s *simDriver) who() lots.Executor {
-	return lots.Executor{Name: s.name, Incarnation: s.life, Address: s.name}
+func (s *simDriver) who() dispatch.Executor {
+	return dispatch.Executor{Name: s.name, Incarnation: s.life, Address: s.name}
 }
 
 func (s *simDriver) acquire() {
@@ -76,8 +76,8 @@
 			return
 		}
 		resp := &messages.AcquireResponse{LockMs: clock.ToMilliseconds(dispatcher.Lock)}
-		options := &lots.AcquireOptions{Executor: who, Capacity: map[string]int{"s": 2}, Terms: cluster.terms,
-			Service: func(*lots.Item) string { return "s" }}
+		options := &dispatch.AcquireOptions{Executor: who, Capacity: map[string]int{"s": 2}, Terms: cluster.terms,
+			Service: func(*dispatch.Item) string { return "s" }}
 		for _, given := range dispatcher.Acquire(options, cluster.clockValue(holder.at)) {
 			item := given.Item
 			resp.Items = append(resp.Items, messages.AcquiredItem{Number: given.Number, Job: item.Job.ID, Item: item.JobItem, LastID: item.LastID,
@@ -163,13 +163,13 @@
 }
 
 // halt closes the connections of runs: each sets its item back.
-func (s *simDriver) halt(tasks []*itemdriver.Task) {
+func (s *simDriver) halt(tasks []*executor.Task) {
 	for _, task := range tasks {
 		s.release(task, messages.Acknowledgement{})
 	}
 }
 
-func (s *simDriver) release(task *itemdriver.Task, entry messages.Acknowledgement) {
+func (s *simDriver) release(task *executor.Task, entry messages.Acknowledgement) {
 	entry.Kind = messages.AckRelease
 	entry.Preempted = task.Item.Yielding()
 	task.Item.Requeue(task.Run)
@@ -177,7 +177,7 @@
 }
 
 // begin brings a task to a worker, which streams from where it is asked to.
-func (s *simDriver) begin(task *itemdriver.Task) {
+func (s *simDriver) begin(task *executor.Task) {
 	cluster, incarnation := s.cluster, s.life
 	cluster.world.After(clock.Milliseconds(10*cluster.world.Random.Float64()), s.at(incarnation, func() {
 		if cluster.frozen[s.name] || !task.MayRun(s.now()) {
@@ -200,7 +200,7 @@
 	}))
 }
 
-func (s *simDriver) stream(task *itemdriver.Task, next int64) {
+func (s *simDriver) stream(task *executor.Task, next int64) {
 	cluster, incarnation := s.cluster, s.life
 	cluster.world.After(clock.Milliseconds(20+200*cluster.world.Random.Float64()), s.at(incarnation, func() {
 		switch {
@@ -230,6 +230,6 @@
 // restart is a process that dies and starts anew: what it held is gone.
 func (s *simDriver) restart() {
 	s.life++
-	s.core = itemdriver.New()
+	s.core = executor.New()
 	s.asking, s.telling = false, [2]bool{}
 }
--- a/internal/batch/store/share_sim_test.go
+++ b/internal/batch/store/share_sim_test.go
@@ -5,8 +5,8 @@
 	"math/rand"
 	"testing"
 
-	"lemonarch/internal/batch/itemdriver"
-	"lemonarch/internal/batch/lots"
+	"lemonarch/internal/batch/dispatch"
+	"lemonarch/internal/batch/executor"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/messages"
 	"lemonarch/internal/tooling/linearize"
@@ -25,7 +25,7 @@
 type shareCluster struct {
 	*simFleet
 	drivers     map[string]*simDriver
-	dispatchers map[*simHolder]*lots.Dispatcher
+	dispatchers map[*simHolder]*dispatch.Dispatcher
 	ending      map[*simHolder]map[string]bool
 	// over says that a holder's hold has ended; no other is taken before.
 	over   map[*simHolder]bool
@@ -47,7 +47,7 @@
 }
 
 func newShareCluster(t *testing.T, seed int64) *shareCluster {
-	cluster := &shareCluster{simFleet: newSimFleet(t, seed, 4), drivers: map[string]*simDriver{}, dispatchers: map[*simHolder]*lots.Dispatcher{},
+	cluster := &shareCluster{simFleet: newSimFleet(t, seed, 4), drivers: map[string]*simDriver{}, dispatchers: map[*simHolder]*dispatch.Dispatcher{},
 		ending: map[*simHolder]map[string]bool{}, over: map[*simHolder]bool{}, frozen: map[string]bool{}, thawed: map[string][]func(){},
 		offset: map[string]float64{}, rate: map[string]float64{}, accepted: map[string]string{}, failures: map[string]int{},
 		rejected: map[string]bool{}, sentAt: map[string]clock.Instant{}, endAcked: map[string]clock.Instant{}, endAsked: map[string]bool{}, seen: map[string]int64{}}
@@ -56,7 +56,7 @@
 		cluster.offset[name] = 1e9 * (1 + 50*cluster.world.Random.Float64())
 		// Clocks run up to 2 % too fast or too slow.
 		cluster.rate[name] = 0.98 + 0.04*cluster.world.Random.Float64()
-		cluster.drivers[name] = &simDriver{cluster: cluster, name: name, core: itemdriver.New(), life: 1}
+		cluster.drivers[name] = &simDriver{cluster: cluster, name: name, core: executor.New(), life: 1}
 		cluster.drivers[name].loop()
 	}
 	return cluster
@@ -90,26 +90,26 @@
 }
 
 // serving gives the dispatcher of a holder that may act, or nil.
-func (s *shareCluster) serving(holder *simHolder) *lots.Dispatcher {
+func (s *shareCluster) serving(holder *simHolder) *dispatch.Dispatcher {
 	if holder == nil || holder != s.holder || !holder.ready || s.over[holder] || s.stores[holder.at].down || s.frozen[holder.at] {
 		return nil
 	}
 	dispatcher := s.dispatchers[holder]
 	if dispatcher == nil {
-		dispatcher = lots.NewDispatcher(holder.book, holder.epoch, holder.first, lockDuration(shareCancel), s.clockValue(holder.at))
+		dispatcher = dispatch.NewDispatcher(holder.book, holder.epoch, holder.first, lockDuration(shareCancel), s.clockValue(holder.at))
 		dispatcher.Append = holder.submit
 		ending := map[string]bool{}
-		dispatcher.Ending = func(job *lots.Job) bool { return ending[job.ID] }
-		dispatcher.Attempts = func(*lots.Item) int { return shareTries }
+		dispatcher.Ending = func(job *dispatch.Job) bool { return ending[job.ID] }
+		dispatcher.Attempts = func(*dispatch.Item) int { return shareTries }
 		s.dispatchers[holder], s.ending[holder] = dispatcher, ending
 	}
 	return dispatcher
 }
 
 // terms gives lots up once they are older than retain-s; the wall clock is shared.
-func (s *shareCluster) terms(job *lots.Job) lots.JobTerms {
+func (s *shareCluster) terms(job *dispatch.Job) dispatch.JobTerms {
 	age := clock.ToMilliseconds(s.world.Now.Sub(s.sentAt[job.ID]))
-	return lots.JobTerms{Due: int64(s.sentAt[job.ID]), Overdue: age > 8000, Expired: age > shareRetain}
+	return dispatch.JobTerms{Due: int64(s.sentAt[job.ID]), Overdue: age > 8000, Expired: age > shareRetain}
 }
 
 // tend is the holder's upkeep.
--- a/internal/batch/store/simulation_holder_test.go
+++ b/internal/batch/store/simulation_holder_test.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"lemonarch/internal/batch/lots"
+	"lemonarch/internal/batch/replication"
 	"lemonarch/internal/control/register"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/messages"
@@ -12,7 +12,7 @@
 // begin goes on from the best copy. Fetching is done in one step here.
 func (s *simHolder) begin(set []messages.Member, copies map[string]messages.FenceResponse) {
 	own := s.fleet.stores[s.at]
-	best := lots.BestCopy(copies)
+	best := replication.BestCopy(copies)
 	if best != register.Identity(own.member) {
 		for _, member := range set {
 			if register.Identity(member) != best {
@@ -20,7 +20,7 @@
 			}
 			source := s.fleet.stores[member.Address]
 			target := copies[best]
-			for next := lots.CommonIndex(own.store.Extent(), lots.ExtentOfFence(&target)) + 1; next <= copies[best].Last; {
+			for next := replication.CommonIndex(own.store.Extent(), replication.ExtentOfFence(&target)) + 1; next <= copies[best].Last; {
 				fetched, err := source.store.Fetch(&messages.FetchRequest{First: next})
 				if err != nil || source.down || len(fetched.Records) == 0 {
 					return
@@ -35,7 +35,7 @@
 		}
 	}
 	last := own.store.Extent().Last
-	s.press = lots.NewReplicator(s.epoch, set, s.fleet.budget, last+1)
+	s.press = replication.NewReplicator(s.epoch, set, s.fleet.budget, last+1)
 	jobs, err := own.store.Jobs()
 	if err != nil {
 		s.fleet.test.Fatal(err)
@@ -107,7 +107,7 @@
 					s.apply()
 				}
 			case resp.EpochRanges != nil:
-				common := lots.CommonIndex(fleet.stores[s.at].store.Extent(), lots.ExtentOfAppend(&resp))
+				common := replication.CommonIndex(fleet.stores[s.at].store.Extent(), replication.ExtentOfAppend(&resp))
 				s.next[identity] = min(common, next-1) + 1
 			}
 		})
--- a/internal/batch/store/simulation_test.go
+++ b/internal/batch/store/simulation_test.go
@@ -5,7 +5,8 @@
 	"math/rand"
 	"testing"
 
-	"lemonarch/internal/batch/lots"
+	"lemonarch/internal/batch/dispatch"
+	"lemonarch/internal/batch/replication"
 	"lemonarch/internal/control/register"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/messages"
@@ -27,8 +28,8 @@
 	fleet   *simFleet
 	at      string
 	epoch   uint64
-	press   *lots.Replicator
-	book    *lots.JobTable
+	press   *replication.Replicator
+	book    *dispatch.JobTable
 	records []messages.Record
 	applied int64
 	next    map[string]int64
@@ -117,7 +118,7 @@
 				}
 				copies[register.Identity(member)] = resp
 				own := copies[register.Identity(s.stores[name].member)].Granted
-				if !started && own && lots.EnoughFenced(len(set), len(copies), s.budget) {
+				if !started && own && replication.EnoughFenced(len(set), len(copies), s.budget) {
 					started = true
 					holder.begin(set, copies)
 				}
--- a/internal/batch/store/stop.go
+++ b/internal/batch/store/stop.go
@@ -1,7 +1,7 @@
 package store
 
 import (
-	"lemonarch/internal/batch/lots"
+	"lemonarch/internal/batch/dispatch"
 	"lemonarch/internal/control/membership"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
@@ -12,7 +12,7 @@
 // stopJobRuns takes all acquisitions of a lot back whose end is decided, and tells the
 // drivers that hold some. The lock is held. A driver that can't be told learns it
 // when it renews, or stops when its lock ends.
-func (t *term) stopJobRuns(job *lots.Job) {
+func (t *term) stopJobRuns(job *dispatch.Job) {
 	var addresses []string
 	for _, executor := range t.dispatcher.StopJob(job) {
 		addresses = append(addresses, executor.Address)
--- a/internal/batch/store/store.go
+++ b/internal/batch/store/store.go
@@ -4,7 +4,8 @@
 	"sync"
 	"sync/atomic"
 
-	"lemonarch/internal/batch/lots"
+	"lemonarch/internal/batch/dispatch"
+	"lemonarch/internal/batch/replication"
 	"lemonarch/internal/platform/constants"
 	"lemonarch/internal/platform/errs"
 	"lemonarch/internal/platform/messages"
@@ -20,7 +21,7 @@
 // ReplicaLog is the disk round a replica: it syncs before it answers.
 type ReplicaLog struct {
 	lock    sync.Mutex
-	replica *lots.Replica
+	replica *replication.Replica
 	logfile *recordlog.Log
 	// commitIndex is the index up to which all is known to be durable.
 	commitIndex int64
@@ -31,7 +32,7 @@
 
 // OpenReplicaLog reads the disk; an empty one gets the new identity.
 func OpenReplicaLog(disk recordlog.Disk, identity string) (*ReplicaLog, error) {
-	store := &ReplicaLog{replica: lots.NewReplica(""), rewrite: defaultCompactionPolicy()}
+	store := &ReplicaLog{replica: replication.NewReplica(""), rewrite: defaultCompactionPolicy()}
 	logfile, err := recordlog.Open(disk, replicaFileName, func(offset int64, body []byte) error {
 		record := messages.ReplicaRecord{}
 		if _, cause := record.UnmarshalMsg(body); cause != nil {
@@ -45,7 +46,7 @@
 			store.replica.Truncate(record.TruncateTo)
 		}
 		if record.Base > 0 {
-			store.replica.Reset(lots.Base{Index: record.Base, Epoch: record.BaseEpoch})
+			store.replica.Reset(replication.Base{Index: record.Base, Epoch: record.BaseEpoch})
 		}
 		if record.HasEntry {
 			return ErrCorrupt.Wrap(store.replica.Restore(&record.Entry, offset), replicaFileName)
@@ -177,7 +178,7 @@
 	}
 	size := 0
 	var cause error
-	s.replica.Each(req.First, func(slot lots.IndexEntry) bool {
+	s.replica.Each(req.First, func(slot replication.IndexEntry) bool {
 		record, err := s.read(slot.Index)
 		if err != nil {
 			cause = err
@@ -194,7 +195,7 @@
 }
 
 // Jobs makes the book of lots from all records.
-func (s *ReplicaLog) Jobs() (*lots.JobTable, error) {
+func (s *ReplicaLog) Jobs() (*dispatch.JobTable, error) {
 	forgotten := map[string]int64{}
 	var records []*messages.Record
 	err := s.each(func(record *messages.Record) {
@@ -207,7 +208,7 @@
 		}
 		records = append(records, record)
 	})
-	jobs := lots.NewJobTable()
+	jobs := dispatch.NewJobTable()
 	for _, record := range records {
 		if err == nil && (record.Job == "" || record.Index > forgotten[record.Job]) {
 			err = jobs.Apply(record)
@@ -220,7 +221,7 @@
 func (s *ReplicaLog) each(visit func(record *messages.Record)) (cause error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.replica.Each(1, func(slot lots.IndexEntry) bool {
+	s.replica.Each(1, func(slot replication.IndexEntry) bool {
 		record, err := s.read(slot.Index)
 		if err != nil {
 			cause = err
@@ -236,7 +237,7 @@
 func (s *ReplicaLog) Compacted() int64 { return s.base.Load() }
 
 // Extent gives what a holder compares.
-func (s *ReplicaLog) Extent() lots.LogExtent {
+func (s *ReplicaLog) Extent() replication.LogExtent {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.replica.Extent()
--- a/internal/batch/store/takeover.go
+++ b/internal/batch/store/takeover.go
@@ -1,7 +1,7 @@
 package store
 
 import (
-	"lemonarch/internal/batch/lots"
+	"lemonarch/internal/batch/replication"
 	"lemonarch/internal/control/membership"
 	"lemonarch/internal/control/register"
 	"lemonarch/internal/platform/clock"
@@ -18,7 +18,7 @@
 	var copies map[string]messages.FenceResponse
 	for {
 		copies = t.fenceMembers()
-		if lots.EnoughFenced(len(t.replicator.Members), len(copies), server.budget()) && copies[own].Granted {
+		if replication.EnoughFenced(len(t.replicator.Members), len(copies), server.budget()) && copies[own].Granted {
 			break
 		}
 		if t.closed() {
@@ -26,7 +26,7 @@
 		}
 		clock.Sleep(constants.TickPeriod * 2)
 	}
-	best := lots.BestCopy(copies)
+	best := replication.BestCopy(copies)
 	if best != own && !t.catchUp(best, copies) {
 		t.close("best copy can't be read")
 		return
@@ -34,7 +34,7 @@
 	extent := server.Log.Extent()
 	last := extent.Last
 	t.lock.Lock()
-	t.replicator = lots.NewReplicator(t.leadership.Epoch, t.replicator.Members, server.budget(), last+1)
+	t.replicator = replication.NewReplicator(t.leadership.Epoch, t.replicator.Members, server.budget(), last+1)
 	t.applied = last
 	if err := t.rebuild(); err != nil {
 		t.lock.Unlock()
@@ -46,7 +46,7 @@
 	for _, member := range t.replicator.Members {
 		common := last
 		if response, known := copies[register.Identity(member)]; known {
-			common = lots.CommonIndex(extent, lots.ExtentOfFence(&response))
+			common = replication.CommonIndex(extent, replication.ExtentOfFence(&response))
 		}
 		if register.Identity(member) == own {
 			common = last
@@ -106,7 +106,7 @@
 		if result.answer.Granted {
 			copies[result.identity] = result.answer
 		}
-		if lots.EnoughFenced(len(members), len(copies), server.budget()) && copies[register.Identity(server.member())].Granted {
+		if replication.EnoughFenced(len(members), len(copies), server.budget()) && copies[register.Identity(server.member())].Granted {
 			break
 		}
 	}
@@ -123,7 +123,7 @@
 		}
 	}
 	target := copies[best]
-	next := lots.CommonIndex(server.Log.Extent(), lots.ExtentOfFence(&target)) + 1
+	next := replication.CommonIndex(server.Log.Extent(), replication.ExtentOfFence(&target)) + 1
 	for next <= target.Last {
 		if t.closed() {
 			return false
--- a/internal/batch/store/term.go
+++ b/internal/batch/store/term.go
@@ -4,7 +4,8 @@
 	"sync"
 	"sync/atomic"
 
-	"lemonarch/internal/batch/lots"
+	"lemonarch/internal/batch/dispatch"
+	"lemonarch/internal/batch/replication"
 	"lemonarch/internal/control/register"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/messages"
@@ -15,8 +16,8 @@
 	server        *Server
 	leadership    messages.Leadership
 	lock          sync.Mutex
-	replicator    *lots.Replicator
-	jobs          *lots.JobTable
+	replicator    *replication.Replicator
+	jobs          *dispatch.JobTable
 	recent        []messages.Record
 	applied       int64
 	submitting    map[string]int64
@@ -30,17 +31,17 @@
 	// itemsAvailable wakes drivers that wait for items; begun is when the duty was taken.
 	itemsAvailable chan struct{}
 	startedAt      clock.Instant
-	dispatcher     *lots.Dispatcher
+	dispatcher     *dispatch.Dispatcher
 	stop           chan struct{}
 	closeOnce      sync.Once
 	serving        bool
 	announcements  atomic.Int64
-	replicaLag     lots.ReplicaLag
+	replicaLag     replication.ReplicaLag
 }
 
 func newTerm(server *Server, leadership messages.Leadership, stores []messages.Member, first int64) *term {
-	return &term{server: server, leadership: leadership, replicator: lots.NewReplicator(leadership.Epoch, stores, server.budget(), first),
-		jobs: lots.NewJobTable(), applied: first - 1, submitting: map[string]int64{}, quota: newQuota(), appendLatency: newAppendLatency(), copies: map[string]int64{}, ending: map[string]bool{},
+	return &term{server: server, leadership: leadership, replicator: replication.NewReplicator(leadership.Epoch, stores, server.budget(), first),
+		jobs: dispatch.NewJobTable(), applied: first - 1, submitting: map[string]int64{}, quota: newQuota(), appendLatency: newAppendLatency(), copies: map[string]int64{}, ending: map[string]bool{},
 		feeders: map[string]chan struct{}{}, changed: make(chan struct{}), itemsAvailable: make(chan struct{}), stop: make(chan struct{}), startedAt: clock.Now()}
 }
 
--- a/internal/batch/store/upkeep_test.go
+++ b/internal/batch/store/upkeep_test.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"strings"
 
-	"lemonarch/internal/batch/lots"
+	"lemonarch/internal/batch/dispatch"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/messages"
 	"lemonarch/internal/tooling/simulation"
@@ -29,7 +29,7 @@
 // stay.
 func (s *simHolder) forget() {
 	const kept = 3
-	var done []*lots.Job
+	var done []*dispatch.Job
 	for _, job := range s.book.Jobs() {
 		if !job.Open() && !s.forgets[job.ID] {
 			done = append(done, job)
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -15,7 +15,7 @@
 	"lemonarch/internal/control/broadcast"
 	"lemonarch/internal/control/contact"
 	"lemonarch/internal/control/membership"
-	"lemonarch/internal/control/quorum"
+	"lemonarch/internal/control/registerserver"
 	"lemonarch/internal/control/workers"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
@@ -33,7 +33,7 @@
 // Controller is one control process.
 type Controller struct {
 	Node       *node.Node
-	Register   *quorum.Replica
+	Register   *registerserver.Replica
 	checker    *configcheck.Checker
 	checking   sync.Mutex
 	lock       sync.Mutex
@@ -79,11 +79,11 @@
 			}
 		}
 	}
-	replica, err := quorum.Open(disk, first, identity)
+	replica, err := registerserver.Open(disk, first, identity)
 	if err != nil {
 		return nil, err
 	}
-	named, err := quorum.OpenNamed(disk, PlansRegister, first, identity)
+	named, err := registerserver.OpenNamed(disk, PlansRegister, first, identity)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/control/controller/golden_test.go
+++ b/internal/control/controller/golden_test.go
@@ -6,7 +6,7 @@
 	"path/filepath"
 	"testing"
 
-	"lemonarch/internal/control/quorum"
+	"lemonarch/internal/control/registerserver"
 	"lemonarch/internal/platform/messages"
 	"lemonarch/internal/platform/recordlog"
 )
@@ -86,10 +86,10 @@
 func TestGoldenNames(t *testing.T) {
 	dir := t.TempDir()
 	first := []messages.Member{{Address: "10.0.0.1:7660", Disk: "first"}}
-	if _, err := quorum.Open(recordlog.Directory(dir), first, "first"); err != nil {
+	if _, err := registerserver.Open(recordlog.Directory(dir), first, "first"); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := quorum.OpenNamed(recordlog.Directory(dir), PlansRegister, first, "first"); err != nil {
+	if _, err := registerserver.OpenNamed(recordlog.Directory(dir), PlansRegister, first, "first"); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := openWorkerFile(recordlog.Directory(dir)); err != nil {
--- a/internal/control/controller/named.go
+++ b/internal/control/controller/named.go
@@ -1,7 +1,7 @@
 package controller
 
 import (
-	"lemonarch/internal/control/quorum"
+	"lemonarch/internal/control/registerserver"
 	"lemonarch/internal/platform/constants"
 	"lemonarch/internal/platform/messages"
 	"lemonarch/internal/platform/node"
@@ -16,7 +16,7 @@
 const PlansRegister = "plans"
 
 // namedRegister gives the register of a name. There is one so far.
-func (c *Controller) namedRegister(name string) (*quorum.Replica, error) {
+func (c *Controller) namedRegister(name string) (*registerserver.Replica, error) {
 	if name != PlansRegister {
 		return nil, node.ErrUnavailable.New("no register is named " + name)
 	}
@@ -58,7 +58,7 @@
 
 // reconcileNamedSet keeps the acceptor set of a named register whole, as reconcileSet does for
 // the configuration.
-func (c *Controller) reconcileNamedSet(replica *quorum.Replica) {
+func (c *Controller) reconcileNamedSet(replica *registerserver.Replica) {
 	known := replica.Known()
 	if len(known.Acceptors) == 0 {
 		c.syncNamedSets(replica)
@@ -81,7 +81,7 @@
 }
 
 // syncNamedSets asks other controllers for the acceptors of a named register.
-func (c *Controller) syncNamedSets(replica *quorum.Replica) {
+func (c *Controller) syncNamedSets(replica *registerserver.Replica) {
 	c.forEachController(func(address string) {
 		resp := &messages.RegisterResponse{}
 		if transport.Call(c.Node.Transport, address, messages.KindNamedRead, &messages.NamedReadRequest{Name: replica.Name}, resp, constants.CallTimeout) == nil {
--- a/internal/control/controller/plans.go
+++ b/internal/control/controller/plans.go
@@ -7,8 +7,8 @@
 
 	"lemonarch/internal/configuration/adapterplan"
 	"lemonarch/internal/control/assignments"
-	"lemonarch/internal/control/quorum"
 	"lemonarch/internal/control/register"
+	"lemonarch/internal/control/registerserver"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
 	"lemonarch/internal/platform/errs"
@@ -19,7 +19,7 @@
 // planState is a controller's part in the assignments of adapters: it keeps what is in
 // force, puts an operator's change in force, and plans anew when a node is gone.
 type planState struct {
-	replica  *quorum.Replica
+	replica  *registerserver.Replica
 	lock     sync.Mutex
 	table    assignments.Table
 	pulling  bool
--- a/internal/control/controller/sets.go
+++ b/internal/control/controller/sets.go
@@ -5,8 +5,8 @@
 	"os"
 
 	"lemonarch/internal/control/membership"
-	"lemonarch/internal/control/quorum"
 	"lemonarch/internal/control/register"
+	"lemonarch/internal/control/registerserver"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
 	"lemonarch/internal/platform/messages"
@@ -101,7 +101,7 @@
 		return recordlog.NewMemoryDisk(), nil
 	}
 	if err := os.MkdirAll(nodeSettings.DataDir, 0o755); err != nil {
-		return nil, quorum.ErrDisk.Wrap(err, "data-dir")
+		return nil, registerserver.ErrDisk.Wrap(err, "data-dir")
 	}
 	return recordlog.Directory(nodeSettings.DataDir), nil
 }
--- a/internal/control/controller/tree.go
+++ b/internal/control/controller/tree.go
@@ -6,7 +6,7 @@
 
 	"lemonarch/internal/control/broadcast"
 	"lemonarch/internal/control/membership"
-	"lemonarch/internal/control/quorum"
+	"lemonarch/internal/control/registerserver"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
 	"lemonarch/internal/platform/messages"
@@ -128,7 +128,7 @@
 		resp := &messages.RelayWaitResponse{}
 		err := transport.Call(wire, send.Address, messages.KindRelayWait, &messages.RelayWaitRequest{From: update.From, Sequence: update.Sequence}, resp, constants.CallTimeout)
 		if err == nil && !resp.Known {
-			err = quorum.ErrDisk.New("relay forgot")
+			err = registerserver.ErrDisk.New("relay forgot")
 		}
 		return resp.Missing, err
 	}
--- a/internal/control/quorum/catchup_test.go
+++ b/internal/control/registerserver/catchup_test.go
@@ -1,4 +1,4 @@
-package quorum_test
+package registerserver_test
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"lemonarch/internal/control/quorum"
 	"lemonarch/internal/control/register"
+	"lemonarch/internal/control/registerserver"
 	"lemonarch/internal/platform/errs"
 	"lemonarch/internal/platform/messages"
 	"lemonarch/internal/platform/node"
@@ -19,7 +19,7 @@
 
 // member is one process with a register on a disk in memory.
 type member struct {
-	replica *quorum.Replica
+	replica *registerserver.Replica
 	disk    *recordlog.MemoryDisk
 	wire    *transport.Memory
 }
@@ -48,7 +48,7 @@
 // start opens the disk of a member and serves.
 func (c *cluster) start(name string) *member {
 	started := c.members[name]
-	replica, err := quorum.Open(started.disk, c.first, "first")
+	replica, err := registerserver.Open(started.disk, c.first, "first")
 	if err != nil {
 		c.test.Fatal(err)
 	}
--- a/internal/control/quorum/crash_test.go
+++ b/internal/control/registerserver/crash_test.go
@@ -1,4 +1,4 @@
-package quorum_test
+package registerserver_test
 
 import (
 	"errors"
@@ -6,8 +6,8 @@
 	"math/rand"
 	"testing"
 
-	"lemonarch/internal/control/quorum"
 	"lemonarch/internal/control/register"
+	"lemonarch/internal/control/registerserver"
 	"lemonarch/internal/platform/messages"
 	"lemonarch/internal/platform/node"
 	"lemonarch/internal/tooling/simulation"
@@ -25,14 +25,14 @@
 type lone struct {
 	test    *testing.T
 	disk    *simulation.Disk
-	replica *quorum.Replica
+	replica *registerserver.Replica
 	counter uint64
 	life    int64
 }
 
 // open reads the disk as a process does at its start.
 func (l *lone) open() {
-	replica, err := quorum.Open(l.disk, []messages.Member{only}, only.Disk)
+	replica, err := registerserver.Open(l.disk, []messages.Member{only}, only.Disk)
 	if err != nil {
 		l.test.Fatalf("the disk can't be read: %v", err)
 	}
--- a/internal/control/quorum/golden_test.go
+++ b/internal/control/registerserver/golden_test.go
@@ -1,4 +1,4 @@
-package quorum
+package registerserver
 
 import (
 	"bytes"
--- a/internal/control/quorum/quorum.go
+++ b/internal/control/registerserver/replica.go
@@ -1,6 +1,6 @@
-// Package quorum drives one process's part in a register: its acceptor on disk, the
+// Package registerserver drives one process's part in a register: its acceptor on disk, the
 // leases it grants, and the proposals that it sends to the other acceptors.
-package quorum
+package registerserver
 
 import (
 	"sync"
--- a/internal/tooling/hollowfleet/dispatch.go
+++ b/internal/tooling/hollowfleet/dispatch.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
-	"lemonarch/internal/batch/itemdriver"
-	"lemonarch/internal/batch/lots"
+	"lemonarch/internal/batch/dispatch"
+	"lemonarch/internal/batch/executor"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
 	"lemonarch/internal/platform/messages"
@@ -13,7 +13,7 @@
 
 // driverState is what a driver keeps.
 type driverState struct {
-	core    *itemdriver.Runner
+	core    *executor.Runner
 	running int
 	// speaking: results are on their way; asking: a question for items is out.
 	speaking, asking bool
@@ -26,9 +26,9 @@
 
 // beginDispatch lets the holder hand items out and take acknowledgements.
 func (s *storage) beginDispatch(node *Node, own *storeState) {
-	own.dispatcher = lots.NewDispatcher(own.book, lotEpoch, 1, constants.LockUnstated, node.now())
+	own.dispatcher = dispatch.NewDispatcher(own.book, lotEpoch, 1, constants.LockUnstated, node.now())
 	own.dispatcher.Append = func(record messages.Record) int64 { return s.submit(node, own, record) }
-	terms := func(lot *lots.Job) lots.JobTerms { return lots.JobTerms{Due: lot.SubmittedMs + 3_600_000} }
+	terms := func(lot *dispatch.Job) dispatch.JobTerms { return dispatch.JobTerms{Due: lot.SubmittedMs + 3_600_000} }
 	node.answerers[messages.KindAcquire] = func(body []byte, reply func(transport.Marshaler)) {
 		question := &messages.AcquireRequest{}
 		node.step(CoreLots, func() { _ = transport.Decode(body, question) })
@@ -47,11 +47,11 @@
 }
 
 // acquire hands items out, or looks again a little later while there are none.
-func (s *storage) acquire(node *Node, own *storeState, question *messages.AcquireRequest, begun clock.Instant, terms func(*lots.Job) lots.JobTerms, reply func(transport.Marshaler)) {
+func (s *storage) acquire(node *Node, own *storeState, question *messages.AcquireRequest, begun clock.Instant, terms func(*dispatch.Job) dispatch.JobTerms, reply func(transport.Marshaler)) {
 	answer := &messages.AcquireResponse{LockMs: clock.ToMilliseconds(own.dispatcher.Lock), WaitedMs: clock.ToMilliseconds(node.now().Sub(begun))}
 	node.step(CoreLots, func() {
-		ask := &lots.AcquireOptions{Executor: lots.Executor{Name: question.Executor, Incarnation: question.Incarnation, Address: question.Address},
-			Capacity: map[string]int{}, Terms: terms, Service: func(*lots.Item) string { return itemService }}
+		ask := &dispatch.AcquireOptions{Executor: dispatch.Executor{Name: question.Executor, Incarnation: question.Incarnation, Address: question.Address},
+			Capacity: map[string]int{}, Terms: terms, Service: func(*dispatch.Item) string { return itemService }}
 		for _, room := range question.Capacity {
 			ask.Capacity[room.Service] = room.Count
 		}
@@ -69,7 +69,7 @@
 
 // acknowledge takes a batch; what needs a record is answered once that is durable.
 func (s *storage) acknowledge(node *Node, own *storeState, question *messages.AcknowledgeRequest, reply func(transport.Marshaler)) {
-	driver := lots.Executor{Name: question.Executor, Incarnation: question.Incarnation, Address: question.Address}
+	driver := dispatch.Executor{Name: question.Executor, Incarnation: question.Incarnation, Address: question.Address}
 	answer, last := &messages.AcknowledgeResponse{}, int64(0)
 	for place := range question.Entries {
 		step := own.dispatcher.Acknowledge(driver, &question.Entries[place], node.now())
@@ -85,7 +85,7 @@
 
 // beginDriver lets a store run items.
 func (s *storage) beginDriver(node *Node) *driverState {
-	own := &driverState{core: itemdriver.New(), lock: constants.LockUnstated}
+	own := &driverState{core: executor.New(), lock: constants.LockUnstated}
 	if s.fleet.Plan.Lots == 0 {
 		return own
 	}
@@ -101,7 +101,7 @@
 }
 
 // halt has nothing to break off: a run that was stopped ends as one that is late.
-func (*storage) halt([]*itemdriver.Task) {}
+func (*storage) halt([]*executor.Task) {}
 
 // room is how many items a driver runs: its part of a quarter of all places.
 func (s *storage) room() int {
@@ -138,7 +138,7 @@
 }
 
 // finish ends a run with its output, if it still may.
-func (s *storage) finish(node *Node, own *driverState, task *itemdriver.Task) {
+func (s *storage) finish(node *Node, own *driverState, task *executor.Task) {
 	node.step(CoreDriver, func() {
 		entry := messages.Acknowledgement{Kind: messages.AckAccept, Output: []byte(fmt.Sprintf("%*d", s.fleet.Plan.ItemBytes, task.Number))}
 		if !task.MayRun(node.now()) {
--- a/internal/tooling/hollowfleet/lots.go
+++ b/internal/tooling/hollowfleet/lots.go
@@ -4,7 +4,8 @@
 	"fmt"
 	"math/rand"
 
-	"lemonarch/internal/batch/lots"
+	"lemonarch/internal/batch/dispatch"
+	"lemonarch/internal/batch/replication"
 	"lemonarch/internal/control/membership"
 	"lemonarch/internal/control/register"
 	"lemonarch/internal/platform/clock"
@@ -29,12 +30,12 @@
 
 // storeState is what a store, a driver and the holder keep.
 type storeState struct {
-	replica *lots.Replica
+	replica *replication.Replica
 	driver  *driverState
 	// The holder's: the dispatcher, and the records that are not on all stores yet.
-	dispatcher  *lots.Dispatcher
-	replication *lots.Replicator
-	book        *lots.JobTable
+	dispatcher  *dispatch.Dispatcher
+	replication *replication.Replicator
+	book        *dispatch.JobTable
 	recent      []messages.Record
 	first       int64
 	applied     int64
@@ -80,7 +81,7 @@
 	if node.own.Role != membership.RoleStore || s.holder == nil {
 		return nil
 	}
-	own := &storeState{replica: lots.NewReplica(node.own.Disk)}
+	own := &storeState{replica: replication.NewReplica(node.own.Disk)}
 	node.answerers[messages.KindAppend] = reads(node, CoreLots, func(order *messages.AppendRequest) transport.Marshaler {
 		answer := own.append(order)
 		return &answer
@@ -89,7 +90,7 @@
 	if node != s.holder {
 		return own
 	}
-	own.replication, own.book = lots.NewReplicator(lotEpoch, s.members, lotBudget, 1), lots.NewJobTable()
+	own.replication, own.book = replication.NewReplicator(lotEpoch, s.members, lotBudget, 1), dispatch.NewJobTable()
 	own.first, own.sending, own.begun = 1, map[string]bool{}, map[string]clock.Instant{}
 	node.answerers[messages.KindJobCall] = reads(node, CoreLots, func(call *messages.JobCallRequest) transport.Marshaler {
 		own.begun[call.Job] = node.now()
--- a/internal/tooling/hollowfleet/probe.go
+++ b/internal/tooling/hollowfleet/probe.go
@@ -5,7 +5,8 @@
 	"io"
 	"runtime"
 
-	"lemonarch/internal/batch/lots"
+	"lemonarch/internal/batch/dispatch"
+	"lemonarch/internal/batch/replication"
 	"lemonarch/internal/platform/constants"
 	"lemonarch/internal/platform/messages"
 )
@@ -92,10 +93,10 @@
 	probe.BodyBytes = len(record.Body)
 	probe.Fits = len(record.Body) < constants.FrameLimit
 	before := heapBytes()
-	book := lots.NewJobTable()
+	book := dispatch.NewJobTable()
 	probe.TakeMs = timed(func() { _ = book.Apply(record) }) / 1e6
 	probe.HeapMB = (heapBytes() - before) / (1 << 20)
-	probe.WaitingMs = timed(func() { book.Waiting(func(*lots.Job) bool { return true }) }) / 1e6
+	probe.WaitingMs = timed(func() { book.Waiting(func(*dispatch.Job) bool { return true }) }) / 1e6
 	lot := book.Job(record.Job)
 	stride := max(1, size/sampledOutputs)
 	count, spent := 0, 0.0
@@ -107,7 +108,7 @@
 	probe.OutputUs = spent / float64(count) / 1e3
 	probe.AllOutputsS = probe.OutputUs * float64(size) / 1e6
 	before = heapBytes()
-	replica := lots.NewReplica("disk")
+	replica := replication.NewReplica("disk")
 	for place := 0; place <= size; place++ {
 		replica.Add(&messages.Record{Epoch: lotEpoch, Kind: messages.RecordOutput, Job: record.Job}, int64(place))
 	}
--- a/internal/tooling/loadgen/check.go
+++ b/internal/tooling/loadgen/check.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"strings"
 
-	"lemonarch/internal/batch/lotclient"
+	"lemonarch/internal/batch/jobclient"
 	"lemonarch/internal/tooling/workeremulator"
 )
 
@@ -120,7 +120,7 @@
 	id string
 	// events is how many events each item has; listed is what stands at each position.
 	events   map[string]int64
-	listed   []lotclient.Output
+	listed   []jobclient.Output
 	position map[string]int
 }
 
@@ -129,7 +129,7 @@
 }
 
 // page takes what one read gave from a position on.
-func (l *lotCheck) page(cursor int, page *lotclient.Page) []Finding {
+func (l *lotCheck) page(cursor int, page *jobclient.Page) []Finding {
 	var findings []Finding
 	add := func(rule, what string) { findings = append(findings, Finding{rule, l.id, what}) }
 	if page.Sum != len(l.events) {
@@ -152,9 +152,9 @@
 		switch {
 		case !known:
 			add("MIXED", "item "+output.ID+" belongs to another lot")
-		case output.Phase == lotclient.Settled && output.Text != wholeText(output.ID, events):
+		case output.Phase == jobclient.Settled && output.Text != wholeText(output.ID, events):
 			add("MIXED", "the text of item "+output.ID+" is not its whole output")
-		case output.Phase != lotclient.Settled && output.Phase != lotclient.Abandoned:
+		case output.Phase != jobclient.Settled && output.Phase != jobclient.Abandoned:
 			add("MIXED", "item "+output.ID+" has the phase "+output.Phase)
 		}
 	}
--- a/internal/tooling/loadgen/check_test.go
+++ b/internal/tooling/loadgen/check_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"lemonarch/internal/batch/lotclient"
+	"lemonarch/internal/batch/jobclient"
 	"lemonarch/internal/tooling/workeremulator"
 )
 
@@ -121,15 +121,15 @@
 }
 
 func TestPagesOfALot(t *testing.T) {
-	first := lotclient.Output{ID: "i1", Phase: lotclient.Settled, Text: wholeText("i1", 2)}
-	second := lotclient.Output{ID: "i2", Phase: lotclient.Settled, Text: wholeText("i2", 3)}
-	dropped := lotclient.Output{ID: "i2", Phase: lotclient.Abandoned}
+	first := jobclient.Output{ID: "i1", Phase: jobclient.Settled, Text: wholeText("i1", 2)}
+	second := jobclient.Output{ID: "i2", Phase: jobclient.Settled, Text: wholeText("i2", 3)}
+	dropped := jobclient.Output{ID: "i2", Phase: jobclient.Abandoned}
 	type read struct {
 		cursor  int
 		sum     int
-		outputs []lotclient.Output
+		outputs []jobclient.Output
 	}
-	list := func(outputs ...lotclient.Output) []lotclient.Output { return outputs }
+	list := func(outputs ...jobclient.Output) []jobclient.Output { return outputs }
 	short := first
 	short.Text = wholeText("i1", 1)
 	for name, one := range map[string]struct {
@@ -142,15 +142,15 @@
 		"position changed":   {[]read{{0, 2, list(first)}, {0, 2, list(second)}}, "TWICE "},
 		"phase changed":      {[]read{{0, 2, list(first, dropped)}, {1, 2, list(second)}}, "TWICE "},
 		"event missing":      {[]read{{0, 2, list(short)}}, "MIXED "},
-		"another lot's item": {[]read{{0, 2, list(lotclient.Output{ID: "x", Phase: lotclient.Settled})}}, "MIXED "},
+		"another lot's item": {[]read{{0, 2, list(jobclient.Output{ID: "x", Phase: jobclient.Settled})}}, "MIXED "},
 		"wrong sum":          {[]read{{0, 3, list(first)}}, "MIXED "},
-		"unknown phase":      {[]read{{0, 2, list(lotclient.Output{ID: "i1", Phase: "done", Text: first.Text})}}, "MIXED "},
+		"unknown phase":      {[]read{{0, 2, list(jobclient.Output{ID: "i1", Phase: "done", Text: first.Text})}}, "MIXED "},
 	} {
 		check := newLotCheck("lot")
 		check.events = map[string]int64{"i1": 2, "i2": 3}
 		var findings []Finding
 		for _, read := range one.reads {
-			findings = append(findings, check.page(read.cursor, &lotclient.Page{Sum: read.sum, Outputs: read.outputs})...)
+			findings = append(findings, check.page(read.cursor, &jobclient.Page{Sum: read.sum, Outputs: read.outputs})...)
 		}
 		if got := rules(findings); got != one.want {
 			t.Errorf("%s: %q, not %q", name, got, one.want)
--- a/internal/tooling/loadgen/lots.go
+++ b/internal/tooling/loadgen/lots.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"sync"
 
-	"lemonarch/internal/batch/lotclient"
+	"lemonarch/internal/batch/jobclient"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
 	"lemonarch/internal/platform/contexts"
@@ -41,12 +41,12 @@
 	group.Wait()
 }
 
-func (r *run) makeLot(number int, random *rand.Rand) (lotclient.Lot, *lotCheck) {
+func (r *run) makeLot(number int, random *rand.Rand) (jobclient.Lot, *lotCheck) {
 	check := newLotCheck(r.prefix + "lot" + strconv.Itoa(number))
-	lot, route := lotclient.Lot{}, r.routes["batch"]
+	lot, route := jobclient.Lot{}, r.routes["batch"]
 	for place := 0; place < r.options.Items; place++ {
 		prompt := profiles["batch"].prompt(random)
-		item := lotclient.Item{ID: check.id + "-" + strconv.Itoa(place), Path: fmt.Sprintf("%s%d/%d", route.Prefix, number, place),
+		item := jobclient.Item{ID: check.id + "-" + strconv.Itoa(place), Path: fmt.Sprintf("%s%d/%d", route.Prefix, number, place),
 			Tokens: prompt.in + prompt.out, Body: []byte("item " + strconv.Itoa(place)), Headers: map[string]string{"Lemonarch-Model": lab.ModelName,
 				"Lemonarch-Token-Count": fmt.Sprintf("%d,%d", prompt.in, prompt.out), "Lemonarch-Prompt-Prefix": prompt.parts}}
 		check.events[item.ID] = workeremulator.Events(prompt.out, r.card.Stride)
@@ -57,10 +57,10 @@
 }
 
 // lot hands one lot in, follows it to its end, and reads it once more from the start.
-func (r *run) lot(check *lotCheck, lot lotclient.Lot, node int) {
+func (r *run) lot(check *lotCheck, lot jobclient.Lot, node int) {
 	route := r.routes["batch"]
 	edges := append(append([]string(nil), r.card.Ingress[node:]...), r.card.Ingress[:node]...)
-	client := &lotclient.Client{Edges: edges, Host: route.Host}
+	client := &jobclient.Client{Edges: edges, Host: route.Host}
 	limited, release := contexts.WithTimeout(contexts.Background(), constants.LoadDrain)
 	defer release()
 	begun := clock.Now()
@@ -68,7 +68,7 @@
 	_, err := client.HandIn(handing, check.id, route.Prefix+"lot", lot)
 	halt()
 	if err != nil {
-		refused := errs.Is(err, lotclient.ErrRejected)
+		refused := errs.Is(err, jobclient.ErrRejected)
 		r.promiseItems(check, refused)
 		cause := "lot unclear"
 		if refused {
@@ -92,7 +92,7 @@
 		if err == nil {
 			took := clock.Now().Sub(begun)
 			for _, output := range check.listed[before:] {
-				r.result.item(output.Phase == lotclient.Settled, took, took <= result)
+				r.result.item(output.Phase == jobclient.Settled, took, took <= result)
 			}
 		}
 		clock.Sleep(constants.LoadPollPause)
@@ -104,7 +104,7 @@
 }
 
 // readAgain reads a lot from the start: what was read must come again.
-func (r *run) readAgain(client *lotclient.Client, check *lotCheck) {
+func (r *run) readAgain(client *jobclient.Client, check *lotCheck) {
 	limited, release := contexts.WithTimeout(contexts.Background(), 2*constants.LotCallTime)
 	defer release()
 	for cursor, seen := 0, len(check.listed); cursor < seen; {
@@ -116,7 +116,7 @@
 			return
 		case err == nil:
 			cursor = page.Next
-		case !lotclient.Again(err):
+		case !jobclient.Again(err):
 			return
 		case limited.Err() != nil:
 			r.result.note("lot " + check.id + " could not be read again: " + err.Error())
@@ -128,15 +128,15 @@
 }
 
 // judgeRead takes one read of a lot that was accepted.
-func (r *run) judgeRead(check *lotCheck, cursor int, page *lotclient.Page, err error) {
+func (r *run) judgeRead(check *lotCheck, cursor int, page *jobclient.Page, err error) {
 	switch {
 	case err == nil:
 		for _, finding := range check.page(cursor, page) {
 			r.result.find(finding)
 		}
-	case errs.Is(err, lotclient.ErrCorruptResponse):
+	case errs.Is(err, jobclient.ErrCorruptResponse):
 		r.result.find(Finding{"MIXED", check.id, err.Error()})
-	case !lotclient.Again(err):
+	case !jobclient.Again(err):
 		r.result.find(Finding{"LOST", check.id, err.Error()})
 	}
 }
