--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -5,12 +5,12 @@
 	"github.com/hashicorp/go-hclog"
 
 	"lemonarch/internal/control/controller"
-	"lemonarch/internal/platform/node"
+	"lemonarch/internal/platform/process"
 	"lemonarch/internal/platform/settings"
 )
 
 func main() {
-	node.Main("controller", func(nodeSettings *settings.Settings, log hclog.Logger) (node.Process, error) {
+	process.Main("controller", func(nodeSettings *settings.Settings, log hclog.Logger) (process.Process, error) {
 		return controller.New(nodeSettings, log)
 	})
 }
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -4,13 +4,13 @@
 import (
 	"github.com/hashicorp/go-hclog"
 
-	"lemonarch/internal/platform/node"
+	"lemonarch/internal/platform/process"
 	"lemonarch/internal/platform/settings"
 	"lemonarch/internal/traffic/gateway"
 )
 
 func main() {
-	node.Main("gateway", func(nodeSettings *settings.Settings, log hclog.Logger) (node.Process, error) {
+	process.Main("gateway", func(nodeSettings *settings.Settings, log hclog.Logger) (process.Process, error) {
 		return gateway.New(nodeSettings, log), nil
 	})
 }
--- a/cmd/store/main.go
+++ b/cmd/store/main.go
@@ -5,12 +5,12 @@
 	"github.com/hashicorp/go-hclog"
 
 	"lemonarch/internal/batch/store"
-	"lemonarch/internal/platform/node"
+	"lemonarch/internal/platform/process"
 	"lemonarch/internal/platform/settings"
 )
 
 func main() {
-	node.Main("store", func(nodeSettings *settings.Settings, log hclog.Logger) (node.Process, error) {
+	process.Main("store", func(nodeSettings *settings.Settings, log hclog.Logger) (process.Process, error) {
 		return store.New(nodeSettings, log)
 	})
 }
--- a/internal/batch/store/calls.go
+++ b/internal/batch/store/calls.go
@@ -8,34 +8,29 @@
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
 	"lemonarch/internal/platform/messages"
-	"lemonarch/internal/platform/transport"
 )
 
 // handleJobCall answers a client's call that a gateway passed on.
-func (s *Server) handleJobCall(body []byte) ([]byte, error) {
-	call := &messages.JobCallRequest{}
-	if err := transport.Decode(body, call); err != nil {
-		return nil, err
-	}
+func (s *Server) handleJobCall(call *messages.JobCallRequest) (*messages.JobCallResponse, error) {
 	if !s.firstSeen(call, clock.Now()) {
 		// The first copy is answered, or will be; a second might end otherwise.
-		return transport.Encode(refuse(http.StatusGatewayTimeout, "outcome unknown"))
+		return refuse(http.StatusGatewayTimeout, "outcome unknown"), nil
 	}
 	current := s.current()
 	if current == nil {
-		return transport.Encode(s.notLeader())
+		return s.notLeader(), nil
 	}
 	resp := current.serve(call)
 	// A hold that ran out meanwhile makes what we know old: say nothing of it.
 	if !s.holdsLease() || current.closed() {
 		if call.Method == http.MethodPost && resp.Status != http.StatusAccepted && !resp.NotLeader {
-			return transport.Encode(&messages.JobCallResponse{Status: http.StatusGatewayTimeout, Body: reason("outcome unknown")})
+			return &messages.JobCallResponse{Status: http.StatusGatewayTimeout, Body: reason("outcome unknown")}, nil
 		}
 		if call.Method != http.MethodPost {
-			return transport.Encode(s.notLeader())
+			return s.notLeader(), nil
 		}
 	}
-	return transport.Encode(resp)
+	return resp, nil
 }
 
 func (s *Server) notLeader() *messages.JobCallResponse {
--- a/internal/batch/store/copy.go
+++ b/internal/batch/store/copy.go
@@ -113,11 +113,7 @@
 }
 
 // handleCopy fetches one stretch of records from another store and keeps it.
-func (s *Server) handleCopy(body []byte) ([]byte, error) {
-	request := &messages.CopyRequest{}
-	if err := transport.Decode(body, request); err != nil {
-		return nil, err
-	}
+func (s *Server) handleCopy(request *messages.CopyRequest) (*messages.AppendResponse, error) {
 	s.observeEpoch(request.Epoch)
 	fetched := &messages.FetchResponse{}
 	req := &messages.FetchRequest{First: request.First, Epoch: request.Epoch, Disk: request.SourceDisk}
@@ -131,7 +127,7 @@
 		records = records[:len(records)-1]
 	}
 	if !fetched.Granted || len(records) == 0 {
-		return transport.Encode(&messages.AppendResponse{})
+		return &messages.AppendResponse{}, nil
 	}
 	resp, err := s.Log.Append(&messages.AppendRequest{Epoch: request.Epoch, Disk: request.Disk, PreviousIndex: request.First - 1,
 		PreviousEpoch: s.Log.EpochAt(request.First - 1), Records: records,
@@ -139,5 +135,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return transport.Encode(&resp)
+	return &resp, nil
 }
--- a/internal/batch/store/handin_test.go
+++ b/internal/batch/store/handin_test.go
@@ -7,9 +7,9 @@
 
 	"github.com/hashicorp/go-hclog"
 
+	"lemonarch/internal/control/agent"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/messages"
-	"lemonarch/internal/platform/node"
 	"lemonarch/internal/platform/settings"
 	"lemonarch/internal/platform/transport"
 	"lemonarch/internal/tooling/simulation"
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	nodeSettings := &settings.Settings{NodeName: "m", Address: "10.0.0.1", InternalPorts: []int{1, 9}, HeartbeatMs: 1200}
-	runtime := node.New(nodeSettings, "store", 2, store.Disk(), hclog.NewNullLogger())
+	runtime := agent.New(nodeSettings, "store", 2, store.Disk(), hclog.NewNullLogger())
 	runtime.Transport = transport.NewMemoryNetwork().Transport("m")
 	server := &Server{Node: runtime, Gossip: loadgossip.New(runtime), Log: store, startedAt: clock.Now()}
 	server.executor = newExecutorLoop(server)
--- a/internal/batch/store/promise_test.go
+++ b/internal/batch/store/promise_test.go
@@ -17,12 +17,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	response, err := server.handleJobCall(body)
-	if err != nil {
+	received := &messages.JobCallRequest{}
+	if err = transport.Decode(body, received); err != nil {
 		t.Fatal(err)
 	}
-	resp := &messages.JobCallResponse{}
-	if err = transport.Decode(response, resp); err != nil {
+	resp, err := server.handleJobCall(received)
+	if err != nil {
 		t.Fatal(err)
 	}
 	return resp
--- a/internal/batch/store/rim_test.go
+++ b/internal/batch/store/rim_test.go
@@ -8,13 +8,13 @@
 
 	"github.com/hashicorp/go-hclog"
 
+	"lemonarch/internal/control/agent"
 	"lemonarch/internal/control/lease"
 	"lemonarch/internal/control/membership"
 	"lemonarch/internal/control/register"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
 	"lemonarch/internal/platform/messages"
-	"lemonarch/internal/platform/node"
 	"lemonarch/internal/platform/settings"
 	"lemonarch/internal/platform/transport"
 	"lemonarch/internal/tooling/simulation"
@@ -115,12 +115,11 @@
 	}
 	nodeSettings := &settings.Settings{NodeName: name, Address: fmt.Sprint("10.0.0.", number), Zone: fmt.Sprint("h", number%3), InternalPorts: []int{7000, 7010},
 		Seeds: []string{"10.0.0.99:80"}, HeartbeatMs: 1200, FaultBudget: settings.FaultBudget{Machines: 1}, Tolerances: settings.Tolerances{StatusS: 120, CancelMs: 3000}}
-	runtime := node.New(nodeSettings, membership.RoleStore, constants.PortStore, store.Disk(), hclog.NewNullLogger())
+	runtime := agent.New(nodeSettings, membership.RoleStore, constants.PortStore, store.Disk(), hclog.NewNullLogger())
 	runtime.Transport = r.room.Transport(runtime.Self.Address)
 	server := &Server{Node: runtime, Gossip: loadgossip.New(runtime), Log: store, startedAt: clock.Now(), done: make(chan struct{})}
 	server.executor = newExecutorLoop(server)
 	server.registerHandlers()
-	server.registerExecutorHandlers()
 	server.reports()
 	runtime.ApplyConfig([]byte(quotaConfig))
 	if err = runtime.Transport.Serve(runtime.Dispatch); err != nil {
--- a/internal/batch/store/server.go
+++ b/internal/batch/store/server.go
@@ -11,12 +11,12 @@
 
 	"github.com/hashicorp/go-hclog"
 
+	"lemonarch/internal/control/agent"
 	"lemonarch/internal/control/lease"
 	"lemonarch/internal/control/membership"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
 	"lemonarch/internal/platform/messages"
-	"lemonarch/internal/platform/node"
 	"lemonarch/internal/platform/recordlog"
 	"lemonarch/internal/platform/settings"
 	"lemonarch/internal/platform/transport"
@@ -25,7 +25,7 @@
 
 // Server is one storage process.
 type Server struct {
-	Node   *node.Node
+	Node   *agent.Agent
 	Gossip *loadgossip.Gossip
 	Log    *ReplicaLog
 
@@ -60,11 +60,10 @@
 	if err != nil {
 		return nil, err
 	}
-	runtime := node.New(nodeSettings, membership.RoleStore, constants.PortStore, store.Disk(), log)
+	runtime := agent.New(nodeSettings, membership.RoleStore, constants.PortStore, store.Disk(), log)
 	server := &Server{Node: runtime, Gossip: loadgossip.New(runtime), Log: store, startedAt: clock.Now(), done: make(chan struct{})}
 	server.executor = newExecutorLoop(server)
 	server.registerHandlers()
-	server.registerExecutorHandlers()
 	server.reports()
 	return server, nil
 }
@@ -77,64 +76,6 @@
 	return messages.Member{Name: own.Name, Disk: own.Disk, Address: own.Address, Zone: own.Zone}
 }
 
-func (s *Server) registerHandlers() {
-	runtime := s.Node
-	runtime.Handle(messages.KindFence, func(body []byte) ([]byte, error) {
-		req := &messages.FenceRequest{}
-		if err := transport.Decode(body, req); err != nil {
-			return nil, err
-		}
-		resp, err := s.Log.Fence(req)
-		if err != nil {
-			return nil, err
-		}
-		s.observeEpoch(req.Epoch)
-		return transport.Encode(&resp)
-	})
-	runtime.Handle(messages.KindAppend, func(body []byte) ([]byte, error) {
-		req := &messages.AppendRequest{}
-		if err := transport.Decode(body, req); err != nil {
-			return nil, err
-		}
-		s.observeEpoch(req.Epoch)
-		resp, err := s.Log.Append(req)
-		if err != nil {
-			runtime.Log.Error("append refused by disk", "why", err.Error())
-			return nil, err
-		}
-		return transport.Encode(&resp)
-	})
-	runtime.Handle(messages.KindFetch, func(body []byte) ([]byte, error) {
-		req := &messages.FetchRequest{}
-		if err := transport.Decode(body, req); err != nil {
-			return nil, err
-		}
-		resp, err := s.Log.Fetch(req)
-		if err != nil {
-			return nil, err
-		}
-		return transport.Encode(resp)
-	})
-	runtime.Handle(messages.KindLeaderAnnouncement, func(body []byte) ([]byte, error) {
-		announcement := &messages.LeaderAnnouncement{}
-		if err := transport.Decode(body, announcement); err != nil {
-			return nil, err
-		}
-		s.lock.Lock()
-		if announcement.Leadership.Epoch >= s.announced.Epoch {
-			s.announced, s.announcedAt = announcement.Leadership, clock.Now()
-			if announcement.Resigned {
-				s.announcedAt, s.lastRead = 0, 0
-			}
-		}
-		s.lock.Unlock()
-		s.observeEpoch(announcement.Leadership.Epoch)
-		return transport.Encode(&messages.Ack{Accepted: true})
-	})
-	runtime.Handle(messages.KindJobCall, s.handleJobCall)
-	runtime.Handle(messages.KindCopy, s.handleCopy)
-}
-
 // observeEpoch ends our own term when a later epoch is seen at work.
 func (s *Server) observeEpoch(epoch uint64) {
 	if current := s.current(); current != nil && current.leadership.Epoch < epoch {
--- a/internal/batch/store/stop.go
+++ b/internal/batch/store/stop.go
@@ -41,34 +41,6 @@
 	}
 }
 
-// registerExecutorHandlers registers what drivers ask of the dispatcher, and what it tells
-// them.
-func (s *Server) registerExecutorHandlers() {
-	runtime := s.Node
-	runtime.Handle(messages.KindAcquire, func(body []byte) ([]byte, error) {
-		req := &messages.AcquireRequest{}
-		if err := transport.Decode(body, req); err != nil {
-			return nil, err
-		}
-		return transport.Encode(s.acquire(req))
-	})
-	runtime.Handle(messages.KindAcknowledge, func(body []byte) ([]byte, error) {
-		req := &messages.AcknowledgeRequest{}
-		if err := transport.Decode(body, req); err != nil {
-			return nil, err
-		}
-		return transport.Encode(s.acknowledge(req))
-	})
-	runtime.Handle(messages.KindStopJob, func(body []byte) ([]byte, error) {
-		announcement := &messages.StopJobRequest{}
-		if err := transport.Decode(body, announcement); err != nil {
-			return nil, err
-		}
-		s.executor.stopJob(announcement.Job)
-		return transport.Encode(&messages.Ack{Accepted: true})
-	})
-}
-
 // acquire and acknowledge are the dispatcher's side, for drivers here and elsewhere.
 func (s *Server) acquire(req *messages.AcquireRequest) *messages.AcquireResponse {
 	if current := s.current(); current != nil {
--- a/internal/platform/node/assignments_test.go
+++ b/internal/control/agent/assignments_test.go
@@ -1,4 +1,4 @@
-package node
+package agent
 
 import (
 	"testing"
@@ -37,7 +37,7 @@
 	for _, seen := range []int64{0, 4, 5} {
 		node.observePlan(seen, "controller:1")
 	}
-	if node.assigned.pulling || pulls != before {
+	if node.plan.pulling || pulls != before {
 		t.Fatal("asked for what it has")
 	}
 	if rows := node.reportAssigned().Rows; len(rows) != 1 || rows[0][0] != "5" {
--- a/internal/platform/node/config.go
+++ b/internal/control/agent/config.go
@@ -1,4 +1,4 @@
-package node
+package agent
 
 import (
 	"math"
@@ -10,85 +10,82 @@
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
 	"lemonarch/internal/platform/messages"
+	"lemonarch/internal/platform/process"
 	"lemonarch/internal/platform/transport"
 )
 
 // OnConfig registers who is told of newer configurations.
-func (n *Node) OnConfig(function func(*routeconfig.Config)) {
-	n.onConfig = append(n.onConfig, function)
+func (a *Agent) OnConfig(function func(*routeconfig.Config)) {
+	a.onConfig = append(a.onConfig, function)
 }
 
 // Config is the newest configuration known here, or nil.
-func (n *Node) Config() *routeconfig.Config {
-	n.lock.Lock()
-	defer n.lock.Unlock()
-	return n.config
+func (a *Agent) Config() *routeconfig.Config {
+	a.lock.Lock()
+	defer a.lock.Unlock()
+	return a.config
 }
 
 // Generation is its number.
-func (n *Node) Generation() int64 {
-	if config := n.Config(); config != nil {
+func (a *Agent) Generation() int64 {
+	if config := a.Config(); config != nil {
 		return config.Generation
 	}
 	return 0
 }
 
 // ApplyConfig puts a chosen configuration in force, never an older one.
-func (n *Node) ApplyConfig(body []byte) {
+func (a *Agent) ApplyConfig(body []byte) {
 	config, err := routeconfig.Parse(body)
 	if err != nil {
-		n.Log.Error("configuration unreadable", "why", err.Error())
+		a.Log.Error("configuration unreadable", "why", err.Error())
 		return
 	}
-	n.lock.Lock()
-	if n.config != nil && n.config.Generation >= config.Generation {
-		n.lock.Unlock()
+	a.lock.Lock()
+	if a.config != nil && a.config.Generation >= config.Generation {
+		a.lock.Unlock()
 		return
 	}
-	n.config = config
-	n.view.SetGeneration(config.Generation)
-	n.lock.Unlock()
-	n.Log.Info("configuration taken", "generation", config.Generation, "routes", len(config.Routes))
-	for _, function := range n.onConfig {
+	a.config = config
+	a.view.SetGeneration(config.Generation)
+	a.lock.Unlock()
+	a.Log.Info("configuration taken", "generation", config.Generation, "routes", len(config.Routes))
+	for _, function := range a.onConfig {
 		function(config)
 	}
 }
 
-func (n *Node) handleConfigPush(body []byte) ([]byte, error) {
-	push := &messages.ConfigPush{}
-	if err := transport.Decode(body, push); err != nil {
-		return nil, err
-	}
+func (a *Agent) handleConfigPush(push *messages.ConfigPush) (*messages.Ack, error) {
 	if len(push.ForwardTo) > 0 {
-		go n.forward(push)
+		go a.forward(push)
 	}
-	if push.Generation > n.Generation() && len(push.Body) > 0 {
-		n.ApplyConfig(push.Body)
+	if push.Generation > a.Generation() && len(push.Body) > 0 {
+		a.ApplyConfig(push.Body)
 	}
 	// A push without a body only says that there is one.
-	n.ObserveGeneration(push.Generation)
-	return transport.Encode(&messages.Ack{Accepted: n.Generation() >= push.Generation})
+	a.ObserveGeneration(push.Generation)
+	return &messages.Ack{Accepted: a.Generation() >= push.Generation}, nil
 }
 
 // handleConfigPull answers another process that has seen this one follow a newer configuration.
 // What is followed here was chosen. Controllers answer for themselves.
-func (n *Node) handleConfigPull(_ []byte) ([]byte, error) {
-	config := n.Config()
+func (a *Agent) handleConfigPull(_ *messages.ConfigPull) (*messages.ConfigPush, error) {
+	config := a.Config()
 	if config == nil {
-		return nil, ErrUnavailable.New("no configuration yet")
+		return nil, process.ErrUnavailable.New("no configuration yet")
 	}
-	return transport.Encode(&messages.ConfigPush{Generation: config.Generation, Body: config.Body})
+	return &messages.ConfigPush{Generation: config.Generation, Body: config.Body}, nil
 }
 
 // forward sends a configuration on to the part of the zone that came with it, through a
 // few of that part, so that no single link carries it all. Whoever is missed pulls it on
 // seeing the newer generation.
-func (n *Node) forward(push *messages.ConfigPush) {
+func (a *Agent) forward(push *messages.ConfigPush) {
 	for _, send := range broadcast.Split(push.ForwardTo, constants.BodyFanout) {
 		go func() {
 			for {
 				part := &messages.ConfigPush{Generation: push.Generation, Body: push.Body, ForwardTo: send.Pass}
-				err := transport.Call(n.Transport, send.Address, messages.KindConfigPush, part, &messages.Ack{}, constants.CallTimeout)
+				err := transport.Call(a.Transport, send.Address, messages.KindConfigPush, part, &messages.Ack{}, constants.CallTimeout)
 				if err == nil || len(send.Pass) == 0 {
 					return
 				}
@@ -100,40 +97,40 @@
 }
 
 // ObserveGeneration pulls a configuration that somebody was seen to have.
-func (n *Node) ObserveGeneration(generation int64) { n.ObserveGenerationAt(generation, "") }
+func (a *Agent) ObserveGeneration(generation int64) { a.ObserveGenerationAt(generation, "") }
 
 // ObserveGenerationAt pulls a configuration that the process at an address was seen to have;
 // it is asked first. The pull goes on until somebody gave that configuration or a newer
 // one: a controller that is behind must not end it.
-func (n *Node) ObserveGenerationAt(generation int64, address string) {
-	n.lock.Lock()
-	if n.pulling || (n.config != nil && n.config.Generation >= generation) || generation == 0 {
-		n.lock.Unlock()
+func (a *Agent) ObserveGenerationAt(generation int64, address string) {
+	a.lock.Lock()
+	if a.pulling || (a.config != nil && a.config.Generation >= generation) || generation == 0 {
+		a.lock.Unlock()
 		return
 	}
-	n.pulling = true
-	n.lock.Unlock()
+	a.pulling = true
+	a.lock.Unlock()
 	go func() {
-		n.pullUntil(generation, address)
-		n.lock.Lock()
-		n.pulling = false
-		n.lock.Unlock()
+		a.pullUntil(generation, address)
+		a.lock.Lock()
+		a.pulling = false
+		a.lock.Unlock()
 	}()
 }
 
 // pullUntil asks one process, then the controllers, until this process follows a
 // generation, and tells whether any of them answered.
-func (n *Node) pullUntil(generation int64, first string) bool {
-	addresses := n.controllerAddresses()
+func (a *Agent) pullUntil(generation int64, first string) bool {
+	addresses := a.controllerAddresses()
 	if first != "" {
 		addresses = append([]string{first}, addresses...)
 	}
 	any := false
 	for _, address := range addresses {
-		if n.pullFrom(address, false) {
+		if a.pullFrom(address, false) {
 			any = true
 		}
-		if n.Generation() >= generation {
+		if a.Generation() >= generation {
 			break
 		}
 	}
@@ -141,9 +138,9 @@
 }
 
 // pullLinearizable asks controllers until one of them has read the configuration at a majority.
-func (n *Node) pullLinearizable() bool {
-	for _, address := range n.controllerAddresses() {
-		if n.pullFrom(address, true) {
+func (a *Agent) pullLinearizable() bool {
+	for _, address := range a.controllerAddresses() {
+		if a.pullFrom(address, true) {
 			return true
 		}
 	}
@@ -152,15 +149,15 @@
 
 // controllerAddresses gives the controllers to ask: those that have just failed to
 // answer, or are detached, come last.
-func (n *Node) controllerAddresses() []string {
+func (a *Agent) controllerAddresses() []string {
 	var addresses []string
-	n.Viewed(func(view *membership.View) {
+	a.WithView(func(view *membership.View) {
 		for _, entry := range view.Controllers(clock.Now()) {
 			addresses = append(addresses, entry.Address)
 		}
 	})
 	if len(addresses) == 0 {
-		addresses = n.Settings.SeedAddresses(constants.PortController)
+		addresses = a.Settings.SeedAddresses(constants.PortController)
 		rand.Shuffle(len(addresses), func(left, right int) { addresses[left], addresses[right] = addresses[right], addresses[left] })
 	}
 	return addresses
@@ -168,46 +165,46 @@
 
 // pullFrom asks one process for its configuration, or for a read at a majority, and
 // tells whether it answered.
-func (n *Node) pullFrom(address string, settled bool) bool {
-	req, timeout := &messages.ConfigPull{Known: n.Generation()}, constants.CallTimeout
+func (a *Agent) pullFrom(address string, settled bool) bool {
+	req, timeout := &messages.ConfigPull{Known: a.Generation()}, constants.CallTimeout
 	if settled {
 		req.Known, timeout = -1, constants.RegisterTimeout
 	}
 	resp := &messages.ConfigPush{}
-	if transport.Call(n.Transport, address, messages.KindConfigPull, req, resp, timeout) != nil {
-		n.Viewed(func(view *membership.View) { view.Failed(address, clock.Now()) })
+	if transport.Call(a.Transport, address, messages.KindConfigPull, req, resp, timeout) != nil {
+		a.WithView(func(view *membership.View) { view.Failed(address, clock.Now()) })
 		return false
 	}
 	if resp.Generation > 0 {
-		n.ApplyConfig(resp.Body)
+		a.ApplyConfig(resp.Body)
 	}
 	return true
 }
 
 // PullFirst is how a starting process learns the configuration: from a majority,
 // and only where none can be had for long, from whatever a controller knows.
-func (n *Node) PullFirst(done func()) {
+func (a *Agent) PullFirst(done func()) {
 	const enough = 5_000_000_000
 	start, backoff := clock.Now(), constants.StartBackoff
 	for {
 		select {
-		case <-n.Stop:
+		case <-a.Stop:
 			return
 		default:
 		}
 		late := clock.Now().Sub(start) > enough
-		if (n.pullLinearizable() || (late && n.pullUntil(math.MaxInt64, ""))) && n.Config() != nil {
+		if (a.pullLinearizable() || (late && a.pullUntil(math.MaxInt64, ""))) && a.Config() != nil {
 			done()
 			return
 		}
-		if n.Config() != nil && late {
+		if a.Config() != nil && late {
 			done()
 			return
 		}
 		// The whole fleet may be asking a few controllers: the pause grows, and ends early
 		// when a configuration is pushed.
-		had := n.Config() != nil
-		for slept := clock.Duration(0); slept < backoff && (had || n.Config() == nil); slept += constants.StartBackoff {
+		had := a.Config() != nil
+		for slept := clock.Duration(0); slept < backoff && (had || a.Config() == nil); slept += constants.StartBackoff {
 			clock.Sleep(constants.StartBackoff)
 		}
 		backoff = min(2*backoff, constants.StartBackoffMax)
--- a/internal/control/controller/batch.go
+++ b/internal/control/broadcastserver/batch.go
@@ -1,4 +1,4 @@
-package controller
+package broadcastserver
 
 import (
 	"sync"
@@ -9,7 +9,7 @@
 )
 
 // batches gathers changes of workers that come close together, so that a fleet whose
-// workers all start at once is told a few times and not once a worker. A change that
+// workers all start at once is notified a few times and not once a worker. A change that
 // binds (a drain, a departure) leaves at once, with whatever else waits.
 type batches struct {
 	lock sync.Mutex
@@ -23,71 +23,56 @@
 
 // batch is changes that go together.
 type batch struct {
-	workerList []messages.Worker
-	urgent     bool
-	done       chan struct{}
+	workers []messages.Worker
+	urgent  bool
+	// done closes once the fleet was notified.
+	done chan struct{}
 }
 
-// add puts a change into the next batch. done closes once the fleet was told.
+// add puts a change into the next batch. done closes once the fleet was notified.
 func (b *batches) add(worker messages.Worker, urgent bool) (done chan struct{}) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	if b.next == nil {
-		ba := &batch{done: make(chan struct{})}
-		b.next = ba
+		pending := &batch{done: make(chan struct{})}
+		b.next = pending
 		b.afterWindow(func() {
 			b.lock.Lock()
 			defer b.lock.Unlock()
-			if b.next == ba {
-				b.launch()
+			if b.next == pending {
+				b.launchLocked()
 			}
 		})
 	}
-	ba := b.next
-	ba.workerList, ba.urgent = append(ba.workerList, worker), ba.urgent || urgent
-	if ba.urgent && b.inFlight < constants.UpdateBatchesInFlight {
-		b.launch()
+	pending := b.next
+	pending.workers, pending.urgent = append(pending.workers, worker), pending.urgent || urgent
+	if pending.urgent && b.inFlight < constants.UpdateBatchesInFlight {
+		b.launchLocked()
 	}
-	return ba.done
+	return pending.done
 }
 
-// launch sends the next batch on its way. The lock is held.
-func (b *batches) launch() {
+// launchLocked sends the next batch on its way. The lock is held.
+func (b *batches) launchLocked() {
 	batch := b.next
 	b.next = nil
 	b.inFlight++
 	go func() {
-		b.broadcast(batch.workerList)
+		b.broadcast(batch.workers)
 		close(batch.done)
 		b.lock.Lock()
 		defer b.lock.Unlock()
 		b.inFlight--
 		if b.next != nil && b.next.urgent {
-			b.launch()
+			b.launchLocked()
 		}
 	}()
 }
 
-// afterBatchWindow runs a function once the window is over.
+// afterBatchWindow runs a function once the window is over, in a goroutine that ends with it.
 func afterBatchWindow(function func()) {
 	go func() {
 		clock.Sleep(constants.UpdateBatchWindow)
 		function()
 	}()
 }
-
-// announce spreads a change. It waits for the fleet only where the caller's acknowledgement
-// binds it: a worker that is new may be known a moment later.
-func (c *Controller) announce(worker messages.Worker) {
-	binding := worker.Phase != messages.PhaseSteady
-	done := c.batches.add(worker, binding)
-	if !binding {
-		return
-	}
-	timer := clock.NewTimer(constants.BroadcastTimeout)
-	defer timer.Stop()
-	select {
-	case <-done:
-	case <-timer.C:
-	}
-}
--- a/internal/control/controller/batch_test.go
+++ b/internal/control/broadcastserver/batch_test.go
@@ -1,4 +1,4 @@
-package controller
+package broadcastserver
 
 import (
 	"fmt"
--- a/internal/control/controller/shared.go
+++ b/internal/control/configserver/sharedread.go
@@ -1,4 +1,4 @@
-package controller
+package configserver
 
 import (
 	"sync"
--- a/internal/control/controller/budget_test.go
+++ b/internal/control/controller/budget_test.go
@@ -47,9 +47,9 @@
 // tend has a controller look after the set as one does in its first second, without
 // the dice that come later.
 func tend(controller *Controller) {
-	controller.startedAt = clock.Now()
+	controller.Node.StartedAt = clock.Now()
 	hear(controller)
-	controller.reconcileSet()
+	controller.sets.Reconcile()
 }
 
 func members(controller *Controller) map[string]bool {
@@ -151,11 +151,11 @@
 	controller.Node.Settings.FaultBudget.Machines = 1
 	controllers[4].Node.Settings.FaultBudget.Machines = 1
 	value, err := controller.Register.Read()
-	if err != nil || controller.toleratesBudget(&value) {
+	if err != nil || controller.sets.ToleratesBudget(&value) {
 		t.Fatal("bears with a seed that has no disk: ", err)
 	}
 	tend(controllers[4])
-	if value, err = controller.Register.Read(); err != nil || !controller.toleratesBudget(&value) {
+	if value, err = controller.Register.Read(); err != nil || !controller.sets.ToleratesBudget(&value) {
 		t.Fatal("does not bear with three disks: ", err, members(controller))
 	}
 }
@@ -167,11 +167,11 @@
 	controller := controllers[1]
 	growOld(controller)
 	value, err := controller.Register.Read()
-	if err != nil || controller.toleratesBudget(&value) {
+	if err != nil || controller.sets.ToleratesBudget(&value) {
 		t.Fatal("acknowledges in a set of three while a fourth machine answers: ", err)
 	}
 	room.SetPartitioned(controllers[4].Node.Self.Address, true)
-	if !controller.toleratesBudget(&value) {
+	if !controller.sets.ToleratesBudget(&value) {
 		t.Fatal("waits for a machine that does not answer")
 	}
 }
--- a/internal/control/controller/calls_test.go
+++ b/internal/control/controller/calls_test.go
@@ -37,7 +37,7 @@
 
 // keepContact runs the rounds of the contact lease, as Run does, until the test ends.
 func keepContact(t *testing.T, controller *Controller) {
-	go clock.Every(constants.ContactPeriod, controller.Node.Stop, controller.contactRound)
+	go clock.Every(constants.ContactPeriod, controller.Node.Stop, controller.contact().Round)
 	t.Cleanup(controller.Node.Shutdown)
 }
 
@@ -61,7 +61,7 @@
 
 // hear has a controller hear the acceptors on the workers, where a majority answers.
 func hear(controller *Controller) {
-	for tries := 0; controller.recovering() && tries < 3 && !controller.recoverRound(); tries++ {
+	for tries := 0; controller.workers.Recovering() && tries < 3 && !controller.workers.RecoverRound(); tries++ {
 		continue
 	}
 }
@@ -69,29 +69,29 @@
 // meet has a controller do what it does in its first second: contact the acceptors, and
 // hear a majority of them on the workers.
 func meet(t *testing.T, controller *Controller) {
-	for tries := 0; !controller.awaitContact() || !controller.recoverRound(); tries++ {
+	for tries := 0; !controller.contact().Await() || !controller.workers.RecoverRound(); tries++ {
 		if tries > 100 {
 			t.Fatal("a majority answers, and there is no contact")
 		}
-		controller.contactRound()
+		controller.contact().Round()
 	}
 }
 
 // stayYoung has a controller act as one does that has just started, however slow the
 // machine is that tests.
 func stayYoung(controller *Controller) {
-	controller.startedAt = clock.Now().Add(clock.Milliseconds(3_600_000))
+	controller.Node.StartedAt = clock.Now().Add(clock.Milliseconds(3_600_000))
 }
 
 // growOld has a controller act as a minute after its start.
 func growOld(controller *Controller) {
-	controller.startedAt = clock.Now().Add(-clock.Milliseconds(60_000))
+	controller.Node.StartedAt = clock.Now().Add(-clock.Milliseconds(60_000))
 }
 
 func call(t *testing.T, server *httptest.Server, method, path, base, body string) (int, string) {
 	request, _ := http.NewRequest(method, server.URL+path, strings.NewReader(body))
 	if base != "" {
-		request.Header.Set(headerBase, base)
+		request.Header.Set("Lemonarch-Base-Revision", base)
 	}
 	resp, err := http.DefaultClient.Do(request)
 	if err != nil {
@@ -157,7 +157,7 @@
 		{"Workers.Heartbeat/w", fmt.Sprintf(heartbeat, "steady", 7), 200, messages.PhaseDeparted},
 	} {
 		status, body := clearCall(t, server, "POST", "/-/"+step.path, "", step.body)
-		worker, _ := controller.registry.Get("w")
+		worker, _ := controller.workers.Get("w")
 		if status != step.status || worker.Phase != step.phase {
 			t.Fatalf("%s %s: %d %s, phase %s", step.path, step.body, status, body, worker.Phase)
 		}
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -1,60 +1,53 @@
-// Package controller is the control plane: the register of the configuration, the
-// registration of workers, and the operator's calls.
+// Package controller is the control process: it wires the servers of the control plane to one
+// node and runs their loops. Who owns which state stands in docs/architecture.md.
 package controller
 
 import (
 	"crypto/rand"
 	"encoding/hex"
+	"errors"
 	"net/http"
-	"sync"
-	"sync/atomic"
+	"os"
 
+	"github.com/go-chi/chi/v5"
 	"github.com/hashicorp/go-hclog"
 
 	"lemonarch/internal/configuration/configcheck"
-	"lemonarch/internal/control/broadcast"
-	"lemonarch/internal/control/contact"
+	"lemonarch/internal/control/agent"
+	"lemonarch/internal/control/assignmentserver"
+	"lemonarch/internal/control/broadcastserver"
+	"lemonarch/internal/control/configserver"
+	"lemonarch/internal/control/contactserver"
 	"lemonarch/internal/control/membership"
+	"lemonarch/internal/control/operatorapi"
 	"lemonarch/internal/control/registerserver"
-	"lemonarch/internal/control/workers"
+	"lemonarch/internal/control/workerserver"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
+	"lemonarch/internal/platform/contexts"
 	"lemonarch/internal/platform/messages"
-	"lemonarch/internal/platform/node"
+	"lemonarch/internal/platform/process"
 	"lemonarch/internal/platform/recordlog"
 	"lemonarch/internal/platform/settings"
-	"lemonarch/internal/platform/transport"
 )
 
-// firstDisk is the identity of every seed's disk at the system's first start, so
-// that all of them begin with one and the same set.
+// firstDisk is the identity of every seed's disk at the system's first start, so that all of
+// them begin with one and the same acceptor set.
 const firstDisk = "first"
 
 // Controller is one control process.
 type Controller struct {
-	Node       *node.Node
-	Register   *registerserver.Replica
-	checker    *configcheck.Checker
-	checking   sync.Mutex
-	lock       sync.Mutex
-	registry   *workers.Registry
-	peers      map[string]*peer
-	deliveries map[string]*delivery
-	sequence   atomic.Uint64
-	// recovered is set once a majority of the acceptors was heard on the workers.
-	recovered     atomic.Bool
-	shared        sharedRead
-	sets          sharedRead
-	batches       batches
-	startedAt     clock.Instant
-	server        *http.Server
-	workerFile    *workerFile
-	plans         planState
-	contact       contactState
-	durableDrains durableDrains
-	backlog       *broadcast.Backlog
-	// fromFile are the workers of the file, until a majority was heard on them.
-	fromFile []messages.Worker
+	Node     *agent.Agent
+	Register *registerserver.Replica
+
+	sets        *registerserver.SetMaintainer
+	workers     *workerserver.Server
+	broadcast   *broadcastserver.Server
+	configs     *configserver.Server
+	assignments *assignmentserver.Server
+	operator    *operatorapi.API
+	peers       peers
+	server      *http.Server
 }
 
 // New opens the disk and prepares the process.
@@ -66,24 +59,25 @@
 	return newOn(disk, nodeSettings, log)
 }
 
+// openDisk gives the folder of the settings, or one in memory where there is none.
+func openDisk(nodeSettings *settings.Settings) (recordlog.Disk, error) {
+	if nodeSettings.DataDir == "" {
+		return recordlog.NewMemoryDisk(), nil
+	}
+	if err := os.MkdirAll(nodeSettings.DataDir, 0o755); err != nil {
+		return nil, registerserver.ErrDisk.Wrap(err, "data-dir")
+	}
+	return recordlog.Directory(nodeSettings.DataDir), nil
+}
+
 // newOn prepares the process on an open disk.
 func newOn(disk recordlog.Disk, nodeSettings *settings.Settings, log hclog.Logger) (*Controller, error) {
-	identity := randomName()
-	var first []messages.Member
-	own := nodeSettings.InternalAddress(nodeSettings.Address, constants.PortController)
-	if nodeSettings.Bootstrap {
-		for _, address := range nodeSettings.SeedAddresses(constants.PortController) {
-			first = append(first, messages.Member{Disk: firstDisk, Address: address})
-			if address == own {
-				identity = firstDisk
-			}
-		}
-	}
+	first, identity := firstSet(nodeSettings)
 	replica, err := registerserver.Open(disk, first, identity)
 	if err != nil {
 		return nil, err
 	}
-	named, err := registerserver.OpenNamed(disk, PlansRegister, first, identity)
+	plans, err := registerserver.OpenNamed(disk, assignmentserver.RegisterName, first, identity)
 	if err != nil {
 		return nil, err
 	}
@@ -91,122 +85,130 @@
 	if err != nil {
 		return nil, err
 	}
-	retained, list, err := openWorkerFile(disk)
+	table, err := workerserver.OpenTable(disk, nodeSettings.Heartbeat())
 	if err != nil {
 		return nil, err
 	}
-	told := replica.Disk()
-	if !isVoter(nodeSettings) {
-		// Told so, that those with a disk take the place that a seed list gave us.
-		told = ""
+	announced := replica.Disk()
+	if !registerserver.Votes(nodeSettings) {
+		// Announced without a disk, so that those with one take the place that a seed list
+		// gave to this process.
+		announced = ""
+	}
+	node := agent.New(nodeSettings, membership.RoleController, constants.PortController, announced, log)
+	replica.Node, plans.Node = node, node
+	return wire(node, replica, plans, table, checker), nil
+}
+
+// firstSet gives the acceptor set of the system's first start, empty at any other, and the
+// identity that an empty disk gets.
+func firstSet(nodeSettings *settings.Settings) (first []messages.Member, identity string) {
+	identity = randomIdentity()
+	if !nodeSettings.Bootstrap {
+		return nil, identity
 	}
-	runtime := node.New(nodeSettings, membership.RoleController, constants.PortController, told, log)
-	replica.Node, named.Node = runtime, runtime
-	controller := &Controller{Node: runtime, Register: replica, checker: checker, registry: workers.New(nodeSettings.Heartbeat()),
-		peers: map[string]*peer{}, deliveries: map[string]*delivery{}, startedAt: clock.Now(), workerFile: retained, plans: planState{replica: named},
-		backlog: broadcast.NewBacklog(), fromFile: list}
-	controller.contact.lease = contact.New()
-	controller.durableDrains.phases = map[string]messages.Phase{}
-	replica.OnAccepted = controller.onAccepted
-	controller.batches.afterWindow = afterBatchWindow
-	controller.batches.broadcast = func(list []messages.Worker) {
-		controller.broadcast(&messages.RelayRequest{Workers: list}, constants.BroadcastTimeout)
+	self := nodeSettings.InternalAddress(nodeSettings.Address, constants.PortController)
+	for _, address := range nodeSettings.SeedAddresses(constants.PortController) {
+		first = append(first, messages.Member{Disk: firstDisk, Address: address})
+		if address == self {
+			identity = firstDisk
+		}
 	}
-	// Numbers of updates must differ from those of an earlier life.
-	controller.sequence.Store(uint64(runtime.Self.Incarnation))
-	controller.registerCalls()
-	controller.reports()
-	go controller.workerFile.run(runtime.Stop, controller.workersToPersist, log)
-	return controller, nil
+	return first, identity
 }
 
-func randomName() string {
+func randomIdentity() string {
 	var bytes [8]byte
+	// Read never fails (crypto/rand).
 	_, _ = rand.Read(bytes[:])
 	return hex.EncodeToString(bytes[:])
 }
 
-func handle[Question any, Pointer interface {
-	*Question
-	transport.Unmarshaler
-}](function func(req Pointer) (transport.Marshaler, error)) node.Handler {
-	return func(body []byte) ([]byte, error) {
-		req := Pointer(new(Question))
-		if err := transport.Decode(body, req); err != nil {
-			return nil, err
-		}
-		resp, err := function(req)
-		if err != nil {
-			return nil, err
-		}
-		return transport.Encode(resp)
-	}
+// wire makes the servers on a node, in the order in which they need each other.
+func wire(node *agent.Agent, replica, plans *registerserver.Replica, table *workerserver.Table, checker *configcheck.Checker) *Controller {
+	c := &Controller{Node: node, Register: replica, peers: newPeers()}
+	replica.HandleConfiguration()
+	// Who has not heard a majority on the workers takes no place in the set yet: it would
+	// count for what it does not know.
+	c.sets = registerserver.NewSetMaintainer(replica, func() bool { return !table.Recovering() })
+	c.broadcast = broadcastserver.New(node, table)
+	c.configs = configserver.New(replica, c.sets, c.broadcast)
+	c.workers = workerserver.New(table, replica, c.contact(), c.broadcast)
+	c.assignments = assignmentserver.New(plans, c.contact(), table)
+	c.operator = operatorapi.New(replica, c.sets, c.configs, checker)
+	process.Handle(node.Runtime, messages.KindDirectoryPull, c.handleDirectoryPull)
+	process.Handle(node.Runtime, messages.KindControllerHeartbeat, c.handleHeartbeat)
+	node.OnReportResponse(c.completeReportResponse)
+	node.Report("duty", c.reportRegister)
+	node.Report("leadership", c.reportRegister)
+	node.Report("workers", c.reportWorkers)
+	c.server = &http.Server{Addr: node.Settings.Bind.Control, Handler: c.calls(), ReadHeaderTimeout: constants.BulkCallTimeout}
+	// The file of workers is written from the beginning: calls may come before Run.
+	go c.workers.Run(node.Stop, node.Log)
+	return c
 }
 
-func (c *Controller) registerCalls() {
-	runtime := c.Node
-	runtime.Handle(messages.KindPrepare, handle(func(req *messages.PrepareRequest) (transport.Marshaler, error) {
-		resp, err := c.Register.Prepare(req)
-		return &resp, err
-	}))
-	runtime.Handle(messages.KindAccept, handle(func(req *messages.AcceptRequest) (transport.Marshaler, error) {
-		resp, err := c.Register.Accept(req)
-		return &resp, err
-	}))
-	runtime.Handle(messages.KindLease, handle(func(req *messages.LeaseRequest) (transport.Marshaler, error) {
-		resp := c.Register.GrantLease(*req)
-		return &resp, nil
-	}))
-	runtime.Handle(messages.KindConfigPull, handle(c.handleConfigPull))
-	runtime.Handle(messages.KindRegisterRead, handle(func(_ *messages.Ack) (transport.Marshaler, error) {
-		value, err := messages.RegisterValue{}, ErrNoContact.New("sets")
-		if c.awaitContact() {
-			value, err = c.sets.Read(c.Register.ReadSets)
-		}
-		if err != nil {
-			// The sets last seen in force still help a newcomer to find the acceptors.
-			known, seen := c.Register.Chosen()
-			if !seen {
-				return &messages.RegisterResponse{}, nil
-			}
-			value = known
-		}
-		value.Body = nil
-		return &messages.RegisterResponse{Applied: err == nil, Known: true, Value: value}, nil
-	}))
-	runtime.Handle(messages.KindRegisterChange, handle(c.handleRegisterChange))
-	c.registerTables()
-	c.registerContact()
-	c.registerRecovery()
-	c.registerNamed()
-	c.registerPlans()
+// contact is the contact lease of this process.
+func (c *Controller) contact() *contactserver.Server { return c.configs.Contact() }
+
+// calls is the tree of matchers for workers and the operator.
+func (c *Controller) calls() http.Handler {
+	tree := chi.NewRouter()
+	tree.Post("/-/Workers.Heartbeat/{id}", c.workers.HandleHeartbeat)
+	tree.Post("/-/Workers.Depart/{id}", c.workers.HandleDepart)
+	c.operator.Register(tree)
+	return tree
 }
 
-// Run serves until told to stop.
+// Run serves until Shutdown.
 func (c *Controller) Run() error {
-	runtime := c.Node
-	if err := runtime.Start(); err != nil {
+	node := c.Node
+	if err := node.Start(); err != nil {
 		return err
 	}
-	go c.catchUpFromPeers()
-	go clock.Every(constants.ContactPeriod, runtime.Stop, c.contactRound)
-	go clock.Every(constants.BacklogPeriod, runtime.Stop, c.retryBacklog)
-	go clock.Every(constants.ControllerHeartbeatPeriod, runtime.Stop, c.heartbeatPeers)
-	go clock.Every(constants.ReconcilePeriod, runtime.Stop, c.reconcileSet)
-	go clock.Every(constants.ReconcilePeriod, runtime.Stop, func() { c.reconcileNamedSet(c.plans.replica) })
-	go clock.Every(constants.PlanPeriod, runtime.Stop, c.reconcilePlan)
-	c.server = &http.Server{Addr: runtime.Settings.Bind.Control, Handler: c.calls(), ReadHeaderTimeout: constants.BulkCallTimeout}
-	runtime.Log.Info("serving", "control", runtime.Settings.Bind.Control, "disk", runtime.Self.Disk)
+	go c.catchUp()
+	go clock.Every(constants.ContactPeriod, node.Stop, c.contact().Round)
+	go clock.Every(constants.BacklogPeriod, node.Stop, c.broadcast.RetryBacklog)
+	go clock.Every(constants.ControllerHeartbeatPeriod, node.Stop, c.heartbeatPeers)
+	go clock.Every(constants.ReconcilePeriod, node.Stop, c.sets.Reconcile)
+	go clock.Every(constants.ReconcilePeriod, node.Stop, c.assignments.ReconcileSet)
+	go clock.Every(constants.PlanPeriod, node.Stop, c.assignments.Reconcile)
+	node.Log.Info("serving", "control", node.Settings.Bind.Control, "disk", node.Self.Disk)
 	err := c.server.ListenAndServe()
-	if err == http.ErrServerClosed {
+	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
-	return node.ErrUnavailable.Wrap(err, "control")
+	return process.ErrUnavailable.Wrap(err, "control")
+}
+
+// catchUp gets from peers what this process can't know after its start.
+func (c *Controller) catchUp() {
+	c.heartbeatPeers()
+	go c.workers.Recover()
+	for {
+		select {
+		case <-c.Node.Stop:
+			return
+		default:
+		}
+		c.Register.SyncSets()
+		if len(c.Register.Known().Acceptors) > 0 && c.configs.Load() == nil {
+			if _, err := c.assignments.Read(); err != nil {
+				c.Node.Log.Debug("assignments not read", "err", err.Error())
+			}
+			return
+		}
+		clock.Sleep(constants.StartBackoff)
+	}
 }
 
 // Shutdown stops in order: calls under way are answered first.
 func (c *Controller) Shutdown() {
 	c.Node.Drain()
-	stopServer(c.server)
+	ctx, cancel := contexts.WithTimeout(contexts.Background(), constants.BulkCallTimeout)
+	defer cancel()
+	if err := c.server.Shutdown(ctx); err != nil {
+		c.Node.Log.Warn("calls cut off at shutdown", "err", err.Error())
+	}
 	c.Node.Shutdown()
 }
--- a/internal/control/controller/learning_test.go
+++ b/internal/control/controller/learning_test.go
@@ -16,10 +16,10 @@
 func reported(controller *Controller) *messages.Shuffle {
 	var resp *messages.Shuffle
 	asker := messages.NodeInfo{Name: "f", Role: membership.RoleGateway, Address: "127.0.0.3:1", Zone: "h"}
-	controller.Node.Viewed(func(view *membership.View) {
+	controller.Node.WithView(func(view *membership.View) {
 		resp = view.RespondToReport(&messages.Shuffle{Entries: []messages.NodeInfo{asker}}, clock.Now())
 	})
-	controller.addWorkers(resp)
+	controller.completeReportResponse(resp)
 	return resp
 }
 
@@ -32,7 +32,7 @@
 	defer server.Close()
 	room.SetPartitioned(controllers[2].Node.Self.Address, true)
 	room.SetPartitioned(controllers[3].Node.Self.Address, true)
-	if starting.recoverRound() || starting.awaitContact() {
+	if starting.workers.RecoverRound() || starting.contact().Await() {
 		t.Fatal("no majority answers")
 	}
 	if status, _ := call(t, server, "POST", "/-/Workers.Heartbeat/w", "", drainCall); status != 503 {
@@ -45,7 +45,7 @@
 		t.Fatal(status)
 	}
 	room.SetPartitioned(controllers[2].Node.Self.Address, false)
-	starting.contactRound()
+	starting.contact().Round()
 	meet(t, starting)
 	if resp := reported(starting); resp.Detached || len(resp.Counts) == 0 || !resp.OverdueComplete {
 		t.Fatal(resp)
@@ -65,10 +65,18 @@
 	hang := make(chan struct{})
 	defer close(hang)
 	for number := 2; number <= 3; number++ {
-		controllers[number].Node.Handle(messages.KindWorkersPersist, func([]byte) ([]byte, error) {
-			<-hang
-			return nil, nil
+		node := controllers[number].Node
+		node.Transport.Close()
+		err := node.Transport.Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
+			if kind == messages.KindWorkersPersist {
+				<-hang
+				return nil, nil
+			}
+			return node.Dispatch(kind, body)
 		})
+		if err != nil {
+			t.Fatal(err)
+		}
 	}
 	if status, _ := call(t, server, "POST", "/-/Workers.Heartbeat/w", "", drainCall); status != 503 {
 		t.Fatal(status)
--- a/internal/control/controller/named_test.go
+++ b/internal/control/controller/named_test.go
@@ -7,6 +7,7 @@
 
 	"github.com/hashicorp/go-hclog"
 
+	"lemonarch/internal/control/assignmentserver"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/messages"
 	"lemonarch/internal/platform/settings"
@@ -16,8 +17,8 @@
 // tendPlansNow has a controller look after the register of assignments as one does in
 // its first second.
 func tendPlansNow(controller *Controller) {
-	controller.startedAt = clock.Now()
-	controller.reconcileNamedSet(controller.plans.replica)
+	controller.Node.StartedAt = clock.Now()
+	controller.assignments.ReconcileSet()
 }
 
 // voters makes controllers whose disks are in memory and vote all the same, so that the
@@ -67,7 +68,7 @@
 			tendPlansNow(controllers[number])
 		}
 	}
-	set := controllers[8].plans.replica.Known()
+	set := controllers[8].assignments.Replica().Known()
 	if len(set.Acceptors) != 5 || len(set.Previous) != 0 {
 		t.Fatal("the set is of ", len(set.Acceptors), len(set.Previous))
 	}
@@ -82,13 +83,13 @@
 		t.Fatalf("%+v", response)
 	}
 	room.SetPartitioned(controllers[1].Node.Self.Address, true)
-	before := controllers[3].plans.replica.Identity()
+	before := controllers[3].assignments.Replica().Identity()
 	controllers[3].Node.Transport.Close()
 	// The same machine with an empty disk, which is no first start.
 	controllers[3] = voter(t, room, 3, false)
 	acquaint(controllers)
 	promise := &messages.PrepareResponse{}
-	asked(t, controllers[3], messages.KindNamedPrepare, &messages.NamedPrepareRequest{Name: PlansRegister,
+	asked(t, controllers[3], messages.KindNamedPrepare, &messages.NamedPrepareRequest{Name: assignmentserver.RegisterName,
 		Request: messages.PrepareRequest{Ballot: messages.Ballot{Counter: 1 << 30, Node: "x"}, Disk: before.Disk}}, promise)
 	if promise.Granted {
 		t.Fatal("an amnesiac voted under its old name")
@@ -96,16 +97,16 @@
 	for round := 0; round < 3; round++ {
 		tendPlansNow(controllers[3])
 	}
-	known := controllers[3].plans.replica.Known()
+	known := controllers[3].assignments.Replica().Known()
 	inside := false
 	for _, member := range known.Acceptors {
-		inside = inside || member.Disk == controllers[3].plans.replica.Identity().Disk
+		inside = inside || member.Disk == controllers[3].assignments.Replica().Identity().Disk
 	}
 	if !inside || len(known.Acceptors) != 5 {
 		t.Fatal("the wiped machine did not come back: ", known.Acceptors)
 	}
 	room.SetPartitioned(controllers[2].Node.Self.Address, true)
-	plan, err := controllers[3].readPlan()
+	plan, err := controllers[3].assignments.Read()
 	if err != nil || plan.Revision != 1 || !bytes.Equal(plan.Value.Rules, rules) {
 		t.Fatal(err, plan)
 	}
--- a/internal/control/controller/plans_test.go
+++ b/internal/control/controller/plans_test.go
@@ -7,6 +7,7 @@
 	"testing"
 
 	"lemonarch/internal/configuration/adapterplan"
+	"lemonarch/internal/control/assignmentserver"
 	"lemonarch/internal/control/register"
 	"lemonarch/internal/platform/constants"
 	"lemonarch/internal/platform/messages"
@@ -98,10 +99,10 @@
 // TestNamedBallotsAreTheirOwn: a high ballot in one register stops nobody in another.
 func TestNamedBallotsAreTheirOwn(t *testing.T) {
 	controller, server := open(t, t.TempDir(), true)
-	identity := controller.plans.replica.Identity()
+	identity := controller.assignments.Replica().Identity()
 	high := register.NewBallot(1<<40, "other", "disk", 1)
 	resp := &messages.PrepareResponse{}
-	asked(t, controller, messages.KindNamedPrepare, &messages.NamedPrepareRequest{Name: PlansRegister, Request: messages.PrepareRequest{Ballot: high, Disk: identity.Disk}}, resp)
+	asked(t, controller, messages.KindNamedPrepare, &messages.NamedPrepareRequest{Name: assignmentserver.RegisterName, Request: messages.PrepareRequest{Ballot: high, Disk: identity.Disk}}, resp)
 	if !resp.Granted {
 		t.Fatal("not granted")
 	}
--- a/internal/control/controller/recall_test.go
+++ b/internal/control/controller/recall_test.go
@@ -72,7 +72,7 @@
 // join has a started controller learn what it can't know.
 func (p *power) join(controller *Controller) {
 	if len(controller.Register.Known().Acceptors) == 0 {
-		controller.syncSets()
+		controller.Register.SyncSets()
 	}
 	meet(p.test, controller)
 	acquaint(p.controllers)
@@ -86,7 +86,7 @@
 		path = "/-/Workers.Depart/" + id
 	}
 	controller := p.controllers[number]
-	controller.contactRound()
+	controller.contact().Round()
 	writer := httptest.NewRecorder()
 	controller.calls().ServeHTTP(writer, httptest.NewRequest(http.MethodPost, path, strings.NewReader(body)))
 	return writer.Code == http.StatusOK
@@ -152,13 +152,11 @@
 
 func (p *power) check() {
 	for number, controller := range p.controllers {
-		controller.lock.Lock()
 		for id, phase := range p.phases {
-			if worker, known := controller.registry.Get(id); known && worker.Phase < phase {
+			if worker, known := controller.workers.Get(id); known && worker.Phase < phase {
 				p.test.Errorf("seed %d: m%d takes %s for %s, %s was acknowledged", p.seed, number, id, worker.Phase, phase)
 			}
 		}
-		controller.lock.Unlock()
 	}
 }
 
--- a/internal/control/controller/report.go
+++ b/internal/control/controller/report.go
@@ -4,16 +4,9 @@
 	"strconv"
 
 	"lemonarch/internal/control/register"
-	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/messages"
 )
 
-// reports registers what a controller says to the shell.
-func (c *Controller) reports() {
-	c.Node.Report("duty", c.reportRegister)
-	c.Node.Report("workers", c.reportWorkers)
-}
-
 // reportRegister tells what this process last knew of the register.
 func (c *Controller) reportRegister() *messages.StatusResponse {
 	known := c.Register.Known()
@@ -27,11 +20,10 @@
 		{"register", state, strconv.FormatUint(known.SetEpoch, 10), strconv.Itoa(len(known.Acceptors)) + " acceptors"}}}
 }
 
+// reportWorkers lists the workers.
 func (c *Controller) reportWorkers() *messages.StatusResponse {
 	status := &messages.StatusResponse{Columns: []string{"worker", "service", "zone", "phase", "heard-ms", "capacity"}}
-	c.lock.Lock()
-	defer c.lock.Unlock()
-	for _, worker := range c.registry.All(clock.Now()) {
+	for _, worker := range c.workers.All() {
 		status.Rows = append(status.Rows, []string{worker.ID, worker.Backend, worker.Zone, worker.Phase.String(),
 			strconv.FormatInt(worker.AgeMs, 10), strconv.Itoa(worker.Capacity)})
 	}
--- a/internal/control/registerserver/catchup_test.go
+++ b/internal/control/registerserver/catchup_test.go
@@ -7,11 +7,11 @@
 
 	"github.com/hashicorp/go-hclog"
 
+	"lemonarch/internal/control/agent"
 	"lemonarch/internal/control/register"
 	"lemonarch/internal/control/registerserver"
 	"lemonarch/internal/platform/errs"
 	"lemonarch/internal/platform/messages"
-	"lemonarch/internal/platform/node"
 	"lemonarch/internal/platform/recordlog"
 	"lemonarch/internal/platform/settings"
 	"lemonarch/internal/platform/transport"
@@ -52,7 +52,7 @@
 	if err != nil {
 		c.test.Fatal(err)
 	}
-	runtime := node.New(&settings.Settings{NodeName: name, Address: name, InternalPorts: []int{7000, 7010}}, "controller", 0, "first", hclog.NewNullLogger())
+	runtime := agent.New(&settings.Settings{NodeName: name, Address: name, InternalPorts: []int{7000, 7010}}, "controller", 0, "first", hclog.NewNullLogger())
 	runtime.Self.Address = name + ":7000"
 	started.wire = c.room.Transport(runtime.Self.Address)
 	runtime.Transport, replica.Node, started.replica = started.wire, runtime, replica
--- a/internal/control/registerserver/crash_test.go
+++ b/internal/control/registerserver/crash_test.go
@@ -6,10 +6,11 @@
 	"math/rand"
 	"testing"
 
+	"lemonarch/internal/control/agent"
 	"lemonarch/internal/control/register"
 	"lemonarch/internal/control/registerserver"
 	"lemonarch/internal/platform/messages"
-	"lemonarch/internal/platform/node"
+	"lemonarch/internal/platform/process"
 	"lemonarch/internal/tooling/simulation"
 )
 
@@ -36,7 +37,7 @@
 	if err != nil {
 		l.test.Fatalf("the disk can't be read: %v", err)
 	}
-	replica.Node = &node.Node{Self: messages.NodeInfo{Name: only.Name, Address: only.Address}}
+	replica.Node = &agent.Agent{Runtime: &process.Runtime{Self: messages.NodeInfo{Name: only.Name, Address: only.Address}}}
 	l.replica = replica
 	l.life++
 }
--- a/internal/control/registerserver/replica.go
+++ b/internal/control/registerserver/replica.go
@@ -5,13 +5,13 @@
 import (
 	"sync"
 
+	"lemonarch/internal/control/agent"
 	"lemonarch/internal/control/lease"
 	"lemonarch/internal/control/register"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
 	"lemonarch/internal/platform/errs"
 	"lemonarch/internal/platform/messages"
-	"lemonarch/internal/platform/node"
 	"lemonarch/internal/platform/recordlog"
 )
 
@@ -34,7 +34,7 @@
 	// Name is empty for the configuration's register.
 	Name string
 	// Node is the process that sends proposals; it is set before the first.
-	Node *node.Node
+	Node *agent.Agent
 	// OnAccepted, where set, is told of each value that this acceptor accepted.
 	OnAccepted func(generation int64)
 
--- /dev/null
+++ b/internal/control/workerserver/calls.go
@@ -0,0 +1,120 @@
+package workerserver
+
+import (
+	"encoding/json"
+	"net/http"
+
+	"github.com/go-chi/chi/v5"
+
+	"lemonarch/internal/control/contactserver"
+	"lemonarch/internal/platform/constants"
+	"lemonarch/internal/platform/httpreply"
+	"lemonarch/internal/platform/messages"
+)
+
+// heartbeatBody is the body of a worker's call (PROTOCOL, Workers.Heartbeat).
+type heartbeatBody struct {
+	Backend    string  `json:"backend"`
+	Address    string  `json:"address"`
+	Zone       string  `json:"zone"`
+	Generation any     `json:"generation"`
+	Capacity   int     `json:"capacity"`
+	Phase      string  `json:"phase"`
+	WarmupMs   float64 `json:"warmup-left-ms"`
+	Count      int64   `json:"call-count"`
+}
+
+// HandleHeartbeat takes a worker's heartbeat, which may say that it drains.
+func (s *Server) HandleHeartbeat(writer http.ResponseWriter, request *http.Request) {
+	if !s.acceptsWorkerCalls(writer) {
+		return
+	}
+	body, complete := httpreply.ReadBody(writer, request, constants.HeadLimit)
+	if !complete {
+		return
+	}
+	var call heartbeatBody
+	if err := json.Unmarshal(body, &call); err != nil {
+		httpreply.Error(writer, http.StatusBadRequest, "body can't be read: "+err.Error())
+		return
+	}
+	worker := messages.Worker{ID: chi.URLParam(request, "id"), Backend: call.Backend, Address: call.Address, Zone: call.Zone,
+		Capacity: call.Capacity, WarmupMs: int64(call.WarmupMs), CallCount: call.Count}
+	if worker.Backend == "" || worker.Address == "" || worker.Capacity < 1 {
+		httpreply.Error(writer, http.StatusBadRequest, "backend, address or capacity is missing")
+		return
+	}
+	if call.Phase == "draining" {
+		worker.Phase = messages.PhaseDraining
+	}
+	s.acknowledge(writer, worker)
+}
+
+// acceptsWorkerCalls tells whether this process can commit what a worker says. Where it
+// can't, it answers with 503, and the caller goes on to another controller.
+func (s *Server) acceptsWorkerCalls(writer http.ResponseWriter) bool {
+	if s.Recovering() || !s.contact.Await() {
+		httpreply.Error(writer, http.StatusServiceUnavailable, contactserver.NoClearAnswer)
+		return false
+	}
+	return true
+}
+
+// HandleDepart takes a worker's departure.
+func (s *Server) HandleDepart(writer http.ResponseWriter, request *http.Request) {
+	if !s.acceptsWorkerCalls(writer) {
+		return
+	}
+	body, complete := httpreply.ReadBody(writer, request, constants.HeadLimit)
+	if !complete {
+		return
+	}
+	var call heartbeatBody
+	// A departure needs nothing but the id; what the body adds is welcome.
+	_ = json.Unmarshal(body, &call)
+	worker, known := s.Get(chi.URLParam(request, "id"))
+	if !known {
+		worker = messages.Worker{ID: chi.URLParam(request, "id"), Backend: call.Backend, Address: call.Address, Zone: call.Zone}
+	}
+	worker.Phase = messages.PhaseDeparted
+	worker.CallCount = max(worker.CallCount+1, call.Count)
+	s.acknowledge(writer, worker)
+}
+
+// acknowledge applies a call of a worker and answers it. A drain or a departure is
+// acknowledged once a majority of the acceptors has it on disk and the processes in
+// contact were notified; where that fails the caller asks another controller.
+func (s *Server) acknowledge(writer http.ResponseWriter, worker messages.Worker) {
+	worker, changed := s.heartbeat(worker)
+	if changed {
+		s.node.Log.Info("worker registered", "worker", worker.ID, "service", worker.Backend, "phase", worker.Phase.String(), "address", worker.Address)
+	}
+	switch {
+	case worker.Phase == messages.PhaseSteady:
+		if changed {
+			s.file.enqueue(worker)
+			s.announce.AnnounceWorker(worker)
+		}
+	case !s.drains.isDurable(worker):
+		if !s.commitWorkerChange(worker, changed) {
+			s.node.Log.Warn("write not committed by quorum", "worker", worker.ID, "phase", worker.Phase.String())
+			httpreply.Error(writer, http.StatusServiceUnavailable, contactserver.NoClearAnswer)
+			return
+		}
+		s.drains.setDurable(worker)
+	}
+	httpreply.JSON(writer, http.StatusOK, struct{}{})
+}
+
+// commitWorkerChange notifies all in contact of a drain or a departure and has it persisted
+// by a majority, at the same time. What this process knew before is not announced once
+// more, at each controller that a draining worker calls: the reports bring it to everybody
+// in contact.
+func (s *Server) commitWorkerChange(worker messages.Worker, announce bool) bool {
+	persisted := make(chan bool, 1)
+	go func() { persisted <- s.persistAtQuorum(worker) }()
+	if announce {
+		s.announce.AnnounceWorker(worker)
+	}
+	return <-persisted
+}
--- a/internal/control/controller/memory.go
+++ b/internal/control/workerserver/file.go
@@ -1,6 +1,8 @@
-package controller
+package workerserver
 
 import (
+	"sync/atomic"
+
 	"github.com/hashicorp/go-hclog"
 
 	"lemonarch/internal/platform/clock"
@@ -21,18 +23,19 @@
 var ErrWorkersFile = errs.Define("workers on disk")
 
 // workerFile is the file of known workers. A drain or a departure is on the disks of a
-// majority of the acceptors before it is acknowledged (binding.go). A steady worker is
+// majority of the acceptors before it is acknowledged (persist.go). A steady worker is
 // written when the disk has time for it: its next heartbeat says the same.
 type workerFile struct {
-	logfile *recordlog.Log
-	queue   chan writeRequest
+	log   *recordlog.Log
+	queue chan writeRequest
+	// rewriteDue asks the next write for the whole file anew.
+	rewriteDue atomic.Bool
 }
 
 // writeRequest is a list of workers to be written. done, where there is one, gets the result
-// once they are on disk. rewrite asks for the whole file anew.
+// once they are on disk.
 type writeRequest struct {
 	workers []messages.Worker
-	rewrite bool
 	done    chan error
 }
 
@@ -40,7 +43,7 @@
 func openWorkerFile(disk recordlog.Disk) (*workerFile, []messages.Worker, error) {
 	known := map[string]messages.Worker{}
 	var order []string
-	logfile, err := recordlog.Open(disk, workerFileName, func(_ int64, body []byte) error {
+	log, err := recordlog.Open(disk, workerFileName, func(_ int64, body []byte) error {
 		worker := messages.Worker{}
 		if _, cause := worker.UnmarshalMsg(body); cause != nil {
 			return ErrWorkersFile.Wrap(cause, workerFileName)
@@ -62,31 +65,31 @@
 		workers = append(workers, worker)
 	}
 	const waiting = 256
-	return &workerFile{logfile: logfile, queue: make(chan writeRequest, waiting)}, workers, nil
+	return &workerFile{log: log, queue: make(chan writeRequest, waiting)}, workers, nil
 }
 
 // enqueue queues a change that binds nobody: a worker's call is not held up by the disk,
-// and a change that finds no room is written with the next rewrite, or told again by the
-// worker.
-func (m *workerFile) enqueue(worker messages.Worker) {
+// and a change that finds the queue full is written with the next rewrite, or comes again
+// with the worker's next heartbeat.
+func (f *workerFile) enqueue(worker messages.Worker) {
 	select {
-	case m.queue <- writeRequest{workers: []messages.Worker{worker}}:
+	case f.queue <- writeRequest{workers: []messages.Worker{worker}}:
 	default:
 	}
 }
 
 // persist returns once workers are on disk, with an error if that failed or took too long.
-func (m *workerFile) persist(workers []messages.Worker) error {
+func (f *workerFile) persist(workers []messages.Worker) error {
 	timer := clock.NewTimer(constants.BroadcastTimeout)
 	defer timer.Stop()
-	k := writeRequest{workers: workers, done: make(chan error, 1)}
+	request := writeRequest{workers: workers, done: make(chan error, 1)}
 	select {
-	case m.queue <- k:
+	case f.queue <- request:
 	case <-timer.C:
 		return ErrWorkersFile.New("the disk lags behind")
 	}
 	select {
-	case err := <-k.done:
+	case err := <-request.done:
 		return err
 	case <-timer.C:
 		return ErrWorkersFile.New("the disk lags behind")
@@ -94,38 +97,41 @@
 }
 
 // requestRewrite has the file written anew, without waiting for it.
-func (m *workerFile) requestRewrite() {
-	go func() {
-		m.queue <- writeRequest{rewrite: true}
-	}()
+func (f *workerFile) requestRewrite() {
+	f.rewriteDue.Store(true)
+	select {
+	case f.queue <- writeRequest{}:
+	default:
+		// The queue is full: the file is written soon anyway.
+	}
 }
 
 // run writes what was queued, several changes with one sync. all gives every worker for
 // a rewrite of the file.
-func (m *workerFile) run(stop <-chan struct{}, all func() []messages.Worker, log hclog.Logger) {
+func (f *workerFile) run(stop <-chan struct{}, all func() []messages.Worker, logger hclog.Logger) {
 	for {
 		var batch []writeRequest
 		select {
 		case <-stop:
 			return
-		case k := <-m.queue:
-			batch = append(batch, k)
+		case request := <-f.queue:
+			batch = append(batch, request)
 		}
 		for more := true; more; {
 			select {
-			case k := <-m.queue:
-				batch = append(batch, k)
+			case request := <-f.queue:
+				batch = append(batch, request)
 			default:
 				more = false
 			}
 		}
-		err := m.write(batch, all)
+		err := f.write(batch, all)
 		if err != nil {
-			log.Warn("workers not kept", "why", err.Error())
+			logger.Warn("workers not written to disk", "err", err.Error())
 		}
-		for _, k := range batch {
-			if k.done != nil {
-				k.done <- err
+		for _, request := range batch {
+			if request.done != nil {
+				request.done <- err
 			}
 		}
 	}
@@ -133,23 +139,19 @@
 
 // write puts a batch on disk. What is in the batch is in all as well: callers change the
 // registry first.
-func (m *workerFile) write(batch []writeRequest, all func() []messages.Worker) error {
-	rewrite := m.logfile.Size() > workerFileLimit
-	for _, k := range batch {
-		rewrite = rewrite || k.rewrite
-	}
-	if rewrite {
-		_, err := m.logfile.Rewrite(recordlog.Records(encodeWorkers(all())...))
+func (f *workerFile) write(batch []writeRequest, all func() []messages.Worker) error {
+	if f.rewriteDue.Swap(false) || f.log.Size() > workerFileLimit {
+		_, err := f.log.Rewrite(recordlog.Records(encodeWorkers(all())...))
 		return ErrWorkersFile.Wrap(err, "rewrite")
 	}
 	var records [][]byte
-	for _, k := range batch {
-		records = append(records, encodeWorkers(k.workers)...)
+	for _, request := range batch {
+		records = append(records, encodeWorkers(request.workers)...)
 	}
-	if _, err := m.logfile.Append(records...); err != nil {
+	if _, err := f.log.Append(records...); err != nil {
 		return ErrWorkersFile.Wrap(err, "append")
 	}
-	return ErrWorkersFile.Wrap(m.logfile.Sync(), "sync")
+	return ErrWorkersFile.Wrap(f.log.Sync(), "sync")
 }
 
 func encodeWorkers(workers []messages.Worker) [][]byte {
--- /dev/null
+++ b/internal/control/workerserver/persist.go
@@ -0,0 +1,68 @@
+package workerserver
+
+import (
+	"sync"
+
+	"lemonarch/internal/control/registerserver"
+	"lemonarch/internal/platform/constants"
+	"lemonarch/internal/platform/messages"
+	"lemonarch/internal/platform/transport"
+)
+
+// durableDrains remembers which drains and departures a majority of the acceptors has on
+// disk: only these are acknowledged. It is safe for concurrent use.
+type durableDrains struct {
+	lock   sync.Mutex
+	phases map[string]messages.Phase
+}
+
+func (d *durableDrains) isDurable(worker messages.Worker) bool {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	return d.phases[worker.ID] >= worker.Phase
+}
+
+func (d *durableDrains) setDurable(worker messages.Worker) {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	d.phases[worker.ID] = max(d.phases[worker.ID], worker.Phase)
+}
+
+// trim forgets workers that the table does not know any more.
+func (d *durableDrains) trim(known func(id string) bool) {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	for id := range d.phases {
+		if !known(id) {
+			delete(d.phases, id)
+		}
+	}
+}
+
+// persistAtQuorum has a drain or a departure written to disk by a majority of the
+// acceptors, this process among them where it is one, and tells whether that was done
+// within constants.BroadcastTimeout.
+func (s *Server) persistAtQuorum(worker messages.Worker) bool {
+	sets := s.contact.Sets()
+	req := &messages.WorkersPersistRequest{From: s.node.Self.Address, Workers: []messages.Worker{worker}}
+	call := func(member messages.Member) (messages.Member, bool, error) {
+		if member.Address == s.node.Self.Address {
+			return member, true, s.file.persist(req.Workers)
+		}
+		resp := &messages.ContactResponse{}
+		err := transport.Call(s.node.Transport, member.Address, messages.KindWorkersPersist, req, resp, constants.BroadcastTimeout)
+		// It counts for the disk that it was written to.
+		member.Disk = resp.Disk
+		return member, true, err
+	}
+	return registerserver.QuorumCall(&sets, constants.BroadcastTimeout, call, func(written bool) bool { return written })
+}
+
+// handlePersist answers another controller that wants changes of workers on disk.
+func (s *Server) handlePersist(req *messages.WorkersPersistRequest) (*messages.ContactResponse, error) {
+	s.Merge(req.Workers)
+	if err := s.file.persist(req.Workers); err != nil {
+		return nil, err
+	}
+	return &messages.ContactResponse{Disk: s.replica.Disk()}, nil
+}
--- a/internal/platform/httpreply/httpreply.go
+++ b/internal/platform/httpreply/httpreply.go
@@ -4,6 +4,8 @@
 
 import (
 	"encoding/json"
+	"errors"
+	"io"
 	"net/http"
 	"strconv"
 
@@ -54,3 +56,19 @@
 	writer.WriteHeader(status)
 	_, _ = writer.Write(body)
 }
+
+// ReadBody reads a request's body of up to limit bytes. Where that fails it answers with 413
+// or 400, and gives false.
+func ReadBody(writer Writer, request *http.Request, limit int64) ([]byte, bool) {
+	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, limit))
+	if err == nil {
+		return body, true
+	}
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
+		Error(writer, http.StatusRequestEntityTooLarge, "body too large")
+	} else {
+		Error(writer, http.StatusBadRequest, "body cut short")
+	}
+	return nil, false
+}
--- a/internal/platform/node/run.go
+++ b/internal/platform/process/main.go
@@ -1,4 +1,4 @@
-package node
+package process
 
 import (
 	"fmt"
--- /dev/null
+++ b/internal/platform/process/status.go
@@ -0,0 +1,49 @@
+package process
+
+import (
+	"strconv"
+
+	"lemonarch/internal/platform/constants"
+	"lemonarch/internal/platform/messages"
+)
+
+// Report registers the answer to a status query of the shell. Reports only read, and are
+// short; a later registration replaces an earlier one.
+func (r *Runtime) Report(query string, report func() *messages.StatusResponse) {
+	r.reports[query] = report
+}
+
+func (r *Runtime) handleStatus(req *messages.StatusRequest) (*messages.StatusResponse, error) {
+	resp := &messages.StatusResponse{}
+	if report := r.reports[req.Query]; report != nil {
+		resp = report()
+	}
+	if req.Zone != "" {
+		resp.Rows = ofZone(resp, req.Zone)
+	}
+	if len(resp.Rows) > constants.StatusRows {
+		// A bounded response costs a node little; the last row says how many are left out.
+		left := len(resp.Rows) - constants.StatusRows
+		resp.Rows = resp.Rows[:constants.StatusRows]
+		more := make([]string, len(resp.Columns))
+		more[0] = "(" + strconv.Itoa(left) + " more)"
+		resp.Rows = append(resp.Rows, more)
+	}
+	return resp, nil
+}
+
+// ofZone keeps the rows that name a zone in their column of that name.
+func ofZone(status *messages.StatusResponse, zone string) [][]string {
+	var matching [][]string
+	for i, column := range status.Columns {
+		if column != "zone" {
+			continue
+		}
+		for _, row := range status.Rows {
+			if i < len(row) && row[i] == zone {
+				matching = append(matching, row)
+			}
+		}
+	}
+	return matching
+}
--- a/internal/platform/node/traffic.go
+++ b/internal/platform/process/traffic.go
@@ -1,4 +1,4 @@
-package node
+package process
 
 import (
 	"strconv"
@@ -12,48 +12,56 @@
 )
 
 // meter gives the transport's counters; a transport without any counts nothing.
-func (n *Node) meter() *transport.Meter {
-	if metered, able := n.Transport.(transport.Metered); able {
+func (r *Runtime) meter() *transport.Meter {
+	if metered, able := r.Transport.(transport.Metered); able {
 		return metered.Meter()
 	}
 	return transport.NewMeter()
 }
 
-// recordLocalities tells the counters which hosts stand in this zone.
-func (n *Node) recordLocalities(entries []messages.NodeInfo) {
-	meter := n.meter()
+// RecordLocalities tells the traffic counters which hosts are in this process's zone.
+func (r *Runtime) RecordLocalities(entries []messages.NodeInfo) {
+	meter := r.meter()
 	for _, entry := range entries {
 		if entry.Zone != "" {
-			meter.SetLocality(entry.Address, entry.Zone == n.Self.Zone)
+			meter.SetLocality(entry.Address, entry.Zone == r.Self.Zone)
 		}
 	}
 }
 
 // reportTraffic lists what was said and heard since the start, the busiest first.
-func (n *Node) reportTraffic() *messages.StatusResponse {
+func (r *Runtime) reportTraffic() *messages.StatusResponse {
 	status := &messages.StatusResponse{Columns: []string{"kind", "place", "sent", "sent-bytes", "received", "received-bytes", "life-s"}}
-	life := strconv.FormatInt((clock.WallNanos()-n.Self.Incarnation)/1_000_000_000, 10)
+	life := strconv.FormatInt((clock.WallNanos()-r.Self.Incarnation)/1_000_000_000, 10)
 	number := func(value int64) string { return strconv.FormatInt(value, 10) }
-	for _, sample := range n.meter().Samples() {
+	for _, sample := range r.meter().Samples() {
 		status.Rows = append(status.Rows, []string{sample.Kind.String(), sample.Locality.String(), number(sample.Sent.Messages),
 			number(sample.Sent.Bytes), number(sample.Received.Messages), number(sample.Received.Bytes), life})
 	}
 	return status
 }
 
-// logTraffic writes the counters as one line, with a pair for each kind and place.
-func (n *Node) logTraffic(level hclog.Level) {
-	values := []any{"life-ms", (clock.WallNanos() - n.Self.Incarnation) / 1_000_000}
-	for _, sample := range n.meter().Samples() {
+// LogTraffic writes the counters as one line, with a pair for each kind and place.
+func (r *Runtime) LogTraffic(level hclog.Level) {
+	values := []any{"life-ms", (clock.WallNanos() - r.Self.Incarnation) / 1_000_000}
+	for _, sample := range r.meter().Samples() {
 		values = append(values, sample.Kind.String()+"/"+sample.Locality.String(), strconv.FormatInt(sample.Sent.Messages, 10)+"msg+"+
 			strconv.FormatInt(sample.Sent.Bytes, 10)+"B")
 	}
-	n.Log.Log(level, "traffic sent", values...)
+	r.Log.Log(level, "traffic sent", values...)
 }
 
-// countTraffic logs the counters now and then for whoever measures.
-func (n *Node) countTraffic() {
-	if n.Log.IsDebug() {
-		clock.Every(constants.TrafficPeriod, n.Stop, func() { n.logTraffic(hclog.Debug) })
+// logTrafficPeriodically logs the counters at debug level, for measurements.
+func (r *Runtime) logTrafficPeriodically() {
+	if r.Log.IsDebug() {
+		clock.Every(constants.TrafficPeriod, r.Stop, func() { r.LogTraffic(hclog.Debug) })
 	}
 }
+
+// UnknownFrames is how many frames of unknown kinds were skipped since the start.
+func (r *Runtime) UnknownFrames() int64 {
+	if tcp, ok := r.Transport.(*transport.TCP); ok {
+		return tcp.Unknown()
+	}
+	return 0
+}
--- a/internal/traffic/gateway/gate.go
+++ b/internal/traffic/gateway/gate.go
@@ -4,17 +4,18 @@
 	"sync"
 	"sync/atomic"
 
+	"lemonarch/internal/control/agent"
 	"lemonarch/internal/control/membership"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
 	"lemonarch/internal/platform/messages"
-	"lemonarch/internal/platform/node"
+	"lemonarch/internal/platform/process"
 	"lemonarch/internal/platform/transport"
 )
 
 // gate passes calls on lots to the store that holds the duty.
 type gate struct {
-	runtime *node.Node
+	runtime *agent.Agent
 	lock    sync.Mutex
 	duty    messages.Leadership
 	// changed closes when another takes the duty; shunned is when the known holder
@@ -30,17 +31,13 @@
 	draw  func() float64
 }
 
-func newGate(runtime *node.Node) *gate {
+func newGate(runtime *agent.Agent) *gate {
 	one := &gate{runtime: runtime, changed: make(chan struct{}), now: clock.Now, pause: clock.Sleep, draw: clock.Float64}
-	runtime.Handle(messages.KindLeaderAnnouncement, func(body []byte) ([]byte, error) {
-		told := &messages.LeaderAnnouncement{}
-		if err := transport.Decode(body, told); err != nil {
-			return nil, err
-		}
-		one.learn(told)
-		return transport.Encode(&messages.Ack{Accepted: true})
+	process.Handle(runtime.Runtime, messages.KindLeaderAnnouncement, func(announcement *messages.LeaderAnnouncement) (*messages.Ack, error) {
+		one.learn(announcement)
+		return &messages.Ack{Accepted: true}, nil
 	})
-	runtime.Handle(messages.KindJobCall, one.relayed)
+	process.Handle(runtime.Runtime, messages.KindJobCall, one.relayed)
 	return one
 }
 
@@ -170,14 +167,10 @@
 }
 
 // relayed answers a call that another gateway could not pass on itself.
-func (g *gate) relayed(body []byte) ([]byte, error) {
-	call := &messages.JobCallRequest{}
-	if err := transport.Decode(body, call); err != nil {
-		return nil, err
-	}
+func (g *gate) relayed(call *messages.JobCallRequest) (*messages.JobCallResponse, error) {
 	if !g.once.FirstSeen(call.RequestID, g.now()) {
 		// The first copy is answered, or will be; a second might end otherwise.
-		return transport.Encode(unknownResult())
+		return unknownResult(), nil
 	}
 	// Whatever the sender says: a call is passed on by two gateways at most.
 	call.Forwarded = true
@@ -195,7 +188,7 @@
 	default:
 		answer = &messages.JobCallResponse{NotLeader: true}
 	}
-	return transport.Encode(answer)
+	return answer, nil
 }
 
 func (g *gate) another(role string, asked map[string]bool) string {
--- a/internal/traffic/gateway/gate_test.go
+++ b/internal/traffic/gateway/gate_test.go
@@ -5,10 +5,10 @@
 
 	"github.com/hashicorp/go-hclog"
 
+	"lemonarch/internal/control/agent"
 	"lemonarch/internal/control/membership"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/messages"
-	"lemonarch/internal/platform/node"
 	"lemonarch/internal/platform/settings"
 	"lemonarch/internal/platform/transport"
 )
@@ -18,7 +18,7 @@
 func TestCallsFollowTheDuty(t *testing.T) {
 	room := transport.NewMemoryNetwork()
 	nodeSettings := &settings.Settings{NodeName: "n", Address: "10.0.0.1", InternalPorts: []int{1, 9}}
-	runtime := node.New(nodeSettings, membership.RoleGateway, 1, "", hclog.NewNullLogger())
+	runtime := agent.New(nodeSettings, membership.RoleGateway, 1, "", hclog.NewNullLogger())
 	runtime.Transport = room.Transport("gateway")
 	one := newGate(runtime)
 	asked := make(chan struct{})
@@ -65,14 +65,14 @@
 	gates := map[string]*gate{}
 	for _, name := range []string{"cut", "near"} {
 		nodeSettings := &settings.Settings{NodeName: name, Address: "10.0.0.1", InternalPorts: []int{1, 9}}
-		runtime := node.New(nodeSettings, membership.RoleGateway, 1, "", hclog.NewNullLogger())
+		runtime := agent.New(nodeSettings, membership.RoleGateway, 1, "", hclog.NewNullLogger())
 		runtime.Transport = room.Transport(name)
 		gates[name] = newGate(runtime)
 		_ = runtime.Transport.Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
 			if kind != messages.KindJobCall {
 				return nil, nil
 			}
-			return gates[name].relayed(body)
+			return runtime.Dispatch(kind, body)
 		})
 	}
 	var calls []bool
--- a/internal/traffic/gateway/gateway.go
+++ b/internal/traffic/gateway/gateway.go
@@ -10,11 +10,12 @@
 	"github.com/hashicorp/go-hclog"
 
 	"lemonarch/internal/configuration/routeconfig"
+	"lemonarch/internal/control/agent"
 	"lemonarch/internal/control/membership"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
 	"lemonarch/internal/platform/httpreply"
-	"lemonarch/internal/platform/node"
+	"lemonarch/internal/platform/process"
 	"lemonarch/internal/platform/settings"
 	"lemonarch/internal/traffic/loadgossip"
 	"lemonarch/internal/traffic/proxy"
@@ -22,7 +23,7 @@
 
 // Gateway is one edge process.
 type Gateway struct {
-	Node    *node.Node
+	Node    *agent.Agent
 	Gossip  *loadgossip.Gossip
 	Proxy   *proxy.Proxy
 	settled atomic.Bool
@@ -33,7 +34,7 @@
 
 // New prepares the process.
 func New(nodeSettings *settings.Settings, log hclog.Logger) *Gateway {
-	runtime := node.New(nodeSettings, membership.RoleGateway, constants.PortGateway, "", log)
+	runtime := agent.New(nodeSettings, membership.RoleGateway, constants.PortGateway, "", log)
 	placing := loadgossip.New(runtime)
 	gateway := &Gateway{Node: runtime, Gossip: placing}
 	gateway.Proxy = proxy.New(placing.Sender, newGate(runtime), log)
@@ -61,12 +62,12 @@
 	g.ready = &http.Server{Addr: runtime.Settings.Bind.Readiness, Handler: calls, ReadHeaderTimeout: constants.BulkCallTimeout}
 	readied, err := net.Listen("tcp4", runtime.Settings.Bind.Readiness)
 	if err != nil {
-		return node.ErrUnavailable.Wrap(err, "readiness")
+		return process.ErrUnavailable.Wrap(err, "readiness")
 	}
 	go func() { _ = g.ready.Serve(readied) }()
 	listener, err := net.Listen("tcp4", runtime.Settings.Bind.Ingress)
 	if err != nil {
-		return node.ErrUnavailable.Wrap(err, "ingress")
+		return process.ErrUnavailable.Wrap(err, "ingress")
 	}
 	for runtime.Config() == nil {
 		clock.Sleep(constants.PumpPeriod)
@@ -75,7 +76,7 @@
 	if err == http.ErrServerClosed || g.Proxy.Leaving.Load() {
 		return nil
 	}
-	return node.ErrUnavailable.Wrap(err, "ingress")
+	return process.ErrUnavailable.Wrap(err, "ingress")
 }
 
 // serve takes requests by the limits in force. The server's own limits only tell that
--- a/internal/traffic/gateway/lotcall_test.go
+++ b/internal/traffic/gateway/lotcall_test.go
@@ -8,10 +8,10 @@
 
 	"github.com/hashicorp/go-hclog"
 
+	"lemonarch/internal/control/agent"
 	"lemonarch/internal/control/membership"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/messages"
-	"lemonarch/internal/platform/node"
 	"lemonarch/internal/platform/settings"
 	"lemonarch/internal/platform/transport"
 	"lemonarch/internal/tooling/faultrelay"
@@ -78,7 +78,7 @@
 		t.Fatal(err)
 	}
 	nodeSettings := &settings.Settings{NodeName: "n", Address: "127.0.0.1", InternalPorts: []int{1, 9}}
-	runtime := node.New(nodeSettings, membership.RoleGateway, 1, "", hclog.NewNullLogger())
+	runtime := agent.New(nodeSettings, membership.RoleGateway, 1, "", hclog.NewNullLogger())
 	wire := transport.NewTCP("")
 	defer wire.Close()
 	runtime.Transport = wire
--- a/internal/traffic/gateway/promise_test.go
+++ b/internal/traffic/gateway/promise_test.go
@@ -7,10 +7,10 @@
 
 	"github.com/hashicorp/go-hclog"
 
+	"lemonarch/internal/control/agent"
 	"lemonarch/internal/control/membership"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/messages"
-	"lemonarch/internal/platform/node"
 	"lemonarch/internal/platform/settings"
 	"lemonarch/internal/platform/transport"
 )
@@ -40,7 +40,7 @@
 
 func (r *rough) deliver(address string, body []byte) []byte {
 	if one := r.gates[address]; one != nil {
-		answer, _ := one.relayed(body)
+		answer, _ := one.runtime.Dispatch(messages.KindJobCall, body)
 		return answer
 	}
 	call := &messages.JobCallRequest{}
@@ -124,7 +124,7 @@
 	for number := 0; number < 3; number++ {
 		name := fmt.Sprint("f", number)
 		nodeSettings := &settings.Settings{NodeName: name, Address: "10.0.0.1", InternalPorts: []int{1, 9}}
-		runtime := node.New(nodeSettings, membership.RoleGateway, 1, "", hclog.NewNullLogger())
+		runtime := agent.New(nodeSettings, membership.RoleGateway, 1, "", hclog.NewNullLogger())
 		runtime.Transport = connection{world}
 		runtime.Observe(entries)
 		one := newGate(runtime)
@@ -192,7 +192,7 @@
 func TestRefusalAfterSilenceIsNoPromise(t *testing.T) {
 	room := transport.NewMemoryNetwork()
 	nodeSettings := &settings.Settings{NodeName: "n", Address: "10.0.0.1", InternalPorts: []int{1, 9}}
-	runtime := node.New(nodeSettings, membership.RoleGateway, 1, "", hclog.NewNullLogger())
+	runtime := agent.New(nodeSettings, membership.RoleGateway, 1, "", hclog.NewNullLogger())
 	runtime.Transport = room.Transport("gateway")
 	one := newGate(runtime)
 	asked, hold := make(chan struct{}), make(chan struct{})
@@ -227,7 +227,7 @@
 	for _, one := range []*gate{cut, near} {
 		one.runtime.Transport = room.Transport(one.runtime.Self.Name)
 	}
-	_ = near.runtime.Transport.Serve(func(_ messages.Kind, body []byte) ([]byte, error) { return near.relayed(body) })
+	_ = near.runtime.Transport.Serve(near.runtime.Dispatch)
 	// The stores are known under addresses at which the first gateway finds nobody,
 	// and the second finds one that stays silent.
 	near.duty = messages.Leadership{Epoch: 1, Address: "silent"}
--- a/internal/traffic/loadgossip/loadgossip.go
+++ b/internal/traffic/loadgossip/loadgossip.go
@@ -6,10 +6,11 @@
 	"sync"
 
 	"lemonarch/internal/configuration/routeconfig"
+	"lemonarch/internal/control/agent"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
 	"lemonarch/internal/platform/messages"
-	"lemonarch/internal/platform/node"
+	"lemonarch/internal/platform/process"
 	"lemonarch/internal/traffic/admission"
 	"lemonarch/internal/traffic/proxy"
 	"lemonarch/internal/traffic/workerconn"
@@ -17,7 +18,7 @@
 
 // Gossip is the placing part of one process.
 type Gossip struct {
-	Node      *node.Node
+	Node      *agent.Agent
 	Scheduler *admission.Scheduler
 	Pool      *workerconn.Pool
 	Sender    proxy.Sender
@@ -32,16 +33,16 @@
 }
 
 // New makes the placing part and registers what it answers.
-func New(runtime *node.Node) *Gossip {
+func New(runtime *agent.Agent) *Gossip {
 	gossip := &Gossip{Node: runtime, Scheduler: admission.New(runtime.Self, runtime.Settings.Heartbeat()), Pool: workerconn.NewPool(),
 		logged: map[string]int64{}, tables: tables{read: map[string]messages.Digest{}}}
 	gossip.Sender = proxy.Sender{Scheduler: gossip.Scheduler, Pool: gossip.Pool, Budget: gossip.budget}
-	runtime.Handle(messages.KindWorkersUpdate, gossip.rosterPushed)
+	process.Handle(runtime.Runtime, messages.KindWorkersUpdate, gossip.rosterPushed)
 	runtime.OnControllerReport(gossip.heardController)
-	runtime.Handle(messages.KindGossip, gossip.gossiped)
-	runtime.Handle(messages.KindPressure, gossip.pressed)
+	process.Handle(runtime.Runtime, messages.KindGossip, gossip.gossiped)
+	process.Handle(runtime.Runtime, messages.KindPressure, gossip.pressed)
 	gossip.Scheduler.OnPressure(gossip.press)
-	runtime.Handle(messages.KindPrefill, gossip.reads)
+	process.Handle(runtime.Runtime, messages.KindPrefill, gossip.reads)
 	gossip.Scheduler.OnReading(gossip.tellReading)
 	gossip.Scheduler.OnEjection(gossip.logEjection)
 	gossip.reports()
--- a/internal/traffic/loadgossip/pressure_test.go
+++ b/internal/traffic/loadgossip/pressure_test.go
@@ -6,10 +6,10 @@
 
 	"github.com/hashicorp/go-hclog"
 
+	"lemonarch/internal/control/agent"
 	"lemonarch/internal/control/membership"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/messages"
-	"lemonarch/internal/platform/node"
 	"lemonarch/internal/platform/settings"
 	"lemonarch/internal/platform/transport"
 )
@@ -22,7 +22,7 @@
 	for place, role := range roles {
 		nodeSettings := &settings.Settings{NodeName: fmt.Sprint("n", place), Zone: "h", Address: fmt.Sprint("10.0.0.", place+1), HeartbeatMs: 1200,
 			InternalPorts: []int{100, 110}, Seeds: []string{"10.0.0.99:1"}}
-		runtime := node.New(nodeSettings, role, 1, "", hclog.NewNullLogger())
+		runtime := agent.New(nodeSettings, role, 1, "", hclog.NewNullLogger())
 		runtime.Transport = room.Transport(runtime.Self.Address)
 		joined = append(joined, New(runtime))
 	}
@@ -60,7 +60,7 @@
 			told := &messages.PressureNotice{}
 			_ = transport.Decode(body, told)
 			heard <- word{name, told.Sharers == 0}
-			return one.pressed(body)
+			return one.Node.Dispatch(messages.KindPressure, body)
 		})
 	}
 	reached, words, second := map[string]bool{}, 0, 0
@@ -94,7 +94,7 @@
 	heard := make(chan bool, 8)
 	for _, one := range joined[1:] {
 		_ = one.Node.Transport.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
-			answer, err := one.gossiped(body)
+			answer, err := one.Node.Dispatch(messages.KindGossip, body)
 			heard <- true
 			return answer, err
 		})
--- a/internal/traffic/loadgossip/readings.go
+++ b/internal/traffic/loadgossip/readings.go
@@ -5,7 +5,6 @@
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
 	"lemonarch/internal/platform/messages"
-	"lemonarch/internal/platform/transport"
 )
 
 // A long prompt holds up whoever is placed behind it, so those are told at once who
@@ -47,16 +46,12 @@
 	}
 }
 
-func (g *Gossip) reads(body []byte) ([]byte, error) {
-	told := &messages.PrefillNotice{}
-	if err := transport.Decode(body, told); err != nil {
-		return nil, err
-	}
+func (g *Gossip) reads(told *messages.PrefillNotice) (*messages.Ack, error) {
 	g.Scheduler.PeerReads(told, clock.Now())
 	if told.Forward {
 		further := *told
 		further.Forward = false
 		g.spreadReading(&further, false)
 	}
-	return transport.Encode(&messages.Ack{Accepted: true})
+	return &messages.Ack{Accepted: true}, nil
 }
--- a/internal/traffic/loadgossip/words.go
+++ b/internal/traffic/loadgossip/words.go
@@ -42,11 +42,7 @@
 	g.logDisplacement()
 }
 
-func (g *Gossip) gossiped(body []byte) ([]byte, error) {
-	packet := &messages.Gossip{}
-	if err := transport.Decode(body, packet); err != nil {
-		return nil, err
-	}
+func (g *Gossip) gossiped(packet *messages.Gossip) (*messages.Ack, error) {
 	now := clock.Now()
 	g.Scheduler.Heard(packet, now)
 	g.lock.Lock()
@@ -54,7 +50,7 @@
 	g.lock.Unlock()
 	g.Node.MarkContacted(packet.From)
 	g.Node.ObserveGeneration(packet.Generation)
-	return transport.Encode(&messages.Ack{Accepted: true})
+	return &messages.Ack{Accepted: true}, nil
 }
 
 // press tells at once that requests wait here, so that work of a lower rank makes
@@ -71,11 +67,7 @@
 	g.tell(circle.gateways, messages.KindPressure, &shared)
 }
 
-func (g *Gossip) pressed(body []byte) ([]byte, error) {
-	told := &messages.PressureNotice{}
-	if err := transport.Decode(body, told); err != nil {
-		return nil, err
-	}
+func (g *Gossip) pressed(told *messages.PressureNotice) (*messages.Ack, error) {
 	now := clock.Now()
 	if told.Sharers > 0 {
 		g.Scheduler.Pressed(told, told.Sharers, now)
@@ -90,7 +82,7 @@
 		further.Hops, further.Sharers = told.Hops-1, 0
 		g.tell(someStores(circle.near, circle.far, draw), messages.KindPressure, &further)
 	}
-	return transport.Encode(&messages.Ack{Accepted: true})
+	return &messages.Ack{Accepted: true}, nil
 }
 
 // mayPass bounds how much of others' pressure a process passes on, whatever their
--- a/internal/traffic/loadgossip/workers.go
+++ b/internal/traffic/loadgossip/workers.go
@@ -75,12 +75,8 @@
 	}
 }
 
-func (g *Gossip) rosterPushed(body []byte) ([]byte, error) {
-	push := &messages.WorkersUpdate{}
-	if err := transport.Decode(body, push); err != nil {
-		return nil, err
-	}
+func (g *Gossip) rosterPushed(push *messages.WorkersUpdate) (*messages.Ack, error) {
 	g.Scheduler.Merge(push.Workers, clock.Now())
 	g.Node.MarkContacted(push.From)
-	return transport.Encode(&messages.Ack{Accepted: true})
+	return &messages.Ack{Accepted: true}, nil
 }
