--- a/internal/batch/dispatch/dispatcher.go
+++ b/internal/batch/dispatch/dispatcher.go
@@ -83,6 +83,15 @@
 // serialBits is the part of an acquisition number that counts within an epoch.
 const serialBits = 40
 
+// LockDuration is how long an acquisition stands, worked out from cancel-ms, which is zero
+// where the settings do not state it.
+func LockDuration(cancelMs float64) clock.Duration {
+	if cancelMs <= 0 {
+		return constants.LockUnstated
+	}
+	return min(constants.LockMax, clock.Milliseconds(constants.LockShare*cancelMs))
+}
+
 // EpochOf gives the epoch in which an acquisition was handed out.
 func EpochOf(number uint64) uint64 { return number >> serialBits }
 
--- a/internal/batch/store/place.go
+++ b/internal/batch/executorserver/place.go
@@ -1,9 +1,10 @@
-package store
+package executorserver
 
 import (
 	"hash/fnv"
 
 	"lemonarch/internal/batch/executor"
+	"lemonarch/internal/batch/jobroute"
 	"lemonarch/internal/control/membership"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
@@ -44,16 +45,16 @@
 }
 
 // ownedWorkers gives the workers that are ours now.
-func (d *executorLoop) ownedWorkers(now clock.Instant) map[string]bool {
-	d.lock.Lock()
-	if d.ownership.workers != nil && d.ownership.at > 0 && now.Sub(d.ownership.at) < constants.OwnedWorkersPeriod {
-		defer d.lock.Unlock()
-		return d.ownership.workers
-	}
-	d.lock.Unlock()
-	runtime := d.server.Node
+func (s *Server) ownedWorkers(now clock.Instant) map[string]bool {
+	s.lock.Lock()
+	if s.owned.workers != nil && s.owned.at > 0 && now.Sub(s.owned.at) < constants.OwnedWorkersPeriod {
+		defer s.lock.Unlock()
+		return s.owned.workers
+	}
+	s.lock.Unlock()
+	runtime := s.node
 	stores := map[string]string{runtime.Self.Name: runtime.Self.Zone}
-	if !d.addExecutors(stores, now) {
+	if !s.addExecutors(stores, now) {
 		for _, entry := range runtime.Live(membership.RoleStore) {
 			if !entry.Draining {
 				stores[entry.Name] = entry.Zone
@@ -61,45 +62,45 @@
 		}
 	}
 	workers := map[string]bool{}
-	for _, worker := range d.server.Gossip.Scheduler.Workers(now) {
+	for _, worker := range s.gossip.Scheduler.Workers(now) {
 		if owner(worker.ID, worker.Zone, stores) == runtime.Self.Name {
 			workers[worker.ID] = true
 		}
 	}
-	d.server.Gossip.Scheduler.SetBulkOwn(workers)
-	d.lock.Lock()
-	defer d.lock.Unlock()
-	d.ownership = workerOwnership{now, workers}
+	s.gossip.Scheduler.SetBulkOwn(workers)
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.owned = workerOwnership{now, workers}
 	return workers
 }
 
 // knownVersion is the version of the list of drivers that we have.
-func (d *executorLoop) knownVersion() uint64 {
-	d.lock.Lock()
-	defer d.lock.Unlock()
-	return d.version
+func (s *Server) knownVersion() uint64 {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return s.peers.version
 }
 
 // updateExecutors takes the dispatcher's list of drivers, which comes where it is new.
-func (d *executorLoop) updateExecutors(version uint64, executors []messages.ExecutorInfo, now clock.Instant) {
-	d.lock.Lock()
-	defer d.lock.Unlock()
-	if version > d.version {
-		d.version, d.executors, d.ownership.at = version, executors, 0
+func (s *Server) updateExecutors(version uint64, executors []messages.ExecutorInfo, now clock.Instant) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	if version > s.peers.version {
+		s.peers.version, s.peers.list, s.owned.at = version, executors, 0
 	}
-	d.executorsAt = now
+	s.peers.at = now
 }
 
 // addExecutors adds the drivers on the dispatcher's list; false when it is old. The
 // dispatcher hears every driver twice a second, well before others take it for
 // silent.
-func (d *executorLoop) addExecutors(stores map[string]string, now clock.Instant) bool {
-	d.lock.Lock()
-	defer d.lock.Unlock()
-	if d.version == 0 || now.Sub(d.executorsAt) >= constants.SuspectAfter {
+func (s *Server) addExecutors(stores map[string]string, now clock.Instant) bool {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	if s.peers.version == 0 || now.Sub(s.peers.at) >= constants.SuspectAfter {
 		return false
 	}
-	for _, info := range d.executors {
+	for _, info := range s.peers.list {
 		stores[info.Name] = info.Zone
 	}
 	return true
@@ -107,16 +108,16 @@
 
 // freeCapacity is how many items to ask for: one for each worker of ours with a place left,
 // beside those that wait already.
-func (d *executorLoop) freeCapacity() []messages.ServiceCapacity {
-	config, now := d.server.Node.Config(), clock.Now()
+func (s *Server) freeCapacity() []messages.ServiceCapacity {
+	config, now := s.node.Config(), clock.Now()
 	if config == nil {
 		return nil
 	}
-	owned := d.ownedWorkers(now)
-	d.lock.Lock()
-	all, waiting := d.core.Count()
-	draining := d.draining
-	d.lock.Unlock()
+	owned := s.ownedWorkers(now)
+	s.lock.Lock()
+	all, waiting := s.runner.Count()
+	draining := s.draining
+	s.lock.Unlock()
 	if draining || all >= constants.RunningItemsMax {
 		return nil
 	}
@@ -127,7 +128,7 @@
 			continue
 		}
 		for _, service := range route.Services() {
-			free := d.server.Gossip.Scheduler.BulkRoom(&admission.Ask{Service: service, Bulk: true, Priority: route.Priority, Among: owned}, now)
+			free := s.gossip.Scheduler.BulkRoom(&admission.Ask{Service: service, Bulk: true, Priority: route.Priority, Among: owned}, now)
 			counts[service] = max(counts[service], free)
 		}
 	}
@@ -141,69 +142,69 @@
 }
 
 // place finds workers for what waits. What finds none for a while goes back.
-func (d *executorLoop) place() {
+func (s *Server) place() {
 	now := clock.Now()
-	owned := d.ownedWorkers(now)
-	d.lock.Lock()
-	waiting := d.waiting
-	d.waiting = nil
-	d.lock.Unlock()
+	owned := s.ownedWorkers(now)
+	s.lock.Lock()
+	waiting := s.waiting
+	s.waiting = nil
+	s.lock.Unlock()
 	if len(waiting) == 0 {
 		return
 	}
 	var left []*executor.Task
 	for _, task := range waiting {
-		if !d.start(task, owned, now) {
+		if !s.start(task, owned, now) {
 			left = append(left, task)
 		}
 	}
-	d.lock.Lock()
-	d.waiting = append(left, d.waiting...)
-	d.lock.Unlock()
+	s.lock.Lock()
+	s.waiting = append(left, s.waiting...)
+	s.lock.Unlock()
 }
 
 // start starts a task at a worker or gives it back; false while it waits on.
-func (d *executorLoop) start(task *executor.Task, owned map[string]bool, now clock.Instant) bool {
-	route := itemRoute(d.server.Node.Config(), task.Item)
-	d.lock.Lock()
-	unfit := d.draining || !task.MayRun(now) || now.Sub(task.Since) > constants.PlacementWait
-	d.lock.Unlock()
+func (s *Server) start(task *executor.Task, owned map[string]bool, now clock.Instant) bool {
+	route := jobroute.OfItem(s.node.Config(), task.Item)
+	s.lock.Lock()
+	unfit := s.draining || !task.MayRun(now) || now.Sub(task.Since) > constants.PlacementWait
+	s.lock.Unlock()
 	if route == nil || unfit {
-		d.releaseUnstarted(task)
+		s.releaseUnstarted(task)
 		return true
 	}
 	item := task.Item
 	demand := &admission.Ask{Service: route.Choose(clock.Float64()), Affine: route.Affine, Bulk: true, Priority: route.Priority, Setpoint: route.Setpoint(), Among: owned,
 		Prompt: prefixindex.ParsePrompt(item.Headers["Lemonarch-Model"], item.Headers["Lemonarch-Token-Count"], item.Headers["Lemonarch-Prompt-Prefix"])}
-	resp, _ := d.server.Gossip.Scheduler.Admit(demand, nil, now)
+	resp, _ := s.gossip.Scheduler.Admit(demand, nil, now)
 	if resp.Verdict != admission.VerdictGranted {
 		return false
 	}
-	d.lock.Lock()
-	may := task.MayRun(clock.Now()) && !d.draining
+	s.lock.Lock()
+	may := task.MayRun(clock.Now()) && !s.draining
 	task.Started = may
 	owed, displaceable := item.OwedResume, item.Preempted < constants.PreemptionLimit
-	d.lock.Unlock()
+	s.lock.Unlock()
 	if !may {
 		resp.Grant.End(admission.ResultCalledOff, now)
-		d.releaseUnstarted(task)
+		s.releaseUnstarted(task)
 		return true
 	}
 	if owed {
-		d.server.Gossip.Scheduler.Counters(route.Name).Resumed.Add(1)
+		s.gossip.Scheduler.Counters(route.Name).Resumed.Add(1)
 	}
 	if displaceable {
-		resp.Grant.MayYield(func() { d.yield(task) })
+		resp.Grant.MayYield(func() { s.yield(task) })
 	}
-	go d.run(route, task, resp.Grant)
-	signal(d.wake)
+	go s.run(route, task, resp.Grant)
+	signal(s.signals.wake)
 	return true
 }
 
 // releaseUnstarted releases an item that was not begun.
-func (d *executorLoop) releaseUnstarted(task *executor.Task) {
-	d.lock.Lock()
+func (s *Server) releaseUnstarted(task *executor.Task) {
+	s.lock.Lock()
 	task.Item.Requeue(task.Run)
-	d.lock.Unlock()
-	d.done(task, messages.Acknowledgement{Kind: messages.AckRelease, NotStarted: true})
+	s.lock.Unlock()
+	s.done(task, messages.Acknowledgement{Kind: messages.AckRelease, NotStarted: true})
 }
--- a/internal/batch/store/place_test.go
+++ b/internal/batch/executorserver/place_test.go
@@ -1,4 +1,4 @@
-package store
+package executorserver
 
 import (
 	"fmt"
--- a/internal/batch/store/drive.go
+++ b/internal/batch/executorserver/run.go
@@ -1,4 +1,4 @@
-package store
+package executorserver
 
 import (
 	"bytes"
@@ -6,6 +6,7 @@
 	"strconv"
 
 	"lemonarch/internal/batch/executor"
+	"lemonarch/internal/batch/outputcodec"
 	"lemonarch/internal/configuration/routeconfig"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
@@ -18,9 +19,9 @@
 
 // run takes one item to one worker, gathers its events, and derives the
 // acknowledgement from how the stream ends.
-func (d *executorLoop) run(route *routeconfig.Route, task *executor.Task, grant *admission.Grant) {
-	sender := &d.server.Gossip.Sender
-	outgoing := d.outgoing(route, task, grant.Worker.ID)
+func (s *Server) run(route *routeconfig.Route, task *executor.Task, grant *admission.Grant) {
+	sender := &s.gossip.Sender
+	outgoing := s.outgoing(route, task, grant.Worker.ID)
 	response, evidence, err := sender.Carry(grant, outgoing)
 	if err != nil {
 		result := admission.ResultFailed
@@ -32,130 +33,130 @@
 		case errs.Is(err, workerconn.ErrWorkerUnresponsive):
 			result = admission.ResultSilent
 		}
-		d.release(route, task, grant, result, messages.Acknowledgement{NotStarted: !evidence.Sent}, err.Error())
+		s.release(route, task, grant, result, messages.Acknowledgement{NotStarted: !evidence.Sent}, err.Error())
 		return
 	}
 	status := response.Answer.StatusCode
 	if response.NotRun || status >= 300 {
 		grant.Told(response.Load, clock.Now())
 		_, complete, err := sender.ReadBody(response, constants.BufferedAnswer)
-		d.forgetConnection(task)
+		s.forgetConnection(task)
 		if err == nil && complete {
 			sender.Finish(response)
 		} else {
 			sender.Abandon(response)
 		}
-		d.handleRejection(route, task, grant, response.NotRun, status)
+		s.handleRejection(route, task, grant, response.NotRun, status)
 		return
 	}
 	grant.First(response.Load, clock.Now())
-	signal(d.wake)
-	d.place()
+	signal(s.signals.wake)
+	s.place()
 	splitter := &proxy.Splitter{}
 	if task.Item.LastID > 0 {
 		splitter.Next = task.Item.LastID + 1
 	}
 	err = sender.Stream(response, splitter, outgoing.Until, outgoing.Patience, func(events []byte) error {
-		d.lock.Lock()
-		defer d.lock.Unlock()
+		s.lock.Lock()
+		defer s.lock.Unlock()
 		if task.Stopped() || !task.Item.AppendEvents(task.Run, proxy.Data(events), splitter.Last) {
 			return proxy.ErrNotSent.New("called off")
 		}
 		task.MarkProgress(clock.Now())
 		return nil
 	})
-	d.forgetConnection(task)
+	s.forgetConnection(task)
 	if err != nil {
 		sender.Abandon(response)
-		d.release(route, task, grant, admission.ResultFailed, messages.Acknowledgement{}, err.Error())
+		s.release(route, task, grant, admission.ResultFailed, messages.Acknowledgement{}, err.Error())
 		return
 	}
 	sender.Finish(response)
-	d.lock.Lock()
+	s.lock.Lock()
 	complete := task.Item.Finish(task.Run)
 	displaced := task.Item.Preempted > 0
-	d.lock.Unlock()
+	s.lock.Unlock()
 	if !complete {
 		// It was asked to make room in its last moment: its run counts as set back.
-		d.release(route, task, grant, admission.ResultServed, messages.Acknowledgement{}, "displaced at its end")
+		s.release(route, task, grant, admission.ResultServed, messages.Acknowledgement{}, "displaced at its end")
 		return
 	}
 	if displaced {
-		d.server.Gossip.Scheduler.Counters(route.Name).Finished.Add(1)
+		s.gossip.Scheduler.Counters(route.Name).Finished.Add(1)
 	}
 	grant.End(admission.ResultServed, clock.Now())
-	output, compressed := compress(bytes.Join(task.Item.Events, []byte("\n")))
-	d.done(task, messages.Acknowledgement{Kind: messages.AckAccept, Output: output, Compressed: compressed})
+	output, compressed := outputcodec.Compress(bytes.Join(task.Item.Events, []byte("\n")))
+	s.done(task, messages.Acknowledgement{Kind: messages.AckAccept, Output: output, Compressed: compressed})
 }
 
 // forgetConnection takes a connection out of reach before it may serve somebody else.
-func (d *executorLoop) forgetConnection(task *executor.Task) {
-	d.lock.Lock()
-	defer d.lock.Unlock()
-	delete(d.connections, task)
+func (s *Server) forgetConnection(task *executor.Task) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	delete(s.connections, task)
 }
 
 // handleRejection handles an answer that is no stream of events.
-func (d *executorLoop) handleRejection(route *routeconfig.Route, task *executor.Task, grant *admission.Grant, notRun bool, status int) {
+func (s *Server) handleRejection(route *routeconfig.Route, task *executor.Task, grant *admission.Grant, notRun bool, status int) {
 	switch {
 	case status == http.StatusMisdirectedRequest:
-		d.release(route, task, grant, admission.ResultGoneAway, messages.Acknowledgement{NotStarted: true}, "another worker answers")
+		s.release(route, task, grant, admission.ResultGoneAway, messages.Acknowledgement{NotStarted: true}, "another worker answers")
 	case notRun:
-		d.release(route, task, grant, admission.ResultTurnedAway, messages.Acknowledgement{NotStarted: true}, "worker is full")
+		s.release(route, task, grant, admission.ResultTurnedAway, messages.Acknowledgement{NotStarted: true}, "worker is full")
 	case status == http.StatusUnprocessableEntity:
 		grant.End(admission.ResultServed, clock.Now())
-		d.done(task, messages.Acknowledgement{Kind: messages.AckReject})
+		s.done(task, messages.Acknowledgement{Kind: messages.AckReject})
 	case status == http.StatusInternalServerError:
-		d.release(route, task, grant, admission.ResultErrored, messages.Acknowledgement{Failed: true}, "worker failed")
+		s.release(route, task, grant, admission.ResultErrored, messages.Acknowledgement{Failed: true}, "worker failed")
 	default:
-		d.release(route, task, grant, admission.ResultFailed, messages.Acknowledgement{}, "unexpected status "+strconv.Itoa(status))
+		s.release(route, task, grant, admission.ResultFailed, messages.Acknowledgement{}, "unexpected status "+strconv.Itoa(status))
 	}
 }
 
 // yield breaks off a run that has to make room; the run itself sets the item back.
-func (d *executorLoop) yield(task *executor.Task) {
-	d.lock.Lock()
-	defer d.lock.Unlock()
+func (s *Server) yield(task *executor.Task) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
 	if !task.Item.Yield(task.Run) {
 		return
 	}
-	if connection := d.connections[task]; connection != nil {
+	if connection := s.connections[task]; connection != nil {
 		connection.Close()
 	}
 }
 
 // release gives an item back with what was gathered.
-func (d *executorLoop) release(route *routeconfig.Route, task *executor.Task, grant *admission.Grant, result admission.Result, entry messages.Acknowledgement, reason string) {
+func (s *Server) release(route *routeconfig.Route, task *executor.Task, grant *admission.Grant, result admission.Result, entry messages.Acknowledgement, reason string) {
 	entry.Kind = messages.AckRelease
-	d.lock.Lock()
+	s.lock.Lock()
 	entry.Preempted = task.Item.Yielding()
 	if entry.Preempted || task.Stopped() {
 		// Our own doing: it says nothing against the worker.
 		result = admission.ResultCalledOff
 	}
 	task.Item.Requeue(task.Run)
-	d.lock.Unlock()
+	s.lock.Unlock()
 	if entry.Preempted {
-		d.server.Gossip.Scheduler.Counters(route.Name).Displaced.Add(1)
+		s.gossip.Scheduler.Counters(route.Name).Displaced.Add(1)
 	}
 	grant.End(result, clock.Now())
-	d.done(task, entry)
-	d.server.Node.Log.Debug("item released", "item", task.Item.ID, "worker", grant.Worker.ID, "displaced", entry.Preempted, "why", reason)
+	s.done(task, entry)
+	s.node.Log.Debug("item released", "item", task.Item.ID, "worker", grant.Worker.ID, "displaced", entry.Preempted, "why", reason)
 }
 
 // done ends a task here and has its acknowledgement carried.
-func (d *executorLoop) done(task *executor.Task, entry messages.Acknowledgement) {
-	d.lock.Lock()
-	delete(d.connections, task)
-	d.core.Done(task, entry)
-	d.lock.Unlock()
-	signal(d.results)
-	signal(d.releases)
-	signal(d.wake)
+func (s *Server) done(task *executor.Task, entry messages.Acknowledgement) {
+	s.lock.Lock()
+	delete(s.connections, task)
+	s.runner.Done(task, entry)
+	s.lock.Unlock()
+	signal(s.signals.results)
+	signal(s.signals.releases)
+	signal(s.signals.wake)
 }
 
 // outgoing writes an item's request.
-func (d *executorLoop) outgoing(route *routeconfig.Route, task *executor.Task, worker string) *proxy.Request {
+func (s *Server) outgoing(route *routeconfig.Route, task *executor.Task, worker string) *proxy.Request {
 	item, header := task.Item, http.Header{}
 	for name, value := range item.Headers {
 		header.Set(name, value)
@@ -169,12 +170,12 @@
 		Text:  proxy.Head(http.MethodPost, item.Path, item.Job.Host, proxy.Passed(header), own, item.Body),
 		Until: clock.Now().Add(max(clock.Milliseconds(float64(left)), constants.RunTimeMin)),
 		Halt: func(connection *workerconn.Connection) {
-			d.lock.Lock()
-			defer d.lock.Unlock()
-			d.connections[task] = connection
+			s.lock.Lock()
+			defer s.lock.Unlock()
+			s.connections[task] = connection
 			if !task.MayRun(clock.Now()) || task.Item.Yielding() {
 				// Stopped while its connection was being opened: nothing is sent.
-				d.core.Stop(task)
+				s.runner.Stop(task)
 				connection.Close()
 			}
 		}}
--- a/internal/batch/store/change.go
+++ b/internal/batch/leader/addmember.go
@@ -1,4 +1,4 @@
-package store
+package leader
 
 import (
 	"lemonarch/internal/control/register"
@@ -9,25 +9,25 @@
 
 // addMember copies everything to a newcomer and begins to send it what is new; target is
 // the index from which on its copy counts.
-func (t *term) addMember(s replacement, i int, timeout *copyDeadline) (target int64) {
-	from := t.copyTo(s.in, i, timeout)
+func (t *Term) addMember(s replacement, i int, timeout *CopyDeadline) (target int64) {
+	from := t.CopyTo(s.in, i, timeout)
 	t.lock.Lock()
 	// The last copied record goes once more, from here: it shows that the copy joins on.
 	t.startFeed(s.in, max(from-1, 0))
-	target = t.replicator.Last()
+	target = t.records.replicator.Last()
 	t.lock.Unlock()
 	left := ""
 	if s.out != nil {
 		left = s.out.Name
 	}
-	t.server.Node.Log.Info("store set begins to change", "in", s.in.Name, "out", left, "copied", from, "records", target, "epoch", t.leadership.Epoch)
+	t.process.Node.Log.Info("store set begins to change", "in", s.in.Name, "out", left, "copied", from, "records", target, "epoch", t.leadership.Epoch)
 	sentAt := clock.Now()
-	for !t.has(s.in, target) && !t.closed() && !timeout.passed() {
+	for !t.has(s.in, target) && !t.Closed() && !timeout.passed() {
 		clock.Sleep(constants.TickPeriod)
 		if clock.Now().Sub(sentAt) < constants.LeaseDuration {
 			continue
 		}
-		if t.server.isSilent(s.in) {
+		if t.process.isSilent(s.in) {
 			// Gone again: others that come in with it must not wait for it.
 			break
 		}
@@ -37,18 +37,18 @@
 }
 
 // has tells whether a store has synced all up to an index.
-func (t *term) has(member messages.Member, index int64) bool {
+func (t *Term) has(member messages.Member, index int64) bool {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	return t.replicator.MatchIndex(register.Identity(member)) >= index
+	return t.records.replicator.MatchIndex(register.Identity(member)) >= index
 }
 
 // syncJoiners brings all newcomers in at the same time, and gives the swaps of those that
 // have everything; the others are sent nothing further. Once one is whole, the others have
 // as long again and a little more: a set that lacks one copy is nearer to whole than one
 // that lacks two, and what was copied to the others stays there.
-func (t *term) syncJoiners(replacements []replacement) (complete []replacement) {
-	targets, ended, timeout := make([]int64, len(replacements)), make(chan int, len(replacements)), newCopyDeadline()
+func (t *Term) syncJoiners(replacements []replacement) (complete []replacement) {
+	targets, ended, timeout := make([]int64, len(replacements)), make(chan int, len(replacements)), NewCopyDeadline()
 	start := clock.Now()
 	for i := range replacements {
 		go func() {
@@ -70,11 +70,11 @@
 		}
 	}
 	for i, s := range replacements {
-		if !t.closed() && t.has(s.in, targets[i]) {
+		if !t.Closed() && t.has(s.in, targets[i]) {
 			complete = append(complete, s)
 			continue
 		}
-		t.server.Node.Log.Warn("store set not changed", "in", s.in.Name, "records", targets[i])
+		t.process.Node.Log.Warn("store set not changed", "in", s.in.Name, "records", targets[i])
 		t.lock.Lock()
 		t.stopFeed(s.in)
 		t.lock.Unlock()
@@ -84,49 +84,47 @@
 
 // changeSet copies everything to the newcomers, then counts their copies as well as
 // the old set's, then has the register name the new set.
-func (t *term) changeSet(members []messages.Member, replacements []replacement) {
-	server := t.server
+func (t *Term) changeSet(members []messages.Member, replacements []replacement) {
+	process := t.process
 	if replacements = t.syncJoiners(replacements); len(replacements) == 0 {
 		return
 	}
 	next := withReplacements(members, replacements)
 	// From here on a record is durable only where it is in both sets.
 	t.lock.Lock()
-	t.replicator.Next = next
+	t.records.replicator.Next = next
 	index := t.appendRecord(messages.Record{Kind: messages.RecordNoop})
 	t.lock.Unlock()
 	for !t.awaitCommit(index, constants.LeaseDuration) {
-		if t.closed() {
+		if t.Closed() {
 			return
 		}
 	}
-	for !t.closed() {
-		changed, known := server.changeRegister(&messages.RegisterChangeRequest{Holder: t.leadership, Stores: next})
+	for !t.Closed() {
+		changed, known := process.Election.ChangeRegister(&messages.RegisterChangeRequest{Holder: t.leadership, Stores: next})
 		if !known {
 			// It may be in force: both sets count until that is known.
 			clock.Sleep(constants.TickPeriod * 2)
 			continue
 		}
 		if !changed.Applied {
-			t.close("the set was changed under another epoch")
+			t.Close("the set was changed under another epoch")
 			return
 		}
-		server.lock.Lock()
-		server.value, server.lastRead = changed.Value, clock.Now()
-		server.lock.Unlock()
+		process.Election.SetRegister(changed.Value)
 		t.lock.Lock()
-		t.replicator.Members, t.replicator.Next = next, nil
+		t.records.replicator.Members, t.records.replicator.Next = next, nil
 		for _, s := range replacements {
 			if s.out != nil {
 				t.stopFeed(*s.out)
 			}
 		}
-		t.replicator.AdvanceCommit()
+		t.records.replicator.AdvanceCommit()
 		t.applyCommittedLocked()
 		t.notifyLocked()
 		t.lock.Unlock()
 		for _, s := range replacements {
-			server.Node.Log.Info("store set changed", "in", s.in.Name, "stores", len(next), "epoch", t.leadership.Epoch)
+			process.Node.Log.Info("store set changed", "in", s.in.Name, "stores", len(next), "epoch", t.leadership.Epoch)
 		}
 		return
 	}
--- a/internal/batch/store/swap_test.go
+++ b/internal/batch/leader/addmember_test.go
@@ -1,8 +1,9 @@
-package store
+package leader
 
 import (
 	"testing"
 
+	"lemonarch/internal/batch/replicalog"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
 	"lemonarch/internal/platform/messages"
@@ -32,15 +33,15 @@
 // Two newcomers of one time copy from two members, and nobody from the holder or
 // from a member that is far behind.
 func TestNewcomersShareNoSource(t *testing.T) {
-	term := rule(t, soleLocker(t, simulation.NewDisk(12)), 1)
+	term := lead(t, soleStore(t, simulation.NewDisk(12)), 1)
 	term.lock.Lock()
 	defer term.lock.Unlock()
-	done := term.replicator.CommitIndex()
+	done := term.records.replicator.CommitIndex()
 	for _, name := range []string{"r", "s", "t"} {
-		term.replicator.Members = append(term.replicator.Members, messages.Member{Name: name, Address: name, Disk: name})
+		term.records.replicator.Members = append(term.records.replicator.Members, messages.Member{Name: name, Address: name, Disk: name})
 	}
-	term.replicator.UpdateMatch("r#r", done)
-	term.replicator.UpdateMatch("s#s", done)
+	term.records.replicator.UpdateMatch("r#r", done)
+	term.records.replicator.UpdateMatch("s#s", done)
 	first, _ := term.source(messages.Member{Name: "t", Address: "t"}, 0)
 	second, _ := term.source(messages.Member{Name: "u", Address: "u"}, 1)
 	if first == nil || second == nil || first.Name == second.Name {
@@ -56,10 +57,10 @@
 // A newcomer that answers but does not get on keeps another one out of the set only for
 // a while: the set is made whole by as much as can be.
 func TestSlowNewcomerHoldsNobodyUp(t *testing.T) {
-	term := rule(t, soleLocker(t, simulation.NewDisk(12)), 1)
+	term := lead(t, soleStore(t, simulation.NewDisk(12)), 1)
 	freeCapacity := transport.NewMemoryNetwork()
-	term.server.Node.Transport = freeCapacity.Transport("m")
-	store, err := OpenReplicaLog(simulation.NewDisk(13), "quick")
+	term.process.Node.Transport = freeCapacity.Transport("m")
+	store, err := replicalog.Open(simulation.NewDisk(13), "quick")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,7 +77,7 @@
 	})
 	_ = freeCapacity.Transport("slow").Serve(func(kind messages.Kind, _ []byte) ([]byte, error) {
 		if kind == messages.KindAppend {
-			return nil, ErrCorrupt.New("disk hangs")
+			return nil, replicalog.ErrCorrupt.New("disk hangs")
 		}
 		return transport.Encode(&messages.StatusResponse{})
 	})
--- a/internal/batch/store/dispatch.go
+++ b/internal/batch/leader/dispatch.go
@@ -1,61 +1,46 @@
-package store
+package leader
 
 import (
 	"lemonarch/internal/batch/dispatch"
+	"lemonarch/internal/batch/jobroute"
 	"lemonarch/internal/configuration/routeconfig"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
 	"lemonarch/internal/platform/messages"
 )
 
-// lockDuration works the lock of an acquisition out from cancel-ms.
-func lockDuration(cancelMs float64) clock.Duration {
-	if cancelMs <= 0 {
-		return constants.LockUnstated
-	}
-	return min(constants.LockMax, clock.Milliseconds(constants.LockShare*cancelMs))
-}
-
 // openDispatcher makes the dispatcher of this epoch. The lock is held.
-func (t *term) openDispatcher(before int64) {
-	lock := lockDuration(t.server.Node.Settings.Tolerances.CancelMs)
-	dispatcher := dispatch.NewDispatcher(t.jobs, t.leadership.Epoch, before, lock, t.startedAt)
+func (t *Term) openDispatcher(before int64) {
+	lock := dispatch.LockDuration(t.process.Node.Settings.Tolerances.CancelMs)
+	dispatcher := dispatch.NewDispatcher(t.jobs, t.leadership.Epoch, before, lock, t.life.startedAt)
 	dispatcher.Append = t.appendRecord
-	dispatcher.Ending = func(job *dispatch.Job) bool { return t.ending[job.ID] }
+	dispatcher.Ending = func(job *dispatch.Job) bool { return t.submissions.ending[job.ID] }
 	dispatcher.Attempts = func(item *dispatch.Item) int {
-		if route := itemRoute(t.server.Node.Config(), item); route != nil {
+		if route := jobroute.OfItem(t.process.Node.Config(), item); route != nil {
 			return route.Tries
 		}
 		return constants.JobItemsMax
 	}
-	t.dispatcher = dispatcher
-}
-
-// itemRoute is the bulk route of an item, or else that of its lot.
-func itemRoute(config *routeconfig.Config, item *dispatch.Item) *routeconfig.Route {
-	if own := routeOf(config, item.Job.Host, item.Path); own != nil {
-		return own
-	}
-	return routeOf(config, item.Job.Host, item.Job.Path)
+	t.items.dispatcher = dispatcher
 }
 
 // terms says what a configuration means for a lot now. The lock is held while it is
 // asked.
-func (t *term) terms(config *routeconfig.Config) func(job *dispatch.Job) dispatch.JobTerms {
+func (t *Term) terms(config *routeconfig.Config) func(job *dispatch.Job) dispatch.JobTerms {
 	wall, now := clock.WallNanos()/1_000_000, clock.Now()
 	return func(job *dispatch.Job) dispatch.JobTerms {
-		route := t.quota.route(config, submitPath{job.Host, job.Path})
+		route := t.submissions.quota.route(config, submitPath{job.Host, job.Path})
 		if route == nil {
 			return dispatch.JobTerms{Expired: true}
 		}
 		age := wall - job.SubmittedMs
 		return dispatch.JobTerms{Due: job.SubmittedMs + int64(route.ResultMs), Expired: job.OlderThan(route.Retain(), wall, now),
-			Overdue: float64(age)+t.dispatcher.MeanRunMs > route.ResultMs}
+			Overdue: float64(age)+t.items.dispatcher.MeanRunMs > route.ResultMs}
 	}
 }
 
-// acquire hands items to a driver, waiting a little while there are none.
-func (t *term) acquire(req *messages.AcquireRequest) *messages.AcquireResponse {
+// Acquire hands items to a driver, waiting a little while there are none.
+func (t *Term) Acquire(req *messages.AcquireRequest) *messages.AcquireResponse {
 	start := clock.Now()
 	if !t.waitServing(constants.AcquireWait) {
 		return &messages.AcquireResponse{NotLeader: true}
@@ -63,22 +48,22 @@
 	end := start.Add(min(clock.Milliseconds(float64(req.WaitMs)), constants.AcquireWait))
 	options := &dispatch.AcquireOptions{Executor: dispatch.Executor{Name: req.Executor, Incarnation: req.Incarnation, Address: req.Address, Zone: req.Zone},
 		Service: func(item *dispatch.Item) string {
-			if route := itemRoute(t.server.Node.Config(), item); route != nil {
+			if route := jobroute.OfItem(t.process.Node.Config(), item); route != nil {
 				return route.Choose(clock.Float64())
 			}
 			return ""
 		}}
 	// What it is handed must be known to a later holder before it has it.
 	t.lock.Lock()
-	entry := t.dispatcher.RegisterExecutor(options.Executor)
+	entry := t.items.dispatcher.RegisterExecutor(options.Executor)
 	t.lock.Unlock()
 	if entry > 0 && !t.awaitCommit(entry, constants.RoundTimeout) {
 		return &messages.AcquireResponse{NotLeader: true}
 	}
 	for {
-		config, now := t.server.Node.Config(), clock.Now()
+		config, now := t.process.Node.Config(), clock.Now()
 		// A hold that ran out hands nothing out: the next holder counts on it.
-		if config == nil || !t.server.holdsLease() || t.closed() {
+		if config == nil || !t.process.Election.HoldsLease() || t.Closed() {
 			return &messages.AcquireResponse{NotLeader: true}
 		}
 		options.Capacity = map[string]int{}
@@ -87,10 +72,10 @@
 		}
 		t.lock.Lock()
 		options.Terms = t.terms(config)
-		t.dispatcher.ObserveExecutor(options.Executor, now)
-		resp := t.itemsForExecutor(t.dispatcher.Acquire(options, now))
-		fresh := t.itemsAvailable
-		resp.Version, resp.Executors = t.dispatcher.Executors(req.KnownVersion, now)
+		t.items.dispatcher.ObserveExecutor(options.Executor, now)
+		resp := t.itemsForExecutor(t.items.dispatcher.Acquire(options, now))
+		fresh := t.items.available
+		resp.Version, resp.Executors = t.items.dispatcher.Executors(req.KnownVersion, now)
 		t.lock.Unlock()
 		if len(resp.Items) > 0 || now >= end || len(resp.Executors) > 0 {
 			resp.WaitedMs = clock.ToMilliseconds(now.Sub(start))
@@ -100,15 +85,15 @@
 		case <-fresh:
 			// Many items come free at once: look a little later, together.
 			clock.Sleep(constants.PumpPeriod / 2)
-		case <-t.stop:
+		case <-t.life.stop:
 		case <-clock.After(min(end.Sub(now), constants.TickPeriod)):
 		}
 	}
 }
 
 // itemsForExecutor writes acquisitions down for their driver. The lock is held.
-func (t *term) itemsForExecutor(taken []*dispatch.Acquisition) *messages.AcquireResponse {
-	resp := &messages.AcquireResponse{LockMs: clock.ToMilliseconds(t.dispatcher.Lock)}
+func (t *Term) itemsForExecutor(taken []*dispatch.Acquisition) *messages.AcquireResponse {
+	resp := &messages.AcquireResponse{LockMs: clock.ToMilliseconds(t.items.dispatcher.Lock)}
 	for _, acquisition := range taken {
 		item := acquisition.Item
 		resp.Items = append(resp.Items, messages.AcquiredItem{Number: acquisition.Number, Job: item.Job.ID, Host: item.Job.Host,
@@ -120,9 +105,9 @@
 	return resp
 }
 
-// acknowledge takes a batch of acknowledgements. What needs a record is answered
+// Acknowledge takes a batch of acknowledgements. What needs a record is answered
 // once that is durable; what can't be known is repeated by the driver.
-func (t *term) acknowledge(req *messages.AcknowledgeRequest) *messages.AcknowledgeResponse {
+func (t *Term) Acknowledge(req *messages.AcknowledgeRequest) *messages.AcknowledgeResponse {
 	if !t.waitServing(constants.CallTimeout / 2) {
 		return &messages.AcknowledgeResponse{NotLeader: true}
 	}
@@ -133,22 +118,22 @@
 	now := clock.Now()
 	t.lock.Lock()
 	if req.Draining {
-		t.dispatcher.RemoveExecutor(executor)
+		t.items.dispatcher.RemoveExecutor(executor)
 		t.wakeExecutorsLocked()
 	} else {
-		t.dispatcher.ObserveExecutor(executor, now)
+		t.items.dispatcher.ObserveExecutor(executor, now)
 	}
-	resp.Version, resp.Executors = t.dispatcher.Executors(req.KnownVersion, now)
+	resp.Version, resp.Executors = t.items.dispatcher.Executors(req.KnownVersion, now)
 	for i := range req.Entries {
 		entry := &req.Entries[i]
-		outcomes[i] = t.dispatcher.Acknowledge(executor, entry, now)
+		outcomes[i] = t.items.dispatcher.Acknowledge(executor, entry, now)
 		last = max(last, outcomes[i].Index)
 		if entry.Kind == messages.AckRelease {
 			t.wakeExecutorsLocked()
 		}
 	}
 	if req.Epoch > 0 {
-		t.dispatcher.ReportedAll(executor, req.Epoch, now)
+		t.items.dispatcher.ReportedAll(executor, req.Epoch, now)
 	}
 	t.lock.Unlock()
 	durable := last == 0 || t.awaitCommit(last, constants.RoundTimeout)
@@ -159,7 +144,7 @@
 		}
 		resp.Verdicts = append(resp.Verdicts, verdict)
 	}
-	if !t.server.holdsLease() || t.closed() {
+	if !t.process.Election.HoldsLease() || t.Closed() {
 		// Another may hold the duty by now: what we say is old.
 		return &messages.AcknowledgeResponse{NotLeader: true}
 	}
@@ -167,28 +152,28 @@
 }
 
 // wakeExecutorsLocked wakes the drivers that wait for items. The lock is held.
-func (t *term) wakeExecutorsLocked() {
-	close(t.itemsAvailable)
-	t.itemsAvailable = make(chan struct{})
+func (t *Term) wakeExecutorsLocked() {
+	close(t.items.available)
+	t.items.available = make(chan struct{})
 }
 
 // expireItems lets locks lapse and archives what has come to a terminal ground.
-func (t *term) expireItems() {
+func (t *Term) expireItems() {
 	looked := clock.Now()
-	clock.Every(constants.TickPeriod, t.stop, func() {
-		config, now := t.server.Node.Config(), clock.Now()
-		if config == nil || !t.server.holdsLease() || t.closed() {
+	clock.Every(constants.TickPeriod, t.life.stop, func() {
+		config, now := t.process.Node.Config(), clock.Now()
+		if config == nil || !t.process.Election.HoldsLease() || t.Closed() {
 			return
 		}
 		t.lock.Lock()
 		defer t.lock.Unlock()
-		if quiet, lapsed := t.dispatcher.ExpireExecutors(now), t.dispatcher.ExpireLocks(now); quiet || lapsed > 0 {
+		if quiet, lapsed := t.items.dispatcher.ExpireExecutors(now), t.items.dispatcher.ExpireLocks(now); quiet || lapsed > 0 {
 			t.wakeExecutorsLocked()
 		}
 		if now.Sub(looked) >= constants.ExpirePeriod {
 			looked = now
-			t.dispatcher.RecordAcquisitionsKnown(now)
-			t.dispatcher.AbandonExpired(t.terms(config), now)
+			t.items.dispatcher.RecordAcquisitionsKnown(now)
+			t.items.dispatcher.AbandonExpired(t.terms(config), now)
 		}
 	})
 }
--- a/internal/batch/store/feed.go
+++ b/internal/batch/leader/feed.go
@@ -1,4 +1,4 @@
-package store
+package leader
 
 import (
 	"lemonarch/internal/batch/replication"
@@ -10,27 +10,27 @@
 )
 
 // startFeed begins to copy records to a store, from a common index on. The lock is held.
-func (t *term) startFeed(member messages.Member, common int64) {
+func (t *Term) startFeed(member messages.Member, common int64) {
 	identity := register.Identity(member)
-	if t.feeders[identity] != nil {
+	if t.feeds.feeders[identity] != nil {
 		return
 	}
 	quit := make(chan struct{})
-	t.feeders[identity] = quit
+	t.feeds.feeders[identity] = quit
 	go t.feedLoop(member, common+1, quit)
 }
 
 // stopFeed stops that.
-func (t *term) stopFeed(member messages.Member) {
+func (t *Term) stopFeed(member messages.Member) {
 	identity := register.Identity(member)
-	if quit := t.feeders[identity]; quit != nil {
+	if quit := t.feeds.feeders[identity]; quit != nil {
 		close(quit)
-		delete(t.feeders, identity)
+		delete(t.feeds.feeders, identity)
 	}
 }
 
-func (t *term) feedLoop(member messages.Member, next int64, quit chan struct{}) {
-	own := member.Address == t.server.Node.Self.Address
+func (t *Term) feedLoop(member messages.Member, next int64, quit chan struct{}) {
+	own := member.Address == t.process.Node.Self.Address
 	for {
 		batch, changed := t.nextBatch(member, next)
 		if batch == nil {
@@ -39,7 +39,7 @@
 				continue
 			case <-quit:
 				return
-			case <-t.stop:
+			case <-t.life.stop:
 				return
 			}
 		}
@@ -47,9 +47,9 @@
 		var err error
 		start := clock.Now()
 		if own {
-			*resp, err = t.server.Log.Append(batch)
+			*resp, err = t.process.Log.Append(batch)
 		} else {
-			err = transport.Call(t.server.Node.Transport, member.Address, messages.KindAppend, batch, resp, constants.BulkCallTimeout)
+			err = transport.Call(t.process.Node.Transport, member.Address, messages.KindAppend, batch, resp, constants.BulkCallTimeout)
 		}
 		switch {
 		case err != nil:
@@ -57,7 +57,7 @@
 			select {
 			case <-quit:
 				return
-			case <-t.stop:
+			case <-t.life.stop:
 				return
 			case <-clock.After(constants.TickPeriod * 2):
 			}
@@ -66,16 +66,16 @@
 			t.noteAppendLatency(register.Identity(member), clock.Now().Sub(start))
 			t.handleMatch(register.Identity(member), resp.Last)
 		case resp.Epoch > t.leadership.Epoch:
-			t.close("a later epoch was raised")
+			t.Close("a later epoch was raised")
 			return
 		case resp.EpochRanges != nil || resp.Last < next-1:
-			next = min(replication.CommonIndex(t.server.Log.Extent(), replication.ExtentOfAppend(resp)), next-1) + 1
+			next = min(replication.CommonIndex(t.process.Log.Extent(), replication.ExtentOfAppend(resp)), next-1) + 1
 		default:
 			// Another disk answers at that address: the set will be mended.
 			select {
 			case <-quit:
 				return
-			case <-t.stop:
+			case <-t.life.stop:
 				return
 			case <-clock.After(constants.LeaseRenewPeriod):
 			}
@@ -84,19 +84,19 @@
 }
 
 // nextBatch gathers the next records for a store; nil with a bell when there are none.
-func (t *term) nextBatch(member messages.Member, next int64) (*messages.AppendRequest, chan struct{}) {
+func (t *Term) nextBatch(member messages.Member, next int64) (*messages.AppendRequest, chan struct{}) {
 	// A compacted part is sent as such, also where its records are still in memory.
-	compacted := next <= t.server.Log.Compacted()
+	compacted := next <= t.process.Log.Compacted()
 	t.lock.Lock()
-	req := &messages.AppendRequest{Epoch: t.leadership.Epoch, Disk: member.Disk, PreviousIndex: next - 1, CommitIndex: t.replicator.CommitIndex()}
-	if next > t.replicator.Last() {
-		changed := t.changed
+	req := &messages.AppendRequest{Epoch: t.leadership.Epoch, Disk: member.Disk, PreviousIndex: next - 1, CommitIndex: t.records.replicator.CommitIndex()}
+	if next > t.records.replicator.Last() {
+		changed := t.records.changed
 		t.lock.Unlock()
 		return nil, changed
 	}
 	fromMemory := false
 	size := 0
-	for index := next; !compacted && index <= t.replicator.Last() && size < constants.AppendBytes; index++ {
+	for index := next; !compacted && index <= t.records.replicator.Last() && size < constants.AppendBytes; index++ {
 		record := t.recentAt(index)
 		if record == nil {
 			break
@@ -112,10 +112,10 @@
 	t.lock.Unlock()
 	if previous == nil {
 		// Asked without our lock: the store may be in the middle of a sync.
-		req.PreviousEpoch = t.server.Log.EpochAt(next - 1)
+		req.PreviousEpoch = t.process.Log.EpochAt(next - 1)
 	}
 	if !fromMemory {
-		fetched, err := t.server.Log.Fetch(&messages.FetchRequest{First: next})
+		fetched, err := t.process.Log.Fetch(&messages.FetchRequest{First: next})
 		if err != nil || len(fetched.Records) == 0 {
 			return nil, clock.ClosedAfter(constants.TickPeriod)
 		}
--- a/internal/batch/store/calls.go
+++ b/internal/batch/leader/jobcalls.go
@@ -1,59 +1,32 @@
-package store
+package leader
 
 import (
 	"encoding/json"
 	"net/http"
 
 	"lemonarch/internal/batch/dispatch"
+	"lemonarch/internal/batch/outputcodec"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
 	"lemonarch/internal/platform/messages"
 )
 
-// handleJobCall answers a client's call that a gateway passed on.
-func (s *Server) handleJobCall(call *messages.JobCallRequest) (*messages.JobCallResponse, error) {
-	if !s.firstSeen(call, clock.Now()) {
-		// The first copy is answered, or will be; a second might end otherwise.
-		return refuse(http.StatusGatewayTimeout, "outcome unknown"), nil
-	}
-	current := s.current()
-	if current == nil {
-		return s.notLeader(), nil
-	}
-	resp := current.serve(call)
-	// A hold that ran out meanwhile makes what we know old: say nothing of it.
-	if !s.holdsLease() || current.closed() {
-		if call.Method == http.MethodPost && resp.Status != http.StatusAccepted && !resp.NotLeader {
-			return &messages.JobCallResponse{Status: http.StatusGatewayTimeout, Body: reason("outcome unknown")}, nil
-		}
-		if call.Method != http.MethodPost {
-			return s.notLeader(), nil
-		}
-	}
-	return resp, nil
-}
-
-func (s *Server) notLeader() *messages.JobCallResponse {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	resp := &messages.JobCallResponse{NotLeader: true}
-	if s.announcedAt > 0 && clock.Now().Sub(s.announcedAt) < constants.LeaseDuration && s.announced.Address != s.Node.Self.Address {
-		resp.Leader = s.announced.Address
-	}
-	return resp
-}
-
 func reason(text string) []byte {
 	body, _ := json.Marshal(map[string]string{"error": text})
 	return body
 }
 
+// OutcomeUnknown is the answer to a call that may or may not take effect.
+func OutcomeUnknown() *messages.JobCallResponse {
+	return refuse(http.StatusGatewayTimeout, "outcome unknown")
+}
+
 func refuse(status int, text string) *messages.JobCallResponse {
 	return &messages.JobCallResponse{Status: status, Body: reason(text)}
 }
 
-// serve answers a call under this epoch.
-func (t *term) serve(call *messages.JobCallRequest) *messages.JobCallResponse {
+// Serve answers a call under this epoch.
+func (t *Term) Serve(call *messages.JobCallRequest) *messages.JobCallResponse {
 	if !t.waitServing(constants.RoundTimeout) {
 		// Nothing was taken: the gateway may ask again or refuse.
 		return &messages.JobCallResponse{NotLeader: true}
@@ -69,18 +42,18 @@
 	return t.readJob(call)
 }
 
-func (t *term) waitServing(timeout clock.Duration) bool {
+func (t *Term) waitServing(timeout clock.Duration) bool {
 	end := clock.Now().Add(timeout)
 	for {
 		t.lock.Lock()
-		serving, changed := t.serving, t.changed
+		serving, changed := t.serving, t.records.changed
 		t.lock.Unlock()
 		if serving {
-			return t.server.holdsLease()
+			return t.process.Election.HoldsLease()
 		}
 		select {
 		case <-changed:
-		case <-t.stop:
+		case <-t.life.stop:
 			return false
 		case <-clock.After(end.Sub(clock.Now())):
 			return false
@@ -89,7 +62,7 @@
 }
 
 // readJob gives results from a position on, waiting for one where asked to.
-func (t *term) readJob(call *messages.JobCallRequest) *messages.JobCallResponse {
+func (t *Term) readJob(call *messages.JobCallRequest) *messages.JobCallResponse {
 	end := clock.Now().Add(clock.Milliseconds(float64(call.WaitMs)))
 	for {
 		t.lock.Lock()
@@ -98,14 +71,14 @@
 			t.lock.Unlock()
 			return refuse(http.StatusNotFound, "no such lot")
 		}
-		listings, open, sum, changed := job.Listings, job.Open(), job.Total(), t.changed
+		listings, open, sum, changed := job.Listings, job.Open(), job.Total(), t.records.changed
 		t.lock.Unlock()
 		if len(listings) > call.Cursor || !open || clock.Now() >= end {
 			return t.page(sum, call.Cursor, listings)
 		}
 		select {
 		case <-changed:
-		case <-t.stop:
+		case <-t.life.stop:
 			return t.page(sum, call.Cursor, listings)
 		case <-clock.After(end.Sub(clock.Now())):
 		}
@@ -124,13 +97,13 @@
 	Text  string `json:"text"`
 }
 
-func (t *term) page(sum, cursor int, listings []dispatch.Listing) *messages.JobCallResponse {
+func (t *Term) page(sum, cursor int, listings []dispatch.Listing) *messages.JobCallResponse {
 	page := outputPage{Sum: sum, Next: cursor, Outputs: []outputLine{}}
 	size := 0
 	for i := cursor; i < len(listings); i++ {
 		output, err := t.output(listings[i].Index)
 		if err != nil {
-			t.server.Node.Log.Error("output can't be read", "why", err.Error())
+			t.process.Node.Log.Error("output can't be read", "err", err.Error())
 			return refuse(http.StatusServiceUnavailable, "output can't be read now")
 		}
 		if size += len(output) + 128; size > constants.PageBytes && i > cursor {
@@ -151,22 +124,22 @@
 }
 
 // output gives an output's text: from memory while it is new, else from disk.
-func (t *term) output(index int64) ([]byte, error) {
+func (t *Term) output(index int64) ([]byte, error) {
 	t.lock.Lock()
 	if record := t.recentAt(index); record != nil {
 		body, compressed := record.Body, record.Compressed
 		t.lock.Unlock()
-		return decompress(body, compressed)
+		return outputcodec.Decompress(body, compressed)
 	}
 	t.lock.Unlock()
-	record, err := t.server.Log.Read(index)
+	record, err := t.process.Log.Read(index)
 	if err != nil {
 		return nil, err
 	}
-	return decompress(record.Body, record.Compressed)
+	return outputcodec.Decompress(record.Body, record.Compressed)
 }
 
-func (t *term) itemBody(call *messages.JobCallRequest) *messages.JobCallResponse {
+func (t *Term) itemBody(call *messages.JobCallRequest) *messages.JobCallResponse {
 	t.lock.Lock()
 	job := t.jobs.Job(call.Job)
 	if job == nil {
@@ -182,7 +155,7 @@
 	t.lock.Unlock()
 	if body == nil {
 		// It is listed, or its lot has ended: the body is still in the lot's record.
-		record, err := t.server.Log.Read(index)
+		record, err := t.process.Log.Read(index)
 		if err != nil {
 			return refuse(http.StatusServiceUnavailable, "body can't be read now")
 		}
@@ -200,7 +173,7 @@
 }
 
 // endJob ends a lot for good.
-func (t *term) endJob(call *messages.JobCallRequest) *messages.JobCallResponse {
+func (t *Term) endJob(call *messages.JobCallRequest) *messages.JobCallResponse {
 	t.lock.Lock()
 	job := t.jobs.Job(call.Job)
 	if job == nil {
@@ -212,7 +185,7 @@
 		return &messages.JobCallResponse{Status: http.StatusOK, Body: []byte("{}")}
 	}
 	// Nothing of it is begun any more, and what runs is broken off at once.
-	t.ending[job.ID] = true
+	t.submissions.ending[job.ID] = true
 	t.stopJobRuns(job)
 	index := t.appendRecord(messages.Record{Kind: messages.RecordJobEnd, Job: job.ID})
 	t.lock.Unlock()
@@ -223,17 +196,17 @@
 }
 
 // forget drops lots whose time is over, so that files can be rewritten.
-func (t *term) forget() {
-	if !t.server.holdsLease() {
+func (t *Term) forget() {
+	if !t.process.Election.HoldsLease() {
 		return
 	}
-	keep := clock.Milliseconds(t.server.Node.Settings.Tolerances.StatusS * 1000)
+	keep := clock.Milliseconds(t.process.Node.Settings.Tolerances.StatusS * 1000)
 	wall, now := clock.WallNanos()/1_000_000, clock.Now()
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	for _, job := range t.jobs.Jobs() {
-		if !job.Open() && job.OlderThan(keep, wall, now) && !t.ending["forget "+job.ID] && job.PendingListings() == 0 {
-			t.ending["forget "+job.ID] = true
+		if !job.Open() && job.OlderThan(keep, wall, now) && !t.submissions.forgetting[job.ID] && job.PendingListings() == 0 {
+			t.submissions.forgetting[job.ID] = true
 			t.appendRecord(messages.Record{Kind: messages.RecordForget, Job: job.ID})
 		}
 	}
--- a/internal/batch/store/lotjson_test.go
+++ b/internal/batch/leader/jobjson_test.go
@@ -1,4 +1,4 @@
-package store
+package leader
 
 import (
 	"encoding/base64"
--- a/internal/batch/store/quota.go
+++ b/internal/batch/leader/quota.go
@@ -1,7 +1,8 @@
-package store
+package leader
 
 import (
 	"lemonarch/internal/batch/dispatch"
+	"lemonarch/internal/batch/jobroute"
 	"lemonarch/internal/configuration/routeconfig"
 	"lemonarch/internal/platform/messages"
 )
@@ -42,7 +43,7 @@
 	}
 	route, known := q.routes[at]
 	if !known {
-		route = routeOf(config, at.host, at.path)
+		route = jobroute.Of(config, at.host, at.path)
 		q.routes[at] = route
 	}
 	return route
@@ -50,12 +51,12 @@
 
 // waitingTokens adds up the tokens that wait on a route, lots on their way to the
 // stores included. The lock is held.
-func (t *term) waitingTokens(config *routeconfig.Config, route *routeconfig.Route) int64 {
+func (t *Term) waitingTokens(config *routeconfig.Config, route *routeconfig.Route) int64 {
 	total := t.jobs.Waiting(func(job *dispatch.Job) bool {
-		return !t.ending[job.ID] && t.quota.route(config, submitPath{job.Host, job.Path}) == route
+		return !t.submissions.ending[job.ID] && t.submissions.quota.route(config, submitPath{job.Host, job.Path}) == route
 	})
-	for _, coming := range t.quota.pending {
-		if t.quota.route(config, coming.submitPath) == route {
+	for _, coming := range t.submissions.quota.pending {
+		if t.submissions.quota.route(config, coming.submitPath) == route {
 			total += coming.tokens
 		}
 	}
--- a/internal/batch/store/quota_test.go
+++ b/internal/batch/leader/quota_test.go
@@ -1,9 +1,10 @@
-package store
+package leader
 
 import (
 	"strings"
 	"testing"
 
+	"lemonarch/internal/batch/jobroute"
 	"lemonarch/internal/platform/messages"
 	"lemonarch/internal/tooling/simulation"
 )
@@ -11,19 +12,19 @@
 // Lots on their way to the stores count against their own route only, and a place
 // is matched anew when the configuration changes.
 func TestQuotaOfEachRoute(t *testing.T) {
-	term := rule(t, soleLocker(t, simulation.NewDisk(7)), 1)
+	term := lead(t, soleStore(t, simulation.NewDisk(7)), 1)
 	second := strings.Replace(quotaConfig, `],"backends"`,
 		`,{"name":"c","host":"h","path-prefix":"/c/","route-kind":"bulk","backend":"s","tries":2,"retain-s":60,"result-setpoint-ms":9000,"backlog-cap":50}],"backends"`, 1)
-	term.server.Node.ApplyConfig([]byte(strings.Replace(second, `"generation":1`, `"generation":2`, 1)))
-	config := term.server.Node.Config()
-	first, other := routeOf(config, "h", "/b/"), routeOf(config, "h", "/c/")
+	term.process.Node.ApplyConfig([]byte(strings.Replace(second, `"generation":1`, `"generation":2`, 1)))
+	config := term.process.Node.Config()
+	first, other := jobroute.Of(config, "h", "/b/"), jobroute.Of(config, "h", "/c/")
 	if first == nil || other == nil {
 		t.Fatal("no such route")
 	}
 	term.lock.Lock()
 	defer term.lock.Unlock()
-	term.quota.addPending(&messages.JobCallRequest{Host: "h", Path: "/b/1", Job: "x"}, 40)
-	term.quota.addPending(&messages.JobCallRequest{Host: "h", Path: "/c/1", Job: "y"}, 7)
+	term.submissions.quota.addPending(&messages.JobCallRequest{Host: "h", Path: "/b/1", Job: "x"}, 40)
+	term.submissions.quota.addPending(&messages.JobCallRequest{Host: "h", Path: "/c/1", Job: "y"}, 7)
 	if got := term.waitingTokens(config, first); got != 40 {
 		t.Error(got)
 	}
@@ -31,9 +32,9 @@
 		t.Error(got)
 	}
 	// The next version makes the matches of the last one worthless.
-	term.server.Node.ApplyConfig([]byte(strings.Replace(second, `"generation":1`, `"generation":3`, 1)))
-	config = term.server.Node.Config()
-	if got := term.waitingTokens(config, routeOf(config, "h", "/b/")); got != 40 {
+	term.process.Node.ApplyConfig([]byte(strings.Replace(second, `"generation":1`, `"generation":3`, 1)))
+	config = term.process.Node.Config()
+	if got := term.waitingTokens(config, jobroute.Of(config, "h", "/b/")); got != 40 {
 		t.Error(got)
 	}
 }
--- /dev/null
+++ b/internal/batch/leader/report.go
@@ -0,0 +1,74 @@
+package leader
+
+import (
+	"strconv"
+
+	"lemonarch/internal/batch/dispatch"
+	"lemonarch/internal/control/register"
+	"lemonarch/internal/platform/clock"
+	"lemonarch/internal/platform/messages"
+)
+
+func number[Integer int | int64 | uint64](value Integer) string {
+	return strconv.FormatInt(int64(value), 10)
+}
+
+// Leadership is the leadership of this term.
+func (t *Term) Leadership() messages.Leadership { return t.leadership }
+
+// Serving tells whether the takeover is complete.
+func (t *Term) Serving() bool {
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	return t.serving
+}
+
+// JobsReport is a list of jobs without rows.
+func JobsReport() *messages.StatusResponse {
+	return &messages.StatusResponse{Columns: []string{"lot", "path", "age-s", "items", "listed", "acquired", "waiting-tokens", "deliveries", "lapses", "releases", "failures", "renewals", "state"}}
+}
+
+// ReportJobs lists the jobs.
+func (t *Term) ReportJobs() *messages.StatusResponse {
+	status := JobsReport()
+	now := clock.WallNanos() / 1_000_000
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	for _, job := range t.jobs.Jobs() {
+		state, tokens := "open", int64(0)
+		if job.Ended {
+			state = "ended"
+		} else if !job.Open() {
+			state = "done"
+		}
+		acquired, deliveries, lapses, releases, failures, renewals := 0, 0, 0, 0, 0, 0
+		for _, item := range job.Items {
+			if job.Open() && item.Unfinished() {
+				tokens += item.Tokens
+			}
+			if item.State == dispatch.ItemAcquired {
+				acquired++
+			}
+			deliveries += item.Runs
+			lapses += item.Lapses
+			releases += item.Releases
+			failures += len(item.FailedBy)
+			renewals += item.Renewals
+		}
+		status.Rows = append(status.Rows, []string{job.ID, job.Path, number((now - job.SubmittedMs) / 1000), number(job.Total()),
+			number(len(job.Listings)), number(acquired), number(tokens), number(deliveries), number(lapses), number(releases), number(failures), number(renewals), state})
+	}
+	return status
+}
+
+// ReportStores gives a row a member of the store set: how far it has synced, and what it lacks.
+func (t *Term) ReportStores() [][]string {
+	var rows [][]string
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	for _, member := range t.records.replicator.Members {
+		match := t.records.replicator.MatchIndex(register.Identity(member))
+		rows = append(rows, []string{member.Name, member.Disk, number(match), number(t.records.replicator.Last() - match), "in the set"})
+	}
+	return rows
+}
--- /dev/null
+++ b/internal/batch/leader/sets.go
@@ -0,0 +1,87 @@
+package leader
+
+import (
+	"lemonarch/internal/control/membership"
+	"lemonarch/internal/control/register"
+	"lemonarch/internal/platform/clock"
+	"lemonarch/internal/platform/constants"
+	"lemonarch/internal/platform/messages"
+)
+
+// reconcileSet keeps the store set complete: a member that is to be emptied, that came back
+// with an empty disk, or that stays silent is replaced by one that first gets a copy of
+// everything.
+func (t *Term) reconcileSet() {
+	process := t.process
+	if !process.Election.HoldsLease() {
+		return
+	}
+	t.lock.Lock()
+	members, busy := t.records.replicator.Members, t.records.replicator.Next != nil
+	t.lock.Unlock()
+	if t.tooSlow(clock.Now()) {
+		t.Close("this machine or its disk is slow")
+		t.Resign()
+		return
+	}
+	if busy {
+		return
+	}
+	if process.Election.RegisterAge() > constants.GossipPeriod && !process.Election.ReadRegister() {
+		return
+	}
+	retired := map[string]bool{}
+	for _, name := range process.Election.Register().Retired {
+		retired[name] = true
+	}
+	if retired[process.Node.Self.Name] {
+		// Another has to lead the way out: this machine's copies go elsewhere.
+		t.Close("this machine is to be emptied")
+		t.Resign()
+		return
+	}
+	entries := map[string]messages.NodeInfo{}
+	for _, entry := range process.Node.All(membership.RoleStore) {
+		entries[entry.Name] = entry
+	}
+	out, joiner := process.nextResponsiveChange(members, entries, retired)
+	if joiner == nil {
+		return
+	}
+	replacements := []replacement{{out, *joiner}}
+	if out != nil && out.Name == joiner.Name {
+		// All that came back empty take their places in one change: each second in
+		// which one of them is not whole counts against the fault budget.
+		replacements = replacements[:0]
+		for i := range members {
+			if resp := diskLost(members[i], entries, retired); resp != nil && members[i].Name != process.Node.Self.Name {
+				replacements = append(replacements, replacement{&members[i], *resp})
+			}
+		}
+	}
+	t.changeSet(members, replacements)
+}
+
+// replacement puts a newcomer into a member's place, or adds it where out is nil.
+type replacement struct {
+	out *messages.Member
+	in  messages.Member
+}
+
+// withReplacements gives the set after the swaps.
+func withReplacements(members []messages.Member, replacements []replacement) []messages.Member {
+	next := make([]messages.Member, 0, len(members)+1)
+	for _, member := range members {
+		stays := true
+		for _, s := range replacements {
+			stays = stays && (s.out == nil || register.Identity(member) != register.Identity(*s.out))
+		}
+		if stays {
+			next = append(next, member)
+		}
+	}
+	for _, s := range replacements {
+		next = append(next, s.in)
+	}
+	return next
+}
--- a/internal/batch/store/handin.go
+++ b/internal/batch/leader/submit.go
@@ -1,4 +1,4 @@
-package store
+package leader
 
 import (
 	"net/http"
@@ -8,7 +8,7 @@
 	// took 3.5 times as long over them.
 	"github.com/goccy/go-json"
 
-	"lemonarch/internal/configuration/routeconfig"
+	"lemonarch/internal/batch/jobroute"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
 	"lemonarch/internal/platform/messages"
@@ -56,23 +56,11 @@
 	return body, tokens, 0, ""
 }
 
-// routeOf finds the bulk route that a lot belongs to now; nil when it is gone.
-func routeOf(config *routeconfig.Config, host, path string) *routeconfig.Route {
-	if config == nil {
-		return nil
-	}
-	route := config.Match(host, path)
-	if route == nil || route.Kind() != messages.RouteBulk {
-		return nil
-	}
-	return route
-}
-
 // submitJob takes a lot: checked, within the quota, and durable before it is told.
-func (t *term) submitJob(call *messages.JobCallRequest) *messages.JobCallResponse {
+func (t *Term) submitJob(call *messages.JobCallRequest) *messages.JobCallResponse {
 	accepted := &messages.JobCallResponse{Status: http.StatusAccepted, Body: []byte("{}")}
 	t.lock.Lock()
-	known, submitting := t.jobs.Job(call.Job) != nil, t.submitting[call.Job]
+	known, submitting := t.jobs.Job(call.Job) != nil, t.submissions.submitting[call.Job]
 	t.lock.Unlock()
 	if known {
 		return accepted
@@ -84,8 +72,8 @@
 	if body == nil {
 		return refuse(status, cause)
 	}
-	config := t.server.Node.Config()
-	route := routeOf(config, call.Host, call.Path)
+	config := t.process.Node.Config()
+	route := jobroute.Of(config, call.Host, call.Path)
 	if route == nil {
 		// The gateway knew the route: our configuration may be the older one.
 		return &messages.JobCallResponse{NotLeader: true}
@@ -95,12 +83,12 @@
 		return refuse(http.StatusBadRequest, "lot can't be kept")
 	}
 	t.lock.Lock()
-	if t.jobs.Job(call.Job) != nil || t.submitting[call.Job] > 0 {
-		submitting = t.submitting[call.Job]
+	if t.jobs.Job(call.Job) != nil || t.submissions.submitting[call.Job] > 0 {
+		submitting = t.submissions.submitting[call.Job]
 		t.lock.Unlock()
 		return t.awaitSubmitted(submitting, accepted)
 	}
-	if expired(call, clock.Now()) {
+	if Expired(call, clock.Now()) {
 		// Whoever asked has given up, or was told that this one counts for nothing.
 		t.lock.Unlock()
 		return &messages.JobCallResponse{NotLeader: true}
@@ -111,27 +99,18 @@
 	}
 	index := t.appendRecord(messages.Record{Kind: messages.RecordJob, Job: call.Job, Host: call.Host, Route: route.Name,
 		AtMs: clock.WallNanos() / 1_000_000, Body: packed})
-	t.submitting[call.Job] = index
-	t.quota.addPending(call, tokens)
+	t.submissions.submitting[call.Job] = index
+	t.submissions.quota.addPending(call, tokens)
 	t.lock.Unlock()
 	return t.awaitSubmitted(index, accepted)
 }
 
-// firstSeen tells whether a question comes for the first time, and turns the span that
-// it brought into a moment of our own clock.
-func (s *Server) firstSeen(call *messages.JobCallRequest, now clock.Instant) bool {
-	if call.TTLMs > 0 {
-		call.ExpiresAt = int64(now.Add(clock.Milliseconds(float64(call.TTLMs))))
-	}
-	return s.deduplicator.FirstSeen(call.RequestID, now)
-}
-
-// expired tells whether the time in which a hand-in may be taken is over.
-func expired(call *messages.JobCallRequest, now clock.Instant) bool {
+// Expired tells whether the time in which a hand-in may be taken is over.
+func Expired(call *messages.JobCallRequest, now clock.Instant) bool {
 	return call.ExpiresAt > 0 && int64(now) >= call.ExpiresAt
 }
 
-func (t *term) awaitSubmitted(index int64, accepted *messages.JobCallResponse) *messages.JobCallResponse {
+func (t *Term) awaitSubmitted(index int64, accepted *messages.JobCallResponse) *messages.JobCallResponse {
 	if t.awaitCommit(index, constants.RegisterTimeout) {
 		return accepted
 	}
--- a/internal/batch/store/handin_test.go
+++ b/internal/batch/leader/submit_test.go
@@ -1,66 +1,19 @@
-package store
+package leader
 
 import (
 	"fmt"
 	"sync"
 	"testing"
 
-	"github.com/hashicorp/go-hclog"
-
-	"lemonarch/internal/control/agent"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/messages"
-	"lemonarch/internal/platform/settings"
-	"lemonarch/internal/platform/transport"
 	"lemonarch/internal/tooling/simulation"
-	"lemonarch/internal/traffic/loadgossip"
 )
 
-const quotaConfig = `{"generation":1,"channels":[{"name":"b","host":"h","path-prefix":"/b/","route-kind":"bulk","backend":"s","tries":2,"retain-s":60,"result-setpoint-ms":9000,"backlog-cap":100}],"backends":[{"name":"s"}],"limits":{}}`
-
-// soleLocker is a store that holds the lots alone, on a fake disk.
-func soleLocker(t *testing.T, disk *simulation.Disk) *Server {
-	store, err := OpenReplicaLog(disk, "disk")
-	if err != nil {
-		t.Fatal(err)
-	}
-	nodeSettings := &settings.Settings{NodeName: "m", Address: "10.0.0.1", InternalPorts: []int{1, 9}, HeartbeatMs: 1200}
-	runtime := agent.New(nodeSettings, "store", 2, store.Disk(), hclog.NewNullLogger())
-	runtime.Transport = transport.NewMemoryNetwork().Transport("m")
-	server := &Server{Node: runtime, Gossip: loadgossip.New(runtime), Log: store, startedAt: clock.Now()}
-	server.executor = newExecutorLoop(server)
-	runtime.ApplyConfig([]byte(quotaConfig))
-	server.lease.Renewed(clock.Now().Add(clock.Milliseconds(600_000)))
-	return server
-}
-
-// rule begins a term of the sole store and waits until it serves.
-func rule(t *testing.T, server *Server, epoch uint64) *term {
-	te := newTerm(server, messages.Leadership{Holder: "m", Incarnation: server.Node.Self.Incarnation, Epoch: epoch}, []messages.Member{server.member()}, 1)
-	server.term = te
-	te.takeOver()
-	if !te.waitServing(clock.Milliseconds(5000)) {
-		t.Fatal("does not serve")
-	}
-	t.Cleanup(func() { te.close("test is over") })
-	return te
-}
-
-func lotCallOf(id string, items int) *messages.JobCallRequest {
-	body := `{"requests":[`
-	for i := 0; i < items; i++ {
-		if i > 0 {
-			body += ","
-		}
-		body += fmt.Sprintf(`{"id":"%s-%d","path":"/b/x","headers":{},"body":"aGk=","tokens":15}`, id, i)
-	}
-	return &messages.JobCallRequest{Method: "POST", Host: "h", Path: "/b/", Job: id, Body: []byte(body + "]}")}
-}
-
 // Calls of many nodes race for the last room: the quota is never passed, and a lot
 // that comes over several nodes at once is one lot.
 func TestQuotaUnderRaces(t *testing.T) {
-	term := rule(t, soleLocker(t, simulation.NewDisk(1)), 1)
+	term := lead(t, soleStore(t, simulation.NewDisk(1)), 1)
 	var group sync.WaitGroup
 	var lock sync.Mutex
 	statuses := map[int]int{}
@@ -69,7 +22,7 @@
 		go func() {
 			defer group.Done()
 			// Each lot of 30 tokens is sent twice; three of them fit into 100.
-			resp := term.submitJob(lotCallOf(fmt.Sprint("lot", number/2), 2))
+			resp := term.submitJob(jobCallOf(fmt.Sprint("lot", number/2), 2))
 			lock.Lock()
 			defer lock.Unlock()
 			statuses[resp.Status]++
@@ -81,9 +34,9 @@
 	}
 	// Resent to whoever holds the lots later, a taken lot is still taken.
 	taken := term.jobs.Jobs()[0].ID
-	term.close("another takes over")
-	next := rule(t, term.server, 2)
-	if resp := next.submitJob(lotCallOf(taken, 2)); resp.Status != 202 || len(next.jobs.Jobs()) != 3 {
+	term.Close("another takes over")
+	next := lead(t, term.process, 2)
+	if resp := next.submitJob(jobCallOf(taken, 2)); resp.Status != 202 || len(next.jobs.Jobs()) != 3 {
 		t.Fatal(resp.Status, len(next.jobs.Jobs()))
 	}
 }
@@ -92,18 +45,18 @@
 // holder runs any of it, and what was listed stays.
 func TestCancelDuringHandOver(t *testing.T) {
 	disk := simulation.NewDisk(2)
-	term := rule(t, soleLocker(t, disk), 1)
-	if resp := term.submitJob(lotCallOf("lot", 3)); resp.Status != 202 {
+	term := lead(t, soleStore(t, disk), 1)
+	if resp := term.submitJob(jobCallOf("lot", 3)); resp.Status != 202 {
 		t.Fatal(resp.Status)
 	}
 	req := &messages.AcquireRequest{Executor: "d", Incarnation: 1, Capacity: []messages.ServiceCapacity{{Service: "s", Count: 2}}}
-	given := term.acquire(req).Items
+	given := term.Acquire(req).Items
 	if len(given) != 2 {
 		t.Fatal("acquired ", len(given))
 	}
 	accept := func(i int, text string) messages.AckVerdict {
 		entry := messages.Acknowledgement{Kind: messages.AckAccept, Number: given[i].Number, Job: "lot", Item: given[i].Item.ID, Output: []byte(text)}
-		return term.acknowledge(&messages.AcknowledgeRequest{Executor: "d", Incarnation: 1, Entries: []messages.Acknowledgement{entry}}).Verdicts[0]
+		return term.Acknowledge(&messages.AcknowledgeRequest{Executor: "d", Incarnation: 1, Entries: []messages.Acknowledgement{entry}}).Verdicts[0]
 	}
 	item := given[0].Item
 	// Told again it is answered the same, and counts once.
@@ -115,12 +68,12 @@
 		t.Fatal(resp.Status)
 	}
 	// A run that was under way brings nothing any more.
-	if accept(1, "late") != messages.AckTerminal || len(term.acquire(req).Items) != 0 {
+	if accept(1, "late") != messages.AckTerminal || len(term.Acquire(req).Items) != 0 {
 		t.Fatal("an ended lot goes on")
 	}
-	term.close("another takes over")
+	term.Close("another takes over")
 	disk.PowerLoss()
-	next := rule(t, soleLocker(t, disk), 2)
+	next := lead(t, soleStore(t, disk), 2)
 	job := next.jobs.Job("lot")
 	if job == nil || !job.Ended || job.Open() || len(job.Listings) != 1 || job.Listings[0].Item != item.ID {
 		t.Fatalf("%+v", job)
@@ -141,13 +94,13 @@
 
 // What is malformed, too large or unknown is told so.
 func TestBadLots(t *testing.T) {
-	term := rule(t, soleLocker(t, simulation.NewDisk(3)), 1)
-	smuggled := lotCallOf("x", 1)
+	term := lead(t, soleStore(t, simulation.NewDisk(3)), 1)
+	smuggled := jobCallOf("x", 1)
 	smuggled.Body = []byte(`{"requests":[{"id":"i","path":"/b/x","headers":{"A":"b\r\nX: y"},"body":"aGk=","tokens":1}]}`)
 	for status, call := range map[int][]*messages.JobCallRequest{
-		400: {{Job: "x", Host: "h", Path: "/b/", Body: []byte("{")}, lotCallOf("x", 0), smuggled},
-		413: {lotCallOf("x", 201)},
-		429: {lotCallOf("x", 7)},
+		400: {{Job: "x", Host: "h", Path: "/b/", Body: []byte("{")}, jobCallOf("x", 0), smuggled},
+		413: {jobCallOf("x", 201)},
+		429: {jobCallOf("x", 7)},
 	} {
 		for _, each := range call {
 			if resp := term.submitJob(each); resp.Status != status {
@@ -159,3 +112,22 @@
 		t.Error("an unknown lot was known")
 	}
 }
+
+// What has outlived its time is not taken, even where it fits; a lot that stands
+// already is told so all the same.
+func TestHandInIsNotTakenAfterItsTime(t *testing.T) {
+	term := lead(t, soleStore(t, simulation.NewDisk(6)), 1)
+	call := jobCallOf("lot", 1)
+	call.ExpiresAt = int64(clock.Now())
+	if resp := term.submitJob(call); !resp.NotLeader || term.jobs.Job("lot") != nil {
+		t.Fatal("taken after its time: ", resp.Status)
+	}
+	call.ExpiresAt = int64(clock.Now().Add(clock.Milliseconds(60_000)))
+	if resp := term.submitJob(call); resp.Status != 202 {
+		t.Fatal(resp.Status)
+	}
+	call.ExpiresAt = int64(clock.Now())
+	if resp := term.submitJob(call); resp.Status != 202 {
+		t.Fatal(resp.Status)
+	}
+}
--- /dev/null
+++ b/internal/batch/leadership/campaign.go
@@ -0,0 +1,190 @@
+package leadership
+
+import (
+	"math/rand"
+	"strings"
+
+	"lemonarch/internal/control/membership"
+	"lemonarch/internal/control/register"
+	"lemonarch/internal/platform/clock"
+	"lemonarch/internal/platform/constants"
+	"lemonarch/internal/platform/messages"
+	"lemonarch/internal/platform/transport"
+)
+
+// step does what is due and gives the time until the next step.
+func (c *Campaign) step() clock.Duration {
+	if current := c.Current(); current != nil {
+		return c.renew(current)
+	}
+	c.lock.Lock()
+	leader, readAt := c.leader, c.register.readAt
+	c.lock.Unlock()
+	now := clock.Now()
+	if leader.at > 0 && now.Sub(leader.at) < leaderTimeout && leader.leadership.Address != c.node.Self.Address {
+		return constants.TickPeriod * 2
+	}
+	if now.Sub(readAt) > constants.LeaseRenewPeriod || readAt == 0 {
+		if !c.ReadRegister() {
+			return constants.TickPeriod * 4
+		}
+	}
+	if !c.eligible() || c.yields(now) {
+		return constants.TickPeriod * 4
+	}
+	return c.campaign()
+}
+
+// eligible tells whether this process may lead: only a member of the set has all the
+// records, and one that is being retired should not begin anew.
+func (c *Campaign) eligible() bool {
+	if c.draining.Load() || c.isYielding() {
+		return false
+	}
+	value := c.Register()
+	for _, name := range value.Retired {
+		if name == c.node.Self.Name {
+			return false
+		}
+	}
+	if len(value.Stores) == 0 {
+		return len(c.firstStores()) > 0
+	}
+	for _, member := range value.Stores {
+		if register.Identity(member) == register.Identity(c.Member()) {
+			return true
+		}
+	}
+	return false
+}
+
+// firstStores proposes the set of the first start: one store in each zone as far as that
+// goes, as many as tolerate the fault budget. It is empty while others may still come.
+func (c *Campaign) firstStores() []messages.Member {
+	size := 2*c.node.Settings.Budget() + 1
+	known := []messages.Member{c.Member()}
+	for _, entry := range c.node.Live(membership.RoleStore) {
+		known = append(known, messages.Member{Name: entry.Name, Disk: entry.Disk, Address: entry.Address, Zone: entry.Zone})
+	}
+	if len(known) < size && clock.Now().Sub(c.node.StartedAt) < constants.BootstrapWait {
+		return nil
+	}
+	var chosen []messages.Member
+	taken, zones := map[string]bool{}, map[string]bool{}
+	for _, newZonesOnly := range []bool{true, false} {
+		for _, member := range known {
+			if len(chosen) < size && !taken[member.Name] && (!newZonesOnly || !zones[member.Zone]) {
+				taken[member.Name], zones[member.Zone] = true, true
+				chosen = append(chosen, member)
+			}
+		}
+	}
+	return chosen
+}
+
+// campaign asks for the lease, and takes the leadership in the register once a majority
+// grants it. It gives the time until the next step.
+func (c *Campaign) campaign() clock.Duration {
+	value := c.Register()
+	backoff := constants.TickPeriod*3 + clock.Duration(rand.Int63n(int64(constants.LeaseRenewPeriod)))
+	sentAt, self := clock.Now(), c.node.Self
+	granted, _ := c.requestLease(messages.LeaseRequest{Candidate: self.Name, Incarnation: self.Incarnation, Epoch: value.Leadership.Epoch})
+	if !granted {
+		// Two candidates must not keep each other out by halves.
+		c.ReleaseLease()
+		return backoff
+	}
+	stores := value.Stores
+	if len(stores) == 0 {
+		stores = c.firstStores()
+	}
+	changed, known := c.ChangeRegister(&messages.RegisterChangeRequest{Campaign: true, ExpectEpoch: value.Leadership.Epoch, Stores: stores,
+		Holder: messages.Leadership{Holder: self.Name, Incarnation: self.Incarnation, Address: self.Address}})
+	if !known || !changed.Applied {
+		c.ReleaseLease()
+		return backoff
+	}
+	c.begin(changed.Value, sentAt)
+	return constants.TickPeriod
+}
+
+// begin starts the term of a campaign that was won with a lease asked for at sentAt.
+func (c *Campaign) begin(value messages.RegisterValue, sentAt clock.Instant) {
+	next := c.newTerm(value.Leadership, value.Stores)
+	c.lock.Lock()
+	c.register = knownRegister{value: value, readAt: clock.Now()}
+	c.lease.Renewed(sentAt)
+	c.term = next
+	c.lock.Unlock()
+	var names []string
+	for _, member := range value.Stores {
+		names = append(names, member.Name)
+	}
+	c.node.Log.Info("leadership acquired", "epoch", next.Epoch(), "stores", strings.Join(names, ","))
+	go next.TakeOver()
+}
+
+// renew extends the lease of the current term, which is closed when that can't be done.
+func (c *Campaign) renew(current Term) clock.Duration {
+	sentAt := clock.Now()
+	granted, latest := c.requestLease(messages.LeaseRequest{Candidate: c.node.Self.Name, Incarnation: c.node.Self.Incarnation, Epoch: current.Epoch()})
+	if granted && latest <= current.Epoch() {
+		c.lock.Lock()
+		c.lease.Renewed(sentAt)
+		c.lock.Unlock()
+	}
+	switch {
+	case latest > current.Epoch():
+		current.Close("the register names a later epoch")
+	case !c.HoldsLease():
+		current.Close("the lease expired")
+	}
+	return max(constants.LeaseRenewPeriod-clock.Now().Sub(sentAt), constants.TickPeriod)
+}
+
+// ReleaseLease gives the lease back to the acceptors, so that another candidate need not
+// wait for its end.
+func (c *Campaign) ReleaseLease() {
+	c.lock.Lock()
+	c.lease.Revoke()
+	epoch := c.register.value.Leadership.Epoch
+	c.lock.Unlock()
+	c.requestLease(messages.LeaseRequest{Candidate: c.node.Self.Name, Incarnation: c.node.Self.Incarnation, Epoch: epoch, Release: true})
+}
+
+// requestLease sends a request to every acceptor and tells whether a majority granted it,
+// and the latest epoch that any of them knows. It does not wait for those that stay silent
+// once the others have decided.
+func (c *Campaign) requestLease(req messages.LeaseRequest) (granted bool, latest uint64) {
+	c.lock.Lock()
+	acceptors := c.register.value.Acceptors
+	c.sequence++
+	req.Sequence = c.sequence
+	c.lock.Unlock()
+	type result struct {
+		identity string
+		resp     messages.LeaseResponse
+		err      error
+	}
+	results := make(chan result, len(acceptors))
+	for _, member := range acceptors {
+		go func() {
+			r := result{identity: register.Identity(member)}
+			r.err = transport.Call(c.node.Transport, member.Address, messages.KindLease, &req, &r.resp, constants.LeaseRenewPeriod)
+			results <- r
+		}()
+	}
+	responded := map[string]bool{}
+	for range acceptors {
+		r := <-results
+		if r.err != nil {
+			continue
+		}
+		latest = max(latest, r.resp.Epoch)
+		responded[r.identity] = r.resp.Granted
+		if register.Majority(acceptors, responded) {
+			return true, latest
+		}
+	}
+	return false, latest
+}
--- a/internal/batch/store/pack.go
+++ b/internal/batch/outputcodec/outputcodec.go
@@ -1,4 +1,7 @@
-package store
+// Package outputcodec compresses the output of an item where it was run: it goes over the
+// leader's link once to the leader and once from it to each store, and between zones. What
+// does not get smaller stays as it is; a flag beside it says which.
+package outputcodec
 
 import (
 	"bytes"
@@ -10,8 +13,8 @@
 	"lemonarch/internal/platform/errs"
 )
 
-// ErrCorruptOutput is the error of an output whose text can't be unpacked.
-var ErrCorruptOutput = errs.Define("output text")
+// ErrCorrupt is the error of an output whose text can't be unpacked.
+var ErrCorrupt = errs.Define("output text")
 
 // compressor is used by one run at a time: a writer holds buffers of its own.
 var compressor struct {
@@ -19,10 +22,10 @@
 	writer *flate.Writer
 }
 
-// compress compresses an output where its run ended: its text goes over the holder's link
+// Compress compresses an output where its run ended: its text goes over the holder's link
 // once to it and once from it to each store, and between zones. Symbols alone are
 // weighed, which costs little of a small processor. What gets no smaller stays as it is.
-func compress(output []byte) (body []byte, compressed bool) {
+func Compress(output []byte) (body []byte, compressed bool) {
 	if len(output) < constants.CompressMinBytes {
 		return output, false
 	}
@@ -43,11 +46,11 @@
 	return out.Bytes(), true
 }
 
-// decompress gives the text of an output back.
-func decompress(body []byte, compressed bool) ([]byte, error) {
+// Decompress gives the text of an output back.
+func Decompress(body []byte, compressed bool) ([]byte, error) {
 	if !compressed {
 		return body, nil
 	}
 	output, err := io.ReadAll(flate.NewReader(bytes.NewReader(body)))
-	return output, ErrCorruptOutput.Wrap(err, "unpack")
+	return output, ErrCorrupt.Wrap(err, "unpack")
 }
--- a/internal/batch/store/pack_test.go
+++ b/internal/batch/outputcodec/outputcodec_test.go
@@ -1,4 +1,4 @@
-package store
+package outputcodec
 
 import (
 	"bytes"
@@ -18,7 +18,7 @@
 		for i := range output {
 			output[i] = byte(random.Intn(requests))
 		}
-		body, compressed := compress(output)
+		body, compressed := Compress(output)
 		if len(body) > len(output) {
 			t.Fatal("longer: ", len(body), len(output))
 		}
@@ -28,12 +28,12 @@
 		if requests <= 32 && len(output) > 2000 && !compressed {
 			t.Fatal("not packed: ", requests, len(output))
 		}
-		resp, err := decompress(body, compressed)
+		resp, err := Decompress(body, compressed)
 		if err != nil || !bytes.Equal(resp, output) {
 			t.Fatal(err, len(resp), len(output))
 		}
 		if compressed {
-			if cut, err := decompress(body[:len(body)/2], true); err == nil {
+			if cut, err := Decompress(body[:len(body)/2], true); err == nil {
 				t.Fatal("half a text was given out: ", len(cut))
 			}
 		}
--- a/internal/batch/store/golden_test.go
+++ b/internal/batch/replicalog/golden_test.go
@@ -1,4 +1,4 @@
-package store
+package replicalog
 
 import (
 	"bytes"
@@ -25,9 +25,9 @@
 
 // writeGoldenReplica has a store take the records in two epochs, the second one after a
 // record that is cut again.
-func writeGoldenReplica(t *testing.T, dir string) *ReplicaLog {
+func writeGoldenReplica(t *testing.T, dir string) *Log {
 	t.Helper()
-	store, err := OpenReplicaLog(recordlog.Directory(dir), "disk-1")
+	store, err := Open(recordlog.Directory(dir), "disk-1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,7 +90,7 @@
 		if err = os.WriteFile(filepath.Join(dir, "replica"), output[:len(output)-file.torn], 0o644); err != nil {
 			t.Fatal(err)
 		}
-		store, err := OpenReplicaLog(recordlog.Directory(dir), "other")
+		store, err := Open(recordlog.Directory(dir), "other")
 		if err != nil {
 			t.Fatal(file.golden, err)
 		}
--- a/internal/batch/store/replay_test.go
+++ b/internal/batch/replicalog/replay_test.go
@@ -1,4 +1,4 @@
-package store
+package replicalog
 
 import (
 	"errors"
@@ -30,7 +30,7 @@
 }
 
 // history names a store's records, read from its disk.
-func history(t *testing.T, store *ReplicaLog) string {
+func history(t *testing.T, store *Log) string {
 	last := store.Extent().Last
 	text := ""
 	for index := int64(1); index <= last; index++ {
@@ -47,7 +47,7 @@
 // them twice, and a process that reads it must not take the second for what follows.
 func TestFailedSyncLeavesNoRecordTwice(t *testing.T) {
 	disk, refuse := refusing(1)
-	store, err := OpenReplicaLog(disk, "d")
+	store, err := Open(disk, "d")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	want := history(t, store)
-	again, err := OpenReplicaLog(disk, "d")
+	again, err := Open(disk, "d")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,7 +79,7 @@
 // A tail that an earlier holder left is not durable, though the holder of now says
 // that so many records are: what a record says there must not be acted on.
 func TestStaleTailIsNotDurable(t *testing.T) {
-	store, err := OpenReplicaLog(simulation.NewDisk(1), "d")
+	store, err := Open(simulation.NewDisk(1), "d")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -95,7 +95,7 @@
 func TestRaiseIsSyncedBeforeItIsGranted(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
 		disk, refuse := refusing(seed)
-		store, err := OpenReplicaLog(disk, "d")
+		store, err := Open(disk, "d")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -108,7 +108,7 @@
 			t.Fatal(resp, err)
 		}
 		disk.PowerLoss()
-		again, err := OpenReplicaLog(disk, "d")
+		again, err := Open(disk, "d")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/batch/store/copy_test.go
+++ b/internal/batch/store/copy_test.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"testing"
 
+	"lemonarch/internal/batch/leader"
 	"lemonarch/internal/batch/replication"
 	"lemonarch/internal/platform/messages"
 	"lemonarch/internal/platform/transport"
-	"lemonarch/internal/tooling/simulation"
 )
 
 // A newcomer gets what is durable from a member, and no frame of it from the
@@ -26,10 +26,8 @@
 			appended++
 		}
 	})
-	done := current.copyTo(joiner.member(), 0, newCopyDeadline())
-	current.lock.Lock()
-	durable := current.replicator.CommitIndex()
-	current.lock.Unlock()
+	done := current.CopyTo(joiner.election.Member(), 0, leader.NewCopyDeadline())
+	durable := current.CommitIndex()
 	extent := joiner.Log.Extent()
 	last, epochRanges := extent.Last, extent.EpochRanges
 	if done == 0 || last != done || appended > 0 || done > durable {
@@ -54,7 +52,7 @@
 				t.Fatal(index, server.Node.Self.Name)
 			}
 		}
-		if compared < replication.CopiesNeeded(len(inside), holder.budget()) {
+		if compared < replication.CopiesNeeded(len(inside), holder.Node.Settings.Budget()) {
 			t.Fatal("durable with ", compared, " copies: ", index)
 		}
 	}
@@ -80,36 +78,3 @@
 	r.test.Fatal("all are members")
 	return nil
 }
-
-// An order from a member that is cut off half way leaves the newcomer with a part
-// that counts, and the holder goes on from there.
-func TestCopyGoesOnFromTheHolder(t *testing.T) {
-	term := rule(t, soleLocker(t, simulation.NewDisk(12)), 1)
-	if done := term.copyTo(messages.Member{Name: "n", Address: "nowhere", Disk: "n"}, 0, newCopyDeadline()); done != 0 {
-		t.Fatal("copied without a source: ", done)
-	}
-	term.lock.Lock()
-	term.replicator.Members = append(term.replicator.Members, messages.Member{Name: "s", Address: "s", Disk: "s"})
-	term.replicator.UpdateMatch("s#s", term.replicator.CommitIndex())
-	term.lock.Unlock()
-	freeCapacity := transport.NewMemoryNetwork()
-	term.server.Node.Transport = freeCapacity.Transport("m")
-	first := true
-	_ = freeCapacity.Transport("n").Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
-		req := &messages.CopyRequest{}
-		if kind != messages.KindCopy || transport.Decode(body, req) != nil || req.Source != "s" || req.SourceDisk != "s" {
-			t.Error(kind, req)
-		}
-		if !first {
-			return transport.Encode(&messages.AppendResponse{})
-		}
-		first = false
-		return transport.Encode(&messages.AppendResponse{Granted: true, Last: req.First})
-	})
-	term.lock.Lock()
-	durable := term.replicator.CommitIndex()
-	term.lock.Unlock()
-	if done := term.copyTo(messages.Member{Name: "n", Address: "n", Disk: "n"}, 0, newCopyDeadline()); done != min(1, durable) {
-		t.Fatal(done, durable)
-	}
-}
--- a/internal/batch/store/driver_test.go
+++ b/internal/batch/store/driver_test.go
@@ -10,7 +10,6 @@
 	"sync"
 	"testing"
 
-	"lemonarch/internal/control/register"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/messages"
 	"lemonarch/internal/tooling/simulation"
@@ -64,25 +63,36 @@
 }
 
 // driven is a store that holds the lots, drives them, and has one worker.
-func driven(t *testing.T, seed int64) (*term, *standInWorker) {
+func driven(t *testing.T, seed int64) (*Server, *standInWorker) {
 	worker := &standInWorker{tries: map[string]int{}, resumed: map[string]string{}, stuck: make(chan string, 9), dropped: make(chan string, 9)}
 	upstream := httptest.NewServer(worker)
 	t.Cleanup(upstream.Close)
-	server := soleLocker(t, simulation.NewDisk(seed))
-	te := rule(t, server, 1)
+	server := soleLeader(t, simulation.NewDisk(seed), 1)
 	server.Gossip.Scheduler.SetConfig(server.Node.Config())
 	server.Gossip.Scheduler.Merge([]messages.Worker{{ID: "w", Backend: "s", Address: strings.TrimPrefix(upstream.URL, "http://"), Capacity: 12, CallCount: 1}}, clock.Now())
-	server.executor.runLoops()
+	server.executor.Start()
 	t.Cleanup(server.Node.Shutdown)
-	return te, worker
+	return server, worker
 }
 
-func outputs(t *testing.T, te *term, jobID string, sum int) map[string]outputLine {
-	found := map[string]outputLine{}
+// outputsPage is what a read of a job answers (PROTOCOL).
+type outputsPage struct {
+	Outputs []listedOutput `json:"outputs"`
+}
+
+// listedOutput is one line of it.
+type listedOutput struct {
+	ID    string `json:"id"`
+	Phase string `json:"phase"`
+	Text  string `json:"text"`
+}
+
+func outputs(t *testing.T, server *Server, jobID string, sum int) map[string]listedOutput {
+	found := map[string]listedOutput{}
 	end := clock.Now().Add(clock.Milliseconds(15_000))
 	for len(found) < sum && clock.Now() < end {
-		page := outputPage{}
-		if err := json.Unmarshal(te.readJob(&messages.JobCallRequest{Job: jobID, Cursor: len(found), WaitMs: 1000}).Body, &page); err != nil {
+		page := outputsPage{}
+		if err := json.Unmarshal(server.current().Serve(&messages.JobCallRequest{Method: http.MethodGet, Job: jobID, Cursor: len(found), WaitMs: 1000}).Body, &page); err != nil {
 			t.Fatal(err)
 		}
 		for _, line := range page.Outputs {
@@ -101,11 +111,11 @@
 // What a driver acknowledges follows from the stream: the end is an ACCEPT, a cut a
 // RELEASE with the events so far, a 500 one that counts, a 422 a REJECT.
 func TestDriverDerivesAcknowledgements(t *testing.T) {
-	term, worker := driven(t, 11)
-	if resp := term.submitJob(lotCallOf("mixed", 5)); resp.Status != 202 {
+	server, worker := driven(t, 11)
+	if resp := server.current().Serve(lotCallOf("mixed", 5)); resp.Status != 202 {
 		t.Fatal(resp.Status)
 	}
-	for id, line := range outputs(t, term, "mixed", 5) {
+	for id, line := range outputs(t, server, "mixed", 5) {
 		complete := fmt.Sprintf("%s.1\n%s.2\n%s.3\n%s.4", id, id, id, id)
 		abandoned := strings.HasSuffix(id, "-0") || strings.HasSuffix(id, "-1")
 		if (line.Phase == "abandoned") != abandoned || (!abandoned && line.Text != complete) {
@@ -122,8 +132,8 @@
 
 // The end of a lot breaks its runs off at once, and none begins again.
 func TestEndStopsRuns(t *testing.T) {
-	term, worker := driven(t, 12)
-	if resp := term.submitJob(lotCallOf("stuck", 3)); resp.Status != 202 {
+	server, worker := driven(t, 12)
+	if resp := server.current().Serve(lotCallOf("stuck", 3)); resp.Status != 202 {
 		t.Fatal(resp.Status)
 	}
 	start := map[string]bool{}
@@ -135,7 +145,7 @@
 			t.Fatal("not all were begun: ", start)
 		}
 	}
-	if resp := term.endJob(&messages.JobCallRequest{Job: "stuck"}); resp.Status != 200 {
+	if resp := server.current().Serve(&messages.JobCallRequest{Method: http.MethodDelete, Job: "stuck"}); resp.Status != 200 {
 		t.Fatal(resp.Status)
 	}
 	for count := 0; count < 3; count++ {
@@ -146,10 +156,10 @@
 		}
 	}
 	// The next lot is run to its end meanwhile; nothing of the ended one is.
-	if resp := term.submitJob(lotCallOf("next", 2)); resp.Status != 202 {
+	if resp := server.current().Serve(lotCallOf("next", 2)); resp.Status != 202 {
 		t.Fatal(resp.Status)
 	}
-	outputs(t, term, "next", 2)
+	outputs(t, server, "next", 2)
 	worker.lock.Lock()
 	defer worker.lock.Unlock()
 	for id, tries := range worker.tries {
@@ -158,20 +168,3 @@
 		}
 	}
 }
-
-// A holder that gave the duty up for its slow disk does not ask for it at once.
-func TestRestingLockerStandsBack(t *testing.T) {
-	server := soleLocker(t, simulation.NewDisk(13))
-	server.value.Stores = []messages.Member{server.member()}
-	if !server.eligible() || register.Identity(server.member()) == "" {
-		t.Fatal("a member of the set is not eligible")
-	}
-	server.yieldUntilInstant(clock.Now().Add(clock.Milliseconds(60_000)))
-	if server.eligible() {
-		t.Fatal("it asks for the duty again")
-	}
-	server.yieldUntilInstant(clock.Now())
-	if !server.eligible() {
-		t.Fatal("it rests for ever")
-	}
-}
--- a/internal/batch/store/handlers.go
+++ b/internal/batch/store/handlers.go
@@ -1,9 +1,14 @@
 package store
 
 import (
+	"net/http"
+
+	"lemonarch/internal/batch/leader"
 	"lemonarch/internal/platform/clock"
+	"lemonarch/internal/platform/constants"
 	"lemonarch/internal/platform/messages"
 	"lemonarch/internal/platform/process"
+	"lemonarch/internal/platform/transport"
 )
 
 // registerHandlers registers the requests of other processes.
@@ -13,7 +18,7 @@
 	process.Handle(runtime, messages.KindAppend, s.handleAppend)
 	process.Handle(runtime, messages.KindFetch, s.Log.Fetch)
 	process.Handle(runtime, messages.KindCopy, s.handleCopy)
-	process.Handle(runtime, messages.KindLeaderAnnouncement, s.handleAnnouncement)
+	process.Handle(runtime, messages.KindLeaderAnnouncement, s.election.HandleAnnouncement)
 	process.Handle(runtime, messages.KindJobCall, s.handleJobCall)
 	process.Handle(runtime, messages.KindAcquire, s.handleAcquire)
 	process.Handle(runtime, messages.KindAcknowledge, s.handleAcknowledge)
@@ -26,13 +31,13 @@
 	if err != nil {
 		return nil, err
 	}
-	s.observeEpoch(req.Epoch)
+	s.election.ObserveEpoch(req.Epoch)
 	return &resp, nil
 }
 
 // handleAppend takes a leader's records.
 func (s *Server) handleAppend(req *messages.AppendRequest) (*messages.AppendResponse, error) {
-	s.observeEpoch(req.Epoch)
+	s.election.ObserveEpoch(req.Epoch)
 	resp, err := s.Log.Append(req)
 	if err != nil {
 		s.Node.Log.Error("records not appended", "err", err.Error())
@@ -41,32 +46,101 @@
 	return &resp, nil
 }
 
-// handleAnnouncement notes who leads, or that the leader has resigned.
-func (s *Server) handleAnnouncement(announcement *messages.LeaderAnnouncement) (*messages.Ack, error) {
-	s.lock.Lock()
-	if announcement.Leadership.Epoch >= s.announced.Epoch {
-		s.announced, s.announcedAt = announcement.Leadership, clock.Now()
-		if announcement.Resigned {
-			s.announcedAt, s.lastRead = 0, 0
-		}
+// handleCopy fetches one range of records from another store and keeps it.
+func (s *Server) handleCopy(req *messages.CopyRequest) (*messages.AppendResponse, error) {
+	s.election.ObserveEpoch(req.Epoch)
+	fetched := &messages.FetchResponse{}
+	fetch := &messages.FetchRequest{First: req.First, Epoch: req.Epoch, Disk: req.SourceDisk}
+	if err := transport.Call(s.Node.Transport, req.Source, messages.KindFetch, fetch, fetched, constants.BulkCallTimeout/2); err != nil {
+		return nil, err
 	}
-	s.lock.Unlock()
-	s.observeEpoch(announcement.Leadership.Epoch)
-	return &messages.Ack{Accepted: true}, nil
+	records := fetched.Records
+	// What the source has compacted is committed, also behind what was asked for.
+	last := max(req.Last, fetched.Base)
+	for len(records) > 0 && records[len(records)-1].Index > last {
+		records = records[:len(records)-1]
+	}
+	if !fetched.Granted || len(records) == 0 {
+		return &messages.AppendResponse{}, nil
+	}
+	resp, err := s.Log.Append(&messages.AppendRequest{Epoch: req.Epoch, Disk: req.Disk, PreviousIndex: req.First - 1,
+		PreviousEpoch: s.Log.EpochAt(req.First - 1), Records: records, Base: fetched.Base, BaseEpoch: fetched.BaseEpoch})
+	if err != nil {
+		return nil, err
+	}
+	return &resp, nil
+}
+
+// handleJobCall answers a client's call on a job that a gateway forwarded.
+func (s *Server) handleJobCall(call *messages.JobCallRequest) (*messages.JobCallResponse, error) {
+	if !s.firstSeen(call, clock.Now()) {
+		// The first copy is answered, or will be; a second might end otherwise.
+		return leader.OutcomeUnknown(), nil
+	}
+	current := s.current()
+	if current == nil {
+		return s.notLeader(), nil
+	}
+	resp := current.Serve(call)
+	if s.election.HoldsLease() && !current.Closed() {
+		return resp, nil
+	}
+	// A lease that expired meanwhile makes what this process knows old: nothing of it is told.
+	if call.Method != http.MethodPost {
+		return s.notLeader(), nil
+	}
+	if resp.Status != http.StatusAccepted && !resp.NotLeader {
+		return leader.OutcomeUnknown(), nil
+	}
+	return resp, nil
+}
+
+// firstSeen tells whether a call comes for the first time, and turns the time to live that
+// it brought into an instant of this process's own clock.
+func (s *Server) firstSeen(call *messages.JobCallRequest, now clock.Instant) bool {
+	if call.TTLMs > 0 {
+		call.ExpiresAt = int64(now.Add(clock.Milliseconds(float64(call.TTLMs))))
+	}
+	return s.deduplicator.FirstSeen(call.RequestID, now)
+}
+
+// notLeader is the answer where this process does not lead; it names the leader, if known.
+func (s *Server) notLeader() *messages.JobCallResponse {
+	return &messages.JobCallResponse{NotLeader: true, Leader: s.election.OtherLeader()}
 }
 
-// handleAcquire hands items to an executor where this process leads.
 func (s *Server) handleAcquire(req *messages.AcquireRequest) (*messages.AcquireResponse, error) {
-	return s.acquire(req), nil
+	return s.Acquire(req), nil
 }
 
-// handleAcknowledge takes an executor's acknowledgements where this process leads.
 func (s *Server) handleAcknowledge(req *messages.AcknowledgeRequest) (*messages.AcknowledgeResponse, error) {
-	return s.acknowledge(req), nil
+	return s.Acknowledge(req), nil
 }
 
 // handleStopJob breaks off what runs here of a job that has ended.
 func (s *Server) handleStopJob(req *messages.StopJobRequest) (*messages.Ack, error) {
-	s.executor.stopJob(req.Job)
+	s.executor.StopJob(req.Job)
 	return &messages.Ack{Accepted: true}, nil
 }
+
+// Acquire hands items to an executor where this process leads.
+func (s *Server) Acquire(req *messages.AcquireRequest) *messages.AcquireResponse {
+	if current := s.current(); current != nil {
+		return current.Acquire(req)
+	}
+	return &messages.AcquireResponse{NotLeader: true, Leader: s.election.OtherLeader()}
+}
+
+// Acknowledge takes an executor's acknowledgements where this process leads.
+func (s *Server) Acknowledge(req *messages.AcknowledgeRequest) *messages.AcknowledgeResponse {
+	if current := s.current(); current != nil {
+		return current.Acknowledge(req)
+	}
+	return &messages.AcknowledgeResponse{NotLeader: true, Leader: s.election.OtherLeader()}
+}
+
+// LeaderAddress is the address of the leader, or nothing.
+func (s *Server) LeaderAddress() string { return s.election.LeaderAddress() }
+
+// LeaderEpoch is the epoch of the leader, as far as this process knows.
+func (s *Server) LeaderEpoch() uint64 { return s.election.LeaderEpoch() }
--- a/internal/batch/store/history_test.go
+++ b/internal/batch/store/history_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"lemonarch/internal/batch/replication"
+	"lemonarch/internal/batch/replicalog"
 	"lemonarch/internal/control/register"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/messages"
@@ -53,13 +53,9 @@
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(10)))
 	}
 	store := s.stores[name].store
-	took := cost{records: s.sent[name].records - before.records, bytes: s.sent[name].bytes - before.bytes,
-		file: int(store.logfile.Size()), span: s.world.Now.Sub(start)}
-	store.replica.Each(1, func(replication.IndexEntry) bool {
-		took.slots++
-		return true
-	})
-	return took
+	bytes, records := store.Size()
+	return cost{records: s.sent[name].records - before.records, bytes: s.sent[name].bytes - before.bytes,
+		file: int(bytes), slots: records, span: s.world.Now.Sub(start)}
 }
 
 // After hundreds of takeovers, and lots that were ended and forgotten, a store that was
@@ -69,7 +65,9 @@
 	measure := func(takeovers int, wipe bool) cost {
 		fleet := newSimFleet(t, 11, 3)
 		for _, store := range fleet.stores {
-			store.store.rewrite.records = 40
+			compaction := replicalog.DefaultCompaction()
+			compaction.Records = 40
+			store.store.SetCompaction(compaction)
 		}
 		away := fleet.stores["s2"]
 		fleet.term()
--- a/internal/batch/store/promise_test.go
+++ b/internal/batch/store/promise_test.go
@@ -5,6 +5,7 @@
 	"sync"
 	"testing"
 
+	"lemonarch/internal/batch/leader"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/messages"
 	"lemonarch/internal/platform/transport"
@@ -31,36 +32,36 @@
 // A question that was refused, or sent on, is never taken by its second copy,
 // whatever has changed in between; the same lot in a new question is.
 func TestSecondCopyOfARefusedHandIn(t *testing.T) {
-	term := rule(t, soleLocker(t, simulation.NewDisk(4)), 1)
+	server := soleLeader(t, simulation.NewDisk(4), 1)
 	full := lotCallOf("full", 6)
 	full.RequestID = "f#1"
-	if resp := put(t, term.server, full); resp.Status != 202 {
+	if resp := put(t, server, full); resp.Status != 202 {
 		t.Fatal(resp.Status)
 	}
 	late := lotCallOf("late", 2)
 	late.RequestID = "f#2"
-	if resp := put(t, term.server, late); resp.Status != 429 {
+	if resp := put(t, server, late); resp.Status != 429 {
 		t.Fatal(resp.Status)
 	}
-	if resp := put(t, term.server, &messages.JobCallRequest{Method: "DELETE", Job: "full"}); resp.Status != 200 {
+	if resp := put(t, server, &messages.JobCallRequest{Method: "DELETE", Job: "full"}); resp.Status != 200 {
 		t.Fatal(resp.Status)
 	}
-	if resp := put(t, term.server, late); resp.Status != 504 || term.jobs.Job("late") != nil {
+	if resp := put(t, server, late); resp.Status != 504 || known(t, server, "late") {
 		t.Fatal("a refused question was taken: ", resp.Status)
 	}
 	late.RequestID = "f#3"
-	if resp := put(t, term.server, late); resp.Status != 202 {
+	if resp := put(t, server, late); resp.Status != 202 {
 		t.Fatal(resp.Status)
 	}
 	// Sent on by one that held nothing, then met by the same process as the holder.
-	term.close("another takes over")
+	server.current().Close("another takes over")
 	moved := lotCallOf("moved", 2)
 	moved.RequestID = "f#4"
-	if resp := put(t, term.server, moved); !resp.NotLeader {
+	if resp := put(t, server, moved); !resp.NotLeader {
 		t.Fatal(resp.Status)
 	}
-	next := rule(t, term.server, 2)
-	if resp := put(t, term.server, moved); resp.Status != 504 || next.jobs.Job("moved") != nil {
+	appoint(t, server, 2)
+	if resp := put(t, server, moved); resp.Status != 504 || known(t, server, "moved") {
 		t.Fatal("a question that was sent on was taken: ", resp.Status)
 	}
 }
@@ -68,7 +69,7 @@
 // Many copies of many questions race: each question has one outcome, and a lot
 // stands only if one of its questions was not refused.
 func TestCopiesOfHandInsRace(t *testing.T) {
-	term := rule(t, soleLocker(t, simulation.NewDisk(5)), 1)
+	server := soleLeader(t, simulation.NewDisk(5), 1)
 	var group sync.WaitGroup
 	var lock sync.Mutex
 	refused, taken := map[string]bool{}, map[string]bool{}
@@ -79,7 +80,7 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			resp := put(t, term.server, call)
+			resp := put(t, server, call)
 			lock.Lock()
 			defer lock.Unlock()
 			refused[call.RequestID] = refused[call.RequestID] || resp.Status == 429
@@ -92,32 +93,16 @@
 			t.Error("two outcomes of ", ask)
 		}
 	}
-	if len(term.jobs.Jobs()) != 3 {
-		t.Fatal(len(term.jobs.Jobs()))
+	if jobCount(server) != 3 {
+		t.Fatal(jobCount(server))
 	}
 }
 
-// What has outlived its time is not taken, even where it fits; a lot that stands
-// already is told so all the same.
-func TestHandInIsNotTakenAfterItsTime(t *testing.T) {
-	term := rule(t, soleLocker(t, simulation.NewDisk(6)), 1)
-	call := lotCallOf("lot", 1)
-	call.ExpiresAt = int64(clock.Now())
-	if resp := term.submitJob(call); !resp.NotLeader || term.jobs.Job("lot") != nil {
-		t.Fatal("taken after its time: ", resp.Status)
-	}
-	call.ExpiresAt = int64(clock.Now().Add(clock.Milliseconds(60_000)))
-	if resp := term.submitJob(call); resp.Status != 202 {
-		t.Fatal(resp.Status)
-	}
-	call.ExpiresAt = int64(clock.Now())
-	if resp := term.submitJob(call); resp.Status != 202 {
-		t.Fatal(resp.Status)
-	}
-	// The span that a frame carries is counted from its arrival.
-	slow, now := &messages.JobCallRequest{TTLMs: 60_000}, clock.Instant(7)
-	term.server.firstSeen(slow, now)
-	if expired(slow, now.Add(clock.Milliseconds(59_999))) || !expired(slow, now.Add(clock.Milliseconds(60_000))) {
-		t.Fatal(slow.ExpiresAt)
+// The time to live that a frame carries is counted from its arrival.
+func TestTimeToLiveCountsFromTheArrival(t *testing.T) {
+	call, now := &messages.JobCallRequest{TTLMs: 60_000}, clock.Instant(7)
+	soleLeader(t, simulation.NewDisk(6), 1).firstSeen(call, now)
+	if leader.Expired(call, now.Add(clock.Milliseconds(59_999))) || !leader.Expired(call, now.Add(clock.Milliseconds(60_000))) {
+		t.Fatal(call.ExpiresAt)
 	}
 }
--- a/internal/batch/store/report.go
+++ b/internal/batch/store/report.go
@@ -3,92 +3,55 @@
 import (
 	"strconv"
 
-	"lemonarch/internal/batch/dispatch"
-	"lemonarch/internal/control/register"
-	"lemonarch/internal/platform/clock"
+	"lemonarch/internal/batch/leader"
+	"lemonarch/internal/batch/leadership"
 	"lemonarch/internal/platform/messages"
 )
 
-func number[Whole int | int64 | uint64](value Whole) string {
-	return strconv.FormatInt(int64(value), 10)
-}
-
-// reports registers what a store says to the shell.
-func (s *Server) reports() {
-	s.Node.Report("duty", s.reportLeadership)
-	s.Node.Report("lots", s.reportJobs)
+// registerReports registers what a store answers to the status queries of the shell. The
+// first name of each is that of earlier versions and goes on working.
+func (s *Server) registerReports() {
+	for _, query := range []string{"duty", "leadership"} {
+		s.Node.Report(query, s.reportLeadership)
+	}
+	for _, query := range []string{"lots", "jobs"} {
+		s.Node.Report(query, s.reportJobs)
+	}
+	for _, query := range []string{leadership.SlownessQuery, "slowness"} {
+		s.Node.Report(query, s.election.ReportSlowness)
+	}
 	s.Node.Report("stores", s.reportStores)
-	s.Node.Report("pace", s.reportSlowness)
 }
 
+// reportLeadership tells who leads, as far as this process knows.
 func (s *Server) reportLeadership() *messages.StatusResponse {
-	status := &messages.StatusResponse{Columns: []string{"duty", "state", "epoch", "holder"}}
-	row := []string{"lots", "follows", "", ""}
-	s.lock.Lock()
-	row[2], row[3] = number(s.announced.Epoch), s.announced.Holder
-	s.lock.Unlock()
+	known, state := s.election.Announced(), "follows"
 	if current := s.current(); current != nil {
-		current.lock.Lock()
-		row[1] = "takes over"
-		if current.serving {
-			row[1] = "holds"
+		known, state = current.Leadership(), "takes over"
+		if current.Serving() {
+			state = "holds"
 		}
-		current.lock.Unlock()
-		row[2], row[3] = number(current.leadership.Epoch), current.leadership.Holder
 	}
-	status.Rows = [][]string{row}
-	return status
+	return &messages.StatusResponse{Columns: []string{"duty", "state", "epoch", "holder"},
+		Rows: [][]string{{"lots", state, strconv.FormatUint(known.Epoch, 10), known.Holder}}}
 }
 
+// reportJobs lists the jobs, where this process leads.
 func (s *Server) reportJobs() *messages.StatusResponse {
-	status := &messages.StatusResponse{Columns: []string{"lot", "path", "age-s", "items", "listed", "acquired", "waiting-tokens", "deliveries", "lapses", "releases", "failures", "renewals", "state"}}
-	current := s.current()
-	if current == nil {
-		return status
-	}
-	now := clock.WallNanos() / 1_000_000
-	current.lock.Lock()
-	defer current.lock.Unlock()
-	for _, job := range current.jobs.Jobs() {
-		state, tokens := "open", int64(0)
-		if job.Ended {
-			state = "ended"
-		} else if !job.Open() {
-			state = "done"
-		}
-		acquired, deliveries, lapses, releases, failures, renewals := 0, 0, 0, 0, 0, 0
-		for _, item := range job.Items {
-			if job.Open() && item.Unfinished() {
-				tokens += item.Tokens
-			}
-			if item.State == dispatch.ItemAcquired {
-				acquired++
-			}
-			deliveries += item.Runs
-			lapses += item.Lapses
-			releases += item.Releases
-			failures += len(item.FailedBy)
-			renewals += item.Renewals
-		}
-		status.Rows = append(status.Rows, []string{job.ID, job.Path, number((now - job.SubmittedMs) / 1000), number(job.Total()),
-			number(len(job.Listings)), number(acquired), number(tokens), number(deliveries), number(lapses), number(releases), number(failures), number(renewals), state})
+	if current := s.current(); current != nil {
+		return current.ReportJobs()
 	}
-	return status
+	return leader.JobsReport()
 }
 
+// reportStores tells how far this process's log reaches, and where it leads those of the
+// other members.
 func (s *Server) reportStores() *messages.StatusResponse {
-	status := &messages.StatusResponse{Columns: []string{"store", "disk", "records", "missing", "state"}}
-	last := s.Log.Extent().Last
-	status.Rows = append(status.Rows, []string{s.Node.Self.Name, s.Log.Disk(), number(last), "", "own copy"})
-	current := s.current()
-	if current == nil {
-		return status
-	}
-	current.lock.Lock()
-	defer current.lock.Unlock()
-	for _, member := range current.replicator.Members {
-		match := current.replicator.MatchIndex(register.Identity(member))
-		status.Rows = append(status.Rows, []string{member.Name, member.Disk, number(match), number(current.replicator.Last() - match), "in the set"})
+	last := strconv.FormatInt(s.Log.Extent().Last, 10)
+	status := &messages.StatusResponse{Columns: []string{"store", "disk", "records", "missing", "state"},
+		Rows: [][]string{{s.Node.Self.Name, s.Log.Disk(), last, "", "own copy"}}}
+	if current := s.current(); current != nil {
+		status.Rows = append(status.Rows, current.ReportStores()...)
 	}
 	return status
 }
--- a/internal/batch/store/rim_faults_test.go
+++ b/internal/batch/store/rim_faults_test.go
@@ -31,14 +31,14 @@
 				if strings.HasPrefix(again.Node.Self.Disk, "unused") {
 					t.Fatal("the disk forgot who it is")
 				}
-				go again.campaign()
+				go again.election.Run()
 			case 2:
 				fleet.stop(old)
 				fleet.disks[name].PowerLoss()
 				fleet.disks[name].Wipe()
 				fresh := fmt.Sprint(name, "-wiped")
 				again := fleet.start(number, fresh)
-				go again.campaign()
+				go again.election.Run()
 				fleet.work()
 				fleet.until("the wiped store is made whole", func() bool { disk, in := fleet.records()[name]; return !in || disk == fresh })
 			case 3:
--- a/internal/batch/store/rim_test.go
+++ b/internal/batch/store/rim_test.go
@@ -8,6 +8,7 @@
 
 	"github.com/hashicorp/go-hclog"
 
+	"lemonarch/internal/batch/replicalog"
 	"lemonarch/internal/control/agent"
 	"lemonarch/internal/control/lease"
 	"lemonarch/internal/control/membership"
@@ -18,7 +19,6 @@
 	"lemonarch/internal/platform/settings"
 	"lemonarch/internal/platform/transport"
 	"lemonarch/internal/tooling/simulation"
-	"lemonarch/internal/traffic/loadgossip"
 )
 
 // rimRegister stands for the controllers: one acceptor, whose agreement with others is
@@ -95,7 +95,7 @@
 	go clock.Every(constants.TickPeriod*4, stop, fleet.meet)
 	fleet.meet()
 	for _, name := range simulation.Keys(fleet.stores) {
-		go fleet.stores[name].campaign()
+		go fleet.stores[name].election.Run()
 	}
 	t.Cleanup(func() {
 		close(stop)
@@ -109,7 +109,7 @@
 // start opens a process on the disk of its machine.
 func (r *rimFleet) start(number int, identity string) *Server {
 	name := fmt.Sprint("s", number)
-	store, err := OpenReplicaLog(r.disks[name], identity)
+	store, err := replicalog.Open(r.disks[name], identity)
 	if err != nil {
 		r.test.Fatal(err)
 	}
@@ -117,10 +117,9 @@
 		Seeds: []string{"10.0.0.99:80"}, HeartbeatMs: 1200, FaultBudget: settings.FaultBudget{Machines: 1}, Tolerances: settings.Tolerances{StatusS: 120, CancelMs: 3000}}
 	runtime := agent.New(nodeSettings, membership.RoleStore, constants.PortStore, store.Disk(), hclog.NewNullLogger())
 	runtime.Transport = r.room.Transport(runtime.Self.Address)
-	server := &Server{Node: runtime, Gossip: loadgossip.New(runtime), Log: store, startedAt: clock.Now(), done: make(chan struct{})}
-	server.executor = newExecutorLoop(server)
+	server := wire(runtime, store)
 	server.registerHandlers()
-	server.reports()
+	server.registerReports()
 	runtime.ApplyConfig([]byte(quotaConfig))
 	if err = runtime.Transport.Serve(runtime.Dispatch); err != nil {
 		r.test.Fatal(err)
@@ -133,7 +132,7 @@
 
 func (r *rimFleet) stop(server *Server) {
 	if current := server.current(); current != nil {
-		current.close("stopped")
+		current.Close("stopped")
 	}
 	server.Node.Shutdown()
 	server.Node.Transport.Close()
@@ -192,7 +191,7 @@
 	var found *Server
 	r.until("a holder", func() bool {
 		for _, server := range r.all() {
-			if current := server.current(); current != nil && server.holdsLease() && current.waitServing(0) {
+			if current := server.current(); current != nil && server.election.HoldsLease() && current.Serving() {
 				found = server
 			}
 		}
@@ -219,10 +218,8 @@
 	if current == nil {
 		return
 	}
-	current.lock.Lock()
-	defer current.lock.Unlock()
-	for jobID := range r.ended {
-		if found := current.jobs.Job(jobID); found != nil && !found.Ended {
+	for _, row := range current.ReportJobs().Rows {
+		if jobID, state := row[0], row[len(row)-1]; r.ended[jobID] && state != "ended" {
 			r.test.Fatal("an ended lot is open again: ", jobID)
 		}
 	}
--- a/internal/batch/store/server.go
+++ b/internal/batch/store/server.go
@@ -1,18 +1,20 @@
-// Package store is the process that keeps lots: durable copies, the duty of
-// deciding on them, and the running of their items.
+// Package store is the storage process: it wires the durable log of records, the election of
+// the leader, the leader's term where this process has it, and the running of items. Who
+// owns which state stands in docs/architecture.md.
 package store
 
 import (
 	"crypto/rand"
 	"encoding/hex"
 	"os"
-	"sync"
-	"sync/atomic"
 
 	"github.com/hashicorp/go-hclog"
 
+	"lemonarch/internal/batch/executorserver"
+	"lemonarch/internal/batch/leader"
+	"lemonarch/internal/batch/leadership"
+	"lemonarch/internal/batch/replicalog"
 	"lemonarch/internal/control/agent"
-	"lemonarch/internal/control/lease"
 	"lemonarch/internal/control/membership"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
@@ -23,112 +25,103 @@
 	"lemonarch/internal/traffic/loadgossip"
 )
 
+// election is the part of leadership.Campaign that the process uses.
+type election interface {
+	leader.Election
+	executorserver.Locator
+	Run()
+	Drain()
+	MeasureSlowness()
+	Current() leadership.Term
+	ObserveEpoch(epoch uint64)
+	OtherLeader() string
+	Announced() messages.Leadership
+	HandleAnnouncement(announcement *messages.LeaderAnnouncement) (*messages.Ack, error)
+	ReportSlowness() *messages.StatusResponse
+}
+
 // Server is one storage process.
 type Server struct {
 	Node   *agent.Agent
 	Gossip *loadgossip.Gossip
-	Log    *ReplicaLog
+	Log    *replicalog.Log
 
-	lock        sync.Mutex
-	lease       lease.Hold
-	sequence    uint64
-	term        *term
-	value       messages.RegisterValue
-	lastRead    clock.Instant
-	announced   messages.Leadership
-	announcedAt clock.Instant
-	startedAt   clock.Instant
-	draining    atomic.Bool
-	executor    *executorLoop
-	yieldUntil  clock.Instant
-	done        chan struct{}
-	// deduplicator knows the hand-ins that have come, so that a second copy of one is seen.
+	election election
+	executor *executorserver.Server
+	// deduplicator knows the calls that have come, so that a second copy of one is seen.
 	deduplicator transport.Deduplicator
-	// slowness is this machine's, resignedAt when it last left the duty to others for it.
-	slowness   slowness
-	resignedAt clock.Instant
 }
 
 // New opens the disk and prepares the process.
 func New(nodeSettings *settings.Settings, log hclog.Logger) (*Server, error) {
 	if err := os.MkdirAll(nodeSettings.DataDir, 0o755); err != nil {
-		return nil, ErrCorrupt.Wrap(err, "data-dir")
+		return nil, replicalog.ErrCorrupt.Wrap(err, "data-dir")
 	}
-	var name [8]byte
-	_, _ = rand.Read(name[:])
-	store, err := OpenReplicaLog(recordlog.Directory(nodeSettings.DataDir), hex.EncodeToString(name[:]))
+	var identity [8]byte
+	// Read never fails (crypto/rand).
+	_, _ = rand.Read(identity[:])
+	replica, err := replicalog.Open(recordlog.Directory(nodeSettings.DataDir), hex.EncodeToString(identity[:]))
 	if err != nil {
 		return nil, err
 	}
-	runtime := agent.New(nodeSettings, membership.RoleStore, constants.PortStore, store.Disk(), log)
-	server := &Server{Node: runtime, Gossip: loadgossip.New(runtime), Log: store, startedAt: clock.Now(), done: make(chan struct{})}
-	server.executor = newExecutorLoop(server)
-	server.registerHandlers()
-	server.reports()
-	return server, nil
-}
-
-func (s *Server) budget() int { return s.Node.Settings.Budget() }
-
-// member is this process as one of the store set.
-func (s *Server) member() messages.Member {
-	own := s.Node.Self
-	return messages.Member{Name: own.Name, Disk: own.Disk, Address: own.Address, Zone: own.Zone}
+	node := agent.New(nodeSettings, membership.RoleStore, constants.PortStore, replica.Disk(), log)
+	s := wire(node, replica)
+	s.registerHandlers()
+	s.registerReports()
+	return s, nil
 }
 
-// observeEpoch ends our own term when a later epoch is seen at work.
-func (s *Server) observeEpoch(epoch uint64) {
-	if current := s.current(); current != nil && current.leadership.Epoch < epoch {
-		current.close("a later epoch is at work")
-	}
+// wire makes the parts of the process on a node and its log.
+func wire(node *agent.Agent, replica *replicalog.Log) *Server {
+	s := &Server{Node: node, Gossip: loadgossip.New(node), Log: replica}
+	s.executor = executorserver.New(s.Gossip, s)
+	s.election = leadership.New(node, func(elected messages.Leadership, stores []messages.Member) leadership.Term {
+		return s.newTerm(elected, stores)
+	})
+	return s
 }
 
-// current gives the term that has not ended, or nil.
-func (s *Server) current() *term {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	if s.term != nil && s.term.closed() {
-		return nil
-	}
-	return s.term
+// newTerm makes the term of this process in an epoch.
+func (s *Server) newTerm(elected messages.Leadership, stores []messages.Member) *leader.Term {
+	process := &leader.Process{Node: s.Node, Log: s.Log, Election: s.election, StopJob: s.executor.StopJob}
+	return leader.NewTerm(process, elected, stores)
 }
 
-// holdsLease tells whether we may act as the holder at this moment.
-func (s *Server) holdsLease() bool {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	return s.lease.Valid(clock.Now())
+// current gives this process's term that has not ended, or nil.
+func (s *Server) current() *leader.Term {
+	term, _ := s.election.Current().(*leader.Term)
+	return term
 }
 
-// Run serves until told to stop.
+// Run serves until Shutdown.
 func (s *Server) Run() error {
 	if err := s.Node.Start(); err != nil {
 		return err
 	}
 	s.Gossip.Start()
-	s.executor.runLoops()
-	go s.measureSlowness()
+	s.executor.Start()
+	go s.election.MeasureSlowness()
 	go s.Node.PullFirst(func() {})
 	go clock.Every(constants.GossipPeriod*2, s.Node.Stop, func() {
 		if err := s.Log.CompactIfDue(clock.Now()); err != nil {
-			s.Node.Log.Error("file not rewritten", "why", err.Error())
+			s.Node.Log.Error("log not compacted", "err", err.Error())
 		}
 	})
 	s.Node.Log.Info("serving", "internal", s.Node.Self.Address, "disk", s.Node.Self.Disk)
-	s.campaign()
+	s.election.Run()
 	return nil
 }
 
-// Shutdown gives the duty up first, so that another takes it at once.
+// Shutdown resigns the leadership first, so that another store takes it at once, and gives
+// what runs here back with its events.
 func (s *Server) Shutdown() {
-	s.draining.Store(true)
+	s.election.Drain()
 	s.Node.Drain()
 	if current := s.current(); current != nil {
-		current.close("leaving")
-		current.resign()
+		current.Close("shutting down")
+		current.Resign()
 	}
-	// What runs here goes back with its events, to whoever holds the duty next.
-	s.executor.drain()
+	s.executor.Drain()
 	s.Node.Shutdown()
 	clock.Sleep(constants.TickPeriod)
 }
--- a/internal/batch/store/share_driver_test.go
+++ b/internal/batch/store/share_driver_test.go
@@ -34,7 +34,7 @@
 	if all, _ := s.core.Count(); all < 4 && !s.asking {
 		s.acquire()
 	}
-	due := s.now().Sub(s.renewed) >= lockDuration(shareCancel)/4
+	due := s.now().Sub(s.renewed) >= dispatch.LockDuration(shareCancel)/4
 	if cluster.holder != nil && (due || cluster.holder.epoch > s.shown) {
 		s.shown = cluster.holder.epoch
 		s.renew()
@@ -133,7 +133,7 @@
 	s.core.Fence(epoch)
 	if entries := s.core.Renewals(sentAt); true {
 		s.acknowledge(entries, epoch, func(verdicts []messages.AckVerdict) {
-			s.halt(s.core.HandleRenewals(entries, verdicts, sentAt, lockDuration(shareCancel)))
+			s.halt(s.core.HandleRenewals(entries, verdicts, sentAt, dispatch.LockDuration(shareCancel)))
 		})
 	}
 }
--- a/internal/batch/store/share_sim_test.go
+++ b/internal/batch/store/share_sim_test.go
@@ -96,7 +96,7 @@
 	}
 	dispatcher := s.dispatchers[holder]
 	if dispatcher == nil {
-		dispatcher = dispatch.NewDispatcher(holder.book, holder.epoch, holder.first, lockDuration(shareCancel), s.clockValue(holder.at))
+		dispatcher = dispatch.NewDispatcher(holder.book, holder.epoch, holder.first, dispatch.LockDuration(shareCancel), s.clockValue(holder.at))
 		dispatcher.Append = holder.submit
 		ending := map[string]bool{}
 		dispatcher.Ending = func(job *dispatch.Job) bool { return ending[job.ID] }
--- a/internal/batch/store/simulation_test.go
+++ b/internal/batch/store/simulation_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"lemonarch/internal/batch/dispatch"
+	"lemonarch/internal/batch/replicalog"
 	"lemonarch/internal/batch/replication"
 	"lemonarch/internal/control/register"
 	"lemonarch/internal/platform/clock"
@@ -18,7 +19,7 @@
 type simStore struct {
 	member messages.Member
 	disk   *simulation.Disk
-	store  *ReplicaLog
+	store  *replicalog.Log
 	down   bool
 	// faulty says that its disk may refuse what it is asked for.
 	faulty bool
@@ -88,12 +89,12 @@
 }
 
 func (s *simFleet) open(ss *simStore) {
-	store, err := OpenReplicaLog(ss.disk, ss.member.Disk)
+	store, err := replicalog.Open(ss.disk, ss.member.Disk)
 	if err != nil {
 		s.test.Fatal(err)
 	}
 	// Files are rewritten as soon as half of them says nothing any more.
-	store.rewrite = compactionPolicy{bytes: 1 << 40, records: 6, lag: clock.Milliseconds(150)}
+	store.SetCompaction(replicalog.Compaction{Bytes: 1 << 40, Records: 6, Lag: clock.Milliseconds(150)})
 	ss.store, ss.down = store, false
 	ss.member.Disk = store.Disk()
 }
