--- a/internal/batch/dispatch/accounting.go
+++ b/internal/batch/dispatch/accounting.go
@@ -5,14 +5,14 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// executorID is one life of a driver that may hold acquisitions.
+// executorID is one incarnation of an executor that may hold acquisitions.
 type executorID struct {
 	name        string
 	incarnation int64
 }
 
-// RegisterExecutor has a driver's life on record in this epoch before it is handed anything, so
-// that a later holder knows who may hold acquisitions. It gives the index of the
+// RegisterExecutor has an executor's life on record in this epoch before it is handed anything, so
+// that a later leader knows who may hold acquisitions. It gives the index of the
 // record while that is not durable, then zero.
 func (d *Dispatcher) RegisterExecutor(executor Executor) int64 {
 	e := executorID{executor.Name, executor.Incarnation}
@@ -27,7 +27,7 @@
 	return index
 }
 
-// ReportedAll notes that a driver has shown this holder all that it holds, and takes
+// ReportedAll notes that an executor has shown this leader all that it holds, and takes
 // nothing from earlier ones any more. Its entries were taken before.
 func (d *Dispatcher) ReportedAll(executor Executor, epoch uint64, now clock.Instant) {
 	if epoch == d.epoch {
@@ -36,7 +36,7 @@
 	}
 }
 
-// dropOlderIncarnations notes that a newer life of a driver was heard: the older ones hold nothing.
+// dropOlderIncarnations notes that a newer incarnation of an executor was heard: the older ones hold nothing.
 func (d *Dispatcher) dropOlderIncarnations(executor Executor, now clock.Instant) {
 	for entrant := range d.unaccounted {
 		if entrant.name == executor.Name && entrant.incarnation < executor.Incarnation {
@@ -46,8 +46,8 @@
 	d.updateUncertainty(now)
 }
 
-// updateUncertainty ends the time in which items are perhaps acquired, once every driver that
-// earlier holders may have handed something is accounted for.
+// updateUncertainty ends the time in which items are perhaps acquired, once every executor that
+// earlier leaders may have handed something is accounted for.
 func (d *Dispatcher) updateUncertainty(now clock.Instant) {
 	if len(d.unaccounted) == 0 {
 		d.uncertainUntil = min(d.uncertainUntil, now)
@@ -55,7 +55,7 @@
 }
 
 // RecordAcquisitionsKnown records, once, that no acquisition of an earlier epoch stands that was not
-// adopted: later holders need not ask after its drivers.
+// adopted: later leaders need not ask after its executors.
 func (d *Dispatcher) RecordAcquisitionsKnown(now clock.Instant) {
 	if d.acquisitionsKnown || now < d.uncertainUntil {
 		return
@@ -64,7 +64,7 @@
 	d.Append(messages.Record{Kind: messages.RecordAcquisitionsKnown})
 }
 
-// addExecutor and clear are how the book follows them.
+// addExecutor and clear are how the job table follows them.
 func (b *JobTable) addExecutor(record *messages.Record) {
 	b.executors[executorID{record.Item, record.AtMs}] = record.Epoch
 }
--- a/internal/batch/dispatch/accounting_test.go
+++ b/internal/batch/dispatch/accounting_test.go
@@ -6,7 +6,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// A new holder waits for a lock only while a driver that may hold something has not
+// A new leader waits for a lock only while an executor that may hold something has not
 // shown it, and has not been outlived.
 func TestDriversAreAccountedFor(t *testing.T) {
 	old := newEndpoint(t, 1, nil, 0)
@@ -14,14 +14,14 @@
 	given := old.take("x", 1, ms(1))
 	old.take("y", 1, ms(1))
 	next := newEndpoint(t, 2, old.records, ms(100))
-	// Word for an earlier holder, or of another life, accounts for nobody.
+	// Word for an earlier leader, or of another life, accounts for nobody.
 	next.ObserveExecutor(Executor{Name: "x"}, ms(110))
 	next.ReportedAll(Executor{Name: "x"}, 1, ms(110))
 	next.ReportedAll(Executor{Name: "y", Incarnation: 7}, 2, ms(110))
 	if len(next.take("z", 3, ms(110))) != 0 {
 		t.Fatal("sure although nobody has shown anything")
 	}
-	// The next life of a driver says that what it held is gone.
+	// The next incarnation of an executor says that what it held is gone.
 	next.ObserveExecutor(Executor{Name: "y", Incarnation: 1}, ms(120))
 	if !next.Uncertain(ms(130)) || len(next.take("z", 3, ms(130))) != 0 {
 		t.Fatal("sure although one has shown nothing")
@@ -35,7 +35,7 @@
 	}
 }
 
-// Nothing is handed out before a later holder would know of the driver, and what is
+// Nothing is handed out before a later leader would know of the executor, and what is
 // known is forgotten only once it is sure that nothing of it stands.
 func TestEntrantsAreOnRecord(t *testing.T) {
 	endpoint := newEndpoint(t, 1, nil, 0)
@@ -55,7 +55,7 @@
 	if len(second.records) != 2 {
 		t.Fatal("sure too early")
 	}
-	// A driver that is adopted only is on record too, before the word that all is sure.
+	// An executor that is adopted only is on record too, before the word that all is sure.
 	if second.say("x", messages.AckRenew, found[0].Number, "a", ms(200)) != messages.AckRenewed {
 		t.Fatal("not adopted")
 	}
--- a/internal/batch/dispatch/acknowledge.go
+++ b/internal/batch/dispatch/acknowledge.go
@@ -12,7 +12,7 @@
 	Index   int64
 }
 
-// Acknowledge takes a driver's word on one acquisition. A repeat is answered the
+// Acknowledge takes an executor's word on one acquisition. A repeat is answered the
 // same as the first.
 func (d *Dispatcher) Acknowledge(executor Executor, entry *messages.Acknowledgement, now clock.Instant) AckOutcome {
 	job := d.Jobs.Job(entry.Job)
@@ -62,7 +62,7 @@
 	return outcome
 }
 
-// accept takes a whole output. The lock decides who may run an item, not whose
+// accept takes a complete output. The lock decides who may run an item, not whose
 // output counts: also after a lapse the first one to be durable is the item's.
 func (d *Dispatcher) accept(item *Item, entry *messages.Acknowledgement, now clock.Instant) AckOutcome {
 	acquisition := item.acquisition
@@ -132,12 +132,12 @@
 	return index
 }
 
-// renew lets a lock run anew. After a takeover a driver shows its acquisition by
-// it, and the new holder adopts it.
+// renew lets a lock run anew. After a takeover an executor shows its acquisition by
+// it, and the new leader adopts it.
 func (d *Dispatcher) renew(executor Executor, item *Item, entry *messages.Acknowledgement, now clock.Instant) AckOutcome {
 	acquisition := item.acquisition
 	if acquisition == nil || acquisition.Number != entry.Number {
-		// Of two that were handed out by earlier holders the later number is the one
+		// Of two that were handed out by earlier leaders the later number is the one
 		// that stands: the other's lock has lapsed.
 		adopt := d.maybeAcquired(item, now) && EpochOf(entry.Number) < d.epoch &&
 			(acquisition == nil || acquisition.Number < entry.Number)
--- a/internal/batch/dispatch/acquire.go
+++ b/internal/batch/dispatch/acquire.go
@@ -7,7 +7,7 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// JobTerms is what the configuration says of a lot at this moment.
+// JobTerms is what the configuration says of a job at this moment.
 type JobTerms struct {
 	// Due is when its results are due, in ms of the time of day.
 	Due int64
@@ -17,31 +17,31 @@
 	Expired bool
 }
 
-// AcquireOptions is a driver's question.
+// AcquireOptions is an executor's question.
 type AcquireOptions struct {
 	Executor Executor
-	// Capacity is how many places the driver has at each service.
+	// Capacity is how many places the executor has at each service.
 	Capacity map[string]int
-	// Terms gives the terms of a lot, Service the service of an item.
+	// Terms gives the terms of a job, Service the service of an item.
 	Terms   func(job *Job) JobTerms
 	Service func(item *Item) string
 }
 
-// prefixOwner is the driver that a shared prefix was handed to last.
+// prefixOwner is the executor that a shared prefix was handed to last.
 type prefixOwner struct {
 	executor string
 	at       clock.Instant
 }
 
 // candidatesPerSlot is how many candidates are weighed for each place (ours): among
-// those due soonest, items whose shared prefix the driver has come first.
+// those due soonest, items whose shared prefix the executor has come first.
 const candidatesPerSlot = 4
 
 // prefixOwnersLimit bounds what is remembered of prefixes (ours).
 const prefixOwnersLimit = 4096
 
 // Acquire hands out items by due time, those that can still be in time first, and
-// among those due soonest the ones whose shared prefix the driver had before.
+// among those due soonest the ones whose shared prefix the executor had before.
 func (d *Dispatcher) Acquire(options *AcquireOptions, now clock.Instant) []*Acquisition {
 	if d.RegisterExecutor(options.Executor) > 0 {
 		return nil
@@ -78,8 +78,8 @@
 	return taken
 }
 
-// candidates gives the free items due soonest, the driver's own prefixes first, so
-// that shared parts are read by few workers. No item is kept for a driver: a place
+// candidates gives the free items due soonest, the executor's own prefixes first, so
+// that shared parts are read by few workers. No item is kept for an executor: a place
 // that stands empty meanwhile cost more than the reading (measured).
 func (d *Dispatcher) candidates(jobs []dueJob, options *AcquireOptions, limit int, now clock.Instant) []*Item {
 	var first, own, others []*Item
@@ -100,7 +100,7 @@
 			}
 			switch at, known := d.prefixOwners[prefixOf(item)]; {
 			case now.Sub(item.passedOverSince) >= constants.PrefixWait:
-				// Passed over long enough: the driver that has its prefix may have no room.
+				// Passed over long enough: the executor that has its prefix may have no room.
 				first = append(first, item)
 			case known && at.executor == options.Executor.Name:
 				own = append(own, item)
@@ -113,7 +113,7 @@
 	return append(append(first, own...), others...)
 }
 
-// mayDispatch tells whether items of a lot may be handed out now.
+// mayDispatch tells whether items of a job may be handed out now.
 func (d *Dispatcher) mayDispatch(job *Job, options *AcquireOptions, now clock.Instant) bool {
 	if job.available.count == 0 || !job.Open() || d.Jobs.Job(job.ID) != job || d.Ending(job) {
 		return false
--- a/internal/batch/dispatch/acquire_test.go
+++ b/internal/batch/dispatch/acquire_test.go
@@ -9,7 +9,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// prefixed hands in a lot whose items have a shared prefix.
+// prefixed submits  a job whose items have a shared prefix.
 func (e *endpoint) prefixed(id, prefix string, items int) {
 	body := &messages.JobBody{Path: "/p/"}
 	for i := 0; i < items; i++ {
@@ -28,8 +28,8 @@
 	return text
 }
 
-// A driver gets the prefix that it has read before first, but nothing is passed over
-// for long: the driver that read the other prefix may have no room.
+// An executor gets the prefix that it has read before first, but nothing is passed over
+// for long: the executor that read the other prefix may have no room.
 func TestPrefixesGoTogether(t *testing.T) {
 	endpoint := newEndpoint(t, 1, nil, 0)
 	endpoint.prefixed("a", "one", 6)
@@ -37,7 +37,7 @@
 	if given := names(endpoint.take("x", 1, ms(1))); given != "a0 " {
 		t.Fatal(given)
 	}
-	// The older lot is due first, and nobody has its rest's place yet.
+	// The older job is due first, and nobody has its rest's place yet.
 	if given := names(endpoint.take("y", 6, ms(2))); given != "a1 a2 a3 a4 a5 b0 " {
 		t.Fatal(given)
 	}
@@ -90,7 +90,7 @@
 	return text
 }
 
-// benchBacklog is a backlog of whole lots, all of whose items wait.
+// benchBacklog is a backlog of whole jobs, all of whose items wait.
 func benchBacklog(b *testing.B, items int) (*Dispatcher, *AcquireOptions) {
 	jobs := NewJobTable()
 	for number := 0; number*constants.JobItemsMax < items; number++ {
@@ -111,7 +111,7 @@
 	return dispatcher, options
 }
 
-// BenchmarkAcquire measures one item acquired and given back, as a driver asks that
+// BenchmarkAcquire measures one item acquired and given back, as an executor asks that
 // finds a place, with the time going on.
 func BenchmarkAcquire(b *testing.B) {
 	for _, items := range []int{1_000, 10_000, 100_000} {
--- a/internal/batch/dispatch/available.go
+++ b/internal/batch/dispatch/available.go
@@ -12,7 +12,7 @@
 // wordBits is how many items one word of an availableSet covers.
 const wordBits = 64
 
-// availableSet holds the places of a lot's items that are in ItemAvailable, so that
+// availableSet holds the places of a job's items that are in ItemAvailable, so that
 // nobody has to walk the others. Its zero value is an empty set of no places.
 type availableSet struct {
 	words []uint64
@@ -48,7 +48,7 @@
 	}
 }
 
-// setState changes an item's state; its lot follows which items are available and how
+// setState changes an item's state; its job follows which items are available and how
 // many tokens wait.
 func (i *Item) setState(state ItemState) {
 	waited := i.Unfinished()
@@ -62,22 +62,22 @@
 	}
 }
 
-// eachAvailable visits the available items of a lot in order until visit says stop.
+// eachAvailable visits the available items of a job in order until visit says stop.
 func (l *Job) eachAvailable(visit func(item *Item) bool) {
 	l.available.each(func(i int) bool { return visit(l.Items[i]) })
 }
 
-// dueJob is an open lot with its due time.
+// dueJob is an open job with its due time.
 type dueJob struct {
 	job *Job
 	due int64
 }
 
-// dueOrder is the order in which open lots are handed out: those that can still be in
-// time first, each part by due time. Sorting all lots on every question would cost
-// more than the items that it hands out, so the order is kept for RankPeriod; lots
-// that come meanwhile are put in place. Whether a lot may be handed out at all is
-// asked anew for each lot that is visited.
+// dueOrder is the order in which open jobs are handed out: those that can still be in
+// time first, each part by due time. Sorting all jobs on every question would cost
+// more than the items that it hands out, so the order is kept for RankPeriod; jobs
+// that come meanwhile are put in place. Whether a job may be handed out at all is
+// asked anew for each job that is visited.
 type dueOrder struct {
 	inTime, overdue []dueJob
 	at              clock.Instant
@@ -109,7 +109,7 @@
 	return order
 }
 
-// insert puts a new lot behind those that are due no later.
+// insert puts a new job behind those that are due no later.
 func (r *dueOrder) insert(job *Job, terms JobTerms) {
 	part := &r.inTime
 	if terms.Overdue {
@@ -119,7 +119,7 @@
 	*part = slices.Insert(*part, i, dueJob{job, terms.Due})
 }
 
-// openJobs gives the lots with items to run, the order in which they came kept, and
+// openJobs gives the jobs with items to run, the order in which they came kept, and
 // forgets the others.
 func (b *JobTable) openJobs() []*Job {
 	kept := b.opened[:0]
@@ -133,7 +133,7 @@
 	return kept
 }
 
-// takeUnranked gives the lots that came since it was asked last.
+// takeUnranked gives the jobs that came since it was asked last.
 func (b *JobTable) takeUnranked() []*Job {
 	fresh := b.unranked
 	b.unranked = nil
--- a/internal/batch/dispatch/dispatcher.go
+++ b/internal/batch/dispatch/dispatcher.go
@@ -16,7 +16,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Executor is a process that runs items, in one life.
+// Executor is a process that runs items, in one incarnation.
 type Executor struct {
 	Name        string
 	Incarnation int64
@@ -24,7 +24,7 @@
 	Zone        string
 }
 
-// Acquisition is one item with one driver, for the length of a lock.
+// Acquisition is one item with one executor, for the length of a lock.
 type Acquisition struct {
 	// Number is unique over all epochs.
 	Number    uint64
@@ -37,7 +37,7 @@
 	fromStart bool
 }
 
-// Dispatcher decides which driver may run an item now. It is a share group over the
+// Dispatcher decides which executor may run an item now. It is a share group over the
 // book: acquisitions are soft, terminal states are records. Steps without I/O; its
 // owner guards it with a lock and gives it the time and a way to submit records.
 // Several can live in one process, each with a book of its own.
@@ -45,7 +45,7 @@
 	Jobs *JobTable
 	// Lock is how long an acquisition stands without an acknowledgement.
 	Lock clock.Duration
-	// Ending tells whether a lot's end is on its way: nothing of it is acquired.
+	// Ending tells whether a job's end is on its way: nothing of it is acquired.
 	Ending func(job *Job) bool
 	// Append has a record made durable and gives its index.
 	Append func(record messages.Record) int64
@@ -58,8 +58,8 @@
 	epoch    uint64
 	serial   uint64
 	inFlight map[uint64]*Acquisition
-	// firstIndex is the index of the first record of this epoch: items of earlier lots
-	// may be with drivers until unsure.
+	// firstIndex is the index of the first record of this epoch: items of earlier jobs
+	// may be with executors until unsure.
 	firstIndex     int64
 	uncertainUntil clock.Instant
 	startedAt      clock.Instant
@@ -68,7 +68,7 @@
 	// executors are those that were heard lately; version counts their changes.
 	executors map[string]*executorState
 	version   uint64
-	// registering are drivers whose record is on its way; unheard are those of earlier
+	// registering are executors whose record is on its way; unheard are those of earlier
 	// epochs that have not shown what they hold.
 	registering       map[executorID]int64
 	unaccounted       map[executorID]bool
@@ -95,8 +95,8 @@
 // EpochOf gives the epoch in which an acquisition was handed out.
 func EpochOf(number uint64) uint64 { return number >> serialBits }
 
-// NewDispatcher starts the dispatcher of an epoch. Lots with records before the
-// index may be acquired from earlier holders until a lock length after the moment
+// NewDispatcher starts the dispatcher of an epoch. Jobs with records before the
+// index may be acquired from earlier leaders until a lock length after the instant
 // at which the last of them can have handed anything out.
 func NewDispatcher(jobs *JobTable, epoch uint64, before int64, lock clock.Duration, taken clock.Instant) *Dispatcher {
 	dispatcher := &Dispatcher{Jobs: jobs, Lock: lock, epoch: epoch, firstIndex: before, uncertainUntil: taken.Add(lock), startedAt: taken,
@@ -113,7 +113,7 @@
 // InFlight is how many acquisitions stand.
 func (d *Dispatcher) InFlight() int { return len(d.inFlight) }
 
-// Holding lists the drivers that hold acquisitions of a lot.
+// Holding lists the executors that hold acquisitions of a job.
 func (d *Dispatcher) Holding(job *Job) []Executor {
 	var executors []Executor
 	seen := map[Executor]bool{}
@@ -126,13 +126,13 @@
 	return executors
 }
 
-// StartedAt is when this dispatcher's holder took the duty.
+// StartedAt is when this dispatcher's leader took the leadership.
 func (d *Dispatcher) StartedAt() clock.Instant { return d.startedAt }
 
-// Uncertain tells whether earlier holders' acquisitions may still stand somewhere.
+// Uncertain tells whether earlier leaders' acquisitions may still stand somewhere.
 func (d *Dispatcher) Uncertain(now clock.Instant) bool { return now < d.uncertainUntil }
 
-// maybeAcquired tells whether an earlier holder may have handed the item out.
+// maybeAcquired tells whether an earlier leader may have handed the item out.
 func (d *Dispatcher) maybeAcquired(item *Item, now clock.Instant) bool {
 	return item.Job.Index < d.firstIndex && now < d.uncertainUntil
 }
@@ -142,7 +142,7 @@
 	return item.State == ItemAvailable && item.acquisition == nil && now >= item.availableAt && !d.maybeAcquired(item, now)
 }
 
-// grant acquires an item for a driver; the number is new, or one that its driver
+// grant acquires an item for an executor; the number is new, or one that its executor
 // has shown after a takeover.
 func (d *Dispatcher) grant(item *Item, executor Executor, number uint64, now clock.Instant) *Acquisition {
 	fresh := item.LastID == 0 && number == 0
@@ -179,7 +179,7 @@
 }
 
 // ExpireLocks makes items available whose lock ran out unacknowledged. A lapse never ends
-// an item: it waits longer each time, so that one that kills drivers costs little.
+// an item: it waits longer each time, so that one that kills executors costs little.
 func (d *Dispatcher) ExpireLocks(now clock.Instant) int {
 	count := 0
 	for _, acquisition := range d.inFlight {
@@ -200,7 +200,7 @@
 	return constants.ItemRetryBackoff << min(max(count-1, 0), doublings)
 }
 
-// StopJob ends all acquisitions of a lot whose end is decided, and names the drivers
+// StopJob ends all acquisitions of a job whose end is decided, and names the executors
 // that have to stop.
 func (d *Dispatcher) StopJob(job *Job) []Executor {
 	executors := d.Holding(job)
@@ -214,7 +214,7 @@
 }
 
 // AbandonExpired archives what waits and has come to a terminal ground: its route is gone
-// or its retain-s is over, as the terms of its lot say, or its tries are spent.
+// or its retain-s is over, as the terms of its job say, or its tries are spent.
 func (d *Dispatcher) AbandonExpired(terms func(job *Job) JobTerms, now clock.Instant) int {
 	count := 0
 	for _, job := range d.Jobs.openJobs() {
@@ -223,7 +223,7 @@
 		}
 		over := terms(job).Expired
 		job.eachAvailable(func(item *Item) bool {
-			// A whole output that a driver may still bring is an output.
+			// A complete output that an executor may still bring is an output.
 			if d.maybeAcquired(item, now) {
 				return true
 			}
--- a/internal/batch/dispatch/dispatcher_test.go
+++ b/internal/batch/dispatch/dispatcher_test.go
@@ -21,7 +21,7 @@
 
 func ms(count float64) clock.Instant { return clock.Instant(clock.Milliseconds(count)) }
 
-// newEndpoint goes on from records, as a new holder does; taken is when it took the duty.
+// newEndpoint goes on from records, as a new leader does; taken is when it took the leadership.
 func newEndpoint(t *testing.T, epoch uint64, records []messages.Record, taken clock.Instant) *endpoint {
 	jobs := NewJobTable()
 	for i := range records {
@@ -125,7 +125,7 @@
 	second := endpoint.take("y", 1, ms(4000))[0].Number
 	text := func(entry *messages.Acknowledgement) { entry.Output = []byte("t") }
 	// A complete output is an output; told again before or after it is durable, it is
-	// answered the same, and the other driver's comes too late.
+	// answered the same, and the other executor's comes too late.
 	for round := 0; round < 2; round++ {
 		if endpoint.say("x", messages.AckAccept, first, "a", ms(4100), text) != messages.AckRecorded {
 			t.Fatal("not taken in round ", round)
@@ -139,7 +139,7 @@
 	if len(endpoint.records) != 4 || len(endpoint.Jobs.Job("l").Listings) != 1 || endpoint.Counts.Late != 2 {
 		t.Fatal(len(endpoint.records), endpoint.Counts)
 	}
-	// A later holder answers the repeat the same, from the record.
+	// A later leader answers the repeat the same, from the record.
 	next := newEndpoint(t, 2, endpoint.records, ms(5000))
 	if next.say("x", messages.AckAccept, first, "a", ms(5000), text) != messages.AckRecorded ||
 		next.say("y", messages.AckAccept, second, "a", ms(5000), text) != messages.AckTerminal {
@@ -180,7 +180,7 @@
 	if item := endpoint.Jobs.Job("l").Item("a"); item.State != ItemAvailable || len(item.FailedBy) != 1 {
 		t.Fatal("one 500 counted as ", len(item.FailedBy))
 	}
-	// The count outlives the holder, and so does what was counted.
+	// The count outlives the leader, and so does what was counted.
 	next := newEndpoint(t, 2, endpoint.records, ms(1000))
 	if item := next.Jobs.Job("l").Item("a"); len(item.FailedBy) != 1 {
 		t.Fatal("the count was lost with its holder")
@@ -219,7 +219,7 @@
 	if next.say("x", messages.AckAccept, given[1].Number, "b", ms(300)) != messages.AckRecorded {
 		t.Fatal("an earlier acquisition's output was refused")
 	}
-	// One lock length after the duty was taken nothing is shown any more.
+	// One lock length after the leadership was taken nothing is shown any more.
 	if next.say("x", messages.AckRenew, given[2].Number, "c", ms(2200)) != messages.AckStopped {
 		t.Fatal("adopted after its lock had ended")
 	}
--- a/internal/batch/dispatch/executors_test.go
+++ b/internal/batch/dispatch/executors_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A new life of a driver says that its old one is gone: its items come back at once.
+// A new incarnation of an executor says that its old one is gone: its items come back at once.
 func TestNewLifeGivesItemsBack(t *testing.T) {
 	endpoint := newEndpoint(t, 1, nil, 0)
 	endpoint.lot("l", "a", "b")
@@ -13,7 +13,7 @@
 		t.Fatal("the same life lost its items")
 	}
 	endpoint.ObserveExecutor(Executor{Name: "x", Incarnation: acquisition.Executor.Incarnation + 1}, ms(4))
-	// Late word of the old life changes nothing.
+	// Late word of the old incarnation changes nothing.
 	endpoint.ObserveExecutor(Executor{Name: "x", Incarnation: acquisition.Executor.Incarnation}, ms(5))
 	if endpoint.ExpireLocks(ms(5)) != 1 || endpoint.InFlight() != 1 || len(endpoint.take("y", 2, ms(500))) != 1 {
 		t.Fatal("the old life's item did not come back, or another's did")
--- a/internal/batch/dispatch/item.go
+++ b/internal/batch/dispatch/item.go
@@ -12,7 +12,7 @@
 const (
 	// ItemAvailable: to be run.
 	ItemAvailable ItemState = iota
-	// ItemAcquired: with one driver, under a lock.
+	// ItemAcquired: with one executor, under a lock.
 	ItemAcquired
 	// ItemClosing: its terminal record is being made durable.
 	ItemClosing
@@ -22,7 +22,7 @@
 	ItemAbandoned
 )
 
-// Item is one item of a lot, as the dispatcher keeps it and as a driver that
+// Item is one item of a job, as the dispatcher keeps it and as an executor that
 // acquired it does. Its steps are guarded: a run that was displaced, called off or
 // overtaken can neither add events nor finish it.
 type Item struct {
@@ -46,7 +46,7 @@
 	closedBy     uint64
 	closingIndex int64
 	acquisition  *Acquisition
-	// position is the item's place in its lot.
+	// position is the item's place in its job.
 	position int
 	// availableAt is when it may be acquired again; seen is when it was first found free.
 	availableAt, passedOverSince clock.Instant
--- a/internal/batch/dispatch/jobtable.go
+++ b/internal/batch/dispatch/jobtable.go
@@ -18,7 +18,7 @@
 	Index     int64
 }
 
-// Job is one lot.
+// Job is one job.
 type Job struct {
 	ID          string
 	Host        string
@@ -30,7 +30,7 @@
 	Ended       bool
 	total       int
 	open        int
-	// KnownSince is when this holder came to know the lot, by its steady clock.
+	// KnownSince is when this leader came to know the job, by its steady clock.
 	KnownSince clock.Instant
 	// pendingListings counts positions that were given and are not yet durable.
 	pendingListings int
@@ -38,13 +38,13 @@
 	// no worker has finished.
 	available     availableSet
 	waitingTokens int64
-	// itemByID leads from ids to items: a lot may hold hundreds of thousands, and each
+	// itemByID leads from ids to items: a job may hold hundreds of thousands, and each
 	// output looks for its own.
 	itemByID map[string]*Item
 }
 
-// OlderThan tells whether a lot is older than a span: by the time of day, and known here
-// for as long. A time of day that was stepped, here or where the lot was taken, must
+// OlderThan tells whether a job is older than a duration: by the time of day, and known here
+// for as long. A time of day that was stepped, here or where the job was taken, must
 // end nothing early; after a takeover things end later instead.
 func (l *Job) OlderThan(timeout clock.Duration, wallMs int64, now clock.Instant) bool {
 	return wallMs-l.SubmittedMs > timeout.Milliseconds() && now.Sub(l.KnownSince) > timeout
@@ -63,11 +63,11 @@
 type JobTable struct {
 	jobs  map[string]*Job
 	order []*Job
-	// opened holds every lot that still has items to run, and some that no more do.
+	// opened holds every job that still has items to run, and some that no more do.
 	opened []*Job
-	// unranked are the lots that came since the dispatcher ranked them last.
+	// unranked are the jobs that came since the dispatcher ranked them last.
 	unranked []*Job
-	// executors are the drivers that may hold acquisitions, with their epoch.
+	// executors are the executors that may hold acquisitions, with their epoch.
 	executors map[executorID]uint64
 }
 
@@ -76,10 +76,10 @@
 	return &JobTable{jobs: map[string]*Job{}, executors: map[executorID]uint64{}}
 }
 
-// Job finds a lot, or nil.
+// Job finds a job, or nil.
 func (b *JobTable) Job(id string) *Job { return b.jobs[id] }
 
-// Jobs gives all lots, the oldest first.
+// Jobs gives all jobs, the oldest first.
 func (b *JobTable) Jobs() []*Job { return b.order }
 
 // Apply takes a durable record.
@@ -160,8 +160,8 @@
 	return nil
 }
 
-// Waiting adds up the tokens of items that no worker has finished. Only open lots
-// are walked: finished ones are kept for minutes, and hand-ins come in bursts.
+// Waiting adds up the tokens of items that no worker has finished. Only open jobs
+// are walked: finished ones are kept for minutes, and submissions come in bursts.
 func (b *JobTable) Waiting(belongs func(job *Job) bool) int64 {
 	total := int64(0)
 	for _, job := range b.openJobs() {
@@ -172,5 +172,5 @@
 	return total
 }
 
-// Item gives an item of a lot, or nil.
+// Item gives an item of a job, or nil.
 func (l *Job) Item(id string) *Item { return l.itemByID[id] }
--- a/internal/batch/dispatch/older_test.go
+++ b/internal/batch/dispatch/older_test.go
@@ -6,7 +6,7 @@
 	"lemonarch/internal/platform/clock"
 )
 
-// A time of day that was stepped, here or where a lot was taken, ends nothing early.
+// A time of day that was stepped, here or where a job was taken, ends nothing early.
 func TestSteppedClocksEndNothing(t *testing.T) {
 	job := &Job{SubmittedMs: 1_000_000, KnownSince: ms(5000)}
 	timeout := clock.Duration(60_000_000_000)
--- a/internal/batch/dispatch/waiting_test.go
+++ b/internal/batch/dispatch/waiting_test.go
@@ -8,7 +8,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// slowWaiting walks every item of every lot: what Waiting must agree with.
+// slowWaiting walks every item of every job: what Waiting must agree with.
 func slowWaiting(jobs *JobTable, belongs func(job *Job) bool) int64 {
 	total := int64(0)
 	for _, job := range jobs.Jobs() {
@@ -34,7 +34,7 @@
 	return jobs.Job(id)
 }
 
-// Whatever lots go through, in any order, the short count is the slow one: on each
+// Whatever jobs go through, in any order, the short count is the slow one: on each
 // route alone, and on both.
 func TestWaitingAgreesWithTheSlowCount(t *testing.T) {
 	for seed := int64(1); seed <= 200; seed++ {
@@ -83,7 +83,7 @@
 	}
 }
 
-// benchBook has many finished lots and few open ones, as after some minutes.
+// benchBook has many finished jobs and few open ones, as after some minutes.
 func benchBook(b *testing.B) *JobTable {
 	jobs := NewJobTable()
 	for number := 0; number < 1200; number++ {
--- a/internal/batch/executor/runner.go
+++ b/internal/batch/executor/runner.go
@@ -55,8 +55,8 @@
 	return len(r.tasks), waiting
 }
 
-// Add adds what the dispatcher handed out to a question asked at a moment. The
-// lock is reckoned from the asking and the time that the question was held, so it
+// Add adds what the dispatcher handed out to a request asked at an instant. The
+// lock is reckoned from the asking and the time that the request was held, so it
 // ends here no later than at the dispatcher, however late the answer came.
 func (r *Runner) Add(resp *messages.AcquireResponse, sentAt, now clock.Instant) []*Task {
 	until := sentAt.Add(clock.Milliseconds(resp.WaitedMs + resp.LockMs)).Add(-constants.LockMargin)
@@ -88,8 +88,8 @@
 	return tasks
 }
 
-// Fence says that a holder of an epoch is told all that is held here: answers of
-// earlier holders that are still on their way are not taken any more.
+// Fence says that a leader of an epoch is told all that is held here: answers of
+// earlier leaders that are still on their way are not taken any more.
 func (r *Runner) Fence(epoch uint64) { r.fencedEpoch = max(r.fencedEpoch, epoch) }
 
 // Renewals asks for locks to run anew, in one message: of all that brings events, or
@@ -104,7 +104,7 @@
 	return entries
 }
 
-// HandleRenewals takes the verdicts on renewals that were asked at a moment, and names the
+// HandleRenewals takes the verdicts on renewals that were asked at an instant, and names the
 // runs that have to stop.
 func (r *Runner) HandleRenewals(entries []messages.Acknowledgement, verdicts []messages.AckVerdict, sentAt clock.Instant, lock clock.Duration) []*Task {
 	var stopped []*Task
@@ -124,7 +124,7 @@
 }
 
 // Lapsed names the runs whose lock is about to end unrenewed: they stop, so that
-// the next driver's run is the only one.
+// the next executor's run is the only one.
 func (r *Runner) Lapsed(now clock.Instant) []*Task {
 	var stopped []*Task
 	for _, task := range r.All() {
@@ -135,7 +135,7 @@
 	return stopped
 }
 
-// StopJob names the runs of a lot that has ended.
+// StopJob names the runs of a job that has ended.
 func (r *Runner) StopJob(jobID string) []*Task {
 	var stopped []*Task
 	for _, task := range r.All() {
--- a/internal/batch/executor/runner_test.go
+++ b/internal/batch/executor/runner_test.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// Once a later holder was told what is held here, an earlier one's answer is late.
+// Once a later leader was told what is held here, an earlier one's answer is late.
 func TestFence(t *testing.T) {
 	runner := New()
 	runner.Add(given(5<<40|1), ms(0), ms(100))
--- a/internal/batch/executorserver/acknowledge.go
+++ b/internal/batch/executorserver/acknowledge.go
@@ -15,7 +15,7 @@
 	defer s.lock.Unlock()
 	s.locks.renewing = false
 	if resp == nil {
-		// Asked again at once: the duty may have changed hands.
+		// Asked again at once: the leadership may have changed hands.
 		s.locks.renewedAt = 0
 		return
 	}
--- a/internal/batch/executorserver/executorserver.go
+++ b/internal/batch/executorserver/executorserver.go
@@ -160,11 +160,11 @@
 	s.lock.Lock()
 	s.stopRunsLocked(s.runner.Lapsed(now))
 	due := !s.locks.renewing && now.Sub(s.locks.renewedAt) >= s.locks.duration/constants.RenewalsPerLock
-	// A new holder is shown at once what we hold.
+	// A new leader is shown at once what we hold.
 	due = due || epoch > s.locks.reportedEpoch
 	var entries []messages.Acknowledgement
 	if due {
-		// With nothing to renew it still says that this driver is there.
+		// With nothing to renew it still says that this executor is there.
 		entries = s.runner.Renewals(now)
 		s.runner.Fence(epoch)
 		s.locks.reportedEpoch = max(s.locks.reportedEpoch, epoch)
@@ -187,7 +187,7 @@
 	}
 }
 
-// StopJob breaks off whatever runs of a lot.
+// StopJob breaks off whatever runs of a job.
 func (s *Server) StopJob(jobID string) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/batch/executorserver/place.go
+++ b/internal/batch/executorserver/place.go
@@ -15,8 +15,8 @@
 
 // workerOwnership is which workers this process places items at. Each worker is owned by
 // one store as far as the stores see each other: of those in its zone, else of
-// all, the one with the highest hash. So drivers need not agree on each place, and a
-// driver that sees few others owns more.
+// all, the one with the highest hash. So executors need not agree on each place, and a
+// executor that sees few others owns more.
 type workerOwnership struct {
 	at      clock.Instant
 	workers map[string]bool
@@ -74,14 +74,14 @@
 	return workers
 }
 
-// knownVersion is the version of the list of drivers that we have.
+// knownVersion is the version of the list of executors that we have.
 func (s *Server) knownVersion() uint64 {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.peers.version
 }
 
-// updateExecutors takes the dispatcher's list of drivers, which comes where it is new.
+// updateExecutors takes the dispatcher's list of executors, which comes where it is new.
 func (s *Server) updateExecutors(version uint64, executors []messages.ExecutorInfo, now clock.Instant) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -91,8 +91,8 @@
 	s.peers.at = now
 }
 
-// addExecutors adds the drivers on the dispatcher's list; false when it is old. The
-// dispatcher hears every driver twice a second, well before others take it for
+// addExecutors adds the executors on the dispatcher's list; false when it is old. The
+// dispatcher hears every executor twice a second, well before others take it for
 // silent.
 func (s *Server) addExecutors(stores map[string]string, now clock.Instant) bool {
 	s.lock.Lock()
--- a/internal/batch/executorserver/place_test.go
+++ b/internal/batch/executorserver/place_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Every worker has one owner, in its own zone where there is one, and a driver that
+// Every worker has one owner, in its own zone where there is one, and an executor that
 // goes away leaves only its own workers to others.
 func TestEveryWorkerHasOneOwner(t *testing.T) {
 	stores := map[string]string{"l1": "a", "l2": "a", "l3": "b", "l4": "b", "l5": "b"}
--- a/internal/batch/jobclient/jobclient.go
+++ b/internal/batch/jobclient/jobclient.go
@@ -1,4 +1,4 @@
-// Package jobclient is a client for lots: it hands them in, reads and follows them, and
+// Package jobclient is a client for jobs: it submits them , reads and follows them, and
 // ends them, by the calls that any edge node takes.
 package jobclient
 
@@ -17,11 +17,11 @@
 	"lemonarch/internal/platform/errs"
 )
 
-// The errors of calls on lots.
+// The errors of calls on jobs.
 var (
 	// ErrOutcomeUnknown: nothing clear came back; the call may be made again, elsewhere.
 	ErrOutcomeUnknown = errs.Define("no clear answer")
-	// ErrRejected: it is promised that nothing of the lot runs.
+	// ErrRejected: it is promised that nothing of the job runs.
 	ErrRejected = errs.Define("lot refused")
 	// ErrInvalidCall: the call will not be taken the next time either.
 	ErrInvalidCall = errs.Define("call not taken")
@@ -29,7 +29,7 @@
 	ErrCorruptResponse = errs.Define("answer spoilt")
 )
 
-// Item is one request of a lot.
+// Item is one request of a job.
 type Item struct {
 	ID      string            `json:"id"`
 	Path    string            `json:"path"`
@@ -38,7 +38,7 @@
 	Tokens  int64             `json:"tokens"`
 }
 
-// Lot is many requests that are handed in at once; at most 200.
+// Job is many requests that are submitted at once; at most 200.
 type Lot struct {
 	Requests []Item `json:"requests"`
 }
@@ -67,7 +67,7 @@
 type Client struct {
 	// Edges are addresses, host:port; the next is taken after a failure.
 	Edges []string
-	// Host is that of the lots' route.
+	// Host is that of the jobs' route.
 	Host string
 	turn int
 	// Transport may be replaced in tests.
@@ -124,7 +124,7 @@
 	return answer{got.StatusCode, output, clock.Milliseconds(max(seconds, 0) * 1000)}, nil
 }
 
-// HandIn sends a lot under its id until it is taken or the context ends. What may
+// HandIn sends a job under its id until it is taken or the context ends. What may
 // have been taken is sent again unchanged: the system takes it once.
 func (c *Client) HandIn(until contexts.Context, id, path string, job Lot) (tries int, err error) {
 	if len(job.Requests) == 0 || len(job.Requests) > constants.JobItemsMax {
@@ -157,7 +157,7 @@
 		}
 		if until.Err() != nil {
 			if maybe {
-				// One unclear answer is enough: nothing may be said of the lot.
+				// One unclear answer is enough: nothing may be said of the job.
 				return tries, ErrOutcomeUnknown.New("the lot may have been taken; the last try: " + err.Error())
 			}
 			return tries, err
@@ -188,7 +188,7 @@
 	return page, nil
 }
 
-// End ends a lot; calls may be repeated.
+// End ends a job; calls may be repeated.
 func (c *Client) End(until contexts.Context, id string) error {
 	got, err := c.call(until, http.MethodDelete, "/-/lots/"+url.PathEscape(id), nil, nil, constants.LotCallTime)
 	if err != nil {
@@ -221,7 +221,7 @@
 // Again tells whether a call may be made again.
 func Again(err error) bool { return errs.Is(err, ErrOutcomeUnknown) }
 
-// Follow reads a lot to its end and hands each page on; from is the first position.
+// Follow reads a job to its end and hands each page on; from is the first position.
 func (c *Client) Follow(until contexts.Context, id string, from int, each func(page *Page) error) error {
 	for cursor := from; ; {
 		page, err := c.Read(until, id, cursor, time.Second)
--- a/internal/batch/jobclient/jobclient_test.go
+++ b/internal/batch/jobclient/jobclient_test.go
@@ -50,7 +50,7 @@
 
 var oneItem = Lot{Requests: []Item{{ID: "i", Path: "/batch/1", Body: []byte{1, 2, 250}, Tokens: 3}}}
 
-// After an unclear answer the same lot goes to another node, unchanged.
+// After an unclear answer the same job goes to another node, unchanged.
 func TestHandInSendsTheSameElsewhere(t *testing.T) {
 	var first []byte
 	c, play := client(t,
--- a/internal/batch/leader/addmember.go
+++ b/internal/batch/leader/addmember.go
@@ -7,7 +7,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// addMember copies everything to a newcomer and begins to send it what is new; target is
+// addMember copies everything to a joiner and begins to send it what is new; target is
 // the index from which on its copy counts.
 func (t *Term) addMember(s replacement, i int, timeout *CopyDeadline) (target int64) {
 	from := t.CopyTo(s.in, i, timeout)
@@ -43,8 +43,8 @@
 	return t.records.replicator.MatchIndex(register.Identity(member)) >= index
 }
 
-// syncJoiners brings all newcomers in at the same time, and gives the swaps of those that
-// have everything; the others are sent nothing further. Once one is whole, the others have
+// syncJoiners brings all joiners in at the same time, and gives the swaps of those that
+// have everything; the others are sent nothing further. Once one is complete, the others have
 // as long again and a little more: a set that lacks one copy is nearer to whole than one
 // that lacks two, and what was copied to the others stays there.
 func (t *Term) syncJoiners(replacements []replacement) (complete []replacement) {
@@ -82,7 +82,7 @@
 	return complete
 }
 
-// changeSet copies everything to the newcomers, then counts their copies as well as
+// changeSet copies everything to the joiners, then counts their copies as well as
 // the old set's, then has the register name the new set.
 func (t *Term) changeSet(members []messages.Member, replacements []replacement) {
 	process := t.process
--- a/internal/batch/leader/addmember_test.go
+++ b/internal/batch/leader/addmember_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// Two newcomers of one time copy from two members, and nobody from the holder or
+// Two joiners of one time copy from two members, and nobody from the leader or
 // from a member that is far behind.
 func TestNewcomersShareNoSource(t *testing.T) {
 	term := lead(t, soleStore(t, simulation.NewDisk(12)), 1)
@@ -54,8 +54,8 @@
 	}
 }
 
-// A newcomer that answers but does not get on keeps another one out of the set only for
-// a while: the set is made whole by as much as can be.
+// A joiner that answers but does not get on keeps another one out of the set only for
+// a while: the set is made complete by as much as can be.
 func TestSlowNewcomerHoldsNobodyUp(t *testing.T) {
 	term := lead(t, soleStore(t, simulation.NewDisk(12)), 1)
 	freeCapacity := transport.NewMemoryNetwork()
--- a/internal/batch/leader/copy.go
+++ b/internal/batch/leader/copy.go
@@ -10,7 +10,7 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// CopyDeadline is the time that newcomers have to copy everything. It ends early for all of
+// CopyDeadline is the time that joiners have to copy everything. It ends early for all of
 // them when the others have waited long enough for the slowest.
 type CopyDeadline struct {
 	end    clock.Instant
@@ -23,9 +23,9 @@
 
 func (c *CopyDeadline) passed() bool { return c.closed.Load() || clock.Now() >= c.end }
 
-// CopyTo has a newcomer fetch what is durable from a member, and gives the index up
-// to which it has it. The holder's own link carries each new record to every store;
-// old ones need not take that way, and a wiped store has to be whole again soon.
+// CopyTo has a joiner fetch what is durable from a member, and gives the index up
+// to which it has it. The leader's own link carries each new record to every store;
+// old ones need not take that way, and a wiped store has to be complete again soon.
 func (t *Term) CopyTo(joiner messages.Member, i int, timeout *CopyDeadline) int64 {
 	identity := register.Identity(joiner)
 	last := int64(0)
@@ -51,7 +51,7 @@
 
 // caughtUp tells whether another round of copying is not worth it: little is lacking, or
 // hardly less than in the round before, since as much comes as is copied. Then only
-// the holder, which sends what is new as it comes, can bring the rest.
+// the leader, which sends what is new as it comes, can bring the rest.
 func caughtUp(lacking, before int64) bool {
 	return lacking <= constants.CopyGap || (before > 0 && lacking*4 > before*3)
 }
@@ -76,8 +76,8 @@
 }
 
 // source picks a member that has most of what is durable, other than this process
-// and the newcomer. What a store has synced under this epoch is what we have. place
-// tells newcomers of one time apart: they had better not share one source's link. The
+// and the joiner. What a store has synced under this epoch is what we have. place
+// tells joiners of one time apart: they had better not share one source's link. The
 // lock is held.
 func (t *Term) source(joiner messages.Member, i int) (*messages.Member, int64) {
 	best, own := int64(0), t.process.Node.Self.Address
--- a/internal/batch/leader/copy_test.go
+++ b/internal/batch/leader/copy_test.go
@@ -9,9 +9,9 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// A newcomer's copy ends also where records come as fast as they are copied: with a
+// A joiner's copy ends also where records come as fast as they are copied: with a
 // bound on the gap alone it went on until the time for the whole change was over,
-// and a second loss met a set that was not whole yet.
+// and a second loss met a set that was not complete yet.
 func TestCopyEndsThoughRecordsKeepComing(t *testing.T) {
 	for _, rate := range []float64{50, 250, 600, 1200} {
 		// Seconds for what is lacking, at a speed of records a second, and a round's own time.
@@ -35,8 +35,8 @@
 	}
 }
 
-// An order from a member that is cut off half way leaves the newcomer with a part
-// that counts, and the holder goes on from there.
+// An order from a member that is cut off half way leaves the joiner with a part
+// that counts, and the leader goes on from there.
 func TestCopyGoesOnFromTheHolder(t *testing.T) {
 	term := lead(t, soleStore(t, simulation.NewDisk(12)), 1)
 	if done := term.CopyTo(messages.Member{Name: "n", Address: "nowhere", Disk: "n"}, 0, NewCopyDeadline()); done != 0 {
--- a/internal/batch/leader/dispatch.go
+++ b/internal/batch/leader/dispatch.go
@@ -24,7 +24,7 @@
 	t.items.dispatcher = dispatcher
 }
 
-// terms says what a configuration means for a lot now. The lock is held while it is
+// terms says what a configuration means for a job now. The lock is held while it is
 // asked.
 func (t *Term) terms(config *routeconfig.Config) func(job *dispatch.Job) dispatch.JobTerms {
 	wall, now := clock.WallNanos()/1_000_000, clock.Now()
@@ -39,7 +39,7 @@
 	}
 }
 
-// Acquire hands items to a driver, waiting a little while there are none.
+// Acquire hands items to an executor, waiting a little while there are none.
 func (t *Term) Acquire(req *messages.AcquireRequest) *messages.AcquireResponse {
 	start := clock.Now()
 	if !t.waitServing(constants.AcquireWait) {
@@ -53,7 +53,7 @@
 			}
 			return ""
 		}}
-	// What it is handed must be known to a later holder before it has it.
+	// What it is handed must be known to a later leader before it has it.
 	t.lock.Lock()
 	entry := t.items.dispatcher.RegisterExecutor(options.Executor)
 	t.lock.Unlock()
@@ -62,7 +62,7 @@
 	}
 	for {
 		config, now := t.process.Node.Config(), clock.Now()
-		// A hold that ran out hands nothing out: the next holder counts on it.
+		// A hold that ran out hands nothing out: the next leader counts on it.
 		if config == nil || !t.process.Election.HoldsLease() || t.Closed() {
 			return &messages.AcquireResponse{NotLeader: true}
 		}
@@ -91,14 +91,14 @@
 	}
 }
 
-// itemsForExecutor writes acquisitions down for their driver. The lock is held.
+// itemsForExecutor writes acquisitions down for their executor. The lock is held.
 func (t *Term) itemsForExecutor(taken []*dispatch.Acquisition) *messages.AcquireResponse {
 	resp := &messages.AcquireResponse{LockMs: clock.ToMilliseconds(t.items.dispatcher.Lock)}
 	for _, acquisition := range taken {
 		item := acquisition.Item
 		resp.Items = append(resp.Items, messages.AcquiredItem{Number: acquisition.Number, Job: item.Job.ID, Host: item.Job.Host,
 			Path: item.Job.Path, SubmittedMs: item.Job.SubmittedMs, Item: item.JobItem, LastID: item.LastID,
-			// A driver in this process must not write behind what we keep.
+			// An executor in this process must not write behind what we keep.
 			Events: item.Events[:len(item.Events):len(item.Events)], Preempted: item.Preempted, Owed: item.OwedResume})
 		item.OwedResume = false
 	}
@@ -106,7 +106,7 @@
 }
 
 // Acknowledge takes a batch of acknowledgements. What needs a record is answered
-// once that is durable; what can't be known is repeated by the driver.
+// once that is durable; what can't be known is repeated by the executor.
 func (t *Term) Acknowledge(req *messages.AcknowledgeRequest) *messages.AcknowledgeResponse {
 	if !t.waitServing(constants.CallTimeout / 2) {
 		return &messages.AcknowledgeResponse{NotLeader: true}
@@ -145,13 +145,13 @@
 		resp.Verdicts = append(resp.Verdicts, verdict)
 	}
 	if !t.process.Election.HoldsLease() || t.Closed() {
-		// Another may hold the duty by now: what we say is old.
+		// Another may hold the leadership by now: what we say is old.
 		return &messages.AcknowledgeResponse{NotLeader: true}
 	}
 	return resp
 }
 
-// wakeExecutorsLocked wakes the drivers that wait for items. The lock is held.
+// wakeExecutorsLocked wakes the executors that wait for items. The lock is held.
 func (t *Term) wakeExecutorsLocked() {
 	close(t.items.available)
 	t.items.available = make(chan struct{})
--- a/internal/batch/leader/jobcalls.go
+++ b/internal/batch/leader/jobcalls.go
@@ -154,7 +154,7 @@
 	body, index := item.Body, job.Index
 	t.lock.Unlock()
 	if body == nil {
-		// It is listed, or its lot has ended: the body is still in the lot's record.
+		// It is listed, or its job has ended: the body is still in the job's record.
 		record, err := t.process.Log.Read(index)
 		if err != nil {
 			return refuse(http.StatusServiceUnavailable, "body can't be read now")
@@ -172,7 +172,7 @@
 	return &messages.JobCallResponse{Status: http.StatusOK, ContentType: "application/octet-stream", Body: body}
 }
 
-// endJob ends a lot for good.
+// endJob ends a job for good.
 func (t *Term) endJob(call *messages.JobCallRequest) *messages.JobCallResponse {
 	t.lock.Lock()
 	job := t.jobs.Job(call.Job)
@@ -195,7 +195,7 @@
 	return &messages.JobCallResponse{Status: http.StatusOK, Body: []byte("{}")}
 }
 
-// forget drops lots whose time is over, so that files can be rewritten.
+// forget drops jobs whose time is over, so that files can be rewritten.
 func (t *Term) forget() {
 	if !t.process.Election.HoldsLease() {
 		return
--- a/internal/batch/leader/jobjson_test.go
+++ b/internal/batch/leader/jobjson_test.go
@@ -10,7 +10,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// largeLot is a lot as clients send them: 48 KB with 30 items.
+// largeLot is a job as clients send them: 48 KB with 30 items.
 func largeLot(items int) *messages.JobCallRequest {
 	var text strings.Builder
 	text.WriteString(`{"requests":[`)
--- a/internal/batch/leader/lag.go
+++ b/internal/batch/leader/lag.go
@@ -6,8 +6,8 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// watchOwnLag gives the duty up when our own disk lags what the other stores sync by
-// far: reads of lots come from it, and a later takeover would have to wait for it.
+// watchOwnLag gives the leadership up when our own disk lags what the other stores sync by
+// far: reads of jobs come from it, and a later takeover would have to wait for it.
 // Records don't: they are durable with the fastest f+1.
 func (t *Term) watchOwnLag() {
 	own := register.Identity(t.process.Election.Member())
--- a/internal/batch/leader/latency.go
+++ b/internal/batch/leader/latency.go
@@ -8,7 +8,7 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// appendLatency follows, for the holder, how long each store takes over an order to append.
+// appendLatency follows, for the leader, how long each store takes over an order to append.
 type appendLatency struct {
 	means map[string]float64
 	count map[string]int
@@ -29,7 +29,7 @@
 }
 
 // behind tells whether a store's disk is far slower than the usual one of the
-// others. Its own disk answers a holder without a link in between, so a long time
+// others. Its own disk answers a leader without a link in between, so a long time
 // is the disk's.
 func (l *appendLatency) behind(identity string) bool {
 	var others []float64
--- a/internal/batch/leader/quota.go
+++ b/internal/batch/leader/quota.go
@@ -7,7 +7,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// quota knows what counts against a route beside the book: lots on their way to
+// quota knows what counts against a route beside the job table: jobs on their way to
 // the stores, and which route a place belongs to under the newest configuration.
 type quota struct {
 	pending map[string]pendingJob
@@ -15,23 +15,23 @@
 	routes  map[submitPath]*routeconfig.Route
 }
 
-// pendingJob is a lot that is not durable yet.
+// pendingJob is a job that is not durable yet.
 type pendingJob struct {
 	submitPath
 	tokens int64
 }
 
-// submitPath is where a lot was handed in.
+// submitPath is where a job was submitted.
 type submitPath struct{ host, path string }
 
-// submitPathsMax bounds the places remembered (ours): each lot may have a path of its own.
+// submitPathsMax bounds the places remembered (ours): each job may have a path of its own.
 const submitPathsMax = 4096
 
 func newQuota() quota {
 	return quota{pending: map[string]pendingJob{}, routes: map[submitPath]*routeconfig.Route{}}
 }
 
-// addPending notes a lot that was given to the stores.
+// addPending notes a job that was given to the stores.
 func (q *quota) addPending(call *messages.JobCallRequest, tokens int64) {
 	q.pending[call.Job] = pendingJob{submitPath{call.Host, call.Path}, tokens}
 }
@@ -49,7 +49,7 @@
 	return route
 }
 
-// waitingTokens adds up the tokens that wait on a route, lots on their way to the
+// waitingTokens adds up the tokens that wait on a route, jobs on their way to the
 // stores included. The lock is held.
 func (t *Term) waitingTokens(config *routeconfig.Config, route *routeconfig.Route) int64 {
 	total := t.jobs.Waiting(func(job *dispatch.Job) bool {
--- a/internal/batch/leader/quota_test.go
+++ b/internal/batch/leader/quota_test.go
@@ -9,7 +9,7 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// Lots on their way to the stores count against their own route only, and a place
+// Jobs on their way to the stores count against their own route only, and a place
 // is matched anew when the configuration changes.
 func TestQuotaOfEachRoute(t *testing.T) {
 	term := lead(t, soleStore(t, simulation.NewDisk(7)), 1)
--- a/internal/batch/leader/setpolicy_test.go
+++ b/internal/batch/leader/setpolicy_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// Repair takes no slow or silent store for a newcomer, and no member for gone that
+// Repair takes no slow or silent store for a joiner, and no member for gone that
 // still answers.
 func TestRepairChoosesAQuickStore(t *testing.T) {
 	process, network := soleStore(t, simulation.NewDisk(9)), transport.NewMemoryNetwork()
--- a/internal/batch/leader/sets.go
+++ b/internal/batch/leader/sets.go
@@ -51,7 +51,7 @@
 	replacements := []replacement{{out, *joiner}}
 	if out != nil && out.Name == joiner.Name {
 		// All that came back empty take their places in one change: each second in
-		// which one of them is not whole counts against the fault budget.
+		// which one of them is not complete counts against the fault budget.
 		replacements = replacements[:0]
 		for i := range members {
 			if resp := diskLost(members[i], entries, retired); resp != nil && members[i].Name != process.Node.Self.Name {
@@ -62,7 +62,7 @@
 	t.changeSet(members, replacements)
 }
 
-// replacement puts a newcomer into a member's place, or adds it where out is nil.
+// replacement puts a joiner into a member's place, or adds it where out is nil.
 type replacement struct {
 	out *messages.Member
 	in  messages.Member
--- a/internal/batch/leader/stop.go
+++ b/internal/batch/leader/stop.go
@@ -9,8 +9,8 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// stopJobRuns takes all acquisitions of a lot back whose end is decided, and tells the
-// drivers that hold some. The lock is held. A driver that can't be told learns it
+// stopJobRuns takes all acquisitions of a job back whose end is decided, and tells the
+// executors that hold some. The lock is held. An executor that can't be told learns it
 // when it renews, or stops when its lock ends.
 func (t *Term) stopJobRuns(job *dispatch.Job) {
 	var addresses []string
@@ -18,7 +18,7 @@
 		addresses = append(addresses, executor.Address)
 	}
 	if t.items.dispatcher.Uncertain(clock.Now()) {
-		// Earlier holders may have handed items of it to anybody.
+		// Earlier leaders may have handed items of it to anybody.
 		addresses = nil
 		for _, entry := range t.process.Node.Live(membership.RoleStore) {
 			addresses = append(addresses, entry.Address)
--- a/internal/batch/leader/submit.go
+++ b/internal/batch/leader/submit.go
@@ -4,7 +4,7 @@
 	"net/http"
 	"strings"
 
-	// Lots come in bursts of 50 and more a second, 48 KB each: the standard reader
+	// Jobs come in bursts of 50 and more a second, 48 KB each: the standard reader
 	// took 3.5 times as long over them.
 	"github.com/goccy/go-json"
 
@@ -14,7 +14,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// jobJSON is a lot as it is handed in.
+// jobJSON is a job as it is submitted.
 type jobJSON struct {
 	Requests []struct {
 		ID      string            `json:"id"`
@@ -25,7 +25,7 @@
 	} `json:"requests"`
 }
 
-// parseJob checks a lot; the reason says what is wrong with it.
+// parseJob checks a job; the reason says what is wrong with it.
 func parseJob(call *messages.JobCallRequest) (body *messages.JobBody, tokens int64, status int, reason string) {
 	lot := jobJSON{}
 	if err := json.Unmarshal(call.Body, &lot); err != nil {
@@ -56,7 +56,7 @@
 	return body, tokens, 0, ""
 }
 
-// submitJob takes a lot: checked, within the quota, and durable before it is told.
+// submitJob takes a job: checked, within the quota, and durable before it is told.
 func (t *Term) submitJob(call *messages.JobCallRequest) *messages.JobCallResponse {
 	accepted := &messages.JobCallResponse{Status: http.StatusAccepted, Body: []byte("{}")}
 	t.lock.Lock()
@@ -105,7 +105,7 @@
 	return t.awaitSubmitted(index, accepted)
 }
 
-// Expired tells whether the time in which a hand-in may be taken is over.
+// Expired tells whether the time in which a submission may be taken is over.
 func Expired(call *messages.JobCallRequest, now clock.Instant) bool {
 	return call.ExpiresAt > 0 && int64(now) >= call.ExpiresAt
 }
--- a/internal/batch/leader/submit_test.go
+++ b/internal/batch/leader/submit_test.go
@@ -10,8 +10,8 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// Calls of many nodes race for the last room: the quota is never passed, and a lot
-// that comes over several nodes at once is one lot.
+// Calls of many nodes race for the last room: the quota is never passed, and a job
+// that comes over several nodes at once is one job.
 func TestQuotaUnderRaces(t *testing.T) {
 	term := lead(t, soleStore(t, simulation.NewDisk(1)), 1)
 	var group sync.WaitGroup
@@ -32,7 +32,7 @@
 	if statuses[202] < 3 || statuses[202] > 6 || statuses[202]+statuses[429] != 24 || len(term.jobs.Jobs()) != 3 {
 		t.Fatal(statuses, len(term.jobs.Jobs()))
 	}
-	// Resent to whoever holds the lots later, a taken lot is still taken.
+	// Resent to whoever holds the jobs later, a taken job is still taken.
 	taken := term.jobs.Jobs()[0].ID
 	term.Close("another takes over")
 	next := lead(t, term.process, 2)
@@ -41,8 +41,8 @@
 	}
 }
 
-// A lot is ended while its duty changes hands: once the end was told, no later
-// holder runs any of it, and what was listed stays.
+// A job is ended while its leadership changes hands: once the end was told, no later
+// leader runs any of it, and what was listed stays.
 func TestCancelDuringHandOver(t *testing.T) {
 	disk := simulation.NewDisk(2)
 	term := lead(t, soleStore(t, disk), 1)
@@ -113,7 +113,7 @@
 	}
 }
 
-// What has outlived its time is not taken, even where it fits; a lot that stands
+// What has outlived its time is not taken, even where it fits; a job that stands
 // already is told so all the same.
 func TestHandInIsNotTakenAfterItsTime(t *testing.T) {
 	term := lead(t, soleStore(t, simulation.NewDisk(6)), 1)
--- a/internal/batch/leader/takeover.go
+++ b/internal/batch/leader/takeover.go
@@ -144,7 +144,7 @@
 	return true
 }
 
-// rebuild makes the book from all records. The lock is held.
+// rebuild makes the job table from all records. The lock is held.
 func (t *Term) rebuild() error {
 	jobs, err := t.process.Log.Jobs()
 	if err != nil {
@@ -158,15 +158,15 @@
 }
 
 // Resign frees the hold and tells the other stores, so that one of them takes the
-// duty at once.
+// leadership at once.
 func (t *Term) Resign() {
 	t.process.Election.ReleaseLease()
 	announcement := &messages.LeaderAnnouncement{Leadership: t.leadership, Resigned: true}
 	t.process.Node.Multicast(t.process.Node.Live(membership.RoleStore), messages.KindLeaderAnnouncement, announcement, constants.LeaseRenewPeriod, nil)
 }
 
-// announce makes known who holds the duty: to stores each time, since one that does not hear
-// it for a hold's length asks for the duty; to the gateways in view while it is news, and
+// announce makes known who holds the leadership: to stores each time, since one that does not hear
+// it for a hold's length asks for the leadership; to the gateways in view while it is news, and
 // then now and then. Whoever was missed learns it by asking any store.
 func (t *Term) announce() {
 	if !t.process.Election.HoldsLease() {
--- a/internal/batch/outputcodec/outputcodec.go
+++ b/internal/batch/outputcodec/outputcodec.go
@@ -22,7 +22,7 @@
 	writer *flate.Writer
 }
 
-// Compress compresses an output where its run ended: its text goes over the holder's link
+// Compress compresses an output where its run ended: its text goes over the leader's link
 // once to it and once from it to each store, and between zones. Symbols alone are
 // weighed, which costs little of a small processor. What gets no smaller stays as it is.
 func Compress(output []byte) (body []byte, compressed bool) {
--- a/internal/batch/replicalog/golden_test.go
+++ b/internal/batch/replicalog/golden_test.go
@@ -10,7 +10,7 @@
 	"lemonarch/internal/platform/recordlog"
 )
 
-// goldenRecords are the records of the golden files, of two epochs: one lot that is open,
+// goldenRecords are the records of the golden files, of two epochs: one job that is open,
 // and one that was forgotten.
 var goldenRecords = []messages.Record{
 	{Index: 1, Epoch: 4, Kind: messages.RecordJob, Job: "old", AtMs: 1_700_000_000_000, Route: "r", Host: "h", Body: []byte("lot old")},
--- a/internal/batch/replicalog/log.go
+++ b/internal/batch/replicalog/log.go
@@ -93,7 +93,7 @@
 	return offsets, ErrCorrupt.Wrap(err, "append")
 }
 
-// Fence takes a new holder's epoch.
+// Fence takes a new leader's epoch.
 func (l *Log) Fence(req *messages.FenceRequest) (messages.FenceResponse, error) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -135,7 +135,7 @@
 		l.replica.Commit(plan, req.Epoch, offsets[hashes:])
 		l.base.Store(l.replica.Base().Index)
 	}
-	// Behind what joins on to the holder's records there may be a tail of an earlier one.
+	// Behind what joins on to the leader's records there may be a tail of an earlier one.
 	l.commitIndex = max(l.commitIndex, min(req.CommitIndex, resp.Last))
 	return resp, nil
 }
--- a/internal/batch/replicalog/read.go
+++ b/internal/batch/replicalog/read.go
@@ -20,7 +20,7 @@
 	}
 	slot, found := l.replica.EntryAt(index)
 	if !found {
-		// It was compacted away: its lot was forgotten.
+		// It was compacted away: its job was forgotten.
 		return &messages.Record{Index: index, Epoch: l.replica.EpochAt(index)}, nil
 	}
 	body, err := l.file.ReadAt(slot.Offset)
@@ -34,7 +34,7 @@
 	return &record.Entry, nil
 }
 
-// Fetch gives a stretch of records. A copy that is not whole is no source.
+// Fetch gives a stretch of records. A copy that is not complete is no source.
 func (l *Log) Fetch(req *messages.FetchRequest) (*messages.FetchResponse, error) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -63,7 +63,7 @@
 	return resp, nil
 }
 
-// Jobs makes the book of lots from all records.
+// Jobs makes the job table of jobs from all records.
 func (l *Log) Jobs() (*dispatch.JobTable, error) {
 	forgotten := map[string]int64{}
 	var records []*messages.Record
@@ -105,7 +105,7 @@
 // Compacted is the index up to which the records are compacted.
 func (l *Log) Compacted() int64 { return l.base.Load() }
 
-// Extent gives what a holder compares.
+// Extent gives what a leader compares.
 func (l *Log) Extent() replication.LogExtent {
 	l.lock.Lock()
 	defer l.lock.Unlock()
--- a/internal/batch/replicalog/replay_test.go
+++ b/internal/batch/replicalog/replay_test.go
@@ -21,7 +21,7 @@
 	return disk, refuse
 }
 
-// recordsOf makes records of one lot's output each, under one epoch.
+// recordsOf makes records of one job's output each, under one epoch.
 func recordsOf(epoch uint64, first, last int64) (records []messages.Record) {
 	for index := first; index <= last; index++ {
 		records = append(records, messages.Record{Index: index, Epoch: epoch, Kind: messages.RecordOutput, Job: fmt.Sprint("l", index), Item: "i"})
@@ -76,7 +76,7 @@
 	}
 }
 
-// A tail that an earlier holder left is not durable, though the holder of now says
+// A tail that an earlier leader left is not durable, though the leader of now says
 // that so many records are: what a record says there must not be acted on.
 func TestStaleTailIsNotDurable(t *testing.T) {
 	store, err := Open(simulation.NewDisk(1), "d")
@@ -91,7 +91,7 @@
 }
 
 // A raise whose sync failed is not granted at the second try without a sync: after a
-// loss of power the earlier holder could write here again.
+// loss of power the earlier leader could write here again.
 func TestRaiseIsSyncedBeforeItIsGranted(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
 		disk, refuse := refusing(seed)
--- a/internal/batch/replication/append.go
+++ b/internal/batch/replication/append.go
@@ -26,7 +26,7 @@
 		joins = r.planFollowing(req, &plan)
 	}
 	if !joins {
-		// The records do not join on to ours: the holder has to go further back.
+		// The records do not join on to ours: the leader has to go further back.
 		extent := r.Extent()
 		resp.EpochRanges, resp.Base = extent.EpochRanges, extent.Base
 		return AppendPlan{}, resp
@@ -61,7 +61,7 @@
 }
 
 // planCompacted plans a part of a compacted copy. Parts of two copies with different
-// bases never mix: one may lack a lot that the other still speaks of.
+// bases never mix: one may lack a job that the other still speaks of.
 func (r *Replica) planCompacted(req *messages.AppendRequest, plan *AppendPlan) bool {
 	base := Base{req.Base, req.BaseEpoch}
 	switch {
--- a/internal/batch/replication/compaction.go
+++ b/internal/batch/replication/compaction.go
@@ -2,7 +2,7 @@
 
 import "lemonarch/internal/platform/messages"
 
-// forgottenAt tells at which index each lot was forgotten last, up to an index.
+// forgottenAt tells at which index each job was forgotten last, up to an index.
 func (r *Replica) forgottenAt(upTo int64) map[string]int64 {
 	forgotten := map[string]int64{}
 	r.Each(1, func(slot IndexEntry) bool {
@@ -14,7 +14,7 @@
 	return forgotten
 }
 
-// acquisitionsKnownEpoch is the latest epoch, up to an index, whose holder knew that no acquisition
+// acquisitionsKnownEpoch is the latest epoch, up to an index, whose leader knew that no acquisition
 // of an earlier one stands.
 func (r *Replica) acquisitionsKnownEpoch(upTo int64) uint64 {
 	epoch := uint64(0)
@@ -28,7 +28,7 @@
 }
 
 // Obsolete gives the test of which records say nothing any more once all up to an index
-// are durable: those of forgotten lots, the word that forgot them included, of drivers
+// are durable: those of forgotten jobs, the word that forgot them included, of executors
 // that hold nothing, and those without a content.
 func (r *Replica) Obsolete(upTo int64) func(slot IndexEntry) bool {
 	forgotten, sure := r.forgottenAt(upTo), r.acquisitionsKnownEpoch(upTo)
--- a/internal/batch/replication/extent.go
+++ b/internal/batch/replication/extent.go
@@ -28,7 +28,7 @@
 }
 
 // CommonIndex gives the last index up to which two copies are the same. Records of one
-// epoch come from one holder in one order, so equal epochs at an index mean equal
+// epoch come from one leader in one order, so equal epochs at an index mean equal
 // records up to it. A compacted copy has nothing in common with one that ends before
 // its base: what it dropped can't be sent any more, so that one is copied anew.
 func CommonIndex(left, right LogExtent) int64 {
--- a/internal/batch/replication/lag.go
+++ b/internal/batch/replication/lag.go
@@ -2,7 +2,7 @@
 
 import "lemonarch/internal/platform/clock"
 
-// ReplicaLag follows how long a holder's own store takes to sync what the others have.
+// ReplicaLag follows how long a leader's own store takes to sync what the others have.
 type ReplicaLag struct {
 	target int64
 	since  clock.Instant
--- a/internal/batch/replication/replica.go
+++ b/internal/batch/replication/replica.go
@@ -39,7 +39,7 @@
 	Epoch uint64
 }
 
-// Replica is one store's copy of the records, in the order the holders gave them.
+// Replica is one store's copy of the records, in the order the leaders gave them.
 // Its caller syncs what a step returns before it answers.
 type Replica struct {
 	Disk        string
@@ -97,7 +97,7 @@
 }
 
 // EpochAt gives the epoch of a record; index 0 stands before all. Up to the base all
-// records count as the base's: which holder wrote them is of no use any more.
+// records count as the base's: which leader wrote them is of no use any more.
 func (r *Replica) EpochAt(index int64) uint64 {
 	switch {
 	case index < 1 || index > r.Last():
@@ -139,7 +139,7 @@
 	return extent
 }
 
-// Fence answers a new holder; keep says that the fence must be synced before that, and
+// Fence answers a new leader; keep says that the fence must be synced before that, and
 // then set. It is not set here: where the sync fails, a second try has to sync it too.
 func (r *Replica) Fence(req *messages.FenceRequest) (resp messages.FenceResponse, keep bool) {
 	resp = messages.FenceResponse{Epoch: r.fencedEpoch}
--- a/internal/batch/replication/replication_test.go
+++ b/internal/batch/replication/replication_test.go
@@ -38,7 +38,7 @@
 }
 
 // Common is exactly the length of the shared beginning of two copies that one
-// holder each epoch wrote.
+// leader each epoch wrote.
 func TestCommon(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(3))
 	properties.Property("common", prop.ForAll(func(shared, left, right []bool) bool {
--- a/internal/batch/replication/replicator.go
+++ b/internal/batch/replication/replicator.go
@@ -7,7 +7,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Replicator follows, for the holder of an epoch, how far each store has synced, and
+// Replicator follows, for the leader of an epoch, how far each store has synced, and
 // so what is durable.
 type Replicator struct {
 	Epoch   uint64
@@ -27,7 +27,7 @@
 	return &Replicator{Epoch: epoch, Members: members, budget: budget, matchIndex: map[string]int64{}, first: first, last: first - 1}
 }
 
-// NextIndex counts a record that the holder has made.
+// NextIndex counts a record that the leader has made.
 func (p *Replicator) NextIndex() int64 {
 	p.last++
 	return p.last
--- a/internal/batch/replication/takeover.go
+++ b/internal/batch/replication/takeover.go
@@ -10,8 +10,8 @@
 	return epochRanges[len(epochRanges)-1].Epoch
 }
 
-// EnoughFenced tells whether a new holder has raised its epoch at enough stores: all
-// but the fault budget, so that the old holder reaches too few and every record
+// EnoughFenced tells whether a new leader has raised its epoch at enough stores: all
+// but the fault budget, so that the old leader reaches too few and every record
 // that was told is among what was read.
 func EnoughFenced(members, granted, budget int) bool {
 	return granted >= members-min(budget, members-1)
@@ -21,7 +21,7 @@
 func CopiesNeeded(members, budget int) int { return min(budget+1, members) }
 
 // BestCopy picks the copy to go on from: the one whose last record has the highest
-// epoch, and among those the longest. One that is not whole is no copy: what it lacks is
+// epoch, and among those the longest. One that is not complete is no copy: what it lacks is
 // durable, so another one has it.
 func BestCopy(copies map[string]messages.FenceResponse) string {
 	best := ""
--- a/internal/batch/store/budget_test.go
+++ b/internal/batch/store/budget_test.go
@@ -56,7 +56,7 @@
 	return messages.Member{}
 }
 
-// untilTold runs until the holder has told one more result: the fault that follows
+// untilTold runs until the leader has told one more result: the fault that follows
 // strikes right after an acknowledgement.
 func (s *simFleet) untilTold() {
 	before := s.tellings
--- a/internal/batch/store/copy_test.go
+++ b/internal/batch/store/copy_test.go
@@ -10,8 +10,8 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// A newcomer gets what is durable from a member, and no frame of it from the
-// holder; a member that came back with another disk is no source.
+// A joiner gets what is durable from a member, and no frame of it from the
+// leader; a member that came back with another disk is no source.
 func TestNewcomerCopiesFromAMember(t *testing.T) {
 	fleet := newRimFleet(t, 31)
 	for number := 0; number < 4; number++ {
@@ -34,7 +34,7 @@
 		t.Fatal(done, last, appended, durable)
 	}
 	// The same records, under the same epochs, as those of the members that have them;
-	// the holder's own disk may be one that is still behind what is durable.
+	// the leader's own disk may be one that is still behind what is durable.
 	inside := fleet.records()
 	for index := int64(1); index <= done; index++ {
 		left, _ := joiner.Log.Read(index)
--- a/internal/batch/store/displacement_test.go
+++ b/internal/batch/store/displacement_test.go
@@ -11,7 +11,7 @@
 	"lemonarch/internal/traffic/admission"
 )
 
-// simCluster is a fleet of stores with workers and benches: the holder's bench places
+// simCluster is a fleet of stores with workers and benches: the leader's bench places
 // items, three edge benches place live requests of rank 0, all on the same workers.
 type simCluster struct {
 	*simFleet
@@ -118,7 +118,7 @@
 	grant.End(result, s.world.Now)
 }
 
-// dispatch runs items of the present holder wherever its bench finds room.
+// dispatch runs items of the present leader wherever its bench finds room.
 func (s *simCluster) dispatch() {
 	defer s.world.After(clock.Milliseconds(10), s.dispatch)
 	holder := s.holder
--- a/internal/batch/store/driver_test.go
+++ b/internal/batch/store/driver_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// driven is a store that holds the lots, drives them, and has one worker.
+// driven is a store that holds the jobs, drives them, and has one worker.
 func driven(t *testing.T, seed int64) (*Server, *standInWorker) {
 	worker := &standInWorker{tries: map[string]int{}, resumed: map[string]string{}, stuck: make(chan string, 9), dropped: make(chan string, 9)}
 	upstream := httptest.NewServer(worker)
@@ -108,7 +108,7 @@
 	return found
 }
 
-// What a driver acknowledges follows from the stream: the end is an ACCEPT, a cut a
+// What an executor acknowledges follows from the stream: the end is an ACCEPT, a cut a
 // RELEASE with the events so far, a 500 one that counts, a 422 a REJECT.
 func TestDriverDerivesAcknowledgements(t *testing.T) {
 	server, worker := driven(t, 11)
@@ -130,7 +130,7 @@
 	}
 }
 
-// The end of a lot breaks its runs off at once, and none begins again.
+// The end of a job breaks its runs off at once, and none begins again.
 func TestEndStopsRuns(t *testing.T) {
 	server, worker := driven(t, 12)
 	if resp := server.current().Serve(lotCallOf("stuck", 3)); resp.Status != 202 {
@@ -155,7 +155,7 @@
 			t.Fatal("runs go on after the end of their lot: ", count)
 		}
 	}
-	// The next lot is run to its end meanwhile; nothing of the ended one is.
+	// The next job is run to its end meanwhile; nothing of the ended one is.
 	if resp := server.current().Serve(lotCallOf("next", 2)); resp.Status != 202 {
 		t.Fatal(resp.Status)
 	}
--- a/internal/batch/store/history_test.go
+++ b/internal/batch/store/history_test.go
@@ -10,10 +10,10 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// lotsEach is how many lots come, end and are forgotten in each term of a history.
+// lotsEach is how many jobs come, end and are forgotten in each term of a history.
 const lotsEach = 4
 
-// cost is what a store takes to be whole again after a history of takeovers.
+// cost is what a store takes to be complete again after a history of takeovers.
 type cost struct {
 	records, bytes, file, slots int
 	span                        clock.Duration
@@ -29,7 +29,7 @@
 		slots: max(c.slots, other.slots), span: max(c.span, other.span)}
 }
 
-// term plays one term: a member takes the duty, lots are done and forgotten.
+// term plays one term: a member takes the leadership, jobs are done and forgotten.
 func (s *simFleet) term() {
 	if s.holder != nil {
 		// It learns from the register that its term is over.
@@ -58,8 +58,8 @@
 		file: int(bytes), slots: records, span: s.world.Now.Sub(start)}
 }
 
-// After hundreds of takeovers, and lots that were ended and forgotten, a store that was
-// away for all of them, or comes with an empty disk, is made whole with what counts now:
+// After hundreds of takeovers, and jobs that were ended and forgotten, a store that was
+// away for all of them, or comes with an empty disk, is made complete with what counts now:
 // records, bytes, time, file and memory are the same after 20 and after 400 changes.
 func TestCatchUpIsFlatInThePast(t *testing.T) {
 	measure := func(takeovers int, wipe bool) cost {
@@ -95,7 +95,7 @@
 		return took
 	}
 	for _, wipe := range []bool{false, true} {
-		// What there is grows up to each rewrite: the worst of some moments is compared.
+		// What there is grows up to each rewrite: the worst of some instants is compared.
 		worst := func(takeovers int) cost {
 			most := cost{}
 			for more := range 5 {
--- a/internal/batch/store/losses_test.go
+++ b/internal/batch/store/losses_test.go
@@ -14,15 +14,15 @@
 
 // The steps of a change of the store set at which a loss may strike.
 const (
-	// stepCopying: the newcomer has a part of the records.
+	// stepCopying: the joiner has a part of the records.
 	stepCopying = iota
-	// stepCopied: the newcomer has everything, and counts for nothing yet.
+	// stepCopied: the joiner has everything, and counts for nothing yet.
 	stepCopied
 	// stepBothSets: records need copies in both sets, and none has them yet.
 	stepBothSets
 	// stepDurable: the marker is durable in both sets; the register names the old one.
 	stepDurable
-	// stepNamed: the register names the new set, and the holder doesn't know it yet.
+	// stepNamed: the register names the new set, and the leader doesn't know it yet.
 	stepNamed
 	// stepSettled: whoever retired the machine was told that it is settled.
 	stepSettled
@@ -94,7 +94,7 @@
 }
 
 // victims draws the machines whose loss is the worst now: of the copier, the newest
-// member, the one that leaves and the holder, as many as the budget allows. One that is
+// member, the one that leaves and the leader, as many as the budget allows. One that is
 // settled is gone besides, with its disk.
 func (s *setChange) victims(step int) []string {
 	fleet := s.fleet
@@ -212,7 +212,7 @@
 }
 
 // Whatever the budget allows to be lost at whatever step of a change of the store set,
-// with or without disks, all that was told stands and another holder takes over.
+// with or without disks, all that was told stands and another leader takes over.
 // LEMONARCH_SEEDS sets the number of seeds.
 func TestSetChangesUnderWorstLosses(t *testing.T) {
 	seeds := int64(simulation.Seeds(200))
--- a/internal/batch/store/lots_test.go
+++ b/internal/batch/store/lots_test.go
@@ -10,7 +10,7 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// work hands lots in and lists their items, as a holder does.
+// work submits jobs  and lists their items, as a leader does.
 func (s *simFleet) work(rounds int) {
 	for round := 0; round < rounds; round++ {
 		holder := s.holder
@@ -61,7 +61,7 @@
 	s.test.Fatal("nobody could take over although the budget was kept")
 }
 
-// tryTakeovers lets live members ask for the duty in turn; false where none gets it.
+// tryTakeovers lets live members ask for the leadership in turn; false where none gets it.
 func (s *simFleet) tryTakeovers() bool {
 	names := s.live()
 	for try := 0; try < 12; try++ {
@@ -99,7 +99,7 @@
 	}
 }
 
-// swapBegin has the holder send everything to a newcomer.
+// swapBegin has the leader send everything to a joiner.
 func (s *simFleet) swapBegin(joiner messages.Member) {
 	if s.holder.next[register.Identity(joiner)] == 0 {
 		s.holder.next[register.Identity(joiner)] = 1
@@ -107,7 +107,7 @@
 	}
 }
 
-// swap replaces a member by another store, as the holder's changeSet does.
+// swap replaces a member by another store, as the leader's changeSet does.
 func (s *simFleet) swap(out, joiner messages.Member) {
 	holder := s.holder
 	var next []messages.Member
@@ -163,7 +163,7 @@
 				fleet.open(store)
 				fleet.swap(victim, store.member)
 			case 2:
-				// The holder is cut off and does not know that another took over.
+				// The leader is cut off and does not know that another took over.
 				if fleet.holder != nil {
 					cut := fleet.holder.at
 					var names []string
@@ -190,7 +190,7 @@
 					fleet.world.Isolate(cut, names, false)
 				}
 			case 3:
-				// A member is retired to the spare; the holder itself never is.
+				// A member is retired to the spare; the leader itself never is.
 				if victim.Address != fleet.holder.at {
 					for _, name := range []string{"s0", "s1", "s2", "s3"} {
 						spare := fleet.stores[name]
--- a/internal/batch/store/overload_test.go
+++ b/internal/batch/store/overload_test.go
@@ -9,7 +9,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// lot hands in a lot of items that really run.
+// job submits  a lot of items that really run.
 func (s *simCluster) lot(items int) bool {
 	holder := s.holder
 	if holder == nil || !holder.ready || s.stores[holder.at].down {
@@ -26,8 +26,8 @@
 	return true
 }
 
-// overload plays a burst of the high tier over running lots, while the holder
-// dies, its duty changes hands, a store is cut off and workers cut streams.
+// overload plays a burst of the high tier over running jobs, while the leader
+// dies, its leadership changes hands, a store is cut off and workers cut streams.
 func overload(t *testing.T, seed int64) *simCluster {
 	cluster := newCluster(t, seed)
 	cluster.world.Loss, cluster.world.Double = 0.03, 0.03
@@ -47,13 +47,13 @@
 	cluster.world.Run(cluster.world.Now.Add(clock.Milliseconds(500)))
 	victim := cluster.stores[cluster.holder.at]
 	if seed%2 == 0 {
-		// The holder's machine loses power in the middle of it.
+		// The leader's machine loses power in the middle of it.
 		victim.down = true
 		victim.disk.PowerLoss()
 		cluster.takeAny()
 		cluster.open(victim)
 	} else {
-		// The duty changes hands while its holder still runs.
+		// The leadership changes hands while its leader still runs.
 		cluster.takeAny()
 	}
 	other := cluster.set[cluster.world.Random.Intn(3)].Address
--- a/internal/batch/store/promise_test.go
+++ b/internal/batch/store/promise_test.go
@@ -30,7 +30,7 @@
 }
 
 // A question that was refused, or sent on, is never taken by its second copy,
-// whatever has changed in between; the same lot in a new question is.
+// whatever has changed in between; the same job in a new question is.
 func TestSecondCopyOfARefusedHandIn(t *testing.T) {
 	server := soleLeader(t, simulation.NewDisk(4), 1)
 	full := lotCallOf("full", 6)
@@ -53,7 +53,7 @@
 	if resp := put(t, server, late); resp.Status != 202 {
 		t.Fatal(resp.Status)
 	}
-	// Sent on by one that held nothing, then met by the same process as the holder.
+	// Sent on by one that held nothing, then met by the same process as the leader.
 	server.current().Close("another takes over")
 	moved := lotCallOf("moved", 2)
 	moved.RequestID = "f#4"
@@ -66,8 +66,8 @@
 	}
 }
 
-// Many copies of many questions race: each question has one outcome, and a lot
-// stands only if one of its questions was not refused.
+// Many copies of many requests race: each request has one outcome, and a job
+// stands only if one of its requests was not refused.
 func TestCopiesOfHandInsRace(t *testing.T) {
 	server := soleLeader(t, simulation.NewDisk(5), 1)
 	var group sync.WaitGroup
@@ -75,7 +75,7 @@
 	refused, taken := map[string]bool{}, map[string]bool{}
 	for number := 0; number < 60; number++ {
 		call := lotCallOf(fmt.Sprint("lot", number%10), 2)
-		// Six copies a lot make three questions of two copies.
+		// Six copies a job make three requests of two copies.
 		call.RequestID = fmt.Sprint(number%10, "/", number/20)
 		group.Add(1)
 		go func() {
--- a/internal/batch/store/rim_faults_test.go
+++ b/internal/batch/store/rim_faults_test.go
@@ -9,7 +9,7 @@
 )
 
 // The rim of real stores (campaign, term, feeding, set changes) over the transport
-// in memory and fake disks: the holder is cut off, killed, loses its disk, or is to
+// in memory and fake disks: the leader is cut off, killed, loses its disk, or is to
 // be emptied, in an order drawn from the seed. What was told holds after each.
 func TestRimOfStores(t *testing.T) {
 	for seed := int64(1); seed <= 2; seed++ {
--- a/internal/batch/store/rim_test.go
+++ b/internal/batch/store/rim_test.go
@@ -66,7 +66,7 @@
 }
 
 // rimFleet is five real stores on fake disks: the first three stores are drawn
-// from them, and they take the duty from each other.
+// from them, and they take the leadership from each other.
 type rimFleet struct {
 	test          *testing.T
 	random        *rand.Rand
@@ -170,7 +170,7 @@
 	}
 }
 
-// call asks one store after the other until one that holds the duty answers.
+// call asks one store after the other until one that holds the leadership answers.
 func (r *rimFleet) call(call *messages.JobCallRequest, want int) {
 	r.until(fmt.Sprint(call.Method, " ", call.Job, " answered by ", want), func() bool {
 		for _, server := range r.all() {
@@ -200,7 +200,7 @@
 	return found
 }
 
-// work hands a lot in, ends an older one, and looks for all that was told.
+// work hands a job in, ends an older one, and looks for all that was told.
 func (r *rimFleet) work() {
 	jobID := fmt.Sprint("lot", len(r.taken))
 	r.call(lotCallOf(jobID, 1), 202)
--- a/internal/batch/store/share_callers_test.go
+++ b/internal/batch/store/share_callers_test.go
@@ -11,13 +11,13 @@
 	"lemonarch/internal/tooling/linearize"
 )
 
-// callers record what clients of lots see: each call from its sending to its answer.
+// callers record what clients of jobs see: each call from its sending to its answer.
 type callers struct {
 	history linearize.History
 	count   int
 }
 
-// handedIn records a hand-in; told notes the 202.
+// handedIn records a submission; told notes the 202.
 func (s *shareCluster) handedIn(id string) (announcement func()) {
 	s.callers.count++
 	operation := s.callers.history.Begin(s.callers.count, linearize.LotCall{Kind: linearize.LotHandIn, Lot: id},
@@ -51,7 +51,7 @@
 	})
 }
 
-// page is what a holder that serves says of a lot.
+// page is what a leader that serves says of a job.
 func (s *shareCluster) page(holder *simHolder, call linearize.LotCall) linearize.LotReply {
 	job := holder.book.Job(call.Lot)
 	if job == nil {
@@ -64,7 +64,7 @@
 	return reply
 }
 
-// textOf is an output's text, from the holder's memory or its disk.
+// textOf is an output's text, from the leader's memory or its disk.
 func (s *shareCluster) textOf(holder *simHolder, listing dispatch.Listing) string {
 	if i := listing.Index - holder.first; i >= 0 && i < int64(len(holder.records)) {
 		return string(holder.records[i].Body)
@@ -83,7 +83,7 @@
 	}
 }
 
-// judge compares the last holder's book with all that was seen outside.
+// judge compares the last leader's book with all that was seen outside.
 func (s *shareCluster) judge(seed int64) {
 	var ids []string
 	for _, job := range s.holder.book.Jobs() {
--- a/internal/batch/store/share_driver_test.go
+++ b/internal/batch/store/share_driver_test.go
@@ -9,7 +9,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// simDriver is a driver node in a shareCluster: the real core, simulated messages and
+// simDriver is an executor node in a shareCluster: the real core, simulated messages and
 // workers.
 type simDriver struct {
 	cluster *shareCluster
--- a/internal/batch/store/share_sim_test.go
+++ b/internal/batch/store/share_sim_test.go
@@ -20,14 +20,14 @@
 	shareRetain = 25_000
 )
 
-// shareCluster is a fleet of stores whose holder dispatches items to drivers, on the
+// shareCluster is a fleet of stores whose leader dispatches items to executors, on the
 // same cores as the real one. Every clock has an offset and a rate of its own.
 type shareCluster struct {
 	*simFleet
 	drivers     map[string]*simDriver
 	dispatchers map[*simHolder]*dispatch.Dispatcher
 	ending      map[*simHolder]map[string]bool
-	// over says that a holder's hold has ended; no other is taken before.
+	// over says that a leader's hold has ended; no other is taken before.
 	over   map[*simHolder]bool
 	frozen map[string]bool
 	thawed map[string][]func()
@@ -89,7 +89,7 @@
 	}
 }
 
-// serving gives the dispatcher of a holder that may act, or nil.
+// serving gives the dispatcher of a leader that may act, or nil.
 func (s *shareCluster) serving(holder *simHolder) *dispatch.Dispatcher {
 	if holder == nil || holder != s.holder || !holder.ready || s.over[holder] || s.stores[holder.at].down || s.frozen[holder.at] {
 		return nil
@@ -106,13 +106,13 @@
 	return dispatcher
 }
 
-// terms gives lots up once they are older than retain-s; the wall clock is shared.
+// terms gives jobs up once they are older than retain-s; the wall clock is shared.
 func (s *shareCluster) terms(job *dispatch.Job) dispatch.JobTerms {
 	age := clock.ToMilliseconds(s.world.Now.Sub(s.sentAt[job.ID]))
 	return dispatch.JobTerms{Due: int64(s.sentAt[job.ID]), Overdue: age > 8000, Expired: age > shareRetain}
 }
 
-// tend is the holder's upkeep.
+// tend is the leader's upkeep.
 func (s *shareCluster) tend() {
 	defer s.world.After(clock.Milliseconds(50), s.tend)
 	if dispatcher := s.serving(s.holder); dispatcher != nil {
@@ -128,7 +128,7 @@
 	s.single()
 }
 
-// single checks that no two drivers believe that they hold one item.
+// single checks that no two executors believe that they hold one item.
 func (s *shareCluster) single() {
 	held := map[string]string{}
 	for _, name := range simulation.Keys(s.drivers) {
@@ -144,7 +144,7 @@
 	}
 }
 
-// lot hands in a lot; some of its items no worker can do.
+// job submits  a job; some of its items no worker can do.
 func (s *shareCluster) lot(items int) {
 	holder := s.holder
 	if s.serving(holder) == nil {
@@ -167,8 +167,8 @@
 	s.whenDurable(holder, index, 100, announcement)
 }
 
-// endJob ends a lot as the real holder does: nothing is acquired from the decision
-// on, drivers are told, and the end is acknowledged once it is durable.
+// endJob ends a job as the real leader does: nothing is acquired from the decision
+// on, executors are told, and the end is acknowledged once it is durable.
 func (s *shareCluster) endLot(id string) {
 	holder := s.holder
 	dispatcher := s.serving(holder)
@@ -194,7 +194,7 @@
 	})
 }
 
-// whenDurable goes on once a record is durable and the holder still serves.
+// whenDurable goes on once a record is durable and the leader still serves.
 func (s *shareCluster) whenDurable(holder *simHolder, index int64, tries int, function func()) {
 	switch {
 	case s.serving(holder) == nil || tries == 0:
--- a/internal/batch/store/share_test.go
+++ b/internal/batch/store/share_test.go
@@ -8,9 +8,9 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// share plays one seeded history: lots come and are ended while machines freeze, are
+// share plays one seeded history: jobs come and are ended while machines freeze, are
 // cut off, start anew, lose power or their disk, stores are slow, replies are lost,
-// and the duty changes hands in the middle of locks.
+// and the leadership changes submits  the middle of locks.
 func share(t *testing.T, seed int64) *shareCluster {
 	cluster := newShareCluster(t, seed)
 	cluster.world.Loss, cluster.world.Double = 0.06, 0.06
@@ -64,7 +64,7 @@
 	return cluster
 }
 
-// move lets the duty change hands in the middle of everything; all locks go on.
+// move lets the leadership change submits  the middle of everything; all locks go on.
 func (s *shareCluster) move() {
 	if s.holder != nil {
 		s.over[s.holder] = true
@@ -82,7 +82,7 @@
 	s.world.After(clock.Milliseconds(90), func() { s.slow(names, victim, times-1) })
 }
 
-// powerOrDisk takes a store's power or its whole disk, while another holds the duty.
+// powerOrDisk takes a store's power or its whole disk, while another holds the leadership.
 func (s *shareCluster) powerOrDisk(wipe bool, round int) {
 	victim := s.set[s.world.Random.Intn(len(s.set))]
 	store := s.stores[victim.Address]
@@ -104,7 +104,7 @@
 
 // Under any trouble an item has one live acquisition, one position and its whole
 // text; what was acknowledged stays; nothing is given up but on the four grounds;
-// nothing reaches a worker later than cancel-ms after the end of its lot; and all
+// nothing reaches a worker later than cancel-ms after the end of its job; and all
 // else is done in the end.
 func TestShareGroupUnderTrouble(t *testing.T) {
 	seeds := int64(60)
--- a/internal/batch/store/simulation_holder_test.go
+++ b/internal/batch/store/simulation_holder_test.go
@@ -114,7 +114,7 @@
 	})
 }
 
-// apply tells clients of what is durable; that binds every later holder.
+// apply tells clients of what is durable; that binds every later leader.
 func (s *simHolder) apply() {
 	s.ready = true
 	fleet := s.fleet
@@ -127,7 +127,7 @@
 		if record.Kind == messages.RecordForget {
 			fleet.gone[record.Job] = true
 		}
-		// An earlier holder that hears late of its copies tells nothing that binds of a lot
+		// An earlier leader that hears late of its copies tells nothing that binds of a job
 		// whose time was over meanwhile.
 		if record.Kind != messages.RecordOutput || fleet.dropped[record.Job] {
 			continue
--- a/internal/batch/store/simulation_test.go
+++ b/internal/batch/store/simulation_test.go
@@ -14,7 +14,7 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// simStore is a store on a fake disk; simHolder is the holder of one epoch, made
+// simStore is a store on a fake disk; simHolder is the leader of one epoch, made
 // of the same cores as the real one, driven by events instead of threads.
 type simStore struct {
 	member messages.Member
@@ -51,14 +51,14 @@
 	holder *simHolder
 	told   map[string]string
 	toldAt map[string]uint64
-	// tellings counts what was ever told; forgotten lots are no longer in told, and those
+	// tellings counts what was ever told; forgotten jobs are no longer in told, and those
 	// whose word of it is durable are in gone.
 	tellings int
 	gone     map[string]bool
 	number   int
 	// sent counts what each store was sent.
 	sent map[string]traffic
-	// dropped are the lots that some holder has begun to forget.
+	// dropped are the jobs that some leader has begun to forget.
 	dropped map[string]bool
 	// isolated are the machines that are cut off now.
 	isolated map[string]bool
@@ -99,7 +99,7 @@
 	ss.member.Disk = store.Disk()
 }
 
-// take makes a process the holder of a new epoch; the one before may not notice.
+// take makes a process the leader of a new epoch; the one before may not notice.
 func (s *simFleet) take(name string) {
 	s.epoch++
 	holder := &simHolder{fleet: s, at: name, epoch: s.epoch, next: map[string]int64{}, forgets: map[string]bool{}}
--- a/internal/batch/store/upkeep_test.go
+++ b/internal/batch/store/upkeep_test.go
@@ -12,7 +12,7 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// tidy rewrites files now and then, at a moment of each store's own. What it draws is its
+// tidy rewrites files now and then, at an instant of each store's own. What it draws is its
 // own, so that the rest of a seed's history doesn't hang on it.
 func (s *simFleet) tidy(random *rand.Rand) {
 	for _, name := range simulation.Keys(s.stores) {
@@ -25,7 +25,7 @@
 	s.world.After(clock.Milliseconds(200), func() { s.tidy(random) })
 }
 
-// forget drops lots that are done, as a holder does once their time is over; the newest
+// forget drops jobs that are done, as a leader does once their time is over; the newest
 // stay.
 func (s *simHolder) forget() {
 	const kept = 3
@@ -44,7 +44,7 @@
 	}
 }
 
-// check compares a holder's book with all that was ever told.
+// check compares a leader's book with all that was ever told.
 func (s *simFleet) check(holder *simHolder) {
 	for _, job := range holder.book.Jobs() {
 		if s.gone[job.ID] {
--- a/internal/control/broadcast/backlog.go
+++ b/internal/control/broadcast/backlog.go
@@ -12,7 +12,7 @@
 // Backlog is what processes still have to be told after a broadcast did not reach them:
 // by process, the configuration and the changes of workers that it has not confirmed.
 // A process leaves the backlog once it has confirmed everything, or once the directory
-// no longer holds its life (see Due).
+// no longer holds its incarnation (see Due).
 type Backlog struct {
 	nodes map[string]*undelivered
 	// added counts the calls of Add.
--- a/internal/control/broadcast/backlog_test.go
+++ b/internal/control/broadcast/backlog_test.go
@@ -20,7 +20,7 @@
 }
 
 // TestBacklogTellsUntilConfirmed: whoever has not confirmed everything is named, and is
-// told at least once in BacklogBackoffMax, until it confirms or its life leaves the
+// told at least once in BacklogBackoffMax, until it confirms or its incarnation leaves the
 // directory; a confirmation never covers what was added after its delivery was made.
 func TestBacklogTellsUntilConfirmed(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
@@ -28,7 +28,7 @@
 		lives, model := map[string]messages.NodeInfo{}, map[string]*owed{}
 		name := rapid.SampledFrom([]string{"p", "q", "r"})
 		var sent []broadcast.Delivery
-		// stale marks deliveries that were made before a later Add to their process.
+		// stale hashes deliveries that were made before a later Add to their process.
 		stale := map[int]bool{}
 		directory := func() (entries []messages.NodeInfo) {
 			for _, entry := range lives {
--- a/internal/control/broadcast/broadcast.go
+++ b/internal/control/broadcast/broadcast.go
@@ -32,7 +32,7 @@
 	Zone    string
 	// Pass holds the addresses to which the receiver passes the update on.
 	Pass []string
-	// Expect are the marks of those whom the sender knows in the zone.
+	// Expect are the hashes of those whom the sender knows in the zone.
 	Expect []uint32
 }
 
--- a/internal/control/broadcast/events.go
+++ b/internal/control/broadcast/events.go
@@ -108,7 +108,7 @@
 	return len(j.pending) == 0
 }
 
-// Missing gives the marks of those in touch that have not taken the update.
+// Missing gives the hashes of those in touch that have not taken the update.
 func (j *Tree) Missing() []uint32 {
 	var hashes []uint32
 	for hash := range j.missing {
--- a/internal/control/broadcast/fleet_test.go
+++ b/internal/control/broadcast/fleet_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// call carries a question and its answer, or fails after the span.
+// call carries a request and its answer, or fails after the duration.
 func (n *node) call(address string, req transport.Marshaler, timeout clock.Duration, done func(resp transport.Marshaler, failed bool)) {
 	there, ended := n.fleet.named[address], false
 	end := func(resp transport.Marshaler, failed bool) {
--- a/internal/control/configserver/sharedread.go
+++ b/internal/control/configserver/sharedread.go
@@ -8,7 +8,7 @@
 
 // sharedRead lets those that ask for the register at one time share a read: after a
 // loss of power the whole fleet asks at once. A read that was under way when somebody
-// came may be older than the question, so newcomers wait for the next one.
+// came may be older than the request, so joiners wait for the next one.
 type sharedRead struct {
 	lock sync.Mutex
 	next *sharedReadRound
--- a/internal/control/contact/contact.go
+++ b/internal/control/contact/contact.go
@@ -30,7 +30,7 @@
 // New gives a lease that was never renewed.
 func New() *Lease { return &Lease{renewed: map[string]clock.Instant{}} }
 
-// Observe takes the answer of an acceptor to a question that was sent at asked. It
+// Observe takes the response of an acceptor to a request that was sent at asked. It
 // reports whether the acceptor is ahead of what this process follows; such an answer
 // does not renew the lease.
 func (l *Lease) Observe(acceptor messages.Member, sentAt clock.Instant, accepted, followed Versions) (ahead bool) {
@@ -44,7 +44,7 @@
 	return false
 }
 
-// Valid tells whether majorities of all sets in force answered questions that were sent
+// Valid tells whether majorities of all sets in force answered requests that were sent
 // within the length of the lease.
 func (l *Lease) Valid(sets *messages.RegisterValue, now clock.Instant) bool {
 	if len(sets.Acceptors) == 0 {
--- a/internal/control/controller/budget_test.go
+++ b/internal/control/controller/budget_test.go
@@ -113,7 +113,7 @@
 }
 
 // Nothing is acknowledged while two losses could take it away and others are there
-// to join; once the set is whole, or nobody can make it so, it is.
+// to join; once the set is complete, or nobody can make it so, it is.
 func TestAcknowledgedOnlyInASetThatBearsTheBudget(t *testing.T) {
 	folder := t.TempDir()
 	controller, server := open(t, folder, true)
--- a/internal/control/controller/named_test.go
+++ b/internal/control/controller/named_test.go
@@ -47,7 +47,7 @@
 	return controller
 }
 
-// acquaint has all hear of all, as their beats would.
+// acquaint has all hear of all, as their heartbeats would.
 func acquaint(controllers map[int]*Controller) {
 	for _, controller := range controllers {
 		for _, other := range controllers {
--- a/internal/control/controller/plans_test.go
+++ b/internal/control/controller/plans_test.go
@@ -14,7 +14,7 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// asked puts a question to a controller as the transport would.
+// asked puts a request to a controller as the transport would.
 func asked(t *testing.T, controller *Controller, kind messages.Kind, req transport.Marshaler, resp transport.Unmarshaler) {
 	body, _ := req.MarshalMsg(nil)
 	text, err := controller.Node.Dispatch(kind, body)
--- a/internal/control/controller/recall_test.go
+++ b/internal/control/controller/recall_test.go
@@ -54,7 +54,7 @@
 	return controller
 }
 
-// lose ends a life as a loss of power does.
+// lose ends an incarnation as a loss of power does.
 func (p *power) lose(number int) {
 	controller := p.controllers[number]
 	if controller == nil {
--- a/internal/control/lease/lease.go
+++ b/internal/control/lease/lease.go
@@ -44,7 +44,7 @@
 		return resp
 	}
 	free := now >= g.until && now >= g.quietUntil
-	// A new life of the same process shows that the old one is over; an old life
+	// A new incarnation of the same process shows that the old one is over; an old incarnation
 	// that woke up gets nothing back.
 	same := g.holder == req.Candidate && req.Incarnation >= g.incarnation
 	restarted := inForce.Holder == req.Candidate && req.Incarnation >= inForce.Incarnation && g.holder == ""
@@ -78,7 +78,7 @@
 // Hold is the earlier name of Lease.
 type Hold = Lease
 
-// Renewed notes that a majority granted what was asked at a moment. The lease counts
+// Renewed notes that a majority granted what was asked at an instant. The lease counts
 // from the asking, and ends a margin early.
 func (l *Lease) Renewed(sentAt clock.Instant) {
 	end := sentAt.Add(constants.LeaseDuration - constants.LeaseSafetyMargin)
--- a/internal/control/membership/exchange.go
+++ b/internal/control/membership/exchange.go
@@ -22,7 +22,7 @@
 }
 
 // BriefReport is the owner's short report to a second controller: a sign of life, and
-// a question for what is new.
+// a request for what is new.
 func (v *View) BriefReport() *messages.Shuffle {
 	return &messages.Shuffle{Entries: []messages.NodeInfo{v.self}, Brief: true}
 }
@@ -104,7 +104,7 @@
 	return uint16(min(int64(age)/ageStep, messages.AgeUnknown))
 }
 
-// HandleReportResponse takes a controller's answer to a question.
+// HandleReportResponse takes a controller's answer to a request.
 func (v *View) HandleReportResponse(req, resp *messages.Shuffle, now clock.Instant) {
 	for i, hash := range req.KnownHashes {
 		if i >= len(resp.Ages) || resp.Ages[i] == messages.AgeUnknown {
--- a/internal/control/membership/membership.go
+++ b/internal/control/membership/membership.go
@@ -22,7 +22,7 @@
 
 type peer struct {
 	info messages.NodeInfo
-	// lastContact is the last sign of life of any kind, direct the last one to this process itself.
+	// lastContact is the last sign of incarnation of any kind, direct the last one to this process itself.
 	lastContact, lastDirect clock.Instant
 	change                  uint64
 	hash                    uint32
@@ -60,7 +60,7 @@
 // Self gives the owner's entry.
 func (v *View) Self() messages.NodeInfo { return v.self }
 
-// SetDraining marks the owner as going away.
+// SetDraining hashes the owner as going away.
 func (v *View) SetDraining() { v.self.Draining = true }
 
 // SetGeneration notes which configuration the owner follows.
@@ -94,7 +94,7 @@
 		known.lastContact, known.lastDirect = lastContact, 0
 		v.put(known, entry)
 	case entry.Incarnation == known.info.Incarnation:
-		// A life never stops leaving and never takes back a configuration.
+		// An incarnation never stops leaving and never takes back a configuration.
 		entry.Draining = entry.Draining || known.info.Draining
 		entry.Generation = max(entry.Generation, known.info.Generation)
 		known.lastContact = max(known.lastContact, lastContact)
@@ -181,7 +181,7 @@
 	return found
 }
 
-// reference is the moment from which silence counts. Most of what a process hears of
+// reference is the instant from which silence counts. Most of what a process hears of
 // others comes through controllers; while it hears none, it goes on with what it had.
 func (v *View) reference(now clock.Instant) clock.Instant {
 	if v.lastController > 0 && v.self.Role != RoleController && now.Sub(v.lastController) > constants.SuspectAfter {
--- a/internal/control/membership/table.go
+++ b/internal/control/membership/table.go
@@ -9,7 +9,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Hash is the short hash by which one life of a process is named between processes.
+// Hash is the short hash by which one incarnation of a process is named between processes.
 // One that leaves gets another mark, so that whoever knows it as staying is told.
 func Hash(entry messages.NodeInfo) uint32 {
 	sum := fnv.New32a()
@@ -62,7 +62,7 @@
 	return found
 }
 
-// ContactedSince gives the marks of the processes that reported to this one after a moment, and
+// ContactedSince gives the hashes of the processes that reported to this one after an instant, and
 // which of them do not follow the owner's configuration.
 func (v *View) ContactedSince(instant clock.Instant) (met, behind []uint32) {
 	for _, known := range v.peers {
--- a/internal/control/operatorapi/configuration.go
+++ b/internal/control/operatorapi/configuration.go
@@ -70,7 +70,7 @@
 	httpreply.Error(writer, status, why)
 }
 
-// refusal is the body of an answer to a configuration that is not valid.
+// refusal is the body of a response to a configuration that is not valid.
 type refusal struct {
 	Error    string   `json:"error"`
 	Findings []string `json:"findings"`
--- a/internal/control/register/acceptor.go
+++ b/internal/control/register/acceptor.go
@@ -30,7 +30,7 @@
 func (a *Acceptor) Prepare(req *messages.PrepareRequest) (resp messages.PrepareResponse, keep bool) {
 	resp = messages.PrepareResponse{Promised: a.state.Promised, Accepted: a.state.Accepted, Value: a.Value()}
 	// A call for another disk identity is for a member that this machine no
-	// longer is: an amnesiac must not vote under its old name.
+	// longer is: an acceptor that forgot its promises must not vote under its old name.
 	if req.Disk != a.state.Disk {
 		return messages.PrepareResponse{Value: a.Value()}, false
 	}
--- a/internal/control/register/archive.go
+++ b/internal/control/register/archive.go
@@ -67,7 +67,7 @@
 }
 
 // Extend follows a value that the acceptor is about to accept. It gives the chunk
-// to be written down, if any, and tells whether the archive is whole then.
+// to be written down, if any, and tells whether the archive is complete then.
 func (a *Archive) Extend(value *messages.RegisterValue, day int64) (added *messages.ArchiveChunk, complete bool) {
 	if a.Covers(value.Archive) {
 		return nil, true
--- a/internal/control/register/proposal.go
+++ b/internal/control/register/proposal.go
@@ -9,7 +9,7 @@
 const (
 	// VerdictWrite: write the value that was returned.
 	VerdictWrite Verdict = iota
-	// VerdictUnchanged: nothing to write, the value as shown answers the question.
+	// VerdictUnchanged: nothing to write, the value as shown answers the request.
 	VerdictUnchanged
 )
 
@@ -80,7 +80,7 @@
 // Value is the value that is now in force, once done.
 func (p *Proposal) Value() messages.RegisterValue { return p.next }
 
-// HandlePrepareResponse takes an answer to the first round.
+// HandlePrepareResponse takes a response to the first round.
 func (p *Proposal) HandlePrepareResponse(member messages.Member, resp messages.PrepareResponse) []Send {
 	if p.stage != StagePrepare {
 		return nil
@@ -174,7 +174,7 @@
 // it finished the change of another, and its own has to be proposed again.
 func (p *Proposal) FinishedOther() bool { return p.finishedOther }
 
-// HandleAcceptResponse takes an answer to the second round.
+// HandleAcceptResponse takes a response to the second round.
 func (p *Proposal) HandleAcceptResponse(member messages.Member, resp messages.AcceptResponse) {
 	if p.stage != StageAccept {
 		return
--- a/internal/control/register/register_test.go
+++ b/internal/control/register/register_test.go
@@ -82,7 +82,7 @@
 func (f *fleet) restart(name string) {
 	node := f.controllers[name]
 	node.live, node.down = register.NewAcceptor(node.disk), false
-	// A new life knows what its disk says, and nothing of what it proposed.
+	// A new incarnation knows what its disk says, and nothing of what it proposed.
 	node.counter = 0
 	node.life++
 	node.known, node.chosen = node.live.Value(), false
--- a/internal/control/register/tend.go
+++ b/internal/control/register/tend.go
@@ -13,7 +13,7 @@
 	Votes bool
 	// Size is how many members bear the loss of the fault budget (2f + 1).
 	Size int
-	// JointRecent says that a joint set has stood for a short time only: the newcomer, who
+	// JointRecent says that a joint set has stood for a short time only: the joiner, who
 	// proposed it, ends it, and others stay out of its way.
 	JointRecent bool
 	// Diskless says of a member that it has no disk, and Gone that it was silent for
--- a/internal/control/register/trouble_test.go
+++ b/internal/control/register/trouble_test.go
@@ -60,7 +60,7 @@
 }
 
 // A value stands on a and b; a loses its disk; then b and c lose power. The
-// amnesiac must neither vote in its old place nor make anybody forget.
+// acceptor that forgot its promises must neither vote in its old place nor make anybody forget.
 func TestAmnesia(t *testing.T) {
 	fleet := newFleet(t, 3, "a", "b", "c")
 	fleet.world.Isolate("c", []string{"a", "b"}, true)
--- a/internal/control/register/worst_test.go
+++ b/internal/control/register/worst_test.go
@@ -11,7 +11,7 @@
 )
 
 // worst is a fleet that loses one machine for good and the second at the worst step of
-// the repair: the moment at which a change of the set was chosen.
+// the repair: the instant at which a change of the set was chosen.
 type worst struct {
 	*grown
 	// armed says that the second loss is still to come; epoch is the set's before.
--- a/internal/control/registerserver/archive.go
+++ b/internal/control/registerserver/archive.go
@@ -106,7 +106,7 @@
 	return a.core.Lookup(req)
 }
 
-// completeFor tells whether the archive is whole once the value is accepted.
+// completeFor tells whether the archive is complete once the value is accepted.
 func (a *archive) completeFor(value *messages.RegisterValue) bool {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -176,7 +176,7 @@
 	return false
 }
 
-// requestArchive puts a question to one acceptor; nil where no answer comes.
+// requestArchive puts a request to one acceptor; nil where no answer comes.
 func (r *Replica) requestArchive(member messages.Member, req *messages.ArchiveRequest) *messages.ArchiveResponse {
 	resp := &messages.PrepareResponse{}
 	kind, message := r.prepareMessage(&messages.PrepareRequest{Disk: member.Disk, Query: true, WithoutBody: true, Archive: req})
--- a/internal/control/registerserver/catchup_test.go
+++ b/internal/control/registerserver/catchup_test.go
@@ -114,7 +114,7 @@
 	c.taken = append(c.taken, version)
 }
 
-// heard is how many bytes of questions and answers came to a member.
+// heard is how many bytes of requests and answers came to a member.
 func (c *cluster) heard(name string) int64 {
 	total := int64(0)
 	for _, reading := range c.members[name].wire.Meter().Samples() {
--- a/internal/control/workers/table.go
+++ b/internal/control/workers/table.go
@@ -12,7 +12,7 @@
 
 // Hash is the short hash by which a worker is named where its id is known to both
 // sides. Two workers with one mark, a chance of one in 20,000 at 600 workers, only
-// vouch for each other's beats.
+// vouch for each other's heartbeats.
 func Hash(id string) uint32 {
 	sum := fnv.New32a()
 	_, _ = sum.Write([]byte(id))
@@ -53,7 +53,7 @@
 	delete(r.overdue, Hash(id))
 }
 
-// Digest stands for the table: its versions, not its beats.
+// Digest stands for the table: its versions, not its heartbeats.
 func (r *Registry) Digest(incarnation int64) messages.Digest {
 	return messages.Digest{Incarnation: incarnation, Clock: r.version, Sum: r.sum, Count: len(r.entries)}
 }
@@ -84,7 +84,7 @@
 	return r.Merge(worker, now)
 }
 
-// HeartbeatsSince gives the marks of the workers whose calls were taken here after a
+// HeartbeatsSince gives the hashes of the workers whose calls were taken here after a
 // moment.
 func (r *Registry) HeartbeatsSince(instant clock.Instant) []uint32 {
 	var hashes []uint32
@@ -106,7 +106,7 @@
 	}
 }
 
-// Overdue lists the steady workers that missed several beats, with their ages.
+// Overdue lists the steady workers that missed several heartbeats, with their ages.
 func (r *Registry) Overdue(now clock.Instant) []messages.Overdue {
 	var found []messages.Overdue
 	for id, entry := range r.entries {
@@ -120,7 +120,7 @@
 }
 
 // ApplyOverdue takes a controller's list of all silent workers: whoever is not on it has
-// beaten within the beats that may be missed. Of two words on one worker the younger
+// beaten within the heartbeats that may be missed. Of two words on one worker the younger
 // counts.
 func (r *Registry) ApplyOverdue(list []messages.Overdue, now clock.Instant) {
 	next := map[uint32]bool{}
--- a/internal/control/workers/table_test.go
+++ b/internal/control/workers/table_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// A gateway that hears controllers but no beats takes nobody for silent whom they don't name.
+// A gateway that hears controllers but no heartbeats takes nobody for silent whom they don't name.
 func TestSilenceIsToldByControllers(t *testing.T) {
 	registry := New(beat)
 	other := worker(1, messages.PhaseSteady)
--- a/internal/control/workers/workers.go
+++ b/internal/control/workers/workers.go
@@ -27,7 +27,7 @@
 	heartbeatPeriod clock.Duration
 	version         uint64
 	sum             uint64
-	// overdue are the marks on the last list of silent workers, confirmed its moment.
+	// overdue are the hashes on the last list of silent workers, confirmed its moment.
 	overdue   map[uint32]bool
 	confirmed clock.Instant
 	// byService are the lists by service and entries all, empty after a change.
--- a/internal/control/workers/workers_test.go
+++ b/internal/control/workers/workers_test.go
@@ -20,7 +20,7 @@
 	if registry.Merge(worker(4, messages.PhaseSteady), 1) {
 		t.Fatal("a late call changed something")
 	}
-	// Even a later count never makes a life steady again.
+	// Even a later count never makes an incarnation steady again.
 	registry.Merge(worker(6, messages.PhaseSteady), 2)
 	if got, _ := registry.Get("w"); got.Phase != messages.PhaseDraining {
 		t.Fatal(got.Phase)
--- a/internal/control/workerserver/file.go
+++ b/internal/control/workerserver/file.go
@@ -28,7 +28,7 @@
 type workerFile struct {
 	log   *recordlog.Log
 	queue chan writeRequest
-	// rewriteDue asks the next write for the whole file anew.
+	// rewriteDue asks the next write for the complete file anew.
 	rewriteDue atomic.Bool
 }
 
--- a/internal/platform/clock/clock.go
+++ b/internal/platform/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock wraps time, so that cores take a moment as an argument and only
+// Package clock wraps time, so that cores take an instant as an argument and only
 // few files import the clock.
 package clock
 
@@ -18,16 +18,16 @@
 // Now gives the present moment on the steady clock.
 func Now() Instant { return Instant(time.Since(processStart)) }
 
-// Sub gives the span from an earlier moment.
+// Sub gives the duration from an earlier moment.
 func (m Instant) Sub(earlier Instant) Duration { return Duration(m - earlier) }
 
 // Add gives a later moment.
 func (m Instant) Add(timeout Duration) Instant { return m + Instant(timeout) }
 
-// Milliseconds turns a number of ms into a span.
+// Milliseconds turns a number of ms into a duration.
 func Milliseconds(count float64) Duration { return Duration(count * float64(time.Millisecond)) }
 
-// ToMilliseconds gives a span in ms.
+// ToMilliseconds gives a duration in ms.
 func ToMilliseconds(timeout Duration) float64 { return float64(timeout) / float64(time.Millisecond) }
 
 // WallNanos gives the time of day in ns, for names of lives and for ages across restarts.
@@ -59,10 +59,10 @@
 	}
 }
 
-// After gives a channel that speaks once the span is over.
+// After gives a channel that speaks once the duration is over.
 func After(timeout Duration) <-chan time.Time { return time.After(timeout) }
 
-// ClosedAfter gives a channel that closes once the span is over.
+// ClosedAfter gives a channel that closes once the duration is over.
 func ClosedAfter(timeout Duration) chan struct{} {
 	bell := make(chan struct{})
 	time.AfterFunc(timeout, func() { close(bell) })
--- a/internal/platform/constants/constants.go
+++ b/internal/platform/constants/constants.go
@@ -167,7 +167,7 @@
 	RunningItemsMax = 400
 	// ItemRetryBackoff is the pause before an item that was set back is placed again.
 	ItemRetryBackoff = 60 * time.Millisecond
-	// SetChangeTimeout bounds the copying to a newcomer; what was copied stays there.
+	// SetChangeTimeout bounds the copying to a joiner; what was copied stays there.
 	SetChangeTimeout = 20 * time.Second
 	// BootstrapWait is how long stores wait for each other at the first start
 	// before they make do with fewer.
--- a/internal/platform/constants/contact.go
+++ b/internal/platform/constants/contact.go
@@ -5,10 +5,10 @@
 // Contact between control processes, and what follows from its loss.
 const (
 	// ContactPeriod is the time between two rounds in which a controller asks the
-	// acceptors whether it is in contact (ours): a question and an answer of some 30
+	// acceptors whether it is in contact (ours): a request and an answer of some 30
 	// bytes each.
 	ContactPeriod = 300 * time.Millisecond
-	// ContactTimeout bounds one question (ours): under the second that outside callers wait.
+	// ContactTimeout bounds one request (ours): under the second that outside callers wait.
 	ContactTimeout = 400 * time.Millisecond
 	// ContactLease is how long a controller counts as in contact with a majority after
 	// the asking of a round that a majority answered (ours): three rounds and a slow
--- a/internal/platform/constants/dispatch.go
+++ b/internal/platform/constants/dispatch.go
@@ -27,7 +27,7 @@
 	// connection and twice the silence at which a stream is given up fit into it. It
 	// guards against a run that hangs unnoticed.
 	RenewWithoutEventsMax = 5 * time.Second
-	// AcquireWait is how long a question for items is held until there are some
+	// AcquireWait is how long a request for items is held until there are some
 	// (ours): it bounds the messages of an idle driver.
 	AcquireWait = 500 * time.Millisecond
 	// PlacementWait is how long an acquired item may wait for a place before it is
--- a/internal/platform/constants/health.go
+++ b/internal/platform/constants/health.go
@@ -41,7 +41,7 @@
 	EjectShare = 0.34
 	// UsualPeriod is how long a service's median is kept before it is made anew.
 	UsualPeriod = 250 * time.Millisecond
-	// FlapWindow is the time within which a life that follows a dead one at an address
+	// FlapWindow is the time within which an incarnation that follows a dead one at an address
 	// counts as a flap, and FlapDeaths from how many deaths on it is held back (ours):
 	// one crash is no flapping.
 	FlapWindow = 12 * time.Second
--- a/internal/platform/constants/lab.go
+++ b/internal/platform/constants/lab.go
@@ -73,7 +73,7 @@
 	// LabReadPerMs: prompt tokens read in a ms; LabStride: tokens in an event.
 	LabReadPerMs = 100
 	LabStride    = 4
-	// LabWarmup: how long a new life is slow.
+	// LabWarmup: how long a new incarnation is slow.
 	LabWarmup = 2 * time.Second
 	// LabDrainMs: drain-ms of a fleet's settings.
 	LabDrainMs = 2000
--- a/internal/platform/constants/pace.go
+++ b/internal/platform/constants/pace.go
@@ -18,7 +18,7 @@
 	// least that does (ours): below it a takeover costs more than it brings.
 	LagFactor  = 4.0
 	LagFloorMs = 25.0
-	// CopyGap is how many records a newcomer may lack of what is durable when the
+	// CopyGap is how many records a joiner may lack of what is durable when the
 	// holder sends it the rest itself (ours): a part of a second's.
 	CopyGap = 64
 	// ResignBackoff is the least time between two times that a process gives its duty
--- a/internal/platform/constants/register.go
+++ b/internal/platform/constants/register.go
@@ -17,7 +17,7 @@
 	// ArchiveLimit is the length in bytes at which the archive's file is rewritten
 	// (ours): three days of 2,300 changes take a tenth of it.
 	ArchiveLimit = 1 << 20
-	// ArchivePullTimeout bounds one question for missing chunks (ours): it is asked inside
+	// ArchivePullTimeout bounds one request for missing chunks (ours): it is asked inside
 	// a second round, which has RoundTimeout.
 	ArchivePullTimeout = 150 * time.Millisecond
 	// ArchiveRetryBackoff is the pause after a pull that did not complete the archive (ours):
@@ -26,7 +26,7 @@
 	// VoteWaitMax is how long a vote may wait for those before it at an acceptor whose disk
 	// is slow (ours): a quarter of RoundTimeout, so that both rounds still end in time.
 	VoteWaitMax = RoundTimeout / 4
-	// JointSetOwnerTime is for how long the newcomer alone ends a joint set of acceptors
+	// JointSetOwnerTime is for how long the joiner alone ends a joint set of acceptors
 	// (ours): two rounds on slow disks and one lost message.
 	JointSetOwnerTime = 1500 * time.Millisecond
 	// ReadAttempts is how often a read goes on to newer sets that it meets (ours): one of
--- a/internal/platform/constants/replicas.go
+++ b/internal/platform/constants/replicas.go
@@ -13,7 +13,7 @@
 	// RewriteLag is for how long records have been durable before a rewrite drops any of
 	// them (ours): a member that is further behind has to be copied anew.
 	RewriteLag = 20 * time.Second
-	// JoinerWait is how much longer than the first newcomer of a change the others
+	// JoinerWait is how much longer than the first joiner of a change the others
 	// may take, beside as long again (ours).
 	JoinerWait = time.Second
 )
--- a/internal/platform/constants/views.go
+++ b/internal/platform/constants/views.go
@@ -34,7 +34,7 @@
 	// all of it has to end well within sync-s.
 	SucceedAfter = 2 * time.Second
 	// ReconcilePeriod is how often a controller looks whether the sets of acceptors need it (ours):
-	// a newcomer has to be a member well within sync-s after its start, silence included.
+	// a joiner has to be a member well within sync-s after its start, silence included.
 	ReconcilePeriod = 250 * time.Millisecond
 	// ReplaceAfter is the silence after which a standing-by process may take a
 	// silent member's place in the acceptor or store set (ours): longer than a
--- a/internal/platform/contexts/contexts.go
+++ b/internal/platform/contexts/contexts.go
@@ -18,7 +18,7 @@
 	return func() { stop() }
 }
 
-// WithTimeout gives a context that is cancelled after a span.
+// WithTimeout gives a context that is cancelled after a duration.
 func WithTimeout(parent Context, timeout time.Duration) (Context, func()) {
 	return context.WithTimeout(parent, timeout)
 }
--- a/internal/platform/messages/dispatch.go
+++ b/internal/platform/messages/dispatch.go
@@ -43,7 +43,7 @@
 type AcquireResponse struct {
 	NotLeader bool   `msg:"e"`
 	Leader    string `msg:"h"`
-	// WaitedMs is how long the question was held, so that a driver can reckon the lock
+	// WaitedMs is how long the request was held, so that a driver can reckon the lock
 	// from its asking; LockMs is the lock's length.
 	WaitedMs float64        `msg:"w"`
 	LockMs   float64        `msg:"k"`
@@ -59,14 +59,14 @@
 	Kind   AckKind `msg:"k"`
 	Job    string  `msg:"l"`
 	Item   string  `msg:"i"`
-	// Output is the whole output of an ACCEPT.
+	// Output is the complete output of an ACCEPT.
 	Output []byte `msg:"t"`
 	// Compressed says that the text is compressed (DEFLATE).
 	Compressed bool `msg:"z"`
 	// Events and LastID are the events that a RELEASE gives back, from the first on.
 	Events [][]byte `msg:"g"`
 	LastID int64    `msg:"e"`
-	// Failed marks a RELEASE after a 500, Displaced one that made room, Unbegun one
+	// Failed hashes a RELEASE after a 500, Displaced one that made room, Unbegun one
 	// that found no place.
 	Failed     bool `msg:"f"`
 	Preempted  bool `msg:"y"`
--- a/internal/platform/messages/gossip.go
+++ b/internal/platform/messages/gossip.go
@@ -62,7 +62,7 @@
 	return append(list, byte(min(max(word.Running, 0), RunningUnknown)), ageByte(word.AgeMs), word.Health)
 }
 
-// ParseLoads reads a list; one that is cut short gives what is whole.
+// ParseLoads reads a list; one that is cut short gives what is complete.
 func ParseLoads(list []byte) []LoadSample {
 	if len(list) == 0 || list[0] < loadBytes {
 		return nil
--- a/internal/platform/messages/kinds.go
+++ b/internal/platform/messages/kinds.go
@@ -57,7 +57,7 @@
 // Phase is a worker's phase.
 type Phase uint8
 
-// The phases, in the order in which a life goes through them.
+// The phases, in the order in which an incarnation goes through them.
 const (
 	PhaseSteady Phase = iota
 	PhaseDraining
--- a/internal/platform/messages/lots.go
+++ b/internal/platform/messages/lots.go
@@ -12,12 +12,12 @@
 	Body   []byte `msg:"b"`
 	// Forwarded says that another gateway passed it on, which happens once at most.
 	Forwarded bool `msg:"y"`
-	// RequestID names one question to one process, so that a second copy of it is known.
+	// RequestID names one request to one process, so that a second copy of it is known.
 	RequestID string `msg:"k"`
-	// TTLMs is how long from its arrival a hand-in may still be taken; each hop
+	// TTLMs is how long from its arrival a submission may still be taken; each hop
 	// counts it down by its own steady clock. Zero sets no bound.
 	TTLMs int64 `msg:"t"`
-	// ExpiresAt is the moment on the receiver's own steady clock that follows from it,
+	// ExpiresAt is the instant on the receiver's own steady clock that follows from it,
 	// in ns; zero sets no bound.
 	ExpiresAt int64 `msg:"-"`
 }
--- a/internal/platform/messages/members.go
+++ b/internal/platform/messages/members.go
@@ -74,7 +74,7 @@
 	Promised Ballot        `msg:"p"`
 	Accepted Ballot        `msg:"a"`
 	Value    RegisterValue `msg:"v"`
-	// Archive answers a question for it.
+	// Archive answers a request for it.
 	Archive *ArchiveResponse `msg:"x,omitempty"`
 }
 
@@ -98,7 +98,7 @@
 	Epoch       uint64 `msg:"e"`
 	// Release gives back what was granted.
 	Release bool `msg:"r"`
-	// Sequence counts the questions of a life: a release that comes late gives back
+	// Sequence counts the requests of an incarnation: a release that comes late gives back
 	// nothing that was granted after it was sent.
 	Sequence uint64 `msg:"t"`
 }
--- a/internal/platform/messages/views.go
+++ b/internal/platform/messages/views.go
@@ -1,7 +1,7 @@
 package messages
 
 // Digest stands for a table of versioned entries: two tables with one sum are alike.
-// Clock counts the changes that the sender's table went through in its life.
+// Clock counts the changes that the sender's table went through in its incarnation.
 type Digest struct {
 	Incarnation int64  `msg:"l"`
 	Clock       uint64 `msg:"c"`
@@ -25,7 +25,7 @@
 // it is the periodic exchange, with what that asks and tells besides.
 type Shuffle struct {
 	Entries []NodeInfo `msg:"e"`
-	// KnownHashes are the marks of the processes that the asker has in view; Ages answers
+	// KnownHashes are the hashes of the processes that the asker has in view; Ages answers
 	// for them in the same order, in tens of ms, AgeUnknown where nothing is known.
 	KnownHashes []uint32 `msg:"k"`
 	Ages        []uint16 `msg:"g"`
@@ -34,11 +34,11 @@
 	Workers         Digest      `msg:"w"`
 	Overdue         []Overdue   `msg:"o"`
 	Counts          []RoleCount `msg:"h"`
-	// Table is the sender's whole directory, in an answer to a pull.
+	// Table is the sender's whole directory, in a response to a pull.
 	Table Digest `msg:"t"`
 	// PlanRevision is the revision of the assignments that a controller follows.
 	PlanRevision int64 `msg:"v"`
-	// Brief marks a report to a second controller: its answer is short.
+	// Brief hashes a report to a second controller: its answer is short.
 	Brief bool `msg:"y"`
 	// Detached is set by a controller that is not in contact with a majority of the
 	// acceptors: what it knows may be old, and the asker reports elsewhere.
@@ -53,7 +53,7 @@
 	From      NodeInfo `msg:"f"`
 	Workers   Digest   `msg:"w"`
 	Processes Digest   `msg:"p"`
-	// SeenWorkers and Met are the marks of workers and processes that were heard here
+	// SeenWorkers and Met are the hashes of workers and processes that were heard here
 	// directly since the last word to this controller.
 	SeenWorkers []uint32 `msg:"b"`
 	SeenNodes   []uint32 `msg:"m"`
@@ -79,11 +79,11 @@
 type WorkersUpdate struct {
 	From    string   `msg:"f"`
 	Workers []Worker `msg:"w"`
-	// Table is the sender's whole table, in an answer to a pull.
+	// Table is the sender's whole table, in a response to a pull.
 	Table Digest `msg:"d"`
 }
 
-// RelayRequest asks a controller to tell its zone, and Expect names by their marks whom the
+// RelayRequest asks a controller to tell its zone, and Expect names by their hashes whom the
 // sender knows there.
 type RelayRequest struct {
 	From       string   `msg:"f"`
--- a/internal/platform/process/runtime.go
+++ b/internal/platform/process/runtime.go
@@ -1,5 +1,5 @@
 // Package process is the runtime that every process of ours stands on: its settings, its
-// transport with the handlers of requests, its log, its status reports, and its life from
+// transport with the handlers of requests, its log, its status reports, and its incarnation from
 // start to shutdown. It knows nothing of other processes: package agent adds what a
 // process knows of the fleet.
 package process
--- a/internal/platform/recordlog/format.go
+++ b/internal/platform/recordlog/format.go
@@ -11,9 +11,9 @@
 // body alone.
 const (
 	headerBytes = 8
-	// checksumsHeader marks a record whose checksum covers its first word.
+	// checksumsHeader hashes a record whose checksum covers its first word.
 	checksumsHeader = 1 << 31
-	// provesPrefix marks a record before which everything was synced when it was written.
+	// provesPrefix hashes a record before which everything was synced when it was written.
 	provesPrefix = 1 << 30
 
 	lengthMask = provesPrefix - 1
@@ -62,7 +62,7 @@
 	return body, first&checksumsHeader == 0 || first&provesPrefix != 0, true
 }
 
-// findProofAfter looks for a whole record which shows that what stands before it was
+// findProofAfter looks for a complete record which shows that what stands before it was
 // synced. Of what no sync has covered, any part may be missing while a later one is
 // there; only what was synced can have been damaged.
 func findProofAfter(text []byte, offset int64) (int64, bool) {
--- a/internal/platform/recordlog/powerloss_test.go
+++ b/internal/platform/recordlog/powerloss_test.go
@@ -119,7 +119,7 @@
 	}
 }
 
-// open starts a new life and checks what it finds.
+// open starts a new incarnation and checks what it finds.
 func (m *machine) open(rt *rapid.T) {
 	m.operations, m.disk.Room = -1, -1
 	var found []string
@@ -137,7 +137,7 @@
 	if names := m.disk.Names(); len(names) != 1 {
 		rt.Fatalf("files left over: %q", names)
 	}
-	// What a life has read it acts on: from now on it has to stay.
+	// What an incarnation has read it acts on: from now on it has to stay.
 	m.logfile, m.acked, m.offsets = logfile, found, offsets
 	m.tail, m.refused, m.replacements = nil, nil, nil
 }
--- a/internal/platform/recordlog/recordlog.go
+++ b/internal/platform/recordlog/recordlog.go
@@ -21,7 +21,7 @@
 
 // The errors of the store.
 var (
-	// ErrCorrupt means a record that was whole once and no longer is.
+	// ErrCorrupt means a record that was complete once and no longer is.
 	ErrCorrupt = errs.Define("record damaged")
 	// ErrDisk means that the disk refused an operation.
 	ErrDisk = errs.Define("disk refused")
--- a/internal/platform/transport/everybyte_test.go
+++ b/internal/platform/transport/everybyte_test.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// A call that waits for one life of a process is not answered by the next one at the same
+// A call that waits for one incarnation of a process is not answered by the next one at the same
 // address, and later calls are answered by that one alone.
 func TestNewLifeAtTheSameAddress(t *testing.T) {
 	address, hold, asked := freeAddress(t), newGate(), newGate()
@@ -124,7 +124,7 @@
 	for {
 		resp, err := client.Call(address, messages.KindShuffle, []byte("later"), enough)
 		if errs.Is(err, transport.ErrUnreachable) {
-			// The caller remembers for a moment that nobody was there.
+			// The caller remembers for an instant that nobody was there.
 			continue
 		}
 		if err != nil || string(resp) != "new to later" {
--- a/internal/platform/transport/once.go
+++ b/internal/platform/transport/once.go
@@ -8,7 +8,7 @@
 )
 
 // Deduplicator lets each numbered call through once. A frame may come twice, or long after
-// its sender was given an answer to the first copy: a second copy that was worked
+// its sender was given a response to the first copy: a second copy that was worked
 // on would contradict that answer.
 type Deduplicator struct {
 	lock sync.Mutex
--- a/internal/platform/transport/peer.go
+++ b/internal/platform/transport/peer.go
@@ -122,7 +122,7 @@
 	p.forget(current)
 }
 
-// deliver hands an answer to the call that it names; what names none is nobody's. False
+// deliver hands a response to the call that it names; what names none is nobody's. False
 // means that the line can't be trusted any more.
 func (l *peerConn) deliver(resp frame) bool {
 	l.lock.Lock()
@@ -175,7 +175,7 @@
 }
 
 // withdraw ends the wait of a call that gives up, and tells whether nothing at all came
-// on the line since a moment.
+// on the line since an instant.
 func (l *peerConn) withdraw(number uint64, since clock.Instant) (silent bool) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
--- a/internal/platform/transport/post.go
+++ b/internal/platform/transport/post.go
@@ -15,7 +15,7 @@
 	Bytes    int
 }
 
-// Clock runs a function after a span: the simulated world of tests and hollow fleets.
+// Clock runs a function after a duration: the simulated world of tests and hollow fleets.
 type Clock interface {
 	After(timeout clock.Duration, function func())
 }
--- a/internal/platform/transport/transport_test.go
+++ b/internal/platform/transport/transport_test.go
@@ -83,7 +83,7 @@
 			return []byte{}, nil
 		})
 		// Another caller: the system may hand the first address out again, where the first
-		// caller remembers for a moment that nobody was.
+		// caller remembers for an instant that nobody was.
 		caller, _ := make()
 		defer caller.Close()
 		if _, err := caller.Call(busy, messages.KindShuffle, nil, clock.Milliseconds(500)); !errs.Is(err, transport.ErrTimeout) {
--- a/internal/platform/transport/wire.go
+++ b/internal/platform/transport/wire.go
@@ -42,7 +42,7 @@
 	number   atomic.Uint64
 	unknown  atomic.Int64
 	closed   bool
-	// accepted are the connections of callers, which end with this life.
+	// accepted are the connections of callers, which end with this incarnation.
 	accepted map[net.Conn]struct{}
 	// dial opens a connection to a peer.
 	dial func(address string) (net.Conn, error)
@@ -51,7 +51,7 @@
 // NewTCP makes a transport that listens on its own address when it serves.
 func NewTCP(own string) *TCP {
 	wire := &TCP{own: own, meter: NewMeter(), peers: map[string]*peer{}, accepted: map[net.Conn]struct{}{}, dial: dialPeer}
-	// The upper half names this life: no number of an earlier one comes again.
+	// The upper half names this incarnation: no number of an earlier one comes again.
 	wire.number.Store(uint64(rand.Uint32()) << incarnationShift)
 	return wire
 }
@@ -101,7 +101,7 @@
 	return w.listener.Addr().String()
 }
 
-// admit notes a caller's connection; false once this life is over.
+// admit notes a caller's connection; false once this incarnation is over.
 func (w *TCP) admit(connection net.Conn) bool {
 	w.lock.Lock()
 	defer w.lock.Unlock()
