--- a/cmd/lemonarch/assign_apply_test.go
+++ b/cmd/lemonarch/assign_apply_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"os"
 	"strings"
 	"testing"
@@ -17,6 +18,8 @@
 
 // oneController is a fleet of one control process on a transport in memory.
 func oneController(t *testing.T) (*transport.MemoryNetwork, *fleetshell.Shell) {
+	t.Helper()
+
 	nodeSettings := &settings.Settings{NodeName: "m", Address: "127.0.0.1", Zone: "h", InternalPorts: []int{21100, 21110},
 		Seeds: []string{"127.0.0.1:21000"}, Bootstrap: true, DataDir: t.TempDir(), HeartbeatMs: 1200}
 	process, err := controller.New(nodeSettings, hclog.NewNullLogger())
@@ -40,7 +43,7 @@
 	out, problems := &bytes.Buffer{}, &bytes.Buffer{}
 	if err := apply(out, problems, shell, path, "json"); err != nil {
 		code, line = exitUnusable, err.Error()
-		if one, is := err.(coded); is {
+		if one := (coded{}); errors.As(err, &one) {
 			code = one.code
 		}
 	}
--- a/cmd/lemonarch/assign_test.go
+++ b/cmd/lemonarch/assign_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -20,7 +21,7 @@
 	command.SetArgs(arguments)
 	if err := command.Execute(); err != nil {
 		code, line = exitUnusable, err.Error()
-		if one, is := err.(coded); is {
+		if one := (coded{}); errors.As(err, &one) {
 			code = one.code
 		}
 	}
@@ -28,6 +29,8 @@
 }
 
 func written(t *testing.T, name, text string) string {
+	t.Helper()
+
 	path := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
--- a/cmd/lemonarch/hollow_test.go
+++ b/cmd/lemonarch/hollow_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -25,7 +26,7 @@
 			continue
 		}
 		// What cobra refuses ends with the same code, which main gives by default.
-		if one, is := err.(coded); is && one.code != exitUnusable {
+		if one := (coded{}); errors.As(err, &one) && one.code != exitUnusable {
 			t.Errorf("%v: exit %d", arguments, one.code)
 		}
 	}
@@ -71,7 +72,7 @@
 		one.command.SilenceUsage, one.command.SilenceErrors = true, true
 		one.command.SetArgs(one.arguments)
 		err := one.command.Execute()
-		if is, known := err.(coded); !known || is.code != exitUnusable || strings.Contains(is.text, "\n") {
+		if is := (coded{}); !errors.As(err, &is) || is.code != exitUnusable || strings.Contains(is.text, "\n") {
 			t.Errorf("%s %v: %v", one.command.Use, one.arguments, err)
 		}
 	}
--- a/cmd/lemonarch/lots.go
+++ b/cmd/lemonarch/lots.go
@@ -84,13 +84,13 @@
 				if err != nil {
 					return coded{exitUnusable, err.Error()}
 				}
-				lot = jobclient.Lot{}
+				lot = jobclient.Job{}
 				if err = json.Unmarshal(text, &lot); err != nil {
 					return coded{exitUnusable, arguments[0] + ": " + oneLine(err)}
 				}
 			}
 			return flags.run(func(until contexts.Context, client *jobclient.Client) error {
-				tries, err := client.HandIn(until, id, path, lot)
+				tries, err := client.Submit(until, id, path, lot)
 				if err != nil {
 					return err
 				}
@@ -122,7 +122,7 @@
 	begun, settled, abandoned := clock.Now(), 0, 0
 	err := client.Follow(until, id, 0, func(page *jobclient.Page) error {
 		for _, output := range page.Outputs {
-			if output.Phase == jobclient.Settled {
+			if output.Phase == jobclient.PhaseSettled {
 				settled++
 			} else {
 				abandoned++
@@ -201,8 +201,8 @@
 }
 
 // sampleLot makes items that the lab's own configuration can run.
-func sampleLot(id string, count int) jobclient.Lot {
-	lot := jobclient.Lot{}
+func sampleLot(id string, count int) jobclient.Job {
+	lot := jobclient.Job{}
 	for number := 0; number < count; number++ {
 		lot.Requests = append(lot.Requests, jobclient.Item{ID: id + "-" + strconv.Itoa(number), Path: "/batch/" + strconv.Itoa(number), Tokens: 640,
 			Body: []byte("sample " + strconv.Itoa(number)), Headers: map[string]string{"Lemonarch-Model": lab.ModelName,
--- a/internal/batch/dispatch/accounting_test.go
+++ b/internal/batch/dispatch/accounting_test.go
@@ -8,7 +8,7 @@
 
 // A new leader waits for a lock only while an executor that may hold something has not
 // shown it, and has not been outlived.
-func TestDriversAreAccountedFor(t *testing.T) {
+func TestExecutorsAreAccountedFor(t *testing.T) {
 	old := newEndpoint(t, 1, nil, 0)
 	old.lot("l", "a", "b", "c")
 	given := old.take("x", 1, ms(1))
@@ -37,7 +37,7 @@
 
 // Nothing is handed out before a later leader would know of the executor, and what is
 // known is forgotten only once it is sure that nothing of it stands.
-func TestEntrantsAreOnRecord(t *testing.T) {
+func TestExecutorsAreOnRecord(t *testing.T) {
 	endpoint := newEndpoint(t, 1, nil, 0)
 	endpoint.lot("l", "a", "b")
 	options := &AcquireOptions{Executor: Executor{Name: "x"}, Capacity: map[string]int{"s": 1}, Terms: func(*Job) JobTerms { return JobTerms{} }, Service: func(*Item) string { return "s" }}
--- a/internal/batch/dispatch/acquire.go
+++ b/internal/batch/dispatch/acquire.go
@@ -95,11 +95,11 @@
 			if !d.available(item, now) {
 				return true
 			}
-			if item.passedOverSince == 0 {
-				item.passedOverSince = now
+			if item.skippedSince == 0 {
+				item.skippedSince = now
 			}
 			switch at, known := d.prefixOwners[prefixOf(item)]; {
-			case now.Sub(item.passedOverSince) >= constants.PrefixWait:
+			case now.Sub(item.skippedSince) >= constants.PrefixWait:
 				// Passed over long enough: the executor that has its prefix may have no room.
 				first = append(first, item)
 			case known && at.executor == options.Executor.Name:
--- a/internal/batch/dispatch/acquire_test.go
+++ b/internal/batch/dispatch/acquire_test.go
@@ -54,7 +54,7 @@
 }
 
 // What can still be in time goes before what is late, by the due time.
-func TestInTimeGoesFirst(t *testing.T) {
+func TestDueInTimeComesFirst(t *testing.T) {
 	endpoint := newEndpoint(t, 1, nil, 0)
 	endpoint.lot("a", "a")
 	endpoint.lot("b", "b")
@@ -81,7 +81,7 @@
 	return text
 }
 
-func keptAvailable(job *Job) string {
+func availableCount(job *Job) string {
 	text := ""
 	job.eachAvailable(func(item *Item) bool {
 		text += item.ID + " "
@@ -92,9 +92,11 @@
 
 // benchBacklog is a backlog of whole jobs, all of whose items wait.
 func benchBacklog(b *testing.B, items int) (*Dispatcher, *AcquireOptions) {
+	b.Helper()
+
 	jobs := NewJobTable()
 	for number := 0; number*constants.JobItemsMax < items; number++ {
-		addLotOf(b, jobs, fmt.Sprint(number), "/0", constants.JobItemsMax, 900).SubmittedMs = int64(number)
+		addJobOf(b, jobs, fmt.Sprint(number), "/0", constants.JobItemsMax, 900).SubmittedMs = int64(number)
 	}
 	dispatcher, index := NewDispatcher(jobs, 1, 0, endpointLock, 0), int64(0)
 	dispatcher.Append = func(record messages.Record) int64 {
--- a/internal/batch/dispatch/available.go
+++ b/internal/batch/dispatch/available.go
@@ -9,8 +9,8 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// wordBits is how many items one word of an availableSet covers.
-const wordBits = 64
+// bitsPerWord is how many items one word of an availableSet covers.
+const bitsPerWord = 64
 
 // availableSet holds the places of a job's items that are in ItemAvailable, so that
 // nobody has to walk the others. Its zero value is an empty set of no places.
@@ -20,12 +20,12 @@
 }
 
 func newAvailableSet(items int) availableSet {
-	return availableSet{words: make([]uint64, (items+wordBits-1)/wordBits)}
+	return availableSet{words: make([]uint64, (items+bitsPerWord-1)/bitsPerWord)}
 }
 
 // set puts a place in or takes it out.
 func (a *availableSet) set(i int, in bool) {
-	word, bit := i/wordBits, uint64(1)<<(i%wordBits)
+	word, bit := i/bitsPerWord, uint64(1)<<(i%bitsPerWord)
 	if word >= len(a.words) || (a.words[word]&bit != 0) == in {
 		return
 	}
@@ -41,7 +41,7 @@
 func (a *availableSet) each(visit func(i int) bool) {
 	for word, left := range a.words {
 		for ; left != 0; left &= left - 1 {
-			if !visit(word*wordBits + bits.TrailingZeros64(left)) {
+			if !visit(word*bitsPerWord + bits.TrailingZeros64(left)) {
 				return
 			}
 		}
@@ -122,15 +122,15 @@
 // openJobs gives the jobs with items to run, the order in which they came kept, and
 // forgets the others.
 func (b *JobTable) openJobs() []*Job {
-	kept := b.opened[:0]
+	retained := b.opened[:0]
 	for _, job := range b.opened {
 		if job.Open() && b.jobs[job.ID] == job {
-			kept = append(kept, job)
+			retained = append(retained, job)
 		}
 	}
-	clear(b.opened[len(kept):])
-	b.opened = kept
-	return kept
+	clear(b.opened[len(retained):])
+	b.opened = retained
+	return retained
 }
 
 // takeUnranked gives the jobs that came since it was asked last.
--- a/internal/batch/dispatch/dispatcher.go
+++ b/internal/batch/dispatch/dispatcher.go
@@ -53,7 +53,7 @@
 	Attempts func(item *Item) int
 	// MeanRunMs is the usual time of a whole run.
 	MeanRunMs float64
-	Counts    DispatchCounts
+	Counts    Counts
 
 	epoch    uint64
 	serial   uint64
@@ -75,8 +75,8 @@
 	acquisitionsKnown bool
 }
 
-// DispatchCounts are for the operator.
-type DispatchCounts struct {
+// Counts are for the operator.
+type Counts struct {
 	Deliveries, Lapses, Releases, Failures, Renewals, Adopted, Completed, Abandoned, Late int64
 }
 
@@ -116,10 +116,10 @@
 // Holding lists the executors that hold acquisitions of a job.
 func (d *Dispatcher) Holding(job *Job) []Executor {
 	var executors []Executor
-	seen := map[Executor]bool{}
+	known := map[Executor]bool{}
 	for _, item := range job.Items {
-		if item.acquisition != nil && !seen[item.acquisition.Executor] {
-			seen[item.acquisition.Executor] = true
+		if item.acquisition != nil && !known[item.acquisition.Executor] {
+			known[item.acquisition.Executor] = true
 			executors = append(executors, item.acquisition.Executor)
 		}
 	}
@@ -155,7 +155,7 @@
 		number = d.epoch<<serialBits | d.serial
 	}
 	acquisition := &Acquisition{Number: number, Executor: executor, Item: item, run: run, startedAt: now, expiresAt: now.Add(d.Lock), fromStart: fresh}
-	item.acquisition, item.passedOverSince = acquisition, 0
+	item.acquisition, item.skippedSince = acquisition, 0
 	d.inFlight[number] = acquisition
 	return acquisition
 }
--- a/internal/batch/dispatch/dispatcher_test.go
+++ b/internal/batch/dispatch/dispatcher_test.go
@@ -23,6 +23,8 @@
 
 // newEndpoint goes on from records, as a new leader does; taken is when it took the leadership.
 func newEndpoint(t *testing.T, epoch uint64, records []messages.Record, taken clock.Instant) *endpoint {
+	t.Helper()
+
 	jobs := NewJobTable()
 	for i := range records {
 		if err := jobs.Apply(&records[i]); err != nil {
@@ -147,7 +149,7 @@
 	}
 }
 
-func TestReleaseBringsEventsBack(t *testing.T) {
+func TestReleaseReturnsEvents(t *testing.T) {
 	endpoint := newEndpoint(t, 1, nil, 0)
 	endpoint.lot("l", "a")
 	first := endpoint.take("x", 1, ms(1))[0].Number
@@ -170,7 +172,7 @@
 	}
 }
 
-func TestErrsCountOnceAndDurably(t *testing.T) {
+func TestFailuresCountOnceAndDurably(t *testing.T) {
 	endpoint := newEndpoint(t, 1, nil, 0)
 	endpoint.lot("l", "a")
 	first := endpoint.take("x", 1, ms(1))[0].Number
@@ -199,7 +201,7 @@
 	}
 }
 
-func TestTakeoverAdoptsWhatIsShown(t *testing.T) {
+func TestTakeoverAdoptsReportedAcquisitions(t *testing.T) {
 	old := newEndpoint(t, 1, nil, 0)
 	old.lot("l", "a", "b", "c")
 	given := old.take("x", 3, ms(1))
@@ -228,7 +230,7 @@
 	}
 }
 
-func TestEndedLotHandsNothingOut(t *testing.T) {
+func TestEndedJobDispatchesNothing(t *testing.T) {
 	endpoint := newEndpoint(t, 1, nil, 0)
 	endpoint.lot("l", "a", "b")
 	found := endpoint.take("x", 1, ms(1))[0].Number
--- a/internal/batch/dispatch/executors_test.go
+++ b/internal/batch/dispatch/executors_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // A new incarnation of an executor says that its old one is gone: its items come back at once.
-func TestNewLifeGivesItemsBack(t *testing.T) {
+func TestNewIncarnationReleasesItems(t *testing.T) {
 	endpoint := newEndpoint(t, 1, nil, 0)
 	endpoint.lot("l", "a", "b")
 	acquisition := endpoint.take("x", 1, ms(1))[0]
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestListOfDrivers(t *testing.T) {
+func TestExecutorList(t *testing.T) {
 	endpoint := newEndpoint(t, 3, nil, ms(1000))
 	endpoint.ObserveExecutor(Executor{Name: "b", Zone: "h"}, ms(1100))
 	if version, list := endpoint.Executors(0, ms(1200)); version != 0 || list != nil {
--- a/internal/batch/dispatch/item.go
+++ b/internal/batch/dispatch/item.go
@@ -49,7 +49,7 @@
 	// position is the item's place in its job.
 	position int
 	// availableAt is when it may be acquired again; seen is when it was first found free.
-	availableAt, passedOverSince clock.Instant
+	availableAt, skippedSince clock.Instant
 }
 
 // StartRun starts a run and names it; zero when there is nothing to run.
@@ -119,7 +119,7 @@
 // Abandon ends an item that waits, or the run that found it hopeless, with the
 // result that it is abandoned.
 func (i *Item) Abandon(run int) bool {
-	if i.Job.Ended || !(i.State == ItemAvailable || i.running(run)) {
+	if i.Job.Ended || (i.State != ItemAvailable && !i.running(run)) {
 		return false
 	}
 	i.setState(ItemClosing)
--- a/internal/batch/dispatch/item_test.go
+++ b/internal/batch/dispatch/item_test.go
@@ -12,7 +12,7 @@
 // Whatever order begin, gather, yield, set back and finish come in, late ones of
 // earlier runs included: an item has at most one result, its events are 1..n once
 // each, and it can always be begun again until it has its result.
-func TestSetBackState(t *testing.T) {
+func TestRequeueState(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(11)
 	parameters.MinSuccessfulTests = 3000
 	properties := gopter.NewProperties(parameters)
@@ -75,7 +75,7 @@
 	properties.TestingRun(t)
 }
 
-func TestEventsWithoutIdsAreNotGoneOnFrom(t *testing.T) {
+func TestEventsWithoutIDsAreDropped(t *testing.T) {
 	item := &Item{Job: &Job{}}
 	run := item.StartRun()
 	item.AppendEvents(run, [][]byte{[]byte("a")}, 0)
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestEndedLotRunsNothing(t *testing.T) {
+func TestEndedJobRunsNothing(t *testing.T) {
 	item := &Item{Job: &Job{}}
 	run := item.StartRun()
 	item.Job.Ended = true
--- a/internal/batch/dispatch/jobtable.go
+++ b/internal/batch/dispatch/jobtable.go
@@ -124,13 +124,13 @@
 		}
 	case messages.RecordForget:
 		delete(b.jobs, record.Job)
-		kept := b.order[:0]
+		retained := b.order[:0]
 		for _, job := range b.order {
 			if job.ID != record.Job {
-				kept = append(kept, job)
+				retained = append(retained, job)
 			}
 		}
-		b.order = kept
+		b.order = retained
 	}
 	return nil
 }
--- a/internal/batch/dispatch/older_test.go
+++ b/internal/batch/dispatch/older_test.go
@@ -7,7 +7,7 @@
 )
 
 // A time of day that was stepped, here or where a job was taken, ends nothing early.
-func TestSteppedClocksEndNothing(t *testing.T) {
+func TestSteppedClocksExpireNothing(t *testing.T) {
 	job := &Job{SubmittedMs: 1_000_000, KnownSince: ms(5000)}
 	timeout := clock.Duration(60_000_000_000)
 	if job.OlderThan(timeout, 9_000_000, ms(6000)) || job.OlderThan(timeout, 900_000, ms(90_000)) || job.OlderThan(timeout, 1_060_000, ms(90_000)) {
--- a/internal/batch/dispatch/waiting_test.go
+++ b/internal/batch/dispatch/waiting_test.go
@@ -21,8 +21,10 @@
 	return total
 }
 
-// addLotOf puts a lot of a few items into a book.
-func addLotOf(tb testing.TB, jobs *JobTable, id, path string, items int, tokens int64) *Job {
+// addJobOf puts a lot of a few items into a book.
+func addJobOf(tb testing.TB, jobs *JobTable, id, path string, items int, tokens int64) *Job {
+	tb.Helper()
+
 	body := &messages.JobBody{Path: path}
 	for i := 0; i < items; i++ {
 		body.Items = append(body.Items, messages.JobItem{ID: fmt.Sprint(id, "-", i), Tokens: tokens + int64(i)})
@@ -46,7 +48,7 @@
 			}
 			switch kind := random.Intn(9); {
 			case kind < 2 || job == nil:
-				addLotOf(t, table, fmt.Sprint(step), fmt.Sprint("/", random.Intn(2)), 1+random.Intn(4), 10)
+				addJobOf(t, table, fmt.Sprint(step), fmt.Sprint("/", random.Intn(2)), 1+random.Intn(4), 10)
 			case kind < 4:
 				item := job.Items[random.Intn(len(job.Items))]
 				item.Finish(item.StartRun())
@@ -69,8 +71,8 @@
 				_ = table.Apply(&messages.Record{Kind: messages.RecordForget, Job: job.ID})
 			}
 			for _, job := range table.Jobs() {
-				if kept, slow := keptAvailable(job), slowAvailable(job); kept != slow {
-					t.Fatalf("seed %d step %d: lot %s keeps %q, has %q", seed, step, job.ID, kept, slow)
+				if retained, slow := availableCount(job), slowAvailable(job); retained != slow {
+					t.Fatalf("seed %d step %d: lot %s keeps %q, has %q", seed, step, job.ID, retained, slow)
 				}
 			}
 			for _, path := range []string{"/0", "/1", ""} {
@@ -83,11 +85,13 @@
 	}
 }
 
-// benchBook has many finished jobs and few open ones, as after some minutes.
-func benchBook(b *testing.B) *JobTable {
+// benchmarkTable has many finished jobs and few open ones, as after some minutes.
+func benchmarkTable(b *testing.B) *JobTable {
+	b.Helper()
+
 	jobs := NewJobTable()
 	for number := 0; number < 1200; number++ {
-		job := addLotOf(b, jobs, fmt.Sprint(number), "/0", 30, 900)
+		job := addJobOf(b, jobs, fmt.Sprint(number), "/0", 30, 900)
 		if number >= 100 {
 			for i, item := range job.Items {
 				_ = jobs.Apply(&messages.Record{Kind: messages.RecordOutput, Job: job.ID, Item: item.ID, Position: i})
@@ -98,14 +102,14 @@
 }
 
 func BenchmarkWaiting(b *testing.B) {
-	jobs := benchBook(b)
+	jobs := benchmarkTable(b)
 	for b.Loop() {
 		jobs.Waiting(func(*Job) bool { return true })
 	}
 }
 
 func BenchmarkWaitingSlowCount(b *testing.B) {
-	jobs := benchBook(b)
+	jobs := benchmarkTable(b)
 	for b.Loop() {
 		slowWaiting(jobs, func(*Job) bool { return true })
 	}
--- a/internal/batch/executor/ackqueue.go
+++ b/internal/batch/executor/ackqueue.go
@@ -37,15 +37,15 @@
 			known[batch[i].Number] = true
 		}
 	}
-	kept := q.entries[:0]
+	retained := q.entries[:0]
 	for _, entry := range q.entries {
 		if !known[entry.Number] {
-			kept = append(kept, entry)
+			retained = append(retained, entry)
 		}
 	}
 	// What is answered is given back: texts are long.
-	clear(q.entries[len(kept):])
-	q.entries = kept
+	clear(q.entries[len(retained):])
+	q.entries = retained
 }
 
 // Results gives a batch of what ends items or counts against them; its answer waits
--- a/internal/batch/executor/runner.go
+++ b/internal/batch/executor/runner.go
@@ -27,8 +27,8 @@
 	lastProgress clock.Instant
 }
 
-// MarkProgress notes that a task's stream brought events.
-func (t *Task) MarkProgress(now clock.Instant) { t.lastProgress = now }
+// NoteProgress notes that a task's stream brought events.
+func (t *Task) NoteProgress(now clock.Instant) { t.lastProgress = now }
 
 // Stopped tells whether the run may go on no more.
 func (t *Task) Stopped() bool { return t.stopped }
@@ -88,9 +88,9 @@
 	return tasks
 }
 
-// Fence says that a leader of an epoch is told all that is held here: answers of
+// DropBefore says that a leader of an epoch is told all that is held here: answers of
 // earlier leaders that are still on their way are not taken any more.
-func (r *Runner) Fence(epoch uint64) { r.fencedEpoch = max(r.fencedEpoch, epoch) }
+func (r *Runner) DropBefore(epoch uint64) { r.fencedEpoch = max(r.fencedEpoch, epoch) }
 
 // Renewals asks for locks to run anew, in one message: of all that brings events, or
 // may still be waiting for its first. Anything else is left to lapse.
--- a/internal/batch/executor/runner_test.go
+++ b/internal/batch/executor/runner_test.go
@@ -21,7 +21,7 @@
 }
 
 // However late an answer comes, the lock ends here before it does at the dispatcher.
-func TestLockIsReckonedFromTheAsking(t *testing.T) {
+func TestLockCountsFromTheRequest(t *testing.T) {
 	runner := New()
 	if tasks := runner.Add(given(1), ms(0), ms(2500)); len(tasks) != 0 {
 		t.Fatal("taken after its lock had ended")
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestRenewalCountsFromItsAsking(t *testing.T) {
+func TestRenewalCountsFromItsRequest(t *testing.T) {
 	runner := New()
 	task := runner.Add(given(1), ms(0), ms(500))[0]
 	entries := runner.Renewals(ms(1000))
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestStopOfALot(t *testing.T) {
+func TestStopJob(t *testing.T) {
 	runner := New()
 	runner.Add(given(1, 2), ms(0), ms(500))
 	if len(runner.StopJob("other")) != 0 || len(runner.StopJob("l")) != 2 || len(runner.StopJob("l")) != 0 {
@@ -105,10 +105,10 @@
 }
 
 // Once a later leader was told what is held here, an earlier one's answer is late.
-func TestFence(t *testing.T) {
+func TestDropBefore(t *testing.T) {
 	runner := New()
 	runner.Add(given(5<<40|1), ms(0), ms(100))
-	runner.Fence(6)
+	runner.DropBefore(6)
 	if len(runner.Add(given(5<<40|2), ms(0), ms(100))) != 0 || len(runner.Add(given(6<<40|1), ms(0), ms(100))) != 1 || len(runner.Renewals(ms(100))) != 2 {
 		t.Fatal("what an earlier holder handed out was taken, or what is held was dropped")
 	}
@@ -121,7 +121,7 @@
 	for at := 500.0; at < 20_000; at += 500 {
 		entries := runner.Renewals(ms(at))
 		if at <= 10_000 {
-			task.MarkProgress(ms(at))
+			task.NoteProgress(ms(at))
 		}
 		hangs := clock.Milliseconds(at-10_000) >= constants.RenewWithoutEventsMax
 		if (len(entries) == 0) != hangs {
--- a/internal/batch/executorserver/executorserver.go
+++ b/internal/batch/executorserver/executorserver.go
@@ -166,7 +166,7 @@
 	if due {
 		// With nothing to renew it still says that this executor is there.
 		entries = s.runner.Renewals(now)
-		s.runner.Fence(epoch)
+		s.runner.DropBefore(epoch)
 		s.locks.reportedEpoch = max(s.locks.reportedEpoch, epoch)
 		s.locks.renewedAt = now
 		s.locks.renewing = true
--- a/internal/batch/executorserver/run.go
+++ b/internal/batch/executorserver/run.go
@@ -39,7 +39,7 @@
 	status := response.Answer.StatusCode
 	if response.NotRun || status >= 300 {
 		grant.Told(response.Load, clock.Now())
-		_, complete, err := sender.ReadBody(response, constants.BufferedAnswer)
+		_, complete, err := sender.ReadBody(response, constants.BufferedResponseMax)
 		s.forgetConnection(task)
 		if err == nil && complete {
 			sender.Finish(response)
@@ -62,7 +62,7 @@
 		if task.Stopped() || !task.Item.AppendEvents(task.Run, proxy.Data(events), splitter.Last) {
 			return proxy.ErrNotSent.New("called off")
 		}
-		task.MarkProgress(clock.Now())
+		task.NoteProgress(clock.Now())
 		return nil
 	})
 	s.forgetConnection(task)
@@ -74,14 +74,14 @@
 	sender.Finish(response)
 	s.lock.Lock()
 	complete := task.Item.Finish(task.Run)
-	displaced := task.Item.Preempted > 0
+	preempted := task.Item.Preempted > 0
 	s.lock.Unlock()
 	if !complete {
 		// It was asked to make room in its last moment: its run counts as set back.
 		s.release(route, task, grant, admission.ResultServed, messages.Acknowledgement{}, "displaced at its end")
 		return
 	}
-	if displaced {
+	if preempted {
 		s.gossip.Scheduler.Counters(route.Name).Finished.Add(1)
 	}
 	grant.End(admission.ResultServed, clock.Now())
@@ -166,7 +166,7 @@
 		own["Last-Event-Id"] = strconv.FormatInt(item.LastID, 10)
 	}
 	left := item.Job.SubmittedMs + route.Retain().Milliseconds() - clock.WallNanos()/1_000_000
-	return &proxy.Request{Method: http.MethodPost, Attempt: item.ID, Seal: true, Repeatable: true, Patience: 2 * constants.SilentWorker,
+	return &proxy.Request{Method: http.MethodPost, Attempt: item.ID, Seal: true, Repeatable: true, Patience: 2 * constants.StreamTimeout,
 		Text:  proxy.Head(http.MethodPost, item.Path, item.Job.Host, proxy.Passed(header), own, item.Body),
 		Until: clock.Now().Add(max(clock.Milliseconds(float64(left)), constants.RunTimeMin)),
 		Halt: func(connection *workerconn.Connection) {
--- a/internal/batch/jobclient/jobclient.go
+++ b/internal/batch/jobclient/jobclient.go
@@ -39,7 +39,7 @@
 }
 
 // Job is many requests that are submitted at once; at most 200.
-type Lot struct {
+type Job struct {
 	Requests []Item `json:"requests"`
 }
 
@@ -52,8 +52,8 @@
 
 // Settled and Abandoned are the phases of an output.
 const (
-	Settled   = "settled"
-	Abandoned = "abandoned"
+	PhaseSettled   = "settled"
+	PhaseAbandoned = "abandoned"
 )
 
 // Page is what one read gives.
@@ -72,13 +72,13 @@
 	turn int
 	// Transport may be replaced in tests.
 	Transport http.RoundTripper
-	// Pause waits between two tries; nil is a real wait.
-	Pause func(clock.Duration)
+	// Backoff waits between two tries; nil is a real wait.
+	Backoff func(clock.Duration)
 }
 
 func (c *Client) pause(timeout clock.Duration) {
-	if c.Pause != nil {
-		c.Pause(timeout)
+	if c.Backoff != nil {
+		c.Backoff(timeout)
 		return
 	}
 	clock.Sleep(timeout)
@@ -112,7 +112,7 @@
 		return answer{}, ErrOutcomeUnknown.Wrap(err, edge)
 	}
 	defer got.Body.Close()
-	output, err := io.ReadAll(io.LimitReader(got.Body, constants.LotAnswerLimit))
+	output, err := io.ReadAll(io.LimitReader(got.Body, constants.JobResponseLimit))
 	if err != nil {
 		c.turn++
 		return answer{}, ErrOutcomeUnknown.Wrap(err, edge)
@@ -124,9 +124,9 @@
 	return answer{got.StatusCode, output, clock.Milliseconds(max(seconds, 0) * 1000)}, nil
 }
 
-// HandIn sends a job under its id until it is taken or the context ends. What may
+// Submit sends a job under its id until it is taken or the context ends. What may
 // have been taken is sent again unchanged: the system takes it once.
-func (c *Client) HandIn(until contexts.Context, id, path string, job Lot) (tries int, err error) {
+func (c *Client) Submit(until contexts.Context, id, path string, job Job) (attempts int, err error) {
 	if len(job.Requests) == 0 || len(job.Requests) > constants.JobItemsMax {
 		return 0, ErrInvalidCall.New("a lot holds 1 to " + strconv.Itoa(constants.JobItemsMax) + " items")
 	}
@@ -136,18 +136,18 @@
 	}
 	maybe := false
 	for {
-		tries++
-		got, err := c.call(until, http.MethodPost, path, map[string]string{"Lemonarch-Attempt-Id": id, "Content-Type": "application/json"}, body, constants.LotCallTime)
+		attempts++
+		got, err := c.call(until, http.MethodPost, path, map[string]string{"Lemonarch-Attempt-Id": id, "Content-Type": "application/json"}, body, constants.JobCallTimeout)
 		backoff := max(got.after, constants.LabRetry)
 		switch {
 		case err != nil:
 			maybe = true
 		case got.status == http.StatusAccepted:
-			return tries, nil
+			return attempts, nil
 		case got.status == http.StatusTooManyRequests || got.status == http.StatusServiceUnavailable:
 			err = ErrRejected.New(strconv.Itoa(got.status))
 		case got.status >= 400 && got.status < 500:
-			return tries, ErrInvalidCall.New(strconv.Itoa(got.status) + " " + string(got.body))
+			return attempts, ErrInvalidCall.New(strconv.Itoa(got.status) + " " + string(got.body))
 		default:
 			maybe = true
 			err = ErrOutcomeUnknown.New(strconv.Itoa(got.status))
@@ -158,20 +158,20 @@
 		if until.Err() != nil {
 			if maybe {
 				// One unclear answer is enough: nothing may be said of the job.
-				return tries, ErrOutcomeUnknown.New("the lot may have been taken; the last try: " + err.Error())
+				return attempts, ErrOutcomeUnknown.New("the lot may have been taken; the last try: " + err.Error())
 			}
-			return tries, err
+			return attempts, err
 		}
 	}
 }
 
 // Read gives one page from a position on; hold lets the system wait for an output.
-func (c *Client) Read(until contexts.Context, id string, cursor int, hold clock.Duration) (*Page, error) {
+func (c *Client) Read(until contexts.Context, id string, cursor int, wait clock.Duration) (*Page, error) {
 	header := map[string]string{}
-	if hold > 0 {
-		header["Lemonarch-Hold-Ms"] = strconv.FormatInt(hold.Milliseconds(), 10)
+	if wait > 0 {
+		header["Lemonarch-Hold-Ms"] = strconv.FormatInt(wait.Milliseconds(), 10)
 	}
-	got, err := c.call(until, http.MethodGet, "/-/lots/"+url.PathEscape(id)+"?page-cursor="+strconv.Itoa(cursor), header, nil, hold+constants.LotReadSlack)
+	got, err := c.call(until, http.MethodGet, "/-/lots/"+url.PathEscape(id)+"?page-cursor="+strconv.Itoa(cursor), header, nil, wait+constants.JobReadSlack)
 	if err != nil {
 		return nil, err
 	}
@@ -190,7 +190,7 @@
 
 // End ends a job; calls may be repeated.
 func (c *Client) End(until contexts.Context, id string) error {
-	got, err := c.call(until, http.MethodDelete, "/-/lots/"+url.PathEscape(id), nil, nil, constants.LotCallTime)
+	got, err := c.call(until, http.MethodDelete, "/-/lots/"+url.PathEscape(id), nil, nil, constants.JobCallTimeout)
 	if err != nil {
 		return err
 	}
@@ -199,7 +199,7 @@
 
 // Body gives the body of an item that is not listed yet.
 func (c *Client) Body(until contexts.Context, id, item string) ([]byte, error) {
-	got, err := c.call(until, http.MethodGet, "/-/items/"+url.PathEscape(id)+"?id="+url.QueryEscape(item), nil, nil, constants.LotCallTime)
+	got, err := c.call(until, http.MethodGet, "/-/items/"+url.PathEscape(id)+"?id="+url.QueryEscape(item), nil, nil, constants.JobCallTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -229,7 +229,7 @@
 			if !Again(err) || until.Err() != nil {
 				return err
 			}
-			c.pause(constants.LoadPollPause)
+			c.pause(constants.LoadPollBackoff)
 			continue
 		}
 		if err = each(page); err != nil {
--- a/internal/batch/jobclient/jobclient_test.go
+++ b/internal/batch/jobclient/jobclient_test.go
@@ -44,34 +44,36 @@
 }
 
 func client(t *testing.T, outcomes ...func(*http.Request, []byte) (int, string)) (*Client, *script) {
+	t.Helper()
+
 	play := &script{test: t, steps: outcomes}
-	return &Client{Edges: []string{"a:1", "b:1"}, Host: "h", Transport: play, Pause: func(clock.Duration) {}}, play
+	return &Client{Edges: []string{"a:1", "b:1"}, Host: "h", Transport: play, Backoff: func(clock.Duration) {}}, play
 }
 
-var oneItem = Lot{Requests: []Item{{ID: "i", Path: "/batch/1", Body: []byte{1, 2, 250}, Tokens: 3}}}
+var oneItem = Job{Requests: []Item{{ID: "i", Path: "/batch/1", Body: []byte{1, 2, 250}, Tokens: 3}}}
 
 // After an unclear answer the same job goes to another node, unchanged.
-func TestHandInSendsTheSameElsewhere(t *testing.T) {
+func TestSubmitRetriesElsewhere(t *testing.T) {
 	var first []byte
 	c, play := client(t,
 		func(_ *http.Request, body []byte) (int, string) { first = body; return 0, "" },
 		says(503, ""),
 		func(request *http.Request, body []byte) (int, string) {
-			var job Lot
+			var job Job
 			if string(body) != string(first) || json.Unmarshal(body, &job) != nil || string(job.Requests[0].Body) != "\x01\x02\xfa" ||
 				request.Host != "h" || request.Header.Get("Lemonarch-Attempt-Id") != "lot" {
 				t.Error("not the same lot", string(body))
 			}
 			return 202, ""
 		})
-	tries, err := c.HandIn(contexts.Background(), "lot", "/batch/x", oneItem)
-	if err != nil || tries != 3 || play.hosts[0] == play.hosts[1] || play.hosts[1] == play.hosts[2] {
-		t.Fatal(tries, err, play.hosts)
+	attempts, err := c.Submit(contexts.Background(), "lot", "/batch/x", oneItem)
+	if err != nil || attempts != 3 || play.hosts[0] == play.hosts[1] || play.hosts[1] == play.hosts[2] {
+		t.Fatal(attempts, err, play.hosts)
 	}
 }
 
 // Refused means that every try was refused: one unclear answer forbids to say so.
-func TestRefusedOnlyWhereEveryTryWas(t *testing.T) {
+func TestRejectedOnlyWhereEveryAttemptWas(t *testing.T) {
 	for _, unclear := range []bool{false, true} {
 		until, halt := contexts.WithCancel(contexts.Background())
 		status := 429
@@ -79,7 +81,7 @@
 			status = 504
 		}
 		c, _ := client(t, says(status, ""), func(*http.Request, []byte) (int, string) { halt(); return 429, "" })
-		_, err := c.HandIn(until, "lot", "/batch/x", oneItem)
+		_, err := c.Submit(until, "lot", "/batch/x", oneItem)
 		if errs.Is(err, ErrRejected) == unclear || errs.Is(err, ErrOutcomeUnknown) != unclear {
 			t.Fatal(unclear, err)
 		}
@@ -88,10 +90,10 @@
 
 func TestWhatIsWrongIsNotSentAgain(t *testing.T) {
 	c, _ := client(t, says(400, "no"))
-	if _, err := c.HandIn(contexts.Background(), "lot", "/x", oneItem); !errs.Is(err, ErrInvalidCall) {
+	if _, err := c.Submit(contexts.Background(), "lot", "/x", oneItem); !errs.Is(err, ErrInvalidCall) {
 		t.Fatal(err)
 	}
-	if _, err := c.HandIn(contexts.Background(), "lot", "/x", Lot{}); !errs.Is(err, ErrInvalidCall) {
+	if _, err := c.Submit(contexts.Background(), "lot", "/x", Job{}); !errs.Is(err, ErrInvalidCall) {
 		t.Fatal(err)
 	}
 }
--- a/internal/batch/leader/addmember.go
+++ b/internal/batch/leader/addmember.go
@@ -27,7 +27,7 @@
 		if clock.Now().Sub(sentAt) < constants.LeaseDuration {
 			continue
 		}
-		if t.process.isSilent(s.in) {
+		if t.process.isUnresponsive(s.in) {
 			// Gone again: others that come in with it must not wait for it.
 			break
 		}
--- a/internal/batch/leader/addmember_test.go
+++ b/internal/batch/leader/addmember_test.go
@@ -12,7 +12,7 @@
 )
 
 // Two that came back empty take their places at once; nobody else's place changes.
-func TestSwappedSet(t *testing.T) {
+func TestWithReplacements(t *testing.T) {
 	members := []messages.Member{{Name: "a", Disk: "1"}, {Name: "b", Disk: "2"}, {Name: "c", Disk: "3"}, {Name: "d", Disk: "4"}, {Name: "e", Disk: "5"}}
 	next := withReplacements(members, []replacement{{&members[1], messages.Member{Name: "b", Disk: "7"}}, {&members[3], messages.Member{Name: "d", Disk: "8"}}})
 	disks := map[string]string{}
@@ -32,7 +32,7 @@
 
 // Two joiners of one time copy from two members, and nobody from the leader or
 // from a member that is far behind.
-func TestNewcomersShareNoSource(t *testing.T) {
+func TestJoinersShareNoSource(t *testing.T) {
 	term := lead(t, soleStore(t, simulation.NewDisk(12)), 1)
 	term.lock.Lock()
 	defer term.lock.Unlock()
@@ -56,7 +56,7 @@
 
 // A joiner that answers but does not get on keeps another one out of the set only for
 // a while: the set is made complete by as much as can be.
-func TestSlowNewcomerHoldsNobodyUp(t *testing.T) {
+func TestSlowJoinerDelaysNobody(t *testing.T) {
 	term := lead(t, soleStore(t, simulation.NewDisk(12)), 1)
 	freeCapacity := transport.NewMemoryNetwork()
 	term.process.Node.Transport = freeCapacity.Transport("m")
--- a/internal/batch/leader/copy.go
+++ b/internal/batch/leader/copy.go
@@ -17,6 +17,7 @@
 	closed atomic.Bool
 }
 
+// NewCopyDeadline begins the time of a change, constants.SetChangeTimeout.
 func NewCopyDeadline() *CopyDeadline {
 	return &CopyDeadline{end: clock.Now().Add(constants.SetChangeTimeout)}
 }
--- a/internal/batch/leader/copy_test.go
+++ b/internal/batch/leader/copy_test.go
@@ -12,7 +12,7 @@
 // A joiner's copy ends also where records come as fast as they are copied: with a
 // bound on the gap alone it went on until the time for the whole change was over,
 // and a second loss met a set that was not complete yet.
-func TestCopyEndsThoughRecordsKeepComing(t *testing.T) {
+func TestCopyEndsWhileRecordsArrive(t *testing.T) {
 	for _, rate := range []float64{50, 250, 600, 1200} {
 		// Seconds for what is lacking, at a speed of records a second, and a round's own time.
 		const speed, trip = 2000.0, 0.05
@@ -37,7 +37,7 @@
 
 // An order from a member that is cut off half way leaves the joiner with a part
 // that counts, and the leader goes on from there.
-func TestCopyGoesOnFromTheHolder(t *testing.T) {
+func TestCopyContinuesFromTheLeader(t *testing.T) {
 	term := lead(t, soleStore(t, simulation.NewDisk(12)), 1)
 	if done := term.CopyTo(messages.Member{Name: "n", Address: "nowhere", Disk: "n"}, 0, NewCopyDeadline()); done != 0 {
 		t.Fatal("copied without a source: ", done)
--- a/internal/batch/leader/feed.go
+++ b/internal/batch/leader/feed.go
@@ -9,18 +9,31 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// startFeed begins to copy records to a store, from a common index on. The lock is held.
+// recordOverhead is about what a record takes in a message beside its body, in bytes.
+const recordOverhead = 128
+
+// feeder sends records to one store of the set, or to a joiner, until it is stopped or the
+// term ends.
+type feeder struct {
+	term   *Term
+	member messages.Member
+	// next is the index of the next record to be sent.
+	next int64
+	quit chan struct{}
+}
+
+// startFeed begins to send records to a store, from a common index on. The lock is held.
 func (t *Term) startFeed(member messages.Member, common int64) {
 	identity := register.Identity(member)
 	if t.feeds.feeders[identity] != nil {
 		return
 	}
-	quit := make(chan struct{})
-	t.feeds.feeders[identity] = quit
-	go t.feedLoop(member, common+1, quit)
+	f := &feeder{term: t, member: member, next: common + 1, quit: make(chan struct{})}
+	t.feeds.feeders[identity] = f.quit
+	go f.run()
 }
 
-// stopFeed stops that.
+// stopFeed stops that. The lock is held.
 func (t *Term) stopFeed(member messages.Member) {
 	identity := register.Identity(member)
 	if quit := t.feeds.feeders[identity]; quit != nil {
@@ -29,97 +42,134 @@
 	}
 }
 
-func (t *Term) feedLoop(member messages.Member, next int64, quit chan struct{}) {
-	own := member.Address == t.process.Node.Self.Address
+func (f *feeder) run() {
 	for {
-		batch, changed := t.nextBatch(member, next)
+		batch, changed := f.nextBatch()
 		if batch == nil {
-			select {
-			case <-changed:
-				continue
-			case <-quit:
-				return
-			case <-t.life.stop:
+			if !f.wait(changed) {
 				return
 			}
+			continue
 		}
-		resp := &messages.AppendResponse{}
-		var err error
 		start := clock.Now()
-		if own {
-			*resp, err = t.process.Log.Append(batch)
-		} else {
-			err = transport.Call(t.process.Node.Transport, member.Address, messages.KindAppend, batch, resp, constants.BulkCallTimeout)
-		}
-		switch {
-		case err != nil:
+		resp, err := f.send(batch)
+		if err != nil {
 			// Out of reach, or its disk is full: the others go on without it.
-			select {
-			case <-quit:
+			if !f.pause(constants.TickPeriod * 2) {
 				return
-			case <-t.life.stop:
-				return
-			case <-clock.After(constants.TickPeriod * 2):
 			}
-		case resp.Granted:
-			next = resp.Last + 1
-			t.noteAppendLatency(register.Identity(member), clock.Now().Sub(start))
-			t.handleMatch(register.Identity(member), resp.Last)
-		case resp.Epoch > t.leadership.Epoch:
-			t.Close("a later epoch was raised")
+			continue
+		}
+		if !f.handle(resp, clock.Now().Sub(start)) {
 			return
-		case resp.EpochRanges != nil || resp.Last < next-1:
-			next = min(replication.CommonIndex(t.process.Log.Extent(), replication.ExtentOfAppend(resp)), next-1) + 1
-		default:
-			// Another disk answers at that address: the set will be mended.
-			select {
-			case <-quit:
-				return
-			case <-t.life.stop:
-				return
-			case <-clock.After(constants.LeaseRenewPeriod):
-			}
 		}
 	}
 }
 
-// nextBatch gathers the next records for a store; nil with a bell when there are none.
-func (t *Term) nextBatch(member messages.Member, next int64) (*messages.AppendRequest, chan struct{}) {
-	// A compacted part is sent as such, also where its records are still in memory.
-	compacted := next <= t.process.Log.Compacted()
-	t.lock.Lock()
-	req := &messages.AppendRequest{Epoch: t.leadership.Epoch, Disk: member.Disk, PreviousIndex: next - 1, CommitIndex: t.records.replicator.CommitIndex()}
-	if next > t.records.replicator.Last() {
-		changed := t.records.changed
-		t.lock.Unlock()
+// wait returns at the next change; false when the feeder has to end.
+func (f *feeder) wait(changed <-chan struct{}) bool {
+	select {
+	case <-changed:
+		return true
+	case <-f.quit:
+		return false
+	case <-f.term.life.stop:
+		return false
+	}
+}
+
+// pause waits for a while; false when the feeder has to end.
+func (f *feeder) pause(duration clock.Duration) bool {
+	select {
+	case <-clock.After(duration):
+		return true
+	case <-f.quit:
+		return false
+	case <-f.term.life.stop:
+		return false
+	}
+}
+
+func (f *feeder) send(batch *messages.AppendRequest) (messages.AppendResponse, error) {
+	process := f.term.process
+	if f.member.Address == process.Node.Self.Address {
+		return process.Log.Append(batch)
+	}
+	resp := messages.AppendResponse{}
+	err := transport.Call(process.Node.Transport, f.member.Address, messages.KindAppend, batch, &resp, constants.BulkCallTimeout)
+	return resp, err
+}
+
+// handle takes a store's response, which took a time; false when the feeder has to end.
+func (f *feeder) handle(resp messages.AppendResponse, took clock.Duration) bool {
+	t, identity := f.term, register.Identity(f.member)
+	switch {
+	case resp.Granted:
+		f.next = resp.Last + 1
+		t.noteAppendLatency(identity, took)
+		t.handleMatch(identity, resp.Last)
+	case resp.Epoch > t.leadership.Epoch:
+		t.Close("a later epoch was raised")
+		return false
+	case resp.EpochRanges != nil || resp.Last < f.next-1:
+		// The records do not join on to those of the store: go further back.
+		common := replication.CommonIndex(t.process.Log.Extent(), replication.ExtentOfAppend(&resp))
+		f.next = min(common, f.next-1) + 1
+	default:
+		// Another disk answers at that address: the set will be repaired.
+		return f.pause(constants.LeaseRenewPeriod)
+	}
+	return true
+}
+
+// nextBatch gathers the next records for the store; nil where there are none, with a
+// channel that closes once there may be.
+func (f *feeder) nextBatch() (*messages.AppendRequest, <-chan struct{}) {
+	log := f.term.process.Log
+	req, previous, changed := f.recentBatch(f.next <= log.Compacted())
+	if req == nil {
 		return nil, changed
 	}
-	fromMemory := false
+	if !previous {
+		// Asked without the term's lock: the store may be in the middle of a sync.
+		req.PreviousEpoch = log.EpochAt(f.next - 1)
+	}
+	if len(req.Records) > 0 {
+		return req, nil
+	}
+	fetched, err := log.Fetch(&messages.FetchRequest{First: f.next})
+	if err != nil || len(fetched.Records) == 0 {
+		return nil, clock.ClosedAfter(constants.TickPeriod)
+	}
+	req.Records, req.Base, req.BaseEpoch = fetched.Records, fetched.Base, fetched.BaseEpoch
+	return req, nil
+}
+
+// recentBatch makes the next request with those records that are still in memory, which are
+// none where they are compacted on disk: such a part is sent as it is there. previous tells
+// whether the epoch of the record before was still in memory. Without any record to send the
+// request is nil.
+func (f *feeder) recentBatch(compacted bool) (req *messages.AppendRequest, previous bool, changed <-chan struct{}) {
+	t := f.term
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	replicator := t.records.replicator
+	if f.next > replicator.Last() {
+		return nil, false, t.records.changed
+	}
+	req = &messages.AppendRequest{Epoch: t.leadership.Epoch, Disk: f.member.Disk, PreviousIndex: f.next - 1, CommitIndex: replicator.CommitIndex()}
 	size := 0
-	for index := next; !compacted && index <= t.records.replicator.Last() && size < constants.AppendBytes; index++ {
+	for index := f.next; !compacted && index <= replicator.Last() && size < constants.AppendBytes; index++ {
 		record := t.recentAt(index)
 		if record == nil {
 			break
 		}
-		fromMemory = true
-		size += len(record.Body) + 128
+		size += len(record.Body) + recordOverhead
 		req.Records = append(req.Records, *record)
 	}
-	previous := t.recentAt(next - 1)
-	if previous != nil {
-		req.PreviousEpoch = previous.Epoch
+	if record := t.recentAt(f.next - 1); record != nil {
+		req.PreviousEpoch = record.Epoch
+		return req, true, nil
 	}
-	t.lock.Unlock()
-	if previous == nil {
-		// Asked without our lock: the store may be in the middle of a sync.
-		req.PreviousEpoch = t.process.Log.EpochAt(next - 1)
-	}
-	if !fromMemory {
-		fetched, err := t.process.Log.Fetch(&messages.FetchRequest{First: next})
-		if err != nil || len(fetched.Records) == 0 {
-			return nil, clock.ClosedAfter(constants.TickPeriod)
-		}
-		req.Records, req.Base, req.BaseEpoch = fetched.Records, fetched.Base, fetched.BaseEpoch
-	}
-	return req, nil
+	return req, false, nil
 }
--- a/internal/batch/leader/jobcalls.go
+++ b/internal/batch/leader/jobcalls.go
@@ -4,14 +4,14 @@
 	"encoding/json"
 	"net/http"
 
-	"lemonarch/internal/batch/dispatch"
-	"lemonarch/internal/batch/outputcodec"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
 	"lemonarch/internal/platform/messages"
 )
 
+// reason is the body of an answer that says why.
 func reason(text string) []byte {
+	// A map of strings can always be encoded.
 	body, _ := json.Marshal(map[string]string{"error": text})
 	return body
 }
@@ -21,14 +21,19 @@
 	return refuse(http.StatusGatewayTimeout, "outcome unknown")
 }
 
+// refuse is an answer with a status and the reason for it.
 func refuse(status int, text string) *messages.JobCallResponse {
 	return &messages.JobCallResponse{Status: status, Body: reason(text)}
 }
 
-// Serve answers a call under this epoch.
+// methodItem is the method of a call for the body of one item; the other calls have the
+// method of the client's request.
+const methodItem = "ITEM"
+
+// Serve answers a client's call on a job under this epoch. NotLeader in the response means
+// that nothing was taken.
 func (t *Term) Serve(call *messages.JobCallRequest) *messages.JobCallResponse {
 	if !t.waitServing(constants.RoundTimeout) {
-		// Nothing was taken: the gateway may ask again or refuse.
 		return &messages.JobCallResponse{NotLeader: true}
 	}
 	switch call.Method {
@@ -36,12 +41,13 @@
 		return t.submitJob(call)
 	case http.MethodDelete:
 		return t.endJob(call)
-	case "ITEM":
+	case methodItem:
 		return t.itemBody(call)
 	}
 	return t.readJob(call)
 }
 
+// waitServing waits until the takeover is complete, and tells whether this process leads.
 func (t *Term) waitServing(timeout clock.Duration) bool {
 	end := clock.Now().Add(timeout)
 	for {
@@ -71,107 +77,20 @@
 			t.lock.Unlock()
 			return refuse(http.StatusNotFound, "no such lot")
 		}
-		listings, open, sum, changed := job.Listings, job.Open(), job.Total(), t.records.changed
+		listings, open, total, changed := job.Listings, job.Open(), job.Total(), t.records.changed
 		t.lock.Unlock()
 		if len(listings) > call.Cursor || !open || clock.Now() >= end {
-			return t.page(sum, call.Cursor, listings)
+			return t.page(total, call.Cursor, listings)
 		}
 		select {
 		case <-changed:
 		case <-t.life.stop:
-			return t.page(sum, call.Cursor, listings)
+			return t.page(total, call.Cursor, listings)
 		case <-clock.After(end.Sub(clock.Now())):
 		}
 	}
 }
 
-type outputPage struct {
-	Sum     int          `json:"sum"`
-	Next    int          `json:"next-token"`
-	Outputs []outputLine `json:"outputs"`
-}
-
-type outputLine struct {
-	ID    string `json:"id"`
-	Phase string `json:"phase"`
-	Text  string `json:"text"`
-}
-
-func (t *Term) page(sum, cursor int, listings []dispatch.Listing) *messages.JobCallResponse {
-	page := outputPage{Sum: sum, Next: cursor, Outputs: []outputLine{}}
-	size := 0
-	for i := cursor; i < len(listings); i++ {
-		output, err := t.output(listings[i].Index)
-		if err != nil {
-			t.process.Node.Log.Error("output can't be read", "err", err.Error())
-			return refuse(http.StatusServiceUnavailable, "output can't be read now")
-		}
-		if size += len(output) + 128; size > constants.PageBytes && i > cursor {
-			break
-		}
-		phase := "settled"
-		if listings[i].Abandoned {
-			phase = "abandoned"
-		}
-		page.Outputs = append(page.Outputs, outputLine{ID: listings[i].Item, Phase: phase, Text: string(output)})
-		page.Next = i + 1
-	}
-	body, err := json.Marshal(page)
-	if err != nil {
-		return refuse(http.StatusInternalServerError, "page can't be written")
-	}
-	return &messages.JobCallResponse{Status: http.StatusOK, Body: body}
-}
-
-// output gives an output's text: from memory while it is new, else from disk.
-func (t *Term) output(index int64) ([]byte, error) {
-	t.lock.Lock()
-	if record := t.recentAt(index); record != nil {
-		body, compressed := record.Body, record.Compressed
-		t.lock.Unlock()
-		return outputcodec.Decompress(body, compressed)
-	}
-	t.lock.Unlock()
-	record, err := t.process.Log.Read(index)
-	if err != nil {
-		return nil, err
-	}
-	return outputcodec.Decompress(record.Body, record.Compressed)
-}
-
-func (t *Term) itemBody(call *messages.JobCallRequest) *messages.JobCallResponse {
-	t.lock.Lock()
-	job := t.jobs.Job(call.Job)
-	if job == nil {
-		t.lock.Unlock()
-		return refuse(http.StatusNotFound, "no such lot")
-	}
-	item := job.Item(call.Item)
-	if item == nil {
-		t.lock.Unlock()
-		return refuse(http.StatusNotFound, "no such item")
-	}
-	body, index := item.Body, job.Index
-	t.lock.Unlock()
-	if body == nil {
-		// It is listed, or its job has ended: the body is still in the job's record.
-		record, err := t.process.Log.Read(index)
-		if err != nil {
-			return refuse(http.StatusServiceUnavailable, "body can't be read now")
-		}
-		complete := &messages.JobBody{}
-		if _, err = complete.UnmarshalMsg(record.Body); err != nil {
-			return refuse(http.StatusServiceUnavailable, "body can't be read now")
-		}
-		for i := range complete.Items {
-			if complete.Items[i].ID == call.Item {
-				body = complete.Items[i].Body
-			}
-		}
-	}
-	return &messages.JobCallResponse{Status: http.StatusOK, ContentType: "application/octet-stream", Body: body}
-}
-
 // endJob ends a job for good.
 func (t *Term) endJob(call *messages.JobCallRequest) *messages.JobCallResponse {
 	t.lock.Lock()
--- a/internal/batch/leader/jobjson_test.go
+++ b/internal/batch/leader/jobjson_test.go
@@ -10,8 +10,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// largeLot is a job as clients send them: 48 KB with 30 items.
-func largeLot(items int) *messages.JobCallRequest {
+// largeJob is a job as clients send them: 48 KB with 30 items.
+func largeJob(items int) *messages.JobCallRequest {
 	var text strings.Builder
 	text.WriteString(`{"requests":[`)
 	for i := 0; i < items; i++ {
@@ -25,22 +25,22 @@
 	return &messages.JobCallRequest{Method: "POST", Host: "h", Path: "/b/", Job: "l", Body: []byte(text.String())}
 }
 
-// BenchmarkReadLotStandard is the standard reader over the same text, to compare
+// BenchmarkParseJobStandardLibrary is the standard reader over the same text, to compare
 // with in the same run.
-func BenchmarkReadLotStandard(b *testing.B) {
-	call := largeLot(30)
+func BenchmarkParseJobStandardLibrary(b *testing.B) {
+	call := largeJob(30)
 	b.SetBytes(int64(len(call.Body)))
 	b.ReportAllocs()
 	for b.Loop() {
-		lot := jobJSON{}
-		if err := json.Unmarshal(call.Body, &lot); err != nil {
+		job := jobJSON{}
+		if err := json.Unmarshal(call.Body, &job); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-func BenchmarkReadLot(b *testing.B) {
-	call := largeLot(30)
+func BenchmarkParseJob(b *testing.B) {
+	call := largeJob(30)
 	b.SetBytes(int64(len(call.Body)))
 	b.ReportAllocs()
 	for b.Loop() {
@@ -55,8 +55,8 @@
 }
 
 // What can't be read whole is refused by either reader, and what can is the same.
-func TestReaderOfLots(t *testing.T) {
-	complete := string(largeLot(2).Body)
+func TestParseJob(t *testing.T) {
+	complete := string(largeJob(2).Body)
 	texts := []string{complete, "", "{", "[]", "null", "{}", complete + "x", complete[:len(complete)-1], complete[:200],
 		strings.Replace(complete, `"tokens":940`, `"tokens":9.4`, 1), strings.Replace(complete, `"tokens":940`, `"tokens":"9"`, 1),
 		strings.Replace(complete, `"body":"`, `"body":"*`, 1), strings.Replace(complete, `"id":"`, `"id":3,"x":"`, 1),
--- a/internal/batch/leader/latency_test.go
+++ b/internal/batch/leader/latency_test.go
@@ -11,7 +11,7 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-func TestLagOfADisk(t *testing.T) {
+func TestAppendLatencyOfASlowDisk(t *testing.T) {
 	lags := newAppendLatency()
 	for round := 0; round < 20; round++ {
 		lags.note("own", 5)
--- a/internal/batch/leader/setpolicy.go
+++ b/internal/batch/leader/setpolicy.go
@@ -157,7 +157,7 @@
 			p.Node.Log.Info("store passed over as slow or silent", "store", joiner.Name)
 			// A store that everything must be copied to first had better be quick.
 			delete(entries, joiner.Name)
-		case out != nil && !retired[out.Name] && !p.isSilent(*out):
+		case out != nil && !retired[out.Name] && !p.isUnresponsive(*out):
 			answering[out.Name] = true
 		default:
 			return out, joiner
@@ -166,8 +166,8 @@
 	return nil, nil
 }
 
-// isSilent asks a member itself: one that answers now has not departed.
-func (p *Process) isSilent(member messages.Member) bool {
+// isUnresponsive asks a member itself: one that answers now has not departed.
+func (p *Process) isUnresponsive(member messages.Member) bool {
 	_, err := p.slowness(member)
 	return err != nil
 }
--- a/internal/batch/leader/setpolicy_test.go
+++ b/internal/batch/leader/setpolicy_test.go
@@ -12,9 +12,9 @@
 )
 
 // What is nearest to loss is mended first, and what can't be mended holds nothing up.
-func TestOrderOfMending(t *testing.T) {
+func TestNextChangeRepairsNearestToLossFirst(t *testing.T) {
 	process := soleStore(t, simulation.NewDisk(3))
-	process.Node.StartedAt = clock.Now().Add(-clock.Duration(constants.ReplaceAfter) * 2)
+	process.Node.StartedAt = clock.Now().Add(-constants.ReplaceAfter * 2)
 	process.Node.Settings.FaultBudget.Machines = 1
 	member := func(name string) messages.Member {
 		return messages.Member{Name: name, Address: name, Disk: name, Zone: name}
@@ -57,7 +57,7 @@
 
 // Repair takes no slow or silent store for a joiner, and no member for gone that
 // still answers.
-func TestRepairChoosesAQuickStore(t *testing.T) {
+func TestNextResponsiveChangeAvoidsSlowStores(t *testing.T) {
 	process, network := soleStore(t, simulation.NewDisk(9)), transport.NewMemoryNetwork()
 	process.Node.Transport = network.Transport("m")
 	process.Node.Settings.FaultBudget.Machines = 1
--- a/internal/batch/leader/stop.go
+++ b/internal/batch/leader/stop.go
@@ -32,7 +32,7 @@
 		}
 		go func() {
 			announcement, resp := &messages.StopJobRequest{Job: job.ID}, &messages.Ack{}
-			for try := 0; try < 2; try++ {
+			for attempt := 0; attempt < 2; attempt++ {
 				if transport.Call(t.process.Node.Transport, address, messages.KindStopJob, announcement, resp, constants.CallTimeout) == nil {
 					return
 				}
--- a/internal/batch/leader/submit.go
+++ b/internal/batch/leader/submit.go
@@ -27,20 +27,20 @@
 
 // parseJob checks a job; the reason says what is wrong with it.
 func parseJob(call *messages.JobCallRequest) (body *messages.JobBody, tokens int64, status int, reason string) {
-	lot := jobJSON{}
-	if err := json.Unmarshal(call.Body, &lot); err != nil {
+	job := jobJSON{}
+	if err := json.Unmarshal(call.Body, &job); err != nil {
 		return nil, 0, http.StatusBadRequest, "lot can't be read: " + err.Error()
 	}
-	if len(lot.Requests) == 0 {
+	if len(job.Requests) == 0 {
 		return nil, 0, http.StatusBadRequest, "requests is empty"
 	}
-	if len(lot.Requests) > constants.JobItemsMax {
+	if len(job.Requests) > constants.JobItemsMax {
 		return nil, 0, http.StatusRequestEntityTooLarge, "too many items"
 	}
 	body = &messages.JobBody{Path: call.Path}
-	seen := map[string]bool{}
-	for _, found := range lot.Requests {
-		if found.ID == "" || seen[found.ID] || !strings.HasPrefix(found.Path, "/") || strings.ContainsAny(found.Path, " \r\n") || found.Tokens < 0 {
+	known := map[string]bool{}
+	for _, found := range job.Requests {
+		if found.ID == "" || known[found.ID] || !strings.HasPrefix(found.Path, "/") || strings.ContainsAny(found.Path, " \r\n") || found.Tokens < 0 {
 			return nil, 0, http.StatusBadRequest, "an item lacks a sound id, path or tokens"
 		}
 		for name, value := range found.Headers {
@@ -49,7 +49,7 @@
 				return nil, 0, http.StatusBadRequest, "an item has an unsound header"
 			}
 		}
-		seen[found.ID] = true
+		known[found.ID] = true
 		tokens += found.Tokens
 		body.Items = append(body.Items, messages.JobItem{ID: found.ID, Path: found.Path, Headers: found.Headers, Body: found.Body, Tokens: found.Tokens})
 	}
--- a/internal/batch/leader/submit_test.go
+++ b/internal/batch/leader/submit_test.go
@@ -43,7 +43,7 @@
 
 // A job is ended while its leadership changes hands: once the end was told, no later
 // leader runs any of it, and what was listed stays.
-func TestCancelDuringHandOver(t *testing.T) {
+func TestCancelDuringTakeover(t *testing.T) {
 	disk := simulation.NewDisk(2)
 	term := lead(t, soleStore(t, disk), 1)
 	if resp := term.submitJob(jobCallOf("lot", 3)); resp.Status != 202 {
@@ -93,7 +93,7 @@
 }
 
 // What is malformed, too large or unknown is told so.
-func TestBadLots(t *testing.T) {
+func TestMalformedJobsAreRejected(t *testing.T) {
 	term := lead(t, soleStore(t, simulation.NewDisk(3)), 1)
 	smuggled := jobCallOf("x", 1)
 	smuggled.Body = []byte(`{"requests":[{"id":"i","path":"/b/x","headers":{"A":"b\r\nX: y"},"body":"aGk=","tokens":1}]}`)
@@ -115,7 +115,7 @@
 
 // What has outlived its time is not taken, even where it fits; a job that stands
 // already is told so all the same.
-func TestHandInIsNotTakenAfterItsTime(t *testing.T) {
+func TestSubmissionExpires(t *testing.T) {
 	term := lead(t, soleStore(t, simulation.NewDisk(6)), 1)
 	call := jobCallOf("lot", 1)
 	call.ExpiresAt = int64(clock.Now())
--- a/internal/batch/leader/takeover.go
+++ b/internal/batch/leader/takeover.go
@@ -6,146 +6,164 @@
 	"lemonarch/internal/control/register"
 	"lemonarch/internal/platform/clock"
 	"lemonarch/internal/platform/constants"
+	"lemonarch/internal/platform/errs"
 	"lemonarch/internal/platform/messages"
 	"lemonarch/internal/platform/transport"
 )
 
-// TakeOver makes a new epoch ready: raise it at all stores but the fault budget,
-// go on from the best copy, and make one record of our own durable.
+// errTakeover is the error of a term that can't begin to serve.
+var errTakeover = errs.Define("takeover failed")
+
+// TakeOver makes the epoch ready: it fences all stores but the fault budget, goes on from
+// the best copy of the records, and has a record of its own epoch committed, which commits
+// those before it. Only then the term serves.
 func (t *Term) TakeOver() {
-	process := t.process
-	own := register.Identity(process.Election.Member())
-	var copies map[string]messages.FenceResponse
-	for {
-		copies = t.fenceMembers()
-		if replication.EnoughFenced(len(t.records.replicator.Members), len(copies), process.budget()) && copies[own].Granted {
-			break
-		}
-		if t.Closed() {
-			return
-		}
-		clock.Sleep(constants.TickPeriod * 2)
+	copies, fenced := t.fenceQuorum()
+	if !fenced {
+		return
 	}
-	best := replication.BestCopy(copies)
-	if best != own && !t.catchUp(best, copies) {
+	if err := t.adoptBestCopy(copies); err != nil {
+		t.process.Node.Log.Error("records can't be read", "epoch", t.leadership.Epoch, "err", err.Error())
 		t.Close("best copy can't be read")
 		return
 	}
-	extent := process.Log.Extent()
-	last := extent.Last
-	t.lock.Lock()
-	t.records.replicator = replication.NewReplicator(t.leadership.Epoch, t.records.replicator.Members, process.budget(), last+1)
-	t.records.applied = last
-	if err := t.rebuild(); err != nil {
-		t.lock.Unlock()
-		process.Node.Log.Error("records can't be read", "err", err.Error())
+	index, err := t.replicateFrom(copies)
+	if err != nil {
+		t.process.Node.Log.Error("records can't be read", "epoch", t.leadership.Epoch, "err", err.Error())
 		t.Close("records can't be read")
 		return
 	}
-	t.openDispatcher(last + 1)
-	for _, member := range t.records.replicator.Members {
-		common := last
-		if response, known := copies[register.Identity(member)]; known {
-			common = replication.CommonIndex(extent, replication.ExtentOfFence(&response))
-		}
-		if register.Identity(member) == own {
-			common = last
-		}
-		t.startFeed(member, common)
-	}
-	index := t.appendRecord(messages.Record{Kind: messages.RecordNoop})
-	t.lock.Unlock()
 	for !t.awaitCommit(index, constants.LeaseDuration) {
 		if t.Closed() {
 			return
 		}
 	}
-	t.lock.Lock()
-	t.serving = true
-	jobs := len(t.jobs.Jobs())
-	t.notifyLocked()
-	t.lock.Unlock()
-	process.Node.Log.Info("duty served", "epoch", t.leadership.Epoch, "records", last, "lots", jobs)
-	go clock.Every(constants.LeaseRenewPeriod, t.life.stop, t.announce)
-	go clock.Every(constants.GossipPeriod/2, t.life.stop, t.reconcileSet)
-	go clock.Every(constants.GossipPeriod, t.life.stop, t.forget)
-	go t.expireItems()
-	go t.watchOwnLag()
-	t.announce()
+	t.beginServing(index - 1)
+}
+
+// fenceQuorum has enough stores refuse earlier epochs, and gives what each of them has,
+// this process's own copy among them. It is false where the term ended before.
+func (t *Term) fenceQuorum() (copies map[string]messages.FenceResponse, fenced bool) {
+	for !t.Closed() {
+		if copies = t.fenceMembers(); t.enoughFenced(copies) {
+			return copies, true
+		}
+		clock.Sleep(constants.TickPeriod * 2)
+	}
+	return nil, false
+}
+
+// enoughFenced tells whether all stores but the fault budget are fenced, this process's own
+// among them.
+func (t *Term) enoughFenced(copies map[string]messages.FenceResponse) bool {
+	own := register.Identity(t.process.Election.Member())
+	return copies[own].Granted && replication.EnoughFenced(len(t.records.replicator.Members), len(copies), t.process.budget())
 }
 
 // fenceMembers asks every store of the set to take orders of this epoch only. It returns
 // once enough have answered; those that answer later are fed all the same.
 func (t *Term) fenceMembers() map[string]messages.FenceResponse {
-	process := t.process
-	type heard struct {
+	type result struct {
 		identity string
-		answer   messages.FenceResponse
+		resp     messages.FenceResponse
+		err      error
 	}
 	members := t.records.replicator.Members
-	responses := make(chan heard, len(members))
+	results := make(chan result, len(members))
 	for _, member := range members {
 		go func() {
-			req := &messages.FenceRequest{Epoch: t.leadership.Epoch, Disk: member.Disk}
-			result := heard{identity: register.Identity(member)}
-			var err error
-			if member.Address == process.Node.Self.Address {
-				result.answer, err = process.Log.Fence(req)
-			} else {
-				err = transport.Call(process.Node.Transport, member.Address, messages.KindFence, req, &result.answer, constants.RoundTimeout)
-			}
-			if err != nil {
-				result.answer.Granted = false
-			}
-			responses <- result
+			resp, err := t.fence(member)
+			results <- result{register.Identity(member), resp, err}
 		}()
 	}
 	copies := map[string]messages.FenceResponse{}
 	for range members {
-		result := <-responses
-		if result.answer.Granted {
-			copies[result.identity] = result.answer
+		r := <-results
+		if r.err == nil && r.resp.Granted {
+			copies[r.identity] = r.resp
 		}
-		if replication.EnoughFenced(len(members), len(copies), process.budget()) && copies[register.Identity(process.Election.Member())].Granted {
+		if t.enoughFenced(copies) {
 			break
 		}
 	}
 	return copies
 }
 
-// catchUp cuts our own copy where it parts from the best one and fetches the rest.
-func (t *Term) catchUp(best string, copies map[string]messages.FenceResponse) bool {
-	process := t.process
+// fence has one store refuse the orders of earlier epochs.
+func (t *Term) fence(member messages.Member) (messages.FenceResponse, error) {
+	req := &messages.FenceRequest{Epoch: t.leadership.Epoch, Disk: member.Disk}
+	if member.Address == t.process.Node.Self.Address {
+		return t.process.Log.Fence(req)
+	}
+	resp := messages.FenceResponse{}
+	err := transport.Call(t.process.Node.Transport, member.Address, messages.KindFence, req, &resp, constants.RoundTimeout)
+	return resp, err
+}
+
+// adoptBestCopy truncates this process's own copy where it parts from the best one and
+// fetches the rest.
+func (t *Term) adoptBestCopy(copies map[string]messages.FenceResponse) error {
+	best := replication.BestCopy(copies)
+	if best == register.Identity(t.process.Election.Member()) {
+		return nil
+	}
 	address := ""
 	for _, member := range t.records.replicator.Members {
 		if register.Identity(member) == best {
 			address = member.Address
 		}
 	}
-	target := copies[best]
-	next := replication.CommonIndex(process.Log.Extent(), replication.ExtentOfFence(&target)) + 1
+	log, target := t.process.Log, copies[best]
+	next := replication.CommonIndex(log.Extent(), replication.ExtentOfFence(&target)) + 1
 	for next <= target.Last {
 		if t.Closed() {
-			return false
+			return errTakeover.New("the term ended")
 		}
 		fetched := &messages.FetchResponse{}
-		if transport.Call(process.Node.Transport, address, messages.KindFetch, &messages.FetchRequest{First: next}, fetched, constants.BulkCallTimeout) != nil || len(fetched.Records) == 0 {
-			return false
+		if err := transport.Call(t.process.Node.Transport, address, messages.KindFetch, &messages.FetchRequest{First: next}, fetched, constants.BulkCallTimeout); err != nil {
+			return errTakeover.Wrap(err, "fetch from "+address)
+		}
+		if len(fetched.Records) == 0 {
+			return errTakeover.New("no records from " + address)
+		}
+		resp, err := log.Append(&messages.AppendRequest{Epoch: t.leadership.Epoch, Disk: log.Disk(), PreviousIndex: next - 1,
+			PreviousEpoch: log.EpochAt(next - 1), Records: fetched.Records, Base: fetched.Base, BaseEpoch: fetched.BaseEpoch})
+		if err != nil {
+			return errTakeover.Wrap(err, "append")
 		}
-		req := &messages.AppendRequest{Epoch: t.leadership.Epoch, Disk: process.Log.Disk(), PreviousIndex: next - 1,
-			PreviousEpoch: process.Log.EpochAt(next - 1), Records: fetched.Records,
-			Base: fetched.Base, BaseEpoch: fetched.BaseEpoch}
-		resp, err := process.Log.Append(req)
-		if err != nil || !resp.Granted {
-			return false
+		if !resp.Granted {
+			return errTakeover.New("own store refuses the records")
 		}
 		next = fetched.Records[len(fetched.Records)-1].Index + 1
 	}
-	return true
+	return nil
 }
 
-// rebuild makes the job table from all records. The lock is held.
-func (t *Term) rebuild() error {
+// replicateFrom rebuilds the job table, begins to feed the members from where their copies
+// agree with this process's, and gives the index of a first record of this epoch.
+func (t *Term) replicateFrom(copies map[string]messages.FenceResponse) (index int64, err error) {
+	extent, own := t.process.Log.Extent(), register.Identity(t.process.Election.Member())
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	members := t.records.replicator.Members
+	t.records.replicator = replication.NewReplicator(t.leadership.Epoch, members, t.process.budget(), extent.Last+1)
+	t.records.applied = extent.Last
+	if err = t.rebuildLocked(); err != nil {
+		return 0, err
+	}
+	t.openDispatcher(extent.Last + 1)
+	for _, member := range members {
+		identity, common := register.Identity(member), extent.Last
+		if response, known := copies[identity]; known && identity != own {
+			common = replication.CommonIndex(extent, replication.ExtentOfFence(&response))
+		}
+		t.startFeed(member, common)
+	}
+	return t.appendRecord(messages.Record{Kind: messages.RecordNoop}), nil
+}
+
+// rebuildLocked makes the job table from all records. The lock is held.
+func (t *Term) rebuildLocked() error {
 	jobs, err := t.process.Log.Jobs()
 	if err != nil {
 		return err
@@ -157,24 +175,43 @@
 	return nil
 }
 
-// Resign frees the hold and tells the other stores, so that one of them takes the
-// leadership at once.
+// beginServing opens the term to callers and begins its loops, which end with it. last is
+// the index of the last record of earlier epochs.
+func (t *Term) beginServing(last int64) {
+	t.lock.Lock()
+	t.serving = true
+	jobs := len(t.jobs.Jobs())
+	t.notifyLocked()
+	t.lock.Unlock()
+	t.process.Node.Log.Info("leadership serving", "epoch", t.leadership.Epoch, "records", last, "jobs", jobs)
+	go clock.Every(constants.LeaseRenewPeriod, t.life.stop, t.announce)
+	go clock.Every(constants.GossipPeriod/2, t.life.stop, t.reconcileSet)
+	go clock.Every(constants.GossipPeriod, t.life.stop, t.forget)
+	go t.expireItems()
+	go t.watchOwnLag()
+	t.announce()
+}
+
+// Resign gives the lease back and notifies the other stores, so that one of them campaigns
+// at once.
 func (t *Term) Resign() {
 	t.process.Election.ReleaseLease()
+	node := t.process.Node
 	announcement := &messages.LeaderAnnouncement{Leadership: t.leadership, Resigned: true}
-	t.process.Node.Multicast(t.process.Node.Live(membership.RoleStore), messages.KindLeaderAnnouncement, announcement, constants.LeaseRenewPeriod, nil)
+	node.Multicast(node.Live(membership.RoleStore), messages.KindLeaderAnnouncement, announcement, constants.LeaseRenewPeriod, nil)
 }
 
-// announce makes known who holds the leadership: to stores each time, since one that does not hear
-// it for a hold's length asks for the leadership; to the gateways in view while it is news, and
-// then now and then. Whoever was missed learns it by asking any store.
+// announce makes known who leads: to stores each time, since one that hears nothing for the
+// length of a lease campaigns; to the gateways in view while it is news, and then now and
+// then. Whoever was missed learns it by asking any store.
 func (t *Term) announce() {
 	if !t.process.Election.HoldsLease() {
 		return
 	}
-	peers := t.process.Node.Live(membership.RoleStore)
+	node := t.process.Node
+	peers := node.Live(membership.RoleStore)
 	if count := t.life.announcements.Add(1); count <= constants.LeaderReminderRounds || count%constants.LeaderReminderRounds == 0 {
-		peers = append(peers, t.process.Node.Live(membership.RoleGateway)...)
+		peers = append(peers, node.Live(membership.RoleGateway)...)
 	}
-	t.process.Node.Multicast(peers, messages.KindLeaderAnnouncement, &messages.LeaderAnnouncement{Leadership: t.leadership}, constants.LeaseRenewPeriod, nil)
+	node.Multicast(peers, messages.KindLeaderAnnouncement, &messages.LeaderAnnouncement{Leadership: t.leadership}, constants.LeaseRenewPeriod, nil)
 }
--- a/internal/batch/outputcodec/outputcodec_test.go
+++ b/internal/batch/outputcodec/outputcodec_test.go
@@ -10,7 +10,7 @@
 
 // A text comes back byte for byte, is never longer than it was, and a damaged one is
 // told instead of given out.
-func TestPackedTextComesBack(t *testing.T) {
+func TestDecompressRestoresTheOutput(t *testing.T) {
 	random := rand.New(rand.NewSource(7))
 	for round := 0; round < 300; round++ {
 		output := make([]byte, random.Intn(9000))
@@ -33,8 +33,8 @@
 			t.Fatal(err, len(resp), len(output))
 		}
 		if compressed {
-			if cut, err := Decompress(body[:len(body)/2], true); err == nil {
-				t.Fatal("half a text was given out: ", len(cut))
+			if truncated, err := Decompress(body[:len(body)/2], true); err == nil {
+				t.Fatal("half a text was given out: ", len(truncated))
 			}
 		}
 	}
--- a/internal/batch/replicalog/compact.go
+++ b/internal/batch/replicalog/compact.go
@@ -70,9 +70,9 @@
 // pays tells whether a rewrite drops at least as much as it has to write: each byte and
 // each record is then written a bounded number of times, and the file holds no more than
 // twice what still counts, beside the least sizes.
-func (r *compactionState) pays(size, keptBytes int64, kept, dropped int) bool {
+func (r *compactionState) pays(size, keptBytes int64, retained, dropped int) bool {
 	long := size >= r.Bytes && keptBytes*2 <= size
-	return long || (dropped >= r.Records && dropped >= kept)
+	return long || (dropped >= r.Records && dropped >= retained)
 }
 
 // CompactIfDue rewrites the file once much of it says nothing any more.
@@ -83,8 +83,8 @@
 	if upTo <= l.replica.Base().Index || !l.replica.Complete() || !l.compaction.weighs(l.replica.Last()) {
 		return nil
 	}
-	keptBytes, kept, dropped := l.replica.Weight(upTo)
-	if !l.compaction.pays(l.file.Size(), keptBytes, kept, dropped) {
+	keptBytes, retained, dropped := l.replica.Weight(upTo)
+	if !l.compaction.pays(l.file.Size(), keptBytes, retained, dropped) {
 		return nil
 	}
 	return l.compact(upTo)
--- a/internal/batch/replicalog/golden_test.go
+++ b/internal/batch/replicalog/golden_test.go
@@ -40,9 +40,9 @@
 	if resp, err := store.Fence(&messages.FenceRequest{Epoch: 4, Disk: "disk-1"}); err != nil || !resp.Granted {
 		t.Fatal(resp, err)
 	}
-	cut := messages.Record{Index: 6, Epoch: 4, Kind: messages.RecordJobEnd, Job: "new"}
+	truncated := messages.Record{Index: 6, Epoch: 4, Kind: messages.RecordJobEnd, Job: "new"}
 	appended(&messages.AppendRequest{Epoch: 4, Disk: "disk-1", Records: goldenRecords[:3]})
-	appended(&messages.AppendRequest{Epoch: 4, Disk: "disk-1", PreviousIndex: 3, PreviousEpoch: 4, Records: append(goldenRecords[3:5:5], cut), CommitIndex: 3})
+	appended(&messages.AppendRequest{Epoch: 4, Disk: "disk-1", PreviousIndex: 3, PreviousEpoch: 4, Records: append(goldenRecords[3:5:5], truncated), CommitIndex: 3})
 	appended(&messages.AppendRequest{Epoch: 6, Disk: "disk-1", PreviousIndex: 5, PreviousEpoch: 4, Records: goldenRecords[5:], CommitIndex: 5})
 	return store
 }
--- a/internal/batch/replicalog/log.go
+++ b/internal/batch/replicalog/log.go
@@ -97,8 +97,8 @@
 func (l *Log) Fence(req *messages.FenceRequest) (messages.FenceResponse, error) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	resp, keep := l.replica.Fence(req)
-	if keep {
+	resp, persist := l.replica.Fence(req)
+	if persist {
 		if err := l.write(messages.ReplicaRecord{Fence: req.Epoch}); err != nil {
 			return messages.FenceResponse{}, err
 		}
--- a/internal/batch/replicalog/replay_test.go
+++ b/internal/batch/replicalog/replay_test.go
@@ -31,6 +31,8 @@
 
 // history names a store's records, read from its disk.
 func history(t *testing.T, store *Log) string {
+	t.Helper()
+
 	last := store.Extent().Last
 	text := ""
 	for index := int64(1); index <= last; index++ {
@@ -78,7 +80,7 @@
 
 // A tail that an earlier leader left is not durable, though the leader of now says
 // that so many records are: what a record says there must not be acted on.
-func TestStaleTailIsNotDurable(t *testing.T) {
+func TestStaleTailIsNotCommitted(t *testing.T) {
 	store, err := Open(simulation.NewDisk(1), "d")
 	if err != nil {
 		t.Fatal(err)
@@ -92,7 +94,7 @@
 
 // A raise whose sync failed is not granted at the second try without a sync: after a
 // loss of power the earlier leader could write here again.
-func TestRaiseIsSyncedBeforeItIsGranted(t *testing.T) {
+func TestFenceIsSyncedBeforeItIsGranted(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
 		disk, refuse := refusing(seed)
 		store, err := Open(disk, "d")
--- a/internal/batch/replication/compaction.go
+++ b/internal/batch/replication/compaction.go
@@ -47,18 +47,18 @@
 }
 
 // Weight adds up what a rewrite up to an index would keep and drop.
-func (r *Replica) Weight(upTo int64) (keptBytes int64, kept, dropped int) {
+func (r *Replica) Weight(upTo int64) (keptBytes int64, retained, dropped int) {
 	obsolete := r.Obsolete(upTo)
 	r.Each(1, func(slot IndexEntry) bool {
 		if obsolete(slot) {
 			dropped++
 		} else {
-			kept++
+			retained++
 			keptBytes += int64(slot.Size)
 		}
 		return true
 	})
-	return keptBytes, kept, dropped
+	return keptBytes, retained, dropped
 }
 
 // Compacted gives the records that stay when all up to an index is compacted. The one
--- a/internal/batch/replication/lag_test.go
+++ b/internal/batch/replication/lag_test.go
@@ -9,7 +9,7 @@
 // ms is an instant of the simulated clock.
 func ms(count float64) clock.Instant { return clock.Instant(clock.Milliseconds(count)) }
 
-func TestLag(t *testing.T) {
+func TestReplicaLag(t *testing.T) {
 	lag := &ReplicaLag{}
 	if lag.Behind(5, 5, ms(0)) != 0 || lag.Behind(5, 9, ms(100)) != 0 {
 		t.Fatal("behind at once")
--- a/internal/batch/replication/replica.go
+++ b/internal/batch/replication/replica.go
@@ -141,15 +141,15 @@
 
 // Fence answers a new leader; keep says that the fence must be synced before that, and
 // then set. It is not set here: where the sync fails, a second try has to sync it too.
-func (r *Replica) Fence(req *messages.FenceRequest) (resp messages.FenceResponse, keep bool) {
+func (r *Replica) Fence(req *messages.FenceRequest) (resp messages.FenceResponse, persist bool) {
 	resp = messages.FenceResponse{Epoch: r.fencedEpoch}
 	// A disk that came back empty is not the store that was asked for.
 	if req.Disk != r.Disk || req.Epoch < r.fencedEpoch {
 		return resp, false
 	}
-	keep = req.Epoch > r.fencedEpoch
+	persist = req.Epoch > r.fencedEpoch
 	extent := r.Extent()
-	return messages.FenceResponse{Granted: true, Epoch: req.Epoch, Last: extent.Last, EpochRanges: extent.EpochRanges, Base: extent.Base}, keep
+	return messages.FenceResponse{Granted: true, Epoch: req.Epoch, Last: extent.Last, EpochRanges: extent.EpochRanges, Base: extent.Base}, persist
 }
 
 // Truncate drops everything after an index.
--- a/internal/batch/replication/replication_test.go
+++ b/internal/batch/replication/replication_test.go
@@ -39,7 +39,7 @@
 
 // Common is exactly the length of the shared beginning of two copies that one
 // leader each epoch wrote.
-func TestCommon(t *testing.T) {
+func TestCommonIndex(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(3))
 	properties.Property("common", prop.ForAll(func(shared, left, right []bool) bool {
 		epoch := uint64(1)
@@ -65,9 +65,9 @@
 		extent, other := LogExtent{Last: int64(len(first)), EpochRanges: stretches(first)}, LogExtent{Last: int64(len(second)), EpochRanges: stretches(second)}
 		common := int64(len(base))
 		// Compacted in what they share, on either side or both, they say the same.
-		for cut := int64(0); cut <= common; cut++ {
-			for deep := int64(0); deep <= cut; deep++ {
-				if CommonIndex(compactedAt(extent, cut), compactedAt(other, deep)) != common || CommonIndex(compactedAt(other, cut), compactedAt(extent, deep)) != common {
+		for truncated := int64(0); truncated <= common; truncated++ {
+			for deep := int64(0); deep <= truncated; deep++ {
+				if CommonIndex(compactedAt(extent, truncated), compactedAt(other, deep)) != common || CommonIndex(compactedAt(other, truncated), compactedAt(extent, deep)) != common {
 					return false
 				}
 			}
@@ -79,7 +79,7 @@
 	properties.TestingRun(t)
 }
 
-func TestDurableNeedsCopiesAndOwnEpoch(t *testing.T) {
+func TestCommitNeedsCopiesAndOwnEpoch(t *testing.T) {
 	replicator := NewReplicator(4, []messages.Member{member("a"), member("b"), member("c")}, 1, 11)
 	replicator.NextIndex()
 	identity := func(name string) string { return register.Identity(member(name)) }
@@ -110,7 +110,7 @@
 	if resp, _ := replica.Fence(&messages.FenceRequest{Epoch: 5, Disk: "other"}); resp.Granted {
 		t.Fatal("another disk's order was taken")
 	}
-	if resp, keep := replica.Fence(&messages.FenceRequest{Epoch: 5, Disk: "disk"}); !resp.Granted || !keep {
+	if resp, persist := replica.Fence(&messages.FenceRequest{Epoch: 5, Disk: "disk"}); !resp.Granted || !persist {
 		t.Fatal("not raised")
 	}
 	replica.SetFencedEpoch(5)
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestEnough(t *testing.T) {
+func TestEnoughFenced(t *testing.T) {
 	if EnoughFenced(3, 1, 1) || !EnoughFenced(3, 2, 1) || EnoughFenced(4, 2, 1) || !EnoughFenced(4, 3, 1) || !EnoughFenced(1, 1, 1) || EnoughFenced(2, 0, 1) {
 		t.Fatal("wrong read quorum")
 	}
--- a/internal/batch/store/budget_test.go
+++ b/internal/batch/store/budget_test.go
@@ -65,9 +65,9 @@
 			s.number++
 			id := fmt.Sprintf("lot%d", s.number)
 			packed, _ := (&messages.JobBody{Path: "/p/", Items: []messages.JobItem{{ID: id + "-0", Tokens: 1}}}).MarshalMsg(nil)
-			s.holder.submit(messages.Record{Kind: messages.RecordJob, Job: id, Body: packed})
-			s.holder.submit(messages.Record{Kind: messages.RecordOutput, Job: id, Item: id + "-0"})
-			s.holder.forget()
+			s.leader.submit(messages.Record{Kind: messages.RecordJob, Job: id, Body: packed})
+			s.leader.submit(messages.Record{Kind: messages.RecordOutput, Job: id, Item: id + "-0"})
+			s.leader.forget()
 		}
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(1)))
 	}
@@ -87,7 +87,7 @@
 
 // Records outlast the loss of any two of five stores right after they were told:
 // disks lost while all others lose power, kills, and machines gone for good.
-func TestLotsUnderLossOfTwo(t *testing.T) {
+func TestJobsUnderLossOfTwo(t *testing.T) {
 	announcement := 0
 	for seed := int64(1); seed <= int64(simulation.Seeds(40)); seed++ {
 		fleet := newSimFleetOf(t, seed, 9, 2, 5)
@@ -155,7 +155,7 @@
 			if fleet.world.Random.Intn(2) == 0 {
 				// A member is emptied under load, two others slow; the next fault follows.
 				fleet.slowTwo()
-				if out := fleet.pair()[1]; out.Address != fleet.holder.at {
+				if out := fleet.pair()[1]; out.Address != fleet.leader.at {
 					fleet.swap(out, fleet.fresh())
 				}
 			}
--- a/internal/batch/store/copy_test.go
+++ b/internal/batch/store/copy_test.go
@@ -12,17 +12,17 @@
 
 // A joiner gets what is durable from a member, and no frame of it from the
 // leader; a member that came back with another disk is no source.
-func TestNewcomerCopiesFromAMember(t *testing.T) {
-	fleet := newRimFleet(t, 31)
+func TestJoinerCopiesFromAMember(t *testing.T) {
+	fleet := newStoreFleet(t, 31)
 	for number := 0; number < 4; number++ {
 		fleet.work()
 	}
-	holder := fleet.holder()
-	current := holder.current()
+	leaseholder := fleet.holder()
+	current := leaseholder.current()
 	joiner := fleet.outside()
 	appended := 0
 	fleet.room.OnFrame(func(frame transport.ObservedFrame) {
-		if !frame.Response && frame.Kind == messages.KindAppend && frame.To == joiner.Node.Self.Address && frame.From == holder.Node.Self.Address {
+		if !frame.Response && frame.Kind == messages.KindAppend && frame.To == joiner.Node.Self.Address && frame.From == leaseholder.Node.Self.Address {
 			appended++
 		}
 	})
@@ -52,7 +52,7 @@
 				t.Fatal(index, server.Node.Self.Name)
 			}
 		}
-		if compared < replication.CopiesNeeded(len(inside), holder.Node.Settings.Budget()) {
+		if compared < replication.CopiesNeeded(len(inside), leaseholder.Node.Settings.Budget()) {
 			t.Fatal("durable with ", compared, " copies: ", index)
 		}
 	}
@@ -68,7 +68,7 @@
 }
 
 // outside gives a store that is no member of the store set.
-func (r *rimFleet) outside() *Server {
+func (r *storeFleet) outside() *Server {
 	inside := r.records()
 	for _, server := range r.all() {
 		if _, in := inside[server.Node.Self.Name]; !in {
--- a/internal/batch/store/displacement_test.go
+++ b/internal/batch/store/displacement_test.go
@@ -34,6 +34,8 @@
 )
 
 func newCluster(t *testing.T, seed int64) *simCluster {
+	t.Helper()
+
 	cluster := &simCluster{simFleet: newSimFleet(t, seed, 3), benches: map[string]*admission.Scheduler{}, workerList: map[string]int{},
 		cut: map[string]bool{}, running: map[*dispatch.Item]func(){}, results: map[string][]string{}, live: map[int]int{}, taken: map[string]int{}}
 	for _, name := range []string{"e0", "e1", "e2"} {
@@ -121,11 +123,11 @@
 // dispatch runs items of the present leader wherever its bench finds room.
 func (s *simCluster) dispatch() {
 	defer s.world.After(clock.Milliseconds(10), s.dispatch)
-	holder := s.holder
-	if holder == nil || !holder.ready || s.stores[holder.at].down {
+	leader := s.leader
+	if leader == nil || !leader.ready || s.stores[leader.at].down {
 		return
 	}
-	name := fmt.Sprint("holder", holder.epoch)
+	name := fmt.Sprint("holder", leader.epoch)
 	if s.benches[name] == nil {
 		// Another process: whatever the one before ran is broken off by the workers.
 		for old := range s.benches {
@@ -136,16 +138,16 @@
 		s.running = map[*dispatch.Item]func(){}
 		s.scheduler(name, "store")
 	}
-	for _, job := range holder.book.Jobs() {
+	for _, job := range leader.jobs.Jobs() {
 		for _, item := range job.Items {
 			if item.State == dispatch.ItemAvailable {
-				s.start(holder, name, item)
+				s.start(leader, name, item)
 			}
 		}
 	}
 }
 
-func (s *simCluster) start(holder *simHolder, name string, item *dispatch.Item) {
+func (s *simCluster) start(leader *simLeader, name string, item *dispatch.Item) {
 	resp, _ := s.benches[name].Admit(&admission.Ask{Service: "s", Bulk: true, Priority: 2}, nil, s.world.Now)
 	if resp.Verdict != admission.VerdictGranted {
 		return
@@ -178,7 +180,7 @@
 	step = func() {
 		switch {
 		case over:
-		case s.holder != holder:
+		case s.leader != leader:
 			// Its process is gone or fenced: the worker drops the run.
 			setBack(admission.ResultCalledOff)
 		case s.world.Random.Float64() < 0.01:
@@ -188,7 +190,7 @@
 			next++
 			s.world.After(clock.Milliseconds(12), step)
 		default:
-			s.finish(holder, item, run)
+			s.finish(leader, item, run)
 			if !over {
 				over = true
 				s.leave(resp.Grant, admission.ResultServed)
@@ -198,25 +200,25 @@
 	s.world.After(clock.Milliseconds(12), step)
 }
 
-func (s *simCluster) finish(holder *simHolder, item *dispatch.Item, run int) {
+func (s *simCluster) finish(leader *simLeader, item *dispatch.Item, run int) {
 	if !item.Finish(run) {
 		item.Requeue(run)
 		return
 	}
 	job := item.Job
-	position := s.place(holder, job)
+	position := s.place(leader, job)
 	text := ""
 	for _, piece := range item.Events {
 		text += string(piece) + "\n"
 	}
-	holder.submit(messages.Record{Kind: messages.RecordOutput, Job: job.ID, Item: item.ID, Position: position, Body: []byte(text)})
+	leader.submit(messages.Record{Kind: messages.RecordOutput, Job: job.ID, Item: item.ID, Position: position, Body: []byte(text)})
 }
 
 // place counts the positions given so far, durable or on their way.
-func (s *simCluster) place(holder *simHolder, job *dispatch.Job) int {
+func (s *simCluster) place(leader *simLeader, job *dispatch.Job) int {
 	count := len(job.Listings)
-	for _, record := range holder.records {
-		if record.Index > holder.applied && record.Kind == messages.RecordOutput && record.Job == job.ID {
+	for _, record := range leader.records {
+		if record.Index > leader.applied && record.Kind == messages.RecordOutput && record.Job == job.ID {
 			count++
 		}
 	}
--- a/internal/batch/store/driver_test.go
+++ b/internal/batch/store/executor_test.go
@@ -15,9 +15,9 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// standInWorker streams four events an item; what else it does is told by the item's
+// fakeWorker streams four events an item; what else it does is told by the item's
 // name: "-0" is 422, "-1" is always 500, "-2" is cut after two events at first.
-type standInWorker struct {
+type fakeWorker struct {
 	lock    sync.Mutex
 	tries   map[string]int
 	resumed map[string]string
@@ -25,11 +25,11 @@
 	dropped chan string
 }
 
-func (s *standInWorker) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+func (s *fakeWorker) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	id := request.Header.Get("Lemonarch-Attempt-Id")
 	s.lock.Lock()
 	s.tries[id]++
-	try := s.tries[id]
+	attempt := s.tries[id]
 	if last := request.Header.Get("Last-Event-Id"); last != "" {
 		s.resumed[id] = last
 	}
@@ -50,7 +50,7 @@
 	for event := from + 1; event <= 4; event++ {
 		fmt.Fprintf(writer, "id: %d\ndata: %s.%d\n\n", event, id, event)
 		writer.(http.Flusher).Flush()
-		if strings.HasSuffix(id, "-2") && strings.HasPrefix(id, "mixed") && event == 2 && try == 1 {
+		if strings.HasSuffix(id, "-2") && strings.HasPrefix(id, "mixed") && event == 2 && attempt == 1 {
 			panic(http.ErrAbortHandler)
 		}
 		if strings.HasPrefix(id, "stuck") {
@@ -63,11 +63,13 @@
 }
 
 // driven is a store that holds the jobs, drives them, and has one worker.
-func driven(t *testing.T, seed int64) (*Server, *standInWorker) {
-	worker := &standInWorker{tries: map[string]int{}, resumed: map[string]string{}, stuck: make(chan string, 9), dropped: make(chan string, 9)}
+func driven(t *testing.T, seed int64) (*Server, *fakeWorker) {
+	t.Helper()
+
+	worker := &fakeWorker{tries: map[string]int{}, resumed: map[string]string{}, stuck: make(chan string, 9), dropped: make(chan string, 9)}
 	upstream := httptest.NewServer(worker)
 	t.Cleanup(upstream.Close)
-	server := soleLeader(t, simulation.NewDisk(seed), 1)
+	server := soleLeader(t, simulation.NewDisk(seed))
 	server.Gossip.Scheduler.SetConfig(server.Node.Config())
 	server.Gossip.Scheduler.Merge([]messages.Worker{{ID: "w", Backend: "s", Address: strings.TrimPrefix(upstream.URL, "http://"), Capacity: 12, CallCount: 1}}, clock.Now())
 	server.executor.Start()
@@ -88,6 +90,8 @@
 }
 
 func outputs(t *testing.T, server *Server, jobID string, sum int) map[string]listedOutput {
+	t.Helper()
+
 	found := map[string]listedOutput{}
 	end := clock.Now().Add(clock.Milliseconds(15_000))
 	for len(found) < sum && clock.Now() < end {
@@ -110,9 +114,9 @@
 
 // What an executor acknowledges follows from the stream: the end is an ACCEPT, a cut a
 // RELEASE with the events so far, a 500 one that counts, a 422 a REJECT.
-func TestDriverDerivesAcknowledgements(t *testing.T) {
+func TestExecutorDerivesAcknowledgements(t *testing.T) {
 	server, worker := driven(t, 11)
-	if resp := server.current().Serve(lotCallOf("mixed", 5)); resp.Status != 202 {
+	if resp := server.current().Serve(jobCallOf("mixed", 5)); resp.Status != 202 {
 		t.Fatal(resp.Status)
 	}
 	for id, line := range outputs(t, server, "mixed", 5) {
@@ -131,9 +135,9 @@
 }
 
 // The end of a job breaks its runs off at once, and none begins again.
-func TestEndStopsRuns(t *testing.T) {
+func TestEndOfAJobStopsRuns(t *testing.T) {
 	server, worker := driven(t, 12)
-	if resp := server.current().Serve(lotCallOf("stuck", 3)); resp.Status != 202 {
+	if resp := server.current().Serve(jobCallOf("stuck", 3)); resp.Status != 202 {
 		t.Fatal(resp.Status)
 	}
 	start := map[string]bool{}
@@ -156,14 +160,14 @@
 		}
 	}
 	// The next job is run to its end meanwhile; nothing of the ended one is.
-	if resp := server.current().Serve(lotCallOf("next", 2)); resp.Status != 202 {
+	if resp := server.current().Serve(jobCallOf("next", 2)); resp.Status != 202 {
 		t.Fatal(resp.Status)
 	}
 	outputs(t, server, "next", 2)
 	worker.lock.Lock()
 	defer worker.lock.Unlock()
-	for id, tries := range worker.tries {
-		if strings.HasPrefix(id, "stuck") && tries != 1 {
+	for id, attempts := range worker.tries {
+		if strings.HasPrefix(id, "stuck") && attempts != 1 {
 			t.Fatal("begun again after the end: ", id)
 		}
 	}
--- a/internal/batch/store/rim_faults_test.go
+++ b/internal/batch/store/faults_test.go
@@ -11,9 +11,9 @@
 // The rim of real stores (campaign, term, feeding, set changes) over the transport
 // in memory and fake disks: the leader is cut off, killed, loses its disk, or is to
 // be emptied, in an order drawn from the seed. What was told holds after each.
-func TestRimOfStores(t *testing.T) {
+func TestStoresUnderFaults(t *testing.T) {
 	for seed := int64(1); seed <= 2; seed++ {
-		fleet := newRimFleet(t, seed)
+		fleet := newStoreFleet(t, seed)
 		fleet.work()
 		for _, fault := range fleet.random.Perm(4) {
 			old := fleet.holder()
--- a/internal/batch/store/rim_test.go
+++ b/internal/batch/store/fleet_test.go
@@ -21,23 +21,23 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// rimRegister stands for the controllers: one acceptor, whose agreement with others is
+// fakeRegister stands for the controllers: one acceptor, whose agreement with others is
 // tested elsewhere.
-type rimRegister struct {
+type fakeRegister struct {
 	lock   sync.Mutex
 	value  messages.RegisterValue
 	grants *lease.Grantor
 }
 
-const rimRegisterAddress = "10.0.0.99:7000"
+const fakeRegisterAddress = "10.0.0.99:7000"
 
-func (r *rimRegister) change(change register.Change) {
+func (r *fakeRegister) change(change register.Change) {
 	if next, verdict := change(r.value); verdict == register.VerdictWrite {
 		r.value = next
 	}
 }
 
-func (r *rimRegister) answer(kind messages.Kind, body []byte) ([]byte, error) {
+func (r *fakeRegister) answer(kind messages.Kind, body []byte) ([]byte, error) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	switch kind {
@@ -65,13 +65,13 @@
 	return nil, nil
 }
 
-// rimFleet is five real stores on fake disks: the first three stores are drawn
+// storeFleet is five real stores on fake disks: the first three stores are drawn
 // from them, and they take the leadership from each other.
-type rimFleet struct {
+type storeFleet struct {
 	test          *testing.T
 	random        *rand.Rand
 	room          *transport.MemoryNetwork
-	localRegister *rimRegister
+	localRegister *fakeRegister
 	disks         map[string]*simulation.Disk
 	lock          sync.Mutex
 	stores        map[string]*Server
@@ -80,11 +80,13 @@
 	ended         map[string]bool
 }
 
-func newRimFleet(t *testing.T, seed int64) *rimFleet {
-	fleet := &rimFleet{test: t, random: rand.New(rand.NewSource(seed)), room: transport.NewMemoryNetwork(), disks: map[string]*simulation.Disk{}, stores: map[string]*Server{}, ended: map[string]bool{}}
-	fleet.localRegister = &rimRegister{grants: lease.NewGrantor(clock.Now(), true),
-		value: messages.RegisterValue{Acceptors: []messages.Member{{Address: rimRegisterAddress, Disk: "r"}}}}
-	_ = fleet.room.Transport(rimRegisterAddress).Serve(fleet.localRegister.answer)
+func newStoreFleet(t *testing.T, seed int64) *storeFleet {
+	t.Helper()
+
+	fleet := &storeFleet{test: t, random: rand.New(rand.NewSource(seed)), room: transport.NewMemoryNetwork(), disks: map[string]*simulation.Disk{}, stores: map[string]*Server{}, ended: map[string]bool{}}
+	fleet.localRegister = &fakeRegister{grants: lease.NewGrantor(clock.Now(), true),
+		value: messages.RegisterValue{Acceptors: []messages.Member{{Address: fakeRegisterAddress, Disk: "r"}}}}
+	_ = fleet.room.Transport(fakeRegisterAddress).Serve(fleet.localRegister.answer)
 	fleet.client = fleet.room.Transport("client")
 	for number := 1; number <= 5; number++ {
 		name := fmt.Sprint("s", number)
@@ -107,7 +109,7 @@
 }
 
 // start opens a process on the disk of its machine.
-func (r *rimFleet) start(number int, identity string) *Server {
+func (r *storeFleet) start(number int, identity string) *Server {
 	name := fmt.Sprint("s", number)
 	store, err := replicalog.Open(r.disks[name], identity)
 	if err != nil {
@@ -130,7 +132,7 @@
 	return server
 }
 
-func (r *rimFleet) stop(server *Server) {
+func (r *storeFleet) stop(server *Server) {
 	if current := server.current(); current != nil {
 		current.Close("stopped")
 	}
@@ -138,7 +140,7 @@
 	server.Node.Transport.Close()
 }
 
-func (r *rimFleet) all() []*Server {
+func (r *storeFleet) all() []*Server {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	var all []*Server
@@ -149,7 +151,7 @@
 }
 
 // meet keeps the processes known to each other, as shuffles do.
-func (r *rimFleet) meet() {
+func (r *storeFleet) meet() {
 	all := r.all()
 	for _, server := range all {
 		for _, other := range all {
@@ -161,7 +163,7 @@
 }
 
 // until polls the world of real timers until something holds.
-func (r *rimFleet) until(what string, holds func() bool) {
+func (r *storeFleet) until(what string, holds func() bool) {
 	for end := clock.Now().Add(clock.Milliseconds(20_000)); !holds(); {
 		if clock.Now() > end {
 			r.test.Fatal("never: ", what)
@@ -171,7 +173,7 @@
 }
 
 // call asks one store after the other until one that holds the leadership answers.
-func (r *rimFleet) call(call *messages.JobCallRequest, want int) {
+func (r *storeFleet) call(call *messages.JobCallRequest, want int) {
 	r.until(fmt.Sprint(call.Method, " ", call.Job, " answered by ", want), func() bool {
 		for _, server := range r.all() {
 			resp := &messages.JobCallResponse{}
@@ -187,7 +189,7 @@
 	})
 }
 
-func (r *rimFleet) holder() *Server {
+func (r *storeFleet) holder() *Server {
 	var found *Server
 	r.until("a holder", func() bool {
 		for _, server := range r.all() {
@@ -201,9 +203,9 @@
 }
 
 // work hands a job in, ends an older one, and looks for all that was told.
-func (r *rimFleet) work() {
+func (r *storeFleet) work() {
 	jobID := fmt.Sprint("lot", len(r.taken))
-	r.call(lotCallOf(jobID, 1), 202)
+	r.call(jobCallOf(jobID, 1), 202)
 	r.taken = append(r.taken, jobID)
 	// Few stay open, so that each new one fits.
 	if len(r.taken) > 2 {
@@ -225,7 +227,7 @@
 	}
 }
 
-func (r *rimFleet) records() map[string]string {
+func (r *storeFleet) records() map[string]string {
 	r.localRegister.lock.Lock()
 	defer r.localRegister.lock.Unlock()
 	disks := map[string]string{}
--- a/internal/batch/store/handlers.go
+++ b/internal/batch/store/handlers.go
@@ -73,7 +73,7 @@
 
 // handleJobCall answers a client's call on a job that a gateway forwarded.
 func (s *Server) handleJobCall(call *messages.JobCallRequest) (*messages.JobCallResponse, error) {
-	if !s.firstSeen(call, clock.Now()) {
+	if !s.firstCopy(call, clock.Now()) {
 		// The first copy is answered, or will be; a second might end otherwise.
 		return leader.OutcomeUnknown(), nil
 	}
@@ -95,13 +95,13 @@
 	return resp, nil
 }
 
-// firstSeen tells whether a call comes for the first time, and turns the time to live that
+// firstCopy tells whether a call comes for the first time, and turns the time to live that
 // it brought into an instant of this process's own clock.
-func (s *Server) firstSeen(call *messages.JobCallRequest, now clock.Instant) bool {
+func (s *Server) firstCopy(call *messages.JobCallRequest, now clock.Instant) bool {
 	if call.TTLMs > 0 {
 		call.ExpiresAt = int64(now.Add(clock.Milliseconds(float64(call.TTLMs))))
 	}
-	return s.deduplicator.FirstSeen(call.RequestID, now)
+	return s.deduplicator.First(call.RequestID, now)
 }
 
 // notLeader is the answer where this process does not lead; it names the leader, if known.
--- a/internal/batch/store/helpers_test.go
+++ b/internal/batch/store/helpers_test.go
@@ -50,9 +50,9 @@
 	return a.term.Epoch()
 }
 
-// soleLeader is a store process that is the whole store set and leads it in an epoch, on a
+// soleLeader is a store process that is the whole store set and leads it in epoch 1, on a
 // fake disk.
-func soleLeader(t *testing.T, disk *simulation.Disk, epoch uint64) *Server {
+func soleLeader(t *testing.T, disk *simulation.Disk) *Server {
 	t.Helper()
 	log, err := replicalog.Open(disk, "disk")
 	if err != nil {
@@ -64,7 +64,7 @@
 	server := wire(node, log)
 	node.ApplyConfig([]byte(quotaConfig))
 	server.election = &appointed{Campaign: leadership.New(node, nil), self: node.Self.Address}
-	appoint(t, server, epoch)
+	appoint(t, server, 1)
 	return server
 }
 
@@ -93,7 +93,7 @@
 // jobCount is how many jobs the leader knows.
 func jobCount(server *Server) int { return len(server.current().ReportJobs().Rows) }
 
-func lotCallOf(id string, items int) *messages.JobCallRequest {
+func jobCallOf(id string, items int) *messages.JobCallRequest {
 	body := `{"requests":[`
 	for i := 0; i < items; i++ {
 		if i > 0 {
--- a/internal/batch/store/history_test.go
+++ b/internal/batch/store/history_test.go
@@ -10,8 +10,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// lotsEach is how many jobs come, end and are forgotten in each term of a history.
-const lotsEach = 4
+// jobsPerTerm is how many jobs come, end and are forgotten in each term of a history.
+const jobsPerTerm = 4
 
 // cost is what a store takes to be complete again after a history of takeovers.
 type cost struct {
@@ -31,12 +31,12 @@
 
 // term plays one term: a member takes the leadership, jobs are done and forgotten.
 func (s *simFleet) term() {
-	if s.holder != nil {
+	if s.leader != nil {
 		// It learns from the register that its term is over.
-		s.holder.fenced = true
+		s.leader.fenced = true
 	}
 	s.takeAny()
-	for number := 0; number < lotsEach; number++ {
+	for number := 0; number < jobsPerTerm; number++ {
 		s.untilTold()
 	}
 	s.world.Run(s.world.Now.Add(clock.Milliseconds(300)))
@@ -45,9 +45,9 @@
 // bringBack feeds a store until it has all and gives what that took.
 func (s *simFleet) bringBack(name string, before traffic) cost {
 	identity := register.Identity(s.stores[name].member)
-	start, holder := s.world.Now, s.holder
-	for try := 0; holder.press.MatchIndex(identity) < holder.press.Last(); try++ {
-		if try > 400 {
+	start, leader := s.world.Now, s.leader
+	for attempt := 0; leader.replicator.MatchIndex(identity) < leader.replicator.Last(); attempt++ {
+		if attempt > 400 {
 			s.test.Fatal("never caught up")
 		}
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(10)))
@@ -88,10 +88,10 @@
 		}
 		fleet.take("s2")
 		fleet.world.Run(fleet.world.Now.Add(clock.Milliseconds(400)))
-		if fleet.holder.at != "s2" || !fleet.holder.ready {
+		if fleet.leader.at != "s2" || !fleet.leader.ready {
 			t.Fatal("the store that came back can't take the duty")
 		}
-		fleet.check(fleet.holder)
+		fleet.check(fleet.leader)
 		return took
 	}
 	for _, wipe := range []bool{false, true} {
--- a/internal/batch/store/lots_test.go
+++ b/internal/batch/store/jobs_test.go
@@ -13,8 +13,8 @@
 // work submits jobs  and lists their items, as a leader does.
 func (s *simFleet) work(rounds int) {
 	for round := 0; round < rounds; round++ {
-		holder := s.holder
-		if holder != nil && holder.ready && !s.stores[holder.at].down {
+		leader := s.leader
+		if leader != nil && leader.ready && !s.stores[leader.at].down {
 			s.number++
 			id := fmt.Sprintf("lot%d", s.number)
 			body := &messages.JobBody{Path: "/p/"}
@@ -22,11 +22,11 @@
 				body.Items = append(body.Items, messages.JobItem{ID: fmt.Sprintf("%s-%d", id, item), Tokens: 10})
 			}
 			packed, _ := body.MarshalMsg(nil)
-			holder.submit(messages.Record{Kind: messages.RecordJob, Job: id, Body: packed})
-			holder.forget()
+			leader.submit(messages.Record{Kind: messages.RecordJob, Job: id, Body: packed})
+			leader.forget()
 			// The items end in another order each time.
 			for position, item := range s.world.Random.Perm(3) {
-				holder.submit(messages.Record{Kind: messages.RecordOutput, Job: id, Position: position, Item: fmt.Sprintf("%s-%d", id, item)})
+				leader.submit(messages.Record{Kind: messages.RecordOutput, Job: id, Position: position, Item: fmt.Sprintf("%s-%d", id, item)})
 			}
 		}
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(60)))
@@ -64,12 +64,12 @@
 // tryTakeovers lets live members ask for the leadership in turn; false where none gets it.
 func (s *simFleet) tryTakeovers() bool {
 	names := s.live()
-	for try := 0; try < 12; try++ {
+	for attempt := 0; attempt < 12; attempt++ {
 		epoch := s.epoch + 1
 		s.take(names[s.world.Random.Intn(len(names))])
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(400)))
-		if s.holder != nil && s.holder.epoch == epoch && s.holder.ready {
-			s.check(s.holder)
+		if s.leader != nil && s.leader.epoch == epoch && s.leader.ready {
+			s.check(s.leader)
 			return true
 		}
 	}
@@ -101,15 +101,15 @@
 
 // swapBegin has the leader send everything to a joiner.
 func (s *simFleet) swapBegin(joiner messages.Member) {
-	if s.holder.next[register.Identity(joiner)] == 0 {
-		s.holder.next[register.Identity(joiner)] = 1
-		s.holder.feed(joiner)
+	if s.leader.next[register.Identity(joiner)] == 0 {
+		s.leader.next[register.Identity(joiner)] = 1
+		s.leader.feed(joiner)
 	}
 }
 
 // swap replaces a member by another store, as the leader's changeSet does.
 func (s *simFleet) swap(out, joiner messages.Member) {
-	holder := s.holder
+	leader := s.leader
 	var next []messages.Member
 	for _, member := range s.set {
 		if register.Identity(member) != register.Identity(out) {
@@ -118,23 +118,23 @@
 	}
 	next = append(next, joiner)
 	s.swapBegin(joiner)
-	target := holder.press.Last()
-	for try := 0; try < 200 && holder.press.MatchIndex(register.Identity(joiner)) < target; try++ {
+	target := leader.replicator.Last()
+	for attempt := 0; attempt < 200 && leader.replicator.MatchIndex(register.Identity(joiner)) < target; attempt++ {
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(30)))
 	}
-	holder.press.Next = next
-	index := holder.submit(messages.Record{Kind: messages.RecordNoop})
-	for try := 0; try < 200 && holder.press.CommitIndex() < index; try++ {
+	leader.replicator.Next = next
+	index := leader.submit(messages.Record{Kind: messages.RecordNoop})
+	for attempt := 0; attempt < 200 && leader.replicator.CommitIndex() < index; attempt++ {
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(30)))
 	}
-	if holder.press.CommitIndex() < index {
+	if leader.replicator.CommitIndex() < index {
 		s.test.Fatal("both sets never agreed")
 	}
 	s.set = next
-	holder.press.Members, holder.press.Next = next, nil
+	leader.replicator.Members, leader.replicator.Next = next, nil
 }
 
-func TestLotsUnderTrouble(t *testing.T) {
+func TestJobsUnderFaults(t *testing.T) {
 	announcement := 0
 	for seed := int64(1); seed <= int64(simulation.Seeds(60)); seed++ {
 		fleet := newSimFleet(t, seed, 4)
@@ -164,34 +164,34 @@
 				fleet.swap(victim, store.member)
 			case 2:
 				// The leader is cut off and does not know that another took over.
-				if fleet.holder != nil {
-					cut := fleet.holder.at
+				if fleet.leader != nil {
+					truncated := fleet.leader.at
 					var names []string
 					for name := range fleet.stores {
 						names = append(names, name)
 					}
-					old := fleet.holder
-					fleet.world.Isolate(cut, names, true)
-					fleet.stores[cut].down = false
+					old := fleet.leader
+					fleet.world.Isolate(truncated, names, true)
+					fleet.stores[truncated].down = false
 					others := fleet.live()
 					for i, name := range others {
-						if name == cut {
+						if name == truncated {
 							others = append(others[:i], others[i+1:]...)
 							break
 						}
 					}
-					for try := 0; try < 12 && (fleet.holder == old || !fleet.holder.ready); try++ {
+					for attempt := 0; attempt < 12 && (fleet.leader == old || !fleet.leader.ready); attempt++ {
 						fleet.take(others[fleet.world.Random.Intn(len(others))])
 						fleet.world.Run(fleet.world.Now.Add(clock.Milliseconds(400)))
 					}
-					fleet.check(fleet.holder)
+					fleet.check(fleet.leader)
 					old.submit(messages.Record{Kind: messages.RecordOutput, Job: "lot1", Position: 9, Item: "stale"})
 					fleet.work(3)
-					fleet.world.Isolate(cut, names, false)
+					fleet.world.Isolate(truncated, names, false)
 				}
 			case 3:
 				// A member is retired to the spare; the leader itself never is.
-				if victim.Address != fleet.holder.at {
+				if victim.Address != fleet.leader.at {
 					for _, name := range []string{"s0", "s1", "s2", "s3"} {
 						spare := fleet.stores[name]
 						inSet := false
@@ -218,7 +218,7 @@
 				store.member.Disk = "last"
 			}
 		}
-		fleet.holder = nil
+		fleet.leader = nil
 		for _, store := range fleet.stores {
 			fleet.open(store)
 		}
@@ -230,7 +230,7 @@
 	}
 }
 
-func TestLotsSameSeedSameHistory(t *testing.T) {
+func TestSameSeedSameHistory(t *testing.T) {
 	sum := func() uint64 {
 		fleet := newSimFleet(t, 5, 3)
 		fleet.world.Loss = 0.1
--- a/internal/batch/store/losses_test.go
+++ b/internal/batch/store/losses_test.go
@@ -47,13 +47,13 @@
 	fleet   *simFleet
 	out, in messages.Member
 	next    []messages.Member
-	holder  *simHolder
+	holder  *simLeader
 	copier  string
 }
 
 // until runs the world until something holds; false where it does not within a while.
 func (s *simFleet) until(holds func() bool) bool {
-	for try := 0; try < 3000 && !holds(); try++ {
+	for attempt := 0; attempt < 3000 && !holds(); attempt++ {
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(2)))
 	}
 	return holds()
@@ -61,10 +61,10 @@
 
 // play carries the change up to a step, as changeSet does; false where it got stuck.
 func (s *setChange) play(step int) bool {
-	fleet, holder, identity := s.fleet, s.holder, register.Identity(s.in)
+	fleet, leader, identity := s.fleet, s.holder, register.Identity(s.in)
 	fleet.swapBegin(s.in)
-	target := holder.press.Last()
-	reached := func() bool { return holder.press.MatchIndex(identity) >= target }
+	target := leader.replicator.Last()
+	reached := func() bool { return leader.replicator.MatchIndex(identity) >= target }
 	if step == stepCopying {
 		return fleet.until(func() bool { return fleet.stores[s.in.Address].store.Extent().Last > 0 })
 	}
@@ -74,12 +74,12 @@
 	if step == stepCopied {
 		return true
 	}
-	holder.press.Next = s.next
-	index := holder.submit(messages.Record{Kind: messages.RecordNoop})
+	leader.replicator.Next = s.next
+	index := leader.submit(messages.Record{Kind: messages.RecordNoop})
 	if step == stepBothSets {
 		return true
 	}
-	if !fleet.until(func() bool { return holder.press.CommitIndex() >= index }) {
+	if !fleet.until(func() bool { return leader.replicator.CommitIndex() >= index }) {
 		return false
 	}
 	if step == stepDurable {
@@ -89,7 +89,7 @@
 	if step == stepNamed {
 		return true
 	}
-	holder.press.Members, holder.press.Next = s.next, nil
+	leader.replicator.Members, leader.replicator.Next = s.next, nil
 	return true
 }
 
@@ -131,7 +131,7 @@
 				s.open(s.stores[name])
 			}
 		}
-		s.holder = nil
+		s.leader = nil
 	}
 	for _, name := range lost {
 		store := s.stores[name]
@@ -178,16 +178,18 @@
 // worstLosses plays one seed: in each round a member is replaced, and the worst losses
 // strike at a step of it, right after or in the middle of an acknowledgement.
 func worstLosses(t *testing.T, seed int64, outcomes map[int]int) {
+	t.Helper()
+
 	budget := 1 + int(seed%2)
 	fleet := newSimFleetOf(t, seed, 2*budget+4, budget, 2*budget+1)
 	fleet.world.Loss, fleet.world.Double = 0.03, 0.03
 	fleet.takeAny()
 	for round := 0; round < 6; round++ {
 		fleet.untilTold()
-		holder := fleet.holder
-		candidates := slices.DeleteFunc(slices.Clone(fleet.set), func(member messages.Member) bool { return member.Address == holder.at })
+		leader := fleet.leader
+		candidates := slices.DeleteFunc(slices.Clone(fleet.set), func(member messages.Member) bool { return member.Address == leader.at })
 		out, in := candidates[fleet.world.Random.Intn(len(candidates))], fleet.fresh()
-		change := &setChange{fleet: fleet, out: out, in: in, holder: holder, copier: candidates[0].Address}
+		change := &setChange{fleet: fleet, out: out, in: in, holder: leader, copier: candidates[0].Address}
 		for _, member := range fleet.set {
 			if register.Identity(member) != register.Identity(out) {
 				change.next = append(change.next, member)
--- a/internal/batch/store/overload_test.go
+++ b/internal/batch/store/overload_test.go
@@ -9,11 +9,11 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// job submits  a lot of items that really run.
-func (s *simCluster) lot(items int) bool {
-	holder := s.holder
-	if holder == nil || !holder.ready || s.stores[holder.at].down {
-		return false
+// lot submits a job of items that really run.
+func (s *simCluster) lot(items int) {
+	leader := s.leader
+	if leader == nil || !leader.ready || s.stores[leader.at].down {
+		return
 	}
 	s.number++
 	id := fmt.Sprint("job", s.number)
@@ -22,13 +22,14 @@
 		body.Items = append(body.Items, messages.JobItem{ID: fmt.Sprintf("%s-%d", id, i), Tokens: 10})
 	}
 	packed, _ := body.MarshalMsg(nil)
-	holder.submit(messages.Record{Kind: messages.RecordJob, Job: id, Body: packed})
-	return true
+	leader.submit(messages.Record{Kind: messages.RecordJob, Job: id, Body: packed})
 }
 
 // overload plays a burst of the high tier over running jobs, while the leader
 // dies, its leadership changes hands, a store is cut off and workers cut streams.
 func overload(t *testing.T, seed int64) *simCluster {
+	t.Helper()
+
 	cluster := newCluster(t, seed)
 	cluster.world.Loss, cluster.world.Double = 0.03, 0.03
 	cluster.takeAny()
@@ -45,7 +46,7 @@
 		})
 	}
 	cluster.world.Run(cluster.world.Now.Add(clock.Milliseconds(500)))
-	victim := cluster.stores[cluster.holder.at]
+	victim := cluster.stores[cluster.leader.at]
 	if seed%2 == 0 {
 		// The leader's machine loses power in the middle of it.
 		victim.down = true
@@ -57,7 +58,7 @@
 		cluster.takeAny()
 	}
 	other := cluster.set[cluster.world.Random.Intn(3)].Address
-	if other != cluster.holder.at {
+	if other != cluster.leader.at {
 		cluster.world.Isolate(other, []string{"s0", "s1", "s2"}, true)
 		cluster.world.After(clock.Milliseconds(400), func() { cluster.world.Isolate(other, []string{"s0", "s1", "s2"}, false) })
 	}
@@ -69,18 +70,18 @@
 // Every displaced item ends exactly once, with each of its events once; every live
 // request is served or promised never to run, exactly once.
 func TestOverloadDisplacesAndFinishesOnce(t *testing.T) {
-	displaced, promised, asked := 0, 0, 0
+	preempted, promised, requested := 0, 0, 0
 	for seed := int64(1); seed <= 40; seed++ {
 		cluster := overload(t, seed)
-		displaced += cluster.taken["displaced"]
+		preempted += cluster.taken["displaced"]
 		promised += cluster.promised
-		asked += cluster.asked
+		requested += cluster.asked
 		for number := 1; number <= cluster.asked; number++ {
 			if cluster.live[number] != 1 {
 				t.Fatalf("seed %d: live request %d ended %d times", seed, number, cluster.live[number])
 			}
 		}
-		jobs := cluster.holder.book.Jobs()
+		jobs := cluster.leader.jobs.Jobs()
 		if len(jobs) == 0 {
 			t.Fatalf("seed %d: no lots", seed)
 		}
@@ -91,7 +92,7 @@
 			listed := map[string]int{}
 			for _, listing := range job.Listings {
 				listed[listing.Item]++
-				record, err := cluster.stores[cluster.holder.at].store.Read(listing.Index)
+				record, err := cluster.stores[cluster.leader.at].store.Read(listing.Index)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -110,8 +111,8 @@
 			}
 		}
 	}
-	if displaced < 40 || promised == 0 || promised*3 > asked {
-		t.Fatalf("too little or too much trouble: %d displaced, %d of %d live requests refused", displaced, promised, asked)
+	if preempted < 40 || promised == 0 || promised*3 > requested {
+		t.Fatalf("too little or too much trouble: %d displaced, %d of %d live requests refused", preempted, promised, requested)
 	}
 }
 
--- a/internal/batch/store/promise_test.go
+++ b/internal/batch/store/promise_test.go
@@ -14,6 +14,8 @@
 
 // put hands a call in as a frame brings it.
 func put(t *testing.T, server *Server, call *messages.JobCallRequest) *messages.JobCallResponse {
+	t.Helper()
+
 	body, err := transport.Encode(call)
 	if err != nil {
 		t.Fatal(err)
@@ -31,14 +33,14 @@
 
 // A question that was refused, or sent on, is never taken by its second copy,
 // whatever has changed in between; the same job in a new question is.
-func TestSecondCopyOfARefusedHandIn(t *testing.T) {
-	server := soleLeader(t, simulation.NewDisk(4), 1)
-	full := lotCallOf("full", 6)
+func TestSecondCopyOfARejectedSubmission(t *testing.T) {
+	server := soleLeader(t, simulation.NewDisk(4))
+	full := jobCallOf("full", 6)
 	full.RequestID = "f#1"
 	if resp := put(t, server, full); resp.Status != 202 {
 		t.Fatal(resp.Status)
 	}
-	late := lotCallOf("late", 2)
+	late := jobCallOf("late", 2)
 	late.RequestID = "f#2"
 	if resp := put(t, server, late); resp.Status != 429 {
 		t.Fatal(resp.Status)
@@ -55,7 +57,7 @@
 	}
 	// Sent on by one that held nothing, then met by the same process as the leader.
 	server.current().Close("another takes over")
-	moved := lotCallOf("moved", 2)
+	moved := jobCallOf("moved", 2)
 	moved.RequestID = "f#4"
 	if resp := put(t, server, moved); !resp.NotLeader {
 		t.Fatal(resp.Status)
@@ -68,13 +70,13 @@
 
 // Many copies of many requests race: each request has one outcome, and a job
 // stands only if one of its requests was not refused.
-func TestCopiesOfHandInsRace(t *testing.T) {
-	server := soleLeader(t, simulation.NewDisk(5), 1)
+func TestCopiesOfSubmissionsRace(t *testing.T) {
+	server := soleLeader(t, simulation.NewDisk(5))
 	var group sync.WaitGroup
 	var lock sync.Mutex
 	refused, taken := map[string]bool{}, map[string]bool{}
 	for number := 0; number < 60; number++ {
-		call := lotCallOf(fmt.Sprint("lot", number%10), 2)
+		call := jobCallOf(fmt.Sprint("lot", number%10), 2)
 		// Six copies a job make three requests of two copies.
 		call.RequestID = fmt.Sprint(number%10, "/", number/20)
 		group.Add(1)
@@ -101,7 +103,7 @@
 // The time to live that a frame carries is counted from its arrival.
 func TestTimeToLiveCountsFromTheArrival(t *testing.T) {
 	call, now := &messages.JobCallRequest{TTLMs: 60_000}, clock.Instant(7)
-	soleLeader(t, simulation.NewDisk(6), 1).firstSeen(call, now)
+	soleLeader(t, simulation.NewDisk(6)).firstCopy(call, now)
 	if leader.Expired(call, now.Add(clock.Milliseconds(59_999))) || !leader.Expired(call, now.Add(clock.Milliseconds(60_000))) {
 		t.Fatal(call.ExpiresAt)
 	}
--- a/internal/batch/store/share_callers_test.go
+++ b/internal/batch/store/share_callers_test.go
@@ -42,34 +42,34 @@
 	call := linearize.LotCall{Kind: linearize.LotRead, Lot: fmt.Sprint("job", 1+random.Intn(s.number)), From: random.Intn(2)}
 	start, resp := s.world.Now, clock.Milliseconds(40*random.Float64())
 	s.world.After(clock.Milliseconds(40*random.Float64()), func() {
-		holder := s.holder
-		if s.serving(holder) == nil {
+		leader := s.leader
+		if s.serving(leader) == nil {
 			return
 		}
-		reply := s.page(holder, call)
+		reply := s.page(leader, call)
 		s.world.After(resp, func() { s.answered(call, reply, start) })
 	})
 }
 
 // page is what a leader that serves says of a job.
-func (s *shareCluster) page(holder *simHolder, call linearize.LotCall) linearize.LotReply {
-	job := holder.book.Job(call.Lot)
+func (s *shareCluster) page(leader *simLeader, call linearize.LotCall) linearize.LotReply {
+	job := leader.jobs.Job(call.Lot)
 	if job == nil {
 		return linearize.LotReply{Outcome: linearize.LotMissing}
 	}
 	reply := linearize.LotReply{Outcome: linearize.LotDone}
 	for _, listing := range job.Listings[min(call.From, len(job.Listings)):] {
-		reply.Results = append(reply.Results, fmt.Sprint(listing.Item, " ", listing.Abandoned, " ", s.textOf(holder, listing)))
+		reply.Results = append(reply.Results, fmt.Sprint(listing.Item, " ", listing.Abandoned, " ", s.textOf(leader, listing)))
 	}
 	return reply
 }
 
 // textOf is an output's text, from the leader's memory or its disk.
-func (s *shareCluster) textOf(holder *simHolder, listing dispatch.Listing) string {
-	if i := listing.Index - holder.first; i >= 0 && i < int64(len(holder.records)) {
-		return string(holder.records[i].Body)
+func (s *shareCluster) textOf(leader *simLeader, listing dispatch.Listing) string {
+	if i := listing.Index - leader.first; i >= 0 && i < int64(len(leader.records)) {
+		return string(leader.records[i].Body)
 	}
-	record, err := s.stores[holder.at].store.Read(listing.Index)
+	record, err := s.stores[leader.at].store.Read(listing.Index)
 	if err != nil {
 		s.test.Fatal(err)
 	}
@@ -86,16 +86,16 @@
 // judge compares the last leader's book with all that was seen outside.
 func (s *shareCluster) judge(seed int64) {
 	var ids []string
-	for _, job := range s.holder.book.Jobs() {
+	for _, job := range s.leader.jobs.Jobs() {
 		ids = append(ids, job.ID)
 	}
 	sort.Strings(ids)
 	for _, id := range ids {
-		job := s.holder.book.Job(id)
+		job := s.leader.jobs.Job(id)
 		listed := map[string]int{}
 		for _, listing := range job.Listings {
 			listed[listing.Item]++
-			record, err := s.stores[s.holder.at].store.Read(listing.Index)
+			record, err := s.stores[s.leader.at].store.Read(listing.Index)
 			if err != nil {
 				s.test.Fatal(err)
 			}
@@ -106,7 +106,7 @@
 			switch {
 			case listed[listing.Item] > 1:
 				s.test.Fatalf("seed %d: %s has two positions", seed, listing.Item)
-			case listing.Abandoned && !s.rejected[listing.Item] && s.failures[listing.Item] < shareTries &&
+			case listing.Abandoned && !s.rejected[listing.Item] && s.failures[listing.Item] < shareAttempts &&
 				s.world.Now.Sub(s.sentAt[id]) < clock.Milliseconds(shareRetain):
 				s.test.Fatalf("seed %d: %s was given up after %d failures", seed, listing.Item, s.failures[listing.Item])
 			case !listing.Abandoned && string(record.Body) != want:
@@ -122,7 +122,7 @@
 		}
 	}
 	for id := range s.endAcked {
-		if job := s.holder.book.Job(id); job == nil || !job.Ended {
+		if job := s.leader.jobs.Job(id); job == nil || !job.Ended {
 			s.test.Fatalf("seed %d: the end of %s is lost", seed, id)
 		}
 	}
--- a/internal/batch/store/share_driver_test.go
+++ b/internal/batch/store/share_executor_test.go
@@ -35,8 +35,8 @@
 		s.acquire()
 	}
 	due := s.now().Sub(s.renewed) >= dispatch.LockDuration(shareCancel)/4
-	if cluster.holder != nil && (due || cluster.holder.epoch > s.shown) {
-		s.shown = cluster.holder.epoch
+	if cluster.leader != nil && (due || cluster.leader.epoch > s.shown) {
+		s.shown = cluster.leader.epoch
 		s.renew()
 	}
 	s.tell(0, s.core.Results())
@@ -57,8 +57,8 @@
 }
 
 func (s *simDriver) acquire() {
-	cluster, holder, incarnation := s.cluster, s.cluster.holder, s.life
-	if holder == nil {
+	cluster, leader, incarnation := s.cluster, s.cluster.leader, s.life
+	if leader == nil {
 		return
 	}
 	s.asking = true
@@ -70,20 +70,20 @@
 			answered, s.asking = true, false
 		}
 	}))
-	cluster.send(s.name, holder.at, func() {
-		dispatcher := cluster.serving(holder)
+	cluster.send(s.name, leader.at, func() {
+		dispatcher := cluster.serving(leader)
 		if dispatcher == nil {
 			return
 		}
 		resp := &messages.AcquireResponse{LockMs: clock.ToMilliseconds(dispatcher.Lock)}
 		options := &dispatch.AcquireOptions{Executor: who, Capacity: map[string]int{"s": 2}, Terms: cluster.terms,
 			Service: func(*dispatch.Item) string { return "s" }}
-		for _, given := range dispatcher.Acquire(options, cluster.clockValue(holder.at)) {
+		for _, given := range dispatcher.Acquire(options, cluster.clockValue(leader.at)) {
 			item := given.Item
 			resp.Items = append(resp.Items, messages.AcquiredItem{Number: given.Number, Job: item.Job.ID, Item: item.JobItem, LastID: item.LastID,
 				Events: item.Events[:len(item.Events):len(item.Events)], Preempted: item.Preempted})
 		}
-		cluster.send(holder.at, s.name, s.at(incarnation, func() {
+		cluster.send(leader.at, s.name, s.at(incarnation, func() {
 			if answered {
 				return
 			}
@@ -96,29 +96,29 @@
 	})
 }
 
-func (s *simDriver) acknowledge(entries []messages.Acknowledgement, epoch uint64, heard func(verdicts []messages.AckVerdict)) {
-	cluster, holder, incarnation, who := s.cluster, s.cluster.holder, s.life, s.who()
-	if holder == nil {
+func (s *simDriver) acknowledge(entries []messages.Acknowledgement, epoch uint64, received func(verdicts []messages.AckVerdict)) {
+	cluster, leader, incarnation, who := s.cluster, s.cluster.leader, s.life, s.who()
+	if leader == nil {
 		return
 	}
-	cluster.send(s.name, holder.at, func() {
-		dispatcher := cluster.serving(holder)
+	cluster.send(s.name, leader.at, func() {
+		dispatcher := cluster.serving(leader)
 		if dispatcher == nil {
 			return
 		}
 		var verdicts []messages.AckVerdict
 		last := int64(0)
-		dispatcher.ObserveExecutor(who, cluster.clockValue(holder.at))
+		dispatcher.ObserveExecutor(who, cluster.clockValue(leader.at))
 		for i := range entries {
-			outcome := dispatcher.Acknowledge(who, &entries[i], cluster.clockValue(holder.at))
+			outcome := dispatcher.Acknowledge(who, &entries[i], cluster.clockValue(leader.at))
 			verdicts = append(verdicts, outcome.Verdict)
 			last = max(last, outcome.Index)
 		}
 		if epoch > 0 {
-			dispatcher.ReportedAll(who, epoch, cluster.clockValue(holder.at))
+			dispatcher.ReportedAll(who, epoch, cluster.clockValue(leader.at))
 		}
-		cluster.whenDurable(holder, last, 100, func() {
-			cluster.send(holder.at, s.name, s.at(incarnation, func() { heard(verdicts) }))
+		cluster.whenDurable(leader, last, 100, func() {
+			cluster.send(leader.at, s.name, s.at(incarnation, func() { received(verdicts) }))
 		})
 	})
 }
@@ -126,11 +126,11 @@
 func (s *simDriver) renew() {
 	sentAt := s.now()
 	s.renewed = sentAt
-	if s.cluster.holder == nil {
+	if s.cluster.leader == nil {
 		return
 	}
-	epoch := s.cluster.holder.epoch
-	s.core.Fence(epoch)
+	epoch := s.cluster.leader.epoch
+	s.core.DropBefore(epoch)
 	if entries := s.core.Renewals(sentAt); true {
 		s.acknowledge(entries, epoch, func(verdicts []messages.AckVerdict) {
 			s.halt(s.core.HandleRenewals(entries, verdicts, sentAt, dispatch.LockDuration(shareCancel)))
@@ -214,7 +214,7 @@
 			s.release(task, messages.Acknowledgement{})
 		case next <= shareEvents:
 			if task.Item.AppendEvents(task.Run, [][]byte{[]byte(fmt.Sprintf("%s.%d", task.Item.ID, next))}, next) {
-				task.MarkProgress(s.now())
+				task.NoteProgress(s.now())
 				s.stream(task, next+1)
 			}
 		case task.Item.Finish(task.Run):
--- a/internal/batch/store/share_sim_test.go
+++ b/internal/batch/store/share_sim_test.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	shareCancel = 3000
-	shareEvents = 6
-	shareTries  = 3
-	shareRetain = 25_000
+	shareCancel   = 3000
+	shareEvents   = 6
+	shareAttempts = 3
+	shareRetain   = 25_000
 )
 
 // shareCluster is a fleet of stores whose leader dispatches items to executors, on the
@@ -25,10 +25,10 @@
 type shareCluster struct {
 	*simFleet
 	drivers     map[string]*simDriver
-	dispatchers map[*simHolder]*dispatch.Dispatcher
-	ending      map[*simHolder]map[string]bool
+	dispatchers map[*simLeader]*dispatch.Dispatcher
+	ending      map[*simLeader]map[string]bool
 	// over says that a leader's hold has ended; no other is taken before.
-	over   map[*simHolder]bool
+	over   map[*simLeader]bool
 	frozen map[string]bool
 	thawed map[string][]func()
 	offset map[string]float64
@@ -47,8 +47,10 @@
 }
 
 func newShareCluster(t *testing.T, seed int64) *shareCluster {
-	cluster := &shareCluster{simFleet: newSimFleet(t, seed, 4), drivers: map[string]*simDriver{}, dispatchers: map[*simHolder]*dispatch.Dispatcher{},
-		ending: map[*simHolder]map[string]bool{}, over: map[*simHolder]bool{}, frozen: map[string]bool{}, thawed: map[string][]func(){},
+	t.Helper()
+
+	cluster := &shareCluster{simFleet: newSimFleet(t, seed, 4), drivers: map[string]*simDriver{}, dispatchers: map[*simLeader]*dispatch.Dispatcher{},
+		ending: map[*simLeader]map[string]bool{}, over: map[*simLeader]bool{}, frozen: map[string]bool{}, thawed: map[string][]func(){},
 		offset: map[string]float64{}, rate: map[string]float64{}, accepted: map[string]string{}, failures: map[string]int{},
 		rejected: map[string]bool{}, sentAt: map[string]clock.Instant{}, endAcked: map[string]clock.Instant{}, endAsked: map[string]bool{}, seen: map[string]int64{}}
 	cluster.callRandom = rand.New(rand.NewSource(seed))
@@ -90,18 +92,18 @@
 }
 
 // serving gives the dispatcher of a leader that may act, or nil.
-func (s *shareCluster) serving(holder *simHolder) *dispatch.Dispatcher {
-	if holder == nil || holder != s.holder || !holder.ready || s.over[holder] || s.stores[holder.at].down || s.frozen[holder.at] {
+func (s *shareCluster) serving(leader *simLeader) *dispatch.Dispatcher {
+	if leader == nil || leader != s.leader || !leader.ready || s.over[leader] || s.stores[leader.at].down || s.frozen[leader.at] {
 		return nil
 	}
-	dispatcher := s.dispatchers[holder]
+	dispatcher := s.dispatchers[leader]
 	if dispatcher == nil {
-		dispatcher = dispatch.NewDispatcher(holder.book, holder.epoch, holder.first, dispatch.LockDuration(shareCancel), s.clockValue(holder.at))
-		dispatcher.Append = holder.submit
+		dispatcher = dispatch.NewDispatcher(leader.jobs, leader.epoch, leader.first, dispatch.LockDuration(shareCancel), s.clockValue(leader.at))
+		dispatcher.Append = leader.submit
 		ending := map[string]bool{}
 		dispatcher.Ending = func(job *dispatch.Job) bool { return ending[job.ID] }
-		dispatcher.Attempts = func(*dispatch.Item) int { return shareTries }
-		s.dispatchers[holder], s.ending[holder] = dispatcher, ending
+		dispatcher.Attempts = func(*dispatch.Item) int { return shareAttempts }
+		s.dispatchers[leader], s.ending[leader] = dispatcher, ending
 	}
 	return dispatcher
 }
@@ -115,13 +117,13 @@
 // tend is the leader's upkeep.
 func (s *shareCluster) tend() {
 	defer s.world.After(clock.Milliseconds(50), s.tend)
-	if dispatcher := s.serving(s.holder); dispatcher != nil {
-		now := s.clockValue(s.holder.at)
+	if dispatcher := s.serving(s.leader); dispatcher != nil {
+		now := s.clockValue(s.leader.at)
 		dispatcher.ExpireLocks(now)
 		dispatcher.AbandonExpired(s.terms, now)
 		dispatcher.RecordAcquisitionsKnown(now)
-		if now < dispatcher.StartedAt().Add(dispatcher.Lock) && !dispatcher.Uncertain(now) && s.seen[fmt.Sprint("sure", s.holder.epoch)] == 0 {
-			s.seen[fmt.Sprint("sure", s.holder.epoch)] = 1
+		if now < dispatcher.StartedAt().Add(dispatcher.Lock) && !dispatcher.Uncertain(now) && s.seen[fmt.Sprint("sure", s.leader.epoch)] == 0 {
+			s.seen[fmt.Sprint("sure", s.leader.epoch)] = 1
 			s.seen["early"]++
 		}
 	}
@@ -130,24 +132,24 @@
 
 // single checks that no two executors believe that they hold one item.
 func (s *shareCluster) single() {
-	held := map[string]string{}
+	pending := map[string]string{}
 	for _, name := range simulation.Keys(s.drivers) {
 		for _, task := range s.drivers[name].core.All() {
 			if !task.MayRun(s.clockValue(name)) {
 				continue
 			}
-			if other, twice := held[task.Item.ID]; twice {
+			if other, twice := pending[task.Item.ID]; twice {
 				s.test.Fatalf("%s and %s both hold %s (%x) at %d", other, name, task.Item.ID, task.Number, s.world.Now)
 			}
-			held[task.Item.ID] = name
+			pending[task.Item.ID] = name
 		}
 	}
 }
 
 // job submits  a job; some of its items no worker can do.
 func (s *shareCluster) lot(items int) {
-	holder := s.holder
-	if s.serving(holder) == nil {
+	leader := s.leader
+	if s.serving(leader) == nil {
 		return
 	}
 	s.number++
@@ -163,30 +165,30 @@
 	packed, _ := body.MarshalMsg(nil)
 	s.sentAt[id] = s.world.Now
 	announcement := s.handedIn(id)
-	index := holder.submit(messages.Record{Kind: messages.RecordJob, Job: id, Body: packed})
-	s.whenDurable(holder, index, 100, announcement)
+	index := leader.submit(messages.Record{Kind: messages.RecordJob, Job: id, Body: packed})
+	s.whenDurable(leader, index, 100, announcement)
 }
 
 // endJob ends a job as the real leader does: nothing is acquired from the decision
 // on, executors are told, and the end is acknowledged once it is durable.
-func (s *shareCluster) endLot(id string) {
-	holder := s.holder
-	dispatcher := s.serving(holder)
-	if dispatcher == nil || holder.book.Job(id) == nil || s.endAsked[id] {
+func (s *shareCluster) endJob(id string) {
+	leader := s.leader
+	dispatcher := s.serving(leader)
+	if dispatcher == nil || leader.jobs.Job(id) == nil || s.endAsked[id] {
 		return
 	}
 	s.endAsked[id] = true
 	start := s.world.Now
-	s.ending[holder][id] = true
+	s.ending[leader][id] = true
 	var names []string
-	for _, executor := range dispatcher.StopJob(holder.book.Job(id)) {
+	for _, executor := range dispatcher.StopJob(leader.jobs.Job(id)) {
 		names = append(names, executor.Name)
 	}
 	for _, name := range names {
-		s.send(holder.at, name, func() { s.drivers[name].halt(s.drivers[name].core.StopJob(id)) })
+		s.send(leader.at, name, func() { s.drivers[name].halt(s.drivers[name].core.StopJob(id)) })
 	}
-	index := holder.submit(messages.Record{Kind: messages.RecordJobEnd, Job: id})
-	s.whenDurable(holder, index, 100, func() {
+	index := leader.submit(messages.Record{Kind: messages.RecordJobEnd, Job: id})
+	s.whenDurable(leader, index, 100, func() {
 		if _, known := s.endAcked[id]; !known {
 			s.endAcked[id] = s.world.Now
 			s.answered(linearize.LotCall{Kind: linearize.LotEnd, Lot: id}, linearize.LotReply{Outcome: linearize.LotDone}, start)
@@ -195,12 +197,12 @@
 }
 
 // whenDurable goes on once a record is durable and the leader still serves.
-func (s *shareCluster) whenDurable(holder *simHolder, index int64, tries int, function func()) {
+func (s *shareCluster) whenDurable(leader *simLeader, index int64, attempts int, function func()) {
 	switch {
-	case s.serving(holder) == nil || tries == 0:
-	case index == 0 || holder.press.CommitIndex() >= index:
+	case s.serving(leader) == nil || attempts == 0:
+	case index == 0 || leader.replicator.CommitIndex() >= index:
 		function()
 	default:
-		s.world.After(clock.Milliseconds(5), func() { s.whenDurable(holder, index, tries-1, function) })
+		s.world.After(clock.Milliseconds(5), func() { s.whenDurable(leader, index, attempts-1, function) })
 	}
 }
--- a/internal/batch/store/share_test.go
+++ b/internal/batch/store/share_test.go
@@ -12,6 +12,8 @@
 // cut off, start anew, lose power or their disk, stores are slow, replies are lost,
 // and the leadership changes submits  the middle of locks.
 func share(t *testing.T, seed int64) *shareCluster {
+	t.Helper()
+
 	cluster := newShareCluster(t, seed)
 	cluster.world.Loss, cluster.world.Double = 0.06, 0.06
 	cluster.takeAny()
@@ -23,13 +25,13 @@
 		cluster.lot(2 + random.Intn(5))
 		if random.Intn(3) == 0 && cluster.number > 0 {
 			id := fmt.Sprint("job", 1+random.Intn(cluster.number))
-			cluster.world.After(clock.Milliseconds(300*random.Float64()), func() { cluster.endLot(id) })
+			cluster.world.After(clock.Milliseconds(300*random.Float64()), func() { cluster.endJob(id) })
 		}
 		victim := names[random.Intn(len(names))]
 		timeout := clock.Milliseconds(200 + 4000*random.Float64())
 		switch random.Intn(6) {
 		case 0:
-			if cluster.holder.at != victim {
+			if cluster.leader.at != victim {
 				cluster.freeze(victim)
 				cluster.world.After(timeout, func() { cluster.thaw(victim) })
 			}
@@ -37,7 +39,7 @@
 			cluster.isolate(victim, names, true)
 			cluster.world.After(timeout, func() { cluster.isolate(victim, names, false) })
 			cluster.world.Run(cluster.world.Now.Add(clock.Milliseconds(100)))
-			if cluster.holder.at == victim {
+			if cluster.leader.at == victim {
 				cluster.isolate(victim, names, false)
 				cluster.move()
 			}
@@ -66,15 +68,15 @@
 
 // move lets the leadership change submits  the middle of everything; all locks go on.
 func (s *shareCluster) move() {
-	if s.holder != nil {
-		s.over[s.holder] = true
+	if s.leader != nil {
+		s.over[s.leader] = true
 	}
 	s.takeAny()
 }
 
 // slow makes a machine answer only now and then, as one with a bad disk does.
 func (s *shareCluster) slow(names []string, victim string, times int) {
-	if times == 0 || s.holder.at == victim {
+	if times == 0 || s.leader.at == victim {
 		s.isolate(victim, names, false)
 		return
 	}
@@ -106,7 +108,7 @@
 // text; what was acknowledged stays; nothing is given up but on the four grounds;
 // nothing reaches a worker later than cancel-ms after the end of its job; and all
 // else is done in the end.
-func TestShareGroupUnderTrouble(t *testing.T) {
+func TestShareGroupUnderFaults(t *testing.T) {
 	seeds := int64(60)
 	if testing.Short() {
 		seeds = 10
--- a/internal/batch/store/simulation_holder_test.go
+++ b/internal/batch/store/simulation_leader_test.go
@@ -10,7 +10,7 @@
 )
 
 // begin goes on from the best copy. Fetching is done in one step here.
-func (s *simHolder) begin(set []messages.Member, copies map[string]messages.FenceResponse) {
+func (s *simLeader) begin(set []messages.Member, copies map[string]messages.FenceResponse) {
 	own := s.fleet.stores[s.at]
 	best := replication.BestCopy(copies)
 	if best != register.Identity(own.member) {
@@ -35,13 +35,13 @@
 		}
 	}
 	last := own.store.Extent().Last
-	s.press = replication.NewReplicator(s.epoch, set, s.fleet.budget, last+1)
+	s.replicator = replication.NewReplicator(s.epoch, set, s.fleet.budget, last+1)
 	jobs, err := own.store.Jobs()
 	if err != nil {
 		s.fleet.test.Fatal(err)
 	}
-	s.book, s.first, s.applied = jobs, last+1, last
-	s.fleet.holder = s
+	s.jobs, s.first, s.applied = jobs, last+1, last
+	s.fleet.leader = s
 	s.submit(messages.Record{Kind: messages.RecordNoop})
 	for _, member := range set {
 		s.next[register.Identity(member)] = last + 1
@@ -49,24 +49,24 @@
 	}
 }
 
-func (s *simHolder) submit(record messages.Record) int64 {
-	record.Index, record.Epoch = s.press.NextIndex(), s.epoch
+func (s *simLeader) submit(record messages.Record) int64 {
+	record.Index, record.Epoch = s.replicator.NextIndex(), s.epoch
 	s.records = append(s.records, record)
 	return record.Index
 }
 
 // feed sends a store what it lacks, again and again.
-func (s *simHolder) feed(member messages.Member) {
+func (s *simLeader) feed(member messages.Member) {
 	fleet, identity := s.fleet, register.Identity(member)
 	if fleet.stores[s.at].down || s.fenced {
 		return
 	}
 	defer fleet.world.After(clock.Milliseconds(30)+fleet.lag[member.Address], func() { s.feed(member) })
 	next := s.next[identity]
-	if next > s.press.Last() {
+	if next > s.replicator.Last() {
 		return
 	}
-	req := &messages.AppendRequest{Epoch: s.epoch, Disk: member.Disk, PreviousIndex: next - 1, CommitIndex: s.press.CommitIndex()}
+	req := &messages.AppendRequest{Epoch: s.epoch, Disk: member.Disk, PreviousIndex: next - 1, CommitIndex: s.replicator.CommitIndex()}
 	if next >= s.first && next > fleet.stores[s.at].store.Compacted() {
 		req.Records = append(req.Records, s.records[next-s.first:]...)
 	} else {
@@ -103,7 +103,7 @@
 				s.fenced = true
 			case resp.Granted:
 				s.next[identity] = max(s.next[identity], resp.Last+1)
-				if s.press.UpdateMatch(identity, resp.Last) {
+				if s.replicator.UpdateMatch(identity, resp.Last) {
 					s.apply()
 				}
 			case resp.EpochRanges != nil:
@@ -115,12 +115,12 @@
 }
 
 // apply tells clients of what is durable; that binds every later leader.
-func (s *simHolder) apply() {
+func (s *simLeader) apply() {
 	s.ready = true
 	fleet := s.fleet
-	for s.applied < s.press.CommitIndex() {
+	for s.applied < s.replicator.CommitIndex() {
 		record := s.records[s.applied+1-s.first]
-		if err := s.book.Apply(&record); err != nil {
+		if err := s.jobs.Apply(&record); err != nil {
 			fleet.test.Fatal(err)
 		}
 		s.applied++
@@ -132,12 +132,12 @@
 		if record.Kind != messages.RecordOutput || fleet.dropped[record.Job] {
 			continue
 		}
-		place := fmt.Sprintf("%s/%d", record.Job, record.Position)
-		if other, known := fleet.told[place]; known && other != record.Item {
-			fleet.test.Fatalf("position %s held %s and now holds %s", place, other, record.Item)
+		key := fmt.Sprintf("%s/%d", record.Job, record.Position)
+		if other, known := fleet.announced[key]; known && other != record.Item {
+			fleet.test.Fatalf("position %s held %s and now holds %s", key, other, record.Item)
 		}
-		fleet.told[place] = record.Item
+		fleet.announced[key] = record.Item
 		fleet.tellings++
-		fleet.world.Note("told %s %s", place, record.Item)
+		fleet.world.Note("told %s %s", key, record.Item)
 	}
 }
--- a/internal/batch/store/simulation_test.go
+++ b/internal/batch/store/simulation_test.go
@@ -14,7 +14,7 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// simStore is a store on a fake disk; simHolder is the leader of one epoch, made
+// simStore is a store on a fake disk; simLeader is the leader of one epoch, made
 // of the same cores as the real one, driven by events instead of threads.
 type simStore struct {
 	member messages.Member
@@ -25,18 +25,18 @@
 	faulty bool
 }
 
-type simHolder struct {
-	fleet   *simFleet
-	at      string
-	epoch   uint64
-	press   *replication.Replicator
-	book    *dispatch.JobTable
-	records []messages.Record
-	applied int64
-	next    map[string]int64
-	ready   bool
-	first   int64
-	forgets map[string]bool
+type simLeader struct {
+	fleet      *simFleet
+	at         string
+	epoch      uint64
+	replicator *replication.Replicator
+	jobs       *dispatch.JobTable
+	records    []messages.Record
+	applied    int64
+	next       map[string]int64
+	ready      bool
+	first      int64
+	forgets    map[string]bool
 	// fenced says that a member has told of a later epoch.
 	fenced bool
 }
@@ -46,11 +46,11 @@
 	world  *simulation.World
 	stores map[string]*simStore
 	// The register, whose own agreement is tested elsewhere.
-	epoch  uint64
-	set    []messages.Member
-	holder *simHolder
-	told   map[string]string
-	toldAt map[string]uint64
+	epoch     uint64
+	set       []messages.Member
+	leader    *simLeader
+	announced map[string]string
+	toldAt    map[string]uint64
 	// tellings counts what was ever told; forgotten jobs are no longer in told, and those
 	// whose word of it is durable are in gone.
 	tellings int
@@ -69,11 +69,15 @@
 
 // newSimFleet makes stores of which the first three are the set, for a budget of one.
 func newSimFleet(t *testing.T, seed int64, count int) *simFleet {
+	t.Helper()
+
 	return newSimFleetOf(t, seed, count, 1, 3)
 }
 
 func newSimFleetOf(t *testing.T, seed int64, count, budget, size int) *simFleet {
-	fleet := &simFleet{budget: budget, test: t, world: simulation.NewWorld(seed), stores: map[string]*simStore{}, told: map[string]string{}, toldAt: map[string]uint64{}, gone: map[string]bool{}, isolated: map[string]bool{}, dropped: map[string]bool{}, sent: map[string]traffic{}}
+	t.Helper()
+
+	fleet := &simFleet{budget: budget, test: t, world: simulation.NewWorld(seed), stores: map[string]*simStore{}, announced: map[string]string{}, toldAt: map[string]uint64{}, gone: map[string]bool{}, isolated: map[string]bool{}, dropped: map[string]bool{}, sent: map[string]traffic{}}
 	for i := 0; i < count; i++ {
 		name := fmt.Sprintf("s%d", i)
 		store := &simStore{disk: simulation.NewDisk(seed*31 + int64(i))}
@@ -102,7 +106,7 @@
 // take makes a process the leader of a new epoch; the one before may not notice.
 func (s *simFleet) take(name string) {
 	s.epoch++
-	holder := &simHolder{fleet: s, at: name, epoch: s.epoch, next: map[string]int64{}, forgets: map[string]bool{}}
+	leader := &simLeader{fleet: s, at: name, epoch: s.epoch, next: map[string]int64{}, forgets: map[string]bool{}}
 	set := append([]messages.Member(nil), s.set...)
 	copies := map[string]messages.FenceResponse{}
 	started := false
@@ -112,7 +116,7 @@
 			if target.down {
 				return
 			}
-			resp, err := target.store.Fence(&messages.FenceRequest{Epoch: holder.epoch, Disk: member.Disk})
+			resp, err := target.store.Fence(&messages.FenceRequest{Epoch: leader.epoch, Disk: member.Disk})
 			s.world.Send(member.Address, name, func() {
 				if err != nil || !resp.Granted || s.stores[name].down {
 					return
@@ -121,7 +125,7 @@
 				own := copies[register.Identity(s.stores[name].member)].Granted
 				if !started && own && replication.EnoughFenced(len(set), len(copies), s.budget) {
 					started = true
-					holder.begin(set, copies)
+					leader.begin(set, copies)
 				}
 			})
 		})
--- a/internal/batch/store/upkeep_test.go
+++ b/internal/batch/store/upkeep_test.go
@@ -27,10 +27,10 @@
 
 // forget drops jobs that are done, as a leader does once their time is over; the newest
 // stay.
-func (s *simHolder) forget() {
+func (s *simLeader) forget() {
 	const kept = 3
 	var done []*dispatch.Job
-	for _, job := range s.book.Jobs() {
+	for _, job := range s.jobs.Jobs() {
 		if !job.Open() && !s.forgets[job.ID] {
 			done = append(done, job)
 		}
@@ -39,24 +39,24 @@
 		s.forgets[job.ID], s.fleet.dropped[job.ID] = true, true
 		s.submit(messages.Record{Kind: messages.RecordForget, Job: job.ID})
 		for i := range job.Listings {
-			delete(s.fleet.told, fmt.Sprintf("%s/%d", job.ID, i))
+			delete(s.fleet.announced, fmt.Sprintf("%s/%d", job.ID, i))
 		}
 	}
 }
 
 // check compares a leader's book with all that was ever told.
-func (s *simFleet) check(holder *simHolder) {
-	for _, job := range holder.book.Jobs() {
+func (s *simFleet) check(leader *simLeader) {
+	for _, job := range leader.jobs.Jobs() {
 		if s.gone[job.ID] {
-			s.test.Fatalf("holder of epoch %d has %s again", holder.epoch, job.ID)
+			s.test.Fatalf("holder of epoch %d has %s again", leader.epoch, job.ID)
 		}
 	}
-	for _, place := range simulation.Keys(s.told) {
-		jobID, number, _ := strings.Cut(place, "/")
+	for _, key := range simulation.Keys(s.announced) {
+		jobID, number, _ := strings.Cut(key, "/")
 		position, _ := strconv.Atoi(number)
-		found := holder.book.Job(jobID)
-		if found == nil || position >= len(found.Listings) || found.Listings[position].Item != s.told[place] {
-			s.test.Fatalf("holder of epoch %d lacks %s", holder.epoch, place)
+		found := leader.jobs.Job(jobID)
+		if found == nil || position >= len(found.Listings) || found.Listings[position].Item != s.announced[key] {
+			s.test.Fatalf("holder of epoch %d lacks %s", leader.epoch, key)
 		}
 	}
 }
--- a/internal/control/agent/agent.go
+++ b/internal/control/agent/agent.go
@@ -78,11 +78,11 @@
 	function(a.view)
 }
 
-// MarkContacted notes a direct message from a process.
-func (a *Agent) MarkContacted(key string) {
+// NoteContact notes a direct message from a process.
+func (a *Agent) NoteContact(key string) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	a.view.MarkContacted(key, clock.Now())
+	a.view.NoteContact(key, clock.Now())
 }
 
 // Live gives the processes of a role that were heard from lately.
@@ -131,7 +131,7 @@
 		go func() {
 			defer group.Done()
 			if _, err := a.Transport.Call(entry.Address, kind, body, timeout); err == nil {
-				a.MarkContacted(membership.Key(entry))
+				a.NoteContact(membership.Key(entry))
 			} else if failed != nil {
 				failed(entry)
 			}
--- a/internal/control/agent/assignments_test.go
+++ b/internal/control/agent/assignments_test.go
@@ -11,12 +11,12 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// TestNodePullsItsPartAndNeverGoesBack: a node follows the controller it speaks with,
+// TestAgentPullsItsPartAndNeverGoesBack: a node follows the controller it speaks with,
 // asks only when that has something newer, and holds on to what it has.
-func TestNodePullsItsPartAndNeverGoesBack(t *testing.T) {
-	room := transport.NewMemoryNetwork()
+func TestAgentPullsItsPartAndNeverGoesBack(t *testing.T) {
+	network := transport.NewMemoryNetwork()
 	revision, pulls, asker := int64(0), 0, ""
-	_ = room.Transport("controller:1").Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
+	_ = network.Transport("controller:1").Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
 		req := &messages.PlanRequest{}
 		if kind != messages.KindPlanPull || transport.Decode(body, req) != nil {
 			return nil, nil
@@ -25,7 +25,7 @@
 		return transport.Encode(&messages.PlanResponse{Revision: revision, Placements: []messages.PlanPlacement{{Window: "w", Adapter: "a", Node: req.Node}}})
 	})
 	node := New(&settings.Settings{NodeName: "n", Address: "127.0.0.1", InternalPorts: []int{21100, 21110}}, membership.RoleGateway, 1, "", hclog.NewNullLogger())
-	node.Transport = room.Transport("node:1")
+	node.Transport = network.Transport("node:1")
 	for _, step := range []struct{ has, want int64 }{{2, 2}, {1, 2}, {5, 5}, {4, 5}} {
 		revision = step.has
 		node.pullPlan("controller:1")
@@ -43,7 +43,7 @@
 	if rows := node.reportAssigned().Rows; len(rows) != 1 || rows[0][0] != "5" {
 		t.Fatal(rows)
 	}
-	room.SetPartitioned("controller:1", true)
+	network.SetPartitioned("controller:1", true)
 	node.pullPlan("controller:1")
 	if node.Assigned().Revision != 5 {
 		t.Fatal("a silent controller changed what is in force")
--- a/internal/control/agent/config.go
+++ b/internal/control/agent/config.go
@@ -84,13 +84,13 @@
 	for _, send := range broadcast.Split(push.ForwardTo, constants.BodyFanout) {
 		go func() {
 			for {
-				part := &messages.ConfigPush{Generation: push.Generation, Body: push.Body, ForwardTo: send.Pass}
+				part := &messages.ConfigPush{Generation: push.Generation, Body: push.Body, ForwardTo: send.ForwardTo}
 				err := transport.Call(a.Transport, send.Address, messages.KindConfigPush, part, &messages.Ack{}, constants.CallTimeout)
-				if err == nil || len(send.Pass) == 0 {
+				if err == nil || len(send.ForwardTo) == 0 {
 					return
 				}
 				// The next of the part takes the place of one that does not answer.
-				send.Address, send.Pass = send.Pass[0], send.Pass[1:]
+				send.Address, send.ForwardTo = send.ForwardTo[0], send.ForwardTo[1:]
 			}
 		}()
 	}
@@ -165,9 +165,9 @@
 
 // pullFrom asks one process for its configuration, or for a read at a majority, and
 // tells whether it answered.
-func (a *Agent) pullFrom(address string, settled bool) bool {
+func (a *Agent) pullFrom(address string, linearizable bool) bool {
 	req, timeout := &messages.ConfigPull{Known: a.Generation()}, constants.CallTimeout
-	if settled {
+	if linearizable {
 		req.Known, timeout = -1, constants.RegisterTimeout
 	}
 	resp := &messages.ConfigPush{}
--- a/internal/control/agent/reports.go
+++ b/internal/control/agent/reports.go
@@ -72,11 +72,11 @@
 	round := a.reporter.rounds
 	controllers := a.view.Controllers(clock.Now())
 	a.lock.Unlock()
-	first := a.reportToOneOf(controllers, false)
+	first := a.reportToAny(controllers, false)
 	if first == "" {
 		// The seeds may know controllers that started since.
 		seeds := a.Settings.SeedAddresses(constants.PortController)
-		first = a.reportToOneOf([]messages.NodeInfo{{Address: seeds[rand.Intn(len(seeds))]}}, false)
+		first = a.reportToAny([]messages.NodeInfo{{Address: seeds[rand.Intn(len(seeds))]}}, false)
 	}
 	a.lock.Lock()
 	a.reporter.firstController = first
@@ -97,18 +97,18 @@
 	a.lock.Lock()
 	controllers := a.view.SecondControllers(a.reporter.firstController, clock.Now())
 	a.lock.Unlock()
-	a.reportToOneOf(controllers, true)
+	a.reportToAny(controllers, true)
 }
 
-// reportToOneOf reports to the first controller of a list that is in contact with a
+// reportToAny reports to the first controller of a list that is in contact with a
 // majority, and gives its address. It gives up after a few that are silent.
-func (a *Agent) reportToOneOf(controllers []messages.NodeInfo, brief bool) string {
+func (a *Agent) reportToAny(controllers []messages.NodeInfo, brief bool) string {
 	const silentMost = 3
 	for silent, i := 0, 0; i < len(controllers) && silent < silentMost; i++ {
 		switch a.report(controllers[i].Address, brief) {
-		case reportTaken:
+		case reportAccepted:
 			return controllers[i].Address
-		case reportSilent:
+		case reportTimeout:
 			silent++
 		}
 	}
@@ -120,12 +120,12 @@
 
 // The results of a report.
 const (
-	// reportTaken: the controller is in contact with a majority and answered.
-	reportTaken reportResult = iota
+	// reportAccepted: the controller is in contact with a majority and answered.
+	reportAccepted reportResult = iota
 	// reportDetached: it answered that it is not in contact; others are asked at once.
 	reportDetached
-	// reportSilent: it did not answer in time.
-	reportSilent
+	// reportTimeout: it did not answer in time.
+	reportTimeout
 )
 
 // report asks one controller and takes its answer.
@@ -137,13 +137,13 @@
 	}
 	a.lock.Unlock()
 	resp := &messages.Shuffle{}
-	result := reportTaken
+	result := reportAccepted
 	if transport.Call(a.Transport, address, messages.KindShuffle, req, resp, constants.ReportTimeout) != nil {
-		result = reportSilent
+		result = reportTimeout
 	} else if resp.Detached {
 		result = reportDetached
 	}
-	if result != reportTaken {
+	if result != reportAccepted {
 		a.lock.Lock()
 		a.view.Failed(address, clock.Now())
 		a.lock.Unlock()
@@ -167,12 +167,12 @@
 	a.lock.Unlock()
 	resp := &messages.Shuffle{}
 	if transport.Call(a.Transport, address, messages.KindShuffle, req, resp, constants.CallTimeout) == nil {
-		a.heard(resp.Entries)
+		a.observe(resp.Entries)
 	}
 }
 
 func (a *Agent) handleShuffle(req *messages.Shuffle) (*messages.Shuffle, error) {
-	a.heard(req.Entries)
+	a.observe(req.Entries)
 	a.lock.Lock()
 	var resp *messages.Shuffle
 	if a.Self.Role == membership.RoleController {
@@ -188,9 +188,9 @@
 }
 
 // Observe takes entries as a shuffle brings them.
-func (a *Agent) Observe(entries []messages.NodeInfo) { a.heard(entries) }
+func (a *Agent) Observe(entries []messages.NodeInfo) { a.observe(entries) }
 
-func (a *Agent) heard(entries []messages.NodeInfo) {
+func (a *Agent) observe(entries []messages.NodeInfo) {
 	a.lock.Lock()
 	a.RecordLocalities(entries)
 	a.view.Observe(entries, clock.Now())
--- a/internal/control/assignments/assignments.go
+++ b/internal/control/assignments/assignments.go
@@ -81,9 +81,9 @@
 			row(name, "", "", "gone")
 		}
 	}
-	for _, place := range plan.Placements {
-		if node == "" || place.Node == node {
-			row(place.Node, place.Window, place.Adapter, "in force")
+	for _, key := range plan.Placements {
+		if node == "" || key.Node == node {
+			row(key.Node, key.Window, key.Adapter, "in force")
 		}
 	}
 	if len(status.Rows) == 0 {
--- a/internal/control/broadcast/backlog_test.go
+++ b/internal/control/broadcast/backlog_test.go
@@ -19,10 +19,10 @@
 	workers    map[string]bool
 }
 
-// TestBacklogTellsUntilConfirmed: whoever has not confirmed everything is named, and is
+// TestBacklogRetriesUntilConfirmed: whoever has not confirmed everything is named, and is
 // told at least once in BacklogBackoffMax, until it confirms or its incarnation leaves the
 // directory; a confirmation never covers what was added after its delivery was made.
-func TestBacklogTellsUntilConfirmed(t *testing.T) {
+func TestBacklogRetriesUntilConfirmed(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		backlog, now := broadcast.NewBacklog(), clock.Instant(1)
 		lives, model := map[string]messages.NodeInfo{}, map[string]*owed{}
@@ -70,7 +70,7 @@
 					sent = append(sent, delivery)
 				}
 				for found, debt := range model {
-					if delivery, told := due[found]; !told || delivery.Generation != debt.generation || len(delivery.Workers) != len(debt.workers) {
+					if delivery, notified := due[found]; !notified || delivery.Generation != debt.generation || len(delivery.Workers) != len(debt.workers) {
 						rt.Fatalf("%s is owed %+v, and is told %+v", found, debt, delivery)
 					}
 				}
--- a/internal/control/broadcast/broadcast_test.go
+++ b/internal/control/broadcast/broadcast_test.go
@@ -170,7 +170,7 @@
 }
 
 // Silence of a worker is told, that of a controller is not taken for one of its workers.
-func TestSilentWorkersAreToldAndOthersNotDoubted(t *testing.T) {
+func TestOverdueWorkersAreReportedAndOthersNotSuspected(t *testing.T) {
 	t.Parallel()
 	fleet := newFleet(3, 4, 2, 2, 10)
 	fleet.Run(clock.Instant(0).Add(5 * constants.ShufflePeriod))
@@ -185,7 +185,7 @@
 				// A worker that is not answered calls the next node.
 				taker = fleet.controllers()[fleet.Random.Intn(8)]
 			}
-			if id := fmt.Sprint("w", i); !(crashed && i == 7) && taker.registry.Heartbeat(steady(id, count, messages.PhaseSteady), fleet.Now) {
+			if id := fmt.Sprint("w", i); (!crashed || i != 7) && taker.registry.Heartbeat(steady(id, count, messages.PhaseSteady), fleet.Now) {
 				worker, _ := taker.registry.Get(id)
 				taker.spread(&messages.RelayRequest{Workers: []messages.Worker{worker}}, constants.BroadcastTimeout, func() {})
 			}
--- a/internal/control/broadcast/control_test.go
+++ b/internal/control/broadcast/control_test.go
@@ -160,9 +160,9 @@
 	}
 	n.registry.Heartbeat(worker, n.fleet.Now)
 	worker, _ = n.registry.Get(worker.ID)
-	retained, told := false, false
+	retained, notified := false, false
 	end := func() {
-		if retained && told {
+		if retained && notified {
 			acknowledged()
 		}
 	}
@@ -171,7 +171,7 @@
 		end()
 	})
 	n.spread(&messages.RelayRequest{Workers: []messages.Worker{worker}}, constants.BroadcastTimeout, func() {
-		told = true
+		notified = true
 		end()
 	})
 }
--- a/internal/control/broadcast/cut_test.go
+++ b/internal/control/broadcast/cut_test.go
@@ -200,11 +200,11 @@
 	}
 }
 
-// TestOneControllerCutOff: whichever controller is cut off, both ways, in one direction,
+// TestOneControllerPartitioned: whichever controller is cut off, both ways, in one direction,
 // from all or frozen, for 1 to 60 s, with 3, 5 or 8 controllers: what is acknowledged
 // meanwhile is known at each process in touch within its bound, no live process is taken
 // for silent, nobody goes on reporting to the one that is cut off, and it confirms nothing.
-func TestOneControllerCutOff(t *testing.T) {
+func TestOneControllerPartitioned(t *testing.T) {
 	t.Parallel()
 	sizes := []struct{ zones, controllers int }{{3, 1}, {5, 1}, {4, 2}}
 	for seed := 1; seed <= seeds(1); seed++ {
@@ -221,6 +221,8 @@
 
 // playCuts cuts one controller off in each direction, for each length.
 func playCuts(t *testing.T, seed int64, zones, controllers, i int) {
+	t.Helper()
+
 	for how := bothWays; how < directions; how++ {
 		for turn, length := range []clock.Duration{1, 5, 12, 20, 60} {
 			if seeds(0) == 0 && (i+turn+int(how))%int(directions) != 0 {
--- a/internal/control/broadcast/drive_test.go
+++ b/internal/control/broadcast/drive_test.go
@@ -31,7 +31,7 @@
 	case send.Step == broadcast.StepWait:
 		message = &messages.RelayWaitRequest{From: update.From, Sequence: update.Sequence}
 	case update.Generation > 0:
-		message = &messages.ConfigPush{Generation: update.Generation, Body: update.Body, ForwardTo: send.Pass}
+		message = &messages.ConfigPush{Generation: update.Generation, Body: update.Body, ForwardTo: send.ForwardTo}
 	default:
 		message = &messages.WorkersUpdate{Workers: update.Workers}
 	}
--- a/internal/control/broadcast/fleet_test.go
+++ b/internal/control/broadcast/fleet_test.go
@@ -191,10 +191,10 @@
 }
 
 func (n *node) passOn(push *messages.ConfigPush, send broadcast.Send) {
-	part := &messages.ConfigPush{Generation: push.Generation, Body: push.Body, ForwardTo: send.Pass}
+	part := &messages.ConfigPush{Generation: push.Generation, Body: push.Body, ForwardTo: send.ForwardTo}
 	n.call(send.Address, part, constants.CallTimeout, func(_ transport.Marshaler, failed bool) {
-		if failed && len(send.Pass) > 0 {
-			n.passOn(push, broadcast.Send{Address: send.Pass[0], Pass: send.Pass[1:]})
+		if failed && len(send.ForwardTo) > 0 {
+			n.passOn(push, broadcast.Send{Address: send.ForwardTo[0], ForwardTo: send.ForwardTo[1:]})
 		}
 	})
 }
--- a/internal/control/broadcast/loops_test.go
+++ b/internal/control/broadcast/loops_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-func (n *node) report(controllers []messages.NodeInfo, tries int, brief bool) {
-	if len(controllers) == 0 || tries == 0 {
+func (n *node) report(controllers []messages.NodeInfo, attempts int, brief bool) {
+	if len(controllers) == 0 || attempts == 0 {
 		if partner := n.view.Partner(n.fleet.Now); partner != "" && !brief {
 			n.control.first = ""
 			n.call(partner, &messages.Shuffle{Entries: n.view.Offer(n.fleet.Now)}, constants.CallTimeout, func(resp transport.Marshaler, failed bool) {
@@ -89,13 +89,13 @@
 	n.call(address, req, constants.ReportTimeout, func(resp transport.Marshaler, failed bool) {
 		if failed {
 			n.view.Failed(address, n.fleet.Now)
-			n.report(controllers[1:], tries-1, brief)
+			n.report(controllers[1:], attempts-1, brief)
 			return
 		}
 		response := resp.(*messages.Shuffle)
 		if response.Detached {
 			n.view.Failed(address, n.fleet.Now)
-			n.report(controllers[1:], tries, brief)
+			n.report(controllers[1:], attempts, brief)
 			return
 		}
 		if !brief {
@@ -120,15 +120,15 @@
 	return n.reads[key]
 }
 
-func behind(read *messages.Digest, told, own messages.Digest) (uint64, bool) {
-	if told.Sum == own.Sum {
-		*read = told
+func behind(read *messages.Digest, notified, own messages.Digest) (uint64, bool) {
+	if notified.Sum == own.Sum {
+		*read = notified
 		return 0, false
 	}
-	if read.Incarnation != told.Incarnation {
+	if read.Incarnation != notified.Incarnation {
 		return 0, true
 	}
-	return read.Clock, told.Clock > read.Clock
+	return read.Clock, notified.Clock > read.Clock
 }
 
 func (n *node) pullWorkers(address string, since uint64) {
@@ -144,8 +144,8 @@
 func (n *node) beatFor(key string) *messages.ControllerHeartbeat {
 	since := n.read(key).told
 	heartbeat := &messages.ControllerHeartbeat{From: n.view.Self(), Workers: n.registry.Digest(n.own.Incarnation), Processes: n.view.Digest(),
-		SeenWorkers: n.registry.HeartbeatsSince(since), Generation: n.view.Self().Generation}
-	heartbeat.SeenNodes, heartbeat.LaggingNodes = n.view.ContactedSince(since)
+		ContactedWorkers: n.registry.HeartbeatsSince(since), Generation: n.view.Self().Generation}
+	heartbeat.ContactedNodes, heartbeat.LaggingNodes = n.view.ContactedSince(since)
 	return heartbeat
 }
 
@@ -164,12 +164,12 @@
 	}
 }
 
-func (n *node) heardBeat(heartbeat *messages.ControllerHeartbeat, told clock.Instant) {
+func (n *node) heardBeat(heartbeat *messages.ControllerHeartbeat, notified clock.Instant) {
 	now, address := n.fleet.Now, heartbeat.From.Address
 	n.hear([]messages.NodeInfo{heartbeat.From})
 	read := n.read(membership.Key(heartbeat.From))
-	read.told = told
-	n.registry.ConfirmHeartbeats(heartbeat.SeenWorkers, now)
+	read.told = notified
+	n.registry.ConfirmHeartbeats(heartbeat.ContactedWorkers, now)
 	n.view.HandleHeartbeat(heartbeat, now)
 	if since, ask := behind(&read.workerList, heartbeat.Workers, n.registry.Digest(n.own.Incarnation)); ask {
 		n.pullWorkers(address, since)
--- a/internal/control/broadcast/events.go
+++ b/internal/control/broadcast/outcomes.go
@@ -57,12 +57,12 @@
 		j.missing[hash] = true
 	}
 	delete(j.pending, send.Address)
-	if len(send.Pass) == 0 {
+	if len(send.ForwardTo) == 0 {
 		return nil
 	}
 	// The next of its part takes its place.
-	j.pending[send.Pass[0]] = true
-	return []Send{{Step: StepDeliver, Address: send.Pass[0], Pass: send.Pass[1:]}}
+	j.pending[send.ForwardTo[0]] = true
+	return []Send{{Step: StepDeliver, Address: send.ForwardTo[0], ForwardTo: send.ForwardTo[1:]}}
 }
 
 // Receiver gives the process that a send goes to.
@@ -71,14 +71,14 @@
 // Unconfirmed gives the processes whose taking of a configuration this job does not hear
 // of: those of the owner's zone to which others pass it on, and those of other zones.
 func (j *Tree) Unconfirmed(sends []Send) []messages.NodeInfo {
-	told := map[string]bool{}
+	notified := map[string]bool{}
 	for _, send := range sends {
-		told[send.Address] = send.Step == StepDeliver
+		notified[send.Address] = send.Step == StepDeliver
 	}
 	var found []messages.NodeInfo
 	for _, zone := range j.zones() {
 		for _, entry := range j.branches[zone].processes {
-			if !told[entry.Address] {
+			if !notified[entry.Address] {
 				found = append(found, entry)
 			}
 		}
--- a/internal/control/broadcast/broadcast.go
+++ b/internal/control/broadcast/tree.go
@@ -30,8 +30,8 @@
 	Step    Step
 	Address string
 	Zone    string
-	// Pass holds the addresses to which the receiver passes the update on.
-	Pass []string
+	// ForwardTo holds the addresses to which the receiver passes the update on.
+	ForwardTo []string
 	// Expect are the hashes of those whom the sender knows in the zone.
 	Expect []uint32
 }
@@ -76,7 +76,7 @@
 		job.hashes[entry.Address] = membership.Hash(entry)
 		job.entries[entry.Address] = entry
 		b.processes = append(b.processes, entry)
-		if entry.Role == membership.RoleController && recentlySeen(entry) && !entry.Draining {
+		if entry.Role == membership.RoleController && recentlyInContact(entry) && !entry.Draining {
 			b.controllers = append(b.controllers, entry)
 		}
 	}
@@ -115,8 +115,8 @@
 	return job, sends
 }
 
-// recentlySeen tells whether a process was heard lately: only then is it waited for.
-func recentlySeen(entry messages.NodeInfo) bool {
+// recentlyInContact tells whether a process was heard lately: only then is it waited for.
+func recentlyInContact(entry messages.NodeInfo) bool {
 	return entry.AgeMs < constants.SuspectAfter.Milliseconds()
 }
 
@@ -133,7 +133,7 @@
 func (j *Tree) deliver(processes []messages.NodeInfo) []Send {
 	var counts, silent []messages.NodeInfo
 	for _, entry := range processes {
-		if recentlySeen(entry) {
+		if recentlyInContact(entry) {
 			counts = append(counts, entry)
 			j.pending[entry.Address] = true
 		} else {
@@ -152,7 +152,7 @@
 		}
 		sends = Split(addresses, j.fan)
 		for _, send := range sends {
-			for _, address := range send.Pass {
+			for _, address := range send.ForwardTo {
 				delete(j.pending, address)
 			}
 		}
@@ -172,7 +172,7 @@
 		if i < count {
 			sends[i] = Send{Step: StepDeliver, Address: address}
 		} else {
-			sends[i%count].Pass = append(sends[i%count].Pass, address)
+			sends[i%count].ForwardTo = append(sends[i%count].ForwardTo, address)
 		}
 	}
 	return sends
@@ -189,7 +189,7 @@
 	}
 	var expect []uint32
 	for _, entry := range b.processes {
-		if recentlySeen(entry) {
+		if recentlyInContact(entry) {
 			expect = append(expect, membership.Hash(entry))
 		}
 	}
--- a/internal/control/broadcastserver/delivery.go
+++ b/internal/control/broadcastserver/delivery.go
@@ -110,7 +110,7 @@
 		return resp.Missing, err
 	}
 	if update.Generation > 0 {
-		push := &messages.ConfigPush{Generation: update.Generation, Body: update.Body, ForwardTo: send.Pass}
+		push := &messages.ConfigPush{Generation: update.Generation, Body: update.Body, ForwardTo: send.ForwardTo}
 		return nil, transport.Call(wire, send.Address, messages.KindConfigPush, push, &messages.Ack{}, constants.CallTimeout)
 	}
 	push := &messages.WorkersUpdate{From: membership.Key(d.server.node.Self), Workers: update.Workers}
--- a/internal/control/configserver/sharedread.go
+++ b/internal/control/configserver/sharedread.go
@@ -11,11 +11,11 @@
 // came may be older than the request, so joiners wait for the next one.
 type sharedRead struct {
 	lock sync.Mutex
-	next *sharedReadRound
+	next *readRound
 	busy bool
 }
 
-type sharedReadRound struct {
+type readRound struct {
 	done   chan struct{}
 	shares int
 	value  messages.RegisterValue
@@ -26,7 +26,7 @@
 func (s *sharedRead) Read(read func() (messages.RegisterValue, error)) (messages.RegisterValue, error) {
 	s.lock.Lock()
 	if s.next == nil {
-		s.next = &sharedReadRound{done: make(chan struct{})}
+		s.next = &readRound{done: make(chan struct{})}
 	}
 	mine := s.next
 	mine.shares++
--- a/internal/control/configserver/sharedread_test.go
+++ b/internal/control/configserver/sharedread_test.go
@@ -10,7 +10,7 @@
 )
 
 // Many that ask at once share a read, and none gets a value read before it asked.
-func TestReadsAreSharedButNeverOlderThanTheQuestion(t *testing.T) {
+func TestReadsAreSharedButNeverOlderThanTheRequest(t *testing.T) {
 	const rounds, callers = 50, 20
 	var shared sharedRead
 	var replica, reads atomic.Int64
--- a/internal/control/controller/budget_test.go
+++ b/internal/control/controller/budget_test.go
@@ -17,7 +17,9 @@
 // fleet makes controllers on machines 10.0.0.1 and so on, joined in memory; the first
 // three are the seeds. Machines named blank have no disk.
 func fleet(t *testing.T, count int, blank map[int]bool) (map[int]*Controller, *transport.MemoryNetwork) {
-	room, controllers := transport.NewMemoryNetwork(), map[int]*Controller{}
+	t.Helper()
+
+	network, controllers := transport.NewMemoryNetwork(), map[int]*Controller{}
 	for number := 1; number <= count; number++ {
 		found := &settings.Settings{NodeName: fmt.Sprint("m", number), Address: fmt.Sprint("10.0.0.", number), Zone: fmt.Sprint("h", number%4),
 			InternalPorts: []int{7000, 7010}, Seeds: []string{"10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"}, Bootstrap: true,
@@ -29,26 +31,26 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		controller.Node.Transport = room.Transport(controller.Node.Self.Address)
+		controller.Node.Transport = network.Transport(controller.Node.Self.Address)
 		if err = controller.Node.Transport.Serve(controller.Node.Dispatch); err != nil {
 			t.Fatal(err)
 		}
 		controllers[number] = controller
 	}
 	for _, found := range controllers {
-		keepContact(t, found)
+		renewContact(t, found)
 		for _, other := range controllers {
 			found.Node.Observe([]messages.NodeInfo{other.Node.Self})
 		}
 	}
-	return controllers, room
+	return controllers, network
 }
 
-// tend has a controller look after the set as one does in its first second, without
+// reconcileSet has a controller look after the set as one does in its first second, without
 // the dice that come later.
-func tend(controller *Controller) {
+func reconcileSet(controller *Controller) {
 	controller.Node.StartedAt = clock.Now()
-	hear(controller)
+	recoverWorkers(controller)
 	controller.sets.Reconcile()
 }
 
@@ -62,11 +64,11 @@
 
 // Eight controllers that know three seeds make a set of five, and no larger one,
 // whoever asks in whatever order.
-func TestSetGrowsToTheBudget(t *testing.T) {
-	controllers, room := fleet(t, 8, nil)
+func TestSetExpandsToTheBudget(t *testing.T) {
+	controllers, network := fleet(t, 8, nil)
 	for round := 0; round < 3; round++ {
 		for number := 1; number <= 8; number++ {
-			tend(controllers[number])
+			reconcileSet(controllers[number])
 		}
 	}
 	value, err := controllers[8].Register.Read()
@@ -74,8 +76,8 @@
 		t.Fatal(err, len(value.Acceptors), len(value.Previous))
 	}
 	// Two of the seeds fall silent: the register still answers, and outlasts them.
-	room.SetPartitioned("10.0.0.1:7000", true)
-	room.SetPartitioned("10.0.0.2:7000", true)
+	network.SetPartitioned("10.0.0.1:7000", true)
+	network.SetPartitioned("10.0.0.2:7000", true)
 	if _, err = controllers[8].Register.Read(); err != nil {
 		t.Fatal(err)
 	}
@@ -90,7 +92,7 @@
 	}
 	for round := 0; round < 4; round++ {
 		for _, number := range []int{7, 2, 4, 5, 6, 8} {
-			tend(controllers[number])
+			reconcileSet(controllers[number])
 		}
 	}
 	set := members(controllers[8])
@@ -114,18 +116,18 @@
 
 // Nothing is acknowledged while two losses could take it away and others are there
 // to join; once the set is complete, or nobody can make it so, it is.
-func TestAcknowledgedOnlyInASetThatBearsTheBudget(t *testing.T) {
+func TestAcknowledgedOnlyInASetThatToleratesTheBudget(t *testing.T) {
 	folder := t.TempDir()
 	controller, server := open(t, folder, true)
 	controller.Node.Settings.FaultBudget.Machines = 2
-	stayYoung(controller)
+	setJustStarted(controller)
 	// The other one goes on reporting: on a slow machine it would be taken for silent.
 	other := []messages.NodeInfo{{Name: "other", Role: membership.RoleController, Address: "127.0.0.1:9", Disk: "d"}}
 	controller.Node.Observe(other)
 	go clock.Every(constants.ContactPeriod, controller.Node.Stop, func() { controller.Node.Observe(other) })
-	for tries := 0; generationInForce(controller) != 2; tries++ {
+	for attempts := 0; generationInForce(controller) != 2; attempts++ {
 		// In force, and held back; where contact was lost it was not put in force.
-		if status, body := call(t, server, "POST", "/-/Configuration.Replace", "0", config(2)); status != 504 || tries > 100 {
+		if status, body := call(t, server, "POST", "/-/Configuration.Replace", "0", config(2)); status != 504 || attempts > 100 {
 			t.Fatal(status, body)
 		}
 	}
@@ -137,7 +139,7 @@
 	if status, _ := call(t, server, "POST", "/-/Configuration.Replace", "7", config(9)); status != 504 {
 		t.Fatal(status)
 	}
-	growOld(controller)
+	setLongRunning(controller)
 	if status, body := clearCall(t, server, "POST", "/-/Configuration.Replace", "0", config(2)); status != 200 {
 		t.Fatal(status, body)
 	}
@@ -154,7 +156,7 @@
 	if err != nil || controller.sets.ToleratesBudget(&value) {
 		t.Fatal("bears with a seed that has no disk: ", err)
 	}
-	tend(controllers[4])
+	reconcileSet(controllers[4])
 	if value, err = controller.Register.Read(); err != nil || !controller.sets.ToleratesBudget(&value) {
 		t.Fatal("does not bear with three disks: ", err, members(controller))
 	}
@@ -162,15 +164,15 @@
 
 // Long after the start a smaller set has to do only where nobody else answers: four
 // machines with a disk are there, and the set is of the three seeds.
-func TestSmallerSetHasToDoOnlyWhereNobodyElseAnswers(t *testing.T) {
-	controllers, room := fleet(t, 4, nil)
+func TestSmallerSetSufficesOnlyWhereNobodyElseResponds(t *testing.T) {
+	controllers, network := fleet(t, 4, nil)
 	controller := controllers[1]
-	growOld(controller)
+	setLongRunning(controller)
 	value, err := controller.Register.Read()
 	if err != nil || controller.sets.ToleratesBudget(&value) {
 		t.Fatal("acknowledges in a set of three while a fourth machine answers: ", err)
 	}
-	room.SetPartitioned(controllers[4].Node.Self.Address, true)
+	network.SetPartitioned(controllers[4].Node.Self.Address, true)
 	if !controller.sets.ToleratesBudget(&value) {
 		t.Fatal("waits for a machine that does not answer")
 	}
--- a/internal/control/controller/calls_test.go
+++ b/internal/control/controller/calls_test.go
@@ -24,19 +24,23 @@
 }
 
 func open(t *testing.T, folder string, bootstrap bool) (*Controller, *httptest.Server) {
+	t.Helper()
+
 	controller, err := New(nodeSettings(folder, bootstrap), hclog.NewNullLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
-	keepContact(t, controller)
-	meet(t, controller)
+	renewContact(t, controller)
+	startUp(t, controller)
 	server := httptest.NewServer(controller.calls())
 	t.Cleanup(server.Close)
 	return controller, server
 }
 
-// keepContact runs the rounds of the contact lease, as Run does, until the test ends.
-func keepContact(t *testing.T, controller *Controller) {
+// renewContact runs the rounds of the contact lease, as Run does, until the test ends.
+func renewContact(t *testing.T, controller *Controller) {
+	t.Helper()
+
 	go clock.Every(constants.ContactPeriod, controller.Node.Stop, controller.contact().Round)
 	t.Cleanup(controller.Node.Shutdown)
 }
@@ -44,51 +48,59 @@
 // clearCall makes a call as an operator or a worker does: what gets no clear answer (503,
 // 504) is sent again. On a machine under load a contact lease may run out meanwhile.
 func clearCall(t *testing.T, server *httptest.Server, method, path, base, body string) (int, string) {
+	t.Helper()
+
 	return callPast(t, server, method, path, base, body, http.StatusServiceUnavailable, http.StatusGatewayTimeout)
 }
 
 // callPast makes a call until its status is none of the unclear ones.
 func callPast(t *testing.T, server *httptest.Server, method, path, base, body string, outcomeUnknown ...int) (int, string) {
+	t.Helper()
+
 	const tries = 100
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		status, text := call(t, server, method, path, base, body)
-		if !slices.Contains(outcomeUnknown, status) || try == tries {
+		if !slices.Contains(outcomeUnknown, status) || attempt == tries {
 			return status, text
 		}
 		<-clock.After(constants.TickPeriod)
 	}
 }
 
-// hear has a controller hear the acceptors on the workers, where a majority answers.
-func hear(controller *Controller) {
-	for tries := 0; controller.workers.Recovering() && tries < 3 && !controller.workers.RecoverRound(); tries++ {
+// recoverWorkers has a controller hear the acceptors on the workers, where a majority answers.
+func recoverWorkers(controller *Controller) {
+	for attempts := 0; controller.workers.Recovering() && attempts < 3 && !controller.workers.RecoverRound(); attempts++ {
 		continue
 	}
 }
 
-// meet has a controller do what it does in its first second: contact the acceptors, and
+// startUp has a controller do what it does in its first second: contact the acceptors, and
 // hear a majority of them on the workers.
-func meet(t *testing.T, controller *Controller) {
-	for tries := 0; !controller.contact().Await() || !controller.workers.RecoverRound(); tries++ {
-		if tries > 100 {
+func startUp(t *testing.T, controller *Controller) {
+	t.Helper()
+
+	for attempts := 0; !controller.contact().Await() || !controller.workers.RecoverRound(); attempts++ {
+		if attempts > 100 {
 			t.Fatal("a majority answers, and there is no contact")
 		}
 		controller.contact().Round()
 	}
 }
 
-// stayYoung has a controller act as one does that has just started, however slow the
+// setJustStarted has a controller act as one does that has just started, however slow the
 // machine is that tests.
-func stayYoung(controller *Controller) {
+func setJustStarted(controller *Controller) {
 	controller.Node.StartedAt = clock.Now().Add(clock.Milliseconds(3_600_000))
 }
 
-// growOld has a controller act as a minute after its start.
-func growOld(controller *Controller) {
+// setLongRunning has a controller act as a minute after its start.
+func setLongRunning(controller *Controller) {
 	controller.Node.StartedAt = clock.Now().Add(-clock.Milliseconds(60_000))
 }
 
 func call(t *testing.T, server *httptest.Server, method, path, base, body string) (int, string) {
+	t.Helper()
+
 	request, _ := http.NewRequest(method, server.URL+path, strings.NewReader(body))
 	if base != "" {
 		request.Header.Set("Lemonarch-Base-Revision", base)
@@ -166,11 +178,11 @@
 
 func TestRetireOfUnknownAndOfTooMany(t *testing.T) {
 	controller, server := open(t, t.TempDir(), true)
-	stayYoung(controller)
+	setJustStarted(controller)
 	if status, _ := callPast(t, server, "POST", "/-/Retire.Open/store-1", "", "{}", http.StatusGatewayTimeout); status != 503 {
 		t.Fatal("a controller that has just started can't know: ", status)
 	}
-	growOld(controller)
+	setLongRunning(controller)
 	if status, _ := clearCall(t, server, "POST", "/-/Retire.Open/store-1", "", "{}"); status != 404 {
 		t.Fatal(status)
 	}
--- a/internal/control/controller/named_test.go
+++ b/internal/control/controller/named_test.go
@@ -14,9 +14,9 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// tendPlansNow has a controller look after the register of assignments as one does in
+// reconcilePlansSet has a controller look after the register of assignments as one does in
 // its first second.
-func tendPlansNow(controller *Controller) {
+func reconcilePlansSet(controller *Controller) {
 	controller.Node.StartedAt = clock.Now()
 	controller.assignments.ReconcileSet()
 }
@@ -24,15 +24,19 @@
 // voters makes controllers whose disks are in memory and vote all the same, so that the
 // test does not hang on how fast the machine's disk syncs.
 func voters(t *testing.T, count int) (map[int]*Controller, *transport.MemoryNetwork) {
-	room, controllers := transport.NewMemoryNetwork(), map[int]*Controller{}
+	t.Helper()
+
+	network, controllers := transport.NewMemoryNetwork(), map[int]*Controller{}
 	for number := 1; number <= count; number++ {
-		controllers[number] = voter(t, room, number, true)
+		controllers[number] = voter(t, network, number, true)
 	}
-	acquaint(controllers)
-	return controllers, room
+	introduce(controllers)
+	return controllers, network
 }
 
-func voter(t *testing.T, room *transport.MemoryNetwork, number int, first bool) *Controller {
+func voter(t *testing.T, network *transport.MemoryNetwork, number int, first bool) *Controller {
+	t.Helper()
+
 	nodeSettings := &settings.Settings{NodeName: fmt.Sprint("m", number), Address: fmt.Sprint("10.0.0.", number), Zone: fmt.Sprint("h", number%4),
 		InternalPorts: []int{7000, 7010}, Seeds: []string{"10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"}, Bootstrap: first, InQuorum: true,
 		HeartbeatMs: 1200, FaultBudget: settings.FaultBudget{Machines: 2}}
@@ -40,15 +44,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	controller.Node.Transport = room.Transport(controller.Node.Self.Address)
+	controller.Node.Transport = network.Transport(controller.Node.Self.Address)
 	if err = controller.Node.Transport.Serve(controller.Node.Dispatch); err != nil {
 		t.Fatal(err)
 	}
 	return controller
 }
 
-// acquaint has all hear of all, as their heartbeats would.
-func acquaint(controllers map[int]*Controller) {
+// introduce has all hear of all, as their heartbeats would.
+func introduce(controllers map[int]*Controller) {
 	for _, controller := range controllers {
 		for _, other := range controllers {
 			if controller != other {
@@ -58,14 +62,14 @@
 	}
 }
 
-// TestAssignmentsOutlastAWipeAndTwoLosses: the register of assignments grows to the
+// TestAssignmentsSurviveALostDiskAndTwoLosses: the register of assignments grows to the
 // budget, a wiped member comes back as somebody else, and what was acknowledged is
 // read from the rest. The configuration's set is left as it was throughout.
-func TestAssignmentsOutlastAWipeAndTwoLosses(t *testing.T) {
-	controllers, room := voters(t, 8)
+func TestAssignmentsSurviveALostDiskAndTwoLosses(t *testing.T) {
+	controllers, network := voters(t, 8)
 	for round := 0; round < 3; round++ {
 		for number := 1; number <= 8; number++ {
-			tendPlansNow(controllers[number])
+			reconcilePlansSet(controllers[number])
 		}
 	}
 	set := controllers[8].assignments.Replica().Known()
@@ -75,27 +79,27 @@
 	if len(members(controllers[8])) != 3 {
 		t.Fatal("the configuration's set changed with it: ", members(controllers[8]))
 	}
-	rules, resp := rulesAndAnswer(t)
-	acquaint(controllers)
+	rules, resp := rulesAndSolution(t)
+	introduce(controllers)
 	response := &messages.PlanApplyResponse{}
-	asked(t, controllers[1], messages.KindPlanApply, &messages.PlanApplyRequest{Rules: rules, Solution: resp}, response)
+	dispatchTo(t, controllers[1], messages.KindPlanApply, &messages.PlanApplyRequest{Rules: rules, Solution: resp}, response)
 	if !response.Applied || response.Revision != 1 {
 		t.Fatalf("%+v", response)
 	}
-	room.SetPartitioned(controllers[1].Node.Self.Address, true)
+	network.SetPartitioned(controllers[1].Node.Self.Address, true)
 	before := controllers[3].assignments.Replica().Identity()
 	controllers[3].Node.Transport.Close()
 	// The same machine with an empty disk, which is no first start.
-	controllers[3] = voter(t, room, 3, false)
-	acquaint(controllers)
+	controllers[3] = voter(t, network, 3, false)
+	introduce(controllers)
 	promise := &messages.PrepareResponse{}
-	asked(t, controllers[3], messages.KindNamedPrepare, &messages.NamedPrepareRequest{Name: assignmentserver.RegisterName,
+	dispatchTo(t, controllers[3], messages.KindNamedPrepare, &messages.NamedPrepareRequest{Name: assignmentserver.RegisterName,
 		Request: messages.PrepareRequest{Ballot: messages.Ballot{Counter: 1 << 30, Node: "x"}, Disk: before.Disk}}, promise)
 	if promise.Granted {
 		t.Fatal("an amnesiac voted under its old name")
 	}
 	for round := 0; round < 3; round++ {
-		tendPlansNow(controllers[3])
+		reconcilePlansSet(controllers[3])
 	}
 	known := controllers[3].assignments.Replica().Known()
 	inside := false
@@ -105,7 +109,7 @@
 	if !inside || len(known.Acceptors) != 5 {
 		t.Fatal("the wiped machine did not come back: ", known.Acceptors)
 	}
-	room.SetPartitioned(controllers[2].Node.Self.Address, true)
+	network.SetPartitioned(controllers[2].Node.Self.Address, true)
 	plan, err := controllers[3].assignments.Read()
 	if err != nil || plan.Revision != 1 || !bytes.Equal(plan.Value.Rules, rules) {
 		t.Fatal(err, plan)
--- a/internal/control/controller/peers.go
+++ b/internal/control/controller/peers.go
@@ -88,11 +88,11 @@
 // this process directly since the last one.
 func (c *Controller) heartbeatFor(key string) *messages.ControllerHeartbeat {
 	since := c.peers.lastHeartbeat(key)
-	heartbeat := &messages.ControllerHeartbeat{Workers: c.workers.Digest(c.Node.Self.Incarnation), SeenWorkers: c.workers.HeartbeatsSince(since),
+	heartbeat := &messages.ControllerHeartbeat{Workers: c.workers.Digest(c.Node.Self.Incarnation), ContactedWorkers: c.workers.HeartbeatsSince(since),
 		PlanRevision: c.assignments.Plan().Revision}
 	c.Node.WithView(func(view *membership.View) {
 		heartbeat.From, heartbeat.Processes, heartbeat.Generation = view.Self(), view.Digest(), view.Self().Generation
-		heartbeat.SeenNodes, heartbeat.LaggingNodes = view.ContactedSince(since)
+		heartbeat.ContactedNodes, heartbeat.LaggingNodes = view.ContactedSince(since)
 	})
 	return heartbeat
 }
@@ -112,7 +112,7 @@
 func (c *Controller) observeHeartbeat(heartbeat *messages.ControllerHeartbeat, sentAt clock.Instant) {
 	c.Node.Observe([]messages.NodeInfo{heartbeat.From})
 	go c.assignments.Observe(heartbeat.PlanRevision, heartbeat.From.Address)
-	c.workers.ConfirmHeartbeats(heartbeat.SeenWorkers)
+	c.workers.ConfirmHeartbeats(heartbeat.ContactedWorkers)
 	own := c.workers.Digest(c.Node.Self.Incarnation)
 	var processes messages.Digest
 	c.Node.WithView(func(view *membership.View) {
--- a/internal/control/controller/plans_test.go
+++ b/internal/control/controller/plans_test.go
@@ -14,8 +14,10 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// asked puts a request to a controller as the transport would.
-func asked(t *testing.T, controller *Controller, kind messages.Kind, req transport.Marshaler, resp transport.Unmarshaler) {
+// dispatchTo puts a request to a controller as the transport would.
+func dispatchTo(t *testing.T, controller *Controller, kind messages.Kind, req transport.Marshaler, resp transport.Unmarshaler) {
+	t.Helper()
+
 	body, _ := req.MarshalMsg(nil)
 	text, err := controller.Node.Dispatch(kind, body)
 	if err != nil {
@@ -26,7 +28,9 @@
 	}
 }
 
-func rulesAndAnswer(t *testing.T, change ...string) (rules, resp []byte) {
+func rulesAndSolution(t *testing.T, change ...string) (rules, resp []byte) {
+	t.Helper()
+
 	text, err := os.ReadFile("../../../docs/assign/rules.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -50,8 +54,8 @@
 	if status, _ := clearCall(t, server, "POST", "/-/Configuration.Replace", "0", config(2)); status != 200 {
 		t.Fatal(status)
 	}
-	rules, resp := rulesAndAnswer(t)
-	next, nextAnswer := rulesAndAnswer(t, "generation = 4", "generation = 5")
+	rules, resp := rulesAndSolution(t)
+	next, nextAnswer := rulesAndSolution(t, "generation = 4", "generation = 5")
 	for _, step := range []struct {
 		name     string
 		question messages.PlanApplyRequest
@@ -69,10 +73,10 @@
 		{"next", messages.PlanApplyRequest{Base: 1, Rules: next, Solution: nextAnswer}, true, 2, ""},
 	} {
 		response := &messages.PlanApplyResponse{}
-		asked(t, controller, messages.KindPlanApply, &step.question, response)
-		for tries := 0; response.Unclear && tries < 20; tries++ {
+		dispatchTo(t, controller, messages.KindPlanApply, &step.question, response)
+		for attempts := 0; response.Unclear && attempts < 20; attempts++ {
 			// A disk that syncs too slowly leaves it unclear: the same again tells.
-			asked(t, controller, messages.KindPlanApply, &step.question, response)
+			dispatchTo(t, controller, messages.KindPlanApply, &step.question, response)
 		}
 		if response.Applied != step.taken || response.Unclear || !strings.Contains(response.Reason, step.why) || (step.revision > 0 && response.Revision > 0 && response.Revision != step.revision) {
 			t.Errorf("%s: %+v", step.name, response)
@@ -83,11 +87,11 @@
 	}
 	again, server := open(t, folder, false)
 	plan := &messages.PlanResponse{}
-	asked(t, again, messages.KindPlanPull, &messages.PlanRequest{Complete: true, Linearizable: true}, plan)
+	dispatchTo(t, again, messages.KindPlanPull, &messages.PlanRequest{Complete: true, Linearizable: true}, plan)
 	if plan.Revision != 2 || plan.Generation != 5 || !bytes.Equal(plan.Value.Rules, next) {
 		t.Fatal("after a restart: ", plan.Revision, plan.Generation)
 	}
-	asked(t, again, messages.KindPlanPull, &messages.PlanRequest{Node: "n3"}, plan)
+	dispatchTo(t, again, messages.KindPlanPull, &messages.PlanRequest{Node: "n3"}, plan)
 	if len(plan.Placements) != 1 || plan.Placements[0].Adapter != "battery-fault-reader" || len(plan.Value.Rules) != 0 {
 		t.Fatal(plan)
 	}
@@ -102,7 +106,7 @@
 	identity := controller.assignments.Replica().Identity()
 	high := register.NewBallot(1<<40, "other", "disk", 1)
 	resp := &messages.PrepareResponse{}
-	asked(t, controller, messages.KindNamedPrepare, &messages.NamedPrepareRequest{Name: assignmentserver.RegisterName, Request: messages.PrepareRequest{Ballot: high, Disk: identity.Disk}}, resp)
+	dispatchTo(t, controller, messages.KindNamedPrepare, &messages.NamedPrepareRequest{Name: assignmentserver.RegisterName, Request: messages.PrepareRequest{Ballot: high, Disk: identity.Disk}}, resp)
 	if !resp.Granted {
 		t.Fatal("not granted")
 	}
--- a/internal/control/controller/recall_test.go
+++ b/internal/control/controller/recovery_test.go
@@ -22,8 +22,8 @@
 // phaseNames are the phases as workers say them.
 var phaseNames = map[messages.Phase]string{messages.PhaseSteady: "steady", messages.PhaseDraining: "draining"}
 
-// power is three controllers on simulated disks that lose power.
-type power struct {
+// powerFleet is three controllers on simulated disks that lose power.
+type powerFleet struct {
 	test        *testing.T
 	seed        int64
 	random      *rand.Rand
@@ -37,7 +37,7 @@
 	count  int64
 }
 
-func (p *power) start(number int, first bool) *Controller {
+func (p *powerFleet) start(number int, first bool) *Controller {
 	nodeSettings := &settings.Settings{NodeName: fmt.Sprint("m", number), Address: fmt.Sprint("10.0.0.", number), Zone: fmt.Sprint("h", number),
 		InternalPorts: []int{7000, 7010}, Seeds: []string{"10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"}, Bootstrap: first, InQuorum: true,
 		HeartbeatMs: 1200, FaultBudget: settings.FaultBudget{Machines: 1}}
@@ -55,7 +55,7 @@
 }
 
 // lose ends an incarnation as a loss of power does.
-func (p *power) lose(number int) {
+func (p *powerFleet) lose(number int) {
 	controller := p.controllers[number]
 	if controller == nil {
 		return
@@ -70,16 +70,16 @@
 }
 
 // join has a started controller learn what it can't know.
-func (p *power) join(controller *Controller) {
+func (p *powerFleet) join(controller *Controller) {
 	if len(controller.Register.Known().Acceptors) == 0 {
 		controller.Register.SyncSets()
 	}
-	meet(p.test, controller)
-	acquaint(p.controllers)
+	startUp(p.test, controller)
+	introduce(p.controllers)
 }
 
-// say makes a worker's call at a controller, and tells whether it was acknowledged.
-func (p *power) say(number int, id string, phase messages.Phase) bool {
+// callWorker makes a worker's call at a controller, and tells whether it was acknowledged.
+func (p *powerFleet) callWorker(number int, id string, phase messages.Phase) bool {
 	p.count++
 	path, body := "/-/Workers.Heartbeat/"+id, fmt.Sprintf(`{"backend":"s","address":"a:1","zone":"h1","capacity":4,"phase":"%s","call-count":%d}`, phaseNames[phase], p.count)
 	if phase == messages.PhaseDeparted {
@@ -93,7 +93,7 @@
 }
 
 // step makes one random step: a call of a worker, a cut, or a restart.
-func (p *power) step() {
+func (p *powerFleet) step() {
 	number := 1 + p.random.Intn(3)
 	switch p.random.Intn(10) {
 	case 0:
@@ -112,7 +112,7 @@
 	default:
 		id := fmt.Sprint("w", p.random.Intn(6))
 		phase := p.phases[id] + messages.Phase(p.random.Intn(2))
-		if phase <= messages.PhaseDeparted && p.say(number, id, phase) {
+		if phase <= messages.PhaseDeparted && p.callWorker(number, id, phase) {
 			p.phases[id] = phase
 		}
 	}
@@ -120,7 +120,7 @@
 
 // loseAll has all lose power, one perhaps its disk besides, and starts them again; where
 // no disk was lost, one may stay down.
-func (p *power) loseAll() {
+func (p *powerFleet) loseAll() {
 	for number := 1; number <= 3; number++ {
 		p.room.SetPartitioned(p.controllers[number].Node.Self.Address, false)
 		p.lose(number)
@@ -143,6 +143,8 @@
 }
 
 func packed(t *testing.T, message transport.Marshaler) []byte {
+	t.Helper()
+
 	body, err := message.MarshalMsg(nil)
 	if err != nil {
 		t.Fatal(err)
@@ -150,7 +152,7 @@
 	return body
 }
 
-func (p *power) check() {
+func (p *powerFleet) check() {
 	for number, controller := range p.controllers {
 		for id, phase := range p.phases {
 			if worker, known := controller.workers.Get(id); known && worker.Phase < phase {
@@ -160,16 +162,16 @@
 	}
 }
 
-// TestAcknowledgedDrainsOutlastALossOfPower: after any cuts and restarts, and a loss of
+// TestAcknowledgedDrainsSurviveALossOfPower: after any cuts and restarts, and a loss of
 // power of all with one disk lost or one machine down, no controller that vouches for the
 // workers takes one for steady whose drain or departure was acknowledged.
-func TestAcknowledgedDrainsOutlastALossOfPower(t *testing.T) {
+func TestAcknowledgedDrainsSurviveALossOfPower(t *testing.T) {
 	seeds, acknowledged := 60, 0
 	if many, err := strconv.Atoi(os.Getenv("LEMONARCH_SEEDS")); err == nil {
 		seeds = many
 	}
 	for seed := int64(1); seed <= int64(seeds) && !t.Failed(); seed++ {
-		p := &power{test: t, seed: seed, random: rand.New(rand.NewSource(seed)), room: transport.NewMemoryNetwork(),
+		p := &powerFleet{test: t, seed: seed, random: rand.New(rand.NewSource(seed)), room: transport.NewMemoryNetwork(),
 			disks: map[int]*simulation.Disk{}, mounts: map[int]*mounted{}, controllers: map[int]*Controller{}, phases: map[string]messages.Phase{}}
 		for number := 1; number <= 3; number++ {
 			p.disks[number] = simulation.NewDisk(10*seed + int64(number))
--- a/internal/control/controller/slim_test.go
+++ b/internal/control/controller/slim_test.go
@@ -22,8 +22,8 @@
 	if err != nil || sets.Body != nil || sets.Current.Generation != 2 || sets.SetEpoch != known.SetEpoch {
 		t.Fatal(sets, err)
 	}
-	whole, err := controller.Register.Read()
-	if err != nil || string(whole.Body) != config(2) {
-		t.Fatal(string(whole.Body), err)
+	complete, err := controller.Register.Read()
+	if err != nil || string(complete.Body) != config(2) {
+		t.Fatal(string(complete.Body), err)
 	}
 }
--- a/internal/control/controller/learning_test.go
+++ b/internal/control/controller/startup_test.go
@@ -25,13 +25,13 @@
 
 // A controller that has just started acknowledges no drain, counts nobody and vouches for
 // no worker until a majority of the acceptors was heard on the workers.
-func TestStartingControllerLearnsFirst(t *testing.T) {
-	controllers, room := voters(t, 3)
+func TestStartingControllerRecoversFirst(t *testing.T) {
+	controllers, network := voters(t, 3)
 	starting := controllers[1]
 	server := httptest.NewServer(starting.calls())
 	defer server.Close()
-	room.SetPartitioned(controllers[2].Node.Self.Address, true)
-	room.SetPartitioned(controllers[3].Node.Self.Address, true)
+	network.SetPartitioned(controllers[2].Node.Self.Address, true)
+	network.SetPartitioned(controllers[3].Node.Self.Address, true)
 	if starting.workers.RecoverRound() || starting.contact().Await() {
 		t.Fatal("no majority answers")
 	}
@@ -44,9 +44,9 @@
 	if status, _ := call(t, server, "POST", "/-/Configuration.Replace", "0", config(2)); status != 504 {
 		t.Fatal(status)
 	}
-	room.SetPartitioned(controllers[2].Node.Self.Address, false)
+	network.SetPartitioned(controllers[2].Node.Self.Address, false)
 	starting.contact().Round()
-	meet(t, starting)
+	startUp(t, starting)
 	if resp := reported(starting); resp.Detached || len(resp.Counts) == 0 || !resp.OverdueComplete {
 		t.Fatal(resp)
 	}
@@ -59,7 +59,7 @@
 // worker hears so within the second that it waits.
 func TestDrainIsNotAcknowledgedByOneDisk(t *testing.T) {
 	controllers, _ := voters(t, 3)
-	meet(t, controllers[1])
+	startUp(t, controllers[1])
 	server := httptest.NewServer(controllers[1].calls())
 	defer server.Close()
 	hang := make(chan struct{})
