--- a/internal/control/lease/lease.go
+++ b/internal/control/lease/lease.go
@@ -1,7 +1,15 @@
-// Package lease grants the lease of the lots: a majority of acceptors grants it for a
-// bounded time, and its holder stops before that ends. A step function without I/O;
-// what fences a holder that overslept is the epoch in the register, the lease only
-// decides who may try.
+// Package lease grants the lease of the leadership over batch jobs: a majority of acceptors
+// grants it for a bounded time, and its holder stops acting before that ends. Step functions
+// without I/O; package registerserver serves requests for it, and package leadership asks.
+//
+// The lease decides only who may campaign, so that there is one leader most of the time.
+// What fences a holder that overslept its lease is the epoch in the register.
+//
+// At most one candidate holds the grants of a majority at a time: an acceptor grants nobody
+// else anything before its grant has ended by its own steady clock, the holder counts its
+// lease from before it asked and ends it constants.LeaseSafetyMargin early, and an acceptor
+// that was restarted, and has forgotten its grants, grants nothing until they must have
+// ended.
 package lease
 
 import (
@@ -10,76 +18,92 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Grantor is an acceptor's side.
+// Grantor is an acceptor's side of the lease: whom it granted it last, and until when.
 type Grantor struct {
-	holder      string
+	grantee     string
 	incarnation int64
-	sequence    uint64
-	until       clock.Instant
-	quietUntil  clock.Instant
+	// sequence is that of the newest request that was granted to this incarnation.
+	sequence uint64
+	until    clock.Instant
+	// quietUntil is when grants of an earlier incarnation of this acceptor have ended.
+	quietUntil clock.Instant
 }
 
-// NewGrantor starts a side. One that may have granted a lease before it restarted
-// grants nothing until that has run out.
+// NewGrantor makes the side of an acceptor that starts now. One that may have granted a
+// lease before it was restarted grants nothing until that must have ended; first says that
+// it can't have.
 func NewGrantor(now clock.Instant, first bool) *Grantor {
-	grants := &Grantor{}
+	g := &Grantor{}
 	if !first {
-		grants.quietUntil = now.Add(constants.LeaseDuration)
+		g.quietUntil = now.Add(constants.LeaseDuration)
 	}
-	return grants
+	return g
 }
 
-// Grant answers a candidate or a holder that renews.
-func (g *Grantor) Grant(req messages.LeaseRequest, inForce messages.Leadership, now clock.Instant) messages.LeaseResponse {
-	resp := messages.LeaseResponse{Epoch: inForce.Epoch}
-	if req.Release {
+// Grant decides on a candidate's request for the lease, or for its renewal or release.
+// current is the leadership in the register as this acceptor knows it. A refusal says after
+// how many ms to ask again.
+func (g *Grantor) Grant(req messages.LeaseRequest, current messages.Leadership, now clock.Instant) messages.LeaseResponse {
+	resp := messages.LeaseResponse{Epoch: current.Epoch}
+	switch {
+	case req.Release:
 		g.Release(req.Candidate, req.Incarnation, req.Sequence)
 		resp.Granted = true
-		return resp
-	}
-	renews := inForce.Epoch > 0 && inForce.Holder == req.Candidate && req.Epoch == inForce.Epoch && inForce.Incarnation == req.Incarnation
-	if inForce.Epoch > req.Epoch && !renews {
-		// Somebody took the lots since: the asker has to learn of it first.
+	case current.Epoch > req.Epoch:
+		// Another led since: the candidate has to learn of that first.
 		resp.WaitMs = 1
-		return resp
-	}
-	free := now >= g.until && now >= g.quietUntil
-	// A new incarnation of the same process shows that the old one is over; an old incarnation
-	// that woke up gets nothing back.
-	same := g.holder == req.Candidate && req.Incarnation >= g.incarnation
-	restarted := inForce.Holder == req.Candidate && req.Incarnation >= inForce.Incarnation && g.holder == ""
-	if !free && !same && !restarted {
+	case g.available(now) || g.isGrantee(req) || g.isLeaderOfForgottenGrant(req, current):
+		g.grant(req, now)
+		resp.Granted = true
+	default:
 		resp.WaitMs = max(g.until.Sub(now), g.quietUntil.Sub(now)).Milliseconds() + 1
-		return resp
 	}
-	if g.holder != req.Candidate || g.incarnation != req.Incarnation {
+	return resp
+}
+
+// available tells whether no grant of this acceptor, or of its earlier incarnation, can be
+// valid any more.
+func (g *Grantor) available(now clock.Instant) bool {
+	return now >= g.until && now >= g.quietUntil
+}
+
+// isGrantee tells whether the request comes from whom the lease was granted to last. A new
+// incarnation of the same process shows that the old one is over; an old one that woke up
+// gets nothing back.
+func (g *Grantor) isGrantee(req messages.LeaseRequest) bool {
+	return g.grantee == req.Candidate && req.Incarnation >= g.incarnation
+}
+
+// isLeaderOfForgottenGrant tells whether the request comes from the leader in the register,
+// whose grant this acceptor may have forgotten in a restart.
+func (g *Grantor) isLeaderOfForgottenGrant(req messages.LeaseRequest, current messages.Leadership) bool {
+	return g.grantee == "" && current.Holder == req.Candidate && req.Incarnation >= current.Incarnation
+}
+
+func (g *Grantor) grant(req messages.LeaseRequest, now clock.Instant) {
+	if g.grantee != req.Candidate || g.incarnation != req.Incarnation {
 		g.sequence = 0
 	}
-	g.holder, g.incarnation = req.Candidate, req.Incarnation
+	g.grantee, g.incarnation = req.Candidate, req.Incarnation
 	g.sequence = max(g.sequence, req.Sequence)
 	g.until = now.Add(constants.LeaseDuration)
-	resp.Granted = true
-	return resp
 }
 
-// Release ends a lease early, when its holder leaves in order. One that was sent before
-// the newest question granted came too late.
-func (g *Grantor) Release(holder string, incarnation int64, turn uint64) {
-	if g.holder == holder && g.incarnation == incarnation && turn >= g.sequence {
+// Release ends a lease early, when its holder resigns in order. A release that was sent
+// before the newest request that was granted came too late, and changes nothing.
+func (g *Grantor) Release(holder string, incarnation int64, sequence uint64) {
+	if g.grantee == holder && g.incarnation == incarnation && sequence >= g.sequence {
 		g.until = 0
 	}
 }
 
-// Lease is the holder's side.
+// Lease is the holder's side of the lease. Its zero value is not valid.
 type Lease struct {
 	until clock.Instant
 }
 
-// Hold is the earlier name of Lease.
-type Hold = Lease
-
-// Renewed notes that a majority granted what was asked at an instant. The lease counts
-// from the asking, and ends a margin early.
+// Renewed notes that a majority granted what was requested at sentAt. The lease counts from
+// the request, and ends a margin early.
 func (l *Lease) Renewed(sentAt clock.Instant) {
 	end := sentAt.Add(constants.LeaseDuration - constants.LeaseSafetyMargin)
 	if end > l.until {
--- a/internal/control/lease/lease_test.go
+++ b/internal/control/lease/lease_test.go
@@ -8,7 +8,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-func TestOneHolderAtATime(t *testing.T) {
+func TestOneLeaseholderAtATime(t *testing.T) {
 	grants := NewGrantor(0, true)
 	if !grants.Grant(messages.LeaseRequest{Candidate: "a", Incarnation: 1}, messages.Leadership{}, 1).Granted {
 		t.Fatal("a free held was not granted")
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestRestartedAcceptorIsSilentForOneHold(t *testing.T) {
+func TestRestartedAcceptorGrantsNothingForALeaseDuration(t *testing.T) {
 	grants := NewGrantor(0, false)
 	found := messages.Leadership{Holder: "a", Incarnation: 1, Epoch: 1}
 	if grants.Grant(messages.LeaseRequest{Candidate: "b", Incarnation: 1, Epoch: 1}, found, 10).Granted {
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestOldLifeAndOldEpochGetNothing(t *testing.T) {
+func TestOldIncarnationAndOldEpochAreRefused(t *testing.T) {
 	grants := NewGrantor(0, true)
 	found := messages.Leadership{Holder: "a", Incarnation: 2, Epoch: 5}
 	if !grants.Grant(messages.LeaseRequest{Candidate: "a", Incarnation: 2, Epoch: 5}, found, 1).Granted {
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestHoldEndsEarlyAndCountsFromTheAsking(t *testing.T) {
+func TestLeaseEndsEarlyAndCountsFromTheRequest(t *testing.T) {
 	own := Lease{}
 	own.Renewed(100)
 	end := clock.Instant(100).Add(constants.LeaseDuration - constants.LeaseSafetyMargin)
--- a/internal/control/lease/simulation_test.go
+++ b/internal/control/lease/simulation_test.go
@@ -13,7 +13,7 @@
 
 // Three acceptors grant one held to three candidates under loss, delay, doubled
 // messages, cuts and restarts of acceptors: at no moment do two holds stand.
-func TestOneHoldStandsUnderTrouble(t *testing.T) {
+func TestOneValidLeaseUnderFaults(t *testing.T) {
 	taken := 0
 	for seed := int64(1); seed <= 80; seed++ {
 		world := simulation.NewWorld(seed)
@@ -74,9 +74,9 @@
 				// An acceptor forgets what it granted; it is silent for one own.
 				grants[nodes[world.Random.Intn(3)]] = lease.NewGrantor(world.Now, false)
 			case 1:
-				cut := nodes[world.Random.Intn(3)]
-				world.Isolate(cut, nodes, true)
-				world.After(3*constants.LeaseDuration, func() { world.Isolate(cut, nodes, false) })
+				truncated := nodes[world.Random.Intn(3)]
+				world.Isolate(truncated, nodes, true)
+				world.After(3*constants.LeaseDuration, func() { world.Isolate(truncated, nodes, false) })
 			}
 		}
 	}
--- a/internal/control/membership/bench_test.go
+++ b/internal/control/membership/bench_test.go
@@ -7,8 +7,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// BenchmarkAnswer is a controller's work for one report in a fleet of 390.
-func BenchmarkAnswer(b *testing.B) {
+// BenchmarkRespondToReport is a controller's work for one report in a fleet of 390.
+func BenchmarkRespondToReport(b *testing.B) {
 	own := entry(RoleController, 1)
 	own.Role = RoleController
 	view := NewView(own, 1)
--- a/internal/control/membership/cut_test.go
+++ b/internal/control/membership/cut_test.go
@@ -14,7 +14,7 @@
 // Views on a lossy network are cut in two halves and joined again: each half hears
 // the other as silent, keeps it in its view, and finds it again; a process that was
 // started anew meanwhile is known by its new life only.
-func TestViewsUnderCuts(t *testing.T) {
+func TestViewsUnderPartitions(t *testing.T) {
 	for seed := int64(1); seed <= 30; seed++ {
 		world := simulation.NewWorld(seed)
 		world.Loss = 0.1
@@ -60,7 +60,7 @@
 		}
 		world.Run(world.Now.Add(15 * constants.ShufflePeriod))
 		expect("met", true)
-		cut := func(apart bool) {
+		truncated := func(apart bool) {
 			for _, left := range names[:6] {
 				for _, right := range names[6:] {
 					world.Cut(left, right, apart)
@@ -68,12 +68,12 @@
 				}
 			}
 		}
-		cut(true)
+		truncated(true)
 		world.Run(world.Now.Add(10 * constants.ShufflePeriod))
 		expect("apart", false)
 		views["n7"] = membership.NewView(entry("n7", 2), seed)
 		views["n7"].Observe([]messages.NodeInfo{entry("n8", 1)}, world.Now)
-		cut(false)
+		truncated(false)
 		world.Run(world.Now.Add(20 * constants.ShufflePeriod))
 		expect("joined", true)
 		for _, other := range views["n1"].All("", world.Now) {
--- a/internal/control/membership/membership.go
+++ b/internal/control/membership/membership.go
@@ -71,7 +71,7 @@
 	for i, entry := range entries {
 		v.merge(entry, now)
 		if i == 0 {
-			v.markContacted(Key(entry), now)
+			v.noteContact(Key(entry), now)
 		}
 	}
 	v.trim(now)
@@ -106,10 +106,10 @@
 	}
 }
 
-// MarkContacted notes a direct message from a process.
-func (v *View) MarkContacted(key string, now clock.Instant) { v.markContacted(key, now) }
+// NoteContact notes a direct message from a process.
+func (v *View) NoteContact(key string, now clock.Instant) { v.noteContact(key, now) }
 
-func (v *View) markContacted(key string, now clock.Instant) {
+func (v *View) noteContact(key string, now clock.Instant) {
 	if known := v.peers[key]; known != nil {
 		known.lastContact, known.lastDirect = max(known.lastContact, now), max(known.lastDirect, now)
 		delete(v.failedAt, known.info.Address)
--- a/internal/control/membership/membership_test.go
+++ b/internal/control/membership/membership_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestNewLifeReplacesOldAndOldNeverComesBack(t *testing.T) {
+func TestNewIncarnationReplacesOldForGood(t *testing.T) {
 	view := NewView(entry("own", 1), 1)
 	view.Observe([]messages.NodeInfo{entry("a", 1)}, 10)
 	view.Observe([]messages.NodeInfo{entry("a", 2)}, 20)
@@ -56,14 +56,14 @@
 	}
 }
 
-func TestSilenceIsOnlyAHint(t *testing.T) {
+func TestSuspicionIsOnlyAHint(t *testing.T) {
 	view := NewView(entry("own", 1), 1)
 	view.Observe([]messages.NodeInfo{entry("a", 1)}, 0)
 	later := clock.Instant(0).Add(constants.SuspectAfter)
 	if len(view.Live("", later)) != 0 || len(view.All("", later)) != 1 {
 		t.Fatal("a silent process is not live but still known")
 	}
-	view.MarkContacted("forge/a", later)
+	view.NoteContact("forge/a", later)
 	if len(view.Live("", later)) != 1 {
 		t.Fatal("a direct message makes it live again")
 	}
--- a/internal/control/membership/neighbours.go
+++ b/internal/control/membership/neighbours.go
@@ -63,8 +63,8 @@
 // Population is how many live processes of a role there are, the owner included: as a
 // controller last told, or as many as are in view.
 func (v *View) Population(role string, now clock.Instant) int {
-	if told := v.counts[role]; told > 0 && v.self.Role != RoleController {
-		return told
+	if notified := v.counts[role]; notified > 0 && v.self.Role != RoleController {
+		return notified
 	}
 	count, reference := 0, v.reference(now)
 	for _, known := range v.peers {
--- a/internal/control/membership/neighbours_test.go
+++ b/internal/control/membership/neighbours_test.go
@@ -7,7 +7,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-func TestNeighboursAreSteadyAndOneIsFar(t *testing.T) {
+func TestNeighboursAreStableAndOneIsRemote(t *testing.T) {
 	own := entry("own", 1)
 	own.Zone = "a"
 	view := NewView(own, 1)
--- a/internal/control/membership/exchange.go
+++ b/internal/control/membership/reports.go
@@ -42,9 +42,9 @@
 	if len(req.Entries) == 0 {
 		return resp
 	}
-	draw := v.recommend(req.Entries[0], now)
-	resp.Counts = draw.counts
-	for _, key := range draw.keys {
+	recommended := v.recommend(req.Entries[0], now)
+	resp.Counts = recommended.counts
+	for _, key := range recommended.keys {
 		known := v.peers[key]
 		if known != nil && !has[known.hash] && len(resp.Entries) <= constants.ShuffleSize && now.Sub(known.lastContact) < constants.SuspectAfter {
 			resp.Entries = append(resp.Entries, v.withAge(known, now))
@@ -76,7 +76,7 @@
 				others = append(others, entry)
 			}
 		}
-		if !keepsAll(asker.Role, role) {
+		if !isCompleteFor(asker.Role, role) {
 			others = selectPeers(asker, others, ViewSize(v.Population(role, now)))
 		}
 		for _, entry := range others {
--- a/internal/control/membership/exchange_test.go
+++ b/internal/control/membership/reports_test.go
@@ -39,11 +39,11 @@
 		t.Fatal(got)
 	}
 	later := clock.Instant(0).Add(constants.SuspectAfter)
-	view.MarkContacted("foreman/r", later)
+	view.NoteContact("foreman/r", later)
 	if got := order(view, later); got[0] != 'r' {
 		t.Fatal("silent ones come first: ", got)
 	}
-	view.MarkContacted("foreman/"+string(first[0]), later)
+	view.NoteContact("foreman/"+string(first[0]), later)
 	if got := order(view, later); got[0] != first[0] {
 		t.Fatal("it answers again: ", got)
 	}
@@ -51,7 +51,7 @@
 
 // A controller's answer fills an empty view to its bound, keeps it fresh, and tells of one
 // that fell silent by its age alone.
-func TestExchangeKeepsAView(t *testing.T) {
+func TestReportsKeepTheView(t *testing.T) {
 	controller := NewView(controllerEntry("f", "a"), 1)
 	for i := 0; i < 120; i++ {
 		info := entry(fmt.Sprint("n", i), 1)
@@ -86,7 +86,7 @@
 		now = now.Add(constants.ShufflePeriod)
 		for i := 0; i < 120; i++ {
 			if name := fmt.Sprint("n", i); name != silent {
-				controller.MarkContacted("forge/"+name, now)
+				controller.NoteContact("forge/"+name, now)
 			}
 		}
 		talk()
--- a/internal/control/membership/table.go
+++ b/internal/control/membership/table.go
@@ -86,7 +86,7 @@
 	for _, hash := range heartbeat.LaggingNodes {
 		behind[hash] = true
 	}
-	for _, hash := range heartbeat.SeenNodes {
+	for _, hash := range heartbeat.ContactedNodes {
 		known := v.peers[v.keyByHash[hash]]
 		if known == nil {
 			continue
--- a/internal/control/membership/bound.go
+++ b/internal/control/membership/viewsize.go
@@ -15,9 +15,9 @@
 	return constants.ViewBase + 2*bits.Len(uint(max(population, 1)-1))
 }
 
-// keepsAll tells whether a process keeps all of a role: controllers keep everybody, everybody
+// isCompleteFor tells whether a process keeps all of a role: controllers keep everybody, everybody
 // keeps the controllers, and stores keep stores, since duties move between them.
-func keepsAll(owner, role string) bool {
+func isCompleteFor(owner, role string) bool {
 	return owner == RoleController || role == RoleController || (owner == RoleStore && role == RoleStore)
 }
 
@@ -73,7 +73,7 @@
 		}
 	}
 	for _, role := range []string{RoleGateway, RoleStore} {
-		if keepsAll(v.self.Role, role) {
+		if isCompleteFor(v.self.Role, role) {
 			continue
 		}
 		limit := ViewSize(v.Population(role, now))
--- a/internal/control/register/acceptor.go
+++ b/internal/control/register/acceptor.go
@@ -27,7 +27,7 @@
 }
 
 // Prepare answers the first round; keep says whether the record changed.
-func (a *Acceptor) Prepare(req *messages.PrepareRequest) (resp messages.PrepareResponse, keep bool) {
+func (a *Acceptor) Prepare(req *messages.PrepareRequest) (resp messages.PrepareResponse, persist bool) {
 	resp = messages.PrepareResponse{Promised: a.state.Promised, Accepted: a.state.Accepted, Value: a.Value()}
 	// A call for another disk identity is for a member that this machine no
 	// longer is: an acceptor that forgot its promises must not vote under its old name.
@@ -50,7 +50,7 @@
 }
 
 // Accept answers the second round.
-func (a *Acceptor) Accept(req *messages.AcceptRequest) (resp messages.AcceptResponse, keep bool) {
+func (a *Acceptor) Accept(req *messages.AcceptRequest) (resp messages.AcceptResponse, persist bool) {
 	if req.Disk != a.state.Disk {
 		return messages.AcceptResponse{}, false
 	}
--- a/internal/control/register/archive_test.go
+++ b/internal/control/register/archive_test.go
@@ -94,7 +94,7 @@
 // Acceptors miss changes, accept values that are never chosen, restart, pull from each
 // other and forget by age: none ever says "never taken" of a version that was taken, or
 // the other way round, and one that is complete always knows.
-func TestArchiveNeverRefusesWhatWasTaken(t *testing.T) {
+func TestArchiveNeverRejectsACommittedVersion(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		archives := newArchives(3)
 		forgot := false
--- a/internal/control/register/ballot.go
+++ b/internal/control/register/ballot.go
@@ -58,12 +58,12 @@
 
 // Targets gives every member of a value's sets once.
 func Targets(value *messages.RegisterValue) []messages.Member {
-	seen := map[string]bool{}
+	known := map[string]bool{}
 	var members []messages.Member
 	for _, set := range [][]messages.Member{value.Acceptors, value.Previous} {
 		for _, member := range set {
-			if !seen[Identity(member)] {
-				seen[Identity(member)] = true
+			if !known[Identity(member)] {
+				known[Identity(member)] = true
 				members = append(members, member)
 			}
 		}
--- a/internal/control/register/budget_test.go
+++ b/internal/control/register/budget_test.go
@@ -99,7 +99,7 @@
 }
 
 // Growing takes a small part of the time before traffic starts.
-func TestSetGrowsSoon(t *testing.T) {
+func TestSetExpandsSoon(t *testing.T) {
 	for seed := int64(1); seed <= 60; seed++ {
 		grown := newGrown(t, seed)
 		grown.slow = 30
--- a/internal/control/register/drive_test.go
+++ b/internal/control/register/drive_test.go
@@ -26,17 +26,17 @@
 
 // change drives one change from a node; ended is called once with the outcome, or
 // never where the process dies.
-func (f *fleet) change(from string, change register.Change, tries int, ended func(value messages.RegisterValue, done bool)) {
+func (f *fleet) change(from string, change register.Change, attempts int, ended func(value messages.RegisterValue, done bool)) {
 	if node := f.controllers[from]; node != nil {
-		f.propose(from, node.known, change, tries, 0, ended)
+		f.propose(from, node.known, change, attempts, 0, ended)
 		return
 	}
 	ended(messages.RegisterValue{}, false)
 }
 
-func (f *fleet) propose(from string, known messages.RegisterValue, change register.Change, tries, lost int, ended func(value messages.RegisterValue, done bool)) {
+func (f *fleet) propose(from string, known messages.RegisterValue, change register.Change, attempts, lost int, ended func(value messages.RegisterValue, done bool)) {
 	node := f.controllers[from]
-	if node == nil || node.down || tries == 0 {
+	if node == nil || node.down || attempts == 0 {
 		ended(messages.RegisterValue{}, false)
 		return
 	}
@@ -45,8 +45,8 @@
 	ballot := register.NewBallot(node.counter, from, node.member.Disk, node.life)
 	proposal, sends := register.NewProposal(ballot, known, change)
 	attempt := &try{fleet: f, from: from, node: node, life: node.life, known: known, change: change, proposal: proposal, begun: f.world.Now}
-	again := func() { f.propose(from, known, change, tries-1, lost+1, ended) }
-	attempt.send(sends, func() { attempt.finish(tries, lost, ended) })
+	again := func() { f.propose(from, known, change, attempts-1, lost+1, ended) }
+	attempt.send(sends, func() { attempt.finish(attempts, lost, ended) })
 	f.world.After(clock.Milliseconds(attemptTime), func() {
 		if !attempt.over && !attempt.dead() {
 			attempt.over = true
@@ -59,7 +59,7 @@
 func (t *try) dead() bool { return t.node.down || t.life != t.node.life }
 
 // finish looks where the proposal stands.
-func (t *try) finish(tries, lost int, ended func(value messages.RegisterValue, done bool)) {
+func (t *try) finish(attempts, lost int, ended func(value messages.RegisterValue, done bool)) {
 	if t.over || t.dead() {
 		return
 	}
@@ -67,12 +67,12 @@
 	switch proposal.Stage() {
 	case register.StageDone:
 		t.over = true
-		node.learnChosen(proposal.Value())
+		node.observeChosen(proposal.Value())
 		if t.chosen != nil {
 			t.chosen(proposal.Value())
 		}
 		if proposal.FinishedOther() {
-			t.propose(t.from, proposal.Value(), t.change, tries-1, lost, ended)
+			t.propose(t.from, proposal.Value(), t.change, attempts-1, lost, ended)
 			return
 		}
 		ended(proposal.Value(), true)
@@ -92,7 +92,7 @@
 					ended(value, true)
 					return
 				}
-				t.propose(t.from, known, t.change, tries-1, lost+1, ended)
+				t.propose(t.from, known, t.change, attempts-1, lost+1, ended)
 			})
 		})
 	}
@@ -150,7 +150,7 @@
 			ended(messages.RegisterValue{}, false)
 			return
 		}
-		node.learnChosen(*value)
+		node.observeChosen(*value)
 		if f.chosen != nil {
 			f.chosen(*value)
 		}
@@ -175,7 +175,7 @@
 }
 
 // observeChosen takes a value that a majority was seen to hold.
-func (c *controller) learnChosen(value messages.RegisterValue) {
+func (c *controller) observeChosen(value messages.RegisterValue) {
 	if !c.chosen || value.SetEpoch >= c.known.SetEpoch {
 		c.known, c.chosen = value, true
 	}
--- a/internal/control/register/grown_test.go
+++ b/internal/control/register/grown_test.go
@@ -44,6 +44,8 @@
 }
 
 func newGrown(t *testing.T, seed int64) *grown {
+	t.Helper()
+
 	g := &grown{fleet: newFleet(t, seed, "a", "b", "c"), downSince: map[string]clock.Instant{}, met: map[string]sighting{}}
 	g.size = budgetSize
 	for _, name := range []string{"d", "e", "f", "g", "h"} {
@@ -65,7 +67,7 @@
 			return
 		}
 		names := simulation.Keys(g.controllers)
-		for asked := 0; asked < 3; asked++ {
+		for requested := 0; requested < 3; requested++ {
 			other := g.controllers[names[g.world.Random.Intn(len(names))]]
 			if !other.down && other.chosen && (other.known.SetEpoch > node.known.SetEpoch || len(node.known.Acceptors) == 0) {
 				node.known, node.chosen = other.known, false
--- a/internal/control/register/operators_test.go
+++ b/internal/control/register/operators_test.go
@@ -41,6 +41,8 @@
 }
 
 func newOperators(t *testing.T, seed int64) *operators {
+	t.Helper()
+
 	o := &operators{fleet: newFleet(t, seed, "a", "b", "c"), chain: map[int64]messages.Version{}, onTop: map[int64]messages.Version{}, counts: map[string]int{}}
 	o.outsider("d")
 	o.outsider("e")
@@ -114,11 +116,11 @@
 
 // order sends a version until a clear answer comes, each time to any process, often
 // before the first try has ended.
-func (o *operators) order(operator string, version messages.Version, tries int, ended func(status status)) {
+func (o *operators) order(operator string, version messages.Version, attempts int, ended func(status status)) {
 	over := false
-	var again func(tries int)
-	again = func(tries int) {
-		if over || tries == 0 {
+	var again func(attempts int)
+	again = func(attempts int) {
+		if over || attempts == 0 {
 			return
 		}
 		o.try(operator, o.names[o.world.Random.Intn(len(o.names))], version, func(status status) {
@@ -127,9 +129,9 @@
 				ended(status)
 			}
 		})
-		o.world.After(clock.Milliseconds(10+600*o.world.Random.Float64()), func() { again(tries - 1) })
+		o.world.After(clock.Milliseconds(10+600*o.world.Random.Float64()), func() { again(attempts - 1) })
 	}
-	again(tries)
+	again(attempts)
 }
 
 // work is one operator: it builds on what it believes to be newest, at times with the
@@ -199,7 +201,7 @@
 // messages are lost and doubled, links are cut, processes end between the two rounds
 // and come back from their disks. Nothing that came into force is ever refused, what
 // was refused never comes into force, and no two versions stand on one base.
-func TestOperatorsSeeOneHistory(t *testing.T) {
+func TestOperatorHistoriesAreLinearizable(t *testing.T) {
 	total := map[string]int{}
 	for seed := int64(1); seed <= int64(simulation.Seeds(120)); seed++ {
 		operators := newOperators(t, seed)
--- a/internal/control/register/tend.go
+++ b/internal/control/register/reconcile.go
@@ -78,6 +78,6 @@
 // smaller set acknowledged could be lost within the budget. Others is how many
 // processes with a disk stand outside and could still join.
 func ToleratesBudget(value *messages.RegisterValue, size, others int) bool {
-	whole := min(size, len(value.Acceptors)+others)
-	return len(value.Acceptors) >= whole && (len(value.Previous) == 0 || len(value.Previous) >= whole)
+	complete := min(size, len(value.Acceptors)+others)
+	return len(value.Acceptors) >= complete && (len(value.Previous) == 0 || len(value.Previous) >= complete)
 }
--- a/internal/control/register/register_test.go
+++ b/internal/control/register/register_test.go
@@ -49,6 +49,8 @@
 }
 
 func newFleet(t *testing.T, seed int64, names ...string) *fleet {
+	t.Helper()
+
 	f := &fleet{world: simulation.NewWorld(seed), controllers: map[string]*controller{}, acked: map[int64]string{}, onBase: map[int64]int64{}, test: t}
 	var first []messages.Member
 	for _, name := range names {
--- a/internal/control/register/replace.go
+++ b/internal/control/register/replace.go
@@ -73,10 +73,10 @@
 
 // Campaign gives the change by which a store becomes the holder of the lots: it
 // raises the epoch, so that whoever held it before can change nothing any more.
-func Campaign(holder messages.Leadership, expected uint64, first []messages.Member, done *bool) Change {
+func Campaign(leader messages.Leadership, expected uint64, first []messages.Member, done *bool) Change {
 	return func(current messages.RegisterValue) (messages.RegisterValue, Verdict) {
 		*done = false
-		if current.Leadership.Epoch == expected+1 && current.Leadership.Holder == holder.Holder && current.Leadership.Incarnation == holder.Incarnation {
+		if current.Leadership.Epoch == expected+1 && current.Leadership.Holder == leader.Holder && current.Leadership.Incarnation == leader.Incarnation {
 			// The answer to an earlier try was lost.
 			*done = true
 			return current, VerdictUnchanged
@@ -85,7 +85,7 @@
 			return current, VerdictUnchanged
 		}
 		next := current
-		next.Leadership = holder
+		next.Leadership = leader
 		next.Leadership.Epoch = expected + 1
 		if len(next.Stores) == 0 {
 			next.Stores = first
@@ -97,10 +97,10 @@
 
 // SetStores gives the change of the store set. Only the holder of the epoch may
 // make it, and only one member at a time.
-func SetStores(holder messages.Leadership, stores []messages.Member, done *bool) Change {
+func SetStores(leader messages.Leadership, stores []messages.Member, done *bool) Change {
 	return func(current messages.RegisterValue) (messages.RegisterValue, Verdict) {
 		*done = false
-		if current.Leadership.Epoch != holder.Epoch || current.Leadership.Holder != holder.Holder || current.Leadership.Incarnation != holder.Incarnation {
+		if current.Leadership.Epoch != leader.Epoch || current.Leadership.Holder != leader.Holder || current.Leadership.Incarnation != leader.Incarnation {
 			return current, VerdictUnchanged
 		}
 		if addsRetired(&current, stores) {
--- a/internal/control/register/trouble_test.go
+++ b/internal/control/register/trouble_test.go
@@ -9,7 +9,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-func TestRegisterUnderTrouble(t *testing.T) {
+func TestRegisterUnderFaults(t *testing.T) {
 	names := []string{"a", "b", "c"}
 	for seed := int64(1); seed <= 150; seed++ {
 		fleet := newFleet(t, seed, names...)
@@ -90,10 +90,10 @@
 	old := messages.Member{Address: "a", Disk: "first"}
 	fleet.change("a", register.Join(fleet.controllers["a"].member, &old, 3), 10, func(_ messages.RegisterValue, done bool) { joined = done })
 	fleet.world.Run(fleet.world.Now.Add(clock.Milliseconds(4000)))
-	settled := false
-	fleet.change("a", register.EndJoint, 10, func(value messages.RegisterValue, done bool) { settled = done && len(value.Previous) == 0 })
+	linearizable := false
+	fleet.change("a", register.EndJoint, 10, func(value messages.RegisterValue, done bool) { linearizable = done && len(value.Previous) == 0 })
 	fleet.world.Run(fleet.world.Now.Add(clock.Milliseconds(4000)))
-	if !joined || !settled {
+	if !joined || !linearizable {
 		t.Fatal("the newcomer did not join")
 	}
 	fleet.controllers["b"].down = true
@@ -157,7 +157,7 @@
 // promised, and only a took it when d was killed. Its new life came to the same
 // counter by way of c, which had heard nothing, and had Y chosen by b and c. Who
 // reads at a and b must find Y.
-func TestTwoLivesOneCounter(t *testing.T) {
+func TestTwoIncarnationsOneCounter(t *testing.T) {
 	fleet := newFleet(t, 1, "a", "b", "c")
 	accept := func(name string, ballot messages.Ballot, mark string) bool {
 		value := messages.RegisterValue{Acceptors: fleet.controllers["a"].disk.First, Current: messages.Version{Hash: mark}}
--- a/internal/control/register/worst_test.go
+++ b/internal/control/register/worst_test.go
@@ -88,7 +88,7 @@
 		w := &worst{grown: newGrown(t, seed)}
 		w.world.Loss, w.world.Double = 0.02, 0.02
 		w.slow = float64(seed%3) * 15
-		w.fleet.chosen = w.repaired
+		w.chosen = w.repaired
 		if !w.until(clock.Milliseconds(20_000), w.whole) {
 			t.Fatalf("seed %d: not whole at first", seed)
 		}
--- a/internal/control/registerserver/catchup_test.go
+++ b/internal/control/registerserver/catchup_test.go
@@ -34,6 +34,8 @@
 }
 
 func newCluster(t *testing.T, names ...string) *cluster {
+	t.Helper()
+
 	c := &cluster{test: t, room: transport.NewMemoryNetwork(), members: map[string]*member{}}
 	for _, name := range names {
 		c.first = append(c.first, messages.Member{Name: name, Address: name + ":7000", Disk: "first"})
@@ -88,9 +90,9 @@
 // happens on a machine under load, the same order is sent again.
 func clearly[Value any](call func() (Value, error)) (Value, error) {
 	const tries = 20
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		value, err := call()
-		if try == tries || !errs.Is(err, register.ErrNoQuorum) && !errs.Is(err, register.ErrOutcomeUnknown) {
+		if attempt == tries || !errs.Is(err, register.ErrNoQuorum) && !errs.Is(err, register.ErrOutcomeUnknown) {
 			return value, err
 		}
 	}
@@ -136,6 +138,8 @@
 // catchUp stops c, has others take changes, starts c again and has eight orders come at
 // once. It gives the bytes that c heard until it held the newest value.
 func catchUp(t *testing.T, changes int) int64 {
+	t.Helper()
+
 	cluster := newCluster(t, "a", "b", "c")
 	cluster.change("a")
 	cluster.members["c"].wire.Close()
@@ -152,8 +156,8 @@
 	cluster.change("c")
 	cluster.race()
 	// A majority is enough for each change: the member is asked once more at most times.
-	for tries := 0; restarted.replica.Record().Value.Current != cluster.taken[len(cluster.taken)-1]; tries++ {
-		if tries == 20 {
+	for attempts := 0; restarted.replica.Record().Value.Current != cluster.taken[len(cluster.taken)-1]; attempts++ {
+		if attempts == 20 {
 			t.Fatalf("holds %v, newest is %v", restarted.replica.Record().Value.Current, cluster.taken[len(cluster.taken)-1])
 		}
 		cluster.change("c")
--- a/internal/control/registerserver/crash_test.go
+++ b/internal/control/registerserver/crash_test.go
@@ -99,16 +99,16 @@
 				taken = append(taken, version)
 				newest = version
 			}
-			told := l.told()
-			if told.Generation < newest.Generation {
-				t.Fatalf("seed %d: told %v after %v was acknowledged", seed, told, newest)
+			notified := l.told()
+			if notified.Generation < newest.Generation {
+				t.Fatalf("seed %d: told %v after %v was acknowledged", seed, notified, newest)
 			}
 			if left < 0 && power {
 				l.disk.Intercept = nil
 				l.disk.PowerLoss()
 				l.open()
-				if after := l.told(); after.Generation < told.Generation || after.Generation < newest.Generation {
-					t.Fatalf("seed %d: %v after a loss of power, told %v and acknowledged %v before", seed, after, told, newest)
+				if after := l.told(); after.Generation < notified.Generation || after.Generation < newest.Generation {
+					t.Fatalf("seed %d: %v after a loss of power, told %v and acknowledged %v before", seed, after, notified, newest)
 				}
 			}
 			l.disk.Intercept = nil
--- a/internal/control/registerserver/handlers.go
+++ b/internal/control/registerserver/handlers.go
@@ -54,8 +54,8 @@
 // ChosenSets is the response that names the newest sets that this process saw a majority
 // hold; Known is not set where it saw none. It is good for the sets only.
 func (r *Replica) ChosenSets() *messages.RegisterResponse {
-	value, seen := r.Chosen()
-	if !seen {
+	value, known := r.Chosen()
+	if !known {
 		return &messages.RegisterResponse{}
 	}
 	value.Body = nil
--- a/internal/control/registerserver/maintainer.go
+++ b/internal/control/registerserver/maintainer.go
@@ -67,7 +67,7 @@
 		Votes:    Votes(m.replica.Node.Settings) && (m.mayJoin == nil || m.mayJoin()),
 		Size:     m.SetSize(),
 		Diskless: func(member messages.Member) bool { return diskless[member.Address] },
-		Departed: func(member messages.Member) bool { return m.isSilent(member) && m.reachesQuorum(known) },
+		Departed: func(member messages.Member) bool { return m.isUnresponsive(member) && m.reachesQuorum(known) },
 	}
 }
 
@@ -102,10 +102,10 @@
 	return QuorumCall(&known, 0, call, func(bool) bool { return true })
 }
 
-// isSilent tells whether nobody was in contact with a member for long. One in this process's
+// isUnresponsive tells whether nobody was in contact with a member for long. One in this process's
 // own zone is taken for replaced by this one, and sooner: until the place is taken, the set
 // tolerates one loss less.
-func (m *SetMaintainer) isSilent(member messages.Member) bool {
+func (m *SetMaintainer) isUnresponsive(member messages.Member) bool {
 	limit, age, known := constants.ReplaceAfter, int64(0), false
 	for _, entry := range m.replica.Node.All(membership.RoleController) {
 		if entry.Address != member.Address || (known && entry.AgeMs >= age) {
--- a/internal/control/registerserver/replica.go
+++ b/internal/control/registerserver/replica.go
@@ -136,7 +136,7 @@
 
 // Chosen gives the newest value known here, and whether this process saw a majority
 // hold it.
-func (r *Replica) Chosen() (value messages.RegisterValue, seen bool) {
+func (r *Replica) Chosen() (value messages.RegisterValue, known bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.known, r.chosen
--- a/internal/control/workers/lists_test.go
+++ b/internal/control/workers/lists_test.go
@@ -9,7 +9,7 @@
 )
 
 // The kept lists follow each change of the table.
-func TestKeptListsFollowTheTable(t *testing.T) {
+func TestCachedListsFollowTheTable(t *testing.T) {
 	table := New(1_200_000_000)
 	expect := func(what string, named, entries int) {
 		t.Helper()
--- a/internal/control/workers/workers.go
+++ b/internal/control/workers/registry.go
@@ -82,7 +82,7 @@
 	for id, entry := range r.entries {
 		if entry.change > version {
 			worker := entry.worker
-			worker.AgeMs = r.silentFor(id, entry, now).Milliseconds()
+			worker.AgeMs = r.sinceLastHeartbeat(id, entry, now).Milliseconds()
 			found = append(found, worker)
 		}
 	}
@@ -118,13 +118,13 @@
 	if entry == nil || entry.worker.Phase != messages.PhaseSteady {
 		return StatusUnavailable
 	}
-	silence := r.silentFor(id, entry, now)
+	sinceContact := r.sinceLastHeartbeat(id, entry, now)
 	switch {
 	case !listening:
 		return StatusHealthy
-	case silence > constants.HeartbeatsDeparted*r.heartbeatPeriod:
+	case sinceContact > constants.HeartbeatsDeparted*r.heartbeatPeriod:
 		return StatusUnavailable
-	case silence > constants.HeartbeatsSuspect*r.heartbeatPeriod+r.heartbeatPeriod/2:
+	case sinceContact > constants.HeartbeatsSuspect*r.heartbeatPeriod+r.heartbeatPeriod/2:
 		return StatusSuspect
 	}
 	return StatusHealthy
--- a/internal/control/workers/table.go
+++ b/internal/control/workers/table.go
@@ -110,9 +110,9 @@
 func (r *Registry) Overdue(now clock.Instant) []messages.Overdue {
 	var found []messages.Overdue
 	for id, entry := range r.entries {
-		silence := now.Sub(entry.lastHeartbeat)
-		if entry.worker.Phase == messages.PhaseSteady && silence > constants.HeartbeatsSuspect*r.heartbeatPeriod {
-			found = append(found, messages.Overdue{WorkerHash: Hash(id), AgeMs: silence.Milliseconds()})
+		sinceContact := now.Sub(entry.lastHeartbeat)
+		if entry.worker.Phase == messages.PhaseSteady && sinceContact > constants.HeartbeatsSuspect*r.heartbeatPeriod {
+			found = append(found, messages.Overdue{WorkerHash: Hash(id), AgeMs: sinceContact.Milliseconds()})
 		}
 	}
 	sort.Slice(found, func(left, right int) bool { return found[left].WorkerHash < found[right].WorkerHash })
@@ -138,8 +138,8 @@
 	r.overdue, r.confirmed = next, now
 }
 
-// silentFor is how long a worker has not been heard, by own ears or by a controller's.
-func (r *Registry) silentFor(id string, have *entry, now clock.Instant) clock.Duration {
+// sinceLastHeartbeat is how long a worker has not been heard, by own ears or by a controller's.
+func (r *Registry) sinceLastHeartbeat(id string, have *entry, now clock.Instant) clock.Duration {
 	if r.overdue[Hash(id)] {
 		return now.Sub(have.lastHeartbeat)
 	}
@@ -150,8 +150,8 @@
 // the silent ones forgets those only: its own deafness says nothing of the rest.
 func (r *Registry) Forget(now clock.Instant) {
 	for id, entry := range r.entries {
-		silent := r.confirmed == 0 || r.overdue[Hash(id)] || entry.worker.Phase != messages.PhaseSteady
-		if silent && now.Sub(entry.lastHeartbeat) > constants.ForgetAfter {
+		partitioned := r.confirmed == 0 || r.overdue[Hash(id)] || entry.worker.Phase != messages.PhaseSteady
+		if partitioned && now.Sub(entry.lastHeartbeat) > constants.ForgetAfter {
 			r.drop(id)
 		}
 	}
--- a/internal/control/workers/table_test.go
+++ b/internal/control/workers/table_test.go
@@ -10,7 +10,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-func TestPlainBeatsChangeNothing(t *testing.T) {
+func TestSteadyHeartbeatsChangeNothing(t *testing.T) {
 	registry := New(beat)
 	if !registry.Heartbeat(worker(1, messages.PhaseSteady), 0) {
 		t.Fatal("a new worker is a change")
@@ -64,7 +64,7 @@
 }
 
 // A gateway that hears controllers but no heartbeats takes nobody for silent whom they don't name.
-func TestSilenceIsToldByControllers(t *testing.T) {
+func TestOverdueWorkersAreReportedByControllers(t *testing.T) {
 	registry := New(beat)
 	other := worker(1, messages.PhaseSteady)
 	other.ID = "x"
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestForgottenEntriesDoNotComeBack(t *testing.T) {
+func TestForgottenEntriesStayForgotten(t *testing.T) {
 	registry := New(beat)
 	departed := worker(3, messages.PhaseDeparted)
 	registry.Merge(departed, 0)
--- a/internal/control/workers/workers_test.go
+++ b/internal/control/workers/workers_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestSilenceOfWorkersAndOfControllers(t *testing.T) {
+func TestStatusWhileWorkersOrControllersAreSilent(t *testing.T) {
 	registry := New(beat)
 	registry.Merge(worker(1, messages.PhaseSteady), 0)
 	suspect := clock.Instant(0).Add((constants.HeartbeatsSuspect + 1) * beat)
--- a/internal/control/workerserver/calls.go
+++ b/internal/control/workerserver/calls.go
@@ -95,13 +95,13 @@
 			s.file.enqueue(worker)
 			s.announce.AnnounceWorker(worker)
 		}
-	case !s.drains.isDurable(worker):
+	case !s.durable.isDurable(worker):
 		if !s.commitWorkerChange(worker, changed) {
 			s.node.Log.Warn("write not committed by quorum", "worker", worker.ID, "phase", worker.Phase.String())
 			httpreply.Error(writer, http.StatusServiceUnavailable, contactserver.NoClearAnswer)
 			return
 		}
-		s.drains.setDurable(worker)
+		s.durable.setDurable(worker)
 	}
 	httpreply.JSON(writer, http.StatusOK, struct{}{})
 }
--- a/internal/control/workerserver/file.go
+++ b/internal/control/workerserver/file.go
@@ -48,7 +48,7 @@
 		if _, cause := worker.UnmarshalMsg(body); cause != nil {
 			return ErrWorkersFile.Wrap(cause, workerFileName)
 		}
-		if _, seen := known[worker.ID]; !seen {
+		if _, observed := known[worker.ID]; !observed {
 			order = append(order, worker.ID)
 		}
 		worker.Phase = max(worker.Phase, known[worker.ID].Phase)
--- a/internal/control/workerserver/persist.go
+++ b/internal/control/workerserver/persist.go
@@ -9,27 +9,27 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// durableDrains remembers which drains and departures a majority of the acceptors has on
+// durableChanges remembers which drains and departures a majority of the acceptors has on
 // disk: only these are acknowledged. It is safe for concurrent use.
-type durableDrains struct {
+type durableChanges struct {
 	lock   sync.Mutex
 	phases map[string]messages.Phase
 }
 
-func (d *durableDrains) isDurable(worker messages.Worker) bool {
+func (d *durableChanges) isDurable(worker messages.Worker) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return d.phases[worker.ID] >= worker.Phase
 }
 
-func (d *durableDrains) setDurable(worker messages.Worker) {
+func (d *durableChanges) setDurable(worker messages.Worker) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.phases[worker.ID] = max(d.phases[worker.ID], worker.Phase)
 }
 
 // trim forgets workers that the table does not know any more.
-func (d *durableDrains) trim(known func(id string) bool) {
+func (d *durableChanges) trim(known func(id string) bool) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	for id := range d.phases {
--- a/internal/control/workerserver/server.go
+++ b/internal/control/workerserver/server.go
@@ -22,13 +22,13 @@
 	replica  *registerserver.Replica
 	contact  *contactserver.Server
 	announce Announcer
-	drains   durableDrains
+	durable  durableChanges
 }
 
 // New makes the server on an open table and registers the requests of other processes.
 func New(table *Table, replica *registerserver.Replica, contact *contactserver.Server, announce Announcer) *Server {
 	s := &Server{Table: table, node: replica.Node, replica: replica, contact: contact, announce: announce,
-		drains: durableDrains{phases: map[string]messages.Phase{}}}
+		durable: durableChanges{phases: map[string]messages.Phase{}}}
 	runtime := s.node.Runtime
 	process.Handle(runtime, messages.KindWorkersUpdate, s.handleUpdate)
 	process.Handle(runtime, messages.KindWorkersPull, s.handlePull)
@@ -40,7 +40,7 @@
 // handleUpdate takes changes of workers that another process passes on.
 func (s *Server) handleUpdate(req *messages.WorkersUpdate) (*messages.Ack, error) {
 	s.Merge(req.Workers)
-	s.node.MarkContacted(req.From)
+	s.node.NoteContact(req.From)
 	return &messages.Ack{Accepted: true}, nil
 }
 
@@ -58,7 +58,7 @@
 // Forget drops what was known of workers that departed or were silent for long.
 func (s *Server) Forget() {
 	s.forget()
-	s.drains.trim(func(id string) bool {
+	s.durable.trim(func(id string) bool {
 		_, known := s.Get(id)
 		return known
 	})
--- a/internal/platform/constants/constants.go
+++ b/internal/platform/constants/constants.go
@@ -129,19 +129,19 @@
 	RequestLimit = 4 << 20
 	// HeadLimit is used for heads until a configuration says.
 	HeadLimit = 64 << 10
-	// BufferedAnswer is the largest plain answer held whole, so that a cut can be
+	// BufferedResponseMax is the largest plain answer held whole, so that a cut can be
 	// mended by another run before the client has seen a byte.
-	BufferedAnswer = 256 << 10
+	BufferedResponseMax = 256 << 10
 	// WorkerDial bounds a connection to a worker: links are short.
 	WorkerDial = 250 * time.Millisecond
-	// SilentWorker is the silence after which a repeatable stream goes on at another
+	// StreamTimeout is the silence after which a repeatable stream goes on at another
 	// worker until the service has taught what is usual there: clients give up at two
 	// seconds.
-	SilentWorker = 900 * time.Millisecond
-	// SilentPlain is the same for plain requests, in multiples of the aim, and
-	// SilentPlainLeast its least.
-	SilentPlain      = 3
-	SilentPlainLeast = 250 * time.Millisecond
+	StreamTimeout = 900 * time.Millisecond
+	// PlainTimeoutFactor is the same for plain requests, in multiples of the aim, and
+	// PlainTimeoutMin its least.
+	PlainTimeoutFactor = 3
+	PlainTimeoutMin    = 250 * time.Millisecond
 	// ConnectionIdle is how long an idle connection is kept when the worker names no time.
 	ConnectionIdle = 4 * time.Second
 	// ConnectionPart is the part of a worker's connections that one node may have, and
@@ -153,8 +153,8 @@
 	DrainAcceptTime = 2600 * time.Millisecond
 	// ShutdownMargin is how long before SIGKILL a leaving node ends by itself.
 	ShutdownMargin = 600 * time.Millisecond
-	// RoomAhead is how many requests may wait at a worker beyond its capacity.
-	RoomAhead = 2
+	// QueueAheadMax is how many requests may wait at a worker beyond its capacity.
+	QueueAheadMax = 2
 	// QueueShare is the part of a request's aim that it may wait for room (ours):
 	// a refusal within a quarter still earns something when it comes back.
 	QueueShare = 0.22
--- a/internal/platform/constants/gossip.go
+++ b/internal/platform/constants/gossip.go
@@ -12,9 +12,9 @@
 	// GossipLoads bounds the load words of a packet (ours): those of a zone with 150
 	// workers, and the packet stays within 1,400 bytes.
 	GossipLoads = 144
-	// GossipWorth is the age up to which evidence is passed on (ours): older would reach
+	// GossipMinChange is the age up to which evidence is passed on (ours): older would reach
 	// the age limit before it has served anybody.
-	GossipWorth = 2 * GossipPeriod
+	GossipMinChange = 2 * GossipPeriod
 	// GossipPrefixes bounds its residency words, and GossipPrefixLeast, in tokens, is
 	// the length from which a prefix is worth one (ours).
 	GossipPrefixes    = 16
@@ -47,10 +47,10 @@
 	// SpreadMs is the random part of a plain worker's score (ours): less than the 2 ms
 	// that another zone costs.
 	SpreadMs = 1.0
-	// ReachWhole is the number of a service's workers up to which a node weighs them
+	// ReachAllUpTo is the number of a service's workers up to which a node weighs them
 	// all; ReachSubset is how many it weighs of more, and ReachHomes how many homes and
 	// holders of a long prefix beside these (ours).
-	ReachWhole  = 24
-	ReachSubset = 8
-	ReachHomes  = 4
+	ReachAllUpTo = 24
+	ReachSubset  = 8
+	ReachHomes   = 4
 )
--- a/internal/platform/constants/health.go
+++ b/internal/platform/constants/health.go
@@ -4,20 +4,20 @@
 
 // Vitals of workers.
 const (
-	// TrustHalf is the time in which an outcome comes to count half (ours): with many
+	// HealthHalfLife is the time in which an outcome comes to count half (ours): with many
 	// gateways each sees a worker every few seconds, and an illness lasts for seconds.
-	TrustHalf = 6 * time.Second
-	// TrustPrior is how many outcomes the service's usual rate stands for (ours): few,
+	HealthHalfLife = 6 * time.Second
+	// HealthPrior is how many outcomes the service's usual rate stands for (ours): few,
 	// as the evidence is thin.
-	TrustPrior = 1.5
-	// TrustProven is how many whole answers of late make hearsay count for nothing
+	HealthPrior = 1.5
+	// HealthProven is how many whole answers of late make hearsay count for nothing
 	// (ours): an illness may hold for some callers only.
-	TrustProven = 1.5
-	// MildTrouble is the weight of what a busy worker that is well does too (ours).
-	MildTrouble = 0.3
-	// SureSilence is the silence that is surely none of a busy worker (ours): what other
+	HealthProven = 1.5
+	// MildFaultWeight is the weight of what a busy worker that is well does too (ours).
+	MildFaultWeight = 0.3
+	// SureTimeout is the silence that is surely none of a busy worker (ours): what other
 	// nodes have it read takes up to half a second. Shorter ones count as slowness.
-	SureSilence = 500 * time.Millisecond
+	SureTimeout = 500 * time.Millisecond
 	// ErrCost is what a failure costs, in ms of score, where the request can go on
 	// elsewhere, and ErrCostOnce where it can't (ours).
 	ErrCost     = 300.0
@@ -51,14 +51,14 @@
 	// (RFC 6298 takes four; too few here, where one in fifty went elsewhere on a quiet day).
 	PaceLeast  = 6
 	PaceSpread = 6.0
-	// SilenceEarned is what each answer adds to the budget of leaves from silence, and
-	// SilenceBudget its most (ours): at most a fifth of the requests leave.
-	SilenceEarned = 0.2
-	SilenceBudget = 4.0
-	// SilenceShare is the least part of a first event's aim, or of the longest pause in
+	// HedgeEarned is what each answer adds to the budget of leaves from silence, and
+	// HedgeBudget its most (ours): at most a fifth of the requests leave.
+	HedgeEarned = 0.2
+	HedgeBudget = 4.0
+	// HedgeShare is the least part of a first event's aim, or of the longest pause in
 	// time, that silence must last (ours): gone on elsewhere from there, it can still be
 	// in time.
-	SilenceShare = 0.6
+	HedgeShare = 0.6
 	// SafeIdle is the first guess of how long a connection may be idle and still carry what
 	// must not run twice; SafeIdleLeast and SafeIdleMost bound what is learnt (ours).
 	SafeIdle      = 400 * time.Millisecond
--- a/internal/platform/constants/lab.go
+++ b/internal/platform/constants/lab.go
@@ -15,10 +15,10 @@
 	// EmulatorIdle: an idle connection to an emulated worker is closed after it, and
 	// Keep-Alive says so in whole seconds.
 	EmulatorIdle = 10 * time.Second
-	// EmulatorBeatWait: how long a worker waits for the answer to a call (protocol).
-	EmulatorBeatWait = time.Second
-	// EmulatorBeatBytes: the largest answer to a call that a worker reads (protocol).
-	EmulatorBeatBytes = 4 << 10
+	// EmulatorHeartbeatWait: how long a worker waits for the answer to a call (protocol).
+	EmulatorHeartbeatWait = time.Second
+	// EmulatorHeartbeatBytes: the largest answer to a call that a worker reads (protocol).
+	EmulatorHeartbeatBytes = 4 << 10
 	// EmulatorRedirects: 307s that a caller follows (protocol).
 	EmulatorRedirects = 2
 	// EmulatorWarmupSlow: how many times as long a step takes during the warm-up.
@@ -58,8 +58,8 @@
 	// LabMemoryMB and LabDiskMB: what the settings files grant each process.
 	LabMemoryMB = 256
 	LabDiskMB   = 256
-	// LabBeat: pause between two heartbeats of an emulated worker.
-	LabBeat = time.Second
+	// LabHeartbeat: pause between two heartbeats of an emulated worker.
+	LabHeartbeat = time.Second
 	// LabConnLimit: connections to one emulated worker.
 	LabConnLimit = 200
 	// LabPlainWork and LabPlainSlots: a plain request's time on an empty worker, and
@@ -78,13 +78,13 @@
 	// LabDrainMs: drain-ms of a fleet's settings.
 	LabDrainMs = 2000
 
-	// LotAnswerLimit: the largest answer read; a page holds 1 MB of texts (protocol),
+	// JobResponseLimit: the largest answer read; a page holds 1 MB of texts (protocol),
 	// and a text may grow sixfold as JSON.
-	LotAnswerLimit = 8 << 20
-	// LotCallTime: how long a call on a lot may take before it is made elsewhere.
-	LotCallTime = 5 * time.Second
-	// LotReadSlack: how much longer than it allows a reader waits (protocol).
-	LotReadSlack = 1500 * time.Millisecond
+	JobResponseLimit = 8 << 20
+	// JobCallTimeout: how long a call on a lot may take before it is made elsewhere.
+	JobCallTimeout = 5 * time.Second
+	// JobReadSlack: how much longer than it allows a reader waits (protocol).
+	JobReadSlack = 1500 * time.Millisecond
 
 	// LoadCount, LoadTime, LoadRate: bounds of one load run.
 	LoadCount = 1_000_000
@@ -98,18 +98,18 @@
 	LoadProgress = 5 * time.Second
 	// LoadDigits: significant digits of the histograms.
 	LoadDigits = 3
-	// LoadLotSeed sets the draws of lots apart from those of requests.
-	LoadLotSeed = 7919
+	// LoadJobSeed sets the draws of lots apart from those of requests.
+	LoadJobSeed = 7919
 	// LoadPlotSteps: points of a line in a plot, each for half of what the one before
-	// left over; LoadLegendRoom widens the axis for the legend.
-	LoadPlotSteps  = 12
-	LoadLegendRoom = 5
+	// left over; LoadLegendWidth widens the axis for the legend.
+	LoadPlotSteps   = 12
+	LoadLegendWidth = 5
 	// LoadFindings: broken promises that a report names; the others are counted.
 	LoadFindings = 20
 	// LoadDrain: how long a run waits for answers and lots once it has sent everything.
 	LoadDrain = 20 * time.Second
-	// LoadSilence: a client gives a stream up after this silence at least (protocol).
-	LoadSilence = 2 * time.Second
-	// LoadPollPause: between two reads of a lot (protocol: about twice a second).
-	LoadPollPause = 500 * time.Millisecond
+	// LoadTimeout: a client gives a stream up after this silence at least (protocol).
+	LoadTimeout = 2 * time.Second
+	// LoadPollBackoff: between two reads of a lot (protocol: about twice a second).
+	LoadPollBackoff = 500 * time.Millisecond
 )
--- a/internal/platform/errs/errs.go
+++ b/internal/platform/errs/errs.go
@@ -4,8 +4,8 @@
 
 import "github.com/rotisserie/eris"
 
-// Kind names a class of errors of one layer.
-type Kind struct {
+// Kind names a class of errors of one layer: the type of the Err... values.
+type Kind struct { //nolint:errname // a class of errors, not an error that happened
 	name string
 }
 
@@ -22,7 +22,7 @@
 // Error gives the name of the kind.
 func (k *Kind) Error() string { return k.name }
 
-// New makes a error of this kind.
+// New makes an error of this kind.
 func (k *Kind) New(text string) error { return &Error{kind: k, text: text} }
 
 // Wrap turns an error from below into one of this kind; nil stays nil.
--- a/internal/platform/messages/gossip.go
+++ b/internal/platform/messages/gossip.go
@@ -54,12 +54,12 @@
 }
 
 // AppendLoad adds a word to a list.
-func AppendLoad(list []byte, word LoadSample) []byte {
+func AppendLoad(list []byte, sample LoadSample) []byte {
 	if len(list) == 0 {
 		list = append(list, loadBytes)
 	}
-	list = binary.BigEndian.AppendUint32(list, word.WorkerHash)
-	return append(list, byte(min(max(word.Running, 0), RunningUnknown)), ageByte(word.AgeMs), word.Health)
+	list = binary.BigEndian.AppendUint32(list, sample.WorkerHash)
+	return append(list, byte(min(max(sample.Running, 0), RunningUnknown)), ageByte(sample.AgeMs), sample.Health)
 }
 
 // ParseLoads reads a list; one that is cut short gives what is complete.
@@ -68,29 +68,29 @@
 		return nil
 	}
 	size, list := int(list[0]), list[1:]
-	words := make([]LoadSample, 0, len(list)/size)
+	samples := make([]LoadSample, 0, len(list)/size)
 	for ; len(list) >= size; list = list[size:] {
-		words = append(words, LoadSample{WorkerHash: binary.BigEndian.Uint32(list), Running: int(list[4]),
+		samples = append(samples, LoadSample{WorkerHash: binary.BigEndian.Uint32(list), Running: int(list[4]),
 			AgeMs: int64(list[5]) * AgeUnitMs, Health: list[6]})
 	}
-	return words
+	return samples
 }
 
 // AppendPrefix adds a residency word to a list. Worker is told by its short name.
-func AppendPrefix(list []byte, word Residency) []byte {
-	parts := len(word.Path) / 8
-	if parts == 0 || parts > partsLimit || len(word.Path)%8 != 0 {
+func AppendPrefix(list []byte, sample Residency) []byte {
+	parts := len(sample.Path) / 8
+	if parts == 0 || parts > partsLimit || len(sample.Path)%8 != 0 {
 		return list
 	}
 	if len(list) == 0 {
 		list = append(list, prefixBytes)
 	}
 	list = append(list, byte(parts))
-	list = append(list, word.Path...)
-	list = binary.BigEndian.AppendUint32(list, WorkerHash(word.Worker))
-	list = binary.BigEndian.AppendUint16(list, uint16(min(word.Tokens/tokenUnit, 1<<16-1)))
-	list = append(list, byte(min(max(word.Probability, 0), 1)*255), ageByte(word.SampleAgeMs))
-	return binary.BigEndian.AppendUint16(list, uint16(min((word.AgeMs+AgeUnitMs-1)/AgeUnitMs, 1<<16-1)))
+	list = append(list, sample.Path...)
+	list = binary.BigEndian.AppendUint32(list, WorkerHash(sample.Worker))
+	list = binary.BigEndian.AppendUint16(list, uint16(min(sample.Tokens/tokenUnit, 1<<16-1)))
+	list = append(list, byte(min(max(sample.Probability, 0), 1)*255), ageByte(sample.SampleAgeMs))
+	return binary.BigEndian.AppendUint16(list, uint16(min((sample.AgeMs+AgeUnitMs-1)/AgeUnitMs, 1<<16-1)))
 }
 
 // ParsePrefixes reads a list; name gives the worker of a short name, or nothing.
--- a/internal/platform/messages/kinds.go
+++ b/internal/platform/messages/kinds.go
@@ -4,7 +4,7 @@
 
 //go:generate go tool msgp -o members_gen.go -file members.go -tests=false -io=false
 //go:generate go tool msgp -o views_gen.go -file views.go -tests=false -io=false
-//go:generate go tool msgp -o lots_gen.go -file lots.go -tests=false -io=false
+//go:generate go tool msgp -o jobs_gen.go -file jobs.go -tests=false -io=false
 //go:generate go tool msgp -o dispatch_gen.go -file dispatch.go -tests=false -io=false
 //go:generate go tool msgp -o plans_gen.go -file plans.go -tests=false -io=false
 //go:generate go tool msgp -o contact_gen.go -file contact.go -tests=false -io=false
--- a/internal/platform/messages/views.go
+++ b/internal/platform/messages/views.go
@@ -53,10 +53,10 @@
 	From      NodeInfo `msg:"f"`
 	Workers   Digest   `msg:"w"`
 	Processes Digest   `msg:"p"`
-	// SeenWorkers and Met are the hashes of workers and processes that were heard here
+	// ContactedWorkers and Met are the hashes of workers and processes that were heard here
 	// directly since the last word to this controller.
-	SeenWorkers []uint32 `msg:"b"`
-	SeenNodes   []uint32 `msg:"m"`
+	ContactedWorkers []uint32 `msg:"b"`
+	ContactedNodes   []uint32 `msg:"m"`
 	// Generation is a generation that all of Met follow but those in Behind.
 	Generation   int64    `msg:"g"`
 	LaggingNodes []uint32 `msg:"u"`
--- a/internal/platform/messages/views_gen.go
+++ b/internal/platform/messages/views_gen.go
@@ -33,15 +33,15 @@
 	}
 	// string "b"
 	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.SeenWorkers)))
-	for za0001 := range z.SeenWorkers {
-		o = msgp.AppendUint32(o, z.SeenWorkers[za0001])
+	o = msgp.AppendArrayHeader(o, uint32(len(z.ContactedWorkers)))
+	for za0001 := range z.ContactedWorkers {
+		o = msgp.AppendUint32(o, z.ContactedWorkers[za0001])
 	}
 	// string "m"
 	o = append(o, 0xa1, 0x6d)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.SeenNodes)))
-	for za0002 := range z.SeenNodes {
-		o = msgp.AppendUint32(o, z.SeenNodes[za0002])
+	o = msgp.AppendArrayHeader(o, uint32(len(z.ContactedNodes)))
+	for za0002 := range z.ContactedNodes {
+		o = msgp.AppendUint32(o, z.ContactedNodes[za0002])
 	}
 	// string "g"
 	o = append(o, 0xa1, 0x67)
@@ -98,18 +98,18 @@
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "SeenWorkers")
+				err = msgp.WrapError(err, "ContactedWorkers")
 				return
 			}
-			if cap(z.SeenWorkers) >= int(zb0002) {
-				z.SeenWorkers = (z.SeenWorkers)[:zb0002]
+			if cap(z.ContactedWorkers) >= int(zb0002) {
+				z.ContactedWorkers = (z.ContactedWorkers)[:zb0002]
 			} else {
-				z.SeenWorkers = make([]uint32, zb0002)
+				z.ContactedWorkers = make([]uint32, zb0002)
 			}
-			for za0001 := range z.SeenWorkers {
-				z.SeenWorkers[za0001], bts, err = msgp.ReadUint32Bytes(bts)
+			for za0001 := range z.ContactedWorkers {
+				z.ContactedWorkers[za0001], bts, err = msgp.ReadUint32Bytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "SeenWorkers", za0001)
+					err = msgp.WrapError(err, "ContactedWorkers", za0001)
 					return
 				}
 			}
@@ -117,18 +117,18 @@
 			var zb0003 uint32
 			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "SeenNodes")
+				err = msgp.WrapError(err, "ContactedNodes")
 				return
 			}
-			if cap(z.SeenNodes) >= int(zb0003) {
-				z.SeenNodes = (z.SeenNodes)[:zb0003]
+			if cap(z.ContactedNodes) >= int(zb0003) {
+				z.ContactedNodes = (z.ContactedNodes)[:zb0003]
 			} else {
-				z.SeenNodes = make([]uint32, zb0003)
+				z.ContactedNodes = make([]uint32, zb0003)
 			}
-			for za0002 := range z.SeenNodes {
-				z.SeenNodes[za0002], bts, err = msgp.ReadUint32Bytes(bts)
+			for za0002 := range z.ContactedNodes {
+				z.ContactedNodes[za0002], bts, err = msgp.ReadUint32Bytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "SeenNodes", za0002)
+					err = msgp.WrapError(err, "ContactedNodes", za0002)
 					return
 				}
 			}
@@ -177,7 +177,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *ControllerHeartbeat) Msgsize() (s int) {
-	s = 1 + 2 + z.From.Msgsize() + 2 + z.Workers.Msgsize() + 2 + z.Processes.Msgsize() + 2 + msgp.ArrayHeaderSize + (len(z.SeenWorkers) * (msgp.Uint32Size)) + 2 + msgp.ArrayHeaderSize + (len(z.SeenNodes) * (msgp.Uint32Size)) + 2 + msgp.Int64Size + 2 + msgp.ArrayHeaderSize + (len(z.LaggingNodes) * (msgp.Uint32Size)) + 2 + msgp.Int64Size
+	s = 1 + 2 + z.From.Msgsize() + 2 + z.Workers.Msgsize() + 2 + z.Processes.Msgsize() + 2 + msgp.ArrayHeaderSize + (len(z.ContactedWorkers) * (msgp.Uint32Size)) + 2 + msgp.ArrayHeaderSize + (len(z.ContactedNodes) * (msgp.Uint32Size)) + 2 + msgp.Int64Size + 2 + msgp.ArrayHeaderSize + (len(z.LaggingNodes) * (msgp.Uint32Size)) + 2 + msgp.Int64Size
 	return
 }
 
--- a/internal/platform/process/traffic.go
+++ b/internal/platform/process/traffic.go
@@ -32,11 +32,11 @@
 // reportTraffic lists what was said and heard since the start, the busiest first.
 func (r *Runtime) reportTraffic() *messages.StatusResponse {
 	status := &messages.StatusResponse{Columns: []string{"kind", "place", "sent", "sent-bytes", "received", "received-bytes", "life-s"}}
-	life := strconv.FormatInt((clock.WallNanos()-r.Self.Incarnation)/1_000_000_000, 10)
+	incarnation := strconv.FormatInt((clock.WallNanos()-r.Self.Incarnation)/1_000_000_000, 10)
 	number := func(value int64) string { return strconv.FormatInt(value, 10) }
 	for _, sample := range r.meter().Samples() {
 		status.Rows = append(status.Rows, []string{sample.Kind.String(), sample.Locality.String(), number(sample.Sent.Messages),
-			number(sample.Sent.Bytes), number(sample.Received.Messages), number(sample.Received.Bytes), life})
+			number(sample.Sent.Bytes), number(sample.Received.Messages), number(sample.Received.Bytes), incarnation})
 	}
 	return status
 }
--- a/internal/platform/recordlog/recordlog.go
+++ b/internal/platform/recordlog/recordlog.go
@@ -74,7 +74,8 @@
 	}
 	logfile := &Log{disk: disk, name: name, file: file}
 	if err = logfile.recover(each); err != nil {
-		file.Close()
+		// Nothing was written that the close could lose.
+		_ = file.Close()
 		return nil, err
 	}
 	return logfile, nil
@@ -133,7 +134,7 @@
 	if length == 0 {
 		return text, nil
 	}
-	if _, err = l.file.ReadAt(text, 0); err != nil && err != io.EOF {
+	if _, err = l.file.ReadAt(text, 0); err != nil && !errors.Is(err, io.EOF) {
 		return nil, diskError(err, "read "+l.name)
 	}
 	return text, nil
@@ -223,7 +224,7 @@
 		return nil, diskError(err, "read "+l.name)
 	}
 	text := make([]byte, headerBytes+bodyLength(head[:]))
-	if _, err := l.file.ReadAt(text, offset); err != nil && err != io.EOF {
+	if _, err := l.file.ReadAt(text, offset); err != nil && !errors.Is(err, io.EOF) {
 		return nil, diskError(err, "read "+l.name)
 	}
 	body, _, complete := parseRecord(text)
--- a/internal/platform/recordlog/recordlog_test.go
+++ b/internal/platform/recordlog/recordlog_test.go
@@ -16,6 +16,8 @@
 
 // contract is what every disk has to keep.
 func contract(t *testing.T, make func() recordlog.Disk) {
+	t.Helper()
+
 	read := func(disk recordlog.Disk) []string {
 		var found []string
 		logfile, err := recordlog.Open(disk, "file", func(_ int64, body []byte) error {
@@ -25,7 +27,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		logfile.Close()
+		if err = logfile.Close(); err != nil {
+			t.Fatal(err)
+		}
 		return found
 	}
 	t.Run("records come back in order", func(t *testing.T) {
@@ -74,7 +78,7 @@
 	contract(t, func() recordlog.Disk { return recordlog.Directory(t.TempDir()) })
 }
 
-func TestPowerLossKeepsWhatWasSynced(t *testing.T) {
+func TestPowerLossRetainsWhatWasSynced(t *testing.T) {
 	for seed := int64(0); seed < 200; seed++ {
 		disk := simulation.NewDisk(seed)
 		logfile, _ := recordlog.Open(disk, "file", nil)
@@ -183,7 +187,7 @@
 	})
 }
 
-func TestTornTailIsCutOnRealFiles(t *testing.T) {
+func TestTornTailIsTruncatedOnRealFiles(t *testing.T) {
 	folder := t.TempDir()
 	logfile, _ := recordlog.Open(recordlog.Directory(folder), "file", nil)
 	_, _ = logfile.Append([]byte("one"), []byte("two"))
@@ -205,7 +209,7 @@
 	}
 }
 
-func TestFullDiskRefusesAndKeepsWhatWas(t *testing.T) {
+func TestFullDiskRejectsAndRetains(t *testing.T) {
 	disk := simulation.NewDisk(1)
 	logfile, _ := recordlog.Open(disk, "file", nil)
 	_, _ = logfile.Append([]byte("one"))
--- a/internal/platform/recordlog/rewrite.go
+++ b/internal/platform/recordlog/rewrite.go
@@ -1,6 +1,7 @@
 package recordlog
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 )
@@ -31,14 +32,16 @@
 		err = l.replaceBy(fresh)
 	}
 	if err != nil {
-		file.Close()
+		// The file is given up as it is.
+		_ = file.Close()
 		if !l.unlinked {
 			// Its bytes are room that the disk may need.
 			_ = l.disk.Remove(fresh)
 		}
 		return nil, err
 	}
-	l.file.Close()
+	// What the old file held is in the new one, which is synced.
+	_ = l.file.Close()
 	l.file, l.size, l.synced = file, made.size, made.synced
 	l.pending, l.tailDirty, l.unlinked = nil, false, false
 	return offsets, nil
@@ -133,6 +136,6 @@
 	if err != nil {
 		return err
 	}
-	defer handle.Close()
-	return handle.Sync()
+	err = handle.Sync()
+	return errors.Join(err, handle.Close())
 }
--- a/internal/platform/transport/address_test.go
+++ b/internal/platform/transport/address_test.go
@@ -28,6 +28,8 @@
 
 // freeAddress gives an address where nobody listens, and that it gives nobody else.
 func freeAddress(t *testing.T) string {
+	t.Helper()
+
 	ownAddresses.lock.Lock()
 	defer ownAddresses.lock.Unlock()
 	if ownAddresses.held == nil {
@@ -49,11 +51,13 @@
 
 // take finds a host that no other process has.
 func (c *claim) take(t *testing.T) {
+	t.Helper()
+
 	const tries = 1000
 	for number := os.Getpid(); number < os.Getpid()+tries; number++ {
 		host := fmt.Sprintf("127.%d.%d.253", 1+number/256%250, number%256)
-		if held, err := net.Listen("tcp4", fmt.Sprintf("%s:%d", host, firstFreePort)); err == nil {
-			c.host, c.held = host, held
+		if pending, err := net.Listen("tcp4", fmt.Sprintf("%s:%d", host, firstFreePort)); err == nil {
+			c.host, c.held = host, pending
 			return
 		}
 	}
--- a/internal/platform/transport/post.go
+++ b/internal/platform/transport/async.go
@@ -67,20 +67,20 @@
 }
 
 // asyncHandlerAt gives who answers at an address, nil where nobody does.
-func (t *Memory) asyncHandlerAt(address string) (later AsyncHandler, silent bool) {
-	handler, silent := t.handlerAt(address)
+func (t *Memory) asyncHandlerAt(address string) (later AsyncHandler, partitioned bool) {
+	handler, partitioned := t.handlerAt(address)
 	if handler != nil {
-		return func(kind messages.Kind, body []byte, reply func([]byte, error)) { reply(handler(kind, body)) }, silent
+		return func(kind messages.Kind, body []byte, reply func([]byte, error)) { reply(handler(kind, body)) }, partitioned
 	}
 	t.network.lock.Lock()
 	defer t.network.lock.Unlock()
-	return t.network.asyncHandlers[address], silent
+	return t.network.asyncHandlers[address], partitioned
 }
 
 // CallAsync is Call on the simulated clock: nothing waits, then is run once with what came
 // of it. Like on the wire, a process that is not there is told apart from silence.
 func (t *Memory) CallAsync(address string, kind messages.Kind, body []byte, timeout clock.Duration, then func([]byte, error)) {
-	room, own, around, ended := t.network, t.own, t.network.environment, false
+	network, own, around, ended := t.network, t.own, t.network.environment, false
 	end := func(resp []byte, err error) {
 		if !ended {
 			ended = true
@@ -88,14 +88,14 @@
 		}
 	}
 	// Most calls are answered in time: the clock is asked only for those that may not be.
-	lost := func(gone clock.Duration) {
-		around.Clock.After(max(0, timeout-gone), func() { end(nil, ErrTimeout.New(address+" silent")) })
+	lost := func(departed clock.Duration) {
+		around.Clock.After(max(0, timeout-departed), func() { end(nil, ErrTimeout.New(address+" silent")) })
 	}
-	room.observe(own, address, kind, false, body)
+	network.observe(own, address, kind, false, body)
 	there := around.Delay(own, address)
 	around.Clock.After(there, func() {
-		later, silent := t.asyncHandlerAt(address)
-		if silent || !around.Reachable(own, address) {
+		later, partitioned := t.asyncHandlerAt(address)
+		if partitioned || !around.Reachable(own, address) {
 			lost(there)
 			return
 		}
@@ -110,10 +110,10 @@
 			if refused {
 				resp = nil
 			}
-			room.observe(address, own, kind, true, resp)
+			network.observe(address, own, kind, true, resp)
 			response := around.Delay(address, own)
 			around.Clock.After(response, func() {
-				if _, silent := t.asyncHandlerAt(address); silent || !around.Reachable(address, own) {
+				if _, partitioned := t.asyncHandlerAt(address); partitioned || !around.Reachable(address, own) {
 					lost(there + response)
 					return
 				}
@@ -132,10 +132,10 @@
 
 // NotifyAsync is Tell on the simulated clock: one frame that nobody answers.
 func (t *Memory) NotifyAsync(address string, kind messages.Kind, body []byte) {
-	room, own, around := t.network, t.own, t.network.environment
-	room.observe(own, address, kind, false, body)
+	network, own, around := t.network, t.own, t.network.environment
+	network.observe(own, address, kind, false, body)
 	around.Clock.After(around.Delay(own, address), func() {
-		if later, silent := t.asyncHandlerAt(address); later != nil && !silent && around.Reachable(own, address) {
+		if later, partitioned := t.asyncHandlerAt(address); later != nil && !partitioned && around.Reachable(own, address) {
 			later(kind, body, func([]byte, error) {})
 		}
 	})
--- a/internal/platform/transport/post_test.go
+++ b/internal/platform/transport/async_test.go
@@ -31,12 +31,12 @@
 }
 
 func TestContractCountingMemory(t *testing.T) {
-	room, count, counted := transport.NewMemoryNetwork(), 0, &counters{}
-	room.OnFrame(counted.seen)
-	contract(t, func() (transport.Transport, string) {
+	network, count, counted := transport.NewMemoryNetwork(), 0, &counters{}
+	network.OnFrame(counted.seen)
+	callContract(t, func() (transport.Transport, string) {
 		count++
 		address := fmt.Sprint("node", count)
-		return room.Transport(address), address
+		return network.Transport(address), address
 	})
 	counted.lock.Lock()
 	defer counted.lock.Unlock()
@@ -49,20 +49,20 @@
 
 // simulated makes a room on a fake clock with a millisecond each way.
 func simulated() (*transport.MemoryNetwork, *simulation.World, *counters, map[string]bool) {
-	room, world, counted, gone := transport.NewMemoryNetwork(), simulation.NewWorld(1), &counters{}, map[string]bool{}
-	room.OnFrame(counted.seen)
-	room.Simulate(transport.Environment{Clock: world,
+	network, world, counted, departed := transport.NewMemoryNetwork(), simulation.NewWorld(1), &counters{}, map[string]bool{}
+	network.OnFrame(counted.seen)
+	network.Simulate(transport.Environment{Clock: world,
 		Delay:     func(string, string) clock.Duration { return clock.Milliseconds(1) },
-		Reachable: func(from, to string) bool { return !gone[from] && !gone[to] }})
-	return room, world, counted, gone
+		Reachable: func(from, to string) bool { return !departed[from] && !departed[to] }})
+	return network, world, counted, departed
 }
 
 func TestPostTakesItsTimeAndCounts(t *testing.T) {
-	room, world, counted, _ := simulated()
-	_ = room.Transport("server").Serve(func(_ messages.Kind, body []byte) ([]byte, error) { return append([]byte("to "), body...), nil })
+	network, world, counted, _ := simulated()
+	_ = network.Transport("server").Serve(func(_ messages.Kind, body []byte) ([]byte, error) { return append([]byte("to "), body...), nil })
 	var resp string
 	at := clock.Instant(0)
-	room.Transport("client").CallAsync("server", messages.KindShuffle, []byte("one"), enough, func(body []byte, err error) {
+	network.Transport("client").CallAsync("server", messages.KindShuffle, []byte("one"), enough, func(body []byte, err error) {
 		if err != nil {
 			t.Error(err)
 		}
@@ -75,11 +75,11 @@
 	}
 }
 
-func TestPostTellsSilenceRefusalAndAbsenceApart(t *testing.T) {
-	room, world, _, gone := simulated()
-	_ = room.Transport("server").Serve(func(kind messages.Kind, _ []byte) ([]byte, error) {
+func TestCallAsyncDistinguishesTimeoutRejectionAndAbsence(t *testing.T) {
+	network, world, _, departed := simulated()
+	_ = network.Transport("server").Serve(func(kind messages.Kind, _ []byte) ([]byte, error) {
 		if kind == messages.KindGossip {
-			gone["server"] = true
+			departed["server"] = true
 			return []byte("lost on its way"), nil
 		}
 		return nil, nil
@@ -91,7 +91,7 @@
 	var results []result
 	post := func(address string, kind messages.Kind) {
 		start := world.Now
-		room.Transport("client").CallAsync(address, kind, nil, clock.Milliseconds(30), func(_ []byte, err error) {
+		network.Transport("client").CallAsync(address, kind, nil, clock.Milliseconds(30), func(_ []byte, err error) {
 			results = append(results, result{err, world.Now - start})
 		})
 		world.Run(world.Now + clock.Instant(enough))
--- a/internal/platform/transport/everybyte_test.go
+++ b/internal/platform/transport/everybyte_test.go
@@ -19,13 +19,15 @@
 	runs map[string]int
 }
 
-func newLedger(t *testing.T, address, life string) *ledger {
+func newLedger(t *testing.T, address, incarnation string) *ledger {
+	t.Helper()
+
 	l := &ledger{wire: transport.NewTCP(address), runs: map[string]int{}}
 	err := l.wire.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
 		l.lock.Lock()
 		defer l.lock.Unlock()
 		l.runs[string(body)]++
-		return []byte(life + " to " + string(body)), nil
+		return []byte(incarnation + " to " + string(body)), nil
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -45,7 +47,7 @@
 // Whatever befalls the connection at whichever byte of a call or of its answer: each call
 // is worked on once at most, is never told as unreached where it was worked on, and each
 // answer is that of its own call.
-func TestTroubleAtEveryByteOfAFrame(t *testing.T) {
+func TestFaultAtEveryByteOfAFrame(t *testing.T) {
 	for _, trouble := range faultrelay.Troubles() {
 		for i := 0; i < 2*frameLength; i++ {
 			struck := faultrelay.Strike{Trouble: trouble, Answer: i >= frameLength, At: i % frameLength}
@@ -58,6 +60,8 @@
 }
 
 func playFrames(t *testing.T, struck faultrelay.Strike) {
+	t.Helper()
+
 	server := newLedger(t, "127.0.0.1:0", "one")
 	defer server.wire.Close()
 	relay, err := faultrelay.New(server.wire.Address())
@@ -98,12 +102,12 @@
 
 // A call that waits for one incarnation of a process is not answered by the next one at the same
 // address, and later calls are answered by that one alone.
-func TestNewLifeAtTheSameAddress(t *testing.T) {
-	address, hold, asked := freeAddress(t), newGate(), newGate()
+func TestNewIncarnationAtTheSameAddress(t *testing.T) {
+	address, wait, requested := freeAddress(t), newGate(), newGate()
 	first := transport.NewTCP(address)
 	_ = first.Serve(func(messages.Kind, []byte) ([]byte, error) {
-		close(asked)
-		<-hold
+		close(requested)
+		<-wait
 		return []byte("old"), nil
 	})
 	client := transport.NewTCP("")
@@ -113,9 +117,9 @@
 		_, err := client.Call(address, messages.KindShuffle, []byte("pending"), enough)
 		ended <- err
 	}()
-	<-asked
+	<-requested
 	first.Close()
-	close(hold)
+	close(wait)
 	if err := <-ended; !errs.Is(err, transport.ErrTimeout) {
 		t.Fatal("the pending call ended with ", err)
 	}
--- a/internal/platform/transport/memory.go
+++ b/internal/platform/transport/memory.go
@@ -25,10 +25,10 @@
 }
 
 // SetPartitioned makes an address silent or lets it speak again.
-func (r *MemoryNetwork) SetPartitioned(address string, silent bool) {
+func (r *MemoryNetwork) SetPartitioned(address string, partitioned bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.partitioned[address] = silent
+	r.partitioned[address] = partitioned
 }
 
 // Transport gives the twin that serves at an address.
@@ -69,12 +69,12 @@
 
 // Call runs the other side's handler at once.
 func (t *Memory) Call(address string, kind messages.Kind, body []byte, timeout clock.Duration) ([]byte, error) {
-	handler, silent := t.handlerAt(address)
+	handler, partitioned := t.handlerAt(address)
 	if handler == nil {
 		return nil, ErrUnreachable.New(address)
 	}
 	t.meter.sent(kind, address, len(body))
-	if silent {
+	if partitioned {
 		return nil, ErrTimeout.New(address + " silent")
 	}
 	type result struct {
@@ -105,7 +105,7 @@
 	}
 }
 
-func (t *Memory) handlerAt(address string) (handler Handler, silent bool) {
+func (t *Memory) handlerAt(address string) (handler Handler, partitioned bool) {
 	t.network.lock.Lock()
 	defer t.network.lock.Unlock()
 	return t.network.handlers[address], t.network.partitioned[address] || t.network.partitioned[t.own]
--- a/internal/platform/transport/meter.go
+++ b/internal/platform/transport/meter.go
@@ -62,13 +62,13 @@
 
 // SetLocality says whether the host of an address stands in the own zone.
 func (m *Meter) SetLocality(address string, own bool) {
-	place := LocalityOtherZone
+	locality := LocalityOtherZone
 	if own {
-		place = LocalitySameZone
+		locality = LocalitySameZone
 	}
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	m.hosts[hostOf(address)] = place
+	m.hosts[hostOf(address)] = locality
 }
 
 func (m *Meter) flow(kind messages.Kind, address string) *Flow {
@@ -126,10 +126,10 @@
 }
 
 // Total sums the readings of a place; LocalityUnknown sums all.
-func (m *Meter) Total(place Locality) Flow {
+func (m *Meter) Total(locality Locality) Flow {
 	var total Flow
 	for _, sample := range m.Samples() {
-		if place == LocalityUnknown || sample.Locality == place {
+		if locality == LocalityUnknown || sample.Locality == locality {
 			total.Sent.Messages += sample.Sent.Messages
 			total.Sent.Bytes += sample.Sent.Bytes
 			total.Received.Messages += sample.Received.Messages
--- a/internal/platform/transport/meter_test.go
+++ b/internal/platform/transport/meter_test.go
@@ -9,14 +9,14 @@
 
 // Both transports count a call and its answer at both ends, by kind and place.
 func TestTrafficIsCounted(t *testing.T) {
-	room := transport.NewMemoryNetwork()
+	network := transport.NewMemoryNetwork()
 	makers := map[string]func() (transport.Transport, string){
 		"wire": func() (transport.Transport, string) {
 			address := freeAddress(t)
 			return transport.NewTCP(address), address
 		},
 		"twin": func() (transport.Transport, string) {
-			return room.Transport("server:1"), "server:1"
+			return network.Transport("server:1"), "server:1"
 		},
 	}
 	for name, make := range makers {
@@ -24,7 +24,7 @@
 		_ = server.Serve(func(messages.Kind, []byte) ([]byte, error) { return []byte("four"), nil })
 		client := server
 		if name == "twin" {
-			client = room.Transport("client:1")
+			client = network.Transport("client:1")
 		} else {
 			client = transport.NewTCP("")
 		}
--- a/internal/platform/transport/tell.go
+++ b/internal/platform/transport/notify.go
@@ -35,19 +35,19 @@
 	if err != nil {
 		return err
 	}
-	told := frame{frameType: frameNotification, kind: kind, body: body}
-	return peer.write(current, &told, end, nil)
+	notified := frame{frameType: frameNotification, kind: kind, body: body}
+	return peer.write(current, &notified, end, nil)
 }
 
 // Notify runs the other side's handler; whatever it answers is dropped.
 func (t *Memory) Notify(address string, kind messages.Kind, body []byte) error {
-	handler, silent := t.handlerAt(address)
+	handler, partitioned := t.handlerAt(address)
 	if handler == nil {
 		return ErrUnreachable.New(address)
 	}
 	t.meter.sent(kind, address, len(body))
 	t.network.observe(t.own, address, kind, false, body)
-	if !silent {
+	if !partitioned {
 		t.network.meter(address).received(kind, t.own, len(body))
 		go func() { _, _ = handler(kind, body) }()
 	}
--- a/internal/platform/transport/tell_test.go
+++ b/internal/platform/transport/notify_test.go
@@ -10,14 +10,16 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// toldContract is what every transport keeps for what nobody answers.
-func toldContract(t *testing.T, make func() (transport.Transport, string)) {
+// notifyContract is what every transport keeps for what nobody answers.
+func notifyContract(t *testing.T, make func() (transport.Transport, string)) {
+	t.Helper()
+
 	server, address := make()
 	defer server.Close()
-	heard := newHeard()
+	received := newReceived()
 	err := server.Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
 		if kind == messages.KindGossip {
-			heard <- string(body)
+			received <- string(body)
 		}
 		return []byte("answer"), nil
 	})
@@ -31,7 +33,7 @@
 		t.Fatal(err)
 	}
 	select {
-	case word := <-heard:
+	case word := <-received:
 		if word != "word" {
 			t.Fatal(word)
 		}
@@ -47,21 +49,21 @@
 	}
 }
 
-func newHeard() chan string { return make(chan string, 8) }
+func newReceived() chan string { return make(chan string, 8) }
 
-func TestToldContractWire(t *testing.T) {
-	toldContract(t, func() (transport.Transport, string) {
+func TestNotifyContractTCP(t *testing.T) {
+	notifyContract(t, func() (transport.Transport, string) {
 		address := freeAddress(t)
 		return transport.NewTCP(address), address
 	})
 }
 
-func TestToldContractMemory(t *testing.T) {
-	room, count := transport.NewMemoryNetwork(), 0
-	toldContract(t, func() (transport.Transport, string) {
+func TestNotifyContractMemory(t *testing.T) {
+	network, count := transport.NewMemoryNetwork(), 0
+	notifyContract(t, func() (transport.Transport, string) {
 		count++
 		address := fmt.Sprint("node", count)
-		return room.Transport(address), address
+		return network.Transport(address), address
 	})
 }
 
@@ -69,15 +71,15 @@
 type plain struct{ transport.Transport }
 
 // Over a transport without one-way messages a word is a call like any other.
-func TestToldAsACall(t *testing.T) {
-	room := transport.NewMemoryNetwork()
-	server := room.Transport("a")
-	heard := newHeard()
+func TestNotifyAsACall(t *testing.T) {
+	network := transport.NewMemoryNetwork()
+	server := network.Transport("a")
+	received := newReceived()
 	_ = server.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
-		heard <- "called"
+		received <- "called"
 		return []byte{}, nil
 	})
-	if err := transport.Notify(plain{room.Transport("b")}, "a", messages.KindGossip, &messages.Ack{}); err != nil || len(heard) != 1 {
-		t.Fatal(err, len(heard))
+	if err := transport.Notify(plain{network.Transport("b")}, "a", messages.KindGossip, &messages.Ack{}); err != nil || len(received) != 1 {
+		t.Fatal(err, len(received))
 	}
 }
--- a/internal/platform/transport/peer.go
+++ b/internal/platform/transport/peer.go
@@ -176,7 +176,7 @@
 
 // withdraw ends the wait of a call that gives up, and tells whether nothing at all came
 // on the line since an instant.
-func (l *peerConn) withdraw(number uint64, since clock.Instant) (silent bool) {
+func (l *peerConn) withdraw(number uint64, since clock.Instant) (partitioned bool) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	delete(l.pending, number)
--- a/internal/platform/transport/line_test.go
+++ b/internal/platform/transport/peer_test.go
@@ -85,7 +85,7 @@
 }
 
 // An answer is delivered once, to the call that it names by number and kind.
-func TestAnswersNameTheirCall(t *testing.T) {
+func TestResponsesNameTheirCall(t *testing.T) {
 	call := pendingCall{kind: messages.KindShuffle, response: make(chan frame, 2)}
 	current := &peerConn{pending: map[uint64]pendingCall{7: call}}
 	other := uint64(7) + 1<<incarnationShift
--- a/internal/platform/transport/wire.go
+++ b/internal/platform/transport/tcp.go
@@ -17,12 +17,12 @@
 const userTimeout = 0x12
 
 // Dial opens a connection whose silence under unacknowledged bytes is bounded.
-func Dial(address string, timeout, silence clock.Duration) (net.Conn, error) {
+func Dial(address string, timeout, sinceContact clock.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1}
 	dialer.Control = func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(descriptor uintptr) {
 			// Behind a cut nothing comes back: the kernel gives up for us.
-			_ = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, userTimeout, int(silence.Milliseconds()))
+			_ = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, userTimeout, int(sinceContact.Milliseconds()))
 		})
 	}
 	return dialer.Dial("tcp4", address)
--- a/internal/platform/transport/transport_test.go
+++ b/internal/platform/transport/transport_test.go
@@ -14,8 +14,10 @@
 
 const enough = 5_000_000_000
 
-// contract is what every transport has to keep.
-func contract(t *testing.T, make func() (transport.Transport, string)) {
+// callContract is what every transport has to keep.
+func callContract(t *testing.T, make func() (transport.Transport, string)) {
+	t.Helper()
+
 	t.Run("answers go to their questions", func(t *testing.T) {
 		server, address := make()
 		defer server.Close()
@@ -76,10 +78,10 @@
 		}
 		server, busy := make()
 		defer server.Close()
-		hold := newGate()
-		defer close(hold)
+		wait := newGate()
+		defer close(wait)
 		_ = server.Serve(func(messages.Kind, []byte) ([]byte, error) {
-			<-hold
+			<-wait
 			return []byte{}, nil
 		})
 		// Another caller: the system may hand the first address out again, where the first
@@ -95,18 +97,18 @@
 func newGate() chan struct{} { return make(chan struct{}) }
 
 func TestContractWire(t *testing.T) {
-	contract(t, func() (transport.Transport, string) {
+	callContract(t, func() (transport.Transport, string) {
 		address := freeAddress(t)
 		return transport.NewTCP(address), address
 	})
 }
 
 func TestContractMemory(t *testing.T) {
-	room, count := transport.NewMemoryNetwork(), 0
-	contract(t, func() (transport.Transport, string) {
+	network, count := transport.NewMemoryNetwork(), 0
+	callContract(t, func() (transport.Transport, string) {
 		count++
 		address := fmt.Sprint("node", count)
-		return room.Transport(address), address
+		return network.Transport(address), address
 	})
 }
 
--- a/internal/tooling/explore/explore_test.go
+++ b/internal/tooling/explore/explore_test.go
@@ -49,6 +49,8 @@
 }
 
 func explore(t *testing.T, list []exploration) {
+	t.Helper()
+
 	for _, one := range list {
 		t.Run(one.name, func(t *testing.T) {
 			result := Run(NewFleet(one.plan), Depth(one.depth))
--- a/internal/tooling/explore/leaseworld_test.go
+++ b/internal/tooling/explore/leaseworld_test.go
@@ -34,7 +34,7 @@
 	turn uint64
 	// current is the one round that it waits for.
 	current *round
-	hold    lease.Hold
+	hold    lease.Lease
 	term    messages.Leadership
 	read    messages.Leadership
 }
@@ -212,7 +212,7 @@
 func (l *leaseWorld) restart(rt *rapid.T) {
 	node := &l.nodes[drawNode(rt)]
 	node.begun, node.life, node.turn = l.now, node.life+1, 0
-	node.grants, node.hold, node.current = lease.NewGrantor(0, false), lease.Hold{}, nil
+	node.grants, node.hold, node.current = lease.NewGrantor(0, false), lease.Lease{}, nil
 	node.term, node.read = messages.Leadership{}, messages.Leadership{}
 }
 
--- a/internal/tooling/fleetshell/fleetshell_test.go
+++ b/internal/tooling/fleetshell/fleetshell_test.go
@@ -12,6 +12,8 @@
 )
 
 func fleet(t *testing.T) (*transport.MemoryNetwork, transport.Transport) {
+	t.Helper()
+
 	room := transport.NewMemoryNetwork()
 	for _, name := range []string{"forge/a", "forge/b", "locker/c"} {
 		_ = room.Transport(name + ":1").Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
--- a/internal/tooling/hollowfleet/backlog.go
+++ b/internal/tooling/hollowfleet/backlog.go
@@ -23,7 +23,7 @@
 }
 
 // retryBacklog makes the deliveries that are due.
-func (r *registrations) tendBacklog(node *Node, own *table) {
+func (r *registrations) retryBacklog(node *Node, own *table) {
 	if len(own.backlog.Names()) == 0 {
 		return
 	}
--- a/internal/tooling/hollowfleet/controllers.go
+++ b/internal/tooling/hollowfleet/controllers.go
@@ -14,7 +14,7 @@
 	node.answerers[messages.KindControllerHeartbeat] = reads(node, CoreMembership, func(beat *messages.ControllerHeartbeat) transport.Marshaler {
 		back := r.report(node, own, membership.Key(beat.From))
 		told := node.now()
-		node.after(0, func() { node.step(CoreMembership, func() { r.heardBeat(node, own, beat, told) }) })
+		node.after(0, func() { node.step(CoreMembership, func() { r.handleControllerHeartbeat(node, own, beat, told) }) })
 		return back
 	})
 	node.answerers[messages.KindDirectoryPull] = reads(node, CoreMembership, func(question *messages.DirectoryPullRequest) transport.Marshaler {
@@ -31,9 +31,9 @@
 		since = one.told
 	}
 	view := r.fleet.members.view(node)
-	beat := &messages.ControllerHeartbeat{From: view.Self(), Workers: own.registry.Digest(node.own.Incarnation), SeenWorkers: own.registry.HeartbeatsSince(since),
+	beat := &messages.ControllerHeartbeat{From: view.Self(), Workers: own.registry.Digest(node.own.Incarnation), ContactedWorkers: own.registry.HeartbeatsSince(since),
 		Processes: view.Digest(), Generation: view.Self().Generation}
-	beat.SeenNodes, beat.LaggingNodes = view.ContactedSince(since)
+	beat.ContactedNodes, beat.LaggingNodes = view.ContactedSince(since)
 	return beat
 }
 
@@ -66,14 +66,14 @@
 		back := &messages.ControllerHeartbeat{}
 		node.ask(CoreMembership, address, messages.KindControllerHeartbeat, report, back, constants.CallTimeout, func(reached bool) {
 			if reached {
-				r.heardBeat(node, own, back, now)
+				r.handleControllerHeartbeat(node, own, back, now)
 			}
 		})
 	}
 }
 
 // handleControllerHeartbeat takes another controller's report, and pulls what its tables have beyond ours.
-func (r *registrations) heardBeat(node *Node, own *table, beat *messages.ControllerHeartbeat, told clock.Instant) {
+func (r *registrations) handleControllerHeartbeat(node *Node, own *table, beat *messages.ControllerHeartbeat, told clock.Instant) {
 	members, now, key := r.fleet.members, node.now(), membership.Key(beat.From)
 	members.heard(node, []messages.NodeInfo{beat.From})
 	one := own.peers[key]
@@ -82,7 +82,7 @@
 		own.peers[key] = one
 	}
 	one.told = told
-	own.registry.ConfirmHeartbeats(beat.SeenWorkers, now)
+	own.registry.ConfirmHeartbeats(beat.ContactedWorkers, now)
 	view := members.view(node)
 	view.HandleHeartbeat(beat, now)
 	if since, ask := behind(&one.registrations, beat.Workers, own.registry.Digest(node.own.Incarnation)); ask {
--- a/internal/tooling/hollowfleet/hollowfleet_test.go
+++ b/internal/tooling/hollowfleet/hollowfleet_test.go
@@ -23,6 +23,8 @@
 }
 
 func told(t *testing.T, result *Result) string {
+	t.Helper()
+
 	text, err := json.Marshal(result.Simulated)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/tooling/hollowfleet/keep.go
+++ b/internal/tooling/hollowfleet/keep.go
@@ -18,7 +18,7 @@
 
 // persistAtQuorum has a drain or a departure kept by a majority of the acceptors; done is
 // told then, or never where that fails.
-func (r *registrations) keepAtMajority(node *Node, worker messages.Worker, done func()) {
+func (r *registrations) persistAtQuorum(node *Node, worker messages.Worker, done func()) {
 	sets, answered := r.fleet.contacts.sets(node), map[string]bool{}
 	once := onceOf(done)
 	kept := func(member messages.Member, disk string) {
--- a/internal/tooling/hollowfleet/lots.go
+++ b/internal/tooling/hollowfleet/lots.go
@@ -135,7 +135,7 @@
 }
 
 // submitJob gives the holder a new lot from some edge process.
-func (s *storage) handIn() {
+func (s *storage) submitJob() {
 	edges := s.fleet.live(membership.RoleGateway)
 	if len(edges) == 0 || s.holder == nil || s.holder.down {
 		return
--- a/internal/tooling/hollowfleet/members.go
+++ b/internal/tooling/hollowfleet/members.go
@@ -79,13 +79,13 @@
 			m.neighbour(node, own)
 		}
 	}
-	m.reportToOneOf(node, controllers, false, func(first string) {
+	m.reportToAny(node, controllers, false, func(first string) {
 		if first != "" {
 			after(first)
 			return
 		}
 		seed := m.fleet.seeds[node.random.Intn(len(m.fleet.seeds))]
-		m.reportToOneOf(node, []messages.NodeInfo{{Address: seed}}, false, after)
+		m.reportToAny(node, []messages.NodeInfo{{Address: seed}}, false, after)
 	})
 }
 
@@ -127,7 +127,7 @@
 
 // touched notes direct contact with a process.
 func (m *memberList) touched(node *Node, key string) {
-	m.view(node).MarkContacted(key, node.now())
+	m.view(node).NoteContact(key, node.now())
 }
 
 // all gives every entry, those silent for some time included.
--- a/internal/tooling/hollowfleet/real.go
+++ b/internal/tooling/hollowfleet/real.go
@@ -49,7 +49,8 @@
 	if err != nil {
 		return nil, ErrNotStarted.Wrap(err, "folder")
 	}
-	defer os.RemoveAll(folder)
+	// What can't be removed stays in the folder for temporary files.
+	defer func() { _ = os.RemoveAll(folder) }()
 	fleet := &realFleet{plan: plan, folder: folder, ended: make(chan string, realLimit), client: http.Client{Timeout: clock.Milliseconds(3000)}}
 	defer fleet.end()
 	if err = fleet.start(); err != nil {
--- a/internal/tooling/hollowfleet/register.go
+++ b/internal/tooling/hollowfleet/register.go
@@ -139,7 +139,7 @@
 				}
 			})
 		}
-		try(send.Address, send.Pass)
+		try(send.Address, send.ForwardTo)
 	}
 }
 
--- a/internal/tooling/hollowfleet/second_report.go
+++ b/internal/tooling/hollowfleet/second_report.go
@@ -13,12 +13,12 @@
 func (m *memberList) secondReport(node *Node, own *seat) {
 	var controllers []messages.NodeInfo
 	node.step(CoreMembership, func() { controllers = own.view.SecondControllers(own.first, node.now()) })
-	m.reportToOneOf(node, controllers, true, func(string) {})
+	m.reportToAny(node, controllers, true, func(string) {})
 }
 
-// reportToOneOf reports to the first controller of a list that is in contact with a
+// reportToAny reports to the first controller of a list that is in contact with a
 // majority, and gives its address, or nothing where none is.
-func (m *memberList) reportToOneOf(node *Node, controllers []messages.NodeInfo, brief bool, then func(address string)) {
+func (m *memberList) reportToAny(node *Node, controllers []messages.NodeInfo, brief bool, then func(address string)) {
 	silent := 0
 	var try func(place int)
 	try = func(place int) {
--- a/internal/tooling/hollowfleet/tree.go
+++ b/internal/tooling/hollowfleet/tree.go
@@ -119,7 +119,7 @@
 		node.ask(core, send.Address, messages.KindRelayWait, &messages.RelayWaitRequest{From: update.From, Sequence: update.Sequence}, back, constants.CallTimeout,
 			func(reached bool) { then(back.Missing, reached && back.Known) })
 	case update.Generation > 0:
-		push := &messages.ConfigPush{Generation: update.Generation, Body: update.Body, ForwardTo: send.Pass}
+		push := &messages.ConfigPush{Generation: update.Generation, Body: update.Body, ForwardTo: send.ForwardTo}
 		node.ask(core, send.Address, messages.KindConfigPush, push, &messages.Ack{}, constants.CallTimeout, plain)
 	default:
 		push := &messages.WorkersUpdate{From: membership.Key(node.own), Workers: update.Workers}
--- a/internal/tooling/hollowfleet/troubles.go
+++ b/internal/tooling/hollowfleet/troubles.go
@@ -71,7 +71,7 @@
 		}
 	})
 	t.at(plan.Turns, fleet.registrations.turn)
-	t.at(plan.Lots, fleet.storage.handIn)
+	t.at(plan.Lots, fleet.storage.submitJob)
 	t.at(plan.Failures, func() {
 		machine := t.random.Intn(plan.Nodes)
 		t.lose("machine", func(node *Node) bool { return node.machine == machine }, plan.DownS)
--- a/internal/tooling/hollowfleet/workers.go
+++ b/internal/tooling/hollowfleet/workers.go
@@ -101,7 +101,7 @@
 	r.beginBeats(node, own)
 	r.beginRelays(node, own)
 	r.beginKeep(node, own)
-	node.every(constants.BacklogPeriod, func() { r.tendBacklog(node, own) })
+	node.every(constants.BacklogPeriod, func() { r.retryBacklog(node, own) })
 	return own
 }
 
@@ -200,7 +200,7 @@
 	}
 	if worker.Phase != messages.PhaseSteady {
 		parts++
-		r.keepAtMajority(node, worker, settled)
+		r.persistAtQuorum(node, worker, settled)
 	}
 	r.spread(node, CoreWorkers, &messages.RelayRequest{Workers: []messages.Worker{worker}}, constants.BroadcastTimeout, settled)
 }
--- a/internal/tooling/lab/fleet.go
+++ b/internal/tooling/lab/fleet.go
@@ -189,7 +189,8 @@
 			one.crash()
 		}
 		if f.own {
-			os.RemoveAll(f.Folder)
+			// What can't be removed stays in the folder for temporary files.
+			_ = os.RemoveAll(f.Folder)
 		}
 	})
 }
--- a/internal/tooling/lab/lab_test.go
+++ b/internal/tooling/lab/lab_test.go
@@ -20,6 +20,8 @@
 
 // programs makes a folder of programs out of shell scripts.
 func programs(t *testing.T, script string) string {
+	t.Helper()
+
 	folder := t.TempDir()
 	for _, name := range []string{"gateway", "controller", "store"} {
 		if err := os.WriteFile(filepath.Join(folder, name), []byte("#!/bin/sh\n"+script+"\n"), 0o755); err != nil {
@@ -32,6 +34,8 @@
 // ownNetwork gives addresses that no other run of the tests on this machine has: whoever
 // holds the last one of them has them all, until the test is over.
 func ownNetwork(t *testing.T) string {
+	t.Helper()
+
 	const tries = 1000
 	for number := os.Getpid(); number < os.Getpid()+tries; number++ {
 		network := fmt.Sprintf("127.%d.%d", 1+number/256%250, number%256)
@@ -218,6 +222,8 @@
 }
 
 func mustParse(t *testing.T, body []byte) *routeconfig.Config {
+	t.Helper()
+
 	config, err := routeconfig.Parse(body)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/tooling/lab/process.go
+++ b/internal/tooling/lab/process.go
@@ -66,7 +66,8 @@
 	// ends the others in order.
 	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	err = p.starter.start(command)
-	log.Close()
+	// The process has a descriptor of its own; nothing was written through this one.
+	_ = log.Close()
 	if err != nil {
 		return ErrInvalidLab.Wrap(err, p.node.name)
 	}
--- a/internal/tooling/lab/settings.go
+++ b/internal/tooling/lab/settings.go
@@ -26,7 +26,7 @@
 func (p *Plan) nodeSettings(one node, folder string, first bool) *settings.Settings {
 	nodeSettings := &settings.Settings{NodeName: one.machine, Role: one.role, MachineClass: "edge", Address: one.address, Zone: one.zone, Region: "lab",
 		InternalPorts: []int{constants.LabInternalPort, constants.LabInternalPort + 15}, Bootstrap: first, InQuorum: one.disk,
-		HeartbeatMs: clock.ToMilliseconds(constants.LabBeat), Zones: map[string]string{},
+		HeartbeatMs: clock.ToMilliseconds(constants.LabHeartbeat), Zones: map[string]string{},
 		Limits: settings.Limits{MemoryMB: constants.LabMemoryMB, FileHandles: 4000, DiskMB: constants.LabDiskMB},
 		Tolerances: settings.Tolerances{DrainMs: constants.LabDrainMs, GraceS: constants.LabGrace.Seconds(), ConvergeMs: 2000, AckMs: 4000, SyncS: 5,
 			StatusS: 300, CancelMs: 3000, SettlingMs: 1000, AddressReuseS: 2, QuotaOvershoot: 0.1}}
--- a/internal/tooling/lab/workers.go
+++ b/internal/tooling/lab/workers.go
@@ -75,7 +75,7 @@
 		defer close(served)
 		worker.Serve(listener)
 	}()
-	go p.beater.Keep(until, constants.LabBeat)
+	go p.beater.Keep(until, constants.LabHeartbeat)
 	return nil
 }
 
--- a/internal/tooling/linearize/linearize_test.go
+++ b/internal/tooling/linearize/linearize_test.go
@@ -18,6 +18,8 @@
 
 // play plays one seed's day and checks what the operators saw.
 func play(t *testing.T, seed int64, breaks Breaks) (*Fleet, error) {
+	t.Helper()
+
 	fleet := NewFleet(seed, breaks)
 	if err := fleet.Run(daySpan); err != nil {
 		t.Fatalf("seed %d: %v", seed, err)
--- a/internal/tooling/linearize/lots.go
+++ b/internal/tooling/linearize/lots.go
@@ -22,7 +22,7 @@
 	LotEnd
 )
 
-// JobCallRequest is a client's call for one lot.
+// LotCall is a client's call for one lot.
 type LotCall struct {
 	Kind LotKind
 	Lot  string
--- a/internal/tooling/linearize/register.go
+++ b/internal/tooling/linearize/register.go
@@ -62,7 +62,8 @@
 	}
 	start := strings.LastIndexByte(string(c[:len(c)-1]), '\n') + 1
 	var generation int64
-	fmt.Sscan(string(c[start:]), &generation)
+	// A line that is no number is generation 0.
+	_, _ = fmt.Sscan(string(c[start:]), &generation)
 	return string(c[start:]), generation
 }
 
--- a/internal/tooling/loadgen/check.go
+++ b/internal/tooling/loadgen/check.go
@@ -152,9 +152,9 @@
 		switch {
 		case !known:
 			add("MIXED", "item "+output.ID+" belongs to another lot")
-		case output.Phase == jobclient.Settled && output.Text != wholeText(output.ID, events):
+		case output.Phase == jobclient.PhaseSettled && output.Text != wholeText(output.ID, events):
 			add("MIXED", "the text of item "+output.ID+" is not its whole output")
-		case output.Phase != jobclient.Settled && output.Phase != jobclient.Abandoned:
+		case output.Phase != jobclient.PhaseSettled && output.Phase != jobclient.PhaseAbandoned:
 			add("MIXED", "item "+output.ID+" has the phase "+output.Phase)
 		}
 	}
--- a/internal/tooling/loadgen/check_test.go
+++ b/internal/tooling/loadgen/check_test.go
@@ -121,9 +121,9 @@
 }
 
 func TestPagesOfALot(t *testing.T) {
-	first := jobclient.Output{ID: "i1", Phase: jobclient.Settled, Text: wholeText("i1", 2)}
-	second := jobclient.Output{ID: "i2", Phase: jobclient.Settled, Text: wholeText("i2", 3)}
-	dropped := jobclient.Output{ID: "i2", Phase: jobclient.Abandoned}
+	first := jobclient.Output{ID: "i1", Phase: jobclient.PhaseSettled, Text: wholeText("i1", 2)}
+	second := jobclient.Output{ID: "i2", Phase: jobclient.PhaseSettled, Text: wholeText("i2", 3)}
+	dropped := jobclient.Output{ID: "i2", Phase: jobclient.PhaseAbandoned}
 	type read struct {
 		cursor  int
 		sum     int
@@ -142,7 +142,7 @@
 		"position changed":   {[]read{{0, 2, list(first)}, {0, 2, list(second)}}, "TWICE "},
 		"phase changed":      {[]read{{0, 2, list(first, dropped)}, {1, 2, list(second)}}, "TWICE "},
 		"event missing":      {[]read{{0, 2, list(short)}}, "MIXED "},
-		"another lot's item": {[]read{{0, 2, list(jobclient.Output{ID: "x", Phase: jobclient.Settled})}}, "MIXED "},
+		"another lot's item": {[]read{{0, 2, list(jobclient.Output{ID: "x", Phase: jobclient.PhaseSettled})}}, "MIXED "},
 		"wrong sum":          {[]read{{0, 3, list(first)}}, "MIXED "},
 		"unknown phase":      {[]read{{0, 2, list(jobclient.Output{ID: "i1", Phase: "done", Text: first.Text})}}, "MIXED "},
 	} {
--- a/internal/tooling/loadgen/drive.go
+++ b/internal/tooling/loadgen/drive.go
@@ -95,7 +95,7 @@
 }
 
 func newRun(options Options, card *lab.Card, routes map[string]*routeconfig.Route, prefix string) *run {
-	dialer := &net.Dialer{Timeout: constants.EmulatorBeatWait}
+	dialer := &net.Dialer{Timeout: constants.EmulatorHeartbeatWait}
 	return &run{options: options, card: card, routes: routes, prefix: prefix, result: newResult(card.Label), sent: map[string]*sent{}, pause: clock.Sleep,
 		client: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: constants.LoadOpen, DialContext: dialer.DialContext}}
 }
--- a/internal/tooling/loadgen/lots.go
+++ b/internal/tooling/loadgen/lots.go
@@ -17,7 +17,7 @@
 
 // sendLots sends lots at their rate and follows each.
 func (r *run) sendLots(until contexts.Context, begun clock.Instant) {
-	random := rand.New(rand.NewSource(r.options.Seed + constants.LoadLotSeed))
+	random := rand.New(rand.NewSource(r.options.Seed + constants.LoadJobSeed))
 	var group sync.WaitGroup
 	at := 0.0
 	for number := 0; ; number++ {
@@ -41,9 +41,9 @@
 	group.Wait()
 }
 
-func (r *run) makeLot(number int, random *rand.Rand) (jobclient.Lot, *lotCheck) {
+func (r *run) makeLot(number int, random *rand.Rand) (jobclient.Job, *lotCheck) {
 	check := newLotCheck(r.prefix + "lot" + strconv.Itoa(number))
-	lot, route := jobclient.Lot{}, r.routes["batch"]
+	lot, route := jobclient.Job{}, r.routes["batch"]
 	for place := 0; place < r.options.Items; place++ {
 		prompt := profiles["batch"].prompt(random)
 		item := jobclient.Item{ID: check.id + "-" + strconv.Itoa(place), Path: fmt.Sprintf("%s%d/%d", route.Prefix, number, place),
@@ -57,15 +57,15 @@
 }
 
 // lot hands one lot in, follows it to its end, and reads it once more from the start.
-func (r *run) lot(check *lotCheck, lot jobclient.Lot, node int) {
+func (r *run) lot(check *lotCheck, lot jobclient.Job, node int) {
 	route := r.routes["batch"]
 	edges := append(append([]string(nil), r.card.Ingress[node:]...), r.card.Ingress[:node]...)
 	client := &jobclient.Client{Edges: edges, Host: route.Host}
 	limited, release := contexts.WithTimeout(contexts.Background(), constants.LoadDrain)
 	defer release()
 	begun := clock.Now()
-	handing, halt := contexts.WithTimeout(limited, 2*constants.LotCallTime)
-	_, err := client.HandIn(handing, check.id, route.Prefix+"lot", lot)
+	handing, halt := contexts.WithTimeout(limited, 2*constants.JobCallTimeout)
+	_, err := client.Submit(handing, check.id, route.Prefix+"lot", lot)
 	halt()
 	if err != nil {
 		refused := errs.Is(err, jobclient.ErrRejected)
@@ -92,10 +92,10 @@
 		if err == nil {
 			took := clock.Now().Sub(begun)
 			for _, output := range check.listed[before:] {
-				r.result.item(output.Phase == jobclient.Settled, took, took <= result)
+				r.result.item(output.Phase == jobclient.PhaseSettled, took, took <= result)
 			}
 		}
-		clock.Sleep(constants.LoadPollPause)
+		clock.Sleep(constants.LoadPollBackoff)
 	}
 	if missing := len(lot.Requests) - len(check.listed); missing > 0 {
 		r.result.failItems(missing, "item not listed")
@@ -105,7 +105,7 @@
 
 // readAgain reads a lot from the start: what was read must come again.
 func (r *run) readAgain(client *jobclient.Client, check *lotCheck) {
-	limited, release := contexts.WithTimeout(contexts.Background(), 2*constants.LotCallTime)
+	limited, release := contexts.WithTimeout(contexts.Background(), 2*constants.JobCallTimeout)
 	defer release()
 	for cursor, seen := 0, len(check.listed); cursor < seen; {
 		page, err := client.Read(limited, check.id, cursor, 0)
--- a/internal/tooling/loadgen/options_test.go
+++ b/internal/tooling/loadgen/options_test.go
@@ -12,6 +12,8 @@
 
 // programs makes a folder that looks as if the programs were in it.
 func programs(t *testing.T) string {
+	t.Helper()
+
 	folder := t.TempDir()
 	for _, name := range []string{"gateway", "controller", "store"} {
 		if err := os.WriteFile(filepath.Join(folder, name), nil, 0o755); err != nil {
--- a/internal/tooling/loadgen/plot.go
+++ b/internal/tooling/loadgen/plot.go
@@ -70,6 +70,6 @@
 		return ErrInvalidLoad.New("plot: too little was served")
 	}
 	// Room on the right, so that the legend covers no line.
-	picture.X.Max *= constants.LoadLegendRoom
+	picture.X.Max *= constants.LoadLegendWidth
 	return ErrInvalidLoad.Wrap(picture.Save(18*vg.Centimeter, 12*vg.Centimeter, path), "plot")
 }
--- a/internal/tooling/loadgen/report.go
+++ b/internal/tooling/loadgen/report.go
@@ -28,7 +28,7 @@
 	for _, one := range result.Kinds {
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%.3f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", one.Name, one.Sent, one.InTime, one.Late, one.Failed, one.Worth, one.P50, one.P90, one.P99, one.Max)
 	}
-	table.Flush()
+	_ = table.Flush()
 	writeCounts(writer, "failures", result.Causes)
 	writeCounts(writer, "tried again after", result.Retried)
 	if result.NotSent > 0 {
@@ -89,7 +89,7 @@
 			}
 		}
 	}
-	table.Flush()
+	_ = table.Flush()
 }
 
 func ratio(value, base float64) string {
--- a/internal/tooling/loadgen/send.go
+++ b/internal/tooling/loadgen/send.go
@@ -110,7 +110,7 @@
 
 // refusal reads an answer that is no success.
 func refusal(answer *http.Response) result {
-	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, constants.EmulatorBeatBytes))
+	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, constants.EmulatorHeartbeatBytes))
 	got := result{cause: strconv.Itoa(answer.StatusCode)}
 	switch answer.StatusCode {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -158,7 +158,7 @@
 		return result{cause: "not the answer", final: true, finding: finding}
 	}
 	follower := &follower{attempt: attempt, last: state.lastID, all: workeremulator.Events(order.prompt.out, r.card.Stride)}
-	silence := max(constants.LoadSilence, 4*order.route.Setpoint(), 8*clock.Milliseconds(order.route.GapMs))
+	silence := max(constants.LoadTimeout, 4*order.route.Setpoint(), 8*clock.Milliseconds(order.route.GapMs))
 	var silent atomic.Bool
 	timer := time.AfterFunc(silence, func() { silent.Store(true); halt() })
 	defer timer.Stop()
--- a/internal/tooling/simulation/world.go
+++ b/internal/tooling/simulation/world.go
@@ -1,3 +1,5 @@
+// Package simulation is a seeded world for tests: a clock, a network with cuts, loss, delay and
+// duplication, and disks that lose what was not synced. One seed repeats one history.
 package simulation
 
 import (
--- a/internal/tooling/workeremulator/answer.go
+++ b/internal/tooling/workeremulator/answer.go
@@ -108,7 +108,7 @@
 		ask.Work = max(w.Settings.Work, 1)
 		return ask, true
 	}
-	readable := true
+	var readable bool
 	ask.In, ask.Out, ask.Parts, readable = ParsePrompt(header.Get(headerTokens), header.Get(headerPrefix))
 	// Bounded: what is asked for reserves room for its events.
 	readable = readable && ask.Out <= constants.EmulatorOutLimit
--- a/internal/tooling/workeremulator/beats.go
+++ b/internal/tooling/workeremulator/beats.go
@@ -33,7 +33,7 @@
 // NewBeater makes one.
 func NewBeater(worker *Worker, address string, controls []string) *Beater {
 	beater := &Beater{Worker: worker, Address: address, Controls: controls}
-	beater.client = http.Client{Timeout: constants.EmulatorBeatWait, CheckRedirect: func(_ *http.Request, via []*http.Request) error {
+	beater.client = http.Client{Timeout: constants.EmulatorHeartbeatWait, CheckRedirect: func(_ *http.Request, via []*http.Request) error {
 		if len(via) > constants.EmulatorRedirects {
 			return ErrNotAcknowledged.New("redirected too often")
 		}
@@ -115,11 +115,11 @@
 		return "", ErrNotAcknowledged.Wrap(err, "call")
 	}
 	defer answer.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(answer.Body, constants.EmulatorBeatBytes+1))
+	body, err := io.ReadAll(io.LimitReader(answer.Body, constants.EmulatorHeartbeatBytes+1))
 	if err != nil {
 		return "", ErrNotAcknowledged.Wrap(err, "answer")
 	}
-	if answer.StatusCode < 200 || answer.StatusCode > 299 || len(body) > constants.EmulatorBeatBytes {
+	if answer.StatusCode < 200 || answer.StatusCode > 299 || len(body) > constants.EmulatorHeartbeatBytes {
 		return "", ErrNotAcknowledged.New(answer.Status)
 	}
 	var told struct {
--- a/internal/tooling/workeremulator/calledoff_test.go
+++ b/internal/tooling/workeremulator/calledoff_test.go
@@ -1,6 +1,7 @@
 package workeremulator
 
 import (
+	"errors"
 	"net"
 	"os"
 	"testing"
@@ -34,10 +35,10 @@
 	worker.SetFaults(Faults{ForgetMs: 500})
 	one := &connection{Conn: &calledOff{}, listener: newLimitedListener(nil, worker), active: clockValue.Now()}
 	clockValue.After(time.Second, func() {})
-	if count, err := one.Read(make([]byte, 1)); count != 0 || err != os.ErrDeadlineExceeded {
+	if count, err := one.Read(make([]byte, 1)); count != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatal(count, err)
 	}
-	if count, err := one.Read(make([]byte, 1)); count != 0 || err != net.ErrClosed {
+	if count, err := one.Read(make([]byte, 1)); count != 0 || !errors.Is(err, net.ErrClosed) {
 		t.Fatal("a forgotten connection was read from", count, err)
 	}
 }
--- a/internal/tooling/workeremulator/rim.go
+++ b/internal/tooling/workeremulator/rim.go
@@ -182,5 +182,5 @@
 	if socket, is := c.Conn.(*net.TCPConn); is {
 		_ = socket.SetLinger(0)
 	}
-	c.Close()
+	_ = c.Close()
 }
--- a/internal/tooling/workeremulator/sender_test.go
+++ b/internal/tooling/workeremulator/sender_test.go
@@ -27,6 +27,8 @@
 
 // edge puts the real data plane in front of emulated workers; the first is preferred.
 func edge(t *testing.T, addresses ...string) string {
+	t.Helper()
+
 	scheduler := admission.New(messages.NodeInfo{Name: "n", Role: membership.RoleGateway, Zone: "h"}, time.Second)
 	sender := proxy.Sender{Scheduler: scheduler, Pool: workerconn.NewPool(), Budget: func(messages.Worker) int { return 20 }}
 	plane := proxy.New(sender, nil, hclog.NewNullLogger())
@@ -46,6 +48,8 @@
 }
 
 func through(t *testing.T, address, path string) (*http.Response, string, error) {
+	t.Helper()
+
 	request, _ := http.NewRequest(http.MethodPost, "http://"+address+path, strings.NewReader("body"))
 	request.Host = "h"
 	for name, value := range map[string]string{headerAttempt: "one", headerTokens: "20,32", headerPrefix: "a:10", headerModel: "m", headerTimeLeft: "3000"} {
--- a/internal/traffic/admission/admission.go
+++ b/internal/traffic/admission/admission.go
@@ -172,11 +172,11 @@
 		}
 	}
 	if resume == nil {
-		return Answer{Verdict: VerdictNoRoom, Retry: s.retryAfter(ask, now)}, Handle{}
+		return Answer{Verdict: VerdictNoRoom, Retry: s.retryAfter(ask)}, Handle{}
 	}
-	if wait, known := s.expectedWait(ask, now); known && now.Add(wait) > ask.Patience {
+	if wait, known := s.expectedWait(ask); known && now.Add(wait) > ask.Patience {
 		// It can't be served in its time: said at once, not after a wait.
-		return Answer{Verdict: VerdictNoRoom, Retry: s.retryAfter(ask, now)}, Handle{}
+		return Answer{Verdict: VerdictNoRoom, Retry: s.retryAfter(ask)}, Handle{}
 	}
 	one := &waiter{ask: ask, resume: resume}
 	one.handle = s.slab.Put(one)
--- a/internal/traffic/admission/admission_test.go
+++ b/internal/traffic/admission/admission_test.go
@@ -11,6 +11,8 @@
 )
 
 func scheduler(t *testing.T, capacity int, workerList ...string) *Scheduler {
+	t.Helper()
+
 	one := New(messages.NodeInfo{Name: "n", Role: membership.RoleGateway, Zone: "h"}, 1_200_000_000)
 	config, err := routeconfig.Parse([]byte(`{"generation":1,"backends":[{"name":"s"}]}`))
 	if err != nil {
@@ -49,7 +51,7 @@
 func TestQueuesByRank(t *testing.T) {
 	one := scheduler(t, 1, "w")
 	var grants []*Grant
-	for count := 0; count < 1+constants.RoomAhead; count++ {
+	for count := 0; count < 1+constants.QueueAheadMax; count++ {
 		answer, _ := one.Admit(ask(0), nil, 2)
 		if answer.Verdict != VerdictGranted {
 			t.Fatal(answer.Verdict)
@@ -90,7 +92,7 @@
 func TestWithdrawnIsNeverResumed(t *testing.T) {
 	one := scheduler(t, 1, "w")
 	var grants []*Grant
-	for count := 0; count < 1+constants.RoomAhead; count++ {
+	for count := 0; count < 1+constants.QueueAheadMax; count++ {
 		answer, _ := one.Admit(ask(0), nil, 2)
 		grants = append(grants, answer.Grant)
 	}
--- a/internal/traffic/admission/displace_test.go
+++ b/internal/traffic/admission/displace_test.go
@@ -11,6 +11,8 @@
 
 // fill takes places for work that may be displaced and counts who yields.
 func fill(t *testing.T, scheduler *Scheduler, count, priority int, bulk bool, yielded *[]int) []*Grant {
+	t.Helper()
+
 	var grants []*Grant
 	for place := 0; place < count; place++ {
 		answer, _ := scheduler.Admit(&Ask{Service: "s", Bulk: bulk, Priority: priority, Setpoint: 1}, nil, clock.Instant(10+place))
@@ -29,7 +31,7 @@
 	scheduler := scheduler(t, 20, "w")
 	var yielded []int
 	items := fill(t, scheduler, int(constants.BatchCapacityShare*20), 2, true, &yielded)
-	for count := 0; count < 20+constants.RoomAhead-len(items); count++ {
+	for count := 0; count < 20+constants.QueueAheadMax-len(items); count++ {
 		if answer, _ := scheduler.Admit(ask(0), nil, 100); answer.Verdict != VerdictGranted {
 			t.Fatal("no room for live requests beside the items")
 		}
@@ -57,7 +59,7 @@
 func TestEqualAndHigherRanksAreNeverDisplaced(t *testing.T) {
 	scheduler := scheduler(t, 4, "w")
 	var yielded []int
-	fill(t, scheduler, 4+constants.RoomAhead, 1, false, &yielded)
+	fill(t, scheduler, 4+constants.QueueAheadMax, 1, false, &yielded)
 	scheduler.Admit(ask(1), func(Answer) {}, 100)
 	scheduler.Admit(ask(2), func(Answer) {}, 100)
 	if len(yielded) != 0 {
@@ -74,7 +76,7 @@
 	scheduler := scheduler(t, 8, "w")
 	var items, streams []int
 	fill(t, scheduler, 6, 1, true, &items)
-	fill(t, scheduler, 2+constants.RoomAhead, 3, false, &streams)
+	fill(t, scheduler, 2+constants.QueueAheadMax, 3, false, &streams)
 	scheduler.Admit(ask(0), func(Answer) {}, 100)
 	if len(items) != 1 || len(streams) != 0 {
 		t.Fatal(items, streams)
--- a/internal/traffic/admission/gossip.go
+++ b/internal/traffic/admission/gossip.go
@@ -67,7 +67,7 @@
 			// They have heard this very observation from us.
 			continue
 		}
-		if word.Health == messages.HealthUnknown && word.AgeMs > constants.GossipWorth.Milliseconds() {
+		if word.Health == messages.HealthUnknown && word.AgeMs > constants.GossipMinChange.Milliseconds() {
 			continue
 		}
 		wait := now.Sub(last.at)
--- a/internal/traffic/admission/gossip_test.go
+++ b/internal/traffic/admission/gossip_test.go
@@ -79,8 +79,8 @@
 			break
 		}
 	}
-	if granted != constants.RoomAhead {
-		t.Fatalf("%d placed on a worker that had its four, want %d", granted, constants.RoomAhead)
+	if granted != constants.QueueAheadMax {
+		t.Fatalf("%d placed on a worker that had its four, want %d", granted, constants.QueueAheadMax)
 	}
 	// A later observation holds them already.
 	one.Heard(&messages.Gossip{From: "forge/x", Loads: load("w", 4, 0)}, second(11))
--- a/internal/traffic/admission/health.go
+++ b/internal/traffic/admission/health.go
@@ -41,7 +41,7 @@
 		case result == ResultSilent && grant.doubt == doubtSure:
 			// Noted while it lasted.
 			return
-		case result == ResultSilent && grant.silence > 0 && grant.silence < constants.SureSilence:
+		case result == ResultSilent && grant.silence > 0 && grant.silence < constants.SureTimeout:
 			trouble = health.TroubleSlow
 		}
 		s.troubled(worker, trouble, now)
--- a/internal/traffic/admission/place.go
+++ b/internal/traffic/admission/place.go
@@ -115,7 +115,7 @@
 // room is how many requests a worker may have for this ask to be placed there.
 func (s *Scheduler) room(ask *Ask, worker messages.Worker, now clock.Instant) int {
 	if !ask.Bulk {
-		return worker.Capacity + constants.RoomAhead
+		return worker.Capacity + constants.QueueAheadMax
 	}
 	if s.pressed(ask.Service, ask.Priority, now) && s.bulkRunning(ask.Service) >= s.floor(ask.Service) {
 		// Live requests wait somewhere: items take no new places.
--- a/internal/traffic/admission/pump.go
+++ b/internal/traffic/admission/pump.go
@@ -76,7 +76,7 @@
 				continue
 			}
 			if answer.Verdict == VerdictNoRoom {
-				answer.Retry = s.retryAfter(one.ask, now)
+				answer.Retry = s.retryAfter(one.ask)
 			}
 			s.slab.Take(handle)
 			resumed = append(resumed, resumption{one, answer})
--- a/internal/traffic/admission/pump_test.go
+++ b/internal/traffic/admission/pump_test.go
@@ -16,7 +16,7 @@
 		one.KeepPumping(stop)
 		close(over)
 	}()
-	for count := 0; count < 1+constants.RoomAhead; count++ {
+	for count := 0; count < 1+constants.QueueAheadMax; count++ {
 		if answer, _ := one.Admit(ask(0), nil, clock.Now()); answer.Verdict != VerdictGranted {
 			t.Fatal(answer.Verdict)
 		}
--- a/internal/traffic/admission/reach.go
+++ b/internal/traffic/admission/reach.go
@@ -33,7 +33,7 @@
 // reach gives the workers that are weighed for an ask, and whether there are more.
 // The lock is held.
 func (s *Scheduler) reach(ask *Ask, all []messages.Worker, now clock.Instant) (some []messages.Worker, more bool) {
-	if ask.Bulk || len(all) <= constants.ReachWhole {
+	if ask.Bulk || len(all) <= constants.ReachAllUpTo {
 		// Items are placed by few processes, each of which needs the room of all.
 		return all, false
 	}
@@ -108,7 +108,7 @@
 		return nil, false
 	}
 	all := s.Registry.ByService(known.Backend)
-	if len(all) <= constants.ReachWhole {
+	if len(all) <= constants.ReachAllUpTo {
 		return nil, false
 	}
 	for _, node := range nodes {
--- a/internal/traffic/admission/reach_test.go
+++ b/internal/traffic/admission/reach_test.go
@@ -22,21 +22,21 @@
 	one.Merge(list, 1)
 }
 
-func node(name, zone string, capacity int) *Scheduler {
+func node(name, zone string) *Scheduler {
 	one := New(messages.NodeInfo{Name: name, Role: membership.RoleGateway, Zone: zone}, 1_200_000_000)
 	config, err := routeconfig.Parse([]byte(`{"generation":2,"backends":[{"name":"s","engine":{"capacity":4,"cache-tokens":200000}}]}`))
 	if err != nil {
 		panic(err)
 	}
 	one.SetConfig(config)
-	manyWorkers(one, capacity)
+	manyWorkers(one, 4)
 	return one
 }
 
 // What has no warm prefix goes to a few workers of the own zone, and to others only
 // once these are full.
 func TestShortPromptsStayInTheSubset(t *testing.T) {
-	one := node("n", "h1", 4)
+	one := node("n", "h1")
 	used := map[string]int{}
 	for count := 0; count < 4*constants.ReachSubset; count++ {
 		answer, _ := one.Admit(ask(0), nil, second(2)+clock.Instant(count))
@@ -59,7 +59,7 @@
 	drawn := map[string]int{}
 	const nodes = 72
 	for place := 0; place < nodes; place++ {
-		one := node(fmt.Sprint("edge-", place), fmt.Sprint("h", place%4), 4)
+		one := node(fmt.Sprint("edge-", place), fmt.Sprint("h", place%4))
 		for _, worker := range one.subset("s", one.Registry.ByService("s"), second(2)) {
 			drawn[worker.ID]++
 		}
@@ -81,7 +81,7 @@
 	}
 	home := ""
 	for place := 0; place < 12; place++ {
-		answer, _ := node(fmt.Sprint("edge-", place), fmt.Sprint("h", place%4), 4).Admit(long(), nil, second(2))
+		answer, _ := node(fmt.Sprint("edge-", place), fmt.Sprint("h", place%4)).Admit(long(), nil, second(2))
 		if home == "" {
 			home = answer.Grant.Worker.ID
 		}
@@ -90,7 +90,7 @@
 		}
 	}
 	// Where a peer's word says that it is held, it goes there rather than home.
-	one := node("edge-0", "h0", 4)
+	one := node("edge-0", "h0")
 	other := "i-0033"
 	word := messages.AppendPrefix(nil, messages.Residency{Path: []byte{0, 0, 0, 0, 0, 0, 0, 77}, Tokens: 18_000, Worker: other, Probability: 1})
 	one.Heard(&messages.Gossip{From: "forge/x", Prefixes: word}, second(2))
@@ -113,7 +113,7 @@
 	for place := 0; place < 20; place++ {
 		name := fmt.Sprint("edge-", place)
 		nodes = append(nodes, messages.NodeInfo{Name: name, Role: membership.RoleGateway, Zone: "h1"})
-		benches[name] = node(name, "h1", 4)
+		benches[name] = node(name, "h1")
 	}
 	one := benches["edge-0"]
 	drawn, part := one.DrawnBy("i-0001", nodes)
--- a/internal/traffic/admission/silence.go
+++ b/internal/traffic/admission/silence.go
@@ -31,11 +31,11 @@
 	scheduler.lock.Lock()
 	defer scheduler.lock.Unlock()
 	aim := g.ask.Setpoint
-	most := constants.SilentWorker
+	most := constants.StreamTimeout
 	if !g.engine {
-		most = max(constants.SilentPlain*aim, constants.SilentPlainLeast)
+		most = max(constants.PlainTimeoutFactor*aim, constants.PlainTimeoutMin)
 	}
-	least := min(clock.Duration(constants.SilenceShare*float64(aim)), most)
+	least := min(clock.Duration(constants.HedgeShare*float64(aim)), most)
 	return g.reading + scheduler.pace(g.Worker.Backend).first.Beyond(least, most)
 }
 
@@ -45,11 +45,11 @@
 	scheduler := g.scheduler
 	scheduler.lock.Lock()
 	defer scheduler.lock.Unlock()
-	least := clock.Duration(constants.SilenceShare * float64(longest))
+	least := clock.Duration(constants.HedgeShare * float64(longest))
 	if longest <= 0 {
-		least = constants.SilentWorker
+		least = constants.StreamTimeout
 	}
-	return scheduler.pace(g.Worker.Backend).pause.Beyond(min(least, constants.SilentWorker), constants.SilentWorker)
+	return scheduler.pace(g.Worker.Backend).pause.Beyond(min(least, constants.StreamTimeout), constants.StreamTimeout)
 }
 
 // Paused notes the longest pause of a stream that came whole.
@@ -83,10 +83,10 @@
 	scheduler.lock.Lock()
 	defer scheduler.lock.Unlock()
 	switch {
-	case silence >= constants.SureSilence && g.doubt < doubtSure:
+	case silence >= constants.SureTimeout && g.doubt < doubtSure:
 		g.doubt = doubtSure
 		scheduler.troubled(g.Worker, health.TroubleSilent, now)
-	case silence < constants.SureSilence && g.doubt < doubtSome:
+	case silence < constants.SureTimeout && g.doubt < doubtSome:
 		g.doubt = doubtSome
 		scheduler.troubled(g.Worker, health.TroubleSlow, now)
 	}
--- a/internal/traffic/admission/stale_test.go
+++ b/internal/traffic/admission/stale_test.go
@@ -94,7 +94,7 @@
 
 // At an engine nobody looks: its batch stays full until something yields.
 func TestFullEngineIsNotLookedAt(t *testing.T) {
-	one := node("n", "h1", 4)
+	one := node("n", "h1")
 	for place := 0; place < 60; place++ {
 		one.Heard(&messages.Gossip{From: "forge/x", Loads: load(fmt.Sprintf("i-%04d", place), 50, 0)}, second(10))
 	}
--- a/internal/traffic/admission/wait.go
+++ b/internal/traffic/admission/wait.go
@@ -6,15 +6,15 @@
 )
 
 // retryAfter tells when room is expected.
-func (s *Scheduler) retryAfter(ask *Ask, now clock.Instant) clock.Duration {
-	wait, known := s.expectedWait(ask, now)
+func (s *Scheduler) retryAfter(ask *Ask) clock.Duration {
+	wait, known := s.expectedWait(ask)
 	if !known {
 		wait = ask.Setpoint
 	}
 	return min(max(wait, 50*1_000_000), constants.GossipPeriod)
 }
 
-func (s *Scheduler) expectedWait(ask *Ask, now clock.Instant) (clock.Duration, bool) {
+func (s *Scheduler) expectedWait(ask *Ask) (clock.Duration, bool) {
 	pace := s.rates[ask.Service]
 	if pace == nil || pace.perS <= 0 {
 		return 0, false
--- a/internal/traffic/gateway/connections_test.go
+++ b/internal/traffic/gateway/connections_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -109,7 +110,7 @@
 	if _, err := taken.Read(make([]byte, 4)); err != nil {
 		t.Fatal(err)
 	}
-	if count, err := late.Read(make([]byte, 4)); count != 0 || err != net.ErrClosed || !lateRaw.closed {
+	if count, err := late.Read(make([]byte, 4)); count != 0 || !errors.Is(err, net.ErrClosed) || !lateRaw.closed {
 		t.Error("a request was taken from a connection that had ended", count, err)
 	}
 	if owner.end() || takenRaw.closed {
--- a/internal/traffic/gateway/gate.go
+++ b/internal/traffic/gateway/gate.go
@@ -168,7 +168,7 @@
 
 // relayed answers a call that another gateway could not pass on itself.
 func (g *gate) relayed(call *messages.JobCallRequest) (*messages.JobCallResponse, error) {
-	if !g.once.FirstSeen(call.RequestID, g.now()) {
+	if !g.once.First(call.RequestID, g.now()) {
 		// The first copy is answered, or will be; a second might end otherwise.
 		return unknownResult(), nil
 	}
--- a/internal/traffic/gateway/gateway.go
+++ b/internal/traffic/gateway/gateway.go
@@ -2,6 +2,7 @@
 package gateway
 
 import (
+	"errors"
 	"net"
 	"net/http"
 	"sync/atomic"
@@ -73,7 +74,7 @@
 		clock.Sleep(constants.PumpPeriod)
 	}
 	err = g.serve(listener)
-	if err == http.ErrServerClosed || g.Proxy.Leaving.Load() {
+	if errors.Is(err, http.ErrServerClosed) || g.Proxy.Leaving.Load() {
 		return nil
 	}
 	return process.ErrUnavailable.Wrap(err, "ingress")
--- a/internal/traffic/gateway/lotcall_test.go
+++ b/internal/traffic/gateway/lotcall_test.go
@@ -26,6 +26,8 @@
 }
 
 func newHolder(t *testing.T) *holder {
+	t.Helper()
+
 	one := &holder{wire: transport.NewTCP("127.0.0.1:0"), taken: map[string]int{}}
 	err := one.wire.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
 		call := &messages.JobCallRequest{}
@@ -71,6 +73,8 @@
 }
 
 func playLotCalls(t *testing.T, struck faultrelay.Strike) {
+	t.Helper()
+
 	store := newHolder(t)
 	defer store.wire.Close()
 	relay, err := faultrelay.New(store.wire.Address())
--- a/internal/traffic/gateway/promise_test.go
+++ b/internal/traffic/gateway/promise_test.go
@@ -47,7 +47,7 @@
 	_ = transport.Decode(body, call)
 	one, answer := r.stores[address], &messages.JobCallResponse{}
 	switch {
-	case !one.once.FirstSeen(call.RequestID, r.now):
+	case !one.once.First(call.RequestID, r.now):
 		answer.Status = 504
 	case !one.holds:
 		answer.NotLeader = true
--- a/internal/traffic/health/apart.go
+++ b/internal/traffic/health/apart.go
@@ -80,7 +80,7 @@
 		if trust == nil {
 			continue
 		}
-		if trust.Held(now) || (trust.Trial(now) && !(repeatable && idle(worker))) {
+		if trust.Held(now) || (trust.Trial(now) && (!repeatable || !idle(worker))) {
 			held = append(held, one{worker, trust.Rate(0, now)})
 		}
 	}
--- a/internal/traffic/health/health.go
+++ b/internal/traffic/health/health.go
@@ -155,7 +155,7 @@
 	return h.suspected(now)
 }
 
-// MeanRunMs is the usual time of an answer.
+// TookMs is the usual time of an answer.
 func (h *Health) TookMs() float64 { return h.tookMs }
 
 // Counts gives answers and failures, for the shell.
@@ -165,5 +165,5 @@
 func (h *Health) Full(capacity int, now clock.Instant) {
 	// Our own finding, for a moment: it may be our connections that are spent, so
 	// peers are not told.
-	h.full = observation{known: true, count: capacity + constants.RoomAhead, at: now, own: h.Own()}
+	h.full = observation{known: true, count: capacity + constants.QueueAheadMax, at: now, own: h.Own()}
 }
--- a/internal/traffic/health/pace.go
+++ b/internal/traffic/health/pace.go
@@ -16,9 +16,9 @@
 // Learn takes a time in ms.
 func (p *Pace) Learn(milliseconds float64) {
 	p.count++
-	p.budget = min(p.budget+constants.SilenceEarned, constants.SilenceBudget)
+	p.budget = min(p.budget+constants.HedgeEarned, constants.HedgeBudget)
 	if p.count == 1 {
-		p.mean, p.deviation, p.budget = milliseconds, milliseconds/2, constants.SilenceBudget/2
+		p.mean, p.deviation, p.budget = milliseconds, milliseconds/2, constants.HedgeBudget/2
 		return
 	}
 	away := milliseconds - p.mean
--- a/internal/traffic/health/peers.go
+++ b/internal/traffic/health/peers.go
@@ -31,12 +31,11 @@
 }
 
 // observe takes a count as of a moment, unless a younger one is known.
-func (h *Health) observe(count int, at clock.Instant) bool {
+func (h *Health) observe(count int, at clock.Instant) {
 	if h.seen.known && at < h.seen.at {
-		return false
+		return
 	}
 	h.seen = observation{known: true, count: count, at: at, own: h.ownAt(at)}
-	return true
 }
 
 // step remembers a change of our own count.
--- a/internal/traffic/health/trust.go
+++ b/internal/traffic/health/trust.go
@@ -37,7 +37,7 @@
 // what a busy worker that is well does.
 func (t Trouble) weight() float64 {
 	if t == TroubleShed || t == TroubleSlow {
-		return constants.MildTrouble
+		return constants.MildFaultWeight
 	}
 	return 1
 }
@@ -88,33 +88,33 @@
 	return trust
 }
 
-// fade lets old outcomes count less: a half each TrustHalf.
+// fade lets old outcomes count less: a half each HealthHalfLife.
 func (t *Trust) fade(now clock.Instant) {
 	span := now.Sub(t.at)
 	t.at = now
-	if span >= 8*constants.TrustHalf {
+	if span >= 8*constants.HealthHalfLife {
 		t.good, t.bad = 0, 0
 		return
 	}
-	for ; span >= constants.TrustHalf; span -= constants.TrustHalf {
+	for ; span >= constants.HealthHalfLife; span -= constants.HealthHalfLife {
 		t.good, t.bad = t.good/2, t.bad/2
 	}
 	// Linear within one half is near enough and needs no powers.
-	part := 1 - float64(span)/float64(2*constants.TrustHalf)
+	part := 1 - float64(span)/float64(2*constants.HealthHalfLife)
 	t.good, t.bad = t.good*part, t.bad*part
 }
 
 // Rate is the rate of failure in [0, 1]; a few outcomes are drawn to what is usual.
 func (t *Trust) Rate(usual float64, now clock.Instant) float64 {
 	t.fade(now)
-	return (t.bad + constants.TrustPrior*usual) / (t.good + t.bad + constants.TrustPrior)
+	return (t.bad + constants.HealthPrior*usual) / (t.good + t.bad + constants.HealthPrior)
 }
 
 // Proven tells that our own outcomes lately speak for the worker: then hearsay does
 // not count, since an illness may hold for some callers only.
 func (t *Trust) Proven(now clock.Instant) bool {
 	t.fade(now)
-	return t.good >= constants.TrustProven && t.bad < t.good*constants.EjectRate
+	return t.good >= constants.HealthProven && t.bad < t.good*constants.EjectRate
 }
 
 // Counts gives the failures by kind, in the order of Kinds.
--- a/internal/traffic/health/trust_test.go
+++ b/internal/traffic/health/trust_test.go
@@ -184,7 +184,7 @@
 	if !trust.Proven(second + 1) {
 		t.Fatal("two whole answers prove nothing")
 	}
-	if trust.Proven(second.Add(8 * constants.TrustHalf)) {
+	if trust.Proven(second.Add(8 * constants.HealthHalfLife)) {
 		t.Fatal("old answers still prove")
 	}
 	tracker.Troubled("w00", "s", TroubleReset, second+2)
--- a/internal/traffic/loadgossip/budget.go
+++ b/internal/traffic/loadgossip/budget.go
@@ -29,6 +29,6 @@
 		// Few processes run items, and each has many at a worker.
 		part = constants.ConnectionPartItems
 	}
-	need := capacity + constants.RoomAhead + constants.LeastConnections
+	need := capacity + constants.QueueAheadMax + constants.LeastConnections
 	return max(min(need, int(part*float64(limit))), constants.LeastConnections)
 }
--- a/internal/traffic/loadgossip/budget_test.go
+++ b/internal/traffic/loadgossip/budget_test.go
@@ -15,9 +15,9 @@
 		role            string
 		want            int
 	}{
-		{16, 520, membership.RoleGateway, 16 + constants.RoomAhead + constants.LeastConnections},
+		{16, 520, membership.RoleGateway, 16 + constants.QueueAheadMax + constants.LeastConnections},
 		{48, 320, membership.RoleGateway, 40},
-		{48, 320, membership.RoleStore, 48 + constants.RoomAhead + constants.LeastConnections},
+		{48, 320, membership.RoleStore, 48 + constants.QueueAheadMax + constants.LeastConnections},
 		{24, 220, membership.RoleGateway, 27},
 		{24, 10, membership.RoleGateway, constants.LeastConnections},
 	} {
--- a/internal/traffic/loadgossip/pressure_test.go
+++ b/internal/traffic/loadgossip/pressure_test.go
@@ -16,7 +16,9 @@
 
 // standing makes placing parts of several processes that know each other, over the
 // transport in memory.
-func standing(t *testing.T, roles ...string) (*transport.MemoryNetwork, []*Gossip) {
+func standing(t *testing.T, roles ...string) []*Gossip {
+	t.Helper()
+
 	room := transport.NewMemoryNetwork()
 	var joined []*Gossip
 	for place, role := range roles {
@@ -37,7 +39,7 @@
 		one.Scheduler.Merge([]messages.Worker{{ID: "w", Backend: "s", Zone: "h", Capacity: 1, CallCount: 1}}, clock.Now())
 		one.lookAround()
 	}
-	return room, joined
+	return joined
 }
 
 // Pressure of one gateway reaches stores that run items, those that it does not tell
@@ -48,7 +50,7 @@
 	for place := 0; place < stores; place++ {
 		roles = append(roles, membership.RoleStore)
 	}
-	_, joined := standing(t, roles...)
+	joined := standing(t, roles...)
 	type word struct {
 		name   string
 		second bool
@@ -90,7 +92,7 @@
 
 // A gossip packet reaches the neighbours one way and counts there.
 func TestGossipReachesNeighbours(t *testing.T) {
-	_, joined := standing(t, membership.RoleGateway, membership.RoleGateway, membership.RoleStore)
+	joined := standing(t, membership.RoleGateway, membership.RoleGateway, membership.RoleStore)
 	heard := make(chan bool, 8)
 	for _, one := range joined[1:] {
 		_ = one.Node.Transport.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
--- a/internal/traffic/loadgossip/words.go
+++ b/internal/traffic/loadgossip/words.go
@@ -48,7 +48,7 @@
 	g.lock.Lock()
 	g.ties.heard(packet, now)
 	g.lock.Unlock()
-	g.Node.MarkContacted(packet.From)
+	g.Node.NoteContact(packet.From)
 	g.Node.ObserveGeneration(packet.Generation)
 	return &messages.Ack{Accepted: true}, nil
 }
--- a/internal/traffic/loadgossip/workers.go
+++ b/internal/traffic/loadgossip/workers.go
@@ -77,6 +77,6 @@
 
 func (g *Gossip) rosterPushed(push *messages.WorkersUpdate) (*messages.Ack, error) {
 	g.Scheduler.Merge(push.Workers, clock.Now())
-	g.Node.MarkContacted(push.From)
+	g.Node.NoteContact(push.From)
 	return &messages.Ack{Accepted: true}, nil
 }
--- a/internal/traffic/prefixindex/prefixindex_test.go
+++ b/internal/traffic/prefixindex/prefixindex_test.go
@@ -15,13 +15,13 @@
 	"lemonarch/internal/platform/messages"
 )
 
-func prompt(shared, own string, tokens int) *Prompt {
-	one := ParsePrompt("m", fmt.Sprintf("%d,80", tokens+200), fmt.Sprintf("%s:%d,%s:200", shared, tokens, own))
+func prompt(own string, tokens int) *Prompt {
+	one := ParsePrompt("m", fmt.Sprintf("%d,80", tokens+200), fmt.Sprintf("aa:%d,%s:200", tokens, own))
 	return &one
 }
 
-func pair(waitFirst, waitSecond float64) []Candidate {
-	return []Candidate{{Worker: "first", WaitMs: waitFirst}, {Worker: "second", WaitMs: waitSecond}}
+func pair(waitFirst float64) []Candidate {
+	return []Candidate{{Worker: "first", WaitMs: waitFirst}, {Worker: "second"}}
 }
 
 // The tree against a map: every key that was put in is found on the walk of any
@@ -97,13 +97,13 @@
 	index := NewIndex()
 	index.SetCache("first", 100_000)
 	index.SetCache("second", 100_000)
-	asked := prompt("aa", "x1", 12_000)
+	asked := prompt("x1", 12_000)
 	index.Placed(asked, "first", 0)
-	if choice := index.Choose(prompt("aa", "x2", 12_000), pair(20, 0), 1); choice.Place != 0 || choice.Downgraded {
+	if choice := index.Choose(prompt("x2", 12_000), pair(20), 1); choice.Place != 0 || choice.Downgraded {
 		t.Fatalf("a warm prefix was not followed: %+v", choice)
 	}
 	index.Turned("first", 95_000)
-	choice := index.Choose(prompt("aa", "x3", 12_000), pair(60, 0), 2)
+	choice := index.Choose(prompt("x3", 12_000), pair(60), 2)
 	if choice.Place != 1 || !choice.Downgraded || index.Downgrades != 1 {
 		t.Fatalf("a prefix that must be gone was followed: %+v", choice)
 	}
@@ -113,9 +113,9 @@
 func TestNoDowngradeWhileResident(t *testing.T) {
 	index := NewIndex()
 	index.SetCache("first", 100_000)
-	index.Placed(prompt("aa", "x1", 12_000), "first", 0)
+	index.Placed(prompt("x1", 12_000), "first", 0)
 	index.Turned("first", 30_000)
-	choice := index.Choose(prompt("aa", "x2", 12_000), pair(60, 0), 1)
+	choice := index.Choose(prompt("x2", 12_000), pair(60), 1)
 	if choice.Place != 0 || choice.Downgraded || index.Downgrades != 0 {
 		t.Fatalf("%+v", choice)
 	}
@@ -123,17 +123,17 @@
 
 func TestLoadOutweighsAShortPrefix(t *testing.T) {
 	index := NewIndex()
-	index.Placed(prompt("aa", "x1", 300), "first", 0)
-	if choice := index.Choose(prompt("aa", "x2", 300), pair(40, 0), 1); choice.Place != 1 || choice.Downgraded {
+	index.Placed(prompt("x1", 300), "first", 0)
+	if choice := index.Choose(prompt("x2", 300), pair(40), 1); choice.Place != 1 || choice.Downgraded {
 		t.Fatalf("%+v", choice)
 	}
 }
 
 func TestRestartedWorkerHoldsNothing(t *testing.T) {
 	index := NewIndex()
-	index.Placed(prompt("aa", "x1", 12_000), "first", 0)
+	index.Placed(prompt("x1", 12_000), "first", 0)
 	index.Drop("first")
-	if choice := index.Choose(prompt("aa", "x2", 12_000), pair(60, 0), 1); choice.Place != 1 || choice.Held != 0 {
+	if choice := index.Choose(prompt("x2", 12_000), pair(60), 1); choice.Place != 1 || choice.Held != 0 {
 		t.Fatalf("a lost cache was believed in: %+v", choice)
 	}
 }
@@ -141,17 +141,17 @@
 func TestPeersWordCountsAndAges(t *testing.T) {
 	far, near := NewIndex(), NewIndex()
 	far.SetCache("first", 100_000)
-	far.Placed(prompt("aa", "x1", 12_000), "first", 0)
+	far.Placed(prompt("x1", 12_000), "first", 0)
 	words := far.Words(1, 10, 1000)
 	if len(words) != 1 {
 		t.Fatalf("told %d words", len(words))
 	}
 	near.Told(words, 1)
-	if choice := near.Choose(prompt("aa", "x2", 12_000), pair(60, 0), 2); choice.Place != 0 {
+	if choice := near.Choose(prompt("x2", 12_000), pair(60), 2); choice.Place != 0 {
 		t.Fatalf("a peer's word was not followed: %+v", choice)
 	}
 	stale := clock.Instant(1).Add(constants.GossipStale)
-	if choice := near.Choose(prompt("aa", "x3", 12_000), pair(60, 0), stale); choice.Place != 1 {
+	if choice := near.Choose(prompt("x3", 12_000), pair(60), stale); choice.Place != 1 {
 		t.Fatalf("a silent peer's word counted after three periods: %+v", choice)
 	}
 }
@@ -159,10 +159,10 @@
 func TestOwnNewerEvidenceBeatsAPeersOlderWord(t *testing.T) {
 	index := NewIndex()
 	index.SetCache("first", 100_000)
-	asked := prompt("aa", "x1", 12_000)
+	asked := prompt("x1", 12_000)
 	index.Placed(asked, "first", 1000)
 	index.Told([]messages.Residency{{Path: asked.key()[:8], Tokens: 12_000, Worker: "first", Probability: 0, AgeMs: 500}}, 2000)
-	if choice := index.Choose(prompt("aa", "x2", 12_000), pair(60, 0), 3000); choice.Place != 0 {
+	if choice := index.Choose(prompt("x2", 12_000), pair(60), 3000); choice.Place != 0 {
 		t.Fatalf("%+v", choice)
 	}
 }
@@ -170,14 +170,14 @@
 func TestIndexIsBounded(t *testing.T) {
 	index := NewIndex()
 	for count := 0; count < 3*constants.IndexNodes; count++ {
-		index.Placed(prompt("aa", fmt.Sprintf("%x", count), 100), "first", clock.Instant(count))
+		index.Placed(prompt(fmt.Sprintf("%x", count), 100), "first", clock.Instant(count))
 	}
 	if index.tree.Size() > constants.IndexNodes {
 		t.Fatalf("%d leaves", index.tree.Size())
 	}
 	// The one in use all the time is still there.
 	found := 0
-	index.tree.Walk(prompt("aa", "zz", 100).key(), func(int, *Leaf) { found++ })
+	index.tree.Walk(prompt("zz", 100).key(), func(int, *Leaf) { found++ })
 	if found == 0 {
 		t.Fatal("the shared prefix was dropped")
 	}
@@ -186,9 +186,9 @@
 func TestWordOfSlowFirstEventsLowersTrust(t *testing.T) {
 	index := NewIndex()
 	index.SetCache("first", 100_000)
-	asked := prompt("aa", "x1", 12_000)
+	asked := prompt("x1", 12_000)
 	index.Placed(asked, "first", 0)
-	next := prompt("aa", "x2", 12_000)
+	next := prompt("x2", 12_000)
 	fresh := index.Placed(next, "first", 1)
 	before := index.Words(2, 10, 1000)[0].Probability
 	index.FirstEvent(next, "first", fresh, clock.Milliseconds(constants.FirstGuess+12_200/constants.ReadRate), true, 2)
--- a/internal/traffic/proxy/bounds_test.go
+++ b/internal/traffic/proxy/bounds_test.go
@@ -102,6 +102,8 @@
 
 // shorten sets a newer configuration, in which each route has 300 ms.
 func shorten(t *testing.T, proxyServer *Proxy) {
+	t.Helper()
+
 	text := strings.Replace(testConfig, `"generation":1`, `"generation":2`, 1)
 	for _, cutoff := range []string{"3000", "700", "4000", "2000"} {
 		text = strings.Replace(text, `"cutoff-ms":`+cutoff, `"cutoff-ms":300`, 1)
@@ -110,6 +112,8 @@
 }
 
 func setConfig(t *testing.T, proxyServer *Proxy, text string) {
+	t.Helper()
+
 	config, err := routeconfig.Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/traffic/proxy/displace_test.go
+++ b/internal/traffic/proxy/displace_test.go
@@ -17,7 +17,7 @@
 	defer close(hold)
 	worker := newStandIn(t, "w1", func(count int, request *http.Request, connection net.Conn) {
 		from := 0
-		fmt.Sscan(request.Header.Get(headerLastEvent), &from)
+		_, _ = fmt.Sscan(request.Header.Get(headerLastEvent), &from)
 		write(connection, streamHead(request))
 		for id := from + 1; id <= 5; id++ {
 			if count == 1 && id == 3 {
--- a/internal/traffic/proxy/everybyte_test.go
+++ b/internal/traffic/proxy/everybyte_test.go
@@ -51,6 +51,8 @@
 }
 
 func newStage(t *testing.T) *stage {
+	t.Helper()
+
 	one := &stage{}
 	for place := range one.workers {
 		one.workers[place] = newStandIn(t, fmt.Sprint("w", place+1), serveWhole)
@@ -66,6 +68,8 @@
 
 // start starts a node that knows nothing of an earlier one.
 func (s *stage) start(t *testing.T) {
+	t.Helper()
+
 	var list []messages.Worker
 	for place, worker := range s.workers {
 		list = append(list, messages.Worker{ID: worker.id, Address: s.relays[place].Address()})
@@ -93,6 +97,8 @@
 
 // play runs one case and gives what it broke.
 func (c *call) play(t *testing.T) string {
+	t.Helper()
+
 	stage := newStage(t)
 	if c.rested {
 		for place := 0; place < 2; place++ {
@@ -142,6 +148,8 @@
 
 // lengths measures a request and its answer on the wire.
 func lengths(t *testing.T, path string) (request, answer int) {
+	t.Helper()
+
 	stage := newStage(t)
 	stage.relays[0].Arm(nil)
 	if _, _, err := ask(t, stage.node, path, map[string]string{headerAttempt: "probe"}); err != nil {
--- a/internal/traffic/proxy/idle_test.go
+++ b/internal/traffic/proxy/idle_test.go
@@ -13,6 +13,8 @@
 // forgetful serves one request on each connection and resets it when it meets another:
 // it has forgotten the connection without a word.
 func forgetful(t *testing.T, id string) *standIn {
+	t.Helper()
+
 	served := map[net.Conn]bool{}
 	var worker *standIn
 	worker = newStandIn(t, id, func(_ int, request *http.Request, connection net.Conn) {
--- a/internal/traffic/proxy/impatience.go
+++ b/internal/traffic/proxy/impatience.go
@@ -21,7 +21,7 @@
 			grant.Doubt(silence, now)
 			return false
 		}
-		return grant.Leave(silence, now) || silence >= constants.SilentWorker
+		return grant.Leave(silence, now) || silence >= constants.StreamTimeout
 	}
 }
 
--- a/internal/traffic/proxy/match.go
+++ b/internal/traffic/proxy/match.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"errors"
 	"io"
 	"net/http"
 	"strings"
@@ -74,8 +75,8 @@
 	if answer.Close || !framed(answer) || answer.Request.Method == http.MethodHead {
 		return false
 	}
-	count, err := io.CopyN(io.Discard, answer.Body, constants.BufferedAnswer)
-	return err == io.EOF && count < constants.BufferedAnswer
+	count, err := io.CopyN(io.Discard, answer.Body, constants.BufferedResponseMax)
+	return errors.Is(err, io.EOF) && count < constants.BufferedResponseMax
 }
 
 // framed tells whether a length or chunks say where an answer ends: one that lasts until
--- a/internal/traffic/proxy/match_test.go
+++ b/internal/traffic/proxy/match_test.go
@@ -56,6 +56,8 @@
 
 // playStale plays one case, and tells whether the request travelled on a used connection.
 func playStale(t *testing.T, path, stale string) bool {
+	t.Helper()
+
 	script := func(_ int, request *http.Request, connection net.Conn) {
 		if request.Header.Get(headerAttempt) == "probe" {
 			write(connection, stale)
--- a/internal/traffic/proxy/proxy_test.go
+++ b/internal/traffic/proxy/proxy_test.go
@@ -155,7 +155,7 @@
 		script := func(limit int) func(int, *http.Request, net.Conn) {
 			return func(_ int, request *http.Request, connection net.Conn) {
 				from := 0
-				fmt.Sscan(request.Header.Get(headerLastEvent), &from)
+				_, _ = fmt.Sscan(request.Header.Get(headerLastEvent), &from)
 				write(connection, streamHead(request))
 				for id := from + 1; id <= events; id++ {
 					if id > limit {
--- a/internal/traffic/proxy/refused.go
+++ b/internal/traffic/proxy/refused.go
@@ -31,7 +31,7 @@
 
 // turnedAway handles a worker that did not run the request.
 func (e *exchange) turnedAway(grant *admission.Grant, response *Response) (Repeat, bool) {
-	body, whole, err := e.proxyServer.Sender.ReadBody(response, constants.BufferedAnswer)
+	body, whole, err := e.proxyServer.Sender.ReadBody(response, constants.BufferedResponseMax)
 	result := admission.ResultTurnedAway
 	if grant.Shed(response.Load) {
 		result = admission.ResultShed
@@ -55,7 +55,7 @@
 
 // refusedByWorker handles a worker's own failure: it has run.
 func (e *exchange) refusedByWorker(grant *admission.Grant, response *Response) (Repeat, bool) {
-	body, whole, err := e.proxyServer.Sender.ReadBody(response, constants.BufferedAnswer)
+	body, whole, err := e.proxyServer.Sender.ReadBody(response, constants.BufferedResponseMax)
 	if err != nil || !whole {
 		e.proxyServer.Sender.Abandon(response)
 		grant.End(admission.ResultFailed, clock.Now())
--- a/internal/traffic/proxy/relay.go
+++ b/internal/traffic/proxy/relay.go
@@ -17,7 +17,7 @@
 // small, so that a cut can be mended before the client has seen a byte.
 func (e *exchange) plain(grant *admission.Grant, response *Response) (Repeat, bool) {
 	sender := &e.proxyServer.Sender
-	body, whole, err := sender.ReadBody(response, constants.BufferedAnswer)
+	body, whole, err := sender.ReadBody(response, constants.BufferedResponseMax)
 	if err != nil {
 		sender.Abandon(response)
 		grant.End(admission.ResultFailed, clock.Now())
--- a/internal/traffic/proxy/standin_test.go
+++ b/internal/traffic/proxy/standin_test.go
@@ -36,6 +36,8 @@
 }
 
 func newStandIn(t *testing.T, id string, script func(count int, request *http.Request, connection net.Conn)) *standIn {
+	t.Helper()
+
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -115,6 +117,8 @@
 
 // edge starts a data plane in front of stand-ins; the first listed is preferred.
 func edge(t *testing.T, workerList ...*standIn) (*httptest.Server, *Proxy) {
+	t.Helper()
+
 	var list []messages.Worker
 	for _, worker := range workerList {
 		list = append(list, messages.Worker{ID: worker.id, Address: worker.listener.Addr().String()})
@@ -124,6 +128,8 @@
 
 // edgeFor does the same for workers that are known by id and address.
 func edgeFor(t *testing.T, list []messages.Worker) (*httptest.Server, *Proxy) {
+	t.Helper()
+
 	scheduler := admission.New(messages.NodeInfo{Name: "n", Role: membership.RoleGateway, Zone: "h"}, 1_200_000_000)
 	sender := Sender{Scheduler: scheduler, Pool: workerconn.NewPool(), Budget: func(messages.Worker) int { return 20 }}
 	proxyServer := New(sender, nil, hclog.NewNullLogger())
@@ -147,6 +153,8 @@
 
 // ask sends one request over a connection of its own and gives what came back.
 func ask(t *testing.T, server *httptest.Server, path string, header map[string]string) (*http.Response, string, error) {
+	t.Helper()
+
 	request, err := http.NewRequest(http.MethodPost, server.URL+path, strings.NewReader("the body"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/traffic/proxy/trouble_test.go
+++ b/internal/traffic/proxy/trouble_test.go
@@ -13,6 +13,8 @@
 
 // taught has a service's usual times learnt, so that silence is known by them.
 func taught(t *testing.T, proxyServer *Proxy, ask admission.Ask) {
+	t.Helper()
+
 	for count := 0; count < constants.PaceLeast; count++ {
 		answer, _ := proxyServer.Scheduler.Admit(&ask, nil, clock.Now())
 		if answer.Verdict != admission.VerdictGranted {
@@ -46,7 +48,7 @@
 		if err != nil || answer.StatusCode != 200 || hanging.seen() != 1 || good.seen() != 1 {
 			t.Fatal(path, answer, body, err, hanging.seen(), good.seen())
 		}
-		if took > constants.SilentWorker/2 {
+		if took > constants.StreamTimeout/2 {
 			t.Fatalf("%s: went on elsewhere only after %v", path, took)
 		}
 		var failures int64
--- a/internal/traffic/workerconn/await.go
+++ b/internal/traffic/workerconn/await.go
@@ -1,6 +1,7 @@
 package workerconn
 
 import (
+	"errors"
 	"net"
 
 	"lemonarch/internal/platform/clock"
@@ -51,7 +52,7 @@
 			// What has begun to come may take until the end.
 			_ = c.connection.SetReadDeadline(clock.Deadline(wait.Until.Sub(clock.Now())))
 			return nil
-		} else if timeout, isNet := err.(net.Error); !isNet || !timeout.Timeout() {
+		} else if !isTimeout(err) {
 			return ErrConnectionBroken.Wrap(err, "read")
 		}
 	}
@@ -63,3 +64,9 @@
 	_ = c.connection.SetReadDeadline(clock.Deadline(constants.PumpPeriod))
 	return c.quiet()
 }
+
+// isTimeout tells whether a read ended at its deadline.
+func isTimeout(err error) bool {
+	var timeout net.Error
+	return errors.As(err, &timeout) && timeout.Timeout()
+}
