--- a/cmd/lemonarch/lots.go
+++ b/cmd/lemonarch/jobs.go
@@ -31,9 +31,9 @@
 // lotsCommand is the client for lots.
 func lotsCommand() *cobra.Command {
 	flags := &lotFlags{}
-	group := &cobra.Command{Use: "lots", Short: "Hand in, follow, read and end lots"}
+	group := &cobra.Command{Use: "jobs", Aliases: []string{"lots"}, Short: "Submit, follow, read and cancel batch jobs"}
 	group.PersistentFlags().StringSliceVar(&flags.edges, "edge", nil, "addresses of edge nodes, host:port (several: the next is taken after a failure)")
-	group.PersistentFlags().StringVar(&flags.host, "host", lab.Host, "host of the lots' route")
+	group.PersistentFlags().StringVar(&flags.host, "host", lab.Host, "host of the jobs' route")
 	group.PersistentFlags().DurationVar(&flags.limit, "limit", time.Minute, "how long to try")
 	group.AddCommand(handInCommand(flags), followCommand(flags), readCommand(flags), endCommand(flags))
 	return group
@@ -69,8 +69,8 @@
 
 func handInCommand(flags *lotFlags) *cobra.Command {
 	id, path, sample, follow := "", "/batch/lot", 0, false
-	command := &cobra.Command{Use: "hand-in [FILE]", Args: cobra.MaximumNArgs(1),
-		Short: "Hand in a lot from a file ({\"requests\":[...]}, as the protocol has it) or of samples",
+	command := &cobra.Command{Use: "submit [FILE]", Aliases: []string{"hand-in"}, Args: cobra.MaximumNArgs(1),
+		Short: "Submit a job from a file ({\"requests\":[...]}, as the protocol has it) or of samples",
 		RunE: func(command *cobra.Command, arguments []string) error {
 			if id == "" {
 				id = newID()
@@ -102,15 +102,15 @@
 				return nil
 			})
 		}}
-	command.Flags().StringVar(&id, "id", "", "id of the lot (default: drawn)")
+	command.Flags().StringVar(&id, "id", "", "id of the job (default: drawn)")
 	command.Flags().StringVar(&path, "path", path, "path under the route's prefix")
-	command.Flags().IntVar(&sample, "sample", 0, "make a lot of so many sample items for the lab's own configuration")
-	command.Flags().BoolVar(&follow, "follow", false, "follow the lot to its end")
+	command.Flags().IntVar(&sample, "sample", 0, "make a job of so many sample items for the lab's own configuration")
+	command.Flags().BoolVar(&follow, "follow", false, "follow the job to its end")
 	return command
 }
 
 func followCommand(flags *lotFlags) *cobra.Command {
-	return &cobra.Command{Use: "follow LOT", Args: cobra.ExactArgs(1), Short: "Follow a lot to its end, with progress",
+	return &cobra.Command{Use: "follow JOB", Args: cobra.ExactArgs(1), Short: "Follow a job to its end, with progress",
 		RunE: func(command *cobra.Command, arguments []string) error {
 			return flags.run(func(until contexts.Context, client *jobclient.Client) error {
 				return followLot(command, until, client, arguments[0])
@@ -142,7 +142,7 @@
 
 func readCommand(flags *lotFlags) *cobra.Command {
 	from := 0
-	command := &cobra.Command{Use: "read LOT", Args: cobra.ExactArgs(1), Short: "Print what is listed of a lot, one output a line, as JSON",
+	command := &cobra.Command{Use: "read JOB", Args: cobra.ExactArgs(1), Short: "Print what is listed of a job, one output a line, as JSON",
 		RunE: func(command *cobra.Command, arguments []string) error {
 			if from < 0 {
 				return coded{exitUnusable, "--from must not be below 0"}
@@ -176,7 +176,7 @@
 }
 
 func endCommand(flags *lotFlags) *cobra.Command {
-	return &cobra.Command{Use: "end LOT", Args: cobra.ExactArgs(1), Short: "End a lot: nothing more of it is run",
+	return &cobra.Command{Use: "cancel JOB", Aliases: []string{"end"}, Args: cobra.ExactArgs(1), Short: "Cancel a job: nothing more of it is run",
 		RunE: func(command *cobra.Command, arguments []string) error {
 			return flags.run(func(until contexts.Context, client *jobclient.Client) error {
 				for {
--- /dev/null
+++ b/cmd/lemonarch/jobs_test.go
@@ -0,0 +1,29 @@
+package main
+
+import (
+	"strings"
+	"testing"
+)
+
+// The commands on batch jobs work under their earlier names as well, to the same flags.
+func TestEarlierNamesOfJobCommands(t *testing.T) {
+	for _, names := range [][2]string{
+		{"jobs", "lots"},
+		{"jobs submit", "lots hand-in"},
+		{"jobs follow", "lots follow"},
+		{"jobs read", "lots read"},
+		{"jobs cancel", "lots end"},
+	} {
+		now, _, err := rootCommand().Find(strings.Fields(names[0]))
+		if err != nil {
+			t.Fatal(names[0], err)
+		}
+		before, _, err := rootCommand().Find(strings.Fields(names[1]))
+		if err != nil {
+			t.Fatal(names[1], err)
+		}
+		if now.CommandPath() != before.CommandPath() || now.CommandPath() == "lemonarch" {
+			t.Errorf("%s is %q, %s is %q", names[0], now.CommandPath(), names[1], before.CommandPath())
+		}
+	}
+}
--- a/internal/batch/executorserver/run.go
+++ b/internal/batch/executorserver/run.go
@@ -17,46 +17,69 @@
 	"lemonarch/internal/traffic/workerconn"
 )
 
-// run takes one item to one worker, gathers its events, and derives the
-// acknowledgement from how the stream ends.
+// run takes one item to one worker, gathers its events, and derives the acknowledgement from
+// how the stream ends.
 func (s *Server) run(route *routeconfig.Route, task *executor.Task, grant *admission.Grant) {
 	sender := &s.gossip.Sender
 	outgoing := s.outgoing(route, task, grant.Worker.ID)
 	response, evidence, err := sender.Carry(grant, outgoing)
 	if err != nil {
-		result := admission.ResultFailed
-		switch {
-		case errs.Is(err, workerconn.ErrPoolExhausted):
-			result = admission.ResultTurnedAway
-		case errs.Is(err, workerconn.ErrNoConnection):
-			result = admission.ResultRefused
-		case errs.Is(err, workerconn.ErrWorkerUnresponsive):
-			result = admission.ResultSilent
-		}
-		s.release(route, task, grant, result, messages.Acknowledgement{NotStarted: !evidence.Sent}, err.Error())
+		s.release(route, task, grant, resultOf(err), messages.Acknowledgement{NotStarted: !evidence.Sent}, err.Error())
 		return
 	}
-	status := response.Answer.StatusCode
-	if response.NotRun || status >= 300 {
-		grant.Told(response.Load, clock.Now())
-		_, complete, err := sender.ReadBody(response, constants.BufferedResponseMax)
-		s.forgetConnection(task)
-		if err == nil && complete {
-			sender.Finish(response)
-		} else {
-			sender.Abandon(response)
-		}
+	if status := response.Answer.StatusCode; response.NotRun || status >= http.StatusMultipleChoices {
+		s.discard(task, grant, response)
 		s.handleRejection(route, task, grant, response.NotRun, status)
 		return
 	}
 	grant.First(response.Load, clock.Now())
 	signal(s.signals.wake)
 	s.place()
+	err = s.gather(task, response, outgoing)
+	s.forgetConnection(task)
+	if err != nil {
+		sender.Abandon(response)
+		s.release(route, task, grant, admission.ResultFailed, messages.Acknowledgement{}, err.Error())
+		return
+	}
+	sender.Finish(response)
+	s.complete(route, task, grant)
+}
+
+// resultOf says what a request that got no response tells of its worker.
+func resultOf(err error) admission.Result {
+	switch {
+	case errs.Is(err, workerconn.ErrPoolExhausted):
+		return admission.ResultTurnedAway
+	case errs.Is(err, workerconn.ErrNoConnection):
+		return admission.ResultRefused
+	case errs.Is(err, workerconn.ErrWorkerUnresponsive):
+		return admission.ResultSilent
+	}
+	return admission.ResultFailed
+}
+
+// discard reads a response that is no stream of events to its end, so that its connection
+// can be used again.
+func (s *Server) discard(task *executor.Task, grant *admission.Grant, response *proxy.Response) {
+	sender := &s.gossip.Sender
+	grant.Told(response.Load, clock.Now())
+	_, complete, err := sender.ReadBody(response, constants.BufferedResponseMax)
+	s.forgetConnection(task)
+	if err == nil && complete {
+		sender.Finish(response)
+	} else {
+		sender.Abandon(response)
+	}
+}
+
+// gather takes the events of a run into its item as they come.
+func (s *Server) gather(task *executor.Task, response *proxy.Response, outgoing *proxy.Request) error {
 	splitter := &proxy.Splitter{}
 	if task.Item.LastID > 0 {
 		splitter.Next = task.Item.LastID + 1
 	}
-	err = sender.Stream(response, splitter, outgoing.Until, outgoing.Patience, func(events []byte) error {
+	return s.gossip.Sender.Stream(response, splitter, outgoing.Until, outgoing.Patience, func(events []byte) error {
 		s.lock.Lock()
 		defer s.lock.Unlock()
 		if task.Stopped() || !task.Item.AppendEvents(task.Run, proxy.Data(events), splitter.Last) {
@@ -65,20 +88,17 @@
 		task.NoteProgress(clock.Now())
 		return nil
 	})
-	s.forgetConnection(task)
-	if err != nil {
-		sender.Abandon(response)
-		s.release(route, task, grant, admission.ResultFailed, messages.Acknowledgement{}, err.Error())
-		return
-	}
-	sender.Finish(response)
+}
+
+// complete acknowledges a run whose stream has ended.
+func (s *Server) complete(route *routeconfig.Route, task *executor.Task, grant *admission.Grant) {
 	s.lock.Lock()
-	complete := task.Item.Finish(task.Run)
+	finished := task.Item.Finish(task.Run)
 	preempted := task.Item.Preempted > 0
 	s.lock.Unlock()
-	if !complete {
-		// It was asked to make room in its last moment: its run counts as set back.
-		s.release(route, task, grant, admission.ResultServed, messages.Acknowledgement{}, "displaced at its end")
+	if !finished {
+		// It was asked to make room in its last moment: its run counts as preempted.
+		s.release(route, task, grant, admission.ResultServed, messages.Acknowledgement{}, "preempted at its end")
 		return
 	}
 	if preempted {
@@ -141,7 +161,7 @@
 	}
 	grant.End(result, clock.Now())
 	s.done(task, entry)
-	s.node.Log.Debug("item released", "item", task.Item.ID, "worker", grant.Worker.ID, "displaced", entry.Preempted, "why", reason)
+	s.node.Log.Debug("item released", "item", task.Item.ID, "worker", grant.Worker.ID, "preempted", entry.Preempted, "reason", reason)
 }
 
 // done ends a task here and has its acknowledgement carried.
--- a/internal/batch/leader/setpolicy.go
+++ b/internal/batch/leader/setpolicy.go
@@ -184,6 +184,6 @@
 // slowness asks a store whether its machine is slow.
 func (p *Process) slowness(member messages.Member) (*messages.StatusResponse, error) {
 	resp := &messages.StatusResponse{}
-	err := transport.Call(p.Node.Transport, member.Address, messages.KindStatus, &messages.StatusRequest{Query: leadership.SlownessQuery}, resp, constants.RoundTimeout)
+	err := transport.Call(p.Node.Transport, member.Address, messages.KindStatus, &messages.StatusRequest{Query: messages.QuerySlowness}, resp, constants.RoundTimeout)
 	return resp, err
 }
--- a/internal/batch/leadership/slowness.go
+++ b/internal/batch/leadership/slowness.go
@@ -70,13 +70,9 @@
 	})
 }
 
-// SlownessQuery is the status query by which other processes ask whether a machine is slow,
-// and SlownessSlow the word in its first column where it is. Both are read by earlier
-// versions.
-const (
-	SlownessQuery = "pace"
-	SlownessSlow  = "slow"
-)
+// SlownessSlow is the word in the first column of ReportSlowness where a machine is slow;
+// earlier versions read it.
+const SlownessSlow = "slow"
 
 // ReportSlowness says whether this machine is slow now: whoever looks for a store to copy
 // everything to asks it first.
--- a/internal/batch/store/report.go
+++ b/internal/batch/store/report.go
@@ -4,22 +4,14 @@
 	"strconv"
 
 	"lemonarch/internal/batch/leader"
-	"lemonarch/internal/batch/leadership"
 	"lemonarch/internal/platform/messages"
 )
 
-// registerReports registers what a store answers to the status queries of the shell. The
-// first name of each is that of earlier versions and goes on working.
+// registerReports registers what a store answers to the status queries of the shell.
 func (s *Server) registerReports() {
-	for _, query := range []string{"duty", "leadership"} {
-		s.Node.Report(query, s.reportLeadership)
-	}
-	for _, query := range []string{"lots", "jobs"} {
-		s.Node.Report(query, s.reportJobs)
-	}
-	for _, query := range []string{leadership.SlownessQuery, "slowness"} {
-		s.Node.Report(query, s.election.ReportSlowness)
-	}
+	s.Node.Report(messages.QueryLeadership, s.reportLeadership)
+	s.Node.Report(messages.QueryJobs, s.reportJobs)
+	s.Node.Report(messages.QuerySlowness, s.election.ReportSlowness)
 	s.Node.Report("stores", s.reportStores)
 }
 
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -139,8 +139,7 @@
 	process.Handle(node.Runtime, messages.KindDirectoryPull, c.handleDirectoryPull)
 	process.Handle(node.Runtime, messages.KindControllerHeartbeat, c.handleHeartbeat)
 	node.OnReportResponse(c.completeReportResponse)
-	node.Report("duty", c.reportRegister)
-	node.Report("leadership", c.reportRegister)
+	node.Report(messages.QueryLeadership, c.reportRegister)
 	node.Report("workers", c.reportWorkers)
 	c.server = &http.Server{Addr: node.Settings.Bind.Control, Handler: c.calls(), ReadHeaderTimeout: constants.BulkCallTimeout}
 	// The file of workers is written from the beginning: calls may come before Run.
--- a/internal/platform/messages/jobs.go
+++ b/internal/platform/messages/jobs.go
@@ -137,6 +137,14 @@
 	Resigned bool `msg:"o"`
 }
 
+// The status queries that people know by another name than the one on the wire, which earlier
+// versions go by.
+const (
+	QueryLeadership = "duty"
+	QueryJobs       = "lots"
+	QuerySlowness   = "pace"
+)
+
 // StatusRequest asks a process for a part of its state.
 type StatusRequest struct {
 	Query string `msg:"q"`
--- a/internal/platform/recordlog/memorydisk.go
+++ b/internal/platform/recordlog/memorydisk.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// MemoryDisk is a folder in memory, for a process on a machine without a disk: what
-// it holds ends with the process, as if the disk came back empty each time.
+// MemoryDisk is a folder in memory, for a process on a machine without a disk: what it holds
+// ends with the process, as if the disk came back empty each time.
 type MemoryDisk struct {
 	lock  sync.Mutex
 	files map[string]*memoryFile
@@ -55,6 +55,7 @@
 	text []byte
 }
 
+// Write appends.
 func (f *memoryFile) Write(text []byte) (int, error) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -62,6 +63,7 @@
 	return len(text), nil
 }
 
+// ReadAt reads from an offset; io.EOF says that the file ends before.
 func (f *memoryFile) ReadAt(into []byte, offset int64) (int, error) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -75,8 +77,10 @@
 	return count, nil
 }
 
+// Sync has nothing to do.
 func (f *memoryFile) Sync() error { return nil }
 
+// Truncate cuts the file where it is longer.
 func (f *memoryFile) Truncate(size int64) error {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -84,10 +88,12 @@
 	return nil
 }
 
+// Size is the length in bytes.
 func (f *memoryFile) Size() (int64, error) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	return int64(len(f.text)), nil
 }
 
+// Close has nothing to do: the file lasts as long as its disk.
 func (f *memoryFile) Close() error { return nil }
--- a/internal/platform/recordlog/rewrite.go
+++ b/internal/platform/recordlog/rewrite.go
@@ -103,6 +103,7 @@
 
 type osFile struct{ *os.File }
 
+// Size is the length in bytes.
 func (r osFile) Size() (int64, error) {
 	facts, err := r.Stat()
 	if err != nil {
--- a/internal/tooling/fleetshell/fleetshell.go
+++ b/internal/tooling/fleetshell/fleetshell.go
@@ -22,23 +22,38 @@
 	ErrNoFleet = errs.Define("no fleet")
 )
 
-// Queries names each query with the roles that answer it and what it shows.
-var Queries = map[string]struct {
+// Query is one query of the shell.
+type Query struct {
+	// Roles are the roles of the processes that answer it; none means the seed alone.
 	Roles []string
+	// Shows says what the answers show.
 	Shows string
-}{
-	"nodes":        {nil, "the processes that the seed knows, and when each was heard"},
-	"zones":        {[]string{membership.RoleController}, "how many processes each controller knows in each zone"},
-	"config":       {[]string{membership.RoleGateway, membership.RoleController, membership.RoleStore}, "the generation that each process follows"},
-	"workers":      {[]string{membership.RoleGateway, membership.RoleController, membership.RoleStore}, "workers and their health, as each process sees them"},
-	"duty":         {[]string{membership.RoleController, membership.RoleStore}, "acceptors, holders and epochs"},
-	"lots":         {[]string{membership.RoleStore}, "lots and backlog, at the holder"},
-	"stores":       {[]string{membership.RoleStore}, "copies and what is missing of them"},
-	"pace":         {[]string{membership.RoleStore}, "whether a storage machine is slow now, by its own measure"},
-	"index":        {[]string{membership.RoleGateway, membership.RoleStore}, "prefix index and residency downgrades"},
-	"traffic":      {[]string{membership.RoleGateway, membership.RoleController, membership.RoleStore}, "messages and bytes by kind, in the own zone and to others"},
-	"assignments":  {[]string{membership.RoleGateway, membership.RoleController, membership.RoleStore}, "adapters that each node has in force, and the window that comes next"},
-	"displacement": {[]string{membership.RoleGateway, membership.RoleStore}, "displaced, resumed and finished work by route"},
+	// Wire is its name on the wire, where that is another one.
+	Wire string
+}
+
+// Aliases are the earlier names of queries, which go on working.
+var Aliases = map[string]string{
+	messages.QueryLeadership: "leadership",
+	messages.QueryJobs:       "jobs",
+	messages.QuerySlowness:   "slowness",
+	"displacement":           "preemption",
+}
+
+// Queries are the queries by name.
+var Queries = map[string]Query{
+	"nodes":       {nil, "the processes that the seed knows, and when each was heard", ""},
+	"zones":       {[]string{membership.RoleController}, "how many processes each controller knows in each zone", ""},
+	"config":      {[]string{membership.RoleGateway, membership.RoleController, membership.RoleStore}, "the generation that each process follows", ""},
+	"workers":     {[]string{membership.RoleGateway, membership.RoleController, membership.RoleStore}, "workers and their health, as each process sees them", ""},
+	"leadership":  {[]string{membership.RoleController, membership.RoleStore}, "acceptors, leaders and epochs", messages.QueryLeadership},
+	"jobs":        {[]string{membership.RoleStore}, "batch jobs and backlog, at the leader", messages.QueryJobs},
+	"stores":      {[]string{membership.RoleStore}, "copies and what is missing of them", ""},
+	"slowness":    {[]string{membership.RoleStore}, "whether a storage machine is slow now, by its own measure", messages.QuerySlowness},
+	"index":       {[]string{membership.RoleGateway, membership.RoleStore}, "prefix index and residency downgrades", ""},
+	"traffic":     {[]string{membership.RoleGateway, membership.RoleController, membership.RoleStore}, "messages and bytes by kind, in the own zone and to others", ""},
+	"assignments": {[]string{membership.RoleGateway, membership.RoleController, membership.RoleStore}, "adapters that each node has in force, and the window that comes next", ""},
+	"preemption":  {[]string{membership.RoleGateway, membership.RoleStore}, "preempted, resumed and finished work by route", "displacement"},
 }
 
 // QueryNames lists the queries in order.
@@ -76,6 +91,9 @@
 
 // Ask puts one query to every process that answers it.
 func (s *Shell) Ask(query string) ([]Answer, error) {
+	if name, old := Aliases[query]; old {
+		query = name
+	}
 	known, found := Queries[query]
 	if !found {
 		return nil, ErrInvalidCall.New("unknown query " + query + "; there are: " + strings.Join(QueryNames(), ", "))
@@ -88,5 +106,8 @@
 	if len(known.Roles) == 0 {
 		return named([]Answer{{Process: "seed", Status: *seen}}), nil
 	}
+	if known.Wire != "" {
+		query = known.Wire
+	}
 	return named(s.askZones(s.fleet(seen), query, known.Roles)), nil
 }
--- a/internal/traffic/loadgossip/workers.go
+++ b/internal/traffic/loadgossip/workers.go
@@ -32,9 +32,15 @@
 	return read.Clock, told.Clock > read.Clock
 }
 
-// learnWorkers gets the workers from a controller when the process starts.
+// learnWorkers gets the workers from a controller when the process starts. It ends once it
+// has them, or with the process.
 func (g *Gossip) learnWorkers() {
 	for {
+		select {
+		case <-g.Node.Stop:
+			return
+		default:
+		}
 		addresses := g.Node.Settings.SeedAddresses(constants.PortController)
 		for _, entry := range g.Node.Live(membership.RoleController) {
 			addresses = append(addresses, entry.Address)
