--- a/internal/control/agent/assignments.go
+++ b/internal/control/agent/assignments.go
@@ -36,7 +36,7 @@
 	taken := err == nil && a.plan.table.Apply(*plan)
 	a.lock.Unlock()
 	if taken {
-		a.Log.Info("assignments taken", "revision", plan.Revision, "generation", plan.Generation, "copies", len(plan.Placements))
+		a.Log.Info("assignments applied", "revision", plan.Revision, "generation", plan.Generation, "copies", len(plan.Placements))
 	}
 }
 
--- a/internal/control/agent/config.go
+++ b/internal/control/agent/config.go
@@ -38,7 +38,7 @@
 func (a *Agent) ApplyConfig(body []byte) {
 	config, err := routeconfig.Parse(body)
 	if err != nil {
-		a.Log.Error("configuration unreadable", "why", err.Error())
+		a.Log.Error("configuration not parsed", "err", err.Error())
 		return
 	}
 	a.lock.Lock()
@@ -49,7 +49,7 @@
 	a.config = config
 	a.view.SetGeneration(config.Generation)
 	a.lock.Unlock()
-	a.Log.Info("configuration taken", "generation", config.Generation, "routes", len(config.Routes))
+	a.Log.Info("configuration applied", "generation", config.Generation, "routes", len(config.Routes))
 	for _, function := range a.onConfig {
 		function(config)
 	}
@@ -181,32 +181,38 @@
 	return true
 }
 
-// PullFirst is how a starting process learns the configuration: from a majority,
-// and only where none can be had for long, from whatever a controller knows.
+// PullFirst is how a starting process learns the configuration: from a majority, and only
+// after constants.FirstConfigTimeout from whatever a controller knows. It calls done once a
+// configuration is in force, and returns without that call where the process stops.
 func (a *Agent) PullFirst(done func()) {
-	const enough = 5_000_000_000
 	start, backoff := clock.Now(), constants.StartBackoff
-	for {
-		select {
-		case <-a.Stop:
-			return
-		default:
-		}
-		late := clock.Now().Sub(start) > enough
-		if (a.pullLinearizable() || (late && a.pullUntil(math.MaxInt64, ""))) && a.Config() != nil {
+	for !a.stopped() {
+		late := clock.Now().Sub(start) > constants.FirstConfigTimeout
+		pulled := a.pullLinearizable() || (late && a.pullUntil(math.MaxInt64, ""))
+		if (pulled || late) && a.Config() != nil {
 			done()
 			return
 		}
-		if a.Config() != nil && late {
-			done()
-			return
-		}
-		// The whole fleet may be asking a few controllers: the pause grows, and ends early
-		// when a configuration is pushed.
-		had := a.Config() != nil
-		for slept := clock.Duration(0); slept < backoff && (had || a.Config() == nil); slept += constants.StartBackoff {
-			clock.Sleep(constants.StartBackoff)
-		}
+		a.awaitConfig(backoff)
 		backoff = min(2*backoff, constants.StartBackoffMax)
 	}
 }
+
+// stopped tells whether the process has ended its part in the fleet.
+func (a *Agent) stopped() bool {
+	select {
+	case <-a.Stop:
+		return true
+	default:
+		return false
+	}
+}
+
+// awaitConfig sleeps for a while, less where a first configuration is pushed meanwhile: the
+// whole fleet may be asking a few controllers.
+func (a *Agent) awaitConfig(backoff clock.Duration) {
+	had := a.Config() != nil
+	for slept := clock.Duration(0); slept < backoff && (had || a.Config() == nil); slept += constants.StartBackoff {
+		clock.Sleep(constants.StartBackoff)
+	}
+}
--- a/internal/platform/constants/constants.go
+++ b/internal/platform/constants/constants.go
@@ -32,6 +32,9 @@
 	StartBackoff = 40 * time.Millisecond
 	// StartBackoffMax is what that pause grows to (ours).
 	StartBackoffMax = 320 * time.Millisecond
+	// FirstConfigTimeout is how long a starting process asks only for a configuration read
+	// at a majority; after it, whatever a controller knows is taken (ours).
+	FirstConfigTimeout = 5 * time.Second
 	// PushTimeout bounds the wait for peers to take a push before a worker's call
 	// is acknowledged; the worker waits a second at most.
 	PushTimeout = 350 * time.Millisecond
--- a/internal/platform/process/main.go
+++ b/internal/platform/process/main.go
@@ -11,7 +11,7 @@
 
 // Process is what a program runs.
 type Process interface {
-	// Run serves until Leave was called or it can't go on.
+	// Run serves until Shutdown was called or it can't go on.
 	Run() error
 	// Shutdown stops in order.
 	Shutdown()
@@ -43,14 +43,14 @@
 	}()
 	process, err := make(nodeSettings, log)
 	if err != nil {
-		log.Error("can't start", "why", err.Error())
+		log.Error("process not started", "err", err.Error())
 		os.Exit(exitFailed)
 	}
 	started <- process
 	if err = process.Run(); err != nil {
-		log.Error("ended", "why", err.Error())
+		log.Error("process failed", "err", err.Error())
 		os.Exit(exitFailed)
 	}
-	// Run returns as soon as the listener closes; Leave still ends what is under way.
+	// Run returns as soon as the listener closes; Shutdown still ends what is under way.
 	select {}
 }
--- a/internal/platform/process/signals.go
+++ b/internal/platform/process/signals.go
@@ -32,7 +32,7 @@
 // still being made has taken nothing on yet and is left as it is.
 func leaveOnSignal(terminate <-chan os.Signal, started <-chan Process, log hclog.Logger) {
 	received := <-terminate
-	log.Info("leaving", "signal", received.String())
+	log.Info("shutting down", "signal", received.String())
 	select {
 	case process := <-started:
 		process.Shutdown()
@@ -46,7 +46,7 @@
 func checkOnReload(reload <-chan os.Signal, load func() (*settings.Settings, error), log hclog.Logger) {
 	for range reload {
 		if _, err := load(); err != nil {
-			log.Warn("changed settings are not valid", "why", err.Error())
+			log.Warn("changed settings are not valid", "err", err.Error())
 			continue
 		}
 		log.Info("changed settings hold from the next start")
--- a/internal/traffic/gateway/gateway.go
+++ b/internal/traffic/gateway/gateway.go
@@ -28,8 +28,9 @@
 	Gossip  *loadgossip.Gossip
 	Proxy   *proxy.Proxy
 	settled atomic.Bool
-	ingress *http.Server
-	ready   *http.Server
+	// Set by Run, read by Shutdown.
+	ingress atomic.Pointer[http.Server]
+	ready   atomic.Pointer[http.Server]
 	clients atomic.Pointer[connections]
 }
 
@@ -60,12 +61,13 @@
 	go runtime.PullFirst(func() { g.settled.Store(true) })
 	calls := chi.NewRouter()
 	calls.Get("/-/readiness", g.readiness)
-	g.ready = &http.Server{Addr: runtime.Settings.Bind.Readiness, Handler: calls, ReadHeaderTimeout: constants.BulkCallTimeout}
+	ready := &http.Server{Addr: runtime.Settings.Bind.Readiness, Handler: calls, ReadHeaderTimeout: constants.BulkCallTimeout}
 	readied, err := net.Listen("tcp4", runtime.Settings.Bind.Readiness)
 	if err != nil {
 		return process.ErrUnavailable.Wrap(err, "readiness")
 	}
-	go func() { _ = g.ready.Serve(readied) }()
+	g.ready.Store(ready)
+	go func() { _ = ready.Serve(readied) }()
 	listener, err := net.Listen("tcp4", runtime.Settings.Bind.Ingress)
 	if err != nil {
 		return process.ErrUnavailable.Wrap(err, "ingress")
@@ -89,10 +91,11 @@
 	g.clients.Store(clients)
 	// One that came since is taken by whoever of us is later.
 	clients.setLimits(g.Node.Config().Limits)
-	g.ingress = &http.Server{Handler: g.Proxy, MaxHeaderBytes: max(limits.HeaderBytes, constants.HeadLimit),
+	ingress := &http.Server{Handler: g.Proxy, MaxHeaderBytes: max(limits.HeaderBytes, constants.HeadLimit),
 		ReadHeaderTimeout: constants.BulkCallTimeout, IdleTimeout: constants.BulkCallTimeout, ConnState: noteState}
 	g.Node.Log.Info("serving", "ingress", g.Node.Settings.Bind.Ingress)
-	return g.ingress.Serve(clients)
+	g.ingress.Store(ingress)
+	return ingress.Serve(clients)
 }
 
 // readiness says yes only with a configuration that was read at a majority,
@@ -121,11 +124,13 @@
 		clock.Sleep(constants.PumpPeriod)
 	}
 	counts := &g.Proxy.Counts
-	g.Node.Log.Info("left", "served", counts.Served.Load(), "refused", counts.Refused.Load(), "failed", counts.Failed.Load(),
+	g.Node.Log.Info("drained", "served", counts.Served.Load(), "refused", counts.Refused.Load(), "failed", counts.Failed.Load(),
 		"resumed", counts.Resumed.Load(), "cut", counts.CutOff.Load())
 	g.Node.Shutdown()
-	if g.ingress != nil {
-		g.ingress.Close()
+	for _, server := range []*http.Server{g.ingress.Load(), g.ready.Load()} {
+		if server != nil {
+			server.Close()
+		}
 	}
 }
 
--- a/internal/traffic/loadgossip/ejection.go
+++ b/internal/traffic/loadgossip/ejection.go
@@ -9,5 +9,5 @@
 		g.Node.Log.Info("worker returned", "worker", told.Worker, "service", told.Service)
 		return
 	}
-	g.Node.Log.Info("worker ejected", "worker", told.Worker, "service", told.Service, "why", told.Why, "for-ms", told.For.Milliseconds())
+	g.Node.Log.Info("worker ejected", "worker", told.Worker, "service", told.Service, "reason", told.Why, "for-ms", told.For.Milliseconds())
 }
--- a/internal/traffic/proxy/everybyte_test.go
+++ b/internal/traffic/proxy/everybyte_test.go
@@ -78,10 +78,12 @@
 }
 
 // settle ends the relays and waits until the workers have read all that will ever come.
-func (s *stage) settle() {
+func (s *stage) settle(t *testing.T) {
+	t.Helper()
+
 	for place := range s.workers {
 		s.relays[place].End()
-		s.workers[place].serving.Wait()
+		s.workers[place].drain(t)
 	}
 }
 
@@ -120,7 +122,7 @@
 	}
 	stage.relays[0].Thaw()
 	next, nextBody, nextErr := ask(t, stage.node, "/safe/x", map[string]string{headerAttempt: "next"})
-	stage.settle()
+	stage.settle(t)
 	return c.judge(stage.ran("probe"), answer, body, err) + c.judgeNext(next, nextBody, nextErr)
 }
 
@@ -155,7 +157,7 @@
 	if _, _, err := ask(t, stage.node, path, map[string]string{headerAttempt: "probe"}); err != nil {
 		t.Fatal(err)
 	}
-	stage.settle()
+	stage.settle(t)
 	return stage.relays[0].Counts()
 }
 
--- a/internal/traffic/proxy/exchange.go
+++ b/internal/traffic/proxy/exchange.go
@@ -146,7 +146,7 @@
 	if err != nil {
 		result := e.resultOf(err)
 		grant.End(result, clock.Now())
-		e.proxyServer.Log.Debug("try failed", "worker", grant.Worker.ID, "why", err.Error())
+		e.proxyServer.Log.Debug("attempt failed", "worker", grant.Worker.ID, "err", err.Error())
 		return e.judge(evidence), false
 	}
 	if response.NotRun || response.Answer.StatusCode >= 300 {
--- a/internal/traffic/proxy/relay.go
+++ b/internal/traffic/proxy/relay.go
@@ -118,7 +118,7 @@
 		result = admission.ResultCalledOff
 	}
 	grant.End(result, clock.Now())
-	e.proxyServer.Log.Debug("stream broke", "worker", grant.Worker.ID, "last", e.lastID, "why", err.Error())
+	e.proxyServer.Log.Debug("stream broke", "worker", grant.Worker.ID, "last", e.lastID, "err", err.Error())
 	return e.judge(Evidence{Sent: true}), false
 }
 
--- a/internal/traffic/proxy/standin_test.go
+++ b/internal/traffic/proxy/standin_test.go
@@ -33,6 +33,10 @@
 	// accepted counts the connections, and serving those that are still read.
 	accepted atomic.Int64
 	serving  sync.WaitGroup
+	// closing is the client address of the connection that ends the accepting; guarded by
+	// lock. acceptEnded is closed when no connection will be accepted any more.
+	closing     string
+	acceptEnded chan struct{}
 }
 
 func newStandIn(t *testing.T, id string, script func(count int, request *http.Request, connection net.Conn)) *standIn {
@@ -42,22 +46,58 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	worker := &standIn{id: id, listener: listener, script: script}
+	worker := &standIn{id: id, listener: listener, script: script, acceptEnded: make(chan struct{})}
 	t.Cleanup(func() { listener.Close() })
-	go func() {
-		for {
-			connection, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			worker.accepted.Add(1)
-			worker.serving.Add(1)
-			go worker.serve(connection)
-		}
-	}()
+	go worker.accept()
 	return worker
 }
 
+// accept serves connections until the listener is closed or drain's connection comes.
+func (s *standIn) accept() {
+	defer close(s.acceptEnded)
+	for {
+		connection, err := s.listener.Accept()
+		if err != nil {
+			return
+		}
+		if s.isClosing(connection) {
+			connection.Close()
+			return
+		}
+		s.accepted.Add(1)
+		s.serving.Add(1)
+		go s.serve(connection)
+	}
+}
+
+// isClosing tells whether a connection is the one that drain made.
+func (s *standIn) isClosing(connection net.Conn) bool {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return connection.RemoteAddr().String() == s.closing
+}
+
+// drain accepts what was connected before its call, reads all that comes on these
+// connections until they end, and takes no further ones: connections are accepted in the
+// order in which they were made, so its own is the last.
+func (s *standIn) drain(t *testing.T) {
+	t.Helper()
+
+	// The lock keeps accept from looking at the connection before its address is known.
+	s.lock.Lock()
+	last, err := net.Dial("tcp4", s.listener.Addr().String())
+	if err == nil {
+		s.closing = last.LocalAddr().String()
+	}
+	s.lock.Unlock()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer last.Close()
+	<-s.acceptEnded
+	s.serving.Wait()
+}
+
 func (s *standIn) serve(connection net.Conn) {
 	defer s.serving.Done()
 	defer connection.Close()
