--- a/internal/batch/dispatch/dispatcher.go
+++ b/internal/batch/dispatch/dispatcher.go
@@ -16,31 +16,10 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Executor is a process that runs items, in one incarnation.
-type Executor struct {
-	Name        string
-	Incarnation int64
-	Address     string
-	Zone        string
-}
-
-// Acquisition is one item with one executor, for the length of a lock.
-type Acquisition struct {
-	// Number is unique over all epochs.
-	Number    uint64
-	Executor  Executor
-	Item      *Item
-	run       int
-	startedAt clock.Instant
-	expiresAt clock.Instant
-	// fromStart says that the run began at the first event, so that its time teaches.
-	fromStart bool
-}
-
-// Dispatcher decides which executor may run an item now. It is a share group over the
-// book: acquisitions are soft, terminal states are records. Steps without I/O; its
-// owner guards it with a lock and gives it the time and a way to submit records.
-// Several can live in one process, each with a book of its own.
+// Dispatcher decides which executor may run an item now. It is a share group over the job
+// table: acquisitions are soft state, terminal states are records. It is not safe for
+// concurrent use: its owner guards it with a lock and gives it the time and a way to
+// append records. Several can live in one process, each with a table of its own.
 type Dispatcher struct {
 	Jobs *JobTable
 	// Lock is how long an acquisition stands without an acknowledgement.
@@ -80,9 +59,6 @@
 	Deliveries, Lapses, Releases, Failures, Renewals, Adopted, Completed, Abandoned, Late int64
 }
 
-// serialBits is the part of an acquisition number that counts within an epoch.
-const serialBits = 40
-
 // LockDuration is how long an acquisition stands, worked out from cancel-ms, which is zero
 // where the settings do not state it.
 func LockDuration(cancelMs float64) clock.Duration {
@@ -92,9 +68,6 @@
 	return min(constants.LockMax, clock.Milliseconds(constants.LockShare*cancelMs))
 }
 
-// EpochOf gives the epoch in which an acquisition was handed out.
-func EpochOf(number uint64) uint64 { return number >> serialBits }
-
 // NewDispatcher starts the dispatcher of an epoch. Jobs with records before the
 // index may be acquired from earlier leaders until a lock length after the instant
 // at which the last of them can have handed anything out.
@@ -142,42 +115,6 @@
 	return item.State == ItemAvailable && item.acquisition == nil && now >= item.availableAt && !d.maybeAcquired(item, now)
 }
 
-// grant acquires an item for an executor; the number is new, or one that its executor
-// has shown after a takeover.
-func (d *Dispatcher) grant(item *Item, executor Executor, number uint64, now clock.Instant) *Acquisition {
-	fresh := item.LastID == 0 && number == 0
-	run := item.StartRun()
-	if run == 0 {
-		return nil
-	}
-	if number == 0 {
-		d.serial++
-		number = d.epoch<<serialBits | d.serial
-	}
-	acquisition := &Acquisition{Number: number, Executor: executor, Item: item, run: run, startedAt: now, expiresAt: now.Add(d.Lock), fromStart: fresh}
-	item.acquisition, item.skippedSince = acquisition, 0
-	d.inFlight[number] = acquisition
-	return acquisition
-}
-
-// endAcquisition ends an acquisition, whatever comes next.
-func (d *Dispatcher) endAcquisition(acquisition *Acquisition) {
-	if acquisition == nil {
-		return
-	}
-	delete(d.inFlight, acquisition.Number)
-	if acquisition.Item.acquisition == acquisition {
-		acquisition.Item.acquisition = nil
-	}
-}
-
-// requeue makes an item available again after a pause.
-func (d *Dispatcher) requeue(acquisition *Acquisition, backoff clock.Duration, now clock.Instant) {
-	d.endAcquisition(acquisition)
-	acquisition.Item.Requeue(acquisition.run)
-	acquisition.Item.availableAt = now.Add(backoff)
-}
-
 // ExpireLocks makes items available whose lock ran out unacknowledged. A lapse never ends
 // an item: it waits longer each time, so that one that kills executors costs little.
 func (d *Dispatcher) ExpireLocks(now clock.Instant) int {
--- /dev/null
+++ b/internal/batch/leader/records.go
@@ -0,0 +1,120 @@
+package leader
+
+import (
+	"lemonarch/internal/batch/replication"
+	"lemonarch/internal/control/register"
+	"lemonarch/internal/platform/clock"
+	"lemonarch/internal/platform/messages"
+)
+
+// records are the term's records on their way to the stores.
+type records struct {
+	replicator *replication.Replicator
+	// recent are those that are not yet committed and applied and on this process's disk.
+	recent []messages.Record
+	// applied is the index up to which records are in the job table.
+	applied int64
+	// changed closes at the next change that somebody may wait for.
+	changed chan struct{}
+}
+
+// appendRecord makes a record and has it copied. The lock is held.
+func (t *Term) appendRecord(record messages.Record) int64 {
+	record.Index, record.Epoch = t.records.replicator.NextIndex(), t.leadership.Epoch
+	t.records.recent = append(t.records.recent, record)
+	t.notifyLocked()
+	return record.Index
+}
+
+// awaitCommit waits until a record is durable; false when that can't be known.
+func (t *Term) awaitCommit(index int64, timeout clock.Duration) bool {
+	timer := clock.NewTimer(timeout)
+	defer timer.Stop()
+	for {
+		t.lock.Lock()
+		done, changed := t.records.replicator.CommitIndex() >= index, t.records.changed
+		t.lock.Unlock()
+		if done {
+			return !t.Closed()
+		}
+		select {
+		case <-changed:
+		case <-t.life.stop:
+			return false
+		case <-timer.C:
+			return false
+		}
+	}
+}
+
+// recentAt gives a record that is still in memory. The lock is held.
+func (t *Term) recentAt(index int64) *messages.Record {
+	if len(t.records.recent) == 0 {
+		return nil
+	}
+	i := index - t.records.recent[0].Index
+	if i < 0 || i >= int64(len(t.records.recent)) {
+		return nil
+	}
+	return &t.records.recent[i]
+}
+
+// handleMatch notes a store's progress and applies what became durable.
+func (t *Term) handleMatch(identity string, index int64) {
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	if !t.records.replicator.UpdateMatch(identity, index) {
+		return
+	}
+	t.applyCommittedLocked()
+	t.trimRecentLocked()
+	t.notifyLocked()
+}
+
+// applyCommittedLocked applies to the job table what is committed.
+func (t *Term) applyCommittedLocked() {
+	for t.records.applied < t.records.replicator.CommitIndex() {
+		record := t.recentAt(t.records.applied + 1)
+		if record == nil {
+			return
+		}
+		if err := t.jobs.Apply(record); err != nil {
+			t.process.Node.Log.Error("record not applied", "err", err.Error())
+		}
+		if record.Kind == messages.RecordJob {
+			t.jobCommittedLocked(record.Job)
+		}
+		t.records.applied++
+	}
+}
+
+// jobCommittedLocked notes that a job's first record is durable: it may be dispatched.
+func (t *Term) jobCommittedLocked(jobID string) {
+	delete(t.submissions.submitting, jobID)
+	delete(t.submissions.quota.pending, jobID)
+	if job := t.jobs.Job(jobID); job != nil {
+		job.KnownSince = clock.Now()
+	}
+	t.wakeExecutorsLocked()
+}
+
+// trimRecentLocked gives back the records that are durable and on our own disk; a store that
+// lags further behind is fed from there.
+func (t *Term) trimRecentLocked() {
+	own := t.records.replicator.MatchIndex(register.Identity(t.process.Election.Member()))
+	keep := min(own, t.records.applied)
+	count := 0
+	for count < len(t.records.recent) && t.records.recent[count].Index <= keep {
+		count++
+	}
+	if count > 0 {
+		t.records.recent = append([]messages.Record(nil), t.records.recent[count:]...)
+	}
+}
+
+// CommitIndex is the index up to which records are committed.
+func (t *Term) CommitIndex() int64 {
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	return t.records.replicator.CommitIndex()
+}
--- a/internal/control/agent/agent.go
+++ b/internal/control/agent/agent.go
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// Drain hashes this process as going away, and reports it to a controller at once.
+// Drain marks this process as going away, and reports it to a controller at once.
 func (a *Agent) Drain() {
 	a.LogTraffic(hclog.Info)
 	a.lock.Lock()
--- a/internal/control/membership/membership.go
+++ b/internal/control/membership/membership.go
@@ -60,7 +60,7 @@
 // Self gives the owner's entry.
 func (v *View) Self() messages.NodeInfo { return v.self }
 
-// SetDraining hashes the owner as going away.
+// SetDraining marks the owner as going away.
 func (v *View) SetDraining() { v.self.Draining = true }
 
 // SetGeneration notes which configuration the owner follows.
