--- a/internal/batch/dispatch/accounting.go
+++ b/internal/batch/dispatch/accounting.go
@@ -11,7 +11,7 @@
 	incarnation int64
 }
 
-// RegisterExecutor has an executor's life on record in this epoch before it is handed anything, so
+// RegisterExecutor has an executor's incarnation on record in this epoch before it is handed anything, so
 // that a later leader knows who may hold acquisitions. It gives the index of the
 // record while that is not durable, then zero.
 func (d *Dispatcher) RegisterExecutor(executor Executor) int64 {
@@ -27,8 +27,8 @@
 	return index
 }
 
-// ReportedAll notes that an executor has shown this leader all that it holds, and takes
-// nothing from earlier ones any more. Its entries were taken before.
+// ReportedAll notes that an executor has reported to this leader all that it holds, and accepts
+// nothing from earlier leaders any more. Its entries were processed before.
 func (d *Dispatcher) ReportedAll(executor Executor, epoch uint64, now clock.Instant) {
 	if epoch == d.epoch {
 		delete(d.unaccounted, executorID{executor.Name, executor.Incarnation})
@@ -36,7 +36,7 @@
 	}
 }
 
-// dropOlderIncarnations notes that a newer incarnation of an executor was heard: the older ones hold nothing.
+// dropOlderIncarnations notes that a newer incarnation of an executor was seen: the older ones hold nothing.
 func (d *Dispatcher) dropOlderIncarnations(executor Executor, now clock.Instant) {
 	for entrant := range d.unaccounted {
 		if entrant.name == executor.Name && entrant.incarnation < executor.Incarnation {
--- a/internal/batch/dispatch/acknowledge.go
+++ b/internal/batch/dispatch/acknowledge.go
@@ -12,7 +12,7 @@
 	Index   int64
 }
 
-// Acknowledge takes an executor's word on one acquisition. A repeat is answered the
+// Acknowledge takes an executor's acknowledgement of one acquisition. A repeat is answered the
 // same as the first.
 func (d *Dispatcher) Acknowledge(executor Executor, entry *messages.Acknowledgement, now clock.Instant) AckOutcome {
 	job := d.Jobs.Job(entry.Job)
--- a/internal/batch/dispatch/acquire.go
+++ b/internal/batch/dispatch/acquire.go
@@ -17,10 +17,10 @@
 	Expired bool
 }
 
-// AcquireOptions is an executor's question.
+// AcquireOptions is what an executor asks for.
 type AcquireOptions struct {
 	Executor Executor
-	// Capacity is how many places the executor has at each service.
+	// Capacity is how many free slots the executor has at each service.
 	Capacity map[string]int
 	// Terms gives the terms of a job, Service the service of an item.
 	Terms   func(job *Job) JobTerms
@@ -100,7 +100,7 @@
 			}
 			switch at, known := d.prefixOwners[prefixOf(item)]; {
 			case now.Sub(item.skippedSince) >= constants.PrefixWait:
-				// Passed over long enough: the executor that has its prefix may have no room.
+				// Passed over long enough: the executor that has its prefix may have no free slot.
 				first = append(first, item)
 			case known && at.executor == options.Executor.Name:
 				own = append(own, item)
--- a/internal/batch/dispatch/available.go
+++ b/internal/batch/dispatch/available.go
@@ -74,7 +74,7 @@
 }
 
 // dueOrder is the order in which open jobs are handed out: those that can still be in
-// time first, each part by due time. Sorting all jobs on every question would cost
+// time first, each part by due time. Sorting all jobs on every request would cost
 // more than the items that it hands out, so the order is kept for RankPeriod; jobs
 // that come meanwhile are put in place. Whether a job may be handed out at all is
 // asked anew for each job that is visited.
--- a/internal/batch/dispatch/dispatcher.go
+++ b/internal/batch/dispatch/dispatcher.go
@@ -38,17 +38,17 @@
 	serial   uint64
 	inFlight map[uint64]*Acquisition
 	// firstIndex is the index of the first record of this epoch: items of earlier jobs
-	// may be with executors until unsure.
+	// may be with executors until uncertainUntil.
 	firstIndex     int64
 	uncertainUntil clock.Instant
 	startedAt      clock.Instant
 	prefixOwners   map[string]prefixOwner
 	order          dueOrder
-	// executors are those that were heard lately; version counts their changes.
+	// executors are those that were in contact lately; version counts their changes.
 	executors map[string]*executorState
 	version   uint64
-	// registering are executors whose record is on its way; unheard are those of earlier
-	// epochs that have not shown what they hold.
+	// registering are executors whose record is on its way; unaccounted are those of earlier
+	// epochs that have not reported what they hold.
 	registering       map[executorID]int64
 	unaccounted       map[executorID]bool
 	acquisitionsKnown bool
--- a/internal/batch/dispatch/executors.go
+++ b/internal/batch/dispatch/executors.go
@@ -15,7 +15,7 @@
 	lastContact clock.Instant
 }
 
-// ObserveExecutor notes word from an executor. A newer incarnation says that the process of the one
+// ObserveExecutor notes contact from an executor. A newer incarnation says that the process of the one
 // before is gone, and its runs with it: its locks lapse at once.
 func (d *Dispatcher) ObserveExecutor(executor Executor, now clock.Instant) {
 	state := d.executors[executor.Name]
@@ -46,7 +46,7 @@
 	}
 }
 
-// ExpireExecutors drops executors that say nothing; what they hold waits for its locks.
+// ExpireExecutors drops executors that are silent; what they hold waits for its locks.
 func (d *Dispatcher) ExpireExecutors(now clock.Instant) bool {
 	abandoned := false
 	for name, state := range d.executors {
@@ -59,9 +59,9 @@
 	return abandoned
 }
 
-// Executors lists the executors that say something, so that they share the workers,
+// Executors lists the executors that are in contact, so that they share the workers,
 // with the version of the list, which rises over all epochs. There is none where the
-// asker knows it, nor before every executor had the time to speak.
+// asker knows it, nor before every executor had the time to report.
 func (d *Dispatcher) Executors(known uint64, now clock.Instant) (uint64, []messages.ExecutorInfo) {
 	version := d.epoch<<serialBits | d.version
 	if version == known || now.Sub(d.startedAt) < 2*constants.ExecutorTimeout {
--- a/internal/batch/dispatch/item.go
+++ b/internal/batch/dispatch/item.go
@@ -33,12 +33,12 @@
 	LastID int64
 	// FailedBy names the acquisitions that ended with a 500, each counted once.
 	FailedBy []uint64
-	// Preempted counts how often it made room; Runs how often it was delivered.
+	// Preempted counts how often it was preempted; Runs how often it was delivered.
 	Preempted int
 	Runs      int
 	// Lapses, Releases and Renewals count what befell its acquisitions.
 	Lapses, Releases, Renewals int
-	// OwedResume says that it made room and was not begun again yet.
+	// OwedResume says that it was preempted and has not been resumed yet.
 	OwedResume bool
 	Job        *Job
 	yielding   bool
@@ -46,9 +46,9 @@
 	closedBy     uint64
 	closingIndex int64
 	acquisition  *Acquisition
-	// position is the item's place in its job.
+	// position is the item's index in its job.
 	position int
-	// availableAt is when it may be acquired again; seen is when it was first found free.
+	// availableAt is when it may be acquired again; skippedSince is when it was first passed over.
 	availableAt, skippedSince clock.Instant
 }
 
@@ -79,7 +79,7 @@
 	return true
 }
 
-// Yield asks a run to make room; false when it is over already.
+// Yield asks a run to give up its slot; false when it is over already.
 func (i *Item) Yield(run int) bool {
 	if !i.running(run) || i.yielding {
 		return false
@@ -89,7 +89,7 @@
 	return true
 }
 
-// Yielding tells whether the run that goes on now was asked to make room.
+// Yielding tells whether the run that goes on now was asked to yield.
 func (i *Item) Yielding() bool { return i.yielding }
 
 // Requeue ends a run without a result: the item keeps its place by age and all
--- a/internal/batch/dispatch/jobtable.go
+++ b/internal/batch/dispatch/jobtable.go
@@ -71,7 +71,7 @@
 	executors map[executorID]uint64
 }
 
-// NewJobTable makes an empty book.
+// NewJobTable makes an empty table.
 func NewJobTable() *JobTable {
 	return &JobTable{jobs: map[string]*Job{}, executors: map[executorID]uint64{}}
 }
--- a/internal/batch/executor/runner.go
+++ b/internal/batch/executor/runner.go
@@ -17,7 +17,7 @@
 	Number uint64
 	Item   *dispatch.Item
 	Run    int
-	// Since is when it was acquired; Begun says that it is at a worker.
+	// Since is when it was acquired; Started says that it is at a worker.
 	Since   clock.Instant
 	Started bool
 	// lockedUntil is the end of the lock by our own steady clock, less the margin.
@@ -45,7 +45,7 @@
 // New makes one without tasks.
 func New() *Runner { return &Runner{tasks: map[uint64]*Task{}} }
 
-// Count is how many tasks there are; waiting is how many of them have no place yet.
+// Count is how many tasks there are; waiting is how many of them have no worker yet.
 func (r *Runner) Count() (all, waiting int) {
 	for _, task := range r.tasks {
 		if !task.Started {
@@ -88,7 +88,7 @@
 	return tasks
 }
 
-// DropBefore says that a leader of an epoch is told all that is held here: answers of
+// DropBefore says that a leader of an epoch has been told all that is held here: answers of
 // earlier leaders that are still on their way are not taken any more.
 func (r *Runner) DropBefore(epoch uint64) { r.fencedEpoch = max(r.fencedEpoch, epoch) }
 
--- a/internal/batch/executorserver/executorserver.go
+++ b/internal/batch/executorserver/executorserver.go
@@ -102,7 +102,7 @@
 	go clock.Every(constants.TickPeriod, s.node.Stop, s.maintain)
 }
 
-// acquireLoop keeps as many items as there are places for.
+// acquireLoop keeps as many items as there are free slots for.
 func (s *Server) acquireLoop() {
 	stop := s.node.Stop
 	for {
@@ -178,7 +178,7 @@
 	s.place()
 }
 
-// stopRunsLocked breaks runs off; each sets its item back by itself. The lock is held.
+// stopRunsLocked breaks runs off; each requeues its item by itself. The lock is held.
 func (s *Server) stopRunsLocked(tasks []*executor.Task) {
 	for _, task := range tasks {
 		if connection := s.connections[task]; connection != nil {
--- a/internal/batch/executorserver/place.go
+++ b/internal/batch/executorserver/place.go
@@ -15,7 +15,7 @@
 
 // workerOwnership is which workers this process places items at. Each worker is owned by
 // one store as far as the stores see each other: of those in its zone, else of
-// all, the one with the highest hash. So executors need not agree on each place, and a
+// all, the one with the highest hash. So executors need not agree on each placement, and an
 // executor that sees few others owns more.
 type workerOwnership struct {
 	at      clock.Instant
@@ -92,7 +92,7 @@
 }
 
 // addExecutors adds the executors on the dispatcher's list; false when it is old. The
-// dispatcher hears every executor twice a second, well before others take it for
+// dispatcher is contacted by every executor twice a second, well before others take it for
 // silent.
 func (s *Server) addExecutors(stores map[string]string, now clock.Instant) bool {
 	s.lock.Lock()
@@ -106,7 +106,7 @@
 	return true
 }
 
-// freeCapacity is how many items to ask for: one for each worker of ours with a place left,
+// freeCapacity is how many items to ask for: one for each worker of ours with a slot left,
 // beside those that wait already.
 func (s *Server) freeCapacity() []messages.ServiceCapacity {
 	config, now := s.node.Config(), clock.Now()
--- a/internal/batch/executorserver/run.go
+++ b/internal/batch/executorserver/run.go
@@ -97,7 +97,7 @@
 	preempted := task.Item.Preempted > 0
 	s.lock.Unlock()
 	if !finished {
-		// It was asked to make room in its last moment: its run counts as preempted.
+		// It was asked to yield in its last moment: its run counts as preempted.
 		s.release(route, task, grant, admission.ResultServed, messages.Acknowledgement{}, "preempted at its end")
 		return
 	}
@@ -133,7 +133,7 @@
 	}
 }
 
-// yield breaks off a run that has to make room; the run itself sets the item back.
+// yield breaks off a run that was asked to yield; the run itself requeues the item.
 func (s *Server) yield(task *executor.Task) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/batch/jobclient/jobclient.go
+++ b/internal/batch/jobclient/jobclient.go
@@ -1,4 +1,4 @@
-// Package jobclient is a client for jobs: it submits them , reads and follows them, and
+// Package jobclient is a client for jobs: it submits them, reads and follows them, and
 // ends them, by the calls that any edge node takes.
 package jobclient
 
--- a/internal/batch/leader/addmember.go
+++ b/internal/batch/leader/addmember.go
@@ -45,7 +45,7 @@
 
 // syncJoiners brings all joiners in at the same time, and gives the swaps of those that
 // have everything; the others are sent nothing further. Once one is complete, the others have
-// as long again and a little more: a set that lacks one copy is nearer to whole than one
+// as long again and a little more: a set that lacks one copy is nearer to complete than one
 // that lacks two, and what was copied to the others stays there.
 func (t *Term) syncJoiners(replacements []replacement) (complete []replacement) {
 	targets, ended, timeout := make([]int64, len(replacements)), make(chan int, len(replacements)), NewCopyDeadline()
--- a/internal/batch/leader/copy.go
+++ b/internal/batch/leader/copy.go
@@ -26,7 +26,7 @@
 
 // CopyTo has a joiner fetch what is durable from a member, and gives the index up
 // to which it has it. The leader's own link carries each new record to every store;
-// old ones need not take that way, and a wiped store has to be complete again soon.
+// old ones need not take that way, and a store whose disk was lost has to be complete again soon.
 func (t *Term) CopyTo(joiner messages.Member, i int, timeout *CopyDeadline) int64 {
 	identity := register.Identity(joiner)
 	last := int64(0)
--- a/internal/batch/leader/dispatch.go
+++ b/internal/batch/leader/dispatch.go
@@ -62,7 +62,7 @@
 	}
 	for {
 		config, now := t.process.Node.Config(), clock.Now()
-		// A hold that ran out hands nothing out: the next leader counts on it.
+		// A lease that ran out hands nothing out: the next leader counts on it.
 		if config == nil || !t.process.Election.HoldsLease() || t.Closed() {
 			return &messages.AcquireResponse{NotLeader: true}
 		}
--- a/internal/batch/leader/quota.go
+++ b/internal/batch/leader/quota.go
@@ -8,7 +8,7 @@
 )
 
 // quota knows what counts against a route beside the job table: jobs on their way to
-// the stores, and which route a place belongs to under the newest configuration.
+// the stores, and which route a path belongs to under the newest configuration.
 type quota struct {
 	pending map[string]pendingJob
 	config  *routeconfig.Config
@@ -24,7 +24,7 @@
 // submitPath is where a job was submitted.
 type submitPath struct{ host, path string }
 
-// submitPathsMax bounds the places remembered (ours): each job may have a path of its own.
+// submitPathsMax bounds the paths remembered (ours): each job may have a path of its own.
 const submitPathsMax = 4096
 
 func newQuota() quota {
@@ -36,7 +36,7 @@
 	q.pending[call.Job] = pendingJob{submitPath{call.Host, call.Path}, tokens}
 }
 
-// route gives the bulk route of a place, matched once for each configuration.
+// route gives the batch route of a path, matched once for each configuration.
 func (q *quota) route(config *routeconfig.Config, at submitPath) *routeconfig.Route {
 	if q.config != config || len(q.routes) > submitPathsMax {
 		q.config, q.routes = config, map[submitPath]*routeconfig.Route{}
--- a/internal/batch/leader/submit.go
+++ b/internal/batch/leader/submit.go
@@ -56,7 +56,7 @@
 	return body, tokens, 0, ""
 }
 
-// submitJob takes a job: checked, within the quota, and durable before it is told.
+// submitJob takes a job: checked, within the quota, and durable before it is acknowledged.
 func (t *Term) submitJob(call *messages.JobCallRequest) *messages.JobCallResponse {
 	accepted := &messages.JobCallResponse{Status: http.StatusAccepted, Body: []byte("{}")}
 	t.lock.Lock()
--- a/internal/batch/leader/takeover.go
+++ b/internal/batch/leader/takeover.go
@@ -201,7 +201,7 @@
 	node.Multicast(node.Live(membership.RoleStore), messages.KindLeaderAnnouncement, announcement, constants.LeaseRenewPeriod, nil)
 }
 
-// announce makes known who leads: to stores each time, since one that hears nothing for the
+// announce makes known who leads: to stores each time, since one that is told nothing for the
 // length of a lease campaigns; to the gateways in view while it is news, and then now and
 // then. Whoever was missed learns it by asking any store.
 func (t *Term) announce() {
--- a/internal/batch/leadership/leadership.go
+++ b/internal/batch/leadership/leadership.go
@@ -1,7 +1,7 @@
 // Package leadership elects the store that decides on all batch jobs. A candidate asks the
 // acceptors for a lease (package lease), which decides who may try; then it raises the
 // leadership's epoch in the register, which is what fences an earlier leader that overslept
-// its lease. The leader renews the lease and announces itself; a store that hears of no
+// its lease. The leader renews the lease and announces itself; a store that is told of no
 // leader for the length of a lease campaigns.
 package leadership
 
--- a/internal/batch/leadership/slowness.go
+++ b/internal/batch/leadership/slowness.go
@@ -116,7 +116,7 @@
 }
 
 // yields tells whether this process leaves the leadership to others for now: it has just
-// resigned, or its machine is slow and it has not held back for long.
+// resigned, or its machine is slow and it has not yielded for long.
 func (c *Campaign) yields(now clock.Instant) bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
--- a/internal/batch/replicalog/compact.go
+++ b/internal/batch/replicalog/compact.go
@@ -56,8 +56,8 @@
 	return r.committed[0].index
 }
 
-// weighs tells whether enough has come since to weigh the file again: what says nothing
-// any more was made so by new records.
+// weighs tells whether enough has come since to weigh the file again: what is obsolete
+// was made so by new records.
 func (r *compactionState) weighs(last int64) bool {
 	const part = 8
 	if last >= r.weighed && last-r.weighed < int64(r.Records/part) {
@@ -75,7 +75,7 @@
 	return long || (dropped >= r.Records && dropped >= retained)
 }
 
-// CompactIfDue rewrites the file once much of it says nothing any more.
+// CompactIfDue rewrites the file once much of it is obsolete.
 func (l *Log) CompactIfDue(now clock.Instant) error {
 	l.lock.Lock()
 	defer l.lock.Unlock()
--- a/internal/batch/replicalog/read.go
+++ b/internal/batch/replicalog/read.go
@@ -34,7 +34,7 @@
 	return &record.Entry, nil
 }
 
-// Fetch gives a stretch of records. A copy that is not complete is no source.
+// Fetch gives a range of records. A copy that is not complete is no source.
 func (l *Log) Fetch(req *messages.FetchRequest) (*messages.FetchResponse, error) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -63,7 +63,7 @@
 	return resp, nil
 }
 
-// Jobs makes the job table of jobs from all records.
+// Jobs makes the job table from all records.
 func (l *Log) Jobs() (*dispatch.JobTable, error) {
 	forgotten := map[string]int64{}
 	var records []*messages.Record
--- a/internal/batch/replication/compaction.go
+++ b/internal/batch/replication/compaction.go
@@ -27,8 +27,8 @@
 	return epoch
 }
 
-// Obsolete gives the test of which records say nothing any more once all up to an index
-// are durable: those of forgotten jobs, the word that forgot them included, of executors
+// Obsolete gives the test of which records are obsolete once all up to an index
+// are durable: those of forgotten jobs, the record that forgot them included, of executors
 // that hold nothing, and those without a content.
 func (r *Replica) Obsolete(upTo int64) func(slot IndexEntry) bool {
 	forgotten, sure := r.forgottenAt(upTo), r.acquisitionsKnownEpoch(upTo)
@@ -62,7 +62,7 @@
 }
 
 // Compacted gives the records that stay when all up to an index is compacted. The one
-// at the index always stays, empty where it says nothing: it ends the sparse part.
+// at the index always stays, empty where it is obsolete: it ends the sparse part.
 func (r *Replica) Compacted(upTo int64) (base Base, stay []IndexEntry) {
 	base = Base{upTo, r.EpochAt(upTo)}
 	obsolete := r.Obsolete(upTo)
--- a/internal/batch/replication/extent.go
+++ b/internal/batch/replication/extent.go
@@ -58,7 +58,7 @@
 	return part
 }
 
-// commonRanges is Common for two copies that were not compacted.
+// commonRanges is CommonIndex for two copies that were not compacted.
 func commonRanges(left, right LogExtent) int64 {
 	common := int64(0)
 	for i := 0; i < len(left.EpochRanges) && i < len(right.EpochRanges); i++ {
--- a/internal/batch/replication/replica.go
+++ b/internal/batch/replication/replica.go
@@ -32,7 +32,7 @@
 }
 
 // Base is the point up to which a replica is compacted: of the records up to Index only
-// those are kept that still say something. Epoch is that of the record at Index. All
+// those are kept that are not obsolete. Epoch is that of the record at Index. All
 // of them are durable, so whoever has the record at Index has the same before it.
 type Base struct {
 	Index int64
@@ -45,7 +45,7 @@
 	Disk        string
 	fencedEpoch uint64
 	base        Base
-	// sparse are the records kept of those up to the base, slots all that follow it.
+	// sparse are the entries kept of those up to the base, entries all that follow it.
 	sparse, entries []IndexEntry
 }
 
@@ -76,7 +76,7 @@
 // Last is the index of the last record; indexes begin at 1.
 func (r *Replica) Last() int64 { return r.lastSparse() + int64(len(r.entries)) }
 
-// EntryAt gives the slot at an index; there is none where the record was compacted away.
+// EntryAt gives the entry at an index; there is none where the record was compacted away.
 func (r *Replica) EntryAt(index int64) (IndexEntry, bool) {
 	if offset := index - r.base.Index - 1; offset >= 0 {
 		if offset >= int64(len(r.entries)) {
@@ -91,7 +91,7 @@
 	return r.sparse[i], true
 }
 
-// sparseAt is the place of the first sparse record at an index or behind it.
+// sparseAt is the position of the first sparse record at an index or behind it.
 func (r *Replica) sparseAt(index int64) int {
 	return sort.Search(len(r.sparse), func(i int) bool { return r.sparse[i].Index >= index })
 }
--- a/internal/control/agent/agent.go
+++ b/internal/control/agent/agent.go
@@ -32,7 +32,7 @@
 	pulling bool
 	plan    planFollower
 
-	// onConfig are told of each newer configuration. Set before Start.
+	// onConfig are notified of each newer configuration. Set before Start.
 	onConfig []func(*routeconfig.Config)
 }
 
@@ -85,7 +85,7 @@
 	a.view.NoteContact(key, clock.Now())
 }
 
-// Live gives the processes of a role that were heard from lately.
+// Live gives the processes of a role that were in contact lately.
 func (a *Agent) Live(role string) []messages.NodeInfo {
 	a.lock.Lock()
 	defer a.lock.Unlock()
--- a/internal/control/agent/config.go
+++ b/internal/control/agent/config.go
@@ -14,7 +14,7 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// OnConfig registers who is told of newer configurations.
+// OnConfig registers who is notified of newer configurations.
 func (a *Agent) OnConfig(function func(*routeconfig.Config)) {
 	a.onConfig = append(a.onConfig, function)
 }
--- a/internal/control/agent/reports.go
+++ b/internal/control/agent/reports.go
@@ -16,7 +16,7 @@
 	// firstController is the address of the controller that took the last full report.
 	firstController string
 	// onReportResponse, on a controller, completes what it answers to a report;
-	// onControllerReport is told of what a controller answered. Set before Start.
+	// onControllerReport is notified of what a controller answered. Set before Start.
 	onReportResponse   func(resp *messages.Shuffle)
 	onControllerReport func(address string, resp *messages.Shuffle)
 }
@@ -26,13 +26,13 @@
 	a.reporter.onReportResponse = function
 }
 
-// OnControllerReport registers who hears what a controller answered.
+// OnControllerReport registers who is notified of what a controller answered.
 func (a *Agent) OnControllerReport(function func(address string, resp *messages.Shuffle)) {
 	a.reporter.onControllerReport = function
 }
 
 // join asks the seeds until a controller is known, then goes over to the periodic
-// exchange. Controllers have a period of their own (the controller's beat).
+// exchange. Controllers have a period of their own (constants.ControllerHeartbeatPeriod).
 func (a *Agent) join() {
 	const meetings = 10
 	controller := a.Self.Role == membership.RoleController
@@ -92,7 +92,7 @@
 }
 
 // secondReport is the short report to a second controller, drawn anew each time: neither
-// this process's proof of life nor its news depends on one neighbour.
+// this process's sign of life nor the updates that it gets depend on one neighbour.
 func (a *Agent) secondReport() {
 	a.lock.Lock()
 	controllers := a.view.SecondControllers(a.reporter.firstController, clock.Now())
--- a/internal/control/broadcast/backlog.go
+++ b/internal/control/broadcast/backlog.go
@@ -61,7 +61,7 @@
 	p.backoff, p.next = constants.BacklogBackoff, now.Add(backoff)
 }
 
-// Due gives the deliveries to be made now. Processes whose life is not in the directory
+// Due gives the deliveries to be made now. Processes whose incarnation is not in the directory
 // any more are dropped; what the directory says of their configurations counts.
 func (b *Backlog) Due(directory []messages.NodeInfo, now clock.Instant) []Delivery {
 	present := map[string]messages.NodeInfo{}
--- a/internal/control/broadcast/outcomes.go
+++ b/internal/control/broadcast/outcomes.go
@@ -19,7 +19,7 @@
 		if branch.complete || branch.relay != send.Address {
 			return nil
 		}
-		// It lives and is at it: it is given the time that its zone may take.
+		// It is alive and at work: it is given the time that its zone may take.
 		branch.requestedAt = now.Add(constants.ZoneBroadcastTimeout)
 		return []Send{{Step: StepWait, Address: send.Address, Zone: send.Zone}}
 	case StepWait:
@@ -68,8 +68,8 @@
 // Receiver gives the process that a send goes to.
 func (j *Tree) Receiver(send Send) messages.NodeInfo { return j.entries[send.Address] }
 
-// Unconfirmed gives the processes whose taking of a configuration this job does not hear
-// of: those of the owner's zone to which others pass it on, and those of other zones.
+// Unconfirmed gives the processes whose confirmation of a configuration this tree does not get
+// itself: those of the owner's zone to which others pass it on, and those of other zones.
 func (j *Tree) Unconfirmed(sends []Send) []messages.NodeInfo {
 	notified := map[string]bool{}
 	for _, send := range sends {
@@ -98,7 +98,7 @@
 	return sends
 }
 
-// Done tells whether everybody who was heard lately took the update or failed to.
+// Done tells whether everybody who was in contact lately took the update or failed to.
 func (j *Tree) Done() bool {
 	for _, branch := range j.branches {
 		if !branch.complete {
@@ -108,7 +108,7 @@
 	return len(j.pending) == 0
 }
 
-// Missing gives the hashes of those in touch that have not taken the update.
+// Missing gives the hashes of those in contact that have not confirmed the update.
 func (j *Tree) Missing() []uint32 {
 	var hashes []uint32
 	for hash := range j.missing {
--- a/internal/control/broadcast/tree.go
+++ b/internal/control/broadcast/tree.go
@@ -36,7 +36,7 @@
 	Expect []uint32
 }
 
-// branch is the part of a job that one zone makes.
+// branch is the part of a tree that one zone makes.
 type branch struct {
 	controllers []messages.NodeInfo
 	processes   []messages.NodeInfo
@@ -51,14 +51,14 @@
 	self     messages.NodeInfo
 	fan      int
 	branches map[string]*branch
-	// pending are the tells that are waited for, by address.
+	// pending are the sends whose response is waited for, by address.
 	pending map[string]bool
 	missing map[uint32]bool
 	hashes  map[string]uint32
 	entries map[string]messages.NodeInfo
 }
 
-// NewTree begins a job for all processes of a directory but the owner. fan is how many of
+// NewTree begins an update for all processes of a directory but the owner. fan is how many of
 // a zone are told directly, each passing the update on to its part of the rest; 0 tells
 // each directly.
 func NewTree(own messages.NodeInfo, directory []messages.NodeInfo, fan int, now clock.Instant) (*Tree, []Send) {
@@ -83,7 +83,7 @@
 	var sends []Send
 	for _, zone := range job.zones() {
 		b := job.branches[zone]
-		// The freshest is asked first: it most likely lives.
+		// The one in contact most recently is asked first: it is most likely alive.
 		sort.SliceStable(b.controllers, func(left, right int) bool { return b.controllers[left].AgeMs < b.controllers[right].AgeMs })
 		if zone == own.Zone {
 			b.complete = true
@@ -95,7 +95,7 @@
 	return job, sends
 }
 
-// NewZoneTree begins a job for the owner's zone alone, on behalf of another. Those of the
+// NewZoneTree begins an update for the owner's zone alone, on behalf of another. Those of the
 // expected that the owner does not know are missing from the start.
 func NewZoneTree(own messages.NodeInfo, directory []messages.NodeInfo, expect []uint32, fan int, now clock.Instant) (*Tree, []Send) {
 	var near []messages.NodeInfo
@@ -115,7 +115,7 @@
 	return job, sends
 }
 
-// recentlyInContact tells whether a process was heard lately: only then is it waited for.
+// recentlyInContact tells whether a process was in contact lately: only then is it waited for.
 func recentlyInContact(entry messages.NodeInfo) bool {
 	return entry.AgeMs < constants.SuspectAfter.Milliseconds()
 }
@@ -157,7 +157,7 @@
 			}
 		}
 	}
-	// The silent ones are told as well, each for itself: nobody waits for them.
+	// The silent ones are sent the update as well, each for itself: nobody waits for them.
 	for _, entry := range silent {
 		sends = append(sends, Send{Step: StepDeliver, Address: entry.Address})
 	}
--- a/internal/control/broadcastserver/delivery.go
+++ b/internal/control/broadcastserver/delivery.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// missing gives the hashes of those in contact that have not taken the update.
+// missing gives the hashes of those in contact that have not confirmed the update.
 func (d *delivery) missing() []uint32 {
 	d.lock.Lock()
 	defer d.lock.Unlock()
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -128,7 +128,7 @@
 func wire(node *agent.Agent, replica, plans *registerserver.Replica, table *workerserver.Table, checker *configcheck.Checker) *Controller {
 	c := &Controller{Node: node, Register: replica, peers: newPeers()}
 	replica.HandleConfiguration()
-	// Who has not heard a majority on the workers takes no place in the set yet: it would
+	// Who has not recovered the workers from a majority takes no place in the set yet: it would
 	// count for what it does not know.
 	c.sets = registerserver.NewSetMaintainer(replica, func() bool { return !table.Recovering() })
 	c.broadcast = broadcastserver.New(node, table)
--- a/internal/control/membership/membership.go
+++ b/internal/control/membership/membership.go
@@ -1,5 +1,5 @@
-// Package membership is membership: partial views that are shuffled between
-// neighbours, and the controllers's directory of all processes. A step function without
+// Package membership keeps a process's view of the fleet: partial views that are shuffled between
+// neighbours, and the controllers' directory of all processes. A step function without
 // I/O.
 package membership
 
@@ -22,7 +22,7 @@
 
 type peer struct {
 	info messages.NodeInfo
-	// lastContact is the last sign of incarnation of any kind, direct the last one to this process itself.
+	// lastContact is the last sign of life of any kind, lastDirect the last one to this process itself.
 	lastContact, lastDirect clock.Instant
 	change                  uint64
 	hash                    uint32
@@ -39,7 +39,8 @@
 	random *rand.Rand
 	// version counts the changes, sum stands for the entries.
 	version, sum uint64
-	// lastController is when a controller was last heard, heads how many processes it told of.
+	// lastController is when a controller was last in contact, counts how many processes of each
+	// role it reported.
 	lastController clock.Instant
 	trimmed        clock.Instant
 	counts         map[string]int
@@ -181,8 +182,8 @@
 	return found
 }
 
-// reference is the instant from which silence counts. Most of what a process hears of
-// others comes through controllers; while it hears none, it goes on with what it had.
+// reference is the instant from which silence counts. Most of what a process learns of
+// others comes through controllers; while none is in contact, it goes on with what it had.
 func (v *View) reference(now clock.Instant) clock.Instant {
 	if v.lastController > 0 && v.self.Role != RoleController && now.Sub(v.lastController) > constants.SuspectAfter {
 		return v.lastController
@@ -190,7 +191,7 @@
 	return now
 }
 
-// Live gives the entries that were heard lately.
+// Live gives the entries that were in contact lately.
 func (v *View) Live(role string, now clock.Instant) []messages.NodeInfo {
 	var found []messages.NodeInfo
 	reference := v.reference(now)
--- a/internal/control/membership/neighbours.go
+++ b/internal/control/membership/neighbours.go
@@ -9,8 +9,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// rendezvousWeight is the rendezvous hash of two processes. Whoever keeps the lightest of all
-// that it hears of keeps a random and yet steady sample (a min-wise sample): how
+// rendezvousWeight is the rendezvous hash of two processes. Whoever keeps those of the least weight of all
+// that it learns of keeps a random and yet steady sample (a min-wise sample): how
 // often somebody is named does not count.
 func rendezvousWeight(own, other string) uint64 {
 	sum := fnv.New64a()
@@ -25,7 +25,7 @@
 	return mixed
 }
 
-// Neighbours gives up to count live processes of a role, the lightest first: one in
+// Neighbours gives up to count live processes of a role, those of the least weight first: one in
 // another zone where there is one, the rest in the owner's own zone, and others only
 // where that has too few.
 func (v *View) Neighbours(role string, count int, now clock.Instant) []messages.NodeInfo {
@@ -61,7 +61,7 @@
 }
 
 // Population is how many live processes of a role there are, the owner included: as a
-// controller last told, or as many as are in view.
+// controller last reported, or as many as are in view.
 func (v *View) Population(role string, now clock.Instant) int {
 	if notified := v.counts[role]; notified > 0 && v.self.Role != RoleController {
 		return notified
--- a/internal/control/membership/reports.go
+++ b/internal/control/membership/reports.go
@@ -87,8 +87,8 @@
 	return d
 }
 
-// age gives what is told of a process: one that is as fresh as reports come is told as
-// just heard, so that only silence shows.
+// age gives what is told of a process: one that is as fresh as reports come is reported as
+// in contact just now, so that only silence shows.
 func (v *View) age(hash uint32, now clock.Instant) uint16 {
 	key, found := v.keyByHash[hash]
 	if !found {
@@ -141,7 +141,7 @@
 	return entries
 }
 
-// usable tells whether a controller is worth asking: it was heard lately and did not
+// usable tells whether a controller is worth asking: it was in contact lately and did not
 // just fail to answer, or answer that it is detached.
 func (v *View) usable(entry messages.NodeInfo, now clock.Instant) bool {
 	failed, shunned := v.failedAt[entry.Address]
--- a/internal/control/membership/table.go
+++ b/internal/control/membership/table.go
@@ -10,7 +10,7 @@
 )
 
 // Hash is the short hash by which one incarnation of a process is named between processes.
-// One that leaves gets another mark, so that whoever knows it as staying is told.
+// One that drains gets another hash, so that whoever knows it as active is told.
 func Hash(entry messages.NodeInfo) uint32 {
 	sum := fnv.New32a()
 	_, _ = sum.Write([]byte(Key(entry) + "/" + strconv.FormatInt(entry.Incarnation, 36) + "/" + strconv.FormatBool(entry.Draining)))
--- a/internal/control/membership/viewsize.go
+++ b/internal/control/membership/viewsize.go
@@ -16,12 +16,12 @@
 }
 
 // isCompleteFor tells whether a process keeps all of a role: controllers keep everybody, everybody
-// keeps the controllers, and stores keep stores, since duties move between them.
+// keeps the controllers, and stores keep stores, since the leadership moves between them.
 func isCompleteFor(owner, role string) bool {
 	return owner == RoleController || role == RoleController || (owner == RoleStore && role == RoleStore)
 }
 
-// selectPeers draws the part of a role's processes that an owner keeps: the lightest, two in
+// selectPeers draws the part of a role's processes that an owner keeps: those of the least weight, two in
 // each other zone at least, and those of its own zone before the rest. Whoever draws
 // from the same list draws the same.
 func selectPeers(owner messages.NodeInfo, entries []messages.NodeInfo, limit int) []messages.NodeInfo {
@@ -61,7 +61,7 @@
 }
 
 // trim forgets who was silent for long, and keeps the view within its bound: the
-// silent go first, then those that pick would not draw.
+// silent go first, then those that selectPeers would not draw.
 func (v *View) trim(now clock.Instant) {
 	reference := v.reference(now)
 	if now.Sub(v.trimmed) >= constants.ShufflePeriod {
--- a/internal/control/operatorapi/configuration.go
+++ b/internal/control/operatorapi/configuration.go
@@ -54,7 +54,7 @@
 		a.node.Log.Info("configuration acknowledged", "generation", config.Generation)
 		httpreply.JSON(writer, http.StatusOK, map[string]int64{"generation": config.Generation})
 	case register.ResultBaseAhead:
-		// An earlier try that is still on its way could meet the base in force: no
+		// An earlier attempt that is still on its way could meet the base in force: no
 		// refusal holds for ever here.
 		httpreply.Error(writer, http.StatusGatewayTimeout, "the base is not in force")
 	case register.ResultConflict:
--- a/internal/control/operatorapi/retire.go
+++ b/internal/control/operatorapi/retire.go
@@ -37,7 +37,7 @@
 		known = known || member.Name == name
 	}
 	if !known && clock.Now().Sub(a.node.StartedAt) < constants.SuspectAfter {
-		// A process that has just started can't tell unknown from not yet heard.
+		// A process that has just started can't tell unknown from not yet in contact.
 		httpreply.Error(writer, http.StatusServiceUnavailable, contactserver.NoClearAnswer)
 		return
 	}
--- a/internal/control/register/archive.go
+++ b/internal/control/register/archive.go
@@ -9,7 +9,7 @@
 
 // Archive is what one acceptor holds of the chain of versions taken. Its caller
 // writes down the chunks that Extend and Fill give back. What it holds is checked
-// against the digest in a value, so one whole archive anywhere is enough to tell
+// against the digest in a value, so one complete archive anywhere is enough to tell
 // whether a version was taken.
 type Archive struct {
 	// base stands for what is older than the first chunk kept.
@@ -18,7 +18,7 @@
 }
 
 // Restore takes a chunk read from disk: it replaces those from its index on. The first
-// chunk of a chain, or one without prints, replaces all.
+// chunk of a chain, or one without fingerprints, replaces all.
 func (a *Archive) Restore(chunk messages.ArchiveChunk) {
 	if chunk.Index == 1 && len(chunk.Fingerprints) > 0 {
 		*a = Archive{}
--- a/internal/control/register/backoff.go
+++ b/internal/control/register/backoff.go
@@ -6,7 +6,7 @@
 )
 
 // Backoff gives the pause before the next attempt after a number of lost ones, of which
-// the last took a time; draw is a random number in [0, 1). The random part doubles with
+// the last took a time; random is a random number in [0, 1). The random part doubles with
 // each loss and is no shorter than an attempt, so that any number of proposers soon
 // finds a gap that is long enough for two rounds.
 func Backoff(lost int, took clock.Duration, random float64) clock.Duration {
--- a/internal/control/register/ballot.go
+++ b/internal/control/register/ballot.go
@@ -18,7 +18,7 @@
 	ErrNoQuorum = errs.Define("register without a majority")
 )
 
-// NewBallot names an attempt. The life is part of the name: a proposer that is
+// NewBallot names an attempt. The incarnation is part of the name: a proposer that is
 // started again has forgotten which counters it used, and two values under one
 // ballot could both be taken for chosen.
 func NewBallot(counter uint64, name, disk string, incarnation int64) messages.Ballot {
--- a/internal/control/register/joint.go
+++ b/internal/control/register/joint.go
@@ -4,7 +4,7 @@
 
 // Join gives a change of the acceptor set by which a joiner takes the place of
 // a member, or a new place where out is nil. The old set stays beside the new
-// one until Settle, so that majorities of both must agree in between. A set that
+// one until EndJoint, so that majorities of both must agree in between. A set that
 // has its size takes nobody without giving somebody up: several joiners may have
 // seen the same gap.
 func Join(joiner messages.Member, out *messages.Member, size int) Change {
--- a/internal/control/register/proposal.go
+++ b/internal/control/register/proposal.go
@@ -191,7 +191,7 @@
 	}
 }
 
-// QuorumRead is a quick look: if a majority holds one and the same ballot and none
+// QuorumRead is a read without a ballot: if a majority holds one and the same ballot and none
 // a higher one, its value is in force and nothing needs to be written.
 type QuorumRead struct {
 	known     messages.RegisterValue
@@ -203,7 +203,7 @@
 // Newer is a value with newer sets that was met, if any: to be read at those.
 func (r *QuorumRead) Newer() *messages.RegisterValue { return r.newer }
 
-// NewQuorumRead opens a quick look.
+// NewQuorumRead opens a read without a ballot.
 func NewQuorumRead(known messages.RegisterValue) (*QuorumRead, []Send) {
 	reading := &QuorumRead{known: known, responses: map[string]messages.PrepareResponse{}, answered: map[string]bool{}}
 	var sends []Send
--- a/internal/control/register/reconcile.go
+++ b/internal/control/register/reconcile.go
@@ -6,18 +6,18 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// SetReconciler is what a process knows when it looks after the acceptor set.
+// SetReconciler is what a process knows when it decides on the next change of the acceptor set.
 type SetReconciler struct {
 	Own messages.Member
 	// Votes says that this process may take a place: it has a disk of its own.
 	Votes bool
-	// Size is how many members bear the loss of the fault budget (2f + 1).
+	// Size is how many members tolerate the loss of the fault budget (2f + 1).
 	Size int
 	// JointRecent says that a joint set has stood for a short time only: the joiner, who
 	// proposed it, ends it, and others stay out of its way.
 	JointRecent bool
-	// Diskless says of a member that it has no disk, and Gone that it was silent for
-	// long; Gone is asked only where nothing else is to be done.
+	// Diskless says of a member that it has no disk, and Departed that it was silent for
+	// long; Departed is asked only where nothing else is to be done.
 	Diskless func(member messages.Member) bool
 	Departed func(member messages.Member) bool
 }
@@ -45,7 +45,7 @@
 			return nil
 		}
 		if member.Address == t.Own.Address {
-			// The same machine with another disk: that member has no memory left.
+			// The same machine with another disk: that member has forgotten its votes.
 			return Join(t.Own, &member, t.Size)
 		}
 		if blank == nil && t.Diskless != nil && t.Diskless(member) {
--- a/internal/control/register/replace.go
+++ b/internal/control/register/replace.go
@@ -25,7 +25,7 @@
 	// ResultTooFewStores: what is asked would leave too few members.
 	ResultTooFewStores
 	// ResultBaseAhead: the base is younger than the current version. It may yet come into
-	// force, and an earlier try of the same order may meet it then: no refusal.
+	// force, and an earlier attempt of the same order may meet it then: no refusal.
 	ResultBaseAhead
 )
 
@@ -71,13 +71,13 @@
 	}
 }
 
-// Campaign gives the change by which a store becomes the holder of the lots: it
-// raises the epoch, so that whoever held it before can change nothing any more.
+// Campaign gives the change by which a store becomes the leader: it
+// raises the epoch, so that whoever led before can change nothing any more.
 func Campaign(leader messages.Leadership, expected uint64, first []messages.Member, done *bool) Change {
 	return func(current messages.RegisterValue) (messages.RegisterValue, Verdict) {
 		*done = false
 		if current.Leadership.Epoch == expected+1 && current.Leadership.Holder == leader.Holder && current.Leadership.Incarnation == leader.Incarnation {
-			// The answer to an earlier try was lost.
+			// The response to an earlier attempt was lost.
 			*done = true
 			return current, VerdictUnchanged
 		}
@@ -95,7 +95,7 @@
 	}
 }
 
-// SetStores gives the change of the store set. Only the holder of the epoch may
+// SetStores gives the change of the store set. Only the leader of the epoch may
 // make it, and only one member at a time.
 func SetStores(leader messages.Leadership, stores []messages.Member, done *bool) Change {
 	return func(current messages.RegisterValue) (messages.RegisterValue, Verdict) {
--- a/internal/control/registerserver/archive.go
+++ b/internal/control/registerserver/archive.go
@@ -27,7 +27,7 @@
 	core    register.Archive
 	// stale says that the file lacks what core holds.
 	stale bool
-	// pulling is held by the one that asks others for chunks; retry is when the
+	// pulling is held by the one that asks others for chunks; nextPull is when the
 	// next may do so.
 	pulling  sync.Mutex
 	nextPull clock.Instant
@@ -176,7 +176,7 @@
 	return false
 }
 
-// requestArchive puts a request to one acceptor; nil where no answer comes.
+// requestArchive sends a request to one acceptor; nil where no response comes.
 func (r *Replica) requestArchive(member messages.Member, req *messages.ArchiveRequest) *messages.ArchiveResponse {
 	resp := &messages.PrepareResponse{}
 	kind, message := r.prepareMessage(&messages.PrepareRequest{Disk: member.Disk, Query: true, WithoutBody: true, Archive: req})
--- a/internal/control/registerserver/proposer.go
+++ b/internal/control/registerserver/proposer.go
@@ -60,7 +60,7 @@
 			clock.Sleep(register.Backoff(lost, took, clock.Float64()))
 		}
 		if preempted {
-			// Whoever won may have settled the request: a look needs no ballot, so
+			// Whoever won may have settled the request: a read needs no ballot, so
 			// that it disturbs nobody.
 			if value, decided := r.unchangedBy(change); decided {
 				return value, nil
--- a/internal/control/registerserver/replica.go
+++ b/internal/control/registerserver/replica.go
@@ -60,7 +60,7 @@
 	counter     uint64
 
 	archive *archive
-	// proposing holds one token: two proposals from here would only duel.
+	// proposing holds one token: two proposals from here would only compete.
 	proposing chan struct{}
 }
 
@@ -173,7 +173,7 @@
 	return r.durable
 }
 
-// GrantLease answers a candidate for the lease of the lots.
+// GrantLease answers a candidate for the leadership's lease.
 func (r *Replica) GrantLease(req messages.LeaseRequest) messages.LeaseResponse {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/control/workers/registry.go
+++ b/internal/control/workers/registry.go
@@ -13,7 +13,7 @@
 type entry struct {
 	// worker holds the last change; its count is the version.
 	worker messages.Worker
-	// lastCallCount is the count of the last call, heard the last beat known of, direct the
+	// lastCallCount is the count of the last call, lastHeartbeat the last heartbeat known of, lastDirect the
 	// last one that was taken here.
 	lastCallCount             int64
 	lastHeartbeat, lastDirect clock.Instant
@@ -27,15 +27,15 @@
 	heartbeatPeriod clock.Duration
 	version         uint64
 	sum             uint64
-	// overdue are the hashes on the last list of silent workers, confirmed its moment.
+	// overdue are the hashes on the last list of silent workers, confirmed its instant.
 	overdue   map[uint32]bool
 	confirmed clock.Instant
-	// byService are the lists by service and entries all, empty after a change.
+	// byService are the lists by service and sorted all of them, empty after a change.
 	byService map[string][]messages.Worker
 	sorted    []messages.Worker
 }
 
-// New makes an empty workers.
+// New makes an empty registry.
 func New(heartbeat clock.Duration) *Registry {
 	return &Registry{entries: map[string]*entry{}, idByHash: map[uint32]string{}, heartbeatPeriod: heartbeat, overdue: map[uint32]bool{},
 		byService: map[string][]messages.Worker{}}
@@ -102,16 +102,16 @@
 // Status is how a worker looks by its heartbeats.
 type Status int
 
-// The standings.
+// The statuses.
 const (
 	StatusHealthy Status = iota
 	// StatusSuspect: several heartbeats are missing.
 	StatusSuspect
-	// StatusUnavailable: draining, gone, or silent for long.
+	// StatusUnavailable: draining, departed, or silent for long.
 	StatusUnavailable
 )
 
-// Status judges a worker. listening is false while no controller was heard from
+// Status judges a worker. listening is false while no controller was in contact
 // lately: then silence says nothing about the workers.
 func (r *Registry) Status(id string, now clock.Instant, listening bool) Status {
 	entry := r.entries[id]
--- a/internal/control/workers/table.go
+++ b/internal/control/workers/table.go
@@ -11,8 +11,8 @@
 )
 
 // Hash is the short hash by which a worker is named where its id is known to both
-// sides. Two workers with one mark, a chance of one in 20,000 at 600 workers, only
-// vouch for each other's heartbeats.
+// sides. Two workers with one hash, a chance of one in 20,000 at 600 workers, only
+// confirm each other's heartbeats.
 func Hash(id string) uint32 {
 	sum := fnv.New32a()
 	_, _ = sum.Write([]byte(id))
@@ -97,7 +97,7 @@
 	return hashes
 }
 
-// ConfirmHeartbeats takes another controller's word on who has beaten there.
+// ConfirmHeartbeats takes another controller's list of workers that sent a heartbeat there.
 func (r *Registry) ConfirmHeartbeats(hashes []uint32, now clock.Instant) {
 	for _, hash := range hashes {
 		if entry := r.entries[r.idByHash[hash]]; entry != nil {
@@ -120,7 +120,7 @@
 }
 
 // ApplyOverdue takes a controller's list of all silent workers: whoever is not on it has
-// beaten within the heartbeats that may be missed. Of two words on one worker the younger
+// sent one within the heartbeats that may be missed. Of two reports on one worker the younger
 // counts.
 func (r *Registry) ApplyOverdue(list []messages.Overdue, now clock.Instant) {
 	next := map[uint32]bool{}
@@ -138,7 +138,7 @@
 	r.overdue, r.confirmed = next, now
 }
 
-// sinceLastHeartbeat is how long a worker has not been heard, by own ears or by a controller's.
+// sinceLastHeartbeat is how long ago a worker's last heartbeat came, here or at a controller.
 func (r *Registry) sinceLastHeartbeat(id string, have *entry, now clock.Instant) clock.Duration {
 	if r.overdue[Hash(id)] {
 		return now.Sub(have.lastHeartbeat)
@@ -146,8 +146,8 @@
 	return now.Sub(max(have.lastHeartbeat, r.confirmed))
 }
 
-// Forget drops what was silent or gone for long. A process that controllers have told of
-// the silent ones forgets those only: its own deafness says nothing of the rest.
+// Forget drops what was silent or gone for long. A process that controllers have notified of
+// the silent ones forgets those only: that it gets no heartbeats itself says nothing of the rest.
 func (r *Registry) Forget(now clock.Instant) {
 	for id, entry := range r.entries {
 		partitioned := r.confirmed == 0 || r.overdue[Hash(id)] || entry.worker.Phase != messages.PhaseSteady
--- a/internal/control/workerserver/table.go
+++ b/internal/control/workerserver/table.go
@@ -53,8 +53,8 @@
 	return append(t.registry.All(clock.Now()), t.fromFile...)
 }
 
-// Recovering tells whether this process has started and has not heard a majority of the
-// acceptors on the workers yet: till then it takes no calls of workers, who go to the next
+// Recovering tells whether this process has started and has not recovered the workers from a majority of the
+// acceptors yet: until then it takes no calls of workers, who go to the next
 // controller, and confirms none.
 func (t *Table) Recovering() bool { return !t.recovered.Load() }
 
--- a/internal/platform/clock/clock.go
+++ b/internal/platform/clock/clock.go
@@ -15,13 +15,13 @@
 
 var processStart = time.Now()
 
-// Now gives the present moment on the steady clock.
+// Now gives the present instant on the steady clock.
 func Now() Instant { return Instant(time.Since(processStart)) }
 
-// Sub gives the duration from an earlier moment.
+// Sub gives the duration since an earlier instant.
 func (m Instant) Sub(earlier Instant) Duration { return Duration(m - earlier) }
 
-// Add gives a later moment.
+// Add gives a later instant.
 func (m Instant) Add(timeout Duration) Instant { return m + Instant(timeout) }
 
 // Milliseconds turns a number of ms into a duration.
@@ -30,10 +30,10 @@
 // ToMilliseconds gives a duration in ms.
 func ToMilliseconds(timeout Duration) float64 { return float64(timeout) / float64(time.Millisecond) }
 
-// WallNanos gives the time of day in ns, for names of lives and for ages across restarts.
+// WallNanos gives the time of day in ns, for names of incarnations and for ages across restarts.
 func WallNanos() int64 { return time.Now().UnixNano() }
 
-// Sleep waits. Only the rims (sockets, timers) may call it.
+// Sleep waits. Only I/O code (sockets, timers) may call it.
 func Sleep(timeout Duration) { time.Sleep(timeout) }
 
 // Deadline gives the wall deadline that sockets want.
@@ -59,7 +59,7 @@
 	}
 }
 
-// After gives a channel that speaks once the duration is over.
+// After gives a channel that receives a value once the duration is over.
 func After(timeout Duration) <-chan time.Time { return time.After(timeout) }
 
 // ClosedAfter gives a channel that closes once the duration is over.
--- a/internal/platform/constants/constants.go
+++ b/internal/platform/constants/constants.go
@@ -11,7 +11,7 @@
 	PortController = 0
 	PortGateway    = 1
 	PortStore      = 2
-	// FrameLimit bounds one frame in bytes: a lot of the largest allowed body
+	// FrameLimit bounds one frame in bytes: a job of the largest allowed body
 	// plus its framing must fit.
 	FrameLimit = 48 << 20
 	// FrameLifetime is how long a frame may still come after it was sent (ours): our
@@ -22,12 +22,12 @@
 	// numbers of calls rise along a connection.
 	FrameVersion = 2
 	// DialTimeout bounds a connection attempt between our processes: links are a
-	// few ms long, so silence for longer means a cut (ours).
+	// few ms long, so silence for longer means a partition (ours).
 	DialTimeout = 400 * time.Millisecond
 	// CallTimeout bounds an ordinary call between our processes (ours): under the
 	// second in which an outside caller moves on.
 	CallTimeout = 800 * time.Millisecond
-	// StartBackoff is the pause between two tries of a starting process to learn what
+	// StartBackoff is the pause between two attempts of a starting process to learn what
 	// it needs (ours): each is time in which it can't serve.
 	StartBackoff = 40 * time.Millisecond
 	// StartBackoffMax is what that pause grows to (ours).
@@ -41,11 +41,11 @@
 	// ConnectionTimeout is the TCP_USER_TIMEOUT of our connections (ours): behind a cut
 	// nothing answers, and a hung connection must not hold a caller.
 	ConnectionTimeout = 1500 * time.Millisecond
-	// BulkCallTimeout bounds calls that carry lots or long stretches of records.
+	// BulkCallTimeout bounds calls that carry jobs or long ranges of records.
 	BulkCallTimeout = 3 * time.Second
 )
 
-// Register and holds.
+// Register and leases.
 const (
 	// RoundTimeout bounds one round of the register (ours): a sync, even on a slow
 	// disk, and a link there and back.
@@ -54,14 +54,14 @@
 	RegisterTimeout = 2500 * time.Millisecond
 	// BackoffBase is the least pause before a proposer tries again.
 	BackoffBase = 8 * time.Millisecond
-	// BackoffSpread is the random part of that pause: it parts two duelists.
+	// BackoffSpread is the random part of that pause: it parts two competing proposers.
 	BackoffSpread = 60 * time.Millisecond
 	// SetGrowthTimeout is how long after its start a controller holds acknowledgements back while
-	// the set of acceptors can't yet bear the fault budget and others could join it
+	// the set of acceptors can't yet tolerate the fault budget and others could join it
 	// (ours): joining takes well under a second each.
 	SetGrowthTimeout = 10 * time.Second
-	// LeaseDuration is the length of a hold on a duty (ours): long enough for a slow
-	// sync, short enough that lots wait little after a crash.
+	// LeaseDuration is the length of the leadership's lease (ours): long enough for a slow
+	// sync, short enough that jobs wait little after a crash.
 	LeaseDuration = time.Second
 	// LeaseSafetyMargin is how much earlier than its end a holder stops.
 	LeaseSafetyMargin = 200 * time.Millisecond
@@ -73,9 +73,9 @@
 const (
 	// HeartbeatsSuspect is how many heartbeats a worker may miss before it is suspect.
 	HeartbeatsSuspect = 3
-	// HeartbeatsDeparted is how many make it gone for good.
+	// HeartbeatsDeparted is how many make it count as departed.
 	HeartbeatsDeparted = 10
-	// ControllerHeartbeatPeriod is the time between two workers messages to each peer.
+	// ControllerHeartbeatPeriod is the time between two heartbeats to each peer.
 	ControllerHeartbeatPeriod = 700 * time.Millisecond
 )
 
@@ -132,8 +132,8 @@
 	RequestLimit = 4 << 20
 	// HeadLimit is used for heads until a configuration says.
 	HeadLimit = 64 << 10
-	// BufferedResponseMax is the largest plain answer held whole, so that a cut can be
-	// mended by another run before the client has seen a byte.
+	// BufferedResponseMax is the largest plain response buffered completely, so that a cut can be
+	// repaired by another run before the client has seen a byte.
 	BufferedResponseMax = 256 << 10
 	// WorkerDial bounds a connection to a worker: links are short.
 	WorkerDial = 250 * time.Millisecond
@@ -163,23 +163,23 @@
 	QueueShare = 0.22
 )
 
-// Lots.
+// Batch jobs.
 const (
-	// RunningItemsMax bounds how many items one holder runs at a time (ours): its
+	// RunningItemsMax bounds how many items one executor runs at a time (ours): its
 	// processor has to keep up with their events.
 	RunningItemsMax = 400
-	// ItemRetryBackoff is the pause before an item that was set back is placed again.
+	// ItemRetryBackoff is the pause before an item that was requeued is placed again.
 	ItemRetryBackoff = 60 * time.Millisecond
 	// SetChangeTimeout bounds the copying to a joiner; what was copied stays there.
 	SetChangeTimeout = 20 * time.Second
 	// BootstrapWait is how long stores wait for each other at the first start
 	// before they make do with fewer.
 	BootstrapWait = 4 * time.Second
-	// JobItemsMax is the largest number of items in a lot (PROTOCOL).
+	// JobItemsMax is the largest number of items in a batch job (PROTOCOL, lots).
 	JobItemsMax = 200
 	// PageBytes is the most a read returns in results (PROTOCOL: 1 MB).
 	PageBytes = 900 << 10
-	// AppendBytes bounds one stretch of records sent to a store.
+	// AppendBytes bounds one range of records sent to a store.
 	AppendBytes = 1 << 20
 	// BatchCapacityShare is the part of a worker's places that items may fill when no
 	// live request wants them (ours).
--- a/internal/platform/constants/contact.go
+++ b/internal/platform/constants/contact.go
@@ -18,9 +18,9 @@
 	// controller (ours): shorter than SuspectAfter, so that the loss of the first one
 	// never makes a process look silent. Bytes between zones are priced.
 	SecondReportPeriod = 2 * time.Second
-	// BacklogPeriod is the time between two looks at who must still be told something.
+	// BacklogPeriod is the time between two looks at who has unconfirmed updates.
 	BacklogPeriod = 100 * time.Millisecond
-	// BacklogBackoff is the first pause before a process that could not be told is told
+	// BacklogBackoff is the first pause before a process that did not confirm is notified
 	// once more, and BacklogBackoffMax what it grows to (ours): a process that answers
 	// again should have a new configuration well within converge-ms.
 	BacklogBackoff    = 300 * time.Millisecond
@@ -28,7 +28,7 @@
 	// BacklogForwardedDelay is that pause where others pass the configuration on, without
 	// saying whom they reached (ours): twice what the tree takes in a zone.
 	BacklogForwardedDelay = 700 * time.Millisecond
-	// RecoverBackoff is the time between two tries of a starting controller to hear a
-	// majority of the acceptors on workers (ours).
+	// RecoverBackoff is the time between two attempts of a starting controller to recover the workers from a
+	// majority of the acceptors (ours).
 	RecoverBackoff = 60 * time.Millisecond
 )
--- a/internal/platform/constants/dispatch.go
+++ b/internal/platform/constants/dispatch.go
@@ -7,9 +7,9 @@
 	// LockMax is the longest lock of an acquisition: the source's 30 s.
 	LockMax = 30 * time.Second
 	// LockShare is the part of cancel-ms that a lock may last (ours). After the end of
-	// a lot is acknowledged, a driver that can't be told runs on until its lock ends,
+	// a cancelled job is acknowledged, an executor that can't be reached runs on until its lock ends,
 	// so the lock must end before cancel-ms less the margin, and less a connection and
-	// a slow link to the worker. As long as that allows, since a duty that changes
+	// a slow link to the worker. As long as that allows, since a leadership that changes
 	// hands after a crash takes a hold and a round, and runs should outlive it.
 	LockShare = 0.75
 	// LockMargin is how much earlier than its lock's end a driver stops, by its own
@@ -54,9 +54,9 @@
 	// ExpirePeriod is how often items are looked at that no driver asks for (ours).
 	ExpirePeriod = 200 * time.Millisecond
 	// LagLimit is how long the holder's own store may lag what others have synced
-	// before it gives the duty up (ours): a slow disk, not a slow moment.
+	// before it resigns (ours): a slow disk, not a slow moment.
 	LagLimit = 2 * time.Second
-	// LagYieldTime is how long such a store stands back from the duty (ours).
+	// LagYieldTime is how long such a store does not campaign (ours).
 	LagYieldTime = 10 * time.Second
 	// CompressMinBytes is the length in bytes from which an output is compressed (ours): below
 	// it the tables take what the symbols save.
--- a/internal/platform/constants/health.go
+++ b/internal/platform/constants/health.go
@@ -10,7 +10,7 @@
 	// HealthPrior is how many outcomes the service's usual rate stands for (ours): few,
 	// as the evidence is thin.
 	HealthPrior = 1.5
-	// HealthProven is how many whole answers of late make hearsay count for nothing
+	// HealthProven is how many complete responses of late make reports of others count for nothing
 	// (ours): an illness may hold for some callers only.
 	HealthProven = 1.5
 	// MildFaultWeight is the weight of what a busy worker that is well does too (ours).
--- a/internal/platform/constants/lab.go
+++ b/internal/platform/constants/lab.go
@@ -81,7 +81,7 @@
 	// JobResponseLimit: the largest answer read; a page holds 1 MB of texts (protocol),
 	// and a text may grow sixfold as JSON.
 	JobResponseLimit = 8 << 20
-	// JobCallTimeout: how long a call on a lot may take before it is made elsewhere.
+	// JobCallTimeout: how long a call on a job may take before it is made elsewhere.
 	JobCallTimeout = 5 * time.Second
 	// JobReadSlack: how much longer than it allows a reader waits (protocol).
 	JobReadSlack = 1500 * time.Millisecond
@@ -98,7 +98,7 @@
 	LoadProgress = 5 * time.Second
 	// LoadDigits: significant digits of the histograms.
 	LoadDigits = 3
-	// LoadJobSeed sets the draws of lots apart from those of requests.
+	// LoadJobSeed sets the random draws of jobs apart from those of requests.
 	LoadJobSeed = 7919
 	// LoadPlotSteps: points of a line in a plot, each for half of what the one before
 	// left over; LoadLegendWidth widens the axis for the legend.
@@ -106,10 +106,10 @@
 	LoadLegendWidth = 5
 	// LoadFindings: broken promises that a report names; the others are counted.
 	LoadFindings = 20
-	// LoadDrain: how long a run waits for answers and lots once it has sent everything.
+	// LoadDrain: how long a run waits for responses and jobs once it has sent everything.
 	LoadDrain = 20 * time.Second
 	// LoadTimeout: a client gives a stream up after this silence at least (protocol).
 	LoadTimeout = 2 * time.Second
-	// LoadPollBackoff: between two reads of a lot (protocol: about twice a second).
+	// LoadPollBackoff: between two reads of a job (protocol: about twice a second).
 	LoadPollBackoff = 500 * time.Millisecond
 )
--- a/internal/platform/constants/pace.go
+++ b/internal/platform/constants/pace.go
@@ -21,10 +21,10 @@
 	// CopyGap is how many records a joiner may lack of what is durable when the
 	// holder sends it the rest itself (ours): a part of a second's.
 	CopyGap = 64
-	// ResignBackoff is the least time between two times that a process gives its duty
+	// ResignBackoff is the least time between two times that a process gives its leadership
 	// up for being slow (ours).
 	ResignBackoff = 10 * time.Second
-	// YieldTime is how long a slow process leaves the duty to others (ours); after
+	// YieldTime is how long a slow process leaves the leadership to others (ours); after
 	// that a slow holder is better than none.
 	YieldTime = 2 * time.Second
 )
--- a/internal/platform/constants/replicas.go
+++ b/internal/platform/constants/replicas.go
@@ -4,7 +4,7 @@
 
 // Constants of the dispatcher's order and of the stores' files.
 const (
-	// RankPeriod is how long the order of open lots by due time is kept (ours): it is
+	// RankPeriod is how long the order of open jobs by due time is kept (ours): it is
 	// the order alone that may be this old.
 	RankPeriod = 50 * time.Millisecond
 	// RewriteRecords is the least number of records that say nothing any more at which
--- a/internal/platform/constants/views.go
+++ b/internal/platform/constants/views.go
@@ -9,7 +9,7 @@
 	// ShuffleSize is how many entries one shuffle carries (ours).
 	ShuffleSize = 24
 	// ViewBase is the constant part of a bounded view, to which twice the logarithm of
-	// the population comes (ours): up to 25 of a role the view is still whole.
+	// the population comes (ours): up to 25 of a role the view is still complete.
 	ViewBase = 16
 	// FarLinks is how many processes of each other zone a bounded view keeps at least
 	// (ours): one may be lost.
@@ -19,7 +19,7 @@
 	// ViewReuseTime is how long a controller goes by what it reckoned of whom a process should
 	// know, while nobody came or went (ours).
 	ViewReuseTime = 5 * time.Second
-	// FreshReportAge is the age below which a controller tells a process as just heard (ours):
+	// FreshReportAge is the age below which a controller reports a process as in contact just now (ours):
 	// a report a second, and a word between controllers.
 	FreshReportAge = 1800 * time.Millisecond
 	// NeighbourRounds: in one round of so many a process shuffles with a neighbour
@@ -47,14 +47,14 @@
 	// ReportTimeout bounds the periodic word with a controller (ours): another one is asked
 	// then, well before the next period.
 	ReportTimeout = 400 * time.Millisecond
-	// BroadcastTimeout bounds the wait for the whole fleet to take word of a worker before the
+	// BroadcastTimeout bounds the wait for the whole fleet to take an update of a worker before the
 	// worker's call is acknowledged (ours): it waits a second at most.
 	BroadcastTimeout = 650 * time.Millisecond
 	// UpdateBatchWindow is how long a new worker waits for others, so that all are told
 	// together, and UpdateBatchesInFlight how many words that bind may be under way (ours).
 	UpdateBatchWindow     = 120 * time.Millisecond
 	UpdateBatchesInFlight = 8
-	// LeaderReminderRounds: gateways are told of a duty's holder in its first rounds, as many as
+	// LeaderReminderRounds: gateways are notified of a leader in its first rounds, as many as
 	// this, and then in one of so many (ours).
 	LeaderReminderRounds = 8
 	// RelayTimeout is how long a controller may take to say that it tells its zone, and
--- a/internal/platform/messages/dispatch.go
+++ b/internal/platform/messages/dispatch.go
@@ -6,7 +6,7 @@
 	Count   int    `msg:"c"`
 }
 
-// ExecutorInfo is a driver that the dispatcher has heard lately.
+// ExecutorInfo is an executor that was in contact with the dispatcher lately.
 type ExecutorInfo struct {
 	Name string `msg:"n"`
 	Zone string `msg:"h"`
@@ -97,7 +97,7 @@
 	Executors []ExecutorInfo `msg:"d"`
 }
 
-// StopJobRequest tells a driver that a lot has ended.
+// StopJobRequest tells an executor that a job has ended.
 type StopJobRequest struct {
 	Job string `msg:"l"`
 }
--- a/internal/platform/messages/jobs.go
+++ b/internal/platform/messages/jobs.go
@@ -1,6 +1,6 @@
 package messages
 
-// JobCallRequest passes a client's call on a lot to the holder.
+// JobCallRequest forwards a client's call on a batch job to the leader.
 type JobCallRequest struct {
 	Method string `msg:"m"`
 	Host   string `msg:"h"`
@@ -27,14 +27,14 @@
 	Status       int    `msg:"s"`
 	Body         []byte `msg:"b"`
 	RetryAfterMs int    `msg:"r"`
-	// NotLeader is set when the asked process does not hold the duty.
+	// NotLeader is set when the process that was asked does not lead.
 	NotLeader bool   `msg:"e"`
 	Leader    string `msg:"h"`
 	// ContentType is the media type of the body.
 	ContentType string `msg:"k"`
 }
 
-// Record is one durable fact about a lot. Lots, outputs and ends are never changed.
+// Record is one durable fact about a batch job. Jobs, outputs and ends are never changed.
 type Record struct {
 	Index     int64      `msg:"x"`
 	Epoch     uint64     `msg:"e"`
@@ -130,10 +130,10 @@
 	BaseEpoch uint64 `msg:"z"`
 }
 
-// LeaderAnnouncement tells who holds the duty.
+// LeaderAnnouncement tells who leads.
 type LeaderAnnouncement struct {
 	Leadership Leadership `msg:"d"`
-	// Resigned says that the holder has given its duty up: others need not wait.
+	// Resigned says that the leader has resigned: others need not wait.
 	Resigned bool `msg:"o"`
 }
 
@@ -158,7 +158,7 @@
 	Rows    [][]string `msg:"r"`
 }
 
-// JobItem is one item of a lot, as it is kept.
+// JobItem is one item of a job, as it is kept.
 type JobItem struct {
 	ID      string            `msg:"i"`
 	Path    string            `msg:"p"`
@@ -167,14 +167,14 @@
 	Tokens  int64             `msg:"t"`
 }
 
-// JobBody is the body of a lot's record.
+// JobBody is the body of a job's record.
 type JobBody struct {
 	Path  string    `msg:"p"`
 	Items []JobItem `msg:"i"`
 }
 
 // ReplicaRecord is one record on a store's disk: a raised fence, a cut of the tail,
-// or a record of lots.
+// or a record of batch jobs.
 type ReplicaRecord struct {
 	Fence         uint64 `msg:"f"`
 	TruncateTo    int64  `msg:"c"`
--- a/internal/platform/messages/kinds.go
+++ b/internal/platform/messages/kinds.go
@@ -64,7 +64,7 @@
 	PhaseDeparted
 )
 
-// RecordKind names a record of lots.
+// RecordKind names a record of batch jobs.
 type RecordKind uint8
 
 // The record kinds.
@@ -117,6 +117,6 @@
 	AckRenewed
 	// AckStopped: the acquisition is over; the run must stop.
 	AckStopped
-	// AckTerminal: the item ended otherwise, or its lot did.
+	// AckTerminal: the item ended otherwise, or its job did.
 	AckTerminal
 )
--- a/internal/platform/messages/members.go
+++ b/internal/platform/messages/members.go
@@ -34,7 +34,7 @@
 	Hash       string `msg:"h"`
 }
 
-// Leadership says which process holds the lots, fenced by its epoch.
+// Leadership says which process leads on batch jobs, fenced by its epoch.
 type Leadership struct {
 	Holder      string `msg:"h"`
 	Incarnation int64  `msg:"l"`
@@ -91,7 +91,7 @@
 	Promised Ballot `msg:"p"`
 }
 
-// LeaseRequest asks an acceptor to grant or renew the hold on a duty.
+// LeaseRequest asks an acceptor to grant or renew the lease of the leadership.
 type LeaseRequest struct {
 	Candidate   string `msg:"c"`
 	Incarnation int64  `msg:"l"`
@@ -110,7 +110,7 @@
 	Epoch   uint64 `msg:"e"`
 }
 
-// RegisterChangeRequest asks a controller to change the duty or the store set in the register.
+// RegisterChangeRequest asks a controller to change the leadership or the store set in the register.
 type RegisterChangeRequest struct {
 	Campaign    bool       `msg:"t"`
 	Holder      Leadership `msg:"h"`
@@ -188,7 +188,7 @@
 	Loads      []byte     `msg:"o"`
 	Prefixes   []byte     `msg:"x"`
 	Pressure   []Pressure `msg:"p"`
-	// ReplyTo is the address at which the sender wants to be told, when too few tell it.
+	// ReplyTo is the address at which the sender wants to be notified, when too few do.
 	ReplyTo string `msg:"q"`
 }
 
--- a/internal/platform/messages/views.go
+++ b/internal/platform/messages/views.go
@@ -53,7 +53,7 @@
 	From      NodeInfo `msg:"f"`
 	Workers   Digest   `msg:"w"`
 	Processes Digest   `msg:"p"`
-	// ContactedWorkers and Met are the hashes of workers and processes that were heard here
+	// ContactedWorkers and Met are the hashes of workers and processes that were in contact here
 	// directly since the last word to this controller.
 	ContactedWorkers []uint32 `msg:"b"`
 	ContactedNodes   []uint32 `msg:"m"`
--- a/internal/platform/process/traffic.go
+++ b/internal/platform/process/traffic.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// reportTraffic lists what was said and heard since the start, the busiest first.
+// reportTraffic lists what was sent and received since the start, the busiest first.
 func (r *Runtime) reportTraffic() *messages.StatusResponse {
 	status := &messages.StatusResponse{Columns: []string{"kind", "place", "sent", "sent-bytes", "received", "received-bytes", "life-s"}}
 	incarnation := strconv.FormatInt((clock.WallNanos()-r.Self.Incarnation)/1_000_000_000, 10)
@@ -41,7 +41,7 @@
 	return status
 }
 
-// LogTraffic writes the counters as one line, with a pair for each kind and place.
+// LogTraffic writes the counters as one line, with a pair for each kind and locality.
 func (r *Runtime) LogTraffic(level hclog.Level) {
 	values := []any{"life-ms", (clock.WallNanos() - r.Self.Incarnation) / 1_000_000}
 	for _, sample := range r.meter().Samples() {
--- a/internal/platform/recordlog/recordlog.go
+++ b/internal/platform/recordlog/recordlog.go
@@ -5,7 +5,7 @@
 // A record lasts once Sync has returned without an error after its Append, or
 // Rewrite has. A failed Append takes back its own records, a failed Sync all that
 // was appended since the last one that succeeded; after a restart they may be there
-// all the same. A failed Rewrite leaves the old records or the new ones. A Logfile
+// all the same. A failed Rewrite leaves the old records or the new ones. A Log
 // is for one goroutine at a time; it blocks for as long as its disk does.
 package recordlog
 
@@ -25,7 +25,7 @@
 	ErrCorrupt = errs.Define("record damaged")
 	// ErrDisk means that the disk refused an operation.
 	ErrDisk = errs.Define("disk refused")
-	// ErrDiskFull means that the disk takes no more bytes; such an error is Broken too.
+	// ErrDiskFull means that the disk takes no more bytes; such an error is ErrDisk too.
 	ErrDiskFull = errs.Define("disk full")
 )
 
@@ -65,7 +65,7 @@
 	unlinked bool
 }
 
-// Open reads all whole records, in order, and cuts a torn tail. What it has read
+// Open reads all complete records, in order, and cuts a torn tail. What it has read
 // lasts, also if the process that wrote it was killed before its sync.
 func Open(disk Disk, name string, each func(offset int64, body []byte) error) (*Log, error) {
 	file, err := disk.Open(name)
--- a/internal/platform/recordlog/rewrite.go
+++ b/internal/platform/recordlog/rewrite.go
@@ -35,7 +35,7 @@
 		// The file is given up as it is.
 		_ = file.Close()
 		if !l.unlinked {
-			// Its bytes are room that the disk may need.
+			// Its bytes are space that the disk may need.
 			_ = l.disk.Remove(fresh)
 		}
 		return nil, err
--- a/internal/platform/transport/async.go
+++ b/internal/platform/transport/async.go
@@ -5,7 +5,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// ObservedFrame is one frame as a room saw it pass: a call, the answer to one, or what nobody
+// ObservedFrame is one frame as a network saw it pass: a call, the answer to one, or what nobody
 // answers. Bytes are those that the wire would carry, head included; what TCP and IP
 // add is not in it.
 type ObservedFrame struct {
@@ -20,7 +20,7 @@
 	After(timeout clock.Duration, function func())
 }
 
-// Environment is what a simulated room needs: a clock, how long a frame is under way
+// Environment is what a simulated network needs: a clock, how long a frame is under way
 // between two addresses, and whether it arrives at all.
 type Environment struct {
 	Clock     Clock
@@ -38,7 +38,7 @@
 	r.onFrame = seen
 }
 
-// Simulate gives the room surroundings, which Post needs.
+// Simulate gives the network an environment, which CallAsync and NotifyAsync need.
 func (r *MemoryNetwork) Simulate(surroundings Environment) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -55,7 +55,7 @@
 	}
 }
 
-// ServeAsync registers who answers what is posted to this address, instead of Serve.
+// ServeAsync registers who answers what is sent to this address by CallAsync, instead of Serve.
 func (t *Memory) ServeAsync(later AsyncHandler) error {
 	t.network.lock.Lock()
 	defer t.network.lock.Unlock()
@@ -130,7 +130,7 @@
 	})
 }
 
-// NotifyAsync is Tell on the simulated clock: one frame that nobody answers.
+// NotifyAsync is Notify on the simulated clock: one frame that nobody answers.
 func (t *Memory) NotifyAsync(address string, kind messages.Kind, body []byte) {
 	network, own, around := t.network, t.own, t.network.environment
 	network.observe(own, address, kind, false, body)
--- a/internal/platform/transport/frame.go
+++ b/internal/platform/transport/frame.go
@@ -9,7 +9,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// The frame head: mark, version, sort, kind, number of the call, length of the body.
+// The frame header: magic byte, version, sort, kind, number of the call, length of the body.
 const (
 	headerBytes       = 1 + 1 + 1 + 2 + 8 + 4
 	frameMagic        = 0xA7
@@ -45,7 +45,7 @@
 		return frame{}, err
 	}
 	length := binary.BigEndian.Uint32(head[13:])
-	// A wrong mark or a senseless length can't be read past: the connection ends.
+	// A wrong magic byte or a senseless length can't be read past: the connection ends.
 	if head[0] != frameMagic || length > constants.FrameLimit {
 		return frame{}, ErrMalformed.New("head")
 	}
--- a/internal/platform/transport/memory.go
+++ b/internal/platform/transport/memory.go
@@ -7,31 +7,31 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// MemoryNetwork is the in-memory world that joins twins of the transport in tests.
+// MemoryNetwork joins in-memory transports, in tests and hollow fleets.
 type MemoryNetwork struct {
 	lock        sync.Mutex
 	handlers    map[string]Handler
 	partitioned map[string]bool
-	// onFrame is told of every frame; surroundings is what Post works in.
+	// onFrame is told of every frame; environment is what CallAsync and NotifyAsync work in.
 	onFrame       func(ObservedFrame)
 	environment   Environment
 	meters        map[string]*Meter
 	asyncHandlers map[string]AsyncHandler
 }
 
-// NewMemoryNetwork makes an empty room.
+// NewMemoryNetwork makes an empty network.
 func NewMemoryNetwork() *MemoryNetwork {
 	return &MemoryNetwork{handlers: map[string]Handler{}, partitioned: map[string]bool{}, meters: map[string]*Meter{}, asyncHandlers: map[string]AsyncHandler{}}
 }
 
-// SetPartitioned makes an address silent or lets it speak again.
+// SetPartitioned cuts an address off or ends that.
 func (r *MemoryNetwork) SetPartitioned(address string, partitioned bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.partitioned[address] = partitioned
 }
 
-// Transport gives the twin that serves at an address.
+// Transport gives the transport that serves at an address.
 func (r *MemoryNetwork) Transport(address string) *Memory {
 	return &Memory{network: r, own: address, meter: r.meter(address)}
 }
@@ -53,7 +53,7 @@
 	meter   *Meter
 }
 
-// Meter counts what this process says and hears.
+// Meter counts what this process sends and receives.
 func (t *Memory) Meter() *Meter { return t.meter }
 
 // Serve registers the handler.
@@ -111,7 +111,7 @@
 	return t.network.handlers[address], t.network.partitioned[address] || t.network.partitioned[t.own]
 }
 
-// Close takes the handler out of the room.
+// Close takes the handler off the network.
 func (t *Memory) Close() {
 	t.network.lock.Lock()
 	defer t.network.lock.Unlock()
--- a/internal/platform/transport/meter.go
+++ b/internal/platform/transport/meter.go
@@ -11,7 +11,7 @@
 // Locality is where the other side of a message stands.
 type Locality int
 
-// The places.
+// The localities.
 const (
 	// LocalityUnknown: the caller has not said where that host stands.
 	LocalityUnknown Locality = iota
@@ -22,7 +22,7 @@
 
 var localityNames = [localities]string{"unknown", "own-zone", "other-zone"}
 
-// String names a place in reports.
+// String names a locality in reports.
 func (p Locality) String() string { return localityNames[p] }
 
 // Count is a number of messages with their encoded bytes, heads included.
@@ -40,7 +40,7 @@
 	Meter() *Meter
 }
 
-// Meter counts messages by kind and place. What a process sends to itself counts
+// Meter counts messages by kind and locality. What a process sends to itself counts
 // as its own zone's.
 type Meter struct {
 	lock  sync.Mutex
@@ -125,7 +125,7 @@
 	return readings
 }
 
-// Total sums the readings of a place; LocalityUnknown sums all.
+// Total sums the samples of a locality; LocalityUnknown sums all.
 func (m *Meter) Total(locality Locality) Flow {
 	var total Flow
 	for _, sample := range m.Samples() {
--- a/internal/platform/transport/peer.go
+++ b/internal/platform/transport/peer.go
@@ -123,7 +123,7 @@
 }
 
 // deliver hands a response to the call that it names; what names none is nobody's. False
-// means that the line can't be trusted any more.
+// means that the connection can't be trusted any more.
 func (l *peerConn) deliver(resp frame) bool {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -163,7 +163,7 @@
 	}
 }
 
-// register notes a call whose answer is waited for; false where the line has ended.
+// register notes a call whose answer is waited for; false where the connection has ended.
 func (l *peerConn) register(number uint64, waiting pendingCall) bool {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -175,7 +175,7 @@
 }
 
 // withdraw ends the wait of a call that gives up, and tells whether nothing at all came
-// on the line since an instant.
+// on the connection since an instant.
 func (l *peerConn) withdraw(number uint64, since clock.Instant) (partitioned bool) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -185,7 +185,7 @@
 
 // write numbers a frame and sends it, if its time is not over before its turn comes. The
 // receiver counts on rising numbers, so both happen under one lock. After a part of a
-// frame nothing may follow: the line ends before the next writer's turn.
+// frame nothing may follow: the connection ends before the next writer's turn.
 func (p *peer) write(current *peerConn, outgoing *frame, end clock.Instant, before func(number uint64) bool) error {
 	current.writing.Lock()
 	defer current.writing.Unlock()
@@ -203,7 +203,7 @@
 	return nil
 }
 
-// call sends a call and waits for its answer. Its span counts from here, dial included.
+// call sends a call and waits for its answer. Its timeout counts from here, dial included.
 func (p *peer) call(req frame, timeout clock.Duration) ([]byte, error) {
 	end := clock.Now().Add(timeout)
 	current, err := p.connect(end)
@@ -229,7 +229,7 @@
 		return resp.body, nil
 	case <-timer.C:
 		if current.withdraw(req.number, sentAt) {
-			// Nothing at all came in this time: the line may be cut, so the next
+			// Nothing at all came in this time: the connection may be cut, so the next
 			// call opens a new one.
 			p.forget(current)
 		}
--- a/internal/platform/transport/tcp.go
+++ b/internal/platform/transport/tcp.go
@@ -59,7 +59,7 @@
 // incarnationShift leaves the lower half of a call's number for counting.
 const incarnationShift = 32
 
-// Meter counts what this process says and hears.
+// Meter counts what this process sends and receives.
 func (w *TCP) Meter() *Meter { return w.meter }
 
 // Unknown counts frames of unknown kinds that were skipped.
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// Address is where the wire listens, once it serves.
+// Address is where the transport listens, once it serves.
 func (w *TCP) Address() string {
 	w.lock.Lock()
 	defer w.lock.Unlock()
--- a/internal/platform/transport/transport.go
+++ b/internal/platform/transport/transport.go
@@ -1,5 +1,5 @@
 // Package transport is the transport between our processes: msgp frames over TCP,
-// with a twin in memory for tests.
+// with an in-memory implementation for tests.
 package transport
 
 import (
