--- a/internal/tooling/hollowfleet/readings.go
+++ b/internal/tooling/hollowfleet/readings.go
@@ -5,7 +5,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// spreadReading tells of a long prompt as loadgossip does: in the worker's zone those who
+// forwardPrefill tells of a long prompt as loadgossip does: in the worker's zone those who
 // draw it, and one process there where that is another zone; first is false for a notice
 // that came from there.
 func (g *gossip) spreadReading(node *Node, own *placing, told *messages.PrefillNotice, first bool) {
--- a/internal/tooling/hollowfleet/workers.go
+++ b/internal/tooling/hollowfleet/workers.go
@@ -135,7 +135,7 @@
 	})
 }
 
-// heardController takes what a controller's periodic answer says of workers.
+// handleControllerReport takes what a controller's periodic answer says of workers.
 func (r *registrations) heardController(node *Node, address string, answer *messages.Shuffle) {
 	own := r.placing(node)
 	if own == nil || answer.Workers.Incarnation == 0 {
--- a/internal/traffic/admission/admission.go
+++ b/internal/traffic/admission/admission.go
@@ -78,7 +78,7 @@
 	yields    map[*Grant]*yielding
 	tell      func(words []messages.Pressure)
 	toldAt    clock.Instant
-	// tellReading must not block: it is called under the lock.
+	// notifyPrefill must not block: it is called under the lock.
 	tellReading  func(worker string, milliseconds float64)
 	gossip       gossipState
 	subsets      map[string]subset
--- a/internal/traffic/admission/flow.go
+++ b/internal/traffic/admission/flow.go
@@ -47,7 +47,7 @@
 		for _, worker := range s.Registry.ByService(service) {
 			health := s.Tracker.Of(worker.ID)
 			others := float64(health.Running(now) - health.Own())
-			s.Index.OthersTurned(worker.ID, others*span*one.tokens/one.stayMs)
+			s.Index.AddOthersTurnover(worker.ID, others*span*one.tokens/one.stayMs)
 		}
 	}
 }
--- a/internal/traffic/admission/gossip.go
+++ b/internal/traffic/admission/gossip.go
@@ -56,7 +56,7 @@
 	found := state.found[:0]
 	for _, worker := range s.Registry.Sorted() {
 		health := s.Tracker.Of(worker.ID)
-		word, told := health.Word(now)
+		word, told := health.Sample(now)
 		if !told || worker.Phase == messages.PhaseDeparted {
 			delete(state.spoken, worker.ID)
 			continue
@@ -91,7 +91,7 @@
 		_, seen := s.Tracker.Of(one.worker).Observed()
 		state.spoken[one.worker] = spoken{at: now, seen: seen}
 	}
-	for _, word := range s.Index.Words(now, constants.GossipPrefixes, constants.GossipPrefixLeast) {
+	for _, word := range s.Index.Advertisements(now, constants.GossipPrefixes, constants.GossipPrefixLeast) {
 		packet.Prefixes = messages.AppendPrefix(packet.Prefixes, word)
 	}
 	packet.Pressure = s.waitingWords()
@@ -104,10 +104,10 @@
 	defer s.lock.Unlock()
 	for _, word := range messages.ParseLoads(packet.Loads) {
 		if worker := s.named(word.WorkerHash); worker != "" {
-			s.Tracker.Of(worker).Peer(packet.From, word, now)
+			s.Tracker.Of(worker).ObservePeer(packet.From, word, now)
 		}
 	}
-	s.Index.Told(messages.ParsePrefixes(packet.Prefixes, s.named), now)
+	s.Index.MergeAdvertisements(messages.ParsePrefixes(packet.Prefixes, s.named), now)
 	s.hearPressure(packet.From, packet.Pressure, now)
 }
 
@@ -144,12 +144,12 @@
 	s.tellReading = tell
 }
 
-// PeerReads takes a peer's word of a long prompt.
+// AddPeerPrefill takes a peer's word of a long prompt.
 func (s *Scheduler) PeerReads(told *messages.PrefillNotice, now clock.Instant) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	// A word of more than a gossip period is no reading time but a mistake.
 	if _, known := s.Registry.Get(told.Worker); known && told.Prefill > 0 && told.Prefill < clock.ToMilliseconds(constants.GossipPeriod) {
-		s.Tracker.Of(told.Worker).PeerReads(clock.Milliseconds(told.Prefill), now)
+		s.Tracker.Of(told.Worker).AddPeerPrefill(clock.Milliseconds(told.Prefill), now)
 	}
 }
--- a/internal/traffic/admission/gossip_test.go
+++ b/internal/traffic/admission/gossip_test.go
@@ -188,7 +188,7 @@
 		one.Gossip(now.Add(constants.GossipPeriod))
 	}
 	total := 0.0
-	one.Locked(func() { total = one.Index.OthersIn("w") })
+	one.Locked(func() { total = one.Index.OthersTurnover("w") })
 	if total < 180_000 || total > 220_000 {
 		t.Fatalf("%.0f tokens reckoned, 200000 came", total)
 	}
--- a/internal/traffic/admission/health.go
+++ b/internal/traffic/admission/health.go
@@ -20,14 +20,14 @@
 }
 
 // troubleOf maps outcomes that say something against a worker.
-var troubleOf = map[Result]health.Trouble{
-	ResultFailed:  health.TroubleReset,
-	ResultRefused: health.TroubleRefused,
-	ResultSilent:  health.TroubleSilent,
-	ResultErrored: health.TroubleError,
-	ResultShed:    health.TroubleShed,
+var troubleOf = map[Result]health.Fault{
+	ResultFailed:  health.FaultReset,
+	ResultRefused: health.FaultRefused,
+	ResultSilent:  health.FaultTimeout,
+	ResultErrored: health.FaultError,
+	ResultShed:    health.FaultShed,
 	// Another service answers there: this life is gone from the address.
-	ResultGoneAway: health.TroubleRefused,
+	ResultGoneAway: health.FaultRefused,
 }
 
 // OnEjection names who is told of ejections and returns; it must not block.
@@ -42,19 +42,19 @@
 			// Noted while it lasted.
 			return
 		case result == ResultSilent && grant.silence > 0 && grant.silence < constants.SureTimeout:
-			trouble = health.TroubleSlow
+			trouble = health.FaultSlow
 		}
 		s.troubled(worker, trouble, now)
 		return
 	}
-	if result == ResultServed && s.Tracker.Went(worker.ID, worker.Backend, now) && s.tellEjection != nil {
+	if result == ResultServed && s.Tracker.RecordSuccess(worker.ID, worker.Backend, now) && s.tellEjection != nil {
 		s.tellEjection(Ejection{Worker: worker.ID, Service: worker.Backend})
 	}
 }
 
-func (s *Scheduler) troubled(worker messages.Worker, trouble health.Trouble, now clock.Instant) {
-	span := s.Tracker.Troubled(worker.ID, worker.Backend, trouble, now)
-	s.Tracker.Of(worker.ID).Failed(span, now)
+func (s *Scheduler) troubled(worker messages.Worker, trouble health.Fault, now clock.Instant) {
+	span := s.Tracker.RecordFault(worker.ID, worker.Backend, trouble, now)
+	s.Tracker.Of(worker.ID).RecordFailure(span, now)
 	if span > 0 && s.tellEjection != nil {
 		s.tellEjection(Ejection{Worker: worker.ID, Service: worker.Backend, Why: trouble.String(), For: span})
 	}
@@ -68,10 +68,10 @@
 	// A life that said that it leaves made room in order. Of one that we never heard
 	// of we can't tell.
 	orderly := true
-	if before, found := s.Registry.Get(s.Tracker.Lives(worker.Address)); found {
+	if before, found := s.Registry.Get(s.Tracker.WorkerAt(worker.Address)); found {
 		orderly = before.Phase != messages.PhaseSteady
 	}
-	span := s.Tracker.Born(worker.ID, worker.Backend, worker.Address, orderly, now)
+	span := s.Tracker.ObserveIncarnation(worker.ID, worker.Backend, worker.Address, orderly, now)
 	if span > 0 && s.tellEjection != nil {
 		s.tellEjection(Ejection{Worker: worker.ID, Service: worker.Backend, Why: "flapping", For: span})
 	}
@@ -80,7 +80,7 @@
 // standings sorts out which workers of a service get no ordinary request. Our own
 // outcomes go before hearsay and before missing heartbeats.
 func (s *Scheduler) apart(ask *Ask, workerList []messages.Worker, now clock.Instant) map[string]bool {
-	if !s.Tracker.SomeApart() {
+	if !s.Tracker.AnyEjected() {
 		return nil
 	}
 	names := make([]string, len(workerList))
@@ -88,7 +88,7 @@
 		names[place] = workerList[place].ID
 	}
 	idle := func(worker string) bool { return s.Tracker.Of(worker).Own() == 0 }
-	return s.Tracker.Apart(names, ask.Repeatable || ask.Bulk, idle, now)
+	return s.Tracker.Ejected(names, ask.Repeatable || ask.Bulk, idle, now)
 }
 
 // suspect tells whether a worker is only asked where nobody else can be: ejected here,
@@ -97,32 +97,32 @@
 	if apart[worker.ID] {
 		return true
 	}
-	trust := s.Tracker.Trust(worker.ID, worker.Backend)
-	if standing != workers.StatusSuspect && !s.Tracker.Of(worker.ID).Told(now) {
+	trust := s.Tracker.OutcomesOf(worker.ID, worker.Backend)
+	if standing != workers.StatusSuspect && !s.Tracker.Of(worker.ID).SuspectedByPeers(now) {
 		return false
 	}
-	return !trust.Proven(now)
+	return !trust.ProvenHealthy(now)
 }
 
 // risk is what a worker's failures cost in ms of score, beyond what is usual.
 func (s *Scheduler) risk(ask *Ask, worker messages.Worker, now clock.Instant) float64 {
-	usual := s.Tracker.Usual(worker.Backend, now)
+	usual := s.Tracker.MedianFailureRate(worker.Backend, now)
 	cost := constants.ErrCostOnce
 	if ask.Repeatable || ask.Bulk {
 		cost = constants.ErrCost
 	}
-	return cost * max(0, s.Tracker.Trust(worker.ID, worker.Backend).Rate(usual, now)-usual-constants.RiskFloor)
+	return cost * max(0, s.Tracker.OutcomesOf(worker.ID, worker.Backend).FailureRate(usual, now)-usual-constants.RiskFloor)
 }
 
 // TrustWord says in a word for the shell how a worker is trusted here: its rate of
 // failure, whether it is held or on trial, and the failures by kind. The lock is held.
 func (s *Scheduler) TrustWord(worker messages.Worker, now clock.Instant) string {
-	trust := s.Tracker.Trust(worker.ID, worker.Backend)
-	word := "rate=" + strconv.FormatFloat(trust.Rate(s.Tracker.Usual(worker.Backend, now), now), 'f', 2, 64)
+	trust := s.Tracker.OutcomesOf(worker.ID, worker.Backend)
+	word := "rate=" + strconv.FormatFloat(trust.FailureRate(s.Tracker.MedianFailureRate(worker.Backend, now), now), 'f', 2, 64)
 	switch {
-	case trust.Held(now):
+	case trust.IsEjected(now):
 		word += " held"
-	case trust.Trial(now):
+	case trust.OnTrial(now):
 		word += " trial"
 	}
 	for place, count := range trust.Counts() {
--- a/internal/traffic/admission/place.go
+++ b/internal/traffic/admission/place.go
@@ -55,14 +55,14 @@
 			if s.full(ask, worker, engine, running, now) {
 				continue
 			}
-			if ask.Bulk && engine && (health.Unread() >= constants.BatchPrefillsPerWorker || health.PeersReading(now) > 0) {
+			if ask.Bulk && engine && (health.PendingPrefills() >= constants.BatchPrefillsPerWorker || health.PeerPrefillLeft(now) > 0) {
 				// Items are read one after the other, so that live prompts get between.
 				continue
 			}
 			candidate := prefixindex.Candidate{Worker: worker.ID, WaitMs: s.cost(worker.Zone)}
 			if engine {
 				s.Index.SetCache(worker.ID, cacheTokens)
-				candidate.WaitMs += float64(health.Pending())/s.Index.Rate() + clock.ToMilliseconds(health.PeersReading(now)) + float64(running)*constants.StepGuess
+				candidate.WaitMs += float64(health.PendingTokens())/s.Index.PrefillRate() + clock.ToMilliseconds(health.PeerPrefillLeft(now)) + float64(running)*constants.StepGuess
 			} else {
 				// A plain worker's wait grows with how full it is and how slow it has been.
 				candidate.WaitMs += health.TookMs()*(1+2*s.faded(ask.Service, worker, running, neutral, now)/float64(max(worker.Capacity, 1))) + s.spread()
@@ -94,19 +94,19 @@
 	}
 	s.scratch.workerList, s.scratch.candidates = workerList, candidates
 	choice := s.Index.Choose(&prompt, candidates, now)
-	worker := workerList[choice.Place]
+	worker := workerList[choice.Index]
 	s.number++
 	grant := &Grant{Worker: worker, ask: ask, begun: now, scheduler: s, number: s.number}
 	health := s.Tracker.Of(worker.ID)
-	grant.alone = health.Unread() == 0
+	grant.alone = health.PendingPrefills() == 0
 	if ask.Affine {
-		grant.Fresh = s.Index.Placed(&ask.Prompt, worker.ID, now)
+		grant.Fresh = s.Index.RecordPlacement(&ask.Prompt, worker.ID, now)
 	}
-	health.Begin(ask.Bulk, grant.Fresh, now)
+	health.RequestStarted(ask.Bulk, grant.Fresh, now)
 	if grant.engine = engine; engine {
-		grant.reading = clock.Milliseconds(float64(max(health.Pending(), 0))/s.Index.Rate()) + health.PeersReading(now)
+		grant.reading = clock.Milliseconds(float64(max(health.PendingTokens(), 0))/s.Index.PrefillRate()) + health.PeerPrefillLeft(now)
 	}
-	if reading := float64(grant.Fresh) / s.Index.Rate(); engine && reading > constants.LongReading && s.tellReading != nil {
+	if reading := float64(grant.Fresh) / s.Index.PrefillRate(); engine && reading > constants.LongReading && s.tellReading != nil {
 		s.tellReading(worker.ID, reading)
 	}
 	return Answer{Verdict: VerdictGranted, Grant: grant}
@@ -156,17 +156,17 @@
 	defer scheduler.lock.Unlock()
 	health := scheduler.Tracker.Of(g.Worker.ID)
 	if load != "" {
-		health.Load(load, now)
+		health.ObserveLoad(load, now)
 	}
 	if g.read {
 		return
 	}
 	g.read = true
-	health.Read(g.Fresh)
-	health.Answered(now.Sub(g.begun))
-	scheduler.pace(g.Worker.Backend).first.Learn(clock.ToMilliseconds(max(now.Sub(g.begun)-g.reading, 0)))
+	health.PrefillDone(g.Fresh)
+	health.RecordResponse(now.Sub(g.begun))
+	scheduler.pace(g.Worker.Backend).first.Observe(clock.ToMilliseconds(max(now.Sub(g.begun)-g.reading, 0)))
 	if g.ask.Affine {
-		scheduler.Index.FirstEvent(&g.ask.Prompt, g.Worker.ID, g.Fresh, now.Sub(g.begun), g.alone, now)
+		scheduler.Index.RecordFirstEvent(&g.ask.Prompt, g.Worker.ID, g.Fresh, now.Sub(g.begun), g.alone, now)
 	}
 }
 
@@ -203,16 +203,16 @@
 	if !g.read {
 		// No event came: what we gave it to read is not waited for any more.
 		g.read = true
-		health.Read(g.Fresh)
+		health.PrefillDone(g.Fresh)
 	}
-	health.End(g.ask.Bulk, now)
+	health.RequestEnded(g.ask.Bulk, now)
 	scheduler.judge(g, result, now)
 	switch result {
 	case ResultTurnedAway, ResultShed:
 		// It is full whatever we believed: let others be asked for a moment.
-		health.Full(g.Worker.Capacity, now)
+		health.RecordFull(g.Worker.Capacity, now)
 	case ResultGoneAway:
-		scheduler.Index.Drop(g.Worker.ID)
+		scheduler.Index.InvalidateCache(g.Worker.ID)
 	case ResultServed:
 		scheduler.finished(g.ask.Service, now)
 		scheduler.flowed(g, now)
--- a/internal/traffic/admission/reach.go
+++ b/internal/traffic/admission/reach.go
@@ -95,7 +95,7 @@
 	sum.Write([]byte(node.Role))
 	sum.Write([]byte{'/'})
 	sum.Write([]byte(node.Name))
-	return prefixindex.Mix(sum.Sum64())
+	return prefixindex.MixBits(sum.Sum64())
 }
 
 // DrawnBy gives those of some nodes of a worker's zone that weigh it by their draw,
--- a/internal/traffic/admission/reach_test.go
+++ b/internal/traffic/admission/reach_test.go
@@ -98,7 +98,7 @@
 		t.Fatal("placed at ", answer.Grant.Worker.ID)
 	}
 	failed := one.subset("s", one.Registry.ByService("s"), second(2))[0].ID
-	one.Locked(func() { one.Tracker.Of(failed).Failed(constants.EjectFor, second(4)) })
+	one.Locked(func() { one.Tracker.Of(failed).RecordFailure(constants.EjectFor, second(4)) })
 	for _, worker := range one.subset("s", one.Registry.ByService("s"), second(4)) {
 		if worker.ID == failed {
 			t.Fatal("a failing worker stays in the subset")
--- a/internal/traffic/admission/silence.go
+++ b/internal/traffic/admission/silence.go
@@ -9,7 +9,7 @@
 // paces are what is usual at a service: the time from the grant to the first event,
 // less the reading of prompts, and the longest pause in a stream.
 type paces struct {
-	first, pause health.Pace
+	first, pause health.Latency
 }
 
 // pace gives the paces of a service. The lock is held.
@@ -36,7 +36,7 @@
 		most = max(constants.PlainTimeoutFactor*aim, constants.PlainTimeoutMin)
 	}
 	least := min(clock.Duration(constants.HedgeShare*float64(aim)), most)
-	return g.reading + scheduler.pace(g.Worker.Backend).first.Beyond(least, most)
+	return g.reading + scheduler.pace(g.Worker.Backend).first.Timeout(least, most)
 }
 
 // GapPatience is the silence between two events that is out of the ordinary, where
@@ -49,7 +49,7 @@
 	if longest <= 0 {
 		least = constants.StreamTimeout
 	}
-	return scheduler.pace(g.Worker.Backend).pause.Beyond(min(least, constants.StreamTimeout), constants.StreamTimeout)
+	return scheduler.pace(g.Worker.Backend).pause.Timeout(min(least, constants.StreamTimeout), constants.StreamTimeout)
 }
 
 // Paused notes the longest pause of a stream that came whole.
@@ -60,7 +60,7 @@
 	scheduler := g.scheduler
 	scheduler.lock.Lock()
 	defer scheduler.lock.Unlock()
-	scheduler.pace(g.Worker.Backend).pause.Learn(clock.ToMilliseconds(longest))
+	scheduler.pace(g.Worker.Backend).pause.Observe(clock.ToMilliseconds(longest))
 }
 
 // Leave asks to go on elsewhere after a silence.
@@ -71,9 +71,9 @@
 	g.silence = silence
 	known := scheduler.pace(g.Worker.Backend)
 	if g.read {
-		return known.pause.Spend(silence)
+		return known.pause.TrySpend(silence)
 	}
-	return known.first.Spend(max(silence-g.reading, 0))
+	return known.first.TrySpend(max(silence-g.reading, 0))
 }
 
 // Doubt notes a silence that has to be waited out: at first it counts as slowness, and
@@ -85,10 +85,10 @@
 	switch {
 	case silence >= constants.SureTimeout && g.doubt < doubtSure:
 		g.doubt = doubtSure
-		scheduler.troubled(g.Worker, health.TroubleSilent, now)
+		scheduler.troubled(g.Worker, health.FaultTimeout, now)
 	case silence < constants.SureTimeout && g.doubt < doubtSome:
 		g.doubt = doubtSome
-		scheduler.troubled(g.Worker, health.TroubleSlow, now)
+		scheduler.troubled(g.Worker, health.FaultSlow, now)
 	}
 }
 
@@ -106,13 +106,13 @@
 	}
 	g.scheduler.lock.Lock()
 	defer g.scheduler.lock.Unlock()
-	g.scheduler.Tracker.Of(g.Worker.ID).Load(load, now)
+	g.scheduler.Tracker.Of(g.Worker.ID).ObserveLoad(load, now)
 }
 
 // Shed tells whether a worker that turned a request away had room by its own word. The
 // memory of an engine may be full while places are free, so there half must be.
 func (g *Grant) Shed(load string) bool {
-	busy, slots, known := health.ReadLoad(load)
+	busy, slots, known := health.ParseLoad(load)
 	if g.engine {
 		busy *= 2
 	}
--- a/internal/traffic/admission/stale.go
+++ b/internal/traffic/admission/stale.go
@@ -25,7 +25,7 @@
 	if ask.Bulk || engine || health.Own() >= room || !health.Known(now) {
 		return true
 	}
-	return health.Unread() > 0 || health.Age(now) <= max(constants.FullFor, s.stay(ask.Service))
+	return health.PendingPrefills() > 0 || health.Age(now) <= max(constants.FullFor, s.stay(ask.Service))
 }
 
 // stay is the usual time of a request at a service's worker, as seen from here; zero
@@ -56,6 +56,6 @@
 	if s.spreading == 0 {
 		s.spreading = drawOf(s.own, "")
 	}
-	s.spreading = prefixindex.Mix(s.spreading + 0x9e3779b97f4a7c15)
+	s.spreading = prefixindex.MixBits(s.spreading + 0x9e3779b97f4a7c15)
 	return constants.SpreadMs * float64(s.spreading>>11) / (1 << 53)
 }
--- a/internal/traffic/admission/unread_test.go
+++ b/internal/traffic/admission/unread_test.go
@@ -15,12 +15,12 @@
 			t.Fatal(answer.Verdict)
 		}
 		health := one.Tracker.Of("w")
-		if health.Unread() != 1 || health.Pending() != int64(answer.Grant.Fresh) {
-			t.Fatal(health.Unread(), health.Pending())
+		if health.PendingPrefills() != 1 || health.PendingTokens() != int64(answer.Grant.Fresh) {
+			t.Fatal(health.PendingPrefills(), health.PendingTokens())
 		}
 		answer.Grant.End(result, 3)
-		if health.Unread() != 0 || health.Pending() != 0 {
-			t.Fatal(result, health.Unread(), health.Pending())
+		if health.PendingPrefills() != 0 || health.PendingTokens() != 0 {
+			t.Fatal(result, health.PendingPrefills(), health.PendingTokens())
 		}
 	}
 }
--- /dev/null
+++ b/internal/traffic/gateway/clientconn.go
@@ -0,0 +1,140 @@
+package gateway
+
+import (
+	"errors"
+	"net"
+	"net/http"
+	"os"
+	"sync"
+	"sync/atomic"
+
+	"lemonarch/internal/platform/clock"
+	"lemonarch/internal/platform/constants"
+)
+
+// requestTimeoutResponse answers a client that takes too long over its head. The server itself
+// ends such a connection without a word.
+const requestTimeoutResponse = "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+
+// clientConn is one connection of a client.
+type clientConn struct {
+	net.Conn
+	owner *clientConns
+	// hasDeadline is set while a deadline that lies ahead is set. The server also sets
+	// deadlines that are long past, to call off a read of its own: that is no slow client.
+	hasDeadline atomic.Bool
+	lock        sync.Mutex
+	// reading is set while a request has begun to come or is under way, and resting
+	// while none has, since an answer; until is how long it may.
+	reading, idle        bool
+	idleSince, idleUntil clock.Instant
+	// ended is set once the connection was closed between two requests.
+	ended bool
+}
+
+// SetReadDeadline passes a deadline on, by the limits in force, and notes what it is for.
+func (p *clientConn) SetReadDeadline(at clock.Time) error {
+	ahead := clock.IsFuture(at)
+	p.hasDeadline.Store(ahead)
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	if ahead {
+		timeout := p.owner.readTimeout(p.idle)
+		if timeout <= 0 {
+			p.hasDeadline.Store(false)
+			return p.Conn.SetReadDeadline(clock.Time{})
+		}
+		p.idleUntil = clock.Now().Add(timeout)
+		at = clock.Deadline(timeout)
+	} else if at.IsZero() {
+		// The server has seen the first bytes of the next request.
+		p.idle = false
+	}
+	return p.Conn.SetReadDeadline(at)
+}
+
+// SetDeadline does the same.
+func (p *clientConn) SetDeadline(at clock.Time) error {
+	p.hasDeadline.Store(clock.IsFuture(at))
+	return p.Conn.SetDeadline(at)
+}
+
+// Read answers where the time for a head is over: no other read of the server has
+// a deadline while a request comes.
+func (p *clientConn) Read(into []byte) (int, error) {
+	count, err := p.Conn.Read(into)
+	if count == 0 && errors.Is(err, os.ErrDeadlineExceeded) && p.idleWithDeadline() {
+		// This process may have stood still while the request came: look once more.
+		_ = p.Conn.SetReadDeadline(clock.Deadline(constants.PumpPeriod))
+		count, err = p.Conn.Read(into)
+	}
+	if count > 0 && !p.startRequest() {
+		return 0, net.ErrClosed
+	}
+	if err != nil && errors.Is(err, os.ErrDeadlineExceeded) && p.busy() && p.hasDeadline.Load() {
+		_, _ = p.Conn.Write([]byte(requestTimeoutResponse))
+	}
+	return count, err
+}
+
+// startRequest notes that bytes of a request came; false where the connection had been ended
+// before, so that the request is not taken.
+func (p *clientConn) startRequest() bool {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	p.reading = true
+	return !p.ended
+}
+
+func (p *clientConn) busy() bool {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	return p.reading && !p.ended
+}
+
+func (p *clientConn) idleWithDeadline() bool {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	return p.idle && p.hasDeadline.Load()
+}
+
+// setIdle notes that an answer is whole and nothing of another request has been asked for.
+func (p *clientConn) setIdle(now clock.Instant) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	p.reading, p.idle, p.idleSince = false, true, now
+}
+
+// extendIdle gives a resting connection the time of newer limits, if that is longer.
+func (p *clientConn) extendIdle(idle clock.Duration, now clock.Instant) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	until := p.idleSince.Add(idle)
+	if p.idle && p.hasDeadline.Load() && until > p.idleUntil {
+		p.idleUntil = until
+		_ = p.Conn.SetReadDeadline(clock.Deadline(until.Sub(now)))
+	}
+}
+
+// closeIdle closes the connection unless a request has begun to come.
+func (p *clientConn) closeIdle() {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	if !p.reading && !p.ended {
+		p.ended = true
+		p.Conn.Close()
+	}
+}
+
+// Close ends the connection.
+func (p *clientConn) Close() error {
+	p.owner.forget(p)
+	return p.Conn.Close()
+}
+
+// trackState follows a connection through its requests.
+func trackState(raw net.Conn, state http.ConnState) {
+	if connection, is := raw.(*clientConn); is && state == http.StateIdle {
+		connection.setIdle(clock.Now())
+	}
+}
--- a/internal/traffic/gateway/slow_test.go
+++ b/internal/traffic/gateway/clientconn_test.go
@@ -17,11 +17,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	passed := 0
-	server := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) { passed++ }),
-		ReadHeaderTimeout: clock.Milliseconds(9000), IdleTimeout: clock.Milliseconds(9000), MaxHeaderBytes: 4096, ConnState: noteState}
+	forwarded := 0
+	server := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) { forwarded++ }),
+		ReadHeaderTimeout: clock.Milliseconds(9000), IdleTimeout: clock.Milliseconds(9000), MaxHeaderBytes: 4096, ConnState: trackState}
 	go func() {
-		_ = server.Serve(newConnections(listener, routeconfig.Limits{HeaderWaitMs: 150, IdleMs: 5000}))
+		_ = server.Serve(newClientConns(listener, routeconfig.Limits{HeaderWaitMs: 150, IdleMs: 5000}))
 	}()
 	defer server.Close()
 	for text, want := range map[string]string{
@@ -43,14 +43,14 @@
 		}
 		connection.Close()
 	}
-	if passed != 1 {
-		t.Errorf("passed on %d", passed)
+	if forwarded != 1 {
+		t.Errorf("passed on %d", forwarded)
 	}
 }
 
 // The server calls reads of its own off by a deadline that is past; nothing may be
 // written then, or the next answer on the connection would be spoilt.
-func TestKeptConnectionsGetTheirAnswersOnly(t *testing.T) {
+func TestReusedConnectionsGetTheirResponsesOnly(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -59,9 +59,9 @@
 		_, _ = io.Copy(io.Discard, request.Body)
 		writer.(http.Flusher).Flush()
 		_, _ = io.WriteString(writer, request.URL.Path)
-	}), ReadHeaderTimeout: clock.Milliseconds(3000), IdleTimeout: clock.Milliseconds(3000), ConnState: noteState}
+	}), ReadHeaderTimeout: clock.Milliseconds(3000), IdleTimeout: clock.Milliseconds(3000), ConnState: trackState}
 	go func() {
-		_ = server.Serve(newConnections(listener, routeconfig.Limits{HeaderWaitMs: 3000, IdleMs: 3000}))
+		_ = server.Serve(newClientConns(listener, routeconfig.Limits{HeaderWaitMs: 3000, IdleMs: 3000}))
 	}()
 	defer server.Close()
 	connection, err := net.Dial("tcp4", listener.Addr().String())
@@ -72,13 +72,13 @@
 	reader := bufio.NewReader(connection)
 	for _, path := range []string{"/a", "/b", "/c", "/d"} {
 		_, _ = io.WriteString(connection, "POST "+path+" HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nxx")
-		answer, err := http.ReadResponse(reader, nil)
+		resp, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			t.Fatal(path, err)
 		}
-		body, err := io.ReadAll(answer.Body)
-		if err != nil || answer.StatusCode != 200 || string(body) != path {
-			t.Fatal(path, answer.StatusCode, string(body), err)
+		body, err := io.ReadAll(resp.Body)
+		if err != nil || resp.StatusCode != 200 || string(body) != path {
+			t.Fatal(path, resp.StatusCode, string(body), err)
 		}
 	}
 	if reader.Buffered() > 0 {
--- a/internal/traffic/gateway/connections.go
+++ b/internal/traffic/gateway/connections.go
@@ -8,48 +8,48 @@
 	"lemonarch/internal/platform/clock"
 )
 
-// connections are the ingress and its clients' connections. They follow the limits of
+// clientConns are the ingress and its clients' connections. They follow the limits of
 // the configuration in force, and end without cutting a request.
-type connections struct {
+type clientConns struct {
 	net.Listener
 	lock sync.Mutex
-	open map[*patientConnection]struct{}
-	// idle is how long a connection may rest, and head how long a head may take.
-	idle, head clock.Duration
-	// stated is the idle time of the newest configuration.
-	stated clock.Duration
+	open map[*clientConn]struct{}
+	// idleTimeout is how long a connection may rest, and head how long a head may take.
+	idleTimeout, headerTimeout clock.Duration
+	// newestIdleTimeout is the idle time of the newest configuration.
+	newestIdleTimeout clock.Duration
 }
 
-func newConnections(listener net.Listener, limits routeconfig.Limits) *connections {
-	one := &connections{Listener: listener, open: map[*patientConnection]struct{}{}}
-	one.setLimits(limits)
-	return one
+func newClientConns(listener net.Listener, limits routeconfig.Limits) *clientConns {
+	entry := &clientConns{Listener: listener, open: map[*clientConn]struct{}{}}
+	entry.setLimits(limits)
+	return entry
 }
 
 // Accept gives the next connection.
-func (c *connections) Accept() (net.Conn, error) {
+func (c *clientConns) Accept() (net.Conn, error) {
 	raw, err := c.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	connection := &patientConnection{Conn: raw, owner: c}
+	connection := &clientConn{Conn: raw, owner: c}
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	c.open[connection] = struct{}{}
 	return connection, nil
 }
 
-func (c *connections) forget(connection *patientConnection) {
+func (c *clientConns) forget(connection *clientConn) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	delete(c.open, connection)
 }
 
 // list gives the connections that are open.
-func (c *connections) list() []*patientConnection {
+func (c *clientConns) list() []*clientConn {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	list := make([]*patientConnection, 0, len(c.open))
+	list := make([]*clientConn, 0, len(c.open))
 	for connection := range c.open {
 		list = append(list, connection)
 	}
@@ -59,31 +59,31 @@
 // setLimits takes the limits of a newer configuration. Clients go by the one that they
 // know, which may be the one before, so the longer time of the two is given; what rests
 // already is given it as well.
-func (c *connections) setLimits(limits routeconfig.Limits) {
+func (c *clientConns) setLimits(limits routeconfig.Limits) {
 	c.lock.Lock()
 	stated := clock.Milliseconds(limits.IdleMs)
-	c.idle, c.stated = max(stated, c.stated), stated
-	c.head = clock.Milliseconds(limits.HeaderWaitMs)
-	idle := c.idle
+	c.idleTimeout, c.newestIdleTimeout = max(stated, c.newestIdleTimeout), stated
+	c.headerTimeout = clock.Milliseconds(limits.HeaderWaitMs)
+	idle := c.idleTimeout
 	c.lock.Unlock()
 	now := clock.Now()
 	for _, connection := range c.list() {
-		connection.extend(idle, now)
+		connection.extendIdle(idle, now)
 	}
 }
 
-// patience is how long to wait for a client's next bytes.
-func (c *connections) patience(resting bool) clock.Duration {
+// readTimeout is how long to wait for a client's next bytes.
+func (c *clientConns) readTimeout(resting bool) clock.Duration {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if resting {
-		return c.idle
+		return c.idleTimeout
 	}
-	return c.head
+	return c.headerTimeout
 }
 
 // busy counts the connections on which a request comes or is answered.
-func (c *connections) busy() int {
+func (c *clientConns) busy() int {
 	count := 0
 	for _, connection := range c.list() {
 		if connection.busy() {
@@ -93,12 +93,12 @@
 	return count
 }
 
-// end takes no more connections and closes those on which no request has begun to come.
+// closeIdle takes no more connections and closes those on which no request has begun to come.
 // It tells whether none is left.
-func (c *connections) end() bool {
+func (c *clientConns) closeIdle() bool {
 	c.Listener.Close()
 	for _, connection := range c.list() {
-		connection.endResting()
+		connection.closeIdle()
 	}
 	return c.busy() == 0
 }
--- a/internal/traffic/gateway/connections_test.go
+++ b/internal/traffic/gateway/connections_test.go
@@ -39,15 +39,15 @@
 	return nil
 }
 
-func bytesCome(into []byte) (int, error) { return copy(into, "GET "), nil }
-func timeIsOver([]byte) (int, error)     { return 0, os.ErrDeadlineExceeded }
+func bytesArrive(into []byte) (int, error) { return copy(into, "GET "), nil }
+func deadlineExceeded([]byte) (int, error) { return 0, os.ErrDeadlineExceeded }
 
-// resting gives a connection on which an answer has just ended.
-func resting(owner *connections, reads ...func([]byte) (int, error)) (*patientConnection, *scripted) {
+// idleConnection gives a connection on which an answer has just ended.
+func idleConnection(owner *clientConns, reads ...func([]byte) (int, error)) (*clientConn, *scripted) {
 	raw := &scripted{reads: reads}
-	connection := &patientConnection{Conn: raw, owner: owner}
+	connection := &clientConn{Conn: raw, owner: owner}
 	owner.open[connection] = struct{}{}
-	noteState(connection, http.StateIdle)
+	trackState(connection, http.StateIdle)
 	_ = connection.SetReadDeadline(clock.Deadline(clock.Milliseconds(1)))
 	return connection, raw
 }
@@ -58,8 +58,8 @@
 // A client rests by the idle time of the configuration that it knows: the one in force,
 // or the one before. Resting connections get more time, and never less.
 func TestIdleTimeFollowsTheConfiguration(t *testing.T) {
-	owner := newConnections(nil, routeconfig.Limits{IdleMs: 5_000, HeaderWaitMs: 3_000})
-	_, first := resting(owner)
+	owner := newClientConns(nil, routeconfig.Limits{IdleMs: 5_000, HeaderWaitMs: 3_000})
+	_, first := idleConnection(owner)
 	if left := given(first); left < 4 || left > 5.1 {
 		t.Error("by the first configuration: ", left)
 	}
@@ -68,12 +68,12 @@
 		t.Error("a resting one after a longer time was set: ", left)
 	}
 	owner.setLimits(routeconfig.Limits{IdleMs: 2_000})
-	_, second := resting(owner)
+	_, second := idleConnection(owner)
 	if given(first) < 14 || given(second) < 14 {
 		t.Error("clients may still go by the longer time: ", given(first), given(second))
 	}
 	owner.setLimits(routeconfig.Limits{IdleMs: 2_000})
-	_, third := resting(owner)
+	_, third := idleConnection(owner)
 	if left := given(third); left > 2.1 || given(first) < 14 {
 		t.Error("by the last configuration: ", left, given(first))
 	}
@@ -81,13 +81,13 @@
 
 // A process that stood still past the idle time looks once more before it gives up: the
 // request may lie there.
-func TestRequestThatCameWhileStandingStill(t *testing.T) {
-	owner := newConnections(nil, routeconfig.Limits{IdleMs: 5_000})
-	connection, _ := resting(owner, timeIsOver, bytesCome)
+func TestRequestThatArrivedDuringAFreeze(t *testing.T) {
+	owner := newClientConns(nil, routeconfig.Limits{IdleMs: 5_000})
+	connection, _ := idleConnection(owner, deadlineExceeded, bytesArrive)
 	if count, err := connection.Read(make([]byte, 4)); count != 4 || err != nil {
 		t.Fatal(count, err)
 	}
-	connection, _ = resting(owner, timeIsOver, timeIsOver)
+	connection, _ = idleConnection(owner, deadlineExceeded, deadlineExceeded)
 	if count, err := connection.Read(make([]byte, 4)); count != 0 || err == nil {
 		t.Fatal(count, err)
 	}
@@ -95,29 +95,29 @@
 
 // At the end of a leaving process a request is either taken, and then not cut, or never
 // seen, so that the client may send it elsewhere.
-func TestEndingCutsNoRequest(t *testing.T) {
+func TestShutdownCutsNoRequest(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	owner := newConnections(listener, routeconfig.Limits{IdleMs: 5_000})
-	late, lateRaw := resting(owner, func(into []byte) (int, error) {
+	owner := newClientConns(listener, routeconfig.Limits{IdleMs: 5_000})
+	late, lateRaw := idleConnection(owner, func(into []byte) (int, error) {
 		// Ended just as the bytes came.
-		owner.end()
-		return bytesCome(into)
+		owner.closeIdle()
+		return bytesArrive(into)
 	})
-	taken, takenRaw := resting(owner, bytesCome)
+	taken, takenRaw := idleConnection(owner, bytesArrive)
 	if _, err := taken.Read(make([]byte, 4)); err != nil {
 		t.Fatal(err)
 	}
 	if count, err := late.Read(make([]byte, 4)); count != 0 || !errors.Is(err, net.ErrClosed) || !lateRaw.closed {
 		t.Error("a request was taken from a connection that had ended", count, err)
 	}
-	if owner.end() || takenRaw.closed {
+	if owner.closeIdle() || takenRaw.closed {
 		t.Error("a request that was taken is cut")
 	}
-	noteState(taken, http.StateIdle)
-	if !owner.end() || !takenRaw.closed {
+	trackState(taken, http.StateIdle)
+	if !owner.closeIdle() || !takenRaw.closed {
 		t.Error("a connection that rests keeps the process")
 	}
 }
@@ -129,18 +129,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	begun := make(chan string, 4)
+	started := make(chan string, 4)
 	handler := func(writer http.ResponseWriter, request *http.Request) {
 		body, _ := io.ReadAll(request.Body)
-		begun <- request.URL.Path
+		started <- request.URL.Path
 		if request.URL.Path == "/broken" {
 			panic(http.ErrAbortHandler)
 		}
 		_, _ = writer.Write(body)
 	}
-	owner := newConnections(listener, routeconfig.Limits{IdleMs: 60_000, HeaderWaitMs: 60_000})
+	owner := newClientConns(listener, routeconfig.Limits{IdleMs: 60_000, HeaderWaitMs: 60_000})
 	server := &http.Server{Handler: http.HandlerFunc(handler), IdleTimeout: clock.Milliseconds(60_000),
-		ReadHeaderTimeout: clock.Milliseconds(60_000), ConnState: noteState}
+		ReadHeaderTimeout: clock.Milliseconds(60_000), ConnState: trackState}
 	go func() { _ = server.Serve(owner) }()
 	defer server.Close()
 	connection, err := net.Dial("tcp4", listener.Addr().String())
@@ -153,18 +153,18 @@
 	}
 	reader := bufio.NewReader(connection)
 	for _, path := range []string{"/one", "/two"} {
-		answer, err := http.ReadResponse(reader, nil)
+		resp, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			t.Fatal(path, err)
 		}
-		if body, err := io.ReadAll(answer.Body); err != nil || string(body) != path {
+		if body, err := io.ReadAll(resp.Body); err != nil || string(body) != path {
 			t.Fatalf("%s was answered %q %v", path, body, err)
 		}
 	}
 	if rest, _ := io.ReadAll(reader); len(rest) > 0 {
 		t.Fatalf("behind a broken request: %q", rest)
 	}
-	if order := <-begun + <-begun + <-begun; order != "/one/two/broken" || len(begun) > 0 {
-		t.Fatal(order, len(begun))
+	if order := <-started + <-started + <-started; order != "/one/two/broken" || len(started) > 0 {
+		t.Fatal(order, len(started))
 	}
 }
--- a/internal/traffic/gateway/drain_test.go
+++ b/internal/traffic/gateway/drain_test.go
@@ -24,8 +24,8 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	clients := newConnections(listener, routeconfig.Limits{IdleMs: 5_000, HeaderWaitMs: 3_000})
-	busy, _ := resting(clients, bytesCome)
+	clients := newClientConns(listener, routeconfig.Limits{IdleMs: 5_000, HeaderWaitMs: 3_000})
+	busy, _ := idleConnection(clients, bytesArrive)
 	if _, err = busy.Read(make([]byte, 4)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/traffic/gateway/gateway.go
+++ b/internal/traffic/gateway/gateway.go
@@ -31,7 +31,7 @@
 	// Set by Run, read by Shutdown.
 	ingress atomic.Pointer[http.Server]
 	ready   atomic.Pointer[http.Server]
-	clients atomic.Pointer[connections]
+	clients atomic.Pointer[clientConns]
 }
 
 // New prepares the process.
@@ -39,7 +39,7 @@
 	runtime := agent.New(nodeSettings, membership.RoleGateway, constants.PortGateway, "", log)
 	placing := loadgossip.New(runtime)
 	gateway := &Gateway{Node: runtime, Gossip: placing}
-	gateway.Proxy = proxy.New(placing.Sender, newGate(runtime), log)
+	gateway.Proxy = proxy.New(placing.Sender, newJobForwarder(runtime), log)
 	runtime.OnConfig(gateway.configure)
 	return gateway
 }
@@ -87,12 +87,12 @@
 // one may allow it.
 func (g *Gateway) serve(listener net.Listener) error {
 	limits := g.Node.Config().Limits
-	clients := newConnections(listener, limits)
+	clients := newClientConns(listener, limits)
 	g.clients.Store(clients)
 	// One that came since is taken by whoever of us is later.
 	clients.setLimits(g.Node.Config().Limits)
 	ingress := &http.Server{Handler: g.Proxy, MaxHeaderBytes: max(limits.HeaderBytes, constants.HeadLimit),
-		ReadHeaderTimeout: constants.BulkCallTimeout, IdleTimeout: constants.BulkCallTimeout, ConnState: noteState}
+		ReadHeaderTimeout: constants.BulkCallTimeout, IdleTimeout: constants.BulkCallTimeout, ConnState: trackState}
 	g.Node.Log.Info("serving", "ingress", g.Node.Settings.Bind.Ingress)
 	g.ingress.Store(ingress)
 	return ingress.Serve(clients)
@@ -115,10 +115,10 @@
 func (g *Gateway) Shutdown() {
 	g.Proxy.Leaving.Store(true)
 	g.Node.Drain()
-	begun := clock.Now()
-	end := begun.Add(g.Node.Settings.Grace() - constants.ShutdownMargin)
+	started := clock.Now()
+	end := started.Add(g.Node.Settings.Grace() - constants.ShutdownMargin)
 	for clock.Now() < end {
-		if clock.Now().Sub(begun) > constants.DrainAcceptTime && g.idle() {
+		if clock.Now().Sub(started) > constants.DrainAcceptTime && g.idle() {
 			break
 		}
 		clock.Sleep(constants.PumpPeriod)
@@ -140,5 +140,5 @@
 	if clients == nil {
 		return true
 	}
-	return clients.busy() == 0 && g.Proxy.Active() == 0 && clients.end()
+	return clients.busy() == 0 && g.Proxy.Active() == 0 && clients.closeIdle()
 }
--- a/internal/traffic/gateway/lotcall_test.go
+++ b/internal/traffic/gateway/jobcall_test.go
@@ -17,65 +17,65 @@
 	"lemonarch/internal/tooling/faultrelay"
 )
 
-// holder is a store that answers each call with the name of its lot, and keeps count of
+// leaderStub is a store that answers each call with the name of its lot, and keeps count of
 // the hand-ins that it took.
-type holder struct {
+type leaderStub struct {
 	wire  *transport.TCP
 	lock  sync.Mutex
 	taken map[string]int
 }
 
-func newHolder(t *testing.T) *holder {
+func newLeaderStub(t *testing.T) *leaderStub {
 	t.Helper()
 
-	one := &holder{wire: transport.NewTCP("127.0.0.1:0"), taken: map[string]int{}}
-	err := one.wire.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
+	entry := &leaderStub{wire: transport.NewTCP("127.0.0.1:0"), taken: map[string]int{}}
+	err := entry.wire.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
 		call := &messages.JobCallRequest{}
 		if err := transport.Decode(body, call); err != nil {
 			return nil, err
 		}
 		if call.Method == http.MethodPost {
-			one.lock.Lock()
-			one.taken[call.Job]++
-			one.lock.Unlock()
+			entry.lock.Lock()
+			entry.taken[call.Job]++
+			entry.lock.Unlock()
 		}
 		return transport.Encode(&messages.JobCallResponse{Status: http.StatusOK, Body: []byte(call.Job)})
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return one
+	return entry
 }
 
-func (h *holder) took(lot string) int {
+func (h *leaderStub) took(job string) int {
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	return h.taken[lot]
+	return h.taken[job]
 }
 
-// lotFrameLength is about as long as a hand-in of this test, or its answer, is on the wire.
-const lotFrameLength = 130
+// jobFrameLength is about as long as a hand-in of this test, or its answer, is on the wire.
+const jobFrameLength = 130
 
 // Whatever befalls the connection to the store that holds the lots, at whichever byte: a
 // caller's answer is that of its own lot, and no hand-in that was taken is told as one that
 // never will be.
-func TestLotCallsAtEveryByte(t *testing.T) {
+func TestJobCallsAtEveryByte(t *testing.T) {
 	const step = 7
 	for _, trouble := range faultrelay.Troubles() {
-		for place := int(trouble) % step; place < 2*lotFrameLength; place += step {
-			struck := faultrelay.Strike{Trouble: trouble, Answer: place >= lotFrameLength, At: place % lotFrameLength}
+		for i := int(trouble) % step; i < 2*jobFrameLength; i += step {
+			struck := faultrelay.Strike{Trouble: trouble, Answer: i >= jobFrameLength, At: i % jobFrameLength}
 			t.Run(fmt.Sprint(trouble, struck.Answer, struck.At), func(t *testing.T) {
 				t.Parallel()
-				playLotCalls(t, struck)
+				playJobCalls(t, struck)
 			})
 		}
 	}
 }
 
-func playLotCalls(t *testing.T, struck faultrelay.Strike) {
+func playJobCalls(t *testing.T, struck faultrelay.Strike) {
 	t.Helper()
 
-	store := newHolder(t)
+	store := newLeaderStub(t)
 	defer store.wire.Close()
 	relay, err := faultrelay.New(store.wire.Address())
 	if err != nil {
@@ -86,39 +86,39 @@
 	wire := transport.NewTCP("")
 	defer wire.Close()
 	runtime.Transport = wire
-	one := newGate(runtime)
-	one.duty = messages.Leadership{Epoch: 1, Address: relay.Address()}
+	entry := newJobForwarder(runtime)
+	entry.leadership = messages.Leadership{Epoch: 1, Address: relay.Address()}
 	var lock sync.Mutex
 	refused := map[string]bool{}
-	call := func(method, lot string) {
-		answer, maybe := one.Pass(&messages.JobCallRequest{Method: method, Job: lot}, clock.Milliseconds(40))
-		if answer != nil && answer.Status == http.StatusOK && string(answer.Body) != lot {
-			t.Errorf("%s %s was answered for %q", method, lot, answer.Body)
+	call := func(method, job string) {
+		resp, mayHaveRun := entry.Forward(&messages.JobCallRequest{Method: method, Job: job}, clock.Milliseconds(40))
+		if resp != nil && resp.Status == http.StatusOK && string(resp.Body) != job {
+			t.Errorf("%s %s was answered for %q", method, job, resp.Body)
 		}
 		lock.Lock()
 		defer lock.Unlock()
-		refused[lot] = (answer == nil && !maybe) || (answer != nil && promises(answer.Status))
+		refused[job] = (resp == nil && !mayHaveRun) || (resp != nil && promisesNotRun(resp.Status))
 	}
 	call(http.MethodGet, "rest")
 	relay.Arm(&struck)
 	var group sync.WaitGroup
-	for place, method := range []string{http.MethodPost, http.MethodGet, http.MethodPost} {
+	for i, method := range []string{http.MethodPost, http.MethodGet, http.MethodPost} {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			call(method, fmt.Sprint("lot-", place))
+			call(method, fmt.Sprint("lot-", i))
 		}()
 	}
 	group.Wait()
 	relay.Thaw()
 	call(http.MethodGet, "next")
 	relay.End()
-	for lot, never := range refused {
-		if never && store.took(lot) > 0 {
-			t.Errorf("%s was taken, and told as one that never will be", lot)
+	for job, never := range refused {
+		if never && store.took(job) > 0 {
+			t.Errorf("%s was taken, and told as one that never will be", job)
 		}
-		if store.took(lot) > 1 {
-			t.Errorf("%s was taken %d times", lot, store.took(lot))
+		if store.took(job) > 1 {
+			t.Errorf("%s was taken %d times", job, store.took(job))
 		}
 	}
 }
--- a/internal/traffic/gateway/gate_test.go
+++ b/internal/traffic/gateway/jobforwarder_test.go
@@ -15,59 +15,59 @@
 
 // A call that waits for a holder that fell silent goes to the next one as soon as
 // that is known, not when its time is up.
-func TestCallsFollowTheDuty(t *testing.T) {
-	room := transport.NewMemoryNetwork()
+func TestCallsFollowTheLeader(t *testing.T) {
+	network := transport.NewMemoryNetwork()
 	nodeSettings := &settings.Settings{NodeName: "n", Address: "10.0.0.1", InternalPorts: []int{1, 9}}
 	runtime := agent.New(nodeSettings, membership.RoleGateway, 1, "", hclog.NewNullLogger())
-	runtime.Transport = room.Transport("gateway")
-	one := newGate(runtime)
-	asked := make(chan struct{})
-	hold := make(chan struct{})
-	defer close(hold)
-	_ = room.Transport("old").Serve(func(messages.Kind, []byte) ([]byte, error) {
-		close(asked)
-		<-hold
+	runtime.Transport = network.Transport("gateway")
+	entry := newJobForwarder(runtime)
+	tried := make(chan struct{})
+	block := make(chan struct{})
+	defer close(block)
+	_ = network.Transport("old").Serve(func(messages.Kind, []byte) ([]byte, error) {
+		close(tried)
+		<-block
 		return nil, nil
 	})
-	_ = room.Transport("new").Serve(func(messages.Kind, []byte) ([]byte, error) {
+	_ = network.Transport("new").Serve(func(messages.Kind, []byte) ([]byte, error) {
 		return transport.Encode(&messages.JobCallResponse{Status: 202})
 	})
-	one.duty = messages.Leadership{Epoch: 1, Address: "old"}
+	entry.leadership = messages.Leadership{Epoch: 1, Address: "old"}
 	type result struct {
 		answer *messages.JobCallResponse
 		maybe  bool
 	}
-	back := make(chan result, 1)
+	results := make(chan result, 1)
 	go func() {
-		answer, maybe := one.Pass(&messages.JobCallRequest{Method: "POST", Job: "l"}, clock.Milliseconds(60_000))
-		back <- result{answer, maybe}
+		resp, mayHaveRun := entry.Forward(&messages.JobCallRequest{Method: "POST", Job: "l"}, clock.Milliseconds(60_000))
+		results <- result{resp, mayHaveRun}
 	}()
-	<-asked
-	begun := clock.Now()
-	one.learn(&messages.LeaderAnnouncement{Leadership: messages.Leadership{Epoch: 2, Address: "new"}})
-	got := <-back
+	<-tried
+	started := clock.Now()
+	entry.observeLeader(&messages.LeaderAnnouncement{Leadership: messages.Leadership{Epoch: 2, Address: "new"}})
+	got := <-results
 	if got.answer == nil || got.answer.Status != 202 || !got.maybe {
 		t.Fatal(got)
 	}
-	if waited := clock.Now().Sub(begun); waited > clock.Milliseconds(600) {
+	if waited := clock.Now().Sub(started); waited > clock.Milliseconds(600) {
 		t.Fatal("waited out the old holder: ", waited)
 	}
 	// An older word changes nothing.
-	one.learn(&messages.LeaderAnnouncement{Leadership: messages.Leadership{Epoch: 1, Address: "old"}})
-	if address, _ := one.holder(); address != "new" {
+	entry.observeLeader(&messages.LeaderAnnouncement{Leadership: messages.Leadership{Epoch: 1, Address: "old"}})
+	if address, _ := entry.leader(); address != "new" {
 		t.Fatal(address)
 	}
 }
 
 // A gateway that reaches no store has another gateway pass its calls on, once.
-func TestCutOffGatewayRelays(t *testing.T) {
-	room := transport.NewMemoryNetwork()
-	gates := map[string]*gate{}
+func TestPartitionedGatewayRelays(t *testing.T) {
+	network := transport.NewMemoryNetwork()
+	gates := map[string]*jobForwarder{}
 	for _, name := range []string{"cut", "near"} {
 		nodeSettings := &settings.Settings{NodeName: name, Address: "10.0.0.1", InternalPorts: []int{1, 9}}
 		runtime := agent.New(nodeSettings, membership.RoleGateway, 1, "", hclog.NewNullLogger())
-		runtime.Transport = room.Transport(name)
-		gates[name] = newGate(runtime)
+		runtime.Transport = network.Transport(name)
+		gates[name] = newJobForwarder(runtime)
 		_ = runtime.Transport.Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
 			if kind != messages.KindJobCall {
 				return nil, nil
@@ -76,7 +76,7 @@
 		})
 	}
 	var calls []bool
-	_ = room.Transport("store").Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
+	_ = network.Transport("store").Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
 		call := &messages.JobCallRequest{}
 		_ = transport.Decode(body, call)
 		calls = append(calls, call.Forwarded)
@@ -88,13 +88,13 @@
 		messages.NodeInfo{Name: "y", Role: membership.RoleStore, Address: "nowhere-2"},
 		messages.NodeInfo{Name: "near", Role: membership.RoleGateway, Address: "near"})
 	know("near", messages.NodeInfo{Name: "z", Role: membership.RoleStore, Address: "store"})
-	answer, _ := gates["cut"].Pass(&messages.JobCallRequest{Method: "POST", Job: "l"}, clock.Milliseconds(5000))
-	if answer == nil || answer.Status != 202 || len(calls) != 1 || !calls[0] {
-		t.Fatal(answer, calls)
+	resp, _ := gates["cut"].Forward(&messages.JobCallRequest{Method: "POST", Job: "l"}, clock.Milliseconds(5000))
+	if resp == nil || resp.Status != 202 || len(calls) != 1 || !calls[0] {
+		t.Fatal(resp, calls)
 	}
 	// Where the other gateway can't either, nothing ran and nothing is claimed.
-	room.Transport("store").Close()
-	if answer, maybe := gates["cut"].Pass(&messages.JobCallRequest{Method: "POST", Job: "l"}, clock.Milliseconds(1500)); answer != nil || maybe {
-		t.Fatal(answer, maybe)
+	network.Transport("store").Close()
+	if resp, mayHaveRun := gates["cut"].Forward(&messages.JobCallRequest{Method: "POST", Job: "l"}, clock.Milliseconds(1500)); resp != nil || mayHaveRun {
+		t.Fatal(resp, mayHaveRun)
 	}
 }
--- a/internal/traffic/gateway/parting_test.go
+++ b/internal/traffic/gateway/lingeringclose_test.go
@@ -23,8 +23,8 @@
 		if _, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, 1000)); err != nil {
 			writer.WriteHeader(http.StatusRequestEntityTooLarge)
 		}
-	}), MaxHeaderBytes: 4096, ReadHeaderTimeout: clock.Milliseconds(3000), ConnState: noteState}
-	go func() { _ = server.Serve(newConnections(listener, routeconfig.Limits{})) }()
+	}), MaxHeaderBytes: 4096, ReadHeaderTimeout: clock.Milliseconds(3000), ConnState: trackState}
+	go func() { _ = server.Serve(newClientConns(listener, routeconfig.Limits{})) }()
 	defer server.Close()
 	address := "http://" + listener.Addr().String() + "/"
 	for round := 0; round < 10; round++ {
@@ -34,14 +34,14 @@
 		for want, request := range map[int]*http.Request{431: large, 413: body} {
 			// Each on a connection of its own.
 			client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-			answer, err := client.Do(request)
+			resp, err := client.Do(request)
 			if err != nil {
 				t.Fatal(want, err)
 			}
-			if _, err = io.ReadAll(answer.Body); err != nil || answer.StatusCode != want {
-				t.Fatal(want, answer.StatusCode, err)
+			if _, err = io.ReadAll(resp.Body); err != nil || resp.StatusCode != want {
+				t.Fatal(want, resp.StatusCode, err)
 			}
-			answer.Body.Close()
+			resp.Body.Close()
 		}
 	}
 }
@@ -59,13 +59,13 @@
 
 // The whole of what was said is read, also by one that reads only after it has
 // sent everything.
-func TestLateReaderGetsItsAnswer(t *testing.T) {
+func TestLateReaderGetsItsResponse(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &http.Server{Handler: http.NotFoundHandler(), MaxHeaderBytes: 4096, ReadHeaderTimeout: clock.Milliseconds(3000), ConnState: noteState}
-	go func() { _ = server.Serve(newConnections(narrow{listener}, routeconfig.Limits{})) }()
+	server := &http.Server{Handler: http.NotFoundHandler(), MaxHeaderBytes: 4096, ReadHeaderTimeout: clock.Milliseconds(3000), ConnState: trackState}
+	go func() { _ = server.Serve(newClientConns(narrow{listener}, routeconfig.Limits{})) }()
 	defer server.Close()
 	connection, err := net.Dial("tcp4", listener.Addr().String())
 	if err != nil {
@@ -77,8 +77,8 @@
 		t.Fatal("cut off while sending: ", err)
 	}
 	_ = connection.SetReadDeadline(clock.Deadline(5_000_000_000))
-	whole, err := io.ReadAll(connection)
-	if err != nil || !strings.HasPrefix(string(whole), "HTTP/1.1 431") {
-		t.Fatalf("%.40q %v", whole, err)
+	complete, err := io.ReadAll(connection)
+	if err != nil || !strings.HasPrefix(string(complete), "HTTP/1.1 431") {
+		t.Fatalf("%.40q %v", complete, err)
 	}
 }
--- a/internal/traffic/health/health.go
+++ b/internal/traffic/health/health.go
@@ -12,83 +12,83 @@
 
 // Health is what is known of one worker.
 type Health struct {
-	live, bulk   int
-	pending      int64
-	unread       int
-	peersRead    clock.Instant
-	seen         observation
-	steps        [ownSteps]ownStep
-	stepped      int
-	full         observation
-	suspects     map[string]clock.Instant
-	suspectUntil clock.Instant
-	tookMs       float64
-	failures     int64
-	answers      int64
+	live, bulk       int
+	pendingTokens    int64
+	pendingPrefills  int
+	peerPrefillUntil clock.Instant
+	observed         observation
+	steps            [ownSteps]ownStep
+	stepCount        int
+	full             observation
+	suspects         map[string]clock.Instant
+	suspectUntil     clock.Instant
+	tookMs           float64
+	failures         int64
+	responses        int64
 }
 
 // Tracker holds the health of all workers.
 type Tracker struct {
-	workerList map[string]*Health
-	trusts     trustBook
+	byWorker map[string]*Health
+	outcomes outcomeTable
 }
 
 // New makes an empty health.
-func New() *Tracker { return &Tracker{workerList: map[string]*Health{}} }
+func New() *Tracker { return &Tracker{byWorker: map[string]*Health{}} }
 
 // Of gives the health of a worker.
 func (t *Tracker) Of(worker string) *Health {
-	health := t.workerList[worker]
+	health := t.byWorker[worker]
 	if health == nil {
 		health = &Health{}
-		t.workerList[worker] = health
+		t.byWorker[worker] = health
 	}
 	return health
 }
 
 // Forget drops a worker.
 func (t *Tracker) Forget(worker string) {
-	delete(t.workerList, worker)
-	t.Bury(worker)
+	delete(t.byWorker, worker)
+	t.ForgetOutcomes(worker)
 }
 
-// Begin notes a request of ours on its way.
-func (h *Health) Begin(bulk bool, fresh int, now clock.Instant) {
+// RequestStarted notes a request of ours on its way.
+func (h *Health) RequestStarted(bulk bool, fresh int, now clock.Instant) {
 	if bulk {
 		h.bulk++
 	} else {
 		h.live++
 	}
-	h.pending += int64(fresh)
-	h.unread++
+	h.pendingTokens += int64(fresh)
+	h.pendingPrefills++
 	h.step(now)
 }
 
-// Read notes that a prompt was read: its first event has come.
-func (h *Health) Read(fresh int) {
-	h.pending -= int64(fresh)
-	h.unread--
+// PrefillDone notes that a prompt was read: its first event has come.
+func (h *Health) PrefillDone(fresh int) {
+	h.pendingTokens -= int64(fresh)
+	h.pendingPrefills--
 }
 
-// Pending is how many prompt tokens of ours wait to be read there, and Unread how
+// PendingTokens is how many prompt tokens of ours wait to be read there, and Unread how
 // many requests.
-func (h *Health) Pending() int64 { return h.pending }
+func (h *Health) PendingTokens() int64 { return h.pendingTokens }
 
-// Unread is how many requests of ours have had no first event yet.
-func (h *Health) Unread() int { return h.unread }
+// PendingPrefills is how many requests of ours have had no first event yet.
+func (h *Health) PendingPrefills() int { return h.pendingPrefills }
 
-// PeerReads notes that a peer gave the worker a prompt that takes a time to read.
-func (h *Health) PeerReads(span clock.Duration, now clock.Instant) {
-	h.peersRead = max(h.peersRead, now).Add(span)
+// AddPeerPrefill notes that a peer gave the worker a prompt that takes a time to read.
+func (h *Health) AddPeerPrefill(duration clock.Duration, now clock.Instant) {
+	h.peerPrefillUntil = max(h.peerPrefillUntil, now).Add(duration)
 }
 
-// PeersReading is how long the worker still reads what peers told of.
-func (h *Health) PeersReading(now clock.Instant) clock.Duration {
-	return max(0, h.peersRead.Sub(now))
+// PeerPrefillLeft is how long the worker still reads what peers told of.
+func (h *Health) PeerPrefillLeft(now clock.Instant) clock.Duration {
+	return max(0, h.peerPrefillUntil.Sub(now))
 }
 
-// End notes that a request of ours is over.
-func (h *Health) End(bulk bool, now clock.Instant) {
+// RequestEnded notes that a request of ours is over.
+func (h *Health) RequestEnded(bulk bool, now clock.Instant) {
 	if bulk {
 		h.bulk--
 	} else {
@@ -103,8 +103,8 @@
 // OwnBulk is how many of them are items of lots.
 func (h *Health) OwnBulk() int { return h.bulk }
 
-// ReadLoad reads a load header: running, waiting, slots.
-func ReadLoad(header string) (busy, slots int, known bool) {
+// ParseLoad reads a load header: running, waiting, slots.
+func ParseLoad(header string) (busy, slots int, known bool) {
 	fields := strings.Split(header, ",")
 	if len(fields) < 2 {
 		return 0, 0, false
@@ -120,24 +120,24 @@
 	return running + waiting, slots, true
 }
 
-// Load takes the load header of an answer.
-func (h *Health) Load(header string, now clock.Instant) {
-	if busy, _, known := ReadLoad(header); known {
+// ObserveLoad takes the load header of an answer.
+func (h *Health) ObserveLoad(header string, now clock.Instant) {
+	if busy, _, known := ParseLoad(header); known {
 		h.observe(busy, now)
 	}
 }
 
-// Failed notes a failure; peers are told of it while the worker is ejected here.
-func (h *Health) Failed(ejected clock.Duration, now clock.Instant) {
+// RecordFailure notes a failure; peers are told of it while the worker is ejected here.
+func (h *Health) RecordFailure(ejected clock.Duration, now clock.Instant) {
 	h.failures++
 	if ejected > 0 {
 		h.suspectUntil = now.Add(ejected)
 	}
 }
 
-// Answered notes an answer that came as it should.
-func (h *Health) Answered(took clock.Duration) {
-	h.answers++
+// RecordResponse notes an answer that came as it should.
+func (h *Health) RecordResponse(took clock.Duration) {
+	h.responses++
 	milliseconds := clock.ToMilliseconds(took)
 	if h.tookMs == 0 {
 		h.tookMs = milliseconds
@@ -147,22 +147,22 @@
 
 // Suspect tells whether the worker is ejected here, or told of by peers.
 func (h *Health) Suspect(now clock.Instant) bool {
-	return now < h.suspectUntil || h.Told(now)
+	return now < h.suspectUntil || h.SuspectedByPeers(now)
 }
 
-// Told tells whether several peers have ejected the worker.
-func (h *Health) Told(now clock.Instant) bool {
-	return h.suspected(now)
+// SuspectedByPeers tells whether several peers have ejected the worker.
+func (h *Health) SuspectedByPeers(now clock.Instant) bool {
+	return h.suspectedByPeers(now)
 }
 
 // TookMs is the usual time of an answer.
 func (h *Health) TookMs() float64 { return h.tookMs }
 
 // Counts gives answers and failures, for the shell.
-func (h *Health) Counts() (answers, failures int64) { return h.answers, h.failures }
+func (h *Health) Counts() (responses, failures int64) { return h.responses, h.failures }
 
-// Full notes that the worker turned a request away for want of room.
-func (h *Health) Full(capacity int, now clock.Instant) {
+// RecordFull notes that the worker turned a request away for want of room.
+func (h *Health) RecordFull(capacity int, now clock.Instant) {
 	// Our own finding, for a moment: it may be our connections that are spent, so
 	// peers are not told.
 	h.full = observation{known: true, count: capacity + constants.QueueAheadMax, at: now, own: h.Own()}
--- a/internal/traffic/health/pace.go
+++ b/internal/traffic/health/latency.go
@@ -5,16 +5,16 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// Pace learns what is usual for a time: its mean and mean deviation, as RFC 6298 does
+// Latency learns what is usual for a time: its mean and mean deviation, as RFC 6298 does
 // for round trips, and so when silence is more than that.
-type Pace struct {
+type Latency struct {
 	mean, deviation float64
 	count           int
 	budget          float64
 }
 
-// Learn takes a time in ms.
-func (p *Pace) Learn(milliseconds float64) {
+// Observe takes a time in ms.
+func (p *Latency) Observe(milliseconds float64) {
 	p.count++
 	p.budget = min(p.budget+constants.HedgeEarned, constants.HedgeBudget)
 	if p.count == 1 {
@@ -29,24 +29,24 @@
 	p.deviation += (away - p.deviation) / 4
 }
 
-// Beyond is the time past which a wait is out of the ordinary: between least and most;
+// Timeout is the time past which a wait is out of the ordinary: between least and most;
 // most until enough was seen.
-func (p *Pace) Beyond(least, most clock.Duration) clock.Duration {
+func (p *Latency) Timeout(least, most clock.Duration) clock.Duration {
 	if p.count < constants.PaceLeast {
 		return most
 	}
 	return min(max(clock.Milliseconds(p.mean+constants.PaceSpread*p.deviation), least), most)
 }
 
-// Spend takes one leave from silence out of the budget. When a whole service grows
+// TrySpend takes one leave from silence out of the budget. When a whole service grows
 // slow, leaving for elsewhere would only add to its load: then the budget runs dry.
 // The wait itself is learnt, as the least that the answer would have taken.
-func (p *Pace) Spend(waited clock.Duration) bool {
+func (p *Latency) TrySpend(waited clock.Duration) bool {
 	if p.budget < 1 {
 		return false
 	}
 	budget := p.budget - 1
-	p.Learn(clock.ToMilliseconds(waited))
+	p.Observe(clock.ToMilliseconds(waited))
 	p.budget = budget
 	return true
 }
--- a/internal/traffic/health/trust_test.go
+++ b/internal/traffic/health/outcomes_test.go
@@ -13,8 +13,8 @@
 
 func names(count int) []string {
 	var found []string
-	for place := 0; place < count; place++ {
-		found = append(found, fmt.Sprintf("w%02d", place))
+	for i := 0; i < count; i++ {
+		found = append(found, fmt.Sprintf("w%02d", i))
 	}
 	return found
 }
@@ -35,10 +35,10 @@
 		now := second
 		for count := 0; count < 600; count++ {
 			now = now.Add(100_000_000)
-			apart := tracker.Apart(workerList, true, always, now)
+			ejected := tracker.Ejected(workerList, true, always, now)
 			var open []string
 			for _, worker := range workerList {
-				if !apart[worker] {
+				if !ejected[worker] {
 					open = append(open, worker)
 				}
 			}
@@ -49,15 +49,15 @@
 				chance = 0.45
 			}
 			if random.Float64() < chance {
-				tracker.Troubled(worker, "s", TroubleReset, now)
+				tracker.RecordFault(worker, "s", FaultReset, now)
 			} else {
-				tracker.Went(worker, "s", now)
+				tracker.RecordSuccess(worker, "s", now)
 			}
 		}
-		ill := sent["w00"] + sent["w01"]
-		total += ill
-		if ill > 50 {
-			t.Fatalf("seed %d: the ill pair got %d of 600 requests, their part is 60", seed, ill)
+		unhealthy := sent["w00"] + sent["w01"]
+		total += unhealthy
+		if unhealthy > 50 {
+			t.Fatalf("seed %d: the ill pair got %d of 600 requests, their part is 60", seed, unhealthy)
 		}
 	}
 	if total > seeds*30 {
@@ -72,7 +72,7 @@
 		now := second
 		for round := 0; round < 6; round++ {
 			for _, worker := range workerList {
-				tracker.Troubled(worker, "s", TroubleRefused, now)
+				tracker.RecordFault(worker, "s", FaultRefused, now)
 				now++
 			}
 		}
@@ -80,8 +80,8 @@
 		if most == 0 && count > 1 {
 			most = 1
 		}
-		if apart := tracker.Apart(workerList, false, never, now); len(apart) > most {
-			t.Fatalf("%d of %d ejected", len(apart), count)
+		if ejected := tracker.Ejected(workerList, false, never, now); len(ejected) > most {
+			t.Fatalf("%d of %d ejected", len(ejected), count)
 		}
 	}
 }
@@ -91,36 +91,36 @@
 	tracker, workerList := New(), names(4)
 	now := second
 	for _, worker := range []string{"w01", "w03"} {
-		tracker.Troubled(worker, "s", TroubleError, now)
+		tracker.RecordFault(worker, "s", FaultError, now)
 	}
-	tracker.Troubled("w03", "s", TroubleError, now)
-	if apart := tracker.Apart(workerList, false, never, now+1); len(apart) != 1 || !apart["w03"] {
-		t.Fatal(apart)
+	tracker.RecordFault("w03", "s", FaultError, now)
+	if ejected := tracker.Ejected(workerList, false, never, now+1); len(ejected) != 1 || !ejected["w03"] {
+		t.Fatal(ejected)
 	}
 }
 
 // Each ejection lasts twice as long as the one before, up to a most.
-func TestEjectionsGrow(t *testing.T) {
+func TestEjectionsLengthen(t *testing.T) {
 	tracker, now := New(), second
 	names := names(5)
 	for _, worker := range names[1:] {
-		tracker.Went(worker, "s", now)
+		tracker.RecordSuccess(worker, "s", now)
 	}
 	want := constants.EjectFor
 	for round := 0; round < 6; round++ {
-		span := tracker.Troubled("w00", "s", TroubleRefused, now)
-		if span != want {
-			t.Fatalf("round %d: ejected for %v, want %v", round, span, want)
+		duration := tracker.RecordFault("w00", "s", FaultRefused, now)
+		if duration != want {
+			t.Fatalf("round %d: ejected for %v, want %v", round, duration, want)
 		}
-		if more := tracker.Troubled("w00", "s", TroubleRefused, now+1); more != 0 {
+		if more := tracker.RecordFault("w00", "s", FaultRefused, now+1); more != 0 {
 			t.Fatal("ejected anew while ejected")
 		}
-		now = now.Add(span)
+		now = now.Add(duration)
 		want = min(2*want, constants.EjectFor<<constants.EjectLevels)
 	}
 	later := now.Add(constants.EjectForget + 1)
-	if span := tracker.Troubled("w00", "s", TroubleRefused, later); span != constants.EjectFor {
-		t.Fatal("an old failure still counts: ", span)
+	if duration := tracker.RecordFault("w00", "s", FaultRefused, later); duration != constants.EjectFor {
+		t.Fatal("an old failure still counts: ", duration)
 	}
 }
 
@@ -128,27 +128,27 @@
 // first that goes well; a failure ejects it for longer.
 func TestReturnByTrials(t *testing.T) {
 	tracker, workerList := New(), names(4)
-	span := tracker.Troubled("w00", "s", TroubleSilent, second)
-	if !tracker.Apart(workerList, true, always, second+1)["w00"] {
+	duration := tracker.RecordFault("w00", "s", FaultTimeout, second)
+	if !tracker.Ejected(workerList, true, always, second+1)["w00"] {
 		t.Fatal("placed on while ejected")
 	}
-	now := second.Add(span)
+	now := second.Add(duration)
 	switch {
-	case tracker.Apart(workerList, true, always, now)["w00"]:
+	case tracker.Ejected(workerList, true, always, now)["w00"]:
 		t.Fatal("no trial")
-	case !tracker.Apart(workerList, true, never, now)["w00"]:
+	case !tracker.Ejected(workerList, true, never, now)["w00"]:
 		t.Fatal("two trials at a time")
-	case !tracker.Apart(workerList, false, always, now)["w00"]:
+	case !tracker.Ejected(workerList, false, always, now)["w00"]:
 		t.Fatal("a request that must not run twice is no trial")
 	}
-	if !tracker.Went("w00", "s", now) || tracker.Apart(workerList, false, never, now)["w00"] {
+	if !tracker.RecordSuccess("w00", "s", now) || tracker.Ejected(workerList, false, never, now)["w00"] {
 		t.Fatal("a trial that went well brings it back")
 	}
-	other := tracker.Troubled("w01", "s", TroubleSilent, now)
+	other := tracker.RecordFault("w01", "s", FaultTimeout, now)
 	// Without trials, time alone brings it back.
 	end := now.Add(3*other + 1)
-	tracker.SweepTrust(end)
-	if tracker.Apart(workerList, false, never, end)["w01"] {
+	tracker.Sweep(end)
+	if tracker.Ejected(workerList, false, never, end)["w01"] {
 		t.Fatal("a service without repeatable requests keeps a worker out for good")
 	}
 }
@@ -162,12 +162,12 @@
 		now = now.Add(20_000_000)
 		worker := workerList[random.Intn(len(workerList))]
 		if random.Float64() < 0.4 {
-			span := tracker.Troubled(worker, "s", TroubleError, now)
-			if span > 0 && count > 200 {
-				t.Fatalf("%s ejected for %v though all fail alike", worker, span)
+			duration := tracker.RecordFault(worker, "s", FaultError, now)
+			if duration > 0 && count > 200 {
+				t.Fatalf("%s ejected for %v though all fail alike", worker, duration)
 			}
 		} else {
-			tracker.Went(worker, "s", now)
+			tracker.RecordSuccess(worker, "s", now)
 		}
 	}
 }
@@ -175,61 +175,61 @@
 // Whole answers of our own speak louder than peers.
 func TestOwnResultsGoBeforeHearsay(t *testing.T) {
 	tracker := New()
-	trust := tracker.Trust("w00", "s")
-	if trust.Proven(second) {
+	outcomes := tracker.OutcomesOf("w00", "s")
+	if outcomes.ProvenHealthy(second) {
 		t.Fatal("proven by nothing")
 	}
-	tracker.Went("w00", "s", second)
-	tracker.Went("w00", "s", second)
-	if !trust.Proven(second + 1) {
+	tracker.RecordSuccess("w00", "s", second)
+	tracker.RecordSuccess("w00", "s", second)
+	if !outcomes.ProvenHealthy(second + 1) {
 		t.Fatal("two whole answers prove nothing")
 	}
-	if trust.Proven(second.Add(8 * constants.HealthHalfLife)) {
+	if outcomes.ProvenHealthy(second.Add(8 * constants.HealthHalfLife)) {
 		t.Fatal("old answers still prove")
 	}
-	tracker.Troubled("w00", "s", TroubleReset, second+2)
-	if trust.Proven(second + 3) {
+	tracker.RecordFault("w00", "s", FaultReset, second+2)
+	if outcomes.ProvenHealthy(second + 3) {
 		t.Fatal("proven though one of three fails")
 	}
 }
 
 // Lives that die without a word at one address: the first successor is trusted, later
 // ones are held back for a growing time; orderly ends and other services count nothing.
-func TestFlappingLives(t *testing.T) {
+func TestFlappingIncarnations(t *testing.T) {
 	tracker := New()
 	now := second
 	var spans []clock.Duration
-	for life := 0; life < 6; life++ {
-		spans = append(spans, tracker.Born(fmt.Sprint("life", life), "s", "a:1", false, now))
-		if again := tracker.Born(fmt.Sprint("life", life), "s", "a:1", false, now); again != 0 {
+	for incarnation := 0; incarnation < 6; incarnation++ {
+		spans = append(spans, tracker.ObserveIncarnation(fmt.Sprint("life", incarnation), "s", "a:1", false, now))
+		if again := tracker.ObserveIncarnation(fmt.Sprint("life", incarnation), "s", "a:1", false, now); again != 0 {
 			t.Fatal("a word heard twice is a death")
 		}
 		now = now.Add(1_400_000_000)
 	}
 	want := []clock.Duration{0, 0, constants.EjectFor, 2 * constants.EjectFor, 4 * constants.EjectFor, 8 * constants.EjectFor}
-	for place := range want {
-		if spans[place] != want[place] {
+	for i := range want {
+		if spans[i] != want[i] {
 			t.Fatal(spans)
 		}
 	}
-	if tracker.Born("other", "t", "a:1", false, now) != 0 {
+	if tracker.ObserveIncarnation("other", "t", "a:1", false, now) != 0 {
 		t.Fatal("another service's past counts")
 	}
 	atOnce := New()
-	for life := 0; life < 6; life++ {
-		if atOnce.Born(fmt.Sprint("life", life), "s", "a:1", false, now) != 0 {
+	for incarnation := 0; incarnation < 6; incarnation++ {
+		if atOnce.ObserveIncarnation(fmt.Sprint("life", incarnation), "s", "a:1", false, now) != 0 {
 			t.Fatal("lives told of in one word count as deaths")
 		}
 	}
 	orderly := New()
-	for life := 0; life < 6; life++ {
-		if orderly.Born(fmt.Sprint("life", life), "s", "a:1", true, now) != 0 {
+	for incarnation := 0; incarnation < 6; incarnation++ {
+		if orderly.ObserveIncarnation(fmt.Sprint("life", incarnation), "s", "a:1", true, now) != 0 {
 			t.Fatal("leaving in order counts as flapping")
 		}
 	}
 	seldom := New()
-	for life := 0; life < 6; life++ {
-		if seldom.Born(fmt.Sprint("life", life), "s", "a:1", false, now) != 0 {
+	for incarnation := 0; incarnation < 6; incarnation++ {
+		if seldom.ObserveIncarnation(fmt.Sprint("life", incarnation), "s", "a:1", false, now) != 0 {
 			t.Fatal("deaths far apart count as flapping")
 		}
 		now = now.Add(constants.FlapWindow + 1)
--- a/internal/traffic/health/peers.go
+++ b/internal/traffic/health/peers.go
@@ -32,24 +32,24 @@
 
 // observe takes a count as of a moment, unless a younger one is known.
 func (h *Health) observe(count int, at clock.Instant) {
-	if h.seen.known && at < h.seen.at {
+	if h.observed.known && at < h.observed.at {
 		return
 	}
-	h.seen = observation{known: true, count: count, at: at, own: h.ownAt(at)}
+	h.observed = observation{known: true, count: count, at: at, own: h.ownAt(at)}
 }
 
 // step remembers a change of our own count.
 func (h *Health) step(now clock.Instant) {
-	h.steps[h.stepped%ownSteps] = ownStep{at: now, own: h.Own()}
-	h.stepped++
+	h.steps[h.stepCount%ownSteps] = ownStep{at: now, own: h.Own()}
+	h.stepCount++
 }
 
 // ownAt is how many requests of ours were there at a moment, as far as remembered.
 func (h *Health) ownAt(at clock.Instant) int {
-	oldest := max(0, h.stepped-ownSteps)
-	for place := h.stepped - 1; place >= oldest; place-- {
-		if one := h.steps[place%ownSteps]; one.at <= at {
-			return one.own
+	oldest := max(0, h.stepCount-ownSteps)
+	for i := h.stepCount - 1; i >= oldest; i-- {
+		if step := h.steps[i%ownSteps]; step.at <= at {
+			return step.own
 		}
 	}
 	if oldest == 0 {
@@ -61,7 +61,7 @@
 // fresh tells whether the observation still counts: the age limit holds for the
 // age of the evidence, over however many nodes it came.
 func (h *Health) fresh(now clock.Instant) bool {
-	return h.seen.known && now.Sub(h.seen.at) < constants.GossipStale
+	return h.observed.known && now.Sub(h.observed.at) < constants.GossipStale
 }
 
 // Running estimates how many requests of all nodes are at the worker: the freshest
@@ -70,7 +70,7 @@
 	own := h.Own()
 	count := own
 	if h.fresh(now) {
-		count = max(count, h.seen.count+own-h.seen.own)
+		count = max(count, h.observed.count+own-h.observed.own)
 	}
 	if h.full.known && now.Sub(h.full.at) < constants.FullFor {
 		count = max(count, h.full.count+own-h.full.own)
@@ -82,33 +82,33 @@
 func (h *Health) Known(now clock.Instant) bool { return h.fresh(now) }
 
 // Age is how old that evidence is.
-func (h *Health) Age(now clock.Instant) clock.Duration { return now.Sub(h.seen.at) }
+func (h *Health) Age(now clock.Instant) clock.Duration { return now.Sub(h.observed.at) }
 
-// Word is what we tell peers of the worker: the freshest observation, whoever made
+// Sample is what we tell peers of the worker: the freshest observation, whoever made
 // it, and our own trust. told is false when there is nothing to tell.
-func (h *Health) Word(now clock.Instant) (word messages.LoadSample, told bool) {
-	word = messages.LoadSample{Running: messages.RunningUnknown, Health: messages.HealthUnknown}
+func (h *Health) Sample(now clock.Instant) (sample messages.LoadSample, known bool) {
+	sample = messages.LoadSample{Running: messages.RunningUnknown, Health: messages.HealthUnknown}
 	if h.fresh(now) {
-		word.Running, word.AgeMs, told = min(h.seen.count, messages.RunningUnknown-1), now.Sub(h.seen.at).Milliseconds(), true
+		sample.Running, sample.AgeMs, known = min(h.observed.count, messages.RunningUnknown-1), now.Sub(h.observed.at).Milliseconds(), true
 	}
 	if now < h.suspectUntil {
-		word.Health, told = messages.HealthSuspect, true
+		sample.Health, known = messages.HealthSuspect, true
 	}
-	return word, told
+	return sample, known
 }
 
 // Observed is the moment of the freshest observation and its count.
 func (h *Health) Observed() (count int, at clock.Instant) {
-	return h.seen.count, h.seen.at
+	return h.observed.count, h.observed.at
 }
 
-// Peer takes a neighbour's word. Its trust is its own evidence and counts as that.
-func (h *Health) Peer(from string, word messages.LoadSample, now clock.Instant) {
-	age := clock.Milliseconds(float64(word.AgeMs))
-	if word.Running != messages.RunningUnknown {
-		h.observe(word.Running, now-clock.Instant(age))
+// ObservePeer takes a neighbour's word. Its trust is its own evidence and counts as that.
+func (h *Health) ObservePeer(from string, sample messages.LoadSample, now clock.Instant) {
+	age := clock.Milliseconds(float64(sample.AgeMs))
+	if sample.Running != messages.RunningUnknown {
+		h.observe(sample.Running, now-clock.Instant(age))
 	}
-	if word.Health != messages.HealthSuspect {
+	if sample.Health != messages.HealthSuspect {
 		delete(h.suspects, from)
 		return
 	}
@@ -121,9 +121,9 @@
 	h.suspects[from] = now
 }
 
-// suspected tells whether several neighbours have just met failures of the worker;
+// suspectedByPeers tells whether several neighbours have just met failures of the worker;
 // one alone may have a trouble of its own.
-func (h *Health) suspected(now clock.Instant) bool {
+func (h *Health) suspectedByPeers(now clock.Instant) bool {
 	const several = 2
 	count := 0
 	for _, at := range h.suspects {
--- a/internal/traffic/loadgossip/budget.go
+++ b/internal/traffic/loadgossip/budget.go
@@ -15,11 +15,11 @@
 	if config == nil {
 		return 0
 	}
-	one := config.Service(worker.Backend)
-	if one == nil || one.ConnLimit == 0 {
+	service := config.Service(worker.Backend)
+	if service == nil || service.ConnLimit == 0 {
 		return 0
 	}
-	return connectionsFor(worker.Capacity, one.ConnLimit, g.Node.Self.Role)
+	return connectionsFor(worker.Capacity, service.ConnLimit, g.Node.Self.Role)
 }
 
 // connectionsFor is the budget by what the worker takes and allows.
--- a/internal/traffic/loadgossip/budget_test.go
+++ b/internal/traffic/loadgossip/budget_test.go
@@ -10,7 +10,7 @@
 // What a node may open follows from what a worker takes at once and allows, and
 // never falls under what it takes to serve at all.
 func TestConnectionsFollowTheWorker(t *testing.T) {
-	for _, one := range []struct {
+	for _, entry := range []struct {
 		capacity, limit int
 		role            string
 		want            int
@@ -21,8 +21,8 @@
 		{24, 220, membership.RoleGateway, 27},
 		{24, 10, membership.RoleGateway, constants.LeastConnections},
 	} {
-		if got := connectionsFor(one.capacity, one.limit, one.role); got != one.want {
-			t.Errorf("%+v: %d", one, got)
+		if got := connectionsFor(entry.capacity, entry.limit, entry.role); got != entry.want {
+			t.Errorf("%+v: %d", entry, got)
 		}
 	}
 }
--- a/internal/traffic/loadgossip/loadgossip.go
+++ b/internal/traffic/loadgossip/loadgossip.go
@@ -18,34 +18,34 @@
 
 // Gossip is the placing part of one process.
 type Gossip struct {
-	Node      *agent.Agent
-	Scheduler *admission.Scheduler
-	Pool      *workerconn.Pool
-	Sender    proxy.Sender
-	alerted   bool
-	logged    map[string]int64
-	tables    tables
+	Node         *agent.Agent
+	Scheduler    *admission.Scheduler
+	Pool         *workerconn.Pool
+	Sender       proxy.Sender
+	alerted      bool
+	logged       map[string]int64
+	workerTables workerTables
 
-	lock     sync.Mutex
-	circle   circle
-	ties     ties
-	passedAt clock.Instant
+	lock        sync.Mutex
+	peers       peerSet
+	replyPeers  replyPeers
+	forwardedAt clock.Instant
 }
 
 // New makes the placing part and registers what it answers.
 func New(runtime *agent.Agent) *Gossip {
 	gossip := &Gossip{Node: runtime, Scheduler: admission.New(runtime.Self, runtime.Settings.Heartbeat()), Pool: workerconn.NewPool(),
-		logged: map[string]int64{}, tables: tables{read: map[string]messages.Digest{}}}
+		logged: map[string]int64{}, workerTables: workerTables{read: map[string]messages.Digest{}}}
 	gossip.Sender = proxy.Sender{Scheduler: gossip.Scheduler, Pool: gossip.Pool, Budget: gossip.budget}
-	process.Handle(runtime.Runtime, messages.KindWorkersUpdate, gossip.rosterPushed)
-	runtime.OnControllerReport(gossip.heardController)
-	process.Handle(runtime.Runtime, messages.KindGossip, gossip.gossiped)
-	process.Handle(runtime.Runtime, messages.KindPressure, gossip.pressed)
-	gossip.Scheduler.OnPressure(gossip.press)
-	process.Handle(runtime.Runtime, messages.KindPrefill, gossip.reads)
-	gossip.Scheduler.OnReading(gossip.tellReading)
+	process.Handle(runtime.Runtime, messages.KindWorkersUpdate, gossip.handleWorkersUpdate)
+	runtime.OnControllerReport(gossip.handleControllerReport)
+	process.Handle(runtime.Runtime, messages.KindGossip, gossip.handleGossip)
+	process.Handle(runtime.Runtime, messages.KindPressure, gossip.handlePressure)
+	gossip.Scheduler.OnPressure(gossip.notifyPressure)
+	process.Handle(runtime.Runtime, messages.KindPrefill, gossip.handlePrefill)
+	gossip.Scheduler.OnReading(gossip.notifyPrefill)
 	gossip.Scheduler.OnEjection(gossip.logEjection)
-	gossip.reports()
+	gossip.registerReports()
 	runtime.OnConfig(func(config *routeconfig.Config) { gossip.Scheduler.SetConfig(config) })
 	return gossip
 }
@@ -53,8 +53,8 @@
 // Start begins the loops.
 func (g *Gossip) Start() {
 	stop := g.Node.Stop
-	go g.learnWorkers()
-	go clock.Every(constants.GossipPeriod, stop, g.gossip)
+	go g.syncWorkers()
+	go clock.Every(constants.GossipPeriod, stop, g.gossipRound)
 	go g.Scheduler.KeepPumping(stop)
 	go clock.Every(constants.GossipPeriod/2, stop, func() { proxy.SweepConnections(g.Pool, g.Scheduler) })
 }
--- a/internal/traffic/loadgossip/pressure_test.go
+++ b/internal/traffic/loadgossip/pressure_test.go
@@ -19,25 +19,25 @@
 func standing(t *testing.T, roles ...string) []*Gossip {
 	t.Helper()
 
-	room := transport.NewMemoryNetwork()
+	network := transport.NewMemoryNetwork()
 	var joined []*Gossip
-	for place, role := range roles {
-		nodeSettings := &settings.Settings{NodeName: fmt.Sprint("n", place), Zone: "h", Address: fmt.Sprint("10.0.0.", place+1), HeartbeatMs: 1200,
+	for position, role := range roles {
+		nodeSettings := &settings.Settings{NodeName: fmt.Sprint("n", position), Zone: "h", Address: fmt.Sprint("10.0.0.", position+1), HeartbeatMs: 1200,
 			InternalPorts: []int{100, 110}, Seeds: []string{"10.0.0.99:1"}}
 		runtime := agent.New(nodeSettings, role, 1, "", hclog.NewNullLogger())
-		runtime.Transport = room.Transport(runtime.Self.Address)
+		runtime.Transport = network.Transport(runtime.Self.Address)
 		joined = append(joined, New(runtime))
 	}
-	for _, one := range joined {
+	for _, entry := range joined {
 		var others []messages.NodeInfo
 		for _, other := range joined {
-			if other != one {
+			if other != entry {
 				others = append(others, other.Node.Self)
 			}
 		}
-		one.Node.Observe(others)
-		one.Scheduler.Merge([]messages.Worker{{ID: "w", Backend: "s", Zone: "h", Capacity: 1, CallCount: 1}}, clock.Now())
-		one.lookAround()
+		entry.Node.Observe(others)
+		entry.Scheduler.Merge([]messages.Worker{{ID: "w", Backend: "s", Zone: "h", Capacity: 1, CallCount: 1}}, clock.Now())
+		entry.refreshPeers()
 	}
 	return joined
 }
@@ -47,7 +47,7 @@
 func TestPressureReachesStores(t *testing.T) {
 	const stores = 6
 	roles := []string{membership.RoleGateway}
-	for place := 0; place < stores; place++ {
+	for position := 0; position < stores; position++ {
 		roles = append(roles, membership.RoleStore)
 	}
 	joined := standing(t, roles...)
@@ -55,25 +55,25 @@
 		name   string
 		second bool
 	}
-	heard := make(chan word, 64)
-	for _, one := range joined[1:] {
-		name := one.Node.Self.Name
-		_ = one.Node.Transport.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
-			told := &messages.PressureNotice{}
-			_ = transport.Decode(body, told)
-			heard <- word{name, told.Sharers == 0}
-			return one.Node.Dispatch(messages.KindPressure, body)
+	received := make(chan word, 64)
+	for _, entry := range joined[1:] {
+		name := entry.Node.Self.Name
+		_ = entry.Node.Transport.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
+			notice := &messages.PressureNotice{}
+			_ = transport.Decode(body, notice)
+			received <- word{name, notice.Sharers == 0}
+			return entry.Node.Dispatch(messages.KindPressure, body)
 		})
 	}
-	reached, words, second := map[string]bool{}, 0, 0
+	reached, entries, second := map[string]bool{}, 0, 0
 	for round := 0; round < 40 && len(reached) < stores; round++ {
-		joined[0].press([]messages.Pressure{{Service: "s", Waiting: 1}})
+		joined[0].notifyPressure([]messages.Pressure{{Service: "s", Waiting: 1}})
 		for wait := true; wait; {
 			select {
-			case one := <-heard:
-				reached[one.name] = true
-				words++
-				if one.second {
+			case entry := <-received:
+				reached[entry.name] = true
+				entries++
+				if entry.second {
 					second++
 				}
 			case <-clock.After(20_000_000):
@@ -81,8 +81,8 @@
 			}
 		}
 		// Three are told, and each may pass it to three.
-		if words > (round+1)*12 {
-			t.Fatalf("%d words in %d rounds", words, round+1)
+		if entries > (round+1)*12 {
+			t.Fatalf("%d words in %d rounds", entries, round+1)
 		}
 	}
 	if len(reached) != stores || second == 0 {
@@ -93,28 +93,28 @@
 // A gossip packet reaches the neighbours one way and counts there.
 func TestGossipReachesNeighbours(t *testing.T) {
 	joined := standing(t, membership.RoleGateway, membership.RoleGateway, membership.RoleStore)
-	heard := make(chan bool, 8)
-	for _, one := range joined[1:] {
-		_ = one.Node.Transport.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
-			answer, err := one.Node.Dispatch(messages.KindGossip, body)
-			heard <- true
-			return answer, err
+	received := make(chan bool, 8)
+	for _, entry := range joined[1:] {
+		_ = entry.Node.Transport.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
+			resp, err := entry.Node.Dispatch(messages.KindGossip, body)
+			received <- true
+			return resp, err
 		})
 	}
-	joined[0].Scheduler.Locked(func() { joined[0].Scheduler.Tracker.Of("w").Load("7,0,1", clock.Now()) })
-	joined[0].gossip()
+	joined[0].Scheduler.Locked(func() { joined[0].Scheduler.Tracker.Of("w").ObserveLoad("7,0,1", clock.Now()) })
+	joined[0].gossipRound()
 	for range joined[1:] {
 		select {
-		case <-heard:
+		case <-received:
 		case <-clock.After(5_000_000_000):
 			t.Fatal("a neighbour heard nothing")
 		}
 	}
-	for _, one := range joined[1:] {
+	for _, entry := range joined[1:] {
 		running := 0
-		one.Scheduler.Locked(func() { running = one.Scheduler.Tracker.Of("w").Running(clock.Now()) })
+		entry.Scheduler.Locked(func() { running = entry.Scheduler.Tracker.Of("w").Running(clock.Now()) })
 		if running != 7 {
-			t.Fatalf("%s takes the worker for one with %d", one.Node.Self.Name, running)
+			t.Fatalf("%s takes the worker for one with %d", entry.Node.Self.Name, running)
 		}
 	}
 }
--- a/internal/traffic/loadgossip/report.go
+++ b/internal/traffic/loadgossip/report.go
@@ -10,10 +10,10 @@
 	"lemonarch/internal/platform/messages"
 )
 
-func number[Whole int | int64](value Whole) string { return strconv.FormatInt(int64(value), 10) }
+func formatInt[Whole int | int64](value Whole) string { return strconv.FormatInt(int64(value), 10) }
 
-// reports registers what a placing process says to the shell.
-func (g *Gossip) reports() {
+// registerReports registers what a placing process says to the shell.
+func (g *Gossip) registerReports() {
 	g.Node.Report("workers", g.reportWorkers)
 	g.Node.Report("index", g.reportIndex)
 	g.Node.Report("displacement", g.reportDisplacement)
@@ -22,16 +22,16 @@
 func (g *Gossip) reportWorkers() *messages.StatusResponse {
 	status := &messages.StatusResponse{Columns: []string{"worker", "service", "zone", "phase", "standing", "heard-ms", "live", "items", "running", "capacity", "suspect", "answers", "failures", "trust"}}
 	now := clock.Now()
-	standings := map[workers.Status]string{workers.StatusHealthy: "good", workers.StatusSuspect: "suspect", workers.StatusUnavailable: "out"}
+	statusNames := map[workers.Status]string{workers.StatusHealthy: "good", workers.StatusSuspect: "suspect", workers.StatusUnavailable: "out"}
 	scheduler := g.Scheduler
 	scheduler.Locked(func() {
 		for _, worker := range scheduler.Registry.All(now) {
 			health := scheduler.Tracker.Of(worker.ID)
 			answers, failures := health.Counts()
 			status.Rows = append(status.Rows, []string{worker.ID, worker.Backend, worker.Zone, worker.Phase.String(),
-				standings[scheduler.Registry.Status(worker.ID, now, true)], number(worker.AgeMs), number(health.Own() - health.OwnBulk()),
-				number(health.OwnBulk()), number(health.Running(now)), number(worker.Capacity), strconv.FormatBool(health.Suspect(now)),
-				number(answers), number(failures), scheduler.TrustWord(worker, now)})
+				statusNames[scheduler.Registry.Status(worker.ID, now, true)], formatInt(worker.AgeMs), formatInt(health.Own() - health.OwnBulk()),
+				formatInt(health.OwnBulk()), formatInt(health.Running(now)), formatInt(worker.Capacity), strconv.FormatBool(health.Suspect(now)),
+				formatInt(answers), formatInt(failures), scheduler.TrustWord(worker, now)})
 		}
 	})
 	return status
@@ -46,8 +46,8 @@
 		if index.Placements > 0 {
 			share = float64(index.Downgrades) / float64(index.Placements)
 		}
-		status.Rows = [][]string{{number(index.Prefixes()), number(index.Placements), number(index.Hits), number(index.Downgrades),
-			fmt.Sprintf("%.4f", share), fmt.Sprintf("%.0f", index.Rate())}}
+		status.Rows = [][]string{{formatInt(index.Prefixes()), formatInt(index.Placements), formatInt(index.Hits), formatInt(index.Downgrades),
+			fmt.Sprintf("%.4f", share), fmt.Sprintf("%.0f", index.PrefillRate())}}
 	})
 	return status
 }
@@ -62,7 +62,7 @@
 	sort.Strings(routes)
 	for _, route := range routes {
 		counters := tallies[route]
-		status.Rows = append(status.Rows, []string{route, number(counters.Displaced.Load()), number(counters.Resumed.Load()), number(counters.Finished.Load())})
+		status.Rows = append(status.Rows, []string{route, formatInt(counters.Displaced.Load()), formatInt(counters.Resumed.Load()), formatInt(counters.Finished.Load())})
 	}
 	return status
 }
--- a/internal/traffic/loadgossip/staleness_test.go
+++ b/internal/traffic/loadgossip/staleness_test.go
@@ -34,29 +34,29 @@
 	phase     clock.Instant
 	heard     int
 	paused    bool
-	ties      ties
+	ties      replyPeers
 }
 
 func newFleet(seed int64, nodes, workerList int) *fleet {
-	one := &fleet{random: rand.New(rand.NewSource(seed)), byAddress: map[string]*simNode{}}
-	for place := 0; place < workerList; place++ {
-		one.workerList = append(one.workerList, messages.Worker{ID: fmt.Sprintf("i-%05d", place), Backend: "s", Zone: fmt.Sprint("h", place%4),
+	entry := &fleet{random: rand.New(rand.NewSource(seed)), byAddress: map[string]*simNode{}}
+	for position := 0; position < workerList; position++ {
+		entry.workerList = append(entry.workerList, messages.Worker{ID: fmt.Sprintf("i-%05d", position), Backend: "s", Zone: fmt.Sprint("h", position%4),
 			Capacity: 16, CallCount: 1})
 	}
 	var entries []messages.NodeInfo
-	for place := 0; place < nodes; place++ {
-		entries = append(entries, messages.NodeInfo{Name: fmt.Sprint("edge-", place), Role: membership.RoleGateway, Zone: fmt.Sprint("h", place%4),
-			Address: fmt.Sprint("a", place), Incarnation: 1})
+	for position := 0; position < nodes; position++ {
+		entries = append(entries, messages.NodeInfo{Name: fmt.Sprint("edge-", position), Role: membership.RoleGateway, Zone: fmt.Sprint("h", position%4),
+			Address: fmt.Sprint("a", position), Incarnation: 1})
 	}
-	for place, own := range entries {
-		node := &simNode{own: own, view: membership.NewView(own, int64(place)), scheduler: admission.New(own, 1_200_000_000),
-			phase: clock.Instant(one.random.Int63n(int64(constants.GossipPeriod)))}
+	for position, own := range entries {
+		node := &simNode{own: own, view: membership.NewView(own, int64(position)), scheduler: admission.New(own, 1_200_000_000),
+			phase: clock.Instant(entry.random.Int63n(int64(constants.GossipPeriod)))}
 		node.view.Observe(entries, 0)
-		node.scheduler.Merge(one.workerList, 0)
-		one.nodes = append(one.nodes, node)
-		one.byAddress[own.Address] = node
+		node.scheduler.Merge(entry.workerList, 0)
+		entry.nodes = append(entry.nodes, node)
+		entry.byAddress[own.Address] = node
 	}
-	return one
+	return entry
 }
 
 // near gives the workers of a node's zone: what it places on.
@@ -77,37 +77,37 @@
 	worker := near[f.random.Intn(min(len(near), constants.ReachSubset))]
 	if len(near) > constants.ReachSubset {
 		sum := fmt.Sprint(node.own.Name, f.random.Intn(constants.ReachSubset))
-		draw := 0
+		random := 0
 		for _, outgoing := range sum {
-			draw = draw*31 + int(outgoing)
+			random = random*31 + int(outgoing)
 		}
-		worker = near[draw%len(near)]
+		worker = near[random%len(near)]
 	}
-	node.scheduler.Locked(func() { node.scheduler.Tracker.Of(worker).Load("5,0,16", now) })
+	node.scheduler.Locked(func() { node.scheduler.Tracker.Of(worker).ObserveLoad("5,0,16", now) })
 }
 
 // gossip is one node's second.
 func (f *fleet) gossip(node *simNode, now clock.Instant) {
 	packet := node.scheduler.Gossip(now)
-	circle := around(node.own, node.view.All("", now))
-	circle.population = len(f.nodes)
-	if node.ties.lonely(now) {
+	peers := selectPeers(node.own, node.view.All("", now))
+	peers.population = len(f.nodes)
+	if node.ties.hasFewSenders(now) {
 		packet.ReplyTo = node.own.Address
 	}
-	told := append(append([]messages.NodeInfo(nil), circle.gossip...), node.ties.adopted(circle.gossip, now)...)
-	if entry, drawn := circle.across(f.random.Float64); drawn {
-		told = append(told, entry)
+	recipients := append(append([]messages.NodeInfo(nil), peers.gossipPeers...), node.ties.unlisted(peers.gossipPeers, now)...)
+	if entry, selected := peers.pickOtherZone(f.random.Float64); selected {
+		recipients = append(recipients, entry)
 		f.far++
 	}
 	body, _ := packet.MarshalMsg(nil)
-	for _, entry := range told {
+	for _, entry := range recipients {
 		f.packets++
 		f.bytes += len(body)
 		f.largest = max(f.largest, len(body))
 		other := f.byAddress[entry.Address]
 		if !other.paused {
 			other.heard++
-			other.ties.heard(packet, now)
+			other.ties.observe(packet, now)
 			other.scheduler.Heard(packet, now.Add(clock.Milliseconds(1)))
 		}
 	}
@@ -142,12 +142,12 @@
 	for _, node := range f.nodes {
 		for _, worker := range f.near(node) {
 			node.scheduler.Locked(func() {
-				word, told := node.scheduler.Tracker.Of(worker).Word(now)
-				if !told || word.Running == messages.RunningUnknown {
+				sample, recipients := node.scheduler.Tracker.Of(worker).Sample(now)
+				if !recipients || sample.Running == messages.RunningUnknown {
 					none++
 					return
 				}
-				ages = append(ages, float64(word.AgeMs))
+				ages = append(ages, float64(sample.AgeMs))
 			})
 		}
 	}
@@ -159,24 +159,24 @@
 // stays well within the age limit for nearly all of it.
 func TestStalenessAndCostByFleetSize(t *testing.T) {
 	for _, size := range []struct{ nodes, workerList int }{{25, 40}, {100, 160}, {390, 600}} {
-		one := newFleet(11, size.nodes, size.workerList)
+		entry := newFleet(11, size.nodes, size.workerList)
 		const seconds = 6
-		one.play(1, seconds, 4)
+		entry.play(1, seconds, 4)
 		now := clock.Instant(seconds+1) * clock.Instant(constants.GossipPeriod)
-		ages, blind := one.ages(now)
+		ages, blind := entry.ages(now)
 		median, late := ages[len(ages)/2], ages[len(ages)*95/100]
-		packets := float64(one.packets) / seconds / float64(size.nodes)
-		bytes := float64(one.bytes) / seconds / float64(size.nodes)
+		packets := float64(entry.packets) / seconds / float64(size.nodes)
+		bytes := float64(entry.bytes) / seconds / float64(size.nodes)
 		t.Logf("%d nodes, %d workers: age median %.0f ms, p95 %.0f ms, without evidence %.3f; a node and second %.2f packets, %.0f bytes; largest %d; across zones %.1f packets a second in all",
-			size.nodes, size.workerList, median, late, blind, packets, bytes, one.largest, float64(one.far)/seconds)
+			size.nodes, size.workerList, median, late, blind, packets, bytes, entry.largest, float64(entry.far)/seconds)
 		limit := clock.ToMilliseconds(constants.GossipStale)
 		if median > limit/2 || late >= limit || blind > 0.15 {
 			t.Errorf("%d nodes: evidence too old", size.nodes)
 		}
-		if packets > constants.GossipFanout+1.5 || one.largest > 1400 {
-			t.Errorf("%d nodes: %.2f packets a node, largest %d bytes", size.nodes, packets, one.largest)
+		if packets > constants.GossipFanout+1.5 || entry.largest > 1400 {
+			t.Errorf("%d nodes: %.2f packets a node, largest %d bytes", size.nodes, packets, entry.largest)
 		}
-		for _, node := range one.nodes {
+		for _, node := range entry.nodes {
 			if node.heard < seconds {
 				t.Errorf("%d nodes: %s heard %d packets in %d s", size.nodes, node.own.Name, node.heard, seconds)
 			}
@@ -187,17 +187,17 @@
 // A node that was paused says nothing that counts: its old evidence has aged, and
 // what it then tells is passed over.
 func TestPausedPeerMisleadsNobody(t *testing.T) {
-	one := newFleet(5, 25, 40)
-	one.play(1, 4, 4)
-	paused := one.nodes[3]
+	entry := newFleet(5, 25, 40)
+	entry.play(1, 4, 4)
+	paused := entry.nodes[3]
 	paused.paused = true
-	worker := one.near(paused)[0]
+	worker := entry.near(paused)[0]
 	at := clock.Instant(5) * clock.Instant(constants.GossipPeriod)
-	paused.scheduler.Locked(func() { paused.scheduler.Tracker.Of(worker).Load("200,0,16", at) })
-	one.play(5, 4, 0)
+	paused.scheduler.Locked(func() { paused.scheduler.Tracker.Of(worker).ObserveLoad("200,0,16", at) })
+	entry.play(5, 4, 0)
 	paused.paused = false
-	one.play(9, 3, 0)
-	for _, node := range one.nodes {
+	entry.play(9, 3, 0)
+	for _, node := range entry.nodes {
 		node.scheduler.Locked(func() {
 			if running := node.scheduler.Tracker.Of(worker).Running(at.Add(7 * constants.GossipPeriod)); running != 0 {
 				t.Errorf("%s still counts %d", node.own.Name, running)
@@ -209,10 +209,10 @@
 // The same seed repeats the same history.
 func TestFleetRepeats(t *testing.T) {
 	sum := func() float64 {
-		one := newFleet(3, 40, 64)
-		one.play(1, 3, 4)
-		ages, blind := one.ages(clock.Instant(4) * clock.Instant(constants.GossipPeriod))
-		total := blind + float64(one.bytes)
+		entry := newFleet(3, 40, 64)
+		entry.play(1, 3, 4)
+		ages, blind := entry.ages(clock.Instant(4) * clock.Instant(constants.GossipPeriod))
+		total := blind + float64(entry.bytes)
 		for _, age := range ages {
 			total += math.Sqrt(age)
 		}
--- a/internal/traffic/loadgossip/workers.go
+++ b/internal/traffic/loadgossip/workers.go
@@ -10,31 +10,31 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// tables remembers how far each controller's table of workers has been read.
-type tables struct {
+// workerTables remembers how far each controller's table of workers has been read.
+type workerTables struct {
 	lock sync.Mutex
 	read map[string]messages.Digest
 }
 
-// behind tells whether a controller's table may hold something that is not known here,
+// needsPull tells whether a controller's table may hold something that is not known here,
 // and from which clock on to ask.
-func (t *tables) behind(address string, told, own messages.Digest) (since uint64, ask bool) {
+func (t *workerTables) needsPull(address string, digest, own messages.Digest) (since uint64, pull bool) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	read := t.read[address]
-	if told.Sum == own.Sum {
-		t.read[address] = told
+	if digest.Sum == own.Sum {
+		t.read[address] = digest
 		return 0, false
 	}
-	if read.Incarnation != told.Incarnation {
+	if read.Incarnation != digest.Incarnation {
 		return 0, true
 	}
-	return read.Clock, told.Clock > read.Clock
+	return read.Clock, digest.Clock > read.Clock
 }
 
-// learnWorkers gets the workers from a controller when the process starts. It ends once it
+// syncWorkers gets the workers from a controller when the process starts. It ends once it
 // has them, or with the process.
-func (g *Gossip) learnWorkers() {
+func (g *Gossip) syncWorkers() {
 	for {
 		select {
 		case <-g.Node.Stop:
@@ -55,33 +55,33 @@
 }
 
 func (g *Gossip) pullWorkers(address string, since uint64) bool {
-	back := &messages.WorkersUpdate{}
-	question := &messages.WorkersPullRequest{From: membership.Key(g.Node.Self), Since: since}
-	if transport.Call(g.Node.Transport, address, messages.KindWorkersPull, question, back, constants.CallTimeout) != nil {
+	resp := &messages.WorkersUpdate{}
+	req := &messages.WorkersPullRequest{From: membership.Key(g.Node.Self), Since: since}
+	if transport.Call(g.Node.Transport, address, messages.KindWorkersPull, req, resp, constants.CallTimeout) != nil {
 		return false
 	}
-	g.Scheduler.Merge(back.Workers, clock.Now())
-	g.tables.lock.Lock()
-	g.tables.read[address] = back.Table
-	g.tables.lock.Unlock()
+	g.Scheduler.Merge(resp.Workers, clock.Now())
+	g.workerTables.lock.Lock()
+	g.workerTables.read[address] = resp.Table
+	g.workerTables.lock.Unlock()
 	return true
 }
 
-// heardController takes what a controller's periodic answer says of workers: who is silent,
+// handleControllerReport takes what a controller's periodic answer says of workers: who is silent,
 // and a digest of its table, so that a change that was missed is pulled.
-func (g *Gossip) heardController(address string, answer *messages.Shuffle) {
-	if answer.Workers.Incarnation == 0 {
+func (g *Gossip) handleControllerReport(address string, resp *messages.Shuffle) {
+	if resp.Workers.Incarnation == 0 {
 		return
 	}
-	if since, ask := g.tables.behind(address, answer.Workers, g.Scheduler.Table()); ask {
+	if since, pull := g.workerTables.needsPull(address, resp.Workers, g.Scheduler.Table()); pull {
 		g.pullWorkers(address, since)
 	}
-	if answer.OverdueComplete {
-		g.Scheduler.Judged(answer.Overdue, clock.Now())
+	if resp.OverdueComplete {
+		g.Scheduler.Judged(resp.Overdue, clock.Now())
 	}
 }
 
-func (g *Gossip) rosterPushed(push *messages.WorkersUpdate) (*messages.Ack, error) {
+func (g *Gossip) handleWorkersUpdate(push *messages.WorkersUpdate) (*messages.Ack, error) {
 	g.Scheduler.Merge(push.Workers, clock.Now())
 	g.Node.NoteContact(push.From)
 	return &messages.Ack{Accepted: true}, nil
--- a/internal/traffic/prefixindex/branch.go
+++ b/internal/traffic/prefixindex/branch.go
@@ -25,25 +25,25 @@
 	return &sorted{keys: make([]byte, 0, limit), children: make([]*node, 0, limit), limit: limit}
 }
 
-func (s *sorted) place(edge byte) int {
+func (s *sorted) search(edge byte) int {
 	return sort.Search(len(s.keys), func(index int) bool { return s.keys[index] >= edge })
 }
 
 func (s *sorted) find(edge byte) *node {
-	if index := s.place(edge); index < len(s.keys) && s.keys[index] == edge {
+	if index := s.search(edge); index < len(s.keys) && s.keys[index] == edge {
 		return s.children[index]
 	}
 	return nil
 }
 
 func (s *sorted) add(edge byte, child *node) branch {
-	index := s.place(edge)
+	index := s.search(edge)
 	if index < len(s.keys) && s.keys[index] == edge {
 		s.children[index] = child
 		return s
 	}
 	if len(s.keys) == s.limit {
-		return grow(s).add(edge, child)
+		return expand(s).add(edge, child)
 	}
 	s.keys = append(s.keys, 0)
 	copy(s.keys[index+1:], s.keys[index:])
@@ -55,7 +55,7 @@
 }
 
 func (s *sorted) remove(edge byte) branch {
-	index := s.place(edge)
+	index := s.search(edge)
 	if index < len(s.keys) && s.keys[index] == edge {
 		s.keys = append(s.keys[:index], s.keys[index+1:]...)
 		s.children = append(s.children[:index], s.children[index+1:]...)
@@ -82,24 +82,24 @@
 }
 
 func (b *branch48) find(edge byte) *node {
-	if place := b.index[edge]; place > 0 {
-		return b.children[place-1]
+	if i := b.index[edge]; i > 0 {
+		return b.children[i-1]
 	}
 	return nil
 }
 
 func (b *branch48) add(edge byte, child *node) branch {
-	if place := b.index[edge]; place > 0 {
-		b.children[place-1] = child
+	if i := b.index[edge]; i > 0 {
+		b.children[i-1] = child
 		return b
 	}
 	if b.used == len(b.children) {
-		return grow(b).add(edge, child)
+		return expand(b).add(edge, child)
 	}
-	for place := range b.children {
-		if b.children[place] == nil {
-			b.children[place] = child
-			b.index[edge] = byte(place + 1)
+	for i := range b.children {
+		if b.children[i] == nil {
+			b.children[i] = child
+			b.index[edge] = byte(i + 1)
 			b.used++
 			break
 		}
@@ -108,8 +108,8 @@
 }
 
 func (b *branch48) remove(edge byte) branch {
-	if place := b.index[edge]; place > 0 {
-		b.children[place-1] = nil
+	if i := b.index[edge]; i > 0 {
+		b.children[i-1] = nil
 		b.index[edge] = 0
 		b.used--
 	}
@@ -122,9 +122,9 @@
 func (b *branch48) count() int { return b.used }
 
 func (b *branch48) each(visit func(edge byte, child *node)) {
-	for edge, place := range b.index {
-		if place > 0 {
-			visit(byte(edge), b.children[place-1])
+	for edge, i := range b.index {
+		if i > 0 {
+			visit(byte(edge), b.children[i-1])
 		}
 	}
 }
@@ -166,7 +166,7 @@
 	}
 }
 
-func grow(full branch) branch {
+func expand(full branch) branch {
 	switch {
 	case full.count() == 4:
 		return refill(newSorted(16), full)
--- a/internal/traffic/prefixindex/homes.go
+++ b/internal/traffic/prefixindex/homes.go
@@ -8,14 +8,14 @@
 // Shared is how many tokens of the prompt others have too: the last part is its own.
 func (p *Prompt) Shared() int {
 	shared := 0
-	for place := 0; place < len(p.Parts)-1; place++ {
-		shared += p.Parts[place].Tokens
+	for i := 0; i < len(p.Parts)-1; i++ {
+		shared += p.Parts[i].Tokens
 	}
 	return shared
 }
 
-// Mix spreads a hash of names that differ in their last bytes only over all its bits.
-func Mix(sum uint64) uint64 {
+// MixBits spreads a hash of names that differ in their last bytes only over all its bits.
+func MixBits(sum uint64) uint64 {
 	sum ^= sum >> 33
 	sum *= 0xff51afd7ed558ccd
 	sum ^= sum >> 33
@@ -23,17 +23,17 @@
 	return sum ^ sum>>33
 }
 
-// homeDraw is a worker's draw for a prefix; the highest is its first home.
-func homeDraw(worker string, prefix uint64) uint64 {
+// homeWeight is a worker's draw for a prefix; the highest is its first home.
+func homeWeight(worker string, prefix uint64) uint64 {
 	const offset, prime = 14695981039346656037, 1099511628211
 	sum := uint64(offset)
-	for place := 0; place < len(worker); place++ {
-		sum = (sum ^ uint64(worker[place])) * prime
+	for i := 0; i < len(worker); i++ {
+		sum = (sum ^ uint64(worker[i])) * prime
 	}
 	var name [8]byte
 	binary.BigEndian.PutUint64(name[:], prefix)
-	for _, one := range name {
-		sum = (sum ^ uint64(one)) * prime
+	for _, entry := range name {
+		sum = (sum ^ uint64(entry)) * prime
 	}
 	return sum
 }
@@ -46,19 +46,19 @@
 	}
 	prefix := prompt.Parts[len(prompt.Parts)-2].Name
 	var best []string
-	var draws []uint64
+	var weights []uint64
 	for _, worker := range workerList {
-		draw := homeDraw(worker, prefix)
-		place := sort.Search(len(draws), func(place int) bool { return draws[place] < draw })
-		if place >= limit {
+		weight := homeWeight(worker, prefix)
+		position := sort.Search(len(weights), func(position int) bool { return weights[position] < weight })
+		if position >= limit {
 			continue
 		}
-		best, draws = append(best, ""), append(draws, 0)
-		copy(best[place+1:], best[place:])
-		copy(draws[place+1:], draws[place:])
-		best[place], draws[place] = worker, draw
+		best, weights = append(best, ""), append(weights, 0)
+		copy(best[position+1:], best[position:])
+		copy(weights[position+1:], weights[position:])
+		best[position], weights[position] = worker, weight
 		if len(best) > limit {
-			best, draws = best[:limit], draws[:limit]
+			best, weights = best[:limit], weights[:limit]
 		}
 	}
 	return best
@@ -71,31 +71,31 @@
 		worker string
 		seen   int64
 	}
-	var found []holder
+	var entries []holder
 	if len(prompt.Parts) < 2 {
 		return nil
 	}
 	key := prompt.key()
 	i.tree.Walk(key[:len(key)-8], func(_ int, leaf *Leaf) {
-		for worker, one := range leaf.stays {
-			found = append(found, holder{worker, int64(one.at)})
+		for worker, entry := range leaf.own {
+			entries = append(entries, holder{worker, int64(entry.at)})
 		}
-		for worker, one := range leaf.told {
-			found = append(found, holder{worker, int64(one.seen)})
+		for worker, entry := range leaf.peers {
+			entries = append(entries, holder{worker, int64(entry.evidenceAt)})
 		}
 	})
-	sort.Slice(found, func(left, right int) bool {
-		if found[left].seen != found[right].seen {
-			return found[left].seen > found[right].seen
+	sort.Slice(entries, func(left, right int) bool {
+		if entries[left].seen != entries[right].seen {
+			return entries[left].seen > entries[right].seen
 		}
-		return found[left].worker < found[right].worker
+		return entries[left].worker < entries[right].worker
 	})
 	var workerList []string
 	known := map[string]bool{}
-	for _, one := range found {
-		if len(workerList) < limit && !known[one.worker] {
-			known[one.worker] = true
-			workerList = append(workerList, one.worker)
+	for _, entry := range entries {
+		if len(workerList) < limit && !known[entry.worker] {
+			known[entry.worker] = true
+			workerList = append(workerList, entry.worker)
 		}
 	}
 	return workerList
--- a/internal/traffic/prefixindex/index.go
+++ b/internal/traffic/prefixindex/index.go
@@ -26,18 +26,18 @@
 
 // Index is one node's own view of which worker holds what.
 type Index struct {
-	tree       Tree
-	turns      map[string]*turnover
-	Placements int64
-	Downgrades int64
-	Hits       int64
-	rate       float64
-	first      float64
+	tree         Tree
+	turnovers    map[string]*turnover
+	Placements   int64
+	Downgrades   int64
+	Hits         int64
+	prefillRate  float64
+	firstEventMs float64
 }
 
 // NewIndex makes an empty index.
 func NewIndex() *Index {
-	return &Index{turns: map[string]*turnover{}, rate: constants.ReadRate, first: constants.FirstGuess}
+	return &Index{turnovers: map[string]*turnover{}, prefillRate: constants.ReadRate, firstEventMs: constants.FirstGuess}
 }
 
 // ParsePrompt reads the headers that describe a prompt.
@@ -72,14 +72,14 @@
 	return key
 }
 
-// Placed notes that a prompt goes to a worker, and gives the tokens that had to
+// RecordPlacement notes that a prompt goes to a worker, and gives the tokens that had to
 // be read there anew by our reckoning.
-func (i *Index) Placed(prompt *Prompt, worker string, now clock.Instant) int {
+func (i *Index) RecordPlacement(prompt *Prompt, worker string, now clock.Instant) int {
 	i.Placements++
 	key := prompt.key()
-	held := 0.0
+	cached := 0.0
 	tokens := 0
-	turn := i.turn(worker)
+	turn := i.turnoverOf(worker)
 	for position := range prompt.Parts {
 		tokens += prompt.Parts[position].Tokens
 		leaf := i.tree.Leaf(key[:8*(position+1)])
@@ -87,16 +87,16 @@
 		leaf.shared = leaf.shared || position < len(prompt.Parts)-1 || leaf.used > 0
 		leaf.tokens, leaf.used = tokens, now
 		chance := i.residency(leaf, worker, now)
-		held = max(held, chance*float64(tokens))
+		cached = max(cached, chance*float64(tokens))
 	}
-	fresh := max(prompt.Tokens, tokens) - int(held)
+	fresh := max(prompt.Tokens, tokens) - int(cached)
 	turn.own += int64(fresh + prompt.Out/2)
 	for position := range prompt.Parts {
 		leaf := i.tree.Leaf(key[:8*(position+1)])
-		if leaf.stays == nil {
-			leaf.stays = map[string]stay{}
+		if leaf.own == nil {
+			leaf.own = map[string]ownEvidence{}
 		}
-		leaf.stays[worker] = stay{at: now, turned: turn.total(), trust: 1, life: turn.life}
+		leaf.own[worker] = ownEvidence{at: now, turnoverAt: turn.total(), confidence: 1, incarnation: turn.incarnation}
 	}
 	if i.tree.Size() > constants.IndexNodes {
 		i.shrink()
@@ -104,33 +104,33 @@
 	return fresh
 }
 
-// FirstEvent confirms or lowers what was believed: a first event that came as
+// RecordFirstEvent confirms or lowers what was believed: a first event that came as
 // late as a whole reading takes shows that the prefix was not there.
-func (i *Index) FirstEvent(prompt *Prompt, worker string, fresh int, waited clock.Duration, alone bool, now clock.Instant) {
+func (i *Index) RecordFirstEvent(prompt *Prompt, worker string, fresh int, waited clock.Duration, alone bool, now clock.Instant) {
 	saved := max(prompt.Tokens, 1) - fresh
-	whole := float64(prompt.Tokens) / i.rate
-	short := float64(fresh) / i.rate
+	fullPrefillMs := float64(prompt.Tokens) / i.prefillRate
+	freshPrefillMs := float64(fresh) / i.prefillRate
 	// What is left once the prompt was read is the making of the first event.
-	took := clock.ToMilliseconds(waited) - i.first
+	took := clock.ToMilliseconds(waited) - i.firstEventMs
 	// Small prompts and busy workers tell nothing: the wait hides the reading.
 	const worthKnowing, muchOf, little = 2000, 0.8, 300
 	if saved < worthKnowing {
 		switch {
 		case alone && fresh > worthKnowing && took > 0:
-			i.rate += 0.05 * (min(max(float64(fresh)/took, 20), 2000) - i.rate)
+			i.prefillRate += 0.05 * (min(max(float64(fresh)/took, 20), 2000) - i.prefillRate)
 		case alone && fresh < little:
-			i.first += 0.02 * (min(clock.ToMilliseconds(waited), 4*constants.FirstGuess) - i.first)
+			i.firstEventMs += 0.02 * (min(clock.ToMilliseconds(waited), 4*constants.FirstGuess) - i.firstEventMs)
 		}
 		return
 	}
-	if took > short+muchOf*(whole-short) && alone {
+	if took > freshPrefillMs+muchOf*(fullPrefillMs-freshPrefillMs) && alone {
 		key := prompt.key()
 		i.tree.Walk(key, func(_ int, leaf *Leaf) {
-			if one, known := leaf.stays[worker]; known {
+			if entry, known := leaf.own[worker]; known {
 				// It is there now, since it was just read; but our estimate of how
 				// long it stays was too good, and that is what peers should hear.
-				one.trust = max(one.trust*0.7, 0.3)
-				leaf.stays[worker] = one
+				entry.confidence = max(entry.confidence*0.7, 0.3)
+				leaf.own[worker] = entry
 			}
 		})
 	}
--- a/internal/traffic/prefixindex/prefixindex_test.go
+++ b/internal/traffic/prefixindex/prefixindex_test.go
@@ -16,8 +16,8 @@
 )
 
 func prompt(own string, tokens int) *Prompt {
-	one := ParsePrompt("m", fmt.Sprintf("%d,80", tokens+200), fmt.Sprintf("aa:%d,%s:200", tokens, own))
-	return &one
+	entry := ParsePrompt("m", fmt.Sprintf("%d,80", tokens+200), fmt.Sprintf("aa:%d,%s:200", tokens, own))
+	return &entry
 }
 
 func pair(waitFirst float64) []Candidate {
@@ -71,7 +71,7 @@
 	properties.TestingRun(t)
 }
 
-func TestBranchesGrowAndShrink(t *testing.T) {
+func TestBranchesExpandAndShrink(t *testing.T) {
 	var tree Tree
 	for value := 0; value < 256; value++ {
 		tree.Leaf([]byte{1, byte(value)})
@@ -84,10 +84,10 @@
 	for value := 0; value < 255; value++ {
 		tree.Remove([]byte{1, byte(value)})
 	}
-	found := 0
-	tree.Walk([]byte{1, 255}, func(int, *Leaf) { found++ })
-	if found != 1 || tree.Size() != 1 {
-		t.Fatal(found, tree.Size())
+	entries := 0
+	tree.Walk([]byte{1, 255}, func(int, *Leaf) { entries++ })
+	if entries != 1 || tree.Size() != 1 {
+		t.Fatal(entries, tree.Size())
 	}
 }
 
@@ -97,14 +97,14 @@
 	index := NewIndex()
 	index.SetCache("first", 100_000)
 	index.SetCache("second", 100_000)
-	asked := prompt("x1", 12_000)
-	index.Placed(asked, "first", 0)
-	if choice := index.Choose(prompt("x2", 12_000), pair(20), 1); choice.Place != 0 || choice.Downgraded {
+	requestedAt := prompt("x1", 12_000)
+	index.RecordPlacement(requestedAt, "first", 0)
+	if choice := index.Choose(prompt("x2", 12_000), pair(20), 1); choice.Index != 0 || choice.Downgraded {
 		t.Fatalf("a warm prefix was not followed: %+v", choice)
 	}
-	index.Turned("first", 95_000)
+	index.AddTurnover("first", 95_000)
 	choice := index.Choose(prompt("x3", 12_000), pair(60), 2)
-	if choice.Place != 1 || !choice.Downgraded || index.Downgrades != 1 {
+	if choice.Index != 1 || !choice.Downgraded || index.Downgrades != 1 {
 		t.Fatalf("a prefix that must be gone was followed: %+v", choice)
 	}
 }
@@ -113,56 +113,56 @@
 func TestNoDowngradeWhileResident(t *testing.T) {
 	index := NewIndex()
 	index.SetCache("first", 100_000)
-	index.Placed(prompt("x1", 12_000), "first", 0)
-	index.Turned("first", 30_000)
+	index.RecordPlacement(prompt("x1", 12_000), "first", 0)
+	index.AddTurnover("first", 30_000)
 	choice := index.Choose(prompt("x2", 12_000), pair(60), 1)
-	if choice.Place != 0 || choice.Downgraded || index.Downgrades != 0 {
+	if choice.Index != 0 || choice.Downgraded || index.Downgrades != 0 {
 		t.Fatalf("%+v", choice)
 	}
 }
 
 func TestLoadOutweighsAShortPrefix(t *testing.T) {
 	index := NewIndex()
-	index.Placed(prompt("x1", 300), "first", 0)
-	if choice := index.Choose(prompt("x2", 300), pair(40), 1); choice.Place != 1 || choice.Downgraded {
+	index.RecordPlacement(prompt("x1", 300), "first", 0)
+	if choice := index.Choose(prompt("x2", 300), pair(40), 1); choice.Index != 1 || choice.Downgraded {
 		t.Fatalf("%+v", choice)
 	}
 }
 
-func TestRestartedWorkerHoldsNothing(t *testing.T) {
+func TestRestartedWorkerHasNoPrefix(t *testing.T) {
 	index := NewIndex()
-	index.Placed(prompt("x1", 12_000), "first", 0)
-	index.Drop("first")
-	if choice := index.Choose(prompt("x2", 12_000), pair(60), 1); choice.Place != 1 || choice.Held != 0 {
+	index.RecordPlacement(prompt("x1", 12_000), "first", 0)
+	index.InvalidateCache("first")
+	if choice := index.Choose(prompt("x2", 12_000), pair(60), 1); choice.Index != 1 || choice.CachedTokens != 0 {
 		t.Fatalf("a lost cache was believed in: %+v", choice)
 	}
 }
 
-func TestPeersWordCountsAndAges(t *testing.T) {
+func TestPeerEvidenceCountsAndAges(t *testing.T) {
 	far, near := NewIndex(), NewIndex()
 	far.SetCache("first", 100_000)
-	far.Placed(prompt("x1", 12_000), "first", 0)
-	words := far.Words(1, 10, 1000)
-	if len(words) != 1 {
-		t.Fatalf("told %d words", len(words))
+	far.RecordPlacement(prompt("x1", 12_000), "first", 0)
+	advertised := far.Advertisements(1, 10, 1000)
+	if len(advertised) != 1 {
+		t.Fatalf("told %d words", len(advertised))
 	}
-	near.Told(words, 1)
-	if choice := near.Choose(prompt("x2", 12_000), pair(60), 2); choice.Place != 0 {
+	near.MergeAdvertisements(advertised, 1)
+	if choice := near.Choose(prompt("x2", 12_000), pair(60), 2); choice.Index != 0 {
 		t.Fatalf("a peer's word was not followed: %+v", choice)
 	}
 	stale := clock.Instant(1).Add(constants.GossipStale)
-	if choice := near.Choose(prompt("x3", 12_000), pair(60), stale); choice.Place != 1 {
+	if choice := near.Choose(prompt("x3", 12_000), pair(60), stale); choice.Index != 1 {
 		t.Fatalf("a silent peer's word counted after three periods: %+v", choice)
 	}
 }
 
-func TestOwnNewerEvidenceBeatsAPeersOlderWord(t *testing.T) {
+func TestNewerOwnEvidenceWinsOverPeers(t *testing.T) {
 	index := NewIndex()
 	index.SetCache("first", 100_000)
-	asked := prompt("x1", 12_000)
-	index.Placed(asked, "first", 1000)
-	index.Told([]messages.Residency{{Path: asked.key()[:8], Tokens: 12_000, Worker: "first", Probability: 0, AgeMs: 500}}, 2000)
-	if choice := index.Choose(prompt("x2", 12_000), pair(60), 3000); choice.Place != 0 {
+	requestedAt := prompt("x1", 12_000)
+	index.RecordPlacement(requestedAt, "first", 1000)
+	index.MergeAdvertisements([]messages.Residency{{Path: requestedAt.key()[:8], Tokens: 12_000, Worker: "first", Probability: 0, AgeMs: 500}}, 2000)
+	if choice := index.Choose(prompt("x2", 12_000), pair(60), 3000); choice.Index != 0 {
 		t.Fatalf("%+v", choice)
 	}
 }
@@ -170,29 +170,29 @@
 func TestIndexIsBounded(t *testing.T) {
 	index := NewIndex()
 	for count := 0; count < 3*constants.IndexNodes; count++ {
-		index.Placed(prompt(fmt.Sprintf("%x", count), 100), "first", clock.Instant(count))
+		index.RecordPlacement(prompt(fmt.Sprintf("%x", count), 100), "first", clock.Instant(count))
 	}
 	if index.tree.Size() > constants.IndexNodes {
 		t.Fatalf("%d leaves", index.tree.Size())
 	}
 	// The one in use all the time is still there.
-	found := 0
-	index.tree.Walk(prompt("zz", 100).key(), func(int, *Leaf) { found++ })
-	if found == 0 {
+	entries := 0
+	index.tree.Walk(prompt("zz", 100).key(), func(int, *Leaf) { entries++ })
+	if entries == 0 {
 		t.Fatal("the shared prefix was dropped")
 	}
 }
 
-func TestWordOfSlowFirstEventsLowersTrust(t *testing.T) {
+func TestAdvertisedSlowFirstEventsLowerConfidence(t *testing.T) {
 	index := NewIndex()
 	index.SetCache("first", 100_000)
-	asked := prompt("x1", 12_000)
-	index.Placed(asked, "first", 0)
+	requestedAt := prompt("x1", 12_000)
+	index.RecordPlacement(requestedAt, "first", 0)
 	next := prompt("x2", 12_000)
-	fresh := index.Placed(next, "first", 1)
-	before := index.Words(2, 10, 1000)[0].Probability
-	index.FirstEvent(next, "first", fresh, clock.Milliseconds(constants.FirstGuess+12_200/constants.ReadRate), true, 2)
-	if after := index.Words(3, 10, 1000)[0].Probability; after >= before {
+	fresh := index.RecordPlacement(next, "first", 1)
+	before := index.Advertisements(2, 10, 1000)[0].Probability
+	index.RecordFirstEvent(next, "first", fresh, clock.Milliseconds(constants.FirstGuess+12_200/constants.ReadRate), true, 2)
+	if after := index.Advertisements(3, 10, 1000)[0].Probability; after >= before {
 		t.Fatalf("trust %v then %v", before, after)
 	}
 }
--- a/internal/traffic/prefixindex/residency.go
+++ b/internal/traffic/prefixindex/residency.go
@@ -15,36 +15,36 @@
 	// shared: more than one request had this prefix, or it is no request's whole.
 	shared bool
 	used   clock.Instant
-	stays  map[string]stay
-	told   map[string]told
+	own    map[string]ownEvidence
+	peers  map[string]peerEvidence
 }
 
-// stay is our own evidence: we placed this prefix at a worker.
-type stay struct {
-	at     clock.Instant
-	turned int64
-	trust  float64
-	life   int
-	// spoken is the chance last told to neighbours, and when.
-	spoken   float64
-	spokenAt clock.Instant
+// ownEvidence is our own evidence: we placed this prefix at a worker.
+type ownEvidence struct {
+	at          clock.Instant
+	turnoverAt  int64
+	confidence  float64
+	incarnation int
+	// advertised is the chance last told to neighbours, and when.
+	advertised   float64
+	advertisedAt clock.Instant
 }
 
-// told is a peer's word: at is when it was said, seen when its evidence was met.
-type told struct {
-	chance float64
-	at     clock.Instant
-	seen   clock.Instant
-	life   int
-	passed bool
+// peerEvidence is a peer's word: at is when it was said, seen when its evidence was met.
+type peerEvidence struct {
+	chance      float64
+	reportedAt  clock.Instant
+	evidenceAt  clock.Instant
+	incarnation int
+	forwarded   bool
 }
 
 // turnover follows how many tokens have entered a worker's cache.
 type turnover struct {
-	own    int64
-	others float64
-	life   int
-	cache  int64
+	own         int64
+	others      float64
+	incarnation int
+	cache       int64
 }
 
 func (t *turnover) total() int64 { return t.own + int64(t.others) }
@@ -72,56 +72,56 @@
 // newest evidence wins; a peer's word that is older than three gossip periods
 // counts for nothing, so a paused or cut-off peer misleads nobody.
 func (i *Index) residency(leaf *Leaf, worker string, now clock.Instant) float64 {
-	turn := i.turns[worker]
-	life := 0
+	turn := i.turnovers[worker]
+	incarnation := 0
 	if turn != nil {
-		life = turn.life
+		incarnation = turn.incarnation
 	}
 	chance, at := 0.0, clock.Instant(-1)
-	if own, known := leaf.stays[worker]; known && own.life == life {
-		chance, at = own.trust, own.at
+	if own, known := leaf.own[worker]; known && own.incarnation == incarnation {
+		chance, at = own.confidence, own.at
 		if turn != nil {
-			chance *= retained(turn.total()-own.turned, turn.cache)
+			chance *= retained(turn.total()-own.turnoverAt, turn.cache)
 		}
 	}
-	if word, known := leaf.told[worker]; known && word.life == life && now.Sub(word.at) < constants.GossipStale && word.seen > at {
-		chance = word.chance
+	if peer, known := leaf.peers[worker]; known && peer.incarnation == incarnation && now.Sub(peer.reportedAt) < constants.GossipStale && peer.evidenceAt > at {
+		chance = peer.chance
 	}
 	return chance
 }
 
-// Turned notes tokens that we put into a worker's cache.
-func (i *Index) Turned(worker string, tokens int64) { i.turn(worker).own += tokens }
+// AddTurnover notes tokens that we put into a worker's cache.
+func (i *Index) AddTurnover(worker string, tokens int64) { i.turnoverOf(worker).own += tokens }
 
-// OthersTurned adds an estimate of what all other callers have put in since.
-func (i *Index) OthersTurned(worker string, tokens float64) {
-	i.turn(worker).others += max(tokens, 0)
+// AddOthersTurnover adds an estimate of what all other callers have put in since.
+func (i *Index) AddOthersTurnover(worker string, tokens float64) {
+	i.turnoverOf(worker).others += max(tokens, 0)
 }
 
-// OthersIn is that estimate, in tokens since the worker was first known.
-func (i *Index) OthersIn(worker string) float64 { return i.turn(worker).others }
+// OthersTurnover is that estimate, in tokens since the worker was first known.
+func (i *Index) OthersTurnover(worker string) float64 { return i.turnoverOf(worker).others }
 
 // SetCache notes the size of a worker's cache, in tokens.
-func (i *Index) SetCache(worker string, tokens int64) { i.turn(worker).cache = tokens }
+func (i *Index) SetCache(worker string, tokens int64) { i.turnoverOf(worker).cache = tokens }
 
-// Drop forgets all that was known of a worker's cache: it was started anew,
+// InvalidateCache forgets all that was known of a worker's cache: it was started anew,
 // reloaded, or drained and came back.
-func (i *Index) Drop(worker string) { i.turn(worker).life++ }
+func (i *Index) InvalidateCache(worker string) { i.turnoverOf(worker).incarnation++ }
 
 // Forget takes a worker that is gone out of the books.
 func (i *Index) Forget(worker string) {
-	delete(i.turns, worker)
+	delete(i.turnovers, worker)
 	i.tree.Each(func(leaf *Leaf) {
-		delete(leaf.stays, worker)
-		delete(leaf.told, worker)
+		delete(leaf.own, worker)
+		delete(leaf.peers, worker)
 	})
 }
 
-func (i *Index) turn(worker string) *turnover {
-	turn := i.turns[worker]
+func (i *Index) turnoverOf(worker string) *turnover {
+	turn := i.turnovers[worker]
 	if turn == nil {
 		turn = &turnover{}
-		i.turns[worker] = turn
+		i.turnovers[worker] = turn
 	}
 	return turn
 }
--- a/internal/traffic/prefixindex/score.go
+++ b/internal/traffic/prefixindex/score.go
@@ -12,10 +12,10 @@
 
 // Choice is a nomination.
 type Choice struct {
-	Place int
+	Index int
 	Score float64
-	// Held is the part of the prompt, in tokens, expected to be there.
-	Held float64
+	// CachedTokens is the part of the prompt, in tokens, expected to be there.
+	CachedTokens float64
 	// Downgraded tells that the residency weight changed the choice.
 	Downgraded bool
 }
@@ -27,47 +27,47 @@
 	matches := make([]matched, len(candidates))
 	if len(prompt.Parts) > 0 {
 		i.tree.Walk(prompt.key(), func(_ int, leaf *Leaf) {
-			for place := range candidates {
-				chance := i.residency(leaf, candidates[place].Worker, now)
-				if _, known := leaf.stays[candidates[place].Worker]; !known && chance == 0 {
+			for position := range candidates {
+				chance := i.residency(leaf, candidates[position].Worker, now)
+				if _, known := leaf.own[candidates[position].Worker]; !known && chance == 0 {
 					continue
 				}
 				tokens := float64(leaf.tokens)
-				matches[place].full = max(matches[place].full, tokens)
+				matches[position].full = max(matches[position].full, tokens)
 				// The longest match that pays most by its chance.
-				matches[place].weighted = max(matches[place].weighted, tokens*chance)
+				matches[position].weighted = max(matches[position].weighted, tokens*chance)
 			}
 		})
 	}
-	first, second, worth := i.homes(prompt, candidates)
-	best, believing := -1, -1
-	bestScore, believingScore := 0.0, 0.0
-	for place := range candidates {
-		candidate := &candidates[place]
+	first, second, savedMs := i.homes(prompt, candidates)
+	best, optimistic := -1, -1
+	bestScore, optimisticScore := 0.0, 0.0
+	for position := range candidates {
+		candidate := &candidates[position]
 		load := -candidate.WaitMs - candidate.RiskMs
-		switch place {
+		switch position {
 		case first:
-			load += firstHome * worth
+			load += firstHome * savedMs
 		case second:
-			load += secondHome * worth
+			load += secondHome * savedMs
 		}
-		score := matches[place].weighted/i.rate + load
+		score := matches[position].weighted/i.prefillRate + load
 		if best < 0 || score > bestScore {
-			best, bestScore = place, score
+			best, bestScore = position, score
 		}
-		if full := matches[place].full/i.rate + load; believing < 0 || full > believingScore {
-			believing, believingScore = place, full
+		if full := matches[position].full/i.prefillRate + load; optimistic < 0 || full > optimisticScore {
+			optimistic, optimisticScore = position, full
 		}
 	}
 	if best < 0 {
-		return Choice{Place: -1}
+		return Choice{Index: -1}
 	}
-	choice := Choice{Place: best, Score: bestScore, Held: matches[best].weighted}
-	choice.Downgraded = believing != best && matches[believing].full > matches[believing].weighted
+	choice := Choice{Index: best, Score: bestScore, CachedTokens: matches[best].weighted}
+	choice.Downgraded = optimistic != best && matches[optimistic].full > matches[optimistic].weighted
 	if choice.Downgraded {
 		i.Downgrades++
 	}
-	if choice.Held > 0 {
+	if choice.CachedTokens > 0 {
 		i.Hits++
 	}
 	return choice
@@ -77,7 +77,7 @@
 // know nothing of a prefix yet should come to the same workers, so each prefix has
 // two homes, by a hash. A home is worth less than a warm prefix, and more than
 // small differences of load.
-func (i *Index) homes(prompt *Prompt, candidates []Candidate) (first, second int, worth float64) {
+func (i *Index) homes(prompt *Prompt, candidates []Candidate) (first, second int, savedMs float64) {
 	first, second = -1, -1
 	if len(prompt.Parts) < 2 {
 		return first, second, 0
@@ -85,16 +85,16 @@
 	var best, next uint64
 	// The last part is the request's own; the one before it is the shared prefix.
 	prefix := prompt.Parts[len(prompt.Parts)-2].Name
-	for place := range candidates {
-		switch draw := homeDraw(candidates[place].Worker, prefix); {
-		case first < 0 || draw > best:
+	for position := range candidates {
+		switch weight := homeWeight(candidates[position].Worker, prefix); {
+		case first < 0 || weight > best:
 			second, next = first, best
-			first, best = place, draw
-		case second < 0 || draw > next:
-			second, next = place, draw
+			first, best = position, weight
+		case second < 0 || weight > next:
+			second, next = position, weight
 		}
 	}
-	return first, second, float64(prompt.Shared()) / i.rate
+	return first, second, float64(prompt.Shared()) / i.prefillRate
 }
 
 // The parts of a prefix's worth that its first and second home get (ours).
@@ -103,8 +103,8 @@
 	secondHome = 0.4
 )
 
-// Rate is the reading rate in tokens a ms, as streams have taught it.
-func (i *Index) Rate() float64 { return i.rate }
+// PrefillRate is the reading rate in tokens a ms, as streams have taught it.
+func (i *Index) PrefillRate() float64 { return i.prefillRate }
 
 // Prefixes is how many prefixes are known.
 func (i *Index) Prefixes() int { return i.tree.Size() }
--- a/internal/traffic/prefixindex/tree.go
+++ b/internal/traffic/prefixindex/tree.go
@@ -5,9 +5,9 @@
 // node is a place in the tree: the bytes that lead to it from its parent, what
 // is known of the prefix that ends here, and the ways on.
 type node struct {
-	path []byte
-	leaf *Leaf
-	ways branch
+	path     []byte
+	leaf     *Leaf
+	children branch
 }
 
 // Tree is the adaptive radix tree over prompt parts. Its keys are the ids of the
@@ -17,21 +17,21 @@
 	size int
 }
 
-func (n *node) way(edge byte) *node {
-	if n.ways == nil {
+func (n *node) child(edge byte) *node {
+	if n.children == nil {
 		return nil
 	}
-	return n.ways.find(edge)
+	return n.children.find(edge)
 }
 
-func (n *node) set(edge byte, child *node) {
-	if n.ways == nil {
-		n.ways = newSorted(4)
+func (n *node) setChild(edge byte, child *node) {
+	if n.children == nil {
+		n.children = newSorted(4)
 	}
-	n.ways = n.ways.add(edge, child)
+	n.children = n.children.add(edge, child)
 }
 
-func common(left, right []byte) int {
+func commonPrefixLength(left, right []byte) int {
 	length := min(len(left), len(right))
 	for index := 0; index < length; index++ {
 		if left[index] != right[index] {
@@ -46,46 +46,46 @@
 
 // Leaf finds the leaf of a key, and makes it where it is missing.
 func (t *Tree) Leaf(key []byte) *Leaf {
-	place, rest := &t.root, key
+	current, rest := &t.root, key
 	for len(rest) > 0 {
-		next := place.way(rest[0])
+		next := current.child(rest[0])
 		if next == nil {
 			next = &node{path: bytes.Clone(rest)}
-			place.set(rest[0], next)
-			place = next
+			current.setChild(rest[0], next)
+			current = next
 			break
 		}
-		shared := common(next.path, rest)
+		shared := commonPrefixLength(next.path, rest)
 		if shared < len(next.path) {
 			// The path parts here: a node comes in between.
 			middle := &node{path: next.path[:shared:shared]}
 			below := *next
 			below.path = next.path[shared:]
-			middle.set(below.path[0], &below)
-			place.set(rest[0], middle)
+			middle.setChild(below.path[0], &below)
+			current.setChild(rest[0], middle)
 			next = middle
 		}
-		place, rest = next, rest[shared:]
+		current, rest = next, rest[shared:]
 	}
-	if place.leaf == nil {
-		place.leaf = &Leaf{key: bytes.Clone(key)}
+	if current.leaf == nil {
+		current.leaf = &Leaf{key: bytes.Clone(key)}
 		t.size++
 	}
-	return place.leaf
+	return current.leaf
 }
 
 // Walk visits the leaves of every prefix of the key, the shortest first.
 func (t *Tree) Walk(key []byte, visit func(length int, leaf *Leaf)) {
-	place, depth := &t.root, 0
+	current, depth := &t.root, 0
 	for depth < len(key) {
-		next := place.way(key[depth])
+		next := current.child(key[depth])
 		if next == nil || !bytes.HasPrefix(key[depth:], next.path) {
 			return
 		}
 		depth += len(next.path)
-		place = next
-		if place.leaf != nil {
-			visit(depth, place.leaf)
+		current = next
+		if current.leaf != nil {
+			visit(depth, current.leaf)
 		}
 	}
 }
@@ -97,13 +97,13 @@
 	}
 }
 
-func removeBelow(place *node, rest []byte) bool {
+func removeBelow(current *node, rest []byte) bool {
 	if len(rest) == 0 {
-		found := place.leaf != nil
-		place.leaf = nil
-		return found
+		entries := current.leaf != nil
+		current.leaf = nil
+		return entries
 	}
-	next := place.way(rest[0])
+	next := current.child(rest[0])
 	if next == nil || !bytes.HasPrefix(rest, next.path) {
 		return false
 	}
@@ -111,18 +111,18 @@
 		return false
 	}
 	count := 0
-	if next.ways != nil {
-		count = next.ways.count()
+	if next.children != nil {
+		count = next.children.count()
 	}
 	switch {
 	case next.leaf != nil || count > 1:
 	case count == 0:
-		place.ways = place.ways.remove(rest[0])
+		current.children = current.children.remove(rest[0])
 	default:
 		// One way on and nothing of its own: the two paths become one.
-		next.ways.each(func(_ byte, child *node) {
+		next.children.each(func(_ byte, child *node) {
 			child.path = append(bytes.Clone(next.path), child.path...)
-			place.set(rest[0], child)
+			current.setChild(rest[0], child)
 		})
 	}
 	return true
@@ -131,11 +131,11 @@
 // Each visits every leaf.
 func (t *Tree) Each(visit func(leaf *Leaf)) { eachBelow(&t.root, visit) }
 
-func eachBelow(place *node, visit func(leaf *Leaf)) {
-	if place.leaf != nil {
-		visit(place.leaf)
+func eachBelow(current *node, visit func(leaf *Leaf)) {
+	if current.leaf != nil {
+		visit(current.leaf)
 	}
-	if place.ways != nil {
-		place.ways.each(func(_ byte, child *node) { eachBelow(child, visit) })
+	if current.children != nil {
+		current.children.each(func(_ byte, child *node) { eachBelow(child, visit) })
 	}
 }
--- a/internal/traffic/proxy/idle_test.go
+++ b/internal/traffic/proxy/idle_test.go
@@ -45,7 +45,7 @@
 		}
 	}
 	pool := proxyServer.Sender.Pool
-	if pool.Forgot.Load() == 0 {
+	if pool.StaleCount.Load() == 0 {
 		t.Fatal("no connection was forgotten: the stand-in does not do its part")
 	}
 	safe := pool.SafeIdle("s")
--- a/internal/traffic/proxy/lots.go
+++ b/internal/traffic/proxy/lots.go
@@ -44,7 +44,7 @@
 
 func (p *Proxy) passCall(writer http.ResponseWriter, call *messages.JobCallRequest) {
 	span := constants.CallTimeout*2 + clock.Milliseconds(float64(call.WaitMs))
-	answer, _ := p.Lots.Pass(call, span)
+	answer, _ := p.Lots.Forward(call, span)
 	if answer == nil {
 		// The holder can't be asked: a node that can't be sure says so.
 		httpreply.RetryAfter(writer, http.StatusServiceUnavailable, constants.LeaseRenewPeriod)
@@ -65,7 +65,7 @@
 		return
 	}
 	call := &messages.JobCallRequest{Method: http.MethodPost, Host: request.Host, Path: path, Job: attempt, Body: body}
-	answer, maybe := p.Lots.Pass(call, min(constants.BulkCallTimeout, route.Cutoff()))
+	answer, maybe := p.Lots.Forward(call, min(constants.BulkCallTimeout, route.Cutoff()))
 	switch {
 	case answer != nil:
 		if answer.Status == http.StatusAccepted {
--- a/internal/traffic/proxy/match.go
+++ b/internal/traffic/proxy/match.go
@@ -31,7 +31,7 @@
 func ownAnswer(connection *workerconn.Connection, outgoing *Request) (*http.Response, error) {
 	named := connection.Reused
 	for surplus := 0; ; surplus++ {
-		answer, err := connection.Answer(outgoing.Method)
+		answer, err := connection.ReadResponse(outgoing.Method)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/traffic/proxy/proxy.go
+++ b/internal/traffic/proxy/proxy.go
@@ -22,16 +22,16 @@
 	"lemonarch/internal/traffic/workerconn"
 )
 
-// LotGate passes a call on a lot to whoever holds it.
-type LotGate interface {
-	Pass(call *messages.JobCallRequest, span clock.Duration) (*messages.JobCallResponse, bool)
+// JobForwarder passes a call on a lot to whoever holds it.
+type JobForwarder interface {
+	Forward(call *messages.JobCallRequest, span clock.Duration) (*messages.JobCallResponse, bool)
 }
 
 // Proxy serves clients.
 type Proxy struct {
 	Sender    Sender
 	Scheduler *admission.Scheduler
-	Lots      LotGate
+	Lots      JobForwarder
 	Log       hclog.Logger
 	config    atomic.Pointer[routeconfig.Config]
 	calls     *chi.Mux
@@ -46,7 +46,7 @@
 }
 
 // New makes the data plane.
-func New(sender Sender, lotList LotGate, log hclog.Logger) *Proxy {
+func New(sender Sender, lotList JobForwarder, log hclog.Logger) *Proxy {
 	proxyServer := &Proxy{Sender: sender, Scheduler: sender.Scheduler, Lots: lotList, Log: log}
 	proxyServer.calls = proxyServer.lotCalls()
 	return proxyServer
@@ -170,6 +170,6 @@
 	})
 	scheduler.Locked(func() {
 		scheduler.Registry.Forget(now)
-		scheduler.Tracker.SweepTrust(now)
+		scheduler.Tracker.Sweep(now)
 	})
 }
--- a/internal/traffic/proxy/send.go
+++ b/internal/traffic/proxy/send.go
@@ -7,7 +7,7 @@
 )
 
 func (r *Request) wait() workerconn.Wait {
-	return workerconn.Wait{Until: r.Until, Patience: r.Patience, Impatient: r.Impatient}
+	return workerconn.Wait{Until: r.Until, SilenceTimeout: r.Patience, ShouldGiveUp: r.Impatient}
 }
 
 // send writes the request on a connection and waits for the first byte that comes back.
@@ -32,7 +32,7 @@
 			err = connection.Await(outgoing.wait())
 		}
 		if err == nil {
-			s.Pool.Survived(connection)
+			s.Pool.RecordReuse(connection)
 			return connection, evidence, nil
 		}
 		s.Pool.Drop(connection)
@@ -55,7 +55,7 @@
 	}
 	// On a connection that had lain idle it was most likely forgotten. The request may have
 	// run all the same: only what is repeatable, or was not sent at all, goes again.
-	s.Pool.Forgotten(connection)
+	s.Pool.RecordStale(connection)
 	if evidence.Sent && !outgoing.Repeatable {
 		return false, ErrStaleConnection
 	}
--- a/internal/traffic/proxy/sender.go
+++ b/internal/traffic/proxy/sender.go
@@ -85,7 +85,7 @@
 
 // Finish puts the connection back after the whole answer was read.
 func (s *Sender) Finish(response *Response) {
-	s.Pool.Keep(response.Connection, response.Answer)
+	s.Pool.Put(response.Connection, response.Answer)
 }
 
 // Abandon ends the connection: the worker drops what it still does.
@@ -108,7 +108,7 @@
 	chunked := response.Answer.ContentLength < 0
 	for {
 		if chunked {
-			if err := response.Connection.Await(workerconn.Wait{Until: until, Patience: patience, Impatient: response.Impatient}); err != nil {
+			if err := response.Connection.Await(workerconn.Wait{Until: until, SilenceTimeout: patience, ShouldGiveUp: response.Impatient}); err != nil {
 				return ErrResponseLost.Wrap(err, "stream")
 			}
 		}
--- a/internal/traffic/workerconn/await.go
+++ b/internal/traffic/workerconn/await.go
@@ -11,12 +11,12 @@
 // Wait says how long to wait for the next byte.
 type Wait struct {
 	Until clock.Instant
-	// Patience is the silence after which Impatient is asked, and again after each
+	// SilenceTimeout is the silence after which Impatient is asked, and again after each
 	// further one; zero waits until the end.
-	Patience clock.Duration
-	// Impatient decides whether to give the worker up after a silence on this connection.
+	SilenceTimeout clock.Duration
+	// ShouldGiveUp decides whether to give the worker up after a silence on this connection.
 	// Where nil, it is given up once it was silent on all its connections for that long.
-	Impatient func(silence clock.Duration) bool
+	ShouldGiveUp func(elapsed clock.Duration) bool
 }
 
 // Await waits for the next byte.
@@ -24,31 +24,31 @@
 	if c.reader.Buffered() > 0 {
 		return nil
 	}
-	begun := clock.Now()
-	asked := begun
+	startedAt := clock.Now()
+	checkedAt := startedAt
 	for {
 		now := clock.Now()
-		if now >= wait.Until && c.silent() {
+		if now >= wait.Until && c.nothingReceived() {
 			return ErrWorkerUnresponsive.New("until the deadline")
 		}
 		span := max(wait.Until.Sub(now), constants.PumpPeriod)
-		if wait.Patience > 0 {
-			from := asked
-			if wait.Impatient == nil {
+		if wait.SilenceTimeout > 0 {
+			from := checkedAt
+			if wait.ShouldGiveUp == nil {
 				// A worker that still speaks on other connections is slow, not silent.
-				from = max(begun, clock.Instant(c.worker.heard.Load()))
+				from = max(startedAt, clock.Instant(c.worker.lastRead.Load()))
 			}
-			if now.Sub(from) >= wait.Patience && c.silent() {
-				if wait.Impatient == nil || wait.Impatient(now.Sub(begun)) {
+			if now.Sub(from) >= wait.SilenceTimeout && c.nothingReceived() {
+				if wait.ShouldGiveUp == nil || wait.ShouldGiveUp(now.Sub(startedAt)) {
 					return ErrWorkerUnresponsive.New("longer than usual")
 				}
-				asked, from = now, now
+				checkedAt, from = now, now
 			}
-			span = min(span, max(wait.Patience-now.Sub(from), constants.PumpPeriod/8))
+			span = min(span, max(wait.SilenceTimeout-now.Sub(from), constants.PumpPeriod/8))
 		}
 		_ = c.connection.SetReadDeadline(clock.Deadline(span))
 		if _, err := c.reader.Peek(1); err == nil {
-			c.worker.heard.Store(int64(clock.Now()))
+			c.worker.lastRead.Store(int64(clock.Now()))
 			// What has begun to come may take until the end.
 			_ = c.connection.SetReadDeadline(clock.Deadline(wait.Until.Sub(clock.Now())))
 			return nil
@@ -58,11 +58,11 @@
 	}
 }
 
-// silent tells that really nothing has come: on a starved processor the clock may run
+// nothingReceived tells that really nothing has come: on a starved processor the clock may run
 // out before the bytes that lie ready were looked at.
-func (c *Connection) silent() bool {
+func (c *Connection) nothingReceived() bool {
 	_ = c.connection.SetReadDeadline(clock.Deadline(constants.PumpPeriod))
-	return c.quiet()
+	return c.isOpenAndDrained()
 }
 
 // isTimeout tells whether a read ended at its deadline.
--- a/internal/traffic/workerconn/carried.go
+++ b/internal/traffic/workerconn/history.go
@@ -7,28 +7,28 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// carried remembers the requests that travelled on a connection, by the hashes of their
+// requestHistory remembers the requests that travelled on a connection, by the hashes of their
 // ids. A late second answer to one of them bears its id: were the same id sent here
 // again, that answer could pass for the new one's.
-type carried struct {
+type requestHistory struct {
 	hashes []uint64
 	next   int
 }
 
-func (c *carried) add(attempt string) {
+func (c *requestHistory) add(attempt string) {
 	if len(c.hashes) < constants.CarriedRequests {
-		c.hashes = append(c.hashes, hashOf(attempt))
+		c.hashes = append(c.hashes, hashAttempt(attempt))
 		return
 	}
-	c.hashes[c.next] = hashOf(attempt)
+	c.hashes[c.next] = hashAttempt(attempt)
 	c.next = (c.next + 1) % constants.CarriedRequests
 }
 
-func (c *carried) has(attempt string) bool {
-	return slices.Contains(c.hashes, hashOf(attempt))
+func (c *requestHistory) has(attempt string) bool {
+	return slices.Contains(c.hashes, hashAttempt(attempt))
 }
 
-func hashOf(attempt string) uint64 {
+func hashAttempt(attempt string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(attempt))
 	return hash.Sum64()
--- a/internal/traffic/workerconn/idle.go
+++ b/internal/traffic/workerconn/idle.go
@@ -32,11 +32,11 @@
 	}
 	for {
 		p.lock.Lock()
-		connections := p.of(worker.ID)
+		connections := p.connectionsTo(worker.ID)
 		count := len(connections.idle)
 		now := clock.Now()
 		// The newest idle one is the least likely to have been closed.
-		if count == 0 || !p.may(connections.idle[count-1], attempt, reuse, now) {
+		if count == 0 || !p.mayReuse(connections.idle[count-1], attempt, reuse, now) {
 			if budget > 0 && connections.open >= budget && count > 0 {
 				// The oldest idle one makes room.
 				oldest := connections.idle[0]
@@ -57,7 +57,7 @@
 		connections.idle = connections.idle[:count-1]
 		p.lock.Unlock()
 		connection.Idle = now.Sub(connection.idleSince)
-		if now < connection.idleUntil && connection.quiet() {
+		if now < connection.idleUntil && connection.isOpenAndDrained() {
 			connection.Reused = true
 			return connection, nil
 		}
@@ -65,10 +65,10 @@
 	}
 }
 
-// may tells whether a request may travel on an idle connection. The lock is held.
-func (p *Pool) may(connection *Connection, attempt string, reuse Reuse, now clock.Instant) bool {
+// mayReuse tells whether a request may travel on an idle connection. The lock is held.
+func (p *Pool) mayReuse(connection *Connection, attempt string, reuse Reuse, now clock.Instant) bool {
 	switch {
-	case reuse == ReuseNone, connection.carried.has(attempt):
+	case reuse == ReuseNone, connection.sentRequests.has(attempt):
 		return false
 	case reuse == ReuseSafe:
 		return now.Sub(connection.idleSince) <= p.safeIdle(connection.backend)
@@ -84,8 +84,8 @@
 	return constants.SafeIdle
 }
 
-// Survived learns from a connection that still worked after it was idle.
-func (p *Pool) Survived(connection *Connection) {
+// RecordReuse learns from a connection that still worked after it was idle.
+func (p *Pool) RecordReuse(connection *Connection) {
 	if !connection.Reused {
 		return
 	}
@@ -98,9 +98,9 @@
 	}
 }
 
-// Forgotten learns from a reset on a connection that was idle, before any byte came back.
-func (p *Pool) Forgotten(connection *Connection) {
-	p.Forgot.Add(1)
+// RecordStale learns from a reset on a connection that was idle, before any byte came back.
+func (p *Pool) RecordStale(connection *Connection) {
+	p.StaleCount.Add(1)
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.safe[connection.backend] = max(min(p.safeIdle(connection.backend), connection.Idle/2), constants.SafeIdleLeast)
@@ -113,8 +113,8 @@
 	return p.safeIdle(backend)
 }
 
-// quiet tells that a connection neither ended nor holds bytes that nobody has read.
-func (c *Connection) quiet() bool {
+// isOpenAndDrained tells that a connection neither ended nor holds bytes that nobody has read.
+func (c *Connection) isOpenAndDrained() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -122,12 +122,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	drained := false
 	err = raw.Read(func(descriptor uintptr) bool {
-		var one [1]byte
-		_, _, problem := syscall.Recvfrom(int(descriptor), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = problem == syscall.EAGAIN || problem == syscall.EWOULDBLOCK
+		var buffer [1]byte
+		_, _, recvErr := syscall.Recvfrom(int(descriptor), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		drained = recvErr == syscall.EAGAIN || recvErr == syscall.EWOULDBLOCK
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && drained
 }
--- a/internal/traffic/workerconn/sweep.go
+++ b/internal/traffic/workerconn/sweep.go
@@ -3,21 +3,21 @@
 import "lemonarch/internal/platform/clock"
 
 // Sweep drops idle connections past their time and those of workers that are gone.
-func (p *Pool) Sweep(gone func(worker string) bool) {
+func (p *Pool) Sweep(departed func(worker string) bool) {
 	now := clock.Now()
 	var stale []*Connection
 	p.lock.Lock()
 	for id, connections := range p.byWorker {
-		kept := connections.idle[:0]
+		remaining := connections.idle[:0]
 		for _, connection := range connections.idle {
-			if now >= connection.idleUntil || gone(id) {
+			if now >= connection.idleUntil || departed(id) {
 				stale = append(stale, connection)
 			} else {
-				kept = append(kept, connection)
+				remaining = append(remaining, connection)
 			}
 		}
-		connections.idle = kept
-		if connections.open == 0 && gone(id) {
+		connections.idle = remaining
+		if connections.open == 0 && departed(id) {
 			delete(p.byWorker, id)
 		}
 	}
--- a/internal/traffic/workerconn/workerconn.go
+++ b/internal/traffic/workerconn/workerconn.go
@@ -46,8 +46,8 @@
 	Reused bool
 	Idle   clock.Duration
 	closed atomic.Bool
-	// carried holds the requests that travelled on it.
-	carried carried
+	// sentRequests holds the requests that travelled on it.
+	sentRequests requestHistory
 	// tainted tells that bytes came that were no answer to the request under way.
 	tainted bool
 	// halted: our own side ended it, which says nothing about the worker.
@@ -55,9 +55,9 @@
 }
 
 type workerConnections struct {
-	idle  []*Connection
-	open  int
-	heard atomic.Int64
+	idle     []*Connection
+	open     int
+	lastRead atomic.Int64
 }
 
 // Pool holds the connections to all workers.
@@ -66,8 +66,8 @@
 	byWorker map[string]*workerConnections
 	safe     map[string]clock.Duration
 	Opened   atomic.Int64
-	// Forgot counts idle connections that turned out to be forgotten by their worker.
-	Forgot atomic.Int64
+	// StaleCount counts idle connections that turned out to be forgotten by their worker.
+	StaleCount atomic.Int64
 }
 
 // NewPool makes an empty one.
@@ -75,7 +75,7 @@
 	return &Pool{byWorker: map[string]*workerConnections{}, safe: map[string]clock.Duration{}}
 }
 
-func (p *Pool) of(id string) *workerConnections {
+func (p *Pool) connectionsTo(id string) *workerConnections {
 	connections := p.byWorker[id]
 	if connections == nil {
 		connections = &workerConnections{}
@@ -99,7 +99,7 @@
 // Send writes a whole request, which is named by the id that its answer will echo.
 func (c *Connection) Send(attempt string, text []byte, until clock.Instant) error {
 	_ = c.connection.SetWriteDeadline(clock.Deadline(until.Sub(clock.Now())))
-	c.carried.add(attempt)
+	c.sentRequests.add(attempt)
 	count, err := c.connection.Write(text)
 	switch {
 	case err != nil && count == 0:
@@ -113,27 +113,27 @@
 // Taint notes that bytes of another request's answer came: the connection is not used again.
 func (c *Connection) Taint() { c.tainted = true }
 
-// Answer reads the head of an answer.
-func (c *Connection) Answer(method string) (*http.Response, error) {
+// ReadResponse reads the head of an answer.
+func (c *Connection) ReadResponse(method string) (*http.Response, error) {
 	for {
-		answer, err := http.ReadResponse(c.reader, &http.Request{Method: method})
+		resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil {
 			return nil, ErrConnectionBroken.Wrap(err, "answer")
 		}
-		if answer.StatusCode >= 200 {
-			return answer, nil
+		if resp.StatusCode >= 200 {
+			return resp, nil
 		}
 	}
 }
 
-// Keep puts a connection back after a whole answer, if it may be used again.
-func (p *Pool) Keep(connection *Connection, answer *http.Response) {
-	if !connection.reusable(answer) {
+// Put puts a connection back after a whole answer, if it may be used again.
+func (p *Pool) Put(connection *Connection, resp *http.Response) {
+	if !connection.reusable(resp) {
 		p.Drop(connection)
 		return
 	}
 	idle := constants.ConnectionIdle
-	if stated := keepAlive(answer.Header.Get("Keep-Alive")); stated > 0 {
+	if stated := parseKeepAliveTimeout(resp.Header.Get("Keep-Alive")); stated > 0 {
 		// Retire it before the worker does, or a request would meet the end.
 		idle = min(idle, stated*3/5)
 	}
@@ -147,12 +147,12 @@
 // reusable tells whether another request may travel on the connection after this answer.
 // What a HEAD's answer says of its length is not on the wire, so a second answer to it
 // could not be told from the next one's body.
-func (c *Connection) reusable(answer *http.Response) bool {
-	return !c.closed.Load() && !c.tainted && !answer.Close &&
-		c.reader.Buffered() == 0 && answer.Request.Method != http.MethodHead
+func (c *Connection) reusable(resp *http.Response) bool {
+	return !c.closed.Load() && !c.tainted && !resp.Close &&
+		c.reader.Buffered() == 0 && resp.Request.Method != http.MethodHead
 }
 
-func keepAlive(header string) clock.Duration {
+func parseKeepAliveTimeout(header string) clock.Duration {
 	for _, field := range strings.Split(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if strings.EqualFold(name, "timeout") {
@@ -168,13 +168,13 @@
 // Close ends the connection from any side, so that a reader wakes up.
 func (c *Connection) Close() {
 	c.halted.Store(true)
-	c.shut()
+	c.closeOnce()
 }
 
 // Halted tells that it was our own side that ended the connection.
 func (c *Connection) Halted() bool { return c.halted.Load() }
 
-func (c *Connection) shut() {
+func (c *Connection) closeOnce() {
 	if !c.closed.Swap(true) {
 		c.connection.Close()
 	}
@@ -182,7 +182,7 @@
 
 // Drop ends a connection and gives its place in the budget back.
 func (p *Pool) Drop(connection *Connection) {
-	connection.shut()
+	connection.closeOnce()
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	connection.worker.open--
