--- a/internal/batch/executorserver/place.go
+++ b/internal/batch/executorserver/place.go
@@ -67,7 +67,7 @@
 			workers[worker.ID] = true
 		}
 	}
-	s.gossip.Scheduler.SetBulkOwn(workers)
+	s.gossip.Scheduler.SetOwnedWorkers(workers)
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.owned = workerOwnership{now, workers}
@@ -128,7 +128,7 @@
 			continue
 		}
 		for _, service := range route.Services() {
-			free := s.gossip.Scheduler.BulkRoom(&admission.Ask{Service: service, Bulk: true, Priority: route.Priority, Among: owned}, now)
+			free := s.gossip.Scheduler.BulkCapacity(&admission.Request{Service: service, Bulk: true, Priority: route.Priority, AllowedWorkers: owned}, now)
 			counts[service] = max(counts[service], free)
 		}
 	}
@@ -174,7 +174,7 @@
 		return true
 	}
 	item := task.Item
-	demand := &admission.Ask{Service: route.Choose(clock.Float64()), Affine: route.Affine, Bulk: true, Priority: route.Priority, Setpoint: route.Setpoint(), Among: owned,
+	demand := &admission.Request{Service: route.Choose(clock.Float64()), Affine: route.Affine, Bulk: true, Priority: route.Priority, Setpoint: route.Setpoint(), AllowedWorkers: owned,
 		Prompt: prefixindex.ParsePrompt(item.Headers["Lemonarch-Model"], item.Headers["Lemonarch-Token-Count"], item.Headers["Lemonarch-Prompt-Prefix"])}
 	resp, _ := s.gossip.Scheduler.Admit(demand, nil, now)
 	if resp.Verdict != admission.VerdictGranted {
@@ -186,7 +186,7 @@
 	owed, displaceable := item.OwedResume, item.Preempted < constants.PreemptionLimit
 	s.lock.Unlock()
 	if !may {
-		resp.Grant.End(admission.ResultCalledOff, now)
+		resp.Grant.End(admission.ResultCanceled, now)
 		s.releaseUnstarted(task)
 		return true
 	}
@@ -194,7 +194,7 @@
 		s.gossip.Scheduler.Counters(route.Name).Resumed.Add(1)
 	}
 	if displaceable {
-		resp.Grant.MayYield(func() { s.yield(task) })
+		resp.Grant.AllowPreemption(func() { s.yield(task) })
 	}
 	go s.run(route, task, resp.Grant)
 	signal(s.signals.wake)
--- a/internal/batch/executorserver/run.go
+++ b/internal/batch/executorserver/run.go
@@ -22,27 +22,27 @@
 func (s *Server) run(route *routeconfig.Route, task *executor.Task, grant *admission.Grant) {
 	sender := &s.gossip.Sender
 	outgoing := s.outgoing(route, task, grant.Worker.ID)
-	response, evidence, err := sender.Carry(grant, outgoing)
+	response, evidence, err := sender.RoundTrip(grant, outgoing)
 	if err != nil {
 		s.release(route, task, grant, resultOf(err), messages.Acknowledgement{NotStarted: !evidence.Sent}, err.Error())
 		return
 	}
-	if status := response.Answer.StatusCode; response.NotRun || status >= http.StatusMultipleChoices {
+	if status := response.HTTPResponse.StatusCode; response.NotRun || status >= http.StatusMultipleChoices {
 		s.discard(task, grant, response)
 		s.handleRejection(route, task, grant, response.NotRun, status)
 		return
 	}
-	grant.First(response.Load, clock.Now())
+	grant.FirstEvent(response.Load, clock.Now())
 	signal(s.signals.wake)
 	s.place()
 	err = s.gather(task, response, outgoing)
 	s.forgetConnection(task)
 	if err != nil {
-		sender.Abandon(response)
+		sender.Discard(response)
 		s.release(route, task, grant, admission.ResultFailed, messages.Acknowledgement{}, err.Error())
 		return
 	}
-	sender.Finish(response)
+	sender.Release(response)
 	s.complete(route, task, grant)
 }
 
@@ -50,11 +50,11 @@
 func resultOf(err error) admission.Result {
 	switch {
 	case errs.Is(err, workerconn.ErrPoolExhausted):
-		return admission.ResultTurnedAway
+		return admission.ResultRejected
 	case errs.Is(err, workerconn.ErrNoConnection):
-		return admission.ResultRefused
+		return admission.ResultUnreachable
 	case errs.Is(err, workerconn.ErrWorkerUnresponsive):
-		return admission.ResultSilent
+		return admission.ResultTimeout
 	}
 	return admission.ResultFailed
 }
@@ -63,13 +63,13 @@
 // can be used again.
 func (s *Server) discard(task *executor.Task, grant *admission.Grant, response *proxy.Response) {
 	sender := &s.gossip.Sender
-	grant.Told(response.Load, clock.Now())
+	grant.ObserveLoad(response.Load, clock.Now())
 	_, complete, err := sender.ReadBody(response, constants.BufferedResponseMax)
 	s.forgetConnection(task)
 	if err == nil && complete {
-		sender.Finish(response)
+		sender.Release(response)
 	} else {
-		sender.Abandon(response)
+		sender.Discard(response)
 	}
 }
 
@@ -79,7 +79,7 @@
 	if task.Item.LastID > 0 {
 		splitter.Next = task.Item.LastID + 1
 	}
-	return s.gossip.Sender.Stream(response, splitter, outgoing.Until, outgoing.Patience, func(events []byte) error {
+	return s.gossip.Sender.Stream(response, splitter, outgoing.Deadline, outgoing.SilenceTimeout, func(events []byte) error {
 		s.lock.Lock()
 		defer s.lock.Unlock()
 		if task.Stopped() || !task.Item.AppendEvents(task.Run, proxy.Data(events), splitter.Last) {
@@ -120,14 +120,14 @@
 func (s *Server) handleRejection(route *routeconfig.Route, task *executor.Task, grant *admission.Grant, notRun bool, status int) {
 	switch {
 	case status == http.StatusMisdirectedRequest:
-		s.release(route, task, grant, admission.ResultGoneAway, messages.Acknowledgement{NotStarted: true}, "another worker answers")
+		s.release(route, task, grant, admission.ResultMisdirected, messages.Acknowledgement{NotStarted: true}, "another worker answers")
 	case notRun:
-		s.release(route, task, grant, admission.ResultTurnedAway, messages.Acknowledgement{NotStarted: true}, "worker is full")
+		s.release(route, task, grant, admission.ResultRejected, messages.Acknowledgement{NotStarted: true}, "worker is full")
 	case status == http.StatusUnprocessableEntity:
 		grant.End(admission.ResultServed, clock.Now())
 		s.done(task, messages.Acknowledgement{Kind: messages.AckReject})
 	case status == http.StatusInternalServerError:
-		s.release(route, task, grant, admission.ResultErrored, messages.Acknowledgement{Failed: true}, "worker failed")
+		s.release(route, task, grant, admission.ResultServerError, messages.Acknowledgement{Failed: true}, "worker failed")
 	default:
 		s.release(route, task, grant, admission.ResultFailed, messages.Acknowledgement{}, "unexpected status "+strconv.Itoa(status))
 	}
@@ -152,7 +152,7 @@
 	entry.Preempted = task.Item.Yielding()
 	if entry.Preempted || task.Stopped() {
 		// Our own doing: it says nothing against the worker.
-		result = admission.ResultCalledOff
+		result = admission.ResultCanceled
 	}
 	task.Item.Requeue(task.Run)
 	s.lock.Unlock()
@@ -186,10 +186,10 @@
 		own["Last-Event-Id"] = strconv.FormatInt(item.LastID, 10)
 	}
 	left := item.Job.SubmittedMs + route.Retain().Milliseconds() - clock.WallNanos()/1_000_000
-	return &proxy.Request{Method: http.MethodPost, Attempt: item.ID, Seal: true, Repeatable: true, Patience: 2 * constants.StreamTimeout,
-		Text:  proxy.Head(http.MethodPost, item.Path, item.Job.Host, proxy.Passed(header), own, item.Body),
-		Until: clock.Now().Add(max(clock.Milliseconds(float64(left)), constants.RunTimeMin)),
-		Halt: func(connection *workerconn.Connection) {
+	return &proxy.Request{Method: http.MethodPost, Attempt: item.ID, RequireSeal: true, Retryable: true, SilenceTimeout: 2 * constants.StreamTimeout,
+		Text:     proxy.EncodeRequest(http.MethodPost, item.Path, item.Job.Host, proxy.ForwardedHeader(header), own, item.Body),
+		Deadline: clock.Now().Add(max(clock.Milliseconds(float64(left)), constants.RunTimeMin)),
+		OnConnection: func(connection *workerconn.Connection) {
 			s.lock.Lock()
 			defer s.lock.Unlock()
 			s.connections[task] = connection
--- a/internal/batch/store/displacement_test.go
+++ b/internal/batch/store/displacement_test.go
@@ -61,7 +61,7 @@
 			}
 			s.world.Send(name, other, func() {
 				if s.benches[other] != nil {
-					s.benches[other].Pressed(announcement, 1, s.world.Now)
+					s.benches[other].YieldToPressure(announcement, 1, s.world.Now)
 				}
 			})
 		}
@@ -77,10 +77,10 @@
 	// Gossip runs every fourth time: the bursts are short too.
 	if s.taken["pumps"]++; s.taken["pumps"]%4 == 0 {
 		for _, name := range simulation.Keys(s.benches) {
-			packet := s.benches[name].Gossip(s.world.Now)
+			packet := s.benches[name].MakeGossip(s.world.Now)
 			for _, other := range simulation.Keys(s.benches) {
 				if other != name {
-					s.benches[other].Heard(packet, s.world.Now)
+					s.benches[other].HandleGossip(packet, s.world.Now)
 				}
 			}
 		}
@@ -92,7 +92,7 @@
 	s.asked++
 	number := s.asked
 	scheduler := s.benches[fmt.Sprint("e", number%3)]
-	done := func(resp admission.Answer) {
+	done := func(resp admission.Decision) {
 		s.live[number]++
 		if resp.Verdict != admission.VerdictGranted {
 			s.promised++
@@ -101,8 +101,8 @@
 		s.arrive(resp.Grant)
 		s.world.After(clock.Milliseconds(40+40*s.world.Random.Float64()), func() { s.leave(resp.Grant, admission.ResultServed) })
 	}
-	resp, _ := scheduler.Admit(&admission.Ask{Service: "s", Priority: 0, Setpoint: 200_000_000,
-		Patience: s.world.Now.Add(clock.Milliseconds(150))}, done, s.world.Now)
+	resp, _ := scheduler.Admit(&admission.Request{Service: "s", Priority: 0, Setpoint: 200_000_000,
+		QueueUntil: s.world.Now.Add(clock.Milliseconds(150))}, done, s.world.Now)
 	if resp.Verdict != admission.VerdictQueued {
 		done(resp)
 	}
@@ -112,7 +112,7 @@
 // gives it back.
 func (s *simCluster) arrive(grant *admission.Grant) {
 	s.workerList[grant.Worker.ID]++
-	grant.First(fmt.Sprintf("%d,0,%d", s.workerList[grant.Worker.ID], clusterSlots), s.world.Now)
+	grant.FirstEvent(fmt.Sprintf("%d,0,%d", s.workerList[grant.Worker.ID], clusterSlots), s.world.Now)
 }
 
 func (s *simCluster) leave(grant *admission.Grant, result admission.Result) {
@@ -148,13 +148,13 @@
 }
 
 func (s *simCluster) start(leader *simLeader, name string, item *dispatch.Item) {
-	resp, _ := s.benches[name].Admit(&admission.Ask{Service: "s", Bulk: true, Priority: 2}, nil, s.world.Now)
+	resp, _ := s.benches[name].Admit(&admission.Request{Service: "s", Bulk: true, Priority: 2}, nil, s.world.Now)
 	if resp.Verdict != admission.VerdictGranted {
 		return
 	}
 	run := item.StartRun()
 	if run == 0 {
-		resp.Grant.End(admission.ResultCalledOff, s.world.Now)
+		resp.Grant.End(admission.ResultCanceled, s.world.Now)
 		return
 	}
 	s.arrive(resp.Grant)
@@ -167,10 +167,10 @@
 		}
 	}
 	if item.Preempted < 3 {
-		resp.Grant.MayYield(func() {
+		resp.Grant.AllowPreemption(func() {
 			if item.Yield(run) {
 				s.taken["displaced"]++
-				s.world.After(clock.Milliseconds(1), func() { setBack(admission.ResultCalledOff) })
+				s.world.After(clock.Milliseconds(1), func() { setBack(admission.ResultCanceled) })
 			}
 		})
 	}
@@ -182,7 +182,7 @@
 		case over:
 		case s.leader != leader:
 			// Its process is gone or fenced: the worker drops the run.
-			setBack(admission.ResultCalledOff)
+			setBack(admission.ResultCanceled)
 		case s.world.Random.Float64() < 0.01:
 			setBack(admission.ResultFailed)
 		case next <= clusterEvents:
--- a/internal/tooling/hollowfleet/gossip.go
+++ b/internal/tooling/hollowfleet/gossip.go
@@ -50,13 +50,13 @@
 	}
 	own := node.state[1].(*placing)
 	node.answerers[messages.KindGossip] = reads(node, CoreGossip, func(packet *messages.Gossip) transport.Marshaler {
-		own.scheduler.Heard(packet, node.now())
+		own.scheduler.HandleGossip(packet, node.now())
 		g.fleet.members.touched(node, packet.From)
 		g.fleet.configuration.saw(node, packet.Generation)
 		return taken()
 	})
 	node.answerers[messages.KindPrefill] = reads(node, CoreReadings, func(told *messages.PrefillNotice) transport.Marshaler {
-		own.scheduler.PeerReads(told, node.now())
+		own.scheduler.HandlePrefill(told, node.now())
 		if told.Forward {
 			further := *told
 			further.Forward = false
@@ -65,10 +65,10 @@
 		return taken()
 	})
 	node.answerers[messages.KindPressure] = reads(node, CoreReadings, func(told *messages.PressureNotice) transport.Marshaler {
-		own.scheduler.Pressed(told, max(told.Sharers, 1), node.now())
+		own.scheduler.YieldToPressure(told, max(told.Sharers, 1), node.now())
 		return taken()
 	})
-	own.scheduler.OnReading(func(worker string, milliseconds float64) {
+	own.scheduler.OnPrefill(func(worker string, milliseconds float64) {
 		told := &messages.PrefillNotice{From: membership.Key(node.own), Worker: worker, Prefill: milliseconds}
 		// Called under the admission's lock.
 		node.after(0, func() { g.spreadReading(node, own, told, true) })
@@ -84,7 +84,7 @@
 	var packet *messages.Gossip
 	var told []messages.NodeInfo
 	node.step(CoreGossip, func() {
-		packet = own.scheduler.Gossip(node.now())
+		packet = own.scheduler.MakeGossip(node.now())
 		packet.Generation = node.generation
 		view := g.fleet.members.view(node)
 		own.neighbours = neighboursOf(node.own, view.All("", node.now()))
--- a/internal/tooling/hollowfleet/readings.go
+++ b/internal/tooling/hollowfleet/readings.go
@@ -11,14 +11,14 @@
 func (g *gossip) spreadReading(node *Node, own *placing, told *messages.PrefillNotice, first bool) {
 	zone := own.scheduler.ZoneOf(told.Worker)
 	if zone == node.own.Zone {
-		drawn, part := own.scheduler.DrawnBy(told.Worker, own.neighbours.near)
+		drawn, part := own.scheduler.NodesFor(told.Worker, own.neighbours.near)
 		if !part {
 			drawn = own.neighbours.readings
 		}
 		node.tell(drawn[:min(len(drawn), constants.ReadingFanout)], CoreReadings, messages.KindPrefill, told)
 		return
 	}
-	if _, part := own.scheduler.DrawnBy(told.Worker, nil); !part {
+	if _, part := own.scheduler.NodesFor(told.Worker, nil); !part {
 		node.tell(own.neighbours.readings, CoreReadings, messages.KindPrefill, told)
 		return
 	}
--- a/internal/tooling/hollowfleet/traffic.go
+++ b/internal/tooling/hollowfleet/traffic.go
@@ -60,9 +60,9 @@
 
 func (t *traffic) request(node *Node, scheduler *admission.Scheduler) {
 	model := t.random.Intn(t.fleet.Plan.Models)
-	ask := &admission.Ask{Service: fmt.Sprintf("model-%02d", model), Prompt: t.prompt(node, model), Affine: true,
-		Setpoint: clock.Milliseconds(470), Deadline: node.now().Add(seconds(20)), Patience: node.now().Add(seconds(1))}
-	var answer admission.Answer
+	ask := &admission.Request{Service: fmt.Sprintf("model-%02d", model), Prompt: t.prompt(node, model), Affine: true,
+		Setpoint: clock.Milliseconds(470), Deadline: node.now().Add(seconds(20)), QueueUntil: node.now().Add(seconds(1))}
+	var answer admission.Decision
 	node.step(CorePlacement, func() { answer, _ = scheduler.Admit(ask, nil, node.now()) })
 	t.asked++
 	if answer.Grant == nil {
@@ -74,7 +74,7 @@
 	t.running[worker]++
 	held := clock.Milliseconds(t.fleet.Plan.HeldMs * node.random.ExpFloat64())
 	load := func() string { return fmt.Sprintf("%d,0,%d", t.running[worker], grant.Worker.Capacity) }
-	node.after(held/10, func() { node.step(CorePlacement, func() { grant.First(load(), node.now()) }) })
+	node.after(held/10, func() { node.step(CorePlacement, func() { grant.FirstEvent(load(), node.now()) }) })
 	// The worker ends the request also where its process is gone by then.
 	life := node.life
 	t.fleet.world.After(held, func() {
--- a/internal/tooling/hollowfleet/workers.go
+++ b/internal/tooling/hollowfleet/workers.go
@@ -143,13 +143,13 @@
 	}
 	node.step(CoreWorkers, func() {
 		read := own.read[address]
-		since, ask := behind(&read, answer.Workers, own.scheduler.Table())
+		since, ask := behind(&read, answer.Workers, own.scheduler.WorkersDigest())
 		own.read[address] = read
 		if ask {
 			r.pull(node, own, address, since, func(bool) {})
 		}
 		if answer.OverdueComplete {
-			own.scheduler.Judged(answer.Overdue, node.now())
+			own.scheduler.HandleOverdue(answer.Overdue, node.now())
 		}
 	})
 }
--- a/internal/traffic/admission/admission.go
+++ b/internal/traffic/admission/admission.go
@@ -15,23 +15,23 @@
 	"lemonarch/internal/traffic/prefixindex"
 )
 
-// Ask is a request that wants a worker.
-type Ask struct {
+// Request is a request that wants a worker.
+type Request struct {
 	Service string
 	Prompt  prefixindex.Prompt
 	Affine  bool
 	Bulk    bool
-	// Repeatable: it may be sent to another worker if this one fails.
-	Repeatable bool
-	Priority   int
-	Setpoint   clock.Duration
+	// Retryable: it may be sent to another worker if this one fails.
+	Retryable bool
+	Priority  int
+	Setpoint  clock.Duration
 	// Deadline is when the client stops waiting; Patience when we stop queueing.
-	Deadline clock.Instant
-	Patience clock.Instant
-	Excluded []string
-	// Among, where not nil, names the only workers that may be asked.
-	Among   map[string]bool
-	arrived clock.Instant
+	Deadline   clock.Instant
+	QueueUntil clock.Instant
+	Excluded   []string
+	// AllowedWorkers, where not nil, names the only workers that may be asked.
+	AllowedWorkers map[string]bool
+	arrivedAt      clock.Instant
 }
 
 // Verdict is how an ask came out.
@@ -40,74 +40,74 @@
 // The verdicts.
 const (
 	VerdictGranted Verdict = iota
-	// VerdictNoRoom: refuse now, and say when to come back.
-	VerdictNoRoom
+	// VerdictNoCapacity: refuse now, and say when to come back.
+	VerdictNoCapacity
 	// VerdictNoWorker: the service has no worker that can be asked.
 	VerdictNoWorker
 	// VerdictQueued: the continuation will be resumed.
 	VerdictQueued
 )
 
-// Answer is what a continuation is resumed with.
-type Answer struct {
+// Decision is what a continuation is resumed with.
+type Decision struct {
 	Verdict Verdict
 	Grant   *Grant
 	Retry   clock.Duration
 }
 
 type waiter struct {
-	ask    *Ask
-	resume func(Answer)
-	handle Handle
+	request *Request
+	resume  func(Decision)
+	handle  Handle
 }
 
 // Scheduler is the admission of one process.
 type Scheduler struct {
-	lock      sync.Mutex
-	Registry  *workers.Registry
-	Tracker   *health.Tracker
-	Index     *prefixindex.Index
-	config    *routeconfig.Config
-	slab      Slab[*waiter]
-	queues    map[string][]Handle
-	rates     map[string]*rate
-	listening clock.Instant
-	own       messages.NodeInfo
-	cost      func(zone string) float64
-	pressure  map[string]pressureWord
-	yields    map[*Grant]*yielding
-	tell      func(words []messages.Pressure)
-	toldAt    clock.Instant
+	lock                sync.Mutex
+	Registry            *workers.Registry
+	Tracker             *health.Tracker
+	Index               *prefixindex.Index
+	config              *routeconfig.Config
+	slab                Slab[*waiter]
+	queues              map[string][]Handle
+	rates               map[string]*rate
+	controllerContactAt clock.Instant
+	own                 messages.NodeInfo
+	cost                func(zone string) float64
+	pressure            map[string]pressureReport
+	preemptible         map[*Grant]*preemptible
+	onPressure          func(entries []messages.Pressure)
+	pressureSentAt      clock.Instant
 	// notifyPrefill must not block: it is called under the lock.
-	tellReading  func(worker string, milliseconds float64)
-	gossip       gossipState
-	subsets      map[string]subset
-	scratch      scratch
-	tellEjection func(Ejection)
-	paces        map[string]*paces
-	spreading    uint64
-	// waits speaks when something begins to wait.
-	waits        chan struct{}
+	onPrefill   func(worker string, milliseconds float64)
+	gossip      gossipState
+	subsets     map[string]subset
+	scratch     scratch
+	onEjection  func(Ejection)
+	latencies   map[string]*latencies
+	jitterState uint64
+	// wake speaks when something begins to wait.
+	wake         chan struct{}
 	number       int64
 	countersLock sync.Mutex
-	tallies      map[string]*Counters
-	// bulkOwn, where not nil, names the workers at which items are placed from here.
-	bulkOwn map[string]bool
+	counters     map[string]*Counters
+	// ownedWorkers, where not nil, names the workers at which items are placed from here.
+	ownedWorkers map[string]bool
 }
 
 // rate follows how many requests a service finishes a second, as seen from here.
 type rate struct {
-	since clock.Instant
-	count float64
-	perS  float64
+	since     clock.Instant
+	count     float64
+	perSecond float64
 }
 
 // New makes a admission for a process.
 func New(own messages.NodeInfo, heartbeat clock.Duration) *Scheduler {
 	scheduler := &Scheduler{Registry: workers.New(heartbeat), Tracker: health.New(), Index: prefixindex.NewIndex(),
 		queues: map[string][]Handle{}, rates: map[string]*rate{}, own: own,
-		pressure: map[string]pressureWord{}, yields: map[*Grant]*yielding{}, tallies: map[string]*Counters{},
-		waits: make(chan struct{}, 1)}
+		pressure: map[string]pressureReport{}, preemptible: map[*Grant]*preemptible{}, counters: map[string]*Counters{},
+		wake: make(chan struct{}, 1)}
 	scheduler.cost = func(zone string) float64 {
 		// Another zone is a longer way, and bytes between zones are dear.
 		if zone == own.Zone {
@@ -132,15 +132,15 @@
 	s.config = config
 }
 
-// Listening notes that a controller was heard from.
-func (s *Scheduler) Listening(now clock.Instant) { s.listening = now }
+// NoteControllerContact notes that a controller was heard from.
+func (s *Scheduler) NoteControllerContact(now clock.Instant) { s.controllerContactAt = now }
 
 // Merge takes word of workers and places what waited for them.
 func (s *Scheduler) Merge(workerList []messages.Worker, now clock.Instant) {
 	s.lock.Lock()
-	s.Listening(now)
+	s.NoteControllerContact(now)
 	for _, worker := range workerList {
-		s.born(worker, now)
+		s.observeIncarnation(worker, now)
 		s.Registry.Merge(worker, now)
 		if worker.Phase == messages.PhaseDeparted {
 			s.Tracker.Forget(worker.ID)
@@ -153,47 +153,47 @@
 
 // Admit places an ask at once, queues it, or refuses it. What is queued presses
 // on work of a lower rank.
-func (s *Scheduler) Admit(ask *Ask, resume func(Answer), now clock.Instant) (Answer, Handle) {
-	answer, handle := s.admit(ask, resume, now)
-	if answer.Verdict == VerdictQueued {
-		s.press(now)
+func (s *Scheduler) Admit(req *Request, resume func(Decision), now clock.Instant) (Decision, Handle) {
+	decision, handle := s.admit(req, resume, now)
+	if decision.Verdict == VerdictQueued {
+		s.applyPressure(now)
 	}
-	return answer, handle
+	return decision, handle
 }
 
-func (s *Scheduler) admit(ask *Ask, resume func(Answer), now clock.Instant) (Answer, Handle) {
+func (s *Scheduler) admit(req *Request, resume func(Decision), now clock.Instant) (Decision, Handle) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	ask.arrived = now
+	req.arrivedAt = now
 	// Those that waited longer in the same rank or a higher one go first.
-	if !s.aheadWaiting(ask) {
-		if answer := s.place(ask, now); answer.Verdict != VerdictNoRoom {
-			return answer, Handle{}
+	if !s.hasQueuedAhead(req) {
+		if decision := s.selectWorker(req, now); decision.Verdict != VerdictNoCapacity {
+			return decision, Handle{}
 		}
 	}
 	if resume == nil {
-		return Answer{Verdict: VerdictNoRoom, Retry: s.retryAfter(ask)}, Handle{}
+		return Decision{Verdict: VerdictNoCapacity, Retry: s.retryAfter(req)}, Handle{}
 	}
-	if wait, known := s.expectedWait(ask); known && now.Add(wait) > ask.Patience {
+	if wait, known := s.expectedWait(req); known && now.Add(wait) > req.QueueUntil {
 		// It can't be served in its time: said at once, not after a wait.
-		return Answer{Verdict: VerdictNoRoom, Retry: s.retryAfter(ask)}, Handle{}
+		return Decision{Verdict: VerdictNoCapacity, Retry: s.retryAfter(req)}, Handle{}
 	}
-	one := &waiter{ask: ask, resume: resume}
-	one.handle = s.slab.Put(one)
-	queue := append(s.queues[ask.Service], one.handle)
+	queued := &waiter{request: req, resume: resume}
+	queued.handle = s.slab.Put(queued)
+	queue := append(s.queues[req.Service], queued.handle)
 	sort.SliceStable(queue, func(left, right int) bool {
 		first, _ := s.slab.Get(queue[left])
 		second, _ := s.slab.Get(queue[right])
-		return first != nil && second != nil && first.ask.Priority < second.ask.Priority
+		return first != nil && second != nil && first.request.Priority < second.request.Priority
 	})
-	s.queues[ask.Service] = queue
-	s.someWait()
-	return Answer{Verdict: VerdictQueued}, one.handle
+	s.queues[req.Service] = queue
+	s.wakePump()
+	return Decision{Verdict: VerdictQueued}, queued.handle
 }
 
-func (s *Scheduler) aheadWaiting(ask *Ask) bool {
-	for _, handle := range s.queues[ask.Service] {
-		if one, found := s.slab.Get(handle); found && one.ask.Priority <= ask.Priority {
+func (s *Scheduler) hasQueuedAhead(req *Request) bool {
+	for _, handle := range s.queues[req.Service] {
+		if queued, found := s.slab.Get(handle); found && queued.request.Priority <= req.Priority {
 			return true
 		}
 	}
--- a/internal/traffic/admission/admission_test.go
+++ b/internal/traffic/admission/admission_test.go
@@ -13,22 +13,22 @@
 func scheduler(t *testing.T, capacity int, workerList ...string) *Scheduler {
 	t.Helper()
 
-	one := New(messages.NodeInfo{Name: "n", Role: membership.RoleGateway, Zone: "h"}, 1_200_000_000)
+	entry := New(messages.NodeInfo{Name: "n", Role: membership.RoleGateway, Zone: "h"}, 1_200_000_000)
 	config, err := routeconfig.Parse([]byte(`{"generation":1,"backends":[{"name":"s"}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	one.SetConfig(config)
+	entry.SetConfig(config)
 	var list []messages.Worker
 	for _, name := range workerList {
 		list = append(list, messages.Worker{ID: name, Backend: "s", Address: "a", Zone: "h", Capacity: capacity, CallCount: 1})
 	}
-	one.Merge(list, 1)
-	return one
+	entry.Merge(list, 1)
+	return entry
 }
 
-func ask(priority int) *Ask {
-	return &Ask{Service: "s", Priority: priority, Setpoint: 200_000_000, Patience: 1_000_000_000}
+func ask(priority int) *Request {
+	return &Request{Service: "s", Priority: priority, Setpoint: 200_000_000, QueueUntil: 1_000_000_000}
 }
 
 func TestSlabKnowsLateHandles(t *testing.T) {
@@ -49,26 +49,26 @@
 // When a place becomes free the highest rank that waits gets it, and every one
 // that waits is resumed exactly once.
 func TestQueuesByRank(t *testing.T) {
-	one := scheduler(t, 1, "w")
+	entry := scheduler(t, 1, "w")
 	var grants []*Grant
 	for count := 0; count < 1+constants.QueueAheadMax; count++ {
-		answer, _ := one.Admit(ask(0), nil, 2)
-		if answer.Verdict != VerdictGranted {
-			t.Fatal(answer.Verdict)
+		decision, _ := entry.Admit(ask(0), nil, 2)
+		if decision.Verdict != VerdictGranted {
+			t.Fatal(decision.Verdict)
 		}
-		grants = append(grants, answer.Grant)
+		grants = append(grants, decision.Grant)
 	}
 	var order []int
 	wait := func(priority int) {
-		answer, _ := one.Admit(ask(priority), func(late Answer) {
+		decision, _ := entry.Admit(ask(priority), func(late Decision) {
 			if late.Verdict == VerdictGranted {
 				order = append(order, priority)
 			} else {
 				order = append(order, -priority)
 			}
 		}, 3)
-		if answer.Verdict != VerdictQueued {
-			t.Fatal(answer.Verdict)
+		if decision.Verdict != VerdictQueued {
+			t.Fatal(decision.Verdict)
 		}
 	}
 	wait(2)
@@ -79,39 +79,39 @@
 	if len(order) != 2 || order[0] != 0 || order[1] != 1 {
 		t.Fatal(order)
 	}
-	one.Pump(1_000_000_001)
+	entry.Pump(1_000_000_001)
 	if len(order) != 3 || order[2] != -2 {
 		t.Fatal("what can wait no longer must be refused: ", order)
 	}
-	one.Pump(1_000_000_002)
+	entry.Pump(1_000_000_002)
 	if len(order) != 3 {
 		t.Fatal("resumed twice")
 	}
 }
 
 func TestWithdrawnIsNeverResumed(t *testing.T) {
-	one := scheduler(t, 1, "w")
+	entry := scheduler(t, 1, "w")
 	var grants []*Grant
 	for count := 0; count < 1+constants.QueueAheadMax; count++ {
-		answer, _ := one.Admit(ask(0), nil, 2)
-		grants = append(grants, answer.Grant)
+		decision, _ := entry.Admit(ask(0), nil, 2)
+		grants = append(grants, decision.Grant)
 	}
-	_, handle := one.Admit(ask(0), func(Answer) { t.Fatal("resumed") }, 3)
-	if !one.Withdraw(handle) || one.Withdraw(handle) {
+	_, handle := entry.Admit(ask(0), func(Decision) { t.Fatal("resumed") }, 3)
+	if !entry.Withdraw(handle) || entry.Withdraw(handle) {
 		t.Fatal("a withdrawal holds once")
 	}
 	grants[0].End(ResultServed, 4)
 }
 
 func TestDrainedWorkerIsNeitherPlacedOnNorSentTo(t *testing.T) {
-	one := scheduler(t, 4, "w", "v")
-	one.Merge([]messages.Worker{{ID: "w", Backend: "s", CallCount: 2, Phase: messages.PhaseDraining, Capacity: 4}}, 2)
-	if one.Allowed("w", 3) || !one.Allowed("v", 3) {
+	entry := scheduler(t, 4, "w", "v")
+	entry.Merge([]messages.Worker{{ID: "w", Backend: "s", CallCount: 2, Phase: messages.PhaseDraining, Capacity: 4}}, 2)
+	if entry.Allowed("w", 3) || !entry.Allowed("v", 3) {
 		t.Fatal("a drain does not bind")
 	}
 	for count := 0; count < 6; count++ {
-		answer, _ := one.Admit(ask(0), nil, 3)
-		if answer.Verdict == VerdictGranted && answer.Grant.Worker.ID == "w" {
+		decision, _ := entry.Admit(ask(0), nil, 3)
+		if decision.Verdict == VerdictGranted && decision.Grant.Worker.ID == "w" {
 			t.Fatal("placed on a draining worker")
 		}
 	}
@@ -119,11 +119,11 @@
 
 // Items of lots leave places to live requests, and take none while any live
 // request waits at a peer.
-func TestItemsLeaveRoom(t *testing.T) {
-	one := scheduler(t, 8, "w")
+func TestItemsLeaveCapacity(t *testing.T) {
+	entry := scheduler(t, 8, "w")
 	item := func() Verdict {
-		answer, _ := one.Admit(&Ask{Service: "s", Bulk: true, Priority: 2}, nil, 3)
-		return answer.Verdict
+		decision, _ := entry.Admit(&Request{Service: "s", Bulk: true, Priority: 2}, nil, 3)
+		return decision.Verdict
 	}
 	count := 0
 	for item() == VerdictGranted {
@@ -133,10 +133,10 @@
 		t.Fatalf("%d items placed, want %d", count, want)
 	}
 	other := scheduler(t, 8, "w")
-	other.Heard(&messages.Gossip{From: "forge/x", Pressure: []messages.Pressure{{Service: "s", Waiting: 3}}}, 2)
+	other.HandleGossip(&messages.Gossip{From: "forge/x", Pressure: []messages.Pressure{{Service: "s", Waiting: 3}}}, 2)
 	count = 0
-	for answer, _ := other.Admit(&Ask{Service: "s", Bulk: true, Priority: 2}, nil, 3); answer.Verdict == VerdictGranted; count++ {
-		answer, _ = other.Admit(&Ask{Service: "s", Bulk: true, Priority: 2}, nil, 3)
+	for decision, _ := other.Admit(&Request{Service: "s", Bulk: true, Priority: 2}, nil, 3); decision.Verdict == VerdictGranted; count++ {
+		decision, _ = other.Admit(&Request{Service: "s", Bulk: true, Priority: 2}, nil, 3)
 	}
 	if count > 1 {
 		t.Fatal("items beyond the floor took places that live requests wait for: ", count)
@@ -145,13 +145,13 @@
 
 // A paused peer's word counts no more after three periods.
 func TestStaleGossipIsIgnored(t *testing.T) {
-	one := scheduler(t, 1, "w")
-	one.Heard(&messages.Gossip{From: "forge/x", Loads: load("w", 50, 0)}, 2)
-	if answer, _ := one.Admit(ask(0), nil, 3); answer.Verdict == VerdictGranted {
+	entry := scheduler(t, 1, "w")
+	entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: load("w", 50, 0)}, 2)
+	if decision, _ := entry.Admit(ask(0), nil, 3); decision.Verdict == VerdictGranted {
 		t.Fatal("placed on a worker that is full by a peer's word")
 	}
 	later := clock.Instant(2).Add(constants.GossipStale)
-	if answer, _ := one.Admit(ask(0), nil, later); answer.Verdict != VerdictGranted {
+	if decision, _ := entry.Admit(ask(0), nil, later); decision.Verdict != VerdictGranted {
 		t.Fatal("a stale word still counts")
 	}
 }
--- a/internal/traffic/admission/room.go
+++ b/internal/traffic/admission/capacity.go
@@ -13,26 +13,26 @@
 	return s.Registry.All(now)
 }
 
-// SetBulkOwn names the only workers at which this process places items.
-func (s *Scheduler) SetBulkOwn(workerList map[string]bool) {
+// SetOwnedWorkers names the only workers at which this process places items.
+func (s *Scheduler) SetOwnedWorkers(workerList map[string]bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.bulkOwn = workerList
+	s.ownedWorkers = workerList
 }
 
-// BulkRoom counts the workers that have a place left for an item, whether or not
+// BulkCapacity counts the workers that have a place left for an item, whether or not
 // they read one already: so many items are worth holding ready.
-func (s *Scheduler) BulkRoom(ask *Ask, now clock.Instant) int {
+func (s *Scheduler) BulkCapacity(req *Request, now clock.Instant) int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	listening := s.hears(now)
+	listening := s.controllerInContact(now)
 	count := 0
-	for _, worker := range s.Registry.ByService(ask.Service) {
-		if s.Registry.Status(worker.ID, now, listening) != workers.StatusHealthy || excluded(ask, worker.ID) {
+	for _, worker := range s.Registry.ByService(req.Service) {
+		if s.Registry.Status(worker.ID, now, listening) != workers.StatusHealthy || isExcluded(req, worker.ID) {
 			continue
 		}
 		health := s.Tracker.Of(worker.ID)
-		if !health.Suspect(now) && health.Running(now) < s.room(ask, worker, now) {
+		if !health.Suspect(now) && health.Running(now) < s.capacityFor(req, worker, now) {
 			count++
 		}
 	}
--- a/internal/traffic/admission/counters.go
+++ b/internal/traffic/admission/counters.go
@@ -11,20 +11,20 @@
 func (s *Scheduler) Counters(route string) *Counters {
 	s.countersLock.Lock()
 	defer s.countersLock.Unlock()
-	counters := s.tallies[route]
+	counters := s.counters[route]
 	if counters == nil {
 		counters = &Counters{}
-		s.tallies[route] = counters
+		s.counters[route] = counters
 	}
 	return counters
 }
 
-// Tallies lists them by route.
-func (s *Scheduler) Tallies() map[string]*Counters {
+// AllCounters lists them by route.
+func (s *Scheduler) AllCounters() map[string]*Counters {
 	s.countersLock.Lock()
 	defer s.countersLock.Unlock()
 	copied := map[string]*Counters{}
-	for route, counters := range s.tallies {
+	for route, counters := range s.counters {
 		copied[route] = counters
 	}
 	return copied
--- a/internal/traffic/admission/flow.go
+++ b/internal/traffic/admission/flow.go
@@ -12,42 +12,42 @@
 	tokens, stayMs, count float64
 }
 
-// flowFade is the part of the past that counts on with each request (ours): the
+// flowDecay is the part of the past that counts on with each request (ours): the
 // mean is over about the last hundred.
-const flowFade = 0.99
+const flowDecay = 0.99
 
-// flowed notes a request that was served. The lock is held.
-func (s *Scheduler) flowed(grant *Grant, now clock.Instant) {
+// recordFlow notes a request that was served. The lock is held.
+func (s *Scheduler) recordFlow(grant *Grant, now clock.Instant) {
 	if s.gossip.flows == nil {
 		s.gossip.flows = map[string]*flow{}
 	}
-	one := s.gossip.flows[grant.ask.Service]
-	if one == nil {
-		one = &flow{}
-		s.gossip.flows[grant.ask.Service] = one
+	entry := s.gossip.flows[grant.request.Service]
+	if entry == nil {
+		entry = &flow{}
+		s.gossip.flows[grant.request.Service] = entry
 	}
-	one.tokens = flowFade*one.tokens + float64(grant.Fresh+grant.ask.Prompt.Out/2)
-	one.count = flowFade*one.count + 1
-	one.stayMs = flowFade*one.stayMs + clock.ToMilliseconds(now.Sub(grant.begun))
+	entry.tokens = flowDecay*entry.tokens + float64(grant.FreshTokens+grant.request.Prompt.Out/2)
+	entry.count = flowDecay*entry.count + 1
+	entry.stayMs = flowDecay*entry.stayMs + clock.ToMilliseconds(now.Sub(grant.startedAt))
 }
 
-// turnOthers adds what others have put into the workers' caches since the last
+// addOthersTurnover adds what others have put into the workers' caches since the last
 // time. The lock is held.
-func (s *Scheduler) turnOthers(now clock.Instant) {
-	span := clock.ToMilliseconds(now.Sub(s.gossip.turned))
-	first := s.gossip.turned == 0
-	s.gossip.turned = now
+func (s *Scheduler) addOthersTurnover(now clock.Instant) {
+	elapsed := clock.ToMilliseconds(now.Sub(s.gossip.turnoverAt))
+	first := s.gossip.turnoverAt == 0
+	s.gossip.turnoverAt = now
 	if first {
 		return
 	}
-	for service, one := range s.gossip.flows {
-		if one.stayMs <= 0 || one.tokens <= 0 {
+	for service, entry := range s.gossip.flows {
+		if entry.stayMs <= 0 || entry.tokens <= 0 {
 			continue
 		}
 		for _, worker := range s.Registry.ByService(service) {
 			health := s.Tracker.Of(worker.ID)
 			others := float64(health.Running(now) - health.Own())
-			s.Index.AddOthersTurnover(worker.ID, others*span*one.tokens/one.stayMs)
+			s.Index.AddOthersTurnover(worker.ID, others*elapsed*entry.tokens/entry.stayMs)
 		}
 	}
 }
--- a/internal/traffic/admission/gossip_test.go
+++ b/internal/traffic/admission/gossip_test.go
@@ -20,15 +20,15 @@
 
 // The age limit holds for the evidence, however often and by however fresh a packet
 // it was passed on.
-func TestAgeLimitHoldsUnderRelaying(t *testing.T) {
+func TestAgeLimitAppliesUnderRelaying(t *testing.T) {
 	near, far := scheduler(t, 1, "w"), scheduler(t, 1, "w")
-	near.Heard(&messages.Gossip{From: "forge/x", Loads: load("w", 50, 0)}, second(10))
-	packet := near.Gossip(second(12))
-	words := messages.ParseLoads(packet.Loads)
-	if len(words) != 1 || words[0].Running != 50 || words[0].AgeMs < 2000 {
-		t.Fatalf("not passed on with its age: %+v", words)
+	near.HandleGossip(&messages.Gossip{From: "forge/x", Loads: load("w", 50, 0)}, second(10))
+	packet := near.MakeGossip(second(12))
+	entries := messages.ParseLoads(packet.Loads)
+	if len(entries) != 1 || entries[0].Running != 50 || entries[0].AgeMs < 2000 {
+		t.Fatalf("not passed on with its age: %+v", entries)
 	}
-	far.Heard(packet, second(12))
+	far.HandleGossip(packet, second(12))
 	running := func(now clock.Instant) (count int) {
 		far.Locked(func() { count = far.Tracker.Of("w").Running(now) })
 		return count
@@ -40,42 +40,42 @@
 	if running(late) != 0 {
 		t.Fatal("relaying made a stale word young")
 	}
-	if again := near.Gossip(late + 1); len(again.Loads) > 0 {
+	if again := near.MakeGossip(late + 1); len(again.Loads) > 0 {
 		t.Fatal("a stale word was passed on")
 	}
 }
 
 // A peer that was paused with its packet in hand: what it then says is told with the
 // age that it has, and a word older than the limit never counts.
-func TestWordBeyondTheLimitNeverCounts(t *testing.T) {
-	one := scheduler(t, 1, "w")
-	one.Heard(&messages.Gossip{From: "forge/x", Loads: load("w", 50, constants.GossipStale)}, second(10))
-	if answer, _ := one.Admit(ask(0), nil, second(10)); answer.Verdict != VerdictGranted {
+func TestSampleBeyondTheLimitNeverCounts(t *testing.T) {
+	entry := scheduler(t, 1, "w")
+	entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: load("w", 50, constants.GossipStale)}, second(10))
+	if decision, _ := entry.Admit(ask(0), nil, second(10)); decision.Verdict != VerdictGranted {
 		t.Fatal("a word beyond the age limit counted")
 	}
 }
 
 // Of two words the younger counts, whichever comes last.
 func TestFreshestObservationWins(t *testing.T) {
-	one := scheduler(t, 4, "w")
-	one.Heard(&messages.Gossip{From: "forge/x", Loads: load("w", 1, clock.Milliseconds(100))}, second(10))
-	one.Heard(&messages.Gossip{From: "forge/y", Loads: load("w", 200, clock.Milliseconds(2000))}, second(10)+1)
-	if answer, _ := one.Admit(ask(0), nil, second(10)+2); answer.Verdict != VerdictGranted {
+	entry := scheduler(t, 4, "w")
+	entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: load("w", 1, clock.Milliseconds(100))}, second(10))
+	entry.HandleGossip(&messages.Gossip{From: "forge/y", Loads: load("w", 200, clock.Milliseconds(2000))}, second(10)+1)
+	if decision, _ := entry.Admit(ask(0), nil, second(10)+2); decision.Verdict != VerdictGranted {
 		t.Fatal("an older word counted over a younger one")
 	}
-	one.Heard(&messages.Gossip{From: "forge/z", Loads: load("w", 200, 0)}, second(10)+3)
-	if answer, _ := one.Admit(ask(0), nil, second(10)+4); answer.Verdict == VerdictGranted {
+	entry.HandleGossip(&messages.Gossip{From: "forge/z", Loads: load("w", 200, 0)}, second(10)+3)
+	if decision, _ := entry.Admit(ask(0), nil, second(10)+4); decision.Verdict == VerdictGranted {
 		t.Fatal("the younger word did not count")
 	}
 }
 
 // An observation is corrected by what was begun here since it was made.
 func TestOwnRequestsSinceTheObservationCount(t *testing.T) {
-	one := scheduler(t, 4, "w")
-	one.Heard(&messages.Gossip{From: "forge/x", Loads: load("w", 4, 0)}, second(10))
+	entry := scheduler(t, 4, "w")
+	entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: load("w", 4, 0)}, second(10))
 	granted := 0
 	for ; granted < 20; granted++ {
-		if answer, _ := one.Admit(ask(0), nil, second(10)+clock.Instant(granted)+1); answer.Verdict != VerdictGranted {
+		if decision, _ := entry.Admit(ask(0), nil, second(10)+clock.Instant(granted)+1); decision.Verdict != VerdictGranted {
 			break
 		}
 	}
@@ -83,8 +83,8 @@
 		t.Fatalf("%d placed on a worker that had its four, want %d", granted, constants.QueueAheadMax)
 	}
 	// A later observation holds them already.
-	one.Heard(&messages.Gossip{From: "forge/x", Loads: load("w", 4, 0)}, second(11))
-	if answer, _ := one.Admit(ask(0), nil, second(11)+1); answer.Verdict != VerdictGranted {
+	entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: load("w", 4, 0)}, second(11))
+	if decision, _ := entry.Admit(ask(0), nil, second(11)+1); decision.Verdict != VerdictGranted {
 		t.Fatal("our own were counted twice")
 	}
 }
@@ -96,23 +96,23 @@
 	for count := 0; count < 600; count++ {
 		names = append(names, fmt.Sprint("worker-", count))
 	}
-	one := scheduler(t, 16, names...)
-	told := map[uint32]int{}
+	entry := scheduler(t, 16, names...)
+	known := map[uint32]int{}
 	largest := 0
 	for round := 1; round <= 7; round++ {
 		now := second(10 + round)
 		for _, name := range names {
-			one.Heard(&messages.Gossip{From: "forge/x", Loads: load(name, round, 0)}, now)
+			entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: load(name, round, 0)}, now)
 		}
-		packet := one.Gossip(now)
-		for _, word := range messages.ParseLoads(packet.Loads) {
-			told[word.WorkerHash]++
+		packet := entry.MakeGossip(now)
+		for _, sample := range messages.ParseLoads(packet.Loads) {
+			known[sample.WorkerHash]++
 		}
 		body, _ := packet.MarshalMsg(nil)
 		largest = max(largest, len(body))
 	}
-	if len(told) != len(names) {
-		t.Fatalf("%d of %d workers were told of in seven periods", len(told), len(names))
+	if len(known) != len(names) {
+		t.Fatalf("%d of %d workers were told of in seven periods", len(known), len(names))
 	}
 	if largest > 1400 {
 		t.Fatalf("a packet has %d bytes", largest)
@@ -120,29 +120,29 @@
 }
 
 // What a neighbour has heard from us is not said again while nothing is new.
-func TestNothingNewIsNotSaid(t *testing.T) {
-	one := scheduler(t, 4, "w")
-	one.Heard(&messages.Gossip{From: "forge/x", Loads: load("w", 2, 0)}, second(10))
-	if len(one.Gossip(second(10)).Loads) == 0 {
+func TestNothingNewIsNotSent(t *testing.T) {
+	entry := scheduler(t, 4, "w")
+	entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: load("w", 2, 0)}, second(10))
+	if len(entry.MakeGossip(second(10)).Loads) == 0 {
 		t.Fatal("news was not told")
 	}
-	if len(one.Gossip(second(11)).Loads) != 0 {
+	if len(entry.MakeGossip(second(11)).Loads) != 0 {
 		t.Fatal("the same observation was told twice")
 	}
 }
 
 // Words of a later version are longer; what this one knows of them counts.
-func TestLongerWordsAreRead(t *testing.T) {
-	words := []byte{9}
+func TestLongerSamplesAreRead(t *testing.T) {
+	entries := []byte{9}
 	for _, worker := range []string{"v", "w"} {
-		words = append(words, load(worker, 50, 0)[1:]...)
-		words = append(words, 0xEE, 0xFF)
+		entries = append(entries, load(worker, 50, 0)[1:]...)
+		entries = append(entries, 0xEE, 0xFF)
 	}
-	one := scheduler(t, 1, "v", "w")
-	one.Heard(&messages.Gossip{Format: 3, From: "forge/x", Loads: append(words, 1, 2)}, second(10))
+	entry := scheduler(t, 1, "v", "w")
+	entry.HandleGossip(&messages.Gossip{Format: 3, From: "forge/x", Loads: append(entries, 1, 2)}, second(10))
 	for _, worker := range []string{"v", "w"} {
 		running := 0
-		one.Locked(func() { running = one.Tracker.Of(worker).Running(second(10)) })
+		entry.Locked(func() { running = entry.Tracker.Of(worker).Running(second(10)) })
 		if running != 50 {
 			t.Fatalf("%s: %d read from words with trailing bytes", worker, running)
 		}
@@ -152,43 +152,43 @@
 // One neighbour's suspicion may be its own trouble, two are evidence; and neither is
 // passed on as if it were ours.
 func TestSuspicionIsFirstHand(t *testing.T) {
-	one := scheduler(t, 4, "v", "w")
-	word := messages.AppendLoad(nil, messages.LoadSample{WorkerHash: messages.WorkerHash("v"), Running: messages.RunningUnknown, Health: messages.HealthSuspect})
-	one.Heard(&messages.Gossip{From: "forge/x", Loads: word}, second(10))
-	suspect := func() (answer bool) {
-		one.Locked(func() { answer = one.Tracker.Of("v").Suspect(second(10) + 1) })
-		return answer
+	entry := scheduler(t, 4, "v", "w")
+	sample := messages.AppendLoad(nil, messages.LoadSample{WorkerHash: messages.WorkerHash("v"), Running: messages.RunningUnknown, Health: messages.HealthSuspect})
+	entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: sample}, second(10))
+	suspect := func() (decision bool) {
+		entry.Locked(func() { decision = entry.Tracker.Of("v").Suspect(second(10) + 1) })
+		return decision
 	}
 	if suspect() {
 		t.Fatal("one neighbour's word was enough")
 	}
-	one.Heard(&messages.Gossip{From: "forge/y", Loads: word}, second(10))
+	entry.HandleGossip(&messages.Gossip{From: "forge/y", Loads: sample}, second(10))
 	if !suspect() {
 		t.Fatal("two neighbours' words were not enough")
 	}
-	if loads := one.Gossip(second(10) + 1).Loads; len(loads) != 0 {
+	if loads := entry.MakeGossip(second(10) + 1).Loads; len(loads) != 0 {
 		t.Fatal("hearsay was passed on: ", loads)
 	}
 }
 
 // Turnover by Little's law comes near the true count, though nobody counts it.
 func TestTurnoverOfOthersIsEstimated(t *testing.T) {
-	one := scheduler(t, 100, "w")
-	asked := ask(0)
-	asked.Affine, asked.Prompt.Tokens = true, 1000
+	entry := scheduler(t, 100, "w")
+	requested := ask(0)
+	requested.Affine, requested.Prompt.Tokens = true, 1000
 	for count := 0; count < 50; count++ {
-		answer, _ := one.Admit(asked, nil, second(10))
-		answer.Grant.End(ResultServed, second(10).Add(clock.Milliseconds(500)))
+		decision, _ := entry.Admit(requested, nil, second(10))
+		decision.Grant.End(ResultServed, second(10).Add(clock.Milliseconds(500)))
 	}
-	one.Gossip(second(20))
+	entry.MakeGossip(second(20))
 	// Others have 10 requests there at any time, each 1000 tokens in half a second:
 	// twenty thousand tokens a second.
 	for now := second(20); now < second(30); now = now.Add(constants.GossipPeriod) {
-		one.Heard(&messages.Gossip{From: "forge/x", Loads: load("w", 10, 0)}, now.Add(constants.GossipPeriod)-1)
-		one.Gossip(now.Add(constants.GossipPeriod))
+		entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: load("w", 10, 0)}, now.Add(constants.GossipPeriod)-1)
+		entry.MakeGossip(now.Add(constants.GossipPeriod))
 	}
 	total := 0.0
-	one.Locked(func() { total = one.Index.OthersTurnover("w") })
+	entry.Locked(func() { total = entry.Index.OthersTurnover("w") })
 	if total < 180_000 || total > 220_000 {
 		t.Fatalf("%.0f tokens reckoned, 200000 came", total)
 	}
--- a/internal/traffic/admission/health.go
+++ b/internal/traffic/admission/health.go
@@ -13,55 +13,55 @@
 // Ejection is told when a worker is ejected from ordinary placement or returns.
 type Ejection struct {
 	Worker, Service string
-	// Why is the kind of the last failure, or "flapping".
-	Why string
-	// For is how long; 0 means that it is back.
-	For clock.Duration
+	// Reason is the kind of the last failure, or "flapping".
+	Reason string
+	// Duration is how long; 0 means that it is back.
+	Duration clock.Duration
 }
 
-// troubleOf maps outcomes that say something against a worker.
-var troubleOf = map[Result]health.Fault{
-	ResultFailed:  health.FaultReset,
-	ResultRefused: health.FaultRefused,
-	ResultSilent:  health.FaultTimeout,
-	ResultErrored: health.FaultError,
-	ResultShed:    health.FaultShed,
+// faultOf maps outcomes that say something against a worker.
+var faultOf = map[Result]health.Fault{
+	ResultFailed:      health.FaultReset,
+	ResultUnreachable: health.FaultRefused,
+	ResultTimeout:     health.FaultTimeout,
+	ResultServerError: health.FaultError,
+	ResultShed:        health.FaultShed,
 	// Another service answers there: this life is gone from the address.
-	ResultGoneAway: health.FaultRefused,
+	ResultMisdirected: health.FaultRefused,
 }
 
 // OnEjection names who is told of ejections and returns; it must not block.
-func (s *Scheduler) OnEjection(tell func(Ejection)) { s.tellEjection = tell }
+func (s *Scheduler) OnEjection(notify func(Ejection)) { s.onEjection = notify }
 
-// judge takes an outcome into the health. The lock is held.
-func (s *Scheduler) judge(grant *Grant, result Result, now clock.Instant) {
+// recordOutcome takes an outcome into the health. The lock is held.
+func (s *Scheduler) recordOutcome(grant *Grant, result Result, now clock.Instant) {
 	worker := grant.Worker
-	if trouble, against := troubleOf[result]; against {
+	if fault, against := faultOf[result]; against {
 		switch {
-		case result == ResultSilent && grant.doubt == doubtSure:
+		case result == ResultTimeout && grant.silenceLevel == silenceSure:
 			// Noted while it lasted.
 			return
-		case result == ResultSilent && grant.silence > 0 && grant.silence < constants.SureTimeout:
-			trouble = health.FaultSlow
+		case result == ResultTimeout && grant.silence > 0 && grant.silence < constants.SureTimeout:
+			fault = health.FaultSlow
 		}
-		s.troubled(worker, trouble, now)
+		s.recordFault(worker, fault, now)
 		return
 	}
-	if result == ResultServed && s.Tracker.RecordSuccess(worker.ID, worker.Backend, now) && s.tellEjection != nil {
-		s.tellEjection(Ejection{Worker: worker.ID, Service: worker.Backend})
+	if result == ResultServed && s.Tracker.RecordSuccess(worker.ID, worker.Backend, now) && s.onEjection != nil {
+		s.onEjection(Ejection{Worker: worker.ID, Service: worker.Backend})
 	}
 }
 
-func (s *Scheduler) troubled(worker messages.Worker, trouble health.Fault, now clock.Instant) {
-	span := s.Tracker.RecordFault(worker.ID, worker.Backend, trouble, now)
-	s.Tracker.Of(worker.ID).RecordFailure(span, now)
-	if span > 0 && s.tellEjection != nil {
-		s.tellEjection(Ejection{Worker: worker.ID, Service: worker.Backend, Why: trouble.String(), For: span})
+func (s *Scheduler) recordFault(worker messages.Worker, fault health.Fault, now clock.Instant) {
+	elapsed := s.Tracker.RecordFault(worker.ID, worker.Backend, fault, now)
+	s.Tracker.Of(worker.ID).RecordFailure(elapsed, now)
+	if elapsed > 0 && s.onEjection != nil {
+		s.onEjection(Ejection{Worker: worker.ID, Service: worker.Backend, Reason: fault.String(), Duration: elapsed})
 	}
 }
 
-// born has the health look at a life that is new to us. The lock is held.
-func (s *Scheduler) born(worker messages.Worker, now clock.Instant) {
+// observeIncarnation has the health look at a life that is new to us. The lock is held.
+func (s *Scheduler) observeIncarnation(worker messages.Worker, now clock.Instant) {
 	if _, known := s.Registry.Get(worker.ID); known || worker.Phase != messages.PhaseSteady {
 		return
 	}
@@ -71,64 +71,64 @@
 	if before, found := s.Registry.Get(s.Tracker.WorkerAt(worker.Address)); found {
 		orderly = before.Phase != messages.PhaseSteady
 	}
-	span := s.Tracker.ObserveIncarnation(worker.ID, worker.Backend, worker.Address, orderly, now)
-	if span > 0 && s.tellEjection != nil {
-		s.tellEjection(Ejection{Worker: worker.ID, Service: worker.Backend, Why: "flapping", For: span})
+	elapsed := s.Tracker.ObserveIncarnation(worker.ID, worker.Backend, worker.Address, orderly, now)
+	if elapsed > 0 && s.onEjection != nil {
+		s.onEjection(Ejection{Worker: worker.ID, Service: worker.Backend, Reason: "flapping", Duration: elapsed})
 	}
 }
 
 // standings sorts out which workers of a service get no ordinary request. Our own
 // outcomes go before hearsay and before missing heartbeats.
-func (s *Scheduler) apart(ask *Ask, workerList []messages.Worker, now clock.Instant) map[string]bool {
+func (s *Scheduler) ejectedWorkers(req *Request, workerList []messages.Worker, now clock.Instant) map[string]bool {
 	if !s.Tracker.AnyEjected() {
 		return nil
 	}
 	names := make([]string, len(workerList))
-	for place := range workerList {
-		names[place] = workerList[place].ID
+	for i := range workerList {
+		names[i] = workerList[i].ID
 	}
 	idle := func(worker string) bool { return s.Tracker.Of(worker).Own() == 0 }
-	return s.Tracker.Ejected(names, ask.Repeatable || ask.Bulk, idle, now)
+	return s.Tracker.Ejected(names, req.Retryable || req.Bulk, idle, now)
 }
 
-// suspect tells whether a worker is only asked where nobody else can be: ejected here,
+// isSuspect tells whether a worker is only asked where nobody else can be: ejected here,
 // or told of by peers or by missing heartbeats while nothing of ours speaks for it.
-func (s *Scheduler) suspect(worker messages.Worker, standing workers.Status, apart map[string]bool, now clock.Instant) bool {
-	if apart[worker.ID] {
+func (s *Scheduler) isSuspect(worker messages.Worker, status workers.Status, ejected map[string]bool, now clock.Instant) bool {
+	if ejected[worker.ID] {
 		return true
 	}
-	trust := s.Tracker.OutcomesOf(worker.ID, worker.Backend)
-	if standing != workers.StatusSuspect && !s.Tracker.Of(worker.ID).SuspectedByPeers(now) {
+	outcomes := s.Tracker.OutcomesOf(worker.ID, worker.Backend)
+	if status != workers.StatusSuspect && !s.Tracker.Of(worker.ID).SuspectedByPeers(now) {
 		return false
 	}
-	return !trust.ProvenHealthy(now)
+	return !outcomes.ProvenHealthy(now)
 }
 
-// risk is what a worker's failures cost in ms of score, beyond what is usual.
-func (s *Scheduler) risk(ask *Ask, worker messages.Worker, now clock.Instant) float64 {
-	usual := s.Tracker.MedianFailureRate(worker.Backend, now)
+// riskMs is what a worker's failures cost in ms of score, beyond what is usual.
+func (s *Scheduler) riskMs(req *Request, worker messages.Worker, now clock.Instant) float64 {
+	median := s.Tracker.MedianFailureRate(worker.Backend, now)
 	cost := constants.ErrCostOnce
-	if ask.Repeatable || ask.Bulk {
+	if req.Retryable || req.Bulk {
 		cost = constants.ErrCost
 	}
-	return cost * max(0, s.Tracker.OutcomesOf(worker.ID, worker.Backend).FailureRate(usual, now)-usual-constants.RiskFloor)
+	return cost * max(0, s.Tracker.OutcomesOf(worker.ID, worker.Backend).FailureRate(median, now)-median-constants.RiskFloor)
 }
 
-// TrustWord says in a word for the shell how a worker is trusted here: its rate of
+// OutcomeSummary says in a word for the shell how a worker is trusted here: its rate of
 // failure, whether it is held or on trial, and the failures by kind. The lock is held.
-func (s *Scheduler) TrustWord(worker messages.Worker, now clock.Instant) string {
-	trust := s.Tracker.OutcomesOf(worker.ID, worker.Backend)
-	word := "rate=" + strconv.FormatFloat(trust.FailureRate(s.Tracker.MedianFailureRate(worker.Backend, now), now), 'f', 2, 64)
+func (s *Scheduler) OutcomeSummary(worker messages.Worker, now clock.Instant) string {
+	outcomes := s.Tracker.OutcomesOf(worker.ID, worker.Backend)
+	sample := "rate=" + strconv.FormatFloat(outcomes.FailureRate(s.Tracker.MedianFailureRate(worker.Backend, now), now), 'f', 2, 64)
 	switch {
-	case trust.IsEjected(now):
-		word += " held"
-	case trust.OnTrial(now):
-		word += " trial"
+	case outcomes.IsEjected(now):
+		sample += " held"
+	case outcomes.OnTrial(now):
+		sample += " trial"
 	}
-	for place, count := range trust.Counts() {
+	for i, count := range outcomes.Counts() {
 		if count > 0 {
-			word += " " + health.Kinds()[place] + "=" + strconv.FormatInt(count, 10)
+			sample += " " + health.Kinds()[i] + "=" + strconv.FormatInt(count, 10)
 		}
 	}
-	return word
+	return sample
 }
--- a/internal/traffic/admission/health_test.go
+++ b/internal/traffic/admission/health_test.go
@@ -9,22 +9,22 @@
 )
 
 // fails has a worker fail one request.
-func fails(one *Scheduler, worker string, result Result, now clock.Instant) {
+func fails(entry *Scheduler, worker string, result Result, now clock.Instant) {
 	wanted := ask(0)
-	wanted.Repeatable, wanted.Among = true, map[string]bool{worker: true}
-	answer, _ := one.Admit(wanted, nil, now)
-	answer.Grant.End(result, now)
+	wanted.Retryable, wanted.AllowedWorkers = true, map[string]bool{worker: true}
+	decision, _ := entry.Admit(wanted, nil, now)
+	decision.Grant.End(result, now)
 }
 
 // places counts where requests go that are given back at once, without an outcome.
-func places(one *Scheduler, repeatable bool, count int, now clock.Instant) map[string]int {
+func places(entry *Scheduler, repeatable bool, count int, now clock.Instant) map[string]int {
 	found := map[string]int{}
 	for ; count > 0; count-- {
 		wanted := ask(0)
-		wanted.Repeatable = repeatable
-		answer, _ := one.Admit(wanted, nil, now)
-		found[answer.Grant.Worker.ID]++
-		answer.Grant.End(ResultCalledOff, now)
+		wanted.Retryable = repeatable
+		decision, _ := entry.Admit(wanted, nil, now)
+		found[decision.Grant.Worker.ID]++
+		decision.Grant.End(ResultCanceled, now)
 	}
 	return found
 }
@@ -32,78 +32,78 @@
 // An ejected worker gets nothing, then trials of what may be repeated only, and is back
 // with the first that goes well; each step is told.
 func TestEjectedAndBack(t *testing.T) {
-	for _, result := range []Result{ResultFailed, ResultRefused, ResultSilent, ResultErrored, ResultGoneAway} {
-		one := scheduler(t, 4, "v", "w", "x", "y")
-		var told []Ejection
-		one.OnEjection(func(ejection Ejection) { told = append(told, ejection) })
+	for _, result := range []Result{ResultFailed, ResultUnreachable, ResultTimeout, ResultServerError, ResultMisdirected} {
+		entry := scheduler(t, 4, "v", "w", "x", "y")
+		var known []Ejection
+		entry.OnEjection(func(ejection Ejection) { known = append(known, ejection) })
 		now := second(2)
-		fails(one, "w", result, now)
-		if len(told) != 1 || told[0].Worker != "w" || told[0].For != constants.EjectFor {
-			t.Fatal(result, told)
+		fails(entry, "w", result, now)
+		if len(known) != 1 || known[0].Worker != "w" || known[0].Duration != constants.EjectFor {
+			t.Fatal(result, known)
 		}
-		if places(one, true, 40, now)["w"] > 0 {
+		if places(entry, true, 40, now)["w"] > 0 {
 			t.Fatal(result, " placed on while ejected")
 		}
 		now = now.Add(constants.EjectFor)
-		if places(one, false, 40, now)["w"] > 0 {
+		if places(entry, false, 40, now)["w"] > 0 {
 			t.Fatal(result, " what must not run twice was a trial")
 		}
-		fails(one, "w", ResultServed, now)
-		if len(told) != 2 || told[1].For != 0 {
-			t.Fatal(result, told)
+		fails(entry, "w", ResultServed, now)
+		if len(known) != 2 || known[1].Duration != 0 {
+			t.Fatal(result, known)
 		}
 	}
 }
 
 // What our own side broke off, and a full worker, say nothing against it.
-func TestWhatSaysNothing(t *testing.T) {
-	one := scheduler(t, 4, "v", "w", "x")
-	one.OnEjection(func(ejection Ejection) { t.Fatal(ejection) })
+func TestOutcomesThatDoNotCount(t *testing.T) {
+	entry := scheduler(t, 4, "v", "w", "x")
+	entry.OnEjection(func(ejection Ejection) { t.Fatal(ejection) })
 	for count := 0; count < 5; count++ {
 		// A worker that was full is asked again later.
-		fails(one, "w", ResultCalledOff, second(2*count+2))
-		fails(one, "w", ResultTurnedAway, second(2*count+2))
+		fails(entry, "w", ResultCanceled, second(2*count+2))
+		fails(entry, "w", ResultRejected, second(2*count+2))
 	}
 }
 
 // Peers' words are heeded where nothing of ours speaks for a worker, and only there.
 func TestHearsayYieldsToOwnResults(t *testing.T) {
-	word := func(one *Scheduler, now clock.Instant) {
+	sample := func(entry *Scheduler, now clock.Instant) {
 		for _, peer := range []string{"forge/a", "forge/b"} {
-			one.Heard(&messages.Gossip{From: peer, Loads: messages.AppendLoad(nil, messages.LoadSample{WorkerHash: messages.WorkerHash("w"), Running: messages.RunningUnknown, Health: messages.HealthSuspect})}, now)
+			entry.HandleGossip(&messages.Gossip{From: peer, Loads: messages.AppendLoad(nil, messages.LoadSample{WorkerHash: messages.WorkerHash("w"), Running: messages.RunningUnknown, Health: messages.HealthSuspect})}, now)
 		}
 	}
-	one := scheduler(t, 4, "v", "w", "x")
+	entry := scheduler(t, 4, "v", "w", "x")
 	now := second(2)
-	word(one, now)
-	if places(one, false, 40, now)["w"] > 0 {
+	sample(entry, now)
+	if places(entry, false, 40, now)["w"] > 0 {
 		t.Fatal("hearsay was not heeded")
 	}
 	for count := 0; count < 3; count++ {
-		fails(one, "w", ResultServed, now)
+		fails(entry, "w", ResultServed, now)
 	}
-	word(one, now)
+	sample(entry, now)
 	wanted := ask(0)
-	wanted.Among = map[string]bool{"w": true}
-	answer, _ := one.Admit(wanted, nil, now)
-	suspect := one.suspect(answer.Grant.Worker, 0, nil, now)
+	wanted.AllowedWorkers = map[string]bool{"w": true}
+	decision, _ := entry.Admit(wanted, nil, now)
+	suspect := entry.isSuspect(decision.Grant.Worker, 0, nil, now)
 	if suspect {
 		t.Fatal("hearsay went before our own outcomes")
 	}
 }
 
 // When everybody fails, most of the service is still asked.
-func TestMostOfAServiceIsAlwaysAsked(t *testing.T) {
+func TestMostOfAServiceStaysInUse(t *testing.T) {
 	workerList := []string{"a", "b", "c", "d", "e", "f"}
-	one := scheduler(t, 4, workerList...)
+	entry := scheduler(t, 4, workerList...)
 	now := second(2)
 	for _, worker := range workerList {
-		fails(one, worker, ResultErrored, now)
+		fails(entry, worker, ResultServerError, now)
 	}
 	open := 0
 	for _, worker := range workerList {
-		answer, _ := one.Admit(&Ask{Service: "s", Setpoint: 1, Among: map[string]bool{worker: true}}, nil, now)
-		if !one.apart(ask(0), one.Registry.ByService("s"), now)[worker] && answer.Verdict == VerdictGranted {
+		decision, _ := entry.Admit(&Request{Service: "s", Setpoint: 1, AllowedWorkers: map[string]bool{worker: true}}, nil, now)
+		if !entry.ejectedWorkers(ask(0), entry.Registry.ByService("s"), now)[worker] && decision.Verdict == VerdictGranted {
 			open++
 		}
 	}
--- a/internal/traffic/admission/displace_test.go
+++ b/internal/traffic/admission/preemption_test.go
@@ -14,13 +14,13 @@
 	t.Helper()
 
 	var grants []*Grant
-	for place := 0; place < count; place++ {
-		answer, _ := scheduler.Admit(&Ask{Service: "s", Bulk: bulk, Priority: priority, Setpoint: 1}, nil, clock.Instant(10+place))
-		if answer.Verdict != VerdictGranted {
-			t.Fatal("no place for number ", place)
+	for i := 0; i < count; i++ {
+		decision, _ := scheduler.Admit(&Request{Service: "s", Bulk: bulk, Priority: priority, Setpoint: 1}, nil, clock.Instant(10+i))
+		if decision.Verdict != VerdictGranted {
+			t.Fatal("no place for number ", i)
 		}
-		answer.Grant.MayYield(func() { *yielded = append(*yielded, place) })
-		grants = append(grants, answer.Grant)
+		decision.Grant.AllowPreemption(func() { *yielded = append(*yielded, i) })
+		grants = append(grants, decision.Grant)
 	}
 	return grants
 }
@@ -32,40 +32,40 @@
 	var yielded []int
 	items := fill(t, scheduler, int(constants.BatchCapacityShare*20), 2, true, &yielded)
 	for count := 0; count < 20+constants.QueueAheadMax-len(items); count++ {
-		if answer, _ := scheduler.Admit(ask(0), nil, 100); answer.Verdict != VerdictGranted {
+		if decision, _ := scheduler.Admit(ask(0), nil, 100); decision.Verdict != VerdictGranted {
 			t.Fatal("no room for live requests beside the items")
 		}
 	}
 	served := 0
-	answer, _ := scheduler.Admit(ask(0), func(late Answer) {
+	decision, _ := scheduler.Admit(ask(0), func(late Decision) {
 		if late.Verdict == VerdictGranted {
 			served++
 		}
 	}, 101)
-	if answer.Verdict != VerdictQueued || len(yielded) != 1 || yielded[0] != len(items)-1 {
-		t.Fatal(answer.Verdict, yielded)
+	if decision.Verdict != VerdictQueued || len(yielded) != 1 || yielded[0] != len(items)-1 {
+		t.Fatal(decision.Verdict, yielded)
 	}
 	// Asked once; its place is on the way and no second one is taken for it.
 	scheduler.PumpWaiting(102)
 	if len(yielded) != 1 {
 		t.Fatal("displaced twice for one request: ", yielded)
 	}
-	items[yielded[0]].End(ResultCalledOff, 103)
+	items[yielded[0]].End(ResultCanceled, 103)
 	if served != 1 {
 		t.Fatal("the place did not go to the one that waited")
 	}
 }
 
-func TestEqualAndHigherRanksAreNeverDisplaced(t *testing.T) {
+func TestEqualAndHigherRanksAreNeverPreempted(t *testing.T) {
 	scheduler := scheduler(t, 4, "w")
 	var yielded []int
 	fill(t, scheduler, 4+constants.QueueAheadMax, 1, false, &yielded)
-	scheduler.Admit(ask(1), func(Answer) {}, 100)
-	scheduler.Admit(ask(2), func(Answer) {}, 100)
+	scheduler.Admit(ask(1), func(Decision) {}, 100)
+	scheduler.Admit(ask(2), func(Decision) {}, 100)
 	if len(yielded) != 0 {
 		t.Fatal(yielded)
 	}
-	scheduler.Admit(ask(0), func(Answer) {}, 101)
+	scheduler.Admit(ask(0), func(Decision) {}, 101)
 	if len(yielded) != 1 {
 		t.Fatal("a stream of a lower rank did not yield")
 	}
@@ -77,7 +77,7 @@
 	var items, streams []int
 	fill(t, scheduler, 6, 1, true, &items)
 	fill(t, scheduler, 2+constants.QueueAheadMax, 3, false, &streams)
-	scheduler.Admit(ask(0), func(Answer) {}, 100)
+	scheduler.Admit(ask(0), func(Decision) {}, 100)
 	if len(items) != 1 || len(streams) != 0 {
 		t.Fatal(items, streams)
 	}
@@ -89,36 +89,36 @@
 	var yielded []int
 	const items = 20
 	fill(t, scheduler, items, 2, true, &yielded)
-	word := &messages.PressureNotice{From: "forge/x", Entries: []messages.Pressure{{Service: "s", Priority: 0, Waiting: 6}}}
-	scheduler.Pressed(word, 3, 100)
+	sample := &messages.PressureNotice{From: "forge/x", Entries: []messages.Pressure{{Service: "s", Priority: 0, Waiting: 6}}}
+	scheduler.YieldToPressure(sample, 3, 100)
 	if len(yielded) != 2 {
 		t.Fatal("want a third of six, got ", yielded)
 	}
-	word.Entries[0].Waiting = 1000
-	scheduler.Pressed(word, 1, 101)
+	sample.Entries[0].Waiting = 1000
+	scheduler.YieldToPressure(sample, 1, 101)
 	share, capacity := constants.PreemptionFloor, 40.0
 	floor := int(share*capacity) + 1
 	if len(yielded) != items-floor {
 		t.Fatalf("%d of %d yielded, the floor is %d", len(yielded), items, floor)
 	}
 	// While the pressure lasts no new items start; once it is stale they do.
-	if answer, _ := scheduler.Admit(&Ask{Service: "s", Bulk: true, Priority: 2}, nil, 102); answer.Verdict == VerdictGranted {
+	if decision, _ := scheduler.Admit(&Request{Service: "s", Bulk: true, Priority: 2}, nil, 102); decision.Verdict == VerdictGranted {
 		t.Fatal("an item started under pressure")
 	}
 	later := clock.Instant(101).Add(constants.PressureStale)
-	if answer, _ := scheduler.Admit(&Ask{Service: "s", Bulk: true, Priority: 2}, nil, later); answer.Verdict != VerdictGranted {
+	if decision, _ := scheduler.Admit(&Request{Service: "s", Bulk: true, Priority: 2}, nil, later); decision.Verdict != VerdictGranted {
 		t.Fatal("items wait for ever")
 	}
 }
 
 // A word at second hand holds new items back and takes no place from anybody.
-func TestNotedPressureHoldsNewItemsBack(t *testing.T) {
+func TestObservedPressureDelaysNewItems(t *testing.T) {
 	scheduler := scheduler(t, 40, "w")
 	var yielded []int
 	fill(t, scheduler, 20, 2, true, &yielded)
-	word := &messages.PressureNotice{From: "forge/x", Entries: []messages.Pressure{{Service: "s", Priority: 0, Waiting: 6}}}
-	scheduler.Noted(word, 100)
-	if answer, _ := scheduler.Admit(&Ask{Service: "s", Bulk: true, Priority: 2}, nil, 101); answer.Verdict == VerdictGranted {
+	sample := &messages.PressureNotice{From: "forge/x", Entries: []messages.Pressure{{Service: "s", Priority: 0, Waiting: 6}}}
+	scheduler.ObservePressure(sample, 100)
+	if decision, _ := scheduler.Admit(&Request{Service: "s", Bulk: true, Priority: 2}, nil, 101); decision.Verdict == VerdictGranted {
 		t.Fatal("an item started against a peer's pressure")
 	}
 	if len(yielded) != 0 {
@@ -126,44 +126,44 @@
 	}
 }
 
-func TestPressureIsToldOnceAPeriod(t *testing.T) {
+func TestPressureIsSentOnceAPeriod(t *testing.T) {
 	scheduler := scheduler(t, 1, "w")
-	told := 0
-	scheduler.OnPressure(func([]messages.Pressure) { told++ })
+	known := 0
+	scheduler.OnPressure(func([]messages.Pressure) { known++ })
 	for count := 0; count < 10; count++ {
-		scheduler.Admit(ask(0), func(Answer) {}, 100)
+		scheduler.Admit(ask(0), func(Decision) {}, 100)
 	}
-	if told != 1 {
-		t.Fatal("told ", told)
+	if known != 1 {
+		t.Fatal("told ", known)
 	}
 	scheduler.PumpWaiting(clock.Instant(100).Add(constants.PressurePeriod))
-	if told != 2 {
-		t.Fatal("told ", told)
+	if known != 2 {
+		t.Fatal("told ", known)
 	}
 }
 
 // A long prompt that a peer gave a worker counts as waiting there until it is read,
 // and items keep away from it.
 func TestPeersLongPromptIsAvoided(t *testing.T) {
-	one := scheduler(t, 8, "v", "w")
+	entry := scheduler(t, 8, "v", "w")
 	config, err := routeconfig.Parse([]byte(`{"generation":2,"backends":[{"name":"s","engine":{"capacity":8,"cache-tokens":1000}}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	one.SetConfig(config)
-	told := ""
-	one.OnReading(func(worker string, _ float64) { told = worker })
-	one.PeerReads(&messages.PrefillNotice{Worker: "v", Prefill: 100}, 10)
+	entry.SetConfig(config)
+	known := ""
+	entry.OnPrefill(func(worker string, _ float64) { known = worker })
+	entry.HandlePrefill(&messages.PrefillNotice{Worker: "v", Prefill: 100}, 10)
 	for count := 0; count < 4; count++ {
-		if answer, _ := one.Admit(ask(0), nil, 11); answer.Grant == nil || answer.Grant.Worker.ID != "w" {
+		if decision, _ := entry.Admit(ask(0), nil, 11); decision.Grant == nil || decision.Grant.Worker.ID != "w" {
 			t.Fatal("placed behind a long prompt")
 		}
 	}
 	later := clock.Instant(10).Add(clock.Milliseconds(100))
 	long := ask(0)
 	long.Affine, long.Prompt.Tokens = true, 10_000
-	answer, _ := one.Admit(long, nil, later)
-	if answer.Grant == nil || answer.Grant.Worker.ID != "v" || told != "v" {
-		t.Fatal("not placed on the free worker, or not told: ", told)
+	decision, _ := entry.Admit(long, nil, later)
+	if decision.Grant == nil || decision.Grant.Worker.ID != "v" || known != "v" {
+		t.Fatal("not placed on the free worker, or not told: ", known)
 	}
 }
--- a/internal/traffic/admission/pump.go
+++ b/internal/traffic/admission/pump.go
@@ -5,10 +5,10 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// someWait wakes whoever pumps; one word is enough.
-func (s *Scheduler) someWait() {
+// wakePump wakes whoever pumps; one word is enough.
+func (s *Scheduler) wakePump() {
 	select {
-	case s.waits <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
@@ -20,7 +20,7 @@
 		return false
 	}
 	s.Pump(now)
-	s.press(now)
+	s.applyPressure(now)
 	return s.waiting()
 }
 
@@ -30,14 +30,14 @@
 	return s.slab.Len() > 0
 }
 
-// KeepPumping looks at those that wait each period, and sleeps while nobody does: an
+// RunPump looks at those that wait each period, and sleeps while nobody does: an
 // idle process must not wake up for nothing.
-func (s *Scheduler) KeepPumping(stop <-chan struct{}) {
+func (s *Scheduler) RunPump(stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
 			return
-		case <-s.waits:
+		case <-s.wake:
 		}
 		for waiting := true; waiting; waiting = s.PumpWaiting(clock.Now()) {
 			select {
@@ -54,34 +54,34 @@
 func (s *Scheduler) Pump(now clock.Instant) {
 	type resumption struct {
 		one    *waiter
-		answer Answer
+		answer Decision
 	}
 	var resumed []resumption
 	s.lock.Lock()
 	for service, queue := range s.queues {
-		kept := queue[:0]
+		remaining := queue[:0]
 		blocked := false
 		for _, handle := range queue {
-			one, found := s.slab.Get(handle)
+			queued, found := s.slab.Get(handle)
 			if !found {
 				continue
 			}
-			answer := Answer{Verdict: VerdictNoRoom}
+			decision := Decision{Verdict: VerdictNoCapacity}
 			if !blocked {
-				answer = s.place(one.ask, now)
+				decision = s.selectWorker(queued.request, now)
 			}
-			if answer.Verdict == VerdictNoRoom && now < one.ask.Patience {
+			if decision.Verdict == VerdictNoCapacity && now < queued.request.QueueUntil {
 				blocked = true
-				kept = append(kept, handle)
+				remaining = append(remaining, handle)
 				continue
 			}
-			if answer.Verdict == VerdictNoRoom {
-				answer.Retry = s.retryAfter(one.ask)
+			if decision.Verdict == VerdictNoCapacity {
+				decision.Retry = s.retryAfter(queued.request)
 			}
 			s.slab.Take(handle)
-			resumed = append(resumed, resumption{one, answer})
+			resumed = append(resumed, resumption{queued, decision})
 		}
-		s.queues[service] = kept
+		s.queues[service] = remaining
 	}
 	s.lock.Unlock()
 	for _, each := range resumed {
--- a/internal/traffic/admission/pump_test.go
+++ b/internal/traffic/admission/pump_test.go
@@ -10,27 +10,27 @@
 // Nobody pumps an empty bench; one that waits is looked at until its patience ends,
 // and the next one that comes wakes the pump again.
 func TestPumpSleepsWhileNobodyWaits(t *testing.T) {
-	one := scheduler(t, 1, "w")
+	entry := scheduler(t, 1, "w")
 	stop, over := make(chan struct{}), make(chan struct{})
 	go func() {
-		one.KeepPumping(stop)
+		entry.RunPump(stop)
 		close(over)
 	}()
 	for count := 0; count < 1+constants.QueueAheadMax; count++ {
-		if answer, _ := one.Admit(ask(0), nil, clock.Now()); answer.Verdict != VerdictGranted {
-			t.Fatal(answer.Verdict)
+		if decision, _ := entry.Admit(ask(0), nil, clock.Now()); decision.Verdict != VerdictGranted {
+			t.Fatal(decision.Verdict)
 		}
 	}
 	for round := 0; round < 2; round++ {
-		refused := make(chan Answer, 1)
+		refused := make(chan Decision, 1)
 		waits := ask(0)
-		waits.Patience = clock.Now().Add(2 * constants.PumpPeriod)
-		if answer, _ := one.Admit(waits, func(late Answer) { refused <- late }, clock.Now()); answer.Verdict != VerdictQueued {
-			t.Fatal(answer.Verdict)
+		waits.QueueUntil = clock.Now().Add(2 * constants.PumpPeriod)
+		if decision, _ := entry.Admit(waits, func(late Decision) { refused <- late }, clock.Now()); decision.Verdict != VerdictQueued {
+			t.Fatal(decision.Verdict)
 		}
 		select {
 		case late := <-refused:
-			if late.Verdict != VerdictNoRoom {
+			if late.Verdict != VerdictNoCapacity {
 				t.Fatal(late.Verdict)
 			}
 		case <-clock.After(5_000_000_000):
@@ -39,7 +39,7 @@
 	}
 	close(stop)
 	<-over
-	if one.PumpWaiting(clock.Now()) || len(one.waits) != 0 {
+	if entry.PumpWaiting(clock.Now()) || len(entry.wake) != 0 {
 		t.Fatal("something still waits")
 	}
 }
--- a/internal/traffic/admission/reach.go
+++ b/internal/traffic/admission/reach.go
@@ -32,20 +32,20 @@
 
 // reach gives the workers that are weighed for an ask, and whether there are more.
 // The lock is held.
-func (s *Scheduler) reach(ask *Ask, all []messages.Worker, now clock.Instant) (some []messages.Worker, more bool) {
-	if ask.Bulk || len(all) <= constants.ReachAllUpTo {
+func (s *Scheduler) reach(req *Request, all []messages.Worker, now clock.Instant) (some []messages.Worker, more bool) {
+	if req.Bulk || len(all) <= constants.ReachAllUpTo {
 		// Items are placed by few processes, each of which needs the room of all.
 		return all, false
 	}
 	some = s.scratch.reach[:0]
-	for _, worker := range s.subset(ask.Service, all, now) {
+	for _, worker := range s.subset(req.Service, all, now) {
 		// A full one is no reason to wait while others are free elsewhere.
-		if s.Tracker.Of(worker.ID).Running(now) < worker.Capacity && !excluded(ask, worker.ID) {
+		if s.Tracker.Of(worker.ID).Running(now) < worker.Capacity && !isExcluded(req, worker.ID) {
 			some = append(some, worker)
 		}
 	}
-	if ask.Affine && ask.Prompt.Shared() >= constants.GossipPrefixLeast {
-		some = s.atHome(ask, all, some)
+	if req.Affine && req.Prompt.Shared() >= constants.GossipPrefixLeast {
+		some = s.addPrefixHolders(req, all, some)
 	}
 	s.scratch.reach = some
 	return some, true
@@ -54,9 +54,9 @@
 // subset draws the node's workers by rendezvous: who comes or goes changes nobody
 // else's, and all workers are drawn by about as many nodes.
 func (s *Scheduler) subset(service string, all []messages.Worker, now clock.Instant) []messages.Worker {
-	kept := s.subsets[service]
-	if kept.workerList != nil && now.Sub(kept.at) < constants.GossipPeriod {
-		return kept.workerList
+	remaining := s.subsets[service]
+	if remaining.workerList != nil && now.Sub(remaining.at) < constants.GossipPeriod {
+		return remaining.workerList
 	}
 	type ranked struct {
 		worker messages.Worker
@@ -64,12 +64,12 @@
 		draw   uint64
 	}
 	var good []ranked
-	listening := s.listening > 0 && now.Sub(s.listening) < constants.SuspectAfter
+	listening := s.controllerContactAt > 0 && now.Sub(s.controllerContactAt) < constants.SuspectAfter
 	for _, worker := range all {
 		if s.Registry.Status(worker.ID, now, listening) != workers.StatusHealthy || s.Tracker.Of(worker.ID).Suspect(now) {
 			continue
 		}
-		good = append(good, ranked{worker, worker.Zone == s.own.Zone, drawOf(s.own, worker.ID)})
+		good = append(good, ranked{worker, worker.Zone == s.own.Zone, rendezvousWeight(s.own, worker.ID)})
 	}
 	sort.Slice(good, func(left, right int) bool {
 		if good[left].near != good[right].near {
@@ -78,8 +78,8 @@
 		return good[left].draw > good[right].draw
 	})
 	fresh := subset{at: now}
-	for _, one := range good[:min(len(good), constants.ReachSubset)] {
-		fresh.workerList = append(fresh.workerList, one.worker)
+	for _, entry := range good[:min(len(good), constants.ReachSubset)] {
+		fresh.workerList = append(fresh.workerList, entry.worker)
 	}
 	if s.subsets == nil {
 		s.subsets = map[string]subset{}
@@ -88,8 +88,8 @@
 	return fresh.workerList
 }
 
-// drawOf is a node's draw for a worker; it weighs those with the highest.
-func drawOf(node messages.NodeInfo, worker string) uint64 {
+// rendezvousWeight is a node's draw for a worker; it weighs those with the highest.
+func rendezvousWeight(node messages.NodeInfo, worker string) uint64 {
 	sum := fnv.New64a()
 	sum.Write([]byte(worker))
 	sum.Write([]byte(node.Role))
@@ -98,9 +98,9 @@
 	return prefixindex.MixBits(sum.Sum64())
 }
 
-// DrawnBy gives those of some nodes of a worker's zone that weigh it by their draw,
+// NodesFor gives those of some nodes of a worker's zone that weigh it by their draw,
 // and whether nodes weigh a part of the workers at all.
-func (s *Scheduler) DrawnBy(worker string, nodes []messages.NodeInfo) (drawn []messages.NodeInfo, part bool) {
+func (s *Scheduler) NodesFor(worker string, nodes []messages.NodeInfo) (nodesFor []messages.NodeInfo, part bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	known, found := s.Registry.Get(worker)
@@ -115,17 +115,17 @@
 		if node.Zone != known.Zone {
 			continue
 		}
-		higher, own := 0, drawOf(node, worker)
+		higher, own := 0, rendezvousWeight(node, worker)
 		for _, other := range all {
-			if other.Zone == known.Zone && drawOf(node, other.ID) > own {
+			if other.Zone == known.Zone && rendezvousWeight(node, other.ID) > own {
 				higher++
 			}
 		}
 		if higher < constants.ReachSubset {
-			drawn = append(drawn, node)
+			nodesFor = append(nodesFor, node)
 		}
 	}
-	return drawn, true
+	return nodesFor, true
 }
 
 // ZoneOf gives the zone of a worker.
@@ -136,17 +136,17 @@
 	return known.Zone
 }
 
-// atHome adds the workers at which the prompt's prefix is at home or was seen.
-func (s *Scheduler) atHome(ask *Ask, all, some []messages.Worker) []messages.Worker {
+// addPrefixHolders adds the workers at which the prompt's prefix is at home or was seen.
+func (s *Scheduler) addPrefixHolders(req *Request, all, some []messages.Worker) []messages.Worker {
 	wanted := map[string]bool{}
 	ids := make([]string, len(all))
-	for place := range all {
-		ids[place] = all[place].ID
+	for i := range all {
+		ids[i] = all[i].ID
 	}
-	for _, worker := range s.Index.Homes(&ask.Prompt, ids, constants.ReachHomes) {
+	for _, worker := range s.Index.Homes(&req.Prompt, ids, constants.ReachHomes) {
 		wanted[worker] = true
 	}
-	for _, worker := range s.Index.Holders(&ask.Prompt, constants.ReachHomes) {
+	for _, worker := range s.Index.Holders(&req.Prompt, constants.ReachHomes) {
 		wanted[worker] = true
 	}
 	for _, worker := range some {
@@ -160,9 +160,9 @@
 	return some
 }
 
-// neutral is the mean load of those workers that there is evidence of: what one
+// meanLoad is the mean load of those workers that there is evidence of: what one
 // without any is taken for, or it would seem the emptiest. The lock is held.
-func (s *Scheduler) neutral(workerList []messages.Worker, now clock.Instant) int {
+func (s *Scheduler) meanLoad(workerList []messages.Worker, now clock.Instant) int {
 	total, count := 0, 0
 	for _, worker := range workerList {
 		if health := s.Tracker.Of(worker.ID); health.Known(now) {
--- a/internal/traffic/admission/reach_test.go
+++ b/internal/traffic/admission/reach_test.go
@@ -13,93 +13,93 @@
 )
 
 // manyWorkers registers sixty workers in four zones.
-func manyWorkers(one *Scheduler, capacity int) {
+func manyWorkers(entry *Scheduler, capacity int) {
 	var list []messages.Worker
-	for place := 0; place < 60; place++ {
-		list = append(list, messages.Worker{ID: fmt.Sprintf("i-%04d", place), Backend: "s", Address: "a",
-			Zone: fmt.Sprint("h", place%4), Capacity: capacity, CallCount: 1})
+	for i := 0; i < 60; i++ {
+		list = append(list, messages.Worker{ID: fmt.Sprintf("i-%04d", i), Backend: "s", Address: "a",
+			Zone: fmt.Sprint("h", i%4), Capacity: capacity, CallCount: 1})
 	}
-	one.Merge(list, 1)
+	entry.Merge(list, 1)
 }
 
 func node(name, zone string) *Scheduler {
-	one := New(messages.NodeInfo{Name: name, Role: membership.RoleGateway, Zone: zone}, 1_200_000_000)
+	entry := New(messages.NodeInfo{Name: name, Role: membership.RoleGateway, Zone: zone}, 1_200_000_000)
 	config, err := routeconfig.Parse([]byte(`{"generation":2,"backends":[{"name":"s","engine":{"capacity":4,"cache-tokens":200000}}]}`))
 	if err != nil {
 		panic(err)
 	}
-	one.SetConfig(config)
-	manyWorkers(one, 4)
-	return one
+	entry.SetConfig(config)
+	manyWorkers(entry, 4)
+	return entry
 }
 
 // What has no warm prefix goes to a few workers of the own zone, and to others only
 // once these are full.
 func TestShortPromptsStayInTheSubset(t *testing.T) {
-	one := node("n", "h1")
+	entry := node("n", "h1")
 	used := map[string]int{}
 	for count := 0; count < 4*constants.ReachSubset; count++ {
-		answer, _ := one.Admit(ask(0), nil, second(2)+clock.Instant(count))
-		if answer.Verdict != VerdictGranted || answer.Grant.Worker.Zone != "h1" {
-			t.Fatalf("number %d: %+v", count, answer)
+		decision, _ := entry.Admit(ask(0), nil, second(2)+clock.Instant(count))
+		if decision.Verdict != VerdictGranted || decision.Grant.Worker.Zone != "h1" {
+			t.Fatalf("number %d: %+v", count, decision)
 		}
-		used[answer.Grant.Worker.ID]++
+		used[decision.Grant.Worker.ID]++
 	}
 	if len(used) != constants.ReachSubset {
 		t.Fatalf("%d workers were used", len(used))
 	}
-	answer, _ := one.Admit(ask(0), nil, second(2)+100)
-	if answer.Verdict != VerdictGranted || used[answer.Grant.Worker.ID] > 0 {
-		t.Fatalf("waits behind its own few while others are free: %+v", answer)
+	decision, _ := entry.Admit(ask(0), nil, second(2)+100)
+	if decision.Verdict != VerdictGranted || used[decision.Grant.Worker.ID] > 0 {
+		t.Fatalf("waits behind its own few while others are free: %+v", decision)
 	}
 }
 
 // All workers are drawn by about as many nodes.
 func TestSubsetsSpread(t *testing.T) {
-	drawn := map[string]int{}
+	nodesFor := map[string]int{}
 	const nodes = 72
-	for place := 0; place < nodes; place++ {
-		one := node(fmt.Sprint("edge-", place), fmt.Sprint("h", place%4))
-		for _, worker := range one.subset("s", one.Registry.ByService("s"), second(2)) {
-			drawn[worker.ID]++
+	for i := 0; i < nodes; i++ {
+		entry := node(fmt.Sprint("edge-", i), fmt.Sprint("h", i%4))
+		for _, worker := range entry.subset("s", entry.Registry.ByService("s"), second(2)) {
+			nodesFor[worker.ID]++
 		}
 	}
 	mean := float64(nodes*constants.ReachSubset) / 60
-	for place := 0; place < 60; place++ {
-		if count := float64(drawn[fmt.Sprintf("i-%04d", place)]); count < 0.4*mean || count > 1.7*mean {
-			t.Fatalf("worker %d is drawn by %.0f nodes, the mean is %.1f", place, count, mean)
+	for i := 0; i < 60; i++ {
+		if count := float64(nodesFor[fmt.Sprintf("i-%04d", i)]); count < 0.4*mean || count > 1.7*mean {
+			t.Fatalf("worker %d is drawn by %.0f nodes, the mean is %.1f", i, count, mean)
 		}
 	}
 }
 
 // A long prefix is at home at the same workers for every node, in reach or not; a
 // worker that fails leaves the subset.
-func TestLongPrefixGoesHome(t *testing.T) {
-	long := func() *Ask {
-		return &Ask{Service: "s", Affine: true, Setpoint: 200_000_000, Patience: second(9), Prompt: prefixindex.Prompt{Tokens: 20_000,
+func TestLongPrefixIsPlacedAtItsHome(t *testing.T) {
+	long := func() *Request {
+		return &Request{Service: "s", Affine: true, Setpoint: 200_000_000, QueueUntil: second(9), Prompt: prefixindex.Prompt{Tokens: 20_000,
 			Parts: []prefixindex.Part{{Name: 77, Tokens: 18_000}, {Name: 78, Tokens: 2_000}}}}
 	}
 	home := ""
-	for place := 0; place < 12; place++ {
-		answer, _ := node(fmt.Sprint("edge-", place), fmt.Sprint("h", place%4)).Admit(long(), nil, second(2))
+	for i := 0; i < 12; i++ {
+		decision, _ := node(fmt.Sprint("edge-", i), fmt.Sprint("h", i%4)).Admit(long(), nil, second(2))
 		if home == "" {
-			home = answer.Grant.Worker.ID
+			home = decision.Grant.Worker.ID
 		}
-		if answer.Grant.Worker.ID != home {
-			t.Fatalf("node %d places at %s, others at %s", place, answer.Grant.Worker.ID, home)
+		if decision.Grant.Worker.ID != home {
+			t.Fatalf("node %d places at %s, others at %s", i, decision.Grant.Worker.ID, home)
 		}
 	}
 	// Where a peer's word says that it is held, it goes there rather than home.
-	one := node("edge-0", "h0")
+	entry := node("edge-0", "h0")
 	other := "i-0033"
-	word := messages.AppendPrefix(nil, messages.Residency{Path: []byte{0, 0, 0, 0, 0, 0, 0, 77}, Tokens: 18_000, Worker: other, Probability: 1})
-	one.Heard(&messages.Gossip{From: "forge/x", Prefixes: word}, second(2))
-	if answer, _ := one.Admit(long(), nil, second(2)+1); answer.Grant.Worker.ID != other {
-		t.Fatal("placed at ", answer.Grant.Worker.ID)
-	}
-	failed := one.subset("s", one.Registry.ByService("s"), second(2))[0].ID
-	one.Locked(func() { one.Tracker.Of(failed).RecordFailure(constants.EjectFor, second(4)) })
-	for _, worker := range one.subset("s", one.Registry.ByService("s"), second(4)) {
+	sample := messages.AppendPrefix(nil, messages.Residency{Path: []byte{0, 0, 0, 0, 0, 0, 0, 77}, Tokens: 18_000, Worker: other, Probability: 1})
+	entry.HandleGossip(&messages.Gossip{From: "forge/x", Prefixes: sample}, second(2))
+	if decision, _ := entry.Admit(long(), nil, second(2)+1); decision.Grant.Worker.ID != other {
+		t.Fatal("placed at ", decision.Grant.Worker.ID)
+	}
+	failed := entry.subset("s", entry.Registry.ByService("s"), second(2))[0].ID
+	entry.Locked(func() { entry.Tracker.Of(failed).RecordFailure(constants.EjectFor, second(4)) })
+	for _, worker := range entry.subset("s", entry.Registry.ByService("s"), second(4)) {
 		if worker.ID == failed {
 			t.Fatal("a failing worker stays in the subset")
 		}
@@ -107,21 +107,21 @@
 }
 
 // Those who draw a worker are the nodes in whose subset it is.
-func TestDrawnByAgreesWithSubsets(t *testing.T) {
+func TestNodesForAgreesWithSubsets(t *testing.T) {
 	var nodes []messages.NodeInfo
 	benches := map[string]*Scheduler{}
-	for place := 0; place < 20; place++ {
-		name := fmt.Sprint("edge-", place)
+	for i := 0; i < 20; i++ {
+		name := fmt.Sprint("edge-", i)
 		nodes = append(nodes, messages.NodeInfo{Name: name, Role: membership.RoleGateway, Zone: "h1"})
 		benches[name] = node(name, "h1")
 	}
-	one := benches["edge-0"]
-	drawn, part := one.DrawnBy("i-0001", nodes)
-	if !part || len(drawn) == 0 || len(drawn) == len(nodes) {
-		t.Fatal(len(drawn), part)
+	current := benches["edge-0"]
+	nodesFor, part := current.NodesFor("i-0001", nodes)
+	if !part || len(nodesFor) == 0 || len(nodesFor) == len(nodes) {
+		t.Fatal(len(nodesFor), part)
 	}
 	holding := map[string]bool{}
-	for _, entry := range drawn {
+	for _, entry := range nodesFor {
 		holding[entry.Name] = true
 	}
 	for name, scheduler := range benches {
@@ -133,30 +133,30 @@
 			t.Fatalf("%s weighs it: %v, told: %v", name, has, holding[name])
 		}
 	}
-	if small, part := scheduler(t, 4, "w").DrawnBy("w", nodes); part || len(small) > 0 {
+	if small, part := scheduler(t, 4, "w").NodesFor("w", nodes); part || len(small) > 0 {
 		t.Fatal("a small service has no parts")
 	}
 }
 
 // One full worker of two says little of the other, which must not stand idle.
 func TestNobodyIsFullOnAGuessFromFew(t *testing.T) {
-	one := scheduler(t, 4, "v", "w")
-	one.Heard(&messages.Gossip{From: "forge/x", Loads: load("v", 6, 0)}, second(2))
-	if answer, _ := one.Admit(ask(0), nil, second(2)); answer.Verdict != VerdictGranted || answer.Grant.Worker.ID != "w" {
+	entry := scheduler(t, 4, "v", "w")
+	entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: load("v", 6, 0)}, second(2))
+	if decision, _ := entry.Admit(ask(0), nil, second(2)); decision.Verdict != VerdictGranted || decision.Grant.Worker.ID != "w" {
 		t.Fatal("refused while a worker stands idle")
 	}
 }
 
 // A worker of which nothing is known seems neither empty nor full.
 func TestUnknownLoadIsTakenAtTheMean(t *testing.T) {
-	one := scheduler(t, 4, "v", "w", "x")
+	entry := scheduler(t, 4, "v", "w", "x")
 	for _, worker := range []string{"v", "w"} {
-		one.Heard(&messages.Gossip{From: "forge/x", Loads: load(worker, 6, 0)}, second(2))
+		entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: load(worker, 6, 0)}, second(2))
 	}
-	if answer, _ := one.Admit(ask(0), nil, second(2)); answer.Verdict == VerdictGranted {
+	if decision, _ := entry.Admit(ask(0), nil, second(2)); decision.Verdict == VerdictGranted {
 		t.Fatal("a worker without evidence was taken for an empty one")
 	}
-	if answer, _ := one.Admit(ask(0), nil, second(2).Add(constants.GossipStale)); answer.Verdict != VerdictGranted {
+	if decision, _ := entry.Admit(ask(0), nil, second(2).Add(constants.GossipStale)); decision.Verdict != VerdictGranted {
 		t.Fatal("what is taken from stale words still counts")
 	}
 }
--- a/internal/traffic/admission/place_bench_test.go
+++ b/internal/traffic/admission/selectworker_bench_test.go
@@ -14,22 +14,22 @@
 func BenchmarkPlacement(b *testing.B) {
 	for _, count := range []int{18, 60, 600} {
 		b.Run(fmt.Sprint(count, "-workers"), func(b *testing.B) {
-			one := New(messages.NodeInfo{Name: "n", Role: membership.RoleGateway, Zone: "h0"}, 1_200_000_000)
+			entry := New(messages.NodeInfo{Name: "n", Role: membership.RoleGateway, Zone: "h0"}, 1_200_000_000)
 			config, err := routeconfig.Parse([]byte(`{"generation":2,"backends":[{"name":"s","engine":{"capacity":16,"cache-tokens":200000}}]}`))
 			if err != nil {
 				b.Fatal(err)
 			}
-			one.SetConfig(config)
+			entry.SetConfig(config)
 			var list []messages.Worker
-			for place := 0; place < count; place++ {
-				list = append(list, messages.Worker{ID: fmt.Sprintf("i-%04d", place), Backend: "s", Zone: fmt.Sprint("h", place%4), Capacity: 16, CallCount: 1})
+			for i := 0; i < count; i++ {
+				list = append(list, messages.Worker{ID: fmt.Sprintf("i-%04d", i), Backend: "s", Zone: fmt.Sprint("h", i%4), Capacity: 16, CallCount: 1})
 			}
-			one.Merge(list, 1)
+			entry.Merge(list, 1)
 			b.ReportAllocs()
 			for number := 0; b.Loop(); number++ {
 				now := clock.Instant(number+1) * 1_000_000
-				answer, _ := one.Admit(ask(0), nil, now)
-				answer.Grant.End(ResultServed, now+1000)
+				decision, _ := entry.Admit(ask(0), nil, now)
+				decision.Grant.End(ResultServed, now+1000)
 			}
 		})
 	}
@@ -39,23 +39,23 @@
 func BenchmarkGossip(b *testing.B) {
 	for _, count := range []int{18, 60, 600} {
 		b.Run(fmt.Sprint(count, "-workers"), func(b *testing.B) {
-			one := New(messages.NodeInfo{Name: "n", Role: membership.RoleGateway, Zone: "h0"}, 1_200_000_000)
+			entry := New(messages.NodeInfo{Name: "n", Role: membership.RoleGateway, Zone: "h0"}, 1_200_000_000)
 			var list []messages.Worker
-			for place := 0; place < count; place++ {
-				list = append(list, messages.Worker{ID: fmt.Sprintf("i-%04d", place), Backend: "s", Zone: fmt.Sprint("h", place%4), Capacity: 16, CallCount: 1})
+			for i := 0; i < count; i++ {
+				list = append(list, messages.Worker{ID: fmt.Sprintf("i-%04d", i), Backend: "s", Zone: fmt.Sprint("h", i%4), Capacity: 16, CallCount: 1})
 			}
-			one.Merge(list, 1)
+			entry.Merge(list, 1)
 			b.ReportAllocs()
 			for number := 1; b.Loop(); number++ {
 				now := second(number)
 				for peer := 0; peer < 4; peer++ {
 					packet := &messages.Gossip{From: fmt.Sprint("forge/", peer)}
-					for place := 0; place < min(count, 144); place++ {
-						packet.Loads = messages.AppendLoad(packet.Loads, messages.LoadSample{WorkerHash: messages.WorkerHash(list[(place+peer*144)%count].ID), Running: 5, Health: messages.HealthUnknown})
+					for i := 0; i < min(count, 144); i++ {
+						packet.Loads = messages.AppendLoad(packet.Loads, messages.LoadSample{WorkerHash: messages.WorkerHash(list[(i+peer*144)%count].ID), Running: 5, Health: messages.HealthUnknown})
 					}
-					one.Heard(packet, now)
+					entry.HandleGossip(packet, now)
 				}
-				one.Gossip(now + 1)
+				entry.MakeGossip(now + 1)
 			}
 		})
 	}
--- a/internal/traffic/admission/slab.go
+++ b/internal/traffic/admission/slab.go
@@ -3,7 +3,7 @@
 // Handle names a place in a slab together with its generation, so that a late
 // call for a place that was given to another is known.
 type Handle struct {
-	place      int
+	index      int
 	generation uint32
 }
 
@@ -24,11 +24,11 @@
 func (s *Slab[Value]) Put(value Value) Handle {
 	s.used++
 	if count := len(s.free); count > 0 {
-		place := s.free[count-1]
+		i := s.free[count-1]
 		s.free = s.free[:count-1]
-		one := &s.cells[place]
-		one.taken, one.value = true, value
-		return Handle{place, one.generation}
+		entry := &s.cells[i]
+		entry.taken, entry.value = true, value
+		return Handle{i, entry.generation}
 	}
 	s.cells = append(s.cells, cell[Value]{taken: true, value: value})
 	return Handle{len(s.cells) - 1, 0}
@@ -36,9 +36,9 @@
 
 // Get finds a value; it is gone once taken.
 func (s *Slab[Value]) Get(handle Handle) (Value, bool) {
-	if handle.place < len(s.cells) {
-		if one := &s.cells[handle.place]; one.taken && one.generation == handle.generation {
-			return one.value, true
+	if handle.index < len(s.cells) {
+		if entry := &s.cells[handle.index]; entry.taken && entry.generation == handle.generation {
+			return entry.value, true
 		}
 	}
 	var nothing Value
@@ -51,10 +51,10 @@
 	value, found := s.Get(handle)
 	if found {
 		var nothing Value
-		one := &s.cells[handle.place]
-		one.value, one.taken = nothing, false
-		one.generation++
-		s.free = append(s.free, handle.place)
+		entry := &s.cells[handle.index]
+		entry.value, entry.taken = nothing, false
+		entry.generation++
+		s.free = append(s.free, handle.index)
 		s.used--
 	}
 	return value, found
--- a/internal/traffic/admission/workers.go
+++ b/internal/traffic/admission/workers.go
@@ -5,18 +5,18 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Judged takes a controller's list of the workers that are silent. It says, too, that a
+// HandleOverdue takes a controller's list of the workers that are silent. It says, too, that a
 // controller was heard.
-func (s *Scheduler) Judged(silent []messages.Overdue, now clock.Instant) {
+func (s *Scheduler) HandleOverdue(silent []messages.Overdue, now clock.Instant) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.listening = now
+	s.controllerContactAt = now
 	s.Registry.ApplyOverdue(silent, now)
 	s.Registry.Forget(now)
 }
 
-// Table stands for the workers known here.
-func (s *Scheduler) Table() messages.Digest {
+// WorkersDigest stands for the workers known here.
+func (s *Scheduler) WorkersDigest() messages.Digest {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.Registry.Digest(s.own.Incarnation)
--- a/internal/traffic/gateway/gateway.go
+++ b/internal/traffic/gateway/gateway.go
@@ -76,7 +76,7 @@
 		clock.Sleep(constants.PumpPeriod)
 	}
 	err = g.serve(listener)
-	if errors.Is(err, http.ErrServerClosed) || g.Proxy.Leaving.Load() {
+	if errors.Is(err, http.ErrServerClosed) || g.Proxy.Draining.Load() {
 		return nil
 	}
 	return process.ErrUnavailable.Wrap(err, "ingress")
@@ -103,7 +103,7 @@
 func (g *Gateway) readiness(writer http.ResponseWriter, _ *http.Request) {
 	workerList := 0
 	g.Gossip.Scheduler.Locked(func() { workerList = len(g.Gossip.Scheduler.Registry.All(clock.Now())) })
-	if g.Proxy.Leaving.Load() || !g.settled.Load() || workerList == 0 {
+	if g.Proxy.Draining.Load() || !g.settled.Load() || workerList == 0 {
 		httpreply.Text(writer, http.StatusServiceUnavailable, "not ready")
 		return
 	}
@@ -113,7 +113,7 @@
 // Shutdown drains: it says that it is not ready, still serves the connections that
 // come until the platform has seen it, ends what is under way, and stops.
 func (g *Gateway) Shutdown() {
-	g.Proxy.Leaving.Store(true)
+	g.Proxy.Draining.Store(true)
 	g.Node.Drain()
 	started := clock.Now()
 	end := started.Add(g.Node.Settings.Grace() - constants.ShutdownMargin)
@@ -124,7 +124,7 @@
 		clock.Sleep(constants.PumpPeriod)
 	}
 	counts := &g.Proxy.Counts
-	g.Node.Log.Info("drained", "served", counts.Served.Load(), "refused", counts.Refused.Load(), "failed", counts.Failed.Load(),
+	g.Node.Log.Info("drained", "served", counts.Served.Load(), "refused", counts.Rejected.Load(), "failed", counts.Failed.Load(),
 		"resumed", counts.Resumed.Load(), "cut", counts.CutOff.Load())
 	g.Node.Shutdown()
 	for _, server := range []*http.Server{g.ingress.Load(), g.ready.Load()} {
--- a/internal/traffic/loadgossip/ejection.go
+++ b/internal/traffic/loadgossip/ejection.go
@@ -5,9 +5,9 @@
 // logEjection writes a line when a worker is ejected from ordinary placement here, and
 // when a request that went well has brought it back.
 func (g *Gossip) logEjection(ejection admission.Ejection) {
-	if ejection.For == 0 {
+	if ejection.Duration == 0 {
 		g.Node.Log.Info("worker returned", "worker", ejection.Worker, "service", ejection.Service)
 		return
 	}
-	g.Node.Log.Info("worker ejected", "worker", ejection.Worker, "service", ejection.Service, "reason", ejection.Why, "for-ms", ejection.For.Milliseconds())
+	g.Node.Log.Info("worker ejected", "worker", ejection.Worker, "service", ejection.Service, "reason", ejection.Reason, "for-ms", ejection.Duration.Milliseconds())
 }
--- a/internal/traffic/loadgossip/gossip.go
+++ b/internal/traffic/loadgossip/gossip.go
@@ -18,7 +18,7 @@
 
 // gossipRound tells what changed most to a few neighbours, and now and then to another zone.
 func (g *Gossip) gossipRound() {
-	packet := g.Scheduler.Gossip(clock.Now())
+	packet := g.Scheduler.MakeGossip(clock.Now())
 	packet.Generation = g.Node.Generation()
 	peers := g.refreshPeers()
 	recipients := append([]messages.NodeInfo(nil), peers.gossipPeers...)
@@ -44,7 +44,7 @@
 
 func (g *Gossip) handleGossip(packet *messages.Gossip) (*messages.Ack, error) {
 	now := clock.Now()
-	g.Scheduler.Heard(packet, now)
+	g.Scheduler.HandleGossip(packet, now)
 	g.lock.Lock()
 	g.replyPeers.observe(packet, now)
 	g.lock.Unlock()
@@ -70,9 +70,9 @@
 func (g *Gossip) handlePressure(notice *messages.PressureNotice) (*messages.Ack, error) {
 	now := clock.Now()
 	if notice.Sharers > 0 {
-		g.Scheduler.Pressed(notice, notice.Sharers, now)
+		g.Scheduler.YieldToPressure(notice, notice.Sharers, now)
 	} else {
-		g.Scheduler.Noted(notice, now)
+		g.Scheduler.ObservePressure(notice, now)
 	}
 	if notice.Hops > 0 && g.mayForward(now) {
 		// Who has it at second hand starts nothing new for a while; the places
--- a/internal/traffic/loadgossip/loadgossip.go
+++ b/internal/traffic/loadgossip/loadgossip.go
@@ -43,7 +43,7 @@
 	process.Handle(runtime.Runtime, messages.KindPressure, gossip.handlePressure)
 	gossip.Scheduler.OnPressure(gossip.notifyPressure)
 	process.Handle(runtime.Runtime, messages.KindPrefill, gossip.handlePrefill)
-	gossip.Scheduler.OnReading(gossip.notifyPrefill)
+	gossip.Scheduler.OnPrefill(gossip.notifyPrefill)
 	gossip.Scheduler.OnEjection(gossip.logEjection)
 	gossip.registerReports()
 	runtime.OnConfig(func(config *routeconfig.Config) { gossip.Scheduler.SetConfig(config) })
@@ -55,6 +55,6 @@
 	stop := g.Node.Stop
 	go g.syncWorkers()
 	go clock.Every(constants.GossipPeriod, stop, g.gossipRound)
-	go g.Scheduler.KeepPumping(stop)
+	go g.Scheduler.RunPump(stop)
 	go clock.Every(constants.GossipPeriod/2, stop, func() { proxy.SweepConnections(g.Pool, g.Scheduler) })
 }
--- a/internal/traffic/loadgossip/prefill.go
+++ b/internal/traffic/loadgossip/prefill.go
@@ -23,14 +23,14 @@
 	peers := g.currentPeers()
 	zone := g.Scheduler.ZoneOf(notice.Worker)
 	if zone == g.Node.Self.Zone {
-		selected, part := g.Scheduler.DrawnBy(notice.Worker, peers.sameZone)
+		selected, part := g.Scheduler.NodesFor(notice.Worker, peers.sameZone)
 		if !part {
 			selected = peers.prefillPeers
 		}
 		g.notifyAll(selected[:min(len(selected), constants.ReadingFanout)], messages.KindPrefill, notice)
 		return
 	}
-	if _, part := g.Scheduler.DrawnBy(notice.Worker, nil); !part {
+	if _, part := g.Scheduler.NodesFor(notice.Worker, nil); !part {
 		g.notifyAll(peers.prefillPeers, messages.KindPrefill, notice)
 		return
 	}
@@ -47,7 +47,7 @@
 }
 
 func (g *Gossip) handlePrefill(notice *messages.PrefillNotice) (*messages.Ack, error) {
-	g.Scheduler.PeerReads(notice, clock.Now())
+	g.Scheduler.HandlePrefill(notice, clock.Now())
 	if notice.Forward {
 		forwarded := *notice
 		forwarded.Forward = false
--- a/internal/traffic/loadgossip/report.go
+++ b/internal/traffic/loadgossip/report.go
@@ -31,7 +31,7 @@
 			status.Rows = append(status.Rows, []string{worker.ID, worker.Backend, worker.Zone, worker.Phase.String(),
 				statusNames[scheduler.Registry.Status(worker.ID, now, true)], formatInt(worker.AgeMs), formatInt(health.Own() - health.OwnBulk()),
 				formatInt(health.OwnBulk()), formatInt(health.Running(now)), formatInt(worker.Capacity), strconv.FormatBool(health.Suspect(now)),
-				formatInt(answers), formatInt(failures), scheduler.TrustWord(worker, now)})
+				formatInt(answers), formatInt(failures), scheduler.OutcomeSummary(worker, now)})
 		}
 	})
 	return status
@@ -54,7 +54,7 @@
 
 func (g *Gossip) reportDisplacement() *messages.StatusResponse {
 	status := &messages.StatusResponse{Columns: []string{"route", "displaced", "resumed", "finished"}}
-	tallies := g.Scheduler.Tallies()
+	tallies := g.Scheduler.AllCounters()
 	routes := make([]string, 0, len(tallies))
 	for route := range tallies {
 		routes = append(routes, route)
@@ -69,7 +69,7 @@
 
 // logDisplacement writes a line for each route whose counts have changed.
 func (g *Gossip) logDisplacement() {
-	for route, counters := range g.Scheduler.Tallies() {
+	for route, counters := range g.Scheduler.AllCounters() {
 		displaced := counters.Displaced.Load()
 		if sum := displaced + counters.Resumed.Load() + counters.Finished.Load(); sum != g.logged[route] {
 			g.logged[route] = sum
--- a/internal/traffic/loadgossip/staleness_test.go
+++ b/internal/traffic/loadgossip/staleness_test.go
@@ -88,7 +88,7 @@
 
 // gossip is one node's second.
 func (f *fleet) gossip(node *simNode, now clock.Instant) {
-	packet := node.scheduler.Gossip(now)
+	packet := node.scheduler.MakeGossip(now)
 	peers := selectPeers(node.own, node.view.All("", now))
 	peers.population = len(f.nodes)
 	if node.ties.hasFewSenders(now) {
@@ -108,7 +108,7 @@
 		if !other.paused {
 			other.heard++
 			other.ties.observe(packet, now)
-			other.scheduler.Heard(packet, now.Add(clock.Milliseconds(1)))
+			other.scheduler.HandleGossip(packet, now.Add(clock.Milliseconds(1)))
 		}
 	}
 }
--- a/internal/traffic/loadgossip/workers.go
+++ b/internal/traffic/loadgossip/workers.go
@@ -73,11 +73,11 @@
 	if resp.Workers.Incarnation == 0 {
 		return
 	}
-	if since, pull := g.workerTables.needsPull(address, resp.Workers, g.Scheduler.Table()); pull {
+	if since, pull := g.workerTables.needsPull(address, resp.Workers, g.Scheduler.WorkersDigest()); pull {
 		g.pullWorkers(address, since)
 	}
 	if resp.OverdueComplete {
-		g.Scheduler.Judged(resp.Overdue, clock.Now())
+		g.Scheduler.HandleOverdue(resp.Overdue, clock.Now())
 	}
 }
 
--- a/internal/traffic/proxy/bounds_test.go
+++ b/internal/traffic/proxy/bounds_test.go
@@ -25,7 +25,7 @@
 // Whatever befalls a request at its workers, in whichever order: one try of a client
 // reaches no more of them than its route allows, and a failure that bears a worker's seal
 // bears that worker's status.
-func TestTriesBoundTheWorkers(t *testing.T) {
+func TestAttemptsBoundTheWorkers(t *testing.T) {
 	var names []string
 	for name := range failures {
 		names = append(names, name)
@@ -33,18 +33,18 @@
 	for seed := range int64(24) {
 		random := rand.New(rand.NewSource(seed))
 		for _, path := range []string{"/safe/x", "/stream/x", "/once/x", "/rigid/x"} {
-			var workers []*standIn
+			var workers []*workerStub
 			drawn := ""
-			for place := range 5 {
+			for i := range 5 {
 				name := names[random.Intn(len(names))]
 				drawn += " " + name
-				workers = append(workers, newStandIn(t, fmt.Sprint("w", place), func(_ int, _ *http.Request, connection net.Conn) {
+				workers = append(workers, newWorkerStub(t, fmt.Sprint("w", i), func(_ int, _ *http.Request, connection net.Conn) {
 					write(connection, failures[name])
 					connection.Close()
 				}))
 			}
 			server, _ := edge(t, workers...)
-			answer, _, err := ask(t, server, path, nil)
+			resp, _, err := ask(t, server, path, nil)
 			reached := 0
 			for _, worker := range workers {
 				reached += min(worker.seen(), 1)
@@ -56,8 +56,8 @@
 				continue
 			}
 			seals := map[string]int{"failed": http.StatusInternalServerError, "away": http.StatusServiceUnavailable}
-			if status, sealed := seals[answer.Header.Get(headerSeal)]; sealed && status != answer.StatusCode {
-				t.Errorf("%s%s: status %d under the seal %q", path, drawn, answer.StatusCode, answer.Header.Get(headerSeal))
+			if status, sealed := seals[resp.Header.Get(headerSeal)]; sealed && status != resp.StatusCode {
+				t.Errorf("%s%s: status %d under the seal %q", path, drawn, resp.StatusCode, resp.Header.Get(headerSeal))
 			}
 		}
 	}
@@ -70,24 +70,24 @@
 		for _, share := range []int{0, 20, 60, 95} {
 			t.Run(fmt.Sprint(path, share), func(t *testing.T) {
 				t.Parallel()
-				hold := make(chan struct{})
-				t.Cleanup(func() { close(hold) })
+				wait := make(chan struct{})
+				t.Cleanup(func() { close(wait) })
 				script := func(_ int, request *http.Request, connection net.Conn) {
 					text := streamHead(request) + chunk(event(1)) + chunk(event(2)) + "0\r\n\r\n"
 					if !strings.HasPrefix(path, "/stream") && !strings.HasPrefix(path, "/rigid") {
 						text = wellDone(request, "done")
 					}
 					write(connection, text[:len(text)*share/100])
-					<-hold
+					<-wait
 				}
-				server, proxyServer := edge(t, newStandIn(t, "w1", script), newStandIn(t, "w2", script), newStandIn(t, "w3", script))
-				shorten(t, proxyServer)
+				server, proxy := edge(t, newWorkerStub(t, "w1", script), newWorkerStub(t, "w2", script), newWorkerStub(t, "w3", script))
+				shorten(t, proxy)
 				// A machine that stands still holds everybody: only what is late each time is.
 				const cutoffMs, tries = 300, 3
 				for try := 1; ; try++ {
-					begun := clock.Now()
+					started := clock.Now()
 					_, _, _ = ask(t, server, path, map[string]string{headerAttempt: fmt.Sprint("try-", try)})
-					took := clock.Now().Sub(begun)
+					took := clock.Now().Sub(started)
 					if took < clock.Milliseconds(cutoffMs+250) {
 						break
 					}
@@ -101,24 +101,24 @@
 }
 
 // shorten sets a newer configuration, in which each route has 300 ms.
-func shorten(t *testing.T, proxyServer *Proxy) {
+func shorten(t *testing.T, proxy *Proxy) {
 	t.Helper()
 
 	text := strings.Replace(testConfig, `"generation":1`, `"generation":2`, 1)
 	for _, cutoff := range []string{"3000", "700", "4000", "2000"} {
 		text = strings.Replace(text, `"cutoff-ms":`+cutoff, `"cutoff-ms":300`, 1)
 	}
-	setConfig(t, proxyServer, text)
+	setConfig(t, proxy, text)
 }
 
-func setConfig(t *testing.T, proxyServer *Proxy, text string) {
+func setConfig(t *testing.T, proxy *Proxy, text string) {
 	t.Helper()
 
 	config, err := routeconfig.Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !proxyServer.SetConfig(config) {
+	if !proxy.SetConfig(config) {
 		t.Fatal("the configuration was not taken")
 	}
 }
@@ -126,31 +126,31 @@
 // A configuration that drops the routes and the service cuts nothing that runs.
 func TestConfigurationCutsNothing(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/stream/x", "/once/x", "/rigid/x"} {
-		half, whole := make(chan struct{}), make(chan struct{})
-		worker := newStandIn(t, "w1", func(_ int, request *http.Request, connection net.Conn) {
+		half, complete := make(chan struct{}), make(chan struct{})
+		worker := newWorkerStub(t, "w1", func(_ int, request *http.Request, connection net.Conn) {
 			if strings.HasPrefix(path, "/stream") || strings.HasPrefix(path, "/rigid") {
 				write(connection, streamHead(request)+chunk(event(1)))
 				close(half)
-				<-whole
+				<-complete
 				write(connection, chunk(event(2))+"0\r\n\r\n")
 				return
 			}
 			close(half)
-			<-whole
+			<-complete
 			write(connection, wellDone(request, "for attempt-1"))
 		})
-		server, proxyServer := edge(t, worker)
+		server, proxy := edge(t, worker)
 		ended := make(chan error, 1)
 		go func() {
-			answer, body, err := ask(t, server, path, nil)
-			if err == nil && (answer.StatusCode != 200 || body != wholeAnswer(path, "attempt-1")) {
-				err = fmt.Errorf("%d %q", answer.StatusCode, body)
+			resp, body, err := ask(t, server, path, nil)
+			if err == nil && (resp.StatusCode != 200 || body != completeResponse(path, "attempt-1")) {
+				err = fmt.Errorf("%d %q", resp.StatusCode, body)
 			}
 			ended <- err
 		}()
 		<-half
-		setConfig(t, proxyServer, `{"generation":9,"channels":[],"backends":[],"limits":{"max-header-bytes":8192,"max-body-bytes":1000,"header-wait-ms":30,"idle-ms":50}}`)
-		close(whole)
+		setConfig(t, proxy, `{"generation":9,"channels":[],"backends":[],"limits":{"max-header-bytes":8192,"max-body-bytes":1000,"header-wait-ms":30,"idle-ms":50}}`)
+		close(complete)
 		if err := <-ended; err != nil {
 			t.Errorf("%s: %v", path, err)
 		}
--- a/internal/traffic/proxy/core_test.go
+++ b/internal/traffic/proxy/core_test.go
@@ -23,17 +23,17 @@
 		head = head || events
 		sent = sent || head
 		notRun = notRun && sent
-		decision := May(route, resumable, Evidence{Sent: sent, NotRun: notRun, Events: events, Head: head})
+		decision := DecideRetry(route, resumable, Evidence{Sent: sent, NotRun: notRun, Events: events, Head: head})
 		streams := route == messages.RouteStreaming || route == messages.RouteBulk
-		repeatable := route == messages.RouteIdempotent || (streams && resumable)
+		retryable := route == messages.RouteIdempotent || (streams && resumable)
 		switch {
-		case decision == RepeatAnew && head:
+		case decision == RetryFromStart && head:
 			return false
-		case decision == RepeatAnew && sent && !notRun && !repeatable:
+		case decision == RetryFromStart && sent && !notRun && !retryable:
 			return false
-		case decision == RepeatFrom:
+		case decision == RetryFromEvent:
 			return streams && resumable && head
-		case decision == RepeatNever && !head && (!sent || notRun || repeatable):
+		case decision == RetryNever && !head && (!sent || notRun || retryable):
 			return false
 		}
 		return true
@@ -44,14 +44,14 @@
 func event(id int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id) }
 
 // However the bytes are cut, the same whole events come out.
-func TestSplitterAtEveryCut(t *testing.T) {
+func TestSplitterAtEveryOffset(t *testing.T) {
 	text := "lemonarch-weight-versions: 3\n" + event(4) + event(5) + event(6)
-	for cut := 0; cut <= len(text); cut++ {
+	for found := 0; found <= len(text); found++ {
 		splitter := &Splitter{Next: 4}
-		first, follows := splitter.Feed([]byte(text[:cut]))
-		second, alsoFollows := splitter.Feed([]byte(text[cut:]))
+		first, follows := splitter.Feed([]byte(text[:found]))
+		second, alsoFollows := splitter.Feed([]byte(text[found:]))
 		if !follows || !alsoFollows || string(first)+string(second) != text || len(splitter.Rest()) > 0 || splitter.Last != 6 {
-			t.Fatalf("cut at %d: %q %q", cut, first, second)
+			t.Fatalf("cut at %d: %q %q", found, first, second)
 		}
 	}
 }
@@ -66,9 +66,9 @@
 }
 
 func TestData(t *testing.T) {
-	pieces := Data([]byte(event(1) + "id: 2\ndata: a\ndata: b\n\n"))
-	if len(pieces) != 2 || string(pieces[0]) != "piece 1" || string(pieces[1]) != "a\nb" {
-		t.Fatalf("%q", pieces)
+	parts := Data([]byte(event(1) + "id: 2\ndata: a\ndata: b\n\n"))
+	if len(parts) != 2 || string(parts[0]) != "piece 1" || string(parts[1]) != "a\nb" {
+		t.Fatalf("%q", parts)
 	}
 }
 
@@ -82,8 +82,8 @@
 	header.Set("Lemonarch-Time-Left-Ms", "50")
 	header.Set("Lemonarch-Target-Worker", "smuggled")
 	header.Set("Lemonarch-Attempt-Id", "id")
-	passed := Passed(header)
-	if len(passed) != 2 || passed.Get("X-Kept") != "2" || passed.Get("Lemonarch-Attempt-Id") != "id" {
-		t.Fatal(passed)
+	forwarded := ForwardedHeader(header)
+	if len(forwarded) != 2 || forwarded.Get("X-Kept") != "2" || forwarded.Get("Lemonarch-Attempt-Id") != "id" {
+		t.Fatal(forwarded)
 	}
 }
--- a/internal/traffic/proxy/events.go
+++ b/internal/traffic/proxy/events.go
@@ -21,7 +21,7 @@
 
 // Feed takes bytes and gives the whole events among them; false means that the
 // ids do not follow each other.
-func (s *Splitter) Feed(text []byte) (whole []byte, follows bool) {
+func (s *Splitter) Feed(text []byte) (complete []byte, follows bool) {
 	s.rest = append(s.rest, text...)
 	end := 0
 	for {
@@ -39,9 +39,9 @@
 }
 
 func (s *Splitter) take(end int) []byte {
-	whole := s.rest[:end:end]
+	complete := s.rest[:end:end]
 	s.rest = append([]byte(nil), s.rest[end:]...)
-	return whole
+	return complete
 }
 
 func (s *Splitter) follow(event []byte) bool {
@@ -80,7 +80,7 @@
 
 // Data joins the data lines of whole events, each event's own line by line feeds.
 func Data(events []byte) [][]byte {
-	var pieces [][]byte
+	var parts [][]byte
 	for _, event := range bytes.Split(events, blank) {
 		var lines [][]byte
 		found := false
@@ -91,8 +91,8 @@
 			}
 		}
 		if found {
-			pieces = append(pieces, bytes.Join(lines, []byte("\n")))
+			parts = append(parts, bytes.Join(lines, []byte("\n")))
 		}
 	}
-	return pieces
+	return parts
 }
--- a/internal/traffic/proxy/everybyte_test.go
+++ b/internal/traffic/proxy/everybyte_test.go
@@ -27,8 +27,8 @@
 	return fmt.Sprintf("%s rested=%v %s answer=%v at=%d", c.path, c.rested, c.strike.Trouble, c.strike.Answer, c.strike.At)
 }
 
-// serveWhole answers every request whole, by the kind of its path.
-func serveWhole(_ int, request *http.Request, connection net.Conn) {
+// serveComplete answers every request whole, by the kind of its path.
+func serveComplete(_ int, request *http.Request, connection net.Conn) {
 	if strings.HasPrefix(request.RequestURI, "/rigid/") || strings.HasPrefix(request.RequestURI, "/stream/") {
 		write(connection, streamHead(request)+chunk(event(1))+chunk(event(2))+"0\r\n\r\n")
 		return
@@ -36,7 +36,7 @@
 	write(connection, wellDone(request, "for "+request.Header.Get(headerAttempt)))
 }
 
-func wholeAnswer(path, attempt string) string {
+func completeResponse(path, attempt string) string {
 	if path == "/rigid/x" || path == "/stream/x" {
 		return event(1) + event(2)
 	}
@@ -45,7 +45,7 @@
 
 // stage is two workers behind relays, and the node in front of them.
 type stage struct {
-	workers [2]*standIn
+	workers [2]*workerStub
 	relays  [2]*faultrelay.Relay
 	node    *httptest.Server
 }
@@ -53,17 +53,17 @@
 func newStage(t *testing.T) *stage {
 	t.Helper()
 
-	one := &stage{}
-	for place := range one.workers {
-		one.workers[place] = newStandIn(t, fmt.Sprint("w", place+1), serveWhole)
-		relay, err := faultrelay.New(one.workers[place].listener.Addr().String())
+	s := &stage{}
+	for i := range s.workers {
+		s.workers[i] = newWorkerStub(t, fmt.Sprint("w", i+1), serveComplete)
+		relay, err := faultrelay.New(s.workers[i].listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		one.relays[place] = relay
+		s.relays[i] = relay
 	}
-	one.start(t)
-	return one
+	s.start(t)
+	return s
 }
 
 // start starts a node that knows nothing of an earlier one.
@@ -71,8 +71,8 @@
 	t.Helper()
 
 	var list []messages.Worker
-	for place, worker := range s.workers {
-		list = append(list, messages.Worker{ID: worker.id, Address: s.relays[place].Address()})
+	for i, worker := range s.workers {
+		list = append(list, messages.Worker{ID: worker.id, Address: s.relays[i].Address()})
 	}
 	s.node, _ = edgeFor(t, list)
 }
@@ -81,9 +81,9 @@
 func (s *stage) settle(t *testing.T) {
 	t.Helper()
 
-	for place := range s.workers {
-		s.relays[place].End()
-		s.workers[place].drain(t)
+	for i := range s.workers {
+		s.relays[i].End()
+		s.workers[i].drain(t)
 	}
 }
 
@@ -103,9 +103,9 @@
 
 	stage := newStage(t)
 	if c.rested {
-		for place := 0; place < 2; place++ {
-			if answer, _, err := ask(t, stage.node, "/safe/x", map[string]string{headerAttempt: fmt.Sprint("first-", place)}); err != nil || answer.StatusCode != 200 {
-				return fmt.Sprint("no calm start: ", answer, err)
+		for i := 0; i < 2; i++ {
+			if resp, _, err := ask(t, stage.node, "/safe/x", map[string]string{headerAttempt: fmt.Sprint("first-", i)}); err != nil || resp.StatusCode != 200 {
+				return fmt.Sprint("no calm start: ", resp, err)
 			}
 		}
 	}
@@ -115,7 +115,7 @@
 	if struck.Trouble == faultrelay.Silence || struck.Trouble == faultrelay.Freeze {
 		headers[headerTimeLeft] = "120"
 	}
-	answer, body, err := ask(t, stage.node, c.path, headers)
+	resp, body, err := ask(t, stage.node, c.path, headers)
 	if struck.Trouble == faultrelay.Restart {
 		stage.node.Close()
 		stage.start(t)
@@ -123,33 +123,33 @@
 	stage.relays[0].Thaw()
 	next, nextBody, nextErr := ask(t, stage.node, "/safe/x", map[string]string{headerAttempt: "next"})
 	stage.settle(t)
-	return c.judge(stage.ran("probe"), answer, body, err) + c.judgeNext(next, nextBody, nextErr)
+	return c.judge(stage.ran("probe"), resp, body, err) + c.judgeNext(next, nextBody, nextErr)
 }
 
-func (c *call) judge(ran int, answer *http.Response, body string, err error) string {
-	repeatable := c.path == "/safe/x" || c.path == "/stream/x"
+func (c *call) judge(ran int, resp *http.Response, body string, err error) string {
+	retryable := c.path == "/safe/x" || c.path == "/stream/x"
 	switch {
-	case !repeatable && ran > 1:
+	case !retryable && ran > 1:
 		return fmt.Sprintf("ran %d times", ran)
 	case err != nil:
 		return ""
-	case ran > 0 && promised(answer.StatusCode):
-		return fmt.Sprintf("ran, and answered %d", answer.StatusCode)
-	case answer.StatusCode == 200 && (body != wholeAnswer(c.path, "probe") || answer.Header.Get(headerAttempt) != "probe"):
-		return fmt.Sprintf("answered %q for %q", body, answer.Header.Get(headerAttempt))
+	case ran > 0 && promised(resp.StatusCode):
+		return fmt.Sprintf("ran, and answered %d", resp.StatusCode)
+	case resp.StatusCode == 200 && (body != completeResponse(c.path, "probe") || resp.Header.Get(headerAttempt) != "probe"):
+		return fmt.Sprintf("answered %q for %q", body, resp.Header.Get(headerAttempt))
 	}
 	return ""
 }
 
-func (c *call) judgeNext(answer *http.Response, body string, err error) string {
-	if err == nil && answer.StatusCode == 200 && (body != "for next" || answer.Header.Get(headerAttempt) != "next") {
+func (c *call) judgeNext(resp *http.Response, body string, err error) string {
+	if err == nil && resp.StatusCode == 200 && (body != "for next" || resp.Header.Get(headerAttempt) != "next") {
 		return fmt.Sprintf("the next one got %q", body)
 	}
 	return ""
 }
 
 // lengths measures a request and its answer on the wire.
-func lengths(t *testing.T, path string) (request, answer int) {
+func lengths(t *testing.T, path string) (request, resp int) {
 	t.Helper()
 
 	stage := newStage(t)
@@ -175,31 +175,31 @@
 }
 
 // restedAt says on which connections a byte is struck: both on demand, else by turns.
-func restedAt(place int, trouble faultrelay.Trouble) []bool {
+func restedAt(i int, trouble faultrelay.Trouble) []bool {
 	if os.Getenv(everyByte) != "" {
 		return []bool{false, true}
 	}
-	return []bool{(place+int(trouble))%2 == 0}
+	return []bool{(i+int(trouble))%2 == 0}
 }
 
 // Whatever befalls the connection to the worker, at whichever byte of the request or of
 // the answer, on a fresh or on a rested one: what may not be repeated runs once at most,
 // what ran is never refused as if it had not, a success is whole and the caller's own,
 // and so is the next caller's.
-func TestTroubleAtEveryByte(t *testing.T) {
+func TestFaultAtEveryByte(t *testing.T) {
 	var calls []call
 	for _, path := range []string{"/once/x", "/rigid/x", "/safe/x", "/stream/x"} {
 		requestLength, answerLength := lengths(t, path)
 		for _, trouble := range faultrelay.Troubles() {
-			for place := 0; place < requestLength+answerLength; place += stepOf(path, trouble) {
-				struck := faultrelay.Strike{Trouble: trouble, At: place}
-				if place >= requestLength {
-					struck.Answer, struck.At = true, place-requestLength
+			for i := 0; i < requestLength+answerLength; i += stepOf(path, trouble) {
+				struck := faultrelay.Strike{Trouble: trouble, At: i}
+				if i >= requestLength {
+					struck.Answer, struck.At = true, i-requestLength
 				} else if trouble == faultrelay.Double {
 					// A network does not send the bytes of a connection twice to a worker.
 					continue
 				}
-				for _, rested := range restedAt(place, trouble) {
+				for _, rested := range restedAt(i, trouble) {
 					calls = append(calls, call{path, rested, struck})
 				}
 			}
@@ -207,10 +207,10 @@
 	}
 	t.Logf("%d cases", len(calls))
 	t.Run("cases", func(t *testing.T) {
-		for _, one := range calls {
-			t.Run(one.String(), func(t *testing.T) {
+		for _, entry := range calls {
+			t.Run(entry.String(), func(t *testing.T) {
 				t.Parallel()
-				if broken := one.play(t); broken != "" {
+				if broken := entry.play(t); broken != "" {
 					t.Error(broken)
 				}
 			})
--- a/internal/traffic/proxy/headers.go
+++ b/internal/traffic/proxy/headers.go
@@ -50,12 +50,12 @@
 	headerTarget:          actionSet,
 }
 
-// Passed lists the headers that go on, by the rules and by what Connection names.
-func Passed(header http.Header) http.Header {
-	passed := make(http.Header, len(header))
+// ForwardedHeader lists the headers that go on, by the rules and by what Connection names.
+func ForwardedHeader(header http.Header) http.Header {
+	forwarded := make(http.Header, len(header))
 	for name, values := range header {
 		if rules[name] == actionPass {
-			passed[name] = values
+			forwarded[name] = values
 		}
 	}
 	for _, list := range header["Connection"] {
@@ -64,15 +64,15 @@
 			// take away what the protocol needs end to end.
 			name = http.CanonicalHeaderKey(strings.TrimSpace(name))
 			if !strings.HasPrefix(name, "Lemonarch-") && name != headerLastEvent {
-				delete(passed, name)
+				delete(forwarded, name)
 			}
 		}
 	}
-	return passed
+	return forwarded
 }
 
-// head writes the text of a request to a worker.
-func head(method, target, host string, header http.Header, own map[string]string, body []byte, sized bool) []byte {
+// encodeRequest writes the text of a request to a worker.
+func encodeRequest(method, target, host string, header http.Header, own map[string]string, body []byte, sized bool) []byte {
 	text := make([]byte, 0, 512+len(body))
 	text = append(text, method...)
 	text = append(text, ' ')
@@ -104,9 +104,9 @@
 	return append(text, body...)
 }
 
-// Head writes the text of a request that has a body.
-func Head(method, target, host string, header http.Header, own map[string]string, body []byte) []byte {
-	return head(method, target, host, header, own, body, true)
+// EncodeRequest writes the text of a request that has a body.
+func EncodeRequest(method, target, host string, header http.Header, own map[string]string, body []byte) []byte {
+	return encodeRequest(method, target, host, header, own, body, true)
 }
 
 // timeLeft reads how long the client will wait.
@@ -122,9 +122,9 @@
 	return clock.Milliseconds(value), true
 }
 
-// copyBack puts a worker's headers into our answer.
-func copyBack(into, from http.Header) {
-	for name, values := range Passed(from) {
+// copyHeader puts a worker's headers into our answer.
+func copyHeader(into, from http.Header) {
+	for name, values := range ForwardedHeader(from) {
 		into[name] = values
 	}
 	delete(into, "Content-Length")
--- a/internal/traffic/proxy/idle_test.go
+++ b/internal/traffic/proxy/idle_test.go
@@ -12,12 +12,12 @@
 
 // forgetful serves one request on each connection and resets it when it meets another:
 // it has forgotten the connection without a word.
-func forgetful(t *testing.T, id string) *standIn {
+func forgetful(t *testing.T, id string) *workerStub {
 	t.Helper()
 
 	served := map[net.Conn]bool{}
-	var worker *standIn
-	worker = newStandIn(t, id, func(_ int, request *http.Request, connection net.Conn) {
+	var worker *workerStub
+	worker = newWorkerStub(t, id, func(_ int, request *http.Request, connection net.Conn) {
 		worker.lock.Lock()
 		second := served[connection]
 		served[connection] = true
@@ -37,14 +37,14 @@
 // longer than such connections are known to last.
 func TestForgottenConnections(t *testing.T) {
 	worker := forgetful(t, "w1")
-	server, proxyServer := edge(t, worker)
+	server, proxy := edge(t, worker)
 	for count := 0; count < 6; count++ {
-		answer, body, err := ask(t, server, "/safe/x", map[string]string{headerAttempt: fmt.Sprint("safe-", count)})
-		if err != nil || answer.StatusCode != 200 || body != "done" {
-			t.Fatal(count, answer, body, err)
+		resp, body, err := ask(t, server, "/safe/x", map[string]string{headerAttempt: fmt.Sprint("safe-", count)})
+		if err != nil || resp.StatusCode != 200 || body != "done" {
+			t.Fatal(count, resp, body, err)
 		}
 	}
-	pool := proxyServer.Sender.Pool
+	pool := proxy.Sender.Pool
 	if pool.StaleCount.Load() == 0 {
 		t.Fatal("no connection was forgotten: the stand-in does not do its part")
 	}
@@ -53,8 +53,8 @@
 		t.Fatal("nothing was learnt: ", safe)
 	}
 	suspect, failures := false, int64(0)
-	proxyServer.Scheduler.Locked(func() {
-		health := proxyServer.Scheduler.Tracker.Of("w1")
+	proxy.Scheduler.Locked(func() {
+		health := proxy.Scheduler.Tracker.Of("w1")
 		suspect = health.Suspect(clock.Now())
 		_, failures = health.Counts()
 	})
@@ -63,9 +63,9 @@
 	}
 	for count := 0; count < 4; count++ {
 		<-clock.After(safe + clock.Milliseconds(1))
-		answer, body, err := ask(t, server, "/once/x", map[string]string{headerAttempt: fmt.Sprint("once-", count)})
-		if err != nil || answer.StatusCode != 200 || body != "done" {
-			t.Fatal(count, answer, body, err)
+		resp, body, err := ask(t, server, "/once/x", map[string]string{headerAttempt: fmt.Sprint("once-", count)})
+		if err != nil || resp.StatusCode != 200 || body != "done" {
+			t.Fatal(count, resp, body, err)
 		}
 	}
 }
--- a/internal/traffic/proxy/lots.go
+++ b/internal/traffic/proxy/jobs.go
@@ -13,8 +13,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// lotCalls is the tree of matchers for the calls on lots.
-func (p *Proxy) lotCalls() *chi.Mux {
+// jobRoutes is the tree of matchers for the calls on lots.
+func (p *Proxy) jobRoutes() *chi.Mux {
 	tree := chi.NewRouter()
 	tree.Get("/-/lots/{lot}", func(writer http.ResponseWriter, request *http.Request) {
 		query := request.URL.Query()
@@ -27,14 +27,14 @@
 			}
 			cursor = value
 		}
-		hold, _ := strconv.Atoi(request.Header.Get(headerHold))
-		p.passCall(writer, &messages.JobCallRequest{Method: http.MethodGet, Host: request.Host, Job: chi.URLParam(request, "lot"), Cursor: cursor, WaitMs: max(hold, 0)})
+		wait, _ := strconv.Atoi(request.Header.Get(headerHold))
+		p.forwardCall(writer, &messages.JobCallRequest{Method: http.MethodGet, Host: request.Host, Job: chi.URLParam(request, "lot"), Cursor: cursor, WaitMs: max(wait, 0)})
 	})
 	tree.Delete("/-/lots/{lot}", func(writer http.ResponseWriter, request *http.Request) {
-		p.passCall(writer, &messages.JobCallRequest{Method: http.MethodDelete, Host: request.Host, Job: chi.URLParam(request, "lot")})
+		p.forwardCall(writer, &messages.JobCallRequest{Method: http.MethodDelete, Host: request.Host, Job: chi.URLParam(request, "lot")})
 	})
 	tree.Get("/-/items/{lot}", func(writer http.ResponseWriter, request *http.Request) {
-		p.passCall(writer, &messages.JobCallRequest{Method: "ITEM", Host: request.Host, Job: chi.URLParam(request, "lot"), Item: request.URL.Query().Get("id")})
+		p.forwardCall(writer, &messages.JobCallRequest{Method: "ITEM", Host: request.Host, Job: chi.URLParam(request, "lot"), Item: request.URL.Query().Get("id")})
 	})
 	tree.NotFound(func(writer http.ResponseWriter, _ *http.Request) {
 		httpreply.Text(writer, http.StatusNotFound, "no such call")
@@ -42,19 +42,19 @@
 	return tree
 }
 
-func (p *Proxy) passCall(writer http.ResponseWriter, call *messages.JobCallRequest) {
-	span := constants.CallTimeout*2 + clock.Milliseconds(float64(call.WaitMs))
-	answer, _ := p.Lots.Forward(call, span)
-	if answer == nil {
+func (p *Proxy) forwardCall(writer http.ResponseWriter, call *messages.JobCallRequest) {
+	timeout := constants.CallTimeout*2 + clock.Milliseconds(float64(call.WaitMs))
+	resp, _ := p.Jobs.Forward(call, timeout)
+	if resp == nil {
 		// The holder can't be asked: a node that can't be sure says so.
 		httpreply.RetryAfter(writer, http.StatusServiceUnavailable, constants.LeaseRenewPeriod)
 		return
 	}
-	writeAnswer(writer, answer)
+	writeResponse(writer, resp)
 }
 
 // submitJob takes a lot on a bulk route.
-func (p *Proxy) handIn(writer http.ResponseWriter, request *http.Request, route *routeconfig.Route, path string, body []byte) {
+func (p *Proxy) submitJob(writer http.ResponseWriter, request *http.Request, route *routeconfig.Route, path string, body []byte) {
 	if request.Method != http.MethodPost {
 		httpreply.Error(writer, http.StatusMethodNotAllowed, "lots are handed in by POST")
 		return
@@ -65,29 +65,29 @@
 		return
 	}
 	call := &messages.JobCallRequest{Method: http.MethodPost, Host: request.Host, Path: path, Job: attempt, Body: body}
-	answer, maybe := p.Lots.Forward(call, min(constants.BulkCallTimeout, route.Cutoff()))
+	resp, mayHaveRun := p.Jobs.Forward(call, min(constants.BulkCallTimeout, route.Cutoff()))
 	switch {
-	case answer != nil:
-		if answer.Status == http.StatusAccepted {
+	case resp != nil:
+		if resp.Status == http.StatusAccepted {
 			p.Counts.Served.Add(1)
 		}
-		writeAnswer(writer, answer)
-	case maybe:
+		writeResponse(writer, resp)
+	case mayHaveRun:
 		// It may have been taken: nothing may be promised.
 		httpreply.Error(writer, http.StatusGatewayTimeout, "outcome unknown")
 	default:
-		p.Counts.Refused.Add(1)
+		p.Counts.Rejected.Add(1)
 		httpreply.RetryAfter(writer, http.StatusServiceUnavailable, constants.LeaseRenewPeriod)
 	}
 }
 
-func writeAnswer(writer http.ResponseWriter, answer *messages.JobCallResponse) {
-	if answer.RetryAfterMs > 0 {
-		writer.Header().Set("Retry-After", strconv.FormatFloat(float64(answer.RetryAfterMs)/1000, 'f', 3, 64))
+func writeResponse(writer http.ResponseWriter, resp *messages.JobCallResponse) {
+	if resp.RetryAfterMs > 0 {
+		writer.Header().Set("Retry-After", strconv.FormatFloat(float64(resp.RetryAfterMs)/1000, 'f', 3, 64))
 	}
-	kind := answer.ContentType
+	kind := resp.ContentType
 	if kind == "" {
 		kind = "application/json"
 	}
-	httpreply.Bytes(writer, answer.Status, kind, answer.Body)
+	httpreply.Bytes(writer, resp.Status, kind, resp.Body)
 }
--- a/internal/traffic/proxy/match.go
+++ b/internal/traffic/proxy/match.go
@@ -25,25 +25,25 @@
 // surplusLimit is how many answers to earlier requests are read past.
 const surplusLimit = 2
 
-// ownAnswer reads the head of the answer to a request. On a connection that was used
+// readOwnResponse reads the head of the answer to a request. On a connection that was used
 // before, or on which another request's answer came, only an answer that names the
 // request is its own; on a fresh one there is no other request to which it could belong.
-func ownAnswer(connection *workerconn.Connection, outgoing *Request) (*http.Response, error) {
+func readOwnResponse(connection *workerconn.Connection, outgoing *Request) (*http.Response, error) {
 	named := connection.Reused
-	for surplus := 0; ; surplus++ {
-		answer, err := connection.ReadResponse(outgoing.Method)
+	for skipped := 0; ; skipped++ {
+		resp, err := connection.ReadResponse(outgoing.Method)
 		if err != nil {
 			return nil, err
 		}
-		if glued(answer) {
+		if hasMergedHead(resp) {
 			return nil, ErrResponseMismatch.New("two heads in one")
 		}
-		echoed := answer.Header.Get(headerAttempt)
+		echoed := resp.Header.Get(headerAttempt)
 		if echoed == outgoing.Attempt || (echoed == "" && !named) {
-			return answer, nil
+			return resp, nil
 		}
 		connection.Taint()
-		if echoed == "" || surplus == surplusLimit || !readPast(answer) {
+		if echoed == "" || skipped == surplusLimit || !skipBody(resp) {
 			return nil, ErrResponseMismatch.New(echoed)
 		}
 		if err = connection.Await(outgoing.wait()); err != nil {
@@ -53,13 +53,13 @@
 	}
 }
 
-// glued tells whether a head that was cut short has run into the next one: its status and
+// hasMergedHead tells whether a head that was cut short has run into the next one: its status and
 // first lines would pass for those of the answer that follows, and so name the request.
-func glued(answer *http.Response) bool {
-	if strings.Contains(answer.Status, protocolName) || len(answer.Header[headerAttempt]) > 1 {
+func hasMergedHead(resp *http.Response) bool {
+	if strings.Contains(resp.Status, protocolName) || len(resp.Header[headerAttempt]) > 1 {
 		return true
 	}
-	for _, values := range answer.Header {
+	for _, values := range resp.Header {
 		for _, value := range values {
 			if strings.Contains(value, protocolName) {
 				return true
@@ -69,32 +69,32 @@
 	return false
 }
 
-// readPast reads the rest of another request's answer, and tells whether it is certain
+// skipBody reads the rest of another request's answer, and tells whether it is certain
 // where that ends.
-func readPast(answer *http.Response) bool {
-	if answer.Close || !framed(answer) || answer.Request.Method == http.MethodHead {
+func skipBody(resp *http.Response) bool {
+	if resp.Close || !hasKnownEnd(resp) || resp.Request.Method == http.MethodHead {
 		return false
 	}
-	count, err := io.CopyN(io.Discard, answer.Body, constants.BufferedResponseMax)
+	count, err := io.CopyN(io.Discard, resp.Body, constants.BufferedResponseMax)
 	return errors.Is(err, io.EOF) && count < constants.BufferedResponseMax
 }
 
-// framed tells whether a length or chunks say where an answer ends: one that lasts until
+// hasKnownEnd tells whether a length or chunks say where an answer ends: one that lasts until
 // the connection closes can't be told from one that was cut.
-func framed(answer *http.Response) bool {
-	return answer.ContentLength >= 0 || len(answer.TransferEncoding) > 0
+func hasKnownEnd(resp *http.Response) bool {
+	return resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 }
 
-// provenSuccess checks that a success bears the worker's stamp and tells where it ends.
-func provenSuccess(answer *http.Response) error {
+// verifySuccess checks that a success bears the worker's stamp and tells where it ends.
+func verifySuccess(resp *http.Response) error {
 	switch {
-	case answer.StatusCode >= 300:
+	case resp.StatusCode >= 300:
 		return nil
-	case answer.Header.Get(headerSeal) == "":
+	case resp.Header.Get(headerSeal) == "":
 		return ErrUnprovenSuccess.New("no stamp")
-	case answer.Header.Get("Content-Encoding") != "":
+	case resp.Header.Get("Content-Encoding") != "":
 		return ErrUnprovenSuccess.New("encoded")
-	case !framed(answer):
+	case !hasKnownEnd(resp):
 		return ErrUnprovenSuccess.New("no length")
 	}
 	return nil
--- a/internal/traffic/proxy/match_test.go
+++ b/internal/traffic/proxy/match_test.go
@@ -31,16 +31,16 @@
 
 // An answer that is not the caller's, cut at any byte, stands before its own on a
 // connection that was used before: it is nobody's, whatever it says.
-func TestStaleAnswersAreNobodys(t *testing.T) {
+func TestStaleResponsesAreNobodys(t *testing.T) {
 	var played, rode atomic.Int64
 	t.Run("cases", func(t *testing.T) {
 		for name, stale := range staleAnswers {
 			for _, path := range []string{"/once/x", "/rigid/x", "/safe/x", "/stream/x"} {
-				for cut := len(stale); cut > 0; cut -= min(stepOf(path, faultrelay.Silence), 11) {
-					t.Run(fmt.Sprint(name, path, cut), func(t *testing.T) {
+				for found := len(stale); found > 0; found -= min(stepOf(path, faultrelay.Silence), 11) {
+					t.Run(fmt.Sprint(name, path, found), func(t *testing.T) {
 						t.Parallel()
 						played.Add(1)
-						if playStale(t, path, stale[:cut]) {
+						if playStale(t, path, stale[:found]) {
 							rode.Add(1)
 						}
 					})
@@ -62,21 +62,21 @@
 		if request.Header.Get(headerAttempt) == "probe" {
 			write(connection, stale)
 		}
-		serveWhole(0, request, connection)
+		serveComplete(0, request, connection)
 	}
-	first, second := newStandIn(t, "w1", script), newStandIn(t, "w2", serveWhole)
+	first, second := newWorkerStub(t, "w1", script), newWorkerStub(t, "w2", serveComplete)
 	server, _ := edge(t, first, second)
 	if _, _, err := ask(t, server, "/safe/x", map[string]string{headerAttempt: "first"}); err != nil {
 		t.Fatal(err)
 	}
-	answer, body, err := ask(t, server, path, map[string]string{headerAttempt: "probe", headerTimeLeft: "120"})
-	one := call{path: path}
-	if broken := one.judge(first.ran("probe")+second.ran("probe"), answer, body, err); broken != "" {
+	resp, body, err := ask(t, server, path, map[string]string{headerAttempt: "probe", headerTimeLeft: "120"})
+	entry := call{path: path}
+	if broken := entry.judge(first.ran("probe")+second.ran("probe"), resp, body, err); broken != "" {
 		t.Error(broken)
 	}
 	rode := first.ran("probe") > 0 && first.accepted.Load() == 1
 	next, nextBody, nextErr := ask(t, server, "/safe/x", map[string]string{headerAttempt: "next"})
-	if broken := one.judgeNext(next, nextBody, nextErr); broken != "" {
+	if broken := entry.judgeNext(next, nextBody, nextErr); broken != "" {
 		t.Error(broken)
 	}
 	return rode
@@ -87,13 +87,13 @@
 func TestUnsaidPromiseIsNotMade(t *testing.T) {
 	for _, status := range []string{"503 No", "429 No", "408 No"} {
 		for _, path := range []string{"/once/x", "/safe/x"} {
-			worker := newStandIn(t, "w1", func(_ int, _ *http.Request, connection net.Conn) {
+			worker := newWorkerStub(t, "w1", func(_ int, _ *http.Request, connection net.Conn) {
 				write(connection, "HTTP/1.1 "+status+"\r\nLemonarch-Server-Seal: seal\r\nContent-Length: 0\r\n\r\n")
 			})
 			server, _ := edge(t, worker)
-			answer, _, err := ask(t, server, path, nil)
-			if err != nil || answer.StatusCode != http.StatusBadGateway || answer.Header.Get(headerSeal) != "" {
-				t.Error(path, status, answer, err)
+			resp, _, err := ask(t, server, path, nil)
+			if err != nil || resp.StatusCode != http.StatusBadGateway || resp.Header.Get(headerSeal) != "" {
+				t.Error(path, status, resp, err)
 			}
 		}
 	}
@@ -102,8 +102,8 @@
 // The same id never travels twice on one connection: a late second answer to the first
 // would bear the name of the second.
 func TestSameIDTakesAnotherConnection(t *testing.T) {
-	worker := newStandIn(t, "w1", serveWhole)
-	server, proxyServer := edge(t, worker)
+	worker := newWorkerStub(t, "w1", serveComplete)
+	server, proxy := edge(t, worker)
 	for count := 0; count < 3; count++ {
 		for _, attempt := range []string{"again", fmt.Sprint("other-", count)} {
 			if _, _, err := ask(t, server, "/safe/x", map[string]string{headerAttempt: attempt}); err != nil {
@@ -111,19 +111,19 @@
 			}
 		}
 	}
-	if opened := proxyServer.Sender.Pool.Opened.Load(); opened != 3 {
+	if opened := proxy.Sender.Pool.Opened.Load(); opened != 3 {
 		t.Error("connections opened: ", opened)
 	}
 }
 
 // A request that the connection did not take at all has not run.
 func TestUnsentHasNotRun(t *testing.T) {
-	worker := newStandIn(t, "w1", serveWhole)
-	_, proxyServer := edge(t, worker)
-	sender := &proxyServer.Sender
-	granted, _ := proxyServer.Scheduler.Admit(&admission.Ask{Service: "s", Deadline: clock.Now().Add(clock.Milliseconds(1000))}, nil, clock.Now())
-	outgoing := &Request{Method: http.MethodPost, Attempt: "probe", Text: []byte("x"), Until: clock.Now() - 1}
-	_, evidence, err := sender.Carry(granted.Grant, outgoing)
+	worker := newWorkerStub(t, "w1", serveComplete)
+	_, proxy := edge(t, worker)
+	sender := &proxy.Sender
+	granted, _ := proxy.Scheduler.Admit(&admission.Request{Service: "s", Deadline: clock.Now().Add(clock.Milliseconds(1000))}, nil, clock.Now())
+	outgoing := &Request{Method: http.MethodPost, Attempt: "probe", Text: []byte("x"), Deadline: clock.Now() - 1}
+	_, evidence, err := sender.RoundTrip(granted.Grant, outgoing)
 	if err == nil || evidence.Sent {
 		t.Fatal(evidence, err)
 	}
--- a/internal/traffic/proxy/displace_test.go
+++ b/internal/traffic/proxy/preempt_test.go
@@ -12,39 +12,39 @@
 
 // A running stream of a lower rank makes room and goes on within the same answer:
 // every event comes once, the head stays, and the worker is not held to have failed.
-func TestDisplacedStreamGoesOnInTheSameAnswer(t *testing.T) {
-	reached, hold := make(chan struct{}), make(chan struct{})
-	defer close(hold)
-	worker := newStandIn(t, "w1", func(count int, request *http.Request, connection net.Conn) {
+func TestPreemptedStreamResumesInTheSameResponse(t *testing.T) {
+	reached, wait := make(chan struct{}), make(chan struct{})
+	defer close(wait)
+	worker := newWorkerStub(t, "w1", func(count int, request *http.Request, connection net.Conn) {
 		from := 0
 		_, _ = fmt.Sscan(request.Header.Get(headerLastEvent), &from)
 		write(connection, streamHead(request))
 		for id := from + 1; id <= 5; id++ {
 			if count == 1 && id == 3 {
 				close(reached)
-				<-hold
+				<-wait
 				return
 			}
 			write(connection, chunk(event(id)))
 		}
 		write(connection, "0\r\n\r\n")
 	})
-	server, proxyServer := edge(t, worker)
+	server, proxy := edge(t, worker)
 	go func() {
 		<-reached
 		// The first two events may still be on their way: press until it yields.
-		for proxyServer.Scheduler.Counters("stream").Displaced.Load() == 0 {
-			proxyServer.Scheduler.Pressed(&messages.PressureNotice{From: "x", Entries: []messages.Pressure{{Service: "s", Waiting: 1}}}, 1, clock.Now())
+		for proxy.Scheduler.Counters("stream").Displaced.Load() == 0 {
+			proxy.Scheduler.YieldToPressure(&messages.PressureNotice{From: "x", Entries: []messages.Pressure{{Service: "s", Waiting: 1}}}, 1, clock.Now())
 		}
 	}()
-	answer, body, err := ask(t, server, "/stream/x", nil)
+	resp, body, err := ask(t, server, "/stream/x", nil)
 	want := ""
 	for id := 1; id <= 5; id++ {
 		want += event(id)
 	}
-	counters := proxyServer.Scheduler.Counters("stream")
-	if err != nil || answer.StatusCode != 200 || body != want || worker.seen() != 2 ||
+	counters := proxy.Scheduler.Counters("stream")
+	if err != nil || resp.StatusCode != 200 || body != want || worker.seen() != 2 ||
 		counters.Displaced.Load() != 1 || counters.Resumed.Load() != 1 || counters.Finished.Load() != 1 {
-		t.Fatal(answer, body, err, worker.seen(), counters.Displaced.Load(), counters.Resumed.Load(), counters.Finished.Load())
+		t.Fatal(resp, body, err, worker.seen(), counters.Displaced.Load(), counters.Resumed.Load(), counters.Finished.Load())
 	}
 }
--- a/internal/traffic/proxy/proxy.go
+++ b/internal/traffic/proxy/proxy.go
@@ -24,32 +24,32 @@
 
 // JobForwarder passes a call on a lot to whoever holds it.
 type JobForwarder interface {
-	Forward(call *messages.JobCallRequest, span clock.Duration) (*messages.JobCallResponse, bool)
+	Forward(call *messages.JobCallRequest, timeout clock.Duration) (*messages.JobCallResponse, bool)
 }
 
 // Proxy serves clients.
 type Proxy struct {
 	Sender    Sender
 	Scheduler *admission.Scheduler
-	Lots      JobForwarder
+	Jobs      JobForwarder
 	Log       hclog.Logger
 	config    atomic.Pointer[routeconfig.Config]
 	calls     *chi.Mux
-	Leaving   atomic.Bool
+	Draining  atomic.Bool
 	active    atomic.Int64
 	Counts    Counts
 }
 
 // Counts are what an operator follows.
 type Counts struct {
-	Served, Refused, Failed, Resumed, Repeated, CutOff atomic.Int64
+	Served, Rejected, Failed, Resumed, Retried, CutOff atomic.Int64
 }
 
 // New makes the data plane.
-func New(sender Sender, lotList JobForwarder, log hclog.Logger) *Proxy {
-	proxyServer := &Proxy{Sender: sender, Scheduler: sender.Scheduler, Lots: lotList, Log: log}
-	proxyServer.calls = proxyServer.lotCalls()
-	return proxyServer
+func New(sender Sender, jobs JobForwarder, log hclog.Logger) *Proxy {
+	proxy := &Proxy{Sender: sender, Scheduler: sender.Scheduler, Jobs: jobs, Log: log}
+	proxy.calls = proxy.jobRoutes()
+	return proxy
 }
 
 // SetConfig takes a newer configuration; an older one never replaces it.
@@ -77,7 +77,7 @@
 	arrived := clock.Now()
 	p.active.Add(1)
 	defer p.active.Add(-1)
-	if p.Leaving.Load() {
+	if p.Draining.Load() {
 		writer.Header().Set("Connection", "close")
 	}
 	target := request.RequestURI
@@ -107,11 +107,11 @@
 		return
 	}
 	if route.Kind() == messages.RouteBulk {
-		p.handIn(writer, request, route, path, body)
+		p.submitJob(writer, request, route, path, body)
 		return
 	}
-	exchange := p.begin(writer, request, route, body, arrived)
-	exchange.travel()
+	exchange := p.newExchange(writer, request, route, body, arrived)
+	exchange.serve()
 }
 
 func (p *Proxy) refuseBody(writer http.ResponseWriter, err error) {
@@ -124,31 +124,31 @@
 	httpreply.Text(writer, http.StatusBadRequest, "body can't be read")
 }
 
-func (p *Proxy) begin(writer http.ResponseWriter, request *http.Request, route *routeconfig.Route, body []byte, arrived clock.Instant) *exchange {
-	one := &exchange{proxyServer: p, writer: writer, request: request, route: route, body: body, arrived: arrived}
-	span := route.Cutoff()
+func (p *Proxy) newExchange(writer http.ResponseWriter, request *http.Request, route *routeconfig.Route, body []byte, arrived clock.Instant) *exchange {
+	e := &exchange{proxyServer: p, writer: writer, request: request, route: route, body: body, arrivedAt: arrived}
+	timeout := route.Cutoff()
 	if left, stated := timeLeft(request.Header); stated {
-		span = min(span, left)
-		one.stated = true
+		timeout = min(timeout, left)
+		e.hasTimeLeft = true
 	}
-	one.deadline = arrived.Add(span)
-	one.attempt = request.Header.Get(headerAttempt)
-	one.method = request.Method
-	one.passed = Passed(request.Header)
-	one.sized = request.ContentLength != 0 || len(body) > 0 || request.Header.Get("Content-Length") != ""
-	one.ask = admission.Ask{
+	e.deadline = arrived.Add(timeout)
+	e.attempt = request.Header.Get(headerAttempt)
+	e.method = request.Method
+	e.header = ForwardedHeader(request.Header)
+	e.hasLength = request.ContentLength != 0 || len(body) > 0 || request.Header.Get("Content-Length") != ""
+	e.admission = admission.Request{
 		// One draw for the whole request: a split route must not move between tries.
 		Service:  route.Choose(rand.Float64()),
 		Affine:   route.Affine,
 		Priority: route.Priority,
 		Setpoint: route.Setpoint(),
-		Deadline: one.deadline,
+		Deadline: e.deadline,
 	}
-	one.ask.Repeatable = one.repeatable()
+	e.admission.Retryable = e.retryable()
 	if route.Affine {
-		one.ask.Prompt = prefixindex.ParsePrompt(request.Header.Get(headerModel), request.Header.Get(headerTokens), request.Header.Get(headerPrefix))
+		e.admission.Prompt = prefixindex.ParsePrompt(request.Header.Get(headerModel), request.Header.Get(headerTokens), request.Header.Get(headerPrefix))
 	}
-	return one
+	return e
 }
 
 // Sweep does the upkeep of connections and queues.
@@ -161,12 +161,12 @@
 func SweepConnections(pool *workerconn.Pool, scheduler *admission.Scheduler) {
 	now := clock.Now()
 	pool.Sweep(func(worker string) bool {
-		gone := false
+		departed := false
 		scheduler.Locked(func() {
 			known, found := scheduler.Registry.Get(worker)
-			gone = !found || known.Phase == messages.PhaseDeparted
+			departed = !found || known.Phase == messages.PhaseDeparted
 		})
-		return gone
+		return departed
 	})
 	scheduler.Locked(func() {
 		scheduler.Registry.Forget(now)
--- a/internal/traffic/proxy/relay.go
+++ b/internal/traffic/proxy/relay.go
@@ -10,58 +10,58 @@
 	"lemonarch/internal/traffic/admission"
 )
 
-// errClientGone means that our own client ended the connection.
-var errClientGone = errs.Define("client gone")
+// errClientDisconnected means that our own client ended the connection.
+var errClientDisconnected = errs.Define("client gone")
 
-// plain passes on an answer that is no stream. It is held whole where it is
+// relayPlain passes on an answer that is no stream. It is held whole where it is
 // small, so that a cut can be mended before the client has seen a byte.
-func (e *exchange) plain(grant *admission.Grant, response *Response) (Repeat, bool) {
+func (e *exchange) relayPlain(grant *admission.Grant, response *Response) (Retry, bool) {
 	sender := &e.proxyServer.Sender
-	body, whole, err := sender.ReadBody(response, constants.BufferedResponseMax)
+	body, complete, err := sender.ReadBody(response, constants.BufferedResponseMax)
 	if err != nil {
-		sender.Abandon(response)
+		sender.Discard(response)
 		grant.End(admission.ResultFailed, clock.Now())
-		return e.judge(Evidence{Sent: true}), false
+		return e.decideRetry(Evidence{Sent: true}), false
 	}
-	copyBack(e.writer.Header(), response.Answer.Header)
-	if whole {
+	copyHeader(e.writer.Header(), response.HTTPResponse.Header)
+	if complete {
 		e.finish(response)
 		grant.End(admission.ResultServed, clock.Now())
 		e.writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
-		e.writer.WriteHeader(response.Answer.StatusCode)
+		e.writer.WriteHeader(response.HTTPResponse.StatusCode)
 		_, _ = e.writer.Write(body)
 		e.proxyServer.Counts.Served.Add(1)
-		return RepeatNever, true
+		return RetryNever, true
 	}
-	if response.Answer.ContentLength >= 0 {
-		e.writer.Header().Set("Content-Length", strconv.FormatInt(response.Answer.ContentLength, 10))
+	if response.HTTPResponse.ContentLength >= 0 {
+		e.writer.Header().Set("Content-Length", strconv.FormatInt(response.HTTPResponse.ContentLength, 10))
 	}
-	e.writer.WriteHeader(response.Answer.StatusCode)
+	e.writer.WriteHeader(response.HTTPResponse.StatusCode)
 	e.headSent = true
 	buffer := make([]byte, 32<<10)
 	for {
 		if _, err := e.writer.Write(body); err != nil {
 			break
 		}
-		count, err := response.Answer.Body.Read(buffer)
+		count, err := response.HTTPResponse.Body.Read(buffer)
 		body = buffer[:count]
 		if err != nil && count == 0 {
 			if err.Error() == "EOF" {
 				e.finish(response)
 				grant.End(admission.ResultServed, clock.Now())
 				e.proxyServer.Counts.Served.Add(1)
-				return RepeatNever, true
+				return RetryNever, true
 			}
 			break
 		}
 	}
-	sender.Abandon(response)
+	sender.Discard(response)
 	grant.End(admission.ResultFailed, clock.Now())
-	return e.judge(Evidence{Sent: true}), false
+	return e.decideRetry(Evidence{Sent: true}), false
 }
 
-// stream passes events on as they come.
-func (e *exchange) stream(grant *admission.Grant, response *Response) (Repeat, bool) {
+// relayStream passes events on as they come.
+func (e *exchange) relayStream(grant *admission.Grant, response *Response) (Retry, bool) {
 	sender := &e.proxyServer.Sender
 	splitter := &Splitter{}
 	if e.hasEvent {
@@ -69,24 +69,24 @@
 		splitter.Next = e.lastID + 1
 	}
 	flusher, _ := e.writer.(http.Flusher)
-	patience := grant.GapPatience(clock.Milliseconds(e.route.GapMs))
+	timeout := grant.InterEventTimeout(clock.Milliseconds(e.route.GapMs))
 	if e.headSent {
 		e.proxyServer.Counts.Resumed.Add(1)
 	}
-	e.mayYield(grant)
-	pauses := pauses{last: clock.Now()}
-	err := sender.Stream(response, splitter, e.deadline, patience, func(events []byte) error {
+	e.allowPreemption(grant)
+	gaps := gapMeter{last: clock.Now()}
+	err := sender.Stream(response, splitter, e.deadline, timeout, func(events []byte) error {
 		if !e.headSent {
-			copyBack(e.writer.Header(), response.Answer.Header)
-			e.writer.WriteHeader(response.Answer.StatusCode)
+			copyHeader(e.writer.Header(), response.HTTPResponse.Header)
+			e.writer.WriteHeader(response.HTTPResponse.StatusCode)
 			e.headSent = true
 		}
-		pauses.event(clock.Now())
+		gaps.event(clock.Now())
 		if splitter.Started {
 			e.lastID, e.hasEvent = splitter.Last, true
 		}
-		if _, problem := e.writer.Write(events); problem != nil {
-			return errClientGone.Wrap(problem, "write")
+		if _, writeErr := e.writer.Write(events); writeErr != nil {
+			return errClientDisconnected.Wrap(writeErr, "write")
 		}
 		if flusher != nil {
 			flusher.Flush()
@@ -95,58 +95,58 @@
 	})
 	if err == nil {
 		if !e.headSent {
-			copyBack(e.writer.Header(), response.Answer.Header)
-			e.writer.WriteHeader(response.Answer.StatusCode)
+			copyHeader(e.writer.Header(), response.HTTPResponse.Header)
+			e.writer.WriteHeader(response.HTTPResponse.StatusCode)
 		}
 		e.finish(response)
-		grant.Paused(pauses.longest)
+		grant.ObserveGap(gaps.longest)
 		grant.End(admission.ResultServed, clock.Now())
 		e.proxyServer.Counts.Served.Add(1)
-		if e.wasDisplaced {
+		if e.wasPreempted {
 			e.proxyServer.Scheduler.Counters(e.route.Name).Finished.Add(1)
 		}
-		return RepeatNever, true
+		return RetryNever, true
 	}
-	sender.Abandon(response)
+	sender.Discard(response)
 	result := e.resultOf(err)
-	if e.displaced.Swap(false) {
-		result = admission.ResultCalledOff
-		e.wasDisplaced, e.setBack = true, true
+	if e.preempted.Swap(false) {
+		result = admission.ResultCanceled
+		e.wasPreempted, e.requeued = true, true
 		e.proxyServer.Scheduler.Counters(e.route.Name).Displaced.Add(1)
 	}
-	if errs.Is(err, errClientGone) || e.request.Context().Err() != nil || clock.Now() >= e.deadline {
-		result = admission.ResultCalledOff
+	if errs.Is(err, errClientDisconnected) || e.request.Context().Err() != nil || clock.Now() >= e.deadline {
+		result = admission.ResultCanceled
 	}
 	grant.End(result, clock.Now())
 	e.proxyServer.Log.Debug("stream broke", "worker", grant.Worker.ID, "last", e.lastID, "err", err.Error())
-	return e.judge(Evidence{Sent: true}), false
+	return e.decideRetry(Evidence{Sent: true}), false
 }
 
-// pauses follows the longest pause of one stream.
-type pauses struct {
+// gapMeter follows the longest pause of one stream.
+type gapMeter struct {
 	last    clock.Instant
 	longest clock.Duration
-	some    bool
+	started bool
 }
 
-func (p *pauses) event(now clock.Instant) {
-	if p.some {
+func (p *gapMeter) event(now clock.Instant) {
+	if p.started {
 		p.longest = max(p.longest, now.Sub(p.last))
 	}
-	p.last, p.some = now, true
+	p.last, p.started = now, true
 }
 
-// mayYield lets a running stream of a lower rank make room, where it may go on at
+// allowPreemption lets a running stream of a lower rank make room, where it may go on at
 // another worker within the same answer and still end in time. What must not run
 // twice never yields.
-func (e *exchange) mayYield(grant *admission.Grant) {
+func (e *exchange) allowPreemption(grant *admission.Grant) {
 	left := e.deadline.Sub(clock.Now())
-	if !e.repeatable() || e.sent+1 >= e.route.Tries || left < e.route.Setpoint()+constants.StreamReserve {
+	if !e.retryable() || e.attempts+1 >= e.route.Tries || left < e.route.Setpoint()+constants.StreamReserve {
 		return
 	}
-	grant.MayYield(func() {
+	grant.AllowPreemption(func() {
 		// Told before the reader can wake; of no effect once the answer is whole.
-		e.displaced.Store(true)
+		e.preempted.Store(true)
 		e.closeConnection()
 	})
 }
--- a/internal/traffic/proxy/repeat.go
+++ b/internal/traffic/proxy/retry.go
@@ -15,38 +15,38 @@
 	Head bool
 }
 
-// Repeat says whether a request may go to another worker.
-type Repeat int
+// Retry says whether a request may go to another worker.
+type Retry int
 
 // The decisions.
 const (
-	// RepeatNever: it may have run, and running it again is forbidden.
-	RepeatNever Repeat = iota
-	// RepeatAnew: it may be sent again from the start.
-	RepeatAnew
-	// RepeatFrom: it may go on after the last event that was passed on.
-	RepeatFrom
+	// RetryNever: it may have run, and running it again is forbidden.
+	RetryNever Retry = iota
+	// RetryFromStart: it may be sent again from the start.
+	RetryFromStart
+	// RetryFromEvent: it may go on after the last event that was passed on.
+	RetryFromEvent
 )
 
-// May decides. A request that was sent and met silence, a reset or a cut may have
+// DecideRetry decides. A request that was sent and met silence, a reset or a cut may have
 // run; only the worker's own word says that it did not.
-func May(kind messages.RouteKind, resumable bool, evidence Evidence) Repeat {
+func DecideRetry(kind messages.RouteKind, resumable bool, evidence Evidence) Retry {
 	streams := kind == messages.RouteStreaming || kind == messages.RouteBulk
 	if evidence.Events || (evidence.Head && streams) {
 		// The client has part of a run: only its own continuation may follow.
 		if streams && resumable {
-			return RepeatFrom
+			return RetryFromEvent
 		}
-		return RepeatNever
+		return RetryNever
 	}
 	if evidence.Head {
-		return RepeatNever
+		return RetryNever
 	}
 	if !evidence.Sent || evidence.NotRun {
-		return RepeatAnew
+		return RetryFromStart
 	}
 	if kind == messages.RouteIdempotent || (streams && resumable) {
-		return RepeatAnew
+		return RetryFromStart
 	}
-	return RepeatNever
+	return RetryNever
 }
--- a/internal/traffic/proxy/send.go
+++ b/internal/traffic/proxy/send.go
@@ -7,13 +7,13 @@
 )
 
 func (r *Request) wait() workerconn.Wait {
-	return workerconn.Wait{Until: r.Until, SilenceTimeout: r.Patience, ShouldGiveUp: r.Impatient}
+	return workerconn.Wait{Until: r.Deadline, SilenceTimeout: r.SilenceTimeout, ShouldGiveUp: r.ShouldGiveUp}
 }
 
 // send writes the request on a connection and waits for the first byte that comes back.
 func (s *Sender) send(grant *admission.Grant, outgoing *Request) (*workerconn.Connection, Evidence, error) {
 	reuse, evidence := workerconn.ReuseSafe, Evidence{}
-	if outgoing.Repeatable {
+	if outgoing.Retryable {
 		reuse = workerconn.ReuseAny
 	}
 	for {
@@ -21,10 +21,10 @@
 		if err != nil {
 			return nil, evidence, ErrNotSent.Wrap(err, grant.Worker.ID)
 		}
-		if outgoing.Halt != nil {
-			outgoing.Halt(connection)
+		if outgoing.OnConnection != nil {
+			outgoing.OnConnection(connection)
 		}
-		err = connection.Send(outgoing.Attempt, outgoing.Text, outgoing.Until)
+		err = connection.Send(outgoing.Attempt, outgoing.Text, outgoing.Deadline)
 		if !errs.Is(err, workerconn.ErrNotSent) {
 			evidence.Sent = true
 		}
@@ -56,7 +56,7 @@
 	// On a connection that had lain idle it was most likely forgotten. The request may have
 	// run all the same: only what is repeatable, or was not sent at all, goes again.
 	s.Pool.RecordStale(connection)
-	if evidence.Sent && !outgoing.Repeatable {
+	if evidence.Sent && !outgoing.Retryable {
 		return false, ErrStaleConnection
 	}
 	return true, nil
--- a/internal/traffic/proxy/sender.go
+++ b/internal/traffic/proxy/sender.go
@@ -33,34 +33,34 @@
 
 // Request is what is carried.
 type Request struct {
-	Method   string
-	Attempt  string
-	Text     []byte
-	Until    clock.Instant
-	Patience clock.Duration
-	// Impatient decides on a silence longer than Patience, see workerconn.Wait.
-	Impatient func(silence clock.Duration) bool
-	// Repeatable: it may travel on any idle connection, and is sent again when its worker has
+	Method         string
+	Attempt        string
+	Text           []byte
+	Deadline       clock.Instant
+	SilenceTimeout clock.Duration
+	// ShouldGiveUp decides on a silence longer than Patience, see workerconn.Wait.
+	ShouldGiveUp func(elapsed clock.Duration) bool
+	// Retryable: it may travel on any idle connection, and is sent again when its worker has
 	// forgotten that connection.
-	Repeatable bool
-	// Seal says that a success must carry the worker's stamp.
-	Seal bool
-	// Halt is given the connection, so that it can be closed from outside.
-	Halt func(connection *workerconn.Connection)
+	Retryable bool
+	// RequireSeal says that a success must carry the worker's stamp.
+	RequireSeal bool
+	// OnConnection is given the connection, so that it can be closed from outside.
+	OnConnection func(connection *workerconn.Connection)
 }
 
 // Response is an answer whose head was read.
 type Response struct {
-	Answer     *http.Response
-	Connection *workerconn.Connection
-	Load       string
-	NotRun     bool
-	// Impatient is asked about silences in the stream.
-	Impatient func(silence clock.Duration) bool
+	HTTPResponse *http.Response
+	Connection   *workerconn.Connection
+	Load         string
+	NotRun       bool
+	// ShouldGiveUp is asked about silences in the stream.
+	ShouldGiveUp func(elapsed clock.Duration) bool
 }
 
-// Carry sends the request and reads the head of its answer.
-func (s *Sender) Carry(grant *admission.Grant, outgoing *Request) (*Response, Evidence, error) {
+// RoundTrip sends the request and reads the head of its answer.
+func (s *Sender) RoundTrip(grant *admission.Grant, outgoing *Request) (*Response, Evidence, error) {
 	// A drain acknowledged since the grant binds: look once more before sending.
 	if !s.Scheduler.Allowed(grant.Worker.ID, clock.Now()) {
 		return nil, Evidence{}, ErrNotSent.New("worker is leaving")
@@ -69,32 +69,32 @@
 	if err != nil {
 		return nil, evidence, err
 	}
-	answer, err := ownAnswer(connection, outgoing)
-	if err == nil && outgoing.Seal {
-		err = provenSuccess(answer)
+	resp, err := readOwnResponse(connection, outgoing)
+	if err == nil && outgoing.RequireSeal {
+		err = verifySuccess(resp)
 	}
 	if err != nil {
 		s.Pool.Drop(connection)
 		return nil, evidence, ErrCorruptResponse.Wrap(err, grant.Worker.ID)
 	}
-	response := &Response{Answer: answer, Connection: connection, Impatient: outgoing.Impatient, Load: answer.Header.Get(headerLoad)}
-	response.NotRun = answer.Header.Get(headerNotRun) != "" || answer.StatusCode == http.StatusMisdirectedRequest
+	response := &Response{HTTPResponse: resp, Connection: connection, ShouldGiveUp: outgoing.ShouldGiveUp, Load: resp.Header.Get(headerLoad)}
+	response.NotRun = resp.Header.Get(headerNotRun) != "" || resp.StatusCode == http.StatusMisdirectedRequest
 	evidence.NotRun = response.NotRun
 	return response, evidence, nil
 }
 
-// Finish puts the connection back after the whole answer was read.
-func (s *Sender) Finish(response *Response) {
-	s.Pool.Put(response.Connection, response.Answer)
+// Release puts the connection back after the whole answer was read.
+func (s *Sender) Release(response *Response) {
+	s.Pool.Put(response.Connection, response.HTTPResponse)
 }
 
-// Abandon ends the connection: the worker drops what it still does.
-func (s *Sender) Abandon(response *Response) { s.Pool.Drop(response.Connection) }
+// Discard ends the connection: the worker drops what it still does.
+func (s *Sender) Discard(response *Response) { s.Pool.Drop(response.Connection) }
 
 // ReadBody reads up to a limit; whole tells that nothing is left. A failure means
 // that the answer was cut.
-func (s *Sender) ReadBody(response *Response, limit int) (body []byte, whole bool, err error) {
-	body, err = io.ReadAll(io.LimitReader(response.Answer.Body, int64(limit)+1))
+func (s *Sender) ReadBody(response *Response, limit int) (body []byte, complete bool, err error) {
+	body, err = io.ReadAll(io.LimitReader(response.HTTPResponse.Body, int64(limit)+1))
 	if err != nil {
 		return body, false, ErrResponseLost.Wrap(err, "body")
 	}
@@ -103,21 +103,21 @@
 
 // Stream reads an event stream: each is given whole events as they come. It
 // returns nil at the clean end.
-func (s *Sender) Stream(response *Response, splitter *Splitter, until clock.Instant, patience clock.Duration, each func(events []byte) error) error {
+func (s *Sender) Stream(response *Response, splitter *Splitter, until clock.Instant, timeout clock.Duration, each func(events []byte) error) error {
 	buffer := make([]byte, 8<<10)
-	chunked := response.Answer.ContentLength < 0
+	chunked := response.HTTPResponse.ContentLength < 0
 	for {
 		if chunked {
-			if err := response.Connection.Await(workerconn.Wait{Until: until, SilenceTimeout: patience, ShouldGiveUp: response.Impatient}); err != nil {
+			if err := response.Connection.Await(workerconn.Wait{Until: until, SilenceTimeout: timeout, ShouldGiveUp: response.ShouldGiveUp}); err != nil {
 				return ErrResponseLost.Wrap(err, "stream")
 			}
 		}
-		count, err := response.Answer.Body.Read(buffer)
+		count, err := response.HTTPResponse.Body.Read(buffer)
 		if count > 0 {
 			events, follows := splitter.Feed(buffer[:count])
 			if len(events) > 0 {
-				if problem := each(events); problem != nil {
-					return problem
+				if writeErr := each(events); writeErr != nil {
+					return writeErr
 				}
 			}
 			if !follows {
--- a/internal/traffic/proxy/impatience.go
+++ b/internal/traffic/proxy/silence.go
@@ -10,18 +10,18 @@
 	"lemonarch/internal/traffic/workerconn"
 )
 
-// impatient gives the decision on a silence that is longer than usual. What may be
+// silencePolicy gives the decision on a silence that is longer than usual. What may be
 // repeated goes on elsewhere, while tries are left and the service as a whole has not
 // grown slow. What may not waits on: silence gives no reason to end an answer sooner.
 // Either way the silence is noted, so that others are not sent into it.
-func (e *exchange) impatient(grant *admission.Grant) func(silence clock.Duration) bool {
-	return func(silence clock.Duration) bool {
+func (e *exchange) silencePolicy(grant *admission.Grant) func(elapsed clock.Duration) bool {
+	return func(elapsed clock.Duration) bool {
 		now := clock.Now()
-		if !e.repeatable() || e.sent+1 >= e.route.Tries {
-			grant.Doubt(silence, now)
+		if !e.retryable() || e.attempts+1 >= e.route.Tries {
+			grant.NoteSilence(elapsed, now)
 			return false
 		}
-		return grant.Leave(silence, now) || silence >= constants.StreamTimeout
+		return grant.TryRetryElsewhere(elapsed, now) || elapsed >= constants.StreamTimeout
 	}
 }
 
@@ -29,23 +29,23 @@
 func (e *exchange) resultOf(err error) admission.Result {
 	switch {
 	case e.request.Context().Err() != nil, errs.Is(err, ErrStaleConnection):
-		return admission.ResultCalledOff
+		return admission.ResultCanceled
 	case errs.Is(err, workerconn.ErrPoolExhausted):
 		// Nothing is wrong with the worker; we have too many connections to it.
-		return admission.ResultTurnedAway
+		return admission.ResultRejected
 	case errs.Is(err, workerconn.ErrNoConnection):
-		return admission.ResultRefused
+		return admission.ResultUnreachable
 	case errs.Is(err, workerconn.ErrWorkerUnresponsive):
-		return admission.ResultSilent
+		return admission.ResultTimeout
 	}
 	return admission.ResultFailed
 }
 
-// errored tells whether a failure that a worker answered with speaks against it: its
+// resultOfStatus tells whether a failure that a worker answered with speaks against it: its
 // 504 only says that the time was too short.
-func errored(status int) admission.Result {
+func resultOfStatus(status int) admission.Result {
 	if status >= http.StatusInternalServerError && status != http.StatusGatewayTimeout {
-		return admission.ResultErrored
+		return admission.ResultServerError
 	}
 	return admission.ResultServed
 }
--- a/internal/traffic/proxy/standin_test.go
+++ b/internal/traffic/proxy/workerstub_test.go
@@ -22,9 +22,9 @@
 	"lemonarch/internal/traffic/workerconn"
 )
 
-// standIn is a worker of ours for tests: each request is handed to a script that
+// workerStub is a worker of ours for tests: each request is handed to a script that
 // may write anything, or nothing.
-type standIn struct {
+type workerStub struct {
 	id       string
 	listener net.Listener
 	lock     sync.Mutex
@@ -39,21 +39,21 @@
 	acceptEnded chan struct{}
 }
 
-func newStandIn(t *testing.T, id string, script func(count int, request *http.Request, connection net.Conn)) *standIn {
+func newWorkerStub(t *testing.T, id string, script func(count int, request *http.Request, connection net.Conn)) *workerStub {
 	t.Helper()
 
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	worker := &standIn{id: id, listener: listener, script: script, acceptEnded: make(chan struct{})}
+	worker := &workerStub{id: id, listener: listener, script: script, acceptEnded: make(chan struct{})}
 	t.Cleanup(func() { listener.Close() })
 	go worker.accept()
 	return worker
 }
 
 // accept serves connections until the listener is closed or drain's connection comes.
-func (s *standIn) accept() {
+func (s *workerStub) accept() {
 	defer close(s.acceptEnded)
 	for {
 		connection, err := s.listener.Accept()
@@ -71,7 +71,7 @@
 }
 
 // isClosing tells whether a connection is the one that drain made.
-func (s *standIn) isClosing(connection net.Conn) bool {
+func (s *workerStub) isClosing(connection net.Conn) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return connection.RemoteAddr().String() == s.closing
@@ -80,7 +80,7 @@
 // drain accepts what was connected before its call, reads all that comes on these
 // connections until they end, and takes no further ones: connections are accepted in the
 // order in which they were made, so its own is the last.
-func (s *standIn) drain(t *testing.T) {
+func (s *workerStub) drain(t *testing.T) {
 	t.Helper()
 
 	// The lock keeps accept from looking at the connection before its address is known.
@@ -98,7 +98,7 @@
 	s.serving.Wait()
 }
 
-func (s *standIn) serve(connection net.Conn) {
+func (s *workerStub) serve(connection net.Conn) {
 	defer s.serving.Done()
 	defer connection.Close()
 	reader := bufio.NewReader(connection)
@@ -117,14 +117,14 @@
 	}
 }
 
-func (s *standIn) seen() int {
+func (s *workerStub) seen() int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return len(s.requests)
 }
 
 // ran counts how often a request was read whole.
-func (s *standIn) ran(attempt string) int {
+func (s *workerStub) ran(attempt string) int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	count := 0
@@ -156,7 +156,7 @@
 ],"backends":[{"name":"s","conn-limit":50}],"limits":{"max-header-bytes":8192,"max-body-bytes":1000,"header-wait-ms":3000,"idle-ms":5000}}`
 
 // edge starts a data plane in front of stand-ins; the first listed is preferred.
-func edge(t *testing.T, workerList ...*standIn) (*httptest.Server, *Proxy) {
+func edge(t *testing.T, workerList ...*workerStub) (*httptest.Server, *Proxy) {
 	t.Helper()
 
 	var list []messages.Worker
@@ -172,23 +172,23 @@
 
 	scheduler := admission.New(messages.NodeInfo{Name: "n", Role: membership.RoleGateway, Zone: "h"}, 1_200_000_000)
 	sender := Sender{Scheduler: scheduler, Pool: workerconn.NewPool(), Budget: func(messages.Worker) int { return 20 }}
-	proxyServer := New(sender, nil, hclog.NewNullLogger())
+	proxy := New(sender, nil, hclog.NewNullLogger())
 	config, err := routeconfig.Parse([]byte(testConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
-	proxyServer.SetConfig(config)
-	for place := range list {
+	proxy.SetConfig(config)
+	for i := range list {
 		// The others stand in another zone, which costs them the tie.
-		list[place].Backend, list[place].Zone, list[place].Capacity, list[place].CallCount = "s", "h", 4, 1
-		if place > 0 {
-			list[place].Zone = "far" + fmt.Sprint(place)
+		list[i].Backend, list[i].Zone, list[i].Capacity, list[i].CallCount = "s", "h", 4, 1
+		if i > 0 {
+			list[i].Zone = "far" + fmt.Sprint(i)
 		}
 	}
 	scheduler.Merge(list, clock.Now())
-	server := httptest.NewServer(proxyServer)
+	server := httptest.NewServer(proxy)
 	t.Cleanup(server.Close)
-	return server, proxyServer
+	return server, proxy
 }
 
 // ask sends one request over a connection of its own and gives what came back.
@@ -205,11 +205,11 @@
 		request.Header.Set(name, value)
 	}
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}}
-	answer, err := client.Do(request)
+	resp, err := client.Do(request)
 	if err != nil {
 		return nil, "", err
 	}
-	defer answer.Body.Close()
-	body, err := io.ReadAll(answer.Body)
-	return answer, string(body), err
+	defer resp.Body.Close()
+	body, err := io.ReadAll(resp.Body)
+	return resp, string(body), err
 }
