--- a/internal/traffic/admission/admission.go
+++ b/internal/traffic/admission/admission.go
@@ -25,7 +25,7 @@
 	Retryable bool
 	Priority  int
 	Setpoint  clock.Duration
-	// Deadline is when the client stops waiting; Patience when we stop queueing.
+	// Deadline is when the client stops waiting; QueueUntil when we stop queueing.
 	Deadline   clock.Instant
 	QueueUntil clock.Instant
 	Excluded   []string
@@ -34,7 +34,7 @@
 	arrivedAt      clock.Instant
 }
 
-// Verdict is how an ask came out.
+// Verdict is how a request came out.
 type Verdict int
 
 // The verdicts.
@@ -78,7 +78,7 @@
 	preemptible         map[*Grant]*preemptible
 	onPressure          func(entries []messages.Pressure)
 	pressureSentAt      clock.Instant
-	// notifyPrefill must not block: it is called under the lock.
+	// onPrefill must not block: it is called under the lock.
 	onPrefill   func(worker string, milliseconds float64)
 	gossip      gossipState
 	subsets     map[string]subset
@@ -86,7 +86,7 @@
 	onEjection  func(Ejection)
 	latencies   map[string]*latencies
 	jitterState uint64
-	// wake speaks when something begins to wait.
+	// wake gets a value when something begins to wait.
 	wake         chan struct{}
 	number       int64
 	countersLock sync.Mutex
@@ -95,21 +95,14 @@
 	ownedWorkers map[string]bool
 }
 
-// rate follows how many requests a service finishes a second, as seen from here.
-type rate struct {
-	since     clock.Instant
-	count     float64
-	perSecond float64
-}
-
-// New makes a admission for a process.
+// New makes the admission of a process.
 func New(own messages.NodeInfo, heartbeat clock.Duration) *Scheduler {
 	scheduler := &Scheduler{Registry: workers.New(heartbeat), Tracker: health.New(), Index: prefixindex.NewIndex(),
 		queues: map[string][]Handle{}, rates: map[string]*rate{}, own: own,
 		pressure: map[string]pressureReport{}, preemptible: map[*Grant]*preemptible{}, counters: map[string]*Counters{},
 		wake: make(chan struct{}, 1)}
 	scheduler.cost = func(zone string) float64 {
-		// Another zone is a longer way, and bytes between zones are dear.
+		// Another zone is farther away, and bytes between zones are priced.
 		if zone == own.Zone {
 			return 0
 		}
@@ -132,10 +125,10 @@
 	s.config = config
 }
 
-// NoteControllerContact notes that a controller was heard from.
+// NoteControllerContact notes that a controller was in contact.
 func (s *Scheduler) NoteControllerContact(now clock.Instant) { s.controllerContactAt = now }
 
-// Merge takes word of workers and places what waited for them.
+// Merge takes updates of workers and places what waited for them.
 func (s *Scheduler) Merge(workerList []messages.Worker, now clock.Instant) {
 	s.lock.Lock()
 	s.NoteControllerContact(now)
@@ -151,8 +144,8 @@
 	s.Pump(now)
 }
 
-// Admit places an ask at once, queues it, or refuses it. What is queued presses
-// on work of a lower rank.
+// Admit places a request at once, queues it, or rejects it. What is queued preempts
+// work of a lower rank.
 func (s *Scheduler) Admit(req *Request, resume func(Decision), now clock.Instant) (Decision, Handle) {
 	decision, handle := s.admit(req, resume, now)
 	if decision.Verdict == VerdictQueued {
@@ -175,7 +168,7 @@
 		return Decision{Verdict: VerdictNoCapacity, Retry: s.retryAfter(req)}, Handle{}
 	}
 	if wait, known := s.expectedWait(req); known && now.Add(wait) > req.QueueUntil {
-		// It can't be served in its time: said at once, not after a wait.
+		// It can't be served in its time: rejected at once, not after a wait.
 		return Decision{Verdict: VerdictNoCapacity, Retry: s.retryAfter(req)}, Handle{}
 	}
 	queued := &waiter{request: req, resume: resume}
@@ -200,7 +193,7 @@
 	return false
 }
 
-// Withdraw takes a waiting ask back; false means it was resumed already.
+// Withdraw takes a waiting request back; false means it was resumed already.
 func (s *Scheduler) Withdraw(handle Handle) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/traffic/admission/capacity.go
+++ b/internal/traffic/admission/capacity.go
@@ -20,8 +20,8 @@
 	s.ownedWorkers = workerList
 }
 
-// BulkCapacity counts the workers that have a place left for an item, whether or not
-// they read one already: so many items are worth holding ready.
+// BulkCapacity counts the workers that have a slot left for an item, whether or not
+// they prefill one already: so many items are worth holding ready.
 func (s *Scheduler) BulkCapacity(req *Request, now clock.Instant) int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/traffic/admission/counters.go
+++ b/internal/traffic/admission/counters.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// Counters counts, for one route, what was displaced, resumed and finished here.
+// Counters counts, for one route, what was preempted, resumed and finished here.
 type Counters struct {
 	Displaced, Resumed, Finished atomic.Int64
 }
--- a/internal/traffic/admission/gossip.go
+++ b/internal/traffic/admission/gossip.go
@@ -11,7 +11,7 @@
 // gossipFormat is the version of the gossip packet; later ones may add fields.
 const gossipFormat = 2
 
-// sentSample is what was last told of a worker.
+// sentSample says when a worker's load was last sent to peers, and of which observation.
 type sentSample struct {
 	sentAt     clock.Instant
 	observedAt clock.Instant
@@ -20,7 +20,7 @@
 // gossipState is what the gossip of one node remembers.
 type gossipState struct {
 	sent map[string]sentSample
-	// byHash leads from short names back to workers; a name that two of them share is
+	// byHash leads from hashes back to workers; a hash that two of them share is
 	// nobody's.
 	byHash     map[uint32]string
 	asOf       uint64
@@ -30,7 +30,7 @@
 	turnoverAt clock.Instant
 }
 
-// loadCandidate is a word that may be told, with how long the last one is old.
+// loadCandidate is a sample that may be sent, with the time since the last one was.
 type loadCandidate struct {
 	worker   string
 	sample   messages.LoadSample
@@ -39,7 +39,7 @@
 }
 
 // MakeGossip makes this node's packet. It is bounded whatever the size of the fleet:
-// what neighbours were told longest ago goes first, and what failed here before it.
+// what was sent longest ago goes first, and what failed here before it.
 func (s *Scheduler) MakeGossip(now clock.Instant) *messages.Gossip {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -64,7 +64,7 @@
 		last, before := state.sent[worker.ID]
 		_, observedAt := health.Observed()
 		if before && sample.Health == messages.HealthUnknown && observedAt <= last.observedAt {
-			// They have heard this very observation from us.
+			// They have got this very observation from here.
 			continue
 		}
 		if sample.Health == messages.HealthUnknown && sample.AgeMs > constants.GossipMinChange.Milliseconds() {
@@ -72,7 +72,7 @@
 		}
 		wait := now.Sub(last.sentAt)
 		if sample.Health == messages.HealthSuspect {
-			// Like one that was never told of.
+			// Like one that was never sent.
 			wait = now.Sub(0)
 		}
 		found = append(found, loadCandidate{worker.ID, sample, worker.Zone == s.own.Zone, wait})
@@ -111,7 +111,7 @@
 	s.storePressure(packet.From, packet.Pressure, now)
 }
 
-// workerByHash gives the worker of a short name. The lock is held.
+// workerByHash gives the worker of a hash. The lock is held.
 func (s *Scheduler) workerByHash(short uint32) string {
 	state := &s.gossip
 	// A change of the table is rare, and a list of other length is another list too.
@@ -139,16 +139,16 @@
 	return placements, downgrades, placements > enough && float64(downgrades) > constants.DowngradeAlert*float64(placements)
 }
 
-// OnPrefill names who is told of long prompts; it must not block.
+// OnPrefill registers who is notified of long prompts; it must not block.
 func (s *Scheduler) OnPrefill(notify func(worker string, milliseconds float64)) {
 	s.onPrefill = notify
 }
 
-// AddPeerPrefill takes a peer's word of a long prompt.
+// HandlePrefill takes a peer's notice of a long prompt.
 func (s *Scheduler) HandlePrefill(notice *messages.PrefillNotice, now clock.Instant) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	// A word of more than a gossip period is no reading time but a mistake.
+	// A notice of more than a gossip period is no prefill time but a mistake.
 	if _, known := s.Registry.Get(notice.Worker); known && notice.Prefill > 0 && notice.Prefill < clock.ToMilliseconds(constants.GossipPeriod) {
 		s.Tracker.Of(notice.Worker).AddPeerPrefill(clock.Milliseconds(notice.Prefill), now)
 	}
--- a/internal/traffic/admission/health.go
+++ b/internal/traffic/admission/health.go
@@ -10,7 +10,7 @@
 	"lemonarch/internal/traffic/health"
 )
 
-// Ejection is told when a worker is ejected from ordinary placement or returns.
+// Ejection is the event that a worker is ejected from ordinary placement or returns.
 type Ejection struct {
 	Worker, Service string
 	// Reason is the kind of the last failure, or "flapping".
@@ -19,18 +19,18 @@
 	Duration clock.Duration
 }
 
-// faultOf maps outcomes that say something against a worker.
+// faultOf maps outcomes that count against a worker.
 var faultOf = map[Result]health.Fault{
 	ResultFailed:      health.FaultReset,
 	ResultUnreachable: health.FaultRefused,
 	ResultTimeout:     health.FaultTimeout,
 	ResultServerError: health.FaultError,
 	ResultShed:        health.FaultShed,
-	// Another service answers there: this life is gone from the address.
+	// Another service answers there: this incarnation is gone from the address.
 	ResultMisdirected: health.FaultRefused,
 }
 
-// OnEjection names who is told of ejections and returns; it must not block.
+// OnEjection registers who is notified of ejections and returns; it must not block.
 func (s *Scheduler) OnEjection(notify func(Ejection)) { s.onEjection = notify }
 
 // recordOutcome takes an outcome into the health. The lock is held.
@@ -60,13 +60,13 @@
 	}
 }
 
-// observeIncarnation has the health look at a life that is new to us. The lock is held.
+// observeIncarnation has the health look at an incarnation that is new here. The lock is held.
 func (s *Scheduler) observeIncarnation(worker messages.Worker, now clock.Instant) {
 	if _, known := s.Registry.Get(worker.ID); known || worker.Phase != messages.PhaseSteady {
 		return
 	}
-	// A life that said that it leaves made room in order. Of one that we never heard
-	// of we can't tell.
+	// An incarnation that drained ended in order. Of one that was never known here
+	// nothing can be told.
 	orderly := true
 	if before, found := s.Registry.Get(s.Tracker.WorkerAt(worker.Address)); found {
 		orderly = before.Phase != messages.PhaseSteady
@@ -77,8 +77,8 @@
 	}
 }
 
-// standings sorts out which workers of a service get no ordinary request. Our own
-// outcomes go before hearsay and before missing heartbeats.
+// ejectedWorkers gives the workers of a service that get no ordinary request. Own
+// outcomes go before reports of peers and before missing heartbeats.
 func (s *Scheduler) ejectedWorkers(req *Request, workerList []messages.Worker, now clock.Instant) map[string]bool {
 	if !s.Tracker.AnyEjected() {
 		return nil
@@ -92,7 +92,7 @@
 }
 
 // isSuspect tells whether a worker is only asked where nobody else can be: ejected here,
-// or told of by peers or by missing heartbeats while nothing of ours speaks for it.
+// or suspected by peers or by missing heartbeats while no own outcomes speak for it.
 func (s *Scheduler) isSuspect(worker messages.Worker, status workers.Status, ejected map[string]bool, now clock.Instant) bool {
 	if ejected[worker.ID] {
 		return true
@@ -114,8 +114,8 @@
 	return cost * max(0, s.Tracker.OutcomesOf(worker.ID, worker.Backend).FailureRate(median, now)-median-constants.RiskFloor)
 }
 
-// OutcomeSummary says in a word for the shell how a worker is trusted here: its rate of
-// failure, whether it is held or on trial, and the failures by kind. The lock is held.
+// OutcomeSummary describes a worker's outcomes for the shell: its rate of
+// failure, whether it is ejected (held) or on trial, and the failures by kind. The lock is held.
 func (s *Scheduler) OutcomeSummary(worker messages.Worker, now clock.Instant) string {
 	outcomes := s.Tracker.OutcomesOf(worker.ID, worker.Backend)
 	sample := "rate=" + strconv.FormatFloat(outcomes.FailureRate(s.Tracker.MedianFailureRate(worker.Backend, now), now), 'f', 2, 64)
--- a/internal/traffic/admission/preemption.go
+++ b/internal/traffic/admission/preemption.go
@@ -13,14 +13,14 @@
 	entries []messages.Pressure
 }
 
-// preemptible is a grant whose holder can give its place up and go on later.
+// preemptible is a grant whose request can give its slot up and go on later.
 type preemptible struct {
 	yield     func()
 	requested bool
 }
 
-// AllowPreemption says that this grant's work may be displaced: yield breaks it off, and
-// its owner sets it back with all it has.
+// AllowPreemption says that this grant's work may be preempted: yield breaks it off, and
+// its owner requeues it with all it has.
 func (g *Grant) AllowPreemption(yield func()) {
 	scheduler := g.scheduler
 	scheduler.lock.Lock()
@@ -28,10 +28,10 @@
 	scheduler.preemptible[g] = &preemptible{yield: yield}
 }
 
-// OnPressure names who is told when requests find no room here.
+// OnPressure registers who is notified when requests find no capacity here.
 func (s *Scheduler) OnPressure(notify func(entries []messages.Pressure)) { s.onPressure = notify }
 
-// Pressure lists what waits here, by service and rank. The lock is held.
+// pressureEntries lists what waits here, by service and rank. The lock is held.
 func (s *Scheduler) pressureEntries() []messages.Pressure {
 	var entries []messages.Pressure
 	for service, queue := range s.queues {
@@ -54,7 +54,7 @@
 	return entries
 }
 
-// applyPressure displaces for what waits here, and tells the others.
+// applyPressure preempts for what waits here, and notifies the others.
 func (s *Scheduler) applyPressure(now clock.Instant) {
 	s.lock.Lock()
 	entries := s.pressureEntries()
@@ -79,18 +79,18 @@
 	}
 }
 
-// ownPressure is the key of our own word; no process has an empty name.
+// ownPressure is the key of the own report; no process has an empty name.
 const ownPressure = ""
 
-// ObservePressure takes a peer's word that is not ours to act on: nothing new starts against it.
+// ObservePressure takes a peer's report that others act on: nothing new starts against it.
 func (s *Scheduler) ObservePressure(notice *messages.PressureNotice, now clock.Instant) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.storePressure(notice.From, notice.Entries, now)
 }
 
-// YieldToPressure takes a peer's word and yields our part. sharers is how many processes
-// of our role got the same word.
+// YieldToPressure takes a peer's report and yields this process's part. sharers is how many processes
+// of this role got the same report.
 func (s *Scheduler) YieldToPressure(notice *messages.PressureNotice, sharers int, now clock.Instant) {
 	s.lock.Lock()
 	s.storePressure(notice.From, notice.Entries, now)
@@ -101,39 +101,15 @@
 	}
 }
 
-// selectVictims picks what makes room: items before streams, the lowest rank first, and
-// of those the youngest, which has the least to read again. The lock is held.
+// selectVictims picks what is preempted: items before streams, the lowest rank first, and
+// of those the youngest, which has the least to prefill again. The lock is held.
 func (s *Scheduler) selectVictims(entries []messages.Pressure, sharers int) []func() {
 	var toYield []func()
-	for _, sample := range entries {
-		var candidates []*Grant
-		under := 0
-		for grant, entry := range s.preemptible {
-			if grant.request.Service != sample.Service || grant.request.Priority <= sample.Priority {
-				continue
-			}
-			if entry.requested {
-				// Its place is on the way already.
-				under++
-				continue
-			}
-			candidates = append(candidates, grant)
-		}
-		sort.Slice(candidates, func(left, right int) bool {
-			first, second := candidates[left], candidates[right]
-			if first.request.Bulk != second.request.Bulk {
-				return first.request.Bulk
-			}
-			if first.request.Priority != second.request.Priority {
-				return first.request.Priority > second.request.Priority
-			}
-			if first.startedAt != second.startedAt {
-				return first.startedAt > second.startedAt
-			}
-			return first.number > second.number
-		})
-		wanted := (sample.Waiting+sharers-1)/sharers - under
-		spare := s.bulkRunning(sample.Service) - under - s.bulkFloor(sample.Service)
+	for _, entry := range entries {
+		candidates, requested := s.preemptibleFor(entry)
+		sort.Slice(candidates, func(left, right int) bool { return candidates[left].yieldsBefore(candidates[right]) })
+		wanted := (entry.Waiting+sharers-1)/sharers - requested
+		spare := s.bulkRunning(entry.Service) - requested - s.bulkFloor(entry.Service)
 		for _, grant := range candidates {
 			if wanted <= 0 {
 				break
@@ -152,7 +128,36 @@
 	return toYield
 }
 
-// bulkRunning is how many items of ours run at a service. The lock is held.
+// preemptibleFor gives the grants of a lower rank at a service that may be asked to yield, and
+// how many of that kind were asked already. The lock is held.
+func (s *Scheduler) preemptibleFor(entry messages.Pressure) (candidates []*Grant, requested int) {
+	for grant, state := range s.preemptible {
+		if grant.request.Service != entry.Service || grant.request.Priority <= entry.Priority {
+			continue
+		}
+		if state.requested {
+			requested++
+			continue
+		}
+		candidates = append(candidates, grant)
+	}
+	return candidates, requested
+}
+
+// yieldsBefore orders grants by who is preempted first.
+func (g *Grant) yieldsBefore(other *Grant) bool {
+	switch {
+	case g.request.Bulk != other.request.Bulk:
+		return g.request.Bulk
+	case g.request.Priority != other.request.Priority:
+		return g.request.Priority > other.request.Priority
+	case g.startedAt != other.startedAt:
+		return g.startedAt > other.startedAt
+	}
+	return g.number > other.number
+}
+
+// bulkRunning is how many items of this process run at a service. The lock is held.
 func (s *Scheduler) bulkRunning(service string) int {
 	count := 0
 	for _, worker := range s.Registry.ByService(service) {
@@ -161,7 +166,7 @@
 	return count
 }
 
-// bulkFloor is how many places items keep whatever waits: a part of those of the workers
+// bulkFloor is how many slots items keep whatever waits: a part of those of the workers
 // at which this process places items, so that all processes together keep one floor.
 // The lock is held.
 func (s *Scheduler) bulkFloor(service string) int {
@@ -174,7 +179,7 @@
 	return int(constants.PreemptionFloor*float64(capacity)) + 1
 }
 
-// underPressure tells whether requests of a higher rank wait for room at a service,
+// underPressure tells whether requests of a higher rank wait for capacity at a service,
 // here or at a peer.
 func (s *Scheduler) underPressure(service string, priority int, now clock.Instant) bool {
 	for _, entry := range s.pressure {
@@ -190,7 +195,7 @@
 	return false
 }
 
-// storePressure takes a peer's word and drops those that count no more. The lock is held.
+// storePressure keeps a peer's report and drops those that count no more. The lock is held.
 func (s *Scheduler) storePressure(from string, entries []messages.Pressure, now clock.Instant) {
 	for peer, entry := range s.pressure {
 		if now.Sub(entry.at) >= constants.PressureStale {
--- a/internal/traffic/admission/pump.go
+++ b/internal/traffic/admission/pump.go
@@ -5,7 +5,7 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// wakePump wakes whoever pumps; one word is enough.
+// wakePump wakes RunPump; one signal is enough.
 func (s *Scheduler) wakePump() {
 	select {
 	case s.wake <- struct{}{}:
@@ -13,7 +13,7 @@
 	}
 }
 
-// PumpWaiting pumps where anything waits, since patience may have run out, and tells
+// PumpWaiting pumps where anything waits, since its time may have run out, and tells
 // whether something still does.
 func (s *Scheduler) PumpWaiting(now clock.Instant) bool {
 	if !s.waiting() {
@@ -49,7 +49,7 @@
 	}
 }
 
-// Pump resumes what can be placed now, in order of rank and age, and refuses
+// Pump resumes what can be placed now, in order of rank and age, and rejects
 // what can wait no longer.
 func (s *Scheduler) Pump(now clock.Instant) {
 	type resumption struct {
--- /dev/null
+++ b/internal/traffic/admission/rate.go
@@ -0,0 +1,54 @@
+package admission
+
+import (
+	"lemonarch/internal/platform/clock"
+	"lemonarch/internal/platform/constants"
+)
+
+// rate follows how many requests a service finishes a second, as seen from here.
+type rate struct {
+	since     clock.Instant
+	count     float64
+	perSecond float64
+}
+
+// recordRate counts a request that a service finished. The lock is held.
+func (s *Scheduler) recordRate(service string, now clock.Instant) {
+	current := s.rates[service]
+	if current == nil {
+		current = &rate{since: now}
+		s.rates[service] = current
+	}
+	current.count++
+	if elapsed := now.Sub(current.since); elapsed > constants.GossipPeriod/2 {
+		fresh := current.count / elapsed.Seconds()
+		if current.perSecond == 0 {
+			current.perSecond = fresh
+		}
+		current.perSecond += 0.4 * (fresh - current.perSecond)
+		current.count, current.since = 0, now
+	}
+}
+
+// retryAfter tells when capacity is expected.
+func (s *Scheduler) retryAfter(req *Request) clock.Duration {
+	wait, known := s.expectedWait(req)
+	if !known {
+		wait = req.Setpoint
+	}
+	return min(max(wait, 50*1_000_000), constants.GossipPeriod)
+}
+
+func (s *Scheduler) expectedWait(req *Request) (clock.Duration, bool) {
+	rate := s.rates[req.Service]
+	if rate == nil || rate.perSecond <= 0 {
+		return 0, false
+	}
+	ahead := 1.0
+	for _, handle := range s.queues[req.Service] {
+		if queued, found := s.slab.Get(handle); found && queued.request.Priority <= req.Priority {
+			ahead++
+		}
+	}
+	return clock.Milliseconds(1000 * ahead / rate.perSecond), true
+}
--- a/internal/traffic/admission/reach.go
+++ b/internal/traffic/admission/reach.go
@@ -14,7 +14,7 @@
 // A node of a large fleet sees too few requests to know every worker well, and a connection
 // to each would cost the workers more connections than they take. So what has no
 // warm prefix goes to a small stable subset, the own zone's first; a long prefix goes
-// wherever it is at home or was seen; and whoever finds no room there asks all.
+// wherever it is at home or was seen; and whoever finds no capacity there considers all.
 
 // scratch are lists that are filled anew by each placement.
 type scratch struct {
@@ -30,11 +30,11 @@
 	workerList []messages.Worker
 }
 
-// reach gives the workers that are weighed for an ask, and whether there are more.
+// reach gives the workers that are considered for a request, and whether there are more.
 // The lock is held.
 func (s *Scheduler) reach(req *Request, all []messages.Worker, now clock.Instant) (some []messages.Worker, more bool) {
 	if req.Bulk || len(all) <= constants.ReachAllUpTo {
-		// Items are placed by few processes, each of which needs the room of all.
+		// Items are placed by few processes, each of which needs the capacity of all.
 		return all, false
 	}
 	some = s.scratch.reach[:0]
@@ -52,7 +52,7 @@
 }
 
 // subset draws the node's workers by rendezvous: who comes or goes changes nobody
-// else's, and all workers are drawn by about as many nodes.
+// else's, and all workers are chosen by about as many nodes.
 func (s *Scheduler) subset(service string, all []messages.Worker, now clock.Instant) []messages.Worker {
 	remaining := s.subsets[service]
 	if remaining.workerList != nil && now.Sub(remaining.at) < constants.GossipPeriod {
@@ -88,7 +88,7 @@
 	return fresh.workerList
 }
 
-// rendezvousWeight is a node's draw for a worker; it weighs those with the highest.
+// rendezvousWeight is a node's weight for a worker; it considers those with the highest.
 func rendezvousWeight(node messages.NodeInfo, worker string) uint64 {
 	sum := fnv.New64a()
 	sum.Write([]byte(worker))
@@ -98,8 +98,8 @@
 	return prefixindex.MixBits(sum.Sum64())
 }
 
-// NodesFor gives those of some nodes of a worker's zone that weigh it by their draw,
-// and whether nodes weigh a part of the workers at all.
+// NodesFor gives those of some nodes of a worker's zone that consider it by their weight,
+// and whether nodes consider a part of the workers at all.
 func (s *Scheduler) NodesFor(worker string, nodes []messages.NodeInfo) (nodesFor []messages.NodeInfo, part bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/traffic/admission/silence.go
+++ b/internal/traffic/admission/silence.go
@@ -12,7 +12,7 @@
 	first, gap health.Latency
 }
 
-// latenciesOf gives the paces of a service. The lock is held.
+// latenciesOf gives the latencies of a service. The lock is held.
 func (s *Scheduler) latenciesOf(service string) *latencies {
 	if s.latencies == nil {
 		s.latencies = map[string]*latencies{}
@@ -40,7 +40,7 @@
 }
 
 // InterEventTimeout is the silence between two events that is out of the ordinary, where
-// pauses up to a length keep an answer in time.
+// pauses up to a length keep a response in time.
 func (g *Grant) InterEventTimeout(longest clock.Duration) clock.Duration {
 	scheduler := g.scheduler
 	scheduler.lock.Lock()
@@ -52,7 +52,7 @@
 	return scheduler.latenciesOf(g.Worker.Backend).gap.Timeout(min(least, constants.StreamTimeout), constants.StreamTimeout)
 }
 
-// ObserveGap notes the longest pause of a stream that came whole.
+// ObserveGap notes the longest pause of a stream that was complete.
 func (g *Grant) ObserveGap(longest clock.Duration) {
 	if longest <= 0 {
 		return
@@ -99,7 +99,7 @@
 	silenceSure
 )
 
-// ObserveLoad takes the load header of an answer that is no run.
+// ObserveLoad takes the load header of a response that is no run.
 func (g *Grant) ObserveLoad(load string, now clock.Instant) {
 	if load == "" {
 		return
@@ -109,8 +109,8 @@
 	g.scheduler.Tracker.Of(g.Worker.ID).ObserveLoad(load, now)
 }
 
-// IsShedding tells whether a worker that turned a request away had room by its own word. The
-// memory of an engine may be full while places are free, so there half must be.
+// IsShedding tells whether a worker that rejected a request had capacity by the load that it stated. The
+// memory of an engine may be full while slots are free, so there half must be.
 func (g *Grant) IsShedding(load string) bool {
 	busy, slots, known := health.ParseLoad(load)
 	if g.engine {
--- a/internal/traffic/admission/slab.go
+++ b/internal/traffic/admission/slab.go
@@ -1,7 +1,7 @@
 package admission
 
-// Handle names a place in a slab together with its generation, so that a late
-// call for a place that was given to another is known.
+// Handle names a cell of a slab together with its generation, so that a late
+// call for a cell that was given to another is known.
 type Handle struct {
 	index      int
 	generation uint32
--- a/internal/traffic/admission/stale.go
+++ b/internal/traffic/admission/stale.go
@@ -10,12 +10,12 @@
 )
 
 // How many requests a worker has is forgotten by the worker itself in about the time
-// that a request stays there. All nodes hear the same words, so whoever follows an old
-// one goes where all others go, and where all stay away no new word comes from.
+// that a request stays there. All nodes get the same samples, so whoever follows an old
+// one goes where all others go, and where all stay away no new sample comes from.
 
-// isFull tells whether an ask finds no place at a worker. That a worker was full holds
+// isFull tells whether a request finds no slot at a worker. That a worker was full holds
 // for about one stay; then somebody must look. Items take no such chance, and nobody does
-// at an engine, whose batch stays full: there pressure makes room.
+// at an engine, whose batch stays full: there pressure frees slots.
 func (s *Scheduler) isFull(req *Request, worker messages.Worker, engine bool, running int, now clock.Instant) bool {
 	capacity := s.capacityFor(req, worker, now)
 	if running < capacity {
--- a/internal/traffic/admission/workers.go
+++ b/internal/traffic/admission/workers.go
@@ -6,7 +6,7 @@
 )
 
 // HandleOverdue takes a controller's list of the workers that are silent. It says, too, that a
-// controller was heard.
+// controller was in contact.
 func (s *Scheduler) HandleOverdue(silent []messages.Overdue, now clock.Instant) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/traffic/gateway/clientconn.go
+++ b/internal/traffic/gateway/clientconn.go
@@ -12,7 +12,7 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// requestTimeoutResponse answers a client that takes too long over its head. The server itself
+// requestTimeoutResponse answers a client that takes too long over its header. The server itself
 // ends such a connection without a word.
 const requestTimeoutResponse = "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
@@ -24,8 +24,8 @@
 	// deadlines that are long past, to call off a read of its own: that is no slow client.
 	hasDeadline atomic.Bool
 	lock        sync.Mutex
-	// reading is set while a request has begun to come or is under way, and resting
-	// while none has, since an answer; until is how long it may.
+	// reading is set while a request has begun to come or is under way, and idle
+	// while none has, since a response; idleUntil is how long it may.
 	reading, idle        bool
 	idleSince, idleUntil clock.Instant
 	// ended is set once the connection was closed between two requests.
@@ -59,7 +59,7 @@
 	return p.Conn.SetDeadline(at)
 }
 
-// Read answers where the time for a head is over: no other read of the server has
+// Read answers where the time for a header is over: no other read of the server has
 // a deadline while a request comes.
 func (p *clientConn) Read(into []byte) (int, error) {
 	count, err := p.Conn.Read(into)
@@ -98,14 +98,14 @@
 	return p.idle && p.hasDeadline.Load()
 }
 
-// setIdle notes that an answer is whole and nothing of another request has been asked for.
+// setIdle notes that a response is complete and nothing of another request has been read.
 func (p *clientConn) setIdle(now clock.Instant) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.reading, p.idle, p.idleSince = false, true, now
 }
 
-// extendIdle gives a resting connection the time of newer limits, if that is longer.
+// extendIdle gives an idle connection the time of newer limits, if that is longer.
 func (p *clientConn) extendIdle(idle clock.Duration, now clock.Instant) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
--- a/internal/traffic/gateway/connections.go
+++ b/internal/traffic/gateway/connections.go
@@ -14,7 +14,7 @@
 	net.Listener
 	lock sync.Mutex
 	open map[*clientConn]struct{}
-	// idleTimeout is how long a connection may rest, and head how long a head may take.
+	// idleTimeout is how long a connection may be idle, and headerTimeout how long a header may take.
 	idleTimeout, headerTimeout clock.Duration
 	// newestIdleTimeout is the idle time of the newest configuration.
 	newestIdleTimeout clock.Duration
@@ -57,7 +57,7 @@
 }
 
 // setLimits takes the limits of a newer configuration. Clients go by the one that they
-// know, which may be the one before, so the longer time of the two is given; what rests
+// know, which may be the one before, so the longer time of the two is given; what is idle
 // already is given it as well.
 func (c *clientConns) setLimits(limits routeconfig.Limits) {
 	c.lock.Lock()
--- a/internal/traffic/gateway/connections_test.go
+++ b/internal/traffic/gateway/connections_test.go
@@ -42,7 +42,7 @@
 func bytesArrive(into []byte) (int, error) { return copy(into, "GET "), nil }
 func deadlineExceeded([]byte) (int, error) { return 0, os.ErrDeadlineExceeded }
 
-// idleConnection gives a connection on which an answer has just ended.
+// idleConnection gives a connection on which a response has just ended.
 func idleConnection(owner *clientConns, reads ...func([]byte) (int, error)) (*clientConn, *scripted) {
 	raw := &scripted{reads: reads}
 	connection := &clientConn{Conn: raw, owner: owner}
--- a/internal/traffic/gateway/gateway.go
+++ b/internal/traffic/gateway/gateway.go
@@ -83,7 +83,7 @@
 }
 
 // serve takes requests by the limits in force. The server's own limits only tell that
-// there are some; a larger head than the first configuration's is not refused, as a later
+// there are some; a larger header than the first configuration's is not rejected, as a later
 // one may allow it.
 func (g *Gateway) serve(listener net.Listener) error {
 	limits := g.Node.Config().Limits
@@ -98,8 +98,8 @@
 	return ingress.Serve(clients)
 }
 
-// readiness says yes only with a configuration that was read at a majority,
-// with workers to serve by, and while not leaving.
+// readiness answers 200 only with a configuration that was read at a majority,
+// with workers to serve by, and while not draining.
 func (g *Gateway) readiness(writer http.ResponseWriter, _ *http.Request) {
 	workerList := 0
 	g.Gossip.Scheduler.Locked(func() { workerList = len(g.Gossip.Scheduler.Registry.All(clock.Now())) })
@@ -110,7 +110,7 @@
 	httpreply.Text(writer, http.StatusOK, "ready")
 }
 
-// Shutdown drains: it says that it is not ready, still serves the connections that
+// Shutdown drains: it answers that it is not ready, still serves the connections that
 // come until the platform has seen it, ends what is under way, and stops.
 func (g *Gateway) Shutdown() {
 	g.Proxy.Draining.Store(true)
--- a/internal/traffic/gateway/jobcall_test.go
+++ b/internal/traffic/gateway/jobcall_test.go
@@ -53,7 +53,7 @@
 	return h.taken[job]
 }
 
-// jobFrameLength is about as long as a hand-in of this test, or its answer, is on the wire.
+// jobFrameLength is about as long as a hand-in of this test, or its response, is on the wire.
 const jobFrameLength = 130
 
 // Whatever befalls the connection to the store that holds the lots, at whichever byte: a
--- a/internal/traffic/gateway/jobforwarder.go
+++ b/internal/traffic/gateway/jobforwarder.go
@@ -13,19 +13,19 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// jobForwarder passes calls on lots to the store that holds the duty.
+// jobForwarder forwards calls on batch jobs to the store that leads.
 type jobForwarder struct {
 	runtime    *agent.Agent
 	lock       sync.Mutex
 	leadership messages.Leadership
-	// changed closes when another takes the duty; shunned is when the known holder
+	// changed closes when another takes the leadership; unresponsiveAt is when the known leader
 	// last failed to answer.
 	changed        chan struct{}
 	unresponsiveAt clock.Instant
-	// requests numbers the questions; once knows those that were relayed through us.
+	// requests numbers the requests; deduplicator knows those that were relayed through this gateway.
 	requests     atomic.Uint64
 	deduplicator transport.Deduplicator
-	// now, pause and draw are the clock and the dice, so that tests can set them.
+	// now, sleep and random are the clock and the random numbers, so that tests can set them.
 	now    func() clock.Instant
 	sleep  func(clock.Duration)
 	random func() float64
@@ -41,7 +41,7 @@
 	return entry
 }
 
-// observeLeader takes word of who holds the duty.
+// observeLeader takes an announcement of who leads.
 func (g *jobForwarder) observeLeader(announcement *messages.LeaderAnnouncement) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -54,7 +54,7 @@
 	}
 }
 
-// leader gives who is believed to hold the duty, unless it has just failed to
+// leader gives who is believed to lead, unless it has just failed to
 // answer, and what closes when that changes.
 func (g *jobForwarder) leader() (string, chan struct{}) {
 	g.lock.Lock()
@@ -65,7 +65,7 @@
 	return g.leadership.Address, g.changed
 }
 
-// call puts a call to one store. It does not wait on for one whose duty another
+// call makes a call to one store. It does not wait on for one whose leadership another
 // has taken since.
 func (g *jobForwarder) call(address string, call *messages.JobCallRequest, wait clock.Duration, changed chan struct{}) (*messages.JobCallResponse, error) {
 	type result struct {
@@ -91,8 +91,8 @@
 	}
 }
 
-// Forward asks the holder. The second result says whether the call may have had an
-// effect although no answer came.
+// Forward makes the call at the leader. The second result says whether the call may have had an
+// effect although no response came.
 func (g *jobForwarder) Forward(call *messages.JobCallRequest, timeout clock.Duration) (*messages.JobCallResponse, bool) {
 	end := g.now().Add(timeout)
 	outcome, failures, relays := outcomeTracker{}, 0, map[string]bool{}
@@ -111,13 +111,13 @@
 			address = g.pickOther(membership.RoleStore, tried)
 		}
 		if address == "" {
-			// Everybody was asked: the duty is changing hands, so wait a little.
+			// Every store was tried: the leadership is changing, so wait a little.
 			g.sleep(constants.LeaseRenewPeriod / 2)
 			tried = map[string]bool{}
 			continue
 		}
 		tried[address] = true
-		// A holder that is gone must not use up the whole time.
+		// A leader that is gone must not use up all the time.
 		left := end.Sub(g.now())
 		wait := min(left, constants.CallTimeout+clock.Milliseconds(float64(call.WaitMs)))
 		resp, err := g.call(address, g.requestFor(call, left), wait, changed)
@@ -172,10 +172,10 @@
 		// The first copy is answered, or will be; a second might end otherwise.
 		return outcomeUnknown(), nil
 	}
-	// Whatever the sender says: a call is passed on by two gateways at most.
+	// Whatever the sender says: a call is forwarded by two gateways at most.
 	call.Forwarded = true
 	// It must say what it knows before the sender stops waiting, and go on no longer
-	// than the call may live.
+	// than the call's time to live.
 	timeout := constants.CallTimeout*3/4 + clock.Milliseconds(float64(call.WaitMs))
 	if call.TTLMs > 0 {
 		timeout = min(timeout, clock.Milliseconds(float64(call.TTLMs)))
--- a/internal/traffic/gateway/lingeringclose.go
+++ b/internal/traffic/gateway/lingeringclose.go
@@ -8,7 +8,7 @@
 
 // What is read and thrown away before a connection ends on which the client still
 // sends: bytes, and time in ms (ours). Closing with unread bytes resets, and a reset
-// takes the answer along that says why.
+// takes the response along that says why.
 const (
 	drainBytes = 1 << 20
 	drainMs    = 300
--- a/internal/traffic/gateway/outcome.go
+++ b/internal/traffic/gateway/outcome.go
@@ -10,20 +10,20 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// outcomeTracker follows the questions that one call was put in, and keeps a refusal from
-// being told while any of them may still have an effect: 429, 503, 408 and 421 say
-// that nothing of a lot runs, now or later.
+// outcomeTracker follows the requests that were made for one call, and keeps a rejection from
+// being returned while any of them may still have an effect: 429, 503, 408 and 421 promise
+// that nothing of a job runs, now or later.
 type outcomeTracker struct {
-	// unknown says that a question may have arrived and got no answer.
+	// unknown says that a request may have arrived and got no response.
 	unknown bool
 }
 
-// observe notes how a question ended.
+// observe notes how a request ended.
 func (p *outcomeTracker) observe(err error) {
 	p.unknown = p.unknown || (err != nil && !errs.Is(err, transport.ErrUnreachable))
 }
 
-// response gives what may be said to the asker of what one process answered.
+// response gives what the caller may be told of what one process answered.
 func (p *outcomeTracker) response(call *messages.JobCallRequest, resp *messages.JobCallResponse) *messages.JobCallResponse {
 	if call.Method == http.MethodPost && p.unknown && promisesNotRun(resp.Status) {
 		return outcomeUnknown()
@@ -40,13 +40,13 @@
 	return false
 }
 
-// outcomeUnknown promises nothing: the asker may hand the same lot in again.
+// outcomeUnknown promises nothing: the caller may submit the same job again.
 func outcomeUnknown() *messages.JobCallResponse {
 	return &messages.JobCallResponse{Status: http.StatusGatewayTimeout, Body: []byte(`{"error":"outcome unknown"}`)}
 }
 
 // requestFor makes the copy of a call that goes to one process. It has a name of its
-// own, and a hand-in says for how long it may be taken.
+// own, and a submission says for how long it may be taken.
 func (g *jobForwarder) requestFor(call *messages.JobCallRequest, left clock.Duration) *messages.JobCallRequest {
 	copied := *call
 	if call.Method == http.MethodPost {
--- a/internal/traffic/health/ejection.go
+++ b/internal/traffic/health/ejection.go
@@ -7,16 +7,16 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// addressHistory is what is remembered of an address: the life that answers there now, and how
-// many before it died without a word.
+// addressHistory is what is remembered of an address: the incarnation that answers there now, and how
+// many before it ended without draining.
 type addressHistory struct {
 	worker, service string
 	crashes         int
 	startedAt       clock.Instant
 }
 
-// ObserveIncarnation notes a new life at an address. One that follows lives which died without
-// saying that they leave is on trial, and from the second such death on held back for
+// ObserveIncarnation notes a new incarnation at an address. One that follows some which ended without
+// draining is on trial, and from the second such end on ejected for
 // a growing time: it may be going down and up by turns.
 func (t *Tracker) ObserveIncarnation(worker, service, address string, orderly bool, now clock.Instant) (duration clock.Duration) {
 	outcomes := t.OutcomesOf(worker, service)
@@ -25,8 +25,8 @@
 		return 0
 	}
 	next := addressHistory{worker: worker, service: service, startedAt: now}
-	// An address may be given to another service: its past is another's. Lives heard of
-	// in one word, as when a process starts, tell nothing of who died.
+	// An address may be given to another service: its past is another's. Incarnations learnt of
+	// in one update, as when a process starts, tell nothing of who ended.
 	if found && known.service == service && !orderly && now > known.startedAt && now.Sub(known.startedAt) < constants.FlapWindow {
 		next.crashes = known.crashes + 1
 	}
@@ -39,7 +39,7 @@
 	return t.eject(worker, outcomes, now)
 }
 
-// WorkerAt names the life that answers at an address, if one is known.
+// WorkerAt names the worker that answers at an address, if one is known.
 func (t *Tracker) WorkerAt(address string) string { return t.outcomes.incarnations[address].worker }
 
 // ForgetOutcomes drops what is known of a worker's outcomes; its address stays known for a while.
@@ -48,7 +48,7 @@
 	delete(t.outcomes.ejected, worker)
 }
 
-// Sweep forgets addresses whose last birth is long past.
+// Sweep forgets addresses whose last incarnation began long ago.
 func (t *Tracker) Sweep(now clock.Instant) {
 	for address, known := range t.outcomes.incarnations {
 		if now.Sub(known.startedAt) > constants.ForgetAfter && t.outcomes.byWorker[known.worker] == nil {
@@ -63,12 +63,12 @@
 	}
 }
 
-// AnyEjected tells whether any worker is held or on trial.
+// AnyEjected tells whether any worker is ejected or on trial.
 func (t *Tracker) AnyEjected() bool { return len(t.outcomes.ejected) > 0 }
 
 // Ejected gives the workers that get no ordinary request now, of those named. Never more
 // than EjectShare of them: of too many, those that fail most. idle tells whether we
-// have nothing running at a worker; repeatable, whether the request may be a trial.
+// have nothing running at a worker; repeatable tells whether the request may be a trial.
 func (t *Tracker) Ejected(workerList []string, repeatable bool, idle func(worker string) bool, now clock.Instant) map[string]bool {
 	type one struct {
 		worker string
--- a/internal/traffic/health/health.go
+++ b/internal/traffic/health/health.go
@@ -1,4 +1,4 @@
-// Package health keeps the health of workers, from what answers and peers say:
+// Package health keeps the health of workers, from what responses and peers say:
 // passive observation first, since probes are priced. A step function without I/O.
 package health
 
@@ -33,7 +33,7 @@
 	outcomes outcomeTable
 }
 
-// New makes an empty health.
+// New makes an empty tracker.
 func New() *Tracker { return &Tracker{byWorker: map[string]*Health{}} }
 
 // Of gives the health of a worker.
@@ -52,7 +52,7 @@
 	t.ForgetOutcomes(worker)
 }
 
-// RequestStarted notes a request of ours on its way.
+// RequestStarted notes a request of this process on its way.
 func (h *Health) RequestStarted(bulk bool, fresh int, now clock.Instant) {
 	if bulk {
 		h.bulk++
@@ -64,30 +64,29 @@
 	h.step(now)
 }
 
-// PrefillDone notes that a prompt was read: its first event has come.
+// PrefillDone notes that a prompt was prefilled: its first event has come.
 func (h *Health) PrefillDone(fresh int) {
 	h.pendingTokens -= int64(fresh)
 	h.pendingPrefills--
 }
 
-// PendingTokens is how many prompt tokens of ours wait to be read there, and Unread how
-// many requests.
+// PendingTokens is how many prompt tokens of this process wait to be prefilled there.
 func (h *Health) PendingTokens() int64 { return h.pendingTokens }
 
-// PendingPrefills is how many requests of ours have had no first event yet.
+// PendingPrefills is how many requests of this process have had no first event yet.
 func (h *Health) PendingPrefills() int { return h.pendingPrefills }
 
-// AddPeerPrefill notes that a peer gave the worker a prompt that takes a time to read.
+// AddPeerPrefill notes that a peer gave the worker a prompt that takes a time to prefill.
 func (h *Health) AddPeerPrefill(duration clock.Duration, now clock.Instant) {
 	h.peerPrefillUntil = max(h.peerPrefillUntil, now).Add(duration)
 }
 
-// PeerPrefillLeft is how long the worker still reads what peers told of.
+// PeerPrefillLeft is how long the worker still prefills what peers have notified of.
 func (h *Health) PeerPrefillLeft(now clock.Instant) clock.Duration {
 	return max(0, h.peerPrefillUntil.Sub(now))
 }
 
-// RequestEnded notes that a request of ours is over.
+// RequestEnded notes that a request of this process is over.
 func (h *Health) RequestEnded(bulk bool, now clock.Instant) {
 	if bulk {
 		h.bulk--
@@ -97,13 +96,13 @@
 	h.step(now)
 }
 
-// Own is how many requests of ours are there.
+// Own is how many requests of this process are there.
 func (h *Health) Own() int { return h.live + h.bulk }
 
-// OwnBulk is how many of them are items of lots.
+// OwnBulk is how many of them are items of batch jobs.
 func (h *Health) OwnBulk() int { return h.bulk }
 
-// ParseLoad reads a load header: running, waiting, slots.
+// ParseLoad parses a load header: running, waiting, slots.
 func ParseLoad(header string) (busy, slots int, known bool) {
 	fields := strings.Split(header, ",")
 	if len(fields) < 2 {
@@ -120,7 +119,7 @@
 	return running + waiting, slots, true
 }
 
-// ObserveLoad takes the load header of an answer.
+// ObserveLoad takes the load header of a response.
 func (h *Health) ObserveLoad(header string, now clock.Instant) {
 	if busy, _, known := ParseLoad(header); known {
 		h.observe(busy, now)
@@ -135,7 +134,7 @@
 	}
 }
 
-// RecordResponse notes an answer that came as it should.
+// RecordResponse notes a response that came as it should.
 func (h *Health) RecordResponse(took clock.Duration) {
 	h.responses++
 	milliseconds := clock.ToMilliseconds(took)
@@ -145,7 +144,7 @@
 	h.tookMs += 0.1 * (milliseconds - h.tookMs)
 }
 
-// Suspect tells whether the worker is ejected here, or told of by peers.
+// Suspect tells whether the worker is ejected here, or suspected by peers.
 func (h *Health) Suspect(now clock.Instant) bool {
 	return now < h.suspectUntil || h.SuspectedByPeers(now)
 }
@@ -155,13 +154,13 @@
 	return h.suspectedByPeers(now)
 }
 
-// TookMs is the usual time of an answer.
+// TookMs is the usual time of a response, in ms.
 func (h *Health) TookMs() float64 { return h.tookMs }
 
 // Counts gives answers and failures, for the shell.
 func (h *Health) Counts() (responses, failures int64) { return h.responses, h.failures }
 
-// RecordFull notes that the worker turned a request away for want of room.
+// RecordFull notes that the worker rejected a request for want of capacity.
 func (h *Health) RecordFull(capacity int, now clock.Instant) {
 	// Our own finding, for a moment: it may be our connections that are spent, so
 	// peers are not told.
--- a/internal/traffic/health/latency.go
+++ b/internal/traffic/health/latency.go
@@ -5,7 +5,7 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// Latency learns what is usual for a time: its mean and mean deviation, as RFC 6298 does
+// Latency estimates what is usual for a time: its mean and mean deviation, as RFC 6298 does
 // for round trips, and so when silence is more than that.
 type Latency struct {
 	mean, deviation float64
@@ -38,9 +38,9 @@
 	return min(max(clock.Milliseconds(p.mean+constants.PaceSpread*p.deviation), least), most)
 }
 
-// TrySpend takes one leave from silence out of the budget. When a whole service grows
+// TrySpend takes one retry after a silence out of the budget. When a whole service grows
 // slow, leaving for elsewhere would only add to its load: then the budget runs dry.
-// The wait itself is learnt, as the least that the answer would have taken.
+// The wait itself is observed, as the least that the response would have taken.
 func (p *Latency) TrySpend(waited clock.Duration) bool {
 	if p.budget < 1 {
 		return false
--- a/internal/traffic/health/outcomes.go
+++ b/internal/traffic/health/outcomes.go
@@ -7,7 +7,7 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// Fault is a kind of failure of a worker, as an outcome shows it. Answers to health
+// Fault is a kind of failure of a worker, as an outcome shows it. Responses to health
 // probes are none: they may be false either way.
 type Fault int
 
@@ -15,13 +15,13 @@
 const (
 	// FaultRefused: no connection came up.
 	FaultRefused Fault = iota
-	// FaultReset: reset, cut or spoilt on a fresh connection or after the first byte.
+	// FaultReset: reset, cut off or corrupt on a fresh connection or after the first byte.
 	FaultReset
 	// FaultTimeout: silence for a multiple of what the service usually takes.
 	FaultTimeout
 	// FaultError: the worker's own 5xx.
 	FaultError
-	// FaultShed: turned away although its own word leaves room.
+	// FaultShed: rejected although the load that it states leaves capacity.
 	FaultShed
 	// FaultSlow: a first event well after the usual time.
 	FaultSlow
@@ -34,7 +34,7 @@
 func (t Fault) String() string { return faultNames[t] }
 
 // weight is how much one failure of a kind counts: shedding and slowness are also
-// what a busy worker that is well does.
+// what a busy worker that is healthy does.
 func (t Fault) weight() float64 {
 	if t == FaultShed || t == FaultSlow {
 		return constants.MildFaultWeight
@@ -42,10 +42,10 @@
 	return 1
 }
 
-// Outcomes is what outcomes here say of one life of a worker.
+// Outcomes are the outcomes of this process's requests at one incarnation of a worker.
 type Outcomes struct {
 	service string
-	// successes and bad are decayed counts of outcomes.
+	// successes and failures are decayed counts of outcomes.
 	successes, failures float64
 	at                  clock.Instant
 	level               int
@@ -59,11 +59,11 @@
 	counts     [faultKinds]int64
 }
 
-// outcomeTable is the part of the health that keeps trust.
+// outcomeTable is the part of the tracker that keeps outcomes.
 type outcomeTable struct {
 	byWorker map[string]*Outcomes
-	// ejected are those held or on trial: few, so that placing costs nothing while all
-	// are well.
+	// ejected are those ejected or on trial: few, so that placing costs nothing while all
+	// are healthy.
 	ejected      map[string]*Outcomes
 	medians      map[string]medianRate
 	incarnations map[string]addressHistory
@@ -110,8 +110,8 @@
 	return (t.failures + constants.HealthPrior*median) / (t.successes + t.failures + constants.HealthPrior)
 }
 
-// ProvenHealthy tells that our own outcomes lately speak for the worker: then hearsay does
-// not count, since an illness may hold for some callers only.
+// ProvenHealthy tells that the outcomes here lately speak for the worker: then reports of peers do
+// not count, since a fault may show to some callers only.
 func (t *Outcomes) ProvenHealthy(now clock.Instant) bool {
 	t.decay(now)
 	return t.successes >= constants.HealthProven && t.failures < t.successes*constants.EjectRate
@@ -123,7 +123,7 @@
 // Kinds names the kinds of failure.
 func Kinds() []string { return faultNames[:] }
 
-// IsEjected tells until when the worker is ejected here, and Trial whether it is on trial.
+// IsEjected tells whether the worker is ejected here.
 func (t *Outcomes) IsEjected(now clock.Instant) bool { return now < t.ejectedUntil }
 
 // OnTrial tells whether only one repeatable request at a time may go there.
@@ -153,7 +153,7 @@
 	return median
 }
 
-// RecordSuccess notes a whole answer. It returns true when that ends a trial.
+// RecordSuccess notes a complete response. It returns true when that ends a trial.
 func (t *Tracker) RecordSuccess(worker, service string, now clock.Instant) (returned bool) {
 	outcomes := t.OutcomesOf(worker, service)
 	outcomes.decay(now)
--- a/internal/traffic/health/peers.go
+++ b/internal/traffic/health/peers.go
@@ -6,9 +6,9 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Freshest observation wins. A worker tells in each answer how many requests of all
+// Freshest observation wins. A worker tells in each response how many requests of all
 // callers it has, so one such count needs no adding up over nodes and no origin: of
-// two, the younger is the better, whoever heard it. It is passed on with its age.
+// two, the younger is the better, whoever made it. It is passed on with its age.
 
 // ownSteps is how many changes of our own count are remembered, to correct an
 // observation by what we have begun and ended since (ours).
@@ -30,7 +30,7 @@
 	own int
 }
 
-// observe takes a count as of a moment, unless a younger one is known.
+// observe takes a count as of an instant, unless a younger one is known.
 func (h *Health) observe(count int, at clock.Instant) {
 	if h.observed.known && at < h.observed.at {
 		return
@@ -44,7 +44,7 @@
 	h.stepCount++
 }
 
-// ownAt is how many requests of ours were there at a moment, as far as remembered.
+// ownAt is how many requests of ours were there at an instant, as far as remembered.
 func (h *Health) ownAt(at clock.Instant) int {
 	oldest := max(0, h.stepCount-ownSteps)
 	for i := h.stepCount - 1; i >= oldest; i-- {
@@ -84,8 +84,8 @@
 // Age is how old that evidence is.
 func (h *Health) Age(now clock.Instant) clock.Duration { return now.Sub(h.observed.at) }
 
-// Sample is what we tell peers of the worker: the freshest observation, whoever made
-// it, and our own trust. told is false when there is nothing to tell.
+// Sample is what peers are sent of the worker: the freshest observation, whoever made
+// it, and whether it is ejected here. known is false when there is nothing to send.
 func (h *Health) Sample(now clock.Instant) (sample messages.LoadSample, known bool) {
 	sample = messages.LoadSample{Running: messages.RunningUnknown, Health: messages.HealthUnknown}
 	if h.fresh(now) {
@@ -97,12 +97,12 @@
 	return sample, known
 }
 
-// Observed is the moment of the freshest observation and its count.
+// Observed is the instant of the freshest observation and its count.
 func (h *Health) Observed() (count int, at clock.Instant) {
 	return h.observed.count, h.observed.at
 }
 
-// ObservePeer takes a neighbour's word. Its trust is its own evidence and counts as that.
+// ObservePeer takes a neighbour's sample. Its suspicion is its own evidence and counts as that.
 func (h *Health) ObservePeer(from string, sample messages.LoadSample, now clock.Instant) {
 	age := clock.Milliseconds(float64(sample.AgeMs))
 	if sample.Running != messages.RunningUnknown {
@@ -122,7 +122,7 @@
 }
 
 // suspectedByPeers tells whether several neighbours have just met failures of the worker;
-// one alone may have a trouble of its own.
+// one alone may have a fault of its own.
 func (h *Health) suspectedByPeers(now clock.Instant) bool {
 	const several = 2
 	count := 0
--- a/internal/traffic/loadgossip/gossip.go
+++ b/internal/traffic/loadgossip/gossip.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// gossipRound tells what changed most to a few neighbours, and now and then to another zone.
+// gossipRound sends what changed most to a few neighbours, and now and then to another zone.
 func (g *Gossip) gossipRound() {
 	packet := g.Scheduler.MakeGossip(clock.Now())
 	packet.Generation = g.Node.Generation()
@@ -24,7 +24,7 @@
 	recipients := append([]messages.NodeInfo(nil), peers.gossipPeers...)
 	now := clock.Now()
 	g.lock.Lock()
-	// In a zone of few everybody tells everybody already.
+	// In a zone of few everybody notifies everybody already.
 	if len(peers.sameZone) > constants.GossipFanout && g.replyPeers.hasFewSenders(now) {
 		packet.ReplyTo = g.Node.Self.Address
 	}
@@ -53,9 +53,9 @@
 	return &messages.Ack{Accepted: true}, nil
 }
 
-// notifyPressure tells at once that requests wait here, so that work of a lower rank makes
-// room well before the next gossip: a few stores, which pass it on among themselves,
-// and the neighbours. Each yields its part of what waits.
+// notifyPressure reports at once that requests wait here, so that work of a lower rank
+// yields well before the next gossip: to a few stores, which forward it among themselves,
+// and to the neighbours. Each yields its part of what waits.
 func (g *Gossip) notifyPressure(entries []messages.Pressure) {
 	peers := g.currentPeers()
 	notice := &messages.PressureNotice{From: membership.Key(g.Node.Self), Entries: entries, Hops: constants.PressureHops}
@@ -75,7 +75,7 @@
 		g.Scheduler.ObservePressure(notice, now)
 	}
 	if notice.Hops > 0 && g.mayForward(now) {
-		// Who has it at second hand starts nothing new for a while; the places
+		// Who has it at second hand starts nothing new for a while; the slots
 		// themselves are given up by those who were asked.
 		peers := g.currentPeers()
 		forwarded := *notice
@@ -85,7 +85,7 @@
 	return &messages.Ack{Accepted: true}, nil
 }
 
-// mayForward bounds how much of others' pressure a process passes on, whatever their
+// mayForward bounds how much of others' pressure a process forwards, whatever their
 // number.
 func (g *Gossip) mayForward(now clock.Instant) bool {
 	g.lock.Lock()
@@ -97,7 +97,7 @@
 	return true
 }
 
-// pickStores draws a few stores: of the own zone, which run items on the workers
+// pickStores picks a few stores at random: of the own zone, which run items on the workers
 // there, and one of another, so that each is reached in its turn.
 func pickStores(near, far []messages.NodeInfo, random func() float64) []messages.NodeInfo {
 	here, others := withRole(near, membership.RoleStore), withRole(far, membership.RoleStore)
--- a/internal/traffic/loadgossip/loadgossip.go
+++ b/internal/traffic/loadgossip/loadgossip.go
@@ -1,4 +1,4 @@
-// Package loadgossip joins placement with the other nodes: what a process that
+// Package loadgossip exchanges load, prefixes and pressure with the other nodes: what a process that
 // places work needs beside its core. Gateways and stores share it.
 package loadgossip
 
@@ -16,7 +16,7 @@
 	"lemonarch/internal/traffic/workerconn"
 )
 
-// Gossip is the placing part of one process.
+// Gossip is the part of a process that places work, with its exchange with other nodes.
 type Gossip struct {
 	Node         *agent.Agent
 	Scheduler    *admission.Scheduler
@@ -32,7 +32,7 @@
 	forwardedAt clock.Instant
 }
 
-// New makes the placing part and registers what it answers.
+// New makes it and registers the requests that it handles.
 func New(runtime *agent.Agent) *Gossip {
 	gossip := &Gossip{Node: runtime, Scheduler: admission.New(runtime.Self, runtime.Settings.Heartbeat()), Pool: workerconn.NewPool(),
 		logged: map[string]int64{}, workerTables: workerTables{read: map[string]messages.Digest{}}}
--- a/internal/traffic/loadgossip/peers.go
+++ b/internal/traffic/loadgossip/peers.go
@@ -11,7 +11,7 @@
 	"lemonarch/internal/traffic/prefixindex"
 )
 
-// nameHash is a process's name as a number, from which its places in the rings follow.
+// nameHash is a process's name as a number, from which its positions in the rings follow.
 func nameHash(entry messages.NodeInfo) uint64 {
 	sum := fnv.New64a()
 	sum.Write([]byte(entry.Role))
@@ -20,14 +20,14 @@
 	return sum.Sum64()
 }
 
-// ringPosition is the place in one of the rings. Names differ in their last bytes only, so
+// ringPosition is the position in one of the rings. Names differ in their last bytes only, so
 // these must move the whole number.
 func ringPosition(name uint64, number int) uint64 {
 	return prefixindex.MixBits(name + uint64(number+1)*0x9e3779b97f4a7c15)
 }
 
-// Neighbours gives whom a process tells: its successor in each of so many rings, in
-// which everybody stands by a hash of the name. Each is told by as many as it tells,
+// Neighbours gives whom a process notifies: its successor in each of so many rings, in
+// which everybody stands by a hash of the name. Each is notified by as many as it notifies,
 // nobody needs a list of all, and who comes or goes moves its own neighbours only.
 func Neighbours(own messages.NodeInfo, entries []messages.NodeInfo, fanout int) []messages.NodeInfo {
 	names := make([]uint64, len(entries))
@@ -61,7 +61,7 @@
 	return false
 }
 
-// peerSet is whom this process tells, found anew each period.
+// peerSet is whom this process notifies, selected anew each period.
 type peerSet struct {
 	sameZone, otherZones                    []messages.NodeInfo
 	byZone                                  [][]messages.NodeInfo
@@ -69,7 +69,7 @@
 	gossipPeers, gatewayPeers, prefillPeers []messages.NodeInfo
 }
 
-// selectPeers finds the circle from what is known of others. Nothing else needs to know
+// selectPeers makes the set from what is known of others. Nothing else needs to know
 // how neighbours are found.
 func selectPeers(own messages.NodeInfo, known []messages.NodeInfo) peerSet {
 	found := peerSet{}
@@ -93,14 +93,14 @@
 	return found
 }
 
-// currentPeers gives the present circle.
+// currentPeers gives the present set.
 func (g *Gossip) currentPeers() peerSet {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	return g.peers
 }
 
-// refreshPeers finds it anew.
+// refreshPeers selects it anew.
 func (g *Gossip) refreshPeers() peerSet {
 	found := selectPeers(g.Node.Self, g.Node.All(""))
 	found.population = g.Node.Population(membership.RoleGateway) + g.Node.Population(membership.RoleStore)
@@ -132,8 +132,8 @@
 	return max(len(c.sameZone)+1, c.population/(len(c.byZone)+1))
 }
 
-// pickOtherZone draws whether this process tells somebody in another zone this period: each
-// zone tells each other about once, however many processes it has.
+// pickOtherZone decides at random whether this process notifies somebody in another zone this period: each
+// zone notifies each other about once, however many processes it has.
 func (c *peerSet) pickOtherZone(random func() float64) (messages.NodeInfo, bool) {
 	if len(c.byZone) == 0 || random() >= float64(len(c.byZone))/float64(c.zoneSize()) {
 		return messages.NodeInfo{}, false
@@ -142,5 +142,5 @@
 	return others[int(random()*float64(len(others)))], true
 }
 
-// randomFraction is the chance of a running process.
+// randomFraction is a random number in [0, 1).
 func randomFraction() float64 { return clock.Float64() }
--- a/internal/traffic/loadgossip/prefill.go
+++ b/internal/traffic/loadgossip/prefill.go
@@ -7,18 +7,18 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// A long prompt holds up whoever is placed behind it, so those are told at once who
+// A long prompt holds up whoever is placed behind it, so those are notified at once who
 // may place there: in a small fleet all, in a large one the nodes of the worker's zone
-// that draw it, by way of one of them.
+// that consider it, by way of one of them.
 
-// notifyPrefill tells that a worker reads a long prompt. It is called under the
+// notifyPrefill reports that a worker prefills a long prompt. It is called under the
 // admission's lock.
 func (g *Gossip) notifyPrefill(worker string, milliseconds float64) {
 	notice := &messages.PrefillNotice{From: membership.Key(g.Node.Self), Worker: worker, Prefill: milliseconds}
 	go g.forwardPrefill(notice, true)
 }
 
-// forwardPrefill tells it on; first is false for a word that came from another zone.
+// forwardPrefill sends a notice on; first is false for one that came from another zone.
 func (g *Gossip) forwardPrefill(notice *messages.PrefillNotice, first bool) {
 	peers := g.currentPeers()
 	zone := g.Scheduler.ZoneOf(notice.Worker)
--- a/internal/traffic/loadgossip/replypeers.go
+++ b/internal/traffic/loadgossip/replypeers.go
@@ -8,10 +8,10 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Where views are partial, rings drawn from them leave some process without anybody
-// that tells it. Such a one asks those whom it tells to tell it too.
+// Where views are partial, rings made from them leave some process without anybody
+// that notifies it. Such a one asks those whom it notifies to notify it too.
 
-// replyPeers is who tells this process, and whom it tells because they asked.
+// replyPeers is who notifies this process, and whom it notifies because they asked.
 type replyPeers struct {
 	startedAt  clock.Instant
 	senders    map[string]clock.Instant
@@ -44,13 +44,13 @@
 	}
 }
 
-// hasFewSenders tells whether too few tell this process.
+// hasFewSenders tells whether too few notify this process.
 func (t *replyPeers) hasFewSenders(now clock.Instant) bool {
 	if t.startedAt == 0 {
 		t.startedAt = now
 	}
 	if now.Sub(t.startedAt) < constants.LonelyAfter {
-		// They have had no time to speak.
+		// They have had no time to send anything.
 		return false
 	}
 	count := 0
@@ -62,7 +62,7 @@
 	return count < constants.GossipFanout-1
 }
 
-// unlisted gives those who asked, beyond the ones that are told anyway.
+// unlisted gives those who asked, beyond the ones that are notified anyway.
 func (t *replyPeers) unlisted(recipients []messages.NodeInfo, now clock.Instant) []messages.NodeInfo {
 	var found []messages.NodeInfo
 	for _, member := range t.requesters {
--- a/internal/traffic/loadgossip/report.go
+++ b/internal/traffic/loadgossip/report.go
@@ -12,7 +12,7 @@
 
 func formatInt[Whole int | int64](value Whole) string { return strconv.FormatInt(int64(value), 10) }
 
-// registerReports registers what a placing process says to the shell.
+// registerReports registers the answers to the queries of the shell.
 func (g *Gossip) registerReports() {
 	g.Node.Report("workers", g.reportWorkers)
 	g.Node.Report("index", g.reportIndex)
--- a/internal/traffic/prefixindex/advertise.go
+++ b/internal/traffic/prefixindex/advertise.go
@@ -10,14 +10,14 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// advertisedChange is the least change in what neighbours believe that is worth a word (ours).
+// advertisedChange is the least change in what neighbours believe that is worth sending (ours).
 const advertisedChange = 0.05
 
 // ageRounding is by how much the same evidence may seem older on another way: each
 // hop rounds ages up.
 const ageRounding = 8 * messages.AgeUnitMs * 1_000_000
 
-// advertisement is a residency word that may be told, with what it would change.
+// advertisement is a residency that may be sent, with what it would change.
 type advertisement struct {
 	leaf       *Leaf
 	worker     string
@@ -28,9 +28,9 @@
 	own        bool
 }
 
-// Advertisements gives what changed most since it was last told, of the long shared
+// Advertisements gives what changed most since it was last sent, of the long shared
 // prefixes: our own evidence first by how far it is from what neighbours still
-// believe of it, then what was heard and not yet passed on, each once and with its age.
+// believe of it, then what was received and not yet forwarded, each once and with its age.
 func (i *Index) Advertisements(now clock.Instant, limit, least int) []messages.Residency {
 	var entries []advertisement
 	i.tree.Each(func(leaf *Leaf) {
@@ -43,7 +43,7 @@
 				continue
 			}
 			chance := entry.confidence * retained(turn.total()-entry.turnoverAt, turn.cache)
-			// Who was told forgets it at the age limit.
+			// Whoever received it forgets it at the age limit.
 			assumed := entry.advertised * max(0, 1-float64(now.Sub(entry.advertisedAt))/float64(constants.GossipStale))
 			if change := math.Abs(chance - assumed); change >= advertisedChange {
 				entries = append(entries, advertisement{leaf, worker, chance, change, now, entry.at, true})
@@ -78,7 +78,7 @@
 	return advertised
 }
 
-// before orders words; ties are broken by name, so that no order depends on chance.
+// before orders advertisements; ties are broken by name, so that no order depends on chance.
 func (w *advertisement) before(other *advertisement) bool {
 	switch {
 	case w.change != other.change:
@@ -91,7 +91,7 @@
 	return bytes.Compare(w.leaf.key, other.leaf.key) < 0
 }
 
-// MergeAdvertisements takes a peer's words. The age limit is that of the word, wherever it came by.
+// MergeAdvertisements takes a peer's advertisements. The age limit is that of the sample, whichever way it came.
 func (i *Index) MergeAdvertisements(advertised []messages.Residency, now clock.Instant) {
 	for _, peer := range advertised {
 		reportedAt := now - clock.Instant(peer.SampleAgeMs)*1_000_000
--- a/internal/traffic/prefixindex/branch.go
+++ b/internal/traffic/prefixindex/branch.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// branch48 has an index of all edges into 48 places.
+// branch48 has an index of all edges into 48 slots.
 type branch48 struct {
 	index    [256]byte
 	children [48]*node
@@ -129,7 +129,7 @@
 	}
 }
 
-// branch256 has a place for every edge.
+// branch256 has a slot for every edge.
 type branch256 struct {
 	children [256]*node
 	used     int
--- a/internal/traffic/prefixindex/homes.go
+++ b/internal/traffic/prefixindex/homes.go
@@ -23,7 +23,7 @@
 	return sum ^ sum>>33
 }
 
-// homeWeight is a worker's draw for a prefix; the highest is its first home.
+// homeWeight is a worker's weight for a prefix; the highest is its first home.
 func homeWeight(worker string, prefix uint64) uint64 {
 	const offset, prime = 14695981039346656037, 1099511628211
 	sum := uint64(offset)
--- a/internal/traffic/prefixindex/index.go
+++ b/internal/traffic/prefixindex/index.go
@@ -73,7 +73,7 @@
 }
 
 // RecordPlacement notes that a prompt goes to a worker, and gives the tokens that had to
-// be read there anew by our reckoning.
+// be prefilled there anew, by the estimate here.
 func (i *Index) RecordPlacement(prompt *Prompt, worker string, now clock.Instant) int {
 	i.Placements++
 	key := prompt.key()
@@ -128,7 +128,7 @@
 		i.tree.Walk(key, func(_ int, leaf *Leaf) {
 			if entry, known := leaf.own[worker]; known {
 				// It is there now, since it was just read; but our estimate of how
-				// long it stays was too good, and that is what peers should hear.
+				// long it stays was too good, and that is what peers should learn.
 				entry.confidence = max(entry.confidence*0.7, 0.3)
 				leaf.own[worker] = entry
 			}
--- a/internal/traffic/prefixindex/residency.go
+++ b/internal/traffic/prefixindex/residency.go
@@ -12,25 +12,25 @@
 type Leaf struct {
 	key    []byte
 	tokens int
-	// shared: more than one request had this prefix, or it is no request's whole.
+	// shared: more than one request had this prefix, or it is no request's complete prompt.
 	shared bool
 	used   clock.Instant
 	own    map[string]ownEvidence
 	peers  map[string]peerEvidence
 }
 
-// ownEvidence is our own evidence: we placed this prefix at a worker.
+// ownEvidence says that this node placed this prefix at a worker.
 type ownEvidence struct {
 	at          clock.Instant
 	turnoverAt  int64
 	confidence  float64
 	incarnation int
-	// advertised is the chance last told to neighbours, and when.
+	// advertised is the chance last sent to neighbours, and when.
 	advertised   float64
 	advertisedAt clock.Instant
 }
 
-// peerEvidence is a peer's word: at is when it was said, seen when its evidence was met.
+// peerEvidence is a peer's report: reportedAt is when it was made, evidenceAt when its evidence was met.
 type peerEvidence struct {
 	chance      float64
 	reportedAt  clock.Instant
@@ -69,7 +69,7 @@
 }
 
 // residency is the chance that a worker still holds the leaf's prefix. The
-// newest evidence wins; a peer's word that is older than three gossip periods
+// newest evidence wins; a peer's report that is older than three gossip periods
 // counts for nothing, so a paused or cut-off peer misleads nobody.
 func (i *Index) residency(leaf *Leaf, worker string, now clock.Instant) float64 {
 	turn := i.turnovers[worker]
@@ -90,7 +90,7 @@
 	return chance
 }
 
-// AddTurnover notes tokens that we put into a worker's cache.
+// AddTurnover notes tokens that this node put into a worker's cache.
 func (i *Index) AddTurnover(worker string, tokens int64) { i.turnoverOf(worker).own += tokens }
 
 // AddOthersTurnover adds an estimate of what all other callers have put in since.
@@ -108,7 +108,7 @@
 // reloaded, or drained and came back.
 func (i *Index) InvalidateCache(worker string) { i.turnoverOf(worker).incarnation++ }
 
-// Forget takes a worker that is gone out of the books.
+// Forget forgets a worker that has departed.
 func (i *Index) Forget(worker string) {
 	delete(i.turnovers, worker)
 	i.tree.Each(func(leaf *Leaf) {
--- a/internal/traffic/prefixindex/score.go
+++ b/internal/traffic/prefixindex/score.go
@@ -5,7 +5,7 @@
 // Candidate is a worker that may take the request, with what its health say.
 type Candidate struct {
 	Worker string
-	// WaitMs is the expected wait from its load; RiskMs what its troubles cost.
+	// WaitMs is the expected wait from its load; RiskMs what its faults cost.
 	WaitMs float64
 	RiskMs float64
 }
@@ -103,7 +103,7 @@
 	secondHome = 0.4
 )
 
-// PrefillRate is the reading rate in tokens a ms, as streams have taught it.
+// PrefillRate is the reading rate in tokens a ms, as observed on streams.
 func (i *Index) PrefillRate() float64 { return i.prefillRate }
 
 // Prefixes is how many prefixes are known.
--- a/internal/traffic/prefixindex/tree.go
+++ b/internal/traffic/prefixindex/tree.go
@@ -2,7 +2,7 @@
 
 import "bytes"
 
-// node is a place in the tree: the bytes that lead to it from its parent, what
+// node is a node of the tree: the bytes that lead to it from its parent, what
 // is known of the prefix that ends here, and the ways on.
 type node struct {
 	path     []byte
--- a/internal/traffic/proxy/bounds_test.go
+++ b/internal/traffic/proxy/bounds_test.go
@@ -12,7 +12,7 @@
 	"lemonarch/internal/platform/clock"
 )
 
-// failures are the ways in which a worker brings no whole answer.
+// failures are the ways in which a worker brings no whole response.
 var failures = map[string]string{
 	"cut":         "HTTP/1.1 200 OK\r\n",
 	"failed":      "HTTP/1.1 500 No\r\nLemonarch-Server-Seal: failed\r\nContent-Length: 0\r\n\r\n",
--- a/internal/traffic/proxy/events.go
+++ b/internal/traffic/proxy/events.go
@@ -5,11 +5,11 @@
 	"strconv"
 )
 
-// Splitter cuts the bytes of an event stream into whole events, so that a cut
+// Splitter splits the bytes of an event stream into complete events, so that a break
 // never leaves half an event with the client, and follows their ids.
 type Splitter struct {
 	rest []byte
-	// Last is the id of the last whole event, if any carried one.
+	// Last is the id of the last complete event, if any carried one.
 	Last    int64
 	Started bool
 	// Next, where above 0, is the id that the first event must have: a stream
@@ -19,7 +19,7 @@
 
 var blank = []byte("\n\n")
 
-// Feed takes bytes and gives the whole events among them; false means that the
+// Feed takes bytes and gives the complete events among them; false means that the
 // ids do not follow each other.
 func (s *Splitter) Feed(text []byte) (complete []byte, follows bool) {
 	s.rest = append(s.rest, text...)
@@ -78,7 +78,7 @@
 	return 0, false
 }
 
-// Data joins the data lines of whole events, each event's own line by line feeds.
+// Data joins the data lines of complete events, each event's own line by line feeds.
 func Data(events []byte) [][]byte {
 	var parts [][]byte
 	for _, event := range bytes.Split(events, blank) {
--- a/internal/traffic/proxy/everybyte_test.go
+++ b/internal/traffic/proxy/everybyte_test.go
@@ -148,7 +148,7 @@
 	return ""
 }
 
-// lengths measures a request and its answer on the wire.
+// lengths measures a request and its response on the wire.
 func lengths(t *testing.T, path string) (request, resp int) {
 	t.Helper()
 
@@ -183,7 +183,7 @@
 }
 
 // Whatever befalls the connection to the worker, at whichever byte of the request or of
-// the answer, on a fresh or on a rested one: what may not be repeated runs once at most,
+// the response, on a fresh or on a rested one: what may not be repeated runs once at most,
 // what ran is never refused as if it had not, a success is whole and the caller's own,
 // and so is the next caller's.
 func TestFaultAtEveryByte(t *testing.T) {
--- a/internal/traffic/proxy/exchange.go
+++ b/internal/traffic/proxy/exchange.go
@@ -40,14 +40,14 @@
 	hasEvent    bool
 	connection  atomic.Pointer[workerconn.Connection]
 	lastFailure *workerFailure
-	// preempted is set by whoever asks for our place; requeue holds until the next
-	// try, wasPreempted to the end.
+	// preempted is set by whoever takes this request's slot; requeued holds until the next
+	// attempt, wasPreempted to the end.
 	preempted    atomic.Bool
 	wasPreempted bool
 	requeued     bool
 }
 
-// undeliveredLimit bounds how many workers are tried that can't even be reached.
+// undeliveredLimit bounds how many workers are attempted that can't even be reached.
 const undeliveredLimit = 4
 
 func asTooLarge(err error, target **http.MaxBytesError) bool { return errors.As(err, target) }
@@ -58,7 +58,7 @@
 	return e.kind() == messages.RouteIdempotent || (e.kind() == messages.RouteStreaming && e.route.Resumable)
 }
 
-// serve tries workers until there is an outcome; every path ends in exactly one.
+// serve makes attempts at workers until there is an outcome; every path ends in exactly one.
 func (e *exchange) serve() {
 	for {
 		resp := e.admit()
@@ -85,12 +85,12 @@
 	}
 }
 
-// admit gets an entry, waiting in the queue where that can still pay.
+// admit gets a grant, waiting in the queue where that is still worth it.
 func (e *exchange) admit() admission.Decision {
 	now := clock.Now()
 	left := e.deadline.Sub(now)
 	if e.attempts == 0 {
-		// A refusal within a quarter of the aim still leaves the client time.
+		// A rejection within a quarter of the latency target still leaves the client time.
 		timeout := clock.Duration(float64(e.admission.Setpoint) * constants.QueueShare)
 		e.admission.QueueUntil = min(e.arrivedAt.Add(timeout), e.deadline)
 	} else {
@@ -150,7 +150,7 @@
 		return e.decideRetry(evidence), false
 	}
 	if response.NotRun || response.HTTPResponse.StatusCode >= 300 {
-		// Nothing was read or made for it, so it teaches no usual time.
+		// Nothing was prefilled or decoded for it, so its time is not observed.
 		grant.ObserveLoad(response.Load, clock.Now())
 		if response.NotRun {
 			return e.handleNotRun(grant, response)
@@ -164,7 +164,7 @@
 	return e.relayPlain(grant, response)
 }
 
-// decideRetry turns evidence into a decision and keeps count of the tries.
+// decideRetry turns evidence into a decision and counts the attempts.
 func (e *exchange) decideRetry(evidence Evidence) Retry {
 	evidence.Events, evidence.Head = e.hasEvent && e.headSent, e.headSent
 	if evidence.Sent {
@@ -185,7 +185,7 @@
 	})
 }
 
-// closeConnection breaks the present try off from outside, unless its connection was given
+// closeConnection breaks the present attempt off from outside, unless its connection was given
 // back already and may carry somebody else's request.
 func (e *exchange) closeConnection() {
 	connection := e.connection.Swap(nil)
@@ -204,12 +204,12 @@
 	e.proxyServer.Sender.Release(response)
 }
 
-// resign ends the request with the one outcome that is true.
+// giveUp ends the request with the one outcome that is true.
 func (e *exchange) giveUp(resp admission.Decision) {
 	proxy := e.proxyServer
 	switch {
 	case e.headSent:
-		// The answer has begun: a cut is passed on as a cut.
+		// The response has begun: a broken stream is passed on as one.
 		proxy.Counts.CutOff.Add(1)
 		panic(http.ErrAbortHandler)
 	case e.lastFailure != nil && e.lastFailure.mayBeFinal(e.mayHaveRun):
--- a/internal/traffic/proxy/headers.go
+++ b/internal/traffic/proxy/headers.go
@@ -122,7 +122,7 @@
 	return clock.Milliseconds(value), true
 }
 
-// copyHeader puts a worker's headers into our answer.
+// copyHeader puts a worker's headers into our response.
 func copyHeader(into, from http.Header) {
 	for name, values := range ForwardedHeader(from) {
 		into[name] = values
--- a/internal/traffic/proxy/jobs.go
+++ b/internal/traffic/proxy/jobs.go
@@ -13,7 +13,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// jobRoutes is the tree of matchers for the calls on lots.
+// jobRoutes is the tree of matchers for the calls on batch jobs.
 func (p *Proxy) jobRoutes() *chi.Mux {
 	tree := chi.NewRouter()
 	tree.Get("/-/lots/{lot}", func(writer http.ResponseWriter, request *http.Request) {
@@ -46,14 +46,14 @@
 	timeout := constants.CallTimeout*2 + clock.Milliseconds(float64(call.WaitMs))
 	resp, _ := p.Jobs.Forward(call, timeout)
 	if resp == nil {
-		// The holder can't be asked: a node that can't be sure says so.
+		// The leader can't be reached: a node that can't be sure says so.
 		httpreply.RetryAfter(writer, http.StatusServiceUnavailable, constants.LeaseRenewPeriod)
 		return
 	}
 	writeResponse(writer, resp)
 }
 
-// submitJob takes a lot on a bulk route.
+// submitJob takes a batch job on a bulk route.
 func (p *Proxy) submitJob(writer http.ResponseWriter, request *http.Request, route *routeconfig.Route, path string, body []byte) {
 	if request.Method != http.MethodPost {
 		httpreply.Error(writer, http.StatusMethodNotAllowed, "lots are handed in by POST")
--- a/internal/traffic/proxy/match.go
+++ b/internal/traffic/proxy/match.go
@@ -11,22 +11,22 @@
 	"lemonarch/internal/traffic/workerconn"
 )
 
-// Why an answer is not taken.
+// Why a response is not taken.
 var (
-	// ErrResponseMismatch: the answer does not name the request.
+	// ErrResponseMismatch: the response does not name the request.
 	ErrResponseMismatch = errs.Define("answer to another request")
-	// ErrUnprovenSuccess: a success that can't be known to be the worker's whole answer.
+	// ErrUnprovenSuccess: a success that can't be known to be the worker's complete response.
 	ErrUnprovenSuccess = errs.Define("success is not proven")
 )
 
 // protocolName begins every status line.
 const protocolName = "HTTP/1."
 
-// surplusLimit is how many answers to earlier requests are read past.
+// surplusLimit is how many responses to earlier requests are read past.
 const surplusLimit = 2
 
-// readOwnResponse reads the head of the answer to a request. On a connection that was used
-// before, or on which another request's answer came, only an answer that names the
+// readOwnResponse reads the head of the response to a request. On a connection that was used
+// before, or on which another request's response came, only a response that names the
 // request is its own; on a fresh one there is no other request to which it could belong.
 func readOwnResponse(connection *workerconn.Connection, outgoing *Request) (*http.Response, error) {
 	named := connection.Reused
@@ -54,7 +54,7 @@
 }
 
 // hasMergedHead tells whether a head that was cut short has run into the next one: its status and
-// first lines would pass for those of the answer that follows, and so name the request.
+// first lines would pass for those of the response that follows, and so name the request.
 func hasMergedHead(resp *http.Response) bool {
 	if strings.Contains(resp.Status, protocolName) || len(resp.Header[headerAttempt]) > 1 {
 		return true
@@ -69,7 +69,7 @@
 	return false
 }
 
-// skipBody reads the rest of another request's answer, and tells whether it is certain
+// skipBody reads the rest of another request's response, and tells whether it is certain
 // where that ends.
 func skipBody(resp *http.Response) bool {
 	if resp.Close || !hasKnownEnd(resp) || resp.Request.Method == http.MethodHead {
@@ -79,7 +79,7 @@
 	return errors.Is(err, io.EOF) && count < constants.BufferedResponseMax
 }
 
-// hasKnownEnd tells whether a length or chunks say where an answer ends: one that lasts until
+// hasKnownEnd tells whether a length or chunks say where a response ends: one that lasts until
 // the connection closes can't be told from one that was cut.
 func hasKnownEnd(resp *http.Response) bool {
 	return resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
--- a/internal/traffic/proxy/match_test.go
+++ b/internal/traffic/proxy/match_test.go
@@ -29,7 +29,7 @@
 		"olHTTP/1.1 200 OK\r\nLemonarch-Server-Seal: old\r\nContent-Length: 3\r\n\r\nold",
 }
 
-// An answer that is not the caller's, cut at any byte, stands before its own on a
+// A response that is not the caller's, cut at any byte, stands before its own on a
 // connection that was used before: it is nobody's, whatever it says.
 func TestStaleResponsesAreNobodys(t *testing.T) {
 	var played, rode atomic.Int64
@@ -99,7 +99,7 @@
 	}
 }
 
-// The same id never travels twice on one connection: a late second answer to the first
+// The same id never travels twice on one connection: a late second response to the first
 // would bear the name of the second.
 func TestSameIDTakesAnotherConnection(t *testing.T) {
 	worker := newWorkerStub(t, "w1", serveComplete)
--- a/internal/traffic/proxy/proxy.go
+++ b/internal/traffic/proxy/proxy.go
@@ -1,4 +1,4 @@
-// Package proxy is the data plane: a request's way from the client to a worker
+// Package proxy forwards requests: a request's way from the client to a worker
 // and back.
 package proxy
 
@@ -22,7 +22,7 @@
 	"lemonarch/internal/traffic/workerconn"
 )
 
-// JobForwarder passes a call on a lot to whoever holds it.
+// JobForwarder forwards a call on a batch job to the store that leads.
 type JobForwarder interface {
 	Forward(call *messages.JobCallRequest, timeout clock.Duration) (*messages.JobCallResponse, bool)
 }
@@ -45,7 +45,7 @@
 	Served, Rejected, Failed, Resumed, Retried, CutOff atomic.Int64
 }
 
-// New makes the data plane.
+// New makes the proxy.
 func New(sender Sender, jobs JobForwarder, log hclog.Logger) *Proxy {
 	proxy := &Proxy{Sender: sender, Scheduler: sender.Scheduler, Jobs: jobs, Log: log}
 	proxy.calls = proxy.jobRoutes()
@@ -137,7 +137,7 @@
 	e.header = ForwardedHeader(request.Header)
 	e.hasLength = request.ContentLength != 0 || len(body) > 0 || request.Header.Get("Content-Length") != ""
 	e.admission = admission.Request{
-		// One draw for the whole request: a split route must not move between tries.
+		// One random number for all attempts: a split route must not move between them.
 		Service:  route.Choose(rand.Float64()),
 		Affine:   route.Affine,
 		Priority: route.Priority,
--- a/internal/traffic/proxy/proxy_test.go
+++ b/internal/traffic/proxy/proxy_test.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// Bytes after a whole answer belong to nobody: the next request must not get them.
+// Bytes after a whole response belong to nobody: the next request must not get them.
 func TestSurplusResponseIsNobodys(t *testing.T) {
 	worker := newWorkerStub(t, "w1", func(_ int, request *http.Request, connection net.Conn) {
 		text := wellDone(request, "for "+request.Header.Get(headerAttempt))
@@ -134,7 +134,7 @@
 	}
 }
 
-// A late answer of an earlier request is read past, and ours comes behind it.
+// A late response of an earlier request is read past, and ours comes behind it.
 func TestLateResponseIsSkipped(t *testing.T) {
 	worker := newWorkerStub(t, "w1", func(count int, request *http.Request, connection net.Conn) {
 		old := strings.Replace(wellDone(request, "old"), "attempt-1", "attempt-0", 1)
--- a/internal/traffic/proxy/relay.go
+++ b/internal/traffic/proxy/relay.go
@@ -13,8 +13,8 @@
 // errClientDisconnected means that our own client ended the connection.
 var errClientDisconnected = errs.Define("client gone")
 
-// relayPlain passes on an answer that is no stream. It is held whole where it is
-// small, so that a cut can be mended before the client has seen a byte.
+// relayPlain passes on a response that is no stream. It is buffered completely where it is
+// small, so that a break can be retried before the client has seen a byte.
 func (e *exchange) relayPlain(grant *admission.Grant, response *Response) (Retry, bool) {
 	sender := &e.proxyServer.Sender
 	body, complete, err := sender.ReadBody(response, constants.BufferedResponseMax)
@@ -136,8 +136,8 @@
 	p.last, p.started = now, true
 }
 
-// allowPreemption lets a running stream of a lower rank make room, where it may go on at
-// another worker within the same answer and still end in time. What must not run
+// allowPreemption lets a running stream of a lower rank be preempted, where it may go on at
+// another worker within the same response and still end in time. What must not run
 // twice never yields.
 func (e *exchange) allowPreemption(grant *admission.Grant) {
 	left := e.deadline.Sub(clock.Now())
@@ -145,7 +145,7 @@
 		return
 	}
 	grant.AllowPreemption(func() {
-		// Told before the reader can wake; of no effect once the answer is whole.
+		// Set before the reader can wake; of no effect once the response is complete.
 		e.preempted.Store(true)
 		e.closeConnection()
 	})
--- a/internal/traffic/proxy/retry.go
+++ b/internal/traffic/proxy/retry.go
@@ -2,7 +2,7 @@
 
 import "lemonarch/internal/platform/messages"
 
-// Evidence is what is known of a try at a worker that brought no whole answer.
+// Evidence is what is known of an attempt at a worker that brought no complete response.
 type Evidence struct {
 	// Sent: some byte of the request may have reached the worker.
 	Sent bool
@@ -11,7 +11,7 @@
 	NotRun bool
 	// Events: the client has some events of the stream already.
 	Events bool
-	// Head: the client has the head of an answer already.
+	// Head: the client has the head of a response already.
 	Head bool
 }
 
@@ -24,12 +24,12 @@
 	RetryNever Retry = iota
 	// RetryFromStart: it may be sent again from the start.
 	RetryFromStart
-	// RetryFromEvent: it may go on after the last event that was passed on.
+	// RetryFromEvent: it may go on after the last event that was forwarded.
 	RetryFromEvent
 )
 
-// DecideRetry decides. A request that was sent and met silence, a reset or a cut may have
-// run; only the worker's own word says that it did not.
+// DecideRetry decides. A request that was sent and met a time-out, a reset or a break may have
+// run; only the worker itself can say that it did not.
 func DecideRetry(kind messages.RouteKind, resumable bool, evidence Evidence) Retry {
 	streams := kind == messages.RouteStreaming || kind == messages.RouteBulk
 	if evidence.Events || (evidence.Head && streams) {
--- a/internal/traffic/proxy/send.go
+++ b/internal/traffic/proxy/send.go
@@ -44,7 +44,7 @@
 }
 
 // afterBreak decides on a connection that broke before any byte came back: whether the
-// request goes again to the same worker on a new connection, and else what befell it.
+// request goes again to the same worker on a new connection, and else how the attempt ended.
 func (s *Sender) afterBreak(connection *workerconn.Connection, outgoing *Request, evidence Evidence, err error) (again bool, failure *errs.Kind) {
 	failure = ErrResponseLost
 	if !evidence.Sent {
--- a/internal/traffic/proxy/sender.go
+++ b/internal/traffic/proxy/sender.go
@@ -11,19 +11,19 @@
 	"lemonarch/internal/traffic/workerconn"
 )
 
-// The errors of a try at a worker.
+// The errors of an attempt at a worker.
 var (
 	// ErrNotSent: no byte reached a worker.
 	ErrNotSent = errs.Define("not sent")
-	// ErrCorruptResponse: what came is not the answer to the request.
+	// ErrCorruptResponse: what came is not the response to the request.
 	ErrCorruptResponse = errs.Define("answer spoilt")
-	// ErrResponseLost: silence, a reset or a cut after sending.
+	// ErrResponseLost: a time-out, a reset or a break after sending.
 	ErrResponseLost = errs.Define("answer lost")
 	// ErrStaleConnection: the worker had forgotten the idle connection; this says nothing about its health.
 	ErrStaleConnection = errs.Define("connection forgotten")
 )
 
-// Sender carries one request to one worker. Gateways and stores share it.
+// Sender sends one request to one worker. Gateways and stores share it.
 type Sender struct {
 	Scheduler *admission.Scheduler
 	Pool      *workerconn.Pool
@@ -31,14 +31,14 @@
 	Budget func(worker messages.Worker) int
 }
 
-// Request is what is carried.
+// Request is one request to a worker.
 type Request struct {
 	Method         string
 	Attempt        string
 	Text           []byte
 	Deadline       clock.Instant
 	SilenceTimeout clock.Duration
-	// ShouldGiveUp decides on a silence longer than Patience, see workerconn.Wait.
+	// ShouldGiveUp decides on a silence longer than SilenceTimeout, see workerconn.Wait.
 	ShouldGiveUp func(elapsed clock.Duration) bool
 	// Retryable: it may travel on any idle connection, and is sent again when its worker has
 	// forgotten that connection.
@@ -49,7 +49,7 @@
 	OnConnection func(connection *workerconn.Connection)
 }
 
-// Response is an answer whose head was read.
+// Response is a response whose head was read.
 type Response struct {
 	HTTPResponse *http.Response
 	Connection   *workerconn.Connection
@@ -59,7 +59,7 @@
 	ShouldGiveUp func(elapsed clock.Duration) bool
 }
 
-// RoundTrip sends the request and reads the head of its answer.
+// RoundTrip sends the request and reads the head of its response.
 func (s *Sender) RoundTrip(grant *admission.Grant, outgoing *Request) (*Response, Evidence, error) {
 	// A drain acknowledged since the grant binds: look once more before sending.
 	if !s.Scheduler.Allowed(grant.Worker.ID, clock.Now()) {
@@ -83,7 +83,7 @@
 	return response, evidence, nil
 }
 
-// Release puts the connection back after the whole answer was read.
+// Release puts the connection back after the whole response was read.
 func (s *Sender) Release(response *Response) {
 	s.Pool.Put(response.Connection, response.HTTPResponse)
 }
@@ -91,8 +91,8 @@
 // Discard ends the connection: the worker drops what it still does.
 func (s *Sender) Discard(response *Response) { s.Pool.Drop(response.Connection) }
 
-// ReadBody reads up to a limit; whole tells that nothing is left. A failure means
-// that the answer was cut.
+// ReadBody reads up to a limit; complete tells that nothing is left. A failure means
+// that the response was cut off.
 func (s *Sender) ReadBody(response *Response, limit int) (body []byte, complete bool, err error) {
 	body, err = io.ReadAll(io.LimitReader(response.HTTPResponse.Body, int64(limit)+1))
 	if err != nil {
@@ -101,7 +101,7 @@
 	return body, len(body) <= limit, nil
 }
 
-// Stream reads an event stream: each is given whole events as they come. It
+// Stream reads an event stream: each is given complete events as they come. It
 // returns nil at the clean end.
 func (s *Sender) Stream(response *Response, splitter *Splitter, until clock.Instant, timeout clock.Duration, each func(events []byte) error) error {
 	buffer := make([]byte, 8<<10)
--- a/internal/traffic/proxy/silence.go
+++ b/internal/traffic/proxy/silence.go
@@ -11,8 +11,8 @@
 )
 
 // silencePolicy gives the decision on a silence that is longer than usual. What may be
-// repeated goes on elsewhere, while tries are left and the service as a whole has not
-// grown slow. What may not waits on: silence gives no reason to end an answer sooner.
+// repeated goes on elsewhere, while attempts are left and the service as a whole has not
+// grown slow. What may not waits on: silence gives no reason to end a response sooner.
 // Either way the silence is noted, so that others are not sent into it.
 func (e *exchange) silencePolicy(grant *admission.Grant) func(elapsed clock.Duration) bool {
 	return func(elapsed clock.Duration) bool {
@@ -25,7 +25,7 @@
 	}
 }
 
-// resultOf tells what a try without an answer says of its worker.
+// resultOf tells what an attempt without a response says of its worker.
 func (e *exchange) resultOf(err error) admission.Result {
 	switch {
 	case e.request.Context().Err() != nil, errs.Is(err, ErrStaleConnection):
@@ -41,7 +41,7 @@
 	return admission.ResultFailed
 }
 
-// resultOfStatus tells whether a failure that a worker answered with speaks against it: its
+// resultOfStatus tells whether a failure that a worker answered with counts against it: its
 // 504 only says that the time was too short.
 func resultOfStatus(status int) admission.Result {
 	if status >= http.StatusInternalServerError && status != http.StatusGatewayTimeout {
--- a/internal/traffic/proxy/workerfailure.go
+++ b/internal/traffic/proxy/workerfailure.go
@@ -8,7 +8,7 @@
 	"lemonarch/internal/traffic/admission"
 )
 
-// workerFailure is an answer of a worker's own that may be given when no other
+// workerFailure is a response of a worker's own that may be given when no other
 // worker can be asked.
 type workerFailure struct {
 	status int
@@ -16,7 +16,7 @@
 	body   []byte
 }
 
-// mayBeFinal tells whether the worker's answer may be the outcome of the whole request. A
+// mayBeFinal tells whether the worker's response may be the outcome of the whole request. A
 // status that promises that nothing ran must not follow a run.
 func (w *workerFailure) mayBeFinal(mayRun bool) bool {
 	if w.header.Get(headerNotRun) != "" {
@@ -66,7 +66,7 @@
 	e.lastFailure = &workerFailure{response.HTTPResponse.StatusCode, response.HTTPResponse.Header, body}
 	retry := e.decideRetry(Evidence{Sent: true})
 	if response.HTTPResponse.StatusCode < 500 {
-		// A worker's 4xx is its word on the request: another would say the same.
+		// A worker's 4xx is about the request: another would answer the same.
 		retry = RetryNever
 	}
 	return retry, false
--- a/internal/traffic/workerconn/await.go
+++ b/internal/traffic/workerconn/await.go
@@ -11,7 +11,7 @@
 // Wait says how long to wait for the next byte.
 type Wait struct {
 	Until clock.Instant
-	// SilenceTimeout is the silence after which Impatient is asked, and again after each
+	// SilenceTimeout is the silence after which ShouldGiveUp is asked, and again after each
 	// further one; zero waits until the end.
 	SilenceTimeout clock.Duration
 	// ShouldGiveUp decides whether to give the worker up after a silence on this connection.
@@ -35,7 +35,7 @@
 		if wait.SilenceTimeout > 0 {
 			from := checkedAt
 			if wait.ShouldGiveUp == nil {
-				// A worker that still speaks on other connections is slow, not silent.
+				// A worker that still sends on other connections is slow, not unresponsive.
 				from = max(startedAt, clock.Instant(c.worker.lastRead.Load()))
 			}
 			if now.Sub(from) >= wait.SilenceTimeout && c.nothingReceived() {
--- a/internal/traffic/workerconn/history.go
+++ b/internal/traffic/workerconn/history.go
@@ -8,8 +8,8 @@
 )
 
 // requestHistory remembers the requests that travelled on a connection, by the hashes of their
-// ids. A late second answer to one of them bears its id: were the same id sent here
-// again, that answer could pass for the new one's.
+// ids. A late second response to one of them bears its id: were the same id sent here
+// again, that response could pass for the new one's.
 type requestHistory struct {
 	hashes []uint64
 	next   int
--- a/internal/traffic/workerconn/idle.go
+++ b/internal/traffic/workerconn/idle.go
@@ -14,10 +14,10 @@
 
 // The choices.
 const (
-	// ReuseAny: a reset is mended by sending it again.
+	// ReuseAny: after a reset the request is sent again.
 	ReuseAny Reuse = iota
 	// ReuseSafe: only one that was idle for a time that is known to be short. A worker
-	// may forget an idle connection without a word, and a request that must not run
+	// may forget an idle connection without closing it, and a request that must not run
 	// twice can't be sent again after the reset.
 	ReuseSafe
 	// ReuseNone: a new one.
@@ -38,7 +38,7 @@
 		// The newest idle one is the least likely to have been closed.
 		if count == 0 || !p.mayReuse(connections.idle[count-1], attempt, reuse, now) {
 			if budget > 0 && connections.open >= budget && count > 0 {
-				// The oldest idle one makes room.
+				// The oldest idle one is dropped for it.
 				oldest := connections.idle[0]
 				connections.idle = append(connections.idle[:0], connections.idle[1:]...)
 				p.lock.Unlock()
--- a/internal/traffic/workerconn/workerconn.go
+++ b/internal/traffic/workerconn/workerconn.go
@@ -1,6 +1,6 @@
-// Package workerconn keeps the connections to workers. A connection belongs to one life
+// Package workerconn keeps the connections to workers. A connection belongs to one incarnation
 // of a worker, carries one request at a time, and is dropped after anything that is not
-// the answer to its request.
+// the response to its request.
 package workerconn
 
 import (
@@ -23,17 +23,17 @@
 var (
 	// ErrNoConnection means that nothing was sent.
 	ErrNoConnection = errs.Define("no connection to worker")
-	// ErrPoolExhausted means that nothing was sent, for want of a place in the budget.
+	// ErrPoolExhausted means that nothing was sent, for want of a connection in the budget.
 	ErrPoolExhausted = errs.Define("connection budget spent")
 	// ErrNotSent means that the connection took no byte of the request, which has not run.
 	ErrNotSent = errs.Define("request unsent")
-	// ErrConnectionBroken means that the request was sent, in part or whole, and may have run.
+	// ErrConnectionBroken means that the request was sent, in part or completely, and may have run.
 	ErrConnectionBroken = errs.Define("connection broken")
-	// ErrWorkerUnresponsive means that the worker said nothing in time.
+	// ErrWorkerUnresponsive means that the worker sent nothing in time.
 	ErrWorkerUnresponsive = errs.Define("worker silent")
 )
 
-// Connection is one connection to one life of a worker.
+// Connection is one connection to one incarnation of a worker.
 type Connection struct {
 	connection net.Conn
 	reader     *bufio.Reader
@@ -48,7 +48,7 @@
 	closed atomic.Bool
 	// sentRequests holds the requests that travelled on it.
 	sentRequests requestHistory
-	// tainted tells that bytes came that were no answer to the request under way.
+	// tainted tells that bytes came that were no response to the request under way.
 	tainted bool
 	// halted: our own side ended it, which says nothing about the worker.
 	halted atomic.Bool
@@ -96,7 +96,7 @@
 	return &Connection{connection: connection, reader: bufio.NewReaderSize(connection, 4<<10), worker: connections, backend: worker.Backend}, nil
 }
 
-// Send writes a whole request, which is named by the id that its answer will echo.
+// Send writes a complete request, which is named by the id that its response will echo.
 func (c *Connection) Send(attempt string, text []byte, until clock.Instant) error {
 	_ = c.connection.SetWriteDeadline(clock.Deadline(until.Sub(clock.Now())))
 	c.sentRequests.add(attempt)
@@ -110,10 +110,10 @@
 	return nil
 }
 
-// Taint notes that bytes of another request's answer came: the connection is not used again.
+// Taint notes that bytes of another request's response came: the connection is not used again.
 func (c *Connection) Taint() { c.tainted = true }
 
-// ReadResponse reads the head of an answer.
+// ReadResponse reads the head of a response.
 func (c *Connection) ReadResponse(method string) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
@@ -126,7 +126,7 @@
 	}
 }
 
-// Put puts a connection back after a whole answer, if it may be used again.
+// Put puts a connection back after a whole response, if it may be used again.
 func (p *Pool) Put(connection *Connection, resp *http.Response) {
 	if !connection.reusable(resp) {
 		p.Drop(connection)
@@ -145,7 +145,7 @@
 }
 
 // reusable tells whether another request may travel on the connection after this answer.
-// What a HEAD's answer says of its length is not on the wire, so a second answer to it
+// What a HEAD's answer says of its length is not on the wire, so a second response to it
 // could not be told from the next one's body.
 func (c *Connection) reusable(resp *http.Response) bool {
 	return !c.closed.Load() && !c.tainted && !resp.Close &&
@@ -180,7 +180,7 @@
 	}
 }
 
-// Drop ends a connection and gives its place in the budget back.
+// Drop ends a connection and takes it out of the budget.
 func (p *Pool) Drop(connection *Connection) {
 	connection.closeOnce()
 	p.lock.Lock()
