--- a/internal/batch/dispatch/accounting_test.go
+++ b/internal/batch/dispatch/accounting_test.go
@@ -14,7 +14,7 @@
 	given := old.take("x", 1, ms(1))
 	old.take("y", 1, ms(1))
 	next := newEndpoint(t, 2, old.records, ms(100))
-	// Word for an earlier leader, or of another life, accounts for nobody.
+	// A report to an earlier leader, or of another incarnation, accounts for nobody.
 	next.ObserveExecutor(Executor{Name: "x"}, ms(110))
 	next.ReportedAll(Executor{Name: "x"}, 1, ms(110))
 	next.ReportedAll(Executor{Name: "y", Incarnation: 7}, 2, ms(110))
--- a/internal/batch/dispatch/acquire_test.go
+++ b/internal/batch/dispatch/acquire_test.go
@@ -9,7 +9,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// prefixed submits  a job whose items have a shared prefix.
+// prefixed makes a job whose items have a shared prefix.
 func (e *endpoint) prefixed(id, prefix string, items int) {
 	body := &messages.JobBody{Path: "/p/"}
 	for i := 0; i < items; i++ {
@@ -29,7 +29,7 @@
 }
 
 // An executor gets the prefix that it has read before first, but nothing is passed over
-// for long: the executor that read the other prefix may have no room.
+// for long: the executor that has the other prefix may have no free slot.
 func TestPrefixesGoTogether(t *testing.T) {
 	endpoint := newEndpoint(t, 1, nil, 0)
 	endpoint.prefixed("a", "one", 6)
--- a/internal/batch/dispatch/item_test.go
+++ b/internal/batch/dispatch/item_test.go
@@ -9,68 +9,94 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// Whatever order begin, gather, yield, set back and finish come in, late ones of
-// earlier runs included: an item has at most one result, its events are 1..n once
-// each, and it can always be begun again until it has its result.
+// itemEvents is how many events a run of itemHistory has.
+const itemEvents = 4
+
+// itemHistory is one item with the runs that were begun on it.
+type itemHistory struct {
+	item    *Item
+	runs    []int
+	results int
+	// position is the id of the last event of each run.
+	position map[int]int64
+}
+
+// step does what a byte says, with a run that the byte names.
+func (h *itemHistory) step(choice uint8) {
+	run := 0
+	if len(h.runs) > 0 {
+		run = h.runs[int(choice>>3)%len(h.runs)]
+	}
+	switch choice % 6 {
+	case 0:
+		if next := h.item.StartRun(); next > 0 {
+			h.runs = append(h.runs, next)
+			h.position[next] = h.item.LastID
+		}
+	case 1:
+		// The worker's stream goes on from where the run began.
+		if next := h.position[run] + 1; run > 0 && next <= itemEvents && h.item.AppendEvents(run, [][]byte{[]byte(fmt.Sprint(next))}, next) {
+			h.position[run] = next
+		}
+	case 2:
+		h.item.Yield(run)
+	case 3:
+		h.item.Requeue(run)
+	case 4:
+		if run > 0 && h.position[run] == itemEvents && h.item.Finish(run) {
+			h.results++
+		}
+	case 5:
+		if choice > 250 && h.item.Abandon(run) {
+			h.results++
+		}
+	}
+}
+
+// eventsInOrder tells whether the item's events are 1..n once each.
+func (h *itemHistory) eventsInOrder() bool {
+	for i, event := range h.item.Events {
+		if string(event) != fmt.Sprint(i+1) {
+			return false
+		}
+	}
+	return true
+}
+
+// canFinish tells whether the item, which has no result, can still be run to its end.
+func (h *itemHistory) canFinish() bool {
+	for _, run := range h.runs {
+		h.item.Requeue(run)
+	}
+	run := h.item.StartRun()
+	for next := h.item.LastID + 1; next <= itemEvents; next++ {
+		if !h.item.AppendEvents(run, [][]byte{[]byte(fmt.Sprint(next))}, next) {
+			return false
+		}
+	}
+	return h.results == 0 && run > 0 && len(h.item.Events) == itemEvents && h.item.Finish(run)
+}
+
+// Whatever order start, append, yield, requeue and finish come in, late ones of earlier runs
+// included: an item has at most one result, its events are 1..n once each, and it can always
+// be started again until it has its result.
 func TestRequeueState(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(11)
 	parameters.MinSuccessfulTests = 3000
 	properties := gopter.NewProperties(parameters)
-	const whole = 4
-	properties.Property("one outcome", prop.ForAll(func(outcomes []uint8) bool {
-		item := &Item{Job: &Job{}}
-		var runs []int
-		results := 0
-		position := map[int]int64{}
-		for _, step := range outcomes {
-			run := 0
-			if len(runs) > 0 {
-				run = runs[int(step>>3)%len(runs)]
-			}
-			switch step % 6 {
-			case 0:
-				if next := item.StartRun(); next > 0 {
-					runs = append(runs, next)
-					position[next] = item.LastID
-				}
-			case 1:
-				// The worker's stream goes on from where the run began.
-				if next := position[run] + 1; run > 0 && next <= whole && item.AppendEvents(run, [][]byte{[]byte(fmt.Sprint(next))}, next) {
-					position[run] = next
-				}
-			case 2:
-				item.Yield(run)
-			case 3:
-				item.Requeue(run)
-			case 4:
-				if run > 0 && position[run] == whole && item.Finish(run) {
-					results++
-				}
-			case 5:
-				if step > 250 && item.Abandon(run) {
-					results++
-				}
-			}
-			for i, piece := range item.Events {
-				if string(piece) != fmt.Sprint(i+1) {
-					return false
-				}
+	properties.Property("one outcome", prop.ForAll(func(choices []uint8) bool {
+		history := &itemHistory{item: &Item{Job: &Job{}}, position: map[int]int64{}}
+		for _, choice := range choices {
+			history.step(choice)
+			if !history.eventsInOrder() {
+				return false
 			}
 		}
-		if results == 1 {
-			return item.State == ItemClosing && item.StartRun() == 0
+		if history.results == 1 {
+			return history.item.State == ItemClosing && history.item.StartRun() == 0
 		}
 		// Without a result there is always a way on: no path ends without one.
-		for _, run := range runs {
-			item.Requeue(run)
-		}
-		run := item.StartRun()
-		for next := item.LastID + 1; next <= whole; next++ {
-			if !item.AppendEvents(run, [][]byte{[]byte(fmt.Sprint(next))}, next) {
-				return false
-			}
-		}
-		return results == 0 && run > 0 && len(item.Events) == whole && item.Finish(run)
+		return history.canFinish()
 	}, gen.SliceOf(gen.UInt8())))
 	properties.TestingRun(t)
 }
--- a/internal/batch/dispatch/waiting_test.go
+++ b/internal/batch/dispatch/waiting_test.go
@@ -21,7 +21,7 @@
 	return total
 }
 
-// addJobOf puts a lot of a few items into a book.
+// addJobOf puts a job of a few items into a table.
 func addJobOf(tb testing.TB, jobs *JobTable, id, path string, items int, tokens int64) *Job {
 	tb.Helper()
 
--- a/internal/batch/leader/setpolicy_test.go
+++ b/internal/batch/leader/setpolicy_test.go
@@ -11,7 +11,7 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// What is nearest to loss is mended first, and what can't be mended holds nothing up.
+// What is nearest to loss is repaired first, and what can't be repaired delays nothing.
 func TestNextChangeRepairsNearestToLossFirst(t *testing.T) {
 	process := soleStore(t, simulation.NewDisk(3))
 	process.Node.StartedAt = clock.Now().Add(-constants.ReplaceAfter * 2)
--- a/internal/batch/leader/submit_test.go
+++ b/internal/batch/leader/submit_test.go
@@ -10,7 +10,7 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// Calls of many nodes race for the last room: the quota is never passed, and a job
+// Calls of many nodes race for the last of the quota: the quota is never passed, and a job
 // that comes over several nodes at once is one job.
 func TestQuotaUnderRaces(t *testing.T) {
 	term := lead(t, soleStore(t, simulation.NewDisk(1)), 1)
@@ -21,7 +21,7 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			// Each lot of 30 tokens is sent twice; three of them fit into 100.
+			// Each job of 30 tokens is sent twice; three of them fit into 100.
 			resp := term.submitJob(jobCallOf(fmt.Sprint("lot", number/2), 2))
 			lock.Lock()
 			defer lock.Unlock()
@@ -32,7 +32,7 @@
 	if statuses[202] < 3 || statuses[202] > 6 || statuses[202]+statuses[429] != 24 || len(term.jobs.Jobs()) != 3 {
 		t.Fatal(statuses, len(term.jobs.Jobs()))
 	}
-	// Resent to whoever holds the jobs later, a taken job is still taken.
+	// Resent to whoever leads later, a taken job is still taken.
 	taken := term.jobs.Jobs()[0].ID
 	term.Close("another takes over")
 	next := lead(t, term.process, 2)
--- a/internal/batch/store/budget_test.go
+++ b/internal/batch/store/budget_test.go
@@ -56,11 +56,11 @@
 	return messages.Member{}
 }
 
-// untilTold runs until the leader has told one more result: the fault that follows
+// awaitAcknowledged runs until the leader has told one more result: the fault that follows
 // strikes right after an acknowledgement.
-func (s *simFleet) untilTold() {
-	before := s.tellings
-	for step := 0; step < 4000 && s.tellings == before; step++ {
+func (s *simFleet) awaitAcknowledged() {
+	before := s.acknowledgements
+	for step := 0; step < 4000 && s.acknowledgements == before; step++ {
 		if step%30 == 0 {
 			s.number++
 			id := fmt.Sprintf("lot%d", s.number)
@@ -71,7 +71,7 @@
 		}
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(1)))
 	}
-	if s.tellings == before {
+	if s.acknowledgements == before {
 		s.test.Fatal("nothing was told any more")
 	}
 }
@@ -85,89 +85,117 @@
 	s.open(store)
 }
 
-// Records outlast the loss of any two of five stores right after they were told:
+// newBudgetFleet makes a fleet with a fault budget of two, whose set is complete.
+func newBudgetFleet(t *testing.T, seed int64) *simFleet {
+	t.Helper()
+
+	fleet := newSimFleetOf(t, seed, 9, 2, 5)
+	if seed%4 == 0 {
+		// The first set is smaller than the budget asks, and grows under load.
+		fleet = newSimFleetOf(t, seed, 9, 2, 3)
+	}
+	fleet.world.Loss, fleet.world.Double = 0.04, 0.04
+	fleet.electAny()
+	for len(fleet.set) < 5 {
+		fleet.awaitAcknowledged()
+		fleet.replaceMember(messages.Member{}, fleet.fresh())
+	}
+	return fleet
+}
+
+// losePowerAndDisks takes everybody's power, and the disks of some.
+func (s *simFleet) losePowerAndDisks(lost []messages.Member, disk func(i int) string) {
+	for _, name := range simulation.Keys(s.stores) {
+		s.stores[name].down = true
+		s.stores[name].disk.PowerLoss()
+	}
+	for _, name := range simulation.Keys(s.stores) {
+		s.open(s.stores[name])
+	}
+	for i, member := range lost {
+		s.wipeBack(s.stores[member.Address], disk(i))
+	}
+	s.electAny()
+	for _, member := range lost {
+		s.replaceMember(member, s.stores[member.Address].member)
+	}
+	// Somebody takes over at the very moment of the change.
+	s.electAny()
+}
+
+// losePowerOf takes the power of some for a while.
+func (s *simFleet) losePowerOf(lost []messages.Member) {
+	for _, member := range lost {
+		s.stores[member.Address].down = true
+		s.stores[member.Address].disk.PowerLoss()
+	}
+	s.electAny()
+	s.awaitAcknowledged()
+	for _, member := range lost {
+		s.open(s.stores[member.Address])
+	}
+}
+
+// loseForGood replaces some by others; they come back with empty disks later.
+func (s *simFleet) loseForGood(lost []messages.Member, disk func(i int) string) {
+	for _, member := range lost {
+		s.stores[member.Address].down = true
+	}
+	s.electAny()
+	for _, member := range lost {
+		s.replaceMember(member, s.fresh())
+	}
+	for i, member := range lost {
+		s.wipeBack(s.stores[member.Address], disk(i))
+	}
+}
+
+// loseTwo strikes two stores right after an acknowledgement, in one of three ways.
+func (s *simFleet) loseTwo(round int) {
+	if len(s.lag) == 0 {
+		s.slowTwo()
+	}
+	s.awaitAcknowledged()
+	// Slow stores count as lost: they recover as the others are struck.
+	s.lag = nil
+	lost := s.pair()
+	disk := func(i int) string { return fmt.Sprintf("wiped-%d-%d", round, i) }
+	switch s.world.Random.Intn(3) {
+	case 0:
+		s.losePowerAndDisks(lost, disk)
+	case 1:
+		s.losePowerOf(lost)
+	case 2:
+		s.loseForGood(lost, disk)
+	}
+	s.electAny()
+	s.awaitAcknowledged()
+	if s.world.Random.Intn(2) == 0 {
+		// A member is emptied under load, two others slow; the next fault follows.
+		s.slowTwo()
+		if out := s.pair()[1]; out.Address != s.leader.at {
+			s.replaceMember(out, s.fresh())
+		}
+	}
+}
+
+// Records outlast the loss of any two of five stores right after they were acknowledged:
 // disks lost while all others lose power, kills, and machines gone for good.
 func TestJobsUnderLossOfTwo(t *testing.T) {
-	announcement := 0
+	acknowledged := 0
 	for seed := int64(1); seed <= int64(simulation.Seeds(40)); seed++ {
-		fleet := newSimFleetOf(t, seed, 9, 2, 5)
-		if seed%4 == 0 {
-			// The first set is smaller than the budget asks, and grows under load.
-			fleet = newSimFleetOf(t, seed, 9, 2, 3)
-		}
-		fleet.world.Loss, fleet.world.Double = 0.04, 0.04
-		fleet.takeAny()
-		for len(fleet.set) < 5 {
-			fleet.untilTold()
-			fleet.swap(messages.Member{}, fleet.fresh())
-		}
+		fleet := newBudgetFleet(t, seed)
 		for round := 0; round < 5; round++ {
-			if len(fleet.lag) == 0 {
-				fleet.slowTwo()
-			}
-			fleet.untilTold()
-			// Slow stores count as lost: they recover as the others are struck.
-			fleet.lag = nil
-			lost := fleet.pair()
-			mark := func(i int) string { return fmt.Sprintf("wiped-%d-%d", round, i) }
-			switch fleet.world.Random.Intn(3) {
-			case 0:
-				for _, name := range simulation.Keys(fleet.stores) {
-					fleet.stores[name].down = true
-					fleet.stores[name].disk.PowerLoss()
-				}
-				for _, name := range simulation.Keys(fleet.stores) {
-					fleet.open(fleet.stores[name])
-				}
-				for i, member := range lost {
-					fleet.wipeBack(fleet.stores[member.Address], mark(i))
-				}
-				fleet.takeAny()
-				for _, member := range lost {
-					fleet.swap(member, fleet.stores[member.Address].member)
-				}
-				// Somebody takes over at the very moment of the change.
-				fleet.takeAny()
-			case 1:
-				for _, member := range lost {
-					fleet.stores[member.Address].down = true
-					fleet.stores[member.Address].disk.PowerLoss()
-				}
-				fleet.takeAny()
-				fleet.untilTold()
-				for _, member := range lost {
-					fleet.open(fleet.stores[member.Address])
-				}
-			case 2:
-				for _, member := range lost {
-					fleet.stores[member.Address].down = true
-				}
-				fleet.takeAny()
-				for _, member := range lost {
-					fleet.swap(member, fleet.fresh())
-				}
-				for i, member := range lost {
-					fleet.wipeBack(fleet.stores[member.Address], mark(i))
-				}
-			}
-			fleet.takeAny()
-			fleet.untilTold()
-			if fleet.world.Random.Intn(2) == 0 {
-				// A member is emptied under load, two others slow; the next fault follows.
-				fleet.slowTwo()
-				if out := fleet.pair()[1]; out.Address != fleet.leader.at {
-					fleet.swap(out, fleet.fresh())
-				}
-			}
+			fleet.loseTwo(round)
 		}
 		for _, member := range fleet.set {
 			if register.Identity(fleet.stores[member.Address].member) != register.Identity(member) {
 				t.Fatalf("seed %d: the set names a disk that is gone", seed)
 			}
 		}
-		announcement += fleet.tellings
+		acknowledged += fleet.acknowledgements
 	}
-	if announcement < 300 {
-		t.Fatalf("only %d results were told in all", announcement)
+	if acknowledged < 300 {
+		t.Fatalf("only %d results were acknowledged in all", acknowledged)
 	}
 }
--- a/internal/batch/store/copy_test.go
+++ b/internal/batch/store/copy_test.go
@@ -17,11 +17,11 @@
 	for number := 0; number < 4; number++ {
 		fleet.work()
 	}
-	leaseholder := fleet.holder()
+	leaseholder := fleet.leaderStore()
 	current := leaseholder.current()
 	joiner := fleet.outside()
 	appended := 0
-	fleet.room.OnFrame(func(frame transport.ObservedFrame) {
+	fleet.network.OnFrame(func(frame transport.ObservedFrame) {
 		if !frame.Response && frame.Kind == messages.KindAppend && frame.To == joiner.Node.Self.Address && frame.From == leaseholder.Node.Self.Address {
 			appended++
 		}
@@ -33,13 +33,26 @@
 	if done == 0 || last != done || appended > 0 || done > durable {
 		t.Fatal(done, last, appended, durable)
 	}
-	// The same records, under the same epochs, as those of the members that have them;
-	// the leader's own disk may be one that is still behind what is durable.
-	inside := fleet.records()
+	fleet.checkSameRecords(joiner, done, leaseholder.Node.Settings.Budget())
+	if len(epochRanges) == 0 {
+		t.Fatal("no epochs")
+	}
+	body, _ := transport.Encode(&messages.FetchRequest{First: 1, Disk: "another"})
+	response, err := joiner.Node.Dispatch(messages.KindFetch, body)
+	resp := &messages.FetchResponse{}
+	if err != nil || transport.Decode(response, resp) != nil || resp.Granted || len(resp.Records) > 0 {
+		t.Fatal("a store answered for a disk that it has not")
+	}
+}
+
+// checkSameRecords checks that a joiner has the same records, under the same epochs, as the
+// members that have them; the leader's own disk may still be behind what is durable.
+func (r *storeFleet) checkSameRecords(joiner *Server, done int64, budget int) {
+	inside := r.records()
 	for index := int64(1); index <= done; index++ {
 		left, _ := joiner.Log.Read(index)
 		compared := 0
-		for _, server := range fleet.all() {
+		for _, server := range r.all() {
 			if _, member := inside[server.Node.Self.Name]; !member {
 				continue
 			}
@@ -49,22 +62,13 @@
 			}
 			compared++
 			if left == nil || fmt.Sprint(*left) != fmt.Sprint(*right) {
-				t.Fatal(index, server.Node.Self.Name)
+				r.test.Fatal(index, server.Node.Self.Name)
 			}
 		}
-		if compared < replication.CopiesNeeded(len(inside), leaseholder.Node.Settings.Budget()) {
-			t.Fatal("durable with ", compared, " copies: ", index)
+		if compared < replication.CopiesNeeded(len(inside), budget) {
+			r.test.Fatal("durable with ", compared, " copies: ", index)
 		}
 	}
-	if len(epochRanges) == 0 {
-		t.Fatal("no epochs")
-	}
-	body, _ := transport.Encode(&messages.FetchRequest{First: 1, Disk: "another"})
-	response, err := joiner.Node.Dispatch(messages.KindFetch, body)
-	resp := &messages.FetchResponse{}
-	if err != nil || transport.Decode(response, resp) != nil || resp.Granted || len(resp.Records) > 0 {
-		t.Fatal("a store answered for a disk that it has not")
-	}
 }
 
 // outside gives a store that is no member of the store set.
--- a/internal/batch/store/displacement_test.go
+++ b/internal/batch/store/displacement_test.go
@@ -53,15 +53,15 @@
 		list = append(list, messages.Worker{ID: worker, Backend: "s", Zone: "h", Capacity: clusterSlots, CallCount: 1})
 	}
 	scheduler.Merge(list, s.world.Now)
-	scheduler.OnPressure(func(words []messages.Pressure) {
-		announcement := &messages.PressureNotice{From: role + "/" + name, Entries: words}
+	scheduler.OnPressure(func(entries []messages.Pressure) {
+		acknowledged := &messages.PressureNotice{From: role + "/" + name, Entries: entries}
 		for _, other := range simulation.Keys(s.benches) {
 			if other == name {
 				continue
 			}
 			s.world.Send(name, other, func() {
 				if s.benches[other] != nil {
-					s.benches[other].YieldToPressure(announcement, 1, s.world.Now)
+					s.benches[other].YieldToPressure(acknowledged, 1, s.world.Now)
 				}
 			})
 		}
@@ -120,7 +120,7 @@
 	grant.End(result, s.world.Now)
 }
 
-// dispatch runs items of the present leader wherever its bench finds room.
+// dispatch runs items of the present leader wherever its bench finds capacity.
 func (s *simCluster) dispatch() {
 	defer s.world.After(clock.Milliseconds(10), s.dispatch)
 	leader := s.leader
--- a/internal/batch/store/executor_test.go
+++ b/internal/batch/store/executor_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// driven is a store that holds the jobs, drives them, and has one worker.
+// driven is a store that leads, runs items, and has one worker.
 func driven(t *testing.T, seed int64) (*Server, *fakeWorker) {
 	t.Helper()
 
--- a/internal/batch/store/faults_test.go
+++ b/internal/batch/store/faults_test.go
@@ -16,14 +16,14 @@
 		fleet := newStoreFleet(t, seed)
 		fleet.work()
 		for _, fault := range fleet.random.Perm(4) {
-			old := fleet.holder()
+			old := fleet.leaderStore()
 			name := old.Node.Self.Name
 			number := int(name[1] - '0')
 			switch fault {
 			case 0:
-				fleet.room.SetPartitioned(old.Node.Self.Address, true)
+				fleet.network.SetPartitioned(old.Node.Self.Address, true)
 				fleet.work()
-				fleet.room.SetPartitioned(old.Node.Self.Address, false)
+				fleet.network.SetPartitioned(old.Node.Self.Address, false)
 			case 1:
 				fleet.stop(old)
 				fleet.disks[name].PowerLoss()
--- a/internal/batch/store/fleet_test.go
+++ b/internal/batch/store/fleet_test.go
@@ -70,7 +70,7 @@
 type storeFleet struct {
 	test          *testing.T
 	random        *rand.Rand
-	room          *transport.MemoryNetwork
+	network       *transport.MemoryNetwork
 	localRegister *fakeRegister
 	disks         map[string]*simulation.Disk
 	lock          sync.Mutex
@@ -83,11 +83,11 @@
 func newStoreFleet(t *testing.T, seed int64) *storeFleet {
 	t.Helper()
 
-	fleet := &storeFleet{test: t, random: rand.New(rand.NewSource(seed)), room: transport.NewMemoryNetwork(), disks: map[string]*simulation.Disk{}, stores: map[string]*Server{}, ended: map[string]bool{}}
+	fleet := &storeFleet{test: t, random: rand.New(rand.NewSource(seed)), network: transport.NewMemoryNetwork(), disks: map[string]*simulation.Disk{}, stores: map[string]*Server{}, ended: map[string]bool{}}
 	fleet.localRegister = &fakeRegister{grants: lease.NewGrantor(clock.Now(), true),
 		value: messages.RegisterValue{Acceptors: []messages.Member{{Address: fakeRegisterAddress, Disk: "r"}}}}
-	_ = fleet.room.Transport(fakeRegisterAddress).Serve(fleet.localRegister.answer)
-	fleet.client = fleet.room.Transport("client")
+	_ = fleet.network.Transport(fakeRegisterAddress).Serve(fleet.localRegister.answer)
+	fleet.client = fleet.network.Transport("client")
 	for number := 1; number <= 5; number++ {
 		name := fmt.Sprint("s", number)
 		fleet.disks[name] = simulation.NewDisk(seed*10 + int64(number))
@@ -118,7 +118,7 @@
 	nodeSettings := &settings.Settings{NodeName: name, Address: fmt.Sprint("10.0.0.", number), Zone: fmt.Sprint("h", number%3), InternalPorts: []int{7000, 7010},
 		Seeds: []string{"10.0.0.99:80"}, HeartbeatMs: 1200, FaultBudget: settings.FaultBudget{Machines: 1}, Tolerances: settings.Tolerances{StatusS: 120, CancelMs: 3000}}
 	runtime := agent.New(nodeSettings, membership.RoleStore, constants.PortStore, store.Disk(), hclog.NewNullLogger())
-	runtime.Transport = r.room.Transport(runtime.Self.Address)
+	runtime.Transport = r.network.Transport(runtime.Self.Address)
 	server := wire(runtime, store)
 	server.registerHandlers()
 	server.registerReports()
@@ -163,8 +163,8 @@
 }
 
 // until polls the world of real timers until something holds.
-func (r *storeFleet) until(what string, holds func() bool) {
-	for end := clock.Now().Add(clock.Milliseconds(20_000)); !holds(); {
+func (r *storeFleet) until(what string, condition func() bool) {
+	for end := clock.Now().Add(clock.Milliseconds(20_000)); !condition(); {
 		if clock.Now() > end {
 			r.test.Fatal("never: ", what)
 		}
@@ -189,7 +189,7 @@
 	})
 }
 
-func (r *storeFleet) holder() *Server {
+func (r *storeFleet) leaderStore() *Server {
 	var found *Server
 	r.until("a holder", func() bool {
 		for _, server := range r.all() {
@@ -216,7 +216,7 @@
 	for _, element := range r.taken {
 		r.call(&messages.JobCallRequest{Method: "GET", Job: element}, 200)
 	}
-	current := r.holder().current()
+	current := r.leaderStore().current()
 	if current == nil {
 		return
 	}
--- a/internal/batch/store/history_test.go
+++ b/internal/batch/store/history_test.go
@@ -35,9 +35,9 @@
 		// It learns from the register that its term is over.
 		s.leader.fenced = true
 	}
-	s.takeAny()
+	s.electAny()
 	for number := 0; number < jobsPerTerm; number++ {
-		s.untilTold()
+		s.awaitAcknowledged()
 	}
 	s.world.Run(s.world.Now.Add(clock.Milliseconds(300)))
 }
@@ -84,7 +84,7 @@
 		}
 		took := fleet.bringBack("s2", before)
 		if wipe {
-			fleet.swap(old, away.member)
+			fleet.replaceMember(old, away.member)
 		}
 		fleet.take("s2")
 		fleet.world.Run(fleet.world.Now.Add(clock.Milliseconds(400)))
--- a/internal/batch/store/jobs_test.go
+++ b/internal/batch/store/jobs_test.go
@@ -10,7 +10,7 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// work submits jobs  and lists their items, as a leader does.
+// work submits jobs and lists their items, as a leader does.
 func (s *simFleet) work(rounds int) {
 	for round := 0; round < rounds; round++ {
 		leader := s.leader
@@ -44,15 +44,15 @@
 	return names
 }
 
-// takeAny lets a random live member take over and checks what it knows.
-func (s *simFleet) takeAny() {
-	truncated := s.anyCut()
+// electAny lets a random live member take over and checks what it knows.
+func (s *simFleet) electAny() {
+	partitioned := s.anyPartitioned()
 	if s.tryTakeovers() {
 		return
 	}
 	// One that is cut off and one that is down are more than the budget: nobody need be
 	// able to take over before the cut ends.
-	if truncated {
+	if partitioned {
 		s.joinMembers()
 		if s.tryTakeovers() {
 			return
@@ -77,13 +77,13 @@
 }
 
 // isolate cuts a machine off from all others, or joins it.
-func (s *simFleet) isolate(name string, others []string, truncated bool) {
-	s.isolated[name] = truncated
-	s.world.Isolate(name, others, truncated)
+func (s *simFleet) isolate(name string, others []string, partitioned bool) {
+	s.isolated[name] = partitioned
+	s.world.Isolate(name, others, partitioned)
 }
 
-// anyCut tells whether a member of the set is cut off.
-func (s *simFleet) anyCut() bool {
+// anyPartitioned tells whether a member of the set is cut off.
+func (s *simFleet) anyPartitioned() bool {
 	for _, member := range s.set {
 		if s.isolated[member.Address] {
 			return true
@@ -107,8 +107,8 @@
 	}
 }
 
-// swap replaces a member by another store, as the leader's changeSet does.
-func (s *simFleet) swap(out, joiner messages.Member) {
+// replaceMember replaces a member by another store, as the leader's changeSet does.
+func (s *simFleet) replaceMember(out, joiner messages.Member) {
 	leader := s.leader
 	var next []messages.Member
 	for _, member := range s.set {
@@ -135,98 +135,32 @@
 }
 
 func TestJobsUnderFaults(t *testing.T) {
-	announcement := 0
+	acknowledged := 0
 	for seed := int64(1); seed <= int64(simulation.Seeds(60)); seed++ {
 		fleet := newSimFleet(t, seed, 4)
 		fleet.world.Loss, fleet.world.Double = 0.05, 0.05
-		fleet.takeAny()
+		fleet.electAny()
 		for round := 0; round < 6; round++ {
 			fleet.work(6)
 			victim := fleet.set[fleet.world.Random.Intn(len(fleet.set))]
-			store := fleet.stores[victim.Address]
 			switch fleet.world.Random.Intn(4) {
 			case 0:
-				// Power is lost: what was synced stays.
-				store.down = true
-				store.disk.PowerLoss()
-				fleet.takeAny()
-				fleet.work(3)
-				fleet.open(store)
+				fleet.losePower(fleet.stores[victim.Address])
 			case 1:
-				// The disk is lost: the machine comes back as somebody else, and
-				// gets its place again once it has everything.
-				store.down = true
-				store.disk.Wipe()
-				fleet.takeAny()
-				fleet.work(3)
-				store.member.Disk = fmt.Sprintf("%s-%d", store.member.Name, round+1)
-				fleet.open(store)
-				fleet.swap(victim, store.member)
+				store := fleet.stores[victim.Address]
+				fleet.loseDisk(victim, fmt.Sprintf("%s-%d", store.member.Name, round+1))
 			case 2:
-				// The leader is cut off and does not know that another took over.
-				if fleet.leader != nil {
-					truncated := fleet.leader.at
-					var names []string
-					for name := range fleet.stores {
-						names = append(names, name)
-					}
-					old := fleet.leader
-					fleet.world.Isolate(truncated, names, true)
-					fleet.stores[truncated].down = false
-					others := fleet.live()
-					for i, name := range others {
-						if name == truncated {
-							others = append(others[:i], others[i+1:]...)
-							break
-						}
-					}
-					for attempt := 0; attempt < 12 && (fleet.leader == old || !fleet.leader.ready); attempt++ {
-						fleet.take(others[fleet.world.Random.Intn(len(others))])
-						fleet.world.Run(fleet.world.Now.Add(clock.Milliseconds(400)))
-					}
-					fleet.check(fleet.leader)
-					old.submit(messages.Record{Kind: messages.RecordOutput, Job: "lot1", Position: 9, Item: "stale"})
-					fleet.work(3)
-					fleet.world.Isolate(truncated, names, false)
-				}
+				fleet.partitionLeader()
 			case 3:
-				// A member is retired to the spare; the leader itself never is.
-				if victim.Address != fleet.leader.at {
-					for _, name := range []string{"s0", "s1", "s2", "s3"} {
-						spare := fleet.stores[name]
-						inSet := false
-						for _, member := range fleet.set {
-							inSet = inSet || member.Address == name
-						}
-						if !inSet {
-							fleet.swap(victim, spare.member)
-							break
-						}
-					}
-				}
+				fleet.retire(victim)
 			}
 			fleet.work(3)
 		}
-		// At the end all lose power, and one its disk.
-		fleet.world.Run(fleet.world.Now.Add(clock.Milliseconds(500)))
-		wiped := fleet.set[fleet.world.Random.Intn(3)].Address
-		for name, store := range fleet.stores {
-			store.down = true
-			store.disk.PowerLoss()
-			if name == wiped {
-				store.disk.Wipe()
-				store.member.Disk = "last"
-			}
-		}
-		fleet.leader = nil
-		for _, store := range fleet.stores {
-			fleet.open(store)
-		}
-		fleet.takeAny()
-		announcement += fleet.tellings
+		fleet.loseAll()
+		acknowledged += fleet.acknowledgements
 	}
-	if announcement < 1000 {
-		t.Fatalf("only %d results were told in all", announcement)
+	if acknowledged < 1000 {
+		t.Fatalf("only %d results were acknowledged in all", acknowledged)
 	}
 }
 
@@ -234,9 +168,9 @@
 	sum := func() uint64 {
 		fleet := newSimFleet(t, 5, 3)
 		fleet.world.Loss = 0.1
-		fleet.takeAny()
+		fleet.electAny()
 		fleet.work(10)
-		fleet.takeAny()
+		fleet.electAny()
 		fleet.work(10)
 		return fleet.world.Sum()
 	}
--- a/internal/batch/store/losses_test.go
+++ b/internal/batch/store/losses_test.go
@@ -24,8 +24,8 @@
 	stepDurable
 	// stepNamed: the register names the new set, and the leader doesn't know it yet.
 	stepNamed
-	// stepSettled: whoever retired the machine was told that it is settled.
-	stepSettled
+	// stepCommitted: whoever retired the machine was told that it is settled.
+	stepCommitted
 	stepCount
 )
 
@@ -52,11 +52,11 @@
 }
 
 // until runs the world until something holds; false where it does not within a while.
-func (s *simFleet) until(holds func() bool) bool {
-	for attempt := 0; attempt < 3000 && !holds(); attempt++ {
+func (s *simFleet) until(condition func() bool) bool {
+	for attempt := 0; attempt < 3000 && !condition(); attempt++ {
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(2)))
 	}
-	return holds()
+	return condition()
 }
 
 // play carries the change up to a step, as changeSet does; false where it got stuck.
@@ -115,7 +115,7 @@
 	}
 	// Who is no member may go in any number.
 	for _, name := range []string{s.in.Address, s.out.Address} {
-		if !inSet(name) && (step >= stepSettled || fleet.world.Random.Intn(2) == 0) && !slices.Contains(lost, name) {
+		if !inSet(name) && (step >= stepCommitted || fleet.world.Random.Intn(2) == 0) && !slices.Contains(lost, name) {
 			lost = append(lost, name)
 		}
 	}
@@ -160,17 +160,17 @@
 	return wiped
 }
 
-// mend brings everything back, wiped members first copied to and then named again.
-func (s *simFleet) mend(lost []string) {
+// repair brings everything back, emptied members first copied to and then named again.
+func (s *simFleet) repair(lost []string) {
 	for _, name := range lost {
 		store := s.stores[name]
 		store.disk.Room, store.disk.Intercept, store.faulty = -1, nil, false
 		s.open(store)
 	}
-	s.takeAny()
+	s.electAny()
 	for _, member := range slices.Clone(s.set) {
 		if now := s.stores[member.Address].member; register.Identity(now) != register.Identity(member) {
-			s.swap(member, now)
+			s.replaceMember(member, now)
 		}
 	}
 }
@@ -183,9 +183,9 @@
 	budget := 1 + int(seed%2)
 	fleet := newSimFleetOf(t, seed, 2*budget+4, budget, 2*budget+1)
 	fleet.world.Loss, fleet.world.Double = 0.03, 0.03
-	fleet.takeAny()
+	fleet.electAny()
 	for round := 0; round < 6; round++ {
-		fleet.untilTold()
+		fleet.awaitAcknowledged()
 		leader := fleet.leader
 		candidates := slices.DeleteFunc(slices.Clone(fleet.set), func(member messages.Member) bool { return member.Address == leader.at })
 		out, in := candidates[fleet.world.Random.Intn(len(candidates))], fleet.fresh()
@@ -202,14 +202,14 @@
 		}
 		// In half of all rounds the loss strikes right after a result was told.
 		if fleet.world.Random.Intn(2) == 0 {
-			fleet.untilTold()
+			fleet.awaitAcknowledged()
 		}
 		lost := change.victims(step)
 		fleet.strike(lost, round)
 		outcomes[step]++
-		fleet.takeAny()
-		fleet.untilTold()
-		fleet.mend(lost)
+		fleet.electAny()
+		fleet.awaitAcknowledged()
+		fleet.repair(lost)
 	}
 }
 
--- a/internal/batch/store/overload_test.go
+++ b/internal/batch/store/overload_test.go
@@ -9,7 +9,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// lot submits a job of items that really run.
+// submitJob submits a job of items that really run.
 func (s *simCluster) lot(items int) {
 	leader := s.leader
 	if leader == nil || !leader.ready || s.stores[leader.at].down {
@@ -32,7 +32,7 @@
 
 	cluster := newCluster(t, seed)
 	cluster.world.Loss, cluster.world.Double = 0.03, 0.03
-	cluster.takeAny()
+	cluster.electAny()
 	cluster.dispatch()
 	for count := 0; count < 6; count++ {
 		cluster.lot(8)
@@ -51,11 +51,11 @@
 		// The leader's machine loses power in the middle of it.
 		victim.down = true
 		victim.disk.PowerLoss()
-		cluster.takeAny()
+		cluster.electAny()
 		cluster.open(victim)
 	} else {
 		// The leadership changes hands while its leader still runs.
-		cluster.takeAny()
+		cluster.electAny()
 	}
 	other := cluster.set[cluster.world.Random.Intn(3)].Address
 	if other != cluster.leader.at {
--- a/internal/batch/store/share_callers_test.go
+++ b/internal/batch/store/share_callers_test.go
@@ -18,7 +18,7 @@
 }
 
 // handedIn records a submission; told notes the 202.
-func (s *shareCluster) handedIn(id string) (announcement func()) {
+func (s *shareCluster) handedIn(id string) (acknowledged func()) {
 	s.callers.count++
 	operation := s.callers.history.Begin(s.callers.count, linearize.LotCall{Kind: linearize.LotHandIn, Lot: id},
 		linearize.LotReply{}, int64(s.world.Now))
--- a/internal/batch/store/share_sim_test.go
+++ b/internal/batch/store/share_sim_test.go
@@ -24,7 +24,7 @@
 // same cores as the real one. Every clock has an offset and a rate of its own.
 type shareCluster struct {
 	*simFleet
-	drivers     map[string]*simDriver
+	executors   map[string]*simDriver
 	dispatchers map[*simLeader]*dispatch.Dispatcher
 	ending      map[*simLeader]map[string]bool
 	// over says that a leader's hold has ended; no other is taken before.
@@ -34,13 +34,13 @@
 	offset map[string]float64
 	rate   map[string]float64
 	// What the outside saw.
-	accepted map[string]string
-	failures map[string]int
-	rejected map[string]bool
-	sentAt   map[string]clock.Instant
-	endAcked map[string]clock.Instant
-	endAsked map[string]bool
-	seen     map[string]int64
+	accepted     map[string]string
+	failures     map[string]int
+	rejected     map[string]bool
+	sentAt       map[string]clock.Instant
+	endAcked     map[string]clock.Instant
+	endRequested map[string]bool
+	observed     map[string]int64
 	// callers are the clients; what they draw is their own.
 	callers    callers
 	callRandom *rand.Rand
@@ -49,17 +49,17 @@
 func newShareCluster(t *testing.T, seed int64) *shareCluster {
 	t.Helper()
 
-	cluster := &shareCluster{simFleet: newSimFleet(t, seed, 4), drivers: map[string]*simDriver{}, dispatchers: map[*simLeader]*dispatch.Dispatcher{},
+	cluster := &shareCluster{simFleet: newSimFleet(t, seed, 4), executors: map[string]*simDriver{}, dispatchers: map[*simLeader]*dispatch.Dispatcher{},
 		ending: map[*simLeader]map[string]bool{}, over: map[*simLeader]bool{}, frozen: map[string]bool{}, thawed: map[string][]func(){},
 		offset: map[string]float64{}, rate: map[string]float64{}, accepted: map[string]string{}, failures: map[string]int{},
-		rejected: map[string]bool{}, sentAt: map[string]clock.Instant{}, endAcked: map[string]clock.Instant{}, endAsked: map[string]bool{}, seen: map[string]int64{}}
+		rejected: map[string]bool{}, sentAt: map[string]clock.Instant{}, endAcked: map[string]clock.Instant{}, endRequested: map[string]bool{}, observed: map[string]int64{}}
 	cluster.callRandom = rand.New(rand.NewSource(seed))
 	for _, name := range []string{"s0", "s1", "s2", "s3", "d4", "d5"} {
 		cluster.offset[name] = 1e9 * (1 + 50*cluster.world.Random.Float64())
 		// Clocks run up to 2 % too fast or too slow.
 		cluster.rate[name] = 0.98 + 0.04*cluster.world.Random.Float64()
-		cluster.drivers[name] = &simDriver{cluster: cluster, name: name, core: executor.New(), life: 1}
-		cluster.drivers[name].loop()
+		cluster.executors[name] = &simDriver{cluster: cluster, name: name, core: executor.New(), life: 1}
+		cluster.executors[name].loop()
 	}
 	return cluster
 }
@@ -114,17 +114,17 @@
 	return dispatch.JobTerms{Due: int64(s.sentAt[job.ID]), Overdue: age > 8000, Expired: age > shareRetain}
 }
 
-// tend is the leader's upkeep.
-func (s *shareCluster) tend() {
-	defer s.world.After(clock.Milliseconds(50), s.tend)
+// reconcileAll is the leader's upkeep.
+func (s *shareCluster) reconcileAll() {
+	defer s.world.After(clock.Milliseconds(50), s.reconcileAll)
 	if dispatcher := s.serving(s.leader); dispatcher != nil {
 		now := s.clockValue(s.leader.at)
 		dispatcher.ExpireLocks(now)
 		dispatcher.AbandonExpired(s.terms, now)
 		dispatcher.RecordAcquisitionsKnown(now)
-		if now < dispatcher.StartedAt().Add(dispatcher.Lock) && !dispatcher.Uncertain(now) && s.seen[fmt.Sprint("sure", s.leader.epoch)] == 0 {
-			s.seen[fmt.Sprint("sure", s.leader.epoch)] = 1
-			s.seen["early"]++
+		if now < dispatcher.StartedAt().Add(dispatcher.Lock) && !dispatcher.Uncertain(now) && s.observed[fmt.Sprint("sure", s.leader.epoch)] == 0 {
+			s.observed[fmt.Sprint("sure", s.leader.epoch)] = 1
+			s.observed["early"]++
 		}
 	}
 	s.single()
@@ -133,8 +133,8 @@
 // single checks that no two executors believe that they hold one item.
 func (s *shareCluster) single() {
 	pending := map[string]string{}
-	for _, name := range simulation.Keys(s.drivers) {
-		for _, task := range s.drivers[name].core.All() {
+	for _, name := range simulation.Keys(s.executors) {
+		for _, task := range s.executors[name].core.All() {
 			if !task.MayRun(s.clockValue(name)) {
 				continue
 			}
@@ -146,8 +146,8 @@
 	}
 }
 
-// job submits  a job; some of its items no worker can do.
-func (s *shareCluster) lot(items int) {
+// submitJob submits a job; some of its items no worker can do.
+func (s *shareCluster) submitJob(items int) {
 	leader := s.leader
 	if s.serving(leader) == nil {
 		return
@@ -164,9 +164,9 @@
 	}
 	packed, _ := body.MarshalMsg(nil)
 	s.sentAt[id] = s.world.Now
-	announcement := s.handedIn(id)
+	acknowledged := s.handedIn(id)
 	index := leader.submit(messages.Record{Kind: messages.RecordJob, Job: id, Body: packed})
-	s.whenDurable(leader, index, 100, announcement)
+	s.whenDurable(leader, index, 100, acknowledged)
 }
 
 // endJob ends a job as the real leader does: nothing is acquired from the decision
@@ -174,10 +174,10 @@
 func (s *shareCluster) endJob(id string) {
 	leader := s.leader
 	dispatcher := s.serving(leader)
-	if dispatcher == nil || leader.jobs.Job(id) == nil || s.endAsked[id] {
+	if dispatcher == nil || leader.jobs.Job(id) == nil || s.endRequested[id] {
 		return
 	}
-	s.endAsked[id] = true
+	s.endRequested[id] = true
 	start := s.world.Now
 	s.ending[leader][id] = true
 	var names []string
@@ -185,7 +185,7 @@
 		names = append(names, executor.Name)
 	}
 	for _, name := range names {
-		s.send(leader.at, name, func() { s.drivers[name].halt(s.drivers[name].core.StopJob(id)) })
+		s.send(leader.at, name, func() { s.executors[name].halt(s.executors[name].core.StopJob(id)) })
 	}
 	index := leader.submit(messages.Record{Kind: messages.RecordJobEnd, Job: id})
 	s.whenDurable(leader, index, 100, func() {
--- a/internal/batch/store/share_test.go
+++ b/internal/batch/store/share_test.go
@@ -10,68 +10,78 @@
 
 // share plays one seeded history: jobs come and are ended while machines freeze, are
 // cut off, start anew, lose power or their disk, stores are slow, replies are lost,
-// and the leadership changes submits  the middle of locks.
+// and the leadership changes in the middle of locks.
 func share(t *testing.T, seed int64) *shareCluster {
 	t.Helper()
 
 	cluster := newShareCluster(t, seed)
 	cluster.world.Loss, cluster.world.Double = 0.06, 0.06
-	cluster.takeAny()
-	cluster.tend()
+	cluster.electAny()
+	cluster.reconcileAll()
 	cluster.read()
 	random := cluster.world.Random
-	names := simulation.Keys(cluster.drivers)
+	names := simulation.Keys(cluster.executors)
 	for round := 0; round < 14; round++ {
-		cluster.lot(2 + random.Intn(5))
+		cluster.submitJob(2 + random.Intn(5))
 		if random.Intn(3) == 0 && cluster.number > 0 {
 			id := fmt.Sprint("job", 1+random.Intn(cluster.number))
 			cluster.world.After(clock.Milliseconds(300*random.Float64()), func() { cluster.endJob(id) })
 		}
-		victim := names[random.Intn(len(names))]
-		timeout := clock.Milliseconds(200 + 4000*random.Float64())
-		switch random.Intn(6) {
-		case 0:
-			if cluster.leader.at != victim {
-				cluster.freeze(victim)
-				cluster.world.After(timeout, func() { cluster.thaw(victim) })
-			}
-		case 1:
-			cluster.isolate(victim, names, true)
-			cluster.world.After(timeout, func() { cluster.isolate(victim, names, false) })
-			cluster.world.Run(cluster.world.Now.Add(clock.Milliseconds(100)))
-			if cluster.leader.at == victim {
-				cluster.isolate(victim, names, false)
-				cluster.move()
-			}
-		case 2:
-			cluster.drivers[victim].restart()
-		case 3:
-			cluster.move()
-		case 4:
-			cluster.powerOrDisk(random.Intn(2) == 0, round)
-		case 5:
-			cluster.slow(names, victim, 12)
-		}
+		cluster.strike(names, round)
 		cluster.world.Run(cluster.world.Now.Add(clock.Milliseconds(200 + 900*random.Float64())))
 	}
-	// A calm time: all that may end ends.
+	cluster.settleDown(names)
+	return cluster
+}
+
+// strike lets one machine suffer a fault.
+func (s *shareCluster) strike(names []string, round int) {
+	random := s.world.Random
+	victim := names[random.Intn(len(names))]
+	timeout := clock.Milliseconds(200 + 4000*random.Float64())
+	switch random.Intn(6) {
+	case 0:
+		if s.leader.at != victim {
+			s.freeze(victim)
+			s.world.After(timeout, func() { s.thaw(victim) })
+		}
+	case 1:
+		s.isolate(victim, names, true)
+		s.world.After(timeout, func() { s.isolate(victim, names, false) })
+		s.world.Run(s.world.Now.Add(clock.Milliseconds(100)))
+		if s.leader.at == victim {
+			s.isolate(victim, names, false)
+			s.move()
+		}
+	case 2:
+		s.executors[victim].restart()
+	case 3:
+		s.move()
+	case 4:
+		s.powerOrDisk(random.Intn(2) == 0, round)
+	case 5:
+		s.slow(names, victim, 12)
+	}
+}
+
+// settleDown runs a calm time, in which all that may end ends.
+func (s *shareCluster) settleDown(names []string) {
 	for _, name := range names {
-		cluster.thaw(name)
-		cluster.isolate(name, names, false)
+		s.thaw(name)
+		s.isolate(name, names, false)
 	}
-	cluster.world.Loss, cluster.world.Double = 0, 0
-	cluster.world.Run(cluster.world.Now.Add(clock.Milliseconds(6000)))
-	cluster.move()
-	cluster.world.Run(cluster.world.Now.Add(clock.Milliseconds(35_000)))
-	return cluster
+	s.world.Loss, s.world.Double = 0, 0
+	s.world.Run(s.world.Now.Add(clock.Milliseconds(6000)))
+	s.move()
+	s.world.Run(s.world.Now.Add(clock.Milliseconds(35_000)))
 }
 
-// move lets the leadership change submits  the middle of everything; all locks go on.
+// move lets the leadership change in the middle of everything; all locks go on.
 func (s *shareCluster) move() {
 	if s.leader != nil {
 		s.over[s.leader] = true
 	}
-	s.takeAny()
+	s.electAny()
 }
 
 // slow makes a machine answer only now and then, as one with a bad disk does.
@@ -89,7 +99,7 @@
 	victim := s.set[s.world.Random.Intn(len(s.set))]
 	store := s.stores[victim.Address]
 	store.down = true
-	s.drivers[victim.Address].restart()
+	s.executors[victim.Address].restart()
 	store.disk.PowerLoss()
 	if wipe {
 		store.disk.Wipe()
@@ -100,7 +110,7 @@
 	}
 	s.open(store)
 	if wipe {
-		s.swap(victim, store.member)
+		s.replaceMember(victim, store.member)
 	}
 }
 
@@ -128,7 +138,7 @@
 			total["dropped"] += dispatcher.Counts.Abandoned
 		}
 		total["accepted"] += int64(len(cluster.accepted))
-		total["early"] += cluster.seen["early"]
+		total["early"] += cluster.observed["early"]
 		total["ended"] += int64(len(cluster.endAcked))
 	}
 	for name, least := range map[string]int64{"lapses": 3, "adopted": 3, "releases": 10, "failures": 3, "dropped": 1, "accepted": 20, "calls": 100, "ended": 1, "early": 1} {
--- a/internal/batch/store/simulation_leader_test.go
+++ b/internal/batch/store/simulation_leader_test.go
@@ -127,7 +127,7 @@
 		if record.Kind == messages.RecordForget {
 			fleet.gone[record.Job] = true
 		}
-		// An earlier leader that hears late of its copies tells nothing that binds of a job
+		// An earlier leader that learns late of its copies acknowledges nothing that binds of a job
 		// whose time was over meanwhile.
 		if record.Kind != messages.RecordOutput || fleet.dropped[record.Job] {
 			continue
@@ -137,7 +137,7 @@
 			fleet.test.Fatalf("position %s held %s and now holds %s", key, other, record.Item)
 		}
 		fleet.announced[key] = record.Item
-		fleet.tellings++
+		fleet.acknowledgements++
 		fleet.world.Note("told %s %s", key, record.Item)
 	}
 }
--- a/internal/batch/store/simulation_test.go
+++ b/internal/batch/store/simulation_test.go
@@ -51,11 +51,11 @@
 	leader    *simLeader
 	announced map[string]string
 	toldAt    map[string]uint64
-	// tellings counts what was ever told; forgotten jobs are no longer in told, and those
+	// acknowledgements counts what was ever told; forgotten jobs are no longer in told, and those
 	// whose word of it is durable are in gone.
-	tellings int
-	gone     map[string]bool
-	number   int
+	acknowledgements int
+	gone             map[string]bool
+	number           int
 	// sent counts what each store was sent.
 	sent map[string]traffic
 	// dropped are the jobs that some leader has begun to forget.
--- a/internal/control/broadcast/backlog_test.go
+++ b/internal/control/broadcast/backlog_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -13,101 +14,120 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// owed is the model: what a process was to be told and has not confirmed.
+// owed is what a process was to be notified of and has not confirmed.
 type owed struct {
 	generation int64
 	workers    map[string]bool
 }
 
+// backlogModel is a backlog beside what it should hold.
+type backlogModel struct {
+	backlog *broadcast.Backlog
+	now     clock.Instant
+	entries map[string]messages.NodeInfo
+	owed    map[string]*owed
+	sent    []broadcast.Delivery
+	// stale marks deliveries that were made before a later Add to their process.
+	stale map[int]bool
+}
+
+func (m *backlogModel) drawName(rt *rapid.T) string {
+	return rapid.SampledFrom([]string{"p", "q", "r"}).Draw(rt, "name")
+}
+
+func (m *backlogModel) directory() (entries []messages.NodeInfo) {
+	for _, entry := range m.entries {
+		entries = append(entries, entry)
+	}
+	return entries
+}
+
+// markStale marks all deliveries to a process.
+func (m *backlogModel) markStale(name string) {
+	for i := range m.sent {
+		m.stale[i] = m.stale[i] || m.sent[i].Entry.Name == name
+	}
+}
+
+// start begins a new incarnation of a process.
+func (m *backlogModel) start(rt *rapid.T) {
+	name := m.drawName(rt)
+	m.entries[name] = messages.NodeInfo{Name: name, Role: membership.RoleGateway, Incarnation: m.entries[name].Incarnation + 1, Address: name}
+	delete(m.owed, name)
+	m.markStale(name)
+}
+
+func (m *backlogModel) add(rt *rapid.T) {
+	name := m.drawName(rt)
+	entry, present := m.entries[name]
+	if !present {
+		return
+	}
+	generation, worker := int64(rapid.IntRange(0, 5).Draw(rt, "generation")), fmt.Sprint(rapid.IntRange(0, 3).Draw(rt, "worker"))
+	m.backlog.Add(entry, generation, []string{worker}, constants.BacklogBackoff, m.now)
+	if m.owed[name] == nil {
+		m.owed[name] = &owed{workers: map[string]bool{}}
+	}
+	m.owed[name].generation = max(m.owed[name].generation, generation)
+	m.owed[name].workers[worker] = true
+	m.markStale(name)
+}
+
+// due checks that whoever is owed something is sent all of it, and nobody else anything.
+func (m *backlogModel) due(rt *rapid.T) {
+	m.now = m.now.Add(constants.BacklogBackoffMax)
+	due := map[string]broadcast.Delivery{}
+	for _, delivery := range m.backlog.Due(m.directory(), m.now) {
+		due[delivery.Entry.Name] = delivery
+		m.sent = append(m.sent, delivery)
+	}
+	for name, debt := range m.owed {
+		if delivery, notified := due[name]; !notified || delivery.Generation != debt.generation || len(delivery.Workers) != len(debt.workers) {
+			rt.Fatalf("%s is owed %+v, and is sent %+v", name, debt, delivery)
+		}
+	}
+	if len(due) != len(m.owed) {
+		rt.Fatalf("sent %v, owed %v", due, m.owed)
+	}
+}
+
+func (m *backlogModel) confirm(rt *rapid.T) {
+	if len(m.sent) == 0 {
+		return
+	}
+	i := rapid.IntRange(0, len(m.sent)-1).Draw(rt, "delivery")
+	m.backlog.Confirmed(m.sent[i])
+	if !m.stale[i] {
+		delete(m.owed, m.sent[i].Entry.Name)
+	}
+}
+
+// restart begins a new incarnation that the backlog sees at its next look.
+func (m *backlogModel) restart(rt *rapid.T) {
+	name := m.drawName(rt)
+	m.entries[name] = messages.NodeInfo{Name: name, Role: membership.RoleGateway, Incarnation: m.entries[name].Incarnation + 1, Address: name}
+	m.backlog.Due(m.directory(), m.now)
+	delete(m.owed, name)
+	m.markStale(name)
+}
+
+// checkNames checks that whoever is owed something is named.
+func (m *backlogModel) checkNames(rt *rapid.T) {
+	for name := range m.owed {
+		if !slices.Contains(m.backlog.Names(), membership.RoleGateway+"/"+name) {
+			rt.Fatalf("%s is not named", name)
+		}
+	}
+}
+
 // TestBacklogRetriesUntilConfirmed: whoever has not confirmed everything is named, and is
-// told at least once in BacklogBackoffMax, until it confirms or its incarnation leaves the
+// notified at least once in BacklogBackoffMax, until it confirms or its incarnation leaves the
 // directory; a confirmation never covers what was added after its delivery was made.
 func TestBacklogRetriesUntilConfirmed(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		backlog, now := broadcast.NewBacklog(), clock.Instant(1)
-		lives, model := map[string]messages.NodeInfo{}, map[string]*owed{}
-		name := rapid.SampledFrom([]string{"p", "q", "r"})
-		var sent []broadcast.Delivery
-		// stale hashes deliveries that were made before a later Add to their process.
-		stale := map[int]bool{}
-		directory := func() (entries []messages.NodeInfo) {
-			for _, entry := range lives {
-				entries = append(entries, entry)
-			}
-			return entries
-		}
+		m := &backlogModel{backlog: broadcast.NewBacklog(), now: 1, entries: map[string]messages.NodeInfo{}, owed: map[string]*owed{}, stale: map[int]bool{}}
 		rt.Repeat(map[string]func(*rapid.T){
-			"start": func(rt *rapid.T) {
-				found := name.Draw(rt, "name")
-				lives[found] = messages.NodeInfo{Name: found, Role: membership.RoleGateway, Incarnation: lives[found].Incarnation + 1, Address: found}
-				delete(model, found)
-				for i := range sent {
-					stale[i] = stale[i] || sent[i].Entry.Name == found
-				}
-			},
-			"add": func(rt *rapid.T) {
-				found := name.Draw(rt, "name")
-				entry, present := lives[found]
-				if !present {
-					return
-				}
-				generation, worker := int64(rapid.IntRange(0, 5).Draw(rt, "generation")), fmt.Sprint(rapid.IntRange(0, 3).Draw(rt, "worker"))
-				backlog.Add(entry, generation, []string{worker}, constants.BacklogBackoff, now)
-				if model[found] == nil {
-					model[found] = &owed{workers: map[string]bool{}}
-				}
-				model[found].generation = max(model[found].generation, generation)
-				model[found].workers[worker] = true
-				for i := range sent {
-					stale[i] = stale[i] || sent[i].Entry.Name == found
-				}
-			},
-			"due": func(rt *rapid.T) {
-				now = now.Add(constants.BacklogBackoffMax)
-				due := map[string]broadcast.Delivery{}
-				for _, delivery := range backlog.Due(directory(), now) {
-					due[delivery.Entry.Name] = delivery
-					sent = append(sent, delivery)
-				}
-				for found, debt := range model {
-					if delivery, notified := due[found]; !notified || delivery.Generation != debt.generation || len(delivery.Workers) != len(debt.workers) {
-						rt.Fatalf("%s is owed %+v, and is told %+v", found, debt, delivery)
-					}
-				}
-				if len(due) != len(model) {
-					rt.Fatalf("told %v, owed %v", due, model)
-				}
-			},
-			"confirm": func(rt *rapid.T) {
-				if len(sent) == 0 {
-					return
-				}
-				i := rapid.IntRange(0, len(sent)-1).Draw(rt, "delivery")
-				backlog.Confirmed(sent[i])
-				if !stale[i] {
-					delete(model, sent[i].Entry.Name)
-				}
-			},
-			"leave": func(rt *rapid.T) {
-				found := name.Draw(rt, "name")
-				lives[found] = messages.NodeInfo{Name: found, Role: membership.RoleGateway, Incarnation: lives[found].Incarnation + 1, Address: found}
-				backlog.Due(directory(), now)
-				delete(model, found)
-				for i := range sent {
-					stale[i] = stale[i] || sent[i].Entry.Name == found
-				}
-			},
-			"": func(rt *rapid.T) {
-				for found := range model {
-					named := false
-					for _, key := range backlog.Names() {
-						named = named || key == membership.RoleGateway+"/"+found
-					}
-					if !named {
-						rt.Fatalf("%s is not named", found)
-					}
-				}
-			},
+			"start": m.start, "add": m.add, "due": m.due, "confirm": m.confirm, "leave": m.restart, "": m.checkNames,
 		})
 	})
 }
--- a/internal/control/broadcast/broadcast_test.go
+++ b/internal/control/broadcast/broadcast_test.go
@@ -48,7 +48,7 @@
 		hit(controllers[f.Random.Intn(len(controllers)/2)])
 		hit(controllers[len(controllers)/2+f.Random.Intn(len(controllers)/2)])
 	case 3:
-		// A controller hears the rest and is not heard: it is out, the rest is not.
+		// A controller receives from the rest and cannot send: it is out of contact, the rest is not.
 		here := controllers[f.Random.Intn(len(controllers))]
 		if here == keep {
 			return out
--- a/internal/control/broadcast/control_test.go
+++ b/internal/control/broadcast/control_test.go
@@ -36,7 +36,7 @@
 		phase := func(period clock.Duration) clock.Duration { return clock.Duration(f.Random.Int63n(int64(period))) }
 		if here.own.Role == membership.RoleController {
 			f.every(here, phase(constants.ContactPeriod), constants.ContactPeriod, here.contactRound)
-			f.every(here, phase(constants.BacklogPeriod), constants.BacklogPeriod, here.tendBacklog)
+			f.every(here, phase(constants.BacklogPeriod), constants.BacklogPeriod, here.retryBacklog)
 		} else {
 			f.every(here, phase(constants.SecondReportPeriod), constants.SecondReportPeriod, func() {
 				here.report(here.view.SecondControllers(here.control.first, f.Now), 3, true)
@@ -94,7 +94,7 @@
 	}
 }
 
-func (n *node) tendBacklog() {
+func (n *node) retryBacklog() {
 	for _, delivery := range n.control.backlog.Due(n.view.All("", n.fleet.Now), n.fleet.Now) {
 		n.redeliver(delivery)
 	}
@@ -129,7 +129,7 @@
 	}
 	for _, member := range n.control.sets.Acceptors {
 		if member.Address == n.own.Address {
-			n.answer(message, func(transport.Marshaler) { took(member) })
+			n.respond(message, func(transport.Marshaler) { took(member) })
 			continue
 		}
 		n.call(member.Address, message, constants.RoundTimeout, func(_ transport.Marshaler, failed bool) {
--- a/internal/control/broadcast/cost_test.go
+++ b/internal/control/broadcast/cost_test.go
@@ -17,7 +17,7 @@
 	messages, bytes, far float64
 }
 
-// idle runs a calm fleet whose workers beat, and gives the cost by role.
+// idle runs a calm fleet whose workers send heartbeats, and gives the cost by role.
 func idle(seed int64, gateways, stores, workers int) map[string]cost {
 	fleet := newFleet(seed, 4, 2, stores, gateways)
 	count := int64(0)
--- a/internal/control/broadcast/cut_test.go
+++ b/internal/control/broadcast/cut_test.go
@@ -165,7 +165,7 @@
 	fleet := c.fleet
 	fleet.Run(clock.Instant(0).Add(6 * second))
 	end := fleet.Now.Add(length + 6*second)
-	var orders, drains, looks func()
+	var orders, draining, looks func()
 	repeat := func(period clock.Duration, function func(), next *func()) {
 		*next = func() {
 			if fleet.Now < end && !c.test.Failed() {
@@ -176,7 +176,7 @@
 		fleet.After(period, *next)
 	}
 	repeat(700_000_000, c.order, &orders)
-	repeat(1_100_000_000, c.drain, &drains)
+	repeat(1_100_000_000, c.drain, &draining)
 	repeat(500_000_000, func() {
 		c.knowsAll()
 		c.leftAlone()
--- a/internal/control/broadcast/drive_test.go
+++ b/internal/control/broadcast/drive_test.go
@@ -65,13 +65,13 @@
 		n.owe(update, job.Unconfirmed(sends), constants.BacklogForwardedDelay)
 	}
 	n.drive(update, job, sends, start)
-	var look func()
-	look = func() {
+	var check func()
+	check = func() {
 		if job.Done() || n.fleet.Now.Sub(start) >= bound {
 			acknowledged()
 			return
 		}
-		n.fleet.After(1_000_000, look)
+		n.fleet.After(1_000_000, check)
 	}
-	look()
+	check()
 }
--- a/internal/control/broadcast/fleet_test.go
+++ b/internal/control/broadcast/fleet_test.go
@@ -104,18 +104,18 @@
 		if there.down {
 			return
 		}
-		there.answer(req, func(resp transport.Marshaler) {
+		there.respond(req, func(resp transport.Marshaler) {
 			there.count(n, resp)
 			n.fleet.Send(address, n.own.Address, func() { end(resp, false) })
 		})
 	})
 }
 
-func (n *node) answer(req transport.Marshaler, response func(transport.Marshaler)) {
+func (n *node) respond(req transport.Marshaler, response func(transport.Marshaler)) {
 	now := n.fleet.Now
 	switch found := req.(type) {
 	case *messages.Shuffle:
-		n.hear(found.Entries)
+		n.observe(found.Entries)
 		if n.own.Role != membership.RoleController {
 			response(&messages.Shuffle{Entries: n.view.Offer(now)})
 			return
@@ -129,8 +129,8 @@
 		response(resp)
 	case *messages.ControllerHeartbeat:
 		// What is told is chosen before it counts as told.
-		heartbeat := n.beatFor(membership.Key(found.From))
-		n.heardBeat(found, now)
+		heartbeat := n.heartbeatFor(membership.Key(found.From))
+		n.handleHeartbeat(found, now)
 		response(heartbeat)
 	case *messages.WorkersPullRequest:
 		response(&messages.WorkersUpdate{Workers: n.registry.Since(found.Since, now), Table: n.registry.Digest(n.own.Incarnation)})
--- a/internal/control/broadcast/loops_test.go
+++ b/internal/control/broadcast/loops_test.go
@@ -8,13 +8,13 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// hear takes entries, and pulls a configuration that somebody was seen to have.
-func (n *node) hear(entries []messages.NodeInfo) {
+// observe takes entries, and pulls a configuration that somebody was seen to have.
+func (n *node) observe(entries []messages.NodeInfo) {
 	n.view.Observe(entries, n.fleet.Now)
-	n.sawEntries(entries)
+	n.observeEntries(entries)
 }
 
-func (n *node) sawEntries(entries []messages.NodeInfo) {
+func (n *node) observeEntries(entries []messages.NodeInfo) {
 	var newest messages.NodeInfo
 	for _, entry := range entries {
 		if entry.Generation > newest.Generation {
@@ -60,7 +60,7 @@
 	if n.own.Role == membership.RoleController {
 		n.fleet.After(constants.ControllerHeartbeatPeriod, n.period)
 		if !n.down {
-			n.beatOthers()
+			n.heartbeatPeers()
 		}
 		return
 	}
@@ -76,7 +76,7 @@
 			n.control.first = ""
 			n.call(partner, &messages.Shuffle{Entries: n.view.Offer(n.fleet.Now)}, constants.CallTimeout, func(resp transport.Marshaler, failed bool) {
 				if !failed {
-					n.hear(resp.(*messages.Shuffle).Entries)
+					n.observe(resp.(*messages.Shuffle).Entries)
 				}
 			})
 		}
@@ -102,7 +102,7 @@
 			n.control.first = address
 		}
 		n.view.HandleReportResponse(req, response, n.fleet.Now)
-		n.sawEntries(response.Entries)
+		n.observeEntries(response.Entries)
 		read := n.read(address)
 		if since, ask := behind(&read.workerList, response.Workers, n.registry.Digest(n.own.Incarnation)); ask {
 			n.pullWorkers(address, since)
@@ -141,7 +141,7 @@
 	})
 }
 
-func (n *node) beatFor(key string) *messages.ControllerHeartbeat {
+func (n *node) heartbeatFor(key string) *messages.ControllerHeartbeat {
 	since := n.read(key).told
 	heartbeat := &messages.ControllerHeartbeat{From: n.view.Self(), Workers: n.registry.Digest(n.own.Incarnation), Processes: n.view.Digest(),
 		ContactedWorkers: n.registry.HeartbeatsSince(since), Generation: n.view.Self().Generation}
@@ -149,24 +149,24 @@
 	return heartbeat
 }
 
-func (n *node) beatOthers() {
+func (n *node) heartbeatPeers() {
 	now := n.fleet.Now
 	for _, entry := range n.view.All(membership.RoleController, now) {
 		key := membership.Key(entry)
 		if key < membership.Key(n.own) && entry.AgeMs < 2*constants.ControllerHeartbeatPeriod.Milliseconds() {
 			continue
 		}
-		n.call(entry.Address, n.beatFor(key), constants.CallTimeout, func(resp transport.Marshaler, failed bool) {
+		n.call(entry.Address, n.heartbeatFor(key), constants.CallTimeout, func(resp transport.Marshaler, failed bool) {
 			if !failed {
-				n.heardBeat(resp.(*messages.ControllerHeartbeat), now)
+				n.handleHeartbeat(resp.(*messages.ControllerHeartbeat), now)
 			}
 		})
 	}
 }
 
-func (n *node) heardBeat(heartbeat *messages.ControllerHeartbeat, notified clock.Instant) {
+func (n *node) handleHeartbeat(heartbeat *messages.ControllerHeartbeat, notified clock.Instant) {
 	now, address := n.fleet.Now, heartbeat.From.Address
-	n.hear([]messages.NodeInfo{heartbeat.From})
+	n.observe([]messages.NodeInfo{heartbeat.From})
 	read := n.read(membership.Key(heartbeat.From))
 	read.told = notified
 	n.registry.ConfirmHeartbeats(heartbeat.ContactedWorkers, now)
@@ -178,7 +178,7 @@
 		n.call(address, &messages.DirectoryPullRequest{Since: since}, constants.CallTimeout, func(resp transport.Marshaler, failed bool) {
 			if !failed {
 				response := resp.(*messages.Shuffle)
-				n.hear(response.Entries)
+				n.observe(response.Entries)
 				read.processes = response.Table
 			}
 		})
--- a/internal/control/controller/calls_test.go
+++ b/internal/control/controller/calls_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// recoverWorkers has a controller hear the acceptors on the workers, where a majority answers.
+// recoverWorkers has a controller recover the workers from the acceptors, where a majority answers.
 func recoverWorkers(controller *Controller) {
 	for attempts := 0; controller.workers.Recovering() && attempts < 3 && !controller.workers.RecoverRound(); attempts++ {
 		continue
@@ -75,7 +75,7 @@
 }
 
 // startUp has a controller do what it does in its first second: contact the acceptors, and
-// hear a majority of them on the workers.
+// recover the workers from a majority of them.
 func startUp(t *testing.T, controller *Controller) {
 	t.Helper()
 
--- a/internal/control/controller/mounted_test.go
+++ b/internal/control/controller/mounted_test.go
@@ -7,7 +7,7 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// mounted is a simulated disk as one incarnation of a process sees it: after that life nothing
+// mounted is a simulated disk as one incarnation of a process sees it: after that incarnation nothing
 // more is written.
 type mounted struct {
 	lock *sync.Mutex
--- a/internal/control/controller/named_test.go
+++ b/internal/control/controller/named_test.go
@@ -51,7 +51,7 @@
 	return controller
 }
 
-// introduce has all hear of all, as their heartbeats would.
+// introduce has all know of all, as their heartbeats would.
 func introduce(controllers map[int]*Controller) {
 	for _, controller := range controllers {
 		for _, other := range controllers {
@@ -63,7 +63,7 @@
 }
 
 // TestAssignmentsSurviveALostDiskAndTwoLosses: the register of assignments grows to the
-// budget, a wiped member comes back as somebody else, and what was acknowledged is
+// budget, an emptied member comes back as somebody else, and what was acknowledged is
 // read from the rest. The configuration's set is left as it was throughout.
 func TestAssignmentsSurviveALostDiskAndTwoLosses(t *testing.T) {
 	controllers, network := voters(t, 8)
--- a/internal/control/controller/plans_test.go
+++ b/internal/control/controller/plans_test.go
@@ -55,7 +55,7 @@
 		t.Fatal(status)
 	}
 	rules, resp := rulesAndSolution(t)
-	next, nextAnswer := rulesAndSolution(t, "generation = 4", "generation = 5")
+	next, nextResponse := rulesAndSolution(t, "generation = 4", "generation = 5")
 	for _, step := range []struct {
 		name     string
 		question messages.PlanApplyRequest
@@ -66,11 +66,11 @@
 		{"wrong base", messages.PlanApplyRequest{Base: 3, Rules: rules, Solution: resp}, false, 0, "another plan"},
 		{"first", messages.PlanApplyRequest{Base: 0, Rules: rules, Solution: resp}, true, 1, ""},
 		{"resent", messages.PlanApplyRequest{Base: 0, Rules: rules, Solution: resp}, true, 1, "in force already"},
-		{"lost its race", messages.PlanApplyRequest{Base: 0, Rules: next, Solution: nextAnswer}, false, 1, "another plan"},
+		{"lost its race", messages.PlanApplyRequest{Base: 0, Rules: next, Solution: nextResponse}, false, 1, "another plan"},
 		{"answer of other rules", messages.PlanApplyRequest{Base: 1, Rules: next, Solution: resp}, false, 1, "another generation"},
 		{"old generation", messages.PlanApplyRequest{Base: 1, Rules: append([]byte("# older\n"), rules...), Solution: resp}, false, 1, "generation is not above"},
-		{"too large", messages.PlanApplyRequest{Base: 1, Rules: append(bytes.Repeat([]byte("# long\n"), constants.PlanBody/7), next...), Solution: nextAnswer}, false, 1, "too large"},
-		{"next", messages.PlanApplyRequest{Base: 1, Rules: next, Solution: nextAnswer}, true, 2, ""},
+		{"too large", messages.PlanApplyRequest{Base: 1, Rules: append(bytes.Repeat([]byte("# long\n"), constants.PlanBody/7), next...), Solution: nextResponse}, false, 1, "too large"},
+		{"next", messages.PlanApplyRequest{Base: 1, Rules: next, Solution: nextResponse}, true, 2, ""},
 	} {
 		response := &messages.PlanApplyResponse{}
 		dispatchTo(t, controller, messages.KindPlanApply, &step.question, response)
--- a/internal/control/controller/startup_test.go
+++ b/internal/control/controller/startup_test.go
@@ -24,7 +24,7 @@
 }
 
 // A controller that has just started acknowledges no drain, counts nobody and vouches for
-// no worker until a majority of the acceptors was heard on the workers.
+// no worker until the workers were recovered from a majority of the acceptors.
 func TestStartingControllerRecoversFirst(t *testing.T) {
 	controllers, network := voters(t, 3)
 	starting := controllers[1]
@@ -56,7 +56,7 @@
 }
 
 // A drain that the other acceptors do not write in time is not acknowledged, and the
-// worker hears so within the second that it waits.
+// worker is told so within the second that it waits.
 func TestDrainIsNotAcknowledgedByOneDisk(t *testing.T) {
 	controllers, _ := voters(t, 3)
 	startUp(t, controllers[1])
--- a/internal/control/membership/cut_test.go
+++ b/internal/control/membership/cut_test.go
@@ -11,74 +11,101 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// Views on a lossy network are cut in two halves and joined again: each half hears
-// the other as silent, keeps it in its view, and finds it again; a process that was
-// started anew meanwhile is known by its new life only.
-func TestViewsUnderPartitions(t *testing.T) {
-	for seed := int64(1); seed <= 30; seed++ {
-		world := simulation.NewWorld(seed)
-		world.Loss = 0.1
-		views, names := map[string]*membership.View{}, []string{}
-		entry := func(name string, incarnation int64) messages.NodeInfo {
-			return messages.NodeInfo{Name: name, Incarnation: incarnation, Role: membership.RoleGateway, Address: name}
-		}
-		for i := 0; i < 12; i++ {
-			name := fmt.Sprint("n", i)
-			names = append(names, name)
-			views[name] = membership.NewView(entry(name, 1), seed*100+int64(i))
-			views[name].Observe([]messages.NodeInfo{entry("n0", 1)}, 0)
-		}
-		var shuffle func(name string)
-		shuffle = func(name string) {
-			world.After(constants.ShufflePeriod, func() { shuffle(name) })
-			partner := views[name].Partner(world.Now)
-			if partner == "" || world.Random.Intn(8) == 0 {
-				partner = "n0"
-			}
-			offer := views[name].Offer(world.Now)
-			world.Send(name, partner, func() {
-				views[partner].Observe(offer, world.Now)
-				resp := views[partner].Offer(world.Now)
-				world.Send(partner, name, func() { views[name].Observe(resp, world.Now) })
-			})
+// shufflers are processes that shuffle their views over a lossy network.
+type shufflers struct {
+	test  *testing.T
+	seed  int64
+	world *simulation.World
+	names []string
+	views map[string]*membership.View
+}
+
+func shufflerEntry(name string, incarnation int64) messages.NodeInfo {
+	return messages.NodeInfo{Name: name, Incarnation: incarnation, Role: membership.RoleGateway, Address: name}
+}
+
+func newShufflers(t *testing.T, seed int64) *shufflers {
+	t.Helper()
+
+	s := &shufflers{test: t, seed: seed, world: simulation.NewWorld(seed), views: map[string]*membership.View{}}
+	s.world.Loss = 0.1
+	for i := 0; i < 12; i++ {
+		name := fmt.Sprint("n", i)
+		s.names = append(s.names, name)
+		s.views[name] = membership.NewView(shufflerEntry(name, 1), seed*100+int64(i))
+		s.views[name].Observe([]messages.NodeInfo{shufflerEntry("n0", 1)}, 0)
+	}
+	for _, name := range s.names {
+		s.world.After(clock.Duration(s.world.Random.Int63n(int64(constants.ShufflePeriod))), func() { s.shuffle(name) })
+	}
+	return s
+}
+
+// shuffle exchanges views with a partner, and does so again after a period.
+func (s *shufflers) shuffle(name string) {
+	s.world.After(constants.ShufflePeriod, func() { s.shuffle(name) })
+	partner := s.views[name].Partner(s.world.Now)
+	if partner == "" || s.world.Random.Intn(8) == 0 {
+		partner = "n0"
+	}
+	offer := s.views[name].Offer(s.world.Now)
+	s.world.Send(name, partner, func() {
+		s.views[partner].Observe(offer, s.world.Now)
+		resp := s.views[partner].Offer(s.world.Now)
+		s.world.Send(partner, name, func() { s.views[name].Observe(resp, s.world.Now) })
+	})
+}
+
+// run lets so many periods pass.
+func (s *shufflers) run(periods int) {
+	s.world.Run(s.world.Now.Add(clock.Duration(periods) * constants.ShufflePeriod))
+}
+
+// setPartitioned cuts the first half off from the second, or joins them.
+func (s *shufflers) setPartitioned(partitioned bool) {
+	for _, left := range s.names[:6] {
+		for _, right := range s.names[6:] {
+			s.world.Cut(left, right, partitioned)
+			s.world.Cut(right, left, partitioned)
 		}
-		for _, name := range names {
-			world.After(clock.Duration(world.Random.Int63n(int64(constants.ShufflePeriod))), func() { shuffle(name) })
+	}
+}
+
+// check fails unless everybody knows everybody and, while partitioned, takes only the own
+// half for live.
+func (s *shufflers) check(when string, partitioned bool) {
+	for _, name := range s.names {
+		if got := len(s.views[name].All("", s.world.Now)); got != len(s.names)-1 {
+			s.test.Fatalf("seed %d, %s: %s knows %d", s.seed, when, name, got)
 		}
-		expect := func(when string, live bool) {
-			for _, name := range names {
-				if got := len(views[name].All("", world.Now)); got != len(names)-1 {
-					t.Fatalf("seed %d, %s: %s knows %d", seed, when, name, got)
-				}
-				if live {
-					continue
-				}
-				if got := len(views[name].Live("", world.Now)); got > 5 {
-					t.Fatalf("seed %d, %s: %s takes %d for live", seed, when, name, got)
-				}
-			}
+		if !partitioned {
+			continue
 		}
-		world.Run(world.Now.Add(15 * constants.ShufflePeriod))
-		expect("met", true)
-		truncated := func(apart bool) {
-			for _, left := range names[:6] {
-				for _, right := range names[6:] {
-					world.Cut(left, right, apart)
-					world.Cut(right, left, apart)
-				}
-			}
+		if got := len(s.views[name].Live("", s.world.Now)); got > 5 {
+			s.test.Fatalf("seed %d, %s: %s takes %d for live", s.seed, when, name, got)
 		}
-		truncated(true)
-		world.Run(world.Now.Add(10 * constants.ShufflePeriod))
-		expect("apart", false)
-		views["n7"] = membership.NewView(entry("n7", 2), seed)
-		views["n7"].Observe([]messages.NodeInfo{entry("n8", 1)}, world.Now)
-		truncated(false)
-		world.Run(world.Now.Add(20 * constants.ShufflePeriod))
-		expect("joined", true)
-		for _, other := range views["n1"].All("", world.Now) {
+	}
+}
+
+// Views on a lossy network are partitioned in two halves and joined again: each half sees
+// the other as silent, keeps it in its view, and finds it again; a process that was
+// started anew meanwhile is known by its new incarnation only.
+func TestViewsUnderPartitions(t *testing.T) {
+	for seed := int64(1); seed <= 30; seed++ {
+		s := newShufflers(t, seed)
+		s.run(15)
+		s.check("met", false)
+		s.setPartitioned(true)
+		s.run(10)
+		s.check("partitioned", true)
+		s.views["n7"] = membership.NewView(shufflerEntry("n7", 2), seed)
+		s.views["n7"].Observe([]messages.NodeInfo{shufflerEntry("n8", 1)}, s.world.Now)
+		s.setPartitioned(false)
+		s.run(20)
+		s.check("joined", false)
+		for _, other := range s.views["n1"].All("", s.world.Now) {
 			if other.Name == "n7" && other.Incarnation != 2 {
-				t.Fatalf("seed %d: an old life is still believed in", seed)
+				t.Fatalf("seed %d: an old incarnation is still believed in", seed)
 			}
 		}
 	}
--- a/internal/control/membership/membership_test.go
+++ b/internal/control/membership/membership_test.go
@@ -81,15 +81,15 @@
 	}
 	// Who matters is never dropped by the bound: controllers, and stores at a store.
 	for _, role := range []string{RoleController, RoleStore} {
-		keeper := NewView(messages.NodeInfo{Name: "own", Role: role, Address: "own:1"}, 1)
+		member := NewView(messages.NodeInfo{Name: "own", Role: role, Address: "own:1"}, 1)
 		for i := 0; i < count; i++ {
 			info := entry(fmt.Sprint("n", i), 1)
 			info.Role = RoleStore
-			keeper.Observe([]messages.NodeInfo{info}, clock.Instant(i))
+			member.Observe([]messages.NodeInfo{info}, clock.Instant(i))
 			info.Role = RoleController
-			keeper.Observe([]messages.NodeInfo{info}, clock.Instant(i))
+			member.Observe([]messages.NodeInfo{info}, clock.Instant(i))
 		}
-		if len(keeper.All(RoleStore, 0)) != count || len(keeper.All(RoleController, 0)) != count {
+		if len(member.All(RoleStore, 0)) != count || len(member.All(RoleController, 0)) != count {
 			t.Fatalf("a %s lost some", role)
 		}
 	}
--- a/internal/control/membership/reports_test.go
+++ b/internal/control/membership/reports_test.go
@@ -52,12 +52,8 @@
 // A controller's answer fills an empty view to its bound, keeps it fresh, and tells of one
 // that fell silent by its age alone.
 func TestReportsKeepTheView(t *testing.T) {
-	controller := NewView(controllerEntry("f", "a"), 1)
-	for i := 0; i < 120; i++ {
-		info := entry(fmt.Sprint("n", i), 1)
-		info.Zone = []string{"a", "b", "c", "d"}[i%4]
-		controller.Observe([]messages.NodeInfo{info}, 0)
-	}
+	const population = 120
+	controller := controllerOf(population)
 	own := entry("n0", 1)
 	own.Zone = "a"
 	view, now := NewView(own, 1), clock.Instant(0)
@@ -68,23 +64,12 @@
 	for round := 0; round < 4; round++ {
 		talk()
 	}
-	zones := map[string]int{}
-	for _, entry := range view.Live(RoleGateway, now) {
-		zones[entry.Zone]++
-	}
-	if got := len(view.All(RoleGateway, now)); got != ViewSize(120) || view.Population(RoleGateway, now) != 120 || zones["a"] < ViewSize(120)-3*(constants.FarLinks+1) {
-		t.Fatal(got, view.Population(RoleGateway, now), zones)
-	}
-	for zone, count := range zones {
-		if count < constants.FarLinks {
-			t.Fatal(zone, count)
-		}
-	}
+	checkFullView(t, view, population, now)
 	// All but one go on speaking to the controller.
 	silent := view.All(RoleGateway, now)[0].Name
 	for round := 0; round < 6; round++ {
 		now = now.Add(constants.ShufflePeriod)
-		for i := 0; i < 120; i++ {
+		for i := 0; i < population; i++ {
 			if name := fmt.Sprint("n", i); name != silent {
 				controller.NoteContact("forge/"+name, now)
 			}
@@ -103,3 +88,34 @@
 		t.Fatal("its own deafness made others silent: ", got, before)
 	}
 }
+
+// controllerOf makes the view of a controller that knows so many gateways in four zones.
+func controllerOf(population int) *View {
+	controller := NewView(controllerEntry("f", "a"), 1)
+	for i := 0; i < population; i++ {
+		info := entry(fmt.Sprint("n", i), 1)
+		info.Zone = []string{"a", "b", "c", "d"}[i%4]
+		controller.Observe([]messages.NodeInfo{info}, 0)
+	}
+	return controller
+}
+
+// checkFullView checks that the view of a gateway in zone a is filled to its bound, with enough
+// of each zone.
+func checkFullView(t *testing.T, view *View, population int, now clock.Instant) {
+	t.Helper()
+
+	zones := map[string]int{}
+	for _, entry := range view.Live(RoleGateway, now) {
+		zones[entry.Zone]++
+	}
+	size := ViewSize(population)
+	if got := len(view.All(RoleGateway, now)); got != size || view.Population(RoleGateway, now) != population || zones["a"] < size-3*(constants.FarLinks+1) {
+		t.Fatal(got, view.Population(RoleGateway, now), zones)
+	}
+	for zone, count := range zones {
+		if count < constants.FarLinks {
+			t.Fatal(zone, count)
+		}
+	}
+}
--- a/internal/control/register/archive_test.go
+++ b/internal/control/register/archive_test.go
@@ -13,17 +13,17 @@
 
 // archives is a model of some acceptors' archives beside the one true history.
 type archives struct {
-	value messages.RegisterValue
-	taken []messages.Version
-	kept  []*register.Archive
-	files [][]messages.ArchiveChunk
-	day   int64
+	value   messages.RegisterValue
+	taken   []messages.Version
+	archive []*register.Archive
+	files   [][]messages.ArchiveChunk
+	day     int64
 }
 
 func newArchives(count int) *archives {
 	a := &archives{value: messages.RegisterValue{}, day: 100}
 	for range count {
-		a.kept = append(a.kept, &register.Archive{})
+		a.archive = append(a.archive, &register.Archive{})
 		a.files = append(a.files, nil)
 	}
 	return a
@@ -31,7 +31,7 @@
 
 // follow has an acceptor accept a value; what it gives back goes to its file.
 func (a *archives) follow(at int, value messages.RegisterValue) bool {
-	added, complete := a.kept[at].Extend(&value, a.day)
+	added, complete := a.archive[at].Extend(&value, a.day)
 	if added != nil {
 		a.files[at] = append(a.files[at], *added)
 	}
@@ -40,10 +40,10 @@
 
 // fill has an acceptor pull what it lacks from another.
 func (a *archives) fill(at, from int) bool {
-	for _, found := range []uint64{a.kept[at].LastChunk(), 0} {
-		for filled := true; filled; found = a.kept[at].LastChunk() {
-			resp := a.kept[from].Lookup(&messages.ArchiveRequest{Head: a.value.Archive, Pull: true, LastChunk: found})
-			if filled = a.kept[at].Fill(a.value.Archive, resp.Chunks); filled {
+	for _, found := range []uint64{a.archive[at].LastChunk(), 0} {
+		for filled := true; filled; found = a.archive[at].LastChunk() {
+			resp := a.archive[from].Lookup(&messages.ArchiveRequest{Head: a.value.Archive, Pull: true, LastChunk: found})
+			if filled = a.archive[at].Fill(a.value.Archive, resp.Chunks); filled {
 				a.files[at] = append(a.files[at], resp.Chunks...)
 			}
 			if a.follow(at, a.value) {
@@ -56,9 +56,9 @@
 
 // restart reads the file again.
 func (a *archives) restart(at int) {
-	a.kept[at] = &register.Archive{}
+	a.archive[at] = &register.Archive{}
 	for _, chunk := range a.files[at] {
-		a.kept[at].Restore(chunk)
+		a.archive[at].Restore(chunk)
 	}
 }
 
@@ -80,7 +80,7 @@
 		return
 	}
 	req := &messages.ArchiveRequest{Head: a.value.Archive, Generation: version.Generation, Fingerprint: register.Fingerprint(version)}
-	for at, archive := range a.kept {
+	for at, archive := range a.archive {
 		sought := archive.Lookup(req).Status
 		if (sought == messages.VersionCommitted && !taken) || (sought == messages.VersionNeverCommitted && taken) {
 			rt.Fatalf("archive %d says %d of %v, taken %v", at, sought, version, taken)
@@ -91,62 +91,78 @@
 	}
 }
 
+// archiveSteps are the steps of a random history of three archives.
+type archiveSteps struct {
+	*archives
+	forgot bool
+}
+
+// commit commits changes that one acceptor, or none, misses.
+func (s *archiveSteps) commit(rt *rapid.T) {
+	away := rapid.IntRange(-1, 2).Draw(rt, "away")
+	for range rapid.IntRange(1, 40).Draw(rt, "changes") {
+		value, version := next(s.value, fmt.Sprint(len(s.taken)))
+		s.value, s.taken = value, append(s.taken, version)
+		for at := range s.archive {
+			if at != away {
+				s.follow(at, value)
+			}
+		}
+	}
+}
+
+// acceptUnchosen has one acceptor alone accept a run of values that lose.
+func (s *archiveSteps) acceptUnchosen(rt *rapid.T) {
+	at, value := rapid.IntRange(0, 2).Draw(rt, "at"), s.value
+	for index := range rapid.IntRange(1, 20).Draw(rt, "run") {
+		value, _ = next(value, fmt.Sprint("lost", index))
+		s.follow(at, value)
+	}
+}
+
+func (s *archiveSteps) restartOne(rt *rapid.T) { s.restart(rapid.IntRange(0, 2).Draw(rt, "at")) }
+
+func (s *archiveSteps) loseDisk(rt *rapid.T) {
+	at := rapid.IntRange(0, 2).Draw(rt, "at")
+	s.files[at] = nil
+	s.restart(at)
+}
+
+func (s *archiveSteps) fillOne(rt *rapid.T) {
+	at, from := rapid.IntRange(0, 2).Draw(rt, "at"), rapid.IntRange(0, 2).Draw(rt, "from")
+	complete := s.archive[from].Covers(s.value.Archive)
+	if filled := s.fill(at, from); complete && !filled {
+		rt.Fatalf("%d was not filled from %d, which is complete", at, from)
+	}
+}
+
+func (s *archiveSteps) forget(rt *rapid.T) {
+	s.day += int64(rapid.IntRange(0, constants.ArchiveDays).Draw(rt, "days"))
+	at := rapid.IntRange(0, 2).Draw(rt, "at")
+	if s.archive[at].Forget(s.day) {
+		s.forgot = true
+		s.files[at] = s.archive[at].Chunks()
+	}
+}
+
+// checkAll checks each version that was committed, and one beside it that was not.
+func (s *archiveSteps) checkAll(rt *rapid.T) {
+	for _, version := range s.taken {
+		s.check(rt, version, true, s.forgot)
+		version.Hash += "x"
+		s.check(rt, version, false, s.forgot)
+	}
+}
+
 // Acceptors miss changes, accept values that are never chosen, restart, pull from each
 // other and forget by age: none ever says "never taken" of a version that was taken, or
 // the other way round, and one that is complete always knows.
 func TestArchiveNeverRejectsACommittedVersion(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		archives := newArchives(3)
-		forgot := false
+		s := &archiveSteps{archives: newArchives(3)}
 		rt.Repeat(map[string]func(*rapid.T){
-			"change": func(rt *rapid.T) {
-				away := rapid.IntRange(-1, 2).Draw(rt, "away")
-				for range rapid.IntRange(1, 40).Draw(rt, "changes") {
-					value, version := next(archives.value, fmt.Sprint(len(archives.taken)))
-					archives.value, archives.taken = value, append(archives.taken, version)
-					for at := range archives.kept {
-						if at != away {
-							archives.follow(at, value)
-						}
-					}
-				}
-			},
-			"unchosen": func(rt *rapid.T) {
-				// One acceptor alone accepts a run of values that lose.
-				at, value := rapid.IntRange(0, 2).Draw(rt, "at"), archives.value
-				for index := range rapid.IntRange(1, 20).Draw(rt, "run") {
-					value, _ = next(value, fmt.Sprint("lost", index))
-					archives.follow(at, value)
-				}
-			},
-			"restart": func(rt *rapid.T) { archives.restart(rapid.IntRange(0, 2).Draw(rt, "at")) },
-			"wipe": func(rt *rapid.T) {
-				at := rapid.IntRange(0, 2).Draw(rt, "at")
-				archives.files[at] = nil
-				archives.restart(at)
-			},
-			"fill": func(rt *rapid.T) {
-				at, from := rapid.IntRange(0, 2).Draw(rt, "at"), rapid.IntRange(0, 2).Draw(rt, "from")
-				complete := archives.kept[from].Covers(archives.value.Archive)
-				if filled := archives.fill(at, from); complete && !filled {
-					rt.Fatalf("%d was not filled from %d, which is whole", at, from)
-				}
-			},
-			"forget": func(rt *rapid.T) {
-				archives.day += int64(rapid.IntRange(0, constants.ArchiveDays).Draw(rt, "days"))
-				at := rapid.IntRange(0, 2).Draw(rt, "at")
-				if archives.kept[at].Forget(archives.day) {
-					forgot = true
-					archives.files[at] = archives.kept[at].Chunks()
-				}
-			},
-			"": func(rt *rapid.T) {
-				for _, version := range archives.taken {
-					archives.check(rt, version, true, forgot)
-					version.Hash += "x"
-					archives.check(rt, version, false, forgot)
-				}
-			},
+			"change": s.commit, "unchosen": s.acceptUnchosen, "restart": s.restartOne, "wipe": s.loseDisk,
+			"fill": s.fillOne, "forget": s.forget, "": s.checkAll,
 		})
 	})
 }
@@ -163,7 +179,7 @@
 		archives.value.Body = nil
 		message, _ := archives.value.MarshalMsg(nil)
 		pulled := 0
-		for _, chunk := range archives.kept[0].Chunks() {
+		for _, chunk := range archives.archive[0].Chunks() {
 			body, _ := chunk.MarshalMsg(nil)
 			pulled += len(body)
 		}
--- a/internal/control/register/budget_test.go
+++ b/internal/control/register/budget_test.go
@@ -46,7 +46,7 @@
 				record := messages.AcceptorRecord{Disk: fresh}
 				member := messages.Member{Name: fresh, Address: fresh, Disk: fresh}
 				g.controllers[fresh] = &controller{member: member, disk: record, live: register.NewAcceptor(record)}
-				g.tend(fresh)
+				g.reconcile(fresh)
 			})
 		}
 	case 3:
@@ -91,7 +91,7 @@
 				t.Fatalf("seed %d: found %d, want %d", seed, found, generation)
 			}
 			// Troubles beyond the budget wait their turn.
-			if !grown.until(clock.Milliseconds(60_000), grown.whole) {
+			if !grown.until(clock.Milliseconds(60_000), grown.complete) {
 				t.Fatalf("seed %d: the set is not whole a minute after a fault", seed)
 			}
 		}
@@ -103,7 +103,7 @@
 	for seed := int64(1); seed <= 60; seed++ {
 		grown := newGrown(t, seed)
 		grown.slow = 30
-		if !grown.until(clock.Milliseconds(8000), grown.whole) {
+		if !grown.until(clock.Milliseconds(8000), grown.complete) {
 			t.Fatalf("seed %d: not whole after %v", seed, grown.world.Now)
 		}
 		grown.world.Run(grown.world.Now.Add(clock.Milliseconds(10_000)))
--- a/internal/control/register/drive_test.go
+++ b/internal/control/register/drive_test.go
@@ -55,7 +55,7 @@
 	})
 }
 
-// dead tells whether the life that made the attempt is over.
+// dead tells whether the incarnation that made the attempt is over.
 func (t *try) dead() bool { return t.node.down || t.life != t.node.life }
 
 // finish looks where the proposal stands.
--- a/internal/control/register/grown_test.go
+++ b/internal/control/register/grown_test.go
@@ -52,16 +52,16 @@
 		g.outsider(name)
 	}
 	for _, name := range simulation.Keys(g.controllers) {
-		g.tend(name)
+		g.reconcile(name)
 	}
 	return g
 }
 
-// tend is what each process does about once in half a second: hear of newer sets
+// reconcile is what each process does about once in half a second: learn of newer sets
 // from others, then propose what the step says.
-func (g *grown) tend(name string) {
+func (g *grown) reconcile(name string) {
 	g.world.After(clock.Milliseconds(200+600*g.world.Random.Float64()), func() {
-		g.tend(name)
+		g.reconcile(name)
 		node := g.controllers[name]
 		if node == nil || node.down {
 			return
@@ -73,7 +73,7 @@
 				node.known, node.chosen = other.known, false
 			}
 		}
-		tending := register.SetReconciler{Own: node.member, Votes: true, Size: budgetSize, Departed: g.gone}
+		tending := register.SetReconciler{Own: node.member, Votes: true, Size: budgetSize, Departed: g.departed}
 		if !node.chosen || node.disk.Value.SetEpoch > node.known.SetEpoch || tending.NextChange(node.known) != nil {
 			g.read(name, func(value messages.RegisterValue) {
 				tending.JointRecent = g.fresh(name)
@@ -115,7 +115,7 @@
 	})
 }
 
-func (g *grown) gone(member messages.Member) bool {
+func (g *grown) departed(member messages.Member) bool {
 	node := g.controllers[member.Address]
 	return node == nil || (node.down && g.world.Now.Sub(g.downSince[member.Address]) > budgetSilence)
 }
@@ -133,8 +133,8 @@
 	g.restart(name)
 }
 
-// whole tells whether the newest set known anywhere is complete and all of it up.
-func (g *grown) whole() bool {
+// complete tells whether the newest set known anywhere is complete and all of it up.
+func (g *grown) complete() bool {
 	var newest messages.RegisterValue
 	for _, name := range simulation.Keys(g.controllers) {
 		if node := g.controllers[name]; node.chosen && node.known.SetEpoch >= newest.SetEpoch {
@@ -151,14 +151,14 @@
 }
 
 // until runs the world in steps until something holds; false when it takes longer.
-func (g *grown) until(timeout clock.Duration, holds func() bool) bool {
+func (g *grown) until(timeout clock.Duration, condition func() bool) bool {
 	for end := g.world.Now.Add(timeout); g.world.Now < end; {
-		if holds() {
+		if condition() {
 			return true
 		}
 		g.world.Run(g.world.Now.Add(clock.Milliseconds(50)))
 	}
-	return holds()
+	return condition()
 }
 
 // insist sends a configuration to one process after another until it is told.
--- a/internal/control/register/operators_test.go
+++ b/internal/control/register/operators_test.go
@@ -213,11 +213,11 @@
 		operators.trouble()
 		operators.world.Run(clock.Instant(clock.Milliseconds(60_000)))
 		for _, resp := range operators.seen {
-			stands := operators.chain[resp.version.Generation] == resp.version
-			if resp.status == acknowledged && !stands {
+			inForce := operators.chain[resp.version.Generation] == resp.version
+			if resp.status == acknowledged && !inForce {
 				t.Fatalf("seed %d: acknowledged, yet not in the history: %v", seed, resp)
 			}
-			if resp.status == refused && stands {
+			if resp.status == refused && inForce {
 				t.Fatalf("seed %d: refused, yet in the history: %v", seed, resp)
 			}
 			total[fmt.Sprint("status ", resp.status)]++
--- a/internal/control/register/register_test.go
+++ b/internal/control/register/register_test.go
@@ -43,7 +43,7 @@
 	// attempts counts proposals begun.
 	attempts int
 	// size, where it is set, is how many acceptors bear the fault budget: nothing
-	// is acknowledged in a smaller set. told hears of each acknowledgement.
+	// is acknowledged in a smaller set. told is called at each acknowledgement.
 	size int
 	told func(generation int64)
 }
@@ -96,10 +96,10 @@
 }
 
 // replace sends a configuration and checks what an acknowledgement promises.
-func (f *fleet) replace(from string, generation, base int64, mark string) {
-	version := messages.Version{Generation: generation, Base: base, Hash: mark}
+func (f *fleet) replace(from string, generation, base int64, label string) {
+	version := messages.Version{Generation: generation, Base: base, Hash: label}
 	var result register.Result
-	f.change(from, register.Replace(version, []byte(mark), &result), 8, func(value messages.RegisterValue, done bool) {
+	f.change(from, register.Replace(version, []byte(label), &result), 8, func(value messages.RegisterValue, done bool) {
 		if !done {
 			return
 		}
@@ -113,7 +113,7 @@
 				f.test.Fatalf("two changes on base %d acknowledged: %d and %d", base, other, generation)
 			}
 			f.onBase[base] = generation
-			f.acked[generation] = mark
+			f.acked[generation] = label
 			if f.told != nil {
 				f.told(generation)
 			}
@@ -129,11 +129,11 @@
 			return
 		}
 		found = value.Current.Generation
-		for generation, mark := range f.acked {
+		for generation, label := range f.acked {
 			if generation > found {
-				f.test.Fatalf("acknowledged %d (%s) is gone, newest is %d", generation, mark, found)
+				f.test.Fatalf("acknowledged %d (%s) is gone, newest is %d", generation, label, found)
 			}
-			if generation == found && string(value.Body) != mark {
+			if generation == found && string(value.Body) != label {
 				f.test.Fatalf("version %d holds another body", generation)
 			}
 		}
--- a/internal/control/register/trouble_test.go
+++ b/internal/control/register/trouble_test.go
@@ -23,14 +23,14 @@
 				next, on := generation, base
 				fleet.world.After(clock.Milliseconds(30*fleet.world.Random.Float64()), func() { fleet.replace(from, next, on, fmt.Sprint(next)) })
 			}
-			trouble := names[fleet.world.Random.Intn(3)]
+			fault := names[fleet.world.Random.Intn(3)]
 			switch fleet.world.Random.Intn(3) {
 			case 0:
-				fleet.world.Isolate(trouble, names, true)
-				fleet.world.After(clock.Milliseconds(300), func() { fleet.world.Isolate(trouble, names, false) })
+				fleet.world.Isolate(fault, names, true)
+				fleet.world.After(clock.Milliseconds(300), func() { fleet.world.Isolate(fault, names, false) })
 			case 1:
-				fleet.controllers[trouble].down = true
-				fleet.world.After(clock.Milliseconds(300), func() { fleet.restart(trouble) })
+				fleet.controllers[fault].down = true
+				fleet.world.After(clock.Milliseconds(300), func() { fleet.restart(fault) })
 			}
 			fleet.world.Run(fleet.world.Now.Add(clock.Milliseconds(6000)))
 			if found := fleet.newest(names[fleet.world.Random.Intn(3)]); found >= 0 {
@@ -72,7 +72,7 @@
 	fleet.wipe("a")
 	fleet.controllers["a"].known = fleet.controllers["c"].known
 	fleet.world.Isolate("c", []string{"a", "b"}, false)
-	// With b away the wiped a and the outdated c must not make a majority.
+	// With b away the emptied a and the outdated c must not make a majority.
 	fleet.controllers["b"].down = true
 	decided := false
 	fleet.change("c", register.ReadOnly, 4, func(_ messages.RegisterValue, done bool) { decided = done })
@@ -124,7 +124,7 @@
 }
 
 // A process that only proposes is killed in the middle of its rounds and started
-// again at once, while others resend what it had sent. Its new life may not use a
+// again at once, while others resend what it had sent. Its new incarnation may not use a
 // ballot of the old one for another value.
 func TestRestartedProposerUsesNoBallotTwice(t *testing.T) {
 	acked := 0
@@ -154,13 +154,13 @@
 }
 
 // The history behind it, step by step: d sent X under a ballot that a and b had
-// promised, and only a took it when d was killed. Its new life came to the same
-// counter by way of c, which had heard nothing, and had Y chosen by b and c. Who
+// promised, and only a took it when d was killed. Its new incarnation came to the same
+// counter by way of c, which had learnt nothing, and had Y chosen by b and c. Who
 // reads at a and b must find Y.
 func TestTwoIncarnationsOneCounter(t *testing.T) {
 	fleet := newFleet(t, 1, "a", "b", "c")
-	accept := func(name string, ballot messages.Ballot, mark string) bool {
-		value := messages.RegisterValue{Acceptors: fleet.controllers["a"].disk.First, Current: messages.Version{Hash: mark}}
+	accept := func(name string, ballot messages.Ballot, label string) bool {
+		value := messages.RegisterValue{Acceptors: fleet.controllers["a"].disk.First, Current: messages.Version{Hash: label}}
 		resp, _ := fleet.controllers[name].live.Accept(&messages.AcceptRequest{Ballot: ballot, Disk: "first", Value: value})
 		return resp.Granted
 	}
--- a/internal/control/register/worst_test.go
+++ b/internal/control/register/worst_test.go
@@ -64,7 +64,7 @@
 	w.world.After(clock.Milliseconds(1500*w.world.Random.Float64()), func() {
 		record := messages.AcceptorRecord{Disk: fresh}
 		w.controllers[fresh] = &controller{member: messages.Member{Name: fresh, Address: fresh, Disk: fresh}, disk: record, live: register.NewAcceptor(record)}
-		w.tend(fresh)
+		w.reconcile(fresh)
 	})
 }
 
@@ -89,7 +89,7 @@
 		w.world.Loss, w.world.Double = 0.02, 0.02
 		w.slow = float64(seed%3) * 15
 		w.chosen = w.repaired
-		if !w.until(clock.Milliseconds(20_000), w.whole) {
+		if !w.until(clock.Milliseconds(20_000), w.complete) {
 			t.Fatalf("seed %d: not whole at first", seed)
 		}
 		for generation := int64(1); generation <= 5; generation++ {
@@ -98,7 +98,7 @@
 				t.Fatalf("seed %d: version %d not acknowledged", seed, generation)
 			}
 			w.strike(w.newestSet())
-			if !w.until(clock.Milliseconds(60_000), w.whole) {
+			if !w.until(clock.Milliseconds(60_000), w.complete) {
 				t.Fatalf("seed %d: not repaired a minute after a loss", seed)
 			}
 			// A step that no proposer saw to its end brought no second loss.
--- a/internal/control/registerserver/catchup_test.go
+++ b/internal/control/registerserver/catchup_test.go
@@ -116,7 +116,7 @@
 	c.taken = append(c.taken, version)
 }
 
-// heard is how many bytes of requests and answers came to a member.
+// received is how many bytes of requests and responses came to a member.
 func (c *cluster) heard(name string) int64 {
 	total := int64(0)
 	for _, reading := range c.members[name].wire.Meter().Samples() {
@@ -136,7 +136,7 @@
 }
 
 // catchUp stops c, has others take changes, starts c again and has eight orders come at
-// once. It gives the bytes that c heard until it held the newest value.
+// once. It gives the bytes that c received until it had the newest value.
 func catchUp(t *testing.T, changes int) int64 {
 	t.Helper()
 
--- a/internal/control/workers/table_test.go
+++ b/internal/control/workers/table_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// A gateway that hears controllers but no heartbeats takes nobody for silent whom they don't name.
+// A gateway in contact with controllers that gets no heartbeats takes nobody for silent whom they don't name.
 func TestOverdueWorkersAreReportedByControllers(t *testing.T) {
 	registry := New(beat)
 	other := worker(1, messages.PhaseSteady)
--- a/internal/platform/messages/dispatch.go
+++ b/internal/platform/messages/dispatch.go
@@ -66,7 +66,7 @@
 	// Events and LastID are the events that a RELEASE gives back, from the first on.
 	Events [][]byte `msg:"g"`
 	LastID int64    `msg:"e"`
-	// Failed hashes a RELEASE after a 500, Displaced one that made room, Unbegun one
+	// Failed marks a RELEASE after a 500, Preempted one that yielded, Unstarted one
 	// that found no place.
 	Failed     bool `msg:"f"`
 	Preempted  bool `msg:"y"`
--- a/internal/platform/messages/views.go
+++ b/internal/platform/messages/views.go
@@ -38,7 +38,7 @@
 	Table Digest `msg:"t"`
 	// PlanRevision is the revision of the assignments that a controller follows.
 	PlanRevision int64 `msg:"v"`
-	// Brief hashes a report to a second controller: its answer is short.
+	// Brief marks a report to a second controller: its response is short.
 	Brief bool `msg:"y"`
 	// Detached is set by a controller that is not in contact with a majority of the
 	// acceptors: what it knows may be old, and the asker reports elsewhere.
--- a/internal/platform/recordlog/recordlog_test.go
+++ b/internal/platform/recordlog/recordlog_test.go
@@ -18,56 +18,66 @@
 func contract(t *testing.T, make func() recordlog.Disk) {
 	t.Helper()
 
-	read := func(disk recordlog.Disk) []string {
-		var found []string
-		logfile, err := recordlog.Open(disk, "file", func(_ int64, body []byte) error {
-			found = append(found, string(body))
-			return nil
-		})
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err = logfile.Close(); err != nil {
-			t.Fatal(err)
-		}
-		return found
-	}
-	t.Run("records come back in order", func(t *testing.T) {
-		disk := make()
-		logfile, err := recordlog.Open(disk, "file", nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		offsets, err := logfile.Append([]byte("one"), []byte("two"))
-		if err != nil || logfile.Sync() != nil {
-			t.Fatal(err)
-		}
-		body, err := logfile.ReadAt(offsets[1])
-		if err != nil || string(body) != "two" {
-			t.Fatalf("read %q %v", body, err)
-		}
-		if got := fmt.Sprint(read(disk)); got != "[one two]" {
-			t.Fatal(got)
-		}
-	})
-	t.Run("a rewrite keeps what it is given and nothing else", func(t *testing.T) {
-		disk := make()
-		logfile, _ := recordlog.Open(disk, "file", nil)
-		_, _ = logfile.Append([]byte("one"), []byte("two"), []byte("three"))
-		offsets, err := logfile.Rewrite(recordlog.Records([]byte("three")))
-		if err != nil || len(offsets) != 1 {
-			t.Fatal(err)
-		}
-		if _, err = logfile.Append([]byte("four")); err != nil || logfile.Sync() != nil {
-			t.Fatal(err)
-		}
-		if body, err := logfile.ReadAt(offsets[0]); err != nil || string(body) != "three" {
-			t.Fatalf("read %q %v", body, err)
-		}
-		if got := fmt.Sprint(read(disk)); got != "[three four]" {
-			t.Fatal(got)
-		}
+	t.Run("records come back in order", func(t *testing.T) { checkOrder(t, make()) })
+	t.Run("a rewrite keeps what it is given and nothing else", func(t *testing.T) { checkRewrite(t, make()) })
+}
+
+// readAll opens the file of a disk and gives its records.
+func readAll(t *testing.T, disk recordlog.Disk) []string {
+	t.Helper()
+
+	var found []string
+	logfile, err := recordlog.Open(disk, "file", func(_ int64, body []byte) error {
+		found = append(found, string(body))
+		return nil
 	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err = logfile.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return found
+}
+
+func checkOrder(t *testing.T, disk recordlog.Disk) {
+	t.Helper()
+
+	logfile, err := recordlog.Open(disk, "file", nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	offsets, err := logfile.Append([]byte("one"), []byte("two"))
+	if err != nil || logfile.Sync() != nil {
+		t.Fatal(err)
+	}
+	body, err := logfile.ReadAt(offsets[1])
+	if err != nil || string(body) != "two" {
+		t.Fatalf("read %q %v", body, err)
+	}
+	if got := fmt.Sprint(readAll(t, disk)); got != "[one two]" {
+		t.Fatal(got)
+	}
+}
+
+func checkRewrite(t *testing.T, disk recordlog.Disk) {
+	t.Helper()
+
+	logfile, _ := recordlog.Open(disk, "file", nil)
+	_, _ = logfile.Append([]byte("one"), []byte("two"), []byte("three"))
+	offsets, err := logfile.Rewrite(recordlog.Records([]byte("three")))
+	if err != nil || len(offsets) != 1 {
+		t.Fatal(err)
+	}
+	if _, err = logfile.Append([]byte("four")); err != nil || logfile.Sync() != nil {
+		t.Fatal(err)
+	}
+	if body, err := logfile.ReadAt(offsets[0]); err != nil || string(body) != "three" {
+		t.Fatalf("read %q %v", body, err)
+	}
+	if got := fmt.Sprint(readAll(t, disk)); got != "[three four]" {
+		t.Fatal(got)
+	}
 }
 
 func TestContractModel(t *testing.T) {
--- a/internal/platform/transport/async_test.go
+++ b/internal/platform/transport/async_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// simulated makes a room on a fake clock with a millisecond each way.
+// simulated makes a network on a fake clock with a millisecond each way.
 func simulated() (*transport.MemoryNetwork, *simulation.World, *counters, map[string]bool) {
 	network, world, counted, departed := transport.NewMemoryNetwork(), simulation.NewWorld(1), &counters{}, map[string]bool{}
 	network.OnFrame(counted.seen)
--- a/internal/platform/transport/transport_test.go
+++ b/internal/platform/transport/transport_test.go
@@ -18,80 +18,92 @@
 func callContract(t *testing.T, make func() (transport.Transport, string)) {
 	t.Helper()
 
-	t.Run("answers go to their questions", func(t *testing.T) {
-		server, address := make()
-		defer server.Close()
-		release := [2]chan struct{}{}
-		release[0], release[1] = newGate(), newGate()
-		err := server.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
-			// The first question is answered last.
-			i := int(body[0])
-			if i == 0 {
-				<-release[0]
-			}
-			return append([]byte("to "), body...), nil
-		})
-		if err != nil {
-			t.Fatal(err)
-		}
-		client, _ := make()
-		defer client.Close()
-		var group sync.WaitGroup
-		group.Add(1)
-		go func() {
-			defer group.Done()
-			resp, err := client.Call(address, messages.KindShuffle, []byte{0}, enough)
-			if err != nil || string(resp) != "to \x00" {
-				t.Errorf("%q %v", resp, err)
-			}
-		}()
-		resp, err := client.Call(address, messages.KindShuffle, []byte{1}, enough)
-		if err != nil || string(resp) != "to \x01" {
-			t.Errorf("%q %v", resp, err)
+	t.Run("responses go to their requests", func(t *testing.T) { checkResponsesMatch(t, make) })
+	t.Run("unknown kinds are rejected and the rest goes on", func(t *testing.T) { checkUnknownKinds(t, make) })
+	t.Run("nobody there is told apart from no response", func(t *testing.T) { checkUnreachable(t, make) })
+}
+
+func checkResponsesMatch(t *testing.T, make func() (transport.Transport, string)) {
+	t.Helper()
+
+	server, address := make()
+	defer server.Close()
+	release := [2]chan struct{}{}
+	release[0], release[1] = newGate(), newGate()
+	err := server.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
+		// The first request is answered last.
+		i := int(body[0])
+		if i == 0 {
+			<-release[0]
 		}
-		close(release[0])
-		group.Wait()
+		return append([]byte("to "), body...), nil
 	})
-	t.Run("unknown kinds are refused and the rest goes on", func(t *testing.T) {
-		server, address := make()
-		defer server.Close()
-		_ = server.Serve(func(kind messages.Kind, _ []byte) ([]byte, error) {
-			if kind == messages.KindShuffle {
-				return []byte("known"), nil
-			}
-			return nil, nil
-		})
-		client, _ := make()
-		defer client.Close()
-		if _, err := client.Call(address, messages.Kind(9999), nil, enough); !errs.Is(err, transport.ErrRejected) {
-			t.Fatalf("got %v", err)
+	if err != nil {
+		t.Fatal(err)
+	}
+	client, _ := make()
+	defer client.Close()
+	var group sync.WaitGroup
+	group.Add(1)
+	go func() {
+		defer group.Done()
+		resp, err := client.Call(address, messages.KindShuffle, []byte{0}, enough)
+		if err != nil || string(resp) != "to \x00" {
+			t.Errorf("%q %v", resp, err)
 		}
-		if resp, err := client.Call(address, messages.KindShuffle, nil, enough); err != nil || string(resp) != "known" {
-			t.Fatalf("%q %v", resp, err)
+	}()
+	resp, err := client.Call(address, messages.KindShuffle, []byte{1}, enough)
+	if err != nil || string(resp) != "to \x01" {
+		t.Errorf("%q %v", resp, err)
+	}
+	close(release[0])
+	group.Wait()
+}
+
+func checkUnknownKinds(t *testing.T, make func() (transport.Transport, string)) {
+	t.Helper()
+
+	server, address := make()
+	defer server.Close()
+	_ = server.Serve(func(kind messages.Kind, _ []byte) ([]byte, error) {
+		if kind == messages.KindShuffle {
+			return []byte("known"), nil
 		}
+		return nil, nil
 	})
-	t.Run("nobody there is told apart from no answer", func(t *testing.T) {
-		client, address := make()
-		defer client.Close()
-		if _, err := client.Call(address, messages.KindShuffle, nil, enough); !errs.Is(err, transport.ErrUnreachable) {
-			t.Fatalf("got %v", err)
-		}
-		server, busy := make()
-		defer server.Close()
-		wait := newGate()
-		defer close(wait)
-		_ = server.Serve(func(messages.Kind, []byte) ([]byte, error) {
-			<-wait
-			return []byte{}, nil
-		})
-		// Another caller: the system may hand the first address out again, where the first
-		// caller remembers for an instant that nobody was.
-		caller, _ := make()
-		defer caller.Close()
-		if _, err := caller.Call(busy, messages.KindShuffle, nil, clock.Milliseconds(500)); !errs.Is(err, transport.ErrTimeout) {
-			t.Fatalf("got %v", err)
-		}
+	client, _ := make()
+	defer client.Close()
+	if _, err := client.Call(address, messages.Kind(9999), nil, enough); !errs.Is(err, transport.ErrRejected) {
+		t.Fatalf("got %v", err)
+	}
+	if resp, err := client.Call(address, messages.KindShuffle, nil, enough); err != nil || string(resp) != "known" {
+		t.Fatalf("%q %v", resp, err)
+	}
+}
+
+func checkUnreachable(t *testing.T, make func() (transport.Transport, string)) {
+	t.Helper()
+
+	client, address := make()
+	defer client.Close()
+	if _, err := client.Call(address, messages.KindShuffle, nil, enough); !errs.Is(err, transport.ErrUnreachable) {
+		t.Fatalf("got %v", err)
+	}
+	server, busy := make()
+	defer server.Close()
+	wait := newGate()
+	defer close(wait)
+	_ = server.Serve(func(messages.Kind, []byte) ([]byte, error) {
+		<-wait
+		return []byte{}, nil
 	})
+	// Another caller: the system may hand the first address out again, where the first
+	// caller remembers for an instant that nobody was.
+	caller, _ := make()
+	defer caller.Close()
+	if _, err := caller.Call(busy, messages.KindShuffle, nil, clock.Milliseconds(500)); !errs.Is(err, transport.ErrTimeout) {
+		t.Fatalf("got %v", err)
+	}
 }
 
 func newGate() chan struct{} { return make(chan struct{}) }
--- a/internal/tooling/linearize/fleet.go
+++ b/internal/tooling/linearize/fleet.go
@@ -89,7 +89,7 @@
 	return f.nodes[f.names[f.world.Random.Intn(len(f.names))]]
 }
 
-// tend is what each process does about once in half a second: hear of newer sets from
+// tend is what each process does about once in half a second: learn of newer sets from
 // others, then propose what the step says.
 func (f *Fleet) tend(name string) {
 	f.after(200, 800, func() {
--- a/internal/tooling/linearize/propose.go
+++ b/internal/tooling/linearize/propose.go
@@ -43,7 +43,7 @@
 	})
 }
 
-// dead tells whether the life that made the attempt is over.
+// dead tells whether the incarnation that made the attempt is over.
 func (a *attempt) dead() bool { return a.node.down || a.node.life != a.life }
 
 func (a *attempt) send(list []register.Send) {
--- a/internal/traffic/admission/admission_test.go
+++ b/internal/traffic/admission/admission_test.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// Items of lots leave places to live requests, and take none while any live
+// Items of batch jobs leave slots to live requests, and take none while any live
 // request waits at a peer.
 func TestItemsLeaveCapacity(t *testing.T) {
 	entry := scheduler(t, 8, "w")
--- a/internal/traffic/admission/gossip_test.go
+++ b/internal/traffic/admission/gossip_test.go
@@ -119,7 +119,7 @@
 	}
 }
 
-// What a neighbour has heard from us is not said again while nothing is new.
+// What a neighbour got from this node is not sent again while nothing is new.
 func TestNothingNewIsNotSent(t *testing.T) {
 	entry := scheduler(t, 4, "w")
 	entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: load("w", 2, 0)}, second(10))
--- a/internal/traffic/admission/preemption_test.go
+++ b/internal/traffic/admission/preemption_test.go
@@ -25,7 +25,7 @@
 	return grants
 }
 
-// A request of a higher rank that finds no room makes the youngest item yield,
+// A request of a higher rank that finds no capacity makes the youngest item yield,
 // and gets its place.
 func TestHigherRankDisplacesTheYoungestItem(t *testing.T) {
 	scheduler := scheduler(t, 20, "w")
@@ -111,7 +111,7 @@
 	}
 }
 
-// A word at second hand holds new items back and takes no place from anybody.
+// A report at second hand delays new items and takes no slot from anybody.
 func TestObservedPressureDelaysNewItems(t *testing.T) {
 	scheduler := scheduler(t, 40, "w")
 	var yielded []int
--- a/internal/traffic/gateway/jobcall_test.go
+++ b/internal/traffic/gateway/jobcall_test.go
@@ -17,7 +17,7 @@
 	"lemonarch/internal/tooling/faultrelay"
 )
 
-// leaderStub is a store that answers each call with the name of its lot, and keeps count of
+// leaderStub is a store that answers each call with the name of its job, and keeps count of
 // the hand-ins that it took.
 type leaderStub struct {
 	wire  *transport.TCP
@@ -56,8 +56,8 @@
 // jobFrameLength is about as long as a hand-in of this test, or its response, is on the wire.
 const jobFrameLength = 130
 
-// Whatever befalls the connection to the store that holds the lots, at whichever byte: a
-// caller's answer is that of its own lot, and no hand-in that was taken is told as one that
+// Whatever befalls the connection to the store that leads, at whichever byte: a
+// caller's response is that of its own job, and no submission that was taken is answered as one that
 // never will be.
 func TestJobCallsAtEveryByte(t *testing.T) {
 	const step = 7
--- a/internal/traffic/gateway/outcome_test.go
+++ b/internal/traffic/gateway/outcome_test.go
@@ -24,11 +24,11 @@
 	stores map[string]*storeStub
 	// late holds the frames that are still under way.
 	late []func()
-	// taken says by which try each lot came to stand.
+	// taken says by which attempt each job came to stand.
 	taken map[string]string
 	// calm makes trouble rarer, the more the higher.
 	calm int
-	// vacant says that nobody gets the duty in this history's time.
+	// vacant says that nobody leads in this history's time.
 	vacant bool
 }
 
@@ -63,7 +63,7 @@
 	return packed
 }
 
-// turn lets the duty and the room change, and late frames arrive.
+// turn lets the leadership and the network change, and late frames arrive.
 func (r *rough) turn() {
 	names := []string{"l0", "l1", "l2"}
 	if r.random.Intn(3) == 0 {
@@ -136,7 +136,7 @@
 	return world
 }
 
-// A lot is handed in at one node after the other while calls are slow, lost and
+// A job is submitted at one node after the other while calls are slow, lost and
 // doubled in every order. A try that was told 429 or 503 never leaves a record.
 func TestRejectedJobsNeverRun(t *testing.T) {
 	rejected := map[int]int{}
--- a/internal/traffic/loadgossip/peers_test.go
+++ b/internal/traffic/loadgossip/peers_test.go
@@ -129,7 +129,7 @@
 	}
 }
 
-// A small fleet is told of long readings whole, a large one near by.
+// In a small fleet all are notified of long prefills, in a large one those near by.
 func TestReadingsAreBounded(t *testing.T) {
 	small := selectPeers(zone("a", 4)[0], append(zone("a", 4), zone("b", 4)...))
 	if len(small.prefillPeers) != 7 {
--- a/internal/traffic/loadgossip/staleness_test.go
+++ b/internal/traffic/loadgossip/staleness_test.go
@@ -70,7 +70,7 @@
 	return found
 }
 
-// observe lets a node hear a worker's load header, as in a response to a request.
+// observe gives a node a worker's load header, as in a response to a request.
 func (f *fleet) observe(node *simNode, now clock.Instant) {
 	// A node's own subset is a part of its zone's workers.
 	near := f.near(node)
--- a/internal/traffic/proxy/core_test.go
+++ b/internal/traffic/proxy/core_test.go
@@ -43,7 +43,7 @@
 
 func event(id int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id) }
 
-// However the bytes are cut, the same whole events come out.
+// However the bytes are split, the same complete events come out.
 func TestSplitterAtEveryOffset(t *testing.T) {
 	text := "lemonarch-weight-versions: 3\n" + event(4) + event(5) + event(6)
 	for found := 0; found <= len(text); found++ {
--- a/internal/traffic/proxy/everybyte_test.go
+++ b/internal/traffic/proxy/everybyte_test.go
@@ -27,7 +27,7 @@
 	return fmt.Sprintf("%s rested=%v %s answer=%v at=%d", c.path, c.rested, c.strike.Trouble, c.strike.Answer, c.strike.At)
 }
 
-// serveComplete answers every request whole, by the kind of its path.
+// serveComplete answers every request completely, by the kind of its path.
 func serveComplete(_ int, request *http.Request, connection net.Conn) {
 	if strings.HasPrefix(request.RequestURI, "/rigid/") || strings.HasPrefix(request.RequestURI, "/stream/") {
 		write(connection, streamHead(request)+chunk(event(1))+chunk(event(2))+"0\r\n\r\n")
@@ -184,7 +184,7 @@
 
 // Whatever befalls the connection to the worker, at whichever byte of the request or of
 // the response, on a fresh or on a rested one: what may not be repeated runs once at most,
-// what ran is never refused as if it had not, a success is whole and the caller's own,
+// what ran is never rejected as if it had not, a success is complete and the caller's own,
 // and so is the next caller's.
 func TestFaultAtEveryByte(t *testing.T) {
 	var calls []call
--- a/internal/traffic/proxy/fault_test.go
+++ b/internal/traffic/proxy/fault_test.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// A worker that answers 500 and one that sheds although it has room are noted; a 504 at
+// A worker that answers 500 and one that sheds although it has capacity are noted; a 504 at
 // the deadline and a 4xx are not.
 func TestResponsesThatCountAgainstAWorker(t *testing.T) {
 	for text, against := range map[string]bool{
--- a/internal/traffic/proxy/preempt_test.go
+++ b/internal/traffic/proxy/preempt_test.go
@@ -10,7 +10,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// A running stream of a lower rank makes room and goes on within the same response:
+// A running stream of a lower rank is preempted and goes on within the same response:
 // every event comes once, the head stays, and the worker is not held to have failed.
 func TestPreemptedStreamResumesInTheSameResponse(t *testing.T) {
 	reached, wait := make(chan struct{}), make(chan struct{})
--- a/internal/traffic/proxy/proxy_test.go
+++ b/internal/traffic/proxy/proxy_test.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// A cut, spoilt or doubled answer to a repeatable request is mended elsewhere.
+// A truncated, corrupt or doubled response to an idempotent request is retried elsewhere.
 func TestCorruptResponsesAreRetried(t *testing.T) {
 	for name, text := range map[string]string{
 		"garbled":  "not an answer at all\r\n\r\n",
--- a/internal/traffic/proxy/workerstub_test.go
+++ b/internal/traffic/proxy/workerstub_test.go
@@ -123,7 +123,7 @@
 	return len(s.requests)
 }
 
-// ran counts how often a request was read whole.
+// ran counts how often a request was read completely.
 func (s *workerStub) ran(attempt string) int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
