--- a/internal/batch/store/displacement_test.go
+++ b/internal/batch/store/displacement_test.go
@@ -159,7 +159,7 @@
 	}
 	s.arrive(resp.Grant)
 	over := false
-	setBack := func(result admission.Result) {
+	requeue := func(result admission.Result) {
 		if !over {
 			over = true
 			item.Requeue(run)
@@ -170,30 +170,34 @@
 		resp.Grant.AllowPreemption(func() {
 			if item.Yield(run) {
 				s.taken["displaced"]++
-				s.world.After(clock.Milliseconds(1), func() { setBack(admission.ResultCanceled) })
+				s.world.After(clock.Milliseconds(1), func() { requeue(admission.ResultCanceled) })
 			}
 		})
 	}
-	// The worker streams from where the run began, and sometimes cuts.
+	s.stream(leader, item, run, &over, requeue, func() { s.leave(resp.Grant, admission.ResultServed) })
+}
+
+// stream has the worker stream from where the run began, and sometimes break off.
+func (s *simCluster) stream(leader *simLeader, item *dispatch.Item, run int, over *bool, requeue func(admission.Result), served func()) {
 	next := item.LastID + 1
 	var step func()
 	step = func() {
 		switch {
-		case over:
+		case *over:
 		case s.leader != leader:
 			// Its process is gone or fenced: the worker drops the run.
-			setBack(admission.ResultCanceled)
+			requeue(admission.ResultCanceled)
 		case s.world.Random.Float64() < 0.01:
-			setBack(admission.ResultFailed)
+			requeue(admission.ResultFailed)
 		case next <= clusterEvents:
 			item.AppendEvents(run, [][]byte{[]byte(fmt.Sprintf("%s.%d", item.ID, next))}, next)
 			next++
 			s.world.After(clock.Milliseconds(12), step)
 		default:
 			s.finish(leader, item, run)
-			if !over {
-				over = true
-				s.leave(resp.Grant, admission.ResultServed)
+			if !*over {
+				*over = true
+				served()
 			}
 		}
 	}
--- a/internal/batch/store/simulation_leader_test.go
+++ b/internal/batch/store/simulation_leader_test.go
@@ -66,13 +66,35 @@
 	if next > s.replicator.Last() {
 		return
 	}
+	req := s.appendRequest(member, next)
+	if req == nil {
+		return
+	}
+	target := fleet.stores[member.Address]
+	fleet.count(member.Address, req)
+	fleet.slowly(s.at, member.Address, func() {
+		if target.down {
+			return
+		}
+		resp, err := target.store.Append(req)
+		if err != nil {
+			return
+		}
+		fleet.world.Send(member.Address, s.at, func() { s.handleAppendResponse(identity, next, &resp) })
+	})
+}
+
+// appendRequest is the order to a store with what it lacks from next on; nil where it can't
+// be read.
+func (s *simLeader) appendRequest(member messages.Member, next int64) *messages.AppendRequest {
+	fleet := s.fleet
 	req := &messages.AppendRequest{Epoch: s.epoch, Disk: member.Disk, PreviousIndex: next - 1, CommitIndex: s.replicator.CommitIndex()}
 	if next >= s.first && next > fleet.stores[s.at].store.Compacted() {
 		req.Records = append(req.Records, s.records[next-s.first:]...)
 	} else {
 		fetched, err := fleet.stores[s.at].store.Fetch(&messages.FetchRequest{First: next})
 		if err != nil {
-			return
+			return nil
 		}
 		req.Base, req.BaseEpoch = fetched.Base, fetched.BaseEpoch
 		for _, record := range fetched.Records {
@@ -86,32 +108,24 @@
 	} else {
 		req.PreviousEpoch = fleet.stores[s.at].store.EpochAt(next - 1)
 	}
-	target := fleet.stores[member.Address]
-	fleet.count(member.Address, req)
-	fleet.slowly(s.at, member.Address, func() {
-		if target.down {
-			return
-		}
-		resp, err := target.store.Append(req)
-		if err != nil {
-			return
+	return req
+}
+
+// handleAppendResponse takes a store's response to an order that began at next.
+func (s *simLeader) handleAppendResponse(identity string, next int64, resp *messages.AppendResponse) {
+	switch {
+	case resp.Epoch > s.epoch:
+		// A later epoch was raised: the term ends, as the real one does.
+		s.fenced = true
+	case resp.Granted:
+		s.next[identity] = max(s.next[identity], resp.Last+1)
+		if s.replicator.UpdateMatch(identity, resp.Last) {
+			s.apply()
 		}
-		fleet.world.Send(member.Address, s.at, func() {
-			switch {
-			case resp.Epoch > s.epoch:
-				// A later epoch was raised: the term ends, as the real one does.
-				s.fenced = true
-			case resp.Granted:
-				s.next[identity] = max(s.next[identity], resp.Last+1)
-				if s.replicator.UpdateMatch(identity, resp.Last) {
-					s.apply()
-				}
-			case resp.EpochRanges != nil:
-				common := replication.CommonIndex(fleet.stores[s.at].store.Extent(), replication.ExtentOfAppend(&resp))
-				s.next[identity] = min(common, next-1) + 1
-			}
-		})
-	})
+	case resp.EpochRanges != nil:
+		common := replication.CommonIndex(s.fleet.stores[s.at].store.Extent(), replication.ExtentOfAppend(resp))
+		s.next[identity] = min(common, next-1) + 1
+	}
 }
 
 // apply tells clients of what is durable; that binds every later leader.
--- a/internal/control/broadcast/fleet_test.go
+++ b/internal/control/broadcast/fleet_test.go
@@ -139,6 +139,15 @@
 	case *messages.WorkersUpdate:
 		n.merge(found.Workers)
 		response(&messages.Ack{Accepted: true})
+	default:
+		n.respondToUpdate(req, response)
+	}
+}
+
+// respondToUpdate answers what is about configurations, the register and updates.
+func (n *node) respondToUpdate(req transport.Marshaler, response func(transport.Marshaler)) {
+	now := n.fleet.Now
+	switch found := req.(type) {
 	case *messages.ConfigPull:
 		response(&messages.ConfigPush{Generation: n.config, Body: body})
 	case *messages.ConfigPush:
