--- a/cmd/lemonarch/assign.go
+++ b/cmd/lemonarch/assign.go
@@ -41,24 +41,24 @@
 func readRules(path string, complaints io.Writer) (*adapterplan.Rules, []byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, nil, coded{exitUnusable, err.Error()}
+		return nil, nil, exitError{exitUnusable, err.Error()}
 	}
 	rules, findings := adapterplan.Read(text)
 	for _, finding := range findings {
 		fmt.Fprintln(complaints, path+": "+finding)
 	}
 	if len(findings) > 0 {
-		return nil, nil, coded{exitInvalid, fmt.Sprintf("%s is not valid, findings=%d", path, len(findings))}
+		return nil, nil, exitError{exitInvalid, fmt.Sprintf("%s is not valid, findings=%d", path, len(findings))}
 	}
-	for _, note := range rules.Notes() {
-		fmt.Fprintln(complaints, path+": note: "+note)
+	for _, notes := range rules.Notes() {
+		fmt.Fprintln(complaints, path+": note: "+notes)
 	}
 	return rules, text, nil
 }
 
 func assign(writer, complaints io.Writer, path string, only *string, options assignOptions) error {
 	if options.format != "table" && options.format != "json" {
-		return coded{exitUnusable, "--output must be table or json"}
+		return exitError{exitUnusable, "--output must be table or json"}
 	}
 	var earlier *adapterplan.Answer
 	if options.keep != "" {
@@ -67,7 +67,7 @@
 			earlier, err = adapterplan.ReadAnswer(text)
 		}
 		if err != nil {
-			return coded{exitUnusable, "--keep " + options.keep + ": " + strings.ReplaceAll(err.Error(), "\n", " ")}
+			return exitError{exitUnusable, "--keep " + options.keep + ": " + strings.ReplaceAll(err.Error(), "\n", " ")}
 		}
 	}
 	rules, _, err := readRules(path, complaints)
@@ -78,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	return tellPlan(writer, answer, refusal, options.format)
+	return printPlan(writer, answer, refusal, options.format)
 }
 
 // planned plans within a bound of time: the question is as hard as questions get,
@@ -91,35 +91,35 @@
 	}
 	done := make(chan result, 1)
 	go func() {
-		one := result{}
-		one.answer, one.refusal, _, one.err = adapterplan.Plan(rules, only, earlier)
-		done <- one
+		entry := result{}
+		entry.answer, entry.refusal, _, entry.err = adapterplan.Plan(rules, only, earlier)
+		done <- entry
 	}()
 	timer := clock.NewTimer(constants.PlanTime)
 	defer timer.Stop()
 	select {
-	case one := <-done:
-		if errs.Is(one.err, adapterplan.ErrInvalidCall) {
-			return nil, nil, coded{exitUnusable, "--window: " + one.err.Error()}
+	case entry := <-done:
+		if errs.Is(entry.err, adapterplan.ErrInvalidCall) {
+			return nil, nil, exitError{exitUnusable, "--window: " + entry.err.Error()}
 		}
-		if one.err != nil {
-			return nil, nil, coded{exitUnusable, one.err.Error()}
+		if entry.err != nil {
+			return nil, nil, exitError{exitUnusable, entry.err.Error()}
 		}
-		return one.answer, one.refusal, nil
+		return entry.answer, entry.refusal, nil
 	case <-timer.C:
-		return nil, nil, coded{exitUnusable, "not decided within " + constants.PlanTime.String()}
+		return nil, nil, exitError{exitUnusable, "not decided within " + constants.PlanTime.String()}
 	}
 }
 
-// tellPlan writes the answer, or the refusal with its exit code.
-func tellPlan(writer io.Writer, answer *adapterplan.Answer, refusal *adapterplan.Refusal, format string) error {
+// printPlan writes the answer, or the refusal with its exit code.
+func printPlan(writer io.Writer, answer *adapterplan.Answer, refusal *adapterplan.Refusal, format string) error {
 	if refusal != nil {
 		if format == "table" {
 			refusal.Table(writer)
 		} else if err := adapterplan.JSON(writer, refusal); err != nil {
 			return err
 		}
-		return coded{exitInvalid, fmt.Sprintf("the rules can't all be met, collisions=%d", len(refusal.Collisions))}
+		return exitError{exitInvalid, fmt.Sprintf("the rules can't all be met, collisions=%d", len(refusal.Collisions))}
 	}
 	if format == "table" {
 		answer.Table(writer)
--- a/cmd/lemonarch/assign_apply.go
+++ b/cmd/lemonarch/assign_apply.go
@@ -20,13 +20,13 @@
 		Short: "Plan the rules on top of what is in force, and put rules and answer in force in the fleet",
 		RunE: func(command *cobra.Command, arguments []string) error {
 			if format != "table" && format != "json" {
-				return coded{exitUnusable, "--output must be table or json"}
+				return exitError{exitUnusable, "--output must be table or json"}
 			}
 			wire := transport.NewTCP("")
 			defer wire.Close()
 			shell, err := fleetshell.New(wire, seed, constants.StatusTimeout)
 			if err != nil {
-				return coded{exitUnusable, err.Error()}
+				return exitError{exitUnusable, err.Error()}
 			}
 			return apply(command.OutOrStdout(), command.ErrOrStderr(), shell, arguments[0], format)
 		}}
@@ -35,30 +35,50 @@
 	return command
 }
 
-// endpoint speaks with one controller.
-type endpoint struct {
+// controllerClient speaks with one controller.
+type controllerClient struct {
 	shell   *fleetshell.Shell
 	address string
 }
 
-// sit finds a controller that reads what is in force at a majority.
-func sit(shell *fleetshell.Shell) (*endpoint, *messages.PlanResponse, error) {
+// findController finds a controller that reads what is in force at a majority.
+func findController(shell *fleetshell.Shell) (*controllerClient, *messages.PlanResponse, error) {
 	addresses, err := shell.Controllers()
 	if err != nil {
-		return nil, nil, coded{exitUnusable, err.Error()}
+		return nil, nil, exitError{exitUnusable, err.Error()}
 	}
 	for _, address := range addresses {
-		one := &endpoint{shell, address}
-		if told, problem := one.read(); problem == nil {
-			return one, told, nil
+		client := &controllerClient{shell, address}
+		if plan, readErr := client.read(); readErr == nil {
+			return client, plan, nil
 		}
 	}
-	return nil, nil, coded{exitInvalid, "no controller reads the register of assignments, nothing was changed"}
+	return nil, nil, exitError{exitInvalid, "no controller reads the register of assignments, nothing was changed"}
 }
 
-func (e *endpoint) read() (*messages.PlanResponse, error) {
-	told := &messages.PlanResponse{}
-	return told, transport.Call(e.shell.Transport, e.address, messages.KindPlanPull, &messages.PlanRequest{Complete: true, Linearizable: true}, told, constants.BulkCallTimeout)
+func (c *controllerClient) read() (*messages.PlanResponse, error) {
+	plan := &messages.PlanResponse{}
+	return plan, transport.Call(c.shell.Transport, c.address, messages.KindPlanPull, &messages.PlanRequest{Complete: true, Linearizable: true}, plan, constants.BulkCallTimeout)
+}
+
+// apply puts rules in force and reads them back: what it gives is what a majority holds.
+func (c *controllerClient) apply(req *messages.PlanApplyRequest) (*messages.PlanResponse, error) {
+	resp := &messages.PlanApplyResponse{}
+	err := transport.Call(c.shell.Transport, c.address, messages.KindPlanApply, req, resp, constants.BulkCallTimeout)
+	if err != nil || resp.Unclear {
+		return nil, exitError{exitInvalid, "it is not known whether the rules are in force; apply the same file again to find out"}
+	}
+	if !resp.Applied {
+		return nil, exitError{exitInvalid, "not in force: " + resp.Reason}
+	}
+	plan, err := c.read()
+	if err != nil {
+		return nil, exitError{exitInvalid, fmt.Sprintf("acknowledged as revision %d, and could not be read back: %s", resp.Revision, oneLine(err))}
+	}
+	if !bytes.Equal(plan.Value.Rules, req.Rules) {
+		return nil, exitError{exitInvalid, fmt.Sprintf("acknowledged as revision %d, and overtaken by revision %d", resp.Revision, plan.Revision)}
+	}
+	return plan, nil
 }
 
 // apply plans on this machine, so that the controllers need no solver for it, and puts rules
@@ -68,14 +88,14 @@
 	if err != nil {
 		return err
 	}
-	one, now, err := sit(shell)
+	client, current, err := findController(shell)
 	if err != nil {
 		return err
 	}
 	var earlier *adapterplan.Answer
-	if now.Revision > 0 {
-		if earlier, err = adapterplan.ReadAnswer(now.Value.Solution); err != nil {
-			return coded{exitInvalid, "the answer in force can't be read: " + oneLine(err)}
+	if current.Revision > 0 {
+		if earlier, err = adapterplan.ReadAnswer(current.Value.Solution); err != nil {
+			return exitError{exitInvalid, "the answer in force can't be read: " + oneLine(err)}
 		}
 	}
 	answer, refusal, err := planned(rules, nil, earlier)
@@ -83,39 +103,26 @@
 		return err
 	}
 	if refusal != nil {
-		return tellPlan(writer, nil, refusal, format)
+		return printPlan(writer, nil, refusal, format)
 	}
 	body := &bytes.Buffer{}
 	if err = adapterplan.JSON(body, answer); err != nil {
 		return err
 	}
-	question := &messages.PlanApplyRequest{Base: now.Revision, Rules: text, Solution: body.Bytes()}
-	back := &messages.PlanApplyResponse{}
-	err = transport.Call(shell.Transport, one.address, messages.KindPlanApply, question, back, constants.BulkCallTimeout)
-	if err != nil || back.Unclear {
-		return coded{exitInvalid, "it is not known whether the rules are in force; apply the same file again to find out"}
-	}
-	if !back.Applied {
-		return coded{exitInvalid, "not in force: " + back.Reason}
-	}
-	// Read back: what is told is what a majority holds.
-	told, err := one.read()
+	plan, err := client.apply(&messages.PlanApplyRequest{Base: current.Revision, Rules: text, Solution: body.Bytes()})
 	if err != nil {
-		return coded{exitInvalid, fmt.Sprintf("acknowledged as revision %d, and could not be read back: %s", back.Revision, oneLine(err))}
-	}
-	if !bytes.Equal(told.Value.Rules, text) {
-		return coded{exitInvalid, fmt.Sprintf("acknowledged as revision %d, and overtaken by revision %d", back.Revision, told.Revision)}
+		return err
 	}
-	if answer, err = adapterplan.ReadAnswer(told.Value.Solution); err != nil {
-		return coded{exitInvalid, oneLine(err)}
+	if answer, err = adapterplan.ReadAnswer(plan.Value.Solution); err != nil {
+		return exitError{exitInvalid, oneLine(err)}
 	}
 	moves := 0
 	if answer.Moves != nil {
 		moves = *answer.Moves
 	}
-	fmt.Fprintf(complaints, "in force: revision=%d generation=%d moves=%d\n", told.Revision, told.Generation, moves)
-	for _, line := range told.Collisions {
+	fmt.Fprintf(complaints, "in force: revision=%d generation=%d moves=%d\n", plan.Revision, plan.Generation, moves)
+	for _, line := range plan.Collisions {
 		fmt.Fprintln(complaints, "collision, the last answer stays in force: "+line)
 	}
-	return tellPlan(writer, answer, nil, format)
+	return printPlan(writer, answer, nil, format)
 }
--- a/cmd/lemonarch/assign_apply_test.go
+++ b/cmd/lemonarch/assign_apply_test.go
@@ -26,32 +26,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	room := transport.NewMemoryNetwork()
+	network := transport.NewMemoryNetwork()
 	address := process.Node.Self.Address
-	process.Node.Transport = room.Transport(address)
+	process.Node.Transport = network.Transport(address)
 	if err = process.Node.Transport.Serve(process.Node.Dispatch); err != nil {
 		t.Fatal(err)
 	}
-	shell, err := fleetshell.New(room.Transport("operator"), address, clock.Milliseconds(2000))
+	shell, err := fleetshell.New(network.Transport("operator"), address, clock.Milliseconds(2000))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return room, shell
+	return network, shell
 }
 
-func applied(shell *fleetshell.Shell, path string) (told, note string, code int, line string) {
+func applied(shell *fleetshell.Shell, path string) (output, notes string, code int, text string) {
 	out, problems := &bytes.Buffer{}, &bytes.Buffer{}
 	if err := apply(out, problems, shell, path, "json"); err != nil {
-		code, line = exitUnusable, err.Error()
-		if one := (coded{}); errors.As(err, &one) {
-			code = one.code
+		code, text = exitUnusable, err.Error()
+		if entry := (exitError{}); errors.As(err, &entry) {
+			code = entry.code
 		}
 	}
-	return out.String(), problems.String(), code, line
+	return out.String(), problems.String(), code, text
 }
 
 func TestApplyThroughAController(t *testing.T) {
-	room, shell := oneController(t)
+	network, shell := oneController(t)
 	text, _ := os.ReadFile(exampleRules)
 	change := func(pairs ...string) string {
 		return written(t, "rules.toml", strings.NewReplacer(pairs...).Replace(string(text)))
@@ -59,34 +59,34 @@
 	planned, _, _, _ := called(exampleRules)
 	for range 2 {
 		// The same file once more changes nothing.
-		told, note, code, line := applied(shell, exampleRules)
-		if code != 0 || told != planned || note != "in force: revision=1 generation=4 moves=0\n" {
-			t.Fatal(code, line, note, told)
+		output, notes, code, line := applied(shell, exampleRules)
+		if code != 0 || output != planned || notes != "in force: revision=1 generation=4 moves=0\n" {
+			t.Fatal(code, line, notes, output)
 		}
 	}
 	if _, _, code, line := applied(shell, change("# Which nodes", "# Nodes that")); code != exitInvalid || !strings.Contains(line, "generation is not above") {
 		t.Fatal(code, line)
 	}
 	// n3 gives its slot up: the reader has to move, and there is nowhere else.
-	told, _, code, _ := applied(shell, change("generation = 4", "generation = 5", "adapter-slots = 1", "adapter-slots = 0"))
-	if code != exitInvalid || !strings.HasPrefix(told, `{"collisions":[`) {
-		t.Fatal(code, told)
+	output, _, code, _ := applied(shell, change("generation = 4", "generation = 5", "adapter-slots = 1", "adapter-slots = 0"))
+	if code != exitInvalid || !strings.HasPrefix(output, `{"collisions":[`) {
+		t.Fatal(code, output)
 	}
 	// A large node more, first by name: what stands stays all the same.
-	told, note, code, line := applied(shell, change("generation = 4", "generation = 5", `"battery-fault-reader"]`, `"battery-fault-reader"]`+"\n[[nodes]]\nname = \"n0\"\nzone = \"oslo-a\"\nlabels = [\"large\"]\nadapter-slots = 1\n"))
-	if code != 0 || note != "in force: revision=2 generation=5 moves=0\n" || !strings.Contains(told, `"moves":0`) {
-		t.Fatal(code, line, note, told)
+	output, notes, code, line := applied(shell, change("generation = 4", "generation = 5", `"battery-fault-reader"]`, `"battery-fault-reader"]`+"\n[[nodes]]\nname = \"n0\"\nzone = \"oslo-a\"\nlabels = [\"large\"]\nadapter-slots = 1\n"))
+	if code != 0 || notes != "in force: revision=2 generation=5 moves=0\n" || !strings.Contains(output, `"moves":0`) {
+		t.Fatal(code, line, notes, output)
 	}
 	var shown bytes.Buffer
-	answers, err := shell.Ask("assignments")
+	responses, err := shell.Ask("assignments")
 	if err != nil {
 		t.Fatal(err)
 	}
-	fleetshell.Table(&shown, answers)
+	fleetshell.Table(&shown, responses)
 	if !strings.Contains(shown.String(), "bookkeeping-classifier") || !strings.Contains(shown.String(), "next-window") {
 		t.Fatal(shown.String())
 	}
-	room.SetPartitioned(shell.Seed, true)
+	network.SetPartitioned(shell.Seed, true)
 	if _, _, code, line = applied(shell, exampleRules); code != exitUnusable || strings.Contains(line, "\n") {
 		t.Fatal(code, line)
 	}
@@ -99,8 +99,8 @@
 		"no file":      {"apply", "--seed", "127.0.0.1:1"},
 		"format":       {"apply", exampleRules, "--seed", "127.0.0.1:1", "--output", "yaml"},
 	} {
-		if told, _, code, line := called(arguments...); code != exitUnusable || told != "" || line == "" || strings.Contains(line, "\n") {
-			t.Errorf("%s: code %d, %q, %q", name, code, told, line)
+		if output, _, code, text := called(arguments...); code != exitUnusable || output != "" || text == "" || strings.Contains(text, "\n") {
+			t.Errorf("%s: code %d, %q, %q", name, code, output, text)
 		}
 	}
 }
--- a/cmd/lemonarch/assign_test.go
+++ b/cmd/lemonarch/assign_test.go
@@ -12,7 +12,7 @@
 const exampleRules = "../../docs/assign/rules.toml"
 
 // called runs assign and gives what it writes and its exit code.
-func called(arguments ...string) (told, complaints string, code int, line string) {
+func called(arguments ...string) (output, complaints string, code int, text string) {
 	command := assignCommand()
 	command.SilenceUsage, command.SilenceErrors = true, true
 	out, problems := &bytes.Buffer{}, &bytes.Buffer{}
@@ -20,12 +20,12 @@
 	command.SetErr(problems)
 	command.SetArgs(arguments)
 	if err := command.Execute(); err != nil {
-		code, line = exitUnusable, err.Error()
-		if one := (coded{}); errors.As(err, &one) {
-			code = one.code
+		code, text = exitUnusable, err.Error()
+		if entry := (exitError{}); errors.As(err, &entry) {
+			code = entry.code
 		}
 	}
-	return out.String(), problems.String(), code, line
+	return out.String(), problems.String(), code, text
 }
 
 func written(t *testing.T, name, text string) string {
@@ -38,25 +38,25 @@
 	return path
 }
 
-func TestAssignAnswers(t *testing.T) {
-	told, complaints, code, _ := called(exampleRules)
-	if code != 0 || complaints != "" || !strings.HasPrefix(told, `{"generation":4,"windows":[{"window":"morning"`) {
-		t.Fatal(code, told, complaints)
+func TestAssignPrintsAnswers(t *testing.T) {
+	output, complaints, code, _ := called(exampleRules)
+	if code != 0 || complaints != "" || !strings.HasPrefix(output, `{"generation":4,"windows":[{"window":"morning"`) {
+		t.Fatal(code, output, complaints)
 	}
-	earlier := written(t, "earlier.json", told)
+	earlier := written(t, "earlier.json", output)
 	for range 3 {
-		if again, _, _, _ := called(exampleRules, "--output", "json"); again != told {
+		if again, _, _, _ := called(exampleRules, "--output", "json"); again != output {
 			t.Fatal("another answer from the same file", again)
 		}
 	}
-	if kept, _, _, _ := called(exampleRules, "--keep", earlier); !strings.Contains(kept, `"moves":0`) {
-		t.Fatal(kept)
+	if retained, _, _, _ := called(exampleRules, "--keep", earlier); !strings.Contains(retained, `"moves":0`) {
+		t.Fatal(retained)
 	}
 	if table, _, _, _ := called(exampleRules, "--keep", earlier, "--output", "table"); !strings.Contains(table, "moves in all: 0") {
 		t.Fatal(table)
 	}
-	if one, _, _, _ := called(exampleRules, "--window", "nightly"); strings.Contains(one, "morning") || !strings.Contains(one, "nightly") {
-		t.Fatal(one)
+	if entry, _, _, _ := called(exampleRules, "--window", "nightly"); strings.Contains(entry, "morning") || !strings.Contains(entry, "nightly") {
+		t.Fatal(entry)
 	}
 }
 
@@ -64,10 +64,10 @@
 	text, _ := os.ReadFile(exampleRules)
 	path := written(t, "rules.toml", strings.Replace(string(text), `name = "n3"`+"\n"+`zone = "oslo-b"`, `name = "n3"`+"\n"+`zone = "oslo-b"`+"\nlabels = [\"large\"]", 1)+
 		"\n[[rules]]\nname = \"no-second-slot\"\nkind = \"never\"\nadapters = [\"battery-fault-reader\"]\nnodes = [\"n1\", \"n2\", \"n3\"]\n")
-	told, complaints, code, line := called(path)
+	output, complaints, code, line := called(path)
 	want := `{"collisions":[{"window":"morning","rules":["no-second-slot"],"adapters":["battery-fault-reader"],"nodes":["n1","n2","n3"],"reason":"`
-	if code != exitInvalid || complaints != "" || !strings.HasPrefix(told, want) || strings.Contains(line, "\n") {
-		t.Fatal(code, told, complaints, line)
+	if code != exitInvalid || complaints != "" || !strings.HasPrefix(output, want) || strings.Contains(line, "\n") {
+		t.Fatal(code, output, complaints, line)
 	}
 	if table, _, code, _ := called(path, "--output", "table"); code != exitInvalid || !strings.Contains(table, "rules:    no-second-slot") {
 		t.Fatal(code, table)
@@ -80,9 +80,9 @@
 
 func TestAssignUnusable(t *testing.T) {
 	invalid := written(t, "invalid.toml", "generation = 1\n[[nodes]]\nname = 'n'\nzone = 'z'\nadapter-slot = 1\n")
-	told, complaints, code, _ := called(invalid)
-	if code != exitInvalid || told != "" || !strings.Contains(complaints, "nodes[0].adapter-slot:") || !strings.Contains(complaints, "nodes[0].adapter-slots:") {
-		t.Fatal(code, told, complaints)
+	output, complaints, code, _ := called(invalid)
+	if code != exitInvalid || output != "" || !strings.Contains(complaints, "nodes[0].adapter-slot:") || !strings.Contains(complaints, "nodes[0].adapter-slots:") {
+		t.Fatal(code, output, complaints)
 	}
 	for name, arguments := range map[string][]string{
 		"no file":        {},
@@ -94,8 +94,8 @@
 		"keep missing":   {exampleRules, "--keep", "/nowhere/answer.json"},
 		"keep no answer": {exampleRules, "--keep", invalid},
 	} {
-		if told, _, code, line := called(arguments...); code != exitUnusable || told != "" || line == "" || strings.Contains(line, "\n") {
-			t.Errorf("%s: code %d, %q, %q", name, code, told, line)
+		if output, _, code, text := called(arguments...); code != exitUnusable || output != "" || text == "" || strings.Contains(text, "\n") {
+			t.Errorf("%s: code %d, %q, %q", name, code, output, text)
 		}
 	}
 }
--- a/cmd/lemonarch/check.go
+++ b/cmd/lemonarch/check.go
@@ -21,14 +21,14 @@
 		RunE: func(command *cobra.Command, arguments []string) error {
 			text, err := os.ReadFile(arguments[0])
 			if err != nil {
-				return coded{exitUnusable, err.Error()}
+				return exitError{exitUnusable, err.Error()}
 			}
 			findings := findingsOf(text)
 			for _, finding := range findings {
 				fmt.Fprintln(command.OutOrStdout(), arguments[0]+": "+finding)
 			}
 			if len(findings) > 0 {
-				return coded{exitInvalid, fmt.Sprintf("%s is not valid, findings=%d", arguments[0], len(findings))}
+				return exitError{exitInvalid, fmt.Sprintf("%s is not valid, findings=%d", arguments[0], len(findings))}
 			}
 			fmt.Fprintln(command.OutOrStdout(), arguments[0]+": valid")
 			return nil
@@ -59,11 +59,11 @@
 		RunE: func(command *cobra.Command, arguments []string) error {
 			text, err := os.ReadFile(arguments[0])
 			if err != nil {
-				return coded{exitUnusable, err.Error()}
+				return exitError{exitUnusable, err.Error()}
 			}
 			routes, findings, err := openapiimport.Import(text, options)
 			if err != nil {
-				return coded{exitInvalid, strings.ReplaceAll(err.Error(), "\n", " ")}
+				return exitError{exitInvalid, strings.ReplaceAll(err.Error(), "\n", " ")}
 			}
 			imported := routeconfig.Config{Generation: 1, Routes: routes, Services: []routeconfig.Service{{Name: options.Backend}}}
 			body, err := json.MarshalIndent(imported, "", "  ")
@@ -79,7 +79,7 @@
 				fmt.Fprintln(command.ErrOrStderr(), arguments[0]+": "+finding)
 			}
 			if len(findings) > 0 {
-				return coded{exitInvalid, fmt.Sprintf("not all of %s could be mapped, findings=%d", arguments[0], len(findings))}
+				return exitError{exitInvalid, fmt.Sprintf("not all of %s could be mapped, findings=%d", arguments[0], len(findings))}
 			}
 			return nil
 		}}
--- a/cmd/lemonarch/hollow.go
+++ b/cmd/lemonarch/hollow.go
@@ -68,28 +68,28 @@
 	set.StringVar(&flags.title, "title", "hollow", "beginning of the names of plots")
 	set.StringVar(&flags.mechanism, "mechanism", "", "a note in the result on what was measured")
 	set.BoolVar(&flags.quiet, "quiet", false, "no progress on standard error")
-	command.AddCommand(hollowLotsCommand(), hollowRealCommand(), hollowTableCommand())
+	command.AddCommand(hollowJobsCommand(), hollowRealCommand(), hollowTableCommand())
 	return command
 }
 
 func hollow(command *cobra.Command, plan hollowfleet.Plan, flags hollowFlags) error {
 	for _, size := range flags.sizes {
-		one := plan
-		one.Nodes = size
+		entry := plan
+		entry.Nodes = size
 		if flags.workersEach > 0 {
-			one.Workers = max(1, int(float64(size)*flags.workersEach+0.5))
+			entry.Workers = max(1, int(float64(size)*flags.workersEach+0.5))
 		}
-		if findings := one.Check(); len(findings) > 0 {
-			return coded{exitUnusable, findings[0]}
+		if findings := entry.Check(); len(findings) > 0 {
+			return exitError{exitUnusable, findings[0]}
 		}
 	}
 	if len(flags.sizes) == 0 || flags.workersEach < 0 {
-		return coded{exitUnusable, "--nodes must name a size and --workers-each must not be below 0"}
+		return exitError{exitUnusable, "--nodes must name a size and --workers-each must not be below 0"}
 	}
 	for _, path := range []string{flags.out, flags.plots} {
 		// Said before a long run, not after it.
 		if _, err := os.Stat(filepath.Dir(path)); path != "" && err != nil {
-			return coded{exitUnusable, err.Error()}
+			return exitError{exitUnusable, err.Error()}
 		}
 	}
 	// A large fleet is some GB of live heap: collected a little earlier than usual, and
@@ -107,7 +107,7 @@
 	}
 	if flags.plots != "" {
 		if err := series.Draw(flags.plots, flags.title); err != nil {
-			return coded{exitUnusable, err.Error()}
+			return exitError{exitUnusable, err.Error()}
 		}
 	}
 	return nil
--- a/cmd/lemonarch/hollow_lots.go
+++ b/cmd/lemonarch/hollow_lots.go
@@ -11,17 +11,17 @@
 	"lemonarch/internal/tooling/hollowfleet"
 )
 
-func hollowLotsCommand() *cobra.Command {
+func hollowJobsCommand() *cobra.Command {
 	sizes, itemBytes, out, mechanism := []int{}, 0, "", ""
 	command := &cobra.Command{Use: "lots", Args: cobra.NoArgs, Short: "Measure what one lot costs its holder and a store, by its items",
 		RunE: func(command *cobra.Command, _ []string) error {
 			for _, size := range sizes {
 				if size < 1 || size > 1_000_000 {
-					return coded{exitUnusable, fmt.Sprintf("--items must each be 1 to 1000000, not %d", size)}
+					return exitError{exitUnusable, fmt.Sprintf("--items must each be 1 to 1000000, not %d", size)}
 				}
 			}
 			if itemBytes < 1 || itemBytes > 64<<10 {
-				return coded{exitUnusable, fmt.Sprintf("--item-bytes must be 1 to 65536, not %d", itemBytes)}
+				return exitError{exitUnusable, fmt.Sprintf("--item-bytes must be 1 to 65536, not %d", itemBytes)}
 			}
 			series := hollowfleet.ProbeLots(sizes, itemBytes, command.ErrOrStderr())
 			series.Command, series.Mechanism = "lemonarch "+strings.Join(os.Args[1:], " "), mechanism
@@ -38,14 +38,14 @@
 func writeJSON(command *cobra.Command, path string, result any) error {
 	text, err := json.MarshalIndent(result, "", " ")
 	if err != nil {
-		return coded{exitInvalid, err.Error()}
+		return exitError{exitInvalid, err.Error()}
 	}
 	if path == "" {
 		fmt.Fprintln(command.OutOrStdout(), string(text))
 		return nil
 	}
 	if err = os.WriteFile(path, append(text, '\n'), 0o644); err != nil {
-		return coded{exitUnusable, err.Error()}
+		return exitError{exitUnusable, err.Error()}
 	}
 	return nil
 }
--- a/cmd/lemonarch/hollow_table.go
+++ b/cmd/lemonarch/hollow_table.go
@@ -17,11 +17,11 @@
 			for _, path := range arguments {
 				text, err := os.ReadFile(path)
 				if err != nil {
-					return coded{exitUnusable, err.Error()}
+					return exitError{exitUnusable, err.Error()}
 				}
 				series := &hollowfleet.Series{}
 				if err = json.Unmarshal(text, series); err != nil || len(series.Runs) == 0 {
-					return coded{exitUnusable, path + " holds no runs of a hollow fleet"}
+					return exitError{exitUnusable, path + " holds no runs of a hollow fleet"}
 				}
 				fmt.Fprintf(command.OutOrStdout(), "\n`%s` (%s)\n\n", series.Command, series.Mechanism)
 				series.Table(command.OutOrStdout(), filepath.Base(path))
--- a/cmd/lemonarch/hollow_test.go
+++ b/cmd/lemonarch/hollow_test.go
@@ -26,8 +26,8 @@
 			continue
 		}
 		// What cobra refuses ends with the same code, which main gives by default.
-		if one := (coded{}); errors.As(err, &one) && one.code != exitUnusable {
-			t.Errorf("%v: exit %d", arguments, one.code)
+		if entry := (exitError{}); errors.As(err, &entry) && entry.code != exitUnusable {
+			t.Errorf("%v: exit %d", arguments, entry.code)
 		}
 	}
 }
@@ -57,23 +57,23 @@
 }
 
 func TestHollowPartsRefuseInOneLine(t *testing.T) {
-	for _, one := range []struct {
+	for _, entry := range []struct {
 		command   *cobra.Command
 		arguments []string
 	}{
-		{hollowLotsCommand(), []string{"--items", "0"}},
-		{hollowLotsCommand(), []string{"--item-bytes", "-4"}},
+		{hollowJobsCommand(), []string{"--items", "0"}},
+		{hollowJobsCommand(), []string{"--item-bytes", "-4"}},
 		{hollowRealCommand(), []string{"--programs", t.TempDir()}},
 		{hollowRealCommand(), []string{"--gateways", "900"}},
 		{hollowRealCommand(), []string{"--controllers", "21"}},
 		{hollowTableCommand(), []string{"no-such-file.json"}},
 		{hollowTableCommand(), []string{"hollow_test.go"}},
 	} {
-		one.command.SilenceUsage, one.command.SilenceErrors = true, true
-		one.command.SetArgs(one.arguments)
-		err := one.command.Execute()
-		if is := (coded{}); !errors.As(err, &is) || is.code != exitUnusable || strings.Contains(is.text, "\n") {
-			t.Errorf("%s %v: %v", one.command.Use, one.arguments, err)
+		entry.command.SilenceUsage, entry.command.SilenceErrors = true, true
+		entry.command.SetArgs(entry.arguments)
+		err := entry.command.Execute()
+		if is := (exitError{}); !errors.As(err, &is) || is.code != exitUnusable || strings.Contains(is.text, "\n") {
+			t.Errorf("%s %v: %v", entry.command.Use, entry.arguments, err)
 		}
 	}
 }
--- a/cmd/lemonarch/jobs.go
+++ b/cmd/lemonarch/jobs.go
@@ -21,36 +21,36 @@
 	"lemonarch/internal/tooling/lab"
 )
 
-// lotFlags are what every call on a lot needs.
-type lotFlags struct {
+// jobFlags are what every call on a lot needs.
+type jobFlags struct {
 	edges []string
 	host  string
 	limit clock.Duration
 }
 
-// lotsCommand is the client for lots.
-func lotsCommand() *cobra.Command {
-	flags := &lotFlags{}
+// jobsCommand is the client for lots.
+func jobsCommand() *cobra.Command {
+	flags := &jobFlags{}
 	group := &cobra.Command{Use: "jobs", Aliases: []string{"lots"}, Short: "Submit, follow, read and cancel batch jobs"}
 	group.PersistentFlags().StringSliceVar(&flags.edges, "edge", nil, "addresses of edge nodes, host:port (several: the next is taken after a failure)")
 	group.PersistentFlags().StringVar(&flags.host, "host", lab.Host, "host of the jobs' route")
 	group.PersistentFlags().DurationVar(&flags.limit, "limit", time.Minute, "how long to try")
-	group.AddCommand(handInCommand(flags), followCommand(flags), readCommand(flags), endCommand(flags))
+	group.AddCommand(submitCommand(flags), followCommand(flags), readCommand(flags), endCommand(flags))
 	return group
 }
 
 // run gives a client and a context that ends with the limit or a signal.
-func (l *lotFlags) run(function func(until contexts.Context, client *jobclient.Client) error) error {
+func (l *jobFlags) run(function func(until contexts.Context, client *jobclient.Client) error) error {
 	if len(l.edges) == 0 {
-		return coded{exitUnusable, "--edge is missing"}
+		return exitError{exitUnusable, "--edge is missing"}
 	}
 	for _, edge := range l.edges {
 		if _, _, err := net.SplitHostPort(edge); err != nil {
-			return coded{exitUnusable, "--edge: " + strconv.Quote(edge) + " is no host:port"}
+			return exitError{exitUnusable, "--edge: " + strconv.Quote(edge) + " is no host:port"}
 		}
 	}
 	if l.limit <= 0 {
-		return coded{exitUnusable, "--limit must be above 0"}
+		return exitError{exitUnusable, "--limit must be above 0"}
 	}
 	limited, release := contexts.WithTimeout(contexts.Background(), l.limit)
 	defer release()
@@ -58,16 +58,16 @@
 	defer halt()
 	err := function(until, &jobclient.Client{Edges: l.edges, Host: l.host})
 	if err != nil {
-		var known coded
+		var known exitError
 		if errors.As(err, &known) {
 			return err
 		}
-		return coded{exitInvalid, oneLine(err)}
+		return exitError{exitInvalid, oneLine(err)}
 	}
 	return nil
 }
 
-func handInCommand(flags *lotFlags) *cobra.Command {
+func submitCommand(flags *jobFlags) *cobra.Command {
 	id, path, sample, follow := "", "/batch/lot", 0, false
 	command := &cobra.Command{Use: "submit [FILE]", Aliases: []string{"hand-in"}, Args: cobra.MaximumNArgs(1),
 		Short: "Submit a job from a file ({\"requests\":[...]}, as the protocol has it) or of samples",
@@ -75,28 +75,28 @@
 			if id == "" {
 				id = newID()
 			}
-			lot := sampleLot(id, sample)
+			job := sampleJob(id, sample)
 			switch {
 			case len(arguments) == 1 && sample > 0, len(arguments) == 0 && sample <= 0:
-				return coded{exitUnusable, "give either a FILE or --sample COUNT"}
+				return exitError{exitUnusable, "give either a FILE or --sample COUNT"}
 			case len(arguments) == 1:
 				text, err := os.ReadFile(arguments[0])
 				if err != nil {
-					return coded{exitUnusable, err.Error()}
+					return exitError{exitUnusable, err.Error()}
 				}
-				lot = jobclient.Job{}
-				if err = json.Unmarshal(text, &lot); err != nil {
-					return coded{exitUnusable, arguments[0] + ": " + oneLine(err)}
+				job = jobclient.Job{}
+				if err = json.Unmarshal(text, &job); err != nil {
+					return exitError{exitUnusable, arguments[0] + ": " + oneLine(err)}
 				}
 			}
 			return flags.run(func(until contexts.Context, client *jobclient.Client) error {
-				tries, err := client.Submit(until, id, path, lot)
+				attempts, err := client.Submit(until, id, path, job)
 				if err != nil {
 					return err
 				}
-				fmt.Fprintf(command.ErrOrStderr(), "taken: lot=%s items=%d tries=%d\n", id, len(lot.Requests), tries)
+				fmt.Fprintf(command.ErrOrStderr(), "taken: lot=%s items=%d tries=%d\n", id, len(job.Requests), attempts)
 				if follow {
-					return followLot(command, until, client, id)
+					return followJob(command, until, client, id)
 				}
 				fmt.Fprintln(command.OutOrStdout(), id)
 				return nil
@@ -109,73 +109,78 @@
 	return command
 }
 
-func followCommand(flags *lotFlags) *cobra.Command {
+func followCommand(flags *jobFlags) *cobra.Command {
 	return &cobra.Command{Use: "follow JOB", Args: cobra.ExactArgs(1), Short: "Follow a job to its end, with progress",
 		RunE: func(command *cobra.Command, arguments []string) error {
 			return flags.run(func(until contexts.Context, client *jobclient.Client) error {
-				return followLot(command, until, client, arguments[0])
+				return followJob(command, until, client, arguments[0])
 			})
 		}}
 }
 
-func followLot(command *cobra.Command, until contexts.Context, client *jobclient.Client, id string) error {
-	begun, settled, abandoned := clock.Now(), 0, 0
+func followJob(command *cobra.Command, until contexts.Context, client *jobclient.Client, id string) error {
+	started, completed, abandoned := clock.Now(), 0, 0
 	err := client.Follow(until, id, 0, func(page *jobclient.Page) error {
 		for _, output := range page.Outputs {
 			if output.Phase == jobclient.PhaseSettled {
-				settled++
+				completed++
 			} else {
 				abandoned++
 			}
 		}
 		if len(page.Outputs) > 0 || page.Sum == 0 {
-			fmt.Fprintf(command.OutOrStdout(), "lot=%s listed=%d/%d settled=%d abandoned=%d after=%s\n", id, page.Next, page.Sum, settled, abandoned,
-				clock.Now().Sub(begun).Round(10*time.Millisecond))
+			fmt.Fprintf(command.OutOrStdout(), "lot=%s listed=%d/%d settled=%d abandoned=%d after=%s\n", id, page.Next, page.Sum, completed, abandoned,
+				clock.Now().Sub(started).Round(10*time.Millisecond))
 		}
 		return nil
 	})
 	if err == nil && abandoned > 0 {
-		return coded{exitInvalid, fmt.Sprintf("lot %s is finished, abandoned=%d", id, abandoned)}
+		return exitError{exitInvalid, fmt.Sprintf("lot %s is finished, abandoned=%d", id, abandoned)}
 	}
 	return err
 }
 
-func readCommand(flags *lotFlags) *cobra.Command {
+func readCommand(flags *jobFlags) *cobra.Command {
 	from := 0
 	command := &cobra.Command{Use: "read JOB", Args: cobra.ExactArgs(1), Short: "Print what is listed of a job, one output a line, as JSON",
 		RunE: func(command *cobra.Command, arguments []string) error {
 			if from < 0 {
-				return coded{exitUnusable, "--from must not be below 0"}
+				return exitError{exitUnusable, "--from must not be below 0"}
 			}
 			return flags.run(func(until contexts.Context, client *jobclient.Client) error {
-				writer := json.NewEncoder(command.OutOrStdout())
-				for cursor := from; ; {
-					page, err := client.Read(until, arguments[0], cursor, 0)
-					if err != nil && jobclient.Again(err) && until.Err() == nil {
-						clock.Sleep(clock.Milliseconds(200))
-						continue
-					}
-					if err != nil {
-						return err
-					}
-					for _, output := range page.Outputs {
-						if err = writer.Encode(output); err != nil {
-							return err
-						}
-					}
-					cursor = page.Next
-					if len(page.Outputs) == 0 {
-						fmt.Fprintf(command.ErrOrStderr(), "listed=%d sum=%d\n", cursor, page.Sum)
-						return nil
-					}
-				}
+				return printOutputs(until, client, arguments[0], from, command)
 			})
 		}}
 	command.Flags().IntVar(&from, "from", 0, "first position")
 	return command
 }
 
-func endCommand(flags *lotFlags) *cobra.Command {
+// printOutputs prints what is listed of a job from a position on, and at the end a summary.
+func printOutputs(until contexts.Context, client *jobclient.Client, id string, from int, command *cobra.Command) error {
+	writer := json.NewEncoder(command.OutOrStdout())
+	for cursor := from; ; {
+		page, err := client.Read(until, id, cursor, 0)
+		if err != nil && jobclient.Again(err) && until.Err() == nil {
+			clock.Sleep(clock.Milliseconds(200))
+			continue
+		}
+		if err != nil {
+			return err
+		}
+		for _, output := range page.Outputs {
+			if err = writer.Encode(output); err != nil {
+				return err
+			}
+		}
+		cursor = page.Next
+		if len(page.Outputs) == 0 {
+			fmt.Fprintf(command.ErrOrStderr(), "listed=%d sum=%d\n", cursor, page.Sum)
+			return nil
+		}
+	}
+}
+
+func endCommand(flags *jobFlags) *cobra.Command {
 	return &cobra.Command{Use: "cancel JOB", Aliases: []string{"end"}, Args: cobra.ExactArgs(1), Short: "Cancel a job: nothing more of it is run",
 		RunE: func(command *cobra.Command, arguments []string) error {
 			return flags.run(func(until contexts.Context, client *jobclient.Client) error {
@@ -200,13 +205,13 @@
 	return hex.EncodeToString(bytes[:])
 }
 
-// sampleLot makes items that the lab's own configuration can run.
-func sampleLot(id string, count int) jobclient.Job {
-	lot := jobclient.Job{}
+// sampleJob makes items that the lab's own configuration can run.
+func sampleJob(id string, count int) jobclient.Job {
+	job := jobclient.Job{}
 	for number := 0; number < count; number++ {
-		lot.Requests = append(lot.Requests, jobclient.Item{ID: id + "-" + strconv.Itoa(number), Path: "/batch/" + strconv.Itoa(number), Tokens: 640,
+		job.Requests = append(job.Requests, jobclient.Item{ID: id + "-" + strconv.Itoa(number), Path: "/batch/" + strconv.Itoa(number), Tokens: 640,
 			Body: []byte("sample " + strconv.Itoa(number)), Headers: map[string]string{"Lemonarch-Model": lab.ModelName,
 				"Lemonarch-Token-Count": "600,40", "Lemonarch-Prompt-Prefix": fmt.Sprintf("5a5a:400,%x:200", 0x10000+number)}})
 	}
-	return lot
+	return job
 }
--- a/cmd/lemonarch/jobs_test.go
+++ b/cmd/lemonarch/jobs_test.go
@@ -14,7 +14,7 @@
 		{"jobs read", "lots read"},
 		{"jobs cancel", "lots end"},
 	} {
-		now, _, err := rootCommand().Find(strings.Fields(names[0]))
+		current, _, err := rootCommand().Find(strings.Fields(names[0]))
 		if err != nil {
 			t.Fatal(names[0], err)
 		}
@@ -22,8 +22,8 @@
 		if err != nil {
 			t.Fatal(names[1], err)
 		}
-		if now.CommandPath() != before.CommandPath() || now.CommandPath() == "lemonarch" {
-			t.Errorf("%s is %q, %s is %q", names[0], now.CommandPath(), names[1], before.CommandPath())
+		if current.CommandPath() != before.CommandPath() || current.CommandPath() == "lemonarch" {
+			t.Errorf("%s is %q, %s is %q", names[0], current.CommandPath(), names[1], before.CommandPath())
 		}
 	}
 }
--- a/cmd/lemonarch/lab_up.go
+++ b/cmd/lemonarch/lab_up.go
@@ -28,7 +28,7 @@
 			defer halt()
 			fleet, err := lab.Start(until, plan, folder)
 			if err != nil {
-				return coded{exitInvalid, oneLine(err)}
+				return exitError{exitInvalid, oneLine(err)}
 			}
 			defer fleet.Stop()
 			describe(command.OutOrStdout(), fleet)
@@ -37,7 +37,7 @@
 				fmt.Fprintln(command.OutOrStdout(), "stopping")
 				return nil
 			case err := <-fleet.Died:
-				return coded{exitInvalid, oneLine(err)}
+				return exitError{exitInvalid, oneLine(err)}
 			}
 		}}
 	planFlags(command, &plan)
--- a/cmd/lemonarch/main.go
+++ b/cmd/lemonarch/main.go
@@ -17,20 +17,21 @@
 	exitUnusable = 2
 )
 
-// coded is a failure with its exit code.
-type coded struct {
+// exitError is a failure with its exit code.
+type exitError struct {
 	code int
 	text string
 }
 
-func (c coded) Error() string { return c.text }
+// Error is the line that is printed.
+func (c exitError) Error() string { return c.text }
 
 // rootCommand gathers all subcommands.
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{Use: "lemonarch", Short: "Check files, ask a fleet for its state, import routes, handle lots, place adapters, try it all in a lab",
 		SilenceUsage: true, SilenceErrors: true}
 	root.CompletionOptions.DisableDefaultCmd = true
-	root.AddCommand(checkCommand(), shellCommand(), importCommand(), labCommand(), lotsCommand(), assignCommand())
+	root.AddCommand(checkCommand(), shellCommand(), importCommand(), labCommand(), jobsCommand(), assignCommand())
 	info, known := debug.ReadBuildInfo()
 	root.Version = version(info, known)
 	root.SetVersionTemplate("{{.Name}} {{.Version}}\n")
@@ -42,9 +43,9 @@
 	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "lemonarch: "+err.Error())
 		code := exitUnusable
-		var one coded
-		if errors.As(err, &one) {
-			code = one.code
+		var entry exitError
+		if errors.As(err, &entry) {
+			code = entry.code
 		}
 		os.Exit(code)
 	}
--- a/cmd/lemonarch/shell.go
+++ b/cmd/lemonarch/shell.go
@@ -25,16 +25,16 @@
 	command.Flags().DurationVar(&limit, "limit", limit, "how long to wait for each process")
 	command.RunE = func(command *cobra.Command, arguments []string) error {
 		if format != "table" && format != "json" {
-			return coded{exitUnusable, "--output must be table or json"}
+			return exitError{exitUnusable, "--output must be table or json"}
 		}
 		if limit <= 0 {
-			return coded{exitUnusable, "--limit must be above 0"}
+			return exitError{exitUnusable, "--limit must be above 0"}
 		}
 		wire := transport.NewTCP("")
 		defer wire.Close()
 		shell, err := fleetshell.New(wire, seed, limit)
 		if err != nil {
-			return coded{exitUnusable, err.Error()}
+			return exitError{exitUnusable, err.Error()}
 		}
 		if len(arguments) == 1 {
 			return show(command.OutOrStdout(), shell, arguments[0], format)
@@ -53,17 +53,17 @@
 }
 
 func show(writer io.Writer, shell *fleetshell.Shell, query, format string) error {
-	answers, err := shell.Ask(query)
+	responses, err := shell.Ask(query)
 	if errs.Is(err, fleetshell.ErrInvalidCall) {
-		return coded{exitUnusable, err.Error()}
+		return exitError{exitUnusable, err.Error()}
 	}
 	if err != nil {
-		return coded{exitInvalid, err.Error()}
+		return exitError{exitInvalid, err.Error()}
 	}
 	if format == "json" {
-		return fleetshell.JSON(writer, answers)
+		return fleetshell.JSON(writer, responses)
 	}
-	fleetshell.Table(writer, answers)
+	fleetshell.Table(writer, responses)
 	return nil
 }
 
@@ -72,14 +72,14 @@
 	lines := bufio.NewScanner(reader)
 	fmt.Fprint(writer, "lemonarch> ")
 	for lines.Scan() {
-		switch line := strings.TrimSpace(lines.Text()); line {
+		switch text := strings.TrimSpace(lines.Text()); text {
 		case "":
 		case "quit", "exit":
 			return nil
 		case "help":
 			fmt.Fprint(writer, help())
 		default:
-			if err := show(writer, shell, line, format); err != nil {
+			if err := show(writer, shell, text, format); err != nil {
 				// One wrong query does not end the conversation.
 				fmt.Fprintln(os.Stderr, err.Error())
 			}
--- a/cmd/lemonarch/version.go
+++ b/cmd/lemonarch/version.go
@@ -9,11 +9,11 @@
 		return "unknown build"
 	}
 	name, revision, changed := info.Main.Version, "", ""
-	for _, one := range info.Settings {
+	for _, entry := range info.Settings {
 		switch {
-		case one.Key == "vcs.revision" && len(one.Value) >= 12:
-			revision = " " + one.Value[:12]
-		case one.Key == "vcs.modified" && one.Value == "true":
+		case entry.Key == "vcs.revision" && len(entry.Value) >= 12:
+			revision = " " + entry.Value[:12]
+		case entry.Key == "vcs.modified" && entry.Value == "true":
 			changed = " changed"
 		}
 	}
