--- a/cmd/lemonarch/assign_apply_test.go
+++ b/cmd/lemonarch/assign_apply_test.go
@@ -78,7 +78,7 @@
 		t.Fatal(code, line, notes, output)
 	}
 	var shown bytes.Buffer
-	responses, err := shell.Ask("assignments")
+	responses, err := shell.Query("assignments")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/lemonarch/shell.go
+++ b/cmd/lemonarch/shell.go
@@ -53,7 +53,7 @@
 }
 
 func show(writer io.Writer, shell *fleetshell.Shell, query, format string) error {
-	responses, err := shell.Ask(query)
+	responses, err := shell.Query(query)
 	if errs.Is(err, fleetshell.ErrInvalidCall) {
 		return exitError{exitUnusable, err.Error()}
 	}
--- a/internal/batch/store/losses_test.go
+++ b/internal/batch/store/losses_test.go
@@ -140,7 +140,7 @@
 		store.down = kind < lossFull
 		switch kind {
 		case lossFull:
-			store.disk.Room = s.world.Random.Intn(300)
+			store.disk.Free = s.world.Random.Intn(300)
 		case lossSync:
 			store.disk.Intercept = func(operation simulation.Operation, _ string) error {
 				if operation == simulation.OperationSync {
@@ -164,7 +164,7 @@
 func (s *simFleet) repair(lost []string) {
 	for _, name := range lost {
 		store := s.stores[name]
-		store.disk.Room, store.disk.Intercept, store.faulty = -1, nil, false
+		store.disk.Free, store.disk.Intercept, store.faulty = -1, nil, false
 		s.open(store)
 	}
 	s.electAny()
--- a/internal/batch/store/simulation_leader_test.go
+++ b/internal/batch/store/simulation_leader_test.go
@@ -152,6 +152,6 @@
 		}
 		fleet.announced[key] = record.Item
 		fleet.acknowledgements++
-		fleet.world.Note("told %s %s", key, record.Item)
+		fleet.world.Record("told %s %s", key, record.Item)
 	}
 }
--- a/internal/control/broadcast/broadcast_test.go
+++ b/internal/control/broadcast/broadcast_test.go
@@ -55,7 +55,7 @@
 		}
 		out[here] = true
 		for _, other := range f.nodes {
-			f.Cut(here.own.Address, other.own.Address, true)
+			f.SetPartitioned(here.own.Address, other.own.Address, true)
 		}
 	case 4:
 		// Two controllers can't reach a tenth of the fleet, which others can.
@@ -65,7 +65,7 @@
 			}
 			for i, other := range f.nodes {
 				if i%10 == 3 && other.own.Role != membership.RoleController {
-					f.Cut(here.own.Address, other.own.Address, true)
+					f.SetPartitioned(here.own.Address, other.own.Address, true)
 				}
 			}
 		}
--- a/internal/control/broadcast/cut_test.go
+++ b/internal/control/broadcast/cut_test.go
@@ -67,10 +67,10 @@
 			continue
 		}
 		if c.how != deaf {
-			c.fleet.Cut(c.hit.own.Address, other.own.Address, on)
+			c.fleet.SetPartitioned(c.hit.own.Address, other.own.Address, on)
 		}
 		if c.how != unheard {
-			c.fleet.Cut(other.own.Address, c.hit.own.Address, on)
+			c.fleet.SetPartitioned(other.own.Address, c.hit.own.Address, on)
 		}
 	}
 }
--- a/internal/control/contact/contact_test.go
+++ b/internal/control/contact/contact_test.go
@@ -151,8 +151,8 @@
 		p.every(4*constants.ContactPeriod, func() {
 			known := p.known()
 			for _, target := range known.Acceptors {
-				p.Cut("process", target.Address, p.Random.Intn(3) == 0)
-				p.Cut(target.Address, "process", p.Random.Intn(3) == 0)
+				p.SetPartitioned("process", target.Address, p.Random.Intn(3) == 0)
+				p.SetPartitioned(target.Address, "process", p.Random.Intn(3) == 0)
 			}
 		})
 		p.Run(clock.Instant(0).Add(40 * constants.ContactLease))
--- a/internal/control/membership/cut_test.go
+++ b/internal/control/membership/cut_test.go
@@ -65,8 +65,8 @@
 func (s *shufflers) setPartitioned(partitioned bool) {
 	for _, left := range s.names[:6] {
 		for _, right := range s.names[6:] {
-			s.world.Cut(left, right, partitioned)
-			s.world.Cut(right, left, partitioned)
+			s.world.SetPartitioned(left, right, partitioned)
+			s.world.SetPartitioned(right, left, partitioned)
 		}
 	}
 }
--- a/internal/control/register/operators_test.go
+++ b/internal/control/register/operators_test.go
@@ -191,8 +191,8 @@
 		o.bounce(name)
 	case 2:
 		other := o.names[o.world.Random.Intn(len(o.names))]
-		o.world.Cut(name, other, true)
-		o.world.After(clock.Milliseconds(900), func() { o.world.Cut(name, other, false) })
+		o.world.SetPartitioned(name, other, true)
+		o.world.After(clock.Milliseconds(900), func() { o.world.SetPartitioned(name, other, false) })
 	}
 	o.world.After(clock.Milliseconds(2500*o.world.Random.Float64()), o.trouble)
 }
--- a/internal/control/register/register_test.go
+++ b/internal/control/register/register_test.go
@@ -103,7 +103,7 @@
 		if !done {
 			return
 		}
-		f.world.Note("%s %d on %d: %d", from, generation, base, result)
+		f.world.Record("%s %d on %d: %d", from, generation, base, result)
 		if f.size > 0 && !register.ToleratesBudget(&value, f.size, len(f.controllers)-len(value.Acceptors)) {
 			// Not told yet: two losses could take it away again.
 			return
--- a/internal/control/register/trouble_test.go
+++ b/internal/control/register/trouble_test.go
@@ -201,8 +201,8 @@
 			fleet.replace(from, generation, base, fmt.Sprint(generation))
 			// One direction of one link is cut, then joined again.
 			left, right := names[fleet.world.Random.Intn(4)], names[fleet.world.Random.Intn(4)]
-			fleet.world.Cut(left, right, true)
-			fleet.world.After(clock.Milliseconds(900), func() { fleet.world.Cut(left, right, false) })
+			fleet.world.SetPartitioned(left, right, true)
+			fleet.world.After(clock.Milliseconds(900), func() { fleet.world.SetPartitioned(left, right, false) })
 			// Whoever stands by takes a member's place.
 			known := fleet.controllers["a"].known.Acceptors
 			voting := map[string]bool{}
--- a/internal/platform/recordlog/powerloss_test.go
+++ b/internal/platform/recordlog/powerloss_test.go
@@ -121,7 +121,7 @@
 
 // open starts a new incarnation and checks what it finds.
 func (m *machine) open(rt *rapid.T) {
-	m.operations, m.disk.Room = -1, -1
+	m.operations, m.disk.Free = -1, -1
 	var found []string
 	var offsets []int64
 	logfile, err := recordlog.Open(m.disk, "file", func(offset int64, body []byte) error {
@@ -186,8 +186,8 @@
 				m.disk.PowerLoss()
 				m.open(rt)
 			},
-			"fill":        func(rt *rapid.T) { m.disk.Room = rapid.IntRange(0, 200).Draw(rt, "room") },
-			"make room":   func(*rapid.T) { m.disk.Room = -1 },
+			"fill":        func(rt *rapid.T) { m.disk.Free = rapid.IntRange(0, 200).Draw(rt, "room") },
+			"make room":   func(*rapid.T) { m.disk.Free = -1 },
 			"disk fails":  func(*rapid.T) { m.operations, m.refusal = 0, syscall.EIO },
 			"disk serves": func(*rapid.T) { m.operations = -1 },
 		})
--- a/internal/platform/recordlog/recordlog_test.go
+++ b/internal/platform/recordlog/recordlog_test.go
@@ -223,11 +223,11 @@
 	disk := simulation.NewDisk(1)
 	logfile, _ := recordlog.Open(disk, "file", nil)
 	_, _ = logfile.Append([]byte("one"))
-	disk.Room = 5
+	disk.Free = 5
 	if _, err := logfile.Append([]byte("does not fit")); !errs.Is(err, recordlog.ErrDisk) {
 		t.Fatalf("got %v", err)
 	}
-	disk.Room = -1
+	disk.Free = -1
 	if _, err := logfile.Append([]byte("two")); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/transport/everybyte_test.go
+++ b/internal/platform/transport/everybyte_test.go
@@ -48,10 +48,10 @@
 // is worked on once at most, is never told as unreached where it was worked on, and each
 // answer is that of its own call.
 func TestFaultAtEveryByteOfAFrame(t *testing.T) {
-	for _, trouble := range faultrelay.Troubles() {
+	for _, trouble := range faultrelay.Faults() {
 		for i := 0; i < 2*frameLength; i++ {
-			struck := faultrelay.Strike{Trouble: trouble, Answer: i >= frameLength, At: i % frameLength}
-			t.Run(fmt.Sprint(trouble, struck.Answer, struck.At), func(t *testing.T) {
+			struck := faultrelay.Strike{Fault: trouble, Response: i >= frameLength, At: i % frameLength}
+			t.Run(fmt.Sprint(trouble, struck.Response, struck.At), func(t *testing.T) {
 				t.Parallel()
 				playFrames(t, struck)
 			})
--- a/internal/tooling/faultrelay/faultrelay.go
+++ b/internal/tooling/faultrelay/faultrelay.go
@@ -1,5 +1,5 @@
 // Package faultrelay is a TCP relay for tests that strikes one connection at one byte:
-// it cuts, resets, silences, holds back or doubles what passes.
+// it closes, resets, drops, holds back or doubles what passes.
 package faultrelay
 
 import (
@@ -7,16 +7,16 @@
 	"sync"
 )
 
-// Trouble is what befalls a connection.
-type Trouble int
+// Fault is a fault of a connection.
+type Fault int
 
-// The troubles.
+// The faults.
 const (
-	// Cut closes both ends in order, and Reset with a reset.
-	Cut Trouble = iota
+	// Close closes both ends in order, and Reset with a reset.
+	Close Fault = iota
 	Reset
-	// Silence passes nothing on any more.
-	Silence
+	// Drop forwards nothing any more.
+	Drop
 	// Freeze holds the bytes back until the relay is thawed.
 	Freeze
 	// Double delivers the bytes so far once more, behind what came with them.
@@ -27,31 +27,31 @@
 
 var names = [...]string{"cut", "reset", "silence", "freeze", "double", "restart"}
 
-// String gives the name of a trouble.
-func (t Trouble) String() string { return names[t] }
+// String gives the name of a fault.
+func (t Fault) String() string { return names[t] }
 
-// Troubles lists all of them.
-func Troubles() []Trouble { return []Trouble{Cut, Reset, Silence, Freeze, Double, Restart} }
+// Faults lists all of them.
+func Faults() []Fault { return []Fault{Close, Reset, Drop, Freeze, Double, Restart} }
 
 // Strike says what happens once so many bytes have passed in one direction.
 type Strike struct {
-	Trouble Trouble
-	// Answer tells that the bytes are those that come back to the caller.
-	Answer bool
-	At     int
+	Fault Fault
+	// Response tells that the bytes are those that come back to the caller.
+	Response bool
+	At       int
 }
 
 // Relay stands between callers and a server and strikes once, at one byte.
 type Relay struct {
-	listener net.Listener
-	target   string
-	lock     sync.Mutex
-	armed    *Strike
-	passed   [2]int
-	kept     []byte
-	thawed   chan struct{}
-	ended    chan struct{}
-	open     []net.Conn
+	listener  net.Listener
+	target    string
+	lock      sync.Mutex
+	armed     *Strike
+	forwarded [2]int
+	frozen    []byte
+	thawed    chan struct{}
+	ended     chan struct{}
+	open      []net.Conn
 	// over tells that End has closed what is open: what is accepted later closes at once.
 	over  bool
 	pumps sync.WaitGroup
@@ -63,10 +63,10 @@
 	if err != nil {
 		return nil, err
 	}
-	one := &Relay{listener: listener, target: target, thawed: make(chan struct{}), ended: make(chan struct{})}
-	one.pumps.Add(1)
-	go one.accept()
-	return one, nil
+	relay := &Relay{listener: listener, target: target, thawed: make(chan struct{}), ended: make(chan struct{})}
+	relay.pumps.Add(1)
+	go relay.accept()
+	return relay, nil
 }
 
 // Address is where callers connect.
@@ -100,27 +100,27 @@
 func (r *Relay) Arm(next *Strike) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.armed, r.passed, r.kept = next, [2]int{}, nil
+	r.armed, r.forwarded, r.frozen = next, [2]int{}, nil
 }
 
 // Counts tells how many bytes passed in each direction since the relay was armed.
-func (r *Relay) Counts() (request, answer int) {
+func (r *Relay) Counts() (request, response int) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	return r.passed[0], r.passed[1]
+	return r.forwarded[0], r.forwarded[1]
 }
 
 // due gives the strike, once, and how much of the bytes passes before it.
 func (r *Relay) due(direction int, bytes []byte) (*Strike, int) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	before := r.passed[direction]
-	r.passed[direction] += len(bytes)
-	if r.armed == nil || r.armed.Answer != (direction == 1) {
+	before := r.forwarded[direction]
+	r.forwarded[direction] += len(bytes)
+	if r.armed == nil || r.armed.Response != (direction == 1) {
 		return nil, 0
 	}
-	r.kept = append(r.kept, bytes...)
-	if r.passed[direction] < r.armed.At {
+	r.frozen = append(r.frozen, bytes...)
+	if r.forwarded[direction] < r.armed.At {
 		return nil, 0
 	}
 	struck := r.armed
@@ -150,14 +150,14 @@
 
 // befall plays a strike; false ends the pump.
 func (r *Relay) befall(struck *Strike, from, to net.Conn, bytes []byte, allowed int) bool {
-	if struck.Trouble == Double {
+	if struck.Fault == Double {
 		_, _ = to.Write(bytes)
-		_, _ = to.Write(r.kept[:struck.At])
+		_, _ = to.Write(r.frozen[:struck.At])
 		return true
 	}
 	_, _ = to.Write(bytes[:allowed])
-	switch struck.Trouble {
-	case Silence:
+	switch struck.Fault {
+	case Drop:
 		<-r.ended
 	case Freeze:
 		select {
--- a/internal/tooling/fleetshell/fleet.go
+++ b/internal/tooling/fleetshell/fleet.go
@@ -27,73 +27,73 @@
 // fleet gives every process: most know a part of the fleet only, controllers know all. One
 // is asked for the zones, and then for the processes of each zone, since an answer is
 // bounded. What the seed knows is used where no controller answers.
-func (s *Shell) fleet(seen *messages.StatusResponse) []process {
+func (s *Shell) fleet(known *messages.StatusResponse) []process {
 	found := map[string]process{}
-	for _, one := range processesOf(seen) {
-		found[one.key] = one
+	for _, entry := range processesOf(known) {
+		found[entry.key] = entry
 	}
-	for _, one := range processesOf(seen) {
+	for _, entry := range processesOf(known) {
 		zones := &messages.StatusResponse{}
-		if one.role != membership.RoleController || s.put(one.address, &messages.StatusRequest{Query: "zones"}, zones) != nil {
+		if entry.role != membership.RoleController || s.call(entry.address, &messages.StatusRequest{Query: "zones"}, zones) != nil {
 			continue
 		}
-		whole := true
+		complete := true
 		for _, row := range zones.Rows {
 			part := &messages.StatusResponse{}
-			if s.put(one.address, &messages.StatusRequest{Query: "nodes", Zone: row[0]}, part) != nil {
-				whole = false
+			if s.call(entry.address, &messages.StatusRequest{Query: "nodes", Zone: row[0]}, part) != nil {
+				complete = false
 				break
 			}
 			for _, other := range processesOf(part) {
 				found[other.key] = other
 			}
 		}
-		if whole && len(zones.Rows) > 0 {
+		if complete && len(zones.Rows) > 0 {
 			break
 		}
 	}
 	var all []process
-	for _, one := range found {
-		all = append(all, one)
+	for _, entry := range found {
+		all = append(all, entry)
 	}
 	sort.Slice(all, func(left, right int) bool { return all[left].key < all[right].key })
 	return all
 }
 
-func (s *Shell) put(address string, question *messages.StatusRequest, answer *messages.StatusResponse) error {
-	return transport.Call(s.Transport, address, messages.KindStatus, question, answer, s.Limit)
+func (s *Shell) call(address string, req *messages.StatusRequest, resp *messages.StatusResponse) error {
+	return transport.Call(s.Transport, address, messages.KindStatus, req, resp, s.Limit)
 }
 
-// askZones puts a query to the processes of the roles, one zone after the other, so
+// queryZones puts a query to the processes of the roles, one zone after the other, so
 // that a large fleet does not answer all at once.
-func (s *Shell) askZones(fleet []process, query string, roles []string) []Answer {
-	var answers []Answer
-	zones, places := map[string][]int{}, []string{}
+func (s *Shell) queryZones(fleet []process, query string, roles []string) []Response {
+	var responses []Response
+	zones, names := map[string][]int{}, []string{}
 	addresses := []string{}
-	for _, one := range fleet {
+	for _, entry := range fleet {
 		for _, role := range roles {
-			if one.role != role {
+			if entry.role != role {
 				continue
 			}
-			if zones[one.zone] == nil {
-				places = append(places, one.zone)
+			if zones[entry.zone] == nil {
+				names = append(names, entry.zone)
 			}
-			zones[one.zone] = append(zones[one.zone], len(answers))
-			answers, addresses = append(answers, Answer{Process: one.key}), append(addresses, one.address)
+			zones[entry.zone] = append(zones[entry.zone], len(responses))
+			responses, addresses = append(responses, Response{Process: entry.key}), append(addresses, entry.address)
 		}
 	}
-	sort.Strings(places)
-	for _, zone := range places {
+	sort.Strings(names)
+	for _, zone := range names {
 		var group sync.WaitGroup
-		for _, place := range zones[zone] {
+		for _, i := range zones[zone] {
 			group.Add(1)
 			go func() {
 				defer group.Done()
-				one := &answers[place]
-				one.Silent = s.put(addresses[place], &messages.StatusRequest{Query: query}, &one.Status) != nil
+				resp := &responses[i]
+				resp.TimedOut = s.call(addresses[i], &messages.StatusRequest{Query: query}, &resp.Status) != nil
 			}()
 		}
 		group.Wait()
 	}
-	return answers
+	return responses
 }
--- a/internal/tooling/fleetshell/fleet_test.go
+++ b/internal/tooling/fleetshell/fleet_test.go
@@ -11,30 +11,30 @@
 
 // A seed that knows few leads to a controller, which names all, zone by zone; a controller
 // that is silent is passed over.
-func TestAllAreAskedThroughAController(t *testing.T) {
-	room := transport.NewMemoryNetwork()
+func TestAllAreQueriedThroughAController(t *testing.T) {
+	network := transport.NewMemoryNetwork()
 	columns := []string{"process", "zone", "address"}
 	row := func(key, zone string) []string { return []string{key, zone, key + ":1"} }
 	zones := map[string][][]string{"a": {row("foreman/y", "a"), row("foreman/x", "a")}, "b": {}}
-	for place := 0; place < 150; place++ {
-		zone := []string{"a", "b"}[place%2]
-		zones[zone] = append(zones[zone], row(fmt.Sprint("forge/n", place), zone))
+	for i := 0; i < 150; i++ {
+		zone := []string{"a", "b"}[i%2]
+		zones[zone] = append(zones[zone], row(fmt.Sprint("forge/n", i), zone))
 	}
 	serve := func(name string) {
-		_ = room.Transport(name + ":1").Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
-			question, answer := &messages.StatusRequest{}, &messages.StatusResponse{Columns: []string{"what"}, Rows: [][]string{{"own"}}}
-			if err := transport.Decode(body, question); err != nil {
+		_ = network.Transport(name + ":1").Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
+			req, resp := &messages.StatusRequest{}, &messages.StatusResponse{Columns: []string{"what"}, Rows: [][]string{{"own"}}}
+			if err := transport.Decode(body, req); err != nil {
 				return nil, err
 			}
 			switch {
-			case question.Query == "zones":
-				answer = &messages.StatusResponse{Columns: []string{"zone", "processes"}, Rows: [][]string{{"a", "77"}, {"b", "75"}}}
-			case question.Query == "nodes" && question.Zone != "":
-				answer = &messages.StatusResponse{Columns: columns, Rows: zones[question.Zone]}
-			case question.Query == "nodes":
-				answer = &messages.StatusResponse{Columns: columns, Rows: [][]string{row("foreman/x", "a"), row("foreman/y", "a"), row("forge/n0", "a")}}
+			case req.Query == "zones":
+				resp = &messages.StatusResponse{Columns: []string{"zone", "processes"}, Rows: [][]string{{"a", "77"}, {"b", "75"}}}
+			case req.Query == "nodes" && req.Zone != "":
+				resp = &messages.StatusResponse{Columns: columns, Rows: zones[req.Zone]}
+			case req.Query == "nodes":
+				resp = &messages.StatusResponse{Columns: columns, Rows: [][]string{row("foreman/x", "a"), row("foreman/y", "a"), row("forge/n0", "a")}}
 			}
-			return transport.Encode(answer)
+			return transport.Encode(resp)
 		})
 	}
 	for _, list := range zones {
@@ -42,16 +42,16 @@
 			serve(one[0])
 		}
 	}
-	room.SetPartitioned("foreman/x:1", true)
-	shell, _ := New(room.Transport("shell"), "forge/n0:1", clock.Milliseconds(500))
-	answers, err := shell.Ask("config")
-	silent := 0
-	for _, one := range answers {
-		if one.Silent {
-			silent++
+	network.SetPartitioned("foreman/x:1", true)
+	shell, _ := New(network.Transport("shell"), "forge/n0:1", clock.Milliseconds(500))
+	responses, err := shell.Query("config")
+	timedOut := 0
+	for _, one := range responses {
+		if one.TimedOut {
+			timedOut++
 		}
 	}
-	if err != nil || len(answers) != 152 || silent != 1 {
-		t.Fatal(len(answers), silent, err)
+	if err != nil || len(responses) != 152 || timedOut != 1 {
+		t.Fatal(len(responses), timedOut, err)
 	}
 }
--- a/internal/tooling/fleetshell/fleetshell.go
+++ b/internal/tooling/fleetshell/fleetshell.go
@@ -66,11 +66,11 @@
 	return names
 }
 
-// Answer is what one process said.
-type Answer struct {
-	Process string
-	Silent  bool
-	Status  messages.StatusResponse
+// Response is what one process said.
+type Response struct {
+	Process  string
+	TimedOut bool
+	Status   messages.StatusResponse
 }
 
 // Shell asks over a transport.
@@ -89,8 +89,8 @@
 	return &Shell{Transport: carrier, Seed: seed, Limit: limit}, nil
 }
 
-// Ask puts one query to every process that answers it.
-func (s *Shell) Ask(query string) ([]Answer, error) {
+// Query puts one query to every process that answers it.
+func (s *Shell) Query(query string) ([]Response, error) {
 	if name, old := Aliases[query]; old {
 		query = name
 	}
@@ -98,16 +98,16 @@
 	if !found {
 		return nil, ErrInvalidCall.New("unknown query " + query + "; there are: " + strings.Join(QueryNames(), ", "))
 	}
-	seen := &messages.StatusResponse{}
-	err := transport.Call(s.Transport, s.Seed, messages.KindStatus, &messages.StatusRequest{Query: "nodes"}, seen, s.Limit)
+	nodes := &messages.StatusResponse{}
+	err := transport.Call(s.Transport, s.Seed, messages.KindStatus, &messages.StatusRequest{Query: "nodes"}, nodes, s.Limit)
 	if err != nil {
 		return nil, ErrNoFleet.Wrap(err, "seed "+s.Seed+" does not answer (its internal address is needed)")
 	}
 	if len(known.Roles) == 0 {
-		return named([]Answer{{Process: "seed", Status: *seen}}), nil
+		return named([]Response{{Process: "seed", Status: *nodes}}), nil
 	}
 	if known.Wire != "" {
 		query = known.Wire
 	}
-	return named(s.askZones(s.fleet(seen), query, known.Roles)), nil
+	return named(s.queryZones(s.fleet(nodes), query, known.Roles)), nil
 }
--- a/internal/tooling/fleetshell/names.go
+++ b/internal/tooling/fleetshell/names.go
@@ -7,17 +7,17 @@
 )
 
 // named puts the names of programs in the place of the roles' words on the wire.
-func named(answers []Answer) []Answer {
-	for place := range answers {
-		answer := &answers[place]
-		answer.Process = processName(answer.Process)
-		for _, row := range answer.Status.Rows {
+func named(responses []Response) []Response {
+	for i := range responses {
+		resp := &responses[i]
+		resp.Process = processName(resp.Process)
+		for _, row := range resp.Status.Rows {
 			for column := range row {
 				row[column] = processName(row[column])
 			}
 		}
 	}
-	return answers
+	return responses
 }
 
 // processName gives the name of a process, role/machine, for people. Anything else stays
--- a/internal/tooling/fleetshell/show.go
+++ b/internal/tooling/fleetshell/show.go
@@ -9,52 +9,52 @@
 )
 
 // Table writes answers for people: a table for each set of columns.
-func Table(writer io.Writer, answers []Answer) {
-	var silent []string
+func Table(writer io.Writer, responses []Response) {
+	var timedOut []string
 	table := tabwriter.NewWriter(writer, 0, 4, 2, ' ', 0)
 	last := ""
-	for _, answer := range answers {
-		if answer.Silent {
-			silent = append(silent, answer.Process)
+	for _, resp := range responses {
+		if resp.TimedOut {
+			timedOut = append(timedOut, resp.Process)
 			continue
 		}
-		if columns := strings.Join(answer.Status.Columns, "\t"); columns != "" && columns != last && len(answer.Status.Rows) > 0 {
+		if columns := strings.Join(resp.Status.Columns, "\t"); columns != "" && columns != last && len(resp.Status.Rows) > 0 {
 			fmt.Fprintln(table, "from\t"+columns)
 			last = columns
 		}
-		for _, row := range answer.Status.Rows {
-			fmt.Fprintln(table, answer.Process+"\t"+strings.Join(row, "\t"))
+		for _, row := range resp.Status.Rows {
+			fmt.Fprintln(table, resp.Process+"\t"+strings.Join(row, "\t"))
 		}
 	}
 	_ = table.Flush()
-	for _, process := range silent {
+	for _, process := range timedOut {
 		fmt.Fprintln(writer, process+"  SILENT (no answer in time)")
 	}
-	if last == "" && len(silent) == 0 {
+	if last == "" && len(timedOut) == 0 {
 		fmt.Fprintln(writer, "(nothing to show)")
 	}
 }
 
 // JSON writes answers for tools: one object for each process.
-func JSON(writer io.Writer, answers []Answer) error {
+func JSON(writer io.Writer, responses []Response) error {
 	type line struct {
 		Process string              `json:"process"`
 		Silent  bool                `json:"silent"`
 		Rows    []map[string]string `json:"rows"`
 	}
 	lines := []line{}
-	for _, answer := range answers {
-		one := line{Process: answer.Process, Silent: answer.Silent, Rows: []map[string]string{}}
-		for _, row := range answer.Status.Rows {
+	for _, resp := range responses {
+		object := line{Process: resp.Process, Silent: resp.TimedOut, Rows: []map[string]string{}}
+		for _, row := range resp.Status.Rows {
 			cells := map[string]string{}
-			for place, value := range row {
-				if place < len(answer.Status.Columns) {
-					cells[answer.Status.Columns[place]] = value
+			for i, value := range row {
+				if i < len(resp.Status.Columns) {
+					cells[resp.Status.Columns[i]] = value
 				}
 			}
-			one.Rows = append(one.Rows, cells)
+			object.Rows = append(object.Rows, cells)
 		}
-		lines = append(lines, one)
+		lines = append(lines, object)
 	}
 	encoder := json.NewEncoder(writer)
 	encoder.SetIndent("", "  ")
--- a/internal/tooling/linearize/faults.go
+++ b/internal/tooling/linearize/faults.go
@@ -44,8 +44,8 @@
 func (f *Fleet) cut(victim *controller, to, from bool) {
 	set := func(cut bool) {
 		for _, name := range f.names {
-			f.world.Cut(name, victim.name, cut && to)
-			f.world.Cut(victim.name, name, cut && from)
+			f.world.SetPartitioned(name, victim.name, cut && to)
+			f.world.SetPartitioned(victim.name, name, cut && from)
 		}
 	}
 	set(true)
--- a/internal/tooling/simulation/disk.go
+++ b/internal/tooling/simulation/disk.go
@@ -42,8 +42,8 @@
 	// unsynced holds, for each name that changed since the last sync of the folder,
 	// what it stood for one after the other; the first of them lasts.
 	unsynced map[string][]*content
-	// Room is how many more bytes fit; below zero means no bound.
-	Room int
+	// Free is how many more bytes fit; below zero means no bound.
+	Free int
 	// Syncs counts the syncs of files.
 	Syncs int
 	// Intercept, where set, hears of each operation before it is done. Its error
@@ -53,7 +53,7 @@
 
 // NewDisk makes an empty disk.
 func NewDisk(seed int64) *Disk {
-	disk := &Disk{random: rand.New(rand.NewSource(seed)), Room: -1}
+	disk := &Disk{random: rand.New(rand.NewSource(seed)), Free: -1}
 	disk.Wipe()
 	return disk
 }
@@ -73,11 +73,11 @@
 	allLost := d.random.Intn(4) == 0
 	for _, name := range Keys(d.unsynced) {
 		choices := d.unsynced[name]
-		kept := 0
+		lasting := 0
 		if !allLost {
-			kept = d.random.Intn(len(choices))
+			lasting = d.random.Intn(len(choices))
 		}
-		d.set(name, choices[kept])
+		d.set(name, choices[lasting])
 	}
 	d.unsynced = map[string][]*content{}
 	for _, name := range Keys(d.names) {
@@ -91,7 +91,7 @@
 	defer d.lock.Unlock()
 	file := d.names[name]
 	file.text[offset] ^= 0xff
-	file.settle()
+	file.sync()
 }
 
 // Names gives the names of the files there are.
--- a/internal/tooling/simulation/file.go
+++ b/internal/tooling/simulation/file.go
@@ -5,8 +5,8 @@
 	"math/rand"
 )
 
-// tornPiece is how many bytes of a torn write are there or not there together.
-const tornPiece = 16
+// tornBytes is how many bytes of a torn write are there or not there together.
+const tornBytes = 16
 
 // write is a change of a file that no sync has covered: bytes at an offset, or a
 // new length where truncate is set.
@@ -23,8 +23,8 @@
 	writes []write
 }
 
-// settle makes all of it last.
-func (c *content) settle() {
+// sync makes all of it last.
+func (c *content) sync() {
 	c.synced = append([]byte(nil), c.text...)
 	c.writes = nil
 }
@@ -32,49 +32,49 @@
 // powerLoss decides of each unsynced change whether it is there, missing or torn.
 func (c *content) powerLoss(random *rand.Rand, allLost bool) {
 	c.text = append([]byte(nil), c.synced...)
-	for _, one := range c.writes {
+	for _, item := range c.writes {
 		if allLost {
 			break
 		}
 		switch random.Intn(3) {
 		case 0:
-			c.apply(one)
+			c.apply(item)
 		case 1:
-			c.applyTorn(one, random)
+			c.applyTorn(item, random)
 		}
 	}
-	c.settle()
+	c.sync()
 }
 
-func (c *content) apply(one write) {
-	if one.truncate {
-		c.resize(one.offset)
+func (c *content) apply(item write) {
+	if item.truncate {
+		c.resize(item.offset)
 		return
 	}
-	if end := one.offset + len(one.text); end > len(c.text) {
+	if end := item.offset + len(item.text); end > len(c.text) {
 		c.resize(end)
 	}
-	copy(c.text[one.offset:], one.text)
+	copy(c.text[item.offset:], item.text)
 }
 
 // applyTorn applies a beginning of a write, or pieces from anywhere in it; what is
 // missing between them reads as zeros.
-func (c *content) applyTorn(one write, random *rand.Rand) {
-	if one.truncate || len(one.text) == 0 {
+func (c *content) applyTorn(item write, random *rand.Rand) {
+	if item.truncate || len(item.text) == 0 {
 		return
 	}
 	if random.Intn(2) == 0 {
-		one.text = append([]byte(nil), one.text[:random.Intn(len(one.text))]...)
-		if len(one.text) > 0 && random.Intn(2) == 0 {
-			one.text[len(one.text)-1] ^= 0x5a
+		item.text = append([]byte(nil), item.text[:random.Intn(len(item.text))]...)
+		if len(item.text) > 0 && random.Intn(2) == 0 {
+			item.text[len(item.text)-1] ^= 0x5a
 		}
-		c.apply(one)
+		c.apply(item)
 		return
 	}
-	for start := 0; start < len(one.text); start += tornPiece {
+	for start := 0; start < len(item.text); start += tornBytes {
 		if random.Intn(2) == 0 {
-			end := min(start+tornPiece, len(one.text))
-			c.apply(write{offset: one.offset + start, text: one.text[start:end]})
+			end := min(start+tornBytes, len(item.text))
+			c.apply(write{offset: item.offset + start, text: item.text[start:end]})
 		}
 	}
 }
@@ -103,11 +103,11 @@
 	if err != nil {
 		part = h.disk.random.Intn(len(text) + 1)
 	}
-	if room := h.disk.Room; room >= 0 {
-		if part > room {
-			part, err = room, ErrFull
+	if free := h.disk.Free; free >= 0 {
+		if part > free {
+			part, err = free, ErrFull
 		}
-		h.disk.Room -= part
+		h.disk.Free -= part
 	}
 	change := write{offset: len(h.file.text), text: append([]byte(nil), text[:part]...)}
 	h.file.apply(change)
@@ -115,6 +115,7 @@
 	return part, err
 }
 
+// ReadAt reads from an offset; io.EOF says that the file ends before.
 func (h *handle) ReadAt(into []byte, offset int64) (int, error) {
 	h.disk.lock.Lock()
 	defer h.disk.lock.Unlock()
@@ -128,6 +129,7 @@
 	return count, nil
 }
 
+// Sync makes what was written last.
 func (h *handle) Sync() error {
 	if err := h.disk.intercept(OperationSync, h.name); err != nil {
 		return err
@@ -135,10 +137,11 @@
 	h.disk.lock.Lock()
 	defer h.disk.lock.Unlock()
 	h.disk.Syncs++
-	h.file.settle()
+	h.file.sync()
 	return nil
 }
 
+// Truncate cuts the file where it is longer.
 func (h *handle) Truncate(size int64) error {
 	if err := h.disk.intercept(OperationTruncate, h.name); err != nil {
 		return err
@@ -151,10 +154,12 @@
 	return nil
 }
 
+// Size is the length in bytes.
 func (h *handle) Size() (int64, error) {
 	h.disk.lock.Lock()
 	defer h.disk.lock.Unlock()
 	return int64(len(h.file.text)), nil
 }
 
+// Close has nothing to do.
 func (h *handle) Close() error { return nil }
--- a/internal/tooling/simulation/seeds.go
+++ b/internal/tooling/simulation/seeds.go
@@ -24,7 +24,7 @@
 func PinRapid(few int) error {
 	flag.Parse()
 	given := map[string]bool{}
-	flag.Visit(func(one *flag.Flag) { given[one.Name] = true })
+	flag.Visit(func(item *flag.Flag) { given[item.Name] = true })
 	for name, value := range map[string]string{
 		"rapid.seed": "1", "rapid.checks": strconv.Itoa(Seeds(few)), "rapid.nofailfile": "true",
 	} {
--- a/internal/tooling/simulation/world.go
+++ b/internal/tooling/simulation/world.go
@@ -20,24 +20,29 @@
 
 type events []event
 
+// Len is how many events wait (heap.Interface).
 func (e events) Len() int { return len(e) }
+
+// Less orders events by instant, and those of one instant as they were added.
 func (e events) Less(left, right int) bool {
 	if e[left].at != e[right].at {
 		return e[left].at < e[right].at
 	}
 	return e[left].order < e[right].order
 }
+
+// Swap exchanges two.
 func (e events) Swap(left, right int) { e[left], e[right] = e[right], e[left] }
 
 // Push adds an event.
-func (e *events) Push(one any) { *e = append(*e, one.(event)) }
+func (e *events) Push(item any) { *e = append(*e, item.(event)) }
 
 // Pop takes the last.
 func (e *events) Pop() any {
 	old := *e
-	one := old[len(old)-1]
+	next := old[len(old)-1]
 	*e = old[:len(old)-1]
-	return one
+	return next
 }
 
 // World is a fake clock with a network that delays, loses, doubles and cuts.
@@ -48,13 +53,13 @@
 	order  int
 	// Loss and Double are chances for each message.
 	Loss, Double float64
-	cuts         map[string]bool
+	partitioned  map[string]bool
 	history      []string
 }
 
 // NewWorld makes a world whose history depends on its seed alone.
 func NewWorld(seed int64) *World {
-	return &World{Random: rand.New(rand.NewSource(seed)), cuts: map[string]bool{}}
+	return &World{Random: rand.New(rand.NewSource(seed)), partitioned: map[string]bool{}}
 }
 
 // After runs a function at a later moment.
@@ -63,14 +68,16 @@
 	heap.Push(&w.queue, event{w.Now.Add(span), w.order, function})
 }
 
-// Cut cuts one direction between two nodes, or joins it.
-func (w *World) Cut(from, to string, cut bool) { w.cuts[from+">"+to] = cut }
+// SetPartitioned cuts one direction between two nodes, or joins it.
+func (w *World) SetPartitioned(from, to string, partitioned bool) {
+	w.partitioned[from+">"+to] = partitioned
+}
 
 // Isolate cuts a node off in both directions, or joins it.
-func (w *World) Isolate(node string, others []string, cut bool) {
+func (w *World) Isolate(node string, others []string, partitioned bool) {
 	for _, other := range others {
-		w.Cut(node, other, cut)
-		w.Cut(other, node, cut)
+		w.SetPartitioned(node, other, partitioned)
+		w.SetPartitioned(other, node, partitioned)
 	}
 }
 
@@ -85,7 +92,7 @@
 	for ; copies > 0; copies-- {
 		delay := clock.Milliseconds(0.2 + 20*w.Random.Float64()*w.Random.Float64())
 		w.After(delay, func() {
-			if !w.cuts[from+">"+to] {
+			if !w.partitioned[from+">"+to] {
 				function()
 			}
 		})
@@ -95,9 +102,9 @@
 // Run plays events until a moment.
 func (w *World) Run(until clock.Instant) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
-		one := heap.Pop(&w.queue).(event)
-		w.Now = one.at
-		one.function()
+		next := heap.Pop(&w.queue).(event)
+		w.Now = next.at
+		next.function()
 	}
 	w.Now = until
 }
@@ -105,8 +112,8 @@
 // Forget drops every event that is still to come.
 func (w *World) Forget() { w.queue = nil }
 
-// Note writes a line of history.
-func (w *World) Note(format string, values ...any) {
+// Record writes a line of history.
+func (w *World) Record(format string, values ...any) {
 	w.history = append(w.history, fmt.Sprintf("%d ", w.Now)+fmt.Sprintf(format, values...))
 }
 
--- a/internal/traffic/gateway/jobcall_test.go
+++ b/internal/traffic/gateway/jobcall_test.go
@@ -61,10 +61,10 @@
 // never will be.
 func TestJobCallsAtEveryByte(t *testing.T) {
 	const step = 7
-	for _, trouble := range faultrelay.Troubles() {
+	for _, trouble := range faultrelay.Faults() {
 		for i := int(trouble) % step; i < 2*jobFrameLength; i += step {
-			struck := faultrelay.Strike{Trouble: trouble, Answer: i >= jobFrameLength, At: i % jobFrameLength}
-			t.Run(fmt.Sprint(trouble, struck.Answer, struck.At), func(t *testing.T) {
+			struck := faultrelay.Strike{Fault: trouble, Response: i >= jobFrameLength, At: i % jobFrameLength}
+			t.Run(fmt.Sprint(trouble, struck.Response, struck.At), func(t *testing.T) {
 				t.Parallel()
 				playJobCalls(t, struck)
 			})
--- a/internal/traffic/proxy/everybyte_test.go
+++ b/internal/traffic/proxy/everybyte_test.go
@@ -24,7 +24,7 @@
 }
 
 func (c *call) String() string {
-	return fmt.Sprintf("%s rested=%v %s answer=%v at=%d", c.path, c.rested, c.strike.Trouble, c.strike.Answer, c.strike.At)
+	return fmt.Sprintf("%s rested=%v %s answer=%v at=%d", c.path, c.rested, c.strike.Fault, c.strike.Response, c.strike.At)
 }
 
 // serveComplete answers every request completely, by the kind of its path.
@@ -112,11 +112,11 @@
 	struck := c.strike
 	stage.relays[0].Arm(&struck)
 	headers := map[string]string{headerAttempt: "probe"}
-	if struck.Trouble == faultrelay.Silence || struck.Trouble == faultrelay.Freeze {
+	if struck.Fault == faultrelay.Drop || struck.Fault == faultrelay.Freeze {
 		headers[headerTimeLeft] = "120"
 	}
 	resp, body, err := ask(t, stage.node, c.path, headers)
-	if struck.Trouble == faultrelay.Restart {
+	if struck.Fault == faultrelay.Restart {
 		stage.node.Close()
 		stage.start(t)
 	}
@@ -163,8 +163,8 @@
 
 // stepOf says which bytes are struck: every one by a cut or a reset of what may not be
 // repeated, and otherwise some.
-func stepOf(path string, trouble faultrelay.Trouble) int {
-	broken := trouble == faultrelay.Cut || trouble == faultrelay.Reset
+func stepOf(path string, fault faultrelay.Fault) int {
+	broken := fault == faultrelay.Close || fault == faultrelay.Reset
 	switch {
 	case os.Getenv(everyByte) != "", broken && path == "/once/x":
 		return 1
@@ -175,11 +175,11 @@
 }
 
 // restedAt says on which connections a byte is struck: both on demand, else by turns.
-func restedAt(i int, trouble faultrelay.Trouble) []bool {
+func restedAt(i int, fault faultrelay.Fault) []bool {
 	if os.Getenv(everyByte) != "" {
 		return []bool{false, true}
 	}
-	return []bool{(i+int(trouble))%2 == 0}
+	return []bool{(i+int(fault))%2 == 0}
 }
 
 // Whatever befalls the connection to the worker, at whichever byte of the request or of
@@ -190,16 +190,16 @@
 	var calls []call
 	for _, path := range []string{"/once/x", "/rigid/x", "/safe/x", "/stream/x"} {
 		requestLength, answerLength := lengths(t, path)
-		for _, trouble := range faultrelay.Troubles() {
-			for i := 0; i < requestLength+answerLength; i += stepOf(path, trouble) {
-				struck := faultrelay.Strike{Trouble: trouble, At: i}
+		for _, fault := range faultrelay.Faults() {
+			for i := 0; i < requestLength+answerLength; i += stepOf(path, fault) {
+				struck := faultrelay.Strike{Fault: fault, At: i}
 				if i >= requestLength {
-					struck.Answer, struck.At = true, i-requestLength
-				} else if trouble == faultrelay.Double {
+					struck.Response, struck.At = true, i-requestLength
+				} else if fault == faultrelay.Double {
 					// A network does not send the bytes of a connection twice to a worker.
 					continue
 				}
-				for _, rested := range restedAt(i, trouble) {
+				for _, rested := range restedAt(i, fault) {
 					calls = append(calls, call{path, rested, struck})
 				}
 			}
--- a/internal/traffic/proxy/match_test.go
+++ b/internal/traffic/proxy/match_test.go
@@ -36,7 +36,7 @@
 	t.Run("cases", func(t *testing.T) {
 		for name, stale := range staleAnswers {
 			for _, path := range []string{"/once/x", "/rigid/x", "/safe/x", "/stream/x"} {
-				for found := len(stale); found > 0; found -= min(stepOf(path, faultrelay.Silence), 11) {
+				for found := len(stale); found > 0; found -= min(stepOf(path, faultrelay.Drop), 11) {
 					t.Run(fmt.Sprint(name, path, found), func(t *testing.T) {
 						t.Parallel()
 						played.Add(1)
