--- a/internal/batch/store/share_callers_test.go
+++ b/internal/batch/store/share_callers_test.go
@@ -20,15 +20,15 @@
 // handedIn records a submission; told notes the 202.
 func (s *shareCluster) handedIn(id string) (acknowledged func()) {
 	s.callers.count++
-	operation := s.callers.history.Begin(s.callers.count, linearize.LotCall{Kind: linearize.LotHandIn, Lot: id},
-		linearize.LotReply{}, int64(s.world.Now))
-	return func() { operation.End(linearize.LotReply{Outcome: linearize.LotDone}, int64(s.world.Now)) }
+	operation := s.callers.history.Begin(s.callers.count, linearize.JobCall{Kind: linearize.JobSubmit, Lot: id},
+		linearize.JobReply{}, int64(s.world.Now))
+	return func() { operation.End(linearize.JobReply{Outcome: linearize.JobDone}, int64(s.world.Now)) }
 }
 
 // answered records a call that has its answer.
-func (s *shareCluster) answered(call linearize.LotCall, reply linearize.LotReply, start clock.Instant) {
+func (s *shareCluster) answered(call linearize.JobCall, reply linearize.JobReply, start clock.Instant) {
 	s.callers.count++
-	operation := s.callers.history.Begin(s.callers.count, call, linearize.LotReply{}, int64(start))
+	operation := s.callers.history.Begin(s.callers.count, call, linearize.JobReply{}, int64(start))
 	operation.End(reply, int64(s.world.Now))
 }
 
@@ -39,7 +39,7 @@
 	if s.number == 0 {
 		return
 	}
-	call := linearize.LotCall{Kind: linearize.LotRead, Lot: fmt.Sprint("job", 1+random.Intn(s.number)), From: random.Intn(2)}
+	call := linearize.JobCall{Kind: linearize.JobRead, Lot: fmt.Sprint("job", 1+random.Intn(s.number)), From: random.Intn(2)}
 	start, resp := s.world.Now, clock.Milliseconds(40*random.Float64())
 	s.world.After(clock.Milliseconds(40*random.Float64()), func() {
 		leader := s.leader
@@ -52,12 +52,12 @@
 }
 
 // page is what a leader that serves says of a job.
-func (s *shareCluster) page(leader *simLeader, call linearize.LotCall) linearize.LotReply {
+func (s *shareCluster) page(leader *simLeader, call linearize.JobCall) linearize.JobReply {
 	job := leader.jobs.Job(call.Lot)
 	if job == nil {
-		return linearize.LotReply{Outcome: linearize.LotMissing}
+		return linearize.JobReply{Outcome: linearize.JobMissing}
 	}
-	reply := linearize.LotReply{Outcome: linearize.LotDone}
+	reply := linearize.JobReply{Outcome: linearize.JobDone}
 	for _, listing := range job.Listings[min(call.From, len(job.Listings)):] {
 		reply.Results = append(reply.Results, fmt.Sprint(listing.Item, " ", listing.Abandoned, " ", s.textOf(leader, listing)))
 	}
@@ -78,7 +78,7 @@
 
 // checkCalls tells whether one order of all calls explains what clients saw.
 func (s *shareCluster) checkCalls(seed int64) {
-	if err := s.callers.history.Check(linearize.LotsModel(), time.Minute); err != nil {
+	if err := s.callers.history.Check(linearize.JobsModel(), time.Minute); err != nil {
 		s.test.Fatalf("seed %d: %v", seed, err)
 	}
 }
--- a/internal/batch/store/share_sim_test.go
+++ b/internal/batch/store/share_sim_test.go
@@ -191,7 +191,7 @@
 	s.whenDurable(leader, index, 100, func() {
 		if _, known := s.endAcked[id]; !known {
 			s.endAcked[id] = s.world.Now
-			s.answered(linearize.LotCall{Kind: linearize.LotEnd, Lot: id}, linearize.LotReply{Outcome: linearize.LotDone}, start)
+			s.answered(linearize.JobCall{Kind: linearize.JobEnd, Lot: id}, linearize.JobReply{Outcome: linearize.JobDone}, start)
 		}
 	})
 }
--- a/internal/tooling/explore/explore.go
+++ b/internal/tooling/explore/explore.go
@@ -58,11 +58,11 @@
 
 // String gives the figures of an exploration on one line.
 func (r Result) String() string {
-	line := fmt.Sprintf("states=%d steps=%d depth=%d whole=%v", r.States, r.Steps, r.Depth, r.Whole)
+	text := fmt.Sprintf("states=%d steps=%d depth=%d whole=%v", r.States, r.Steps, r.Depth, r.Whole)
 	if r.Broken != nil {
-		line += fmt.Sprintf("\nbroken: %v after\n  %s", r.Broken, strings.Join(r.Trace, "\n  "))
+		text += fmt.Sprintf("\nbroken: %v after\n  %s", r.Broken, strings.Join(r.Trace, "\n  "))
 	}
-	return line
+	return text
 }
 
 const (
@@ -96,14 +96,14 @@
 // Run explores all histories from a state up to a depth. It stops at the first state
 // that breaks an invariant. Next is called on several states at once.
 func Run(start State, depth int) Result {
-	one := &walk{seen: map[key]bool{}}
-	level := one.meet(nil, &found{key: keyOf(start), state: start, name: "start", parent: -1, broken: start.Check()})
-	for ; len(level) > 0 && one.result.Depth < depth && one.result.Broken == nil; one.result.Depth++ {
-		level = one.follow(level)
+	entry := &walk{seen: map[key]bool{}}
+	level := entry.meet(nil, &found{key: keyOf(start), state: start, name: "start", parent: -1, broken: start.Check()})
+	for ; len(level) > 0 && entry.result.Depth < depth && entry.result.Broken == nil; entry.result.Depth++ {
+		level = entry.follow(level)
 	}
-	one.result.States = len(one.visits)
-	one.result.Whole = len(level) == 0
-	return one.result
+	entry.result.States = len(entry.visits)
+	entry.result.Whole = len(level) == 0
+	return entry.result
 }
 
 // found is a state that one step led to, before it is known to be new.
@@ -139,11 +139,11 @@
 	var group sync.WaitGroup
 	for worker := range workers {
 		group.Go(func() {
-			for place := worker; place < len(batch); place += workers {
-				steps := batch[place].state.Next()
+			for i := worker; i < len(batch); i += workers {
+				steps := batch[i].state.Next()
 				counts[worker] += len(steps)
-				lists[place] = w.unmet(steps, batch[place].place)
-				batch[place].state = nil
+				lists[i] = w.unmet(steps, batch[i].place)
+				batch[i].state = nil
 			}
 		})
 	}
@@ -176,18 +176,18 @@
 		return level
 	}
 	w.seen[fresh.key] = true
-	place := int32(len(w.visits))
+	i := int32(len(w.visits))
 	w.visits = append(w.visits, visit{parent: fresh.parent, name: fresh.name})
 	if fresh.broken != nil && w.result.Broken == nil {
-		w.result.Broken, w.result.Trace = fresh.broken, w.trace(place)
+		w.result.Broken, w.result.Trace = fresh.broken, w.trace(i)
 	}
-	return append(level, open{state: fresh.state, place: place})
+	return append(level, open{state: fresh.state, place: i})
 }
 
-func (w *walk) trace(place int32) []string {
+func (w *walk) trace(i int32) []string {
 	var names []string
-	for ; place >= 0; place = w.visits[place].parent {
-		names = append([]string{w.visits[place].name}, names...)
+	for ; i >= 0; i = w.visits[i].parent {
+		names = append([]string{w.visits[i].name}, names...)
 	}
 	return names
 }
--- a/internal/tooling/explore/explore_test.go
+++ b/internal/tooling/explore/explore_test.go
@@ -51,9 +51,9 @@
 func explore(t *testing.T, list []exploration) {
 	t.Helper()
 
-	for _, one := range list {
-		t.Run(one.name, func(t *testing.T) {
-			result := Run(NewFleet(one.plan), Depth(one.depth))
+	for _, entry := range list {
+		t.Run(entry.name, func(t *testing.T) {
+			result := Run(NewFleet(entry.plan), Depth(entry.depth))
 			t.Log(result)
 			if result.Broken != nil {
 				t.Fail()
@@ -64,7 +64,7 @@
 
 // Each guard of the register, taken out, is missed within the depth of CI.
 func TestGuardsTakenOut(t *testing.T) {
-	for _, one := range []struct {
+	for _, entry := range []struct {
 		name string
 		plan Plan
 	}{
@@ -72,8 +72,8 @@
 		{"accepted values are ignored", twoWriters.with(func(plan *Plan) { plan.IgnoreAccepted = true })},
 		{"the old set is let go at once", replacement.with(func(plan *Plan) { plan.SettleAtOnce = true })},
 	} {
-		t.Run(one.name, func(t *testing.T) {
-			result := Run(NewFleet(one.plan), 12)
+		t.Run(entry.name, func(t *testing.T) {
+			result := Run(NewFleet(entry.plan), 12)
 			t.Log(result)
 			if result.Broken == nil {
 				t.Fatal("the exploration finds nothing wrong")
--- a/internal/tooling/explore/faults.go
+++ b/internal/tooling/explore/faults.go
@@ -24,19 +24,19 @@
 
 // wipe takes a machine's disk: it comes back empty, under a new identity, and knows
 // only the sets that others tell it.
-func (f *fleet) wipe(place int) *fleet {
+func (f *fleet) wipe(i int) *fleet {
 	next := f.clone()
 	next.wipes--
-	at := &next.processes[place]
+	at := &next.processes[i]
 	at.promised, at.accepted, at.value = messages.Ballot{}, messages.Ballot{}, none
 	if !f.plan.KeepIdentity {
 		at.disk += "'"
 		at.first = nil
 	}
-	next.restarted(place)
+	next.restarted(i)
 	for other := range next.processes {
-		if other != place {
-			next.learn(place, next.table.at(next.processes[other].known))
+		if other != i {
+			next.learn(i, next.table.at(next.processes[other].known))
 		}
 	}
 	next.tidy()
@@ -44,16 +44,16 @@
 }
 
 // restart begins a process's next life with its disk.
-func (f *fleet) restart(place int) *fleet {
+func (f *fleet) restart(i int) *fleet {
 	next := f.clone()
 	next.restarts--
-	next.restarted(place)
+	next.restarted(i)
 	next.tidy()
 	return next
 }
 
-func (f *fleet) restarted(place int) {
-	at := &f.processes[place]
+func (f *fleet) restarted(i int) {
+	at := &f.processes[i]
 	if at.proposer != nil {
 		run := *at.proposer
 		run.life++
--- a/internal/tooling/explore/fleet.go
+++ b/internal/tooling/explore/fleet.go
@@ -112,31 +112,31 @@
 
 // NewFleet gives the first state of a plan's model.
 func NewFleet(plan Plan) State {
-	one := &fleet{plan: &plan, table: newValues(), wipes: plan.Wipes, restarts: plan.Restarts, doubles: plan.Doubles}
+	entry := &fleet{plan: &plan, table: newValues(), wipes: plan.Wipes, restarts: plan.Restarts, doubles: plan.Doubles}
 	var first []messages.Member
 	for _, name := range plan.Members {
 		first = append(first, messages.Member{Name: name, Address: name, Disk: "1"})
 	}
-	initial := one.table.id(&messages.RegisterValue{Acceptors: first})
+	initial := entry.table.id(&messages.RegisterValue{Acceptors: first})
 	for _, name := range plan.Members {
-		one.processes = append(one.processes, process{name: name, disk: "1", first: first, value: none, known: initial})
+		entry.processes = append(entry.processes, process{name: name, disk: "1", first: first, value: none, known: initial})
 	}
 	for _, name := range plan.Outsiders {
-		one.processes = append(one.processes, process{name: name, disk: "1", value: none, known: initial})
+		entry.processes = append(entry.processes, process{name: name, disk: "1", value: none, known: initial})
 	}
 	for number, name := range plan.Writers {
-		one.processes[one.at(name)].proposer = &proposer{version: messages.Version{Generation: int64(number + 1), Hash: name}, settled: true}
+		entry.processes[entry.at(name)].proposer = &proposer{version: messages.Version{Generation: int64(number + 1), Hash: name}, settled: true}
 	}
 	for _, name := range plan.Tenders {
-		one.processes[one.at(name)].proposer = &proposer{settled: true}
+		entry.processes[entry.at(name)].proposer = &proposer{settled: true}
 	}
-	return one
+	return entry
 }
 
 func (f *fleet) at(name string) int {
-	for place := range f.processes {
-		if f.processes[place].name == name {
-			return place
+	for i := range f.processes {
+		if f.processes[i].name == name {
+			return i
 		}
 	}
 	panic("no such machine: " + name)
@@ -157,8 +157,8 @@
 }
 
 // acceptor gives the real acceptor with the process's record.
-func (f *fleet) acceptor(place int) *register.Acceptor {
-	at := &f.processes[place]
+func (f *fleet) acceptor(i int) *register.Acceptor {
+	at := &f.processes[i]
 	record := messages.AcceptorRecord{Disk: at.disk, First: at.first, Promised: at.promised, Accepted: at.accepted}
 	if at.value != none {
 		record.HasValue, record.Value = true, *f.table.at(at.value)
@@ -167,8 +167,8 @@
 }
 
 // keep takes over what the real acceptor has to have on disk.
-func (f *fleet) keep(place int, acceptor *register.Acceptor) {
-	at, record := &f.processes[place], acceptor.Record()
+func (f *fleet) keep(i int, acceptor *register.Acceptor) {
+	at, record := &f.processes[i], acceptor.Record()
 	at.promised, at.accepted = record.Promised, record.Accepted
 	if record.HasValue {
 		at.value = f.table.id(&record.Value)
@@ -176,10 +176,10 @@
 }
 
 // learn takes the sets of a value that a process has met.
-func (f *fleet) learn(place int, value *messages.RegisterValue) {
-	known := f.table.at(f.processes[place].known)
+func (f *fleet) learn(i int, value *messages.RegisterValue) {
+	known := f.table.at(f.processes[i].known)
 	if len(value.Acceptors) > 0 && (value.SetEpoch >= known.SetEpoch || len(known.Acceptors) == 0) {
 		sets := setsOnly(value)
-		f.processes[place].known = f.table.id(&sets)
+		f.processes[i].known = f.table.id(&sets)
 	}
 }
--- a/internal/tooling/explore/invariants.go
+++ b/internal/tooling/explore/invariants.go
@@ -11,7 +11,7 @@
 // vote notes that an acceptor accepted a value. Once that value is chosen by it, it
 // gives the acceptors that chose it.
 func (f *fleet) vote(ballot messages.Ballot, value valueID, by messages.Member) []messages.Member {
-	place, known := slices.BinarySearchFunc(f.votes, ballot, func(cast vote, sought messages.Ballot) int {
+	i, known := slices.BinarySearchFunc(f.votes, ballot, func(cast vote, sought messages.Ballot) int {
 		if cast.ballot == sought {
 			return 0
 		}
@@ -21,9 +21,9 @@
 		return 1
 	})
 	if !known {
-		f.votes = slices.Insert(f.votes, place, vote{ballot: ballot, value: value})
+		f.votes = slices.Insert(f.votes, i, vote{ballot: ballot, value: value})
 	}
-	cast := &f.votes[place]
+	cast := &f.votes[i]
 	if cast.value != value {
 		f.broken = fmt.Errorf("two values under ballot %v", ballot)
 		return nil
@@ -89,8 +89,8 @@
 // newest is the highest generation used so far.
 func (f *fleet) newest() int64 {
 	var newest int64
-	for place := range f.processes {
-		if run := f.processes[place].proposer; run != nil {
+	for i := range f.processes {
+		if run := f.processes[i].proposer; run != nil {
 			newest = max(newest, run.version.Generation)
 		}
 	}
@@ -128,9 +128,9 @@
 	if f.missable(cast, f.table.at(cast.value)) {
 		return fmt.Errorf("a majority does not know of the chosen %s", f.brief(cast))
 	}
-	for place := range f.processes {
-		if known := f.table.at(f.processes[place].known); f.missable(cast, known) {
-			return fmt.Errorf("%s, which knows the sets of epoch %d, can miss the chosen %s", f.processes[place].name, known.SetEpoch, f.brief(cast))
+	for i := range f.processes {
+		if known := f.table.at(f.processes[i].known); f.missable(cast, known) {
+			return fmt.Errorf("%s, which knows the sets of epoch %d, can miss the chosen %s", f.processes[i].name, known.SetEpoch, f.brief(cast))
 		}
 	}
 	return nil
@@ -141,8 +141,8 @@
 // newer sets, make a quorum.
 func (f *fleet) missable(cast *vote, sets *messages.RegisterValue) bool {
 	ignorant := map[string]bool{}
-	for place := range f.processes {
-		at := &f.processes[place]
+	for i := range f.processes {
+		at := &f.processes[i]
 		newer := at.value != none && f.table.at(at.value).SetEpoch > sets.SetEpoch
 		ignorant[register.Identity(at.member())] = !newer && register.Less(at.accepted, cast.ballot)
 	}
--- a/internal/tooling/explore/key.go
+++ b/internal/tooling/explore/key.go
@@ -12,8 +12,8 @@
 // requests under way.
 func (f *fleet) Key() []byte {
 	text := make([]byte, 0, 512)
-	for place := range f.processes {
-		text = f.processes[place].appendKey(text)
+	for i := range f.processes {
+		text = f.processes[i].appendKey(text)
 	}
 	keys := make([]string, 0, len(f.requests))
 	for index := range f.requests {
--- a/internal/tooling/explore/lease_test.go
+++ b/internal/tooling/explore/lease_test.go
@@ -8,7 +8,7 @@
 
 // Whatever is late, lost, doubled or out of order, and whoever restarts, at most one
 // hold stands, by steady clocks that run up to a tenth too slow or too fast.
-func TestOneHoldStands(t *testing.T) {
+func TestOneLeaseIsValid(t *testing.T) {
 	taken := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		for range leaseHistories {
@@ -20,21 +20,21 @@
 
 // playLease plays one history and tells how often the duty was taken in it.
 func playLease(rt *rapid.T) int {
-	one := newLeaseWorld(rt)
+	entry := newLeaseWorld(rt)
 	rt.Repeat(map[string]func(*rapid.T){
-		"":         one.check,
-		"advance":  one.advance,
-		"ask":      one.ask,
-		"exchange": one.exchange, "exchange 2": one.exchange, "exchange 3": one.exchange,
-		"deliver": one.deliver, "deliver 2": one.deliver,
-		"give up": one.giveUp, "give up 2": one.giveUp,
-		"restart": one.restart,
+		"":         entry.check,
+		"advance":  entry.advance,
+		"ask":      entry.ask,
+		"exchange": entry.exchange, "exchange 2": entry.exchange, "exchange 3": entry.exchange,
+		"deliver": entry.deliver, "deliver 2": entry.deliver,
+		"give up": entry.giveUp, "give up 2": entry.giveUp,
+		"restart": entry.restart,
 		"read": func(rt *rapid.T) {
-			one.nodes[drawNode(rt)].read = one.duty
+			entry.nodes[drawNode(rt)].read = entry.duty
 		},
 		"catch up": func(rt *rapid.T) {
-			one.nodes[drawNode(rt)].view = one.duty
+			entry.nodes[drawNode(rt)].view = entry.duty
 		},
 	})
-	return one.takeover
+	return entry.takeover
 }
--- a/internal/tooling/explore/leaseworld_test.go
+++ b/internal/tooling/explore/leaseworld_test.go
@@ -60,17 +60,17 @@
 }
 
 func newLeaseWorld(rt *rapid.T) *leaseWorld {
-	one := &leaseWorld{}
-	for place := range one.nodes {
+	entry := &leaseWorld{}
+	for i := range entry.nodes {
 		rate := rapid.Float64Range(slowest, fastest).Draw(rt, "rate")
-		one.nodes[place] = leaseNode{rate: rate, name: fmt.Sprint("n", place), life: 1, grants: lease.NewGrantor(0, true)}
+		entry.nodes[i] = leaseNode{rate: rate, name: fmt.Sprint("n", i), life: 1, grants: lease.NewGrantor(0, true)}
 	}
-	return one
+	return entry
 }
 
 // clock is the steady clock of a machine's process.
-func (l *leaseWorld) clock(place int) clock.Instant {
-	node := &l.nodes[place]
+func (l *leaseWorld) clock(i int) clock.Instant {
+	node := &l.nodes[i]
 	return clock.Instant(float64(l.now-node.begun) * node.rate)
 }
 
@@ -86,16 +86,16 @@
 
 // ask opens a round of the candidate: it renews what it holds, or seeks the duty.
 func (l *leaseWorld) ask(rt *rapid.T) {
-	place := drawNode(rt)
-	node := &l.nodes[place]
-	if node.term.Epoch > 0 && !node.hold.Valid(l.clock(place)) {
+	i := drawNode(rt)
+	node := &l.nodes[i]
+	if node.term.Epoch > 0 && !node.hold.Valid(l.clock(i)) {
 		node.term = messages.Leadership{}
 	}
-	question := messages.LeaseRequest{Candidate: node.name, Incarnation: node.life, Epoch: node.read.Epoch}
+	req := messages.LeaseRequest{Candidate: node.name, Incarnation: node.life, Epoch: node.read.Epoch}
 	if node.term.Epoch > 0 {
-		question.Epoch = node.term.Epoch
+		req.Epoch = node.term.Epoch
 	}
-	current := &round{from: place, question: question, asked: l.clock(place), renews: node.term.Epoch > 0, granted: map[int]bool{}}
+	current := &round{from: i, question: req, asked: l.clock(i), renews: node.term.Epoch > 0, granted: map[int]bool{}}
 	l.post(current)
 }
 
@@ -107,21 +107,21 @@
 	for target := range l.nodes {
 		l.send(fmt.Sprintf("%v to n%d", current.question, target), func(*rapid.T) {
 			acceptor := &l.nodes[target]
-			answer := acceptor.grants.Grant(current.question, acceptor.view, l.clock(target))
-			l.send(fmt.Sprintf("n%d answers %v: %v", target, current.question, answer), func(rt *rapid.T) {
-				l.hear(rt, current, target, answer)
+			resp := acceptor.grants.Grant(current.question, acceptor.view, l.clock(target))
+			l.send(fmt.Sprintf("n%d answers %v: %v", target, current.question, resp), func(rt *rapid.T) {
+				l.hear(rt, current, target, resp)
 			})
 		})
 	}
 }
 
-func (l *leaseWorld) hear(rt *rapid.T, current *round, from int, answer messages.LeaseResponse) {
+func (l *leaseWorld) hear(rt *rapid.T, current *round, from int, resp messages.LeaseResponse) {
 	node := &l.nodes[current.from]
 	if node.current != current || current.question.Release {
 		return
 	}
-	current.granted[from] = answer.Granted
-	current.latest = max(current.latest, answer.Epoch)
+	current.granted[from] = resp.Granted
+	current.latest = max(current.latest, resp.Epoch)
 	granted := 0
 	for _, yes := range current.granted {
 		if yes {
@@ -148,9 +148,9 @@
 func (l *leaseWorld) take(rt *rapid.T, node *leaseNode, current *round) {
 	l.duty = messages.Leadership{Holder: node.name, Incarnation: node.life, Epoch: l.duty.Epoch + 1}
 	without := rapid.IntRange(0, leaseNodes).Draw(rt, "not told")
-	for place := range l.nodes {
-		if place != without {
-			l.nodes[place].view = l.duty
+	for i := range l.nodes {
+		if i != without {
+			l.nodes[i].view = l.duty
 		}
 	}
 	node.term, node.read = l.duty, l.duty
@@ -159,28 +159,28 @@
 }
 
 // release gives back what was granted.
-func (l *leaseWorld) release(node *leaseNode, place int) {
+func (l *leaseWorld) release(node *leaseNode, i int) {
 	node.hold.Revoke()
 	node.term = messages.Leadership{}
-	l.post(&round{from: place, question: messages.LeaseRequest{Candidate: node.name, Incarnation: node.life, Epoch: node.read.Epoch, Release: true}})
+	l.post(&round{from: i, question: messages.LeaseRequest{Candidate: node.name, Incarnation: node.life, Epoch: node.read.Epoch, Release: true}})
 }
 
 // give up: a candidate that was not granted the duty in time, or leaves, releases it.
 func (l *leaseWorld) giveUp(rt *rapid.T) {
-	place := drawNode(rt)
-	l.release(&l.nodes[place], place)
+	i := drawNode(rt)
+	l.release(&l.nodes[i], i)
 }
 
 func (l *leaseWorld) deliver(rt *rapid.T) {
 	if len(l.inFlight) == 0 {
 		return
 	}
-	place := rapid.IntRange(0, len(l.inFlight)-1).Draw(rt, "message")
-	rt.Log(l.names[place])
-	function := l.inFlight[place]
+	i := rapid.IntRange(0, len(l.inFlight)-1).Draw(rt, "message")
+	rt.Log(l.names[i])
+	function := l.inFlight[i]
 	if !rapid.Bool().Draw(rt, "again") {
-		l.inFlight = append(l.inFlight[:place], l.inFlight[place+1:]...)
-		l.names = append(l.names[:place], l.names[place+1:]...)
+		l.inFlight = append(l.inFlight[:i], l.inFlight[i+1:]...)
+		l.names = append(l.names[:i], l.names[i+1:]...)
 	}
 	function(rt)
 }
@@ -189,20 +189,20 @@
 func (l *leaseWorld) exchange(rt *rapid.T) {
 	before := len(l.inFlight)
 	if rapid.Bool().Draw(rt, "up to date") {
-		for place := range l.nodes {
-			l.nodes[place].read = l.duty
+		for i := range l.nodes {
+			l.nodes[i].read = l.duty
 		}
 	}
 	l.ask(rt)
-	for place := before; place < len(l.inFlight); {
+	for i := before; i < len(l.inFlight); {
 		if rapid.IntRange(0, 3).Draw(rt, "late") == 0 {
-			place++
+			i++
 			continue
 		}
-		rt.Log(l.names[place])
-		function := l.inFlight[place]
-		l.inFlight = append(l.inFlight[:place], l.inFlight[place+1:]...)
-		l.names = append(l.names[:place], l.names[place+1:]...)
+		rt.Log(l.names[i])
+		function := l.inFlight[i]
+		l.inFlight = append(l.inFlight[:i], l.inFlight[i+1:]...)
+		l.names = append(l.names[:i], l.names[i+1:]...)
 		function(rt)
 	}
 }
@@ -219,8 +219,8 @@
 func (l *leaseWorld) check(rt *rapid.T) {
 	standing := ""
 	count := 0
-	for place := range l.nodes {
-		if node := &l.nodes[place]; node.term.Epoch > 0 && node.hold.Valid(l.clock(place)) {
+	for i := range l.nodes {
+		if node := &l.nodes[i]; node.term.Epoch > 0 && node.hold.Valid(l.clock(i)) {
 			standing += fmt.Sprintf(" %s in epoch %d", node.name, node.term.Epoch)
 			count++
 		}
--- a/internal/tooling/explore/steps.go
+++ b/internal/tooling/explore/steps.go
@@ -28,27 +28,27 @@
 	if f.broken != nil {
 		return nil
 	}
-	for place := range f.processes {
-		if run := f.processes[place].proposer; run != nil && run.attempts < f.plan.Attempts && !run.told && !f.untouched(run) {
-			steps = f.attempt(steps, place)
+	for i := range f.processes {
+		if run := f.processes[i].proposer; run != nil && run.attempts < f.plan.Attempts && !run.told && !f.untouched(run) {
+			steps = f.attempt(steps, i)
 		}
 		if f.wipes > 0 && f.bearsLoss() {
-			steps = append(steps, Step{Name: "wipe " + f.processes[place].name, To: f.wipe(place)})
+			steps = append(steps, Step{Name: "wipe " + f.processes[i].name, To: f.wipe(i)})
 		}
-		if f.restarts > 0 && f.processes[place].proposer != nil {
-			steps = append(steps, Step{Name: "restart " + f.processes[place].name, To: f.restart(place)})
+		if f.restarts > 0 && f.processes[i].proposer != nil {
+			steps = append(steps, Step{Name: "restart " + f.processes[i].name, To: f.restart(i)})
 		}
 	}
-	for place := range f.requests {
-		steps = f.deliver(steps, place)
+	for i := range f.requests {
+		steps = f.deliver(steps, i)
 	}
 	return steps
 }
 
 // change gives what a proposer proposes next, or nil; result is what a writer's
 // change came to.
-func (f *fleet) change(place int, known *messages.RegisterValue, result *register.Result) register.Change {
-	at := &f.processes[place]
+func (f *fleet) change(i int, known *messages.RegisterValue, result *register.Result) register.Change {
+	at := &f.processes[i]
 	if at.proposer.version.Generation > 0 {
 		return register.Replace(at.proposer.version, []byte(at.proposer.version.Hash), result)
 	}
@@ -67,22 +67,22 @@
 
 // attempt opens a ballot higher than all before. It may be opened at any moment: the
 // attempt before it was refused, or had no answer in time.
-func (f *fleet) attempt(steps []Step, place int) []Step {
+func (f *fleet) attempt(steps []Step, i int) []Step {
 	var result register.Result
-	known := f.processes[place].known
-	if f.change(place, f.table.at(known), &result) == nil {
+	known := f.processes[i].known
+	if f.change(i, f.table.at(known), &result) == nil {
 		return steps
 	}
 	next := f.clone()
-	run := *f.processes[place].proposer
-	next.processes[place].proposer = &run
+	run := *f.processes[i].proposer
+	next.processes[i].proposer = &run
 	run.attempts++
-	run.ballot = register.NewBallot(f.highest()+1, f.processes[place].name, f.processes[place].disk, run.life)
+	run.ballot = register.NewBallot(f.highest()+1, f.processes[i].name, f.processes[i].disk, run.life)
 	run.known, run.answers, run.settled, run.accepting = known, nil, false, false
-	_, sends := next.play(place, &result)
-	next.post(place, run.ballot, sends)
+	_, sends := next.play(i, &result)
+	next.post(i, run.ballot, sends)
 	next.tidy()
-	return append(steps, Step{Name: fmt.Sprintf("%s opens %v", f.processes[place].name, run.ballot), To: next})
+	return append(steps, Step{Name: fmt.Sprintf("%s opens %v", f.processes[i].name, run.ballot), To: next})
 }
 
 // untouched tells whether an attempt was opened and none of its messages delivered.
@@ -93,9 +93,9 @@
 // highest is the highest counter used so far.
 func (f *fleet) highest() uint64 {
 	var highest uint64
-	for place := range f.processes {
-		highest = max(highest, f.processes[place].promised.Counter)
-		if run := f.processes[place].proposer; run != nil {
+	for i := range f.processes {
+		highest = max(highest, f.processes[i].promised.Counter)
+		if run := f.processes[i].proposer; run != nil {
 			highest = max(highest, run.ballot.Counter)
 		}
 	}
@@ -104,10 +104,10 @@
 
 // play runs a proposer's attempt from its beginning. It gives what the last answer,
 // or the beginning, made it send.
-func (f *fleet) play(place int, result *register.Result) (*register.Proposal, []register.Send) {
-	run := f.processes[place].proposer
+func (f *fleet) play(i int, result *register.Result) (*register.Proposal, []register.Send) {
+	run := f.processes[i].proposer
 	known := f.table.at(run.known)
-	proposal, sends := register.NewProposal(run.ballot, *known, f.change(place, known, result))
+	proposal, sends := register.NewProposal(run.ballot, *known, f.change(i, known, result))
 	for _, got := range run.answers {
 		if got.promise != nil {
 			sends = proposal.HandlePrepareResponse(got.member, *got.promise)
@@ -120,9 +120,9 @@
 }
 
 // post puts messages under way.
-func (f *fleet) post(place int, ballot messages.Ballot, sends []register.Send) {
+func (f *fleet) post(i int, ballot messages.Ballot, sends []register.Send) {
 	for _, send := range sends {
-		message := request{from: place, ballot: ballot, member: send.Member, value: none}
+		message := request{from: i, ballot: ballot, member: send.Member, value: none}
 		if send.Accept != nil {
 			message.value = f.table.id(&send.Accept.Value)
 		}
@@ -192,12 +192,12 @@
 	voters := next.vote(message.ballot, message.value, message.member)
 	name := fmt.Sprintf("%v accepted at %s: versions=%v epoch=%d", message.ballot, message.member.Name, versions(value), value.SetEpoch)
 	if run := f.processes[message.from].proposer; voters != nil && run.ballot == message.ballot && !run.settled {
-		heard := next.clone()
+		lastContact := next.clone()
 		for _, voter := range voters {
-			heard.hear(message.from, answer{member: voter, accepted: &messages.AcceptResponse{Granted: true, Promised: message.ballot}})
+			lastContact.hear(message.from, answer{member: voter, accepted: &messages.AcceptResponse{Granted: true, Promised: message.ballot}})
 		}
-		heard.tidy()
-		steps = append(steps, Step{Name: name + ", and told", To: heard, Message: true})
+		lastContact.tidy()
+		steps = append(steps, Step{Name: name + ", and told", To: lastContact, Message: true})
 	}
 	next.tidy()
 	return append(steps, Step{Name: name, To: next, Message: true})
@@ -219,25 +219,25 @@
 }
 
 // hear gives an answer to a proposer.
-func (f *fleet) hear(place int, got answer) {
-	run := *f.processes[place].proposer
+func (f *fleet) hear(i int, got answer) {
+	run := *f.processes[i].proposer
 	run.answers = append(append([]answer(nil), run.answers...), got)
-	f.processes[place].proposer = &run
+	f.processes[i].proposer = &run
 	var result register.Result
-	proposal, sends := f.play(place, &result)
-	f.post(place, run.ballot, sends)
+	proposal, sends := f.play(i, &result)
+	f.post(i, run.ballot, sends)
 	switch proposal.Stage() {
 	case register.StageAccept:
 		run.accepting = true
 	case register.StageDone:
 		value := proposal.Value()
 		run.settled, run.answers = true, nil
-		f.learn(place, &value)
+		f.learn(i, &value)
 		f.told(&run, &value, result)
 	case register.StageLost:
 		run.settled, run.answers = true, nil
 		if newer := proposal.Newer(); newer != nil {
-			f.learn(place, newer)
+			f.learn(i, newer)
 		}
 	}
 }
--- a/internal/tooling/explore/tidy.go
+++ b/internal/tooling/explore/tidy.go
@@ -10,16 +10,16 @@
 // tidy drops messages that can change nothing any more: whoever would refuse them
 // now refuses them for ever.
 func (f *fleet) tidy() {
-	kept := f.requests[:0]
+	retained := f.requests[:0]
 	for index := range f.requests {
 		message := &f.requests[index]
 		at := &f.processes[f.at(message.member.Name)]
 		refused := register.Less(message.ballot, at.promised) || (at.disk != message.member.Disk && !f.plan.KeepIdentity)
 		if (message.value == none && f.waits(message)) || (message.value != none && !refused) {
-			kept = append(kept, *message)
+			retained = append(retained, *message)
 		}
 	}
-	f.requests = kept
+	f.requests = retained
 	f.votes = slices.DeleteFunc(f.votes, func(cast vote) bool { return !cast.chosen && !f.mayBeChosen(cast.ballot) })
 }
 
--- a/internal/tooling/explore/values.go
+++ b/internal/tooling/explore/values.go
@@ -63,8 +63,8 @@
 	if len(taken) < len(before) || later.SetEpoch < earlier.SetEpoch {
 		return false
 	}
-	for place := range before {
-		if taken[place] != before[place] {
+	for i := range before {
+		if taken[i] != before[i] {
 			return false
 		}
 	}
@@ -79,8 +79,8 @@
 	if len(left) != len(right) {
 		return false
 	}
-	for place := range left {
-		if register.Identity(left[place]) != register.Identity(right[place]) {
+	for i := range left {
+		if register.Identity(left[i]) != register.Identity(right[i]) {
 			return false
 		}
 	}
--- a/internal/tooling/explore/walk_test.go
+++ b/internal/tooling/explore/walk_test.go
@@ -28,9 +28,9 @@
 				rt.Fatal(err)
 			}
 		}
-		one := state.(*fleet)
-		for index := range one.votes {
-			value := one.table.at(one.votes[index].value)
+		entry := state.(*fleet)
+		for index := range entry.votes {
+			value := entry.table.at(entry.votes[index].value)
 			epochs, taken = max(epochs, value.SetEpoch), max(taken, len(versions(value)))
 		}
 	})
--- a/internal/tooling/faultrelay/faultrelay.go
+++ b/internal/tooling/faultrelay/faultrelay.go
@@ -184,8 +184,8 @@
 	close(r.ended)
 	r.lock.Lock()
 	r.over = true
-	for place, connection := range r.open {
-		if place%2 == 0 {
+	for i, connection := range r.open {
+		if i%2 == 0 {
 			// Ends the way to the server once what was read has been written.
 			connection.Close()
 		}
--- a/internal/tooling/fleetshell/fleet_test.go
+++ b/internal/tooling/fleetshell/fleet_test.go
@@ -38,16 +38,16 @@
 		})
 	}
 	for _, list := range zones {
-		for _, one := range list {
-			serve(one[0])
+		for _, entry := range list {
+			serve(entry[0])
 		}
 	}
 	network.SetPartitioned("foreman/x:1", true)
 	shell, _ := New(network.Transport("shell"), "forge/n0:1", clock.Milliseconds(500))
 	responses, err := shell.Query("config")
 	timedOut := 0
-	for _, one := range responses {
-		if one.TimedOut {
+	for _, entry := range responses {
+		if entry.TimedOut {
 			timedOut++
 		}
 	}
--- a/internal/tooling/hollowfleet/ages.go
+++ b/internal/tooling/hollowfleet/ages.go
@@ -45,14 +45,14 @@
 	}
 	found := Ages{Looks: a.sum, NeverShare: float64(a.never) / float64(a.sum)}
 	// Of those ever heard: what was never heard has no age.
-	heard := a.sum - a.never
+	lastContact := a.sum - a.never
 	count, stale := int64(0), a.never
 	for bin, many := range a.bins {
 		at := float64(bin+1) * ageBin / 1e6
-		if found.MedianMs == 0 && (count+many)*2 >= heard && heard > 0 {
+		if found.MedianMs == 0 && (count+many)*2 >= lastContact && lastContact > 0 {
 			found.MedianMs = at
 		}
-		if found.P95Ms == 0 && (count+many)*20 >= heard*19 && heard > 0 {
+		if found.P95Ms == 0 && (count+many)*20 >= lastContact*19 && lastContact > 0 {
 			found.P95Ms = at
 		}
 		count += many
--- a/internal/tooling/hollowfleet/backlog.go
+++ b/internal/tooling/hollowfleet/backlog.go
@@ -9,7 +9,7 @@
 )
 
 // addToBacklog notes processes that have not confirmed an update.
-func (r *registrations) addToBacklog(node *Node, update *messages.RelayRequest, entries []messages.NodeInfo, pause clock.Duration) {
+func (r *registrations) addToBacklog(node *Node, update *messages.RelayRequest, entries []messages.NodeInfo, backoff clock.Duration) {
 	own := r.table(node)
 	var ids []string
 	for _, worker := range update.Workers {
@@ -17,7 +17,7 @@
 	}
 	node.step(CoreBacklog, func() {
 		for _, entry := range entries {
-			own.backlog.Add(entry, update.Generation, ids, pause, node.now())
+			own.backlog.Add(entry, update.Generation, ids, backoff, node.now())
 		}
 	})
 }
--- a/internal/tooling/hollowfleet/beats.go
+++ b/internal/tooling/hollowfleet/beats.go
@@ -9,12 +9,12 @@
 func (r *registrations) begin() {
 	period := clock.Milliseconds(r.fleet.Plan.HeartbeatMs)
 	for number := range r.all {
-		var beat func()
-		beat = func() {
+		var heartbeat func()
+		heartbeat = func() {
 			r.call(number, func() {})
-			r.fleet.world.After(period, beat)
+			r.fleet.world.After(period, heartbeat)
 		}
-		r.fleet.world.After(clock.Duration(r.random.Int63n(int64(period))), beat)
+		r.fleet.world.After(clock.Duration(r.random.Int63n(int64(period))), heartbeat)
 	}
 }
 
@@ -41,13 +41,13 @@
 	worker := &r.all[number]
 	worker.Phase = messages.PhaseDraining
 	id, fleet := worker.ID, r.fleet
-	begun := fleet.world.Now
+	started := fleet.world.Now
 	fleet.troubles.track("worker drains", r.controller(number), func(node *Node) bool {
 		known, found := r.knows(node, id)
 		// Who never heard of the worker sends it nothing either.
 		return !node.places() || !found || known.Phase != messages.PhaseSteady
 	})
-	r.call(number, func() { fleet.troubles.acknowledged("worker drains", fleet.world.Now.Sub(begun)) })
+	r.call(number, func() { fleet.troubles.acknowledged("worker drains", fleet.world.Now.Sub(started)) })
 	fleet.world.After(seconds(4), func() {
 		worker.Phase = messages.PhaseDeparted
 		if node := r.controller(number); node != nil {
--- a/internal/tooling/hollowfleet/contacts.go
+++ b/internal/tooling/hollowfleet/contacts.go
@@ -67,30 +67,30 @@
 
 // round asks all acceptors, this process's own among them.
 func (c *contacts) round(node *Node) {
-	own, sets, asked := c.stateOf(node), c.sets(node), node.now()
+	own, sets, requested := c.stateOf(node), c.sets(node), node.now()
 	node.step(CoreContact, func() { own.lease.Trim(&sets) })
 	for _, member := range register.Targets(&sets) {
 		if member.Address == node.own.Address {
-			c.answered(node, member, asked, c.accepted(node))
+			c.answered(node, member, requested, c.accepted(node))
 			continue
 		}
-		told := &messages.ContactResponse{}
-		node.ask(CoreContact, member.Address, messages.KindContact, &messages.ContactRequest{From: node.own.Address}, told, constants.ContactTimeout, func(reached bool) {
+		received := &messages.ContactResponse{}
+		node.ask(CoreContact, member.Address, messages.KindContact, &messages.ContactRequest{From: node.own.Address}, received, constants.ContactTimeout, func(reached bool) {
 			if reached {
-				c.answered(node, member, asked, told)
+				c.answered(node, member, requested, received)
 			}
 		})
 	}
 }
 
 // answered takes one answer; the lease is not renewed by an acceptor that is ahead.
-func (c *contacts) answered(node *Node, member messages.Member, asked clock.Instant, told *messages.ContactResponse) {
+func (c *contacts) answered(node *Node, member messages.Member, requested clock.Instant, received *messages.ContactResponse) {
 	own := c.stateOf(node)
-	member.Disk = told.Disk
-	accepted := contact.Versions{SetEpoch: told.SetEpoch, Generation: told.Generation}
+	member.Disk = received.Disk
+	accepted := contact.Versions{SetEpoch: received.SetEpoch, Generation: received.Generation}
 	followed := contact.Versions{SetEpoch: c.sets(node).SetEpoch, Generation: node.generation}
 	ahead := false
-	node.step(CoreContact, func() { ahead = own.lease.Observe(member, asked, accepted, followed) })
+	node.step(CoreContact, func() { ahead = own.lease.Observe(member, requested, accepted, followed) })
 	if !ahead || own.catching {
 		return
 	}
--- a/internal/tooling/hollowfleet/controllers.go
+++ b/internal/tooling/hollowfleet/controllers.go
@@ -11,15 +11,17 @@
 // beginBeats starts the exchange between controllers.
 func (r *registrations) beginBeats(node *Node, own *table) {
 	members := r.fleet.members
-	node.answerers[messages.KindControllerHeartbeat] = reads(node, CoreMembership, func(beat *messages.ControllerHeartbeat) transport.Marshaler {
-		back := r.report(node, own, membership.Key(beat.From))
-		told := node.now()
-		node.after(0, func() { node.step(CoreMembership, func() { r.handleControllerHeartbeat(node, own, beat, told) }) })
+	node.answerers[messages.KindControllerHeartbeat] = reads(node, CoreMembership, func(heartbeat *messages.ControllerHeartbeat) transport.Marshaler {
+		back := r.report(node, own, membership.Key(heartbeat.From))
+		received := node.now()
+		node.after(0, func() {
+			node.step(CoreMembership, func() { r.handleControllerHeartbeat(node, own, heartbeat, received) })
+		})
 		return back
 	})
-	node.answerers[messages.KindDirectoryPull] = reads(node, CoreMembership, func(question *messages.DirectoryPullRequest) transport.Marshaler {
+	node.answerers[messages.KindDirectoryPull] = reads(node, CoreMembership, func(req *messages.DirectoryPullRequest) transport.Marshaler {
 		view := members.view(node)
-		return &messages.Shuffle{Entries: view.Since(question.Since, node.now()), Table: view.Digest()}
+		return &messages.Shuffle{Entries: view.Since(req.Since, node.now()), Table: view.Digest()}
 	})
 	node.every(constants.ControllerHeartbeatPeriod, func() { r.beatOthers(node, own) })
 }
@@ -27,14 +29,14 @@
 // report is what another controller is told.
 func (r *registrations) report(node *Node, own *table, key string) *messages.ControllerHeartbeat {
 	since := clock.Instant(0)
-	if one := own.peers[key]; one != nil {
-		since = one.told
+	if entry := own.peers[key]; entry != nil {
+		since = entry.told
 	}
 	view := r.fleet.members.view(node)
-	beat := &messages.ControllerHeartbeat{From: view.Self(), Workers: own.registry.Digest(node.own.Incarnation), ContactedWorkers: own.registry.HeartbeatsSince(since),
+	heartbeat := &messages.ControllerHeartbeat{From: view.Self(), Workers: own.registry.Digest(node.own.Incarnation), ContactedWorkers: own.registry.HeartbeatsSince(since),
 		Processes: view.Digest(), Generation: view.Self().Generation}
-	beat.ContactedNodes, beat.LaggingNodes = view.ContactedSince(since)
-	return beat
+	heartbeat.ContactedNodes, heartbeat.LaggingNodes = view.ContactedSince(since)
+	return heartbeat
 }
 
 func (r *registrations) beatOthers(node *Node, own *table) {
@@ -42,8 +44,8 @@
 	addresses := map[string]string{}
 	node.step(CoreMembership, func() {
 		own.registry.Forget(now.Add(-constants.ForgetAfter))
-		for key, one := range own.relays {
-			if now.Sub(one.begun) > constants.BulkCallTimeout {
+		for key, item := range own.relays {
+			if now.Sub(item.begun) > constants.BulkCallTimeout {
 				delete(own.relays, key)
 			}
 		}
@@ -73,33 +75,33 @@
 }
 
 // handleControllerHeartbeat takes another controller's report, and pulls what its tables have beyond ours.
-func (r *registrations) handleControllerHeartbeat(node *Node, own *table, beat *messages.ControllerHeartbeat, told clock.Instant) {
-	members, now, key := r.fleet.members, node.now(), membership.Key(beat.From)
-	members.heard(node, []messages.NodeInfo{beat.From})
-	one := own.peers[key]
-	if one == nil {
-		one = &peer{}
-		own.peers[key] = one
+func (r *registrations) handleControllerHeartbeat(node *Node, own *table, heartbeat *messages.ControllerHeartbeat, received clock.Instant) {
+	members, now, key := r.fleet.members, node.now(), membership.Key(heartbeat.From)
+	members.heard(node, []messages.NodeInfo{heartbeat.From})
+	entry := own.peers[key]
+	if entry == nil {
+		entry = &peer{}
+		own.peers[key] = entry
 	}
-	one.told = told
-	own.registry.ConfirmHeartbeats(beat.ContactedWorkers, now)
+	entry.told = received
+	own.registry.ConfirmHeartbeats(heartbeat.ContactedWorkers, now)
 	view := members.view(node)
-	view.HandleHeartbeat(beat, now)
-	if since, ask := behind(&one.registrations, beat.Workers, own.registry.Digest(node.own.Incarnation)); ask {
+	view.HandleHeartbeat(heartbeat, now)
+	if since, request := behind(&entry.registrations, heartbeat.Workers, own.registry.Digest(node.own.Incarnation)); request {
 		back := &messages.WorkersUpdate{}
-		node.ask(CoreWorkers, beat.From.Address, messages.KindWorkersPull, &messages.WorkersPullRequest{Since: since}, back, constants.CallTimeout, func(reached bool) {
+		node.ask(CoreWorkers, heartbeat.From.Address, messages.KindWorkersPull, &messages.WorkersPullRequest{Since: since}, back, constants.CallTimeout, func(reached bool) {
 			if reached {
 				r.merge(node, own, back.Workers)
-				one.registrations = back.Table
+				entry.registrations = back.Table
 			}
 		})
 	}
-	if since, ask := behind(&one.processes, beat.Processes, view.Digest()); ask {
+	if since, request := behind(&entry.processes, heartbeat.Processes, view.Digest()); request {
 		back := &messages.Shuffle{}
-		node.ask(CoreMembership, beat.From.Address, messages.KindDirectoryPull, &messages.DirectoryPullRequest{Since: since}, back, constants.CallTimeout, func(reached bool) {
+		node.ask(CoreMembership, heartbeat.From.Address, messages.KindDirectoryPull, &messages.DirectoryPullRequest{Since: since}, back, constants.CallTimeout, func(reached bool) {
 			if reached {
 				members.heard(node, back.Entries)
-				one.processes = back.Table
+				entry.processes = back.Table
 			}
 		})
 	}
--- a/internal/tooling/hollowfleet/copies.go
+++ b/internal/tooling/hollowfleet/copies.go
@@ -18,15 +18,15 @@
 		order.PreviousEpoch = lotEpoch
 	}
 	size := 0
-	for place := next - own.first; place < int64(len(own.recent)) && size < constants.AppendBytes; place++ {
-		order.Records = append(order.Records, own.recent[place])
-		size += len(own.recent[place].Body) + 128
+	for i := next - own.first; i < int64(len(own.recent)) && size < constants.AppendBytes; i++ {
+		order.Records = append(order.Records, own.recent[i])
+		size += len(own.recent[i].Body) + 128
 	}
-	matched := func(answer messages.AppendResponse) {
+	matched := func(resp messages.AppendResponse) {
 		own.sending[identity] = false
-		if answer.Granted {
+		if resp.Granted {
 			node.step(CoreLots, func() {
-				if own.replication.UpdateMatch(identity, answer.Last) {
+				if own.replication.UpdateMatch(identity, resp.Last) {
 					s.apply(node, own)
 				}
 			})
@@ -34,10 +34,10 @@
 		}
 	}
 	if member.Address == node.own.Address {
-		var answer messages.AppendResponse
-		node.step(CoreLots, func() { answer = own.append(order) })
+		var resp messages.AppendResponse
+		node.step(CoreLots, func() { resp = own.append(order) })
 		// A sync of our own disk, as long as one in the zone.
-		node.after(clock.Milliseconds(5), func() { matched(answer) })
+		node.after(clock.Milliseconds(5), func() { matched(resp) })
 		return
 	}
 	back := &messages.AppendResponse{}
@@ -62,22 +62,22 @@
 			delete(own.begun, record.Job)
 		case messages.RecordOutput:
 			s.listed++
-			if lot := own.book.Job(record.Job); lot != nil && len(lot.Listings) == lot.Total() {
+			if job := own.book.Job(record.Job); job != nil && len(job.Listings) == job.Total() {
 				// Read by its client at once, in this world.
 				s.submit(node, own, messages.Record{Kind: messages.RecordForget, Job: record.Job})
 			}
 		}
 		own.applied++
 	}
-	kept := own.durable[:0]
-	for _, one := range own.durable {
-		if one.index > own.replication.CommitIndex() {
-			kept = append(kept, one)
+	retained := own.durable[:0]
+	for _, entry := range own.durable {
+		if entry.index > own.replication.CommitIndex() {
+			retained = append(retained, entry)
 			continue
 		}
-		one.then()
+		entry.then()
 	}
-	own.durable = kept
+	own.durable = retained
 	// What is on all stores is given back; one that lags keeps it here.
 	keep := own.applied
 	for _, member := range s.members {
--- a/internal/tooling/hollowfleet/dispatch.go
+++ b/internal/tooling/hollowfleet/dispatch.go
@@ -28,17 +28,17 @@
 func (s *storage) beginDispatch(node *Node, own *storeState) {
 	own.dispatcher = dispatch.NewDispatcher(own.book, lotEpoch, 1, constants.LockUnstated, node.now())
 	own.dispatcher.Append = func(record messages.Record) int64 { return s.submit(node, own, record) }
-	terms := func(lot *dispatch.Job) dispatch.JobTerms { return dispatch.JobTerms{Due: lot.SubmittedMs + 3_600_000} }
+	terms := func(job *dispatch.Job) dispatch.JobTerms { return dispatch.JobTerms{Due: job.SubmittedMs + 3_600_000} }
 	node.answerers[messages.KindAcquire] = func(body []byte, reply func(transport.Marshaler)) {
-		question := &messages.AcquireRequest{}
-		node.step(CoreLots, func() { _ = transport.Decode(body, question) })
-		s.acquire(node, own, question, node.now(), terms, reply)
+		req := &messages.AcquireRequest{}
+		node.step(CoreLots, func() { _ = transport.Decode(body, req) })
+		s.acquire(node, own, req, node.now(), terms, reply)
 	}
 	node.answerers[messages.KindAcknowledge] = func(body []byte, reply func(transport.Marshaler)) {
-		question := &messages.AcknowledgeRequest{}
+		req := &messages.AcknowledgeRequest{}
 		node.step(CoreLots, func() {
-			if transport.Decode(body, question) == nil {
-				s.acknowledge(node, own, question, reply)
+			if transport.Decode(body, req) == nil {
+				s.acknowledge(node, own, req, reply)
 			}
 		})
 	}
@@ -47,40 +47,40 @@
 }
 
 // acquire hands items out, or looks again a little later while there are none.
-func (s *storage) acquire(node *Node, own *storeState, question *messages.AcquireRequest, begun clock.Instant, terms func(*dispatch.Job) dispatch.JobTerms, reply func(transport.Marshaler)) {
-	answer := &messages.AcquireResponse{LockMs: clock.ToMilliseconds(own.dispatcher.Lock), WaitedMs: clock.ToMilliseconds(node.now().Sub(begun))}
+func (s *storage) acquire(node *Node, own *storeState, req *messages.AcquireRequest, started clock.Instant, terms func(*dispatch.Job) dispatch.JobTerms, reply func(transport.Marshaler)) {
+	resp := &messages.AcquireResponse{LockMs: clock.ToMilliseconds(own.dispatcher.Lock), WaitedMs: clock.ToMilliseconds(node.now().Sub(started))}
 	node.step(CoreLots, func() {
-		ask := &dispatch.AcquireOptions{Executor: dispatch.Executor{Name: question.Executor, Incarnation: question.Incarnation, Address: question.Address},
+		request := &dispatch.AcquireOptions{Executor: dispatch.Executor{Name: req.Executor, Incarnation: req.Incarnation, Address: req.Address},
 			Capacity: map[string]int{}, Terms: terms, Service: func(*dispatch.Item) string { return itemService }}
-		for _, room := range question.Capacity {
-			ask.Capacity[room.Service] = room.Count
+		for _, capacity := range req.Capacity {
+			request.Capacity[capacity.Service] = capacity.Count
 		}
-		for _, one := range own.dispatcher.Acquire(ask, node.now()) {
-			answer.Items = append(answer.Items, messages.AcquiredItem{Number: one.Number, Job: one.Item.Job.ID, Host: one.Item.Job.Host,
-				Path: one.Item.Job.Path, SubmittedMs: one.Item.Job.SubmittedMs, Item: one.Item.JobItem})
+		for _, entry := range own.dispatcher.Acquire(request, node.now()) {
+			resp.Items = append(resp.Items, messages.AcquiredItem{Number: entry.Number, Job: entry.Item.Job.ID, Host: entry.Item.Job.Host,
+				Path: entry.Item.Job.Path, SubmittedMs: entry.Item.Job.SubmittedMs, Item: entry.Item.JobItem})
 		}
 	})
-	if len(answer.Items) > 0 || node.now().Sub(begun) >= constants.AcquireWait {
-		reply(answer)
+	if len(resp.Items) > 0 || node.now().Sub(started) >= constants.AcquireWait {
+		reply(resp)
 		return
 	}
-	node.after(constants.TickPeriod, func() { s.acquire(node, own, question, begun, terms, reply) })
+	node.after(constants.TickPeriod, func() { s.acquire(node, own, req, started, terms, reply) })
 }
 
 // acknowledge takes a batch; what needs a record is answered once that is durable.
-func (s *storage) acknowledge(node *Node, own *storeState, question *messages.AcknowledgeRequest, reply func(transport.Marshaler)) {
-	driver := dispatch.Executor{Name: question.Executor, Incarnation: question.Incarnation, Address: question.Address}
-	answer, last := &messages.AcknowledgeResponse{}, int64(0)
-	for place := range question.Entries {
-		step := own.dispatcher.Acknowledge(driver, &question.Entries[place], node.now())
+func (s *storage) acknowledge(node *Node, own *storeState, req *messages.AcknowledgeRequest, reply func(transport.Marshaler)) {
+	driver := dispatch.Executor{Name: req.Executor, Incarnation: req.Incarnation, Address: req.Address}
+	resp, last := &messages.AcknowledgeResponse{}, int64(0)
+	for i := range req.Entries {
+		step := own.dispatcher.Acknowledge(driver, &req.Entries[i], node.now())
 		last = max(last, step.Index)
-		answer.Verdicts = append(answer.Verdicts, step.Verdict)
+		resp.Verdicts = append(resp.Verdicts, step.Verdict)
 	}
 	if last <= own.replication.CommitIndex() {
-		reply(answer)
+		reply(resp)
 		return
 	}
-	own.durable = append(own.durable, waiting{last, func() { reply(answer) }})
+	own.durable = append(own.durable, waiting{last, func() { reply(resp) }})
 }
 
 // beginDriver lets a store run items.
@@ -112,20 +112,20 @@
 
 // ask fills the room there is.
 func (s *storage) ask(node *Node, own *driverState) {
-	room := s.room() - own.running
-	if own.asking || room <= 0 || s.holder.down {
+	capacity := s.room() - own.running
+	if own.asking || capacity <= 0 || s.holder.down {
 		return
 	}
 	own.asking = true
-	question := &messages.AcquireRequest{Executor: node.own.Name, Incarnation: node.own.Incarnation, Address: node.own.Address,
-		Capacity: []messages.ServiceCapacity{{Service: itemService, Count: room}}, WaitMs: int(constants.AcquireWait.Milliseconds())}
-	answer, asked := &messages.AcquireResponse{}, node.now()
-	node.ask(CoreDriver, s.holder.own.Address, messages.KindAcquire, question, answer, constants.AcquireWait+constants.CallTimeout, func(reached bool) {
+	req := &messages.AcquireRequest{Executor: node.own.Name, Incarnation: node.own.Incarnation, Address: node.own.Address,
+		Capacity: []messages.ServiceCapacity{{Service: itemService, Count: capacity}}, WaitMs: int(constants.AcquireWait.Milliseconds())}
+	resp, requested := &messages.AcquireResponse{}, node.now()
+	node.ask(CoreDriver, s.holder.own.Address, messages.KindAcquire, req, resp, constants.AcquireWait+constants.CallTimeout, func(reached bool) {
 		own.asking = false
 		if !reached {
 			return
 		}
-		for _, task := range own.core.Add(answer, asked, node.now()) {
+		for _, task := range own.core.Add(resp, requested, node.now()) {
 			own.running++
 			task.Started = true
 			node.after(clock.Milliseconds(s.fleet.Plan.HeldMs*(0.5+node.random.Float64())), func() {
@@ -158,13 +158,13 @@
 		return
 	}
 	own.speaking = true
-	s.acknowledged(node, batch, func(answer *messages.AcknowledgeResponse) {
+	s.acknowledged(node, batch, func(resp *messages.AcknowledgeResponse) {
 		own.speaking = false
-		if answer == nil {
+		if resp == nil {
 			node.after(constants.AckBackoff, func() { s.speak(node, own) })
 			return
 		}
-		own.core.HandleVerdicts(batch, answer.Verdicts)
+		own.core.HandleVerdicts(batch, resp.Verdicts)
 		s.speak(node, own)
 	})
 }
@@ -176,24 +176,24 @@
 	if len(entries) == 0 {
 		return
 	}
-	asked := node.now()
-	s.acknowledged(node, entries, func(answer *messages.AcknowledgeResponse) {
-		if answer == nil {
+	requested := node.now()
+	s.acknowledged(node, entries, func(resp *messages.AcknowledgeResponse) {
+		if resp == nil {
 			own.renewed = 0
 			return
 		}
-		s.halt(own.core.HandleRenewals(entries, answer.Verdicts, asked, own.lock))
+		s.halt(own.core.HandleRenewals(entries, resp.Verdicts, requested, own.lock))
 	})
 }
 
 func (s *storage) acknowledged(node *Node, entries []messages.Acknowledgement, then func(*messages.AcknowledgeResponse)) {
-	question := &messages.AcknowledgeRequest{Executor: node.own.Name, Incarnation: node.own.Incarnation, Address: node.own.Address, Entries: entries}
-	answer := &messages.AcknowledgeResponse{}
-	node.ask(CoreDriver, s.holder.own.Address, messages.KindAcknowledge, question, answer, constants.CallTimeout, func(reached bool) {
+	req := &messages.AcknowledgeRequest{Executor: node.own.Name, Incarnation: node.own.Incarnation, Address: node.own.Address, Entries: entries}
+	resp := &messages.AcknowledgeResponse{}
+	node.ask(CoreDriver, s.holder.own.Address, messages.KindAcknowledge, req, resp, constants.CallTimeout, func(reached bool) {
 		if !reached {
 			then(nil)
 			return
 		}
-		then(answer)
+		then(resp)
 	})
 }
--- a/internal/tooling/hollowfleet/fit.go
+++ b/internal/tooling/hollowfleet/fit.go
@@ -45,9 +45,9 @@
 
 // At gives the fit's value at a size.
 func (f Fit) At(size float64) float64 {
-	for _, one := range shapes {
-		if one.shape == f.Shape && one.term != nil {
-			return f.Base + f.Slope*one.term(size)
+	for _, entry := range shapes {
+		if entry.shape == f.Shape && entry.term != nil {
+			return f.Base + f.Slope*entry.term(size)
 		}
 	}
 	return f.Base
@@ -59,9 +59,9 @@
 // BestFit tries all shapes and takes the one that tells a left-out point best; a
 // simpler one stays where the other is not clearly better. It needs three sizes.
 func BestFit(points []Point) (best Fit, all []Fit) {
-	for _, one := range shapes {
-		fit := leastSquares(points, one.shape, one.term)
-		fit.Error = leftOut(points, one.shape, one.term)
+	for _, entry := range shapes {
+		fit := leastSquares(points, entry.shape, entry.term)
+		fit.Error = leftOut(points, entry.shape, entry.term)
 		all = append(all, fit)
 		if len(all) == 1 || fit.Error < simpler*best.Error {
 			best = fit
@@ -91,13 +91,13 @@
 		fit.Slope = across / along
 	}
 	fit.Base = meanValue - fit.Slope*meanTerm
-	whole, rest := 0.0, 0.0
+	complete, rest := 0.0, 0.0
 	for _, point := range points {
-		whole += (point.Value - meanValue) * (point.Value - meanValue)
+		complete += (point.Value - meanValue) * (point.Value - meanValue)
 		rest += (point.Value - fit.At(point.Size)) * (point.Value - fit.At(point.Size))
 	}
-	if whole > 0 {
-		fit.Explained = 1 - rest/whole
+	if complete > 0 {
+		fit.Explained = 1 - rest/complete
 	}
 	return fit
 }
@@ -105,8 +105,8 @@
 // leftOut is how far points are from the line that the others give.
 func leftOut(points []Point, shape Shape, term func(float64) float64) float64 {
 	off, mean := 0.0, 0.0
-	for place, point := range points {
-		others := append(append([]Point(nil), points[:place]...), points[place+1:]...)
+	for i, point := range points {
+		others := append(append([]Point(nil), points[:i]...), points[i+1:]...)
 		difference := leastSquares(others, shape, term).At(point.Size) - point.Value
 		off += difference * difference / float64(len(points))
 		mean += math.Abs(point.Value) / float64(len(points))
--- a/internal/tooling/hollowfleet/fleet.go
+++ b/internal/tooling/hollowfleet/fleet.go
@@ -95,33 +95,33 @@
 	f.registrations.begin()
 	// There is a first configuration before anything is counted.
 	f.world.After(seconds(f.Plan.WarmS/2), func() { f.configuration.change(f.live(membership.RoleController)[0]) })
-	warm, whole := clock.Instant(seconds(f.Plan.WarmS)), clock.Instant(seconds(f.Plan.WarmS+f.Plan.DurationS))
-	f.play(warm, whole)
+	warm, complete := clock.Instant(seconds(f.Plan.WarmS)), clock.Instant(seconds(f.Plan.WarmS+f.Plan.DurationS))
+	f.play(warm, complete)
 	f.counting = true
 	for _, node := range f.nodes {
 		node.costs, node.out, node.in = [cores]Cost{}, [ways]Traffic{}, [ways]Traffic{}
 	}
 	f.troubles.begin()
 	f.gossip.sample()
-	f.play(whole, whole)
+	f.play(complete, complete)
 	return f.result()
 }
 
 // play runs the world in pieces and tells how far it is.
-func (f *Fleet) play(until, whole clock.Instant) {
+func (f *Fleet) play(until, complete clock.Instant) {
 	teller := newTeller(f.progress)
 	for f.world.Now < until {
 		f.world.Run(min(until, f.world.Now+clock.Instant(seconds(1))))
-		teller.tell(f, whole)
+		teller.tell(f, complete)
 	}
 }
 
 func (f *Fleet) way(from, to string) Way {
-	one, other := f.byAddress[from], f.byAddress[to]
+	entry, other := f.byAddress[from], f.byAddress[to]
 	switch {
-	case one.zone == other.zone:
+	case entry.zone == other.zone:
 		return WayWithin
-	case one.region == other.region:
+	case entry.region == other.region:
 		return WayZones
 	}
 	return WayRegions
@@ -133,8 +133,8 @@
 }
 
 func (f *Fleet) reach(from, to string) bool {
-	one, other := f.byAddress[from], f.byAddress[to]
-	return !one.down && !other.down && (!f.parted || one.region == other.region)
+	entry, other := f.byAddress[from], f.byAddress[to]
+	return !entry.down && !other.down && (!f.parted || entry.region == other.region)
 }
 
 // count is told of every frame.
@@ -145,12 +145,12 @@
 	way := f.way(frame.From, frame.To)
 	f.byAddress[frame.From].out[way].add(frame.Bytes)
 	f.byAddress[frame.To].in[way].add(frame.Bytes)
-	one := f.kinds[frame.Kind]
-	if one == nil {
-		one = &[ways]Traffic{}
-		f.kinds[frame.Kind] = one
+	entry := f.kinds[frame.Kind]
+	if entry == nil {
+		entry = &[ways]Traffic{}
+		f.kinds[frame.Kind] = entry
 	}
-	one[way].add(frame.Bytes)
+	entry[way].add(frame.Bytes)
 }
 
 // live gives the processes of a role that run, or of all roles.
--- a/internal/tooling/hollowfleet/gossip.go
+++ b/internal/tooling/hollowfleet/gossip.go
@@ -55,23 +55,23 @@
 		g.fleet.configuration.saw(node, packet.Generation)
 		return taken()
 	})
-	node.answerers[messages.KindPrefill] = reads(node, CoreReadings, func(told *messages.PrefillNotice) transport.Marshaler {
-		own.scheduler.HandlePrefill(told, node.now())
-		if told.Forward {
-			further := *told
+	node.answerers[messages.KindPrefill] = reads(node, CoreReadings, func(received *messages.PrefillNotice) transport.Marshaler {
+		own.scheduler.HandlePrefill(received, node.now())
+		if received.Forward {
+			further := *received
 			further.Forward = false
 			node.after(0, func() { g.spreadReading(node, own, &further, false) })
 		}
 		return taken()
 	})
-	node.answerers[messages.KindPressure] = reads(node, CoreReadings, func(told *messages.PressureNotice) transport.Marshaler {
-		own.scheduler.YieldToPressure(told, max(told.Sharers, 1), node.now())
+	node.answerers[messages.KindPressure] = reads(node, CoreReadings, func(received *messages.PressureNotice) transport.Marshaler {
+		own.scheduler.YieldToPressure(received, max(received.Sharers, 1), node.now())
 		return taken()
 	})
 	own.scheduler.OnPrefill(func(worker string, milliseconds float64) {
-		told := &messages.PrefillNotice{From: membership.Key(node.own), Worker: worker, Prefill: milliseconds}
+		received := &messages.PrefillNotice{From: membership.Key(node.own), Worker: worker, Prefill: milliseconds}
 		// Called under the admission's lock.
-		node.after(0, func() { g.spreadReading(node, own, told, true) })
+		node.after(0, func() { g.spreadReading(node, own, received, true) })
 	})
 	node.every(constants.GossipPeriod, func() { g.period(node, own) })
 	return nil
@@ -82,21 +82,21 @@
 
 func (g *gossip) period(node *Node, own *placing) {
 	var packet *messages.Gossip
-	var told []messages.NodeInfo
+	var received []messages.NodeInfo
 	node.step(CoreGossip, func() {
 		packet = own.scheduler.MakeGossip(node.now())
 		packet.Generation = node.generation
 		view := g.fleet.members.view(node)
 		own.neighbours = neighboursOf(node.own, view.All("", node.now()))
 		own.neighbours.population = view.Population(membership.RoleGateway, node.now()) + view.Population(membership.RoleStore, node.now())
-		told = append([]messages.NodeInfo(nil), own.neighbours.gossip...)
+		received = append([]messages.NodeInfo(nil), own.neighbours.gossip...)
 		// Each zone tells each other about once a period, however many it has.
 		if zones := own.neighbours.zones; len(zones) > 0 && node.random.Float64() < float64(len(zones))/float64(own.neighbours.zoneSize()) {
 			there := zones[node.random.Intn(len(zones))]
-			told = append(told, there[node.random.Intn(len(there))])
+			received = append(received, there[node.random.Intn(len(there))])
 		}
 	})
-	node.tell(told, CoreGossip, messages.KindGossip, packet)
+	node.tell(received, CoreGossip, messages.KindGossip, packet)
 }
 
 // neighboursOf finds whom a process tells, as loadgossip does.
@@ -112,15 +112,15 @@
 			found.far = append(found.far, entry)
 		}
 	}
-	places := map[string]int{}
+	positions := map[string]int{}
 	for _, entry := range found.far {
-		place, known := places[entry.Zone]
+		i, known := positions[entry.Zone]
 		if !known {
-			place = len(found.zones)
-			places[entry.Zone] = place
+			i = len(found.zones)
+			positions[entry.Zone] = i
 			found.zones = append(found.zones, nil)
 		}
-		found.zones[place] = append(found.zones[place], entry)
+		found.zones[i] = append(found.zones[i], entry)
 	}
 	sort.Slice(found.zones, func(left, right int) bool { return found.zones[left][0].Zone < found.zones[right][0].Zone })
 	found.gossip = loadgossip.Neighbours(own, found.near, constants.GossipFanout)
--- a/internal/tooling/hollowfleet/hollowfleet_test.go
+++ b/internal/tooling/hollowfleet/hollowfleet_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestEverybodyLearns(t *testing.T) {
+func TestUpdatesReachEverybody(t *testing.T) {
 	plan := small(5)
 	plan.ZoneS, plan.PartS, plan.Failures = 0, 0, 0
 	result := New(plan, nil).Run()
@@ -71,9 +71,9 @@
 	plan.ZoneS, plan.PartS, plan.Failures, plan.DurationS = 0, 0, 0, 20
 	result := New(plan, nil).Run()
 	// Four controllers ask three others: calls and answers of one kind.
-	asked := 4 * 3 * 2 / constants.ContactPeriod.Seconds()
-	if frames := framesOf(result, messages.KindContact); math.Abs(frames-asked) > 0.02*asked {
-		t.Errorf("%.1f contact frames a second, want %.1f", frames, asked)
+	requested := 4 * 3 * 2 / constants.ContactPeriod.Seconds()
+	if frames := framesOf(result, messages.KindContact); math.Abs(frames-requested) > 0.02*requested {
+		t.Errorf("%.1f contact frames a second, want %.1f", frames, requested)
 	}
 	reports := float64(plan.Nodes) * 2 * (1 + 1/constants.SecondReportPeriod.Seconds())
 	if frames := framesOf(result, messages.KindShuffle); frames < 0.98*reports || frames > 1.2*reports {
@@ -119,7 +119,7 @@
 
 func TestFitRecoversSlopes(t *testing.T) {
 	random := rand.New(rand.NewSource(1))
-	for _, one := range []struct {
+	for _, entry := range []struct {
 		shape Shape
 		of    func(float64) float64
 	}{
@@ -130,17 +130,17 @@
 	} {
 		var points []Point
 		for _, size := range []float64{25, 50, 100, 200, 390} {
-			points = append(points, Point{size, one.of(size) * (1 + 0.01*random.NormFloat64())})
+			points = append(points, Point{size, entry.of(size) * (1 + 0.01*random.NormFloat64())})
 		}
 		best, all := BestFit(points)
-		if best.Shape != one.shape || len(all) != 4 {
-			t.Errorf("%s taken for %s", one.shape, best.Shape)
+		if best.Shape != entry.shape || len(all) != 4 {
+			t.Errorf("%s taken for %s", entry.shape, best.Shape)
 		}
-		if want := one.of(800); math.Abs(best.At(800)-want) > 0.06*want {
-			t.Errorf("%s: %f at 800, want %f", one.shape, best.At(800), want)
+		if want := entry.of(800); math.Abs(best.At(800)-want) > 0.06*want {
+			t.Errorf("%s: %f at 800, want %f", entry.shape, best.At(800), want)
 		}
 		if best.Error > 0.05 {
-			t.Errorf("%s: error %f", one.shape, best.Error)
+			t.Errorf("%s: error %f", entry.shape, best.Error)
 		}
 	}
 }
@@ -170,7 +170,7 @@
 	}
 }
 
-func TestChartIsDrawnSmall(t *testing.T) {
+func TestChartIsSmall(t *testing.T) {
 	folder := t.TempDir()
 	points := []Point{{25, 10}, {50, 20}, {100, 41}}
 	best, _ := BestFit(points)
--- a/internal/tooling/hollowfleet/keep.go
+++ b/internal/tooling/hollowfleet/keep.go
@@ -10,8 +10,8 @@
 // beginKeep lets a controller keep binding changes of workers for another. The sync of
 // its disk takes no time here.
 func (r *registrations) beginKeep(node *Node, own *table) {
-	node.answerers[messages.KindWorkersPersist] = reads(node, CoreWorkers, func(question *messages.WorkersPersistRequest) transport.Marshaler {
-		r.merge(node, own, question.Workers)
+	node.answerers[messages.KindWorkersPersist] = reads(node, CoreWorkers, func(req *messages.WorkersPersistRequest) transport.Marshaler {
+		r.merge(node, own, req.Workers)
 		return r.fleet.contacts.accepted(node)
 	})
 }
@@ -21,23 +21,23 @@
 func (r *registrations) persistAtQuorum(node *Node, worker messages.Worker, done func()) {
 	sets, answered := r.fleet.contacts.sets(node), map[string]bool{}
 	once := onceOf(done)
-	kept := func(member messages.Member, disk string) {
+	retained := func(member messages.Member, disk string) {
 		member.Disk = disk
 		answered[register.Identity(member)] = true
 		if register.Quorum(&sets, answered) {
 			once()
 		}
 	}
-	question := &messages.WorkersPersistRequest{From: node.own.Address, Workers: []messages.Worker{worker}}
+	req := &messages.WorkersPersistRequest{From: node.own.Address, Workers: []messages.Worker{worker}}
 	for _, member := range register.Targets(&sets) {
 		if member.Address == node.own.Address {
-			kept(member, r.fleet.contacts.accepted(node).Disk)
+			retained(member, r.fleet.contacts.accepted(node).Disk)
 			continue
 		}
 		back := &messages.ContactResponse{}
-		node.ask(CoreWorkers, member.Address, messages.KindWorkersPersist, question, back, constants.BroadcastTimeout, func(reached bool) {
+		node.ask(CoreWorkers, member.Address, messages.KindWorkersPersist, req, back, constants.BroadcastTimeout, func(reached bool) {
 			if reached {
-				kept(member, back.Disk)
+				retained(member, back.Disk)
 			}
 		})
 	}
--- a/internal/tooling/hollowfleet/lots.go
+++ b/internal/tooling/hollowfleet/lots.go
@@ -83,8 +83,8 @@
 	}
 	own := &storeState{replica: replication.NewReplica(node.own.Disk)}
 	node.answerers[messages.KindAppend] = reads(node, CoreLots, func(order *messages.AppendRequest) transport.Marshaler {
-		answer := own.append(order)
-		return &answer
+		resp := own.append(order)
+		return &resp
 	})
 	own.driver = s.beginDriver(node)
 	if node != s.holder {
@@ -127,11 +127,11 @@
 
 // append is what a store does with an order; there is no disk to write to.
 func (s *storeState) append(order *messages.AppendRequest) messages.AppendResponse {
-	plan, answer := s.replica.Append(order)
-	if answer.Granted {
+	plan, resp := s.replica.Append(order)
+	if resp.Granted {
 		s.replica.Commit(plan, order.Epoch, make([]int64, len(plan.Records)))
 	}
-	return answer
+	return resp
 }
 
 // submitJob gives the holder a new lot from some edge process.
@@ -144,8 +144,8 @@
 	s.made++
 	name := fmt.Sprintf("lot-%08d", s.made)
 	body := &messages.JobBody{Path: "/v1/batch"}
-	for place := 0; place < s.fleet.Plan.LotItems; place++ {
-		item := messages.JobItem{ID: fmt.Sprintf("item-%06d", place), Path: "/v1/generate", Tokens: 600, Body: make([]byte, s.fleet.Plan.ItemBytes)}
+	for i := 0; i < s.fleet.Plan.LotItems; i++ {
+		item := messages.JobItem{ID: fmt.Sprintf("item-%06d", i), Path: "/v1/generate", Tokens: 600, Body: make([]byte, s.fleet.Plan.ItemBytes)}
 		body.Items = append(body.Items, item)
 	}
 	text, _ := body.MarshalMsg(nil)
--- a/internal/tooling/hollowfleet/members.go
+++ b/internal/tooling/hollowfleet/members.go
@@ -28,14 +28,14 @@
 // Begin starts the view of a process.
 func (m *memberList) Begin(node *Node) any {
 	own := &seat{view: membership.NewView(node.own, node.random.Int63())}
-	node.answerers[messages.KindShuffle] = reads(node, CoreMembership, func(question *messages.Shuffle) transport.Marshaler {
-		m.heard(node, question.Entries)
+	node.answerers[messages.KindShuffle] = reads(node, CoreMembership, func(req *messages.Shuffle) transport.Marshaler {
+		m.heard(node, req.Entries)
 		if node.places() {
 			return &messages.Shuffle{Entries: own.view.Offer(node.now())}
 		}
-		answer := own.view.RespondToReport(question, node.now())
-		m.fleet.registrations.addWorkers(node, answer)
-		return answer
+		resp := own.view.RespondToReport(req, node.now())
+		m.fleet.registrations.addWorkers(node, resp)
+		return resp
 	})
 	m.meet(node, own, 0)
 	return own
@@ -96,10 +96,10 @@
 	if partner == "" {
 		return
 	}
-	answer := &messages.Shuffle{}
-	node.ask(CoreMembership, partner, messages.KindShuffle, &messages.Shuffle{Entries: own.view.Offer(node.now())}, answer, constants.CallTimeout, func(reached bool) {
+	resp := &messages.Shuffle{}
+	node.ask(CoreMembership, partner, messages.KindShuffle, &messages.Shuffle{Entries: own.view.Offer(node.now())}, resp, constants.CallTimeout, func(reached bool) {
 		if reached {
-			m.heard(node, answer.Entries)
+			m.heard(node, resp.Entries)
 		}
 	})
 }
--- a/internal/tooling/hollowfleet/meter.go
+++ b/internal/tooling/hollowfleet/meter.go
@@ -50,11 +50,11 @@
 // charged to the inner core alone.
 func (n *Node) step(core Core, function func()) {
 	fleet := n.fleet
-	begun := threadTime()
+	started := threadTime()
 	outer := fleet.inner
 	fleet.inner = 0
 	function()
-	took := threadTime() - begun
+	took := threadTime() - started
 	cost := &n.costs[core]
 	cost.Steps++
 	cost.Nanoseconds += took - fleet.inner
--- a/internal/tooling/hollowfleet/node.go
+++ b/internal/tooling/hollowfleet/node.go
@@ -59,23 +59,23 @@
 	n.answerers = map[messages.Kind]answerer{}
 	n.state = make([]any, len(n.fleet.mechanisms))
 	n.wire = n.fleet.network.Transport(n.own.Address)
-	for place, mechanism := range n.fleet.mechanisms {
-		n.state[place] = mechanism.Begin(n)
+	for i, mechanism := range n.fleet.mechanisms {
+		n.state[i] = mechanism.Begin(n)
 	}
 	_ = n.wire.ServeAsync(func(kind messages.Kind, body []byte, reply func([]byte, error)) {
-		one := n.answerers[kind]
-		if one == nil {
+		entry := n.answerers[kind]
+		if entry == nil {
 			reply(nil, nil)
 			return
 		}
-		life := n.life
-		one(body, func(answer transport.Marshaler) {
+		incarnation := n.life
+		entry(body, func(resp transport.Marshaler) {
 			switch {
-			case n.life != life:
-			case answer == nil:
+			case n.life != incarnation:
+			case resp == nil:
 				reply(nil, nil)
 			default:
-				reply(transport.Encode(answer))
+				reply(transport.Encode(resp))
 			}
 		})
 	})
@@ -97,9 +97,9 @@
 
 // after runs a function later, unless this life is over by then.
 func (n *Node) after(span clock.Duration, function func()) {
-	life := n.life
+	incarnation := n.life
 	n.fleet.world.After(span, func() {
-		if n.life == life {
+		if n.life == incarnation {
 			function()
 		}
 	})
@@ -117,23 +117,23 @@
 
 // post sends a call; then may be nil, and is run only in this life.
 func (n *Node) post(address string, kind messages.Kind, body []byte, span clock.Duration, then func([]byte, error)) {
-	life := n.life
-	n.wire.CallAsync(address, kind, body, span, func(answer []byte, err error) {
-		if then != nil && n.life == life {
-			then(answer, err)
+	incarnation := n.life
+	n.wire.CallAsync(address, kind, body, span, func(resp []byte, err error) {
+		if then != nil && n.life == incarnation {
+			then(resp, err)
 		}
 	})
 }
 
 // ask sends a message and reads the answer into another; then is told whether that
 // went well. Writing and reading are charged to the core, as is what then does.
-func (n *Node) ask(core Core, address string, kind messages.Kind, question transport.Marshaler, answer transport.Unmarshaler, span clock.Duration, then func(reached bool)) {
+func (n *Node) ask(core Core, address string, kind messages.Kind, req transport.Marshaler, resp transport.Unmarshaler, span clock.Duration, then func(reached bool)) {
 	var body []byte
-	n.step(core, func() { body, _ = question.MarshalMsg(nil) })
+	n.step(core, func() { body, _ = req.MarshalMsg(nil) })
 	n.post(address, kind, body, span, func(back []byte, err error) {
 		n.step(core, func() {
 			if err == nil {
-				err = transport.Decode(back, answer)
+				err = transport.Decode(back, resp)
 			}
 			then(err == nil)
 		})
@@ -155,14 +155,14 @@
 	transport.Unmarshaler
 }](node *Node, core Core, function func(Pointer) transport.Marshaler) answerer {
 	return func(body []byte, reply func(transport.Marshaler)) {
-		var answer transport.Marshaler
+		var resp transport.Marshaler
 		node.step(core, func() {
 			message := Pointer(new(Message))
 			if transport.Decode(body, message) == nil {
-				answer = function(message)
+				resp = function(message)
 			}
 		})
-		reply(answer)
+		reply(resp)
 	}
 }
 
--- a/internal/tooling/hollowfleet/plot.go
+++ b/internal/tooling/hollowfleet/plot.go
@@ -31,7 +31,7 @@
 	picture.X.Label.Text = "nodes"
 	picture.X.Min, picture.Y.Min = 0, 0
 	picture.Legend.Top, picture.Legend.Left = true, true
-	place := 0
+	i := 0
 	for _, name := range sortedKeys(c.Lines) {
 		slope := c.Lines[name]
 		picture.Y.Label.Text = slope.Unit
@@ -43,13 +43,13 @@
 		if err != nil {
 			return ErrPlot.Wrap(err, name)
 		}
-		dots.Color, dots.Shape = plotutil.Color(place), plotutil.Shape(place)
-		line := plotter.NewFunction(slope.Best.At)
-		line.Color, line.XMin, line.XMax = plotutil.Color(place), points[0].X, PageNodes
-		picture.Add(dots, line)
+		dots.Color, dots.Shape = plotutil.Color(i), plotutil.Shape(i)
+		text := plotter.NewFunction(slope.Best.At)
+		text.Color, text.XMin, text.XMax = plotutil.Color(i), points[0].X, PageNodes
+		picture.Add(dots, text)
 		picture.Legend.Add(name+" ("+string(slope.Best.Shape)+")", dots)
 		picture.X.Max, picture.Y.Max = PageNodes, max(picture.Y.Max, slope.Best.At(PageNodes))
-		place++
+		i++
 	}
 	if c.Budget > 0 {
 		budget := plotter.NewFunction(func(float64) float64 { return c.Budget })
--- a/internal/tooling/hollowfleet/probe.go
+++ b/internal/tooling/hollowfleet/probe.go
@@ -53,7 +53,7 @@
 			fmt.Fprintf(progress, "lot items=%d output-us=%.1f\n", size, series.Probes[len(series.Probes)-1].OutputUs)
 		}
 	}
-	for name, one := range map[string]struct {
+	for name, entry := range map[string]struct {
 		unit string
 		of   func(LotProbe) float64
 	}{
@@ -64,9 +64,9 @@
 		"heap":        {"MB", func(probe LotProbe) float64 { return probe.HeapMB }},
 		"replica":     {"KB", func(probe LotProbe) float64 { return probe.ReplicaKB }},
 	} {
-		slope := Slope{Unit: one.unit}
+		slope := Slope{Unit: entry.unit}
 		for _, probe := range series.Probes {
-			slope.Points = append(slope.Points, Point{float64(probe.Items), one.of(probe)})
+			slope.Points = append(slope.Points, Point{float64(probe.Items), entry.of(probe)})
 		}
 		if len(slope.Points) >= 3 {
 			slope.Best, slope.All = BestFit(slope.Points)
@@ -93,28 +93,28 @@
 	probe.BodyBytes = len(record.Body)
 	probe.Fits = len(record.Body) < constants.FrameLimit
 	before := heapBytes()
-	book := dispatch.NewJobTable()
-	probe.TakeMs = timed(func() { _ = book.Apply(record) }) / 1e6
+	jobTable := dispatch.NewJobTable()
+	probe.TakeMs = timed(func() { _ = jobTable.Apply(record) }) / 1e6
 	probe.HeapMB = (heapBytes() - before) / (1 << 20)
-	probe.WaitingMs = timed(func() { book.Waiting(func(*dispatch.Job) bool { return true }) }) / 1e6
-	lot := book.Job(record.Job)
+	probe.WaitingMs = timed(func() { jobTable.Waiting(func(*dispatch.Job) bool { return true }) }) / 1e6
+	job := jobTable.Job(record.Job)
 	stride := max(1, size/sampledOutputs)
 	count, spent := 0, 0.0
-	for place := 0; place < size; place += stride {
-		output := &messages.Record{Kind: messages.RecordOutput, Job: record.Job, Item: lot.Items[place].ID, Position: len(lot.Listings)}
-		spent += timed(func() { _ = book.Apply(output) })
+	for i := 0; i < size; i += stride {
+		output := &messages.Record{Kind: messages.RecordOutput, Job: record.Job, Item: job.Items[i].ID, Position: len(job.Listings)}
+		spent += timed(func() { _ = jobTable.Apply(output) })
 		count++
 	}
 	probe.OutputUs = spent / float64(count) / 1e3
 	probe.AllOutputsS = probe.OutputUs * float64(size) / 1e6
 	before = heapBytes()
 	replica := replication.NewReplica("disk")
-	for place := 0; place <= size; place++ {
-		replica.Add(&messages.Record{Epoch: lotEpoch, Kind: messages.RecordOutput, Job: record.Job}, int64(place))
+	for i := 0; i <= size; i++ {
+		replica.Add(&messages.Record{Epoch: lotEpoch, Kind: messages.RecordOutput, Job: record.Job}, int64(i))
 	}
 	probe.ReplicaKB = (heapBytes() - before) / 1024
 	runtime.KeepAlive(replica)
-	runtime.KeepAlive(book)
+	runtime.KeepAlive(jobTable)
 	runtime.KeepAlive(record)
 	return probe
 }
@@ -123,16 +123,16 @@
 func lotRecord(size, itemBytes int) *messages.Record {
 	body := &messages.JobBody{Path: "/v1/batch"}
 	text := make([]byte, itemBytes)
-	for place := 0; place < size; place++ {
-		body.Items = append(body.Items, messages.JobItem{ID: fmt.Sprintf("item-%06d", place), Path: "/v1/generate", Tokens: 600, Body: text})
+	for i := 0; i < size; i++ {
+		body.Items = append(body.Items, messages.JobItem{ID: fmt.Sprintf("item-%06d", i), Path: "/v1/generate", Tokens: 600, Body: text})
 	}
-	whole, _ := body.MarshalMsg(nil)
-	return &messages.Record{Kind: messages.RecordJob, Job: "lot-00000001", Index: 1, Epoch: lotEpoch, Body: whole}
+	complete, _ := body.MarshalMsg(nil)
+	return &messages.Record{Kind: messages.RecordJob, Job: "lot-00000001", Index: 1, Epoch: lotEpoch, Body: complete}
 }
 
 // timed is a function's processor time in ns.
 func timed(function func()) float64 {
-	begun := threadTime()
+	started := threadTime()
 	function()
-	return float64(threadTime() - begun)
+	return float64(threadTime() - started)
 }
--- a/internal/tooling/hollowfleet/probe_test.go
+++ b/internal/tooling/hollowfleet/probe_test.go
@@ -7,16 +7,16 @@
 	"testing"
 )
 
-func TestProbedLotsGrowWithTheirItems(t *testing.T) {
+func TestProbedJobsGrowWithTheirItems(t *testing.T) {
 	series := ProbeLots([]int{500, 4000, 16000}, 50, nil)
 	if len(series.Probes) != 3 || len(series.Slopes) != 6 {
 		t.Fatalf("%+v", series)
 	}
-	for place, probe := range series.Probes {
+	for i, probe := range series.Probes {
 		if !probe.Fits || probe.TakeMs <= 0 || probe.OutputUs <= 0 || probe.HeapMB <= 0 {
 			t.Errorf("%+v", probe)
 		}
-		if place > 0 && probe.HeapMB <= series.Probes[place-1].HeapMB {
+		if i > 0 && probe.HeapMB <= series.Probes[i-1].HeapMB {
 			t.Errorf("heap %f of %d items", probe.HeapMB, probe.Items)
 		}
 	}
@@ -30,12 +30,12 @@
 	if found.resident <= 0 || found.own <= 0 || found.own > found.resident {
 		t.Fatalf("%+v", found)
 	}
-	if gone := spentBy(1 << 30); gone != (spent{}) {
-		t.Fatalf("%+v of no process", gone)
+	if departed := spentBy(1 << 30); departed != (spent{}) {
+		t.Fatalf("%+v of no process", departed)
 	}
 }
 
-func TestTableTellsMeasuredFromFitted(t *testing.T) {
+func TestTableMarksMeasuredAndFitted(t *testing.T) {
 	points := []Point{{25, 10}, {50, 20}, {100, 40}}
 	best, _ := BestFit(points)
 	series := &Series{Runs: []*Result{{Plan: Plan{Nodes: 25}}, {Plan: Plan{Nodes: 50}}, {Plan: Plan{Nodes: 100}}},
--- a/internal/tooling/hollowfleet/propose.go
+++ b/internal/tooling/hollowfleet/propose.go
@@ -19,12 +19,12 @@
 		ballot := register.NewBallot(own.counter, node.own.Name, firstDisk, node.own.Incarnation)
 		proposal, sends = register.NewProposal(ballot, own.known, change)
 	})
-	settled := false
-	look := func() {
-		if settled || proposal.Stage() != register.StageDone {
+	completed := false
+	check := func() {
+		if completed || proposal.Stage() != register.StageDone {
 			return
 		}
-		settled = true
+		completed = true
 		value := proposal.Value()
 		own.known = value
 		then(&value)
@@ -42,23 +42,23 @@
 					}
 				})
 				carry(more)
-				look()
+				check()
 			})
 		}
 	}
 	carry(sends)
 	node.after(constants.RoundTimeout, func() {
-		if settled {
+		if completed {
 			return
 		}
-		settled = true
+		completed = true
 		own.counter = max(own.counter, proposal.Highest().Counter)
 		if node.now() >= end {
 			then(nil)
 			return
 		}
-		pause := constants.BackoffBase + clock.Duration(node.random.Int63n(int64(constants.BackoffSpread)))
-		node.after(pause, func() { c.propose(node, change, end, then) })
+		backoff := constants.BackoffBase + clock.Duration(node.random.Int63n(int64(constants.BackoffSpread)))
+		node.after(backoff, func() { c.propose(node, change, end, then) })
 	})
 }
 
@@ -67,14 +67,14 @@
 	own := c.stateOf(node)
 	if send.Member.Address == node.own.Address {
 		if send.Prepare != nil {
-			var answer messages.PrepareResponse
-			node.step(CoreRegister, func() { answer, _ = own.acceptor.Prepare(send.Prepare) })
-			then(&answer, nil)
+			var resp messages.PrepareResponse
+			node.step(CoreRegister, func() { resp, _ = own.acceptor.Prepare(send.Prepare) })
+			then(&resp, nil)
 			return
 		}
-		var answer messages.AcceptResponse
-		node.step(CoreRegister, func() { answer, _ = own.acceptor.Accept(send.Accept) })
-		then(nil, &answer)
+		var resp messages.AcceptResponse
+		node.step(CoreRegister, func() { resp, _ = own.acceptor.Accept(send.Accept) })
+		then(nil, &resp)
 		return
 	}
 	kind, message := messages.KindAccept, transport.Marshaler(send.Accept)
@@ -82,13 +82,13 @@
 		kind, message = messages.KindPrepare, send.Prepare
 	}
 	promise, accepted := &messages.PrepareResponse{}, &messages.AcceptResponse{}
-	var answer transport.Unmarshaler = accepted
+	var resp transport.Unmarshaler = accepted
 	if send.Prepare != nil {
-		answer, accepted = promise, nil
+		resp, accepted = promise, nil
 	} else {
 		promise = nil
 	}
-	node.ask(CoreRegister, send.Member.Address, kind, message, answer, constants.RoundTimeout, func(reached bool) {
+	node.ask(CoreRegister, send.Member.Address, kind, message, resp, constants.RoundTimeout, func(reached bool) {
 		if reached {
 			then(promise, accepted)
 		}
--- a/internal/tooling/hollowfleet/readings.go
+++ b/internal/tooling/hollowfleet/readings.go
@@ -8,18 +8,18 @@
 // forwardPrefill tells of a long prompt as loadgossip does: in the worker's zone those who
 // draw it, and one process there where that is another zone; first is false for a notice
 // that came from there.
-func (g *gossip) spreadReading(node *Node, own *placing, told *messages.PrefillNotice, first bool) {
-	zone := own.scheduler.ZoneOf(told.Worker)
+func (g *gossip) spreadReading(node *Node, own *placing, received *messages.PrefillNotice, first bool) {
+	zone := own.scheduler.ZoneOf(received.Worker)
 	if zone == node.own.Zone {
-		drawn, part := own.scheduler.NodesFor(told.Worker, own.neighbours.near)
+		chosen, part := own.scheduler.NodesFor(received.Worker, own.neighbours.near)
 		if !part {
-			drawn = own.neighbours.readings
+			chosen = own.neighbours.readings
 		}
-		node.tell(drawn[:min(len(drawn), constants.ReadingFanout)], CoreReadings, messages.KindPrefill, told)
+		node.tell(chosen[:min(len(chosen), constants.ReadingFanout)], CoreReadings, messages.KindPrefill, received)
 		return
 	}
-	if _, part := own.scheduler.NodesFor(told.Worker, nil); !part {
-		node.tell(own.neighbours.readings, CoreReadings, messages.KindPrefill, told)
+	if _, part := own.scheduler.NodesFor(received.Worker, nil); !part {
+		node.tell(own.neighbours.readings, CoreReadings, messages.KindPrefill, received)
 		return
 	}
 	if !first {
@@ -27,7 +27,7 @@
 	}
 	for _, there := range own.neighbours.zones {
 		if there[0].Zone == zone {
-			further := *told
+			further := *received
 			further.Forward = true
 			node.tell([]messages.NodeInfo{there[node.random.Intn(len(there))]}, CoreReadings, messages.KindPrefill, &further)
 		}
--- a/internal/tooling/hollowfleet/real.go
+++ b/internal/tooling/hollowfleet/real.go
@@ -167,14 +167,14 @@
 	if header != "" {
 		request.Header.Set("Lemonarch-Base-Revision", header)
 	}
-	answer, err := r.client.Do(request)
+	resp, err := r.client.Do(request)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	_, _ = io.Copy(io.Discard, answer.Body)
-	if answer.StatusCode != http.StatusOK {
-		return ErrNotStarted.New(path + " was answered by " + answer.Status)
+	defer resp.Body.Close()
+	_, _ = io.Copy(io.Discard, resp.Body)
+	if resp.StatusCode != http.StatusOK {
+		return ErrNotStarted.New(path + " was answered by " + resp.Status)
 	}
 	return nil
 }
@@ -194,8 +194,8 @@
 		if err = r.call(0, "/-/Configuration.Replace", body, "0"); err == nil {
 			return nil
 		}
-		if pause := r.pause(0.25); pause != nil {
-			return pause
+		if backoff := r.pause(0.25); backoff != nil {
+			return backoff
 		}
 	}
 	return ErrNotStarted.Wrap(err, "first configuration")
--- a/internal/tooling/hollowfleet/register.go
+++ b/internal/tooling/hollowfleet/register.go
@@ -80,17 +80,17 @@
 		return &follower{}
 	}
 	own := &registerState{acceptor: acceptor, grants: lease.NewGrantor(node.now(), node.life == 1), known: c.first}
-	node.answerers[messages.KindPrepare] = reads(node, CoreRegister, func(question *messages.PrepareRequest) transport.Marshaler {
-		answer, _ := acceptor.Prepare(question)
-		return &answer
+	node.answerers[messages.KindPrepare] = reads(node, CoreRegister, func(req *messages.PrepareRequest) transport.Marshaler {
+		resp, _ := acceptor.Prepare(req)
+		return &resp
 	})
-	node.answerers[messages.KindAccept] = reads(node, CoreRegister, func(question *messages.AcceptRequest) transport.Marshaler {
-		answer, _ := acceptor.Accept(question)
-		return &answer
+	node.answerers[messages.KindAccept] = reads(node, CoreRegister, func(req *messages.AcceptRequest) transport.Marshaler {
+		resp, _ := acceptor.Accept(req)
+		return &resp
 	})
-	node.answerers[messages.KindLease] = reads(node, CoreHolds, func(question *messages.LeaseRequest) transport.Marshaler {
-		answer := own.grants.Grant(*question, acceptor.Value().Leadership, node.now())
-		return &answer
+	node.answerers[messages.KindLease] = reads(node, CoreHolds, func(req *messages.LeaseRequest) transport.Marshaler {
+		resp := own.grants.Grant(*req, acceptor.Value().Leadership, node.now())
+		return &resp
 	})
 	node.answerers[messages.KindConfigPull] = reads(node, CoreConfig, func(*messages.ConfigPull) transport.Marshaler {
 		return &messages.ConfigPush{Generation: node.generation, Body: own.body}
@@ -130,16 +130,16 @@
 // forward sends a configuration on to the part of the zone that came with it.
 func (c *configuration) passOn(node *Node, push *messages.ConfigPush) {
 	for _, send := range broadcast.Split(push.ForwardTo, constants.BodyFanout) {
-		var try func(address string, pass []string)
-		try = func(address string, pass []string) {
+		var attempt func(address string, pass []string)
+		attempt = func(address string, pass []string) {
 			part := &messages.ConfigPush{Generation: push.Generation, Body: push.Body, ForwardTo: pass}
 			node.ask(CoreConfig, address, messages.KindConfigPush, part, &messages.Ack{}, constants.CallTimeout, func(reached bool) {
 				if !reached && len(pass) > 0 {
-					try(pass[0], pass[1:])
+					attempt(pass[0], pass[1:])
 				}
 			})
 		}
-		try(send.Address, send.ForwardTo)
+		attempt(send.Address, send.ForwardTo)
 	}
 }
 
@@ -196,18 +196,18 @@
 	body := c.body(version.Generation)
 	version.Hash = routeconfig.Hash(body)
 	var result register.Result
-	begun := fleet.world.Now
+	started := fleet.world.Now
 	c.propose(node, register.Replace(version, body, &result), fleet.world.Now.Add(constants.RegisterTimeout), func(value *messages.RegisterValue) {
 		if value == nil {
 			fleet.troubles.refused("configuration")
 			return
 		}
 		c.chosen = max(c.chosen, value.Current.Generation)
-		fleet.troubles.track("configuration", node, func(one *Node) bool { return one.generation >= value.Current.Generation })
+		fleet.troubles.track("configuration", node, func(entry *Node) bool { return entry.generation >= value.Current.Generation })
 		c.take(node, value.Current.Generation, value.Body)
 		// The call is acknowledged when all have it or the time for it is over.
 		fleet.registrations.spread(node, CoreConfig, &messages.RelayRequest{Generation: value.Current.Generation, Body: value.Body}, constants.PushTimeout, func() {
-			fleet.troubles.acknowledged("configuration", fleet.world.Now.Sub(begun))
+			fleet.troubles.acknowledged("configuration", fleet.world.Now.Sub(started))
 		})
 	})
 }
--- a/internal/tooling/hollowfleet/result.go
+++ b/internal/tooling/hollowfleet/result.go
@@ -120,7 +120,7 @@
 		result.Simulated.Known[kind] = timesOf(taken, f.troubles.missed[kind])
 	}
 	for kind, missed := range f.troubles.missed {
-		if _, told := result.Simulated.Known[kind]; !told {
+		if _, received := result.Simulated.Known[kind]; !received {
 			result.Simulated.Known[kind] = timesOf(nil, missed)
 		}
 	}
--- a/internal/tooling/hollowfleet/second_report.go
+++ b/internal/tooling/hollowfleet/second_report.go
@@ -19,26 +19,26 @@
 // reportToAny reports to the first controller of a list that is in contact with a
 // majority, and gives its address, or nothing where none is.
 func (m *memberList) reportToAny(node *Node, controllers []messages.NodeInfo, brief bool, then func(address string)) {
-	silent := 0
-	var try func(place int)
-	try = func(place int) {
-		if place >= len(controllers) || silent >= reportTries {
+	timedOut := 0
+	var attempt func(i int)
+	attempt = func(i int) {
+		if i >= len(controllers) || timedOut >= reportTries {
 			then("")
 			return
 		}
-		address := controllers[place].Address
+		address := controllers[i].Address
 		m.report(node, address, brief, func(result reportResult) {
 			switch result {
 			case reportTaken:
 				then(address)
 				return
 			case reportSilent:
-				silent++
+				timedOut++
 			}
-			try(place + 1)
+			attempt(i + 1)
 		})
 	}
-	try(0)
+	attempt(0)
 }
 
 // reportResult is how a report to a controller ended.
@@ -58,20 +58,20 @@
 	if view == nil {
 		return
 	}
-	var question *messages.Shuffle
+	var req *messages.Shuffle
 	node.step(CoreMembership, func() {
-		question = view.BriefReport()
+		req = view.BriefReport()
 		if !brief {
-			question = view.Report()
+			req = view.Report()
 		}
 	})
-	answer := &messages.Shuffle{}
-	node.ask(CoreMembership, address, messages.KindShuffle, question, answer, constants.ReportTimeout, func(reached bool) {
+	resp := &messages.Shuffle{}
+	node.ask(CoreMembership, address, messages.KindShuffle, req, resp, constants.ReportTimeout, func(reached bool) {
 		result := reportTaken
 		switch {
 		case !reached:
 			result = reportSilent
-		case answer.Detached:
+		case resp.Detached:
 			result = reportDetached
 		}
 		if result != reportTaken {
@@ -79,9 +79,9 @@
 			then(result)
 			return
 		}
-		view.HandleReportResponse(question, answer, node.now())
-		m.saw(node, answer.Entries)
-		m.fleet.registrations.heardController(node, address, answer)
+		view.HandleReportResponse(req, resp, node.now())
+		m.saw(node, resp.Entries)
+		m.fleet.registrations.heardController(node, address, resp)
 		then(result)
 	})
 }
--- a/internal/tooling/hollowfleet/series.go
+++ b/internal/tooling/hollowfleet/series.go
@@ -30,12 +30,12 @@
 func Play(plan Plan, sizes []int, workersEach float64, progress io.Writer) *Series {
 	series := &Series{Slopes: map[string]Slope{}}
 	for _, size := range sizes {
-		one := plan
-		one.Nodes = size
+		entry := plan
+		entry.Nodes = size
 		if workersEach > 0 {
-			one.Workers = max(1, int(float64(size)*workersEach+0.5))
+			entry.Workers = max(1, int(float64(size)*workersEach+0.5))
 		}
-		series.Runs = append(series.Runs, New(one, progress).Run())
+		series.Runs = append(series.Runs, New(entry, progress).Run())
 	}
 	series.fit()
 	return series
@@ -52,10 +52,10 @@
 	if len(s.Runs) < 3 {
 		return
 	}
-	for name, one := range figures() {
-		slope := Slope{Unit: one.unit}
+	for name, entry := range figures() {
+		slope := Slope{Unit: entry.unit}
 		for _, run := range s.Runs {
-			if value, has := one.of(run); has {
+			if value, has := entry.of(run); has {
 				slope.Points = append(slope.Points, Point{float64(run.Plan.Nodes), value})
 			}
 		}
@@ -74,24 +74,24 @@
 	for _, role := range roleNames {
 		traffic := func(of func(RoleTraffic) float64) func(*Result) (float64, bool) {
 			return func(result *Result) (float64, bool) {
-				one, known := result.Simulated.Roles[role]
-				return of(one), known
+				entry, known := result.Simulated.Roles[role]
+				return of(entry), known
 			}
 		}
 		cost := func(of func(RoleCost) float64) func(*Result) (float64, bool) {
 			return func(result *Result) (float64, bool) {
-				one, known := result.Measured.Roles[role]
-				return of(one), known
+				entry, known := result.Measured.Roles[role]
+				return of(entry), known
 			}
 		}
-		found[role+" bytes"] = figure{"bytes a second, both ways", traffic(func(one RoleTraffic) float64 { return one.Out.Bytes + one.In.Bytes })}
-		found[role+" bytes out"] = figure{"bytes a second", traffic(func(one RoleTraffic) float64 { return one.Out.Bytes })}
-		found[role+" bytes between zones"] = figure{"bytes a second out of the zone", traffic(func(one RoleTraffic) float64 { return one.OutZones })}
-		found[role+" frames"] = figure{"frames a second, both ways", traffic(func(one RoleTraffic) float64 { return one.Out.Frames + one.In.Frames })}
-		found[role+" processor"] = figure{"ms a second, placement left out", cost(func(one RoleCost) float64 { return one.control() })}
-		found[role+" heap"] = figure{"KB", cost(func(one RoleCost) float64 { return sum(one.HeapKB) })}
+		found[role+" bytes"] = figure{"bytes a second, both ways", traffic(func(entry RoleTraffic) float64 { return entry.Out.Bytes + entry.In.Bytes })}
+		found[role+" bytes out"] = figure{"bytes a second", traffic(func(entry RoleTraffic) float64 { return entry.Out.Bytes })}
+		found[role+" bytes between zones"] = figure{"bytes a second out of the zone", traffic(func(entry RoleTraffic) float64 { return entry.OutZones })}
+		found[role+" frames"] = figure{"frames a second, both ways", traffic(func(entry RoleTraffic) float64 { return entry.Out.Frames + entry.In.Frames })}
+		found[role+" processor"] = figure{"ms a second, placement left out", cost(func(entry RoleCost) float64 { return entry.control() })}
+		found[role+" heap"] = figure{"KB", cost(func(entry RoleCost) float64 { return sum(entry.HeapKB) })}
 		for core := range cores {
-			found[role+" "+core.String()+" processor"] = figure{"ms a second", cost(func(one RoleCost) float64 { return one.Processor[core.String()] })}
+			found[role+" "+core.String()+" processor"] = figure{"ms a second", cost(func(entry RoleCost) float64 { return entry.Processor[core.String()] })}
 		}
 	}
 	for _, kind := range []string{"configuration", "worker drains", "machine lost"} {
--- a/internal/tooling/hollowfleet/spent.go
+++ b/internal/tooling/hollowfleet/spent.go
@@ -59,22 +59,22 @@
 // sumUp gives the mean of each role.
 func (r *realFleet) sumUp(before, after []spent) *RealResult {
 	result := &RealResult{Plan: r.plan, Roles: map[string]RealRole{}}
-	for place, role := range r.roles {
-		one := result.Roles[role]
-		system := (after[place].system - before[place].system) / r.plan.CountS
-		busy := (after[place].user-before[place].user)/r.plan.CountS + system
-		one.Processes++
-		one.ProcessorMs += busy
-		one.SystemMs += system
-		one.WorstMs = max(one.WorstMs, busy)
-		one.ResidentMB += after[place].resident
-		one.OwnMB += after[place].own
-		result.Roles[role] = one
+	for i, role := range r.roles {
+		entry := result.Roles[role]
+		system := (after[i].system - before[i].system) / r.plan.CountS
+		busy := (after[i].user-before[i].user)/r.plan.CountS + system
+		entry.Processes++
+		entry.ProcessorMs += busy
+		entry.SystemMs += system
+		entry.WorstMs = max(entry.WorstMs, busy)
+		entry.ResidentMB += after[i].resident
+		entry.OwnMB += after[i].own
+		result.Roles[role] = entry
 	}
-	for role, one := range result.Roles {
-		count := float64(one.Processes)
-		one.ProcessorMs, one.SystemMs, one.ResidentMB, one.OwnMB = one.ProcessorMs/count, one.SystemMs/count, one.ResidentMB/count, one.OwnMB/count
-		result.Roles[role] = one
+	for role, entry := range result.Roles {
+		count := float64(entry.Processes)
+		entry.ProcessorMs, entry.SystemMs, entry.ResidentMB, entry.OwnMB = entry.ProcessorMs/count, entry.SystemMs/count, entry.ResidentMB/count, entry.OwnMB/count
+		result.Roles[role] = entry
 	}
 	return result
 }
--- a/internal/tooling/hollowfleet/table.go
+++ b/internal/tooling/hollowfleet/table.go
@@ -14,13 +14,13 @@
 	if len(s.Runs) == 0 {
 		return
 	}
-	header, line := "| figure (unit) |", "|---|"
+	header, text := "| figure (unit) |", "|---|"
 	for _, run := range s.Runs {
 		header += fmt.Sprintf(" %d |", run.Plan.Nodes)
-		line += "---|"
+		text += "---|"
 	}
 	fmt.Fprintln(writer, header+" shape (error) | at 390 | run |")
-	fmt.Fprintln(writer, line+"---|---|---|")
+	fmt.Fprintln(writer, text+"---|---|---|")
 	for _, name := range sortedKeys(s.Slopes) {
 		slope := s.Slopes[name]
 		if flat(slope) {
--- a/internal/tooling/hollowfleet/traffic.go
+++ b/internal/tooling/hollowfleet/traffic.go
@@ -37,8 +37,8 @@
 		return nil
 	}
 	gateways := 0
-	for _, one := range t.fleet.nodes {
-		if one.own.Role == membership.RoleGateway {
+	for _, entry := range t.fleet.nodes {
+		if entry.own.Role == membership.RoleGateway {
 			gateways++
 		}
 	}
@@ -60,26 +60,26 @@
 
 func (t *traffic) request(node *Node, scheduler *admission.Scheduler) {
 	model := t.random.Intn(t.fleet.Plan.Models)
-	ask := &admission.Request{Service: fmt.Sprintf("model-%02d", model), Prompt: t.prompt(node, model), Affine: true,
+	request := &admission.Request{Service: fmt.Sprintf("model-%02d", model), Prompt: t.prompt(node, model), Affine: true,
 		Setpoint: clock.Milliseconds(470), Deadline: node.now().Add(seconds(20)), QueueUntil: node.now().Add(seconds(1))}
-	var answer admission.Decision
-	node.step(CorePlacement, func() { answer, _ = scheduler.Admit(ask, nil, node.now()) })
+	var resp admission.Decision
+	node.step(CorePlacement, func() { resp, _ = scheduler.Admit(request, nil, node.now()) })
 	t.asked++
-	if answer.Grant == nil {
+	if resp.Grant == nil {
 		t.turned++
 		return
 	}
-	grant := answer.Grant
+	grant := resp.Grant
 	worker := grant.Worker.ID
 	t.running[worker]++
-	held := clock.Milliseconds(t.fleet.Plan.HeldMs * node.random.ExpFloat64())
+	inFlight := clock.Milliseconds(t.fleet.Plan.HeldMs * node.random.ExpFloat64())
 	load := func() string { return fmt.Sprintf("%d,0,%d", t.running[worker], grant.Worker.Capacity) }
-	node.after(held/10, func() { node.step(CorePlacement, func() { grant.FirstEvent(load(), node.now()) }) })
+	node.after(inFlight/10, func() { node.step(CorePlacement, func() { grant.FirstEvent(load(), node.now()) }) })
 	// The worker ends the request also where its process is gone by then.
-	life := node.life
-	t.fleet.world.After(held, func() {
+	incarnation := node.life
+	t.fleet.world.After(inFlight, func() {
 		t.running[worker]--
-		if node.life == life {
+		if node.life == incarnation {
 			node.step(CorePlacement, func() { grant.End(admission.ResultServed, node.now()) })
 		}
 	})
@@ -90,15 +90,15 @@
 func (t *traffic) prompt(node *Node, model int) prefixindex.Prompt {
 	long := node.random.Float64() < t.fleet.Plan.LongShare
 	tenant := t.tenant.Uint64()
-	shared, kept, own := 430, 600, 300
+	shared, retained, own := 430, 600, 300
 	if long {
-		kept, own = 6000, 3000
+		retained, own = 6000, 3000
 	}
-	prompt := prefixindex.Prompt{Tokens: shared + kept + own, Out: 200}
+	prompt := prefixindex.Prompt{Tokens: shared + retained + own, Out: 200}
 	for _, part := range []struct {
 		name   string
 		tokens int
-	}{{fmt.Sprint("model", model), shared}, {fmt.Sprint("model", model, "tenant", tenant, long), kept}, {fmt.Sprint(node.own.Name, node.random.Int63()), own}} {
+	}{{fmt.Sprint("model", model), shared}, {fmt.Sprint("model", model, "tenant", tenant, long), retained}, {fmt.Sprint(node.own.Name, node.random.Int63()), own}} {
 		sum := fnv.New64a()
 		sum.Write([]byte(part.name))
 		prompt.Parts = append(prompt.Parts, prefixindex.Part{Name: sum.Sum64(), Tokens: part.tokens})
--- a/internal/tooling/hollowfleet/tree.go
+++ b/internal/tooling/hollowfleet/tree.go
@@ -63,43 +63,43 @@
 func (r *registrations) spread(node *Node, core Core, update *messages.RelayRequest, span clock.Duration, done func()) {
 	r.number++
 	update.From, update.Sequence = membership.Key(node.own), r.number
-	one := &propagation{begun: node.now()}
+	entry := &propagation{begun: node.now()}
 	var sends []broadcast.Send
 	directory := r.directory(node, update.Generation)
-	node.step(core, func() { one.job, sends = broadcast.NewTree(node.own, directory, fan(update), node.now()) })
-	told := onceOf(done)
-	one.waiting = append(one.waiting, told)
+	node.step(core, func() { entry.job, sends = broadcast.NewTree(node.own, directory, fan(update), node.now()) })
+	received := onceOf(done)
+	entry.waiting = append(entry.waiting, received)
 	if update.Generation > 0 {
-		r.addToBacklog(node, update, one.job.Unconfirmed(sends), constants.BacklogForwardedDelay)
+		r.addToBacklog(node, update, entry.job.Unconfirmed(sends), constants.BacklogForwardedDelay)
 	}
-	node.after(span, told)
-	r.deliver(node, core, update, one, sends)
+	node.after(span, received)
+	r.deliver(node, core, update, entry, sends)
 }
 
 // deliver makes the calls that a job asks for, until it is done or too late.
-func (r *registrations) deliver(node *Node, core Core, update *messages.RelayRequest, one *propagation, sends []broadcast.Send) {
+func (r *registrations) deliver(node *Node, core Core, update *messages.RelayRequest, item *propagation, sends []broadcast.Send) {
 	var follow func(sends []broadcast.Send)
 	follow = func(sends []broadcast.Send) {
 		for _, send := range sends {
 			r.send(node, core, update, send, func(missing []uint32, reached bool) {
 				if reached {
-					follow(one.job.HandleResponse(send, missing, node.now()))
+					follow(item.job.HandleResponse(send, missing, node.now()))
 					return
 				}
-				next := one.job.HandleFailure(send, node.now())
-				if entry := one.job.Receiver(send); send.Step == broadcast.StepDeliver && entry.Address != "" {
+				next := item.job.HandleFailure(send, node.now())
+				if entry := item.job.Receiver(send); send.Step == broadcast.StepDeliver && entry.Address != "" {
 					r.addToBacklog(node, update, []messages.NodeInfo{entry}, constants.BacklogBackoff)
 				}
 				follow(next)
 			})
 		}
-		one.settle()
+		item.settle()
 	}
 	follow(sends)
 	var tick func()
 	tick = func() {
-		if !one.job.Done() && node.now().Sub(one.begun) < constants.BulkCallTimeout {
-			node.step(core, func() { follow(one.job.Tick(node.now())) })
+		if !item.job.Done() && node.now().Sub(item.begun) < constants.BulkCallTimeout {
+			node.step(core, func() { follow(item.job.Tick(node.now())) })
 			node.after(constants.RelayTimeout/4, tick)
 		}
 	}
@@ -151,24 +151,24 @@
 				expect = append(expect, mark)
 			}
 		}
-		one := &propagation{begun: node.now()}
+		item := &propagation{begun: node.now()}
 		var sends []broadcast.Send
-		one.job, sends = broadcast.NewZoneTree(node.own, r.directory(node, update.Generation), expect, fan(update), node.now())
-		own.relays[relayKey(update.From, update.Sequence)] = one
-		node.after(0, func() { r.deliver(node, coreOf(update), update, one, sends) })
+		item.job, sends = broadcast.NewZoneTree(node.own, r.directory(node, update.Generation), expect, fan(update), node.now())
+		own.relays[relayKey(update.From, update.Sequence)] = item
+		node.after(0, func() { r.deliver(node, coreOf(update), update, item, sends) })
 		return taken()
 	})
 	node.answerers[messages.KindRelayWait] = func(body []byte, reply func(transport.Marshaler)) {
-		question := &messages.RelayWaitRequest{}
-		node.step(CoreWorkers, func() { _ = transport.Decode(body, question) })
-		one := own.relays[relayKey(question.From, question.Sequence)]
-		if one == nil {
+		req := &messages.RelayWaitRequest{}
+		node.step(CoreWorkers, func() { _ = transport.Decode(body, req) })
+		item := own.relays[relayKey(req.From, req.Sequence)]
+		if item == nil {
 			reply(&messages.RelayWaitResponse{})
 			return
 		}
-		say := onceOf(func() { reply(&messages.RelayWaitResponse{Known: true, Missing: one.job.Missing()}) })
-		one.waiting = append(one.waiting, say)
+		say := onceOf(func() { reply(&messages.RelayWaitResponse{Known: true, Missing: item.job.Missing()}) })
+		item.waiting = append(item.waiting, say)
 		node.after(constants.ZoneBroadcastTimeout, say)
-		node.after(0, one.settle)
+		node.after(0, item.settle)
 	}
 }
--- a/internal/tooling/hollowfleet/troubles.go
+++ b/internal/tooling/hollowfleet/troubles.go
@@ -107,11 +107,11 @@
 func (t *troubles) lose(kind string, among func(*Node) bool, forS float64) {
 	fleet := t.fleet
 	var lost []*Node
-	gone := map[string]bool{}
+	departed := map[string]bool{}
 	for _, node := range fleet.nodes {
 		if among(node) && !node.down && node != fleet.storage.holder {
 			lost = append(lost, node)
-			gone[membership.Key(node.own)] = true
+			departed[membership.Key(node.own)] = true
 		}
 	}
 	if len(lost) == 0 {
@@ -122,7 +122,7 @@
 		node.end()
 	}
 	t.track(kind+" lost", nil, func(node *Node) bool {
-		for key := range gone {
+		for key := range departed {
 			if fleet.members.trusts(node, key) {
 				return false
 			}
@@ -141,14 +141,14 @@
 	if !t.fleet.counting {
 		return
 	}
-	one := &track{kind: kind, begun: t.fleet.world.Now, left: map[*Node]int{}, knows: knows, patient: seconds(trackLimit), slow: from == nil}
+	entry := &track{kind: kind, begun: t.fleet.world.Now, left: map[*Node]int{}, knows: knows, patient: seconds(trackLimit), slow: from == nil}
 	for _, node := range t.fleet.live("") {
 		if from == nil || !t.fleet.parted || node.region == from.region {
-			one.left[node] = node.life
+			entry.left[node] = node.life
 		}
 	}
-	one.count = len(one.left)
-	t.open = append(t.open, one)
+	entry.count = len(entry.left)
+	t.open = append(t.open, entry)
 	if from != nil && t.fleet.parted {
 		t.afterParting(kind, from, knows)
 	}
@@ -161,41 +161,41 @@
 		fleet.world.After(seconds(0.1), func() { t.afterParting(kind, from, knows) })
 		return
 	}
-	one := &track{kind: kind + ", once regions met again", begun: fleet.world.Now, left: map[*Node]int{}, knows: knows, patient: seconds(trackLimit)}
+	entry := &track{kind: kind + ", once regions met again", begun: fleet.world.Now, left: map[*Node]int{}, knows: knows, patient: seconds(trackLimit)}
 	for _, node := range fleet.live("") {
 		if node.region != from.region {
-			one.left[node] = node.life
+			entry.left[node] = node.life
 		}
 	}
-	one.count = len(one.left)
-	t.open = append(t.open, one)
+	entry.count = len(entry.left)
+	t.open = append(t.open, entry)
 }
 
 // look sees who has learnt what; it repeats itself.
 func (t *troubles) look() {
 	now := t.fleet.world.Now
-	kept := t.open[:0]
+	retained := t.open[:0]
 	t.looks++
-	for _, one := range t.open {
-		if one.slow && t.looks%10 != 0 {
-			kept = append(kept, one)
+	for _, entry := range t.open {
+		if entry.slow && t.looks%10 != 0 {
+			retained = append(retained, entry)
 			continue
 		}
-		for node, life := range one.left {
-			if node.life != life || one.knows(node) {
-				delete(one.left, node)
+		for node, incarnation := range entry.left {
+			if node.life != incarnation || entry.knows(node) {
+				delete(entry.left, node)
 			}
 		}
 		switch {
-		case len(one.left) == 0:
-			t.taken[one.kind] = append(t.taken[one.kind], clock.ToMilliseconds(now.Sub(one.begun)))
-		case now.Sub(one.begun) > one.patient:
-			t.missed[one.kind] = append(t.missed[one.kind], float64(len(one.left))/float64(max(one.count, 1)))
+		case len(entry.left) == 0:
+			t.taken[entry.kind] = append(t.taken[entry.kind], clock.ToMilliseconds(now.Sub(entry.begun)))
+		case now.Sub(entry.begun) > entry.patient:
+			t.missed[entry.kind] = append(t.missed[entry.kind], float64(len(entry.left))/float64(max(entry.count, 1)))
 		default:
-			kept = append(kept, one)
+			retained = append(retained, entry)
 		}
 	}
-	t.open = kept
+	t.open = retained
 	t.fleet.world.After(trackPeriod, t.look)
 }
 
@@ -210,9 +210,9 @@
 // close counts the news that is still on its way as unfinished, unless it is young.
 func (t *troubles) close() {
 	now := t.fleet.world.Now
-	for _, one := range t.open {
-		if now.Sub(one.begun) >= seconds(settledAfter) {
-			t.missed[one.kind] = append(t.missed[one.kind], float64(len(one.left))/float64(max(one.count, 1)))
+	for _, entry := range t.open {
+		if now.Sub(entry.begun) >= seconds(settledAfter) {
+			t.missed[entry.kind] = append(t.missed[entry.kind], float64(len(entry.left))/float64(max(entry.count, 1)))
 		}
 	}
 	t.open = nil
--- a/internal/tooling/hollowfleet/workers.go
+++ b/internal/tooling/hollowfleet/workers.go
@@ -54,10 +54,10 @@
 	return made
 }
 
-func (r *registrations) worker(number, life int) messages.Worker {
+func (r *registrations) worker(number, incarnation int) messages.Worker {
 	// A model's workers stand in all zones.
 	zone := (number + number/r.fleet.Plan.Models) % r.fleet.Plan.Zones
-	return messages.Worker{ID: fmt.Sprintf("model-%02d-worker-%04d-%d", number%r.fleet.Plan.Models, number, life),
+	return messages.Worker{ID: fmt.Sprintf("model-%02d-worker-%04d-%d", number%r.fleet.Plan.Models, number, incarnation),
 		Backend: fmt.Sprintf("model-%02d", number%r.fleet.Plan.Models), Address: fmt.Sprintf("10.%d.%d.%d:9000", 100+zone, number/250, number%250),
 		Zone:     fmt.Sprintf("region-%d-zone-%d", zone*r.fleet.Plan.Regions/r.fleet.Plan.Zones, zone),
 		Capacity: 16, Software: "1.0"}
@@ -95,8 +95,8 @@
 		r.fleet.members.touched(node, push.From)
 		return taken()
 	})
-	node.answerers[messages.KindWorkersPull] = reads(node, CoreWorkers, func(question *messages.WorkersPullRequest) transport.Marshaler {
-		return &messages.WorkersUpdate{From: membership.Key(node.own), Workers: own.registry.Since(question.Since, node.now()), Table: own.registry.Digest(node.own.Incarnation)}
+	node.answerers[messages.KindWorkersPull] = reads(node, CoreWorkers, func(req *messages.WorkersPullRequest) transport.Marshaler {
+		return &messages.WorkersUpdate{From: membership.Key(node.own), Workers: own.registry.Since(req.Since, node.now()), Table: own.registry.Digest(node.own.Incarnation)}
 	})
 	r.beginBeats(node, own)
 	r.beginRelays(node, own)
@@ -125,8 +125,8 @@
 
 func (r *registrations) pull(node *Node, own *placing, address string, since uint64, then func(bool)) {
 	back := &messages.WorkersUpdate{}
-	question := &messages.WorkersPullRequest{From: membership.Key(node.own), Since: since}
-	node.ask(CoreWorkers, address, messages.KindWorkersPull, question, back, constants.CallTimeout, func(reached bool) {
+	req := &messages.WorkersPullRequest{From: membership.Key(node.own), Since: since}
+	node.ask(CoreWorkers, address, messages.KindWorkersPull, req, back, constants.CallTimeout, func(reached bool) {
 		if reached {
 			own.scheduler.Merge(back.Workers, node.now())
 			own.read[address] = back.Table
@@ -136,47 +136,47 @@
 }
 
 // handleControllerReport takes what a controller's periodic answer says of workers.
-func (r *registrations) heardController(node *Node, address string, answer *messages.Shuffle) {
+func (r *registrations) heardController(node *Node, address string, resp *messages.Shuffle) {
 	own := r.placing(node)
-	if own == nil || answer.Workers.Incarnation == 0 {
+	if own == nil || resp.Workers.Incarnation == 0 {
 		return
 	}
 	node.step(CoreWorkers, func() {
 		read := own.read[address]
-		since, ask := behind(&read, answer.Workers, own.scheduler.WorkersDigest())
+		since, request := behind(&read, resp.Workers, own.scheduler.WorkersDigest())
 		own.read[address] = read
-		if ask {
+		if request {
 			r.pull(node, own, address, since, func(bool) {})
 		}
-		if answer.OverdueComplete {
-			own.scheduler.HandleOverdue(answer.Overdue, node.now())
+		if resp.OverdueComplete {
+			own.scheduler.HandleOverdue(resp.Overdue, node.now())
 		}
 	})
 }
 
 // behind tells whether another's table may hold something beyond ours, and from which
 // clock on to ask.
-func behind(read *messages.Digest, told, own messages.Digest) (since uint64, ask bool) {
-	if told.Sum == own.Sum {
-		*read = told
+func behind(read *messages.Digest, received, own messages.Digest) (since uint64, request bool) {
+	if received.Sum == own.Sum {
+		*read = received
 		return 0, false
 	}
-	if read.Incarnation != told.Incarnation {
+	if read.Incarnation != received.Incarnation {
 		return 0, true
 	}
-	return read.Clock, told.Clock > read.Clock
+	return read.Clock, received.Clock > read.Clock
 }
 
 // addWorkers adds what is known of workers to a controller's answer.
-func (r *registrations) addWorkers(node *Node, answer *messages.Shuffle) {
+func (r *registrations) addWorkers(node *Node, resp *messages.Shuffle) {
 	if !r.fleet.contacts.attached(node) {
-		*answer = messages.Shuffle{Entries: answer.Entries[:1], Detached: true}
+		*resp = messages.Shuffle{Entries: resp.Entries[:1], Detached: true}
 		return
 	}
 	own := r.table(node)
 	node.step(CoreWorkers, func() {
-		answer.Workers = own.registry.Digest(node.own.Incarnation)
-		answer.OverdueComplete, answer.Overdue = true, own.registry.Overdue(node.now())
+		resp.Workers = own.registry.Digest(node.own.Incarnation)
+		resp.OverdueComplete, resp.Overdue = true, own.registry.Overdue(node.now())
 	})
 }
 
@@ -193,16 +193,16 @@
 		return
 	}
 	parts := 1
-	settled := func() {
+	completed := func() {
 		if parts--; parts == 0 {
 			done()
 		}
 	}
 	if worker.Phase != messages.PhaseSteady {
 		parts++
-		r.persistAtQuorum(node, worker, settled)
+		r.persistAtQuorum(node, worker, completed)
 	}
-	r.spread(node, CoreWorkers, &messages.RelayRequest{Workers: []messages.Worker{worker}}, constants.BroadcastTimeout, settled)
+	r.spread(node, CoreWorkers, &messages.RelayRequest{Workers: []messages.Worker{worker}}, constants.BroadcastTimeout, completed)
 }
 
 // controller gives the controller that a worker calls: its zone's, or any that runs. One
--- a/internal/tooling/lab/endpoint.go
+++ b/internal/tooling/lab/endpoint.go
@@ -37,11 +37,11 @@
 	card := Card{Label: f.Plan.Label, Ingress: f.Plan.Ingress(), Controls: f.Plan.Controls(), Stride: f.Plan.shape().Stride,
 		Routes: f.Routes(), Programs: map[string]int{}, Workers: map[string]string{},
 		Seed: f.Plan.host(constants.LabEdgeHost, 0, constants.LabInternalPort+constants.PortController)}
-	for _, one := range f.processes {
-		card.Programs[one.node.name] = one.id()
+	for _, entry := range f.processes {
+		card.Programs[entry.node.name] = entry.id()
 	}
-	for _, one := range f.places {
-		card.Workers[one.name] = one.address
+	for _, entry := range f.places {
+		card.Workers[entry.name] = entry.address
 	}
 	return card
 }
@@ -59,14 +59,14 @@
 		httpreply.JSON(writer, http.StatusOK, Runs{runs, dropped})
 	})
 	tree.Post("/trouble", func(writer http.ResponseWriter, request *http.Request) {
-		var trouble Trouble
+		var fault Trouble
 		reader := json.NewDecoder(http.MaxBytesReader(writer, request.Body, constants.HeadLimit))
 		reader.DisallowUnknownFields()
-		if err := reader.Decode(&trouble); err != nil {
+		if err := reader.Decode(&fault); err != nil {
 			httpreply.Error(writer, http.StatusBadRequest, "trouble can't be read: "+err.Error())
 			return
 		}
-		if err := f.Trouble(trouble); err != nil {
+		if err := f.Trouble(fault); err != nil {
 			httpreply.Error(writer, http.StatusBadRequest, err.Error())
 			return
 		}
@@ -83,12 +83,12 @@
 }
 
 func newEndpoint(listener net.Listener, handler http.Handler) *endpoint {
-	one := &endpoint{server: &http.Server{Handler: handler, ReadHeaderTimeout: constants.LabGrace}, served: make(chan struct{})}
+	entry := &endpoint{server: &http.Server{Handler: handler, ReadHeaderTimeout: constants.LabGrace}, served: make(chan struct{})}
 	go func() {
-		defer close(one.served)
-		_ = one.server.Serve(listener)
+		defer close(entry.served)
+		_ = entry.server.Serve(listener)
 	}()
-	return one
+	return entry
 }
 
 // close ends the server; its address is free then, also where it had not begun to serve.
--- a/internal/tooling/lab/fleet.go
+++ b/internal/tooling/lab/fleet.go
@@ -78,22 +78,22 @@
 
 func (f *Fleet) start(called contexts.Context, configuration []byte) error {
 	for _, node := range f.Plan.nodes() {
-		one := newProcess(&f.Plan, node, f.Folder, f.starter)
+		entry := newProcess(&f.Plan, node, f.Folder, f.starter)
 		path, err := f.Plan.write(node, f.Folder, true)
 		if err != nil {
 			return err
 		}
-		one.path = path
-		if err = one.run(f.died); err != nil {
+		entry.path = path
+		if err = entry.run(f.died); err != nil {
 			return err
 		}
-		f.processes = append(f.processes, one)
+		f.processes = append(f.processes, entry)
 	}
-	for _, one := range f.Plan.places() {
-		if err := one.begin(f.record, f.Plan.Controls()); err != nil {
+	for _, entry := range f.Plan.places() {
+		if err := entry.begin(f.record, f.Plan.Controls()); err != nil {
 			return err
 		}
-		f.places = append(f.places, one)
+		f.places = append(f.places, entry)
 	}
 	if err := f.serveEndpoint(); err != nil {
 		return err
@@ -112,11 +112,11 @@
 // is the answer 404, and from then on lots are taken.
 func (f *Fleet) lotsReady() error {
 	for _, address := range f.Plan.Ingress() {
-		answer, err := f.operator.ask(http.MethodGet, "http://"+address+"/-/lots/lab-start", nil, 0)
+		resp, err := f.operator.ask(http.MethodGet, "http://"+address+"/-/lots/lab-start", nil, 0)
 		if err != nil {
 			return err
 		}
-		if answer.status != http.StatusNotFound {
+		if resp.status != http.StatusNotFound {
 			return ErrInvalidLab.New(address + " can't answer for lots yet")
 		}
 	}
@@ -156,11 +156,11 @@
 // ready asks every gateway whether it is.
 func (f *Fleet) ready() error {
 	for _, address := range f.Plan.Readiness() {
-		answer, err := f.operator.ask(http.MethodGet, "http://"+address+"/-/readiness", nil, 0)
+		resp, err := f.operator.ask(http.MethodGet, "http://"+address+"/-/readiness", nil, 0)
 		if err != nil {
 			return err
 		}
-		if answer.status != http.StatusOK {
+		if resp.status != http.StatusOK {
 			return ErrInvalidLab.New(address + " is not ready")
 		}
 	}
@@ -177,16 +177,16 @@
 			f.endpoint.close()
 		}
 		var group sync.WaitGroup
-		for _, one := range f.processes {
+		for _, entry := range f.processes {
 			group.Add(1)
 			go func() {
 				defer group.Done()
-				one.stop()
+				entry.stop()
 			}()
 		}
 		group.Wait()
-		for _, one := range f.places {
-			one.crash()
+		for _, entry := range f.places {
+			entry.crash()
 		}
 		if f.own {
 			// What can't be removed stays in the folder for temporary files.
--- a/internal/tooling/lab/lab_test.go
+++ b/internal/tooling/lab/lab_test.go
@@ -56,17 +56,17 @@
 		plan := NewPlan()
 		plan.Gateways, plan.Controllers, plan.Stores, plan.Zones = counts[0], counts[1], counts[2], counts[3]
 		folder := t.TempDir()
-		seen := map[string]bool{}
-		for _, one := range plan.nodes() {
-			path, err := plan.write(one, folder, true)
+		observed := map[string]bool{}
+		for _, entry := range plan.nodes() {
+			path, err := plan.write(entry, folder, true)
 			if err != nil {
 				t.Fatal(err)
 			}
 			nodeSettings, err := settings.LoadFile(path)
-			if err != nil || nodeSettings.NodeName != one.machine || nodeSettings.Zone != one.zone || seen[one.role+nodeSettings.Address] {
-				t.Fatal(one, nodeSettings, err)
+			if err != nil || nodeSettings.NodeName != entry.machine || nodeSettings.Zone != entry.zone || observed[entry.role+nodeSettings.Address] {
+				t.Fatal(entry, nodeSettings, err)
 			}
-			seen[one.role+nodeSettings.Address] = true
+			observed[entry.role+nodeSettings.Address] = true
 			if budget := nodeSettings.FaultBudget.Machines; 2*budget+1 > min(plan.Controllers, plan.Stores) {
 				t.Fatal("more may be lost than half of the set", budget)
 			}
@@ -167,17 +167,17 @@
 	}
 }
 
-func TestStoppedProcessesAreGone(t *testing.T) {
+func TestStoppedProcessesEnd(t *testing.T) {
 	plan := NewPlan()
 	plan.Programs = programs(t, "exec sleep 60")
 	died := make(chan error, 4)
 	for _, end := range []func(*process){(*process).stop, (*process).kill} {
-		one := newProcess(&plan, plan.nodes()[0], t.TempDir(), newStarter())
-		if err := one.run(func(err error) { died <- err }); err != nil {
+		entry := newProcess(&plan, plan.nodes()[0], t.TempDir(), newStarter())
+		if err := entry.run(func(err error) { died <- err }); err != nil {
 			t.Fatal(err)
 		}
-		id := one.id()
-		end(one)
+		id := entry.id()
+		end(entry)
 		if _, err := os.Stat("/proc/" + strconv.Itoa(id)); err == nil {
 			t.Fatal("still there", id)
 		}
--- a/internal/tooling/lab/operator.go
+++ b/internal/tooling/lab/operator.go
@@ -42,13 +42,13 @@
 		request.Header.Set("Lemonarch-Base-Revision", strconv.FormatInt(base, 10))
 		request.Header.Set("Content-Type", "application/json")
 	}
-	answer, err := operatorClient.Do(request)
+	resp, err := operatorClient.Do(request)
 	if err != nil {
 		return answered{}, ErrInvalidLab.New(lastWords(err))
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(answer.Body, 64<<10))
-	return answered{answer.StatusCode, text}, ErrInvalidLab.Wrap(err, "answer")
+	defer resp.Body.Close()
+	text, err := io.ReadAll(io.LimitReader(resp.Body, 64<<10))
+	return answered{resp.StatusCode, text}, ErrInvalidLab.Wrap(err, "answer")
 }
 
 // first sends the first configuration.
@@ -73,34 +73,34 @@
 
 // withRoute gives a configuration a new generation and one route more.
 func withRoute(body []byte, generation int64, route routeconfig.Route) ([]byte, error) {
-	whole := map[string]json.RawMessage{}
-	if err := json.Unmarshal(body, &whole); err != nil {
+	complete := map[string]json.RawMessage{}
+	if err := json.Unmarshal(body, &complete); err != nil {
 		return nil, err
 	}
 	var routes []json.RawMessage
-	if err := json.Unmarshal(whole["channels"], &routes); err != nil {
+	if err := json.Unmarshal(complete["channels"], &routes); err != nil {
 		return nil, err
 	}
 	added, err := json.Marshal(route)
 	if err != nil {
 		return nil, err
 	}
-	if whole["channels"], err = json.Marshal(append(routes, added)); err != nil {
+	if complete["channels"], err = json.Marshal(append(routes, added)); err != nil {
 		return nil, err
 	}
-	whole["generation"] = json.RawMessage(strconv.FormatInt(generation, 10))
-	return json.Marshal(whole)
+	complete["generation"] = json.RawMessage(strconv.FormatInt(generation, 10))
+	return json.Marshal(complete)
 }
 
 // send sends a whole configuration to one control after the other until it is taken.
 func (o *operator) send(body []byte, base int64) error {
 	var err error
 	for _, address := range o.controls {
-		var answer answered
-		answer, err = o.ask(http.MethodPost, "http://"+address+"/-/Configuration.Replace", body, base)
+		var resp answered
+		resp, err = o.ask(http.MethodPost, "http://"+address+"/-/Configuration.Replace", body, base)
 		switch {
 		case err != nil:
-		case answer.status == http.StatusOK:
+		case resp.status == http.StatusOK:
 			config, unreadable := routeconfig.Parse(body)
 			if unreadable != nil {
 				return unreadable
@@ -109,10 +109,10 @@
 			o.config = config
 			o.lock.Unlock()
 			return nil
-		case answer.status >= 400 && answer.status < 500 && answer.status != http.StatusTooManyRequests && answer.status != http.StatusRequestTimeout:
-			return refused("configuration refused with " + strconv.Itoa(answer.status) + ": " + strings.TrimSpace(string(answer.body)))
+		case resp.status >= 400 && resp.status < 500 && resp.status != http.StatusTooManyRequests && resp.status != http.StatusRequestTimeout:
+			return refused("configuration refused with " + strconv.Itoa(resp.status) + ": " + strings.TrimSpace(string(resp.body)))
 		default:
-			err = ErrInvalidLab.New(address + " answered " + strconv.Itoa(answer.status))
+			err = ErrInvalidLab.New(address + " answered " + strconv.Itoa(resp.status))
 		}
 	}
 	return err
--- a/internal/tooling/lab/plan.go
+++ b/internal/tooling/lab/plan.go
@@ -61,9 +61,9 @@
 		{"zones", p.Zones, 1, 9},
 		{"capacity", p.Capacity, 1, 1000},
 	}
-	for _, one := range bounds {
-		if one.value < one.low || one.value > one.high {
-			return ErrInvalidLab.New(fmt.Sprintf("%s must lie between %d and %d, not %d", one.name, one.low, one.high, one.value))
+	for _, entry := range bounds {
+		if entry.value < entry.low || entry.value > entry.high {
+			return ErrInvalidLab.New(fmt.Sprintf("%s must lie between %d and %d, not %d", entry.name, entry.low, entry.high, entry.value))
 		}
 	}
 	if count := p.Gateways + p.Controllers + p.Stores; count > constants.LabProcesses {
@@ -92,19 +92,19 @@
 	disk                               bool
 }
 
-func (p *Plan) host(first, place, port int) string {
-	return net.JoinHostPort(p.Network+"."+strconv.Itoa(first+place), strconv.Itoa(port))
+func (p *Plan) host(first, i, port int) string {
+	return net.JoinHostPort(p.Network+"."+strconv.Itoa(first+i), strconv.Itoa(port))
 }
 
-func (p *Plan) zone(place int) string { return "zone-" + strconv.Itoa(place%p.Zones+1) }
+func (p *Plan) zone(i int) string { return "zone-" + strconv.Itoa(i%p.Zones+1) }
 
 // nodes lists the processes: controllers first, since the others ask them.
 func (p *Plan) nodes() []node {
 	var all []node
 	add := func(role string, count, first int, machine string, disk bool) {
-		for place := 0; place < count; place++ {
-			number := strconv.Itoa(place + 1)
-			all = append(all, node{role + "-" + number, role, machine + "-" + number, p.Network + "." + strconv.Itoa(first+place), p.zone(place), disk})
+		for i := 0; i < count; i++ {
+			number := strconv.Itoa(i + 1)
+			all = append(all, node{role + "-" + number, role, machine + "-" + number, p.Network + "." + strconv.Itoa(first+i), p.zone(i), disk})
 		}
 	}
 	add("controller", p.Controllers, constants.LabEdgeHost, "edge", true)
@@ -129,8 +129,8 @@
 
 func (p *Plan) edges(count, port int) []string {
 	var all []string
-	for place := 0; place < count; place++ {
-		all = append(all, p.host(constants.LabEdgeHost, place, port))
+	for i := 0; i < count; i++ {
+		all = append(all, p.host(constants.LabEdgeHost, i, port))
 	}
 	return all
 }
@@ -140,12 +140,12 @@
 func (p *Plan) free() error {
 	addresses := append(append(p.Ingress(), p.Readiness()...), p.Controls()...)
 	addresses = append(addresses, p.Endpoint())
-	for place := 0; place < p.Workers+p.Plain; place++ {
-		addresses = append(addresses, p.host(constants.LabWorkerHost, place, constants.LabWorkerPort))
+	for i := 0; i < p.Workers+p.Plain; i++ {
+		addresses = append(addresses, p.host(constants.LabWorkerHost, i, constants.LabWorkerPort))
 	}
-	for _, one := range p.nodes() {
-		offset := map[string]int{"controller": constants.PortController, "gateway": constants.PortGateway, "store": constants.PortStore}[one.role]
-		addresses = append(addresses, net.JoinHostPort(one.address, strconv.Itoa(constants.LabInternalPort+offset)))
+	for _, entry := range p.nodes() {
+		offset := map[string]int{"controller": constants.PortController, "gateway": constants.PortGateway, "store": constants.PortStore}[entry.role]
+		addresses = append(addresses, net.JoinHostPort(entry.address, strconv.Itoa(constants.LabInternalPort+offset)))
 	}
 	for _, address := range addresses {
 		listener, err := net.Listen("tcp4", address)
--- a/internal/tooling/lab/process.go
+++ b/internal/tooling/lab/process.go
@@ -156,6 +156,6 @@
 	return p.command.Process.Pid
 }
 
-func newProcess(plan *Plan, one node, folder string, starter *starter) *process {
-	return &process{node: one, starter: starter, program: filepath.Join(plan.Programs, one.role), log: filepath.Join(folder, one.name+".log")}
+func newProcess(plan *Plan, entry node, folder string, starter *starter) *process {
+	return &process{node: entry, starter: starter, program: filepath.Join(plan.Programs, entry.role), log: filepath.Join(folder, entry.name+".log")}
 }
--- a/internal/tooling/lab/reload.go
+++ b/internal/tooling/lab/reload.go
@@ -9,16 +9,16 @@
 const unreadable = "seeds = ["
 
 // reload changes the settings file of a process, as of a later start, and sends SIGHUP.
-func (f *Fleet) reload(one *process, valid bool) error {
-	path, err := f.Plan.write(one.node, f.Folder, false)
+func (f *Fleet) reload(entry *process, valid bool) error {
+	path, err := f.Plan.write(entry.node, f.Folder, false)
 	if err != nil {
 		return err
 	}
 	if !valid {
 		if err := os.WriteFile(path, []byte(unreadable), 0o644); err != nil {
-			return ErrInvalidLab.Wrap(err, "settings of "+one.node.name)
+			return ErrInvalidLab.Wrap(err, "settings of "+entry.node.name)
 		}
 	}
-	one.signal(syscall.SIGHUP, false)
+	entry.signal(syscall.SIGHUP, false)
 	return nil
 }
--- a/internal/tooling/lab/settings.go
+++ b/internal/tooling/lab/settings.go
@@ -23,9 +23,9 @@
 )
 
 // nodeSettings makes the settings of one process.
-func (p *Plan) nodeSettings(one node, folder string, first bool) *settings.Settings {
-	nodeSettings := &settings.Settings{NodeName: one.machine, Role: one.role, MachineClass: "edge", Address: one.address, Zone: one.zone, Region: "lab",
-		InternalPorts: []int{constants.LabInternalPort, constants.LabInternalPort + 15}, Bootstrap: first, InQuorum: one.disk,
+func (p *Plan) nodeSettings(entry node, folder string, first bool) *settings.Settings {
+	nodeSettings := &settings.Settings{NodeName: entry.machine, Role: entry.role, MachineClass: "edge", Address: entry.address, Zone: entry.zone, Region: "lab",
+		InternalPorts: []int{constants.LabInternalPort, constants.LabInternalPort + 15}, Bootstrap: first, InQuorum: entry.disk,
 		HeartbeatMs: clock.ToMilliseconds(constants.LabHeartbeat), Zones: map[string]string{},
 		Limits: settings.Limits{MemoryMB: constants.LabMemoryMB, FileHandles: 4000, DiskMB: constants.LabDiskMB},
 		Tolerances: settings.Tolerances{DrainMs: constants.LabDrainMs, GraceS: constants.LabGrace.Seconds(), ConvergeMs: 2000, AckMs: 4000, SyncS: 5,
@@ -33,11 +33,11 @@
 	// What may be lost is less than half of the smaller of the two sets.
 	nodeSettings.FaultBudget.Machines = (min(p.Controllers, p.Stores) - 1) / 2
 	nodeSettings.Seeds = p.Controls()[:min(3, p.Controllers)]
-	for place := 0; place < p.Zones; place++ {
-		nodeSettings.Zones[p.zone(place)] = "lab"
+	for i := 0; i < p.Zones; i++ {
+		nodeSettings.Zones[p.zone(i)] = "lab"
 	}
-	bind := func(port int) string { return fmt.Sprintf("%s:%d", one.address, port) }
-	switch one.role {
+	bind := func(port int) string { return fmt.Sprintf("%s:%d", entry.address, port) }
+	switch entry.role {
 	case "gateway":
 		nodeSettings.Serves = []string{"edge"}
 		nodeSettings.Bind = settings.Bind{Ingress: bind(constants.LabIngressPort), Readiness: bind(constants.LabReadyPort)}
@@ -47,27 +47,27 @@
 	case "store":
 		nodeSettings.Serves, nodeSettings.MachineClass = []string{"storage"}, "storage"
 	}
-	if one.disk {
-		nodeSettings.DataDir = filepath.Join(folder, "data", one.name)
+	if entry.disk {
+		nodeSettings.DataDir = filepath.Join(folder, "data", entry.name)
 	}
 	return nodeSettings
 }
 
 // write puts the settings file of a process in place.
-func (p *Plan) write(one node, folder string, first bool) (string, error) {
-	nodeSettings := p.nodeSettings(one, folder, first)
+func (p *Plan) write(entry node, folder string, first bool) (string, error) {
+	nodeSettings := p.nodeSettings(entry, folder, first)
 	if findings := nodeSettings.Check(); len(findings) > 0 {
-		return "", ErrInvalidLab.New("settings of " + one.name + ": " + findings[0])
+		return "", ErrInvalidLab.New("settings of " + entry.name + ": " + findings[0])
 	}
 	if nodeSettings.DataDir != "" {
 		if err := os.MkdirAll(nodeSettings.DataDir, 0o755); err != nil {
-			return "", ErrInvalidLab.Wrap(err, "data folder of "+one.name)
+			return "", ErrInvalidLab.Wrap(err, "data folder of "+entry.name)
 		}
 	}
 	var text bytes.Buffer
 	if err := toml.NewEncoder(&text).Encode(nodeSettings); err != nil {
-		return "", ErrInvalidLab.Wrap(err, "settings of "+one.name)
+		return "", ErrInvalidLab.Wrap(err, "settings of "+entry.name)
 	}
-	path := filepath.Join(folder, one.name+".toml")
-	return path, ErrInvalidLab.Wrap(os.WriteFile(path, text.Bytes(), 0o644), "settings of "+one.name)
+	path := filepath.Join(folder, entry.name+".toml")
+	return path, ErrInvalidLab.Wrap(os.WriteFile(path, text.Bytes(), 0o644), "settings of "+entry.name)
 }
--- a/internal/tooling/lab/trouble.go
+++ b/internal/tooling/lab/trouble.go
@@ -89,11 +89,11 @@
 func seconds(count float64) clock.Duration { return clock.Milliseconds(count * 1000) }
 
 // Trouble begins a trouble; it goes on by itself.
-func (f *Fleet) Trouble(trouble Trouble) error {
-	if err := trouble.Check(); err != nil {
+func (f *Fleet) Trouble(fault Trouble) error {
+	if err := fault.Check(); err != nil {
 		return err
 	}
-	if trouble.Kind == kindConfigure {
+	if fault.Kind == kindConfigure {
 		_, err := f.operator.addRoute()
 		return err
 	}
@@ -111,18 +111,18 @@
 		return ErrInvalidLab.New("the fleet is being stopped")
 	default:
 	}
-	for _, one := range f.processes {
-		if matches(one.node.name, trouble.Target) {
-			begin(func() { f.harm(one, trouble) })
+	for _, entry := range f.processes {
+		if matches(entry.node.name, fault.Target) {
+			begin(func() { f.harm(entry, fault) })
 		}
 	}
-	for _, one := range f.places {
-		if matches(one.name, trouble.Target) {
-			begin(func() { f.disturb(one, trouble) })
+	for _, entry := range f.places {
+		if matches(entry.name, fault.Target) {
+			begin(func() { f.disturb(entry, fault) })
 		}
 	}
 	if !found {
-		return ErrInvalidLab.New("nothing here is called " + strconv.Quote(trouble.Target))
+		return ErrInvalidLab.New("nothing here is called " + strconv.Quote(fault.Target))
 	}
 	return nil
 }
@@ -138,56 +138,56 @@
 }
 
 // harm does to a process what the trouble says.
-func (f *Fleet) harm(one *process, trouble Trouble) {
-	switch trouble.Kind {
+func (f *Fleet) harm(entry *process, fault Trouble) {
+	switch fault.Kind {
 	case kindReload, kindReloadBad:
-		if err := f.reload(one, trouble.Kind == kindReload); err != nil {
+		if err := f.reload(entry, fault.Kind == kindReload); err != nil {
 			f.died(err)
 		}
 		return
 	case kindFreeze:
-		one.signal(syscall.SIGSTOP, false)
-		f.pause(seconds(trouble.ForS))
-		one.signal(syscall.SIGCONT, false)
+		entry.signal(syscall.SIGSTOP, false)
+		f.pause(seconds(fault.ForS))
+		entry.signal(syscall.SIGCONT, false)
 		return
 	case kindKill:
-		one.kill()
+		entry.kill()
 	case kindStop:
-		one.stop()
+		entry.stop()
 	}
-	if !f.pause(max(seconds(trouble.BackS), constants.LabRestart)) {
+	if !f.pause(max(seconds(fault.BackS), constants.LabRestart)) {
 		return
 	}
 	// Not the first start any more: the disk holds what it held.
-	if _, err := f.Plan.write(one.node, f.Folder, false); err != nil {
+	if _, err := f.Plan.write(entry.node, f.Folder, false); err != nil {
 		f.died(err)
 		return
 	}
-	if err := one.run(f.died); err != nil {
+	if err := entry.run(f.died); err != nil {
 		f.died(err)
 	}
 }
 
 // disturb does to a worker what the trouble says.
-func (f *Fleet) disturb(one *place, trouble Trouble) {
-	back := max(seconds(trouble.BackS), constants.LabRestart)
+func (f *Fleet) disturb(entry *place, fault Trouble) {
+	back := max(seconds(fault.BackS), constants.LabRestart)
 	begin := func() {
-		if err := one.begin(f.record, f.Plan.Controls()); err != nil {
+		if err := entry.begin(f.record, f.Plan.Controls()); err != nil {
 			f.died(err)
 		}
 	}
-	switch trouble.Kind {
+	switch fault.Kind {
 	case kindCrash:
-		one.crash()
+		entry.crash()
 		if f.pause(back) {
 			begin()
 		}
 	case kindReplace:
-		one.leave()
+		entry.leave()
 		begin()
 	case kindFlap:
-		for end := clock.Now().Add(seconds(trouble.ForS)); clock.Now() < end; {
-			one.crash()
+		for end := clock.Now().Add(seconds(fault.ForS)); clock.Now() < end; {
+			entry.crash()
 			if !f.pause(back) {
 				return
 			}
@@ -197,10 +197,10 @@
 			}
 		}
 	case kindFaults:
-		one.trouble(trouble.Faults)
-		if trouble.ForS > 0 {
-			f.pause(seconds(trouble.ForS))
-			one.trouble(workeremulator.Faults{})
+		entry.trouble(fault.Faults)
+		if fault.ForS > 0 {
+			f.pause(seconds(fault.ForS))
+			entry.trouble(workeremulator.Faults{})
 		}
 	}
 }
--- a/internal/tooling/lab/workers.go
+++ b/internal/tooling/lab/workers.go
@@ -38,9 +38,9 @@
 	var all []*place
 	add := func(kind string, count int, nodeSettings workeremulator.Settings) {
 		for number := 0; number < count; number++ {
-			one := nodeSettings
-			one.Zone = p.zone(number)
-			all = append(all, &place{name: kind + "-" + strconv.Itoa(number+1), nodeSettings: one, seed: p.Seed*1000 + int64(len(all)),
+			entry := nodeSettings
+			entry.Zone = p.zone(number)
+			all = append(all, &place{name: kind + "-" + strconv.Itoa(number+1), nodeSettings: entry, seed: p.Seed*1000 + int64(len(all)),
 				address: p.host(constants.LabWorkerHost, len(all), constants.LabWorkerPort)})
 		}
 	}
@@ -87,30 +87,30 @@
 }
 
 // take gives the present life away, so that somebody ends it.
-func (p *place) take() (life emulated, found bool) {
+func (p *place) take() (incarnation emulated, found bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	life = emulated{p.worker, p.beater, p.served}
+	incarnation = emulated{p.worker, p.beater, p.served}
 	if p.halt != nil {
 		p.halt()
 	}
 	p.worker, p.beater, p.halt = nil, nil, nil
-	return life, life.worker != nil
+	return incarnation, incarnation.worker != nil
 }
 
 // crash ends the present life without a word; its address is free then.
 func (p *place) crash() {
-	if life, found := p.take(); found {
-		life.worker.Crash()
-		<-life.served
+	if incarnation, found := p.take(); found {
+		incarnation.worker.Crash()
+		<-incarnation.served
 	}
 }
 
 // leave ends the present life in order; its address is free then.
 func (p *place) leave() {
-	if life, found := p.take(); found {
-		life.beater.LeaveInOrder(clock.Milliseconds(constants.LabDrainMs))
-		<-life.served
+	if incarnation, found := p.take(); found {
+		incarnation.beater.LeaveInOrder(clock.Milliseconds(constants.LabDrainMs))
+		<-incarnation.served
 	}
 }
 
--- a/internal/tooling/linearize/controller.go
+++ b/internal/tooling/linearize/controller.go
@@ -27,8 +27,8 @@
 	record := messages.AcceptorRecord{}
 	logfile, err := recordlog.Open(c.disk, "register", func(_ int64, body []byte) error {
 		record = messages.AcceptorRecord{}
-		_, problem := record.UnmarshalMsg(body)
-		return problem
+		_, callErr := record.UnmarshalMsg(body)
+		return callErr
 	})
 	if err != nil {
 		return err
--- a/internal/tooling/linearize/faults.go
+++ b/internal/tooling/linearize/faults.go
@@ -42,10 +42,10 @@
 
 // cut cuts a machine off from all others and from the operators, one way or both.
 func (f *Fleet) cut(victim *controller, to, from bool) {
-	set := func(cut bool) {
+	set := func(partitioned bool) {
 		for _, name := range f.names {
-			f.world.SetPartitioned(name, victim.name, cut && to)
-			f.world.SetPartitioned(victim.name, name, cut && from)
+			f.world.SetPartitioned(name, victim.name, partitioned && to)
+			f.world.SetPartitioned(victim.name, name, partitioned && from)
 		}
 	}
 	set(true)
--- a/internal/tooling/linearize/fleet.go
+++ b/internal/tooling/linearize/fleet.go
@@ -55,8 +55,8 @@
 	for _, name := range fleet.names[:setSize] {
 		first = append(first, messages.Member{Name: name, Address: name, Disk: name})
 	}
-	for place, name := range fleet.names {
-		node := &controller{name: name, disk: simulation.NewDisk(seed + int64(place))}
+	for i, name := range fleet.names {
+		node := &controller{name: name, disk: simulation.NewDisk(seed + int64(i))}
 		fleet.nodes[name] = node
 		fleet.fail(node.start(name, first))
 		fleet.tend(name)
@@ -99,9 +99,9 @@
 			return
 		}
 		if other := f.any(); !other.down && (other.known.SetEpoch > node.known.SetEpoch || len(node.known.Acceptors) == 0) {
-			known, life := other.known, node.life
+			known, incarnation := other.known, node.life
 			f.world.Send(other.name, name, func() {
-				if node.life == life {
+				if node.life == incarnation {
 					node.learn(known)
 				}
 			})
--- a/internal/tooling/linearize/history.go
+++ b/internal/tooling/linearize/history.go
@@ -54,8 +54,8 @@
 	if reply.Unclear() {
 		return
 	}
-	one := &o.history.operations[o.place]
-	one.Output, one.Return = reply, now
+	entry := &o.history.operations[o.place]
+	entry.Output, entry.Return = reply, now
 }
 
 // Len is the number of operations.
@@ -87,12 +87,12 @@
 func (h *History) describe(model porcupine.Model) string {
 	text := ""
 	for index := range h.operations {
-		one := &h.operations[index]
+		entry := &h.operations[index]
 		end := "open"
-		if one.Return != math.MaxInt64 {
-			end = fmt.Sprintf("%.1f", float64(one.Return)/1e6)
+		if entry.Return != math.MaxInt64 {
+			end = fmt.Sprintf("%.1f", float64(entry.Return)/1e6)
 		}
-		text += fmt.Sprintf("\n  %8.1f to %8s ms, client %d: %s", float64(one.Call)/1e6, end, one.ClientId, model.DescribeOperation(one.Input, one.Output))
+		text += fmt.Sprintf("\n  %8.1f to %8s ms, client %d: %s", float64(entry.Call)/1e6, end, entry.ClientId, model.DescribeOperation(entry.Input, entry.Output))
 	}
 	return text
 }
--- a/internal/tooling/linearize/lots.go
+++ b/internal/tooling/linearize/jobs.go
@@ -8,118 +8,118 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// LotKind is the kind of a JobCallRequest.
-type LotKind int
+// JobKind is the kind of a JobCallRequest.
+type JobKind int
 
 // The kinds of calls for lots.
 const (
-	// LotHandIn hands a lot in. Each sending is an operation of its own: one that was
+	// JobSubmit hands a lot in. Each sending is an operation of its own: one that was
 	// refused may be sent again and be taken.
-	LotHandIn LotKind = iota
-	// LotRead reads results from a position on.
-	LotRead
-	// LotEnd ends a lot.
-	LotEnd
+	JobSubmit JobKind = iota
+	// JobRead reads results from a position on.
+	JobRead
+	// JobEnd ends a lot.
+	JobEnd
 )
 
-// LotCall is a client's call for one lot.
-type LotCall struct {
-	Kind LotKind
+// JobCall is a client's call for one lot.
+type JobCall struct {
+	Kind JobKind
 	Lot  string
 	// From is the position a read begins at.
 	From int
 }
 
-// LotOutcome is the kind of answer to a JobCallRequest.
-type LotOutcome int
+// JobOutcome is the kind of answer to a JobCallRequest.
+type JobOutcome int
 
 // The outcomes.
 const (
-	// LotUnclear: no answer, or one that says nothing.
-	LotUnclear LotOutcome = iota
-	// LotDone: handed in, read or ended.
-	LotDone
-	// LotRefused: a hand-in of which nothing runs.
-	LotRefused
-	// LotMissing: there is no such lot.
-	LotMissing
+	// JobUnclear: no answer, or one that says nothing.
+	JobUnclear JobOutcome = iota
+	// JobDone: handed in, read or ended.
+	JobDone
+	// JobRejected: a hand-in of which nothing runs.
+	JobRejected
+	// JobMissing: there is no such lot.
+	JobMissing
 )
 
-// LotReply is the answer to a JobCallRequest.
-type LotReply struct {
-	Outcome LotOutcome
+// JobReply is the answer to a JobCallRequest.
+type JobReply struct {
+	Outcome JobOutcome
 	// Results are what a read told, from its position on, each as one text that names
 	// item, phase and content.
 	Results []string
 }
 
 // Unclear says that nothing is known of the outcome.
-func (l LotReply) Unclear() bool { return l.Outcome == LotUnclear }
+func (l JobReply) Unclear() bool { return l.Outcome == JobUnclear }
 
-// lotState is the state of one sequential lot.
-type lotState struct {
+// jobState is the state of one sequential lot.
+type jobState struct {
 	taken bool
 	// results holds the results that callers were told, by position; those that were
 	// listed and that nobody read are empty.
 	results string
 }
 
-// resultEnd ends each result in a lotState; no text holds it.
+// resultEnd ends each result in a jobState; no text holds it.
 const resultEnd = "\x00"
 
-func (l lotState) list() []string {
+func (l jobState) list() []string {
 	list := strings.Split(l.results, resultEnd)
 	return list[:len(list)-1]
 }
 
-// LotsModel is the sequential model of lots: a lot is there from the moment it was
+// JobsModel is the sequential model of lots: a lot is there from the moment it was
 // taken, each position gets one result for good, in order, and whoever reads meets all
 // that anybody was told before.
-func LotsModel() porcupine.Model {
+func JobsModel() porcupine.Model {
 	model := porcupine.NondeterministicModel{
-		Partition: byLot,
-		Init:      func() []any { return []any{lotState{}} },
+		Partition: byJob,
+		Init:      func() []any { return []any{jobState{}} },
 		Step: func(state, input, output any) []any {
-			return stepLot(state.(lotState), input.(LotCall), output.(LotReply))
+			return stepJob(state.(jobState), input.(JobCall), output.(JobReply))
 		},
 		DescribeOperation: func(input, output any) string {
-			call, reply := input.(LotCall), output.(LotReply)
+			call, reply := input.(JobCall), output.(JobReply)
 			return fmt.Sprintf("lot %s, call %d from %d: outcome %d %q", call.Lot, call.Kind, call.From, reply.Outcome, reply.Results)
 		},
 	}
 	return model.ToModel()
 }
 
-func byLot(history []porcupine.Operation) [][]porcupine.Operation {
+func byJob(history []porcupine.Operation) [][]porcupine.Operation {
 	var names []string
-	lots := map[string][]porcupine.Operation{}
+	jobs := map[string][]porcupine.Operation{}
 	for _, operation := range history {
-		name := operation.Input.(LotCall).Lot
-		if lots[name] == nil {
+		name := operation.Input.(JobCall).Lot
+		if jobs[name] == nil {
 			names = append(names, name)
 		}
-		lots[name] = append(lots[name], operation)
+		jobs[name] = append(jobs[name], operation)
 	}
 	var parts [][]porcupine.Operation
 	for _, name := range names {
-		parts = append(parts, lots[name])
+		parts = append(parts, jobs[name])
 	}
 	return parts
 }
 
-func stepLot(state lotState, call LotCall, reply LotReply) []any {
+func stepJob(state jobState, call JobCall, reply JobReply) []any {
 	next := state
 	next.taken = true
 	switch {
-	case reply.Unclear() && call.Kind == LotHandIn:
+	case reply.Unclear() && call.Kind == JobSubmit:
 		return []any{state, next}
 	case reply.Unclear():
 		return []any{state}
-	case reply.Outcome == LotMissing || reply.Outcome == LotRefused:
+	case reply.Outcome == JobMissing || reply.Outcome == JobRejected:
 		return only(state, !state.taken)
-	case call.Kind == LotHandIn:
+	case call.Kind == JobSubmit:
 		return []any{next}
-	case call.Kind == LotEnd:
+	case call.Kind == JobEnd:
 		return only(state, state.taken)
 	default:
 		read, fits := state.read(call.From, reply.Results)
@@ -127,7 +127,7 @@
 	}
 }
 
-func only(state lotState, legal bool) []any {
+func only(state jobState, legal bool) []any {
 	if !legal {
 		return nil
 	}
@@ -135,14 +135,14 @@
 }
 
 // read gives the state after a read that told these results.
-func (l lotState) read(from int, results []string) (lotState, bool) {
+func (l jobState) read(from int, results []string) (jobState, bool) {
 	known := l.list()
 	if len(results) == 0 {
 		// At least one is told where one exists.
 		return l, len(known) <= from
 	}
-	for place, text := range results {
-		position := from + place
+	for i, text := range results {
+		position := from + i
 		known = append(known, make([]string, max(0, position+1-len(known)))...)
 		if known[position] != "" && known[position] != text {
 			return l, false
--- a/internal/tooling/linearize/operators.go
+++ b/internal/tooling/linearize/operators.go
@@ -99,11 +99,11 @@
 }
 
 // serve is what a control machine does with a call.
-func (f *Fleet) serve(node *controller, call RegisterCall, answer func(reply RegisterReply)) {
+func (f *Fleet) serve(node *controller, call RegisterCall, resp func(reply RegisterReply)) {
 	if call.Version.Generation == 0 {
 		f.read(node, func(value *messages.RegisterValue) {
 			if value != nil {
-				answer(RegisterReply{Outcome: RegisterRead, Found: value.Current})
+				resp(RegisterReply{Outcome: RegisterRead, Found: value.Current})
 			}
 		})
 		return
@@ -115,7 +115,7 @@
 	}
 	f.propose(node, change, attempts, func(value *messages.RegisterValue) {
 		if value != nil {
-			answer(RegisterReply{Outcome: outcome(result)})
+			resp(RegisterReply{Outcome: outcome(result)})
 		}
 	})
 }
--- a/internal/tooling/linearize/propose.go
+++ b/internal/tooling/linearize/propose.go
@@ -20,25 +20,25 @@
 
 // propose drives a change from a node. Ended is called once, with nil where the
 // outcome is unclear, or never where the process dies.
-func (f *Fleet) propose(node *controller, change register.Change, tries int, ended func(value *messages.RegisterValue)) {
-	if node.down || tries == 0 || len(node.known.Acceptors) == 0 {
+func (f *Fleet) propose(node *controller, change register.Change, attempts int, ended func(value *messages.RegisterValue)) {
+	if node.down || attempts == 0 || len(node.known.Acceptors) == 0 {
 		ended(nil)
 		return
 	}
 	node.counter++
 	ballot := register.NewBallot(node.counter, node.name, node.acceptor.Disk(), node.life)
 	proposal, sends := register.NewProposal(ballot, node.known, change)
-	one := &attempt{Fleet: f, node: node, life: node.life, proposal: proposal, ended: ended}
-	one.again = func() {
-		if !one.dead() {
-			f.propose(node, change, tries-1, ended)
+	entry := &attempt{Fleet: f, node: node, life: node.life, proposal: proposal, ended: ended}
+	entry.again = func() {
+		if !entry.dead() {
+			f.propose(node, change, attempts-1, ended)
 		}
 	}
-	one.send(sends)
+	entry.send(sends)
 	f.world.After(clock.Milliseconds(attemptMs), func() {
-		if !one.over {
-			one.over = true
-			one.again()
+		if !entry.over {
+			entry.over = true
+			entry.again()
 		}
 	})
 }
@@ -60,16 +60,16 @@
 				return
 			}
 			if message.Prepare != nil {
-				answer, keep := target.acceptor.Prepare(message.Prepare)
-				a.answer(target, keep, func() { a.hear(a.proposal.HandlePrepareResponse(message.Member, answer)) })
+				resp, keep := target.acceptor.Prepare(message.Prepare)
+				a.answer(target, keep, func() { a.hear(a.proposal.HandlePrepareResponse(message.Member, resp)) })
 				return
 			}
-			answer, keep := target.acceptor.Accept(message.Accept)
+			resp, keep := target.acceptor.Accept(message.Accept)
 			if keep {
 				target.learn(message.Accept.Value)
 			}
 			a.answer(target, keep, func() {
-				a.proposal.HandleAcceptResponse(message.Member, answer)
+				a.proposal.HandleAcceptResponse(message.Member, resp)
 				a.hear(nil)
 			})
 		})
@@ -124,9 +124,9 @@
 		return
 	}
 	reading, sends := register.NewQuorumRead(node.known)
-	life, over := node.life, false
+	incarnation, over := node.life, false
 	settle := func(value *messages.RegisterValue) {
-		if over || node.down || node.life != life {
+		if over || node.down || node.life != incarnation {
 			return
 		}
 		over = true
@@ -142,13 +142,13 @@
 			if target.down {
 				return
 			}
-			answer, _ := target.acceptor.Prepare(message.Prepare)
+			resp, _ := target.acceptor.Prepare(message.Prepare)
 			f.world.Send(target.name, node.name, func() {
-				value, settled := reading.HandlePrepareResponse(message.Member, answer)
+				value, completed := reading.HandlePrepareResponse(message.Member, resp)
 				if f.breaks.ReadOne {
-					value, settled = &answer.Value, true
+					value, completed = &resp.Value, true
 				}
-				if settled {
+				if completed {
 					settle(value)
 				}
 			})
--- a/internal/tooling/linearize/register.go
+++ b/internal/tooling/linearize/register.go
@@ -89,8 +89,8 @@
 func stepRegister(taken chain, version messages.Version, reply RegisterReply) []any {
 	name, generation := taken.current()
 	if version.Generation == 0 {
-		told := reply.Found.Generation == 0 && name == "" || versionName(reply.Found) == name
-		if reply.Unclear() || told {
+		received := reply.Found.Generation == 0 && name == "" || versionName(reply.Found) == name
+		if reply.Unclear() || received {
 			return []any{taken}
 		}
 		return nil
--- a/internal/tooling/loadgen/check.go
+++ b/internal/tooling/loadgen/check.go
@@ -83,40 +83,40 @@
 	count := map[string]int{}
 	ended := map[string]bool{}
 	for _, run := range runs {
-		one := all[run.Attempt]
-		if one == nil {
+		entry := all[run.Attempt]
+		if entry == nil {
 			findings = append(findings, Finding{"UNASKED", run.Attempt, "ran at " + run.Worker + ", and nobody sent it"})
 			continue
 		}
 		count[run.Attempt]++
 		ended[run.Attempt] = ended[run.Attempt] || run.Ended
-		if run.Path != one.path || run.Body != one.body || run.Method != "POST" {
+		if run.Path != entry.path || run.Body != entry.body || run.Method != "POST" {
 			findings = append(findings, Finding{"UNASKED", run.Attempt, "ran with another method, path or body: " + run.Method + " " + run.Path})
 		}
 		fits := false
-		for _, service := range one.services {
+		for _, service := range entry.services {
 			fits = fits || service == run.Service
 		}
 		if !fits {
 			findings = append(findings, Finding{"ROUTE", run.Attempt, "ran at service " + run.Service})
 		}
-		if one.once && count[run.Attempt] == 2 {
+		if entry.once && count[run.Attempt] == 2 {
 			findings = append(findings, Finding{"TWICE", run.Attempt, "ran again at " + run.Worker})
 		}
-		if (one.once || one.item) && one.promised && count[run.Attempt] == 1 {
+		if (entry.once || entry.item) && entry.promised && count[run.Attempt] == 1 {
 			findings = append(findings, Finding{"REFUSED", run.Attempt, "was promised not to run, and ran at " + run.Worker})
 		}
 	}
-	for attempt, one := range all {
-		if one.succeeded && !ended[attempt] {
+	for attempt, entry := range all {
+		if entry.succeeded && !ended[attempt] {
 			findings = append(findings, Finding{"MIXED", attempt, "a success that no worker gave"})
 		}
 	}
 	return findings
 }
 
-// lotCheck follows one lot through its reads.
-type lotCheck struct {
+// jobCheck follows one lot through its reads.
+type jobCheck struct {
 	id string
 	// events is how many events each item has; listed is what stands at each position.
 	events   map[string]int64
@@ -124,19 +124,19 @@
 	position map[string]int
 }
 
-func newLotCheck(id string) *lotCheck {
-	return &lotCheck{id: id, events: map[string]int64{}, position: map[string]int{}}
+func newJobCheck(id string) *jobCheck {
+	return &jobCheck{id: id, events: map[string]int64{}, position: map[string]int{}}
 }
 
 // page takes what one read gave from a position on.
-func (l *lotCheck) page(cursor int, page *jobclient.Page) []Finding {
+func (l *jobCheck) page(cursor int, page *jobclient.Page) []Finding {
 	var findings []Finding
 	add := func(rule, what string) { findings = append(findings, Finding{rule, l.id, what}) }
 	if page.Sum != len(l.events) {
 		add("MIXED", fmt.Sprintf("sum is %d, items are %d", page.Sum, len(l.events)))
 	}
-	for place, output := range page.Outputs {
-		at := cursor + place
+	for i, output := range page.Outputs {
+		at := cursor + i
 		if at < len(l.listed) {
 			if l.listed[at] != output {
 				add("TWICE", fmt.Sprintf("position %d holds another result than before", at))
@@ -152,7 +152,7 @@
 		switch {
 		case !known:
 			add("MIXED", "item "+output.ID+" belongs to another lot")
-		case output.Phase == jobclient.PhaseSettled && output.Text != wholeText(output.ID, events):
+		case output.Phase == jobclient.PhaseSettled && output.Text != completeText(output.ID, events):
 			add("MIXED", "the text of item "+output.ID+" is not its whole output")
 		case output.Phase != jobclient.PhaseSettled && output.Phase != jobclient.PhaseAbandoned:
 			add("MIXED", "item "+output.ID+" has the phase "+output.Phase)
@@ -161,8 +161,8 @@
 	return findings
 }
 
-// wholeText is what a settled item must hold.
-func wholeText(item string, events int64) string {
+// completeText is what a settled item must hold.
+func completeText(item string, events int64) string {
 	lines := make([]string, 0, events)
 	for number := int64(1); number <= events; number++ {
 		lines = append(lines, workeremulator.EventData(item, number))
--- a/internal/tooling/loadgen/check_test.go
+++ b/internal/tooling/loadgen/check_test.go
@@ -30,7 +30,7 @@
 
 // Each way in which runs may differ from what was sent is caught, and only it.
 func TestRunsAgainstWhatWasSent(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, entry := range map[string]struct {
 		runs []workeremulator.Run
 		edit func(sent *sent)
 		want string
@@ -51,11 +51,11 @@
 		"failed, no run":   {nil, func(sent *sent) { sent.succeeded = false }, ""},
 	} {
 		all := oneSent()
-		if one.edit != nil {
-			one.edit(all["a"])
+		if entry.edit != nil {
+			entry.edit(all["a"])
 		}
-		if got := rules(checkRuns(all, one.runs)); got != one.want {
-			t.Errorf("%s: %q, not %q", name, got, one.want)
+		if got := rules(checkRuns(all, entry.runs)); got != entry.want {
+			t.Errorf("%s: %q, not %q", name, got, entry.want)
 		}
 	}
 }
@@ -63,7 +63,7 @@
 func TestStampAndBody(t *testing.T) {
 	body := []byte("b")
 	sound := workeremulator.PlainBody("a", body)
-	for name, one := range map[string]struct {
+	for name, entry := range map[string]struct {
 		seal, echoed, text string
 		caught             bool
 	}{
@@ -75,7 +75,7 @@
 		"half a body":      {workeremulator.Seal("w", "a"), "a", sound[:5], true},
 		"another's answer": {workeremulator.Seal("w", "a"), "a", workeremulator.PlainBody("b", body), true},
 	} {
-		if got := checkPlain("a", body, one.seal, one.echoed, []byte(one.text)); (got != nil) != one.caught {
+		if got := checkPlain("a", body, entry.seal, entry.echoed, []byte(entry.text)); (got != nil) != entry.caught {
 			t.Error(name, got)
 		}
 	}
@@ -86,7 +86,7 @@
 }
 
 func TestOrderOfEvents(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, entry := range map[string]struct {
 		from   int64
 		events []string
 		rule   string
@@ -100,29 +100,29 @@
 		"one too many":    {0, []string{event(1), event(2), event(3), event(4)}, "ORDER"},
 		"another's event": {0, []string{event(1), "id: 2\ndata: x\n", event(3)}, "MIXED"},
 	} {
-		follower := &follower{attempt: "a", last: one.from, all: 3}
-		whole := true
-		for _, text := range one.events {
-			if whole = follower.event(text); !whole {
+		follower := &follower{attempt: "a", last: entry.from, all: 3}
+		complete := true
+		for _, text := range entry.events {
+			if complete = follower.event(text); !complete {
 				break
 			}
 		}
-		if whole {
+		if complete {
 			follower.end()
 		}
 		got := ""
 		if follower.finding != nil {
 			got = follower.finding.Rule
 		}
-		if got != one.rule {
-			t.Errorf("%s: %q, not %q", name, got, one.rule)
+		if got != entry.rule {
+			t.Errorf("%s: %q, not %q", name, got, entry.rule)
 		}
 	}
 }
 
 func TestPagesOfALot(t *testing.T) {
-	first := jobclient.Output{ID: "i1", Phase: jobclient.PhaseSettled, Text: wholeText("i1", 2)}
-	second := jobclient.Output{ID: "i2", Phase: jobclient.PhaseSettled, Text: wholeText("i2", 3)}
+	first := jobclient.Output{ID: "i1", Phase: jobclient.PhaseSettled, Text: completeText("i1", 2)}
+	second := jobclient.Output{ID: "i2", Phase: jobclient.PhaseSettled, Text: completeText("i2", 3)}
 	dropped := jobclient.Output{ID: "i2", Phase: jobclient.PhaseAbandoned}
 	type read struct {
 		cursor  int
@@ -131,8 +131,8 @@
 	}
 	list := func(outputs ...jobclient.Output) []jobclient.Output { return outputs }
 	short := first
-	short.Text = wholeText("i1", 1)
-	for name, one := range map[string]struct {
+	short.Text = completeText("i1", 1)
+	for name, entry := range map[string]struct {
 		reads []read
 		want  string
 	}{
@@ -146,14 +146,14 @@
 		"wrong sum":          {[]read{{0, 3, list(first)}}, "MIXED "},
 		"unknown phase":      {[]read{{0, 2, list(jobclient.Output{ID: "i1", Phase: "done", Text: first.Text})}}, "MIXED "},
 	} {
-		check := newLotCheck("lot")
+		check := newJobCheck("lot")
 		check.events = map[string]int64{"i1": 2, "i2": 3}
 		var findings []Finding
-		for _, read := range one.reads {
+		for _, read := range entry.reads {
 			findings = append(findings, check.page(read.cursor, &jobclient.Page{Sum: read.sum, Outputs: read.outputs})...)
 		}
-		if got := rules(findings); got != one.want {
-			t.Errorf("%s: %q, not %q", name, got, one.want)
+		if got := rules(findings); got != entry.want {
+			t.Errorf("%s: %q, not %q", name, got, entry.want)
 		}
 	}
 }
--- a/internal/tooling/loadgen/drive.go
+++ b/internal/tooling/loadgen/drive.go
@@ -31,7 +31,7 @@
 
 // Drive sends a whole load to the fleet behind an endpoint, checks it, and gives what came of
 // it. It ends early, in order, when the context does. The result is partial beside an error.
-func Drive(until contexts.Context, options Options, endpoint *Endpoint, troubles []lab.Trouble) (*Result, error) {
+func Drive(until contexts.Context, options Options, endpoint *Endpoint, faults []lab.Trouble) (*Result, error) {
 	if err := options.Check(); err != nil {
 		return nil, err
 	}
@@ -43,41 +43,41 @@
 	if err != nil {
 		return nil, err
 	}
-	one := newRun(options, card, routes, "ld"+strconv.FormatInt(clock.WallNanos(), 36)+"-")
-	one.play(until, endpoint, troubles)
-	return one.result, one.compareWith(endpoint)
+	entry := newRun(options, card, routes, "ld"+strconv.FormatInt(clock.WallNanos(), 36)+"-")
+	entry.play(until, endpoint, faults)
+	return entry.result, entry.compareWith(endpoint)
 }
 
 // play sends everything, with the troubles in between, and waits for the last answer.
-func (r *run) play(until contexts.Context, endpoint *Endpoint, troubles []lab.Trouble) {
+func (r *run) play(until contexts.Context, endpoint *Endpoint, faults []lab.Trouble) {
 	var group sync.WaitGroup
-	begun := clock.Now()
-	for _, trouble := range troubles {
-		group.Go(func() { r.begin(until, begun, endpoint, trouble) })
+	started := clock.Now()
+	for _, fault := range faults {
+		group.Go(func() { r.begin(until, started, endpoint, fault) })
 	}
 	if r.options.LotRate > 0 {
-		group.Go(func() { r.sendLots(until, begun) })
+		group.Go(func() { r.sendLots(until, started) })
 	}
 	done := make(chan struct{})
 	if progress := r.options.Progress; progress != nil {
-		go clock.Every(constants.LoadProgress, done, func() { progress(r.result.sofar(clock.Now().Sub(begun))) })
+		go clock.Every(constants.LoadProgress, done, func() { progress(r.result.sofar(clock.Now().Sub(started))) })
 	}
-	r.orders(until, begun)
+	r.orders(until, started)
 	group.Wait()
 	close(done)
 	if transport, is := r.client.(*http.Transport); is {
 		transport.CloseIdleConnections()
 	}
-	r.result.Took = clock.Now().Sub(begun).Seconds()
+	r.result.Took = clock.Now().Sub(started).Seconds()
 }
 
 // begin has the fleet begin a trouble at its time.
-func (r *run) begin(until contexts.Context, begun clock.Instant, endpoint *Endpoint, trouble lab.Trouble) {
-	if !waitUntil(until, begun.Add(clock.Milliseconds(trouble.AtS*1000))) {
+func (r *run) begin(until contexts.Context, started clock.Instant, endpoint *Endpoint, fault lab.Trouble) {
+	if !waitUntil(until, started.Add(clock.Milliseconds(fault.AtS*1000))) {
 		return
 	}
-	if err := endpoint.Trouble(trouble); err != nil {
-		r.result.note("trouble " + trouble.Kind + " " + trouble.Target + ": " + err.Error())
+	if err := endpoint.Trouble(fault); err != nil {
+		r.result.note("trouble " + fault.Kind + " " + fault.Target + ": " + err.Error())
 	}
 }
 
@@ -121,10 +121,10 @@
 }
 
 // orders sends every order when it is due, whatever became of those before.
-func (r *run) orders(until contexts.Context, begun clock.Instant) {
+func (r *run) orders(until contexts.Context, started clock.Instant) {
 	var group sync.WaitGroup
 	for _, due := range schedule(&r.options, r.routes, len(r.card.Ingress)) {
-		if at := begun.Add(due.at); at > clock.Now() && !waitUntil(until, at) {
+		if at := started.Add(due.at); at > clock.Now() && !waitUntil(until, at) {
 			break
 		}
 		if until.Err() != nil {
--- a/internal/tooling/loadgen/drive_test.go
+++ b/internal/tooling/loadgen/drive_test.go
@@ -43,8 +43,8 @@
 
 func (d *direct) RoundTrip(request *http.Request) (*http.Response, error) {
 	if d.before != nil {
-		if answer := d.before(request); answer != nil {
-			return answer, nil
+		if resp := d.before(request); resp != nil {
+			return resp, nil
 		}
 	}
 	request.RequestURI = request.URL.RequestURI()
@@ -82,15 +82,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	one := newRun(options, card, routes, "t-")
-	one.client, one.pause = front, func(clock.Duration) {}
+	entry := newRun(options, card, routes, "t-")
+	entry.client, entry.pause = front, func(clock.Duration) {}
 	for _, due := range schedule(&options, routes, 2) {
-		one.serve(due.order)
+		entry.serve(due.order)
 	}
 	runs, _ := record.Of("t-")
-	one.compare(runs)
-	one.result.Close()
-	return one.result
+	entry.compare(runs)
+	entry.result.Close()
+	return entry.result
 }
 
 func found(result *Result, rule string) int {
@@ -122,8 +122,8 @@
 
 func answering(status int, header ...string) *http.Response {
 	recorder := httptest.NewRecorder()
-	for place := 0; place+1 < len(header); place += 2 {
-		recorder.Header().Set(header[place], header[place+1])
+	for i := 0; i+1 < len(header); i += 2 {
+		recorder.Header().Set(header[i], header[i+1])
 	}
 	recorder.WriteHeader(status)
 	return recorder.Result()
@@ -131,15 +131,15 @@
 
 // A promise frees every kind for another try, a 502 only what may be repeated; each
 // try has an id of its own.
-func TestWhoTriesAgain(t *testing.T) {
+func TestWhatIsRetried(t *testing.T) {
 	for status, want := range map[int]string{503: "failed 0", 502: "failed confirm review", 400: "failed confirm query review status"} {
-		seen := map[string]bool{}
+		observed := map[string]bool{}
 		result := driven(t, workeremulator.Faults{}, func(request *http.Request) *http.Response {
 			attempt := request.Header.Get("Lemonarch-Attempt-Id")
-			if seen[attempt] {
+			if observed[attempt] {
 				t.Error("an attempt was sent twice", attempt)
 			}
-			seen[attempt] = true
+			observed[attempt] = true
 			if strings.HasSuffix(attempt, "-1") {
 				return answering(status)
 			}
--- a/internal/tooling/loadgen/endpoint.go
+++ b/internal/tooling/loadgen/endpoint.go
@@ -42,17 +42,17 @@
 	if err != nil {
 		return ErrInvalidLoad.Wrap(err, "endpoint")
 	}
-	answer, err := endpointClient.Do(request)
+	resp, err := endpointClient.Do(request)
 	if err != nil {
 		return ErrInvalidLoad.New("no fleet answers at " + e.address + "; start a fleet with: lemonarch lab up")
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(answer.Body)
+	defer resp.Body.Close()
+	text, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return ErrInvalidLoad.Wrap(err, "endpoint")
 	}
-	if answer.StatusCode != http.StatusOK {
-		return ErrInvalidLoad.New("the fleet at " + e.address + " answered " + strconv.Itoa(answer.StatusCode) + ": " + strings.TrimSpace(string(text)))
+	if resp.StatusCode != http.StatusOK {
+		return ErrInvalidLoad.New("the fleet at " + e.address + " answered " + strconv.Itoa(resp.StatusCode) + ": " + strings.TrimSpace(string(text)))
 	}
 	return ErrInvalidLoad.Wrap(json.Unmarshal(text, into), "the fleet at "+e.address+" can't be understood")
 }
@@ -81,8 +81,8 @@
 }
 
 // Trouble has the fleet begin a trouble.
-func (e *Endpoint) Trouble(trouble lab.Trouble) error {
-	body, err := json.Marshal(trouble)
+func (e *Endpoint) Trouble(fault lab.Trouble) error {
+	body, err := json.Marshal(fault)
 	if err != nil {
 		return ErrInvalidLoad.Wrap(err, "trouble")
 	}
--- a/internal/tooling/loadgen/experiment.go
+++ b/internal/tooling/loadgen/experiment.go
@@ -19,7 +19,7 @@
 // the folder of programs of fleets that name none.
 func ReadExperiment(text, programs string) (*Experiment, Options, error) {
 	usual := NewOptions()
-	one := &Experiment{Rate: usual.Rate, LotRate: usual.LotRate, Items: usual.Items, ForS: usual.For.Seconds(), Tries: usual.Tries, Seed: usual.Seed}
+	entry := &Experiment{Rate: usual.Rate, LotRate: usual.LotRate, Items: usual.Items, ForS: usual.For.Seconds(), Tries: usual.Tries, Seed: usual.Seed}
 	// Fleets are read twice: each begins with what is usual.
 	var count struct {
 		Fleets []map[string]any `toml:"fleet"`
@@ -27,18 +27,18 @@
 	if _, err := toml.Decode(text, &count); err != nil {
 		return nil, usual, ErrInvalidLoad.New("experiment can't be read: " + strings.ReplaceAll(err.Error(), "\n", " "))
 	}
-	for place := range count.Fleets {
+	for i := range count.Fleets {
 		plan := lab.NewPlan()
-		plan.Label, plan.Programs = "fleet-"+strconv.Itoa(place+1), programs
-		plan.Network = networkOf(place)
-		one.Fleets = append(one.Fleets, plan)
+		plan.Label, plan.Programs = "fleet-"+strconv.Itoa(i+1), programs
+		plan.Network = networkOf(i)
+		entry.Fleets = append(entry.Fleets, plan)
 	}
-	if len(one.Fleets) == 0 {
+	if len(entry.Fleets) == 0 {
 		plan := lab.NewPlan()
 		plan.Programs = programs
-		one.Fleets = []lab.Plan{plan}
+		entry.Fleets = []lab.Plan{plan}
 	}
-	known, err := toml.Decode(text, one)
+	known, err := toml.Decode(text, entry)
 	if err != nil {
 		return nil, usual, ErrInvalidLoad.New("experiment can't be read: " + strings.ReplaceAll(err.Error(), "\n", " "))
 	}
@@ -46,52 +46,52 @@
 		return nil, usual, ErrInvalidLoad.New("experiment: unknown field " + extra[0].String())
 	}
 	options := usual
-	options.Rate, options.LotRate, options.Items, options.Count, options.Tries, options.Seed = one.Rate, one.LotRate, one.Items, one.Count, one.Tries, one.Seed
-	options.For = clock.Milliseconds(one.ForS * 1000)
-	if one.Mix != "" {
-		if options.Mix, err = ParseMix(one.Mix); err != nil {
+	options.Rate, options.LotRate, options.Items, options.Count, options.Tries, options.Seed = entry.Rate, entry.LotRate, entry.Items, entry.Count, entry.Tries, entry.Seed
+	options.For = clock.Milliseconds(entry.ForS * 1000)
+	if entry.Mix != "" {
+		if options.Mix, err = ParseMix(entry.Mix); err != nil {
 			return nil, options, err
 		}
 	}
 	if err = options.Check(); err != nil {
 		return nil, options, err
 	}
-	return one, options, one.check(options)
+	return entry, options, entry.check(options)
 }
 
 func (e *Experiment) check(options Options) error {
 	processes := 0
-	seen := map[string]bool{}
-	for place := range e.Fleets {
-		plan := &e.Fleets[place]
+	observed := map[string]bool{}
+	for i := range e.Fleets {
+		plan := &e.Fleets[i]
 		if err := plan.Check(); err != nil {
 			return ErrInvalidLoad.New(plan.Label + ": " + err.Error())
 		}
-		if seen[plan.Network] || seen[plan.Label] {
+		if observed[plan.Network] || observed[plan.Label] {
 			return ErrInvalidLoad.New("two fleets have the same label or network: " + plan.Label)
 		}
-		seen[plan.Network], seen[plan.Label] = true, true
+		observed[plan.Network], observed[plan.Label] = true, true
 		processes += plan.Gateways + plan.Controllers + plan.Stores
 	}
 	if processes > constants.LabProcesses {
 		return ErrInvalidLoad.New(fmt.Sprintf("the fleets have %d processes together; at most %d", processes, constants.LabProcesses))
 	}
-	for place := range e.Trouble {
-		trouble := &e.Trouble[place]
-		if err := trouble.Check(); err != nil {
-			return ErrInvalidLoad.New("trouble " + strconv.Itoa(place+1) + ": " + err.Error())
+	for i := range e.Trouble {
+		fault := &e.Trouble[i]
+		if err := fault.Check(); err != nil {
+			return ErrInvalidLoad.New("trouble " + strconv.Itoa(i+1) + ": " + err.Error())
 		}
-		if clock.Milliseconds(trouble.AtS*1000) >= options.For {
-			return ErrInvalidLoad.New("trouble " + strconv.Itoa(place+1) + ": at-s lies behind the end of the load")
+		if clock.Milliseconds(fault.AtS*1000) >= options.For {
+			return ErrInvalidLoad.New("trouble " + strconv.Itoa(i+1) + ": at-s lies behind the end of the load")
 		}
 	}
 	return nil
 }
 
 // networkOf gives the addresses of one of several fleets.
-func networkOf(place int) string {
+func networkOf(i int) string {
 	base := net.ParseIP(constants.LabNetwork + ".0").To4()
-	return fmt.Sprintf("%d.%d.%d", base[0], base[1], int(base[2])+place)
+	return fmt.Sprintf("%d.%d.%d", base[0], base[1], int(base[2])+i)
 }
 
 // Run starts the fleets, sends the same load to all of them at the same time with
@@ -108,7 +108,7 @@
 	deaths := make(chan error, len(fleets))
 	results, failures := make([]*Result, len(fleets)), make([]error, len(fleets))
 	var group sync.WaitGroup
-	for place, fleet := range fleets {
+	for i, fleet := range fleets {
 		go func() {
 			select {
 			case err := <-fleet.Died:
@@ -117,7 +117,7 @@
 			case <-inner.Done():
 			}
 		}()
-		group.Go(func() { results[place], failures[place] = e.drive(inner, options, fleet) })
+		group.Go(func() { results[i], failures[i] = e.drive(inner, options, fleet) })
 	}
 	group.Wait()
 	select {
@@ -125,11 +125,11 @@
 		return nil, err
 	default:
 	}
-	for place, err := range failures {
+	for i, err := range failures {
 		if err != nil {
 			return nil, err
 		}
-		results[place].Close()
+		results[i].Close()
 	}
 	return results, nil
 }
--- a/internal/tooling/loadgen/lots.go
+++ b/internal/tooling/loadgen/lots.go
@@ -16,7 +16,7 @@
 )
 
 // sendLots sends lots at their rate and follows each.
-func (r *run) sendLots(until contexts.Context, begun clock.Instant) {
+func (r *run) sendLots(until contexts.Context, started clock.Instant) {
 	random := rand.New(rand.NewSource(r.options.Seed + constants.LoadJobSeed))
 	var group sync.WaitGroup
 	at := 0.0
@@ -27,45 +27,45 @@
 			// However short the load, there is one lot.
 			due = min(due, r.options.For/4)
 		}
-		if due >= r.options.For || !waitUntil(until, begun.Add(due)) {
+		if due >= r.options.For || !waitUntil(until, started.Add(due)) {
 			break
 		}
-		lot, check := r.makeLot(number, random)
+		job, check := r.makeLot(number, random)
 		node := random.Intn(len(r.card.Ingress))
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			r.lot(check, lot, node)
+			r.lot(check, job, node)
 		}()
 	}
 	group.Wait()
 }
 
-func (r *run) makeLot(number int, random *rand.Rand) (jobclient.Job, *lotCheck) {
-	check := newLotCheck(r.prefix + "lot" + strconv.Itoa(number))
-	lot, route := jobclient.Job{}, r.routes["batch"]
-	for place := 0; place < r.options.Items; place++ {
+func (r *run) makeLot(number int, random *rand.Rand) (jobclient.Job, *jobCheck) {
+	check := newJobCheck(r.prefix + "lot" + strconv.Itoa(number))
+	job, route := jobclient.Job{}, r.routes["batch"]
+	for i := 0; i < r.options.Items; i++ {
 		prompt := profiles["batch"].prompt(random)
-		item := jobclient.Item{ID: check.id + "-" + strconv.Itoa(place), Path: fmt.Sprintf("%s%d/%d", route.Prefix, number, place),
-			Tokens: prompt.in + prompt.out, Body: []byte("item " + strconv.Itoa(place)), Headers: map[string]string{"Lemonarch-Model": lab.ModelName,
+		item := jobclient.Item{ID: check.id + "-" + strconv.Itoa(i), Path: fmt.Sprintf("%s%d/%d", route.Prefix, number, i),
+			Tokens: prompt.in + prompt.out, Body: []byte("item " + strconv.Itoa(i)), Headers: map[string]string{"Lemonarch-Model": lab.ModelName,
 				"Lemonarch-Token-Count": fmt.Sprintf("%d,%d", prompt.in, prompt.out), "Lemonarch-Prompt-Prefix": prompt.parts}}
 		check.events[item.ID] = workeremulator.Events(prompt.out, r.card.Stride)
-		lot.Requests = append(lot.Requests, item)
+		job.Requests = append(job.Requests, item)
 		r.remember(item.ID, item.Path, item.Body, route, false, true)
 	}
-	return lot, check
+	return job, check
 }
 
 // lot hands one lot in, follows it to its end, and reads it once more from the start.
-func (r *run) lot(check *lotCheck, lot jobclient.Job, node int) {
+func (r *run) lot(check *jobCheck, job jobclient.Job, node int) {
 	route := r.routes["batch"]
 	edges := append(append([]string(nil), r.card.Ingress[node:]...), r.card.Ingress[:node]...)
 	client := &jobclient.Client{Edges: edges, Host: route.Host}
 	limited, release := contexts.WithTimeout(contexts.Background(), constants.LoadDrain)
 	defer release()
-	begun := clock.Now()
+	started := clock.Now()
 	handing, halt := contexts.WithTimeout(limited, 2*constants.JobCallTimeout)
-	_, err := client.Submit(handing, check.id, route.Prefix+"lot", lot)
+	_, err := client.Submit(handing, check.id, route.Prefix+"lot", job)
 	halt()
 	if err != nil {
 		refused := errs.Is(err, jobclient.ErrRejected)
@@ -74,12 +74,12 @@
 		if refused {
 			cause = "lot refused"
 		}
-		r.result.failItems(len(lot.Requests), cause)
+		r.result.failItems(len(job.Requests), cause)
 		return
 	}
-	r.result.handIn(clock.Now().Sub(begun))
+	r.result.handIn(clock.Now().Sub(started))
 	result, reads := clock.Milliseconds(route.ResultMs), 0
-	for len(check.listed) < len(lot.Requests) && limited.Err() == nil {
+	for len(check.listed) < len(job.Requests) && limited.Err() == nil {
 		reads++
 		cursor := len(check.listed)
 		if reads%4 == 0 {
@@ -90,24 +90,24 @@
 		page, err := client.Read(limited, check.id, cursor, 0)
 		r.judgeRead(check, cursor, page, err)
 		if err == nil {
-			took := clock.Now().Sub(begun)
+			took := clock.Now().Sub(started)
 			for _, output := range check.listed[before:] {
 				r.result.item(output.Phase == jobclient.PhaseSettled, took, took <= result)
 			}
 		}
 		clock.Sleep(constants.LoadPollBackoff)
 	}
-	if missing := len(lot.Requests) - len(check.listed); missing > 0 {
+	if missing := len(job.Requests) - len(check.listed); missing > 0 {
 		r.result.failItems(missing, "item not listed")
 	}
 	r.readAgain(client, check)
 }
 
 // readAgain reads a lot from the start: what was read must come again.
-func (r *run) readAgain(client *jobclient.Client, check *lotCheck) {
+func (r *run) readAgain(client *jobclient.Client, check *jobCheck) {
 	limited, release := contexts.WithTimeout(contexts.Background(), 2*constants.JobCallTimeout)
 	defer release()
-	for cursor, seen := 0, len(check.listed); cursor < seen; {
+	for cursor, observed := 0, len(check.listed); cursor < observed; {
 		page, err := client.Read(limited, check.id, cursor, 0)
 		r.judgeRead(check, cursor, page, err)
 		switch {
@@ -128,7 +128,7 @@
 }
 
 // judgeRead takes one read of a lot that was accepted.
-func (r *run) judgeRead(check *lotCheck, cursor int, page *jobclient.Page, err error) {
+func (r *run) judgeRead(check *jobCheck, cursor int, page *jobclient.Page, err error) {
 	switch {
 	case err == nil:
 		for _, finding := range check.page(cursor, page) {
@@ -142,7 +142,7 @@
 }
 
 // promiseItems notes that none of a lot's items may run.
-func (r *run) promiseItems(check *lotCheck, refused bool) {
+func (r *run) promiseItems(check *jobCheck, refused bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	for item := range check.events {
--- a/internal/tooling/loadgen/mix.go
+++ b/internal/tooling/loadgen/mix.go
@@ -48,15 +48,15 @@
 func ParseMix(text string) ([]Share, error) {
 	var mix []Share
 	total := 0.0
-	seen := map[string]bool{}
+	observed := map[string]bool{}
 	for _, field := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		part, err := strconv.ParseFloat(value, 64)
 		_, known := profiles[name]
-		if err != nil || !(part >= 0) || part > constants.LoadRate || !known || name == "batch" || seen[name] {
+		if err != nil || !(part >= 0) || part > constants.LoadRate || !known || name == "batch" || observed[name] {
 			return nil, ErrInvalidLoad.New("mix: " + strconv.Quote(field) + " is not NAME=PART with a NAME of query, review, confirm or status, once")
 		}
-		seen[name] = true
+		observed[name] = true
 		total += part
 		mix = append(mix, Share{name, part})
 	}
@@ -133,11 +133,11 @@
 			break
 		}
 		kind := draw(options.Mix, random)
-		one := &order{kind: kind, route: routes[kind], number: number, node: int(random.Float64() * float64(nodes)), body: []byte("order " + strconv.Itoa(number))}
+		entry := &order{kind: kind, route: routes[kind], number: number, node: int(random.Float64() * float64(nodes)), body: []byte("order " + strconv.Itoa(number))}
 		if profiles[kind].counts > 0 {
-			one.prompt = profiles[kind].prompt(random)
+			entry.prompt = profiles[kind].prompt(random)
 		}
-		all = append(all, planned{clock.Milliseconds(at), one})
+		all = append(all, planned{clock.Milliseconds(at), entry})
 	}
 	return all
 }
--- a/internal/tooling/loadgen/options.go
+++ b/internal/tooling/loadgen/options.go
@@ -24,7 +24,7 @@
 	Tries int
 	Seed  int64
 	// Progress, where set, is told now and then how far the load is.
-	Progress func(line string)
+	Progress func(text string)
 }
 
 // NewOptions gives what is used where nothing else is said.
@@ -55,8 +55,8 @@
 // routesOf finds the route of each kind that the options name.
 func (o *Options) routesOf(card *lab.Card) (map[string]*routeconfig.Route, error) {
 	routes := map[string]*routeconfig.Route{}
-	for place := range card.Routes {
-		routes[card.Routes[place].Name] = &card.Routes[place]
+	for i := range card.Routes {
+		routes[card.Routes[i].Name] = &card.Routes[i]
 	}
 	wanted := []string{}
 	for _, share := range o.Mix {
--- a/internal/tooling/loadgen/options_test.go
+++ b/internal/tooling/loadgen/options_test.go
@@ -58,19 +58,19 @@
 
 func TestExperimentTakesWhatIsUsual(t *testing.T) {
 	folder := programs(t)
-	one, options, err := ReadExperiment("rate = 7.0\n[[fleet]]\ngateways = 1\n[[fleet]]\nlabel = \"b\"\ncapacity = 2\n", folder)
-	if err != nil || options.Rate != 7 || options.Items != NewOptions().Items || len(one.Fleets) != 2 {
-		t.Fatal(one, options, err)
+	entry, options, err := ReadExperiment("rate = 7.0\n[[fleet]]\ngateways = 1\n[[fleet]]\nlabel = \"b\"\ncapacity = 2\n", folder)
+	if err != nil || options.Rate != 7 || options.Items != NewOptions().Items || len(entry.Fleets) != 2 {
+		t.Fatal(entry, options, err)
 	}
-	first, second := one.Fleets[0], one.Fleets[1]
+	first, second := entry.Fleets[0], entry.Fleets[1]
 	if first.Gateways != 1 || second.Gateways != 2 || second.Capacity != 2 || first.Capacity == 2 || second.Label != "b" || first.Network == second.Network || first.Programs != folder {
 		t.Fatal(first, second)
 	}
 }
 
 // Every field of a trouble can be set by its name in the file.
-func TestTroublesAreReadWhole(t *testing.T) {
-	one, _, err := ReadExperiment(`[[trouble]]
+func TestFaultsAreReadCompletely(t *testing.T) {
+	entry, _, err := ReadExperiment(`[[trouble]]
 at-s = 1.0
 kind = "faults"
 target = "worker-1"
@@ -80,8 +80,8 @@
 `, programs(t))
 	want := lab.Trouble{AtS: 1, Kind: "faults", Target: "worker-1", ForS: 2, BackS: 3, Faults: workeremulator.Faults{Fail: 0.1, Full: 0.2, Hang: 0.3,
 		Cut: 0.4, Garble: 0.5, Surplus: 0.6, Twice: 0.7, Skip: 0.8, Forge: 0.9, Never: 0.25, LateMs: 1, Slow: 2, Lying: true, ForgetMs: 3}}
-	if err != nil || len(one.Trouble) != 1 || one.Trouble[0] != want {
-		t.Fatal(one, err)
+	if err != nil || len(entry.Trouble) != 1 || entry.Trouble[0] != want {
+		t.Fatal(entry, err)
 	}
 }
 
--- a/internal/tooling/loadgen/plot.go
+++ b/internal/tooling/loadgen/plot.go
@@ -48,25 +48,25 @@
 	picture.X.Scale, picture.Y.Scale = plot.LogScale{}, plot.LogScale{}
 	picture.X.Tick.Marker, picture.Y.Tick.Marker = plot.LogTicks{Prec: -1}, plot.LogTicks{Prec: -1}
 	picture.Legend.Top = true
-	drawn := 0
+	chosen := 0
 	for fleet, result := range results {
-		for place, kind := range result.Kinds {
+		for i, kind := range result.Kinds {
 			points := kind.line()
 			if len(points) < 2 {
 				continue
 			}
-			line, err := plotter.NewLine(points)
+			text, err := plotter.NewLine(points)
 			if err != nil {
 				return ErrInvalidLoad.Wrap(err, "plot")
 			}
 			// A kind keeps its colour, a fleet its dashes, so that pairs are found.
-			line.Color, line.Dashes, line.Width = plotutil.Color(place), plotutil.Dashes(fleet), vg.Points(1.5)
-			picture.Add(line)
-			picture.Legend.Add(fmt.Sprintf("%s %s", result.Label, kind.Name), line)
-			drawn++
+			text.Color, text.Dashes, text.Width = plotutil.Color(i), plotutil.Dashes(fleet), vg.Points(1.5)
+			picture.Add(text)
+			picture.Legend.Add(fmt.Sprintf("%s %s", result.Label, kind.Name), text)
+			chosen++
 		}
 	}
-	if drawn == 0 {
+	if chosen == 0 {
 		return ErrInvalidLoad.New("plot: too little was served")
 	}
 	// Room on the right, so that the legend covers no line.
--- a/internal/tooling/loadgen/report.go
+++ b/internal/tooling/loadgen/report.go
@@ -25,8 +25,8 @@
 	fmt.Fprintf(writer, "\n%s: worth %.3f, served %d, took %.1f s, runs at workers %d\n", result.Label, result.Worth, result.Served(), result.Took, result.Runs)
 	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "kind\tsent\tin time\tlate\tfailed\tworth\tp50 ms\tp90 ms\tp99 ms\tmax ms\t")
-	for _, one := range result.Kinds {
-		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%.3f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", one.Name, one.Sent, one.InTime, one.Late, one.Failed, one.Worth, one.P50, one.P90, one.P99, one.Max)
+	for _, entry := range result.Kinds {
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%.3f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", entry.Name, entry.Sent, entry.InTime, entry.Late, entry.Failed, entry.Worth, entry.P50, entry.P90, entry.P99, entry.Max)
 	}
 	_ = table.Flush()
 	writeCounts(writer, "failures", result.Causes)
@@ -80,11 +80,11 @@
 	fmt.Fprintln(table, "fleet\tkind\tworth\tp50\tp90\tp99\t")
 	for _, result := range results[1:] {
 		fmt.Fprintf(table, "%s\tall\t%s\t\t\t\t\n", result.Label, ratio(result.Worth, first.Worth))
-		for _, one := range result.Kinds {
+		for _, entry := range result.Kinds {
 			for _, base := range first.Kinds {
-				if base.Name == one.Name {
-					fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t\n", result.Label, one.Name, ratio(one.Worth, base.Worth),
-						ratio(one.P50, base.P50), ratio(one.P90, base.P90), ratio(one.P99, base.P99))
+				if base.Name == entry.Name {
+					fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t\n", result.Label, entry.Name, ratio(entry.Worth, base.Worth),
+						ratio(entry.P50, base.P50), ratio(entry.P90, base.P90), ratio(entry.P99, base.P99))
 				}
 			}
 		}
--- a/internal/tooling/loadgen/result.go
+++ b/internal/tooling/loadgen/result.go
@@ -60,34 +60,34 @@
 
 // kind finds the counts of a kind. The lock is held.
 func (r *Result) kind(name string) *Kind {
-	one := r.kinds[name]
-	if one == nil {
-		one = &Kind{Name: name, times: hdrhistogram.New(1, constants.LoadTime.Microseconds(), constants.LoadDigits)}
-		r.kinds[name] = one
-		r.Kinds = append(r.Kinds, one)
+	entry := r.kinds[name]
+	if entry == nil {
+		entry = &Kind{Name: name, times: hdrhistogram.New(1, constants.LoadTime.Microseconds(), constants.LoadDigits)}
+		r.kinds[name] = entry
+		r.Kinds = append(r.Kinds, entry)
 		sort.Slice(r.Kinds, func(left, right int) bool { return r.Kinds[left].Name < r.Kinds[right].Name })
 	}
-	return one
+	return entry
 }
 
 func (k *Kind) record(span clock.Duration) { _ = k.times.RecordValue(max(span.Microseconds(), 1)) }
 
 // count adds a share of the worth to what was earned. The lock is held.
 func (r *Result) count(name string, inTime, served bool) *Kind {
-	one, worth := r.kind(name), profiles[name].worth
-	one.Sent++
-	one.owed += worth
+	entry, value := r.kind(name), profiles[name].worth
+	entry.Sent++
+	entry.owed += value
 	switch {
 	case inTime:
-		one.InTime++
-		one.earned += worth
+		entry.InTime++
+		entry.earned += value
 	case served:
-		one.Late++
-		one.earned += worth * constants.LoadLate
+		entry.Late++
+		entry.earned += value * constants.LoadLate
 	default:
-		one.Failed++
+		entry.Failed++
 	}
-	return one
+	return entry
 }
 
 // serve counts an order that was served whole.
@@ -122,22 +122,22 @@
 func (r *Result) handIn(took clock.Duration) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	one := r.kind(handInKind)
-	one.Sent++
-	one.InTime++
-	one.record(took)
+	entry := r.kind(handInKind)
+	entry.Sent++
+	entry.InTime++
+	entry.record(took)
 }
 
 // handInKind is the line of the report on accepted lots; it earns nothing itself.
 const handInKind = "batch-202"
 
 // item counts one listed item.
-func (r *Result) item(settled bool, took clock.Duration, inTime bool) {
+func (r *Result) item(completed bool, took clock.Duration, inTime bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	one := r.count("batch", settled && inTime, settled)
-	if settled {
-		one.record(took)
+	entry := r.count("batch", completed && inTime, completed)
+	if completed {
+		entry.record(took)
 	} else {
 		r.Causes["batch: item abandoned"]++
 	}
@@ -180,9 +180,9 @@
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	inTime, late, failed := 0, 0, 0
-	for _, one := range r.Kinds {
-		if one.Name != handInKind {
-			inTime, late, failed = inTime+one.InTime, late+one.Late, failed+one.Failed
+	for _, entry := range r.Kinds {
+		if entry.Name != handInKind {
+			inTime, late, failed = inTime+entry.InTime, late+entry.Late, failed+entry.Failed
 		}
 	}
 	return fmt.Sprintf("%s after=%.0fs in-time=%d late=%d failed=%d broken=%d", r.Label, span.Seconds(), inTime, late, failed, r.Broken)
@@ -193,13 +193,13 @@
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	earned, owed := 0.0, 0.0
-	for _, one := range r.Kinds {
-		earned, owed = earned+one.earned, owed+one.owed
-		if one.owed > 0 {
-			one.Worth = one.earned / one.owed
+	for _, entry := range r.Kinds {
+		earned, owed = earned+entry.earned, owed+entry.owed
+		if entry.owed > 0 {
+			entry.Worth = entry.earned / entry.owed
 		}
-		at := func(percent float64) float64 { return float64(one.times.ValueAtPercentile(percent)) / 1000 }
-		one.P50, one.P90, one.P99, one.Max = at(50), at(90), at(99), float64(one.times.Max())/1000
+		at := func(percent float64) float64 { return float64(entry.times.ValueAtPercentile(percent)) / 1000 }
+		entry.P50, entry.P90, entry.P99, entry.Max = at(50), at(90), at(99), float64(entry.times.Max())/1000
 	}
 	if owed > 0 {
 		r.Worth = earned / owed
@@ -209,9 +209,9 @@
 // Served counts what was served at all, in time or late.
 func (r *Result) Served() int {
 	count := 0
-	for _, one := range r.Kinds {
-		if one.Name != handInKind {
-			count += one.InTime + one.Late
+	for _, entry := range r.Kinds {
+		if entry.Name != handInKind {
+			count += entry.InTime + entry.Late
 		}
 	}
 	return count
--- a/internal/tooling/loadgen/send.go
+++ b/internal/tooling/loadgen/send.go
@@ -42,8 +42,8 @@
 func (r *run) serve(order *order) {
 	now := clock.Now()
 	state := &served{begun: now, deadline: now.Add(order.route.Cutoff())}
-	for try := 1; ; try++ {
-		got := r.try(order, state, try)
+	for attempt := 1; ; attempt++ {
+		got := r.try(order, state, attempt)
 		if got.finding != nil {
 			r.result.find(*got.finding)
 		}
@@ -53,7 +53,7 @@
 		}
 		wait := min(max(got.after, constants.LabRetry/4), state.deadline.Sub(clock.Now())/3)
 		mayAgain := !got.final && (repeatable(order.route) || got.promise || got.unread)
-		if !mayAgain || try >= r.options.Tries || wait <= 0 {
+		if !mayAgain || attempt >= r.options.Tries || wait <= 0 {
 			r.result.fail(order, got.cause)
 			return
 		}
@@ -89,36 +89,36 @@
 	if state.lastID > 0 {
 		header.Set("Last-Event-Id", strconv.FormatInt(state.lastID, 10))
 	}
-	answer, err := r.client.RoundTrip(request)
+	resp, err := r.client.RoundTrip(request)
 	if err != nil {
 		cause := causeOf(err, limited)
 		return result{cause: cause, unread: cause == causeRefused}
 	}
-	defer answer.Body.Close()
+	defer resp.Body.Close()
 	var got result
 	switch {
-	case answer.StatusCode < 300 && order.route.Kind() == messages.RouteStreaming:
-		got = r.stream(order, state, attempt, answer, release)
-	case answer.StatusCode < 300:
-		got = plain(order, state, attempt, answer)
+	case resp.StatusCode < 300 && order.route.Kind() == messages.RouteStreaming:
+		got = r.stream(order, state, attempt, resp, release)
+	case resp.StatusCode < 300:
+		got = plain(order, state, attempt, resp)
 	default:
-		got = refusal(answer)
+		got = refusal(resp)
 	}
 	r.settle(made, got.promise, got.cause == "")
 	return got
 }
 
 // refusal reads an answer that is no success.
-func refusal(answer *http.Response) result {
-	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, constants.EmulatorHeartbeatBytes))
-	got := result{cause: strconv.Itoa(answer.StatusCode)}
-	switch answer.StatusCode {
+func refusal(resp *http.Response) result {
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, constants.EmulatorHeartbeatBytes))
+	got := result{cause: strconv.Itoa(resp.StatusCode)}
+	switch resp.StatusCode {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		got.promise = true
 	case http.StatusBadRequest, http.StatusUnauthorized, http.StatusNotFound, http.StatusRequestEntityTooLarge, http.StatusRequestHeaderFieldsTooLarge:
 		got.final = true
 	}
-	seconds, _ := strconv.ParseFloat(answer.Header.Get("Retry-After"), 64)
+	seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 	got.after = clock.Milliseconds(max(seconds, 0) * 1000)
 	return got
 }
@@ -140,34 +140,34 @@
 }
 
 // plain reads a success that is no stream.
-func plain(order *order, state *served, attempt string, answer *http.Response) result {
-	body, err := io.ReadAll(answer.Body)
+func plain(order *order, state *served, attempt string, resp *http.Response) result {
+	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return result{cause: "answer cut"}
 	}
 	state.first = clock.Now()
-	if finding := checkPlain(attempt, order.body, answer.Header.Get("Lemonarch-Server-Seal"), answer.Header.Get("Lemonarch-Attempt-Id"), body); finding != nil {
+	if finding := checkPlain(attempt, order.body, resp.Header.Get("Lemonarch-Server-Seal"), resp.Header.Get("Lemonarch-Attempt-Id"), body); finding != nil {
 		return result{cause: "not the answer", final: true, finding: finding}
 	}
 	return result{}
 }
 
 // stream reads a stream of events, and gives it up after a silence.
-func (r *run) stream(order *order, state *served, attempt string, answer *http.Response, halt func()) result {
-	if finding := checkStamp(attempt, answer.Header.Get("Lemonarch-Server-Seal"), answer.Header.Get("Lemonarch-Attempt-Id")); finding != nil {
+func (r *run) stream(order *order, state *served, attempt string, resp *http.Response, halt func()) result {
+	if finding := checkStamp(attempt, resp.Header.Get("Lemonarch-Server-Seal"), resp.Header.Get("Lemonarch-Attempt-Id")); finding != nil {
 		return result{cause: "not the answer", final: true, finding: finding}
 	}
 	follower := &follower{attempt: attempt, last: state.lastID, all: workeremulator.Events(order.prompt.out, r.card.Stride)}
-	silence := max(constants.LoadTimeout, 4*order.route.Setpoint(), 8*clock.Milliseconds(order.route.GapMs))
-	var silent atomic.Bool
-	timer := time.AfterFunc(silence, func() { silent.Store(true); halt() })
+	elapsed := max(constants.LoadTimeout, 4*order.route.Setpoint(), 8*clock.Milliseconds(order.route.GapMs))
+	var timedOut atomic.Bool
+	timer := time.AfterFunc(elapsed, func() { timedOut.Store(true); halt() })
 	defer timer.Stop()
-	reader, event := bufio.NewReader(answer.Body), ""
+	reader, event := bufio.NewReader(resp.Body), ""
 	for {
-		line, err := reader.ReadString('\n')
+		text, err := reader.ReadString('\n')
 		if err != nil {
-			if err != io.EOF || event != "" || line != "" {
-				if silent.Load() {
+			if err != io.EOF || event != "" || text != "" {
+				if timedOut.Load() {
 					return result{cause: "silence"}
 				}
 				return result{cause: "stream cut"}
@@ -177,11 +177,11 @@
 			}
 			return result{}
 		}
-		if line != "\n" {
-			event += line
+		if text != "\n" {
+			event += text
 			continue
 		}
-		timer.Reset(silence)
+		timer.Reset(elapsed)
 		now := clock.Now()
 		if state.first == 0 {
 			state.first = now
--- a/internal/tooling/simulation/world.go
+++ b/internal/tooling/simulation/world.go
@@ -120,8 +120,8 @@
 // Sum names the whole history: the same seed gives the same sum.
 func (w *World) Sum() uint64 {
 	sum := fnv.New64a()
-	for _, line := range w.history {
-		sum.Write([]byte(line))
+	for _, text := range w.history {
+		sum.Write([]byte(text))
 	}
 	return sum.Sum64()
 }
