--- a/internal/tooling/workeremulator/answer.go
+++ b/internal/tooling/workeremulator/answer.go
@@ -80,43 +80,43 @@
 		w.notRun(writer, http.StatusServiceUnavailable, "full")
 		return
 	}
-	ask, readable := w.ask(header)
+	req, readable := w.ask(header)
 	if !readable {
 		w.notRun(writer, http.StatusBadRequest, headerTokens+" or "+headerPrefix+" can't be read")
 		return
 	}
 	about := Run{Attempt: attempt, Worker: w.Settings.ID, Service: w.Settings.Service, Method: request.Method,
-		Path: request.RequestURI, Body: BodySum(body), From: ask.From}
-	ticket, one := w.enter(ask, about)
+		Path: request.RequestURI, Body: BodySum(body), From: req.From}
+	ticket, entry := w.enter(req, about)
 	// A worker drops a request once its connection has closed.
 	defer w.leave(ticket)
-	talk := &exchange{worker: w, writer: writer, request: request, body: body, attempt: attempt, fate: fate, ask: ask}
-	talk.run(one)
+	talk := &exchange{worker: w, writer: writer, request: request, body: body, attempt: attempt, fate: fate, ask: req}
+	talk.run(entry)
 }
 
 // ask reads what a request wants of the engine.
 func (w *Worker) ask(header http.Header) (Ask, bool) {
-	ask := Ask{Model: header.Get(headerModel)}
+	request := Ask{Model: header.Get(headerModel)}
 	if text := header.Get(headerTimeLeft); text != "" {
 		left, err := strconv.ParseFloat(text, 64)
 		if err != nil || left < 0 {
-			return ask, false
+			return request, false
 		}
-		ask.Until = w.clockValue.Now().Add(clock.Milliseconds(left))
+		request.Until = w.clockValue.Now().Add(clock.Milliseconds(left))
 	}
 	if w.Settings.Model == "" {
-		ask.Work = max(w.Settings.Work, 1)
-		return ask, true
+		request.Work = max(w.Settings.Work, 1)
+		return request, true
 	}
 	var readable bool
-	ask.In, ask.Out, ask.Parts, readable = ParsePrompt(header.Get(headerTokens), header.Get(headerPrefix))
+	request.In, request.Out, request.Parts, readable = ParsePrompt(header.Get(headerTokens), header.Get(headerPrefix))
 	// Bounded: what is asked for reserves room for its events.
-	readable = readable && ask.Out <= constants.EmulatorOutLimit
+	readable = readable && request.Out <= constants.EmulatorOutLimit
 	if last := header.Get(headerLast); readable && last != "" {
 		number, err := strconv.ParseInt(last, 10, 64)
-		ask.From, readable = number, err == nil && number >= 0
+		request.From, readable = number, err == nil && number >= 0
 	}
-	return ask, readable
+	return request, readable
 }
 
 // exchange is one request on its connection.
@@ -132,7 +132,7 @@
 }
 
 // run writes what the engine makes, until the answer is whole or broken.
-func (e *exchange) run(one *waiter) {
+func (e *exchange) run(entry *waiter) {
 	if e.fate.late > 0 {
 		bell := make(chan struct{})
 		e.worker.clockValue.After(e.fate.late, func() { close(bell) })
@@ -146,7 +146,7 @@
 	for {
 		var effect Effect
 		select {
-		case effect = <-one.effects:
+		case effect = <-entry.effects:
 		case <-e.request.Context().Done():
 			return
 		}
@@ -186,7 +186,7 @@
 			}
 		case EffectFinish:
 			if e.finish() {
-				e.worker.record.End(one.run)
+				e.worker.record.End(entry.run)
 			}
 			return
 		}
--- a/internal/tooling/workeremulator/beats.go
+++ b/internal/tooling/workeremulator/beats.go
@@ -69,8 +69,8 @@
 	if b.target != "" {
 		addresses = append(addresses, b.target)
 	}
-	for place := range b.Controls {
-		addresses = append(addresses, b.Controls[(b.turn+place)%len(b.Controls)])
+	for i := range b.Controls {
+		addresses = append(addresses, b.Controls[(b.turn+i)%len(b.Controls)])
 	}
 	b.turn++
 	count, target := b.count, b.target
@@ -110,24 +110,24 @@
 
 // send makes one call; an acknowledgement is a 2xx of bounded size in time.
 func (b *Beater) send(url string, text []byte) (target string, err error) {
-	answer, err := b.client.Post(url, "application/json", bytes.NewReader(text))
+	resp, err := b.client.Post(url, "application/json", bytes.NewReader(text))
 	if err != nil {
 		return "", ErrNotAcknowledged.Wrap(err, "call")
 	}
-	defer answer.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(answer.Body, constants.EmulatorHeartbeatBytes+1))
+	defer resp.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(resp.Body, constants.EmulatorHeartbeatBytes+1))
 	if err != nil {
 		return "", ErrNotAcknowledged.Wrap(err, "answer")
 	}
-	if answer.StatusCode < 200 || answer.StatusCode > 299 || len(body) > constants.EmulatorHeartbeatBytes {
-		return "", ErrNotAcknowledged.New(answer.Status)
+	if resp.StatusCode < 200 || resp.StatusCode > 299 || len(body) > constants.EmulatorHeartbeatBytes {
+		return "", ErrNotAcknowledged.New(resp.Status)
 	}
-	var told struct {
+	var received struct {
 		Target string `json:"beat-target"`
 	}
 	// An answer need not hold anything.
-	_ = json.Unmarshal(body, &told)
-	return told.Target, nil
+	_ = json.Unmarshal(body, &received)
+	return received.Target, nil
 }
 
 // Keep sends heartbeats until the context ends.
@@ -140,7 +140,7 @@
 // was acknowledged, departs and ends.
 func (b *Beater) LeaveInOrder(drain clock.Duration) {
 	b.Worker.Leave()
-	for tries := 0; b.Beat() != nil && tries < len(b.Controls)+2; tries++ {
+	for attempts := 0; b.Beat() != nil && attempts < len(b.Controls)+2; attempts++ {
 		clock.Sleep(constants.LabRetry)
 	}
 	clock.Sleep(drain + constants.EmulatorLeaveSlack)
--- a/internal/tooling/workeremulator/beats_test.go
+++ b/internal/tooling/workeremulator/beats_test.go
@@ -11,7 +11,7 @@
 )
 
 // Beats carry a rising count, follow the told target, and forget it once it fails.
-func TestBeats(t *testing.T) {
+func TestHeartbeats(t *testing.T) {
 	var lock sync.Mutex
 	var paths []string
 	var counts []int64
--- a/internal/tooling/workeremulator/cache.go
+++ b/internal/tooling/workeremulator/cache.go
@@ -32,18 +32,18 @@
 func newCache(limit int64) *cache { return &cache{limit: limit, entries: map[string]*entry{}} }
 
 // partsOf gives the parts of a prompt; what no part names belongs to the request alone.
-func partsOf(ask Ask) []Part {
+func partsOf(request Ask) []Part {
 	var parts []Part
-	seen := map[string]bool{}
-	for _, part := range ask.Parts {
+	observed := map[string]bool{}
+	for _, part := range request.Parts {
 		// A part named twice is in memory once.
-		if key := ask.Model + "/" + part.Key; !seen[key] {
-			seen[key] = true
+		if key := request.Model + "/" + part.Key; !observed[key] {
+			observed[key] = true
 			parts = append(parts, Part{Key: key, Tokens: part.Tokens})
 		}
 	}
-	if rest := ask.In - total(parts); rest > 0 {
-		parts = append(parts, Part{Key: "~" + strconv.FormatInt(ask.Ticket, 10), Tokens: rest})
+	if rest := request.In - total(parts); rest > 0 {
+		parts = append(parts, Part{Key: "~" + strconv.FormatInt(request.Ticket, 10), Tokens: rest})
 	}
 	return parts
 }
@@ -58,14 +58,14 @@
 
 // whole tells that a part need not be read.
 func (c *cache) whole(part Part) bool {
-	one := c.entries[part.Key]
-	return one != nil && one.whole
+	entry := c.entries[part.Key]
+	return entry != nil && entry.whole
 }
 
 // read notes that a part was read to its end.
 func (c *cache) read(part Part) {
-	if one := c.entries[part.Key]; one != nil {
-		one.whole = true
+	if entry := c.entries[part.Key]; entry != nil {
+		entry.whole = true
 	}
 }
 
@@ -73,23 +73,23 @@
 func (c *cache) pin(parts []Part, extra, outputs int64) bool {
 	need := extra
 	for _, part := range parts {
-		if one := c.entries[part.Key]; one != nil {
-			c.grip(one, 1)
+		if item := c.entries[part.Key]; item != nil {
+			c.grip(item, 1)
 		} else {
 			need += part.Tokens
 		}
 	}
 	fits := c.room(need, outputs)
 	for _, part := range parts {
-		one := c.entries[part.Key]
+		item := c.entries[part.Key]
 		switch {
-		case one != nil && !fits:
-			c.grip(one, -1)
-		case one == nil && fits:
-			one = &entry{tokens: part.Tokens}
-			c.entries[part.Key] = one
+		case item != nil && !fits:
+			c.grip(item, -1)
+		case item == nil && fits:
+			item = &entry{tokens: part.Tokens}
+			c.entries[part.Key] = item
 			c.held += part.Tokens
-			c.grip(one, 1)
+			c.grip(item, 1)
 		}
 	}
 	return fits
@@ -97,16 +97,16 @@
 
 // unpin lets parts go; those that were read stay kept until room is needed.
 func (c *cache) unpin(parts []Part) {
-	for place := len(parts) - 1; place >= 0; place-- {
-		one := c.entries[parts[place].Key]
-		if one == nil {
+	for i := len(parts) - 1; i >= 0; i-- {
+		entry := c.entries[parts[i].Key]
+		if entry == nil {
 			continue
 		}
-		c.grip(one, -1)
+		c.grip(entry, -1)
 		c.clockValue++
-		one.used = c.clockValue
-		if one.pins == 0 && (!one.whole || strings.HasPrefix(parts[place].Key, "~")) {
-			c.drop(parts[place].Key, one)
+		entry.used = c.clockValue
+		if entry.pins == 0 && (!entry.whole || strings.HasPrefix(parts[i].Key, "~")) {
+			c.drop(parts[i].Key, entry)
 		}
 	}
 }
@@ -121,8 +121,8 @@
 	}
 	for c.held+outputs+tokens > c.limit {
 		oldest := ""
-		for key, one := range c.entries {
-			if one.pins == 0 && (oldest == "" || one.used < c.entries[oldest].used) {
+		for key, entry := range c.entries {
+			if entry.pins == 0 && (oldest == "" || entry.used < c.entries[oldest].used) {
 				oldest = key
 			}
 		}
@@ -131,20 +131,20 @@
 	return true
 }
 
-func (c *cache) drop(key string, one *entry) {
-	c.held -= one.tokens
+func (c *cache) drop(key string, item *entry) {
+	c.held -= item.tokens
 	delete(c.entries, key)
 }
 
 // grip counts who holds a part; what somebody holds can't give way.
-func (c *cache) grip(one *entry, change int) {
-	before := one.pins > 0
-	one.pins += change
-	switch after := one.pins > 0; {
+func (c *cache) grip(item *entry, change int) {
+	before := item.pins > 0
+	item.pins += change
+	switch after := item.pins > 0; {
 	case after && !before:
-		c.pinned += one.tokens
+		c.pinned += item.tokens
 	case before && !after:
-		c.pinned -= one.tokens
+		c.pinned -= item.tokens
 	}
 }
 
--- a/internal/tooling/workeremulator/calledoff_test.go
+++ b/internal/tooling/workeremulator/calledoff_test.go
@@ -33,12 +33,12 @@
 	clockValue := &hasty{now: clock.Instant(time.Second)}
 	worker := NewWorker(plainSettings, &Record{}, clockValue, 1)
 	worker.SetFaults(Faults{ForgetMs: 500})
-	one := &connection{Conn: &calledOff{}, listener: newLimitedListener(nil, worker), active: clockValue.Now()}
+	entry := &connection{Conn: &calledOff{}, listener: newLimitedListener(nil, worker), active: clockValue.Now()}
 	clockValue.After(time.Second, func() {})
-	if count, err := one.Read(make([]byte, 1)); count != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
+	if count, err := entry.Read(make([]byte, 1)); count != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatal(count, err)
 	}
-	if count, err := one.Read(make([]byte, 1)); count != 0 || !errors.Is(err, net.ErrClosed) {
+	if count, err := entry.Read(make([]byte, 1)); count != 0 || !errors.Is(err, net.ErrClosed) {
 		t.Fatal("a forgotten connection was read from", count, err)
 	}
 }
--- a/internal/tooling/workeremulator/engine.go
+++ b/internal/tooling/workeremulator/engine.go
@@ -69,15 +69,15 @@
 	if e.tokens() > 0 {
 		earlier(e.next)
 	}
-	for _, one := range e.running {
-		if one.ask.Work > 0 {
-			earlier(one.ends)
+	for _, entry := range e.running {
+		if entry.ask.Work > 0 {
+			earlier(entry.ends)
 		}
 	}
 	for _, list := range [][]*job{e.running, e.waiting} {
-		for _, one := range list {
-			if one.ask.Until > 0 {
-				earlier(one.ask.Until)
+		for _, entry := range list {
+			if entry.ask.Until > 0 {
+				earlier(entry.ask.Until)
 			}
 		}
 	}
@@ -87,81 +87,81 @@
 // State tells what is running and waiting, and what of the memory can't give way.
 func (e *Engine) State() (running, waiting int, used int64) {
 	used = e.cache.pinned
-	for _, one := range e.running {
-		used += one.out
+	for _, entry := range e.running {
+		used += entry.out
 	}
 	return len(e.running), len(e.waiting), used
 }
 
-func (e *Engine) tell(kind EffectKind, one *job, number int64) {
-	e.effects = append(e.effects, Effect{kind, one.ask.Ticket, number})
+func (e *Engine) tell(kind EffectKind, entry *job, number int64) {
+	e.effects = append(e.effects, Effect{kind, entry.ask.Ticket, number})
 }
 
-func (e *Engine) arrive(ask Ask) {
-	one := &job{ask: ask, parts: partsOf(ask)}
-	if ask.Work == 0 {
+func (e *Engine) arrive(request Ask) {
+	entry := &job{ask: request, parts: partsOf(request)}
+	if request.Work == 0 {
 		// What the asker has already is read, not made again.
-		one.out = min(ask.From*int64(e.shape.Stride), ask.Out)
+		entry.out = min(request.From*int64(e.shape.Stride), request.Out)
 	}
-	tooLarge := ask.Work == 0 && e.shape.CacheTokens > 0 && total(one.parts)+ask.Out > e.shape.CacheTokens
+	tooLarge := request.Work == 0 && e.shape.CacheTokens > 0 && total(entry.parts)+request.Out > e.shape.CacheTokens
 	if tooLarge || len(e.running)+len(e.waiting) >= e.shape.Capacity+e.shape.Queue {
-		e.tell(EffectRefuse, one, 0)
+		e.tell(EffectRefuse, entry, 0)
 		return
 	}
-	e.waiting = append(e.waiting, one)
+	e.waiting = append(e.waiting, entry)
 }
 
 // admit lets waiting requests run in the order they came: engines know no ranks.
 func (e *Engine) admit(now clock.Instant) {
 	for len(e.waiting) > 0 && len(e.running) < e.shape.Capacity {
-		one := e.waiting[0]
-		if one.ask.Work == 0 && !e.hold(one) {
+		entry := e.waiting[0]
+		if entry.ask.Work == 0 && !e.hold(entry) {
 			return
 		}
 		e.waiting = e.waiting[1:]
-		if one.ask.Work > 0 {
-			one.begun, one.ends = true, now.Add(e.slowed(one.ask.Work))
-			e.tell(EffectBegin, one, 0)
+		if entry.ask.Work > 0 {
+			entry.begun, entry.ends = true, now.Add(e.slowed(entry.ask.Work))
+			e.tell(EffectBegin, entry, 0)
 		} else if e.tokens() == 0 {
 			e.next = now.Add(e.stepSpan(1))
 		}
-		e.running = append(e.running, one)
+		e.running = append(e.running, entry)
 	}
 }
 
 // hold takes memory for a request and finds what of its prompt is kept.
-func (e *Engine) hold(one *job) bool {
-	if !e.cache.pin(one.parts, one.out, e.outputs()) {
+func (e *Engine) hold(entry *job) bool {
+	if !e.cache.pin(entry.parts, entry.out, e.outputs()) {
 		return false
 	}
-	one.pinned = true
-	one.unread = make([]int64, len(one.parts))
-	kept := true
-	for place, part := range one.parts {
+	entry.pinned = true
+	entry.unread = make([]int64, len(entry.parts))
+	retained := true
+	for i, part := range entry.parts {
 		// A kept part counts only where all parts before it are kept as well.
-		kept = kept && e.cache.whole(part)
-		if kept {
+		retained = retained && e.cache.whole(part)
+		if retained {
 			e.Reused += part.Tokens
 		} else {
-			one.unread[place] = part.Tokens
+			entry.unread[i] = part.Tokens
 		}
 	}
-	one.again = one.out
+	entry.again = entry.out
 	return true
 }
 
 func (e *Engine) outputs() int64 {
 	sum := int64(0)
-	for _, one := range e.running {
-		sum += one.out
+	for _, entry := range e.running {
+		sum += entry.out
 	}
 	return sum
 }
 
 func (e *Engine) tokens() int {
 	count := 0
-	for _, one := range e.running {
-		if one.ask.Work == 0 {
+	for _, entry := range e.running {
+		if entry.ask.Work == 0 {
 			count++
 		}
 	}
@@ -185,14 +185,14 @@
 		e.next = at.Add(e.stepSpan(max(e.tokens(), 1)))
 	}
 	var ended []*job
-	for _, one := range e.running {
-		if one.ask.Work > 0 && one.ends <= now {
-			ended = append(ended, one)
+	for _, entry := range e.running {
+		if entry.ask.Work > 0 && entry.ends <= now {
+			ended = append(ended, entry)
 		}
 	}
 	sort.SliceStable(ended, func(left, right int) bool { return ended[left].ends < ended[right].ends })
-	for _, one := range ended {
-		e.tell(EffectFinish, one, 0)
-		e.drop(one)
+	for _, entry := range ended {
+		e.tell(EffectFinish, entry, 0)
+		e.drop(entry)
 	}
 }
--- a/internal/tooling/workeremulator/engine_test.go
+++ b/internal/tooling/workeremulator/engine_test.go
@@ -37,9 +37,9 @@
 
 func of(all []told, ticket int64, kind EffectKind) []told {
 	var some []told
-	for _, one := range all {
-		if one.Ticket == ticket && one.Kind == kind {
-			some = append(some, one)
+	for _, entry := range all {
+		if entry.Ticket == ticket && entry.Kind == kind {
+			some = append(some, entry)
 		}
 	}
 	return some
@@ -62,17 +62,17 @@
 }
 
 // A long prompt is read in pieces, between the tokens of others.
-func TestReadingGoesOnBetweenTokens(t *testing.T) {
+func TestPrefillGoesOnBetweenTokens(t *testing.T) {
 	shape := smallShape
 	shape.ReadPerMs = 10
 	all := drive(NewEngine(shape), map[clock.Instant][]Event{0: {arrive(1, 10, 80)}, milliseconds(20): {arrive(2, 800, 4)}}, milliseconds(900))
-	begun := of(all, 2, EffectBegin)
-	if len(begun) != 1 || begun[0].at < milliseconds(90) {
-		t.Fatal("800 tokens at 10 a ms were read too soon", begun)
+	started := of(all, 2, EffectBegin)
+	if len(started) != 1 || started[0].at < milliseconds(90) {
+		t.Fatal("800 tokens at 10 a ms were read too soon", started)
 	}
 	between := 0
 	for _, event := range of(all, 1, EffectEvent) {
-		if event.at > milliseconds(20) && event.at < begun[0].at {
+		if event.at > milliseconds(20) && event.at < started[0].at {
 			between++
 		}
 	}
@@ -82,7 +82,7 @@
 }
 
 // Kept parts are not read again, provided that all before them are kept.
-func TestKeptPrefixIsNotReadAgain(t *testing.T) {
+func TestCachedPrefixIsNotPrefilledAgain(t *testing.T) {
 	engine := NewEngine(smallShape)
 	shared, own := Part{"a", 300}, Part{"b", 100}
 	drive(engine, map[clock.Instant][]Event{0: {arrive(1, 400, 4, shared, own)}}, milliseconds(100))
@@ -105,9 +105,9 @@
 // The parts unused for longest give way.
 func TestOldestPartGivesWay(t *testing.T) {
 	engine := NewEngine(smallShape)
-	for place, key := range []string{"a", "b", "c", "a", "d"} {
-		engine.Step(arrive(int64(place), 300, 4, Part{key, 300}), milliseconds(float64(100*place)))
-		engine.Step(Event{}, milliseconds(float64(100*place+90)))
+	for i, key := range []string{"a", "b", "c", "a", "d"} {
+		engine.Step(arrive(int64(i), 300, 4, Part{key, 300}), milliseconds(float64(100*i)))
+		engine.Step(Event{}, milliseconds(float64(100*i+90)))
 	}
 	if !engine.cache.whole(Part{Key: "m/a"}) || engine.cache.whole(Part{Key: "m/b"}) || !engine.cache.whole(Part{Key: "m/d"}) {
 		t.Fatal(engine.cache.entries)
@@ -116,7 +116,7 @@
 
 // When memory runs out, the newest is put back, goes on later, and no event of its
 // stream is missing or doubled.
-func TestNewestIsPutBackAndGoesOn(t *testing.T) {
+func TestNewestIsPreemptedAndResumed(t *testing.T) {
 	engine := NewEngine(smallShape)
 	all := drive(engine, map[clock.Instant][]Event{0: {arrive(1, 400, 200), arrive(2, 400, 200)}}, milliseconds(3000))
 	if engine.PutBacks == 0 || len(of(all, 1, EffectPutBack)) > 0 {
@@ -132,9 +132,9 @@
 
 func follow(t *testing.T, events []told, first, last int64) {
 	t.Helper()
-	for place, event := range events {
-		if event.Number != first+int64(place) {
-			t.Fatal("event", event.Number, "at place", place)
+	for i, event := range events {
+		if event.Number != first+int64(i) {
+			t.Fatal("event", event.Number, "at place", i)
 		}
 	}
 	if int64(len(events)) != last-first+1 {
@@ -142,7 +142,7 @@
 	}
 }
 
-func TestResumeGoesOnBehindTheLastEvent(t *testing.T) {
+func TestResumeContinuesAfterTheLastEvent(t *testing.T) {
 	event := arrive(1, 100, 40)
 	event.Ask.From = 3
 	all := drive(NewEngine(smallShape), map[clock.Instant][]Event{0: {event}}, milliseconds(300))
@@ -170,22 +170,22 @@
 
 // Whatever comes in whatever order: places and memory keep their bounds, and every
 // request ends once, with all its events in order.
-func TestAnythingKeepsItsBounds(t *testing.T) {
+func TestAnyHistoryStaysInBounds(t *testing.T) {
 	for seed := int64(0); seed < 30; seed++ {
 		random := rand.New(rand.NewSource(seed))
 		engine := NewEngine(smallShape)
 		ends, last := map[int64]int{}, map[int64]int64{}
-		begun := map[int64]bool{}
+		started := map[int64]bool{}
 		take := func(effects []Effect) {
 			for _, effect := range effects {
 				switch effect.Kind {
 				case EffectEvent:
-					if effect.Number != last[effect.Ticket]+1 || !begun[effect.Ticket] {
+					if effect.Number != last[effect.Ticket]+1 || !started[effect.Ticket] {
 						t.Fatal("seed", seed, effect)
 					}
 					last[effect.Ticket] = effect.Number
 				case EffectBegin:
-					begun[effect.Ticket] = true
+					started[effect.Ticket] = true
 				case EffectFinish, EffectRefuse, EffectExpire:
 					ends[effect.Ticket]++
 				}
--- a/internal/tooling/workeremulator/record.go
+++ b/internal/tooling/workeremulator/record.go
@@ -37,14 +37,14 @@
 func (r *Record) Begin(run Run) *Run {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	kept := &run
+	retained := &run
 	if len(r.runs) >= constants.EmulatorRunLimit {
 		// Bounded: the check says that it saw only a part.
 		r.dropped++
-		return kept
+		return retained
 	}
-	r.runs = append(r.runs, kept)
-	return kept
+	r.runs = append(r.runs, retained)
+	return retained
 }
 
 // End notes that a run gave its whole answer.
--- a/internal/tooling/workeremulator/report.go
+++ b/internal/tooling/workeremulator/report.go
@@ -32,9 +32,9 @@
 // stood gives how things stood a report's age ago. The lock is held.
 func (w *Worker) stood() moment {
 	now, found := w.clockValue.Now(), moment{}
-	for _, one := range w.history {
-		if one.at.Add(constants.EmulatorReportAge) <= now {
-			found = one
+	for _, entry := range w.history {
+		if entry.at.Add(constants.EmulatorReportAge) <= now {
+			found = entry
 		}
 	}
 	return found
@@ -68,10 +68,10 @@
 func (w *Worker) answerReport(writer http.ResponseWriter, _ *http.Request) {
 	w.lock.Lock()
 	stood := w.stood()
-	one := report{Stage: "both", Models: w.models(), CallCount: w.handled, Queued: stood.waiting, Active: stood.running, CacheUsed: stood.used,
+	entry := report{Stage: "both", Models: w.models(), CallCount: w.handled, Queued: stood.waiting, Active: stood.running, CacheUsed: stood.used,
 		CacheSize: w.Settings.Shape.CacheTokens, Handled: w.handled}
 	w.lock.Unlock()
-	httpreply.JSON(writer, http.StatusOK, one)
+	httpreply.JSON(writer, http.StatusOK, entry)
 }
 
 // load is what Lemonarch-Worker-Load says. The lock is held.
--- a/internal/tooling/workeremulator/rim.go
+++ b/internal/tooling/workeremulator/rim.go
@@ -24,19 +24,19 @@
 
 // doubled writes a whole answer, and the same once more behind it.
 func (e *exchange) doubled(text string) bool {
-	answer := "HTTP/1.1 200 OK\r\n"
+	resp := "HTTP/1.1 200 OK\r\n"
 	for name := range e.writer.Header() {
 		if name != "Connection" {
-			answer += name + ": " + e.writer.Header().Get(name) + "\r\n"
+			resp += name + ": " + e.writer.Header().Get(name) + "\r\n"
 		}
 	}
-	answer += fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(text), text)
+	resp += fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(text), text)
 	connection := e.hijack()
 	if connection == nil {
 		return false
 	}
 	defer connection.Close()
-	_, err := connection.Write([]byte(answer + answer))
+	_, err := connection.Write([]byte(resp + resp))
 	return err == nil
 }
 
@@ -54,11 +54,11 @@
 
 // answerProbe waits for a slot as a request does, and says whether the worker is well.
 func (w *Worker) answerProbe(writer http.ResponseWriter, request *http.Request) {
-	ticket, one := w.enter(Ask{Work: 1}, Run{})
+	ticket, entry := w.enter(Ask{Work: 1}, Run{})
 	defer w.leave(ticket)
 	for done := false; !done; {
 		select {
-		case effect := <-one.effects:
+		case effect := <-entry.effects:
 			if effect.Kind == EffectRefuse {
 				w.notRun(writer, http.StatusServiceUnavailable, "full")
 				return
@@ -100,19 +100,19 @@
 		if err != nil {
 			return nil, err
 		}
-		one := &connection{Conn: raw, listener: l, active: l.worker.clockValue.Now()}
+		entry := &connection{Conn: raw, listener: l, active: l.worker.clockValue.Now()}
 		l.lock.Lock()
 		limit := l.worker.Settings.ConnLimit
 		full := limit > 0 && len(l.open) >= limit
 		if !full {
-			l.open[one] = true
+			l.open[entry] = true
 		}
 		l.lock.Unlock()
 		if full {
-			one.reset()
+			entry.reset()
 			continue
 		}
-		return one, nil
+		return entry, nil
 	}
 }
 
@@ -121,12 +121,12 @@
 	l.Listener.Close()
 	l.lock.Lock()
 	var all []*connection
-	for one := range l.open {
-		all = append(all, one)
+	for entry := range l.open {
+		all = append(all, entry)
 	}
 	l.lock.Unlock()
-	for _, one := range all {
-		one.reset()
+	for _, entry := range all {
+		entry.reset()
 	}
 }
 
--- a/internal/tooling/workeremulator/round.go
+++ b/internal/tooling/workeremulator/round.go
@@ -6,75 +6,75 @@
 func (e *Engine) round(span clock.Duration) {
 	budget := int64(e.shape.ReadPerMs * clock.ToMilliseconds(span))
 	// A copy: the round itself takes requests out of the list.
-	for _, one := range append([]*job(nil), e.running...) {
-		if one.ask.Work > 0 || !one.pinned {
+	for _, entry := range append([]*job(nil), e.running...) {
+		if entry.ask.Work > 0 || !entry.pinned {
 			continue
 		}
-		if e.read(one, &budget) {
-			e.token(one)
+		if e.read(entry, &budget) {
+			e.token(entry)
 		}
 	}
 }
 
 // read reads as much of a prompt as the budget allows; true once nothing is left.
-func (e *Engine) read(one *job, budget *int64) bool {
+func (e *Engine) read(entry *job, budget *int64) bool {
 	did := false
-	for place := range one.unread {
-		if one.unread[place] == 0 {
+	for i := range entry.unread {
+		if entry.unread[i] == 0 {
 			continue
 		}
 		did = true
-		piece := min(*budget, one.unread[place])
-		one.unread[place] -= piece
-		*budget -= piece
-		e.ReadTokens += piece
-		if one.unread[place] > 0 {
+		part := min(*budget, entry.unread[i])
+		entry.unread[i] -= part
+		*budget -= part
+		e.ReadTokens += part
+		if entry.unread[i] > 0 {
 			return false
 		}
-		e.cache.read(one.parts[place])
+		e.cache.read(entry.parts[i])
 	}
-	if one.again > 0 {
+	if entry.again > 0 {
 		did = true
-		piece := min(*budget, one.again)
-		one.again -= piece
-		*budget -= piece
-		e.ReadTokens += piece
+		part := min(*budget, entry.again)
+		entry.again -= part
+		*budget -= part
+		e.ReadTokens += part
 	}
 	// The token comes with the next step: this one went into reading.
 	return !did
 }
 
 // token makes one token of a request, which may need room from others.
-func (e *Engine) token(one *job) {
-	if one.out < one.ask.Out {
+func (e *Engine) token(entry *job) {
+	if entry.out < entry.ask.Out {
 		for !e.cache.room(1, e.outputs()) {
 			newest := e.newest()
 			e.putBack(newest)
-			if newest == one {
+			if newest == entry {
 				return
 			}
 		}
-		one.out++
+		entry.out++
 	}
-	if !one.begun {
-		one.begun = true
-		e.tell(EffectBegin, one, 0)
+	if !entry.begun {
+		entry.begun = true
+		e.tell(EffectBegin, entry, 0)
 	}
 	stride := int64(e.shape.Stride)
-	whole := one.out == one.ask.Out
-	if number := (one.out + stride - 1) / stride; number > one.ask.From && (one.out%stride == 0 || whole) {
-		e.tell(EffectEvent, one, number)
+	complete := entry.out == entry.ask.Out
+	if number := (entry.out + stride - 1) / stride; number > entry.ask.From && (entry.out%stride == 0 || complete) {
+		e.tell(EffectEvent, entry, number)
 	}
-	if whole {
-		e.tell(EffectFinish, one, 0)
-		e.drop(one)
+	if complete {
+		e.tell(EffectFinish, entry, 0)
+		e.drop(entry)
 	}
 }
 
 func (e *Engine) newest() *job {
-	for place := len(e.running) - 1; place >= 0; place-- {
-		if e.running[place].ask.Work == 0 {
-			return e.running[place]
+	for i := len(e.running) - 1; i >= 0; i-- {
+		if e.running[i].ask.Work == 0 {
+			return e.running[i]
 		}
 	}
 	return nil
@@ -82,38 +82,38 @@
 
 // putBack sets a request to the head of the queue; what it has made stays told, and
 // is read anew with its prompt.
-func (e *Engine) putBack(one *job) {
+func (e *Engine) putBack(entry *job) {
 	e.PutBacks++
-	e.tell(EffectPutBack, one, 0)
-	e.drop(one)
-	e.waiting = append([]*job{one}, e.waiting...)
+	e.tell(EffectPutBack, entry, 0)
+	e.drop(entry)
+	e.waiting = append([]*job{entry}, e.waiting...)
 }
 
 // drop takes a running request out and lets its memory go; read parts stay kept.
-func (e *Engine) drop(one *job) {
-	for place, other := range e.running {
-		if other == one {
-			e.running = append(e.running[:place:place], e.running[place+1:]...)
+func (e *Engine) drop(entry *job) {
+	for i, other := range e.running {
+		if other == entry {
+			e.running = append(e.running[:i:i], e.running[i+1:]...)
 			break
 		}
 	}
-	if one.pinned {
-		e.cache.unpin(one.parts)
-		one.pinned = false
+	if entry.pinned {
+		e.cache.unpin(entry.parts)
+		entry.pinned = false
 	}
 }
 
 // remove forgets a request, wherever it stands.
 func (e *Engine) remove(ticket int64) {
-	for _, one := range e.running {
-		if one.ask.Ticket == ticket {
-			e.drop(one)
+	for _, entry := range e.running {
+		if entry.ask.Ticket == ticket {
+			e.drop(entry)
 			return
 		}
 	}
-	for place, one := range e.waiting {
-		if one.ask.Ticket == ticket {
-			e.waiting = append(e.waiting[:place:place], e.waiting[place+1:]...)
+	for i, entry := range e.waiting {
+		if entry.ask.Ticket == ticket {
+			e.waiting = append(e.waiting[:i:i], e.waiting[i+1:]...)
 			return
 		}
 	}
@@ -121,17 +121,17 @@
 
 func (e *Engine) expire(now clock.Instant) {
 	for _, list := range [][]*job{e.running, e.waiting} {
-		for _, one := range append([]*job(nil), list...) {
-			if one.ask.Until == 0 || now < one.ask.Until {
+		for _, entry := range append([]*job(nil), list...) {
+			if entry.ask.Until == 0 || now < entry.ask.Until {
 				continue
 			}
 			kind := EffectExpire
-			if !one.begun {
+			if !entry.begun {
 				// Without a first token it has not run, and may say so.
 				kind = EffectRefuse
 			}
-			e.tell(kind, one, 0)
-			e.remove(one.ask.Ticket)
+			e.tell(kind, entry, 0)
+			e.remove(entry.ask.Ticket)
 		}
 	}
 }
--- a/internal/tooling/workeremulator/sender_test.go
+++ b/internal/tooling/workeremulator/sender_test.go
@@ -38,8 +38,8 @@
 	}
 	plane.SetConfig(config)
 	var list []messages.Worker
-	for place, address := range addresses {
-		list = append(list, messages.Worker{ID: fmt.Sprint("w", place+1), Backend: "s", Address: address, Zone: strings.Repeat("h", place+1), Capacity: 4, CallCount: 1})
+	for i, address := range addresses {
+		list = append(list, messages.Worker{ID: fmt.Sprint("w", i+1), Backend: "s", Address: address, Zone: strings.Repeat("h", i+1), Capacity: 4, CallCount: 1})
 	}
 	scheduler.Merge(list, clock.Now())
 	server := httptest.NewServer(plane)
@@ -55,13 +55,13 @@
 	for name, value := range map[string]string{headerAttempt: "one", headerTokens: "20,32", headerPrefix: "a:10", headerModel: "m", headerTimeLeft: "3000"} {
 		request.Header.Set(name, value)
 	}
-	answer, err := http.DefaultClient.Do(request)
+	resp, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return nil, "", err
 	}
-	defer answer.Body.Close()
-	body, err := io.ReadAll(answer.Body)
-	return answer, string(body), err
+	defer resp.Body.Close()
+	body, err := io.ReadAll(resp.Body)
+	return resp, string(body), err
 }
 
 func whole(attempt string) string {
@@ -75,12 +75,12 @@
 // Our own sender and streams take an emulated worker for a real one.
 func TestSenderTakesTheStream(t *testing.T) {
 	_, record, address, _ := start(t, engineSettings)
-	answer, body, err := through(t, edge(t, address), "/rigid/x")
-	if err != nil || answer.StatusCode != 200 || body != whole("one") {
-		t.Fatal(answer, body, err)
+	resp, body, err := through(t, edge(t, address), "/rigid/x")
+	if err != nil || resp.StatusCode != 200 || body != whole("one") {
+		t.Fatal(resp, body, err)
 	}
-	if _, holds := Sealed(answer.Header.Get(headerSeal), "one"); !holds {
-		t.Fatal(answer.Header)
+	if _, holds := Sealed(resp.Header.Get(headerSeal), "one"); !holds {
+		t.Fatal(resp.Header)
 	}
 	if runs, _ := record.Of(""); len(runs) != 1 || !runs[0].Ended {
 		t.Fatal(runs)
@@ -88,15 +88,15 @@
 }
 
 // A stream that the first worker cuts goes on at the second, behind its last event.
-func TestSenderGoesOnElsewhere(t *testing.T) {
+func TestSenderRetriesElsewhere(t *testing.T) {
 	first, before, firstAddress, _ := start(t, engineSettings)
 	first.SetFaults(Faults{Cut: 1})
 	nodeSettings := engineSettings
 	nodeSettings.ID = "w2"
 	_, after, secondAddress, _ := start(t, nodeSettings)
-	answer, body, err := through(t, edge(t, firstAddress, secondAddress), "/stream/x")
-	if err != nil || answer.StatusCode != 200 || body != whole("one") {
-		t.Fatal(answer, body, err)
+	resp, body, err := through(t, edge(t, firstAddress, secondAddress), "/stream/x")
+	if err != nil || resp.StatusCode != 200 || body != whole("one") {
+		t.Fatal(resp, body, err)
 	}
 	runs, _ := before.Of("")
 	more, _ := after.Of("")
--- a/internal/tooling/workeremulator/worker.go
+++ b/internal/tooling/workeremulator/worker.go
@@ -164,16 +164,16 @@
 func (w *Worker) chance(share float64) bool { return share > 0 && w.random.Float64() < share }
 
 // enter hands a request to the engine and gives where its effects come.
-func (w *Worker) enter(ask Ask, about Run) (int64, *waiter) {
+func (w *Worker) enter(request Ask, about Run) (int64, *waiter) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.ticket++
-	ask.Ticket = w.ticket
+	request.Ticket = w.ticket
 	// Room for all effects of one request: the engine never waits for a connection.
-	one := &waiter{effects: make(chan Effect, 8+Events(ask.Out, w.engine.shape.Stride)), about: about}
-	w.waiters[ask.Ticket] = one
-	w.step(Event{Kind: EventArrive, Ask: ask})
-	return ask.Ticket, one
+	entry := &waiter{effects: make(chan Effect, 8+Events(request.Out, w.engine.shape.Stride)), about: about}
+	w.waiters[request.Ticket] = entry
+	w.step(Event{Kind: EventArrive, Ask: request})
+	return request.Ticket, entry
 }
 
 // leave takes a request back whose connection has closed.
@@ -187,17 +187,17 @@
 // step runs the engine and hands out its effects. The lock is held.
 func (w *Worker) step(event Event) {
 	for _, effect := range w.engine.Step(event, w.clockValue.Now()) {
-		one := w.waiters[effect.Ticket]
-		if one == nil || effect.Kind == EffectPutBack {
+		entry := w.waiters[effect.Ticket]
+		if entry == nil || effect.Kind == EffectPutBack {
 			continue
 		}
-		if effect.Kind == EffectBegin && one.about.Attempt != "" {
-			one.run = w.record.Begin(one.about)
+		if effect.Kind == EffectBegin && entry.about.Attempt != "" {
+			entry.run = w.record.Begin(entry.about)
 			if w.chance(w.faults.Twice) {
-				w.record.Begin(one.about)
+				w.record.Begin(entry.about)
 			}
 		}
-		one.effects <- effect
+		entry.effects <- effect
 		switch effect.Kind {
 		case EffectFinish, EffectRefuse, EffectExpire:
 			delete(w.waiters, effect.Ticket)
--- a/internal/tooling/workeremulator/worker_test.go
+++ b/internal/tooling/workeremulator/worker_test.go
@@ -54,28 +54,28 @@
 func ask(address, attempt string, header ...string) (*http.Response, string, error) {
 	request, _ := http.NewRequest(http.MethodPost, "http://"+address+"/a/b", strings.NewReader("body"))
 	request.Header.Set(headerAttempt, attempt)
-	for place := 0; place+1 < len(header); place += 2 {
-		request.Header.Set(header[place], header[place+1])
+	for i := 0; i+1 < len(header); i += 2 {
+		request.Header.Set(header[i], header[i+1])
 	}
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	answer, err := client.Do(request)
+	resp, err := client.Do(request)
 	if err != nil {
 		return nil, "", err
 	}
-	defer answer.Body.Close()
-	body, err := io.ReadAll(answer.Body)
-	return answer, string(body), err
+	defer resp.Body.Close()
+	body, err := io.ReadAll(resp.Body)
+	return resp, string(body), err
 }
 
 func TestStreamSealAndRecord(t *testing.T) {
 	_, record, address, _ := start(t, engineSettings)
-	answer, body, err := ask(address, "one", headerTokens, "20,12", headerPrefix, "a:10", headerModel, "m", headerTarget, "w1", headerLast, "1")
+	resp, body, err := ask(address, "one", headerTokens, "20,12", headerPrefix, "a:10", headerModel, "m", headerTarget, "w1", headerLast, "1")
 	want := fmt.Sprintf("id: 2\ndata: %s\n\nid: 3\ndata: %s\n\n", EventData("one", 2), EventData("one", 3))
-	if err != nil || body != want || answer.Header.Get(headerAttempt) != "one" || answer.Header.Get(headerLoad) == "" || answer.Header.Get("Keep-Alive") == "" {
-		t.Fatal(answer, body, err)
+	if err != nil || body != want || resp.Header.Get(headerAttempt) != "one" || resp.Header.Get(headerLoad) == "" || resp.Header.Get("Keep-Alive") == "" {
+		t.Fatal(resp, body, err)
 	}
-	if worker, holds := Sealed(answer.Header.Get(headerSeal), "one"); !holds || worker != "w1" {
-		t.Fatal(answer.Header)
+	if worker, holds := Sealed(resp.Header.Get(headerSeal), "one"); !holds || worker != "w1" {
+		t.Fatal(resp.Header)
 	}
 	runs, _ := record.Of("on")
 	if len(runs) != 1 || runs[0].From != 1 || runs[0].Path != "/a/b" || runs[0].Body != BodySum([]byte("body")) {
@@ -83,22 +83,22 @@
 	}
 }
 
-func TestWhatDidNotRunSaysSo(t *testing.T) {
+func TestNotRunIsStated(t *testing.T) {
 	worker, record, address, _ := start(t, plainSettings)
 	for name, header := range map[string][]string{
 		"target": {headerTarget, "w2"}, "revision": {headerRevision, "7"}, "late": {headerTimeLeft, "0"},
 	} {
-		answer, _, err := ask(address, "one", header...)
-		if err != nil || answer.Header.Get(headerNotRun) == "" {
-			t.Fatal(name, answer, err)
+		resp, _, err := ask(address, "one", header...)
+		if err != nil || resp.Header.Get(headerNotRun) == "" {
+			t.Fatal(name, resp, err)
 		}
 	}
 	worker.SetFaults(Faults{Full: 1})
-	if answer, _, err := ask(address, "one"); err != nil || answer.StatusCode != 503 || answer.Header.Get(headerNotRun) == "" {
-		t.Fatal(answer, err)
+	if resp, _, err := ask(address, "one"); err != nil || resp.StatusCode != 503 || resp.Header.Get(headerNotRun) == "" {
+		t.Fatal(resp, err)
 	}
-	if answer, _, err := ask(address, ""); err != nil || answer.StatusCode != 400 {
-		t.Fatal(answer, err)
+	if resp, _, err := ask(address, ""); err != nil || resp.StatusCode != 400 {
+		t.Fatal(resp, err)
 	}
 	if runs, _ := record.Of(""); len(runs) != 0 {
 		t.Fatal("something ran", runs)
@@ -108,13 +108,13 @@
 func TestProbeAndItsLies(t *testing.T) {
 	worker, _, address, _ := start(t, plainSettings)
 	get := func(path string) (int, string, http.Header) {
-		answer, err := http.Get("http://" + address + path)
+		resp, err := http.Get("http://" + address + path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer answer.Body.Close()
-		body, _ := io.ReadAll(answer.Body)
-		return answer.StatusCode, string(body), answer.Header
+		defer resp.Body.Close()
+		body, _ := io.ReadAll(resp.Body)
+		return resp.StatusCode, string(body), resp.Header
 	}
 	if status, _, header := get("/health"); status != 200 || header.Get(headerID) != "w1" || header.Get(headerLoad) == "" {
 		t.Fatal(status, header)
@@ -127,30 +127,30 @@
 	if status, _, _ := get("/health"); status != 200 {
 		t.Fatal("a lying worker that leaves says that it is well", status)
 	}
-	var told report
-	if _, body, _ := get("/-/report"); json.Unmarshal([]byte(body), &told) != nil || told.Stage != "both" {
+	var received report
+	if _, body, _ := get("/-/report"); json.Unmarshal([]byte(body), &received) != nil || received.Stage != "both" {
 		t.Fatal(body)
 	}
 }
 
 // Each broken answer is broken in the way that its name says.
-func TestBrokenAnswers(t *testing.T) {
+func TestBrokenResponses(t *testing.T) {
 	worker, record, address, _ := start(t, plainSettings)
 	worker.SetFaults(Faults{Fail: 1})
-	if answer, _, err := ask(address, "fail"); err != nil || answer.StatusCode != 500 || answer.Header.Get(headerNotRun) != "" {
-		t.Fatal(answer, err)
+	if resp, _, err := ask(address, "fail"); err != nil || resp.StatusCode != 500 || resp.Header.Get(headerNotRun) != "" {
+		t.Fatal(resp, err)
 	}
 	worker.SetFaults(Faults{Never: 1})
-	if answer, _, err := ask(address, "never"); err != nil || answer.StatusCode != 422 || answer.Header.Get(headerNotRun) != "" {
-		t.Fatal(answer, err)
+	if resp, _, err := ask(address, "never"); err != nil || resp.StatusCode != 422 || resp.Header.Get(headerNotRun) != "" {
+		t.Fatal(resp, err)
 	}
 	worker.SetFaults(Faults{Cut: 1})
 	if _, body, err := ask(address, "cut"); err == nil {
 		t.Fatal("a cut answer looked whole", body)
 	}
 	worker.SetFaults(Faults{Garble: 1})
-	if answer, _, err := ask(address, "garble"); err == nil {
-		t.Fatal(answer)
+	if resp, _, err := ask(address, "garble"); err == nil {
+		t.Fatal(resp)
 	}
 	worker.SetFaults(Faults{Surplus: 1})
 	connection, err := net.Dial("tcp4", address)
@@ -161,11 +161,11 @@
 	fmt.Fprintf(connection, "POST /x HTTP/1.1\r\nHost: h\r\n%s: twice\r\nContent-Length: 0\r\n\r\n", headerAttempt)
 	reader := bufio.NewReader(connection)
 	for count := 0; count < 2; count++ {
-		answer, err := http.ReadResponse(reader, nil)
-		if err != nil || answer.Header.Get(headerAttempt) != "twice" {
-			t.Fatal(count, answer, err)
+		resp, err := http.ReadResponse(reader, nil)
+		if err != nil || resp.Header.Get(headerAttempt) != "twice" {
+			t.Fatal(count, resp, err)
 		}
-		_, _ = io.Copy(io.Discard, answer.Body)
+		_, _ = io.Copy(io.Discard, resp.Body)
 	}
 	if runs, _ := record.Of(""); len(runs) != 5 {
 		t.Fatal("a broken answer counts as run", runs)
@@ -184,9 +184,9 @@
 	reader := bufio.NewReader(connection)
 	send := func() error {
 		fmt.Fprintf(connection, "POST /x HTTP/1.1\r\nHost: h\r\n%s: one\r\nContent-Length: 0\r\n\r\n", headerAttempt)
-		answer, err := http.ReadResponse(reader, nil)
+		resp, err := http.ReadResponse(reader, nil)
 		if err == nil {
-			_, err = io.Copy(io.Discard, answer.Body)
+			_, err = io.Copy(io.Discard, resp.Body)
 		}
 		return err
 	}
@@ -212,10 +212,10 @@
 	}
 	defer first.Close()
 	fmt.Fprintf(first, "GET /-/report HTTP/1.1\r\nHost: h\r\n\r\n")
-	if answer, err := http.ReadResponse(bufio.NewReader(first), nil); err != nil || answer.StatusCode != 200 {
-		t.Fatal(answer, err)
+	if resp, err := http.ReadResponse(bufio.NewReader(first), nil); err != nil || resp.StatusCode != 200 {
+		t.Fatal(resp, err)
 	}
-	if answer, _, err := ask(address, "one"); err == nil {
-		t.Fatal(answer)
+	if resp, _, err := ask(address, "one"); err == nil {
+		t.Fatal(resp)
 	}
 }
