--- a/internal/batch/replicalog/golden_test.go
+++ b/internal/batch/replicalog/golden_test.go
@@ -1,13 +1,13 @@
 package replicalog
 
 import (
-	"bytes"
 	"os"
 	"path/filepath"
 	"testing"
 
 	"lemonarch/internal/platform/messages"
 	"lemonarch/internal/platform/recordlog"
+	"lemonarch/internal/tooling/fixture"
 )
 
 // goldenRecords are the records of the golden files, of two epochs: one job that is open,
@@ -47,31 +47,16 @@
 	return store
 }
 
-func sameAsGolden(t *testing.T, path, golden string) {
-	t.Helper()
-	written, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	want, err := os.ReadFile(filepath.Join("testdata", golden))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(written, want) {
-		t.Errorf("%s: %d bytes differ from the %d of %s", filepath.Base(path), len(written), len(want), golden)
-	}
-}
-
 // TestGoldenReplicaFile has the replica's file written and rewritten to the bytes that an
 // earlier version wrote, and read, also with a torn tail.
 func TestGoldenReplicaFile(t *testing.T) {
 	dir := t.TempDir()
 	store := writeGoldenReplica(t, dir)
-	sameAsGolden(t, filepath.Join(dir, "replica"), "replica-appended")
+	fixture.CheckGolden(t, filepath.Join(dir, "replica"), "replica-appended")
 	if err := store.compact(5); err != nil {
 		t.Fatal(err)
 	}
-	sameAsGolden(t, filepath.Join(dir, "replica"), "replica-rewritten")
+	fixture.CheckGolden(t, filepath.Join(dir, "replica"), "replica-rewritten")
 
 	for _, file := range []struct {
 		golden     string
--- a/internal/control/controller/shutdown_test.go
+++ b/internal/control/controller/shutdown_test.go
@@ -6,10 +6,8 @@
 	"github.com/hashicorp/go-hclog"
 	"go.uber.org/goleak"
 
-	"lemonarch/internal/platform/clock"
-	"lemonarch/internal/platform/constants"
-	"lemonarch/internal/platform/messages"
 	"lemonarch/internal/platform/transport"
+	"lemonarch/internal/tooling/fixture"
 )
 
 // A controller that has served leaves no goroutine behind after its shutdown.
@@ -25,24 +23,10 @@
 	controller.Node.Transport = network.Transport(controller.Node.Self.Address)
 	ended := make(chan error, 1)
 	go func() { ended <- controller.Run() }()
-	awaitServing(t, network, controller.Node.Self.Address)
+	fixture.AwaitServing(t, network, controller.Node.Self.Address)
 	controller.Shutdown()
 	if err = <-ended; err != nil {
 		t.Fatal(err)
 	}
 	goleak.VerifyNone(t, others)
 }
-
-// awaitServing waits until a process answers status queries.
-func awaitServing(t *testing.T, network *transport.MemoryNetwork, address string) {
-	t.Helper()
-	const attempts = 200
-	for attempt := 0; attempt < attempts; attempt++ {
-		req, resp := &messages.StatusRequest{Query: "config"}, &messages.StatusResponse{}
-		if transport.Call(network.Transport("client"), address, messages.KindStatus, req, resp, constants.CallTimeout) == nil {
-			return
-		}
-		<-clock.After(constants.TickPeriod / 5)
-	}
-	t.Fatal("does not serve")
-}
--- a/internal/control/registerserver/golden_test.go
+++ b/internal/control/registerserver/golden_test.go
@@ -1,7 +1,6 @@
 package registerserver
 
 import (
-	"bytes"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -10,6 +9,7 @@
 	"lemonarch/internal/control/register"
 	"lemonarch/internal/platform/messages"
 	"lemonarch/internal/platform/recordlog"
+	"lemonarch/internal/tooling/fixture"
 )
 
 // goldenFirst is the acceptor set of the golden files.
@@ -56,27 +56,12 @@
 	}
 }
 
-func sameAsGolden(t *testing.T, path, golden string) {
-	t.Helper()
-	written, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	want, err := os.ReadFile(filepath.Join("testdata", golden))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(written, want) {
-		t.Errorf("%s: %d bytes differ from the %d of %s", filepath.Base(path), len(written), len(want), golden)
-	}
-}
-
 // TestGoldenRegisterFile has the acceptor's file written and rewritten to the bytes that
 // an earlier version wrote, and read, also with a torn tail.
 func TestGoldenRegisterFile(t *testing.T) {
 	dir := t.TempDir()
 	replica := writeGolden(t, dir)
-	sameAsGolden(t, filepath.Join(dir, "register"), "register-appended")
+	fixture.CheckGolden(t, filepath.Join(dir, "register"), "register-appended")
 	record := replica.Record()
 	body, err := record.MarshalMsg(nil)
 	if err != nil {
@@ -85,7 +70,7 @@
 	if _, err := replica.logfile.Rewrite(recordlog.Records(body)); err != nil {
 		t.Fatal(err)
 	}
-	sameAsGolden(t, filepath.Join(dir, "register"), "register-rewritten")
+	fixture.CheckGolden(t, filepath.Join(dir, "register"), "register-rewritten")
 
 	for _, file := range []struct {
 		golden     string
@@ -146,7 +131,7 @@
 				}
 				dir = other
 			}
-			sameAsGolden(t, filepath.Join(dir, "register-taken"), golden)
+			fixture.CheckGolden(t, filepath.Join(dir, "register-taken"), golden)
 		})
 	}
 	dir := t.TempDir()
--- a/internal/control/workerserver/golden_test.go
+++ b/internal/control/workerserver/golden_test.go
@@ -1,13 +1,13 @@
 package workerserver
 
 import (
-	"bytes"
 	"os"
 	"path/filepath"
 	"testing"
 
 	"lemonarch/internal/platform/messages"
 	"lemonarch/internal/platform/recordlog"
+	"lemonarch/internal/tooling/fixture"
 )
 
 // goldenWorkers are the workers of the golden files, as they were written one by one.
@@ -18,21 +18,6 @@
 	{ID: "w2", Backend: "model", Address: "10.0.1.2:9000", Zone: "south", Capacity: 12, Phase: messages.PhaseDeparted, CallCount: 10, Software: "g7"},
 }
 
-func checkGolden(t *testing.T, path, golden string) {
-	t.Helper()
-	written, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	want, err := os.ReadFile(filepath.Join("testdata", golden))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(written, want) {
-		t.Errorf("%s: %d bytes differ from the %d of %s", filepath.Base(path), len(written), len(want), golden)
-	}
-}
-
 // TestGoldenWorkersFile has the file of workers written and rewritten to the bytes that an
 // earlier version wrote, and read, also with a torn tail.
 func TestGoldenWorkersFile(t *testing.T) {
@@ -46,13 +31,13 @@
 			t.Fatal(err)
 		}
 	}
-	checkGolden(t, filepath.Join(dir, "workers"), "workers-appended")
+	fixture.CheckGolden(t, filepath.Join(dir, "workers"), "workers-appended")
 	newest := goldenWorkers[2:]
 	file.requestRewrite()
 	if err = file.write(nil, func() []messages.Worker { return newest }); err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, filepath.Join(dir, "workers"), "workers-rewritten")
+	fixture.CheckGolden(t, filepath.Join(dir, "workers"), "workers-rewritten")
 
 	for _, golden := range []struct {
 		name   string
