--- a/internal/control/registerserver/archive.go
+++ b/internal/control/registerserver/archive.go
@@ -23,8 +23,10 @@
 	// writing is held while the file is written; lock guards core and is not.
 	writing sync.Mutex
 	logfile *recordlog.Log
-	lock    sync.Mutex
-	core    register.Archive
+	// today returns the current day, counted since the epoch of the wall clock.
+	today func() int64
+	lock  sync.Mutex
+	core  register.Archive
 	// stale says that the file lacks what core holds.
 	stale bool
 	// pulling is held by the one that asks others for chunks; nextPull is when the
@@ -33,8 +35,11 @@
 	nextPull clock.Instant
 }
 
+// wallDay returns the current day by the wall clock.
+func wallDay() int64 { return clock.WallNanos() / dayLength }
+
 func openArchive(disk recordlog.Disk, name string) (*archive, error) {
-	made := &archive{}
+	made := &archive{today: wallDay}
 	read := func(_ int64, body []byte) error {
 		chunk := messages.ArchiveChunk{}
 		if _, err := chunk.UnmarshalMsg(body); err != nil {
@@ -60,7 +65,7 @@
 	a.writing.Lock()
 	defer a.writing.Unlock()
 	a.lock.Lock()
-	added, _ := a.core.Extend(value, clock.WallNanos()/dayLength)
+	added, _ := a.core.Extend(value, a.today())
 	a.lock.Unlock()
 	switch {
 	case added != nil:
@@ -75,7 +80,7 @@
 // write appends chunks, or rewrites the file where it is long or in doubt.
 func (a *archive) write(chunks []messages.ArchiveChunk) error {
 	a.lock.Lock()
-	forgot := a.core.Forget(clock.WallNanos() / dayLength)
+	forgot := a.core.Forget(a.today())
 	rewrite := forgot || a.stale || a.logfile.Size() > constants.ArchiveLimit
 	if rewrite {
 		chunks = a.core.Chunks()
--- a/internal/control/registerserver/golden_test.go
+++ b/internal/control/registerserver/golden_test.go
@@ -100,7 +100,8 @@
 }
 
 // TestGoldenArchiveFile does the same for the archive of versions taken. The day in its
-// chunks is that of the writing, so the chunks are read and written again.
+// chunks is that of the writing, so the chunks are read and written again, on that day:
+// on a later one the archive would forget the chunks older than constants.ArchiveDays.
 func TestGoldenArchiveFile(t *testing.T) {
 	for _, golden := range []string{"register-taken-appended", "register-taken-rewritten"} {
 		t.Run(golden, func(t *testing.T) {
@@ -114,6 +115,8 @@
 				t.Fatalf("%d chunks held", archive.lastChunk())
 			}
 			chunks := archive.core.Chunks()
+			today := func() int64 { return chunks[0].Day }
+			archive.today = today
 			if golden == "register-taken-rewritten" {
 				archive.stale = true
 				if err = archive.write(nil); err != nil {
@@ -124,6 +127,7 @@
 				if archive, err = openArchive(recordlog.Directory(other), "register-taken"); err != nil {
 					t.Fatal(err)
 				}
+				archive.today = today
 				for i := range chunks[1:] {
 					if err = archive.write(chunks[i+1 : i+2]); err != nil {
 						t.Fatal(err)
