--- a/internal/control/contact/contact.go
+++ b/internal/control/contact/contact.go
@@ -1,11 +1,12 @@
-// Package contact tells whether a control process is current: whether a majority of the
-// acceptors in force answered it lately, and told of nothing that it does not follow.
-// A step function without I/O.
+// Package contact implements the contact lease, which shows whether a control process is up to
+// date: whether a majority of the current acceptors responded to it recently, and none of these
+// responses reported a version newer than what the process follows. The package consists of step
+// functions without I/O.
 //
-// While the lease is valid, the process follows every set of acceptors and every
-// configuration that was acknowledged more than constants.ContactLease ago: each was
-// accepted by a majority, which shares a member with the majority that answered, and an
-// answer that tells of something newer does not renew the lease.
+// While the lease is valid, the process follows every acceptor set and every configuration that was
+// acknowledged more than constants.ContactLease ago: each was accepted by a majority, which shares
+// a member with the majority that responded, and a response that reports a newer version does not
+// renew the lease.
 package contact
 
 import (
@@ -15,24 +16,26 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Versions is what a process follows, or what an acceptor has accepted.
+// Versions is the acceptor set and the configuration that a process follows or an acceptor has
+// accepted.
 type Versions struct {
 	SetEpoch   uint64
 	Generation int64
 }
 
-// Lease is a process's proof of contact with the acceptors.
+// Lease is the contact lease of a process with the acceptors.
 type Lease struct {
-	// renewed holds, for each acceptor, when its last renewing answer was asked for.
+	// renewed maps the identity of each acceptor to the time at which the request of its latest
+	// renewing response was sent.
 	renewed map[string]clock.Instant
 }
 
-// New gives a lease that was never renewed.
+// New returns a lease that was never renewed.
 func New() *Lease { return &Lease{renewed: map[string]clock.Instant{}} }
 
-// Observe takes the response of an acceptor to a request that was sent at asked. It
-// reports whether the acceptor is ahead of what this process follows; such an answer
-// does not renew the lease.
+// Observe handles the response of an acceptor to a request that was sent at sentAt. It reports
+// whether the acceptor is ahead of what this process follows; such a response does not renew the
+// lease.
 func (l *Lease) Observe(acceptor messages.Member, sentAt clock.Instant, accepted, followed Versions) (ahead bool) {
 	if accepted.SetEpoch > followed.SetEpoch || accepted.Generation > followed.Generation {
 		return true
@@ -44,8 +47,8 @@
 	return false
 }
 
-// Valid tells whether majorities of all sets in force answered requests that were sent
-// within the length of the lease.
+// Valid reports whether majorities of all current sets responded to requests that were sent less
+// than constants.ContactLease ago.
 func (l *Lease) Valid(sets *messages.RegisterValue, now clock.Instant) bool {
 	if len(sets.Acceptors) == 0 {
 		return false
@@ -59,14 +62,14 @@
 	return register.Quorum(sets, answered)
 }
 
-// Trim forgets acceptors that are no longer in a set.
+// Trim removes acceptors that are no longer in a set.
 func (l *Lease) Trim(sets *messages.RegisterValue) {
-	inside := map[string]bool{}
+	members := map[string]bool{}
 	for _, member := range append(append([]messages.Member(nil), sets.Acceptors...), sets.Previous...) {
-		inside[register.Identity(member)] = true
+		members[register.Identity(member)] = true
 	}
 	for identity := range l.renewed {
-		if !inside[identity] {
+		if !members[identity] {
 			delete(l.renewed, identity)
 		}
 	}
--- a/internal/control/contactserver/contactserver.go
+++ b/internal/control/contactserver/contactserver.go
@@ -1,6 +1,7 @@
-// Package contactserver keeps a controller's contact lease: it asks the acceptors for it
-// once a period, answers other controllers' requests, and looks for what an acceptor has
-// that this process does not follow yet. The rule of the lease is package contact.
+// Package contactserver maintains a controller's contact lease: it sends requests to the acceptors
+// once per constants.ContactPeriod, responds to the requests of other controllers, and looks for
+// newer values that an acceptor has accepted and this process does not follow yet. The rule of the
+// lease is in package contact.
 package contactserver
 
 import (
@@ -17,34 +18,36 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// ErrNoContact is the error of a controller that is not in contact with a majority of the
-// acceptors: it can neither confirm nor refuse anything.
+// ErrNoContact is the error of a controller that has no contact with a majority of the acceptors,
+// and therefore can neither confirm nor reject anything.
 var ErrNoContact = errs.Define("no contact with a majority")
 
-// NoClearAnswer is the reason in answers of a controller that can neither confirm nor refuse.
-// They come without Retry-After: the caller is to ask another controller, not this one again.
+// NoClearAnswer is the reason in HTTP responses of a controller that can neither confirm nor reject
+// a request. These responses have no Retry-After header, because the client should send the request
+// to another controller instead of retrying at this one.
 const NoClearAnswer = "no clear answer here: ask another controller"
 
-// Server keeps the contact lease of one controller. It has a lock of its own, so that a
-// disk that hangs does not hang the answers.
+// Server maintains the contact lease of one controller. It has a lock of its own, so that a disk
+// that hangs does not block its responses.
 type Server struct {
 	replica *registerserver.Replica
-	// catchUp follows what an acceptor has accepted and this process does not follow.
+	// catchUp brings this process up to versions that an acceptor has accepted and this process
+	// does not follow.
 	catchUp func(accepted contact.Versions)
 
 	// lock guards the fields below.
 	lock  sync.Mutex
 	lease *contact.Lease
-	// sets are those that the lease was last checked against.
+	// sets are the acceptor sets that the lease was last checked against.
 	sets messages.RegisterValue
-	// requestedAt is when the last round began; zero before the first.
+	// requestedAt is the time at which the last round began; zero before the first round.
 	requestedAt clock.Instant
-	// catchingUp is set while a newer value is being looked for.
+	// catchingUp is set while catchUp runs.
 	catchingUp bool
 }
 
-// New makes the server of a controller whose lease was never renewed, and registers its
-// answer to other controllers' rounds.
+// New returns the server of a controller whose lease was never renewed, and registers its handler
+// for contact requests of other controllers.
 func New(replica *registerserver.Replica, catchUp func(accepted contact.Versions)) *Server {
 	s := &Server{replica: replica, catchUp: catchUp, lease: contact.New()}
 	process.Handle(replica.Node.Runtime, messages.KindContact, func(_ *messages.ContactRequest) (*messages.ContactResponse, error) {
@@ -53,33 +56,34 @@
 	return s
 }
 
-// accepted is what this process's own acceptor has accepted.
+// accepted returns what this process's own acceptor has accepted.
 func (s *Server) accepted() *messages.ContactResponse {
 	record := s.replica.Record()
 	return &messages.ContactResponse{Disk: record.Disk, SetEpoch: record.Value.SetEpoch, Generation: record.Value.Current.Generation}
 }
 
-// Followed is what this process follows of the register.
+// Followed returns the acceptor set epoch and the configuration generation that this process
+// follows.
 func (s *Server) Followed() contact.Versions {
 	return contact.Versions{SetEpoch: s.replica.Known().SetEpoch, Generation: s.replica.Node.Generation()}
 }
 
-// Sets gives the acceptor sets that the lease was last checked against.
+// Sets returns the acceptor sets that the lease was last checked against.
 func (s *Server) Sets() messages.RegisterValue {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.sets
 }
 
-// Valid tells whether the contact lease is valid. It never waits.
+// Valid reports whether the contact lease is valid. It does not block on I/O.
 func (s *Server) Valid() bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.lease.Valid(&s.sets, clock.Now())
 }
 
-// Await is Valid for callers that may wait up to half of constants.ContactTimeout: after a
-// start or a freeze one round decides whether the process is cut off at all.
+// Await is Valid for callers that may wait up to half of constants.ContactTimeout: after a start or
+// after the process was suspended, one round is needed to decide whether it has contact at all.
 func (s *Server) Await() bool {
 	if s.Valid() {
 		return true
@@ -88,10 +92,10 @@
 		s.Round()
 	}
 	s.lock.Lock()
-	end := s.requestedAt.Add(constants.ContactTimeout / 2)
+	deadline := s.requestedAt.Add(constants.ContactTimeout / 2)
 	s.lock.Unlock()
 	for !s.Valid() {
-		if clock.Now() > end {
+		if clock.Now() > deadline {
 			return false
 		}
 		clock.Sleep(constants.TickPeriod / 10)
@@ -105,7 +109,8 @@
 	return s.requestedAt == 0 || clock.Now().Sub(s.requestedAt) > constants.ContactPeriod+constants.ContactTimeout
 }
 
-// Round asks all acceptors, this process's own among them. It does not wait for others.
+// Round sends a contact request to every acceptor and handles the state of its own acceptor
+// directly. It does not wait for the responses.
 func (s *Server) Round() {
 	node, known := s.replica.Node, s.replica.Known()
 	known.Body, known.History = nil, nil
@@ -128,24 +133,26 @@
 	}
 }
 
-// handleResponse takes one acceptor's response to a round that began at sentAt. Where the
-// acceptor is ahead, the newer value is looked for; until it is followed, that acceptor
-// does not renew the lease.
+// handleResponse handles the response of one acceptor to a round that began at sentAt. If the
+// acceptor is ahead, it starts to catch up; until this process follows the newer versions, that
+// acceptor does not renew the lease.
 func (s *Server) handleResponse(member messages.Member, sentAt clock.Instant, resp *messages.ContactResponse) {
-	// The response counts for the disk that gave it: an emptied machine is another acceptor.
+	// The response counts for the disk that it names: a machine whose disk was emptied is a
+	// different acceptor.
 	member.Disk = resp.Disk
 	accepted, followed := contact.Versions{SetEpoch: resp.SetEpoch, Generation: resp.Generation}, s.Followed()
 	s.lock.Lock()
 	ahead := s.lease.Observe(member, sentAt, accepted, followed)
-	begin := ahead && !s.catchingUp
-	s.catchingUp = s.catchingUp || begin
+	startCatchUp := ahead && !s.catchingUp
+	s.catchingUp = s.catchingUp || startCatchUp
 	s.lock.Unlock()
-	if begin {
+	if startCatchUp {
 		go s.catchUpOnce(accepted)
 	}
 }
 
-// catchUpOnce follows a value, whose proposer is given the time to spread it first.
+// catchUpOnce catches up with the accepted versions. It first waits, so that the proposer has time
+// to distribute them.
 func (s *Server) catchUpOnce(accepted contact.Versions) {
 	clock.Sleep(constants.PushTimeout / 2)
 	s.catchUp(accepted)
@@ -155,8 +162,9 @@
 	s.Round()
 }
 
-// WhileValid runs work that may end in an unknown outcome, and stops waiting for it once
-// the contact lease has run out: the work goes on, and false sends its caller elsewhere.
+// WhileValid runs a function whose outcome may stay unknown, and stops waiting for it once the
+// contact lease has expired. The function then keeps running in the background, and the returned
+// false means that the caller should be sent to another controller.
 func WhileValid[Result any](s *Server, work func() Result) (Result, bool) {
 	results := make(chan Result, 1)
 	go func() { results <- work() }()
@@ -166,8 +174,8 @@
 			return result, true
 		case <-clock.After(constants.TickPeriod):
 			if !s.Valid() {
-				var none Result
-				return none, false
+				var zero Result
+				return zero, false
 			}
 		}
 	}
--- a/internal/control/lease/lease.go
+++ b/internal/control/lease/lease.go
@@ -1,15 +1,15 @@
-// Package lease grants the lease of the leadership over batch jobs: a majority of acceptors
-// grants it for a bounded time, and its holder stops acting before that ends. Step functions
-// without I/O; package registerserver serves requests for it, and package leadership asks.
+// Package lease implements the lease that backs the leadership over batch jobs: a majority of
+// acceptors grants it for a bounded time, and its holder stops acting before that time ends. The
+// package consists of step functions without I/O; package registerserver serves the lease requests,
+// and package leadership sends them.
 //
-// The lease decides only who may campaign, so that there is one leader most of the time.
-// What fences a holder that overslept its lease is the epoch in the register.
+// The lease only decides who may campaign, so that there is one leader most of the time. A leader
+// that keeps acting after its lease has expired is fenced by the epoch in the register.
 //
-// At most one candidate holds the grants of a majority at a time: an acceptor grants nobody
-// else anything before its grant has ended by its own steady clock, the holder counts its
-// lease from before it asked and ends it constants.LeaseSafetyMargin early, and an acceptor
-// that was restarted, and has forgotten its grants, grants nothing until they must have
-// ended.
+// At most one candidate has the grants of a majority at a time. An acceptor grants the lease to no
+// other candidate before its previous grant has expired by its own steady clock. The holder counts
+// its lease from before it sent the request and ends it constants.LeaseSafetyMargin early. An
+// acceptor that was restarted has lost its grants, and grants nothing until they must have expired.
 package lease
 
 import (
@@ -18,20 +18,22 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Grantor is an acceptor's side of the lease: whom it granted it last, and until when.
+// Grantor is the acceptor side of the lease. It records the candidate that the lease was last
+// granted to, and until when.
 type Grantor struct {
 	grantee     string
 	incarnation int64
-	// sequence is that of the newest request that was granted to this incarnation.
+	// sequence is the sequence number of the newest request that was granted to this incarnation.
 	sequence uint64
 	until    clock.Instant
-	// quietUntil is when grants of an earlier incarnation of this acceptor have ended.
+	// quietUntil is the time by which grants of an earlier incarnation of this acceptor have
+	// expired.
 	quietUntil clock.Instant
 }
 
-// NewGrantor makes the side of an acceptor that starts now. One that may have granted a
-// lease before it was restarted grants nothing until that must have ended; first says that
-// it can't have.
+// NewGrantor returns the Grantor of an acceptor that starts now. An acceptor that may have granted
+// a lease before it was restarted grants nothing until that lease must have expired; first reports
+// that it cannot have granted one.
 func NewGrantor(now clock.Instant, first bool) *Grantor {
 	g := &Grantor{}
 	if !first {
@@ -40,9 +42,9 @@
 	return g
 }
 
-// Grant decides on a candidate's request for the lease, or for its renewal or release.
-// current is the leadership in the register as this acceptor knows it. A refusal says after
-// how many ms to ask again.
+// Grant decides on a candidate's request to acquire, renew or release the lease. current is the
+// leadership in the register as this acceptor knows it. If the request is rejected, WaitMs in the
+// response is the time in ms after which to retry.
 func (g *Grantor) Grant(req messages.LeaseRequest, current messages.Leadership, now clock.Instant) messages.LeaseResponse {
 	resp := messages.LeaseResponse{Epoch: current.Epoch}
 	switch {
@@ -50,7 +52,7 @@
 		g.Release(req.Candidate, req.Incarnation, req.Sequence)
 		resp.Granted = true
 	case current.Epoch > req.Epoch:
-		// Another led since: the candidate has to learn of that first.
+		// There has been another leader since: the candidate has to read the new epoch first.
 		resp.WaitMs = 1
 	case g.available(now) || g.isGrantee(req) || g.isLeaderOfForgottenGrant(req, current):
 		g.grant(req, now)
@@ -61,21 +63,21 @@
 	return resp
 }
 
-// available tells whether no grant of this acceptor, or of its earlier incarnation, can be
-// valid any more.
+// available reports whether every grant of this acceptor and of its earlier incarnation has
+// expired.
 func (g *Grantor) available(now clock.Instant) bool {
 	return now >= g.until && now >= g.quietUntil
 }
 
-// isGrantee tells whether the request comes from whom the lease was granted to last. A new
-// incarnation of the same process shows that the old one is over; an old one that woke up
-// gets nothing back.
+// isGrantee reports whether the request comes from the candidate that the lease was last granted
+// to. A new incarnation of the same process proves that the old one has ended; a request of an
+// older incarnation is not treated as the grantee's.
 func (g *Grantor) isGrantee(req messages.LeaseRequest) bool {
 	return g.grantee == req.Candidate && req.Incarnation >= g.incarnation
 }
 
-// isLeaderOfForgottenGrant tells whether the request comes from the leader in the register,
-// whose grant this acceptor may have forgotten in a restart.
+// isLeaderOfForgottenGrant reports whether the request comes from the leader in the register, whose
+// grant this acceptor may have lost in a restart.
 func (g *Grantor) isLeaderOfForgottenGrant(req messages.LeaseRequest, current messages.Leadership) bool {
 	return g.grantee == "" && current.Holder == req.Candidate && req.Incarnation >= current.Incarnation
 }
@@ -89,21 +91,21 @@
 	g.until = now.Add(constants.LeaseDuration)
 }
 
-// Release ends a lease early, when its holder resigns in order. A release that was sent
-// before the newest request that was granted came too late, and changes nothing.
+// Release ends a lease early, when its holder resigns. A release that was sent before the newest
+// granted request has been overtaken by it, and has no effect.
 func (g *Grantor) Release(holder string, incarnation int64, sequence uint64) {
 	if g.grantee == holder && g.incarnation == incarnation && sequence >= g.sequence {
 		g.until = 0
 	}
 }
 
-// Lease is the holder's side of the lease. Its zero value is not valid.
+// Lease is the holder side of the lease. Its zero value is not valid.
 type Lease struct {
 	until clock.Instant
 }
 
-// Renewed notes that a majority granted what was requested at sentAt. The lease counts from
-// the request, and ends a margin early.
+// Renewed records that a majority granted a request that was sent at sentAt. The lease counts from
+// that time, and ends constants.LeaseSafetyMargin early.
 func (l *Lease) Renewed(sentAt clock.Instant) {
 	end := sentAt.Add(constants.LeaseDuration - constants.LeaseSafetyMargin)
 	if end > l.until {
@@ -111,8 +113,8 @@
 	}
 }
 
-// Valid tells whether the holder may act.
+// Valid reports whether the lease is valid at now, so that its holder may act.
 func (l *Lease) Valid(now clock.Instant) bool { return now < l.until }
 
-// Revoke gives the lease up.
+// Revoke ends the lease immediately.
 func (l *Lease) Revoke() { l.until = 0 }
--- a/internal/control/register/acceptor.go
+++ b/internal/control/register/acceptor.go
@@ -2,23 +2,23 @@
 
 import "lemonarch/internal/platform/messages"
 
-// Acceptor is the part that votes. Its caller syncs Record before it sends an
-// answer that says Granted.
+// Acceptor is the acceptor role of the register protocol. Its caller must sync Record to disk
+// before it sends a response with Granted set.
 type Acceptor struct {
 	state messages.AcceptorRecord
 }
 
-// NewAcceptor starts from what the disk holds.
+// NewAcceptor returns an acceptor with the state that was read from disk.
 func NewAcceptor(state messages.AcceptorRecord) *Acceptor { return &Acceptor{state: state} }
 
-// Record is what must be on disk.
+// Record returns the state that must be on disk.
 func (a *Acceptor) Record() messages.AcceptorRecord { return a.state }
 
-// Disk is the identity of the acceptor's disk.
+// Disk returns the identity of the acceptor's disk.
 func (a *Acceptor) Disk() string { return a.state.Disk }
 
-// Value gives the accepted value, or the first one: an empty register whose
-// acceptors are the seeds of the system's first start.
+// Value returns the accepted value. If no value was accepted yet, it returns the first one: an
+// empty register whose acceptors are the seeds of the first start of the system.
 func (a *Acceptor) Value() messages.RegisterValue {
 	if a.state.HasValue {
 		return a.state.Value
@@ -26,11 +26,12 @@
 	return messages.RegisterValue{Acceptors: a.state.First}
 }
 
-// Prepare answers the first round; keep says whether the record changed.
+// Prepare handles a request of the first round. persist reports whether the record changed and must
+// be written.
 func (a *Acceptor) Prepare(req *messages.PrepareRequest) (resp messages.PrepareResponse, persist bool) {
 	resp = messages.PrepareResponse{Promised: a.state.Promised, Accepted: a.state.Accepted, Value: a.Value()}
-	// A call for another disk identity is for a member that this machine no
-	// longer is: an acceptor that forgot its promises must not vote under its old name.
+	// A request with another disk identity is for a member that this machine no longer is. An
+	// acceptor that lost its promises must not vote under its old identity.
 	if req.Disk != a.state.Disk {
 		return messages.PrepareResponse{Value: a.Value()}, false
 	}
@@ -49,7 +50,8 @@
 	return resp, true
 }
 
-// Accept answers the second round.
+// Accept handles a request of the second round. persist reports whether the record changed and must
+// be written.
 func (a *Acceptor) Accept(req *messages.AcceptRequest) (resp messages.AcceptResponse, persist bool) {
 	if req.Disk != a.state.Disk {
 		return messages.AcceptResponse{}, false
--- a/internal/control/register/archive.go
+++ b/internal/control/register/archive.go
@@ -7,18 +7,18 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Archive is what one acceptor holds of the chain of versions taken. Its caller
-// writes down the chunks that Extend and Fill give back. What it holds is checked
-// against the digest in a value, so one complete archive anywhere is enough to tell
-// whether a version was taken.
+// Archive is the part of the chain of committed versions that one acceptor stores. Its caller must
+// write the chunks that Extend and Fill accept to disk. The content is checked against the digest
+// in a value, so one complete archive on any acceptor is enough to decide whether a version was
+// committed.
 type Archive struct {
-	// base stands for what is older than the first chunk kept.
+	// base summarizes everything older than the first retained chunk; it has no fingerprints.
 	base   messages.ArchiveChunk
 	chunks []messages.ArchiveChunk
 }
 
-// Restore takes a chunk read from disk: it replaces those from its index on. The first
-// chunk of a chain, or one without fingerprints, replaces all.
+// Restore adds a chunk that was read from disk, and drops the chunks from its index on. The first
+// chunk of a chain, or a chunk without fingerprints, replaces everything.
 func (a *Archive) Restore(chunk messages.ArchiveChunk) {
 	if chunk.Index == 1 && len(chunk.Fingerprints) > 0 {
 		*a = Archive{}
@@ -34,12 +34,12 @@
 	a.chunks = append(a.chunks[:retained:retained], chunk)
 }
 
-// Chunks gives all that has to stand in the file, the base first.
+// Chunks returns everything that the file must contain, starting with the base.
 func (a *Archive) Chunks() []messages.ArchiveChunk {
 	return append([]messages.ArchiveChunk{a.base}, a.chunks...)
 }
 
-// LastChunk is the index of the newest chunk held.
+// LastChunk returns the index of the newest chunk.
 func (a *Archive) LastChunk() uint64 { return a.last().Index }
 
 func (a *Archive) last() messages.ArchiveChunk {
@@ -49,8 +49,8 @@
 	return a.chunks[len(a.chunks)-1]
 }
 
-// at gives the chunk of an index, the base included.
-func (a *Archive) at(index uint64) (messages.ArchiveChunk, bool) {
+// chunkAt returns the chunk with the given index, or the base if it has that index.
+func (a *Archive) chunkAt(index uint64) (messages.ArchiveChunk, bool) {
 	if index == a.base.Index {
 		return a.base, true
 	}
@@ -60,29 +60,30 @@
 	return a.chunks[index-a.base.Index-1], true
 }
 
-// Covers tells whether this archive holds the chain of a head.
+// Covers reports whether this archive contains the chain that ends in the given head.
 func (a *Archive) Covers(head messages.ArchiveHead) bool {
-	chunk, found := a.at(head.Chunks)
+	chunk, found := a.chunkAt(head.Chunks)
 	return found && chunk.Digest == head.Digest
 }
 
-// Extend follows a value that the acceptor is about to accept. It gives the chunk
-// to be written down, if any, and tells whether the archive is complete then.
+// Extend brings the archive up to a value that the acceptor is about to accept. It returns the
+// chunk to be written, if any, and reports whether the archive is then complete.
 func (a *Archive) Extend(value *messages.RegisterValue, day int64) (added *messages.ArchiveChunk, complete bool) {
 	if a.Covers(value.Archive) {
 		return nil, true
 	}
 	if value.Archive.Chunks == 0 {
-		// Nothing was archived yet: what is held belongs to values that lost.
+		// No version has been archived yet, so the chunks here belong to values that were never
+		// chosen.
 		*a = Archive{}
 		return nil, true
 	}
-	chunk, inClear := newestChunk(value)
-	if !inClear {
+	chunk, available := newestChunk(value)
+	if !available {
 		return nil, false
 	}
-	before, found := a.at(chunk.Index - 1)
-	if !found || chain(before.Digest, chunk.Fingerprints) != chunk.Digest {
+	previous, found := a.chunkAt(chunk.Index - 1)
+	if !found || chain(previous.Digest, chunk.Fingerprints) != chunk.Digest {
 		return nil, false
 	}
 	chunk.Day = day
@@ -90,31 +91,32 @@
 	return &chunk, true
 }
 
-// Fill takes the chunks that another acceptor gave for a head, all or none of them.
+// Fill adds the chunks that another acceptor returned for a head. It adds either all of them or
+// none, and reports whether it added them.
 func (a *Archive) Fill(head messages.ArchiveHead, chunks []messages.ArchiveChunk) bool {
 	if len(chunks) == 0 {
 		return false
 	}
-	made := Archive{base: a.base, chunks: append([]messages.ArchiveChunk{}, a.chunks...)}
+	filled := Archive{base: a.base, chunks: append([]messages.ArchiveChunk{}, a.chunks...)}
 	if len(chunks[0].Fingerprints) == 0 || chunks[0].Index == 1 {
-		made = Archive{}
+		filled = Archive{}
 	}
 	for _, chunk := range chunks {
-		before, found := made.at(chunk.Index - 1)
-		if len(chunk.Fingerprints) > 0 && (!found || chain(before.Digest, chunk.Fingerprints) != chunk.Digest) {
+		previous, found := filled.chunkAt(chunk.Index - 1)
+		if len(chunk.Fingerprints) > 0 && (!found || chain(previous.Digest, chunk.Fingerprints) != chunk.Digest) {
 			return false
 		}
-		made.Restore(chunk)
+		filled.Restore(chunk)
 	}
-	if made.LastChunk() < head.Chunks || made.Covers(head) {
-		*a = made
+	if filled.LastChunk() < head.Chunks || filled.Covers(head) {
+		*a = filled
 		return true
 	}
 	return false
 }
 
-// Forget drops the chunks that are older than constants.ArchiveDays, and tells
-// whether any was.
+// Forget drops the chunks that are older than constants.ArchiveDays, and reports whether there were
+// any.
 func (a *Archive) Forget(day int64) bool {
 	retained := 0
 	for retained < len(a.chunks) && a.chunks[retained].Day+constants.ArchiveDays < day {
@@ -129,11 +131,11 @@
 	return true
 }
 
-// Lookup answers another process.
+// Lookup handles the archive request of another process.
 func (a *Archive) Lookup(req *messages.ArchiveRequest) *messages.ArchiveResponse {
 	resp := &messages.ArchiveResponse{Status: a.status(req)}
 	if req.Pull {
-		resp.Chunks = a.after(req.LastChunk)
+		resp.Chunks = a.chunksAfter(req.LastChunk)
 	}
 	return resp
 }
@@ -143,8 +145,8 @@
 		return messages.VersionUnknown
 	}
 	for _, chunk := range a.chunks {
-		for at := 0; at+8 <= len(chunk.Fingerprints) && chunk.Index <= req.Head.Chunks; at += 8 {
-			if binary.BigEndian.Uint64(chunk.Fingerprints[at:]) == req.Fingerprint {
+		for offset := 0; offset+8 <= len(chunk.Fingerprints) && chunk.Index <= req.Head.Chunks; offset += 8 {
+			if binary.BigEndian.Uint64(chunk.Fingerprints[offset:]) == req.Fingerprint {
 				return messages.VersionCommitted
 			}
 		}
@@ -155,11 +157,12 @@
 	return messages.VersionNeverCommitted
 }
 
-// after gives the chunks after an index; from the base on where some are forgotten.
-func (a *Archive) after(found uint64) []messages.ArchiveChunk {
+// chunksAfter returns up to constants.ArchiveBatch chunks that follow the given index. If some of
+// these have been dropped, the result starts with the base.
+func (a *Archive) chunksAfter(lastChunk uint64) []messages.ArchiveChunk {
 	all := a.Chunks()
-	if found >= a.base.Index {
-		all = a.chunks[min(found-a.base.Index, uint64(len(a.chunks))):]
+	if lastChunk >= a.base.Index {
+		all = a.chunks[min(lastChunk-a.base.Index, uint64(len(a.chunks))):]
 	}
 	return all[:min(len(all), constants.ArchiveBatch)]
 }
--- a/internal/control/register/ballot.go
+++ b/internal/control/register/ballot.go
@@ -1,6 +1,6 @@
-// Package register is the register: one value that any controller changes in two rounds
-// at a majority of acceptors, with the value it expects. It has no log and no
-// leader. Everything here is a step function without I/O.
+// Package register implements the register: one value that any controller can change by
+// compare-and-set, with two rounds at a majority of acceptors. It has no log and no leader. The
+// package consists of step functions without I/O.
 package register
 
 import (
@@ -12,20 +12,20 @@
 
 // The errors of the register.
 var (
-	// ErrOutcomeUnknown means that a change may or may not be in force.
+	// ErrOutcomeUnknown means that a change may or may not have been committed.
 	ErrOutcomeUnknown = errs.Define("register outcome unclear")
-	// ErrNoQuorum means that nothing was changed, for want of a majority.
+	// ErrNoQuorum means that nothing was changed, because no majority responded.
 	ErrNoQuorum = errs.Define("register without a majority")
 )
 
-// NewBallot names an attempt. The incarnation is part of the name: a proposer that is
-// started again has forgotten which counters it used, and two values under one
-// ballot could both be taken for chosen.
+// NewBallot returns the ballot of an attempt. The incarnation is part of it, because a restarted
+// proposer no longer knows which counters it used, and two values under the same ballot could both
+// be considered chosen.
 func NewBallot(counter uint64, name, disk string, incarnation int64) messages.Ballot {
 	return messages.Ballot{Counter: counter, Node: name + "#" + disk + "#" + strconv.FormatInt(incarnation, 10)}
 }
 
-// Less orders ballots.
+// Less reports whether left is the lower ballot.
 func Less(left, right messages.Ballot) bool {
 	if left.Counter != right.Counter {
 		return left.Counter < right.Counter
@@ -33,7 +33,7 @@
 	return left.Node < right.Node
 }
 
-// Majority tells whether more than half of the members have answered.
+// Majority reports whether more than half of the members are in answered.
 func Majority(members []messages.Member, answered map[string]bool) bool {
 	count := 0
 	for _, member := range members {
@@ -44,11 +44,11 @@
 	return count*2 > len(members)
 }
 
-// Identity names a member with its disk: the same machine with an empty disk is
-// somebody else, since it has forgotten what it promised.
+// Identity returns the identity of a member, which includes its disk: the same machine with an
+// empty disk counts as a different member, because it has lost its promises.
 func Identity(member messages.Member) string { return member.Address + "#" + member.Disk }
 
-// Quorum tells whether a value's sets are both answered by more than half.
+// Quorum reports whether answered contains a majority of each of a value's sets.
 func Quorum(value *messages.RegisterValue, answered map[string]bool) bool {
 	if !Majority(value.Acceptors, answered) {
 		return false
@@ -56,14 +56,14 @@
 	return len(value.Previous) == 0 || Majority(value.Previous, answered)
 }
 
-// Targets gives every member of a value's sets once.
+// Targets returns every member of a value's sets once.
 func Targets(value *messages.RegisterValue) []messages.Member {
-	known := map[string]bool{}
+	seen := map[string]bool{}
 	var members []messages.Member
 	for _, set := range [][]messages.Member{value.Acceptors, value.Previous} {
 		for _, member := range set {
-			if !known[Identity(member)] {
-				known[Identity(member)] = true
+			if !seen[Identity(member)] {
+				seen[Identity(member)] = true
 				members = append(members, member)
 			}
 		}
--- a/internal/control/register/history.go
+++ b/internal/control/register/history.go
@@ -8,24 +8,24 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// A value names each version taken before it. The youngest stand in clear in its
-// History; older ones stand in chunks of constants.ArchiveChunk versions that form
-// a chain of hashes. The value carries the chain's digest alone, so that it costs
-// the same after three changes and after three thousand. The newest chunk is still
-// in clear at the beginning of the History: an acceptor that missed fewer changes
-// than a chunk holds can write it down without asking anybody.
+// A value records every version committed before it. The newest ones are stored in full in its
+// History; older ones are stored in chunks of constants.ArchiveChunk versions that form a hash
+// chain. The value contains only the digest of the chain, so that its size does not grow with the
+// number of changes. The newest chunk is still stored in full at the beginning of the History, so
+// that an acceptor that missed fewer changes than a chunk contains can write the chunk without
+// requesting it from another acceptor.
 
-// Fingerprint gives the 8 bytes by which the archive knows a version.
+// Fingerprint returns the 8 bytes that identify a version in the archive.
 func Fingerprint(version messages.Version) uint64 {
-	var head [16]byte
-	binary.BigEndian.PutUint64(head[:8], uint64(version.Generation))
-	binary.BigEndian.PutUint64(head[8:], uint64(version.Base))
-	sum := sha256.Sum256(append(head[:], version.Hash...))
+	var prefix [16]byte
+	binary.BigEndian.PutUint64(prefix[:8], uint64(version.Generation))
+	binary.BigEndian.PutUint64(prefix[8:], uint64(version.Base))
+	sum := sha256.Sum256(append(prefix[:], version.Hash...))
 	return binary.BigEndian.Uint64(sum[:8])
 }
 
-// archivedInHistory is how many versions at the beginning of the history are in the
-// archive too.
+// archivedInHistory returns how many versions at the beginning of the history are in the archive
+// too.
 func archivedInHistory(value *messages.RegisterValue) int {
 	if value.Archive.Chunks == 0 {
 		return 0
@@ -33,29 +33,28 @@
 	return min(constants.ArchiveChunk, len(value.History))
 }
 
-// appendHistory gives the history and the archive's head once the current version is
-// followed by another.
+// appendHistory returns the history and the archive head of the value that follows current.
 func appendHistory(current *messages.RegisterValue) ([]messages.Version, messages.ArchiveHead) {
 	history := append([]messages.Version{}, current.History...)
 	head := current.Archive
 	if current.Current.Generation > 0 {
 		history = append(history, current.Current)
 	}
-	inClear := archivedInHistory(current)
-	open := history[inClear:]
-	if len(open) <= constants.ArchiveChunk {
+	archivedCount := archivedInHistory(current)
+	unarchived := history[archivedCount:]
+	if len(unarchived) <= constants.ArchiveChunk {
 		return history, head
 	}
-	if head.Chunks == 0 && len(open) > constants.ArchiveChunk+1 {
-		// Written by a program that kept a short history and no archive.
-		head.Since = open[0].Generation
+	if head.Chunks == 0 && len(unarchived) > constants.ArchiveChunk+1 {
+		// Written by an earlier release, which kept a short history and no archive.
+		head.Since = unarchived[0].Generation
 	}
-	head.Digest = chain(head.Digest, fingerprints(open[:constants.ArchiveChunk]))
+	head.Digest = chain(head.Digest, fingerprints(unarchived[:constants.ArchiveChunk]))
 	head.Chunks++
-	return open, head
+	return unarchived, head
 }
 
-// fingerprints gives the bytes of a chunk.
+// fingerprints returns the concatenated fingerprints of a chunk.
 func fingerprints(versions []messages.Version) []byte {
 	bytes := make([]byte, 0, 8*len(versions))
 	for _, version := range versions {
@@ -64,26 +63,27 @@
 	return bytes
 }
 
-// chain gives the digest of a chain with one more chunk.
-func chain(before messages.ChainDigest, chunk []byte) messages.ChainDigest {
-	sum := sha256.Sum256(append(append([]byte{}, before[:]...), chunk...))
+// chain returns the digest of a chain that is extended by one chunk.
+func chain(previous messages.ChainDigest, chunk []byte) messages.ChainDigest {
+	sum := sha256.Sum256(append(append([]byte{}, previous[:]...), chunk...))
 	var digest messages.ChainDigest
 	copy(digest[:], sum[:])
 	return digest
 }
 
-// newestChunk gives the chunk that stands in clear at the beginning of the history.
+// newestChunk returns the newest archived chunk, built from the beginning of the history, and
+// reports whether the history contains it.
 func newestChunk(value *messages.RegisterValue) (messages.ArchiveChunk, bool) {
-	inClear := archivedInHistory(value)
-	if inClear < constants.ArchiveChunk {
+	archivedCount := archivedInHistory(value)
+	if archivedCount < constants.ArchiveChunk {
 		return messages.ArchiveChunk{}, false
 	}
 	return messages.ArchiveChunk{Index: value.Archive.Chunks, Digest: value.Archive.Digest,
-		Last: value.History[inClear-1].Generation, Fingerprints: fingerprints(value.History[:inClear])}, true
+		Last: value.History[archivedCount-1].Generation, Fingerprints: fingerprints(value.History[:archivedCount])}, true
 }
 
-// versionStatus tells what the value itself knows of a version: taken, never taken, or
-// unknown, where only the archive can tell.
+// versionStatus returns what the value itself shows about a version: committed, never committed, or
+// unknown if only the archive can decide.
 func versionStatus(value *messages.RegisterValue, version messages.Version) messages.VersionStatus {
 	if value.Current.Generation > 0 && value.Current == version {
 		return messages.VersionCommitted
@@ -93,8 +93,8 @@
 			return messages.VersionCommitted
 		}
 	}
-	// Generations rise along the chain: what is younger than the history's first
-	// version would stand in it.
+	// Generations increase along the chain, so a version newer than the first one in the history
+	// would be in the history.
 	archived := value.Archive.Chunks > 1 || value.Archive.Since > 0
 	if archived && len(value.History) > 0 && version.Generation < value.History[0].Generation {
 		return messages.VersionUnknown
--- a/internal/control/register/joint.go
+++ b/internal/control/register/joint.go
@@ -2,16 +2,15 @@
 
 import "lemonarch/internal/platform/messages"
 
-// Join gives a change of the acceptor set by which a joiner takes the place of
-// a member, or a new place where out is nil. The old set stays beside the new
-// one until EndJoint, so that majorities of both must agree in between. A set that
-// has its size takes nobody without giving somebody up: several joiners may have
-// seen the same gap.
+// Join returns a change of the acceptor set in which joiner replaces the member out, or is added if
+// out is nil. The old set remains in the value beside the new one until EndJoint, and majorities of
+// both must agree in between. A set that already has the given size accepts no joiner without
+// removing a member, because several joiners may have seen the same free place.
 func Join(joiner messages.Member, out *messages.Member, size int) Change {
 	return func(current messages.RegisterValue) (messages.RegisterValue, Verdict) {
 		if len(current.Previous) > 0 {
-			// One change at a time: that of another is ended first. The proposer may
-			// know of none, where it knows an end that was never chosen.
+			// Only one set change at a time: the pending change of another process is ended first.
+			// The proposer may not know of it if it knows an end that was never chosen.
 			return EndJoint(current)
 		}
 		if out == nil && len(current.Acceptors) >= size {
@@ -39,7 +38,7 @@
 	}
 }
 
-// EndJoint ends a change of the set.
+// EndJoint is the change that ends a joint set.
 func EndJoint(current messages.RegisterValue) (messages.RegisterValue, Verdict) {
 	if len(current.Previous) == 0 {
 		return current, VerdictUnchanged
@@ -49,7 +48,7 @@
 	return current, VerdictWrite
 }
 
-// ReadOnly changes nothing.
+// ReadOnly is the change that leaves the value as it is.
 func ReadOnly(current messages.RegisterValue) (messages.RegisterValue, Verdict) {
 	return current, VerdictUnchanged
 }
--- a/internal/control/register/proposal.go
+++ b/internal/control/register/proposal.go
@@ -2,33 +2,33 @@
 
 import "lemonarch/internal/platform/messages"
 
-// Verdict is what a change function says of the value it was shown.
+// Verdict is the decision of a change function about the current value.
 type Verdict int
 
-// The verdicts.
+// The verdicts of a change function.
 const (
-	// VerdictWrite: write the value that was returned.
+	// VerdictWrite means that the returned value has to be written.
 	VerdictWrite Verdict = iota
-	// VerdictUnchanged: nothing to write, the value as shown answers the request.
+	// VerdictUnchanged means that nothing has to be written: the current value is the result.
 	VerdictUnchanged
 )
 
-// Change turns the current value into the next one.
+// Change computes the next value from the current one.
 type Change func(current messages.RegisterValue) (messages.RegisterValue, Verdict)
 
-// Stage is where a proposal stands.
+// Stage is the state of a proposal.
 type Stage int
 
-// The stages.
+// The stages of a proposal.
 const (
 	StagePrepare Stage = iota
 	StageAccept
 	StageDone
-	// StageLost: a higher ballot or a newer set was met; begin again.
+	// StageLost means that a higher ballot or newer sets were seen, or no value is usable: retry.
 	StageLost
 )
 
-// Send is one message of a proposal to a member.
+// Send is one message of a proposal to a member. Either Prepare or Accept is set.
 type Send struct {
 	Member  messages.Member
 	Prepare *messages.PrepareRequest
@@ -46,12 +46,12 @@
 	next     messages.RegisterValue
 	highest  messages.Ballot
 	newer    *messages.RegisterValue
-	// finishedOther says that the second round only finishes what was found, and that
-	// the change has to be proposed again on top of it.
+	// finishedOther is set if the second round only completes a value that was found: the change
+	// has to be proposed again on top of it.
 	finishedOther bool
 }
 
-// NewProposal opens an attempt against the sets of the newest value known.
+// NewProposal starts an attempt at the newest known sets, and returns the first-round messages.
 func NewProposal(ballot messages.Ballot, known messages.RegisterValue, change Change) (*Proposal, []Send) {
 	proposal := &Proposal{ballot: ballot, known: known, change: change, highest: ballot,
 		promises: map[string]messages.PrepareResponse{}, answered: map[string]bool{}}
@@ -62,31 +62,31 @@
 	return proposal, sends
 }
 
-// Stage tells where the proposal stands.
+// Stage returns the state of the proposal.
 func (p *Proposal) Stage() Stage { return p.stage }
 
-// AcceptSent tells whether the second round was begun: from then on the outcome of a
-// change without an answer is unclear.
+// AcceptSent reports whether the second round was started, so that the outcome may be unknown.
 func (p *Proposal) AcceptSent() bool {
 	return p.stage == StageAccept || len(p.next.Acceptors) > 0
 }
 
-// Highest is the highest ballot met, for the next attempt.
+// Highest returns the highest ballot seen, for the next attempt.
 func (p *Proposal) Highest() messages.Ballot { return p.highest }
 
-// Newer is a value with newer sets that was met, if any.
+// Newer returns a value with newer sets that an acceptor reported, or nil.
 func (p *Proposal) Newer() *messages.RegisterValue { return p.newer }
 
-// Value is the value that is now in force, once done.
+// Value returns the value that is in force once the proposal is done.
 func (p *Proposal) Value() messages.RegisterValue { return p.next }
 
-// HandlePrepareResponse takes a response to the first round.
+// HandlePrepareResponse handles a response of the first round. Once there is a quorum, it returns
+// the messages of the second round.
 func (p *Proposal) HandlePrepareResponse(member messages.Member, resp messages.PrepareResponse) []Send {
 	if p.stage != StagePrepare {
 		return nil
 	}
 	if resp.Value.SetEpoch > p.known.SetEpoch {
-		// The sets have moved on: majorities of the old ones decide nothing now.
+		// There are newer sets, so majorities of the old ones no longer decide anything.
 		value := resp.Value
 		p.newer, p.stage = &value, StageLost
 		return nil
@@ -110,7 +110,7 @@
 	found := false
 	for _, promise := range p.promises {
 		if promise.Accepted.Counter > 0 && (!found || Less(highest, promise.Accepted)) {
-			// An unfinished value is finished first: it may have been chosen.
+			// An unfinished value is completed first, because it may have been chosen.
 			current, highest, found = promise.Value, promise.Accepted, true
 		}
 	}
@@ -127,8 +127,8 @@
 		next = current
 	}
 	if leavesJoint(&current, &next) && !p.choseAt(highest, &current) {
-		// A joint set that was accepted somewhere may never have been chosen: members
-		// of the old set that never met it could choose something else.
+		// A joint set accepted by some member may never have been chosen: members of the old set
+		// that did not receive it could choose another value.
 		next, p.finishedOther = current, true
 	}
 	p.next = next
@@ -141,10 +141,10 @@
 	return sends
 }
 
-// initialValue gives the register as it is where a quorum holds no value: the first
-// set. The sets known may be those of a joint that was accepted somewhere and never
-// chosen; its new half counts for nothing then. Sets of a later epoch are built on a
-// chosen value, which a quorum of them can't miss.
+// initialValue returns the first set, for a quorum in which no member has accepted a value. The
+// known sets may be those of a joint set that was accepted somewhere and never chosen; its new set
+// is ignored then. A quorum of sets of a later epoch cannot miss the chosen value they are based
+// on.
 func initialValue(known *messages.RegisterValue) (initial messages.RegisterValue, possible bool) {
 	switch {
 	case known.SetEpoch == 0:
@@ -156,25 +156,25 @@
 	}
 }
 
-// leavesJoint tells whether a change lets go of the set before.
+// leavesJoint reports whether a change removes the previous set.
 func leavesJoint(current, next *messages.RegisterValue) bool {
 	return len(current.Previous) > 0 && next.SetEpoch != current.SetEpoch
 }
 
-// choseAt tells whether the promises show that a value was chosen at a ballot.
+// choseAt reports whether the promises show that a value was chosen at a ballot.
 func (p *Proposal) choseAt(ballot messages.Ballot, value *messages.RegisterValue) bool {
-	holders := map[string]bool{}
+	accepted := map[string]bool{}
 	for identity, promise := range p.promises {
-		holders[identity] = promise.Accepted == ballot
+		accepted[identity] = promise.Accepted == ballot
 	}
-	return Quorum(value, holders)
+	return Quorum(value, accepted)
 }
 
-// FinishedOther tells that a proposal, though done, put nothing of its own in force:
-// it finished the change of another, and its own has to be proposed again.
+// FinishedOther reports whether a proposal that is done only completed the change of another
+// proposer; its own change has to be proposed again.
 func (p *Proposal) FinishedOther() bool { return p.finishedOther }
 
-// HandleAcceptResponse takes a response to the second round.
+// HandleAcceptResponse handles a response of the second round.
 func (p *Proposal) HandleAcceptResponse(member messages.Member, resp messages.AcceptResponse) {
 	if p.stage != StageAccept {
 		return
@@ -191,8 +191,8 @@
 	}
 }
 
-// QuorumRead is a read without a ballot: if a majority holds one and the same ballot and none
-// a higher one, its value is in force and nothing needs to be written.
+// QuorumRead is a read without a ballot: if a majority reports the same accepted ballot and none a
+// higher one, its value is in force and nothing needs to be written.
 type QuorumRead struct {
 	known     messages.RegisterValue
 	responses map[string]messages.PrepareResponse
@@ -200,21 +200,21 @@
 	newer     *messages.RegisterValue
 }
 
-// Newer is a value with newer sets that was met, if any: to be read at those.
+// Newer returns a value with newer sets, at which to repeat the read, or nil.
 func (r *QuorumRead) Newer() *messages.RegisterValue { return r.newer }
 
-// NewQuorumRead opens a read without a ballot.
+// NewQuorumRead starts a read without a ballot, and returns its messages.
 func NewQuorumRead(known messages.RegisterValue) (*QuorumRead, []Send) {
-	reading := &QuorumRead{known: known, responses: map[string]messages.PrepareResponse{}, answered: map[string]bool{}}
+	read := &QuorumRead{known: known, responses: map[string]messages.PrepareResponse{}, answered: map[string]bool{}}
 	var sends []Send
 	for _, member := range Targets(&known) {
 		sends = append(sends, Send{Member: member, Prepare: &messages.PrepareRequest{Disk: member.Disk, Query: true}})
 	}
-	return reading, sends
+	return read, sends
 }
 
-// HandlePrepareResponse takes an answer; settled means that no more are needed, and the value is
-// nil where a full round has to decide.
+// HandlePrepareResponse handles a response. decided reports that no more responses are needed;
+// value is nil if a proposal, or a read at newer sets, has to decide.
 func (r *QuorumRead) HandlePrepareResponse(member messages.Member, resp messages.PrepareResponse) (value *messages.RegisterValue, decided bool) {
 	if resp.Value.SetEpoch > r.known.SetEpoch {
 		newer := resp.Value
@@ -235,15 +235,15 @@
 			newest = response.Accepted
 		}
 	}
-	same := map[string]bool{}
+	matching := map[string]bool{}
 	var found messages.RegisterValue
 	for identity, response := range r.responses {
 		if response.Accepted == newest {
-			same[identity] = true
+			matching[identity] = true
 			found = response.Value
 		}
 	}
-	if !Quorum(&r.known, same) || (newest.Counter > 0 && found.SetEpoch != r.known.SetEpoch) {
+	if !Quorum(&r.known, matching) || (newest.Counter > 0 && found.SetEpoch != r.known.SetEpoch) {
 		return nil, len(r.answered) == len(Targets(&r.known))
 	}
 	return &found, true
--- a/internal/control/register/replace.go
+++ b/internal/control/register/replace.go
@@ -6,40 +6,40 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Result is what a change found.
+// Result is the outcome of a change.
 type Result int
 
-// The outcomes.
+// The outcomes of a change.
 const (
-	// ResultApplied: the change is in force.
+	// ResultApplied means that the change is in force.
 	ResultApplied Result = iota
-	// ResultAlreadyApplied: this very version was taken before.
+	// ResultAlreadyApplied means that this version was committed before.
 	ResultAlreadyApplied
-	// ResultConflict: another version is in place.
+	// ResultConflict means that the base is older than the current version.
 	ResultConflict
-	// ResultGenerationTooOld: the generation is not above the current one.
+	// ResultGenerationTooOld means that the generation is not above the current one.
 	ResultGenerationTooOld
-	// ResultNeedsArchive: the version is too old for the value to know whether it was
-	// taken; the archive has to tell.
+	// ResultNeedsArchive means that the version is too old for the value to show whether it was
+	// committed; the archive has to decide.
 	ResultNeedsArchive
-	// ResultTooFewStores: what is asked would leave too few members.
+	// ResultTooFewStores means that the change would leave too few members.
 	ResultTooFewStores
-	// ResultBaseAhead: the base is younger than the current version. It may yet come into
-	// force, and an earlier attempt of the same order may meet it then: no refusal.
+	// ResultBaseAhead means that the base is newer than the current version. The base may still
+	// come into force, and an earlier attempt of the same request may then succeed, so this is not
+	// a rejection.
 	ResultBaseAhead
 )
 
-// InForce tells whether the version asked for was taken, now or earlier.
+// InForce reports whether the requested version was committed, now or earlier.
 func (r Result) InForce() bool { return r == ResultApplied || r == ResultAlreadyApplied }
 
-// Replace gives the change that puts a configuration in force on top of its
-// base. The outcome is written each time the change is shown a value; only the
-// last showing counts.
+// Replace returns the change that puts a configuration in force on top of its base. The change
+// writes its outcome to result each time it is called with a value; only the last call counts.
 func Replace(version messages.Version, body []byte, result *Result) Change {
 	return func(current messages.RegisterValue) (messages.RegisterValue, Verdict) {
 		switch versionStatus(&current, version) {
 		case messages.VersionCommitted:
-			// Sent again after an unclear answer.
+			// Sent again after a response with an unknown outcome.
 			*result = ResultAlreadyApplied
 			return current, VerdictUnchanged
 		case messages.VersionUnknown:
@@ -56,8 +56,8 @@
 	}
 }
 
-// CheckSuccessor says why a version that was never taken can't follow the current one, or
-// ResultApplied where it can.
+// CheckSuccessor returns the reason why a version that was never committed cannot follow the
+// current one, or ResultApplied if it can.
 func CheckSuccessor(current, version messages.Version) Result {
 	switch {
 	case version.Base > current.Generation:
@@ -71,8 +71,9 @@
 	}
 }
 
-// Campaign gives the change by which a store becomes the leader: it
-// raises the epoch, so that whoever led before can change nothing any more.
+// Campaign returns the change by which a store becomes the leader. It raises the epoch, so that the
+// previous leader can no longer change anything. first is the store set to use if there is none
+// yet, and done is set to whether the store became the leader.
 func Campaign(leader messages.Leadership, expected uint64, first []messages.Member, done *bool) Change {
 	return func(current messages.RegisterValue) (messages.RegisterValue, Verdict) {
 		*done = false
@@ -96,10 +97,10 @@
 	}
 }
 
-// SetStores gives the change of the store set. Only the leader of the epoch may make it. The
-// leader numbers its changes, and one that was overtaken by a later one, on its way or in a
-// controller that stood still, has no effect: a set that was replaced never comes back in force.
-// done tells whether the set is the one that this change asks for.
+// SetStores returns the change of the store set. Only the leader of the epoch may make it. The
+// leader numbers its changes, and a change that was overtaken by a later one, on the network or in
+// a controller that was suspended, has no effect: a set that was replaced never comes back in
+// force. done is set to whether the set in force is the one that this change requests.
 func SetStores(leader messages.Leadership, sequence uint64, stores []messages.Member, done *bool) Change {
 	return func(current messages.RegisterValue) (messages.RegisterValue, Verdict) {
 		*done = false
@@ -111,12 +112,12 @@
 			*done = true
 			return current, VerdictUnchanged
 		}
-		// A sender that does not number its changes is bound by its epoch alone.
+		// A sender that does not number its changes is only checked by its epoch.
 		if unnumbered := sequence == 0 && current.StoresSequence == 0; sequence <= current.StoresSequence && !unnumbered {
 			return current, VerdictUnchanged
 		}
 		if addsRetired(&current, stores) {
-			// Retired while it was brought in: nothing may be kept there alone.
+			// The store was retired while it was being added: no data may be stored on it alone.
 			return current, VerdictUnchanged
 		}
 		*done = true
@@ -126,18 +127,18 @@
 	}
 }
 
-// addsRetired tells whether a store set names a machine that is to be emptied and was
-// not in the set before.
+// addsRetired reports whether a store set adds a machine that is marked to be emptied.
 func addsRetired(current *messages.RegisterValue, stores []messages.Member) bool {
-	in := func(members []messages.Member, name string) bool {
+	contains := func(members []messages.Member, name string) bool {
 		return slices.ContainsFunc(members, func(member messages.Member) bool { return member.Name == name })
 	}
 	return slices.ContainsFunc(stores, func(store messages.Member) bool {
-		return slices.Contains(current.Retired, store.Name) && !in(current.Stores, store.Name)
+		return slices.Contains(current.Retired, store.Name) && !contains(current.Stores, store.Name)
 	})
 }
 
-// SameMembers tells whether two sets name the same disks in the same order.
+// SameMembers reports whether two sets contain the same members with the same disks in the same
+// order.
 func SameMembers(left, right []messages.Member) bool {
 	if len(left) != len(right) {
 		return false
@@ -150,11 +151,11 @@
 	return true
 }
 
-// RetireStore gives the change that notes a store machine as one to be emptied. The
-// count of those that remain is part of the change: serving names the storage
-// machines that this process knows to be alive, and those that the agreed value has
-// retired meanwhile, through whichever process, count no more.
-func RetireStore(name string, serving []string, least int, result *Result) Change {
+// RetireStore returns the change that marks a store machine as one to be emptied. The remaining
+// machines are counted as part of the change: serving lists the store machines that this process
+// knows to be alive, and those that the current value marks as retired, by any process, are not
+// counted. At least minimum machines must remain.
+func RetireStore(name string, serving []string, minimum int, result *Result) Change {
 	return func(current messages.RegisterValue) (messages.RegisterValue, Verdict) {
 		if slices.Contains(current.Retired, name) {
 			*result = ResultAlreadyApplied
@@ -166,7 +167,7 @@
 				remaining[other] = true
 			}
 		}
-		if len(remaining) < least {
+		if len(remaining) < minimum {
 			*result = ResultTooFewStores
 			return current, VerdictUnchanged
 		}
@@ -177,8 +178,8 @@
 	}
 }
 
-// Retire notes a store machine without counting who remains. RetireStore takes its
-// place; it stays until no caller is left.
+// Retire marks a store machine as one to be emptied without counting the remaining ones. It is
+// superseded by RetireStore, and remains until it has no callers.
 func Retire(name string) Change {
 	var ignored Result
 	return RetireStore(name, nil, 0, &ignored)
--- a/internal/control/registerserver/acceptor.go
+++ b/internal/control/registerserver/acceptor.go
@@ -8,7 +8,7 @@
 	"lemonarch/internal/platform/recordlog"
 )
 
-// Prepare answers a first round, or a query about what is on disk.
+// Prepare handles a request of the first round, or a query for the state on disk.
 func (r *Replica) Prepare(req *messages.PrepareRequest) (messages.PrepareResponse, error) {
 	if req.Query {
 		return r.query(req), nil
@@ -17,31 +17,32 @@
 		return messages.PrepareResponse{}, err
 	}
 	defer r.voting.Unlock()
-	before := r.acceptor.Record()
+	previous := r.acceptor.Record()
 	resp, changed := r.acceptor.Prepare(req)
 	if !changed {
 		return resp, nil
 	}
-	if err := r.persistOrRevert(before); err != nil {
+	if err := r.persistOrRevert(previous); err != nil {
 		return messages.PrepareResponse{}, err
 	}
 	return resp, nil
 }
 
-// lockVoting waits for the votes before. Who has waited for long will have given up before a
-// second round: such votes would only keep those behind them waiting too.
+// lockVoting locks voting, after waiting for earlier votes. If the wait exceeds
+// constants.VoteWaitMax, the proposer will have given up before its second round, and the vote
+// would only delay those queued behind it, so an error is returned.
 func (r *Replica) lockVoting() error {
-	sentAt := clock.Now()
+	startedAt := clock.Now()
 	r.voting.Lock()
-	if clock.Now().Sub(sentAt) <= constants.VoteWaitMax {
+	if clock.Now().Sub(startedAt) <= constants.VoteWaitMax {
 		return nil
 	}
 	r.voting.Unlock()
 	return ErrBusy.New("votes wait for the disk")
 }
 
-// query answers from what has reached the disk: a vote that is still being written
-// has not been given.
+// query responds with the state that has reached the disk: a vote that is still being written does
+// not count yet.
 func (r *Replica) query(req *messages.PrepareRequest) messages.PrepareResponse {
 	resp, _ := register.NewAcceptor(r.Record()).Prepare(req)
 	if req.Archive != nil {
@@ -50,7 +51,7 @@
 	return resp
 }
 
-// Accept answers a second round.
+// Accept handles a request of the second round.
 func (r *Replica) Accept(req *messages.AcceptRequest) (messages.AcceptResponse, error) {
 	r.fillArchive(req)
 	resp, changed, err := r.vote(req)
@@ -68,27 +69,28 @@
 		return messages.AcceptResponse{}, false, err
 	}
 	defer r.voting.Unlock()
-	before := r.acceptor.Record()
+	previous := r.acceptor.Record()
 	resp, changed := r.acceptor.Accept(req)
 	if !changed {
 		return resp, false, nil
 	}
-	// The archive first: a value on disk whose past is not would leave a gap.
+	// The archive is written first: if the value reached the disk without its archived versions,
+	// the archive would have a gap.
 	if err := r.archive.extend(&req.Value); err != nil {
-		r.acceptor = register.NewAcceptor(before)
+		r.acceptor = register.NewAcceptor(previous)
 		return resp, false, err
 	}
-	if err := r.persistOrRevert(before); err != nil {
+	if err := r.persistOrRevert(previous); err != nil {
 		return resp, false, err
 	}
 	return resp, true, nil
 }
 
-// persistOrRevert puts the acceptor's record on disk before anybody is told of it. Where that
-// fails the acceptor goes back to the record before: it has promised nothing.
-func (r *Replica) persistOrRevert(before messages.AcceptorRecord) error {
+// persistOrRevert writes the acceptor's record to disk before it is reported to any process. If
+// that fails, the acceptor returns to its previous record and has promised nothing.
+func (r *Replica) persistOrRevert(previous messages.AcceptorRecord) error {
 	if err := r.persist(); err != nil {
-		r.acceptor = register.NewAcceptor(before)
+		r.acceptor = register.NewAcceptor(previous)
 		return err
 	}
 	record := r.acceptor.Record()
@@ -106,8 +108,8 @@
 		return ErrDisk.Wrap(err, "record")
 	}
 	if r.logfile.Size() > logfileLimit {
-		// A rewrite that failed is tried again by the next vote, as the old file is
-		// still as long.
+		// A failed rewrite is retried by the next vote, because the old file is still over the
+		// limit.
 		_, err = r.logfile.Rewrite(recordlog.Records(body))
 		return ErrDisk.Wrap(err, "rewrite")
 	}
--- a/internal/control/registerserver/archive.go
+++ b/internal/control/registerserver/archive.go
@@ -12,25 +12,26 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// archiveSuffix names the archive's file after that of the acceptor.
+// archiveSuffix is appended to the name of the acceptor's file to form the name of the archive's
+// file.
 const archiveSuffix = "-taken"
 
-// dayLength is a day in ns of the wall clock.
+// dayLength is the length of a day in ns.
 const dayLength = 24 * 60 * 60 * 1_000_000_000
 
-// archive keeps the chunks of versions taken on disk.
+// archive stores the chunks of committed versions on disk.
 type archive struct {
-	// writing is held while the file is written; lock guards core and is not.
+	// writing is held while the file is written. lock guards state and is not held during a write.
 	writing sync.Mutex
 	logfile *recordlog.Log
 	// today returns the current day, counted since the epoch of the wall clock.
 	today func() int64
 	lock  sync.Mutex
-	core  register.Archive
-	// stale says that the file lacks what core holds.
+	state register.Archive
+	// stale is set if the file lacks chunks that state contains, because a write failed.
 	stale bool
-	// pulling is held by the one that asks others for chunks; nextPull is when the
-	// next may do so.
+	// pulling is held by the goroutine that requests chunks from other acceptors. nextPull is the
+	// earliest time of the next such request.
 	pulling  sync.Mutex
 	nextPull clock.Instant
 }
@@ -39,33 +40,33 @@
 func wallDay() int64 { return clock.WallNanos() / dayLength }
 
 func openArchive(disk recordlog.Disk, name string) (*archive, error) {
-	made := &archive{today: wallDay}
+	opened := &archive{today: wallDay}
 	read := func(_ int64, body []byte) error {
 		chunk := messages.ArchiveChunk{}
 		if _, err := chunk.UnmarshalMsg(body); err != nil {
 			return recordlog.ErrCorrupt.Wrap(err, name)
 		}
-		made.core.Restore(chunk)
+		opened.state.Restore(chunk)
 		return nil
 	}
 	logfile, err := recordlog.Open(disk, name, read)
 	if errs.Is(err, recordlog.ErrCorrupt) {
-		// Other acceptors hold the same chain.
-		made.core = register.Archive{}
+		// The file can be dropped, because other acceptors store the same chain.
+		opened.state = register.Archive{}
 		if err = disk.Remove(name); err == nil {
 			logfile, err = recordlog.Open(disk, name, read)
 		}
 	}
-	made.logfile = logfile
-	return made, ErrDisk.Wrap(err, "open archive")
+	opened.logfile = logfile
+	return opened, ErrDisk.Wrap(err, "open archive")
 }
 
-// extend follows a value that is about to be accepted, and syncs what is new.
+// extend brings the archive up to a value that is about to be accepted, and syncs the added chunk.
 func (a *archive) extend(value *messages.RegisterValue) error {
 	a.writing.Lock()
 	defer a.writing.Unlock()
 	a.lock.Lock()
-	added, _ := a.core.Extend(value, a.today())
+	added, _ := a.state.Extend(value, a.today())
 	a.lock.Unlock()
 	switch {
 	case added != nil:
@@ -77,13 +78,14 @@
 	}
 }
 
-// write appends chunks, or rewrites the file where it is long or in doubt.
+// write appends chunks, or rewrites the file if it is too long, if chunks were dropped by age, or
+// if an earlier write failed.
 func (a *archive) write(chunks []messages.ArchiveChunk) error {
 	a.lock.Lock()
-	forgot := a.core.Forget(a.today())
+	forgot := a.state.Forget(a.today())
 	rewrite := forgot || a.stale || a.logfile.Size() > constants.ArchiveLimit
 	if rewrite {
-		chunks = a.core.Chunks()
+		chunks = a.state.Chunks()
 	}
 	a.lock.Unlock()
 	bodies := make([][]byte, 0, len(chunks))
@@ -104,18 +106,18 @@
 	return ErrDisk.Wrap(err, "write archive")
 }
 
-// lookup answers another process.
+// lookup handles the archive request of another process.
 func (a *archive) lookup(req *messages.ArchiveRequest) *messages.ArchiveResponse {
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	return a.core.Lookup(req)
+	return a.state.Lookup(req)
 }
 
-// completeFor tells whether the archive is complete once the value is accepted.
+// completeFor reports whether the archive is complete once the value is accepted.
 func (a *archive) completeFor(value *messages.RegisterValue) bool {
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	copied := a.core
+	copied := a.state
 	_, complete := copied.Extend(value, 0)
 	return complete
 }
@@ -123,22 +125,22 @@
 func (a *archive) lastChunk() uint64 {
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	return a.core.LastChunk()
+	return a.state.LastChunk()
 }
 
-// fill takes chunks that another acceptor gave, and syncs them.
+// fill adds chunks that another acceptor returned, and syncs them.
 func (a *archive) fill(head messages.ArchiveHead, chunks []messages.ArchiveChunk) bool {
 	a.writing.Lock()
 	defer a.writing.Unlock()
 	a.lock.Lock()
-	filled := a.core.Fill(head, chunks)
+	filled := a.state.Fill(head, chunks)
 	a.lock.Unlock()
 	return filled && a.write(chunks) == nil
 }
 
-// fillArchive gets the chunks that this acceptor lacks for a value which it is asked
-// to accept. The vote does not depend on it: without them it answers for no old
-// version, and asks again later.
+// fillArchive requests the chunks that this acceptor lacks for a value that it is about to accept.
+// The vote does not depend on them: without them this acceptor cannot decide on old versions, and
+// requests them again later.
 func (r *Replica) fillArchive(req *messages.AcceptRequest) {
 	record := r.Record()
 	if req.Disk != record.Disk || register.Less(req.Ballot, record.Promised) || r.archive.completeFor(&req.Value) {
@@ -157,12 +159,12 @@
 	r.archive.nextPull = clock.Now().Add(constants.ArchiveRetryBackoff)
 }
 
-// pullArchive asks one acceptor for what is lacking, first after what is held and then for
-// all: what is held may belong to a value that was never chosen.
+// pullArchive requests the missing chunks from one acceptor: first those after its own last chunk,
+// then all of them, because its own chunks may belong to a value that was never chosen.
 func (r *Replica) pullArchive(member messages.Member, value *messages.RegisterValue) bool {
-	for _, found := range []uint64{r.archive.lastChunk(), 0} {
+	for _, after := range []uint64{r.archive.lastChunk(), 0} {
 		for {
-			resp := r.requestArchive(member, &messages.ArchiveRequest{Head: value.Archive, Pull: true, LastChunk: found})
+			resp := r.requestArchive(member, &messages.ArchiveRequest{Head: value.Archive, Pull: true, LastChunk: after})
 			if resp == nil {
 				return false
 			}
@@ -172,16 +174,16 @@
 			if r.archive.completeFor(value) {
 				return true
 			}
-			if found == r.archive.lastChunk() {
+			if after == r.archive.lastChunk() {
 				break
 			}
-			found = r.archive.lastChunk()
+			after = r.archive.lastChunk()
 		}
 	}
 	return false
 }
 
-// requestArchive sends a request to one acceptor; nil where no response comes.
+// requestArchive sends a request to one acceptor. It returns nil if there is no response.
 func (r *Replica) requestArchive(member messages.Member, req *messages.ArchiveRequest) *messages.ArchiveResponse {
 	resp := &messages.PrepareResponse{}
 	kind, message := r.prepareMessage(&messages.PrepareRequest{Disk: member.Disk, Query: true, WithoutBody: true, Archive: req})
--- a/internal/control/registerserver/golden_test.go
+++ b/internal/control/registerserver/golden_test.go
@@ -114,7 +114,7 @@
 			if archive.lastChunk() != goldenChunks {
 				t.Fatalf("%d chunks held", archive.lastChunk())
 			}
-			chunks := archive.core.Chunks()
+			chunks := archive.state.Chunks()
 			today := func() int64 { return chunks[0].Day }
 			archive.today = today
 			if golden == "register-taken-rewritten" {
--- a/internal/control/registerserver/handlers.go
+++ b/internal/control/registerserver/handlers.go
@@ -7,8 +7,8 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// HandleConfiguration registers the requests of other processes to the register of the
-// configuration, and for the lease that its acceptors grant.
+// HandleConfiguration registers the handlers for requests of other processes to the register of the
+// configuration, and to the lease that its acceptors grant.
 func (r *Replica) HandleConfiguration() {
 	process.Handle(r.Node.Runtime, messages.KindPrepare, func(req *messages.PrepareRequest) (*messages.PrepareResponse, error) {
 		resp, err := r.Prepare(req)
@@ -24,7 +24,7 @@
 	})
 }
 
-// HandleNamed registers the requests of other processes to registers that have a name.
+// HandleNamed registers the handlers for requests of other processes to named registers.
 func HandleNamed(runtime *process.Runtime, find func(name string) (*Replica, error)) {
 	process.Handle(runtime, messages.KindNamedPrepare, func(req *messages.NamedPrepareRequest) (*messages.PrepareResponse, error) {
 		replica, err := find(req.Name)
@@ -51,8 +51,8 @@
 	})
 }
 
-// ChosenSets is the response that names the newest sets that this process saw a majority
-// hold; Known is not set where it saw none. It is good for the sets only.
+// ChosenSets returns a response with the newest sets that this process saw a majority accept; Known
+// is not set if there are none. Only the sets of its value may be used.
 func (r *Replica) ChosenSets() *messages.RegisterResponse {
 	value, known := r.Chosen()
 	if !known {
@@ -62,20 +62,20 @@
 	return &messages.RegisterResponse{Known: true, Value: value}
 }
 
-// SyncSets asks the other controllers who the acceptors are: a process with an empty disk,
-// or one that was away for long, knows none or old ones.
+// SyncSets requests the current acceptor sets from the other controllers. A process with an empty
+// disk knows none, and one that was down for a long time knows outdated ones.
 func (r *Replica) SyncSets() {
 	r.Node.ForEachController(func(address string) {
 		kind, req := r.readSetsMessage()
 		resp := &messages.RegisterResponse{}
 		if transport.Call(r.Node.Transport, address, kind, req, resp, constants.CallTimeout) == nil {
-			// Without its body this value is good for its sets only.
+			// This value has no body, so only its sets are used.
 			r.ObserveSets(resp.Value)
 		}
 	})
 }
 
-// readSetsMessage is the request for the sets of this register.
+// readSetsMessage returns the request for the sets of this register.
 func (r *Replica) readSetsMessage() (messages.Kind, transport.Marshaler) {
 	if r.Name == "" {
 		return messages.KindRegisterRead, &messages.Ack{}
--- a/internal/control/registerserver/messages.go
+++ b/internal/control/registerserver/messages.go
@@ -6,7 +6,7 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// OpenNamed opens the register of that name.
+// OpenNamed opens the register with the given name.
 func OpenNamed(disk recordlog.Disk, name string, first []messages.Member, identity string) (*Replica, error) {
 	replica, err := open(disk, logfileName+"-"+name, first, identity)
 	if err == nil {
@@ -15,7 +15,7 @@
 	return replica, err
 }
 
-// prepareMessage gives a message of the first round as it goes to the other acceptors.
+// prepareMessage returns a message of the first round in the form that is sent to other acceptors.
 func (r *Replica) prepareMessage(req *messages.PrepareRequest) (messages.Kind, transport.Marshaler) {
 	if r.Name == "" {
 		return messages.KindPrepare, req
@@ -23,7 +23,7 @@
 	return messages.KindNamedPrepare, &messages.NamedPrepareRequest{Name: r.Name, Request: *req}
 }
 
-// acceptMessage gives a message of the second round.
+// acceptMessage returns a message of the second round in the form that is sent to other acceptors.
 func (r *Replica) acceptMessage(req *messages.AcceptRequest) (messages.Kind, transport.Marshaler) {
 	if r.Name == "" {
 		return messages.KindAccept, req
--- a/internal/control/registerserver/proposer.go
+++ b/internal/control/registerserver/proposer.go
@@ -8,14 +8,15 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// memberResponse is one answer to a message of a proposal.
+// memberResponse is the response of a member to a message of a proposal.
 type memberResponse struct {
 	member   messages.Member
 	promise  *messages.PrepareResponse
 	accepted *messages.AcceptResponse
 }
 
-// send takes one message of a proposal to its member.
+// send delivers a message of a proposal to its member and passes on the response. It passes on
+// nothing if the call fails.
 func (r *Replica) send(message register.Send, responses chan<- memberResponse) {
 	resp := memberResponse{member: message.Member}
 	local := message.Member.Address == r.Node.Self.Address
@@ -41,9 +42,11 @@
 	}
 }
 
-// Change runs a change until it is in force or its outcome can't be known.
+// Change proposes a change until it is in force, or constants.RegisterTimeout has passed. The error
+// is register.ErrOutcomeUnknown if a second round was started by then, and register.ErrNoQuorum
+// otherwise.
 func (r *Replica) Change(change register.Change) (messages.RegisterValue, error) {
-	end := clock.Now().Add(constants.RegisterTimeout)
+	deadline := clock.Now().Add(constants.RegisterTimeout)
 	timer := clock.NewTimer(constants.RegisterTimeout)
 	defer timer.Stop()
 	select {
@@ -54,21 +57,21 @@
 	}
 	outcomeUnknown, preempted := false, false
 	known := r.Known()
-	took := clock.Duration(0)
-	for lost := 0; clock.Now() < end; {
-		if lost > 0 {
-			clock.Sleep(register.Backoff(lost, took, clock.Float64()))
+	lastDuration := clock.Duration(0)
+	for failures := 0; clock.Now() < deadline; {
+		if failures > 0 {
+			clock.Sleep(register.Backoff(failures, lastDuration, clock.Float64()))
 		}
 		if preempted {
-			// Whoever won may have settled the request: a read needs no ballot, so
-			// that it disturbs nobody.
+			// The proposer that won may have made this request obsolete. A read shows that without
+			// a ballot, so it preempts no other proposal.
 			if value, decided := r.unchangedBy(change); decided {
 				return value, nil
 			}
 		}
 		start := clock.Now()
-		proposal := r.attempt(known, change, end)
-		took = clock.Now().Sub(start)
+		proposal := r.attempt(known, change, deadline)
+		lastDuration = clock.Now().Sub(start)
 		if proposal.Stage() == register.StageDone {
 			r.observeChosen(proposal.Value())
 			known = proposal.Value()
@@ -77,14 +80,14 @@
 			}
 			return proposal.Value(), nil
 		}
-		lost++
+		failures++
 		preempted = proposal.Stage() == register.StageLost
 		outcomeUnknown = outcomeUnknown || proposal.AcceptSent()
 		r.lock.Lock()
 		r.counter = max(r.counter, proposal.Highest().Counter)
 		r.lock.Unlock()
 		if newer := proposal.Newer(); newer != nil {
-			// Perhaps never chosen: good for the next attempt only.
+			// This value may never have been chosen, so it is only used for the next attempt.
 			known = *newer
 		}
 	}
@@ -94,7 +97,8 @@
 	return messages.RegisterValue{}, register.ErrNoQuorum.New("no first majority in time")
 }
 
-// unchangedBy asks whether the change would leave the value in force as it is.
+// unchangedBy reports whether the change would leave the value in force as it is, and returns that
+// value.
 func (r *Replica) unchangedBy(change register.Change) (messages.RegisterValue, bool) {
 	value := r.quickRead(false)
 	if value == nil {
@@ -104,8 +108,8 @@
 	return *value, verdict == register.VerdictUnchanged
 }
 
-// attempt takes one proposal through its rounds.
-func (r *Replica) attempt(known messages.RegisterValue, change register.Change, end clock.Instant) *register.Proposal {
+// attempt runs one proposal through its rounds.
+func (r *Replica) attempt(known messages.RegisterValue, change register.Change, deadline clock.Instant) *register.Proposal {
 	r.lock.Lock()
 	r.counter++
 	own := r.Node.Self
@@ -119,15 +123,15 @@
 		}
 	}
 	dispatch(sends)
-	timer := clock.NewTimer(min(2*constants.RoundTimeout, end.Sub(clock.Now())))
+	timer := clock.NewTimer(min(2*constants.RoundTimeout, deadline.Sub(clock.Now())))
 	defer timer.Stop()
 	for proposal.Stage() != register.StageDone && proposal.Stage() != register.StageLost {
 		select {
-		case re := <-responses:
-			if re.promise != nil {
-				dispatch(proposal.HandlePrepareResponse(re.member, *re.promise))
+		case resp := <-responses:
+			if resp.promise != nil {
+				dispatch(proposal.HandlePrepareResponse(resp.member, *resp.promise))
 			} else {
-				proposal.HandleAcceptResponse(re.member, *re.accepted)
+				proposal.HandleAcceptResponse(resp.member, *resp.accepted)
 			}
 		case <-timer.C:
 			return proposal
--- a/internal/control/registerserver/quorumcall.go
+++ b/internal/control/registerserver/quorumcall.go
@@ -6,20 +6,20 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// memberResult is what a call to one member brought.
+// memberResult is the result of a call to one member.
 type memberResult[Response any] struct {
 	member   messages.Member
 	response Response
 	err      error
 }
 
-// QuorumCall makes a call to every member of a value's sets at the same time, and hands
-// each response to handle, which says whether it counts. It reports whether the members
-// that counted make a quorum, as soon as they do.
+// QuorumCall calls every member of a value's sets concurrently and passes each response to handle,
+// which reports whether it counts. QuorumCall returns true as soon as the members whose responses
+// count form a quorum, and false if they do not.
 //
-// call gives the member that responded, since a response counts for the disk that gave it.
-// A timeout of zero waits for every call to return; calls under way when QuorumCall returns
-// end by themselves.
+// call returns the member that responded, because a response counts for the disk that it names.
+// With a timeout of zero, QuorumCall waits for every call to return. Calls in flight when
+// QuorumCall returns are not canceled.
 func QuorumCall[Response any](sets *messages.RegisterValue, timeout clock.Duration,
 	call func(member messages.Member) (messages.Member, Response, error), handle func(response Response) (counts bool)) bool {
 	members := register.Targets(sets)
--- a/internal/control/registerserver/read.go
+++ b/internal/control/registerserver/read.go
@@ -7,11 +7,11 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Read gives the value in force.
+// Read returns the value in force.
 func (r *Replica) Read() (messages.RegisterValue, error) { return r.read(false) }
 
-// ReadSets gives it without the configuration's body: stores ask often, and the body
-// would come from each acceptor each time.
+// ReadSets returns the value in force without the body of the configuration: stores read it often,
+// and every acceptor would send the body each time.
 func (r *Replica) ReadSets() (messages.RegisterValue, error) {
 	value, err := r.read(true)
 	value.Body = nil
@@ -25,9 +25,9 @@
 	return r.Change(register.ReadOnly)
 }
 
-// quickRead gives the value that a majority holds under one and the same ballot, or
-// nil where only a proposal can tell what is in force. Where the sets known here are
-// old, it goes on to those that it meets.
+// quickRead returns the value that a majority reports under the same ballot, or nil if only a
+// proposal can decide what is in force. If an acceptor reports newer sets, it repeats the read at
+// those.
 func (r *Replica) quickRead(withoutBody bool) *messages.RegisterValue {
 	known := r.Known()
 	for range constants.ReadAttempts {
@@ -40,9 +40,10 @@
 	return nil
 }
 
-// readAt reads at the sets of a value; newer is one with newer sets that it met.
+// readAt reads at the sets of a value. newer is a value with newer sets that an acceptor reported,
+// or nil.
 func (r *Replica) readAt(known messages.RegisterValue, withoutBody bool) (value, newer *messages.RegisterValue) {
-	reading, sends := register.NewQuorumRead(known)
+	read, sends := register.NewQuorumRead(known)
 	responses := make(chan memberResponse, len(sends))
 	for _, message := range sends {
 		message.Prepare.WithoutBody = withoutBody
@@ -52,13 +53,13 @@
 	defer timer.Stop()
 	for range sends {
 		select {
-		case re := <-responses:
-			value, decided := reading.HandlePrepareResponse(re.member, *re.promise)
+		case resp := <-responses:
+			value, decided := read.HandlePrepareResponse(resp.member, *resp.promise)
 			if value != nil {
 				r.observeChosen(*value)
 			}
 			if decided {
-				return value, reading.Newer()
+				return value, read.Newer()
 			}
 		case <-timer.C:
 			return nil, nil
--- a/internal/control/registerserver/reconcile.go
+++ b/internal/control/registerserver/reconcile.go
@@ -7,22 +7,22 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// ReconcileSet looks after the acceptor set: where the sets known here ask for a step, it reads
-// the value in force and proposes the step that this one asks for. It tells whether the
-// set was changed. The caller gives what it knows of other processes; Own and Fresh are
-// filled in here.
-func (r *Replica) ReconcileSet(tending register.SetReconciler) (value messages.RegisterValue, changed bool, err error) {
-	if !r.NeedsReconcile(tending) {
+// ReconcileSet maintains the acceptor set. If the known sets require a change, it reads the value
+// in force and proposes the change that this value requires. It reports whether the set was
+// changed. The caller fills in what it knows of other processes; Own and JointRecent are filled in
+// here.
+func (r *Replica) ReconcileSet(reconciler register.SetReconciler) (value messages.RegisterValue, changed bool, err error) {
+	if !r.NeedsReconcile(reconciler) {
 		return messages.RegisterValue{}, false, nil
 	}
-	seen, err := r.readWithBackoff()
-	if err != nil || seen == nil {
+	current, err := r.readWithBackoff()
+	if err != nil || current == nil {
 		return messages.RegisterValue{}, false, err
 	}
-	tending.Own, tending.JointRecent = r.Identity(), r.JointRecent()
-	change := tending.NextChange(*seen)
+	reconciler.Own, reconciler.JointRecent = r.Identity(), r.JointRecent()
+	change := reconciler.NextChange(*current)
 	if change == nil {
-		return *seen, false, nil
+		return *current, false, nil
 	}
 	if value, err = r.Change(change); err != nil {
 		return value, false, err
@@ -30,22 +30,23 @@
 	if len(value.Previous) > 0 {
 		value, err = r.Change(register.EndJoint)
 	}
-	return value, err == nil && value.SetEpoch != seen.SetEpoch, err
+	return value, err == nil && value.SetEpoch != current.SetEpoch, err
 }
 
-// NeedsReconcile tells whether there is reason to read the value in force, and perhaps to
-// take a step.
-func (r *Replica) NeedsReconcile(tending register.SetReconciler) bool {
-	tending.Own = r.Identity()
+// NeedsReconcile reports whether there is a reason to read the value in force, and perhaps to
+// change the set.
+func (r *Replica) NeedsReconcile(reconciler register.SetReconciler) bool {
+	reconciler.Own = r.Identity()
 	accepted := r.Record().Value
 	known, chosen := r.Chosen()
-	// What this acceptor accepted may be a change of the set that was left half done.
-	return !chosen || accepted.SetEpoch > known.SetEpoch || tending.NextChange(known) != nil
+	// What this acceptor has accepted may be an incomplete set change.
+	return !chosen || accepted.SetEpoch > known.SetEpoch || reconciler.NextChange(known) != nil
 }
 
-// readWithBackoff reads without a ballot where it can. Where it can't, a change may be under
-// way: it looks once more a little later, and then only some of those who ask propose,
-// while the others come again.
+// readWithBackoff reads without a ballot if that is decisive. If not, a change may be in progress:
+// it retries after constants.ReconcileBackoff, and then reads by a proposal only with
+// constants.ReconcileProbability, so that not all processes propose at once; the others return nil
+// and retry at their next call.
 func (r *Replica) readWithBackoff() (*messages.RegisterValue, error) {
 	if value := r.quickRead(true); value != nil {
 		return value, nil
--- a/internal/control/registerserver/replace.go
+++ b/internal/control/registerserver/replace.go
@@ -5,17 +5,17 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Replace puts a version in force on top of its base, and tells what came of it. A
-// version that was taken before is acknowledged again, however many followed it.
-// Where nobody in reach can tell whether an old version was taken, the error is
-// register.Unclear: it must not be refused.
+// Replace puts a version in force on top of its base, and returns the outcome. A version that was
+// committed before is acknowledged again, however many versions followed it. If no reachable
+// archive can decide whether an old version was committed, the error is register.ErrOutcomeUnknown,
+// because the request must not be rejected.
 func (r *Replica) Replace(version messages.Version, body []byte) (messages.RegisterValue, register.Result, error) {
 	var result register.Result
 	value, err := r.Change(register.Replace(version, body, &result))
 	if err != nil || result != register.ResultNeedsArchive {
 		return value, result, err
 	}
-	switch r.seek(&value, version) {
+	switch r.lookupArchived(&value, version) {
 	case messages.VersionCommitted:
 		return value, register.ResultAlreadyApplied, nil
 	case messages.VersionNeverCommitted:
@@ -25,11 +25,12 @@
 	}
 }
 
-// seek asks this process's archive and then those of the acceptors.
-func (r *Replica) seek(value *messages.RegisterValue, version messages.Version) messages.VersionStatus {
+// lookupArchived returns the status of a version from this process's archive or, if that does not
+// know it, from those of the other acceptors.
+func (r *Replica) lookupArchived(value *messages.RegisterValue, version messages.Version) messages.VersionStatus {
 	req := &messages.ArchiveRequest{Head: value.Archive, Generation: version.Generation, Fingerprint: register.Fingerprint(version)}
-	if sought := r.archive.lookup(req).Status; sought != messages.VersionUnknown {
-		return sought
+	if status := r.archive.lookup(req).Status; status != messages.VersionUnknown {
+		return status
 	}
 	for _, member := range register.Targets(value) {
 		if member.Address == r.Node.Self.Address {
--- a/internal/control/registerserver/replica.go
+++ b/internal/control/registerserver/replica.go
@@ -1,5 +1,5 @@
-// Package registerserver drives one process's part in a register: its acceptor on disk, the
-// leases it grants, and the proposals that it sends to the other acceptors.
+// Package registerserver runs the part of one process in a register: its acceptor on disk, the
+// leases that it grants, and the proposals that it sends to the other acceptors.
 package registerserver
 
 import (
@@ -15,56 +15,59 @@
 	"lemonarch/internal/platform/recordlog"
 )
 
-// ErrDisk is the error of a register whose disk can't be read or written.
+// ErrDisk is the error of a register whose disk cannot be read or written.
 var ErrDisk = errs.Define("register disk")
 
-// ErrBusy is the error of an acceptor whose disk is behind with its votes.
+// ErrBusy is the error of an acceptor whose disk is too slow for its votes.
 var ErrBusy = errs.Define("register busy")
 
-// logfileName is the file of the acceptor, and logfileLimit the length in bytes at
-// which it is rewritten (ours).
+// logfileName is the name of the acceptor's file, and logfileLimit the length in bytes at which it
+// is rewritten.
 const (
 	logfileName  = "register"
 	logfileLimit = 4 << 20
 )
 
-// Replica drives the cores of register and leases: it syncs before it answers, and
-// sends proposals to the other acceptors.
+// Replica drives the step functions of packages register and lease: it syncs state to disk before
+// it responds, and sends proposals to the other acceptors.
 type Replica struct {
-	// Name is empty for the configuration's register.
+	// Name is the name of the register; empty for the register of the configuration.
 	Name string
-	// Node is the process that sends proposals; it is set before the first.
+	// Node is the process that sends proposals. It is set before the first proposal.
 	Node *agent.Agent
-	// OnAccepted, where set, is told of each value that this acceptor accepted.
+	// OnAccepted, if set, is called with the generation of each value that this acceptor accepted.
 	OnAccepted func(generation int64)
 
-	// voting is held while the acceptor decides and its record goes to disk. It
-	// guards the two fields below.
+	// voting is held while the acceptor decides and its record is written to disk. It guards the
+	// two fields below.
 	voting   sync.Mutex
 	acceptor *register.Acceptor
 	logfile  *recordlog.Log
 
-	// lock guards the fields below. It is never held while disk or network is
-	// waited for, so that a disk that hangs stops nothing but votes.
+	// lock guards the fields below. It is never held during disk or network I/O, so that a disk
+	// that hangs blocks only votes.
 	lock    sync.Mutex
 	durable messages.AcceptorRecord
 	grantor *lease.Grantor
-	// known is the newest value known here, good for its sets; chosen says that this
-	// process saw a majority hold it. One that was only accepted somewhere may have
-	// lost, and must not be passed on.
+	// known is the newest known value, of which only the sets may be used. chosen is set if this
+	// process saw a majority accept it. A value that was only accepted by some acceptor may not be
+	// chosen in the end, and must not be passed on.
 	known  messages.RegisterValue
 	chosen bool
-	// newestEpoch is the newest set known so far, and newestSince when it was met.
+	// newestEpoch is the epoch of the newest set known so far, and newestSince the time at which it
+	// became known.
 	newestEpoch uint64
 	newestSince clock.Instant
 	counter     uint64
 
 	archive *archive
-	// proposing holds one token: two proposals from here would only compete.
+	// proposing is a semaphore of one: two concurrent proposals of this process would only preempt
+	// each other.
 	proposing chan struct{}
 }
 
-// Open reads the disk; disk names its identity.
+// Open opens the register of the configuration from disk. An empty disk gets the identity
+// newIdentity, and first as its first acceptor set.
 func Open(disk recordlog.Disk, first []messages.Member, newIdentity string) (*Replica, error) {
 	return open(disk, logfileName, first, newIdentity)
 }
@@ -72,7 +75,7 @@
 func open(disk recordlog.Disk, file string, first []messages.Member, newIdentity string) (*Replica, error) {
 	state := messages.AcceptorRecord{}
 	logfile, err := recordlog.Open(disk, file, func(_ int64, body []byte) error {
-		// Each record replaces the one before.
+		// Each record replaces the previous one.
 		next := messages.AcceptorRecord{}
 		if _, cause := next.UnmarshalMsg(body); cause != nil {
 			return ErrDisk.Wrap(cause, file)
@@ -96,16 +99,17 @@
 	if replica.archive, err = openArchive(disk, file+archiveSuffix); err != nil {
 		return nil, err
 	}
-	// Only a first start with all others new as well may grant leases at once.
+	// Only an acceptor at the first start of the system, when all others are new as well, may grant
+	// leases immediately.
 	replica.grantor = lease.NewGrantor(clock.Now(), fresh && len(first) > 0)
 	replica.known = replica.acceptor.Value()
-	// Nothing else than the first set can be in force where nothing was accepted yet.
+	// If nothing was accepted yet, only the first set can be in force.
 	replica.chosen = fresh && len(first) > 0
 	replica.counter = max(state.Promised.Counter, state.Accepted.Counter)
 	return replica, nil
 }
 
-// ObserveSets takes the sets that another process told of.
+// ObserveSets handles the sets that another process reported.
 func (r *Replica) ObserveSets(value messages.RegisterValue) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -117,7 +121,7 @@
 	}
 }
 
-// observeChosen takes a value that a majority was seen to hold.
+// observeChosen handles a value that this process saw a majority accept.
 func (r *Replica) observeChosen(value messages.RegisterValue) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -126,7 +130,7 @@
 	}
 }
 
-// setKnown takes a value's sets. The lock is held.
+// setKnown sets the known value. The caller must hold lock.
 func (r *Replica) setKnown(value messages.RegisterValue, chosen bool) {
 	if value.SetEpoch > r.newestEpoch {
 		r.newestEpoch, r.newestSince = value.SetEpoch, clock.Now()
@@ -134,46 +138,45 @@
 	r.known, r.chosen = value, chosen
 }
 
-// Chosen gives the newest value known here, and whether this process saw a majority
-// hold it.
+// Chosen returns the newest known value, and reports whether this process saw a majority accept it.
 func (r *Replica) Chosen() (value messages.RegisterValue, known bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.known, r.chosen
 }
 
-// JointRecent tells whether a joint set was met a short while ago: whoever proposed it
-// is about to end it.
+// JointRecent reports whether a joint set became known less than constants.JointSetOwnerTime ago:
+// the process that proposed it is about to end it.
 func (r *Replica) JointRecent() bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return len(r.known.Previous) > 0 && clock.Now().Sub(r.newestSince) < constants.JointSetOwnerTime
 }
 
-// Known gives the newest value known here, chosen or not: good for its sets.
+// Known returns the newest known value, chosen or not; only its sets may be used.
 func (r *Replica) Known() messages.RegisterValue {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.known
 }
 
-// Identity is this process as an acceptor.
+// Identity returns this process as an acceptor.
 func (r *Replica) Identity() messages.Member {
 	own := r.Node.Self
 	return messages.Member{Name: own.Name, Disk: r.Disk(), Address: own.Address, Zone: own.Zone}
 }
 
-// Disk is the identity of this acceptor's disk.
+// Disk returns the identity of this acceptor's disk.
 func (r *Replica) Disk() string { return r.Record().Disk }
 
-// Record is what this acceptor has on disk.
+// Record returns what this acceptor has on disk.
 func (r *Replica) Record() messages.AcceptorRecord {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.durable
 }
 
-// GrantLease answers a candidate for the leadership's lease.
+// GrantLease handles the request of a candidate for the lease of the leadership.
 func (r *Replica) GrantLease(req messages.LeaseRequest) messages.LeaseResponse {
 	r.lock.Lock()
 	defer r.lock.Unlock()
