--- a/internal/control/contact/contact_test.go
+++ b/internal/control/contact/contact_test.go
@@ -14,34 +14,34 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// acknowledged is a value that a majority accepted, and when that was.
-type acknowledged struct {
+// acknowledgment is a value that a majority accepted, and the time at which it was accepted.
+type acknowledgment struct {
 	at    clock.Instant
 	value contact.Versions
 }
 
-// play is one process that keeps a lease while others change the set and the
-// configuration, on a network that loses, delays and cuts.
-type play struct {
+// contactSimulation is one process that maintains a lease while others change the acceptor set and
+// the configuration, on a network with loss, delay and partitions.
+type contactSimulation struct {
 	*simulation.World
-	test      *testing.T
-	seed      int64
-	sets      []messages.RegisterValue
-	accepted  map[string]contact.Versions
-	lease     *contact.Lease
-	followed  contact.Versions
-	history   []acknowledged
-	validFor  int
-	refusedAt int
+	test         *testing.T
+	seed         int64
+	sets         []messages.RegisterValue
+	accepted     map[string]contact.Versions
+	lease        *contact.Lease
+	followed     contact.Versions
+	history      []acknowledgment
+	validCount   int
+	invalidCount int
 }
 
 func member(i int) messages.Member {
 	return messages.Member{Address: fmt.Sprint("a", i), Disk: fmt.Sprint("d", i)}
 }
 
-// propose has the next value accepted: a new configuration, or a set in which one member
-// gave its place up, by way of the joint set. It is acknowledged once majorities have it.
-func (p *play) propose() {
+// propose has the next value accepted: a new configuration, or a set in which one member is
+// replaced, by way of a joint set. The value is acknowledged once majorities have accepted it.
+func (p *contactSimulation) propose() {
 	last := p.sets[len(p.sets)-1]
 	value := contact.Versions{SetEpoch: last.SetEpoch}
 	if count := len(p.history); count > 0 {
@@ -71,11 +71,11 @@
 		answered[register.Identity(targets[i])] = true
 	}
 	p.sets = append(p.sets, next)
-	p.history = append(p.history, acknowledged{p.Now, value})
+	p.history = append(p.history, acknowledgment{p.Now, value})
 }
 
-// round asks every acceptor of the sets that the process follows.
-func (p *play) round() {
+// round sends a request to every acceptor of the sets that the process follows.
+func (p *contactSimulation) round() {
 	sentAt := p.Now
 	known := p.known()
 	for _, target := range register.Targets(&known) {
@@ -88,7 +88,7 @@
 	}
 }
 
-func (p *play) known() messages.RegisterValue {
+func (p *contactSimulation) known() messages.RegisterValue {
 	for _, sets := range p.sets {
 		if sets.SetEpoch == p.followed.SetEpoch {
 			return sets
@@ -98,41 +98,41 @@
 	return messages.RegisterValue{}
 }
 
-// check holds the invariant: while the lease is valid, whatever was acknowledged before
-// its length is followed.
-func (p *play) check() {
+// check verifies the invariant: while the lease is valid, every value that was acknowledged at
+// least constants.ContactLease ago is followed.
+func (p *contactSimulation) check() {
 	known := p.known()
 	if !p.lease.Valid(&known, p.Now) {
-		p.refusedAt++
+		p.invalidCount++
 		return
 	}
-	p.validFor++
+	p.validCount++
 	for _, earlier := range p.history {
-		late := p.Now.Sub(earlier.at) >= constants.ContactLease
-		if late && (earlier.value.Generation > p.followed.Generation || earlier.value.SetEpoch > p.followed.SetEpoch) {
+		leaseElapsed := p.Now.Sub(earlier.at) >= constants.ContactLease
+		if leaseElapsed && (earlier.value.Generation > p.followed.Generation || earlier.value.SetEpoch > p.followed.SetEpoch) {
 			p.test.Fatalf("seed %d: valid at %v, follows %+v, %+v was acknowledged at %v", p.seed, p.Now, p.followed, earlier.value, earlier.at)
 		}
 	}
 }
 
-func (p *play) every(period clock.Duration, function func()) {
+func (p *contactSimulation) every(period clock.Duration, function func()) {
 	p.After(clock.Duration(p.Random.Int63n(int64(period))), func() {
 		function()
 		p.every(period, function)
 	})
 }
 
-// TestValidLeaseIsCurrent: a process with a valid lease follows every set and every
-// configuration that was acknowledged before the length of the lease, through losses,
-// cuts and changes of members.
+// TestValidLeaseIsCurrent checks that a process with a valid lease follows every set and every
+// configuration that was acknowledged at least constants.ContactLease ago, through message loss,
+// partitions and changes of members.
 func TestValidLeaseIsCurrent(t *testing.T) {
 	seeds := 300
 	if many, err := strconv.Atoi(os.Getenv("LEMONARCH_SEEDS")); err == nil {
 		seeds = many
 	}
-	valid, refused := 0, 0
+	valid, invalid := 0, 0
 	for seed := int64(1); seed <= int64(seeds); seed++ {
-		p := &play{World: simulation.NewWorld(seed), test: t, seed: seed, accepted: map[string]contact.Versions{}, lease: contact.New()}
+		p := &contactSimulation{World: simulation.NewWorld(seed), test: t, seed: seed, accepted: map[string]contact.Versions{}, lease: contact.New()}
 		first := messages.RegisterValue{SetEpoch: 1}
 		for i := 0; i < 3+2*p.Random.Intn(2); i++ {
 			first.Acceptors = append(first.Acceptors, member(i))
@@ -142,7 +142,8 @@
 		p.every(constants.ContactPeriod, p.round)
 		p.every(2*constants.ContactPeriod, p.propose)
 		p.every(50_000_000, p.check)
-		// It catches up now and then, and is cut off from some acceptors for a while.
+		// The process catches up from time to time, and is partitioned from some acceptors for a
+		// while.
 		p.every(3*constants.ContactPeriod, func() {
 			if count := len(p.history); count > 0 && p.Random.Intn(3) > 0 {
 				p.followed = p.history[count-1].value
@@ -156,10 +157,10 @@
 			}
 		})
 		p.Run(clock.Instant(0).Add(40 * constants.ContactLease))
-		valid, refused = valid+p.validFor, refused+p.refusedAt
+		valid, invalid = valid+p.validCount, invalid+p.invalidCount
 	}
-	if valid == 0 || refused == 0 {
-		t.Fatalf("valid %d times, not valid %d times", valid, refused)
+	if valid == 0 || invalid == 0 {
+		t.Fatalf("valid %d times, not valid %d times", valid, invalid)
 	}
-	t.Logf("valid %d times, not valid %d times", valid, refused)
+	t.Logf("valid %d times, not valid %d times", valid, invalid)
 }
--- a/internal/control/lease/lease_test.go
+++ b/internal/control/lease/lease_test.go
@@ -9,63 +9,63 @@
 )
 
 func TestOneLeaseholderAtATime(t *testing.T) {
-	grants := NewGrantor(0, true)
-	if !grants.Grant(messages.LeaseRequest{Candidate: "a", Incarnation: 1}, messages.Leadership{}, 1).Granted {
-		t.Fatal("a free held was not granted")
+	grantor := NewGrantor(0, true)
+	if !grantor.Grant(messages.LeaseRequest{Candidate: "a", Incarnation: 1}, messages.Leadership{}, 1).Granted {
+		t.Fatal("a free lease was not granted")
 	}
-	found := messages.Leadership{Holder: "a", Incarnation: 1, Epoch: 1}
-	if grants.Grant(messages.LeaseRequest{Candidate: "b", Incarnation: 1, Epoch: 1}, found, 2).Granted {
-		t.Fatal("granted twice")
+	leadership := messages.Leadership{Holder: "a", Incarnation: 1, Epoch: 1}
+	if grantor.Grant(messages.LeaseRequest{Candidate: "b", Incarnation: 1, Epoch: 1}, leadership, 2).Granted {
+		t.Fatal("a valid lease was granted to another candidate")
 	}
 	end := clock.Instant(1).Add(constants.LeaseDuration)
-	if !grants.Grant(messages.LeaseRequest{Candidate: "b", Incarnation: 1, Epoch: 1}, found, end).Granted {
-		t.Fatal("not granted after its end")
+	if !grantor.Grant(messages.LeaseRequest{Candidate: "b", Incarnation: 1, Epoch: 1}, leadership, end).Granted {
+		t.Fatal("not granted after the previous grant expired")
 	}
-	if grants.Grant(messages.LeaseRequest{Candidate: "a", Incarnation: 1, Epoch: 1}, found, end+1).Granted {
-		t.Fatal("a holder that overslept got it back")
+	if grantor.Grant(messages.LeaseRequest{Candidate: "a", Incarnation: 1, Epoch: 1}, leadership, end+1).Granted {
+		t.Fatal("granted to a holder whose lease had expired")
 	}
 }
 
 func TestRestartedAcceptorGrantsNothingForALeaseDuration(t *testing.T) {
-	grants := NewGrantor(0, false)
-	found := messages.Leadership{Holder: "a", Incarnation: 1, Epoch: 1}
-	if grants.Grant(messages.LeaseRequest{Candidate: "b", Incarnation: 1, Epoch: 1}, found, 10).Granted {
-		t.Fatal("granted what it may have granted before")
+	grantor := NewGrantor(0, false)
+	leadership := messages.Leadership{Holder: "a", Incarnation: 1, Epoch: 1}
+	if grantor.Grant(messages.LeaseRequest{Candidate: "b", Incarnation: 1, Epoch: 1}, leadership, 10).Granted {
+		t.Fatal("granted a lease that an earlier incarnation may have granted")
 	}
-	// The holder itself may go on: nobody else can have it.
-	if !grants.Grant(messages.LeaseRequest{Candidate: "a", Incarnation: 1, Epoch: 1}, found, 11).Granted {
+	// The holder itself may continue, because no other candidate can have the lease.
+	if !grantor.Grant(messages.LeaseRequest{Candidate: "a", Incarnation: 1, Epoch: 1}, leadership, 11).Granted {
 		t.Fatal("the holder was refused")
 	}
 }
 
 func TestOldIncarnationAndOldEpochAreRefused(t *testing.T) {
-	grants := NewGrantor(0, true)
-	found := messages.Leadership{Holder: "a", Incarnation: 2, Epoch: 5}
-	if !grants.Grant(messages.LeaseRequest{Candidate: "a", Incarnation: 2, Epoch: 5}, found, 1).Granted {
+	grantor := NewGrantor(0, true)
+	leadership := messages.Leadership{Holder: "a", Incarnation: 2, Epoch: 5}
+	if !grantor.Grant(messages.LeaseRequest{Candidate: "a", Incarnation: 2, Epoch: 5}, leadership, 1).Granted {
 		t.Fatal("the holder was refused")
 	}
-	if grants.Grant(messages.LeaseRequest{Candidate: "a", Incarnation: 1, Epoch: 5}, found, 2).Granted {
-		t.Fatal("an old life woke up and was granted")
+	if grantor.Grant(messages.LeaseRequest{Candidate: "a", Incarnation: 1, Epoch: 5}, leadership, 2).Granted {
+		t.Fatal("granted to an older incarnation")
 	}
-	if grants.Grant(messages.LeaseRequest{Candidate: "b", Incarnation: 1, Epoch: 4}, found, clock.Instant(2).Add(constants.LeaseDuration)).Granted {
-		t.Fatal("granted on an old epoch")
+	if grantor.Grant(messages.LeaseRequest{Candidate: "b", Incarnation: 1, Epoch: 4}, leadership, clock.Instant(2).Add(constants.LeaseDuration)).Granted {
+		t.Fatal("granted to a candidate with an old epoch")
 	}
 }
 
 func TestReleaseFreesAtOnce(t *testing.T) {
-	grants := NewGrantor(0, true)
-	grants.Grant(messages.LeaseRequest{Candidate: "a", Incarnation: 1}, messages.Leadership{}, 1)
-	grants.Grant(messages.LeaseRequest{Candidate: "a", Incarnation: 1, Release: true}, messages.Leadership{}, 2)
-	if !grants.Grant(messages.LeaseRequest{Candidate: "b", Incarnation: 1}, messages.Leadership{}, 3).Granted {
-		t.Fatal("not free after its release")
+	grantor := NewGrantor(0, true)
+	grantor.Grant(messages.LeaseRequest{Candidate: "a", Incarnation: 1}, messages.Leadership{}, 1)
+	grantor.Grant(messages.LeaseRequest{Candidate: "a", Incarnation: 1, Release: true}, messages.Leadership{}, 2)
+	if !grantor.Grant(messages.LeaseRequest{Candidate: "b", Incarnation: 1}, messages.Leadership{}, 3).Granted {
+		t.Fatal("not granted after the release")
 	}
 }
 
 func TestLeaseEndsEarlyAndCountsFromTheRequest(t *testing.T) {
-	own := Lease{}
-	own.Renewed(100)
+	lease := Lease{}
+	lease.Renewed(100)
 	end := clock.Instant(100).Add(constants.LeaseDuration - constants.LeaseSafetyMargin)
-	if !own.Valid(end-1) || own.Valid(end) {
-		t.Fatal("a hold must end a margin before the grants do")
+	if !lease.Valid(end-1) || lease.Valid(end) {
+		t.Fatal("the lease must end the safety margin before the grants do")
 	}
 }
--- a/internal/control/lease/simulation_test.go
+++ b/internal/control/lease/simulation_test.go
@@ -11,14 +11,14 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// candidates are three processes, each an acceptor and a candidate for the lease.
+// candidates models three processes, each an acceptor and a candidate for the lease.
 type candidates struct {
 	world      *simulation.World
 	names      []string
 	grantors   map[string]*lease.Grantor
 	leases     map[string]*lease.Lease
 	leadership messages.Leadership
-	// changes counts how often the leadership changed hands.
+	// changes is the number of changes of the leadership.
 	changes int
 }
 
@@ -36,32 +36,32 @@
 	return c
 }
 
-// campaign asks all acceptors for the lease, and does so again after a while.
+// campaign requests the lease from all acceptors, and repeats this after a pause.
 func (c *candidates) campaign(name string) {
 	backoff := constants.LeaseRenewPeriod + clock.Duration(c.world.Random.Int63n(int64(constants.LeaseRenewPeriod)))
 	c.world.After(backoff, func() { c.campaign(name) })
-	sentAt, granted, over := c.world.Now, map[string]bool{}, false
+	sentAt, granted, finished := c.world.Now, map[string]bool{}, false
 	req := messages.LeaseRequest{Candidate: name, Incarnation: 1, Epoch: c.leadership.Epoch}
 	for _, acceptor := range c.names {
 		c.world.Send(name, acceptor, func() {
 			resp := c.grantors[acceptor].Grant(req, c.leadership, c.world.Now)
 			c.world.Send(acceptor, name, func() {
-				if !resp.Granted || over {
+				if !resp.Granted || finished {
 					return
 				}
 				if granted[acceptor] = true; len(granted) == 2 {
-					over = true
-					c.win(name, req.Epoch, sentAt)
+					finished = true
+					c.acquire(name, req.Epoch, sentAt)
 				}
 			})
 		})
 	}
 }
 
-// win takes the leadership with a lease that a majority granted.
-func (c *candidates) win(name string, epoch uint64, sentAt clock.Instant) {
+// acquire makes a candidate the leader with a lease that a majority granted.
+func (c *candidates) acquire(name string, epoch uint64, sentAt clock.Instant) {
 	if c.leadership.Holder != name {
-		// The register raises the epoch; an older request loses there.
+		// The register raises the epoch, so it rejects a request with an older one.
 		if epoch != c.leadership.Epoch {
 			return
 		}
@@ -71,7 +71,7 @@
 	c.leases[name].Renewed(sentAt)
 }
 
-// validLeases counts the leases that are valid now.
+// validLeases returns the number of leases that are valid now.
 func (c *candidates) validLeases() int {
 	valid := 0
 	for _, name := range c.names {
@@ -82,11 +82,11 @@
 	return valid
 }
 
-// strike restarts an acceptor or cuts one off, now and then.
-func (c *candidates) strike() {
+// injectFault restarts or isolates an acceptor in one of twenty calls.
+func (c *candidates) injectFault() {
 	switch c.world.Random.Intn(40) {
 	case 0:
-		// An acceptor forgets what it granted; it is quiet for the length of a lease.
+		// The acceptor loses its grants, and grants nothing for the duration of a lease.
 		c.grantors[c.names[c.world.Random.Intn(3)]] = lease.NewGrantor(c.world.Now, false)
 	case 1:
 		partitioned := c.names[c.world.Random.Intn(3)]
@@ -95,8 +95,9 @@
 	}
 }
 
-// Three acceptors grant one lease to three candidates under loss, delay, doubled
-// messages, partitions and restarts of acceptors: at no moment are two leases valid.
+// Three acceptors grant one lease to three candidates while messages are lost, delayed and
+// duplicated, links are partitioned and acceptors restart: no two leases may be valid at the same
+// time.
 func TestOneValidLeaseUnderFaults(t *testing.T) {
 	changes := 0
 	for seed := int64(1); seed <= 80; seed++ {
@@ -106,11 +107,11 @@
 			if valid := c.validLeases(); valid > 1 {
 				t.Fatalf("seed %d: %d leases are valid at once", seed, valid)
 			}
-			c.strike()
+			c.injectFault()
 		}
 		changes += c.changes
 	}
 	if changes < 160 {
-		t.Fatal(fmt.Sprint("the leadership changed hands only ", changes, " times"))
+		t.Fatal(fmt.Sprint("the leadership changed only ", changes, " times"))
 	}
 }
--- a/internal/control/lease/stall_test.go
+++ b/internal/control/lease/stall_test.go
@@ -8,44 +8,44 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// quotaStall is how long a process stands still at most once its share of a core is spent: the
-// rest of a tenth of a second.
+// quotaStall is the longest time in ns for which a process is suspended once its CPU quota is used
+// up: the rest of a 100 ms quota period.
 const quotaStall = 95_000_000
 
-// A holder that stands still at any step of a renewal, or between the look at its lease and the
-// act that it allows, never acts while another may hold the lease; a stall at each step of one
-// renewal costs it no lease.
+// A holder that is suspended at any step of a renewal, or between checking its lease and the action
+// that depends on it, must never act while another candidate may have the lease. A stall at every
+// step of a renewal must not cost it the lease.
 func TestStallAtEachStepOfARenewal(t *testing.T) {
 	const steps = 5
 	for stalls := range 1 << steps {
-		at := func(step int) clock.Instant {
+		stallAt := func(step int) clock.Instant {
 			if stalls&(1<<step) != 0 {
 				return quotaStall
 			}
 			return 0
 		}
-		grantor, held := NewGrantor(0, true), Lease{}
+		grantor, lease := NewGrantor(0, true), Lease{}
 		now := clock.Instant(1)
 		holder := messages.LeaseRequest{Candidate: "a", Incarnation: 1, Epoch: 1}
 		leader := messages.Leadership{Holder: "a", Incarnation: 1, Epoch: 1}
 		for round := range 40 {
 			sentAt := now
-			now += at(0) // between noting the time and sending
-			now += at(1) // before the acceptor reads it
+			now += stallAt(0) // between recording the time and sending
+			now += stallAt(1) // before the acceptor handles the request
 			granted := grantor.Grant(holder, leader, now).Granted
-			now += at(2) // before the answer is read
+			now += stallAt(2) // before the response is handled
 			if granted {
-				held.Renewed(sentAt)
+				lease.Renewed(sentAt)
 			}
-			if !held.Valid(now) && round > 0 {
-				t.Fatalf("stalls %05b: lost its lease in round %d", stalls, round)
+			if !lease.Valid(now) && round > 0 {
+				t.Fatalf("stalls %05b: the holder lost its lease in round %d", stalls, round)
 			}
-			looked := now
-			now += at(3) // between the look and the act
-			if held.Valid(looked) && grantor.available(now) {
-				t.Fatalf("stalls %05b: acts while another may be granted the lease", stalls)
+			checkedAt := now
+			now += stallAt(3) // between the check and the action
+			if lease.Valid(checkedAt) && grantor.available(now) {
+				t.Fatalf("stalls %05b: the holder acts while another candidate may be granted the lease", stalls)
 			}
-			now += at(4)
+			now += stallAt(4)
 			now = max(now, sentAt.Add(constants.LeaseRenewPeriod))
 		}
 	}
--- a/internal/control/register/archive_test.go
+++ b/internal/control/register/archive_test.go
@@ -11,13 +11,14 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// archives is a model of some acceptors' archives beside the one true history.
+// archives models the archives of some acceptors, together with the actual history of committed
+// versions.
 type archives struct {
-	value   messages.RegisterValue
-	taken   []messages.Version
-	archive []*register.Archive
-	files   [][]messages.ArchiveChunk
-	day     int64
+	value     messages.RegisterValue
+	committed []messages.Version
+	archive   []*register.Archive
+	files     [][]messages.ArchiveChunk
+	day       int64
 }
 
 func newArchives(count int) *archives {
@@ -29,8 +30,8 @@
 	return a
 }
 
-// follow has an acceptor accept a value; what it gives back goes to its file.
-func (a *archives) follow(at int, value messages.RegisterValue) bool {
+// accept has an acceptor accept a value. The chunk that Extend returns is added to its file.
+func (a *archives) accept(at int, value messages.RegisterValue) bool {
 	added, complete := a.archive[at].Extend(&value, a.day)
 	if added != nil {
 		a.files[at] = append(a.files[at], *added)
@@ -38,7 +39,7 @@
 	return complete
 }
 
-// fill has an acceptor pull what it lacks from another.
+// fill has an acceptor pull the chunks that it lacks from another.
 func (a *archives) fill(at, from int) bool {
 	for _, found := range []uint64{a.archive[at].LastChunk(), 0} {
 		for filled := true; filled; found = a.archive[at].LastChunk() {
@@ -46,7 +47,7 @@
 			if filled = a.archive[at].Fill(a.value.Archive, resp.Chunks); filled {
 				a.files[at] = append(a.files[at], resp.Chunks...)
 			}
-			if a.follow(at, a.value) {
+			if a.accept(at, a.value) {
 				return true
 			}
 		}
@@ -54,7 +55,7 @@
 	return false
 }
 
-// restart reads the file again.
+// restart restores the archive of an acceptor from its file.
 func (a *archives) restart(at int) {
 	a.archive[at] = &register.Archive{}
 	for _, chunk := range a.files[at] {
@@ -62,36 +63,36 @@
 	}
 }
 
-func next(value messages.RegisterValue, hash string) (messages.RegisterValue, messages.Version) {
+func nextVersion(value messages.RegisterValue, hash string) (messages.RegisterValue, messages.Version) {
 	version := messages.Version{Generation: value.Current.Generation + 2, Base: value.Current.Generation, Hash: hash}
 	var result register.Result
 	changed, _ := register.Replace(version, []byte(hash), &result)(value)
 	return changed, version
 }
 
-// check asks every archive about a version.
-func (a *archives) check(rt *rapid.T, version messages.Version, taken, mayForget bool) {
+// check queries every archive for the status of a version.
+func (a *archives) check(rt *rapid.T, version messages.Version, committed, mayForget bool) {
 	var result register.Result
 	_, _ = register.Replace(version, nil, &result)(a.value)
 	if result != register.ResultNeedsArchive {
-		if result.InForce() != taken {
-			rt.Fatalf("the value says %d of %v, taken %v", result, version, taken)
+		if result.InForce() != committed {
+			rt.Fatalf("the value has status %d for %v, committed %v", result, version, committed)
 		}
 		return
 	}
 	req := &messages.ArchiveRequest{Head: a.value.Archive, Generation: version.Generation, Fingerprint: register.Fingerprint(version)}
 	for at, archive := range a.archive {
-		sought := archive.Lookup(req).Status
-		if (sought == messages.VersionCommitted && !taken) || (sought == messages.VersionNeverCommitted && taken) {
-			rt.Fatalf("archive %d says %d of %v, taken %v", at, sought, version, taken)
+		status := archive.Lookup(req).Status
+		if (status == messages.VersionCommitted && !committed) || (status == messages.VersionNeverCommitted && committed) {
+			rt.Fatalf("archive %d has status %d for %v, committed %v", at, status, version, committed)
 		}
-		if sought == messages.VersionUnknown && !mayForget && archive.Covers(a.value.Archive) {
-			rt.Fatalf("archive %d is whole and does not know %v", at, version)
+		if status == messages.VersionUnknown && !mayForget && archive.Covers(a.value.Archive) {
+			rt.Fatalf("archive %d is complete but does not know %v", at, version)
 		}
 	}
 }
 
-// archiveSteps are the steps of a random history of three archives.
+// archiveSteps implements the steps of a random history of three archives.
 type archiveSteps struct {
 	*archives
 	forgot bool
@@ -99,24 +100,24 @@
 
 // commit commits changes that one acceptor, or none, misses.
 func (s *archiveSteps) commit(rt *rapid.T) {
-	away := rapid.IntRange(-1, 2).Draw(rt, "away")
+	absent := rapid.IntRange(-1, 2).Draw(rt, "away")
 	for range rapid.IntRange(1, 40).Draw(rt, "changes") {
-		value, version := next(s.value, fmt.Sprint(len(s.taken)))
-		s.value, s.taken = value, append(s.taken, version)
+		value, version := nextVersion(s.value, fmt.Sprint(len(s.committed)))
+		s.value, s.committed = value, append(s.committed, version)
 		for at := range s.archive {
-			if at != away {
-				s.follow(at, value)
+			if at != absent {
+				s.accept(at, value)
 			}
 		}
 	}
 }
 
-// acceptUnchosen has one acceptor alone accept a run of values that lose.
+// acceptUnchosen has a single acceptor accept a sequence of values that are never chosen.
 func (s *archiveSteps) acceptUnchosen(rt *rapid.T) {
 	at, value := rapid.IntRange(0, 2).Draw(rt, "at"), s.value
 	for index := range rapid.IntRange(1, 20).Draw(rt, "run") {
-		value, _ = next(value, fmt.Sprint("lost", index))
-		s.follow(at, value)
+		value, _ = nextVersion(value, fmt.Sprint("lost", index))
+		s.accept(at, value)
 	}
 }
 
@@ -132,7 +133,7 @@
 	at, from := rapid.IntRange(0, 2).Draw(rt, "at"), rapid.IntRange(0, 2).Draw(rt, "from")
 	complete := s.archive[from].Covers(s.value.Archive)
 	if filled := s.fill(at, from); complete && !filled {
-		rt.Fatalf("%d was not filled from %d, which is complete", at, from)
+		rt.Fatalf("archive %d was not filled from %d, which is complete", at, from)
 	}
 }
 
@@ -145,18 +146,18 @@
 	}
 }
 
-// checkAll checks each version that was committed, and one beside it that was not.
+// checkAll checks each version that was committed, and a variant of it that was not.
 func (s *archiveSteps) checkAll(rt *rapid.T) {
-	for _, version := range s.taken {
+	for _, version := range s.committed {
 		s.check(rt, version, true, s.forgot)
 		version.Hash += "x"
 		s.check(rt, version, false, s.forgot)
 	}
 }
 
-// Acceptors miss changes, accept values that are never chosen, restart, pull from each
-// other and forget by age: none ever says "never taken" of a version that was taken, or
-// the other way round, and one that is complete always knows.
+// Acceptors miss changes, accept values that are never chosen, restart, pull from each other and
+// drop old chunks. No archive may report a committed version as never committed, or the other way
+// round, and a complete archive must know every version.
 func TestArchiveNeverRejectsACommittedVersion(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := &archiveSteps{archives: newArchives(3)}
@@ -167,14 +168,14 @@
 	})
 }
 
-// What travels with a value and what a pull brings, against the number of changes.
+// Bounds the size of a value and of a whole archive by the number of changes.
 func TestArchiveCost(t *testing.T) {
 	for _, changes := range []int{40, 300, 2300, 6900} {
 		archives := newArchives(2)
 		for index := range changes {
-			value, version := next(archives.value, fmt.Sprintf("%064d", index))
-			archives.value, archives.taken = value, append(archives.taken, version)
-			archives.follow(0, value)
+			value, version := nextVersion(archives.value, fmt.Sprintf("%064d", index))
+			archives.value, archives.committed = value, append(archives.committed, version)
+			archives.accept(0, value)
 		}
 		archives.value.Body = nil
 		message, _ := archives.value.MarshalMsg(nil)
--- a/internal/control/register/budget_test.go
+++ b/internal/control/register/budget_test.go
@@ -10,42 +10,42 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// strike is the fault right after an acknowledgement, within the budget of two.
-func (g *grown) strike() {
+// injectFault causes a fault within the budget of two, right after an acknowledgement.
+func (g *growingFleet) injectFault() {
 	names := simulation.Keys(g.controllers)
 	g.world.Random.Shuffle(len(names), func(left, right int) { names[left], names[right] = names[right], names[left] })
 	lost, others := names[:2], names[2:]
-	resp := func(name string, wiped bool) {
+	restartAfterDelay := func(name string, wiped bool) {
 		g.world.After(clock.Milliseconds(300+1500*g.world.Random.Float64()), func() { g.start(name, wiped) })
 	}
 	switch g.world.Random.Intn(4) {
 	case 0:
-		// Two disks are lost while all others lose power.
+		// Two disks are lost while all other processes lose power.
 		for _, name := range names {
 			g.stop(name)
 		}
 		for _, name := range lost {
-			resp(name, true)
+			restartAfterDelay(name, true)
 		}
 		for _, name := range others {
-			resp(name, false)
+			restartAfterDelay(name, false)
 		}
 	case 1:
 		for _, name := range lost {
 			g.stop(name)
-			resp(name, g.world.Random.Intn(2) == 0)
+			restartAfterDelay(name, g.world.Random.Intn(2) == 0)
 		}
 	case 2:
-		// Two machines are gone for good; others with empty disks come for them.
+		// Two machines are lost permanently and replaced by others with empty disks.
 		for _, name := range lost {
 			g.stop(name)
 			delete(g.controllers, name)
-			g.number++
-			fresh := fmt.Sprint(name, g.number)
+			g.replacements++
+			fresh := fmt.Sprint(name, g.replacements)
 			g.world.After(clock.Milliseconds(2000*g.world.Random.Float64()), func() {
 				record := messages.AcceptorRecord{Disk: fresh}
 				member := messages.Member{Name: fresh, Address: fresh, Disk: fresh}
-				g.controllers[fresh] = &controller{member: member, disk: record, live: register.NewAcceptor(record)}
+				g.controllers[fresh] = &controller{member: member, disk: record, acceptor: register.NewAcceptor(record)}
 				g.reconcile(fresh)
 			})
 		}
@@ -61,55 +61,56 @@
 	}
 }
 
-// The set grows from the three seeds to five before anything is acknowledged, and
-// whatever was acknowledged outlasts the loss of two at any moment after it.
-func TestBudgetOfTwo(t *testing.T) {
+// The set grows from the three seeds to five members before anything is acknowledged, and whatever
+// was acknowledged survives the loss of two members at any later moment.
+func TestAcknowledgedSurvivesTwoLosses(t *testing.T) {
 	for seed := int64(1); seed <= int64(simulation.Seeds(120)); seed++ {
-		grown := newGrown(t, seed)
-		grown.world.Loss, grown.world.Double = 0.02, 0.02
+		fleet := newGrowingFleet(t, seed)
+		fleet.world.Loss, fleet.world.Double = 0.02, 0.02
 		if seed%3 == 0 {
-			grown.slow = 60
+			fleet.maxSyncMs = 60
 		}
-		start := grown.world.Now
-		struck := false
-		grown.told = func(int64) {
-			if !struck {
-				struck = true
-				grown.strike()
+		start := fleet.world.Now
+		injected := false
+		fleet.onAcknowledged = func(int64) {
+			if !injected {
+				injected = true
+				fleet.injectFault()
 			}
 		}
 		for generation := int64(1); generation <= 5; generation++ {
-			struck = false
-			grown.insist(generation, generation-1)
-			if !grown.until(clock.Milliseconds(budgetRecover), func() bool { return grown.acked[generation] != "" }) {
-				t.Fatalf("seed %d: version %d not acknowledged after %v", seed, generation, grown.world.Now.Sub(start))
+			injected = false
+			fleet.replaceUntilAcknowledged(generation, generation-1)
+			if !fleet.runUntil(clock.Milliseconds(budgetRecover), func() bool { return fleet.acked[generation] != "" }) {
+				t.Fatalf("seed %d: version %d not acknowledged after %v", seed, generation, fleet.world.Now.Sub(start))
 			}
-			// The next one has to come through within the time to recover.
-			grown.world.Run(grown.world.Now.Add(clock.Milliseconds(1800)))
-			names := simulation.Keys(grown.controllers)
-			if found := grown.newest(names[grown.world.Random.Intn(len(names))]); found >= 0 && found < generation {
-				t.Fatalf("seed %d: found %d, want %d", seed, found, generation)
+			// The next change must be committed within the recovery time.
+			fleet.world.Run(fleet.world.Now.Add(clock.Milliseconds(1800)))
+			names := simulation.Keys(fleet.controllers)
+			if found := fleet.newest(names[fleet.world.Random.Intn(len(names))]); found >= 0 && found < generation {
+				t.Fatalf("seed %d: read generation %d, want at least %d", seed, found, generation)
 			}
-			// Troubles beyond the budget wait their turn.
-			if !grown.until(clock.Milliseconds(60_000), grown.complete) {
-				t.Fatalf("seed %d: the set is not whole a minute after a fault", seed)
+			// No further fault is injected before the set is complete, as it would exceed the
+			// budget.
+			if !fleet.runUntil(clock.Milliseconds(60_000), fleet.complete) {
+				t.Fatalf("seed %d: the set is not complete a minute after a fault", seed)
 			}
 		}
 	}
 }
 
-// Growing takes a small part of the time before traffic starts.
-func TestSetExpandsSoon(t *testing.T) {
+// The set reaches its full size, and never exceeds it, well before traffic starts.
+func TestSetGrowsToFullSizeInTime(t *testing.T) {
 	for seed := int64(1); seed <= 60; seed++ {
-		grown := newGrown(t, seed)
-		grown.slow = 30
-		if !grown.until(clock.Milliseconds(8000), grown.complete) {
-			t.Fatalf("seed %d: not whole after %v", seed, grown.world.Now)
+		fleet := newGrowingFleet(t, seed)
+		fleet.maxSyncMs = 30
+		if !fleet.runUntil(clock.Milliseconds(8000), fleet.complete) {
+			t.Fatalf("seed %d: set not complete after %v", seed, fleet.world.Now)
 		}
-		grown.world.Run(grown.world.Now.Add(clock.Milliseconds(10_000)))
-		for _, name := range simulation.Keys(grown.controllers) {
-			if count := len(grown.controllers[name].known.Acceptors); count > budgetSize {
-				t.Fatalf("seed %d: %d members", seed, count)
+		fleet.world.Run(fleet.world.Now.Add(clock.Milliseconds(10_000)))
+		for _, name := range simulation.Keys(fleet.controllers) {
+			if count := len(fleet.controllers[name].known.Acceptors); count > budgetSize {
+				t.Fatalf("seed %d: the set has %d members, too many", seed, count)
 			}
 		}
 	}
--- a/internal/control/register/contention_test.go
+++ b/internal/control/register/contention_test.go
@@ -10,8 +10,8 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// burst has every process propose at once on one base, and tells how long it took
-// until all had a clear answer and how many attempts that needed.
+// burst has every process propose at once on the same base. It returns the time until all have a
+// definite outcome, and the number of attempts that this took.
 func (f *fleet) burst(generation *int64, base int64) (clock.Duration, int) {
 	names := simulation.Keys(f.controllers)
 	start, before, waiting := f.world.Now, f.attempts, len(names)
@@ -29,34 +29,34 @@
 		f.world.Run(f.world.Now.Add(clock.Milliseconds(10)))
 	}
 	if waiting > 0 {
-		f.test.Fatalf("%d of %d proposers are still without an answer", waiting, len(names))
+		f.test.Fatalf("%d of %d proposers have no outcome", waiting, len(names))
 	}
 	return last.Sub(start), f.attempts - before
 }
 
-// Eight orders at once through eight processes, on disks that sync at once and on
-// slow ones: none is pushed out for ever.
-func TestEightAtOnceDoNotPushEachOtherOut(t *testing.T) {
-	for _, slow := range []float64{0, 10, 30, 60} {
+// Eight changes at once through eight processes, on disks that sync at once and on slow ones: every
+// proposer completes within the time of one change.
+func TestEightConcurrentProposersAllComplete(t *testing.T) {
+	for _, maxSyncMs := range []float64{0, 10, 30, 60} {
 		var longest, total clock.Duration
-		attempts, most, bursts := 0, 0, 0
+		attempts, maxAttempts, bursts := 0, 0, 0
 		for seed := int64(1); seed <= 20; seed++ {
 			fleet := newFleet(t, seed, "a", "b", "c", "d", "e")
 			for _, name := range []string{"f", "g", "h"} {
-				fleet.outsider(name)
+				fleet.addNonMember(name)
 			}
-			fleet.slow = slow
+			fleet.maxSyncMs = maxSyncMs
 			generation := int64(0)
 			for range 10 {
-				timeout, count := fleet.burst(&generation, fleet.newest("a"))
-				longest, total = max(longest, timeout), total+timeout
-				attempts, most, bursts = attempts+count, max(most, count), bursts+1
+				duration, count := fleet.burst(&generation, fleet.newest("a"))
+				longest, total = max(longest, duration), total+duration
+				attempts, maxAttempts, bursts = attempts+count, max(maxAttempts, count), bursts+1
 			}
 		}
-		t.Logf("sync up to %v ms: %d bursts, mean %v, longest %v, attempts mean %.1f, most %d", slow, bursts,
-			total/clock.Duration(bursts), longest, float64(attempts)/float64(bursts), most)
+		t.Logf("sync up to %v ms: %d bursts, mean %v, longest %v, attempts mean %.1f, most %d", maxSyncMs, bursts,
+			total/clock.Duration(bursts), longest, float64(attempts)/float64(bursts), maxAttempts)
 		if longest > constants.RegisterTimeout {
-			t.Errorf("a burst took %v, over the time of one change", longest)
+			t.Errorf("a burst took %v, more than the timeout of one change", longest)
 		}
 	}
 }
--- a/internal/control/register/drive_test.go
+++ b/internal/control/register/drive_test.go
@@ -8,103 +8,104 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// attemptTime is how long a simulated proposer waits for its two rounds.
+// attemptTime is how long, in ms, a simulated proposer waits for its two rounds.
 const attemptTime = 400
 
-// try is one proposal on its way, as a process drives it.
-type try struct {
+// simulatedAttempt is one proposal in progress, as a process drives it.
+type simulatedAttempt struct {
 	*fleet
-	from     string
-	node     *controller
-	life     int64
-	known    messages.RegisterValue
-	change   register.Change
-	proposal *register.Proposal
-	over     bool
-	begun    clock.Instant
+	from        string
+	node        *controller
+	incarnation int64
+	known       messages.RegisterValue
+	change      register.Change
+	proposal    *register.Proposal
+	finished    bool
+	startedAt   clock.Instant
 }
 
-// change drives one change from a node; ended is called once with the outcome, or
-// never where the process dies.
-func (f *fleet) change(from string, change register.Change, attempts int, ended func(value messages.RegisterValue, done bool)) {
+// change runs a change from a node. callback is called once with the outcome, or never if the
+// process dies.
+func (f *fleet) change(from string, change register.Change, attempts int, callback func(value messages.RegisterValue, done bool)) {
 	if node := f.controllers[from]; node != nil {
-		f.propose(from, node.known, change, attempts, 0, ended)
+		f.propose(from, node.known, change, attempts, 0, callback)
 		return
 	}
-	ended(messages.RegisterValue{}, false)
+	callback(messages.RegisterValue{}, false)
 }
 
-func (f *fleet) propose(from string, known messages.RegisterValue, change register.Change, attempts, lost int, ended func(value messages.RegisterValue, done bool)) {
+func (f *fleet) propose(from string, known messages.RegisterValue, change register.Change, attempts, lost int, callback func(value messages.RegisterValue, done bool)) {
 	node := f.controllers[from]
 	if node == nil || node.down || attempts == 0 {
-		ended(messages.RegisterValue{}, false)
+		callback(messages.RegisterValue{}, false)
 		return
 	}
 	node.counter++
 	f.attempts++
-	ballot := register.NewBallot(node.counter, from, node.member.Disk, node.life)
+	ballot := register.NewBallot(node.counter, from, node.member.Disk, node.incarnation)
 	proposal, sends := register.NewProposal(ballot, known, change)
-	attempt := &try{fleet: f, from: from, node: node, life: node.life, known: known, change: change, proposal: proposal, begun: f.world.Now}
-	again := func() { f.propose(from, known, change, attempts-1, lost+1, ended) }
-	attempt.send(sends, func() { attempt.finish(attempts, lost, ended) })
+	attempt := &simulatedAttempt{fleet: f, from: from, node: node, incarnation: node.incarnation, known: known, change: change, proposal: proposal, startedAt: f.world.Now}
+	retry := func() { f.propose(from, known, change, attempts-1, lost+1, callback) }
+	attempt.send(sends, func() { attempt.finish(attempts, lost, callback) })
 	f.world.After(clock.Milliseconds(attemptTime), func() {
-		if !attempt.over && !attempt.dead() {
-			attempt.over = true
-			again()
+		if !attempt.finished && !attempt.crashed() {
+			attempt.finished = true
+			retry()
 		}
 	})
 }
 
-// dead tells whether the incarnation that made the attempt is over.
-func (t *try) dead() bool { return t.node.down || t.life != t.node.life }
+// crashed reports whether the incarnation that made the attempt has ended.
+func (t *simulatedAttempt) crashed() bool { return t.node.down || t.incarnation != t.node.incarnation }
 
-// finish looks where the proposal stands.
-func (t *try) finish(attempts, lost int, ended func(value messages.RegisterValue, done bool)) {
-	if t.over || t.dead() {
+// finish handles the stage that the proposal has reached.
+func (t *simulatedAttempt) finish(attempts, lost int, callback func(value messages.RegisterValue, done bool)) {
+	if t.finished || t.crashed() {
 		return
 	}
 	node, proposal := t.node, t.proposal
 	switch proposal.Stage() {
 	case register.StageDone:
-		t.over = true
+		t.finished = true
 		node.observeChosen(proposal.Value())
-		if t.chosen != nil {
-			t.chosen(proposal.Value())
+		if t.onChosen != nil {
+			t.onChosen(proposal.Value())
 		}
 		if proposal.FinishedOther() {
-			t.propose(t.from, proposal.Value(), t.change, attempts-1, lost, ended)
+			t.propose(t.from, proposal.Value(), t.change, attempts-1, lost, callback)
 			return
 		}
-		ended(proposal.Value(), true)
+		callback(proposal.Value(), true)
 	case register.StageLost:
-		t.over = true
+		t.finished = true
 		node.counter = max(node.counter, proposal.Highest().Counter)
 		known := t.known
 		if newer := proposal.Newer(); newer != nil {
 			known = *newer
 		}
-		t.world.After(register.Backoff(lost+1, t.world.Now.Sub(t.begun), t.world.Random.Float64()), func() {
-			if t.dead() {
+		t.world.After(register.Backoff(lost+1, t.world.Now.Sub(t.startedAt), t.world.Random.Float64()), func() {
+			if t.crashed() {
 				return
 			}
-			t.look(t.from, t.change, func(value messages.RegisterValue, decided bool) {
+			t.quickRead(t.from, t.change, func(value messages.RegisterValue, decided bool) {
 				if decided {
-					ended(value, true)
+					callback(value, true)
 					return
 				}
-				t.propose(t.from, known, t.change, attempts-1, lost+1, ended)
+				t.propose(t.from, known, t.change, attempts-1, lost+1, callback)
 			})
 		})
 	}
 }
 
-// send takes messages to their members and the answers back.
-func (t *try) send(list []register.Send, finish func()) {
+// send delivers messages to their members and the responses back.
+func (t *simulatedAttempt) send(list []register.Send, finish func()) {
 	fleet := t.fleet
-	if len(list) > 0 && list[0].Accept != nil && fleet.world.Random.Float64() < fleet.crash {
-		// The worst moment: the second round is decided on, and some get it.
+	if len(list) > 0 && list[0].Accept != nil && fleet.world.Random.Float64() < fleet.crashProbability {
+		// The proposer crashes after it decided on the second round, and only some members receive
+		// it.
 		list = list[:fleet.world.Random.Intn(len(list))]
-		fleet.world.After(0, func() { fleet.bounce(t.from) })
+		fleet.world.After(0, func() { fleet.restartLater(t.from) })
 	}
 	for _, message := range list {
 		target := fleet.controllers[message.Member.Address]
@@ -113,14 +114,14 @@
 				return
 			}
 			if message.Prepare != nil {
-				resp, _ := target.live.Prepare(message.Prepare)
-				fleet.answer(target, t.from, func() { t.promised(message.Member, resp, finish) })
+				resp, _ := target.acceptor.Prepare(message.Prepare)
+				fleet.respondAfterSync(target, t.from, func() { t.handlePromise(message.Member, resp, finish) })
 				return
 			}
-			fleet.follow(target, &message.Accept.Value)
-			resp, _ := target.live.Accept(message.Accept)
-			fleet.answer(target, t.from, func() {
-				if !t.over && !t.dead() {
+			fleet.extendArchive(target, &message.Accept.Value)
+			resp, _ := target.acceptor.Accept(message.Accept)
+			fleet.respondAfterSync(target, t.from, func() {
+				if !t.finished && !t.crashed() {
 					t.proposal.HandleAcceptResponse(message.Member, resp)
 					finish()
 				}
@@ -129,33 +130,34 @@
 	}
 }
 
-func (t *try) promised(member messages.Member, resp messages.PrepareResponse, finish func()) {
-	if !t.over && !t.dead() {
+func (t *simulatedAttempt) handlePromise(member messages.Member, resp messages.PrepareResponse, finish func()) {
+	if !t.finished && !t.crashed() {
 		t.send(t.proposal.HandlePrepareResponse(member, resp), finish)
 		finish()
 	}
 }
 
-// look asks whether the change would leave the value in force as it is.
-func (f *fleet) look(from string, change register.Change, ended func(value messages.RegisterValue, decided bool)) {
-	node, over := f.controllers[from], false
-	incarnation := node.life
+// quickRead reports whether the change would leave the value in force as it is, and returns that
+// value.
+func (f *fleet) quickRead(from string, change register.Change, callback func(value messages.RegisterValue, decided bool)) {
+	node, finished := f.controllers[from], false
+	incarnation := node.incarnation
 	reading, sends := register.NewQuorumRead(node.known)
 	end := func(value *messages.RegisterValue) {
-		if over || node.down || incarnation != node.life {
+		if finished || node.down || incarnation != node.incarnation {
 			return
 		}
-		over = true
+		finished = true
 		if value == nil {
-			ended(messages.RegisterValue{}, false)
+			callback(messages.RegisterValue{}, false)
 			return
 		}
 		node.observeChosen(*value)
-		if f.chosen != nil {
-			f.chosen(*value)
+		if f.onChosen != nil {
+			f.onChosen(*value)
 		}
 		_, verdict := change(*value)
-		ended(*value, verdict == register.VerdictUnchanged)
+		callback(*value, verdict == register.VerdictUnchanged)
 	}
 	for _, message := range sends {
 		target := f.controllers[message.Member.Address]
@@ -174,35 +176,35 @@
 	f.world.After(clock.Milliseconds(attemptTime), func() { end(nil) })
 }
 
-// observeChosen takes a value that a majority was seen to hold.
+// observeChosen handles a value that a majority was seen to accept.
 func (c *controller) observeChosen(value messages.RegisterValue) {
 	if !c.chosen || value.SetEpoch >= c.known.SetEpoch {
 		c.known, c.chosen = value, true
 	}
 }
 
-// answer sends an answer once the disk behind it has synced, in order. What was not
-// synced when the process ends is lost.
-func (f *fleet) answer(node *controller, to string, function func()) {
-	record, file, incarnation := node.live.Record(), node.archive.Chunks(), node.life
+// respondAfterSync sends a response once the disk has synced the state behind it, in order. What is
+// not synced when the process ends is lost.
+func (f *fleet) respondAfterSync(node *controller, to string, function func()) {
+	record, file, incarnation := node.acceptor.Record(), node.archive.Chunks(), node.incarnation
 	done := func() {
-		if node.life != incarnation {
+		if node.incarnation != incarnation {
 			return
 		}
 		node.disk, node.file = record, file
 		f.world.Send(node.member.Address, to, function)
 	}
-	if f.slow == 0 {
+	if f.maxSyncMs == 0 {
 		done()
 		return
 	}
-	node.syncing = max(node.syncing, f.world.Now).Add(clock.Milliseconds(f.slow * f.world.Random.Float64()))
+	node.syncing = max(node.syncing, f.world.Now).Add(clock.Milliseconds(f.maxSyncMs * f.world.Random.Float64()))
 	f.world.After(node.syncing.Sub(f.world.Now), done)
 }
 
-// follow keeps the archive beside a value that is about to be accepted, and pulls what
-// is lacking from another acceptor.
-func (f *fleet) follow(node *controller, value *messages.RegisterValue) {
+// extendArchive extends the archive for a value that is about to be accepted, and pulls missing
+// chunks from another acceptor.
+func (f *fleet) extendArchive(node *controller, value *messages.RegisterValue) {
 	if _, complete := node.archive.Extend(value, 1); complete {
 		return
 	}
@@ -218,14 +220,14 @@
 	node.archive.Extend(value, 1)
 }
 
-// bounce ends a process and starts it again from its disk.
-func (f *fleet) bounce(name string) {
+// restartLater stops a process and starts it again from its disk.
+func (f *fleet) restartLater(name string) {
 	node := f.controllers[name]
 	if node == nil || node.down {
 		return
 	}
 	node.down = true
-	node.life++
+	node.incarnation++
 	f.world.After(clock.Milliseconds(200*f.world.Random.Float64()), func() {
 		if node.down {
 			f.restart(name)
--- a/internal/control/register/grown_test.go
+++ b/internal/control/register/grown_test.go
@@ -11,45 +11,46 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// The fleet of these tests: eight controllers that know three seeds, and a budget of
-// two machines, which five acceptors bear.
+// These tests use eight controllers that know three seeds, and a fault budget of two machines,
+// which needs five acceptors. budgetSilence is the time in ns after which a stopped member counts
+// as departed, and budgetRecover the time in ms within which a change must be acknowledged.
 const (
 	budgetSize    = 5
 	budgetSilence = 6_000_000_000
 	budgetRecover = 15_000
 )
 
-// grown is a fleet whose processes look after the set by themselves.
-type grown struct {
+// growingFleet is a fleet whose processes maintain the acceptor set.
+type growingFleet struct {
 	*fleet
-	downSince map[string]clock.Instant
-	number    int
-	// met is when each process first saw the set that it knows.
-	met map[string]sighting
+	downSince    map[string]clock.Instant
+	replacements int
+	// setFirstSeen records when each process first saw the set that it knows.
+	setFirstSeen map[string]setObservation
 }
 
-// sighting is an epoch of the set and when it was first seen.
-type sighting struct {
+// setObservation is an epoch of the set and the time at which it was first seen.
+type setObservation struct {
 	epoch uint64
 	at    clock.Instant
 }
 
-// fresh tells whether a process met its set a short while ago.
-func (g *grown) fresh(name string) bool {
+// jointRecent reports whether a process first saw its set a short while ago.
+func (g *growingFleet) jointRecent(name string) bool {
 	epoch := g.controllers[name].known.SetEpoch
-	if g.met[name].epoch < epoch {
-		g.met[name] = sighting{epoch, g.world.Now}
+	if g.setFirstSeen[name].epoch < epoch {
+		g.setFirstSeen[name] = setObservation{epoch, g.world.Now}
 	}
-	return g.world.Now.Sub(g.met[name].at) < constants.JointSetOwnerTime
+	return g.world.Now.Sub(g.setFirstSeen[name].at) < constants.JointSetOwnerTime
 }
 
-func newGrown(t *testing.T, seed int64) *grown {
+func newGrowingFleet(t *testing.T, seed int64) *growingFleet {
 	t.Helper()
 
-	g := &grown{fleet: newFleet(t, seed, "a", "b", "c"), downSince: map[string]clock.Instant{}, met: map[string]sighting{}}
+	g := &growingFleet{fleet: newFleet(t, seed, "a", "b", "c"), downSince: map[string]clock.Instant{}, setFirstSeen: map[string]setObservation{}}
 	g.size = budgetSize
 	for _, name := range []string{"d", "e", "f", "g", "h"} {
-		g.outsider(name)
+		g.addNonMember(name)
 	}
 	for _, name := range simulation.Keys(g.controllers) {
 		g.reconcile(name)
@@ -57,9 +58,9 @@
 	return g
 }
 
-// reconcile is what each process does about once in half a second: learn of newer sets
-// from others, then propose what the step says.
-func (g *grown) reconcile(name string) {
+// reconcile is what each process does about every half second: it learns of newer sets from others,
+// then proposes the change that it has to make.
+func (g *growingFleet) reconcile(name string) {
 	g.world.After(clock.Milliseconds(200+600*g.world.Random.Float64()), func() {
 		g.reconcile(name)
 		node := g.controllers[name]
@@ -67,25 +68,25 @@
 			return
 		}
 		names := simulation.Keys(g.controllers)
-		for requested := 0; requested < 3; requested++ {
+		for lookups := 0; lookups < 3; lookups++ {
 			other := g.controllers[names[g.world.Random.Intn(len(names))]]
 			if !other.down && other.chosen && (other.known.SetEpoch > node.known.SetEpoch || len(node.known.Acceptors) == 0) {
 				node.known, node.chosen = other.known, false
 			}
 		}
-		tending := register.SetReconciler{Own: node.member, Votes: true, Size: budgetSize, Departed: g.departed}
-		if !node.chosen || node.disk.Value.SetEpoch > node.known.SetEpoch || tending.NextChange(node.known) != nil {
+		reconciler := register.SetReconciler{Own: node.member, Votes: true, Size: budgetSize, Departed: g.departed}
+		if !node.chosen || node.disk.Value.SetEpoch > node.known.SetEpoch || reconciler.NextChange(node.known) != nil {
 			g.read(name, func(value messages.RegisterValue) {
-				tending.JointRecent = g.fresh(name)
-				g.step(name, tending, value)
+				reconciler.JointRecent = g.jointRecent(name)
+				g.step(name, reconciler, value)
 			})
 		}
 	})
 }
 
-// step proposes what a chosen value asks for, and ends the joint set that it made.
-func (g *grown) step(name string, tending register.SetReconciler, value messages.RegisterValue) {
-	change := tending.NextChange(value)
+// step proposes the change that a chosen value requires, and ends the joint set that it created.
+func (g *growingFleet) step(name string, reconciler register.SetReconciler, value messages.RegisterValue) {
+	change := reconciler.NextChange(value)
 	if change == nil {
 		return
 	}
@@ -96,10 +97,10 @@
 	})
 }
 
-// read gives a process the value in force: quickly where that is clear, and by a
-// proposal at times where it is not, as a change may be under way.
-func (g *grown) read(name string, read func(value messages.RegisterValue)) {
-	g.look(name, register.ReadOnly, func(value messages.RegisterValue, decided bool) {
+// read passes the value in force to a callback: by a quick read if that is decisive; otherwise, as
+// a change may be in progress, by a proposal in one of four cases.
+func (g *growingFleet) read(name string, read func(value messages.RegisterValue)) {
+	g.quickRead(name, register.ReadOnly, func(value messages.RegisterValue, decided bool) {
 		node := g.controllers[name]
 		switch {
 		case node == nil:
@@ -115,26 +116,26 @@
 	})
 }
 
-func (g *grown) departed(member messages.Member) bool {
+func (g *growingFleet) departed(member messages.Member) bool {
 	node := g.controllers[member.Address]
 	return node == nil || (node.down && g.world.Now.Sub(g.downSince[member.Address]) > budgetSilence)
 }
 
-func (g *grown) stop(name string) {
+func (g *growingFleet) stop(name string) {
 	g.controllers[name].down = true
 	g.downSince[name] = g.world.Now
 }
 
-// start brings a process back, with its disk or without.
-func (g *grown) start(name string, wiped bool) {
+// start restarts a process, with its disk or with an empty one.
+func (g *growingFleet) start(name string, wiped bool) {
 	if wiped {
 		g.wipe(name)
 	}
 	g.restart(name)
 }
 
-// complete tells whether the newest set known anywhere is complete and all of it up.
-func (g *grown) complete() bool {
+// complete reports whether the newest known set is complete and all its members are up.
+func (g *growingFleet) complete() bool {
 	var newest messages.RegisterValue
 	for _, name := range simulation.Keys(g.controllers) {
 		if node := g.controllers[name]; node.chosen && node.known.SetEpoch >= newest.SetEpoch {
@@ -150,8 +151,9 @@
 	return len(newest.Acceptors) == budgetSize && len(newest.Previous) == 0
 }
 
-// until runs the world in steps until something holds; false when it takes longer.
-func (g *grown) until(timeout clock.Duration, condition func() bool) bool {
+// runUntil runs the simulation in steps until the condition is true; it returns false if that takes
+// longer than the timeout.
+func (g *growingFleet) runUntil(timeout clock.Duration, condition func() bool) bool {
 	for end := g.world.Now.Add(timeout); g.world.Now < end; {
 		if condition() {
 			return true
@@ -161,12 +163,13 @@
 	return condition()
 }
 
-// insist sends a configuration to one process after another until it is told.
-func (g *grown) insist(generation, base int64) {
+// replaceUntilAcknowledged sends a configuration to one process after another until it is
+// acknowledged.
+func (g *growingFleet) replaceUntilAcknowledged(generation, base int64) {
 	if g.acked[generation] != "" {
 		return
 	}
 	names := simulation.Keys(g.controllers)
 	g.replace(names[g.world.Random.Intn(len(names))], generation, base, fmt.Sprint(generation))
-	g.world.After(clock.Milliseconds(700), func() { g.insist(generation, base) })
+	g.world.After(clock.Milliseconds(700), func() { g.replaceUntilAcknowledged(generation, base) })
 }
--- a/internal/control/register/main_test.go
+++ b/internal/control/register/main_test.go
@@ -8,7 +8,7 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// TestMain makes the property tests play the same histories each time.
+// TestMain pins the seed of the property tests, so that they run the same histories each time.
 func TestMain(m *testing.M) {
 	if err := simulation.PinRapid(200); err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/internal/control/register/operators_test.go
+++ b/internal/control/register/operators_test.go
@@ -10,17 +10,17 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// status is what an operator saw of one try of an order.
+// status is the result of one attempt of a request, as an operator saw it.
 type status int
 
 const (
 	unanswered status = iota
 	acknowledged
-	refused
+	rejected
 )
 
-// sighted is one answer that an operator saw.
-type sighted struct {
+// observation is one response that an operator received.
+type observation struct {
 	operator string
 	at       string
 	version  messages.Version
@@ -28,52 +28,52 @@
 	when     clock.Instant
 }
 
-// operators send orders to a fleet, again where no clear answer came, and keep what
-// they saw.
+// operators send change requests to a fleet, retry those with an unknown outcome, and record
+// the responses.
 type operators struct {
 	*fleet
-	names  []string
-	seen   []sighted
-	sent   []messages.Version
-	chain  map[int64]messages.Version
-	onTop  map[int64]messages.Version
-	counts map[string]int
+	names        []string
+	observations []observation
+	sent         []messages.Version
+	byGeneration map[int64]messages.Version
+	byBase       map[int64]messages.Version
+	counts       map[string]int
 }
 
 func newOperators(t *testing.T, seed int64) *operators {
 	t.Helper()
 
-	o := &operators{fleet: newFleet(t, seed, "a", "b", "c"), chain: map[int64]messages.Version{}, onTop: map[int64]messages.Version{}, counts: map[string]int{}}
-	o.outsider("d")
-	o.outsider("e")
+	o := &operators{fleet: newFleet(t, seed, "a", "b", "c"), byGeneration: map[int64]messages.Version{}, byBase: map[int64]messages.Version{}, counts: map[string]int{}}
+	o.addNonMember("d")
+	o.addNonMember("e")
 	o.names = []string{"a", "b", "c", "d", "e"}
-	o.fleet.chosen = o.note
+	o.fleet.onChosen = o.recordChosen
 	return o
 }
 
-// note keeps the one true history, and fails where there are two.
-func (o *operators) note(value messages.RegisterValue) {
+// recordChosen adds a chosen value to the history, and fails if that contradicts an earlier value.
+func (o *operators) recordChosen(value messages.RegisterValue) {
 	for _, version := range append([]messages.Version{value.Current}, value.History...) {
 		if version.Generation == 0 {
 			continue
 		}
-		if other, known := o.chain[version.Generation]; known && other != version {
-			o.test.Fatalf("two histories: %v and %v", other, version)
+		if other, known := o.byGeneration[version.Generation]; known && other != version {
+			o.test.Fatalf("two versions of one generation: %v and %v", other, version)
 		}
-		if other, known := o.onTop[version.Base]; known && other != version {
+		if other, known := o.byBase[version.Base]; known && other != version {
 			o.test.Fatalf("two versions on one base: %v and %v", other, version)
 		}
-		o.chain[version.Generation], o.onTop[version.Base] = version, version
+		o.byGeneration[version.Generation], o.byBase[version.Base] = version, version
 	}
 }
 
-// try sends an order to one process; ended is told of a clear answer.
-func (o *operators) try(operator, at string, version messages.Version, ended func(status status)) {
-	resp := func(status status) {
+// sendOnce sends a request to one process. callback is called with a definite result.
+func (o *operators) sendOnce(operator, at string, version messages.Version, callback func(status status)) {
+	respond := func(status status) {
 		o.world.Send(at, operator, func() {
-			o.seen = append(o.seen, sighted{operator, at, version, status, o.world.Now})
+			o.observations = append(o.observations, observation{operator, at, version, status, o.world.Now})
 			if status != unanswered {
-				ended(status)
+				callback(status)
 			}
 		})
 	}
@@ -83,22 +83,22 @@
 		}
 		var result register.Result
 		o.change(at, register.Replace(version, []byte(version.Hash), &result), 6, func(value messages.RegisterValue, done bool) {
-			o.conclude(at, &value, version, result, done, resp)
+			o.interpret(at, &value, version, result, done, respond)
 		})
 	})
 }
 
-// conclude is what quorum.Register.Replace and the controller make of an outcome.
-func (o *operators) conclude(at string, value *messages.RegisterValue, version messages.Version, result register.Result, done bool, resp func(status)) {
+// interpret maps an outcome to a status as registerserver.Replica.Replace and the controller do.
+func (o *operators) interpret(at string, value *messages.RegisterValue, version messages.Version, result register.Result, done bool, respond func(status)) {
 	if done && result == register.ResultNeedsArchive {
 		o.counts["archived"]++
 		req := &messages.ArchiveRequest{Head: value.Archive, Generation: version.Generation, Fingerprint: register.Fingerprint(version)}
 		done = false
 		for _, name := range append([]string{at}, o.names...) {
 			node := o.controllers[name]
-			if sought := node.archive.Lookup(req).Status; !node.down && sought != messages.VersionUnknown {
+			if status := node.archive.Lookup(req).Status; !node.down && status != messages.VersionUnknown {
 				done, result = true, register.CheckSuccessor(value.Current, version)
-				if sought == messages.VersionCommitted {
+				if status == messages.VersionCommitted {
 					result = register.ResultAlreadyApplied
 				}
 			}
@@ -106,37 +106,37 @@
 	}
 	switch {
 	case !done || result == register.ResultBaseAhead:
-		resp(unanswered)
+		respond(unanswered)
 	case result.InForce():
-		resp(acknowledged)
+		respond(acknowledged)
 	default:
-		resp(refused)
+		respond(rejected)
 	}
 }
 
-// order sends a version until a clear answer comes, each time to any process, often
-// before the first try has ended.
-func (o *operators) order(operator string, version messages.Version, attempts int, ended func(status status)) {
-	over := false
-	var again func(attempts int)
-	again = func(attempts int) {
-		if over || attempts == 0 {
+// sendUntilAnswered sends a version until a definite response arrives, each time to a random
+// process, often before the previous attempt has ended.
+func (o *operators) sendUntilAnswered(operator string, version messages.Version, attempts int, callback func(status status)) {
+	finished := false
+	var retry func(attempts int)
+	retry = func(attempts int) {
+		if finished || attempts == 0 {
 			return
 		}
-		o.try(operator, o.names[o.world.Random.Intn(len(o.names))], version, func(status status) {
-			if !over {
-				over = true
-				ended(status)
+		o.sendOnce(operator, o.names[o.world.Random.Intn(len(o.names))], version, func(status status) {
+			if !finished {
+				finished = true
+				callback(status)
 			}
 		})
-		o.world.After(clock.Milliseconds(10+600*o.world.Random.Float64()), func() { again(attempts - 1) })
+		o.world.After(clock.Milliseconds(10+600*o.world.Random.Float64()), func() { retry(attempts - 1) })
 	}
-	again(attempts)
+	retry(attempts)
 }
 
-// work is one operator: it builds on what it believes to be newest, at times with the
-// number or the very bytes of somebody else's order, at times sends an old one again.
-func (o *operators) work(operator string, orders int) {
+// run is one operator. It bases its requests on the version that it believes to be the newest. Some
+// of them reuse the generation or the exact content of another request, and some repeat an old one.
+func (o *operators) run(operator string, orders int) {
 	newest := int64(0)
 	var step func(left int)
 	step = func(left int) {
@@ -150,19 +150,19 @@
 			o.counts["again"]++
 		}
 		if len(o.sent) > 0 && random.Intn(8) == 0 {
-			// Built on an order that has no answer yet.
+			// Based on a request that has no response yet.
 			base := o.sent[len(o.sent)-1]
 			version = messages.Version{Generation: base.Generation + 1, Base: base.Generation, Hash: fmt.Sprint("hasty", operator, left)}
 		}
 		o.sent = append(o.sent, version)
-		over := false
+		finished := false
 		next := func() {
-			if !over {
-				over = true
+			if !finished {
+				finished = true
 				o.world.After(clock.Milliseconds(40*random.Float64()), func() { step(left - 1) })
 			}
 		}
-		o.order(operator, version, 6, func(status status) {
+		o.sendUntilAnswered(operator, version, 6, func(status status) {
 			if status == acknowledged && version.Generation > newest {
 				newest = version.Generation
 				next()
@@ -180,55 +180,55 @@
 	step(orders)
 }
 
-// trouble cuts, ends, and restarts processes, one at a time.
-func (o *operators) trouble() {
+// injectFaults isolates, restarts and partitions processes, one at a time.
+func (o *operators) injectFaults() {
 	name := o.names[o.world.Random.Intn(len(o.names))]
 	switch o.world.Random.Intn(4) {
 	case 0:
 		o.world.Isolate(name, o.names, true)
 		o.world.After(clock.Milliseconds(700), func() { o.world.Isolate(name, o.names, false) })
 	case 1:
-		o.bounce(name)
+		o.restartLater(name)
 	case 2:
 		other := o.names[o.world.Random.Intn(len(o.names))]
 		o.world.SetPartitioned(name, other, true)
 		o.world.After(clock.Milliseconds(900), func() { o.world.SetPartitioned(name, other, false) })
 	}
-	o.world.After(clock.Milliseconds(2500*o.world.Random.Float64()), o.trouble)
+	o.world.After(clock.Milliseconds(2500*o.world.Random.Float64()), o.injectFaults)
 }
 
-// Eight operators send orders at once, each again where no clear answer came, while
-// messages are lost and doubled, links are cut, processes end between the two rounds
-// and come back from their disks. Nothing that came into force is ever refused, what
-// was refused never comes into force, and no two versions stand on one base.
+// Eight operators send requests at once and retry those with an unknown outcome, while messages are
+// lost and duplicated, links are partitioned, and processes crash between the two rounds and
+// restart from their disks. A version that came into force must never be rejected, a rejected
+// version must never come into force, and no two versions may have the same base.
 func TestOperatorHistoriesAreLinearizable(t *testing.T) {
 	total := map[string]int{}
 	for seed := int64(1); seed <= int64(simulation.Seeds(120)); seed++ {
 		operators := newOperators(t, seed)
-		operators.world.Loss, operators.world.Double, operators.crash = 0.03, 0.03, 0.03
-		operators.slow = float64(seed%3) * 8
+		operators.world.Loss, operators.world.Double, operators.crashProbability = 0.03, 0.03, 0.03
+		operators.maxSyncMs = float64(seed%3) * 8
 		for index := range 8 {
-			operators.work(fmt.Sprint("operator", index), 14)
+			operators.run(fmt.Sprint("operator", index), 14)
 		}
-		operators.trouble()
+		operators.injectFaults()
 		operators.world.Run(clock.Instant(clock.Milliseconds(60_000)))
-		for _, resp := range operators.seen {
-			inForce := operators.chain[resp.version.Generation] == resp.version
-			if resp.status == acknowledged && !inForce {
-				t.Fatalf("seed %d: acknowledged, yet not in the history: %v", seed, resp)
+		for _, respond := range operators.observations {
+			inForce := operators.byGeneration[respond.version.Generation] == respond.version
+			if respond.status == acknowledged && !inForce {
+				t.Fatalf("seed %d: acknowledged but not in the history: %v", seed, respond)
 			}
-			if resp.status == refused && inForce {
-				t.Fatalf("seed %d: refused, yet in the history: %v", seed, resp)
+			if respond.status == rejected && inForce {
+				t.Fatalf("seed %d: rejected but in the history: %v", seed, respond)
 			}
-			total[fmt.Sprint("status ", resp.status)]++
+			total[fmt.Sprint("status ", respond.status)]++
 		}
-		total["versions"] += len(operators.chain)
+		total["versions"] += len(operators.byGeneration)
 		for _, key := range simulation.Keys(operators.counts) {
 			total[key] += operators.counts[key]
 		}
 	}
 	t.Log(total)
 	if total["versions"] < 30*simulation.Seeds(120) || total["archived"] < simulation.Seeds(120) {
-		t.Fatalf("too little happened: %v", total)
+		t.Fatalf("too few versions or archive lookups: %v", total)
 	}
 }
--- a/internal/control/register/register_test.go
+++ b/internal/control/register/register_test.go
@@ -12,17 +12,17 @@
 
 // controller is one simulated process with an acceptor on a disk.
 type controller struct {
-	member  messages.Member
-	disk    messages.AcceptorRecord
-	live    *register.Acceptor
-	down    bool
-	counter uint64
-	life    int64
-	known   messages.RegisterValue
-	// chosen says that a majority was seen to hold what is known.
+	member      messages.Member
+	disk        messages.AcceptorRecord
+	acceptor    *register.Acceptor
+	down        bool
+	counter     uint64
+	incarnation int64
+	known       messages.RegisterValue
+	// chosen is set if a majority was seen to accept the known value.
 	chosen bool
-	// archive is what is known of versions taken long ago, and file what of it is
-	// on disk. syncing is when the disk is done with what it was given.
+	// archive contains the older committed versions, and file the part of it that is on disk.
+	// syncing is the time at which the disk has finished its queued writes.
 	archive register.Archive
 	file    []messages.ArchiveChunk
 	syncing clock.Instant
@@ -34,18 +34,18 @@
 	acked       map[int64]string
 	onBase      map[int64]int64
 	test        *testing.T
-	// slow is how many ms a sync may take beyond the usual.
-	slow float64
-	// crash is the chance that a proposer dies between its two rounds.
-	crash float64
-	// chosen, where set, is told of each value that was chosen.
-	chosen func(value messages.RegisterValue)
-	// attempts counts proposals begun.
+	// maxSyncMs is the maximum time in ms that a sync takes; 0 disables the delay.
+	maxSyncMs float64
+	// crashProbability is the probability that a proposer crashes between its two rounds.
+	crashProbability float64
+	// onChosen, if set, is called with each chosen value.
+	onChosen func(value messages.RegisterValue)
+	// attempts is the number of proposals started.
 	attempts int
-	// size, where it is set, is how many acceptors bear the fault budget: nothing
-	// is acknowledged in a smaller set. told is called at each acknowledgement.
-	size int
-	told func(generation int64)
+	// size, if set, is the number of acceptors that tolerates the fault budget: nothing is
+	// acknowledged in a smaller set. onAcknowledged, if set, is called at each acknowledgement.
+	size           int
+	onAcknowledged func(generation int64)
 }
 
 func newFleet(t *testing.T, seed int64, names ...string) *fleet {
@@ -58,17 +58,17 @@
 	}
 	for _, member := range first {
 		record := messages.AcceptorRecord{Disk: member.Disk, First: first}
-		f.controllers[member.Address] = &controller{member: member, disk: record, live: register.NewAcceptor(record), known: messages.RegisterValue{Acceptors: first}, chosen: true}
+		f.controllers[member.Address] = &controller{member: member, disk: record, acceptor: register.NewAcceptor(record), known: messages.RegisterValue{Acceptors: first}, chosen: true}
 	}
 	return f
 }
 
-// outsider adds a process that proposes and does not vote.
-func (f *fleet) outsider(name string) {
+// addNonMember adds a process that proposes but is not a member of the acceptor set.
+func (f *fleet) addNonMember(name string) {
 	first := f.controllers["a"].disk.First
 	record := messages.AcceptorRecord{Disk: name, First: first}
 	member := messages.Member{Name: name, Address: name, Disk: name}
-	f.controllers[name] = &controller{member: member, disk: record, live: register.NewAcceptor(record), known: messages.RegisterValue{Acceptors: first}, chosen: true}
+	f.controllers[name] = &controller{member: member, disk: record, acceptor: register.NewAcceptor(record), known: messages.RegisterValue{Acceptors: first}, chosen: true}
 }
 
 // wipe gives a machine an empty disk and a new identity.
@@ -76,18 +76,18 @@
 	node := f.controllers[name]
 	node.member.Disk = fmt.Sprintf("new-%d", f.world.Random.Int63())
 	node.disk = messages.AcceptorRecord{Disk: node.member.Disk}
-	node.live = register.NewAcceptor(node.disk)
+	node.acceptor = register.NewAcceptor(node.disk)
 	node.archive, node.file = register.Archive{}, nil
 }
 
-// restart reads the disk again: only what was kept is known.
+// restart starts a process from its disk; only synced state is kept.
 func (f *fleet) restart(name string) {
 	node := f.controllers[name]
-	node.live, node.down = register.NewAcceptor(node.disk), false
-	// A new incarnation knows what its disk says, and nothing of what it proposed.
+	node.acceptor, node.down = register.NewAcceptor(node.disk), false
+	// A new incarnation knows what is on its disk, but not what it proposed before.
 	node.counter = 0
-	node.life++
-	node.known, node.chosen = node.live.Value(), false
+	node.incarnation++
+	node.known, node.chosen = node.acceptor.Value(), false
 	node.syncing = f.world.Now
 	node.archive = register.Archive{}
 	for _, chunk := range node.file {
@@ -95,7 +95,7 @@
 	}
 }
 
-// replace sends a configuration and checks what an acknowledgement promises.
+// replace sends a configuration and checks the guarantees of an acknowledgement.
 func (f *fleet) replace(from string, generation, base int64, label string) {
 	version := messages.Version{Generation: generation, Base: base, Hash: label}
 	var result register.Result
@@ -105,7 +105,7 @@
 		}
 		f.world.Record("%s %d on %d: %d", from, generation, base, result)
 		if f.size > 0 && !register.ToleratesBudget(&value, f.size, len(f.controllers)-len(value.Acceptors)) {
-			// Not told yet: two losses could take it away again.
+			// Not acknowledged yet: the loss of two members could lose it.
 			return
 		}
 		if result == register.ResultApplied || result == register.ResultAlreadyApplied {
@@ -114,14 +114,14 @@
 			}
 			f.onBase[base] = generation
 			f.acked[generation] = label
-			if f.told != nil {
-				f.told(generation)
+			if f.onAcknowledged != nil {
+				f.onAcknowledged(generation)
 			}
 		}
 	})
 }
 
-// newest reads the register and checks that nothing acknowledged is gone.
+// newest reads the register and checks that no acknowledged version is lost.
 func (f *fleet) newest(from string) int64 {
 	var found int64 = -1
 	f.change(from, register.ReadOnly, 12, func(value messages.RegisterValue, done bool) {
@@ -131,10 +131,10 @@
 		found = value.Current.Generation
 		for generation, label := range f.acked {
 			if generation > found {
-				f.test.Fatalf("acknowledged %d (%s) is gone, newest is %d", generation, label, found)
+				f.test.Fatalf("acknowledged version %d (%s) is lost, newest is %d", generation, label, found)
 			}
 			if generation == found && string(value.Body) != label {
-				f.test.Fatalf("version %d holds another body", generation)
+				f.test.Fatalf("version %d has a different body", generation)
 			}
 		}
 	})
--- a/internal/control/register/stores_test.go
+++ b/internal/control/register/stores_test.go
@@ -10,17 +10,17 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Orders that retire stores come through several controllers, each with its own view of
-// who is alive, among changes of the store set by the holder: as long as the views name
-// only machines that are alive, enough of them that are not retired remain, whatever
-// the order of the changes, and a retired machine is never brought into the set.
+// Requests to retire stores arrive at several controllers, each with its own view of which machines
+// are alive, interleaved with changes of the store set by the leader. As long as the views contain
+// only live machines, enough machines that are not retired remain, in any order of the changes, and
+// a retired machine is never added to the set.
 func TestRetirementsLeaveEnoughStores(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		names := []string{"a", "b", "c", "d", "e", "f"}
-		least := rapid.IntRange(1, 5).Draw(rt, "least")
-		lease := messages.Leadership{Holder: "a", Epoch: 1}
-		value := messages.RegisterValue{Leadership: lease}
-		take := func(change register.Change) {
+		minimum := rapid.IntRange(1, 5).Draw(rt, "least")
+		leader := messages.Leadership{Holder: "a", Epoch: 1}
+		value := messages.RegisterValue{Leadership: leader}
+		apply := func(change register.Change) {
 			if next, verdict := change(value); verdict == register.VerdictWrite {
 				value = next
 			}
@@ -32,11 +32,11 @@
 					stores = append(stores, messages.Member{Name: name})
 				}
 				before, done := value, false
-				take(register.SetStores(lease, uint64(order+1), stores, &done))
+				apply(register.SetStores(leader, uint64(order+1), stores, &done))
 				for _, store := range value.Stores {
 					old := slices.ContainsFunc(before.Stores, func(member messages.Member) bool { return member.Name == store.Name })
 					if !old && slices.Contains(before.Retired, store.Name) {
-						rt.Fatalf("%s was brought in while it is retired", store.Name)
+						rt.Fatalf("%s was added although it is retired", store.Name)
 					}
 				}
 				continue
@@ -45,18 +45,18 @@
 			serving := rapid.SliceOfDistinct(rapid.SampledFrom(names), rapid.ID[string]).Draw(rt, "serving")
 			name := rapid.SampledFrom(names).Draw(rt, "name")
 			before := value
-			take(register.RetireStore(name, serving, least, &result))
-			remain := 0
+			apply(register.RetireStore(name, serving, minimum, &result))
+			remaining := 0
 			for _, other := range names {
 				if !slices.Contains(value.Retired, other) {
-					remain++
+					remaining++
 				}
 			}
-			if len(value.Retired) > 0 && remain < least {
-				rt.Fatalf("%d remain of at least %d: %d after %v", remain, least, result, before.Retired)
+			if len(value.Retired) > 0 && remaining < minimum {
+				rt.Fatalf("%d machines remain, want at least %d: result %d after retired %v", remaining, minimum, result, before.Retired)
 			}
 			if slices.Contains(before.Retired, name) != (result == register.ResultAlreadyApplied) {
-				rt.Fatalf("%s: %d, retired before: %v", name, result, before.Retired)
+				rt.Fatalf("%s: result %d, retired before: %v", name, result, before.Retired)
 			}
 		}
 	})
--- a/internal/control/register/storesequence_test.go
+++ b/internal/control/register/storesequence_test.go
@@ -7,8 +7,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// namesOf makes a set of stores.
-func namesOf(names ...string) []messages.Member {
+// storesNamed returns a store set with the given names.
+func storesNamed(names ...string) []messages.Member {
 	var stores []messages.Member
 	for _, name := range names {
 		stores = append(stores, messages.Member{Name: name})
@@ -16,12 +16,12 @@
 	return stores
 }
 
-// A leader's changes of the store set come late, twice or out of order: the set in force is
-// always that of the latest which has arrived, and each sender is told the truth.
+// Changes of the store set arrive late, twice or out of order: the set in force is always that of
+// the highest-numbered change that has arrived, and done is correct for each sender.
 func TestLateChangeOfTheStoreSetHasNoEffect(t *testing.T) {
-	lease := messages.Leadership{Holder: "a", Epoch: 4}
-	full, three, other := namesOf("a", "b", "c", "d"), namesOf("a", "b", "c"), namesOf("a", "b", "e")
-	value := messages.RegisterValue{Leadership: lease, Stores: full}
+	leader := messages.Leadership{Holder: "a", Epoch: 4}
+	full, three, other := storesNamed("a", "b", "c", "d"), storesNamed("a", "b", "c"), storesNamed("a", "b", "e")
+	value := messages.RegisterValue{Leadership: leader, Stores: full}
 	for _, test := range []struct {
 		name     string
 		leader   messages.Leadership
@@ -30,14 +30,14 @@
 		done     bool
 		set      []messages.Member
 	}{
-		{"the first change", lease, 1, three, true, three},
-		{"the same once more", lease, 1, three, true, three},
-		{"a later one", lease, 2, full, true, full},
-		{"the first one late", lease, 1, three, false, full},
-		{"another under the number that is taken", lease, 2, other, false, full},
-		{"one without a number after numbered ones", lease, 0, three, false, full},
-		{"one whose predecessor never arrived", lease, 4, three, true, three},
-		{"that predecessor", lease, 3, other, false, three},
+		{"the first change", leader, 1, three, true, three},
+		{"the same once more", leader, 1, three, true, three},
+		{"a later one", leader, 2, full, true, full},
+		{"the first one late", leader, 1, three, false, full},
+		{"another under the number that is taken", leader, 2, other, false, full},
+		{"one without a number after numbered ones", leader, 0, three, false, full},
+		{"one whose predecessor never arrived", leader, 4, three, true, three},
+		{"that predecessor", leader, 3, other, false, three},
 		{"of an earlier epoch", messages.Leadership{Holder: "a", Epoch: 3}, 9, other, false, three},
 	} {
 		done := false
@@ -50,19 +50,18 @@
 	}
 }
 
-// A new epoch numbers its changes anew, and changes of senders that don't number them go by
-// the epoch alone.
+// Numbering restarts in a new epoch, and changes without a number are only checked by their epoch.
 func TestEachEpochNumbersItsChangesAnew(t *testing.T) {
-	value := messages.RegisterValue{Leadership: messages.Leadership{Holder: "a", Epoch: 4}, Stores: namesOf("a", "b"), StoresSequence: 7}
+	value := messages.RegisterValue{Leadership: messages.Leadership{Holder: "a", Epoch: 4}, Stores: storesNamed("a", "b"), StoresSequence: 7}
 	elected, done := messages.Leadership{Holder: "b"}, false
 	value, _ = register.Campaign(elected, 4, nil, &done)(value)
 	if !done || value.StoresSequence != 0 {
 		t.Fatal(done, value.StoresSequence)
 	}
-	for _, stores := range [][]messages.Member{namesOf("b"), namesOf("a", "b")} {
+	for _, stores := range [][]messages.Member{storesNamed("b"), storesNamed("a", "b")} {
 		value, _ = register.SetStores(value.Leadership, 0, stores, &done)(value)
 		if !done || !register.SameMembers(value.Stores, stores) {
-			t.Fatal("an unnumbered change had no effect", value.Stores)
+			t.Fatal("a change without a number had no effect", value.Stores)
 		}
 	}
 }
--- a/internal/control/registerserver/catchup_test.go
+++ b/internal/control/registerserver/catchup_test.go
@@ -17,26 +17,26 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// member is one process with a register on a disk in memory.
+// member is one process with a register on an in-memory disk.
 type member struct {
 	replica *registerserver.Replica
 	disk    *recordlog.MemoryDisk
 	wire    *transport.Memory
 }
 
-// cluster is some members joined in memory.
+// cluster is a set of members connected by an in-memory network.
 type cluster struct {
-	test    *testing.T
-	room    *transport.MemoryNetwork
-	first   []messages.Member
-	members map[string]*member
-	taken   []messages.Version
+	test      *testing.T
+	network   *transport.MemoryNetwork
+	first     []messages.Member
+	members   map[string]*member
+	committed []messages.Version
 }
 
 func newCluster(t *testing.T, names ...string) *cluster {
 	t.Helper()
 
-	c := &cluster{test: t, room: transport.NewMemoryNetwork(), members: map[string]*member{}}
+	c := &cluster{test: t, network: transport.NewMemoryNetwork(), members: map[string]*member{}}
 	for _, name := range names {
 		c.first = append(c.first, messages.Member{Name: name, Address: name + ":7000", Disk: "first"})
 	}
@@ -47,7 +47,7 @@
 	return c
 }
 
-// start opens the disk of a member and serves.
+// start opens the disk of a member and serves requests.
 func (c *cluster) start(name string) *member {
 	started := c.members[name]
 	replica, err := registerserver.Open(started.disk, c.first, "first")
@@ -56,7 +56,7 @@
 	}
 	runtime := agent.New(&settings.Settings{NodeName: name, Address: name, InternalPorts: []int{7000, 7010}}, "controller", 0, "first", hclog.NewNullLogger())
 	runtime.Self.Address = name + ":7000"
-	started.wire = c.room.Transport(runtime.Self.Address)
+	started.wire = c.network.Transport(runtime.Self.Address)
 	runtime.Transport, replica.Node, started.replica = started.wire, runtime, replica
 	handler := func(kind messages.Kind, body []byte) ([]byte, error) {
 		if kind == messages.KindPrepare {
@@ -86,38 +86,38 @@
 	return started
 }
 
-// clearly makes a call as an operator does: where a majority did not answer in time, as
-// happens on a machine under load, the same order is sent again.
-func clearly[Value any](call func() (Value, error)) (Value, error) {
-	const tries = 20
+// retryUntilKnown makes a call as an operator does: if no majority responds in time, as happens on
+// a machine under load, the same request is sent again.
+func retryUntilKnown[Value any](call func() (Value, error)) (Value, error) {
+	const maxAttempts = 20
 	for attempt := 1; ; attempt++ {
 		value, err := call()
-		if attempt == tries || !errs.Is(err, register.ErrNoQuorum) && !errs.Is(err, register.ErrOutcomeUnknown) {
+		if attempt == maxAttempts || !errs.Is(err, register.ErrNoQuorum) && !errs.Is(err, register.ErrOutcomeUnknown) {
 			return value, err
 		}
 	}
 }
 
-// replace has a member put a version in force, until it has a clear result.
+// replace has a member put a version in force, and retries until the outcome is known.
 func (c *cluster) replace(name string, version messages.Version, body []byte) (register.Result, error) {
-	return clearly(func() (register.Result, error) {
+	return retryUntilKnown(func() (register.Result, error) {
 		_, result, err := c.members[name].replica.Replace(version, body)
 		return result, err
 	})
 }
 
-// change has a member take one more version.
+// change has a member commit one more version.
 func (c *cluster) change(name string) {
-	base := int64(len(c.taken))
+	base := int64(len(c.committed))
 	version := messages.Version{Generation: base + 1, Base: base, Hash: fmt.Sprintf("%064d", base)}
 	if result, err := c.replace(name, version, make([]byte, 1000)); err != nil || !result.InForce() {
 		c.test.Fatalf("change %d: %d %v", base, result, err)
 	}
-	c.taken = append(c.taken, version)
+	c.committed = append(c.committed, version)
 }
 
-// received is how many bytes of requests and responses came to a member.
-func (c *cluster) heard(name string) int64 {
+// received returns the number of bytes of requests and responses that a member received.
+func (c *cluster) received(name string) int64 {
 	total := int64(0)
 	for _, reading := range c.members[name].wire.Meter().Samples() {
 		total += reading.Received.Bytes
@@ -125,7 +125,7 @@
 	return total
 }
 
-// size is the length of a member's file.
+// size returns the length of a file of a member.
 func (c *cluster) size(name, file string) int64 {
 	opened, err := c.members[name].disk.Open(file)
 	if err != nil {
@@ -135,8 +135,8 @@
 	return length
 }
 
-// catchUp stops c, has others take changes, starts c again and has eight orders come at
-// once. It gives the bytes that c received until it had the newest value.
+// catchUp stops c, commits changes at the others, starts c again and sends eight requests at once.
+// It returns the number of bytes that c received until it had the newest value.
 func catchUp(t *testing.T, changes int) int64 {
 	t.Helper()
 
@@ -148,45 +148,45 @@
 	}
 	stale := cluster.members["c"].replica.Known().Current.Generation
 	restarted := cluster.start("c")
-	before := cluster.heard("c")
-	// It leads with the newest state only, though its own is old.
-	if value, err := clearly(restarted.replica.Read); err != nil || value.Current.Generation != int64(changes)+1 {
-		t.Fatalf("after %d changes (its own state is of %d) it reads %d: %v", changes, stale, value.Current.Generation, err)
+	before := cluster.received("c")
+	// A read at the restarted member must return the newest value, although its own state is old.
+	if value, err := retryUntilKnown(restarted.replica.Read); err != nil || value.Current.Generation != int64(changes)+1 {
+		t.Fatalf("after %d changes (own state is of generation %d) read generation %d: %v", changes, stale, value.Current.Generation, err)
 	}
 	cluster.change("c")
 	cluster.race()
-	// A majority is enough for each change: the member is asked once more at most times.
-	for attempts := 0; restarted.replica.Record().Value.Current != cluster.taken[len(cluster.taken)-1]; attempts++ {
+	// A change needs only a majority, so the restarted member may miss some of them.
+	for attempts := 0; restarted.replica.Record().Value.Current != cluster.committed[len(cluster.committed)-1]; attempts++ {
 		if attempts == 20 {
-			t.Fatalf("holds %v, newest is %v", restarted.replica.Record().Value.Current, cluster.taken[len(cluster.taken)-1])
+			t.Fatalf("restarted member has %v, newest is %v", restarted.replica.Record().Value.Current, cluster.committed[len(cluster.committed)-1])
 		}
 		cluster.change("c")
 	}
-	used := cluster.heard("c") - before
+	receivedBytes := cluster.received("c") - before
 	head := restarted.replica.Record().Value.Archive
-	for _, version := range cluster.taken[:len(cluster.taken)-64] {
+	for _, version := range cluster.committed[:len(cluster.committed)-64] {
 		req := &messages.ArchiveRequest{Head: head, Generation: version.Generation, Fingerprint: register.Fingerprint(version)}
 		resp, err := restarted.replica.Prepare(&messages.PrepareRequest{Disk: "first", Query: true, WithoutBody: true, Archive: req})
 		if err != nil || resp.Archive.Status != messages.VersionCommitted {
-			t.Fatalf("the archive of the restarted member says %d of %v: %v", resp.Archive.Status, version, err)
+			t.Fatalf("the archive of the restarted member has status %d for %v: %v", resp.Archive.Status, version, err)
 		}
 	}
 	for _, file := range []string{"register", "register-taken"} {
 		if length := cluster.size("a", file); length > 5<<20 {
-			t.Fatalf("%s is %d bytes long", file, length)
+			t.Fatalf("file %s has %d bytes, more than 5 MiB", file, length)
 		}
 	}
-	t.Logf("%d changes missed: %d bytes heard, files of a member that was there %d and %d bytes", changes, used,
+	t.Logf("%d changes missed: %d bytes received, files of a member that missed none have %d and %d bytes", changes, receivedBytes,
 		cluster.size("a", "register"), cluster.size("a", "register-taken"))
-	return used
+	return receivedBytes
 }
 
-// race has eight orders on one base come at once through all members.
+// race sends eight requests with the same base at once through all members.
 func (c *cluster) race() {
-	base := int64(len(c.taken))
+	base := int64(len(c.committed))
 	var group sync.WaitGroup
 	var lock sync.Mutex
-	var won []messages.Version
+	var acknowledged []messages.Version
 	for index := range 8 {
 		name := c.first[index%len(c.first)].Name
 		version := messages.Version{Generation: base + 1, Base: base, Hash: fmt.Sprintf("race %d", index)}
@@ -195,28 +195,28 @@
 			defer group.Done()
 			result, err := c.replace(name, version, nil)
 			if err != nil {
-				c.test.Errorf("%s has no clear result: %v", version.Hash, err)
+				c.test.Errorf("%s has no known outcome: %v", version.Hash, err)
 			}
 			if err == nil && result.InForce() {
 				lock.Lock()
-				won = append(won, version)
+				acknowledged = append(acknowledged, version)
 				lock.Unlock()
 			}
 		}()
 	}
 	group.Wait()
-	if len(won) != 1 {
-		c.test.Fatalf("%d of eight orders on one base were acknowledged", len(won))
+	if len(acknowledged) != 1 {
+		c.test.Fatalf("%d of eight requests with the same base were acknowledged, want 1", len(acknowledged))
 	}
-	c.taken = append(c.taken, won...)
+	c.committed = append(c.committed, acknowledged...)
 }
 
-// A member that missed changes catches up with one value, whatever their number, and
-// with 8 bytes a version of archive.
-func TestCatchUpIsStateNotHistory(t *testing.T) {
+// A member that missed changes catches up by receiving one value, regardless of the number of
+// changes, and 8 bytes of archive per version.
+func TestCatchUpTransfersStateNotHistory(t *testing.T) {
 	few, many := catchUp(t, 300), catchUp(t, 2300)
 	archive := int64(2000 * 12)
 	if many-few > archive+8000 {
-		t.Fatalf("2,000 more changes took %d more bytes", many-few)
+		t.Fatalf("2,000 more changes took %d more bytes, more than the archive and 8,000 bytes", many-few)
 	}
 }
--- a/internal/control/registerserver/golden_test.go
+++ b/internal/control/registerserver/golden_test.go
@@ -15,14 +15,14 @@
 // goldenFirst is the acceptor set of the golden files.
 var goldenFirst = []messages.Member{{Name: "a", Address: "10.0.0.1:7660", Disk: "first", Zone: "north"}}
 
-// goldenVersions is how many versions the golden files went through, and goldenChunks how
-// many chunks their archive holds.
+// goldenVersions is the number of versions committed for the golden files, and goldenChunks the
+// number of chunks in their archive.
 const (
 	goldenVersions = 70
 	goldenChunks   = 4
 )
 
-// writeGolden has an acceptor take goldenVersions versions one after the other.
+// writeGolden has an acceptor accept goldenVersions versions one after the other.
 func writeGolden(t *testing.T, dir string) *Replica {
 	t.Helper()
 	replica, err := Open(recordlog.Directory(dir), goldenFirst, "first")
@@ -44,20 +44,20 @@
 	return replica
 }
 
-// copyGolden copies a golden file into a folder, less some bytes at its end.
-func copyGolden(t *testing.T, golden, dir, name string, less int) {
+// copyGolden copies a golden file into a folder without its last truncate bytes.
+func copyGolden(t *testing.T, golden, dir, name string, truncate int) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", golden))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err = os.WriteFile(filepath.Join(dir, name), text[:len(text)-less], 0o644); err != nil {
+	if err = os.WriteFile(filepath.Join(dir, name), text[:len(text)-truncate], 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestGoldenRegisterFile has the acceptor's file written and rewritten to the bytes that
-// an earlier version wrote, and read, also with a torn tail.
+// TestGoldenRegisterFile checks that the acceptor's file is written and rewritten to the same bytes
+// that an earlier release wrote, and that it can be read, also with a torn tail.
 func TestGoldenRegisterFile(t *testing.T) {
 	dir := t.TempDir()
 	replica := writeGolden(t, dir)
@@ -80,7 +80,8 @@
 	}{
 		{"register-appended", 0, goldenVersions, goldenVersions},
 		{"register-rewritten", 0, goldenVersions, goldenVersions},
-		// The last record is the second round of the last version: its first round stands.
+		// The last record is that of the second round of the last version, so the record of its
+		// first round becomes the last one.
 		{"register-appended", 3, goldenVersions - 1, goldenVersions},
 	} {
 		t.Run(fmt.Sprint(file.golden, " less ", file.torn), func(t *testing.T) {
@@ -99,9 +100,9 @@
 	}
 }
 
-// TestGoldenArchiveFile does the same for the archive of versions taken. The day in its
-// chunks is that of the writing, so the chunks are read and written again, on that day:
-// on a later one the archive would forget the chunks older than constants.ArchiveDays.
+// TestGoldenArchiveFile does the same for the archive of committed versions. Its chunks contain the
+// day on which they were written, so the chunks are read and written again with that day as the
+// current one: on a later day the archive would drop chunks older than constants.ArchiveDays.
 func TestGoldenArchiveFile(t *testing.T) {
 	for _, golden := range []string{"register-taken-appended", "register-taken-rewritten"} {
 		t.Run(golden, func(t *testing.T) {
@@ -112,7 +113,7 @@
 				t.Fatal(err)
 			}
 			if archive.lastChunk() != goldenChunks {
-				t.Fatalf("%d chunks held", archive.lastChunk())
+				t.Fatalf("archive has %d chunks", archive.lastChunk())
 			}
 			chunks := archive.state.Chunks()
 			today := func() int64 { return chunks[0].Day }
