--- a/internal/control/contact/contact.go
+++ b/internal/control/contact/contact.go
@@ -53,13 +53,13 @@
 	if len(sets.Acceptors) == 0 {
 		return false
 	}
-	answered := map[string]bool{}
+	responded := map[string]bool{}
 	for identity, sentAt := range l.renewed {
 		if now.Sub(sentAt) < constants.ContactLease {
-			answered[identity] = true
+			responded[identity] = true
 		}
 	}
-	return register.Quorum(sets, answered)
+	return register.Quorum(sets, responded)
 }
 
 // Trim removes acceptors that are no longer in a set.
--- a/internal/control/contact/contact_test.go
+++ b/internal/control/contact/contact_test.go
@@ -61,14 +61,14 @@
 		value.Generation++
 	}
 	next.SetEpoch = value.SetEpoch
-	answered := map[string]bool{}
+	responded := map[string]bool{}
 	targets := register.Targets(&next)
 	for _, i := range p.Random.Perm(len(targets)) {
-		if register.Quorum(&next, answered) && p.Random.Intn(2) == 0 {
+		if register.Quorum(&next, responded) && p.Random.Intn(2) == 0 {
 			continue
 		}
 		p.accepted[register.Identity(targets[i])] = value
-		answered[register.Identity(targets[i])] = true
+		responded[register.Identity(targets[i])] = true
 	}
 	p.sets = append(p.sets, next)
 	p.history = append(p.history, acknowledgment{p.Now, value})
--- a/internal/control/lease/lease.go
+++ b/internal/control/lease/lease.go
@@ -32,8 +32,8 @@
 }
 
 // NewGrantor returns the Grantor of an acceptor that starts now. An acceptor that may have granted
-// a lease before it was restarted grants nothing until that lease must have expired; first reports
-// that it cannot have granted one.
+// a lease before it was restarted grants nothing until that lease must have expired. first is set
+// for an acceptor that cannot have granted one.
 func NewGrantor(now clock.Instant, first bool) *Grantor {
 	g := &Grantor{}
 	if !first {
--- a/internal/control/register/archive.go
+++ b/internal/control/register/archive.go
@@ -8,9 +8,9 @@
 )
 
 // Archive is the part of the chain of committed versions that one acceptor stores. Its caller must
-// write the chunks that Extend and Fill accept to disk. The content is checked against the digest
-// in a value, so one complete archive on any acceptor is enough to decide whether a version was
-// committed.
+// write to disk the chunk that Extend returns and the chunks that Fill adds. The content is checked
+// against the digest in a value, so one complete archive on any acceptor is enough to decide
+// whether a version was committed.
 type Archive struct {
 	// base summarizes everything older than the first retained chunk; it has no fingerprints.
 	base   messages.ArchiveChunk
--- a/internal/control/register/ballot.go
+++ b/internal/control/register/ballot.go
@@ -33,11 +33,11 @@
 	return left.Node < right.Node
 }
 
-// Majority reports whether more than half of the members are in answered.
-func Majority(members []messages.Member, answered map[string]bool) bool {
+// Majority reports whether more than half of the members have responded.
+func Majority(members []messages.Member, responded map[string]bool) bool {
 	count := 0
 	for _, member := range members {
-		if answered[Identity(member)] {
+		if responded[Identity(member)] {
 			count++
 		}
 	}
@@ -48,12 +48,12 @@
 // empty disk counts as a different member, because it has lost its promises.
 func Identity(member messages.Member) string { return member.Address + "#" + member.Disk }
 
-// Quorum reports whether answered contains a majority of each of a value's sets.
-func Quorum(value *messages.RegisterValue, answered map[string]bool) bool {
-	if !Majority(value.Acceptors, answered) {
+// Quorum reports whether a majority of each of a value's sets has responded.
+func Quorum(value *messages.RegisterValue, responded map[string]bool) bool {
+	if !Majority(value.Acceptors, responded) {
 		return false
 	}
-	return len(value.Previous) == 0 || Majority(value.Previous, answered)
+	return len(value.Previous) == 0 || Majority(value.Previous, responded)
 }
 
 // Targets returns every member of a value's sets once.
--- a/internal/control/register/drive_test.go
+++ b/internal/control/register/drive_test.go
@@ -34,7 +34,7 @@
 	callback(messages.RegisterValue{}, false)
 }
 
-func (f *fleet) propose(from string, known messages.RegisterValue, change register.Change, attempts, lost int, callback func(value messages.RegisterValue, done bool)) {
+func (f *fleet) propose(from string, known messages.RegisterValue, change register.Change, attempts, failures int, callback func(value messages.RegisterValue, done bool)) {
 	node := f.controllers[from]
 	if node == nil || node.down || attempts == 0 {
 		callback(messages.RegisterValue{}, false)
@@ -45,8 +45,8 @@
 	ballot := register.NewBallot(node.counter, from, node.member.Disk, node.incarnation)
 	proposal, sends := register.NewProposal(ballot, known, change)
 	attempt := &simulatedAttempt{fleet: f, from: from, node: node, incarnation: node.incarnation, known: known, change: change, proposal: proposal, startedAt: f.world.Now}
-	retry := func() { f.propose(from, known, change, attempts-1, lost+1, callback) }
-	attempt.send(sends, func() { attempt.finish(attempts, lost, callback) })
+	retry := func() { f.propose(from, known, change, attempts-1, failures+1, callback) }
+	attempt.send(sends, func() { attempt.finish(attempts, failures, callback) })
 	f.world.After(clock.Milliseconds(attemptTime), func() {
 		if !attempt.finished && !attempt.crashed() {
 			attempt.finished = true
@@ -59,7 +59,7 @@
 func (t *simulatedAttempt) crashed() bool { return t.node.down || t.incarnation != t.node.incarnation }
 
 // finish handles the stage that the proposal has reached.
-func (t *simulatedAttempt) finish(attempts, lost int, callback func(value messages.RegisterValue, done bool)) {
+func (t *simulatedAttempt) finish(attempts, failures int, callback func(value messages.RegisterValue, done bool)) {
 	if t.finished || t.crashed() {
 		return
 	}
@@ -72,7 +72,7 @@
 			t.onChosen(proposal.Value())
 		}
 		if proposal.FinishedOther() {
-			t.propose(t.from, proposal.Value(), t.change, attempts-1, lost, callback)
+			t.propose(t.from, proposal.Value(), t.change, attempts-1, failures, callback)
 			return
 		}
 		callback(proposal.Value(), true)
@@ -83,7 +83,7 @@
 		if newer := proposal.Newer(); newer != nil {
 			known = *newer
 		}
-		t.world.After(register.Backoff(lost+1, t.world.Now.Sub(t.startedAt), t.world.Random.Float64()), func() {
+		t.world.After(register.Backoff(failures+1, t.world.Now.Sub(t.startedAt), t.world.Random.Float64()), func() {
 			if t.crashed() {
 				return
 			}
@@ -92,7 +92,7 @@
 					callback(value, true)
 					return
 				}
-				t.propose(t.from, known, t.change, attempts-1, lost+1, callback)
+				t.propose(t.from, known, t.change, attempts-1, failures+1, callback)
 			})
 		})
 	}
--- a/internal/control/register/operators_test.go
+++ b/internal/control/register/operators_test.go
@@ -14,7 +14,7 @@
 type status int
 
 const (
-	unanswered status = iota
+	unknown status = iota
 	acknowledged
 	rejected
 )
@@ -72,7 +72,7 @@
 	respond := func(status status) {
 		o.world.Send(at, operator, func() {
 			o.observations = append(o.observations, observation{operator, at, version, status, o.world.Now})
-			if status != unanswered {
+			if status != unknown {
 				callback(status)
 			}
 		})
@@ -106,7 +106,7 @@
 	}
 	switch {
 	case !done || result == register.ResultBaseAhead:
-		respond(unanswered)
+		respond(unknown)
 	case result.InForce():
 		respond(acknowledged)
 	default:
@@ -114,9 +114,9 @@
 	}
 }
 
-// sendUntilAnswered sends a version until a definite response arrives, each time to a random
+// sendUntilResolved sends a version until a definite response arrives, each time to a random
 // process, often before the previous attempt has ended.
-func (o *operators) sendUntilAnswered(operator string, version messages.Version, attempts int, callback func(status status)) {
+func (o *operators) sendUntilResolved(operator string, version messages.Version, attempts int, callback func(status status)) {
 	finished := false
 	var retry func(attempts int)
 	retry = func(attempts int) {
@@ -162,7 +162,7 @@
 				o.world.After(clock.Milliseconds(40*random.Float64()), func() { step(left - 1) })
 			}
 		}
-		o.sendUntilAnswered(operator, version, 6, func(status status) {
+		o.sendUntilResolved(operator, version, 6, func(status status) {
 			if status == acknowledged && version.Generation > newest {
 				newest = version.Generation
 				next()
--- a/internal/control/register/proposal.go
+++ b/internal/control/register/proposal.go
@@ -37,15 +37,15 @@
 
 // Proposal is one attempt to read or change the register.
 type Proposal struct {
-	ballot   messages.Ballot
-	known    messages.RegisterValue
-	change   Change
-	stage    Stage
-	promises map[string]messages.PrepareResponse
-	answered map[string]bool
-	next     messages.RegisterValue
-	highest  messages.Ballot
-	newer    *messages.RegisterValue
+	ballot    messages.Ballot
+	known     messages.RegisterValue
+	change    Change
+	stage     Stage
+	promises  map[string]messages.PrepareResponse
+	responded map[string]bool
+	next      messages.RegisterValue
+	highest   messages.Ballot
+	newer     *messages.RegisterValue
 	// finishedOther is set if the second round only completes a value that was found: the change
 	// has to be proposed again on top of it.
 	finishedOther bool
@@ -54,7 +54,7 @@
 // NewProposal starts an attempt at the newest known sets, and returns the first-round messages.
 func NewProposal(ballot messages.Ballot, known messages.RegisterValue, change Change) (*Proposal, []Send) {
 	proposal := &Proposal{ballot: ballot, known: known, change: change, highest: ballot,
-		promises: map[string]messages.PrepareResponse{}, answered: map[string]bool{}}
+		promises: map[string]messages.PrepareResponse{}, responded: map[string]bool{}}
 	var sends []Send
 	for _, member := range Targets(&known) {
 		sends = append(sends, Send{Member: member, Prepare: &messages.PrepareRequest{Ballot: ballot, Disk: member.Disk}})
@@ -98,8 +98,8 @@
 		return nil
 	}
 	p.promises[Identity(member)] = resp
-	p.answered[Identity(member)] = true
-	if !Quorum(&p.known, p.answered) {
+	p.responded[Identity(member)] = true
+	if !Quorum(&p.known, p.responded) {
 		return nil
 	}
 	return p.secondRound()
@@ -133,7 +133,7 @@
 	}
 	p.next = next
 	p.stage = StageAccept
-	p.answered = map[string]bool{}
+	p.responded = map[string]bool{}
 	var sends []Send
 	for _, member := range Targets(&next) {
 		sends = append(sends, Send{Member: member, Accept: &messages.AcceptRequest{Ballot: p.ballot, Disk: member.Disk, Value: next}})
@@ -185,8 +185,8 @@
 		}
 		return
 	}
-	p.answered[Identity(member)] = true
-	if Quorum(&p.next, p.answered) {
+	p.responded[Identity(member)] = true
+	if Quorum(&p.next, p.responded) {
 		p.stage = StageDone
 	}
 }
@@ -196,7 +196,7 @@
 type QuorumRead struct {
 	known     messages.RegisterValue
 	responses map[string]messages.PrepareResponse
-	answered  map[string]bool
+	responded map[string]bool
 	newer     *messages.RegisterValue
 }
 
@@ -205,7 +205,7 @@
 
 // NewQuorumRead starts a read without a ballot, and returns its messages.
 func NewQuorumRead(known messages.RegisterValue) (*QuorumRead, []Send) {
-	read := &QuorumRead{known: known, responses: map[string]messages.PrepareResponse{}, answered: map[string]bool{}}
+	read := &QuorumRead{known: known, responses: map[string]messages.PrepareResponse{}, responded: map[string]bool{}}
 	var sends []Send
 	for _, member := range Targets(&known) {
 		sends = append(sends, Send{Member: member, Prepare: &messages.PrepareRequest{Disk: member.Disk, Query: true}})
@@ -225,8 +225,8 @@
 		return nil, false
 	}
 	r.responses[Identity(member)] = resp
-	r.answered[Identity(member)] = true
-	if !Quorum(&r.known, r.answered) {
+	r.responded[Identity(member)] = true
+	if !Quorum(&r.known, r.responded) {
 		return nil, false
 	}
 	var newest messages.Ballot
@@ -244,7 +244,7 @@
 		}
 	}
 	if !Quorum(&r.known, matching) || (newest.Counter > 0 && found.SetEpoch != r.known.SetEpoch) {
-		return nil, len(r.answered) == len(Targets(&r.known))
+		return nil, len(r.responded) == len(Targets(&r.known))
 	}
 	return &found, true
 }
--- a/internal/control/register/replace.go
+++ b/internal/control/register/replace.go
@@ -15,7 +15,8 @@
 	ResultApplied Result = iota
 	// ResultAlreadyApplied means that this version was committed before.
 	ResultAlreadyApplied
-	// ResultConflict means that the base is older than the current version.
+	// ResultConflict means that another version is in force: the base is older than the current
+	// version.
 	ResultConflict
 	// ResultGenerationTooOld means that the generation is not above the current one.
 	ResultGenerationTooOld
--- a/internal/control/register/worst_test.go
+++ b/internal/control/register/worst_test.go
@@ -32,11 +32,11 @@
 		return
 	}
 	w.lossPending = false
-	pickMember := w.pickMember(&value)
+	name := w.pickMember(&value)
 	w.losses++
-	w.stop(pickMember)
+	w.stop(name)
 	wiped := w.world.Random.Intn(2) == 0
-	w.world.After(clock.Milliseconds(300+1500*w.world.Random.Float64()), func() { w.start(pickMember, wiped) })
+	w.world.After(clock.Milliseconds(300+1500*w.world.Random.Float64()), func() { w.start(name, wiped) })
 }
 
 // pickMember returns the newest member in half of the cases, and a random live member otherwise.
@@ -84,7 +84,7 @@
 // chosen, with or without its disk. Acknowledged versions must remain, and the set must become
 // complete again.
 func TestSecondLossAtEachStepOfARepair(t *testing.T) {
-	second := 0
+	totalLosses := 0
 	for seed := int64(1); seed <= int64(simulation.Seeds(80)); seed++ {
 		w := &repairFleet{growingFleet: newGrowingFleet(t, seed)}
 		w.world.Loss, w.world.Double = 0.02, 0.02
@@ -109,10 +109,10 @@
 				t.Fatalf("seed %d: read generation %d, want at least %d", seed, found, generation)
 			}
 		}
-		second += w.losses
+		totalLosses += w.losses
 	}
-	if second < 4*simulation.Seeds(80) {
-		t.Fatalf("only %d second losses occurred", second)
+	if totalLosses < 4*simulation.Seeds(80) {
+		t.Fatalf("only %d second losses occurred", totalLosses)
 	}
 }
 
--- a/internal/control/registerserver/acceptor.go
+++ b/internal/control/registerserver/acceptor.go
@@ -38,7 +38,7 @@
 		return nil
 	}
 	r.voting.Unlock()
-	return ErrBusy.New("votes wait for the disk")
+	return ErrBusy.New("vote waited too long for the disk")
 }
 
 // query responds with the state that has reached the disk: a vote that is still being written does
@@ -105,16 +105,16 @@
 	record := r.acceptor.Record()
 	body, err := record.MarshalMsg(nil)
 	if err != nil {
-		return ErrDisk.Wrap(err, "record")
+		return ErrDisk.Wrap(err, "encode record")
 	}
 	if r.logfile.Size() > logfileLimit {
 		// A failed rewrite is retried by the next vote, because the old file is still over the
 		// limit.
 		_, err = r.logfile.Rewrite(recordlog.Records(body))
-		return ErrDisk.Wrap(err, "rewrite")
+		return ErrDisk.Wrap(err, "rewrite record file")
 	}
 	if _, err = r.logfile.Append(body); err == nil {
 		err = r.logfile.Sync()
 	}
-	return ErrDisk.Wrap(err, "append")
+	return ErrDisk.Wrap(err, "append record")
 }
--- a/internal/control/registerserver/archive.go
+++ b/internal/control/registerserver/archive.go
@@ -92,7 +92,7 @@
 	for index := range chunks {
 		body, err := chunks[index].MarshalMsg(nil)
 		if err != nil {
-			return ErrDisk.Wrap(err, "archive chunk")
+			return ErrDisk.Wrap(err, "encode archive chunk")
 		}
 		bodies = append(bodies, body)
 	}
--- a/internal/control/registerserver/maintainer.go
+++ b/internal/control/registerserver/maintainer.go
@@ -187,10 +187,10 @@
 // CommitTolerant repeats a replacement of the register's value until the set that accepted it
 // tolerates the fault budget, or constants.CallTimeout has passed. A value in force in a smaller
 // set could be lost within the budget, so it is acknowledged only once the set is complete;
-// completing the set carries the value over. waits reports for which results to wait.
-func (m *SetMaintainer) CommitTolerant(version messages.Version, body []byte, waits func(register.Result) bool) (messages.RegisterValue, register.Result, error) {
+// completing the set carries the value over. shouldWait reports for which results to wait.
+func (m *SetMaintainer) CommitTolerant(version messages.Version, body []byte, shouldWait func(register.Result) bool) (messages.RegisterValue, register.Result, error) {
 	value, result, err := m.replica.Replace(version, body)
-	for deadline := clock.Now().Add(constants.CallTimeout); err == nil && waits(result) && !m.ToleratesBudget(&value); {
+	for deadline := clock.Now().Add(constants.CallTimeout); err == nil && shouldWait(result) && !m.ToleratesBudget(&value); {
 		if clock.Now() > deadline {
 			return value, result, register.ErrOutcomeUnknown.New("the set of acceptors is still growing")
 		}
--- a/internal/control/registerserver/proposer.go
+++ b/internal/control/registerserver/proposer.go
@@ -63,8 +63,8 @@
 			clock.Sleep(register.Backoff(failures, lastDuration, clock.Float64()))
 		}
 		if preempted {
-			// The proposer that won may have made this request obsolete. A read shows that without
-			// a ballot, so it preempts no other proposal.
+			// The value of the proposer that won may settle this request as well. A read shows that
+			// without a ballot, so it preempts no other proposal.
 			if value, decided := r.unchangedBy(change); decided {
 				return value, nil
 			}
--- a/internal/control/registerserver/replica.go
+++ b/internal/control/registerserver/replica.go
@@ -84,7 +84,7 @@
 		return nil
 	})
 	if err != nil {
-		return nil, ErrDisk.Wrap(err, "open")
+		return nil, ErrDisk.Wrap(err, "open record file")
 	}
 	fresh := state.Disk == ""
 	if fresh {
