--- a/internal/traffic/admission/admission.go
+++ b/internal/traffic/admission/admission.go
@@ -1,6 +1,6 @@
-// Package admission admits requests: it keeps the queues by priority, asks the
-// index where to place, and resumes the continuations of those that waited. Its
-// state stands behind one short lock; no call blocks inside it.
+// Package admission places requests on workers or queues them by priority, and resumes the
+// continuations of queued requests when capacity is free. All state is protected by one lock that
+// is held briefly; no call blocks while holding it.
 package admission
 
 import (
@@ -15,40 +15,42 @@
 	"lemonarch/internal/traffic/prefixindex"
 )
 
-// Request is a request that wants a worker.
+// Request is a request to be placed on a worker.
 type Request struct {
 	Service string
 	Prompt  prefixindex.Prompt
 	Affine  bool
 	Bulk    bool
-	// Retryable: it may be sent to another worker if this one fails.
+	// Retryable reports whether the request may be sent to another worker if this one fails.
 	Retryable bool
 	Priority  int
 	Setpoint  clock.Duration
-	// Deadline is when the client stops waiting; QueueUntil when we stop queueing.
+	// Deadline is when the client stops waiting. QueueUntil is when the request leaves the queue
+	// and is rejected.
 	Deadline   clock.Instant
 	QueueUntil clock.Instant
 	Excluded   []string
-	// AllowedWorkers, where not nil, names the only workers that may be asked.
+	// AllowedWorkers, if not nil, restricts placement to the named workers.
 	AllowedWorkers map[string]bool
 	arrivedAt      clock.Instant
 }
 
-// Verdict is how a request came out.
+// Verdict is the outcome of an admission.
 type Verdict int
 
-// The verdicts.
+// Admission verdicts.
 const (
 	VerdictGranted Verdict = iota
-	// VerdictNoCapacity: refuse now, and say when to come back.
+	// VerdictNoCapacity rejects the request; Decision.Retry is the time after which the client may
+	// retry.
 	VerdictNoCapacity
-	// VerdictNoWorker: the service has no worker that can be asked.
+	// VerdictNoWorker means that the service has no eligible worker.
 	VerdictNoWorker
-	// VerdictQueued: the continuation will be resumed.
+	// VerdictQueued means that the request is queued and its continuation will be resumed.
 	VerdictQueued
 )
 
-// Decision is what a continuation is resumed with.
+// Decision is the result of an admission, passed to the continuation of a queued request.
 type Decision struct {
 	Verdict Verdict
 	Grant   *Grant
@@ -61,7 +63,7 @@
 	handle  Handle
 }
 
-// Scheduler is the admission of one process.
+// Scheduler admits the requests of one process.
 type Scheduler struct {
 	lock                sync.Mutex
 	Registry            *workers.Registry
@@ -72,13 +74,13 @@
 	queues              map[string][]Handle
 	rates               map[string]*rate
 	controllerContactAt clock.Instant
-	own                 messages.NodeInfo
-	cost                func(zone string) float64
+	self                messages.NodeInfo
+	zoneCostMs          func(zone string) float64
 	pressure            map[string]pressureReport
 	preemptible         map[*Grant]*preemptible
 	onPressure          func(entries []messages.Pressure)
 	pressureSentAt      clock.Instant
-	// onPrefill must not block: it is called under the lock.
+	// onPrefill must not block: it is called with the lock held.
 	onPrefill   func(worker string, milliseconds float64)
 	gossip      gossipState
 	subsets     map[string]subset
@@ -86,23 +88,23 @@
 	onEjection  func(Ejection)
 	latencies   map[string]*latencies
 	jitterState uint64
-	// wake gets a value when something begins to wait.
-	wake         chan struct{}
-	number       int64
-	countersLock sync.Mutex
-	counters     map[string]*Counters
-	// ownedWorkers, where not nil, names the workers at which items are placed from here.
+	// wake receives a value when a request is queued.
+	wake            chan struct{}
+	lastGrantNumber int64
+	countersLock    sync.Mutex
+	counters        map[string]*Counters
+	// ownedWorkers, if not nil, names the only workers on which this process places items.
 	ownedWorkers map[string]bool
 }
 
-// New makes the admission of a process.
+// New returns the scheduler of a process.
 func New(own messages.NodeInfo, heartbeat clock.Duration) *Scheduler {
 	scheduler := &Scheduler{Registry: workers.New(heartbeat), Tracker: health.New(), Index: prefixindex.NewIndex(),
-		queues: map[string][]Handle{}, rates: map[string]*rate{}, own: own,
+		queues: map[string][]Handle{}, rates: map[string]*rate{}, self: own,
 		pressure: map[string]pressureReport{}, preemptible: map[*Grant]*preemptible{}, counters: map[string]*Counters{},
 		wake: make(chan struct{}, 1)}
-	scheduler.cost = func(zone string) float64 {
-		// Another zone is farther away, and bytes between zones are priced.
+	scheduler.zoneCostMs = func(zone string) float64 {
+		// Another zone has a higher network latency, and traffic between zones is charged.
 		if zone == own.Zone {
 			return 0
 		}
@@ -111,24 +113,24 @@
 	return scheduler
 }
 
-// Locked runs a function under the admission's lock.
+// Locked calls function while holding the scheduler's lock.
 func (s *Scheduler) Locked(function func()) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	function()
 }
 
-// SetConfig takes a newer configuration.
+// SetConfig replaces the configuration.
 func (s *Scheduler) SetConfig(config *routeconfig.Config) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.config = config
 }
 
-// NoteControllerContact notes that a controller was in contact.
+// NoteControllerContact records that a message from a controller arrived.
 func (s *Scheduler) NoteControllerContact(now clock.Instant) { s.controllerContactAt = now }
 
-// Merge takes updates of workers and places what waited for them.
+// Merge applies worker updates and resumes queued requests that can now be placed.
 func (s *Scheduler) Merge(workerList []messages.Worker, now clock.Instant) {
 	s.lock.Lock()
 	s.NoteControllerContact(now)
@@ -144,8 +146,8 @@
 	s.Pump(now)
 }
 
-// Admit places a request at once, queues it, or rejects it. What is queued preempts
-// work of a lower rank.
+// Admit places a request immediately, queues it, or rejects it. A queued request preempts work of
+// lower priority.
 func (s *Scheduler) Admit(req *Request, resume func(Decision), now clock.Instant) (Decision, Handle) {
 	decision, handle := s.admit(req, resume, now)
 	if decision.Verdict == VerdictQueued {
@@ -158,7 +160,7 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	req.arrivedAt = now
-	// Those that waited longer in the same rank or a higher one go first.
+	// Requests of the same or a higher priority that are already queued go first.
 	if !s.hasQueuedAhead(req) {
 		if decision := s.selectWorker(req, now); decision.Verdict != VerdictNoCapacity {
 			return decision, Handle{}
@@ -168,7 +170,8 @@
 		return Decision{Verdict: VerdictNoCapacity, Retry: s.retryAfter(req)}, Handle{}
 	}
 	if wait, known := s.expectedWait(req); known && now.Add(wait) > req.QueueUntil {
-		// It can't be served in its time: rejected at once, not after a wait.
+		// The expected wait exceeds QueueUntil, so the request is rejected immediately rather than
+		// after waiting in vain.
 		return Decision{Verdict: VerdictNoCapacity, Retry: s.retryAfter(req)}, Handle{}
 	}
 	queued := &waiter{request: req, resume: resume}
@@ -193,7 +196,7 @@
 	return false
 }
 
-// Withdraw takes a waiting request back; false means it was resumed already.
+// Withdraw removes a queued request. It returns false if the request has already been resumed.
 func (s *Scheduler) Withdraw(handle Handle) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/traffic/admission/admission_test.go
+++ b/internal/traffic/admission/admission_test.go
@@ -10,7 +10,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-func scheduler(t *testing.T, capacity int, workerList ...string) *Scheduler {
+func newScheduler(t *testing.T, capacity int, workerList ...string) *Scheduler {
 	t.Helper()
 
 	entry := New(messages.NodeInfo{Name: "n", Role: membership.RoleGateway, Zone: "h"}, 1_200_000_000)
@@ -27,11 +27,11 @@
 	return entry
 }
 
-func ask(priority int) *Request {
+func newRequest(priority int) *Request {
 	return &Request{Service: "s", Priority: priority, Setpoint: 200_000_000, QueueUntil: 1_000_000_000}
 }
 
-func TestSlabKnowsLateHandles(t *testing.T) {
+func TestSlabRejectsStaleHandles(t *testing.T) {
 	slab := Slab[string]{}
 	first := slab.Put("one")
 	if value, found := slab.Take(first); !found || value != "one" {
@@ -48,11 +48,11 @@
 
 // When a place becomes free the highest rank that waits gets it, and every one
 // that waits is resumed exactly once.
-func TestQueuesByRank(t *testing.T) {
-	entry := scheduler(t, 1, "w")
+func TestQueueServesHighestPriorityFirst(t *testing.T) {
+	entry := newScheduler(t, 1, "w")
 	var grants []*Grant
 	for count := 0; count < 1+constants.QueueAheadMax; count++ {
-		decision, _ := entry.Admit(ask(0), nil, 2)
+		decision, _ := entry.Admit(newRequest(0), nil, 2)
 		if decision.Verdict != VerdictGranted {
 			t.Fatal(decision.Verdict)
 		}
@@ -60,7 +60,7 @@
 	}
 	var order []int
 	wait := func(priority int) {
-		decision, _ := entry.Admit(ask(priority), func(late Decision) {
+		decision, _ := entry.Admit(newRequest(priority), func(late Decision) {
 			if late.Verdict == VerdictGranted {
 				order = append(order, priority)
 			} else {
@@ -90,13 +90,13 @@
 }
 
 func TestWithdrawnIsNeverResumed(t *testing.T) {
-	entry := scheduler(t, 1, "w")
+	entry := newScheduler(t, 1, "w")
 	var grants []*Grant
 	for count := 0; count < 1+constants.QueueAheadMax; count++ {
-		decision, _ := entry.Admit(ask(0), nil, 2)
+		decision, _ := entry.Admit(newRequest(0), nil, 2)
 		grants = append(grants, decision.Grant)
 	}
-	_, handle := entry.Admit(ask(0), func(Decision) { t.Fatal("resumed") }, 3)
+	_, handle := entry.Admit(newRequest(0), func(Decision) { t.Fatal("resumed") }, 3)
 	if !entry.Withdraw(handle) || entry.Withdraw(handle) {
 		t.Fatal("a withdrawal holds once")
 	}
@@ -104,13 +104,13 @@
 }
 
 func TestDrainedWorkerIsNeitherPlacedOnNorSentTo(t *testing.T) {
-	entry := scheduler(t, 4, "w", "v")
+	entry := newScheduler(t, 4, "w", "v")
 	entry.Merge([]messages.Worker{{ID: "w", Backend: "s", CallCount: 2, Phase: messages.PhaseDraining, Capacity: 4}}, 2)
 	if entry.Allowed("w", 3) || !entry.Allowed("v", 3) {
 		t.Fatal("a drain does not bind")
 	}
 	for count := 0; count < 6; count++ {
-		decision, _ := entry.Admit(ask(0), nil, 3)
+		decision, _ := entry.Admit(newRequest(0), nil, 3)
 		if decision.Verdict == VerdictGranted && decision.Grant.Worker.ID == "w" {
 			t.Fatal("placed on a draining worker")
 		}
@@ -119,8 +119,8 @@
 
 // Items of batch jobs leave slots to live requests, and take none while any live
 // request waits at a peer.
-func TestItemsLeaveCapacity(t *testing.T) {
-	entry := scheduler(t, 8, "w")
+func TestItemsLeaveCapacityForLiveRequests(t *testing.T) {
+	entry := newScheduler(t, 8, "w")
 	item := func() Verdict {
 		decision, _ := entry.Admit(&Request{Service: "s", Bulk: true, Priority: 2}, nil, 3)
 		return decision.Verdict
@@ -132,7 +132,7 @@
 	if want := int(constants.BatchCapacityShare * 8); count != want {
 		t.Fatalf("%d items placed, want %d", count, want)
 	}
-	other := scheduler(t, 8, "w")
+	other := newScheduler(t, 8, "w")
 	other.HandleGossip(&messages.Gossip{From: "forge/x", Pressure: []messages.Pressure{{Service: "s", Waiting: 3}}}, 2)
 	count = 0
 	for decision, _ := other.Admit(&Request{Service: "s", Bulk: true, Priority: 2}, nil, 3); decision.Verdict == VerdictGranted; count++ {
@@ -145,13 +145,13 @@
 
 // A paused peer's word counts no more after three periods.
 func TestStaleGossipIsIgnored(t *testing.T) {
-	entry := scheduler(t, 1, "w")
-	entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: load("w", 50, 0)}, 2)
-	if decision, _ := entry.Admit(ask(0), nil, 3); decision.Verdict == VerdictGranted {
+	entry := newScheduler(t, 1, "w")
+	entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: encodedLoad("w", 50, 0)}, 2)
+	if decision, _ := entry.Admit(newRequest(0), nil, 3); decision.Verdict == VerdictGranted {
 		t.Fatal("placed on a worker that is full by a peer's word")
 	}
 	later := clock.Instant(2).Add(constants.GossipStale)
-	if decision, _ := entry.Admit(ask(0), nil, later); decision.Verdict != VerdictGranted {
+	if decision, _ := entry.Admit(newRequest(0), nil, later); decision.Verdict != VerdictGranted {
 		t.Fatal("a stale word still counts")
 	}
 }
--- a/internal/traffic/admission/capacity_test.go
+++ b/internal/traffic/admission/capacity_test.go
@@ -9,9 +9,9 @@
 
 // Of several processes that place items each keeps the floor of its own workers, so
 // that together they keep one.
-func TestTheFloorIsOfTheOwnWorkers(t *testing.T) {
+func TestPreemptionFloorCountsOwnedWorkers(t *testing.T) {
 	const capacity = 100
-	scheduler := scheduler(t, capacity, "v", "w")
+	scheduler := newScheduler(t, capacity, "v", "w")
 	req := &Request{Service: "s", Bulk: true, Priority: 2, Setpoint: 1, AllowedWorkers: map[string]bool{"w": true}}
 	if scheduler.BulkCapacity(req, 1) != 1 {
 		t.Fatal("room at other workers than the own")
--- a/internal/traffic/admission/counters.go
+++ b/internal/traffic/admission/counters.go
@@ -2,12 +2,13 @@
 
 import "sync/atomic"
 
-// Counters counts, for one route, what was preempted, resumed and finished here.
+// Counters counts the requests of one route that were preempted, resumed and finished in this
+// process.
 type Counters struct {
 	Displaced, Resumed, Finished atomic.Int64
 }
 
-// Counters gives the counts of a route.
+// Counters returns the counters of a route and creates them if necessary.
 func (s *Scheduler) Counters(route string) *Counters {
 	s.countersLock.Lock()
 	defer s.countersLock.Unlock()
@@ -19,7 +20,7 @@
 	return counters
 }
 
-// AllCounters lists them by route.
+// AllCounters returns the counters of all routes, keyed by route.
 func (s *Scheduler) AllCounters() map[string]*Counters {
 	s.countersLock.Lock()
 	defer s.countersLock.Unlock()
--- a/internal/traffic/admission/flow.go
+++ b/internal/traffic/admission/flow.go
@@ -2,37 +2,39 @@
 
 import "lemonarch/internal/platform/clock"
 
-// Cache turnover without counts of who put in what: by Little's law, a worker with
-// so many requests takes in their mean tokens once in their mean stay. Both means
-// are learnt from the requests that went through here; how many are there is the
-// freshest observation. What we put in ourselves is counted exactly.
+// This file estimates the cache turnover that other processes cause at a worker, without counts of
+// which process inserted how many tokens. By Little's law, a worker with n requests receives n
+// times their mean token count in each mean request duration. Both means are learned from the
+// requests that passed through this process, and n comes from the freshest load observation. Tokens
+// inserted by this process are counted exactly.
 
-// flow follows the requests of one service that ended here.
+// flow holds decayed sums over the finished requests of one service: prompt and output tokens,
+// duration in ms, and the number of requests.
 type flow struct {
-	tokens, stayMs, count float64
+	tokens, durationMs, count float64
 }
 
-// flowDecay is the part of the past that counts on with each request (ours): the
-// mean is over about the last hundred.
+// flowDecay is the factor applied to the previous sums with each request, so that the means cover
+// about the last 100 requests.
 const flowDecay = 0.99
 
-// recordFlow notes a request that was served. The lock is held.
+// recordFlow adds a served request to the sums of its service. The caller must hold the lock.
 func (s *Scheduler) recordFlow(grant *Grant, now clock.Instant) {
 	if s.gossip.flows == nil {
 		s.gossip.flows = map[string]*flow{}
 	}
-	entry := s.gossip.flows[grant.request.Service]
-	if entry == nil {
-		entry = &flow{}
-		s.gossip.flows[grant.request.Service] = entry
+	sums := s.gossip.flows[grant.request.Service]
+	if sums == nil {
+		sums = &flow{}
+		s.gossip.flows[grant.request.Service] = sums
 	}
-	entry.tokens = flowDecay*entry.tokens + float64(grant.FreshTokens+grant.request.Prompt.Out/2)
-	entry.count = flowDecay*entry.count + 1
-	entry.stayMs = flowDecay*entry.stayMs + clock.ToMilliseconds(now.Sub(grant.startedAt))
+	sums.tokens = flowDecay*sums.tokens + float64(grant.FreshTokens+grant.request.Prompt.Out/2)
+	sums.count = flowDecay*sums.count + 1
+	sums.durationMs = flowDecay*sums.durationMs + clock.ToMilliseconds(now.Sub(grant.startedAt))
 }
 
-// addOthersTurnover adds what others have put into the workers' caches since the last
-// time. The lock is held.
+// addOthersTurnover adds the estimated number of tokens that other processes have inserted into the
+// workers' caches since the previous call. The caller must hold the lock.
 func (s *Scheduler) addOthersTurnover(now clock.Instant) {
 	elapsed := clock.ToMilliseconds(now.Sub(s.gossip.turnoverAt))
 	first := s.gossip.turnoverAt == 0
@@ -40,14 +42,14 @@
 	if first {
 		return
 	}
-	for service, entry := range s.gossip.flows {
-		if entry.stayMs <= 0 || entry.tokens <= 0 {
+	for service, sums := range s.gossip.flows {
+		if sums.durationMs <= 0 || sums.tokens <= 0 {
 			continue
 		}
 		for _, worker := range s.Registry.ByService(service) {
 			health := s.Tracker.Of(worker.ID)
 			others := float64(health.Running(now) - health.Own())
-			s.Index.AddOthersTurnover(worker.ID, others*elapsed*entry.tokens/entry.stayMs)
+			s.Index.AddOthersTurnover(worker.ID, others*elapsed*sums.tokens/sums.durationMs)
 		}
 	}
 }
--- a/internal/traffic/admission/gossip.go
+++ b/internal/traffic/admission/gossip.go
@@ -8,29 +8,30 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// gossipFormat is the version of the gossip packet; later ones may add fields.
+// gossipFormat is the version of the gossip packet. Later versions may add fields.
 const gossipFormat = 2
 
-// sentSample says when a worker's load was last sent to peers, and of which observation.
+// sentSample records when a worker's load was last sent to peers and the time of the observation
+// that was sent.
 type sentSample struct {
 	sentAt     clock.Instant
 	observedAt clock.Instant
 }
 
-// gossipState is what the gossip of one node remembers.
+// gossipState is the gossip state of one node.
 type gossipState struct {
 	sent map[string]sentSample
-	// byHash leads from hashes back to workers; a hash that two of them share is
-	// nobody's.
-	byHash     map[uint32]string
-	asOf       uint64
-	count      int
-	found      []loadCandidate
-	flows      map[string]*flow
-	turnoverAt clock.Instant
+	// workersByHash maps worker hashes to worker IDs. A hash shared by two workers maps to "".
+	workersByHash   map[uint32]string
+	registryVersion uint64
+	registryCount   int
+	candidates      []loadCandidate
+	flows           map[string]*flow
+	turnoverAt      clock.Instant
 }
 
-// loadCandidate is a sample that may be sent, with the time since the last one was.
+// loadCandidate is a sample that may be sent, with the time since the worker's last sample was
+// sent.
 type loadCandidate struct {
 	worker   string
 	sample   messages.LoadSample
@@ -38,22 +39,24 @@
 	wait     clock.Duration
 }
 
-// MakeGossip makes this node's packet. It is bounded whatever the size of the fleet:
-// what was sent longest ago goes first, and what failed here before it.
+// MakeGossip builds this node's gossip packet. Its size is bounded regardless of the size of the
+// fleet: workers of the node's own zone go first, among these the workers that are ejected here,
+// then those whose last sample was sent longest ago.
 func (s *Scheduler) MakeGossip(now clock.Instant) *messages.Gossip {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	packet := &messages.Gossip{Format: gossipFormat, From: s.own.Role + "/" + s.own.Name}
+	packet := &messages.Gossip{Format: gossipFormat, From: s.self.Role + "/" + s.self.Name}
 	if s.config != nil {
 		packet.Generation = s.config.Generation
 	}
 	s.addOthersTurnover(now)
 	state := &s.gossip
-	if all := s.Registry.Sorted(); state.sent == nil || len(state.sent) > 2*len(all) {
-		// Workers that were forgotten leave their entries behind.
-		state.sent = make(map[string]sentSample, len(all))
+	if sorted := s.Registry.Sorted(); state.sent == nil || len(state.sent) > 2*len(sorted) {
+		// Forgotten workers leave stale entries, so the map is rebuilt once it has grown to twice
+		// the number of workers.
+		state.sent = make(map[string]sentSample, len(sorted))
 	}
-	found := state.found[:0]
+	candidates := state.candidates[:0]
 	for _, worker := range s.Registry.Sorted() {
 		health := s.Tracker.Of(worker.ID)
 		sample, known := health.Sample(now)
@@ -61,10 +64,10 @@
 			delete(state.sent, worker.ID)
 			continue
 		}
-		last, before := state.sent[worker.ID]
+		last, wasSent := state.sent[worker.ID]
 		_, observedAt := health.Observed()
-		if before && sample.Health == messages.HealthUnknown && observedAt <= last.observedAt {
-			// They have got this very observation from here.
+		if wasSent && sample.Health == messages.HealthUnknown && observedAt <= last.observedAt {
+			// The peers have already received this observation from this node.
 			continue
 		}
 		if sample.Health == messages.HealthUnknown && sample.AgeMs > constants.GossipMinChange.Milliseconds() {
@@ -72,24 +75,24 @@
 		}
 		wait := now.Sub(last.sentAt)
 		if sample.Health == messages.HealthSuspect {
-			// Like one that was never sent.
+			// An ejected worker is treated like one whose load was never sent.
 			wait = now.Sub(0)
 		}
-		found = append(found, loadCandidate{worker.ID, sample, worker.Zone == s.own.Zone, wait})
+		candidates = append(candidates, loadCandidate{worker.ID, sample, worker.Zone == s.self.Zone, wait})
 	}
-	state.found = found
-	sort.SliceStable(found, func(left, right int) bool {
-		// Neighbours place in their own zone first.
-		if found[left].sameZone != found[right].sameZone {
-			return found[left].sameZone
+	state.candidates = candidates
+	sort.SliceStable(candidates, func(left, right int) bool {
+		// Peers place in their own zone first.
+		if candidates[left].sameZone != candidates[right].sameZone {
+			return candidates[left].sameZone
 		}
-		return found[left].wait > found[right].wait
+		return candidates[left].wait > candidates[right].wait
 	})
-	for _, entry := range found[:min(len(found), constants.GossipLoads)] {
-		entry.sample.WorkerHash = messages.WorkerHash(entry.worker)
-		packet.Loads = messages.AppendLoad(packet.Loads, entry.sample)
-		_, observedAt := s.Tracker.Of(entry.worker).Observed()
-		state.sent[entry.worker] = sentSample{sentAt: now, observedAt: observedAt}
+	for _, candidate := range candidates[:min(len(candidates), constants.GossipLoads)] {
+		candidate.sample.WorkerHash = messages.WorkerHash(candidate.worker)
+		packet.Loads = messages.AppendLoad(packet.Loads, candidate.sample)
+		_, observedAt := s.Tracker.Of(candidate.worker).Observed()
+		state.sent[candidate.worker] = sentSample{sentAt: now, observedAt: observedAt}
 	}
 	for _, sample := range s.Index.Advertisements(now, constants.GossipPrefixes, constants.GossipPrefixLeast) {
 		packet.Prefixes = messages.AppendPrefix(packet.Prefixes, sample)
@@ -98,7 +101,7 @@
 	return packet
 }
 
-// HandleGossip takes a peer's packet.
+// HandleGossip applies a peer's gossip packet.
 func (s *Scheduler) HandleGossip(packet *messages.Gossip, now clock.Instant) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -111,44 +114,48 @@
 	s.storePressure(packet.From, packet.Pressure, now)
 }
 
-// workerByHash gives the worker of a hash. The lock is held.
-func (s *Scheduler) workerByHash(short uint32) string {
+// workerByHash returns the ID of the worker with the given hash, or "" if the hash is unknown or
+// ambiguous. The caller must hold the lock.
+func (s *Scheduler) workerByHash(hash uint32) string {
 	state := &s.gossip
-	// A change of the table is rare, and a list of other length is another list too.
+	// Changes of the registry are rare, so the map is cached until the registry's version or its
+	// number of workers changes.
 	all := s.Registry.Sorted()
-	if clockValue := s.Registry.Version(); state.byHash == nil || state.asOf != clockValue || state.count != len(all) {
-		state.byHash, state.asOf, state.count = make(map[uint32]string, len(all)), clockValue, len(all)
+	if version := s.Registry.Version(); state.workersByHash == nil || state.registryVersion != version || state.registryCount != len(all) {
+		state.workersByHash, state.registryVersion, state.registryCount = make(map[uint32]string, len(all)), version, len(all)
 		for _, worker := range all {
-			name := messages.WorkerHash(worker.ID)
-			if _, taken := state.byHash[name]; taken {
-				state.byHash[name] = ""
+			workerHash := messages.WorkerHash(worker.ID)
+			if _, taken := state.workersByHash[workerHash]; taken {
+				state.workersByHash[workerHash] = ""
 				continue
 			}
-			state.byHash[name] = worker.ID
+			state.workersByHash[workerHash] = worker.ID
 		}
 	}
-	return state.byHash[short]
+	return state.workersByHash[hash]
 }
 
-// Alert tells whether more placements are downgraded than the source finds sound.
+// Alert returns the numbers of placements and downgrades, and reports whether the share of
+// downgrades exceeds constants.DowngradeAlert. It needs more than 200 placements to do so.
 func (s *Scheduler) Alert() (placements, downgrades int64, alert bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	placements, downgrades = s.Index.Placements, s.Index.Downgrades
-	const enough = 200
-	return placements, downgrades, placements > enough && float64(downgrades) > constants.DowngradeAlert*float64(placements)
+	const minPlacements = 200
+	return placements, downgrades, placements > minPlacements && float64(downgrades) > constants.DowngradeAlert*float64(placements)
 }
 
-// OnPrefill registers who is notified of long prompts; it must not block.
+// OnPrefill registers the function that is called when a long prompt is placed. The function must
+// not block.
 func (s *Scheduler) OnPrefill(notify func(worker string, milliseconds float64)) {
 	s.onPrefill = notify
 }
 
-// HandlePrefill takes a peer's notice of a long prompt.
+// HandlePrefill applies a peer's notice that it placed a long prompt on a worker.
 func (s *Scheduler) HandlePrefill(notice *messages.PrefillNotice, now clock.Instant) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	// A notice of more than a gossip period is no prefill time but a mistake.
+	// A prefill time longer than a gossip period cannot be genuine and is ignored.
 	if _, known := s.Registry.Get(notice.Worker); known && notice.Prefill > 0 && notice.Prefill < clock.ToMilliseconds(constants.GossipPeriod) {
 		s.Tracker.Of(notice.Worker).AddPeerPrefill(clock.Milliseconds(notice.Prefill), now)
 	}
--- a/internal/traffic/admission/gossip_test.go
+++ b/internal/traffic/admission/gossip_test.go
@@ -10,33 +10,33 @@
 )
 
 // load packs one word on a worker's load.
-func load(worker string, running int, age clock.Duration) []byte {
+func encodedLoad(worker string, running int, age clock.Duration) []byte {
 	return messages.AppendLoad(nil, messages.LoadSample{WorkerHash: messages.WorkerHash(worker), Running: running,
 		AgeMs: age.Milliseconds(), Health: messages.HealthUnknown})
 }
 
 // second is a moment in whole seconds.
-func second(count int) clock.Instant { return clock.Instant(count) * 1_000_000_000 }
+func atSecond(count int) clock.Instant { return clock.Instant(count) * 1_000_000_000 }
 
 // The age limit holds for the evidence, however often and by however fresh a packet
 // it was passed on.
 func TestAgeLimitAppliesUnderRelaying(t *testing.T) {
-	near, far := scheduler(t, 1, "w"), scheduler(t, 1, "w")
-	near.HandleGossip(&messages.Gossip{From: "forge/x", Loads: load("w", 50, 0)}, second(10))
-	packet := near.MakeGossip(second(12))
+	near, far := newScheduler(t, 1, "w"), newScheduler(t, 1, "w")
+	near.HandleGossip(&messages.Gossip{From: "forge/x", Loads: encodedLoad("w", 50, 0)}, atSecond(10))
+	packet := near.MakeGossip(atSecond(12))
 	entries := messages.ParseLoads(packet.Loads)
 	if len(entries) != 1 || entries[0].Running != 50 || entries[0].AgeMs < 2000 {
 		t.Fatalf("not passed on with its age: %+v", entries)
 	}
-	far.HandleGossip(packet, second(12))
+	far.HandleGossip(packet, atSecond(12))
 	running := func(now clock.Instant) (count int) {
 		far.Locked(func() { count = far.Tracker.Of("w").Running(now) })
 		return count
 	}
-	if running(second(12)+1) != 50 {
+	if running(atSecond(12)+1) != 50 {
 		t.Fatal("a relayed word did not count")
 	}
-	late := second(10).Add(constants.GossipStale)
+	late := atSecond(10).Add(constants.GossipStale)
 	if running(late) != 0 {
 		t.Fatal("relaying made a stale word young")
 	}
@@ -48,34 +48,34 @@
 // A peer that was paused with its packet in hand: what it then says is told with the
 // age that it has, and a word older than the limit never counts.
 func TestSampleBeyondTheLimitNeverCounts(t *testing.T) {
-	entry := scheduler(t, 1, "w")
-	entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: load("w", 50, constants.GossipStale)}, second(10))
-	if decision, _ := entry.Admit(ask(0), nil, second(10)); decision.Verdict != VerdictGranted {
+	entry := newScheduler(t, 1, "w")
+	entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: encodedLoad("w", 50, constants.GossipStale)}, atSecond(10))
+	if decision, _ := entry.Admit(newRequest(0), nil, atSecond(10)); decision.Verdict != VerdictGranted {
 		t.Fatal("a word beyond the age limit counted")
 	}
 }
 
 // Of two words the younger counts, whichever comes last.
 func TestFreshestObservationWins(t *testing.T) {
-	entry := scheduler(t, 4, "w")
-	entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: load("w", 1, clock.Milliseconds(100))}, second(10))
-	entry.HandleGossip(&messages.Gossip{From: "forge/y", Loads: load("w", 200, clock.Milliseconds(2000))}, second(10)+1)
-	if decision, _ := entry.Admit(ask(0), nil, second(10)+2); decision.Verdict != VerdictGranted {
+	entry := newScheduler(t, 4, "w")
+	entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: encodedLoad("w", 1, clock.Milliseconds(100))}, atSecond(10))
+	entry.HandleGossip(&messages.Gossip{From: "forge/y", Loads: encodedLoad("w", 200, clock.Milliseconds(2000))}, atSecond(10)+1)
+	if decision, _ := entry.Admit(newRequest(0), nil, atSecond(10)+2); decision.Verdict != VerdictGranted {
 		t.Fatal("an older word counted over a younger one")
 	}
-	entry.HandleGossip(&messages.Gossip{From: "forge/z", Loads: load("w", 200, 0)}, second(10)+3)
-	if decision, _ := entry.Admit(ask(0), nil, second(10)+4); decision.Verdict == VerdictGranted {
+	entry.HandleGossip(&messages.Gossip{From: "forge/z", Loads: encodedLoad("w", 200, 0)}, atSecond(10)+3)
+	if decision, _ := entry.Admit(newRequest(0), nil, atSecond(10)+4); decision.Verdict == VerdictGranted {
 		t.Fatal("the younger word did not count")
 	}
 }
 
 // An observation is corrected by what was begun here since it was made.
 func TestOwnRequestsSinceTheObservationCount(t *testing.T) {
-	entry := scheduler(t, 4, "w")
-	entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: load("w", 4, 0)}, second(10))
+	entry := newScheduler(t, 4, "w")
+	entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: encodedLoad("w", 4, 0)}, atSecond(10))
 	granted := 0
 	for ; granted < 20; granted++ {
-		if decision, _ := entry.Admit(ask(0), nil, second(10)+clock.Instant(granted)+1); decision.Verdict != VerdictGranted {
+		if decision, _ := entry.Admit(newRequest(0), nil, atSecond(10)+clock.Instant(granted)+1); decision.Verdict != VerdictGranted {
 			break
 		}
 	}
@@ -83,8 +83,8 @@
 		t.Fatalf("%d placed on a worker that had its four, want %d", granted, constants.QueueAheadMax)
 	}
 	// A later observation holds them already.
-	entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: load("w", 4, 0)}, second(11))
-	if decision, _ := entry.Admit(ask(0), nil, second(11)+1); decision.Verdict != VerdictGranted {
+	entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: encodedLoad("w", 4, 0)}, atSecond(11))
+	if decision, _ := entry.Admit(newRequest(0), nil, atSecond(11)+1); decision.Verdict != VerdictGranted {
 		t.Fatal("our own were counted twice")
 	}
 }
@@ -96,13 +96,13 @@
 	for count := 0; count < 600; count++ {
 		names = append(names, fmt.Sprint("worker-", count))
 	}
-	entry := scheduler(t, 16, names...)
+	entry := newScheduler(t, 16, names...)
 	known := map[uint32]int{}
 	largest := 0
 	for round := 1; round <= 7; round++ {
-		now := second(10 + round)
+		now := atSecond(10 + round)
 		for _, name := range names {
-			entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: load(name, round, 0)}, now)
+			entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: encodedLoad(name, round, 0)}, now)
 		}
 		packet := entry.MakeGossip(now)
 		for _, sample := range messages.ParseLoads(packet.Loads) {
@@ -120,29 +120,29 @@
 }
 
 // What a neighbour got from this node is not sent again while nothing is new.
-func TestNothingNewIsNotSent(t *testing.T) {
-	entry := scheduler(t, 4, "w")
-	entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: load("w", 2, 0)}, second(10))
-	if len(entry.MakeGossip(second(10)).Loads) == 0 {
+func TestUnchangedObservationIsNotResent(t *testing.T) {
+	entry := newScheduler(t, 4, "w")
+	entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: encodedLoad("w", 2, 0)}, atSecond(10))
+	if len(entry.MakeGossip(atSecond(10)).Loads) == 0 {
 		t.Fatal("news was not told")
 	}
-	if len(entry.MakeGossip(second(11)).Loads) != 0 {
+	if len(entry.MakeGossip(atSecond(11)).Loads) != 0 {
 		t.Fatal("the same observation was told twice")
 	}
 }
 
 // Words of a later version are longer; what this one knows of them counts.
-func TestLongerSamplesAreRead(t *testing.T) {
+func TestLongerSamplesAreParsed(t *testing.T) {
 	entries := []byte{9}
 	for _, worker := range []string{"v", "w"} {
-		entries = append(entries, load(worker, 50, 0)[1:]...)
+		entries = append(entries, encodedLoad(worker, 50, 0)[1:]...)
 		entries = append(entries, 0xEE, 0xFF)
 	}
-	entry := scheduler(t, 1, "v", "w")
-	entry.HandleGossip(&messages.Gossip{Format: 3, From: "forge/x", Loads: append(entries, 1, 2)}, second(10))
+	entry := newScheduler(t, 1, "v", "w")
+	entry.HandleGossip(&messages.Gossip{Format: 3, From: "forge/x", Loads: append(entries, 1, 2)}, atSecond(10))
 	for _, worker := range []string{"v", "w"} {
 		running := 0
-		entry.Locked(func() { running = entry.Tracker.Of(worker).Running(second(10)) })
+		entry.Locked(func() { running = entry.Tracker.Of(worker).Running(atSecond(10)) })
 		if running != 50 {
 			t.Fatalf("%s: %d read from words with trailing bytes", worker, running)
 		}
@@ -151,40 +151,40 @@
 
 // One neighbour's suspicion may be its own trouble, two are evidence; and neither is
 // passed on as if it were ours.
-func TestSuspicionIsFirstHand(t *testing.T) {
-	entry := scheduler(t, 4, "v", "w")
+func TestPeerSuspicionNeedsTwoPeersAndIsNotRelayed(t *testing.T) {
+	entry := newScheduler(t, 4, "v", "w")
 	sample := messages.AppendLoad(nil, messages.LoadSample{WorkerHash: messages.WorkerHash("v"), Running: messages.RunningUnknown, Health: messages.HealthSuspect})
-	entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: sample}, second(10))
+	entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: sample}, atSecond(10))
 	suspect := func() (decision bool) {
-		entry.Locked(func() { decision = entry.Tracker.Of("v").Suspect(second(10) + 1) })
+		entry.Locked(func() { decision = entry.Tracker.Of("v").Suspect(atSecond(10) + 1) })
 		return decision
 	}
 	if suspect() {
 		t.Fatal("one neighbour's word was enough")
 	}
-	entry.HandleGossip(&messages.Gossip{From: "forge/y", Loads: sample}, second(10))
+	entry.HandleGossip(&messages.Gossip{From: "forge/y", Loads: sample}, atSecond(10))
 	if !suspect() {
 		t.Fatal("two neighbours' words were not enough")
 	}
-	if loads := entry.MakeGossip(second(10) + 1).Loads; len(loads) != 0 {
+	if loads := entry.MakeGossip(atSecond(10) + 1).Loads; len(loads) != 0 {
 		t.Fatal("hearsay was passed on: ", loads)
 	}
 }
 
 // Turnover by Little's law comes near the true count, though nobody counts it.
 func TestTurnoverOfOthersIsEstimated(t *testing.T) {
-	entry := scheduler(t, 100, "w")
-	requested := ask(0)
+	entry := newScheduler(t, 100, "w")
+	requested := newRequest(0)
 	requested.Affine, requested.Prompt.Tokens = true, 1000
 	for count := 0; count < 50; count++ {
-		decision, _ := entry.Admit(requested, nil, second(10))
-		decision.Grant.End(ResultServed, second(10).Add(clock.Milliseconds(500)))
+		decision, _ := entry.Admit(requested, nil, atSecond(10))
+		decision.Grant.End(ResultServed, atSecond(10).Add(clock.Milliseconds(500)))
 	}
-	entry.MakeGossip(second(20))
+	entry.MakeGossip(atSecond(20))
 	// Others have 10 requests there at any time, each 1000 tokens in half a second:
 	// twenty thousand tokens a second.
-	for now := second(20); now < second(30); now = now.Add(constants.GossipPeriod) {
-		entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: load("w", 10, 0)}, now.Add(constants.GossipPeriod)-1)
+	for now := atSecond(20); now < atSecond(30); now = now.Add(constants.GossipPeriod) {
+		entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: encodedLoad("w", 10, 0)}, now.Add(constants.GossipPeriod)-1)
 		entry.MakeGossip(now.Add(constants.GossipPeriod))
 	}
 	total := 0.0
--- a/internal/traffic/admission/grant.go
+++ b/internal/traffic/admission/grant.go
@@ -5,29 +5,31 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Grant is the permission to send one request to a worker.
+// Grant is the permission to send one request to a worker. FreshTokens is the number of prompt
+// tokens that are not expected to be in the worker's cache.
 type Grant struct {
 	Worker      messages.Worker
 	FreshTokens int
 	request     *Request
 	startedAt   clock.Instant
-	// firstAt is when the first event came, and firstLoad the load that came with it.
+	// firstAt is the time of the first event, and firstLoad the load header that came with it.
 	firstAt     clock.Instant
 	firstLoad   string
 	prefillDone bool
 	scheduler   *Scheduler
-	alone       bool
+	solePrefill bool
 	number      int64
 	engine      bool
-	// prefillTime is the estimated time that the worker needed for the prompts
-	// before ours and for ours.
+	// prefillTime is the estimated time that the worker needs to prefill the prompts ahead of this
+	// request and its own prompt.
 	prefillTime clock.Duration
-	// silenceLevel is how far a silence was noted, and silence the one after which the request went elsewhere.
+	// silenceLevel is the level of silence that was recorded while the request was pending. silence
+	// is the duration of silence after which the request was retried on another worker.
 	silenceLevel int
 	silence      clock.Duration
 }
 
-// FirstEvent notes the first event or the head of a response.
+// FirstEvent records the first event or the response header.
 func (g *Grant) FirstEvent(load string, now clock.Instant) {
 	scheduler := g.scheduler
 	scheduler.lock.Lock()
@@ -43,44 +45,45 @@
 	g.firstAt, g.firstLoad = now, load
 	health.PrefillDone(g.FreshTokens)
 	health.RecordResponse(now.Sub(g.startedAt))
-	scheduler.latenciesOf(g.Worker.Backend).first.Observe(clock.ToMilliseconds(max(now.Sub(g.startedAt)-g.prefillTime, 0)))
+	scheduler.latenciesOf(g.Worker.Backend).firstEvent.Observe(clock.ToMilliseconds(max(now.Sub(g.startedAt)-g.prefillTime, 0)))
 	if g.request.Affine {
-		scheduler.Index.RecordFirstEvent(&g.request.Prompt, g.Worker.ID, g.FreshTokens, now.Sub(g.startedAt), g.alone, now)
+		scheduler.Index.RecordFirstEvent(&g.request.Prompt, g.Worker.ID, g.FreshTokens, now.Sub(g.startedAt), g.solePrefill, now)
 	}
 }
 
-// Result is how a grant ended, for the health.
+// Result is the outcome of a grant, used to assess the worker's health.
 type Result int
 
-// The outcomes.
+// Results of a grant.
 const (
 	ResultServed Result = iota
-	// ResultFailed: reset, cut off, corrupt bytes.
+	// ResultFailed means that the connection was reset or cut off, or the bytes were corrupt.
 	ResultFailed
-	// ResultUnreachable: no connection came up; nothing was sent.
+	// ResultUnreachable means that no connection was established; nothing was sent.
 	ResultUnreachable
-	// ResultTimeout: silence for a multiple of the usual time.
+	// ResultTimeout means that the worker was silent for a multiple of the usual time.
 	ResultTimeout
-	// ResultServerError: the worker's own 5xx.
+	// ResultServerError means that the worker itself returned a 5xx status.
 	ResultServerError
-	// ResultShed: rejected although the load that it states leaves capacity.
+	// ResultShed means that the worker rejected the request although its reported load leaves
+	// capacity.
 	ResultShed
-	// ResultRejected: the worker was full.
+	// ResultRejected means that the worker was full.
 	ResultRejected
-	// ResultMisdirected: another service answers at that address.
+	// ResultMisdirected means that another service responded at the worker's address.
 	ResultMisdirected
-	// ResultCanceled: our client or we gave up.
+	// ResultCanceled means that the client or this process canceled the request.
 	ResultCanceled
 )
 
-// End gives the grant back.
+// End releases the grant with its result and resumes queued requests that can now be placed.
 func (g *Grant) End(result Result, now clock.Instant) {
 	scheduler := g.scheduler
 	scheduler.lock.Lock()
 	delete(scheduler.preemptible, g)
 	health := scheduler.Tracker.Of(g.Worker.ID)
 	if !g.prefillDone {
-		// No event came: its prefill is not waited for any more.
+		// No event arrived, so the prefill is no longer pending.
 		g.prefillDone = true
 		health.PrefillDone(g.FreshTokens)
 	}
@@ -88,7 +91,8 @@
 	scheduler.recordOutcome(g, result, now)
 	switch result {
 	case ResultRejected, ResultShed:
-		// It is full whatever was believed here: others are preferred for a moment.
+		// The worker is full regardless of its recorded load, so other workers are preferred for a
+		// short time.
 		health.RecordFull(g.Worker.Capacity, now)
 	case ResultMisdirected:
 		scheduler.Index.InvalidateCache(g.Worker.ID)
--- a/internal/traffic/admission/health.go
+++ b/internal/traffic/admission/health.go
@@ -10,36 +10,39 @@
 	"lemonarch/internal/traffic/health"
 )
 
-// Ejection is the event that a worker is ejected from ordinary placement or returns.
+// Ejection is the event that a worker is ejected from ordinary placement or returns to it.
 type Ejection struct {
 	Worker, Service string
 	// Reason is the kind of the last failure, or "flapping".
 	Reason string
-	// Duration is how long; 0 means that it is back.
+	// Duration is the length of the ejection; 0 means that the worker has returned.
 	Duration clock.Duration
 }
 
-// faultOf maps outcomes that count against a worker.
+// faultOf maps the results that count against a worker to the kind of fault.
 var faultOf = map[Result]health.Fault{
 	ResultFailed:      health.FaultReset,
 	ResultUnreachable: health.FaultRefused,
 	ResultTimeout:     health.FaultTimeout,
 	ResultServerError: health.FaultError,
 	ResultShed:        health.FaultShed,
-	// Another service answers there: this incarnation is gone from the address.
+	// Another service responds at the address, so this incarnation of the worker no longer runs
+	// there.
 	ResultMisdirected: health.FaultRefused,
 }
 
-// OnEjection registers who is notified of ejections and returns; it must not block.
+// OnEjection registers the function that is called on ejections and returns. The function must not
+// block.
 func (s *Scheduler) OnEjection(notify func(Ejection)) { s.onEjection = notify }
 
-// recordOutcome takes an outcome into the health. The lock is held.
+// recordOutcome applies the result of a grant to the worker's health. The caller must hold the
+// lock.
 func (s *Scheduler) recordOutcome(grant *Grant, result Result, now clock.Instant) {
 	worker := grant.Worker
-	if fault, against := faultOf[result]; against {
+	if fault, isFault := faultOf[result]; isFault {
 		switch {
-		case result == ResultTimeout && grant.silenceLevel == silenceSure:
-			// Noted while it lasted.
+		case result == ResultTimeout && grant.silenceLevel == silenceTimeout:
+			// NoteSilence recorded this timeout while the request was pending.
 			return
 		case result == ResultTimeout && grant.silence > 0 && grant.silence < constants.SureTimeout:
 			fault = health.FaultSlow
@@ -53,32 +56,33 @@
 }
 
 func (s *Scheduler) recordFault(worker messages.Worker, fault health.Fault, now clock.Instant) {
-	elapsed := s.Tracker.RecordFault(worker.ID, worker.Backend, fault, now)
-	s.Tracker.Of(worker.ID).RecordFailure(elapsed, now)
-	if elapsed > 0 && s.onEjection != nil {
-		s.onEjection(Ejection{Worker: worker.ID, Service: worker.Backend, Reason: fault.String(), Duration: elapsed})
+	ejectedFor := s.Tracker.RecordFault(worker.ID, worker.Backend, fault, now)
+	s.Tracker.Of(worker.ID).RecordFailure(ejectedFor, now)
+	if ejectedFor > 0 && s.onEjection != nil {
+		s.onEjection(Ejection{Worker: worker.ID, Service: worker.Backend, Reason: fault.String(), Duration: ejectedFor})
 	}
 }
 
-// observeIncarnation has the health look at an incarnation that is new here. The lock is held.
+// observeIncarnation records a worker incarnation that is new to this process. The caller must hold
+// the lock.
 func (s *Scheduler) observeIncarnation(worker messages.Worker, now clock.Instant) {
 	if _, known := s.Registry.Get(worker.ID); known || worker.Phase != messages.PhaseSteady {
 		return
 	}
-	// An incarnation that drained ended in order. Of one that was never known here
-	// nothing can be told.
+	// A previous incarnation that was draining ended in an orderly way. If no previous incarnation
+	// was known here, the end is assumed to be orderly.
 	orderly := true
-	if before, found := s.Registry.Get(s.Tracker.WorkerAt(worker.Address)); found {
-		orderly = before.Phase != messages.PhaseSteady
+	if previous, found := s.Registry.Get(s.Tracker.WorkerAt(worker.Address)); found {
+		orderly = previous.Phase != messages.PhaseSteady
 	}
-	elapsed := s.Tracker.ObserveIncarnation(worker.ID, worker.Backend, worker.Address, orderly, now)
-	if elapsed > 0 && s.onEjection != nil {
-		s.onEjection(Ejection{Worker: worker.ID, Service: worker.Backend, Reason: "flapping", Duration: elapsed})
+	ejectedFor := s.Tracker.ObserveIncarnation(worker.ID, worker.Backend, worker.Address, orderly, now)
+	if ejectedFor > 0 && s.onEjection != nil {
+		s.onEjection(Ejection{Worker: worker.ID, Service: worker.Backend, Reason: "flapping", Duration: ejectedFor})
 	}
 }
 
-// ejectedWorkers gives the workers of a service that get no ordinary request. Own
-// outcomes go before reports of peers and before missing heartbeats.
+// ejectedWorkers returns the workers of a service that receive no ordinary requests. Outcomes
+// observed by this process take precedence over peers' reports and missing heartbeats.
 func (s *Scheduler) ejectedWorkers(req *Request, workerList []messages.Worker, now clock.Instant) map[string]bool {
 	if !s.Tracker.AnyEjected() {
 		return nil
@@ -91,8 +95,9 @@
 	return s.Tracker.Ejected(names, req.Retryable || req.Bulk, idle, now)
 }
 
-// isSuspect tells whether a worker is only asked where nobody else can be: ejected here,
-// or suspected by peers or by missing heartbeats while no own outcomes speak for it.
+// isSuspect reports whether a worker is used only if no other worker is available: it is ejected
+// here, or it is suspected by peers or because of missing heartbeats while this process's own
+// outcomes do not prove it healthy.
 func (s *Scheduler) isSuspect(worker messages.Worker, status workers.Status, ejected map[string]bool, now clock.Instant) bool {
 	if ejected[worker.ID] {
 		return true
@@ -104,7 +109,7 @@
 	return !outcomes.ProvenHealthy(now)
 }
 
-// riskMs is what a worker's failures cost in ms of score, beyond what is usual.
+// riskMs returns the cost of a worker's failure rate above the service's median, in ms of score.
 func (s *Scheduler) riskMs(req *Request, worker messages.Worker, now clock.Instant) float64 {
 	median := s.Tracker.MedianFailureRate(worker.Backend, now)
 	cost := constants.ErrCostOnce
@@ -114,21 +119,21 @@
 	return cost * max(0, s.Tracker.OutcomesOf(worker.ID, worker.Backend).FailureRate(median, now)-median-constants.RiskFloor)
 }
 
-// OutcomeSummary describes a worker's outcomes for the shell: its rate of
-// failure, whether it is ejected (held) or on trial, and the failures by kind. The lock is held.
+// OutcomeSummary returns a summary of a worker's outcomes for the shell: its failure rate, whether
+// it is ejected ("held") or on trial, and the failures by kind. The caller must hold the lock.
 func (s *Scheduler) OutcomeSummary(worker messages.Worker, now clock.Instant) string {
 	outcomes := s.Tracker.OutcomesOf(worker.ID, worker.Backend)
-	sample := "rate=" + strconv.FormatFloat(outcomes.FailureRate(s.Tracker.MedianFailureRate(worker.Backend, now), now), 'f', 2, 64)
+	summary := "rate=" + strconv.FormatFloat(outcomes.FailureRate(s.Tracker.MedianFailureRate(worker.Backend, now), now), 'f', 2, 64)
 	switch {
 	case outcomes.IsEjected(now):
-		sample += " held"
+		summary += " held"
 	case outcomes.OnTrial(now):
-		sample += " trial"
+		summary += " trial"
 	}
 	for i, count := range outcomes.Counts() {
 		if count > 0 {
-			sample += " " + health.Kinds()[i] + "=" + strconv.FormatInt(count, 10)
+			summary += " " + health.Kinds()[i] + "=" + strconv.FormatInt(count, 10)
 		}
 	}
-	return sample
+	return summary
 }
--- a/internal/traffic/admission/observation.go
+++ b/internal/traffic/admission/observation.go
@@ -6,8 +6,8 @@
 	"lemonarch/internal/traffic/trafficstats"
 )
 
-// ItemObservation is what the traffic summaries keep of an item of a batch job that was run
-// to its end, with the number of its events.
+// ItemObservation returns the traffic statistics entry for an item of a batch job that ran to
+// completion with the given number of events.
 func (g *Grant) ItemObservation(route, model string, events int, now clock.Instant) *trafficstats.Observation {
 	observation := &trafficstats.Observation{
 		Class: trafficstats.Class{Route: route, Service: g.request.Service, Model: model},
--- a/internal/traffic/admission/preemption.go
+++ b/internal/traffic/admission/preemption.go
@@ -62,7 +62,7 @@
 		s.lock.Unlock()
 		return
 	}
-	s.pressure[ownPressure] = pressureReport{at: now, entries: entries}
+	s.pressure[ownPressureKey] = pressureReport{at: now, entries: entries}
 	toYield := s.selectVictims(entries, 1)
 	notify := s.onPressure
 	if notify != nil && (s.pressureSentAt == 0 || now.Sub(s.pressureSentAt) >= constants.PressurePeriod) {
@@ -80,7 +80,7 @@
 }
 
 // ownPressure is the key of the own report; no process has an empty name.
-const ownPressure = ""
+const ownPressureKey = ""
 
 // ObservePressure takes a peer's report that others act on: nothing new starts against it.
 func (s *Scheduler) ObservePressure(notice *messages.PressureNotice, now clock.Instant) {
--- a/internal/traffic/admission/preemption_test.go
+++ b/internal/traffic/admission/preemption_test.go
@@ -10,7 +10,7 @@
 )
 
 // fill takes places for work that may be displaced and counts who yields.
-func fill(t *testing.T, scheduler *Scheduler, count, priority int, bulk bool, yielded *[]int) []*Grant {
+func fillSlots(t *testing.T, scheduler *Scheduler, count, priority int, bulk bool, yielded *[]int) []*Grant {
 	t.Helper()
 
 	var grants []*Grant
@@ -27,17 +27,17 @@
 
 // A request of a higher rank that finds no capacity makes the youngest item yield,
 // and gets its place.
-func TestHigherRankDisplacesTheYoungestItem(t *testing.T) {
-	scheduler := scheduler(t, 20, "w")
+func TestHigherPriorityPreemptsYoungestItem(t *testing.T) {
+	scheduler := newScheduler(t, 20, "w")
 	var yielded []int
-	items := fill(t, scheduler, int(constants.BatchCapacityShare*20), 2, true, &yielded)
+	items := fillSlots(t, scheduler, int(constants.BatchCapacityShare*20), 2, true, &yielded)
 	for count := 0; count < 20+constants.QueueAheadMax-len(items); count++ {
-		if decision, _ := scheduler.Admit(ask(0), nil, 100); decision.Verdict != VerdictGranted {
+		if decision, _ := scheduler.Admit(newRequest(0), nil, 100); decision.Verdict != VerdictGranted {
 			t.Fatal("no room for live requests beside the items")
 		}
 	}
 	served := 0
-	decision, _ := scheduler.Admit(ask(0), func(late Decision) {
+	decision, _ := scheduler.Admit(newRequest(0), func(late Decision) {
 		if late.Verdict == VerdictGranted {
 			served++
 		}
@@ -57,15 +57,15 @@
 }
 
 func TestEqualAndHigherRanksAreNeverPreempted(t *testing.T) {
-	scheduler := scheduler(t, 4, "w")
+	scheduler := newScheduler(t, 4, "w")
 	var yielded []int
-	fill(t, scheduler, 4+constants.QueueAheadMax, 1, false, &yielded)
-	scheduler.Admit(ask(1), func(Decision) {}, 100)
-	scheduler.Admit(ask(2), func(Decision) {}, 100)
+	fillSlots(t, scheduler, 4+constants.QueueAheadMax, 1, false, &yielded)
+	scheduler.Admit(newRequest(1), func(Decision) {}, 100)
+	scheduler.Admit(newRequest(2), func(Decision) {}, 100)
 	if len(yielded) != 0 {
 		t.Fatal(yielded)
 	}
-	scheduler.Admit(ask(0), func(Decision) {}, 101)
+	scheduler.Admit(newRequest(0), func(Decision) {}, 101)
 	if len(yielded) != 1 {
 		t.Fatal("a stream of a lower rank did not yield")
 	}
@@ -73,11 +73,11 @@
 
 // Items yield before streams, whatever their ranks.
 func TestItemsYieldBeforeStreams(t *testing.T) {
-	scheduler := scheduler(t, 8, "w")
+	scheduler := newScheduler(t, 8, "w")
 	var items, streams []int
-	fill(t, scheduler, 6, 1, true, &items)
-	fill(t, scheduler, 2+constants.QueueAheadMax, 3, false, &streams)
-	scheduler.Admit(ask(0), func(Decision) {}, 100)
+	fillSlots(t, scheduler, 6, 1, true, &items)
+	fillSlots(t, scheduler, 2+constants.QueueAheadMax, 3, false, &streams)
+	scheduler.Admit(newRequest(0), func(Decision) {}, 100)
 	if len(items) != 1 || len(streams) != 0 {
 		t.Fatal(items, streams)
 	}
@@ -85,10 +85,10 @@
 
 // A peer's pressure makes this node yield its share, but never below the floor.
 func TestPeersPressureAndTheFloor(t *testing.T) {
-	scheduler := scheduler(t, 40, "w")
+	scheduler := newScheduler(t, 40, "w")
 	var yielded []int
 	const items = 20
-	fill(t, scheduler, items, 2, true, &yielded)
+	fillSlots(t, scheduler, items, 2, true, &yielded)
 	sample := &messages.PressureNotice{From: "forge/x", Entries: []messages.Pressure{{Service: "s", Priority: 0, Waiting: 6}}}
 	scheduler.YieldToPressure(sample, 3, 100)
 	if len(yielded) != 2 {
@@ -113,9 +113,9 @@
 
 // A report at second hand delays new items and takes no slot from anybody.
 func TestObservedPressureDelaysNewItems(t *testing.T) {
-	scheduler := scheduler(t, 40, "w")
+	scheduler := newScheduler(t, 40, "w")
 	var yielded []int
-	fill(t, scheduler, 20, 2, true, &yielded)
+	fillSlots(t, scheduler, 20, 2, true, &yielded)
 	sample := &messages.PressureNotice{From: "forge/x", Entries: []messages.Pressure{{Service: "s", Priority: 0, Waiting: 6}}}
 	scheduler.ObservePressure(sample, 100)
 	if decision, _ := scheduler.Admit(&Request{Service: "s", Bulk: true, Priority: 2}, nil, 101); decision.Verdict == VerdictGranted {
@@ -127,11 +127,11 @@
 }
 
 func TestPressureIsSentOnceAPeriod(t *testing.T) {
-	scheduler := scheduler(t, 1, "w")
+	scheduler := newScheduler(t, 1, "w")
 	known := 0
 	scheduler.OnPressure(func([]messages.Pressure) { known++ })
 	for count := 0; count < 10; count++ {
-		scheduler.Admit(ask(0), func(Decision) {}, 100)
+		scheduler.Admit(newRequest(0), func(Decision) {}, 100)
 	}
 	if known != 1 {
 		t.Fatal("told ", known)
@@ -145,7 +145,7 @@
 // A long prompt that a peer gave a worker counts as waiting there until it is read,
 // and items keep away from it.
 func TestPeersLongPromptIsAvoided(t *testing.T) {
-	entry := scheduler(t, 8, "v", "w")
+	entry := newScheduler(t, 8, "v", "w")
 	config, err := routeconfig.Parse([]byte(`{"generation":2,"backends":[{"name":"s","engine":{"capacity":8,"cache-tokens":1000}}]}`))
 	if err != nil {
 		t.Fatal(err)
@@ -155,12 +155,12 @@
 	entry.OnPrefill(func(worker string, _ float64) { known = worker })
 	entry.HandlePrefill(&messages.PrefillNotice{Worker: "v", Prefill: 100}, 10)
 	for count := 0; count < 4; count++ {
-		if decision, _ := entry.Admit(ask(0), nil, 11); decision.Grant == nil || decision.Grant.Worker.ID != "w" {
+		if decision, _ := entry.Admit(newRequest(0), nil, 11); decision.Grant == nil || decision.Grant.Worker.ID != "w" {
 			t.Fatal("placed behind a long prompt")
 		}
 	}
 	later := clock.Instant(10).Add(clock.Milliseconds(100))
-	long := ask(0)
+	long := newRequest(0)
 	long.Affine, long.Prompt.Tokens = true, 10_000
 	decision, _ := entry.Admit(long, nil, later)
 	if decision.Grant == nil || decision.Grant.Worker.ID != "v" || known != "v" {
--- a/internal/traffic/admission/prefills_test.go
+++ b/internal/traffic/admission/prefills_test.go
@@ -4,10 +4,10 @@
 
 // A try that ends before its first event gives back what it had the worker read:
 // else the worker looks busy for ever, and no item is placed there any more.
-func TestEndGivesBackUnread(t *testing.T) {
+func TestEndReleasesPendingPrefill(t *testing.T) {
 	for _, result := range []Result{ResultServed, ResultFailed, ResultRejected, ResultCanceled} {
-		entry := scheduler(t, 4, "w")
-		question := ask(0)
+		entry := newScheduler(t, 4, "w")
+		question := newRequest(0)
 		question.Affine = true
 		question.Prompt.Tokens = 700
 		decision, _ := entry.Admit(question, nil, 2)
--- a/internal/traffic/admission/pump.go
+++ b/internal/traffic/admission/pump.go
@@ -16,15 +16,15 @@
 // PumpWaiting pumps where anything waits, since its time may have run out, and tells
 // whether something still does.
 func (s *Scheduler) PumpWaiting(now clock.Instant) bool {
-	if !s.waiting() {
+	if !s.hasWaiting() {
 		return false
 	}
 	s.Pump(now)
 	s.applyPressure(now)
-	return s.waiting()
+	return s.hasWaiting()
 }
 
-func (s *Scheduler) waiting() bool {
+func (s *Scheduler) hasWaiting() bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.slab.Len() > 0
--- a/internal/traffic/admission/pump_test.go
+++ b/internal/traffic/admission/pump_test.go
@@ -9,21 +9,21 @@
 
 // Nobody pumps an empty bench; one that waits is looked at until its patience ends,
 // and the next one that comes wakes the pump again.
-func TestPumpSleepsWhileNobodyWaits(t *testing.T) {
-	entry := scheduler(t, 1, "w")
+func TestPumpSleepsWhileQueueIsEmpty(t *testing.T) {
+	entry := newScheduler(t, 1, "w")
 	stop, over := make(chan struct{}), make(chan struct{})
 	go func() {
 		entry.RunPump(stop)
 		close(over)
 	}()
 	for count := 0; count < 1+constants.QueueAheadMax; count++ {
-		if decision, _ := entry.Admit(ask(0), nil, clock.Now()); decision.Verdict != VerdictGranted {
+		if decision, _ := entry.Admit(newRequest(0), nil, clock.Now()); decision.Verdict != VerdictGranted {
 			t.Fatal(decision.Verdict)
 		}
 	}
 	for round := 0; round < 2; round++ {
 		refused := make(chan Decision, 1)
-		waits := ask(0)
+		waits := newRequest(0)
 		waits.QueueUntil = clock.Now().Add(2 * constants.PumpPeriod)
 		if decision, _ := entry.Admit(waits, func(late Decision) { refused <- late }, clock.Now()); decision.Verdict != VerdictQueued {
 			t.Fatal(decision.Verdict)
--- a/internal/traffic/admission/reach.go
+++ b/internal/traffic/admission/reach.go
@@ -20,7 +20,7 @@
 type scratch struct {
 	workerList []messages.Worker
 	candidates []prefixindex.Candidate
-	reach      []messages.Worker
+	toConsider []messages.Worker
 }
 
 // subset is the stable part of a service's workers for this node, found anew each
@@ -32,12 +32,12 @@
 
 // reach gives the workers that are considered for a request, and whether there are more.
 // The lock is held.
-func (s *Scheduler) reach(req *Request, all []messages.Worker, now clock.Instant) (some []messages.Worker, more bool) {
+func (s *Scheduler) workersToConsider(req *Request, all []messages.Worker, now clock.Instant) (some []messages.Worker, more bool) {
 	if req.Bulk || len(all) <= constants.ReachAllUpTo {
 		// Items are placed by few processes, each of which needs the capacity of all.
 		return all, false
 	}
-	some = s.scratch.reach[:0]
+	some = s.scratch.toConsider[:0]
 	for _, worker := range s.subset(req.Service, all, now) {
 		// A full one is no reason to wait while others are free elsewhere.
 		if s.Tracker.Of(worker.ID).Running(now) < worker.Capacity && !isExcluded(req, worker.ID) {
@@ -47,7 +47,7 @@
 	if req.Affine && req.Prompt.Shared() >= constants.GossipPrefixLeast {
 		some = s.addPrefixHolders(req, all, some)
 	}
-	s.scratch.reach = some
+	s.scratch.toConsider = some
 	return some, true
 }
 
@@ -69,7 +69,7 @@
 		if s.Registry.Status(worker.ID, now, listening) != workers.StatusHealthy || s.Tracker.Of(worker.ID).Suspect(now) {
 			continue
 		}
-		good = append(good, ranked{worker, worker.Zone == s.own.Zone, rendezvousWeight(s.own, worker.ID)})
+		good = append(good, ranked{worker, worker.Zone == s.self.Zone, rendezvousWeight(s.self, worker.ID)})
 	}
 	sort.Slice(good, func(left, right int) bool {
 		if good[left].near != good[right].near {
--- a/internal/traffic/admission/reach_test.go
+++ b/internal/traffic/admission/reach_test.go
@@ -13,7 +13,7 @@
 )
 
 // manyWorkers registers sixty workers in four zones.
-func manyWorkers(entry *Scheduler, capacity int) {
+func mergeManyWorkers(entry *Scheduler, capacity int) {
 	var list []messages.Worker
 	for i := 0; i < 60; i++ {
 		list = append(list, messages.Worker{ID: fmt.Sprintf("i-%04d", i), Backend: "s", Address: "a",
@@ -22,24 +22,24 @@
 	entry.Merge(list, 1)
 }
 
-func node(name, zone string) *Scheduler {
+func newNode(name, zone string) *Scheduler {
 	entry := New(messages.NodeInfo{Name: name, Role: membership.RoleGateway, Zone: zone}, 1_200_000_000)
 	config, err := routeconfig.Parse([]byte(`{"generation":2,"backends":[{"name":"s","engine":{"capacity":4,"cache-tokens":200000}}]}`))
 	if err != nil {
 		panic(err)
 	}
 	entry.SetConfig(config)
-	manyWorkers(entry, 4)
+	mergeManyWorkers(entry, 4)
 	return entry
 }
 
 // What has no warm prefix goes to a few workers of the own zone, and to others only
 // once these are full.
 func TestShortPromptsStayInTheSubset(t *testing.T) {
-	entry := node("n", "h1")
+	entry := newNode("n", "h1")
 	used := map[string]int{}
 	for count := 0; count < 4*constants.ReachSubset; count++ {
-		decision, _ := entry.Admit(ask(0), nil, second(2)+clock.Instant(count))
+		decision, _ := entry.Admit(newRequest(0), nil, atSecond(2)+clock.Instant(count))
 		if decision.Verdict != VerdictGranted || decision.Grant.Worker.Zone != "h1" {
 			t.Fatalf("number %d: %+v", count, decision)
 		}
@@ -48,7 +48,7 @@
 	if len(used) != constants.ReachSubset {
 		t.Fatalf("%d workers were used", len(used))
 	}
-	decision, _ := entry.Admit(ask(0), nil, second(2)+100)
+	decision, _ := entry.Admit(newRequest(0), nil, atSecond(2)+100)
 	if decision.Verdict != VerdictGranted || used[decision.Grant.Worker.ID] > 0 {
 		t.Fatalf("waits behind its own few while others are free: %+v", decision)
 	}
@@ -59,8 +59,8 @@
 	nodesFor := map[string]int{}
 	const nodes = 72
 	for i := 0; i < nodes; i++ {
-		entry := node(fmt.Sprint("edge-", i), fmt.Sprint("h", i%4))
-		for _, worker := range entry.subset("s", entry.Registry.ByService("s"), second(2)) {
+		entry := newNode(fmt.Sprint("edge-", i), fmt.Sprint("h", i%4))
+		for _, worker := range entry.subset("s", entry.Registry.ByService("s"), atSecond(2)) {
 			nodesFor[worker.ID]++
 		}
 	}
@@ -76,12 +76,12 @@
 // worker that fails leaves the subset.
 func TestLongPrefixIsPlacedAtItsHome(t *testing.T) {
 	long := func() *Request {
-		return &Request{Service: "s", Affine: true, Setpoint: 200_000_000, QueueUntil: second(9), Prompt: prefixindex.Prompt{Tokens: 20_000,
+		return &Request{Service: "s", Affine: true, Setpoint: 200_000_000, QueueUntil: atSecond(9), Prompt: prefixindex.Prompt{Tokens: 20_000,
 			Parts: []prefixindex.Part{{Name: 77, Tokens: 18_000}, {Name: 78, Tokens: 2_000}}}}
 	}
 	home := ""
 	for i := 0; i < 12; i++ {
-		decision, _ := node(fmt.Sprint("edge-", i), fmt.Sprint("h", i%4)).Admit(long(), nil, second(2))
+		decision, _ := newNode(fmt.Sprint("edge-", i), fmt.Sprint("h", i%4)).Admit(long(), nil, atSecond(2))
 		if home == "" {
 			home = decision.Grant.Worker.ID
 		}
@@ -90,16 +90,16 @@
 		}
 	}
 	// Where a peer's word says that it is held, it goes there rather than home.
-	entry := node("edge-0", "h0")
+	entry := newNode("edge-0", "h0")
 	other := "i-0033"
 	sample := messages.AppendPrefix(nil, messages.Residency{Path: []byte{0, 0, 0, 0, 0, 0, 0, 77}, Tokens: 18_000, Worker: other, Probability: 1})
-	entry.HandleGossip(&messages.Gossip{From: "forge/x", Prefixes: sample}, second(2))
-	if decision, _ := entry.Admit(long(), nil, second(2)+1); decision.Grant.Worker.ID != other {
+	entry.HandleGossip(&messages.Gossip{From: "forge/x", Prefixes: sample}, atSecond(2))
+	if decision, _ := entry.Admit(long(), nil, atSecond(2)+1); decision.Grant.Worker.ID != other {
 		t.Fatal("placed at ", decision.Grant.Worker.ID)
 	}
-	failed := entry.subset("s", entry.Registry.ByService("s"), second(2))[0].ID
-	entry.Locked(func() { entry.Tracker.Of(failed).RecordFailure(constants.EjectFor, second(4)) })
-	for _, worker := range entry.subset("s", entry.Registry.ByService("s"), second(4)) {
+	failed := entry.subset("s", entry.Registry.ByService("s"), atSecond(2))[0].ID
+	entry.Locked(func() { entry.Tracker.Of(failed).RecordFailure(constants.EjectFor, atSecond(4)) })
+	for _, worker := range entry.subset("s", entry.Registry.ByService("s"), atSecond(4)) {
 		if worker.ID == failed {
 			t.Fatal("a failing worker stays in the subset")
 		}
@@ -113,7 +113,7 @@
 	for i := 0; i < 20; i++ {
 		name := fmt.Sprint("edge-", i)
 		nodes = append(nodes, messages.NodeInfo{Name: name, Role: membership.RoleGateway, Zone: "h1"})
-		benches[name] = node(name, "h1")
+		benches[name] = newNode(name, "h1")
 	}
 	current := benches["edge-0"]
 	nodesFor, part := current.NodesFor("i-0001", nodes)
@@ -126,37 +126,37 @@
 	}
 	for name, scheduler := range benches {
 		has := false
-		for _, worker := range scheduler.subset("s", scheduler.Registry.ByService("s"), second(2)) {
+		for _, worker := range scheduler.subset("s", scheduler.Registry.ByService("s"), atSecond(2)) {
 			has = has || worker.ID == "i-0001"
 		}
 		if has != holding[name] {
 			t.Fatalf("%s weighs it: %v, told: %v", name, has, holding[name])
 		}
 	}
-	if small, part := scheduler(t, 4, "w").NodesFor("w", nodes); part || len(small) > 0 {
+	if small, part := newScheduler(t, 4, "w").NodesFor("w", nodes); part || len(small) > 0 {
 		t.Fatal("a small service has no parts")
 	}
 }
 
 // One full worker of two says little of the other, which must not stand idle.
-func TestNobodyIsFullOnAGuessFromFew(t *testing.T) {
-	entry := scheduler(t, 4, "v", "w")
-	entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: load("v", 6, 0)}, second(2))
-	if decision, _ := entry.Admit(ask(0), nil, second(2)); decision.Verdict != VerdictGranted || decision.Grant.Worker.ID != "w" {
+func TestUnknownWorkerIsNotFullWhenFewAreKnown(t *testing.T) {
+	entry := newScheduler(t, 4, "v", "w")
+	entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: encodedLoad("v", 6, 0)}, atSecond(2))
+	if decision, _ := entry.Admit(newRequest(0), nil, atSecond(2)); decision.Verdict != VerdictGranted || decision.Grant.Worker.ID != "w" {
 		t.Fatal("refused while a worker stands idle")
 	}
 }
 
 // A worker of which nothing is known seems neither empty nor full.
-func TestUnknownLoadIsTakenAtTheMean(t *testing.T) {
-	entry := scheduler(t, 4, "v", "w", "x")
+func TestUnknownLoadIsAssumedToBeMean(t *testing.T) {
+	entry := newScheduler(t, 4, "v", "w", "x")
 	for _, worker := range []string{"v", "w"} {
-		entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: load(worker, 6, 0)}, second(2))
+		entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: encodedLoad(worker, 6, 0)}, atSecond(2))
 	}
-	if decision, _ := entry.Admit(ask(0), nil, second(2)); decision.Verdict == VerdictGranted {
+	if decision, _ := entry.Admit(newRequest(0), nil, atSecond(2)); decision.Verdict == VerdictGranted {
 		t.Fatal("a worker without evidence was taken for an empty one")
 	}
-	if decision, _ := entry.Admit(ask(0), nil, second(2).Add(constants.GossipStale)); decision.Verdict != VerdictGranted {
+	if decision, _ := entry.Admit(newRequest(0), nil, atSecond(2).Add(constants.GossipStale)); decision.Verdict != VerdictGranted {
 		t.Fatal("what is taken from stale words still counts")
 	}
 }
--- a/internal/traffic/admission/selectworker.go
+++ b/internal/traffic/admission/selectworker.go
@@ -12,7 +12,7 @@
 // selectWorker chooses a worker that has capacity, within reach or else among all.
 func (s *Scheduler) selectWorker(req *Request, now clock.Instant) Decision {
 	all := s.Registry.ByService(req.Service)
-	some, more := s.reach(req, all, now)
+	some, more := s.workersToConsider(req, all, now)
 	decision := s.selectAmong(req, some, now)
 	if more && decision.Verdict != VerdictGranted {
 		decision = s.selectAmong(req, all, now)
@@ -35,9 +35,9 @@
 
 	// known counts the workers that may be chosen at all, open those of them that are not
 	// passed over as suspects.
-	known, open int
-	workers     []messages.Worker
-	candidates  []prefixindex.Candidate
+	eligible, considered int
+	workers              []messages.Worker
+	candidates           []prefixindex.Candidate
 }
 
 // selectAmong chooses one of these workers.
@@ -48,11 +48,11 @@
 		for position := range among {
 			s.consider(&sel, &among[position], worst)
 		}
-		if sel.open > 0 {
+		if sel.considered > 0 {
 			break
 		}
 	}
-	if sel.known == 0 {
+	if sel.eligible == 0 {
 		return Decision{Verdict: VerdictNoWorker, Retry: constants.GossipPeriod / 2}
 	}
 	if len(sel.candidates) == 0 {
@@ -89,7 +89,7 @@
 	if status == workers.StatusUnavailable || status > worst || isExcluded(sel.request, worker.ID) {
 		return
 	}
-	sel.known++
+	sel.eligible++
 	health := s.Tracker.Of(worker.ID)
 	running := health.Running(sel.now)
 	if !health.Known(sel.now) {
@@ -99,7 +99,7 @@
 	if suspect && worst == workers.StatusHealthy {
 		return
 	}
-	sel.open++
+	sel.considered++
 	if s.isFull(sel.request, *worker, sel.engine, running, sel.now) {
 		return
 	}
@@ -107,7 +107,7 @@
 		// Items are prefilled one after the other, so that live prompts get between.
 		return
 	}
-	candidate := prefixindex.Candidate{Worker: worker.ID, WaitMs: s.cost(worker.Zone)}
+	candidate := prefixindex.Candidate{Worker: worker.ID, WaitMs: s.zoneCostMs(worker.Zone)}
 	candidate.WaitMs += s.expectedWaitMs(sel, worker, health, running)
 	if worker.WarmupMs > 0 {
 		candidate.RiskMs += float64(worker.WarmupMs) / 10
@@ -125,7 +125,7 @@
 	if !sel.engine {
 		// A plain worker's wait grows with how full it is and how slow it has been.
 		load := s.decayedLoad(sel.request.Service, *worker, running, sel.meanLoad, sel.now)
-		return health.TookMs()*(1+2*load/float64(max(worker.Capacity, 1))) + s.jitter()
+		return health.MeanResponseMs()*(1+2*load/float64(max(worker.Capacity, 1))) + s.jitter()
 	}
 	s.Index.SetCache(worker.ID, sel.cacheTokens)
 	prefills := float64(health.PendingTokens())/s.Index.PrefillRate() + clock.ToMilliseconds(health.PeerPrefillLeft(sel.now))
@@ -135,10 +135,10 @@
 // newGrant notes that the request goes to a worker, and reports a long prompt to the peers.
 func (s *Scheduler) newGrant(sel *selection, worker messages.Worker) *Grant {
 	req, now := sel.request, sel.now
-	s.number++
-	grant := &Grant{Worker: worker, request: req, startedAt: now, scheduler: s, number: s.number, engine: sel.engine}
+	s.lastGrantNumber++
+	grant := &Grant{Worker: worker, request: req, startedAt: now, scheduler: s, number: s.lastGrantNumber, engine: sel.engine}
 	health := s.Tracker.Of(worker.ID)
-	grant.alone = health.PendingPrefills() == 0
+	grant.solePrefill = health.PendingPrefills() == 0
 	if req.Affine {
 		grant.FreshTokens = s.Index.RecordPlacement(&req.Prompt, worker.ID, now)
 	}
--- a/internal/traffic/admission/selectworker_bench_test.go
+++ b/internal/traffic/admission/selectworker_bench_test.go
@@ -28,7 +28,7 @@
 			b.ReportAllocs()
 			for number := 0; b.Loop(); number++ {
 				now := clock.Instant(number+1) * 1_000_000
-				decision, _ := entry.Admit(ask(0), nil, now)
+				decision, _ := entry.Admit(newRequest(0), nil, now)
 				decision.Grant.End(ResultServed, now+1000)
 			}
 		})
@@ -47,7 +47,7 @@
 			entry.Merge(list, 1)
 			b.ReportAllocs()
 			for number := 1; b.Loop(); number++ {
-				now := second(number)
+				now := atSecond(number)
 				for peer := 0; peer < 4; peer++ {
 					packet := &messages.Gossip{From: fmt.Sprint("forge/", peer)}
 					for i := 0; i < min(count, 144); i++ {
--- a/internal/traffic/admission/silence.go
+++ b/internal/traffic/admission/silence.go
@@ -9,7 +9,7 @@
 // latencies are what is usual at a service: the time from the grant to the first event,
 // less the reading of prompts, and the longest pause in a stream.
 type latencies struct {
-	first, gap health.Latency
+	firstEvent, eventGap health.Latency
 }
 
 // latenciesOf gives the latencies of a service. The lock is held.
@@ -36,7 +36,7 @@
 		most = max(constants.PlainTimeoutFactor*setpoint, constants.PlainTimeoutMin)
 	}
 	least := min(clock.Duration(constants.HedgeShare*float64(setpoint)), most)
-	return g.prefillTime + scheduler.latenciesOf(g.Worker.Backend).first.Timeout(least, most)
+	return g.prefillTime + scheduler.latenciesOf(g.Worker.Backend).firstEvent.Timeout(least, most)
 }
 
 // InterEventTimeout is the silence between two events that is out of the ordinary, where
@@ -49,7 +49,7 @@
 	if longest <= 0 {
 		least = constants.StreamTimeout
 	}
-	return scheduler.latenciesOf(g.Worker.Backend).gap.Timeout(min(least, constants.StreamTimeout), constants.StreamTimeout)
+	return scheduler.latenciesOf(g.Worker.Backend).eventGap.Timeout(min(least, constants.StreamTimeout), constants.StreamTimeout)
 }
 
 // ObserveGap notes the longest pause of a stream that was complete.
@@ -60,7 +60,7 @@
 	scheduler := g.scheduler
 	scheduler.lock.Lock()
 	defer scheduler.lock.Unlock()
-	scheduler.latenciesOf(g.Worker.Backend).gap.Observe(clock.ToMilliseconds(longest))
+	scheduler.latenciesOf(g.Worker.Backend).eventGap.Observe(clock.ToMilliseconds(longest))
 }
 
 // TryRetryElsewhere asks to go on elsewhere after a silence.
@@ -71,9 +71,9 @@
 	g.silence = elapsed
 	known := scheduler.latenciesOf(g.Worker.Backend)
 	if g.prefillDone {
-		return known.gap.TrySpend(elapsed)
+		return known.eventGap.TakeRetry(elapsed)
 	}
-	return known.first.TrySpend(max(elapsed-g.prefillTime, 0))
+	return known.firstEvent.TakeRetry(max(elapsed-g.prefillTime, 0))
 }
 
 // NoteSilence notes a silence that has to be waited out: at first it counts as slowness, and
@@ -83,8 +83,8 @@
 	scheduler.lock.Lock()
 	defer scheduler.lock.Unlock()
 	switch {
-	case elapsed >= constants.SureTimeout && g.silenceLevel < silenceSure:
-		g.silenceLevel = silenceSure
+	case elapsed >= constants.SureTimeout && g.silenceLevel < silenceTimeout:
+		g.silenceLevel = silenceTimeout
 		scheduler.recordFault(g.Worker, health.FaultTimeout, now)
 	case elapsed < constants.SureTimeout && g.silenceLevel < silenceSlow:
 		g.silenceLevel = silenceSlow
@@ -96,7 +96,7 @@
 const (
 	silenceNone = iota
 	silenceSlow
-	silenceSure
+	silenceTimeout
 )
 
 // ObserveLoad takes the load header of a response that is no run.
--- a/internal/traffic/admission/slab.go
+++ b/internal/traffic/admission/slab.go
@@ -9,7 +9,7 @@
 
 type cell[Value any] struct {
 	generation uint32
-	taken      bool
+	occupied   bool
 	value      Value
 }
 
@@ -27,17 +27,17 @@
 		i := s.free[count-1]
 		s.free = s.free[:count-1]
 		entry := &s.cells[i]
-		entry.taken, entry.value = true, value
+		entry.occupied, entry.value = true, value
 		return Handle{i, entry.generation}
 	}
-	s.cells = append(s.cells, cell[Value]{taken: true, value: value})
+	s.cells = append(s.cells, cell[Value]{occupied: true, value: value})
 	return Handle{len(s.cells) - 1, 0}
 }
 
 // Get finds a value; it is gone once taken.
 func (s *Slab[Value]) Get(handle Handle) (Value, bool) {
 	if handle.index < len(s.cells) {
-		if entry := &s.cells[handle.index]; entry.taken && entry.generation == handle.generation {
+		if entry := &s.cells[handle.index]; entry.occupied && entry.generation == handle.generation {
 			return entry.value, true
 		}
 	}
@@ -52,7 +52,7 @@
 	if found {
 		var nothing Value
 		entry := &s.cells[handle.index]
-		entry.value, entry.taken = nothing, false
+		entry.value, entry.occupied = nothing, false
 		entry.generation++
 		s.free = append(s.free, handle.index)
 		s.used--
--- a/internal/traffic/admission/stale.go
+++ b/internal/traffic/admission/stale.go
@@ -25,24 +25,24 @@
 	if req.Bulk || engine || health.Own() >= capacity || !health.Known(now) {
 		return true
 	}
-	return health.PendingPrefills() > 0 || health.Age(now) <= max(constants.FullFor, s.meanStay(req.Service))
+	return health.PendingPrefills() > 0 || health.Age(now) <= max(constants.FullFor, s.meanDuration(req.Service))
 }
 
 // meanStay is the usual time of a request at a service's worker, as seen from here; zero
 // while nothing is known.
-func (s *Scheduler) meanStay(service string) clock.Duration {
+func (s *Scheduler) meanDuration(service string) clock.Duration {
 	entry := s.gossip.flows[service]
 	if entry == nil || entry.count == 0 {
 		return 0
 	}
-	return clock.Milliseconds(entry.stayMs / entry.count)
+	return clock.Milliseconds(entry.durationMs / entry.count)
 }
 
 // decayedLoad is a load as it may be by now: an old observation says little more than the
 // mean of all does.
 func (s *Scheduler) decayedLoad(service string, worker messages.Worker, running, mean int, now clock.Instant) float64 {
 	health := s.Tracker.Of(worker.ID)
-	stay := s.meanStay(service)
+	stay := s.meanDuration(service)
 	if stay == 0 || !health.Known(now) {
 		return float64(running)
 	}
@@ -54,7 +54,7 @@
 // zone: among equals not all nodes must choose the first. It repeats with the node.
 func (s *Scheduler) jitter() float64 {
 	if s.jitterState == 0 {
-		s.jitterState = rendezvousWeight(s.own, "")
+		s.jitterState = rendezvousWeight(s.self, "")
 	}
 	s.jitterState = prefixindex.MixBits(s.jitterState + 0x9e3779b97f4a7c15)
 	return constants.SpreadMs * float64(s.jitterState>>11) / (1 << 53)
--- a/internal/traffic/admission/workers.go
+++ b/internal/traffic/admission/workers.go
@@ -26,5 +26,5 @@
 func (s *Scheduler) WorkersDigest() messages.Digest {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return s.Registry.Digest(s.own.Incarnation)
+	return s.Registry.Digest(s.self.Incarnation)
 }
--- a/internal/traffic/health/health.go
+++ b/internal/traffic/health/health.go
@@ -17,12 +17,12 @@
 	pendingPrefills  int
 	peerPrefillUntil clock.Instant
 	observed         observation
-	steps            [ownSteps]ownStep
-	stepCount        int
+	ownHistory       [ownHistorySize]ownCountChange
+	ownChanges       int
 	full             observation
 	suspects         map[string]clock.Instant
 	suspectUntil     clock.Instant
-	tookMs           float64
+	meanResponseMs   float64
 	failures         int64
 	responses        int64
 }
@@ -61,7 +61,7 @@
 	}
 	h.pendingTokens += int64(fresh)
 	h.pendingPrefills++
-	h.step(now)
+	h.recordOwnCount(now)
 }
 
 // PrefillDone notes that a prompt was prefilled: its first event has come.
@@ -93,7 +93,7 @@
 	} else {
 		h.live--
 	}
-	h.step(now)
+	h.recordOwnCount(now)
 }
 
 // Own is how many requests of this process are there.
@@ -144,10 +144,10 @@
 func (h *Health) RecordResponse(took clock.Duration) {
 	h.responses++
 	milliseconds := clock.ToMilliseconds(took)
-	if h.tookMs == 0 {
-		h.tookMs = milliseconds
+	if h.meanResponseMs == 0 {
+		h.meanResponseMs = milliseconds
 	}
-	h.tookMs += 0.1 * (milliseconds - h.tookMs)
+	h.meanResponseMs += 0.1 * (milliseconds - h.meanResponseMs)
 }
 
 // Suspect tells whether the worker is ejected here, or suspected by peers.
@@ -161,7 +161,7 @@
 }
 
 // TookMs is the usual time of a response, in ms.
-func (h *Health) TookMs() float64 { return h.tookMs }
+func (h *Health) MeanResponseMs() float64 { return h.meanResponseMs }
 
 // Counts gives answers and failures, for the shell.
 func (h *Health) Counts() (responses, failures int64) { return h.responses, h.failures }
--- a/internal/traffic/health/latency.go
+++ b/internal/traffic/health/latency.go
@@ -10,15 +10,15 @@
 type Latency struct {
 	mean, deviation float64
 	count           int
-	budget          float64
+	retryBudget     float64
 }
 
 // Observe takes a time in ms.
 func (p *Latency) Observe(milliseconds float64) {
 	p.count++
-	p.budget = min(p.budget+constants.HedgeEarned, constants.HedgeBudget)
+	p.retryBudget = min(p.retryBudget+constants.HedgeEarned, constants.HedgeBudget)
 	if p.count == 1 {
-		p.mean, p.deviation, p.budget = milliseconds, milliseconds/2, constants.HedgeBudget/2
+		p.mean, p.deviation, p.retryBudget = milliseconds, milliseconds/2, constants.HedgeBudget/2
 		return
 	}
 	away := milliseconds - p.mean
@@ -41,12 +41,12 @@
 // TrySpend takes one retry after a silence out of the budget. When a whole service grows
 // slow, leaving for elsewhere would only add to its load: then the budget runs dry.
 // The wait itself is observed, as the least that the response would have taken.
-func (p *Latency) TrySpend(waited clock.Duration) bool {
-	if p.budget < 1 {
+func (p *Latency) TakeRetry(waited clock.Duration) bool {
+	if p.retryBudget < 1 {
 		return false
 	}
-	budget := p.budget - 1
+	budget := p.retryBudget - 1
 	p.Observe(clock.ToMilliseconds(waited))
-	p.budget = budget
+	p.retryBudget = budget
 	return true
 }
--- a/internal/traffic/health/latency_test.go
+++ b/internal/traffic/health/latency_test.go
@@ -33,7 +33,7 @@
 
 // A service that grows slow as a whole is not left by everybody: the budget runs dry,
 // and the silences teach what has become usual.
-func TestLeavesAreBounded(t *testing.T) {
+func TestRetriesAfterSilenceAreBounded(t *testing.T) {
 	pace := &Latency{}
 	for count := 0; count < 100; count++ {
 		pace.Observe(20)
@@ -41,7 +41,7 @@
 	least, most := clock.Milliseconds(10), clock.Milliseconds(900)
 	before, left := pace.Timeout(least, most), 0
 	for count := 0; count < 200; count++ {
-		if limit := pace.Timeout(least, most); limit < clock.Milliseconds(400) && pace.TrySpend(limit) {
+		if limit := pace.Timeout(least, most); limit < clock.Milliseconds(400) && pace.TakeRetry(limit) {
 			left++
 			continue
 		}
--- a/internal/traffic/health/outcomes_test.go
+++ b/internal/traffic/health/outcomes_test.go
@@ -11,7 +11,7 @@
 
 const second = clock.Instant(1_000_000_000)
 
-func names(count int) []string {
+func workerNames(count int) []string {
 	var found []string
 	for i := 0; i < count; i++ {
 		found = append(found, fmt.Sprintf("w%02d", i))
@@ -25,12 +25,12 @@
 // Of twenty workers two fail 45 of 100 requests; the others lose 1 of 100. Whoever is
 // ejected gets nothing but trials. The ill ones must come to get less than half of
 // their part, at half a request a second and worker.
-func TestGreyWorkersAreLeftOut(t *testing.T) {
+func TestPartlyFailingWorkersAreEjected(t *testing.T) {
 	const seeds = 20
 	total := 0
 	for seed := int64(1); seed <= seeds; seed++ {
 		random := rand.New(rand.NewSource(seed))
-		tracker, workerList := New(), names(20)
+		tracker, workerList := New(), workerNames(20)
 		sent := map[string]int{}
 		now := second
 		for count := 0; count < 600; count++ {
@@ -68,7 +68,7 @@
 // However many fail, no more than the share is ejected, and the only worker never is.
 func TestNeverMoreThanAShareIsEjected(t *testing.T) {
 	for _, count := range []int{1, 2, 4, 9, 60} {
-		tracker, workerList := New(), names(count)
+		tracker, workerList := New(), workerNames(count)
 		now := second
 		for round := 0; round < 6; round++ {
 			for _, worker := range workerList {
@@ -87,8 +87,8 @@
 }
 
 // The ones over the share are those that fail least.
-func TestTheWorstAreEjected(t *testing.T) {
-	tracker, workerList := New(), names(4)
+func TestWorstWorkersAreEjectedFirst(t *testing.T) {
+	tracker, workerList := New(), workerNames(4)
 	now := second
 	for _, worker := range []string{"w01", "w03"} {
 		tracker.RecordFault(worker, "s", FaultError, now)
@@ -102,7 +102,7 @@
 // Each ejection lasts twice as long as the one before, up to a most.
 func TestEjectionsLengthen(t *testing.T) {
 	tracker, now := New(), second
-	names := names(5)
+	names := workerNames(5)
 	for _, worker := range names[1:] {
 		tracker.RecordSuccess(worker, "s", now)
 	}
@@ -126,8 +126,8 @@
 
 // After its time a worker gets one repeatable request at a time, and is back with the
 // first that goes well; a failure ejects it for longer.
-func TestReturnByTrials(t *testing.T) {
-	tracker, workerList := New(), names(4)
+func TestReturnAfterTrial(t *testing.T) {
+	tracker, workerList := New(), workerNames(4)
 	duration := tracker.RecordFault("w00", "s", FaultTimeout, second)
 	if !tracker.Ejected(workerList, true, always, second+1)["w00"] {
 		t.Fatal("placed on while ejected")
@@ -154,8 +154,8 @@
 }
 
 // A service of which everybody fails has no worker that stands out.
-func TestWhatIsUsualEjectsNobody(t *testing.T) {
-	tracker, workerList := New(), names(9)
+func TestUniformFailureRateEjectsNoWorker(t *testing.T) {
+	tracker, workerList := New(), workerNames(9)
 	random := rand.New(rand.NewSource(5))
 	now := second
 	for count := 0; count < 400; count++ {
@@ -173,7 +173,7 @@
 }
 
 // Whole answers of our own speak louder than peers.
-func TestOwnResultsGoBeforeHearsay(t *testing.T) {
+func TestOwnOutcomesProveHealthy(t *testing.T) {
 	tracker := New()
 	outcomes := tracker.OutcomesOf("w00", "s")
 	if outcomes.ProvenHealthy(second) {
--- a/internal/traffic/health/peers.go
+++ b/internal/traffic/health/peers.go
@@ -12,7 +12,7 @@
 
 // ownSteps is how many changes of our own count are remembered, to correct an
 // observation by what we have begun and ended since (ours).
-const ownSteps = 8
+const ownHistorySize = 8
 
 // suspectsLimit bounds whose suspicions are remembered (ours): the neighbours'.
 const suspectsLimit = 16
@@ -25,7 +25,7 @@
 	own int
 }
 
-type ownStep struct {
+type ownCountChange struct {
 	at  clock.Instant
 	own int
 }
@@ -39,23 +39,23 @@
 }
 
 // step remembers a change of our own count.
-func (h *Health) step(now clock.Instant) {
-	h.steps[h.stepCount%ownSteps] = ownStep{at: now, own: h.Own()}
-	h.stepCount++
+func (h *Health) recordOwnCount(now clock.Instant) {
+	h.ownHistory[h.ownChanges%ownHistorySize] = ownCountChange{at: now, own: h.Own()}
+	h.ownChanges++
 }
 
 // ownAt is how many requests of ours were there at an instant, as far as remembered.
 func (h *Health) ownAt(at clock.Instant) int {
-	oldest := max(0, h.stepCount-ownSteps)
-	for i := h.stepCount - 1; i >= oldest; i-- {
-		if step := h.steps[i%ownSteps]; step.at <= at {
+	oldest := max(0, h.ownChanges-ownHistorySize)
+	for i := h.ownChanges - 1; i >= oldest; i-- {
+		if step := h.ownHistory[i%ownHistorySize]; step.at <= at {
 			return step.own
 		}
 	}
 	if oldest == 0 {
 		return 0
 	}
-	return h.steps[oldest%ownSteps].own
+	return h.ownHistory[oldest%ownHistorySize].own
 }
 
 // fresh tells whether the observation still counts: the age limit holds for the
