--- a/internal/traffic/admission/admission_test.go
+++ b/internal/traffic/admission/admission_test.go
@@ -13,18 +13,18 @@
 func newScheduler(t *testing.T, capacity int, workerList ...string) *Scheduler {
 	t.Helper()
 
-	entry := New(messages.NodeInfo{Name: "n", Role: membership.RoleGateway, Zone: "h"}, 1_200_000_000)
+	scheduler := New(messages.NodeInfo{Name: "n", Role: membership.RoleGateway, Zone: "h"}, 1_200_000_000)
 	config, err := routeconfig.Parse([]byte(`{"generation":1,"backends":[{"name":"s"}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	entry.SetConfig(config)
+	scheduler.SetConfig(config)
 	var list []messages.Worker
 	for _, name := range workerList {
 		list = append(list, messages.Worker{ID: name, Backend: "s", Address: "a", Zone: "h", Capacity: capacity, CallCount: 1})
 	}
-	entry.Merge(list, 1)
-	return entry
+	scheduler.Merge(list, 1)
+	return scheduler
 }
 
 func newRequest(priority int) *Request {
@@ -39,28 +39,28 @@
 	}
 	second := slab.Put("two")
 	if _, found := slab.Take(first); found {
-		t.Fatal("a late handle found another's value")
+		t.Fatal("a stale handle returned the value of a reused cell")
 	}
 	if value, _ := slab.Get(second); value != "two" || slab.Len() != 1 {
 		t.Fatal(value)
 	}
 }
 
-// When a place becomes free the highest rank that waits gets it, and every one
-// that waits is resumed exactly once.
+// When a slot becomes free, the queued request of the highest priority gets it, and each queued
+// request is resumed exactly once.
 func TestQueueServesHighestPriorityFirst(t *testing.T) {
-	entry := newScheduler(t, 1, "w")
+	scheduler := newScheduler(t, 1, "w")
 	var grants []*Grant
 	for count := 0; count < 1+constants.QueueAheadMax; count++ {
-		decision, _ := entry.Admit(newRequest(0), nil, 2)
+		decision, _ := scheduler.Admit(newRequest(0), nil, 2)
 		if decision.Verdict != VerdictGranted {
 			t.Fatal(decision.Verdict)
 		}
 		grants = append(grants, decision.Grant)
 	}
 	var order []int
-	wait := func(priority int) {
-		decision, _ := entry.Admit(newRequest(priority), func(late Decision) {
+	enqueue := func(priority int) {
+		decision, _ := scheduler.Admit(newRequest(priority), func(late Decision) {
 			if late.Verdict == VerdictGranted {
 				order = append(order, priority)
 			} else {
@@ -71,58 +71,58 @@
 			t.Fatal(decision.Verdict)
 		}
 	}
-	wait(2)
-	wait(0)
-	wait(1)
+	enqueue(2)
+	enqueue(0)
+	enqueue(1)
 	grants[0].End(ResultServed, 4)
 	grants[1].End(ResultServed, 5)
 	if len(order) != 2 || order[0] != 0 || order[1] != 1 {
 		t.Fatal(order)
 	}
-	entry.Pump(1_000_000_001)
+	scheduler.Pump(1_000_000_001)
 	if len(order) != 3 || order[2] != -2 {
-		t.Fatal("what can wait no longer must be refused: ", order)
+		t.Fatal("an expired request was not rejected, got resumptions: ", order)
 	}
-	entry.Pump(1_000_000_002)
+	scheduler.Pump(1_000_000_002)
 	if len(order) != 3 {
-		t.Fatal("resumed twice")
+		t.Fatal("the expired request was resumed twice")
 	}
 }
 
 func TestWithdrawnIsNeverResumed(t *testing.T) {
-	entry := newScheduler(t, 1, "w")
+	scheduler := newScheduler(t, 1, "w")
 	var grants []*Grant
 	for count := 0; count < 1+constants.QueueAheadMax; count++ {
-		decision, _ := entry.Admit(newRequest(0), nil, 2)
+		decision, _ := scheduler.Admit(newRequest(0), nil, 2)
 		grants = append(grants, decision.Grant)
 	}
-	_, handle := entry.Admit(newRequest(0), func(Decision) { t.Fatal("resumed") }, 3)
-	if !entry.Withdraw(handle) || entry.Withdraw(handle) {
-		t.Fatal("a withdrawal holds once")
+	_, handle := scheduler.Admit(newRequest(0), func(Decision) { t.Fatal("the withdrawn request was resumed") }, 3)
+	if !scheduler.Withdraw(handle) || scheduler.Withdraw(handle) {
+		t.Fatal("Withdraw must return true the first time and false the second time")
 	}
 	grants[0].End(ResultServed, 4)
 }
 
 func TestDrainedWorkerIsNeitherPlacedOnNorSentTo(t *testing.T) {
-	entry := newScheduler(t, 4, "w", "v")
-	entry.Merge([]messages.Worker{{ID: "w", Backend: "s", CallCount: 2, Phase: messages.PhaseDraining, Capacity: 4}}, 2)
-	if entry.Allowed("w", 3) || !entry.Allowed("v", 3) {
-		t.Fatal("a drain does not bind")
+	scheduler := newScheduler(t, 4, "w", "v")
+	scheduler.Merge([]messages.Worker{{ID: "w", Backend: "s", CallCount: 2, Phase: messages.PhaseDraining, Capacity: 4}}, 2)
+	if scheduler.Allowed("w", 3) || !scheduler.Allowed("v", 3) {
+		t.Fatal("Allowed: the draining worker must be forbidden and the steady worker allowed")
 	}
 	for count := 0; count < 6; count++ {
-		decision, _ := entry.Admit(newRequest(0), nil, 3)
+		decision, _ := scheduler.Admit(newRequest(0), nil, 3)
 		if decision.Verdict == VerdictGranted && decision.Grant.Worker.ID == "w" {
 			t.Fatal("placed on a draining worker")
 		}
 	}
 }
 
-// Items of batch jobs leave slots to live requests, and take none while any live
-// request waits at a peer.
+// Items of batch jobs leave slots to live requests, and take none beyond the floor while a live
+// request is queued at a peer.
 func TestItemsLeaveCapacityForLiveRequests(t *testing.T) {
-	entry := newScheduler(t, 8, "w")
+	scheduler := newScheduler(t, 8, "w")
 	item := func() Verdict {
-		decision, _ := entry.Admit(&Request{Service: "s", Bulk: true, Priority: 2}, nil, 3)
+		decision, _ := scheduler.Admit(&Request{Service: "s", Bulk: true, Priority: 2}, nil, 3)
 		return decision.Verdict
 	}
 	count := 0
@@ -139,19 +139,19 @@
 		decision, _ = other.Admit(&Request{Service: "s", Bulk: true, Priority: 2}, nil, 3)
 	}
 	if count > 1 {
-		t.Fatal("items beyond the floor took places that live requests wait for: ", count)
+		t.Fatal("items beyond the floor took slots that live requests wait for, items placed: ", count)
 	}
 }
 
-// A paused peer's word counts no more after three periods.
+// A sample from a paused peer expires after three gossip periods.
 func TestStaleGossipIsIgnored(t *testing.T) {
-	entry := newScheduler(t, 1, "w")
-	entry.HandleGossip(&messages.Gossip{From: "forge/x", Loads: encodedLoad("w", 50, 0)}, 2)
-	if decision, _ := entry.Admit(newRequest(0), nil, 3); decision.Verdict == VerdictGranted {
-		t.Fatal("placed on a worker that is full by a peer's word")
+	scheduler := newScheduler(t, 1, "w")
+	scheduler.HandleGossip(&messages.Gossip{From: "forge/x", Loads: encodedLoad("w", 50, 0)}, 2)
+	if decision, _ := scheduler.Admit(newRequest(0), nil, 3); decision.Verdict == VerdictGranted {
+		t.Fatal("placed on a worker that is full according to a peer's sample")
 	}
 	later := clock.Instant(2).Add(constants.GossipStale)
-	if decision, _ := entry.Admit(newRequest(0), nil, later); decision.Verdict != VerdictGranted {
-		t.Fatal("a stale word still counts")
+	if decision, _ := scheduler.Admit(newRequest(0), nil, later); decision.Verdict != VerdictGranted {
+		t.Fatal("an expired sample still made the worker full")
 	}
 }
--- a/internal/traffic/admission/capacity_test.go
+++ b/internal/traffic/admission/capacity_test.go
@@ -7,26 +7,26 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Of several processes that place items each keeps the floor of its own workers, so
-// that together they keep one.
+// If several processes place items, each keeps the floor of the workers it owns, so that together
+// they keep one floor.
 func TestPreemptionFloorCountsOwnedWorkers(t *testing.T) {
 	const capacity = 100
 	scheduler := newScheduler(t, capacity, "v", "w")
 	req := &Request{Service: "s", Bulk: true, Priority: 2, Setpoint: 1, AllowedWorkers: map[string]bool{"w": true}}
 	if scheduler.BulkCapacity(req, 1) != 1 {
-		t.Fatal("room at other workers than the own")
+		t.Fatal("BulkCapacity counted a worker outside AllowedWorkers, want 1 worker")
 	}
 	scheduler.SetOwnedWorkers(req.AllowedWorkers)
 	yielded := 0
 	for i := 0; i < 40; i++ {
 		decision, _ := scheduler.Admit(req, nil, 10)
 		if decision.Verdict != VerdictGranted || decision.Grant.Worker.ID != "w" {
-			t.Fatal("placed elsewhere or not at all: ", decision.Verdict)
+			t.Fatal("item not placed on the allowed worker, verdict: ", decision.Verdict)
 		}
 		decision.Grant.AllowPreemption(func() { yielded++ })
 	}
 	scheduler.YieldToPressure(&messages.PressureNotice{From: "forge/x", Entries: []messages.Pressure{{Service: "s", Priority: 0, Waiting: 90}}}, 1, 20)
 	if share := constants.PreemptionFloor; yielded != 40-int(share*capacity)-1 {
-		t.Fatal("yielded ", yielded)
+		t.Fatal("unexpected number of items yielded: ", yielded)
 	}
 }
--- a/internal/traffic/admission/health_test.go
+++ b/internal/traffic/admission/health_test.go
@@ -8,106 +8,107 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// fails has a worker fail one request.
-func endRequest(entry *Scheduler, worker string, result Result, now clock.Instant) {
-	wanted := newRequest(0)
-	wanted.Retryable, wanted.AllowedWorkers = true, map[string]bool{worker: true}
-	decision, _ := entry.Admit(wanted, nil, now)
+// endRequest places one retryable request on the given worker and ends it with the given result.
+func endRequest(scheduler *Scheduler, worker string, result Result, now clock.Instant) {
+	req := newRequest(0)
+	req.Retryable, req.AllowedWorkers = true, map[string]bool{worker: true}
+	decision, _ := scheduler.Admit(req, nil, now)
 	decision.Grant.End(result, now)
 }
 
-// places counts where requests go that are given back at once, without an outcome.
-func countPlacements(entry *Scheduler, repeatable bool, count int, now clock.Instant) map[string]int {
-	found := map[string]int{}
+// countPlacements returns how many of the given number of requests are placed on each worker. Each
+// request is canceled at once, so that it has no outcome.
+func countPlacements(scheduler *Scheduler, retryable bool, count int, now clock.Instant) map[string]int {
+	placements := map[string]int{}
 	for ; count > 0; count-- {
-		wanted := newRequest(0)
-		wanted.Retryable = repeatable
-		decision, _ := entry.Admit(wanted, nil, now)
-		found[decision.Grant.Worker.ID]++
+		req := newRequest(0)
+		req.Retryable = retryable
+		decision, _ := scheduler.Admit(req, nil, now)
+		placements[decision.Grant.Worker.ID]++
 		decision.Grant.End(ResultCanceled, now)
 	}
-	return found
+	return placements
 }
 
-// An ejected worker gets nothing, then trials of what may be repeated only, and is back
-// with the first that goes well; each step is told.
+// An ejected worker gets no requests, then trials with retryable requests only, and returns with
+// the first trial that succeeds. OnEjection is called for the ejection and the return.
 func TestEjectionAndReturn(t *testing.T) {
 	for _, result := range []Result{ResultFailed, ResultUnreachable, ResultTimeout, ResultServerError, ResultMisdirected} {
-		entry := newScheduler(t, 4, "v", "w", "x", "y")
-		var known []Ejection
-		entry.OnEjection(func(ejection Ejection) { known = append(known, ejection) })
+		scheduler := newScheduler(t, 4, "v", "w", "x", "y")
+		var ejections []Ejection
+		scheduler.OnEjection(func(ejection Ejection) { ejections = append(ejections, ejection) })
 		now := atSecond(2)
-		endRequest(entry, "w", result, now)
-		if len(known) != 1 || known[0].Worker != "w" || known[0].Duration != constants.EjectFor {
-			t.Fatal(result, known)
+		endRequest(scheduler, "w", result, now)
+		if len(ejections) != 1 || ejections[0].Worker != "w" || ejections[0].Duration != constants.EjectFor {
+			t.Fatal(result, ejections)
 		}
-		if countPlacements(entry, true, 40, now)["w"] > 0 {
-			t.Fatal(result, " placed on while ejected")
+		if countPlacements(scheduler, true, 40, now)["w"] > 0 {
+			t.Fatal(result, ": request placed on an ejected worker")
 		}
 		now = now.Add(constants.EjectFor)
-		if countPlacements(entry, false, 40, now)["w"] > 0 {
-			t.Fatal(result, " what must not run twice was a trial")
+		if countPlacements(scheduler, false, 40, now)["w"] > 0 {
+			t.Fatal(result, ": a request that is not retryable was used as a trial")
 		}
-		endRequest(entry, "w", ResultServed, now)
-		if len(known) != 2 || known[1].Duration != 0 {
-			t.Fatal(result, known)
+		endRequest(scheduler, "w", ResultServed, now)
+		if len(ejections) != 2 || ejections[1].Duration != 0 {
+			t.Fatal(result, ejections)
 		}
 	}
 }
 
-// What our own side broke off, and a full worker, say nothing against it.
+// Requests canceled by this side, and rejections by a full worker, do not count against the worker.
 func TestOutcomesThatDoNotCount(t *testing.T) {
-	entry := newScheduler(t, 4, "v", "w", "x")
-	entry.OnEjection(func(ejection Ejection) { t.Fatal(ejection) })
+	scheduler := newScheduler(t, 4, "v", "w", "x")
+	scheduler.OnEjection(func(ejection Ejection) { t.Fatal(ejection) })
 	for count := 0; count < 5; count++ {
-		// A worker that was full is asked again later.
-		endRequest(entry, "w", ResultCanceled, atSecond(2*count+2))
-		endRequest(entry, "w", ResultRejected, atSecond(2*count+2))
+		// A full worker is tried again only after some time, hence the steps of 2 s.
+		endRequest(scheduler, "w", ResultCanceled, atSecond(2*count+2))
+		endRequest(scheduler, "w", ResultRejected, atSecond(2*count+2))
 	}
 }
 
-// Peers' words are heeded where nothing of ours speaks for a worker, and only there.
+// Peers' suspicions apply only while no outcomes in this process prove the worker healthy.
 func TestOwnOutcomesOverridePeerSuspicion(t *testing.T) {
-	sample := func(entry *Scheduler, now clock.Instant) {
+	reportSuspicion := func(scheduler *Scheduler, now clock.Instant) {
 		for _, peer := range []string{"forge/a", "forge/b"} {
-			entry.HandleGossip(&messages.Gossip{From: peer, Loads: messages.AppendLoad(nil, messages.LoadSample{WorkerHash: messages.WorkerHash("w"), Running: messages.RunningUnknown, Health: messages.HealthSuspect})}, now)
+			scheduler.HandleGossip(&messages.Gossip{From: peer, Loads: messages.AppendLoad(nil, messages.LoadSample{WorkerHash: messages.WorkerHash("w"), Running: messages.RunningUnknown, Health: messages.HealthSuspect})}, now)
 		}
 	}
-	entry := newScheduler(t, 4, "v", "w", "x")
+	scheduler := newScheduler(t, 4, "v", "w", "x")
 	now := atSecond(2)
-	sample(entry, now)
-	if countPlacements(entry, false, 40, now)["w"] > 0 {
-		t.Fatal("hearsay was not heeded")
+	reportSuspicion(scheduler, now)
+	if countPlacements(scheduler, false, 40, now)["w"] > 0 {
+		t.Fatal("request placed on a worker that two peers suspect")
 	}
 	for count := 0; count < 3; count++ {
-		endRequest(entry, "w", ResultServed, now)
+		endRequest(scheduler, "w", ResultServed, now)
 	}
-	sample(entry, now)
-	wanted := newRequest(0)
-	wanted.AllowedWorkers = map[string]bool{"w": true}
-	decision, _ := entry.Admit(wanted, nil, now)
-	suspect := entry.isSuspect(decision.Grant.Worker, 0, nil, now)
+	reportSuspicion(scheduler, now)
+	req := newRequest(0)
+	req.AllowedWorkers = map[string]bool{"w": true}
+	decision, _ := scheduler.Admit(req, nil, now)
+	suspect := scheduler.isSuspect(decision.Grant.Worker, 0, nil, now)
 	if suspect {
-		t.Fatal("hearsay went before our own outcomes")
+		t.Fatal("peers' suspicions overrode this process's own outcomes")
 	}
 }
 
-// When everybody fails, most of the service is still asked.
+// If all workers fail, most of the service's workers still receive requests.
 func TestMostWorkersStayUsableWhenAllFail(t *testing.T) {
 	workerList := []string{"a", "b", "c", "d", "e", "f"}
-	entry := newScheduler(t, 4, workerList...)
+	scheduler := newScheduler(t, 4, workerList...)
 	now := atSecond(2)
 	for _, worker := range workerList {
-		endRequest(entry, worker, ResultServerError, now)
+		endRequest(scheduler, worker, ResultServerError, now)
 	}
-	open := 0
+	usable := 0
 	for _, worker := range workerList {
-		decision, _ := entry.Admit(&Request{Service: "s", Setpoint: 1, AllowedWorkers: map[string]bool{worker: true}}, nil, now)
-		if !entry.ejectedWorkers(newRequest(0), entry.Registry.ByService("s"), now)[worker] && decision.Verdict == VerdictGranted {
-			open++
+		decision, _ := scheduler.Admit(&Request{Service: "s", Setpoint: 1, AllowedWorkers: map[string]bool{worker: true}}, nil, now)
+		if !scheduler.ejectedWorkers(newRequest(0), scheduler.Registry.ByService("s"), now)[worker] && decision.Verdict == VerdictGranted {
+			usable++
 		}
 	}
-	if open < 4 {
-		t.Fatal("only ", open, " of 6 are asked")
+	if usable < 4 {
+		t.Fatal("only ", usable, " of 6 workers are usable, want at least 4")
 	}
 }
--- a/internal/traffic/admission/preemption.go
+++ b/internal/traffic/admission/preemption.go
@@ -13,14 +13,14 @@
 	entries []messages.Pressure
 }
 
-// preemptible is a grant whose request can give its slot up and go on later.
+// preemptible is the state of a grant whose request can release its slot and continue later.
 type preemptible struct {
 	yield     func()
 	requested bool
 }
 
-// AllowPreemption says that this grant's work may be preempted: yield breaks it off, and
-// its owner requeues it with all it has.
+// AllowPreemption marks the grant's work as preemptible. The function yield stops the work, and its
+// owner requeues it with the progress it has made.
 func (g *Grant) AllowPreemption(yield func()) {
 	scheduler := g.scheduler
 	scheduler.lock.Lock()
@@ -28,10 +28,11 @@
 	scheduler.preemptible[g] = &preemptible{yield: yield}
 }
 
-// OnPressure registers who is notified when requests find no capacity here.
+// OnPressure registers the function that is called when requests find no capacity in this process.
 func (s *Scheduler) OnPressure(notify func(entries []messages.Pressure)) { s.onPressure = notify }
 
-// pressureEntries lists what waits here, by service and rank. The lock is held.
+// pressureEntries returns the number of queued live requests by service and priority. The caller
+// must hold the lock.
 func (s *Scheduler) pressureEntries() []messages.Pressure {
 	var entries []messages.Pressure
 	for service, queue := range s.queues {
@@ -54,7 +55,8 @@
 	return entries
 }
 
-// applyPressure preempts for what waits here, and notifies the others.
+// applyPressure preempts work in favor of the requests queued here and notifies the peers, at most
+// once per constants.PressurePeriod.
 func (s *Scheduler) applyPressure(now clock.Instant) {
 	s.lock.Lock()
 	entries := s.pressureEntries()
@@ -79,18 +81,19 @@
 	}
 }
 
-// ownPressure is the key of the own report; no process has an empty name.
+// ownPressureKey is the key of this process's own report. No process has an empty name.
 const ownPressureKey = ""
 
-// ObservePressure takes a peer's report that others act on: nothing new starts against it.
+// ObservePressure stores a peer's report that other processes act on: no item starts while the
+// report is valid, but nothing yields.
 func (s *Scheduler) ObservePressure(notice *messages.PressureNotice, now clock.Instant) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.storePressure(notice.From, notice.Entries, now)
 }
 
-// YieldToPressure takes a peer's report and yields this process's part. sharers is how many processes
-// of this role got the same report.
+// YieldToPressure stores a peer's report and yields this process's share. sharers is the number of
+// processes of this role that received the same report.
 func (s *Scheduler) YieldToPressure(notice *messages.PressureNotice, sharers int, now clock.Instant) {
 	s.lock.Lock()
 	s.storePressure(notice.From, notice.Entries, now)
@@ -101,17 +104,18 @@
 	}
 }
 
-// selectVictims picks what is preempted: items before streams, the lowest rank first, and
-// of those the youngest, which has the least to prefill again. The lock is held.
+// selectVictims returns the yield functions of the grants to preempt: items before streams, the
+// lowest priority first, and of equal priority the youngest, because it has the least to prefill
+// again. The caller must hold the lock.
 func (s *Scheduler) selectVictims(entries []messages.Pressure, sharers int) []func() {
 	var toYield []func()
 	for _, entry := range entries {
 		candidates, requested := s.preemptibleFor(entry)
 		sort.Slice(candidates, func(left, right int) bool { return candidates[left].yieldsBefore(candidates[right]) })
-		wanted := (entry.Waiting+sharers-1)/sharers - requested
+		toPreempt := (entry.Waiting+sharers-1)/sharers - requested
 		spare := s.bulkRunning(entry.Service) - requested - s.bulkFloor(entry.Service)
 		for _, grant := range candidates {
-			if wanted <= 0 {
+			if toPreempt <= 0 {
 				break
 			}
 			if grant.request.Bulk {
@@ -120,7 +124,7 @@
 				}
 				spare--
 			}
-			wanted--
+			toPreempt--
 			s.preemptible[grant].requested = true
 			toYield = append(toYield, s.preemptible[grant].yield)
 		}
@@ -128,8 +132,9 @@
 	return toYield
 }
 
-// preemptibleFor gives the grants of a lower rank at a service that may be asked to yield, and
-// how many of that kind were asked already. The lock is held.
+// preemptibleFor returns the grants of a service with a lower priority than the entry's that may be
+// preempted, and the number of such grants that were already requested to yield. The caller must
+// hold the lock.
 func (s *Scheduler) preemptibleFor(entry messages.Pressure) (candidates []*Grant, requested int) {
 	for grant, state := range s.preemptible {
 		if grant.request.Service != entry.Service || grant.request.Priority <= entry.Priority {
@@ -144,7 +149,7 @@
 	return candidates, requested
 }
 
-// yieldsBefore orders grants by who is preempted first.
+// yieldsBefore reports whether g is preempted before other.
 func (g *Grant) yieldsBefore(other *Grant) bool {
 	switch {
 	case g.request.Bulk != other.request.Bulk:
@@ -157,7 +162,8 @@
 	return g.number > other.number
 }
 
-// bulkRunning is how many items of this process run at a service. The lock is held.
+// bulkRunning returns the number of items of this process that run at a service. The caller must
+// hold the lock.
 func (s *Scheduler) bulkRunning(service string) int {
 	count := 0
 	for _, worker := range s.Registry.ByService(service) {
@@ -166,9 +172,9 @@
 	return count
 }
 
-// bulkFloor is how many slots items keep whatever waits: a part of those of the workers
-// at which this process places items, so that all processes together keep one floor.
-// The lock is held.
+// bulkFloor returns the number of slots that items keep regardless of pressure: a share of the
+// slots of the workers on which this process places items, so that all processes together keep one
+// floor. The caller must hold the lock.
 func (s *Scheduler) bulkFloor(service string) int {
 	capacity := 0
 	for _, worker := range s.Registry.ByService(service) {
@@ -179,15 +185,15 @@
 	return int(constants.PreemptionFloor*float64(capacity)) + 1
 }
 
-// underPressure tells whether requests of a higher rank wait for capacity at a service,
-// here or at a peer.
+// underPressure reports whether requests of a higher priority are waiting for capacity at a
+// service, in this process or at a peer.
 func (s *Scheduler) underPressure(service string, priority int, now clock.Instant) bool {
-	for _, entry := range s.pressure {
-		if now.Sub(entry.at) >= constants.PressureStale {
+	for _, report := range s.pressure {
+		if now.Sub(report.at) >= constants.PressureStale {
 			continue
 		}
-		for _, sample := range entry.entries {
-			if sample.Service == service && sample.Priority < priority && sample.Waiting > 0 {
+		for _, entry := range report.entries {
+			if entry.Service == service && entry.Priority < priority && entry.Waiting > 0 {
 				return true
 			}
 		}
@@ -195,10 +201,10 @@
 	return false
 }
 
-// storePressure keeps a peer's report and drops those that count no more. The lock is held.
+// storePressure stores a peer's report and deletes expired ones. The caller must hold the lock.
 func (s *Scheduler) storePressure(from string, entries []messages.Pressure, now clock.Instant) {
-	for peer, entry := range s.pressure {
-		if now.Sub(entry.at) >= constants.PressureStale {
+	for peer, report := range s.pressure {
+		if now.Sub(report.at) >= constants.PressureStale {
 			delete(s.pressure, peer)
 		}
 	}
--- a/internal/traffic/admission/preemption_test.go
+++ b/internal/traffic/admission/preemption_test.go
@@ -9,7 +9,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// fill takes places for work that may be displaced and counts who yields.
+// fillSlots places preemptible requests and appends the index of each one that is requested to
+// yield to yielded.
 func fillSlots(t *testing.T, scheduler *Scheduler, count, priority int, bulk bool, yielded *[]int) []*Grant {
 	t.Helper()
 
@@ -17,7 +18,7 @@
 	for i := 0; i < count; i++ {
 		decision, _ := scheduler.Admit(&Request{Service: "s", Bulk: bulk, Priority: priority, Setpoint: 1}, nil, clock.Instant(10+i))
 		if decision.Verdict != VerdictGranted {
-			t.Fatal("no place for number ", i)
+			t.Fatal("not granted: request number ", i)
 		}
 		decision.Grant.AllowPreemption(func() { *yielded = append(*yielded, i) })
 		grants = append(grants, decision.Grant)
@@ -25,15 +26,15 @@
 	return grants
 }
 
-// A request of a higher rank that finds no capacity makes the youngest item yield,
-// and gets its place.
+// A request of a higher priority that finds no capacity preempts the youngest item and gets its
+// slot.
 func TestHigherPriorityPreemptsYoungestItem(t *testing.T) {
 	scheduler := newScheduler(t, 20, "w")
 	var yielded []int
 	items := fillSlots(t, scheduler, int(constants.BatchCapacityShare*20), 2, true, &yielded)
 	for count := 0; count < 20+constants.QueueAheadMax-len(items); count++ {
 		if decision, _ := scheduler.Admit(newRequest(0), nil, 100); decision.Verdict != VerdictGranted {
-			t.Fatal("no room for live requests beside the items")
+			t.Fatal("no capacity for live requests in addition to the items")
 		}
 	}
 	served := 0
@@ -45,14 +46,15 @@
 	if decision.Verdict != VerdictQueued || len(yielded) != 1 || yielded[0] != len(items)-1 {
 		t.Fatal(decision.Verdict, yielded)
 	}
-	// Asked once; its place is on the way and no second one is taken for it.
+	// The item was already requested to yield, and its slot will be free soon; no second item may
+	// be preempted for the same request.
 	scheduler.PumpWaiting(102)
 	if len(yielded) != 1 {
-		t.Fatal("displaced twice for one request: ", yielded)
+		t.Fatal("want one preemption for one request, got ", yielded)
 	}
 	items[yielded[0]].End(ResultCanceled, 103)
 	if served != 1 {
-		t.Fatal("the place did not go to the one that waited")
+		t.Fatal("the freed slot was not granted to the queued request")
 	}
 }
 
@@ -67,11 +69,11 @@
 	}
 	scheduler.Admit(newRequest(0), func(Decision) {}, 101)
 	if len(yielded) != 1 {
-		t.Fatal("a stream of a lower rank did not yield")
+		t.Fatal("want one stream of a lower priority to yield")
 	}
 }
 
-// Items yield before streams, whatever their ranks.
+// Items yield before streams, regardless of their priorities.
 func TestItemsYieldBeforeStreams(t *testing.T) {
 	scheduler := newScheduler(t, 8, "w")
 	var items, streams []int
@@ -83,87 +85,87 @@
 	}
 }
 
-// A peer's pressure makes this node yield its share, but never below the floor.
+// On a peer's pressure report this node yields its share, but never below the floor.
 func TestPeersPressureAndTheFloor(t *testing.T) {
 	scheduler := newScheduler(t, 40, "w")
 	var yielded []int
 	const items = 20
 	fillSlots(t, scheduler, items, 2, true, &yielded)
-	sample := &messages.PressureNotice{From: "forge/x", Entries: []messages.Pressure{{Service: "s", Priority: 0, Waiting: 6}}}
-	scheduler.YieldToPressure(sample, 3, 100)
+	notice := &messages.PressureNotice{From: "forge/x", Entries: []messages.Pressure{{Service: "s", Priority: 0, Waiting: 6}}}
+	scheduler.YieldToPressure(notice, 3, 100)
 	if len(yielded) != 2 {
-		t.Fatal("want a third of six, got ", yielded)
+		t.Fatal("want 2 items (a third of 6) to yield, got ", yielded)
 	}
-	sample.Entries[0].Waiting = 1000
-	scheduler.YieldToPressure(sample, 1, 101)
+	notice.Entries[0].Waiting = 1000
+	scheduler.YieldToPressure(notice, 1, 101)
 	share, capacity := constants.PreemptionFloor, 40.0
 	floor := int(share*capacity) + 1
 	if len(yielded) != items-floor {
-		t.Fatalf("%d of %d yielded, the floor is %d", len(yielded), items, floor)
+		t.Fatalf("%d of %d items yielded, the floor is %d", len(yielded), items, floor)
 	}
-	// While the pressure lasts no new items start; once it is stale they do.
+	// While the report is valid no new items start; once it has expired they do.
 	if decision, _ := scheduler.Admit(&Request{Service: "s", Bulk: true, Priority: 2}, nil, 102); decision.Verdict == VerdictGranted {
 		t.Fatal("an item started under pressure")
 	}
 	later := clock.Instant(101).Add(constants.PressureStale)
 	if decision, _ := scheduler.Admit(&Request{Service: "s", Bulk: true, Priority: 2}, nil, later); decision.Verdict != VerdictGranted {
-		t.Fatal("items wait for ever")
+		t.Fatal("no item started after the pressure report expired")
 	}
 }
 
-// A report at second hand delays new items and takes no slot from anybody.
+// A report that other processes act on delays new items but preempts nothing.
 func TestObservedPressureDelaysNewItems(t *testing.T) {
 	scheduler := newScheduler(t, 40, "w")
 	var yielded []int
 	fillSlots(t, scheduler, 20, 2, true, &yielded)
-	sample := &messages.PressureNotice{From: "forge/x", Entries: []messages.Pressure{{Service: "s", Priority: 0, Waiting: 6}}}
-	scheduler.ObservePressure(sample, 100)
+	notice := &messages.PressureNotice{From: "forge/x", Entries: []messages.Pressure{{Service: "s", Priority: 0, Waiting: 6}}}
+	scheduler.ObservePressure(notice, 100)
 	if decision, _ := scheduler.Admit(&Request{Service: "s", Bulk: true, Priority: 2}, nil, 101); decision.Verdict == VerdictGranted {
-		t.Fatal("an item started against a peer's pressure")
+		t.Fatal("an item started under a peer's pressure")
 	}
 	if len(yielded) != 0 {
-		t.Fatal("a word at second hand took places: ", yielded)
+		t.Fatal("an observed report preempted items: ", yielded)
 	}
 }
 
 func TestPressureIsSentOnceAPeriod(t *testing.T) {
 	scheduler := newScheduler(t, 1, "w")
-	known := 0
-	scheduler.OnPressure(func([]messages.Pressure) { known++ })
+	notified := 0
+	scheduler.OnPressure(func([]messages.Pressure) { notified++ })
 	for count := 0; count < 10; count++ {
 		scheduler.Admit(newRequest(0), func(Decision) {}, 100)
 	}
-	if known != 1 {
-		t.Fatal("told ", known)
+	if notified != 1 {
+		t.Fatal("unexpected number of pressure notifications: ", notified)
 	}
 	scheduler.PumpWaiting(clock.Instant(100).Add(constants.PressurePeriod))
-	if known != 2 {
-		t.Fatal("told ", known)
+	if notified != 2 {
+		t.Fatal("unexpected number of pressure notifications: ", notified)
 	}
 }
 
-// A long prompt that a peer gave a worker counts as waiting there until it is read,
-// and items keep away from it.
+// A long prompt that a peer placed on a worker counts as pending there until it is prefilled, and
+// new requests avoid the worker.
 func TestPeersLongPromptIsAvoided(t *testing.T) {
-	entry := newScheduler(t, 8, "v", "w")
+	scheduler := newScheduler(t, 8, "v", "w")
 	config, err := routeconfig.Parse([]byte(`{"generation":2,"backends":[{"name":"s","engine":{"capacity":8,"cache-tokens":1000}}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	entry.SetConfig(config)
-	known := ""
-	entry.OnPrefill(func(worker string, _ float64) { known = worker })
-	entry.HandlePrefill(&messages.PrefillNotice{Worker: "v", Prefill: 100}, 10)
+	scheduler.SetConfig(config)
+	notifiedWorker := ""
+	scheduler.OnPrefill(func(worker string, _ float64) { notifiedWorker = worker })
+	scheduler.HandlePrefill(&messages.PrefillNotice{Worker: "v", Prefill: 100}, 10)
 	for count := 0; count < 4; count++ {
-		if decision, _ := entry.Admit(newRequest(0), nil, 11); decision.Grant == nil || decision.Grant.Worker.ID != "w" {
-			t.Fatal("placed behind a long prompt")
+		if decision, _ := scheduler.Admit(newRequest(0), nil, 11); decision.Grant == nil || decision.Grant.Worker.ID != "w" {
+			t.Fatal("request not placed on the worker without a long prompt")
 		}
 	}
 	later := clock.Instant(10).Add(clock.Milliseconds(100))
-	long := newRequest(0)
-	long.Affine, long.Prompt.Tokens = true, 10_000
-	decision, _ := entry.Admit(long, nil, later)
-	if decision.Grant == nil || decision.Grant.Worker.ID != "v" || known != "v" {
-		t.Fatal("not placed on the free worker, or not told: ", known)
+	longRequest := newRequest(0)
+	longRequest.Affine, longRequest.Prompt.Tokens = true, 10_000
+	decision, _ := scheduler.Admit(longRequest, nil, later)
+	if decision.Grant == nil || decision.Grant.Worker.ID != "v" || notifiedWorker != "v" {
+		t.Fatal("long prompt not placed on worker v, or OnPrefill not called for it; last call for worker: ", notifiedWorker)
 	}
 }
--- a/internal/traffic/admission/prefills_test.go
+++ b/internal/traffic/admission/prefills_test.go
@@ -2,19 +2,19 @@
 
 import "testing"
 
-// A try that ends before its first event gives back what it had the worker read:
-// else the worker looks busy for ever, and no item is placed there any more.
+// A request that ends before its first event releases the prefill it had pending at the worker.
+// Otherwise the worker would appear busy forever, and no item would be placed there any more.
 func TestEndReleasesPendingPrefill(t *testing.T) {
 	for _, result := range []Result{ResultServed, ResultFailed, ResultRejected, ResultCanceled} {
-		entry := newScheduler(t, 4, "w")
-		question := newRequest(0)
-		question.Affine = true
-		question.Prompt.Tokens = 700
-		decision, _ := entry.Admit(question, nil, 2)
+		scheduler := newScheduler(t, 4, "w")
+		req := newRequest(0)
+		req.Affine = true
+		req.Prompt.Tokens = 700
+		decision, _ := scheduler.Admit(req, nil, 2)
 		if decision.Verdict != VerdictGranted {
 			t.Fatal(decision.Verdict)
 		}
-		health := entry.Tracker.Of("w")
+		health := scheduler.Tracker.Of("w")
 		if health.PendingPrefills() != 1 || health.PendingTokens() != int64(decision.Grant.FreshTokens) {
 			t.Fatal(health.PendingPrefills(), health.PendingTokens())
 		}
--- a/internal/traffic/admission/pump.go
+++ b/internal/traffic/admission/pump.go
@@ -5,7 +5,7 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// wakePump wakes RunPump; one signal is enough.
+// wakePump wakes RunPump. One pending signal is enough.
 func (s *Scheduler) wakePump() {
 	select {
 	case s.wake <- struct{}{}:
@@ -13,8 +13,8 @@
 	}
 }
 
-// PumpWaiting pumps where anything waits, since its time may have run out, and tells
-// whether something still does.
+// PumpWaiting pumps the queues if any request is queued, since its time in the queue may have
+// expired, and reports whether any request is still queued.
 func (s *Scheduler) PumpWaiting(now clock.Instant) bool {
 	if !s.hasWaiting() {
 		return false
@@ -30,8 +30,8 @@
 	return s.slab.Len() > 0
 }
 
-// RunPump looks at those that wait each period, and sleeps while nobody does: an
-// idle process must not wake up for nothing.
+// RunPump pumps the queues every constants.PumpPeriod while requests are queued, and sleeps while
+// none are, so that an idle process causes no wakeups.
 func (s *Scheduler) RunPump(stop <-chan struct{}) {
 	for {
 		select {
@@ -49,12 +49,12 @@
 	}
 }
 
-// Pump resumes what can be placed now, in order of rank and age, and rejects
-// what can wait no longer.
+// Pump resumes the queued requests that can be placed now, in order of priority and age, and
+// rejects those whose QueueUntil has passed.
 func (s *Scheduler) Pump(now clock.Instant) {
 	type resumption struct {
-		one    *waiter
-		answer Decision
+		waiter   *waiter
+		decision Decision
 	}
 	var resumed []resumption
 	s.lock.Lock()
@@ -84,7 +84,7 @@
 		s.queues[service] = remaining
 	}
 	s.lock.Unlock()
-	for _, each := range resumed {
-		each.one.resume(each.answer)
+	for _, next := range resumed {
+		next.waiter.resume(next.decision)
 	}
 }
--- a/internal/traffic/admission/pump_test.go
+++ b/internal/traffic/admission/pump_test.go
@@ -7,39 +7,39 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// Nobody pumps an empty bench; one that waits is looked at until its patience ends,
-// and the next one that comes wakes the pump again.
+// The pump sleeps while no request is queued. A queued request is checked until its QueueUntil, and
+// the next queued request wakes the pump again.
 func TestPumpSleepsWhileQueueIsEmpty(t *testing.T) {
-	entry := newScheduler(t, 1, "w")
-	stop, over := make(chan struct{}), make(chan struct{})
+	scheduler := newScheduler(t, 1, "w")
+	stop, done := make(chan struct{}), make(chan struct{})
 	go func() {
-		entry.RunPump(stop)
-		close(over)
+		scheduler.RunPump(stop)
+		close(done)
 	}()
 	for count := 0; count < 1+constants.QueueAheadMax; count++ {
-		if decision, _ := entry.Admit(newRequest(0), nil, clock.Now()); decision.Verdict != VerdictGranted {
+		if decision, _ := scheduler.Admit(newRequest(0), nil, clock.Now()); decision.Verdict != VerdictGranted {
 			t.Fatal(decision.Verdict)
 		}
 	}
 	for round := 0; round < 2; round++ {
-		refused := make(chan Decision, 1)
-		waits := newRequest(0)
-		waits.QueueUntil = clock.Now().Add(2 * constants.PumpPeriod)
-		if decision, _ := entry.Admit(waits, func(late Decision) { refused <- late }, clock.Now()); decision.Verdict != VerdictQueued {
+		rejected := make(chan Decision, 1)
+		req := newRequest(0)
+		req.QueueUntil = clock.Now().Add(2 * constants.PumpPeriod)
+		if decision, _ := scheduler.Admit(req, func(late Decision) { rejected <- late }, clock.Now()); decision.Verdict != VerdictQueued {
 			t.Fatal(decision.Verdict)
 		}
 		select {
-		case late := <-refused:
+		case late := <-rejected:
 			if late.Verdict != VerdictNoCapacity {
 				t.Fatal(late.Verdict)
 			}
 		case <-clock.After(5_000_000_000):
-			t.Fatal("nobody looked at the one that waited, round ", round)
+			t.Fatal("the queued request was not rejected within 5 s, round ", round)
 		}
 	}
 	close(stop)
-	<-over
-	if entry.PumpWaiting(clock.Now()) || len(entry.wake) != 0 {
-		t.Fatal("something still waits")
+	<-done
+	if scheduler.PumpWaiting(clock.Now()) || len(scheduler.wake) != 0 {
+		t.Fatal("requests are still queued or the pump has a pending wakeup")
 	}
 }
--- a/internal/traffic/admission/rate.go
+++ b/internal/traffic/admission/rate.go
@@ -5,14 +5,14 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// rate follows how many requests a service finishes a second, as seen from here.
+// rate estimates how many requests per second a service finishes, as observed by this process.
 type rate struct {
 	since     clock.Instant
 	count     float64
 	perSecond float64
 }
 
-// recordRate counts a request that a service finished. The lock is held.
+// recordRate counts a request that a service finished. The caller must hold the lock.
 func (s *Scheduler) recordRate(service string, now clock.Instant) {
 	current := s.rates[service]
 	if current == nil {
@@ -21,16 +21,16 @@
 	}
 	current.count++
 	if elapsed := now.Sub(current.since); elapsed > constants.GossipPeriod/2 {
-		fresh := current.count / elapsed.Seconds()
+		measured := current.count / elapsed.Seconds()
 		if current.perSecond == 0 {
-			current.perSecond = fresh
+			current.perSecond = measured
 		}
-		current.perSecond += 0.4 * (fresh - current.perSecond)
+		current.perSecond += 0.4 * (measured - current.perSecond)
 		current.count, current.since = 0, now
 	}
 }
 
-// retryAfter tells when capacity is expected.
+// retryAfter returns the time until capacity is expected, between 50 ms and constants.GossipPeriod.
 func (s *Scheduler) retryAfter(req *Request) clock.Duration {
 	wait, known := s.expectedWait(req)
 	if !known {
--- a/internal/traffic/admission/reach.go
+++ b/internal/traffic/admission/reach.go
@@ -11,75 +11,78 @@
 	"lemonarch/internal/traffic/prefixindex"
 )
 
-// A node of a large fleet sees too few requests to know every worker well, and a connection
-// to each would cost the workers more connections than they take. So what has no
-// warm prefix goes to a small stable subset, the own zone's first; a long prefix goes
-// wherever it is at home or was seen; and whoever finds no capacity there considers all.
+// A node of a large fleet handles too few requests to know every worker's state well, and if every
+// node connected to every worker, the workers would have more connections than they accept.
+// Therefore a request without a warm prefix is placed within a small, stable subset of the workers,
+// those of the node's own zone first. A request with a long prefix also considers the prefix's home
+// workers and the workers that are known to hold it. If none of these has capacity, all workers are
+// considered.
 
-// scratch are lists that are filled anew by each placement.
+// scratch contains slices that are reused by each placement.
 type scratch struct {
 	workerList []messages.Worker
 	candidates []prefixindex.Candidate
 	toConsider []messages.Worker
 }
 
-// subset is the stable part of a service's workers for this node, found anew each
-// period from those in good standing.
+// subset is the stable subset of a service's workers for this node. It is recomputed once per
+// gossip period from the healthy workers.
 type subset struct {
 	at         clock.Instant
 	workerList []messages.Worker
 }
 
-// reach gives the workers that are considered for a request, and whether there are more.
-// The lock is held.
-func (s *Scheduler) workersToConsider(req *Request, all []messages.Worker, now clock.Instant) (some []messages.Worker, more bool) {
+// workersToConsider returns the workers that are considered for a request, and reports whether
+// there are more. The caller must hold the lock.
+func (s *Scheduler) workersToConsider(req *Request, all []messages.Worker, now clock.Instant) (considered []messages.Worker, more bool) {
 	if req.Bulk || len(all) <= constants.ReachAllUpTo {
-		// Items are placed by few processes, each of which needs the capacity of all.
+		// Items are placed by a few processes, each of which needs the capacity of all workers.
 		return all, false
 	}
-	some = s.scratch.toConsider[:0]
+	considered = s.scratch.toConsider[:0]
 	for _, worker := range s.subset(req.Service, all, now) {
-		// A full one is no reason to wait while others are free elsewhere.
+		// A full worker must not cause a wait while workers outside the subset have capacity.
 		if s.Tracker.Of(worker.ID).Running(now) < worker.Capacity && !isExcluded(req, worker.ID) {
-			some = append(some, worker)
+			considered = append(considered, worker)
 		}
 	}
 	if req.Affine && req.Prompt.Shared() >= constants.GossipPrefixLeast {
-		some = s.addPrefixHolders(req, all, some)
+		considered = s.addPrefixHolders(req, all, considered)
 	}
-	s.scratch.toConsider = some
-	return some, true
+	s.scratch.toConsider = considered
+	return considered, true
 }
 
-// subset draws the node's workers by rendezvous: who comes or goes changes nobody
-// else's, and all workers are chosen by about as many nodes.
+// subset returns the node's workers, selected by rendezvous hashing: a node that joins or leaves
+// does not change the subsets of other nodes, a worker that joins or leaves changes only the
+// subsets that it belongs to, and all workers are selected by about the same number of nodes.
 func (s *Scheduler) subset(service string, all []messages.Worker, now clock.Instant) []messages.Worker {
-	remaining := s.subsets[service]
-	if remaining.workerList != nil && now.Sub(remaining.at) < constants.GossipPeriod {
-		return remaining.workerList
+	cached := s.subsets[service]
+	if cached.workerList != nil && now.Sub(cached.at) < constants.GossipPeriod {
+		return cached.workerList
 	}
-	type ranked struct {
-		worker messages.Worker
-		near   bool
-		draw   uint64
+	type rankedWorker struct {
+		worker   messages.Worker
+		sameZone bool
+		weight   uint64
 	}
-	var good []ranked
-	listening := s.controllerContactAt > 0 && now.Sub(s.controllerContactAt) < constants.SuspectAfter
+	var healthy []rankedWorker
+	inContact := s.controllerContactAt > 0 && now.Sub(s.controllerContactAt) < constants.SuspectAfter
 	for _, worker := range all {
-		if s.Registry.Status(worker.ID, now, listening) != workers.StatusHealthy || s.Tracker.Of(worker.ID).Suspect(now) {
+		if s.Registry.Status(worker.ID, now, inContact) != workers.StatusHealthy || s.Tracker.Of(worker.ID).Suspect(now) {
 			continue
 		}
-		good = append(good, ranked{worker, worker.Zone == s.self.Zone, rendezvousWeight(s.self, worker.ID)})
+		healthy = append(healthy, rankedWorker{worker, worker.Zone == s.self.Zone, rendezvousWeight(s.self, worker.ID)})
 	}
-	sort.Slice(good, func(left, right int) bool {
-		if good[left].near != good[right].near {
-			return good[left].near
+	sort.Slice(healthy, func(left, right int) bool {
+		if healthy[left].sameZone != healthy[right].sameZone {
+			return healthy[left].sameZone
 		}
-		return good[left].draw > good[right].draw
+		return healthy[left].weight > healthy[right].weight
 	})
 	fresh := subset{at: now}
-	for _, entry := range good[:min(len(good), constants.ReachSubset)] {
-		fresh.workerList = append(fresh.workerList, entry.worker)
+	for _, ranked := range healthy[:min(len(healthy), constants.ReachSubset)] {
+		fresh.workerList = append(fresh.workerList, ranked.worker)
 	}
 	if s.subsets == nil {
 		s.subsets = map[string]subset{}
@@ -88,7 +91,8 @@
 	return fresh.workerList
 }
 
-// rendezvousWeight is a node's weight for a worker; it considers those with the highest.
+// rendezvousWeight returns a node's weight for a worker. A node considers the workers with the
+// highest weights.
 func rendezvousWeight(node messages.NodeInfo, worker string) uint64 {
 	sum := fnv.New64a()
 	sum.Write([]byte(worker))
@@ -98,8 +102,9 @@
 	return prefixindex.MixBits(sum.Sum64())
 }
 
-// NodesFor gives those of some nodes of a worker's zone that consider it by their weight,
-// and whether nodes consider a part of the workers at all.
+// NodesFor returns those of the given nodes that are in the worker's zone and consider the worker
+// according to their weights. It also reports whether nodes consider only a part of the service's
+// workers.
 func (s *Scheduler) NodesFor(worker string, nodes []messages.NodeInfo) (nodesFor []messages.NodeInfo, part bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -128,7 +133,7 @@
 	return nodesFor, true
 }
 
-// ZoneOf gives the zone of a worker.
+// ZoneOf returns the zone of a worker, or "" if the worker is unknown.
 func (s *Scheduler) ZoneOf(worker string) string {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -136,32 +141,34 @@
 	return known.Zone
 }
 
-// addPrefixHolders adds the workers at which the prompt's prefix is at home or was seen.
-func (s *Scheduler) addPrefixHolders(req *Request, all, some []messages.Worker) []messages.Worker {
-	wanted := map[string]bool{}
+// addPrefixHolders appends the home workers of the prompt's prefix and the workers that are known
+// to hold it.
+func (s *Scheduler) addPrefixHolders(req *Request, all, considered []messages.Worker) []messages.Worker {
+	holders := map[string]bool{}
 	ids := make([]string, len(all))
 	for i := range all {
 		ids[i] = all[i].ID
 	}
 	for _, worker := range s.Index.Homes(&req.Prompt, ids, constants.ReachHomes) {
-		wanted[worker] = true
+		holders[worker] = true
 	}
 	for _, worker := range s.Index.Holders(&req.Prompt, constants.ReachHomes) {
-		wanted[worker] = true
+		holders[worker] = true
 	}
-	for _, worker := range some {
-		delete(wanted, worker.ID)
+	for _, worker := range considered {
+		delete(holders, worker.ID)
 	}
 	for _, worker := range all {
-		if wanted[worker.ID] {
-			some = append(some, worker)
+		if holders[worker.ID] {
+			considered = append(considered, worker)
 		}
 	}
-	return some
+	return considered
 }
 
-// meanLoad is the mean load of those workers that there is evidence of: what one
-// without any is taken for, or it would seem the emptiest. The lock is held.
+// meanLoad returns the mean load of the workers whose load is known. A worker of unknown load is
+// assumed to have this load; otherwise it would appear to be the least loaded. The caller must hold
+// the lock.
 func (s *Scheduler) meanLoad(workerList []messages.Worker, now clock.Instant) int {
 	total, count := 0, 0
 	for _, worker := range workerList {
@@ -175,7 +182,8 @@
 	}
 	mean := total / count
 	if 2*count <= len(workerList) {
-		// Nobody is full on a guess from few: the others may stand behind one that is.
+		// With loads known for at most half of the workers, an unknown worker must not be assumed
+		// to be full: it may be idle although a known worker is full.
 		mean = min(mean, workerList[0].Capacity-1)
 	}
 	return mean
--- a/internal/traffic/admission/selectworker.go
+++ b/internal/traffic/admission/selectworker.go
@@ -9,41 +9,43 @@
 	"lemonarch/internal/traffic/prefixindex"
 )
 
-// selectWorker chooses a worker that has capacity, within reach or else among all.
+// selectWorker places a request on a worker that has capacity: first among the workers to consider,
+// then among all workers of the service.
 func (s *Scheduler) selectWorker(req *Request, now clock.Instant) Decision {
 	all := s.Registry.ByService(req.Service)
-	some, more := s.workersToConsider(req, all, now)
-	decision := s.selectAmong(req, some, now)
+	considered, more := s.workersToConsider(req, all, now)
+	decision := s.selectAmong(req, considered, now)
 	if more && decision.Verdict != VerdictGranted {
 		decision = s.selectAmong(req, all, now)
 	}
 	return decision
 }
 
-// selection is one choice of a worker for a request. The fields below known are what it has
-// found so far.
+// selection is the state of one choice of a worker for a request. The fields from eligible on are
+// its results so far.
 type selection struct {
 	request *Request
 	now     clock.Instant
-	// engine says that the service's workers run a model with a cache of cacheTokens.
+	// engine reports whether the service's workers run a model with a prefix cache of cacheTokens
+	// tokens.
 	engine      bool
 	cacheTokens int64
-	// meanLoad stands for the load of workers that nothing is known of.
+	// meanLoad is the load assumed for workers of unknown load.
 	meanLoad            int
 	ejected             map[string]bool
 	controllerInContact bool
 
-	// known counts the workers that may be chosen at all, open those of them that are not
-	// passed over as suspects.
+	// eligible counts the workers that may be selected at all. considered counts those of them that
+	// are not skipped as suspects.
 	eligible, considered int
 	workers              []messages.Worker
 	candidates           []prefixindex.Candidate
 }
 
-// selectAmong chooses one of these workers.
+// selectAmong selects one of the given workers.
 func (s *Scheduler) selectAmong(req *Request, among []messages.Worker, now clock.Instant) Decision {
 	sel := s.newSelection(req, among, now)
-	// The suspects are considered only where nobody else can be.
+	// Suspects are considered only if there is no other eligible worker.
 	for _, worst := range []workers.Status{workers.StatusHealthy, workers.StatusSuspect} {
 		for position := range among {
 			s.consider(&sel, &among[position], worst)
@@ -60,7 +62,7 @@
 	}
 	prompt := req.Prompt
 	if !req.Affine {
-		// Routes that are not affine use load alone.
+		// Routes that are not affine are placed by load alone.
 		prompt = prefixindex.Prompt{}
 	}
 	s.scratch.workerList, s.scratch.candidates = sel.workers, sel.candidates
@@ -69,7 +71,8 @@
 }
 
 func (s *Scheduler) newSelection(req *Request, among []messages.Worker, now clock.Instant) selection {
-	// The lists are used again by the next selection: all of it is under the lock.
+	// The slices are reused by the next selection; this is safe because selections run under the
+	// lock.
 	sel := selection{request: req, now: now, workers: s.scratch.workerList[:0], candidates: s.scratch.candidates[:0]}
 	sel.controllerInContact = s.controllerInContact(now)
 	if s.config != nil {
@@ -82,8 +85,8 @@
 	return sel
 }
 
-// consider adds a worker to the candidates, unless its status is worse than worst or it has no
-// slot for the request.
+// consider adds a worker to the candidates unless its status is worse than worst or it has no slot
+// for the request.
 func (s *Scheduler) consider(sel *selection, worker *messages.Worker, worst workers.Status) {
 	status := s.Registry.Status(worker.ID, sel.now, sel.controllerInContact)
 	if status == workers.StatusUnavailable || status > worst || isExcluded(sel.request, worker.ID) {
@@ -104,7 +107,8 @@
 		return
 	}
 	if sel.request.Bulk && sel.engine && (health.PendingPrefills() >= constants.BatchPrefillsPerWorker || health.PeerPrefillLeft(sel.now) > 0) {
-		// Items are prefilled one after the other, so that live prompts get between.
+		// Items are prefilled one after another, so that live prompts can be prefilled between
+		// them.
 		return
 	}
 	candidate := prefixindex.Candidate{Worker: worker.ID, WaitMs: s.zoneCostMs(worker.Zone)}
@@ -120,10 +124,12 @@
 	sel.candidates = append(sel.candidates, candidate)
 }
 
-// expectedWaitMs is how long a request is expected to wait at a worker that runs so many, in ms.
+// expectedWaitMs returns the expected wait of a request at a worker with the given number of
+// running requests, in ms.
 func (s *Scheduler) expectedWaitMs(sel *selection, worker *messages.Worker, health *health.Health, running int) float64 {
 	if !sel.engine {
-		// A plain worker's wait grows with how full it is and how slow it has been.
+		// The wait at a worker without an engine grows with its utilization and its mean response
+		// time.
 		load := s.decayedLoad(sel.request.Service, *worker, running, sel.meanLoad, sel.now)
 		return health.MeanResponseMs()*(1+2*load/float64(max(worker.Capacity, 1))) + s.jitter()
 	}
@@ -132,7 +138,7 @@
 	return prefills + float64(running)*constants.StepGuess
 }
 
-// newGrant notes that the request goes to a worker, and reports a long prompt to the peers.
+// newGrant records that the request is placed on a worker, and reports a long prompt to the peers.
 func (s *Scheduler) newGrant(sel *selection, worker messages.Worker) *Grant {
 	req, now := sel.request, sel.now
 	s.lastGrantNumber++
@@ -153,19 +159,21 @@
 	return grant
 }
 
-// capacityFor is how many requests a worker may have for this request to be placed there.
+// capacityFor returns the number of requests at a worker from which on this request is not placed
+// there.
 func (s *Scheduler) capacityFor(req *Request, worker messages.Worker, now clock.Instant) int {
 	if !req.Bulk {
 		return worker.Capacity + constants.QueueAheadMax
 	}
 	if s.underPressure(req.Service, req.Priority, now) && s.bulkRunning(req.Service) >= s.bulkFloor(req.Service) {
-		// Live requests wait somewhere: items take no new slots.
+		// Live requests are waiting for capacity, so items take no new slots.
 		return 0
 	}
 	return int(constants.BatchCapacityShare * float64(worker.Capacity))
 }
 
-// controllerInContact tells whether a controller was in contact lately.
+// controllerInContact reports whether a message from a controller arrived within
+// constants.SuspectAfter.
 func (s *Scheduler) controllerInContact(now clock.Instant) bool {
 	return s.controllerContactAt > 0 && now.Sub(s.controllerContactAt) < constants.SuspectAfter
 }
@@ -174,16 +182,16 @@
 	if req.AllowedWorkers != nil && !req.AllowedWorkers[worker] {
 		return true
 	}
-	for _, entry := range req.Excluded {
-		if entry == worker {
+	for _, excluded := range req.Excluded {
+		if excluded == worker {
 			return true
 		}
 	}
 	return false
 }
 
-// Allowed tells whether a request may still be sent to the worker: a drain that
-// was acknowledged since the grant forbids it.
+// Allowed reports whether a request may still be sent to the worker: a drain acknowledged since the
+// grant forbids it.
 func (s *Scheduler) Allowed(worker string, now clock.Instant) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/traffic/admission/silence.go
+++ b/internal/traffic/admission/silence.go
@@ -6,13 +6,13 @@
 	"lemonarch/internal/traffic/health"
 )
 
-// latencies are what is usual at a service: the time from the grant to the first event,
-// less the reading of prompts, and the longest pause in a stream.
+// latencies contains the usual times of a service: the time from the grant to the first event,
+// excluding the prefill, and the longest pause in a stream.
 type latencies struct {
 	firstEvent, eventGap health.Latency
 }
 
-// latenciesOf gives the latencies of a service. The lock is held.
+// latenciesOf returns the latencies of a service. The caller must hold the lock.
 func (s *Scheduler) latenciesOf(service string) *latencies {
 	if s.latencies == nil {
 		s.latencies = map[string]*latencies{}
@@ -25,34 +25,36 @@
 	return known
 }
 
-// FirstEventTimeout is the silence before the first event that is out of the ordinary.
+// FirstEventTimeout returns the duration of silence before the first event that is unusual for the
+// service.
 func (g *Grant) FirstEventTimeout() clock.Duration {
 	scheduler := g.scheduler
 	scheduler.lock.Lock()
 	defer scheduler.lock.Unlock()
 	setpoint := g.request.Setpoint
-	most := constants.StreamTimeout
+	longestTimeout := constants.StreamTimeout
 	if !g.engine {
-		most = max(constants.PlainTimeoutFactor*setpoint, constants.PlainTimeoutMin)
+		longestTimeout = max(constants.PlainTimeoutFactor*setpoint, constants.PlainTimeoutMin)
 	}
-	least := min(clock.Duration(constants.HedgeShare*float64(setpoint)), most)
-	return g.prefillTime + scheduler.latenciesOf(g.Worker.Backend).firstEvent.Timeout(least, most)
+	shortestTimeout := min(clock.Duration(constants.HedgeShare*float64(setpoint)), longestTimeout)
+	return g.prefillTime + scheduler.latenciesOf(g.Worker.Backend).firstEvent.Timeout(shortestTimeout, longestTimeout)
 }
 
-// InterEventTimeout is the silence between two events that is out of the ordinary, where
-// pauses up to a length keep a response in time.
+// InterEventTimeout returns the duration of silence between two events that is unusual for the
+// service. longest is the pause up to which a response is still in time; 0 means that there is no
+// such limit.
 func (g *Grant) InterEventTimeout(longest clock.Duration) clock.Duration {
 	scheduler := g.scheduler
 	scheduler.lock.Lock()
 	defer scheduler.lock.Unlock()
-	least := clock.Duration(constants.HedgeShare * float64(longest))
+	shortestTimeout := clock.Duration(constants.HedgeShare * float64(longest))
 	if longest <= 0 {
-		least = constants.StreamTimeout
+		shortestTimeout = constants.StreamTimeout
 	}
-	return scheduler.latenciesOf(g.Worker.Backend).eventGap.Timeout(min(least, constants.StreamTimeout), constants.StreamTimeout)
+	return scheduler.latenciesOf(g.Worker.Backend).eventGap.Timeout(min(shortestTimeout, constants.StreamTimeout), constants.StreamTimeout)
 }
 
-// ObserveGap notes the longest pause of a stream that was complete.
+// ObserveGap records the longest pause of a complete stream.
 func (g *Grant) ObserveGap(longest clock.Duration) {
 	if longest <= 0 {
 		return
@@ -63,7 +65,8 @@
 	scheduler.latenciesOf(g.Worker.Backend).eventGap.Observe(clock.ToMilliseconds(longest))
 }
 
-// TryRetryElsewhere asks to go on elsewhere after a silence.
+// TryRetryElsewhere records a silence and reports whether the retry budget permits a retry on
+// another worker.
 func (g *Grant) TryRetryElsewhere(elapsed clock.Duration, now clock.Instant) bool {
 	scheduler := g.scheduler
 	scheduler.lock.Lock()
@@ -76,8 +79,8 @@
 	return known.firstEvent.TakeRetry(max(elapsed-g.prefillTime, 0))
 }
 
-// NoteSilence notes a silence that has to be waited out: at first it counts as slowness, and
-// when it lasts as silence.
+// NoteSilence records a silence after which the request keeps waiting: shorter than
+// constants.SureTimeout it counts as slowness, from then on as a timeout.
 func (g *Grant) NoteSilence(elapsed clock.Duration, now clock.Instant) {
 	scheduler := g.scheduler
 	scheduler.lock.Lock()
@@ -92,14 +95,14 @@
 	}
 }
 
-// How a silence was noted while it lasted.
+// Levels of a silence that was recorded while the request was pending.
 const (
 	silenceNone = iota
 	silenceSlow
 	silenceTimeout
 )
 
-// ObserveLoad takes the load header of a response that is no run.
+// ObserveLoad applies the load header of a response that did not run a request.
 func (g *Grant) ObserveLoad(load string, now clock.Instant) {
 	if load == "" {
 		return
@@ -109,8 +112,9 @@
 	g.scheduler.Tracker.Of(g.Worker.ID).ObserveLoad(load, now)
 }
 
-// IsShedding tells whether a worker that rejected a request had capacity by the load that it stated. The
-// memory of an engine may be full while slots are free, so there half must be.
+// IsShedding reports whether a worker that rejected a request had capacity according to the load it
+// reported. The memory of an engine may be exhausted while slots are free, so for an engine more
+// than half of the slots must be free.
 func (g *Grant) IsShedding(load string) bool {
 	busy, slots, known := health.ParseLoad(load)
 	if g.engine {
--- a/internal/traffic/admission/slab.go
+++ b/internal/traffic/admission/slab.go
@@ -1,7 +1,7 @@
 package admission
 
-// Handle names a cell of a slab together with its generation, so that a late
-// call for a cell that was given to another is known.
+// Handle identifies a cell of a slab together with its generation, so that a stale handle to a
+// reused cell is detected.
 type Handle struct {
 	index      int
 	generation uint32
@@ -13,7 +13,7 @@
 	value      Value
 }
 
-// Slab keeps continuations without an allocation for each.
+// Slab stores continuations without one allocation for each.
 type Slab[Value any] struct {
 	cells []cell[Value]
 	free  []int
@@ -34,25 +34,25 @@
 	return Handle{len(s.cells) - 1, 0}
 }
 
-// Get finds a value; it is gone once taken.
+// Get returns the value of a handle. It returns false if the value has been taken.
 func (s *Slab[Value]) Get(handle Handle) (Value, bool) {
 	if handle.index < len(s.cells) {
 		if entry := &s.cells[handle.index]; entry.occupied && entry.generation == handle.generation {
 			return entry.value, true
 		}
 	}
-	var nothing Value
-	return nothing, false
+	var zero Value
+	return zero, false
 }
 
-// Take removes a value; only the first caller gets it, so no continuation is
+// Take removes a value and returns it. Only the first caller receives it, so no continuation is
 // resumed twice.
 func (s *Slab[Value]) Take(handle Handle) (Value, bool) {
 	value, found := s.Get(handle)
 	if found {
-		var nothing Value
+		var zero Value
 		entry := &s.cells[handle.index]
-		entry.value, entry.occupied = nothing, false
+		entry.value, entry.occupied = zero, false
 		entry.generation++
 		s.free = append(s.free, handle.index)
 		s.used--
@@ -60,5 +60,5 @@
 	return value, found
 }
 
-// Len is how many values are stored.
+// Len returns the number of stored values.
 func (s *Slab[Value]) Len() int { return s.used }
--- a/internal/traffic/admission/stale.go
+++ b/internal/traffic/admission/stale.go
@@ -9,13 +9,15 @@
 	"lemonarch/internal/traffic/prefixindex"
 )
 
-// How many requests a worker has is forgotten by the worker itself in about the time
-// that a request stays there. All nodes get the same samples, so whoever follows an old
-// one goes where all others go, and where all stay away no new sample comes from.
+// The set of sums at a worker is replaced in about the time that a request takes, so a load
+// sample becomes worthless within that time. All nodes receive the same samples: if they followed
+// old ones, all would place on the same worker, and a worker that all of them avoid would produce
+// no new samples.
 
-// isFull tells whether a request finds no slot at a worker. That a worker was full holds
-// for about one stay; then somebody must look. Items take no such chance, and nobody does
-// at an engine, whose batch stays full: there pressure frees slots.
+// isFull reports whether a request finds no slot at a worker. The observation that a worker is full
+// is valid for about one mean request duration; then a request must probe the worker. Items do not
+// probe, and nothing probes an engine, whose batch stays full: there preemption under pressure
+// frees slots.
 func (s *Scheduler) isFull(req *Request, worker messages.Worker, engine bool, running int, now clock.Instant) bool {
 	capacity := s.capacityFor(req, worker, now)
 	if running < capacity {
@@ -28,30 +30,30 @@
 	return health.PendingPrefills() > 0 || health.Age(now) <= max(constants.FullFor, s.meanDuration(req.Service))
 }
 
-// meanStay is the usual time of a request at a service's worker, as seen from here; zero
-// while nothing is known.
+// meanDuration returns the mean duration of a request at a service's worker, as observed by this
+// process; 0 if none was observed.
 func (s *Scheduler) meanDuration(service string) clock.Duration {
-	entry := s.gossip.flows[service]
-	if entry == nil || entry.count == 0 {
+	sums := s.gossip.flows[service]
+	if sums == nil || sums.count == 0 {
 		return 0
 	}
-	return clock.Milliseconds(entry.durationMs / entry.count)
+	return clock.Milliseconds(sums.durationMs / sums.count)
 }
 
-// decayedLoad is a load as it may be by now: an old observation says little more than the
-// mean of all does.
+// decayedLoad returns the estimated current load of a worker. The older the observation, the closer
+// the estimate is to the mean load of all workers.
 func (s *Scheduler) decayedLoad(service string, worker messages.Worker, running, mean int, now clock.Instant) float64 {
 	health := s.Tracker.Of(worker.ID)
-	stay := s.meanDuration(service)
-	if stay == 0 || !health.Known(now) {
+	duration := s.meanDuration(service)
+	if duration == 0 || !health.Known(now) {
 		return float64(running)
 	}
-	weight := math.Exp(-float64(health.Age(now)) / float64(stay))
+	weight := math.Exp(-float64(health.Age(now)) / float64(duration))
 	return max(float64(health.Own()), float64(mean)+weight*float64(running-mean))
 }
 
-// jitter is a small random part of the score, in ms, less than the way to another
-// zone: among equals not all nodes must choose the first. It repeats with the node.
+// jitter returns a small random part of the score, in ms, less than the cost of another zone: among
+// equal workers not all nodes must select the first. The sequence is deterministic for each node.
 func (s *Scheduler) jitter() float64 {
 	if s.jitterState == 0 {
 		s.jitterState = rendezvousWeight(s.self, "")
--- a/internal/traffic/admission/workers.go
+++ b/internal/traffic/admission/workers.go
@@ -5,24 +5,25 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// HandleOverdue takes a controller's list of the workers that are silent. It says, too, that a
-// controller was in contact.
-func (s *Scheduler) HandleOverdue(silent []messages.Overdue, now clock.Instant) {
+// HandleOverdue applies a controller's list of the workers whose heartbeats are overdue. The
+// message also proves that a controller was in contact.
+func (s *Scheduler) HandleOverdue(overdue []messages.Overdue, now clock.Instant) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.controllerContactAt = now
-	s.Registry.ApplyOverdue(silent, now)
+	s.Registry.ApplyOverdue(overdue, now)
 	s.Registry.Forget(now)
 }
 
-// WorkerBucketSums are the sums of the workers known here, for a pull from a controller.
+// WorkerBucketSums returns the bucket checksums of the workers known here, for a pull from a
+// controller.
 func (s *Scheduler) WorkerBucketSums() []byte {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.Registry.BucketSums()
 }
 
-// WorkersDigest stands for the workers known here.
+// WorkersDigest returns the digest of the workers known here.
 func (s *Scheduler) WorkersDigest() messages.Digest {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/traffic/health/ejection.go
+++ b/internal/traffic/health/ejection.go
@@ -7,28 +7,30 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// addressHistory is what is remembered of an address: the incarnation that answers there now, and how
-// many before it ended without draining.
+// addressHistory is the history of an address: the incarnation that currently responds there, and
+// the number of previous incarnations that ended without draining.
 type addressHistory struct {
 	worker, service string
 	crashes         int
 	startedAt       clock.Instant
 }
 
-// ObserveIncarnation notes a new incarnation at an address. One that follows some which ended without
-// draining is on trial, and from the second such end on ejected for
-// a growing time: it may be going down and up by turns.
+// ObserveIncarnation records a new incarnation at an address. If at least two previous incarnations
+// in a row ended without draining, each within constants.FlapWindow, the new one is ejected for a
+// growing time and then on trial, because the worker may be flapping (crashing and restarting in
+// turn). It returns the duration of the ejection, or 0 if there is none.
 func (t *Tracker) ObserveIncarnation(worker, service, address string, orderly bool, now clock.Instant) (duration clock.Duration) {
 	outcomes := t.OutcomesOf(worker, service)
-	known, found := t.outcomes.incarnations[address]
-	if found && known.worker == worker {
+	previous, found := t.outcomes.incarnations[address]
+	if found && previous.worker == worker {
 		return 0
 	}
 	next := addressHistory{worker: worker, service: service, startedAt: now}
-	// An address may be given to another service: its past is another's. Incarnations learnt of
-	// in one update, as when a process starts, tell nothing of who ended.
-	if found && known.service == service && !orderly && now > known.startedAt && now.Sub(known.startedAt) < constants.FlapWindow {
-		next.crashes = known.crashes + 1
+	// An address may be reassigned to another service, to which its history does not apply.
+	// Incarnations received in one update, for example when a process starts, do not show which of
+	// them ended.
+	if found && previous.service == service && !orderly && now > previous.startedAt && now.Sub(previous.startedAt) < constants.FlapWindow {
+		next.crashes = previous.crashes + 1
 	}
 	t.outcomes.incarnations[address] = next
 	if next.crashes < constants.FlapDeaths {
@@ -39,19 +41,21 @@
 	return t.eject(worker, outcomes, now)
 }
 
-// WorkerAt names the worker that answers at an address, if one is known.
+// WorkerAt returns the worker that responds at an address, or "" if none is known.
 func (t *Tracker) WorkerAt(address string) string { return t.outcomes.incarnations[address].worker }
 
-// ForgetOutcomes drops what is known of a worker's outcomes; its address stays known for a while.
+// ForgetOutcomes deletes a worker's outcomes. The history of its address is kept until Sweep
+// deletes it.
 func (t *Tracker) ForgetOutcomes(worker string) {
 	delete(t.outcomes.byWorker, worker)
 	delete(t.outcomes.ejected, worker)
 }
 
-// Sweep forgets addresses whose last incarnation began long ago.
+// Sweep deletes the addresses whose last incarnation started more than constants.ForgetAfter ago,
+// and ends the trials whose time has expired.
 func (t *Tracker) Sweep(now clock.Instant) {
-	for address, known := range t.outcomes.incarnations {
-		if now.Sub(known.startedAt) > constants.ForgetAfter && t.outcomes.byWorker[known.worker] == nil {
+	for address, history := range t.outcomes.incarnations {
+		if now.Sub(history.startedAt) > constants.ForgetAfter && t.outcomes.byWorker[history.worker] == nil {
 			delete(t.outcomes.incarnations, address)
 		}
 	}
@@ -63,43 +67,44 @@
 	}
 }
 
-// AnyEjected tells whether any worker is ejected or on trial.
+// AnyEjected reports whether any worker is ejected or on trial.
 func (t *Tracker) AnyEjected() bool { return len(t.outcomes.ejected) > 0 }
 
-// Ejected gives the workers that get no ordinary request now, of those named. Never more
-// than EjectShare of them: of too many, those that fail most. idle tells whether we
-// have nothing running at a worker; repeatable tells whether the request may be a trial.
+// Ejected returns those of the given workers that receive no ordinary request now, but never more
+// than constants.EjectShare of them (or one, if the share rounds down to none of several): if more
+// qualify, those with the highest failure rates. idle reports whether this process has no request
+// running at a worker. repeatable reports whether the request may be used as a trial.
 func (t *Tracker) Ejected(workerList []string, repeatable bool, idle func(worker string) bool, now clock.Instant) map[string]bool {
-	type one struct {
+	type ejectionCandidate struct {
 		worker string
 		rate   float64
 	}
-	var candidates []one
+	var candidates []ejectionCandidate
 	for _, worker := range workerList {
 		outcomes := t.outcomes.ejected[worker]
 		if outcomes == nil {
 			continue
 		}
 		if outcomes.IsEjected(now) || (outcomes.OnTrial(now) && (!repeatable || !idle(worker))) {
-			candidates = append(candidates, one{worker, outcomes.FailureRate(0, now)})
+			candidates = append(candidates, ejectionCandidate{worker, outcomes.FailureRate(0, now)})
 		}
 	}
-	most := int(constants.EjectShare * float64(len(workerList)))
-	if most == 0 && len(workerList) > 1 {
-		most = 1
+	maxEjected := int(constants.EjectShare * float64(len(workerList)))
+	if maxEjected == 0 && len(workerList) > 1 {
+		maxEjected = 1
 	}
-	if len(candidates) > most {
+	if len(candidates) > maxEjected {
 		sort.Slice(candidates, func(left, right int) bool {
 			if candidates[left].rate != candidates[right].rate {
 				return candidates[left].rate > candidates[right].rate
 			}
 			return candidates[left].worker < candidates[right].worker
 		})
-		candidates = candidates[:most]
+		candidates = candidates[:maxEjected]
 	}
 	ejected := make(map[string]bool, len(candidates))
-	for _, each := range candidates {
-		ejected[each.worker] = true
+	for _, candidate := range candidates {
+		ejected[candidate.worker] = true
 	}
 	return ejected
 }
--- a/internal/traffic/health/health.go
+++ b/internal/traffic/health/health.go
@@ -1,5 +1,6 @@
-// Package health keeps the health of workers, from what responses and peers say:
-// passive observation first, since probes are priced. A step function without I/O.
+// Package health tracks the health of workers from their responses and from peers' reports. Passive
+// observation comes first, since probes have a cost. The package performs no I/O; callers pass the
+// current time.
 package health
 
 import (
@@ -10,7 +11,7 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// Health is what is known of one worker.
+// Health is the state known of one worker.
 type Health struct {
 	live, bulk       int
 	pendingTokens    int64
@@ -27,16 +28,16 @@
 	responses        int64
 }
 
-// Tracker holds the health of all workers.
+// Tracker contains the health of all workers. Callers must serialize access.
 type Tracker struct {
 	byWorker map[string]*Health
 	outcomes outcomeTable
 }
 
-// New makes an empty tracker.
+// New returns an empty tracker.
 func New() *Tracker { return &Tracker{byWorker: map[string]*Health{}} }
 
-// Of gives the health of a worker.
+// Of returns the health of a worker and creates it if necessary.
 func (t *Tracker) Of(worker string) *Health {
 	health := t.byWorker[worker]
 	if health == nil {
@@ -46,13 +47,14 @@
 	return health
 }
 
-// Forget drops a worker.
+// Forget deletes the health and outcomes of a worker.
 func (t *Tracker) Forget(worker string) {
 	delete(t.byWorker, worker)
 	t.ForgetOutcomes(worker)
 }
 
-// RequestStarted notes a request of this process on its way.
+// RequestStarted records that this process sends the worker a request with the given number of
+// tokens to prefill.
 func (h *Health) RequestStarted(bulk bool, fresh int, now clock.Instant) {
 	if bulk {
 		h.bulk++
@@ -64,29 +66,32 @@
 	h.recordOwnCount(now)
 }
 
-// PrefillDone notes that a prompt was prefilled: its first event has come.
+// PrefillDone records that a prompt was prefilled, because its first event arrived.
 func (h *Health) PrefillDone(fresh int) {
 	h.pendingTokens -= int64(fresh)
 	h.pendingPrefills--
 }
 
-// PendingTokens is how many prompt tokens of this process wait to be prefilled there.
+// PendingTokens returns the number of this process's prompt tokens that the worker has yet to
+// prefill.
 func (h *Health) PendingTokens() int64 { return h.pendingTokens }
 
-// PendingPrefills is how many requests of this process have had no first event yet.
+// PendingPrefills returns the number of this process's requests that have received no first event
+// yet.
 func (h *Health) PendingPrefills() int { return h.pendingPrefills }
 
-// AddPeerPrefill notes that a peer gave the worker a prompt that takes a time to prefill.
+// AddPeerPrefill records that a peer sent the worker a prompt that takes the given time to prefill.
 func (h *Health) AddPeerPrefill(duration clock.Duration, now clock.Instant) {
 	h.peerPrefillUntil = max(h.peerPrefillUntil, now).Add(duration)
 }
 
-// PeerPrefillLeft is how long the worker still prefills what peers have notified of.
+// PeerPrefillLeft returns the remaining time that the worker needs to prefill the prompts that
+// peers have reported.
 func (h *Health) PeerPrefillLeft(now clock.Instant) clock.Duration {
 	return max(0, h.peerPrefillUntil.Sub(now))
 }
 
-// RequestEnded notes that a request of this process is over.
+// RequestEnded records that a request of this process has ended.
 func (h *Health) RequestEnded(bulk bool, now clock.Instant) {
 	if bulk {
 		h.bulk--
@@ -96,13 +101,14 @@
 	h.recordOwnCount(now)
 }
 
-// Own is how many requests of this process are there.
+// Own returns the number of this process's requests at the worker.
 func (h *Health) Own() int { return h.live + h.bulk }
 
-// OwnBulk is how many of them are items of batch jobs.
+// OwnBulk returns how many of these are items of batch jobs.
 func (h *Health) OwnBulk() int { return h.bulk }
 
-// ParseLoad parses a load header: running, waiting, slots.
+// ParseLoad parses a load header of the form "running,waiting,slots". busy is the sum of running
+// and waiting requests.
 func ParseLoad(header string) (busy, slots int, known bool) {
 	running, waiting, known := ParseRunning(header)
 	if !known {
@@ -114,7 +120,7 @@
 	return running + waiting, slots, true
 }
 
-// ParseRunning gives the requests that run and wait at a worker by its load header.
+// ParseRunning parses the numbers of running and waiting requests from a load header.
 func ParseRunning(header string) (running, waiting int, known bool) {
 	fields := strings.Split(header, ",")
 	if len(fields) < 2 {
@@ -125,14 +131,14 @@
 	return running, waiting, first == nil && second == nil
 }
 
-// ObserveLoad takes the load header of a response.
+// ObserveLoad applies the load header of a response.
 func (h *Health) ObserveLoad(header string, now clock.Instant) {
 	if busy, _, known := ParseLoad(header); known {
 		h.observe(busy, now)
 	}
 }
 
-// RecordFailure notes a failure; peers are told of it while the worker is ejected here.
+// RecordFailure records a failure. While the worker is ejected here, peers are notified of it.
 func (h *Health) RecordFailure(ejected clock.Duration, now clock.Instant) {
 	h.failures++
 	if ejected > 0 {
@@ -140,7 +146,7 @@
 	}
 }
 
-// RecordResponse notes a response that came as it should.
+// RecordResponse records the response time of a successful first event or response header.
 func (h *Health) RecordResponse(took clock.Duration) {
 	h.responses++
 	milliseconds := clock.ToMilliseconds(took)
@@ -150,25 +156,25 @@
 	h.meanResponseMs += 0.1 * (milliseconds - h.meanResponseMs)
 }
 
-// Suspect tells whether the worker is ejected here, or suspected by peers.
+// Suspect reports whether the worker is ejected here or suspected by peers.
 func (h *Health) Suspect(now clock.Instant) bool {
 	return now < h.suspectUntil || h.SuspectedByPeers(now)
 }
 
-// SuspectedByPeers tells whether several peers have ejected the worker.
+// SuspectedByPeers reports whether several peers have ejected the worker.
 func (h *Health) SuspectedByPeers(now clock.Instant) bool {
 	return h.suspectedByPeers(now)
 }
 
-// TookMs is the usual time of a response, in ms.
+// MeanResponseMs returns the moving average of the response time, in ms.
 func (h *Health) MeanResponseMs() float64 { return h.meanResponseMs }
 
-// Counts gives answers and failures, for the shell.
+// Counts returns the numbers of responses and failures, for the shell.
 func (h *Health) Counts() (responses, failures int64) { return h.responses, h.failures }
 
-// RecordFull notes that the worker rejected a request for want of capacity.
+// RecordFull records that the worker rejected a request for lack of capacity.
 func (h *Health) RecordFull(capacity int, now clock.Instant) {
-	// Our own finding, for a moment: it may be our connections that are spent, so
-	// peers are not told.
+	// This is kept for a short time and not sent to peers: the limit may be that of this process's
+	// own connections.
 	h.full = observation{known: true, count: capacity + constants.QueueAheadMax, at: now, own: h.Own()}
 }
--- a/internal/traffic/health/latency.go
+++ b/internal/traffic/health/latency.go
@@ -5,15 +5,15 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// Latency estimates what is usual for a time: its mean and mean deviation, as RFC 6298 does
-// for round trips, and so when silence is more than that.
+// Latency estimates the usual value of a time from its mean and mean deviation, as RFC 6298 does
+// for round trips, and from it the silence that is unusual.
 type Latency struct {
 	mean, deviation float64
 	count           int
 	retryBudget     float64
 }
 
-// Observe takes a time in ms.
+// Observe adds a time in ms.
 func (p *Latency) Observe(milliseconds float64) {
 	p.count++
 	p.retryBudget = min(p.retryBudget+constants.HedgeEarned, constants.HedgeBudget)
@@ -21,26 +21,26 @@
 		p.mean, p.deviation, p.retryBudget = milliseconds, milliseconds/2, constants.HedgeBudget/2
 		return
 	}
-	away := milliseconds - p.mean
-	p.mean += away / 8
-	if away < 0 {
-		away = -away
+	difference := milliseconds - p.mean
+	p.mean += difference / 8
+	if difference < 0 {
+		difference = -difference
 	}
-	p.deviation += (away - p.deviation) / 4
+	p.deviation += (difference - p.deviation) / 4
 }
 
-// Timeout is the time past which a wait is out of the ordinary: between least and most;
-// most until enough was seen.
-func (p *Latency) Timeout(least, most clock.Duration) clock.Duration {
+// Timeout returns the time after which a wait is unusual, between shortest and longest. It returns
+// longest until constants.PaceLeast times have been observed.
+func (p *Latency) Timeout(shortest, longest clock.Duration) clock.Duration {
 	if p.count < constants.PaceLeast {
-		return most
+		return longest
 	}
-	return min(max(clock.Milliseconds(p.mean+constants.PaceSpread*p.deviation), least), most)
+	return min(max(clock.Milliseconds(p.mean+constants.PaceSpread*p.deviation), shortest), longest)
 }
 
-// TrySpend takes one retry after a silence out of the budget. When a whole service grows
-// slow, leaving for elsewhere would only add to its load: then the budget runs dry.
-// The wait itself is observed, as the least that the response would have taken.
+// TakeRetry takes one retry after a silence from the budget and reports whether there was one. When
+// a whole service becomes slow, retries on other workers would only add to its load; the budget
+// then runs out. The wait itself is observed as a lower bound of the response time.
 func (p *Latency) TakeRetry(waited clock.Duration) bool {
 	if p.retryBudget < 1 {
 		return false
--- a/internal/traffic/health/latency_test.go
+++ b/internal/traffic/health/latency_test.go
@@ -7,47 +7,47 @@
 	"lemonarch/internal/platform/clock"
 )
 
-// Silence is judged by what a service has taught, within bounds.
+// The timeout is derived from the observed latencies, within bounds.
 func TestLatencyIsObserved(t *testing.T) {
 	random := rand.New(rand.NewSource(3))
-	pace := &Latency{}
-	least, most := clock.Milliseconds(40), clock.Milliseconds(900)
-	if pace.Timeout(least, most) != most {
-		t.Fatal("judged before anything was seen")
+	latency := &Latency{}
+	shortest, longest := clock.Milliseconds(40), clock.Milliseconds(900)
+	if latency.Timeout(shortest, longest) != longest {
+		t.Fatal("want the longest timeout before any observation")
 	}
 	over := 0
 	for count := 0; count < 1000; count++ {
 		took := 30 + 20*random.Float64()
-		if count > 20 && clock.Milliseconds(took) > pace.Timeout(least, most) {
+		if count > 20 && clock.Milliseconds(took) > latency.Timeout(shortest, longest) {
 			over++
 		}
-		pace.Observe(took)
+		latency.Observe(took)
 	}
-	if beyond := pace.Timeout(least, most); over > 5 || beyond > clock.Milliseconds(100) {
-		t.Fatal(over, beyond)
+	if timeout := latency.Timeout(shortest, longest); over > 5 || timeout > clock.Milliseconds(100) {
+		t.Fatal(over, timeout)
 	}
-	if pace.Timeout(clock.Milliseconds(300), most) != clock.Milliseconds(300) {
-		t.Fatal("the least does not hold")
+	if latency.Timeout(clock.Milliseconds(300), longest) != clock.Milliseconds(300) {
+		t.Fatal("the timeout is not limited by the shortest one")
 	}
 }
 
-// A service that grows slow as a whole is not left by everybody: the budget runs dry,
-// and the silences teach what has become usual.
+// When a whole service becomes slow, not all requests retry on other workers: the retry budget runs
+// out, and the observed waits raise the timeout.
 func TestRetriesAfterSilenceAreBounded(t *testing.T) {
-	pace := &Latency{}
+	latency := &Latency{}
 	for count := 0; count < 100; count++ {
-		pace.Observe(20)
+		latency.Observe(20)
 	}
-	least, most := clock.Milliseconds(10), clock.Milliseconds(900)
-	before, left := pace.Timeout(least, most), 0
+	shortest, longest := clock.Milliseconds(10), clock.Milliseconds(900)
+	before, retries := latency.Timeout(shortest, longest), 0
 	for count := 0; count < 200; count++ {
-		if limit := pace.Timeout(least, most); limit < clock.Milliseconds(400) && pace.TakeRetry(limit) {
-			left++
+		if limit := latency.Timeout(shortest, longest); limit < clock.Milliseconds(400) && latency.TakeRetry(limit) {
+			retries++
 			continue
 		}
-		pace.Observe(400)
+		latency.Observe(400)
 	}
-	if left > 60 || pace.Timeout(least, most) < 2*before {
-		t.Fatal(left, before, pace.Timeout(least, most))
+	if retries > 60 || latency.Timeout(shortest, longest) < 2*before {
+		t.Fatal(retries, before, latency.Timeout(shortest, longest))
 	}
 }
--- a/internal/traffic/health/outcomes.go
+++ b/internal/traffic/health/outcomes.go
@@ -7,34 +7,36 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// Fault is a kind of failure of a worker, as an outcome shows it. Responses to health
-// probes are none: they may be false either way.
+// Fault is a kind of worker failure, derived from the outcome of a request. Responses to health
+// probes are not considered, because they may be wrong in either direction.
 type Fault int
 
-// The kinds.
+// Kinds of fault.
 const (
-	// FaultRefused: no connection came up.
+	// FaultRefused means that no connection was established.
 	FaultRefused Fault = iota
-	// FaultReset: reset, cut off or corrupt on a fresh connection or after the first byte.
+	// FaultReset means that a fresh connection, or any connection after the first byte, was reset,
+	// cut off or delivered corrupt bytes.
 	FaultReset
-	// FaultTimeout: silence for a multiple of what the service usually takes.
+	// FaultTimeout means silence for a multiple of the service's usual time.
 	FaultTimeout
-	// FaultError: the worker's own 5xx.
+	// FaultError means that the worker itself returned a 5xx status.
 	FaultError
-	// FaultShed: rejected although the load that it states leaves capacity.
+	// FaultShed means that the worker rejected the request although its reported load leaves
+	// capacity.
 	FaultShed
-	// FaultSlow: a first event well after the usual time.
+	// FaultSlow means that the first event arrived well after the usual time.
 	FaultSlow
 	faultKinds
 )
 
 var faultNames = [faultKinds]string{"refused", "reset", "silent", "error", "shed", "slow"}
 
-// String names the kind for logs and the shell.
+// String returns the name of the kind for logs and the shell.
 func (t Fault) String() string { return faultNames[t] }
 
-// weight is how much one failure of a kind counts: shedding and slowness are also
-// what a busy worker that is healthy does.
+// weight returns how much one failure of this kind counts. Shedding and slowness count less,
+// because a healthy but busy worker shows them too.
 func (t Fault) weight() float64 {
 	if t == FaultShed || t == FaultSlow {
 		return constants.MildFaultWeight
@@ -42,40 +44,42 @@
 	return 1
 }
 
-// Outcomes are the outcomes of this process's requests at one incarnation of a worker.
+// Outcomes contains the outcomes of this process's requests at one incarnation of a worker.
 type Outcomes struct {
 	service string
-	// successes and failures are decayed counts of outcomes.
+	// successes and failures are exponentially decayed counts of outcomes.
 	successes, failures float64
 	at                  clock.Instant
 	level               int
 	failedAt            clock.Instant
 	ejectedUntil        clock.Instant
-	// trial holds from the end of an ejection until requests have gone well.
+	// trial is true from the start of an ejection until enough requests have succeeded. It takes
+	// effect when the ejection ends.
 	trial    bool
 	trialEnd clock.Instant
-	// trialsLeft is how many trials must still go well: as many as there were ejections.
+	// trialsLeft is the number of trials that must still succeed, initially the number of recent
+	// ejections.
 	trialsLeft int
 	counts     [faultKinds]int64
 }
 
-// outcomeTable is the part of the tracker that keeps outcomes.
+// outcomeTable is the part of the tracker that stores outcomes.
 type outcomeTable struct {
 	byWorker map[string]*Outcomes
-	// ejected are those ejected or on trial: few, so that placing costs nothing while all
-	// are healthy.
+	// ejected contains the workers that are ejected or on trial. There are few, so placement has no
+	// extra cost while all workers are healthy.
 	ejected      map[string]*Outcomes
 	medians      map[string]medianRate
 	incarnations map[string]addressHistory
 }
 
-// medianRate is the median rate of failure of a service, kept for a moment.
+// medianRate is the median failure rate of a service, cached for constants.UsualPeriod.
 type medianRate struct {
 	rate float64
 	at   clock.Instant
 }
 
-// OutcomesOf gives what is known of a worker's outcomes.
+// OutcomesOf returns the outcomes of a worker and creates them if necessary.
 func (t *Tracker) OutcomesOf(worker, service string) *Outcomes {
 	if t.outcomes.byWorker == nil {
 		t.outcomes = outcomeTable{byWorker: map[string]*Outcomes{}, ejected: map[string]*Outcomes{}, medians: map[string]medianRate{}, incarnations: map[string]addressHistory{}}
@@ -88,7 +92,7 @@
 	return outcomes
 }
 
-// decay lets old outcomes count less: a half each HealthHalfLife.
+// decay reduces the weight of old outcomes by half per constants.HealthHalfLife.
 func (t *Outcomes) decay(now clock.Instant) {
 	duration := now.Sub(t.at)
 	t.at = now
@@ -99,42 +103,42 @@
 	for ; duration >= constants.HealthHalfLife; duration -= constants.HealthHalfLife {
 		t.successes, t.failures = t.successes/2, t.failures/2
 	}
-	// Linear within one half is near enough and needs no powers.
-	part := 1 - float64(duration)/float64(2*constants.HealthHalfLife)
-	t.successes, t.failures = t.successes*part, t.failures*part
+	// Within one half-life, a linear approximation is accurate enough and avoids computing powers.
+	factor := 1 - float64(duration)/float64(2*constants.HealthHalfLife)
+	t.successes, t.failures = t.successes*factor, t.failures*factor
 }
 
-// FailureRate is the rate of failure in [0, 1]; a few outcomes are drawn to what is usual.
+// FailureRate returns the failure rate in [0, 1]. With few outcomes it is drawn towards the median.
 func (t *Outcomes) FailureRate(median float64, now clock.Instant) float64 {
 	t.decay(now)
 	return (t.failures + constants.HealthPrior*median) / (t.successes + t.failures + constants.HealthPrior)
 }
 
-// ProvenHealthy tells that the outcomes here lately speak for the worker: then reports of peers do
-// not count, since a fault may show to some callers only.
+// ProvenHealthy reports whether recent outcomes in this process show that the worker is healthy.
+// Reports of peers are then ignored, since a fault may affect only some callers.
 func (t *Outcomes) ProvenHealthy(now clock.Instant) bool {
 	t.decay(now)
 	return t.successes >= constants.HealthProven && t.failures < t.successes*constants.EjectRate
 }
 
-// Counts gives the failures by kind, in the order of Kinds.
+// Counts returns the number of failures by kind, in the order of Kinds.
 func (t *Outcomes) Counts() []int64 { return t.counts[:] }
 
-// Kinds names the kinds of failure.
+// Kinds returns the names of the kinds of fault.
 func Kinds() []string { return faultNames[:] }
 
-// IsEjected tells whether the worker is ejected here.
+// IsEjected reports whether the worker is ejected here.
 func (t *Outcomes) IsEjected(now clock.Instant) bool { return now < t.ejectedUntil }
 
-// OnTrial tells whether only one repeatable request at a time may go there.
+// OnTrial reports whether the worker may receive only one repeatable request at a time.
 func (t *Outcomes) OnTrial(now clock.Instant) bool {
 	return t.trial && now >= t.ejectedUntil && now < t.trialEnd
 }
 
-// MedianFailureRate is the median rate of failure over a service's workers.
+// MedianFailureRate returns the median failure rate of a service's workers.
 func (t *Tracker) MedianFailureRate(service string, now clock.Instant) float64 {
-	if known, found := t.outcomes.medians[service]; found && now.Sub(known.at) < constants.UsualPeriod {
-		return known.rate
+	if cached, found := t.outcomes.medians[service]; found && now.Sub(cached.at) < constants.UsualPeriod {
+		return cached.rate
 	}
 	var rates []float64
 	for _, outcomes := range t.outcomes.byWorker {
@@ -153,7 +157,7 @@
 	return median
 }
 
-// RecordSuccess notes a complete response. It returns true when that ends a trial.
+// RecordSuccess records a complete response. It returns true if this ends the worker's trial.
 func (t *Tracker) RecordSuccess(worker, service string, now clock.Instant) (returned bool) {
 	outcomes := t.OutcomesOf(worker, service)
 	outcomes.decay(now)
@@ -169,8 +173,9 @@
 	return false
 }
 
-// RecordFault notes a failure. A worker whose rate stands out from its service's median
-// is ejected, each time for longer; span is 0 when it is not.
+// RecordFault records a failure. A worker whose failure rate clearly exceeds its service's median
+// is ejected, each time for longer. It returns the duration of the ejection, or 0 if the worker is
+// not ejected by this failure.
 func (t *Tracker) RecordFault(worker, service string, fault Fault, now clock.Instant) (duration clock.Duration) {
 	outcomes := t.OutcomesOf(worker, service)
 	median := t.MedianFailureRate(service, now)
@@ -191,7 +196,7 @@
 	duration := constants.EjectFor << outcomes.level
 	outcomes.level = min(outcomes.level+1, constants.EjectLevels)
 	outcomes.ejectedUntil, outcomes.trial, outcomes.trialsLeft = now.Add(duration), true, outcomes.level
-	// A service that gets no repeatable requests has no trials: time alone ends them.
+	// A service that receives no repeatable requests has no trials, so a trial also ends by time.
 	outcomes.trialEnd = outcomes.ejectedUntil.Add(2 * duration)
 	t.outcomes.ejected[worker] = outcomes
 	return duration
--- a/internal/traffic/health/outcomes_test.go
+++ b/internal/traffic/health/outcomes_test.go
@@ -22,9 +22,9 @@
 func never(string) bool  { return false }
 func always(string) bool { return true }
 
-// Of twenty workers two fail 45 of 100 requests; the others lose 1 of 100. Whoever is
-// ejected gets nothing but trials. The ill ones must come to get less than half of
-// their part, at half a request a second and worker.
+// Of 20 workers two fail 45 of 100 requests and the others 1 of 100. Ejected workers receive only
+// trials. At half a request per second and worker, the two failing workers must receive less than
+// half of their proportional share.
 func TestPartlyFailingWorkersAreEjected(t *testing.T) {
 	const seeds = 20
 	total := 0
@@ -57,15 +57,16 @@
 		unhealthy := sent["w00"] + sent["w01"]
 		total += unhealthy
 		if unhealthy > 50 {
-			t.Fatalf("seed %d: the ill pair got %d of 600 requests, their part is 60", seed, unhealthy)
+			t.Fatalf("seed %d: the failing pair got %d of 600 requests, their proportional share is 60", seed, unhealthy)
 		}
 	}
 	if total > seeds*30 {
-		t.Fatalf("the ill pairs got %d requests, over half of their part", total)
+		t.Fatalf("the failing pairs got %d requests, more than half of their proportional share", total)
 	}
 }
 
-// However many fail, no more than the share is ejected, and the only worker never is.
+// No more than constants.EjectShare of the workers is ejected however many fail, and a service's
+// only worker never is.
 func TestNeverMoreThanAShareIsEjected(t *testing.T) {
 	for _, count := range []int{1, 2, 4, 9, 60} {
 		tracker, workerList := New(), workerNames(count)
@@ -76,17 +77,17 @@
 				now++
 			}
 		}
-		most := int(constants.EjectShare * float64(count))
-		if most == 0 && count > 1 {
-			most = 1
+		maxEjected := int(constants.EjectShare * float64(count))
+		if maxEjected == 0 && count > 1 {
+			maxEjected = 1
 		}
-		if ejected := tracker.Ejected(workerList, false, never, now); len(ejected) > most {
-			t.Fatalf("%d of %d ejected", len(ejected), count)
+		if ejected := tracker.Ejected(workerList, false, never, now); len(ejected) > maxEjected {
+			t.Fatalf("%d of %d workers ejected", len(ejected), count)
 		}
 	}
 }
 
-// The ones over the share are those that fail least.
+// If more workers qualify than may be ejected, those that fail most are ejected.
 func TestWorstWorkersAreEjectedFirst(t *testing.T) {
 	tracker, workerList := New(), workerNames(4)
 	now := second
@@ -99,7 +100,7 @@
 	}
 }
 
-// Each ejection lasts twice as long as the one before, up to a most.
+// Each ejection lasts twice as long as the previous one, up to a maximum.
 func TestEjectionsLengthen(t *testing.T) {
 	tracker, now := New(), second
 	names := workerNames(5)
@@ -113,47 +114,47 @@
 			t.Fatalf("round %d: ejected for %v, want %v", round, duration, want)
 		}
 		if more := tracker.RecordFault("w00", "s", FaultRefused, now+1); more != 0 {
-			t.Fatal("ejected anew while ejected")
+			t.Fatal("ejected again while already ejected")
 		}
 		now = now.Add(duration)
 		want = min(2*want, constants.EjectFor<<constants.EjectLevels)
 	}
 	later := now.Add(constants.EjectForget + 1)
 	if duration := tracker.RecordFault("w00", "s", FaultRefused, later); duration != constants.EjectFor {
-		t.Fatal("an old failure still counts: ", duration)
+		t.Fatal("an old failure still lengthens the ejection: ", duration)
 	}
 }
 
-// After its time a worker gets one repeatable request at a time, and is back with the
-// first that goes well; a failure ejects it for longer.
+// After its ejection a worker receives one repeatable request at a time. It returns with the first
+// trial that succeeds; a failure ejects it for longer.
 func TestReturnAfterTrial(t *testing.T) {
 	tracker, workerList := New(), workerNames(4)
 	duration := tracker.RecordFault("w00", "s", FaultTimeout, second)
 	if !tracker.Ejected(workerList, true, always, second+1)["w00"] {
-		t.Fatal("placed on while ejected")
+		t.Fatal("an ejected worker is not in the ejected set")
 	}
 	now := second.Add(duration)
 	switch {
 	case tracker.Ejected(workerList, true, always, now)["w00"]:
-		t.Fatal("no trial")
+		t.Fatal("an idle worker on trial got no retryable request")
 	case !tracker.Ejected(workerList, true, never, now)["w00"]:
-		t.Fatal("two trials at a time")
+		t.Fatal("a second trial was allowed while one is running")
 	case !tracker.Ejected(workerList, false, always, now)["w00"]:
-		t.Fatal("a request that must not run twice is no trial")
+		t.Fatal("a request that is not repeatable was allowed as a trial")
 	}
 	if !tracker.RecordSuccess("w00", "s", now) || tracker.Ejected(workerList, false, never, now)["w00"] {
-		t.Fatal("a trial that went well brings it back")
+		t.Fatal("the worker did not return after a successful trial")
 	}
 	other := tracker.RecordFault("w01", "s", FaultTimeout, now)
-	// Without trials, time alone brings it back.
+	// Without trials, the worker returns when the trial period has passed.
 	end := now.Add(3*other + 1)
 	tracker.Sweep(end)
 	if tracker.Ejected(workerList, false, never, end)["w01"] {
-		t.Fatal("a service without repeatable requests keeps a worker out for good")
+		t.Fatal("a worker without trials did not return after its trial period")
 	}
 }
 
-// A service of which everybody fails has no worker that stands out.
+// If all workers of a service fail at the same rate, none stands out and none is ejected.
 func TestUniformFailureRateEjectsNoWorker(t *testing.T) {
 	tracker, workerList := New(), workerNames(9)
 	random := rand.New(rand.NewSource(5))
@@ -164,7 +165,7 @@
 		if random.Float64() < 0.4 {
 			duration := tracker.RecordFault(worker, "s", FaultError, now)
 			if duration > 0 && count > 200 {
-				t.Fatalf("%s ejected for %v though all fail alike", worker, duration)
+				t.Fatalf("%s ejected for %v although all workers fail at the same rate", worker, duration)
 			}
 		} else {
 			tracker.RecordSuccess(worker, "s", now)
@@ -172,65 +173,65 @@
 	}
 }
 
-// Whole answers of our own speak louder than peers.
+// Complete responses received by this process take precedence over peers' reports.
 func TestOwnOutcomesProveHealthy(t *testing.T) {
 	tracker := New()
 	outcomes := tracker.OutcomesOf("w00", "s")
 	if outcomes.ProvenHealthy(second) {
-		t.Fatal("proven by nothing")
+		t.Fatal("proven healthy without any outcome")
 	}
 	tracker.RecordSuccess("w00", "s", second)
 	tracker.RecordSuccess("w00", "s", second)
 	if !outcomes.ProvenHealthy(second + 1) {
-		t.Fatal("two whole answers prove nothing")
+		t.Fatal("not proven healthy by two complete responses")
 	}
 	if outcomes.ProvenHealthy(second.Add(8 * constants.HealthHalfLife)) {
-		t.Fatal("old answers still prove")
+		t.Fatal("still proven healthy by old responses")
 	}
 	tracker.RecordFault("w00", "s", FaultReset, second+2)
 	if outcomes.ProvenHealthy(second + 3) {
-		t.Fatal("proven though one of three fails")
+		t.Fatal("proven healthy although one of three requests failed")
 	}
 }
 
-// Lives that die without a word at one address: the first successor is trusted, later
-// ones are held back for a growing time; orderly ends and other services count nothing.
+// Incarnations at one address that end without draining: the first successor is not ejected, later
+// ones are ejected for a growing time. Orderly ends and other services' incarnations do not count.
 func TestFlappingIncarnations(t *testing.T) {
 	tracker := New()
 	now := second
-	var spans []clock.Duration
+	var durations []clock.Duration
 	for incarnation := 0; incarnation < 6; incarnation++ {
-		spans = append(spans, tracker.ObserveIncarnation(fmt.Sprint("life", incarnation), "s", "a:1", false, now))
+		durations = append(durations, tracker.ObserveIncarnation(fmt.Sprint("life", incarnation), "s", "a:1", false, now))
 		if again := tracker.ObserveIncarnation(fmt.Sprint("life", incarnation), "s", "a:1", false, now); again != 0 {
-			t.Fatal("a word heard twice is a death")
+			t.Fatal("a repeated update of the same incarnation counted as a crash")
 		}
 		now = now.Add(1_400_000_000)
 	}
 	want := []clock.Duration{0, 0, constants.EjectFor, 2 * constants.EjectFor, 4 * constants.EjectFor, 8 * constants.EjectFor}
 	for i := range want {
-		if spans[i] != want[i] {
-			t.Fatal(spans)
+		if durations[i] != want[i] {
+			t.Fatal(durations)
 		}
 	}
 	if tracker.ObserveIncarnation("other", "t", "a:1", false, now) != 0 {
-		t.Fatal("another service's past counts")
+		t.Fatal("the history of another service counted")
 	}
 	atOnce := New()
 	for incarnation := 0; incarnation < 6; incarnation++ {
 		if atOnce.ObserveIncarnation(fmt.Sprint("life", incarnation), "s", "a:1", false, now) != 0 {
-			t.Fatal("lives told of in one word count as deaths")
+			t.Fatal("incarnations in one update counted as crashes")
 		}
 	}
 	orderly := New()
 	for incarnation := 0; incarnation < 6; incarnation++ {
 		if orderly.ObserveIncarnation(fmt.Sprint("life", incarnation), "s", "a:1", true, now) != 0 {
-			t.Fatal("leaving in order counts as flapping")
+			t.Fatal("orderly ends counted as flapping")
 		}
 	}
 	seldom := New()
 	for incarnation := 0; incarnation < 6; incarnation++ {
 		if seldom.ObserveIncarnation(fmt.Sprint("life", incarnation), "s", "a:1", false, now) != 0 {
-			t.Fatal("deaths far apart count as flapping")
+			t.Fatal("crashes far apart counted as flapping")
 		}
 		now = now.Add(constants.FlapWindow + 1)
 	}
--- a/internal/traffic/health/peers.go
+++ b/internal/traffic/health/peers.go
@@ -6,22 +6,22 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Freshest observation wins. A worker tells in each response how many requests of all
-// callers it has, so one such count needs no adding up over nodes and no origin: of
-// two, the younger is the better, whoever made it. It is passed on with its age.
+// The freshest observation wins. A worker reports in each response how many requests of all callers
+// it has, so the count needs neither addition over nodes nor an origin: of two counts the later one
+// is better, whichever node observed it. It is passed on with its age.
 
-// ownSteps is how many changes of our own count are remembered, to correct an
-// observation by what we have begun and ended since (ours).
+// ownHistorySize is the number of changes of this process's own request count that are kept, to
+// correct an observation by the requests that this process has started and ended since.
 const ownHistorySize = 8
 
-// suspectsLimit bounds whose suspicions are remembered (ours): the neighbours'.
+// suspectsLimit bounds the number of peers whose suspicions are stored.
 const suspectsLimit = 16
 
 type observation struct {
 	known bool
 	count int
 	at    clock.Instant
-	// own is how many of these requests were ours.
+	// own is how many of these requests were sent by this process.
 	own int
 }
 
@@ -30,7 +30,7 @@
 	own int
 }
 
-// observe takes a count as of an instant, unless a younger one is known.
+// observe stores a count observed at the given time, unless a later one is known.
 func (h *Health) observe(count int, at clock.Instant) {
 	if h.observed.known && at < h.observed.at {
 		return
@@ -38,18 +38,19 @@
 	h.observed = observation{known: true, count: count, at: at, own: h.ownAt(at)}
 }
 
-// step remembers a change of our own count.
+// recordOwnCount stores a change of this process's own request count.
 func (h *Health) recordOwnCount(now clock.Instant) {
 	h.ownHistory[h.ownChanges%ownHistorySize] = ownCountChange{at: now, own: h.Own()}
 	h.ownChanges++
 }
 
-// ownAt is how many requests of ours were there at an instant, as far as remembered.
+// ownAt returns the number of this process's requests at the worker at a past time, as far as the
+// history reaches back.
 func (h *Health) ownAt(at clock.Instant) int {
 	oldest := max(0, h.ownChanges-ownHistorySize)
 	for i := h.ownChanges - 1; i >= oldest; i-- {
-		if step := h.ownHistory[i%ownHistorySize]; step.at <= at {
-			return step.own
+		if change := h.ownHistory[i%ownHistorySize]; change.at <= at {
+			return change.own
 		}
 	}
 	if oldest == 0 {
@@ -58,14 +59,14 @@
 	return h.ownHistory[oldest%ownHistorySize].own
 }
 
-// fresh tells whether the observation still counts: the age limit holds for the
-// age of the evidence, over however many nodes it came.
+// fresh reports whether the observation is still valid. The limit applies to the age of the
+// observation itself, regardless of how many nodes relayed it.
 func (h *Health) fresh(now clock.Instant) bool {
 	return h.observed.known && now.Sub(h.observed.at) < constants.GossipStale
 }
 
-// Running estimates how many requests of all nodes are at the worker: the freshest
-// observation, corrected by what we ourselves have begun and ended since.
+// Running estimates how many requests of all nodes are at the worker: the freshest observation,
+// corrected by the requests that this process has started and ended since.
 func (h *Health) Running(now clock.Instant) int {
 	own := h.Own()
 	count := own
@@ -78,14 +79,14 @@
 	return count
 }
 
-// Known tells whether there is evidence of the worker's load.
+// Known reports whether there is a valid observation of the worker's load.
 func (h *Health) Known(now clock.Instant) bool { return h.fresh(now) }
 
-// Age is how old that evidence is.
+// Age returns the age of the observation.
 func (h *Health) Age(now clock.Instant) clock.Duration { return now.Sub(h.observed.at) }
 
-// Sample is what peers are sent of the worker: the freshest observation, whoever made
-// it, and whether it is ejected here. known is false when there is nothing to send.
+// Sample returns the sample of the worker to send to peers: the freshest observation, whichever
+// node made it, and whether the worker is ejected here. known is false if there is nothing to send.
 func (h *Health) Sample(now clock.Instant) (sample messages.LoadSample, known bool) {
 	sample = messages.LoadSample{Running: messages.RunningUnknown, Health: messages.HealthUnknown}
 	if h.fresh(now) {
@@ -97,12 +98,13 @@
 	return sample, known
 }
 
-// Observed is the instant of the freshest observation and its count.
+// Observed returns the count and the time of the freshest observation.
 func (h *Health) Observed() (count int, at clock.Instant) {
 	return h.observed.count, h.observed.at
 }
 
-// ObservePeer takes a neighbour's sample. Its suspicion is its own evidence and counts as that.
+// ObservePeer applies a peer's sample. A peer reports only suspicions of its own, so each counts as
+// separate evidence.
 func (h *Health) ObservePeer(from string, sample messages.LoadSample, now clock.Instant) {
 	age := clock.Milliseconds(float64(sample.AgeMs))
 	if sample.Running != messages.RunningUnknown {
@@ -121,15 +123,15 @@
 	h.suspects[from] = now
 }
 
-// suspectedByPeers tells whether several neighbours have just met failures of the worker;
-// one alone may have a fault of its own.
+// suspectedByPeers reports whether at least two peers have recently reported failures of the
+// worker. A single peer may have a fault of its own.
 func (h *Health) suspectedByPeers(now clock.Instant) bool {
-	const several = 2
+	const minPeers = 2
 	count := 0
 	for _, at := range h.suspects {
 		if now.Sub(at) < constants.GossipPeriod+constants.GossipPeriod/2 {
 			count++
 		}
 	}
-	return count >= several
+	return count >= minPeers
 }
