--- a/internal/traffic/admission/admission.go
+++ b/internal/traffic/admission/admission.go
@@ -127,7 +127,7 @@
 	s.config = config
 }
 
-// NoteControllerContact records that a message from a controller arrived.
+// NoteControllerContact records that a controller was in contact.
 func (s *Scheduler) NoteControllerContact(now clock.Instant) { s.controllerContactAt = now }
 
 // Merge applies worker updates and resumes queued requests that can now be placed.
--- a/internal/traffic/admission/flow.go
+++ b/internal/traffic/admission/flow.go
@@ -8,8 +8,8 @@
 // requests that passed through this process, and n comes from the freshest load observation. Tokens
 // inserted by this process are counted exactly.
 
-// flow holds decayed sums over the finished requests of one service: prompt and output tokens,
-// duration in ms, and the number of requests.
+// flow contains decayed sums over the finished requests of one service: uncached prompt tokens plus
+// half of the output tokens, duration in ms, and the number of requests.
 type flow struct {
 	tokens, durationMs, count float64
 }
--- a/internal/traffic/admission/health.go
+++ b/internal/traffic/admission/health.go
@@ -69,8 +69,8 @@
 	if _, known := s.Registry.Get(worker.ID); known || worker.Phase != messages.PhaseSteady {
 		return
 	}
-	// A previous incarnation that was draining ended in an orderly way. If no previous incarnation
-	// was known here, the end is assumed to be orderly.
+	// A previous incarnation that was draining ended in an orderly way. If none was known here,
+	// nothing can be concluded about its end, so it is treated as orderly.
 	orderly := true
 	if previous, found := s.Registry.Get(s.Tracker.WorkerAt(worker.Address)); found {
 		orderly = previous.Phase != messages.PhaseSteady
@@ -109,7 +109,8 @@
 	return !outcomes.ProvenHealthy(now)
 }
 
-// riskMs returns the cost of a worker's failure rate above the service's median, in ms of score.
+// riskMs returns the cost of a worker's failure rate above the service's median plus
+// constants.RiskFloor, in ms of score.
 func (s *Scheduler) riskMs(req *Request, worker messages.Worker, now clock.Instant) float64 {
 	median := s.Tracker.MedianFailureRate(worker.Backend, now)
 	cost := constants.ErrCostOnce
--- a/internal/traffic/admission/silence.go
+++ b/internal/traffic/admission/silence.go
@@ -102,7 +102,7 @@
 	silenceTimeout
 )
 
-// ObserveLoad applies the load header of a response that did not run a request.
+// ObserveLoad applies the load header of a response whose request was not run.
 func (g *Grant) ObserveLoad(load string, now clock.Instant) {
 	if load == "" {
 		return
--- a/internal/traffic/admission/stale.go
+++ b/internal/traffic/admission/stale.go
@@ -9,15 +9,15 @@
 	"lemonarch/internal/traffic/prefixindex"
 )
 
-// The set of sums at a worker is replaced in about the time that a request takes, so a load
-// sample becomes worthless within that time. All nodes receive the same samples: if they followed
-// old ones, all would place on the same worker, and a worker that all of them avoid would produce
-// no new samples.
+// The set of requests at a worker is replaced in about the time that a request takes, so a load
+// sample loses its value within that time. All nodes receive the same samples: if they followed old
+// ones, all would place on the same worker, and a worker that all of them avoid would produce no
+// new samples.
 
 // isFull reports whether a request finds no slot at a worker. The observation that a worker is full
-// is valid for about one mean request duration; then a request must probe the worker. Items do not
-// probe, and nothing probes an engine, whose batch stays full: there preemption under pressure
-// frees slots.
+// is valid for about one mean request duration, but at least for constants.FullFor; then a request
+// must probe the worker. Items do not probe, and nothing probes an engine, whose batch stays full:
+// there preemption under pressure frees slots.
 func (s *Scheduler) isFull(req *Request, worker messages.Worker, engine bool, running int, now clock.Instant) bool {
 	capacity := s.capacityFor(req, worker, now)
 	if running < capacity {
--- a/internal/traffic/admission/stale_test.go
+++ b/internal/traffic/admission/stale_test.go
@@ -11,7 +11,8 @@
 )
 
 // The observation that a worker is full is valid for about one mean request duration. Then a
-// request must probe the worker, or no new sample of it would ever arrive. Items do not probe.
+// request must probe the worker, or no new sample of it would ever arrive. Items do not probe
+// the worker; they wait for a new sample.
 func TestFullStateLastsForMeanDuration(t *testing.T) {
 	scheduler := newScheduler(t, 4, "w")
 	scheduler.HandleGossip(&messages.Gossip{From: "forge/x", Loads: encodedLoad("w", 50, 0)}, atSecond(10))
--- a/internal/traffic/admission/workers.go
+++ b/internal/traffic/admission/workers.go
@@ -15,7 +15,7 @@
 	s.Registry.Forget(now)
 }
 
-// WorkerBucketSums returns the bucket checksums of the workers known here, for a pull from a
+// WorkerBucketSums returns the per-bucket sums of the workers known here, for a pull from a
 // controller.
 func (s *Scheduler) WorkerBucketSums() []byte {
 	s.lock.Lock()
--- a/internal/traffic/health/ejection.go
+++ b/internal/traffic/health/ejection.go
@@ -16,9 +16,9 @@
 }
 
 // ObserveIncarnation records a new incarnation at an address. If at least two previous incarnations
-// in a row ended without draining, each within constants.FlapWindow, the new one is ejected for a
-// growing time and then on trial, because the worker may be flapping (crashing and restarting in
-// turn). It returns the duration of the ejection, or 0 if there is none.
+// in a row ended without draining, each within constants.FlapWindow of its start, the new one is
+// ejected for a growing time and then on trial, because the worker may be flapping (crashing and
+// restarting in turn). It returns the duration of the ejection, or 0 if there is none.
 func (t *Tracker) ObserveIncarnation(worker, service, address string, orderly bool, now clock.Instant) (duration clock.Duration) {
 	outcomes := t.OutcomesOf(worker, service)
 	previous, found := t.outcomes.incarnations[address]
--- a/internal/traffic/health/latency_test.go
+++ b/internal/traffic/health/latency_test.go
@@ -15,16 +15,16 @@
 	if latency.Timeout(shortest, longest) != longest {
 		t.Fatal("want the longest timeout before any observation")
 	}
-	over := 0
+	exceeded := 0
 	for count := 0; count < 1000; count++ {
 		took := 30 + 20*random.Float64()
 		if count > 20 && clock.Milliseconds(took) > latency.Timeout(shortest, longest) {
-			over++
+			exceeded++
 		}
 		latency.Observe(took)
 	}
-	if timeout := latency.Timeout(shortest, longest); over > 5 || timeout > clock.Milliseconds(100) {
-		t.Fatal(over, timeout)
+	if timeout := latency.Timeout(shortest, longest); exceeded > 5 || timeout > clock.Milliseconds(100) {
+		t.Fatal(exceeded, timeout)
 	}
 	if latency.Timeout(clock.Milliseconds(300), longest) != clock.Milliseconds(300) {
 		t.Fatal("the timeout is not limited by the shortest one")
--- a/internal/traffic/health/outcomes_test.go
+++ b/internal/traffic/health/outcomes_test.go
@@ -154,7 +154,7 @@
 	}
 }
 
-// If all workers of a service fail at the same rate, none stands out and none is ejected.
+// If all workers of a service fail at the same rate, none exceeds the median and none is ejected.
 func TestUniformFailureRateEjectsNoWorker(t *testing.T) {
 	tracker, workerList := New(), workerNames(9)
 	random := rand.New(rand.NewSource(5))
--- a/internal/traffic/health/peers.go
+++ b/internal/traffic/health/peers.go
@@ -10,11 +10,12 @@
 // it has, so the count needs neither addition over nodes nor an origin: of two counts the later one
 // is better, whichever node observed it. It is passed on with its age.
 
-// ownHistorySize is the number of changes of this process's own request count that are kept, to
-// correct an observation by the requests that this process has started and ended since.
+// ownHistorySize is the number of changes of this process's own request count that are kept. They
+// are used to correct an observation by the requests that this process has started and ended since.
 const ownHistorySize = 8
 
-// suspectsLimit bounds the number of peers whose suspicions are stored.
+// suspectsLimit bounds the number of peers whose suspicions are stored; it covers the gossip
+// neighbors of a node.
 const suspectsLimit = 16
 
 type observation struct {
