--- a/internal/batch/leader/addmember.go
+++ b/internal/batch/leader/addmember.go
@@ -7,28 +7,30 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// addMember copies everything to a joiner and begins to send it what is new; target is
-// the index from which on its copy counts.
-func (t *Term) addMember(s replacement, i int, timeout *CopyDeadline) (target int64) {
-	from := t.CopyTo(s.in, i, timeout)
+// addMember copies all records to a joiner and starts to send it new ones. It returns when the
+// joiner has caught up or the attempt has ended. target is the index up to which the joiner must
+// have synced before its copy counts.
+func (t *Term) addMember(change replacement, i int, timeout *CopyDeadline) (target int64) {
+	from := t.CopyTo(change.in, i, timeout)
 	t.lock.Lock()
-	// The last copied record goes once more, from here: it shows that the copy joins on.
-	t.startFeed(s.in, max(from-1, 0))
+	// The last copied record is sent again from here, to verify that the copy is contiguous with
+	// this process's records.
+	t.startFeed(change.in, max(from-1, 0))
 	target = t.records.replicator.Last()
 	t.lock.Unlock()
-	left := ""
-	if s.out != nil {
-		left = s.out.Name
+	outName := ""
+	if change.out != nil {
+		outName = change.out.Name
 	}
-	t.process.Node.Log.Info("store set begins to change", "in", s.in.Name, "out", left, "copied", from, "records", target, "epoch", t.leadership.Epoch)
+	t.process.Node.Log.Info("store set change started", "in", change.in.Name, "out", outName, "copied", from, "records", target, "epoch", t.leadership.Epoch)
 	sentAt := clock.Now()
-	for !t.has(s.in, target) && !t.Closed() && !timeout.passed() {
+	for !t.hasSynced(change.in, target) && !t.Closed() && !timeout.passed() {
 		clock.Sleep(constants.TickPeriod)
 		if clock.Now().Sub(sentAt) < constants.LeaseDuration {
 			continue
 		}
-		if t.process.isUnresponsive(s.in) {
-			// Gone again: others that come in with it must not wait for it.
+		if t.process.isUnresponsive(change.in) {
+			// The joiner has departed again. The other joiners must not wait for it.
 			break
 		}
 		sentAt = clock.Now()
@@ -36,17 +38,17 @@
 	return target
 }
 
-// has tells whether a store has synced all up to an index.
-func (t *Term) has(member messages.Member, index int64) bool {
+// hasSynced reports whether a store has synced all records up to an index.
+func (t *Term) hasSynced(member messages.Member, index int64) bool {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	return t.records.replicator.MatchIndex(register.Identity(member)) >= index
 }
 
-// syncJoiners brings all joiners in at the same time, and gives the swaps of those that
-// have everything; the others are sent nothing further. Once one is complete, the others have
-// as long again and a little more: a set that lacks one copy is nearer to complete than one
-// that lacks two, and what was copied to the others stays there.
+// syncJoiners copies records to all joiners concurrently. It returns the replacements whose joiners
+// are complete, and stops sending records to the others. Once one joiner is complete, the others
+// get the same time again plus constants.JoinerWait: it is better to complete the set by some
+// joiners soon, and what was copied to the others is kept for a later attempt.
 func (t *Term) syncJoiners(replacements []replacement) (complete []replacement) {
 	targets, ended, timeout := make([]int64, len(replacements)), make(chan int, len(replacements)), NewCopyDeadline()
 	start := clock.Now()
@@ -56,33 +58,34 @@
 			ended <- i
 		}()
 	}
-	var patience chan struct{}
-	for left := len(replacements); left > 0; {
+	var deadline chan struct{}
+	for remaining := len(replacements); remaining > 0; {
 		select {
 		case i := <-ended:
-			left--
-			if patience == nil && t.has(replacements[i].in, targets[i]) {
-				patience = clock.ClosedAfter(clock.Now().Sub(start) + constants.JoinerWait)
+			remaining--
+			if deadline == nil && t.hasSynced(replacements[i].in, targets[i]) {
+				deadline = clock.ClosedAfter(clock.Now().Sub(start) + constants.JoinerWait)
 			}
-		case <-patience:
+		case <-deadline:
 			timeout.closed.Store(true)
-			patience = nil
+			deadline = nil
 		}
 	}
-	for i, s := range replacements {
-		if !t.Closed() && t.has(s.in, targets[i]) {
-			complete = append(complete, s)
+	for i, change := range replacements {
+		if !t.Closed() && t.hasSynced(change.in, targets[i]) {
+			complete = append(complete, change)
 			continue
 		}
-		t.process.Node.Log.Warn("store set not changed", "in", s.in.Name, "records", targets[i])
+		t.process.Node.Log.Warn("store set not changed: joiner did not catch up", "in", change.in.Name, "records", targets[i])
 		t.lock.Lock()
-		t.stopFeed(s.in)
+		t.stopFeed(change.in)
 		t.lock.Unlock()
 	}
 	return complete
 }
 
-// changeSet copies everything to the joiners, and then has them counted.
+// changeSet copies all records to the joiners, and then commits the set in which the complete
+// ones replace members or are added.
 func (t *Term) changeSet(replacements []replacement) {
 	if replacements = t.syncJoiners(replacements); len(replacements) == 0 {
 		return
@@ -97,13 +100,13 @@
 		return
 	}
 	t.lock.Lock()
-	for _, s := range replacements {
-		if s.out != nil {
-			t.stopFeed(*s.out)
+	for _, change := range replacements {
+		if change.out != nil {
+			t.stopFeed(*change.out)
 		}
 	}
 	t.lock.Unlock()
-	for _, s := range replacements {
-		t.process.Node.Log.Info("store set changed", "in", s.in.Name, "stores", len(next), "epoch", t.leadership.Epoch)
+	for _, change := range replacements {
+		t.process.Node.Log.Info("store set changed", "in", change.in.Name, "stores", len(next), "epoch", t.leadership.Epoch)
 	}
 }
--- a/internal/batch/leader/addmember_test.go
+++ b/internal/batch/leader/addmember_test.go
@@ -33,7 +33,7 @@
 // Two joiners of one time copy from two members, and nobody from the leader or
 // from a member that is far behind.
 func TestJoinersShareNoSource(t *testing.T) {
-	term := lead(t, soleStore(t, simulation.NewDisk(12)), 1)
+	term := startServingTerm(t, soleStore(t, simulation.NewDisk(12)), 1)
 	term.lock.Lock()
 	defer term.lock.Unlock()
 	done := term.records.replicator.CommitIndex()
@@ -57,7 +57,7 @@
 // A joiner that answers but does not get on keeps another one out of the set only for
 // a while: the set is made complete by as much as can be.
 func TestSlowJoinerDelaysNobody(t *testing.T) {
-	term := lead(t, soleStore(t, simulation.NewDisk(12)), 1)
+	term := startServingTerm(t, soleStore(t, simulation.NewDisk(12)), 1)
 	freeCapacity := transport.NewMemoryNetwork()
 	term.process.Node.Transport = freeCapacity.Transport("m")
 	store, err := replicalog.Open(simulation.NewDisk(13), "quick")
--- a/internal/batch/leader/collector.go
+++ b/internal/batch/leader/collector.go
@@ -6,12 +6,12 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// A leader allocates many times what other stores do, on the same share of a processor. Its
-// collector runs less often for it: one process of the fleet pays with memory, below the limit
-// that the machine sets.
+// A leader allocates many times as much as other stores, with the same share of a processor. Its
+// garbage collector therefore runs less often. This costs memory in one process of the fleet,
+// within the machine's memory limit.
 
-// relaxCollector lets the heap grow further between two collections while this process leads.
+// relaxCollector lets the heap grow more between two garbage collections while this process leads.
 func relaxCollector() { debug.SetGCPercent(constants.LeaderCollectPercent) }
 
-// restoreCollector ends that.
+// restoreCollector restores the usual garbage collection target.
 func restoreCollector() { debug.SetGCPercent(constants.CollectPercent) }
--- a/internal/batch/leader/commitset.go
+++ b/internal/batch/leader/commitset.go
@@ -6,15 +6,16 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// A change of the store set is made by the register, under the leader's epoch. What the next
-// leader needs is that the set which it reads there holds every committed record, so the leader
-// first has a marker, which stands behind all of them, synced by enough of the set to come.
-// The set in force need not have it: an earlier leader is fenced there and commits nothing more,
-// and a later one reads one of the two sets. So members that are silent or lost can't hold up
-// their own removal. Until the outcome is known, a record is committed only in both sets.
+// A change of the store set is made in the register, under the leader's epoch. The next leader
+// relies on the set that it reads there to have every committed record. So the leader first
+// appends a marker record after all of them, and waits until enough members of the next set have
+// synced it. The current set need not have the marker: an earlier leader is fenced there and
+// can't commit any more, and a later leader reads one of the two sets. Members that are silent or
+// lost therefore can't delay their own removal. Until the outcome of the change is known, a record
+// is committed only if it is committed in both sets.
 
-// commitSet has the register name the next set, once that holds everything. It is false where
-// the term ended before. The caller holds feeds.setChange.
+// commitSet writes the next set to the register, once that set has all records. It returns false if
+// the next set did not sync in time or the term ended. The caller holds feeds.setChange.
 func (t *Term) commitSet(next []messages.Member) bool {
 	t.lock.Lock()
 	t.records.replicator.Next = next
@@ -31,13 +32,13 @@
 	for !t.Closed() {
 		changed, known := t.process.Election.ChangeRegister(req)
 		if !known {
-			// It may be in force: both sets count until that is known.
-			t.process.Node.Log.Warn("store set change unconfirmed", "epoch", t.leadership.Epoch, "stores", len(next))
+			// The change may have been applied: both sets count until the outcome is known.
+			t.process.Node.Log.Warn("store set change outcome unknown; retrying", "epoch", t.leadership.Epoch, "stores", len(next))
 			clock.Sleep(constants.TickPeriod * 2)
 			continue
 		}
 		if !changed.Applied {
-			t.Close("the set was changed under another epoch")
+			t.Close("store set was changed in another epoch")
 			return false
 		}
 		t.process.Election.SetRegister(changed.Value)
@@ -52,19 +53,19 @@
 	return false
 }
 
-// awaitInNextSet waits until enough of the set to come has synced all up to an index. Where that
-// takes too long the set in force stays, and another change may help; false as well where the term
-// ended before.
+// awaitInNextSet waits until enough members of the next set have synced all records up to an index.
+// It returns false if that takes longer than constants.SetAgreementTimeout or the term ended. After
+// a timeout the current set remains, and a different change may succeed.
 func (t *Term) awaitInNextSet(index int64) bool {
 	end := clock.Now().Add(constants.SetAgreementTimeout)
-	for lookedAt := clock.Now(); !t.Closed() && clock.Now() < end; clock.Sleep(constants.TickPeriod) {
+	for checkedAt := clock.Now(); !t.Closed() && clock.Now() < end; clock.Sleep(constants.TickPeriod) {
 		if t.inNextSet(index) {
 			return true
 		}
-		if clock.Now().Sub(lookedAt) >= constants.LeaseDuration {
-			// Too few of the set to come may be left for as many copies as usual.
+		if clock.Now().Sub(checkedAt) >= constants.LeaseDuration {
+			// Too few members of the next set may be left for the usual number of copies.
 			t.markLostDisks()
-			lookedAt = clock.Now()
+			checkedAt = clock.Now()
 		}
 	}
 	return t.inNextSet(index) && !t.Closed()
@@ -76,8 +77,8 @@
 	return t.records.replicator.InNextSet(index)
 }
 
-// abandonNextSet goes on with the set in force alone. The register must not have been asked for
-// the other one.
+// abandonNextSet continues with the current set alone. The next set must not have been requested
+// from the register.
 func (t *Term) abandonNextSet() {
 	t.lock.Lock()
 	defer t.lock.Unlock()
--- a/internal/batch/leader/copy.go
+++ b/internal/batch/leader/copy.go
@@ -10,23 +10,24 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// CopyDeadline is the time that joiners have to copy everything. It ends early for all of
-// them when the others have waited long enough for the slowest.
+// CopyDeadline is the deadline for all joiners of a change to copy all records. It can be closed
+// early, for all of them, when the others have waited long enough for the slowest.
 type CopyDeadline struct {
 	end    clock.Instant
 	closed atomic.Bool
 }
 
-// NewCopyDeadline begins the time of a change, constants.SetChangeTimeout.
+// NewCopyDeadline returns a deadline that is constants.SetChangeTimeout from now.
 func NewCopyDeadline() *CopyDeadline {
 	return &CopyDeadline{end: clock.Now().Add(constants.SetChangeTimeout)}
 }
 
 func (c *CopyDeadline) passed() bool { return c.closed.Load() || clock.Now() >= c.end }
 
-// CopyTo has a joiner fetch what is durable from a member, and gives the index up
-// to which it has it. The leader's own link carries each new record to every store;
-// old ones need not take that way, and a store whose disk was lost has to be complete again soon.
+// CopyTo makes a joiner fetch the durable records from a member, and returns the index up to which
+// the joiner has them. The copy comes from another member because the leader's own link already
+// carries each new record to every store, and a store whose disk was lost has to be complete again
+// soon. i distinguishes the joiners that copy at the same time.
 func (t *Term) CopyTo(joiner messages.Member, i int, timeout *CopyDeadline) int64 {
 	identity := register.Identity(joiner)
 	last := int64(0)
@@ -39,35 +40,36 @@
 			return done
 		}
 		last = target - done
-		further := t.copyRound(joiner, *source, done, target, timeout)
+		copied := t.copyRound(joiner, *source, done, target, timeout)
 		t.lock.Lock()
-		t.feeds.copied[identity] = further
+		t.feeds.copied[identity] = copied
 		t.lock.Unlock()
-		if further >= target {
+		if copied >= target {
 			failures = 0
 			continue
 		}
-		// What was copied counts. Another member is asked for the rest; only where that fails
-		// as well, it comes from here.
+		// The records copied so far are kept. The rest is requested from another member. After
+		// constants.CopyRetries failures the leader sends it.
 		if failures++; failures > constants.CopyRetries {
-			return further
+			return copied
 		}
 		last = 0
 	}
 }
 
-// caughtUp tells whether another round of copying is not worth it: little is lacking, or
-// hardly less than in the round before, since as much comes as is copied. Then only
-// the leader, which sends what is new as it comes, can bring the rest.
+// caughtUp reports whether another round of copying is not worthwhile: few records are lacking, or
+// hardly fewer than before the previous round, since records arrive about as fast as they are
+// copied. In that case only the leader, which sends new records as they arrive, can send the rest.
 func caughtUp(lacking, before int64) bool {
 	return lacking <= constants.CopyGap || (before > 0 && lacking*4 > before*3)
 }
 
-// copyRound copies up to what was durable when it began; meanwhile more comes.
+// copyRound copies the records up to target, which were durable when the round started. It returns
+// the index up to which the joiner has records. More records may arrive in the meantime.
 func (t *Term) copyRound(joiner, source messages.Member, done, target int64, timeout *CopyDeadline) int64 {
 	first, start := done, clock.Now()
 	defer func() {
-		t.process.Node.Log.Info("store copied to", "store", joiner.Name, "source", source.Name, "from", first, "to", done, "of", target,
+		t.process.Node.Log.Info("store copy round ended", "store", joiner.Name, "source", source.Name, "from", first, "to", done, "of", target,
 			"took-ms", clock.Now().Sub(start).Milliseconds())
 	}()
 	for done < target && !timeout.passed() && !t.Closed() {
@@ -82,32 +84,32 @@
 	return done
 }
 
-// source picks a member that has most of what is durable, other than this process
-// and the joiner. What a store has synced under this epoch is what we have. place
-// tells joiners of one time apart: they had better not share one source's link. The
-// lock is held.
+// source selects a member other than this process and the joiner that has most of the durable
+// records, and returns it with the index up to which it has them. Records that a store has synced
+// in this epoch are identical to this process's. i distinguishes the joiners that copy at the same
+// time, so that they do not share one source's link. The lock is held.
 func (t *Term) source(joiner messages.Member, i int) (*messages.Member, int64) {
 	best, own := int64(0), t.process.Node.Self.Address
-	has := func(member messages.Member) int64 {
+	available := func(member messages.Member) int64 {
 		if member.Address == own || member.Address == joiner.Address {
 			return 0
 		}
 		replicator := t.records.replicator
-		// While nothing of this epoch is committed yet, what it began with is worth copying.
+		// While no record of this epoch is committed, the inherited records are copied.
 		return min(replicator.MatchIndex(register.Identity(member)), max(replicator.CommitIndex(), replicator.Inherited()))
 	}
 	for _, member := range t.records.replicator.Members {
-		best = max(best, has(member))
+		best = max(best, available(member))
 	}
-	var able []*messages.Member
+	var candidates []*messages.Member
 	for index := range t.records.replicator.Members {
-		if match := has(t.records.replicator.Members[index]); match > 0 && match+constants.CopyGap >= best {
-			able = append(able, &t.records.replicator.Members[index])
+		if match := available(t.records.replicator.Members[index]); match > 0 && match+constants.CopyGap >= best {
+			candidates = append(candidates, &t.records.replicator.Members[index])
 		}
 	}
-	if len(able) == 0 {
+	if len(candidates) == 0 {
 		return nil, 0
 	}
-	found := able[i%len(able)]
-	return found, has(*found)
+	selected := candidates[i%len(candidates)]
+	return selected, available(*selected)
 }
--- a/internal/batch/leader/copy_test.go
+++ b/internal/batch/leader/copy_test.go
@@ -38,7 +38,7 @@
 // An order from a member that is cut off half way leaves the joiner with a part
 // that counts, and the leader goes on from there.
 func TestCopyContinuesFromTheLeader(t *testing.T) {
-	term := lead(t, soleStore(t, simulation.NewDisk(12)), 1)
+	term := startServingTerm(t, soleStore(t, simulation.NewDisk(12)), 1)
 	if done := term.CopyTo(messages.Member{Name: "n", Address: "nowhere", Disk: "n"}, 0, NewCopyDeadline()); done != 0 {
 		t.Fatal("copied without a source: ", done)
 	}
--- a/internal/batch/leader/delegate.go
+++ b/internal/batch/leader/delegate.go
@@ -10,29 +10,30 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// A leader's link carries every record to every other store, and bounds what it can take: so
-// half of the stores get the records from the other half. A store that is sent records
-// directly passes them on to one other and tells the leader what that one answered. Where
-// that one falls behind, the leader sends to it directly again. How many copies a record needs,
-// and which answers count for it, is the same either way.
+// Sending every record to every other store would make the leader's link limit its throughput, so
+// half of the stores receive the records through the other half. A store that receives records
+// directly forwards them to one other store, and reports that store's response to the leader. If
+// the other store falls behind, the leader sends to it directly again. The number of copies that
+// a record needs, and the responses that count, are the same in both cases.
 
-// delegation is how a store gets its records while another one passes them on. It is guarded
-// by Term.lock.
+// delegation is the state of sending records to a store through another store. It is guarded by
+// Term.lock.
 type delegation struct {
-	// active says that another store passes records on, up to the index upTo so far; nothing
-	// is sent directly meanwhile.
+	// active is set while another store forwards records, so far up to the index upTo. While it is
+	// set, the leader sends nothing directly.
 	active bool
 	upTo   int64
-	// progressAt is when the delegation began, or records were last confirmed.
+	// progressAt is when the delegation started, or when records were last confirmed.
 	progressAt clock.Instant
-	// directUntil keeps the store from being delegated after it failed, for failures in a row.
+	// directUntil is the instant before which no new delegation starts after a failed one. It is
+	// later the more failures there were in a row.
 	directUntil clock.Instant
 	failures    int
 }
 
-// feederPairs gives the members but the leader's own store in the order of pairs: each of the
-// first heads of them passes records on to the one that stands as many places behind. They are
-// in order of their zones, so that each pair spans two where there are several. The lock is held.
+// feederPairs returns the members other than the leader's own store. Each of the first heads
+// members forwards records to the member that is heads places after it. The members are sorted by
+// zone, so that each pair spans two zones if there are several. The lock is held.
 func (t *Term) feederPairs() (others []messages.Member, heads int) {
 	own := register.Identity(t.process.Election.Member())
 	for _, member := range t.records.replicator.Members {
@@ -49,14 +50,15 @@
 	return others, (len(others) + 1) / 2
 }
 
-// downstream gives the feeder of the store to which this one's store passes records on, and
-// upstream that of the store which does so for this one's; nil where there is none. The lock is
-// held.
+// downstream returns the feeder of the store to which this feeder's store forwards records, and
+// upstream the feeder of the store that forwards records to this feeder's store. Both return nil
+// if there is none. The lock is held.
 func (f *feeder) downstream() *feeder { return f.paired(1) }
 
 func (f *feeder) upstream() *feeder { return f.paired(-1) }
 
-// paired gives the feeder that is so many halves further in the order of the members.
+// paired returns the feeder of the member that is the given number of halves after this feeder's
+// member in the order of feederPairs.
 func (f *feeder) paired(halves int) *feeder {
 	others, heads := f.term.feederPairs()
 	identity := register.Identity(f.member)
@@ -68,7 +70,8 @@
 	return f.term.feeds.feeders[register.Identity(others[other])]
 }
 
-// delegateOnward has an order passed on to the next store, where that one has all before it.
+// delegateOnward sets the request to be forwarded to the downstream store if that store has, or is
+// being sent, all earlier records.
 func (f *feeder) delegateOnward(req *messages.AppendRequest) {
 	t := f.term
 	t.lock.Lock()
@@ -85,8 +88,8 @@
 	req.Forward = &messages.AppendForward{Address: target.member.Address, Disk: target.member.Disk, ReportTo: t.process.Node.Self.Address}
 }
 
-// awaitDelegated returns once records have to be sent directly; false when the feeder has to
-// end.
+// awaitDelegated waits until records have to be sent directly. It returns false if the feeder has
+// to end.
 func (f *feeder) awaitDelegated() bool {
 	watch := delegationWatch{}
 	for {
@@ -103,21 +106,22 @@
 		case <-clock.After(constants.ForwardTimeout / 4):
 		case <-f.quit:
 			return false
-		case <-t.life.stop:
+		case <-t.lifecycle.stop:
 			return false
 		}
 	}
 }
 
-// delegationWatch is since when a store lacks records, and since when its upstream has
-// confirmed records that it has not; zero for neither.
+// delegationWatch contains the instants since which a store lacks records, and since which its
+// upstream store has confirmed records that the store has not. An instant is zero if that is not
+// the case.
 type delegationWatch struct{ lacking, behind clock.Instant }
 
-// delegatedLocked tells whether another store passes records on to this one now. It begins a
-// delegation where that can be, and ends one that does not get on: behind a store that has
-// confirmed the records for ForwardTimeout, or with one that confirms none for
-// ForwardUpstreamTimeout. That both take long since the leader's own link is full is no reason.
-// The lock is held.
+// delegatedLocked reports whether another store currently forwards records to this one. It starts
+// a delegation if possible. It ends a delegation that makes no progress: if the upstream store has
+// confirmed records for ForwardTimeout that this store has not, or if this store lacks records
+// and the upstream store has confirmed none for ForwardUpstreamTimeout. It does not end one merely
+// because both stores are slow while the leader's own link is saturated. The lock is held.
 func (f *feeder) delegatedLocked(watch *delegationWatch, now clock.Instant) bool {
 	upstream, d := f.upstream(), &f.delegation
 	if upstream == nil {
@@ -130,8 +134,8 @@
 		}
 		d.active, d.upTo, d.progressAt = true, f.next-1, now
 	}
-	since := func(instant *clock.Instant, holds bool) clock.Duration {
-		if !holds {
+	since := func(instant *clock.Instant, applies bool) clock.Duration {
+		if !applies {
 			*instant = 0
 		} else if *instant == 0 {
 			*instant = now
@@ -150,7 +154,8 @@
 	return true
 }
 
-// failDownstream has the next store fed directly at once: this one's can't be reached.
+// failDownstream ends the delegation of the downstream store immediately, because this feeder's
+// store can't be reached. Records are then sent to the downstream store directly.
 func (f *feeder) failDownstream() {
 	t := f.term
 	t.lock.Lock()
@@ -161,34 +166,34 @@
 	}
 }
 
-// fail ends a delegation that did not get on; each further time the store is fed directly for
-// longer. The lock is held.
+// fail ends a delegation that made no progress. The period of direct sending doubles with each
+// failure in a row, up to constants.ForwardBackoffSteps. The lock is held.
 func (d *delegation) fail(now clock.Instant) {
 	d.active = false
 	d.failures = min(d.failures+1, constants.ForwardBackoffSteps)
 	d.directUntil = now.Add(constants.ForwardBackoff << (d.failures - 1))
 }
 
-// HandleForwarded takes what a store answered to records that were passed on to it.
+// HandleForwarded processes a store's response to records that another store forwarded to it.
 func (t *Term) HandleForwarded(forwarded *messages.AppendForwarded) {
 	if forwarded.Epoch != t.leadership.Epoch {
 		return
 	}
 	resp := &forwarded.Response
 	t.lock.Lock()
-	var of *feeder
+	var target *feeder
 	for _, f := range t.feeds.feeders {
 		if f.member.Address == forwarded.Address && f.member.Disk == forwarded.Disk {
-			of = f
+			target = f
 		}
 	}
-	if of == nil {
+	if target == nil {
 		t.lock.Unlock()
 		return
 	}
-	d := &of.delegation
+	d := &target.delegation
 	if !resp.Granted {
-		// What is wrong shows in the answer to a direct order.
+		// The response to a direct request will show the reason.
 		if d.active {
 			d.fail(clock.Now())
 			t.notifyLocked()
@@ -197,10 +202,10 @@
 		return
 	}
 	if d.active {
-		of.next = max(of.next, resp.Last+1)
+		target.next = max(target.next, resp.Last+1)
 		d.progressAt, d.failures = clock.Now(), 0
 	}
 	t.lock.Unlock()
-	// What a store has synced counts whichever way it came.
-	t.handleMatch(register.Identity(of.member), resp.Last)
+	// Synced records count whether they were forwarded or sent directly.
+	t.handleMatch(register.Identity(target.member), resp.Last)
 }
--- a/internal/batch/leader/departed.go
+++ b/internal/batch/leader/departed.go
@@ -8,11 +8,11 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// removeDeparted has the register name the set without members that are gone, where nothing
-// can be committed with them and no other store stands by to take their place. The set has lost
-// members before in such a case, and every record is on all that are left, so whoever answers
-// holds everything. It is the last resort: where a store stands by, reconcileSet adds it, and
-// the number of copies stays.
+// removeDeparted removes departed members from the store set if nothing can be committed with them
+// in it and there is no spare store to replace them. This happens only after the set has lost
+// members before. Every record is then on all remaining members, so every member that responds has
+// all records. It is the last resort: if there is a spare store, reconcileSet adds it, and the
+// number of copies stays the same.
 func (t *Term) removeDeparted() {
 	if !t.process.Election.HoldsLease() || !t.feeds.setChange.TryLock() {
 		return
@@ -32,11 +32,11 @@
 		}
 	}
 	t.lock.Unlock()
-	t.process.Node.Log.Warn("departed stores removed", "stores", len(next), "removed", len(members)-len(next), "epoch", t.leadership.Epoch)
+	t.process.Node.Log.Warn("removed departed stores from the store set", "stores", len(next), "removed", len(members)-len(next), "epoch", t.leadership.Epoch)
 }
 
-// withoutDeparted gives the members but those that are gone, or all of them where the set can
-// go on as it is, or another store may join it.
+// withoutDeparted returns the members that have not departed. It returns all members if the set can
+// continue unchanged or a spare store can join it.
 func (p *Process) withoutDeparted(members []messages.Member) []messages.Member {
 	entries := p.storeEntries()
 	set := p.storeSet(members, entries, nil, nil)
@@ -45,8 +45,8 @@
 	}
 	var present []messages.Member
 	for _, member := range members {
-		entry, known := entries[member.Name]
-		silent := !known || clock.Milliseconds(float64(entry.AgeMs)) >= constants.ReplaceAfter
+		node, known := entries[member.Name]
+		silent := !known || clock.Milliseconds(float64(node.AgeMs)) >= constants.ReplaceAfter
 		if set.isSelf(member) || !silent || !p.isUnresponsive(member) {
 			present = append(present, member)
 		}
@@ -54,7 +54,7 @@
 	return present
 }
 
-// containsMember tells whether a set names a member, on the same disk.
+// containsMember reports whether a set contains a member with the same name and disk.
 func containsMember(members []messages.Member, member messages.Member) bool {
 	for i := range members {
 		if register.Identity(members[i]) == register.Identity(member) {
--- a/internal/batch/leader/disklost.go
+++ b/internal/batch/leader/disklost.go
@@ -6,12 +6,12 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// A member whose machine came back with an empty disk is removed from the set at once, and
-// joins again once it has a copy of everything. Otherwise the members that are left could not
-// be told from those that may still hold a record: while the copying lasts, a further loss
-// would leave a new leader short of answers although it has every record itself.
+// A member whose machine returned with an empty disk is removed from the set immediately, and joins
+// again once it has a copy of all records. If it remained in the set, it would count as a member
+// that may have a record. If another member was lost during the copying, a new leader would then
+// receive too few responses to take over, although it has every record itself.
 
-// removeLostDisks has the register name the set without the members whose disks are lost.
+// removeLostDisks removes the members whose disks are lost from the store set.
 func (t *Term) removeLostDisks() {
 	if !t.process.Election.HoldsLease() || !t.feeds.setChange.TryLock() {
 		return
@@ -37,19 +37,19 @@
 		t.stopFeedOf(identity)
 	}
 	t.lock.Unlock()
-	t.process.Node.Log.Info("stores that lost their disks removed", "lost", len(lost), "stores", len(next), "epoch", t.leadership.Epoch)
+	t.process.Node.Log.Info("removed stores with lost disks from the store set", "lost", len(lost), "stores", len(next), "epoch", t.leadership.Epoch)
 }
 
-// markLostDisks finds the members whose disks are lost, leaves them out of the count of copies,
-// and gives them by identity.
+// markLostDisks finds the members whose disks are lost, excludes them from the count of copies, and
+// returns their identities.
 func (t *Term) markLostDisks() (lost map[string]bool) {
 	lost = t.findLostDisks()
-	t.noteLostDisks(lost)
+	t.recordLostDisks(lost)
 	return lost
 }
 
-// findLostDisks gives the members whose machines answer with another disk, by identity. It asks
-// each such machine itself, since what others say of it may be old.
+// findLostDisks returns the identities of the members whose machines respond with a different disk.
+// It sends a request to each such machine, since the gossiped information may be out of date.
 func (t *Term) findLostDisks() (lost map[string]bool) {
 	entries := t.process.storeEntries()
 	t.lock.Lock()
@@ -64,8 +64,9 @@
 	return lost
 }
 
-// noteLostDisks leaves lost disks out of the count of copies, and applies what is committed by that.
-func (t *Term) noteLostDisks(lost map[string]bool) {
+// recordLostDisks excludes lost disks from the count of copies, and applies the records that are
+// committed as a result.
+func (t *Term) recordLostDisks(lost map[string]bool) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	for identity := range lost {
@@ -76,8 +77,8 @@
 	}
 }
 
-// confirmDiskLost asks a member's machine, at its present address, whether it still has the
-// disk by which the set names it.
+// confirmDiskLost sends a fence request to a member's machine, at its current address, and reports
+// whether the machine rejected it because it no longer has the disk listed in the set.
 func (t *Term) confirmDiskLost(member messages.Member, address string) bool {
 	if member.Name == t.process.Node.Self.Name {
 		return false
--- a/internal/batch/leader/disklost_test.go
+++ b/internal/batch/leader/disklost_test.go
@@ -72,7 +72,7 @@
 	process, network := soleStore(t, simulation.NewDisk(24)), transport.NewMemoryNetwork()
 	process.Node.Transport = network.Transport("m")
 	process.Node.Settings.FaultBudget.Machines = 2
-	process.Election = grantingElection{won: process.Election.(won)}
+	process.Election = grantingElection{leaseHolder: process.Election.(leaseHolder)}
 	members := []messages.Member{process.Election.Member(), {Name: "whole", Address: "whole", Disk: "whole-disk"}}
 	serveReplica(t, process, network, "whole", "whole-disk")
 	for _, name := range []string{"a", "b", "c"} {
--- a/internal/batch/leader/diskspace.go
+++ b/internal/batch/leader/diskspace.go
@@ -2,13 +2,13 @@
 
 import "lemonarch/internal/platform/constants"
 
-// Every member keeps every job and output until status-s after the job came. A job whose outputs
-// would not find room on the disks must not be accepted: it could never be finished, nor could
-// those before it.
+// Every member keeps every job and output until status-s after the job was submitted. A job whose
+// outputs would not fit on the disks must not be accepted: neither it nor the jobs accepted before
+// it could be finished.
 
-// outgrowsDiskLocked tells whether the disk would be too small for what is kept, for the outputs
-// of all items that are not listed yet, and for a further job. The lock is held.
-func (t *Term) outgrowsDiskLocked(jobBytes, items int) bool {
+// exceedsDiskLimitLocked reports whether the disk is too small for the stored records, the outputs
+// of all items that are not yet listed, and another job. The lock is held.
+func (t *Term) exceedsDiskLimitLocked(jobBytes, items int) bool {
 	limit := float64(t.process.Node.Settings.Limits.DiskMB) * bytesPerMB * constants.DiskShare
 	if limit <= 0 {
 		return false
@@ -22,5 +22,5 @@
 	return kept+float64(items)*(t.items.dispatcher.MeanOutputBytes+recordOverhead) > limit
 }
 
-// bytesPerMB is the unit of the settings' disk-mb.
+// bytesPerMB is the unit of the setting disk-mb, in bytes.
 const bytesPerMB = 1e6
--- a/internal/batch/leader/diskspace_test.go
+++ b/internal/batch/leader/diskspace_test.go
@@ -14,11 +14,11 @@
 // accepted before can be finished on it.
 func TestJobsThatOutgrowTheDiskAreRefused(t *testing.T) {
 	process := soleStore(t, simulation.NewDisk(41))
-	term := lead(t, process, 1)
+	term := startServingTerm(t, process, 1)
 	process.Node.Settings.Limits.DiskMB = 1
 	term.lock.Lock()
 	term.items.dispatcher.MeanOutputBytes = 1e6 * constants.DiskShare / 4
-	fits, outgrows := !term.outgrowsDiskLocked(1000, 3), term.outgrowsDiskLocked(1000, 4)
+	fits, outgrows := !term.exceedsDiskLimitLocked(1000, 3), term.exceedsDiskLimitLocked(1000, 4)
 	term.lock.Unlock()
 	if !fits || !outgrows {
 		t.Fatal(fits, outgrows)
--- a/internal/batch/leader/dispatch.go
+++ b/internal/batch/leader/dispatch.go
@@ -9,10 +9,11 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// openDispatcher makes the dispatcher of this epoch. The lock is held.
+// openDispatcher creates the dispatcher of this epoch. before is the index of this epoch's first
+// record. The lock is held.
 func (t *Term) openDispatcher(before int64) {
 	lock := dispatch.LockDuration(t.process.Node.Settings.Tolerances.CancelMs)
-	dispatcher := dispatch.NewDispatcher(t.jobs, t.leadership.Epoch, before, lock, t.life.startedAt)
+	dispatcher := dispatch.NewDispatcher(t.jobs, t.leadership.Epoch, before, lock, t.lifecycle.startedAt)
 	dispatcher.Append = t.appendRecord
 	dispatcher.Ending = func(job *dispatch.Job) bool { return t.submissions.ending[job.ID] }
 	dispatcher.Attempts = func(item *dispatch.Item) int {
@@ -24,9 +25,9 @@
 	t.items.dispatcher = dispatcher
 }
 
-// terms says what a configuration means for a job now. The lock is held while it is
-// asked.
-func (t *Term) terms(config *routeconfig.Config) func(job *dispatch.Job) dispatch.JobTerms {
+// jobTerms returns a function that returns the limits for a job under a configuration at the
+// current time. The lock is held while that function is called.
+func (t *Term) jobTerms(config *routeconfig.Config) func(job *dispatch.Job) dispatch.JobTerms {
 	wall, now := clock.WallNanos()/1_000_000, clock.Now()
 	return func(job *dispatch.Job) dispatch.JobTerms {
 		route := t.submissions.quota.route(config, submitPath{job.Host, job.Path})
@@ -39,7 +40,8 @@
 	}
 }
 
-// Acquire hands items to an executor, waiting a little while there are none.
+// Acquire returns items to an executor. If there are none, it waits for up to
+// constants.AcquireWait.
 func (t *Term) Acquire(req *messages.AcquireRequest) *messages.AcquireResponse {
 	start := clock.Now()
 	if !t.waitServing(constants.AcquireWait) {
@@ -53,16 +55,17 @@
 			}
 			return ""
 		}}
-	// What it is handed must be known to a later leader before it has it.
+	// The registration of the executor must be committed before it receives items, so that a later
+	// leader knows of the executor.
 	t.lock.Lock()
-	entry := t.items.dispatcher.RegisterExecutor(options.Executor)
+	index := t.items.dispatcher.RegisterExecutor(options.Executor)
 	t.lock.Unlock()
-	if entry > 0 && !t.awaitCommit(entry, constants.RoundTimeout) {
+	if index > 0 && !t.awaitCommit(index, constants.RoundTimeout) {
 		return &messages.AcquireResponse{NotLeader: true}
 	}
 	for {
 		config, now := t.process.Node.Config(), clock.Now()
-		// A lease that ran out hands nothing out: the next leader counts on it.
+		// Without a valid lease no item is dispatched. The next leader relies on that.
 		if config == nil || !t.process.Election.HoldsLease() || t.Closed() {
 			return &messages.AcquireResponse{NotLeader: true}
 		}
@@ -71,10 +74,10 @@
 			options.Capacity[freeCapacity.Service] = freeCapacity.Count
 		}
 		t.lock.Lock()
-		options.Terms = t.terms(config)
+		options.Terms = t.jobTerms(config)
 		t.items.dispatcher.ObserveExecutor(options.Executor, now)
 		resp := t.itemsForExecutor(t.items.dispatcher.Acquire(options, now))
-		fresh := t.items.available
+		available := t.items.available
 		resp.Version, resp.Executors = t.items.dispatcher.Executors(req.KnownVersion, now)
 		t.lock.Unlock()
 		if len(resp.Items) > 0 || now >= end || len(resp.Executors) > 0 {
@@ -82,31 +85,32 @@
 			return resp
 		}
 		select {
-		case <-fresh:
-			// Many items come free at once: look a little later, together.
+		case <-available:
+			// Many items usually become available at once: wait briefly to acquire them together.
 			clock.Sleep(constants.PumpPeriod / 2)
-		case <-t.life.stop:
+		case <-t.lifecycle.stop:
 		case <-clock.After(min(end.Sub(now), constants.TickPeriod)):
 		}
 	}
 }
 
-// itemsForExecutor writes acquisitions down for their executor. The lock is held.
-func (t *Term) itemsForExecutor(taken []*dispatch.Acquisition) *messages.AcquireResponse {
+// itemsForExecutor converts acquisitions to the response for their executor. The lock is held.
+func (t *Term) itemsForExecutor(acquisitions []*dispatch.Acquisition) *messages.AcquireResponse {
 	resp := &messages.AcquireResponse{LockMs: clock.ToMilliseconds(t.items.dispatcher.Lock)}
-	for _, acquisition := range taken {
+	for _, acquisition := range acquisitions {
 		item := acquisition.Item
 		resp.Items = append(resp.Items, messages.AcquiredItem{Number: acquisition.Number, Job: item.Job.ID, Host: item.Job.Host,
 			Path: item.Job.Path, SubmittedMs: item.Job.SubmittedMs, Item: item.JobItem, LastID: item.LastID,
-			// An executor in this process must not write behind what we keep.
+			// The capacity is limited so that an executor in this process can't append to the
+			// leader's own slice.
 			Events: item.Events[:len(item.Events):len(item.Events)], Preempted: item.Preempted, Owed: item.OwedResume})
 		item.OwedResume = false
 	}
 	return resp
 }
 
-// Acknowledge takes a batch of acknowledgements. What needs a record is answered
-// once that is durable; what can't be known is repeated by the executor.
+// Acknowledge processes a batch of acknowledgements. If some need a record, it responds once the
+// records are durable. The executor repeats acknowledgements whose outcome is unknown.
 func (t *Term) Acknowledge(req *messages.AcknowledgeRequest) *messages.AcknowledgeResponse {
 	if !t.waitServing(constants.CallTimeout / 2) {
 		return &messages.AcknowledgeResponse{NotLeader: true}
@@ -125,10 +129,10 @@
 	}
 	resp.Version, resp.Executors = t.items.dispatcher.Executors(req.KnownVersion, now)
 	for i := range req.Entries {
-		entry := &req.Entries[i]
-		outcomes[i] = t.items.dispatcher.Acknowledge(executor, entry, now)
+		acknowledgement := &req.Entries[i]
+		outcomes[i] = t.items.dispatcher.Acknowledge(executor, acknowledgement, now)
 		last = max(last, outcomes[i].Index)
-		if entry.Kind == messages.AckRelease {
+		if acknowledgement.Kind == messages.AckRelease {
 			t.wakeExecutorsLocked()
 		}
 	}
@@ -145,22 +149,23 @@
 		resp.Verdicts = append(resp.Verdicts, verdict)
 	}
 	if !t.process.Election.HoldsLease() || t.Closed() {
-		// Another may hold the leadership by now: what we say is old.
+		// Another process may be the leader by now, so these verdicts may be out of date.
 		return &messages.AcknowledgeResponse{NotLeader: true}
 	}
 	return resp
 }
 
-// wakeExecutorsLocked wakes the executors that wait for items. The lock is held.
+// wakeExecutorsLocked wakes the executors' requests that wait for items. The lock is held.
 func (t *Term) wakeExecutorsLocked() {
 	close(t.items.available)
 	t.items.available = make(chan struct{})
 }
 
-// expireItems lets locks lapse and archives what has come to a terminal ground.
+// expireItems expires executors and locks every constants.TickPeriod. Every constants.ExpirePeriod it
+// also abandons the items that can no longer be run.
 func (t *Term) expireItems() {
-	looked := clock.Now()
-	clock.Every(constants.TickPeriod, t.life.stop, func() {
+	scannedAt := clock.Now()
+	clock.Every(constants.TickPeriod, t.lifecycle.stop, func() {
 		config, now := t.process.Node.Config(), clock.Now()
 		if config == nil || !t.process.Election.HoldsLease() || t.Closed() {
 			return
@@ -170,10 +175,10 @@
 		if quiet, lapsed := t.items.dispatcher.ExpireExecutors(now), t.items.dispatcher.ExpireLocks(now); quiet || lapsed > 0 {
 			t.wakeExecutorsLocked()
 		}
-		if now.Sub(looked) >= constants.ExpirePeriod {
-			looked = now
+		if now.Sub(scannedAt) >= constants.ExpirePeriod {
+			scannedAt = now
 			t.items.dispatcher.RecordAcquisitionsKnown(now)
-			t.items.dispatcher.AbandonExpired(t.terms(config), now)
+			t.items.dispatcher.AbandonExpired(t.jobTerms(config), now)
 		}
 	})
 }
--- a/internal/batch/leader/feed.go
+++ b/internal/batch/leader/feed.go
@@ -9,11 +9,11 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// recordOverhead is about what a record takes in a message beside its body, in bytes.
+// recordOverhead is the approximate size of a record in a message without its body, in bytes.
 const recordOverhead = 128
 
-// feeder sends records to one store of the set, or to a joiner, until it is stopped or the
-// term ends.
+// feeder sends records to one member of the store set, or to a joiner, until it is stopped or
+// the term ends.
 type feeder struct {
 	term   *Term
 	member messages.Member
@@ -26,7 +26,8 @@
 	quit       chan struct{}
 }
 
-// startFeed begins to send records to a store, from a common index on. The lock is held.
+// startFeed starts to send records to a store, beginning after the index common. It does nothing
+// if a feeder of the store is already running. The lock is held.
 func (t *Term) startFeed(member messages.Member, common int64) {
 	identity := register.Identity(member)
 	if t.feeds.feeders[identity] != nil {
@@ -37,10 +38,10 @@
 	go f.run()
 }
 
-// stopFeed stops that. The lock is held.
+// stopFeed stops sending records to a store. The lock is held.
 func (t *Term) stopFeed(member messages.Member) { t.stopFeedOf(register.Identity(member)) }
 
-// stopFeedOf is stopFeed by the identity of the store. The lock is held.
+// stopFeedOf stops sending records to the store with an identity. The lock is held.
 func (t *Term) stopFeedOf(identity string) {
 	if f := t.feeds.feeders[identity]; f != nil {
 		close(f.quit)
@@ -63,7 +64,7 @@
 		start := clock.Now()
 		resp, err := f.send(batch)
 		if err != nil {
-			// Out of reach, or its disk is full: the others go on without it.
+			// The store can't be reached or its disk is full. The others continue without it.
 			f.failDownstream()
 			if !f.pause(constants.TickPeriod * 2) {
 				return
@@ -73,34 +74,34 @@
 		if !f.handle(resp, clock.Now().Sub(start)) {
 			return
 		}
-		// What comes meanwhile goes together: each order costs this process and three others
-		// their wake-ups, whatever its length.
+		// Wait so that the records that arrive in the meantime are sent in one request. Each request,
+		// whatever its size, causes wake-ups in this process and three others.
 		if left := constants.AppendSpacing - clock.Now().Sub(start); left > 0 && !f.pause(left) {
 			return
 		}
 	}
 }
 
-// wait returns at the next change; false when the feeder has to end.
+// wait waits for the next change. It returns false if the feeder has to end.
 func (f *feeder) wait(changed <-chan struct{}) bool {
 	select {
 	case <-changed:
 		return true
 	case <-f.quit:
 		return false
-	case <-f.term.life.stop:
+	case <-f.term.lifecycle.stop:
 		return false
 	}
 }
 
-// pause waits for a while; false when the feeder has to end.
+// pause waits for a duration. It returns false if the feeder has to end.
 func (f *feeder) pause(duration clock.Duration) bool {
 	select {
 	case <-clock.After(duration):
 		return true
 	case <-f.quit:
 		return false
-	case <-f.term.life.stop:
+	case <-f.term.lifecycle.stop:
 		return false
 	}
 }
@@ -115,37 +116,38 @@
 	return resp, err
 }
 
-// handle takes a store's response, which took a time; false when the feeder has to end.
+// handle processes a store's response. took is the time from request to response. It returns
+// false if the feeder has to end.
 func (f *feeder) handle(resp messages.AppendResponse, took clock.Duration) bool {
 	t, identity := f.term, register.Identity(f.member)
 	switch {
 	case resp.Granted:
 		f.setNext(resp.Last + 1)
-		t.noteAppendLatency(identity, took)
+		t.observeAppendLatency(identity, took)
 		t.handleMatch(identity, resp.Last)
 	case resp.Epoch > t.leadership.Epoch:
-		t.Close("a later epoch was raised")
+		t.Close("a store reported a later epoch")
 		return false
 	case resp.EpochRanges != nil || resp.Last < f.next-1:
-		// The records do not join on to those of the store: go further back.
+		// The request does not continue the store's records: resume after the last common record.
 		common := replication.CommonIndex(t.process.Log.Extent(), replication.ExtentOfAppend(&resp))
 		f.setNext(min(common, f.next-1) + 1)
 	default:
-		// Another disk answers at that address: the set will be repaired.
+		// The store at that address now has a different disk. reconcileSet will repair the set.
 		return f.pause(constants.LeaseRenewPeriod)
 	}
 	return true
 }
 
-// setNext notes from which record on the store is to be sent.
+// setNext sets the index of the next record to be sent to the store.
 func (f *feeder) setNext(next int64) {
 	f.term.lock.Lock()
 	defer f.term.lock.Unlock()
 	f.next, f.progressAt = next, clock.Now()
 }
 
-// nextBatch gathers the next records for the store; nil where there are none, with a
-// channel that closes once there may be.
+// nextBatch returns a request with the next records for the store. If there are none, it returns
+// nil and a channel that closes when there may be some.
 func (f *feeder) nextBatch() (*messages.AppendRequest, <-chan struct{}) {
 	req, changed := f.gatherBatch()
 	if req == nil {
@@ -155,7 +157,7 @@
 	return req, changed
 }
 
-// gatherBatch is nextBatch without the store that the records are passed on to.
+// gatherBatch returns what nextBatch does, without setting the store to forward the records to.
 func (f *feeder) gatherBatch() (*messages.AppendRequest, <-chan struct{}) {
 	log := f.term.process.Log
 	req, previous, changed := f.recentBatch(f.next <= log.Compacted())
@@ -163,7 +165,7 @@
 		return nil, changed
 	}
 	if !previous {
-		// Asked without the term's lock: the store may be in the middle of a sync.
+		// Read without holding the term's lock, because the log may be busy with a sync.
 		req.PreviousEpoch = log.EpochAt(f.next - 1)
 	}
 	if len(req.Records) > 0 {
@@ -177,10 +179,10 @@
 	return req, nil
 }
 
-// recentBatch makes the next request with those records that are still in memory, which are
-// none where they are compacted on disk: such a part is sent as it is there. previous tells
-// whether the epoch of the record before was still in memory. Without any record to send the
-// request is nil.
+// recentBatch returns the next request with those records that are still in memory. If the records
+// are compacted on disk, the request contains no records, since the compacted part is sent as
+// stored. previous reports whether the epoch of the preceding record was still in memory. The
+// request is nil if there is no record to send.
 func (f *feeder) recentBatch(compacted bool) (req *messages.AppendRequest, previous bool, changed <-chan struct{}) {
 	t := f.term
 	t.lock.Lock()
--- a/internal/batch/leader/helpers_test.go
+++ b/internal/batch/leader/helpers_test.go
@@ -19,9 +19,9 @@
 const quotaConfig = `{"generation":1,"channels":[{"name":"b","host":"h","path-prefix":"/b/","route-kind":"bulk","backend":"s","tries":2,"retain-s":60,"result-setpoint-ms":9000,"backlog-cap":100}],"backends":[{"name":"s"}],"limits":{}}`
 
 // won is an election whose lease never ends.
-type won struct{ *leadership.Campaign }
+type leaseHolder struct{ *leadership.Campaign }
 
-func (won) HoldsLease() bool { return true }
+func (leaseHolder) HoldsLease() bool { return true }
 
 // soleStore is a store process that is the whole store set, on a fake disk.
 func soleStore(t *testing.T, disk *simulation.Disk) *Process {
@@ -34,11 +34,11 @@
 	node := agent.New(nodeSettings, "store", 2, log.Disk(), hclog.NewNullLogger())
 	node.Transport = transport.NewMemoryNetwork().Transport("m")
 	node.ApplyConfig([]byte(quotaConfig))
-	return &Process{Node: node, Log: log, Election: won{leadership.New(node, nil)}, StopJob: func(string) {}}
+	return &Process{Node: node, Log: log, Election: leaseHolder{leadership.New(node, nil)}, StopJob: func(string) {}}
 }
 
 // lead begins a term of the sole store and waits until it serves.
-func lead(t *testing.T, process *Process, epoch uint64) *Term {
+func startServingTerm(t *testing.T, process *Process, epoch uint64) *Term {
 	t.Helper()
 	elected := messages.Leadership{Holder: "m", Incarnation: process.Node.Self.Incarnation, Epoch: epoch}
 	term := NewTerm(process, elected, []messages.Member{process.Election.Member()})
--- a/internal/batch/leader/intake.go
+++ b/internal/batch/leader/intake.go
@@ -10,30 +10,30 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// A burst of jobs is larger than what the leader's link carries in the time that callers wait.
-// If all of them sent their jobs at once, each would take too long, be sent once more, and the
-// link would be full of jobs that nobody waits for any more. So a gateway offers a job first,
-// by its length, and sends it when the leader says so; the leader lets in as much as the
-// stores have made durable. Whoever waits too long was sent nothing, and may be refused.
+// A burst of jobs can exceed what the leader's link carries within the callers' timeout. If all
+// gateways sent their jobs at once, each would time out and be sent again, and the link would be
+// filled with jobs that no caller waits for any more. So a gateway first offers a job with its
+// size, and sends the job when the leader admits it. The leader admits further jobs as the stores
+// make earlier ones durable. An offer that times out can be rejected, since its job was not sent.
 
-// intake is the jobs that may be on their way to the leader or to the stores. It is guarded by
+// intake tracks the jobs that may be in flight to the leader or to the stores. It is guarded by
 // Term.lock.
 type intake struct {
-	// admitted are the jobs that were asked for, by id, until they are durable or refused;
-	// bytes is their sum.
+	// admitted maps the ids of the admitted jobs, until they are durable or rejected; bytes is the
+	// sum of their sizes.
 	admitted map[string]admittedJob
 	bytes    int
-	// waiting are those that may not be sent yet, the oldest first.
+	// waiting are the offers that are not yet admitted, the oldest first.
 	waiting []*offer
 }
 
-// admittedJob counts until an instant: its gateway may have gone.
+// admittedJob is a job that counts until an instant, since its gateway may have failed.
 type admittedJob struct {
-	bytes int
-	until clock.Instant
+	bytes     int
+	expiresAt clock.Instant
 }
 
-// offer is a job that waits to be sent. admitted closes once it may.
+// offer is a job that waits for admission. admitted is closed once the job may be sent.
 type offer struct {
 	job      string
 	bytes    int
@@ -42,7 +42,8 @@
 
 func newIntake() intake { return intake{admitted: map[string]admittedJob{}} }
 
-// offer admits a job at once where there is room and nobody waits, and queues it otherwise.
+// offer admits a job immediately if there is capacity and no other offer is waiting. Otherwise it
+// queues the job.
 func (in *intake) offer(job string, bytes int, now clock.Instant) *offer {
 	queued := &offer{job: job, bytes: bytes, admitted: make(chan struct{})}
 	in.waiting = append(in.waiting, queued)
@@ -50,11 +51,11 @@
 	return queued
 }
 
-// admit lets those in that waited longest, as many as there is room for; one always, whatever
-// its length.
+// admit admits the oldest waiting offers for which there is capacity. If no job is admitted, it
+// admits one whatever its size.
 func (in *intake) admit(now clock.Instant) {
 	for job, admitted := range in.admitted {
-		if now >= admitted.until {
+		if now >= admitted.expiresAt {
 			in.drop(job)
 		}
 	}
@@ -71,7 +72,7 @@
 	}
 }
 
-// release notes that a job is durable, or will not come.
+// release frees the capacity of a job that is durable or will not be sent, and admits others.
 func (in *intake) release(job string) {
 	in.drop(job)
 	in.admit(clock.Now())
@@ -82,7 +83,7 @@
 	delete(in.admitted, job)
 }
 
-// withdraw takes an offer out of the queue; false where it was admitted meanwhile.
+// withdraw removes an offer from the queue. It returns false if the offer was already admitted.
 func (in *intake) withdraw(queued *offer) bool {
 	for i, other := range in.waiting {
 		if other == queued {
@@ -93,14 +94,14 @@
 	return false
 }
 
-// offerJob answers a gateway that has a job to send: that it is known already, that it can't
-// fit, that it may be sent now, or that it had to wait for too long.
+// offerJob responds to a gateway's offer of a job: the job is already known, does not fit, may be
+// sent now, or was not admitted in time.
 func (t *Term) offerJob(call *messages.JobCallRequest) *messages.JobCallResponse {
 	accepted := &messages.JobCallResponse{Status: http.StatusAccepted, Body: []byte("{}")}
 	config := t.process.Node.Config()
 	route := jobroute.Of(config, call.Host, call.Path)
 	if route == nil {
-		// The gateway knew the route: our configuration may be the older one.
+		// The gateway has the route, so this process's configuration may be the older one.
 		return &messages.JobCallResponse{NotLeader: true}
 	}
 	t.lock.Lock()
@@ -112,57 +113,57 @@
 		t.lock.Unlock()
 		return t.awaitSubmitted(submitting, accepted)
 	}
-	// How many tokens it has is not known yet: there must be room for one.
-	if refusal := t.refuseForRoomLocked(config, route, 1, call.BodyBytes, 0); refusal != nil {
+	// The job's number of tokens is not yet known. Require capacity for at least one.
+	if rejection := t.checkCapacityLocked(config, route, 1, call.BodyBytes, 0); rejection != nil {
 		t.lock.Unlock()
-		return refusal
+		return rejection
 	}
 	queued := t.submissions.intake.offer(call.Job, call.BodyBytes, clock.Now())
 	t.lock.Unlock()
 	if t.awaitAdmission(queued, clock.Milliseconds(float64(call.WaitMs))) {
 		return &messages.JobCallResponse{Status: messages.StatusSendNow}
 	}
-	return &messages.JobCallResponse{Status: http.StatusServiceUnavailable, Body: reason("too many jobs come at once"),
+	return &messages.JobCallResponse{Status: http.StatusServiceUnavailable, Body: errorBody("too many jobs come at once"),
 		RetryAfterMs: int(constants.LeaseRenewPeriod.Milliseconds())}
 }
 
-// awaitAdmission waits until an offer is admitted; false where that takes too long.
+// awaitAdmission waits until an offer is admitted. It returns false on timeout or if the term ends.
 func (t *Term) awaitAdmission(queued *offer, timeout clock.Duration) bool {
 	for end := clock.Now().Add(timeout); ; {
 		select {
 		case <-queued.admitted:
 			return true
-		case <-t.life.stop:
+		case <-t.lifecycle.stop:
 			return false
 		case <-clock.After(min(constants.TickPeriod*2, end.Sub(clock.Now()))):
 		}
 		t.lock.Lock()
-		// Those whose gateways have gone make room by time alone.
+		// Jobs whose gateways have failed are released only when they expire.
 		t.submissions.intake.admit(clock.Now())
-		over := clock.Now() >= end && t.submissions.intake.withdraw(queued)
+		expired := clock.Now() >= end && t.submissions.intake.withdraw(queued)
 		t.lock.Unlock()
-		if over {
+		if expired {
 			return false
 		}
 	}
 }
 
-// refuseForRoomLocked refuses a job that the backlog of its route or the disks have no room for;
-// nil where both have. The lock is held.
-func (t *Term) refuseForRoomLocked(config *routeconfig.Config, route *routeconfig.Route, tokens int64, bytes, items int) *messages.JobCallResponse {
+// checkCapacityLocked returns a rejection if a job does not fit into the backlog of its route, on
+// the disks or in memory, and nil otherwise. The lock is held.
+func (t *Term) checkCapacityLocked(config *routeconfig.Config, route *routeconfig.Route, tokens int64, bytes, items int) *messages.JobCallResponse {
 	if route.BacklogCap > 0 && t.waitingTokens(config, route)+tokens > route.BacklogCap {
-		return tooMany("backlog is full")
+		return tooManyRequests("backlog is full")
 	}
-	if t.outgrowsDiskLocked(bytes, items) {
-		return tooMany("the disks are nearly full")
+	if t.exceedsDiskLimitLocked(bytes, items) {
+		return tooManyRequests("the disks are nearly full")
 	}
-	if t.outgrowsMemoryLocked(bytes) {
-		return tooMany("too much waits to be run")
+	if t.exceedsMemoryLimitLocked(bytes) {
+		return tooManyRequests("too much waits to be run")
 	}
 	return nil
 }
 
-// tooMany refuses a job that does not fit now.
-func tooMany(why string) *messages.JobCallResponse {
-	return &messages.JobCallResponse{Status: http.StatusTooManyRequests, Body: reason(why), RetryAfterMs: int(constants.GossipPeriod.Milliseconds())}
+// tooManyRequests returns the rejection of a job that does not fit at present.
+func tooManyRequests(cause string) *messages.JobCallResponse {
+	return &messages.JobCallResponse{Status: http.StatusTooManyRequests, Body: errorBody(cause), RetryAfterMs: int(constants.GossipPeriod.Milliseconds())}
 }
--- a/internal/batch/leader/intake_test.go
+++ b/internal/batch/leader/intake_test.go
@@ -67,7 +67,7 @@
 // A leader asks for a job that it does not know, says 202 for one that it has, and refuses an
 // offer that waited too long or can't fit; a job that was refused makes room.
 func TestOffersAreAnswered(t *testing.T) {
-	term := lead(t, soleStore(t, simulation.NewDisk(31)), 1)
+	term := startServingTerm(t, soleStore(t, simulation.NewDisk(31)), 1)
 	offerOf := func(id string, bytes int) int {
 		return term.Serve(&messages.JobCallRequest{Method: messages.MethodOffer, Host: "h", Path: "/b/", Job: id, BodyBytes: bytes, WaitMs: 150}).Status
 	}
--- a/internal/batch/leader/itemcount.go
+++ b/internal/batch/leader/itemcount.go
@@ -13,7 +13,7 @@
 
 // namesTooMany tells whether a job has more items than it may, without holding them all: a body of
 // allowed length may name a million. Of most jobs the number of braces shows that they don't.
-func namesTooMany(body []byte) bool {
+func exceedsItemLimit(body []byte) bool {
 	if bytes.Count(body, []byte{'{'}) <= 1+objectsPerItem*constants.JobItemsMax {
 		return false
 	}
--- a/internal/batch/leader/itemcount_test.go
+++ b/internal/batch/leader/itemcount_test.go
@@ -37,7 +37,7 @@
 		"cut short":            {list(constants.JobItemsMax, "i")[:9000] + braces, false},
 		"deep":                 {`{"requests":` + strings.Repeat(`[{"a":`, 2000), false},
 	} {
-		if got := namesTooMany([]byte(found.body)); got != found.many {
+		if got := exceedsItemLimit([]byte(found.body)); got != found.many {
 			t.Error(name, got)
 		}
 	}
--- a/internal/batch/leader/jobcalls.go
+++ b/internal/batch/leader/jobcalls.go
@@ -10,7 +10,7 @@
 )
 
 // reason is the body of an answer that says why.
-func reason(text string) []byte {
+func errorBody(text string) []byte {
 	// A map of strings can always be encoded.
 	body, _ := json.Marshal(map[string]string{"error": text})
 	return body
@@ -18,12 +18,12 @@
 
 // OutcomeUnknown is the answer to a call that may or may not take effect.
 func OutcomeUnknown() *messages.JobCallResponse {
-	return refuse(http.StatusGatewayTimeout, "outcome unknown")
+	return errorResponse(http.StatusGatewayTimeout, "outcome unknown")
 }
 
 // refuse is an answer with a status and the reason for it.
-func refuse(status int, text string) *messages.JobCallResponse {
-	return &messages.JobCallResponse{Status: status, Body: reason(text)}
+func errorResponse(status int, text string) *messages.JobCallResponse {
+	return &messages.JobCallResponse{Status: status, Body: errorBody(text)}
 }
 
 // methodItem is the method of a call for the body of one item; the other calls have the
@@ -61,7 +61,7 @@
 		}
 		select {
 		case <-changed:
-		case <-t.life.stop:
+		case <-t.lifecycle.stop:
 			return false
 		case <-clock.After(end.Sub(clock.Now())):
 			return false
@@ -77,7 +77,7 @@
 		job := t.jobs.Job(call.Job)
 		if job == nil {
 			t.lock.Unlock()
-			return refuse(http.StatusNotFound, "no such lot")
+			return errorResponse(http.StatusNotFound, "no such lot")
 		}
 		listings, open, total, changed := job.Listings, job.Open(), job.Total(), t.records.changed
 		t.lock.Unlock()
@@ -86,7 +86,7 @@
 		}
 		select {
 		case <-changed:
-		case <-t.life.stop:
+		case <-t.lifecycle.stop:
 			return t.page(total, call.Cursor, listings)
 		case <-clock.After(end.Sub(clock.Now())):
 		}
@@ -99,7 +99,7 @@
 	job := t.jobs.Job(call.Job)
 	if job == nil {
 		t.lock.Unlock()
-		return refuse(http.StatusNotFound, "no such lot")
+		return errorResponse(http.StatusNotFound, "no such lot")
 	}
 	if job.Ended {
 		t.lock.Unlock()
@@ -111,13 +111,13 @@
 	index := t.appendRecord(messages.Record{Kind: messages.RecordJobEnd, Job: job.ID})
 	t.lock.Unlock()
 	if !t.awaitCommit(index, constants.CallTimeout) {
-		return refuse(http.StatusGatewayTimeout, "end not yet durable")
+		return errorResponse(http.StatusGatewayTimeout, "end not yet durable")
 	}
 	return &messages.JobCallResponse{Status: http.StatusOK, Body: []byte("{}")}
 }
 
 // forget drops jobs whose time is over, so that files can be rewritten.
-func (t *Term) forget() {
+func (t *Term) forgetExpiredJobs() {
 	if !t.process.Election.HoldsLease() {
 		return
 	}
--- a/internal/batch/leader/lag.go
+++ b/internal/batch/leader/lag.go
@@ -11,7 +11,7 @@
 // Records don't: they are durable with the fastest f+1.
 func (t *Term) watchOwnLag() {
 	own := register.Identity(t.process.Election.Member())
-	clock.Every(constants.LeaseRenewPeriod, t.life.stop, func() {
+	clock.Every(constants.LeaseRenewPeriod, t.lifecycle.stop, func() {
 		now := clock.Now()
 		t.lock.Lock()
 		behind := t.health.replicaLag.Behind(t.records.replicator.MatchIndex(own), t.records.replicator.CommitIndex(), now)
--- a/internal/batch/leader/latency.go
+++ b/internal/batch/leader/latency.go
@@ -10,18 +10,18 @@
 
 // appendLatency follows, for the leader, how long each store takes over an order to append.
 type appendLatency struct {
-	means map[string]float64
-	count map[string]int
+	means  map[string]float64
+	counts map[string]int
 }
 
 func newAppendLatency() appendLatency {
-	return appendLatency{means: map[string]float64{}, count: map[string]int{}}
+	return appendLatency{means: map[string]float64{}, counts: map[string]int{}}
 }
 
 // note takes a new time of a store, in ms.
-func (l *appendLatency) note(identity string, took float64) {
-	l.count[identity]++
-	if l.count[identity] == 1 {
+func (l *appendLatency) observe(identity string, took float64) {
+	l.counts[identity]++
+	if l.counts[identity] == 1 {
 		l.means[identity] = took
 		return
 	}
@@ -31,14 +31,14 @@
 // behind tells whether a store's disk is far slower than the usual one of the
 // others. Its own disk answers a leader without a link in between, so a long time
 // is the disk's.
-func (l *appendLatency) behind(identity string) bool {
+func (l *appendLatency) isSlow(identity string) bool {
 	var others []float64
 	for name, mean := range l.means {
-		if name != identity && l.count[name] >= constants.LagLeast {
+		if name != identity && l.counts[name] >= constants.LagLeast {
 			others = append(others, mean)
 		}
 	}
-	if len(others) == 0 || l.count[identity] < constants.LagLeast {
+	if len(others) == 0 || l.counts[identity] < constants.LagLeast {
 		return false
 	}
 	slices.Sort(others)
@@ -47,17 +47,17 @@
 }
 
 // noteAppendLatency notes how long a store took over an order.
-func (t *Term) noteAppendLatency(identity string, took clock.Duration) {
+func (t *Term) observeAppendLatency(identity string, took clock.Duration) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	t.health.appendLatency.note(identity, clock.ToMilliseconds(took))
+	t.health.appendLatency.observe(identity, clock.ToMilliseconds(took))
 }
 
 // tooSlow tells whether this process should leave the leadership to others: its machine or
 // its disk is far slower than usual, and others are there to take it.
 func (t *Term) tooSlow(now clock.Instant) bool {
 	t.lock.Lock()
-	diskSlow := t.health.appendLatency.behind(register.Identity(t.process.Election.Member()))
+	diskSlow := t.health.appendLatency.isSlow(register.Identity(t.process.Election.Member()))
 	alone := len(t.records.replicator.Members) < 2
 	t.lock.Unlock()
 	return !alone && t.process.Election.ShouldResign(diskSlow, now)
--- a/internal/batch/leader/latency_test.go
+++ b/internal/batch/leader/latency_test.go
@@ -14,41 +14,41 @@
 func TestAppendLatencyOfASlowDisk(t *testing.T) {
 	lags := newAppendLatency()
 	for round := 0; round < 20; round++ {
-		lags.note("own", 5)
-		lags.note("a", 7)
-		lags.note("b", 8)
-		lags.note("c", 9)
+		lags.observe("own", 5)
+		lags.observe("a", 7)
+		lags.observe("b", 8)
+		lags.observe("c", 9)
 	}
-	if lags.behind("own") {
+	if lags.isSlow("own") {
 		t.Fatal("a usual disk was called slow")
 	}
 	for round := 0; round < 20; round++ {
-		lags.note("own", 36)
+		lags.observe("own", 36)
 	}
-	if !lags.behind("own") || lags.behind("a") {
+	if !lags.isSlow("own") || lags.isSlow("a") {
 		t.Fatal(lags.means)
 	}
 	// Where all are slow nobody is.
 	for round := 0; round < 30; round++ {
-		lags.note("a", 40)
-		lags.note("b", 41)
-		lags.note("c", 42)
+		lags.observe("a", 40)
+		lags.observe("b", 41)
+		lags.observe("c", 42)
 	}
-	if lags.behind("own") {
+	if lags.isSlow("own") {
 		t.Fatal("as slow as the others, yet called slow")
 	}
 	few := newAppendLatency()
-	few.note("own", 500)
-	few.note("a", 1)
-	if few.behind("own") {
+	few.observe("own", 500)
+	few.observe("a", 1)
+	if few.isSlow("own") {
 		t.Fatal("one time is no evidence")
 	}
 }
 
 // slowMachine is an election of a process whose machine is slow.
-type slowMachine struct{ won }
+type resigningElection struct{ leaseHolder }
 
-func (slowMachine) ShouldResign(bool, clock.Instant) bool { return true }
+func (resigningElection) ShouldResign(bool, clock.Instant) bool { return true }
 
 // A leader on a slow disk or machine resigns where others are there to lead; alone it goes
 // on, however slow.
@@ -62,13 +62,13 @@
 		t.Fatal("resigned without a cause")
 	}
 	for round := 0; round < 10; round++ {
-		term.noteAppendLatency(register.Identity(own), clock.Milliseconds(60))
-		term.noteAppendLatency(register.Identity(other), clock.Milliseconds(6))
+		term.observeAppendLatency(register.Identity(own), clock.Milliseconds(60))
+		term.observeAppendLatency(register.Identity(other), clock.Milliseconds(6))
 	}
 	if !term.tooSlow(now.Add(5 * constants.ResignBackoff)) {
 		t.Fatal("leads on with a slow disk")
 	}
-	process.Election = slowMachine{won{leadership.New(process.Node, nil)}}
+	process.Election = resigningElection{leaseHolder{leadership.New(process.Node, nil)}}
 	if !term.tooSlow(now) {
 		t.Fatal("leads on with a slow machine")
 	}
--- a/internal/batch/leader/memberdeparted_test.go
+++ b/internal/batch/leader/memberdeparted_test.go
@@ -10,7 +10,7 @@
 )
 
 // grantingElection is an election whose register grants each change of the store set.
-type grantingElection struct{ won }
+type grantingElection struct{ leaseHolder }
 
 func (e grantingElection) ChangeRegister(req *messages.RegisterChangeRequest) (*messages.RegisterResponse, bool) {
 	return &messages.RegisterResponse{Applied: true, Value: messages.RegisterValue{Leadership: req.Holder, Stores: req.Stores}}, true
@@ -23,7 +23,7 @@
 	process, network := soleStore(t, simulation.NewDisk(23)), transport.NewMemoryNetwork()
 	process.Node.Transport = network.Transport("m")
 	process.Node.Settings.FaultBudget.Machines = 2
-	process.Election = grantingElection{won: process.Election.(won)}
+	process.Election = grantingElection{leaseHolder: process.Election.(leaseHolder)}
 	serveReplica(t, process, network, "a", "a-disk")
 	members := []messages.Member{process.Election.Member(), {Name: "a", Address: "a", Disk: "a-disk"}, {Name: "gone", Address: "gone", Disk: "gone-disk"}}
 	term := NewTerm(process, messages.Leadership{Holder: "m", Incarnation: process.Node.Self.Incarnation, Epoch: 3}, members)
--- a/internal/batch/leader/memory.go
+++ b/internal/batch/leader/memory.go
@@ -7,7 +7,7 @@
 
 // outgrowsMemoryLocked tells whether a further job of so many bytes would find no room in memory. A
 // single job is taken whatever its length. The lock is held.
-func (t *Term) outgrowsMemoryLocked(jobBytes int) bool {
+func (t *Term) exceedsMemoryLimitLocked(jobBytes int) bool {
 	limit := t.process.Node.Settings.Limits.MemoryShare(constants.JobInputShare)
 	held := t.jobs.InputBytes() + int64(t.submissions.intake.bytes)
 	return limit > 0 && held > 0 && held+int64(jobBytes) > limit
--- a/internal/batch/leader/memory_test.go
+++ b/internal/batch/leader/memory_test.go
@@ -13,7 +13,7 @@
 // taken whatever its length, and room is given back by an end.
 func TestJobsThatOutgrowMemoryAreRefused(t *testing.T) {
 	process := soleStore(t, simulation.NewDisk(43))
-	term := lead(t, process, 1)
+	term := startServingTerm(t, process, 1)
 	if status := term.Serve(jobCallOf("a", 2)).Status; status != http.StatusAccepted {
 		t.Fatal(status)
 	}
@@ -22,7 +22,7 @@
 	process.Node.Settings.Limits.MemoryMB = 1
 	share := constants.JobInputShare
 	limit := int64(share * (1 << 20))
-	fits, outgrows := !term.outgrowsMemoryLocked(int(limit-held)), term.outgrowsMemoryLocked(int(limit-held+1))
+	fits, outgrows := !term.exceedsMemoryLimitLocked(int(limit-held)), term.exceedsMemoryLimitLocked(int(limit-held+1))
 	term.lock.Unlock()
 	if held <= 0 || !fits || !outgrows {
 		t.Fatal(held, fits, outgrows)
@@ -36,7 +36,7 @@
 	}
 	term.lock.Lock()
 	defer term.lock.Unlock()
-	if term.jobs.InputBytes() != 0 || term.outgrowsMemoryLocked(int(2*limit)) {
+	if term.jobs.InputBytes() != 0 || term.exceedsMemoryLimitLocked(int(2*limit)) {
 		t.Error("nothing is held, and yet there is no room: ", term.jobs.InputBytes())
 	}
 }
--- a/internal/batch/leader/outputs.go
+++ b/internal/batch/leader/outputs.go
@@ -38,7 +38,7 @@
 		output, err := t.output(listings[i].Index)
 		if err != nil {
 			t.process.Node.Log.Error("output can't be read", "err", err.Error())
-			return refuse(http.StatusServiceUnavailable, "output can't be read now")
+			return errorResponse(http.StatusServiceUnavailable, "output can't be read now")
 		}
 		if size += len(output) + recordOverhead; size > constants.PageBytes && i > cursor {
 			break
@@ -52,7 +52,7 @@
 	}
 	body, err := json.Marshal(page)
 	if err != nil {
-		return refuse(http.StatusInternalServerError, "page can't be written")
+		return errorResponse(http.StatusInternalServerError, "page can't be written")
 	}
 	return &messages.JobCallResponse{Status: http.StatusOK, Body: body}
 }
@@ -79,12 +79,12 @@
 	job := t.jobs.Job(call.Job)
 	if job == nil {
 		t.lock.Unlock()
-		return refuse(http.StatusNotFound, "no such lot")
+		return errorResponse(http.StatusNotFound, "no such lot")
 	}
 	item := job.Item(call.Item)
 	if item == nil {
 		t.lock.Unlock()
-		return refuse(http.StatusNotFound, "no such item")
+		return errorResponse(http.StatusNotFound, "no such item")
 	}
 	body, index := item.Body, job.Index
 	t.lock.Unlock()
@@ -92,7 +92,7 @@
 		// It is listed, or its job has ended: the body is still in the job's record.
 		var err error
 		if body, err = t.submittedBody(index, call.Item); err != nil {
-			return refuse(http.StatusServiceUnavailable, "body can't be read now")
+			return errorResponse(http.StatusServiceUnavailable, "body can't be read now")
 		}
 	}
 	return &messages.JobCallResponse{Status: http.StatusOK, ContentType: "application/octet-stream", Body: body}
--- a/internal/batch/leader/quota_test.go
+++ b/internal/batch/leader/quota_test.go
@@ -12,7 +12,7 @@
 // Jobs on their way to the stores count against their own route only, and a place
 // is matched anew when the configuration changes.
 func TestQuotaOfEachRoute(t *testing.T) {
-	term := lead(t, soleStore(t, simulation.NewDisk(7)), 1)
+	term := startServingTerm(t, soleStore(t, simulation.NewDisk(7)), 1)
 	second := strings.Replace(quotaConfig, `],"backends"`,
 		`,{"name":"c","host":"h","path-prefix":"/c/","route-kind":"bulk","backend":"s","tries":2,"retain-s":60,"result-setpoint-ms":9000,"backlog-cap":50}],"backends"`, 1)
 	term.process.Node.ApplyConfig([]byte(strings.Replace(second, `"generation":1`, `"generation":2`, 1)))
--- a/internal/batch/leader/reconcile.go
+++ b/internal/batch/leader/reconcile.go
@@ -53,7 +53,7 @@
 	case out == nil:
 		// All that are lacking join in one change: each second in which the set is too small
 		// counts against the fault budget.
-		replacements = process.fillers(members, entries, retired)
+		replacements = process.fillReplacements(members, entries, retired)
 	case out.Name == joiner.Name:
 		replacements = replacements[:0]
 		for i := range members {
@@ -86,7 +86,7 @@
 
 // fillers gives the stores that make a set complete which is too small, the best first. Slow
 // ones are left out.
-func (p *Process) fillers(members []messages.Member, entries map[string]messages.NodeInfo, retired map[string]bool) []replacement {
+func (p *Process) fillReplacements(members []messages.Member, entries map[string]messages.NodeInfo, retired map[string]bool) []replacement {
 	var fillers []replacement
 	set := p.storeSet(slices.Clone(members), entries, retired, nil)
 	for {
--- a/internal/batch/leader/records.go
+++ b/internal/batch/leader/records.go
@@ -39,7 +39,7 @@
 		}
 		select {
 		case <-changed:
-		case <-t.life.stop:
+		case <-t.lifecycle.stop:
 			return false
 		case <-timer.C:
 			return false
--- a/internal/batch/leader/report.go
+++ b/internal/batch/leader/report.go
@@ -10,7 +10,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-func number[Integer int | int64 | uint64](value Integer) string {
+func formatInteger[Integer int | int64 | uint64](value Integer) string {
 	return strconv.FormatInt(int64(value), 10)
 }
 
@@ -63,8 +63,8 @@
 			failures += len(item.FailedBy)
 			renewals += item.Renewals
 		}
-		status.Rows = append(status.Rows, []string{job.ID, job.Path, number((now - job.SubmittedMs) / 1000), number(job.Total()),
-			number(len(job.Listings)), number(acquired), number(tokens), number(deliveries), number(lapses), number(releases), number(failures), number(renewals), state})
+		status.Rows = append(status.Rows, []string{job.ID, job.Path, formatInteger((now - job.SubmittedMs) / 1000), formatInteger(job.Total()),
+			formatInteger(len(job.Listings)), formatInteger(acquired), formatInteger(tokens), formatInteger(deliveries), formatInteger(lapses), formatInteger(releases), formatInteger(failures), formatInteger(renewals), state})
 	}
 	return status
 }
@@ -76,7 +76,7 @@
 	defer t.lock.Unlock()
 	for _, member := range t.records.replicator.Members {
 		match := t.records.replicator.MatchIndex(register.Identity(member))
-		rows = append(rows, []string{member.Name, member.Disk, number(match), number(t.records.replicator.Last() - match), "in the set"})
+		rows = append(rows, []string{member.Name, member.Disk, formatInteger(match), formatInteger(t.records.replicator.Last() - match), "in the set"})
 	}
 	return rows
 }
--- a/internal/batch/leader/setpolicy.go
+++ b/internal/batch/leader/setpolicy.go
@@ -29,13 +29,13 @@
 	entries map[string]messages.NodeInfo
 	// retired names the machines that are to be emptied, answering the members that seemed
 	// silent and answer all the same.
-	retired, answering map[string]bool
+	retired, responding map[string]bool
 }
 
 // storeSet gathers what the next change is decided on.
 func (p *Process) storeSet(members []messages.Member, entries map[string]messages.NodeInfo, retired, answering map[string]bool) *storeSet {
 	return &storeSet{self: p.Election.Member(), size: 2*p.budget() + 1, uptime: clock.Now().Sub(p.Node.StartedAt),
-		members: members, entries: entries, retired: retired, answering: answering}
+		members: members, entries: entries, retired: retired, responding: answering}
 }
 
 // nextChange names the member to be replaced and who takes its place; no member with a
@@ -82,7 +82,7 @@
 	for i := range s.members {
 		member := s.members[i]
 		spare := s.spare(member.Zone)
-		if spare == nil || s.answering[member.Name] || s.isSelf(member) {
+		if spare == nil || s.responding[member.Name] || s.isSelf(member) {
 			continue
 		}
 		limit := constants.ReplaceAfter
--- a/internal/batch/leader/submit.go
+++ b/internal/batch/leader/submit.go
@@ -27,7 +27,7 @@
 
 // parseJob checks a job; the reason says what is wrong with it.
 func parseJob(call *messages.JobCallRequest) (body *messages.JobBody, tokens int64, status int, reason string) {
-	if namesTooMany(call.Body) {
+	if exceedsItemLimit(call.Body) {
 		return nil, 0, http.StatusRequestEntityTooLarge, "too many items"
 	}
 	job := jobJSON{}
@@ -61,7 +61,7 @@
 
 // submitJob takes a job: checked, within the quota, and durable before it is acknowledged.
 func (t *Term) submitJob(call *messages.JobCallRequest) *messages.JobCallResponse {
-	resp := t.takeJob(call)
+	resp := t.acceptJob(call)
 	if resp.Status != http.StatusAccepted && resp.Status != http.StatusGatewayTimeout {
 		// Nothing of it is on its way to the stores.
 		t.lock.Lock()
@@ -71,7 +71,7 @@
 	return resp
 }
 
-func (t *Term) takeJob(call *messages.JobCallRequest) *messages.JobCallResponse {
+func (t *Term) acceptJob(call *messages.JobCallRequest) *messages.JobCallResponse {
 	accepted := &messages.JobCallResponse{Status: http.StatusAccepted, Body: []byte("{}")}
 	t.lock.Lock()
 	known, submitting := t.jobs.Job(call.Job) != nil, t.submissions.submitting[call.Job]
@@ -86,7 +86,7 @@
 	body, tokens, status, cause := parseJob(call)
 	t.submissions.parsing.Unlock()
 	if body == nil {
-		return refuse(status, cause)
+		return errorResponse(status, cause)
 	}
 	config := t.process.Node.Config()
 	route := jobroute.Of(config, call.Host, call.Path)
@@ -96,7 +96,7 @@
 	}
 	packed, err := body.MarshalMsg(nil)
 	if err != nil {
-		return refuse(http.StatusBadRequest, "lot can't be kept")
+		return errorResponse(http.StatusBadRequest, "lot can't be kept")
 	}
 	t.lock.Lock()
 	if t.jobs.Job(call.Job) != nil || t.submissions.submitting[call.Job] > 0 {
@@ -109,7 +109,7 @@
 		t.lock.Unlock()
 		return &messages.JobCallResponse{NotLeader: true}
 	}
-	if refusal := t.refuseForRoomLocked(config, route, tokens, len(packed), len(body.Items)); refusal != nil {
+	if refusal := t.checkCapacityLocked(config, route, tokens, len(packed), len(body.Items)); refusal != nil {
 		t.lock.Unlock()
 		return refusal
 	}
@@ -130,5 +130,5 @@
 	if t.awaitCommit(index, constants.RegisterTimeout) {
 		return accepted
 	}
-	return refuse(http.StatusGatewayTimeout, "lot not yet durable")
+	return errorResponse(http.StatusGatewayTimeout, "lot not yet durable")
 }
--- a/internal/batch/leader/submit_test.go
+++ b/internal/batch/leader/submit_test.go
@@ -13,7 +13,7 @@
 // Calls of many nodes race for the last of the quota: the quota is never passed, and a job
 // that comes over several nodes at once is one job.
 func TestQuotaUnderRaces(t *testing.T) {
-	term := lead(t, soleStore(t, simulation.NewDisk(1)), 1)
+	term := startServingTerm(t, soleStore(t, simulation.NewDisk(1)), 1)
 	var group sync.WaitGroup
 	var lock sync.Mutex
 	statuses := map[int]int{}
@@ -35,7 +35,7 @@
 	// Resent to whoever leads later, a taken job is still taken.
 	taken := term.jobs.Jobs()[0].ID
 	term.Close("another takes over")
-	next := lead(t, term.process, 2)
+	next := startServingTerm(t, term.process, 2)
 	if resp := next.submitJob(jobCallOf(taken, 2)); resp.Status != 202 || len(next.jobs.Jobs()) != 3 {
 		t.Fatal(resp.Status, len(next.jobs.Jobs()))
 	}
@@ -45,7 +45,7 @@
 // leader runs any of it, and what was listed stays.
 func TestCancelDuringTakeover(t *testing.T) {
 	disk := simulation.NewDisk(2)
-	term := lead(t, soleStore(t, disk), 1)
+	term := startServingTerm(t, soleStore(t, disk), 1)
 	if resp := term.submitJob(jobCallOf("lot", 3)); resp.Status != 202 {
 		t.Fatal(resp.Status)
 	}
@@ -73,7 +73,7 @@
 	}
 	term.Close("another takes over")
 	disk.PowerLoss()
-	next := lead(t, soleStore(t, disk), 2)
+	next := startServingTerm(t, soleStore(t, disk), 2)
 	job := next.jobs.Job("lot")
 	if job == nil || !job.Ended || job.Open() || len(job.Listings) != 1 || job.Listings[0].Item != item.ID {
 		t.Fatalf("%+v", job)
@@ -94,7 +94,7 @@
 
 // What is malformed, too large or unknown is told so.
 func TestMalformedJobsAreRejected(t *testing.T) {
-	term := lead(t, soleStore(t, simulation.NewDisk(3)), 1)
+	term := startServingTerm(t, soleStore(t, simulation.NewDisk(3)), 1)
 	smuggled := jobCallOf("x", 1)
 	smuggled.Body = []byte(`{"requests":[{"id":"i","path":"/b/x","headers":{"A":"b\r\nX: y"},"body":"aGk=","tokens":1}]}`)
 	for status, call := range map[int][]*messages.JobCallRequest{
@@ -116,7 +116,7 @@
 // What has outlived its time is not taken, even where it fits; a job that stands
 // already is told so all the same.
 func TestSubmissionExpires(t *testing.T) {
-	term := lead(t, soleStore(t, simulation.NewDisk(6)), 1)
+	term := startServingTerm(t, soleStore(t, simulation.NewDisk(6)), 1)
 	call := jobCallOf("lot", 1)
 	call.ExpiresAt = int64(clock.Now())
 	if resp := term.submitJob(call); !resp.NotLeader || term.jobs.Job("lot") != nil {
--- a/internal/batch/leader/takeover.go
+++ b/internal/batch/leader/takeover.go
@@ -11,12 +11,12 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// errTakeover is the error of a term that can't begin to serve.
+// errTakeover is the error of a takeover that can't be completed.
 var errTakeover = errs.Define("takeover failed")
 
-// TakeOver makes the epoch ready: it fences all stores but the fault budget, goes on from
-// the best copy of the records, and has a record of its own epoch committed, which commits
-// those before it. Only then the term serves.
+// TakeOver prepares the term to serve. It fences all stores except at most the fault budget,
+// adopts the best copy of the records, and commits a record of its own epoch, which also commits
+// all records before it. The term starts to serve only after that.
 func (t *Term) TakeOver() {
 	copies, lost, fenced := t.fenceQuorum()
 	if !fenced {
@@ -33,43 +33,44 @@
 		t.Close("records can't be read")
 		return
 	}
-	t.noteLostDisks(lost)
-	waiting := t.newWaitLog("takeover waits for copies")
+	t.recordLostDisks(lost)
+	progress := t.newWaitLog("takeover is waiting for stores to sync records")
 	for !t.awaitCommit(index, constants.LeaseDuration) {
 		if t.Closed() {
 			return
 		}
-		// Too few may be left for as many copies as usual: the set has to change first.
+		// Too few members may be left for the usual number of copies: the set has to change first.
 		t.markLostDisks()
 		t.maintainSet()
-		waiting.report(t.membersWith(index))
+		progress.report(t.membersWith(index))
 	}
 	t.beginServing(index - 1)
 }
 
-// fenceQuorum has enough stores refuse earlier epochs, and gives what each of them has, this
-// process's own copy among them, and the members whose disks were found to be lost. It is false
-// where the term ended before.
+// fenceQuorum fences enough stores against earlier epochs. It returns the response of each
+// fenced store, including this process's own, and the members whose disks are lost. fenced is
+// false if the term ended first.
 func (t *Term) fenceQuorum() (copies map[string]messages.FenceResponse, lost map[string]bool, fenced bool) {
-	waiting := t.newWaitLog("takeover waits for stores")
+	progress := t.newWaitLog("takeover is waiting for stores to be fenced")
 	for !t.Closed() {
 		if copies = t.fenceMembers(); t.enoughFenced(copies, nil) {
 			return copies, nil, true
 		}
-		// The register may name more lost disks than the fault budget, since their removal takes
-		// a change of its own.
+		// The register may list more members with lost disks than the fault budget, since their
+		// removal requires a separate change of the register.
 		if lost = t.findLostDisks(); t.enoughFenced(copies, lost) {
 			return copies, lost, true
 		}
-		waiting.report(func(identity string) bool { return copies[identity].Granted || lost[identity] })
+		progress.report(func(identity string) bool { return copies[identity].Granted || lost[identity] })
 		clock.Sleep(constants.TickPeriod * 2)
 	}
 	return nil, nil, false
 }
 
-// enoughFenced tells whether every committed record is among the copies, and the old leader
-// can commit nothing more: all stores but the fault budget are fenced, this process's own among
-// them; or all are but those whose disks are lost, which hold nothing and never grant anything.
+// enoughFenced reports whether the copies contain every committed record and the previous leader
+// can't commit any more: this process's own store is fenced, and so are either all stores except at
+// most the fault budget, or all except those whose disks are lost, which have no records and never
+// grant a request.
 func (t *Term) enoughFenced(copies map[string]messages.FenceResponse, lost map[string]bool) bool {
 	members := t.records.replicator.Members
 	own := register.Identity(t.process.Election.Member())
@@ -82,8 +83,8 @@
 	return copies[own].Granted && (replication.EnoughFenced(len(members), len(copies), t.process.budget()) || accounted == len(members))
 }
 
-// fenceMembers asks every store of the set to take orders of this epoch only. It returns
-// once enough have answered; those that answer later are fed all the same.
+// fenceMembers requests every store of the set to accept records of this epoch only. It returns
+// once enough stores have responded; stores that respond later are still sent records.
 func (t *Term) fenceMembers() map[string]messages.FenceResponse {
 	type result struct {
 		identity string
@@ -111,7 +112,7 @@
 	return copies
 }
 
-// fence has one store refuse the orders of earlier epochs.
+// fence requests one store to reject requests of earlier epochs.
 func (t *Term) fence(member messages.Member) (messages.FenceResponse, error) {
 	req := &messages.FenceRequest{Epoch: t.leadership.Epoch, Disk: member.Disk}
 	if member.Address == t.process.Node.Self.Address {
@@ -122,8 +123,8 @@
 	return resp, err
 }
 
-// adoptBestCopy truncates this process's own copy where it parts from the best one and
-// fetches the rest.
+// adoptBestCopy truncates this process's own copy at the point where it diverges from the best
+// copy, and fetches the remaining records.
 func (t *Term) adoptBestCopy(copies map[string]messages.FenceResponse) error {
 	best := replication.BestCopy(copies)
 	if best == register.Identity(t.process.Election.Member()) {
@@ -139,14 +140,14 @@
 	next := replication.CommonIndex(log.Extent(), replication.ExtentOfFence(&target)) + 1
 	for next <= target.Last {
 		if t.Closed() {
-			return errTakeover.New("the term ended")
+			return errTakeover.New("term ended")
 		}
 		fetched := &messages.FetchResponse{}
 		if err := transport.Call(t.process.Node.Transport, address, messages.KindFetch, &messages.FetchRequest{First: next}, fetched, constants.BulkCallTimeout); err != nil {
 			return errTakeover.Wrap(err, "fetch from "+address)
 		}
 		if len(fetched.Records) == 0 {
-			return errTakeover.New("no records from " + address)
+			return errTakeover.New("empty fetch response from " + address)
 		}
 		resp, err := log.Append(&messages.AppendRequest{Epoch: t.leadership.Epoch, Disk: log.Disk(), PreviousIndex: next - 1,
 			PreviousEpoch: log.EpochAt(next - 1), Records: fetched.Records, Base: fetched.Base, BaseEpoch: fetched.BaseEpoch})
@@ -154,15 +155,15 @@
 			return errTakeover.Wrap(err, "append")
 		}
 		if !resp.Granted {
-			return errTakeover.New("own store refuses the records")
+			return errTakeover.New("own store rejected the records")
 		}
 		next = fetched.Records[len(fetched.Records)-1].Index + 1
 	}
 	return nil
 }
 
-// replicateFrom rebuilds the job table, begins to feed the members from where their copies
-// agree with this process's, and gives the index of a first record of this epoch.
+// replicateFrom rebuilds the job table, starts to send records to each member after the last one
+// that agrees with this process's copy, and returns the index of the first record of this epoch.
 func (t *Term) replicateFrom(copies map[string]messages.FenceResponse) (index int64, err error) {
 	extent, own := t.process.Log.Extent(), register.Identity(t.process.Election.Member())
 	t.lock.Lock()
@@ -184,7 +185,7 @@
 	return t.appendRecord(messages.Record{Kind: messages.RecordNoop}), nil
 }
 
-// rebuildLocked makes the job table from all records. The lock is held.
+// rebuildLocked rebuilds the job table from all records. The lock is held.
 func (t *Term) rebuildLocked() error {
 	jobs, err := t.process.Log.Jobs()
 	if err != nil {
@@ -192,41 +193,41 @@
 	}
 	t.jobs = jobs
 	for _, job := range t.jobs.Jobs() {
-		job.KnownSince = t.life.startedAt
+		job.KnownSince = t.lifecycle.startedAt
 	}
 	return nil
 }
 
-// beginServing opens the term to callers and begins its loops, which end with it. last is
-// the index of the last record of earlier epochs.
+// beginServing makes the term accept calls, and starts its loops, which end with the term. last
+// is the index of the last record of earlier epochs.
 func (t *Term) beginServing(last int64) {
 	t.lock.Lock()
 	t.serving = true
 	jobs := len(t.jobs.Jobs())
 	t.notifyLocked()
 	t.lock.Unlock()
-	t.process.Node.Log.Info("leadership serving", "epoch", t.leadership.Epoch, "records", last, "jobs", jobs)
-	go clock.Every(constants.LeaseRenewPeriod, t.life.stop, t.announce)
+	t.process.Node.Log.Info("leadership takeover complete", "epoch", t.leadership.Epoch, "records", last, "jobs", jobs)
+	go clock.Every(constants.LeaseRenewPeriod, t.lifecycle.stop, t.announce)
 	t.maintainSet()
-	go clock.Every(constants.GossipPeriod, t.life.stop, t.forget)
+	go clock.Every(constants.GossipPeriod, t.lifecycle.stop, t.forgetExpiredJobs)
 	go t.expireItems()
 	go t.watchOwnLag()
 	relaxCollector()
 	t.announce()
 }
 
-// maintainSet begins, once in a term, the loops that keep the store set complete. They begin
-// before the term serves where the set as it is lets nothing be committed.
+// maintainSet starts the loops that keep the store set complete, once per term. They start before
+// the term serves if nothing can be committed with the current set.
 func (t *Term) maintainSet() {
 	t.feeds.maintained.Do(func() {
-		go clock.Every(constants.GossipPeriod/2, t.life.stop, t.reconcileSet)
-		go clock.Every(constants.GossipPeriod/4, t.life.stop, t.removeLostDisks)
-		go clock.Every(constants.GossipPeriod, t.life.stop, t.removeDeparted)
+		go clock.Every(constants.GossipPeriod/2, t.lifecycle.stop, t.reconcileSet)
+		go clock.Every(constants.GossipPeriod/4, t.lifecycle.stop, t.removeLostDisks)
+		go clock.Every(constants.GossipPeriod, t.lifecycle.stop, t.removeDeparted)
 	})
 }
 
-// Resign gives the lease back and notifies the other stores, so that one of them campaigns
-// at once.
+// Resign releases the lease and notifies the other stores, so that one of them campaigns
+// immediately.
 func (t *Term) Resign() {
 	t.process.Election.ReleaseLease()
 	node := t.process.Node
@@ -234,16 +235,16 @@
 	node.Multicast(node.Live(membership.RoleStore), messages.KindLeaderAnnouncement, announcement, constants.LeaseRenewPeriod, nil)
 }
 
-// announce makes known who leads: to stores each time, since one that is told nothing for the
-// length of a lease campaigns; to the gateways in view while it is news, and then now and
-// then. Whoever was missed learns it by asking any store.
+// announce sends the leadership to all stores, since a store that receives no announcement for the
+// duration of a lease campaigns, and to the known gateways in the first LeaderReminderRounds rounds
+// and then in one of as many. A process that was missed can request the leadership from any store.
 func (t *Term) announce() {
 	if !t.process.Election.HoldsLease() {
 		return
 	}
 	node := t.process.Node
 	peers := node.Live(membership.RoleStore)
-	if count := t.life.announcements.Add(1); count <= constants.LeaderReminderRounds || count%constants.LeaderReminderRounds == 0 {
+	if count := t.lifecycle.announcements.Add(1); count <= constants.LeaderReminderRounds || count%constants.LeaderReminderRounds == 0 {
 		peers = append(peers, node.Live(membership.RoleGateway)...)
 	}
 	node.Multicast(peers, messages.KindLeaderAnnouncement, &messages.LeaderAnnouncement{Leadership: t.leadership}, constants.LeaseRenewPeriod, nil)
--- a/internal/batch/leader/term.go
+++ b/internal/batch/leader/term.go
@@ -1,11 +1,11 @@
-// Package leader is the store that decides on all batch jobs, for the time of one epoch: it
-// takes over from the leader before, replicates records to the store set, keeps that set
-// complete, dispatches items to executors, and answers calls on jobs.
+// Package leader implements the leader of batch processing for the duration of one epoch. The
+// leader takes over from the previous one, replicates records to the store set, keeps that set
+// complete, dispatches items to executors, and serves calls on jobs.
 //
-// A record is committed once budget + 1 stores of the set have it on disk; nothing is told to
-// anybody before. Other stores refuse the records of an earlier epoch, so that a leader that
-// overslept its lease can commit nothing more. The cores without I/O are packages replication
-// and dispatch.
+// A record is committed once budget + 1 stores of the set have it on disk; its effect is not
+// disclosed to any other process before that. The stores reject records of an earlier epoch, so a
+// leader that continues after its lease has expired can't commit any more. The logic that needs
+// no I/O is in packages replication and dispatch.
 package leader
 
 import (
@@ -20,49 +20,52 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Election is what a term needs of the election that made it; see leadership.Election.
+// Election is the part of the election that a term uses; see leadership.Campaign.
 type Election interface {
-	// HoldsLease tells whether this process may act as the leader now.
+	// HoldsLease reports whether this process has a valid lease and may act as the leader.
 	HoldsLease() bool
-	// ReleaseLease gives the lease back to the acceptors.
+	// ReleaseLease releases the lease at the acceptors.
 	ReleaseLease()
-	// Member is this process as one of the store set.
+	// Member returns this process as a member of the store set.
 	Member() messages.Member
-	// Register gives the register's value as it was last read, RegisterAge how long ago.
+	// Register returns the most recently read value of the register, and RegisterAge the time
+	// since it was read.
 	Register() messages.RegisterValue
 	RegisterAge() clock.Duration
-	// SetRegister notes a value that was just seen in force; ReadRegister reads it anew.
+	// SetRegister caches a value that was just read or written. ReadRegister reads the register
+	// again and reports whether that succeeded.
 	SetRegister(value messages.RegisterValue)
 	ReadRegister() bool
-	// ChangeRegister changes it; known is false where the outcome can't be told.
+	// ChangeRegister changes the register. known is false if the outcome is unknown.
 	ChangeRegister(req *messages.RegisterChangeRequest) (resp *messages.RegisterResponse, known bool)
-	// ShouldResign tells whether a slow process should leave the leadership to others, and
-	// YieldUntil keeps it from leading until an instant.
+	// ShouldResign reports whether a slow process should leave the leadership to others.
+	// YieldUntil prevents this process from leading until an instant.
 	ShouldResign(diskSlow bool, now clock.Instant) bool
 	YieldUntil(until clock.Instant)
 }
 
-// Process is what a term needs of the store process that it runs in.
+// Process is the part of the store process that a term uses.
 type Process struct {
 	Node     *agent.Agent
 	Log      *replicalog.Log
 	Election Election
-	// StopJob breaks off what this process runs of a job that has ended.
+	// StopJob cancels the runs in this process of items of a job that has ended.
 	StopJob func(jobID string)
 }
 
-// budget is how many stores may be lost at once.
+// budget returns how many stores may be lost at the same time.
 func (p *Process) budget() int { return p.Node.Settings.Budget() }
 
-// Term is the time of one epoch in which this process leads. It is safe for concurrent use.
+// Term is the period of one epoch during which this process leads. It is safe for concurrent use.
 type Term struct {
 	process    *Process
 	leadership messages.Leadership
-	life       lifecycle
+	lifecycle  lifecycle
 
-	// lock guards the fields below and serving. It is not held while a request or the disk
-	// is waited for.
-	lock        sync.Mutex
+	// lock guards the fields below. It is not held while waiting for a request or for the
+	// disk.
+	lock sync.Mutex
+	// serving is set once the takeover is complete.
 	serving     bool
 	jobs        *dispatch.JobTable
 	records     records
@@ -72,81 +75,84 @@
 	health      health
 }
 
-// lifecycle is the beginning and the end of a term.
+// lifecycle is the start and the end of a term.
 type lifecycle struct {
 	startedAt clock.Instant
 	// stop closes when the term ends.
 	stop      chan struct{}
 	closeOnce sync.Once
-	// announcements counts those that this term made.
+	// announcements is the number of announcements that this term has sent.
 	announcements atomic.Int64
 }
 
-// submissions are changes of jobs that are on their way to the stores.
+// submissions are changes of jobs that are not yet committed.
 type submissions struct {
-	// parsing is held while a job is parsed: what that takes is a multiple of the job, so it is one
-	// at a time.
+	// parsing is held while a job is parsed. Parsing needs a multiple of the job's size in memory, so
+	// only one job is parsed at a time.
 	parsing sync.Mutex
-	// submitting holds the index of the record of each job that is not committed yet.
+	// submitting maps each job that is not yet committed to the index of its record.
 	submitting map[string]int64
-	// ending holds the jobs whose end was decided, and forgetting those that are dropped.
+	// ending contains the jobs for which an end record was appended, and forgetting those for
+	// which a record to drop them was appended.
 	ending     map[string]bool
 	forgetting map[string]bool
 	quota      quota
-	// intake paces the jobs that come.
+	// intake limits how many jobs are sent to the leader at the same time.
 	intake intake
 }
 
-// feeds are the stores that records are sent to.
+// feeds is the replication of records to the stores.
 type feeds struct {
-	// feeders end when their channel quit closes, by the identity of the store.
+	// feeders maps the identity of a store to its feeder. A feeder ends when its channel quit is
+	// closed.
 	feeders map[string]*feeder
-	// copied is how far joiners have copied from other members.
+	// copied maps the identity of a joiner to the index up to which it has copied records from
+	// other members.
 	copied map[string]int64
-	// setChange is taken while the set in force is changed, for as long as stores and the register
-	// take to agree to it. It is taken before Term.lock.
-	setChange turnstile
-	// maintained is done once the loops that keep the set complete have begun.
+	// setChange is locked while the current store set is changed, until the stores and the register
+	// have agreed to the change. It is locked before Term.lock.
+	setChange chanMutex
+	// maintained is done once the loops that keep the set complete have started.
 	maintained sync.Once
-	// changes numbers the changes of the set under this epoch. It is guarded by Term.lock.
+	// changes is the number of changes of the set in this epoch, used as their sequence number. It is guarded by Term.lock.
 	changes uint64
 }
 
-// items is the dispatching of items.
+// items is the state of dispatching items to executors.
 type items struct {
 	dispatcher *dispatch.Dispatcher
-	// available closes when items may have become available.
+	// available is closed and replaced when items may have become available.
 	available chan struct{}
 }
 
-// health is how the stores keep up.
+// health tracks whether the stores, and this process's own in particular, are slow or lagging.
 type health struct {
 	appendLatency appendLatency
 	replicaLag    replication.ReplicaLag
 }
 
-// NewTerm makes the term of an epoch. It serves nothing before TakeOver.
+// NewTerm returns the term of an epoch. It does not serve before TakeOver.
 func NewTerm(process *Process, elected messages.Leadership, stores []messages.Member) *Term {
 	return &Term{
 		process: process, leadership: elected,
-		life:        lifecycle{startedAt: clock.Now(), stop: make(chan struct{})},
+		lifecycle:   lifecycle{startedAt: clock.Now(), stop: make(chan struct{})},
 		jobs:        dispatch.NewJobTable(),
 		records:     records{replicator: replication.NewReplicator(elected.Epoch, stores, process.budget(), 1), changed: make(chan struct{})},
 		submissions: submissions{submitting: map[string]int64{}, ending: map[string]bool{}, forgetting: map[string]bool{}, quota: newQuota(), intake: newIntake()},
-		feeds:       feeds{feeders: map[string]*feeder{}, copied: map[string]int64{}, setChange: newTurnstile()},
+		feeds:       feeds{feeders: map[string]*feeder{}, copied: map[string]int64{}, setChange: newChanMutex()},
 		items:       items{available: make(chan struct{})},
 		health:      health{appendLatency: newAppendLatency()},
 	}
 }
 
-// Epoch is the epoch that fences the term.
+// Epoch returns the epoch of the term, which fences earlier terms.
 func (t *Term) Epoch() uint64 { return t.leadership.Epoch }
 
-// Close ends the term: nothing is answered, run or written under its epoch any more.
+// Close ends the term: it no longer responds to requests, runs items or writes records.
 func (t *Term) Close(reason string) {
-	t.life.closeOnce.Do(func() {
+	t.lifecycle.closeOnce.Do(func() {
 		t.process.Node.Log.Info("leadership lost", "epoch", t.leadership.Epoch, "reason", reason)
-		close(t.life.stop)
+		close(t.lifecycle.stop)
 		restoreCollector()
 		t.lock.Lock()
 		defer t.lock.Unlock()
@@ -156,17 +162,17 @@
 	})
 }
 
-// Closed tells whether the term has ended.
+// Closed reports whether the term has ended.
 func (t *Term) Closed() bool {
 	select {
-	case <-t.life.stop:
+	case <-t.lifecycle.stop:
 		return true
 	default:
 		return false
 	}
 }
 
-// notifyLocked wakes everybody who waits for a change. The lock is held.
+// notifyLocked wakes all goroutines that wait for a change. The lock is held.
 func (t *Term) notifyLocked() {
 	close(t.records.changed)
 	t.records.changed = make(chan struct{})
--- a/internal/batch/leader/turnstile.go
+++ b/internal/batch/leader/turnstile.go
@@ -1,16 +1,16 @@
 package leader
 
-// turnstile lets one goroutine at a time through a section that waits for other machines. Whoever
-// waits at it does not hold up the lock that guards the state.
-type turnstile chan struct{}
+// chanMutex is a mutex for a section that waits for other machines. It is separate from the lock that
+// guards the state, so that goroutines waiting for the section do not block that lock.
+type chanMutex chan struct{}
 
-func newTurnstile() turnstile { return make(turnstile, 1) }
+func newChanMutex() chanMutex { return make(chanMutex, 1) }
 
-// Lock waits for the section to be free, and takes it.
-func (t turnstile) Lock() { t <- struct{}{} }
+// Lock waits until the mutex is unlocked, and locks it.
+func (t chanMutex) Lock() { t <- struct{}{} }
 
-// TryLock takes the section if it is free.
-func (t turnstile) TryLock() bool {
+// TryLock locks the mutex if it is unlocked, and reports whether it did.
+func (t chanMutex) TryLock() bool {
 	select {
 	case t <- struct{}{}:
 		return true
@@ -19,5 +19,5 @@
 	}
 }
 
-// Unlock frees the section.
-func (t turnstile) Unlock() { <-t }
+// Unlock unlocks the mutex.
+func (t chanMutex) Unlock() { <-t }
--- a/internal/batch/leader/waitlog.go
+++ b/internal/batch/leader/waitlog.go
@@ -6,39 +6,41 @@
 	"lemonarch/internal/control/register"
 )
 
-// waitLog writes a line each time that those change whom a term waits for.
+// waitLog logs the members that a term is waiting for, each time they change.
 type waitLog struct {
 	term    *Term
 	message string
-	last    string
+	// lastMissing is the list of missing members in the last line.
+	lastMissing string
 }
 
 func (t *Term) newWaitLog(message string) *waitLog { return &waitLog{term: t, message: message} }
 
-// report names the members of the set for which ready says that they are, and those that are
-// waited for.
+// report logs the members of the set for which ready returns true, and the missing ones. It logs
+// nothing if the missing members are the same as in the last line.
 func (w *waitLog) report(ready func(identity string) bool) {
 	t := w.term
 	t.lock.Lock()
 	members := t.records.replicator.Members
 	t.lock.Unlock()
-	var complete, missing []string
+	var readyMembers, missing []string
 	for _, member := range members {
 		if ready(register.Identity(member)) {
-			complete = append(complete, member.Name)
+			readyMembers = append(readyMembers, member.Name)
 		} else {
 			missing = append(missing, member.Name)
 		}
 	}
-	names := strings.Join(missing, ",")
-	if names == w.last {
+	missingNames := strings.Join(missing, ",")
+	if missingNames == w.lastMissing {
 		return
 	}
-	w.last = names
-	t.process.Node.Log.Info(w.message, "epoch", t.leadership.Epoch, "ready", strings.Join(complete, ","), "missing", names)
+	w.lastMissing = missingNames
+	t.process.Node.Log.Info(w.message, "epoch", t.leadership.Epoch, "ready", strings.Join(readyMembers, ","), "missing", missingNames)
 }
 
-// membersWith gives the test of which members have synced all up to an index.
+// membersWith returns a function that reports whether a member has synced all records up to an
+// index.
 func (t *Term) membersWith(index int64) func(identity string) bool {
 	return func(identity string) bool {
 		t.lock.Lock()
--- a/internal/batch/leadership/campaign.go
+++ b/internal/batch/leadership/campaign.go
@@ -11,7 +11,7 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// step does what is due and gives the time until the next step.
+// step performs the next action of the campaign and returns the delay until the next step.
 func (c *Campaign) step() clock.Duration {
 	if current := c.Current(); current != nil {
 		return c.renew(current)
@@ -20,7 +20,7 @@
 	leader, readAt := c.leader, c.register.readAt
 	c.lock.Unlock()
 	now := clock.Now()
-	if leader.at > 0 && now.Sub(leader.at) < leaderTimeout && leader.leadership.Address != c.node.Self.Address {
+	if leader.announcedAt > 0 && now.Sub(leader.announcedAt) < leaderTimeout && leader.leadership.Address != c.node.Self.Address {
 		return constants.TickPeriod * 2
 	}
 	if now.Sub(readAt) > constants.LeaseRenewPeriod || readAt == 0 {
@@ -34,8 +34,8 @@
 	return c.campaign()
 }
 
-// eligible tells whether this process may lead: only a member of the set has all the
-// records, and one that is being retired should not begin anew.
+// eligible reports whether this process may lead. Only members of the store set have all
+// the records, and a member that is being retired should not begin a new term.
 func (c *Campaign) eligible() bool {
 	if c.draining.Load() || c.isYielding() {
 		return false
@@ -57,15 +57,16 @@
 	return false
 }
 
-// campaign asks for the lease, and takes the leadership in the register once a majority
-// grants it. It gives the time until the next step.
+// campaign requests the lease and, once a majority of the acceptors grants it, records the
+// leadership in the register. It returns the delay until the next step.
 func (c *Campaign) campaign() clock.Duration {
 	value := c.Register()
 	backoff := constants.TickPeriod*3 + clock.Duration(rand.Int63n(int64(constants.LeaseRenewPeriod)))
 	sentAt, self := clock.Now(), c.node.Self
 	granted, _ := c.requestLease(messages.LeaseRequest{Candidate: self.Name, Incarnation: self.Incarnation, Epoch: value.Leadership.Epoch}, constants.LeaseRenewPeriod)
 	if !granted {
-		// Two candidates must not keep each other out by halves.
+		// Release the partial grants: two candidates with half of the acceptors each would
+		// block one another.
 		c.ReleaseLease()
 		return backoff
 	}
@@ -83,7 +84,7 @@
 	return constants.TickPeriod
 }
 
-// begin starts the term of a campaign that was won with a lease asked for at sentAt.
+// begin starts the term after a successful campaign. sentAt is when the lease was requested.
 func (c *Campaign) begin(value messages.RegisterValue, sentAt clock.Instant) {
 	next := c.newTerm(value.Leadership, value.Stores)
 	c.lock.Lock()
@@ -99,25 +100,25 @@
 	go next.TakeOver()
 }
 
-// renew begins a round of renewal, and ends a term whose lease has expired. Rounds overlap:
-// while this machine's link is full, an answer takes longer than the time between two rounds,
-// and counts from its request all the same.
+// renew starts a round of lease renewal, or ends the term if its lease has expired. Rounds
+// overlap: while this machine's link is saturated, a response takes longer than the renewal
+// period. A late response is still valid, and extends the lease from the time of its request.
 func (c *Campaign) renew(current Term) clock.Duration {
 	if !c.HoldsLease() {
-		current.Close("the lease expired")
+		current.Close("lease expired")
 		return constants.TickPeriod
 	}
 	go c.renewRound(current)
 	return constants.LeaseRenewPeriod
 }
 
-// renewRound asks the acceptors once to extend the lease of a term.
+// renewRound sends the acceptors one request to extend the lease of a term.
 func (c *Campaign) renewRound(current Term) {
 	sentAt := clock.Now()
 	req := messages.LeaseRequest{Candidate: c.node.Self.Name, Incarnation: c.node.Self.Incarnation, Epoch: current.Epoch()}
 	granted, latest := c.requestLease(req, constants.LeaseDuration-constants.LeaseSafetyMargin)
 	if latest > current.Epoch() {
-		current.Close("the register names a later epoch")
+		current.Close("an acceptor reported a later epoch")
 		return
 	}
 	if !granted || current.Closed() {
@@ -130,8 +131,8 @@
 	}
 }
 
-// ReleaseLease gives the lease back to the acceptors, so that another candidate need not
-// wait for its end.
+// ReleaseLease releases the lease at the acceptors, so that another candidate need not wait
+// until it expires.
 func (c *Campaign) ReleaseLease() {
 	c.lock.Lock()
 	c.lease.Revoke()
@@ -140,9 +141,9 @@
 	c.requestLease(messages.LeaseRequest{Candidate: c.node.Self.Name, Incarnation: c.node.Self.Incarnation, Epoch: epoch, Release: true}, constants.LeaseRenewPeriod)
 }
 
-// requestLease sends a request to every acceptor and tells whether a majority granted it,
-// and the latest epoch that any of them knows. It does not wait for those that stay silent
-// once the others have decided, nor for any longer than timeout.
+// requestLease sends a request to every acceptor. It returns whether a majority granted it,
+// and the latest epoch in the responses. It returns as soon as a majority has granted the
+// request, without waiting for the remaining acceptors; each call is limited to timeout.
 func (c *Campaign) requestLease(req messages.LeaseRequest, timeout clock.Duration) (granted bool, latest uint64) {
 	c.lock.Lock()
 	acceptors := c.register.value.Acceptors
--- a/internal/batch/leadership/firststores.go
+++ b/internal/batch/leadership/firststores.go
@@ -7,25 +7,25 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// firstStores proposes the set of the first start: one store in each zone as far as that
-// goes, as many as tolerate the fault budget. It is empty while further stores, or stores of
-// further zones, may still come.
+// firstStores proposes the initial store set: as many stores as are needed to tolerate the
+// fault budget, spread over as many zones as possible. It returns nil while more stores, or
+// stores in more zones, may still appear.
 func (c *Campaign) firstStores() []messages.Member {
 	size := 2*c.node.Settings.Budget() + 1
 	known := []messages.Member{c.Member()}
-	for _, entry := range c.node.Live(membership.RoleStore) {
-		known = append(known, messages.Member{Name: entry.Name, Disk: entry.Disk, Address: entry.Address, Zone: entry.Zone})
+	for _, store := range c.node.Live(membership.RoleStore) {
+		known = append(known, messages.Member{Name: store.Name, Disk: store.Disk, Address: store.Address, Zone: store.Zone})
 	}
-	waited := clock.Now().Sub(c.node.StartedAt) >= constants.BootstrapWait
-	if !waited && (len(known) < size || countZones(known) < c.firstZones(size)) {
+	waitElapsed := clock.Now().Sub(c.node.StartedAt) >= constants.BootstrapWait
+	if !waitElapsed && (len(known) < size || countZones(known) < c.firstZones(size)) {
 		return nil
 	}
 	return spreadOverZones(known, size)
 }
 
-// firstZones is how many zones the set of the first start should span: all that the settings
-// name, or else as many as tolerate the loss of the zones in the fault budget, and no more than
-// the set has members.
+// firstZones returns how many zones the initial store set should span: all zones listed in the
+// settings or, if none are listed, enough to tolerate the loss of the zones in the fault budget;
+// at most size.
 func (c *Campaign) firstZones(size int) int {
 	zones := len(c.node.Settings.Zones)
 	if zones == 0 {
@@ -42,14 +42,14 @@
 	return len(zones)
 }
 
-// spreadOverZones chooses up to size of the known stores, one of each zone first.
+// spreadOverZones selects up to size of the known stores, first one of each zone, then any.
 func spreadOverZones(known []messages.Member, size int) []messages.Member {
 	var chosen []messages.Member
-	taken, zones := map[string]bool{}, map[string]bool{}
+	selected, zones := map[string]bool{}, map[string]bool{}
 	for _, newZonesOnly := range []bool{true, false} {
 		for _, member := range known {
-			if len(chosen) < size && !taken[member.Name] && (!newZonesOnly || !zones[member.Zone]) {
-				taken[member.Name], zones[member.Zone] = true, true
+			if len(chosen) < size && !selected[member.Name] && (!newZonesOnly || !zones[member.Zone]) {
+				selected[member.Name], zones[member.Zone] = true, true
 				chosen = append(chosen, member)
 			}
 		}
--- a/internal/batch/leadership/firststores_test.go
+++ b/internal/batch/leadership/firststores_test.go
@@ -9,8 +9,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// firstStoresAmong gives the first set that a store proposes just after its start, while it
-// knows so many other stores, one for each zone named.
+// firstStoresAmong returns the initial store set that a newly started store in zone north
+// proposes while it knows one other store for each of the given zones.
 func firstStoresAmong(zones ...string) []messages.Member {
 	c := newCampaign()
 	c.node.Settings.FaultBudget.Machines, c.node.Settings.FaultBudget.Zones = 2, 1
@@ -23,13 +23,13 @@
 	return c.firstStores()
 }
 
-// A first set of stores spans zones: one that a store could propose from the first few that it
-// hears of, nearly all in its own zone, has to wait for others.
+// The initial store set must span zones. A store that at first discovers mostly stores in its own
+// zone must wait for stores in other zones before it proposes a set.
 func TestFirstStoresWaitForFurtherZones(t *testing.T) {
 	if stores := firstStoresAmong("south", "east", "west", "centre"); len(stores) != 5 {
-		t.Fatalf("%d stores of five zones proposed, want 5", len(stores))
+		t.Fatalf("got %d stores proposed from five zones, want 5", len(stores))
 	}
 	if stores := firstStoresAmong("north", "north", "north", "south"); len(stores) != 0 {
-		t.Errorf("proposed four stores of one zone at once: %v", stores)
+		t.Errorf("proposed a set with four stores in one zone without waiting: %v", stores)
 	}
 }
--- a/internal/batch/leadership/leadership.go
+++ b/internal/batch/leadership/leadership.go
@@ -1,8 +1,9 @@
-// Package leadership elects the store that decides on all batch jobs. A candidate asks the
-// acceptors for a lease (package lease), which decides who may try; then it raises the
-// leadership's epoch in the register, which is what fences an earlier leader that overslept
-// its lease. The leader renews the lease and announces itself; a store that is told of no
-// leader for the length of a lease campaigns.
+// Package leadership elects the store process that leads batch processing. A candidate
+// first requests a lease from the acceptors (package lease), which limits campaigning to one
+// candidate at a time. It then increments the leadership's epoch in the register. The epoch is
+// what fences an earlier leader that continues after its lease has expired. The leader renews
+// the lease and sends announcements; a store that receives no announcement for the duration of
+// a lease campaigns.
 package leadership
 
 import (
@@ -16,30 +17,30 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// leaderTimeout is how long a leader may say nothing before others campaign (ours): its
-// lease ends about then anyway.
+// leaderTimeout is how long a store waits for a leader's announcement before it campaigns. A
+// silent leader's lease expires at about the same time.
 const leaderTimeout = constants.LeaseDuration - constants.LeaseSafetyMargin
 
-// Term is the time of one epoch in which this process leads.
+// Term is the period of one epoch during which this process leads.
 type Term interface {
-	// Epoch is the epoch that fences the term.
+	// Epoch returns the epoch of the term, which fences earlier terms.
 	Epoch() uint64
-	// TakeOver makes the term ready to serve; it runs in a goroutine of its own.
+	// TakeOver prepares the term to serve. It is called in its own goroutine.
 	TakeOver()
-	// Close ends the term: nothing is answered, run or written under its epoch any more.
+	// Close ends the term: it no longer responds to requests, runs items or writes records.
 	Close(reason string)
-	// Closed tells whether the term has ended.
+	// Closed reports whether the term has ended.
 	Closed() bool
 }
 
-// Campaign is one store's part in the election. It is safe for concurrent use.
+// Campaign takes part in the election on behalf of one store. It is safe for concurrent use.
 type Campaign struct {
 	node *agent.Agent
-	// newTerm makes the term of this process once it was elected.
+	// newTerm creates the term after this process was elected.
 	newTerm  func(elected messages.Leadership, stores []messages.Member) Term
 	draining atomic.Bool
 
-	// lock guards the fields below. It is not held while a request is under way.
+	// lock guards the fields below. It is not held while a request is in flight.
 	lock     sync.Mutex
 	lease    lease.Lease
 	sequence uint64
@@ -49,21 +50,21 @@
 	yielding yielding
 }
 
-// knownRegister is the register's value as it was last read, without its body.
+// knownRegister is the most recently read value of the register, without its body.
 type knownRegister struct {
 	value messages.RegisterValue
-	// readAt is zero where it has to be read anew.
+	// readAt is when the value was read. Zero means that it has to be read again.
 	readAt clock.Instant
 }
 
-// announcedLeader is who announced itself last.
+// announcedLeader is the leader that was announced most recently.
 type announcedLeader struct {
 	leadership messages.Leadership
-	// at is zero once that leader has resigned.
-	at clock.Instant
+	// announcedAt is when the announcement arrived. It is zero once that leader has resigned.
+	announcedAt clock.Instant
 }
 
-// New makes the campaign of a store process.
+// New returns the campaign of a store process.
 func New(node *agent.Agent, newTerm func(elected messages.Leadership, stores []messages.Member) Term) *Campaign {
 	return &Campaign{node: node, newTerm: newTerm}
 }
@@ -79,16 +80,16 @@
 	}
 }
 
-// Drain has this process campaign no more.
+// Drain stops this process from campaigning.
 func (c *Campaign) Drain() { c.draining.Store(true) }
 
-// Member is this process as one of the store set.
+// Member returns this process as a member of the store set.
 func (c *Campaign) Member() messages.Member {
 	self := c.node.Self
 	return messages.Member{Name: self.Name, Disk: self.Disk, Address: self.Address, Zone: self.Zone}
 }
 
-// Current gives the term of this process that has not ended, or nil.
+// Current returns this process's open term, or nil if it has none.
 func (c *Campaign) Current() Term {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -98,27 +99,27 @@
 	return c.term
 }
 
-// HoldsLease tells whether this process may act as the leader now.
+// HoldsLease reports whether this process has a valid lease and may act as the leader.
 func (c *Campaign) HoldsLease() bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	return c.lease.Valid(clock.Now())
 }
 
-// ObserveEpoch ends this process's term when a later epoch is seen at work.
+// ObserveEpoch ends this process's term if the observed epoch is later than its own.
 func (c *Campaign) ObserveEpoch(epoch uint64) {
 	if current := c.Current(); current != nil && current.Epoch() < epoch {
-		current.Close("a later epoch is at work")
+		current.Close("a later epoch was observed")
 	}
 }
 
-// HandleAnnouncement notes who leads, or that the leader has resigned.
+// HandleAnnouncement records the announced leader, or its resignation.
 func (c *Campaign) HandleAnnouncement(announcement *messages.LeaderAnnouncement) (*messages.Ack, error) {
 	c.lock.Lock()
 	if announcement.Leadership.Epoch >= c.leader.leadership.Epoch {
-		c.leader = announcedLeader{leadership: announcement.Leadership, at: clock.Now()}
+		c.leader = announcedLeader{leadership: announcement.Leadership, announcedAt: clock.Now()}
 		if announcement.Resigned {
-			c.leader.at, c.register.readAt = 0, 0
+			c.leader.announcedAt, c.register.readAt = 0, 0
 		}
 	}
 	c.lock.Unlock()
@@ -126,25 +127,25 @@
 	return &messages.Ack{Accepted: true}, nil
 }
 
-// Announced gives the leadership that was announced last.
+// Announced returns the most recently announced leadership.
 func (c *Campaign) Announced() messages.Leadership {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	return c.leader.leadership
 }
 
-// OtherLeader is the address of another process that announced itself as the leader lately,
-// or nothing.
+// OtherLeader returns the address of another process that announced itself as the leader
+// within the duration of a lease, or an empty string.
 func (c *Campaign) OtherLeader() string {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	if c.leader.at > 0 && clock.Now().Sub(c.leader.at) < constants.LeaseDuration && c.leader.leadership.Address != c.node.Self.Address {
+	if c.leader.announcedAt > 0 && clock.Now().Sub(c.leader.announcedAt) < constants.LeaseDuration && c.leader.leadership.Address != c.node.Self.Address {
 		return c.leader.leadership.Address
 	}
 	return ""
 }
 
-// LeaderAddress is the address of the leader, or nothing.
+// LeaderAddress returns the address of the leader, or an empty string if none is known.
 func (c *Campaign) LeaderAddress() string {
 	if c.Current() != nil {
 		return c.node.Self.Address
@@ -152,7 +153,7 @@
 	return c.OtherLeader()
 }
 
-// LeaderEpoch is the epoch of the leader, as far as this process knows.
+// LeaderEpoch returns the epoch of the leader known to this process.
 func (c *Campaign) LeaderEpoch() uint64 {
 	if current := c.Current(); current != nil {
 		return current.Epoch()
--- a/internal/batch/leadership/register.go
+++ b/internal/batch/leadership/register.go
@@ -10,29 +10,29 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// Register gives the register's value as it was last read, without its body.
+// Register returns the most recently read value of the register, without its body.
 func (c *Campaign) Register() messages.RegisterValue {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	return c.register.value
 }
 
-// SetRegister notes a value that this process has just seen in force.
+// SetRegister caches a register value that this process has just read or written.
 func (c *Campaign) SetRegister(value messages.RegisterValue) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	c.register = knownRegister{value: value, readAt: clock.Now()}
 }
 
-// RegisterAge is how long ago the register was read.
+// RegisterAge returns the time since the register was last read.
 func (c *Campaign) RegisterAge() clock.Duration {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	return clock.Now().Sub(c.register.readAt)
 }
 
-// ReadRegister reads sets and leadership from a controller, and tells whether one answered
-// from a majority.
+// ReadRegister reads the sets and the leadership from a controller. It reports whether a
+// controller responded with a value confirmed by a majority.
 func (c *Campaign) ReadRegister() bool {
 	for _, address := range c.controllers() {
 		resp := &messages.RegisterResponse{}
@@ -45,8 +45,8 @@
 	return false
 }
 
-// ChangeRegister has a controller change the register; known is false where the outcome
-// can't be told.
+// ChangeRegister requests a change of the register from a controller. known is false if the
+// outcome is unknown.
 func (c *Campaign) ChangeRegister(req *messages.RegisterChangeRequest) (resp *messages.RegisterResponse, known bool) {
 	for _, address := range c.controllers() {
 		resp = &messages.RegisterResponse{}
@@ -57,19 +57,19 @@
 	return nil, false
 }
 
-// controllers gives the controllers to ask: those of this zone first, the seeds where none
-// is known.
+// controllers returns the addresses of the controllers in the order in which to call them:
+// those in this zone first. If no controller is known, it returns the seed addresses.
 func (c *Campaign) controllers() []string {
-	var near, far []string
-	for _, entry := range c.node.Live(membership.RoleController) {
-		if entry.Zone == c.node.Self.Zone {
-			near = append(near, entry.Address)
+	var local, remote []string
+	for _, controller := range c.node.Live(membership.RoleController) {
+		if controller.Zone == c.node.Self.Zone {
+			local = append(local, controller.Address)
 		} else {
-			far = append(far, entry.Address)
+			remote = append(remote, controller.Address)
 		}
 	}
-	rand.Shuffle(len(far), func(left, right int) { far[left], far[right] = far[right], far[left] })
-	addresses := append(near, far...)
+	rand.Shuffle(len(remote), func(left, right int) { remote[left], remote[right] = remote[right], remote[left] })
+	addresses := append(local, remote...)
 	if len(addresses) == 0 {
 		return c.node.Settings.SeedAddresses(constants.PortController)
 	}
--- a/internal/batch/leadership/renew_test.go
+++ b/internal/batch/leadership/renew_test.go
@@ -18,9 +18,9 @@
 func (t *openTerm) Close(string)  { t.closed.Store(true) }
 func (t *openTerm) Closed() bool  { return t.closed.Load() }
 
-// leadThrough has a campaign hold the lease of one acceptor that answers after a time, and
-// tells whether it still leads after three leases.
-func leadThrough(t *testing.T, delay clock.Duration) bool {
+// leadsWithResponseDelay runs a campaign whose single acceptor responds after a delay, and
+// reports whether it still leads after three lease durations.
+func leadsWithResponseDelay(t *testing.T, delay clock.Duration) bool {
 	t.Helper()
 	c, network := newCampaign(), transport.NewMemoryNetwork()
 	c.node.Transport = network.Transport("m")
@@ -40,13 +40,13 @@
 	return !term.Closed()
 }
 
-// A leader whose link is full gets its answers late, and goes on leading while they come
-// within its lease; answers that come after it are of no use.
-func TestLateAnswersRenewTheLease(t *testing.T) {
-	if !leadThrough(t, 2*constants.LeaseRenewPeriod) {
-		t.Error("the lease expired although each answer came within it")
+// A leader with a saturated link receives lease responses late. It must keep leading while they
+// arrive within the lease duration, and must stop if they arrive after it.
+func TestLateResponsesRenewTheLease(t *testing.T) {
+	if !leadsWithResponseDelay(t, 2*constants.LeaseRenewPeriod) {
+		t.Error("lease expired although each response arrived within its duration")
 	}
-	if leadThrough(t, constants.LeaseDuration) {
-		t.Error("leads by answers that came after the lease")
+	if leadsWithResponseDelay(t, constants.LeaseDuration) {
+		t.Error("still leads although the responses arrived after the lease had expired")
 	}
 }
--- a/internal/batch/leadership/slowness.go
+++ b/internal/batch/leadership/slowness.go
@@ -10,20 +10,23 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// slowness follows how quickly this machine works: the time of a fixed piece of work,
-// against the shortest that it ever took here. A step function without a clock.
+// slowness detects a slow machine: it compares the recent run times of a fixed workload with
+// the shortest run time on this machine so far. It has no clock of its own.
 type slowness struct {
-	best   clock.Duration
+	// fastest is the shortest run time so far.
+	fastest clock.Duration
+	// recent contains the last constants.SlownessWindow run times.
 	recent []clock.Duration
 }
 
-// note takes a new time. A single long one says nothing: the collector may have run.
-func (s *slowness) note(took clock.Duration) {
+// observe adds a run time. A single long one is no evidence of a slow machine, since a garbage
+// collection may have run.
+func (s *slowness) observe(took clock.Duration) {
 	if took <= 0 {
 		return
 	}
-	if s.best == 0 || took < s.best {
-		s.best = took
+	if s.fastest == 0 || took < s.fastest {
+		s.fastest = took
 	}
 	s.recent = append(s.recent, took)
 	if len(s.recent) > constants.SlownessWindow {
@@ -31,12 +34,13 @@
 	}
 }
 
-// slow tells whether even the shortest of the latest times is far above the best.
-func (s *slowness) slow() bool {
-	return len(s.recent) >= constants.SlownessWindow && slices.Min(s.recent) > constants.SlownessFactor*s.best
+// isSlow reports whether even the shortest recent run time exceeds the fastest one by more than
+// constants.SlownessFactor.
+func (s *slowness) isSlow() bool {
+	return len(s.recent) >= constants.SlownessWindow && slices.Min(s.recent) > constants.SlownessFactor*s.fastest
 }
 
-// workload is the fixed piece of work, a few tens of microseconds long.
+// workload is the input of the measured work. Hashing it takes a few tens of microseconds.
 var workload [32 << 10]byte
 
 func measureWorkload() clock.Duration {
@@ -46,45 +50,45 @@
 	return clock.Now().Sub(start)
 }
 
-// yielding is whether this process leaves the leadership to others for now.
+// yielding is the state that decides whether this process leaves the leadership to others.
 type yielding struct {
 	slowness slowness
-	// until is when a process whose own store lagged may lead again.
+	// until is when this process may lead again after its own store lagged.
 	until clock.Instant
-	// resignedAt is when it last left the leadership to others for being slow.
+	// resignedAt is when this process last yielded the leadership because it was slow.
 	resignedAt clock.Instant
 }
 
-// recentlyResigned tells whether it left the leadership within a duration.
+// recentlyResigned reports whether this process yielded the leadership within a duration.
 func (y *yielding) recentlyResigned(now clock.Instant, within clock.Duration) bool {
 	return y.resignedAt > 0 && now.Sub(y.resignedAt) < within
 }
 
-// MeasureSlowness measures this machine now and then, until the process stops.
+// MeasureSlowness runs the workload every constants.SlownessPeriod until the process stops.
 func (c *Campaign) MeasureSlowness() {
 	clock.Every(constants.SlownessPeriod, c.node.Stop, func() {
 		took := measureWorkload()
 		c.lock.Lock()
-		c.yielding.slowness.note(took)
+		c.yielding.slowness.observe(took)
 		c.lock.Unlock()
 	})
 }
 
-// SlownessSlow is the word in the first column of ReportSlowness where a machine is slow;
-// earlier versions read it.
+// SlownessSlow is the value of the first column of ReportSlowness on a slow machine. It must
+// not change, since earlier versions read it.
 const SlownessSlow = "slow"
 
-// ReportSlowness says whether this machine is slow now: whoever looks for a store to copy
-// everything to asks it first.
+// ReportSlowness returns whether this machine is currently slow. The leader requests this
+// report from a store before it selects that store as a joiner.
 func (c *Campaign) ReportSlowness() *messages.StatusResponse {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	word := "usual"
-	if c.yielding.slowness.slow() {
-		word = SlownessSlow
+	state := "usual"
+	if c.yielding.slowness.isSlow() {
+		state = SlownessSlow
 	}
-	best := strconv.FormatInt(c.yielding.slowness.best.Microseconds(), 10)
-	return &messages.StatusResponse{Columns: []string{"pace", "best-us"}, Rows: [][]string{{word, best}}}
+	fastest := strconv.FormatInt(c.yielding.slowness.fastest.Microseconds(), 10)
+	return &messages.StatusResponse{Columns: []string{"pace", "best-us"}, Rows: [][]string{{state, fastest}}}
 }
 
 // YieldUntil keeps this process from leading until an instant.
@@ -94,20 +98,21 @@
 	c.yielding.until = until
 }
 
-// isYielding tells whether YieldUntil holds now.
+// isYielding reports whether the instant set by YieldUntil is still in the future.
 func (c *Campaign) isYielding() bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	return clock.Now() < c.yielding.until
 }
 
-// ShouldResign tells whether the leader should leave the leadership to others: its machine
-// or, as the caller found, its disk is far slower than usual, and it has not done so only
-// just, so that a leadership that is slow everywhere does not wander.
+// ShouldResign reports whether the leader should leave the leadership to others because its
+// machine is slow or, as determined by the caller, its disk is. It returns false if this process
+// has resigned within constants.ResignBackoff, so that the leadership does not keep moving when
+// all machines are slow.
 func (c *Campaign) ShouldResign(diskSlow bool, now clock.Instant) bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	slow := diskSlow || c.yielding.slowness.slow()
+	slow := diskSlow || c.yielding.slowness.isSlow()
 	if !slow || c.yielding.recentlyResigned(now, constants.ResignBackoff) {
 		return false
 	}
@@ -115,12 +120,13 @@
 	return true
 }
 
-// yields tells whether this process leaves the leadership to others for now: it has just
-// resigned, or its machine is slow and it has not yielded for long.
+// yields reports whether this process currently leaves the leadership to others: it has
+// resigned within constants.YieldTime, or its machine is slow and it has not yielded within
+// constants.ResignBackoff.
 func (c *Campaign) yields(now clock.Instant) bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	if c.yielding.slowness.slow() && !c.yielding.recentlyResigned(now, constants.ResignBackoff) {
+	if c.yielding.slowness.isSlow() && !c.yielding.recentlyResigned(now, constants.ResignBackoff) {
 		c.yielding.resignedAt = now
 	}
 	return c.yielding.recentlyResigned(now, constants.YieldTime)
--- a/internal/batch/leadership/slowness_test.go
+++ b/internal/batch/leadership/slowness_test.go
@@ -14,9 +14,9 @@
 	"lemonarch/internal/platform/settings"
 )
 
-// Noise, a collector's pause and a slow start make no slow machine; seven times
-// longer at a stretch does, and it ends with the trouble.
-func TestSlownessOfAMachine(t *testing.T) {
+// Noise and garbage collection pauses must not make a machine count as slow. A run time that
+// stays seven times longer must, until the run time is normal again.
+func TestSlownessDetection(t *testing.T) {
 	for seed := int64(1); seed <= 50; seed++ {
 		random, s := rand.New(rand.NewSource(seed)), &slowness{}
 		took := func(factor float64) clock.Duration {
@@ -27,80 +27,80 @@
 			return clock.Duration(factor * noise * 60_000)
 		}
 		for step := 0; step < 400; step++ {
-			s.note(took(1))
-			// Four long times in a row by chance are rarer than one in a thousand.
-			if s.slow() && step%97 == 0 {
-				t.Fatalf("seed %d: slow without a cause at %d", seed, step)
+			s.observe(took(1))
+			// The probability of four long run times in a row by chance is below one in a thousand.
+			if s.isSlow() && step%97 == 0 {
+				t.Fatalf("seed %d: machine reported as slow at step %d, want not slow", seed, step)
 			}
 		}
 		for step := 0; step < constants.SlownessWindow; step++ {
-			s.note(took(7))
+			s.observe(took(7))
 		}
-		if !s.slow() {
-			t.Fatalf("seed %d: not seen", seed)
+		if !s.isSlow() {
+			t.Fatalf("seed %d: slow machine not detected", seed)
 		}
 		for step := 0; step < 3*constants.SlownessWindow; step++ {
-			s.note(clock.Duration(70_000))
+			s.observe(clock.Duration(70_000))
 		}
-		if s.slow() {
-			t.Fatalf("seed %d: still slow", seed)
+		if s.isSlow() {
+			t.Fatalf("seed %d: machine still reported as slow after recovery", seed)
 		}
 	}
 }
 
-// newCampaign makes the campaign of a store that asks nobody.
+// newCampaign returns the campaign of a store that sends no requests.
 func newCampaign() *Campaign {
 	nodeSettings := &settings.Settings{NodeName: "m", Address: "10.0.0.1", InternalPorts: []int{1, 9}, HeartbeatMs: 1200}
 	return New(agent.New(nodeSettings, "store", 2, "disk", hclog.NewNullLogger()), nil)
 }
 
-// slowDown makes a machine look slow to itself.
+// slowDown feeds the campaign run times of a slow machine.
 func slowDown(c *Campaign) {
 	c.yielding.slowness = slowness{}
-	c.yielding.slowness.note(10_000)
+	c.yielding.slowness.observe(10_000)
 	for step := 0; step < constants.SlownessWindow; step++ {
-		c.yielding.slowness.note(90_000)
+		c.yielding.slowness.observe(90_000)
 	}
 }
 
-// A slow leader resigns once, leaves the leadership to others for a while, and then takes
-// part again although it is still slow.
+// A slow leader must resign once, yield for constants.YieldTime, and then campaign again
+// although it is still slow.
 func TestSlowMachineResignsOnce(t *testing.T) {
 	c := newCampaign()
 	now := clock.Instant(1_000_000_000)
 	if c.ShouldResign(false, now) || c.yields(now) {
-		t.Fatal("resigned without a cause")
+		t.Fatal("process that is not slow resigned or yielded")
 	}
 	slowDown(c)
 	if !c.ShouldResign(false, now) || c.ShouldResign(false, now.Add(clock.Milliseconds(100))) {
-		t.Fatal("resigns never, or again at once")
+		t.Fatal("want a resignation, and no second one within the backoff")
 	}
 	if !c.yields(now.Add(constants.YieldTime/2)) || c.yields(now.Add(constants.YieldTime)) {
-		t.Fatal("does not hold back, or for too long")
+		t.Fatal("want yielding until YieldTime has passed, and not after")
 	}
 	if !c.ShouldResign(false, now.Add(constants.ResignBackoff)) {
-		t.Fatal("never resigns again")
+		t.Fatal("does not resign again after ResignBackoff")
 	}
-	// A slow disk is a cause as well.
+	// A slow disk also causes a resignation.
 	c.yielding.slowness = slowness{}
 	if !c.ShouldResign(true, now.Add(5*constants.ResignBackoff)) {
-		t.Fatal("kept the leadership on a slow disk")
+		t.Fatal("does not resign although its disk is slow")
 	}
 }
 
-// A leader that resigned for its slow disk does not campaign at once.
+// A leader that resigned because its disk lagged must not campaign again at once.
 func TestYieldingStoreIsNotEligible(t *testing.T) {
 	c := newCampaign()
 	c.register.value.Stores = []messages.Member{c.Member()}
 	if !c.eligible() || register.Identity(c.Member()) == "" {
-		t.Fatal("a member of the set is not eligible")
+		t.Fatal("member of the store set is not eligible")
 	}
 	c.YieldUntil(clock.Now().Add(clock.Milliseconds(60_000)))
 	if c.eligible() {
-		t.Fatal("it campaigns again")
+		t.Fatal("yielding store is eligible")
 	}
 	c.YieldUntil(clock.Now())
 	if !c.eligible() {
-		t.Fatal("it yields for ever")
+		t.Fatal("store is not eligible after its yield time has passed")
 	}
 }
