--- a/internal/batch/leader/addmember.go
+++ b/internal/batch/leader/addmember.go
@@ -47,8 +47,8 @@
 
 // syncJoiners copies records to all joiners concurrently. It returns the replacements whose joiners
 // are complete, and stops sending records to the others. Once one joiner is complete, the others
-// get the same time again plus constants.JoinerWait: it is better to complete the set by some
-// joiners soon, and what was copied to the others is kept for a later attempt.
+// get the same time again plus constants.JoinerWait. A set that lacks one copy is closer to complete
+// than one that lacks two, and what was copied to the others is kept for a later attempt.
 func (t *Term) syncJoiners(replacements []replacement) (complete []replacement) {
 	targets, ended, timeout := make([]int64, len(replacements)), make(chan int, len(replacements)), NewCopyDeadline()
 	start := clock.Now()
@@ -76,7 +76,7 @@
 			complete = append(complete, change)
 			continue
 		}
-		t.process.Node.Log.Warn("store set not changed: joiner did not catch up", "in", change.in.Name, "records", targets[i])
+		t.process.Node.Log.Warn("joiner not added to the store set", "in", change.in.Name, "records", targets[i])
 		t.lock.Lock()
 		t.stopFeed(change.in)
 		t.lock.Unlock()
--- a/internal/batch/leader/itemcount.go
+++ b/internal/batch/leader/itemcount.go
@@ -8,11 +8,12 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// objectsPerItem is how many objects of JSON an item has: itself, and its headers.
+// objectsPerItem is the number of JSON objects in an item: the item itself and its headers.
 const objectsPerItem = 2
 
-// namesTooMany tells whether a job has more items than it may, without holding them all: a body of
-// allowed length may name a million. Of most jobs the number of braces shows that they don't.
+// exceedsItemLimit reports whether a job has more than constants.JobItemsMax items. It does not keep
+// them in memory, since a body of permitted size may contain a million. For most jobs, counting the
+// braces is enough to show that the limit is not exceeded.
 func exceedsItemLimit(body []byte) bool {
 	if bytes.Count(body, []byte{'{'}) <= 1+objectsPerItem*constants.JobItemsMax {
 		return false
@@ -20,17 +21,17 @@
 	counted := struct {
 		Requests countedList `json:"requests"`
 	}{}
-	// What can't be read is found, and named, where the job is parsed.
+	// Other errors are ignored here: parseJob finds and reports them.
 	return errors.Is(json.Unmarshal(body, &counted), errTooManyItems)
 }
 
-// errTooManyItems ends the count of a list.
+// errTooManyItems stops the count of a list.
 var errTooManyItems = errors.New("too many items")
 
-// countedList is a list that is counted up to the most items of a job, and not kept.
+// countedList is a JSON list whose elements are counted up to constants.JobItemsMax and discarded.
 type countedList struct{}
 
-// UnmarshalJSON counts the elements.
+// UnmarshalJSON counts the elements. It returns errTooManyItems if there are too many.
 func (*countedList) UnmarshalJSON(text []byte) error {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	if token, err := decoder.Token(); err != nil || token != json.Delim('[') {
--- a/internal/batch/leader/jobcalls.go
+++ b/internal/batch/leader/jobcalls.go
@@ -9,29 +9,29 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// reason is the body of an answer that says why.
+// errorBody returns the body of an error response.
 func errorBody(text string) []byte {
-	// A map of strings can always be encoded.
+	// Encoding a map of strings can't fail.
 	body, _ := json.Marshal(map[string]string{"error": text})
 	return body
 }
 
-// OutcomeUnknown is the answer to a call that may or may not take effect.
+// OutcomeUnknown returns the response to a call that may or may not take effect.
 func OutcomeUnknown() *messages.JobCallResponse {
 	return errorResponse(http.StatusGatewayTimeout, "outcome unknown")
 }
 
-// refuse is an answer with a status and the reason for it.
+// errorResponse returns a response with a status and an error text.
 func errorResponse(status int, text string) *messages.JobCallResponse {
 	return &messages.JobCallResponse{Status: status, Body: errorBody(text)}
 }
 
-// methodItem is the method of a call for the body of one item; the other calls have the
-// method of the client's request.
+// methodItem is the method of a call that reads the body of one item. Calls on behalf of clients
+// have the method of the client's request.
 const methodItem = "ITEM"
 
-// Serve answers a client's call on a job under this epoch. NotLeader in the response means
-// that nothing was taken.
+// Serve handles a call on a job in this epoch. NotLeader in the response means that the call had no
+// effect.
 func (t *Term) Serve(call *messages.JobCallRequest) *messages.JobCallResponse {
 	if !t.waitServing(constants.RoundTimeout) {
 		return &messages.JobCallResponse{NotLeader: true}
@@ -49,7 +49,7 @@
 	return t.readJob(call)
 }
 
-// waitServing waits until the takeover is complete, and tells whether this process leads.
+// waitServing waits until the takeover is complete, and reports whether this process leads.
 func (t *Term) waitServing(timeout clock.Duration) bool {
 	end := clock.Now().Add(timeout)
 	for {
@@ -69,7 +69,7 @@
 	}
 }
 
-// readJob gives results from a position on, waiting for one where asked to.
+// readJob returns results from a position on. If there are none yet, it waits for up to call.WaitMs.
 func (t *Term) readJob(call *messages.JobCallRequest) *messages.JobCallResponse {
 	end := clock.Now().Add(clock.Milliseconds(float64(call.WaitMs)))
 	for {
@@ -93,7 +93,7 @@
 	}
 }
 
-// endJob ends a job for good.
+// endJob ends a job permanently.
 func (t *Term) endJob(call *messages.JobCallRequest) *messages.JobCallResponse {
 	t.lock.Lock()
 	job := t.jobs.Job(call.Job)
@@ -105,7 +105,7 @@
 		t.lock.Unlock()
 		return &messages.JobCallResponse{Status: http.StatusOK, Body: []byte("{}")}
 	}
-	// Nothing of it is begun any more, and what runs is broken off at once.
+	// No item of the job is started any more, and running items are cancelled immediately.
 	t.submissions.ending[job.ID] = true
 	t.stopJobRuns(job)
 	index := t.appendRecord(messages.Record{Kind: messages.RecordJobEnd, Job: job.ID})
@@ -116,17 +116,17 @@
 	return &messages.JobCallResponse{Status: http.StatusOK, Body: []byte("{}")}
 }
 
-// forget drops jobs whose time is over, so that files can be rewritten.
+// forgetExpiredJobs drops the jobs whose retention period is over, so that the log can be compacted.
 func (t *Term) forgetExpiredJobs() {
 	if !t.process.Election.HoldsLease() {
 		return
 	}
-	keep := clock.Milliseconds(t.process.Node.Settings.Tolerances.StatusS * 1000)
+	retention := clock.Milliseconds(t.process.Node.Settings.Tolerances.StatusS * 1000)
 	wall, now := clock.WallNanos()/1_000_000, clock.Now()
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	for _, job := range t.jobs.Jobs() {
-		if !job.Open() && job.OlderThan(keep, wall, now) && !t.submissions.forgetting[job.ID] && job.PendingListings() == 0 {
+		if !job.Open() && job.OlderThan(retention, wall, now) && !t.submissions.forgetting[job.ID] && job.PendingListings() == 0 {
 			t.submissions.forgetting[job.ID] = true
 			t.appendRecord(messages.Record{Kind: messages.RecordForget, Job: job.ID})
 		}
--- a/internal/batch/leader/lag.go
+++ b/internal/batch/leader/lag.go
@@ -6,9 +6,9 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// watchOwnLag gives the leadership up when our own disk lags what the other stores sync by
-// far: reads of jobs come from it, and a later takeover would have to wait for it.
-// Records don't: they are durable with the fastest f+1.
+// watchOwnLag resigns the leadership when this process's own disk lags far behind the other stores.
+// Jobs are read from that disk, and a later takeover would have to wait for it. Commits do not
+// depend on it: a record is durable once the fastest f+1 stores have synced it.
 func (t *Term) watchOwnLag() {
 	own := register.Identity(t.process.Election.Member())
 	clock.Every(constants.LeaseRenewPeriod, t.lifecycle.stop, func() {
@@ -21,7 +21,7 @@
 			return
 		}
 		t.process.Election.YieldUntil(now.Add(constants.LagYieldTime))
-		t.Close("own store lags the others")
+		t.Close("own store lags behind the others")
 		t.Resign()
 	})
 }
--- a/internal/batch/leader/latency.go
+++ b/internal/batch/leader/latency.go
@@ -8,8 +8,10 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// appendLatency follows, for the leader, how long each store takes over an order to append.
+// appendLatency tracks, for the leader, how long each store takes to handle an append request.
 type appendLatency struct {
+	// means maps the identity of a store to its moving average in ms, and counts to the number of
+	// observations.
 	means  map[string]float64
 	counts map[string]int
 }
@@ -18,7 +20,7 @@
 	return appendLatency{means: map[string]float64{}, counts: map[string]int{}}
 }
 
-// note takes a new time of a store, in ms.
+// observe adds the duration of a store's append request, in ms.
 func (l *appendLatency) observe(identity string, took float64) {
 	l.counts[identity]++
 	if l.counts[identity] == 1 {
@@ -28,9 +30,9 @@
 	l.means[identity] += constants.LagWeight * (took - l.means[identity])
 }
 
-// behind tells whether a store's disk is far slower than the usual one of the
-// others. Its own disk answers a leader without a link in between, so a long time
-// is the disk's.
+// isSlow reports whether a store's disk is far slower than the median of the others. The leader
+// uses it for its own store: requests to that store do not cross a link, so a long duration is
+// caused by the disk.
 func (l *appendLatency) isSlow(identity string) bool {
 	var others []float64
 	for name, mean := range l.means {
@@ -42,19 +44,19 @@
 		return false
 	}
 	slices.Sort(others)
-	usual := others[len(others)/2]
-	return l.means[identity] > constants.LagFactor*usual && l.means[identity] > constants.LagFloorMs
+	median := others[len(others)/2]
+	return l.means[identity] > constants.LagFactor*median && l.means[identity] > constants.LagFloorMs
 }
 
-// noteAppendLatency notes how long a store took over an order.
+// observeAppendLatency records how long a store took to handle an append request.
 func (t *Term) observeAppendLatency(identity string, took clock.Duration) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.health.appendLatency.observe(identity, clock.ToMilliseconds(took))
 }
 
-// tooSlow tells whether this process should leave the leadership to others: its machine or
-// its disk is far slower than usual, and others are there to take it.
+// tooSlow reports whether this process should leave the leadership to others: its machine or its
+// disk is far slower than usual, and there are other members that can lead.
 func (t *Term) tooSlow(now clock.Instant) bool {
 	t.lock.Lock()
 	diskSlow := t.health.appendLatency.isSlow(register.Identity(t.process.Election.Member()))
--- a/internal/batch/leader/outputs.go
+++ b/internal/batch/leader/outputs.go
@@ -10,7 +10,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// outputPage is the answer to a read of a job (PROTOCOL, lots).
+// outputPage is the response to a read of a job (PROTOCOL, lots).
 type outputPage struct {
 	Sum     int           `json:"sum"`
 	Next    int           `json:"next-token"`
@@ -30,7 +30,7 @@
 	phaseAbandoned = "abandoned"
 )
 
-// page gives results from a position on, up to constants.PageBytes.
+// page returns the results from a position on, limited to constants.PageBytes but at least one.
 func (t *Term) page(total, cursor int, listings []dispatch.Listing) *messages.JobCallResponse {
 	page := outputPage{Sum: total, Next: cursor, Outputs: []outputEntry{}}
 	size := 0
@@ -57,7 +57,8 @@
 	return &messages.JobCallResponse{Status: http.StatusOK, Body: body}
 }
 
-// output gives an output's text: from memory while it is new, else from disk.
+// output returns the text of an output, from memory if its record is still there and from disk
+// otherwise.
 func (t *Term) output(index int64) ([]byte, error) {
 	t.lock.Lock()
 	if record := t.recentAt(index); record != nil {
@@ -73,7 +74,7 @@
 	return outputcodec.Decompress(record.Body, record.Compressed)
 }
 
-// itemBody gives the body of an item as it was submitted.
+// itemBody returns the body of an item as submitted.
 func (t *Term) itemBody(call *messages.JobCallRequest) *messages.JobCallResponse {
 	t.lock.Lock()
 	job := t.jobs.Job(call.Job)
@@ -89,7 +90,7 @@
 	body, index := item.Body, job.Index
 	t.lock.Unlock()
 	if body == nil {
-		// It is listed, or its job has ended: the body is still in the job's record.
+		// The item is listed or its job has ended. The body is still in the job's record.
 		var err error
 		if body, err = t.submittedBody(index, call.Item); err != nil {
 			return errorResponse(http.StatusServiceUnavailable, "body can't be read now")
--- a/internal/batch/leader/reconcile.go
+++ b/internal/batch/leader/reconcile.go
@@ -10,9 +10,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// reconcileSet keeps the store set complete: a member that is to be emptied, that came back
-// with an empty disk, or that stays silent is replaced by one that first gets a copy of
-// everything.
+// reconcileSet keeps the store set complete. A member that is retired, returned with an empty disk,
+// or stays silent is replaced by a store that first receives a copy of all records.
 func (t *Term) reconcileSet() {
 	process := t.process
 	if !process.Election.HoldsLease() {
@@ -22,7 +21,7 @@
 	members, busy := t.records.replicator.Members, t.records.replicator.Next != nil
 	t.lock.Unlock()
 	if t.tooSlow(clock.Now()) {
-		t.Close("this machine or its disk is slow")
+		t.Close("own machine or disk is slow")
 		t.Resign()
 		return
 	}
@@ -38,8 +37,8 @@
 		retired[name] = true
 	}
 	if retired[process.Node.Self.Name] {
-		// Another has to lead the way out: this machine's copies go elsewhere.
-		t.Close("this machine is to be emptied")
+		// Another process has to lead the change that moves this machine's copies elsewhere.
+		t.Close("own machine is retired")
 		t.Resign()
 		return
 	}
@@ -51,8 +50,8 @@
 	replacements := []replacement{{out, *joiner}}
 	switch {
 	case out == nil:
-		// All that are lacking join in one change: each second in which the set is too small
-		// counts against the fault budget.
+		// All missing members join in one change, because the set tolerates fewer faults than
+		// the fault budget for as long as it is too small.
 		replacements = process.fillReplacements(members, entries, retired)
 	case out.Name == joiner.Name:
 		replacements = replacements[:0]
@@ -65,17 +64,17 @@
 	t.changeSet(replacements)
 }
 
-// checkRegisterSet writes a line where the register names another store set for this term than
-// the one by which it counts copies.
+// checkRegisterSet logs an error if the store set in the register, under this term's epoch, differs
+// from the set that this term uses to count copies.
 func (t *Term) checkRegisterSet(members []messages.Member) {
 	value := t.process.Election.Register()
 	if value.Leadership.Epoch != t.leadership.Epoch || register.SameMembers(value.Stores, members) {
 		return
 	}
-	t.process.Node.Log.Error("store set differs from the register's", "epoch", t.leadership.Epoch, "counted", len(members), "named", len(value.Stores))
+	t.process.Node.Log.Error("store set differs from the one in the register", "epoch", t.leadership.Epoch, "counted", len(members), "named", len(value.Stores))
 }
 
-// storeEntries gives the stores that are known, by name.
+// storeEntries returns the known stores by name.
 func (p *Process) storeEntries() map[string]messages.NodeInfo {
 	entries := map[string]messages.NodeInfo{}
 	for _, entry := range p.Node.All(membership.RoleStore) {
@@ -84,45 +83,46 @@
 	return entries
 }
 
-// fillers gives the stores that make a set complete which is too small, the best first. Slow
-// ones are left out.
+// fillReplacements returns the stores to be added to a set that is too small, the best first. It
+// skips slow stores and deletes them from entries.
 func (p *Process) fillReplacements(members []messages.Member, entries map[string]messages.NodeInfo, retired map[string]bool) []replacement {
-	var fillers []replacement
+	var additions []replacement
 	set := p.storeSet(slices.Clone(members), entries, retired, nil)
 	for {
 		_, joiner := set.fill()
 		if joiner == nil {
-			return fillers
+			return additions
 		}
 		if p.isSlow(*joiner) {
 			delete(entries, joiner.Name)
 			continue
 		}
 		set.members = append(set.members, *joiner)
-		fillers = append(fillers, replacement{nil, *joiner})
+		additions = append(additions, replacement{nil, *joiner})
 	}
 }
 
-// replacement puts a joiner into a member's place, or adds it where out is nil.
+// replacement is a change that replaces the member out by the joiner in, or adds the joiner if out is
+// nil.
 type replacement struct {
 	out *messages.Member
 	in  messages.Member
 }
 
-// withReplacements gives the set after the swaps.
+// withReplacements returns the set after the replacements.
 func withReplacements(members []messages.Member, replacements []replacement) []messages.Member {
 	next := make([]messages.Member, 0, len(members)+1)
 	for _, member := range members {
-		stays := true
-		for _, s := range replacements {
-			stays = stays && (s.out == nil || register.Identity(member) != register.Identity(*s.out))
+		remains := true
+		for _, change := range replacements {
+			remains = remains && (change.out == nil || register.Identity(member) != register.Identity(*change.out))
 		}
-		if stays {
+		if remains {
 			next = append(next, member)
 		}
 	}
-	for _, s := range replacements {
-		next = append(next, s.in)
+	for _, change := range replacements {
+		next = append(next, change.in)
 	}
 	return next
 }
--- a/internal/batch/leader/records.go
+++ b/internal/batch/leader/records.go
@@ -7,18 +7,18 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// records are the term's records on their way to the stores.
+// records is the state of replicating the term's records.
 type records struct {
 	replicator *replication.Replicator
-	// recent are those that are not yet committed and applied and on this process's disk.
+	// recent are the records that are not yet committed, applied and synced to this process's disk.
 	recent []messages.Record
-	// applied is the index up to which records are in the job table.
+	// applied is the index up to which records are applied to the job table.
 	applied int64
-	// changed closes at the next change that somebody may wait for.
+	// changed is closed and replaced at each change that a goroutine may wait for.
 	changed chan struct{}
 }
 
-// appendRecord makes a record and has it copied. The lock is held.
+// appendRecord appends a record to be replicated, and returns its index. The lock is held.
 func (t *Term) appendRecord(record messages.Record) int64 {
 	record.Index, record.Epoch = t.records.replicator.NextIndex(), t.leadership.Epoch
 	t.records.recent = append(t.records.recent, record)
@@ -26,15 +26,15 @@
 	return record.Index
 }
 
-// awaitCommit waits until a record is durable; false when that can't be known.
+// awaitCommit waits until a record is committed. It returns false if the outcome is unknown.
 func (t *Term) awaitCommit(index int64, timeout clock.Duration) bool {
 	timer := clock.NewTimer(timeout)
 	defer timer.Stop()
 	for {
 		t.lock.Lock()
-		done, changed := t.records.replicator.CommitIndex() >= index, t.records.changed
+		committed, changed := t.records.replicator.CommitIndex() >= index, t.records.changed
 		t.lock.Unlock()
-		if done {
+		if committed {
 			return !t.Closed()
 		}
 		select {
@@ -47,7 +47,7 @@
 	}
 }
 
-// recentAt gives a record that is still in memory. The lock is held.
+// recentAt returns the record at an index, or nil if it is not in memory. The lock is held.
 func (t *Term) recentAt(index int64) *messages.Record {
 	if len(t.records.recent) == 0 {
 		return nil
@@ -59,7 +59,8 @@
 	return &t.records.recent[i]
 }
 
-// handleMatch notes a store's progress and applies what became durable.
+// handleMatch records the index up to which a store has synced, and applies the records that became
+// durable.
 func (t *Term) handleMatch(identity string, index int64) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -71,7 +72,7 @@
 	t.notifyLocked()
 }
 
-// applyCommittedLocked applies to the job table what is committed.
+// applyCommittedLocked applies the committed records to the job table. The lock is held.
 func (t *Term) applyCommittedLocked() {
 	for t.records.applied < t.records.replicator.CommitIndex() {
 		record := t.recentAt(t.records.applied + 1)
@@ -79,7 +80,7 @@
 			return
 		}
 		if err := t.jobs.Apply(record); err != nil {
-			t.process.Node.Log.Error("record not applied", "err", err.Error())
+			t.process.Node.Log.Error("failed to apply record", "err", err.Error())
 		}
 		if record.Kind == messages.RecordJob {
 			t.jobCommittedLocked(record.Job)
@@ -88,7 +89,8 @@
 	}
 }
 
-// jobCommittedLocked notes that a job's first record is durable: it may be dispatched.
+// jobCommittedLocked makes a job available for dispatch after its first record was committed. The
+// lock is held.
 func (t *Term) jobCommittedLocked(jobID string) {
 	delete(t.submissions.submitting, jobID)
 	delete(t.submissions.quota.pending, jobID)
@@ -99,8 +101,8 @@
 	t.wakeExecutorsLocked()
 }
 
-// trimRecentLocked gives back the records that are durable and on our own disk; a store that
-// lags further behind is fed from there.
+// trimRecentLocked drops the records that are committed, applied and on this process's own disk. A
+// store that lags further behind is sent records from that disk. The lock is held.
 func (t *Term) trimRecentLocked() {
 	own := t.records.replicator.MatchIndex(register.Identity(t.process.Election.Member()))
 	keep := min(own, t.records.applied)
@@ -113,7 +115,7 @@
 	}
 }
 
-// CommitIndex is the index up to which records are committed.
+// CommitIndex returns the index up to which records are committed.
 func (t *Term) CommitIndex() int64 {
 	t.lock.Lock()
 	defer t.lock.Unlock()
--- a/internal/batch/leader/report.go
+++ b/internal/batch/leader/report.go
@@ -14,29 +14,29 @@
 	return strconv.FormatInt(int64(value), 10)
 }
 
-// Leadership is the leadership of this term.
+// Leadership returns the leadership of this term.
 func (t *Term) Leadership() messages.Leadership { return t.leadership }
 
-// Members gives the store set by which this term counts copies.
+// Members returns the store set that this term uses to count copies.
 func (t *Term) Members() []messages.Member {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	return slices.Clone(t.records.replicator.Members)
 }
 
-// Serving tells whether the takeover is complete.
+// Serving reports whether the term serves calls: its takeover is complete and it has not ended.
 func (t *Term) Serving() bool {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	return t.serving
 }
 
-// JobsReport is a list of jobs without rows.
+// JobsReport returns a job report without rows.
 func JobsReport() *messages.StatusResponse {
 	return &messages.StatusResponse{Columns: []string{"lot", "path", "age-s", "items", "listed", "acquired", "waiting-tokens", "deliveries", "lapses", "releases", "failures", "renewals", "state"}}
 }
 
-// ReportJobs lists the jobs.
+// ReportJobs returns a report with one row per job.
 func (t *Term) ReportJobs() *messages.StatusResponse {
 	status := JobsReport()
 	now := clock.WallNanos() / 1_000_000
@@ -69,7 +69,8 @@
 	return status
 }
 
-// ReportStores gives a row a member of the store set: how far it has synced, and what it lacks.
+// ReportStores returns one row per member of the store set: name, disk, the index up to which it has
+// synced, and the number of records that it lacks.
 func (t *Term) ReportStores() [][]string {
 	var rows [][]string
 	t.lock.Lock()
--- a/internal/batch/leader/setpolicy.go
+++ b/internal/batch/leader/setpolicy.go
@@ -9,39 +9,39 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// How much a store is worth as a joiner: one in the zone of the member that it replaces most
-// likely was set up in its place, and one in a zone without a member spreads the copies.
+// Scores of a spare store as a joiner. A store in the zone of the member to be replaced was most
+// likely set up as its replacement. A store in a zone without a member spreads the copies.
 const (
 	scoreOther = iota
 	scoreNewZone
 	scoreSameZone
 )
 
-// storeSet is what the next change of the store set is decided on. It has no I/O.
+// storeSet contains the inputs for deciding the next change of the store set. It performs no I/O.
 type storeSet struct {
 	self messages.Member
-	// size is how many members tolerate the loss of the fault budget.
+	// size is the number of members needed to tolerate the fault budget.
 	size int
-	// uptime is how long this process has been running.
+	// uptime is the time since this process started.
 	uptime  clock.Duration
 	members []messages.Member
-	// entries are the stores known, by name.
+	// entries are the known stores by name.
 	entries map[string]messages.NodeInfo
-	// retired names the machines that are to be emptied, answering the members that seemed
-	// silent and answer all the same.
+	// retired contains the names of the machines to be emptied. responding contains the names of
+	// the members that seemed silent but responded to a direct request.
 	retired, responding map[string]bool
 }
 
-// storeSet gathers what the next change is decided on.
-func (p *Process) storeSet(members []messages.Member, entries map[string]messages.NodeInfo, retired, answering map[string]bool) *storeSet {
+// storeSet collects the inputs for deciding the next change.
+func (p *Process) storeSet(members []messages.Member, entries map[string]messages.NodeInfo, retired, responding map[string]bool) *storeSet {
 	return &storeSet{self: p.Election.Member(), size: 2*p.budget() + 1, uptime: clock.Now().Sub(p.Node.StartedAt),
-		members: members, entries: entries, retired: retired, responding: answering}
+		members: members, entries: entries, retired: retired, responding: responding}
 }
 
-// nextChange names the member to be replaced and who takes its place; no member with a
-// joiner means that the set is too small. What is nearest to loss goes first: members whose
-// disk was lost, a set with too few copies, members that departed, and only then those that
-// are to be emptied, which still hold theirs.
+// nextChange returns the member to be replaced and the store that replaces it. If only a joiner is
+// returned, the set is too small and the joiner is added. The changes are ordered by the risk of
+// losing records: first members whose disk was lost, then a set with too few members, then departed
+// members, and last members on retired machines, which still have their copies.
 func (s *storeSet) nextChange() (out, joiner *messages.Member) {
 	steps := []func() (out, joiner *messages.Member){s.replaceDiskLost, s.fill, s.replaceDeparted, s.replaceRetired}
 	for _, step := range steps {
@@ -56,14 +56,14 @@
 	return register.Identity(member) == register.Identity(s.self)
 }
 
-// replaceDiskLost has the same machine with an empty disk take its own place again.
+// replaceDiskLost replaces a member by the same machine with its new, empty disk.
 func (s *storeSet) replaceDiskLost() (out, joiner *messages.Member) {
 	for i := range s.members {
 		if s.isSelf(s.members[i]) {
 			continue
 		}
-		if again := diskLost(s.members[i], s.entries, s.retired); again != nil {
-			return &s.members[i], again
+		if rejoined := diskLost(s.members[i], s.entries, s.retired); rejoined != nil {
+			return &s.members[i], rejoined
 		}
 	}
 	return nil, nil
@@ -77,7 +77,8 @@
 	return nil, s.spare("")
 }
 
-// replaceDeparted replaces a member that was silent for long.
+// replaceDeparted replaces a member that has been silent for longer than the limit: SuspectAfter if
+// the spare store is in the same zone, and ReplaceAfter otherwise.
 func (s *storeSet) replaceDeparted() (out, joiner *messages.Member) {
 	for i := range s.members {
 		member := s.members[i]
@@ -97,7 +98,7 @@
 	return nil, nil
 }
 
-// replaceRetired replaces a member whose machine is to be emptied.
+// replaceRetired replaces a member on a retired machine.
 func (s *storeSet) replaceRetired() (out, joiner *messages.Member) {
 	for i := range s.members {
 		if spare := s.spare(s.members[i].Zone); s.retired[s.members[i].Name] && spare != nil {
@@ -107,7 +108,8 @@
 	return nil, nil
 }
 
-// spare gives the best store that is no member, for the place of one in a zone.
+// spare returns the best store that is not a member, to replace a member in the given zone. It
+// returns nil if there is none.
 func (s *storeSet) spare(zone string) *messages.Member {
 	members, zones := map[string]bool{}, map[string]bool{}
 	for _, member := range s.members {
@@ -134,7 +136,8 @@
 	return best
 }
 
-// diskLost gives a member's machine with its new disk, where it came back empty.
+// diskLost returns a member's machine with its new disk if the machine returned with a different
+// disk, and nil otherwise.
 func diskLost(member messages.Member, entries map[string]messages.NodeInfo, retired map[string]bool) *messages.Member {
 	entry, known := entries[member.Name]
 	if !known || entry.Disk == member.Disk || entry.Disk == "" || retired[member.Name] || entry.AgeMs >= constants.SuspectAfter.Milliseconds() {
@@ -143,22 +146,22 @@
 	return &messages.Member{Name: entry.Name, Disk: entry.Disk, Address: entry.Address, Zone: entry.Zone}
 }
 
-// nextResponsiveChange names the next change whose joiner is not slow, and asks a member
-// that seems silent itself. It leaves slow joiners out of entries.
+// nextResponsiveChange returns the next change whose joiner is not slow. Before it replaces a member
+// that seems silent, it sends a request to that member. It deletes slow joiners from entries.
 func (p *Process) nextResponsiveChange(members []messages.Member, entries map[string]messages.NodeInfo, retired map[string]bool) (out, joiner *messages.Member) {
-	answering := map[string]bool{}
-	// Each further round leaves out a joiner or a member.
+	responding := map[string]bool{}
+	// Each further round excludes one more joiner or member.
 	for range len(entries) + len(members) {
-		out, joiner = p.storeSet(members, entries, retired, answering).nextChange()
+		out, joiner = p.storeSet(members, entries, retired, responding).nextChange()
 		switch {
 		case joiner == nil || (out != nil && out.Name == joiner.Name):
 			return out, joiner
 		case p.isSlow(*joiner):
-			p.Node.Log.Info("store passed over as slow or silent", "store", joiner.Name)
-			// A store that everything must be copied to first had better be quick.
+			p.Node.Log.Info("skipping slow or unresponsive store", "store", joiner.Name)
+			// All records must be copied to a joiner first, so it should not be slow.
 			delete(entries, joiner.Name)
 		case out != nil && !retired[out.Name] && !p.isUnresponsive(*out):
-			answering[out.Name] = true
+			responding[out.Name] = true
 		default:
 			return out, joiner
 		}
@@ -166,13 +169,14 @@
 	return nil, nil
 }
 
-// isUnresponsive asks a member itself: one that answers now has not departed.
+// isUnresponsive reports whether a member fails to respond to a request. A member that responds has
+// not departed.
 func (p *Process) isUnresponsive(member messages.Member) bool {
 	_, err := p.slowness(member)
 	return err != nil
 }
 
-// isSlow asks a store that stands by; silence counts as slow.
+// isSlow reports whether a spare store is slow. A store that does not respond counts as slow.
 func (p *Process) isSlow(member messages.Member) bool {
 	resp, err := p.slowness(member)
 	if err != nil {
@@ -181,7 +185,7 @@
 	return len(resp.Rows) == 1 && len(resp.Rows[0]) > 0 && resp.Rows[0][0] == leadership.SlownessSlow
 }
 
-// slowness asks a store whether its machine is slow.
+// slowness requests the slowness report from a store.
 func (p *Process) slowness(member messages.Member) (*messages.StatusResponse, error) {
 	resp := &messages.StatusResponse{}
 	err := transport.Call(p.Node.Transport, member.Address, messages.KindStatus, &messages.StatusRequest{Query: messages.QuerySlowness}, resp, constants.RoundTimeout)
--- a/internal/batch/leader/stop.go
+++ b/internal/batch/leader/stop.go
@@ -9,19 +9,19 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// stopJobRuns takes all acquisitions of a job back whose end is decided, and tells the
-// executors that hold some. The lock is held. An executor that can't be told learns it
-// when it renews, or stops when its lock ends.
+// stopJobRuns revokes all acquisitions of a job that is ending, and notifies the executors that have
+// some. An executor that can't be reached is notified when it renews its lock, or stops when the
+// lock expires. The lock of the term is held.
 func (t *Term) stopJobRuns(job *dispatch.Job) {
 	var addresses []string
 	for _, executor := range t.items.dispatcher.StopJob(job) {
 		addresses = append(addresses, executor.Address)
 	}
 	if t.items.dispatcher.Uncertain(clock.Now()) {
-		// Earlier leaders may have handed items of it to anybody.
+		// Earlier leaders may have dispatched items of the job to any executor.
 		addresses = nil
-		for _, entry := range t.process.Node.Live(membership.RoleStore) {
-			addresses = append(addresses, entry.Address)
+		for _, store := range t.process.Node.Live(membership.RoleStore) {
+			addresses = append(addresses, store.Address)
 		}
 		addresses = append(addresses, t.process.Node.Self.Address)
 	}
@@ -31,9 +31,9 @@
 			continue
 		}
 		go func() {
-			announcement, resp := &messages.StopJobRequest{Job: job.ID}, &messages.Ack{}
+			req, resp := &messages.StopJobRequest{Job: job.ID}, &messages.Ack{}
 			for attempt := 0; attempt < 2; attempt++ {
-				if transport.Call(t.process.Node.Transport, address, messages.KindStopJob, announcement, resp, constants.CallTimeout) == nil {
+				if transport.Call(t.process.Node.Transport, address, messages.KindStopJob, req, resp, constants.CallTimeout) == nil {
 					return
 				}
 			}
--- a/internal/batch/leader/submit.go
+++ b/internal/batch/leader/submit.go
@@ -4,8 +4,8 @@
 	"net/http"
 	"strings"
 
-	// Jobs come in bursts of 50 and more a second, 48 KB each: the standard reader
-	// took 3.5 times as long over them.
+	// Jobs arrive in bursts of 50 and more per second, 48 KB each. The standard library's decoder
+	// took 3.5 times as long to decode them.
 	"github.com/goccy/go-json"
 
 	"lemonarch/internal/batch/jobroute"
@@ -14,7 +14,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// jobJSON is a job as it is submitted.
+// jobJSON is a job as submitted.
 type jobJSON struct {
 	Requests []struct {
 		ID      string            `json:"id"`
@@ -25,7 +25,8 @@
 	} `json:"requests"`
 }
 
-// parseJob checks a job; the reason says what is wrong with it.
+// parseJob decodes and validates a job. If the job is invalid, body is nil, and status and reason
+// describe the error.
 func parseJob(call *messages.JobCallRequest) (body *messages.JobBody, tokens int64, status int, reason string) {
 	if exceedsItemLimit(call.Body) {
 		return nil, 0, http.StatusRequestEntityTooLarge, "too many items"
@@ -42,28 +43,29 @@
 	}
 	body = &messages.JobBody{Path: call.Path}
 	known := map[string]bool{}
-	for _, found := range job.Requests {
-		if found.ID == "" || known[found.ID] || !strings.HasPrefix(found.Path, "/") || strings.ContainsAny(found.Path, " \r\n") || found.Tokens < 0 {
+	for _, request := range job.Requests {
+		if request.ID == "" || known[request.ID] || !strings.HasPrefix(request.Path, "/") || strings.ContainsAny(request.Path, " \r\n") || request.Tokens < 0 {
 			return nil, 0, http.StatusBadRequest, "an item lacks a sound id, path or tokens"
 		}
-		for name, value := range found.Headers {
-			// A header with a line break would smuggle in a request of its own.
+		for name, value := range request.Headers {
+			// A header with a line break would allow request smuggling.
 			if name == "" || strings.ContainsAny(name, " :\r\n") || strings.ContainsAny(value, "\r\n") {
 				return nil, 0, http.StatusBadRequest, "an item has an unsound header"
 			}
 		}
-		known[found.ID] = true
-		tokens += found.Tokens
-		body.Items = append(body.Items, messages.JobItem{ID: found.ID, Path: found.Path, Headers: found.Headers, Body: found.Body, Tokens: found.Tokens})
+		known[request.ID] = true
+		tokens += request.Tokens
+		body.Items = append(body.Items, messages.JobItem{ID: request.ID, Path: request.Path, Headers: request.Headers, Body: request.Body, Tokens: request.Tokens})
 	}
 	return body, tokens, 0, ""
 }
 
-// submitJob takes a job: checked, within the quota, and durable before it is acknowledged.
+// submitJob accepts a job if it is valid and within the quota. The job is durable before it is
+// acknowledged.
 func (t *Term) submitJob(call *messages.JobCallRequest) *messages.JobCallResponse {
 	resp := t.acceptJob(call)
 	if resp.Status != http.StatusAccepted && resp.Status != http.StatusGatewayTimeout {
-		// Nothing of it is on its way to the stores.
+		// No record of the job was appended.
 		t.lock.Lock()
 		t.submissions.intake.release(call.Job)
 		t.lock.Unlock()
@@ -91,7 +93,7 @@
 	config := t.process.Node.Config()
 	route := jobroute.Of(config, call.Host, call.Path)
 	if route == nil {
-		// The gateway knew the route: our configuration may be the older one.
+		// The gateway has the route, so this process's configuration may be the older one.
 		return &messages.JobCallResponse{NotLeader: true}
 	}
 	packed, err := body.MarshalMsg(nil)
@@ -105,13 +107,13 @@
 		return t.awaitSubmitted(submitting, accepted)
 	}
 	if Expired(call, clock.Now()) {
-		// Whoever asked has given up, or was told that this one counts for nothing.
+		// The caller has timed out, or was informed that this submission has no effect.
 		t.lock.Unlock()
 		return &messages.JobCallResponse{NotLeader: true}
 	}
-	if refusal := t.checkCapacityLocked(config, route, tokens, len(packed), len(body.Items)); refusal != nil {
+	if rejection := t.checkCapacityLocked(config, route, tokens, len(packed), len(body.Items)); rejection != nil {
 		t.lock.Unlock()
-		return refusal
+		return rejection
 	}
 	index := t.appendRecord(messages.Record{Kind: messages.RecordJob, Job: call.Job, Host: call.Host, Route: route.Name,
 		AtMs: clock.WallNanos() / 1_000_000, Body: packed})
@@ -121,7 +123,7 @@
 	return t.awaitSubmitted(index, accepted)
 }
 
-// Expired tells whether the time in which a submission may be taken is over.
+// Expired reports whether the time in which a submission may be accepted is over.
 func Expired(call *messages.JobCallRequest, now clock.Instant) bool {
 	return call.ExpiresAt > 0 && int64(now) >= call.ExpiresAt
 }
--- a/internal/batch/leader/takeover.go
+++ b/internal/batch/leader/takeover.go
@@ -56,8 +56,8 @@
 		if copies = t.fenceMembers(); t.enoughFenced(copies, nil) {
 			return copies, nil, true
 		}
-		// The register may list more members with lost disks than the fault budget, since their
-		// removal requires a separate change of the register.
+		// The register may list more members with lost disks than the fault budget, since removing
+		// them requires a separate change.
 		if lost = t.findLostDisks(); t.enoughFenced(copies, lost) {
 			return copies, lost, true
 		}
@@ -83,8 +83,8 @@
 	return copies[own].Granted && (replication.EnoughFenced(len(members), len(copies), t.process.budget()) || accounted == len(members))
 }
 
-// fenceMembers requests every store of the set to accept records of this epoch only. It returns
-// once enough stores have responded; stores that respond later are still sent records.
+// fenceMembers sends a fence request to every store of the set. It returns once enough stores have
+// responded; stores that respond later are still sent records.
 func (t *Term) fenceMembers() map[string]messages.FenceResponse {
 	type result struct {
 		identity string
@@ -123,8 +123,8 @@
 	return resp, err
 }
 
-// adoptBestCopy truncates this process's own copy at the point where it diverges from the best
-// copy, and fetches the remaining records.
+// adoptBestCopy truncates this process's own copy where it diverges from the best copy, and fetches
+// the rest.
 func (t *Term) adoptBestCopy(copies map[string]messages.FenceResponse) error {
 	best := replication.BestCopy(copies)
 	if best == register.Identity(t.process.Election.Member()) {
@@ -198,8 +198,8 @@
 	return nil
 }
 
-// beginServing makes the term accept calls, and starts its loops, which end with the term. last
-// is the index of the last record of earlier epochs.
+// beginServing makes the term accept calls, and starts its loops, which end with the term. last is
+// the index of the last record of earlier epochs.
 func (t *Term) beginServing(last int64) {
 	t.lock.Lock()
 	t.serving = true
@@ -216,7 +216,7 @@
 	t.announce()
 }
 
-// maintainSet starts the loops that keep the store set complete, once per term. They start before
+// maintainSet starts, once per term, the loops that keep the store set complete. They start before
 // the term serves if nothing can be committed with the current set.
 func (t *Term) maintainSet() {
 	t.feeds.maintained.Do(func() {
@@ -226,8 +226,7 @@
 	})
 }
 
-// Resign releases the lease and notifies the other stores, so that one of them campaigns
-// immediately.
+// Resign releases the lease and notifies the other stores, so that one of them campaigns at once.
 func (t *Term) Resign() {
 	t.process.Election.ReleaseLease()
 	node := t.process.Node
