--- a/internal/batch/leader/addmember_test.go
+++ b/internal/batch/leader/addmember_test.go
@@ -11,7 +11,7 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// Two that came back empty take their places at once; nobody else's place changes.
+// Two members that returned with empty disks are replaced in one change. The other members must stay.
 func TestWithReplacements(t *testing.T) {
 	members := []messages.Member{{Name: "a", Disk: "1"}, {Name: "b", Disk: "2"}, {Name: "c", Disk: "3"}, {Name: "d", Disk: "4"}, {Name: "e", Disk: "5"}}
 	next := withReplacements(members, []replacement{{&members[1], messages.Member{Name: "b", Disk: "7"}}, {&members[3], messages.Member{Name: "d", Disk: "8"}}})
@@ -30,9 +30,9 @@
 	}
 }
 
-// Two joiners of one time copy from two members, and nobody from the leader or
-// from a member that is far behind.
-func TestJoinersShareNoSource(t *testing.T) {
+// Joiners that copy at the same time must use different sources. No joiner may copy from the leader
+// or from a member that is far behind.
+func TestConcurrentJoinersUseDifferentSources(t *testing.T) {
 	term := startServingTerm(t, soleStore(t, simulation.NewDisk(12)), 1)
 	term.lock.Lock()
 	defer term.lock.Unlock()
@@ -54,17 +54,17 @@
 	}
 }
 
-// A joiner that answers but does not get on keeps another one out of the set only for
-// a while: the set is made complete by as much as can be.
-func TestSlowJoinerDelaysNobody(t *testing.T) {
+// A joiner that responds but makes no progress may delay the other joiners only for a limited time.
+// The joiners that are complete must then be added.
+func TestSlowJoinerDoesNotBlockOthers(t *testing.T) {
 	term := startServingTerm(t, soleStore(t, simulation.NewDisk(12)), 1)
-	freeCapacity := transport.NewMemoryNetwork()
-	term.process.Node.Transport = freeCapacity.Transport("m")
+	network := transport.NewMemoryNetwork()
+	term.process.Node.Transport = network.Transport("m")
 	store, err := replicalog.Open(simulation.NewDisk(13), "quick")
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = freeCapacity.Transport("quick").Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
+	_ = network.Transport("quick").Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
 		req := &messages.AppendRequest{}
 		if kind != messages.KindAppend || transport.Decode(body, req) != nil {
 			return transport.Encode(&messages.StatusResponse{})
@@ -75,7 +75,7 @@
 		}
 		return transport.Encode(&resp)
 	})
-	_ = freeCapacity.Transport("slow").Serve(func(kind messages.Kind, _ []byte) ([]byte, error) {
+	_ = network.Transport("slow").Serve(func(kind messages.Kind, _ []byte) ([]byte, error) {
 		if kind == messages.KindAppend {
 			return nil, replicalog.ErrCorrupt.New("disk hangs")
 		}
--- a/internal/batch/leader/copy_test.go
+++ b/internal/batch/leader/copy_test.go
@@ -9,12 +9,12 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// A joiner's copy ends also where records come as fast as they are copied: with a
-// bound on the gap alone it went on until the time for the whole change was over,
-// and a second loss met a set that was not complete yet.
+// Copying to a joiner must end even if records arrive as fast as they are copied. With a limit on the
+// gap alone, copying continued until the timeout of the whole change, and a second loss could occur
+// while the set was still incomplete.
 func TestCopyEndsWhileRecordsArrive(t *testing.T) {
 	for _, rate := range []float64{50, 250, 600, 1200} {
-		// Seconds for what is lacking, at a speed of records a second, and a round's own time.
+		// speed is the copy rate in records per second, and trip the fixed time of a round in seconds.
 		const speed, trip = 2000.0, 0.05
 		lacking, before, spent := int64(4000), int64(0), 0.0
 		rounds := 0
@@ -27,29 +27,29 @@
 			t.Fatal(rate, rounds, spent)
 		}
 		if rounds < 2 || lacking > 4000 {
-			t.Fatal("ended too soon: ", rate, rounds, lacking)
+			t.Fatal("copying ended too early: rate, rounds, lacking records ", rate, rounds, lacking)
 		}
 	}
 	if !caughtUp(constants.CopyGap, 0) || caughtUp(constants.CopyGap+1, 0) {
-		t.Fatal("the gap alone")
+		t.Fatal("want caught up at a gap of CopyGap, and not above it")
 	}
 }
 
-// An order from a member that is cut off half way leaves the joiner with a part
-// that counts, and the leader goes on from there.
+// If copying from a member is interrupted, the records copied so far must be kept, and the leader
+// continues after them.
 func TestCopyContinuesFromTheLeader(t *testing.T) {
 	term := startServingTerm(t, soleStore(t, simulation.NewDisk(12)), 1)
 	if done := term.CopyTo(messages.Member{Name: "n", Address: "nowhere", Disk: "n"}, 0, NewCopyDeadline()); done != 0 {
-		t.Fatal("copied without a source: ", done)
+		t.Fatal("copied without a source up to index ", done)
 	}
 	term.lock.Lock()
 	term.records.replicator.Members = append(term.records.replicator.Members, messages.Member{Name: "s", Address: "s", Disk: "s"})
 	term.records.replicator.UpdateMatch("s#s", term.records.replicator.CommitIndex())
 	term.lock.Unlock()
-	freeCapacity := transport.NewMemoryNetwork()
-	term.process.Node.Transport = freeCapacity.Transport("m")
+	network := transport.NewMemoryNetwork()
+	term.process.Node.Transport = network.Transport("m")
 	first := true
-	_ = freeCapacity.Transport("n").Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
+	_ = network.Transport("n").Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
 		req := &messages.CopyRequest{}
 		if kind != messages.KindCopy || transport.Decode(body, req) != nil || req.Source != "s" || req.SourceDisk != "s" {
 			t.Error(kind, req)
--- a/internal/batch/leader/disklost_test.go
+++ b/internal/batch/leader/disklost_test.go
@@ -11,7 +11,7 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// serveReplica serves a store's log at an address and makes the machine known to a process.
+// serveReplica serves a store's log at an address and announces the store to a process.
 func serveReplica(t *testing.T, process *Process, network *transport.MemoryNetwork, name, disk string) *replicalog.Log {
 	t.Helper()
 	log, err := replicalog.Open(simulation.NewDisk(int64(len(name)+len(disk))), disk)
@@ -47,8 +47,8 @@
 	return log
 }
 
-// A leader that takes over a set of which all others lost their disks goes on with its own
-// copy: no other copy can hold a record that it lacks, and jobs are answered.
+// All other members of the set have lost their disks. No other copy can have a record that the new
+// leader lacks, so it must complete the takeover with its own copy and serve.
 func TestTakeoverWhereAllOthersLostTheirDisks(t *testing.T) {
 	process, network := soleStore(t, simulation.NewDisk(21)), transport.NewMemoryNetwork()
 	process.Node.Transport = network.Transport("m")
@@ -61,13 +61,13 @@
 	t.Cleanup(func() { term.Close("test is over") })
 	go term.TakeOver()
 	if !term.waitServing(clock.Milliseconds(8000)) {
-		t.Fatal("does not serve")
+		t.Fatal("term does not serve after the takeover")
 	}
 }
 
-// The register names three of five members whose disks are lost, more than the fault budget, as
-// the removal of the first had not reached it when the others were lost. All that is left has been
-// read, so the takeover waits for none of them.
+// The register lists three of five members whose disks are lost, more than the fault budget, because
+// the first had not been removed when the others were lost. All remaining copies have been read, so
+// the takeover must not wait for the lost ones.
 func TestTakeoverWhereTheRegisterNamesMoreLostDisksThanTheBudget(t *testing.T) {
 	process, network := soleStore(t, simulation.NewDisk(24)), transport.NewMemoryNetwork()
 	process.Node.Transport = network.Transport("m")
@@ -83,13 +83,13 @@
 	t.Cleanup(func() { term.Close("test is over") })
 	go term.TakeOver()
 	if !term.waitServing(clock.Milliseconds(4000)) {
-		t.Fatal("does not serve")
+		t.Fatal("term does not serve after the takeover")
 	}
 }
 
-// A member that refuses for another reason than its disk still counts: silence or a later
-// epoch does not show that a record is nowhere else.
-func TestOnlyAnsweredLossesOfDisksCount(t *testing.T) {
+// A disk counts as lost only if its machine responds with a different disk. A member that is silent
+// or rejects the request because of a later epoch may still have records that no other store has.
+func TestOnlyConfirmedDiskLossesCount(t *testing.T) {
 	process, network := soleStore(t, simulation.NewDisk(22)), transport.NewMemoryNetwork()
 	process.Node.Transport = network.Transport("m")
 	process.Node.Settings.FaultBudget.Machines = 2
@@ -100,7 +100,8 @@
 	serveReplica(t, process, network, "lost", "lost-new")
 	serveReplica(t, process, network, "same", "same")
 	process.Node.Observe([]messages.NodeInfo{{Name: "silent", Role: membership.RoleStore, Address: "silent", Disk: "silent-new", Incarnation: 1}})
-	// What others say of a machine may be old: it answers with the disk that the set names.
+	// Gossiped information may be out of date: this machine still responds with the disk listed in
+	// the set.
 	process.Node.Observe([]messages.NodeInfo{{Name: "same", Role: membership.RoleStore, Address: "same", Disk: "older", Incarnation: 2}})
 	members := []messages.Member{process.Election.Member()}
 	for _, name := range []string{"later", "lost", "silent"} {
--- a/internal/batch/leader/diskspace_test.go
+++ b/internal/batch/leader/diskspace_test.go
@@ -10,23 +10,23 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// A job is refused while the disk could not hold the outputs that are still to come, and what was
-// accepted before can be finished on it.
-func TestJobsThatOutgrowTheDiskAreRefused(t *testing.T) {
+// A job must be rejected if the disk has no space for its outputs and the outstanding outputs of
+// accepted jobs. Otherwise the accepted jobs could not be finished.
+func TestJobsExceedingTheDiskLimitAreRejected(t *testing.T) {
 	process := soleStore(t, simulation.NewDisk(41))
 	term := startServingTerm(t, process, 1)
 	process.Node.Settings.Limits.DiskMB = 1
 	term.lock.Lock()
 	term.items.dispatcher.MeanOutputBytes = 1e6 * constants.DiskShare / 4
-	fits, outgrows := !term.exceedsDiskLimitLocked(1000, 3), term.exceedsDiskLimitLocked(1000, 4)
+	fits, exceeds := !term.exceedsDiskLimitLocked(1000, 3), term.exceedsDiskLimitLocked(1000, 4)
 	term.lock.Unlock()
-	if !fits || !outgrows {
-		t.Fatal(fits, outgrows)
+	if !fits || !exceeds {
+		t.Fatal(fits, exceeds)
 	}
 	if status := term.Serve(jobCallOf("a", 2)).Status; status != http.StatusAccepted {
 		t.Fatal(status)
 	}
-	// The two outputs of the first job are still to come.
+	// The two outputs of the first job are still outstanding.
 	resp := term.Serve(jobCallOf("b", 2))
 	if resp.Status != http.StatusTooManyRequests || resp.RetryAfterMs == 0 {
 		t.Fatal(resp.Status, resp.RetryAfterMs)
@@ -36,16 +36,16 @@
 		t.Fatal(status)
 	}
 	if status := term.Serve(jobCallOf("a", 2)).Status; status != http.StatusAccepted {
-		t.Fatal("a known job is refused when it comes again: ", status)
+		t.Fatal("known job rejected when submitted again: status ", status)
 	}
 	process.Node.Settings.Limits.DiskMB = 0
 	if status := term.Serve(jobCallOf("b", 2)).Status; status != http.StatusAccepted {
-		t.Fatal("no limit is stated, and yet: ", status)
+		t.Fatal("job rejected without a disk limit: status ", status)
 	}
 }
 
-// The length of the file is known without waiting for its lock, also after it was opened anew.
-func TestLengthOfTheLog(t *testing.T) {
+// The size of the log must be available without waiting for its lock, including after reopening it.
+func TestLogSize(t *testing.T) {
 	disk := simulation.NewDisk(42)
 	log, err := replicalog.Open(disk, "d")
 	if err != nil {
@@ -59,8 +59,8 @@
 	if grown := log.Bytes(); grown < before+5000 {
 		t.Fatal(before, grown)
 	}
-	again, err := replicalog.Open(disk, "d")
-	if err != nil || again.Bytes() != log.Bytes() {
-		t.Fatal(err, again.Bytes(), log.Bytes())
+	reopened, err := replicalog.Open(disk, "d")
+	if err != nil || reopened.Bytes() != log.Bytes() {
+		t.Fatal(err, reopened.Bytes(), log.Bytes())
 	}
 }
--- a/internal/batch/leader/helpers_test.go
+++ b/internal/batch/leader/helpers_test.go
@@ -18,12 +18,12 @@
 
 const quotaConfig = `{"generation":1,"channels":[{"name":"b","host":"h","path-prefix":"/b/","route-kind":"bulk","backend":"s","tries":2,"retain-s":60,"result-setpoint-ms":9000,"backlog-cap":100}],"backends":[{"name":"s"}],"limits":{}}`
 
-// won is an election whose lease never ends.
+// leaseHolder is an election whose lease never expires.
 type leaseHolder struct{ *leadership.Campaign }
 
 func (leaseHolder) HoldsLease() bool { return true }
 
-// soleStore is a store process that is the whole store set, on a fake disk.
+// soleStore returns a store process on a simulated disk that is the only member of the store set.
 func soleStore(t *testing.T, disk *simulation.Disk) *Process {
 	t.Helper()
 	log, err := replicalog.Open(disk, "disk")
@@ -37,14 +37,14 @@
 	return &Process{Node: node, Log: log, Election: leaseHolder{leadership.New(node, nil)}, StopJob: func(string) {}}
 }
 
-// lead begins a term of the sole store and waits until it serves.
+// startServingTerm starts a term of the only store and waits until it serves.
 func startServingTerm(t *testing.T, process *Process, epoch uint64) *Term {
 	t.Helper()
 	elected := messages.Leadership{Holder: "m", Incarnation: process.Node.Self.Incarnation, Epoch: epoch}
 	term := NewTerm(process, elected, []messages.Member{process.Election.Member()})
 	term.TakeOver()
 	if !term.waitServing(clock.Milliseconds(5000)) {
-		t.Fatal("does not serve")
+		t.Fatal("term does not serve after the takeover")
 	}
 	t.Cleanup(func() { term.Close("test is over") })
 	return term
--- a/internal/batch/leader/intake_test.go
+++ b/internal/batch/leader/intake_test.go
@@ -11,7 +11,7 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// admitted tells whether an offer was let in.
+// admitted reports whether an offer was admitted.
 func admitted(queued *offer) bool {
 	select {
 	case <-queued.admitted:
@@ -21,9 +21,9 @@
 	}
 }
 
-// Jobs are let in by their age as far as there is room, and make room once they are durable,
-// refused, or have not come in time.
-func TestIntakeLetsInByAge(t *testing.T) {
+// Jobs must be admitted in order of age while there is capacity. They free their capacity when they
+// are durable, rejected, or not sent in time.
+func TestIntakeAdmitsOldestFirst(t *testing.T) {
 	in, now := newIntake(), clock.Now()
 	const half = constants.IntakeBytes / 2
 	var offers []*offer
@@ -47,7 +47,7 @@
 		t.Fatal(state())
 	}
 	if !in.withdraw(offers[3]) || in.withdraw(offers[2]) {
-		t.Fatal("withdrawn wrongly")
+		t.Fatal("want a waiting offer withdrawn and an admitted one kept")
 	}
 	in.admit(now.Add(constants.IntakeTime - 1))
 	if state() != "012" {
@@ -57,16 +57,16 @@
 	if state() != "0124" || in.bytes != half || len(in.admitted) != 1 {
 		t.Fatal(state(), in.bytes)
 	}
-	// One that is larger than everything is let in alone.
+	// A job larger than the whole capacity must be admitted alone.
 	in.release("4")
 	if big := in.offer("big", 3*constants.IntakeBytes, now); !admitted(big) || admitted(in.offer("next", 1, now)) {
-		t.Fatal("a large job keeps others out, or is kept out")
+		t.Fatal("want the large job admitted, and no other job beside it")
 	}
 }
 
-// A leader asks for a job that it does not know, says 202 for one that it has, and refuses an
-// offer that waited too long or can't fit; a job that was refused makes room.
-func TestOffersAreAnswered(t *testing.T) {
+// The leader must request an unknown job, respond with 202 to the offer of a job that it has, and
+// reject an offer that times out or does not fit. A rejected job must free its capacity.
+func TestOfferResponses(t *testing.T) {
 	term := startServingTerm(t, soleStore(t, simulation.NewDisk(31)), 1)
 	offerOf := func(id string, bytes int) int {
 		return term.Serve(&messages.JobCallRequest{Method: messages.MethodOffer, Host: "h", Path: "/b/", Job: id, BodyBytes: bytes, WaitMs: 150}).Status
@@ -75,23 +75,23 @@
 		t.Fatal(status)
 	}
 	if status := offerOf("b", 10); status != http.StatusServiceUnavailable {
-		t.Fatal("let in beside a full intake: ", status)
+		t.Fatal("offer admitted although the intake is full: status ", status)
 	}
 	if status := term.Serve(jobCallOf("a", 1)).Status; status != http.StatusAccepted {
 		t.Fatal(status)
 	}
 	if status := offerOf("a", 10); status != http.StatusAccepted {
-		t.Fatal("asked again for what it has: ", status)
+		t.Fatal("known job requested again: status ", status)
 	}
 	if status := offerOf("b", constants.IntakeBytes); status != messages.StatusSendNow {
-		t.Fatal("a durable job keeps its room: ", status)
+		t.Fatal("durable job still uses capacity: status ", status)
 	}
 	// Seven items of 15 tokens do not fit a cap of 100.
 	if status := term.Serve(jobCallOf("b", 7)).Status; status != http.StatusTooManyRequests {
 		t.Fatal(status)
 	}
 	if status := offerOf("c", constants.IntakeBytes); status != messages.StatusSendNow {
-		t.Fatal("a refused job keeps its room: ", status)
+		t.Fatal("rejected job still uses capacity: status ", status)
 	}
 	if status := term.Serve(jobCallOf("c", 5)).Status; status != http.StatusAccepted {
 		t.Fatal(status)
--- a/internal/batch/leader/itemcount_test.go
+++ b/internal/batch/leader/itemcount_test.go
@@ -10,9 +10,9 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Whether a job has too many items is known before they are held, and braces in its texts count for
-// nothing.
-func TestItemsAreCountedBeforeTheyAreHeld(t *testing.T) {
+// Too many items in a job must be detected before the items are decoded into memory. Braces within
+// strings must not count as items.
+func TestItemLimitIsCheckedBeforeDecoding(t *testing.T) {
 	braces := strings.Repeat("{", 3*constants.JobItemsMax)
 	item := func(number int, id string) string {
 		return fmt.Sprintf(`{"id":"%s%d","path":"/b/1","headers":{"H":"v"}}`, id, number)
@@ -24,9 +24,9 @@
 		}
 		return `{"later":[{}],"requests":[` + strings.Join(items, ",") + `]}`
 	}
-	for name, found := range map[string]struct {
-		body string
-		many bool
+	for name, test := range map[string]struct {
+		body    string
+		exceeds bool
 	}{
 		"the most":             {list(constants.JobItemsMax, "i"), false},
 		"one more":             {list(constants.JobItemsMax+1, "i"), true},
@@ -37,7 +37,7 @@
 		"cut short":            {list(constants.JobItemsMax, "i")[:9000] + braces, false},
 		"deep":                 {`{"requests":` + strings.Repeat(`[{"a":`, 2000), false},
 	} {
-		if got := exceedsItemLimit([]byte(found.body)); got != found.many {
+		if got := exceedsItemLimit([]byte(test.body)); got != test.exceeds {
 			t.Error(name, got)
 		}
 	}
--- a/internal/batch/leader/jobjson_test.go
+++ b/internal/batch/leader/jobjson_test.go
@@ -10,7 +10,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// largeJob is a job as clients send them: 48 KB with 30 items.
+// largeJob returns a job of the size that clients send: 48 KB with 30 items.
 func largeJob(items int) *messages.JobCallRequest {
 	var text strings.Builder
 	text.WriteString(`{"requests":[`)
@@ -25,8 +25,8 @@
 	return &messages.JobCallRequest{Method: "POST", Host: "h", Path: "/b/", Job: "l", Body: []byte(text.String())}
 }
 
-// BenchmarkParseJobStandardLibrary is the standard reader over the same text, to compare
-// with in the same run.
+// BenchmarkParseJobStandardLibrary decodes the same text with the standard library, for comparison
+// within the same run.
 func BenchmarkParseJobStandardLibrary(b *testing.B) {
 	call := largeJob(30)
 	b.SetBytes(int64(len(call.Body)))
@@ -54,7 +54,8 @@
 	}
 }
 
-// What can't be read whole is refused by either reader, and what can is the same.
+// The JSON decoder in use must reject the same texts as the standard library's, and decode all others
+// to the same values.
 func TestParseJob(t *testing.T) {
 	complete := string(largeJob(2).Body)
 	texts := []string{complete, "", "{", "[]", "null", "{}", complete + "x", complete[:len(complete)-1], complete[:200],
@@ -68,21 +69,21 @@
 		body, tokens, _, reason := parseJob(&messages.JobCallRequest{Path: "/b/", Body: []byte(text)})
 		if err != nil || len(standard.Requests) == 0 {
 			if body != nil {
-				t.Errorf("taken, although unreadable: %.60q", text)
+				t.Errorf("invalid job accepted: %.60q", text)
 			}
 			continue
 		}
 		sum := int64(0)
-		for _, found := range standard.Requests {
-			sum += found.Tokens
+		for _, request := range standard.Requests {
+			sum += request.Tokens
 		}
 		if body == nil || tokens != sum || len(body.Items) != len(standard.Requests) {
 			t.Errorf("%.60q: %s", text, reason)
 			continue
 		}
-		for i, found := range standard.Requests {
-			if got := body.Items[i]; got.ID != found.ID || got.Path != found.Path || string(got.Body) != string(found.Body) ||
-				fmt.Sprint(got.Headers) != fmt.Sprint(found.Headers) || got.Tokens != found.Tokens {
+		for i, request := range standard.Requests {
+			if got := body.Items[i]; got.ID != request.ID || got.Path != request.Path || string(got.Body) != string(request.Body) ||
+				fmt.Sprint(got.Headers) != fmt.Sprint(request.Headers) || got.Tokens != request.Tokens {
 				t.Errorf("%.60q: item %d differs", text, i)
 			}
 		}
--- a/internal/batch/leader/latency_test.go
+++ b/internal/batch/leader/latency_test.go
@@ -12,46 +12,46 @@
 )
 
 func TestAppendLatencyOfASlowDisk(t *testing.T) {
-	lags := newAppendLatency()
+	latencies := newAppendLatency()
 	for round := 0; round < 20; round++ {
-		lags.observe("own", 5)
-		lags.observe("a", 7)
-		lags.observe("b", 8)
-		lags.observe("c", 9)
+		latencies.observe("own", 5)
+		latencies.observe("a", 7)
+		latencies.observe("b", 8)
+		latencies.observe("c", 9)
 	}
-	if lags.isSlow("own") {
-		t.Fatal("a usual disk was called slow")
+	if latencies.isSlow("own") {
+		t.Fatal("disk of usual latency reported as slow")
 	}
 	for round := 0; round < 20; round++ {
-		lags.observe("own", 36)
+		latencies.observe("own", 36)
 	}
-	if !lags.isSlow("own") || lags.isSlow("a") {
-		t.Fatal(lags.means)
+	if !latencies.isSlow("own") || latencies.isSlow("a") {
+		t.Fatal(latencies.means)
 	}
-	// Where all are slow nobody is.
+	// If all disks are slow, none of them counts as slow.
 	for round := 0; round < 30; round++ {
-		lags.observe("a", 40)
-		lags.observe("b", 41)
-		lags.observe("c", 42)
+		latencies.observe("a", 40)
+		latencies.observe("b", 41)
+		latencies.observe("c", 42)
 	}
-	if lags.isSlow("own") {
-		t.Fatal("as slow as the others, yet called slow")
+	if latencies.isSlow("own") {
+		t.Fatal("disk reported as slow although the others are as slow")
 	}
-	few := newAppendLatency()
-	few.observe("own", 500)
-	few.observe("a", 1)
-	if few.isSlow("own") {
-		t.Fatal("one time is no evidence")
+	single := newAppendLatency()
+	single.observe("own", 500)
+	single.observe("a", 1)
+	if single.isSlow("own") {
+		t.Fatal("disk reported as slow after a single observation")
 	}
 }
 
-// slowMachine is an election of a process whose machine is slow.
+// resigningElection is the election of a process whose machine is slow.
 type resigningElection struct{ leaseHolder }
 
 func (resigningElection) ShouldResign(bool, clock.Instant) bool { return true }
 
-// A leader on a slow disk or machine resigns where others are there to lead; alone it goes
-// on, however slow.
+// A leader on a slow disk or machine must resign if there are other members to lead. A leader without
+// other members must continue, however slow it is.
 func TestSlowLeaderResigns(t *testing.T) {
 	process := soleStore(t, simulation.NewDisk(8))
 	own := process.Election.Member()
@@ -59,21 +59,21 @@
 	term := NewTerm(process, messages.Leadership{Holder: "m", Epoch: 1}, []messages.Member{own, other})
 	now := clock.Instant(1_000_000_000)
 	if term.tooSlow(now) {
-		t.Fatal("resigned without a cause")
+		t.Fatal("leader is too slow without a cause")
 	}
 	for round := 0; round < 10; round++ {
 		term.observeAppendLatency(register.Identity(own), clock.Milliseconds(60))
 		term.observeAppendLatency(register.Identity(other), clock.Milliseconds(6))
 	}
 	if !term.tooSlow(now.Add(5 * constants.ResignBackoff)) {
-		t.Fatal("leads on with a slow disk")
+		t.Fatal("leader with a slow disk does not resign")
 	}
 	process.Election = resigningElection{leaseHolder{leadership.New(process.Node, nil)}}
 	if !term.tooSlow(now) {
-		t.Fatal("leads on with a slow machine")
+		t.Fatal("leader on a slow machine does not resign")
 	}
 	alone := NewTerm(process, messages.Leadership{Holder: "m", Epoch: 2}, []messages.Member{own})
 	if alone.tooSlow(now.Add(3 * constants.ResignBackoff)) {
-		t.Fatal("nobody is there to lead instead")
+		t.Fatal("leader without other members resigns")
 	}
 }
--- a/internal/batch/leader/memberdeparted_test.go
+++ b/internal/batch/leader/memberdeparted_test.go
@@ -9,17 +9,17 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// grantingElection is an election whose register grants each change of the store set.
+// grantingElection is an election whose register applies every change of the store set.
 type grantingElection struct{ leaseHolder }
 
 func (e grantingElection) ChangeRegister(req *messages.RegisterChangeRequest) (*messages.RegisterResponse, bool) {
 	return &messages.RegisterResponse{Applied: true, Value: messages.RegisterValue{Leadership: req.Holder, Stores: req.Stores}}, true
 }
 
-// Two of five disks were lost and their members removed; of the three that are left one is gone
-// for good before the copies are complete. Both others hold every record: a leader among them
-// has the register name the set without it, and serves.
-func TestTakeoverWhereAThirdMemberIsGone(t *testing.T) {
+// Two of five members lost their disks and were removed. One of the remaining three departs before
+// replacements are complete. Both others have every record, so a leader among them must remove the
+// departed member from the store set and serve.
+func TestTakeoverWithADepartedMember(t *testing.T) {
 	process, network := soleStore(t, simulation.NewDisk(23)), transport.NewMemoryNetwork()
 	process.Node.Transport = network.Transport("m")
 	process.Node.Settings.FaultBudget.Machines = 2
@@ -30,6 +30,6 @@
 	t.Cleanup(func() { term.Close("test is over") })
 	go term.TakeOver()
 	if !term.waitServing(clock.Milliseconds(8000)) {
-		t.Fatal("does not serve")
+		t.Fatal("term does not serve after the takeover")
 	}
 }
--- a/internal/batch/leader/quota_test.go
+++ b/internal/batch/leader/quota_test.go
@@ -9,8 +9,8 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// Jobs on their way to the stores count against their own route only, and a place
-// is matched anew when the configuration changes.
+// Jobs that are not yet committed must count against their own route only. Paths must be matched again
+// when the configuration changes.
 func TestQuotaOfEachRoute(t *testing.T) {
 	term := startServingTerm(t, soleStore(t, simulation.NewDisk(7)), 1)
 	second := strings.Replace(quotaConfig, `],"backends"`,
@@ -19,7 +19,7 @@
 	config := term.process.Node.Config()
 	first, other := jobroute.Of(config, "h", "/b/"), jobroute.Of(config, "h", "/c/")
 	if first == nil || other == nil {
-		t.Fatal("no such route")
+		t.Fatal("route not found")
 	}
 	term.lock.Lock()
 	defer term.lock.Unlock()
@@ -31,7 +31,7 @@
 	if got := term.waitingTokens(config, other); got != 7 {
 		t.Error(got)
 	}
-	// The next version makes the matches of the last one worthless.
+	// The next generation invalidates the cached matches.
 	term.process.Node.ApplyConfig([]byte(strings.Replace(second, `"generation":1`, `"generation":3`, 1)))
 	config = term.process.Node.Config()
 	if got := term.waitingTokens(config, jobroute.Of(config, "h", "/b/")); got != 40 {
--- a/internal/batch/leader/setpolicy_test.go
+++ b/internal/batch/leader/setpolicy_test.go
@@ -11,8 +11,9 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// What is nearest to loss is repaired first, and what can't be repaired delays nothing.
-func TestNextChangeRepairsNearestToLossFirst(t *testing.T) {
+// The change that prevents the most likely loss of records must come first, and a change that is not
+// possible must not delay the others.
+func TestNextChangeOrder(t *testing.T) {
 	process := soleStore(t, simulation.NewDisk(3))
 	process.Node.StartedAt = clock.Now().Add(-constants.ReplaceAfter * 2)
 	process.Node.Settings.FaultBudget.Machines = 1
@@ -25,47 +26,47 @@
 	}
 	retired := map[string]bool{"leaving": true}
 	long := 2 * constants.ReplaceAfter.Milliseconds()
-	for _, found := range []struct {
-		what      string
-		members   []messages.Member
-		entries   []messages.NodeInfo
-		answering map[string]bool
-		out, in   string
+	for _, test := range []struct {
+		name       string
+		members    []messages.Member
+		entries    []messages.NodeInfo
+		responding map[string]bool
+		out, in    string
 	}{
-		{"empty disk first", members, []messages.NodeInfo{entry("leaving", "leaving", 0), entry("gone", "fresh", 0), entry("spare", "s", 0)}, nil, "gone", "gone"},
-		{"too few before one that leaves", members[:2], []messages.NodeInfo{entry("leaving", "leaving", 0), entry("spare", "s", 0)}, nil, "", "spare"},
-		{"gone before one that leaves", members, []messages.NodeInfo{entry("leaving", "leaving", 0), entry("gone", "gone", long), entry("spare", "s", 0)}, nil, "gone", "spare"},
-		{"one that answers is not gone", members, []messages.NodeInfo{entry("leaving", "leaving", 0), entry("gone", "gone", long), entry("spare", "s", 0)}, map[string]bool{"gone": true}, "leaving", "spare"},
-		{"nobody stands by", members, []messages.NodeInfo{entry("leaving", "leaving", 0), entry("gone", "gone", long)}, nil, "", ""},
+		{"lost disk is replaced first", members, []messages.NodeInfo{entry("leaving", "leaving", 0), entry("gone", "fresh", 0), entry("spare", "s", 0)}, nil, "gone", "gone"},
+		{"set that is too small before a retired member", members[:2], []messages.NodeInfo{entry("leaving", "leaving", 0), entry("spare", "s", 0)}, nil, "", "spare"},
+		{"departed member before a retired one", members, []messages.NodeInfo{entry("leaving", "leaving", 0), entry("gone", "gone", long), entry("spare", "s", 0)}, nil, "gone", "spare"},
+		{"member that responds has not departed", members, []messages.NodeInfo{entry("leaving", "leaving", 0), entry("gone", "gone", long), entry("spare", "s", 0)}, map[string]bool{"gone": true}, "leaving", "spare"},
+		{"no spare store", members, []messages.NodeInfo{entry("leaving", "leaving", 0), entry("gone", "gone", long)}, nil, "", ""},
 	} {
 		entries := map[string]messages.NodeInfo{}
-		for _, each := range found.entries {
-			entries[each.Name] = each
+		for _, info := range test.entries {
+			entries[info.Name] = info
 		}
-		out, in := process.storeSet(found.members, entries, retired, found.answering).nextChange()
+		out, in := process.storeSet(test.members, entries, retired, test.responding).nextChange()
 		name := func(member *messages.Member) string {
 			if member == nil {
 				return ""
 			}
 			return member.Name
 		}
-		if name(out) != found.out || name(in) != found.in {
-			t.Errorf("%s: %q replaced by %q", found.what, name(out), name(in))
+		if name(out) != test.out || name(in) != test.in {
+			t.Errorf("%s: got %q replaced by %q", test.name, name(out), name(in))
 		}
 	}
 }
 
-// Repair takes no slow or silent store for a joiner, and no member for gone that
-// still answers.
+// A slow or silent store must not be selected as a joiner, and a member that still responds must not
+// be replaced as departed.
 func TestNextResponsiveChangeAvoidsSlowStores(t *testing.T) {
 	process, network := soleStore(t, simulation.NewDisk(9)), transport.NewMemoryNetwork()
 	process.Node.Transport = network.Transport("m")
 	process.Node.Settings.FaultBudget.Machines = 1
 	process.Node.StartedAt -= 60_000_000_000
-	words := map[string]string{"s1": "slow", "s2": "usual"}
+	states := map[string]string{"s1": "slow", "s2": "usual"}
 	serve := func(name string) {
 		_ = network.Transport(name).Serve(func(messages.Kind, []byte) ([]byte, error) {
-			return transport.Encode(&messages.StatusResponse{Rows: [][]string{{words[name], "9"}}})
+			return transport.Encode(&messages.StatusResponse{Rows: [][]string{{states[name], "9"}}})
 		})
 	}
 	serve("s1")
@@ -83,16 +84,16 @@
 	if out == nil || out.Name != "gone" || joiner == nil || joiner.Name != "s2" {
 		t.Fatal(out, joiner)
 	}
-	words["s2"] = "slow"
+	states["s2"] = "slow"
 	if _, joiner = process.nextResponsiveChange(members, entries(), map[string]bool{}); joiner != nil {
-		t.Fatal("took a slow store: ", joiner.Name)
+		t.Fatal("slow store selected as joiner: ", joiner.Name)
 	}
-	words["s2"] = "usual"
+	states["s2"] = "usual"
 	serve("gone")
 	if out, joiner = process.nextResponsiveChange(members, entries(), map[string]bool{}); joiner != nil {
-		t.Fatal("replaced a member that answers: ", out.Name)
+		t.Fatal("member that responds was replaced: ", out.Name)
 	}
-	// One that is to be emptied goes although it answers.
+	// A retired member is replaced although it responds.
 	if out, joiner = process.nextResponsiveChange(members, entries(), map[string]bool{"gone": true}); joiner == nil || out.Name != "gone" {
 		t.Fatal(out, joiner)
 	}
--- a/internal/batch/leader/submit_test.go
+++ b/internal/batch/leader/submit_test.go
@@ -10,8 +10,8 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// Calls of many nodes race for the last of the quota: the quota is never passed, and a job
-// that comes over several nodes at once is one job.
+// Concurrent submissions compete for the rest of a quota. The quota must never be exceeded, and a job
+// submitted through several nodes at once must count once.
 func TestQuotaUnderRaces(t *testing.T) {
 	term := startServingTerm(t, soleStore(t, simulation.NewDisk(1)), 1)
 	var group sync.WaitGroup
@@ -32,17 +32,17 @@
 	if statuses[202] < 3 || statuses[202] > 6 || statuses[202]+statuses[429] != 24 || len(term.jobs.Jobs()) != 3 {
 		t.Fatal(statuses, len(term.jobs.Jobs()))
 	}
-	// Resent to whoever leads later, a taken job is still taken.
-	taken := term.jobs.Jobs()[0].ID
-	term.Close("another takes over")
+	// An accepted job that is submitted again to a later leader is still accepted.
+	accepted := term.jobs.Jobs()[0].ID
+	term.Close("another process takes over")
 	next := startServingTerm(t, term.process, 2)
-	if resp := next.submitJob(jobCallOf(taken, 2)); resp.Status != 202 || len(next.jobs.Jobs()) != 3 {
+	if resp := next.submitJob(jobCallOf(accepted, 2)); resp.Status != 202 || len(next.jobs.Jobs()) != 3 {
 		t.Fatal(resp.Status, len(next.jobs.Jobs()))
 	}
 }
 
-// A job is ended while its leadership changes hands: once the end was told, no later
-// leader runs any of it, and what was listed stays.
+// The leader changes just after a job was ended. Once the end was acknowledged, no later leader may run
+// an item of the job, and its listed outputs must stay.
 func TestCancelDuringTakeover(t *testing.T) {
 	disk := simulation.NewDisk(2)
 	term := startServingTerm(t, soleStore(t, disk), 1)
@@ -50,41 +50,41 @@
 		t.Fatal(resp.Status)
 	}
 	req := &messages.AcquireRequest{Executor: "d", Incarnation: 1, Capacity: []messages.ServiceCapacity{{Service: "s", Count: 2}}}
-	given := term.Acquire(req).Items
-	if len(given) != 2 {
-		t.Fatal("acquired ", len(given))
+	items := term.Acquire(req).Items
+	if len(items) != 2 {
+		t.Fatal("items acquired, want 2: ", len(items))
 	}
 	accept := func(i int, text string) messages.AckVerdict {
-		entry := messages.Acknowledgement{Kind: messages.AckAccept, Number: given[i].Number, Job: "lot", Item: given[i].Item.ID, Output: []byte(text)}
+		entry := messages.Acknowledgement{Kind: messages.AckAccept, Number: items[i].Number, Job: "lot", Item: items[i].Item.ID, Output: []byte(text)}
 		return term.Acknowledge(&messages.AcknowledgeRequest{Executor: "d", Incarnation: 1, Entries: []messages.Acknowledgement{entry}}).Verdicts[0]
 	}
-	item := given[0].Item
-	// Told again it is answered the same, and counts once.
-	first, again := accept(0, "text"), accept(0, "text")
-	if first != messages.AckRecorded || again != messages.AckRecorded {
-		t.Fatal("output not taken")
+	item := items[0].Item
+	// A repeated acknowledgement gets the same verdict and counts once.
+	first, repeated := accept(0, "text"), accept(0, "text")
+	if first != messages.AckRecorded || repeated != messages.AckRecorded {
+		t.Fatal("output not recorded")
 	}
 	if resp := term.endJob(&messages.JobCallRequest{Job: "lot"}); resp.Status != 200 {
 		t.Fatal(resp.Status)
 	}
-	// A run that was under way brings nothing any more.
+	// The result of a run that was in progress is not accepted any more.
 	if accept(1, "late") != messages.AckTerminal || len(term.Acquire(req).Items) != 0 {
-		t.Fatal("an ended lot goes on")
+		t.Fatal("ended lot accepts a result or dispatches an item")
 	}
-	term.Close("another takes over")
+	term.Close("another process takes over")
 	disk.PowerLoss()
 	next := startServingTerm(t, soleStore(t, disk), 2)
 	job := next.jobs.Job("lot")
 	if job == nil || !job.Ended || job.Open() || len(job.Listings) != 1 || job.Listings[0].Item != item.ID {
 		t.Fatalf("%+v", job)
 	}
-	for _, each := range job.Items {
-		if !each.Terminal() && each.StartRun() != 0 {
-			t.Fatal("an item of an ended lot would run: ", each.ID)
+	for _, jobItem := range job.Items {
+		if !jobItem.Terminal() && jobItem.StartRun() != 0 {
+			t.Fatal("item of an ended lot would run: ", jobItem.ID)
 		}
 	}
 	if resp := next.endJob(&messages.JobCallRequest{Job: "lot"}); resp.Status != 200 {
-		t.Fatal("a repeated end: ", resp.Status)
+		t.Fatal("repeated end rejected: status ", resp.Status)
 	}
 	text := string(next.readJob(&messages.JobCallRequest{Job: "lot"}).Body)
 	if want := fmt.Sprintf(`{"sum":3,"next-token":1,"outputs":[{"id":"%s","phase":"settled","text":"text"}]}`, item.ID); text != want {
@@ -92,35 +92,35 @@
 	}
 }
 
-// What is malformed, too large or unknown is told so.
+// Malformed, too large and unknown jobs must be rejected with the corresponding status.
 func TestMalformedJobsAreRejected(t *testing.T) {
 	term := startServingTerm(t, soleStore(t, simulation.NewDisk(3)), 1)
 	smuggled := jobCallOf("x", 1)
 	smuggled.Body = []byte(`{"requests":[{"id":"i","path":"/b/x","headers":{"A":"b\r\nX: y"},"body":"aGk=","tokens":1}]}`)
-	for status, call := range map[int][]*messages.JobCallRequest{
+	for status, calls := range map[int][]*messages.JobCallRequest{
 		400: {{Job: "x", Host: "h", Path: "/b/", Body: []byte("{")}, jobCallOf("x", 0), smuggled},
 		413: {jobCallOf("x", 201)},
 		429: {jobCallOf("x", 7)},
 	} {
-		for _, each := range call {
-			if resp := term.submitJob(each); resp.Status != status {
+		for _, call := range calls {
+			if resp := term.submitJob(call); resp.Status != status {
 				t.Error(status, resp.Status, string(resp.Body))
 			}
 		}
 	}
 	if term.readJob(&messages.JobCallRequest{Job: "x"}).Status != 404 || term.itemBody(&messages.JobCallRequest{Job: "x"}).Status != 404 || term.endJob(&messages.JobCallRequest{Job: "x"}).Status != 404 {
-		t.Error("an unknown lot was known")
+		t.Error("call on an unknown lot did not return 404")
 	}
 }
 
-// What has outlived its time is not taken, even where it fits; a job that stands
-// already is told so all the same.
+// An expired submission must not be accepted even if the job fits. A job that was already accepted must
+// still be acknowledged.
 func TestSubmissionExpires(t *testing.T) {
 	term := startServingTerm(t, soleStore(t, simulation.NewDisk(6)), 1)
 	call := jobCallOf("lot", 1)
 	call.ExpiresAt = int64(clock.Now())
 	if resp := term.submitJob(call); !resp.NotLeader || term.jobs.Job("lot") != nil {
-		t.Fatal("taken after its time: ", resp.Status)
+		t.Fatal("expired submission accepted: status ", resp.Status)
 	}
 	call.ExpiresAt = int64(clock.Now().Add(clock.Milliseconds(60_000)))
 	if resp := term.submitJob(call); resp.Status != 202 {
