--- a/internal/batch/leader/addmember.go
+++ b/internal/batch/leader/addmember.go
@@ -10,8 +10,8 @@
 // addMember copies all records to a joiner and starts to send it new ones. It returns when the
 // joiner has caught up or the attempt has ended. target is the index up to which the joiner must
 // have synced before its copy counts.
-func (t *Term) addMember(change replacement, i int, timeout *CopyDeadline) (target int64) {
-	from := t.CopyTo(change.in, i, timeout)
+func (t *Term) addMember(change replacement, offset int, timeout *CopyDeadline) (target int64) {
+	from := t.CopyTo(change.in, offset, timeout)
 	t.lock.Lock()
 	// The last copied record is sent again from here, to verify that the copy is contiguous with
 	// this process's records.
--- a/internal/batch/leader/copy.go
+++ b/internal/batch/leader/copy.go
@@ -27,14 +27,14 @@
 // CopyTo makes a joiner fetch the durable records from a member, and returns the index up to which
 // the joiner has them. The copy comes from another member because the leader's own link already
 // carries each new record to every store, and a store whose disk was lost has to be complete again
-// soon. i distinguishes the joiners that copy at the same time.
-func (t *Term) CopyTo(joiner messages.Member, i int, timeout *CopyDeadline) int64 {
+// soon. offset is different for each of the joiners that copy at the same time.
+func (t *Term) CopyTo(joiner messages.Member, offset int, timeout *CopyDeadline) int64 {
 	identity := register.Identity(joiner)
 	last := int64(0)
 	for failures := 0; ; {
 		t.lock.Lock()
 		done := t.feeds.copied[identity]
-		source, target := t.source(joiner, i+failures)
+		source, target := t.source(joiner, offset+failures)
 		t.lock.Unlock()
 		if source == nil || target <= done || (done > 0 && caughtUp(target-done, last)) || timeout.passed() || t.Closed() {
 			return done
@@ -86,9 +86,9 @@
 
 // source selects a member other than this process and the joiner that has most of the durable
 // records, and returns it with the index up to which it has them. Records that a store has synced
-// in this epoch are identical to this process's. i distinguishes the joiners that copy at the same
-// time, so that they do not share one source's link. The lock is held.
-func (t *Term) source(joiner messages.Member, i int) (*messages.Member, int64) {
+// in this epoch are identical to this process's. offset is different for each of the joiners that
+// copy at the same time, so that they do not share one source's link. The lock is held.
+func (t *Term) source(joiner messages.Member, offset int) (*messages.Member, int64) {
 	best, own := int64(0), t.process.Node.Self.Address
 	available := func(member messages.Member) int64 {
 		if member.Address == own || member.Address == joiner.Address {
@@ -110,6 +110,6 @@
 	if len(candidates) == 0 {
 		return nil, 0
 	}
-	selected := candidates[i%len(candidates)]
+	selected := candidates[offset%len(candidates)]
 	return selected, available(*selected)
 }
--- a/internal/batch/leader/dispatch.go
+++ b/internal/batch/leader/dispatch.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// Acquire returns items to an executor. If there are none, it waits for up to
+// Acquire returns items to an executor. If there are none, it waits for the requested time, limited to
 // constants.AcquireWait.
 func (t *Term) Acquire(req *messages.AcquireRequest) *messages.AcquireResponse {
 	start := clock.Now()
@@ -172,7 +172,7 @@
 		}
 		t.lock.Lock()
 		defer t.lock.Unlock()
-		if quiet, lapsed := t.items.dispatcher.ExpireExecutors(now), t.items.dispatcher.ExpireLocks(now); quiet || lapsed > 0 {
+		if expired, lapsed := t.items.dispatcher.ExpireExecutors(now), t.items.dispatcher.ExpireLocks(now); expired || lapsed > 0 {
 			t.wakeExecutorsLocked()
 		}
 		if now.Sub(scannedAt) >= constants.ExpirePeriod {
--- a/internal/batch/leadership/leadership.go
+++ b/internal/batch/leadership/leadership.go
@@ -1,6 +1,6 @@
 // Package leadership elects the store process that leads batch processing. A candidate
-// first requests a lease from the acceptors (package lease), which limits campaigning to one
-// candidate at a time. It then increments the leadership's epoch in the register. The epoch is
+// first requests a lease from the acceptors (package lease), which permits only one candidate at
+// a time to continue. It then increments the leadership's epoch in the register. The epoch is
 // what fences an earlier leader that continues after its lease has expired. The leader renews
 // the lease and sends announcements; a store that receives no announcement for the duration of
 // a lease campaigns.
