--- a/internal/batch/leader/addmember_test.go
+++ b/internal/batch/leader/addmember_test.go
@@ -48,8 +48,8 @@
 		t.Fatal(first, second)
 	}
 	for i := 0; i < 4; i++ {
-		if found, _ := term.source(messages.Member{Name: "r", Address: "r"}, i); found == nil || found.Name != "s" {
-			t.Fatal(i, found)
+		if source, _ := term.source(messages.Member{Name: "r", Address: "r"}, i); source == nil || source.Name != "s" {
+			t.Fatal(i, source)
 		}
 	}
 }
--- a/internal/batch/leader/delegate.go
+++ b/internal/batch/leader/delegate.go
@@ -25,8 +25,8 @@
 	upTo   int64
 	// progressAt is when the delegation started, or when records were last confirmed.
 	progressAt clock.Instant
-	// directUntil is the instant before which no new delegation starts after a failed one. It is
-	// later the more failures there were in a row.
+	// directUntil is the instant before which no new delegation starts after a failed one. It grows
+	// with failures, the number of failures in a row.
 	directUntil clock.Instant
 	failures    int
 }
--- a/internal/batch/leader/departed.go
+++ b/internal/batch/leader/departed.go
@@ -38,14 +38,14 @@
 // withoutDeparted returns the members that have not departed. It returns all members if the set can
 // continue unchanged or a spare store can join it.
 func (p *Process) withoutDeparted(members []messages.Member) []messages.Member {
-	entries := p.storeEntries()
-	set := p.storeSet(members, entries, nil, nil)
+	nodes := p.knownStores()
+	set := p.storeSet(members, nodes, nil, nil)
 	if len(members) > replication.CopiesNeeded(len(members), p.budget()) || set.uptime < constants.ReplaceAfter || set.spare("") != nil {
 		return members
 	}
 	var present []messages.Member
 	for _, member := range members {
-		node, known := entries[member.Name]
+		node, known := nodes[member.Name]
 		silent := !known || clock.Milliseconds(float64(node.AgeMs)) >= constants.ReplaceAfter
 		if set.isSelf(member) || !silent || !p.isUnresponsive(member) {
 			present = append(present, member)
--- a/internal/batch/leader/disklost.go
+++ b/internal/batch/leader/disklost.go
@@ -51,13 +51,13 @@
 // findLostDisks returns the identities of the members whose machines respond with a different disk.
 // It sends a request to each such machine, since the gossiped information may be out of date.
 func (t *Term) findLostDisks() (lost map[string]bool) {
-	entries := t.process.storeEntries()
+	nodes := t.process.knownStores()
 	t.lock.Lock()
 	members := t.records.replicator.Members
 	t.lock.Unlock()
 	lost = map[string]bool{}
 	for _, member := range members {
-		if diskLost(member, entries, nil) != nil && t.confirmDiskLost(member, entries[member.Name].Address) {
+		if diskLost(member, nodes, nil) != nil && t.confirmDiskLost(member, nodes[member.Name].Address) {
 			lost[register.Identity(member)] = true
 		}
 	}
--- a/internal/batch/leader/diskspace.go
+++ b/internal/batch/leader/diskspace.go
@@ -18,8 +18,8 @@
 			items += job.Total() - len(job.Listings)
 		}
 	}
-	kept := float64(t.process.Log.Bytes()) + float64(t.submissions.intake.bytes) + float64(jobBytes)
-	return kept+float64(items)*(t.items.dispatcher.MeanOutputBytes+recordOverhead) > limit
+	storedBytes := float64(t.process.Log.Bytes()) + float64(t.submissions.intake.bytes) + float64(jobBytes)
+	return storedBytes+float64(items)*(t.items.dispatcher.MeanOutputBytes+recordOverhead) > limit
 }
 
 // bytesPerMB is the unit of the setting disk-mb, in bytes.
--- a/internal/batch/leader/feed.go
+++ b/internal/batch/leader/feed.go
@@ -76,7 +76,7 @@
 		}
 		// Wait so that the records that arrive in the meantime are sent in one request. Each request,
 		// whatever its size, causes wake-ups in this process and three others.
-		if left := constants.AppendSpacing - clock.Now().Sub(start); left > 0 && !f.pause(left) {
+		if remaining := constants.AppendSpacing - clock.Now().Sub(start); remaining > 0 && !f.pause(remaining) {
 			return
 		}
 	}
--- a/internal/batch/leader/intake.go
+++ b/internal/batch/leader/intake.go
@@ -27,7 +27,8 @@
 	waiting []*offer
 }
 
-// admittedJob is a job that counts until an instant, since its gateway may have failed.
+// admittedJob counts against the capacity until expiresAt at most, since its gateway may have failed
+// and may never send it.
 type admittedJob struct {
 	bytes     int
 	expiresAt clock.Instant
--- a/internal/batch/leader/reconcile.go
+++ b/internal/batch/leader/reconcile.go
@@ -42,8 +42,8 @@
 		t.Resign()
 		return
 	}
-	entries := process.storeEntries()
-	out, joiner := process.nextResponsiveChange(members, entries, retired)
+	nodes := process.knownStores()
+	out, joiner := process.nextResponsiveChange(members, nodes, retired)
 	if joiner == nil {
 		return
 	}
@@ -52,12 +52,12 @@
 	case out == nil:
 		// All missing members join in one change, because the set tolerates fewer faults than
 		// the fault budget for as long as it is too small.
-		replacements = process.fillReplacements(members, entries, retired)
+		replacements = process.fillReplacements(members, nodes, retired)
 	case out.Name == joiner.Name:
 		replacements = replacements[:0]
 		for i := range members {
-			if resp := diskLost(members[i], entries, retired); resp != nil && members[i].Name != process.Node.Self.Name {
-				replacements = append(replacements, replacement{&members[i], *resp})
+			if rejoined := diskLost(members[i], nodes, retired); rejoined != nil && members[i].Name != process.Node.Self.Name {
+				replacements = append(replacements, replacement{&members[i], *rejoined})
 			}
 		}
 	}
@@ -74,27 +74,27 @@
 	t.process.Node.Log.Error("store set differs from the one in the register", "epoch", t.leadership.Epoch, "counted", len(members), "named", len(value.Stores))
 }
 
-// storeEntries returns the known stores by name.
-func (p *Process) storeEntries() map[string]messages.NodeInfo {
-	entries := map[string]messages.NodeInfo{}
-	for _, entry := range p.Node.All(membership.RoleStore) {
-		entries[entry.Name] = entry
+// knownStores returns the known stores by name.
+func (p *Process) knownStores() map[string]messages.NodeInfo {
+	nodes := map[string]messages.NodeInfo{}
+	for _, node := range p.Node.All(membership.RoleStore) {
+		nodes[node.Name] = node
 	}
-	return entries
+	return nodes
 }
 
 // fillReplacements returns the stores to be added to a set that is too small, the best first. It
-// skips slow stores and deletes them from entries.
-func (p *Process) fillReplacements(members []messages.Member, entries map[string]messages.NodeInfo, retired map[string]bool) []replacement {
+// skips slow stores and deletes them from nodes.
+func (p *Process) fillReplacements(members []messages.Member, nodes map[string]messages.NodeInfo, retired map[string]bool) []replacement {
 	var additions []replacement
-	set := p.storeSet(slices.Clone(members), entries, retired, nil)
+	set := p.storeSet(slices.Clone(members), nodes, retired, nil)
 	for {
 		_, joiner := set.fill()
 		if joiner == nil {
 			return additions
 		}
 		if p.isSlow(*joiner) {
-			delete(entries, joiner.Name)
+			delete(nodes, joiner.Name)
 			continue
 		}
 		set.members = append(set.members, *joiner)
--- a/internal/batch/leader/setpolicy.go
+++ b/internal/batch/leader/setpolicy.go
@@ -25,17 +25,17 @@
 	// uptime is the time since this process started.
 	uptime  clock.Duration
 	members []messages.Member
-	// entries are the known stores by name.
-	entries map[string]messages.NodeInfo
+	// nodes are the known stores by name.
+	nodes map[string]messages.NodeInfo
 	// retired contains the names of the machines to be emptied. responding contains the names of
 	// the members that seemed silent but responded to a direct request.
 	retired, responding map[string]bool
 }
 
 // storeSet collects the inputs for deciding the next change.
-func (p *Process) storeSet(members []messages.Member, entries map[string]messages.NodeInfo, retired, responding map[string]bool) *storeSet {
+func (p *Process) storeSet(members []messages.Member, nodes map[string]messages.NodeInfo, retired, responding map[string]bool) *storeSet {
 	return &storeSet{self: p.Election.Member(), size: 2*p.budget() + 1, uptime: clock.Now().Sub(p.Node.StartedAt),
-		members: members, entries: entries, retired: retired, responding: responding}
+		members: members, nodes: nodes, retired: retired, responding: responding}
 }
 
 // nextChange returns the member to be replaced and the store that replaces it. If only a joiner is
@@ -62,7 +62,7 @@
 		if s.isSelf(s.members[i]) {
 			continue
 		}
-		if rejoined := diskLost(s.members[i], s.entries, s.retired); rejoined != nil {
+		if rejoined := diskLost(s.members[i], s.nodes, s.retired); rejoined != nil {
 			return &s.members[i], rejoined
 		}
 	}
@@ -90,8 +90,8 @@
 		if spare.Zone == member.Zone {
 			limit = constants.SuspectAfter
 		}
-		entry, known := s.entries[member.Name]
-		if (known && entry.AgeMs >= limit.Milliseconds()) || (!known && s.uptime >= constants.ReplaceAfter) {
+		node, known := s.nodes[member.Name]
+		if (known && node.AgeMs >= limit.Milliseconds()) || (!known && s.uptime >= constants.ReplaceAfter) {
 			return &s.members[i], spare
 		}
 	}
@@ -118,19 +118,19 @@
 	}
 	var best *messages.Member
 	bestScore := -1
-	for name, entry := range s.entries {
-		if members[name] || s.retired[name] || entry.Draining || entry.Disk == "" || entry.AgeMs >= constants.SuspectAfter.Milliseconds() {
+	for name, node := range s.nodes {
+		if members[name] || s.retired[name] || node.Draining || node.Disk == "" || node.AgeMs >= constants.SuspectAfter.Milliseconds() {
 			continue
 		}
 		score := scoreOther
-		if entry.Zone == zone {
+		if node.Zone == zone {
 			score = scoreSameZone
-		} else if !zones[entry.Zone] {
+		} else if !zones[node.Zone] {
 			score = scoreNewZone
 		}
 		if score > bestScore || (score == bestScore && name < best.Name) {
 			bestScore = score
-			best = &messages.Member{Name: entry.Name, Disk: entry.Disk, Address: entry.Address, Zone: entry.Zone}
+			best = &messages.Member{Name: node.Name, Disk: node.Disk, Address: node.Address, Zone: node.Zone}
 		}
 	}
 	return best
@@ -138,28 +138,28 @@
 
 // diskLost returns a member's machine with its new disk if the machine returned with a different
 // disk, and nil otherwise.
-func diskLost(member messages.Member, entries map[string]messages.NodeInfo, retired map[string]bool) *messages.Member {
-	entry, known := entries[member.Name]
-	if !known || entry.Disk == member.Disk || entry.Disk == "" || retired[member.Name] || entry.AgeMs >= constants.SuspectAfter.Milliseconds() {
+func diskLost(member messages.Member, nodes map[string]messages.NodeInfo, retired map[string]bool) *messages.Member {
+	node, known := nodes[member.Name]
+	if !known || node.Disk == member.Disk || node.Disk == "" || retired[member.Name] || node.AgeMs >= constants.SuspectAfter.Milliseconds() {
 		return nil
 	}
-	return &messages.Member{Name: entry.Name, Disk: entry.Disk, Address: entry.Address, Zone: entry.Zone}
+	return &messages.Member{Name: node.Name, Disk: node.Disk, Address: node.Address, Zone: node.Zone}
 }
 
 // nextResponsiveChange returns the next change whose joiner is not slow. Before it replaces a member
-// that seems silent, it sends a request to that member. It deletes slow joiners from entries.
-func (p *Process) nextResponsiveChange(members []messages.Member, entries map[string]messages.NodeInfo, retired map[string]bool) (out, joiner *messages.Member) {
+// that seems silent, it sends a request to that member. It deletes slow joiners from nodes.
+func (p *Process) nextResponsiveChange(members []messages.Member, nodes map[string]messages.NodeInfo, retired map[string]bool) (out, joiner *messages.Member) {
 	responding := map[string]bool{}
 	// Each further round excludes one more joiner or member.
-	for range len(entries) + len(members) {
-		out, joiner = p.storeSet(members, entries, retired, responding).nextChange()
+	for range len(nodes) + len(members) {
+		out, joiner = p.storeSet(members, nodes, retired, responding).nextChange()
 		switch {
 		case joiner == nil || (out != nil && out.Name == joiner.Name):
 			return out, joiner
 		case p.isSlow(*joiner):
 			p.Node.Log.Info("skipping slow or unresponsive store", "store", joiner.Name)
 			// All records must be copied to a joiner first, so it should not be slow.
-			delete(entries, joiner.Name)
+			delete(nodes, joiner.Name)
 		case out != nil && !retired[out.Name] && !p.isUnresponsive(*out):
 			responding[out.Name] = true
 		default:
--- a/internal/batch/leader/setpolicy_test.go
+++ b/internal/batch/leader/setpolicy_test.go
@@ -21,7 +21,7 @@
 		return messages.Member{Name: name, Address: name, Disk: name, Zone: name}
 	}
 	members := []messages.Member{process.Election.Member(), member("leaving"), member("gone")}
-	entry := func(name, disk string, age int64) messages.NodeInfo {
+	node := func(name, disk string, age int64) messages.NodeInfo {
 		return messages.NodeInfo{Name: name, Address: name, Disk: disk, Zone: name, AgeMs: age}
 	}
 	retired := map[string]bool{"leaving": true}
@@ -29,21 +29,21 @@
 	for _, test := range []struct {
 		name       string
 		members    []messages.Member
-		entries    []messages.NodeInfo
+		nodes      []messages.NodeInfo
 		responding map[string]bool
 		out, in    string
 	}{
-		{"lost disk is replaced first", members, []messages.NodeInfo{entry("leaving", "leaving", 0), entry("gone", "fresh", 0), entry("spare", "s", 0)}, nil, "gone", "gone"},
-		{"set that is too small before a retired member", members[:2], []messages.NodeInfo{entry("leaving", "leaving", 0), entry("spare", "s", 0)}, nil, "", "spare"},
-		{"departed member before a retired one", members, []messages.NodeInfo{entry("leaving", "leaving", 0), entry("gone", "gone", long), entry("spare", "s", 0)}, nil, "gone", "spare"},
-		{"member that responds has not departed", members, []messages.NodeInfo{entry("leaving", "leaving", 0), entry("gone", "gone", long), entry("spare", "s", 0)}, map[string]bool{"gone": true}, "leaving", "spare"},
-		{"no spare store", members, []messages.NodeInfo{entry("leaving", "leaving", 0), entry("gone", "gone", long)}, nil, "", ""},
+		{"lost disk is replaced first", members, []messages.NodeInfo{node("leaving", "leaving", 0), node("gone", "fresh", 0), node("spare", "s", 0)}, nil, "gone", "gone"},
+		{"set that is too small before a retired member", members[:2], []messages.NodeInfo{node("leaving", "leaving", 0), node("spare", "s", 0)}, nil, "", "spare"},
+		{"departed member before a retired one", members, []messages.NodeInfo{node("leaving", "leaving", 0), node("gone", "gone", long), node("spare", "s", 0)}, nil, "gone", "spare"},
+		{"member that responds has not departed", members, []messages.NodeInfo{node("leaving", "leaving", 0), node("gone", "gone", long), node("spare", "s", 0)}, map[string]bool{"gone": true}, "leaving", "spare"},
+		{"no spare store", members, []messages.NodeInfo{node("leaving", "leaving", 0), node("gone", "gone", long)}, nil, "", ""},
 	} {
-		entries := map[string]messages.NodeInfo{}
-		for _, info := range test.entries {
-			entries[info.Name] = info
+		nodes := map[string]messages.NodeInfo{}
+		for _, info := range test.nodes {
+			nodes[info.Name] = info
 		}
-		out, in := process.storeSet(test.members, entries, retired, test.responding).nextChange()
+		out, in := process.storeSet(test.members, nodes, retired, test.responding).nextChange()
 		name := func(member *messages.Member) string {
 			if member == nil {
 				return ""
@@ -72,7 +72,7 @@
 	serve("s1")
 	serve("s2")
 	members := []messages.Member{process.Election.Member(), {Name: "a", Address: "a", Disk: "a"}, {Name: "gone", Address: "gone", Disk: "g"}}
-	entries := func() map[string]messages.NodeInfo {
+	nodes := func() map[string]messages.NodeInfo {
 		known := map[string]messages.NodeInfo{"gone": {Name: "gone", Disk: "g", AgeMs: 60_000}, "a": {Name: "a", Disk: "a"}}
 		for number := 0; number < 3; number++ {
 			name := fmt.Sprint("s", number)
@@ -80,21 +80,21 @@
 		}
 		return known
 	}
-	out, joiner := process.nextResponsiveChange(members, entries(), map[string]bool{})
+	out, joiner := process.nextResponsiveChange(members, nodes(), map[string]bool{})
 	if out == nil || out.Name != "gone" || joiner == nil || joiner.Name != "s2" {
 		t.Fatal(out, joiner)
 	}
 	states["s2"] = "slow"
-	if _, joiner = process.nextResponsiveChange(members, entries(), map[string]bool{}); joiner != nil {
+	if _, joiner = process.nextResponsiveChange(members, nodes(), map[string]bool{}); joiner != nil {
 		t.Fatal("slow store selected as joiner: ", joiner.Name)
 	}
 	states["s2"] = "usual"
 	serve("gone")
-	if out, joiner = process.nextResponsiveChange(members, entries(), map[string]bool{}); joiner != nil {
+	if out, joiner = process.nextResponsiveChange(members, nodes(), map[string]bool{}); joiner != nil {
 		t.Fatal("member that responds was replaced: ", out.Name)
 	}
 	// A retired member is replaced although it responds.
-	if out, joiner = process.nextResponsiveChange(members, entries(), map[string]bool{"gone": true}); joiner == nil || out.Name != "gone" {
+	if out, joiner = process.nextResponsiveChange(members, nodes(), map[string]bool{"gone": true}); joiner == nil || out.Name != "gone" {
 		t.Fatal(out, joiner)
 	}
 }
--- a/internal/batch/leader/submit.go
+++ b/internal/batch/leader/submit.go
@@ -107,7 +107,7 @@
 		return t.awaitSubmitted(submitting, accepted)
 	}
 	if Expired(call, clock.Now()) {
-		// The caller has timed out, or was informed that this submission has no effect.
+		// The caller has timed out, or has received the response that this submission has no effect.
 		t.lock.Unlock()
 		return &messages.JobCallResponse{NotLeader: true}
 	}
--- a/internal/batch/leader/submit_test.go
+++ b/internal/batch/leader/submit_test.go
@@ -55,8 +55,8 @@
 		t.Fatal("items acquired, want 2: ", len(items))
 	}
 	accept := func(i int, text string) messages.AckVerdict {
-		entry := messages.Acknowledgement{Kind: messages.AckAccept, Number: items[i].Number, Job: "lot", Item: items[i].Item.ID, Output: []byte(text)}
-		return term.Acknowledge(&messages.AcknowledgeRequest{Executor: "d", Incarnation: 1, Entries: []messages.Acknowledgement{entry}}).Verdicts[0]
+		ack := messages.Acknowledgement{Kind: messages.AckAccept, Number: items[i].Number, Job: "lot", Item: items[i].Item.ID, Output: []byte(text)}
+		return term.Acknowledge(&messages.AcknowledgeRequest{Executor: "d", Incarnation: 1, Entries: []messages.Acknowledgement{ack}}).Verdicts[0]
 	}
 	item := items[0].Item
 	// A repeated acknowledgement gets the same verdict and counts once.
--- a/internal/batch/leader/term.go
+++ b/internal/batch/leader/term.go
@@ -114,7 +114,8 @@
 	setChange chanMutex
 	// maintained is done once the loops that keep the set complete have started.
 	maintained sync.Once
-	// changes is the number of changes of the set in this epoch, used as their sequence number. It is guarded by Term.lock.
+	// changes is the number of changes of the set in this epoch, used as their sequence number. It
+	// is guarded by Term.lock.
 	changes uint64
 }
 
--- a/internal/batch/leadership/slowness.go
+++ b/internal/batch/leadership/slowness.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// isSlow reports whether even the shortest recent run time exceeds the fastest one by more than
-// constants.SlownessFactor.
+// isSlow reports whether constants.SlownessWindow run times were observed and even the shortest of
+// them is more than constants.SlownessFactor times the fastest run time.
 func (s *slowness) isSlow() bool {
 	return len(s.recent) >= constants.SlownessWindow && slices.Min(s.recent) > constants.SlownessFactor*s.fastest
 }
