--- a/internal/traffic/gateway/clientconn.go
+++ b/internal/traffic/gateway/clientconn.go
@@ -23,26 +23,26 @@
 	owner *clientConns
 	// hasDeadline is set while a deadline that lies ahead is set. The server also sets
 	// deadlines that are long past, to call off a read of its own: that is no slow client.
-	hasDeadline atomic.Bool
+	hasFutureDeadline atomic.Bool
 	lock        sync.Mutex
 	// reading is set while a request has begun to come or is under way, and idle
 	// while none has, since a response; idleUntil is how long it may.
 	reading, idle        bool
 	idleSince, idleUntil clock.Instant
 	// ended is set once the connection was closed between two requests.
-	ended bool
+	closed bool
 }
 
 // SetReadDeadline passes a deadline on, by the limits in force, and notes what it is for.
 func (p *clientConn) SetReadDeadline(at clock.Time) error {
 	ahead := clock.IsFuture(at)
-	p.hasDeadline.Store(ahead)
+	p.hasFutureDeadline.Store(ahead)
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	if ahead {
 		timeout := p.owner.readTimeout(p.idle)
 		if timeout <= 0 {
-			p.hasDeadline.Store(false)
+			p.hasFutureDeadline.Store(false)
 			return p.Conn.SetReadDeadline(clock.Time{})
 		}
 		p.idleUntil = clock.Now().Add(timeout)
@@ -56,7 +56,7 @@
 
 // SetDeadline does the same.
 func (p *clientConn) SetDeadline(at clock.Time) error {
-	p.hasDeadline.Store(clock.IsFuture(at))
+	p.hasFutureDeadline.Store(clock.IsFuture(at))
 	return p.Conn.SetDeadline(at)
 }
 
@@ -64,7 +64,7 @@
 // a deadline while a request comes.
 func (p *clientConn) Read(into []byte) (int, error) {
 	count, err := p.Conn.Read(into)
-	if count == 0 && errors.Is(err, os.ErrDeadlineExceeded) && p.idleWithDeadline() {
+	if count == 0 && errors.Is(err, os.ErrDeadlineExceeded) && p.isIdleWithDeadline() {
 		// This process may have stood still while the request came: look once more.
 		_ = p.Conn.SetReadDeadline(clock.Deadline(constants.PumpPeriod))
 		count, err = p.Conn.Read(into)
@@ -72,7 +72,7 @@
 	if count > 0 && !p.startRequest() {
 		return 0, net.ErrClosed
 	}
-	if err != nil && errors.Is(err, os.ErrDeadlineExceeded) && p.busy() && p.hasDeadline.Load() {
+	if err != nil && errors.Is(err, os.ErrDeadlineExceeded) && p.busy() && p.hasFutureDeadline.Load() {
 		_, _ = p.Conn.Write([]byte(requestTimeoutResponse))
 	}
 	return count, err
@@ -84,19 +84,19 @@
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.reading = true
-	return !p.ended
+	return !p.closed
 }
 
 func (p *clientConn) busy() bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	return p.reading && !p.ended
+	return p.reading && !p.closed
 }
 
-func (p *clientConn) idleWithDeadline() bool {
+func (p *clientConn) isIdleWithDeadline() bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	return p.idle && p.hasDeadline.Load()
+	return p.idle && p.hasFutureDeadline.Load()
 }
 
 // setIdle notes that a response is complete and nothing of another request has been read.
@@ -111,7 +111,7 @@
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	until := p.idleSince.Add(idle)
-	if p.idle && p.hasDeadline.Load() && until > p.idleUntil {
+	if p.idle && p.hasFutureDeadline.Load() && until > p.idleUntil {
 		p.idleUntil = until
 		_ = p.Conn.SetReadDeadline(clock.Deadline(until.Sub(now)))
 	}
@@ -121,15 +121,15 @@
 func (p *clientConn) closeIdle() {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	if !p.reading && !p.ended {
-		p.ended = true
+	if !p.reading && !p.closed {
+		p.closed = true
 		p.Conn.Close()
 	}
 }
 
 // Close ends the connection.
 func (p *clientConn) Close() error {
-	p.owner.forget(p)
+	p.owner.remove(p)
 	return p.Conn.Close()
 }
 
--- a/internal/traffic/gateway/clientconn_test.go
+++ b/internal/traffic/gateway/clientconn_test.go
@@ -12,7 +12,7 @@
 	"lemonarch/internal/platform/clock"
 )
 
-func TestSlowAndLargeCounts(t *testing.T) {
+func TestStatusOfSlowLargeAndMalformedRequests(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/traffic/gateway/connections.go
+++ b/internal/traffic/gateway/connections.go
@@ -18,9 +18,9 @@
 	// idleTimeout is how long a connection may be idle, and headerTimeout how long a header may take.
 	idleTimeout, headerTimeout clock.Duration
 	// newestIdleTimeout is the idle time of the newest configuration.
-	newestIdleTimeout clock.Duration
+	configuredIdleTimeout clock.Duration
 	// newestHeadBytes is the length of heads by the newest configuration.
-	newestHeadBytes int
+	configuredHeadBytes int
 }
 
 // headLimiter is a listener that bounds heads, in bytes.
@@ -45,7 +45,7 @@
 	return connection, nil
 }
 
-func (c *clientConns) forget(connection *clientConn) {
+func (c *clientConns) remove(connection *clientConn) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	delete(c.open, connection)
@@ -68,7 +68,7 @@
 func (c *clientConns) setLimits(limits routeconfig.Limits) {
 	c.lock.Lock()
 	stated := clock.Milliseconds(limits.IdleMs)
-	c.idleTimeout, c.newestIdleTimeout = max(stated, c.newestIdleTimeout), stated
+	c.idleTimeout, c.configuredIdleTimeout = max(stated, c.configuredIdleTimeout), stated
 	c.headerTimeout = clock.Milliseconds(limits.HeaderWaitMs)
 	idle := c.idleTimeout
 	c.setHeadLimitLocked(limits.HeaderBytes)
@@ -85,8 +85,8 @@
 	if stated <= 0 {
 		stated = constants.HeadLimit
 	}
-	limit := max(stated, c.newestHeadBytes)
-	c.newestHeadBytes = stated
+	limit := max(stated, c.configuredHeadBytes)
+	c.configuredHeadBytes = stated
 	if limiter, can := c.Listener.(headLimiter); can {
 		limiter.SetHeadLimit(limit)
 	}
--- a/internal/traffic/gateway/connections_test.go
+++ b/internal/traffic/gateway/connections_test.go
@@ -17,25 +17,25 @@
 )
 
 // scripted is a client's connection whose reads are given, and whose deadline is seen.
-type scripted struct {
+type scriptedConn struct {
 	net.Conn
 	reads    []func(into []byte) (int, error)
 	deadline time.Time
 	closed   bool
 }
 
-func (s *scripted) Read(into []byte) (int, error) {
+func (s *scriptedConn) Read(into []byte) (int, error) {
 	read := s.reads[0]
 	s.reads = s.reads[1:]
 	return read(into)
 }
 
-func (s *scripted) SetReadDeadline(at time.Time) error {
+func (s *scriptedConn) SetReadDeadline(at time.Time) error {
 	s.deadline = at
 	return nil
 }
 
-func (s *scripted) Close() error {
+func (s *scriptedConn) Close() error {
 	s.closed = true
 	return nil
 }
@@ -44,8 +44,8 @@
 func deadlineExceeded([]byte) (int, error) { return 0, os.ErrDeadlineExceeded }
 
 // idleConnection gives a connection on which a response has just ended.
-func idleConnection(owner *clientConns, reads ...func([]byte) (int, error)) (*clientConn, *scripted) {
-	raw := &scripted{reads: reads}
+func idleConnection(owner *clientConns, reads ...func([]byte) (int, error)) (*clientConn, *scriptedConn) {
+	raw := &scriptedConn{reads: reads}
 	connection := &clientConn{Conn: raw, owner: owner}
 	owner.open[connection] = struct{}{}
 	trackState(connection, http.StateIdle)
@@ -54,29 +54,29 @@
 }
 
 // given is how long a connection may still rest, in seconds.
-func given(raw *scripted) float64 { return time.Until(raw.deadline).Seconds() }
+func secondsLeft(raw *scriptedConn) float64 { return time.Until(raw.deadline).Seconds() }
 
 // A client rests by the idle time of the configuration that it knows: the one in force,
 // or the one before. Resting connections get more time, and never less.
 func TestIdleTimeFollowsTheConfiguration(t *testing.T) {
 	owner := newClientConns(nil, routeconfig.Limits{IdleMs: 5_000, HeaderWaitMs: 3_000})
 	_, first := idleConnection(owner)
-	if left := given(first); left < 4 || left > 5.1 {
+	if left := secondsLeft(first); left < 4 || left > 5.1 {
 		t.Error("by the first configuration: ", left)
 	}
 	owner.setLimits(routeconfig.Limits{IdleMs: 15_000})
-	if left := given(first); left < 14 || left > 15.1 {
+	if left := secondsLeft(first); left < 14 || left > 15.1 {
 		t.Error("a resting one after a longer time was set: ", left)
 	}
 	owner.setLimits(routeconfig.Limits{IdleMs: 2_000})
 	_, second := idleConnection(owner)
-	if given(first) < 14 || given(second) < 14 {
-		t.Error("clients may still go by the longer time: ", given(first), given(second))
+	if secondsLeft(first) < 14 || secondsLeft(second) < 14 {
+		t.Error("clients may still go by the longer time: ", secondsLeft(first), secondsLeft(second))
 	}
 	owner.setLimits(routeconfig.Limits{IdleMs: 2_000})
 	_, third := idleConnection(owner)
-	if left := given(third); left > 2.1 || given(first) < 14 {
-		t.Error("by the last configuration: ", left, given(first))
+	if left := secondsLeft(third); left > 2.1 || secondsLeft(first) < 14 {
+		t.Error("by the last configuration: ", left, secondsLeft(first))
 	}
 }
 
--- a/internal/traffic/gateway/gateway.go
+++ b/internal/traffic/gateway/gateway.go
@@ -28,10 +28,10 @@
 	Node    *agent.Agent
 	Gossip  *loadgossip.Gossip
 	Proxy   *proxy.Proxy
-	settled atomic.Bool
+	configConfirmed atomic.Bool
 	// Set by Run, read by Shutdown.
-	ingress atomic.Pointer[http.Server]
-	ready   atomic.Pointer[http.Server]
+	ingressServer atomic.Pointer[http.Server]
+	readinessServer   atomic.Pointer[http.Server]
 	clients atomic.Pointer[clientConns]
 }
 
@@ -60,7 +60,7 @@
 		return err
 	}
 	g.Gossip.Start()
-	go runtime.PullFirst(func() { g.settled.Store(true) })
+	go runtime.PullFirst(func() { g.configConfirmed.Store(true) })
 	calls := chi.NewRouter()
 	calls.Get("/-/readiness", g.readiness)
 	ready := inbound.NewServer(calls)
@@ -70,7 +70,7 @@
 	if err != nil {
 		return process.ErrUnavailable.Wrap(err, "readiness")
 	}
-	g.ready.Store(ready)
+	g.readinessServer.Store(ready)
 	go func() { _ = ready.Serve(readied) }()
 	listener, err := inbound.Listen(runtime.Settings.Bind.Ingress, limits.Connections, memory)
 	if err != nil {
@@ -99,7 +99,7 @@
 	ingress := inbound.NewServer(g.Proxy)
 	ingress.ConnState = trackState
 	g.Node.Log.Info("serving", "ingress", g.Node.Settings.Bind.Ingress)
-	g.ingress.Store(ingress)
+	g.ingressServer.Store(ingress)
 	return ingress.Serve(clients)
 }
 
@@ -108,7 +108,7 @@
 func (g *Gateway) readiness(writer http.ResponseWriter, _ *http.Request) {
 	workerList := 0
 	g.Gossip.Scheduler.Locked(func() { workerList = len(g.Gossip.Scheduler.Registry.All(clock.Now())) })
-	if g.Proxy.Draining.Load() || !g.settled.Load() || workerList == 0 {
+	if g.Proxy.Draining.Load() || !g.configConfirmed.Load() || workerList == 0 {
 		httpreply.Text(writer, http.StatusServiceUnavailable, "not ready")
 		return
 	}
@@ -132,7 +132,7 @@
 	g.Node.Log.Info("drained", "served", counts.Served.Load(), "refused", counts.Rejected.Load(), "failed", counts.Failed.Load(),
 		"resumed", counts.Resumed.Load(), "cut", counts.CutOff.Load())
 	g.Node.Shutdown()
-	for _, server := range []*http.Server{g.ingress.Load(), g.ready.Load()} {
+	for _, server := range []*http.Server{g.ingressServer.Load(), g.readinessServer.Load()} {
 		if server != nil {
 			server.Close()
 		}
--- a/internal/traffic/gateway/jobcall_test.go
+++ b/internal/traffic/gateway/jobcall_test.go
@@ -47,7 +47,7 @@
 	return entry
 }
 
-func (h *leaderStub) took(job string) int {
+func (h *leaderStub) submissions(job string) int {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	return h.taken[job]
@@ -66,13 +66,13 @@
 			struck := faultrelay.Strike{Fault: trouble, Response: i >= jobFrameLength, At: i % jobFrameLength}
 			t.Run(fmt.Sprint(trouble, struck.Response, struck.At), func(t *testing.T) {
 				t.Parallel()
-				playJobCalls(t, struck)
+				runJobCalls(t, struck)
 			})
 		}
 	}
 }
 
-func playJobCalls(t *testing.T, struck faultrelay.Strike) {
+func runJobCalls(t *testing.T, struck faultrelay.Strike) {
 	t.Helper()
 
 	store := newLeaderStub(t)
@@ -114,11 +114,11 @@
 	call(http.MethodGet, "next")
 	relay.End()
 	for job, never := range refused {
-		if never && store.took(job) > 0 {
+		if never && store.submissions(job) > 0 {
 			t.Errorf("%s was taken, and told as one that never will be", job)
 		}
-		if store.took(job) > 1 {
-			t.Errorf("%s was taken %d times", job, store.took(job))
+		if store.submissions(job) > 1 {
+			t.Errorf("%s was taken %d times", job, store.submissions(job))
 		}
 	}
 }
--- a/internal/traffic/gateway/jobforwarder.go
+++ b/internal/traffic/gateway/jobforwarder.go
@@ -137,7 +137,7 @@
 		}
 		address, changed := g.leader()
 		if address == "" || tried[address] {
-			address = g.pickOther(membership.RoleStore, tried)
+			address = g.pickUntried(membership.RoleStore, tried)
 		}
 		if address == "" {
 			// Every store was tried: the leadership is changing, so wait a little.
@@ -176,7 +176,7 @@
 // relay has another gateway pass the call on. No answer and no failure mean that the
 // other could not either, and that nothing was taken.
 func (g *jobForwarder) relay(call *messages.JobCallRequest, end clock.Instant, tried map[string]bool) (*messages.JobCallResponse, error) {
-	address := g.pickOther(membership.RoleGateway, tried)
+	address := g.pickUntried(membership.RoleGateway, tried)
 	if address == "" {
 		return nil, nil
 	}
@@ -220,7 +220,7 @@
 	return resp, nil
 }
 
-func (g *jobForwarder) pickOther(role string, tried map[string]bool) string {
+func (g *jobForwarder) pickUntried(role string, tried map[string]bool) string {
 	entries := g.runtime.Live(role)
 	// Not always the same one: it may be cut off as well.
 	offset := int(g.random() * float64(len(entries)))
--- a/internal/traffic/gateway/keptconnection_test.go
+++ b/internal/traffic/gateway/keptconnection_test.go
@@ -17,20 +17,20 @@
 )
 
 // keptServer serves kept connections and knows which requests its handler took.
-type keptServer struct {
+type keepAliveServer struct {
 	clients *clientConns
 	server  *http.Server
 	taken   sync.Map
 	closing atomic.Bool
 }
 
-func newKeptServer(t *testing.T, limits routeconfig.Limits) *keptServer {
+func newKeepAliveServer(t *testing.T, limits routeconfig.Limits) *keepAliveServer {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &keptServer{clients: newClientConns(listener, limits)}
+	s := &keepAliveServer{clients: newClientConns(listener, limits)}
 	s.server = &http.Server{ConnState: trackState, IdleTimeout: time.Minute, ReadHeaderTimeout: time.Minute,
 		Handler: http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 			s.taken.Store(request.URL.Path, true)
@@ -46,7 +46,7 @@
 
 // ask sends requests on kept connections until the end, resting between them, and fails where
 // one that was taken got no answer.
-func (s *keptServer) ask(t *testing.T, client int, random *rand.Rand, rest time.Duration, end <-chan struct{}) (answered int) {
+func (s *keepAliveServer) sendRequests(t *testing.T, client int, random *rand.Rand, rest time.Duration, end <-chan struct{}) (answered int) {
 	t.Helper()
 	var connection net.Conn
 	var reader *bufio.Reader
@@ -95,20 +95,20 @@
 
 // Whatever closes a kept connection, the idle limit, a changed limit, or the end of the process,
 // a request that was taken from it is answered before.
-func TestKeptConnectionsCloseBetweenRequests(t *testing.T) {
+func TestKeepAliveConnectionsCloseBetweenRequests(t *testing.T) {
 	const idleMs = 12
 	for _, found := range []struct {
 		what  string
-		close func(s *keptServer)
+		close func(s *keepAliveServer)
 	}{
-		{"idle limit", func(*keptServer) {}},
-		{"changed limits", func(s *keptServer) {
+		{"idle limit", func(*keepAliveServer) {}},
+		{"changed limits", func(s *keepAliveServer) {
 			for i := range 40 {
 				s.clients.setLimits(routeconfig.Limits{IdleMs: float64(1 + i%idleMs), HeaderWaitMs: 3000})
 				<-clock.After(5 * time.Millisecond)
 			}
 		}},
-		{"end of the process", func(s *keptServer) {
+		{"end of the process", func(s *keepAliveServer) {
 			<-clock.After(60 * time.Millisecond)
 			s.closing.Store(true)
 			for end := clock.Now().Add(time.Second); !s.clients.closeIdle() && clock.Now() < end; {
@@ -117,7 +117,7 @@
 		}},
 	} {
 		t.Run(found.what, func(t *testing.T) {
-			s := newKeptServer(t, routeconfig.Limits{IdleMs: idleMs, HeaderWaitMs: 3000})
+			s := newKeepAliveServer(t, routeconfig.Limits{IdleMs: idleMs, HeaderWaitMs: 3000})
 			end := make(chan struct{})
 			var group sync.WaitGroup
 			var answered atomic.Int64
@@ -126,7 +126,7 @@
 				go func() {
 					defer group.Done()
 					// Rests come close to the limit, on both sides.
-					answered.Add(int64(s.ask(t, client, rand.New(rand.NewSource(int64(client))), 2*idleMs*time.Millisecond, end)))
+					answered.Add(int64(s.sendRequests(t, client, rand.New(rand.NewSource(int64(client))), 2*idleMs*time.Millisecond, end)))
 				}()
 			}
 			found.close(s)
--- a/internal/traffic/gateway/lingeringclose_test.go
+++ b/internal/traffic/gateway/lingeringclose_test.go
@@ -14,7 +14,7 @@
 
 // A real client that sends far more than it may is told so, and is not cut off: by
 // 431 for its head, by 413 for its body.
-func TestTooLargeIsAnsweredNotReset(t *testing.T) {
+func TestTooLargeRequestGetsAResponseNotAReset(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -47,9 +47,9 @@
 }
 
 // narrow gives connections that hold little unread, as links with small windows do.
-type narrow struct{ net.Listener }
+type smallBufferListener struct{ net.Listener }
 
-func (n narrow) Accept() (net.Conn, error) {
+func (n smallBufferListener) Accept() (net.Conn, error) {
 	connection, err := n.Listener.Accept()
 	if err == nil {
 		_ = connection.(*net.TCPConn).SetReadBuffer(32 << 10)
@@ -65,7 +65,7 @@
 		t.Fatal(err)
 	}
 	server := &http.Server{Handler: http.NotFoundHandler(), MaxHeaderBytes: 4096, ReadHeaderTimeout: clock.Milliseconds(3000), ConnState: trackState}
-	go func() { _ = server.Serve(newClientConns(narrow{listener}, routeconfig.Limits{})) }()
+	go func() { _ = server.Serve(newClientConns(smallBufferListener{listener}, routeconfig.Limits{})) }()
 	defer server.Close()
 	connection, err := net.Dial("tcp4", listener.Addr().String())
 	if err != nil {
--- a/internal/traffic/gateway/offer_test.go
+++ b/internal/traffic/gateway/offer_test.go
@@ -17,7 +17,7 @@
 
 // offering forwards a long job through a gateway to a store that answers offers by a list of
 // statuses and takes what is sent; it gives the answer and how often the job itself was sent.
-func offering(t *testing.T, timeout clock.Duration, statuses ...int) (resp *messages.JobCallResponse, mayHaveRun bool, sent int) {
+func forwardOffered(t *testing.T, timeout clock.Duration, statuses ...int) (resp *messages.JobCallResponse, mayHaveRun bool, sent int) {
 	t.Helper()
 	network := transport.NewMemoryNetwork()
 	runtime := agent.New(&settings.Settings{NodeName: "n", Address: "10.0.0.1", InternalPorts: []int{1, 9}}, membership.RoleGateway, 1, "", hclog.NewNullLogger())
@@ -64,12 +64,12 @@
 		{"known already", []int{202}, 202, 0, true},
 		{"does not fit", []int{429}, 429, 0, true},
 	} {
-		resp, maybe, sent := offering(t, clock.Milliseconds(second), found.statuses...)
+		resp, maybe, sent := forwardOffered(t, clock.Milliseconds(second), found.statuses...)
 		if resp == nil || resp.Status != found.status || sent != found.sent || maybe != found.maybe {
 			t.Errorf("%s: %+v %v, sent %d times", found.what, resp, maybe, sent)
 		}
 	}
-	if resp, maybe, sent := offering(t, clock.Milliseconds(second/10), 503); resp != nil || maybe || sent > 0 {
+	if resp, maybe, sent := forwardOffered(t, clock.Milliseconds(second/10), 503); resp != nil || maybe || sent > 0 {
 		t.Errorf("never asked for: %+v %v, sent %d times", resp, maybe, sent)
 	}
 }
--- a/internal/traffic/gateway/outcome_test.go
+++ b/internal/traffic/gateway/outcome_test.go
@@ -17,29 +17,29 @@
 
 // rough is a world in which calls come late, twice, or not at all, and answers get
 // lost. One seed gives one history: nothing in it waits.
-type rough struct {
+type simulation struct {
 	random *rand.Rand
 	now    clock.Instant
-	gates  map[string]*jobForwarder
+	gateways  map[string]*jobForwarder
 	stores map[string]*storeStub
 	// late holds the frames that are still under way.
 	late []func()
 	// taken says by which attempt each job came to stand.
 	taken map[string]string
 	// calm makes trouble rarer, the more the higher.
-	calm int
+	faultRarity int
 	// vacant says that nobody leads in this history's time.
-	vacant bool
+	noLeader bool
 }
 
 // storeStub is a store as far as hand-ins see it.
 type storeStub struct {
 	leads, full bool
-	once        transport.Deduplicator
+	deduplicator        transport.Deduplicator
 }
 
-func (r *rough) deliver(address string, body []byte) []byte {
-	if entry := r.gates[address]; entry != nil {
+func (r *simulation) deliver(address string, body []byte) []byte {
+	if entry := r.gateways[address]; entry != nil {
 		resp, _ := entry.runtime.Dispatch(messages.KindJobCall, body)
 		return resp
 	}
@@ -47,7 +47,7 @@
 	_ = transport.Decode(body, call)
 	entry, resp := r.stores[address], &messages.JobCallResponse{}
 	switch {
-	case !entry.once.First(call.RequestID, r.now):
+	case !entry.deduplicator.First(call.RequestID, r.now):
 		resp.Status = 504
 	case !entry.leads:
 		resp.NotLeader = true
@@ -64,12 +64,12 @@
 }
 
 // turn lets the leadership and the network change, and late frames arrive.
-func (r *rough) turn() {
+func (r *simulation) step() {
 	names := []string{"l0", "l1", "l2"}
 	if r.random.Intn(3) == 0 {
 		leader := names[r.random.Intn(3)]
 		for _, name := range names {
-			r.stores[name].leads = !r.vacant && name == leader && r.random.Intn(4) > 0
+			r.stores[name].leads = !r.noLeader && name == leader && r.random.Intn(4) > 0
 			r.stores[name].full = r.random.Intn(2) == 0
 		}
 	}
@@ -82,16 +82,16 @@
 }
 
 // connection is one gateway's transport.
-type connection struct{ world *rough }
+type simulatedTransport struct{ world *simulation }
 
-func (c connection) Serve(transport.Handler) error { return nil }
-func (c connection) Close()                        {}
+func (c simulatedTransport) Serve(transport.Handler) error { return nil }
+func (c simulatedTransport) Close()                        {}
 
-func (c connection) Call(address string, _ messages.Kind, body []byte, timeout clock.Duration) ([]byte, error) {
+func (c simulatedTransport) Call(address string, _ messages.Kind, body []byte, timeout clock.Duration) ([]byte, error) {
 	world := c.world
-	world.turn()
+	world.step()
 	again := func() { world.deliver(address, body) }
-	switch world.random.Intn(8 + world.calm) {
+	switch world.random.Intn(8 + world.faultRarity) {
 	case 0:
 		world.now = world.now.Add(timeout)
 		return nil, transport.ErrTimeout.New("lost")
@@ -111,9 +111,9 @@
 	return world.deliver(address, body), nil
 }
 
-func newRough(seed int64) *rough {
-	world := &rough{random: rand.New(rand.NewSource(seed)), now: 1, gates: map[string]*jobForwarder{}, stores: map[string]*storeStub{}, taken: map[string]string{}}
-	world.calm, world.vacant = world.random.Intn(3)*60, world.random.Intn(4) == 0
+func newSimulation(seed int64) *simulation {
+	world := &simulation{random: rand.New(rand.NewSource(seed)), now: 1, gateways: map[string]*jobForwarder{}, stores: map[string]*storeStub{}, taken: map[string]string{}}
+	world.faultRarity, world.noLeader = world.random.Intn(3)*60, world.random.Intn(4) == 0
 	entries := []messages.NodeInfo{}
 	for number := 0; number < 3; number++ {
 		name := fmt.Sprint("l", number)
@@ -125,13 +125,13 @@
 		name := fmt.Sprint("f", number)
 		nodeSettings := &settings.Settings{NodeName: name, Address: "10.0.0.1", InternalPorts: []int{1, 9}}
 		runtime := agent.New(nodeSettings, membership.RoleGateway, 1, "", hclog.NewNullLogger())
-		runtime.Transport = connection{world}
+		runtime.Transport = simulatedTransport{world}
 		runtime.Observe(entries)
 		entry := newJobForwarder(runtime)
 		entry.now = func() clock.Instant { return world.now }
-		entry.sleep = func(timeout clock.Duration) { world.now = world.now.Add(timeout); world.turn() }
+		entry.sleep = func(timeout clock.Duration) { world.now = world.now.Add(timeout); world.step() }
 		entry.random = world.random.Float64
-		world.gates[name] = entry
+		world.gateways[name] = entry
 	}
 	return world
 }
@@ -141,13 +141,13 @@
 func TestRejectedJobsNeverRun(t *testing.T) {
 	rejected := map[int]int{}
 	for seed := int64(1); seed <= 1500; seed++ {
-		world := newRough(seed)
+		world := newSimulation(seed)
 		refused := map[string]int{}
 		for job := 0; job < 2; job++ {
 			for attempt := 0; attempt < 3; attempt++ {
 				name, mark := fmt.Sprint("lot", job), fmt.Sprint(job, "/", attempt)
 				call := &messages.JobCallRequest{Method: "POST", Job: name, Body: []byte(mark)}
-				resp, mayHaveRun := world.gates[fmt.Sprint("f", attempt)].Forward(call, clock.Milliseconds(3000))
+				resp, mayHaveRun := world.gateways[fmt.Sprint("f", attempt)].Forward(call, clock.Milliseconds(3000))
 				status := 503
 				if resp != nil {
 					status = resp.Status
@@ -161,7 +161,7 @@
 				if promisesNotRun(status) {
 					refused[mark] = status
 				}
-				world.turn()
+				world.step()
 			}
 		}
 		// Whatever is still under way arrives in the end.
@@ -189,7 +189,7 @@
 
 // The call that waited on a silent holder may still be taken there: a refusal by
 // the one after it is no promise.
-func TestRejectionAfterTimeoutIsNoPromise(t *testing.T) {
+func TestRejectionAfterTimeoutIsOutcomeUnknown(t *testing.T) {
 	network := transport.NewMemoryNetwork()
 	nodeSettings := &settings.Settings{NodeName: "n", Address: "10.0.0.1", InternalPorts: []int{1, 9}}
 	runtime := agent.New(nodeSettings, membership.RoleGateway, 1, "", hclog.NewNullLogger())
@@ -220,10 +220,10 @@
 
 // A relay that met silence says so: the first gateway, which reached nobody itself,
 // has nothing to promise.
-func TestTimeoutBehindARelayIsNoPromise(t *testing.T) {
-	world := newRough(1)
+func TestTimeoutBehindARelayIsOutcomeUnknown(t *testing.T) {
+	world := newSimulation(1)
 	network := transport.NewMemoryNetwork()
-	partitioned, near := world.gates["f0"], world.gates["f1"]
+	partitioned, near := world.gateways["f0"], world.gateways["f1"]
 	for _, entry := range []*jobForwarder{partitioned, near} {
 		entry.runtime.Transport = network.Transport(entry.runtime.Self.Name)
 	}
--- a/internal/traffic/proxy/admit.go
+++ b/internal/traffic/proxy/admit.go
@@ -6,38 +6,41 @@
 	"lemonarch/internal/traffic/admission"
 )
 
-// admit gets a grant, waiting in the queue where that is still worth it.
+// admit requests a grant from the scheduler and waits in its queue, if queued, up to QueueUntil or
+// the client's disconnect.
 func (e *exchange) admit() admission.Decision {
 	now := clock.Now()
 	left := e.deadline.Sub(now)
 	if e.attempts == 0 {
-		// A rejection within a quarter of the latency target still leaves the client time.
+		// If the request is rejected within this share of the latency target (a quarter), the client
+		// still has time to try elsewhere.
 		timeout := clock.Duration(float64(e.admission.Setpoint) * constants.QueueShare)
 		e.admission.QueueUntil = min(e.arrivedAt.Add(timeout), e.deadline)
 	} else {
-		// It has run in part: nobody can be told to come back, so wait longer.
+		// The request may have run in part, so the client can't be sent a 503 with Retry-After: wait longer.
 		e.admission.QueueUntil = now.Add(left / 2)
 	}
-	resumed := make(chan admission.Decision, 1)
-	resp, handle := e.proxyServer.Scheduler.Admit(&e.admission, func(late admission.Decision) { resumed <- late }, now)
-	if resp.Verdict != admission.VerdictQueued {
-		return resp
+	decided := make(chan admission.Decision, 1)
+	decision, handle := e.proxyServer.Scheduler.Admit(&e.admission, func(queuedDecision admission.Decision) { decided <- queuedDecision }, now)
+	if decision.Verdict != admission.VerdictQueued {
+		return decision
 	}
 	select {
-	case resp = <-resumed:
+	case decision = <-decided:
 	case <-e.request.Context().Done():
 		if !e.proxyServer.Scheduler.Withdraw(handle) {
-			resp = <-resumed
+			decision = <-decided
 		} else {
-			resp = admission.Decision{Verdict: admission.VerdictNoCapacity}
+			decision = admission.Decision{Verdict: admission.VerdictNoCapacity}
 		}
 	}
-	return resp
+	return decision
 }
 
-// awaitCapacity waits a little where a response that has begun finds no worker to go on at, and
-// tells whether to look once more. Its client has a part of it, so it is not refused any more:
-// only its deadline ends it, or its client. Workers that were tried before may be asked again.
+// awaitCapacity waits briefly if a response has begun and no worker can continue it, and reports
+// whether to request admission again. Since the client has received part of the response, the
+// request can no longer be rejected: only its deadline or the client's disconnect ends it. Workers
+// that were tried before may be tried again.
 func (e *exchange) awaitCapacity() bool {
 	left := e.deadline.Sub(clock.Now())
 	if !e.headSent || left <= 0 {
--- a/internal/traffic/proxy/begunresponse_test.go
+++ b/internal/traffic/proxy/begunresponse_test.go
@@ -28,8 +28,8 @@
 		}
 		write(connection, "0\r\n\r\n")
 	})
-	server, proxy := edge(t, worker)
-	askWholeStream(t, server)
+	server, proxy := newProxyServer(t, worker)
+	expectWholeStream(t, server)
 	if cut := proxy.Counts.CutOff.Load(); cut != 0 || worker.seen() != 2 {
 		t.Error(cut, worker.seen())
 	}
@@ -60,21 +60,21 @@
 		}
 		write(connection, "0\r\n\r\n")
 	}
-	server, proxy := edge(t, newWorkerStub(t, "w1", script), newWorkerStub(t, "w2", script))
+	server, proxy := newProxyServer(t, newWorkerStub(t, "w1", script), newWorkerStub(t, "w2", script))
 	stop := make(chan struct{})
 	defer close(stop)
 	go clock.Every(constants.PumpPeriod, stop, proxy.Sweep)
-	askWholeStream(t, server)
+	expectWholeStream(t, server)
 	if cut := proxy.Counts.CutOff.Load(); cut != 0 || turnedAway.Load() != refusals+1 {
 		t.Error(cut, turnedAway.Load())
 	}
 }
 
 // askWholeStream asks for a stream of five events, which must come whole within one response.
-func askWholeStream(t *testing.T, server *httptest.Server) {
+func expectWholeStream(t *testing.T, server *httptest.Server) {
 	t.Helper()
 
-	resp, body, err := ask(t, server, "/stream/x", nil)
+	resp, body, err := sendRequest(t, server, "/stream/x", nil)
 	want := ""
 	for id := 1; id <= 5; id++ {
 		want += event(id)
--- a/internal/traffic/proxy/bounds_test.go
+++ b/internal/traffic/proxy/bounds_test.go
@@ -25,7 +25,7 @@
 // Whatever befalls a request at its workers, in whichever order: one try of a client
 // reaches no more of them than its route allows, and a failure that bears a worker's seal
 // bears that worker's status.
-func TestAttemptsBoundTheWorkers(t *testing.T) {
+func TestAttemptLimitBoundsWorkersReached(t *testing.T) {
 	var names []string
 	for name := range failures {
 		names = append(names, name)
@@ -43,8 +43,8 @@
 					connection.Close()
 				}))
 			}
-			server, _ := edge(t, workers...)
-			resp, _, err := ask(t, server, path, nil)
+			server, _ := newProxyServer(t, workers...)
+			resp, _, err := sendRequest(t, server, path, nil)
 			reached := 0
 			for _, worker := range workers {
 				reached += min(worker.seen(), 1)
@@ -75,18 +75,18 @@
 				script := func(_ int, request *http.Request, connection net.Conn) {
 					text := streamHead(request) + chunk(event(1)) + chunk(event(2)) + "0\r\n\r\n"
 					if !strings.HasPrefix(path, "/stream") && !strings.HasPrefix(path, "/rigid") {
-						text = wellDone(request, "done")
+						text = successResponse(request, "done")
 					}
 					write(connection, text[:len(text)*share/100])
 					<-wait
 				}
-				server, proxy := edge(t, newWorkerStub(t, "w1", script), newWorkerStub(t, "w2", script), newWorkerStub(t, "w3", script))
-				shorten(t, proxy)
+				server, proxy := newProxyServer(t, newWorkerStub(t, "w1", script), newWorkerStub(t, "w2", script), newWorkerStub(t, "w3", script))
+				setShortCutoffs(t, proxy)
 				// A machine that stands still holds everybody: only what is late each time is.
 				const cutoffMs, tries = 300, 3
 				for try := 1; ; try++ {
 					started := clock.Now()
-					_, _, _ = ask(t, server, path, map[string]string{headerAttempt: fmt.Sprint("try-", try)})
+					_, _, _ = sendRequest(t, server, path, map[string]string{headerAttempt: fmt.Sprint("try-", try)})
 					took := clock.Now().Sub(started)
 					if took < clock.Milliseconds(cutoffMs+250) {
 						break
@@ -101,7 +101,7 @@
 }
 
 // shorten sets a newer configuration, in which each route has 300 ms.
-func shorten(t *testing.T, proxy *Proxy) {
+func setShortCutoffs(t *testing.T, proxy *Proxy) {
 	t.Helper()
 
 	text := strings.Replace(testConfig, `"generation":1`, `"generation":2`, 1)
@@ -124,7 +124,7 @@
 }
 
 // A configuration that drops the routes and the service cuts nothing that runs.
-func TestConfigurationCutsNothing(t *testing.T) {
+func TestConfigurationChangeKeepsRunningRequests(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/stream/x", "/once/x", "/rigid/x"} {
 		half, complete := make(chan struct{}), make(chan struct{})
 		worker := newWorkerStub(t, "w1", func(_ int, request *http.Request, connection net.Conn) {
@@ -137,12 +137,12 @@
 			}
 			close(half)
 			<-complete
-			write(connection, wellDone(request, "for attempt-1"))
+			write(connection, successResponse(request, "for attempt-1"))
 		})
-		server, proxy := edge(t, worker)
+		server, proxy := newProxyServer(t, worker)
 		ended := make(chan error, 1)
 		go func() {
-			resp, body, err := ask(t, server, path, nil)
+			resp, body, err := sendRequest(t, server, path, nil)
 			if err == nil && (resp.StatusCode != 200 || body != completeResponse(path, "attempt-1")) {
 				err = fmt.Errorf("%d %q", resp.StatusCode, body)
 			}
--- a/internal/traffic/proxy/core_test.go
+++ b/internal/traffic/proxy/core_test.go
@@ -14,7 +14,7 @@
 
 // No evidence lets an effectful request run twice, and nobody gets two runs
 // joined that do not follow each other.
-func TestMay(t *testing.T) {
+func TestDecideRetry(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(7)
 	parameters.MinSuccessfulTests = 2000
 	properties := gopter.NewProperties(parameters)
@@ -50,13 +50,13 @@
 		splitter := &Splitter{Next: 4}
 		first, follows := splitter.Feed([]byte(text[:found]))
 		second, alsoFollows := splitter.Feed([]byte(text[found:]))
-		if !follows || !alsoFollows || string(first)+string(second) != text || len(splitter.Rest()) > 0 || splitter.Last != 6 {
+		if !follows || !alsoFollows || string(first)+string(second) != text || len(splitter.Remainder()) > 0 || splitter.Last != 6 {
 			t.Fatalf("cut at %d: %q %q", found, first, second)
 		}
 	}
 }
 
-func TestSplitterRefusesWhatDoesNotFollow(t *testing.T) {
+func TestSplitterRejectsNonConsecutiveIDs(t *testing.T) {
 	for _, text := range []string{event(5), event(3), event(4) + event(6), event(4) + event(4)} {
 		splitter := &Splitter{Next: 4}
 		if _, follows := splitter.Feed([]byte(text)); follows {
--- a/internal/traffic/proxy/draws.go
+++ b/internal/traffic/proxy/draws.go
@@ -8,41 +8,42 @@
 	"lemonarch/internal/configuration/routeconfig"
 )
 
-// goldenStep is the step of the sequence of draws, the golden ratio's fraction: of any number
-// of draws in a row, each part of a route gets its share within about one.
-const goldenStep = 0.6180339887498949
+// goldenRatioStep is the step of the sequence of draws, the fractional part of the golden ratio. With
+// it, in any run of consecutive draws each service of a route gets its share to within about one draw.
+const goldenRatioStep = 0.6180339887498949
 
-// drawnRoutesMax bounds the routes whose sequences are kept (ours): routes come and go with
-// configurations, and a sequence that begins anew is off by one at most.
-const drawnRoutesMax = 256
+// maxDrawSequences is the maximum number of routes whose sequences are kept, since configurations add
+// and remove routes. Restarting a sequence changes a service's count by one at most.
+const maxDrawSequences = 256
 
-// draws chooses the services of weighted routes. A sequence of low discrepancy takes the place
-// of independent draws, since each of many gateways sees few requests of a route; its start is
-// random, so that gateways do not begin with the same part. It is safe for concurrent use.
-type draws struct {
+// weightedDraws chooses the services of weighted routes. It uses a low-discrepancy sequence instead of
+// independent random draws, since each of many gateways receives few requests of a route. The start
+// of a sequence is random, so that gateways do not all start with the same service. It is safe for
+// concurrent use.
+type weightedDraws struct {
 	lock    sync.Mutex
 	byRoute map[string]float64
 }
 
-// choose gives the service of one request of a route.
-func (d *draws) choose(route *routeconfig.Route) string {
+// choose returns the service for one request of a route.
+func (d *weightedDraws) choose(route *routeconfig.Route) string {
 	if len(route.Weighted) == 0 {
 		return route.Backend
 	}
 	return route.Choose(d.next(route.Name))
 }
 
-// next gives the next draw of a route, in [0, 1).
-func (d *draws) next(route string) float64 {
+// next returns the next draw of a route, in [0, 1).
+func (d *weightedDraws) next(route string) float64 {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	if d.byRoute == nil || len(d.byRoute) >= drawnRoutesMax {
+	if d.byRoute == nil || len(d.byRoute) >= maxDrawSequences {
 		d.byRoute = map[string]float64{}
 	}
-	draw, begun := d.byRoute[route]
-	if !begun {
+	draw, found := d.byRoute[route]
+	if !found {
 		draw = rand.Float64()
 	}
-	_, d.byRoute[route] = math.Modf(draw + goldenStep)
+	_, d.byRoute[route] = math.Modf(draw + goldenRatioStep)
 	return draw
 }
--- a/internal/traffic/proxy/events.go
+++ b/internal/traffic/proxy/events.go
@@ -5,68 +5,70 @@
 	"strconv"
 )
 
-// Splitter splits the bytes of an event stream into complete events, so that a break
-// never leaves half an event with the client, and follows their ids.
+// Splitter splits the bytes of an event stream into complete events, so that a broken stream
+// never leaves part of an event with the client, and checks that the ids are consecutive.
 type Splitter struct {
-	rest []byte
-	// Last is the id of the last complete event, if any carried one.
-	Last    int64
-	Started bool
-	// Next, where above 0, is the id that the first event must have: a stream
-	// that goes on must go on exactly.
+	remainder []byte
+	// Last is the id of the last complete event that had one. It is valid if HasID is set.
+	Last  int64
+	HasID bool
+	// Next, if above 0, is the id that the first event must have: a resumed stream must continue
+	// with exactly the event after the last one that was forwarded.
 	Next int64
 }
 
-var blank = []byte("\n\n")
+var eventDelimiter = []byte("\n\n")
 
-// Feed takes bytes and gives the complete events among them; false means that the
-// ids do not follow each other.
-func (s *Splitter) Feed(text []byte) (complete []byte, follows bool) {
-	s.rest = append(s.rest, text...)
+// Feed adds bytes of the stream and returns the events that are now complete. consecutive is false
+// if the id of an event is not the expected one; only the events before that one are returned.
+func (s *Splitter) Feed(text []byte) (complete []byte, consecutive bool) {
+	s.remainder = append(s.remainder, text...)
 	end := 0
 	for {
-		at := bytes.Index(s.rest[end:], blank)
-		if at < 0 {
+		index := bytes.Index(s.remainder[end:], eventDelimiter)
+		if index < 0 {
 			break
 		}
-		event := s.rest[end : end+at+len(blank)]
-		if !s.follow(event) {
-			return s.take(end), false
+		event := s.remainder[end : end+index+len(eventDelimiter)]
+		if !s.checkID(event) {
+			return s.takeComplete(end), false
 		}
-		end += at + len(blank)
+		end += index + len(eventDelimiter)
 	}
-	return s.take(end), true
+	return s.takeComplete(end), true
 }
 
-func (s *Splitter) take(end int) []byte {
-	complete := s.rest[:end:end]
-	s.rest = append([]byte(nil), s.rest[end:]...)
+func (s *Splitter) takeComplete(end int) []byte {
+	complete := s.remainder[:end:end]
+	s.remainder = append([]byte(nil), s.remainder[end:]...)
 	return complete
 }
 
-func (s *Splitter) follow(event []byte) bool {
-	id, known := eventID(event)
-	if !known {
+func (s *Splitter) checkID(event []byte) bool {
+	id, found := eventID(event)
+	if !found {
 		return true
 	}
 	if s.Next > 0 && id != s.Next {
 		return false
 	}
-	if s.Started && id != s.Last+1 {
+	if s.HasID && id != s.Last+1 {
 		return false
 	}
-	s.Next, s.Last, s.Started = 0, id, true
+	s.Next, s.Last, s.HasID = 0, id, true
 	return true
 }
 
-// Rest gives what has come of an unfinished event.
-func (s *Splitter) Rest() []byte { return s.rest }
+// Remainder returns the bytes received of an incomplete event.
+func (s *Splitter) Remainder() []byte { return s.remainder }
 
+// eventID returns the value of the first id line of an event. The second result is false if there is
+// none or it is not a number.
 func eventID(event []byte) (int64, bool) {
 	for len(event) > 0 {
 		line := event
-		if at := bytes.IndexByte(event, '\n'); at >= 0 {
-			line, event = event[:at], event[at+1:]
+		if index := bytes.IndexByte(event, '\n'); index >= 0 {
+			line, event = event[:index], event[index+1:]
 		} else {
 			event = nil
 		}
@@ -78,10 +80,11 @@
 	return 0, false
 }
 
-// Data joins the data lines of complete events, each event's own line by line feeds.
+// Data returns the data of each of the complete events that has any. The data lines of one event are
+// joined by line feeds.
 func Data(events []byte) [][]byte {
 	var parts [][]byte
-	for _, event := range bytes.Split(events, blank) {
+	for _, event := range bytes.Split(events, eventDelimiter) {
 		var lines [][]byte
 		found := false
 		for _, line := range bytes.Split(event, []byte("\n")) {
--- a/internal/traffic/proxy/everybyte_test.go
+++ b/internal/traffic/proxy/everybyte_test.go
@@ -17,14 +17,14 @@
 const everyByte = "LEMONARCH_EVERY_BYTE"
 
 // call is one case: a kind of request on a fresh or a rested connection, and a strike.
-type call struct {
+type faultCase struct {
 	path   string
-	rested bool
+	reused bool
 	strike faultrelay.Strike
 }
 
-func (c *call) String() string {
-	return fmt.Sprintf("%s rested=%v %s answer=%v at=%d", c.path, c.rested, c.strike.Fault, c.strike.Response, c.strike.At)
+func (c *faultCase) String() string {
+	return fmt.Sprintf("%s rested=%v %s answer=%v at=%d", c.path, c.reused, c.strike.Fault, c.strike.Response, c.strike.At)
 }
 
 // serveComplete answers every request completely, by the kind of its path.
@@ -33,7 +33,7 @@
 		write(connection, streamHead(request)+chunk(event(1))+chunk(event(2))+"0\r\n\r\n")
 		return
 	}
-	write(connection, wellDone(request, "for "+request.Header.Get(headerAttempt)))
+	write(connection, successResponse(request, "for "+request.Header.Get(headerAttempt)))
 }
 
 func completeResponse(path, attempt string) string {
@@ -44,16 +44,16 @@
 }
 
 // stage is two workers behind relays, and the node in front of them.
-type stage struct {
+type testbed struct {
 	workers [2]*workerStub
 	relays  [2]*faultrelay.Relay
 	node    *httptest.Server
 }
 
-func newStage(t *testing.T) *stage {
+func newTestbed(t *testing.T) *testbed {
 	t.Helper()
 
-	s := &stage{}
+	s := &testbed{}
 	for i := range s.workers {
 		s.workers[i] = newWorkerStub(t, fmt.Sprint("w", i+1), serveComplete)
 		relay, err := faultrelay.New(s.workers[i].listener.Addr().String())
@@ -67,18 +67,18 @@
 }
 
 // start starts a node that knows nothing of an earlier one.
-func (s *stage) start(t *testing.T) {
+func (s *testbed) start(t *testing.T) {
 	t.Helper()
 
 	var list []messages.Worker
 	for i, worker := range s.workers {
 		list = append(list, messages.Worker{ID: worker.id, Address: s.relays[i].Address()})
 	}
-	s.node, _ = edgeFor(t, list)
+	s.node, _ = newProxyServerFor(t, list)
 }
 
 // settle ends the relays and waits until the workers have read all that will ever come.
-func (s *stage) settle(t *testing.T) {
+func (s *testbed) settle(t *testing.T) {
 	t.Helper()
 
 	for i := range s.workers {
@@ -87,24 +87,24 @@
 	}
 }
 
-func (s *stage) ran(attempt string) int {
+func (s *testbed) ran(attempt string) int {
 	return s.workers[0].ran(attempt) + s.workers[1].ran(attempt)
 }
 
 // promised tells whether a status says that the request has not run and never will.
-func promised(status int) bool {
+func promisesNotRun(status int) bool {
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable ||
 		status == http.StatusRequestTimeout || status == http.StatusMisdirectedRequest
 }
 
 // play runs one case and gives what it broke.
-func (c *call) play(t *testing.T) string {
+func (c *faultCase) run(t *testing.T) string {
 	t.Helper()
 
-	stage := newStage(t)
-	if c.rested {
+	stage := newTestbed(t)
+	if c.reused {
 		for i := 0; i < 2; i++ {
-			if resp, _, err := ask(t, stage.node, "/safe/x", map[string]string{headerAttempt: fmt.Sprint("first-", i)}); err != nil || resp.StatusCode != 200 {
+			if resp, _, err := sendRequest(t, stage.node, "/safe/x", map[string]string{headerAttempt: fmt.Sprint("first-", i)}); err != nil || resp.StatusCode != 200 {
 				return fmt.Sprint("no calm start: ", resp, err)
 			}
 		}
@@ -115,25 +115,25 @@
 	if struck.Fault == faultrelay.Drop || struck.Fault == faultrelay.Freeze {
 		headers[headerTimeLeft] = "120"
 	}
-	resp, body, err := ask(t, stage.node, c.path, headers)
+	resp, body, err := sendRequest(t, stage.node, c.path, headers)
 	if struck.Fault == faultrelay.Restart {
 		stage.node.Close()
 		stage.start(t)
 	}
 	stage.relays[0].Thaw()
-	next, nextBody, nextErr := ask(t, stage.node, "/safe/x", map[string]string{headerAttempt: "next"})
+	next, nextBody, nextErr := sendRequest(t, stage.node, "/safe/x", map[string]string{headerAttempt: "next"})
 	stage.settle(t)
-	return c.judge(stage.ran("probe"), resp, body, err) + c.judgeNext(next, nextBody, nextErr)
+	return c.check(stage.ran("probe"), resp, body, err) + c.checkNext(next, nextBody, nextErr)
 }
 
-func (c *call) judge(ran int, resp *http.Response, body string, err error) string {
+func (c *faultCase) check(ran int, resp *http.Response, body string, err error) string {
 	retryable := c.path == "/safe/x" || c.path == "/stream/x"
 	switch {
 	case !retryable && ran > 1:
 		return fmt.Sprintf("ran %d times", ran)
 	case err != nil:
 		return ""
-	case ran > 0 && promised(resp.StatusCode):
+	case ran > 0 && promisesNotRun(resp.StatusCode):
 		return fmt.Sprintf("ran, and answered %d", resp.StatusCode)
 	case resp.StatusCode == 200 && (body != completeResponse(c.path, "probe") || resp.Header.Get(headerAttempt) != "probe"):
 		return fmt.Sprintf("answered %q for %q", body, resp.Header.Get(headerAttempt))
@@ -141,7 +141,7 @@
 	return ""
 }
 
-func (c *call) judgeNext(resp *http.Response, body string, err error) string {
+func (c *faultCase) checkNext(resp *http.Response, body string, err error) string {
 	if err == nil && resp.StatusCode == 200 && (body != "for next" || resp.Header.Get(headerAttempt) != "next") {
 		return fmt.Sprintf("the next one got %q", body)
 	}
@@ -149,12 +149,12 @@
 }
 
 // lengths measures a request and its response on the wire.
-func lengths(t *testing.T, path string) (request, resp int) {
+func measureLengths(t *testing.T, path string) (request, resp int) {
 	t.Helper()
 
-	stage := newStage(t)
+	stage := newTestbed(t)
 	stage.relays[0].Arm(nil)
-	if _, _, err := ask(t, stage.node, path, map[string]string{headerAttempt: "probe"}); err != nil {
+	if _, _, err := sendRequest(t, stage.node, path, map[string]string{headerAttempt: "probe"}); err != nil {
 		t.Fatal(err)
 	}
 	stage.settle(t)
@@ -163,7 +163,7 @@
 
 // stepOf says which bytes are struck: every one by a cut or a reset of what may not be
 // repeated, and otherwise some.
-func stepOf(path string, fault faultrelay.Fault) int {
+func byteStep(path string, fault faultrelay.Fault) int {
 	broken := fault == faultrelay.Close || fault == faultrelay.Reset
 	switch {
 	case os.Getenv(everyByte) != "", broken && path == "/once/x":
@@ -175,7 +175,7 @@
 }
 
 // restedAt says on which connections a byte is struck: both on demand, else by turns.
-func restedAt(i int, fault faultrelay.Fault) []bool {
+func connectionCases(i int, fault faultrelay.Fault) []bool {
 	if os.Getenv(everyByte) != "" {
 		return []bool{false, true}
 	}
@@ -187,11 +187,11 @@
 // what ran is never rejected as if it had not, a success is complete and the caller's own,
 // and so is the next caller's.
 func TestFaultAtEveryByte(t *testing.T) {
-	var calls []call
+	var calls []faultCase
 	for _, path := range []string{"/once/x", "/rigid/x", "/safe/x", "/stream/x"} {
-		requestLength, answerLength := lengths(t, path)
+		requestLength, answerLength := measureLengths(t, path)
 		for _, fault := range faultrelay.Faults() {
-			for i := 0; i < requestLength+answerLength; i += stepOf(path, fault) {
+			for i := 0; i < requestLength+answerLength; i += byteStep(path, fault) {
 				struck := faultrelay.Strike{Fault: fault, At: i}
 				if i >= requestLength {
 					struck.Response, struck.At = true, i-requestLength
@@ -199,8 +199,8 @@
 					// A network does not send the bytes of a connection twice to a worker.
 					continue
 				}
-				for _, rested := range restedAt(i, fault) {
-					calls = append(calls, call{path, rested, struck})
+				for _, rested := range connectionCases(i, fault) {
+					calls = append(calls, faultCase{path, rested, struck})
 				}
 			}
 		}
@@ -210,7 +210,7 @@
 		for _, entry := range calls {
 			t.Run(entry.String(), func(t *testing.T) {
 				t.Parallel()
-				if broken := entry.play(t); broken != "" {
+				if broken := entry.run(t); broken != "" {
 					t.Error(broken)
 				}
 			})
--- a/internal/traffic/proxy/exchange.go
+++ b/internal/traffic/proxy/exchange.go
@@ -15,7 +15,7 @@
 	"lemonarch/internal/traffic/workerconn"
 )
 
-// exchange is one request's way through the process.
+// exchange is the state of one client request over all its attempts at workers.
 type exchange struct {
 	proxyServer *Proxy
 	writer      http.ResponseWriter
@@ -39,8 +39,8 @@
 	hasEvent    bool
 	connection  atomic.Pointer[workerconn.Connection]
 	lastFailure *workerFailure
-	// preempted is set by whoever takes this request's slot; requeued holds until the next
-	// attempt, wasPreempted to the end.
+	// preempted is set by the scheduler when it preempts the running attempt. requeued is set from
+	// then until the next attempt, and wasPreempted until the end of the request.
 	preempted    atomic.Bool
 	wasPreempted bool
 	requeued     bool
@@ -48,7 +48,7 @@
 	traffic      trafficObservation
 }
 
-// undeliveredLimit bounds how many workers are attempted that can't even be reached.
+// undeliveredLimit is the maximum number of attempts in which no byte of the request reached the worker.
 const undeliveredLimit = 4
 
 func (e *exchange) kind() messages.RouteKind { return e.route.Kind() }
@@ -57,20 +57,20 @@
 	return e.kind() == messages.RouteIdempotent || (e.kind() == messages.RouteStreaming && e.route.Resumable)
 }
 
-// serve makes attempts at workers until there is an outcome; every path ends in exactly one.
+// serve makes attempts at workers until the request has an outcome. Every path ends in exactly one outcome.
 func (e *exchange) serve() {
 	for {
-		resp := e.admit()
-		if resp.Verdict != admission.VerdictGranted {
+		decision := e.admit()
+		if decision.Verdict != admission.VerdictGranted {
 			if e.awaitCapacity() {
 				continue
 			}
-			e.giveUp(resp)
+			e.giveUp(decision)
 			return
 		}
-		e.traffic.placed(resp.Grant, clock.Now())
-		retry, over := e.attemptAt(resp.Grant)
-		if over {
+		e.traffic.placed(decision.Grant, clock.Now())
+		retry, done := e.attemptAt(decision.Grant)
+		if done {
 			return
 		}
 		if retry == RetryNever || e.exhausted() {
@@ -78,17 +78,18 @@
 			return
 		}
 		if e.requeued {
-			// Its worker did nothing wrong and may be asked again.
+			// The worker did not fail, so it is not excluded from the next attempt.
 			e.requeued = false
 			e.proxyServer.Scheduler.Counters(e.route.Name).Resumed.Add(1)
 			continue
 		}
-		e.admission.Excluded = append(e.admission.Excluded, resp.Grant.Worker.ID)
+		e.admission.Excluded = append(e.admission.Excluded, decision.Grant.Worker.ID)
 	}
 }
 
-// exhausted tells whether no further worker may be attempted. A response that has begun is given up
-// only where its tries have run or its time is over: its client can't be told to come back.
+// exhausted reports whether no further attempt may be made. Once a response has begun, only the
+// route's number of tries, the deadline or the client's disconnect ends it: its client can no longer
+// be sent a 503 with Retry-After.
 func (e *exchange) exhausted() bool {
 	if clock.Now() >= e.deadline || e.request.Context().Err() != nil || e.attempts >= e.route.Tries {
 		return true
@@ -96,20 +97,20 @@
 	return e.undelivered >= undeliveredLimit && !e.headSent
 }
 
-// outgoing writes the request for a worker.
-func (e *exchange) outgoing(grant *admission.Grant) *Request {
-	own := map[string]string{headerTarget: grant.Worker.ID}
+// newRequest builds the request for the worker of a grant.
+func (e *exchange) newRequest(grant *admission.Grant) *Request {
+	overrides := map[string]string{headerTarget: grant.Worker.ID}
 	if e.hasTimeLeft {
 		left := e.deadline.Sub(clock.Now()).Milliseconds()
-		own[headerTimeLeft] = strconv.FormatInt(max(left, 1), 10)
+		overrides[headerTimeLeft] = strconv.FormatInt(max(left, 1), 10)
 	}
 	if e.hasEvent {
-		own[headerLastEvent] = strconv.FormatInt(e.lastID, 10)
+		overrides[headerLastEvent] = strconv.FormatInt(e.lastID, 10)
 	}
 	return &Request{
 		Method:         e.method,
 		Attempt:        e.attempt,
-		Text:           encodeRequest(e.method, e.request.RequestURI, e.request.Host, e.header, own, e.body, e.hasLength),
+		Text:           encodeRequest(e.method, e.request.RequestURI, e.request.Host, e.header, overrides, e.body, e.hasLength),
 		Deadline:       e.deadline,
 		SilenceTimeout: grant.FirstEventTimeout(),
 		ShouldGiveUp:   e.silencePolicy(grant),
@@ -119,20 +120,20 @@
 	}
 }
 
-// attemptAt runs the request at one worker.
-func (e *exchange) attemptAt(grant *admission.Grant) (retry Retry, over bool) {
+// attemptAt makes one attempt at the worker of a grant. done reports that the request has its outcome.
+func (e *exchange) attemptAt(grant *admission.Grant) (retry Retry, done bool) {
 	sender := &e.proxyServer.Sender
-	halt := e.closeOnDisconnect()
-	defer halt()
-	response, evidence, err := sender.RoundTrip(grant, e.outgoing(grant))
+	stop := e.closeOnDisconnect()
+	defer stop()
+	response, evidence, err := sender.RoundTrip(grant, e.newRequest(grant))
 	if err != nil {
-		result := e.resultOf(err)
+		result := e.resultOfError(err)
 		grant.End(result, clock.Now())
-		e.proxyServer.Log.Debug("attempt failed", "worker", grant.Worker.ID, "err", err.Error())
+		e.proxyServer.Log.Debug("request attempt failed", "worker", grant.Worker.ID, "err", err.Error())
 		return e.decideRetry(evidence), false
 	}
 	if response.NotRun || response.HTTPResponse.StatusCode >= 300 {
-		// Nothing was prefilled or decoded for it, so its time is not observed.
+		// The worker did no prefill or decode for it, so the latency is not recorded.
 		grant.ObserveLoad(response.Load, clock.Now())
 		if response.NotRun {
 			return e.handleNotRun(grant, response)
@@ -148,15 +149,15 @@
 	return e.relayPlain(grant, response)
 }
 
-// decideRetry turns evidence into a decision and counts the attempts.
+// decideRetry counts the attempt and decides from the evidence whether the request may be sent again.
 func (e *exchange) decideRetry(evidence Evidence) Retry {
 	evidence.Events, evidence.Head = e.hasEvent && e.headSent, e.headSent
 	switch {
 	case !evidence.Sent:
 		e.undelivered++
 	case evidence.NotRun && e.headSent:
-		// The client has a part of a run, which nobody but a further worker can complete: one that
-		// turned the request away has not used up a try.
+		// The client has received part of the response, which only another worker can complete. A
+		// worker that rejected the request without running it does not use up a try.
 	default:
 		e.attempts++
 		e.mayHaveRun = e.mayHaveRun || !evidence.NotRun
@@ -164,15 +165,16 @@
 	return DecideRetry(e.kind(), e.route.Resumable, evidence)
 }
 
-// closeOnDisconnect closes the connection once the client is gone: the worker then stops.
-func (e *exchange) closeOnDisconnect() (halt func()) {
+// closeOnDisconnect closes the worker's connection when the client disconnects, so that the worker
+// stops. The caller must call stop when the attempt ends.
+func (e *exchange) closeOnDisconnect() (stop func()) {
 	return contexts.AfterFunc(e.request.Context(), func() {
 		e.closeConnection()
 	})
 }
 
-// closeConnection breaks the present attempt off from outside, unless its connection was given
-// back already and may carry somebody else's request.
+// closeConnection aborts the current attempt. It does nothing if the connection has already been
+// returned to the pool, where it may carry another request.
 func (e *exchange) closeConnection() {
 	connection := e.connection.Swap(nil)
 	if connection != nil {
@@ -180,8 +182,8 @@
 	}
 }
 
-// finish gives the connection back, out of reach of a client that leaves just now: the
-// connection may already carry somebody else's request.
+// finish returns the connection to the pool. It first detaches the connection from the exchange, so
+// that a concurrent client disconnect cannot close it while it carries another request.
 func (e *exchange) finish(response *Response) {
 	if e.connection.Swap(nil) == nil {
 		e.proxyServer.Sender.Discard(response)
@@ -190,19 +192,20 @@
 	e.proxyServer.Sender.Release(response)
 }
 
-// giveUp ends the request with the one outcome that is true.
-func (e *exchange) giveUp(resp admission.Decision) {
+// giveUp ends the request without a success. It chooses the response by what is known: a status that
+// promises that nothing ran is sent only if the request has not run.
+func (e *exchange) giveUp(decision admission.Decision) {
 	proxy := e.proxyServer
 	switch {
 	case e.headSent:
-		// The response has begun: a broken stream is passed on as one.
+		// The response has begun: abort it, so that the client sees it as truncated.
 		proxy.Counts.CutOff.Add(1)
 		panic(http.ErrAbortHandler)
 	case e.lastFailure != nil && e.lastFailure.mayBeFinal(e.mayHaveRun):
 		proxy.Counts.Failed.Add(1)
 		copyHeader(e.writer.Header(), e.lastFailure.header)
 		if e.lastFailure.header.Get(headerNotRun) != "" && e.lastFailure.header.Get("Retry-After") == "" {
-			e.writer.Header().Set("Retry-After", strconv.FormatFloat(resp.Retry.Seconds(), 'f', 3, 64))
+			e.writer.Header().Set("Retry-After", strconv.FormatFloat(decision.Retry.Seconds(), 'f', 3, 64))
 		}
 		e.writer.Header().Set("Content-Length", strconv.Itoa(len(e.lastFailure.body)))
 		e.writer.WriteHeader(e.lastFailure.status)
@@ -217,6 +220,6 @@
 	default:
 		proxy.Counts.Rejected.Add(1)
 		e.traffic.outcome = trafficstats.OutcomeRejected
-		httpreply.RetryAfter(e.writer, http.StatusServiceUnavailable, resp.Retry)
+		httpreply.RetryAfter(e.writer, http.StatusServiceUnavailable, decision.Retry)
 	}
 }
--- a/internal/traffic/proxy/fault_test.go
+++ b/internal/traffic/proxy/fault_test.go
@@ -12,7 +12,7 @@
 )
 
 // taught has a service's usual times learnt, so that silence is known by them.
-func taught(t *testing.T, proxy *Proxy, ask admission.Request) {
+func trainLatencies(t *testing.T, proxy *Proxy, ask admission.Request) {
 	t.Helper()
 
 	for count := 0; count < constants.PaceLeast; count++ {
@@ -37,12 +37,12 @@
 				write(connection, streamHead(request)+chunk(event(1))+chunk(event(2))+chunk(""))
 				return
 			}
-			write(connection, wellDone(request, "done"))
+			write(connection, successResponse(request, "done"))
 		})
-		server, proxy := edge(t, hanging, good)
-		taught(t, proxy, admission.Request{Service: "s", Setpoint: clock.Milliseconds(100), Excluded: []string{"w1"}})
+		server, proxy := newProxyServer(t, hanging, good)
+		trainLatencies(t, proxy, admission.Request{Service: "s", Setpoint: clock.Milliseconds(100), Excluded: []string{"w1"}})
 		started := clock.Now()
-		resp, body, err := ask(t, server, path, nil)
+		resp, body, err := sendRequest(t, server, path, nil)
 		took := clock.Now().Sub(started)
 		close(wait)
 		if err != nil || resp.StatusCode != 200 || hanging.seen() != 1 || good.seen() != 1 {
@@ -73,24 +73,24 @@
 		}
 		write(connection, streamHead(request)+chunk(event(3))+chunk(""))
 	})
-	server, proxy := edge(t, hanging, good)
-	taught(t, proxy, admission.Request{Service: "s", Setpoint: clock.Milliseconds(100), Excluded: []string{"w1"}})
-	resp, body, err := ask(t, server, "/stream/x", nil)
+	server, proxy := newProxyServer(t, hanging, good)
+	trainLatencies(t, proxy, admission.Request{Service: "s", Setpoint: clock.Milliseconds(100), Excluded: []string{"w1"}})
+	resp, body, err := sendRequest(t, server, "/stream/x", nil)
 	if err != nil || resp.StatusCode != 200 || body != event(1)+event(2)+event(3) {
 		t.Fatal(resp, body, err)
 	}
 }
 
 // What must not run twice waits for a slow worker, which is doubted meanwhile.
-func TestHangOfWhatMustNotRunTwice(t *testing.T) {
+func TestHangOfEffectfulRequest(t *testing.T) {
 	answered := make(chan struct{})
 	slow := newWorkerStub(t, "w1", func(_ int, request *http.Request, connection net.Conn) {
 		<-answered
-		write(connection, wellDone(request, "late"))
+		write(connection, successResponse(request, "late"))
 	})
 	other := newWorkerStub(t, "w2", func(int, *http.Request, net.Conn) { t.Error("run at a second worker") })
-	server, proxy := edge(t, slow, other)
-	taught(t, proxy, admission.Request{Service: "s", Setpoint: clock.Milliseconds(100), Excluded: []string{"w1"}})
+	server, proxy := newProxyServer(t, slow, other)
+	trainLatencies(t, proxy, admission.Request{Service: "s", Setpoint: clock.Milliseconds(100), Excluded: []string{"w1"}})
 	go func() {
 		// Answers once the silence was noted, however fast this machine is.
 		for suspect := false; !suspect; {
@@ -99,7 +99,7 @@
 		}
 		close(answered)
 	}()
-	resp, body, err := ask(t, server, "/once/x", nil)
+	resp, body, err := sendRequest(t, server, "/once/x", nil)
 	if err != nil || resp.StatusCode != 200 || body != "late" || slow.seen() != 1 {
 		t.Fatal(resp, body, err, slow.seen())
 	}
@@ -118,9 +118,11 @@
 		"HTTP/1.1 503 Full\r\nLemonarch-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n":                                 false,
 	} {
 		worker := newWorkerStub(t, "w1", func(_ int, _ *http.Request, connection net.Conn) { write(connection, text) })
-		good := newWorkerStub(t, "w2", func(_ int, request *http.Request, connection net.Conn) { write(connection, wellDone(request, "done")) })
-		server, proxy := edge(t, worker, good)
-		if _, _, err := ask(t, server, "/safe/x", nil); err != nil {
+		good := newWorkerStub(t, "w2", func(_ int, request *http.Request, connection net.Conn) {
+			write(connection, successResponse(request, "done"))
+		})
+		server, proxy := newProxyServer(t, worker, good)
+		if _, _, err := sendRequest(t, server, "/safe/x", nil); err != nil {
 			t.Fatal(text, err)
 		}
 		var failures int64
--- a/internal/traffic/proxy/headers.go
+++ b/internal/traffic/proxy/headers.go
@@ -8,7 +8,7 @@
 	"lemonarch/internal/platform/clock"
 )
 
-// The headers that the protocol names.
+// The headers defined by the protocol.
 const (
 	headerAttempt   = "Lemonarch-Attempt-Id"
 	headerTimeLeft  = "Lemonarch-Time-Left-Ms"
@@ -23,18 +23,18 @@
 	headerHold      = "Lemonarch-Hold-Ms"
 )
 
-// action is what happens to a header.
-type action int
+// headerAction is what the proxy does with a header.
+type headerAction int
 
 const (
-	actionPass action = iota
+	actionPass headerAction = iota
 	actionDrop
 	actionSet
 )
 
-// rules says what happens to each header on its way to a worker and back; what
-// is not named passes. Headers of one connection only are dropped.
-var rules = map[string]action{
+// headerActions maps a header to its action, for requests and responses. A header that is not listed
+// is forwarded. Hop-by-hop headers are dropped, and the proxy sets the others itself.
+var headerActions = map[string]headerAction{
 	"Connection":          actionDrop,
 	"Keep-Alive":          actionDrop,
 	"Proxy-Connection":    actionDrop,
@@ -50,18 +50,19 @@
 	headerTarget:          actionSet,
 }
 
-// ForwardedHeader lists the headers that go on, by the rules and by what Connection names.
+// ForwardedHeader returns the headers that are forwarded: those that headerActions passes, without
+// those that the Connection header names.
 func ForwardedHeader(header http.Header) http.Header {
 	forwarded := make(http.Header, len(header))
 	for name, values := range header {
-		if rules[name] == actionPass {
+		if headerActions[name] == actionPass {
 			forwarded[name] = values
 		}
 	}
 	for _, list := range header["Connection"] {
 		for _, name := range strings.Split(list, ",") {
-			// What the sender ties to its connection ends with it; but no name may
-			// take away what the protocol needs end to end.
+			// A header that Connection names is hop-by-hop. Headers that the protocol needs end to
+			// end are forwarded even if Connection names them.
 			name = http.CanonicalHeaderKey(strings.TrimSpace(name))
 			if !strings.HasPrefix(name, "Lemonarch-") && name != headerLastEvent {
 				delete(forwarded, name)
@@ -71,8 +72,9 @@
 	return forwarded
 }
 
-// encodeRequest writes the text of a request to a worker.
-func encodeRequest(method, target, host string, header http.Header, own map[string]string, body []byte, sized bool) []byte {
+// encodeRequest encodes a request to a worker. The headers in overrides replace those of the same name
+// in header. withLength adds Content-Length even if the body is empty.
+func encodeRequest(method, target, host string, header http.Header, overrides map[string]string, body []byte, withLength bool) []byte {
 	text := make([]byte, 0, 512+len(body))
 	text = append(text, method...)
 	text = append(text, ' ')
@@ -87,29 +89,31 @@
 		text = append(text, "\r\n"...)
 	}
 	for name, values := range header {
-		if _, replaced := own[name]; replaced {
+		if _, replaced := overrides[name]; replaced {
 			continue
 		}
 		for _, value := range values {
 			line(name, value)
 		}
 	}
-	for name, value := range own {
+	for name, value := range overrides {
 		line(name, value)
 	}
-	if sized || len(body) > 0 {
+	if withLength || len(body) > 0 {
 		line("Content-Length", strconv.Itoa(len(body)))
 	}
 	text = append(text, "\r\n"...)
 	return append(text, body...)
 }
 
-// EncodeRequest writes the text of a request that has a body.
-func EncodeRequest(method, target, host string, header http.Header, own map[string]string, body []byte) []byte {
-	return encodeRequest(method, target, host, header, own, body, true)
+// EncodeRequest encodes a request that has a body. The headers in overrides replace those of the same
+// name in header.
+func EncodeRequest(method, target, host string, header http.Header, overrides map[string]string, body []byte) []byte {
+	return encodeRequest(method, target, host, header, overrides, body, true)
 }
 
-// timeLeft reads how long the client will wait.
+// timeLeft returns how long the client will wait, by its header. The second result is false if the
+// header is absent or not a valid number of milliseconds.
 func timeLeft(header http.Header) (clock.Duration, bool) {
 	text := header.Get(headerTimeLeft)
 	if text == "" {
@@ -122,10 +126,11 @@
 	return clock.Milliseconds(value), true
 }
 
-// copyHeader puts a worker's headers into our response.
-func copyHeader(into, from http.Header) {
-	for name, values := range ForwardedHeader(from) {
-		into[name] = values
+// copyHeader copies a worker's response headers that are forwarded. Content-Length is left out: the
+// caller sets it if the length is known.
+func copyHeader(target, source http.Header) {
+	for name, values := range ForwardedHeader(source) {
+		target[name] = values
 	}
-	delete(into, "Content-Length")
+	delete(target, "Content-Length")
 }
--- a/internal/traffic/proxy/idle_test.go
+++ b/internal/traffic/proxy/idle_test.go
@@ -12,7 +12,7 @@
 
 // forgetful serves one request on each connection and resets it when it meets another:
 // it has forgotten the connection without a word.
-func forgetful(t *testing.T, id string) *workerStub {
+func newForgetfulWorker(t *testing.T, id string) *workerStub {
 	t.Helper()
 
 	served := map[net.Conn]bool{}
@@ -27,7 +27,7 @@
 			connection.Close()
 			return
 		}
-		write(connection, wellDone(request, "done"))
+		write(connection, successResponse(request, "done"))
 	})
 	return worker
 }
@@ -35,11 +35,11 @@
 // A forgotten connection: what may be repeated goes again at once to the same worker, which
 // is not blamed, and what must not run twice doesn't ride on a connection that lay idle for
 // longer than such connections are known to last.
-func TestForgottenConnections(t *testing.T) {
-	worker := forgetful(t, "w1")
-	server, proxy := edge(t, worker)
+func TestStaleIdleConnections(t *testing.T) {
+	worker := newForgetfulWorker(t, "w1")
+	server, proxy := newProxyServer(t, worker)
 	for count := 0; count < 6; count++ {
-		resp, body, err := ask(t, server, "/safe/x", map[string]string{headerAttempt: fmt.Sprint("safe-", count)})
+		resp, body, err := sendRequest(t, server, "/safe/x", map[string]string{headerAttempt: fmt.Sprint("safe-", count)})
 		if err != nil || resp.StatusCode != 200 || body != "done" {
 			t.Fatal(count, resp, body, err)
 		}
@@ -63,7 +63,7 @@
 	}
 	for count := 0; count < 4; count++ {
 		<-clock.After(safe + clock.Milliseconds(1))
-		resp, body, err := ask(t, server, "/once/x", map[string]string{headerAttempt: fmt.Sprint("once-", count)})
+		resp, body, err := sendRequest(t, server, "/once/x", map[string]string{headerAttempt: fmt.Sprint("once-", count)})
 		if err != nil || resp.StatusCode != 200 || body != "done" {
 			t.Fatal(count, resp, body, err)
 		}
--- a/internal/traffic/proxy/jobs.go
+++ b/internal/traffic/proxy/jobs.go
@@ -13,14 +13,14 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// jobRoutes is the tree of matchers for the calls on batch jobs.
+// jobRoutes returns the router for the calls on batch jobs.
 func (p *Proxy) jobRoutes() *chi.Mux {
-	tree := chi.NewRouter()
-	tree.Get("/-/lots/{lot}", func(writer http.ResponseWriter, request *http.Request) {
+	router := chi.NewRouter()
+	router.Get("/-/lots/{lot}", func(writer http.ResponseWriter, request *http.Request) {
 		query := request.URL.Query()
 		cursor := 0
-		if text := query.Get("page-cursor"); text != "" {
-			value, err := strconv.Atoi(text)
+		if cursorText := query.Get("page-cursor"); cursorText != "" {
+			value, err := strconv.Atoi(cursorText)
 			if err != nil || value < 0 {
 				httpreply.Error(writer, http.StatusBadRequest, "page-cursor is no position")
 				return
@@ -28,32 +28,33 @@
 			cursor = value
 		}
 		wait, _ := strconv.Atoi(request.Header.Get(headerHold))
-		p.forwardCall(writer, &messages.JobCallRequest{Method: http.MethodGet, Host: request.Host, Job: chi.URLParam(request, "lot"), Cursor: cursor, WaitMs: max(wait, 0)})
+		p.forwardJobCall(writer, &messages.JobCallRequest{Method: http.MethodGet, Host: request.Host, Job: chi.URLParam(request, "lot"), Cursor: cursor, WaitMs: max(wait, 0)})
 	})
-	tree.Delete("/-/lots/{lot}", func(writer http.ResponseWriter, request *http.Request) {
-		p.forwardCall(writer, &messages.JobCallRequest{Method: http.MethodDelete, Host: request.Host, Job: chi.URLParam(request, "lot")})
+	router.Delete("/-/lots/{lot}", func(writer http.ResponseWriter, request *http.Request) {
+		p.forwardJobCall(writer, &messages.JobCallRequest{Method: http.MethodDelete, Host: request.Host, Job: chi.URLParam(request, "lot")})
 	})
-	tree.Get("/-/items/{lot}", func(writer http.ResponseWriter, request *http.Request) {
-		p.forwardCall(writer, &messages.JobCallRequest{Method: "ITEM", Host: request.Host, Job: chi.URLParam(request, "lot"), Item: request.URL.Query().Get("id")})
+	router.Get("/-/items/{lot}", func(writer http.ResponseWriter, request *http.Request) {
+		p.forwardJobCall(writer, &messages.JobCallRequest{Method: "ITEM", Host: request.Host, Job: chi.URLParam(request, "lot"), Item: request.URL.Query().Get("id")})
 	})
-	tree.NotFound(func(writer http.ResponseWriter, _ *http.Request) {
+	router.NotFound(func(writer http.ResponseWriter, _ *http.Request) {
 		httpreply.Text(writer, http.StatusNotFound, "no such call")
 	})
-	return tree
+	return router
 }
 
-func (p *Proxy) forwardCall(writer http.ResponseWriter, call *messages.JobCallRequest) {
+// forwardJobCall forwards a call on a batch job to the leading store and writes its response.
+func (p *Proxy) forwardJobCall(writer http.ResponseWriter, call *messages.JobCallRequest) {
 	timeout := constants.CallTimeout*2 + clock.Milliseconds(float64(call.WaitMs))
 	resp, _ := p.Jobs.Forward(call, timeout)
 	if resp == nil {
-		// The leader can't be reached: a node that can't be sure says so.
+		// The leading store can't be reached, so the state of the job is not known.
 		httpreply.RetryAfter(writer, http.StatusServiceUnavailable, constants.LeaseRenewPeriod)
 		return
 	}
 	writeResponse(writer, resp)
 }
 
-// submitJob takes a batch job on a bulk route.
+// submitJob forwards the submission of a batch job on a bulk route to the leading store.
 func (p *Proxy) submitJob(writer http.ResponseWriter, request *http.Request, route *routeconfig.Route, path string, body []byte) {
 	if request.Method != http.MethodPost {
 		httpreply.Error(writer, http.StatusMethodNotAllowed, "lots are handed in by POST")
@@ -73,7 +74,7 @@
 		}
 		writeResponse(writer, resp)
 	case mayHaveRun:
-		// It may have been taken: nothing may be promised.
+		// The store may have accepted the job, so the response must not promise that it will not run.
 		httpreply.Error(writer, http.StatusGatewayTimeout, "outcome unknown")
 	default:
 		p.Counts.Rejected.Add(1)
@@ -85,9 +86,9 @@
 	if resp.RetryAfterMs > 0 {
 		writer.Header().Set("Retry-After", strconv.FormatFloat(float64(resp.RetryAfterMs)/1000, 'f', 3, 64))
 	}
-	kind := resp.ContentType
-	if kind == "" {
-		kind = "application/json"
+	contentType := resp.ContentType
+	if contentType == "" {
+		contentType = "application/json"
 	}
-	httpreply.Bytes(writer, resp.Status, kind, resp.Body)
+	httpreply.Bytes(writer, resp.Status, contentType, resp.Body)
 }
--- a/internal/traffic/proxy/match.go
+++ b/internal/traffic/proxy/match.go
@@ -11,57 +11,59 @@
 	"lemonarch/internal/traffic/workerconn"
 )
 
-// Why a response is not taken.
+// The errors of a response that is rejected.
 var (
-	// ErrResponseMismatch: the response does not name the request.
-	ErrResponseMismatch = errs.Define("answer to another request")
-	// ErrUnprovenSuccess: a success that can't be known to be the worker's complete response.
-	ErrUnprovenSuccess = errs.Define("success is not proven")
+	// ErrResponseMismatch means that the response does not carry the attempt id of the request.
+	ErrResponseMismatch = errs.Define("response to another request")
+	// ErrUnprovenSuccess means that a success can't be verified to be the worker's complete response.
+	ErrUnprovenSuccess = errs.Define("success response not verified")
 )
 
-// protocolName begins every status line.
-const protocolName = "HTTP/1."
+// protocolName is the start of every status line.
+const statusLinePrefix = "HTTP/1."
 
-// surplusLimit is how many responses to earlier requests are read past.
-const surplusLimit = 2
+// surplusLimit is the maximum number of responses to earlier requests that are skipped.
+const maxSkippedResponses = 2
 
-// readOwnResponse reads the head of the response to a request. On a connection that was used
-// before, or on which another request's response came, only a response that names the
-// request is its own; on a fresh one there is no other request to which it could belong.
-func readOwnResponse(connection *workerconn.Connection, outgoing *Request) (*http.Response, error) {
-	named := connection.Reused
+// readOwnResponse reads the head of the response to a request. On a reused connection, or after
+// a response to another request was skipped, only a response with the request's attempt id is
+// accepted. On a new connection a response without an id is accepted too, since there is no other
+// request to which it could belong.
+func readMatchingResponse(connection *workerconn.Connection, outgoing *Request) (*http.Response, error) {
+	requireID := connection.Reused
 	for skipped := 0; ; skipped++ {
 		resp, err := connection.ReadResponse(outgoing.Method)
 		if err != nil {
 			return nil, err
 		}
 		if hasMergedHead(resp) {
-			return nil, ErrResponseMismatch.New("two heads in one")
+			return nil, ErrResponseMismatch.New("two response heads merged into one")
 		}
 		echoed := resp.Header.Get(headerAttempt)
-		if echoed == outgoing.Attempt || (echoed == "" && !named) {
+		if echoed == outgoing.Attempt || (echoed == "" && !requireID) {
 			return resp, nil
 		}
 		connection.Taint()
-		if echoed == "" || skipped == surplusLimit || !skipBody(resp) {
+		if echoed == "" || skipped == maxSkippedResponses || !skipBody(resp) {
 			return nil, ErrResponseMismatch.New(echoed)
 		}
-		if err = connection.Await(outgoing.wait()); err != nil {
+		if err = connection.Await(outgoing.waitOptions()); err != nil {
 			return nil, err
 		}
-		named = true
+		requireID = true
 	}
 }
 
-// hasMergedHead tells whether a head that was cut short has run into the next one: its status and
-// first lines would pass for those of the response that follows, and so name the request.
+// hasMergedHead reports whether a truncated head was parsed together with the head of the next response.
+// The merged head would have the status and first headers of the truncated response, but could carry
+// the attempt id of the one that follows, and so be taken for the response to the request.
 func hasMergedHead(resp *http.Response) bool {
-	if strings.Contains(resp.Status, protocolName) || len(resp.Header[headerAttempt]) > 1 {
+	if strings.Contains(resp.Status, statusLinePrefix) || len(resp.Header[headerAttempt]) > 1 {
 		return true
 	}
 	for _, values := range resp.Header {
 		for _, value := range values {
-			if strings.Contains(value, protocolName) {
+			if strings.Contains(value, statusLinePrefix) {
 				return true
 			}
 		}
@@ -69,23 +71,24 @@
 	return false
 }
 
-// skipBody reads the rest of another request's response, and tells whether it is certain
-// where that ends.
+// skipBody reads the rest of another request's response, and reports whether its end is known for
+// certain, so that the next response can be read.
 func skipBody(resp *http.Response) bool {
-	if resp.Close || !hasKnownEnd(resp) || resp.Request.Method == http.MethodHead {
+	if resp.Close || !hasDelimitedBody(resp) || resp.Request.Method == http.MethodHead {
 		return false
 	}
-	count, err := io.CopyN(io.Discard, resp.Body, constants.BufferedResponseMax)
-	return errors.Is(err, io.EOF) && count < constants.BufferedResponseMax
+	copied, err := io.CopyN(io.Discard, resp.Body, constants.BufferedResponseMax)
+	return errors.Is(err, io.EOF) && copied < constants.BufferedResponseMax
 }
 
-// hasKnownEnd tells whether a length or chunks say where a response ends: one that lasts until
-// the connection closes can't be told from one that was cut.
-func hasKnownEnd(resp *http.Response) bool {
+// hasKnownEnd reports whether the length or the chunked encoding determines where a response
+// ends. A body that lasts until the connection closes can't be distinguished from a truncated one.
+func hasDelimitedBody(resp *http.Response) bool {
 	return resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 }
 
-// verifySuccess checks that a success bears the worker's stamp and tells where it ends.
+// verifySuccess checks that a success carries the worker's seal, is not content-encoded, and has a
+// body whose end is determined.
 func verifySuccess(resp *http.Response) error {
 	switch {
 	case resp.StatusCode >= 300:
@@ -93,9 +96,9 @@
 	case resp.Header.Get(headerSeal) == "":
 		return ErrUnprovenSuccess.New("no stamp")
 	case resp.Header.Get("Content-Encoding") != "":
-		return ErrUnprovenSuccess.New("encoded")
-	case !hasKnownEnd(resp):
-		return ErrUnprovenSuccess.New("no length")
+		return ErrUnprovenSuccess.New("has a content encoding")
+	case !hasDelimitedBody(resp):
+		return ErrUnprovenSuccess.New("neither a content length nor chunked")
 	}
 	return nil
 }
--- a/internal/traffic/proxy/match_test.go
+++ b/internal/traffic/proxy/match_test.go
@@ -13,7 +13,7 @@
 )
 
 // staleAnswers are answers that are not the caller's, as they may stand before its own.
-var staleAnswers = map[string]string{
+var staleResponses = map[string]string{
 	"turned away, unnamed":  "HTTP/1.1 503 Full\r\nLemonarch-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n",
 	"misdirected, unnamed":  "HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n",
 	"idle for too long":     "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
@@ -31,16 +31,16 @@
 
 // A response that is not the caller's, cut at any byte, stands before its own on a
 // connection that was used before: it is nobody's, whatever it says.
-func TestStaleResponsesAreNobodys(t *testing.T) {
+func TestStaleResponsesAreNotRelayed(t *testing.T) {
 	var played, rode atomic.Int64
 	t.Run("cases", func(t *testing.T) {
-		for name, stale := range staleAnswers {
+		for name, stale := range staleResponses {
 			for _, path := range []string{"/once/x", "/rigid/x", "/safe/x", "/stream/x"} {
-				for found := len(stale); found > 0; found -= min(stepOf(path, faultrelay.Drop), 11) {
+				for found := len(stale); found > 0; found -= min(byteStep(path, faultrelay.Drop), 11) {
 					t.Run(fmt.Sprint(name, path, found), func(t *testing.T) {
 						t.Parallel()
 						played.Add(1)
-						if playStale(t, path, stale[:found]) {
+						if runStaleCase(t, path, stale[:found]) {
 							rode.Add(1)
 						}
 					})
@@ -55,7 +55,7 @@
 }
 
 // playStale plays one case, and tells whether the request travelled on a used connection.
-func playStale(t *testing.T, path, stale string) bool {
+func runStaleCase(t *testing.T, path, stale string) bool {
 	t.Helper()
 
 	script := func(_ int, request *http.Request, connection net.Conn) {
@@ -65,18 +65,18 @@
 		serveComplete(0, request, connection)
 	}
 	first, second := newWorkerStub(t, "w1", script), newWorkerStub(t, "w2", serveComplete)
-	server, _ := edge(t, first, second)
-	if _, _, err := ask(t, server, "/safe/x", map[string]string{headerAttempt: "first"}); err != nil {
+	server, _ := newProxyServer(t, first, second)
+	if _, _, err := sendRequest(t, server, "/safe/x", map[string]string{headerAttempt: "first"}); err != nil {
 		t.Fatal(err)
 	}
-	resp, body, err := ask(t, server, path, map[string]string{headerAttempt: "probe", headerTimeLeft: "120"})
-	entry := call{path: path}
-	if broken := entry.judge(first.ran("probe")+second.ran("probe"), resp, body, err); broken != "" {
+	resp, body, err := sendRequest(t, server, path, map[string]string{headerAttempt: "probe", headerTimeLeft: "120"})
+	entry := faultCase{path: path}
+	if broken := entry.check(first.ran("probe")+second.ran("probe"), resp, body, err); broken != "" {
 		t.Error(broken)
 	}
 	rode := first.ran("probe") > 0 && first.accepted.Load() == 1
-	next, nextBody, nextErr := ask(t, server, "/safe/x", map[string]string{headerAttempt: "next"})
-	if broken := entry.judgeNext(next, nextBody, nextErr); broken != "" {
+	next, nextBody, nextErr := sendRequest(t, server, "/safe/x", map[string]string{headerAttempt: "next"})
+	if broken := entry.checkNext(next, nextBody, nextErr); broken != "" {
 		t.Error(broken)
 	}
 	return rode
@@ -84,14 +84,14 @@
 
 // A worker's own 503 that does not say that it did not run the request is no promise, so
 // it is not passed on as one.
-func TestUnsaidPromiseIsNotMade(t *testing.T) {
+func TestUnmarked503IsNotRelayed(t *testing.T) {
 	for _, status := range []string{"503 No", "429 No", "408 No"} {
 		for _, path := range []string{"/once/x", "/safe/x"} {
 			worker := newWorkerStub(t, "w1", func(_ int, _ *http.Request, connection net.Conn) {
 				write(connection, "HTTP/1.1 "+status+"\r\nLemonarch-Server-Seal: seal\r\nContent-Length: 0\r\n\r\n")
 			})
-			server, _ := edge(t, worker)
-			resp, _, err := ask(t, server, path, nil)
+			server, _ := newProxyServer(t, worker)
+			resp, _, err := sendRequest(t, server, path, nil)
 			if err != nil || resp.StatusCode != http.StatusBadGateway || resp.Header.Get(headerSeal) != "" {
 				t.Error(path, status, resp, err)
 			}
@@ -103,10 +103,10 @@
 // would bear the name of the second.
 func TestSameIDTakesAnotherConnection(t *testing.T) {
 	worker := newWorkerStub(t, "w1", serveComplete)
-	server, proxy := edge(t, worker)
+	server, proxy := newProxyServer(t, worker)
 	for count := 0; count < 3; count++ {
 		for _, attempt := range []string{"again", fmt.Sprint("other-", count)} {
-			if _, _, err := ask(t, server, "/safe/x", map[string]string{headerAttempt: attempt}); err != nil {
+			if _, _, err := sendRequest(t, server, "/safe/x", map[string]string{headerAttempt: attempt}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -117,9 +117,9 @@
 }
 
 // A request that the connection did not take at all has not run.
-func TestUnsentHasNotRun(t *testing.T) {
+func TestUnsentRequestIsReportedNotSent(t *testing.T) {
 	worker := newWorkerStub(t, "w1", serveComplete)
-	_, proxy := edge(t, worker)
+	_, proxy := newProxyServer(t, worker)
 	sender := &proxy.Sender
 	granted, _ := proxy.Scheduler.Admit(&admission.Request{Service: "s", Deadline: clock.Now().Add(clock.Milliseconds(1000))}, nil, clock.Now())
 	outgoing := &Request{Method: http.MethodPost, Attempt: "probe", Text: []byte("x"), Deadline: clock.Now() - 1}
--- a/internal/traffic/proxy/preempt_test.go
+++ b/internal/traffic/proxy/preempt_test.go
@@ -29,7 +29,7 @@
 		}
 		write(connection, "0\r\n\r\n")
 	})
-	server, proxy := edge(t, worker)
+	server, proxy := newProxyServer(t, worker)
 	go func() {
 		<-reached
 		// The first two events may still be on their way: press until it yields.
@@ -37,7 +37,7 @@
 			proxy.Scheduler.YieldToPressure(&messages.PressureNotice{From: "x", Entries: []messages.Pressure{{Service: "s", Waiting: 1}}}, 1, clock.Now())
 		}
 	}()
-	resp, body, err := ask(t, server, "/stream/x", nil)
+	resp, body, err := sendRequest(t, server, "/stream/x", nil)
 	want := ""
 	for id := 1; id <= 5; id++ {
 		want += event(id)
--- a/internal/traffic/proxy/proxy.go
+++ b/internal/traffic/proxy/proxy.go
@@ -1,5 +1,5 @@
-// Package proxy forwards requests: a request's way from the client to a worker
-// and back.
+// Package proxy forwards client requests to workers and relays the responses,
+// with retries, resumption of event streams and preemption.
 package proxy
 
 import (
@@ -23,40 +23,42 @@
 	"lemonarch/internal/traffic/workerconn"
 )
 
-// JobForwarder forwards a call on a batch job to the store that leads.
+// JobForwarder forwards a batch-job call to the leading store. The second result of Forward reports
+// whether the call may have had an effect although the response is nil.
 type JobForwarder interface {
 	Forward(call *messages.JobCallRequest, timeout clock.Duration) (*messages.JobCallResponse, bool)
 }
 
-// Proxy serves clients.
+// Proxy is the HTTP handler that serves clients.
 type Proxy struct {
 	Sender    Sender
 	Scheduler *admission.Scheduler
 	Jobs      JobForwarder
 	Log       hclog.Logger
-	// Traffic, where not nil, takes what was seen of each request.
-	Traffic  *trafficstats.Recorder
-	draws    draws
-	config   atomic.Pointer[routeconfig.Config]
-	calls    *chi.Mux
-	Draining atomic.Bool
-	active   atomic.Int64
-	Counts   Counts
+	// Traffic records an observation of each request. It may be nil.
+	Traffic   *trafficstats.Recorder
+	draws     weightedDraws
+	config    atomic.Pointer[routeconfig.Config]
+	jobRouter *chi.Mux
+	Draining  atomic.Bool
+	active    atomic.Int64
+	Counts    Counts
 }
 
-// Counts are what an operator follows.
+// Counts are the request counters shown to operators.
 type Counts struct {
 	Served, Rejected, Failed, Resumed, Retried, CutOff atomic.Int64
 }
 
-// New makes the proxy.
+// New returns a proxy that sends requests by sender and batch-job calls by jobs.
 func New(sender Sender, jobs JobForwarder, log hclog.Logger) *Proxy {
 	proxy := &Proxy{Sender: sender, Scheduler: sender.Scheduler, Jobs: jobs, Log: log}
-	proxy.calls = proxy.jobRoutes()
+	proxy.jobRouter = proxy.jobRoutes()
 	return proxy
 }
 
-// SetConfig takes a newer configuration; an older one never replaces it.
+// SetConfig applies a configuration if its generation is above the current one, and reports whether
+// it did.
 func (p *Proxy) SetConfig(config *routeconfig.Config) bool {
 	for {
 		current := p.config.Load()
@@ -70,13 +72,13 @@
 	}
 }
 
-// Config gives the configuration in force here, or nil.
+// Config returns the current configuration of this process, or nil if there is none yet.
 func (p *Proxy) Config() *routeconfig.Config { return p.config.Load() }
 
-// Active is the number of requests under way.
+// Active returns the number of requests in flight.
 func (p *Proxy) Active() int64 { return p.active.Load() }
 
-// ServeHTTP takes one request.
+// ServeHTTP implements http.Handler.
 func (p *Proxy) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	arrived := clock.Now()
 	p.active.Add(1)
@@ -87,12 +89,13 @@
 	target := request.RequestURI
 	path, _, _ := strings.Cut(target, "?")
 	if strings.HasPrefix(path, "/-/") {
-		p.calls.ServeHTTP(writer, request)
+		p.jobRouter.ServeHTTP(writer, request)
 		return
 	}
 	config := p.Config()
 	if config == nil {
-		// Nothing ran and nothing will: a node without a configuration knows no route.
+		// Without a configuration there are no routes, so the request has not run and will not run:
+		// a 503 with Retry-After is safe.
 		httpreply.RetryAfter(writer, http.StatusServiceUnavailable, constants.GossipPeriod/2)
 		return
 	}
@@ -101,9 +104,9 @@
 		httpreply.Text(writer, http.StatusNotFound, "no route")
 		return
 	}
-	body, err := bodyOf(config, route, request.Header).Read(writer, request)
+	body, err := inboundBody(config, route, request.Header).Read(writer, request)
 	if err != nil {
-		p.refuseBody(writer, err)
+		p.rejectBody(writer, err)
 		return
 	}
 	if route.Kind() == messages.RouteBulk {
@@ -111,21 +114,22 @@
 		return
 	}
 	exchange := p.newExchange(writer, request, route, body, arrived)
-	// A broken response ends in a panic, by the rules of net/http.
+	// Deferred because a truncated response ends in a panic with http.ErrAbortHandler, as net/http requires.
 	defer exchange.recordTraffic()
 	exchange.serve()
 }
 
-// Copies of a body, its own included: a request is written out once for its worker, a job is put
-// into a message and that into a frame.
+// The number of copies of a body in memory, the original included. A request is encoded once for its
+// worker; a batch job is encoded into a message and the message into a frame.
 const (
 	requestCopies = 2
 	jobCopies     = 3
 )
 
-// bodyOf says how the body of a request on a route is read. What is not whole when the client's
-// time is over could not be answered any more.
-func bodyOf(config *routeconfig.Config, route *routeconfig.Route, header http.Header) inbound.Body {
+// inboundBody returns the limits for reading the body of a request on a route. The read timeout is
+// the route's cutoff or the client's time left, since a body that is complete only after the client
+// stopped waiting could not be answered any more.
+func inboundBody(config *routeconfig.Config, route *routeconfig.Route, header http.Header) inbound.Body {
 	body := inbound.Body{Limit: config.Limits.BodyBytes, Copies: requestCopies, Timeout: route.Cutoff()}
 	if body.Limit <= 0 {
 		body.Limit = constants.RequestLimit
@@ -140,7 +144,7 @@
 	return body
 }
 
-func (p *Proxy) refuseBody(writer http.ResponseWriter, err error) {
+func (p *Proxy) rejectBody(writer http.ResponseWriter, err error) {
 	if errs.Is(err, inbound.ErrNoRoom) {
 		p.Counts.Rejected.Add(1)
 	}
@@ -160,7 +164,7 @@
 	e.header = ForwardedHeader(request.Header)
 	e.hasLength = request.ContentLength != 0 || len(body) > 0 || request.Header.Get("Content-Length") != ""
 	e.admission = admission.Request{
-		// One draw for all attempts: a split route must not move between them.
+		// Chosen once for all attempts: a weighted route must not change its service between them.
 		Service:  p.draws.choose(route),
 		Affine:   route.Affine,
 		Priority: route.Priority,
@@ -175,13 +179,14 @@
 	return e
 }
 
-// Sweep does the upkeep of connections and queues.
+// Sweep runs the periodic maintenance of the admission queue.
 func (p *Proxy) Sweep() {
 	now := clock.Now()
 	p.Scheduler.Pump(now)
 }
 
-// SweepConnections drops idle connections past their time.
+// SweepConnections closes connections that were idle for too long or whose worker has departed or
+// is unknown, and removes outdated workers and health records.
 func SweepConnections(pool *workerconn.Pool, scheduler *admission.Scheduler) {
 	now := clock.Now()
 	pool.Sweep(func(worker string) bool {
--- a/internal/traffic/proxy/proxy_test.go
+++ b/internal/traffic/proxy/proxy_test.go
@@ -18,10 +18,10 @@
 
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	worker := newWorkerStub(t, "w1", func(_ int, request *http.Request, connection net.Conn) {
-		write(connection, wellDone(request, "hello"))
+		write(connection, successResponse(request, "hello"))
 	})
-	server, _ := edge(t, worker)
-	resp, body, err := ask(t, server, "/safe/a//b/../c%2Fd?x=1&&y", map[string]string{"X-Other": "kept", headerTimeLeft: "900"})
+	server, _ := newProxyServer(t, worker)
+	resp, body, err := sendRequest(t, server, "/safe/a//b/../c%2Fd?x=1&&y", map[string]string{"X-Other": "kept", headerTimeLeft: "900"})
 	if err != nil || resp.StatusCode != 200 || body != "hello" || resp.Header.Get(headerSeal) != "seal" {
 		t.Fatal(resp, body, err)
 	}
@@ -36,23 +36,23 @@
 // An effectful request that met silence, a reset or a cut at any byte of the
 // answer is never sent to a second worker, and never refused as if it had not run.
 func TestEffectfulAtEveryByte(t *testing.T) {
-	complete := wellDone(&http.Request{Header: http.Header{headerAttempt: {"attempt-1"}}}, "hello")
+	complete := successResponse(&http.Request{Header: http.Header{headerAttempt: {"attempt-1"}}}, "hello")
 	for found := 0; found < len(complete); found++ {
 		script := func(_ int, _ *http.Request, connection net.Conn) {
 			write(connection, complete[:found])
 			connection.Close()
 		}
 		first, second := newWorkerStub(t, "w1", script), newWorkerStub(t, "w2", script)
-		server, _ := edge(t, first, second)
+		server, _ := newProxyServer(t, first, second)
 		started := clock.Now()
-		resp, _, err := ask(t, server, "/once/x", nil)
+		resp, _, err := sendRequest(t, server, "/once/x", nil)
 		ran := first.seen() + second.seen()
 		// Only where this process stood still past the route's time may it not have run.
 		late := clock.Now().Sub(started) >= clock.Milliseconds(onceCutoffMs)
 		if ran > 1 || (ran == 0 && !late) {
 			t.Fatalf("cut at %d: run %d times", found, ran)
 		}
-		if err == nil && ((ran > 0 && promised(resp.StatusCode)) || resp.StatusCode < 300) {
+		if err == nil && ((ran > 0 && promisesNotRun(resp.StatusCode)) || resp.StatusCode < 300) {
 			t.Fatalf("cut at %d: status %d", found, resp.StatusCode)
 		}
 	}
@@ -63,8 +63,8 @@
 	defer close(wait)
 	script := func(int, *http.Request, net.Conn) { <-wait }
 	first, second := newWorkerStub(t, "w1", script), newWorkerStub(t, "w2", script)
-	server, _ := edge(t, first, second)
-	resp, _, err := ask(t, server, "/once/x", nil)
+	server, _ := newProxyServer(t, first, second)
+	resp, _, err := sendRequest(t, server, "/once/x", nil)
 	if err != nil || resp.StatusCode != http.StatusGatewayTimeout || first.seen()+second.seen() != 1 {
 		t.Fatal(resp, err, first.seen(), second.seen())
 	}
@@ -78,20 +78,22 @@
 	other := newWorkerStub(t, "w2", func(_ int, _ *http.Request, connection net.Conn) {
 		write(connection, "HTTP/1.1 421 Misdirected\r\nContent-Length: 0\r\n\r\n")
 	})
-	good := newWorkerStub(t, "w3", func(_ int, request *http.Request, connection net.Conn) { write(connection, wellDone(request, "done")) })
-	server, _ := edge(t, full, other, good)
-	resp, body, err := ask(t, server, "/once/x", nil)
+	good := newWorkerStub(t, "w3", func(_ int, request *http.Request, connection net.Conn) {
+		write(connection, successResponse(request, "done"))
+	})
+	server, _ := newProxyServer(t, full, other, good)
+	resp, body, err := sendRequest(t, server, "/once/x", nil)
 	if err != nil || resp.StatusCode != 200 || body != "done" || good.seen() != 1 {
 		t.Fatal(resp, body, err)
 	}
 }
 
-func TestPromiseWhenNobodyHasCapacity(t *testing.T) {
+func TestRetryAfterWhenNoWorkerHasCapacity(t *testing.T) {
 	full := newWorkerStub(t, "w1", func(_ int, _ *http.Request, connection net.Conn) {
 		write(connection, "HTTP/1.1 503 Full\r\nLemonarch-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n")
 	})
-	server, _ := edge(t, full)
-	resp, _, err := ask(t, server, "/once/x", nil)
+	server, _ := newProxyServer(t, full)
+	resp, _, err := sendRequest(t, server, "/once/x", nil)
 	if err != nil || resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
 		t.Fatal(resp, err)
 	}
@@ -109,9 +111,11 @@
 			write(connection, text)
 			connection.Close()
 		})
-		good := newWorkerStub(t, "w2", func(_ int, request *http.Request, connection net.Conn) { write(connection, wellDone(request, "done")) })
-		server, _ := edge(t, bad, good)
-		resp, body, err := ask(t, server, "/safe/x", nil)
+		good := newWorkerStub(t, "w2", func(_ int, request *http.Request, connection net.Conn) {
+			write(connection, successResponse(request, "done"))
+		})
+		server, _ := newProxyServer(t, bad, good)
+		resp, body, err := sendRequest(t, server, "/safe/x", nil)
 		if err != nil || resp.StatusCode != 200 || body != "done" {
 			t.Fatal(name, resp, body, err)
 		}
@@ -119,15 +123,15 @@
 }
 
 // Bytes after a whole response belong to nobody: the next request must not get them.
-func TestSurplusResponseIsNobodys(t *testing.T) {
+func TestSurplusResponseIsDiscarded(t *testing.T) {
 	worker := newWorkerStub(t, "w1", func(_ int, request *http.Request, connection net.Conn) {
-		text := wellDone(request, "for "+request.Header.Get(headerAttempt))
+		text := successResponse(request, "for "+request.Header.Get(headerAttempt))
 		write(connection, text+text)
 	})
-	server, _ := edge(t, worker)
+	server, _ := newProxyServer(t, worker)
 	for count := 0; count < 5; count++ {
 		attempt := fmt.Sprint("attempt-", count)
-		resp, body, err := ask(t, server, "/safe/x", map[string]string{headerAttempt: attempt})
+		resp, body, err := sendRequest(t, server, "/safe/x", map[string]string{headerAttempt: attempt})
 		if err != nil || resp.StatusCode != 200 || body != "for "+attempt {
 			t.Fatal(resp, body, err)
 		}
@@ -137,11 +141,11 @@
 // A late response of an earlier request is read past, and ours comes behind it.
 func TestLateResponseIsSkipped(t *testing.T) {
 	worker := newWorkerStub(t, "w1", func(count int, request *http.Request, connection net.Conn) {
-		old := strings.Replace(wellDone(request, "old"), "attempt-1", "attempt-0", 1)
-		write(connection, old+wellDone(request, "mine"))
+		old := strings.Replace(successResponse(request, "old"), "attempt-1", "attempt-0", 1)
+		write(connection, old+successResponse(request, "mine"))
 	})
-	server, _ := edge(t, worker)
-	resp, body, err := ask(t, server, "/once/x", nil)
+	server, _ := newProxyServer(t, worker)
+	resp, body, err := sendRequest(t, server, "/once/x", nil)
 	if err != nil || resp.StatusCode != 200 || body != "mine" || worker.seen() != 1 {
 		t.Fatal(resp, body, err)
 	}
@@ -170,8 +174,8 @@
 			}
 		}
 		first, second := newWorkerStub(t, "w1", script(found)), newWorkerStub(t, "w2", script(events))
-		server, _ := edge(t, first, second)
-		resp, body, err := ask(t, server, "/stream/x", nil)
+		server, _ := newProxyServer(t, first, second)
+		resp, body, err := sendRequest(t, server, "/stream/x", nil)
 		want := ""
 		for id := 1; id <= events; id++ {
 			want += event(id)
@@ -193,17 +197,19 @@
 		connection.Close()
 	})
 	second := newWorkerStub(t, "w2", func(int, *http.Request, net.Conn) {})
-	server, _ := edge(t, worker, second)
-	resp, body, err := ask(t, server, "/rigid/x", nil)
+	server, _ := newProxyServer(t, worker, second)
+	resp, body, err := sendRequest(t, server, "/rigid/x", nil)
 	if err == nil || resp == nil || body != event(1) || second.seen() != 0 {
 		t.Fatal(resp, body, err, second.seen())
 	}
 }
 
-func TestWhatIsNeverForwarded(t *testing.T) {
-	worker := newWorkerStub(t, "w1", func(_ int, request *http.Request, connection net.Conn) { write(connection, wellDone(request, "x")) })
-	server, _ := edge(t, worker)
-	if resp, _, _ := ask(t, server, "/nowhere/", nil); resp.StatusCode != 404 {
+func TestRequestsNeverForwarded(t *testing.T) {
+	worker := newWorkerStub(t, "w1", func(_ int, request *http.Request, connection net.Conn) {
+		write(connection, successResponse(request, "x"))
+	})
+	server, _ := newProxyServer(t, worker)
+	if resp, _, _ := sendRequest(t, server, "/nowhere/", nil); resp.StatusCode != 404 {
 		t.Fatal(resp.StatusCode)
 	}
 	request, _ := http.NewRequest(http.MethodPost, server.URL+"/safe/x", strings.NewReader(strings.Repeat("x", 2000)))
@@ -224,12 +230,12 @@
 			close(started)
 			<-wait
 		}
-		write(connection, wellDone(request, "done"))
+		write(connection, successResponse(request, "done"))
 	})
-	server, proxy := edge(t, worker)
+	server, proxy := newProxyServer(t, worker)
 	ended := make(chan string, 1)
 	go func() {
-		resp, body, err := ask(t, server, "/once/x", nil)
+		resp, body, err := sendRequest(t, server, "/once/x", nil)
 		ended <- fmt.Sprint(resp != nil && resp.StatusCode == 200, body, err)
 	}()
 	<-started
@@ -237,7 +243,7 @@
 	if proxy.Active() != 1 {
 		t.Fatal("a request under way is not counted")
 	}
-	resp, body, err := ask(t, server, "/safe/y", nil)
+	resp, body, err := sendRequest(t, server, "/safe/y", nil)
 	if err != nil || resp.StatusCode != 200 || body != "done" || !resp.Close {
 		t.Fatal(resp, body, err)
 	}
--- a/internal/traffic/proxy/relay.go
+++ b/internal/traffic/proxy/relay.go
@@ -10,11 +10,11 @@
 	"lemonarch/internal/traffic/admission"
 )
 
-// errClientDisconnected means that our own client ended the connection.
-var errClientDisconnected = errs.Define("client gone")
+// errClientDisconnected means that a write to the client failed.
+var errClientDisconnected = errs.Define("client disconnected")
 
-// relayPlain passes on a response that is no stream. It is buffered completely where it is
-// small, so that a break can be retried before the client has seen a byte.
+// relayPlain relays a response that is not an event stream. A response of up to BufferedResponseMax bytes
+// is buffered completely, so that a truncated one can be retried before the client has received a byte.
 func (e *exchange) relayPlain(grant *admission.Grant, response *Response) (Retry, bool) {
 	sender := &e.proxyServer.Sender
 	body, complete, err := sender.ReadBody(response, constants.BufferedResponseMax)
@@ -62,12 +62,12 @@
 	return e.decideRetry(Evidence{Sent: true}), false
 }
 
-// relayStream passes events on as they come.
+// relayStream relays complete events as they arrive.
 func (e *exchange) relayStream(grant *admission.Grant, response *Response) (Retry, bool) {
 	sender := &e.proxyServer.Sender
 	splitter := &Splitter{}
 	if e.hasEvent {
-		// The client has events up to lastID: the new run must go on exactly there.
+		// The client has the events up to lastID: the new run must continue with the next one.
 		splitter.Next = e.lastID + 1
 	}
 	flusher, _ := e.writer.(http.Flusher)
@@ -84,11 +84,11 @@
 			e.headSent = true
 		}
 		gaps.event(clock.Now())
-		if splitter.Started {
+		if splitter.HasID {
 			e.lastID, e.hasEvent = splitter.Last, true
 		}
 		if _, writeErr := e.writer.Write(events); writeErr != nil {
-			return errClientDisconnected.Wrap(writeErr, "write")
+			return errClientDisconnected.Wrap(writeErr, "write events")
 		}
 		if flusher != nil {
 			flusher.Flush()
@@ -111,7 +111,7 @@
 		return RetryNever, true
 	}
 	sender.Discard(response)
-	result := e.resultOf(err)
+	result := e.resultOfError(err)
 	if e.preempted.Swap(false) {
 		result = admission.ResultCanceled
 		e.wasPreempted, e.requeued = true, true
@@ -121,11 +121,11 @@
 		result = admission.ResultCanceled
 	}
 	grant.End(result, clock.Now())
-	e.proxyServer.Log.Debug("stream broke", "worker", grant.Worker.ID, "last", e.lastID, "err", err.Error())
+	e.proxyServer.Log.Debug("event stream from worker failed", "worker", grant.Worker.ID, "last", e.lastID, "err", err.Error())
 	return e.decideRetry(Evidence{Sent: true}), false
 }
 
-// gapMeter follows the longest and the mean pause of one stream.
+// gapMeter measures the longest and the mean gap between the events of one stream.
 type gapMeter struct {
 	last    clock.Instant
 	longest clock.Duration
@@ -134,6 +134,7 @@
 	started bool
 }
 
+// event records that events arrived at a time.
 func (p *gapMeter) event(now clock.Instant) {
 	if p.started {
 		p.longest = max(p.longest, now.Sub(p.last))
@@ -143,7 +144,7 @@
 	p.last, p.started = now, true
 }
 
-// mean is the mean pause, zero where there was none.
+// mean returns the mean gap, or zero if there was none.
 func (p *gapMeter) mean() clock.Duration {
 	if p.count == 0 {
 		return 0
@@ -151,16 +152,17 @@
 	return p.sum / clock.Duration(p.count)
 }
 
-// allowPreemption lets a running stream of a lower rank be preempted, where it may go on at
-// another worker within the same response and still end in time. What must not run
-// twice never yields.
+// allowPreemption allows the scheduler to preempt a running stream in favor of a higher priority, if the
+// stream can be resumed at another worker within the same response and still end before its
+// deadline. A request that must not run twice is never preempted.
 func (e *exchange) allowPreemption(grant *admission.Grant) {
 	left := e.deadline.Sub(clock.Now())
 	if !e.retryable() || e.attempts+1 >= e.route.Tries || left < e.route.Setpoint()+constants.StreamReserve {
 		return
 	}
 	grant.AllowPreemption(func() {
-		// Set before the reader can wake; of no effect once the response is complete.
+		// Set before the close unblocks the reader, so that relayStream sees it. It has no effect once
+		// the response is complete.
 		e.preempted.Store(true)
 		e.closeConnection()
 	})
--- a/internal/traffic/proxy/retry.go
+++ b/internal/traffic/proxy/retry.go
@@ -2,39 +2,39 @@
 
 import "lemonarch/internal/platform/messages"
 
-// Evidence is what is known of an attempt at a worker that brought no complete response.
+// Evidence is what is known about an attempt that did not produce a complete response.
 type Evidence struct {
-	// Sent: some byte of the request may have reached the worker.
+	// Sent means that some byte of the request may have reached the worker.
 	Sent bool
-	// NotRun: the worker said that it did not run the request (421 or
+	// NotRun means that the worker stated that it did not run the request (status 421 or
 	// Lemonarch-Not-Executed).
 	NotRun bool
-	// Events: the client has some events of the stream already.
+	// Events means that the client has already received events of the stream.
 	Events bool
-	// Head: the client has the head of a response already.
+	// Head means that the client has already received the head of a response.
 	Head bool
 }
 
-// Retry says whether a request may go to another worker.
+// Retry is the decision whether, and from where, a request may be sent again.
 type Retry int
 
-// The decisions.
+// The values of Retry.
 const (
-	// RetryNever: it may have run, and running it again is forbidden.
+	// RetryNever means that the request may have run and must not run again.
 	RetryNever Retry = iota
-	// RetryFromStart: it may be sent again from the start.
+	// RetryFromStart means that the request may be sent again from the start.
 	RetryFromStart
-	// RetryFromEvent: it may go on after the last event that was forwarded.
+	// RetryFromEvent means that the stream may be resumed after the last event that was forwarded.
 	RetryFromEvent
 )
 
-// DecideRetry decides. A request that was sent and met a time-out, a reset or a break may have
-// run; only the worker itself can say that it did not.
+// DecideRetry decides whether a request may be sent again. A request that was sent and ended in a
+// timeout, a reset or a broken connection may have run; only a statement by the worker shows that it did not.
 func DecideRetry(kind messages.RouteKind, resumable bool, evidence Evidence) Retry {
-	streams := kind == messages.RouteStreaming || kind == messages.RouteBulk
-	if evidence.Events || (evidence.Head && streams) {
-		// The client has part of a run: only its own continuation may follow.
-		if streams && resumable {
+	isStream := kind == messages.RouteStreaming || kind == messages.RouteBulk
+	if evidence.Events || (evidence.Head && isStream) {
+		// The client has received part of a run: only the continuation of the same stream may follow.
+		if isStream && resumable {
 			return RetryFromEvent
 		}
 		return RetryNever
@@ -45,7 +45,7 @@
 	if !evidence.Sent || evidence.NotRun {
 		return RetryFromStart
 	}
-	if kind == messages.RouteIdempotent || (streams && resumable) {
+	if kind == messages.RouteIdempotent || (isStream && resumable) {
 		return RetryFromStart
 	}
 	return RetryNever
--- a/internal/traffic/proxy/send.go
+++ b/internal/traffic/proxy/send.go
@@ -6,11 +6,13 @@
 	"lemonarch/internal/traffic/workerconn"
 )
 
-func (r *Request) wait() workerconn.Wait {
+// waitOptions returns the limits for waiting for the response.
+func (r *Request) waitOptions() workerconn.Wait {
 	return workerconn.Wait{Until: r.Deadline, SilenceTimeout: r.SilenceTimeout, ShouldGiveUp: r.ShouldGiveUp}
 }
 
-// send writes the request on a connection and waits for the first byte that comes back.
+// send writes the request to a connection and waits for the first byte of the response. If a reused
+// connection turns out to be stale, it may send the request again on a new one.
 func (s *Sender) send(grant *admission.Grant, outgoing *Request) (*workerconn.Connection, Evidence, error) {
 	reuse, evidence := workerconn.ReuseSafe, Evidence{}
 	if outgoing.Retryable {
@@ -29,32 +31,33 @@
 			evidence.Sent = true
 		}
 		if err == nil {
-			err = connection.Await(outgoing.wait())
+			err = connection.Await(outgoing.waitOptions())
 		}
 		if err == nil {
 			s.Pool.RecordReuse(connection)
 			return connection, evidence, nil
 		}
 		s.Pool.Drop(connection)
-		if again, failure := s.afterBreak(connection, outgoing, evidence, err); !again {
-			return nil, evidence, failure.Wrap(err, grant.Worker.ID)
+		if retry, kind := s.handleBrokenConnection(connection, outgoing, evidence, err); !retry {
+			return nil, evidence, kind.Wrap(err, grant.Worker.ID)
 		}
 		reuse = workerconn.ReuseNone
 	}
 }
 
-// afterBreak decides on a connection that broke before any byte came back: whether the
-// request goes again to the same worker on a new connection, and else how the attempt ended.
-func (s *Sender) afterBreak(connection *workerconn.Connection, outgoing *Request, evidence Evidence, err error) (again bool, failure *errs.Kind) {
-	failure = ErrResponseLost
+// afterBreak handles a connection that broke before any byte of the response arrived.
+// It returns whether to send the request again to the same worker on a new connection, and
+// otherwise the kind of the error.
+func (s *Sender) handleBrokenConnection(connection *workerconn.Connection, outgoing *Request, evidence Evidence, err error) (retry bool, kind *errs.Kind) {
+	kind = ErrResponseLost
 	if !evidence.Sent {
-		failure = ErrNotSent
+		kind = ErrNotSent
 	}
 	if !connection.Reused || connection.Halted() || errs.Is(err, workerconn.ErrWorkerUnresponsive) {
-		return false, failure
+		return false, kind
 	}
-	// On a connection that had lain idle it was most likely forgotten. The request may have
-	// run all the same: only what is repeatable, or was not sent at all, goes again.
+	// The worker had most likely closed the idle connection. The request may still have run, so it
+	// is sent again only if it is retryable or was not sent at all.
 	s.Pool.RecordStale(connection)
 	if evidence.Sent && !outgoing.Retryable {
 		return false, ErrStaleConnection
--- a/internal/traffic/proxy/sender.go
+++ b/internal/traffic/proxy/sender.go
@@ -13,21 +13,22 @@
 
 // The errors of an attempt at a worker.
 var (
-	// ErrNotSent: no byte reached a worker.
-	ErrNotSent = errs.Define("not sent")
-	// ErrCorruptResponse: what came is not the response to the request.
-	ErrCorruptResponse = errs.Define("answer spoilt")
-	// ErrResponseLost: a time-out, a reset or a break after sending.
+	// ErrNotSent means that no byte of the request reached a worker.
+	ErrNotSent = errs.Define("request not sent to worker")
+	// ErrCorruptResponse means that what was received is not a valid response to the request.
+	ErrCorruptResponse = errs.Define("corrupt response")
+	// ErrResponseLost means that a timeout, a reset or a broken connection followed after sending.
 	ErrResponseLost = errs.Define("answer lost")
-	// ErrStaleConnection: the worker had forgotten the idle connection; this says nothing about its health.
-	ErrStaleConnection = errs.Define("connection forgotten")
+	// ErrStaleConnection means that the worker had closed the idle connection, which is no sign of
+	// bad health.
+	ErrStaleConnection = errs.Define("idle connection closed by worker")
 )
 
-// Sender sends one request to one worker. Gateways and stores share it.
+// Sender sends single requests to single workers. Gateways and stores use it.
 type Sender struct {
 	Scheduler *admission.Scheduler
 	Pool      *workerconn.Pool
-	// Budget is how many connections this process may have to a worker.
+	// Budget returns the maximum number of connections that this process may have to a worker.
 	Budget func(worker messages.Worker) int
 }
 
@@ -38,38 +39,40 @@
 	Text           []byte
 	Deadline       clock.Instant
 	SilenceTimeout clock.Duration
-	// ShouldGiveUp decides on a silence longer than SilenceTimeout, see workerconn.Wait.
+	// ShouldGiveUp reports whether to end the wait if the worker sent nothing for longer than
+	// SilenceTimeout; see workerconn.Wait.
 	ShouldGiveUp func(elapsed clock.Duration) bool
-	// Retryable: it may travel on any idle connection, and is sent again when its worker has
-	// forgotten that connection.
+	// Retryable means that the request may use any idle connection, and is sent again if the worker
+	// had already closed that connection.
 	Retryable bool
-	// RequireSeal says that a success must carry the worker's stamp.
+	// RequireSeal means that a success must carry the worker's seal.
 	RequireSeal bool
-	// OnConnection is given the connection, so that it can be closed from outside.
+	// OnConnection, if not nil, is called with each connection used, so that the caller can close it.
 	OnConnection func(connection *workerconn.Connection)
 }
 
-// Response is a response whose head was read.
+// Response is a response whose head has been read.
 type Response struct {
 	HTTPResponse *http.Response
 	Connection   *workerconn.Connection
 	Load         string
 	NotRun       bool
-	// ShouldGiveUp is asked about silences in the stream.
+	// ShouldGiveUp reports whether to end the wait if the worker sends nothing for long within the
+	// stream.
 	ShouldGiveUp func(elapsed clock.Duration) bool
 }
 
 // RoundTrip sends the request and reads the head of its response.
 func (s *Sender) RoundTrip(grant *admission.Grant, outgoing *Request) (*Response, Evidence, error) {
-	// A drain acknowledged since the grant binds: look once more before sending.
+	// A drain may have been acknowledged since the grant, and must be obeyed: check again before sending.
 	if !s.Scheduler.Allowed(grant.Worker.ID, clock.Now()) {
-		return nil, Evidence{}, ErrNotSent.New("worker is leaving")
+		return nil, Evidence{}, ErrNotSent.New("worker no longer accepts requests")
 	}
 	connection, evidence, err := s.send(grant, outgoing)
 	if err != nil {
 		return nil, evidence, err
 	}
-	resp, err := readOwnResponse(connection, outgoing)
+	resp, err := readMatchingResponse(connection, outgoing)
 	if err == nil && outgoing.RequireSeal {
 		err = verifySuccess(resp)
 	}
@@ -83,55 +86,55 @@
 	return response, evidence, nil
 }
 
-// Release puts the connection back after the whole response was read.
+// Release returns the connection to the pool. The whole response must have been read.
 func (s *Sender) Release(response *Response) {
 	s.Pool.Put(response.Connection, response.HTTPResponse)
 }
 
-// Discard ends the connection: the worker drops what it still does.
+// Discard closes the connection, on which the worker stops working on the request.
 func (s *Sender) Discard(response *Response) { s.Pool.Drop(response.Connection) }
 
-// ReadBody reads up to a limit; complete tells that nothing is left. A failure means
-// that the response was cut off.
+// ReadBody reads the body up to a limit in bytes. complete reports that nothing is left to read; if it
+// is false, body has one byte more than the limit. An error means that the response was truncated.
 func (s *Sender) ReadBody(response *Response, limit int) (body []byte, complete bool, err error) {
 	body, err = io.ReadAll(io.LimitReader(response.HTTPResponse.Body, int64(limit)+1))
 	if err != nil {
-		return body, false, ErrResponseLost.Wrap(err, "body")
+		return body, false, ErrResponseLost.Wrap(err, "read body")
 	}
 	return body, len(body) <= limit, nil
 }
 
-// Stream reads an event stream: each is given complete events as they come. It
-// returns nil at the clean end.
-func (s *Sender) Stream(response *Response, splitter *Splitter, until clock.Instant, timeout clock.Duration, each func(events []byte) error) error {
+// Stream reads an event stream and calls onEvents with complete events as they arrive. It returns nil
+// when the stream ends cleanly, and the error of onEvents if it returns one.
+func (s *Sender) Stream(response *Response, splitter *Splitter, deadline clock.Instant, timeout clock.Duration, onEvents func(events []byte) error) error {
 	buffer := make([]byte, 8<<10)
 	chunked := response.HTTPResponse.ContentLength < 0
 	for {
 		if chunked {
-			if err := response.Connection.Await(workerconn.Wait{Until: until, SilenceTimeout: timeout, ShouldGiveUp: response.ShouldGiveUp}); err != nil {
-				return ErrResponseLost.Wrap(err, "stream")
+			if err := response.Connection.Await(workerconn.Wait{Until: deadline, SilenceTimeout: timeout, ShouldGiveUp: response.ShouldGiveUp}); err != nil {
+				return ErrResponseLost.Wrap(err, "read event stream")
 			}
 		}
 		count, err := response.HTTPResponse.Body.Read(buffer)
 		if count > 0 {
-			events, follows := splitter.Feed(buffer[:count])
+			events, consecutive := splitter.Feed(buffer[:count])
 			if len(events) > 0 {
-				if writeErr := each(events); writeErr != nil {
+				if writeErr := onEvents(events); writeErr != nil {
 					return writeErr
 				}
 			}
-			if !follows {
-				return ErrCorruptResponse.New("events do not follow each other")
+			if !consecutive {
+				return ErrCorruptResponse.New("event ids are not consecutive")
 			}
 		}
 		if err == io.EOF {
-			if len(splitter.Rest()) > 0 {
+			if len(splitter.Remainder()) > 0 {
 				return ErrCorruptResponse.New("stream ends inside an event")
 			}
 			return nil
 		}
 		if err != nil {
-			return ErrResponseLost.Wrap(err, "stream")
+			return ErrResponseLost.Wrap(err, "read event stream")
 		}
 	}
 }
--- a/internal/traffic/proxy/silence.go
+++ b/internal/traffic/proxy/silence.go
@@ -10,10 +10,11 @@
 	"lemonarch/internal/traffic/workerconn"
 )
 
-// silencePolicy gives the decision on a silence that is longer than usual. What may be
-// repeated goes on elsewhere, while attempts are left and the service as a whole has not
-// grown slow. What may not waits on: silence gives no reason to end a response sooner.
-// Either way the silence is noted, so that others are not sent into it.
+// silencePolicy returns the function that decides whether to stop waiting for a worker that has sent
+// nothing for longer than usual. A retryable request goes to another worker, while attempts are left
+// and the service as a whole has not become slow. Any other request keeps waiting, since a silent worker
+// may still respond before the deadline. In both cases the silence is recorded in the worker's health,
+// so that other requests are not sent to it.
 func (e *exchange) silencePolicy(grant *admission.Grant) func(elapsed clock.Duration) bool {
 	return func(elapsed clock.Duration) bool {
 		now := clock.Now()
@@ -25,13 +26,13 @@
 	}
 }
 
-// resultOf tells what an attempt without a response says of its worker.
-func (e *exchange) resultOf(err error) admission.Result {
+// resultOf returns how an attempt without a response counts for its worker's health.
+func (e *exchange) resultOfError(err error) admission.Result {
 	switch {
 	case e.request.Context().Err() != nil, errs.Is(err, ErrStaleConnection):
 		return admission.ResultCanceled
 	case errs.Is(err, workerconn.ErrPoolExhausted):
-		// Nothing is wrong with the worker; we have too many connections to it.
+		// The worker did not fail: this process has no connection left in its budget for it.
 		return admission.ResultRejected
 	case errs.Is(err, workerconn.ErrNoConnection):
 		return admission.ResultUnreachable
@@ -41,8 +42,8 @@
 	return admission.ResultFailed
 }
 
-// resultOfStatus tells whether a failure that a worker answered with counts against it: its
-// 504 only says that the time was too short.
+// resultOfStatus returns how an error status counts for the worker's health. A 504 does not count as
+// a failure, since it only means that the time left was too short.
 func resultOfStatus(status int) admission.Result {
 	if status >= http.StatusInternalServerError && status != http.StatusGatewayTimeout {
 		return admission.ResultServerError
--- a/internal/traffic/proxy/traffic.go
+++ b/internal/traffic/proxy/traffic.go
@@ -7,7 +7,7 @@
 	"lemonarch/internal/traffic/trafficstats"
 )
 
-// trafficObservation gathers what the traffic summaries keep of one request.
+// trafficObservation collects the values of one request for the traffic summaries.
 type trafficObservation struct {
 	outcome          trafficstats.Outcome
 	wasPlaced        bool
@@ -20,7 +20,8 @@
 	eventGap         clock.Duration
 }
 
-// placed notes a worker that was found; the last one counts, the wait for the first.
+// placed records a grant. The times of the request count from the last grant, and the queue wait ends
+// at the first.
 func (o *trafficObservation) placed(grant *admission.Grant, now clock.Instant) {
 	if !o.wasPlaced {
 		o.wasPlaced, o.placedAt = true, now
@@ -28,38 +29,39 @@
 	o.sentAt, o.freshTokens = now, grant.FreshTokens
 }
 
-// firstEvent notes the first event or the head of a response, and the load that it states.
+// firstEvent records the arrival of the first event or the head of a response, and the load that the
+// worker reported with it.
 func (o *trafficObservation) firstEvent(load string, now clock.Instant) {
 	o.firstAt = now
 	o.running, o.waiting, o.loadKnown = health.ParseRunning(load)
 }
 
-// served notes that the response was complete.
+// served records that the response was complete.
 func (o *trafficObservation) served(events int, eventGap clock.Duration) {
 	o.outcome, o.events, o.eventGap = trafficstats.OutcomeServed, events, eventGap
 }
 
-// recordTraffic hands what was seen of the request to the summaries.
+// recordTraffic adds the observation of the request to the traffic summaries.
 func (e *exchange) recordTraffic() {
 	recorder := e.proxyServer.Traffic
 	if recorder == nil {
 		return
 	}
-	now, seen := clock.Now(), &e.traffic
+	now, observed := clock.Now(), &e.traffic
 	observation := &trafficstats.Observation{
 		Class:        trafficstats.Class{Route: e.route.Name, Service: e.admission.Service, Model: e.model},
-		Outcome:      seen.outcome,
-		Placed:       seen.wasPlaced,
-		PromptTokens: e.admission.Prompt.Tokens, FreshTokens: seen.freshTokens, OutTokens: e.admission.Prompt.Out,
-		Events: seen.events, EventGap: seen.eventGap,
-		LoadKnown: seen.loadKnown, Running: seen.running, Waiting: seen.waiting,
+		Outcome:      observed.outcome,
+		Placed:       observed.wasPlaced,
+		PromptTokens: e.admission.Prompt.Tokens, FreshTokens: observed.freshTokens, OutTokens: e.admission.Prompt.Out,
+		Events: observed.events, EventGap: observed.eventGap,
+		LoadKnown: observed.loadKnown, Running: observed.running, Waiting: observed.waiting,
 		QueueWait: now.Sub(e.arrivedAt),
 	}
-	if seen.wasPlaced {
-		observation.QueueWait, observation.Duration = seen.placedAt.Sub(e.arrivedAt), now.Sub(seen.sentAt)
+	if observed.wasPlaced {
+		observation.QueueWait, observation.Duration = observed.placedAt.Sub(e.arrivedAt), now.Sub(observed.sentAt)
 	}
-	if seen.firstAt > seen.sentAt {
-		observation.FirstEvent = seen.firstAt.Sub(seen.sentAt)
+	if observed.firstAt > observed.sentAt {
+		observation.FirstEvent = observed.firstAt.Sub(observed.sentAt)
 	}
 	recorder.Record(observation, now)
 }
--- a/internal/traffic/proxy/wirenews_test.go
+++ b/internal/traffic/proxy/wirenews_test.go
@@ -20,7 +20,7 @@
 )
 
 // first gives the header of the first request that a worker read.
-func (s *workerStub) first() http.Header {
+func (s *workerStub) firstHeader() http.Header {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.requests[0].Header
@@ -34,8 +34,8 @@
 		head := strings.Replace(streamHead(request), "\r\n\r\n", "\r\nLemonarch-Weight-Versions: 7\r\n\r\n", 1)
 		write(connection, head+chunk(event(1))+chunk(changed)+chunk(event(3))+"0\r\n\r\n")
 	})
-	server, _ := edge(t, worker)
-	resp, body, err := ask(t, server, "/stream/x", nil)
+	server, _ := newProxyServer(t, worker)
+	resp, body, err := sendRequest(t, server, "/stream/x", nil)
 	if err != nil || resp.Header.Get("Lemonarch-Weight-Versions") != "7" || body != event(1)+changed+event(3) {
 		t.Fatalf("%v %v %q", err, resp, body)
 	}
@@ -61,8 +61,8 @@
 			}
 			write(connection, text+"0\r\n\r\n")
 		})
-		server, _ := edge(t, first, second)
-		if resp, body, err := ask(t, server, "/stream/x", nil); err != nil || resp.StatusCode != 200 || body != event(1)+event(2)+event(3) {
+		server, _ := newProxyServer(t, first, second)
+		if resp, body, err := sendRequest(t, server, "/stream/x", nil); err != nil || resp.StatusCode != 200 || body != event(1)+event(2)+event(3) {
 			t.Fatalf("at %d: %v %q", at, err, body)
 		}
 	}
@@ -82,8 +82,8 @@
 			}
 			connection.Close()
 		})
-		server, _ := edge(t, worker)
-		resp, body, err := ask(t, server, "/once/x", nil)
+		server, _ := newProxyServer(t, worker)
+		resp, body, err := sendRequest(t, server, "/once/x", nil)
 		if err == nil && resp.StatusCode < 300 {
 			t.Errorf("reset %v: %v %q", reset, resp, body)
 		}
@@ -91,17 +91,19 @@
 }
 
 // A worker gets the model, the counts and the prefix as the client sent them, at each attempt.
-func TestPromptHeadersAreTheClients(t *testing.T) {
+func TestPromptHeadersAreForwardedUnchanged(t *testing.T) {
 	header := map[string]string{headerModel: "m", headerTokens: "1460, 80", headerPrefix: "5c1e07a2:800,91bd3f06:410,e4402b7d:250"}
 	failing := newWorkerStub(t, "w1", func(_ int, _ *http.Request, connection net.Conn) { connection.Close() })
-	worker := newWorkerStub(t, "w2", func(_ int, request *http.Request, connection net.Conn) { write(connection, wellDone(request, "x")) })
-	server, _ := edge(t, failing, worker)
-	if resp, _, err := ask(t, server, "/safe/x", header); err != nil || resp.StatusCode != 200 {
+	worker := newWorkerStub(t, "w2", func(_ int, request *http.Request, connection net.Conn) {
+		write(connection, successResponse(request, "x"))
+	})
+	server, _ := newProxyServer(t, failing, worker)
+	if resp, _, err := sendRequest(t, server, "/safe/x", header); err != nil || resp.StatusCode != 200 {
 		t.Fatal(resp, err)
 	}
 	for _, stub := range []*workerStub{failing, worker} {
 		for name, value := range header {
-			if got := stub.first().Get(name); got != value {
+			if got := stub.firstHeader().Get(name); got != value {
 				t.Errorf("%s: %s is %q, want %q", stub.id, name, got, value)
 			}
 		}
@@ -109,19 +111,21 @@
 }
 
 // Each send says what is left at that moment, also a later one.
-func TestTimeLeftIsWhatIsLeftAtEachSend(t *testing.T) {
+func TestTimeLeftIsUpdatedAtEachSend(t *testing.T) {
 	const sent, took = 2500, 600
 	slow := newWorkerStub(t, "w1", func(_ int, _ *http.Request, connection net.Conn) {
 		clock.Sleep(clock.Milliseconds(took))
 		connection.Close()
 	})
-	worker := newWorkerStub(t, "w2", func(_ int, request *http.Request, connection net.Conn) { write(connection, wellDone(request, "x")) })
-	server, _ := edge(t, slow, worker)
-	if resp, _, err := ask(t, server, "/safe/x", map[string]string{headerTimeLeft: strconv.Itoa(sent)}); err != nil || resp.StatusCode != 200 {
+	worker := newWorkerStub(t, "w2", func(_ int, request *http.Request, connection net.Conn) {
+		write(connection, successResponse(request, "x"))
+	})
+	server, _ := newProxyServer(t, slow, worker)
+	if resp, _, err := sendRequest(t, server, "/safe/x", map[string]string{headerTimeLeft: strconv.Itoa(sent)}); err != nil || resp.StatusCode != 200 {
 		t.Fatal(resp, err)
 	}
 	left := func(stub *workerStub) int {
-		value, _ := strconv.Atoi(stub.first().Get(headerTimeLeft))
+		value, _ := strconv.Atoi(stub.firstHeader().Get(headerTimeLeft))
 		return value
 	}
 	if first := left(slow); first > sent || first < sent-500 {
@@ -145,7 +149,7 @@
 			cut <- clock.Now()
 		})
 		other := newWorkerStub(t, "w2", func(int, *http.Request, net.Conn) {})
-		server, _ := edge(t, worker, other)
+		server, _ := newProxyServer(t, worker, other)
 		client, err := net.Dial("tcp4", server.Listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -166,11 +170,11 @@
 }
 
 // A gateway without a configuration refuses nothing for good: it knows no route yet.
-func TestNoConfigurationIsNoRefusal(t *testing.T) {
+func TestMissingConfigurationReturnsRetryAfter(t *testing.T) {
 	scheduler := admission.New(messages.NodeInfo{Name: "n", Role: membership.RoleGateway, Zone: "h"}, 1_200_000_000)
 	server := httptest.NewServer(New(Sender{Scheduler: scheduler, Pool: workerconn.NewPool()}, nil, hclog.NewNullLogger()))
 	defer server.Close()
-	if resp, _, err := ask(t, server, "/safe/x", nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
+	if resp, _, err := sendRequest(t, server, "/safe/x", nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
 		t.Fatal(resp, err)
 	}
 }
@@ -184,7 +188,7 @@
 			const requests = 300
 			worst := 0
 			for range 20 {
-				gateways, taken := make([]draws, nodes), 0
+				gateways, taken := make([]weightedDraws, nodes), 0
 				for i := range requests {
 					if gateways[i%nodes].choose(route) == "a" {
 						taken++
--- a/internal/traffic/proxy/workerfailure.go
+++ b/internal/traffic/proxy/workerfailure.go
@@ -8,19 +8,19 @@
 	"lemonarch/internal/traffic/admission"
 )
 
-// workerFailure is a response of a worker's own that may be given when no other
-// worker can be asked.
+// workerFailure is an error response of a worker. It may be relayed to the client if the request can't
+// be sent to another worker.
 type workerFailure struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// mayBeFinal tells whether the worker's response may be the outcome of the whole request. A
-// status that promises that nothing ran must not follow a run.
-func (w *workerFailure) mayBeFinal(mayRun bool) bool {
+// mayBeFinal reports whether the worker's response may be the outcome of the whole request. A status
+// that promises that nothing ran must not be sent if the request may have run.
+func (w *workerFailure) mayBeFinal(mayHaveRun bool) bool {
 	if w.header.Get(headerNotRun) != "" {
-		return !mayRun
+		return !mayHaveRun
 	}
 	switch w.status {
 	case http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -29,7 +29,7 @@
 	return true
 }
 
-// handleNotRun handles a worker that did not run the request.
+// handleNotRun handles a response by which the worker states that it did not run the request.
 func (e *exchange) handleNotRun(grant *admission.Grant, response *Response) (Retry, bool) {
 	body, complete, err := e.proxyServer.Sender.ReadBody(response, constants.BufferedResponseMax)
 	result := admission.ResultRejected
@@ -37,7 +37,7 @@
 		result = admission.ResultShed
 	}
 	if response.HTTPResponse.StatusCode == http.StatusMisdirectedRequest {
-		// Somebody else answers at this address now.
+		// Another worker now has this address.
 		result = admission.ResultMisdirected
 		e.proxyServer.Sender.Discard(response)
 	} else if err != nil || !complete {
@@ -45,7 +45,7 @@
 	} else {
 		e.finish(response)
 		if !e.mayHaveRun {
-			// After a run it could not be the outcome any more.
+			// Kept only if no attempt may have run the request; otherwise it may not be the outcome.
 			e.lastFailure = &workerFailure{response.HTTPResponse.StatusCode, response.HTTPResponse.Header, body}
 		}
 	}
@@ -53,7 +53,7 @@
 	return e.decideRetry(Evidence{Sent: true, NotRun: true}), false
 }
 
-// handleWorkerFailure handles a worker's own failure: it has run.
+// handleWorkerFailure handles an error response of a worker that has run the request.
 func (e *exchange) handleWorkerFailure(grant *admission.Grant, response *Response) (Retry, bool) {
 	body, complete, err := e.proxyServer.Sender.ReadBody(response, constants.BufferedResponseMax)
 	if err != nil || !complete {
@@ -66,7 +66,7 @@
 	e.lastFailure = &workerFailure{response.HTTPResponse.StatusCode, response.HTTPResponse.Header, body}
 	retry := e.decideRetry(Evidence{Sent: true})
 	if response.HTTPResponse.StatusCode < 500 {
-		// A worker's 4xx is about the request: another would answer the same.
+		// A 4xx is caused by the request itself: another worker would return the same.
 		retry = RetryNever
 	}
 	return retry, false
--- a/internal/traffic/proxy/workerstub_test.go
+++ b/internal/traffic/proxy/workerstub_test.go
@@ -136,7 +136,7 @@
 	return count
 }
 
-func wellDone(request *http.Request, body string) string {
+func successResponse(request *http.Request, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nLemonarch-Attempt-Id: %s\r\nLemonarch-Server-Seal: seal\r\nContent-Length: %d\r\n\r\n%s",
 		request.Header.Get(headerAttempt), len(body), body)
 }
@@ -156,18 +156,18 @@
 ],"backends":[{"name":"s","conn-limit":50}],"limits":{"max-header-bytes":8192,"max-body-bytes":1000,"header-wait-ms":3000,"idle-ms":5000}}`
 
 // edge starts a data plane in front of stand-ins; the first listed is preferred.
-func edge(t *testing.T, workerList ...*workerStub) (*httptest.Server, *Proxy) {
+func newProxyServer(t *testing.T, workerList ...*workerStub) (*httptest.Server, *Proxy) {
 	t.Helper()
 
 	var list []messages.Worker
 	for _, worker := range workerList {
 		list = append(list, messages.Worker{ID: worker.id, Address: worker.listener.Addr().String()})
 	}
-	return edgeFor(t, list)
+	return newProxyServerFor(t, list)
 }
 
 // edgeFor does the same for workers that are known by id and address.
-func edgeFor(t *testing.T, list []messages.Worker) (*httptest.Server, *Proxy) {
+func newProxyServerFor(t *testing.T, list []messages.Worker) (*httptest.Server, *Proxy) {
 	t.Helper()
 
 	scheduler := admission.New(messages.NodeInfo{Name: "n", Role: membership.RoleGateway, Zone: "h"}, 1_200_000_000)
@@ -192,7 +192,7 @@
 }
 
 // ask sends one request over a connection of its own and gives what came back.
-func ask(t *testing.T, server *httptest.Server, path string, header map[string]string) (*http.Response, string, error) {
+func sendRequest(t *testing.T, server *httptest.Server, path string, header map[string]string) (*http.Response, string, error) {
 	t.Helper()
 
 	request, err := http.NewRequest(http.MethodPost, server.URL+path, strings.NewReader("the body"))
