--- a/internal/traffic/gateway/clientconn.go
+++ b/internal/traffic/gateway/clientconn.go
@@ -13,61 +13,65 @@
 	"lemonarch/internal/platform/inbound"
 )
 
-// requestTimeoutResponse answers a client that takes too long over its header. The server itself
-// ends such a connection without a word.
+// requestTimeoutResponse is sent to a client that takes too long to send its header. The server itself
+// closes such a connection without a response.
 const requestTimeoutResponse = "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
-// clientConn is one connection of a client.
+// clientConn is one client connection.
 type clientConn struct {
 	net.Conn
 	owner *clientConns
-	// hasDeadline is set while a deadline that lies ahead is set. The server also sets
-	// deadlines that are long past, to call off a read of its own: that is no slow client.
+	// hasFutureDeadline is set while the read deadline is in the future. The server also sets deadlines
+	// in the past, to abort a read of its own; such a timeout does not mean that the client is slow.
 	hasFutureDeadline atomic.Bool
-	lock        sync.Mutex
-	// reading is set while a request has begun to come or is under way, and idle
-	// while none has, since a response; idleUntil is how long it may.
+	lock              sync.Mutex
+	// reading is set from the first bytes of a request to the end of its response. idle is set from
+	// the end of a response until the server has seen the first bytes of the next request. idleUntil is
+	// when an idle connection times out.
 	reading, idle        bool
 	idleSince, idleUntil clock.Instant
-	// ended is set once the connection was closed between two requests.
+	// closed is set once closeIdle has closed the connection between two requests.
 	closed bool
 }
 
-// SetReadDeadline passes a deadline on, by the limits in force, and notes what it is for.
-func (p *clientConn) SetReadDeadline(at clock.Time) error {
-	ahead := clock.IsFuture(at)
-	p.hasFutureDeadline.Store(ahead)
+// SetReadDeadline sets the read deadline. A deadline in the future is replaced by the idle or header
+// timeout of the current configuration; a past one is set unchanged. The zero time removes the deadline
+// and ends the idle state.
+func (p *clientConn) SetReadDeadline(deadline clock.Time) error {
+	inFuture := clock.IsFuture(deadline)
+	p.hasFutureDeadline.Store(inFuture)
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	if ahead {
+	if inFuture {
 		timeout := p.owner.readTimeout(p.idle)
 		if timeout <= 0 {
 			p.hasFutureDeadline.Store(false)
 			return p.Conn.SetReadDeadline(clock.Time{})
 		}
 		p.idleUntil = clock.Now().Add(timeout)
-		at = clock.Deadline(timeout)
-	} else if at.IsZero() {
+		deadline = clock.Deadline(timeout)
+	} else if deadline.IsZero() {
 		// The server has seen the first bytes of the next request.
 		p.idle = false
 	}
-	return p.Conn.SetReadDeadline(at)
+	return p.Conn.SetReadDeadline(deadline)
 }
 
-// SetDeadline does the same.
-func (p *clientConn) SetDeadline(at clock.Time) error {
-	p.hasFutureDeadline.Store(clock.IsFuture(at))
-	return p.Conn.SetDeadline(at)
+// SetDeadline sets the read and the write deadline, unchanged.
+func (p *clientConn) SetDeadline(deadline clock.Time) error {
+	p.hasFutureDeadline.Store(clock.IsFuture(deadline))
+	return p.Conn.SetDeadline(deadline)
 }
 
-// Read answers where the time for a header is over: no other read of the server has
-// a deadline while a request comes.
-func (p *clientConn) Read(into []byte) (int, error) {
-	count, err := p.Conn.Read(into)
+// Read reads from the connection. If a read deadline expires while a request is being received, it
+// sends a 408: only the read of the header has a deadline then. If it expires on an idle connection,
+// Read tries once more before it returns the timeout.
+func (p *clientConn) Read(buffer []byte) (int, error) {
+	count, err := p.Conn.Read(buffer)
 	if count == 0 && errors.Is(err, os.ErrDeadlineExceeded) && p.isIdleWithDeadline() {
-		// This process may have stood still while the request came: look once more.
+		// This process may have been suspended while the request arrived, so read once more.
 		_ = p.Conn.SetReadDeadline(clock.Deadline(constants.PumpPeriod))
-		count, err = p.Conn.Read(into)
+		count, err = p.Conn.Read(buffer)
 	}
 	if count > 0 && !p.startRequest() {
 		return 0, net.ErrClosed
@@ -78,8 +82,8 @@
 	return count, err
 }
 
-// startRequest notes that bytes of a request came; false where the connection had been ended
-// before, so that the request is not taken.
+// startRequest records that bytes of a request have arrived. It returns false if the connection had
+// already been closed, in which case the request must not be handled.
 func (p *clientConn) startRequest() bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -87,6 +91,7 @@
 	return !p.closed
 }
 
+// busy reports whether a request is being received or served.
 func (p *clientConn) busy() bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -99,14 +104,14 @@
 	return p.idle && p.hasFutureDeadline.Load()
 }
 
-// setIdle notes that a response is complete and nothing of another request has been read.
+// setIdle records that a response is complete and no byte of another request has been read.
 func (p *clientConn) setIdle(now clock.Instant) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.reading, p.idle, p.idleSince = false, true, now
 }
 
-// extendIdle gives an idle connection the time of newer limits, if that is longer.
+// extendIdle applies a new idle timeout to an idle connection if that lets it expire later.
 func (p *clientConn) extendIdle(idle clock.Duration, now clock.Instant) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -117,7 +122,7 @@
 	}
 }
 
-// closeIdle closes the connection unless a request has begun to come.
+// closeIdle closes the connection unless bytes of a request have arrived.
 func (p *clientConn) closeIdle() {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -127,23 +132,23 @@
 	}
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (p *clientConn) Close() error {
 	p.owner.remove(p)
 	return p.Conn.Close()
 }
 
-// CloseWrite ends our side and lets the client come to its end. The standard server asks for it
-// where it answers a head or body that is too large.
+// CloseWrite closes the sending side, so that the client can still send and read to its end. net/http
+// calls it after the response to a head or body that is too large.
 func (p *clientConn) CloseWrite() error { return inbound.CloseWrite(p.Conn) }
 
-// NetConn gives the connection inside.
+// NetConn returns the underlying connection.
 func (p *clientConn) NetConn() net.Conn { return p.Conn }
 
-// trackState follows a connection through its requests.
+// trackState is the ConnState hook of the server. It marks a connection as idle after a response.
 func trackState(raw net.Conn, state http.ConnState) {
 	inbound.ConnState(raw, state)
-	if connection, is := raw.(*clientConn); is && state == http.StateIdle {
+	if connection, ok := raw.(*clientConn); ok && state == http.StateIdle {
 		connection.setIdle(clock.Now())
 	}
 }
--- a/internal/traffic/gateway/connections.go
+++ b/internal/traffic/gateway/connections.go
@@ -9,30 +9,32 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// clientConns are the ingress and its clients' connections. They follow the limits of
-// the configuration in force, and end without cutting a request.
+// clientConns is the ingress listener with its open client connections. It applies the limits of the
+// current configuration to them, and closes connections only between requests.
 type clientConns struct {
 	net.Listener
 	lock sync.Mutex
 	open map[*clientConn]struct{}
-	// idleTimeout is how long a connection may be idle, and headerTimeout how long a header may take.
+	// idleTimeout is how long a connection may be idle, and headerTimeout how long receiving a header may
+	// take.
 	idleTimeout, headerTimeout clock.Duration
-	// newestIdleTimeout is the idle time of the newest configuration.
+	// newestIdleTimeout is the idle timeout of the newest configuration alone.
 	configuredIdleTimeout clock.Duration
-	// newestHeadBytes is the length of heads by the newest configuration.
+	// newestHeadBytes is the maximum length of a request head, in bytes, of the newest
+	// configuration alone.
 	configuredHeadBytes int
 }
 
-// headLimiter is a listener that bounds heads, in bytes.
+// headLimiter is implemented by a listener that limits the length of request heads, in bytes.
 type headLimiter interface{ SetHeadLimit(limit int) }
 
 func newClientConns(listener net.Listener, limits routeconfig.Limits) *clientConns {
-	entry := &clientConns{Listener: listener, open: map[*clientConn]struct{}{}}
-	entry.setLimits(limits)
-	return entry
+	conns := &clientConns{Listener: listener, open: map[*clientConn]struct{}{}}
+	conns.setLimits(limits)
+	return conns
 }
 
-// Accept gives the next connection.
+// Accept waits for the next connection and returns it.
 func (c *clientConns) Accept() (net.Conn, error) {
 	raw, err := c.Listener.Accept()
 	if err != nil {
@@ -51,7 +53,7 @@
 	delete(c.open, connection)
 }
 
-// list gives the connections that are open.
+// list returns the open connections.
 func (c *clientConns) list() []*clientConn {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -62,13 +64,13 @@
 	return list
 }
 
-// setLimits takes the limits of a newer configuration. Clients go by the one that they
-// know, which may be the one before, so the longer time of the two is given; what is idle
-// already is given it as well.
+// setLimits applies the limits of a newer configuration. Clients use the idle timeout of the
+// configuration that they know, which may be the previous one, so the longer of the two is applied, also
+// to connections that are already idle.
 func (c *clientConns) setLimits(limits routeconfig.Limits) {
 	c.lock.Lock()
-	stated := clock.Milliseconds(limits.IdleMs)
-	c.idleTimeout, c.configuredIdleTimeout = max(stated, c.configuredIdleTimeout), stated
+	configured := clock.Milliseconds(limits.IdleMs)
+	c.idleTimeout, c.configuredIdleTimeout = max(configured, c.configuredIdleTimeout), configured
 	c.headerTimeout = clock.Milliseconds(limits.HeaderWaitMs)
 	idle := c.idleTimeout
 	c.setHeadLimitLocked(limits.HeaderBytes)
@@ -79,30 +81,32 @@
 	}
 }
 
-// setHeadLimitLocked takes the length of heads of a newer configuration: the longer of the two, for
-// the same reason. The lock is held.
-func (c *clientConns) setHeadLimitLocked(stated int) {
-	if stated <= 0 {
-		stated = constants.HeadLimit
+// setHeadLimitLocked applies the maximum head length of a newer configuration. The longer of this and
+// the previous one is applied, since clients may know only the previous configuration. The caller must
+// hold the lock.
+func (c *clientConns) setHeadLimitLocked(configured int) {
+	if configured <= 0 {
+		configured = constants.HeadLimit
 	}
-	limit := max(stated, c.configuredHeadBytes)
-	c.configuredHeadBytes = stated
-	if limiter, can := c.Listener.(headLimiter); can {
+	limit := max(configured, c.configuredHeadBytes)
+	c.configuredHeadBytes = configured
+	if limiter, ok := c.Listener.(headLimiter); ok {
 		limiter.SetHeadLimit(limit)
 	}
 }
 
-// readTimeout is how long to wait for a client's next bytes.
-func (c *clientConns) readTimeout(resting bool) clock.Duration {
+// readTimeout returns how long to wait for the next bytes from a client: the idle timeout between requests,
+// otherwise the header timeout.
+func (c *clientConns) readTimeout(idle bool) clock.Duration {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	if resting {
+	if idle {
 		return c.idleTimeout
 	}
 	return c.headerTimeout
 }
 
-// busy counts the connections on which a request comes or is answered.
+// busy returns the number of connections on which a request is being received or served.
 func (c *clientConns) busy() int {
 	count := 0
 	for _, connection := range c.list() {
@@ -113,8 +117,8 @@
 	return count
 }
 
-// closeIdle takes no more connections and closes those on which no request has begun to come.
-// It tells whether none is left.
+// closeIdle closes the listener and the connections on which no request has begun, and reports whether
+// no request is left on the others.
 func (c *clientConns) closeIdle() bool {
 	c.Listener.Close()
 	for _, connection := range c.list() {
--- a/internal/traffic/gateway/gateway.go
+++ b/internal/traffic/gateway/gateway.go
@@ -1,4 +1,4 @@
-// Package gateway is the process that takes requests at the edge.
+// Package gateway implements the gateway process, which accepts client requests.
 package gateway
 
 import (
@@ -23,37 +23,37 @@
 	"lemonarch/internal/traffic/proxy"
 )
 
-// Gateway is one edge process.
+// Gateway is one gateway process.
 type Gateway struct {
-	Node    *agent.Agent
-	Gossip  *loadgossip.Gossip
-	Proxy   *proxy.Proxy
+	Node            *agent.Agent
+	Gossip          *loadgossip.Gossip
+	Proxy           *proxy.Proxy
 	configConfirmed atomic.Bool
-	// Set by Run, read by Shutdown.
-	ingressServer atomic.Pointer[http.Server]
-	readinessServer   atomic.Pointer[http.Server]
-	clients atomic.Pointer[clientConns]
+	// The following are set by Run and read by Shutdown.
+	ingressServer   atomic.Pointer[http.Server]
+	readinessServer atomic.Pointer[http.Server]
+	clients         atomic.Pointer[clientConns]
 }
 
-// New prepares the process.
+// New returns a gateway that Run starts.
 func New(nodeSettings *settings.Settings, log hclog.Logger) *Gateway {
 	runtime := agent.New(nodeSettings, membership.RoleGateway, constants.PortGateway, "", log)
-	placing := loadgossip.New(runtime)
-	gateway := &Gateway{Node: runtime, Gossip: placing}
-	gateway.Proxy = proxy.New(placing.Sender, newJobForwarder(runtime), log)
-	gateway.Proxy.Traffic = placing.Traffic
+	gossip := loadgossip.New(runtime)
+	gateway := &Gateway{Node: runtime, Gossip: gossip}
+	gateway.Proxy = proxy.New(gossip.Sender, newJobForwarder(runtime), log)
+	gateway.Proxy.Traffic = gossip.Traffic
 	runtime.OnConfig(gateway.configure)
 	return gateway
 }
 
-// configure takes a newer configuration.
+// configure applies a newer configuration.
 func (g *Gateway) configure(config *routeconfig.Config) {
 	if clients := g.clients.Load(); g.Proxy.SetConfig(config) && clients != nil {
 		clients.setLimits(config.Limits)
 	}
 }
 
-// Run serves until told to stop.
+// Run serves requests until Shutdown or a failure.
 func (g *Gateway) Run() error {
 	runtime := g.Node
 	if err := runtime.Start(); err != nil {
@@ -61,62 +61,64 @@
 	}
 	g.Gossip.Start()
 	go runtime.PullFirst(func() { g.configConfirmed.Store(true) })
-	calls := chi.NewRouter()
-	calls.Get("/-/readiness", g.readiness)
-	ready := inbound.NewServer(calls)
+	router := chi.NewRouter()
+	router.Get("/-/readiness", g.readiness)
+	readinessServer := inbound.NewServer(router)
 	limits := inbound.LimitsOf(runtime.Settings.Limits)
 	memory := inbound.NewMemory(limits.Memory)
-	readied, err := inbound.Listen(runtime.Settings.Bind.Readiness, min(limits.Connections, constants.ReadinessConnections), memory)
+	readinessListener, err := inbound.Listen(runtime.Settings.Bind.Readiness, min(limits.Connections, constants.ReadinessConnections), memory)
 	if err != nil {
-		return process.ErrUnavailable.Wrap(err, "readiness")
+		return process.ErrUnavailable.Wrap(err, "listen for readiness checks")
 	}
-	g.readinessServer.Store(ready)
-	go func() { _ = ready.Serve(readied) }()
-	listener, err := inbound.Listen(runtime.Settings.Bind.Ingress, limits.Connections, memory)
+	g.readinessServer.Store(readinessServer)
+	go func() { _ = readinessServer.Serve(readinessListener) }()
+	ingressListener, err := inbound.Listen(runtime.Settings.Bind.Ingress, limits.Connections, memory)
 	if err != nil {
-		return process.ErrUnavailable.Wrap(err, "ingress")
+		return process.ErrUnavailable.Wrap(err, "listen on ingress")
 	}
-	go readied.LogPressure(runtime.Log, "readiness", runtime.Stop)
-	go listener.LogPressure(runtime.Log, "ingress", runtime.Stop)
+	go readinessListener.LogPressure(runtime.Log, "readiness", runtime.Stop)
+	go ingressListener.LogPressure(runtime.Log, "ingress", runtime.Stop)
 	for runtime.Config() == nil {
 		clock.Sleep(constants.PumpPeriod)
 	}
-	err = g.serve(listener)
+	err = g.serve(ingressListener)
 	if errors.Is(err, http.ErrServerClosed) || g.Proxy.Draining.Load() {
 		return nil
 	}
-	return process.ErrUnavailable.Wrap(err, "ingress")
+	return process.ErrUnavailable.Wrap(err, "serve on ingress")
 }
 
-// serve takes requests by the limits in force, which the connections follow; the server's own only
-// tell that there are some.
-func (g *Gateway) serve(listener net.Listener) error {
+// serve accepts connections and serves their requests. The timeouts of the current configuration are
+// applied by clientConns; the timeouts of the http.Server only cause it to set read deadlines at all.
+func (g *Gateway) serve(ingressListener net.Listener) error {
 	limits := g.Node.Config().Limits
-	clients := newClientConns(listener, limits)
+	clients := newClientConns(ingressListener, limits)
 	g.clients.Store(clients)
-	// One that came since is taken by whoever of us is later.
+	// A configuration may have arrived before clients was stored. Either configure or this call applies
+	// it, whichever runs later.
 	clients.setLimits(g.Node.Config().Limits)
 	ingress := inbound.NewServer(g.Proxy)
 	ingress.ConnState = trackState
-	g.Node.Log.Info("serving", "ingress", g.Node.Settings.Bind.Ingress)
+	g.Node.Log.Info("gateway serving", "ingress", g.Node.Settings.Bind.Ingress)
 	g.ingressServer.Store(ingress)
 	return ingress.Serve(clients)
 }
 
-// readiness answers 200 only with a configuration that was read at a majority,
-// with workers to serve by, and while not draining.
+// readiness responds 200 only if the configuration was read from a majority, at least one worker is
+// known, and the process is not draining.
 func (g *Gateway) readiness(writer http.ResponseWriter, _ *http.Request) {
-	workerList := 0
-	g.Gossip.Scheduler.Locked(func() { workerList = len(g.Gossip.Scheduler.Registry.All(clock.Now())) })
-	if g.Proxy.Draining.Load() || !g.configConfirmed.Load() || workerList == 0 {
+	workerCount := 0
+	g.Gossip.Scheduler.Locked(func() { workerCount = len(g.Gossip.Scheduler.Registry.All(clock.Now())) })
+	if g.Proxy.Draining.Load() || !g.configConfirmed.Load() || workerCount == 0 {
 		httpreply.Text(writer, http.StatusServiceUnavailable, "not ready")
 		return
 	}
 	httpreply.Text(writer, http.StatusOK, "ready")
 }
 
-// Shutdown drains: it answers that it is not ready, still serves the connections that
-// come until the platform has seen it, ends what is under way, and stops.
+// Shutdown drains and stops the process. It reports not ready, accepts connections for DrainAcceptTime,
+// so that the platform can see the readiness change, then waits until the requests in flight
+// have ended or the grace period is nearly over.
 func (g *Gateway) Shutdown() {
 	g.Proxy.Draining.Store(true)
 	g.Node.Drain()
@@ -129,7 +131,7 @@
 		clock.Sleep(constants.PumpPeriod)
 	}
 	counts := &g.Proxy.Counts
-	g.Node.Log.Info("drained", "served", counts.Served.Load(), "refused", counts.Rejected.Load(), "failed", counts.Failed.Load(),
+	g.Node.Log.Info("gateway drained", "served", counts.Served.Load(), "refused", counts.Rejected.Load(), "failed", counts.Failed.Load(),
 		"resumed", counts.Resumed.Load(), "cut", counts.CutOff.Load())
 	g.Node.Shutdown()
 	for _, server := range []*http.Server{g.ingressServer.Load(), g.readinessServer.Load()} {
@@ -139,13 +141,14 @@
 	}
 }
 
-// idle ends the accepting of connections, closes those that rest, and tells that no request comes or is answered.
+// idle stops accepting connections, closes the idle ones, and reports whether no request is being
+// received or served.
 func (g *Gateway) idle() bool {
 	clients := g.clients.Load()
 	if clients == nil {
 		return true
 	}
-	// Accepting ends by time alone, before the look at what is under way: steady traffic would
-	// otherwise keep it open until the process is killed, and cut the last requests.
+	// Accepting stops by time alone, whether or not requests are in flight: otherwise steady traffic
+	// would keep the listener open until the process is killed, which would truncate the last responses.
 	return clients.closeIdle() && g.Proxy.Active() == 0
 }
--- a/internal/traffic/gateway/jobforwarder.go
+++ b/internal/traffic/gateway/jobforwarder.go
@@ -14,35 +14,36 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// jobForwarder forwards calls on batch jobs to the store that leads.
+// jobForwarder forwards calls on batch jobs to the leading store.
 type jobForwarder struct {
 	runtime    *agent.Agent
 	lock       sync.Mutex
 	leadership messages.Leadership
-	// changed closes when another takes the leadership; unresponsiveAt is when the known leader
-	// last failed to answer.
+	// changed is closed when another store takes the leadership, and replaced then. unresponsiveAt is
+	// when the known leader last failed to respond; zero if it has not.
 	changed        chan struct{}
 	unresponsiveAt clock.Instant
-	// requests numbers the requests; deduplicator knows those that were relayed through this gateway.
+	// requests numbers the requests of this gateway. deduplicator detects duplicates of the calls that
+	// other gateways relay through it.
 	requests     atomic.Uint64
 	deduplicator transport.Deduplicator
-	// now, sleep and random are the clock and the random numbers, so that tests can set them.
+	// now, sleep and random are the clock and the source of random numbers, which tests replace.
 	now    func() clock.Instant
 	sleep  func(clock.Duration)
 	random func() float64
 }
 
 func newJobForwarder(runtime *agent.Agent) *jobForwarder {
-	entry := &jobForwarder{runtime: runtime, changed: make(chan struct{}), now: clock.Now, sleep: clock.Sleep, random: clock.Float64}
+	forwarder := &jobForwarder{runtime: runtime, changed: make(chan struct{}), now: clock.Now, sleep: clock.Sleep, random: clock.Float64}
 	process.Handle(runtime.Runtime, messages.KindLeaderAnnouncement, func(announcement *messages.LeaderAnnouncement) (*messages.Ack, error) {
-		entry.observeLeader(announcement)
+		forwarder.observeLeader(announcement)
 		return &messages.Ack{Accepted: true}, nil
 	})
-	process.Handle(runtime.Runtime, messages.KindJobCall, entry.handleRelayed)
-	return entry
+	process.Handle(runtime.Runtime, messages.KindJobCall, forwarder.handleRelayed)
+	return forwarder
 }
 
-// observeLeader takes an announcement of who leads.
+// observeLeader applies an announcement of the leadership. An announcement of an earlier epoch is ignored.
 func (g *jobForwarder) observeLeader(announcement *messages.LeaderAnnouncement) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -55,8 +56,9 @@
 	}
 }
 
-// leader gives who is believed to lead, unless it has just failed to
-// answer, and what closes when that changes.
+// leader returns the address of the presumed leader, and a channel that is closed when the leadership
+// changes. The address is empty if none is known, or if the leader failed to respond less than
+// LeaseDuration ago.
 func (g *jobForwarder) leader() (string, chan struct{}) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -66,12 +68,12 @@
 	return g.leadership.Address, g.changed
 }
 
-// call makes a call to one store. It does not wait on for one whose leadership another
-// has taken since.
+// call makes a call to one store. It stops waiting if another store takes the leadership in the
+// meantime.
 func (g *jobForwarder) call(address string, call *messages.JobCallRequest, wait clock.Duration, changed chan struct{}) (*messages.JobCallResponse, error) {
 	type result struct {
-		answer *messages.JobCallResponse
-		err    error
+		response *messages.JobCallResponse
+		err      error
 	}
 	results := make(chan result, 1)
 	go func() {
@@ -80,21 +82,21 @@
 		results <- result{resp, err}
 	}()
 	select {
-	case got := <-results:
-		return got.answer, got.err
+	case received := <-results:
+		return received.response, received.err
 	case <-changed:
 		if current, _ := g.leader(); current == address {
-			got := <-results
-			return got.answer, got.err
+			received := <-results
+			return received.response, received.err
 		}
-		// It may still answer, and it may have taken the call: nothing is promised.
-		return nil, transport.ErrTimeout.New(address + " lost its duty")
+		// The store may have accepted the call, so the outcome is a timeout, which promises nothing.
+		return nil, transport.ErrTimeout.New(address + " lost the leadership")
 	}
 }
 
-// Forward makes the call at the leader. The second result says whether the call may have had an
-// effect although no response came. A long job is offered first, and sent when the leader asks
-// for it.
+// Forward makes the call at the leader. The second result reports whether the call may have had an
+// effect although there is no response. A submission of at least OfferMinBytes is first offered
+// without its body, and sent once the leader requests it.
 func (g *jobForwarder) Forward(call *messages.JobCallRequest, timeout clock.Duration) (*messages.JobCallResponse, bool) {
 	if call.Method != http.MethodPost || call.Forwarded || len(call.Body) < constants.OfferMinBytes {
 		return g.forward(call, timeout)
@@ -106,14 +108,14 @@
 		resp, _ := g.forward(offer, left)
 		switch {
 		case resp == nil:
-			// Nobody was sent the job, so nothing of it can run.
+			// The job itself was not sent to any process, so no part of it can run.
 			return nil, false
 		case resp.Status == http.StatusServiceUnavailable:
-			// The leader has too much to take; while there is time, it is asked again.
+			// The leader is overloaded. Offer the job again while there is time.
 			g.sleep(constants.TickPeriod)
 			continue
 		case resp.Status == messages.StatusSendNow, resp.Status == http.StatusNotFound:
-			// A leader of an earlier version knows no offers and finds no such job.
+			// A leader of an earlier version does not know offers and responds 404 to one.
 			return g.forward(call, end.Sub(g.now()))
 		}
 		return resp, true
@@ -121,13 +123,14 @@
 	return nil, false
 }
 
-// forward makes a call as it is.
+// forward makes a call without offering it first. It tries the presumed leader, then the other stores,
+// and relays through other gateways after several failures.
 func (g *jobForwarder) forward(call *messages.JobCallRequest, timeout clock.Duration) (*messages.JobCallResponse, bool) {
 	end := g.now().Add(timeout)
 	outcome, failures, relays := outcomeTracker{}, 0, map[string]bool{}
 	tried := map[string]bool{}
 	for g.now() < end {
-		// A node that is cut off from the stores may still reach a gateway that is not.
+		// A gateway that is partitioned from the stores may still reach one that is not.
 		if failures >= constants.RelayAfter && !call.Forwarded && len(relays) < constants.RelayAfter {
 			resp, err := g.relay(call, end, relays)
 			outcome.observe(err)
@@ -140,13 +143,13 @@
 			address = g.pickUntried(membership.RoleStore, tried)
 		}
 		if address == "" {
-			// Every store was tried: the leadership is changing, so wait a little.
+			// Every known store was tried, so the leadership is probably changing: wait before the next round.
 			g.sleep(constants.LeaseRenewPeriod / 2)
 			tried = map[string]bool{}
 			continue
 		}
 		tried[address] = true
-		// A leader that is gone must not use up all the time.
+		// Bound the wait, so that a leader that does not respond can't use up the whole timeout.
 		left := end.Sub(g.now())
 		wait := min(left, constants.CallTimeout+clock.Milliseconds(float64(call.WaitMs)))
 		resp, err := g.call(address, g.requestFor(call, left), wait, changed)
@@ -173,8 +176,9 @@
 	return nil, outcome.unknown
 }
 
-// relay has another gateway pass the call on. No answer and no failure mean that the
-// other could not either, and that nothing was taken.
+// relay sends the call to another gateway, which forwards it. If both the response and the error are
+// nil, the other gateway did not reach a leader either, or there is no untried gateway; in both cases no
+// store has accepted the call.
 func (g *jobForwarder) relay(call *messages.JobCallRequest, end clock.Instant, tried map[string]bool) (*messages.JobCallResponse, error) {
 	address := g.pickUntried(membership.RoleGateway, tried)
 	if address == "" {
@@ -185,26 +189,26 @@
 	relayed := g.requestFor(call, left)
 	relayed.Forwarded = true
 	wait := min(left, constants.CallTimeout+clock.Milliseconds(float64(call.WaitMs)))
-	results := &messages.JobCallResponse{}
-	if err := transport.Call(g.runtime.Transport, address, messages.KindJobCall, relayed, results, wait); err != nil {
+	resp := &messages.JobCallResponse{}
+	if err := transport.Call(g.runtime.Transport, address, messages.KindJobCall, relayed, resp, wait); err != nil {
 		return nil, err
 	}
-	if results.NotLeader {
+	if resp.NotLeader {
 		return nil, nil
 	}
-	return results, nil
+	return resp, nil
 }
 
-// handleRelayed answers a call that another gateway could not pass on itself.
+// handleRelayed handles a call that another gateway could not forward to a store itself.
 func (g *jobForwarder) handleRelayed(call *messages.JobCallRequest) (*messages.JobCallResponse, error) {
 	if !g.deduplicator.First(call.RequestID, g.now()) {
-		// The first copy is answered, or will be; a second might end otherwise.
+		// The first copy gets the response; the duplicate could have a different outcome.
 		return outcomeUnknown(), nil
 	}
-	// Whatever the sender says: a call is forwarded by two gateways at most.
+	// Set whatever the sender stated, so that a call passes through two gateways at most.
 	call.Forwarded = true
-	// It must say what it knows before the sender stops waiting, and go on no longer
-	// than the call's time to live.
+	// This gateway must respond before the sender times out, and must not continue beyond the call's
+	// time to live.
 	timeout := constants.CallTimeout*3/4 + clock.Milliseconds(float64(call.WaitMs))
 	if call.TTLMs > 0 {
 		timeout = min(timeout, clock.Milliseconds(float64(call.TTLMs)))
@@ -220,14 +224,15 @@
 	return resp, nil
 }
 
+// pickUntried returns the address of a live node of a role that is not in tried, or an empty string.
 func (g *jobForwarder) pickUntried(role string, tried map[string]bool) string {
-	entries := g.runtime.Live(role)
-	// Not always the same one: it may be cut off as well.
-	offset := int(g.random() * float64(len(entries)))
-	for i := range entries {
-		entry := entries[(i+offset)%len(entries)]
-		if !tried[entry.Address] {
-			return entry.Address
+	nodes := g.runtime.Live(role)
+	// Start at a random node, since a fixed choice might be partitioned as well.
+	offset := int(g.random() * float64(len(nodes)))
+	for i := range nodes {
+		node := nodes[(i+offset)%len(nodes)]
+		if !tried[node.Address] {
+			return node.Address
 		}
 	}
 	return ""
--- a/internal/traffic/gateway/outcome.go
+++ b/internal/traffic/gateway/outcome.go
@@ -10,20 +10,20 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// outcomeTracker follows the requests that were made for one call, and keeps a rejection from
-// being returned while any of them may still have an effect: 429, 503, 408 and 421 promise
-// that nothing of a job runs, now or later.
+// outcomeTracker tracks the requests that were made for one call. It prevents a rejection from being
+// returned while any of them may still have an effect, since 429, 503, 408 and 421 promise that no part
+// of a job runs, now or later.
 type outcomeTracker struct {
-	// unknown says that a request may have arrived and got no response.
+	// unknown means that a request may have arrived although there was no response.
 	unknown bool
 }
 
-// observe notes how a request ended.
+// observe records the error of a request, or nil.
 func (p *outcomeTracker) observe(err error) {
 	p.unknown = p.unknown || (err != nil && !errs.Is(err, transport.ErrUnreachable))
 }
 
-// response gives what the caller may be told of what one process answered.
+// response returns the response to be sent to the caller for the response of one process.
 func (p *outcomeTracker) response(call *messages.JobCallRequest, resp *messages.JobCallResponse) *messages.JobCallResponse {
 	if call.Method == http.MethodPost && p.unknown && promisesNotRun(resp.Status) {
 		return outcomeUnknown()
@@ -31,7 +31,7 @@
 	return resp
 }
 
-// promisesNotRun tells whether a status says that nothing ran and nothing will.
+// promisesNotRun reports whether a status promises that nothing has run and nothing will run.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -40,18 +40,18 @@
 	return false
 }
 
-// outcomeUnknown promises nothing: the caller may submit the same job again.
+// outcomeUnknown returns a response that promises nothing: the caller may submit the same job again.
 func outcomeUnknown() *messages.JobCallResponse {
 	return &messages.JobCallResponse{Status: http.StatusGatewayTimeout, Body: []byte(`{"error":"outcome unknown"}`)}
 }
 
-// requestFor makes the copy of a call that goes to one process. It has a name of its
-// own, and a submission says for how long it may be taken.
+// requestFor returns a copy of a call to send to one process. A submission gets a request ID of its
+// own and the time for which it may be accepted.
 func (g *jobForwarder) requestFor(call *messages.JobCallRequest, left clock.Duration) *messages.JobCallRequest {
 	copied := *call
 	if call.Method == http.MethodPost {
-		own := g.runtime.Self
-		copied.RequestID = own.Name + "#" + strconv.FormatInt(own.Incarnation, 36) + "#" + strconv.FormatUint(g.requests.Add(1), 36)
+		self := g.runtime.Self
+		copied.RequestID = self.Name + "#" + strconv.FormatInt(self.Incarnation, 36) + "#" + strconv.FormatUint(g.requests.Add(1), 36)
 		copied.TTLMs = max(left.Milliseconds(), 1)
 	}
 	return &copied
--- a/internal/traffic/gateway/outcome_test.go
+++ b/internal/traffic/gateway/outcome_test.go
@@ -18,10 +18,10 @@
 // rough is a world in which calls come late, twice, or not at all, and answers get
 // lost. One seed gives one history: nothing in it waits.
 type simulation struct {
-	random *rand.Rand
-	now    clock.Instant
-	gateways  map[string]*jobForwarder
-	stores map[string]*storeStub
+	random   *rand.Rand
+	now      clock.Instant
+	gateways map[string]*jobForwarder
+	stores   map[string]*storeStub
 	// late holds the frames that are still under way.
 	late []func()
 	// taken says by which attempt each job came to stand.
@@ -34,8 +34,8 @@
 
 // storeStub is a store as far as hand-ins see it.
 type storeStub struct {
-	leads, full bool
-	deduplicator        transport.Deduplicator
+	leads, full  bool
+	deduplicator transport.Deduplicator
 }
 
 func (r *simulation) deliver(address string, body []byte) []byte {
--- a/internal/traffic/proxy/begunresponse_test.go
+++ b/internal/traffic/proxy/begunresponse_test.go
@@ -12,9 +12,9 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// A response that has begun is not cut off since no other worker has room just then: the
-// stream's one worker breaks it off, may not be asked for this attempt, and no other is there.
-// It goes on there after a moment, within the same response.
+// Guards against truncating a response that has begun because no other worker has capacity at the
+// moment. The only worker breaks the stream off and is then excluded from the next attempt. The
+// stream must resume there after a short wait, within the same response.
 func TestBegunResponseWaitsForCapacity(t *testing.T) {
 	worker := newWorkerStub(t, "w1", func(count int, request *http.Request, connection net.Conn) {
 		from := 0
@@ -35,19 +35,20 @@
 	}
 }
 
-// A worker that turns a request away has not used up a try of a response that has begun: the stream
-// of a worker that broke off goes on once one of the others has room, within the same response.
+// Guards against counting rejections by workers as tries of a response that has begun. After a
+// worker broke the stream off, the workers reject several attempts without running them. The stream
+// must resume once one of them has capacity, within the same response.
 func TestBegunResponseOutlastsRefusals(t *testing.T) {
-	const refusals = 6
-	turnAway := func(request *http.Request, connection net.Conn) {
+	const rejectionCount = 6
+	reject := func(request *http.Request, connection net.Conn) {
 		write(connection, "HTTP/1.1 503 Service Unavailable\r\nLemonarch-Attempt-Id: "+request.Header.Get(headerAttempt)+"\r\n"+headerNotRun+": 1\r\nContent-Length: 0\r\n\r\n")
 	}
-	var turnedAway atomic.Int64
+	var rejected atomic.Int64
 	script := func(_ int, request *http.Request, connection net.Conn) {
 		from, resumed := 0, request.Header.Get(headerLastEvent) != ""
 		_, _ = fmt.Sscan(request.Header.Get(headerLastEvent), &from)
-		if resumed && turnedAway.Add(1) <= refusals {
-			turnAway(request, connection)
+		if resumed && rejected.Add(1) <= rejectionCount {
+			reject(request, connection)
 			return
 		}
 		write(connection, streamHead(request))
@@ -65,12 +66,12 @@
 	defer close(stop)
 	go clock.Every(constants.PumpPeriod, stop, proxy.Sweep)
 	expectWholeStream(t, server)
-	if cut := proxy.Counts.CutOff.Load(); cut != 0 || turnedAway.Load() != refusals+1 {
-		t.Error(cut, turnedAway.Load())
+	if cut := proxy.Counts.CutOff.Load(); cut != 0 || rejected.Load() != rejectionCount+1 {
+		t.Error(cut, rejected.Load())
 	}
 }
 
-// askWholeStream asks for a stream of five events, which must come whole within one response.
+// expectWholeStream requests a stream of five events and expects all of them within one response.
 func expectWholeStream(t *testing.T, server *httptest.Server) {
 	t.Helper()
 
@@ -80,6 +81,6 @@
 		want += event(id)
 	}
 	if err != nil || resp.StatusCode != http.StatusOK || body != want {
-		t.Fatal("cut off behind a part: ", resp, body, err)
+		t.Fatal("stream is not complete: ", resp, body, err)
 	}
 }
--- a/internal/traffic/proxy/bounds_test.go
+++ b/internal/traffic/proxy/bounds_test.go
@@ -12,7 +12,7 @@
 	"lemonarch/internal/platform/clock"
 )
 
-// failures are the ways in which a worker brings no whole response.
+// failures are the ways in which a worker fails to send a complete success.
 var failures = map[string]string{
 	"cut":         "HTTP/1.1 200 OK\r\n",
 	"failed":      "HTTP/1.1 500 No\r\nLemonarch-Server-Seal: failed\r\nContent-Length: 0\r\n\r\n",
@@ -22,9 +22,8 @@
 	"nothing":     "",
 }
 
-// Whatever befalls a request at its workers, in whichever order: one try of a client
-// reaches no more of them than its route allows, and a failure that bears a worker's seal
-// bears that worker's status.
+// Workers fail in random combinations. A client's request must not reach more of them than its
+// route's tries, and an error response with a worker's seal must have that worker's status.
 func TestAttemptLimitBoundsWorkersReached(t *testing.T) {
 	var names []string
 	for name := range failures {
@@ -34,10 +33,10 @@
 		random := rand.New(rand.NewSource(seed))
 		for _, path := range []string{"/safe/x", "/stream/x", "/once/x", "/rigid/x"} {
 			var workers []*workerStub
-			drawn := ""
+			chosen := ""
 			for i := range 5 {
 				name := names[random.Intn(len(names))]
-				drawn += " " + name
+				chosen += " " + name
 				workers = append(workers, newWorkerStub(t, fmt.Sprint("w", i), func(_ int, _ *http.Request, connection net.Conn) {
 					write(connection, failures[name])
 					connection.Close()
@@ -50,21 +49,21 @@
 				reached += min(worker.seen(), 1)
 			}
 			if reached > 3 {
-				t.Errorf("%s%s: reached %d workers", path, drawn, reached)
+				t.Errorf("%s%s: request reached %d workers", path, chosen, reached)
 			}
 			if err != nil {
 				continue
 			}
 			seals := map[string]int{"failed": http.StatusInternalServerError, "away": http.StatusServiceUnavailable}
 			if status, sealed := seals[resp.Header.Get(headerSeal)]; sealed && status != resp.StatusCode {
-				t.Errorf("%s%s: status %d under the seal %q", path, drawn, resp.StatusCode, resp.Header.Get(headerSeal))
+				t.Errorf("%s%s: got status %d with the seal %q", path, chosen, resp.StatusCode, resp.Header.Get(headerSeal))
 			}
 		}
 	}
 }
 
-// Whatever a worker leaves out, and however often, a request is held no longer than its
-// route's cutoff and a quarter of a second.
+// Workers stop sending after any share of a response. The request must end within its route's cutoff
+// and a quarter of a second.
 func TestEveryWaitEndsWithTheCutoff(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/stream/x", "/once/x", "/rigid/x"} {
 		for _, share := range []int{0, 20, 60, 95} {
@@ -75,14 +74,14 @@
 				script := func(_ int, request *http.Request, connection net.Conn) {
 					text := streamHead(request) + chunk(event(1)) + chunk(event(2)) + "0\r\n\r\n"
 					if !strings.HasPrefix(path, "/stream") && !strings.HasPrefix(path, "/rigid") {
-						text = successResponse(request, "done")
+						text = success(request, "done")
 					}
 					write(connection, text[:len(text)*share/100])
 					<-wait
 				}
 				server, proxy := newProxyServer(t, newWorkerStub(t, "w1", script), newWorkerStub(t, "w2", script), newWorkerStub(t, "w3", script))
 				setShortCutoffs(t, proxy)
-				// A machine that stands still holds everybody: only what is late each time is.
+				// A stall of the machine delays every process, so only a request that is late in each try fails.
 				const cutoffMs, tries = 300, 3
 				for try := 1; ; try++ {
 					started := clock.Now()
@@ -92,7 +91,7 @@
 						break
 					}
 					if try == tries {
-						t.Fatal("held for ", took)
+						t.Fatal("request took ", took)
 					}
 				}
 			})
@@ -100,7 +99,7 @@
 	}
 }
 
-// shorten sets a newer configuration, in which each route has 300 ms.
+// setShortCutoffs applies a newer configuration in which each route has a cutoff of 300 ms.
 func setShortCutoffs(t *testing.T, proxy *Proxy) {
 	t.Helper()
 
@@ -111,6 +110,7 @@
 	setConfig(t, proxy, text)
 }
 
+// setConfig applies a configuration, which must be newer than the current one.
 func setConfig(t *testing.T, proxy *Proxy, text string) {
 	t.Helper()
 
@@ -119,25 +119,25 @@
 		t.Fatal(err)
 	}
 	if !proxy.SetConfig(config) {
-		t.Fatal("the configuration was not taken")
+		t.Fatal("the configuration was not applied")
 	}
 }
 
-// A configuration that drops the routes and the service cuts nothing that runs.
+// A configuration that removes the routes and the service must not truncate the requests in flight.
 func TestConfigurationChangeKeepsRunningRequests(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/stream/x", "/once/x", "/rigid/x"} {
-		half, complete := make(chan struct{}), make(chan struct{})
+		inFlight, complete := make(chan struct{}), make(chan struct{})
 		worker := newWorkerStub(t, "w1", func(_ int, request *http.Request, connection net.Conn) {
 			if strings.HasPrefix(path, "/stream") || strings.HasPrefix(path, "/rigid") {
 				write(connection, streamHead(request)+chunk(event(1)))
-				close(half)
+				close(inFlight)
 				<-complete
 				write(connection, chunk(event(2))+"0\r\n\r\n")
 				return
 			}
-			close(half)
+			close(inFlight)
 			<-complete
-			write(connection, successResponse(request, "for attempt-1"))
+			write(connection, success(request, "for attempt-1"))
 		})
 		server, proxy := newProxyServer(t, worker)
 		ended := make(chan error, 1)
@@ -148,7 +148,7 @@
 			}
 			ended <- err
 		}()
-		<-half
+		<-inFlight
 		setConfig(t, proxy, `{"generation":9,"channels":[],"backends":[],"limits":{"max-header-bytes":8192,"max-body-bytes":1000,"header-wait-ms":30,"idle-ms":50}}`)
 		close(complete)
 		if err := <-ended; err != nil {
--- a/internal/traffic/proxy/core_test.go
+++ b/internal/traffic/proxy/core_test.go
@@ -12,8 +12,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// No evidence lets an effectful request run twice, and nobody gets two runs
-// joined that do not follow each other.
+// For any evidence, an effectful request must not run twice, and a client must not receive parts of
+// two runs unless the second resumes the first.
 func TestDecideRetry(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(7)
 	parameters.MinSuccessfulTests = 2000
@@ -43,15 +43,15 @@
 
 func event(id int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id) }
 
-// However the bytes are split, the same complete events come out.
+// Bytes split at any offset must produce the same complete events.
 func TestSplitterAtEveryOffset(t *testing.T) {
 	text := "lemonarch-weight-versions: 3\n" + event(4) + event(5) + event(6)
-	for found := 0; found <= len(text); found++ {
+	for cut := 0; cut <= len(text); cut++ {
 		splitter := &Splitter{Next: 4}
-		first, follows := splitter.Feed([]byte(text[:found]))
-		second, alsoFollows := splitter.Feed([]byte(text[found:]))
-		if !follows || !alsoFollows || string(first)+string(second) != text || len(splitter.Remainder()) > 0 || splitter.Last != 6 {
-			t.Fatalf("cut at %d: %q %q", found, first, second)
+		first, consecutive := splitter.Feed([]byte(text[:cut]))
+		second, secondConsecutive := splitter.Feed([]byte(text[cut:]))
+		if !consecutive || !secondConsecutive || string(first)+string(second) != text || len(splitter.Remainder()) > 0 || splitter.Last != 6 {
+			t.Fatalf("cut at %d: %q %q", cut, first, second)
 		}
 	}
 }
@@ -59,8 +59,8 @@
 func TestSplitterRejectsNonConsecutiveIDs(t *testing.T) {
 	for _, text := range []string{event(5), event(3), event(4) + event(6), event(4) + event(4)} {
 		splitter := &Splitter{Next: 4}
-		if _, follows := splitter.Feed([]byte(text)); follows {
-			t.Fatalf("%q was taken to follow event 3", text)
+		if _, consecutive := splitter.Feed([]byte(text)); consecutive {
+			t.Fatalf("%q was accepted after event 3", text)
 		}
 	}
 }
--- a/internal/traffic/proxy/everybyte_test.go
+++ b/internal/traffic/proxy/everybyte_test.go
@@ -13,10 +13,10 @@
 	"lemonarch/internal/tooling/faultrelay"
 )
 
-// everyByte is set for runs that leave no byte out.
+// everyByte is the environment variable that selects faults at every byte instead of a sample.
 const everyByte = "LEMONARCH_EVERY_BYTE"
 
-// call is one case: a kind of request on a fresh or a rested connection, and a strike.
+// faultCase is one case: a request by its path, on a new or a reused connection, and a fault.
 type faultCase struct {
 	path   string
 	reused bool
@@ -24,16 +24,16 @@
 }
 
 func (c *faultCase) String() string {
-	return fmt.Sprintf("%s rested=%v %s answer=%v at=%d", c.path, c.reused, c.strike.Fault, c.strike.Response, c.strike.At)
+	return fmt.Sprintf("%s reused=%v %s response=%v at=%d", c.path, c.reused, c.strike.Fault, c.strike.Response, c.strike.At)
 }
 
-// serveComplete answers every request completely, by the kind of its path.
+// serveComplete sends a complete response of the kind that the request's path has.
 func serveComplete(_ int, request *http.Request, connection net.Conn) {
 	if strings.HasPrefix(request.RequestURI, "/rigid/") || strings.HasPrefix(request.RequestURI, "/stream/") {
 		write(connection, streamHead(request)+chunk(event(1))+chunk(event(2))+"0\r\n\r\n")
 		return
 	}
-	write(connection, successResponse(request, "for "+request.Header.Get(headerAttempt)))
+	write(connection, success(request, "for "+request.Header.Get(headerAttempt)))
 }
 
 func completeResponse(path, attempt string) string {
@@ -43,7 +43,7 @@
 	return "for " + attempt
 }
 
-// stage is two workers behind relays, and the node in front of them.
+// testbed is two workers behind fault-injecting relays, and a proxy in front of them.
 type testbed struct {
 	workers [2]*workerStub
 	relays  [2]*faultrelay.Relay
@@ -66,7 +66,7 @@
 	return s
 }
 
-// start starts a node that knows nothing of an earlier one.
+// start starts a proxy without any state of an earlier one.
 func (s *testbed) start(t *testing.T) {
 	t.Helper()
 
@@ -77,7 +77,7 @@
 	s.node, _ = newProxyServerFor(t, list)
 }
 
-// settle ends the relays and waits until the workers have read all that will ever come.
+// settle stops the relays and waits until the workers have read everything that was sent to them.
 func (s *testbed) settle(t *testing.T) {
 	t.Helper()
 
@@ -87,17 +87,18 @@
 	}
 }
 
+// ran returns how often the workers have read a request completely.
 func (s *testbed) ran(attempt string) int {
 	return s.workers[0].ran(attempt) + s.workers[1].ran(attempt)
 }
 
-// promised tells whether a status says that the request has not run and never will.
+// promisesNotRun reports whether a status promises that the request has not run and will not run.
 func promisesNotRun(status int) bool {
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable ||
 		status == http.StatusRequestTimeout || status == http.StatusMisdirectedRequest
 }
 
-// play runs one case and gives what it broke.
+// run runs one case and returns a description of the violation, or an empty string.
 func (c *faultCase) run(t *testing.T) string {
 	t.Helper()
 
@@ -105,18 +106,18 @@
 	if c.reused {
 		for i := 0; i < 2; i++ {
 			if resp, _, err := sendRequest(t, stage.node, "/safe/x", map[string]string{headerAttempt: fmt.Sprint("first-", i)}); err != nil || resp.StatusCode != 200 {
-				return fmt.Sprint("no calm start: ", resp, err)
+				return fmt.Sprint("request before the fault failed: ", resp, err)
 			}
 		}
 	}
-	struck := c.strike
-	stage.relays[0].Arm(&struck)
+	strike := c.strike
+	stage.relays[0].Arm(&strike)
 	headers := map[string]string{headerAttempt: "probe"}
-	if struck.Fault == faultrelay.Drop || struck.Fault == faultrelay.Freeze {
+	if strike.Fault == faultrelay.Drop || strike.Fault == faultrelay.Freeze {
 		headers[headerTimeLeft] = "120"
 	}
 	resp, body, err := sendRequest(t, stage.node, c.path, headers)
-	if struck.Fault == faultrelay.Restart {
+	if strike.Fault == faultrelay.Restart {
 		stage.node.Close()
 		stage.start(t)
 	}
@@ -126,29 +127,31 @@
 	return c.check(stage.ran("probe"), resp, body, err) + c.checkNext(next, nextBody, nextErr)
 }
 
+// check returns how the response to the request with the fault violates the protocol, or an empty string.
 func (c *faultCase) check(ran int, resp *http.Response, body string, err error) string {
 	retryable := c.path == "/safe/x" || c.path == "/stream/x"
 	switch {
 	case !retryable && ran > 1:
-		return fmt.Sprintf("ran %d times", ran)
+		return fmt.Sprintf("request ran %d times", ran)
 	case err != nil:
 		return ""
 	case ran > 0 && promisesNotRun(resp.StatusCode):
-		return fmt.Sprintf("ran, and answered %d", resp.StatusCode)
+		return fmt.Sprintf("request ran, but got status %d", resp.StatusCode)
 	case resp.StatusCode == 200 && (body != completeResponse(c.path, "probe") || resp.Header.Get(headerAttempt) != "probe"):
-		return fmt.Sprintf("answered %q for %q", body, resp.Header.Get(headerAttempt))
+		return fmt.Sprintf("got body %q with attempt id %q", body, resp.Header.Get(headerAttempt))
 	}
 	return ""
 }
 
+// checkNext does the same for the response to the request after the fault.
 func (c *faultCase) checkNext(resp *http.Response, body string, err error) string {
 	if err == nil && resp.StatusCode == 200 && (body != "for next" || resp.Header.Get(headerAttempt) != "next") {
-		return fmt.Sprintf("the next one got %q", body)
+		return fmt.Sprintf("the next request got body %q", body)
 	}
 	return ""
 }
 
-// lengths measures a request and its response on the wire.
+// measureLengths returns the lengths of a request and its response on the wire, in bytes.
 func measureLengths(t *testing.T, path string) (request, resp int) {
 	t.Helper()
 
@@ -161,8 +164,8 @@
 	return stage.relays[0].Counts()
 }
 
-// stepOf says which bytes are struck: every one by a cut or a reset of what may not be
-// repeated, and otherwise some.
+// byteStep returns the distance between the bytes at which a fault is injected: 1 for a close or a
+// reset of an effectful request, and otherwise more, to save time.
 func byteStep(path string, fault faultrelay.Fault) int {
 	broken := fault == faultrelay.Close || fault == faultrelay.Reset
 	switch {
@@ -174,7 +177,8 @@
 	return 23
 }
 
-// restedAt says on which connections a byte is struck: both on demand, else by turns.
+// connectionCases returns whether to use a new (false) or a reused (true) connection: both if every byte
+// is tested, otherwise alternating.
 func connectionCases(i int, fault faultrelay.Fault) []bool {
 	if os.Getenv(everyByte) != "" {
 		return []bool{false, true}
@@ -182,35 +186,35 @@
 	return []bool{(i+int(fault))%2 == 0}
 }
 
-// Whatever befalls the connection to the worker, at whichever byte of the request or of
-// the response, on a fresh or on a rested one: what may not be repeated runs once at most,
-// what ran is never rejected as if it had not, a success is complete and the caller's own,
-// and so is the next caller's.
+// Injects each fault into the connection to the worker, at bytes of the request and of the response,
+// on a new and on a reused connection. A request that must not be repeated must run once at most, one
+// that ran must not be rejected as if it had not run, and a success must be complete and belong to its
+// request. The same holds for the response to the next request.
 func TestFaultAtEveryByte(t *testing.T) {
-	var calls []faultCase
+	var cases []faultCase
 	for _, path := range []string{"/once/x", "/rigid/x", "/safe/x", "/stream/x"} {
-		requestLength, answerLength := measureLengths(t, path)
+		requestLength, responseLength := measureLengths(t, path)
 		for _, fault := range faultrelay.Faults() {
-			for i := 0; i < requestLength+answerLength; i += byteStep(path, fault) {
-				struck := faultrelay.Strike{Fault: fault, At: i}
+			for i := 0; i < requestLength+responseLength; i += byteStep(path, fault) {
+				strike := faultrelay.Strike{Fault: fault, At: i}
 				if i >= requestLength {
-					struck.Response, struck.At = true, i-requestLength
+					strike.Response, strike.At = true, i-requestLength
 				} else if fault == faultrelay.Double {
-					// A network does not send the bytes of a connection twice to a worker.
+					// A network does not deliver the bytes of a connection twice.
 					continue
 				}
 				for _, rested := range connectionCases(i, fault) {
-					calls = append(calls, faultCase{path, rested, struck})
+					cases = append(cases, faultCase{path, rested, strike})
 				}
 			}
 		}
 	}
-	t.Logf("%d cases", len(calls))
+	t.Logf("%d cases", len(cases))
 	t.Run("cases", func(t *testing.T) {
-		for _, entry := range calls {
-			t.Run(entry.String(), func(t *testing.T) {
+		for _, testCase := range cases {
+			t.Run(testCase.String(), func(t *testing.T) {
 				t.Parallel()
-				if broken := entry.run(t); broken != "" {
+				if broken := testCase.run(t); broken != "" {
 					t.Error(broken)
 				}
 			})
--- a/internal/traffic/proxy/fault_test.go
+++ b/internal/traffic/proxy/fault_test.go
@@ -11,12 +11,13 @@
 	"lemonarch/internal/traffic/admission"
 )
 
-// taught has a service's usual times learnt, so that silence is known by them.
-func trainLatencies(t *testing.T, proxy *Proxy, ask admission.Request) {
+// trainLatencies records enough responses of a service for a usual latency and event gap, against which
+// an unusual silence is detected.
+func trainLatencies(t *testing.T, proxy *Proxy, request admission.Request) {
 	t.Helper()
 
 	for count := 0; count < constants.PaceLeast; count++ {
-		resp, _ := proxy.Scheduler.Admit(&ask, nil, clock.Now())
+		resp, _ := proxy.Scheduler.Admit(&request, nil, clock.Now())
 		if resp.Verdict != admission.VerdictGranted {
 			t.Fatal(resp.Verdict)
 		}
@@ -26,8 +27,8 @@
 	}
 }
 
-// A hang before the first byte: what may be repeated is served elsewhere well inside
-// the time after which clients give up, and the worker that hangs is noted.
+// A worker hangs before the first byte. A retryable request must be served by another worker well
+// before clients give up, and the hang must be recorded in the worker's health.
 func TestHangBeforeTheFirstByte(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/stream/x"} {
 		wait := make(chan struct{})
@@ -37,7 +38,7 @@
 				write(connection, streamHead(request)+chunk(event(1))+chunk(event(2))+chunk(""))
 				return
 			}
-			write(connection, successResponse(request, "done"))
+			write(connection, success(request, "done"))
 		})
 		server, proxy := newProxyServer(t, hanging, good)
 		trainLatencies(t, proxy, admission.Request{Service: "s", Setpoint: clock.Milliseconds(100), Excluded: []string{"w1"}})
@@ -49,17 +50,17 @@
 			t.Fatal(path, resp, body, err, hanging.seen(), good.seen())
 		}
 		if took > constants.StreamTimeout/2 {
-			t.Fatalf("%s: went on elsewhere only after %v", path, took)
+			t.Fatalf("%s: retried at another worker only after %v", path, took)
 		}
 		var failures int64
 		proxy.Scheduler.Locked(func() { _, failures = proxy.Scheduler.Tracker.Of("w1").Counts() })
 		if failures != 1 {
-			t.Fatal("the hang was not noted once: ", failures)
+			t.Fatal("want the hang recorded once, got failures: ", failures)
 		}
 	}
 }
 
-// A hang after some events: the stream goes on elsewhere at the next event.
+// A worker hangs after some events. The stream must resume at another worker with the next event.
 func TestHangInTheStream(t *testing.T) {
 	wait := make(chan struct{})
 	defer close(wait)
@@ -81,23 +82,23 @@
 	}
 }
 
-// What must not run twice waits for a slow worker, which is doubted meanwhile.
+// A request that must not run twice must wait for a slow worker, which is suspect in the meantime.
 func TestHangOfEffectfulRequest(t *testing.T) {
-	answered := make(chan struct{})
+	respond := make(chan struct{})
 	slow := newWorkerStub(t, "w1", func(_ int, request *http.Request, connection net.Conn) {
-		<-answered
-		write(connection, successResponse(request, "late"))
+		<-respond
+		write(connection, success(request, "late"))
 	})
-	other := newWorkerStub(t, "w2", func(int, *http.Request, net.Conn) { t.Error("run at a second worker") })
+	other := newWorkerStub(t, "w2", func(int, *http.Request, net.Conn) { t.Error("request ran at a second worker") })
 	server, proxy := newProxyServer(t, slow, other)
 	trainLatencies(t, proxy, admission.Request{Service: "s", Setpoint: clock.Milliseconds(100), Excluded: []string{"w1"}})
 	go func() {
-		// Answers once the silence was noted, however fast this machine is.
+		// Respond only after the silence was recorded, independently of the speed of this machine.
 		for suspect := false; !suspect; {
 			<-clock.After(clock.Milliseconds(5))
 			proxy.Scheduler.Locked(func() { suspect = proxy.Scheduler.Tracker.Of("w1").Suspect(clock.Now()) })
 		}
-		close(answered)
+		close(respond)
 	}()
 	resp, body, err := sendRequest(t, server, "/once/x", nil)
 	if err != nil || resp.StatusCode != 200 || body != "late" || slow.seen() != 1 {
@@ -105,10 +106,10 @@
 	}
 }
 
-// A worker that answers 500 and one that sheds although it has capacity are noted; a 504 at
-// the deadline and a 4xx are not.
+// A 500 and a rejection despite free capacity must count as failures in the worker's health; a 504 at
+// the deadline and a 4xx must not.
 func TestResponsesThatCountAgainstAWorker(t *testing.T) {
-	for text, against := range map[string]bool{
+	for text, wantFailure := range map[string]bool{
 		"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n":                                                                true,
 		"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n":                                                                true,
 		"HTTP/1.1 504 Late\r\nContent-Length: 0\r\n\r\n":                                                              false,
@@ -118,17 +119,15 @@
 		"HTTP/1.1 503 Full\r\nLemonarch-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n":                                 false,
 	} {
 		worker := newWorkerStub(t, "w1", func(_ int, _ *http.Request, connection net.Conn) { write(connection, text) })
-		good := newWorkerStub(t, "w2", func(_ int, request *http.Request, connection net.Conn) {
-			write(connection, successResponse(request, "done"))
-		})
+		good := newWorkerStub(t, "w2", func(_ int, request *http.Request, connection net.Conn) { write(connection, success(request, "done")) })
 		server, proxy := newProxyServer(t, worker, good)
 		if _, _, err := sendRequest(t, server, "/safe/x", nil); err != nil {
 			t.Fatal(text, err)
 		}
 		var failures int64
 		proxy.Scheduler.Locked(func() { _, failures = proxy.Scheduler.Tracker.Of("w1").Counts() })
-		if against != (failures > 0) {
-			t.Fatalf("%q: %d failures noted", text, failures)
+		if wantFailure != (failures > 0) {
+			t.Fatalf("%q: got %d failures", text, failures)
 		}
 	}
 }
--- a/internal/traffic/proxy/idle_test.go
+++ b/internal/traffic/proxy/idle_test.go
@@ -10,8 +10,8 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// forgetful serves one request on each connection and resets it when it meets another:
-// it has forgotten the connection without a word.
+// newForgetfulWorker returns a worker that serves one request on each connection and resets the
+// connection at the second, as if it had dropped the idle connection without closing it.
 func newForgetfulWorker(t *testing.T, id string) *workerStub {
 	t.Helper()
 
@@ -27,14 +27,14 @@
 			connection.Close()
 			return
 		}
-		write(connection, successResponse(request, "done"))
+		write(connection, success(request, "done"))
 	})
 	return worker
 }
 
-// A forgotten connection: what may be repeated goes again at once to the same worker, which
-// is not blamed, and what must not run twice doesn't ride on a connection that lay idle for
-// longer than such connections are known to last.
+// A worker drops an idle connection. A retryable request must be sent again at once to the same worker
+// without counting as a failure. A request that must not run twice must not use a connection that
+// was idle for longer than the learned safe idle time.
 func TestStaleIdleConnections(t *testing.T) {
 	worker := newForgetfulWorker(t, "w1")
 	server, proxy := newProxyServer(t, worker)
@@ -46,11 +46,11 @@
 	}
 	pool := proxy.Sender.Pool
 	if pool.StaleCount.Load() == 0 {
-		t.Fatal("no connection was forgotten: the stand-in does not do its part")
+		t.Fatal("no connection was stale: the worker stub did not drop any")
 	}
-	safe := pool.SafeIdle("s")
-	if safe >= constants.SafeIdle {
-		t.Fatal("nothing was learnt: ", safe)
+	safeIdle := pool.SafeIdle("s")
+	if safeIdle >= constants.SafeIdle {
+		t.Fatal("safe idle time was not reduced: ", safeIdle)
 	}
 	suspect, failures := false, int64(0)
 	proxy.Scheduler.Locked(func() {
@@ -59,10 +59,10 @@
 		_, failures = health.Counts()
 	})
 	if suspect || failures > 0 {
-		t.Fatal("a forgotten connection was held against the worker")
+		t.Fatal("a stale connection counted as a failure of the worker")
 	}
 	for count := 0; count < 4; count++ {
-		<-clock.After(safe + clock.Milliseconds(1))
+		<-clock.After(safeIdle + clock.Milliseconds(1))
 		resp, body, err := sendRequest(t, server, "/once/x", map[string]string{headerAttempt: fmt.Sprint("once-", count)})
 		if err != nil || resp.StatusCode != 200 || body != "done" {
 			t.Fatal(count, resp, body, err)
--- a/internal/traffic/proxy/match_test.go
+++ b/internal/traffic/proxy/match_test.go
@@ -12,7 +12,7 @@
 	"lemonarch/internal/traffic/admission"
 )
 
-// staleAnswers are answers that are not the caller's, as they may stand before its own.
+// staleResponses are responses to other requests that may arrive on a connection before the caller's own.
 var staleResponses = map[string]string{
 	"turned away, unnamed":  "HTTP/1.1 503 Full\r\nLemonarch-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n",
 	"misdirected, unnamed":  "HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n",
@@ -29,32 +29,32 @@
 		"olHTTP/1.1 200 OK\r\nLemonarch-Server-Seal: old\r\nContent-Length: 3\r\n\r\nold",
 }
 
-// A response that is not the caller's, cut at any byte, stands before its own on a
-// connection that was used before: it is nobody's, whatever it says.
+// A response to another request, truncated at any byte, arrives on a reused connection before the
+// response to the request. It must not be relayed to any client, whatever its content.
 func TestStaleResponsesAreNotRelayed(t *testing.T) {
-	var played, rode atomic.Int64
+	var total, reused atomic.Int64
 	t.Run("cases", func(t *testing.T) {
 		for name, stale := range staleResponses {
 			for _, path := range []string{"/once/x", "/rigid/x", "/safe/x", "/stream/x"} {
-				for found := len(stale); found > 0; found -= min(byteStep(path, faultrelay.Drop), 11) {
-					t.Run(fmt.Sprint(name, path, found), func(t *testing.T) {
+				for length := len(stale); length > 0; length -= min(byteStep(path, faultrelay.Drop), 11) {
+					t.Run(fmt.Sprint(name, path, length), func(t *testing.T) {
 						t.Parallel()
-						played.Add(1)
-						if runStaleCase(t, path, stale[:found]) {
-							rode.Add(1)
+						total.Add(1)
+						if runStaleCase(t, path, stale[:length]) {
+							reused.Add(1)
 						}
 					})
 				}
 			}
 		}
 	})
-	// A machine that stands still lets a connection grow too old, but not most of them.
-	if rode.Load()*2 < played.Load() {
-		t.Errorf("only %d of %d requests travelled on a used connection", rode.Load(), played.Load())
+	// If this machine stalls, some connections become too old for reuse, but not most of them.
+	if reused.Load()*2 < total.Load() {
+		t.Errorf("only %d of %d requests used a reused connection", reused.Load(), total.Load())
 	}
 }
 
-// playStale plays one case, and tells whether the request travelled on a used connection.
+// runStaleCase runs one case, and reports whether the request was sent on a reused connection.
 func runStaleCase(t *testing.T, path, stale string) bool {
 	t.Helper()
 
@@ -70,20 +70,20 @@
 		t.Fatal(err)
 	}
 	resp, body, err := sendRequest(t, server, path, map[string]string{headerAttempt: "probe", headerTimeLeft: "120"})
-	entry := faultCase{path: path}
-	if broken := entry.check(first.ran("probe")+second.ran("probe"), resp, body, err); broken != "" {
+	testCase := faultCase{path: path}
+	if broken := testCase.check(first.ran("probe")+second.ran("probe"), resp, body, err); broken != "" {
 		t.Error(broken)
 	}
-	rode := first.ran("probe") > 0 && first.accepted.Load() == 1
+	reused := first.ran("probe") > 0 && first.accepted.Load() == 1
 	next, nextBody, nextErr := sendRequest(t, server, "/safe/x", map[string]string{headerAttempt: "next"})
-	if broken := entry.checkNext(next, nextBody, nextErr); broken != "" {
+	if broken := testCase.checkNext(next, nextBody, nextErr); broken != "" {
 		t.Error(broken)
 	}
-	return rode
+	return reused
 }
 
-// A worker's own 503 that does not say that it did not run the request is no promise, so
-// it is not passed on as one.
+// A worker's 503, 429 or 408 without Lemonarch-Not-Executed does not promise that the request has not
+// run. It must not be relayed, since to the client it would be that promise.
 func TestUnmarked503IsNotRelayed(t *testing.T) {
 	for _, status := range []string{"503 No", "429 No", "408 No"} {
 		for _, path := range []string{"/once/x", "/safe/x"} {
@@ -99,8 +99,8 @@
 	}
 }
 
-// The same id never travels twice on one connection: a late second response to the first
-// would bear the name of the second.
+// Two requests with the same attempt id must not use one connection: a late second response to the
+// first would carry the id of the second.
 func TestSameIDTakesAnotherConnection(t *testing.T) {
 	worker := newWorkerStub(t, "w1", serveComplete)
 	server, proxy := newProxyServer(t, worker)
@@ -112,18 +112,18 @@
 		}
 	}
 	if opened := proxy.Sender.Pool.Opened.Load(); opened != 3 {
-		t.Error("connections opened: ", opened)
+		t.Error("want 3 connections opened, got ", opened)
 	}
 }
 
-// A request that the connection did not take at all has not run.
+// A request of which the connection accepted no byte must be reported as not sent.
 func TestUnsentRequestIsReportedNotSent(t *testing.T) {
 	worker := newWorkerStub(t, "w1", serveComplete)
 	_, proxy := newProxyServer(t, worker)
 	sender := &proxy.Sender
-	granted, _ := proxy.Scheduler.Admit(&admission.Request{Service: "s", Deadline: clock.Now().Add(clock.Milliseconds(1000))}, nil, clock.Now())
+	decision, _ := proxy.Scheduler.Admit(&admission.Request{Service: "s", Deadline: clock.Now().Add(clock.Milliseconds(1000))}, nil, clock.Now())
 	outgoing := &Request{Method: http.MethodPost, Attempt: "probe", Text: []byte("x"), Deadline: clock.Now() - 1}
-	_, evidence, err := sender.RoundTrip(granted.Grant, outgoing)
+	_, evidence, err := sender.RoundTrip(decision.Grant, outgoing)
 	if err == nil || evidence.Sent {
 		t.Fatal(evidence, err)
 	}
--- a/internal/traffic/proxy/preempt_test.go
+++ b/internal/traffic/proxy/preempt_test.go
@@ -10,16 +10,16 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// A running stream of a lower rank is preempted and goes on within the same response:
-// every event comes once, the head stays, and the worker is not held to have failed.
+// A running stream of lower priority is preempted and must resume within the same response: each
+// event must arrive once, under the first head.
 func TestPreemptedStreamResumesInTheSameResponse(t *testing.T) {
 	reached, wait := make(chan struct{}), make(chan struct{})
 	defer close(wait)
 	worker := newWorkerStub(t, "w1", func(count int, request *http.Request, connection net.Conn) {
-		from := 0
-		_, _ = fmt.Sscan(request.Header.Get(headerLastEvent), &from)
+		lastID := 0
+		_, _ = fmt.Sscan(request.Header.Get(headerLastEvent), &lastID)
 		write(connection, streamHead(request))
-		for id := from + 1; id <= 5; id++ {
+		for id := lastID + 1; id <= 5; id++ {
 			if count == 1 && id == 3 {
 				close(reached)
 				<-wait
@@ -32,7 +32,7 @@
 	server, proxy := newProxyServer(t, worker)
 	go func() {
 		<-reached
-		// The first two events may still be on their way: press until it yields.
+		// The first two events may not have arrived yet, so repeat the pressure until the stream yields.
 		for proxy.Scheduler.Counters("stream").Displaced.Load() == 0 {
 			proxy.Scheduler.YieldToPressure(&messages.PressureNotice{From: "x", Entries: []messages.Pressure{{Service: "s", Waiting: 1}}}, 1, clock.Now())
 		}
--- a/internal/traffic/proxy/proxy_test.go
+++ b/internal/traffic/proxy/proxy_test.go
@@ -11,15 +11,13 @@
 	"lemonarch/internal/platform/clock"
 )
 
-// onceCutoffMs is the time of the route /once/ in testConfig.
+// onceCutoffMs is the cutoff of the route /once/ in testConfig, in milliseconds.
 const onceCutoffMs = 700
 
 func write(connection net.Conn, text string) { _, _ = io.WriteString(connection, text) }
 
 func TestRequestIsForwardedUnchanged(t *testing.T) {
-	worker := newWorkerStub(t, "w1", func(_ int, request *http.Request, connection net.Conn) {
-		write(connection, successResponse(request, "hello"))
-	})
+	worker := newWorkerStub(t, "w1", func(_ int, request *http.Request, connection net.Conn) { write(connection, success(request, "hello")) })
 	server, _ := newProxyServer(t, worker)
 	resp, body, err := sendRequest(t, server, "/safe/a//b/../c%2Fd?x=1&&y", map[string]string{"X-Other": "kept", headerTimeLeft: "900"})
 	if err != nil || resp.StatusCode != 200 || body != "hello" || resp.Header.Get(headerSeal) != "seal" {
@@ -33,13 +31,13 @@
 	}
 }
 
-// An effectful request that met silence, a reset or a cut at any byte of the
-// answer is never sent to a second worker, and never refused as if it had not run.
+// Guards against a second run of an effectful request whose response was truncated at any byte. It must
+// not be sent to a second worker, and must not be rejected as if it had not run.
 func TestEffectfulAtEveryByte(t *testing.T) {
-	complete := successResponse(&http.Request{Header: http.Header{headerAttempt: {"attempt-1"}}}, "hello")
-	for found := 0; found < len(complete); found++ {
+	complete := success(&http.Request{Header: http.Header{headerAttempt: {"attempt-1"}}}, "hello")
+	for cut := 0; cut < len(complete); cut++ {
 		script := func(_ int, _ *http.Request, connection net.Conn) {
-			write(connection, complete[:found])
+			write(connection, complete[:cut])
 			connection.Close()
 		}
 		first, second := newWorkerStub(t, "w1", script), newWorkerStub(t, "w2", script)
@@ -47,13 +45,13 @@
 		started := clock.Now()
 		resp, _, err := sendRequest(t, server, "/once/x", nil)
 		ran := first.seen() + second.seen()
-		// Only where this process stood still past the route's time may it not have run.
+		// The request may not have run only if this process stalled past the route's cutoff.
 		late := clock.Now().Sub(started) >= clock.Milliseconds(onceCutoffMs)
 		if ran > 1 || (ran == 0 && !late) {
-			t.Fatalf("cut at %d: run %d times", found, ran)
+			t.Fatalf("cut at %d: request ran %d times", cut, ran)
 		}
 		if err == nil && ((ran > 0 && promisesNotRun(resp.StatusCode)) || resp.StatusCode < 300) {
-			t.Fatalf("cut at %d: status %d", found, resp.StatusCode)
+			t.Fatalf("cut at %d: status %d", cut, resp.StatusCode)
 		}
 	}
 }
@@ -70,7 +68,7 @@
 	}
 }
 
-// Only the worker's own word that it did not run frees an effectful request.
+// An effectful request may be retried only if the worker states that it did not run it.
 func TestEffectfulRetriedWhereTheWorkerDidNotRunIt(t *testing.T) {
 	full := newWorkerStub(t, "w1", func(_ int, _ *http.Request, connection net.Conn) {
 		write(connection, "HTTP/1.1 503 Full\r\nLemonarch-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n")
@@ -78,9 +76,7 @@
 	other := newWorkerStub(t, "w2", func(_ int, _ *http.Request, connection net.Conn) {
 		write(connection, "HTTP/1.1 421 Misdirected\r\nContent-Length: 0\r\n\r\n")
 	})
-	good := newWorkerStub(t, "w3", func(_ int, request *http.Request, connection net.Conn) {
-		write(connection, successResponse(request, "done"))
-	})
+	good := newWorkerStub(t, "w3", func(_ int, request *http.Request, connection net.Conn) { write(connection, success(request, "done")) })
 	server, _ := newProxyServer(t, full, other, good)
 	resp, body, err := sendRequest(t, server, "/once/x", nil)
 	if err != nil || resp.StatusCode != 200 || body != "done" || good.seen() != 1 {
@@ -99,7 +95,7 @@
 	}
 }
 
-// A truncated, corrupt or doubled response to an idempotent request is retried elsewhere.
+// An idempotent request with a truncated or corrupt response must be retried at another worker.
 func TestCorruptResponsesAreRetried(t *testing.T) {
 	for name, text := range map[string]string{
 		"garbled":  "not an answer at all\r\n\r\n",
@@ -111,9 +107,7 @@
 			write(connection, text)
 			connection.Close()
 		})
-		good := newWorkerStub(t, "w2", func(_ int, request *http.Request, connection net.Conn) {
-			write(connection, successResponse(request, "done"))
-		})
+		good := newWorkerStub(t, "w2", func(_ int, request *http.Request, connection net.Conn) { write(connection, success(request, "done")) })
 		server, _ := newProxyServer(t, bad, good)
 		resp, body, err := sendRequest(t, server, "/safe/x", nil)
 		if err != nil || resp.StatusCode != 200 || body != "done" {
@@ -122,10 +116,10 @@
 	}
 }
 
-// Bytes after a whole response belong to nobody: the next request must not get them.
+// Bytes after a complete response must be discarded: the next request must not receive them.
 func TestSurplusResponseIsDiscarded(t *testing.T) {
 	worker := newWorkerStub(t, "w1", func(_ int, request *http.Request, connection net.Conn) {
-		text := successResponse(request, "for "+request.Header.Get(headerAttempt))
+		text := success(request, "for "+request.Header.Get(headerAttempt))
 		write(connection, text+text)
 	})
 	server, _ := newProxyServer(t, worker)
@@ -138,11 +132,11 @@
 	}
 }
 
-// A late response of an earlier request is read past, and ours comes behind it.
+// A late response to an earlier request must be skipped, and the response that follows it relayed.
 func TestLateResponseIsSkipped(t *testing.T) {
 	worker := newWorkerStub(t, "w1", func(count int, request *http.Request, connection net.Conn) {
-		old := strings.Replace(successResponse(request, "old"), "attempt-1", "attempt-0", 1)
-		write(connection, old+successResponse(request, "mine"))
+		old := strings.Replace(success(request, "old"), "attempt-1", "attempt-0", 1)
+		write(connection, old+success(request, "mine"))
 	})
 	server, _ := newProxyServer(t, worker)
 	resp, body, err := sendRequest(t, server, "/once/x", nil)
@@ -151,19 +145,19 @@
 	}
 }
 
-// A resumable stream that is cut after any event goes on at another worker, with
-// the first one's head, and every event comes once.
+// A resumable stream that breaks after any event must resume at another worker, under the head from the
+// first one, and each event must arrive once.
 func TestResumeAtEveryEvent(t *testing.T) {
 	const events = 6
-	for found := 0; found <= events; found++ {
+	for cut := 0; cut <= events; cut++ {
 		script := func(limit int) func(int, *http.Request, net.Conn) {
 			return func(_ int, request *http.Request, connection net.Conn) {
-				from := 0
-				_, _ = fmt.Sscan(request.Header.Get(headerLastEvent), &from)
+				lastID := 0
+				_, _ = fmt.Sscan(request.Header.Get(headerLastEvent), &lastID)
 				write(connection, streamHead(request))
-				for id := from + 1; id <= events; id++ {
+				for id := lastID + 1; id <= events; id++ {
 					if id > limit {
-						// Half an event, then nothing more.
+						// Part of an event, then the connection closes.
 						write(connection, chunk(event(id)[:5]))
 						connection.Close()
 						return
@@ -173,7 +167,7 @@
 				write(connection, "0\r\n\r\n")
 			}
 		}
-		first, second := newWorkerStub(t, "w1", script(found)), newWorkerStub(t, "w2", script(events))
+		first, second := newWorkerStub(t, "w1", script(cut)), newWorkerStub(t, "w2", script(events))
 		server, _ := newProxyServer(t, first, second)
 		resp, body, err := sendRequest(t, server, "/stream/x", nil)
 		want := ""
@@ -181,16 +175,16 @@
 			want += event(id)
 		}
 		seal := "seal-w1"
-		if found == 0 {
+		if cut == 0 {
 			seal = "seal-w2"
 		}
 		if err != nil || resp.StatusCode != 200 || body != want || resp.Header.Get(headerSeal) != seal {
-			t.Fatalf("cut at %d: %v %q %v", found, resp, body, err)
+			t.Fatalf("cut at %d: %v %q %v", cut, resp, body, err)
 		}
 	}
 }
 
-// A stream that may not be resumed is cut for the client too, never ended cleanly.
+// A stream that may not be resumed must be truncated for the client too, not ended cleanly.
 func TestUnresumableStreamEndsWithItsWorker(t *testing.T) {
 	worker := newWorkerStub(t, "w1", func(_ int, request *http.Request, connection net.Conn) {
 		write(connection, streamHead(request)+chunk(event(1)))
@@ -205,9 +199,7 @@
 }
 
 func TestRequestsNeverForwarded(t *testing.T) {
-	worker := newWorkerStub(t, "w1", func(_ int, request *http.Request, connection net.Conn) {
-		write(connection, successResponse(request, "x"))
-	})
+	worker := newWorkerStub(t, "w1", func(_ int, request *http.Request, connection net.Conn) { write(connection, success(request, "x")) })
 	server, _ := newProxyServer(t, worker)
 	if resp, _, _ := sendRequest(t, server, "/nowhere/", nil); resp.StatusCode != 404 {
 		t.Fatal(resp.StatusCode)
@@ -218,11 +210,11 @@
 		t.Fatal(resp, err)
 	}
 	if worker.seen() != 0 {
-		t.Fatal("passed on")
+		t.Fatal("request was forwarded")
 	}
 }
 
-// A node that leaves still answers what it has, and tells its clients to go.
+// A draining node must still respond to requests, with Connection: close.
 func TestDrainUnderLoad(t *testing.T) {
 	started, wait := make(chan struct{}), make(chan struct{})
 	worker := newWorkerStub(t, "w1", func(count int, request *http.Request, connection net.Conn) {
@@ -230,7 +222,7 @@
 			close(started)
 			<-wait
 		}
-		write(connection, successResponse(request, "done"))
+		write(connection, success(request, "done"))
 	})
 	server, proxy := newProxyServer(t, worker)
 	ended := make(chan string, 1)
@@ -241,7 +233,7 @@
 	<-started
 	proxy.Draining.Store(true)
 	if proxy.Active() != 1 {
-		t.Fatal("a request under way is not counted")
+		t.Fatal("the request in flight is not counted")
 	}
 	resp, body, err := sendRequest(t, server, "/safe/y", nil)
 	if err != nil || resp.StatusCode != 200 || body != "done" || !resp.Close {
--- a/internal/traffic/proxy/wirenews_test.go
+++ b/internal/traffic/proxy/wirenews_test.go
@@ -19,15 +19,15 @@
 	"lemonarch/internal/traffic/workerconn"
 )
 
-// first gives the header of the first request that a worker read.
+// firstHeader returns the header of the first request that a worker read.
 func (s *workerStub) firstHeader() http.Header {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.requests[0].Header
 }
 
-// The versions of weights that a worker names, in its head and at an event, reach the client
-// byte for byte.
+// The weight versions that a worker states, in the response head and in an event, must reach the
+// client byte for byte.
 func TestWeightVersionsPassUnchanged(t *testing.T) {
 	changed := "lemonarch-weight-versions: 8\nid: 2\ndata: b\n\n"
 	worker := newWorkerStub(t, "w1", func(_ int, request *http.Request, connection net.Conn) {
@@ -41,8 +41,8 @@
 	}
 }
 
-// A worker that breaks off at any byte inside an event leaves no part of it with the client,
-// and the stream goes on at another worker.
+// A worker closes the connection at any byte inside an event. The client must not receive a part of the
+// event, and the stream must resume at another worker.
 func TestBreakInsideAnEventAtEveryByte(t *testing.T) {
 	for at := range len(event(2)) {
 		first := newWorkerStub(t, "w1", func(_ int, request *http.Request, connection net.Conn) {
@@ -68,15 +68,15 @@
 	}
 }
 
-// An answer without a length that ends by a reset is not complete. One that ends in order can't
-// be told from one that was cut, so neither is passed on as a success.
+// A response without a length that ends with a reset is not complete. One that ends with an orderly close
+// can't be distinguished from a truncated one. Neither may be relayed as a success.
 func TestResponseThatEndsByAResetIsNotComplete(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		worker := newWorkerStub(t, "w1", func(_ int, request *http.Request, connection net.Conn) {
 			write(connection, fmt.Sprintf("HTTP/1.1 200 OK\r\nLemonarch-Attempt-Id: %s\r\nLemonarch-Server-Seal: seal\r\nConnection: close\r\n\r\nall of it",
 				request.Header.Get(headerAttempt)))
 			if reset {
-				// What was written must have been read: a reset may drop it.
+				// Wait until the written bytes have been read, since a reset may discard them.
 				clock.Sleep(clock.Milliseconds(20))
 				_ = connection.(*net.TCPConn).SetLinger(0)
 			}
@@ -90,13 +90,12 @@
 	}
 }
 
-// A worker gets the model, the counts and the prefix as the client sent them, at each attempt.
+// At each attempt the worker must receive the model, the token counts and the prompt prefix as the
+// client sent them.
 func TestPromptHeadersAreForwardedUnchanged(t *testing.T) {
 	header := map[string]string{headerModel: "m", headerTokens: "1460, 80", headerPrefix: "5c1e07a2:800,91bd3f06:410,e4402b7d:250"}
 	failing := newWorkerStub(t, "w1", func(_ int, _ *http.Request, connection net.Conn) { connection.Close() })
-	worker := newWorkerStub(t, "w2", func(_ int, request *http.Request, connection net.Conn) {
-		write(connection, successResponse(request, "x"))
-	})
+	worker := newWorkerStub(t, "w2", func(_ int, request *http.Request, connection net.Conn) { write(connection, success(request, "x")) })
 	server, _ := newProxyServer(t, failing, worker)
 	if resp, _, err := sendRequest(t, server, "/safe/x", header); err != nil || resp.StatusCode != 200 {
 		t.Fatal(resp, err)
@@ -110,16 +109,14 @@
 	}
 }
 
-// Each send says what is left at that moment, also a later one.
+// Each attempt must state the time left at that moment.
 func TestTimeLeftIsUpdatedAtEachSend(t *testing.T) {
-	const sent, took = 2500, 600
+	const sent, elapsed = 2500, 600
 	slow := newWorkerStub(t, "w1", func(_ int, _ *http.Request, connection net.Conn) {
-		clock.Sleep(clock.Milliseconds(took))
+		clock.Sleep(clock.Milliseconds(elapsed))
 		connection.Close()
 	})
-	worker := newWorkerStub(t, "w2", func(_ int, request *http.Request, connection net.Conn) {
-		write(connection, successResponse(request, "x"))
-	})
+	worker := newWorkerStub(t, "w2", func(_ int, request *http.Request, connection net.Conn) { write(connection, success(request, "x")) })
 	server, _ := newProxyServer(t, slow, worker)
 	if resp, _, err := sendRequest(t, server, "/safe/x", map[string]string{headerTimeLeft: strconv.Itoa(sent)}); err != nil || resp.StatusCode != 200 {
 		t.Fatal(resp, err)
@@ -129,15 +126,15 @@
 		return value
 	}
 	if first := left(slow); first > sent || first < sent-500 {
-		t.Error("first: ", first)
+		t.Error("time left at the first attempt: ", first)
 	}
-	if second := left(worker); second > sent-took/2 || second < 1 {
-		t.Error("second: ", second)
+	if second := left(worker); second > sent-elapsed/2 || second < 1 {
+		t.Error("time left at the second attempt: ", second)
 	}
 }
 
-// Once a client has gone, its worker is cut off within half a second and nobody else is sent
-// its request, whether it runs, streams, or waits for a worker.
+// After a client disconnects, the connection to its worker must be closed within half a second, and its
+// request must not be sent to another worker, whether it is being processed or streamed.
 func TestWorkStopsWithItsClient(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/once/x", "/stream/x"} {
 		cut := make(chan clock.Instant, 1)
@@ -160,16 +157,17 @@
 		}
 		left := clock.Now()
 		client.Close()
-		if took := (<-cut).Sub(left); took > clock.Milliseconds(500) {
-			t.Errorf("%s: at work for %v after its client had gone", path, took)
+		if elapsed := (<-cut).Sub(left); elapsed > clock.Milliseconds(500) {
+			t.Errorf("%s: worker connection closed %v after the client disconnected", path, elapsed)
 		}
 		if other.seen() > 0 {
-			t.Errorf("%s: sent on after its client had gone", path)
+			t.Errorf("%s: sent to another worker after the client disconnected", path)
 		}
 	}
 }
 
-// A gateway without a configuration refuses nothing for good: it knows no route yet.
+// A gateway without a configuration does not know the routes yet, so it must respond 503 rather than a
+// final error such as 404.
 func TestMissingConfigurationReturnsRetryAfter(t *testing.T) {
 	scheduler := admission.New(messages.NodeInfo{Name: "n", Role: membership.RoleGateway, Zone: "h"}, 1_200_000_000)
 	server := httptest.NewServer(New(Sender{Scheduler: scheduler, Pool: workerconn.NewPool()}, nil, hclog.NewNullLogger()))
@@ -179,8 +177,8 @@
 	}
 }
 
-// Each part of a weighted route gets its share of few requests over many gateways, and of many
-// at one, also after the weights have changed.
+// Each service of a weighted route must get its share of 300 requests, from one gateway up to 255
+// gateways with about one request each.
 func TestWeightedPartsGetTheirShares(t *testing.T) {
 	for _, nodes := range []int{1, 6, 60, 255} {
 		for _, share := range []int{10, 50, 85} {
@@ -188,17 +186,17 @@
 			const requests = 300
 			worst := 0
 			for range 20 {
-				gateways, taken := make([]weightedDraws, nodes), 0
+				gateways, got := make([]weightedDraws, nodes), 0
 				for i := range requests {
 					if gateways[i%nodes].choose(route) == "a" {
-						taken++
+						got++
 					}
 				}
-				due := share * requests / 100
-				worst = max(worst, taken-due, due-taken)
+				want := share * requests / 100
+				worst = max(worst, got-want, want-got)
 			}
-			// Few nodes are even by the sequence; many see one request each, and chance is left. In
-			// whole requests: 0.02 and 0.13 of them.
+			// With few nodes the sequence keeps the shares even; with many, each receives about one
+			// request and the deviation is random. The bounds are 0.02 and 0.13 of the requests.
 			bound := 2 * requests / 100
 			if nodes > requests/20 {
 				bound = 13 * requests / 100
--- a/internal/traffic/proxy/workerstub_test.go
+++ b/internal/traffic/proxy/workerstub_test.go
@@ -22,19 +22,19 @@
 	"lemonarch/internal/traffic/workerconn"
 )
 
-// workerStub is a worker of ours for tests: each request is handed to a script that
-// may write anything, or nothing.
+// workerStub is a worker for tests. It passes each request to a script, which may write any bytes or
+// none.
 type workerStub struct {
 	id       string
 	listener net.Listener
 	lock     sync.Mutex
 	requests []*http.Request
 	script   func(count int, request *http.Request, connection net.Conn)
-	// accepted counts the connections, and serving those that are still read.
+	// accepted counts the connections, and serving those that are still being read.
 	accepted atomic.Int64
 	serving  sync.WaitGroup
-	// closing is the client address of the connection that ends the accepting; guarded by
-	// lock. acceptEnded is closed when no connection will be accepted any more.
+	// closing is the client address of the connection at which accept stops, guarded by lock.
+	// acceptEnded is closed when no more connections will be accepted.
 	closing     string
 	acceptEnded chan struct{}
 }
@@ -52,7 +52,7 @@
 	return worker
 }
 
-// accept serves connections until the listener is closed or drain's connection comes.
+// accept serves connections until the listener is closed or the connection of drain arrives.
 func (s *workerStub) accept() {
 	defer close(s.acceptEnded)
 	for {
@@ -70,20 +70,20 @@
 	}
 }
 
-// isClosing tells whether a connection is the one that drain made.
+// isClosing reports whether a connection is the one that drain made.
 func (s *workerStub) isClosing(connection net.Conn) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return connection.RemoteAddr().String() == s.closing
 }
 
-// drain accepts what was connected before its call, reads all that comes on these
-// connections until they end, and takes no further ones: connections are accepted in the
-// order in which they were made, so its own is the last.
+// drain accepts the connections made before its call, waits until they have been read to their end, and
+// accepts no more. It makes a last connection as a marker: connections are accepted in the order in
+// which they were made.
 func (s *workerStub) drain(t *testing.T) {
 	t.Helper()
 
-	// The lock keeps accept from looking at the connection before its address is known.
+	// The lock prevents accept from checking the connection before its address is set.
 	s.lock.Lock()
 	last, err := net.Dial("tcp4", s.listener.Addr().String())
 	if err == nil {
@@ -123,7 +123,7 @@
 	return len(s.requests)
 }
 
-// ran counts how often a request was read completely.
+// ran returns how often a request was read completely.
 func (s *workerStub) ran(attempt string) int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -136,7 +136,7 @@
 	return count
 }
 
-func successResponse(request *http.Request, body string) string {
+func success(request *http.Request, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nLemonarch-Attempt-Id: %s\r\nLemonarch-Server-Seal: seal\r\nContent-Length: %d\r\n\r\n%s",
 		request.Header.Get(headerAttempt), len(body), body)
 }
@@ -155,18 +155,18 @@
 {"name":"rigid","host":"h.example","path-prefix":"/rigid/","route-kind":"streaming","cutoff-ms":2000,"setpoint-ms":100,"backend":"s","tries":3}
 ],"backends":[{"name":"s","conn-limit":50}],"limits":{"max-header-bytes":8192,"max-body-bytes":1000,"header-wait-ms":3000,"idle-ms":5000}}`
 
-// edge starts a data plane in front of stand-ins; the first listed is preferred.
-func newProxyServer(t *testing.T, workerList ...*workerStub) (*httptest.Server, *Proxy) {
+// newProxyServer starts a proxy in front of worker stubs. The first one listed is preferred.
+func newProxyServer(t *testing.T, stubs ...*workerStub) (*httptest.Server, *Proxy) {
 	t.Helper()
 
 	var list []messages.Worker
-	for _, worker := range workerList {
+	for _, worker := range stubs {
 		list = append(list, messages.Worker{ID: worker.id, Address: worker.listener.Addr().String()})
 	}
 	return newProxyServerFor(t, list)
 }
 
-// edgeFor does the same for workers that are known by id and address.
+// newProxyServerFor does the same for workers given by id and address.
 func newProxyServerFor(t *testing.T, list []messages.Worker) (*httptest.Server, *Proxy) {
 	t.Helper()
 
@@ -179,7 +179,7 @@
 	}
 	proxy.SetConfig(config)
 	for i := range list {
-		// The others stand in another zone, which costs them the tie.
+		// The other workers are in other zones, so that the first wins a tie.
 		list[i].Backend, list[i].Zone, list[i].Capacity, list[i].CallCount = "s", "h", 4, 1
 		if i > 0 {
 			list[i].Zone = "far" + fmt.Sprint(i)
@@ -191,7 +191,7 @@
 	return server, proxy
 }
 
-// ask sends one request over a connection of its own and gives what came back.
+// sendRequest sends one request over a new connection and returns the response and its body.
 func sendRequest(t *testing.T, server *httptest.Server, path string, header map[string]string) (*http.Response, string, error) {
 	t.Helper()
 
