--- a/internal/traffic/gateway/clientconn_test.go
+++ b/internal/traffic/gateway/clientconn_test.go
@@ -12,6 +12,8 @@
 	"lemonarch/internal/platform/clock"
 )
 
+// Slow, oversized and malformed requests must get their status, and only the valid request must reach the
+// handler.
 func TestStatusOfSlowLargeAndMalformedRequests(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -44,12 +46,12 @@
 		connection.Close()
 	}
 	if forwarded != 1 {
-		t.Errorf("passed on %d", forwarded)
+		t.Errorf("handler received %d requests, want 1", forwarded)
 	}
 }
 
-// The server calls reads of its own off by a deadline that is past; nothing may be
-// written then, or the next answer on the connection would be spoilt.
+// The server aborts reads of its own by a deadline in the past. Nothing may be written to the connection
+// then, since it would corrupt the next response.
 func TestReusedConnectionsGetTheirResponsesOnly(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -82,6 +84,6 @@
 		}
 	}
 	if reader.Buffered() > 0 {
-		t.Fatal("bytes that are no answer")
+		t.Fatal("got bytes after the last response")
 	}
 }
--- a/internal/traffic/gateway/connections.go
+++ b/internal/traffic/gateway/connections.go
@@ -53,8 +53,8 @@
 	delete(c.open, connection)
 }
 
-// list returns the open connections.
-func (c *clientConns) list() []*clientConn {
+// connections returns the open connections.
+func (c *clientConns) connections() []*clientConn {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	list := make([]*clientConn, 0, len(c.open))
@@ -76,7 +76,7 @@
 	c.setHeadLimitLocked(limits.HeaderBytes)
 	c.lock.Unlock()
 	now := clock.Now()
-	for _, connection := range c.list() {
+	for _, connection := range c.connections() {
 		connection.extendIdle(idle, now)
 	}
 }
@@ -109,7 +109,7 @@
 // busy returns the number of connections on which a request is being received or served.
 func (c *clientConns) busy() int {
 	count := 0
-	for _, connection := range c.list() {
+	for _, connection := range c.connections() {
 		if connection.busy() {
 			count++
 		}
@@ -121,7 +121,7 @@
 // no request is left on the others.
 func (c *clientConns) closeIdle() bool {
 	c.Listener.Close()
-	for _, connection := range c.list() {
+	for _, connection := range c.connections() {
 		connection.closeIdle()
 	}
 	return c.busy() == 0
--- a/internal/traffic/gateway/connections_test.go
+++ b/internal/traffic/gateway/connections_test.go
@@ -16,18 +16,18 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// scripted is a client's connection whose reads are given, and whose deadline is seen.
+// scriptedConn is a client connection that runs a list of read functions and records its read deadline.
 type scriptedConn struct {
 	net.Conn
-	reads    []func(into []byte) (int, error)
+	reads    []func(buffer []byte) (int, error)
 	deadline time.Time
 	closed   bool
 }
 
-func (s *scriptedConn) Read(into []byte) (int, error) {
+func (s *scriptedConn) Read(buffer []byte) (int, error) {
 	read := s.reads[0]
 	s.reads = s.reads[1:]
-	return read(into)
+	return read(buffer)
 }
 
 func (s *scriptedConn) SetReadDeadline(at time.Time) error {
@@ -40,10 +40,10 @@
 	return nil
 }
 
-func bytesArrive(into []byte) (int, error) { return copy(into, "GET "), nil }
-func deadlineExceeded([]byte) (int, error) { return 0, os.ErrDeadlineExceeded }
+func bytesArrive(buffer []byte) (int, error) { return copy(buffer, "GET "), nil }
+func deadlineExceeded([]byte) (int, error)   { return 0, os.ErrDeadlineExceeded }
 
-// idleConnection gives a connection on which a response has just ended.
+// idleConnection returns a connection on which a response has just ended.
 func idleConnection(owner *clientConns, reads ...func([]byte) (int, error)) (*clientConn, *scriptedConn) {
 	raw := &scriptedConn{reads: reads}
 	connection := &clientConn{Conn: raw, owner: owner}
@@ -53,35 +53,35 @@
 	return connection, raw
 }
 
-// given is how long a connection may still rest, in seconds.
+// secondsLeft returns how long a connection may still be idle, in seconds.
 func secondsLeft(raw *scriptedConn) float64 { return time.Until(raw.deadline).Seconds() }
 
-// A client rests by the idle time of the configuration that it knows: the one in force,
-// or the one before. Resting connections get more time, and never less.
+// Clients use the idle timeout of the current or the previous configuration, so the longer one must be
+// applied. An idle connection may get more time, but never less.
 func TestIdleTimeFollowsTheConfiguration(t *testing.T) {
 	owner := newClientConns(nil, routeconfig.Limits{IdleMs: 5_000, HeaderWaitMs: 3_000})
 	_, first := idleConnection(owner)
 	if left := secondsLeft(first); left < 4 || left > 5.1 {
-		t.Error("by the first configuration: ", left)
+		t.Error("seconds left under the first configuration: ", left)
 	}
 	owner.setLimits(routeconfig.Limits{IdleMs: 15_000})
 	if left := secondsLeft(first); left < 14 || left > 15.1 {
-		t.Error("a resting one after a longer time was set: ", left)
+		t.Error("seconds left of an idle connection after a longer timeout was set: ", left)
 	}
 	owner.setLimits(routeconfig.Limits{IdleMs: 2_000})
 	_, second := idleConnection(owner)
 	if secondsLeft(first) < 14 || secondsLeft(second) < 14 {
-		t.Error("clients may still go by the longer time: ", secondsLeft(first), secondsLeft(second))
+		t.Error("want the longer timeout while clients may still use it, got seconds left: ", secondsLeft(first), secondsLeft(second))
 	}
 	owner.setLimits(routeconfig.Limits{IdleMs: 2_000})
 	_, third := idleConnection(owner)
 	if left := secondsLeft(third); left > 2.1 || secondsLeft(first) < 14 {
-		t.Error("by the last configuration: ", left, secondsLeft(first))
+		t.Error("seconds left under the last configuration: ", left, secondsLeft(first))
 	}
 }
 
-// A process that stood still past the idle time looks once more before it gives up: the
-// request may lie there.
+// A process that was suspended past the idle timeout must read once more before it closes the
+// connection, since a request may have arrived.
 func TestRequestThatArrivedDuringAFreeze(t *testing.T) {
 	owner := newClientConns(nil, routeconfig.Limits{IdleMs: 5_000})
 	connection, _ := idleConnection(owner, deadlineExceeded, bytesArrive)
@@ -94,37 +94,37 @@
 	}
 }
 
-// At the end of a leaving process a request is either taken, and then not cut, or never
-// seen, so that the client may send it elsewhere.
+// During shutdown a request must either be accepted and completed, or not be read at all, so that the
+// client may send it elsewhere.
 func TestShutdownCutsNoRequest(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	owner := newClientConns(listener, routeconfig.Limits{IdleMs: 5_000})
-	late, lateRaw := idleConnection(owner, func(into []byte) (int, error) {
-		// Ended just as the bytes came.
+	closed, closedRaw := idleConnection(owner, func(buffer []byte) (int, error) {
+		// The connection is closed just as the bytes arrive.
 		owner.closeIdle()
-		return bytesArrive(into)
+		return bytesArrive(buffer)
 	})
-	taken, takenRaw := idleConnection(owner, bytesArrive)
-	if _, err := taken.Read(make([]byte, 4)); err != nil {
+	accepted, acceptedRaw := idleConnection(owner, bytesArrive)
+	if _, err := accepted.Read(make([]byte, 4)); err != nil {
 		t.Fatal(err)
 	}
-	if count, err := late.Read(make([]byte, 4)); count != 0 || !errors.Is(err, net.ErrClosed) || !lateRaw.closed {
-		t.Error("a request was taken from a connection that had ended", count, err)
+	if count, err := closed.Read(make([]byte, 4)); count != 0 || !errors.Is(err, net.ErrClosed) || !closedRaw.closed {
+		t.Error("a request was accepted from a closed connection", count, err)
 	}
-	if owner.closeIdle() || takenRaw.closed {
-		t.Error("a request that was taken is cut")
+	if owner.closeIdle() || acceptedRaw.closed {
+		t.Error("the connection of an accepted request was closed")
 	}
-	trackState(taken, http.StateIdle)
-	if !owner.closeIdle() || !takenRaw.closed {
-		t.Error("a connection that rests keeps the process")
+	trackState(accepted, http.StateIdle)
+	if !owner.closeIdle() || !acceptedRaw.closed {
+		t.Error("an idle connection was not closed")
 	}
 }
 
-// Requests that are sent at once on one connection are answered in their order; behind
-// one that is broken off, none is begun.
+// Pipelined requests must get their responses in order. After one whose response is aborted, no later
+// request on the connection may be handled.
 func TestRequestsSentAtOnce(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -159,33 +159,33 @@
 			t.Fatal(path, err)
 		}
 		if body, err := io.ReadAll(resp.Body); err != nil || string(body) != path {
-			t.Fatalf("%s was answered %q %v", path, body, err)
+			t.Fatalf("%s got body %q, error %v", path, body, err)
 		}
 	}
 	if rest, _ := io.ReadAll(reader); len(rest) > 0 {
-		t.Fatalf("behind a broken request: %q", rest)
+		t.Fatalf("got bytes after an aborted response: %q", rest)
 	}
 	if order := <-started + <-started + <-started; order != "/one/two/broken" || len(started) > 0 {
 		t.Fatal(order, len(started))
 	}
 }
 
-// headLimits notes the limits of heads that it is given.
+// headLimits is a listener that records the head limits set on it.
 type headLimits struct {
 	net.Listener
-	given []int
+	limits []int
 }
 
-func (h *headLimits) SetHeadLimit(limit int) { h.given = append(h.given, limit) }
+func (h *headLimits) SetHeadLimit(limit int) { h.limits = append(h.limits, limit) }
 
-// Heads are bounded by the newest configuration, or the one before where that allows more.
+// The head limit must be the larger of those of the current and the previous configuration.
 func TestHeadsFollowTheConfiguration(t *testing.T) {
 	listener := &headLimits{}
 	owner := newClientConns(listener, routeconfig.Limits{HeaderBytes: 16_000})
 	for _, bytes := range []int{100_000, 8_000, 8_000, 0} {
 		owner.setLimits(routeconfig.Limits{HeaderBytes: bytes})
 	}
-	if got := fmt.Sprint(listener.given); got != fmt.Sprint([]int{16_000, 100_000, 100_000, 8_000, constants.HeadLimit}) {
+	if got := fmt.Sprint(listener.limits); got != fmt.Sprint([]int{16_000, 100_000, 100_000, 8_000, constants.HeadLimit}) {
 		t.Error(got)
 	}
 }
--- a/internal/traffic/gateway/drain_test.go
+++ b/internal/traffic/gateway/drain_test.go
@@ -15,9 +15,8 @@
 	"lemonarch/internal/traffic/proxy"
 )
 
-// A gateway that drains takes no further connection once its accept time is over, also
-// while requests are still under way: what comes later could not be answered whole before
-// the process is killed.
+// A draining gateway must stop accepting connections after DrainAcceptTime, even while requests are in
+// flight: a later request might not be completed before the process is killed.
 func TestDrainEndsAcceptingWhileRequestsAreUnderWay(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -32,15 +31,15 @@
 	gateway := &Gateway{Proxy: &proxy.Proxy{}}
 	gateway.clients.Store(clients)
 	if gateway.idle() {
-		t.Fatal("idle with a request under way")
+		t.Fatal("idle with a request in flight")
 	}
 	if late, err := net.Dial("tcp4", listener.Addr().String()); err == nil {
 		late.Close()
-		t.Error("still accepts connections")
+		t.Error("gateway still accepts connections")
 	}
 }
 
-// A gateway that has served leaves no goroutine behind after its shutdown.
+// A gateway must leave no goroutine running after its shutdown.
 func TestShutdownLeavesNoGoroutine(t *testing.T) {
 	others := goleak.IgnoreCurrent()
 	nodeSettings := &settings.Settings{NodeName: "g", Address: "10.0.0.1", Zone: "h", InternalPorts: []int{7000, 7010},
--- a/internal/traffic/gateway/jobcall_test.go
+++ b/internal/traffic/gateway/jobcall_test.go
@@ -17,62 +17,64 @@
 	"lemonarch/internal/tooling/faultrelay"
 )
 
-// leaderStub is a store that answers each call with the name of its job, and keeps count of
-// the hand-ins that it took.
+// leaderStub is a store that responds to each call with the name of its job, and counts the submissions
+// that it accepted.
 type leaderStub struct {
 	wire  *transport.TCP
 	lock  sync.Mutex
-	taken map[string]int
+	accepted map[string]int
 }
 
 func newLeaderStub(t *testing.T) *leaderStub {
 	t.Helper()
 
-	entry := &leaderStub{wire: transport.NewTCP("127.0.0.1:0"), taken: map[string]int{}}
-	err := entry.wire.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
+	leader := &leaderStub{wire: transport.NewTCP("127.0.0.1:0"), accepted: map[string]int{}}
+	err := leader.wire.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
 		call := &messages.JobCallRequest{}
 		if err := transport.Decode(body, call); err != nil {
 			return nil, err
 		}
 		if call.Method == http.MethodPost {
-			entry.lock.Lock()
-			entry.taken[call.Job]++
-			entry.lock.Unlock()
+			leader.lock.Lock()
+			leader.accepted[call.Job]++
+			leader.lock.Unlock()
 		}
 		return transport.Encode(&messages.JobCallResponse{Status: http.StatusOK, Body: []byte(call.Job)})
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return entry
+	return leader
 }
 
+// submissions returns how often a job was submitted.
 func (h *leaderStub) submissions(job string) int {
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	return h.taken[job]
+	return h.accepted[job]
 }
 
-// jobFrameLength is about as long as a hand-in of this test, or its response, is on the wire.
+// jobFrameLength is the approximate length of a submission of this test, or its response, on the wire, in
+// bytes.
 const jobFrameLength = 130
 
-// Whatever befalls the connection to the store that leads, at whichever byte: a
-// caller's response is that of its own job, and no submission that was taken is answered as one that
-// never will be.
+// Injects each fault into the connection to the leading store, at bytes of the submission and of the
+// response. A caller must get the response of its own job, and a submission that was accepted must not get
+// a status that promises that it will not run.
 func TestJobCallsAtEveryByte(t *testing.T) {
 	const step = 7
-	for _, trouble := range faultrelay.Faults() {
-		for i := int(trouble) % step; i < 2*jobFrameLength; i += step {
-			struck := faultrelay.Strike{Fault: trouble, Response: i >= jobFrameLength, At: i % jobFrameLength}
-			t.Run(fmt.Sprint(trouble, struck.Response, struck.At), func(t *testing.T) {
+	for _, fault := range faultrelay.Faults() {
+		for i := int(fault) % step; i < 2*jobFrameLength; i += step {
+			strike := faultrelay.Strike{Fault: fault, Response: i >= jobFrameLength, At: i % jobFrameLength}
+			t.Run(fmt.Sprint(fault, strike.Response, strike.At), func(t *testing.T) {
 				t.Parallel()
-				runJobCalls(t, struck)
+				runJobCalls(t, strike)
 			})
 		}
 	}
 }
 
-func runJobCalls(t *testing.T, struck faultrelay.Strike) {
+func runJobCalls(t *testing.T, strike faultrelay.Strike) {
 	t.Helper()
 
 	store := newLeaderStub(t)
@@ -86,21 +88,21 @@
 	wire := transport.NewTCP("")
 	defer wire.Close()
 	runtime.Transport = wire
-	entry := newJobForwarder(runtime)
-	entry.leadership = messages.Leadership{Epoch: 1, Address: relay.Address()}
+	forwarder := newJobForwarder(runtime)
+	forwarder.leadership = messages.Leadership{Epoch: 1, Address: relay.Address()}
 	var lock sync.Mutex
-	refused := map[string]bool{}
+	rejected := map[string]bool{}
 	call := func(method, job string) {
-		resp, mayHaveRun := entry.Forward(&messages.JobCallRequest{Method: method, Job: job}, clock.Milliseconds(40))
+		resp, mayHaveRun := forwarder.Forward(&messages.JobCallRequest{Method: method, Job: job}, clock.Milliseconds(40))
 		if resp != nil && resp.Status == http.StatusOK && string(resp.Body) != job {
-			t.Errorf("%s %s was answered for %q", method, job, resp.Body)
+			t.Errorf("%s %s got the response of job %q", method, job, resp.Body)
 		}
 		lock.Lock()
 		defer lock.Unlock()
-		refused[job] = (resp == nil && !mayHaveRun) || (resp != nil && promisesNotRun(resp.Status))
+		rejected[job] = (resp == nil && !mayHaveRun) || (resp != nil && promisesNotRun(resp.Status))
 	}
 	call(http.MethodGet, "rest")
-	relay.Arm(&struck)
+	relay.Arm(&strike)
 	var group sync.WaitGroup
 	for i, method := range []string{http.MethodPost, http.MethodGet, http.MethodPost} {
 		group.Add(1)
@@ -113,12 +115,12 @@
 	relay.Thaw()
 	call(http.MethodGet, "next")
 	relay.End()
-	for job, never := range refused {
-		if never && store.submissions(job) > 0 {
-			t.Errorf("%s was taken, and told as one that never will be", job)
+	for job, promised := range rejected {
+		if promised && store.submissions(job) > 0 {
+			t.Errorf("%s was accepted, but its response promised that it will not run", job)
 		}
 		if store.submissions(job) > 1 {
-			t.Errorf("%s was taken %d times", job, store.submissions(job))
+			t.Errorf("%s was accepted %d times", job, store.submissions(job))
 		}
 	}
 }
--- a/internal/traffic/gateway/jobforwarder_test.go
+++ b/internal/traffic/gateway/jobforwarder_test.go
@@ -13,14 +13,14 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// A call that waits for a holder that fell silent goes to the next one as soon as
-// that is known, not when its time is up.
+// A call that waits for an unresponsive leader must go to the next leader as soon as that is announced,
+// not when the call times out.
 func TestCallsFollowTheLeader(t *testing.T) {
 	network := transport.NewMemoryNetwork()
 	nodeSettings := &settings.Settings{NodeName: "n", Address: "10.0.0.1", InternalPorts: []int{1, 9}}
 	runtime := agent.New(nodeSettings, membership.RoleGateway, 1, "", hclog.NewNullLogger())
 	runtime.Transport = network.Transport("gateway")
-	entry := newJobForwarder(runtime)
+	forwarder := newJobForwarder(runtime)
 	tried := make(chan struct{})
 	block := make(chan struct{})
 	defer close(block)
@@ -32,42 +32,42 @@
 	_ = network.Transport("new").Serve(func(messages.Kind, []byte) ([]byte, error) {
 		return transport.Encode(&messages.JobCallResponse{Status: 202})
 	})
-	entry.leadership = messages.Leadership{Epoch: 1, Address: "old"}
+	forwarder.leadership = messages.Leadership{Epoch: 1, Address: "old"}
 	type result struct {
-		answer *messages.JobCallResponse
-		maybe  bool
+		response   *messages.JobCallResponse
+		mayHaveRun bool
 	}
 	results := make(chan result, 1)
 	go func() {
-		resp, mayHaveRun := entry.Forward(&messages.JobCallRequest{Method: "POST", Job: "l"}, clock.Milliseconds(60_000))
+		resp, mayHaveRun := forwarder.Forward(&messages.JobCallRequest{Method: "POST", Job: "l"}, clock.Milliseconds(60_000))
 		results <- result{resp, mayHaveRun}
 	}()
 	<-tried
 	started := clock.Now()
-	entry.observeLeader(&messages.LeaderAnnouncement{Leadership: messages.Leadership{Epoch: 2, Address: "new"}})
+	forwarder.observeLeader(&messages.LeaderAnnouncement{Leadership: messages.Leadership{Epoch: 2, Address: "new"}})
 	got := <-results
-	if got.answer == nil || got.answer.Status != 202 || !got.maybe {
+	if got.response == nil || got.response.Status != 202 || !got.mayHaveRun {
 		t.Fatal(got)
 	}
 	if waited := clock.Now().Sub(started); waited > clock.Milliseconds(600) {
-		t.Fatal("waited out the old holder: ", waited)
+		t.Fatal("call did not leave the old leader at once, waited ", waited)
 	}
-	// An older word changes nothing.
-	entry.observeLeader(&messages.LeaderAnnouncement{Leadership: messages.Leadership{Epoch: 1, Address: "old"}})
-	if address, _ := entry.leader(); address != "new" {
+	// An announcement of an earlier epoch must be ignored.
+	forwarder.observeLeader(&messages.LeaderAnnouncement{Leadership: messages.Leadership{Epoch: 1, Address: "old"}})
+	if address, _ := forwarder.leader(); address != "new" {
 		t.Fatal(address)
 	}
 }
 
-// A gateway that reaches no store has another gateway pass its calls on, once.
+// A gateway that can't reach a store must relay its calls through another gateway, through one only.
 func TestPartitionedGatewayRelays(t *testing.T) {
 	network := transport.NewMemoryNetwork()
-	gates := map[string]*jobForwarder{}
+	gateways := map[string]*jobForwarder{}
 	for _, name := range []string{"cut", "near"} {
 		nodeSettings := &settings.Settings{NodeName: name, Address: "10.0.0.1", InternalPorts: []int{1, 9}}
 		runtime := agent.New(nodeSettings, membership.RoleGateway, 1, "", hclog.NewNullLogger())
 		runtime.Transport = network.Transport(name)
-		gates[name] = newJobForwarder(runtime)
+		gateways[name] = newJobForwarder(runtime)
 		_ = runtime.Transport.Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
 			if kind != messages.KindJobCall {
 				return nil, nil
@@ -82,19 +82,19 @@
 		calls = append(calls, call.Forwarded)
 		return transport.Encode(&messages.JobCallResponse{Status: 202})
 	})
-	// The cut one knows stores that it can't reach, and one gateway that it can.
-	know := func(name string, entries ...messages.NodeInfo) { gates[name].runtime.Observe(entries) }
-	know("cut", messages.NodeInfo{Name: "x", Role: membership.RoleStore, Address: "nowhere-1"},
+	// The partitioned gateway knows stores that it can't reach, and one gateway that it can.
+	observe := func(name string, nodes ...messages.NodeInfo) { gateways[name].runtime.Observe(nodes) }
+	observe("cut", messages.NodeInfo{Name: "x", Role: membership.RoleStore, Address: "nowhere-1"},
 		messages.NodeInfo{Name: "y", Role: membership.RoleStore, Address: "nowhere-2"},
 		messages.NodeInfo{Name: "near", Role: membership.RoleGateway, Address: "near"})
-	know("near", messages.NodeInfo{Name: "z", Role: membership.RoleStore, Address: "store"})
-	resp, _ := gates["cut"].Forward(&messages.JobCallRequest{Method: "POST", Job: "l"}, clock.Milliseconds(5000))
+	observe("near", messages.NodeInfo{Name: "z", Role: membership.RoleStore, Address: "store"})
+	resp, _ := gateways["cut"].Forward(&messages.JobCallRequest{Method: "POST", Job: "l"}, clock.Milliseconds(5000))
 	if resp == nil || resp.Status != 202 || len(calls) != 1 || !calls[0] {
 		t.Fatal(resp, calls)
 	}
-	// Where the other gateway can't either, nothing ran and nothing is claimed.
+	// If the other gateway can't reach a store either, nothing ran and there is no response.
 	network.Transport("store").Close()
-	if resp, mayHaveRun := gates["cut"].Forward(&messages.JobCallRequest{Method: "POST", Job: "l"}, clock.Milliseconds(1500)); resp != nil || mayHaveRun {
+	if resp, mayHaveRun := gateways["cut"].Forward(&messages.JobCallRequest{Method: "POST", Job: "l"}, clock.Milliseconds(1500)); resp != nil || mayHaveRun {
 		t.Fatal(resp, mayHaveRun)
 	}
 }
--- a/internal/traffic/gateway/keptconnection_test.go
+++ b/internal/traffic/gateway/keptconnection_test.go
@@ -16,11 +16,11 @@
 	"lemonarch/internal/platform/clock"
 )
 
-// keptServer serves kept connections and knows which requests its handler took.
+// keepAliveServer serves keep-alive connections and records which requests its handler received.
 type keepAliveServer struct {
 	clients *clientConns
 	server  *http.Server
-	taken   sync.Map
+	handled sync.Map
 	closing atomic.Bool
 }
 
@@ -33,7 +33,7 @@
 	s := &keepAliveServer{clients: newClientConns(listener, limits)}
 	s.server = &http.Server{ConnState: trackState, IdleTimeout: time.Minute, ReadHeaderTimeout: time.Minute,
 		Handler: http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-			s.taken.Store(request.URL.Path, true)
+			s.handled.Store(request.URL.Path, true)
 			if s.closing.Load() {
 				writer.Header().Set("Connection", "close")
 			}
@@ -44,22 +44,22 @@
 	return s
 }
 
-// ask sends requests on kept connections until the end, resting between them, and fails where
-// one that was taken got no answer.
-func (s *keepAliveServer) sendRequests(t *testing.T, client int, random *rand.Rand, rest time.Duration, end <-chan struct{}) (answered int) {
+// sendRequests sends requests on a keep-alive connection until end is closed, pausing between them for up
+// to maxPause. It fails the test if a request that the handler received got no complete response.
+func (s *keepAliveServer) sendRequests(t *testing.T, client int, random *rand.Rand, maxPause time.Duration, end <-chan struct{}) (responses int) {
 	t.Helper()
 	var connection net.Conn
 	var reader *bufio.Reader
 	for number := 0; ; number++ {
 		select {
 		case <-end:
-			return answered
+			return responses
 		default:
 		}
 		if connection == nil {
 			var err error
 			if connection, err = net.Dial("tcp4", s.clients.Addr().String()); err != nil {
-				return answered
+				return responses
 			}
 			reader = bufio.NewReader(connection)
 		}
@@ -77,27 +77,27 @@
 			}
 		}
 		if err != nil {
-			if _, taken := s.taken.Load(path); taken {
-				t.Errorf("%s was taken and got no whole answer: %v", path, err)
+			if _, handled := s.handled.Load(path); handled {
+				t.Errorf("%s was handled but got no complete response: %v", path, err)
 			}
 			connection.Close()
 			connection = nil
 			continue
 		}
-		answered++
+		responses++
 		if resp.Close {
 			connection.Close()
 			connection = nil
 		}
-		<-clock.After(time.Duration(random.Int63n(int64(rest))))
+		<-clock.After(time.Duration(random.Int63n(int64(maxPause))))
 	}
 }
 
-// Whatever closes a kept connection, the idle limit, a changed limit, or the end of the process,
-// a request that was taken from it is answered before.
+// Keep-alive connections are closed by the idle timeout, by changed limits or by the shutdown. A request
+// that was handled must get its complete response before that.
 func TestKeepAliveConnectionsCloseBetweenRequests(t *testing.T) {
 	const idleMs = 12
-	for _, found := range []struct {
+	for _, testCase := range []struct {
 		what  string
 		close func(s *keepAliveServer)
 	}{
@@ -116,25 +116,25 @@
 			}
 		}},
 	} {
-		t.Run(found.what, func(t *testing.T) {
+		t.Run(testCase.what, func(t *testing.T) {
 			s := newKeepAliveServer(t, routeconfig.Limits{IdleMs: idleMs, HeaderWaitMs: 3000})
 			end := make(chan struct{})
 			var group sync.WaitGroup
-			var answered atomic.Int64
+			var responses atomic.Int64
 			for client := range 16 {
 				group.Add(1)
 				go func() {
 					defer group.Done()
-					// Rests come close to the limit, on both sides.
-					answered.Add(int64(s.sendRequests(t, client, rand.New(rand.NewSource(int64(client))), 2*idleMs*time.Millisecond, end)))
+					// The pauses are spread around the idle timeout, shorter and longer.
+					responses.Add(int64(s.sendRequests(t, client, rand.New(rand.NewSource(int64(client))), 2*idleMs*time.Millisecond, end)))
 				}()
 			}
-			found.close(s)
+			testCase.close(s)
 			<-clock.After(200 * time.Millisecond)
 			close(end)
 			group.Wait()
-			if answered.Load() < 50 {
-				t.Fatal("too few requests: ", answered.Load())
+			if responses.Load() < 50 {
+				t.Fatal("too few requests got a response: ", responses.Load())
 			}
 		})
 	}
--- a/internal/traffic/gateway/lingeringclose_test.go
+++ b/internal/traffic/gateway/lingeringclose_test.go
@@ -12,8 +12,8 @@
 	"lemonarch/internal/platform/clock"
 )
 
-// A real client that sends far more than it may is told so, and is not cut off: by
-// 431 for its head, by 413 for its body.
+// A real client that sends far more than the limit must get a response, 431 for its head or 413 for its
+// body, instead of a connection reset.
 func TestTooLargeRequestGetsAResponseNotAReset(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -32,7 +32,7 @@
 		large.Header.Set("X-Long", strings.Repeat("x", 600_000))
 		body, _ := http.NewRequest("POST", address, bytes.NewReader(make([]byte, 900_000)))
 		for want, request := range map[int]*http.Request{431: large, 413: body} {
-			// Each on a connection of its own.
+			// Each request uses a new connection.
 			client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 			resp, err := client.Do(request)
 			if err != nil {
@@ -46,7 +46,7 @@
 	}
 }
 
-// narrow gives connections that hold little unread, as links with small windows do.
+// smallBufferListener accepts connections with a small receive buffer, like links with small windows.
 type smallBufferListener struct{ net.Listener }
 
 func (n smallBufferListener) Accept() (net.Conn, error) {
@@ -57,8 +57,8 @@
 	return connection, err
 }
 
-// The whole of what was said is read, also by one that reads only after it has
-// sent everything.
+// A client that starts to read only after it has sent everything must still receive the complete
+// response.
 func TestLateReaderGetsItsResponse(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -74,7 +74,7 @@
 	defer connection.Close()
 	_ = connection.(*net.TCPConn).SetWriteBuffer(16 << 10)
 	if _, err = io.WriteString(connection, "GET / HTTP/1.1\r\nHost: h\r\nX-Long: "+strings.Repeat("x", 400_000)+"\r\n\r\n"); err != nil {
-		t.Fatal("cut off while sending: ", err)
+		t.Fatal("connection failed while sending: ", err)
 	}
 	_ = connection.SetReadDeadline(clock.Deadline(5_000_000_000))
 	complete, err := io.ReadAll(connection)
--- a/internal/traffic/gateway/offer_test.go
+++ b/internal/traffic/gateway/offer_test.go
@@ -15,8 +15,9 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// offering forwards a long job through a gateway to a store that answers offers by a list of
-// statuses and takes what is sent; it gives the answer and how often the job itself was sent.
+// forwardOffered forwards a job of OfferMinBytes through a gateway to a store that responds to offers with a
+// list of statuses, the last one repeated, and accepts each job sent. It returns the results of Forward
+// and how often the job itself was sent.
 func forwardOffered(t *testing.T, timeout clock.Duration, statuses ...int) (resp *messages.JobCallResponse, mayHaveRun bool, sent int) {
 	t.Helper()
 	network := transport.NewMemoryNetwork()
@@ -30,7 +31,7 @@
 		}
 		if call.Method == messages.MethodOffer {
 			if len(call.Body) > 0 || call.BodyBytes != constants.OfferMinBytes || call.WaitMs <= 0 {
-				t.Error("offered as ", len(call.Body), call.BodyBytes, call.WaitMs)
+				t.Error("want an offer without body and with its length and a wait, got ", len(call.Body), call.BodyBytes, call.WaitMs)
 			}
 			status := statuses[0]
 			if len(statuses) > 1 {
@@ -47,29 +48,30 @@
 	return resp, mayHaveRun, sent
 }
 
-// A long job is sent when the leader asks for it, or knows no offers; it is not sent where the
-// leader has it, refuses it, or never asks for it, and then nothing of it may have run.
+// A long job must be sent if the leader requests it or does not know offers. It must not be sent if the
+// leader already has it, rejects it, or never requests it; in the last case it must not be reported as
+// possibly run.
 func TestLongJobsAreOfferedFirst(t *testing.T) {
 	const second = 1000
-	for _, found := range []struct {
-		what     string
-		statuses []int
-		status   int
-		sent     int
-		maybe    bool
+	for _, testCase := range []struct {
+		what       string
+		statuses   []int
+		status     int
+		sent       int
+		mayHaveRun bool
 	}{
-		{"asked for", []int{messages.StatusSendNow}, 202, 1, true},
-		{"asked for later", []int{503, 503, messages.StatusSendNow}, 202, 1, true},
-		{"a leader that knows no offers", []int{404}, 202, 1, true},
+		{"requested", []int{messages.StatusSendNow}, 202, 1, true},
+		{"requested later", []int{503, 503, messages.StatusSendNow}, 202, 1, true},
+		{"leader does not know offers", []int{404}, 202, 1, true},
 		{"known already", []int{202}, 202, 0, true},
 		{"does not fit", []int{429}, 429, 0, true},
 	} {
-		resp, maybe, sent := forwardOffered(t, clock.Milliseconds(second), found.statuses...)
-		if resp == nil || resp.Status != found.status || sent != found.sent || maybe != found.maybe {
-			t.Errorf("%s: %+v %v, sent %d times", found.what, resp, maybe, sent)
+		resp, mayHaveRun, sent := forwardOffered(t, clock.Milliseconds(second), testCase.statuses...)
+		if resp == nil || resp.Status != testCase.status || sent != testCase.sent || mayHaveRun != testCase.mayHaveRun {
+			t.Errorf("%s: %+v %v, sent %d times", testCase.what, resp, mayHaveRun, sent)
 		}
 	}
-	if resp, maybe, sent := forwardOffered(t, clock.Milliseconds(second/10), 503); resp != nil || maybe || sent > 0 {
-		t.Errorf("never asked for: %+v %v, sent %d times", resp, maybe, sent)
+	if resp, mayHaveRun, sent := forwardOffered(t, clock.Milliseconds(second/10), 503); resp != nil || mayHaveRun || sent > 0 {
+		t.Errorf("never requested: %+v %v, sent %d times", resp, mayHaveRun, sent)
 	}
 }
--- a/internal/traffic/gateway/outcome_test.go
+++ b/internal/traffic/gateway/outcome_test.go
@@ -15,55 +15,56 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// rough is a world in which calls come late, twice, or not at all, and answers get
-// lost. One seed gives one history: nothing in it waits.
+// simulation is a simulated network in which calls arrive late, twice, or not at all, and responses are
+// lost. It is deterministic for a seed: time is simulated and nothing in it waits.
 type simulation struct {
 	random   *rand.Rand
 	now      clock.Instant
 	gateways map[string]*jobForwarder
 	stores   map[string]*storeStub
-	// late holds the frames that are still under way.
+	// late contains the frames that have not been delivered yet.
 	late []func()
-	// taken says by which attempt each job came to stand.
-	taken map[string]string
-	// calm makes trouble rarer, the more the higher.
+	// accepted maps each accepted job to the attempt that submitted it.
+	accepted map[string]string
+	// faultRarity makes faults rarer the higher it is.
 	faultRarity int
-	// vacant says that nobody leads in this history's time.
+	// noLeader means that no store leads throughout the simulation.
 	noLeader bool
 }
 
-// storeStub is a store as far as hand-ins see it.
+// storeStub is the part of a store that handles submissions.
 type storeStub struct {
 	leads, full  bool
 	deduplicator transport.Deduplicator
 }
 
+// deliver delivers a frame to a gateway or a store and returns the response.
 func (r *simulation) deliver(address string, body []byte) []byte {
-	if entry := r.gateways[address]; entry != nil {
-		resp, _ := entry.runtime.Dispatch(messages.KindJobCall, body)
+	if forwarder := r.gateways[address]; forwarder != nil {
+		resp, _ := forwarder.runtime.Dispatch(messages.KindJobCall, body)
 		return resp
 	}
 	call := &messages.JobCallRequest{}
 	_ = transport.Decode(body, call)
-	entry, resp := r.stores[address], &messages.JobCallResponse{}
+	store, resp := r.stores[address], &messages.JobCallResponse{}
 	switch {
-	case !entry.deduplicator.First(call.RequestID, r.now):
+	case !store.deduplicator.First(call.RequestID, r.now):
 		resp.Status = 504
-	case !entry.leads:
+	case !store.leads:
 		resp.NotLeader = true
-	case r.taken[call.Job] != "":
+	case r.accepted[call.Job] != "":
 		resp.Status = 202
-	case entry.full:
+	case store.full:
 		resp.Status = 429
 	default:
-		r.taken[call.Job] = string(call.Body)
+		r.accepted[call.Job] = string(call.Body)
 		resp.Status = 202
 	}
-	packed, _ := transport.Encode(resp)
-	return packed
+	encoded, _ := transport.Encode(resp)
+	return encoded
 }
 
-// turn lets the leadership and the network change, and late frames arrive.
+// step randomly changes the leadership and delivers late frames.
 func (r *simulation) step() {
 	names := []string{"l0", "l1", "l2"}
 	if r.random.Intn(3) == 0 {
@@ -81,7 +82,7 @@
 	}
 }
 
-// connection is one gateway's transport.
+// simulatedTransport is one gateway's transport in the simulation.
 type simulatedTransport struct{ world *simulation }
 
 func (c simulatedTransport) Serve(transport.Handler) error { return nil }
@@ -90,63 +91,64 @@
 func (c simulatedTransport) Call(address string, _ messages.Kind, body []byte, timeout clock.Duration) ([]byte, error) {
 	world := c.world
 	world.step()
-	again := func() { world.deliver(address, body) }
+	deliverLater := func() { world.deliver(address, body) }
 	switch world.random.Intn(8 + world.faultRarity) {
 	case 0:
 		world.now = world.now.Add(timeout)
 		return nil, transport.ErrTimeout.New("lost")
 	case 1:
 		world.now = world.now.Add(timeout)
-		world.late = append(world.late, again)
+		world.late = append(world.late, deliverLater)
 		return nil, transport.ErrTimeout.New("slow")
 	case 2:
 		world.now = world.now.Add(timeout)
 		world.deliver(address, body)
 		return nil, transport.ErrTimeout.New("answer lost")
 	case 3:
-		return nil, transport.ErrUnreachable.New("nobody there")
+		return nil, transport.ErrUnreachable.New("no process at the address")
 	case 4:
-		world.late = append(world.late, again)
+		world.late = append(world.late, deliverLater)
 	}
 	return world.deliver(address, body), nil
 }
 
 func newSimulation(seed int64) *simulation {
-	world := &simulation{random: rand.New(rand.NewSource(seed)), now: 1, gateways: map[string]*jobForwarder{}, stores: map[string]*storeStub{}, taken: map[string]string{}}
+	world := &simulation{random: rand.New(rand.NewSource(seed)), now: 1, gateways: map[string]*jobForwarder{}, stores: map[string]*storeStub{}, accepted: map[string]string{}}
 	world.faultRarity, world.noLeader = world.random.Intn(3)*60, world.random.Intn(4) == 0
-	entries := []messages.NodeInfo{}
+	nodes := []messages.NodeInfo{}
 	for number := 0; number < 3; number++ {
 		name := fmt.Sprint("l", number)
 		world.stores[name] = &storeStub{}
-		entries = append(entries, messages.NodeInfo{Name: name, Role: membership.RoleStore, Address: name})
-		entries = append(entries, messages.NodeInfo{Name: fmt.Sprint("f", number), Role: membership.RoleGateway, Address: fmt.Sprint("f", number)})
+		nodes = append(nodes, messages.NodeInfo{Name: name, Role: membership.RoleStore, Address: name})
+		nodes = append(nodes, messages.NodeInfo{Name: fmt.Sprint("f", number), Role: membership.RoleGateway, Address: fmt.Sprint("f", number)})
 	}
 	for number := 0; number < 3; number++ {
 		name := fmt.Sprint("f", number)
 		nodeSettings := &settings.Settings{NodeName: name, Address: "10.0.0.1", InternalPorts: []int{1, 9}}
 		runtime := agent.New(nodeSettings, membership.RoleGateway, 1, "", hclog.NewNullLogger())
 		runtime.Transport = simulatedTransport{world}
-		runtime.Observe(entries)
-		entry := newJobForwarder(runtime)
-		entry.now = func() clock.Instant { return world.now }
-		entry.sleep = func(timeout clock.Duration) { world.now = world.now.Add(timeout); world.step() }
-		entry.random = world.random.Float64
-		world.gateways[name] = entry
+		runtime.Observe(nodes)
+		forwarder := newJobForwarder(runtime)
+		forwarder.now = func() clock.Instant { return world.now }
+		forwarder.sleep = func(timeout clock.Duration) { world.now = world.now.Add(timeout); world.step() }
+		forwarder.random = world.random.Float64
+		world.gateways[name] = forwarder
 	}
 	return world
 }
 
-// A job is submitted at one node after the other while calls are slow, lost and
-// doubled in every order. A try that was told 429 or 503 never leaves a record.
+// A job is submitted through one gateway after another while calls are delayed, lost and duplicated in
+// any order. An attempt that got a status that promises that it will not run, such as 429 or 503, must not
+// be accepted later.
 func TestRejectedJobsNeverRun(t *testing.T) {
-	rejected := map[int]int{}
+	statuses := map[int]int{}
 	for seed := int64(1); seed <= 1500; seed++ {
 		world := newSimulation(seed)
-		refused := map[string]int{}
+		promisedNotRun := map[string]int{}
 		for job := 0; job < 2; job++ {
 			for attempt := 0; attempt < 3; attempt++ {
-				name, mark := fmt.Sprint("lot", job), fmt.Sprint(job, "/", attempt)
-				call := &messages.JobCallRequest{Method: "POST", Job: name, Body: []byte(mark)}
+				name, attemptID := fmt.Sprint("lot", job), fmt.Sprint(job, "/", attempt)
+				call := &messages.JobCallRequest{Method: "POST", Job: name, Body: []byte(attemptID)}
 				resp, mayHaveRun := world.gateways[fmt.Sprint("f", attempt)].Forward(call, clock.Milliseconds(3000))
 				status := 503
 				if resp != nil {
@@ -154,47 +156,47 @@
 				} else if mayHaveRun {
 					status = 504
 				}
-				rejected[status]++
-				if status == 202 && world.taken[name] == "" {
-					t.Fatalf("seed %d: %s was told 202 and does not stand", seed, mark)
+				statuses[status]++
+				if status == 202 && world.accepted[name] == "" {
+					t.Fatalf("seed %d: %s got status 202 but was not accepted", seed, attemptID)
 				}
 				if promisesNotRun(status) {
-					refused[mark] = status
+					promisedNotRun[attemptID] = status
 				}
 				world.step()
 			}
 		}
-		// Whatever is still under way arrives in the end.
-		for _, entry := range world.stores {
-			entry.leads, entry.full = true, false
+		// Deliver all frames that are still late.
+		for _, store := range world.stores {
+			store.leads, store.full = true, false
 		}
 		for len(world.late) > 0 {
 			frame := world.late[0]
 			world.late = world.late[1:]
 			frame()
 		}
-		for job, mark := range world.taken {
-			if status := refused[mark]; status > 0 {
-				t.Fatalf("seed %d: %s was told %d and then taken by that very try", seed, job, status)
+		for job, attemptID := range world.accepted {
+			if status := promisedNotRun[attemptID]; status > 0 {
+				t.Fatalf("seed %d: %s got status %d, but the same attempt was accepted", seed, job, status)
 			}
 		}
 	}
 	for _, status := range []int{202, 429, 503, 504} {
-		if rejected[status] < 50 {
-			t.Error("too few to say anything: ", status, rejected)
+		if statuses[status] < 50 {
+			t.Error("too few responses with this status: ", status, statuses)
 		}
 	}
-	t.Log(rejected)
+	t.Log(statuses)
 }
 
-// The call that waited on a silent holder may still be taken there: a refusal by
-// the one after it is no promise.
+// A call that timed out at an unresponsive leader may still be accepted there. A rejection by the next
+// leader must therefore become 504, since it can't promise that the job will not run.
 func TestRejectionAfterTimeoutIsOutcomeUnknown(t *testing.T) {
 	network := transport.NewMemoryNetwork()
 	nodeSettings := &settings.Settings{NodeName: "n", Address: "10.0.0.1", InternalPorts: []int{1, 9}}
 	runtime := agent.New(nodeSettings, membership.RoleGateway, 1, "", hclog.NewNullLogger())
 	runtime.Transport = network.Transport("gateway")
-	entry := newJobForwarder(runtime)
+	forwarder := newJobForwarder(runtime)
 	tried, block := make(chan struct{}), make(chan struct{})
 	defer close(block)
 	_ = network.Transport("old").Serve(func(messages.Kind, []byte) ([]byte, error) {
@@ -205,31 +207,31 @@
 	_ = network.Transport("new").Serve(func(messages.Kind, []byte) ([]byte, error) {
 		return transport.Encode(&messages.JobCallResponse{Status: 429})
 	})
-	entry.leadership = messages.Leadership{Epoch: 1, Address: "old"}
+	forwarder.leadership = messages.Leadership{Epoch: 1, Address: "old"}
 	results := make(chan *messages.JobCallResponse, 1)
 	go func() {
-		resp, _ := entry.Forward(&messages.JobCallRequest{Method: "POST", Job: "l"}, clock.Milliseconds(60_000))
+		resp, _ := forwarder.Forward(&messages.JobCallRequest{Method: "POST", Job: "l"}, clock.Milliseconds(60_000))
 		results <- resp
 	}()
 	<-tried
-	entry.observeLeader(&messages.LeaderAnnouncement{Leadership: messages.Leadership{Epoch: 2, Address: "new"}})
+	forwarder.observeLeader(&messages.LeaderAnnouncement{Leadership: messages.Leadership{Epoch: 2, Address: "new"}})
 	if resp := <-results; resp == nil || resp.Status != 504 {
 		t.Fatal(resp)
 	}
 }
 
-// A relay that met silence says so: the first gateway, which reached nobody itself,
-// has nothing to promise.
+// A relaying gateway whose call to the store timed out must report an unknown outcome. The first gateway, which
+// reached no store itself, must then not promise that the job will not run.
 func TestTimeoutBehindARelayIsOutcomeUnknown(t *testing.T) {
 	world := newSimulation(1)
 	network := transport.NewMemoryNetwork()
 	partitioned, near := world.gateways["f0"], world.gateways["f1"]
-	for _, entry := range []*jobForwarder{partitioned, near} {
-		entry.runtime.Transport = network.Transport(entry.runtime.Self.Name)
+	for _, forwarder := range []*jobForwarder{partitioned, near} {
+		forwarder.runtime.Transport = network.Transport(forwarder.runtime.Self.Name)
 	}
 	_ = near.runtime.Transport.Serve(near.runtime.Dispatch)
-	// The stores are known under addresses at which the first gateway finds nobody,
-	// and the second finds one that stays silent.
+	// The first gateway knows the stores under addresses that nothing listens on, and the second knows
+	// one that does not respond.
 	near.leadership = messages.Leadership{Epoch: 1, Address: "silent"}
 	_ = network.Transport("silent").Serve(func(messages.Kind, []byte) ([]byte, error) { return nil, nil })
 	network.SetPartitioned("silent", true)
--- a/internal/traffic/proxy/match.go
+++ b/internal/traffic/proxy/match.go
@@ -19,13 +19,13 @@
 	ErrUnprovenSuccess = errs.Define("success response not verified")
 )
 
-// protocolName is the start of every status line.
+// statusLinePrefix is the start of every status line.
 const statusLinePrefix = "HTTP/1."
 
-// surplusLimit is the maximum number of responses to earlier requests that are skipped.
+// maxSkippedResponses is the maximum number of responses to earlier requests that are skipped.
 const maxSkippedResponses = 2
 
-// readOwnResponse reads the head of the response to a request. On a reused connection, or after
+// readMatchingResponse reads the head of the response to a request. On a reused connection, or after
 // a response to another request was skipped, only a response with the request's attempt id is
 // accepted. On a new connection a response without an id is accepted too, since there is no other
 // request to which it could belong.
@@ -81,7 +81,7 @@
 	return errors.Is(err, io.EOF) && copied < constants.BufferedResponseMax
 }
 
-// hasKnownEnd reports whether the length or the chunked encoding determines where a response
+// hasDelimitedBody reports whether the length or the chunked encoding determines where a response
 // ends. A body that lasts until the connection closes can't be distinguished from a truncated one.
 func hasDelimitedBody(resp *http.Response) bool {
 	return resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
--- a/internal/traffic/proxy/send.go
+++ b/internal/traffic/proxy/send.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// afterBreak handles a connection that broke before any byte of the response arrived.
+// handleBrokenConnection handles a connection that broke before any byte of the response arrived.
 // It returns whether to send the request again to the same worker on a new connection, and
 // otherwise the kind of the error.
 func (s *Sender) handleBrokenConnection(connection *workerconn.Connection, outgoing *Request, evidence Evidence, err error) (retry bool, kind *errs.Kind) {
