--- a/internal/traffic/gateway/clientconn.go
+++ b/internal/traffic/gateway/clientconn.go
@@ -35,8 +35,8 @@
 }
 
 // SetReadDeadline sets the read deadline. A deadline in the future is replaced by the idle or header
-// timeout of the current configuration; a past one is set unchanged. The zero time removes the deadline
-// and ends the idle state.
+// timeout of the current configuration, or removed if that timeout is 0. A past one is set unchanged. The
+// zero time removes the deadline and ends the idle state.
 func (p *clientConn) SetReadDeadline(deadline clock.Time) error {
 	inFuture := clock.IsFuture(deadline)
 	p.hasFutureDeadline.Store(inFuture)
--- a/internal/traffic/gateway/connections.go
+++ b/internal/traffic/gateway/connections.go
@@ -18,10 +18,10 @@
 	// idleTimeout is how long a connection may be idle, and headerTimeout how long receiving a header may
 	// take.
 	idleTimeout, headerTimeout clock.Duration
-	// newestIdleTimeout is the idle timeout of the newest configuration alone.
+	// configuredIdleTimeout is the idle timeout of the newest configuration alone.
 	configuredIdleTimeout clock.Duration
-	// newestHeadBytes is the maximum length of a request head, in bytes, of the newest
-	// configuration alone.
+	// configuredHeadBytes is the maximum length of a request head, in bytes, of the newest configuration
+	// alone.
 	configuredHeadBytes int
 }
 
--- a/internal/traffic/gateway/gateway.go
+++ b/internal/traffic/gateway/gateway.go
@@ -132,7 +132,7 @@
 	}
 	counts := &g.Proxy.Counts
 	g.Node.Log.Info("gateway drained", "served", counts.Served.Load(), "refused", counts.Rejected.Load(), "failed", counts.Failed.Load(),
-		"resumed", counts.Resumed.Load(), "cut", counts.CutOff.Load())
+		"resumed", counts.Resumed.Load(), "cut", counts.Aborted.Load())
 	g.Node.Shutdown()
 	for _, server := range []*http.Server{g.ingressServer.Load(), g.readinessServer.Load()} {
 		if server != nil {
--- a/internal/traffic/gateway/jobcall_test.go
+++ b/internal/traffic/gateway/jobcall_test.go
@@ -20,8 +20,8 @@
 // leaderStub is a store that responds to each call with the name of its job, and counts the submissions
 // that it accepted.
 type leaderStub struct {
-	wire  *transport.TCP
-	lock  sync.Mutex
+	wire     *transport.TCP
+	lock     sync.Mutex
 	accepted map[string]int
 }
 
--- a/internal/traffic/proxy/admit.go
+++ b/internal/traffic/proxy/admit.go
@@ -12,8 +12,7 @@
 	now := clock.Now()
 	left := e.deadline.Sub(now)
 	if e.attempts == 0 {
-		// If the request is rejected within this share of the latency target (a quarter), the client
-		// still has time to try elsewhere.
+		// A rejection within this share of the latency target, a quarter, leaves the client time to retry.
 		timeout := clock.Duration(float64(e.admission.Setpoint) * constants.QueueShare)
 		e.admission.QueueUntil = min(e.arrivedAt.Add(timeout), e.deadline)
 	} else {
--- a/internal/traffic/proxy/begunresponse_test.go
+++ b/internal/traffic/proxy/begunresponse_test.go
@@ -30,8 +30,8 @@
 	})
 	server, proxy := newProxyServer(t, worker)
 	expectWholeStream(t, server)
-	if cut := proxy.Counts.CutOff.Load(); cut != 0 || worker.seen() != 2 {
-		t.Error(cut, worker.seen())
+	if aborted := proxy.Counts.Aborted.Load(); aborted != 0 || worker.seen() != 2 {
+		t.Error(aborted, worker.seen())
 	}
 }
 
@@ -64,10 +64,10 @@
 	server, proxy := newProxyServer(t, newWorkerStub(t, "w1", script), newWorkerStub(t, "w2", script))
 	stop := make(chan struct{})
 	defer close(stop)
-	go clock.Every(constants.PumpPeriod, stop, proxy.Sweep)
+	go clock.Every(constants.PumpPeriod, stop, proxy.PumpQueue)
 	expectWholeStream(t, server)
-	if cut := proxy.Counts.CutOff.Load(); cut != 0 || rejected.Load() != rejectionCount+1 {
-		t.Error(cut, rejected.Load())
+	if aborted := proxy.Counts.Aborted.Load(); aborted != 0 || rejected.Load() != rejectionCount+1 {
+		t.Error(aborted, rejected.Load())
 	}
 }
 
--- a/internal/traffic/proxy/events.go
+++ b/internal/traffic/proxy/events.go
@@ -10,7 +10,8 @@
 type Splitter struct {
 	remainder []byte
 	// Last is the id of the last complete event that had one. It is valid if HasID is set.
-	Last  int64
+	Last int64
+	// HasID is set once a complete event had an id.
 	HasID bool
 	// Next, if above 0, is the id that the first event must have: a resumed stream must continue
 	// with exactly the event after the last one that was forwarded.
@@ -38,12 +39,14 @@
 	return s.takeComplete(end), true
 }
 
+// takeComplete removes the first end bytes from the remainder and returns them.
 func (s *Splitter) takeComplete(end int) []byte {
 	complete := s.remainder[:end:end]
 	s.remainder = append([]byte(nil), s.remainder[end:]...)
 	return complete
 }
 
+// checkID records the id of a complete event, if it has one, and reports whether it is the expected one.
 func (s *Splitter) checkID(event []byte) bool {
 	id, found := eventID(event)
 	if !found {
--- a/internal/traffic/proxy/everybyte_test.go
+++ b/internal/traffic/proxy/everybyte_test.go
@@ -167,11 +167,11 @@
 // byteStep returns the distance between the bytes at which a fault is injected: 1 for a close or a
 // reset of an effectful request, and otherwise more, to save time.
 func byteStep(path string, fault faultrelay.Fault) int {
-	broken := fault == faultrelay.Close || fault == faultrelay.Reset
+	violation := fault == faultrelay.Close || fault == faultrelay.Reset
 	switch {
-	case os.Getenv(everyByte) != "", broken && path == "/once/x":
+	case os.Getenv(everyByte) != "", violation && path == "/once/x":
 		return 1
-	case broken && path == "/rigid/x":
+	case violation && path == "/rigid/x":
 		return 5
 	}
 	return 23
@@ -203,8 +203,8 @@
 					// A network does not deliver the bytes of a connection twice.
 					continue
 				}
-				for _, rested := range connectionCases(i, fault) {
-					cases = append(cases, faultCase{path, rested, strike})
+				for _, reused := range connectionCases(i, fault) {
+					cases = append(cases, faultCase{path, reused, strike})
 				}
 			}
 		}
@@ -214,8 +214,8 @@
 		for _, testCase := range cases {
 			t.Run(testCase.String(), func(t *testing.T) {
 				t.Parallel()
-				if broken := testCase.run(t); broken != "" {
-					t.Error(broken)
+				if violation := testCase.run(t); violation != "" {
+					t.Error(violation)
 				}
 			})
 		}
--- a/internal/traffic/proxy/exchange.go
+++ b/internal/traffic/proxy/exchange.go
@@ -39,8 +39,8 @@
 	hasEvent    bool
 	connection  atomic.Pointer[workerconn.Connection]
 	lastFailure *workerFailure
-	// preempted is set by the scheduler when it preempts the running attempt. requeued is set from
-	// then until the next attempt, and wasPreempted until the end of the request.
+	// preempted is set by the scheduler when it preempts the running attempt. requeued is set from the
+	// end of that attempt to the start of the next, and wasPreempted to the end of the request.
 	preempted    atomic.Bool
 	wasPreempted bool
 	requeued     bool
@@ -199,7 +199,7 @@
 	switch {
 	case e.headSent:
 		// The response has begun: abort it, so that the client sees it as truncated.
-		proxy.Counts.CutOff.Add(1)
+		proxy.Counts.Aborted.Add(1)
 		panic(http.ErrAbortHandler)
 	case e.lastFailure != nil && e.lastFailure.mayBeFinal(e.mayHaveRun):
 		proxy.Counts.Failed.Add(1)
--- a/internal/traffic/proxy/match.go
+++ b/internal/traffic/proxy/match.go
@@ -55,8 +55,8 @@
 }
 
 // hasMergedHead reports whether a truncated head was parsed together with the head of the next response.
-// The merged head would have the status and first headers of the truncated response, but could carry
-// the attempt id of the one that follows, and so be taken for the response to the request.
+// The status and first headers of the truncated response would then be accepted as those of the
+// following response, whose attempt id the merged head carries.
 func hasMergedHead(resp *http.Response) bool {
 	if strings.Contains(resp.Status, statusLinePrefix) || len(resp.Header[headerAttempt]) > 1 {
 		return true
--- a/internal/traffic/proxy/match_test.go
+++ b/internal/traffic/proxy/match_test.go
@@ -71,13 +71,13 @@
 	}
 	resp, body, err := sendRequest(t, server, path, map[string]string{headerAttempt: "probe", headerTimeLeft: "120"})
 	testCase := faultCase{path: path}
-	if broken := testCase.check(first.ran("probe")+second.ran("probe"), resp, body, err); broken != "" {
-		t.Error(broken)
+	if violation := testCase.check(first.ran("probe")+second.ran("probe"), resp, body, err); violation != "" {
+		t.Error(violation)
 	}
 	reused := first.ran("probe") > 0 && first.accepted.Load() == 1
 	next, nextBody, nextErr := sendRequest(t, server, "/safe/x", map[string]string{headerAttempt: "next"})
-	if broken := testCase.checkNext(next, nextBody, nextErr); broken != "" {
-		t.Error(broken)
+	if violation := testCase.checkNext(next, nextBody, nextErr); violation != "" {
+		t.Error(violation)
 	}
 	return reused
 }
--- a/internal/traffic/proxy/preempt_test.go
+++ b/internal/traffic/proxy/preempt_test.go
@@ -11,7 +11,7 @@
 )
 
 // A running stream of lower priority is preempted and must resume within the same response: each
-// event must arrive once, under the first head.
+// event must arrive once, under the first head. A preemption is not a failure of the worker.
 func TestPreemptedStreamResumesInTheSameResponse(t *testing.T) {
 	reached, wait := make(chan struct{}), make(chan struct{})
 	defer close(wait)
--- a/internal/traffic/proxy/proxy.go
+++ b/internal/traffic/proxy/proxy.go
@@ -47,7 +47,7 @@
 
 // Counts are the request counters shown to operators.
 type Counts struct {
-	Served, Rejected, Failed, Resumed, Retried, CutOff atomic.Int64
+	Served, Rejected, Failed, Resumed, Retried, Aborted atomic.Int64
 }
 
 // New returns a proxy that sends requests by sender and batch-job calls by jobs.
@@ -127,8 +127,9 @@
 )
 
 // inboundBody returns the limits for reading the body of a request on a route. The read timeout is
-// the route's cutoff or the client's time left, since a body that is complete only after the client
-// stopped waiting could not be answered any more.
+// the shorter of the route's cutoff and the client's time left, but at least ClientBodyMin: a body that
+// is complete only after the client stopped waiting is of no use, since no response could reach the
+// client in time.
 func inboundBody(config *routeconfig.Config, route *routeconfig.Route, header http.Header) inbound.Body {
 	body := inbound.Body{Limit: config.Limits.BodyBytes, Copies: requestCopies, Timeout: route.Cutoff()}
 	if body.Limit <= 0 {
@@ -179,8 +180,8 @@
 	return e
 }
 
-// Sweep runs the periodic maintenance of the admission queue.
-func (p *Proxy) Sweep() {
+// PumpQueue grants capacity to requests in the admission queue and rejects those that have waited too long.
+func (p *Proxy) PumpQueue() {
 	now := clock.Now()
 	p.Scheduler.Pump(now)
 }
--- a/internal/traffic/proxy/sender.go
+++ b/internal/traffic/proxy/sender.go
@@ -91,7 +91,7 @@
 	s.Pool.Put(response.Connection, response.HTTPResponse)
 }
 
-// Discard closes the connection, on which the worker stops working on the request.
+// Discard closes the connection, which makes the worker stop working on the request.
 func (s *Sender) Discard(response *Response) { s.Pool.Drop(response.Connection) }
 
 // ReadBody reads the body up to a limit in bytes. complete reports that nothing is left to read; if it
--- a/internal/traffic/proxy/silence.go
+++ b/internal/traffic/proxy/silence.go
@@ -12,9 +12,9 @@
 
 // silencePolicy returns the function that decides whether to stop waiting for a worker that has sent
 // nothing for longer than usual. A retryable request goes to another worker, while attempts are left
-// and the service as a whole has not become slow. Any other request keeps waiting, since a silent worker
-// may still respond before the deadline. In both cases the silence is recorded in the worker's health,
-// so that other requests are not sent to it.
+// and the service as a whole has not become slow. Any other request keeps waiting, since silence alone is
+// no reason to end a response before its deadline. In both cases the silence is recorded, so that other
+// requests are not sent to the silent worker.
 func (e *exchange) silencePolicy(grant *admission.Grant) func(elapsed clock.Duration) bool {
 	return func(elapsed clock.Duration) bool {
 		now := clock.Now()
