--- a/internal/traffic/gateway/jobforwarder.go
+++ b/internal/traffic/gateway/jobforwarder.go
@@ -89,7 +89,8 @@
 			received := <-results
 			return received.response, received.err
 		}
-		// The store may have accepted the call, so the outcome is a timeout, which promises nothing.
+		// The store may still respond, and may have accepted the call, so the outcome is a timeout, which
+		// promises nothing.
 		return nil, transport.ErrTimeout.New(address + " lost the leadership")
 	}
 }
