--- a/internal/traffic/gateway/keptconnection_test.go
+++ b/internal/traffic/gateway/keptconnection_test.go
@@ -16,24 +16,24 @@
 	"lemonarch/internal/platform/clock"
 )
 
-// keptServer serves kept connections and knows which requests its handler took.
-type keptServer struct {
+// keepAliveServer serves keep-alive connections and records which requests its handler received.
+type keepAliveServer struct {
 	clients *clientConns
 	server  *http.Server
-	taken   sync.Map
+	handled sync.Map
 	closing atomic.Bool
 }
 
-func newKeptServer(t *testing.T, limits routeconfig.Limits) *keptServer {
+func newKeepAliveServer(t *testing.T, limits routeconfig.Limits) *keepAliveServer {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &keptServer{clients: newClientConns(listener, limits)}
+	s := &keepAliveServer{clients: newClientConns(listener, limits)}
 	s.server = &http.Server{ConnState: trackState, IdleTimeout: time.Minute, ReadHeaderTimeout: time.Minute,
 		Handler: http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-			s.taken.Store(request.URL.Path, true)
+			s.handled.Store(request.URL.Path, true)
 			if s.closing.Load() {
 				writer.Header().Set("Connection", "close")
 			}
@@ -44,22 +44,22 @@
 	return s
 }
 
-// ask sends requests on kept connections until the end, resting between them, and fails where
-// one that was taken got no answer.
-func (s *keptServer) ask(t *testing.T, client int, random *rand.Rand, rest time.Duration, end <-chan struct{}) (answered int) {
+// sendRequests sends requests on a keep-alive connection until end is closed, pausing between them for up
+// to maxPause. It fails the test if a request that the handler received got no complete response.
+func (s *keepAliveServer) sendRequests(t *testing.T, client int, random *rand.Rand, maxPause time.Duration, end <-chan struct{}) (responses int) {
 	t.Helper()
 	var connection net.Conn
 	var reader *bufio.Reader
 	for number := 0; ; number++ {
 		select {
 		case <-end:
-			return answered
+			return responses
 		default:
 		}
 		if connection == nil {
 			var err error
 			if connection, err = net.Dial("tcp4", s.clients.Addr().String()); err != nil {
-				return answered
+				return responses
 			}
 			reader = bufio.NewReader(connection)
 		}
@@ -77,38 +77,38 @@
 			}
 		}
 		if err != nil {
-			if _, taken := s.taken.Load(path); taken {
-				t.Errorf("%s was taken and got no whole answer: %v", path, err)
+			if _, handled := s.handled.Load(path); handled {
+				t.Errorf("%s was handled but got no complete response: %v", path, err)
 			}
 			connection.Close()
 			connection = nil
 			continue
 		}
-		answered++
+		responses++
 		if resp.Close {
 			connection.Close()
 			connection = nil
 		}
-		<-clock.After(time.Duration(random.Int63n(int64(rest))))
+		<-clock.After(time.Duration(random.Int63n(int64(maxPause))))
 	}
 }
 
-// Whatever closes a kept connection, the idle limit, a changed limit, or the end of the process,
-// a request that was taken from it is answered before.
-func TestKeptConnectionsCloseBetweenRequests(t *testing.T) {
+// Keep-alive connections are closed by the idle timeout, by changed limits or by the shutdown. A request
+// that was handled must get its complete response before that.
+func TestKeepAliveConnectionsCloseBetweenRequests(t *testing.T) {
 	const idleMs = 12
-	for _, found := range []struct {
+	for _, testCase := range []struct {
 		what  string
-		close func(s *keptServer)
+		close func(s *keepAliveServer)
 	}{
-		{"idle limit", func(*keptServer) {}},
-		{"changed limits", func(s *keptServer) {
+		{"idle limit", func(*keepAliveServer) {}},
+		{"changed limits", func(s *keepAliveServer) {
 			for i := range 40 {
 				s.clients.setLimits(routeconfig.Limits{IdleMs: float64(1 + i%idleMs), HeaderWaitMs: 3000})
 				<-clock.After(5 * time.Millisecond)
 			}
 		}},
-		{"end of the process", func(s *keptServer) {
+		{"end of the process", func(s *keepAliveServer) {
 			<-clock.After(60 * time.Millisecond)
 			s.closing.Store(true)
 			for end := clock.Now().Add(time.Second); !s.clients.closeIdle() && clock.Now() < end; {
@@ -116,25 +116,25 @@
 			}
 		}},
 	} {
-		t.Run(found.what, func(t *testing.T) {
-			s := newKeptServer(t, routeconfig.Limits{IdleMs: idleMs, HeaderWaitMs: 3000})
+		t.Run(testCase.what, func(t *testing.T) {
+			s := newKeepAliveServer(t, routeconfig.Limits{IdleMs: idleMs, HeaderWaitMs: 3000})
 			end := make(chan struct{})
 			var group sync.WaitGroup
-			var answered atomic.Int64
+			var responses atomic.Int64
 			for client := range 16 {
 				group.Add(1)
 				go func() {
 					defer group.Done()
-					// Rests come close to the limit, on both sides.
-					answered.Add(int64(s.ask(t, client, rand.New(rand.NewSource(int64(client))), 2*idleMs*time.Millisecond, end)))
+					// The pauses are spread around the idle timeout, shorter and longer.
+					responses.Add(int64(s.sendRequests(t, client, rand.New(rand.NewSource(int64(client))), 2*idleMs*time.Millisecond, end)))
 				}()
 			}
-			found.close(s)
+			testCase.close(s)
 			<-clock.After(200 * time.Millisecond)
 			close(end)
 			group.Wait()
-			if answered.Load() < 50 {
-				t.Fatal("too few requests: ", answered.Load())
+			if responses.Load() < 50 {
+				t.Fatal("too few requests got a response: ", responses.Load())
 			}
 		})
 	}
--- a/internal/traffic/proxy/match_test.go
+++ b/internal/traffic/proxy/match_test.go
@@ -12,8 +12,8 @@
 	"lemonarch/internal/traffic/admission"
 )
 
-// staleAnswers are answers that are not the caller's, as they may stand before its own.
-var staleAnswers = map[string]string{
+// staleResponses are responses to other requests that may arrive on a connection before the caller's own.
+var staleResponses = map[string]string{
 	"turned away, unnamed":  "HTTP/1.1 503 Full\r\nLemonarch-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n",
 	"misdirected, unnamed":  "HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n",
 	"idle for too long":     "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
@@ -29,33 +29,33 @@
 		"olHTTP/1.1 200 OK\r\nLemonarch-Server-Seal: old\r\nContent-Length: 3\r\n\r\nold",
 }
 
-// A response that is not the caller's, cut at any byte, stands before its own on a
-// connection that was used before: it is nobody's, whatever it says.
-func TestStaleResponsesAreNobodys(t *testing.T) {
-	var played, rode atomic.Int64
+// A response to another request, truncated at any byte, arrives on a reused connection before the
+// response to the request. It must not be relayed to any client, whatever its content.
+func TestStaleResponsesAreNotRelayed(t *testing.T) {
+	var total, reused atomic.Int64
 	t.Run("cases", func(t *testing.T) {
-		for name, stale := range staleAnswers {
+		for name, stale := range staleResponses {
 			for _, path := range []string{"/once/x", "/rigid/x", "/safe/x", "/stream/x"} {
-				for found := len(stale); found > 0; found -= min(stepOf(path, faultrelay.Drop), 11) {
-					t.Run(fmt.Sprint(name, path, found), func(t *testing.T) {
+				for length := len(stale); length > 0; length -= min(byteStep(path, faultrelay.Drop), 11) {
+					t.Run(fmt.Sprint(name, path, length), func(t *testing.T) {
 						t.Parallel()
-						played.Add(1)
-						if playStale(t, path, stale[:found]) {
-							rode.Add(1)
+						total.Add(1)
+						if runStaleCase(t, path, stale[:length]) {
+							reused.Add(1)
 						}
 					})
 				}
 			}
 		}
 	})
-	// A machine that stands still lets a connection grow too old, but not most of them.
-	if rode.Load()*2 < played.Load() {
-		t.Errorf("only %d of %d requests travelled on a used connection", rode.Load(), played.Load())
+	// If this machine stalls, some connections become too old for reuse, but not most of them.
+	if reused.Load()*2 < total.Load() {
+		t.Errorf("only %d of %d requests used a reused connection", reused.Load(), total.Load())
 	}
 }
 
-// playStale plays one case, and tells whether the request travelled on a used connection.
-func playStale(t *testing.T, path, stale string) bool {
+// runStaleCase runs one case, and reports whether the request was sent on a reused connection.
+func runStaleCase(t *testing.T, path, stale string) bool {
 	t.Helper()
 
 	script := func(_ int, request *http.Request, connection net.Conn) {
@@ -65,33 +65,33 @@
 		serveComplete(0, request, connection)
 	}
 	first, second := newWorkerStub(t, "w1", script), newWorkerStub(t, "w2", serveComplete)
-	server, _ := edge(t, first, second)
-	if _, _, err := ask(t, server, "/safe/x", map[string]string{headerAttempt: "first"}); err != nil {
+	server, _ := newProxyServer(t, first, second)
+	if _, _, err := sendRequest(t, server, "/safe/x", map[string]string{headerAttempt: "first"}); err != nil {
 		t.Fatal(err)
 	}
-	resp, body, err := ask(t, server, path, map[string]string{headerAttempt: "probe", headerTimeLeft: "120"})
-	entry := call{path: path}
-	if broken := entry.judge(first.ran("probe")+second.ran("probe"), resp, body, err); broken != "" {
-		t.Error(broken)
+	resp, body, err := sendRequest(t, server, path, map[string]string{headerAttempt: "probe", headerTimeLeft: "120"})
+	testCase := faultCase{path: path}
+	if violation := testCase.check(first.ran("probe")+second.ran("probe"), resp, body, err); violation != "" {
+		t.Error(violation)
 	}
-	rode := first.ran("probe") > 0 && first.accepted.Load() == 1
-	next, nextBody, nextErr := ask(t, server, "/safe/x", map[string]string{headerAttempt: "next"})
-	if broken := entry.judgeNext(next, nextBody, nextErr); broken != "" {
-		t.Error(broken)
+	reused := first.ran("probe") > 0 && first.accepted.Load() == 1
+	next, nextBody, nextErr := sendRequest(t, server, "/safe/x", map[string]string{headerAttempt: "next"})
+	if violation := testCase.checkNext(next, nextBody, nextErr); violation != "" {
+		t.Error(violation)
 	}
-	return rode
+	return reused
 }
 
-// A worker's own 503 that does not say that it did not run the request is no promise, so
-// it is not passed on as one.
-func TestUnsaidPromiseIsNotMade(t *testing.T) {
+// A worker's 503, 429 or 408 without Lemonarch-Not-Executed does not promise that the request has not
+// run. It must not be relayed, since to the client it would be that promise.
+func TestUnmarked503IsNotRelayed(t *testing.T) {
 	for _, status := range []string{"503 No", "429 No", "408 No"} {
 		for _, path := range []string{"/once/x", "/safe/x"} {
 			worker := newWorkerStub(t, "w1", func(_ int, _ *http.Request, connection net.Conn) {
 				write(connection, "HTTP/1.1 "+status+"\r\nLemonarch-Server-Seal: seal\r\nContent-Length: 0\r\n\r\n")
 			})
-			server, _ := edge(t, worker)
-			resp, _, err := ask(t, server, path, nil)
+			server, _ := newProxyServer(t, worker)
+			resp, _, err := sendRequest(t, server, path, nil)
 			if err != nil || resp.StatusCode != http.StatusBadGateway || resp.Header.Get(headerSeal) != "" {
 				t.Error(path, status, resp, err)
 			}
@@ -99,31 +99,31 @@
 	}
 }
 
-// The same id never travels twice on one connection: a late second response to the first
-// would bear the name of the second.
+// Two requests with the same attempt id must not use one connection: a late second response to the
+// first would carry the id of the second.
 func TestSameIDTakesAnotherConnection(t *testing.T) {
 	worker := newWorkerStub(t, "w1", serveComplete)
-	server, proxy := edge(t, worker)
+	server, proxy := newProxyServer(t, worker)
 	for count := 0; count < 3; count++ {
 		for _, attempt := range []string{"again", fmt.Sprint("other-", count)} {
-			if _, _, err := ask(t, server, "/safe/x", map[string]string{headerAttempt: attempt}); err != nil {
+			if _, _, err := sendRequest(t, server, "/safe/x", map[string]string{headerAttempt: attempt}); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	if opened := proxy.Sender.Pool.Opened.Load(); opened != 3 {
-		t.Error("connections opened: ", opened)
+		t.Error("want 3 connections opened, got ", opened)
 	}
 }
 
-// A request that the connection did not take at all has not run.
-func TestUnsentHasNotRun(t *testing.T) {
+// A request of which the connection accepted no byte must be reported as not sent.
+func TestUnsentRequestIsReportedNotSent(t *testing.T) {
 	worker := newWorkerStub(t, "w1", serveComplete)
-	_, proxy := edge(t, worker)
+	_, proxy := newProxyServer(t, worker)
 	sender := &proxy.Sender
-	granted, _ := proxy.Scheduler.Admit(&admission.Request{Service: "s", Deadline: clock.Now().Add(clock.Milliseconds(1000))}, nil, clock.Now())
+	decision, _ := proxy.Scheduler.Admit(&admission.Request{Service: "s", Deadline: clock.Now().Add(clock.Milliseconds(1000))}, nil, clock.Now())
 	outgoing := &Request{Method: http.MethodPost, Attempt: "probe", Text: []byte("x"), Deadline: clock.Now() - 1}
-	_, evidence, err := sender.RoundTrip(granted.Grant, outgoing)
+	_, evidence, err := sender.RoundTrip(decision.Grant, outgoing)
 	if err == nil || evidence.Sent {
 		t.Fatal(evidence, err)
 	}
