--- a/internal/batch/dispatch/accounting.go
+++ b/internal/batch/dispatch/accounting.go
@@ -5,30 +5,31 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// executorID is one incarnation of an executor that may hold acquisitions.
+// executorID identifies one incarnation of an executor that may own acquisitions.
 type executorID struct {
 	name        string
 	incarnation int64
 }
 
-// RegisterExecutor has an executor's incarnation on record in this epoch before it is handed anything, so
-// that a later leader knows who may hold acquisitions. It gives the index of the
-// record while that is not durable, then zero.
+// RegisterExecutor records an executor's incarnation in this epoch before any item is dispatched to it,
+// so that a later leader knows which executors may own acquisitions. It returns the index of the
+// record while the record is not durable yet, and zero afterwards.
 func (d *Dispatcher) RegisterExecutor(executor Executor) int64 {
-	e := executorID{executor.Name, executor.Incarnation}
-	if d.Jobs.executors[e] == d.epoch {
+	id := executorID{executor.Name, executor.Incarnation}
+	if d.Jobs.executors[id] == d.epoch {
 		return 0
 	}
-	if index := d.registering[e]; index > 0 {
+	if index := d.registering[id]; index > 0 {
 		return index
 	}
 	index := d.Append(messages.Record{Kind: messages.RecordExecutor, Item: executor.Name, AtMs: executor.Incarnation})
-	d.registering[e] = index
+	d.registering[id] = index
 	return index
 }
 
-// ReportedAll notes that an executor has reported to this leader all that it holds, and accepts
-// nothing from earlier leaders any more. Its entries were processed before.
+// ReportedAll marks an executor as accounted for: it has reported all of its acquisitions to this
+// leader and no longer accepts items from earlier leaders. The caller processes the reported
+// acquisitions first. A report for another epoch is ignored.
 func (d *Dispatcher) ReportedAll(executor Executor, epoch uint64, now clock.Instant) {
 	if epoch == d.epoch {
 		delete(d.unaccounted, executorID{executor.Name, executor.Incarnation})
@@ -36,26 +37,27 @@
 	}
 }
 
-// dropOlderIncarnations notes that a newer incarnation of an executor was seen: the older ones hold nothing.
+// dropOlderIncarnations marks the older incarnations of an executor as accounted for once a newer one
+// is seen: their process has ended, so they own no acquisitions.
 func (d *Dispatcher) dropOlderIncarnations(executor Executor, now clock.Instant) {
-	for entrant := range d.unaccounted {
-		if entrant.name == executor.Name && entrant.incarnation < executor.Incarnation {
-			delete(d.unaccounted, entrant)
+	for id := range d.unaccounted {
+		if id.name == executor.Name && id.incarnation < executor.Incarnation {
+			delete(d.unaccounted, id)
 		}
 	}
 	d.updateUncertainty(now)
 }
 
-// updateUncertainty ends the time in which items are perhaps acquired, once every executor that
-// earlier leaders may have handed something is accounted for.
+// updateUncertainty ends the period in which items may still be acquired from earlier leaders, once
+// every executor that may have received items from them is accounted for.
 func (d *Dispatcher) updateUncertainty(now clock.Instant) {
 	if len(d.unaccounted) == 0 {
 		d.uncertainUntil = min(d.uncertainUntil, now)
 	}
 }
 
-// RecordAcquisitionsKnown records, once, that no acquisition of an earlier epoch stands that was not
-// adopted: later leaders need not ask after its executors.
+// RecordAcquisitionsKnown appends, once per epoch, a record that every acquisition of an earlier epoch
+// has either ended or been adopted. Later leaders then need not wait for the executors of those epochs.
 func (d *Dispatcher) RecordAcquisitionsKnown(now clock.Instant) {
 	if d.acquisitionsKnown || now < d.uncertainUntil {
 		return
@@ -64,15 +66,16 @@
 	d.Append(messages.Record{Kind: messages.RecordAcquisitionsKnown})
 }
 
-// addExecutor and clear are how the job table follows them.
+// addExecutor applies a RecordExecutor record.
 func (b *JobTable) addExecutor(record *messages.Record) {
 	b.executors[executorID{record.Item, record.AtMs}] = record.Epoch
 }
 
+// dropExecutorsBefore removes the executors registered in epochs before the given one.
 func (b *JobTable) dropExecutorsBefore(before uint64) {
-	for entrant, epoch := range b.executors {
+	for id, epoch := range b.executors {
 		if epoch < before {
-			delete(b.executors, entrant)
+			delete(b.executors, id)
 		}
 	}
 }
--- a/internal/batch/dispatch/acknowledge.go
+++ b/internal/batch/dispatch/acknowledge.go
@@ -5,124 +5,125 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// AckOutcome is what came of an acknowledgement: the verdict counts once the record at
-// Index is durable; Index 0 needs no record.
+// AckOutcome is the result of an acknowledgement. The verdict may be sent once the record at
+// Index is durable; Index 0 means that no record is needed.
 type AckOutcome struct {
 	Verdict messages.AckVerdict
 	Index   int64
 }
 
-// Acknowledge takes an executor's acknowledgement of one acquisition. A repeat is answered the
-// same as the first.
-func (d *Dispatcher) Acknowledge(executor Executor, entry *messages.Acknowledgement, now clock.Instant) AckOutcome {
-	job := d.Jobs.Job(entry.Job)
+// Acknowledge processes an executor's acknowledgement of one acquisition. A repeated
+// acknowledgement gets the same verdict as the first.
+func (d *Dispatcher) Acknowledge(executor Executor, ack *messages.Acknowledgement, now clock.Instant) AckOutcome {
+	job := d.Jobs.Job(ack.Job)
 	if job == nil {
 		return AckOutcome{Verdict: messages.AckTerminal}
 	}
-	item := job.Item(entry.Item)
+	item := job.Item(ack.Item)
 	if item == nil {
 		return AckOutcome{Verdict: messages.AckTerminal}
 	}
 	switch {
 	case item.Terminal() || item.State == ItemClosing:
-		return d.handleRepeat(item, entry)
+		return d.handleRepeat(item, ack)
 	case job.Ended || d.Ending(job):
 		return AckOutcome{Verdict: messages.AckTerminal}
 	}
-	switch entry.Kind {
+	switch ack.Kind {
 	case messages.AckAccept:
-		return d.accept(item, entry, now)
+		return d.accept(item, ack, now)
 	case messages.AckReject:
-		return d.reject(item, entry)
+		return d.reject(item, ack)
 	case messages.AckRelease:
-		return d.release(item, entry, now)
+		return d.release(item, ack, now)
 	case messages.AckRenew:
-		return d.renew(executor, item, entry, now)
+		return d.renew(executor, item, ack, now)
 	case messages.AckConfirm:
 		return AckOutcome{Verdict: messages.AckOutputNeeded}
 	}
 	return AckOutcome{Verdict: messages.AckUnknown}
 }
 
-// handleRepeat answers for an item whose one result stands or is on its way: whoever
-// brought it is told that it was taken, everybody else that the item is over.
-func (d *Dispatcher) handleRepeat(item *Item, entry *messages.Acknowledgement) AckOutcome {
+// handleRepeat returns the verdict for an item whose result is durable or being made durable. The
+// acquisition that delivered the result gets AckRecorded; any other acquisition gets AckTerminal.
+func (d *Dispatcher) handleRepeat(item *Item, ack *messages.Acknowledgement) AckOutcome {
 	outcome := AckOutcome{Verdict: messages.AckTerminal}
 	if item.State == ItemClosing {
-		outcome.Index = item.closingIndex
+		outcome.Index = item.closingRecordIndex
 	}
-	if item.closedBy == entry.Number && entry.Kind != messages.AckRenew {
+	if item.closedByAcquisition == ack.Number && ack.Kind != messages.AckRenew {
 		outcome.Verdict = messages.AckRecorded
 	}
-	if entry.Kind == messages.AckRenew {
-		// The run must stop at once, whether or not the record is durable yet.
+	if ack.Kind == messages.AckRenew {
+		// The run must stop immediately, whether or not the record is durable yet.
 		outcome = AckOutcome{Verdict: messages.AckStopped}
 	}
-	if outcome.Verdict == messages.AckTerminal && entry.Kind == messages.AckAccept {
+	if outcome.Verdict == messages.AckTerminal && ack.Kind == messages.AckAccept {
 		d.Counts.Late++
 	}
 	return outcome
 }
 
-// accept takes a complete output. The lock decides who may run an item, not whose
-// output counts: also after a lapse the first one to be durable is the item's.
-func (d *Dispatcher) accept(item *Item, entry *messages.Acknowledgement, now clock.Instant) AckOutcome {
+// accept records a complete output. The lock decides which executor may run an item, not whose
+// output counts: even after the lock has expired, the first output that becomes durable is the
+// item's result.
+func (d *Dispatcher) accept(item *Item, ack *messages.Acknowledgement, now clock.Instant) AckOutcome {
 	acquisition := item.acquisition
-	const share = 0.05
-	d.MeanOutputBytes += share * (float64(len(entry.Output)) - d.MeanOutputBytes)
-	if acquisition != nil && acquisition.Number == entry.Number && acquisition.fromStart {
-		d.MeanRunMs += share * (clock.ToMilliseconds(now.Sub(acquisition.startedAt)) - d.MeanRunMs)
+	const smoothing = 0.05
+	d.MeanOutputBytes += smoothing * (float64(len(ack.Output)) - d.MeanOutputBytes)
+	if acquisition != nil && acquisition.Number == ack.Number && acquisition.ranFromStart {
+		d.MeanRunMs += smoothing * (clock.ToMilliseconds(now.Sub(acquisition.startedAt)) - d.MeanRunMs)
 	}
 	d.endAcquisition(acquisition)
 	item.setState(ItemClosing)
 	d.Counts.Completed++
-	d.appendResult(item, entry.Number, entry.Output, entry.Compressed, false)
-	return AckOutcome{Verdict: messages.AckRecorded, Index: item.closingIndex}
+	d.appendResult(item, ack.Number, ack.Output, ack.Compressed, false)
+	return AckOutcome{Verdict: messages.AckRecorded, Index: item.closingRecordIndex}
 }
 
-// reject archives an item that no worker can do.
-func (d *Dispatcher) reject(item *Item, entry *messages.Acknowledgement) AckOutcome {
+// reject abandons an item that a worker rejected as impossible to execute.
+func (d *Dispatcher) reject(item *Item, ack *messages.Acknowledgement) AckOutcome {
 	run := item.Runs
 	d.endAcquisition(item.acquisition)
-	if !d.abandon(item, run, entry.Number) {
+	if !d.abandon(item, run, ack.Number) {
 		return AckOutcome{Verdict: messages.AckUnknown}
 	}
-	return AckOutcome{Verdict: messages.AckRecorded, Index: item.closingIndex}
+	return AckOutcome{Verdict: messages.AckRecorded, Index: item.closingRecordIndex}
 }
 
-// release makes an item available again, with the events that it brings back.
-func (d *Dispatcher) release(item *Item, entry *messages.Acknowledgement, now clock.Instant) AckOutcome {
+// release makes an item available again and keeps the events that the executor returned with it.
+func (d *Dispatcher) release(item *Item, ack *messages.Acknowledgement, now clock.Instant) AckOutcome {
 	outcome := AckOutcome{Verdict: messages.AckRecorded}
 	acquisition := item.acquisition
-	current := acquisition != nil && acquisition.Number == entry.Number
-	// Events also come back late, as long as nobody goes on from fewer.
-	if (current || acquisition == nil) && entry.LastID > item.LastID {
-		item.Events, item.LastID = entry.Events, entry.LastID
+	current := acquisition != nil && acquisition.Number == ack.Number
+	// Late events are kept too, unless another run has already resumed from fewer events.
+	if (current || acquisition == nil) && ack.LastID > item.LastID {
+		item.Events, item.LastID = ack.Events, ack.LastID
 	}
 	if current {
-		if !entry.NotStarted {
+		if !ack.NotStarted {
 			item.Releases++
 			d.Counts.Releases++
 		}
-		if entry.Preempted {
+		if ack.Preempted {
 			item.Preempted++
 			item.OwedResume = true
 		}
 		backoff := retryBackoff(1)
-		if !entry.Preempted && !entry.NotStarted {
+		if !ack.Preempted && !ack.NotStarted {
 			backoff = retryBackoff(item.Releases - item.Preempted)
 		}
 		d.requeue(acquisition, backoff, now)
 	}
-	if entry.Failed {
-		outcome.Index = d.failed(item, entry.Number)
+	if ack.Failed {
+		outcome.Index = d.recordFailure(item, ack.Number)
 	}
 	return outcome
 }
 
-// failed counts a 500, durably and once, and archives the item when its tries are
-// spent; the record of the count stands before that of the end.
-func (d *Dispatcher) failed(item *Item, number uint64) int64 {
+// recordFailure counts a 500 response durably, once per acquisition, and abandons the item when
+// its attempts are exhausted. The record of the failure precedes the record that ends the item.
+func (d *Dispatcher) recordFailure(item *Item, number uint64) int64 {
 	if !item.countFailure(number) {
 		return 0
 	}
@@ -130,27 +131,27 @@
 	index := d.Append(messages.Record{Kind: messages.RecordItemError, Job: item.Job.ID, Item: item.ID, Acquisition: number})
 	if len(item.FailedBy) >= d.Attempts(item) && item.State == ItemAvailable {
 		d.abandon(item, 0, number)
-		return item.closingIndex
+		return item.closingRecordIndex
 	}
 	return index
 }
 
-// renew lets a lock run anew. After a takeover an executor shows its acquisition by
-// it, and the new leader adopts it.
-func (d *Dispatcher) renew(executor Executor, item *Item, entry *messages.Acknowledgement, now clock.Instant) AckOutcome {
+// renew extends the lock of an acquisition by its full duration. After a takeover, executors report
+// their acquisitions by renewing them, and the new leader adopts the acquisitions.
+func (d *Dispatcher) renew(executor Executor, item *Item, ack *messages.Acknowledgement, now clock.Instant) AckOutcome {
 	acquisition := item.acquisition
-	if acquisition == nil || acquisition.Number != entry.Number {
-		// Of two that were handed out by earlier leaders the later number is the one
-		// that stands: the other's lock has lapsed.
-		adopt := d.maybeAcquired(item, now) && EpochOf(entry.Number) < d.epoch &&
-			(acquisition == nil || acquisition.Number < entry.Number)
+	if acquisition == nil || acquisition.Number != ack.Number {
+		// If earlier leaders dispatched the item twice, the acquisition with the higher number is
+		// valid: the lock of the other one has expired.
+		adopt := d.maybeAcquired(item, now) && EpochOf(ack.Number) < d.epoch &&
+			(acquisition == nil || acquisition.Number < ack.Number)
 		if !adopt {
 			return AckOutcome{Verdict: messages.AckStopped}
 		}
 		if acquisition != nil {
 			d.requeue(acquisition, 0, now)
 		}
-		if acquisition = d.grant(item, executor, entry.Number, now); acquisition == nil {
+		if acquisition = d.grant(item, executor, ack.Number, now); acquisition == nil {
 			return AckOutcome{Verdict: messages.AckStopped}
 		}
 		d.RegisterExecutor(executor)
--- a/internal/batch/dispatch/acquire.go
+++ b/internal/batch/dispatch/acquire.go
@@ -7,41 +7,43 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// JobTerms is what the configuration says of a job at this moment.
+// JobTerms is the scheduling state of a job under the current configuration.
 type JobTerms struct {
-	// Due is when its results are due, in ms of the time of day.
+	// Due is when the job's results are due, in milliseconds of wall-clock time.
 	Due int64
-	// Overdue: it can't be in time any more, however soon it is run.
+	// Overdue reports that the job can no longer meet its due time, however soon it runs.
 	Overdue bool
-	// Expired: its route is gone, or its retain-s has passed.
+	// Expired reports that the job's route was removed or its retain-s has passed.
 	Expired bool
 }
 
-// AcquireOptions is what an executor asks for.
+// AcquireOptions are the parameters of an executor's acquire request.
 type AcquireOptions struct {
 	Executor Executor
-	// Capacity is how many free slots the executor has at each service.
+	// Capacity is the number of free slots of the executor, by service. Acquire decrements it.
 	Capacity map[string]int
-	// Terms gives the terms of a job, Service the service of an item.
-	Terms   func(job *Job) JobTerms
+	// Terms returns the current terms of a job.
+	Terms func(job *Job) JobTerms
+	// Service returns the service that runs an item.
 	Service func(item *Item) string
 }
 
-// prefixOwner is the executor that a shared prefix was handed to last.
+// prefixOwner is the executor that most recently acquired an item with a shared prefix.
 type prefixOwner struct {
-	executor string
-	at       clock.Instant
+	executor   string
+	assignedAt clock.Instant
 }
 
-// candidatesPerSlot is how many candidates are weighed for each place (ours): among
-// those due soonest, items whose shared prefix the executor has come first.
+// candidatesPerSlot is how many candidates are considered for each free slot. Among these, the ones
+// due soonest, items whose shared prefix the executor already has come first.
 const candidatesPerSlot = 4
 
-// prefixOwnersLimit bounds what is remembered of prefixes (ours).
+// prefixOwnersLimit bounds the number of entries in Dispatcher.prefixOwners, which is cleared when full.
 const prefixOwnersLimit = 4096
 
-// Acquire hands out items by due time, those that can still be in time first, and
-// among those due soonest the ones whose shared prefix the executor had before.
+// Acquire dispatches items in order of due time, jobs that can still meet theirs first. Among the
+// items due soonest it prefers those whose shared prefix the executor acquired before. It returns
+// nil while the executor's registration is not durable.
 func (d *Dispatcher) Acquire(options *AcquireOptions, now clock.Instant) []*Acquisition {
 	if d.RegisterExecutor(options.Executor) > 0 {
 		return nil
@@ -50,16 +52,16 @@
 	for _, count := range options.Capacity {
 		freeCapacity += count
 	}
-	var taken []*Acquisition
+	var acquired []*Acquisition
 	bytes := int64(0)
 	order := d.rank(options.Terms, now)
-	for _, part := range [][]dueJob{order.inTime, order.overdue} {
+	for _, jobs := range [][]dueJob{order.inTime, order.overdue} {
 		if freeCapacity == 0 {
 			break
 		}
-		for _, item := range d.candidates(part, options, freeCapacity*candidatesPerSlot, now) {
+		for _, item := range d.candidates(jobs, options, freeCapacity*candidatesPerSlot, now) {
 			if freeCapacity == 0 || bytes >= constants.AcquireBytes {
-				return taken
+				return acquired
 			}
 			service := options.Service(item)
 			if options.Capacity[service] == 0 {
@@ -74,48 +76,48 @@
 			bytes += item.InputBytes()
 			d.Counts.Deliveries++
 			d.assignPrefix(item, options.Executor.Name, now)
-			taken = append(taken, acquisition)
+			acquired = append(acquired, acquisition)
 		}
 	}
-	return taken
+	return acquired
 }
 
-// candidates gives the free items due soonest, the executor's own prefixes first, so
-// that shared parts are read by few workers. No item is kept for an executor: a place
-// that stands empty meanwhile cost more than the reading (measured).
+// candidates returns the available items due soonest. Items that have waited for PrefixWait come
+// first, then those whose prefix the executor owns, so that few workers compute each shared prefix.
+// No item is reserved for an executor: leaving a slot idle costs more than computing the prefix again.
 func (d *Dispatcher) candidates(jobs []dueJob, options *AcquireOptions, limit int, now clock.Instant) []*Item {
-	var first, own, others []*Item
-	found := func() int { return len(first) + len(own) + len(others) }
-	for _, job := range jobs {
-		if found() >= limit {
+	var skippedLong, ownPrefix, others []*Item
+	count := func() int { return len(skippedLong) + len(ownPrefix) + len(others) }
+	for _, due := range jobs {
+		if count() >= limit {
 			break
 		}
-		if !d.mayDispatch(job.job, options, now) {
+		if !d.mayDispatch(due.job, options, now) {
 			continue
 		}
-		job.job.eachAvailable(func(item *Item) bool {
+		due.job.eachAvailable(func(item *Item) bool {
 			if !d.available(item, now) {
 				return true
 			}
 			if item.skippedSince == 0 {
 				item.skippedSince = now
 			}
-			switch at, known := d.prefixOwners[prefixOf(item)]; {
+			switch owner, known := d.prefixOwners[sharedPrefixOf(item)]; {
 			case now.Sub(item.skippedSince) >= constants.PrefixWait:
-				// Passed over long enough: the executor that has its prefix may have no free slot.
-				first = append(first, item)
-			case known && at.executor == options.Executor.Name:
-				own = append(own, item)
+				// The item has been skipped for long enough: the executor that owns its prefix may have no free slot.
+				skippedLong = append(skippedLong, item)
+			case known && owner.executor == options.Executor.Name:
+				ownPrefix = append(ownPrefix, item)
 			default:
 				others = append(others, item)
 			}
-			return found() < limit
+			return count() < limit
 		})
 	}
-	return append(append(first, own...), others...)
+	return append(append(skippedLong, ownPrefix...), others...)
 }
 
-// mayDispatch tells whether items of a job may be handed out now.
+// mayDispatch reports whether items of a job may be dispatched now.
 func (d *Dispatcher) mayDispatch(job *Job, options *AcquireOptions, now clock.Instant) bool {
 	if job.available.count == 0 || !job.Open() || d.Jobs.Job(job.ID) != job || d.Ending(job) {
 		return false
@@ -126,26 +128,29 @@
 	return !options.Terms(job).Expired
 }
 
+// assignPrefix makes an executor the owner of an item's shared prefix, unless another executor
+// acquired an item with the prefix within PrefixStale.
 func (d *Dispatcher) assignPrefix(item *Item, executor string, now clock.Instant) {
-	prefix := prefixOf(item)
+	prefix := sharedPrefixOf(item)
 	if prefix == "" {
 		return
 	}
 	if len(d.prefixOwners) >= prefixOwnersLimit {
 		d.prefixOwners = map[string]prefixOwner{}
 	}
-	at, known := d.prefixOwners[prefix]
-	if !known || at.executor == executor || now.Sub(at.at) >= constants.PrefixStale {
+	owner, known := d.prefixOwners[prefix]
+	if !known || owner.executor == executor || now.Sub(owner.assignedAt) >= constants.PrefixStale {
 		d.prefixOwners[prefix] = prefixOwner{executor, now}
 	}
 }
 
-// prefixOf names the shared part of an item's prompt: all parts but its own last.
-func prefixOf(item *Item) string {
-	parts := item.Headers["Lemonarch-Prompt-Prefix"]
-	at := strings.LastIndexByte(parts, ',')
-	if at < 0 {
+// sharedPrefixOf returns the shared part of an item's prompt prefix: every segment but the last,
+// which is the item's own. It returns an empty string if there is no shared segment.
+func sharedPrefixOf(item *Item) string {
+	segments := item.Headers["Lemonarch-Prompt-Prefix"]
+	comma := strings.LastIndexByte(segments, ',')
+	if comma < 0 {
 		return ""
 	}
-	return parts[:at]
+	return segments[:comma]
 }
--- a/internal/batch/dispatch/acquisition.go
+++ b/internal/batch/dispatch/acquisition.go
@@ -4,7 +4,7 @@
 	"lemonarch/internal/platform/clock"
 )
 
-// Executor is a process that runs items, in one incarnation.
+// Executor is one incarnation of a process that runs items.
 type Executor struct {
 	Name        string
 	Incarnation int64
@@ -12,27 +12,28 @@
 	Zone        string
 }
 
-// Acquisition is one item with one executor, for the length of a lock.
+// Acquisition is the exclusive right of one executor to run one item while its lock lasts.
 type Acquisition struct {
-	// Number is unique over all epochs.
+	// Number is unique across all epochs: the epoch in the high bits, a serial number in the low ones.
 	Number    uint64
 	Executor  Executor
 	Item      *Item
 	run       int
 	startedAt clock.Instant
 	expiresAt clock.Instant
-	// fromStart says that the run began at the first event, so that its time teaches.
-	fromStart bool
+	// ranFromStart reports that the run began at the first event, so that its duration counts
+	// towards Dispatcher.MeanRunMs.
+	ranFromStart bool
 }
 
-// serialBits is the part of an acquisition number that counts within an epoch.
+// serialBits is the width of the part of an acquisition number that counts within an epoch.
 const serialBits = 40
 
-// EpochOf gives the epoch in which an acquisition was handed out.
+// EpochOf returns the epoch in which the acquisition with a number was granted.
 func EpochOf(number uint64) uint64 { return number >> serialBits }
 
-// grant acquires an item for an executor; the number is new, or one that its executor
-// has shown after a takeover.
+// grant acquires an item for an executor. Number is zero for a new acquisition, or the number that
+// the executor reported after a takeover. It returns nil if the item can't be run.
 func (d *Dispatcher) grant(item *Item, executor Executor, number uint64, now clock.Instant) *Acquisition {
 	fresh := item.LastID == 0 && number == 0
 	run := item.StartRun()
@@ -43,13 +44,13 @@
 		d.serial++
 		number = d.epoch<<serialBits | d.serial
 	}
-	acquisition := &Acquisition{Number: number, Executor: executor, Item: item, run: run, startedAt: now, expiresAt: now.Add(d.Lock), fromStart: fresh}
+	acquisition := &Acquisition{Number: number, Executor: executor, Item: item, run: run, startedAt: now, expiresAt: now.Add(d.Lock), ranFromStart: fresh}
 	item.acquisition, item.skippedSince = acquisition, 0
 	d.inFlight[number] = acquisition
 	return acquisition
 }
 
-// endAcquisition ends an acquisition, whatever comes next.
+// endAcquisition removes an acquisition, which may be nil. The caller sets the item's next state.
 func (d *Dispatcher) endAcquisition(acquisition *Acquisition) {
 	if acquisition == nil {
 		return
@@ -60,7 +61,7 @@
 	}
 }
 
-// requeue makes an item available again after a pause.
+// requeue ends an acquisition and makes its item available again after a backoff.
 func (d *Dispatcher) requeue(acquisition *Acquisition, backoff clock.Duration, now clock.Instant) {
 	d.endAcquisition(acquisition)
 	acquisition.Item.Requeue(acquisition.run)
--- a/internal/batch/dispatch/available.go
+++ b/internal/batch/dispatch/available.go
@@ -12,8 +12,8 @@
 // bitsPerWord is how many items one word of an availableSet covers.
 const bitsPerWord = 64
 
-// availableSet holds the places of a job's items that are in ItemAvailable, so that
-// nobody has to walk the others. Its zero value is an empty set of no places.
+// availableSet is a bit set of the positions of a job's items that are in ItemAvailable, so that
+// a search need not visit the other items. Its zero value is an empty set of capacity zero.
 type availableSet struct {
 	words []uint64
 	count int
@@ -23,7 +23,7 @@
 	return availableSet{words: make([]uint64, (items+bitsPerWord-1)/bitsPerWord)}
 }
 
-// set puts a place in or takes it out.
+// set adds a position to the set or removes it. A position beyond the capacity is ignored.
 func (a *availableSet) set(i int, in bool) {
 	word, bit := i/bitsPerWord, uint64(1)<<(i%bitsPerWord)
 	if word >= len(a.words) || (a.words[word]&bit != 0) == in {
@@ -37,32 +37,32 @@
 	}
 }
 
-// each visits the places in order until visit says stop.
+// each visits the positions in ascending order until visit returns false.
 func (a *availableSet) each(visit func(i int) bool) {
-	for word, left := range a.words {
-		for ; left != 0; left &= left - 1 {
-			if !visit(word*bitsPerWord + bits.TrailingZeros64(left)) {
+	for word, remaining := range a.words {
+		for ; remaining != 0; remaining &= remaining - 1 {
+			if !visit(word*bitsPerWord + bits.TrailingZeros64(remaining)) {
 				return
 			}
 		}
 	}
 }
 
-// setState changes an item's state; its job follows which items are available and how
-// many tokens wait.
+// setState changes an item's state and updates its job's set of available items and its count
+// of waiting tokens.
 func (i *Item) setState(state ItemState) {
-	waited := i.Unfinished()
+	wasUnfinished := i.Unfinished()
 	i.State = state
 	i.Job.available.set(i.position, state == ItemAvailable)
-	switch waits := i.Unfinished(); {
-	case waited && !waits:
+	switch unfinished := i.Unfinished(); {
+	case wasUnfinished && !unfinished:
 		i.Job.waitingTokens -= i.Tokens
-	case !waited && waits:
+	case !wasUnfinished && unfinished:
 		i.Job.waitingTokens += i.Tokens
 	}
 }
 
-// eachAvailable visits the available items of a job in order until visit says stop.
+// eachAvailable visits the available items of a job in order until visit returns false.
 func (l *Job) eachAvailable(visit func(item *Item) bool) {
 	l.available.each(func(i int) bool { return visit(l.Items[i]) })
 }
@@ -73,34 +73,34 @@
 	due int64
 }
 
-// dueOrder is the order in which open jobs are handed out: those that can still be in
-// time first, each part by due time. Sorting all jobs on every request would cost
-// more than the items that it hands out, so the order is kept for RankPeriod; jobs
-// that come meanwhile are put in place. Whether a job may be handed out at all is
-// asked anew for each job that is visited.
+// dueOrder is the order in which the items of open jobs are dispatched: jobs that can still meet
+// their due time first, then the overdue ones, each list sorted by due time. Sorting all jobs on
+// every request would cost more than dispatching the items, so the order is reused for RankPeriod
+// and new jobs are inserted in the meantime. Whether a job may be dispatched at all is checked
+// on every visit.
 type dueOrder struct {
 	inTime, overdue []dueJob
-	at              clock.Instant
+	rankedAt        clock.Instant
 	ranked          bool
 }
 
-// rank brings the order up to date.
+// rank returns the current dispatch order, sorting it again if it is older than RankPeriod.
 func (d *Dispatcher) rank(terms func(job *Job) JobTerms, now clock.Instant) *dueOrder {
 	order := &d.order
-	if order.ranked && now.Sub(order.at) < constants.RankPeriod {
-		for _, job := range d.Jobs.takeUnranked() {
+	if order.ranked && now.Sub(order.rankedAt) < constants.RankPeriod {
+		for _, job := range d.Jobs.drainUnranked() {
 			order.insert(job, terms(job))
 		}
 		return order
 	}
-	d.Jobs.takeUnranked()
-	*order = dueOrder{inTime: order.inTime[:0], overdue: order.overdue[:0], at: now, ranked: true}
+	d.Jobs.drainUnranked()
+	*order = dueOrder{inTime: order.inTime[:0], overdue: order.overdue[:0], rankedAt: now, ranked: true}
 	for _, job := range d.Jobs.openJobs() {
-		found := terms(job)
-		if found.Overdue {
-			order.overdue = append(order.overdue, dueJob{job, found.Due})
+		jobTerms := terms(job)
+		if jobTerms.Overdue {
+			order.overdue = append(order.overdue, dueJob{job, jobTerms.Due})
 		} else {
-			order.inTime = append(order.inTime, dueJob{job, found.Due})
+			order.inTime = append(order.inTime, dueJob{job, jobTerms.Due})
 		}
 	}
 	byDue := func(left, right dueJob) int { return int(min(max(left.due-right.due, -1), 1)) }
@@ -109,33 +109,32 @@
 	return order
 }
 
-// insert puts a new job behind those that are due no later.
+// insert adds a new job after all jobs with the same or an earlier due time.
 func (r *dueOrder) insert(job *Job, terms JobTerms) {
-	part := &r.inTime
+	list := &r.inTime
 	if terms.Overdue {
-		part = &r.overdue
+		list = &r.overdue
 	}
-	i := sort.Search(len(*part), func(i int) bool { return (*part)[i].due > terms.Due })
-	*part = slices.Insert(*part, i, dueJob{job, terms.Due})
+	i := sort.Search(len(*list), func(i int) bool { return (*list)[i].due > terms.Due })
+	*list = slices.Insert(*list, i, dueJob{job, terms.Due})
 }
 
-// openJobs gives the jobs with items to run, the order in which they came kept, and
-// forgets the others.
+// openJobs returns the open jobs in order of arrival and drops all others from openCandidates.
 func (b *JobTable) openJobs() []*Job {
-	retained := b.opened[:0]
-	for _, job := range b.opened {
+	retained := b.openCandidates[:0]
+	for _, job := range b.openCandidates {
 		if job.Open() && b.jobs[job.ID] == job {
 			retained = append(retained, job)
 		}
 	}
-	clear(b.opened[len(retained):])
-	b.opened = retained
+	clear(b.openCandidates[len(retained):])
+	b.openCandidates = retained
 	return retained
 }
 
-// takeUnranked gives the jobs that came since it was asked last.
-func (b *JobTable) takeUnranked() []*Job {
-	fresh := b.unranked
+// drainUnranked returns the jobs that were added since the previous call.
+func (b *JobTable) drainUnranked() []*Job {
+	added := b.unranked
 	b.unranked = nil
-	return fresh
+	return added
 }
--- a/internal/batch/dispatch/dispatcher.go
+++ b/internal/batch/dispatch/dispatcher.go
@@ -1,13 +1,13 @@
 // Package dispatch decides which executor may run an item of a batch job now, without I/O.
 //
-// JobTable is what the committed records say: jobs, their items, and the position of each
-// result. Dispatcher is a share group over it: an executor acquires items under a lock that
-// it renews, and acknowledges each with an output, a rejection or a release. Acquisitions
-// are soft state; only results, counted failures and ends of jobs are records. A new
-// leader treats every unfinished item of earlier jobs as perhaps acquired until each
-// executor has reported what it holds, or one lock duration has passed, so that no item
-// runs twice at a time across a takeover. docs/design.md names the source and what was
-// changed.
+// JobTable is the state derived from the committed records: jobs, their items, and the position of
+// each result. Dispatcher is a share group over the table: an executor acquires items under a lock
+// that it renews, and acknowledges each with an output, a rejection or a release. Acquisitions
+// are soft state; only results, counted failures and ends of jobs are recorded. A new
+// leader treats every unfinished item of earlier jobs as possibly acquired until each
+// executor has reported its acquisitions, or one lock duration has passed, so that no two runs
+// of an item overlap across a takeover. docs/design.md names the source of the protocol and the
+// changes made to it.
 package dispatch
 
 import (
@@ -17,22 +17,23 @@
 )
 
 // Dispatcher decides which executor may run an item now. It is a share group over the job
-// table: acquisitions are soft state, terminal states are records. It is not safe for
-// concurrent use: its owner guards it with a lock and gives it the time and a way to
-// append records. Several can live in one process, each with a table of its own.
+// table: acquisitions are soft state, terminal states are recorded. It is not safe for
+// concurrent use: the caller guards it with a lock, passes in the current time and provides
+// Append. A process may have several dispatchers, each with a job table of its own.
 type Dispatcher struct {
 	Jobs *JobTable
-	// Lock is how long an acquisition stands without an acknowledgement.
+	// Lock is how long an acquisition stays valid without a renewal.
 	Lock clock.Duration
-	// Ending tells whether a job's end is on its way: nothing of it is acquired.
+	// Ending reports whether the record that ends a job is being made durable. Items of such a job
+	// are not dispatched. Default: always false.
 	Ending func(job *Job) bool
-	// Append has a record made durable and gives its index.
+	// Append submits a record to be made durable and returns its index.
 	Append func(record messages.Record) int64
-	// Attempts is how many answers of 500 end an item.
+	// Attempts returns how many responses of status 500 end an item. Default: 1.
 	Attempts func(item *Item) int
-	// MeanRunMs is the usual time of a whole run.
+	// MeanRunMs is the moving average of the duration of a complete run, in milliseconds.
 	MeanRunMs float64
-	// MeanOutputBytes is the usual length of an output as it is kept.
+	// MeanOutputBytes is the moving average of the length of an output as stored, in bytes.
 	MeanOutputBytes float64
 	Counts          Counts
 
@@ -40,29 +41,29 @@
 	serial   uint64
 	inFlight map[uint64]*Acquisition
 	// firstIndex is the index of the first record of this epoch: items of earlier jobs
-	// may be with executors until uncertainUntil.
+	// may still be acquired by executors until uncertainUntil.
 	firstIndex     int64
 	uncertainUntil clock.Instant
 	startedAt      clock.Instant
 	prefixOwners   map[string]prefixOwner
 	order          dueOrder
-	// executors are those that were in contact lately; version counts their changes.
+	// executors are those with contact within ExecutorTimeout, by name; version counts the changes of this set.
 	executors map[string]*executorState
 	version   uint64
-	// registering are executors whose record is on its way; unaccounted are those of earlier
-	// epochs that have not reported what they hold.
+	// registering maps executors to the index of their registration record, which may not be durable yet.
+	// unaccounted are the executors of earlier epochs that have not reported their acquisitions.
 	registering       map[executorID]int64
 	unaccounted       map[executorID]bool
 	acquisitionsKnown bool
 }
 
-// Counts are for the operator.
+// Counts are the dispatcher's event counters, for reports to the operator.
 type Counts struct {
 	Deliveries, Lapses, Releases, Failures, Renewals, Adopted, Completed, Abandoned, Late int64
 }
 
-// LockDuration is how long an acquisition stands, worked out from cancel-ms, which is zero
-// where the settings do not state it.
+// LockDuration returns how long an acquisition stays valid without a renewal, derived from the
+// setting cancel-ms, which is zero if it is not set.
 func LockDuration(cancelMs float64) clock.Duration {
 	if cancelMs <= 0 {
 		return constants.LockUnstated
@@ -70,55 +71,56 @@
 	return min(constants.LockMax, clock.Milliseconds(constants.LockShare*cancelMs))
 }
 
-// NewDispatcher starts the dispatcher of an epoch. Jobs with records before the
-// index may be acquired from earlier leaders until a lock length after the instant
-// at which the last of them can have handed anything out.
-func NewDispatcher(jobs *JobTable, epoch uint64, before int64, lock clock.Duration, taken clock.Instant) *Dispatcher {
-	dispatcher := &Dispatcher{Jobs: jobs, Lock: lock, epoch: epoch, firstIndex: before, uncertainUntil: taken.Add(lock), startedAt: taken,
+// NewDispatcher returns the dispatcher of an epoch. Items of jobs recorded before the index
+// firstIndex may be acquired from earlier leaders until one lock duration after startedAt, the
+// latest instant at which an earlier leader can have dispatched an item.
+func NewDispatcher(jobs *JobTable, epoch uint64, firstIndex int64, lock clock.Duration, startedAt clock.Instant) *Dispatcher {
+	dispatcher := &Dispatcher{Jobs: jobs, Lock: lock, epoch: epoch, firstIndex: firstIndex, uncertainUntil: startedAt.Add(lock), startedAt: startedAt,
 		inFlight: map[uint64]*Acquisition{}, prefixOwners: map[string]prefixOwner{}, executors: map[string]*executorState{},
 		registering: map[executorID]int64{}, unaccounted: map[executorID]bool{}, MeanOutputBytes: constants.OutputBytesGuess,
 		Ending: func(*Job) bool { return false }, Attempts: func(*Item) int { return 1 }}
-	for each := range jobs.executors {
-		dispatcher.unaccounted[each] = true
+	for id := range jobs.executors {
+		dispatcher.unaccounted[id] = true
 	}
-	dispatcher.updateUncertainty(taken)
+	dispatcher.updateUncertainty(startedAt)
 	return dispatcher
 }
 
-// InFlight is how many acquisitions stand.
+// InFlight returns the number of current acquisitions.
 func (d *Dispatcher) InFlight() int { return len(d.inFlight) }
 
-// Holding lists the executors that hold acquisitions of a job.
-func (d *Dispatcher) Holding(job *Job) []Executor {
+// ExecutorsOf returns the executors that own acquisitions of a job's items.
+func (d *Dispatcher) ExecutorsOf(job *Job) []Executor {
 	var executors []Executor
-	known := map[Executor]bool{}
+	seen := map[Executor]bool{}
 	for _, item := range job.Items {
-		if item.acquisition != nil && !known[item.acquisition.Executor] {
-			known[item.acquisition.Executor] = true
+		if item.acquisition != nil && !seen[item.acquisition.Executor] {
+			seen[item.acquisition.Executor] = true
 			executors = append(executors, item.acquisition.Executor)
 		}
 	}
 	return executors
 }
 
-// StartedAt is when this dispatcher's leader took the leadership.
+// StartedAt returns the instant at which this dispatcher's leader took over the leadership.
 func (d *Dispatcher) StartedAt() clock.Instant { return d.startedAt }
 
-// Uncertain tells whether earlier leaders' acquisitions may still stand somewhere.
+// Uncertain reports whether executors may still own acquisitions from earlier leaders that this leader does not know of.
 func (d *Dispatcher) Uncertain(now clock.Instant) bool { return now < d.uncertainUntil }
 
-// maybeAcquired tells whether an earlier leader may have handed the item out.
+// maybeAcquired reports whether an executor may still own the item through an earlier leader.
 func (d *Dispatcher) maybeAcquired(item *Item, now clock.Instant) bool {
 	return item.Job.Index < d.firstIndex && now < d.uncertainUntil
 }
 
-// available tells whether an item may be acquired now.
+// available reports whether an item may be acquired now.
 func (d *Dispatcher) available(item *Item, now clock.Instant) bool {
 	return item.State == ItemAvailable && item.acquisition == nil && now >= item.availableAt && !d.maybeAcquired(item, now)
 }
 
-// ExpireLocks makes items available whose lock ran out unacknowledged. A lapse never ends
-// an item: it waits longer each time, so that one that kills executors costs little.
+// ExpireLocks makes items available whose lock expired without an acknowledgement, and returns how
+// many there were. An expired lock never ends an item. Its backoff grows with each expiry instead,
+// so that an item that crashes executors does little damage.
 func (d *Dispatcher) ExpireLocks(now clock.Instant) int {
 	count := 0
 	for _, acquisition := range d.inFlight {
@@ -133,16 +135,16 @@
 	return count
 }
 
-// retryBackoff is the pause after so many lapses or releases.
+// retryBackoff returns the backoff after a number of lock expiries or releases. It doubles up to five times.
 func retryBackoff(count int) clock.Duration {
 	const doublings = 5
 	return constants.ItemRetryBackoff << min(max(count-1, 0), doublings)
 }
 
-// StopJob ends all acquisitions of a job whose end is decided, and names the executors
-// that have to stop.
+// StopJob ends all acquisitions of a job that is being ended, and returns the executors that
+// have to stop their runs.
 func (d *Dispatcher) StopJob(job *Job) []Executor {
-	executors := d.Holding(job)
+	executors := d.ExecutorsOf(job)
 	for _, item := range job.Items {
 		if acquisition := item.acquisition; acquisition != nil {
 			d.endAcquisition(acquisition)
@@ -152,21 +154,22 @@
 	return executors
 }
 
-// AbandonExpired archives what waits and has come to a terminal ground: its route is gone
-// or its retain-s is over, as the terms of its job say, or its tries are spent.
+// AbandonExpired abandons the available items that can no longer be run: the job's terms have expired
+// (its route was removed or its retain-s has passed), or the item's attempts are exhausted. It returns
+// the number of items abandoned.
 func (d *Dispatcher) AbandonExpired(terms func(job *Job) JobTerms, now clock.Instant) int {
 	count := 0
 	for _, job := range d.Jobs.openJobs() {
 		if d.Ending(job) {
 			continue
 		}
-		over := terms(job).Expired
+		expired := terms(job).Expired
 		job.eachAvailable(func(item *Item) bool {
-			// A complete output that an executor may still bring is an output.
+			// An executor that may own the item may still deliver a complete output, which counts.
 			if d.maybeAcquired(item, now) {
 				return true
 			}
-			if over || (len(item.FailedBy) > 0 && len(item.FailedBy) >= d.Attempts(item)) {
+			if expired || (len(item.FailedBy) > 0 && len(item.FailedBy) >= d.Attempts(item)) {
 				d.abandon(item, 0, 0)
 				count++
 			}
@@ -176,7 +179,7 @@
 	return count
 }
 
-// abandon ends an item with the result that it is abandoned.
+// abandon ends an item with the result that it is abandoned. It returns false if the item or the run is not current.
 func (d *Dispatcher) abandon(item *Item, run int, number uint64) bool {
 	if !item.Abandon(run) {
 		return false
@@ -186,12 +189,12 @@
 	return true
 }
 
-// appendResult submits the one terminal record of an item, at the next position.
+// appendResult submits the single terminal record of an item, at the next position of its job.
 func (d *Dispatcher) appendResult(item *Item, number uint64, output []byte, compressed, abandoned bool) {
 	job := item.Job
 	position := len(job.Listings) + job.pendingListings
 	job.pendingListings++
-	item.closedBy = number
-	item.closingIndex = d.Append(messages.Record{Kind: messages.RecordOutput, Job: job.ID, Item: item.ID,
+	item.closedByAcquisition = number
+	item.closingRecordIndex = d.Append(messages.Record{Kind: messages.RecordOutput, Job: job.ID, Item: item.ID,
 		Position: position, Abandoned: abandoned, Body: output, Compressed: compressed, Acquisition: number})
 }
--- a/internal/batch/dispatch/executors.go
+++ b/internal/batch/dispatch/executors.go
@@ -8,15 +8,15 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// executorState is an executor that has asked for items or acknowledged lately.
+// executorState is the state of an executor that recently sent an acquire or acknowledge request.
 type executorState struct {
 	incarnation int64
 	zone        string
 	lastContact clock.Instant
 }
 
-// ObserveExecutor notes contact from an executor. A newer incarnation says that the process of the one
-// before is gone, and its runs with it: its locks lapse at once.
+// ObserveExecutor records contact from an executor. A newer incarnation means that the process of the
+// previous one has ended, and its runs with it, so the locks of older incarnations expire at once.
 func (d *Dispatcher) ObserveExecutor(executor Executor, now clock.Instant) {
 	state := d.executors[executor.Name]
 	if state == nil {
@@ -38,7 +38,7 @@
 	}
 }
 
-// RemoveExecutor notes that an executor goes away and will ask no more.
+// RemoveExecutor removes an executor that is draining and will acquire no more items.
 func (d *Dispatcher) RemoveExecutor(executor Executor) {
 	if d.executors[executor.Name] != nil {
 		delete(d.executors, executor.Name)
@@ -46,31 +46,33 @@
 	}
 }
 
-// ExpireExecutors drops executors that are silent; what they hold waits for its locks.
+// ExpireExecutors removes the executors without contact for ExecutorTimeout, and reports whether there
+// were any. Their acquisitions remain until the locks expire.
 func (d *Dispatcher) ExpireExecutors(now clock.Instant) bool {
-	abandoned := false
+	removed := false
 	for name, state := range d.executors {
 		if now.Sub(state.lastContact) >= constants.ExecutorTimeout {
 			delete(d.executors, name)
 			d.version++
-			abandoned = true
+			removed = true
 		}
 	}
-	return abandoned
+	return removed
 }
 
-// Executors lists the executors that are in contact, so that they share the workers,
-// with the version of the list, which rises over all epochs. There is none where the
-// asker knows it, nor before every executor had the time to report.
+// Executors returns the executors that are in contact, so that they can divide the workers among
+// themselves, and the version of the list, which increases across epochs. It returns zero and nil if
+// the caller already has this version, and during the first two ExecutorTimeout periods of an epoch,
+// when some executors may not have made contact yet.
 func (d *Dispatcher) Executors(known uint64, now clock.Instant) (uint64, []messages.ExecutorInfo) {
 	version := d.epoch<<serialBits | d.version
 	if version == known || now.Sub(d.startedAt) < 2*constants.ExecutorTimeout {
 		return 0, nil
 	}
-	var found []messages.ExecutorInfo
+	var infos []messages.ExecutorInfo
 	for name, state := range d.executors {
-		found = append(found, messages.ExecutorInfo{Name: name, Zone: state.zone})
+		infos = append(infos, messages.ExecutorInfo{Name: name, Zone: state.zone})
 	}
-	sort.Slice(found, func(left, right int) bool { return found[left].Name < found[right].Name })
-	return version, found
+	sort.Slice(infos, func(left, right int) bool { return infos[left].Name < infos[right].Name })
+	return version, infos
 }
--- a/internal/batch/dispatch/item.go
+++ b/internal/batch/dispatch/item.go
@@ -5,85 +5,88 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// ItemState is where an item stands in its share group.
+// ItemState is the state of an item in its share group.
 type ItemState int
 
 // The states of an item.
 const (
-	// ItemAvailable: to be run.
+	// ItemAvailable is an item that may be acquired and run.
 	ItemAvailable ItemState = iota
-	// ItemAcquired: with one executor, under a lock.
+	// ItemAcquired is an item that one executor runs under a lock.
 	ItemAcquired
-	// ItemClosing: its terminal record is being made durable.
+	// ItemClosing is an item whose terminal record is being made durable.
 	ItemClosing
-	// ItemCompleted: its output stands at a position for good.
+	// ItemCompleted is an item whose output is durable at a position. This state is final.
 	ItemCompleted
-	// ItemAbandoned: it is listed as abandoned for good.
+	// ItemAbandoned is an item that is listed as abandoned. This state is final.
 	ItemAbandoned
 )
 
-// Item is one item of a job, as the dispatcher keeps it and as an executor that
-// acquired it does. Its steps are guarded: a run that was displaced, called off or
-// overtaken can neither add events nor finish it.
+// Item is one item of a job. The dispatcher and the executor that acquired the item use the
+// same type. Each method checks the run that calls it: a run that was preempted, stopped or
+// superseded by a later run can neither add events nor finish the item.
 type Item struct {
 	messages.JobItem
 	State ItemState
-	// Events are the events gathered so far; LastID is the last one's id.
+	// Events are the events received so far; LastID is the id of the last one, zero if events have no ids.
 	Events [][]byte
 	LastID int64
-	// FailedBy names the acquisitions that ended with a 500, each counted once.
+	// FailedBy lists the numbers of the acquisitions that ended with a 500 response, each once.
 	FailedBy []uint64
-	// Preempted counts how often it was preempted; Runs how often it was delivered.
+	// Preempted counts the preemptions of the item.
 	Preempted int
-	Runs      int
-	// Lapses, Releases and Renewals count what befell its acquisitions.
+	// Runs counts the runs of the item; the latest run has this number.
+	Runs int
+	// Lapses, Releases and Renewals count the expired locks, releases and renewals of its acquisitions.
 	Lapses, Releases, Renewals int
-	// OwedResume says that it was preempted and has not been resumed yet.
-	OwedResume bool
-	Job        *Job
-	yielding   bool
-	// closedBy is the acquisition whose record ends the item, closing its index.
-	closedBy     uint64
-	closingIndex int64
-	acquisition  *Acquisition
-	// position is the item's index in its job.
+	// OwedResume reports that the item was preempted and has not been resumed yet.
+	OwedResume     bool
+	Job            *Job
+	yieldRequested bool
+	// closedByAcquisition is the number of the acquisition that ended the item; closingRecordIndex is
+	// the index of the terminal record.
+	closedByAcquisition uint64
+	closingRecordIndex  int64
+	acquisition         *Acquisition
+	// position is the item's index in Job.Items.
 	position int
-	// availableAt is when it may be acquired again; skippedSince is when it was first passed over.
+	// availableAt is when the item may be acquired again; skippedSince is when it first became a
+	// candidate without being acquired, zero if it is not waiting.
 	availableAt, skippedSince clock.Instant
 }
 
-// headerEntryBytes is what a header of an item takes in memory beside its text, in bytes.
+// headerEntryBytes is the memory overhead of one header of an item in addition to its text, in bytes.
 const headerEntryBytes = 64
 
-// InputBytes is how many bytes of memory the item's body and headers take.
+// InputBytes returns the memory that the item's body and headers occupy, in bytes.
 func (i *Item) InputBytes() int64 {
-	bytes := len(i.Body)
+	total := len(i.Body)
 	for name, value := range i.Headers {
-		bytes += headerEntryBytes + len(name) + len(value)
+		total += headerEntryBytes + len(name) + len(value)
 	}
-	return int64(bytes)
+	return int64(total)
 }
 
-// StartRun starts a run and names it; zero when there is nothing to run.
+// StartRun starts a run and returns its number, or zero if the item can't be run.
 func (i *Item) StartRun() int {
 	if i.State != ItemAvailable || i.Job.Ended {
 		return 0
 	}
 	i.setState(ItemAcquired)
-	i.yielding = false
+	i.yieldRequested = false
 	i.Runs++
 	return i.Runs
 }
 
-// running tells whether a run is the one that goes on now.
+// running reports whether a run is the current one and still in progress.
 func (i *Item) running(run int) bool {
 	return i.State == ItemAcquired && i.Runs == run && !i.Job.Ended
 }
 
-// AppendEvents adds events of a run, up to an id. What follows a yield is not taken:
-// the next run goes on after the last event that was.
+// AppendEvents adds events of a run, the last of which has the given id. Events after a yield are
+// rejected: the next run resumes after the last event that was added before it.
 func (i *Item) AppendEvents(run int, events [][]byte, last int64) bool {
-	if !i.running(run) || i.yielding {
+	if !i.running(run) || i.yieldRequested {
 		return false
 	}
 	i.Events = append(i.Events, events...)
@@ -91,45 +94,45 @@
 	return true
 }
 
-// Yield asks a run to give up its slot; false when it is over already.
+// Yield requests a run to give up its slot. It returns false if the run has ended or was already requested to yield.
 func (i *Item) Yield(run int) bool {
-	if !i.running(run) || i.yielding {
+	if !i.running(run) || i.yieldRequested {
 		return false
 	}
-	i.yielding = true
+	i.yieldRequested = true
 	i.Preempted++
 	return true
 }
 
-// Yielding tells whether the run that goes on now was asked to yield.
-func (i *Item) Yielding() bool { return i.yielding }
+// Yielding reports whether the current run was requested to yield.
+func (i *Item) Yielding() bool { return i.yieldRequested }
 
-// Requeue ends a run without a result: the item keeps its place by age and all
-// events that carry an id; what can't be gone on from is dropped.
+// Requeue ends a run without a result. The item keeps its place in the order of the job and its
+// events if they carry ids. Events without ids are dropped, since no run can resume after them.
 func (i *Item) Requeue(run int) bool {
 	if i.State != ItemAcquired || i.Runs != run {
 		return false
 	}
-	i.OwedResume = i.OwedResume || i.yielding
+	i.OwedResume = i.OwedResume || i.yieldRequested
 	i.setState(ItemAvailable)
-	i.yielding = false
+	i.yieldRequested = false
 	if i.LastID == 0 {
 		i.Events = nil
 	}
 	return true
 }
 
-// Finish ends a run with the item's one result.
+// Finish ends a run with the item's result. It returns false if the run has ended or was requested to yield.
 func (i *Item) Finish(run int) bool {
-	if !i.running(run) || i.yielding {
+	if !i.running(run) || i.yieldRequested {
 		return false
 	}
 	i.setState(ItemClosing)
 	return true
 }
 
-// Abandon ends an item that waits, or the run that found it hopeless, with the
-// result that it is abandoned.
+// Abandon ends an available item, or the run whose worker rejected it, with the result that the item
+// is abandoned.
 func (i *Item) Abandon(run int) bool {
 	if i.Job.Ended || (i.State != ItemAvailable && !i.running(run)) {
 		return false
@@ -138,16 +141,16 @@
 	return true
 }
 
-// Unfinished tells whether no worker has finished the item.
+// Unfinished reports whether no worker has finished the item yet.
 func (i *Item) Unfinished() bool { return i.State == ItemAvailable || i.State == ItemAcquired }
 
-// Terminal tells whether the item's one result stands durably.
+// Terminal reports whether the item's result is durable.
 func (i *Item) Terminal() bool { return i.State == ItemCompleted || i.State == ItemAbandoned }
 
-// countFailure counts a 500 of an acquisition; false when it was counted before.
+// countFailure counts a 500 response of an acquisition. It returns false if that was counted before.
 func (i *Item) countFailure(number uint64) bool {
-	for _, found := range i.FailedBy {
-		if found == number {
+	for _, counted := range i.FailedBy {
+		if counted == number {
 			return false
 		}
 	}
--- a/internal/batch/dispatch/jobtable.go
+++ b/internal/batch/dispatch/jobtable.go
@@ -8,17 +8,17 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// ErrMalformed is the error of a record that can't be understood.
-var ErrMalformed = errs.Define("lot record")
+// ErrMalformed is the error of a record that can't be decoded or applied.
+var ErrMalformed = errs.Define("malformed job record")
 
-// Listing is one position.
+// Listing is the result at one position of a job: the item, whether it was abandoned, and the index of the record.
 type Listing struct {
 	Item      string
 	Abandoned bool
 	Index     int64
 }
 
-// Job is one job.
+// Job is one batch job.
 type Job struct {
 	ID          string
 	Host        string
@@ -29,65 +29,65 @@
 	Listings    []Listing
 	Ended       bool
 	total       int
-	open        int
-	// KnownSince is when this leader came to know the job, by its steady clock.
+	openItems   int
+	// KnownSince is when this leader learned of the job, by its monotonic clock.
 	KnownSince clock.Instant
-	// pendingListings counts positions that were given and are not yet durable.
+	// pendingListings counts positions that were assigned and are not durable yet.
 	pendingListings int
-	// available are the items that may be acquired, waiting the tokens of those that
-	// no worker has finished.
+	// available are the items that may be acquired; waitingTokens is the number of tokens of the
+	// items that no worker has finished.
 	available     availableSet
 	waitingTokens int64
-	// itemByID leads from ids to items: a job may hold hundreds of thousands, and each
-	// output looks for its own.
+	// itemByID maps ids to items: a job may have hundreds of thousands of items, and each
+	// output is looked up by id.
 	itemByID map[string]*Item
 }
 
-// OlderThan tells whether a job is older than a duration: by the time of day, and known here
-// for as long. A time of day that was stepped, here or where the job was taken, must
-// end nothing early; after a takeover things end later instead.
+// OlderThan reports whether a job is older than a duration both by the wall clock and by the
+// time for which this leader has known it. A step of the wall clock, here or where the job was
+// submitted, must not expire a job early. In return, jobs expire later after a takeover.
 func (l *Job) OlderThan(timeout clock.Duration, wallMs int64, now clock.Instant) bool {
 	return wallMs-l.SubmittedMs > timeout.Milliseconds() && now.Sub(l.KnownSince) > timeout
 }
 
-// PendingListings counts the positions that are on their way to the stores.
+// PendingListings returns the number of positions that are assigned and not durable yet.
 func (l *Job) PendingListings() int { return l.pendingListings }
 
-// Total is the number of items.
+// Total returns the number of items.
 func (l *Job) Total() int { return l.total }
 
-// Open tells whether results may still come.
-func (l *Job) Open() bool { return !l.Ended && l.open > 0 }
+// Open reports whether further results are possible.
+func (l *Job) Open() bool { return !l.Ended && l.openItems > 0 }
 
-// JobTable is what the durable records say.
+// JobTable is the state derived from the durable records.
 type JobTable struct {
 	jobs  map[string]*Job
 	order []*Job
-	// opened holds every job that still has items to run, and some that no more do.
-	opened []*Job
-	// unranked are the jobs that came since the dispatcher ranked them last.
+	// openCandidates contains every open job, and possibly jobs that are no longer open.
+	openCandidates []*Job
+	// unranked are the jobs added since the dispatcher last updated its order.
 	unranked []*Job
-	// inputBytes is what the inputs of items that are not listed yet take in memory.
+	// inputBytes is the memory that the inputs of items without a durable result occupy, in bytes.
 	inputBytes int64
-	// executors are the executors that may hold acquisitions, with their epoch.
+	// executors maps the executors that may own acquisitions to the epoch of their latest registration.
 	executors map[executorID]uint64
 }
 
-// NewJobTable makes an empty table.
+// NewJobTable returns an empty table.
 func NewJobTable() *JobTable {
 	return &JobTable{jobs: map[string]*Job{}, executors: map[executorID]uint64{}}
 }
 
-// Job finds a job, or nil.
+// Job returns the job with an id, or nil if there is none.
 func (b *JobTable) Job(id string) *Job { return b.jobs[id] }
 
-// InputBytes is how many bytes of memory the inputs of items that may still be run take.
+// InputBytes returns the memory that the inputs of items that may still be run occupy, in bytes.
 func (b *JobTable) InputBytes() int64 { return b.inputBytes }
 
-// Jobs gives all jobs, the oldest first.
+// Jobs returns all jobs, the oldest first.
 func (b *JobTable) Jobs() []*Job { return b.order }
 
-// Apply takes a durable record.
+// Apply applies a durable record to the table. Records are applied in the order of their indexes.
 func (b *JobTable) Apply(record *messages.Record) error {
 	switch record.Kind {
 	case messages.RecordJob:
@@ -95,7 +95,7 @@
 	case messages.RecordOutput:
 		job := b.jobs[record.Job]
 		if job == nil || record.Position != len(job.Listings) {
-			return ErrMalformed.New("output out of place in lot " + record.Job)
+			return ErrMalformed.New("unexpected position of an output in job " + record.Job)
 		}
 		job.Listings = append(job.Listings, Listing{Item: record.Item, Abandoned: record.Abandoned, Index: record.Index})
 		job.pendingListings = max(job.pendingListings-1, 0)
@@ -105,9 +105,9 @@
 				state = ItemAbandoned
 			}
 			item.setState(state)
-			item.closedBy = record.Acquisition
+			item.closedByAcquisition = record.Acquisition
 			b.dropInput(item)
-			job.open--
+			job.openItems--
 		}
 	case messages.RecordExecutor:
 		b.addExecutor(record)
@@ -140,27 +140,29 @@
 	return nil
 }
 
-// dropInput gives back what an item holds to be run: what is listed is read from disk.
+// dropInput releases the memory of an item's input. Once the item has a result, its input is read from disk.
 func (b *JobTable) dropInput(item *Item) {
 	b.inputBytes -= item.InputBytes()
 	item.Body, item.Events, item.Headers = nil, nil, nil
 }
 
+// dropInputs releases the memory of the inputs of all items of a job.
 func (b *JobTable) dropInputs(job *Job) {
 	for _, item := range job.Items {
 		b.dropInput(item)
 	}
 }
 
+// addJob applies a RecordJob record. A job that is in the table already is ignored.
 func (b *JobTable) addJob(record *messages.Record) error {
 	if b.jobs[record.Job] != nil {
 		return nil
 	}
 	body := &messages.JobBody{}
 	if _, err := body.UnmarshalMsg(record.Body); err != nil {
-		return ErrMalformed.Wrap(err, "lot "+record.Job)
+		return ErrMalformed.Wrap(err, "decode job "+record.Job)
 	}
-	job := &Job{ID: record.Job, Host: record.Host, Path: body.Path, SubmittedMs: record.AtMs, Index: record.Index, total: len(body.Items), open: len(body.Items),
+	job := &Job{ID: record.Job, Host: record.Host, Path: body.Path, SubmittedMs: record.AtMs, Index: record.Index, total: len(body.Items), openItems: len(body.Items),
 		Items: make([]*Item, 0, len(body.Items)), available: newAvailableSet(len(body.Items)), itemByID: make(map[string]*Item, len(body.Items))}
 	for i := range body.Items {
 		item := &Item{JobItem: body.Items[i], Job: job, position: i}
@@ -172,23 +174,23 @@
 	}
 	b.jobs[job.ID] = job
 	b.order = append(b.order, job)
-	b.opened = append(b.opened, job)
+	b.openCandidates = append(b.openCandidates, job)
 	b.unranked = append(b.unranked, job)
 	sort.SliceStable(b.order, func(left, right int) bool { return b.order[left].SubmittedMs < b.order[right].SubmittedMs })
 	return nil
 }
 
-// Waiting adds up the tokens of items that no worker has finished. Only open jobs
-// are walked: finished ones are kept for minutes, and submissions come in bursts.
-func (b *JobTable) Waiting(belongs func(job *Job) bool) int64 {
+// Waiting returns the number of tokens of unfinished items of the jobs for which match returns true.
+// Only open jobs are visited: finished ones are kept for minutes, and submissions come in bursts.
+func (b *JobTable) Waiting(match func(job *Job) bool) int64 {
 	total := int64(0)
 	for _, job := range b.openJobs() {
-		if belongs(job) {
+		if match(job) {
 			total += job.waitingTokens
 		}
 	}
 	return total
 }
 
-// Item gives an item of a job, or nil.
+// Item returns the item with an id, or nil if there is none.
 func (l *Job) Item(id string) *Item { return l.itemByID[id] }
--- a/internal/batch/executor/ackqueue.go
+++ b/internal/batch/executor/ackqueue.go
@@ -6,19 +6,19 @@
 )
 
 // queue holds acknowledgements until they are answered.
-type queue struct {
+type ackQueue struct {
 	entries []messages.Acknowledgement
 	// confirms counts, by acquisition, how often a complete output was asked about since it
 	// was sent last.
 	confirms map[uint64]int
 }
 
-func (q *queue) add(entry messages.Acknowledgement) { q.entries = append(q.entries, entry) }
+func (q *ackQueue) add(entry messages.Acknowledgement) { q.entries = append(q.entries, entry) }
 
 // batch gives the oldest ones that fit into a message. An output that was sent and not
 // answered is asked about before it is sent once more: an answer is late where the leader's
 // link is full, and outputs that are sent again would keep it so.
-func (q *queue) batch() []messages.Acknowledgement {
+func (q *ackQueue) batch() []messages.Acknowledgement {
 	size := 0
 	var batch []messages.Acknowledgement
 	for i := range q.entries {
@@ -39,7 +39,7 @@
 }
 
 // next gives the form in which an entry is sent next.
-func (q *queue) next(entry *messages.Acknowledgement) messages.Acknowledgement {
+func (q *ackQueue) next(entry *messages.Acknowledgement) messages.Acknowledgement {
 	count, sent := q.confirms[entry.Number]
 	if entry.Kind != messages.AckAccept || !sent || count >= constants.AckConfirms {
 		return *entry
@@ -48,7 +48,7 @@
 }
 
 // noteSent notes that an entry is sent in some form.
-func (q *queue) noteSent(entry *messages.Acknowledgement) {
+func (q *ackQueue) noteSent(entry *messages.Acknowledgement) {
 	if q.confirms == nil {
 		q.confirms = map[uint64]int{}
 	}
@@ -62,7 +62,7 @@
 
 // answered takes the verdicts on a batch: what is still unknown is repeated, under
 // the same acquisition number.
-func (q *queue) answered(batch []messages.Acknowledgement, verdicts []messages.AckVerdict) {
+func (q *ackQueue) handleVerdicts(batch []messages.Acknowledgement, verdicts []messages.AckVerdict) {
 	known := map[uint64]bool{}
 	for i := range batch {
 		if i >= len(verdicts) || verdicts[i] == messages.AckUnknown {
@@ -94,8 +94,8 @@
 
 // HandleVerdicts takes the verdicts on a batch of either sort.
 func (r *Runner) HandleVerdicts(batch []messages.Acknowledgement, verdicts []messages.AckVerdict) {
-	r.results.answered(batch, verdicts)
-	r.releases.answered(batch, verdicts)
+	r.results.handleVerdicts(batch, verdicts)
+	r.releases.handleVerdicts(batch, verdicts)
 }
 
 // Unacknowledged is how many acknowledgements are not answered yet.
--- a/internal/batch/executor/ackqueue_test.go
+++ b/internal/batch/executor/ackqueue_test.go
@@ -10,7 +10,7 @@
 // An output that was sent is asked about until that is answered, sent again where nothing is
 // known of it, and now and then all the same; what has no output is repeated as it is.
 func TestOutputsAreAskedAboutBeforeTheyAreSentAgain(t *testing.T) {
-	q := &queue{}
+	q := &ackQueue{}
 	q.add(messages.Acknowledgement{Number: 1, Kind: messages.AckAccept, Job: "j", Item: "i", Output: []byte("text")})
 	q.add(messages.Acknowledgement{Number: 2, Kind: messages.AckReject, Job: "j", Item: "k"})
 	expect := func(what string, kind messages.AckKind) []messages.Acknowledgement {
@@ -25,21 +25,21 @@
 	if len(batch) != 2 || batch[1].Kind != messages.AckReject {
 		t.Fatal(batch)
 	}
-	q.answered(batch, nil)
+	q.handleVerdicts(batch, nil)
 	batch = expect("unanswered", messages.AckConfirm)
 	if batch[1].Kind != messages.AckReject {
 		t.Fatal(batch)
 	}
-	q.answered(batch, []messages.AckVerdict{messages.AckUnknown, messages.AckRecorded})
+	q.handleVerdicts(batch, []messages.AckVerdict{messages.AckUnknown, messages.AckRecorded})
 	batch = expect("not durable yet", messages.AckConfirm)
-	q.answered(batch, []messages.AckVerdict{messages.AckOutputNeeded})
+	q.handleVerdicts(batch, []messages.AckVerdict{messages.AckOutputNeeded})
 	batch = expect("nothing known", messages.AckAccept)
 	for range constants.AckConfirms {
-		q.answered(batch, nil)
+		q.handleVerdicts(batch, nil)
 		batch = expect("silence", messages.AckConfirm)
 	}
 	batch = expect("silence for long", messages.AckAccept)
-	q.answered(batch, []messages.AckVerdict{messages.AckRecorded})
+	q.handleVerdicts(batch, []messages.AckVerdict{messages.AckRecorded})
 	if len(q.batch()) != 0 || len(q.confirms) != 0 {
 		t.Fatal(q.entries, q.confirms)
 	}
--- a/internal/batch/executor/runner.go
+++ b/internal/batch/executor/runner.go
@@ -38,8 +38,8 @@
 	tasks map[uint64]*Task
 	// inputBytes is what the inputs of all tasks take.
 	inputBytes int64
-	results    queue
-	releases   queue
+	results    ackQueue
+	releases   ackQueue
 	// fencedEpoch is the epoch below which nothing handed out is taken any more.
 	fencedEpoch uint64
 }
--- a/internal/batch/executorserver/executorserver.go
+++ b/internal/batch/executorserver/executorserver.go
@@ -73,9 +73,9 @@
 
 // executorList is the dispatcher's list of executors, as of a version and an instant.
 type executorList struct {
-	list    []messages.ExecutorInfo
-	version uint64
-	at      clock.Instant
+	list       []messages.ExecutorInfo
+	version    uint64
+	receivedAt clock.Instant
 }
 
 // New makes a server that holds nothing.
@@ -150,7 +150,7 @@
 	s.locks.duration = clock.Milliseconds(resp.LockMs)
 	s.waiting = append(s.waiting, s.runner.Add(resp, sentAt, now)...)
 	s.lock.Unlock()
-	s.place()
+	s.placeWaiting()
 	return true
 }
 
@@ -175,7 +175,7 @@
 	if due {
 		go s.renew(entries, epoch)
 	}
-	s.place()
+	s.placeWaiting()
 }
 
 // stopRunsLocked breaks runs off; each requeues its item by itself. The lock is held.
@@ -202,7 +202,7 @@
 		s.stopRunsLocked(s.runner.Stop(task))
 	}
 	s.lock.Unlock()
-	s.place()
+	s.placeWaiting()
 	end := clock.Now().Add(constants.LeaseDuration)
 	for clock.Now() < end {
 		s.lock.Lock()
--- a/internal/batch/executorserver/place.go
+++ b/internal/batch/executorserver/place.go
@@ -18,8 +18,8 @@
 // all, the one with the highest hash. So executors need not agree on each placement, and an
 // executor that sees few others owns more.
 type workerOwnership struct {
-	at      clock.Instant
-	workers map[string]bool
+	computedAt clock.Instant
+	workers    map[string]bool
 }
 
 // owner picks the owner of a worker among stores (name to zone).
@@ -47,7 +47,7 @@
 // ownedWorkers gives the workers that are ours now.
 func (s *Server) ownedWorkers(now clock.Instant) map[string]bool {
 	s.lock.Lock()
-	if s.owned.workers != nil && s.owned.at > 0 && now.Sub(s.owned.at) < constants.OwnedWorkersPeriod {
+	if s.owned.workers != nil && s.owned.computedAt > 0 && now.Sub(s.owned.computedAt) < constants.OwnedWorkersPeriod {
 		defer s.lock.Unlock()
 		return s.owned.workers
 	}
@@ -86,9 +86,9 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if version > s.peers.version {
-		s.peers.version, s.peers.list, s.owned.at = version, executors, 0
+		s.peers.version, s.peers.list, s.owned.computedAt = version, executors, 0
 	}
-	s.peers.at = now
+	s.peers.receivedAt = now
 }
 
 // addExecutors adds the executors on the dispatcher's list; false when it is old. The
@@ -97,7 +97,7 @@
 func (s *Server) addExecutors(stores map[string]string, now clock.Instant) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if s.peers.version == 0 || now.Sub(s.peers.at) >= constants.SuspectAfter {
+	if s.peers.version == 0 || now.Sub(s.peers.receivedAt) >= constants.SuspectAfter {
 		return false
 	}
 	for _, info := range s.peers.list {
@@ -142,7 +142,7 @@
 }
 
 // place finds workers for what waits. What finds none for a while goes back.
-func (s *Server) place() {
+func (s *Server) placeWaiting() {
 	now := clock.Now()
 	owned := s.ownedWorkers(now)
 	s.lock.Lock()
@@ -154,7 +154,7 @@
 	}
 	var left []*executor.Task
 	for _, task := range waiting {
-		if !s.start(task, owned, now) {
+		if !s.startOrRelease(task, owned, now) {
 			left = append(left, task)
 		}
 	}
@@ -164,7 +164,7 @@
 }
 
 // start starts a task at a worker or gives it back; false while it waits on.
-func (s *Server) start(task *executor.Task, owned map[string]bool, now clock.Instant) bool {
+func (s *Server) startOrRelease(task *executor.Task, owned map[string]bool, now clock.Instant) bool {
 	route := jobroute.OfItem(s.node.Config(), task.Item)
 	s.lock.Lock()
 	unfit := s.draining || !task.MayRun(now) || now.Sub(task.Since) > constants.PlacementWait
@@ -196,7 +196,7 @@
 	if displaceable {
 		resp.Grant.AllowPreemption(func() { s.yield(task) })
 	}
-	go s.run(route, task, resp.Grant)
+	go s.runOnWorker(route, task, resp.Grant)
 	signal(s.signals.wake)
 	return true
 }
@@ -206,7 +206,7 @@
 	s.lock.Lock()
 	task.Item.Requeue(task.Run)
 	s.lock.Unlock()
-	s.done(task, messages.Acknowledgement{Kind: messages.AckRelease, NotStarted: true})
+	s.finishTask(task, messages.Acknowledgement{Kind: messages.AckRelease, NotStarted: true})
 }
 
 // outgrowsMemory tells whether the inputs of the items that run here take all the memory that they
--- a/internal/batch/executorserver/run.go
+++ b/internal/batch/executorserver/run.go
@@ -19,9 +19,9 @@
 
 // run takes one item to one worker, gathers its events, and derives the acknowledgement from
 // how the stream ends.
-func (s *Server) run(route *routeconfig.Route, task *executor.Task, grant *admission.Grant) {
+func (s *Server) runOnWorker(route *routeconfig.Route, task *executor.Task, grant *admission.Grant) {
 	sender := &s.gossip.Sender
-	outgoing := s.outgoing(route, task, grant.Worker.ID)
+	outgoing := s.buildRequest(route, task, grant.Worker.ID)
 	response, evidence, err := sender.RoundTrip(grant, outgoing)
 	if err != nil {
 		s.release(route, task, grant, resultOf(err), messages.Acknowledgement{NotStarted: !evidence.Sent}, err.Error())
@@ -34,8 +34,8 @@
 	}
 	grant.FirstEvent(response.Load, clock.Now())
 	signal(s.signals.wake)
-	s.place()
-	err = s.gather(task, response, outgoing)
+	s.placeWaiting()
+	err = s.collectEvents(task, response, outgoing)
 	s.forgetConnection(task)
 	if err != nil {
 		sender.Discard(response)
@@ -74,7 +74,7 @@
 }
 
 // gather takes the events of a run into its item as they come.
-func (s *Server) gather(task *executor.Task, response *proxy.Response, outgoing *proxy.Request) error {
+func (s *Server) collectEvents(task *executor.Task, response *proxy.Response, outgoing *proxy.Request) error {
 	splitter := &proxy.Splitter{}
 	if task.Item.LastID > 0 {
 		splitter.Next = task.Item.LastID + 1
@@ -107,7 +107,7 @@
 	grant.End(admission.ResultServed, clock.Now())
 	s.recordTraffic(route, task, grant)
 	output, compressed := outputcodec.Compress(bytes.Join(task.Item.Events, []byte("\n")))
-	s.done(task, messages.Acknowledgement{Kind: messages.AckAccept, Output: output, Compressed: compressed})
+	s.finishTask(task, messages.Acknowledgement{Kind: messages.AckAccept, Output: output, Compressed: compressed})
 }
 
 // recordTraffic hands what was seen of a complete run to the traffic summaries.
@@ -133,7 +133,7 @@
 		s.release(route, task, grant, admission.ResultRejected, messages.Acknowledgement{NotStarted: true}, "worker is full")
 	case status == http.StatusUnprocessableEntity:
 		grant.End(admission.ResultServed, clock.Now())
-		s.done(task, messages.Acknowledgement{Kind: messages.AckReject})
+		s.finishTask(task, messages.Acknowledgement{Kind: messages.AckReject})
 	case status == http.StatusInternalServerError:
 		s.release(route, task, grant, admission.ResultServerError, messages.Acknowledgement{Failed: true}, "worker failed")
 	default:
@@ -168,12 +168,12 @@
 		s.gossip.Scheduler.Counters(route.Name).Displaced.Add(1)
 	}
 	grant.End(result, clock.Now())
-	s.done(task, entry)
+	s.finishTask(task, entry)
 	s.node.Log.Debug("item released", "item", task.Item.ID, "worker", grant.Worker.ID, "preempted", entry.Preempted, "reason", reason)
 }
 
 // done ends a task here and has its acknowledgement carried.
-func (s *Server) done(task *executor.Task, entry messages.Acknowledgement) {
+func (s *Server) finishTask(task *executor.Task, entry messages.Acknowledgement) {
 	s.lock.Lock()
 	delete(s.connections, task)
 	s.runner.Done(task, entry)
@@ -184,7 +184,7 @@
 }
 
 // outgoing writes an item's request.
-func (s *Server) outgoing(route *routeconfig.Route, task *executor.Task, worker string) *proxy.Request {
+func (s *Server) buildRequest(route *routeconfig.Route, task *executor.Task, worker string) *proxy.Request {
 	item, header := task.Item, http.Header{}
 	for name, value := range item.Headers {
 		header.Set(name, value)
--- a/internal/batch/replicalog/compact.go
+++ b/internal/batch/replicalog/compact.go
@@ -26,16 +26,16 @@
 func (l *Log) SetCompaction(compaction Compaction) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	l.compaction.Compaction = compaction
+	l.compactionPolicy.Compaction = compaction
 }
 
 // compactionState is what the decision to compact is taken on.
 type compactionState struct {
 	Compaction
 	// committed notes what was committed at which instant.
-	committed []commitMark
+	commitHistory []commitMark
 	// weighed is the index of the last record when the file was weighed last.
-	weighed int64
+	estimatedAtIndex int64
 }
 
 // commitMark is the commit index at an instant.
@@ -45,32 +45,32 @@
 }
 
 // upTo notes what is durable now and gives what was so a while ago.
-func (r *compactionState) upTo(done int64, now clock.Instant) int64 {
-	r.committed = append(r.committed, commitMark{now, done})
-	for len(r.committed) > 1 && now.Sub(r.committed[1].at) >= r.Lag {
-		r.committed = r.committed[1:]
+func (r *compactionState) durableSinceLag(done int64, now clock.Instant) int64 {
+	r.commitHistory = append(r.commitHistory, commitMark{now, done})
+	for len(r.commitHistory) > 1 && now.Sub(r.commitHistory[1].at) >= r.Lag {
+		r.commitHistory = r.commitHistory[1:]
 	}
-	if now.Sub(r.committed[0].at) < r.Lag {
+	if now.Sub(r.commitHistory[0].at) < r.Lag {
 		return 0
 	}
-	return r.committed[0].index
+	return r.commitHistory[0].index
 }
 
 // weighs tells whether enough has come since to weigh the file again: what is obsolete
 // was made so by new records.
-func (r *compactionState) weighs(last int64) bool {
+func (r *compactionState) estimateDue(last int64) bool {
 	const part = 8
-	if last >= r.weighed && last-r.weighed < int64(r.Records/part) {
+	if last >= r.estimatedAtIndex && last-r.estimatedAtIndex < int64(r.Records/part) {
 		return false
 	}
-	r.weighed = last
+	r.estimatedAtIndex = last
 	return true
 }
 
 // pays tells whether a rewrite drops at least as much as it has to write: each byte and
 // each record is then written a bounded number of times, and the file holds no more than
 // twice what still counts, beside the least sizes.
-func (r *compactionState) pays(size, keptBytes int64, retained, dropped int) bool {
+func (r *compactionState) worthCompacting(size, keptBytes int64, retained, dropped int) bool {
 	long := size >= r.Bytes && keptBytes*2 <= size
 	return long || (dropped >= r.Records && dropped >= retained)
 }
@@ -79,12 +79,12 @@
 func (l *Log) CompactIfDue(now clock.Instant) error {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	upTo := l.compaction.upTo(l.commitIndex, now)
-	if upTo <= l.replica.Base().Index || !l.replica.Complete() || !l.compaction.weighs(l.replica.Last()) {
+	upTo := l.compactionPolicy.durableSinceLag(l.commitIndex, now)
+	if upTo <= l.replica.Base().Index || !l.replica.Complete() || !l.compactionPolicy.estimateDue(l.replica.Last()) {
 		return nil
 	}
-	keptBytes, retained, dropped := l.replica.Weight(upTo)
-	if !l.compaction.pays(l.file.Size(), keptBytes, retained, dropped) {
+	keptBytes, retained, dropped := l.replica.CompactionSavings(upTo)
+	if !l.compactionPolicy.worthCompacting(l.file.Size(), keptBytes, retained, dropped) {
 		return nil
 	}
 	return l.compact(upTo)
--- a/internal/batch/replicalog/log.go
+++ b/internal/batch/replicalog/log.go
@@ -26,8 +26,8 @@
 	replica *replication.Replica
 	file    *recordlog.Log
 	// commitIndex is the index up to which all is known to be durable.
-	commitIndex int64
-	compaction  compactionState
+	commitIndex      int64
+	compactionPolicy compactionState
 	// base is the replica's, for those who must not wait for a sync.
 	base atomic.Int64
 	// bytes is the length of the file, readable without the lock, which is held while the disk
@@ -37,7 +37,7 @@
 
 // Open reads the disk; an empty one gets the new identity.
 func Open(disk recordlog.Disk, identity string) (*Log, error) {
-	log := &Log{replica: replication.NewReplica(""), compaction: compactionState{Compaction: DefaultCompaction()}}
+	log := &Log{replica: replication.NewReplica(""), compactionPolicy: compactionState{Compaction: DefaultCompaction()}}
 	file, err := recordlog.Open(disk, replicaFileName, func(offset int64, body []byte) error {
 		record := messages.ReplicaRecord{}
 		if _, cause := record.UnmarshalMsg(body); cause != nil {
--- a/internal/batch/replication/compaction.go
+++ b/internal/batch/replication/compaction.go
@@ -47,7 +47,7 @@
 }
 
 // Weight adds up what a rewrite up to an index would keep and drop.
-func (r *Replica) Weight(upTo int64) (keptBytes int64, retained, dropped int) {
+func (r *Replica) CompactionSavings(upTo int64) (keptBytes int64, retained, dropped int) {
 	obsolete := r.Obsolete(upTo)
 	r.Each(1, func(slot IndexEntry) bool {
 		if obsolete(slot) {
@@ -69,7 +69,7 @@
 	r.Each(1, func(slot IndexEntry) bool {
 		switch {
 		case slot.Index == upTo && obsolete(slot):
-			stay = append(stay, IndexEntry{Index: upTo, Epoch: slot.Epoch, Size: recordOverhead, Kind: messages.RecordNoop, Offset: -1})
+			stay = append(stay, IndexEntry{Index: upTo, Epoch: slot.Epoch, Size: recordOverheadBytes, Kind: messages.RecordNoop, Offset: -1})
 		case !obsolete(slot):
 			stay = append(stay, slot)
 		}
--- a/internal/batch/replication/replica.go
+++ b/internal/batch/replication/replica.go
@@ -24,11 +24,11 @@
 }
 
 // recordOverhead is about what a record takes on disk beside its body, in bytes.
-const recordOverhead = 128
+const recordOverheadBytes = 128
 
 func indexEntryOf(record *messages.Record, index, offset int64) IndexEntry {
 	return IndexEntry{Index: index, Epoch: record.Epoch, Offset: offset, Job: record.Job,
-		Size: int32(len(record.Body) + recordOverhead), Kind: record.Kind}
+		Size: int32(len(record.Body) + recordOverheadBytes), Kind: record.Kind}
 }
 
 // Base is the point up to which a replica is compacted: of the records up to Index only
@@ -84,7 +84,7 @@
 		}
 		return r.entries[offset], true
 	}
-	i := r.sparseAt(index)
+	i := r.firstSparseFrom(index)
 	if i == len(r.sparse) || r.sparse[i].Index != index {
 		return IndexEntry{}, false
 	}
@@ -92,7 +92,7 @@
 }
 
 // sparseAt is the position of the first sparse record at an index or behind it.
-func (r *Replica) sparseAt(index int64) int {
+func (r *Replica) firstSparseFrom(index int64) int {
 	return sort.Search(len(r.sparse), func(i int) bool { return r.sparse[i].Index >= index })
 }
 
@@ -110,7 +110,7 @@
 
 // Each visits the records that are kept from an index on until visit says stop.
 func (r *Replica) Each(first int64, visit func(slot IndexEntry) bool) {
-	for _, slot := range r.sparse[r.sparseAt(first):] {
+	for _, slot := range r.sparse[r.firstSparseFrom(first):] {
 		if !visit(slot) {
 			return
 		}
@@ -159,7 +159,7 @@
 		return
 	}
 	r.entries = nil
-	r.sparse = r.sparse[:r.sparseAt(index+1)]
+	r.sparse = r.sparse[:r.firstSparseFrom(index+1)]
 }
 
 // Add adds the record that follows.
--- a/internal/batch/replication/replicator.go
+++ b/internal/batch/replication/replicator.go
@@ -61,9 +61,9 @@
 
 // AdvanceCommit recomputes what is durable.
 func (p *Replicator) AdvanceCommit() bool {
-	durable := p.replicatedIn(p.Members)
+	durable := p.replicatedIndexIn(p.Members)
 	if p.Next != nil {
-		durable = min(durable, p.replicatedIn(p.Next))
+		durable = min(durable, p.replicatedIndexIn(p.Next))
 	}
 	// Copies of an earlier epoch's records decide nothing by their number: they
 	// are durable once a record of this epoch behind them is.
@@ -75,7 +75,7 @@
 }
 
 // InNextSet tells whether enough members of the set to come have synced all up to an index.
-func (p *Replicator) InNextSet(index int64) bool { return p.replicatedIn(p.Next) >= index }
+func (p *Replicator) InNextSet(index int64) bool { return p.replicatedIndexIn(p.Next) >= index }
 
 // Inherited is the index of the last record of earlier epochs, with which this one began.
 func (p *Replicator) Inherited() int64 { return p.first - 1 }
@@ -83,7 +83,7 @@
 // CommitIndex is the index up to which all is durable.
 func (p *Replicator) CommitIndex() int64 { return p.commitIndex }
 
-func (p *Replicator) replicatedIn(members []messages.Member) int64 {
+func (p *Replicator) replicatedIndexIn(members []messages.Member) int64 {
 	var matches []int64
 	for _, member := range members {
 		if identity := register.Identity(member); !p.lost[identity] {
