--- a/internal/batch/executor/ackqueue.go
+++ b/internal/batch/executor/ackqueue.go
@@ -5,32 +5,33 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// queue holds acknowledgements until they are answered.
+// ackQueue stores acknowledgements until the dispatcher has responded to them.
 type ackQueue struct {
 	entries []messages.Acknowledgement
-	// confirms counts, by acquisition, how often a complete output was asked about since it
-	// was sent last.
+	// confirms counts, by acquisition, the confirm requests since its complete output was last sent.
+	// An output that was not sent yet, or has to be sent in full again, has no ack.
 	confirms map[uint64]int
 }
 
-func (q *ackQueue) add(entry messages.Acknowledgement) { q.entries = append(q.entries, entry) }
+// add appends an acknowledgement to the queue.
+func (q *ackQueue) add(ack messages.Acknowledgement) { q.entries = append(q.entries, ack) }
 
-// batch gives the oldest ones that fit into a message. An output that was sent and not
-// answered is asked about before it is sent once more: an answer is late where the leader's
-// link is full, and outputs that are sent again would keep it so.
+// batch returns the oldest acknowledgements that fit into one message. For an output that was sent
+// without a response, it sends confirm requests before the output itself again: a response is late
+// when the leader's link is congested, and sending outputs again would keep the link congested.
 func (q *ackQueue) batch() []messages.Acknowledgement {
 	size := 0
 	var batch []messages.Acknowledgement
 	for i := range q.entries {
-		entry := q.next(&q.entries[i])
-		size += len(entry.Output)
-		for _, piece := range entry.Events {
-			size += len(piece)
+		ack := q.next(&q.entries[i])
+		size += len(ack.Output)
+		for _, event := range ack.Events {
+			size += len(event)
 		}
 		if i > 0 && (i >= constants.AckEntries || size > constants.AckBytes) {
 			break
 		}
-		batch = append(batch, entry)
+		batch = append(batch, ack)
 	}
 	for i := range batch {
 		q.noteSent(&batch[i])
@@ -38,67 +39,67 @@
 	return batch
 }
 
-// next gives the form in which an entry is sent next.
-func (q *ackQueue) next(entry *messages.Acknowledgement) messages.Acknowledgement {
-	count, sent := q.confirms[entry.Number]
-	if entry.Kind != messages.AckAccept || !sent || count >= constants.AckConfirms {
-		return *entry
+// next returns the form in which an acknowledgement is sent next: in full or as a confirm request.
+func (q *ackQueue) next(ack *messages.Acknowledgement) messages.Acknowledgement {
+	count, sent := q.confirms[ack.Number]
+	if ack.Kind != messages.AckAccept || !sent || count >= constants.AckConfirms {
+		return *ack
 	}
-	return messages.Acknowledgement{Number: entry.Number, Kind: messages.AckConfirm, Job: entry.Job, Item: entry.Item}
+	return messages.Acknowledgement{Number: ack.Number, Kind: messages.AckConfirm, Job: ack.Job, Item: ack.Item}
 }
 
-// noteSent notes that an entry is sent in some form.
-func (q *ackQueue) noteSent(entry *messages.Acknowledgement) {
+// noteSent records that an acknowledgement was sent, in full or as a confirm request.
+func (q *ackQueue) noteSent(ack *messages.Acknowledgement) {
 	if q.confirms == nil {
 		q.confirms = map[uint64]int{}
 	}
-	switch entry.Kind {
+	switch ack.Kind {
 	case messages.AckAccept:
-		q.confirms[entry.Number] = 0
+		q.confirms[ack.Number] = 0
 	case messages.AckConfirm:
-		q.confirms[entry.Number]++
+		q.confirms[ack.Number]++
 	}
 }
 
-// answered takes the verdicts on a batch: what is still unknown is repeated, under
-// the same acquisition number.
+// handleVerdicts removes the acknowledgements of a batch that have a final verdict. The others are
+// sent again under the same acquisition number.
 func (q *ackQueue) handleVerdicts(batch []messages.Acknowledgement, verdicts []messages.AckVerdict) {
-	known := map[uint64]bool{}
+	settled := map[uint64]bool{}
 	for i := range batch {
 		if i >= len(verdicts) || verdicts[i] == messages.AckUnknown {
 			continue
 		}
-		// Whatever was said of it, an output is sent in full if it is sent again.
+		// After any verdict, an output that is sent again is sent in full.
 		delete(q.confirms, batch[i].Number)
 		if verdicts[i] != messages.AckOutputNeeded {
-			known[batch[i].Number] = true
+			settled[batch[i].Number] = true
 		}
 	}
 	retained := q.entries[:0]
-	for _, entry := range q.entries {
-		if !known[entry.Number] {
-			retained = append(retained, entry)
+	for _, ack := range q.entries {
+		if !settled[ack.Number] {
+			retained = append(retained, ack)
 		}
 	}
-	// What is answered is given back: texts are long.
+	// Release the memory of the removed acknowledgements: outputs are long.
 	clear(q.entries[len(retained):])
 	q.entries = retained
 }
 
-// Results gives a batch of what ends items or counts against them; its answer waits
-// for disks. Returns gives a batch of releases, which does not.
+// Results returns a batch of acknowledgements that end items or count a failure. The response to them
+// waits for disks; that to Releases does not.
 func (r *Runner) Results() []messages.Acknowledgement { return r.results.batch() }
 
-// Releases gives a batch of releases.
+// Releases returns a batch of releases without a failure.
 func (r *Runner) Releases() []messages.Acknowledgement { return r.releases.batch() }
 
-// HandleVerdicts takes the verdicts on a batch of either sort.
+// HandleVerdicts processes the verdicts on a batch returned by Results or Releases.
 func (r *Runner) HandleVerdicts(batch []messages.Acknowledgement, verdicts []messages.AckVerdict) {
 	r.results.handleVerdicts(batch, verdicts)
 	r.releases.handleVerdicts(batch, verdicts)
 }
 
-// Unacknowledged is how many acknowledgements are not answered yet.
+// Unacknowledged returns the number of acknowledgements without a final verdict.
 func (r *Runner) Unacknowledged() int {
 	return len(r.results.entries) + len(r.releases.entries)
 }
--- a/internal/batch/executor/runner.go
+++ b/internal/batch/executor/runner.go
@@ -1,6 +1,5 @@
-// Package executor keeps what a process that runs items of batch jobs has acquired, under
-// which lock, and which acknowledgements it still has to send. Step functions without I/O;
-// package store runs the items.
+// Package executor tracks the items of batch jobs that a process has acquired, their locks, and the
+// acknowledgements that it still has to send. It does no I/O: package executorserver runs the items.
 package executor
 
 import (
@@ -14,40 +13,44 @@
 
 // Task is one acquired item.
 type Task struct {
+	// Number is the number of the acquisition.
 	Number uint64
 	Item   *dispatch.Item
-	Run    int
-	// Since is when it was acquired; Started says that it is at a worker.
-	Since   clock.Instant
+	// Run is the number of the item's run.
+	Run int
+	// Since is when the item was acquired.
+	Since clock.Instant
+	// Started reports that the item was sent to a worker.
 	Started bool
-	// lockedUntil is the end of the lock by our own steady clock, less the margin.
+	// lockedUntil is the end of the lock by this process's monotonic clock, less LockMargin.
 	lockedUntil clock.Instant
 	stopped     bool
-	// lastProgress is when it was acquired or last brought events.
+	// lastProgress is when the item was acquired or its stream last delivered events.
 	lastProgress clock.Instant
 }
 
-// NoteProgress notes that a task's stream brought events.
+// NoteProgress records that a task's stream delivered events.
 func (t *Task) NoteProgress(now clock.Instant) { t.lastProgress = now }
 
-// Stopped tells whether the run may go on no more.
+// Stopped reports whether the run has to end.
 func (t *Task) Stopped() bool { return t.stopped }
 
-// Runner keeps the tasks of one process.
+// Runner tracks the tasks of one process. It is not safe for concurrent use.
 type Runner struct {
 	tasks map[uint64]*Task
-	// inputBytes is what the inputs of all tasks take.
+	// inputBytes is the memory that the inputs of all tasks occupy, in bytes.
 	inputBytes int64
-	results    ackQueue
-	releases   ackQueue
-	// fencedEpoch is the epoch below which nothing handed out is taken any more.
+	// results are acknowledgements that end items or count a failure, releases all others.
+	results  ackQueue
+	releases ackQueue
+	// fencedEpoch is the epoch below which acquired items are rejected.
 	fencedEpoch uint64
 }
 
-// New makes one without tasks.
+// New returns a runner without tasks.
 func New() *Runner { return &Runner{tasks: map[uint64]*Task{}} }
 
-// Count is how many tasks there are; waiting is how many of them have no worker yet.
+// Count returns the number of tasks, and how many of them wait for a worker.
 func (r *Runner) Count() (all, waiting int) {
 	for _, task := range r.tasks {
 		if !task.Started {
@@ -57,15 +60,15 @@
 	return len(r.tasks), waiting
 }
 
-// InputBytes is how many bytes of memory the inputs of all tasks take.
+// InputBytes returns the memory that the inputs of all tasks occupy, in bytes.
 func (r *Runner) InputBytes() int64 { return r.inputBytes }
 
-// Add adds what the dispatcher handed out to a request asked at an instant. The
-// lock is reckoned from the asking and the time that the request was held, so it
-// ends here no later than at the dispatcher, however late the answer came.
+// Add adds the items in the response to an acquire request and returns their tasks. The lock is
+// counted from sentAt, when the request was sent, plus the time that the dispatcher delayed the
+// response. So it ends here no later than at the dispatcher, however late the response arrives.
 func (r *Runner) Add(resp *messages.AcquireResponse, sentAt, now clock.Instant) []*Task {
 	until := sentAt.Add(clock.Milliseconds(resp.WaitedMs + resp.LockMs)).Add(-constants.LockMargin)
-	var taken []*Task
+	var added []*Task
 	for i := range resp.Items {
 		acquiredItem := &resp.Items[i]
 		if r.tasks[acquiredItem.Number] != nil || now >= until || dispatch.EpochOf(acquiredItem.Number) < r.fencedEpoch {
@@ -76,15 +79,15 @@
 		task := &Task{Number: acquiredItem.Number, Item: item, Run: item.StartRun(), Since: now, lockedUntil: until, lastProgress: now}
 		r.inputBytes += item.InputBytes()
 		r.tasks[task.Number] = task
-		taken = append(taken, task)
+		added = append(added, task)
 	}
-	return taken
+	return added
 }
 
-// MayRun tells whether a task may be sent to a worker or go on there at this moment.
+// MayRun reports whether a task may be sent to a worker or continue there now.
 func (t *Task) MayRun(now clock.Instant) bool { return !t.stopped && now < t.lockedUntil }
 
-// All gives the tasks in order, so that no history depends on chance.
+// All returns the tasks in order of their numbers, so that the order of processing is deterministic.
 func (r *Runner) All() []*Task {
 	tasks := make([]*Task, 0, len(r.tasks))
 	for _, task := range r.tasks {
@@ -94,12 +97,12 @@
 	return tasks
 }
 
-// DropBefore says that a leader of an epoch has been told all that is held here: answers of
-// earlier leaders that are still on their way are not taken any more.
+// DropBefore makes Add reject items of epochs below the given one. It is called when all tasks are
+// reported to the leader of that epoch: responses of earlier leaders that arrive later are ignored.
 func (r *Runner) DropBefore(epoch uint64) { r.fencedEpoch = max(r.fencedEpoch, epoch) }
 
-// Renewals asks for locks to run anew, in one message: of all that brings events, or
-// may still be waiting for its first. Anything else is left to lapse.
+// Renewals returns the renewals of all locks of tasks that deliver events or may still be
+// waiting for the first one, to be sent in one message. The other locks are left to expire.
 func (r *Runner) Renewals(now clock.Instant) []messages.Acknowledgement {
 	var entries []messages.Acknowledgement
 	for _, task := range r.All() {
@@ -110,8 +113,8 @@
 	return entries
 }
 
-// HandleRenewals takes the verdicts on renewals that were asked at an instant, and names the
-// runs that have to stop.
+// HandleRenewals processes the verdicts on renewals that were sent at an instant, and returns the
+// tasks that have to stop.
 func (r *Runner) HandleRenewals(entries []messages.Acknowledgement, verdicts []messages.AckVerdict, sentAt clock.Instant, lock clock.Duration) []*Task {
 	var stopped []*Task
 	for i := range entries {
@@ -129,8 +132,8 @@
 	return stopped
 }
 
-// Lapsed names the runs whose lock is about to end unrenewed: they stop, so that
-// the next executor's run is the only one.
+// Lapsed stops the tasks whose lock is about to expire and returns those that it stopped, so that
+// their runs end before the next executor's run starts.
 func (r *Runner) Lapsed(now clock.Instant) []*Task {
 	var stopped []*Task
 	for _, task := range r.All() {
@@ -141,7 +144,7 @@
 	return stopped
 }
 
-// StopJob names the runs of a job that has ended.
+// StopJob stops the tasks of a job that has ended and returns those that it stopped.
 func (r *Runner) StopJob(jobID string) []*Task {
 	var stopped []*Task
 	for _, task := range r.All() {
@@ -152,7 +155,7 @@
 	return stopped
 }
 
-// Stop ends a task's run; it names it if it was not stopped before.
+// Stop marks a task as stopped and returns it, or nil if it was stopped before.
 func (r *Runner) Stop(task *Task) []*Task {
 	if task.stopped {
 		return nil
@@ -161,20 +164,21 @@
 	return []*Task{task}
 }
 
-// Done ends a task with its acknowledgement, which is repeated until it is answered.
-func (r *Runner) Done(task *Task, entry messages.Acknowledgement) {
+// Done removes a task and queues its acknowledgement, which is sent until the dispatcher has responded to it.
+// A task that was removed before is ignored.
+func (r *Runner) Done(task *Task, ack messages.Acknowledgement) {
 	if r.tasks[task.Number] != task {
 		return
 	}
 	delete(r.tasks, task.Number)
 	r.inputBytes -= task.Item.InputBytes()
-	entry.Number, entry.Job, entry.Item = task.Number, task.Item.Job.ID, task.Item.ID
-	if entry.Kind == messages.AckRelease {
-		entry.Events, entry.LastID = task.Item.Events, task.Item.LastID
+	ack.Number, ack.Job, ack.Item = task.Number, task.Item.Job.ID, task.Item.ID
+	if ack.Kind == messages.AckRelease {
+		ack.Events, ack.LastID = task.Item.Events, task.Item.LastID
 	}
-	if entry.Kind == messages.AckRelease && !entry.Failed {
-		r.releases.add(entry)
+	if ack.Kind == messages.AckRelease && !ack.Failed {
+		r.releases.add(ack)
 		return
 	}
-	r.results.add(entry)
+	r.results.add(ack)
 }
--- a/internal/batch/replicalog/compact.go
+++ b/internal/batch/replicalog/compact.go
@@ -7,46 +7,48 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Compaction says when the file is compacted.
+// Compaction is the policy for compacting the file.
 type Compaction struct {
-	// Bytes and Records are the least sizes at which it pays.
-	Bytes   int64
+	// Bytes is the minimum size of the file for compaction by size.
+	Bytes int64
+	// Records is the minimum number of obsolete records for compaction by count.
 	Records int
-	// Lag is how long ago records must have been committed: it goes up to where members that
-	// lag a little are too, since others would have to be copied anew.
+	// Lag is the minimum time since a record was committed. It keeps the base below the records
+	// of members that lag a little, since a member whose replica ends before the base has to be
+	// copied from the start.
 	Lag clock.Duration
 }
 
-// DefaultCompaction is the compaction of a log that is not told otherwise.
+// DefaultCompaction returns the policy that applies unless SetCompaction is called.
 func DefaultCompaction() Compaction {
 	return Compaction{Bytes: constants.RewriteBytes, Records: constants.RewriteRecords, Lag: constants.RewriteLag}
 }
 
-// SetCompaction changes when the file is compacted.
+// SetCompaction replaces the policy for compacting the file.
 func (l *Log) SetCompaction(compaction Compaction) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	l.compactionPolicy.Compaction = compaction
 }
 
-// compactionState is what the decision to compact is taken on.
+// compactionState is the policy and the state on which the decision to compact is based.
 type compactionState struct {
 	Compaction
-	// committed notes what was committed at which instant.
+	// commitHistory contains the commit index at past instants, from the last one that is at least Lag ago.
 	commitHistory []commitMark
-	// weighed is the index of the last record when the file was weighed last.
+	// estimatedAtIndex is the index of the last record when the savings were last estimated.
 	estimatedAtIndex int64
 }
 
-// commitMark is the commit index at an instant.
+// commitMark is a commit index and the instant at which it was seen.
 type commitMark struct {
 	at    clock.Instant
 	index int64
 }
 
-// upTo notes what is durable now and gives what was so a while ago.
-func (r *compactionState) durableSinceLag(done int64, now clock.Instant) int64 {
-	r.commitHistory = append(r.commitHistory, commitMark{now, done})
+// durableSinceLag records the current commit index and returns the one of Lag ago, or zero if none is known.
+func (r *compactionState) durableSinceLag(commitIndex int64, now clock.Instant) int64 {
+	r.commitHistory = append(r.commitHistory, commitMark{now, commitIndex})
 	for len(r.commitHistory) > 1 && now.Sub(r.commitHistory[1].at) >= r.Lag {
 		r.commitHistory = r.commitHistory[1:]
 	}
@@ -56,26 +58,26 @@
 	return r.commitHistory[0].index
 }
 
-// weighs tells whether enough has come since to weigh the file again: what is obsolete
-// was made so by new records.
+// estimateDue reports whether enough records were added since the last estimate of the savings to
+// estimate them again: only new records make others obsolete.
 func (r *compactionState) estimateDue(last int64) bool {
-	const part = 8
-	if last >= r.estimatedAtIndex && last-r.estimatedAtIndex < int64(r.Records/part) {
+	const fraction = 8
+	if last >= r.estimatedAtIndex && last-r.estimatedAtIndex < int64(r.Records/fraction) {
 		return false
 	}
 	r.estimatedAtIndex = last
 	return true
 }
 
-// pays tells whether a rewrite drops at least as much as it has to write: each byte and
-// each record is then written a bounded number of times, and the file holds no more than
-// twice what still counts, beside the least sizes.
+// worthCompacting reports whether a rewrite drops at least as much as it has to write. Then each byte
+// and each record is written a bounded number of times, and the file contains at most twice the
+// data that is not obsolete, apart from the minimum sizes.
 func (r *compactionState) worthCompacting(size, keptBytes int64, retained, dropped int) bool {
-	long := size >= r.Bytes && keptBytes*2 <= size
-	return long || (dropped >= r.Records && dropped >= retained)
+	bySize := size >= r.Bytes && keptBytes*2 <= size
+	return bySize || (dropped >= r.Records && dropped >= retained)
 }
 
-// CompactIfDue rewrites the file once much of it is obsolete.
+// CompactIfDue compacts the file if the policy says that enough of it is obsolete.
 func (l *Log) CompactIfDue(now clock.Instant) error {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -90,17 +92,17 @@
 	return l.compact(upTo)
 }
 
-// compact writes a new file: who we are and the fence, the base, and what stays.
+// compact writes a new file: first the disk identity, the fence and the base, then the records that are kept.
 func (l *Log) compact(upTo int64) error {
-	base, stay := l.replica.Compacted(upTo)
+	base, retained := l.replica.Compacted(upTo)
 	i := -1
 	offsets, err := l.file.Rewrite(func() ([]byte, bool, error) {
 		record := messages.ReplicaRecord{Disk: l.replica.Disk, Fence: l.replica.FencedEpoch(), Base: base.Index, BaseEpoch: base.Epoch}
 		switch {
-		case i >= len(stay):
+		case i >= len(retained):
 			return nil, false, nil
 		case i >= 0:
-			entry, err := l.recordToKeep(stay[i])
+			entry, err := l.recordToKeep(retained[i])
 			if err != nil {
 				return nil, false, err
 			}
@@ -111,21 +113,21 @@
 		return body, true, err
 	})
 	if err != nil {
-		return ErrCorrupt.Wrap(err, "rewrite")
+		return ErrCorrupt.Wrap(err, "rewrite file")
 	}
-	for i := range stay {
-		stay[i].Offset = offsets[i+1]
+	for i := range retained {
+		retained[i].Offset = offsets[i+1]
 	}
-	l.replica.Compact(base, stay)
+	l.replica.Compact(base, retained)
 	l.base.Store(base.Index)
 	l.bytes.Store(l.file.Size())
 	return nil
 }
 
-// recordToKeep gives a record that goes into the new file.
-func (l *Log) recordToKeep(slot replication.IndexEntry) (*messages.Record, error) {
-	if slot.Offset < 0 {
-		return &messages.Record{Index: slot.Index, Epoch: slot.Epoch, Kind: slot.Kind}, nil
+// recordToKeep returns the record to write into the new file. An entry with a negative offset is an empty record.
+func (l *Log) recordToKeep(indexEntry replication.IndexEntry) (*messages.Record, error) {
+	if indexEntry.Offset < 0 {
+		return &messages.Record{Index: indexEntry.Index, Epoch: indexEntry.Epoch, Kind: indexEntry.Kind}, nil
 	}
-	return l.read(slot.Index)
+	return l.read(indexEntry.Index)
 }
--- a/internal/batch/replicalog/log.go
+++ b/internal/batch/replicalog/log.go
@@ -1,5 +1,5 @@
-// Package replicalog keeps a store's replica of the records of batch jobs on disk. What may
-// be answered and what must be synced before that is decided by package replication; this
+// Package replicalog stores a store process's replica of the records of batch jobs on disk. Package
+// replication decides how to respond to requests and what must be synced before the response; this
 // package does the I/O.
 package replicalog
 
@@ -13,29 +13,29 @@
 	"lemonarch/internal/platform/recordlog"
 )
 
-// ErrCorrupt is the error of a store whose disk can't be read or written.
-var ErrCorrupt = errs.Define("store")
+// ErrCorrupt is the error of a replica whose disk can't be read or written.
+var ErrCorrupt = errs.Define("replica log")
 
-// replicaFileName is the file of the replica.
+// replicaFileName is the name of the replica's file.
 const replicaFileName = "replica"
 
-// Log is a replica on disk: it syncs before it answers. It is safe for concurrent use; a sync
-// holds its lock.
+// Log is a replica on disk. Its methods sync what they write before they return. It is safe for
+// concurrent use; the lock is held during a sync.
 type Log struct {
 	lock    sync.Mutex
 	replica *replication.Replica
 	file    *recordlog.Log
-	// commitIndex is the index up to which all is known to be durable.
+	// commitIndex is the index up to which all records are known to be durable.
 	commitIndex      int64
 	compactionPolicy compactionState
-	// base is the replica's, for those who must not wait for a sync.
+	// base is the index of the replica's base, readable without the lock by callers that must not wait for a sync.
 	base atomic.Int64
-	// bytes is the length of the file, readable without the lock, which is held while the disk
-	// is waited for.
+	// bytes is the length of the file, readable without the lock, which is held while the log waits
+	// for the disk.
 	bytes atomic.Int64
 }
 
-// Open reads the disk; an empty one gets the new identity.
+// Open reads the replica from a disk. An empty disk is given the identity.
 func Open(disk recordlog.Disk, identity string) (*Log, error) {
 	log := &Log{replica: replication.NewReplica(""), compactionPolicy: compactionState{Compaction: DefaultCompaction()}}
 	file, err := recordlog.Open(disk, replicaFileName, func(offset int64, body []byte) error {
@@ -59,7 +59,7 @@
 		return nil
 	})
 	if err != nil {
-		return nil, ErrCorrupt.Wrap(err, "open")
+		return nil, ErrCorrupt.Wrap(err, "open file")
 	}
 	log.file = file
 	log.bytes.Store(file.Size())
@@ -73,23 +73,25 @@
 	return log, nil
 }
 
-// Bytes is the length of the file. It never waits.
+// Bytes returns the length of the file. It never waits for the disk.
 func (l *Log) Bytes() int64 { return l.bytes.Load() }
 
-// Disk is the identity of the disk.
+// Disk returns the identity of the disk.
 func (l *Log) Disk() string { return l.replica.Disk }
 
+// write appends records and syncs the file.
 func (l *Log) write(records ...messages.ReplicaRecord) error {
 	_, err := l.writeAll(records)
 	return err
 }
 
+// writeAll appends records, syncs the file and returns the offsets of the records.
 func (l *Log) writeAll(records []messages.ReplicaRecord) ([]int64, error) {
 	bodies := make([][]byte, 0, len(records))
 	for i := range records {
 		body, err := records[i].MarshalMsg(nil)
 		if err != nil {
-			return nil, ErrCorrupt.Wrap(err, "record")
+			return nil, ErrCorrupt.Wrap(err, "encode record")
 		}
 		bodies = append(bodies, body)
 	}
@@ -98,10 +100,10 @@
 		err = l.file.Sync()
 	}
 	l.bytes.Store(l.file.Size())
-	return offsets, ErrCorrupt.Wrap(err, "append")
+	return offsets, ErrCorrupt.Wrap(err, "append records")
 }
 
-// Fence takes a new leader's epoch.
+// Fence processes a new leader's fence request and returns once the epoch is synced.
 func (l *Log) Fence(req *messages.FenceRequest) (messages.FenceResponse, error) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -115,7 +117,7 @@
 	return resp, nil
 }
 
-// Append takes records, and answers once they are synced.
+// Append processes a leader's append request and returns once the records are synced.
 func (l *Log) Append(req *messages.AppendRequest) (messages.AppendResponse, error) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -131,7 +133,7 @@
 		}
 		records = append(records, head)
 	}
-	hashes := len(records)
+	headRecords := len(records)
 	for i := range plan.Records {
 		records = append(records, messages.ReplicaRecord{HasEntry: true, Entry: plan.Records[i]})
 	}
@@ -140,10 +142,11 @@
 		if err != nil {
 			return messages.AppendResponse{}, err
 		}
-		l.replica.Commit(plan, req.Epoch, offsets[hashes:])
+		l.replica.Commit(plan, req.Epoch, offsets[headRecords:])
 		l.base.Store(l.replica.Base().Index)
 	}
-	// Behind what joins on to the leader's records there may be a tail of an earlier one.
+	// After the last record that is known to match the leader's, there may be a tail from an earlier
+	// leader, which is not committed.
 	l.commitIndex = max(l.commitIndex, min(req.CommitIndex, resp.Last))
 	return resp, nil
 }
--- a/internal/batch/replicalog/read.go
+++ b/internal/batch/replicalog/read.go
@@ -7,7 +7,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Read gives a record with its body.
+// Read returns the record at an index with its body. A record that was compacted away is returned
+// with its index and epoch only.
 func (l *Log) Read(index int64) (*messages.Record, error) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -16,25 +17,26 @@
 
 func (l *Log) read(index int64) (*messages.Record, error) {
 	if index < 1 || index > l.replica.Last() {
-		return nil, ErrCorrupt.New("no such record")
+		return nil, ErrCorrupt.New("record index out of range")
 	}
-	slot, found := l.replica.EntryAt(index)
+	entry, found := l.replica.EntryAt(index)
 	if !found {
-		// It was compacted away: its job was forgotten.
+		// The record was compacted away since it was obsolete.
 		return &messages.Record{Index: index, Epoch: l.replica.EpochAt(index)}, nil
 	}
-	body, err := l.file.ReadAt(slot.Offset)
+	body, err := l.file.ReadAt(entry.Offset)
 	if err != nil {
-		return nil, ErrCorrupt.Wrap(err, "read")
+		return nil, ErrCorrupt.Wrap(err, "read record")
 	}
 	record := messages.ReplicaRecord{}
 	if _, err = record.UnmarshalMsg(body); err != nil {
-		return nil, ErrCorrupt.Wrap(err, "read")
+		return nil, ErrCorrupt.Wrap(err, "decode record")
 	}
 	return &record.Entry, nil
 }
 
-// Fetch gives a range of records. A copy that is not complete is no source.
+// Fetch returns a range of records, limited by AppendBytes. An incomplete replica, or a request for
+// another disk, gets a response that is not granted.
 func (l *Log) Fetch(req *messages.FetchRequest) (*messages.FetchResponse, error) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -47,8 +49,8 @@
 	}
 	size := 0
 	var cause error
-	l.replica.Each(req.First, func(slot replication.IndexEntry) bool {
-		record, err := l.read(slot.Index)
+	l.replica.Each(req.First, func(entry replication.IndexEntry) bool {
+		record, err := l.read(entry.Index)
 		if err != nil {
 			cause = err
 			return false
@@ -63,7 +65,7 @@
 	return resp, nil
 }
 
-// Jobs makes the job table from all records.
+// Jobs builds the job table from all records.
 func (l *Log) Jobs() (*dispatch.JobTable, error) {
 	forgotten := map[string]int64{}
 	var records []*messages.Record
@@ -72,7 +74,7 @@
 			forgotten[record.Job] = record.Index
 		}
 		if record.Kind == messages.RecordOutput {
-			// Its text is read from disk when it is asked for.
+			// The output is read from disk when it is requested.
 			record.Body = nil
 		}
 		records = append(records, record)
@@ -86,12 +88,12 @@
 	return jobs, err
 }
 
-// each reads all records that are kept, in order.
+// each reads all kept records in order.
 func (l *Log) each(visit func(record *messages.Record)) (cause error) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	l.replica.Each(1, func(slot replication.IndexEntry) bool {
-		record, err := l.read(slot.Index)
+	l.replica.Each(1, func(entry replication.IndexEntry) bool {
+		record, err := l.read(entry.Index)
 		if err != nil {
 			cause = err
 			return false
@@ -102,24 +104,24 @@
 	return cause
 }
 
-// Compacted is the index up to which the records are compacted.
+// Compacted returns the index up to which the records are compacted. It never waits for the disk.
 func (l *Log) Compacted() int64 { return l.base.Load() }
 
-// Extent gives what a leader compares.
+// Extent returns the extent of the replica, which a leader compares with its own.
 func (l *Log) Extent() replication.LogExtent {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	return l.replica.Extent()
 }
 
-// EpochAt gives the epoch of a record.
+// EpochAt returns the epoch of the record at an index, or zero if there is none.
 func (l *Log) EpochAt(index int64) uint64 {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	return l.replica.EpochAt(index)
 }
 
-// Size tells how many bytes the file has and how many records are kept in it.
+// Size returns the length of the file in bytes and the number of records kept in it.
 func (l *Log) Size() (bytes int64, records int) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
--- a/internal/batch/replication/append.go
+++ b/internal/batch/replication/append.go
@@ -2,31 +2,35 @@
 
 import "lemonarch/internal/platform/messages"
 
-// AppendPlan is what an order to append asks of the disk.
+// AppendPlan describes the writes that an append request requires.
 type AppendPlan struct {
+	// RaiseFence reports that the fenced epoch rises to the epoch of the request.
 	RaiseFence bool
+	// Truncate reports that all records after TruncateTo are dropped first.
 	Truncate   bool
 	TruncateTo int64
-	// Reset, where it is set, is the base of a copy that replaces what is here.
-	Reset   *Base
+	// Reset, if not nil, is the base of a compacted copy that replaces the whole replica.
+	Reset *Base
+	// Records are the records to add.
 	Records []messages.Record
 }
 
-// Append decides on an order. Nothing is changed yet: the caller writes and syncs
-// the plan, then calls Commit with the offsets.
+// Append plans an append request without changing the replica: the caller writes and syncs
+// the plan, then calls Commit with the offsets of the records. If the request is rejected, the
+// plan is empty and the response is not granted.
 func (r *Replica) Append(req *messages.AppendRequest) (plan AppendPlan, resp messages.AppendResponse) {
 	resp = messages.AppendResponse{Epoch: r.fencedEpoch, Last: r.Last()}
 	if req.Disk != r.Disk || req.Epoch < r.fencedEpoch {
 		return plan, resp
 	}
-	joins := false
+	matches := false
 	if req.Base > 0 {
-		joins = r.planCompacted(req, &plan)
+		matches = r.planCompacted(req, &plan)
 	} else {
-		joins = r.planFollowing(req, &plan)
+		matches = r.planFollowing(req, &plan)
 	}
-	if !joins {
-		// The records do not join on to ours: the leader has to go further back.
+	if !matches {
+		// The records do not continue this replica: the leader has to send from an earlier index.
 		extent := r.Extent()
 		resp.EpochRanges, resp.Base = extent.EpochRanges, extent.Base
 		return AppendPlan{}, resp
@@ -39,17 +43,18 @@
 	return plan, resp
 }
 
-// planFollowing plans consecutive records; false where they do not join on.
+// planFollowing plans consecutive records. It returns false if they do not continue this replica.
 func (r *Replica) planFollowing(req *messages.AppendRequest, plan *AppendPlan) bool {
 	if !r.Complete() || req.PreviousIndex > r.Last() || !consecutive(req.Records, req.PreviousIndex) {
 		return false
 	}
-	// What is compacted here is durable, and whoever may send under this epoch has it.
+	// Compacted records are durable, and every leader that may send under this epoch has them,
+	// so epochs are compared only from the base on.
 	if req.PreviousIndex >= r.base.Index && r.EpochAt(req.PreviousIndex) != req.PreviousEpoch {
 		return false
 	}
 	records := recordsAfter(req.Records, r.base.Index)
-	// What is here already, under the same epochs, is kept as it is.
+	// Records that are already present with the same epoch are kept.
 	for len(records) > 0 && records[0].Index <= r.Last() && r.EpochAt(records[0].Index) == records[0].Epoch {
 		records = records[1:]
 	}
@@ -60,16 +65,16 @@
 	return true
 }
 
-// planCompacted plans a part of a compacted copy. Parts of two copies with different
-// bases never mix: one may lack a job that the other still speaks of.
+// planCompacted plans one part of a compacted copy. Parts of copies with different bases are
+// never mixed: one copy may lack a job that records of the other refer to.
 func (r *Replica) planCompacted(req *messages.AppendRequest, plan *AppendPlan) bool {
 	base := Base{req.Base, req.BaseEpoch}
 	switch {
 	case r.Has(base):
-		further := *req
-		further.PreviousIndex, further.PreviousEpoch = base.Index, base.Epoch
-		further.Records = recordsAfter(req.Records, base.Index)
-		return r.planFollowing(&further, plan)
+		afterBase := *req
+		afterBase.PreviousIndex, afterBase.PreviousEpoch = base.Index, base.Epoch
+		afterBase.Records = recordsAfter(req.Records, base.Index)
+		return r.planFollowing(&afterBase, plan)
 	case r.base == base && req.PreviousIndex <= r.Last():
 		plan.Records = recordsAfter(req.Records, r.Last())
 		return true
@@ -80,7 +85,7 @@
 	return false
 }
 
-// Has tells whether all up to a durable record is here.
+// Has reports whether the replica contains all records up to a durable one, as far as they were not compacted away.
 func (r *Replica) Has(base Base) bool {
 	if !r.Complete() || r.Last() < base.Index {
 		return false
@@ -88,7 +93,7 @@
 	return base.Index <= r.base.Index || r.EpochAt(base.Index) == base.Epoch
 }
 
-// recordsAfter gives the records after an index.
+// recordsAfter returns the records with an index above the given one.
 func recordsAfter(records []messages.Record, index int64) []messages.Record {
 	for len(records) > 0 && records[0].Index <= index {
 		records = records[1:]
@@ -96,6 +101,7 @@
 	return records
 }
 
+// consecutive reports whether the indexes of the records follow the previous index without a gap.
 func consecutive(records []messages.Record, previous int64) bool {
 	for i := range records {
 		if records[i].Index != previous+1+int64(i) {
@@ -105,7 +111,7 @@
 	return true
 }
 
-// Commit applies a plan that is synced.
+// Commit applies a plan that has been written and synced. Offsets are those of the plan's records in the file.
 func (r *Replica) Commit(plan AppendPlan, epoch uint64, offsets []int64) {
 	if plan.RaiseFence {
 		r.fencedEpoch = epoch
--- a/internal/batch/replication/compaction.go
+++ b/internal/batch/replication/compaction.go
@@ -2,88 +2,91 @@
 
 import "lemonarch/internal/platform/messages"
 
-// forgottenAt tells at which index each job was forgotten last, up to an index.
+// forgottenAt returns, for each job, the index of its last RecordForget record up to an index.
 func (r *Replica) forgottenAt(upTo int64) map[string]int64 {
 	forgotten := map[string]int64{}
-	r.Each(1, func(slot IndexEntry) bool {
-		if slot.Kind == messages.RecordForget && slot.Index <= upTo {
-			forgotten[slot.Job] = slot.Index
+	r.Each(1, func(entry IndexEntry) bool {
+		if entry.Kind == messages.RecordForget && entry.Index <= upTo {
+			forgotten[entry.Job] = entry.Index
 		}
-		return slot.Index < upTo
+		return entry.Index < upTo
 	})
 	return forgotten
 }
 
-// acquisitionsKnownEpoch is the latest epoch, up to an index, whose leader knew that no acquisition
-// of an earlier one stands.
+// acquisitionsKnownEpoch returns the latest epoch with a RecordAcquisitionsKnown record up to an
+// index: no acquisition of an earlier epoch remained that its leader had not adopted.
 func (r *Replica) acquisitionsKnownEpoch(upTo int64) uint64 {
 	epoch := uint64(0)
-	r.Each(1, func(slot IndexEntry) bool {
-		if slot.Kind == messages.RecordAcquisitionsKnown && slot.Index <= upTo {
-			epoch = max(epoch, slot.Epoch)
+	r.Each(1, func(entry IndexEntry) bool {
+		if entry.Kind == messages.RecordAcquisitionsKnown && entry.Index <= upTo {
+			epoch = max(epoch, entry.Epoch)
 		}
-		return slot.Index < upTo
+		return entry.Index < upTo
 	})
 	return epoch
 }
 
-// Obsolete gives the test of which records are obsolete once all up to an index
-// are durable: those of forgotten jobs, the record that forgot them included, of executors
-// that hold nothing, and those without a content.
-func (r *Replica) Obsolete(upTo int64) func(slot IndexEntry) bool {
-	forgotten, sure := r.forgottenAt(upTo), r.acquisitionsKnownEpoch(upTo)
-	return func(slot IndexEntry) bool {
-		if slot.Index > upTo {
+// Obsolete returns a function that reports which records are obsolete once all up to an index
+// are durable: those of forgotten jobs, including the RecordForget record, those of executors
+// that can own no acquisition any more, and those without content.
+func (r *Replica) Obsolete(upTo int64) func(entry IndexEntry) bool {
+	forgotten, knownEpoch := r.forgottenAt(upTo), r.acquisitionsKnownEpoch(upTo)
+	return func(entry IndexEntry) bool {
+		if entry.Index > upTo {
 			return false
 		}
-		switch slot.Kind {
+		switch entry.Kind {
 		case messages.RecordNoop, messages.RecordAcquisitionsKnown:
 			return true
 		case messages.RecordExecutor:
-			return slot.Epoch < sure
+			return entry.Epoch < knownEpoch
 		}
-		return slot.Index <= forgotten[slot.Job]
+		return entry.Index <= forgotten[entry.Job]
 	}
 }
 
-// Weight adds up what a rewrite up to an index would keep and drop.
+// CompactionSavings returns how many bytes and records compaction up to an index would keep, and how
+// many records it would drop.
 func (r *Replica) CompactionSavings(upTo int64) (keptBytes int64, retained, dropped int) {
 	obsolete := r.Obsolete(upTo)
-	r.Each(1, func(slot IndexEntry) bool {
-		if obsolete(slot) {
+	r.Each(1, func(entry IndexEntry) bool {
+		if obsolete(entry) {
 			dropped++
 		} else {
 			retained++
-			keptBytes += int64(slot.Size)
+			keptBytes += int64(entry.Size)
 		}
 		return true
 	})
 	return keptBytes, retained, dropped
 }
 
-// Compacted gives the records that stay when all up to an index is compacted. The one
-// at the index always stays, empty where it is obsolete: it ends the sparse part.
-func (r *Replica) Compacted(upTo int64) (base Base, stay []IndexEntry) {
+// Compacted returns the base and the records that are kept when the replica is compacted up to an
+// index. The record at the index is always kept, as an empty one if it is obsolete, because it marks
+// the end of the sparse part.
+func (r *Replica) Compacted(upTo int64) (base Base, retained []IndexEntry) {
 	base = Base{upTo, r.EpochAt(upTo)}
 	obsolete := r.Obsolete(upTo)
-	r.Each(1, func(slot IndexEntry) bool {
+	r.Each(1, func(entry IndexEntry) bool {
 		switch {
-		case slot.Index == upTo && obsolete(slot):
-			stay = append(stay, IndexEntry{Index: upTo, Epoch: slot.Epoch, Size: recordOverheadBytes, Kind: messages.RecordNoop, Offset: -1})
-		case !obsolete(slot):
-			stay = append(stay, slot)
+		case entry.Index == upTo && obsolete(entry):
+			retained = append(retained, IndexEntry{Index: upTo, Epoch: entry.Epoch, Size: recordOverheadBytes, Kind: messages.RecordNoop, Offset: -1})
+		case !obsolete(entry):
+			retained = append(retained, entry)
 		}
 		return true
 	})
-	return base, stay
+	return base, retained
 }
 
-// Compact takes a rewrite that is synced: the records that stay, where they stand now.
-func (r *Replica) Compact(base Base, stay []IndexEntry) {
+// Compact applies a compaction whose file has been synced. Retained are the kept records with
+// their new offsets.
+func (r *Replica) Compact(base Base, retained []IndexEntry) {
 	count := 0
-	for count < len(stay) && stay[count].Index <= base.Index {
+	for count < len(retained) && retained[count].Index <= base.Index {
 		count++
 	}
 	r.base = base
-	r.sparse, r.entries = stay[:count:count], stay[count:]
+	r.sparse, r.entries = retained[:count:count], retained[count:]
 }
--- a/internal/batch/replication/extent.go
+++ b/internal/batch/replication/extent.go
@@ -2,17 +2,18 @@
 
 import "lemonarch/internal/platform/messages"
 
-// LogExtent is how far a copy reaches and which epochs wrote its records, in order. Up to
-// Base it is compacted, and all counts as one stretch of the epoch of the record there.
+// LogExtent describes which records a copy of the log has and which epochs wrote them, in order.
+// Up to Base the copy is compacted, and these records count as one range of the epoch of the
+// record at Base.
 type LogExtent struct {
 	Last, Base  int64
 	EpochRanges []messages.EpochRange
 }
 
-// complete tells whether the copy has all up to its base.
+// complete reports whether the copy has all records up to its base.
 func (e LogExtent) complete() bool { return e.Last >= e.Base }
 
-// epochAt gives the epoch of a record, zero where there is none.
+// epochAt returns the epoch of the record at an index, or zero if there is none.
 func (e LogExtent) epochAt(index int64) uint64 {
 	epoch := uint64(0)
 	if index > e.Last {
@@ -27,16 +28,17 @@
 	return epoch
 }
 
-// CommonIndex gives the last index up to which two copies are the same. Records of one
-// epoch come from one leader in one order, so equal epochs at an index mean equal
-// records up to it. A compacted copy has nothing in common with one that ends before
-// its base: what it dropped can't be sent any more, so that one is copied anew.
+// CommonIndex returns the last index up to which two copies are equal. Records of one
+// epoch come from one leader in one order, so equal epochs at an index imply equal
+// records up to it. A compacted copy has no common index with one that ends before
+// its base: the dropped records can't be sent any more, so that the other one has to be
+// copied from the start.
 func CommonIndex(left, right LogExtent) int64 {
 	if !left.complete() || !right.complete() {
 		if left.Base != right.Base || left.epochAt(1) != right.epochAt(1) {
 			return 0
 		}
-		// Two parts of one compacted copy.
+		// Both are parts of the same compacted copy.
 		return min(left.Last, right.Last)
 	}
 	base := max(left.Base, right.Base)
@@ -46,19 +48,19 @@
 	return max(base, commonRanges(left.after(base), right.after(base)))
 }
 
-// after gives the part of an extent that follows an index.
+// after returns the part of an extent after an index.
 func (e LogExtent) after(base int64) LogExtent {
-	part := LogExtent{Last: e.Last}
+	tail := LogExtent{Last: e.Last}
 	for i, epochRange := range e.EpochRanges {
 		if i+1 < len(e.EpochRanges) && e.EpochRanges[i+1].First <= base+1 {
 			continue
 		}
-		part.EpochRanges = append(part.EpochRanges, messages.EpochRange{Epoch: epochRange.Epoch, First: max(epochRange.First, base+1)})
+		tail.EpochRanges = append(tail.EpochRanges, messages.EpochRange{Epoch: epochRange.Epoch, First: max(epochRange.First, base+1)})
 	}
-	return part
+	return tail
 }
 
-// commonRanges is CommonIndex for two copies that were not compacted.
+// commonRanges returns the common index of two copies that are not compacted.
 func commonRanges(left, right LogExtent) int64 {
 	common := int64(0)
 	for i := 0; i < len(left.EpochRanges) && i < len(right.EpochRanges); i++ {
@@ -80,12 +82,12 @@
 	return common
 }
 
-// ExtentOfFence is the extent that a store answered with.
+// ExtentOfFence returns the extent in a store's response to a fence request.
 func ExtentOfFence(resp *messages.FenceResponse) LogExtent {
 	return LogExtent{Last: resp.Last, Base: resp.Base, EpochRanges: resp.EpochRanges}
 }
 
-// ExtentOfAppend is the extent that a store gave for records that did not join on.
+// ExtentOfAppend returns the extent in a store's response to an append request whose records did not continue its replica.
 func ExtentOfAppend(resp *messages.AppendResponse) LogExtent {
 	return LogExtent{Last: resp.Last, Base: resp.Base, EpochRanges: resp.EpochRanges}
 }
--- a/internal/batch/replication/replica.go
+++ b/internal/batch/replication/replica.go
@@ -1,5 +1,5 @@
-// Package replication is the replicated log of records, without I/O: the replica of one
-// store, how the leader counts copies, and what a new leader goes on from.
+// Package replication implements the replicated log of records, without I/O: the replica of one
+// store, the leader's tracking of copies, and the choice of the copy from which a new leader continues.
 package replication
 
 import (
@@ -9,21 +9,21 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// ErrRecordGap is the error of a record that does not follow those before it.
-var ErrRecordGap = errs.Define("gap in the records")
+// ErrRecordGap is the error of a record whose index does not follow the last one.
+var ErrRecordGap = errs.Define("gap in the record indexes")
 
-// IndexEntry is what a store remembers of a record; its body stays on disk.
+// IndexEntry is the part of a record that a store keeps in memory; the body stays on disk.
 type IndexEntry struct {
 	Index  int64
 	Epoch  uint64
 	Offset int64
 	Job    string
-	// Size is about how many bytes the record takes on disk.
+	// Size is the approximate size of the record on disk, in bytes.
 	Size int32
 	Kind messages.RecordKind
 }
 
-// recordOverhead is about what a record takes on disk beside its body, in bytes.
+// recordOverhead is the approximate size of a record on disk without its body.
 const recordOverheadBytes = 128
 
 func indexEntryOf(record *messages.Record, index, offset int64) IndexEntry {
@@ -32,36 +32,37 @@
 }
 
 // Base is the point up to which a replica is compacted: of the records up to Index only
-// those are kept that are not obsolete. Epoch is that of the record at Index. All
-// of them are durable, so whoever has the record at Index has the same before it.
+// those are kept that are not obsolete. Epoch is that of the record at Index. All records up to
+// Index are durable, so replicas that have the same record at Index are equal before it.
 type Base struct {
 	Index int64
 	Epoch uint64
 }
 
-// Replica is one store's copy of the records, in the order the leaders gave them.
-// Its caller syncs what a step returns before it answers.
+// Replica is one store's copy of the records, in the order in which the leaders appended them.
+// The caller syncs what a method returns to be written before it responds to the request.
 type Replica struct {
+	// Disk is the identity of the disk.
 	Disk        string
 	fencedEpoch uint64
 	base        Base
-	// sparse are the entries kept of those up to the base, entries all that follow it.
+	// sparse are the entries kept up to the base, in order; entries are all entries after the base.
 	sparse, entries []IndexEntry
 }
 
-// NewReplica makes an empty one.
+// NewReplica returns an empty replica on the disk with the given identity.
 func NewReplica(disk string) *Replica { return &Replica{Disk: disk} }
 
-// FencedEpoch is the epoch below which orders are refused.
+// FencedEpoch returns the epoch below which requests are rejected.
 func (r *Replica) FencedEpoch() uint64 { return r.fencedEpoch }
 
-// SetFencedEpoch is for reading the disk.
+// SetFencedEpoch raises the fenced epoch to one that is synced to disk. A lower epoch is ignored.
 func (r *Replica) SetFencedEpoch(epoch uint64) { r.fencedEpoch = max(r.fencedEpoch, epoch) }
 
-// Base is the point up to which the replica is compacted; zero where it never was.
+// Base returns the point up to which the replica is compacted; zero if it never was.
 func (r *Replica) Base() Base { return r.base }
 
-// lastSparse is the index of the last sparse record.
+// lastSparse returns the index of the last sparse record, or zero if there is none.
 func (r *Replica) lastSparse() int64 {
 	if len(r.sparse) == 0 {
 		return 0
@@ -69,14 +70,14 @@
 	return r.sparse[len(r.sparse)-1].Index
 }
 
-// Complete tells whether all up to the base is here: the record at the base, which is
-// always kept, comes last.
+// Complete reports whether the replica has all records up to the base, as far as they were not
+// compacted away. The record at the base is always kept and is the last one to arrive.
 func (r *Replica) Complete() bool { return r.lastSparse() == r.base.Index }
 
-// Last is the index of the last record; indexes begin at 1.
+// Last returns the index of the last record, or zero if there is none. Indexes begin at 1.
 func (r *Replica) Last() int64 { return r.lastSparse() + int64(len(r.entries)) }
 
-// EntryAt gives the entry at an index; there is none where the record was compacted away.
+// EntryAt returns the entry at an index. It returns false if there is no such record or if the record was compacted away.
 func (r *Replica) EntryAt(index int64) (IndexEntry, bool) {
 	if offset := index - r.base.Index - 1; offset >= 0 {
 		if offset >= int64(len(r.entries)) {
@@ -91,13 +92,13 @@
 	return r.sparse[i], true
 }
 
-// sparseAt is the position of the first sparse record at an index or behind it.
+// sparseAt returns the position in sparse of the first record with the given index or a higher one.
 func (r *Replica) firstSparseFrom(index int64) int {
 	return sort.Search(len(r.sparse), func(i int) bool { return r.sparse[i].Index >= index })
 }
 
-// EpochAt gives the epoch of a record; index 0 stands before all. Up to the base all
-// records count as the base's: which leader wrote them is of no use any more.
+// EpochAt returns the epoch of the record at an index, or zero if there is none, as at index 0.
+// All records up to the base count as of the base's epoch: which leader wrote them is no longer needed.
 func (r *Replica) EpochAt(index int64) uint64 {
 	switch {
 	case index < 1 || index > r.Last():
@@ -108,10 +109,10 @@
 	return r.entries[index-r.base.Index-1].Epoch
 }
 
-// Each visits the records that are kept from an index on until visit says stop.
-func (r *Replica) Each(first int64, visit func(slot IndexEntry) bool) {
-	for _, slot := range r.sparse[r.firstSparseFrom(first):] {
-		if !visit(slot) {
+// Each visits the kept records from an index on, in order, until visit returns false.
+func (r *Replica) Each(first int64, visit func(entry IndexEntry) bool) {
+	for _, entry := range r.sparse[r.firstSparseFrom(first):] {
+		if !visit(entry) {
 			return
 		}
 	}
@@ -122,28 +123,29 @@
 	}
 }
 
-// Extent tells which records are here and which epochs wrote them.
+// Extent returns which records the replica has and which epochs wrote them.
 func (r *Replica) Extent() LogExtent {
 	extent := LogExtent{Last: r.Last(), Base: r.base.Index}
-	note := func(epoch uint64, first int64) {
+	addRange := func(epoch uint64, first int64) {
 		if count := len(extent.EpochRanges); count == 0 || extent.EpochRanges[count-1].Epoch != epoch {
 			extent.EpochRanges = append(extent.EpochRanges, messages.EpochRange{Epoch: epoch, First: first})
 		}
 	}
 	if r.base.Index > 0 {
-		note(r.base.Epoch, 1)
+		addRange(r.base.Epoch, 1)
 	}
-	for _, slot := range r.entries {
-		note(slot.Epoch, slot.Index)
+	for _, entry := range r.entries {
+		addRange(entry.Epoch, entry.Index)
 	}
 	return extent
 }
 
-// Fence answers a new leader; keep says that the fence must be synced before that, and
-// then set. It is not set here: where the sync fails, a second try has to sync it too.
+// Fence returns the response to a new leader's fence request. Persist reports that the caller must
+// sync the epoch and call SetFencedEpoch before it responds. Fence does not set the epoch: if the sync
+// fails, a retry has to sync it again.
 func (r *Replica) Fence(req *messages.FenceRequest) (resp messages.FenceResponse, persist bool) {
 	resp = messages.FenceResponse{Epoch: r.fencedEpoch}
-	// A disk that came back empty is not the store that was asked for.
+	// A store that restarted with an empty disk has another identity and is not the requested member.
 	if req.Disk != r.Disk || req.Epoch < r.fencedEpoch {
 		return resp, false
 	}
@@ -152,7 +154,7 @@
 	return messages.FenceResponse{Granted: true, Epoch: req.Epoch, Last: extent.Last, EpochRanges: extent.EpochRanges, Base: extent.Base}, persist
 }
 
-// Truncate drops everything after an index.
+// Truncate drops all records after an index.
 func (r *Replica) Truncate(index int64) {
 	if index >= r.base.Index {
 		r.entries = r.entries[:min(index-r.base.Index, int64(len(r.entries)))]
@@ -162,7 +164,7 @@
 	r.sparse = r.sparse[:r.firstSparseFrom(index+1)]
 }
 
-// Add adds the record that follows.
+// Add adds the next record, whose body is at an offset of the file.
 func (r *Replica) Add(record *messages.Record, offset int64) {
 	if r.base.Index > 0 && record.Index <= r.base.Index {
 		r.sparse = append(r.sparse, indexEntryOf(record, record.Index, offset))
@@ -171,12 +173,13 @@
 	r.entries = append(r.entries, indexEntryOf(record, r.Last()+1, offset))
 }
 
-// Restore adds a record that is read from disk. One that is there already was written
-// before a sync failed, and again after: the later one and what follows it counts.
+// Restore adds a record read from disk. If a record with its index was read before, that one was
+// written before a failed sync and written again afterwards, so the later record replaces it and all
+// records after it.
 func (r *Replica) Restore(record *messages.Record, offset int64) error {
 	sparse := record.Index <= r.base.Index
 	if !sparse && (record.Index > r.Last()+1 || !r.Complete()) {
-		return ErrRecordGap.New("record that does not follow")
+		return ErrRecordGap.New("record index does not follow the last one")
 	}
 	if record.Index <= r.Last() {
 		r.Truncate(record.Index - 1)
@@ -185,7 +188,7 @@
 	return nil
 }
 
-// Reset begins a copy that is compacted up to a base: what was here is dropped.
+// Reset drops all records and starts a copy that is compacted up to a base.
 func (r *Replica) Reset(base Base) {
 	r.base, r.sparse, r.entries = base, nil, nil
 }
--- a/internal/batch/replication/replicator.go
+++ b/internal/batch/replication/replicator.go
@@ -7,39 +7,43 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Replicator follows, for the leader of an epoch, how far each store has synced, and
-// so what is durable.
+// Replicator tracks, for the leader of an epoch, how far each store has synced, and
+// computes the commit index from it.
 type Replicator struct {
 	Epoch   uint64
 	Members []messages.Member
-	// Next, while the store set is being changed, is the set to come: then a
-	// record is durable only with enough copies in both.
-	Next       []messages.Member
-	budget     int
+	// Next is the new store set while the set is being changed, nil otherwise. With a joint set, a
+	// record is durable only with enough copies in both sets.
+	Next []messages.Member
+	// budget is the fault budget: the number of store losses to tolerate.
+	budget int
+	// matchIndex is the index up to which each store has synced, by identity.
 	matchIndex map[string]int64
-	// lost holds the members whose disks are known to be lost, by identity.
-	lost        map[string]bool
-	first       int64
+	// lost contains the members whose disks are known to be lost, by identity.
+	lost map[string]bool
+	// first is the index of the first record of this epoch.
+	first int64
+	// last is the index of the newest record.
 	last        int64
 	commitIndex int64
 }
 
-// NewReplicator starts an epoch whose first own record will have index first.
+// NewReplicator returns the replicator of an epoch whose first own record will have the index first.
 func NewReplicator(epoch uint64, members []messages.Member, budget int, first int64) *Replicator {
 	return &Replicator{Epoch: epoch, Members: members, budget: budget, matchIndex: map[string]int64{}, lost: map[string]bool{}, first: first, last: first - 1}
 }
 
-// NextIndex counts a record that the leader has made.
+// NextIndex returns the index for a new record of the leader.
 func (p *Replicator) NextIndex() int64 {
 	p.last++
 	return p.last
 }
 
-// Last is the index of the newest record.
+// Last returns the index of the newest record.
 func (p *Replicator) Last() int64 { return p.last }
 
-// UpdateMatch notes that a store has synced all up to an index, and tells whether
-// more is durable now.
+// UpdateMatch records that a store has synced all records up to an index, and reports whether
+// the commit index advanced.
 func (p *Replicator) UpdateMatch(identity string, index int64) bool {
 	if index > p.matchIndex[identity] {
 		p.matchIndex[identity] = index
@@ -47,26 +51,26 @@
 	return p.AdvanceCommit()
 }
 
-// MatchIndex tells how far a store has synced.
+// MatchIndex returns the index up to which a store has synced.
 func (p *Replicator) MatchIndex(identity string) int64 { return p.matchIndex[identity] }
 
-// MarkLost notes that a member's disk is lost: its machine has answered with another one. It
-// tells whether more is durable now. A lost disk never grants another leader anything, so
-// where fewer than budget + 1 members are left, a record that all of these have synced is
-// met by every later leader.
+// MarkLost records that a member's disk is lost: its machine responded with another disk. It
+// reports whether the commit index advanced. A lost disk never grants a fence to another leader, so
+// if fewer than budget + 1 members are left, every later leader reads a record that all of these
+// have synced.
 func (p *Replicator) MarkLost(identity string) bool {
 	p.lost[identity] = true
 	return p.AdvanceCommit()
 }
 
-// AdvanceCommit recomputes what is durable.
+// AdvanceCommit recomputes the commit index and reports whether it advanced.
 func (p *Replicator) AdvanceCommit() bool {
 	durable := p.replicatedIndexIn(p.Members)
 	if p.Next != nil {
 		durable = min(durable, p.replicatedIndexIn(p.Next))
 	}
-	// Copies of an earlier epoch's records decide nothing by their number: they
-	// are durable once a record of this epoch behind them is.
+	// The number of copies does not make records of earlier epochs durable: they become
+	// durable once a later record of this epoch is.
 	if durable < p.first || durable <= p.commitIndex {
 		return false
 	}
@@ -74,15 +78,16 @@
 	return true
 }
 
-// InNextSet tells whether enough members of the set to come have synced all up to an index.
+// InNextSet reports whether enough members of the new store set have synced all records up to an index.
 func (p *Replicator) InNextSet(index int64) bool { return p.replicatedIndexIn(p.Next) >= index }
 
-// Inherited is the index of the last record of earlier epochs, with which this one began.
+// Inherited returns the index of the last record of earlier epochs, with which this epoch started.
 func (p *Replicator) Inherited() int64 { return p.first - 1 }
 
-// CommitIndex is the index up to which all is durable.
+// CommitIndex returns the index up to which all records are durable.
 func (p *Replicator) CommitIndex() int64 { return p.commitIndex }
 
+// replicatedIndexIn returns the index up to which all records have enough synced copies in a store set.
 func (p *Replicator) replicatedIndexIn(members []messages.Member) int64 {
 	var matches []int64
 	for _, member := range members {
--- a/internal/batch/replication/takeover.go
+++ b/internal/batch/replication/takeover.go
@@ -2,7 +2,7 @@
 
 import "lemonarch/internal/platform/messages"
 
-// lastEpoch is the epoch of the last record of a copy.
+// lastEpoch returns the epoch of the last record of a copy, or zero if it is empty.
 func lastEpoch(epochRanges []messages.EpochRange) uint64 {
 	if len(epochRanges) == 0 {
 		return 0
@@ -10,19 +10,19 @@
 	return epochRanges[len(epochRanges)-1].Epoch
 }
 
-// EnoughFenced tells whether a new leader has raised its epoch at enough stores: all
-// but the fault budget, so that the old leader reaches too few and every record
-// that was told is among what was read.
+// EnoughFenced reports whether enough stores have granted a new leader's fence: all but
+// the fault budget. The old leader then can't reach enough stores to commit, and every record
+// that was acknowledged is in at least one of the copies that the new leader read.
 func EnoughFenced(members, granted, budget int) bool {
 	return granted >= members-min(budget, members-1)
 }
 
-// CopiesNeeded is how many synced copies make a record durable.
+// CopiesNeeded returns how many synced copies make a record durable: one more than the fault budget, or all members if there are fewer.
 func CopiesNeeded(members, budget int) int { return min(budget+1, members) }
 
-// BestCopy picks the copy to go on from: the one whose last record has the highest
-// epoch, and among those the longest. One that is not complete is no copy: what it lacks is
-// durable, so another one has it.
+// BestCopy returns the identity of the store whose copy a new leader continues from: the one whose
+// last record has the highest epoch, among those the longest, among those the lowest identity.
+// Incomplete copies are ignored: the records that they lack are durable, so another copy has them.
 func BestCopy(copies map[string]messages.FenceResponse) string {
 	best := ""
 	for identity, response := range copies {
@@ -33,18 +33,18 @@
 			best = identity
 			continue
 		}
-		have := copies[best]
-		left, right := lastEpoch(response.EpochRanges), lastEpoch(have.EpochRanges)
-		if left > right || (left == right && response.Last > have.Last) ||
-			(left == right && response.Last == have.Last && identity < best) {
+		bestResponse := copies[best]
+		epoch, bestEpoch := lastEpoch(response.EpochRanges), lastEpoch(bestResponse.EpochRanges)
+		if epoch > bestEpoch || (epoch == bestEpoch && response.Last > bestResponse.Last) ||
+			(epoch == bestEpoch && response.Last == bestResponse.Last && identity < best) {
 			best = identity
 		}
 	}
 	return best
 }
 
-// RefusedForDisk tells whether a store refused an epoch since the disk that was asked for is
-// not there, and not since a later epoch is fenced there.
+// RefusedForDisk reports whether a store rejected an epoch because it does not have the requested
+// disk, and not because it has fenced a later epoch.
 func RefusedForDisk(epoch uint64, resp *messages.FenceResponse) bool {
 	return !resp.Granted && resp.Epoch <= epoch
 }
