--- a/internal/batch/executorserver/acknowledge.go
+++ b/internal/batch/executorserver/acknowledge.go
@@ -7,7 +7,7 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// renew asks for all locks in one message.
+// renew sends the renewals of all locks in one message and processes the verdicts.
 func (s *Server) renew(entries []messages.Acknowledgement, epoch uint64) {
 	sentAt := clock.Now()
 	resp := s.acknowledge(entries, epoch, constants.CallTimeout/2)
@@ -15,23 +15,23 @@
 	defer s.lock.Unlock()
 	s.locks.renewing = false
 	if resp == nil {
-		// Asked again at once: the leadership may have changed hands.
+		// Retry immediately: the leadership may have changed.
 		s.locks.renewedAt = 0
 		return
 	}
 	s.stopRunsLocked(s.runner.HandleRenewals(entries, resp.Verdicts, sentAt, s.locks.duration))
 }
 
-// acknowledge carries a batch to the dispatcher; nil when it was not answered.
+// acknowledge sends a batch to the dispatcher. It returns nil if there was no response from a leader.
 func (s *Server) acknowledge(entries []messages.Acknowledgement, epoch uint64, timeout clock.Duration) *messages.AcknowledgeResponse {
-	own, leader := s.node.Self, s.leader.LeaderAddress()
+	self, leader := s.node.Self, s.leader.LeaderAddress()
 	s.lock.Lock()
 	draining := s.draining
 	s.lock.Unlock()
-	req := &messages.AcknowledgeRequest{Executor: own.Name, Incarnation: own.Incarnation, Address: own.Address, Zone: own.Zone, Entries: entries,
+	req := &messages.AcknowledgeRequest{Executor: self.Name, Incarnation: self.Incarnation, Address: self.Address, Zone: self.Zone, Entries: entries,
 		KnownVersion: s.knownVersion(), Draining: draining, Epoch: epoch}
 	resp := &messages.AcknowledgeResponse{}
-	if leader == own.Address {
+	if leader == self.Address {
 		resp = s.leader.Acknowledge(req)
 	} else if leader == "" || transport.Call(s.node.Transport, leader, messages.KindAcknowledge, req, resp, timeout) != nil {
 		return nil
@@ -43,9 +43,9 @@
 	return resp
 }
 
-// acknowledgeLoop repeats acknowledgements until they are answered.
-// gatherTime is how long it waits for more after the first.
-func (s *Server) acknowledgeLoop(changed chan struct{}, gatherTime clock.Duration, gather func() []messages.Acknowledgement) {
+// acknowledgeLoop sends acknowledgements until the dispatcher has responded to them. It waits for
+// gatherTime after the first one, so that more of them fit into one message.
+func (s *Server) acknowledgeLoop(changed chan struct{}, gatherTime clock.Duration, nextBatch func() []messages.Acknowledgement) {
 	stop := s.node.Stop
 	for {
 		select {
@@ -57,7 +57,7 @@
 		}
 		for {
 			s.lock.Lock()
-			batch := gather()
+			batch := nextBatch()
 			s.lock.Unlock()
 			if len(batch) == 0 {
 				break
--- a/internal/batch/executorserver/executorserver.go
+++ b/internal/batch/executorserver/executorserver.go
@@ -1,7 +1,7 @@
 // Package executorserver runs items of batch jobs in a store process: it acquires items from
-// the dispatcher, places each on a worker that this process owns, gathers the events of the
-// worker's answer, renews the locks meanwhile, and acknowledges how each run ended. What is
-// held and owed, without I/O, is package executor.
+// the dispatcher, places each on a worker that this process owns, collects the events of the
+// worker's response, renews the locks meanwhile, and acknowledges the result of each run.
+// Package executor tracks the acquired items and pending acknowledgements, without I/O.
 package executorserver
 
 import (
@@ -18,19 +18,20 @@
 	"lemonarch/internal/traffic/workerconn"
 )
 
-// Locator finds the leader.
+// Locator locates the leader.
 type Locator interface {
-	// LeaderAddress is the leader's address, empty where none is known.
+	// LeaderAddress returns the leader's address, or an empty string if none is known.
 	LeaderAddress() string
-	// LeaderEpoch is the leader's epoch, as far as this process knows.
+	// LeaderEpoch returns the latest leader epoch that this process knows.
 	LeaderEpoch() uint64
 }
 
 // Leader is the dispatcher of items, in this process or in another.
 type Leader interface {
 	Locator
-	// Acquire and Acknowledge are the leader's side where this process leads.
+	// Acquire processes an acquire request in this process, which is used when it is the leader.
 	Acquire(req *messages.AcquireRequest) *messages.AcquireResponse
+	// Acknowledge processes an acknowledge request in this process, as Acquire does.
 	Acknowledge(req *messages.AcknowledgeRequest) *messages.AcknowledgeResponse
 }
 
@@ -44,9 +45,9 @@
 	// lock guards the fields below.
 	lock   sync.Mutex
 	runner *executor.Runner
-	// connections are those to workers that run a task now; closing one breaks the run off.
+	// connections are the connections to the workers that run a task now; closing one aborts the run.
 	connections map[*executor.Task]*workerconn.Connection
-	// waiting are the tasks that have no worker yet.
+	// waiting are the tasks without a worker.
 	waiting  []*executor.Task
 	locks    locks
 	draining bool
@@ -54,31 +55,31 @@
 	peers    executorList
 }
 
-// signals wake the loops; each keeps one signal while its loop is at work.
+// signals wake the loops. Each channel buffers one signal while its loop is busy.
 type signals struct {
-	// wake is for the loop that acquires, results and releases for those that acknowledge.
+	// wake wakes the acquire loop, results and releases the acknowledge loops.
 	wake, results, releases chan struct{}
 }
 
-// locks is the state of the locks of all acquisitions here.
+// locks is the state of the locks of all acquisitions of this process.
 type locks struct {
-	// duration is a lock's length as the dispatcher last gave it.
+	// duration is the duration of a lock in the dispatcher's latest response.
 	duration clock.Duration
-	// renewedAt is when the locks were last renewed, renewing set while a renewal is under way.
+	// renewedAt is when the locks were last renewed; renewing is true while a renewal is in flight.
 	renewedAt clock.Instant
 	renewing  bool
-	// reportedEpoch is the latest epoch whose leader was told all that is held here.
+	// reportedEpoch is the latest epoch whose leader was sent all acquisitions of this process.
 	reportedEpoch uint64
 }
 
-// executorList is the dispatcher's list of executors, as of a version and an instant.
+// executorList is the dispatcher's list of executors, with its version and the instant of the latest response.
 type executorList struct {
 	list       []messages.ExecutorInfo
 	version    uint64
 	receivedAt clock.Instant
 }
 
-// New makes a server that holds nothing.
+// New returns a server without tasks. Call Start to run it.
 func New(gossip *loadgossip.Gossip, leader Leader) *Server {
 	return &Server{node: gossip.Node, gossip: gossip, leader: leader, runner: executor.New(),
 		connections: map[*executor.Task]*workerconn.Connection{},
@@ -86,7 +87,7 @@
 		locks:       locks{duration: dispatch.LockDuration(gossip.Node.Settings.Tolerances.CancelMs)}}
 }
 
-// signal wakes a loop; one signal is kept while the loop is at work.
+// signal wakes a loop. It never blocks: one signal is buffered while the loop is busy.
 func signal(wake chan struct{}) {
 	select {
 	case wake <- struct{}{}:
@@ -94,7 +95,7 @@
 	}
 }
 
-// Start begins the loops, which end with the process's Stop.
+// Start starts the loops, which end when the agent's Stop channel is closed.
 func (s *Server) Start() {
 	go s.acquireLoop()
 	go s.acknowledgeLoop(s.signals.results, constants.ResultGatherTime, s.runner.Results)
@@ -102,7 +103,7 @@
 	go clock.Every(constants.TickPeriod, s.node.Stop, s.maintain)
 }
 
-// acquireLoop keeps as many items as there are free slots for.
+// acquireLoop acquires items for as many slots as are free.
 func (s *Server) acquireLoop() {
 	stop := s.node.Stop
 	for {
@@ -129,14 +130,14 @@
 	}
 }
 
-// acquire asks once; false when the dispatcher could not be asked.
+// acquire sends one acquire request and places the items. It returns false if no leader responded.
 func (s *Server) acquire(leader string, freeCapacity []messages.ServiceCapacity) bool {
-	own := s.node.Self
-	req := &messages.AcquireRequest{Executor: own.Name, Incarnation: own.Incarnation, Address: own.Address, Zone: own.Zone, Capacity: freeCapacity,
+	self := s.node.Self
+	req := &messages.AcquireRequest{Executor: self.Name, Incarnation: self.Incarnation, Address: self.Address, Zone: self.Zone, Capacity: freeCapacity,
 		WaitMs: int(constants.AcquireWait.Milliseconds()), KnownVersion: s.knownVersion()}
 	resp := &messages.AcquireResponse{}
 	sentAt := clock.Now()
-	if leader == own.Address {
+	if leader == self.Address {
 		resp = s.leader.Acquire(req)
 	} else if transport.Call(s.node.Transport, leader, messages.KindAcquire, req, resp, constants.AcquireWait+constants.CallTimeout) != nil {
 		return false
@@ -154,17 +155,17 @@
 	return true
 }
 
-// maintain places what waits, stops what may not go on, and renews the locks.
+// maintain stops the runs whose lock has expired, renews the locks when due, and places waiting tasks.
 func (s *Server) maintain() {
 	now, epoch := clock.Now(), s.leader.LeaderEpoch()
 	s.lock.Lock()
 	s.stopRunsLocked(s.runner.Lapsed(now))
 	due := !s.locks.renewing && now.Sub(s.locks.renewedAt) >= s.locks.duration/constants.RenewalsPerLock
-	// A new leader is shown at once what we hold.
+	// All acquisitions are reported to a new leader immediately.
 	due = due || epoch > s.locks.reportedEpoch
 	var entries []messages.Acknowledgement
 	if due {
-		// With nothing to renew it still says that this executor is there.
+		// Sent even without renewals, so that the dispatcher knows that this executor is alive.
 		entries = s.runner.Renewals(now)
 		s.runner.DropBefore(epoch)
 		s.locks.reportedEpoch = max(s.locks.reportedEpoch, epoch)
@@ -178,7 +179,8 @@
 	s.placeWaiting()
 }
 
-// stopRunsLocked breaks runs off; each requeues its item by itself. The lock is held.
+// stopRunsLocked aborts the runs of tasks by closing their connections; each run then requeues its item.
+// The caller holds s.lock.
 func (s *Server) stopRunsLocked(tasks []*executor.Task) {
 	for _, task := range tasks {
 		if connection := s.connections[task]; connection != nil {
@@ -187,14 +189,15 @@
 	}
 }
 
-// StopJob breaks off whatever runs of a job.
+// StopJob aborts all runs of a job.
 func (s *Server) StopJob(jobID string) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.stopRunsLocked(s.runner.StopJob(jobID))
 }
 
-// Drain gives everything back before the process ends.
+// Drain stops all runs and releases their items before the process ends. It returns when all
+// acknowledgements have been answered, or after LeaseDuration at the latest.
 func (s *Server) Drain() {
 	s.lock.Lock()
 	s.draining = true
@@ -207,9 +210,9 @@
 	for clock.Now() < end {
 		s.lock.Lock()
 		all, _ := s.runner.Count()
-		owing := s.runner.Unacknowledged()
+		unacknowledged := s.runner.Unacknowledged()
 		s.lock.Unlock()
-		if all == 0 && owing == 0 {
+		if all == 0 && unacknowledged == 0 {
 			return
 		}
 		clock.Sleep(constants.TickPeriod / 2)
--- a/internal/batch/executorserver/place.go
+++ b/internal/batch/executorserver/place.go
@@ -13,38 +13,38 @@
 	"lemonarch/internal/traffic/prefixindex"
 )
 
-// workerOwnership is which workers this process places items at. Each worker is owned by
-// one store as far as the stores see each other: of those in its zone, else of
-// all, the one with the highest hash. So executors need not agree on each placement, and an
-// executor that sees few others owns more.
+// workerOwnership is the set of workers on which this process places items. If all stores see
+// the same stores, each worker has exactly one owner: of the stores in its zone, or of all stores
+// if there are none, the one with the highest hash. So executors need not agree on each placement,
+// and an executor that sees few others owns more workers.
 type workerOwnership struct {
 	computedAt clock.Instant
 	workers    map[string]bool
 }
 
-// owner picks the owner of a worker among stores (name to zone).
+// owner returns the name of the store that owns a worker. Stores maps names to zones.
 func owner(worker, zone string, stores map[string]string) string {
-	best, most, near := "", uint64(0), false
-	for name, at := range stores {
+	best, bestHash, bestInZone := "", uint64(0), false
+	for name, storeZone := range stores {
 		sum := fnv.New64a()
 		sum.Write([]byte(worker))
 		sum.Write([]byte{0})
 		sum.Write([]byte(name))
-		// The last steps of this hash mix little: names that differ in their last
-		// letter only would come in one order for all workers.
+		// FNV mixes the last bytes poorly: names that differ only in their last letter would
+		// have the same order for all workers. So the sum is mixed further.
 		hash := sum.Sum64()
 		hash ^= hash >> 33
 		hash *= 0xff51afd7ed558ccd
 		hash ^= hash >> 33
-		here := at == zone
-		if best == "" || (here && !near) || (here == near && (hash > most || (hash == most && name < best))) {
-			best, most, near = name, hash, here
+		inZone := storeZone == zone
+		if best == "" || (inZone && !bestInZone) || (inZone == bestInZone && (hash > bestHash || (hash == bestHash && name < best))) {
+			best, bestHash, bestInZone = name, hash, inZone
 		}
 	}
 	return best
 }
 
-// ownedWorkers gives the workers that are ours now.
+// ownedWorkers returns the workers that this process owns now. The result is cached for OwnedWorkersPeriod.
 func (s *Server) ownedWorkers(now clock.Instant) map[string]bool {
 	s.lock.Lock()
 	if s.owned.workers != nil && s.owned.computedAt > 0 && now.Sub(s.owned.computedAt) < constants.OwnedWorkersPeriod {
@@ -52,18 +52,18 @@
 		return s.owned.workers
 	}
 	s.lock.Unlock()
-	runtime := s.node
-	stores := map[string]string{runtime.Self.Name: runtime.Self.Zone}
+	agent := s.node
+	stores := map[string]string{agent.Self.Name: agent.Self.Zone}
 	if !s.addExecutors(stores, now) {
-		for _, entry := range runtime.Live(membership.RoleStore) {
-			if !entry.Draining {
-				stores[entry.Name] = entry.Zone
+		for _, member := range agent.Live(membership.RoleStore) {
+			if !member.Draining {
+				stores[member.Name] = member.Zone
 			}
 		}
 	}
 	workers := map[string]bool{}
 	for _, worker := range s.gossip.Scheduler.Workers(now) {
-		if owner(worker.ID, worker.Zone, stores) == runtime.Self.Name {
+		if owner(worker.ID, worker.Zone, stores) == agent.Self.Name {
 			workers[worker.ID] = true
 		}
 	}
@@ -74,14 +74,15 @@
 	return workers
 }
 
-// knownVersion is the version of the list of executors that we have.
+// knownVersion returns the version of the latest list of executors that this process received.
 func (s *Server) knownVersion() uint64 {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.peers.version
 }
 
-// updateExecutors takes the dispatcher's list of executors, which comes where it is new.
+// updateExecutors processes a response's list of executors, which is only sent if its version is new.
+// Any response confirms that the stored list is up to date.
 func (s *Server) updateExecutors(version uint64, executors []messages.ExecutorInfo, now clock.Instant) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -91,9 +92,9 @@
 	s.peers.receivedAt = now
 }
 
-// addExecutors adds the executors on the dispatcher's list; false when it is old. The
-// dispatcher is contacted by every executor twice a second, well before others take it for
-// silent.
+// addExecutors adds the executors on the dispatcher's list to stores. It returns false if there is no
+// list or it was not confirmed within SuspectAfter. Every executor contacts the dispatcher twice a
+// second, well before the other processes would suspect it of having failed.
 func (s *Server) addExecutors(stores map[string]string, now clock.Instant) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -106,8 +107,8 @@
 	return true
 }
 
-// freeCapacity is how many items to ask for: one for each worker of ours with a slot left,
-// beside those that wait already.
+// freeCapacity returns how many items to request, by service: one for each owned worker with a free
+// slot, less the tasks that already wait for a worker. It returns nil while no items are to be acquired.
 func (s *Server) freeCapacity() []messages.ServiceCapacity {
 	config, now := s.node.Config(), clock.Now()
 	if config == nil {
@@ -141,7 +142,8 @@
 	return freeCapacity
 }
 
-// place finds workers for what waits. What finds none for a while goes back.
+// place starts the waiting tasks for which there is a worker. A task without a worker for
+// longer than PlacementWait is released.
 func (s *Server) placeWaiting() {
 	now := clock.Now()
 	owned := s.ownedWorkers(now)
@@ -152,48 +154,49 @@
 	if len(waiting) == 0 {
 		return
 	}
-	var left []*executor.Task
+	var remaining []*executor.Task
 	for _, task := range waiting {
 		if !s.startOrRelease(task, owned, now) {
-			left = append(left, task)
+			remaining = append(remaining, task)
 		}
 	}
 	s.lock.Lock()
-	s.waiting = append(left, s.waiting...)
+	s.waiting = append(remaining, s.waiting...)
 	s.lock.Unlock()
 }
 
-// start starts a task at a worker or gives it back; false while it waits on.
+// start starts a task at a worker or releases it. It returns false if the task has to
+// continue waiting.
 func (s *Server) startOrRelease(task *executor.Task, owned map[string]bool, now clock.Instant) bool {
 	route := jobroute.OfItem(s.node.Config(), task.Item)
 	s.lock.Lock()
-	unfit := s.draining || !task.MayRun(now) || now.Sub(task.Since) > constants.PlacementWait
+	mustRelease := s.draining || !task.MayRun(now) || now.Sub(task.Since) > constants.PlacementWait
 	s.lock.Unlock()
-	if route == nil || unfit {
+	if route == nil || mustRelease {
 		s.releaseUnstarted(task)
 		return true
 	}
 	item := task.Item
-	demand := &admission.Request{Service: route.Choose(clock.Float64()), Affine: route.Affine, Bulk: true, Priority: route.Priority, Setpoint: route.Setpoint(), AllowedWorkers: owned,
+	req := &admission.Request{Service: route.Choose(clock.Float64()), Affine: route.Affine, Bulk: true, Priority: route.Priority, Setpoint: route.Setpoint(), AllowedWorkers: owned,
 		Prompt: prefixindex.ParsePrompt(item.Headers["Lemonarch-Model"], item.Headers["Lemonarch-Token-Count"], item.Headers["Lemonarch-Prompt-Prefix"])}
-	resp, _ := s.gossip.Scheduler.Admit(demand, nil, now)
+	resp, _ := s.gossip.Scheduler.Admit(req, nil, now)
 	if resp.Verdict != admission.VerdictGranted {
 		return false
 	}
 	s.lock.Lock()
-	may := task.MayRun(clock.Now()) && !s.draining
-	task.Started = may
-	owed, displaceable := item.OwedResume, item.Preempted < constants.PreemptionLimit
+	mayRun := task.MayRun(clock.Now()) && !s.draining
+	task.Started = mayRun
+	resumed, preemptible := item.OwedResume, item.Preempted < constants.PreemptionLimit
 	s.lock.Unlock()
-	if !may {
+	if !mayRun {
 		resp.Grant.End(admission.ResultCanceled, now)
 		s.releaseUnstarted(task)
 		return true
 	}
-	if owed {
+	if resumed {
 		s.gossip.Scheduler.Counters(route.Name).Resumed.Add(1)
 	}
-	if displaceable {
+	if preemptible {
 		resp.Grant.AllowPreemption(func() { s.yield(task) })
 	}
 	go s.runOnWorker(route, task, resp.Grant)
@@ -201,7 +204,7 @@
 	return true
 }
 
-// releaseUnstarted releases an item that was not begun.
+// releaseUnstarted releases an item that was not sent to a worker.
 func (s *Server) releaseUnstarted(task *executor.Task) {
 	s.lock.Lock()
 	task.Item.Requeue(task.Run)
@@ -209,8 +212,9 @@
 	s.finishTask(task, messages.Acknowledgement{Kind: messages.AckRelease, NotStarted: true})
 }
 
-// outgrowsMemory tells whether the inputs of the items that run here take all the memory that they
-// may: each is held as it came and as it is written to its worker.
+// outgrowsMemory reports whether the inputs of the tasks exceed the memory that they may occupy, which
+// is the share RunningInputShare of the process's limit. Each input is in memory twice: as received
+// and as written to its worker.
 func (s *Server) outgrowsMemory(inputBytes int64) bool {
 	limit := s.node.Settings.Limits.MemoryShare(constants.RunningInputShare)
 	return limit > 0 && inputBytes > limit
--- a/internal/batch/executorserver/run.go
+++ b/internal/batch/executorserver/run.go
@@ -17,8 +17,8 @@
 	"lemonarch/internal/traffic/workerconn"
 )
 
-// run takes one item to one worker, gathers its events, and derives the acknowledgement from
-// how the stream ends.
+// run sends one item to one worker, collects its events, and derives the acknowledgement from
+// the way the stream ends.
 func (s *Server) runOnWorker(route *routeconfig.Route, task *executor.Task, grant *admission.Grant) {
 	sender := &s.gossip.Sender
 	outgoing := s.buildRequest(route, task, grant.Worker.ID)
@@ -46,7 +46,7 @@
 	s.complete(route, task, grant)
 }
 
-// resultOf says what a request that got no response tells of its worker.
+// resultOf returns the admission result for a request that failed without a response.
 func resultOf(err error) admission.Result {
 	switch {
 	case errs.Is(err, workerconn.ErrPoolExhausted):
@@ -59,8 +59,8 @@
 	return admission.ResultFailed
 }
 
-// discard reads a response that is no stream of events to its end, so that its connection
-// can be used again.
+// discard reads a response that is not an event stream to its end, so that its connection
+// can be reused.
 func (s *Server) discard(task *executor.Task, grant *admission.Grant, response *proxy.Response) {
 	sender := &s.gossip.Sender
 	grant.ObserveLoad(response.Load, clock.Now())
@@ -73,7 +73,7 @@
 	}
 }
 
-// gather takes the events of a run into its item as they come.
+// gather appends the events of a run to its item as they arrive.
 func (s *Server) collectEvents(task *executor.Task, response *proxy.Response, outgoing *proxy.Request) error {
 	splitter := &proxy.Splitter{}
 	if task.Item.LastID > 0 {
@@ -83,22 +83,22 @@
 		s.lock.Lock()
 		defer s.lock.Unlock()
 		if task.Stopped() || !task.Item.AppendEvents(task.Run, proxy.Data(events), splitter.Last) {
-			return proxy.ErrNotSent.New("called off")
+			return proxy.ErrNotSent.New("run was stopped or preempted")
 		}
 		task.NoteProgress(clock.Now())
 		return nil
 	})
 }
 
-// complete acknowledges a run whose stream has ended.
+// complete acknowledges a run whose stream has ended normally.
 func (s *Server) complete(route *routeconfig.Route, task *executor.Task, grant *admission.Grant) {
 	s.lock.Lock()
 	finished := task.Item.Finish(task.Run)
 	preempted := task.Item.Preempted > 0
 	s.lock.Unlock()
 	if !finished {
-		// It was asked to yield in its last moment: its run counts as preempted.
-		s.release(route, task, grant, admission.ResultServed, messages.Acknowledgement{}, "preempted at its end")
+		// The run was requested to yield just before it ended, so it counts as preempted.
+		s.release(route, task, grant, admission.ResultServed, messages.Acknowledgement{}, "preempted just before completion")
 		return
 	}
 	if preempted {
@@ -110,38 +110,39 @@
 	s.finishTask(task, messages.Acknowledgement{Kind: messages.AckAccept, Output: output, Compressed: compressed})
 }
 
-// recordTraffic hands what was seen of a complete run to the traffic summaries.
+// recordTraffic adds the observations of a complete run to the traffic summaries.
 func (s *Server) recordTraffic(route *routeconfig.Route, task *executor.Task, grant *admission.Grant) {
 	now := clock.Now()
 	observation := grant.ItemObservation(route.Name, task.Item.Headers["Lemonarch-Model"], len(task.Item.Events), now)
 	s.gossip.Traffic.Record(observation, now)
 }
 
-// forgetConnection takes a connection out of reach before it may serve somebody else.
+// forgetConnection removes a task's connection, so that stopping the task can't close the connection
+// after it is reused for another request.
 func (s *Server) forgetConnection(task *executor.Task) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	delete(s.connections, task)
 }
 
-// handleRejection handles an answer that is no stream of events.
+// handleRejection derives the acknowledgement from a response that is not an event stream.
 func (s *Server) handleRejection(route *routeconfig.Route, task *executor.Task, grant *admission.Grant, notRun bool, status int) {
 	switch {
 	case status == http.StatusMisdirectedRequest:
-		s.release(route, task, grant, admission.ResultMisdirected, messages.Acknowledgement{NotStarted: true}, "another worker answers")
+		s.release(route, task, grant, admission.ResultMisdirected, messages.Acknowledgement{NotStarted: true}, "another worker responded at this address")
 	case notRun:
 		s.release(route, task, grant, admission.ResultRejected, messages.Acknowledgement{NotStarted: true}, "worker is full")
 	case status == http.StatusUnprocessableEntity:
 		grant.End(admission.ResultServed, clock.Now())
 		s.finishTask(task, messages.Acknowledgement{Kind: messages.AckReject})
 	case status == http.StatusInternalServerError:
-		s.release(route, task, grant, admission.ResultServerError, messages.Acknowledgement{Failed: true}, "worker failed")
+		s.release(route, task, grant, admission.ResultServerError, messages.Acknowledgement{Failed: true}, "worker returned status 500")
 	default:
 		s.release(route, task, grant, admission.ResultFailed, messages.Acknowledgement{}, "unexpected status "+strconv.Itoa(status))
 	}
 }
 
-// yield breaks off a run that was asked to yield; the run itself requeues the item.
+// yield aborts a run that has to give up its slot; the run then requeues the item.
 func (s *Server) yield(task *executor.Task) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -153,56 +154,56 @@
 	}
 }
 
-// release gives an item back with what was gathered.
-func (s *Server) release(route *routeconfig.Route, task *executor.Task, grant *admission.Grant, result admission.Result, entry messages.Acknowledgement, reason string) {
-	entry.Kind = messages.AckRelease
+// release acknowledges a run that ended without a result, with the events collected so far.
+func (s *Server) release(route *routeconfig.Route, task *executor.Task, grant *admission.Grant, result admission.Result, ack messages.Acknowledgement, reason string) {
+	ack.Kind = messages.AckRelease
 	s.lock.Lock()
-	entry.Preempted = task.Item.Yielding()
-	if entry.Preempted || task.Stopped() {
-		// Our own doing: it says nothing against the worker.
+	ack.Preempted = task.Item.Yielding()
+	if ack.Preempted || task.Stopped() {
+		// This process aborted the run, so the failure must not count against the worker.
 		result = admission.ResultCanceled
 	}
 	task.Item.Requeue(task.Run)
 	s.lock.Unlock()
-	if entry.Preempted {
+	if ack.Preempted {
 		s.gossip.Scheduler.Counters(route.Name).Displaced.Add(1)
 	}
 	grant.End(result, clock.Now())
-	s.finishTask(task, entry)
-	s.node.Log.Debug("item released", "item", task.Item.ID, "worker", grant.Worker.ID, "preempted", entry.Preempted, "reason", reason)
+	s.finishTask(task, ack)
+	s.node.Log.Debug("item released", "item", task.Item.ID, "worker", grant.Worker.ID, "preempted", ack.Preempted, "reason", reason)
 }
 
-// done ends a task here and has its acknowledgement carried.
-func (s *Server) finishTask(task *executor.Task, entry messages.Acknowledgement) {
+// done removes a task and queues its acknowledgement.
+func (s *Server) finishTask(task *executor.Task, ack messages.Acknowledgement) {
 	s.lock.Lock()
 	delete(s.connections, task)
-	s.runner.Done(task, entry)
+	s.runner.Done(task, ack)
 	s.lock.Unlock()
 	signal(s.signals.results)
 	signal(s.signals.releases)
 	signal(s.signals.wake)
 }
 
-// outgoing writes an item's request.
+// outgoing builds the request that sends an item to a worker.
 func (s *Server) buildRequest(route *routeconfig.Route, task *executor.Task, worker string) *proxy.Request {
 	item, header := task.Item, http.Header{}
 	for name, value := range item.Headers {
 		header.Set(name, value)
 	}
-	own := map[string]string{"Lemonarch-Attempt-Id": item.ID, "Lemonarch-Target-Worker": worker}
+	added := map[string]string{"Lemonarch-Attempt-Id": item.ID, "Lemonarch-Target-Worker": worker}
 	if item.LastID > 0 {
-		own["Last-Event-Id"] = strconv.FormatInt(item.LastID, 10)
+		added["Last-Event-Id"] = strconv.FormatInt(item.LastID, 10)
 	}
-	left := item.Job.SubmittedMs + route.Retain().Milliseconds() - clock.WallNanos()/1_000_000
+	remainingMs := item.Job.SubmittedMs + route.Retain().Milliseconds() - clock.WallNanos()/1_000_000
 	return &proxy.Request{Method: http.MethodPost, Attempt: item.ID, RequireSeal: true, Retryable: true, SilenceTimeout: 2 * constants.StreamTimeout,
-		Text:     proxy.EncodeRequest(http.MethodPost, item.Path, item.Job.Host, proxy.ForwardedHeader(header), own, item.Body),
-		Deadline: clock.Now().Add(max(clock.Milliseconds(float64(left)), constants.RunTimeMin)),
+		Text:     proxy.EncodeRequest(http.MethodPost, item.Path, item.Job.Host, proxy.ForwardedHeader(header), added, item.Body),
+		Deadline: clock.Now().Add(max(clock.Milliseconds(float64(remainingMs)), constants.RunTimeMin)),
 		OnConnection: func(connection *workerconn.Connection) {
 			s.lock.Lock()
 			defer s.lock.Unlock()
 			s.connections[task] = connection
 			if !task.MayRun(clock.Now()) || task.Item.Yielding() {
-				// Stopped while its connection was being opened: nothing is sent.
+				// The run was stopped while the connection was being opened: send nothing.
 				s.runner.Stop(task)
 				connection.Close()
 			}
--- a/internal/batch/replicalog/read.go
+++ b/internal/batch/replicalog/read.go
@@ -21,7 +21,7 @@
 	}
 	entry, found := l.replica.EntryAt(index)
 	if !found {
-		// The record was compacted away since it was obsolete.
+		// The record was compacted away as obsolete, for example because its job was forgotten.
 		return &messages.Record{Index: index, Epoch: l.replica.EpochAt(index)}, nil
 	}
 	body, err := l.file.ReadAt(entry.Offset)
