--- a/internal/batch/dispatch/acquire_test.go
+++ b/internal/batch/dispatch/acquire_test.go
@@ -9,69 +9,71 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// prefixed makes a job whose items have a shared prefix.
-func (e *endpoint) prefixed(id, prefix string, items int) {
+// addJobWithPrefix submits a job whose items have a shared prefix.
+func (d *testDispatcher) addJobWithPrefix(id, prefix string, items int) {
 	body := &messages.JobBody{Path: "/p/"}
 	for i := 0; i < items; i++ {
 		body.Items = append(body.Items, messages.JobItem{ID: fmt.Sprint(id, i), Headers: map[string]string{"Lemonarch-Prompt-Prefix": prefix + ":9,own:1"}})
 	}
 	packed, _ := body.MarshalMsg(nil)
-	e.Append(messages.Record{Kind: messages.RecordJob, Job: id, Body: packed, AtMs: int64(len(e.records))})
-	e.settle()
+	d.Append(messages.Record{Kind: messages.RecordJob, Job: id, Body: packed, AtMs: int64(len(d.records))})
+	d.applyRecords()
 }
 
-func names(given []*Acquisition) string {
+// itemIDs returns the ids of the items of acquisitions, each followed by a space.
+func itemIDs(acquired []*Acquisition) string {
 	text := ""
-	for _, acquisition := range given {
+	for _, acquisition := range acquired {
 		text += acquisition.Item.ID + " "
 	}
 	return text
 }
 
-// An executor gets the prefix that it has read before first, but nothing is passed over
-// for long: the executor that has the other prefix may have no free slot.
-func TestPrefixesGoTogether(t *testing.T) {
-	endpoint := newEndpoint(t, 1, nil, 0)
-	endpoint.prefixed("a", "one", 6)
-	endpoint.prefixed("b", "two", 6)
-	if given := names(endpoint.take("x", 1, ms(1))); given != "a0 " {
-		t.Fatal(given)
+// An executor gets items whose prefix it acquired before first, but other items are not skipped for
+// longer than PrefixWait: the executor that owns their prefix may have no free slot.
+func TestAcquirePrefersOwnPrefixes(t *testing.T) {
+	dispatcher := newTestDispatcher(t, 1, nil, 0)
+	dispatcher.addJobWithPrefix("a", "one", 6)
+	dispatcher.addJobWithPrefix("b", "two", 6)
+	if acquired := itemIDs(dispatcher.acquire("x", 1, ms(1))); acquired != "a0 " {
+		t.Fatal(acquired)
 	}
-	// The older job is due first, and nobody has its rest's place yet.
-	if given := names(endpoint.take("y", 6, ms(2))); given != "a1 a2 a3 a4 a5 b0 " {
-		t.Fatal(given)
+	// The older job is due first, and items are not reserved for the owner of their prefix.
+	if acquired := itemIDs(dispatcher.acquire("y", 6, ms(2))); acquired != "a1 a2 a3 a4 a5 b0 " {
+		t.Fatal(acquired)
 	}
-	endpoint.prefixed("c", "one", 2)
-	endpoint.prefixed("d", "two", 2)
-	if given := names(endpoint.take("x", 2, ms(3))); given != "c0 c1 " {
-		t.Fatal("not the own prefix first: ", given)
+	dispatcher.addJobWithPrefix("c", "one", 2)
+	dispatcher.addJobWithPrefix("d", "two", 2)
+	if acquired := itemIDs(dispatcher.acquire("x", 2, ms(3))); acquired != "c0 c1 " {
+		t.Fatal("items with the executor's own prefix were not first: ", acquired)
 	}
 	late := ms(3).Add(constants.PrefixWait)
-	endpoint.prefixed("e", "one", 2)
-	if given := names(endpoint.take("x", 2, late)); given != "b1 b2 " {
-		t.Fatal("passed over for too long: ", given)
+	dispatcher.addJobWithPrefix("e", "one", 2)
+	if acquired := itemIDs(dispatcher.acquire("x", 2, late)); acquired != "b1 b2 " {
+		t.Fatal("skipped items were not first after PrefixWait: ", acquired)
 	}
 }
 
-// What can still be in time goes before what is late, by the due time.
+// Jobs that can still meet their due time are dispatched before overdue ones, sorted by due time;
+// expired jobs are not dispatched.
 func TestDueInTimeComesFirst(t *testing.T) {
-	endpoint := newEndpoint(t, 1, nil, 0)
-	endpoint.lot("a", "a")
-	endpoint.lot("b", "b")
-	endpoint.lot("c", "c")
-	order := map[string]JobTerms{"a": {Due: 1, Overdue: true}, "b": {Due: 9}, "c": {Due: 5}, "d": {Expired: true}}
-	endpoint.lot("d", "d")
-	endpoint.RegisterExecutor(Executor{Name: "x"})
-	endpoint.settle()
-	given := endpoint.Acquire(&AcquireOptions{Executor: Executor{Name: "x"}, Capacity: map[string]int{"s": 9},
-		Terms: func(job *Job) JobTerms { return order[job.ID] }, Service: func(*Item) string { return "s" }}, ms(1))
-	if names(given) != "c b a " {
-		t.Fatal(names(given))
+	dispatcher := newTestDispatcher(t, 1, nil, 0)
+	dispatcher.addJob("a", "a")
+	dispatcher.addJob("b", "b")
+	dispatcher.addJob("c", "c")
+	terms := map[string]JobTerms{"a": {Due: 1, Overdue: true}, "b": {Due: 9}, "c": {Due: 5}, "d": {Expired: true}}
+	dispatcher.addJob("d", "d")
+	dispatcher.RegisterExecutor(Executor{Name: "x"})
+	dispatcher.applyRecords()
+	acquired := dispatcher.Acquire(&AcquireOptions{Executor: Executor{Name: "x"}, Capacity: map[string]int{"s": 9},
+		Terms: func(job *Job) JobTerms { return terms[job.ID] }, Service: func(*Item) string { return "s" }}, ms(1))
+	if itemIDs(acquired) != "c b a " {
+		t.Fatal(itemIDs(acquired))
 	}
 }
 
-// slowAvailable walks every item: what the kept list must agree with.
-func slowAvailable(job *Job) string {
+// scanAvailable visits every item. The set of available items must agree with it.
+func scanAvailable(job *Job) string {
 	text := ""
 	for _, item := range job.Items {
 		if item.State == ItemAvailable {
@@ -81,7 +83,8 @@
 	return text
 }
 
-func availableCount(job *Job) string {
+// availableIDs lists the available items of a job by its set.
+func availableIDs(job *Job) string {
 	text := ""
 	job.eachAvailable(func(item *Item) bool {
 		text += item.ID + " "
@@ -90,7 +93,7 @@
 	return text
 }
 
-// benchBacklog is a backlog of whole jobs, all of whose items wait.
+// benchBacklog returns a dispatcher with a backlog of jobs of maximum size, all of whose items are available.
 func benchBacklog(b *testing.B, items int) (*Dispatcher, *AcquireOptions) {
 	b.Helper()
 
@@ -98,7 +101,7 @@
 	for number := 0; number*constants.JobItemsMax < items; number++ {
 		addJobOf(b, jobs, fmt.Sprint(number), "/0", constants.JobItemsMax, 900).SubmittedMs = int64(number)
 	}
-	dispatcher, index := NewDispatcher(jobs, 1, 0, endpointLock, 0), int64(0)
+	dispatcher, index := NewDispatcher(jobs, 1, 0, testLock, 0), int64(0)
 	dispatcher.Append = func(record messages.Record) int64 {
 		index++
 		record.Index, record.Epoch = index, 1
@@ -113,8 +116,8 @@
 	return dispatcher, options
 }
 
-// BenchmarkAcquire measures one item acquired and given back, as an executor asks that
-// finds a place, with the time going on.
+// BenchmarkAcquire measures acquiring and requeueing one item, as for an executor with one free slot,
+// while the clock advances.
 func BenchmarkAcquire(b *testing.B) {
 	for _, items := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(items), func(b *testing.B) {
@@ -123,17 +126,17 @@
 			for b.Loop() {
 				now = now.Add(clock.Milliseconds(0.2))
 				options.Capacity = map[string]int{"s": 1}
-				for _, given := range dispatcher.Acquire(options, now) {
-					dispatcher.requeue(given, 0, now)
+				for _, acquired := range dispatcher.Acquire(options, now) {
+					dispatcher.requeue(acquired, 0, now)
 				}
 			}
 		})
 	}
 }
 
-// An executor is handed so many bytes of inputs at a time, one item at least.
+// A response to an acquire request has at least one item and stops once its inputs reach AcquireBytes.
 func TestInputsAreHandedOutByBytes(t *testing.T) {
-	endpoint := newEndpoint(t, 1, nil, 0)
+	dispatcher := newTestDispatcher(t, 1, nil, 0)
 	body := &messages.JobBody{Path: "/p/"}
 	for _, length := range []int{2 * constants.AcquireBytes, constants.AcquireBytes / 2, constants.AcquireBytes / 2, 10} {
 		body.Items = append(body.Items, messages.JobItem{ID: fmt.Sprint(len(body.Items)), Body: make([]byte, length)})
@@ -142,11 +145,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	endpoint.Append(messages.Record{Kind: messages.RecordJob, Job: "a", Body: packed, AtMs: 1})
-	endpoint.settle()
+	dispatcher.Append(messages.Record{Kind: messages.RecordJob, Job: "a", Body: packed, AtMs: 1})
+	dispatcher.applyRecords()
 	for _, want := range []string{"0 ", "1 2 ", "3 "} {
-		if given := names(endpoint.take("x", 4, ms(1))); given != want {
-			t.Fatalf("%q was handed out, not %q", given, want)
+		if acquired := itemIDs(dispatcher.acquire("x", 4, ms(1))); acquired != want {
+			t.Fatalf("got items %q, want %q", acquired, want)
 		}
 	}
 }
--- a/internal/batch/dispatch/available.go
+++ b/internal/batch/dispatch/available.go
@@ -119,7 +119,8 @@
 	*list = slices.Insert(*list, i, dueJob{job, terms.Due})
 }
 
-// openJobs returns the open jobs in order of arrival and drops all others from openCandidates.
+// openJobs returns the open jobs in the order of their submission records, and removes all other jobs
+// from openCandidates.
 func (b *JobTable) openJobs() []*Job {
 	retained := b.openCandidates[:0]
 	for _, job := range b.openCandidates {
--- a/internal/batch/dispatch/item.go
+++ b/internal/batch/dispatch/item.go
@@ -94,7 +94,7 @@
 	return true
 }
 
-// Yield requests a run to give up its slot. It returns false if the run has ended or was already requested to yield.
+// Yield marks a run as having to give up its slot. It returns false if the run has ended or is marked already.
 func (i *Item) Yield(run int) bool {
 	if !i.running(run) || i.yieldRequested {
 		return false
@@ -104,7 +104,7 @@
 	return true
 }
 
-// Yielding reports whether the current run was requested to yield.
+// Yielding reports whether the current run has to give up its slot.
 func (i *Item) Yielding() bool { return i.yieldRequested }
 
 // Requeue ends a run without a result. The item keeps its place in the order of the job and its
@@ -122,7 +122,7 @@
 	return true
 }
 
-// Finish ends a run with the item's result. It returns false if the run has ended or was requested to yield.
+// Finish ends a run with the item's result. It returns false if the run has ended or has to yield.
 func (i *Item) Finish(run int) bool {
 	if !i.running(run) || i.yieldRequested {
 		return false
--- a/internal/batch/dispatch/item_test.go
+++ b/internal/batch/dispatch/item_test.go
@@ -12,7 +12,7 @@
 // itemEvents is how many events a run of itemHistory has.
 const itemEvents = 4
 
-// itemHistory is one item with the runs that were begun on it.
+// itemHistory is one item with the runs that were started on it.
 type itemHistory struct {
 	item    *Item
 	runs    []int
@@ -21,7 +21,7 @@
 	position map[int]int64
 }
 
-// step does what a byte says, with a run that the byte names.
+// step performs the operation that a byte encodes, on the run that the byte selects.
 func (h *itemHistory) step(choice uint8) {
 	run := 0
 	if len(h.runs) > 0 {
@@ -34,7 +34,7 @@
 			h.position[next] = h.item.LastID
 		}
 	case 1:
-		// The worker's stream goes on from where the run began.
+		// The worker's stream continues from the event at which the run started.
 		if next := h.position[run] + 1; run > 0 && next <= itemEvents && h.item.AppendEvents(run, [][]byte{[]byte(fmt.Sprint(next))}, next) {
 			h.position[run] = next
 		}
@@ -53,7 +53,7 @@
 	}
 }
 
-// eventsInOrder tells whether the item's events are 1..n once each.
+// eventsInOrder reports whether the item's events are 1..n once each.
 func (h *itemHistory) eventsInOrder() bool {
 	for i, event := range h.item.Events {
 		if string(event) != fmt.Sprint(i+1) {
@@ -63,7 +63,7 @@
 	return true
 }
 
-// canFinish tells whether the item, which has no result, can still be run to its end.
+// canFinish reports whether the item, which has no result, can still be run to completion.
 func (h *itemHistory) canFinish() bool {
 	for _, run := range h.runs {
 		h.item.Requeue(run)
@@ -77,9 +77,9 @@
 	return h.results == 0 && run > 0 && len(h.item.Events) == itemEvents && h.item.Finish(run)
 }
 
-// Whatever order start, append, yield, requeue and finish come in, late ones of earlier runs
-// included: an item has at most one result, its events are 1..n once each, and it can always
-// be started again until it has its result.
+// For every order of start, append, yield, requeue, finish and abandon, including late calls of
+// earlier runs: an item has at most one result, its events are 1..n once each, and it can always
+// be started again until it has a result.
 func TestRequeueState(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(11)
 	parameters.MinSuccessfulTests = 3000
@@ -95,7 +95,7 @@
 		if history.results == 1 {
 			return history.item.State == ItemClosing && history.item.StartRun() == 0
 		}
-		// Without a result there is always a way on: no path ends without one.
+		// An item without a result can always be run to completion.
 		return history.canFinish()
 	}, gen.SliceOf(gen.UInt8())))
 	properties.TestingRun(t)
@@ -107,7 +107,7 @@
 	item.AppendEvents(run, [][]byte{[]byte("a")}, 0)
 	item.Requeue(run)
 	if len(item.Events) != 0 {
-		t.Fatal("events that nobody can continue were kept")
+		t.Fatal("events without ids were kept")
 	}
 }
 
@@ -116,6 +116,6 @@
 	run := item.StartRun()
 	item.Job.Ended = true
 	if item.AppendEvents(run, [][]byte{[]byte("a")}, 1) || item.Finish(run) || !item.Requeue(run) || item.StartRun() != 0 {
-		t.Fatal("an ended lot goes on")
+		t.Fatal("item of an ended job accepted events, a result or a run, or was not requeued")
 	}
 }
--- a/internal/batch/dispatch/jobtable_test.go
+++ b/internal/batch/dispatch/jobtable_test.go
@@ -12,27 +12,27 @@
 	encoded, _ := body.MarshalMsg(nil)
 	apply := func(record messages.Record) error { return jobs.Apply(&record) }
 	if apply(messages.Record{Kind: messages.RecordJob, Job: "l", Body: encoded}) != nil {
-		t.Fatal("lot refused")
+		t.Fatal("job record rejected")
 	}
 	all := func(*Job) bool { return true }
 	if jobs.Waiting(all) != 12 {
 		t.Fatal(jobs.Waiting(all))
 	}
 	if apply(messages.Record{Kind: messages.RecordOutput, Job: "l", Item: "y"}) != nil || jobs.Waiting(all) != 5 {
-		t.Fatal("output refused")
+		t.Fatal("output record rejected, or waiting tokens not 5")
 	}
 	if apply(messages.Record{Kind: messages.RecordOutput, Job: "l", Item: "x", Position: 0}) == nil {
-		t.Fatal("a position was given twice")
+		t.Fatal("second output at the same position was accepted")
 	}
 	if apply(messages.Record{Kind: messages.RecordJobEnd, Job: "l"}) != nil || jobs.Job("l").Open() || jobs.Waiting(all) != 0 {
-		t.Fatal("an ended lot is open")
+		t.Fatal("ended job is open or has waiting tokens")
 	}
 	if got := jobs.Job("l").Listings; len(got) != 1 || got[0].Item != "y" {
 		t.Fatal(got)
 	}
 }
 
-// What the inputs of items take is counted until they are listed, ended or forgotten.
+// The memory of item inputs is counted until the item is listed or its job is ended or forgotten.
 func TestInputsAreCounted(t *testing.T) {
 	jobs := NewJobTable()
 	apply := func(record messages.Record) {
@@ -50,20 +50,20 @@
 		}
 		apply(messages.Record{Kind: messages.RecordJob, Job: id, Body: encoded})
 	}
-	whole := int64(150 + headerEntryBytes + len("name") + len("value"))
+	jobBytes := int64(150 + headerEntryBytes + len("name") + len("value"))
 	steps := []struct {
 		record messages.Record
 		want   int64
 	}{
-		{messages.Record{Kind: messages.RecordOutput, Job: "a", Item: "a1"}, 3*whole - 100},
-		{messages.Record{Kind: messages.RecordJobEnd, Job: "a"}, 2 * whole},
-		{messages.Record{Kind: messages.RecordForget, Job: "a"}, 2 * whole},
-		{messages.Record{Kind: messages.RecordForget, Job: "b"}, whole},
+		{messages.Record{Kind: messages.RecordOutput, Job: "a", Item: "a1"}, 3*jobBytes - 100},
+		{messages.Record{Kind: messages.RecordJobEnd, Job: "a"}, 2 * jobBytes},
+		{messages.Record{Kind: messages.RecordForget, Job: "a"}, 2 * jobBytes},
+		{messages.Record{Kind: messages.RecordForget, Job: "b"}, jobBytes},
 		{messages.Record{Kind: messages.RecordJobEnd, Job: "c"}, 0},
 	}
 	for number, step := range steps {
 		if apply(step.record); jobs.InputBytes() != step.want {
-			t.Fatal("step", number, jobs.InputBytes(), "bytes, not", step.want)
+			t.Fatal("step", number, jobs.InputBytes(), "bytes, want", step.want)
 		}
 	}
 }
--- a/internal/batch/dispatch/waiting_test.go
+++ b/internal/batch/dispatch/waiting_test.go
@@ -8,12 +8,12 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// slowWaiting walks every item of every job: what Waiting must agree with.
-func slowWaiting(jobs *JobTable, belongs func(job *Job) bool) int64 {
+// scanWaiting visits every item of every job. Waiting must agree with it.
+func scanWaiting(jobs *JobTable, match func(job *Job) bool) int64 {
 	total := int64(0)
 	for _, job := range jobs.Jobs() {
 		for _, item := range job.Items {
-			if !job.Ended && belongs(job) && (item.State == ItemAvailable || item.State == ItemAcquired) {
+			if !job.Ended && match(job) && (item.State == ItemAvailable || item.State == ItemAcquired) {
 				total += item.Tokens
 			}
 		}
@@ -21,7 +21,8 @@
 	return total
 }
 
-// addJobOf puts a job of a few items into a table.
+// addJobOf adds a job with a number of items to a table. The first item has the given number of tokens,
+// each further one has one more.
 func addJobOf(tb testing.TB, jobs *JobTable, id, path string, items int, tokens int64) *Job {
 	tb.Helper()
 
@@ -36,9 +37,9 @@
 	return jobs.Job(id)
 }
 
-// Whatever jobs go through, in any order, the short count is the slow one: on each
-// route alone, and on both.
-func TestWaitingAgreesWithTheSlowCount(t *testing.T) {
+// After any order of operations on jobs, Waiting and the set of available items agree with visiting
+// every item, for each path alone and for both.
+func TestWaitingMatchesFullScan(t *testing.T) {
 	for seed := int64(1); seed <= 200; seed++ {
 		random, table := rand.New(rand.NewSource(seed)), NewJobTable()
 		for step := 0; step < 120; step++ {
@@ -71,21 +72,21 @@
 				_ = table.Apply(&messages.Record{Kind: messages.RecordForget, Job: job.ID})
 			}
 			for _, job := range table.Jobs() {
-				if retained, slow := availableCount(job), slowAvailable(job); retained != slow {
-					t.Fatalf("seed %d step %d: lot %s keeps %q, has %q", seed, step, job.ID, retained, slow)
+				if got, want := availableIDs(job), scanAvailable(job); got != want {
+					t.Fatalf("seed %d step %d: job %s: available set has %q, items are %q", seed, step, job.ID, got, want)
 				}
 			}
 			for _, path := range []string{"/0", "/1", ""} {
-				belongs := func(job *Job) bool { return path == "" || job.Path == path }
-				if got, want := table.Waiting(belongs), slowWaiting(table, belongs); got != want {
-					t.Fatalf("seed %d step %d: %d, want %d", seed, step, got, want)
+				match := func(job *Job) bool { return path == "" || job.Path == path }
+				if got, want := table.Waiting(match), scanWaiting(table, match); got != want {
+					t.Fatalf("seed %d step %d: got %d waiting tokens, want %d", seed, step, got, want)
 				}
 			}
 		}
 	}
 }
 
-// benchmarkTable has many finished jobs and few open ones, as after some minutes.
+// benchmarkTable returns a table with many finished jobs and few open ones, as after some minutes of operation.
 func benchmarkTable(b *testing.B) *JobTable {
 	b.Helper()
 
@@ -108,9 +109,9 @@
 	}
 }
 
-func BenchmarkWaitingSlowCount(b *testing.B) {
+func BenchmarkWaitingFullScan(b *testing.B) {
 	jobs := benchmarkTable(b)
 	for b.Loop() {
-		slowWaiting(jobs, func(*Job) bool { return true })
+		scanWaiting(jobs, func(*Job) bool { return true })
 	}
 }
--- a/internal/batch/executor/ackqueue_test.go
+++ b/internal/batch/executor/ackqueue_test.go
@@ -7,17 +7,18 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// An output that was sent is asked about until that is answered, sent again where nothing is
-// known of it, and now and then all the same; what has no output is repeated as it is.
-func TestOutputsAreAskedAboutBeforeTheyAreSentAgain(t *testing.T) {
+// After an output was sent without a response, confirm requests are sent for it. The output is sent
+// again if the dispatcher does not know it, and after AckConfirms confirm requests without a response.
+// Acknowledgements without an output are sent again unchanged.
+func TestOutputsAreConfirmedBeforeResend(t *testing.T) {
 	q := &ackQueue{}
 	q.add(messages.Acknowledgement{Number: 1, Kind: messages.AckAccept, Job: "j", Item: "i", Output: []byte("text")})
 	q.add(messages.Acknowledgement{Number: 2, Kind: messages.AckReject, Job: "j", Item: "k"})
-	expect := func(what string, kind messages.AckKind) []messages.Acknowledgement {
+	expect := func(step string, kind messages.AckKind) []messages.Acknowledgement {
 		t.Helper()
 		batch := q.batch()
 		if len(batch) == 0 || batch[0].Kind != kind || batch[0].Number != 1 || batch[0].Job != "j" || batch[0].Item != "i" || (len(batch[0].Output) > 0) != (kind == messages.AckAccept) {
-			t.Fatalf("%s: %+v", what, batch)
+			t.Fatalf("%s: %+v", step, batch)
 		}
 		return batch
 	}
@@ -26,19 +27,19 @@
 		t.Fatal(batch)
 	}
 	q.handleVerdicts(batch, nil)
-	batch = expect("unanswered", messages.AckConfirm)
+	batch = expect("no response to the output", messages.AckConfirm)
 	if batch[1].Kind != messages.AckReject {
 		t.Fatal(batch)
 	}
 	q.handleVerdicts(batch, []messages.AckVerdict{messages.AckUnknown, messages.AckRecorded})
 	batch = expect("not durable yet", messages.AckConfirm)
 	q.handleVerdicts(batch, []messages.AckVerdict{messages.AckOutputNeeded})
-	batch = expect("nothing known", messages.AckAccept)
+	batch = expect("output unknown to the dispatcher", messages.AckAccept)
 	for range constants.AckConfirms {
 		q.handleVerdicts(batch, nil)
-		batch = expect("silence", messages.AckConfirm)
+		batch = expect("no response", messages.AckConfirm)
 	}
-	batch = expect("silence for long", messages.AckAccept)
+	batch = expect("no response to all confirm requests", messages.AckAccept)
 	q.handleVerdicts(batch, []messages.AckVerdict{messages.AckRecorded})
 	if len(q.batch()) != 0 || len(q.confirms) != 0 {
 		t.Fatal(q.entries, q.confirms)
--- a/internal/batch/executor/runner_test.go
+++ b/internal/batch/executor/runner_test.go
@@ -12,7 +12,8 @@
 
 func ms(count float64) clock.Instant { return clock.Instant(clock.Milliseconds(count)) }
 
-func given(numbers ...uint64) *messages.AcquireResponse {
+// acquired returns an acquire response with one item for each acquisition number.
+func acquired(numbers ...uint64) *messages.AcquireResponse {
 	resp := &messages.AcquireResponse{LockMs: clock.ToMilliseconds(lock), WaitedMs: 500}
 	for _, number := range numbers {
 		resp.Items = append(resp.Items, messages.AcquiredItem{Number: number, Job: "l", Item: messages.JobItem{ID: "i"}})
@@ -20,42 +21,44 @@
 	return resp
 }
 
-// However late an answer comes, the lock ends here before it does at the dispatcher.
+// However late a response arrives, the lock ends here before it expires at the dispatcher. Otherwise two
+// executors could run an item at the same time.
 func TestLockCountsFromTheRequest(t *testing.T) {
 	runner := New()
-	if tasks := runner.Add(given(1), ms(0), ms(2500)); len(tasks) != 0 {
-		t.Fatal("taken after its lock had ended")
+	if tasks := runner.Add(acquired(1), ms(0), ms(2500)); len(tasks) != 0 {
+		t.Fatal("item added after its lock had expired")
 	}
-	task := runner.Add(given(2), ms(0), ms(2000))[0]
+	task := runner.Add(acquired(2), ms(0), ms(2000))[0]
 	end := ms(2500).Add(-constants.LockMargin)
 	if !task.MayRun(end-1) || task.MayRun(end) || len(runner.Lapsed(end-1)) != 0 {
-		t.Fatal("the lock ends at another time")
+		t.Fatal("lock does not end at the request plus its duration less the margin")
 	}
 	if stopped := runner.Lapsed(end); len(stopped) != 1 || len(runner.Lapsed(end)) != 0 || len(runner.Renewals(end)) != 0 {
-		t.Fatal("a lapsed run goes on")
+		t.Fatal("run with an expired lock was not stopped exactly once, or was renewed")
 	}
 }
 
 func TestRenewalCountsFromItsRequest(t *testing.T) {
 	runner := New()
-	task := runner.Add(given(1), ms(0), ms(500))[0]
+	task := runner.Add(acquired(1), ms(0), ms(500))[0]
 	entries := runner.Renewals(ms(1000))
 	runner.HandleRenewals(entries, []messages.AckVerdict{messages.AckRenewed}, ms(1000), lock)
 	if !task.MayRun(ms(2800)) || task.MayRun(ms(3000)) {
-		t.Fatal("renewed for another time")
+		t.Fatal("renewed lock does not count from the renewal request")
 	}
 	if stopped := runner.HandleRenewals(entries, []messages.AckVerdict{messages.AckUnknown}, ms(1500), lock); len(stopped) != 0 || task.MayRun(ms(3000)) {
-		t.Fatal("an unclear answer renewed or stopped it")
+		t.Fatal("verdict AckUnknown renewed or stopped the task")
 	}
 	if stopped := runner.HandleRenewals(entries, []messages.AckVerdict{messages.AckStopped}, ms(1500), lock); len(stopped) != 1 || !task.Stopped() {
-		t.Fatal("not stopped")
+		t.Fatal("verdict AckStopped did not stop the task")
 	}
 }
 
-// An acknowledgement is repeated until it is answered, under the same number.
+// An acknowledgement is sent under the same number until it has a final verdict. Otherwise a lost message
+// would lose a result.
 func TestAcknowledgementsAreRepeated(t *testing.T) {
 	runner := New()
-	for _, task := range runner.Add(given(1, 2, 3), ms(0), ms(500)) {
+	for _, task := range runner.Add(acquired(1, 2, 3), ms(0), ms(500)) {
 		kind := messages.AckAccept
 		if task.Number == 3 {
 			kind = messages.AckRelease
@@ -82,15 +85,15 @@
 	}
 	runner.HandleVerdicts(batch, []messages.AckVerdict{messages.AckRecorded})
 	if len(runner.Results()) != 0 || runner.Unacknowledged() != 1 {
-		t.Fatal("answered, and repeated")
+		t.Fatal("acknowledgement sent again after its final verdict")
 	}
 }
 
 func TestStopJob(t *testing.T) {
 	runner := New()
-	runner.Add(given(1, 2), ms(0), ms(500))
+	runner.Add(acquired(1, 2), ms(0), ms(500))
 	if len(runner.StopJob("other")) != 0 || len(runner.StopJob("l")) != 2 || len(runner.StopJob("l")) != 0 {
-		t.Fatal("not each run once")
+		t.Fatal("want each run of the job stopped once")
 	}
 }
 
@@ -100,7 +103,7 @@
 	for number := uint64(1); number <= constants.AckEntries+5; number++ {
 		numbers = append(numbers, number)
 	}
-	for _, task := range runner.Add(given(numbers...), ms(0), ms(500)) {
+	for _, task := range runner.Add(acquired(numbers...), ms(0), ms(500)) {
 		runner.Done(task, messages.Acknowledgement{Kind: messages.AckAccept, Output: make([]byte, 10)})
 	}
 	if len(runner.Results()) != constants.AckEntries {
@@ -108,40 +111,41 @@
 	}
 }
 
-// Once a later leader was told what is held here, an earlier one's answer is late.
+// After all tasks were reported to a later leader, items from an earlier leader are rejected: the later
+// leader would not know of them.
 func TestDropBefore(t *testing.T) {
 	runner := New()
-	runner.Add(given(5<<40|1), ms(0), ms(100))
+	runner.Add(acquired(5<<40|1), ms(0), ms(100))
 	runner.DropBefore(6)
-	if len(runner.Add(given(5<<40|2), ms(0), ms(100))) != 0 || len(runner.Add(given(6<<40|1), ms(0), ms(100))) != 1 || len(runner.Renewals(ms(100))) != 2 {
-		t.Fatal("what an earlier holder handed out was taken, or what is held was dropped")
+	if len(runner.Add(acquired(5<<40|2), ms(0), ms(100))) != 0 || len(runner.Add(acquired(6<<40|1), ms(0), ms(100))) != 1 || len(runner.Renewals(ms(100))) != 2 {
+		t.Fatal("item of an earlier leader was added, or an existing task was dropped")
 	}
 }
 
-// A run that hangs is not renewed for ever: its lock lapses, and it is stopped.
+// The lock of a run without events is not renewed indefinitely: it expires, and the run is stopped.
 func TestHangingRunsAreNotRenewed(t *testing.T) {
 	runner := New()
-	task := runner.Add(given(1), ms(0), ms(0))[0]
+	task := runner.Add(acquired(1), ms(0), ms(0))[0]
 	for at := 500.0; at < 20_000; at += 500 {
 		entries := runner.Renewals(ms(at))
 		if at <= 10_000 {
 			task.NoteProgress(ms(at))
 		}
-		hangs := clock.Milliseconds(at-10_000) >= constants.RenewWithoutEventsMax
-		if (len(entries) == 0) != hangs {
-			t.Fatal("renewed or not at ", at)
+		hanging := clock.Milliseconds(at-10_000) >= constants.RenewWithoutEventsMax
+		if (len(entries) == 0) != hanging {
+			t.Fatal("want renewals only while the run delivers events, ms: ", at)
 		}
 		runner.HandleRenewals(entries, []messages.AckVerdict{messages.AckRenewed}, ms(at), lock)
 	}
 	if !task.MayRun(ms(16_000)) || len(runner.Lapsed(ms(17_000))) != 1 {
-		t.Fatal("not stopped")
+		t.Fatal("hanging run was stopped too early or not at all")
 	}
 }
 
-// What the inputs take is given back once a task is done, and once only.
+// The memory of a task's input is subtracted when the task is done, and only once.
 func TestInputsOfTasksAreCounted(t *testing.T) {
 	runner := New()
-	resp := given(1, 2)
+	resp := acquired(1, 2)
 	resp.Items[0].Item.Body, resp.Items[1].Item.Body = make([]byte, 100), make([]byte, 10)
 	tasks := runner.Add(resp, ms(0), ms(500))
 	if runner.InputBytes() != 110 {
--- a/internal/batch/executorserver/executorserver.go
+++ b/internal/batch/executorserver/executorserver.go
@@ -155,7 +155,7 @@
 	return true
 }
 
-// maintain stops the runs whose lock has expired, renews the locks when due, and places waiting tasks.
+// maintain stops the runs whose lock is about to expire, renews the locks when due, and places waiting tasks.
 func (s *Server) maintain() {
 	now, epoch := clock.Now(), s.leader.LeaderEpoch()
 	s.lock.Lock()
@@ -197,7 +197,7 @@
 }
 
 // Drain stops all runs and releases their items before the process ends. It returns when all
-// acknowledgements have been answered, or after LeaseDuration at the latest.
+// acknowledgements have a final verdict, or after LeaseDuration at the latest.
 func (s *Server) Drain() {
 	s.lock.Lock()
 	s.draining = true
--- a/internal/batch/executorserver/place.go
+++ b/internal/batch/executorserver/place.go
@@ -142,7 +142,7 @@
 	return freeCapacity
 }
 
-// place starts the waiting tasks for which there is a worker. A task without a worker for
+// placeWaiting starts the waiting tasks for which there is a worker. A task without a worker for
 // longer than PlacementWait is released.
 func (s *Server) placeWaiting() {
 	now := clock.Now()
@@ -165,7 +165,7 @@
 	s.lock.Unlock()
 }
 
-// start starts a task at a worker or releases it. It returns false if the task has to
+// startOrRelease starts a task at a worker or releases it. It returns false if the task has to
 // continue waiting.
 func (s *Server) startOrRelease(task *executor.Task, owned map[string]bool, now clock.Instant) bool {
 	route := jobroute.OfItem(s.node.Config(), task.Item)
--- a/internal/batch/executorserver/place_test.go
+++ b/internal/batch/executorserver/place_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Every worker has one owner, in its own zone where there is one, and an executor that
-// goes away leaves only its own workers to others.
+// Every worker has one owner, in its own zone if there is a store, and if an executor leaves, only its
+// own workers change their owner.
 func TestEveryWorkerHasOneOwner(t *testing.T) {
 	stores := map[string]string{"l1": "a", "l2": "a", "l3": "b", "l4": "b", "l5": "b"}
 	counts := map[string]int{}
@@ -15,24 +15,24 @@
 		first := owner(worker, zone, stores)
 		counts[first]++
 		if stores[first] != zone && zone != "c" {
-			t.Fatal("owned from another zone: ", worker, first)
+			t.Fatal("worker has an owner in another zone: ", worker, first)
 		}
-		fewer := map[string]string{}
-		for name, at := range stores {
+		remaining := map[string]string{}
+		for name, storeZone := range stores {
 			if name != "l3" {
-				fewer[name] = at
+				remaining[name] = storeZone
 			}
 		}
-		if second := owner(worker, zone, fewer); first != "l3" && second != first {
-			t.Fatal("a worker changed its owner for no cause: ", worker)
+		if second := owner(worker, zone, remaining); first != "l3" && second != first {
+			t.Fatal("owner changed although it did not leave: ", worker)
 		}
 	}
 	for name, count := range counts {
 		if count < 60 {
-			t.Fatal("unevenly owned: ", name, counts)
+			t.Fatal("store owns fewer than 60 workers: ", name, counts)
 		}
 	}
 	if len(counts) != len(stores) || owner("w", "h", map[string]string{"me": "x"}) != "me" {
-		t.Fatal("somebody owns nothing: ", counts)
+		t.Fatal("a store owns no worker, or a single store does not own its worker: ", counts)
 	}
 }
--- a/internal/batch/executorserver/run.go
+++ b/internal/batch/executorserver/run.go
@@ -17,7 +17,7 @@
 	"lemonarch/internal/traffic/workerconn"
 )
 
-// run sends one item to one worker, collects its events, and derives the acknowledgement from
+// runOnWorker sends one item to one worker, collects its events, and derives the acknowledgement from
 // the way the stream ends.
 func (s *Server) runOnWorker(route *routeconfig.Route, task *executor.Task, grant *admission.Grant) {
 	sender := &s.gossip.Sender
@@ -73,7 +73,7 @@
 	}
 }
 
-// gather appends the events of a run to its item as they arrive.
+// collectEvents appends the events of a run to its item as they arrive.
 func (s *Server) collectEvents(task *executor.Task, response *proxy.Response, outgoing *proxy.Request) error {
 	splitter := &proxy.Splitter{}
 	if task.Item.LastID > 0 {
@@ -173,7 +173,7 @@
 	s.node.Log.Debug("item released", "item", task.Item.ID, "worker", grant.Worker.ID, "preempted", ack.Preempted, "reason", reason)
 }
 
-// done removes a task and queues its acknowledgement.
+// finishTask removes a task and queues its acknowledgement.
 func (s *Server) finishTask(task *executor.Task, ack messages.Acknowledgement) {
 	s.lock.Lock()
 	delete(s.connections, task)
@@ -184,7 +184,7 @@
 	signal(s.signals.wake)
 }
 
-// outgoing builds the request that sends an item to a worker.
+// buildRequest builds the request that sends an item to a worker.
 func (s *Server) buildRequest(route *routeconfig.Route, task *executor.Task, worker string) *proxy.Request {
 	item, header := task.Item, http.Header{}
 	for name, value := range item.Headers {
--- a/internal/batch/replicalog/golden_test.go
+++ b/internal/batch/replicalog/golden_test.go
@@ -10,8 +10,8 @@
 	"lemonarch/internal/tooling/fixture"
 )
 
-// goldenRecords are the records of the golden files, of two epochs: one job that is open,
-// and one that was forgotten.
+// goldenRecords are the records of the golden files, from two epochs: one job is open, the other one
+// was forgotten.
 var goldenRecords = []messages.Record{
 	{Index: 1, Epoch: 4, Kind: messages.RecordJob, Job: "old", AtMs: 1_700_000_000_000, Route: "r", Host: "h", Body: []byte("lot old")},
 	{Index: 2, Epoch: 4, Kind: messages.RecordOutput, Job: "old", Item: "i1", Position: 1, Body: []byte("text"), Acquisition: 3},
@@ -23,37 +23,37 @@
 	{Index: 8, Epoch: 6, Kind: messages.RecordItemError, Job: "new", Item: "i2", Acquisition: 10},
 }
 
-// writeGoldenReplica has a store take the records in two epochs, the second one after a
-// record that is cut again.
+// writeGoldenReplica appends goldenRecords to a new log in two epochs. The second epoch first
+// truncates a record that the first one left.
 func writeGoldenReplica(t *testing.T, dir string) *Log {
 	t.Helper()
-	store, err := Open(recordlog.Directory(dir), "disk-1")
+	log, err := Open(recordlog.Directory(dir), "disk-1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	appended := func(req *messages.AppendRequest) {
+	mustAppend := func(req *messages.AppendRequest) {
 		t.Helper()
-		if resp, err := store.Append(req); err != nil || !resp.Granted {
+		if resp, err := log.Append(req); err != nil || !resp.Granted {
 			t.Fatal(resp, err)
 		}
 	}
-	if resp, err := store.Fence(&messages.FenceRequest{Epoch: 4, Disk: "disk-1"}); err != nil || !resp.Granted {
+	if resp, err := log.Fence(&messages.FenceRequest{Epoch: 4, Disk: "disk-1"}); err != nil || !resp.Granted {
 		t.Fatal(resp, err)
 	}
 	truncated := messages.Record{Index: 6, Epoch: 4, Kind: messages.RecordJobEnd, Job: "new"}
-	appended(&messages.AppendRequest{Epoch: 4, Disk: "disk-1", Records: goldenRecords[:3]})
-	appended(&messages.AppendRequest{Epoch: 4, Disk: "disk-1", PreviousIndex: 3, PreviousEpoch: 4, Records: append(goldenRecords[3:5:5], truncated), CommitIndex: 3})
-	appended(&messages.AppendRequest{Epoch: 6, Disk: "disk-1", PreviousIndex: 5, PreviousEpoch: 4, Records: goldenRecords[5:], CommitIndex: 5})
-	return store
+	mustAppend(&messages.AppendRequest{Epoch: 4, Disk: "disk-1", Records: goldenRecords[:3]})
+	mustAppend(&messages.AppendRequest{Epoch: 4, Disk: "disk-1", PreviousIndex: 3, PreviousEpoch: 4, Records: append(goldenRecords[3:5:5], truncated), CommitIndex: 3})
+	mustAppend(&messages.AppendRequest{Epoch: 6, Disk: "disk-1", PreviousIndex: 5, PreviousEpoch: 4, Records: goldenRecords[5:], CommitIndex: 5})
+	return log
 }
 
-// TestGoldenReplicaFile has the replica's file written and rewritten to the bytes that an
-// earlier version wrote, and read, also with a torn tail.
+// TestGoldenReplicaFile checks that the replica's file is written and compacted to the same bytes as in
+// an earlier version, and that such files are read, also with a torn tail.
 func TestGoldenReplicaFile(t *testing.T) {
 	dir := t.TempDir()
-	store := writeGoldenReplica(t, dir)
+	log := writeGoldenReplica(t, dir)
 	fixture.CheckGolden(t, filepath.Join(dir, "replica"), "replica-appended")
-	if err := store.compact(5); err != nil {
+	if err := log.compact(5); err != nil {
 		t.Fatal(err)
 	}
 	fixture.CheckGolden(t, filepath.Join(dir, "replica"), "replica-rewritten")
@@ -75,15 +75,15 @@
 		if err = os.WriteFile(filepath.Join(dir, "replica"), output[:len(output)-file.torn], 0o644); err != nil {
 			t.Fatal(err)
 		}
-		store, err := Open(recordlog.Directory(dir), "other")
+		log, err := Open(recordlog.Directory(dir), "other")
 		if err != nil {
 			t.Fatal(file.golden, err)
 		}
-		extent := store.Extent()
-		if store.Disk() != "disk-1" || extent.Last != file.last || extent.Base != file.base || store.EpochAt(5) != 4 || store.EpochAt(6) != 6 {
-			t.Errorf("%s less %d bytes: disk %s, extent %+v", file.golden, file.torn, store.Disk(), extent)
+		extent := log.Extent()
+		if log.Disk() != "disk-1" || extent.Last != file.last || extent.Base != file.base || log.EpochAt(5) != 4 || log.EpochAt(6) != 6 {
+			t.Errorf("%s less %d bytes: disk %s, extent %+v", file.golden, file.torn, log.Disk(), extent)
 		}
-		record, err := store.Read(7)
+		record, err := log.Read(7)
 		if err != nil || string(record.Body) != "packed" || record.Acquisition != 9 {
 			t.Errorf("%s less %d bytes: record 7 is %+v, %v", file.golden, file.torn, record, err)
 		}
--- a/internal/batch/replicalog/replay_test.go
+++ b/internal/batch/replicalog/replay_test.go
@@ -9,19 +9,19 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// refusing makes a disk whose syncs fail while the flag is set.
-func refusing(seed int64) (*simulation.Disk, *bool) {
-	disk, refuse := simulation.NewDisk(seed), new(bool)
+// newFailingDisk returns a disk whose syncs fail while the flag is set.
+func newFailingDisk(seed int64) (*simulation.Disk, *bool) {
+	disk, failSync := simulation.NewDisk(seed), new(bool)
 	disk.Intercept = func(operation simulation.Operation, _ string) error {
-		if *refuse && operation == simulation.OperationSync {
+		if *failSync && operation == simulation.OperationSync {
 			return errors.New("input/output error")
 		}
 		return nil
 	}
-	return disk, refuse
+	return disk, failSync
 }
 
-// recordsOf makes records of one job's output each, under one epoch.
+// recordsOf returns output records of one epoch, each of a different job.
 func recordsOf(epoch uint64, first, last int64) (records []messages.Record) {
 	for index := first; index <= last; index++ {
 		records = append(records, messages.Record{Index: index, Epoch: epoch, Kind: messages.RecordOutput, Job: fmt.Sprint("l", index), Item: "i"})
@@ -29,14 +29,14 @@
 	return records
 }
 
-// history names a store's records, read from its disk.
-func history(t *testing.T, store *Log) string {
+// history describes the records of a log, read from its disk.
+func history(t *testing.T, log *Log) string {
 	t.Helper()
 
-	last := store.Extent().Last
+	last := log.Extent().Last
 	text := ""
 	for index := int64(1); index <= last; index++ {
-		record, err := store.Read(index)
+		record, err := log.Read(index)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -45,77 +45,77 @@
 	return text
 }
 
-// Records that were written but whose sync failed are sent again; the file then has
-// them twice, and a process that reads it must not take the second for what follows.
+// Records that were written but whose sync failed are sent reopened, so the file contains them twice.
+// A process that reads the file must not treat the second copy as further records.
 func TestFailedSyncLeavesNoRecordTwice(t *testing.T) {
-	disk, refuse := refusing(1)
-	store, err := Open(disk, "d")
+	disk, failSync := newFailingDisk(1)
+	log, err := Open(disk, "d")
 	if err != nil {
 		t.Fatal(err)
 	}
 	send := func(epoch uint64, first, last int64) error {
-		_, err := store.Append(&messages.AppendRequest{Epoch: epoch, Disk: "d", PreviousIndex: first - 1, PreviousEpoch: store.EpochAt(first - 1), Records: recordsOf(epoch, first, last)})
+		_, err := log.Append(&messages.AppendRequest{Epoch: epoch, Disk: "d", PreviousIndex: first - 1, PreviousEpoch: log.EpochAt(first - 1), Records: recordsOf(epoch, first, last)})
 		return err
 	}
 	if err = send(1, 1, 3); err != nil {
 		t.Fatal(err)
 	}
-	*refuse = true
+	*failSync = true
 	if send(1, 4, 6) == nil {
-		t.Fatal("told as synced")
+		t.Fatal("append succeeded although the sync failed")
 	}
-	*refuse = false
+	*failSync = false
 	if err = send(1, 4, 5); err != nil {
 		t.Fatal(err)
 	}
-	want := history(t, store)
-	again, err := Open(disk, "d")
+	want := history(t, log)
+	reopened, err := Open(disk, "d")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if found := history(t, again); found != want {
-		t.Fatalf("the process had %s and the next one has %s", want, found)
+	if got := history(t, reopened); got != want {
+		t.Fatalf("want records %s after reopening, got %s", want, got)
 	}
 }
 
-// A tail that an earlier leader left is not durable, though the leader of now says
-// that so many records are: what a record says there must not be acted on.
+// A tail from an earlier leader is not committed, even if the commit index of the current leader is
+// higher: those indexes belong to other records, and the ones in the tail must not be applied.
 func TestStaleTailIsNotCommitted(t *testing.T) {
-	store, err := Open(simulation.NewDisk(1), "d")
+	log, err := Open(simulation.NewDisk(1), "d")
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _ = store.Append(&messages.AppendRequest{Epoch: 1, Disk: "d", Records: recordsOf(1, 1, 9)})
-	resp, err := store.Append(&messages.AppendRequest{Epoch: 2, Disk: "d", PreviousIndex: 3, PreviousEpoch: 1, Records: recordsOf(1, 4, 4), CommitIndex: 9})
-	if err != nil || !resp.Granted || store.commitIndex != 4 {
-		t.Fatal(resp, err, store.commitIndex)
+	_, _ = log.Append(&messages.AppendRequest{Epoch: 1, Disk: "d", Records: recordsOf(1, 1, 9)})
+	resp, err := log.Append(&messages.AppendRequest{Epoch: 2, Disk: "d", PreviousIndex: 3, PreviousEpoch: 1, Records: recordsOf(1, 4, 4), CommitIndex: 9})
+	if err != nil || !resp.Granted || log.commitIndex != 4 {
+		t.Fatal(resp, err, log.commitIndex)
 	}
 }
 
-// A raise whose sync failed is not granted at the second try without a sync: after a
-// loss of power the earlier leader could write here again.
+// If the sync of a fence fails, a retry must sync it before granting it. Otherwise the fence could
+// be lost with the power, and the earlier leader could append reopened.
 func TestFenceIsSyncedBeforeItIsGranted(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
-		disk, refuse := refusing(seed)
-		store, err := Open(disk, "d")
+		disk, failSync := newFailingDisk(seed)
+		log, err := Open(disk, "d")
 		if err != nil {
 			t.Fatal(err)
 		}
-		*refuse = true
-		if _, err = store.Fence(&messages.FenceRequest{Epoch: 7, Disk: "d"}); err == nil {
-			t.Fatal("granted though nothing was synced")
+		*failSync = true
+		if _, err = log.Fence(&messages.FenceRequest{Epoch: 7, Disk: "d"}); err == nil {
+			t.Fatal("fence granted although the sync failed")
 		}
-		*refuse = false
-		if resp, err := store.Fence(&messages.FenceRequest{Epoch: 7, Disk: "d"}); err != nil || !resp.Granted {
+		*failSync = false
+		if resp, err := log.Fence(&messages.FenceRequest{Epoch: 7, Disk: "d"}); err != nil || !resp.Granted {
 			t.Fatal(resp, err)
 		}
 		disk.PowerLoss()
-		again, err := Open(disk, "d")
+		reopened, err := Open(disk, "d")
 		if err != nil {
 			t.Fatal(err)
 		}
-		if resp, _ := again.Append(&messages.AppendRequest{Epoch: 6, Disk: "d", Records: recordsOf(6, 1, 1)}); resp.Granted {
-			t.Fatalf("seed %d: a fenced holder writes again after a loss of power", seed)
+		if resp, _ := reopened.Append(&messages.AppendRequest{Epoch: 6, Disk: "d", Records: recordsOf(6, 1, 1)}); resp.Granted {
+			t.Fatalf("seed %d: append of a fenced leader granted after a power loss", seed)
 		}
 	}
 }
--- a/internal/batch/replication/replica.go
+++ b/internal/batch/replication/replica.go
@@ -23,7 +23,7 @@
 	Kind messages.RecordKind
 }
 
-// recordOverhead is the approximate size of a record on disk without its body.
+// recordOverheadBytes is the approximate size of a record on disk without its body.
 const recordOverheadBytes = 128
 
 func indexEntryOf(record *messages.Record, index, offset int64) IndexEntry {
@@ -92,7 +92,7 @@
 	return r.sparse[i], true
 }
 
-// sparseAt returns the position in sparse of the first record with the given index or a higher one.
+// firstSparseFrom returns the position in sparse of the first record with the given index or a higher one.
 func (r *Replica) firstSparseFrom(index int64) int {
 	return sort.Search(len(r.sparse), func(i int) bool { return r.sparse[i].Index >= index })
 }
--- a/internal/batch/replication/replication_test.go
+++ b/internal/batch/replication/replication_test.go
@@ -11,11 +11,13 @@
 	"lemonarch/internal/platform/messages"
 )
 
+// member returns a member whose name, address and disk are the same.
 func member(name string) messages.Member {
 	return messages.Member{Name: name, Address: name, Disk: name}
 }
 
-func stretches(epochs []uint64) []messages.EpochRange {
+// epochRanges returns the epoch ranges of a replica whose records have the given epochs.
+func epochRanges(epochs []uint64) []messages.EpochRange {
 	replica := NewReplica("d")
 	for i, epoch := range epochs {
 		replica.Add(&messages.Record{Index: int64(i + 1), Epoch: epoch}, 0)
@@ -23,7 +25,7 @@
 	return replica.Extent().EpochRanges
 }
 
-// compactedAt is an extent after a rewrite up to an index.
+// compactedAt returns an extent after compaction up to an index.
 func compactedAt(extent LogExtent, index int64) LogExtent {
 	if index == 0 {
 		return extent
@@ -37,8 +39,8 @@
 	return compacted
 }
 
-// Common is exactly the length of the shared beginning of two copies that one
-// leader each epoch wrote.
+// CommonIndex is exactly the length of the shared beginning of two copies if each epoch has only
+// one leader.
 func TestCommonIndex(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(3))
 	properties.Property("common", prop.ForAll(func(shared, left, right []bool) bool {
@@ -57,23 +59,23 @@
 		if len(base) > 0 {
 			epoch = base[len(base)-1]
 		}
-		// After the parting the two never write under the same epoch.
+		// After the shared beginning, the two copies never have records of the same epoch.
 		epoch += 2
 		first := grow(left, base, 2)
 		epoch++
 		second := grow(right, base, 2)
-		extent, other := LogExtent{Last: int64(len(first)), EpochRanges: stretches(first)}, LogExtent{Last: int64(len(second)), EpochRanges: stretches(second)}
+		extent, other := LogExtent{Last: int64(len(first)), EpochRanges: epochRanges(first)}, LogExtent{Last: int64(len(second)), EpochRanges: epochRanges(second)}
 		common := int64(len(base))
-		// Compacted in what they share, on either side or both, they say the same.
-		for truncated := int64(0); truncated <= common; truncated++ {
-			for deep := int64(0); deep <= truncated; deep++ {
-				if CommonIndex(compactedAt(extent, truncated), compactedAt(other, deep)) != common || CommonIndex(compactedAt(other, truncated), compactedAt(extent, deep)) != common {
+		// Compaction within the shared beginning, of one copy or both, does not change the result.
+		for higherBase := int64(0); higherBase <= common; higherBase++ {
+			for lowerBase := int64(0); lowerBase <= higherBase; lowerBase++ {
+				if CommonIndex(compactedAt(extent, higherBase), compactedAt(other, lowerBase)) != common || CommonIndex(compactedAt(other, higherBase), compactedAt(extent, lowerBase)) != common {
 					return false
 				}
 			}
 		}
-		// One that ends before the other's base has nothing in common with it.
-		short := LogExtent{Last: common - 1, EpochRanges: stretches(base[:max(common-1, 0)])}
+		// A copy that ends before the other's base has no common index with it.
+		short := LogExtent{Last: common - 1, EpochRanges: epochRanges(base[:max(common-1, 0)])}
 		return common < 2 || CommonIndex(compactedAt(extent, common), short) == 0
 	}, gen.SliceOf(gen.Bool()), gen.SliceOf(gen.Bool()), gen.SliceOf(gen.Bool())))
 	properties.TestingRun(t)
@@ -83,9 +85,9 @@
 	replicator := NewReplicator(4, []messages.Member{member("a"), member("b"), member("c")}, 1, 11)
 	replicator.NextIndex()
 	identity := func(name string) string { return register.Identity(member(name)) }
-	// Copies of earlier records decide nothing by their number.
+	// The number of copies does not make records of earlier epochs durable.
 	if replicator.UpdateMatch(identity("a"), 10) || replicator.UpdateMatch(identity("b"), 10) {
-		t.Fatal("an earlier epoch's record was called durable")
+		t.Fatal("record of an earlier epoch was committed by its copies")
 	}
 	if replicator.UpdateMatch(identity("a"), 11) {
 		t.Fatal("durable with one copy")
@@ -93,12 +95,12 @@
 	if !replicator.UpdateMatch(identity("c"), 11) || replicator.CommitIndex() != 11 {
 		t.Fatal("not durable with two copies")
 	}
-	// While the set changes, both sets have to have it.
+	// While the store set changes, a record needs enough copies in both sets.
 	replicator.Next = []messages.Member{member("a"), member("c"), member("d")}
 	replicator.NextIndex()
 	replicator.UpdateMatch(identity("a"), 12)
 	if replicator.UpdateMatch(identity("b"), 12) {
-		t.Fatal("durable without the next set")
+		t.Fatal("durable without enough copies in the next set")
 	}
 	if !replicator.UpdateMatch(identity("d"), 12) {
 		t.Fatal("not durable in both sets")
@@ -108,14 +110,14 @@
 func TestFenceAndIdentity(t *testing.T) {
 	replica := NewReplica("disk")
 	if resp, _ := replica.Fence(&messages.FenceRequest{Epoch: 5, Disk: "other"}); resp.Granted {
-		t.Fatal("another disk's order was taken")
+		t.Fatal("fence request for another disk was granted")
 	}
 	if resp, persist := replica.Fence(&messages.FenceRequest{Epoch: 5, Disk: "disk"}); !resp.Granted || !persist {
-		t.Fatal("not raised")
+		t.Fatal("want the fence granted and persisted")
 	}
 	replica.SetFencedEpoch(5)
 	if _, resp := replica.Append(&messages.AppendRequest{Epoch: 4, Disk: "disk", Records: []messages.Record{{Index: 1, Epoch: 4}}}); resp.Granted {
-		t.Fatal("a fenced holder's order was taken")
+		t.Fatal("append request of a fenced leader was granted")
 	}
 }
 
@@ -125,8 +127,8 @@
 	}
 }
 
-// A short copy of a later epoch outranks a long one of an earlier epoch: the rest
-// of the long one was never durable.
+// A short copy of a later epoch is preferred to a long one of an earlier epoch: the additional
+// records of the long one were never durable.
 func TestBestCopy(t *testing.T) {
 	copies := map[string]messages.FenceResponse{
 		"long":  {Last: 9, EpochRanges: []messages.EpochRange{{Epoch: 3, First: 1}}},
--- a/internal/batch/replication/takeover.go
+++ b/internal/batch/replication/takeover.go
@@ -17,7 +17,8 @@
 	return granted >= members-min(budget, members-1)
 }
 
-// CopiesNeeded returns how many synced copies make a record durable: one more than the fault budget, or all members if there are fewer.
+// CopiesNeeded returns how many synced copies make a record durable: one more than the fault budget,
+// or all members if there are fewer.
 func CopiesNeeded(members, budget int) int { return min(budget+1, members) }
 
 // BestCopy returns the identity of the store whose copy a new leader continues from: the one whose
