--- a/internal/batch/dispatch/accounting_test.go
+++ b/internal/batch/dispatch/accounting_test.go
@@ -15,7 +15,7 @@
 	acquired := old.acquire("x", 1, ms(1))
 	old.acquire("y", 1, ms(1))
 	next := newTestDispatcher(t, 2, old.records, ms(100))
-	// A report to an earlier leader, or of an unknown incarnation, accounts for no executor.
+	// A report to an earlier leader, or of another incarnation, accounts for no executor.
 	next.ObserveExecutor(Executor{Name: "x"}, ms(110))
 	next.ReportedAll(Executor{Name: "x"}, 1, ms(110))
 	next.ReportedAll(Executor{Name: "y", Incarnation: 7}, 2, ms(110))
@@ -31,8 +31,8 @@
 		t.Fatal("reported acquisition was not adopted")
 	}
 	next.ReportedAll(Executor{Name: "x"}, 2, ms(140))
-	if left := next.acquire("z", 3, ms(140)); len(left) != 2 || left[0].Item.ID != "b" {
-		t.Fatal("items not dispatched although all executors are accounted for: ", itemIDs(left))
+	if remaining := next.acquire("z", 3, ms(140)); len(remaining) != 2 || remaining[0].Item.ID != "b" {
+		t.Fatal("items not dispatched although all executors are accounted for: ", itemIDs(remaining))
 	}
 }
 
@@ -48,8 +48,8 @@
 		t.Fatal("items dispatched before the executor's registration was durable")
 	}
 	dispatcher.applyRecords()
-	found := dispatcher.Acquire(options, ms(1))
-	if len(found) != 1 || len(dispatcher.records) != 2 {
+	acquired := dispatcher.Acquire(options, ms(1))
+	if len(acquired) != 1 || len(dispatcher.records) != 2 {
 		t.Fatal("item not dispatched after the registration")
 	}
 	second := newTestDispatcher(t, 2, dispatcher.records, ms(100))
@@ -58,7 +58,7 @@
 		t.Fatal("acquisitions recorded as known before the lock duration had passed")
 	}
 	// An executor whose acquisition was adopted is registered too, before acquisitions are recorded as known.
-	if second.acknowledge("x", messages.AckRenew, found[0].Number, "a", ms(200)) != messages.AckRenewed {
+	if second.acknowledge("x", messages.AckRenew, acquired[0].Number, "a", ms(200)) != messages.AckRenewed {
 		t.Fatal("reported acquisition was not adopted")
 	}
 	second.RecordAcquisitionsKnown(ms(3000))
--- a/internal/batch/dispatch/acknowledge.go
+++ b/internal/batch/dispatch/acknowledge.go
@@ -46,6 +46,7 @@
 
 // handleRepeat returns the verdict for an item whose result is durable or being made durable. The
 // acquisition that delivered the result gets AckRecorded; any other acquisition gets AckTerminal.
+// A renewal always gets AckStopped.
 func (d *Dispatcher) handleRepeat(item *Item, ack *messages.Acknowledgement) AckOutcome {
 	outcome := AckOutcome{Verdict: messages.AckTerminal}
 	if item.State == ItemClosing {
--- a/internal/batch/dispatch/acquire_test.go
+++ b/internal/batch/dispatch/acquire_test.go
@@ -135,7 +135,7 @@
 }
 
 // A response to an acquire request has at least one item and stops once its inputs reach AcquireBytes.
-func TestInputsAreHandedOutByBytes(t *testing.T) {
+func TestAcquireIsBoundedByInputBytes(t *testing.T) {
 	dispatcher := newTestDispatcher(t, 1, nil, 0)
 	body := &messages.JobBody{Path: "/p/"}
 	for _, length := range []int{2 * constants.AcquireBytes, constants.AcquireBytes / 2, constants.AcquireBytes / 2, 10} {
--- a/internal/batch/dispatch/dispatcher_test.go
+++ b/internal/batch/dispatch/dispatcher_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// addJob submits a job with the acquired items.
+// addJob submits a job with the given items.
 func (d *testDispatcher) addJob(id string, items ...string) {
 	body := &messages.JobBody{Path: "/p/"}
 	for _, item := range items {
@@ -93,31 +93,31 @@
 func TestOneAcquisitionAndLapse(t *testing.T) {
 	dispatcher := newTestDispatcher(t, 1, nil, 0)
 	dispatcher.addJob("l", "a")
-	found := dispatcher.acquire("x", 3, ms(1))
-	if len(found) != 1 || len(dispatcher.acquire("y", 3, ms(1))) != 0 {
+	acquired := dispatcher.acquire("x", 3, ms(1))
+	if len(acquired) != 1 || len(dispatcher.acquire("y", 3, ms(1))) != 0 {
 		t.Fatal("want one acquisition by x and none by y")
 	}
 	// A renewed lock does not expire; an expired one makes the item available after a backoff, however often.
-	if dispatcher.acknowledge("x", messages.AckRenew, found[0].Number, "a", ms(1500)) != messages.AckRenewed || dispatcher.ExpireLocks(ms(2500)) != 0 {
+	if dispatcher.acknowledge("x", messages.AckRenew, acquired[0].Number, "a", ms(1500)) != messages.AckRenewed || dispatcher.ExpireLocks(ms(2500)) != 0 {
 		t.Fatal("renewed lock expired")
 	}
-	if dispatcher.acknowledge("y", messages.AckRenew, found[0].Number, "a", ms(2500)) != messages.AckStopped {
+	if dispatcher.acknowledge("y", messages.AckRenew, acquired[0].Number, "a", ms(2500)) != messages.AckStopped {
 		t.Fatal("renewal by another executor was accepted")
 	}
 	now := ms(3500)
-	for lapse := 1; lapse <= 40; lapse++ {
+	for expiry := 1; expiry <= 40; expiry++ {
 		if dispatcher.ExpireLocks(now) != 1 || len(dispatcher.acquire("y", 1, now)) != 0 {
-			t.Fatal("lock did not expire, or the item was available without backoff, at expiry ", lapse)
+			t.Fatal("lock did not expire, or the item was available without backoff, at expiry ", expiry)
 		}
 		if dispatcher.AbandonExpired(func(*Job) JobTerms { return JobTerms{} }, now) != 0 {
 			t.Fatal("expired lock ended an item")
 		}
-		if now = now.Add(retryBackoff(lapse)); len(dispatcher.acquire("y", 1, now)) != 1 {
-			t.Fatal("item was not available after the backoff, at expiry ", lapse)
+		if now = now.Add(retryBackoff(expiry)); len(dispatcher.acquire("y", 1, now)) != 1 {
+			t.Fatal("item was not available after the backoff, at expiry ", expiry)
 		}
 		now = now.Add(testLock)
 	}
-	if dispatcher.acknowledge("x", messages.AckRenew, found[0].Number, "a", now) != messages.AckStopped {
+	if dispatcher.acknowledge("x", messages.AckRenew, acquired[0].Number, "a", now) != messages.AckStopped {
 		t.Fatal("expired lock was renewed")
 	}
 }
@@ -228,22 +228,22 @@
 	if next.acknowledge("x", messages.AckRenew, acquired[2].Number, "c", ms(2200)) != messages.AckStopped {
 		t.Fatal("acquisition adopted after its lock had expired")
 	}
-	if left := next.acquire("y", 3, ms(2200)); len(left) != 1 || left[0].Item.ID != "c" || left[0].Number <= acquired[2].Number {
-		t.Fatal("want only item c with a higher number, got ", left)
+	if remaining := next.acquire("y", 3, ms(2200)); len(remaining) != 1 || remaining[0].Item.ID != "c" || remaining[0].Number <= acquired[2].Number {
+		t.Fatal("want only item c with a higher number, got ", remaining)
 	}
 }
 
 func TestEndedJobDispatchesNothing(t *testing.T) {
 	dispatcher := newTestDispatcher(t, 1, nil, 0)
 	dispatcher.addJob("l", "a", "b")
-	found := dispatcher.acquire("x", 1, ms(1))[0].Number
+	number := dispatcher.acquire("x", 1, ms(1))[0].Number
 	ending := true
 	dispatcher.Ending = func(*Job) bool { return ending }
 	if executors := dispatcher.StopJob(dispatcher.Jobs.Job("l")); len(executors) != 1 || executors[0].Name != "x" || dispatcher.InFlight() != 0 {
 		t.Fatal(executors)
 	}
-	if len(dispatcher.acquire("y", 2, ms(100))) != 0 || dispatcher.acknowledge("x", messages.AckRenew, found, "a", ms(100)) != messages.AckTerminal ||
-		dispatcher.acknowledge("x", messages.AckAccept, found, "a", ms(100)) != messages.AckTerminal {
+	if len(dispatcher.acquire("y", 2, ms(100))) != 0 || dispatcher.acknowledge("x", messages.AckRenew, number, "a", ms(100)) != messages.AckTerminal ||
+		dispatcher.acknowledge("x", messages.AckAccept, number, "a", ms(100)) != messages.AckTerminal {
 		t.Fatal("items of an ending job were acquired, renewed or accepted")
 	}
 }
--- a/internal/batch/dispatch/executors_test.go
+++ b/internal/batch/dispatch/executors_test.go
@@ -32,7 +32,7 @@
 	if len(list) != 2 || list[0].Name != "a" || list[0].Zone != "h" {
 		t.Fatal(list)
 	}
-	if _, again := dispatcher.Executors(version, ms(4000)); again != nil {
+	if _, repeated := dispatcher.Executors(version, ms(4000)); repeated != nil {
 		t.Fatal("list sent to an executor that has this version")
 	}
 	dispatcher.ObserveExecutor(Executor{Name: "a"}, ms(5000))
--- a/internal/batch/executor/ackqueue.go
+++ b/internal/batch/executor/ackqueue.go
@@ -9,7 +9,7 @@
 type ackQueue struct {
 	entries []messages.Acknowledgement
 	// confirms counts, by acquisition, the confirm requests since its complete output was last sent.
-	// An output that was not sent yet, or has to be sent in full again, has no ack.
+	// An output that was not sent yet, or has to be sent in full again, has no entry.
 	confirms map[uint64]int
 }
 
--- a/internal/batch/executorserver/executorserver.go
+++ b/internal/batch/executorserver/executorserver.go
@@ -18,7 +18,7 @@
 	"lemonarch/internal/traffic/workerconn"
 )
 
-// Locator locates the leader.
+// Locator provides the address and the epoch of the leader.
 type Locator interface {
 	// LeaderAddress returns the leader's address, or an empty string if none is known.
 	LeaderAddress() string
@@ -103,7 +103,7 @@
 	go clock.Every(constants.TickPeriod, s.node.Stop, s.maintain)
 }
 
-// acquireLoop acquires items for as many slots as are free.
+// acquireLoop acquires items while owned workers have free slots.
 func (s *Server) acquireLoop() {
 	stop := s.node.Stop
 	for {
--- a/internal/batch/replicalog/compact.go
+++ b/internal/batch/replicalog/compact.go
@@ -34,7 +34,7 @@
 // compactionState is the policy and the state on which the decision to compact is based.
 type compactionState struct {
 	Compaction
-	// commitHistory contains the commit index at past instants, from the last one that is at least Lag ago.
+	// commitHistory contains past commit indexes, starting with the newest one that is at least Lag old.
 	commitHistory []commitMark
 	// estimatedAtIndex is the index of the last record when the savings were last estimated.
 	estimatedAtIndex int64
--- a/internal/batch/replicalog/read.go
+++ b/internal/batch/replicalog/read.go
@@ -35,8 +35,8 @@
 	return &record.Entry, nil
 }
 
-// Fetch returns a range of records, limited by AppendBytes. An incomplete replica, or a request for
-// another disk, gets a response that is not granted.
+// Fetch returns a range of records, limited by AppendBytes. The request is not granted if it names
+// another disk or if the replica is incomplete, since others must not copy from an incomplete one.
 func (l *Log) Fetch(req *messages.FetchRequest) (*messages.FetchResponse, error) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
--- a/internal/batch/replicalog/replay_test.go
+++ b/internal/batch/replicalog/replay_test.go
@@ -45,7 +45,7 @@
 	return text
 }
 
-// Records that were written but whose sync failed are sent reopened, so the file contains them twice.
+// Records that were written but whose sync failed are sent again, so the file contains them twice.
 // A process that reads the file must not treat the second copy as further records.
 func TestFailedSyncLeavesNoRecordTwice(t *testing.T) {
 	disk, failSync := newFailingDisk(1)
@@ -79,7 +79,7 @@
 }
 
 // A tail from an earlier leader is not committed, even if the commit index of the current leader is
-// higher: those indexes belong to other records, and the ones in the tail must not be applied.
+// higher: the leader's records at these indexes differ, and those of the tail must not be applied.
 func TestStaleTailIsNotCommitted(t *testing.T) {
 	log, err := Open(simulation.NewDisk(1), "d")
 	if err != nil {
@@ -93,7 +93,7 @@
 }
 
 // If the sync of a fence fails, a retry must sync it before granting it. Otherwise the fence could
-// be lost with the power, and the earlier leader could append reopened.
+// be lost with the power, and the earlier leader could append again.
 func TestFenceIsSyncedBeforeItIsGranted(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
 		disk, failSync := newFailingDisk(seed)
--- a/internal/batch/replication/extent.go
+++ b/internal/batch/replication/extent.go
@@ -87,7 +87,8 @@
 	return LogExtent{Last: resp.Last, Base: resp.Base, EpochRanges: resp.EpochRanges}
 }
 
-// ExtentOfAppend returns the extent in a store's response to an append request whose records did not continue its replica.
+// ExtentOfAppend returns the extent in a store's response to an append request whose records did not
+// continue its replica.
 func ExtentOfAppend(resp *messages.AppendResponse) LogExtent {
 	return LogExtent{Last: resp.Last, Base: resp.Base, EpochRanges: resp.EpochRanges}
 }
--- a/internal/batch/replication/replica.go
+++ b/internal/batch/replication/replica.go
@@ -33,7 +33,7 @@
 
 // Base is the point up to which a replica is compacted: of the records up to Index only
 // those are kept that are not obsolete. Epoch is that of the record at Index. All records up to
-// Index are durable, so replicas that have the same record at Index are equal before it.
+// Index are durable, so replicas that have the same record at Index agree on all records before it.
 type Base struct {
 	Index int64
 	Epoch uint64
@@ -77,7 +77,8 @@
 // Last returns the index of the last record, or zero if there is none. Indexes begin at 1.
 func (r *Replica) Last() int64 { return r.lastSparse() + int64(len(r.entries)) }
 
-// EntryAt returns the entry at an index. It returns false if there is no such record or if the record was compacted away.
+// EntryAt returns the entry at an index. It returns false if there is no such record or if the record
+// was compacted away.
 func (r *Replica) EntryAt(index int64) (IndexEntry, bool) {
 	if offset := index - r.base.Index - 1; offset >= 0 {
 		if offset >= int64(len(r.entries)) {
@@ -97,7 +98,7 @@
 	return sort.Search(len(r.sparse), func(i int) bool { return r.sparse[i].Index >= index })
 }
 
-// EpochAt returns the epoch of the record at an index, or zero if there is none, as at index 0.
+// EpochAt returns the epoch of the record at an index, or zero if there is none. Index 0 precedes all records.
 // All records up to the base count as of the base's epoch: which leader wrote them is no longer needed.
 func (r *Replica) EpochAt(index int64) uint64 {
 	switch {
