--- a/internal/traffic/loadgossip/budget_test.go
+++ b/internal/traffic/loadgossip/budget_test.go
@@ -9,7 +9,7 @@
 
 // What a node may open follows from what a worker takes at once and allows, and
 // never falls under what it takes to serve at all.
-func TestConnectionsFollowTheWorker(t *testing.T) {
+func TestConnectionBudgetFollowsWorkerLimits(t *testing.T) {
 	for _, entry := range []struct {
 		capacity, limit int
 		role            string
--- a/internal/traffic/loadgossip/loadgossip.go
+++ b/internal/traffic/loadgossip/loadgossip.go
@@ -26,7 +26,7 @@
 	// Traffic keeps the summaries of the requests that this process places.
 	Traffic      *trafficstats.Recorder
 	alerted      bool
-	logged       map[string]int64
+	loggedCounts       map[string]int64
 	workerTables workerTables
 
 	lock        sync.Mutex
@@ -38,7 +38,7 @@
 // New makes it and registers the requests that it handles.
 func New(runtime *agent.Agent) *Gossip {
 	gossip := &Gossip{Node: runtime, Scheduler: admission.New(runtime.Self, runtime.Settings.Heartbeat()), Pool: workerconn.NewPool(),
-		Traffic: trafficstats.New(clock.Now()), logged: map[string]int64{}, workerTables: workerTables{read: map[string]messages.Digest{}}}
+		Traffic: trafficstats.New(clock.Now()), loggedCounts: map[string]int64{}, workerTables: workerTables{lastRead: map[string]messages.Digest{}}}
 	gossip.Sender = proxy.Sender{Scheduler: gossip.Scheduler, Pool: gossip.Pool, Budget: gossip.budget}
 	process.Handle(runtime.Runtime, messages.KindWorkersUpdate, gossip.handleWorkersUpdate)
 	runtime.OnControllerReport(gossip.handleControllerReport)
--- a/internal/traffic/loadgossip/peers_test.go
+++ b/internal/traffic/loadgossip/peers_test.go
@@ -130,7 +130,7 @@
 }
 
 // In a small fleet all are notified of long prefills, in a large one those near by.
-func TestReadingsAreBounded(t *testing.T) {
+func TestPrefillPeersAreBounded(t *testing.T) {
 	small := selectPeers(zone("a", 4)[0], append(zone("a", 4), zone("b", 4)...))
 	if len(small.prefillPeers) != 7 {
 		t.Fatalf("%d of 7 told", len(small.prefillPeers))
--- a/internal/traffic/loadgossip/pressure_test.go
+++ b/internal/traffic/loadgossip/pressure_test.go
@@ -16,7 +16,7 @@
 
 // standing makes placing parts of several processes that know each other, over the
 // transport in memory.
-func standing(t *testing.T, roles ...string) []*Gossip {
+func newConnectedNodes(t *testing.T, roles ...string) []*Gossip {
 	t.Helper()
 
 	network := transport.NewMemoryNetwork()
@@ -50,7 +50,7 @@
 	for position := 0; position < stores; position++ {
 		roles = append(roles, membership.RoleStore)
 	}
-	joined := standing(t, roles...)
+	joined := newConnectedNodes(t, roles...)
 	type word struct {
 		name   string
 		second bool
@@ -92,7 +92,7 @@
 
 // A gossip packet reaches the neighbours one way and counts there.
 func TestGossipReachesNeighbours(t *testing.T) {
-	joined := standing(t, membership.RoleGateway, membership.RoleGateway, membership.RoleStore)
+	joined := newConnectedNodes(t, membership.RoleGateway, membership.RoleGateway, membership.RoleStore)
 	received := make(chan bool, 8)
 	for _, entry := range joined[1:] {
 		_ = entry.Node.Transport.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
--- a/internal/traffic/loadgossip/report.go
+++ b/internal/traffic/loadgossip/report.go
@@ -71,8 +71,8 @@
 func (g *Gossip) logDisplacement() {
 	for route, counters := range g.Scheduler.AllCounters() {
 		displaced := counters.Displaced.Load()
-		if sum := displaced + counters.Resumed.Load() + counters.Finished.Load(); sum != g.logged[route] {
-			g.logged[route] = sum
+		if sum := displaced + counters.Resumed.Load() + counters.Finished.Load(); sum != g.loggedCounts[route] {
+			g.loggedCounts[route] = sum
 			g.Node.Log.Info("displacement", "route", route, "displaced", displaced, "resumed", counters.Resumed.Load(), "finished", counters.Finished.Load())
 		}
 	}
--- a/internal/traffic/loadgossip/staleness_test.go
+++ b/internal/traffic/loadgossip/staleness_test.go
@@ -16,14 +16,14 @@
 
 // fleet is many placing nodes in four zones, each with a bounded view, and what they
 // say to each other, without sockets. All chance comes from one seed.
-type fleet struct {
+type simulation struct {
 	random     *rand.Rand
 	nodes      []*simNode
 	byAddress  map[string]*simNode
 	workerList []messages.Worker
 	packets    int
 	bytes      int
-	far        int
+	otherZonePackets        int
 	largest    int
 }
 
@@ -32,13 +32,13 @@
 	view      *membership.View
 	scheduler *admission.Scheduler
 	phase     clock.Instant
-	heard     int
+	received     int
 	paused    bool
-	ties      replyPeers
+	replyPeers      replyPeers
 }
 
-func newFleet(seed int64, nodes, workerList int) *fleet {
-	entry := &fleet{random: rand.New(rand.NewSource(seed)), byAddress: map[string]*simNode{}}
+func newSimulation(seed int64, nodes, workerList int) *simulation {
+	entry := &simulation{random: rand.New(rand.NewSource(seed)), byAddress: map[string]*simNode{}}
 	for position := 0; position < workerList; position++ {
 		entry.workerList = append(entry.workerList, messages.Worker{ID: fmt.Sprintf("i-%05d", position), Backend: "s", Zone: fmt.Sprint("h", position%4),
 			Capacity: 16, CallCount: 1})
@@ -60,7 +60,7 @@
 }
 
 // near gives the workers of a node's zone: what it places on.
-func (f *fleet) near(node *simNode) []string {
+func (f *simulation) zoneWorkers(node *simNode) []string {
 	var found []string
 	for _, worker := range f.workerList {
 		if worker.Zone == node.own.Zone {
@@ -71,9 +71,9 @@
 }
 
 // observe gives a node a worker's load header, as in a response to a request.
-func (f *fleet) observe(node *simNode, now clock.Instant) {
+func (f *simulation) observe(node *simNode, now clock.Instant) {
 	// A node's own subset is a part of its zone's workers.
-	near := f.near(node)
+	near := f.zoneWorkers(node)
 	worker := near[f.random.Intn(min(len(near), constants.ReachSubset))]
 	if len(near) > constants.ReachSubset {
 		sum := fmt.Sprint(node.own.Name, f.random.Intn(constants.ReachSubset))
@@ -87,17 +87,17 @@
 }
 
 // gossip is one node's second.
-func (f *fleet) gossip(node *simNode, now clock.Instant) {
+func (f *simulation) gossipRound(node *simNode, now clock.Instant) {
 	packet := node.scheduler.MakeGossip(now)
 	peers := selectPeers(node.own, node.view.All("", now))
 	peers.population = len(f.nodes)
-	if node.ties.hasFewSenders(now) {
+	if node.replyPeers.hasFewSenders(now) {
 		packet.ReplyTo = node.own.Address
 	}
-	recipients := append(append([]messages.NodeInfo(nil), peers.gossipPeers...), node.ties.unlisted(peers.gossipPeers, now)...)
+	recipients := append(append([]messages.NodeInfo(nil), peers.gossipPeers...), node.replyPeers.unlisted(peers.gossipPeers, now)...)
 	if entry, selected := peers.pickOtherZone(f.random.Float64); selected {
 		recipients = append(recipients, entry)
-		f.far++
+		f.otherZonePackets++
 	}
 	body, _ := packet.MarshalMsg(nil)
 	for _, entry := range recipients {
@@ -106,15 +106,15 @@
 		f.largest = max(f.largest, len(body))
 		other := f.byAddress[entry.Address]
 		if !other.paused {
-			other.heard++
-			other.ties.observe(packet, now)
+			other.received++
+			other.replyPeers.observe(packet, now)
 			other.scheduler.HandleGossip(packet, now.Add(clock.Milliseconds(1)))
 		}
 	}
 }
 
 // play runs whole seconds: rate requests a second and worker, over all nodes.
-func (f *fleet) play(from, seconds int, rate float64) {
+func (f *simulation) run(from, seconds int, rate float64) {
 	const steps = 20
 	step := clock.Instant(constants.GossipPeriod) / steps
 	start := clock.Instant(from) * clock.Instant(constants.GossipPeriod)
@@ -129,7 +129,7 @@
 		}
 		for _, node := range f.nodes {
 			if phase := now % clock.Instant(constants.GossipPeriod); !node.paused && node.phase >= phase && node.phase < phase+step {
-				f.gossip(node, now)
+				f.gossipRound(node, now)
 			}
 		}
 	}
@@ -137,10 +137,10 @@
 
 // ages lists, over all nodes and the workers of their zones, how old the evidence is
 // that they place by; what is older than the limit counts for nothing.
-func (f *fleet) ages(now clock.Instant) (ages []float64, blind float64) {
+func (f *simulation) ages(now clock.Instant) (ages []float64, blind float64) {
 	none := 0
 	for _, node := range f.nodes {
-		for _, worker := range f.near(node) {
+		for _, worker := range f.zoneWorkers(node) {
 			node.scheduler.Locked(func() {
 				sample, recipients := node.scheduler.Tracker.Of(worker).Sample(now)
 				if !recipients || sample.Running == messages.RunningUnknown {
@@ -159,16 +159,16 @@
 // stays well within the age limit for nearly all of it.
 func TestStalenessAndCostByFleetSize(t *testing.T) {
 	for _, size := range []struct{ nodes, workerList int }{{25, 40}, {100, 160}, {390, 600}} {
-		entry := newFleet(11, size.nodes, size.workerList)
+		entry := newSimulation(11, size.nodes, size.workerList)
 		const seconds = 6
-		entry.play(1, seconds, 4)
+		entry.run(1, seconds, 4)
 		now := clock.Instant(seconds+1) * clock.Instant(constants.GossipPeriod)
 		ages, blind := entry.ages(now)
 		median, late := ages[len(ages)/2], ages[len(ages)*95/100]
 		packets := float64(entry.packets) / seconds / float64(size.nodes)
 		bytes := float64(entry.bytes) / seconds / float64(size.nodes)
 		t.Logf("%d nodes, %d workers: age median %.0f ms, p95 %.0f ms, without evidence %.3f; a node and second %.2f packets, %.0f bytes; largest %d; across zones %.1f packets a second in all",
-			size.nodes, size.workerList, median, late, blind, packets, bytes, entry.largest, float64(entry.far)/seconds)
+			size.nodes, size.workerList, median, late, blind, packets, bytes, entry.largest, float64(entry.otherZonePackets)/seconds)
 		limit := clock.ToMilliseconds(constants.GossipStale)
 		if median > limit/2 || late >= limit || blind > 0.15 {
 			t.Errorf("%d nodes: evidence too old", size.nodes)
@@ -177,8 +177,8 @@
 			t.Errorf("%d nodes: %.2f packets a node, largest %d bytes", size.nodes, packets, entry.largest)
 		}
 		for _, node := range entry.nodes {
-			if node.heard < seconds {
-				t.Errorf("%d nodes: %s heard %d packets in %d s", size.nodes, node.own.Name, node.heard, seconds)
+			if node.received < seconds {
+				t.Errorf("%d nodes: %s heard %d packets in %d s", size.nodes, node.own.Name, node.received, seconds)
 			}
 		}
 	}
@@ -186,17 +186,17 @@
 
 // A node that was paused says nothing that counts: its old evidence has aged, and
 // what it then tells is passed over.
-func TestPausedPeerMisleadsNobody(t *testing.T) {
-	entry := newFleet(5, 25, 40)
-	entry.play(1, 4, 4)
+func TestStaleReportOfPausedPeerIsIgnored(t *testing.T) {
+	entry := newSimulation(5, 25, 40)
+	entry.run(1, 4, 4)
 	paused := entry.nodes[3]
 	paused.paused = true
-	worker := entry.near(paused)[0]
+	worker := entry.zoneWorkers(paused)[0]
 	at := clock.Instant(5) * clock.Instant(constants.GossipPeriod)
 	paused.scheduler.Locked(func() { paused.scheduler.Tracker.Of(worker).ObserveLoad("200,0,16", at) })
-	entry.play(5, 4, 0)
+	entry.run(5, 4, 0)
 	paused.paused = false
-	entry.play(9, 3, 0)
+	entry.run(9, 3, 0)
 	for _, node := range entry.nodes {
 		node.scheduler.Locked(func() {
 			if running := node.scheduler.Tracker.Of(worker).Running(at.Add(7 * constants.GossipPeriod)); running != 0 {
@@ -207,10 +207,10 @@
 }
 
 // The same seed repeats the same history.
-func TestFleetRepeats(t *testing.T) {
+func TestSimulationIsDeterministic(t *testing.T) {
 	sum := func() float64 {
-		entry := newFleet(3, 40, 64)
-		entry.play(1, 3, 4)
+		entry := newSimulation(3, 40, 64)
+		entry.run(1, 3, 4)
 		ages, blind := entry.ages(clock.Instant(4) * clock.Instant(constants.GossipPeriod))
 		total := blind + float64(entry.bytes)
 		for _, age := range ages {
--- a/internal/traffic/loadgossip/workers.go
+++ b/internal/traffic/loadgossip/workers.go
@@ -13,7 +13,7 @@
 // workerTables remembers how far each controller's table of workers has been read.
 type workerTables struct {
 	lock sync.Mutex
-	read map[string]messages.Digest
+	lastRead map[string]messages.Digest
 }
 
 // needsPull tells whether a controller's table may hold something that is not known here,
@@ -21,9 +21,9 @@
 func (t *workerTables) needsPull(address string, digest, own messages.Digest) (since uint64, pull bool) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	read := t.read[address]
+	read := t.lastRead[address]
 	if digest.Sum == own.Sum {
-		t.read[address] = digest
+		t.lastRead[address] = digest
 		return 0, false
 	}
 	if read.Incarnation != digest.Incarnation {
@@ -62,7 +62,7 @@
 	}
 	g.Scheduler.Merge(resp.Workers, clock.Now())
 	g.workerTables.lock.Lock()
-	g.workerTables.read[address] = resp.Table
+	g.workerTables.lastRead[address] = resp.Table
 	g.workerTables.lock.Unlock()
 	return true
 }
--- a/internal/traffic/prefixindex/advertise.go
+++ b/internal/traffic/prefixindex/advertise.go
@@ -10,75 +10,80 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// advertisedChange is the least change in what neighbours believe that is worth sending (ours).
+// advertisedChange is the smallest change, against the probability that neighbours currently
+// assume, that is sent.
 const advertisedChange = 0.05
 
-// ageRounding is by how much the same evidence may seem older on another way: each
-// hop rounds ages up.
+// ageRounding is the tolerance in ns for comparing the times of evidence: the same evidence may
+// appear older when it is received over another path, because each hop rounds ages up.
 const ageRounding = 8 * messages.AgeUnitMs * 1_000_000
 
-// advertisement is a residency that may be sent, with what it would change.
+// advertisement is a residency that may be sent. change is the difference between its
+// probability and the one that neighbours currently assume.
 type advertisement struct {
-	leaf       *Leaf
-	worker     string
-	chance     float64
-	change     float64
-	reportedAt clock.Instant
-	evidenceAt clock.Instant
-	own        bool
+	leaf        *Leaf
+	worker      string
+	probability float64
+	change      float64
+	reportedAt  clock.Instant
+	evidenceAt  clock.Instant
+	own         bool
 }
 
-// Advertisements gives what changed most since it was last sent, of the long shared
-// prefixes: our own evidence first by how far it is from what neighbours still
-// believe of it, then what was received and not yet forwarded, each once and with its age.
-func (i *Index) Advertisements(now clock.Instant, limit, least int) []messages.Residency {
-	var entries []advertisement
+// Advertisements returns the residencies to send, at most limit of them, for shared prefixes of
+// at least the given number of tokens; those with the largest change are returned first. For own
+// evidence, the change is the difference from the probability that neighbours still assume.
+// Evidence received from peers is forwarded once, with its age.
+func (i *Index) Advertisements(now clock.Instant, limit, minTokens int) []messages.Residency {
+	var candidates []advertisement
 	i.tree.Each(func(leaf *Leaf) {
-		if !leaf.shared || leaf.tokens < least || now.Sub(leaf.used) >= 30*constants.GossipPeriod {
+		if !leaf.shared || leaf.tokens < minTokens || now.Sub(leaf.lastUsed) >= 30*constants.GossipPeriod {
 			return
 		}
-		for worker, entry := range leaf.own {
-			turn := i.turnoverOf(worker)
-			if entry.incarnation != turn.incarnation {
+		for worker, evidence := range leaf.own {
+			cacheTurnover := i.turnoverOf(worker)
+			if evidence.incarnation != cacheTurnover.incarnation {
 				continue
 			}
-			chance := entry.confidence * retained(turn.total()-entry.turnoverAt, turn.cache)
-			// Whoever received it forgets it at the age limit.
-			assumed := entry.advertised * max(0, 1-float64(now.Sub(entry.advertisedAt))/float64(constants.GossipStale))
-			if change := math.Abs(chance - assumed); change >= advertisedChange {
-				entries = append(entries, advertisement{leaf, worker, chance, change, now, entry.at, true})
+			probability := evidence.confidence * retained(cacheTurnover.total()-evidence.turnoverAt, cacheTurnover.capacity)
+			// Receivers discard the last advertisement at the age limit. The assumed probability
+			// falls linearly to 0 until then.
+			assumed := evidence.advertised * max(0, 1-float64(now.Sub(evidence.advertisedAt))/float64(constants.GossipStale))
+			if change := math.Abs(probability - assumed); change >= advertisedChange {
+				candidates = append(candidates, advertisement{leaf, worker, probability, change, now, evidence.placedAt, true})
 			}
 		}
-		for worker, entry := range leaf.peers {
-			age := now.Sub(entry.reportedAt)
-			if entry.forwarded || entry.incarnation != i.turnoverOf(worker).incarnation || age >= constants.GossipStale {
+		for worker, report := range leaf.peers {
+			age := now.Sub(report.reportedAt)
+			if report.forwarded || report.incarnation != i.turnoverOf(worker).incarnation || age >= constants.GossipStale {
 				continue
 			}
-			if own, known := leaf.own[worker]; known && own.at >= entry.evidenceAt {
+			if own, known := leaf.own[worker]; known && own.placedAt >= report.evidenceAt {
 				continue
 			}
-			entries = append(entries, advertisement{leaf, worker, entry.chance, entry.chance * (1 - float64(age)/float64(constants.GossipStale)), entry.reportedAt, entry.evidenceAt, false})
+			candidates = append(candidates, advertisement{leaf, worker, report.probability, report.probability * (1 - float64(age)/float64(constants.GossipStale)), report.reportedAt, report.evidenceAt, false})
 		}
 	})
-	sort.Slice(entries, func(left, right int) bool { return entries[left].before(&entries[right]) })
+	sort.Slice(candidates, func(left, right int) bool { return candidates[left].before(&candidates[right]) })
 	var advertised []messages.Residency
-	for _, entry := range entries[:min(limit, len(entries))] {
-		if entry.own {
-			evidence := entry.leaf.own[entry.worker]
-			evidence.advertised, evidence.advertisedAt = entry.chance, now
-			entry.leaf.own[entry.worker] = evidence
+	for _, selected := range candidates[:min(limit, len(candidates))] {
+		if selected.own {
+			evidence := selected.leaf.own[selected.worker]
+			evidence.advertised, evidence.advertisedAt = selected.probability, now
+			selected.leaf.own[selected.worker] = evidence
 		} else {
-			evidence := entry.leaf.peers[entry.worker]
+			evidence := selected.leaf.peers[selected.worker]
 			evidence.forwarded = true
-			entry.leaf.peers[entry.worker] = evidence
+			selected.leaf.peers[selected.worker] = evidence
 		}
-		advertised = append(advertised, messages.Residency{Path: entry.leaf.key, Tokens: entry.leaf.tokens, Worker: entry.worker,
-			Probability: float32(entry.chance), AgeMs: now.Sub(entry.evidenceAt).Milliseconds(), SampleAgeMs: now.Sub(entry.reportedAt).Milliseconds()})
+		advertised = append(advertised, messages.Residency{Path: selected.leaf.key, Tokens: selected.leaf.tokens, Worker: selected.worker,
+			Probability: float32(selected.probability), AgeMs: now.Sub(selected.evidenceAt).Milliseconds(), SampleAgeMs: now.Sub(selected.reportedAt).Milliseconds()})
 	}
 	return advertised
 }
 
-// before orders advertisements; ties are broken by name, so that no order depends on chance.
+// before reports whether an advertisement is sent before another. Ties are broken by the worker's
+// name and the key, so that the order is deterministic.
 func (w *advertisement) before(other *advertisement) bool {
 	switch {
 	case w.change != other.change:
@@ -91,26 +96,27 @@
 	return bytes.Compare(w.leaf.key, other.leaf.key) < 0
 }
 
-// MergeAdvertisements takes a peer's advertisements. The age limit is that of the sample, whichever way it came.
+// MergeAdvertisements merges advertisements received from a peer. The age limit applies to the
+// age of the original sample, whichever path it was received over.
 func (i *Index) MergeAdvertisements(advertised []messages.Residency, now clock.Instant) {
-	for _, peer := range advertised {
-		reportedAt := now - clock.Instant(peer.SampleAgeMs)*1_000_000
-		if len(peer.Path) == 0 || len(peer.Path)%8 != 0 || now.Sub(reportedAt) >= constants.GossipStale {
+	for _, residency := range advertised {
+		reportedAt := now - clock.Instant(residency.SampleAgeMs)*1_000_000
+		if len(residency.Path) == 0 || len(residency.Path)%8 != 0 || now.Sub(reportedAt) >= constants.GossipStale {
 			continue
 		}
-		lastEvidence := now - clock.Instant(peer.AgeMs)*1_000_000
-		leaf := i.tree.Leaf(peer.Path)
-		leaf.tokens = max(leaf.tokens, peer.Tokens)
-		leaf.used = max(leaf.used, lastEvidence)
+		lastEvidence := now - clock.Instant(residency.AgeMs)*1_000_000
+		leaf := i.tree.Leaf(residency.Path)
+		leaf.tokens = max(leaf.tokens, residency.Tokens)
+		leaf.lastUsed = max(leaf.lastUsed, lastEvidence)
 		leaf.shared = true
-		existing, known := leaf.peers[peer.Worker]
+		existing, known := leaf.peers[residency.Worker]
 		if known && (existing.evidenceAt > lastEvidence.Add(ageRounding) || (existing.evidenceAt >= lastEvidence && existing.reportedAt >= reportedAt)) {
 			continue
 		}
 		if leaf.peers == nil {
 			leaf.peers = map[string]peerEvidence{}
 		}
-		leaf.peers[peer.Worker] = peerEvidence{chance: float64(peer.Probability), reportedAt: reportedAt, evidenceAt: lastEvidence, incarnation: i.turnoverOf(peer.Worker).incarnation}
+		leaf.peers[residency.Worker] = peerEvidence{probability: float64(residency.Probability), reportedAt: reportedAt, evidenceAt: lastEvidence, incarnation: i.turnoverOf(residency.Worker).incarnation}
 	}
 	if i.tree.Size() > constants.IndexNodes {
 		i.shrink()
--- a/internal/traffic/prefixindex/branch.go
+++ b/internal/traffic/prefixindex/branch.go
@@ -2,41 +2,42 @@
 
 import "sort"
 
-// branch is the fan-out of an inner node, in one of four sizes that adapt to how
-// many children there are: 4, 16, 48 or 256.
+// branch stores the children of an inner node, in one of four sizes that adapt to the number
+// of children: 4, 16, 48 or 256.
 type branch interface {
 	find(edge byte) *node
-	// add puts a child in; the returned branch is the receiver or a larger one.
+	// add inserts or replaces a child. It returns the receiver, or a larger branch that replaces it.
 	add(edge byte, child *node) branch
-	// remove takes a child out; the returned branch is the receiver or a smaller one.
+	// remove removes a child. It returns the receiver, or a smaller branch that replaces it.
 	remove(edge byte) branch
 	count() int
 	each(visit func(edge byte, child *node))
 }
 
-// sorted serves the two small sizes: keys in order, children beside them.
-type sorted struct {
+// sortedBranch is the branch of the two small sizes: sorted keys, with the children in the same
+// order.
+type sortedBranch struct {
 	keys     []byte
 	children []*node
 	limit    int
 }
 
-func newSorted(limit int) *sorted {
-	return &sorted{keys: make([]byte, 0, limit), children: make([]*node, 0, limit), limit: limit}
+func newSortedBranch(limit int) *sortedBranch {
+	return &sortedBranch{keys: make([]byte, 0, limit), children: make([]*node, 0, limit), limit: limit}
 }
 
-func (s *sorted) search(edge byte) int {
+func (s *sortedBranch) search(edge byte) int {
 	return sort.Search(len(s.keys), func(index int) bool { return s.keys[index] >= edge })
 }
 
-func (s *sorted) find(edge byte) *node {
+func (s *sortedBranch) find(edge byte) *node {
 	if index := s.search(edge); index < len(s.keys) && s.keys[index] == edge {
 		return s.children[index]
 	}
 	return nil
 }
 
-func (s *sorted) add(edge byte, child *node) branch {
+func (s *sortedBranch) add(edge byte, child *node) branch {
 	index := s.search(edge)
 	if index < len(s.keys) && s.keys[index] == edge {
 		s.children[index] = child
@@ -54,42 +55,43 @@
 	return s
 }
 
-func (s *sorted) remove(edge byte) branch {
+func (s *sortedBranch) remove(edge byte) branch {
 	index := s.search(edge)
 	if index < len(s.keys) && s.keys[index] == edge {
 		s.keys = append(s.keys[:index], s.keys[index+1:]...)
 		s.children = append(s.children[:index], s.children[index+1:]...)
 	}
 	if s.limit == 16 && len(s.keys) <= 3 {
-		return refill(newSorted(4), s)
+		return refill(newSortedBranch(4), s)
 	}
 	return s
 }
 
-func (s *sorted) count() int { return len(s.keys) }
+func (s *sortedBranch) count() int { return len(s.keys) }
 
-func (s *sorted) each(visit func(edge byte, child *node)) {
+func (s *sortedBranch) each(visit func(edge byte, child *node)) {
 	for index, edge := range s.keys {
 		visit(edge, s.children[index])
 	}
 }
 
-// branch48 has an index of all edges into 48 slots.
+// branch48 has up to 48 children. slots maps each edge to the position of its child plus one, and
+// is 0 for an edge without a child.
 type branch48 struct {
-	index    [256]byte
+	slots    [256]byte
 	children [48]*node
 	used     int
 }
 
 func (b *branch48) find(edge byte) *node {
-	if i := b.index[edge]; i > 0 {
+	if i := b.slots[edge]; i > 0 {
 		return b.children[i-1]
 	}
 	return nil
 }
 
 func (b *branch48) add(edge byte, child *node) branch {
-	if i := b.index[edge]; i > 0 {
+	if i := b.slots[edge]; i > 0 {
 		b.children[i-1] = child
 		return b
 	}
@@ -99,7 +101,7 @@
 	for i := range b.children {
 		if b.children[i] == nil {
 			b.children[i] = child
-			b.index[edge] = byte(i + 1)
+			b.slots[edge] = byte(i + 1)
 			b.used++
 			break
 		}
@@ -108,13 +110,13 @@
 }
 
 func (b *branch48) remove(edge byte) branch {
-	if i := b.index[edge]; i > 0 {
+	if i := b.slots[edge]; i > 0 {
 		b.children[i-1] = nil
-		b.index[edge] = 0
+		b.slots[edge] = 0
 		b.used--
 	}
 	if b.used <= 12 {
-		return refill(newSorted(16), b)
+		return refill(newSortedBranch(16), b)
 	}
 	return b
 }
@@ -122,14 +124,14 @@
 func (b *branch48) count() int { return b.used }
 
 func (b *branch48) each(visit func(edge byte, child *node)) {
-	for edge, i := range b.index {
+	for edge, i := range b.slots {
 		if i > 0 {
 			visit(byte(edge), b.children[i-1])
 		}
 	}
 }
 
-// branch256 has a slot for every edge.
+// branch256 has a position for each possible edge.
 type branch256 struct {
 	children [256]*node
 	used     int
@@ -169,7 +171,7 @@
 func expand(full branch) branch {
 	switch {
 	case full.count() == 4:
-		return refill(newSorted(16), full)
+		return refill(newSortedBranch(16), full)
 	case full.count() == 16:
 		return refill(&branch48{}, full)
 	}
--- a/internal/traffic/prefixindex/homes.go
+++ b/internal/traffic/prefixindex/homes.go
@@ -5,7 +5,8 @@
 	"sort"
 )
 
-// Shared is how many tokens of the prompt others have too: the last part is its own.
+// Shared returns the number of tokens of the prompt that other prompts may share: all parts
+// except the last one, which belongs to the request alone.
 func (p *Prompt) Shared() int {
 	shared := 0
 	for i := 0; i < len(p.Parts)-1; i++ {
@@ -14,7 +15,8 @@
 	return shared
 }
 
-// MixBits spreads a hash of names that differ in their last bytes only over all its bits.
+// MixBits distributes a hash over all its bits. Hashes of names that differ only in their last
+// bytes would otherwise have similar values.
 func MixBits(sum uint64) uint64 {
 	sum ^= sum >> 33
 	sum *= 0xff51afd7ed558ccd
@@ -23,7 +25,8 @@
 	return sum ^ sum>>33
 }
 
-// homeWeight is a worker's weight for a prefix; the highest is its first home.
+// homeWeight returns a worker's weight for a prefix in rendezvous hashing. The worker with the
+// highest weight is the first home of the prefix.
 func homeWeight(worker string, prefix uint64) uint64 {
 	const offset, prime = 14695981039346656037, 1099511628211
 	sum := uint64(offset)
@@ -32,14 +35,15 @@
 	}
 	var name [8]byte
 	binary.BigEndian.PutUint64(name[:], prefix)
-	for _, entry := range name {
-		sum = (sum ^ uint64(entry)) * prime
+	for _, octet := range name {
+		sum = (sum ^ uint64(octet)) * prime
 	}
 	return sum
 }
 
-// Homes gives the first homes of the prompt's prefix among workers: all nodes that
-// know the same workers come to the same ones.
+// Homes returns the homes of the prompt's shared prefix among the workers, the first home first
+// and at most limit of them. The result depends only on the names, so all nodes that know the same
+// workers select the same homes.
 func (i *Index) Homes(prompt *Prompt, workerList []string, limit int) []string {
 	if len(prompt.Parts) < 2 {
 		return nil
@@ -64,38 +68,38 @@
 	return best
 }
 
-// Holders gives workers that hold the prompt's prefix by what is known here, the
-// latest evidence first.
+// Holders returns at most limit workers for which there is evidence that they have cached a
+// shared prefix of the prompt, those with the latest evidence first.
 func (i *Index) Holders(prompt *Prompt, limit int) []string {
 	type holder struct {
 		worker string
-		seen   int64
+		seenAt int64
 	}
-	var entries []holder
+	var holders []holder
 	if len(prompt.Parts) < 2 {
 		return nil
 	}
 	key := prompt.key()
 	i.tree.Walk(key[:len(key)-8], func(_ int, leaf *Leaf) {
-		for worker, entry := range leaf.own {
-			entries = append(entries, holder{worker, int64(entry.at)})
+		for worker, evidence := range leaf.own {
+			holders = append(holders, holder{worker, int64(evidence.placedAt)})
 		}
-		for worker, entry := range leaf.peers {
-			entries = append(entries, holder{worker, int64(entry.evidenceAt)})
+		for worker, evidence := range leaf.peers {
+			holders = append(holders, holder{worker, int64(evidence.evidenceAt)})
 		}
 	})
-	sort.Slice(entries, func(left, right int) bool {
-		if entries[left].seen != entries[right].seen {
-			return entries[left].seen > entries[right].seen
+	sort.Slice(holders, func(left, right int) bool {
+		if holders[left].seenAt != holders[right].seenAt {
+			return holders[left].seenAt > holders[right].seenAt
 		}
-		return entries[left].worker < entries[right].worker
+		return holders[left].worker < holders[right].worker
 	})
 	var workerList []string
-	known := map[string]bool{}
-	for _, entry := range entries {
-		if len(workerList) < limit && !known[entry.worker] {
-			known[entry.worker] = true
-			workerList = append(workerList, entry.worker)
+	listed := map[string]bool{}
+	for _, candidate := range holders {
+		if len(workerList) < limit && !listed[candidate.worker] {
+			listed[candidate.worker] = true
+			workerList = append(workerList, candidate.worker)
 		}
 	}
 	return workerList
--- a/internal/traffic/prefixindex/index.go
+++ b/internal/traffic/prefixindex/index.go
@@ -11,37 +11,41 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// Part is one part of a prompt.
+// Part is one part of a prompt. Name is a hash of the model and the part's name.
 type Part struct {
 	Name   uint64
 	Tokens int
 }
 
-// Prompt is what a request says of its prompt.
+// Prompt describes the prompt of a request as stated in the request's headers: its parts, its
+// length in tokens, and the maximum number of output tokens (Out).
 type Prompt struct {
 	Parts  []Part
 	Tokens int
 	Out    int
 }
 
-// Index is one node's own view of which worker holds what.
+// Index is one node's own view of which prefixes are cached at which worker.
 type Index struct {
-	tree         Tree
-	turnovers    map[string]*turnover
-	Placements   int64
-	Downgrades   int64
-	Hits         int64
+	tree       Tree
+	turnovers  map[string]*turnover
+	Placements int64
+	Downgrades int64
+	Hits       int64
+	// prefillRate is the observed prefill rate in tokens per ms. firstEventMs is the observed
+	// time in ms from the end of the prefill to the first event.
 	prefillRate  float64
 	firstEventMs float64
 }
 
-// NewIndex makes an empty index.
+// NewIndex returns an empty index.
 func NewIndex() *Index {
 	return &Index{turnovers: map[string]*turnover{}, prefillRate: constants.ReadRate, firstEventMs: constants.FirstGuess}
 }
 
-// ParsePrompt reads the headers that describe a prompt. Of one of very many parts the first ones
-// count: an index of all the others would take memory by the square of their number.
+// ParsePrompt parses the headers that describe a prompt. Only the first constants.PromptPartsMax
+// parts are used: each part is indexed under the complete prefix up to it, so the memory for a
+// prompt grows with the square of the number of its parts.
 func ParsePrompt(model, counts, prefix string) Prompt {
 	prompt := Prompt{}
 	fields := strings.Split(counts, ",")
@@ -57,7 +61,7 @@
 		piece, prefix, more = strings.Cut(prefix, ",")
 		name, count, _ := strings.Cut(strings.TrimSpace(piece), ":")
 		tokens, _ := strconv.Atoi(count)
-		// Weights of one model are of no use to another, so the model is in the name.
+		// Prefixes cached for one model are of no use to another, so the hash includes the model.
 		sum := fnv.New64a()
 		sum.Write([]byte(model))
 		sum.Write([]byte{0})
@@ -75,31 +79,31 @@
 	return key
 }
 
-// RecordPlacement notes that a prompt goes to a worker, and gives the tokens that had to
-// be prefilled there anew, by the estimate here.
+// RecordPlacement records that a prompt is sent to a worker. It returns the estimated number of
+// tokens that the worker has to prefill because they are not cached there.
 func (i *Index) RecordPlacement(prompt *Prompt, worker string, now clock.Instant) int {
 	i.Placements++
 	key := prompt.key()
 	cached := 0.0
 	tokens := 0
-	turn := i.turnoverOf(worker)
+	cacheTurnover := i.turnoverOf(worker)
 	for position := range prompt.Parts {
 		tokens += prompt.Parts[position].Tokens
 		leaf := i.tree.Leaf(key[:8*(position+1)])
-		// The last part is the request's own until another request has it too.
-		leaf.shared = leaf.shared || position < len(prompt.Parts)-1 || leaf.used > 0
-		leaf.tokens, leaf.used = tokens, now
-		chance := i.residency(leaf, worker, now)
-		cached = max(cached, chance*float64(tokens))
+		// The last part belongs to this request only, until another request has the same part.
+		leaf.shared = leaf.shared || position < len(prompt.Parts)-1 || leaf.lastUsed > 0
+		leaf.tokens, leaf.lastUsed = tokens, now
+		probability := i.residency(leaf, worker, now)
+		cached = max(cached, probability*float64(tokens))
 	}
 	fresh := max(prompt.Tokens, tokens) - int(cached)
-	turn.own += int64(fresh + prompt.Out/2)
+	cacheTurnover.own += int64(fresh + prompt.Out/2)
 	for position := range prompt.Parts {
 		leaf := i.tree.Leaf(key[:8*(position+1)])
 		if leaf.own == nil {
 			leaf.own = map[string]ownEvidence{}
 		}
-		leaf.own[worker] = ownEvidence{at: now, turnoverAt: turn.total(), confidence: 1, incarnation: turn.incarnation}
+		leaf.own[worker] = ownEvidence{placedAt: now, turnoverAt: cacheTurnover.total(), confidence: 1, incarnation: cacheTurnover.incarnation}
 	}
 	if i.tree.Size() > constants.IndexNodes {
 		i.shrink()
@@ -107,43 +111,45 @@
 	return fresh
 }
 
-// RecordFirstEvent confirms or lowers what was believed: a first event that came as
-// late as a whole reading takes shows that the prefix was not there.
+// RecordFirstEvent updates the estimates from the delay of a request's first event. A first
+// event that arrives as late as after a full prefill shows that the prefix was not cached, and
+// lowers the confidence in it. alone is true if no other request was at the worker.
 func (i *Index) RecordFirstEvent(prompt *Prompt, worker string, fresh int, waited clock.Duration, alone bool, now clock.Instant) {
 	saved := max(prompt.Tokens, 1) - fresh
 	fullPrefillMs := float64(prompt.Tokens) / i.prefillRate
 	freshPrefillMs := float64(fresh) / i.prefillRate
-	// What is left once the prompt was read is the making of the first event.
-	took := clock.ToMilliseconds(waited) - i.firstEventMs
-	// Small prompts and busy workers tell nothing: the wait hides the reading.
-	const worthKnowing, muchOf, little = 2000, 0.8, 300
-	if saved < worthKnowing {
+	// The time to the first event is the prefill plus the generation of the event's tokens.
+	observedPrefillMs := clock.ToMilliseconds(waited) - i.firstEventMs
+	// Small prompts and busy workers show nothing: the wait hides the prefill time.
+	const significantTokens, missShare, fewTokens = 2000, 0.8, 300
+	if saved < significantTokens {
 		switch {
-		case alone && fresh > worthKnowing && took > 0:
-			i.prefillRate += 0.05 * (min(max(float64(fresh)/took, 20), 2000) - i.prefillRate)
-		case alone && fresh < little:
+		case alone && fresh > significantTokens && observedPrefillMs > 0:
+			i.prefillRate += 0.05 * (min(max(float64(fresh)/observedPrefillMs, 20), 2000) - i.prefillRate)
+		case alone && fresh < fewTokens:
 			i.firstEventMs += 0.02 * (min(clock.ToMilliseconds(waited), 4*constants.FirstGuess) - i.firstEventMs)
 		}
 		return
 	}
-	if took > freshPrefillMs+muchOf*(fullPrefillMs-freshPrefillMs) && alone {
+	if observedPrefillMs > freshPrefillMs+missShare*(fullPrefillMs-freshPrefillMs) && alone {
 		key := prompt.key()
 		i.tree.Walk(key, func(_ int, leaf *Leaf) {
-			if entry, known := leaf.own[worker]; known {
-				// It is there now, since it was just read; but our estimate of how
-				// long it stays was too good, and that is what peers should learn.
-				entry.confidence = max(entry.confidence*0.7, 0.3)
-				leaf.own[worker] = entry
+			if evidence, known := leaf.own[worker]; known {
+				// The prefix is cached now, since it was just prefilled. But the estimate of
+				// how long it stays cached was too high, and peers should receive the lower one.
+				evidence.confidence = max(evidence.confidence*0.7, 0.3)
+				leaf.own[worker] = evidence
 			}
 		})
 	}
 }
 
-// shrink drops the eighth of the leaves that were unused for longest, and more where it takes more.
+// shrink removes the least recently used eighth of the leaves, or more if the index would
+// otherwise still exceed constants.IndexNodes.
 func (i *Index) shrink() {
 	var leaves []*Leaf
 	i.tree.Each(func(leaf *Leaf) { leaves = append(leaves, leaf) })
-	sort.Slice(leaves, func(left, right int) bool { return leaves[left].used < leaves[right].used })
+	sort.Slice(leaves, func(left, right int) bool { return leaves[left].lastUsed < leaves[right].lastUsed })
 	for _, leaf := range leaves[:max(len(leaves)/8, len(leaves)-constants.IndexNodes)] {
 		i.tree.Remove(leaf.key)
 	}
--- a/internal/traffic/prefixindex/prefixindex_test.go
+++ b/internal/traffic/prefixindex/prefixindex_test.go
@@ -185,7 +185,7 @@
 	}
 }
 
-func TestAdvertisedSlowFirstEventsLowerConfidence(t *testing.T) {
+func TestSlowFirstEventLowersAdvertisedProbability(t *testing.T) {
 	index := NewIndex()
 	index.SetCache("first", 100_000)
 	requestedAt := prompt("x1", 12_000)
--- a/internal/traffic/prefixindex/residency.go
+++ b/internal/traffic/prefixindex/residency.go
@@ -1,6 +1,6 @@
-// Package prefixindex is the residency-weighted prefix index that decides where a
-// request is placed: a tree of prompt parts, an estimate of what workers still
-// hold, and one score. A step function without I/O.
+// Package prefixindex implements the residency-weighted prefix index that decides where a
+// request is placed: a tree of prompt parts, an estimate of which prefixes are still cached at
+// which workers, and one score per worker. It does no I/O and has no goroutines of its own.
 package prefixindex
 
 import (
@@ -8,56 +8,60 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// Leaf is what is known of one prefix.
+// Leaf is the record of one prefix.
 type Leaf struct {
 	key    []byte
 	tokens int
-	// shared: more than one request had this prefix, or it is no request's complete prompt.
-	shared bool
-	used   clock.Instant
-	own    map[string]ownEvidence
-	peers  map[string]peerEvidence
+	// shared is true if more than one request had this prefix, or if it is not the complete
+	// prompt of any request.
+	shared   bool
+	lastUsed clock.Instant
+	own      map[string]ownEvidence
+	peers    map[string]peerEvidence
 }
 
-// ownEvidence says that this node placed this prefix at a worker.
+// ownEvidence records that this node sent a request with this prefix to a worker.
 type ownEvidence struct {
-	at          clock.Instant
+	placedAt    clock.Instant
 	turnoverAt  int64
 	confidence  float64
 	incarnation int
-	// advertised is the chance last sent to neighbours, and when.
+	// advertised is the probability last sent to neighbours, and advertisedAt when it was sent.
 	advertised   float64
 	advertisedAt clock.Instant
 }
 
-// peerEvidence is a peer's report: reportedAt is when it was made, evidenceAt when its evidence was met.
+// peerEvidence is a report by a peer: reportedAt is when the peer computed it, evidenceAt is the
+// time of the placement that it is based on.
 type peerEvidence struct {
-	chance      float64
+	probability float64
 	reportedAt  clock.Instant
 	evidenceAt  clock.Instant
 	incarnation int
 	forwarded   bool
 }
 
-// turnover follows how many tokens have entered a worker's cache.
+// turnover counts the tokens that have entered a worker's cache: own those of requests placed by
+// this node, others the estimate for all other callers. capacity is the size of the cache in
+// tokens, 0 if it is not known. incarnation is incremented when the cache has been lost.
 type turnover struct {
 	own         int64
 	others      float64
 	incarnation int
-	cache       int64
+	capacity    int64
 }
 
 func (t *turnover) total() int64 { return t.own + int64(t.others) }
 
-// retained estimates, from what has entered the cache since, the chance that a
-// prefix is still there. A cache lets go of what was unused for longest; running
-// requests take part of it, so the last fifth is never counted on.
-func retained(entered, cache int64) float64 {
-	if cache <= 0 {
-		// Without an engine's figures nothing is known to be evicted.
+// retained estimates the probability that a prefix is still cached, from the tokens that have
+// entered the cache since. A cache evicts the least recently used prefixes first. Running requests
+// occupy part of it, so the last tenth is never counted on.
+func retained(entered, capacity int64) float64 {
+	if capacity <= 0 {
+		// The engine has not reported its capacity, so there is no sign of eviction.
 		return 1
 	}
-	share := float64(entered) / float64(cache)
+	share := float64(entered) / float64(capacity)
 	const full, empty = 0.5, 0.9
 	switch {
 	case share <= full:
@@ -68,47 +72,48 @@
 	return (empty - share) / (empty - full)
 }
 
-// residency is the chance that a worker still holds the leaf's prefix. The
-// newest evidence wins; a peer's report that is older than three gossip periods
-// counts for nothing, so a paused or cut-off peer misleads nobody.
+// residency returns the probability that the leaf's prefix is still cached at a worker. The
+// newest evidence is used. A peer's report that is older than three gossip periods is ignored, so
+// that a paused or partitioned peer causes no wrong placements.
 func (i *Index) residency(leaf *Leaf, worker string, now clock.Instant) float64 {
-	turn := i.turnovers[worker]
+	cacheTurnover := i.turnovers[worker]
 	incarnation := 0
-	if turn != nil {
-		incarnation = turn.incarnation
+	if cacheTurnover != nil {
+		incarnation = cacheTurnover.incarnation
 	}
-	chance, at := 0.0, clock.Instant(-1)
+	probability, at := 0.0, clock.Instant(-1)
 	if own, known := leaf.own[worker]; known && own.incarnation == incarnation {
-		chance, at = own.confidence, own.at
-		if turn != nil {
-			chance *= retained(turn.total()-own.turnoverAt, turn.cache)
+		probability, at = own.confidence, own.placedAt
+		if cacheTurnover != nil {
+			probability *= retained(cacheTurnover.total()-own.turnoverAt, cacheTurnover.capacity)
 		}
 	}
 	if peer, known := leaf.peers[worker]; known && peer.incarnation == incarnation && now.Sub(peer.reportedAt) < constants.GossipStale && peer.evidenceAt > at {
-		chance = peer.chance
+		probability = peer.probability
 	}
-	return chance
+	return probability
 }
 
-// AddTurnover notes tokens that this node put into a worker's cache.
+// AddTurnover adds tokens that entered a worker's cache through requests of this node.
 func (i *Index) AddTurnover(worker string, tokens int64) { i.turnoverOf(worker).own += tokens }
 
-// AddOthersTurnover adds an estimate of what all other callers have put in since.
+// AddOthersTurnover adds an estimate of the tokens that entered a worker's cache through the
+// requests of all other callers since the last call. Negative estimates are ignored.
 func (i *Index) AddOthersTurnover(worker string, tokens float64) {
 	i.turnoverOf(worker).others += max(tokens, 0)
 }
 
-// OthersTurnover is that estimate, in tokens since the worker was first known.
+// OthersTurnover returns the sum of those estimates, in tokens since the worker was first known.
 func (i *Index) OthersTurnover(worker string) float64 { return i.turnoverOf(worker).others }
 
-// SetCache notes the size of a worker's cache, in tokens.
-func (i *Index) SetCache(worker string, tokens int64) { i.turnoverOf(worker).cache = tokens }
+// SetCache sets the capacity of a worker's cache, in tokens.
+func (i *Index) SetCache(worker string, tokens int64) { i.turnoverOf(worker).capacity = tokens }
 
-// InvalidateCache forgets all that was known of a worker's cache: it was started anew,
-// reloaded, or drained and came back.
+// InvalidateCache discards all evidence about a worker's cache, because the worker was restarted
+// or reloaded, or returned after a drain.
 func (i *Index) InvalidateCache(worker string) { i.turnoverOf(worker).incarnation++ }
 
-// Forget forgets a worker that has departed.
+// Forget removes all records of a worker that has departed.
 func (i *Index) Forget(worker string) {
 	delete(i.turnovers, worker)
 	i.tree.Each(func(leaf *Leaf) {
@@ -118,10 +123,10 @@
 }
 
 func (i *Index) turnoverOf(worker string) *turnover {
-	turn := i.turnovers[worker]
-	if turn == nil {
-		turn = &turnover{}
-		i.turnovers[worker] = turn
+	cacheTurnover := i.turnovers[worker]
+	if cacheTurnover == nil {
+		cacheTurnover = &turnover{}
+		i.turnovers[worker] = cacheTurnover
 	}
-	return turn
+	return cacheTurnover
 }
--- a/internal/traffic/prefixindex/score.go
+++ b/internal/traffic/prefixindex/score.go
@@ -2,40 +2,41 @@
 
 import "lemonarch/internal/platform/clock"
 
-// Candidate is a worker that may take the request, with what its health say.
+// Candidate is a worker that may be given the request, with its costs in ms.
 type Candidate struct {
 	Worker string
-	// WaitMs is the expected wait from its load; RiskMs what its faults cost.
+	// WaitMs is the expected wait due to its load. RiskMs is the expected cost of its faults.
 	WaitMs float64
 	RiskMs float64
 }
 
-// Choice is a nomination.
+// Choice is the selected candidate. Index is its position among the candidates, or -1 if there
+// were none.
 type Choice struct {
 	Index int
 	Score float64
-	// CachedTokens is the part of the prompt, in tokens, expected to be there.
+	// CachedTokens is the expected number of the prompt's tokens that are cached at the worker.
 	CachedTokens float64
-	// Downgraded tells that the residency weight changed the choice.
+	// Downgraded is true if the residency weight changed the choice.
 	Downgraded bool
 }
 
-// Choose folds match, residency and load into one score, in ms of waiting
-// saved, and gives the best candidate. A prompt without parts is placed by load.
+// Choose combines prefix match, residency and load into one score, in ms of waiting
+// saved, and returns the best candidate. A prompt without parts is placed by load alone.
 func (i *Index) Choose(prompt *Prompt, candidates []Candidate, now clock.Instant) Choice {
 	type matched struct{ full, weighted float64 }
 	matches := make([]matched, len(candidates))
 	if len(prompt.Parts) > 0 {
 		i.tree.Walk(prompt.key(), func(_ int, leaf *Leaf) {
 			for position := range candidates {
-				chance := i.residency(leaf, candidates[position].Worker, now)
-				if _, known := leaf.own[candidates[position].Worker]; !known && chance == 0 {
+				probability := i.residency(leaf, candidates[position].Worker, now)
+				if _, known := leaf.own[candidates[position].Worker]; !known && probability == 0 {
 					continue
 				}
 				tokens := float64(leaf.tokens)
 				matches[position].full = max(matches[position].full, tokens)
-				// The longest match that pays most by its chance.
-				matches[position].weighted = max(matches[position].weighted, tokens*chance)
+				// The match with the most expected cached tokens, which need not be the longest.
+				matches[position].weighted = max(matches[position].weighted, tokens*probability)
 			}
 		})
 	}
@@ -73,17 +74,18 @@
 	return choice
 }
 
-// homes gives each candidate's bonus for being the home of a prefix: nodes that
-// know nothing of a prefix yet should come to the same workers, so each prefix has
-// two homes, by a hash. A home is worth less than a warm prefix, and more than
-// small differences of load.
+// homes returns the positions of the candidates that are the first and second home of the
+// prompt's shared prefix (-1 if there is none), and the prefill time in ms that a cached prefix
+// saves. Nodes without any evidence about a prefix should select the same workers, so each prefix
+// has two homes, selected by a hash. The bonus of a home is smaller than that of a cached prefix,
+// and larger than small differences in load.
 func (i *Index) homes(prompt *Prompt, candidates []Candidate) (first, second int, savedMs float64) {
 	first, second = -1, -1
 	if len(prompt.Parts) < 2 {
 		return first, second, 0
 	}
 	var best, next uint64
-	// The last part is the request's own; the one before it is the shared prefix.
+	// The last part belongs to this request alone; the shared prefix ends at the part before it.
 	prefix := prompt.Parts[len(prompt.Parts)-2].Name
 	for position := range candidates {
 		switch weight := homeWeight(candidates[position].Worker, prefix); {
@@ -97,14 +99,15 @@
 	return first, second, float64(prompt.Shared()) / i.prefillRate
 }
 
-// The parts of a prefix's worth that its first and second home get (ours).
+// The shares of a prefix's saved prefill time that are added to the scores of its first and
+// second home.
 const (
 	firstHome  = 0.6
 	secondHome = 0.4
 )
 
-// PrefillRate is the reading rate in tokens a ms, as observed on streams.
+// PrefillRate returns the prefill rate in tokens per ms, as observed on streams.
 func (i *Index) PrefillRate() float64 { return i.prefillRate }
 
-// Prefixes is how many prefixes are known.
+// Prefixes returns the number of known prefixes.
 func (i *Index) Prefixes() int { return i.tree.Size() }
--- a/internal/traffic/prefixindex/tree.go
+++ b/internal/traffic/prefixindex/tree.go
@@ -2,15 +2,15 @@
 
 import "bytes"
 
-// node is a node of the tree: the bytes that lead to it from its parent, what
-// is known of the prefix that ends here, and the ways on.
+// node is a node of the tree: the bytes that lead to it from its parent, the leaf of the prefix
+// that ends here (nil if there is none), and the children.
 type node struct {
 	path     []byte
 	leaf     *Leaf
 	children branch
 }
 
-// Tree is the adaptive radix tree over prompt parts. Its keys are the ids of the
+// Tree is an adaptive radix tree over prompt parts. Its keys are the ids of the
 // parts, eight bytes each, so a prefix of a prompt is a prefix of its key.
 type Tree struct {
 	root node
@@ -26,7 +26,7 @@
 
 func (n *node) setChild(edge byte, child *node) {
 	if n.children == nil {
-		n.children = newSorted(4)
+		n.children = newSortedBranch(4)
 	}
 	n.children = n.children.add(edge, child)
 }
@@ -41,10 +41,10 @@
 	return length
 }
 
-// Size is the number of leaves.
+// Size returns the number of leaves.
 func (t *Tree) Size() int { return t.size }
 
-// Leaf finds the leaf of a key, and makes it where it is missing.
+// Leaf returns the leaf of a key, and creates it if it is missing.
 func (t *Tree) Leaf(key []byte) *Leaf {
 	current, rest := &t.root, key
 	for len(rest) > 0 {
@@ -57,7 +57,7 @@
 		}
 		shared := commonPrefixLength(next.path, rest)
 		if shared < len(next.path) {
-			// The path parts here: a node comes in between.
+			// The key diverges within the path: split the path with an intermediate node.
 			middle := &node{path: next.path[:shared:shared]}
 			below := *next
 			below.path = next.path[shared:]
@@ -74,7 +74,7 @@
 	return current.leaf
 }
 
-// Walk visits the leaves of every prefix of the key, the shortest first.
+// Walk visits the leaves of all prefixes of the key, the shortest first.
 func (t *Tree) Walk(key []byte, visit func(length int, leaf *Leaf)) {
 	current, depth := &t.root, 0
 	for depth < len(key) {
@@ -90,7 +90,7 @@
 	}
 }
 
-// Remove takes the leaf of a key out, and folds what is left.
+// Remove removes the leaf of a key, and merges or removes nodes that are no longer needed.
 func (t *Tree) Remove(key []byte) {
 	if removeBelow(&t.root, key) {
 		t.size--
@@ -99,9 +99,9 @@
 
 func removeBelow(current *node, rest []byte) bool {
 	if len(rest) == 0 {
-		entries := current.leaf != nil
+		removed := current.leaf != nil
 		current.leaf = nil
-		return entries
+		return removed
 	}
 	next := current.child(rest[0])
 	if next == nil || !bytes.HasPrefix(rest, next.path) {
@@ -119,7 +119,7 @@
 	case count == 0:
 		current.children = current.children.remove(rest[0])
 	default:
-		// One way on and nothing of its own: the two paths become one.
+		// The node has no leaf and a single child: join their paths.
 		next.children.each(func(_ byte, child *node) {
 			child.path = append(bytes.Clone(next.path), child.path...)
 			current.setChild(rest[0], child)
--- a/internal/traffic/trafficstats/merge.go
+++ b/internal/traffic/trafficstats/merge.go
@@ -69,7 +69,7 @@
 	for _, class := range m {
 		summary := class.summary
 		for i, histogram := range histograms(&summary) {
-			*histogram = sorted(class.buckets[i])
+			*histogram = histogramOf(class.buckets[i])
 		}
 		summaries = append(summaries, summary)
 	}
@@ -80,7 +80,7 @@
 }
 
 // sorted gives a histogram with its buckets in order.
-func sorted(counts map[uint16]int64) messages.Histogram {
+func histogramOf(counts map[uint16]int64) messages.Histogram {
 	histogram := messages.Histogram{}
 	for bucket := range counts {
 		histogram.Buckets = append(histogram.Buckets, bucket)
--- a/internal/traffic/trafficstats/recorder.go
+++ b/internal/traffic/trafficstats/recorder.go
@@ -70,12 +70,12 @@
 // classStats is a summary whose histograms are still open.
 type classStats struct {
 	summary                                messages.TrafficSummary
-	queueWait, firstEvent, eventGap, whole *hdrhistogram.Histogram
+	queueWait, firstEvent, eventGap, duration *hdrhistogram.Histogram
 }
 
 func newClassStats(class Class) *classStats {
 	return &classStats{summary: messages.TrafficSummary{Route: class.Route, Service: class.Service, Model: class.Model},
-		queueWait: newHistogram(), firstEvent: newHistogram(), eventGap: newHistogram(), whole: newHistogram()}
+		queueWait: newHistogram(), firstEvent: newHistogram(), eventGap: newHistogram(), duration: newHistogram()}
 }
 
 // Record adds a request that ended.
@@ -143,27 +143,27 @@
 	if o.Outcome != OutcomeServed {
 		return
 	}
-	observe(s.whole, o.Duration)
+	observe(s.duration, o.Duration)
 	if o.FirstEvent > 0 {
 		observe(s.firstEvent, o.FirstEvent)
 		if o.LoadKnown && o.Waiting == 0 && o.Events > 0 {
-			addPoint(&summary.Prefill, o.FreshTokens, o.FirstEvent)
+			addSample(&summary.Prefill, o.FreshTokens, o.FirstEvent)
 		}
 	}
 	if o.Events == 0 && o.LoadKnown {
-		addPoint(&summary.Decode, o.Running, o.Duration)
+		addSample(&summary.Decode, o.Running, o.Duration)
 	}
 	if o.EventGap > 0 {
 		observe(s.eventGap, o.EventGap)
 		if o.LoadKnown {
-			addPoint(&summary.Decode, o.Running, o.EventGap)
+			addSample(&summary.Decode, o.Running, o.EventGap)
 		}
 	}
 }
 
 // addPoint adds a point. Sums of whole numbers are exact, so that summaries can be merged in
 // any order.
-func addPoint(sums *messages.Regression, count int, time clock.Duration) {
+func addSample(sums *messages.Regression, count int, time clock.Duration) {
 	x, y := float64(count), math.Round(clock.ToMilliseconds(time)*10)
 	sums.Count++
 	sums.X += x
@@ -195,6 +195,6 @@
 func (s *classStats) encoded() messages.TrafficSummary {
 	summary := s.summary
 	summary.QueueWait, summary.FirstEvent = encode(s.queueWait), encode(s.firstEvent)
-	summary.EventGap, summary.Duration = encode(s.eventGap), encode(s.whole)
+	summary.EventGap, summary.Duration = encode(s.eventGap), encode(s.duration)
 	return summary
 }
--- a/internal/traffic/trafficstats/trafficstats_test.go
+++ b/internal/traffic/trafficstats/trafficstats_test.go
@@ -28,7 +28,7 @@
 }
 
 // Merging the summaries of several processes in any order, also merged ones, gives the same.
-func TestMergingInAnyOrderGivesTheSame(t *testing.T) {
+func TestMergeIsOrderIndependent(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	var all []messages.TrafficSummary
 	for range 6 {
--- a/internal/traffic/workerconn/await.go
+++ b/internal/traffic/workerconn/await.go
@@ -36,7 +36,7 @@
 			from := checkedAt
 			if wait.ShouldGiveUp == nil {
 				// A worker that still sends on other connections is slow, not unresponsive.
-				from = max(startedAt, clock.Instant(c.worker.lastRead.Load()))
+				from = max(startedAt, clock.Instant(c.worker.lastReadAt.Load()))
 			}
 			if now.Sub(from) >= wait.SilenceTimeout && c.nothingReceived() {
 				if wait.ShouldGiveUp == nil || wait.ShouldGiveUp(now.Sub(startedAt)) {
@@ -48,7 +48,7 @@
 		}
 		_ = c.connection.SetReadDeadline(clock.Deadline(span))
 		if _, err := c.reader.Peek(1); err == nil {
-			c.worker.lastRead.Store(int64(clock.Now()))
+			c.worker.lastReadAt.Store(int64(clock.Now()))
 			// What has begun to come may take until the end.
 			_ = c.connection.SetReadDeadline(clock.Deadline(wait.Until.Sub(clock.Now())))
 			return nil
--- a/internal/traffic/workerconn/idle.go
+++ b/internal/traffic/workerconn/idle.go
@@ -56,7 +56,7 @@
 		connection := connections.idle[count-1]
 		connections.idle = connections.idle[:count-1]
 		p.lock.Unlock()
-		connection.Idle = now.Sub(connection.idleSince)
+		connection.IdleFor = now.Sub(connection.idleSince)
 		if now < connection.idleUntil && connection.isOpenAndDrained() {
 			connection.Reused = true
 			return connection, nil
@@ -78,7 +78,7 @@
 
 // safeIdle is the time for which a service's connections are known to stay. The lock is held.
 func (p *Pool) safeIdle(backend string) clock.Duration {
-	if safe, known := p.safe[backend]; known {
+	if safe, known := p.safeIdleTimes[backend]; known {
 		return safe
 	}
 	return constants.SafeIdle
@@ -92,9 +92,9 @@
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	// Half of what was seen to last, and slowly: one forgetful worker is enough.
-	if safe := p.safeIdle(connection.backend); connection.Idle/2 > safe {
+	if safe := p.safeIdle(connection.backend); connection.IdleFor/2 > safe {
 		const slowly = 16
-		p.safe[connection.backend] = min(safe+(connection.Idle/2-safe)/slowly, constants.SafeIdleMost)
+		p.safeIdleTimes[connection.backend] = min(safe+(connection.IdleFor/2-safe)/slowly, constants.SafeIdleMost)
 	}
 }
 
@@ -103,7 +103,7 @@
 	p.StaleCount.Add(1)
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	p.safe[connection.backend] = max(min(p.safeIdle(connection.backend), connection.Idle/2), constants.SafeIdleLeast)
+	p.safeIdleTimes[connection.backend] = max(min(p.safeIdle(connection.backend), connection.IdleFor/2), constants.SafeIdleLeast)
 }
 
 // SafeIdle tells the learnt time.
--- a/internal/traffic/workerconn/workerconn.go
+++ b/internal/traffic/workerconn/workerconn.go
@@ -44,27 +44,27 @@
 	// Reused tells that it has carried a request before, and Idle how long it then lay
 	// unused.
 	Reused bool
-	Idle   clock.Duration
+	IdleFor   clock.Duration
 	closed atomic.Bool
 	// sentRequests holds the requests that travelled on it.
 	sentRequests requestHistory
 	// tainted tells that bytes came that were no response to the request under way.
 	tainted bool
 	// halted: our own side ended it, which says nothing about the worker.
-	halted atomic.Bool
+	closedLocally atomic.Bool
 }
 
 type workerConnections struct {
 	idle     []*Connection
 	open     int
-	lastRead atomic.Int64
+	lastReadAt atomic.Int64
 }
 
 // Pool holds the connections to all workers.
 type Pool struct {
 	lock     sync.Mutex
 	byWorker map[string]*workerConnections
-	safe     map[string]clock.Duration
+	safeIdleTimes     map[string]clock.Duration
 	Opened   atomic.Int64
 	// StaleCount counts idle connections that turned out to be forgotten by their worker.
 	StaleCount atomic.Int64
@@ -72,7 +72,7 @@
 
 // NewPool makes an empty one.
 func NewPool() *Pool {
-	return &Pool{byWorker: map[string]*workerConnections{}, safe: map[string]clock.Duration{}}
+	return &Pool{byWorker: map[string]*workerConnections{}, safeIdleTimes: map[string]clock.Duration{}}
 }
 
 func (p *Pool) connectionsTo(id string) *workerConnections {
@@ -167,12 +167,12 @@
 
 // Close ends the connection from any side, so that a reader wakes up.
 func (c *Connection) Close() {
-	c.halted.Store(true)
+	c.closedLocally.Store(true)
 	c.closeOnce()
 }
 
 // Halted tells that it was our own side that ended the connection.
-func (c *Connection) Halted() bool { return c.halted.Load() }
+func (c *Connection) Halted() bool { return c.closedLocally.Load() }
 
 func (c *Connection) closeOnce() {
 	if !c.closed.Swap(true) {
