--- a/internal/traffic/loadgossip/budget.go
+++ b/internal/traffic/loadgossip/budget.go
@@ -6,10 +6,11 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// budget is how many connections this node may have to a worker. No count of nodes goes into
-// it: requests are placed by the load that all see, so the connections in use at a worker
-// follow what it takes at once, and a node never needs more than that. The eighth
-// keeps one node's burst from taking what others need.
+// budget returns the maximum number of connections that this node may have to a worker. It does
+// not depend on the number of nodes: requests are placed by the load that all nodes observe, so the
+// connections in use at a worker follow its capacity, and a node never needs more than that. The
+// limit of one eighth of the worker's connections (constants.ConnectionPart) keeps a burst at one
+// node from taking connections that other nodes need.
 func (g *Gossip) budget(worker messages.Worker) int {
 	config := g.Node.Config()
 	if config == nil {
@@ -19,16 +20,17 @@
 	if service == nil || service.ConnLimit == 0 {
 		return 0
 	}
-	return connectionsFor(worker.Capacity, service.ConnLimit, g.Node.Self.Role)
+	return connectionBudget(worker.Capacity, service.ConnLimit, g.Node.Self.Role)
 }
 
-// connectionsFor is the budget by what the worker takes and allows.
-func connectionsFor(capacity, limit int, role string) int {
-	part := constants.ConnectionPart
+// connectionBudget returns the budget for a worker of the given capacity, in concurrent requests,
+// and the given limit of connections. It is never below constants.LeastConnections.
+func connectionBudget(capacity, limit int, role string) int {
+	share := constants.ConnectionPart
 	if role == membership.RoleStore {
-		// Few processes run items, and each has many at a worker.
-		part = constants.ConnectionPartItems
+		// Few processes run items, and each of them runs many at a worker.
+		share = constants.ConnectionPartItems
 	}
 	need := capacity + constants.QueueAheadMax + constants.LeastConnections
-	return max(min(need, int(part*float64(limit))), constants.LeastConnections)
+	return max(min(need, int(share*float64(limit))), constants.LeastConnections)
 }
--- a/internal/traffic/loadgossip/budget_test.go
+++ b/internal/traffic/loadgossip/budget_test.go
@@ -21,7 +21,7 @@
 		{24, 220, membership.RoleGateway, 27},
 		{24, 10, membership.RoleGateway, constants.LeastConnections},
 	} {
-		if got := connectionsFor(entry.capacity, entry.limit, entry.role); got != entry.want {
+		if got := connectionBudget(entry.capacity, entry.limit, entry.role); got != entry.want {
 			t.Errorf("%+v: %d", entry, got)
 		}
 	}
--- a/internal/traffic/loadgossip/gossip.go
+++ b/internal/traffic/loadgossip/gossip.go
@@ -8,15 +8,16 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// notifyAll sends one way; each in its own goroutine, since one that must be dialled must
-// not hold the others up.
-func (g *Gossip) notifyAll(entries []messages.NodeInfo, kind messages.Kind, message transport.Marshaler) {
-	for _, entry := range entries {
-		go func() { _ = transport.Notify(g.Node.Transport, entry.Address, kind, message) }()
+// notifyAll sends a one-way message to each recipient, in a goroutine of its own, so that a
+// recipient that has to be dialled first does not delay the others.
+func (g *Gossip) notifyAll(recipients []messages.NodeInfo, kind messages.Kind, message transport.Marshaler) {
+	for _, recipient := range recipients {
+		go func() { _ = transport.Notify(g.Node.Transport, recipient.Address, kind, message) }()
 	}
 }
 
-// gossipRound sends what changed most to a few neighbours, and now and then to another zone.
+// gossipRound sends the largest changes to a few neighbours, and in some rounds also to a node of
+// another zone.
 func (g *Gossip) gossipRound() {
 	packet := g.Scheduler.MakeGossip(clock.Now())
 	packet.Generation = g.Node.Generation()
@@ -24,14 +25,14 @@
 	recipients := append([]messages.NodeInfo(nil), peers.gossipPeers...)
 	now := clock.Now()
 	g.lock.Lock()
-	// In a zone of few everybody notifies everybody already.
+	// In a zone of few nodes each node already notifies all others.
 	if len(peers.sameZone) > constants.GossipFanout && g.replyPeers.hasFewSenders(now) {
 		packet.ReplyTo = g.Node.Self.Address
 	}
-	recipients = append(recipients, g.replyPeers.unlisted(recipients, now)...)
+	recipients = append(recipients, g.replyPeers.missingFrom(recipients, now)...)
 	g.lock.Unlock()
-	if entry, selected := peers.pickOtherZone(randomFraction); selected {
-		recipients = append(recipients, entry)
+	if peer, selected := peers.pickOtherZone(randomFraction); selected {
+		recipients = append(recipients, peer)
 	}
 	g.notifyAll(recipients, messages.KindGossip, packet)
 	placements, downgrades, alert := g.Scheduler.Alert()
@@ -53,9 +54,10 @@
 	return &messages.Ack{Accepted: true}, nil
 }
 
-// notifyPressure reports at once that requests wait here, so that work of a lower rank
-// yields well before the next gossip: to a few stores, which forward it among themselves,
-// and to the neighbours. Each yields its part of what waits.
+// notifyPressure reports immediately that requests are waiting at this process, so that work of
+// lower priority yields well before the next gossip round. The notice is sent to a few stores, which
+// forward it to other stores, and to the neighbouring gateways. Each receiver yields its share of
+// the number of waiting requests.
 func (g *Gossip) notifyPressure(entries []messages.Pressure) {
 	peers := g.currentPeers()
 	notice := &messages.PressureNotice{From: membership.Key(g.Node.Self), Entries: entries, Hops: constants.PressureHops}
@@ -75,8 +77,8 @@
 		g.Scheduler.ObservePressure(notice, now)
 	}
 	if notice.Hops > 0 && g.mayForward(now) {
-		// Who has it at second hand starts nothing new for a while; the slots
-		// themselves are given up by those who were asked.
+		// Receivers of a forwarded notice only start no new work for a while. The slots are
+		// released by the direct receivers of the notice.
 		peers := g.currentPeers()
 		forwarded := *notice
 		forwarded.Hops, forwarded.Sharers = notice.Hops-1, 0
@@ -85,22 +87,23 @@
 	return &messages.Ack{Accepted: true}, nil
 }
 
-// mayForward bounds how much of others' pressure a process forwards, whatever their
-// number.
+// mayForward reports whether a pressure notice may be forwarded now. It limits the rate at which a
+// process forwards the notices of others, however many senders there are.
 func (g *Gossip) mayForward(now clock.Instant) bool {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	if g.forwardedAt != 0 && now.Sub(g.forwardedAt) < constants.PressurePeriod/2 {
+	if g.pressureForwardedAt != 0 && now.Sub(g.pressureForwardedAt) < constants.PressurePeriod/2 {
 		return false
 	}
-	g.forwardedAt = now
+	g.pressureForwardedAt = now
 	return true
 }
 
-// pickStores picks a few stores at random: of the own zone, which run items on the workers
-// there, and one of another, so that each is reached in its turn.
-func pickStores(near, far []messages.NodeInfo, random func() float64) []messages.NodeInfo {
-	here, others := withRole(near, membership.RoleStore), withRole(far, membership.RoleStore)
+// pickStores picks constants.PressureFanout stores at random: from the own zone, since those run
+// items on the workers there, and one from another zone, so that over time each store is reached. If
+// one group has too few stores, the others are taken from the other group.
+func pickStores(sameZone, otherZones []messages.NodeInfo, random func() float64) []messages.NodeInfo {
+	local, remote := withRole(sameZone, membership.RoleStore), withRole(otherZones, membership.RoleStore)
 	var chosen []messages.NodeInfo
 	take := func(from *[]messages.NodeInfo, limit int) {
 		for list := *from; len(list) > 0 && len(chosen) < limit; list = *from {
@@ -110,17 +113,17 @@
 			*from = list[:len(list)-1]
 		}
 	}
-	take(&here, constants.PressureFanout-1)
-	take(&others, constants.PressureFanout)
-	take(&here, constants.PressureFanout)
+	take(&local, constants.PressureFanout-1)
+	take(&remote, constants.PressureFanout)
+	take(&local, constants.PressureFanout)
 	return chosen
 }
 
-func withRole(entries []messages.NodeInfo, role string) []messages.NodeInfo {
+func withRole(nodes []messages.NodeInfo, role string) []messages.NodeInfo {
 	var found []messages.NodeInfo
-	for _, entry := range entries {
-		if entry.Role == role {
-			found = append(found, entry)
+	for _, node := range nodes {
+		if node.Role == role {
+			found = append(found, node)
 		}
 	}
 	return found
--- a/internal/traffic/loadgossip/loadgossip.go
+++ b/internal/traffic/loadgossip/loadgossip.go
@@ -1,5 +1,5 @@
-// Package loadgossip exchanges load, prefixes and pressure with the other nodes: what a process that
-// places work needs beside its core. Gateways and stores share it.
+// Package loadgossip exchanges load, prefix residency and pressure with the other nodes that place
+// requests on workers. Gateways and stores use it.
 package loadgossip
 
 import (
@@ -17,25 +17,26 @@
 	"lemonarch/internal/traffic/workerconn"
 )
 
-// Gossip is the part of a process that places work, with its exchange with other nodes.
+// Gossip contains the parts of a process that place requests on workers, and exchanges their state
+// with other nodes.
 type Gossip struct {
 	Node      *agent.Agent
 	Scheduler *admission.Scheduler
 	Pool      *workerconn.Pool
 	Sender    proxy.Sender
-	// Traffic keeps the summaries of the requests that this process places.
+	// Traffic records summaries of the requests that this process places.
 	Traffic      *trafficstats.Recorder
 	alerted      bool
-	loggedCounts       map[string]int64
+	loggedCounts map[string]int64
 	workerTables workerTables
 
-	lock        sync.Mutex
-	peers       peerSet
-	replyPeers  replyPeers
-	forwardedAt clock.Instant
+	lock                sync.Mutex
+	peers               peerSet
+	replyPeers          replyPeers
+	pressureForwardedAt clock.Instant
 }
 
-// New makes it and registers the requests that it handles.
+// New returns a Gossip for a process and registers the handlers of its messages.
 func New(runtime *agent.Agent) *Gossip {
 	gossip := &Gossip{Node: runtime, Scheduler: admission.New(runtime.Self, runtime.Settings.Heartbeat()), Pool: workerconn.NewPool(),
 		Traffic: trafficstats.New(clock.Now()), loggedCounts: map[string]int64{}, workerTables: workerTables{lastRead: map[string]messages.Digest{}}}
@@ -54,7 +55,8 @@
 	return gossip
 }
 
-// Start begins the loops.
+// Start starts the periodic work: the first read of the workers, gossip, the scheduler's pump and
+// the sweep of idle connections.
 func (g *Gossip) Start() {
 	stop := g.Node.Stop
 	go g.syncWorkers()
@@ -63,7 +65,7 @@
 	go clock.Every(constants.GossipPeriod/2, stop, func() { proxy.SweepConnections(g.Pool, g.Scheduler) })
 }
 
-// handleTrafficSummary gives the summaries of this process, to whoever forecasts.
+// handleTrafficSummary returns the traffic summaries of this process, which forecasts are made from.
 func (g *Gossip) handleTrafficSummary(*messages.TrafficSummaryRequest) (*messages.TrafficSummaryResponse, error) {
 	summaries, observed := g.Traffic.Summaries(clock.Now())
 	return &messages.TrafficSummaryResponse{ObservedMs: observed.Milliseconds(), Summaries: summaries}, nil
--- a/internal/traffic/loadgossip/peers.go
+++ b/internal/traffic/loadgossip/peers.go
@@ -11,57 +11,58 @@
 	"lemonarch/internal/traffic/prefixindex"
 )
 
-// nameHash is a process's name as a number, from which its positions in the rings follow.
-func nameHash(entry messages.NodeInfo) uint64 {
+// nameHash returns a hash of a process's role and name, which determines its positions in the rings.
+func nameHash(node messages.NodeInfo) uint64 {
 	sum := fnv.New64a()
-	sum.Write([]byte(entry.Role))
+	sum.Write([]byte(node.Role))
 	sum.Write([]byte{'/'})
-	sum.Write([]byte(entry.Name))
+	sum.Write([]byte(node.Name))
 	return sum.Sum64()
 }
 
-// ringPosition is the position in one of the rings. Names differ in their last bytes only, so
-// these must move the whole number.
-func ringPosition(name uint64, number int) uint64 {
-	return prefixindex.MixBits(name + uint64(number+1)*0x9e3779b97f4a7c15)
+// ringPosition returns the position of a name hash in one of the rings. Names differ only in their
+// last bytes, so the hash is mixed for these to affect all bits of the position.
+func ringPosition(hash uint64, ring int) uint64 {
+	return prefixindex.MixBits(hash + uint64(ring+1)*0x9e3779b97f4a7c15)
 }
 
-// Neighbours gives whom a process notifies: its successor in each of so many rings, in
-// which everybody stands by a hash of the name. Each is notified by as many as it notifies,
-// nobody needs a list of all, and who comes or goes moves its own neighbours only.
-func Neighbours(own messages.NodeInfo, entries []messages.NodeInfo, fanout int) []messages.NodeInfo {
-	names := make([]uint64, len(entries))
-	for position := range entries {
-		names[position] = nameHash(entries[position])
+// Neighbours returns the nodes that a process notifies: its successors in fanout hash rings, where
+// each process has a position by a hash of its name. Each process is thus notified by as many as it
+// notifies, no process needs a complete list, and a process that joins or leaves changes only the
+// neighbours next to it.
+func Neighbours(own messages.NodeInfo, nodes []messages.NodeInfo, fanout int) []messages.NodeInfo {
+	hashes := make([]uint64, len(nodes))
+	for position := range nodes {
+		hashes[position] = nameHash(nodes[position])
 	}
-	myself := nameHash(own)
+	ownHash := nameHash(own)
 	var chosen []messages.NodeInfo
-	for number := 0; number < 4*fanout && len(chosen) < min(fanout, len(entries)); number++ {
-		i := ringPosition(myself, number)
+	for ring := 0; ring < 4*fanout && len(chosen) < min(fanout, len(nodes)); ring++ {
+		start := ringPosition(ownHash, ring)
 		next, least := -1, uint64(0)
-		for position, name := range names {
-			// Unsigned: past the end of the ring it begins anew.
-			if way := ringPosition(name, number) - i; name != myself && (next < 0 || way < least) {
-				next, least = position, way
+		for position, hash := range hashes {
+			// Unsigned subtraction wraps around at the end of the ring.
+			if distance := ringPosition(hash, ring) - start; hash != ownHash && (next < 0 || distance < least) {
+				next, least = position, distance
 			}
 		}
-		if next >= 0 && !contains(chosen, entries[next]) {
-			chosen = append(chosen, entries[next])
+		if next >= 0 && !contains(chosen, nodes[next]) {
+			chosen = append(chosen, nodes[next])
 		}
 	}
 	return chosen
 }
 
-func contains(entries []messages.NodeInfo, member messages.NodeInfo) bool {
-	for _, entry := range entries {
-		if membership.Key(entry) == membership.Key(member) {
+func contains(nodes []messages.NodeInfo, member messages.NodeInfo) bool {
+	for _, node := range nodes {
+		if membership.Key(node) == membership.Key(member) {
 			return true
 		}
 	}
 	return false
 }
 
-// peerSet is whom this process notifies, selected anew each period.
+// peerSet contains the nodes that this process notifies. It is selected anew in each gossip period.
 type peerSet struct {
 	sameZone, otherZones                    []messages.NodeInfo
 	byZone                                  [][]messages.NodeInfo
@@ -69,71 +70,72 @@
 	gossipPeers, gatewayPeers, prefillPeers []messages.NodeInfo
 }
 
-// selectPeers makes the set from what is known of others. Nothing else needs to know
-// how neighbours are found.
+// selectPeers selects the set from the known nodes. No other function depends on how neighbours are
+// selected.
 func selectPeers(own messages.NodeInfo, known []messages.NodeInfo) peerSet {
-	found := peerSet{}
-	for _, entry := range known {
+	selected := peerSet{}
+	for _, node := range known {
 		switch {
-		case entry.Role != membership.RoleGateway && entry.Role != membership.RoleStore,
-			entry.Draining || entry.AgeMs >= constants.NeighbourAge.Milliseconds():
-		case entry.Zone == own.Zone:
-			found.sameZone = append(found.sameZone, entry)
+		case node.Role != membership.RoleGateway && node.Role != membership.RoleStore,
+			node.Draining || node.AgeMs >= constants.NeighbourAge.Milliseconds():
+		case node.Zone == own.Zone:
+			selected.sameZone = append(selected.sameZone, node)
 		default:
-			found.otherZones = append(found.otherZones, entry)
+			selected.otherZones = append(selected.otherZones, node)
 		}
 	}
-	found.byZone = groupByZone(found.otherZones)
-	found.gossipPeers = Neighbours(own, found.sameZone, constants.GossipFanout)
-	found.gatewayPeers = Neighbours(own, withRole(found.sameZone, membership.RoleGateway), constants.GossipFanout)
-	found.prefillPeers = Neighbours(own, found.sameZone, constants.ReadingFanout)
-	if left := constants.ReadingFanout - len(found.prefillPeers); left > 0 {
-		found.prefillPeers = append(found.prefillPeers, Neighbours(own, found.otherZones, left)...)
+	selected.byZone = groupByZone(selected.otherZones)
+	selected.gossipPeers = Neighbours(own, selected.sameZone, constants.GossipFanout)
+	selected.gatewayPeers = Neighbours(own, withRole(selected.sameZone, membership.RoleGateway), constants.GossipFanout)
+	selected.prefillPeers = Neighbours(own, selected.sameZone, constants.ReadingFanout)
+	if remaining := constants.ReadingFanout - len(selected.prefillPeers); remaining > 0 {
+		selected.prefillPeers = append(selected.prefillPeers, Neighbours(own, selected.otherZones, remaining)...)
 	}
-	return found
+	return selected
 }
 
-// currentPeers gives the present set.
+// currentPeers returns the set selected last.
 func (g *Gossip) currentPeers() peerSet {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	return g.peers
 }
 
-// refreshPeers selects it anew.
+// refreshPeers selects a new set from the known nodes, stores it and returns it.
 func (g *Gossip) refreshPeers() peerSet {
-	found := selectPeers(g.Node.Self, g.Node.All(""))
-	found.population = g.Node.Population(membership.RoleGateway) + g.Node.Population(membership.RoleStore)
+	selected := selectPeers(g.Node.Self, g.Node.All(""))
+	selected.population = g.Node.Population(membership.RoleGateway) + g.Node.Population(membership.RoleStore)
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	g.peers = found
-	return found
+	g.peers = selected
+	return selected
 }
 
-// groupByZone parts processes by their zones, whose names come in order.
-func groupByZone(entries []messages.NodeInfo) (zones [][]messages.NodeInfo) {
+// groupByZone groups nodes by zone. The groups are sorted by the name of the zone.
+func groupByZone(nodes []messages.NodeInfo) (zones [][]messages.NodeInfo) {
 	positions := map[string]int{}
-	for _, entry := range entries {
-		position, known := positions[entry.Zone]
+	for _, node := range nodes {
+		position, known := positions[node.Zone]
 		if !known {
 			position = len(zones)
-			positions[entry.Zone] = position
+			positions[node.Zone] = position
 			zones = append(zones, nil)
 		}
-		zones[position] = append(zones[position], entry)
+		zones[position] = append(zones[position], node)
 	}
 	sort.Slice(zones, func(left, right int) bool { return zones[left][0].Zone < zones[right][0].Zone })
 	return zones
 }
 
-// zoneSize is how many placing processes a zone has, this one's as far as it is in
-// view, else the mean.
+// zoneSize returns the number of gateways and stores in this process's zone: the number known to
+// this process, or the mean over all zones if that is larger.
 func (c *peerSet) zoneSize() int {
 	return max(len(c.sameZone)+1, c.population/(len(c.byZone)+1))
 }
 
-// pickOtherZone decides at random whether this process notifies somebody in another zone this period: each
-// zone notifies each other about once, however many processes it has.
+// pickOtherZone picks at random whether this process notifies a node of another zone in this period,
+// and which one. On average each zone notifies each other zone about once per period, however many
+// processes it has.
 func (c *peerSet) pickOtherZone(random func() float64) (messages.NodeInfo, bool) {
 	if len(c.byZone) == 0 || random() >= float64(len(c.byZone))/float64(c.zoneSize()) {
 		return messages.NodeInfo{}, false
@@ -142,5 +144,5 @@
 	return others[int(random()*float64(len(others)))], true
 }
 
-// randomFraction is a random number in [0, 1).
+// randomFraction returns a random number in [0, 1).
 func randomFraction() float64 { return clock.Float64() }
--- a/internal/traffic/loadgossip/prefill.go
+++ b/internal/traffic/loadgossip/prefill.go
@@ -7,18 +7,20 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// A long prompt holds up whoever is placed behind it, so those are notified at once who
-// may place there: in a small fleet all, in a large one the nodes of the worker's zone
-// that consider it, by way of one of them.
+// The prefill of a long prompt delays all requests that are placed on the worker behind it. So the
+// nodes that may place requests there are notified immediately: all nodes in a small fleet, and in a
+// large one those nodes of the worker's zone that consider this worker. A process of another zone
+// sends the notice to one node of the worker's zone, which forwards it.
 
-// notifyPrefill reports that a worker prefills a long prompt. It is called under the
-// admission's lock.
+// notifyPrefill reports that a worker has to prefill a long prompt. It is called with the
+// scheduler's lock held, so it sends in the background.
 func (g *Gossip) notifyPrefill(worker string, milliseconds float64) {
 	notice := &messages.PrefillNotice{From: membership.Key(g.Node.Self), Worker: worker, Prefill: milliseconds}
 	go g.forwardPrefill(notice, true)
 }
 
-// forwardPrefill sends a notice on; first is false for one that came from another zone.
+// forwardPrefill sends a notice to the nodes that may place requests on the worker. first is false
+// if the notice was received from another zone; it is then not sent to a third zone.
 func (g *Gossip) forwardPrefill(notice *messages.PrefillNotice, first bool) {
 	peers := g.currentPeers()
 	zone := g.Scheduler.ZoneOf(notice.Worker)
--- a/internal/traffic/loadgossip/replypeers.go
+++ b/internal/traffic/loadgossip/replypeers.go
@@ -8,10 +8,11 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Where views are partial, rings made from them leave some process without anybody
-// that notifies it. Such a one asks those whom it notifies to notify it too.
+// Each process builds the rings from a partial view, so some processes may have no or too few peers
+// that notify them. Such a process requests in its packets that the receivers notify it as well.
 
-// replyPeers is who notifies this process, and whom it notifies because they asked.
+// replyPeers records the peers that notify this process (senders, with the time of the last packet),
+// and the peers that this process notifies because they requested it (requesters).
 type replyPeers struct {
 	startedAt  clock.Instant
 	senders    map[string]clock.Instant
@@ -23,7 +24,7 @@
 	at      clock.Instant
 }
 
-// observe notes a packet.
+// observe records a received packet, and discards expired senders and requesters.
 func (t *replyPeers) observe(packet *messages.Gossip, now clock.Instant) {
 	if t.senders == nil {
 		t.senders, t.requesters = map[string]clock.Instant{}, map[string]replyPeer{}
@@ -34,8 +35,8 @@
 			delete(t.senders, from)
 		}
 	}
-	for from, entry := range t.requesters {
-		if now.Sub(entry.at) >= constants.TieTime {
+	for from, requester := range t.requesters {
+		if now.Sub(requester.at) >= constants.TieTime {
 			delete(t.requesters, from)
 		}
 	}
@@ -44,13 +45,13 @@
 	}
 }
 
-// hasFewSenders tells whether too few notify this process.
+// hasFewSenders reports whether too few peers notify this process.
 func (t *replyPeers) hasFewSenders(now clock.Instant) bool {
 	if t.startedAt == 0 {
 		t.startedAt = now
 	}
 	if now.Sub(t.startedAt) < constants.LonelyAfter {
-		// They have had no time to send anything.
+		// The peers have not yet had time to send a packet.
 		return false
 	}
 	count := 0
@@ -62,18 +63,18 @@
 	return count < constants.GossipFanout-1
 }
 
-// unlisted gives those who asked, beyond the ones that are notified anyway.
-func (t *replyPeers) unlisted(recipients []messages.NodeInfo, now clock.Instant) []messages.NodeInfo {
-	var found []messages.NodeInfo
-	for _, member := range t.requesters {
-		known := now.Sub(member.at) >= constants.TieTime
-		for _, entry := range recipients {
-			known = known || entry.Address == member.address
+// missingFrom returns the peers that requested to be notified and are not among the recipients.
+func (t *replyPeers) missingFrom(recipients []messages.NodeInfo, now clock.Instant) []messages.NodeInfo {
+	var missing []messages.NodeInfo
+	for _, requester := range t.requesters {
+		skip := now.Sub(requester.at) >= constants.TieTime
+		for _, recipient := range recipients {
+			skip = skip || recipient.Address == requester.address
 		}
-		if !known {
-			found = append(found, messages.NodeInfo{Address: member.address})
+		if !skip {
+			missing = append(missing, messages.NodeInfo{Address: requester.address})
 		}
 	}
-	sort.Slice(found, func(left, right int) bool { return found[left].Address < found[right].Address })
-	return found
+	sort.Slice(missing, func(left, right int) bool { return missing[left].Address < missing[right].Address })
+	return missing
 }
--- a/internal/traffic/loadgossip/report.go
+++ b/internal/traffic/loadgossip/report.go
@@ -12,7 +12,7 @@
 
 func formatInt[Whole int | int64](value Whole) string { return strconv.FormatInt(int64(value), 10) }
 
-// registerReports registers the answers to the queries of the shell.
+// registerReports registers the status reports that operators can query.
 func (g *Gossip) registerReports() {
 	g.Node.Report("workers", g.reportWorkers)
 	g.Node.Report("index", g.reportIndex)
@@ -54,20 +54,20 @@
 
 func (g *Gossip) reportDisplacement() *messages.StatusResponse {
 	status := &messages.StatusResponse{Columns: []string{"route", "displaced", "resumed", "finished"}}
-	tallies := g.Scheduler.AllCounters()
-	routes := make([]string, 0, len(tallies))
-	for route := range tallies {
+	countersByRoute := g.Scheduler.AllCounters()
+	routes := make([]string, 0, len(countersByRoute))
+	for route := range countersByRoute {
 		routes = append(routes, route)
 	}
 	sort.Strings(routes)
 	for _, route := range routes {
-		counters := tallies[route]
+		counters := countersByRoute[route]
 		status.Rows = append(status.Rows, []string{route, formatInt(counters.Displaced.Load()), formatInt(counters.Resumed.Load()), formatInt(counters.Finished.Load())})
 	}
 	return status
 }
 
-// logDisplacement writes a line for each route whose counts have changed.
+// logDisplacement logs the preemption counts of each route whose counts have changed.
 func (g *Gossip) logDisplacement() {
 	for route, counters := range g.Scheduler.AllCounters() {
 		displaced := counters.Displaced.Load()
--- a/internal/traffic/loadgossip/staleness_test.go
+++ b/internal/traffic/loadgossip/staleness_test.go
@@ -17,24 +17,24 @@
 // fleet is many placing nodes in four zones, each with a bounded view, and what they
 // say to each other, without sockets. All chance comes from one seed.
 type simulation struct {
-	random     *rand.Rand
-	nodes      []*simNode
-	byAddress  map[string]*simNode
-	workerList []messages.Worker
-	packets    int
-	bytes      int
-	otherZonePackets        int
-	largest    int
+	random           *rand.Rand
+	nodes            []*simNode
+	byAddress        map[string]*simNode
+	workerList       []messages.Worker
+	packets          int
+	bytes            int
+	otherZonePackets int
+	largest          int
 }
 
 type simNode struct {
-	own       messages.NodeInfo
-	view      *membership.View
-	scheduler *admission.Scheduler
-	phase     clock.Instant
-	received     int
-	paused    bool
-	replyPeers      replyPeers
+	own        messages.NodeInfo
+	view       *membership.View
+	scheduler  *admission.Scheduler
+	phase      clock.Instant
+	received   int
+	paused     bool
+	replyPeers replyPeers
 }
 
 func newSimulation(seed int64, nodes, workerList int) *simulation {
@@ -94,7 +94,7 @@
 	if node.replyPeers.hasFewSenders(now) {
 		packet.ReplyTo = node.own.Address
 	}
-	recipients := append(append([]messages.NodeInfo(nil), peers.gossipPeers...), node.replyPeers.unlisted(peers.gossipPeers, now)...)
+	recipients := append(append([]messages.NodeInfo(nil), peers.gossipPeers...), node.replyPeers.missingFrom(peers.gossipPeers, now)...)
 	if entry, selected := peers.pickOtherZone(f.random.Float64); selected {
 		recipients = append(recipients, entry)
 		f.otherZonePackets++
--- a/internal/traffic/loadgossip/workers.go
+++ b/internal/traffic/loadgossip/workers.go
@@ -10,14 +10,15 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// workerTables remembers how far each controller's table of workers has been read.
+// workerTables records, by controller address, the digest of the controller's table of workers as
+// of the last read.
 type workerTables struct {
-	lock sync.Mutex
+	lock     sync.Mutex
 	lastRead map[string]messages.Digest
 }
 
-// needsPull tells whether a controller's table may hold something that is not known here,
-// and from which clock on to ask.
+// needsPull reports whether a controller's table may contain entries that this process does not
+// have, and the logical clock from which on to request them (0 for the complete table).
 func (t *workerTables) needsPull(address string, digest, own messages.Digest) (since uint64, pull bool) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -32,8 +33,8 @@
 	return read.Clock, digest.Clock > read.Clock
 }
 
-// syncWorkers gets the workers from a controller when the process starts. It ends once it
-// has them, or with the process.
+// syncWorkers reads the table of workers from a controller when the process starts. It retries until
+// a read succeeds or the process stops.
 func (g *Gossip) syncWorkers() {
 	for {
 		select {
@@ -42,8 +43,8 @@
 		default:
 		}
 		addresses := g.Node.Settings.SeedAddresses(constants.PortController)
-		for _, entry := range g.Node.Live(membership.RoleController) {
-			addresses = append(addresses, entry.Address)
+		for _, controller := range g.Node.Live(membership.RoleController) {
+			addresses = append(addresses, controller.Address)
 		}
 		for _, address := range addresses {
 			if g.pullWorkers(address, 0) {
@@ -67,8 +68,9 @@
 	return true
 }
 
-// handleControllerReport takes what a controller's periodic answer says of workers: who is silent,
-// and a digest of its table, so that a change that was missed is pulled.
+// handleControllerReport handles the part of a controller's periodic response that concerns workers:
+// the workers whose heartbeats are overdue, and a digest of the controller's table, by which a missed
+// change is detected and pulled.
 func (g *Gossip) handleControllerReport(address string, resp *messages.Shuffle) {
 	if resp.Workers.Incarnation == 0 {
 		return
--- a/internal/traffic/prefixindex/index.go
+++ b/internal/traffic/prefixindex/index.go
@@ -113,7 +113,8 @@
 
 // RecordFirstEvent updates the estimates from the delay of a request's first event. A first
 // event that arrives as late as after a full prefill shows that the prefix was not cached, and
-// lowers the confidence in it. alone is true if no other request was at the worker.
+// lowers the confidence in it. alone is true if no other prefill was pending at the worker when the
+// request was placed.
 func (i *Index) RecordFirstEvent(prompt *Prompt, worker string, fresh int, waited clock.Duration, alone bool, now clock.Instant) {
 	saved := max(prompt.Tokens, 1) - fresh
 	fullPrefillMs := float64(prompt.Tokens) / i.prefillRate
--- a/internal/traffic/trafficstats/histogram.go
+++ b/internal/traffic/trafficstats/histogram.go
@@ -7,8 +7,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// The histograms' range, in tenths of a millisecond, and their precision in significant
-// digits (ours): up to two minutes within 5%, at about 2 KB each.
+// The range of the histograms, in tenths of a millisecond, and their precision in significant
+// digits: times up to two minutes are accurate to 5%, at about 2 KB per histogram.
 const (
 	histogramLowest  = 1
 	histogramHighest = 1_200_000
@@ -19,13 +19,13 @@
 	return hdrhistogram.New(histogramLowest, histogramHighest, histogramDigits)
 }
 
-// observe adds a time; one beyond the range counts as its end.
-func observe(histogram *hdrhistogram.Histogram, time clock.Duration) {
-	value := int64(clock.ToMilliseconds(time) * 10)
+// observe adds a duration. One outside the range is recorded as the nearest end of the range.
+func observe(histogram *hdrhistogram.Histogram, duration clock.Duration) {
+	value := int64(clock.ToMilliseconds(duration) * 10)
 	_ = histogram.RecordValue(min(max(value, histogramLowest), histogramHighest))
 }
 
-// encode gives the buckets that are not empty.
+// encode returns the buckets that are not empty.
 func encode(histogram *hdrhistogram.Histogram) messages.Histogram {
 	encoded := messages.Histogram{}
 	for i, count := range histogram.Export().Counts {
@@ -37,8 +37,8 @@
 	return encoded
 }
 
-// Decode gives a histogram of an encoded one; buckets that are out of range are left out. Its
-// values are tenths of a millisecond.
+// Decode returns the histogram of an encoded one. Its values are in tenths of a millisecond. Buckets
+// that are out of range are ignored.
 func Decode(encoded *messages.Histogram) *hdrhistogram.Histogram {
 	snapshot := newHistogram().Export()
 	for i, bucket := range encoded.Buckets {
@@ -49,7 +49,8 @@
 	return hdrhistogram.Import(snapshot)
 }
 
-// Quantile gives a quantile of an encoded histogram in milliseconds, and false for an empty one.
+// Quantile returns a quantile of an encoded histogram, in milliseconds. known is false if the
+// histogram is empty.
 func Quantile(encoded *messages.Histogram, percent float64) (milliseconds float64, known bool) {
 	histogram := Decode(encoded)
 	if histogram.TotalCount() == 0 {
--- a/internal/traffic/trafficstats/merge.go
+++ b/internal/traffic/trafficstats/merge.go
@@ -7,33 +7,34 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Merged is summaries of several processes by class. Any order of adding gives the same.
+// Merged contains the merged summaries of several processes by class. The result does not depend on
+// the order in which summaries are added.
 type Merged map[Class]*mergedClass
 
-// mergedClass is a summary whose histograms are kept by bucket.
+// mergedClass is the merged summary of a class, with the histograms as counts by bucket.
 type mergedClass struct {
 	summary messages.TrafficSummary
-	// buckets are those of QueueWait, FirstEvent, EventGap and Duration.
+	// buckets contains the counts of QueueWait, FirstEvent, EventGap and Duration, in this order.
 	buckets [4]map[uint16]int64
 }
 
-// histograms gives the histograms of a summary, in the order of mergedClass.buckets.
+// histograms returns the histograms of a summary, in the order of mergedClass.buckets.
 func histograms(s *messages.TrafficSummary) [4]*messages.Histogram {
 	return [4]*messages.Histogram{&s.QueueWait, &s.FirstEvent, &s.EventGap, &s.Duration}
 }
 
-// Add adds a summary.
+// Add merges a summary into that of its class.
 func (m Merged) Add(s *messages.TrafficSummary) {
 	class := Class{s.Route, s.Service, s.Model}
-	have := m[class]
-	if have == nil {
-		have = &mergedClass{summary: messages.TrafficSummary{Route: s.Route, Service: s.Service, Model: s.Model}}
-		for i := range have.buckets {
-			have.buckets[i] = map[uint16]int64{}
+	merged := m[class]
+	if merged == nil {
+		merged = &mergedClass{summary: messages.TrafficSummary{Route: s.Route, Service: s.Service, Model: s.Model}}
+		for i := range merged.buckets {
+			merged.buckets[i] = map[uint16]int64{}
 		}
-		m[class] = have
+		m[class] = merged
 	}
-	total := &have.summary
+	total := &merged.summary
 	total.Bulk = total.Bulk || s.Bulk
 	total.Served += s.Served
 	total.Rejected += s.Rejected
@@ -48,22 +49,22 @@
 	for i, histogram := range histograms(s) {
 		for j, bucket := range histogram.Buckets {
 			if j < len(histogram.Counts) {
-				have.buckets[i][bucket] += histogram.Counts[j]
+				merged.buckets[i][bucket] += histogram.Counts[j]
 			}
 		}
 	}
 }
 
-// AddRegression adds sums to a total.
-func AddRegression(total, more *messages.Regression) {
-	total.Count += more.Count
-	total.X += more.X
-	total.Y += more.Y
-	total.XX += more.XX
-	total.XY += more.XY
+// AddRegression adds the sums of a regression to a total.
+func AddRegression(total, added *messages.Regression) {
+	total.Count += added.Count
+	total.X += added.X
+	total.Y += added.Y
+	total.XX += added.XX
+	total.XY += added.XY
 }
 
-// Summaries gives the merged summaries in order of their classes.
+// Summaries returns the merged summaries, sorted by class.
 func (m Merged) Summaries() []messages.TrafficSummary {
 	summaries := make([]messages.TrafficSummary, 0, len(m))
 	for _, class := range m {
@@ -79,7 +80,7 @@
 	return summaries
 }
 
-// sorted gives a histogram with its buckets in order.
+// histogramOf returns a histogram of counts by bucket, with the buckets in ascending order.
 func histogramOf(counts map[uint16]int64) messages.Histogram {
 	histogram := messages.Histogram{}
 	for bucket := range counts {
--- a/internal/traffic/trafficstats/recorder.go
+++ b/internal/traffic/trafficstats/recorder.go
@@ -1,6 +1,6 @@
-// Package trafficstats keeps bounded, mergeable summaries of the requests that a process
-// placed, by route, service and model, over the last minutes. They cost nothing on the wire
-// until somebody asks for them (docs/forecast.md).
+// Package trafficstats records bounded, mergeable summaries of the requests that a process
+// placed, by route, service and model, over the last one to two minutes. They are sent only on
+// request, so they cost no network traffic otherwise (docs/forecast.md).
 package trafficstats
 
 import (
@@ -17,59 +17,62 @@
 // Outcome is how a request ended.
 type Outcome uint8
 
-// The outcomes.
+// The values of Outcome.
 const (
 	OutcomeFailed Outcome = iota
 	OutcomeServed
 	OutcomeRejected
 )
 
-// Class is what requests are told apart by.
+// Class identifies a class of requests, for which one summary is recorded.
 type Class struct {
 	Route, Service, Model string
 }
 
-// otherClass takes the requests of classes beyond constants.TrafficClasses.
+// otherClass counts the requests of all further classes when a window already has
+// constants.TrafficClasses classes.
 var otherClass = Class{Route: "(other)"}
 
-// Observation is one request that ended.
+// Observation describes one request that ended.
 type Observation struct {
 	Class   Class
 	Bulk    bool
 	Outcome Outcome
-	// Placed says that a worker was found; the fields below are of no meaning without it.
+	// Placed is true if a worker was found for the request. If it is false, the fields below have no
+	// meaning, except QueueWait.
 	Placed bool
-	// PromptTokens, FreshTokens and OutTokens: see messages.TrafficSummary.
+	// PromptTokens, FreshTokens and OutTokens are as defined in messages.TrafficSummary.
 	PromptTokens, FreshTokens, OutTokens int
 	Events                               int
-	// QueueWait is from the arrival until a worker was found; FirstEvent and Duration are from
-	// the sending, zero where there was none.
+	// QueueWait is the time from the arrival until a worker was found. FirstEvent is the time from
+	// sending the request to the first event, and Duration that to the end; 0 if there was none.
 	QueueWait, FirstEvent, Duration clock.Duration
-	// EventGap is the mean time between two events, zero for fewer than two.
+	// EventGap is the mean time between two events, or 0 if there were fewer than two.
 	EventGap clock.Duration
-	// Running and Waiting are the requests at the worker at the first event, by its own word;
-	// LoadKnown says that it gave one.
+	// Running and Waiting are the numbers of requests at the worker at the first event, as reported
+	// by the worker. LoadKnown is true if it reported them.
 	LoadKnown        bool
 	Running, Waiting int
 }
 
-// Recorder keeps the summaries of a process. It is safe for concurrent use; a nil one records
+// Recorder records the summaries of a process. It is safe for concurrent use. A nil Recorder records
 // nothing.
 type Recorder struct {
 	lock sync.Mutex
-	// current is being filled since startedAt; previous was filled before it.
+	// current is the window that began at startedAt; previous is the window before it, which began
+	// at previousAt.
 	current, previous     map[Class]*classStats
 	startedAt, previousAt clock.Instant
 }
 
-// New makes a recorder that begins now.
+// New returns a recorder whose first window begins now.
 func New(now clock.Instant) *Recorder {
 	return &Recorder{current: map[Class]*classStats{}, startedAt: now, previousAt: now}
 }
 
-// classStats is a summary whose histograms are still open.
+// classStats is the summary of a class in one window, with histograms that are not yet encoded.
 type classStats struct {
-	summary                                messages.TrafficSummary
+	summary                                   messages.TrafficSummary
 	queueWait, firstEvent, eventGap, duration *hdrhistogram.Histogram
 }
 
@@ -78,7 +81,7 @@
 		queueWait: newHistogram(), firstEvent: newHistogram(), eventGap: newHistogram(), duration: newHistogram()}
 }
 
-// Record adds a request that ended.
+// Record adds a request that ended to the summary of its class.
 func (r *Recorder) Record(o *Observation, now clock.Instant) {
 	if r == nil {
 		return
@@ -93,8 +96,9 @@
 	stats.add(o)
 }
 
-// addClass begins the summary of a class, or gives that of the others where there are many. The
-// lock is held.
+// addClass creates and returns the summary of a class. If the window already has
+// constants.TrafficClasses classes, it returns the summary of otherClass instead. The lock must be
+// held.
 func (r *Recorder) addClass(class Class) *classStats {
 	if len(r.current) >= constants.TrafficClasses {
 		class = otherClass
@@ -107,14 +111,14 @@
 	return stats
 }
 
-// rotate begins a new window where the present one is over. The lock is held.
+// rotate begins a new window if the current one has ended. The lock must be held.
 func (r *Recorder) rotate(now clock.Instant) {
 	if now.Sub(r.startedAt) < constants.TrafficWindow {
 		return
 	}
 	r.previous, r.previousAt = r.current, r.startedAt
 	if now.Sub(r.startedAt) >= 2*constants.TrafficWindow {
-		// Nothing came for so long that the window before holds nothing either.
+		// No request ended for so long that the previous window is empty, too.
 		r.previous, r.previousAt = nil, now.Add(-constants.TrafficWindow)
 	}
 	r.current, r.startedAt = map[Class]*classStats{}, now
@@ -161,10 +165,10 @@
 	}
 }
 
-// addPoint adds a point. Sums of whole numbers are exact, so that summaries can be merged in
-// any order.
-func addSample(sums *messages.Regression, count int, time clock.Duration) {
-	x, y := float64(count), math.Round(clock.ToMilliseconds(time)*10)
+// addSample adds a sample to a regression. The duration is rounded to tenths of a millisecond: sums
+// of whole numbers are exact, so summaries can be merged in any order with the same result.
+func addSample(sums *messages.Regression, count int, duration clock.Duration) {
+	x, y := float64(count), math.Round(clock.ToMilliseconds(duration)*10)
 	sums.Count++
 	sums.X += x
 	sums.Y += y
@@ -172,8 +176,8 @@
 	sums.XY += x * y
 }
 
-// Summaries gives the summaries of the present window and the one before, merged, in order of
-// their classes, and the time that they cover.
+// Summaries returns the merged summaries of the current and the previous window, sorted by class,
+// and the time that they cover.
 func (r *Recorder) Summaries(now clock.Instant) (summaries []messages.TrafficSummary, observed clock.Duration) {
 	if r == nil {
 		return nil, 0
@@ -191,7 +195,7 @@
 	return merged.Summaries(), now.Sub(r.previousAt)
 }
 
-// encoded gives the summary with its histograms.
+// encoded returns the summary with its histograms encoded.
 func (s *classStats) encoded() messages.TrafficSummary {
 	summary := s.summary
 	summary.QueueWait, summary.FirstEvent = encode(s.queueWait), encode(s.firstEvent)
--- a/internal/traffic/workerconn/await.go
+++ b/internal/traffic/workerconn/await.go
@@ -8,18 +8,21 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// Wait says how long to wait for the next byte.
+// Wait defines how long Await waits for the next byte.
 type Wait struct {
+	// Until is the deadline.
 	Until clock.Instant
-	// SilenceTimeout is the silence after which ShouldGiveUp is asked, and again after each
-	// further one; zero waits until the end.
+	// SilenceTimeout is the time without a received byte after which ShouldGiveUp is called, and
+	// called again after each further such time. 0 means to wait until the deadline.
 	SilenceTimeout clock.Duration
-	// ShouldGiveUp decides whether to give the worker up after a silence on this connection.
-	// Where nil, it is given up once it was silent on all its connections for that long.
+	// ShouldGiveUp decides whether to stop waiting when no byte was received on this connection
+	// for SilenceTimeout; elapsed is the time since the start of the wait. If it is nil, the wait
+	// ends when no byte was received on any connection to the worker for that time.
 	ShouldGiveUp func(elapsed clock.Duration) bool
 }
 
-// Await waits for the next byte.
+// Await waits until a byte can be read. It returns an error of the kind ErrWorkerUnresponsive if none
+// was received in time, and of the kind ErrConnectionBroken if the connection failed.
 func (c *Connection) Await(wait Wait) error {
 	if c.reader.Buffered() > 0 {
 		return nil
@@ -29,43 +32,44 @@
 	for {
 		now := clock.Now()
 		if now >= wait.Until && c.nothingReceived() {
-			return ErrWorkerUnresponsive.New("until the deadline")
+			return ErrWorkerUnresponsive.New("no byte received before the deadline")
 		}
-		span := max(wait.Until.Sub(now), constants.PumpPeriod)
+		timeout := max(wait.Until.Sub(now), constants.PumpPeriod)
 		if wait.SilenceTimeout > 0 {
-			from := checkedAt
+			silentSince := checkedAt
 			if wait.ShouldGiveUp == nil {
 				// A worker that still sends on other connections is slow, not unresponsive.
-				from = max(startedAt, clock.Instant(c.worker.lastReadAt.Load()))
+				silentSince = max(startedAt, clock.Instant(c.worker.lastReadAt.Load()))
 			}
-			if now.Sub(from) >= wait.SilenceTimeout && c.nothingReceived() {
+			if now.Sub(silentSince) >= wait.SilenceTimeout && c.nothingReceived() {
 				if wait.ShouldGiveUp == nil || wait.ShouldGiveUp(now.Sub(startedAt)) {
-					return ErrWorkerUnresponsive.New("longer than usual")
+					return ErrWorkerUnresponsive.New("no byte received within the silence timeout")
 				}
-				checkedAt, from = now, now
+				checkedAt, silentSince = now, now
 			}
-			span = min(span, max(wait.SilenceTimeout-now.Sub(from), constants.PumpPeriod/8))
+			timeout = min(timeout, max(wait.SilenceTimeout-now.Sub(silentSince), constants.PumpPeriod/8))
 		}
-		_ = c.connection.SetReadDeadline(clock.Deadline(span))
+		_ = c.connection.SetReadDeadline(clock.Deadline(timeout))
 		if _, err := c.reader.Peek(1); err == nil {
 			c.worker.lastReadAt.Store(int64(clock.Now()))
-			// What has begun to come may take until the end.
+			// The rest of data that has begun to arrive may take until the deadline.
 			_ = c.connection.SetReadDeadline(clock.Deadline(wait.Until.Sub(clock.Now())))
 			return nil
 		} else if !isTimeout(err) {
-			return ErrConnectionBroken.Wrap(err, "read")
+			return ErrConnectionBroken.Wrap(err, "await response")
 		}
 	}
 }
 
-// nothingReceived tells that really nothing has come: on a starved processor the clock may run
-// out before the bytes that lie ready were looked at.
+// nothingReceived reports whether the connection is open and no byte can be read. It checks the
+// socket itself: on an overloaded processor the timeout may expire before bytes that have already
+// been received were read.
 func (c *Connection) nothingReceived() bool {
 	_ = c.connection.SetReadDeadline(clock.Deadline(constants.PumpPeriod))
 	return c.isOpenAndDrained()
 }
 
-// isTimeout tells whether a read ended at its deadline.
+// isTimeout reports whether a read failed because its deadline was exceeded.
 func isTimeout(err error) bool {
 	var timeout net.Error
 	return errors.As(err, &timeout) && timeout.Timeout()
--- a/internal/traffic/workerconn/history.go
+++ b/internal/traffic/workerconn/history.go
@@ -7,9 +7,10 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// requestHistory remembers the requests that travelled on a connection, by the hashes of their
-// ids. A late second response to one of them bears its id: were the same id sent here
-// again, that response could pass for the new one's.
+// requestHistory records the latest requests that were sent on a connection, by the hashes of their
+// ids. A late second response to one of them carries its id: if the same id were sent on this
+// connection again, that response could be mistaken for the response to the new request. next is the
+// position of the oldest hash, which is overwritten next.
 type requestHistory struct {
 	hashes []uint64
 	next   int
--- a/internal/traffic/workerconn/idle.go
+++ b/internal/traffic/workerconn/idle.go
@@ -9,23 +9,24 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Reuse says which idle connections a request may travel on.
+// Reuse selects the idle connections on which a request may be sent.
 type Reuse int
 
-// The choices.
+// The values of Reuse.
 const (
-	// ReuseAny: after a reset the request is sent again.
+	// ReuseAny allows any idle connection: the request may be sent again after a reset.
 	ReuseAny Reuse = iota
-	// ReuseSafe: only one that was idle for a time that is known to be short. A worker
-	// may forget an idle connection without closing it, and a request that must not run
-	// twice can't be sent again after the reset.
+	// ReuseSafe allows only a connection whose idle time is short enough to be safe. A worker may
+	// discard its state of an idle connection without closing it, and a request that must not run
+	// twice can't be sent again after the resulting reset.
 	ReuseSafe
-	// ReuseNone: a new one.
+	// ReuseNone requires a new connection.
 	ReuseNone
 )
 
-// Get gives an idle connection that still looks sound, or opens one within the budget.
-// What bears no id, and an id that has travelled on the connection, takes a new one.
+// Get returns an idle connection that is still open, or opens one within the budget (0 means no
+// limit). A request without an id, and one whose id has already been sent on the idle connection,
+// gets a new connection.
 func (p *Pool) Get(worker messages.Worker, budget int, attempt string, reuse Reuse) (*Connection, error) {
 	if attempt == "" {
 		reuse = ReuseNone
@@ -35,10 +36,10 @@
 		connections := p.connectionsTo(worker.ID)
 		count := len(connections.idle)
 		now := clock.Now()
-		// The newest idle one is the least likely to have been closed.
+		// The connection that became idle last is the least likely to have been closed.
 		if count == 0 || !p.mayReuse(connections.idle[count-1], attempt, reuse, now) {
 			if budget > 0 && connections.open >= budget && count > 0 {
-				// The oldest idle one is dropped for it.
+				// The budget is used up: close the oldest idle connection to open a new one.
 				oldest := connections.idle[0]
 				connections.idle = append(connections.idle[:0], connections.idle[1:]...)
 				p.lock.Unlock()
@@ -65,7 +66,7 @@
 	}
 }
 
-// mayReuse tells whether a request may travel on an idle connection. The lock is held.
+// mayReuse reports whether a request may be sent on an idle connection. The lock must be held.
 func (p *Pool) mayReuse(connection *Connection, attempt string, reuse Reuse, now clock.Instant) bool {
 	switch {
 	case reuse == ReuseNone, connection.sentRequests.has(attempt):
@@ -76,7 +77,8 @@
 	return true
 }
 
-// safeIdle is the time for which a service's connections are known to stay. The lock is held.
+// safeIdle returns the idle time up to which connections to a service's workers are expected to
+// remain usable. The lock must be held.
 func (p *Pool) safeIdle(backend string) clock.Duration {
 	if safe, known := p.safeIdleTimes[backend]; known {
 		return safe
@@ -84,21 +86,24 @@
 	return constants.SafeIdle
 }
 
-// RecordReuse learns from a connection that still worked after it was idle.
+// RecordReuse raises the safe idle time of a service if needed, after a connection that was idle
+// still worked.
 func (p *Pool) RecordReuse(connection *Connection) {
 	if !connection.Reused {
 		return
 	}
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	// Half of what was seen to last, and slowly: one forgetful worker is enough.
+	// Move slowly towards half of the idle time that the connection lasted: a single worker that
+	// discards idle connections earlier is enough to cause a reset.
 	if safe := p.safeIdle(connection.backend); connection.IdleFor/2 > safe {
-		const slowly = 16
-		p.safeIdleTimes[connection.backend] = min(safe+(connection.IdleFor/2-safe)/slowly, constants.SafeIdleMost)
+		const divisor = 16
+		p.safeIdleTimes[connection.backend] = min(safe+(connection.IdleFor/2-safe)/divisor, constants.SafeIdleMost)
 	}
 }
 
-// RecordStale learns from a reset on a connection that was idle, before any byte came back.
+// RecordStale lowers the safe idle time of a service after a connection that was idle was reset
+// before any byte of the response was received.
 func (p *Pool) RecordStale(connection *Connection) {
 	p.StaleCount.Add(1)
 	p.lock.Lock()
@@ -106,14 +111,15 @@
 	p.safeIdleTimes[connection.backend] = max(min(p.safeIdle(connection.backend), connection.IdleFor/2), constants.SafeIdleLeast)
 }
 
-// SafeIdle tells the learnt time.
+// SafeIdle returns the current safe idle time of a service.
 func (p *Pool) SafeIdle(backend string) clock.Duration {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	return p.safeIdle(backend)
 }
 
-// isOpenAndDrained tells that a connection neither ended nor holds bytes that nobody has read.
+// isOpenAndDrained reports whether a connection is open and has no unread bytes, in the buffer or
+// the socket.
 func (c *Connection) isOpenAndDrained() bool {
 	if c.reader.Buffered() > 0 {
 		return false
--- a/internal/traffic/workerconn/sweep.go
+++ b/internal/traffic/workerconn/sweep.go
@@ -2,7 +2,7 @@
 
 import "lemonarch/internal/platform/clock"
 
-// Sweep drops idle connections past their time and those of workers that are gone.
+// Sweep closes idle connections that have expired and those to workers that have departed.
 func (p *Pool) Sweep(departed func(worker string) bool) {
 	now := clock.Now()
 	var stale []*Connection
--- a/internal/traffic/workerconn/workerconn.go
+++ b/internal/traffic/workerconn/workerconn.go
@@ -1,6 +1,6 @@
-// Package workerconn keeps the connections to workers. A connection belongs to one incarnation
-// of a worker, carries one request at a time, and is dropped after anything that is not
-// the response to its request.
+// Package workerconn implements a pool of connections to workers. A connection belongs to one
+// incarnation of a worker, carries one request at a time, and is closed after any received data
+// that is not the response to its request.
 package workerconn
 
 import (
@@ -19,18 +19,18 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// The errors of connections.
+// The error kinds of connections.
 var (
-	// ErrNoConnection means that nothing was sent.
+	// ErrNoConnection means that no connection could be opened, and nothing was sent.
 	ErrNoConnection = errs.Define("no connection to worker")
-	// ErrPoolExhausted means that nothing was sent, for want of a connection in the budget.
-	ErrPoolExhausted = errs.Define("connection budget spent")
-	// ErrNotSent means that the connection took no byte of the request, which has not run.
-	ErrNotSent = errs.Define("request unsent")
+	// ErrPoolExhausted means that all connections of the budget are in use, and nothing was sent.
+	ErrPoolExhausted = errs.Define("connection budget exhausted")
+	// ErrNotSent means that no byte of the request could be written, so it has not run.
+	ErrNotSent = errs.Define("request not sent")
 	// ErrConnectionBroken means that the request was sent, in part or completely, and may have run.
 	ErrConnectionBroken = errs.Define("connection broken")
 	// ErrWorkerUnresponsive means that the worker sent nothing in time.
-	ErrWorkerUnresponsive = errs.Define("worker silent")
+	ErrWorkerUnresponsive = errs.Define("worker unresponsive")
 )
 
 // Connection is one connection to one incarnation of a worker.
@@ -41,36 +41,39 @@
 	idleSince  clock.Instant
 	idleUntil  clock.Instant
 	backend    string
-	// Reused tells that it has carried a request before, and Idle how long it then lay
-	// unused.
-	Reused bool
-	IdleFor   clock.Duration
-	closed atomic.Bool
-	// sentRequests holds the requests that travelled on it.
+	// Reused is true if the connection has carried a request before. IdleFor is how long it was
+	// idle between that request and this one.
+	Reused  bool
+	IdleFor clock.Duration
+	closed  atomic.Bool
+	// sentRequests records the requests that were sent on the connection.
 	sentRequests requestHistory
-	// tainted tells that bytes came that were no response to the request under way.
+	// tainted is true if bytes were received that do not belong to the response to the request in
+	// flight.
 	tainted bool
-	// halted: our own side ended it, which says nothing about the worker.
+	// closedLocally is true if this process closed the connection, which is no sign of a failure of
+	// the worker.
 	closedLocally atomic.Bool
 }
 
 type workerConnections struct {
-	idle     []*Connection
-	open     int
+	idle       []*Connection
+	open       int
 	lastReadAt atomic.Int64
 }
 
-// Pool holds the connections to all workers.
+// Pool contains the connections to all workers. safeIdleTimes is by service.
 type Pool struct {
-	lock     sync.Mutex
-	byWorker map[string]*workerConnections
-	safeIdleTimes     map[string]clock.Duration
-	Opened   atomic.Int64
-	// StaleCount counts idle connections that turned out to be forgotten by their worker.
+	lock          sync.Mutex
+	byWorker      map[string]*workerConnections
+	safeIdleTimes map[string]clock.Duration
+	Opened        atomic.Int64
+	// StaleCount counts idle connections that were reset when they were used again, because the
+	// worker had discarded them.
 	StaleCount atomic.Int64
 }
 
-// NewPool makes an empty one.
+// NewPool returns an empty pool.
 func NewPool() *Pool {
 	return &Pool{byWorker: map[string]*workerConnections{}, safeIdleTimes: map[string]clock.Duration{}}
 }
@@ -96,29 +99,30 @@
 	return &Connection{connection: connection, reader: bufio.NewReaderSize(connection, 4<<10), worker: connections, backend: worker.Backend}, nil
 }
 
-// Send writes a complete request, which is named by the id that its response will echo.
+// Send writes a complete request. attempt is the id that the response echoes.
 func (c *Connection) Send(attempt string, text []byte, until clock.Instant) error {
 	_ = c.connection.SetWriteDeadline(clock.Deadline(until.Sub(clock.Now())))
 	c.sentRequests.add(attempt)
 	count, err := c.connection.Write(text)
 	switch {
 	case err != nil && count == 0:
-		return ErrNotSent.Wrap(err, "write")
+		return ErrNotSent.Wrap(err, "write request")
 	case err != nil:
-		return ErrConnectionBroken.Wrap(err, "write")
+		return ErrConnectionBroken.Wrap(err, "write request")
 	}
 	return nil
 }
 
-// Taint notes that bytes of another request's response came: the connection is not used again.
+// Taint marks the connection as not reusable, after bytes of the response to another request were
+// received.
 func (c *Connection) Taint() { c.tainted = true }
 
-// ReadResponse reads the head of a response.
+// ReadResponse reads the head of a response. Informational responses (1xx) are skipped.
 func (c *Connection) ReadResponse(method string) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil {
-			return nil, ErrConnectionBroken.Wrap(err, "answer")
+			return nil, ErrConnectionBroken.Wrap(err, "read response head")
 		}
 		if resp.StatusCode >= 200 {
 			return resp, nil
@@ -126,16 +130,18 @@
 	}
 }
 
-// Put puts a connection back after a whole response, if it may be used again.
+// Put returns a connection to the pool after a complete response, or closes it if it may not be used
+// again.
 func (p *Pool) Put(connection *Connection, resp *http.Response) {
 	if !connection.reusable(resp) {
 		p.Drop(connection)
 		return
 	}
 	idle := constants.ConnectionIdle
-	if stated := parseKeepAliveTimeout(resp.Header.Get("Keep-Alive")); stated > 0 {
-		// Retire it before the worker does, or a request would meet the end.
-		idle = min(idle, stated*3/5)
+	if keepAlive := parseKeepAliveTimeout(resp.Header.Get("Keep-Alive")); keepAlive > 0 {
+		// Expire the connection before the worker closes it, since a request might otherwise be
+		// sent on a connection that is being closed.
+		idle = min(idle, keepAlive*3/5)
 	}
 	connection.idleSince = clock.Now()
 	connection.idleUntil = connection.idleSince.Add(idle)
@@ -144,9 +150,9 @@
 	connection.worker.idle = append(connection.worker.idle, connection)
 }
 
-// reusable tells whether another request may travel on the connection after this answer.
-// What a HEAD's answer says of its length is not on the wire, so a second response to it
-// could not be told from the next one's body.
+// reusable reports whether another request may be sent on the connection after this response.
+// The body whose length a response to HEAD states is not sent, so a second response to it
+// could not be distinguished from the body of the next response.
 func (c *Connection) reusable(resp *http.Response) bool {
 	return !c.closed.Load() && !c.tainted && !resp.Close &&
 		c.reader.Buffered() == 0 && resp.Request.Method != http.MethodHead
@@ -165,13 +171,13 @@
 	return 0
 }
 
-// Close ends the connection from any side, so that a reader wakes up.
+// Close closes the connection from any goroutine, so that a blocked read returns.
 func (c *Connection) Close() {
 	c.closedLocally.Store(true)
 	c.closeOnce()
 }
 
-// Halted tells that it was our own side that ended the connection.
+// Halted reports whether this process closed the connection with Close.
 func (c *Connection) Halted() bool { return c.closedLocally.Load() }
 
 func (c *Connection) closeOnce() {
@@ -180,7 +186,7 @@
 	}
 }
 
-// Drop ends a connection and takes it out of the budget.
+// Drop closes a connection and removes it from the count of open connections.
 func (p *Pool) Drop(connection *Connection) {
 	connection.closeOnce()
 	p.lock.Lock()
