--- a/internal/traffic/loadgossip/budget_test.go
+++ b/internal/traffic/loadgossip/budget_test.go
@@ -7,10 +7,10 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// What a node may open follows from what a worker takes at once and allows, and
-// never falls under what it takes to serve at all.
+// The connection budget of a node follows the worker's capacity and connection limit, and is never
+// below the minimum that is needed to serve at all.
 func TestConnectionBudgetFollowsWorkerLimits(t *testing.T) {
-	for _, entry := range []struct {
+	for _, test := range []struct {
 		capacity, limit int
 		role            string
 		want            int
@@ -21,8 +21,8 @@
 		{24, 220, membership.RoleGateway, 27},
 		{24, 10, membership.RoleGateway, constants.LeastConnections},
 	} {
-		if got := connectionBudget(entry.capacity, entry.limit, entry.role); got != entry.want {
-			t.Errorf("%+v: %d", entry, got)
+		if got := connectionBudget(test.capacity, test.limit, test.role); got != test.want {
+			t.Errorf("%+v: got %d connections", test, got)
 		}
 	}
 }
--- a/internal/traffic/loadgossip/pressure_test.go
+++ b/internal/traffic/loadgossip/pressure_test.go
@@ -14,107 +14,107 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// standing makes placing parts of several processes that know each other, over the
-// transport in memory.
+// newConnectedNodes returns the Gossip instances of several processes that know each other and
+// communicate over an in-memory transport.
 func newConnectedNodes(t *testing.T, roles ...string) []*Gossip {
 	t.Helper()
 
 	network := transport.NewMemoryNetwork()
-	var joined []*Gossip
+	var nodes []*Gossip
 	for position, role := range roles {
 		nodeSettings := &settings.Settings{NodeName: fmt.Sprint("n", position), Zone: "h", Address: fmt.Sprint("10.0.0.", position+1), HeartbeatMs: 1200,
 			InternalPorts: []int{100, 110}, Seeds: []string{"10.0.0.99:1"}}
 		runtime := agent.New(nodeSettings, role, 1, "", hclog.NewNullLogger())
 		runtime.Transport = network.Transport(runtime.Self.Address)
-		joined = append(joined, New(runtime))
+		nodes = append(nodes, New(runtime))
 	}
-	for _, entry := range joined {
+	for _, node := range nodes {
 		var others []messages.NodeInfo
-		for _, other := range joined {
-			if other != entry {
+		for _, other := range nodes {
+			if other != node {
 				others = append(others, other.Node.Self)
 			}
 		}
-		entry.Node.Observe(others)
-		entry.Scheduler.Merge([]messages.Worker{{ID: "w", Backend: "s", Zone: "h", Capacity: 1, CallCount: 1}}, clock.Now())
-		entry.refreshPeers()
+		node.Node.Observe(others)
+		node.Scheduler.Merge([]messages.Worker{{ID: "w", Backend: "s", Zone: "h", Capacity: 1, CallCount: 1}}, clock.Now())
+		node.refreshPeers()
 	}
-	return joined
+	return nodes
 }
 
-// Pressure of one gateway reaches stores that run items, those that it does not tell
-// itself as well, with a bounded number of words.
+// The pressure notice of one gateway reaches the stores that run items, including those that the
+// gateway does not notify itself, with a bounded number of messages.
 func TestPressureReachesStores(t *testing.T) {
 	const stores = 6
 	roles := []string{membership.RoleGateway}
 	for position := 0; position < stores; position++ {
 		roles = append(roles, membership.RoleStore)
 	}
-	joined := newConnectedNodes(t, roles...)
-	type word struct {
-		name   string
-		second bool
+	nodes := newConnectedNodes(t, roles...)
+	type receivedNotice struct {
+		name      string
+		forwarded bool
 	}
-	received := make(chan word, 64)
-	for _, entry := range joined[1:] {
-		name := entry.Node.Self.Name
-		_ = entry.Node.Transport.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
+	received := make(chan receivedNotice, 64)
+	for _, store := range nodes[1:] {
+		name := store.Node.Self.Name
+		_ = store.Node.Transport.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
 			notice := &messages.PressureNotice{}
 			_ = transport.Decode(body, notice)
-			received <- word{name, notice.Sharers == 0}
-			return entry.Node.Dispatch(messages.KindPressure, body)
+			received <- receivedNotice{name, notice.Sharers == 0}
+			return store.Node.Dispatch(messages.KindPressure, body)
 		})
 	}
-	reached, entries, second := map[string]bool{}, 0, 0
+	reached, total, forwarded := map[string]bool{}, 0, 0
 	for round := 0; round < 40 && len(reached) < stores; round++ {
-		joined[0].notifyPressure([]messages.Pressure{{Service: "s", Waiting: 1}})
+		nodes[0].notifyPressure([]messages.Pressure{{Service: "s", Waiting: 1}})
 		for wait := true; wait; {
 			select {
-			case entry := <-received:
-				reached[entry.name] = true
-				entries++
-				if entry.second {
-					second++
+			case notice := <-received:
+				reached[notice.name] = true
+				total++
+				if notice.forwarded {
+					forwarded++
 				}
 			case <-clock.After(20_000_000):
 				wait = false
 			}
 		}
-		// Three are told, and each may pass it to three.
-		if entries > (round+1)*12 {
-			t.Fatalf("%d words in %d rounds", entries, round+1)
+		// Three stores are notified, and each may forward the notice to three others.
+		if total > (round+1)*12 {
+			t.Fatalf("%d notices in %d rounds, want at most 12 per round", total, round+1)
 		}
 	}
-	if len(reached) != stores || second == 0 {
-		t.Fatalf("reached %v, %d words were passed on", reached, second)
+	if len(reached) != stores || forwarded == 0 {
+		t.Fatalf("reached stores %v, %d notices were forwarded", reached, forwarded)
 	}
 }
 
-// A gossip packet reaches the neighbours one way and counts there.
+// A gossip packet reaches the neighbours as a one-way message, and its loads are used there.
 func TestGossipReachesNeighbours(t *testing.T) {
-	joined := newConnectedNodes(t, membership.RoleGateway, membership.RoleGateway, membership.RoleStore)
+	nodes := newConnectedNodes(t, membership.RoleGateway, membership.RoleGateway, membership.RoleStore)
 	received := make(chan bool, 8)
-	for _, entry := range joined[1:] {
-		_ = entry.Node.Transport.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
-			resp, err := entry.Node.Dispatch(messages.KindGossip, body)
+	for _, node := range nodes[1:] {
+		_ = node.Node.Transport.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
+			resp, err := node.Node.Dispatch(messages.KindGossip, body)
 			received <- true
 			return resp, err
 		})
 	}
-	joined[0].Scheduler.Locked(func() { joined[0].Scheduler.Tracker.Of("w").ObserveLoad("7,0,1", clock.Now()) })
-	joined[0].gossipRound()
-	for range joined[1:] {
+	nodes[0].Scheduler.Locked(func() { nodes[0].Scheduler.Tracker.Of("w").ObserveLoad("7,0,1", clock.Now()) })
+	nodes[0].gossipRound()
+	for range nodes[1:] {
 		select {
 		case <-received:
 		case <-clock.After(5_000_000_000):
-			t.Fatal("a neighbour heard nothing")
+			t.Fatal("a neighbour received no gossip packet within 5 s")
 		}
 	}
-	for _, entry := range joined[1:] {
+	for _, node := range nodes[1:] {
 		running := 0
-		entry.Scheduler.Locked(func() { running = entry.Scheduler.Tracker.Of("w").Running(clock.Now()) })
+		node.Scheduler.Locked(func() { running = node.Scheduler.Tracker.Of("w").Running(clock.Now()) })
 		if running != 7 {
-			t.Fatalf("%s takes the worker for one with %d", entry.Node.Self.Name, running)
+			t.Fatalf("%s counts %d running requests at the worker, want 7", node.Node.Self.Name, running)
 		}
 	}
 }
--- a/internal/traffic/loadgossip/staleness_test.go
+++ b/internal/traffic/loadgossip/staleness_test.go
@@ -14,8 +14,8 @@
 	"lemonarch/internal/traffic/admission"
 )
 
-// fleet is many placing nodes in four zones, each with a bounded view, and what they
-// say to each other, without sockets. All chance comes from one seed.
+// simulation simulates many gateways in four zones, each with a bounded view, and their gossip, without
+// sockets. All random numbers come from one seed.
 type simulation struct {
 	random           *rand.Rand
 	nodes            []*simNode
@@ -27,6 +27,8 @@
 	largest          int
 }
 
+// simNode is one simulated node. phase is the time within the gossip period at which it sends gossip,
+// received the number of packets that it received.
 type simNode struct {
 	own        messages.NodeInfo
 	view       *membership.View
@@ -37,56 +39,56 @@
 	replyPeers replyPeers
 }
 
-func newSimulation(seed int64, nodes, workerList int) *simulation {
-	entry := &simulation{random: rand.New(rand.NewSource(seed)), byAddress: map[string]*simNode{}}
-	for position := 0; position < workerList; position++ {
-		entry.workerList = append(entry.workerList, messages.Worker{ID: fmt.Sprintf("i-%05d", position), Backend: "s", Zone: fmt.Sprint("h", position%4),
+func newSimulation(seed int64, nodes, workers int) *simulation {
+	sim := &simulation{random: rand.New(rand.NewSource(seed)), byAddress: map[string]*simNode{}}
+	for position := 0; position < workers; position++ {
+		sim.workerList = append(sim.workerList, messages.Worker{ID: fmt.Sprintf("i-%05d", position), Backend: "s", Zone: fmt.Sprint("h", position%4),
 			Capacity: 16, CallCount: 1})
 	}
-	var entries []messages.NodeInfo
+	var infos []messages.NodeInfo
 	for position := 0; position < nodes; position++ {
-		entries = append(entries, messages.NodeInfo{Name: fmt.Sprint("edge-", position), Role: membership.RoleGateway, Zone: fmt.Sprint("h", position%4),
+		infos = append(infos, messages.NodeInfo{Name: fmt.Sprint("edge-", position), Role: membership.RoleGateway, Zone: fmt.Sprint("h", position%4),
 			Address: fmt.Sprint("a", position), Incarnation: 1})
 	}
-	for position, own := range entries {
+	for position, own := range infos {
 		node := &simNode{own: own, view: membership.NewView(own, int64(position)), scheduler: admission.New(own, 1_200_000_000),
-			phase: clock.Instant(entry.random.Int63n(int64(constants.GossipPeriod)))}
-		node.view.Observe(entries, 0)
-		node.scheduler.Merge(entry.workerList, 0)
-		entry.nodes = append(entry.nodes, node)
-		entry.byAddress[own.Address] = node
+			phase: clock.Instant(sim.random.Int63n(int64(constants.GossipPeriod)))}
+		node.view.Observe(infos, 0)
+		node.scheduler.Merge(sim.workerList, 0)
+		sim.nodes = append(sim.nodes, node)
+		sim.byAddress[own.Address] = node
 	}
-	return entry
+	return sim
 }
 
-// near gives the workers of a node's zone: what it places on.
+// zoneWorkers returns the workers of a node's zone, on which the node places requests.
 func (f *simulation) zoneWorkers(node *simNode) []string {
-	var found []string
+	var ids []string
 	for _, worker := range f.workerList {
 		if worker.Zone == node.own.Zone {
-			found = append(found, worker.ID)
+			ids = append(ids, worker.ID)
 		}
 	}
-	return found
+	return ids
 }
 
-// observe gives a node a worker's load header, as in a response to a request.
+// observe has a node record a worker's load header, as from a response to a request.
 func (f *simulation) observe(node *simNode, now clock.Instant) {
-	// A node's own subset is a part of its zone's workers.
-	near := f.zoneWorkers(node)
-	worker := near[f.random.Intn(min(len(near), constants.ReachSubset))]
-	if len(near) > constants.ReachSubset {
-		sum := fmt.Sprint(node.own.Name, f.random.Intn(constants.ReachSubset))
-		random := 0
-		for _, outgoing := range sum {
-			random = random*31 + int(outgoing)
+	// If the zone has many workers, a node sends requests only to a subset of them.
+	candidates := f.zoneWorkers(node)
+	worker := candidates[f.random.Intn(min(len(candidates), constants.ReachSubset))]
+	if len(candidates) > constants.ReachSubset {
+		key := fmt.Sprint(node.own.Name, f.random.Intn(constants.ReachSubset))
+		hash := 0
+		for _, character := range key {
+			hash = hash*31 + int(character)
 		}
-		worker = near[random%len(near)]
+		worker = candidates[hash%len(candidates)]
 	}
 	node.scheduler.Locked(func() { node.scheduler.Tracker.Of(worker).ObserveLoad("5,0,16", now) })
 }
 
-// gossip is one node's second.
+// gossipRound simulates one gossip period of a node.
 func (f *simulation) gossipRound(node *simNode, now clock.Instant) {
 	packet := node.scheduler.MakeGossip(now)
 	peers := selectPeers(node.own, node.view.All("", now))
@@ -95,16 +97,16 @@
 		packet.ReplyTo = node.own.Address
 	}
 	recipients := append(append([]messages.NodeInfo(nil), peers.gossipPeers...), node.replyPeers.missingFrom(peers.gossipPeers, now)...)
-	if entry, selected := peers.pickOtherZone(f.random.Float64); selected {
-		recipients = append(recipients, entry)
+	if peer, selected := peers.pickOtherZone(f.random.Float64); selected {
+		recipients = append(recipients, peer)
 		f.otherZonePackets++
 	}
 	body, _ := packet.MarshalMsg(nil)
-	for _, entry := range recipients {
+	for _, recipient := range recipients {
 		f.packets++
 		f.bytes += len(body)
 		f.largest = max(f.largest, len(body))
-		other := f.byAddress[entry.Address]
+		other := f.byAddress[recipient.Address]
 		if !other.paused {
 			other.received++
 			other.replyPeers.observe(packet, now)
@@ -113,7 +115,7 @@
 	}
 }
 
-// play runs whole seconds: rate requests a second and worker, over all nodes.
+// run simulates whole seconds with rate requests per second and worker, distributed over all nodes.
 func (f *simulation) run(from, seconds int, rate float64) {
 	const steps = 20
 	step := clock.Instant(constants.GossipPeriod) / steps
@@ -135,16 +137,16 @@
 	}
 }
 
-// ages lists, over all nodes and the workers of their zones, how old the evidence is
-// that they place by; what is older than the limit counts for nothing.
-func (f *simulation) ages(now clock.Instant) (ages []float64, blind float64) {
-	none := 0
+// ages returns the ages in ms, sorted, of the load evidence that all nodes have for the workers of
+// their zones, and the share of workers without evidence. Evidence older than the limit is not counted.
+func (f *simulation) ages(now clock.Instant) (ages []float64, missingShare float64) {
+	missing := 0
 	for _, node := range f.nodes {
 		for _, worker := range f.zoneWorkers(node) {
 			node.scheduler.Locked(func() {
-				sample, recipients := node.scheduler.Tracker.Of(worker).Sample(now)
-				if !recipients || sample.Running == messages.RunningUnknown {
-					none++
+				sample, known := node.scheduler.Tracker.Of(worker).Sample(now)
+				if !known || sample.Running == messages.RunningUnknown {
+					missing++
 					return
 				}
 				ages = append(ages, float64(sample.AgeMs))
@@ -152,67 +154,66 @@
 		}
 	}
 	sort.Float64s(ages)
-	return ages, float64(none) / float64(none+len(ages))
+	return ages, float64(missing) / float64(missing+len(ages))
 }
 
-// The cost of a node is the same in any fleet, and evidence of its zone's workers
-// stays well within the age limit for nearly all of it.
+// The gossip cost of a node does not depend on the size of the fleet, and the evidence about nearly
+// all workers of its zone stays well within the age limit.
 func TestStalenessAndCostByFleetSize(t *testing.T) {
-	for _, size := range []struct{ nodes, workerList int }{{25, 40}, {100, 160}, {390, 600}} {
-		entry := newSimulation(11, size.nodes, size.workerList)
+	for _, size := range []struct{ nodes, workers int }{{25, 40}, {100, 160}, {390, 600}} {
+		sim := newSimulation(11, size.nodes, size.workers)
 		const seconds = 6
-		entry.run(1, seconds, 4)
+		sim.run(1, seconds, 4)
 		now := clock.Instant(seconds+1) * clock.Instant(constants.GossipPeriod)
-		ages, blind := entry.ages(now)
-		median, late := ages[len(ages)/2], ages[len(ages)*95/100]
-		packets := float64(entry.packets) / seconds / float64(size.nodes)
-		bytes := float64(entry.bytes) / seconds / float64(size.nodes)
-		t.Logf("%d nodes, %d workers: age median %.0f ms, p95 %.0f ms, without evidence %.3f; a node and second %.2f packets, %.0f bytes; largest %d; across zones %.1f packets a second in all",
-			size.nodes, size.workerList, median, late, blind, packets, bytes, entry.largest, float64(entry.otherZonePackets)/seconds)
-		limit := clock.ToMilliseconds(constants.GossipStale)
-		if median > limit/2 || late >= limit || blind > 0.15 {
-			t.Errorf("%d nodes: evidence too old", size.nodes)
+		ages, missingShare := sim.ages(now)
+		median, p95 := ages[len(ages)/2], ages[len(ages)*95/100]
+		packets := float64(sim.packets) / seconds / float64(size.nodes)
+		bytes := float64(sim.bytes) / seconds / float64(size.nodes)
+		t.Logf("%d nodes, %d workers: age median %.0f ms, p95 %.0f ms, without evidence %.3f; per node and second %.2f packets, %.0f bytes; largest packet %d bytes; between zones %.1f packets per second in total",
+			size.nodes, size.workers, median, p95, missingShare, packets, bytes, sim.largest, float64(sim.otherZonePackets)/seconds)
+		ageLimit := clock.ToMilliseconds(constants.GossipStale)
+		if median > ageLimit/2 || p95 >= ageLimit || missingShare > 0.15 {
+			t.Errorf("%d nodes: evidence too old or missing for too many workers", size.nodes)
 		}
-		if packets > constants.GossipFanout+1.5 || entry.largest > 1400 {
-			t.Errorf("%d nodes: %.2f packets a node, largest %d bytes", size.nodes, packets, entry.largest)
+		if packets > constants.GossipFanout+1.5 || sim.largest > 1400 {
+			t.Errorf("%d nodes: %.2f packets per node and second, largest packet %d bytes", size.nodes, packets, sim.largest)
 		}
-		for _, node := range entry.nodes {
+		for _, node := range sim.nodes {
 			if node.received < seconds {
-				t.Errorf("%d nodes: %s heard %d packets in %d s", size.nodes, node.own.Name, node.received, seconds)
+				t.Errorf("%d nodes: %s received %d packets in %d s", size.nodes, node.own.Name, node.received, seconds)
 			}
 		}
 	}
 }
 
-// A node that was paused says nothing that counts: its old evidence has aged, and
-// what it then tells is passed over.
+// The reports of a node that was paused are ignored: its evidence has expired in the meantime.
 func TestStaleReportOfPausedPeerIsIgnored(t *testing.T) {
-	entry := newSimulation(5, 25, 40)
-	entry.run(1, 4, 4)
-	paused := entry.nodes[3]
+	sim := newSimulation(5, 25, 40)
+	sim.run(1, 4, 4)
+	paused := sim.nodes[3]
 	paused.paused = true
-	worker := entry.zoneWorkers(paused)[0]
+	worker := sim.zoneWorkers(paused)[0]
 	at := clock.Instant(5) * clock.Instant(constants.GossipPeriod)
 	paused.scheduler.Locked(func() { paused.scheduler.Tracker.Of(worker).ObserveLoad("200,0,16", at) })
-	entry.run(5, 4, 0)
+	sim.run(5, 4, 0)
 	paused.paused = false
-	entry.run(9, 3, 0)
-	for _, node := range entry.nodes {
+	sim.run(9, 3, 0)
+	for _, node := range sim.nodes {
 		node.scheduler.Locked(func() {
 			if running := node.scheduler.Tracker.Of(worker).Running(at.Add(7 * constants.GossipPeriod)); running != 0 {
-				t.Errorf("%s still counts %d", node.own.Name, running)
+				t.Errorf("%s still counts %d running requests at the worker, want 0", node.own.Name, running)
 			}
 		})
 	}
 }
 
-// The same seed repeats the same history.
+// Two simulations with the same seed have the same result.
 func TestSimulationIsDeterministic(t *testing.T) {
 	sum := func() float64 {
-		entry := newSimulation(3, 40, 64)
-		entry.run(1, 3, 4)
-		ages, blind := entry.ages(clock.Instant(4) * clock.Instant(constants.GossipPeriod))
-		total := blind + float64(entry.bytes)
+		sim := newSimulation(3, 40, 64)
+		sim.run(1, 3, 4)
+		ages, missingShare := sim.ages(clock.Instant(4) * clock.Instant(constants.GossipPeriod))
+		total := missingShare + float64(sim.bytes)
 		for _, age := range ages {
 			total += math.Sqrt(age)
 		}
--- a/internal/traffic/prefixindex/prefixindex_test.go
+++ b/internal/traffic/prefixindex/prefixindex_test.go
@@ -18,20 +18,20 @@
 )
 
 func prompt(own string, tokens int) *Prompt {
-	entry := ParsePrompt("m", fmt.Sprintf("%d,80", tokens+200), fmt.Sprintf("aa:%d,%s:200", tokens, own))
-	return &entry
+	parsed := ParsePrompt("m", fmt.Sprintf("%d,80", tokens+200), fmt.Sprintf("aa:%d,%s:200", tokens, own))
+	return &parsed
 }
 
-func pair(waitFirst float64) []Candidate {
+func twoCandidates(waitFirst float64) []Candidate {
 	return []Candidate{{Worker: "first", WaitMs: waitFirst}, {Worker: "second"}}
 }
 
-// The tree against a map: every key that was put in is found on the walk of any
-// longer key, whatever was removed in between.
+// Compares the tree with a map: a walk visits every inserted key that is a prefix of the walked key,
+// whatever was removed in between.
 func TestTreeAgainstMap(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(42)
 	properties := gopter.NewProperties(parameters)
-	properties.Property("walk finds exactly the prefixes that are there", prop.ForAll(func(numbers []uint16) bool {
+	properties.Property("walk visits exactly the stored prefixes of a key", prop.ForAll(func(numbers []uint16) bool {
 		tree, known := Tree{}, map[string]bool{}
 		random := rand.New(rand.NewSource(int64(len(numbers))))
 		key := func(number uint16) []byte {
@@ -86,38 +86,38 @@
 	for value := 0; value < 255; value++ {
 		tree.Remove([]byte{1, byte(value)})
 	}
-	entries := 0
-	tree.Walk([]byte{1, 255}, func(int, *Leaf) { entries++ })
-	if entries != 1 || tree.Size() != 1 {
-		t.Fatal(entries, tree.Size())
+	visited := 0
+	tree.Walk([]byte{1, 255}, func(int, *Leaf) { visited++ })
+	if visited != 1 || tree.Size() != 1 {
+		t.Fatal(visited, tree.Size())
 	}
 }
 
-// A residency downgrade changes a real placement: the worker that had the prefix
-// has since turned its whole cache over.
+// A residency downgrade changes a placement: the worker that had the prefix cached has since
+// replaced its whole cache.
 func TestDowngradeChangesPlacement(t *testing.T) {
 	index := NewIndex()
 	index.SetCache("first", 100_000)
 	index.SetCache("second", 100_000)
-	requestedAt := prompt("x1", 12_000)
-	index.RecordPlacement(requestedAt, "first", 0)
-	if choice := index.Choose(prompt("x2", 12_000), pair(20), 1); choice.Index != 0 || choice.Downgraded {
-		t.Fatalf("a warm prefix was not followed: %+v", choice)
+	placedPrompt := prompt("x1", 12_000)
+	index.RecordPlacement(placedPrompt, "first", 0)
+	if choice := index.Choose(prompt("x2", 12_000), twoCandidates(20), 1); choice.Index != 0 || choice.Downgraded {
+		t.Fatalf("first request: got choice %+v, want the worker with the cached prefix", choice)
 	}
 	index.AddTurnover("first", 95_000)
-	choice := index.Choose(prompt("x3", 12_000), pair(60), 2)
+	choice := index.Choose(prompt("x3", 12_000), twoCandidates(60), 2)
 	if choice.Index != 1 || !choice.Downgraded || index.Downgrades != 1 {
-		t.Fatalf("a prefix that must be gone was followed: %+v", choice)
+		t.Fatalf("got choice %+v, want a downgrade, since the prefix must have been evicted", choice)
 	}
 }
 
-// It must not where the prefix is still there: over-discounting steals warm hits.
+// No downgrade happens while the prefix is still cached: discounting too much would lose cache hits.
 func TestNoDowngradeWhileResident(t *testing.T) {
 	index := NewIndex()
 	index.SetCache("first", 100_000)
 	index.RecordPlacement(prompt("x1", 12_000), "first", 0)
 	index.AddTurnover("first", 30_000)
-	choice := index.Choose(prompt("x2", 12_000), pair(60), 1)
+	choice := index.Choose(prompt("x2", 12_000), twoCandidates(60), 1)
 	if choice.Index != 0 || choice.Downgraded || index.Downgrades != 0 {
 		t.Fatalf("%+v", choice)
 	}
@@ -126,7 +126,7 @@
 func TestLoadOutweighsAShortPrefix(t *testing.T) {
 	index := NewIndex()
 	index.RecordPlacement(prompt("x1", 300), "first", 0)
-	if choice := index.Choose(prompt("x2", 300), pair(40), 1); choice.Index != 1 || choice.Downgraded {
+	if choice := index.Choose(prompt("x2", 300), twoCandidates(40), 1); choice.Index != 1 || choice.Downgraded {
 		t.Fatalf("%+v", choice)
 	}
 }
@@ -135,36 +135,36 @@
 	index := NewIndex()
 	index.RecordPlacement(prompt("x1", 12_000), "first", 0)
 	index.InvalidateCache("first")
-	if choice := index.Choose(prompt("x2", 12_000), pair(60), 1); choice.Index != 1 || choice.CachedTokens != 0 {
-		t.Fatalf("a lost cache was believed in: %+v", choice)
+	if choice := index.Choose(prompt("x2", 12_000), twoCandidates(60), 1); choice.Index != 1 || choice.CachedTokens != 0 {
+		t.Fatalf("got choice %+v, want no cached tokens at a restarted worker", choice)
 	}
 }
 
 func TestPeerEvidenceCountsAndAges(t *testing.T) {
-	far, near := NewIndex(), NewIndex()
-	far.SetCache("first", 100_000)
-	far.RecordPlacement(prompt("x1", 12_000), "first", 0)
-	advertised := far.Advertisements(1, 10, 1000)
+	peer, local := NewIndex(), NewIndex()
+	peer.SetCache("first", 100_000)
+	peer.RecordPlacement(prompt("x1", 12_000), "first", 0)
+	advertised := peer.Advertisements(1, 10, 1000)
 	if len(advertised) != 1 {
-		t.Fatalf("told %d words", len(advertised))
+		t.Fatalf("got %d advertisements, want 1", len(advertised))
 	}
-	near.MergeAdvertisements(advertised, 1)
-	if choice := near.Choose(prompt("x2", 12_000), pair(60), 2); choice.Index != 0 {
-		t.Fatalf("a peer's word was not followed: %+v", choice)
+	local.MergeAdvertisements(advertised, 1)
+	if choice := local.Choose(prompt("x2", 12_000), twoCandidates(60), 2); choice.Index != 0 {
+		t.Fatalf("got choice %+v, want the worker of the peer's report", choice)
 	}
 	stale := clock.Instant(1).Add(constants.GossipStale)
-	if choice := near.Choose(prompt("x3", 12_000), pair(60), stale); choice.Index != 1 {
-		t.Fatalf("a silent peer's word counted after three periods: %+v", choice)
+	if choice := local.Choose(prompt("x3", 12_000), twoCandidates(60), stale); choice.Index != 1 {
+		t.Fatalf("got choice %+v, want a peer's report ignored after three gossip periods", choice)
 	}
 }
 
 func TestNewerOwnEvidenceWinsOverPeers(t *testing.T) {
 	index := NewIndex()
 	index.SetCache("first", 100_000)
-	requestedAt := prompt("x1", 12_000)
-	index.RecordPlacement(requestedAt, "first", 1000)
-	index.MergeAdvertisements([]messages.Residency{{Path: requestedAt.key()[:8], Tokens: 12_000, Worker: "first", Probability: 0, AgeMs: 500}}, 2000)
-	if choice := index.Choose(prompt("x2", 12_000), pair(60), 3000); choice.Index != 0 {
+	placedPrompt := prompt("x1", 12_000)
+	index.RecordPlacement(placedPrompt, "first", 1000)
+	index.MergeAdvertisements([]messages.Residency{{Path: placedPrompt.key()[:8], Tokens: 12_000, Worker: "first", Probability: 0, AgeMs: 500}}, 2000)
+	if choice := index.Choose(prompt("x2", 12_000), twoCandidates(60), 3000); choice.Index != 0 {
 		t.Fatalf("%+v", choice)
 	}
 }
@@ -175,32 +175,32 @@
 		index.RecordPlacement(prompt(fmt.Sprintf("%x", count), 100), "first", clock.Instant(count))
 	}
 	if index.tree.Size() > constants.IndexNodes {
-		t.Fatalf("%d leaves", index.tree.Size())
+		t.Fatalf("got %d leaves, above the limit of the index", index.tree.Size())
 	}
-	// The one in use all the time is still there.
-	entries := 0
-	index.tree.Walk(prompt("zz", 100).key(), func(int, *Leaf) { entries++ })
-	if entries == 0 {
-		t.Fatal("the shared prefix was dropped")
+	// The shared prefix is used by every prompt, so it is never removed.
+	visited := 0
+	index.tree.Walk(prompt("zz", 100).key(), func(int, *Leaf) { visited++ })
+	if visited == 0 {
+		t.Fatal("the shared prefix was removed")
 	}
 }
 
 func TestSlowFirstEventLowersAdvertisedProbability(t *testing.T) {
 	index := NewIndex()
 	index.SetCache("first", 100_000)
-	requestedAt := prompt("x1", 12_000)
-	index.RecordPlacement(requestedAt, "first", 0)
+	placedPrompt := prompt("x1", 12_000)
+	index.RecordPlacement(placedPrompt, "first", 0)
 	next := prompt("x2", 12_000)
 	fresh := index.RecordPlacement(next, "first", 1)
 	before := index.Advertisements(2, 10, 1000)[0].Probability
 	index.RecordFirstEvent(next, "first", fresh, clock.Milliseconds(constants.FirstGuess+12_200/constants.ReadRate), true, 2)
 	if after := index.Advertisements(3, 10, 1000)[0].Probability; after >= before {
-		t.Fatalf("trust %v then %v", before, after)
+		t.Fatalf("advertised probability: got %v, then %v, want a lower one", before, after)
 	}
 }
 
-// A prompt of very many parts is known by its first ones, and the index keeps its bound however
-// many leaves one prompt brings.
+// Only the first parts of a prompt with very many parts are indexed, and the index stays within its
+// limit however many leaves one prompt adds.
 func TestPromptsOfManyPartsAreBounded(t *testing.T) {
 	index := NewIndex()
 	for number := range constants.IndexNodes / 8 {
@@ -210,7 +210,7 @@
 		}
 		index.RecordPlacement(&prompt, "w", 1)
 		if size := index.tree.Size(); size > constants.IndexNodes {
-			t.Fatal(size, "leaves")
+			t.Fatal(size, "leaves, above the limit of the index")
 		}
 	}
 	if few := ParsePrompt("m", "5", " a:1, b:2"); len(few.Parts) != 2 || few.Parts[1].Tokens != 2 {
--- a/internal/traffic/trafficstats/trafficstats_test.go
+++ b/internal/traffic/trafficstats/trafficstats_test.go
@@ -27,7 +27,8 @@
 	return body
 }
 
-// Merging the summaries of several processes in any order, also merged ones, gives the same.
+// Merging the summaries of several processes returns the same result in any order, also if some of
+// them are results of a merge.
 func TestMergeIsOrderIndependent(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	var all []messages.TrafficSummary
@@ -52,12 +53,12 @@
 		cut := random.IntN(len(all))
 		halves := append(merge(all[:cut]), merge(all[cut:])...)
 		if !bytes.Equal(encoded(t, merge(halves)), want) {
-			t.Fatal("differs with a cut at ", cut)
+			t.Fatal("merged summaries depend on the order, with a cut at ", cut)
 		}
 	}
 }
 
-// Summaries cover the present window and the one before, and forget what is older.
+// Summaries cover the current and the previous window, and exclude older requests.
 func TestSummariesCoverTwoWindows(t *testing.T) {
 	recorder, random := New(0), rand.New(rand.NewPCG(2, 2))
 	at := func(seconds float64) clock.Instant { return clock.Instant(0).Add(clock.Milliseconds(seconds * 1000)) }
@@ -82,7 +83,7 @@
 	}
 }
 
-// Classes beyond the bound are counted together, and a histogram gives a time within 10%.
+// Classes beyond the limit are counted together, and a histogram returns a duration within 10%.
 func TestSummariesAreBounded(t *testing.T) {
 	recorder, random := New(0), rand.New(rand.NewPCG(3, 3))
 	for i := range 10 * constants.TrafficClasses {
@@ -101,17 +102,17 @@
 		packed := encode(histogram)
 		got, known := Quantile(&packed, 50)
 		if !known || got < 0.9*milliseconds || got > 1.1*milliseconds {
-			t.Errorf("%v ms is told as %v", milliseconds, got)
+			t.Errorf("median of %v ms is %v ms, want it within 10%%", milliseconds, got)
 		}
 	}
-	var nobody *Recorder
-	nobody.Record(observation("r", random), 1)
-	if summaries, observed := nobody.Summaries(1); summaries != nil || observed != 0 {
+	var disabled *Recorder
+	disabled.Record(observation("r", random), 1)
+	if summaries, observed := disabled.Summaries(1); summaries != nil || observed != 0 {
 		t.Fatal(summaries, observed)
 	}
 }
 
-// BenchmarkRecord is the cost of the summaries for each request.
+// BenchmarkRecord measures the cost of recording one request.
 func BenchmarkRecord(b *testing.B) {
 	recorder, random := New(0), rand.New(rand.NewPCG(4, 4))
 	o := observation("r", random)
