--- a/internal/traffic/loadgossip/replypeers.go
+++ b/internal/traffic/loadgossip/replypeers.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// hasFewSenders reports whether too few peers notify this process.
+// hasFewSenders reports whether fewer than constants.GossipFanout-1 peers notify this process.
 func (t *replyPeers) hasFewSenders(now clock.Instant) bool {
 	if t.startedAt == 0 {
 		t.startedAt = now
--- a/internal/traffic/loadgossip/report.go
+++ b/internal/traffic/loadgossip/report.go
@@ -73,7 +73,7 @@
 		displaced := counters.Displaced.Load()
 		if sum := displaced + counters.Resumed.Load() + counters.Finished.Load(); sum != g.loggedCounts[route] {
 			g.loggedCounts[route] = sum
-			g.Node.Log.Info("displacement", "route", route, "displaced", displaced, "resumed", counters.Resumed.Load(), "finished", counters.Finished.Load())
+			g.Node.Log.Info("preemption counts changed", "route", route, "displaced", displaced, "resumed", counters.Resumed.Load(), "finished", counters.Finished.Load())
 		}
 	}
 }
--- a/internal/traffic/loadgossip/workers.go
+++ b/internal/traffic/loadgossip/workers.go
@@ -18,7 +18,7 @@
 }
 
 // needsPull reports whether a controller's table may contain entries that this process does not
-// have, and the logical clock from which on to request them (0 for the complete table).
+// have, and the change counter (Digest.Clock) after which to request them, 0 for the complete table.
 func (t *workerTables) needsPull(address string, digest, own messages.Digest) (since uint64, pull bool) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
--- a/internal/traffic/prefixindex/advertise.go
+++ b/internal/traffic/prefixindex/advertise.go
@@ -31,9 +31,10 @@
 }
 
 // Advertisements returns the residencies to send, at most limit of them, for shared prefixes of
-// at least the given number of tokens; those with the largest change are returned first. For own
-// evidence, the change is the difference from the probability that neighbours still assume.
-// Evidence received from peers is forwarded once, with its age.
+// at least minTokens tokens that were used in the last 30 gossip periods. Those that changed most
+// since they were last sent are returned first. For own evidence, the change is the difference from
+// the probability that neighbours still assume. Evidence received from peers is forwarded once, with
+// its age.
 func (i *Index) Advertisements(now clock.Instant, limit, minTokens int) []messages.Residency {
 	var candidates []advertisement
 	i.tree.Each(func(leaf *Leaf) {
--- a/internal/traffic/prefixindex/residency.go
+++ b/internal/traffic/prefixindex/residency.go
@@ -1,6 +1,6 @@
 // Package prefixindex implements the residency-weighted prefix index that decides where a
 // request is placed: a tree of prompt parts, an estimate of which prefixes are still cached at
-// which workers, and one score per worker. It does no I/O and has no goroutines of its own.
+// which workers, and one score per worker. It does no I/O; the current time is passed in by the caller.
 package prefixindex
 
 import (
--- a/internal/traffic/workerconn/await.go
+++ b/internal/traffic/workerconn/await.go
@@ -62,8 +62,8 @@
 }
 
 // nothingReceived reports whether the connection is open and no byte can be read. It checks the
-// socket itself: on an overloaded processor the timeout may expire before bytes that have already
-// been received were read.
+// socket itself: on an overloaded processor the timeout may expire before bytes are read that have
+// already been received.
 func (c *Connection) nothingReceived() bool {
 	_ = c.connection.SetReadDeadline(clock.Deadline(constants.PumpPeriod))
 	return c.isOpenAndDrained()
