--- a/internal/platform/constants/calls.go
+++ b/internal/platform/constants/calls.go
@@ -1,9 +1,9 @@
 package constants
 
-// Answers and their requests.
+// Requests and responses on connections to workers.
 const (
-	// CarriedRequests is how many of the latest requests a connection to a worker
-	// remembers (ours): a second answer that is held back past as many whole ones is
-	// beyond anything a worker's buffers do.
+	// CarriedRequests is how many of the latest requests a connection to a worker remembers,
+	// to detect a duplicate response. A duplicate that arrives after this many complete
+	// responses is beyond what the buffers of a worker can delay.
 	CarriedRequests = 64
 )
--- a/internal/platform/constants/constants.go
+++ b/internal/platform/constants/constants.go
@@ -1,45 +1,45 @@
-// Package constants holds every constant of the project, each with its unit and
-// the reason for its value. Values marked (ours) are defaults to be measured.
+// Package constants contains the constants of the project, each with its unit and the reason
+// for its value.
 package constants
 
 import "time"
 
-// Between our processes.
+// Communication between processes.
 const (
-	// PortController, PortGateway and PortStore are offsets from the first internal
-	// port: two processes share a machine's ports, so each role has its own.
+	// PortController, PortGateway and PortStore are offsets from the first internal port. Two
+	// processes may share a machine's ports, so each role has its own.
 	PortController = 0
 	PortGateway    = 1
 	PortStore      = 2
-	// FrameLimit bounds one frame in bytes: a job of the largest allowed body
-	// plus its framing must fit.
+	// FrameLimit is the maximum size of a frame in bytes: a job with the largest allowed body
+	// has to fit, framing included.
 	FrameLimit = 48 << 20
-	// FrameLifetime is how long a frame may still come after it was sent (ours): our
-	// connections end after ConnectionTimeout without an answer, and a process may be
-	// frozen for seconds with frames unread.
+	// FrameLifetime is how long after it was sent a frame may still arrive. Connections close
+	// after ConnectionTimeout without an acknowledgement, but a process may be suspended for
+	// seconds with unread frames.
 	FrameLifetime = 40 * time.Second
-	// FrameVersion is told in each frame, so that mixed versions can work. From 2 on, the
-	// numbers of calls rise along a connection.
+	// FrameVersion is sent in each frame, so that processes of different versions interoperate.
+	// From version 2 on, call numbers increase along a connection.
 	FrameVersion = 2
-	// DialTimeout bounds a connection attempt between our processes: links are a
-	// few ms long, so silence for longer means a partition (ours).
+	// DialTimeout bounds a connection attempt between processes. Round trips take a few ms, so
+	// a longer silence means a partition.
 	DialTimeout = 400 * time.Millisecond
-	// CallTimeout bounds an ordinary call between our processes (ours): under the
-	// second in which an outside caller moves on.
+	// CallTimeout bounds an ordinary call between processes. It is below the second after
+	// which an external caller tries elsewhere.
 	CallTimeout = 800 * time.Millisecond
-	// StartBackoff is the pause between two attempts of a starting process to learn what
-	// it needs (ours): each is time in which it can't serve.
+	// StartBackoff is the first pause between two attempts of a starting process to fetch what
+	// it needs. It is short because the process can't serve until then.
 	StartBackoff = 40 * time.Millisecond
-	// StartBackoffMax is what that pause grows to (ours).
+	// StartBackoffMax is the upper limit of that pause.
 	StartBackoffMax = 320 * time.Millisecond
-	// FirstConfigTimeout is how long a starting process asks only for a configuration read
-	// at a majority; after it, whatever a controller knows is taken (ours).
+	// FirstConfigTimeout is how long a starting process accepts only a configuration that was
+	// read from a majority. After it, any configuration that a controller has is accepted.
 	FirstConfigTimeout = 5 * time.Second
-	// PushTimeout bounds the wait for peers to take a push before a worker's call
-	// is acknowledged; the worker waits a second at most.
+	// PushTimeout bounds the wait for peers to accept a configuration or an update before a
+	// call is acknowledged. The caller waits a second at most.
 	PushTimeout = 350 * time.Millisecond
-	// ConnectionTimeout is the TCP_USER_TIMEOUT of our connections (ours): behind a cut
-	// nothing answers, and a hung connection must not hold a caller.
+	// ConnectionTimeout is the TCP_USER_TIMEOUT of connections. In a partition there are no
+	// acknowledgements, and a hung connection must not block a caller.
 	ConnectionTimeout = 1500 * time.Millisecond
 	// BulkCallTimeout bounds calls that carry jobs or long ranges of records.
 	BulkCallTimeout = 3 * time.Second
@@ -47,23 +47,23 @@
 
 // Register and leases.
 const (
-	// RoundTimeout bounds one round of the register (ours): a sync, even on a slow
-	// disk, and a link there and back.
+	// RoundTimeout bounds one round of the register: a sync, even on a slow disk, and one
+	// round trip.
 	RoundTimeout = 500 * time.Millisecond
-	// RegisterTimeout bounds a whole change including repeats.
+	// RegisterTimeout bounds a whole change, retries included.
 	RegisterTimeout = 2500 * time.Millisecond
-	// BackoffBase is the least pause before a proposer tries again.
+	// BackoffBase is the minimum pause before a proposer retries.
 	BackoffBase = 8 * time.Millisecond
-	// BackoffSpread is the random part of that pause: it parts two competing proposers.
+	// BackoffSpread is the random part of that pause. It separates two competing proposers.
 	BackoffSpread = 60 * time.Millisecond
-	// SetGrowthTimeout is how long after its start a controller holds acknowledgements back while
-	// the set of acceptors can't yet tolerate the fault budget and others could join it
-	// (ours): joining takes well under a second each.
+	// SetGrowthTimeout is how long after its start a controller delays acknowledgements while
+	// the acceptor set can't yet tolerate the fault budget and others could join it. Each join
+	// takes well under a second.
 	SetGrowthTimeout = 10 * time.Second
-	// LeaseDuration is the length of the leadership's lease (ours): long enough for a slow
-	// sync, short enough that jobs wait little after a crash.
+	// LeaseDuration is the length of the leader's lease: long enough for a slow sync, short
+	// enough that jobs wait only briefly after a crash.
 	LeaseDuration = time.Second
-	// LeaseSafetyMargin is how much earlier than its end a holder stops.
+	// LeaseSafetyMargin is how long before the end of its lease a leader stops acting on it.
 	LeaseSafetyMargin = 200 * time.Millisecond
 	// LeaseRenewPeriod is the time between renewals.
 	LeaseRenewPeriod = 250 * time.Millisecond
@@ -73,9 +73,9 @@
 const (
 	// HeartbeatsSuspect is how many heartbeats a worker may miss before it is suspect.
 	HeartbeatsSuspect = 3
-	// HeartbeatsDeparted is how many make it count as departed.
+	// HeartbeatsDeparted is how many heartbeats it may miss before it counts as departed.
 	HeartbeatsDeparted = 10
-	// WorkerNameBytes is the longest id, backend, address or zone of a worker, in bytes.
+	// WorkerNameBytes is the maximum length of a worker's id, backend, address or zone, in bytes.
 	WorkerNameBytes = 1024
 	// ControllerHeartbeatPeriod is the time between two heartbeats to each peer.
 	ControllerHeartbeatPeriod = 700 * time.Millisecond
@@ -83,127 +83,127 @@
 
 // Placement.
 const (
-	// DowngradeAlert is the share of placements above which downgrades are
-	// logged as over-discounting (ours).
+	// DowngradeAlert is the share of placements above which downgrades are logged as
+	// over-discounting.
 	DowngradeAlert = 0.02
-	// IndexNodes bounds the prefix index in leaves (ours, memory is priced).
+	// IndexNodes is the maximum number of leaves of the prefix index. Memory is priced.
 	IndexNodes = 4000
-	// PromptPartsMax is how many parts of a prompt the index looks at.
+	// PromptPartsMax is the maximum number of parts of a prompt that the index considers.
 	PromptPartsMax = 32
-	// ReadRate is the first guess of prompt tokens read in a ms, until streams
-	// teach better.
+	// ReadRate is the initial estimate of the prefill rate, in prompt tokens per ms, until
+	// observed streams refine it.
 	ReadRate = 120.0
-	// FirstGuess is the first guess, in ms, of the time to a first event once the
-	// prompt is read: an event holds several tokens.
+	// FirstGuess is the initial estimate, in ms, of the time from the end of the prefill to the
+	// first event. It is that long because an event contains several tokens.
 	FirstGuess = 30.0
-	// StepGuess is the first guess, in ms, of what one running request costs the
-	// others in waiting.
+	// StepGuess is the initial estimate, in ms, of the wait that each running request adds for
+	// the others.
 	StepGuess = 0.4
-	// RelayAfter is how many stores have failed to answer when another gateway is
-	// asked, and how many gateways are (ours).
+	// RelayAfter is how many stores must have failed to respond before a call is relayed to
+	// another gateway, and the maximum number of gateways tried.
 	RelayAfter = 2
-	// LongReading, in ms, is the reading time from which a prompt is told to peers at
-	// once (ours): others would wait behind it for longer than gossip takes.
+	// LongReading is the prefill time, in ms, above which peers are notified of a prompt at
+	// once: other requests would wait behind it for longer than gossip takes.
 	LongReading = 12.0
-	// ErrPenalty, in ms of score, is the risk of a worker that has just failed.
+	// ErrPenalty is the risk, in ms of score, of a worker that is suspect.
 	ErrPenalty = 4000.0
 )
 
-// Displacement.
+// Preemption.
 const (
-	// PreemptionFloor is the part of a service's places that items keep whatever
-	// waits (ours): the low tier must not starve for good.
+	// PreemptionFloor is the share of a service's slots that batch items keep whatever else is
+	// waiting, so that the low tier does not starve.
 	PreemptionFloor = 0.08
-	// PreemptionLimit is how often one item may be displaced before it keeps its
-	// place (ours): ageing, for the same reason.
+	// PreemptionLimit is how often one item may be preempted before it keeps its slot. This is
+	// aging: it also prevents starvation.
 	PreemptionLimit = 3
-	// PressurePeriod is the least time between two words of pressure (ours), and
-	// PressureStale the age at which a word counts no more.
+	// PressurePeriod is the minimum time between two pressure notices, and PressureStale the
+	// age at which a notice expires.
 	PressurePeriod = 100 * time.Millisecond
 	PressureStale  = 400 * time.Millisecond
-	// StreamReserve is the time that a displaced stream must still have beyond its
-	// aim, to end in time elsewhere (ours).
+	// StreamReserve is the time that a stream must have left beyond its latency target to be
+	// preempted, so that it can still end in time at another worker.
 	StreamReserve = 1500 * time.Millisecond
 )
 
 // Data plane.
 const (
-	// PumpPeriod is how often those that wait are looked at without a cause (ours).
+	// PumpPeriod is the polling period of waiting requests and connections.
 	PumpPeriod = 15 * time.Millisecond
-	// LeastConnections is the fewest connections to a worker that a node may open.
+	// LeastConnections is the minimum number of connections to a worker that a node may open.
 	LeastConnections = 4
-	// RequestLimit is used for bodies and heads until a configuration says.
+	// RequestLimit is the limit of request bodies, in bytes, until a configuration is known.
 	RequestLimit = 4 << 20
-	// HeadLimit is used for heads until a configuration says.
+	// HeadLimit is the limit of request headers, in bytes, until a configuration is known.
 	HeadLimit = 64 << 10
-	// BufferedResponseMax is the largest plain response buffered completely, so that a cut can be
-	// repaired by another run before the client has seen a byte.
+	// BufferedResponseMax is the size in bytes up to which a non-streaming response is buffered
+	// completely, so that a truncated one can be retried before the client has received a byte.
 	BufferedResponseMax = 256 << 10
-	// WorkerDial bounds a connection to a worker: links are short.
+	// WorkerDial bounds a connection attempt to a worker. Round trips are short.
 	WorkerDial = 250 * time.Millisecond
-	// StreamTimeout is the silence after which a repeatable stream goes on at another
-	// worker until the service has taught what is usual there: clients give up at two
-	// seconds.
+	// StreamTimeout is the silence after which a retryable stream resumes at another worker,
+	// until the usual latency of the service has been learned. Clients give up after two seconds.
 	StreamTimeout = 900 * time.Millisecond
-	// PlainTimeoutFactor is the same for plain requests, in multiples of the aim, and
-	// PlainTimeoutMin its least.
+	// PlainTimeoutFactor is the corresponding timeout for non-streaming requests, in multiples
+	// of the latency target, and PlainTimeoutMin its minimum.
 	PlainTimeoutFactor = 3
 	PlainTimeoutMin    = 250 * time.Millisecond
-	// ConnectionIdle is how long an idle connection is kept when the worker names no time.
+	// ConnectionIdle is how long an idle connection is kept if the worker states no time.
 	ConnectionIdle = 4 * time.Second
-	// ConnectionPart is the part of a worker's connections that one node may have, and
-	// ConnectionPartItems that of one which runs items (ours).
+	// ConnectionPart is the share of a worker's connections that one node may use, and
+	// ConnectionPartItems that of a node that runs items: few nodes do, each with many items.
 	ConnectionPart      = 0.125
 	ConnectionPartItems = 0.2
-	// DrainAcceptTime is how long a leaving node still takes new connections: the
-	// platform needs two missed probes, a second apart, to see it leave.
+	// DrainAcceptTime is how long a draining node still accepts new connections. The platform
+	// needs two failed probes, one second apart, to notice that it is leaving.
 	DrainAcceptTime = 2600 * time.Millisecond
-	// ShutdownMargin is how long before SIGKILL a leaving node ends by itself.
+	// ShutdownMargin is how long before SIGKILL a draining node exits.
 	ShutdownMargin = 600 * time.Millisecond
 	// QueueAheadMax is how many requests may wait at a worker beyond its capacity.
 	QueueAheadMax = 2
-	// QueueShare is the part of a request's aim that it may wait for room (ours):
-	// a refusal within a quarter still earns something when it comes back.
+	// QueueShare is the share of its latency target that a request may wait for capacity. A
+	// request rejected within a quarter of its target still has some value when it is retried.
 	QueueShare = 0.22
 )
 
 // Batch jobs.
 const (
-	// RunningItemsMax bounds how many items one executor runs at a time (ours): its
+	// RunningItemsMax is the maximum number of items that one executor runs at a time: its
 	// processor has to keep up with their events.
 	RunningItemsMax = 400
-	// ItemRetryBackoff is the pause before an item that was requeued is placed again.
+	// ItemRetryBackoff is the first pause before a requeued item is placed again.
 	ItemRetryBackoff = 60 * time.Millisecond
-	// SetChangeTimeout bounds the copying to a joiner; what was copied stays there.
+	// SetChangeTimeout bounds the copying of records to a joiner. After a timeout the joiner
+	// keeps what was copied.
 	SetChangeTimeout = 20 * time.Second
-	// BootstrapWait is how long stores wait for each other at the first start
-	// before they make do with fewer.
+	// BootstrapWait is how long stores wait for each other at the first start before they
+	// continue with fewer.
 	BootstrapWait = 4 * time.Second
-	// JobItemsMax is the largest number of items in a batch job (PROTOCOL, lots).
+	// JobItemsMax is the maximum number of items in a batch job (PROTOCOL, lots).
 	JobItemsMax = 200
-	// PageBytes is the most a read returns in results (PROTOCOL: 1 MB).
+	// PageBytes is the maximum size in bytes of the results in one response (PROTOCOL: 1 MB).
 	PageBytes = 900 << 10
-	// AppendBytes bounds one range of records sent to a store.
+	// AppendBytes is the size limit in bytes of one range of records sent to a store.
 	AppendBytes = 1 << 20
-	// BatchCapacityShare is the part of a worker's places that items may fill when no
-	// live request wants them (ours).
+	// BatchCapacityShare is the share of a worker's capacity that items may use while there is
+	// no pressure from live requests.
 	BatchCapacityShare = 0.75
-	// BatchPrefillsPerWorker is how many items may wait at a worker for their first event when
-	// one more is placed there (ours): workers read in the order of arrival, so each
-	// is time that a live request waits. Letting first events set the pace measured
-	// better than reckoning the reading time.
+	// BatchPrefillsPerWorker is how many requests may be in prefill at a worker before no
+	// further item is placed there. Workers prefill in order of arrival, so each item in
+	// prefill delays live requests. Pacing by first events works better than estimating the
+	// prefill time.
 	BatchPrefillsPerWorker = 1
-	// TickPeriod is the period of the store's own upkeep.
+	// TickPeriod is the period of a store's maintenance.
 	TickPeriod = 50 * time.Millisecond
-	// RewriteBytes is the least size at which a file of records is rewritten.
+	// RewriteBytes is the minimum size in bytes at which a record file is rewritten.
 	RewriteBytes = 24 << 20
 )
 
-// Operator's tools.
+// Operator tools.
 const (
-	// StatusRows bounds what one process says to a query of the shell (ours).
+	// StatusRows is the maximum number of rows in a process's response to a shell query.
 	StatusRows = 200
-	// StatusTimeout is how long the shell waits for one process unless told otherwise.
+	// StatusTimeout is the shell's default timeout for one process.
 	StatusTimeout = 700 * time.Millisecond
 	// TrafficPeriod is the time between two lines of counters in a log at debug level.
 	TrafficPeriod = 10 * time.Second
@@ -211,11 +211,10 @@
 
 // Processes.
 const (
-	// MemoryShare is the part of the memory limit the collector may use.
+	// MemoryShare is the share of the memory limit that the garbage collector may use.
 	MemoryShare = 0.8
-	// CollectPercent is the collector's target growth (ours): memory is dear, and
-	// the live heap is small.
+	// CollectPercent is GOGC, in percent: memory is expensive, and the live heap is small.
 	CollectPercent = 60
-	// LeaderCollectPercent is that of the store that leads (ours).
+	// LeaderCollectPercent is GOGC of the store that is the leader.
 	LeaderCollectPercent = 200
 )
--- a/internal/platform/constants/gossip.go
+++ b/internal/platform/constants/gossip.go
@@ -2,54 +2,56 @@
 
 import "time"
 
-// What placing processes say to each other: all of it is bounded, whatever the size
-// of the fleet.
+// Gossip between the processes that place requests. All of it is bounded, whatever the size of
+// the fleet.
 const (
-	// GossipPeriod is the period of utilization and weight gossip (the source's 1 s).
+	// GossipPeriod is the period of utilization and weight gossip: 1 s, as in the source of the
+	// design.
 	GossipPeriod = time.Second
-	// GossipStale is the age at which a peer's word counts no more: three periods.
+	// GossipStale is the age at which a peer's sample expires: three periods.
 	GossipStale = 3 * GossipPeriod
-	// GossipLoads bounds the load words of a packet (ours): those of a zone with 150
-	// workers, and the packet stays within 1,400 bytes.
+	// GossipLoads is the maximum number of load samples in a packet: those of a zone with 150
+	// workers. With them the packet stays within 1,400 bytes.
 	GossipLoads = 144
-	// GossipMinChange is the age up to which evidence is passed on (ours): older would reach
-	// the age limit before it has served anybody.
+	// GossipMinChange is the maximum age of a load observation that is passed on: an older one
+	// would expire before it is used.
 	GossipMinChange = 2 * GossipPeriod
-	// GossipPrefixes bounds its residency words, and GossipPrefixLeast, in tokens, is
-	// the length from which a prefix is worth one (ours).
+	// GossipPrefixes is the maximum number of residency samples in a packet, and
+	// GossipPrefixLeast the minimum length, in tokens, of a prefix that is worth one.
 	GossipPrefixes    = 16
 	GossipPrefixLeast = 1000
-	// GossipFanout is how many neighbours of the own zone a packet goes to (ours).
+	// GossipFanout is the number of neighbours in its own zone to which a process sends a packet.
 	GossipFanout = 3
-	// LonelyAfter is the silence after which a neighbour no longer counts as telling;
-	// who is told by fewer than two asks those it tells. Each tells TieLimit such at
-	// most, for TieTime (ours).
+	// LonelyAfter is the silence after which a neighbour no longer counts as a sender. A process
+	// with fewer than two senders requests packets from the processes to which it sends. Each
+	// process serves at most TieLimit such requesters, each for TieTime after its last request.
 	LonelyAfter = 2500 * time.Millisecond
 	TieLimit    = 2
 	TieTime     = 20 * time.Second
-	// NeighbourAge is the age of a process's word, over others, up to which it may be
-	// drawn as a neighbour (ours): shuffles take some seconds round a large fleet.
+	// NeighbourAge is the maximum age of the last contact with a process, reported by others
+	// included, for it to be selected as a neighbour. Shuffles take some seconds to spread
+	// through a large fleet.
 	NeighbourAge = 10 * time.Second
-	// ReadingFanout bounds who is told of a long reading (ours): a small fleet whole,
-	// and of a large one those near by.
+	// ReadingFanout is the maximum number of peers that are notified of a long prefill: all of a
+	// small fleet, and the nearest ones of a large fleet.
 	ReadingFanout = 12
-	// PressureFanout is how many stores a word of pressure goes to, and PressureHops
-	// how often it is passed on by them (ours): the cost is the same in any fleet.
+	// PressureFanout is the number of stores to which a pressure notice is sent, and
+	// PressureHops how often they forward it. The cost is the same in a fleet of any size.
 	PressureFanout = 3
 	PressureHops   = 1
 )
 
-// What a process of a large fleet weighs.
+// Selection of workers by a process of a large fleet.
 const (
-	// FullFor is how long it counts at least that a worker was full (ours): a few
-	// requests' length.
+	// FullFor is the minimum time for which an observation that a worker was full counts: the
+	// duration of a few requests.
 	FullFor = 350 * time.Millisecond
-	// SpreadMs is the random part of a plain worker's score (ours): less than the 2 ms
-	// that another zone costs.
+	// SpreadMs is the random part, in ms, of a non-engine worker's score. It is smaller than the
+	// 2 ms that another zone costs.
 	SpreadMs = 1.0
-	// ReachAllUpTo is the number of a service's workers up to which a node weighs them
-	// all; ReachSubset is how many it weighs of more, and ReachHomes how many homes and
-	// holders of a long prefix beside these (ours).
+	// ReachAllUpTo is the number of workers of a service up to which a node considers all of
+	// them. Of more, it considers ReachSubset, and in addition up to ReachHomes home workers
+	// and up to ReachHomes holders of a long prefix.
 	ReachAllUpTo = 24
 	ReachSubset  = 8
 	ReachHomes   = 4
--- a/internal/platform/constants/health.go
+++ b/internal/platform/constants/health.go
@@ -2,65 +2,66 @@
 
 import "time"
 
-// Vitals of workers.
+// Health of workers.
 const (
-	// HealthHalfLife is the time in which an outcome comes to count half (ours): with many
-	// gateways each sees a worker every few seconds, and an illness lasts for seconds.
+	// HealthHalfLife is the half-life of an outcome's weight. With many gateways each one uses a
+	// worker only every few seconds, and a fault lasts for seconds.
 	HealthHalfLife = 6 * time.Second
-	// HealthPrior is how many outcomes the service's usual rate stands for (ours): few,
-	// as the evidence is thin.
+	// HealthPrior is the number of outcomes as which the service's median failure rate counts.
+	// It is small because there are few outcomes per worker.
 	HealthPrior = 1.5
-	// HealthProven is how many complete responses of late make reports of others count for nothing
-	// (ours): an illness may hold for some callers only.
+	// HealthProven is the weight of recent complete responses from which peers' reports about
+	// a worker are ignored: a fault may affect only some callers.
 	HealthProven = 1.5
-	// MildFaultWeight is the weight of what a busy worker that is well does too (ours).
+	// MildFaultWeight is the weight of a fault that a healthy but busy worker also shows.
 	MildFaultWeight = 0.3
-	// SureTimeout is the silence that is surely none of a busy worker (ours): what other
-	// nodes have it read takes up to half a second. Shorter ones count as slowness.
+	// SureTimeout is the silence that load alone can't explain: the prefills that other nodes
+	// place on a worker take up to half a second. A shorter silence counts as slowness.
 	SureTimeout = 500 * time.Millisecond
-	// ErrCost is what a failure costs, in ms of score, where the request can go on
-	// elsewhere, and ErrCostOnce where it can't (ours).
+	// ErrCost is what a failure costs, in ms of score, if the request can be retried at another
+	// worker, and ErrCostOnce if it can't.
 	ErrCost     = 300.0
 	ErrCostOnce = 1200.0
-	// RiskFloor is the rate of failure, over the usual, that costs nothing (ours): one
-	// short silence must not send a long prompt away from the worker that holds it.
+	// RiskFloor is the failure rate above the median that costs nothing: one short silence must
+	// not send a long prompt away from the worker that has its prefix.
 	RiskFloor = 0.12
-	// EjectRate is the rate of failure above which a worker may be ejected, and
-	// EjectOver how many times its service's median it must be (ours).
+	// EjectRate is the failure rate above which a worker may be ejected, and EjectOver the
+	// multiple of its service's median that the rate must also exceed.
 	EjectRate = 0.2
 	EjectOver = 3.0
-	// EjectFor is the time of a first ejection; each further one lasts twice as long,
-	// EjectLevels times at most (ours): 1.2 s up to 9.6 s.
+	// EjectFor is the duration of a first ejection. Each further one lasts twice as long, with
+	// at most EjectLevels doublings: 1.2 s up to 9.6 s.
 	EjectFor    = 1200 * time.Millisecond
 	EjectLevels = 3
-	// EjectForget is the time without failure after which the next ejection is a first
-	// one again (ours).
+	// EjectForget is the time without failure after which the next ejection counts as a first
+	// one again.
 	EjectForget = 20 * time.Second
-	// EjectShare is the part of a service that may be ejected at once (ours): if more
-	// fail, the cause lies elsewhere, perhaps with us.
+	// EjectShare is the share of a service's workers that may be ejected at once. If more fail,
+	// the cause is elsewhere, perhaps in this process.
 	EjectShare = 0.34
-	// UsualPeriod is how long a service's median is kept before it is made anew.
+	// UsualPeriod is how long a service's median failure rate is cached.
 	UsualPeriod = 250 * time.Millisecond
-	// FlapWindow is the time within which an incarnation that follows a dead one at an address
-	// counts as a flap, and FlapDeaths from how many deaths on it is held back (ours):
-	// one crash is no flapping.
+	// FlapWindow is the time within which an incarnation that follows a crashed one at the same
+	// address counts as a flap, and FlapDeaths the number of crashes from which the address is
+	// ejected. One crash is no flapping.
 	FlapWindow = 12 * time.Second
 	FlapDeaths = 2
-	// PaceLeast is how many times must have been seen before silence is judged by them,
-	// and PaceSpread how many mean deviations above the mean are out of the ordinary
-	// (RFC 6298 takes four; too few here, where one in fifty went elsewhere on a quiet day).
+	// PaceLeast is the minimum number of observed latencies for a timeout to be derived from
+	// them, and PaceSpread the number of mean deviations above the mean at which it is set.
+	// RFC 6298 uses four, which is too few here: with it one request in fifty was retried
+	// elsewhere without any fault.
 	PaceLeast  = 6
 	PaceSpread = 6.0
-	// HedgeEarned is what each answer adds to the budget of leaves from silence, and
-	// HedgeBudget its most (ours): at most a fifth of the requests leave.
+	// HedgeEarned is what each response adds to the budget of retries after a silence, and
+	// HedgeBudget the maximum of the budget: at most a fifth of the requests are retried.
 	HedgeEarned = 0.2
 	HedgeBudget = 4.0
-	// HedgeShare is the least part of a first event's aim, or of the longest pause in
-	// time, that silence must last (ours): gone on elsewhere from there, it can still be
-	// in time.
+	// HedgeShare is the minimum silence before a retry, as a share of the latency target of the
+	// first event, or of the longest pause that keeps a stream in time. A request that is
+	// retried at that point can still be in time.
 	HedgeShare = 0.6
-	// SafeIdle is the first guess of how long a connection may be idle and still carry what
-	// must not run twice; SafeIdleLeast and SafeIdleMost bound what is learnt (ours).
+	// SafeIdle is the initial estimate of how long a connection may be idle and still carry a
+	// request that must not run twice. SafeIdleLeast and SafeIdleMost bound the learned value.
 	SafeIdle      = 400 * time.Millisecond
 	SafeIdleLeast = 20 * time.Millisecond
 	SafeIdleMost  = 2 * time.Second
--- a/internal/platform/constants/inbound.go
+++ b/internal/platform/constants/inbound.go
@@ -2,66 +2,70 @@
 
 import "time"
 
-// What clients may make a process hold. None of these is met by a client inside the limits of the
-// configuration while the process has room.
+// Limits on the resources of a process that clients may use. A client that respects the limits of
+// the configuration does not reach any of these while the process has free capacity.
 const (
-	// ClientConnectionsShare is the part of memory-mb that connections may take, and
-	// ClientConnectionBytes what one is reckoned at: stacks and buffers, what its request holds
-	// uncounted, and what has arrived and is not yet read, on it and on one that waits to be accepted.
+	// ClientConnectionsShare is the share of memory-mb that connections may use, and
+	// ClientConnectionBytes the estimate for one connection: stacks and buffers, the uncounted
+	// bytes of its request, and the received bytes that are not yet read, on the connection and
+	// on one that waits to be accepted.
 	ClientConnectionsShare = 0.3
 	ClientConnectionBytes  = 24<<10 + ClientUnmeteredBytes + 4*ClientReceiveBuffer
-	// ClientConnectionsMin is the least number of connections of a listener.
+	// ClientConnectionsMin is the minimum connection limit of a listener.
 	ClientConnectionsMin = 16
-	// ClientBytesShare is the part of memory-mb that heads and bodies may take beyond that.
+	// ClientBytesShare is the share of memory-mb that headers and bodies may use beyond that.
 	ClientBytesShare = 0.2
-	// ClientUnmeteredBytes is what a request may hold without being counted, in bytes: an ordinary
-	// one finds room whatever others hold.
+	// ClientUnmeteredBytes is how many bytes a request may use without being counted, so that an
+	// ordinary request is accepted whatever the others use.
 	ClientUnmeteredBytes = 16 << 10
-	// ClientReceiveBuffer is SO_RCVBUF of a client's connection, in bytes; the system doubles it.
+	// ClientReceiveBuffer is SO_RCVBUF of a client's connection, in bytes. The kernel doubles it.
 	ClientReceiveBuffer = 16 << 10
-	// HeaderLineBytes is what a line of a head holds beside its text, in bytes.
+	// HeaderLineBytes is the memory overhead of a header line besides its text, in bytes.
 	HeaderLineBytes = 160
-	// HeadSlack is how much longer than stated a head may be, in bytes: the limit is that of the
-	// headers, and the request line comes before them.
+	// HeadSlack is how many bytes the request line and the headers may exceed the limit by: the
+	// limit is for the headers, and the request line precedes them.
 	HeadSlack = 4 << 10
-	// ServerHeadMax is what the server itself takes of a head, in bytes: the listener bounds it.
+	// ServerHeadMax is the header limit of http.Server, in bytes. It is that high because the
+	// listener enforces the limit.
 	ServerHeadMax = 1 << 30
-	// LingerBytes and LingerTimeout are what is read and thrown away before a connection ends on
-	// which the client still sends.
+	// LingerBytes and LingerTimeout bound what is read and discarded before a connection is
+	// closed on which the client is still sending.
 	LingerBytes   = 1 << 20
 	LingerTimeout = 300 * time.Millisecond
-	// BodyFirstBytes is the first buffer of a body whose length is not announced, in bytes, and
-	// BodyAnnouncedBytes that of one whose length is, where it is longer.
+	// BodyFirstBytes is the size in bytes of the first buffer of a body of unknown length, and
+	// BodyAnnouncedBytes the maximum size of the first buffer of a body of known length.
 	BodyFirstBytes     = 4 << 10
 	BodyAnnouncedBytes = 16 << 10
-	// FileHandlesReserved are the descriptors that the machine keeps for files, and
-	// ClientHandlesShare the part of the others that a listener's connections may take.
+	// FileHandlesReserved is the number of file descriptors that are reserved for files, and
+	// ClientHandlesShare the share of the others that a listener's connections may use.
 	FileHandlesReserved = 200
 	ClientHandlesShare  = 0.5
-	// ClientGrace is how long a request may be coming before it has to give way as a slow one.
+	// ClientGrace is how long the reception of a request may take before the request can be
+	// dropped as slow to free memory or a connection.
 	ClientGrace = time.Second
-	// ClientRateWindow is the time over which the bytes of a client are counted, to find the slowest.
+	// ClientRateWindow is the time over which the bytes received from a client are counted, to
+	// find the slowest client.
 	ClientRateWindow = time.Second
-	// ClientDeafTime is how long an answer may find no reader before its connection may be closed
-	// for a new one.
+	// ClientDeafTime is how long a client may leave a response unread before its connection may
+	// be closed in favour of a new one.
 	ClientDeafTime = 3 * time.Second
-	// ClientRoomTimeout is how long a request waits for the room that others are giving back.
+	// ClientRoomTimeout is how long a request waits for memory that other requests are freeing.
 	ClientRoomTimeout = 250 * time.Millisecond
-	// ClientRetryAfter is when a request that found no room may come back.
+	// ClientRetryAfter is the Retry-After of a request that was rejected for lack of memory.
 	ClientRetryAfter = 250 * time.Millisecond
-	// ClientRefusalTimeout bounds the writing of a refusal.
+	// ClientRefusalTimeout bounds the writing of a rejection.
 	ClientRefusalTimeout = 100 * time.Millisecond
-	// ClientDrainTimeout is how long the rest of a body is read that nobody wants.
+	// ClientDrainTimeout is how long the rest of a body that is not needed is read and discarded.
 	ClientDrainTimeout = time.Second
-	// ClientBodyMin is the least time that a body may take, whatever time its client has left.
+	// ClientBodyMin is the minimum timeout for reading a body, whatever time its client has left.
 	ClientBodyMin = 100 * time.Millisecond
-	// ClientLogPeriod is the time between two lines of the log about clients that were turned away.
+	// ClientLogPeriod is the time between two log lines about rejected clients.
 	ClientLogPeriod = 10 * time.Second
-	// ControlBodyTimeout is how long a body on the control port may take, and ControlIdle how long
-	// a connection may lie idle there.
+	// ControlBodyTimeout is the timeout for reading a body on the control port, and ControlIdle
+	// the idle timeout of connections there.
 	ControlBodyTimeout = 30 * time.Second
 	ControlIdle        = 60 * time.Second
-	// ReadinessConnections is how many connections the readiness port may have: the platform asks
-	// once a second.
+	// ReadinessConnections is the connection limit of the readiness port. The platform sends one
+	// probe per second.
 	ReadinessConnections = 64
 )
--- a/internal/platform/constants/lab.go
+++ b/internal/platform/constants/lab.go
@@ -2,133 +2,139 @@
 
 import "time"
 
-// The lab: figures of the emulated workers, of the fleets on loopback, and of the
-// load on them. All are ours; none describes a real machine.
+// The lab: settings of the emulated workers, of the fleets on loopback, and of the load on them.
+// None of them describes a real machine.
 const (
-	// EmulatorEventLimit: most steps of an engine done in one go after a late timer, so
-	// that a stalled machine does not spin.
+	// EmulatorEventLimit is the maximum number of engine steps after a late timer, so that a
+	// stalled machine does not spin.
 	EmulatorEventLimit = 1000
-	// EmulatorOutLimit: most tokens that one request may ask for.
+	// EmulatorOutLimit is the maximum number of tokens that one request may ask for.
 	EmulatorOutLimit = 1 << 20
-	// EmulatorRunLimit: runs that a record keeps; 200 bytes each.
+	// EmulatorRunLimit is the maximum number of runs that a record contains, at 200 bytes each.
 	EmulatorRunLimit = 200_000
-	// EmulatorIdle: an idle connection to an emulated worker is closed after it, and
-	// Keep-Alive says so in whole seconds.
+	// EmulatorIdle is the time after which an idle connection to an emulated worker is closed.
+	// The Keep-Alive header states it in whole seconds.
 	EmulatorIdle = 10 * time.Second
-	// EmulatorHeartbeatWait: how long a worker waits for the answer to a call (protocol).
+	// EmulatorHeartbeatWait is how long a worker waits for the response to a call (PROTOCOL).
 	EmulatorHeartbeatWait = time.Second
-	// EmulatorHeartbeatBytes: the largest answer to a call that a worker reads (protocol).
+	// EmulatorHeartbeatBytes is the maximum size in bytes of a response that a worker reads
+	// (PROTOCOL).
 	EmulatorHeartbeatBytes = 4 << 10
-	// EmulatorRedirects: 307s that a caller follows (protocol).
+	// EmulatorRedirects is the maximum number of 307 responses that a caller follows (PROTOCOL).
 	EmulatorRedirects = 2
-	// EmulatorWarmupSlow: how many times as long a step takes during the warm-up.
+	// EmulatorWarmupSlow is the factor by which a step takes longer during the warm-up.
 	EmulatorWarmupSlow = 2
-	// EmulatorReportAge: a report tells how things stood so long ago (protocol: some
-	// hundred ms).
+	// EmulatorReportAge is the age of the state in a report (PROTOCOL: some hundred ms).
 	EmulatorReportAge = 200 * time.Millisecond
-	// EmulatorLeaveSlack: how much longer than drain-ms a leaving worker serves.
+	// EmulatorLeaveSlack is how much longer than drain-ms a draining worker serves.
 	EmulatorLeaveSlack = 300 * time.Millisecond
 
-	// The ports of a lab's fleet: every node has an address of its own on loopback, so
-	// ports may be alike. All lie below those that the kernel gives out itself.
+	// The ports of a lab fleet. Every node has a loopback address of its own, so all nodes use
+	// the same ports. All are below the kernel's ephemeral port range.
 	LabIngressPort  = 7101
 	LabReadyPort    = 7102
 	LabControlPort  = 7103
 	LabEndpointPort = 7100
 	LabWorkerPort   = 7110
 	LabInternalPort = 7660
-	// LabNetwork: the first three bytes of the addresses, where none are named.
+	// LabNetwork is the default of the first three bytes of the addresses.
 	LabNetwork = "127.0.71"
-	// LabEdgeHost, LabStoreHost, LabWorkerHost: the last byte of the first of each.
+	// LabEndpointHost, LabEdgeHost, LabStoreHost and LabWorkerHost are the last byte of the
+	// first address of each kind.
 	LabEndpointHost = 1
 	LabEdgeHost     = 11
 	LabStoreHost    = 61
 	LabWorkerHost   = 101
 
-	// LabStartLimit: a fleet that does not serve by then has failed to start.
+	// LabStartLimit is the time after which a fleet that does not serve has failed to start.
 	LabStartLimit = 30 * time.Second
-	// LabRetry: pause between two looks at something that is starting.
+	// LabRetry is the pause between two checks of something that is starting.
 	LabRetry = 100 * time.Millisecond
-	// LabGrace: between SIGTERM and SIGKILL of a fleet's process.
+	// LabGrace is the time between SIGTERM and SIGKILL of a fleet's process.
 	LabGrace = 5 * time.Second
-	// LabRestart: pause before a killed process is started again.
+	// LabRestart is the minimum pause before a killed process is restarted.
 	LabRestart = 500 * time.Millisecond
-	// LabProcesses: most real processes in one fleet.
+	// LabProcesses is the maximum number of real processes in one fleet.
 	LabProcesses = 40
-	// LabMemoryMB, LabDiskMB and LabFileHandles: what the settings files grant each process
-	// where the plan says nothing else.
+	// LabMemoryMB, LabDiskMB and LabFileHandles are the limits in the settings file of each
+	// process if the plan contains none.
 	LabMemoryMB    = 256
 	LabDiskMB      = 256
 	LabFileHandles = 4000
-	// LabMemoryMBMax and LabFileHandlesMax: the most that a plan may grant.
+	// LabMemoryMBMax and LabFileHandlesMax are the upper limits of what a plan may grant.
 	LabMemoryMBMax    = 4096
 	LabFileHandlesMax = 65536
-	// LabHeartbeat: pause between two heartbeats of an emulated worker.
+	// LabHeartbeat is the time between two heartbeats of an emulated worker.
 	LabHeartbeat = time.Second
-	// LabConnLimit: connections to one emulated worker.
+	// LabConnLimit is the connection limit of one emulated worker.
 	LabConnLimit = 200
-	// LabPlainWork and LabPlainSlots: a plain request's time on an empty worker, and
-	// how many run at once.
+	// LabPlainWork is the time that a plain request takes on an idle worker, and LabPlainSlots
+	// the number of requests that run concurrently.
 	LabPlainWork  = 15 * time.Millisecond
 	LabPlainSlots = 6
-	// LabStep and LabStepEach: time of one token, and what each running request adds.
-	// Large enough that a machine's timers keep up with a hundred workers.
+	// LabStep is the time of one token, and LabStepEach what each running request adds. They are
+	// large enough for a machine's timers to keep up with a hundred workers.
 	LabStep     = 4 * time.Millisecond
 	LabStepEach = 500 * time.Microsecond
-	// LabReadPerMs: prompt tokens read in a ms; LabStride: tokens in an event.
+	// LabReadPerMs is the prefill rate in prompt tokens per ms, and LabStride the number of
+	// tokens in an event.
 	LabReadPerMs = 100
 	LabStride    = 4
-	// LabWarmup: how long a new incarnation is slow.
+	// LabWarmup is how long a new incarnation is slow.
 	LabWarmup = 2 * time.Second
-	// LabDrainMs: drain-ms of a fleet's settings.
+	// LabDrainMs is drain-ms in a fleet's settings.
 	LabDrainMs = 2000
 
-	// JobResponseLimit: the largest answer read; a page holds 1 MB of texts (protocol),
-	// and a text may grow sixfold as JSON.
+	// JobResponseLimit is the maximum size in bytes of a response that is read. A page contains
+	// 1 MB of texts (PROTOCOL), and a text may grow sixfold when encoded as JSON.
 	JobResponseLimit = 8 << 20
-	// JobCallTimeout: how long a call on a job may take before it is made elsewhere.
+	// JobCallTimeout is the timeout of a call on a job, after which it is retried elsewhere.
 	JobCallTimeout = 5 * time.Second
-	// JobReadSlack: how much longer than it allows a reader waits (protocol).
+	// JobReadSlack is how much longer than the wait that it allows the server a reader waits
+	// (PROTOCOL).
 	JobReadSlack = 1500 * time.Millisecond
 
-	// LoadCount, LoadTime, LoadRate: bounds of one load run.
+	// LoadCount, LoadTime and LoadRate are the upper limits of a load run: requests, duration,
+	// and requests per second.
 	LoadCount = 1_000_000
 	LoadTime  = time.Hour
 	LoadRate  = 5000
-	// LoadOpen: requests under way at once; what would go beyond is counted as not sent.
+	// LoadOpen is the maximum number of requests in flight. Further ones count as not sent.
 	LoadOpen = 4000
-	// LoadLate: share of the worth of an answer that comes after its aim.
+	// LoadLate is the share of a response's value that remains after its latency target.
 	LoadLate = 0.3
-	// LoadProgress: pause between two lines of progress.
+	// LoadProgress is the time between two progress lines.
 	LoadProgress = 5 * time.Second
-	// LoadDigits: significant digits of the histograms.
+	// LoadDigits is the number of significant digits of the histograms.
 	LoadDigits = 3
-	// LoadJobSeed sets the random draws of jobs apart from those of requests.
+	// LoadJobSeed is added to the seed for jobs, so that their random sequence differs from that
+	// of the requests.
 	LoadJobSeed = 7919
-	// LoadPlotSteps: points of a line in a plot, each for half of what the one before
-	// left over; LoadLegendWidth widens the axis for the legend.
+	// LoadPlotSteps is the number of points of a line in a plot, each for half of what the
+	// previous one left. LoadLegendWidth is the factor by which the axis is widened for the legend.
 	LoadPlotSteps   = 12
 	LoadLegendWidth = 5
-	// LoadFindings: broken promises that a report names; the others are counted.
+	// LoadFindings is the maximum number of violated guarantees that a report names. Further
+	// ones are counted.
 	LoadFindings = 20
-	// LoadDrain: how long a run waits for responses and jobs once it has sent everything.
+	// LoadDrain is how long a run waits for responses and jobs after it has sent everything.
 	LoadDrain = 20 * time.Second
-	// LoadTimeout: a client gives a stream up after this silence at least (protocol).
+	// LoadTimeout is the minimum silence after which a client abandons a stream (PROTOCOL).
 	LoadTimeout = 2 * time.Second
-	// LoadPollBackoff: between two reads of a job (protocol: about twice a second).
+	// LoadPollBackoff is the time between two reads of a job (PROTOCOL: about twice a second).
 	LoadPollBackoff = 500 * time.Millisecond
 )
 
-// Bounds of a soak (tooling/soak; ours).
+// Limits of a soak run (tooling/soak).
 const (
-	// SoakMinDuration holds one trouble of a process with a disk, and its repair.
+	// SoakMinDuration is long enough for one fault of a process with a disk, and its repair.
 	SoakMinDuration = 15 * time.Second
-	// SoakMinProcesses are three controllers, three stores and two gateways.
+	// SoakMinProcesses is three controllers, three stores and two gateways.
 	SoakMinProcesses = 8
-	// SoakQuietEnd is how long nothing more befalls the fleet at the end: a stop in order takes
-	// LabGrace at most.
+	// SoakQuietEnd is the time at the end of a run without faults. An orderly stop takes LabGrace
+	// at most.
 	SoakQuietEnd = LabGrace + time.Second
-	// SoakRepairTime is the time between two losses among the processes with a disk: sync-s of the
-	// lab's settings, and the restart before it.
+	// SoakRepairTime is the time between two losses of processes with a disk: sync-s of the lab's
+	// settings, and the restart before it.
 	SoakRepairTime = 8 * time.Second
 )
--- a/internal/platform/constants/pace.go
+++ b/internal/platform/constants/pace.go
@@ -4,51 +4,51 @@
 
 // Slow machines and disks.
 const (
-	// SlownessPeriod is the time between two measurements of a machine's pace (ours).
+	// SlownessPeriod is the time between two measurements of a machine's speed.
 	SlownessPeriod = 250 * time.Millisecond
-	// SlownessWindow is how many measurements must all be long (ours): a second's.
+	// SlownessWindow is how many consecutive measurements must all be slow: one second's worth.
 	SlownessWindow = 4
-	// SlownessFactor is how many times the best time counts as slow (ours).
+	// SlownessFactor is the multiple of the best time above which a measurement is slow.
 	SlownessFactor = 3
-	// LagWeight is the weight of a store's newest time in its mean (ours).
+	// LagWeight is the weight of the newest latency of a store in its moving average.
 	LagWeight = 0.2
-	// LagLeast is how many times must be known of a store (ours).
+	// LagLeast is the minimum number of latencies of a store for it to be judged or compared.
 	LagLeast = 6
-	// LagFactor is how many times the usual counts as slow, and LagFloorMs, in ms, the
-	// least that does (ours): below it a takeover costs more than it brings.
+	// LagFactor is the multiple of the usual latency above which a store is slow, and LagFloorMs
+	// the minimum latency, in ms, that counts as slow. Below it, a takeover costs more than it
+	// gains.
 	LagFactor  = 4.0
 	LagFloorMs = 25.0
-	// CopyGap is how many records a joiner may lack of what is durable when the
-	// holder sends it the rest itself (ours): a part of a second's.
+	// CopyGap is how many durable records a joiner may lack when the leader sends the rest
+	// directly: the records of a fraction of a second.
 	CopyGap = 64
-	// CopyRetries is how many further members a joiner is sent to after a copy that ended
-	// early (ours): the leader's own link carries every new record already.
+	// CopyRetries is how many further members a joiner copies from after a copy that ended
+	// early. The leader's own link already carries every new record.
 	CopyRetries = 3
-	// ResignBackoff is the least time between two times that a process gives its leadership
-	// up for being slow (ours).
+	// ResignBackoff is the minimum time between two resignations of a process because it is slow.
 	ResignBackoff = 10 * time.Second
-	// YieldTime is how long a slow process leaves the leadership to others (ours); after
-	// that a slow holder is better than none.
+	// YieldTime is how long a slow process leaves the leadership to others. After it, a slow
+	// leader is better than none.
 	YieldTime = 2 * time.Second
-	// AppendSpacing is the least time from the beginning of one order to a store to the next
-	// (ours): a small part of what callers wait for anyway.
+	// AppendSpacing is the minimum time from the start of one append to a store to the start of
+	// the next: a small part of the time that callers wait anyway.
 	AppendSpacing = 8 * time.Millisecond
-	// ForwardMembers is how many other members a set has at least for records to be passed on
-	// (ours): of fewer, the loss of the one that passes them on would leave too few copies until
-	// ForwardTimeout.
+	// ForwardMembers is the minimum number of other members in a set for records to be forwarded
+	// between them. With fewer, the loss of the forwarding member would leave too few copies
+	// until ForwardTimeout.
 	ForwardMembers = 4
-	// ForwardTimeout is how long a store that gets its records passed on may lack what the one
-	// that passes them on has confirmed, before the leader sends to it directly (ours): several
-	// times what a sync and two hops take on a busy store. ForwardUpstreamTimeout is the same
-	// for a store that passes records on and confirms none itself (ours): orders of a megabyte
-	// take a second on a full link.
+	// ForwardTimeout is how long a store that receives its records from a forwarding store may
+	// lack what that store has confirmed before the leader sends to it directly: several times
+	// what a sync and two hops take on a busy store. ForwardUpstreamTimeout is the same if the
+	// forwarding store itself confirms no records: appends of a megabyte take a second on a
+	// saturated link.
 	ForwardTimeout         = 400 * time.Millisecond
 	ForwardUpstreamTimeout = 2 * time.Second
-	// ForwardBackoff is for how long a store is then fed directly, doubled with each failure in
-	// a row, ForwardBackoffSteps times at most (ours).
+	// ForwardBackoff is how long the leader then sends to that store directly. It doubles with
+	// each consecutive failure, up to ForwardBackoffSteps failures.
 	ForwardBackoff      = 2 * time.Second
 	ForwardBackoffSteps = 4
-	// ForwardQueue is how many orders wait at a store to be passed on to another (ours); what
-	// finds it full is dropped, and the leader sends it itself.
+	// ForwardQueue is how many appends may wait at a store to be forwarded to another one. An
+	// append that finds the queue full is dropped, and the leader sends it.
 	ForwardQueue = 8
 )
--- a/internal/platform/constants/replicas.go
+++ b/internal/platform/constants/replicas.go
@@ -2,43 +2,43 @@
 
 import "time"
 
-// Constants of the dispatcher's order and of the stores' files.
+// The order of the dispatcher, and the files of the stores.
 const (
-	// RankPeriod is how long the order of open jobs by due time is kept (ours): it is
-	// the order alone that may be this old.
+	// RankPeriod is how long the order of open jobs by due time is cached. Only the order may be
+	// this old.
 	RankPeriod = 50 * time.Millisecond
-	// RewriteRecords is the least number of records that say nothing any more at which
-	// a store's file is rewritten, however short it is (ours).
+	// RewriteRecords is the minimum number of obsolete records at which a store's file is
+	// rewritten, whatever its size.
 	RewriteRecords = 4096
-	// RewriteLag is for how long records have been durable before a rewrite drops any of
-	// them (ours): a member that is further behind has to be copied anew.
+	// RewriteLag is how long records must have been durable before a rewrite drops any of them.
+	// A member that lags further behind has to be copied anew.
 	RewriteLag = 20 * time.Second
-	// SetAgreementTimeout is how long a change of the store set may wait for the set to come to
-	// hold everything (ours): as long as a member may be silent before it counts as such. It is
-	// then given up, since a member that is silent for longer may need another change.
+	// SetAgreementTimeout is how long a change of the store set may wait until the new set stores
+	// all records: as long as a member may be silent before it counts as silent. The change is
+	// then abandoned, since a member that is silent for longer may require another change.
 	SetAgreementTimeout = SuspectAfter
-	// JoinerWait is how much longer than the first joiner of a change the others
-	// may take, beside as long again (ours).
+	// JoinerWait is how much longer than twice the time of the first joiner the other joiners of
+	// a change may take.
 	JoinerWait = time.Second
-	// IntakeBytes is how many bytes of jobs are on their way to the leader or to the stores at
-	// once (ours): a fifth of a second of the slowest links, and enough to keep them busy.
+	// IntakeBytes is the maximum number of bytes of jobs in transit to the leader or to the
+	// stores: a fifth of a second of the slowest links, and enough to keep them busy.
 	IntakeBytes = 2 << 20
-	// IntakeTime is for how long a job that was asked for counts without having come (ours).
+	// IntakeTime is how long a job that was admitted counts as in transit if it does not arrive.
 	IntakeTime = 2 * time.Second
-	// OfferMinBytes is the least length of a job that is offered first (ours): a shorter one is
-	// sent at once.
+	// OfferMinBytes is the minimum size in bytes of a job that is offered before it is sent. A
+	// smaller one is sent at once.
 	OfferMinBytes = 4 << 10
-	// OfferWait is how long an offer waits at the leader (ours).
+	// OfferWait is how long an offer waits at the leader.
 	OfferWait = 700 * time.Millisecond
-	// JobInputShare is the part of a store's memory that the inputs of items that wait may take
-	// where it leads, RunningInputShare that of the items that it runs.
+	// JobInputShare is the share of a store's memory that the inputs of waiting items may use
+	// while it is the leader, and RunningInputShare that of the items that it runs.
 	JobInputShare     = 0.15
 	RunningInputShare = 0.05
-	// AcquireBytes is how many bytes of inputs an executor is handed at a time, in whole items.
+	// AcquireBytes is how many bytes of inputs an executor receives at a time, in whole items.
 	AcquireBytes = 1 << 20
-	// DiskShare is the part of a store's disk that jobs may come to fill, with the outputs that
-	// are still to come (ours): the rest is for what the estimate misses.
+	// DiskShare is the share of a store's disk that jobs may use, with the outputs that are
+	// still expected. The rest is for errors of the estimate.
 	DiskShare = 0.85
-	// OutputBytesGuess is the mean length of an output before any was seen (ours).
+	// OutputBytesGuess is the estimate of the mean output size in bytes before the first output.
 	OutputBytesGuess = 1024
 )
--- a/internal/platform/constants/roles.go
+++ b/internal/platform/constants/roles.go
@@ -1,11 +1,11 @@
 package constants
 
-// roleNames gives the program of each role. On the wire the roles keep the words that
-// earlier versions know, so that versions mix.
+// roleNames maps a role on the wire to its program. The roles on the wire keep the names that
+// earlier versions use, so that different versions can run in one fleet.
 var roleNames = map[string]string{"forge": "gateway", "foreman": "controller", "locker": "store"}
 
-// RoleName gives the name of a role for people and programs, from its word on the wire.
-// A word that is not known stays as it is.
+// RoleName returns the name of a role for people and programs, given its name on the wire. An
+// unknown name is returned unchanged.
 func RoleName(wire string) string {
 	if name, known := roleNames[wire]; known {
 		return name
