--- a/internal/platform/clock/day.go
+++ b/internal/platform/clock/day.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// DayMinute gives the minute of the day by the machine's own time of day.
+// DayMinute returns the minute of the day in the machine's local time.
 func DayMinute() int {
 	now := time.Now()
 	return now.Hour()*60 + now.Minute()
--- a/internal/platform/contexts/contexts.go
+++ b/internal/platform/contexts/contexts.go
@@ -1,4 +1,4 @@
-// Package contexts wraps context, so that few files import it.
+// Package contexts wraps package context, so that only few files import it.
 package contexts
 
 import (
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// Context is a piece of work that can be cancelled.
+// Context is the context of an operation that can be cancelled.
 type Context = context.Context
 
-// Background is the context that is never cancelled.
+// Background returns the context that is never cancelled.
 func Background() Context { return context.Background() }
 
-// AfterFunc runs a function once the context is cancelled; halt undoes it.
-func AfterFunc(parent Context, function func()) (halt func()) {
-	stop := context.AfterFunc(parent, function)
-	return func() { stop() }
+// AfterFunc runs a function once the context is cancelled. Calling stop removes the function.
+func AfterFunc(parent Context, function func()) (stop func()) {
+	remove := context.AfterFunc(parent, function)
+	return func() { remove() }
 }
 
-// WithTimeout gives a context that is cancelled after a duration.
+// WithTimeout returns a context that is cancelled after a timeout.
 func WithTimeout(parent Context, timeout time.Duration) (Context, func()) {
 	return context.WithTimeout(parent, timeout)
 }
 
-// WithCancel gives a context that its maker may cancel.
+// WithCancel returns a context and the function that cancels it.
 func WithCancel(parent Context) (Context, func()) { return context.WithCancel(parent) }
 
-// WithValue gives a context that carries a value.
+// WithValue returns a context with an additional value.
 func WithValue(parent Context, key, value any) Context { return context.WithValue(parent, key, value) }
--- a/internal/platform/errs/errs.go
+++ b/internal/platform/errs/errs.go
@@ -1,31 +1,32 @@
-// Package errs wraps and names every error of the project. Each layer has its
-// own kinds and turns those from below into them.
+// Package errs defines the error types of the project. Each layer has its own error kinds and wraps
+// the errors of lower layers in them.
 package errs
 
 import "github.com/rotisserie/eris"
 
-// Kind names a class of errors of one layer: the type of the Err... values.
-type Kind struct { //nolint:errname // a class of errors, not an error that happened
+// Kind is a class of errors of one layer: the type of the Err... values.
+type Kind struct { //nolint:errname // a class of errors, not a single error
 	name string
 }
 
-// Error is an error of a kind, with what caused it.
+// Error is an error of a kind, with its cause if there is one.
 type Error struct {
 	kind  *Kind
 	text  string
 	cause error
 }
 
-// Define makes a new kind; it is also a sentinel without a stack for hot paths.
+// Define returns a new kind. A kind can also be used as a sentinel error, without a stack trace, in
+// hot paths.
 func Define(name string) *Kind { return &Kind{name: name} }
 
-// Error gives the name of the kind.
+// Error returns the name of the kind.
 func (k *Kind) Error() string { return k.name }
 
-// New makes an error of this kind.
+// New returns an error of this kind.
 func (k *Kind) New(text string) error { return &Error{kind: k, text: text} }
 
-// Wrap turns an error from below into one of this kind; nil stays nil.
+// Wrap returns an error of this kind with a cause. It returns nil if the cause is nil.
 func (k *Kind) Wrap(cause error, text string) error {
 	if cause == nil {
 		return nil
@@ -33,7 +34,7 @@
 	return &Error{kind: k, text: text, cause: cause}
 }
 
-// Error gives kind, text and cause on one line.
+// Error returns the kind, text and cause on one line.
 func (e *Error) Error() string {
 	line := e.kind.name + ": " + e.text
 	if e.cause != nil {
@@ -42,14 +43,14 @@
 	return line
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Is tells whether the target is this error's kind.
+// Is reports whether the target is this error's kind.
 func (e *Error) Is(target error) bool {
 	kind, isKind := target.(*Kind)
 	return isKind && kind == e.kind
 }
 
-// Is tells whether any error in the chain is of the kind.
+// Is reports whether any error in the chain is of the kind.
 func Is(chain error, kind *Kind) bool { return eris.Is(chain, kind) }
--- a/internal/platform/httpreply/httpreply.go
+++ b/internal/platform/httpreply/httpreply.go
@@ -1,5 +1,5 @@
-// Package httpreply holds the answers of the system's own: small wrappers so that
-// few files write statuses and bodies by hand.
+// Package httpreply writes the HTTP responses that the system itself generates, so that only few
+// files write statuses and bodies directly.
 package httpreply
 
 import (
@@ -13,14 +13,14 @@
 	"lemonarch/internal/platform/inbound"
 )
 
-// Writer is where an answer is written.
+// Writer is the destination of a response.
 type Writer = http.ResponseWriter
 
-// JSON writes a body with a status.
+// JSON writes a response with a status and a JSON body.
 func JSON(writer Writer, status int, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
-		// An own value that can't be written is a fault of ours, and says so.
+		// All values come from the system itself, so a failure to encode one is a server error.
 		Text(writer, http.StatusInternalServerError, "answer can't be written")
 		return
 	}
@@ -30,12 +30,12 @@
 	_, _ = writer.Write(body)
 }
 
-// Error writes a status with a reason in a JSON body.
+// Error writes a response with a status and a reason in a JSON body.
 func Error(writer Writer, status int, reason string) {
 	JSON(writer, status, map[string]string{"error": reason})
 }
 
-// Text writes a short plain body.
+// Text writes a response with a status and a short plain-text body.
 func Text(writer Writer, status int, text string) {
 	writer.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	writer.Header().Set("Content-Length", strconv.Itoa(len(text)))
@@ -43,23 +43,24 @@
 	_, _ = writer.Write([]byte(text))
 }
 
-// RetryAfter refuses with the promise that nothing ran or will run, and says when to
-// come back.
+// RetryAfter rejects a request. The response guarantees that nothing was or will be executed, and
+// states when to retry.
 func RetryAfter(writer Writer, status int, timeout clock.Duration) {
 	writer.Header().Set("Retry-After", strconv.FormatFloat(timeout.Seconds(), 'f', 3, 64))
 	Text(writer, status, "no room now")
 }
 
-// Bytes writes a body as it stands.
-func Bytes(writer Writer, status int, kind string, body []byte) {
-	writer.Header().Set("Content-Type", kind)
+// Bytes writes a response with an encoded body.
+func Bytes(writer Writer, status int, contentType string, body []byte) {
+	writer.Header().Set("Content-Type", contentType)
 	writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	writer.WriteHeader(status)
 	_, _ = writer.Write(body)
 }
 
-// ReadBody reads a request's body of up to limit bytes, of which the handler makes a number of
-// copies, its own included. Where that fails it answers with 413, 408, 503 or 400, and gives false.
+// ReadBody reads a request's body of up to limit bytes, of which the handler needs memory for a
+// number of copies, the body itself included. If that fails, it responds with 413, 408, 503 or 400
+// and returns false.
 func ReadBody(writer Writer, request *http.Request, limit, copies int64) ([]byte, bool) {
 	body, err := inbound.Body{Limit: limit, Copies: copies, Timeout: constants.ControlBodyTimeout}.Read(writer, request)
 	if err != nil {
@@ -69,8 +70,9 @@
 	return body, true
 }
 
-// RefuseBody answers a request whose body was not read whole, by the error of inbound.Body, and
-// ends its connection: what follows on it is no request. Nothing ran and nothing will.
+// RefuseBody responds to a request whose body was not read completely, according to the error of
+// inbound.Body, and closes its connection, since the bytes that follow on it are not a request.
+// Nothing was or will be executed.
 func RefuseBody(writer Writer, err error) {
 	writer.Header().Set("Connection", "close")
 	switch {
--- a/internal/platform/messages/dispatch.go
+++ b/internal/platform/messages/dispatch.go
@@ -1,18 +1,18 @@
 package messages
 
-// ServiceCapacity is how many items a driver has places for at a service.
+// ServiceCapacity is the number of free slots for items that an executor has at a service.
 type ServiceCapacity struct {
 	Service string `msg:"s"`
 	Count   int    `msg:"c"`
 }
 
-// ExecutorInfo is an executor that was in contact with the dispatcher lately.
+// ExecutorInfo is an executor that was in contact with the dispatcher recently.
 type ExecutorInfo struct {
 	Name string `msg:"n"`
 	Zone string `msg:"h"`
 }
 
-// AcquireRequest asks the dispatcher for items; it may be held until there are some.
+// AcquireRequest asks the dispatcher for items. The response may be delayed until there are some.
 type AcquireRequest struct {
 	Executor    string            `msg:"d"`
 	Incarnation int64             `msg:"l"`
@@ -20,7 +20,7 @@
 	Capacity    []ServiceCapacity `msg:"r"`
 	WaitMs      int               `msg:"h"`
 	Zone        string            `msg:"z"`
-	// KnownVersion is the version of the list of drivers that the asker has.
+	// KnownVersion is the version of the list of executors that the requester has.
 	KnownVersion uint64 `msg:"k"`
 }
 
@@ -32,48 +32,49 @@
 	Path        string  `msg:"p"`
 	SubmittedMs int64   `msg:"t"`
 	Item        JobItem `msg:"i"`
-	// LastID and Pieces are the events that an earlier RELEASE brought back.
+	// LastID and Events are the events of an earlier attempt that its RELEASE returned.
 	LastID    int64    `msg:"e"`
 	Events    [][]byte `msg:"g"`
 	Preempted int      `msg:"y"`
 	Owed      bool     `msg:"o"`
 }
 
-// AcquireResponse answers with items, each for the lock's length from its handing out.
+// AcquireResponse contains items, each locked for LockMs from the time at which it was acquired.
 type AcquireResponse struct {
 	NotLeader bool   `msg:"e"`
 	Leader    string `msg:"h"`
-	// WaitedMs is how long the request was held, so that a driver can reckon the lock
-	// from its asking; LockMs is the lock's length.
+	// WaitedMs is how long the response was delayed, so that an executor can compute the end of
+	// the lock from the time of its request. LockMs is the length of the lock.
 	WaitedMs float64        `msg:"w"`
 	LockMs   float64        `msg:"k"`
 	Items    []AcquiredItem `msg:"i"`
-	// Version names the list of drivers; it comes only where it is new to the asker.
+	// Version is the version of the list of executors, which is set only if it is new to the
+	// requester.
 	Version   uint64         `msg:"v"`
 	Executors []ExecutorInfo `msg:"d"`
 }
 
-// Acknowledgement is one driver's word on one acquisition.
+// Acknowledgement is an executor's acknowledgement of one acquisition.
 type Acknowledgement struct {
 	Number uint64  `msg:"n"`
 	Kind   AckKind `msg:"k"`
 	Job    string  `msg:"l"`
 	Item   string  `msg:"i"`
-	// Output is the complete output of an ACCEPT.
+	// Output is the complete output, for an ACCEPT.
 	Output []byte `msg:"t"`
-	// Compressed says that the text is compressed (DEFLATE).
+	// Compressed is set if Output is compressed (DEFLATE).
 	Compressed bool `msg:"z"`
-	// Events and LastID are the events that a RELEASE gives back, from the first on.
+	// Events and LastID are the events that a RELEASE returns, from the first event on.
 	Events [][]byte `msg:"g"`
 	LastID int64    `msg:"e"`
-	// Failed marks a RELEASE after a 500, Preempted one that yielded, Unstarted one
-	// that found no place.
+	// Failed marks a RELEASE after a 500, Preempted one after a preemption, NotStarted one of an
+	// item that found no free slot.
 	Failed     bool `msg:"f"`
 	Preempted  bool `msg:"y"`
 	NotStarted bool `msg:"u"`
 }
 
-// AcknowledgeRequest carries a batch of them.
+// AcknowledgeRequest contains a batch of acknowledgements.
 type AcknowledgeRequest struct {
 	Executor     string            `msg:"d"`
 	Incarnation  int64             `msg:"l"`
@@ -81,14 +82,15 @@
 	Entries      []Acknowledgement `msg:"e"`
 	Zone         string            `msg:"z"`
 	KnownVersion uint64            `msg:"k"`
-	// Draining says that the driver will ask no more.
+	// Draining is set if the executor will send no more requests for items.
 	Draining bool `msg:"g"`
-	// Epoch, where not zero, says that the entries are all that the driver holds, and
-	// that it takes nothing of epochs before this one any more.
+	// Epoch, if not zero, means that the entries cover all acquisitions of the executor, and that
+	// the executor no longer accepts acquisitions of epochs before this one.
 	Epoch uint64 `msg:"p"`
 }
 
-// AcknowledgeResponse answers entry by entry, ACCEPT and REJECT once they are durable.
+// AcknowledgeResponse contains a verdict for each entry. It is sent once ACCEPT and REJECT entries
+// are durable.
 type AcknowledgeResponse struct {
 	NotLeader bool           `msg:"e"`
 	Leader    string         `msg:"h"`
@@ -97,7 +99,7 @@
 	Executors []ExecutorInfo `msg:"d"`
 }
 
-// StopJobRequest tells an executor that a job has ended.
+// StopJobRequest notifies an executor that a job has ended.
 type StopJobRequest struct {
 	Job string `msg:"l"`
 }
--- a/internal/platform/messages/golden_test.go
+++ b/internal/platform/messages/golden_test.go
@@ -10,15 +10,15 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// message is what the code generator gives each message.
+// message is implemented by the generated code of each message.
 type message interface {
 	msgp.Marshaler
 	msgp.Unmarshaler
 }
 
-// goldenMessages makes an empty message for each line of testdata/golden.txt. The keys
-// are the names that the messages had when that file was made, before a Go name was
-// changed; they stay, since the file does.
+// goldenMessages creates an empty message for each line of testdata/golden.txt. The keys are the
+// names of the messages at the time the file was made. They stay when a Go name changes, since the
+// file does.
 var goldenMessages = map[string]func() message{
 	"Accept":          func() message { return new(AcceptRequest) },
 	"Accepted":        func() message { return new(AcceptResponse) },
@@ -110,7 +110,7 @@
 	"WorkersRecalled": func() message { return new(WorkersRecoverResponse) },
 }
 
-// readGolden gives the encoded messages by the name they had when the file was made.
+// readGolden returns the encoded messages by the name that they had when the file was made.
 func readGolden(t *testing.T) map[string][]byte {
 	t.Helper()
 	text, err := os.ReadFile("testdata/golden.txt")
@@ -129,28 +129,29 @@
 	return golden
 }
 
-// TestGoldenMessages reads each message as an earlier version wrote it, with all fields
-// set, and writes the same bytes again: a tag or the form of a field that changed would
-// cut a mixed fleet in two, or leave a file of data-dir unread.
+// TestGoldenMessages decodes each message as encoded by an earlier version, with all fields set, and
+// encodes it to the same bytes. It guards against a change of a tag or of a field's encoding, with
+// which processes of different versions could not communicate, or files in data-dir could not be
+// read.
 func TestGoldenMessages(t *testing.T) {
 	golden := readGolden(t)
 	for name, body := range golden {
 		t.Run(name, func(t *testing.T) {
 			create := goldenMessages[name]
 			if create == nil {
-				t.Fatal("no message reads it")
+				t.Fatal("no message type for this golden form")
 			}
 			decoded := create()
 			rest, err := decoded.UnmarshalMsg(body)
 			if err != nil || len(rest) > 0 {
-				t.Fatalf("not read: %v, %d bytes left", err, len(rest))
+				t.Fatalf("decode: %v, %d bytes left, want 0", err, len(rest))
 			}
 			again, err := decoded.MarshalMsg(nil)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if !bytes.Equal(again, body) {
-				t.Errorf("was %x, is %x", body, again)
+				t.Errorf("golden form %x, encoded as %x", body, again)
 			}
 		})
 	}
@@ -161,8 +162,7 @@
 	}
 }
 
-// TestGoldenNumbers holds the numbers of kinds and enums, which stand on the wire and on
-// disk.
+// TestGoldenNumbers checks the numbers of kinds and enums, which are used on the wire and on disk.
 func TestGoldenNumbers(t *testing.T) {
 	kinds := []Kind{KindNone, KindShuffle, KindPrepare, KindAccept, KindLease, KindConfigPush, KindConfigPull, KindWorkersUpdate,
 		KindWorkersPull, KindGossip, KindJobCall, KindFence, KindAppend, KindFetch, KindLeaderAnnouncement, KindStatus,
@@ -184,7 +184,7 @@
 	t.Helper()
 	for i, value := range values {
 		if int(value) != i {
-			t.Errorf("%T: value at %d is %d", value, i, value)
+			t.Errorf("%T: value at position %d is %d, want the position", value, i, value)
 		}
 	}
 }
--- a/internal/platform/messages/gossip.go
+++ b/internal/platform/messages/gossip.go
@@ -5,55 +5,55 @@
 	"hash/fnv"
 )
 
-// Packed words: the first byte of a list is the length of the fixed part of each of
-// its words, so that a later version can make words longer and this one skips what
-// it does not know.
+// Packed samples: the first byte of a list is the length of the fixed part of each of its
+// samples, so that a later version can append fields to samples and this version skips them.
 const (
 	loadBytes   = 7
 	prefixBytes = 10
-	// AgeUnitMs is the step in which ages of words are told: one byte reaches 4 s.
+	// AgeUnitMs is the unit of ages in samples, in ms: one byte covers 4 s.
 	AgeUnitMs = 16
-	// tokenUnit is the step in which lengths of prefixes are told.
+	// tokenUnit is the unit of prefix lengths in samples, in tokens.
 	tokenUnit = 16
-	// partsLimit bounds the parts of a prefix that is told of.
+	// partsLimit is the maximum number of parts of a prefix in a sample.
 	partsLimit = 8
 )
 
-// RunningUnknown says that a load word tells no load, only trust.
+// RunningUnknown marks a load sample without a load, which contains only the health.
 const RunningUnknown = 255
 
-// The trust that a load word tells, always the speaker's own evidence.
+// The special values of the health in a load sample, which is always the sender's own evidence.
 const (
 	HealthUnknown = 255
 	HealthSuspect = 0
 )
 
-// LoadSample is one observation of a worker. It needs no origin: of two words on one
-// worker the younger counts.
+// LoadSample is one observation of a worker. It does not name the sender: of two samples for one
+// worker the newer one counts.
 type LoadSample struct {
 	// WorkerHash is the hash of the worker's id.
 	WorkerHash uint32
-	// Running is how many requests of all callers were there.
+	// Running is how many requests of all callers the worker had.
 	Running int
-	// AgeMs is how long ago the worker said so; it travels with the word.
+	// AgeMs is how long ago the worker reported it, in ms. It is kept when the sample is
+	// forwarded.
 	AgeMs int64
-	// Health is the speaker's own evidence, never passed on.
+	// Health is the sender's own evidence. It is never forwarded.
 	Health uint8
 }
 
-// WorkerHash is the short name of a worker in packed words.
+// WorkerHash returns the hash that identifies a worker in packed samples.
 func WorkerHash(worker string) uint32 {
-	sum := fnv.New32a()
-	sum.Write([]byte(worker))
-	return sum.Sum32()
+	hash := fnv.New32a()
+	hash.Write([]byte(worker))
+	return hash.Sum32()
 }
 
-// ageByte rounds an age up: no word may seem younger than it is.
+// ageByte encodes an age, rounded up so that no sample appears newer than it is.
 func ageByte(milliseconds int64) byte {
 	return byte(min(max((milliseconds+AgeUnitMs-1)/AgeUnitMs, 0), 255))
 }
 
-// AppendLoad adds a word to a list.
+// AppendLoad appends a load sample to a list.
 func AppendLoad(list []byte, sample LoadSample) []byte {
 	if len(list) == 0 {
 		list = append(list, loadBytes)
@@ -62,7 +62,7 @@
 	return append(list, byte(min(max(sample.Running, 0), RunningUnknown)), ageByte(sample.AgeMs), sample.Health)
 }
 
-// ParseLoads reads a list; one that is cut short gives what is complete.
+// ParseLoads decodes a list of load samples. Of a truncated list, it returns the complete ones.
 func ParseLoads(list []byte) []LoadSample {
 	if len(list) == 0 || list[0] < loadBytes {
 		return nil
@@ -76,7 +76,7 @@
 	return samples
 }
 
-// AppendPrefix adds a residency word to a list. Worker is told by its short name.
+// AppendPrefix appends a residency sample to a list. The worker is identified by its hash.
 func AppendPrefix(list []byte, sample Residency) []byte {
 	parts := len(sample.Path) / 8
 	if parts == 0 || parts > partsLimit || len(sample.Path)%8 != 0 {
@@ -93,25 +93,26 @@
 	return binary.BigEndian.AppendUint16(list, uint16(min((sample.AgeMs+AgeUnitMs-1)/AgeUnitMs, 1<<16-1)))
 }
 
-// ParsePrefixes reads a list; name gives the worker of a short name, or nothing.
+// ParsePrefixes decodes a list of residency samples. The function name returns the worker with a
+// hash, or an empty string if there is none.
 func ParsePrefixes(list []byte, name func(uint32) string) []Residency {
 	if len(list) == 0 || list[0] < prefixBytes {
 		return nil
 	}
 	size, list := int(list[0]), list[1:]
-	var words []Residency
+	var samples []Residency
 	for len(list) > 0 {
 		parts := int(list[0])
 		if parts == 0 || parts > partsLimit || len(list) < 1+8*parts+size {
-			return words
+			return samples
 		}
 		path, fixed := list[1:1+8*parts], list[1+8*parts:]
 		if worker := name(binary.BigEndian.Uint32(fixed)); worker != "" {
-			words = append(words, Residency{Path: append([]byte(nil), path...), Worker: worker,
+			samples = append(samples, Residency{Path: append([]byte(nil), path...), Worker: worker,
 				Tokens: int(binary.BigEndian.Uint16(fixed[4:])) * tokenUnit, Probability: float32(fixed[6]) / 255,
 				SampleAgeMs: int64(fixed[7]) * AgeUnitMs, AgeMs: int64(binary.BigEndian.Uint16(fixed[8:])) * AgeUnitMs})
 		}
 		list = fixed[size:]
 	}
-	return words
+	return samples
 }
--- a/internal/platform/messages/jobs.go
+++ b/internal/platform/messages/jobs.go
@@ -10,40 +10,40 @@
 	Cursor int    `msg:"c"`
 	WaitMs int    `msg:"w"`
 	Body   []byte `msg:"b"`
-	// Forwarded says that another gateway passed it on, which happens once at most.
+	// Forwarded is set if another gateway forwarded the call, which happens once at most.
 	Forwarded bool `msg:"y"`
-	// RequestID names one request to one process, so that a second copy of it is known.
+	// RequestID identifies one request to one process, so that duplicates are recognized.
 	RequestID string `msg:"k"`
-	// TTLMs is how long from its arrival a submission may still be taken; each hop
-	// counts it down by its own steady clock. Zero sets no bound.
+	// TTLMs is how long after its arrival a submission may still be accepted, in ms. Each hop
+	// reduces it by its own monotonic clock. Zero means no limit.
 	TTLMs int64 `msg:"t"`
-	// ExpiresAt is the instant on the receiver's own steady clock that follows from it,
-	// in ns; zero sets no bound.
+	// ExpiresAt is the resulting instant on the receiver's own monotonic clock, in ns. Zero
+	// means no limit.
 	ExpiresAt int64 `msg:"-"`
-	// BodyBytes is the length of the body that an offer is about.
+	// BodyBytes is the length of the body to be sent, in an offer.
 	BodyBytes int `msg:"z,omitempty"`
 }
 
-// MethodOffer is the method of a call that asks whether a job may be sent now, without its
-// body. It has no effect; StatusSendNow answers that the body is to come.
+// MethodOffer is the method of a call without a body that asks whether a job may be sent now. It
+// has no effect. StatusSendNow is the response that requests the body.
 const (
 	MethodOffer   = "OFFER"
 	StatusSendNow = 100
 )
 
-// JobCallResponse is what the holder says to it.
+// JobCallResponse is the leader's response to JobCallRequest.
 type JobCallResponse struct {
 	Status       int    `msg:"s"`
 	Body         []byte `msg:"b"`
 	RetryAfterMs int    `msg:"r"`
-	// NotLeader is set when the process that was asked does not lead.
+	// NotLeader is set if the responding process is not the leader.
 	NotLeader bool   `msg:"e"`
 	Leader    string `msg:"h"`
 	// ContentType is the media type of the body.
 	ContentType string `msg:"k"`
 }
 
-// Record is one durable fact about a batch job. Jobs, outputs and ends are never changed.
+// Record is one durable fact about a batch job. Jobs, outputs and job ends are never changed.
 type Record struct {
 	Index     int64      `msg:"x"`
 	Epoch     uint64     `msg:"e"`
@@ -56,25 +56,25 @@
 	Route     string     `msg:"r"`
 	Host      string     `msg:"h"`
 	Body      []byte     `msg:"b"`
-	// Acquisition is the acquisition whose acknowledgement this records, if any.
+	// Acquisition is the acquisition whose acknowledgement this record contains, if any.
 	Acquisition uint64 `msg:"a"`
-	// Compressed says that the body of an output is compressed (DEFLATE).
+	// Compressed is set if the body of an output is compressed (DEFLATE).
 	Compressed bool `msg:"z"`
 }
 
-// EpochRange says that records from First on were written under Epoch.
+// EpochRange is a range of records, starting at First, that were written under Epoch.
 type EpochRange struct {
 	Epoch uint64 `msg:"e"`
 	First int64  `msg:"f"`
 }
 
-// FenceRequest asks a store to take orders of this epoch only, from now on.
+// FenceRequest asks a store to reject requests of earlier epochs from now on.
 type FenceRequest struct {
 	Epoch uint64 `msg:"e"`
 	Disk  string `msg:"d"`
 }
 
-// FenceResponse answers with what the store has.
+// FenceResponse contains the extent of the records of the store.
 type FenceResponse struct {
 	Granted     bool         `msg:"k"`
 	Epoch       uint64       `msg:"e"`
@@ -84,34 +84,35 @@
 	Base int64 `msg:"b"`
 }
 
-// AppendRequest gives a store records that follow Previous; what it has beyond is cut.
+// AppendRequest sends a store records that follow PreviousIndex. Conflicting records after that
+// index are truncated.
 type AppendRequest struct {
 	Epoch         uint64   `msg:"e"`
 	Disk          string   `msg:"d"`
 	PreviousIndex int64    `msg:"x"`
 	PreviousEpoch uint64   `msg:"y"`
 	Records       []Record `msg:"r"`
-	// CommitIndex is the index up to which all is durable: only there may a store act on
-	// what records say.
+	// CommitIndex is the index up to which all records are durable. A store may apply records
+	// only up to there.
 	CommitIndex int64 `msg:"o"`
-	// Base and BaseEpoch are set where the records are a part of a copy that was
-	// compacted up to there: those up to Base are not consecutive.
+	// Base and BaseEpoch are set if the records are part of a copy that was compacted up to
+	// Base. The records up to Base are then not consecutive.
 	Base      int64  `msg:"b"`
 	BaseEpoch uint64 `msg:"z"`
-	// Forward names a further store to which the receiver passes the records on.
+	// Forward identifies a further store to which the receiver forwards the records.
 	Forward *AppendForward `msg:"w,omitempty"`
 }
 
-// AppendForward names a store to which an append is passed on: its address and its disk. The
-// store that passes it on tells the leader, at ReportTo, how it came out.
+// AppendForward identifies a store to which an append is forwarded, by its address and its disk.
+// The forwarding store reports the result to the leader at ReportTo.
 type AppendForward struct {
 	Address  string `msg:"a"`
 	Disk     string `msg:"d"`
 	ReportTo string `msg:"t"`
 }
 
-// AppendForwarded tells a leader of an epoch what a store answered to an append that was
-// passed on to it.
+// AppendForwarded reports to the leader of an epoch a store's response to an append that was
+// forwarded to it.
 type AppendForwarded struct {
 	Epoch    uint64         `msg:"e"`
 	Address  string         `msg:"a"`
@@ -119,7 +120,7 @@
 	Response AppendResponse `msg:"r"`
 }
 
-// AppendResponse answers once the records are synced.
+// AppendResponse is the response to AppendRequest. It is sent once the records are synced.
 type AppendResponse struct {
 	Granted     bool         `msg:"k"`
 	Epoch       uint64       `msg:"e"`
@@ -132,13 +133,13 @@
 type FetchRequest struct {
 	First int64  `msg:"f"`
 	Epoch uint64 `msg:"e"`
-	// Disk, where it is named, is the only one that may answer: one that came back
-	// empty has other records, or none.
+	// Disk, if set, is the only disk that may respond: a store that was restarted with an empty
+	// disk has other records, or none.
 	Disk string `msg:"d"`
 }
 
-// CopyRequest has a store fetch records First to Last from another one and keep them,
-// under the epoch of the holder that asks.
+// CopyRequest asks a store to fetch the records First to Last from another store and to store
+// them, under the epoch of the requesting leader.
 type CopyRequest struct {
 	Epoch      uint64 `msg:"e"`
 	Disk       string `msg:"d"`
@@ -148,45 +149,45 @@
 	Last       int64  `msg:"l"`
 }
 
-// FetchResponse carries some of them, and whether there are more.
+// FetchResponse contains some of the records, and the index of the last record available.
 type FetchResponse struct {
 	Granted bool     `msg:"k"`
 	Records []Record `msg:"r"`
 	Last    int64    `msg:"l"`
-	// Base and BaseEpoch: see Append.
+	// Base and BaseEpoch have the same meaning as in AppendRequest.
 	Base      int64  `msg:"b"`
 	BaseEpoch uint64 `msg:"z"`
 }
 
-// LeaderAnnouncement tells who leads.
+// LeaderAnnouncement notifies other processes which process is the leader.
 type LeaderAnnouncement struct {
 	Leadership Leadership `msg:"d"`
-	// Resigned says that the leader has resigned: others need not wait.
+	// Resigned is set if the leader has resigned. Others need not wait for the end of its lease.
 	Resigned bool `msg:"o"`
 }
 
-// The status queries that people know by another name than the one on the wire, which earlier
-// versions go by.
+// The status queries whose name for users differs from the one on the wire, which earlier versions
+// use.
 const (
 	QueryLeadership = "duty"
 	QueryJobs       = "lots"
 	QuerySlowness   = "pace"
 )
 
-// StatusRequest asks a process for a part of its state.
+// StatusRequest asks a process for part of its state.
 type StatusRequest struct {
 	Query string `msg:"q"`
-	// Zone, where it is set, keeps the rows of one zone only.
+	// Zone, if set, limits the response to the rows of one zone.
 	Zone string `msg:"h"`
 }
 
-// StatusResponse answers with rows for people and tools.
+// StatusResponse contains a table for people and tools.
 type StatusResponse struct {
 	Columns []string   `msg:"c"`
 	Rows    [][]string `msg:"r"`
 }
 
-// JobItem is one item of a job, as it is kept.
+// JobItem is one item of a job in its stored form.
 type JobItem struct {
 	ID      string            `msg:"i"`
 	Path    string            `msg:"p"`
@@ -201,8 +202,8 @@
 	Items []JobItem `msg:"i"`
 }
 
-// ReplicaRecord is one record on a store's disk: a raised fence, a cut of the tail,
-// or a record of batch jobs.
+// ReplicaRecord is one record on a store's disk: a raised fence, a truncation of the tail, or a
+// record of batch jobs.
 type ReplicaRecord struct {
 	Fence         uint64 `msg:"f"`
 	TruncateTo    int64  `msg:"c"`
@@ -210,8 +211,8 @@
 	HasEntry      bool   `msg:"h"`
 	Entry         Record `msg:"e"`
 	Disk          string `msg:"d"`
-	// Base, where it is set, begins a copy that is compacted up to there; BaseEpoch
-	// is the epoch of the record there.
+	// Base, if set, marks the start of a copy that is compacted up to that index. BaseEpoch is
+	// the epoch of the record at that index.
 	Base      int64  `msg:"b"`
 	BaseEpoch uint64 `msg:"z"`
 }
--- a/internal/platform/messages/kinds.go
+++ b/internal/platform/messages/kinds.go
@@ -1,5 +1,5 @@
-// Package messages holds the messages between our processes and the enums they use.
-// The code that writes and reads them is generated.
+// Package messages defines the messages between processes and the enums that they use. The code
+// that encodes and decodes them is generated.
 package messages
 
 //go:generate go tool msgp -o members_gen.go -file members.go -tests=false -io=false
@@ -11,10 +11,10 @@
 //go:generate go tool msgp -o kinds_gen.go -file kinds.go -tests=false -io=false
 //go:generate go tool stringer -type=Kind,Phase,RecordKind,RouteKind,AckKind,AckVerdict -output=kinds_string.go
 
-// Kind names a message between our processes.
+// Kind identifies the type of a message between processes.
 type Kind uint16
 
-// The kinds. New ones are added at the end; unknown ones are skipped and counted.
+// The kinds. New ones are added at the end. Messages of unknown kinds are skipped and counted.
 const (
 	KindNone Kind = iota
 	KindShuffle
@@ -57,7 +57,7 @@
 	KindAppendForwarded
 )
 
-// Phase is a worker's phase.
+// Phase is a phase in the life cycle of a worker.
 type Phase uint8
 
 // The phases, in the order in which an incarnation goes through them.
@@ -67,7 +67,7 @@
 	PhaseDeparted
 )
 
-// RecordKind names a record of batch jobs.
+// RecordKind identifies the type of a record of batch jobs.
 type RecordKind uint8
 
 // The record kinds.
@@ -77,15 +77,17 @@
 	RecordOutput
 	RecordJobEnd
 	RecordForget
-	// RecordItemError: an acquisition of an item ended with a 500, which counts.
+	// RecordItemError means that an acquisition of an item ended with a 500, which counts as a
+	// failed attempt.
 	RecordItemError
-	// RecordExecutor: a driver's life may hold acquisitions of this epoch.
+	// RecordExecutor means that an incarnation of an executor may have acquisitions of this epoch.
 	RecordExecutor
-	// RecordAcquisitionsKnown: no acquisition of an earlier epoch stands that was not adopted.
+	// RecordAcquisitionsKnown means that every acquisition of an earlier epoch that is still in
+	// force was adopted by this epoch.
 	RecordAcquisitionsKnown
 )
 
-// RouteKind says what may be repeated.
+// RouteKind determines which requests of a route may be retried.
 type RouteKind uint8
 
 // The route kinds.
@@ -96,34 +98,35 @@
 	RouteBulk
 )
 
-// AckKind is a driver's acknowledgement of an acquisition.
+// AckKind is the kind of an executor's acknowledgement of an acquisition.
 type AckKind uint8
 
-// The acknowledgements, named as in the source.
+// The kinds of acknowledgement, named as in the source of the design.
 const (
 	AckAccept AckKind = iota
 	AckRelease
 	AckReject
 	AckRenew
-	// AckConfirm asks whether an ACCEPT that was sent before is recorded, without its output.
+	// AckConfirm asks whether an ACCEPT that was sent before is recorded. It contains no output.
 	AckConfirm
 )
 
-// AckVerdict is what the dispatcher says to one.
+// AckVerdict is the dispatcher's response to one acknowledgement.
 type AckVerdict uint8
 
 // The verdicts.
 const (
-	// AckUnknown: nothing is known; the driver repeats it.
+	// AckUnknown means that there is no result yet. The executor repeats the acknowledgement.
 	AckUnknown AckVerdict = iota
-	// AckRecorded: recorded, durably where it has to be.
+	// AckRecorded means that the acknowledgement is recorded, durably if that is required.
 	AckRecorded
-	// AckRenewed: the lock runs anew.
+	// AckRenewed means that the lock was renewed for its full length.
 	AckRenewed
-	// AckStopped: the acquisition is over; the run must stop.
+	// AckStopped means that the acquisition has ended. The run must stop.
 	AckStopped
-	// AckTerminal: the item ended otherwise, or its job did.
+	// AckTerminal means that the item ended in another way, or that its job ended.
 	AckTerminal
-	// AckOutputNeeded: nothing is known of an ACCEPT that is asked about; it is to be sent again.
+	// AckOutputNeeded means that the ACCEPT in question is unknown. The executor has to send it
+	// again.
 	AckOutputNeeded
 )
--- a/internal/platform/messages/members.go
+++ b/internal/platform/messages/members.go
@@ -1,6 +1,6 @@
 package messages
 
-// NodeInfo is what a process tells of itself and of others.
+// NodeInfo is what a process reports about itself and about others.
 type NodeInfo struct {
 	Name        string `msg:"n"`
 	Incarnation int64  `msg:"l"`
@@ -19,7 +19,7 @@
 	Node    string `msg:"n"`
 }
 
-// Member is one of the acceptor or store set: a name with the identity of its disk.
+// Member is a member of the acceptor or store set: a name with the identity of its disk.
 type Member struct {
 	Name    string `msg:"n"`
 	Disk    string `msg:"d"`
@@ -34,7 +34,7 @@
 	Hash       string `msg:"h"`
 }
 
-// Leadership says which process leads on batch jobs, fenced by its epoch.
+// Leadership identifies the process that is the leader for batch jobs, fenced by its epoch.
 type Leadership struct {
 	Holder      string `msg:"h"`
 	Incarnation int64  `msg:"l"`
@@ -53,60 +53,60 @@
 	Stores     []Member   `msg:"s"`
 	Retired    []string   `msg:"r"`
 	Leadership Leadership `msg:"d"`
-	// StoresSequence numbers the newest change of Stores in the present epoch; zero before the
-	// first. Each epoch counts anew.
+	// StoresSequence is the number of the newest change of Stores in the current epoch, and zero
+	// before the first. Numbers restart in each epoch.
 	StoresSequence uint64 `msg:"z,omitempty"`
-	// Archive names what was taken before the history begins.
+	// Archive identifies the versions that were committed before the history begins.
 	Archive ArchiveHead `msg:"x"`
 }
 
-// PrepareRequest opens a round; Query only reads and promises nothing.
+// PrepareRequest opens a round. With Query set it only reads, and the acceptor promises nothing.
 type PrepareRequest struct {
 	Ballot Ballot `msg:"b"`
 	Disk   string `msg:"d"`
 	Query  bool   `msg:"q"`
-	// WithoutBody wants a query's answer without the configuration's body.
+	// WithoutBody requests a response to a query without the configuration's body.
 	WithoutBody bool `msg:"s"`
-	// Archive asks about versions taken long ago, beside a query.
+	// Archive is an additional request, in a query, about versions committed long ago.
 	Archive *ArchiveRequest `msg:"x,omitempty"`
 }
 
-// PrepareResponse answers Prepare.
+// PrepareResponse is the response to PrepareRequest.
 type PrepareResponse struct {
 	Granted  bool          `msg:"k"`
 	Promised Ballot        `msg:"p"`
 	Accepted Ballot        `msg:"a"`
 	Value    RegisterValue `msg:"v"`
-	// Archive answers a request for it.
+	// Archive is the response to PrepareRequest.Archive.
 	Archive *ArchiveResponse `msg:"x,omitempty"`
 }
 
-// AcceptRequest asks an acceptor to take a value.
+// AcceptRequest asks an acceptor to accept a value.
 type AcceptRequest struct {
 	Ballot Ballot        `msg:"b"`
 	Disk   string        `msg:"d"`
 	Value  RegisterValue `msg:"v"`
 }
 
-// AcceptResponse answers Accept.
+// AcceptResponse is the response to AcceptRequest.
 type AcceptResponse struct {
 	Granted  bool   `msg:"k"`
 	Promised Ballot `msg:"p"`
 }
 
-// LeaseRequest asks an acceptor to grant or renew the lease of the leadership.
+// LeaseRequest asks an acceptor to grant or renew the leader's lease.
 type LeaseRequest struct {
 	Candidate   string `msg:"c"`
 	Incarnation int64  `msg:"l"`
 	Epoch       uint64 `msg:"e"`
-	// Release gives back what was granted.
+	// Release is set to release a granted lease.
 	Release bool `msg:"r"`
-	// Sequence counts the requests of an incarnation: a release that comes late gives back
-	// nothing that was granted after it was sent.
+	// Sequence counts the requests of an incarnation, so that a release that arrives late does
+	// not release a lease that was granted after it was sent.
 	Sequence uint64 `msg:"t"`
 }
 
-// LeaseResponse grants it or says for how long it will not.
+// LeaseResponse grants the lease, or contains in WaitMs how long the acceptor will not grant it.
 type LeaseResponse struct {
 	Granted bool   `msg:"k"`
 	WaitMs  int64  `msg:"w"`
@@ -119,19 +119,19 @@
 	Holder      Leadership `msg:"h"`
 	ExpectEpoch uint64     `msg:"x"`
 	Stores      []Member   `msg:"s"`
-	// Sequence numbers the leader's changes of the store set, from 1 in each epoch: one that
-	// arrives after a later one has no effect. Zero is that of a sender that does not number them.
+	// Sequence numbers the leader's changes of the store set, from 1 in each epoch. A change that
+	// arrives after a later one has no effect. Zero means that the sender does not number them.
 	Sequence uint64 `msg:"q,omitempty"`
 }
 
-// RegisterResponse answers with the register as it then stood, without the body.
+// RegisterResponse contains the value of the register after the request, without the body.
 type RegisterResponse struct {
 	Applied bool          `msg:"k"`
 	Known   bool          `msg:"n"`
 	Value   RegisterValue `msg:"v"`
 }
 
-// AcceptorRecord is what an acceptor keeps on disk. Each replaces the one before.
+// AcceptorRecord is the state of an acceptor on disk. Each record replaces the previous one.
 type AcceptorRecord struct {
 	Disk     string        `msg:"d"`
 	First    []Member      `msg:"f"`
@@ -141,15 +141,15 @@
 	Value    RegisterValue `msg:"v"`
 }
 
-// ConfigPush carries a chosen configuration.
+// ConfigPush contains a chosen configuration.
 type ConfigPush struct {
 	Generation int64  `msg:"g"`
 	Body       []byte `msg:"b"`
-	// ForwardTo names the addresses to which the receiver passes it on.
+	// ForwardTo contains the addresses to which the receiver forwards the configuration.
 	ForwardTo []string `msg:"p"`
 }
 
-// ConfigPull asks for the newest one; it is answered by ConfigPush.
+// ConfigPull requests the newest configuration. The response is a ConfigPush.
 type ConfigPull struct {
 	Known int64 `msg:"k"`
 }
@@ -168,25 +168,26 @@
 	Software  string `msg:"s"`
 }
 
-// Ack is an empty answer.
+// Ack is a response without content.
 type Ack struct {
 	Accepted bool `msg:"t"`
 }
 
-// Residency is a node's word on how likely a worker still holds a prefix.
+// Residency is a residency sample: how likely a worker still has a prefix in its cache, according
+// to a node.
 type Residency struct {
 	Path        []byte  `msg:"p"`
 	Tokens      int     `msg:"t"`
 	Worker      string  `msg:"w"`
 	Probability float32 `msg:"c"`
-	// AgeMs is the age of the evidence, SampleAgeMs that of the word itself.
+	// AgeMs is the age of the evidence, and SampleAgeMs that of the sample itself, in ms.
 	AgeMs       int64 `msg:"a"`
 	SampleAgeMs int64 `msg:"m"`
 }
 
-// Gossip carries what changed most, once a period. Loads and Prefixes are packed
-// words (words.go), so that a packet is bounded. Fields added later are skipped by
-// readers that do not know them.
+// Gossip contains the samples that changed most, and is sent once a period. Loads and Prefixes are
+// packed samples (gossip.go), so that the size of a packet is bounded. Fields added later are
+// skipped by receivers that do not know them.
 type Gossip struct {
 	Format     int        `msg:"v"`
 	From       string     `msg:"f"`
@@ -194,32 +195,35 @@
 	Loads      []byte     `msg:"o"`
 	Prefixes   []byte     `msg:"x"`
 	Pressure   []Pressure `msg:"p"`
-	// ReplyTo is the address at which the sender wants to be notified, when too few do.
+	// ReplyTo is the address to which the sender wants gossip to be sent. It is set if too few
+	// processes send to it.
 	ReplyTo string `msg:"q"`
 }
 
-// Pressure says that requests of a rank wait for room at a service.
+// Pressure states that requests of a priority wait for capacity at a service.
 type Pressure struct {
 	Service  string `msg:"s"`
 	Priority int    `msg:"p"`
 	Waiting  int    `msg:"w"`
 }
 
-// PressureNotice carries it at once, ahead of the next gossip.
+// PressureNotice reports pressure at once, ahead of the next gossip.
 type PressureNotice struct {
 	From    string     `msg:"f"`
 	Entries []Pressure `msg:"w"`
-	// Hops is how often it may still be passed on. Sharers is how many are asked to
-	// make room; none means that it is only to be known.
+	// Hops is how often the notice may still be forwarded. Sharers is the number of processes of
+	// the receiver's role that are to free slots between them. Zero means that the receiver need
+	// not free any.
 	Hops    int `msg:"h"`
 	Sharers int `msg:"s"`
 }
 
-// PrefillNotice says that a worker has a long prompt to read, ahead of the next gossip.
+// PrefillNotice reports, ahead of the next gossip, that a worker has a long prompt to prefill.
 type PrefillNotice struct {
 	From    string  `msg:"f"`
 	Worker  string  `msg:"w"`
 	Prefill float64 `msg:"r"`
-	// Forward asks the receiver to tell those of its zone who place on the worker.
+	// Forward asks the receiver to notify the processes of its zone that place requests on the
+	// worker.
 	Forward bool `msg:"p"`
 }
--- a/internal/platform/messages/views.go
+++ b/internal/platform/messages/views.go
@@ -1,7 +1,7 @@
 package messages
 
-// Digest stands for a table of versioned entries: two tables with one sum are alike.
-// Clock counts the changes that the sender's table went through in its incarnation.
+// Digest represents a table of versioned entries: two tables with the same sum are equal. Clock
+// counts the changes of the sender's table during its incarnation.
 type Digest struct {
 	Incarnation int64  `msg:"l"`
 	Clock       uint64 `msg:"c"`
@@ -9,86 +9,87 @@
 	Count       int    `msg:"n"`
 }
 
-// Overdue says for how long a worker has been silent. Mark is the short hash of its id.
+// Overdue states how long a worker has been silent. WorkerHash is the short hash of its id.
 type Overdue struct {
 	WorkerHash uint32 `msg:"m"`
 	AgeMs      int64  `msg:"g"`
 }
 
-// RoleCount is how many live processes a role has in the whole fleet.
+// RoleCount is the number of live processes of a role in the whole fleet.
 type RoleCount struct {
 	Role  string `msg:"r"`
 	Count int    `msg:"n"`
 }
 
-// Shuffle carries a part of a view, the sender first. Between a process and a controller
-// it is the periodic exchange, with what that asks and tells besides.
+// Shuffle contains part of a view, the sender first. Between a process and a controller it is the
+// periodic report and its response, with the further fields of these.
 type Shuffle struct {
 	Entries []NodeInfo `msg:"e"`
-	// KnownHashes are the hashes of the processes that the asker has in view; Ages answers
-	// for them in the same order, in tens of ms, AgeUnknown where nothing is known.
+	// KnownHashes contains the hashes of the processes in the requester's view. In the response,
+	// Ages contains their ages in the same order, in tens of ms, or AgeUnknown.
 	KnownHashes []uint32 `msg:"k"`
 	Ages        []uint16 `msg:"g"`
-	// OverdueComplete is set when a controller's Overdue names every worker that is silent.
+	// OverdueComplete is set if a controller's Overdue contains every worker that is silent.
 	OverdueComplete bool        `msg:"j"`
 	Workers         Digest      `msg:"w"`
 	Overdue         []Overdue   `msg:"o"`
 	Counts          []RoleCount `msg:"h"`
-	// Table is the sender's whole directory, in a response to a pull.
+	// Table is the digest of the sender's whole directory, in a response to a pull.
 	Table Digest `msg:"t"`
-	// PlanRevision is the revision of the assignments that a controller follows.
+	// PlanRevision is the revision of the assignments that a controller uses.
 	PlanRevision int64 `msg:"v"`
-	// Brief marks a report to a second controller: its response is short.
+	// Brief marks a report to a second controller, which gets a short response.
 	Brief bool `msg:"y"`
-	// Detached is set by a controller that is not in contact with a majority of the
-	// acceptors: what it knows may be old, and the asker reports elsewhere.
+	// Detached is set by a controller that is not in contact with a majority of the acceptors.
+	// Its state may be outdated, so the requester reports to another controller.
 	Detached bool `msg:"z"`
 }
 
-// AgeUnknown stands for an age that can't be told, or for one too large to tell.
+// AgeUnknown represents an age that is unknown or too large to encode.
 const AgeUnknown = 65535
 
-// ControllerHeartbeat is what controllers tell each other once a period; the answer is one too.
+// ControllerHeartbeat is sent between controllers once a period. The response is one, too.
 type ControllerHeartbeat struct {
 	From      NodeInfo `msg:"f"`
 	Workers   Digest   `msg:"w"`
 	Processes Digest   `msg:"p"`
-	// ContactedWorkers and Met are the hashes of workers and processes that were in contact here
-	// directly since the last word to this controller.
+	// ContactedWorkers and ContactedNodes contain the hashes of the workers and processes that
+	// were in direct contact with the sender since its last heartbeat to the receiver.
 	ContactedWorkers []uint32 `msg:"b"`
 	ContactedNodes   []uint32 `msg:"m"`
-	// Generation is a generation that all of Met follow but those in Behind.
+	// Generation is a generation that all of ContactedNodes use, except those in LaggingNodes.
 	Generation   int64    `msg:"g"`
 	LaggingNodes []uint32 `msg:"u"`
-	// PlanRevision is the revision of the assignments that the sender follows.
+	// PlanRevision is the revision of the assignments that the sender uses.
 	PlanRevision int64 `msg:"v"`
 }
 
-// DirectoryPullRequest asks for processes changed after a clock; a Shuffle answers it.
+// DirectoryPullRequest requests the processes that changed after a clock value. The response is a
+// Shuffle.
 type DirectoryPullRequest struct {
 	Since uint64 `msg:"s"`
 }
 
-// WorkersPullRequest asks for the workers changed after a clock.
+// WorkersPullRequest requests the workers that changed after a clock value.
 type WorkersPullRequest struct {
 	From  string `msg:"f"`
 	Since uint64 `msg:"s"`
-	// Buckets are the sums of the asker's table by bucket of the workers' hashes, 4 bytes
-	// each, a power of two of them: buckets that are alike are left out of the answer. Without
-	// them nothing is left out.
+	// Buckets contains the sums of the requester's table by bucket of the workers' hashes, 4 bytes
+	// each. The number of buckets is a power of two. Buckets with equal sums are omitted from the
+	// response. Without Buckets, nothing is omitted.
 	Buckets []byte `msg:"b,omitempty"`
 }
 
-// WorkersUpdate tells of workers.
+// WorkersUpdate contains the state of workers.
 type WorkersUpdate struct {
 	From    string   `msg:"f"`
 	Workers []Worker `msg:"w"`
-	// Table is the sender's whole table, in a response to a pull.
+	// Table is the digest of the sender's whole table, in a response to a pull.
 	Table Digest `msg:"d"`
 }
 
-// RelayRequest asks a controller to tell its zone, and Expect names by their hashes whom the
-// sender knows there.
+// RelayRequest asks a controller to forward an update to its zone. Expect contains the hashes of the
+// processes that the sender knows there.
 type RelayRequest struct {
 	From       string   `msg:"f"`
 	Sequence   uint64   `msg:"n"`
@@ -98,13 +99,13 @@
 	Body       []byte   `msg:"b"`
 }
 
-// RelayWaitRequest asks how a relay came out, and is answered once it has.
+// RelayWaitRequest requests the result of a relay. The response is sent once the relay has ended.
 type RelayWaitRequest struct {
 	From     string `msg:"f"`
 	Sequence uint64 `msg:"n"`
 }
 
-// RelayWaitResponse names those of the expected that were not reached.
+// RelayWaitResponse contains the hashes of the expected processes that were not reached.
 type RelayWaitResponse struct {
 	Known   bool     `msg:"k"`
 	Missing []uint32 `msg:"m"`
