--- a/internal/platform/constants/constants.go
+++ b/internal/platform/constants/constants.go
@@ -21,11 +21,11 @@
 	// FrameVersion is sent in each frame, so that processes of different versions interoperate.
 	// From version 2 on, call numbers increase along a connection.
 	FrameVersion = 2
-	// DialTimeout bounds a connection attempt between processes. Round trips take a few ms, so
-	// a longer silence means a partition.
+	// DialTimeout bounds a connection attempt between processes. Links have a latency of a few
+	// ms, so a longer silence means a partition.
 	DialTimeout = 400 * time.Millisecond
 	// CallTimeout bounds an ordinary call between processes. It is below the second after
-	// which an external caller tries elsewhere.
+	// which an external caller stops waiting.
 	CallTimeout = 800 * time.Millisecond
 	// StartBackoff is the first pause between two attempts of a starting process to fetch what
 	// it needs. It is short because the process can't serve until then.
@@ -115,7 +115,7 @@
 	// waiting, so that the low tier does not starve.
 	PreemptionFloor = 0.08
 	// PreemptionLimit is how often one item may be preempted before it keeps its slot. This is
-	// aging: it also prevents starvation.
+	// ageing: it also prevents starvation.
 	PreemptionLimit = 3
 	// PressurePeriod is the minimum time between two pressure notices, and PressureStale the
 	// age at which a notice expires.
@@ -132,14 +132,15 @@
 	PumpPeriod = 15 * time.Millisecond
 	// LeastConnections is the minimum number of connections to a worker that a node may open.
 	LeastConnections = 4
-	// RequestLimit is the limit of request bodies, in bytes, until a configuration is known.
+	// RequestLimit is the limit of request bodies, in bytes, until a configuration is known. The
+	// operator API and the emulated workers limit bodies to multiples of it.
 	RequestLimit = 4 << 20
 	// HeadLimit is the limit of request headers, in bytes, until a configuration is known.
 	HeadLimit = 64 << 10
 	// BufferedResponseMax is the size in bytes up to which a non-streaming response is buffered
 	// completely, so that a truncated one can be retried before the client has received a byte.
 	BufferedResponseMax = 256 << 10
-	// WorkerDial bounds a connection attempt to a worker. Round trips are short.
+	// WorkerDial bounds a connection attempt to a worker. The latency of links is low.
 	WorkerDial = 250 * time.Millisecond
 	// StreamTimeout is the silence after which a retryable stream resumes at another worker,
 	// until the usual latency of the service has been learned. Clients give up after two seconds.
--- a/internal/platform/constants/dispatch.go
+++ b/internal/platform/constants/dispatch.go
@@ -8,7 +8,7 @@
 	LockMax = 30 * time.Second
 	// LockShare is the share of cancel-ms that a lock may last. After the end of a cancelled
 	// job is acknowledged, an executor that is unreachable continues until its lock expires, so
-	// the lock must expire before cancel-ms, less the margin, a connection attempt and a slow
+	// the lock must expire before cancel-ms minus the margin, a connection attempt and a slow
 	// link to the worker. It is as long as that allows, since a change of leadership after a
 	// crash takes a lease and a round, and runs should survive it.
 	LockShare = 0.75
--- a/internal/platform/constants/health.go
+++ b/internal/platform/constants/health.go
@@ -42,8 +42,8 @@
 	// UsualPeriod is how long a service's median failure rate is cached.
 	UsualPeriod = 250 * time.Millisecond
 	// FlapWindow is the time within which an incarnation that follows a crashed one at the same
-	// address counts as a flap, and FlapDeaths the number of crashes from which the address is
-	// ejected. One crash is no flapping.
+	// address counts as a flap, and FlapDeaths the number of crashes from which the new incarnation
+	// is ejected. One crash is not flapping.
 	FlapWindow = 12 * time.Second
 	FlapDeaths = 2
 	// PaceLeast is the minimum number of observed latencies for a timeout to be derived from
