--- a/internal/platform/constants/register.go
+++ b/internal/platform/constants/register.go
@@ -29,8 +29,8 @@
 	// JointSetOwnerTime is how long only the joiner may end a joint set of acceptors: two rounds
 	// on slow disks and one lost message.
 	JointSetOwnerTime = 1500 * time.Millisecond
-	// ReadAttempts is how many times a read starts over with a newer set that it finds. One of
-	// them may change meanwhile.
+	// ReadAttempts is the maximum number of attempts of a read, each with the newer sets that the
+	// previous attempt found. One of these sets may change meanwhile.
 	ReadAttempts = 4
 	// ReconcileProbability is the probability that a process that maintains the acceptor set
 	// proposes if a read is inconclusive. A change may be in progress.
--- a/internal/platform/constants/views.go
+++ b/internal/platform/constants/views.go
@@ -21,7 +21,7 @@
 	// joins or leaves.
 	ViewReuseTime = 5 * time.Second
 	// FreshReportAge is the age below which a controller reports a process as in contact just
-	// now: one report period, and one message between controllers.
+	// now: one report per second, and one heartbeat between controllers.
 	FreshReportAge = 1800 * time.Millisecond
 	// NeighbourRounds is the number of rounds of which a process shuffles in one with a neighbour
 	// in addition to its report to a controller. That matters only while no controller is
