--- a/internal/control/agent/agent.go
+++ b/internal/control/agent/agent.go
@@ -35,7 +35,7 @@
 	// onConfig are notified of each newer configuration. Set before Start.
 	onConfig []func(*routeconfig.Config)
 	// notifying is held while they are; it guards notifiedGeneration, and is taken before lock.
-	notifying          sync.Mutex
+	notifyLock         sync.Mutex
 	notifiedGeneration int64
 }
 
@@ -122,7 +122,7 @@
 // Multicast sends one message to each process of the list at the same time and waits for
 // all responses or for the timeout. failed, where set, is called for each that did not
 // respond, from a goroutine of its own.
-func (a *Agent) Multicast(entries []messages.NodeInfo, kind messages.Kind, message transport.Marshaler, timeout clock.Duration, failed func(messages.NodeInfo)) {
+func (a *Agent) Multicast(entries []messages.NodeInfo, kind messages.Kind, message transport.Marshaler, timeout clock.Duration, onFailure func(messages.NodeInfo)) {
 	body, err := message.MarshalMsg(nil)
 	if err != nil {
 		a.Log.Error("message not encoded", "kind", kind.String(), "err", err.Error())
@@ -135,8 +135,8 @@
 			defer group.Done()
 			if _, err := a.Transport.Call(entry.Address, kind, body, timeout); err == nil {
 				a.NoteContact(membership.Key(entry))
-			} else if failed != nil {
-				failed(entry)
+			} else if onFailure != nil {
+				onFailure(entry)
 			}
 		}()
 	}
--- a/internal/control/agent/assignments.go
+++ b/internal/control/agent/assignments.go
@@ -33,9 +33,9 @@
 	err := transport.Call(a.Transport, address, messages.KindPlanPull, &messages.PlanRequest{Node: a.Self.Name}, plan, constants.CallTimeout)
 	a.lock.Lock()
 	a.plan.pulling = false
-	taken := err == nil && a.plan.table.Apply(*plan)
+	applied := err == nil && a.plan.table.Apply(*plan)
 	a.lock.Unlock()
-	if taken {
+	if applied {
 		a.Log.Info("assignments applied", "revision", plan.Revision, "generation", plan.Generation, "copies", len(plan.Placements))
 	}
 }
--- a/internal/control/agent/assignments_test.go
+++ b/internal/control/agent/assignments_test.go
@@ -13,15 +13,15 @@
 
 // TestAgentPullsItsPartAndNeverGoesBack: a node follows the controller it speaks with,
 // asks only when that has something newer, and holds on to what it has.
-func TestAgentPullsItsPartAndNeverGoesBack(t *testing.T) {
+func TestAgentPullsOwnAssignmentsAndNeverReverts(t *testing.T) {
 	network := transport.NewMemoryNetwork()
-	revision, pulls, asker := int64(0), 0, ""
+	revision, pulls, requester := int64(0), 0, ""
 	_ = network.Transport("controller:1").Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
 		req := &messages.PlanRequest{}
 		if kind != messages.KindPlanPull || transport.Decode(body, req) != nil {
 			return nil, nil
 		}
-		pulls, asker = pulls+1, req.Node
+		pulls, requester = pulls+1, req.Node
 		return transport.Encode(&messages.PlanResponse{Revision: revision, Placements: []messages.PlanPlacement{{Window: "w", Adapter: "a", Node: req.Node}}})
 	})
 	node := New(&settings.Settings{NodeName: "n", Address: "127.0.0.1", InternalPorts: []int{21100, 21110}}, membership.RoleGateway, 1, "", hclog.NewNullLogger())
@@ -29,13 +29,13 @@
 	for _, step := range []struct{ has, want int64 }{{2, 2}, {1, 2}, {5, 5}, {4, 5}} {
 		revision = step.has
 		node.pullPlan("controller:1")
-		if plan := node.Assigned(); plan.Revision != step.want || len(plan.Placements) != 1 || asker != "n" {
+		if plan := node.Assigned(); plan.Revision != step.want || len(plan.Placements) != 1 || requester != "n" {
 			t.Fatalf("controller has %d: %+v", step.has, plan)
 		}
 	}
 	before := pulls
-	for _, seen := range []int64{0, 4, 5} {
-		node.observePlan(seen, "controller:1")
+	for _, observed := range []int64{0, 4, 5} {
+		node.observePlan(observed, "controller:1")
 	}
 	if node.plan.pulling || pulls != before {
 		t.Fatal("asked for what it has")
--- a/internal/control/agent/config.go
+++ b/internal/control/agent/config.go
@@ -56,8 +56,8 @@
 // notifyConfig notifies the parts of this process of the newest configuration. Two that are
 // applied at one time reach every part in their order: none is left with the older one.
 func (a *Agent) notifyConfig() {
-	a.notifying.Lock()
-	defer a.notifying.Unlock()
+	a.notifyLock.Lock()
+	defer a.notifyLock.Unlock()
 	config := a.Config()
 	if config.Generation <= a.notifiedGeneration {
 		return
@@ -224,8 +224,8 @@
 // awaitConfig sleeps for a while, less where a first configuration is pushed meanwhile: the
 // whole fleet may be asking a few controllers.
 func (a *Agent) awaitConfig(backoff clock.Duration) {
-	had := a.Config() != nil
-	for slept := clock.Duration(0); slept < backoff && (had || a.Config() == nil); slept += constants.StartBackoff {
+	hadConfig := a.Config() != nil
+	for slept := clock.Duration(0); slept < backoff && (hadConfig || a.Config() == nil); slept += constants.StartBackoff {
 		clock.Sleep(constants.StartBackoff)
 	}
 }
--- a/internal/control/agent/config_test.go
+++ b/internal/control/agent/config_test.go
@@ -15,7 +15,7 @@
 
 // Two configurations come at nearly one time, and a part is still busy with the older one when
 // the newer one is applied: the part ends with the newer one.
-func TestPartsEndWithTheNewestConfiguration(t *testing.T) {
+func TestSubscribersEndWithNewestConfiguration(t *testing.T) {
 	a := New(&settings.Settings{NodeName: "n", Address: "10.0.0.1", InternalPorts: []int{1, 9}}, membership.RoleGateway, 1, "", hclog.NewNullLogger())
 	apply := func(generation int) {
 		a.ApplyConfig([]byte(fmt.Sprintf(`{"generation":%d,"channels":[],"backends":[],"limits":{}}`, generation)))
@@ -30,7 +30,7 @@
 				newerApplied.Store(1)
 			}()
 			// Long enough for the newer one to pass, if it may.
-			for turn := 0; turn < 100_000 && newerApplied.Load() == 0; turn++ {
+			for i := 0; i < 100_000 && newerApplied.Load() == 0; i++ {
 				runtime.Gosched()
 			}
 		}
--- a/internal/control/agent/reports.go
+++ b/internal/control/agent/reports.go
@@ -34,7 +34,7 @@
 // join asks the seeds until a controller is known, then goes over to the periodic
 // exchange. Controllers have a period of their own (constants.ControllerHeartbeatPeriod).
 func (a *Agent) join() {
-	const meetings = 10
+	const minRounds = 10
 	controller := a.Self.Role == membership.RoleController
 	for round := 0; ; round++ {
 		for _, seed := range a.Settings.SeedAddresses(constants.PortController) {
@@ -44,7 +44,7 @@
 		}
 		clock.Sleep(constants.StartBackoff * 2)
 		// Controllers that all start at once go on until they have met.
-		if len(a.Live(membership.RoleController)) > 0 && (!controller || round > meetings) {
+		if len(a.Live(membership.RoleController)) > 0 && (!controller || round > minRounds) {
 			break
 		}
 		select {
@@ -103,13 +103,13 @@
 // reportToAny reports to the first controller of a list that is in contact with a
 // majority, and gives its address. It gives up after a few that are silent.
 func (a *Agent) reportToAny(controllers []messages.NodeInfo, brief bool) string {
-	const silentMost = 3
-	for silent, i := 0, 0; i < len(controllers) && silent < silentMost; i++ {
+	const maxTimeouts = 3
+	for timeouts, i := 0, 0; i < len(controllers) && timeouts < maxTimeouts; i++ {
 		switch a.report(controllers[i].Address, brief) {
 		case reportAccepted:
 			return controllers[i].Address
 		case reportTimeout:
-			silent++
+			timeouts++
 		}
 	}
 	return ""
--- a/internal/control/broadcast/backlog.go
+++ b/internal/control/broadcast/backlog.go
@@ -9,69 +9,70 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Backlog is what processes still have to be told after a broadcast did not reach them:
-// by process, the configuration and the changes of workers that it has not confirmed.
-// A process leaves the backlog once it has confirmed everything, or once the directory
-// no longer holds its incarnation (see Due).
+// Backlog stores the updates that processes have not confirmed after a broadcast: for each process,
+// the configuration and the worker changes that are outstanding. A process is removed once it
+// has confirmed everything, or once its incarnation is no longer in the directory (see Due).
 type Backlog struct {
+	// nodes is keyed by membership.Key.
 	nodes map[string]*undelivered
-	// added counts the calls of Add.
-	added uint64
+	// addCount is the number of calls of Add.
+	addCount uint64
 }
 
-// undelivered is what one process has not confirmed.
+// undelivered lists the updates that one process has not confirmed.
 type undelivered struct {
-	entry      messages.NodeInfo
-	generation int64
-	workers    map[string]bool
-	next       clock.Instant
-	backoff    clock.Duration
-	// added is the last Add for this process: what was added after a delivery was made is
-	// not confirmed by it.
-	added uint64
+	entry       messages.NodeInfo
+	generation  int64
+	workers     map[string]bool
+	nextAttempt clock.Instant
+	backoff     clock.Duration
+	// lastAdd is the number of the last Add for this process. A confirmation of a delivery that was
+	// made before that Add is ignored, because it does not cover what was added since.
+	lastAdd uint64
 }
 
-// Delivery is one call that tells a process what it has not confirmed.
+// Delivery is one attempt to send a process the updates that it has not confirmed.
 type Delivery struct {
 	Entry      messages.NodeInfo
 	Generation int64
 	Workers    []string
-	added      uint64
+	lastAdd    uint64
 }
 
-// NewBacklog makes an empty backlog.
+// NewBacklog returns an empty backlog.
 func NewBacklog() *Backlog { return &Backlog{nodes: map[string]*undelivered{}} }
 
-// Add notes that a process has not confirmed a generation (0 for none) and the changes
-// of some workers. It is told once more after a pause.
+// Add records that a process has not confirmed a generation (0 for none) and the changes of some
+// workers. The first retry is due after backoff.
 func (b *Backlog) Add(entry messages.NodeInfo, generation int64, workers []string, backoff clock.Duration, now clock.Instant) {
 	key := membership.Key(entry)
-	p := b.nodes[key]
-	if p == nil || p.entry.Incarnation != entry.Incarnation {
-		p = &undelivered{workers: map[string]bool{}}
-		b.nodes[key] = p
+	pending := b.nodes[key]
+	if pending == nil || pending.entry.Incarnation != entry.Incarnation {
+		pending = &undelivered{workers: map[string]bool{}}
+		b.nodes[key] = pending
 	}
-	p.entry = entry
-	p.generation = max(p.generation, generation)
+	pending.entry = entry
+	pending.generation = max(pending.generation, generation)
 	for _, id := range workers {
-		p.workers[id] = true
+		pending.workers[id] = true
 	}
-	b.added++
-	p.added = b.added
-	p.backoff, p.next = constants.BacklogBackoff, now.Add(backoff)
+	b.addCount++
+	pending.lastAdd = b.addCount
+	pending.backoff, pending.nextAttempt = constants.BacklogBackoff, now.Add(backoff)
 }
 
-// Due gives the deliveries to be made now. Processes whose incarnation is not in the directory
-// any more are dropped; what the directory says of their configurations counts.
+// Due returns the deliveries to make now and schedules the next attempt of each with exponential
+// backoff. A process whose incarnation is no longer in the directory is removed, and a
+// generation that the directory lists for a process counts as confirmed.
 func (b *Backlog) Due(directory []messages.NodeInfo, now clock.Instant) []Delivery {
-	present := map[string]messages.NodeInfo{}
+	current := map[string]messages.NodeInfo{}
 	for _, entry := range directory {
-		present[membership.Key(entry)] = entry
+		current[membership.Key(entry)] = entry
 	}
 	var due []Delivery
 	for _, key := range b.keys() {
 		pending := b.nodes[key]
-		entry, found := present[key]
+		entry, found := current[key]
 		if !found || entry.Incarnation != pending.entry.Incarnation {
 			delete(b.nodes, key)
 			continue
@@ -79,20 +80,21 @@
 		if entry.Generation >= pending.generation {
 			pending.generation = 0
 		}
-		if b.dropIfConfirmed(key) || now < pending.next {
+		if b.dropIfConfirmed(key) || now < pending.nextAttempt {
 			continue
 		}
-		pending.next, pending.backoff = now.Add(pending.backoff), min(2*pending.backoff, constants.BacklogBackoffMax)
-		due = append(due, Delivery{Entry: entry, Generation: pending.generation, Workers: sortedKeys(pending.workers), added: pending.added})
+		pending.nextAttempt, pending.backoff = now.Add(pending.backoff), min(2*pending.backoff, constants.BacklogBackoffMax)
+		due = append(due, Delivery{Entry: entry, Generation: pending.generation, Workers: sortedKeys(pending.workers), lastAdd: pending.lastAdd})
 	}
 	return due
 }
 
-// Confirmed takes the confirmation of a delivery.
+// Confirmed handles the confirmation of a delivery. It has no effect if something was added for the
+// process after the delivery was made.
 func (b *Backlog) Confirmed(delivery Delivery) {
 	key := membership.Key(delivery.Entry)
 	pending := b.nodes[key]
-	if pending == nil || pending.entry.Incarnation != delivery.Entry.Incarnation || pending.added != delivery.added {
+	if pending == nil || pending.entry.Incarnation != delivery.Entry.Incarnation || pending.lastAdd != delivery.lastAdd {
 		return
 	}
 	if pending.generation <= delivery.Generation {
@@ -104,7 +106,7 @@
 	b.dropIfConfirmed(key)
 }
 
-// dropIfConfirmed drops a process that has confirmed everything.
+// dropIfConfirmed removes a process that has confirmed everything, and reports whether it did.
 func (b *Backlog) dropIfConfirmed(key string) bool {
 	pending := b.nodes[key]
 	if pending.generation > 0 || len(pending.workers) > 0 {
@@ -114,7 +116,7 @@
 	return true
 }
 
-// Names gives the processes that have not confirmed everything.
+// Names returns the keys of the processes that have not confirmed everything, sorted.
 func (b *Backlog) Names() []string { return b.keys() }
 
 func (b *Backlog) keys() []string {
--- a/internal/control/broadcast/backlog_test.go
+++ b/internal/control/broadcast/backlog_test.go
@@ -15,18 +15,18 @@
 )
 
 // owed is what a process was to be notified of and has not confirmed.
-type owed struct {
+type unconfirmed struct {
 	generation int64
 	workers    map[string]bool
 }
 
 // backlogModel is a backlog beside what it should hold.
 type backlogModel struct {
-	backlog *broadcast.Backlog
-	now     clock.Instant
-	entries map[string]messages.NodeInfo
-	owed    map[string]*owed
-	sent    []broadcast.Delivery
+	backlog     *broadcast.Backlog
+	now         clock.Instant
+	entries     map[string]messages.NodeInfo
+	unconfirmed map[string]*unconfirmed
+	sent        []broadcast.Delivery
 	// stale marks deliveries that were made before a later Add to their process.
 	stale map[int]bool
 }
@@ -53,7 +53,7 @@
 func (m *backlogModel) start(rt *rapid.T) {
 	name := m.drawName(rt)
 	m.entries[name] = messages.NodeInfo{Name: name, Role: membership.RoleGateway, Incarnation: m.entries[name].Incarnation + 1, Address: name}
-	delete(m.owed, name)
+	delete(m.unconfirmed, name)
 	m.markStale(name)
 }
 
@@ -65,11 +65,11 @@
 	}
 	generation, worker := int64(rapid.IntRange(0, 5).Draw(rt, "generation")), fmt.Sprint(rapid.IntRange(0, 3).Draw(rt, "worker"))
 	m.backlog.Add(entry, generation, []string{worker}, constants.BacklogBackoff, m.now)
-	if m.owed[name] == nil {
-		m.owed[name] = &owed{workers: map[string]bool{}}
+	if m.unconfirmed[name] == nil {
+		m.unconfirmed[name] = &unconfirmed{workers: map[string]bool{}}
 	}
-	m.owed[name].generation = max(m.owed[name].generation, generation)
-	m.owed[name].workers[worker] = true
+	m.unconfirmed[name].generation = max(m.unconfirmed[name].generation, generation)
+	m.unconfirmed[name].workers[worker] = true
 	m.markStale(name)
 }
 
@@ -81,13 +81,13 @@
 		due[delivery.Entry.Name] = delivery
 		m.sent = append(m.sent, delivery)
 	}
-	for name, debt := range m.owed {
-		if delivery, notified := due[name]; !notified || delivery.Generation != debt.generation || len(delivery.Workers) != len(debt.workers) {
-			rt.Fatalf("%s is owed %+v, and is sent %+v", name, debt, delivery)
+	for name, want := range m.unconfirmed {
+		if delivery, sent := due[name]; !sent || delivery.Generation != want.generation || len(delivery.Workers) != len(want.workers) {
+			rt.Fatalf("%s is owed %+v, and is sent %+v", name, want, delivery)
 		}
 	}
-	if len(due) != len(m.owed) {
-		rt.Fatalf("sent %v, owed %v", due, m.owed)
+	if len(due) != len(m.unconfirmed) {
+		rt.Fatalf("sent %v, owed %v", due, m.unconfirmed)
 	}
 }
 
@@ -98,7 +98,7 @@
 	i := rapid.IntRange(0, len(m.sent)-1).Draw(rt, "delivery")
 	m.backlog.Confirmed(m.sent[i])
 	if !m.stale[i] {
-		delete(m.owed, m.sent[i].Entry.Name)
+		delete(m.unconfirmed, m.sent[i].Entry.Name)
 	}
 }
 
@@ -107,13 +107,13 @@
 	name := m.drawName(rt)
 	m.entries[name] = messages.NodeInfo{Name: name, Role: membership.RoleGateway, Incarnation: m.entries[name].Incarnation + 1, Address: name}
 	m.backlog.Due(m.directory(), m.now)
-	delete(m.owed, name)
+	delete(m.unconfirmed, name)
 	m.markStale(name)
 }
 
 // checkNames checks that whoever is owed something is named.
 func (m *backlogModel) checkNames(rt *rapid.T) {
-	for name := range m.owed {
+	for name := range m.unconfirmed {
 		if !slices.Contains(m.backlog.Names(), membership.RoleGateway+"/"+name) {
 			rt.Fatalf("%s is not named", name)
 		}
@@ -125,7 +125,7 @@
 // directory; a confirmation never covers what was added after its delivery was made.
 func TestBacklogRetriesUntilConfirmed(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		m := &backlogModel{backlog: broadcast.NewBacklog(), now: 1, entries: map[string]messages.NodeInfo{}, owed: map[string]*owed{}, stale: map[int]bool{}}
+		m := &backlogModel{backlog: broadcast.NewBacklog(), now: 1, entries: map[string]messages.NodeInfo{}, unconfirmed: map[string]*unconfirmed{}, stale: map[int]bool{}}
 		rt.Repeat(map[string]func(*rapid.T){
 			"start": m.start, "add": m.add, "due": m.due, "confirm": m.confirm, "leave": m.restart, "": m.checkNames,
 		})
--- a/internal/control/broadcast/control_test.go
+++ b/internal/control/broadcast/control_test.go
@@ -12,79 +12,79 @@
 )
 
 // control is what a process has of the contact lease and of the two reports.
-type control struct {
+type controlState struct {
 	// first is the controller that took the last full report.
-	first    string
-	lease    *contact.Lease
-	sets     messages.RegisterValue
-	accepted int64
-	catching bool
-	backlog  *broadcast.Backlog
+	firstController    string
+	lease              *contact.Lease
+	registerValue      messages.RegisterValue
+	acceptedGeneration int64
+	pullScheduled      bool
+	backlog            *broadcast.Backlog
 }
 
 // startControl makes the first controllers, five at most, the acceptors, and starts the
 // loops of the lease, the backlog and the second reports.
 func (f *fleet) startControl() {
-	sets := messages.RegisterValue{}
-	for _, here := range f.controllers() {
-		if len(sets.Acceptors) < 5 {
-			sets.Acceptors = append(sets.Acceptors, messages.Member{Address: here.own.Address})
+	value := messages.RegisterValue{}
+	for _, process := range f.controllers() {
+		if len(value.Acceptors) < 5 {
+			value.Acceptors = append(value.Acceptors, messages.Member{Address: process.own.Address})
 		}
 	}
-	for _, here := range f.nodes {
-		here.control.lease, here.control.sets, here.control.backlog = contact.New(), sets, broadcast.NewBacklog()
-		phase := func(period clock.Duration) clock.Duration { return clock.Duration(f.Random.Int63n(int64(period))) }
-		if here.own.Role == membership.RoleController {
-			f.every(here, phase(constants.ContactPeriod), constants.ContactPeriod, here.contactRound)
-			f.every(here, phase(constants.BacklogPeriod), constants.BacklogPeriod, here.retryBacklog)
+	for _, process := range f.nodes {
+		process.control.lease, process.control.registerValue, process.control.backlog = contact.New(), value, broadcast.NewBacklog()
+		randomDelay := func(period clock.Duration) clock.Duration { return clock.Duration(f.Random.Int63n(int64(period))) }
+		if process.own.Role == membership.RoleController {
+			f.every(process, randomDelay(constants.ContactPeriod), constants.ContactPeriod, process.contactRound)
+			f.every(process, randomDelay(constants.BacklogPeriod), constants.BacklogPeriod, process.retryBacklog)
 		} else {
-			f.every(here, phase(constants.SecondReportPeriod), constants.SecondReportPeriod, func() {
-				here.report(here.view.SecondControllers(here.control.first, f.Now), 3, true)
+			f.every(process, randomDelay(constants.SecondReportPeriod), constants.SecondReportPeriod, func() {
+				process.report(process.view.SecondControllers(process.control.firstController, f.Now), 3, true)
 			})
 		}
 	}
 }
 
-func (f *fleet) every(here *node, first, period clock.Duration, function func()) {
+func (f *fleet) every(process *node, first, period clock.Duration, function func()) {
 	f.After(first, func() {
-		if !here.down {
+		if !process.down {
 			function()
 		}
-		f.every(here, period, period, function)
+		f.every(process, period, period, function)
 	})
 }
 
 func (n *node) attached() bool {
-	return n.control.lease.Valid(&n.control.sets, n.fleet.Now)
+	return n.control.lease.Valid(&n.control.registerValue, n.fleet.Now)
 }
 
 func (n *node) contactRound() {
 	sentAt := n.fleet.Now
-	for _, member := range n.control.sets.Acceptors {
+	for _, member := range n.control.registerValue.Acceptors {
 		if member.Address == n.own.Address {
-			n.contactAnswered(member, sentAt, n.control.accepted)
+			n.handleContactResponse(member, sentAt, n.control.acceptedGeneration)
 			continue
 		}
 		n.call(member.Address, &messages.ContactRequest{}, constants.ContactTimeout, func(resp transport.Marshaler, failed bool) {
 			if !failed {
-				n.contactAnswered(member, sentAt, resp.(*messages.ContactResponse).Generation)
+				n.handleContactResponse(member, sentAt, resp.(*messages.ContactResponse).Generation)
 			}
 		})
 	}
 }
 
-func (n *node) contactAnswered(member messages.Member, sentAt clock.Instant, accepted int64) {
-	if !n.control.lease.Observe(member, sentAt, contact.Versions{Generation: accepted}, contact.Versions{Generation: n.config}) || n.control.catching {
+func (n *node) handleContactResponse(member messages.Member, sentAt clock.Instant, accepted int64) {
+	if !n.control.lease.Observe(member, sentAt, contact.Versions{Generation: accepted}, contact.Versions{Generation: n.generation}) || n.control.pullScheduled {
 		return
 	}
-	n.control.catching = true
+	n.control.pullScheduled = true
 	n.fleet.After(constants.PushTimeout/2, func() {
-		n.control.catching = false
+		n.control.pullScheduled = false
 		n.pull(accepted, member.Address)
 	})
 }
 
-func (n *node) owe(update *messages.RelayRequest, entries []messages.NodeInfo, backoff clock.Duration) {
+func (n *node) addToBacklog(update *messages.RelayRequest, entries []messages.NodeInfo, backoff clock.Duration) {
 	var ids []string
 	for _, worker := range update.Workers {
 		ids = append(ids, worker.ID)
@@ -118,23 +118,23 @@
 }
 
 // majority has a message taken by a majority of the acceptors; done runs once it was.
-func (n *node) majority(message transport.Marshaler, done func()) {
-	answered, ended := map[string]bool{}, false
-	took := func(member messages.Member) {
-		answered[register.Identity(member)] = true
-		if !ended && register.Quorum(&n.control.sets, answered) {
+func (n *node) sendToMajority(message transport.Marshaler, done func()) {
+	acceptedBy, ended := map[string]bool{}, false
+	accept := func(member messages.Member) {
+		acceptedBy[register.Identity(member)] = true
+		if !ended && register.Quorum(&n.control.registerValue, acceptedBy) {
 			ended = true
 			done()
 		}
 	}
-	for _, member := range n.control.sets.Acceptors {
+	for _, member := range n.control.registerValue.Acceptors {
 		if member.Address == n.own.Address {
-			n.respond(message, func(transport.Marshaler) { took(member) })
+			n.respond(message, func(transport.Marshaler) { accept(member) })
 			continue
 		}
 		n.call(member.Address, message, constants.RoundTimeout, func(_ transport.Marshaler, failed bool) {
 			if !failed {
-				took(member)
+				accept(member)
 			}
 		})
 	}
@@ -142,36 +142,36 @@
 
 // order is an operator's call at this controller: acknowledged runs if it is answered
 // with 200.
-func (n *node) order(generation int64, acknowledged func()) {
+func (n *node) submitConfig(generation int64, acknowledged func()) {
 	if !n.attached() {
 		return
 	}
-	n.majority(&messages.AcceptRequest{Value: messages.RegisterValue{Current: messages.Version{Generation: generation}}}, func() {
-		n.take(generation)
-		n.spread(&messages.RelayRequest{Generation: generation, Body: body}, constants.PushTimeout, acknowledged)
+	n.sendToMajority(&messages.AcceptRequest{Value: messages.RegisterValue{Current: messages.Version{Generation: generation}}}, func() {
+		n.applyConfig(generation)
+		n.broadcast(&messages.RelayRequest{Generation: generation, Body: body}, constants.PushTimeout, acknowledged)
 	})
 }
 
 // bind is a worker's drain at this controller: acknowledged runs if it is answered with
 // 200.
-func (n *node) bind(worker messages.Worker, acknowledged func()) {
+func (n *node) drainWorker(worker messages.Worker, acknowledged func()) {
 	if !n.attached() {
 		return
 	}
 	n.registry.Heartbeat(worker, n.fleet.Now)
 	worker, _ = n.registry.Get(worker.ID)
-	retained, notified := false, false
-	end := func() {
-		if retained && notified {
+	persisted, delivered := false, false
+	acknowledge := func() {
+		if persisted && delivered {
 			acknowledged()
 		}
 	}
-	n.majority(&messages.WorkersPersistRequest{Workers: []messages.Worker{worker}}, func() {
-		retained = true
-		end()
+	n.sendToMajority(&messages.WorkersPersistRequest{Workers: []messages.Worker{worker}}, func() {
+		persisted = true
+		acknowledge()
 	})
-	n.spread(&messages.RelayRequest{Workers: []messages.Worker{worker}}, constants.BroadcastTimeout, func() {
-		notified = true
-		end()
+	n.broadcast(&messages.RelayRequest{Workers: []messages.Worker{worker}}, constants.BroadcastTimeout, func() {
+		delivered = true
+		acknowledge()
 	})
 }
--- a/internal/control/broadcast/cut_test.go
+++ b/internal/control/broadcast/cut_test.go
@@ -20,78 +20,78 @@
 )
 
 // seeds gives how many seeds a simulation plays: few, or as many as LEMONARCH_SEEDS says.
-func seeds(few int) int {
-	if many, err := strconv.Atoi(os.Getenv("LEMONARCH_SEEDS")); err == nil {
-		return many
+func seeds(defaultCount int) int {
+	if count, err := strconv.Atoi(os.Getenv("LEMONARCH_SEEDS")); err == nil {
+		return count
 	}
-	return few
+	return defaultCount
 }
 
 // direction says which way a controller is cut off, and from whom.
-type direction int
+type partitionMode int
 
 const (
-	bothWays direction = iota
+	bothWays partitionMode = iota
 	// unheard: what it sends to other controllers is lost.
-	unheard
+	outbound
 	// deaf: what other controllers send to it is lost.
-	deaf
+	inbound
 	// fromAll: it is cut off from every process, both ways.
-	fromAll
+	fromEveryProcess
 	// frozen: it stands still, and goes on where it was.
-	frozen
-	directions
+	paused
+	partitionModes
 )
 
 // cut is one play: a controller is cut off while orders and drains come.
-type cut struct {
-	test   *testing.T
-	fleet  *fleet
-	hit    *node
-	how    direction
-	began  clock.Instant
-	name   string
-	newest int64
-	worker int
-	acks   int
+type partitionRun struct {
+	test             *testing.T
+	fleet            *fleet
+	target           *node
+	mode             partitionMode
+	startedAt        clock.Instant
+	name             string
+	newestGeneration int64
+	workerCount      int
+	acks             int
 }
 
 // apply cuts the controller off, or joins it again.
-func (c *cut) apply(on bool) {
-	if c.how == frozen {
-		c.hit.down = on
+func (c *partitionRun) apply(partitioned bool) {
+	if c.mode == paused {
+		c.target.down = partitioned
 		return
 	}
 	for _, other := range c.fleet.nodes {
-		if other == c.hit || (c.how != fromAll && other.own.Role != membership.RoleController) {
+		if other == c.target || (c.mode != fromEveryProcess && other.own.Role != membership.RoleController) {
 			continue
 		}
-		if c.how != deaf {
-			c.fleet.SetPartitioned(c.hit.own.Address, other.own.Address, on)
+		if c.mode != inbound {
+			c.fleet.SetPartitioned(c.target.own.Address, other.own.Address, partitioned)
 		}
-		if c.how != unheard {
-			c.fleet.SetPartitioned(other.own.Address, c.hit.own.Address, on)
+		if c.mode != outbound {
+			c.fleet.SetPartitioned(other.own.Address, c.target.own.Address, partitioned)
 		}
 	}
 }
 
 // excused tells whether a process need not know: only the one that is cut off itself.
-func (c *cut) excused(here *node) bool { return here == c.hit }
+func (c *partitionRun) isTarget(process *node) bool { return process == c.target }
 
 // order sends a change of the configuration to a controller drawn by lot, and to the
 // next until one confirms it.
-func (c *cut) order() {
-	c.newest++
-	generation, taker := c.newest, c.draw()
-	taker.order(generation, func() {
+func (c *partitionRun) changeConfig() {
+	c.newestGeneration++
+	generation, controller := c.newestGeneration, c.randomController()
+	controller.submitConfig(generation, func() {
 		c.acks++
-		if taker == c.hit && c.began > 0 && c.fleet.Now.Sub(c.began) > constants.ContactLease+constants.PushTimeout {
+		if controller == c.target && c.startedAt > 0 && c.fleet.Now.Sub(c.startedAt) > constants.ContactLease+constants.PushTimeout {
 			c.test.Errorf("%s: a controller that is cut off confirmed generation %d", c.name, generation)
 		}
 		c.fleet.After(convergeBound, func() {
-			for _, here := range c.fleet.nodes {
-				if here.config < generation && !c.excused(here) {
-					c.test.Errorf("%s: %s follows %d, %d was confirmed by %s", c.name, here.own.Address, here.config, generation, taker.own.Address)
+			for _, process := range c.fleet.nodes {
+				if process.generation < generation && !c.isTarget(process) {
+					c.test.Errorf("%s: %s follows %d, %d was confirmed by %s", c.name, process.own.Address, process.generation, generation, controller.own.Address)
 				}
 			}
 		})
@@ -99,20 +99,20 @@
 }
 
 // drain registers a worker, and has it drain a little later.
-func (c *cut) drain() {
-	c.worker++
-	id, first, taker := fmt.Sprint("w", c.worker), c.draw(), c.draw()
-	if !first.attached() || !first.registry.Heartbeat(steady(id, 1, messages.PhaseSteady), c.fleet.Now) {
+func (c *partitionRun) drainWorker() {
+	c.workerCount++
+	id, registerController, drainController := fmt.Sprint("w", c.workerCount), c.randomController(), c.randomController()
+	if !registerController.attached() || !registerController.registry.Heartbeat(newWorker(id, 1, messages.PhaseSteady), c.fleet.Now) {
 		return
 	}
-	first.spread(&messages.RelayRequest{Workers: []messages.Worker{steady(id, 1, messages.PhaseSteady)}}, constants.BroadcastTimeout, func() {})
+	registerController.broadcast(&messages.RelayRequest{Workers: []messages.Worker{newWorker(id, 1, messages.PhaseSteady)}}, constants.BroadcastTimeout, func() {})
 	c.fleet.After(second, func() {
-		taker.bind(steady(id, 2, messages.PhaseDraining), func() {
+		drainController.drainWorker(newWorker(id, 2, messages.PhaseDraining), func() {
 			c.acks++
 			c.fleet.After(drainBound, func() {
-				for _, here := range c.fleet.nodes {
-					if got, known := here.registry.Get(id); known && got.Phase != messages.PhaseDraining && !c.excused(here) {
-						c.test.Errorf("%s: %s does not know that %s drains, acknowledged by %s", c.name, here.own.Address, id, taker.own.Address)
+				for _, process := range c.fleet.nodes {
+					if got, known := process.registry.Get(id); known && got.Phase != messages.PhaseDraining && !c.isTarget(process) {
+						c.test.Errorf("%s: %s does not know that %s drains, acknowledged by %s", c.name, process.own.Address, id, drainController.own.Address)
 					}
 				}
 			})
@@ -120,52 +120,52 @@
 	})
 }
 
-func (c *cut) draw() *node {
+func (c *partitionRun) randomController() *node {
 	controllers := c.fleet.controllers()
-	taker := controllers[c.fleet.Random.Intn(len(controllers))]
-	for taker.down {
-		taker = controllers[c.fleet.Random.Intn(len(controllers))]
+	controller := controllers[c.fleet.Random.Intn(len(controllers))]
+	for controller.down {
+		controller = controllers[c.fleet.Random.Intn(len(controllers))]
 	}
-	return taker
+	return controller
 }
 
 // knowsAll checks that every controller in touch takes every live process for live.
-func (c *cut) knowsAll() {
-	for _, here := range c.fleet.controllers() {
-		if c.excused(here) {
+func (c *partitionRun) checkLiveness() {
+	for _, process := range c.fleet.controllers() {
+		if c.isTarget(process) {
 			continue
 		}
 		live := map[string]bool{}
-		for _, entry := range here.view.Live("", c.fleet.Now) {
+		for _, entry := range process.view.Live("", c.fleet.Now) {
 			live[entry.Address] = true
 		}
 		for _, other := range c.fleet.nodes {
-			if other != here && !c.excused(other) && !live[other.own.Address] {
-				c.test.Errorf("%s: at %v %s takes %s for silent", c.name, c.fleet.Now, here.own.Address, other.own.Address)
+			if other != process && !c.isTarget(other) && !live[other.own.Address] {
+				c.test.Errorf("%s: at %v %s takes %s for silent", c.name, c.fleet.Now, process.own.Address, other.own.Address)
 			}
 		}
 	}
 }
 
 // leftAlone checks that nobody goes on reporting to a controller that has lost contact.
-func (c *cut) leftAlone() {
+func (c *partitionRun) checkNoReports() {
 	bound := constants.ContactLease + constants.ShufflePeriod + 2*constants.ReportTimeout
-	if c.began == 0 || c.fleet.Now.Sub(c.began) < bound {
+	if c.startedAt == 0 || c.fleet.Now.Sub(c.startedAt) < bound {
 		return
 	}
-	for _, here := range c.fleet.nodes {
-		if here.control.first == c.hit.own.Address && here != c.hit {
-			c.test.Errorf("%s: %s still reports to it after %v", c.name, here.own.Address, c.fleet.Now.Sub(c.began))
+	for _, process := range c.fleet.nodes {
+		if process.control.firstController == c.target.own.Address && process != c.target {
+			c.test.Errorf("%s: %s still reports to it after %v", c.name, process.own.Address, c.fleet.Now.Sub(c.startedAt))
 		}
 	}
 }
 
 // play runs one cut of a length, with orders and drains from before it until after it.
-func (c *cut) play(length clock.Duration) {
+func (c *partitionRun) run(length clock.Duration) {
 	fleet := c.fleet
 	fleet.Run(clock.Instant(0).Add(6 * second))
 	end := fleet.Now.Add(length + 6*second)
-	var orders, draining, looks func()
+	var changes, drains, checks func()
 	repeat := func(period clock.Duration, function func(), next *func()) {
 		*next = func() {
 			if fleet.Now < end && !c.test.Failed() {
@@ -175,24 +175,24 @@
 		}
 		fleet.After(period, *next)
 	}
-	repeat(700_000_000, c.order, &orders)
-	repeat(1_100_000_000, c.drain, &draining)
+	repeat(700_000_000, c.changeConfig, &changes)
+	repeat(1_100_000_000, c.drainWorker, &drains)
 	repeat(500_000_000, func() {
-		c.knowsAll()
-		c.leftAlone()
-	}, &looks)
+		c.checkLiveness()
+		c.checkNoReports()
+	}, &checks)
 	fleet.After(2*second, func() {
-		c.began = fleet.Now
+		c.startedAt = fleet.Now
 		c.apply(true)
 		fleet.After(length, func() {
-			c.began = 0
+			c.startedAt = 0
 			c.apply(false)
 		})
 	})
 	fleet.Run(end.Add(convergeBound + second))
-	for _, here := range fleet.nodes {
-		if here.config < c.hit.config || c.hit.config < here.config {
-			c.test.Errorf("%s: at the end %s follows %d, the one that was cut off %d", c.name, here.own.Address, here.config, c.hit.config)
+	for _, process := range fleet.nodes {
+		if process.generation < c.target.generation || c.target.generation < process.generation {
+			c.test.Errorf("%s: at the end %s follows %d, the one that was cut off %d", c.name, process.own.Address, process.generation, c.target.generation)
 		}
 	}
 	if c.acks == 0 {
@@ -212,7 +212,7 @@
 			for i := 0; i < size.zones*size.controllers; i++ {
 				t.Run(fmt.Sprintf("seed %d, %d controllers, number %d", seed, size.zones*size.controllers, i), func(t *testing.T) {
 					t.Parallel()
-					playCuts(t, int64(seed), size.zones, size.controllers, i)
+					runPartitions(t, int64(seed), size.zones, size.controllers, i)
 				})
 			}
 		}
@@ -220,19 +220,19 @@
 }
 
 // playCuts cuts one controller off in each direction, for each length.
-func playCuts(t *testing.T, seed int64, zones, controllers, i int) {
+func runPartitions(t *testing.T, seed int64, zones, controllers, index int) {
 	t.Helper()
 
-	for how := bothWays; how < directions; how++ {
-		for turn, length := range []clock.Duration{1, 5, 12, 20, 60} {
-			if seeds(0) == 0 && (i+turn+int(how))%int(directions) != 0 {
+	for mode := bothWays; mode < partitionModes; mode++ {
+		for j, length := range []clock.Duration{1, 5, 12, 20, 60} {
+			if seeds(0) == 0 && (index+j+int(mode))%int(partitionModes) != 0 {
 				// One direction each in CI: the rest is played on demand.
 				continue
 			}
-			c := &cut{test: t, fleet: newFleet(seed, zones, controllers, 1, 2), how: how}
-			c.hit = c.fleet.controllers()[i]
-			c.name = fmt.Sprintf("seed %d, %d controllers, %s, direction %d, %d s", seed, zones*controllers, c.hit.own.Address, how, length)
-			c.play(length * second)
+			c := &partitionRun{test: t, fleet: newFleet(seed, zones, controllers, 1, 2), mode: mode}
+			c.target = c.fleet.controllers()[index]
+			c.name = fmt.Sprintf("seed %d, %d controllers, %s, direction %d, %d s", seed, zones*controllers, c.target.own.Address, mode, length)
+			c.run(length * second)
 			if t.Failed() {
 				return
 			}
--- a/internal/control/broadcast/drive_test.go
+++ b/internal/control/broadcast/drive_test.go
@@ -10,18 +10,18 @@
 )
 
 // drive makes the calls of a job, and ticks it while it lasts.
-func (n *node) drive(update *messages.RelayRequest, job *broadcast.Tree, sends []broadcast.Send, start clock.Instant) {
+func (n *node) makeCalls(update *messages.RelayRequest, tree *broadcast.Tree, sends []broadcast.Send, start clock.Instant) {
 	for _, send := range sends {
-		n.carry(update, job, send, start)
+		n.makeCall(update, tree, send, start)
 	}
 	n.fleet.After(constants.RelayTimeout/4, func() {
-		if !job.Done() && !n.down && n.fleet.Now.Sub(start) < constants.BulkCallTimeout {
-			n.drive(update, job, job.Tick(n.fleet.Now), start)
+		if !tree.Done() && !n.down && n.fleet.Now.Sub(start) < constants.BulkCallTimeout {
+			n.makeCalls(update, tree, tree.Tick(n.fleet.Now), start)
 		}
 	})
 }
 
-func (n *node) carry(update *messages.RelayRequest, job *broadcast.Tree, send broadcast.Send, start clock.Instant) {
+func (n *node) makeCall(update *messages.RelayRequest, tree *broadcast.Tree, send broadcast.Send, start clock.Instant) {
 	var message transport.Marshaler
 	switch {
 	case send.Step == broadcast.StepRelay:
@@ -37,37 +37,37 @@
 	}
 	n.call(send.Address, message, constants.CallTimeout, func(resp transport.Marshaler, failed bool) {
 		var next []broadcast.Send
-		if entry := job.Receiver(send); failed && send.Step == broadcast.StepDeliver && entry.Address != "" {
-			n.owe(update, []messages.NodeInfo{entry}, constants.BacklogBackoff)
+		if entry := tree.Receiver(send); failed && send.Step == broadcast.StepDeliver && entry.Address != "" {
+			n.addToBacklog(update, []messages.NodeInfo{entry}, constants.BacklogBackoff)
 		}
-		done, waited := resp.(*messages.RelayWaitResponse)
+		waitResponse, isWaitResponse := resp.(*messages.RelayWaitResponse)
 		switch {
-		case failed || (waited && !done.Known):
-			next = job.HandleFailure(send, n.fleet.Now)
-		case waited:
-			next = job.HandleResponse(send, done.Missing, n.fleet.Now)
+		case failed || (isWaitResponse && !waitResponse.Known):
+			next = tree.HandleFailure(send, n.fleet.Now)
+		case isWaitResponse:
+			next = tree.HandleResponse(send, waitResponse.Missing, n.fleet.Now)
 		default:
-			next = job.HandleResponse(send, nil, n.fleet.Now)
+			next = tree.HandleResponse(send, nil, n.fleet.Now)
 		}
 		for _, s := range next {
-			n.carry(update, job, s, start)
+			n.makeCall(update, tree, s, start)
 		}
 	})
 }
 
 // spread tells the fleet; acknowledged runs once all in touch took it, or at the bound.
-func (n *node) spread(update *messages.RelayRequest, bound clock.Duration, acknowledged func()) {
-	n.fleet.number++
-	update.From, update.Sequence = membership.Key(n.own), n.fleet.number
+func (n *node) broadcast(update *messages.RelayRequest, bound clock.Duration, acknowledged func()) {
+	n.fleet.sequence++
+	update.From, update.Sequence = membership.Key(n.own), n.fleet.sequence
 	start := n.fleet.Now
-	job, sends := broadcast.NewTree(n.own, n.view.All("", start), fan(update), start)
+	tree, sends := broadcast.NewTree(n.own, n.view.All("", start), fanout(update), start)
 	if update.Generation > 0 {
-		n.owe(update, job.Unconfirmed(sends), constants.BacklogForwardedDelay)
+		n.addToBacklog(update, tree.Unconfirmed(sends), constants.BacklogForwardedDelay)
 	}
-	n.drive(update, job, sends, start)
+	n.makeCalls(update, tree, sends, start)
 	var check func()
 	check = func() {
-		if job.Done() || n.fleet.Now.Sub(start) >= bound {
+		if tree.Done() || n.fleet.Now.Sub(start) >= bound {
 			acknowledged()
 			return
 		}
--- a/internal/control/broadcast/loops_test.go
+++ b/internal/control/broadcast/loops_test.go
@@ -26,7 +26,7 @@
 
 // pull asks one process, then the controllers, until this one follows a generation.
 func (n *node) pull(generation int64, first string) {
-	if generation <= n.config || n.pulling {
+	if generation <= n.generation || n.pulling {
 		return
 	}
 	n.pulling = true
@@ -41,30 +41,30 @@
 }
 
 func (n *node) pullNext(generation int64, addresses []string) {
-	if len(addresses) == 0 || n.config >= generation {
+	if len(addresses) == 0 || n.generation >= generation {
 		n.pulling = false
 		return
 	}
-	n.call(addresses[0], &messages.ConfigPull{Known: n.config}, constants.CallTimeout, func(resp transport.Marshaler, failed bool) {
+	n.call(addresses[0], &messages.ConfigPull{Known: n.generation}, constants.CallTimeout, func(resp transport.Marshaler, failed bool) {
 		if failed {
 			n.view.Failed(addresses[0], n.fleet.Now)
 		} else {
-			n.take(resp.(*messages.ConfigPush).Generation)
+			n.applyConfig(resp.(*messages.ConfigPush).Generation)
 		}
 		n.pullNext(generation, addresses[1:])
 	})
 }
 
 // period is the periodic report: a controller's with controllers, anybody else's with a controller.
-func (n *node) period() {
+func (n *node) reportPeriodically() {
 	if n.own.Role == membership.RoleController {
-		n.fleet.After(constants.ControllerHeartbeatPeriod, n.period)
+		n.fleet.After(constants.ControllerHeartbeatPeriod, n.reportPeriodically)
 		if !n.down {
 			n.heartbeatPeers()
 		}
 		return
 	}
-	n.fleet.After(constants.ShufflePeriod, n.period)
+	n.fleet.After(constants.ShufflePeriod, n.reportPeriodically)
 	if !n.down {
 		n.report(n.view.Controllers(n.fleet.Now), 3, false)
 	}
@@ -73,7 +73,7 @@
 func (n *node) report(controllers []messages.NodeInfo, attempts int, brief bool) {
 	if len(controllers) == 0 || attempts == 0 {
 		if partner := n.view.Partner(n.fleet.Now); partner != "" && !brief {
-			n.control.first = ""
+			n.control.firstController = ""
 			n.call(partner, &messages.Shuffle{Entries: n.view.Offer(n.fleet.Now)}, constants.CallTimeout, func(resp transport.Marshaler, failed bool) {
 				if !failed {
 					n.observe(resp.(*messages.Shuffle).Entries)
@@ -99,12 +99,12 @@
 			return
 		}
 		if !brief {
-			n.control.first = address
+			n.control.firstController = address
 		}
 		n.view.HandleReportResponse(req, response, n.fleet.Now)
 		n.observeEntries(response.Entries)
-		read := n.read(address)
-		if since, ask := behind(&read.workerList, response.Workers, n.registry.Digest(n.own.Incarnation)); ask {
+		peer := n.peerState(address)
+		if since, behind := pullSince(&peer.workerList, response.Workers, n.registry.Digest(n.own.Incarnation)); behind {
 			n.pullWorkers(address, since)
 		}
 		if response.OverdueComplete {
@@ -113,22 +113,22 @@
 	})
 }
 
-func (n *node) read(key string) *reads {
-	if n.reads[key] == nil {
-		n.reads[key] = &reads{}
+func (n *node) peerState(key string) *peerState {
+	if n.peerStates[key] == nil {
+		n.peerStates[key] = &peerState{}
 	}
-	return n.reads[key]
+	return n.peerStates[key]
 }
 
-func behind(read *messages.Digest, notified, own messages.Digest) (uint64, bool) {
-	if notified.Sum == own.Sum {
-		*read = notified
+func pullSince(read *messages.Digest, reported, own messages.Digest) (uint64, bool) {
+	if reported.Sum == own.Sum {
+		*read = reported
 		return 0, false
 	}
-	if read.Incarnation != notified.Incarnation {
+	if read.Incarnation != reported.Incarnation {
 		return 0, true
 	}
-	return read.Clock, notified.Clock > read.Clock
+	return read.Clock, reported.Clock > read.Clock
 }
 
 func (n *node) pullWorkers(address string, since uint64) {
@@ -136,13 +136,13 @@
 		if !failed {
 			response := resp.(*messages.WorkersUpdate)
 			n.merge(response.Workers)
-			n.read(address).workerList = response.Table
+			n.peerState(address).workerList = response.Table
 		}
 	})
 }
 
 func (n *node) heartbeatFor(key string) *messages.ControllerHeartbeat {
-	since := n.read(key).told
+	since := n.peerState(key).contactsSentAt
 	heartbeat := &messages.ControllerHeartbeat{From: n.view.Self(), Workers: n.registry.Digest(n.own.Incarnation), Processes: n.view.Digest(),
 		ContactedWorkers: n.registry.HeartbeatsSince(since), Generation: n.view.Self().Generation}
 	heartbeat.ContactedNodes, heartbeat.LaggingNodes = n.view.ContactedSince(since)
@@ -164,22 +164,22 @@
 	}
 }
 
-func (n *node) handleHeartbeat(heartbeat *messages.ControllerHeartbeat, notified clock.Instant) {
+func (n *node) handleHeartbeat(heartbeat *messages.ControllerHeartbeat, sentAt clock.Instant) {
 	now, address := n.fleet.Now, heartbeat.From.Address
 	n.observe([]messages.NodeInfo{heartbeat.From})
-	read := n.read(membership.Key(heartbeat.From))
-	read.told = notified
+	peer := n.peerState(membership.Key(heartbeat.From))
+	peer.contactsSentAt = sentAt
 	n.registry.ConfirmHeartbeats(heartbeat.ContactedWorkers, now)
 	n.view.HandleHeartbeat(heartbeat, now)
-	if since, ask := behind(&read.workerList, heartbeat.Workers, n.registry.Digest(n.own.Incarnation)); ask {
+	if since, behind := pullSince(&peer.workerList, heartbeat.Workers, n.registry.Digest(n.own.Incarnation)); behind {
 		n.pullWorkers(address, since)
 	}
-	if since, ask := behind(&read.processes, heartbeat.Processes, n.view.Digest()); ask {
+	if since, behind := pullSince(&peer.processes, heartbeat.Processes, n.view.Digest()); behind {
 		n.call(address, &messages.DirectoryPullRequest{Since: since}, constants.CallTimeout, func(resp transport.Marshaler, failed bool) {
 			if !failed {
 				response := resp.(*messages.Shuffle)
 				n.observe(response.Entries)
-				read.processes = response.Table
+				peer.processes = response.Table
 			}
 		})
 	}
--- a/internal/control/broadcast/outcomes.go
+++ b/internal/control/broadcast/outcomes.go
@@ -9,7 +9,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// HandleResponse notes that a send was answered; missing is what a wait brought.
+// HandleResponse handles the response to a send and returns the sends that follow. missing lists the
+// hashes in the response to a StepWait.
 func (j *Tree) HandleResponse(send Send, missing []uint32, now clock.Instant) []Send {
 	switch send.Step {
 	case StepDeliver:
@@ -19,7 +20,8 @@
 		if branch.complete || branch.relay != send.Address {
 			return nil
 		}
-		// It is alive and at work: it is given the time that its zone may take.
+		// The relay is alive and distributing, so the timeout is extended by the time that its zone
+		// may take.
 		branch.requestedAt = now.Add(constants.ZoneBroadcastTimeout)
 		return []Send{{Step: StepWait, Address: send.Address, Zone: send.Zone}}
 	case StepWait:
@@ -28,30 +30,30 @@
 			return nil
 		}
 		branch.complete = true
-		left := map[uint32]bool{}
+		unreached := map[uint32]bool{}
 		for _, hash := range missing {
-			left[hash] = true
+			unreached[hash] = true
 		}
-		// Whom the relay could not reach may be in reach from here.
-		var again []messages.NodeInfo
+		// Processes that the relay could not reach may be reachable from here.
+		var retries []messages.NodeInfo
 		for _, entry := range branch.processes {
-			if left[membership.Hash(entry)] {
-				again = append(again, entry)
+			if unreached[membership.Hash(entry)] {
+				retries = append(retries, entry)
 			}
 		}
-		return j.deliver(again)
+		return j.deliver(retries)
 	}
 	return nil
 }
 
-// HandleFailure notes that a send was not answered or not taken.
+// HandleFailure handles a send that timed out or was rejected and returns the sends that follow.
 func (j *Tree) HandleFailure(send Send, now clock.Instant) []Send {
 	if send.Step != StepDeliver {
 		branch := j.branches[send.Zone]
 		if branch.relay != send.Address {
 			return nil
 		}
-		return j.next(branch, send.Zone, now)
+		return j.nextRelay(branch, send.Zone, now)
 	}
 	if hash, known := j.hashes[send.Address]; known && j.pending[send.Address] {
 		j.missing[hash] = true
@@ -60,45 +62,46 @@
 	if len(send.ForwardTo) == 0 {
 		return nil
 	}
-	// The next of its part takes its place.
+	// The next address of the share replaces the receiver that failed.
 	j.pending[send.ForwardTo[0]] = true
 	return []Send{{Step: StepDeliver, Address: send.ForwardTo[0], ForwardTo: send.ForwardTo[1:]}}
 }
 
-// Receiver gives the process that a send goes to.
-func (j *Tree) Receiver(send Send) messages.NodeInfo { return j.entries[send.Address] }
+// Receiver returns the process to which a send is addressed.
+func (j *Tree) Receiver(send Send) messages.NodeInfo { return j.nodes[send.Address] }
 
-// Unconfirmed gives the processes whose confirmation of a configuration this tree does not get
-// itself: those of the owner's zone to which others pass it on, and those of other zones.
+// Unconfirmed returns the processes whose confirmation of a configuration does not arrive at this
+// tree: those of the own zone that receive it by forwarding, and those of other zones.
 func (j *Tree) Unconfirmed(sends []Send) []messages.NodeInfo {
-	notified := map[string]bool{}
+	direct := map[string]bool{}
 	for _, send := range sends {
-		notified[send.Address] = send.Step == StepDeliver
+		direct[send.Address] = send.Step == StepDeliver
 	}
-	var found []messages.NodeInfo
+	var unconfirmed []messages.NodeInfo
 	for _, zone := range j.zones() {
 		for _, entry := range j.branches[zone].processes {
-			if !notified[entry.Address] {
-				found = append(found, entry)
+			if !direct[entry.Address] {
+				unconfirmed = append(unconfirmed, entry)
 			}
 		}
 	}
-	return found
+	return unconfirmed
 }
 
-// Tick goes on without controllers that take too long.
+// Tick replaces relay controllers that have not responded within constants.RelayTimeout and returns
+// the sends that follow.
 func (j *Tree) Tick(now clock.Instant) []Send {
 	var sends []Send
 	for _, zone := range j.zones() {
 		branch := j.branches[zone]
 		if !branch.complete && now.Sub(branch.requestedAt) >= constants.RelayTimeout {
-			sends = append(sends, j.next(branch, zone, now)...)
+			sends = append(sends, j.nextRelay(branch, zone, now)...)
 		}
 	}
 	return sends
 }
 
-// Done tells whether everybody who was in contact lately took the update or failed to.
+// Done reports whether every process that was recently in contact has accepted the update or failed.
 func (j *Tree) Done() bool {
 	for _, branch := range j.branches {
 		if !branch.complete {
@@ -108,7 +111,7 @@
 	return len(j.pending) == 0
 }
 
-// Missing gives the hashes of those in contact that have not confirmed the update.
+// Missing returns the sorted hashes of the processes in contact that have not confirmed the update.
 func (j *Tree) Missing() []uint32 {
 	var hashes []uint32
 	for hash := range j.missing {
--- a/internal/control/broadcast/tree.go
+++ b/internal/control/broadcast/tree.go
@@ -1,6 +1,7 @@
-// Package broadcast spreads an update over the fleet down a tree: whoever has it tells the
-// processes of its own zone and one controller of each other zone, which tells its zone.
-// A step function without I/O: calls in, sends out.
+// Package broadcast distributes an update to the fleet along a tree: the controller that starts
+// it sends it to the processes of its own zone and to one relay controller of each other zone,
+// which sends it to the processes of that zone. The package does no I/O: each method takes an
+// event and returns the calls to make.
 package broadcast
 
 import (
@@ -12,110 +13,117 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Step says what a send asks of its receiver.
+// Step is the kind of request that a Send makes.
 type Step int
 
-// The steps.
+// The steps of a broadcast.
 const (
-	// StepDeliver: take the update, and pass it on to the addresses in Pass.
+	// StepDeliver delivers the update; the receiver forwards it to the addresses in ForwardTo.
 	StepDeliver Step = iota
-	// StepRelay: take the update and tell your zone; answered at once.
+	// StepRelay delivers the update to a controller, which distributes it in its zone and responds
+	// immediately.
 	StepRelay
-	// StepWait: say whom of your zone you could not reach, once you know.
+	// StepWait requests the list of processes that the relay could not reach in its zone. The relay
+	// responds once its distribution has ended.
 	StepWait
 )
 
-// Send is one call to be made.
+// Send is one call to make.
 type Send struct {
 	Step    Step
 	Address string
 	Zone    string
-	// ForwardTo holds the addresses to which the receiver passes the update on.
+	// ForwardTo lists the addresses to which the receiver forwards the update.
 	ForwardTo []string
-	// Expect are the hashes of those whom the sender knows in the zone.
+	// Expect lists the hashes of the processes that the sender knows in the zone and that were in
+	// contact recently.
 	Expect []uint32
 }
 
-// branch is the part of a tree that one zone makes.
+// branch is the part of a tree that covers one zone.
 type branch struct {
+	// controllers are the relay candidates that have not been tried yet.
 	controllers []messages.NodeInfo
 	processes   []messages.NodeInfo
+	// relay is the address of the controller that currently relays, empty if there is none.
 	relay       string
 	requestedAt clock.Instant
-	// complete: nothing more is expected of the zone's controllers.
+	// complete is set once no further response from the zone's controllers is awaited.
 	complete bool
 }
 
-// Tree is one update on its way.
+// Tree is the state of one update that is being broadcast.
 type Tree struct {
 	self     messages.NodeInfo
-	fan      int
+	fanout   int
 	branches map[string]*branch
-	// pending are the sends whose response is waited for, by address.
+	// pending is the set of receiver addresses whose response is awaited.
 	pending map[string]bool
 	missing map[uint32]bool
 	hashes  map[string]uint32
-	entries map[string]messages.NodeInfo
+	nodes   map[string]messages.NodeInfo
 }
 
-// NewTree begins an update for all processes of a directory but the owner. fan is how many of
-// a zone are told directly, each passing the update on to its part of the rest; 0 tells
-// each directly.
-func NewTree(own messages.NodeInfo, directory []messages.NodeInfo, fan int, now clock.Instant) (*Tree, []Send) {
-	job := &Tree{self: own, fan: fan, branches: map[string]*branch{}, pending: map[string]bool{}, missing: map[uint32]bool{}, hashes: map[string]uint32{},
-		entries: map[string]messages.NodeInfo{}}
+// NewTree begins an update for all processes of a directory except self. fanout is the number of
+// processes in a zone that receive the update directly, each forwarding it to its share of the
+// others; with 0 every process receives it directly.
+func NewTree(self messages.NodeInfo, directory []messages.NodeInfo, fanout int, now clock.Instant) (*Tree, []Send) {
+	t := &Tree{self: self, fanout: fanout, branches: map[string]*branch{}, pending: map[string]bool{}, missing: map[uint32]bool{}, hashes: map[string]uint32{},
+		nodes: map[string]messages.NodeInfo{}}
 	for _, entry := range directory {
-		if membership.Key(entry) == membership.Key(own) {
+		if membership.Key(entry) == membership.Key(self) {
 			continue
 		}
-		b := job.branches[entry.Zone]
+		b := t.branches[entry.Zone]
 		if b == nil {
 			b = &branch{}
-			job.branches[entry.Zone] = b
+			t.branches[entry.Zone] = b
 		}
-		job.hashes[entry.Address] = membership.Hash(entry)
-		job.entries[entry.Address] = entry
+		t.hashes[entry.Address] = membership.Hash(entry)
+		t.nodes[entry.Address] = entry
 		b.processes = append(b.processes, entry)
 		if entry.Role == membership.RoleController && recentlyInContact(entry) && !entry.Draining {
 			b.controllers = append(b.controllers, entry)
 		}
 	}
 	var sends []Send
-	for _, zone := range job.zones() {
-		b := job.branches[zone]
-		// The one in contact most recently is asked first: it is most likely alive.
+	for _, zone := range t.zones() {
+		b := t.branches[zone]
+		// The controller that was in contact most recently is tried first, because it is the most
+		// likely to be alive.
 		sort.SliceStable(b.controllers, func(left, right int) bool { return b.controllers[left].AgeMs < b.controllers[right].AgeMs })
-		if zone == own.Zone {
+		if zone == self.Zone {
 			b.complete = true
-			sends = append(sends, job.deliver(b.processes)...)
+			sends = append(sends, t.deliver(b.processes)...)
 		} else {
-			sends = append(sends, job.next(b, zone, now)...)
+			sends = append(sends, t.nextRelay(b, zone, now)...)
 		}
 	}
-	return job, sends
+	return t, sends
 }
 
-// NewZoneTree begins an update for the owner's zone alone, on behalf of another. Those of the
-// expected that the owner does not know are missing from the start.
-func NewZoneTree(own messages.NodeInfo, directory []messages.NodeInfo, expect []uint32, fan int, now clock.Instant) (*Tree, []Send) {
-	var near []messages.NodeInfo
-	known := map[uint32]bool{membership.Hash(own): true}
+// NewZoneTree begins an update for the zone of self only, on behalf of another controller. The
+// expected processes that are not in the directory count as missing from the start.
+func NewZoneTree(self messages.NodeInfo, directory []messages.NodeInfo, expect []uint32, fanout int, now clock.Instant) (*Tree, []Send) {
+	var zoneNodes []messages.NodeInfo
+	known := map[uint32]bool{membership.Hash(self): true}
 	for _, entry := range directory {
-		if entry.Zone == own.Zone {
-			near = append(near, entry)
+		if entry.Zone == self.Zone {
+			zoneNodes = append(zoneNodes, entry)
 			known[membership.Hash(entry)] = true
 		}
 	}
-	job, sends := NewTree(own, near, fan, now)
+	t, sends := NewTree(self, zoneNodes, fanout, now)
 	for _, hash := range expect {
 		if !known[hash] {
-			job.missing[hash] = true
+			t.missing[hash] = true
 		}
 	}
-	return job, sends
+	return t, sends
 }
 
-// recentlyInContact tells whether a process was in contact lately: only then is it waited for.
+// recentlyInContact reports whether a process was in contact within constants.SuspectAfter. The tree
+// waits only for such processes.
 func recentlyInContact(entry messages.NodeInfo) bool {
 	return entry.AgeMs < constants.SuspectAfter.Milliseconds()
 }
@@ -129,44 +137,45 @@
 	return zones
 }
 
-// deliver makes the sends that tell processes directly, or through a few of them.
+// deliver returns the sends that deliver the update to processes, directly or with forwarding by
+// the first few of them.
 func (j *Tree) deliver(processes []messages.NodeInfo) []Send {
-	var counts, silent []messages.NodeInfo
+	var active, silent []messages.NodeInfo
 	for _, entry := range processes {
 		if recentlyInContact(entry) {
-			counts = append(counts, entry)
+			active = append(active, entry)
 			j.pending[entry.Address] = true
 		} else {
 			silent = append(silent, entry)
 		}
 	}
 	var sends []Send
-	if j.fan == 0 {
-		for _, entry := range counts {
+	if j.fanout == 0 {
+		for _, entry := range active {
 			sends = append(sends, Send{Step: StepDeliver, Address: entry.Address})
 		}
 	} else {
 		var addresses []string
-		for _, entry := range counts {
+		for _, entry := range active {
 			addresses = append(addresses, entry.Address)
 		}
-		sends = Split(addresses, j.fan)
+		sends = Split(addresses, j.fanout)
 		for _, send := range sends {
 			for _, address := range send.ForwardTo {
 				delete(j.pending, address)
 			}
 		}
 	}
-	// The silent ones are sent the update as well, each for itself: nobody waits for them.
+	// Silent processes are sent the update as well, each directly, but their response is not awaited.
 	for _, entry := range silent {
 		sends = append(sends, Send{Step: StepDeliver, Address: entry.Address})
 	}
 	return sends
 }
 
-// Split shares addresses out among the first few of them.
-func Split(addresses []string, fan int) []Send {
-	count := min(fan, len(addresses))
+// Split divides addresses among the first fanout of them, which forward to the others.
+func Split(addresses []string, fanout int) []Send {
+	count := min(fanout, len(addresses))
 	sends := make([]Send, count)
 	for i, address := range addresses {
 		if i < count {
@@ -178,8 +187,9 @@
 	return sends
 }
 
-// next asks a zone's next controller, or tells its processes where none is left.
-func (j *Tree) next(b *branch, zone string, now clock.Instant) []Send {
+// nextRelay requests the relay from the zone's next controller. If there is none left, it delivers
+// to the zone's processes from here.
+func (j *Tree) nextRelay(b *branch, zone string, now clock.Instant) []Send {
 	if b.complete {
 		return nil
 	}
--- a/internal/control/broadcastserver/backlog.go
+++ b/internal/control/broadcastserver/backlog.go
@@ -9,8 +9,8 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// addToBacklog notes processes that have not confirmed an update, so that they are notified
-// until they do, or until they have been silent for so long that the directory drops them.
+// addToBacklog records processes that have not confirmed an update, so that it is sent again until
+// they confirm it, or until they have been silent for so long that the directory removes them.
 func (s *Server) addToBacklog(update *messages.RelayRequest, entries []messages.NodeInfo, backoff clock.Duration) {
 	var ids []string
 	for _, worker := range update.Workers {
@@ -24,7 +24,7 @@
 	}
 }
 
-// RetryBacklog makes the deliveries that are due.
+// RetryBacklog starts the deliveries of the backlog that are due.
 func (s *Server) RetryBacklog() {
 	now := clock.Now()
 	s.lock.Lock()
@@ -50,8 +50,8 @@
 	}
 }
 
-// redeliver makes one delivery. A configuration is only named: the process pulls it from
-// the controllers of its zone, so that no single link carries all of them.
+// redeliver makes one delivery. For a configuration it sends only the generation number: the process
+// pulls the body from the controllers of its zone, so that no single link carries every copy.
 func (s *Server) redeliver(delivery broadcast.Delivery, updates []messages.Worker) {
 	wire, address, from := s.node.Transport, delivery.Entry.Address, membership.Key(s.node.Self)
 	ack := &messages.Ack{Accepted: true}
--- a/internal/control/broadcastserver/batch.go
+++ b/internal/control/broadcastserver/batch.go
@@ -8,28 +8,29 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// batches gathers changes of workers that come close together, so that a fleet whose
-// workers all start at once is notified a few times and not once a worker. A change that
-// binds (a drain, a departure) leaves at once, with whatever else waits.
+// batches combines worker changes that arrive within a short window, so that a fleet whose workers
+// all start at the same time is notified a few times instead of once per worker. An urgent
+// change (a drain, a departure) is sent immediately, together with all pending changes, unless
+// constants.UpdateBatchesInFlight batches are in flight already.
 type batches struct {
 	lock sync.Mutex
 	next *batch
-	// inFlight is how many batches are under way.
+	// inFlight is the number of batches that are being broadcast.
 	inFlight  int
 	broadcast func(workers []messages.Worker)
-	// afterWindow runs a function once the window is over.
+	// afterWindow calls a function after constants.UpdateBatchWindow.
 	afterWindow func(function func())
 }
 
-// batch is changes that go together.
+// batch is a set of changes that are sent in one broadcast.
 type batch struct {
 	workers []messages.Worker
 	urgent  bool
-	// done closes once the fleet was notified.
+	// done is closed once the fleet has been notified.
 	done chan struct{}
 }
 
-// add puts a change into the next batch. done closes once the fleet was notified.
+// add adds a change to the next batch. done is closed once the fleet has been notified.
 func (b *batches) add(worker messages.Worker, urgent bool) (done chan struct{}) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -52,7 +53,7 @@
 	return pending.done
 }
 
-// launchLocked sends the next batch on its way. The lock is held.
+// launchLocked starts the broadcast of the next batch. The caller holds the lock.
 func (b *batches) launchLocked() {
 	batch := b.next
 	b.next = nil
@@ -69,7 +70,8 @@
 	}()
 }
 
-// afterBatchWindow runs a function once the window is over, in a goroutine that ends with it.
+// afterBatchWindow calls a function after constants.UpdateBatchWindow, in a goroutine that ends when
+// the function returns.
 func afterBatchWindow(function func()) {
 	go func() {
 		clock.Sleep(constants.UpdateBatchWindow)
--- a/internal/control/broadcastserver/batch_test.go
+++ b/internal/control/broadcastserver/batch_test.go
@@ -28,12 +28,12 @@
 }
 
 // checkNothingLeft fails where a batch has left.
-func (r *batchRecorder) checkNothingLeft(t *testing.T) {
+func (r *batchRecorder) checkNothingSent(t *testing.T) {
 	t.Helper()
 
 	select {
-	case early := <-r.notified:
-		t.Fatalf("%d left before their window", len(early))
+	case sent := <-r.notified:
+		t.Fatalf("%d left before their window", len(sent))
 	default:
 	}
 }
@@ -54,12 +54,12 @@
 
 // A fleet whose workers all start at once is notified a few times; a drain leaves at once
 // and takes along what waits; nothing is sent twice or never.
-func TestChangesAreBatchedAndDrainsLeaveAtOnce(t *testing.T) {
+func TestChangesAreBatchedAndDrainsAreSentAtOnce(t *testing.T) {
 	r := newBatchRecorder()
 	for i := 0; i < 300; i++ {
 		r.add(messages.Worker{ID: fmt.Sprint("w", i)}, false)
 	}
-	r.checkNothingLeft(t)
+	r.checkNothingSent(t)
 	done := r.add(messages.Worker{ID: "d0", Phase: messages.PhaseDraining}, true)
 	if first := <-r.notified; len(first) != 301 || first[300].ID != "d0" {
 		t.Fatalf("%d left with the drain", len(first))
@@ -75,8 +75,8 @@
 	// As many batches as may be under way leave; the rest go together after one of them.
 	for i := 1; i < constants.UpdateBatchesInFlight; i++ {
 		r.add(messages.Worker{ID: fmt.Sprint("d", i)}, true)
-		if alone := <-r.notified; len(alone) != 1 {
-			t.Fatal(alone)
+		if single := <-r.notified; len(single) != 1 {
+			t.Fatal(single)
 		}
 	}
 	group := r.addBinding(50)
--- a/internal/control/broadcastserver/broadcast.go
+++ b/internal/control/broadcastserver/broadcast.go
@@ -10,31 +10,32 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Broadcast sends an update to all processes down the tree. It returns once all in contact
-// have it, or after the timeout; what is then under way goes on. From and Sequence of the
-// update are filled in here.
+// Broadcast sends an update to all processes along a tree. It returns once all processes in contact
+// have accepted it or failed, or after the timeout; calls that are then in flight continue.
+// It sets From and Sequence of the update.
 func (s *Server) Broadcast(update *messages.RelayRequest, timeout clock.Duration) {
 	update.From, update.Sequence = membership.Key(s.node.Self), s.sequence.Add(1)
 	tree, sends := broadcast.NewTree(s.node.Self, s.directory(update.Generation), fanout(update), clock.Now())
 	if update.Generation > 0 {
 		s.addToBacklog(update, tree.Unconfirmed(sends), constants.BacklogForwardedDelay)
 	}
-	delivery := s.deliver(update, tree, sends)
+	delivery := s.startDelivery(update, tree, sends)
 	timer := clock.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-delivery.done:
 	case <-timer.C:
-		s.node.Log.Debug("update not confirmed by all in time", "missing", len(delivery.missing()))
+		s.node.Log.Debug("update not confirmed by all processes before the timeout", "missing", len(delivery.missing()))
 	}
 }
 
-// AnnounceWorker broadcasts a change of a worker. It waits for the fleet only where the
-// caller's acknowledgement binds it: a worker that is new may be known a moment later.
+// AnnounceWorker broadcasts a change of a worker. It waits for the fleet, at most for
+// constants.BroadcastTimeout, only if the caller's acknowledgement guarantees that the fleet
+// knows the change (a drain or departure). A worker in the steady phase may become known later.
 func (s *Server) AnnounceWorker(worker messages.Worker) {
-	binding := worker.Phase != messages.PhaseSteady
-	done := s.batches.add(worker, binding)
-	if !binding {
+	waitForFleet := worker.Phase != messages.PhaseSteady
+	done := s.batches.add(worker, waitForFleet)
+	if !waitForFleet {
 		return
 	}
 	timer := clock.NewTimer(constants.BroadcastTimeout)
@@ -45,22 +46,23 @@
 	}
 }
 
-// directory gives every other process, the silent ones included, until constants.ForgetAfter
-// has passed since anybody was in contact with it: one that is silent to this process may be
-// in contact with others. Who follows a generation already need not get it again.
+// directory returns every other process, including silent ones, until constants.ForgetAfter has
+// passed since any process was in contact with it, because a process that is silent to this
+// one may be in contact with others. Processes other than controllers that already follow the
+// generation are left out, since they do not need it again.
 func (s *Server) directory(generation int64) []messages.NodeInfo {
-	var found []messages.NodeInfo
+	var entries []messages.NodeInfo
 	for _, entry := range s.node.All("") {
-		follows := generation > 0 && entry.Generation >= generation && entry.Role != membership.RoleController
-		if !follows {
-			found = append(found, entry)
+		upToDate := generation > 0 && entry.Generation >= generation && entry.Role != membership.RoleController
+		if !upToDate {
+			entries = append(entries, entry)
 		}
 	}
-	return found
+	return entries
 }
 
-// fanout is how many of a zone get an update directly, 0 for all: an update of a worker is
-// short, a configuration is not.
+// fanout returns the number of processes in a zone that receive an update directly, 0 for all. Worker
+// updates are short and are sent to all directly; configurations are large and are forwarded.
 func fanout(update *messages.RelayRequest) int {
 	if update.Generation > 0 {
 		return 2 * constants.BodyFanout
@@ -68,37 +70,38 @@
 	return 0
 }
 
-// handleRelay takes an update for this zone and begins to deliver it there.
+// handleRelay accepts an update from another controller and starts its delivery in this zone.
 func (s *Server) handleRelay(update *messages.RelayRequest) (*messages.Ack, error) {
 	s.workers.Merge(update.Workers)
 	if update.Generation > s.node.Generation() {
 		s.node.ApplyConfig(update.Body)
 	}
 	tree, sends := broadcast.NewZoneTree(s.node.Self, s.directory(update.Generation), s.expected(update), fanout(update), clock.Now())
-	delivery := s.deliver(update, tree, sends)
+	delivery := s.startDelivery(update, tree, sends)
 	s.lock.Lock()
 	s.deliveries[relayKey(update.From, update.Sequence)] = delivery
 	s.lock.Unlock()
 	return &messages.Ack{Accepted: true}, nil
 }
 
-// expected gives those that the sender knows in this zone, less those that follow the
-// update's generation already.
+// expected returns the hashes of the processes that the sender knows in this zone, without those
+// that already follow the update's generation.
 func (s *Server) expected(update *messages.RelayRequest) []uint32 {
-	follows := map[uint32]bool{}
+	upToDate := map[uint32]bool{}
 	for _, entry := range s.directory(0) {
-		follows[membership.Hash(entry)] = update.Generation > 0 && entry.Generation >= update.Generation
+		upToDate[membership.Hash(entry)] = update.Generation > 0 && entry.Generation >= update.Generation
 	}
 	var expected []uint32
 	for _, hash := range update.Expect {
-		if !follows[hash] {
+		if !upToDate[hash] {
 			expected = append(expected, hash)
 		}
 	}
 	return expected
 }
 
-// handleRelayWait says whom of the zone a relayed update has not reached.
+// handleRelayWait waits until a relayed update is delivered, at most for
+// constants.ZoneBroadcastTimeout, and responds with the processes of the zone that it has not reached.
 func (s *Server) handleRelayWait(req *messages.RelayWaitRequest) (*messages.RelayWaitResponse, error) {
 	s.lock.Lock()
 	delivery := s.deliveries[relayKey(req.From, req.Sequence)]
@@ -115,7 +118,7 @@
 	return &messages.RelayWaitResponse{Known: true, Missing: delivery.missing()}, nil
 }
 
-// relayKey names an update of another controller.
+// relayKey identifies an update of another controller.
 func relayKey(from string, sequence uint64) string {
 	return from + "#" + strconv.FormatUint(sequence, 10)
 }
--- a/internal/control/broadcastserver/delivery.go
+++ b/internal/control/broadcastserver/delivery.go
@@ -12,17 +12,17 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// errRelayUnknown is the error of a controller that was asked to wait for an update which it
-// does not know: it was restarted meanwhile.
-var errRelayUnknown = errs.Define("relay does not know the update")
+// errRelayUnknown is returned if a relay controller received a wait request for an update that it
+// does not know, which means that it restarted after it accepted the update.
+var errRelayUnknown = errs.Define("relay controller has no record of the update")
 
-// delivery is one update on its way down the tree. Its goroutines end by themselves within
-// constants.BulkCallTimeout of its start and the timeout of one call.
+// delivery is one update that is being sent along the tree. Its goroutines end no later than
+// constants.BulkCallTimeout plus the timeout of one call after its start.
 type delivery struct {
 	server    *Server
 	update    *messages.RelayRequest
 	startedAt clock.Instant
-	// done closes once every process in contact has the update or failed to take it.
+	// done is closed once every process in contact has accepted the update or failed.
 	done    chan struct{}
 	endOnce sync.Once
 
@@ -31,17 +31,17 @@
 	tree *broadcast.Tree
 }
 
-// deliver makes the calls of a tree until it is done or too late. It does not wait.
-func (s *Server) deliver(update *messages.RelayRequest, tree *broadcast.Tree, sends []broadcast.Send) *delivery {
+// startDelivery starts the calls of a tree and returns without waiting. The calls continue until the
+// tree is done or constants.BulkCallTimeout has passed.
+func (s *Server) startDelivery(update *messages.RelayRequest, tree *broadcast.Tree, sends []broadcast.Send) *delivery {
 	d := &delivery{server: s, update: update, startedAt: clock.Now(), done: make(chan struct{}), tree: tree}
-	d.follow(sends)
+	d.makeCalls(sends)
 	go d.tick()
 	return d
 }
 
-// follow makes calls, each in a goroutine of its own, and ends the delivery where nothing is
-// left to be done.
-func (d *delivery) follow(sends []broadcast.Send) {
+// makeCalls makes calls, each in its own goroutine, and ends the delivery if the tree is done.
+func (d *delivery) makeCalls(sends []broadcast.Send) {
 	for _, send := range sends {
 		go d.call(send)
 	}
@@ -53,7 +53,7 @@
 	}
 }
 
-// call makes one call and follows what the tree says to its outcome.
+// call makes one call, passes its outcome to the tree, and makes the calls that follow.
 func (d *delivery) call(send broadcast.Send) {
 	missing, err := d.send(send)
 	d.lock.Lock()
@@ -67,10 +67,10 @@
 		next = d.tree.HandleResponse(send, missing, clock.Now())
 	}
 	d.lock.Unlock()
-	d.follow(next)
+	d.makeCalls(next)
 }
 
-// tick lets the tree go on without relays that take too long.
+// tick calls Tree.Tick periodically, so that relays that time out are replaced.
 func (d *delivery) tick() {
 	for clock.Now().Sub(d.startedAt) < constants.BulkCallTimeout {
 		select {
@@ -81,18 +81,18 @@
 		d.lock.Lock()
 		next := d.tree.Tick(clock.Now())
 		d.lock.Unlock()
-		d.follow(next)
+		d.makeCalls(next)
 	}
 }
 
-// missing gives the hashes of those in contact that have not confirmed the update.
+// missing returns the hashes of the processes in contact that have not confirmed the update.
 func (d *delivery) missing() []uint32 {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return d.tree.Missing()
 }
 
-// send makes one call. missing is what a relay could not reach in its zone.
+// send makes one call. missing lists the processes that a relay could not reach in its zone.
 func (d *delivery) send(send broadcast.Send) (missing []uint32, err error) {
 	wire, update := d.server.node.Transport, d.update
 	switch send.Step {
--- a/internal/control/broadcastserver/server.go
+++ b/internal/control/broadcastserver/server.go
@@ -1,7 +1,7 @@
-// Package broadcastserver spreads changes of workers and configurations over the fleet: it
-// makes the calls of a broadcast's tree, takes part in the trees of other controllers, and
-// retries whoever did not confirm. The tree and the backlog, without I/O, are package
-// broadcast; docs/spreading.md has the argument.
+// Package broadcastserver distributes worker changes and configurations to the fleet. It makes the
+// calls of a broadcast tree, relays the broadcasts of other controllers in its zone, and
+// retries processes that have not confirmed an update. The tree and the backlog, which do no
+// I/O, are in package broadcast; docs/spreading.md contains the correctness argument.
 package broadcastserver
 
 import (
@@ -16,28 +16,29 @@
 	"lemonarch/internal/platform/process"
 )
 
-// Workers is the table of workers that relayed changes go into.
+// Workers is the worker table into which relayed changes are merged.
 type Workers interface {
 	Merge(entries []messages.Worker)
 	Get(id string) (messages.Worker, bool)
 }
 
-// Server makes the broadcasts of one controller.
+// Server runs the broadcasts of one controller.
 type Server struct {
 	node    *agent.Agent
 	workers Workers
-	// sequence numbers the updates of this process; no incarnation repeats one.
+	// sequence numbers the updates of this process. It starts at the incarnation, so that no later
+	// incarnation reuses a number.
 	sequence atomic.Uint64
 	batches  batches
 
 	// lock guards the fields below.
 	lock sync.Mutex
-	// deliveries are those made for other controllers, by relayKey.
+	// deliveries are the broadcasts relayed for other controllers, keyed by relayKey.
 	deliveries map[string]*delivery
 	backlog    *broadcast.Backlog
 }
 
-// New makes the server and registers the requests of other controllers.
+// New creates the server and registers the handlers for requests of other controllers.
 func New(node *agent.Agent, workers Workers) *Server {
 	s := &Server{node: node, workers: workers, deliveries: map[string]*delivery{}, backlog: broadcast.NewBacklog()}
 	s.sequence.Store(uint64(node.Self.Incarnation))
@@ -52,7 +53,7 @@
 	return s
 }
 
-// Forget drops deliveries for other controllers that ended long ago.
+// Forget removes relayed deliveries that started more than constants.BulkCallTimeout ago.
 func (s *Server) Forget() {
 	now := clock.Now()
 	s.lock.Lock()
--- a/internal/control/membership/bench_test.go
+++ b/internal/control/membership/bench_test.go
@@ -12,14 +12,14 @@
 	own := entry(RoleController, 1)
 	own.Role = RoleController
 	view := NewView(own, 1)
-	var asker messages.NodeInfo
+	var reporter messages.NodeInfo
 	for i := 0; i < 390; i++ {
 		info := entry(fmt.Sprint("n", i), 1)
 		info.Zone = fmt.Sprint("h", i%4)
-		asker = info
+		reporter = info
 		view.Observe([]messages.NodeInfo{info}, 0)
 	}
-	req := &messages.Shuffle{Entries: []messages.NodeInfo{asker}}
+	req := &messages.Shuffle{Entries: []messages.NodeInfo{reporter}}
 	for _, info := range view.RespondToReport(req, 0).Entries[1:] {
 		req.KnownHashes = append(req.KnownHashes, Hash(info))
 	}
--- a/internal/control/membership/membership.go
+++ b/internal/control/membership/membership.go
@@ -24,7 +24,7 @@
 	info messages.NodeInfo
 	// lastContact is the last sign of life of any kind, lastDirect the last one to this process itself.
 	lastContact, lastDirect clock.Instant
-	change                  uint64
+	changeVersion           uint64
 	hash                    uint32
 }
 
@@ -35,24 +35,24 @@
 	peers     map[string]*peer
 	keyByHash map[uint32]string
 	// sorted holds the keys in order, nil after one came or went.
-	sorted []string
-	random *rand.Rand
+	sortedKeys []string
+	random     *rand.Rand
 	// version counts the changes, sum stands for the entries.
 	version, sum uint64
 	// lastController is when a controller was last in contact, counts how many processes of each
 	// role it reported.
 	lastController clock.Instant
-	trimmed        clock.Instant
+	trimmedAt      clock.Instant
 	counts         map[string]int
 	failedAt       map[string]clock.Instant
 	// recommended remembers for a while whom each asker should know (controllers only).
-	recommended map[string]recommendation
+	recommendations map[string]recommendation
 }
 
 // NewView makes a view that holds its owner alone.
-func NewView(own messages.NodeInfo, seed int64) *View {
-	return &View{self: own, peers: map[string]*peer{}, keyByHash: map[uint32]string{}, random: rand.New(rand.NewSource(seed)),
-		counts: map[string]int{}, failedAt: map[string]clock.Instant{}, recommended: map[string]recommendation{}}
+func NewView(self messages.NodeInfo, seed int64) *View {
+	return &View{self: self, peers: map[string]*peer{}, keyByHash: map[uint32]string{}, random: rand.New(rand.NewSource(seed)),
+		counts: map[string]int{}, failedAt: map[string]clock.Instant{}, recommendations: map[string]recommendation{}}
 }
 
 // Key names a process: a machine runs one of each role at most.
@@ -89,18 +89,18 @@
 	switch {
 	case known == nil:
 		known = &peer{lastContact: lastContact}
-		v.peers[key], v.sorted = known, nil
-		v.put(known, entry)
+		v.peers[key], v.sortedKeys = known, nil
+		v.setEntry(known, entry)
 	case entry.Incarnation > known.info.Incarnation:
 		known.lastContact, known.lastDirect = lastContact, 0
-		v.put(known, entry)
+		v.setEntry(known, entry)
 	case entry.Incarnation == known.info.Incarnation:
 		// An incarnation never stops leaving and never takes back a configuration.
 		entry.Draining = entry.Draining || known.info.Draining
 		entry.Generation = max(entry.Generation, known.info.Generation)
 		known.lastContact = max(known.lastContact, lastContact)
 		if entry.Draining != known.info.Draining {
-			v.put(known, entry)
+			v.setEntry(known, entry)
 		} else {
 			known.info = entry
 		}
@@ -141,28 +141,28 @@
 }
 
 func (v *View) keys() []string {
-	if v.sorted == nil {
-		v.sorted = make([]string, 0, len(v.peers))
+	if v.sortedKeys == nil {
+		v.sortedKeys = make([]string, 0, len(v.peers))
 		for key := range v.peers {
-			v.sorted = append(v.sorted, key)
+			v.sortedKeys = append(v.sortedKeys, key)
 		}
-		sort.Strings(v.sorted)
+		sort.Strings(v.sortedKeys)
 	}
-	return v.sorted
+	return v.sortedKeys
 }
 
 // Partner draws the neighbour of the next shuffle, mostly in the owner's zone since
 // bytes between zones are dear; empty when none is known.
 func (v *View) Partner(now clock.Instant) string {
-	var live, near []string
+	var live, sameZone []string
 	for _, entry := range v.Live("", now) {
 		live = append(live, entry.Address)
 		if entry.Zone == v.self.Zone {
-			near = append(near, entry.Address)
+			sameZone = append(sameZone, entry.Address)
 		}
 	}
-	if len(near) > 0 && v.random.Intn(constants.FarShuffle) > 0 {
-		live = near
+	if len(sameZone) > 0 && v.random.Intn(constants.FarShuffle) > 0 {
+		live = sameZone
 	}
 	if len(live) == 0 {
 		return ""
--- a/internal/control/membership/membership_test.go
+++ b/internal/control/membership/membership_test.go
@@ -14,7 +14,7 @@
 }
 
 // Many views that each know one seed learn of all others by shuffling.
-func TestViewsMeet(t *testing.T) {
+func TestViewsConvergeByShuffling(t *testing.T) {
 	const count = 25
 	views := map[string]*View{}
 	var names []string
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestNewIncarnationReplacesOldForGood(t *testing.T) {
+func TestNewIncarnationReplacesOldPermanently(t *testing.T) {
 	view := NewView(entry("own", 1), 1)
 	view.Observe([]messages.NodeInfo{entry("a", 1)}, 10)
 	view.Observe([]messages.NodeInfo{entry("a", 2)}, 20)
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestSuspicionIsOnlyAHint(t *testing.T) {
+func TestSilentPeerIsKeptButNotLive(t *testing.T) {
 	view := NewView(entry("own", 1), 1)
 	view.Observe([]messages.NodeInfo{entry("a", 1)}, 0)
 	later := clock.Instant(0).Add(constants.SuspectAfter)
--- a/internal/control/membership/neighbours.go
+++ b/internal/control/membership/neighbours.go
@@ -29,31 +29,31 @@
 // another zone where there is one, the rest in the owner's own zone, and others only
 // where that has too few.
 func (v *View) Neighbours(role string, count int, now clock.Instant) []messages.NodeInfo {
-	var near, far []messages.NodeInfo
+	var sameZone, otherZones []messages.NodeInfo
 	for _, entry := range v.Live(role, now) {
 		if entry.Draining {
 			continue
 		}
 		if entry.Zone == v.self.Zone {
-			near = append(near, entry)
+			sameZone = append(sameZone, entry)
 		} else {
-			far = append(far, entry)
+			otherZones = append(otherZones, entry)
 		}
 	}
-	v.sort(near)
-	v.sort(far)
+	v.sortByWeight(sameZone)
+	v.sortByWeight(otherZones)
 	if count < 1 {
 		return nil
 	}
-	if len(far) > 0 && len(near) > 0 {
-		room := max(min(len(near), count-1), count-len(far))
-		near = near[:min(len(near), room)]
+	if len(otherZones) > 0 && len(sameZone) > 0 {
+		sameZoneCount := max(min(len(sameZone), count-1), count-len(otherZones))
+		sameZone = sameZone[:min(len(sameZone), sameZoneCount)]
 	}
-	found := append(near, far...)
+	found := append(sameZone, otherZones...)
 	return found[:min(len(found), count)]
 }
 
-func (v *View) sort(entries []messages.NodeInfo) {
+func (v *View) sortByWeight(entries []messages.NodeInfo) {
 	own := Key(v.self)
 	sort.Slice(entries, func(left, right int) bool {
 		return rendezvousWeight(own, Key(entries[left])) < rendezvousWeight(own, Key(entries[right]))
@@ -63,8 +63,8 @@
 // Population is how many live processes of a role there are, the owner included: as a
 // controller last reported, or as many as are in view.
 func (v *View) Population(role string, now clock.Instant) int {
-	if notified := v.counts[role]; notified > 0 && v.self.Role != RoleController {
-		return notified
+	if reported := v.counts[role]; reported > 0 && v.self.Role != RoleController {
+		return reported
 	}
 	count, reference := 0, v.reference(now)
 	for _, known := range v.peers {
--- a/internal/control/membership/neighbours_test.go
+++ b/internal/control/membership/neighbours_test.go
@@ -17,13 +17,13 @@
 		view.Observe([]messages.NodeInfo{info}, 0)
 	}
 	first := view.Neighbours(RoleGateway, 4, 0)
-	far := 0
+	remote := 0
 	for _, info := range first {
 		if info.Zone != "a" {
-			far++
+			remote++
 		}
 	}
-	if len(first) != 4 || far != 1 {
+	if len(first) != 4 || remote != 1 {
 		t.Fatal(first)
 	}
 	if again := view.Neighbours(RoleGateway, 4, 0); fmt.Sprint(again) != fmt.Sprint(first) {
--- a/internal/control/membership/reports.go
+++ b/internal/control/membership/reports.go
@@ -9,7 +9,7 @@
 )
 
 // ageStep is the unit of the ages in an exchange, in ns.
-const ageStep = 10_000_000
+const ageUnit = 10_000_000
 
 // Report is what the owner says in its periodic exchange with a controller: itself, and
 // whose ages it wants.
@@ -34,9 +34,9 @@
 	if req.Brief {
 		return resp
 	}
-	has := map[uint32]bool{}
+	knownHashes := map[uint32]bool{}
 	for _, hash := range req.KnownHashes {
-		has[hash] = true
+		knownHashes[hash] = true
 		resp.Ages = append(resp.Ages, v.age(hash, now))
 	}
 	if len(req.Entries) == 0 {
@@ -46,7 +46,7 @@
 	resp.Counts = recommended.counts
 	for _, key := range recommended.keys {
 		known := v.peers[key]
-		if known != nil && !has[known.hash] && len(resp.Entries) <= constants.ShuffleSize && now.Sub(known.lastContact) < constants.SuspectAfter {
+		if known != nil && !knownHashes[known.hash] && len(resp.Entries) <= constants.ShuffleSize && now.Sub(known.lastContact) < constants.SuspectAfter {
 			resp.Entries = append(resp.Entries, v.withAge(known, now))
 		}
 	}
@@ -55,36 +55,36 @@
 
 // recommendation is whom a process should know, and how many there are.
 type recommendation struct {
-	version uint64
-	at      clock.Instant
-	keys    []string
-	counts  []messages.RoleCount
+	version    uint64
+	computedAt clock.Instant
+	keys       []string
+	counts     []messages.RoleCount
 }
 
 // recommend gives whom an asker should know. Reckoning that goes over the whole directory,
 // so it is done anew only after a change or a while.
-func (v *View) recommend(asker messages.NodeInfo, now clock.Instant) recommendation {
-	if d, done := v.recommended[Key(asker)]; done && d.version == v.version && now.Sub(d.at) < constants.ViewReuseTime {
-		return d
+func (v *View) recommend(reporter messages.NodeInfo, now clock.Instant) recommendation {
+	if rec, found := v.recommendations[Key(reporter)]; found && rec.version == v.version && now.Sub(rec.computedAt) < constants.ViewReuseTime {
+		return rec
 	}
-	d := recommendation{version: v.version, at: now}
+	rec := recommendation{version: v.version, computedAt: now}
 	for _, role := range []string{RoleController, RoleStore, RoleGateway} {
-		d.counts = append(d.counts, messages.RoleCount{Role: role, Count: v.Population(role, now)})
+		rec.counts = append(rec.counts, messages.RoleCount{Role: role, Count: v.Population(role, now)})
 		var others []messages.NodeInfo
 		for _, entry := range v.Live(role, now) {
-			if Key(entry) != Key(asker) && (!entry.Draining || role == RoleController) {
+			if Key(entry) != Key(reporter) && (!entry.Draining || role == RoleController) {
 				others = append(others, entry)
 			}
 		}
-		if !isCompleteFor(asker.Role, role) {
-			others = selectPeers(asker, others, ViewSize(v.Population(role, now)))
+		if !isCompleteFor(reporter.Role, role) {
+			others = selectPeers(reporter, others, ViewSize(v.Population(role, now)))
 		}
 		for _, entry := range others {
-			d.keys = append(d.keys, Key(entry))
+			rec.keys = append(rec.keys, Key(entry))
 		}
 	}
-	v.recommended[Key(asker)] = d
-	return d
+	v.recommendations[Key(reporter)] = rec
+	return rec
 }
 
 // age gives what is told of a process: one that is as fresh as reports come is reported as
@@ -101,7 +101,7 @@
 	if age < constants.FreshReportAge {
 		return 0
 	}
-	return uint16(min(int64(age)/ageStep, messages.AgeUnknown))
+	return uint16(min(int64(age)/ageUnit, messages.AgeUnknown))
 }
 
 // HandleReportResponse takes a controller's answer to a request.
@@ -111,7 +111,7 @@
 			continue
 		}
 		if known := v.peers[v.keyByHash[hash]]; known != nil {
-			known.lastContact = max(known.lastContact, now-clock.Instant(resp.Ages[i])*ageStep)
+			known.lastContact = max(known.lastContact, now-clock.Instant(resp.Ages[i])*ageUnit)
 		}
 	}
 	for _, count := range resp.Counts {
@@ -135,8 +135,8 @@
 		return 0
 	}
 	sort.SliceStable(entries, func(left, right int) bool {
-		found, other := rank(entries[left]), rank(entries[right])
-		return found < other || (found == other && rendezvousWeight(own, Key(entries[left])) < rendezvousWeight(own, Key(entries[right])))
+		leftRank, rightRank := rank(entries[left]), rank(entries[right])
+		return leftRank < rightRank || (leftRank == rightRank && rendezvousWeight(own, Key(entries[left])) < rendezvousWeight(own, Key(entries[right])))
 	})
 	return entries
 }
@@ -144,8 +144,8 @@
 // usable tells whether a controller is worth asking: it was in contact lately and did not
 // just fail to answer, or answer that it is detached.
 func (v *View) usable(entry messages.NodeInfo, now clock.Instant) bool {
-	failed, shunned := v.failedAt[entry.Address]
-	if shunned && now.Sub(failed) < constants.SuspectAfter {
+	failedAt, hasFailed := v.failedAt[entry.Address]
+	if hasFailed && now.Sub(failedAt) < constants.SuspectAfter {
 		return false
 	}
 	return !entry.Draining && entry.AgeMs < constants.SuspectAfter.Milliseconds()
--- a/internal/control/membership/reports_test.go
+++ b/internal/control/membership/reports_test.go
@@ -22,7 +22,7 @@
 
 // A process reports to its own zone's controllers before others, and to those last that
 // have just failed to answer, leave, or are known to be silent.
-func TestWhoIsReportedTo(t *testing.T) {
+func TestControllerReportOrder(t *testing.T) {
 	own := entry("own", 1)
 	own.Zone = "a"
 	view := NewView(own, 1)
@@ -51,18 +51,18 @@
 
 // A controller's answer fills an empty view to its bound, keeps it fresh, and tells of one
 // that fell silent by its age alone.
-func TestReportsKeepTheView(t *testing.T) {
+func TestReportsFillAndRefreshView(t *testing.T) {
 	const population = 120
 	controller := controllerOf(population)
 	own := entry("n0", 1)
 	own.Zone = "a"
 	view, now := NewView(own, 1), clock.Instant(0)
-	talk := func() {
+	report := func() {
 		req := view.Report()
 		view.HandleReportResponse(req, controller.RespondToReport(req, now), now)
 	}
 	for round := 0; round < 4; round++ {
-		talk()
+		report()
 	}
 	checkFullView(t, view, population, now)
 	// All but one go on speaking to the controller.
@@ -74,7 +74,7 @@
 				controller.NoteContact("forge/"+name, now)
 			}
 		}
-		talk()
+		report()
 	}
 	for _, entry := range view.All(RoleGateway, now) {
 		if live := entry.AgeMs < constants.SuspectAfter.Milliseconds(); live == (entry.Name == silent) {
--- a/internal/control/membership/table.go
+++ b/internal/control/membership/table.go
@@ -24,13 +24,13 @@
 }
 
 // put keeps a changed entry. The table's sum moves with it.
-func (v *View) put(known *peer, entry messages.NodeInfo) {
-	if known.change > 0 {
+func (v *View) setEntry(known *peer, entry messages.NodeInfo) {
+	if known.changeVersion > 0 {
 		v.sum ^= checksum(known.info)
 		delete(v.keyByHash, known.hash)
 	}
 	v.version++
-	known.info, known.change, known.hash = entry, v.version, Hash(entry)
+	known.info, known.changeVersion, known.hash = entry, v.version, Hash(entry)
 	v.sum ^= checksum(entry)
 	v.keyByHash[known.hash] = Key(entry)
 }
@@ -39,10 +39,10 @@
 	known := v.peers[key]
 	v.sum ^= checksum(known.info)
 	delete(v.keyByHash, known.hash)
-	delete(v.recommended, key)
+	delete(v.recommendations, key)
 	delete(v.failedAt, known.info.Address)
 	delete(v.peers, key)
-	v.sorted = nil
+	v.sortedKeys = nil
 }
 
 // Digest stands for the entries and the owner: its sum is alike at two controllers that
@@ -55,7 +55,7 @@
 func (v *View) Since(version uint64, now clock.Instant) []messages.NodeInfo {
 	found := []messages.NodeInfo{v.self}
 	for _, key := range v.keys() {
-		if known := v.peers[key]; known.change > version {
+		if known := v.peers[key]; known.changeVersion > version {
 			found = append(found, v.withAge(known, now))
 		}
 	}
@@ -64,27 +64,27 @@
 
 // ContactedSince gives the hashes of the processes that reported to this one after an instant, and
 // which of them do not follow the owner's configuration.
-func (v *View) ContactedSince(instant clock.Instant) (met, behind []uint32) {
+func (v *View) ContactedSince(instant clock.Instant) (contacted, lagging []uint32) {
 	for _, known := range v.peers {
 		if known.lastDirect <= instant {
 			continue
 		}
-		met = append(met, known.hash)
+		contacted = append(contacted, known.hash)
 		if known.info.Generation < v.self.Generation {
-			behind = append(behind, known.hash)
+			lagging = append(lagging, known.hash)
 		}
 	}
-	for _, hashes := range [][]uint32{met, behind} {
+	for _, hashes := range [][]uint32{contacted, lagging} {
 		sort.Slice(hashes, func(left, right int) bool { return hashes[left] < hashes[right] })
 	}
-	return met, behind
+	return contacted, lagging
 }
 
 // HandleHeartbeat takes another controller's list of who has reported to it.
 func (v *View) HandleHeartbeat(heartbeat *messages.ControllerHeartbeat, now clock.Instant) {
-	behind := map[uint32]bool{}
+	lagging := map[uint32]bool{}
 	for _, hash := range heartbeat.LaggingNodes {
-		behind[hash] = true
+		lagging[hash] = true
 	}
 	for _, hash := range heartbeat.ContactedNodes {
 		known := v.peers[v.keyByHash[hash]]
@@ -92,7 +92,7 @@
 			continue
 		}
 		known.lastContact = max(known.lastContact, now)
-		if !behind[hash] {
+		if !lagging[hash] {
 			known.info.Generation = max(known.info.Generation, heartbeat.Generation)
 		}
 	}
--- a/internal/control/membership/viewsize.go
+++ b/internal/control/membership/viewsize.go
@@ -39,13 +39,13 @@
 		order[i] = weighed{rendezvousWeight(own, Key(entry)), i}
 	}
 	sort.Slice(order, func(left, right int) bool { return order[left].weight < order[right].weight })
-	far := map[string]int{}
+	otherZoneCounts := map[string]int{}
 	rank := func(entry *messages.NodeInfo) int {
 		if entry.Zone == owner.Zone {
 			return 1
 		}
-		far[entry.Zone]++
-		if far[entry.Zone] <= constants.FarLinks {
+		otherZoneCounts[entry.Zone]++
+		if otherZoneCounts[entry.Zone] <= constants.FarLinks {
 			return 0
 		}
 		return 2
@@ -64,8 +64,8 @@
 // silent go first, then those that selectPeers would not draw.
 func (v *View) trim(now clock.Instant) {
 	reference := v.reference(now)
-	if now.Sub(v.trimmed) >= constants.ShufflePeriod {
-		v.trimmed = now
+	if now.Sub(v.trimmedAt) >= constants.ShufflePeriod {
+		v.trimmedAt = now
 		for key, known := range v.peers {
 			if reference.Sub(known.lastContact) > constants.ForgetAfter {
 				v.drop(key)
