--- a/internal/control/agent/agent.go
+++ b/internal/control/agent/agent.go
@@ -1,7 +1,7 @@
-// Package agent is a process's part in the fleet: it keeps a view of the other processes by
-// reports to controllers, follows the newest configuration and its part of the adapter
-// assignments, and passes configurations on. Every gateway, store and controller has one
-// on top of its process.Runtime. The view itself is package membership, without I/O.
+// Package agent makes a process a member of the fleet. It maintains a view of the other processes by
+// reporting to controllers, follows the newest configuration and the process's share of the
+// adapter assignments, and forwards configurations. Every gateway, store and controller runs
+// one agent on top of its process.Runtime. The view, which does no I/O, is in package membership.
 package agent
 
 import (
@@ -19,11 +19,11 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// Agent is one process as a member of the fleet.
+// Agent connects one process to the fleet.
 type Agent struct {
 	*process.Runtime
 
-	// lock guards the fields below. It is not held while a request is under way.
+	// lock guards the fields below. It is not held while a request is in flight.
 	lock     sync.Mutex
 	view     *membership.View
 	reporter reporter
@@ -32,14 +32,15 @@
 	pulling bool
 	plan    planFollower
 
-	// onConfig are notified of each newer configuration. Set before Start.
+	// onConfig are called with each newer configuration. Set before Start.
 	onConfig []func(*routeconfig.Config)
-	// notifying is held while they are; it guards notifiedGeneration, and is taken before lock.
+	// notifyLock is held while onConfig are called. It guards notifiedGeneration and is acquired
+	// before lock.
 	notifyLock         sync.Mutex
 	notifiedGeneration int64
 }
 
-// New makes the agent of a process of a role on a runtime of its own; see process.New.
+// New creates the agent of a process and its runtime; see process.New.
 func New(nodeSettings *settings.Settings, role string, port int, disk string, log hclog.Logger) *Agent {
 	runtime := process.New(nodeSettings, role, port, disk, log)
 	a := &Agent{Runtime: runtime, view: membership.NewView(runtime.Self, runtime.Self.Incarnation)}
@@ -54,7 +55,7 @@
 	return a
 }
 
-// Start serves requests and begins the loops.
+// Start starts serving requests and starts the periodic reports.
 func (a *Agent) Start() error {
 	if err := a.Runtime.Start(); err != nil {
 		return err
@@ -63,7 +64,8 @@
 	return nil
 }
 
-// Drain marks this process as going away, and reports it to a controller at once.
+// Drain marks this process as draining and, unless it is a controller, reports that to a controller
+// immediately.
 func (a *Agent) Drain() {
 	a.LogTraffic(hclog.Info)
 	a.lock.Lock()
@@ -74,45 +76,46 @@
 	}
 }
 
-// WithView runs a function on the view, which must not be kept.
+// WithView calls a function with the view under the lock. The function must not retain the view.
 func (a *Agent) WithView(function func(view *membership.View)) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	function(a.view)
 }
 
-// NoteContact notes a direct message from a process.
+// NoteContact records a direct message from a process.
 func (a *Agent) NoteContact(key string) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	a.view.NoteContact(key, clock.Now())
 }
 
-// Live gives the processes of a role that were in contact lately.
+// Live returns the processes of a role, or of all roles if it is empty, that were in contact within
+// constants.SuspectAfter.
 func (a *Agent) Live(role string) []messages.NodeInfo {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	return a.view.Live(role, clock.Now())
 }
 
-// All gives every known process of a role, or of all where it is empty.
+// All returns every known process of a role, or of all roles if it is empty.
 func (a *Agent) All(role string) []messages.NodeInfo {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	return a.view.All(role, clock.Now())
 }
 
-// Neighbours gives up to count live processes of a role: the same ones as long as they
-// live, one of them in another zone where there is one, the rest in this zone as far as it
-// has them.
+// Neighbours returns up to count live processes of a role. The selection is stable while they are
+// live: one process in another zone if there is one, the rest in this zone as far as it has
+// enough.
 func (a *Agent) Neighbours(role string, count int) []messages.NodeInfo {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	return a.view.Neighbours(role, count, clock.Now())
 }
 
-// Population is how many live processes of a role the whole fleet has, this one included:
-// counted from the view where that is complete, else as a controller last reported.
+// Population returns the number of live processes of a role in the fleet, including this one: counted
+// in the view if this process is a controller, otherwise as a controller last reported it.
 func (a *Agent) Population(role string) int {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -120,12 +123,12 @@
 }
 
 // Multicast sends one message to each process of the list at the same time and waits for
-// all responses or for the timeout. failed, where set, is called for each that did not
-// respond, from a goroutine of its own.
+// all responses or for the timeout. onFailure, if not nil, is called for each process that did
+// not respond, from a separate goroutine each.
 func (a *Agent) Multicast(entries []messages.NodeInfo, kind messages.Kind, message transport.Marshaler, timeout clock.Duration, onFailure func(messages.NodeInfo)) {
 	body, err := message.MarshalMsg(nil)
 	if err != nil {
-		a.Log.Error("message not encoded", "kind", kind.String(), "err", err.Error())
+		a.Log.Error("failed to encode multicast message", "kind", kind.String(), "err", err.Error())
 		return
 	}
 	var group sync.WaitGroup
@@ -143,8 +146,8 @@
 	group.Wait()
 }
 
-// ForEachController calls a function with the address of each seed and each live controller
-// but this process, all at the same time, and returns once every call has.
+// ForEachController calls a function concurrently with the address of each seed and each live
+// controller except this process, and returns once all calls have returned.
 func (a *Agent) ForEachController(function func(address string)) {
 	addresses := map[string]bool{}
 	for _, address := range a.Settings.SeedAddresses(constants.PortController) {
--- a/internal/control/agent/assignments.go
+++ b/internal/control/agent/assignments.go
@@ -9,14 +9,15 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// planFollower is what a process that is no controller knows of the assignments: its own
-// part.
+// planFollower stores the assignments of this node, on a process that is not a controller.
 type planFollower struct {
-	table   assignments.Table
+	table assignments.Table
+	// pulling is set while a newer plan is being pulled.
 	pulling bool
 }
 
-// observePlan pulls this node's part of a newer plan from the controller that told of it.
+// observePlan pulls this node's share of the plan from the controller that reported the revision, if
+// the revision is newer than the known one.
 func (a *Agent) observePlan(revision int64, address string) {
 	a.lock.Lock()
 	behind := revision > a.plan.table.Revision() && !a.plan.pulling && a.Self.Role != membership.RoleController
@@ -40,7 +41,7 @@
 	}
 }
 
-// Assigned gives what this node carries, for each window.
+// Assigned returns the placements assigned to this node, for each window.
 func (a *Agent) Assigned() messages.PlanResponse {
 	a.lock.Lock()
 	defer a.lock.Unlock()
--- a/internal/control/agent/config.go
+++ b/internal/control/agent/config.go
@@ -14,19 +14,19 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// OnConfig registers who is notified of newer configurations.
+// OnConfig registers a function that is called with each newer configuration.
 func (a *Agent) OnConfig(function func(*routeconfig.Config)) {
 	a.onConfig = append(a.onConfig, function)
 }
 
-// Config is the newest configuration known here, or nil.
+// Config returns the newest configuration known to this process, or nil if there is none.
 func (a *Agent) Config() *routeconfig.Config {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	return a.config
 }
 
-// Generation is its number.
+// Generation returns the generation of the newest known configuration, 0 if there is none.
 func (a *Agent) Generation() int64 {
 	if config := a.Config(); config != nil {
 		return config.Generation
@@ -34,11 +34,12 @@
 	return 0
 }
 
-// ApplyConfig puts a chosen configuration in force, never an older one.
+// ApplyConfig applies a configuration that was chosen by the acceptors. It ignores a configuration
+// that is not newer than the current one.
 func (a *Agent) ApplyConfig(body []byte) {
 	config, err := routeconfig.Parse(body)
 	if err != nil {
-		a.Log.Error("configuration not parsed", "err", err.Error())
+		a.Log.Error("failed to parse configuration", "err", err.Error())
 		return
 	}
 	a.lock.Lock()
@@ -53,8 +54,8 @@
 	a.notifyConfig()
 }
 
-// notifyConfig notifies the parts of this process of the newest configuration. Two that are
-// applied at one time reach every part in their order: none is left with the older one.
+// notifyConfig calls the OnConfig functions with the newest configuration. Two configurations that are
+// applied concurrently reach every function in order, so that none ends with the older one.
 func (a *Agent) notifyConfig() {
 	a.notifyLock.Lock()
 	defer a.notifyLock.Unlock()
@@ -75,13 +76,14 @@
 	if push.Generation > a.Generation() && len(push.Body) > 0 {
 		a.ApplyConfig(push.Body)
 	}
-	// A push without a body only says that there is one.
+	// A push without a body only announces the generation, so the body is pulled.
 	a.ObserveGeneration(push.Generation)
 	return &messages.Ack{Accepted: a.Generation() >= push.Generation}, nil
 }
 
-// handleConfigPull answers another process that has seen this one follow a newer configuration.
-// What is followed here was chosen. Controllers answer for themselves.
+// handleConfigPull responds to a process that has observed a newer configuration at this one. Serving
+// it is safe, because a process only follows configurations that were chosen by the acceptors.
+// Controllers register their own handler.
 func (a *Agent) handleConfigPull(_ *messages.ConfigPull) (*messages.ConfigPush, error) {
 	config := a.Config()
 	if config == nil {
@@ -90,9 +92,9 @@
 	return &messages.ConfigPush{Generation: config.Generation, Body: config.Body}, nil
 }
 
-// forward sends a configuration on to the part of the zone that came with it, through a
-// few of that part, so that no single link carries it all. Whoever is missed pulls it on
-// seeing the newer generation.
+// forward sends a configuration to the addresses in ForwardTo. The first constants.BodyFanout of them
+// forward it to the others, so that no single link carries all copies. A process that is missed
+// pulls the configuration when it observes the newer generation.
 func (a *Agent) forward(push *messages.ConfigPush) {
 	for _, send := range broadcast.Split(push.ForwardTo, constants.BodyFanout) {
 		go func() {
@@ -102,19 +104,19 @@
 				if err == nil || len(send.ForwardTo) == 0 {
 					return
 				}
-				// The next of the part takes the place of one that does not answer.
+				// The next address replaces a receiver that did not respond.
 				send.Address, send.ForwardTo = send.ForwardTo[0], send.ForwardTo[1:]
 			}
 		}()
 	}
 }
 
-// ObserveGeneration pulls a configuration that somebody was seen to have.
+// ObserveGeneration pulls a configuration that another process follows, if it is newer.
 func (a *Agent) ObserveGeneration(generation int64) { a.ObserveGenerationAt(generation, "") }
 
-// ObserveGenerationAt pulls a configuration that the process at an address was seen to have;
-// it is asked first. The pull goes on until somebody gave that configuration or a newer
-// one: a controller that is behind must not end it.
+// ObserveGenerationAt pulls a configuration that the process at an address follows, if it is newer.
+// That process is tried first. The pull continues until a process has returned that
+// configuration or a newer one, so that a controller that lags behind does not end it.
 func (a *Agent) ObserveGenerationAt(generation int64, address string) {
 	a.lock.Lock()
 	if a.pulling || (a.config != nil && a.config.Generation >= generation) || generation == 0 {
@@ -131,8 +133,8 @@
 	}()
 }
 
-// pullUntil asks one process, then the controllers, until this process follows a
-// generation, and tells whether any of them answered.
+// pullUntil pulls from one process, then from the controllers, until this process follows a
+// generation, and reports whether any of them responded.
 func (a *Agent) pullUntil(generation int64, first string) bool {
 	addresses := a.controllerAddresses()
 	if first != "" {
@@ -150,7 +152,8 @@
 	return any
 }
 
-// pullLinearizable asks controllers until one of them has read the configuration at a majority.
+// pullLinearizable pulls from controllers until one responds with a configuration read from a majority
+// of the acceptors, and reports whether one did.
 func (a *Agent) pullLinearizable() bool {
 	for _, address := range a.controllerAddresses() {
 		if a.pullFrom(address, true) {
@@ -160,8 +163,8 @@
 	return false
 }
 
-// controllerAddresses gives the controllers to ask: those that have just failed to
-// answer, or are detached, come last.
+// controllerAddresses returns the controllers to pull from, with those that recently failed to respond
+// or are detached last. If no controller is known, it returns the seeds in random order.
 func (a *Agent) controllerAddresses() []string {
 	var addresses []string
 	a.WithView(func(view *membership.View) {
@@ -176,8 +179,8 @@
 	return addresses
 }
 
-// pullFrom asks one process for its configuration, or for a read at a majority, and
-// tells whether it answered.
+// pullFrom pulls the configuration from one process, or requests a read from a majority of the
+// acceptors, and reports whether the process responded.
 func (a *Agent) pullFrom(address string, linearizable bool) bool {
 	req, timeout := &messages.ConfigPull{Known: a.Generation()}, constants.CallTimeout
 	if linearizable {
@@ -194,9 +197,10 @@
 	return true
 }
 
-// PullFirst is how a starting process learns the configuration: from a majority, and only
-// after constants.FirstConfigTimeout from whatever a controller knows. It calls done once a
-// configuration is in force, and returns without that call where the process stops.
+// PullFirst pulls the first configuration of a starting process. It requires a configuration read from
+// a majority of the acceptors; only after constants.FirstConfigTimeout does it accept the
+// configuration that any controller follows. It calls done once a configuration is applied, and
+// returns without calling done if the process stops first.
 func (a *Agent) PullFirst(done func()) {
 	start, backoff := clock.Now(), constants.StartBackoff
 	for !a.stopped() {
@@ -211,7 +215,7 @@
 	}
 }
 
-// stopped tells whether the process has ended its part in the fleet.
+// stopped reports whether the process is stopping.
 func (a *Agent) stopped() bool {
 	select {
 	case <-a.Stop:
@@ -221,8 +225,8 @@
 	}
 }
 
-// awaitConfig sleeps for a while, less where a first configuration is pushed meanwhile: the
-// whole fleet may be asking a few controllers.
+// awaitConfig sleeps for the backoff, or until a first configuration is pushed. The backoff limits the
+// load on the controllers, because the whole fleet may be pulling from a few of them.
 func (a *Agent) awaitConfig(backoff clock.Duration) {
 	hadConfig := a.Config() != nil
 	for slept := clock.Duration(0); slept < backoff && (hadConfig || a.Config() == nil); slept += constants.StartBackoff {
--- a/internal/control/agent/reports.go
+++ b/internal/control/agent/reports.go
@@ -12,27 +12,30 @@
 
 // reporter is the state of the periodic reports to controllers.
 type reporter struct {
+	// rounds counts the calls of exchange.
 	rounds int
-	// firstController is the address of the controller that took the last full report.
+	// firstController is the address of the controller that accepted the last full report, empty if
+	// none did.
 	firstController string
-	// onReportResponse, on a controller, completes what it answers to a report;
-	// onControllerReport is notified of what a controller answered. Set before Start.
+	// onReportResponse, on a controller, completes the response to a report; onControllerReport is
+	// called with the response of a controller. Set before Start.
 	onReportResponse   func(resp *messages.Shuffle)
 	onControllerReport func(address string, resp *messages.Shuffle)
 }
 
-// OnReportResponse registers who adds to what a controller answers in the periodic exchange.
+// OnReportResponse registers a function that completes a controller's response to a periodic report.
 func (a *Agent) OnReportResponse(function func(resp *messages.Shuffle)) {
 	a.reporter.onReportResponse = function
 }
 
-// OnControllerReport registers who is notified of what a controller answered.
+// OnControllerReport registers a function that is called with each response of a controller to a report.
 func (a *Agent) OnControllerReport(function func(address string, resp *messages.Shuffle)) {
 	a.reporter.onControllerReport = function
 }
 
-// join asks the seeds until a controller is known, then goes over to the periodic
-// exchange. Controllers have a period of their own (constants.ControllerHeartbeatPeriod).
+// join reports to the seeds until a controller is known, then runs the periodic reports. Controllers
+// do not run them, because they send heartbeats to each other every
+// constants.ControllerHeartbeatPeriod.
 func (a *Agent) join() {
 	const minRounds = 10
 	controller := a.Self.Role == membership.RoleController
@@ -43,7 +46,8 @@
 			}
 		}
 		clock.Sleep(constants.StartBackoff * 2)
-		// Controllers that all start at once go on until they have met.
+		// Controllers that all start at the same time continue for minRounds rounds, so that each
+		// learns of the others.
 		if len(a.Live(membership.RoleController)) > 0 && (!controller || round > minRounds) {
 			break
 		}
@@ -57,15 +61,16 @@
 		return
 	}
 	a.exchange()
-	// Processes that start at one moment must not all ask at one moment ever after.
+	// A random delay keeps processes that start at the same time from reporting at the same time in
+	// every later period.
 	clock.Sleep(clock.Duration(rand.Int63n(int64(constants.ShufflePeriod))))
 	go clock.Every(constants.SecondReportPeriod, a.Stop, a.secondReport)
 	clock.Every(constants.ShufflePeriod, a.Stop, a.exchange)
 }
 
-// exchange is the periodic report to a controller of the zone, or of another zone while
-// this one's don't answer or are detached; now and then, and while no controller
-// answers, views are exchanged with a neighbour.
+// exchange makes the periodic report to a controller of this zone, or of another zone while the
+// controllers of this one do not respond or are detached. Every constants.NeighbourRounds rounds,
+// and whenever no controller responds, it also shuffles views with a neighbour.
 func (a *Agent) exchange() {
 	a.lock.Lock()
 	a.reporter.rounds++
@@ -74,7 +79,7 @@
 	a.lock.Unlock()
 	first := a.reportToAny(controllers, false)
 	if first == "" {
-		// The seeds may know controllers that started since.
+		// The seeds may know controllers that have started since the view was last updated.
 		seeds := a.Settings.SeedAddresses(constants.PortController)
 		first = a.reportToAny([]messages.NodeInfo{{Address: seeds[rand.Intn(len(seeds))]}}, false)
 	}
@@ -91,8 +96,9 @@
 	}
 }
 
-// secondReport is the short report to a second controller, drawn anew each time: neither
-// this process's sign of life nor the updates that it gets depend on one neighbour.
+// secondReport makes the brief report to a second controller. The controller is selected at random each
+// time, so that neither this process's sign of life nor the updates that it receives depend on a
+// single controller.
 func (a *Agent) secondReport() {
 	a.lock.Lock()
 	controllers := a.view.SecondControllers(a.reporter.firstController, clock.Now())
@@ -100,8 +106,8 @@
 	a.reportToAny(controllers, true)
 }
 
-// reportToAny reports to the first controller of a list that is in contact with a
-// majority, and gives its address. It gives up after a few that are silent.
+// reportToAny reports to the first controller of a list that is in contact with a majority, and returns
+// its address. It returns the empty string if there is none, or after maxTimeouts timeouts.
 func (a *Agent) reportToAny(controllers []messages.NodeInfo, brief bool) string {
 	const maxTimeouts = 3
 	for timeouts, i := 0, 0; i < len(controllers) && timeouts < maxTimeouts; i++ {
@@ -115,20 +121,21 @@
 	return ""
 }
 
-// reportResult is how a report to a controller ended.
+// reportResult is the outcome of a report to a controller.
 type reportResult int
 
 // The results of a report.
 const (
-	// reportAccepted: the controller is in contact with a majority and answered.
+	// reportAccepted: the controller responded and is in contact with a majority.
 	reportAccepted reportResult = iota
-	// reportDetached: it answered that it is not in contact; others are asked at once.
+	// reportDetached: the controller responded that it is not in contact with a majority; the next
+	// one is tried immediately.
 	reportDetached
-	// reportTimeout: it did not answer in time.
+	// reportTimeout: the call failed or timed out.
 	reportTimeout
 )
 
-// report asks one controller and takes its answer.
+// report sends a report to one controller and handles the response.
 func (a *Agent) report(address string, brief bool) reportResult {
 	a.lock.Lock()
 	req := a.view.BriefReport()
@@ -187,7 +194,7 @@
 	return resp, nil
 }
 
-// Observe takes entries as a shuffle brings them.
+// Observe merges entries from a shuffle into the view and follows the newest configuration among them.
 func (a *Agent) Observe(entries []messages.NodeInfo) { a.observe(entries) }
 
 func (a *Agent) observe(entries []messages.NodeInfo) {
@@ -198,8 +205,8 @@
 	a.observeEntries(entries)
 }
 
-// observeEntries follows the newest configuration that an entry names, and asks the process
-// of that entry for it first: others may not have it.
+// observeEntries pulls the newest configuration among the entries, first from the process that follows
+// it, because others may not have it yet.
 func (a *Agent) observeEntries(entries []messages.NodeInfo) {
 	var newest messages.NodeInfo
 	for _, entry := range entries {
--- a/internal/control/agent/status.go
+++ b/internal/control/agent/status.go
@@ -9,7 +9,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// reportZones counts the processes that this one knows by zone.
+// reportZones returns the number of known processes in each zone, including this one.
 func (a *Agent) reportZones() *messages.StatusResponse {
 	counts, zones := map[string]int{}, []string{}
 	for _, entry := range append([]messages.NodeInfo{a.Self}, a.All("")...) {
@@ -26,7 +26,7 @@
 	return status
 }
 
-// reportNodes lists the view of this process, itself first.
+// reportNodes lists this process and the processes in its view.
 func (a *Agent) reportNodes() *messages.StatusResponse {
 	status := &messages.StatusResponse{Columns: []string{"process", "zone", "address", "heard-ms", "generation", "leaving"}}
 	self := a.Self
@@ -38,7 +38,7 @@
 	return status
 }
 
-// reportConfig is one line on this process and the configuration that it follows.
+// reportConfig returns one row with the state of this process and the generation that it follows.
 func (a *Agent) reportConfig() *messages.StatusResponse {
 	return &messages.StatusResponse{Columns: []string{"generation", "life-s", "view", "unknown-frames"}, Rows: [][]string{{
 		strconv.FormatInt(a.Generation(), 10), strconv.FormatInt((clock.WallNanos()-a.Self.Incarnation)/1_000_000_000, 10),
--- a/internal/control/membership/membership.go
+++ b/internal/control/membership/membership.go
@@ -1,6 +1,6 @@
-// Package membership keeps a process's view of the fleet: partial views that are shuffled between
-// neighbours, and the controllers' directory of all processes. A step function without
-// I/O.
+// Package membership maintains a process's view of the fleet: partial views, which neighbours
+// exchange by shuffling, and the controllers' directory of all processes. The package does no
+// I/O: time and messages are passed in as arguments.
 package membership
 
 import (
@@ -12,62 +12,68 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// The roles of processes. The values are what travels between processes, and what
-// earlier versions write: they stay as they were first chosen.
+// The roles of processes. The values are sent between processes and written by earlier versions, so
+// they must not change.
 const (
 	RoleGateway    = "forge"
 	RoleController = "foreman"
 	RoleStore      = "locker"
 )
 
+// peer is the state that a view stores for one other process.
 type peer struct {
 	info messages.NodeInfo
-	// lastContact is the last sign of life of any kind, lastDirect the last one to this process itself.
+	// lastContact is the time of the last sign of life, direct or reported by others; lastDirect is
+	// the time of the last message from the peer to this process.
 	lastContact, lastDirect clock.Instant
-	changeVersion           uint64
-	hash                    uint32
+	// changeVersion is the view's version at the last change of the entry, 0 if it was never set.
+	changeVersion uint64
+	hash          uint32
 }
 
-// View is what a process knows of others: a controller keeps all, the rest a bounded
-// part (see trim).
+// View is the set of processes that a process knows. A controller stores all processes; other
+// roles store a bounded subset (see trim).
 type View struct {
 	self      messages.NodeInfo
 	peers     map[string]*peer
 	keyByHash map[uint32]string
-	// sorted holds the keys in order, nil after one came or went.
+	// sortedKeys caches the sorted keys of peers; nil after a peer was added or removed.
 	sortedKeys []string
 	random     *rand.Rand
-	// version counts the changes, sum stands for the entries.
+	// version counts the changes; sum is a checksum of the entries.
 	version, sum uint64
-	// lastController is when a controller was last in contact, counts how many processes of each
-	// role it reported.
+	// lastController is the time of the last contact with any controller; counts is the number of
+	// processes of each role as a controller last reported it.
 	lastController clock.Instant
 	trimmedAt      clock.Instant
 	counts         map[string]int
-	failedAt       map[string]clock.Instant
-	// recommended remembers for a while whom each asker should know (controllers only).
+	// failedAt is the time of the last failed call, by address.
+	failedAt map[string]clock.Instant
+	// recommendations caches, by the key of the reporting process, the peers that it should know
+	// (controllers only).
 	recommendations map[string]recommendation
 }
 
-// NewView makes a view that holds its owner alone.
+// NewView creates a view without peers for the process self.
 func NewView(self messages.NodeInfo, seed int64) *View {
 	return &View{self: self, peers: map[string]*peer{}, keyByHash: map[uint32]string{}, random: rand.New(rand.NewSource(seed)),
 		counts: map[string]int{}, failedAt: map[string]clock.Instant{}, recommendations: map[string]recommendation{}}
 }
 
-// Key names a process: a machine runs one of each role at most.
+// Key returns the identifier of a process. Role and name are sufficient, because a machine runs at
+// most one process of each role.
 func Key(entry messages.NodeInfo) string { return entry.Role + "/" + entry.Name }
 
-// Self gives the owner's entry.
+// Self returns the entry of the process that owns the view.
 func (v *View) Self() messages.NodeInfo { return v.self }
 
-// SetDraining marks the owner as going away.
+// SetDraining marks the owner as draining.
 func (v *View) SetDraining() { v.self.Draining = true }
 
-// SetGeneration notes which configuration the owner follows.
+// SetGeneration sets the generation of the configuration that the owner follows.
 func (v *View) SetGeneration(generation int64) { v.self.Generation = generation }
 
-// Observe notes entries from a shuffle. The first of them is the sender itself.
+// Observe merges entries from a shuffle. The first entry is that of the sender.
 func (v *View) Observe(entries []messages.NodeInfo, now clock.Instant) {
 	for i, entry := range entries {
 		v.merge(entry, now)
@@ -95,7 +101,7 @@
 		known.lastContact, known.lastDirect = lastContact, 0
 		v.setEntry(known, entry)
 	case entry.Incarnation == known.info.Incarnation:
-		// An incarnation never stops leaving and never takes back a configuration.
+		// Within one incarnation, draining is never undone and the generation never decreases.
 		entry.Draining = entry.Draining || known.info.Draining
 		entry.Generation = max(entry.Generation, known.info.Generation)
 		known.lastContact = max(known.lastContact, lastContact)
@@ -107,7 +113,7 @@
 	}
 }
 
-// NoteContact notes a direct message from a process.
+// NoteContact records a direct message from a process.
 func (v *View) NoteContact(key string, now clock.Instant) { v.noteContact(key, now) }
 
 func (v *View) noteContact(key string, now clock.Instant) {
@@ -120,10 +126,11 @@
 	}
 }
 
-// Failed notes that a process did not answer: others are asked first for a while.
+// Failed records that a process did not respond or is detached. For constants.SuspectAfter, other
+// controllers are tried before it.
 func (v *View) Failed(address string, now clock.Instant) { v.failedAt[address] = now }
 
-// Offer gives what a shuffle carries: the owner, then a random part of the view.
+// Offer returns the entries to send in a shuffle: the owner, then a random sample of the view.
 func (v *View) Offer(now clock.Instant) []messages.NodeInfo {
 	offer := []messages.NodeInfo{v.self}
 	keys := append([]string(nil), v.keys()...)
@@ -151,8 +158,8 @@
 	return v.sortedKeys
 }
 
-// Partner draws the neighbour of the next shuffle, mostly in the owner's zone since
-// bytes between zones are dear; empty when none is known.
+// Partner returns the address of a random live process for the next shuffle, or the empty string if
+// none is known. It mostly picks one in the owner's zone, because traffic between zones is expensive.
 func (v *View) Partner(now clock.Instant) string {
 	var live, sameZone []string
 	for _, entry := range v.Live("", now) {
@@ -170,8 +177,8 @@
 	return live[v.random.Intn(len(live))]
 }
 
-// All gives every entry of a role (or of all), the silent ones included, with
-// their ages.
+// All returns every entry of a role, or of all roles if it is empty, with their ages. Silent
+// processes are included.
 func (v *View) All(role string, now clock.Instant) []messages.NodeInfo {
 	var found []messages.NodeInfo
 	for _, key := range v.keys() {
@@ -182,8 +189,9 @@
 	return found
 }
 
-// reference is the instant from which silence counts. Most of what a process learns of
-// others comes through controllers; while none is in contact, it goes on with what it had.
+// reference returns the time against which the silence of peers is measured. A process learns most
+// contact times from controllers, so while no controller is in contact the time of the last
+// contact with one is used, and peers that were live then stay live.
 func (v *View) reference(now clock.Instant) clock.Instant {
 	if v.lastController > 0 && v.self.Role != RoleController && now.Sub(v.lastController) > constants.SuspectAfter {
 		return v.lastController
@@ -191,7 +199,8 @@
 	return now
 }
 
-// Live gives the entries that were in contact lately.
+// Live returns the entries of a role, or of all roles if it is empty, that were in contact within
+// constants.SuspectAfter.
 func (v *View) Live(role string, now clock.Instant) []messages.NodeInfo {
 	var found []messages.NodeInfo
 	reference := v.reference(now)
--- a/internal/control/membership/neighbours.go
+++ b/internal/control/membership/neighbours.go
@@ -9,15 +9,15 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// rendezvousWeight is the rendezvous hash of two processes. Whoever keeps those of the least weight of all
-// that it learns of keeps a random and yet steady sample (a min-wise sample): how
-// often somebody is named does not count.
+// rendezvousWeight returns the rendezvous hash of two processes. A process that retains the peers of
+// lowest weight among all that it observes has a random but stable sample (a min-wise sample),
+// which does not depend on how often a peer is observed.
 func rendezvousWeight(own, other string) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(own))
 	_, _ = sum.Write([]byte{0})
 	_, _ = sum.Write([]byte(other))
-	// The last bytes move only the low bits of this sum: mix it once more.
+	// The last bytes written affect only the low bits of an FNV sum, so the sum is mixed once more.
 	mixed := sum.Sum64()
 	mixed ^= mixed >> 33
 	mixed *= 0xff51afd7ed558ccd
@@ -25,9 +25,9 @@
 	return mixed
 }
 
-// Neighbours gives up to count live processes of a role, those of the least weight first: one in
-// another zone where there is one, the rest in the owner's own zone, and others only
-// where that has too few.
+// Neighbours returns up to count live processes of a role that are not draining, lowest weight first:
+// one in another zone if there is one, and the rest in the owner's zone. More processes of other
+// zones are included only if the owner's zone has too few.
 func (v *View) Neighbours(role string, count int, now clock.Instant) []messages.NodeInfo {
 	var sameZone, otherZones []messages.NodeInfo
 	for _, entry := range v.Live(role, now) {
@@ -60,8 +60,8 @@
 	})
 }
 
-// Population is how many live processes of a role there are, the owner included: as a
-// controller last reported, or as many as are in view.
+// Population returns the number of live processes of a role, including the owner: the number that a
+// controller last reported, or the number in the view if there is none or the owner is a controller.
 func (v *View) Population(role string, now clock.Instant) int {
 	if reported := v.counts[role]; reported > 0 && v.self.Role != RoleController {
 		return reported
--- a/internal/control/membership/reports.go
+++ b/internal/control/membership/reports.go
@@ -8,11 +8,11 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// ageStep is the unit of the ages in an exchange, in ns.
+// ageUnit is the unit of the ages in a report response, in nanoseconds.
 const ageUnit = 10_000_000
 
-// Report is what the owner says in its periodic exchange with a controller: itself, and
-// whose ages it wants.
+// Report returns the owner's periodic report to a controller: its own entry, and the hashes of the
+// peers whose ages it requests.
 func (v *View) Report() *messages.Shuffle {
 	req := &messages.Shuffle{Entries: []messages.NodeInfo{v.self}}
 	for _, key := range v.keys() {
@@ -21,14 +21,15 @@
 	return req
 }
 
-// BriefReport is the owner's short report to a second controller: a sign of life, and
-// a request for what is new.
+// BriefReport returns the owner's short report to a second controller: a sign of life, and a request
+// for what is new.
 func (v *View) BriefReport() *messages.Shuffle {
 	return &messages.Shuffle{Entries: []messages.NodeInfo{v.self}, Brief: true}
 }
 
-// RespondToReport is a controller's: itself, the ages asked for, whom the asker should know and
-// does not, and how many there are of each role.
+// RespondToReport returns a controller's response to a report: its own entry, the requested ages, the
+// peers that the reporter should know but does not, and the number of processes of each role.
+// A brief report is answered with the own entry only.
 func (v *View) RespondToReport(req *messages.Shuffle, now clock.Instant) *messages.Shuffle {
 	resp := &messages.Shuffle{Entries: []messages.NodeInfo{v.self}}
 	if req.Brief {
@@ -53,7 +54,7 @@
 	return resp
 }
 
-// recommendation is whom a process should know, and how many there are.
+// recommendation lists the peers that a process should know, and the number of processes of each role.
 type recommendation struct {
 	version    uint64
 	computedAt clock.Instant
@@ -61,8 +62,8 @@
 	counts     []messages.RoleCount
 }
 
-// recommend gives whom an asker should know. Reckoning that goes over the whole directory,
-// so it is done anew only after a change or a while.
+// recommend returns the peers that a reporter should know. The computation iterates over the whole
+// directory, so its result is reused until the view changes or constants.ViewReuseTime passes.
 func (v *View) recommend(reporter messages.NodeInfo, now clock.Instant) recommendation {
 	if rec, found := v.recommendations[Key(reporter)]; found && rec.version == v.version && now.Sub(rec.computedAt) < constants.ViewReuseTime {
 		return rec
@@ -87,8 +88,9 @@
 	return rec
 }
 
-// age gives what is told of a process: one that is as fresh as reports come is reported as
-// in contact just now, so that only silence shows.
+// age returns the age to report for a process, in units of ageUnit. An age below
+// constants.FreshReportAge, which is normal between reports, is reported as 0, so that only
+// silence is visible.
 func (v *View) age(hash uint32, now clock.Instant) uint16 {
 	key, found := v.keyByHash[hash]
 	if !found {
@@ -104,7 +106,7 @@
 	return uint16(min(int64(age)/ageUnit, messages.AgeUnknown))
 }
 
-// HandleReportResponse takes a controller's answer to a request.
+// HandleReportResponse merges a controller's response to a report into the view.
 func (v *View) HandleReportResponse(req, resp *messages.Shuffle, now clock.Instant) {
 	for i, hash := range req.KnownHashes {
 		if i >= len(resp.Ages) || resp.Ages[i] == messages.AgeUnknown {
@@ -120,8 +122,8 @@
 	v.Observe(resp.Entries, now)
 }
 
-// Controllers gives the controllers in the order in which the owner reports to them: those of
-// its zone first, those that have just failed or are silent last.
+// Controllers returns the controllers in the order in which the owner reports to them: those of its
+// own zone first, those that recently failed, are silent or are draining last.
 func (v *View) Controllers(now clock.Instant) []messages.NodeInfo {
 	entries := v.All(RoleController, now)
 	own := Key(v.self)
@@ -141,8 +143,9 @@
 	return entries
 }
 
-// usable tells whether a controller is worth asking: it was in contact lately and did not
-// just fail to answer, or answer that it is detached.
+// usable reports whether a controller is a candidate for a report: it is not draining, was in contact
+// within constants.SuspectAfter, and within that time neither failed to respond nor responded
+// that it is detached.
 func (v *View) usable(entry messages.NodeInfo, now clock.Instant) bool {
 	failedAt, hasFailed := v.failedAt[entry.Address]
 	if hasFailed && now.Sub(failedAt) < constants.SuspectAfter {
@@ -151,9 +154,9 @@
 	return !entry.Draining && entry.AgeMs < constants.SuspectAfter.Milliseconds()
 }
 
-// SecondControllers gives the controllers other than the first in the order in which a
-// short report tries them: the usable ones of other zones in random order, then the
-// usable ones of the owner's zone, then the rest.
+// SecondControllers returns the controllers other than the first in the order in which a brief report
+// tries them: the usable ones of other zones, then the usable ones of the owner's zone, then
+// the rest, each group in random order.
 func (v *View) SecondControllers(first string, now clock.Instant) []messages.NodeInfo {
 	var ranked [3][]messages.NodeInfo
 	for _, entry := range v.All(RoleController, now) {
--- a/internal/control/membership/table.go
+++ b/internal/control/membership/table.go
@@ -9,21 +9,22 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Hash is the short hash by which one incarnation of a process is named between processes.
-// One that drains gets another hash, so that whoever knows it as active is told.
+// Hash returns the short hash that identifies one incarnation of a process in messages. A draining
+// process has a different hash, so that processes that know it as active receive the new entry.
 func Hash(entry messages.NodeInfo) uint32 {
 	sum := fnv.New32a()
 	_, _ = sum.Write([]byte(Key(entry) + "/" + strconv.FormatInt(entry.Incarnation, 36) + "/" + strconv.FormatBool(entry.Draining)))
 	return sum.Sum32()
 }
 
+// checksum returns the contribution of one entry to View.sum.
 func checksum(entry messages.NodeInfo) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(Key(entry) + "/" + strconv.FormatInt(entry.Incarnation, 36) + "/" + strconv.FormatBool(entry.Draining)))
 	return sum.Sum64()
 }
 
-// put keeps a changed entry. The table's sum moves with it.
+// setEntry stores a new or changed entry and updates the checksum, the version and the hash index.
 func (v *View) setEntry(known *peer, entry messages.NodeInfo) {
 	if known.changeVersion > 0 {
 		v.sum ^= checksum(known.info)
@@ -35,6 +36,7 @@
 	v.keyByHash[known.hash] = Key(entry)
 }
 
+// drop removes a peer and all that is stored for it.
 func (v *View) drop(key string) {
 	known := v.peers[key]
 	v.sum ^= checksum(known.info)
@@ -45,13 +47,13 @@
 	v.sortedKeys = nil
 }
 
-// Digest stands for the entries and the owner: its sum is alike at two controllers that
+// Digest returns a digest of the view including the owner. Its sum is equal at two controllers that
 // know the same processes.
 func (v *View) Digest() messages.Digest {
 	return messages.Digest{Incarnation: v.self.Incarnation, Clock: v.version, Sum: v.sum ^ checksum(v.self), Count: len(v.peers) + 1}
 }
 
-// Since gives the owner and the entries changed after a clock.
+// Since returns the owner and the entries that changed after a version of the view.
 func (v *View) Since(version uint64, now clock.Instant) []messages.NodeInfo {
 	found := []messages.NodeInfo{v.self}
 	for _, key := range v.keys() {
@@ -62,8 +64,8 @@
 	return found
 }
 
-// ContactedSince gives the hashes of the processes that reported to this one after an instant, and
-// which of them do not follow the owner's configuration.
+// ContactedSince returns the hashes of the processes that sent a message to this one after an instant,
+// and the hashes of those among them that follow an older configuration than the owner.
 func (v *View) ContactedSince(instant clock.Instant) (contacted, lagging []uint32) {
 	for _, known := range v.peers {
 		if known.lastDirect <= instant {
@@ -80,7 +82,7 @@
 	return contacted, lagging
 }
 
-// HandleHeartbeat takes another controller's list of who has reported to it.
+// HandleHeartbeat merges another controller's list of the processes that have reported to it.
 func (v *View) HandleHeartbeat(heartbeat *messages.ControllerHeartbeat, now clock.Instant) {
 	lagging := map[uint32]bool{}
 	for _, hash := range heartbeat.LaggingNodes {
@@ -98,7 +100,7 @@
 	}
 }
 
-// SetPeerGeneration notes that a process has taken a configuration.
+// SetPeerGeneration records that an incarnation of a process has applied a configuration.
 func (v *View) SetPeerGeneration(key string, incarnation, generation int64) {
 	if known := v.peers[key]; known != nil && known.info.Incarnation == incarnation {
 		known.info.Generation = max(known.info.Generation, generation)
--- a/internal/control/membership/viewsize.go
+++ b/internal/control/membership/viewsize.go
@@ -9,30 +9,32 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// ViewSize is how many processes of one role a bounded view holds in a fleet that has so
-// many: twice the logarithm and a constant, with which a random graph holds together.
+// ViewSize returns the number of processes of one role in a bounded view, given the number of such
+// processes in the fleet: twice the binary logarithm plus a constant. With that many neighbours
+// per process a random graph stays connected.
 func ViewSize(population int) int {
 	return constants.ViewBase + 2*bits.Len(uint(max(population, 1)-1))
 }
 
-// isCompleteFor tells whether a process keeps all of a role: controllers keep everybody, everybody
-// keeps the controllers, and stores keep stores, since the leadership moves between them.
+// isCompleteFor reports whether the view of an owner contains every process of a role. Controllers know
+// every process, every process knows all controllers, and stores know all stores, because
+// leadership moves between them.
 func isCompleteFor(owner, role string) bool {
 	return owner == RoleController || role == RoleController || (owner == RoleStore && role == RoleStore)
 }
 
-// selectPeers draws the part of a role's processes that an owner keeps: those of the least weight, two in
-// each other zone at least, and those of its own zone before the rest. Whoever draws
-// from the same list draws the same.
+// selectPeers returns the processes of a role that an owner retains, at most limit: first the
+// constants.FarLinks of lowest weight in each other zone, then those of the owner's zone, then the
+// rest, each by weight. The result is deterministic: the same list yields the same selection.
 func selectPeers(owner messages.NodeInfo, entries []messages.NodeInfo, limit int) []messages.NodeInfo {
 	if len(entries) <= limit {
 		return entries
 	}
-	// Weighed once each, and sorted by place: entries are long, and their keys are made
-	// anew each time.
+	// Each weight is computed once and indexes are sorted instead of entries, because entries are
+	// large and building a key allocates.
 	type weighed struct {
 		weight uint64
-		place  int
+		index  int
 	}
 	own, order := Key(owner), make([]weighed, len(entries))
 	for i, entry := range entries {
@@ -52,7 +54,7 @@
 	}
 	var ranked [3][]messages.NodeInfo
 	for _, w := range order {
-		entry := &entries[w.place]
+		entry := &entries[w.index]
 		i := rank(entry)
 		ranked[i] = append(ranked[i], *entry)
 	}
@@ -60,8 +62,9 @@
 	return all[:limit]
 }
 
-// trim forgets who was silent for long, and keeps the view within its bound: the
-// silent go first, then those that selectPeers would not draw.
+// trim removes peers that have been silent for longer than constants.ForgetAfter, and reduces the view
+// to its bound: silent and draining peers are removed first, then those that selectPeers does
+// not select.
 func (v *View) trim(now clock.Instant) {
 	reference := v.reference(now)
 	if now.Sub(v.trimmedAt) >= constants.ShufflePeriod {
