--- a/internal/control/agent/assignments_test.go
+++ b/internal/control/agent/assignments_test.go
@@ -11,8 +11,9 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// TestAgentPullsItsPartAndNeverGoesBack: a node follows the controller it speaks with,
-// asks only when that has something newer, and holds on to what it has.
+// TestAgentPullsOwnAssignmentsAndNeverReverts checks that a node follows the plan of the controller
+// that it reports to, pulls only a newer revision, and keeps its assignments if the controller has
+// an older one or is unreachable.
 func TestAgentPullsOwnAssignmentsAndNeverReverts(t *testing.T) {
 	network := transport.NewMemoryNetwork()
 	revision, pulls, requester := int64(0), 0, ""
@@ -38,7 +39,7 @@
 		node.observePlan(observed, "controller:1")
 	}
 	if node.plan.pulling || pulls != before {
-		t.Fatal("asked for what it has")
+		t.Fatal("pulled a revision that is not newer")
 	}
 	if rows := node.reportAssigned().Rows; len(rows) != 1 || rows[0][0] != "5" {
 		t.Fatal(rows)
@@ -46,6 +47,6 @@
 	network.SetPartitioned("controller:1", true)
 	node.pullPlan("controller:1")
 	if node.Assigned().Revision != 5 {
-		t.Fatal("a silent controller changed what is in force")
+		t.Fatal("a failed pull changed the assignments")
 	}
 }
--- a/internal/control/agent/config_test.go
+++ b/internal/control/agent/config_test.go
@@ -13,8 +13,8 @@
 	"lemonarch/internal/platform/settings"
 )
 
-// Two configurations come at nearly one time, and a part is still busy with the older one when
-// the newer one is applied: the part ends with the newer one.
+// TestSubscribersEndWithNewestConfiguration guards against an OnConfig function that ends with the
+// older of two configurations, because it still handles the older one when the newer one is applied.
 func TestSubscribersEndWithNewestConfiguration(t *testing.T) {
 	a := New(&settings.Settings{NodeName: "n", Address: "10.0.0.1", InternalPorts: []int{1, 9}}, membership.RoleGateway, 1, "", hclog.NewNullLogger())
 	apply := func(generation int) {
@@ -29,7 +29,7 @@
 				apply(2)
 				newerApplied.Store(1)
 			}()
-			// Long enough for the newer one to pass, if it may.
+			// Yield long enough for the newer configuration to overtake, if that is possible.
 			for i := 0; i < 100_000 && newerApplied.Load() == 0; i++ {
 				runtime.Gosched()
 			}
@@ -39,6 +39,6 @@
 	apply(1)
 	<-done
 	if got := inForce.Load(); got != 2 {
-		t.Errorf("the part goes by generation %d, the process by %d", got, a.Generation())
+		t.Errorf("the OnConfig function ended with generation %d, the process follows %d", got, a.Generation())
 	}
 }
--- a/internal/control/broadcast/backlog_test.go
+++ b/internal/control/broadcast/backlog_test.go
@@ -14,20 +14,20 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// owed is what a process was to be notified of and has not confirmed.
+// unconfirmed lists the updates that were added for a process and that it has not confirmed.
 type unconfirmed struct {
 	generation int64
 	workers    map[string]bool
 }
 
-// backlogModel is a backlog beside what it should hold.
+// backlogModel is a backlog together with a model of its expected content.
 type backlogModel struct {
 	backlog     *broadcast.Backlog
 	now         clock.Instant
 	entries     map[string]messages.NodeInfo
 	unconfirmed map[string]*unconfirmed
 	sent        []broadcast.Delivery
-	// stale marks deliveries that were made before a later Add to their process.
+	// stale marks deliveries, by index in sent, that precede a later Add or incarnation of their process.
 	stale map[int]bool
 }
 
@@ -42,14 +42,14 @@
 	return entries
 }
 
-// markStale marks all deliveries to a process.
+// markStale marks all earlier deliveries to a process as stale.
 func (m *backlogModel) markStale(name string) {
 	for i := range m.sent {
 		m.stale[i] = m.stale[i] || m.sent[i].Entry.Name == name
 	}
 }
 
-// start begins a new incarnation of a process.
+// start starts a new incarnation of a process.
 func (m *backlogModel) start(rt *rapid.T) {
 	name := m.drawName(rt)
 	m.entries[name] = messages.NodeInfo{Name: name, Role: membership.RoleGateway, Incarnation: m.entries[name].Incarnation + 1, Address: name}
@@ -73,7 +73,8 @@
 	m.markStale(name)
 }
 
-// due checks that whoever is owed something is sent all of it, and nobody else anything.
+// due checks that a process with unconfirmed updates is sent all of them, and that no other process
+// is sent anything.
 func (m *backlogModel) due(rt *rapid.T) {
 	m.now = m.now.Add(constants.BacklogBackoffMax)
 	due := map[string]broadcast.Delivery{}
@@ -83,11 +84,11 @@
 	}
 	for name, want := range m.unconfirmed {
 		if delivery, sent := due[name]; !sent || delivery.Generation != want.generation || len(delivery.Workers) != len(want.workers) {
-			rt.Fatalf("%s is owed %+v, and is sent %+v", name, want, delivery)
+			rt.Fatalf("%s: want unconfirmed %+v, got delivery %+v", name, want, delivery)
 		}
 	}
 	if len(due) != len(m.unconfirmed) {
-		rt.Fatalf("sent %v, owed %v", due, m.unconfirmed)
+		rt.Fatalf("got deliveries %v, want unconfirmed %v", due, m.unconfirmed)
 	}
 }
 
@@ -102,7 +103,7 @@
 	}
 }
 
-// restart begins a new incarnation that the backlog sees at its next look.
+// restart starts a new incarnation of a process and calls Due, so that the backlog observes it.
 func (m *backlogModel) restart(rt *rapid.T) {
 	name := m.drawName(rt)
 	m.entries[name] = messages.NodeInfo{Name: name, Role: membership.RoleGateway, Incarnation: m.entries[name].Incarnation + 1, Address: name}
@@ -111,18 +112,18 @@
 	m.markStale(name)
 }
 
-// checkNames checks that whoever is owed something is named.
+// checkNames checks that Names contains every process with unconfirmed updates.
 func (m *backlogModel) checkNames(rt *rapid.T) {
 	for name := range m.unconfirmed {
 		if !slices.Contains(m.backlog.Names(), membership.RoleGateway+"/"+name) {
-			rt.Fatalf("%s is not named", name)
+			rt.Fatalf("%s has unconfirmed updates but is missing from Names", name)
 		}
 	}
 }
 
-// TestBacklogRetriesUntilConfirmed: whoever has not confirmed everything is named, and is
-// notified at least once in BacklogBackoffMax, until it confirms or its incarnation leaves the
-// directory; a confirmation never covers what was added after its delivery was made.
+// TestBacklogRetriesUntilConfirmed checks that a process with unconfirmed updates is in Names and gets
+// a delivery at least once per BacklogBackoffMax, until it confirms or its incarnation leaves the
+// directory, and that a confirmation never covers updates added after its delivery was made.
 func TestBacklogRetriesUntilConfirmed(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := &backlogModel{backlog: broadcast.NewBacklog(), now: 1, entries: map[string]messages.NodeInfo{}, unconfirmed: map[string]*unconfirmed{}, stale: map[int]bool{}}
--- a/internal/control/broadcast/broadcast_test.go
+++ b/internal/control/broadcast/broadcast_test.go
@@ -11,6 +11,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
+// newWorker returns a worker in a phase with a number of heartbeat calls.
 func newWorker(id string, count int64, phase messages.Phase) messages.Worker {
 	return messages.Worker{ID: id, Backend: "s", Address: id + ":1", Zone: "h0", Capacity: 16, Phase: phase, CallCount: count}
 }
@@ -24,7 +25,8 @@
 	return controllers
 }
 
-// trouble hits some controllers and some others, and gives who is no longer in touch.
+// injectFault stops or partitions some controllers, except exempt, and returns the processes that are
+// no longer in contact.
 func (f *fleet) injectFault(kind int, exempt *node) map[*node]bool {
 	detached := map[*node]bool{}
 	controllers := f.controllers()
@@ -36,7 +38,7 @@
 	}
 	switch kind {
 	case 1:
-		// Both controllers of one zone, at once and without notice.
+		// Both controllers of one zone crash at the same time.
 		zone := f.Random.Intn(4)
 		for _, process := range controllers {
 			if process.own.Zone == fmt.Sprint("h", zone) {
@@ -44,11 +46,11 @@
 			}
 		}
 	case 2:
-		// One controller of each of two zones.
+		// One controller in each of two zones crashes.
 		stop(controllers[f.Random.Intn(len(controllers)/2)])
 		stop(controllers[len(controllers)/2+f.Random.Intn(len(controllers)/2)])
 	case 3:
-		// A controller receives from the rest and cannot send: it is out of contact, the rest is not.
+		// One controller can receive but not send: it loses contact, the other processes do not.
 		process := controllers[f.Random.Intn(len(controllers))]
 		if process == exempt {
 			return detached
@@ -58,7 +60,7 @@
 			f.SetPartitioned(process.own.Address, other.own.Address, true)
 		}
 	case 4:
-		// Two controllers can't reach a tenth of the fleet, which others can.
+		// Two controllers cannot reach a tenth of the fleet, which other controllers can reach.
 		for _, process := range controllers[2:4] {
 			if process == exempt {
 				continue
@@ -73,8 +75,9 @@
 	return detached
 }
 
-// A drain is known at every process in touch before it is acknowledged, whichever
-// controllers are lost or half cut off in that moment, and never later than the bound.
+// TestDrainIsKnownEverywhereOnceAcknowledged checks that every process in contact knows of a drain
+// before it is acknowledged, and that the acknowledgement comes within the bound, while
+// controllers crash or are partially partitioned at that moment.
 func TestDrainIsKnownEverywhereOnceAcknowledged(t *testing.T) {
 	t.Parallel()
 	for _, gateways := range []int{4, 20} {
@@ -86,19 +89,19 @@
 			fleet.Run(fleet.Now.Add(4 * constants.ShufflePeriod))
 			for _, process := range fleet.nodes {
 				if _, known := process.registry.Get("w"); !known {
-					t.Fatalf("seed %d: %s never learnt of the worker", seed, process.own.Address)
+					t.Fatalf("seed %d: %s does not know the worker", seed, process.own.Address)
 				}
 			}
 			detached := fleet.injectFault(int(seed%5), controller)
 			worker, sentAt, acknowledged := newWorker("w", 2, messages.PhaseDraining), fleet.Now, clock.Instant(0)
 			if !controller.registry.Heartbeat(worker, fleet.Now) {
-				t.Fatal("no change")
+				t.Fatal("heartbeat with the draining phase was not reported as a change")
 			}
 			controller.broadcast(&messages.RelayRequest{Workers: []messages.Worker{worker}}, constants.BroadcastTimeout, func() {
 				acknowledged = fleet.Now
 				for _, process := range fleet.nodes {
 					if got, _ := process.registry.Get("w"); got.Phase != messages.PhaseDraining && !detached[process] {
-						t.Fatalf("seed %d, trouble %d: %s does not know at the acknowledgement, %v later; asked %s", seed, seed%5, process.own.Address, fleet.Now.Sub(sentAt), controller.own.Address)
+						t.Fatalf("seed %d, fault %d: %s does not know of the drain at the acknowledgement, %v after the request to %s", seed, seed%5, process.own.Address, fleet.Now.Sub(sentAt), controller.own.Address)
 					}
 				}
 			})
@@ -110,8 +113,8 @@
 	}
 }
 
-// On a network that loses calls, what the tree missed is pulled within the time that a
-// worker serves on after its drain.
+// TestMissedChangesArePulled checks that processes that a broadcast missed pull the change, by
+// comparing digests, within the time for which a worker still serves after its drain.
 func TestMissedChangesArePulled(t *testing.T) {
 	t.Parallel()
 	for seed := int64(1); seed <= 10; seed++ {
@@ -120,19 +123,20 @@
 		controller := fleet.controllers()[0]
 		controller.registry.Heartbeat(newWorker("w", 1, messages.PhaseSteady), fleet.Now)
 		fleet.Run(fleet.Now.Add(4 * constants.ShufflePeriod))
-		// The tree fails as a whole: only the digests are left.
+		// No broadcast is made, so the change can spread only by digests.
 		controller.registry.Heartbeat(newWorker("w", 2, messages.PhaseDraining), fleet.Now)
 		fleet.Run(fleet.Now.Add(2500 * 1_000_000))
 		for _, process := range fleet.nodes {
 			if got, _ := process.registry.Get("w"); got.Phase != messages.PhaseDraining {
-				t.Fatalf("seed %d: %s", seed, process.own.Address)
+				t.Fatalf("seed %d: %s does not know of the drain", seed, process.own.Address)
 			}
 		}
 	}
 }
 
-// Every acknowledged configuration is in force at each process in touch within the
-// bound, under the same troubles and on a lossy network, and nobody ever goes back.
+// TestConfigurationsConverge checks that every process in contact applies each acknowledged
+// configuration within the bound, with the same faults and on a lossy network, and that no
+// process ever applies an older one.
 func TestConfigurationsConverge(t *testing.T) {
 	t.Parallel()
 	for seed := int64(1); seed <= 10; seed++ {
@@ -155,21 +159,22 @@
 			fleet.Run(acknowledged.Add(2500 * 1_000_000))
 			for _, process := range fleet.nodes {
 				if process.generation != generation && !detached[process] {
-					t.Fatalf("seed %d, trouble %d, generation %d: %s follows %d", seed, seed%5, generation, process.own.Address, process.generation)
+					t.Fatalf("seed %d, fault %d, want generation %d: %s follows generation %d", seed, seed%5, generation, process.own.Address, process.generation)
 				}
 			}
 		}
 		for _, process := range fleet.nodes {
 			for i := 1; i < len(process.appliedGenerations); i++ {
 				if process.appliedGenerations[i] <= process.appliedGenerations[i-1] {
-					t.Fatalf("%s went back: %v", process.own.Address, process.appliedGenerations)
+					t.Fatalf("%s applied an older generation: %v", process.own.Address, process.appliedGenerations)
 				}
 			}
 		}
 	}
 }
 
-// Silence of a worker is told, that of a controller is not taken for one of its workers.
+// TestOverdueWorkersAreReportedAndOthersNotSuspected checks that gateways learn that a worker is
+// silent, and that the crash of a controller does not make its workers suspect.
 func TestOverdueWorkersAreReportedAndOthersNotSuspected(t *testing.T) {
 	t.Parallel()
 	fleet := newFleet(3, 4, 2, 2, 10)
@@ -182,7 +187,7 @@
 		for i := 0; i < 30; i++ {
 			controller := fleet.controllers()[fleet.Random.Intn(8)]
 			for controller.down {
-				// A worker that is not answered calls the next node.
+				// A worker that gets no response calls another controller.
 				controller = fleet.controllers()[fleet.Random.Intn(8)]
 			}
 			if id := fmt.Sprint("w", i); (!crashed || i != 7) && controller.registry.Heartbeat(newWorker(id, count, messages.PhaseSteady), fleet.Now) {
@@ -210,7 +215,7 @@
 					continue
 				}
 				if got := process.registry.Status(fmt.Sprint("w", i), fleet.Now, true); got < want || (i != 7 && got != want) {
-					t.Fatalf("second %d: %s takes w%d for %v", second, process.own.Address, i, got)
+					t.Fatalf("second %d: %s: got wrong status for w%d: %v", second, process.own.Address, i, got)
 				}
 			}
 		}
--- a/internal/control/broadcast/control_test.go
+++ b/internal/control/broadcast/control_test.go
@@ -11,9 +11,9 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// control is what a process has of the contact lease and of the two reports.
+// controlState is the state of a process's contact lease, its reports and its backlog.
 type controlState struct {
-	// first is the controller that took the last full report.
+	// firstController is the address of the controller that accepted the last full report.
 	firstController    string
 	lease              *contact.Lease
 	registerValue      messages.RegisterValue
@@ -22,8 +22,8 @@
 	backlog            *broadcast.Backlog
 }
 
-// startControl makes the first controllers, five at most, the acceptors, and starts the
-// loops of the lease, the backlog and the second reports.
+// startControl makes the first controllers, at most five, the acceptors, and starts the loops of
+// the lease, the backlog and the second reports.
 func (f *fleet) startControl() {
 	value := messages.RegisterValue{}
 	for _, process := range f.controllers() {
@@ -117,7 +117,7 @@
 	})
 }
 
-// majority has a message taken by a majority of the acceptors; done runs once it was.
+// sendToMajority sends a message to all acceptors and calls done once a majority has accepted it.
 func (n *node) sendToMajority(message transport.Marshaler, done func()) {
 	acceptedBy, ended := map[string]bool{}, false
 	accept := func(member messages.Member) {
@@ -140,8 +140,8 @@
 	}
 }
 
-// order is an operator's call at this controller: acknowledged runs if it is answered
-// with 200.
+// submitConfig simulates an operator's request to this controller. It calls acknowledged if the
+// response would have status 200.
 func (n *node) submitConfig(generation int64, acknowledged func()) {
 	if !n.attached() {
 		return
@@ -152,8 +152,8 @@
 	})
 }
 
-// bind is a worker's drain at this controller: acknowledged runs if it is answered with
-// 200.
+// drainWorker simulates a worker's drain request to this controller. It calls acknowledged if the
+// response would have status 200.
 func (n *node) drainWorker(worker messages.Worker, acknowledged func()) {
 	if !n.attached() {
 		return
--- a/internal/control/broadcast/cost_test.go
+++ b/internal/control/broadcast/cost_test.go
@@ -12,12 +12,12 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// cost is what one process of a role sends in a second of calm.
+// cost is the average traffic that one process of a role sends per second in a fleet without faults.
 type cost struct {
 	messages, bytes, crossZoneBytes float64
 }
 
-// idle runs a calm fleet whose workers send heartbeats, and gives the cost by role.
+// measureIdleCost runs a fleet without faults whose workers send heartbeats, and returns the cost by role.
 func measureIdleCost(seed int64, gateways, stores, workers int) map[string]cost {
 	fleet := newFleet(seed, 4, 2, stores, gateways)
 	count := int64(0)
@@ -57,9 +57,10 @@
 	return sums
 }
 
-// Exchanges on membership and workers cost a gateway or a store no more than a
-// logarithm when the fleet grows from 24 to 392 processes with workers in proportion. A
-// controller's grows with the processes and workers that report to it, by a few bytes each.
+// TestCostPerNodeGrowsAtMostLogarithmically checks that the cost of the exchanges about membership and
+// workers grows at most logarithmically for a gateway or store when the fleet grows from 24 to
+// 392 processes with workers in proportion. A controller's cost grows by a few bytes for each
+// process and worker that reports to it.
 func TestCostPerNodeGrowsAtMostLogarithmically(t *testing.T) {
 	t.Parallel()
 	sizes := []struct{ gateways, stores, workerList int }{{3, 1, 18}, {19, 4, 75}, {80, 16, 300}}
@@ -69,7 +70,7 @@
 		costs = append(costs, byRole)
 		for _, role := range simulation.Keys(byRole) {
 			c := byRole[role]
-			t.Logf("processes %d, workers %d: a %s sends %.1f messages, %.0f bytes, %.0f of them to other zones, each second",
+			t.Logf("processes %d, workers %d: each %s sends %.1f messages and %.0f bytes (%.0f to other zones) per second",
 				4*(2+size.gateways+size.stores), size.workerList, role, c.messages, c.bytes, c.crossZoneBytes)
 		}
 	}
@@ -77,15 +78,16 @@
 	logarithm := math.Log2(392) / math.Log2(24)
 	for _, role := range []string{membership.RoleGateway, membership.RoleStore} {
 		if large[role].messages > 1.1*small[role].messages || large[role].crossZoneBytes > 1.1*small[role].crossZoneBytes+1 {
-			t.Errorf("a %s: %+v grew to %+v", role, small[role], large[role])
+			t.Errorf("cost of a %s grew too much: from %+v to %+v", role, small[role], large[role])
 		}
 	}
-	// Whose ages are asked is the bounded view: stores know all stores besides.
+	// A report requests the ages of the peers in the bounded view. Only gateways are checked,
+	// because stores also know all stores.
 	if large[membership.RoleGateway].bytes > 1.5*logarithm*small[membership.RoleGateway].bytes {
-		t.Errorf("a gateway: %+v grew to %+v", small[membership.RoleGateway], large[membership.RoleGateway])
+		t.Errorf("cost of a gateway grew too much: from %+v to %+v", small[membership.RoleGateway], large[membership.RoleGateway])
 	}
 	controller := large[membership.RoleController]
 	if reports := 392.0 / 8; controller.messages > 40+1.5*reports || controller.crossZoneBytes > 8*4*(300+392) {
-		t.Errorf("a controller: %+v", controller)
+		t.Errorf("cost of a controller is above the bound: %+v", controller)
 	}
 }
--- a/internal/control/broadcast/cut_test.go
+++ b/internal/control/broadcast/cut_test.go
@@ -14,12 +14,13 @@
 
 const (
 	second = 1_000_000_000
-	// convergeBound is converge-ms, and drainBound drain-ms, of the strictest deployment.
+	// convergeBound and drainBound are converge-ms and drain-ms of the strictest deployment.
 	convergeBound = 2 * second
 	drainBound    = 2 * second
 )
 
-// seeds gives how many seeds a simulation plays: few, or as many as LEMONARCH_SEEDS says.
+// seeds returns the number of seeds to simulate: the value of LEMONARCH_SEEDS if it is set, otherwise
+// defaultCount.
 func seeds(defaultCount int) int {
 	if count, err := strconv.Atoi(os.Getenv("LEMONARCH_SEEDS")); err == nil {
 		return count
@@ -27,28 +28,31 @@
 	return defaultCount
 }
 
-// direction says which way a controller is cut off, and from whom.
+// partitionMode is the way in which a controller is partitioned.
 type partitionMode int
 
 const (
+	// bothWays: messages between it and other controllers are lost in both directions.
 	bothWays partitionMode = iota
-	// unheard: what it sends to other controllers is lost.
+	// outbound: messages from it to other controllers are lost.
 	outbound
-	// deaf: what other controllers send to it is lost.
+	// inbound: messages from other controllers to it are lost.
 	inbound
-	// fromAll: it is cut off from every process, both ways.
+	// fromEveryProcess: messages between it and every other process are lost in both directions.
 	fromEveryProcess
-	// frozen: it stands still, and goes on where it was.
+	// paused: the process is paused and later resumes with its state.
 	paused
 	partitionModes
 )
 
-// cut is one play: a controller is cut off while orders and drains come.
+// partitionRun is one simulation in which a controller is partitioned while configurations and drains
+// are requested.
 type partitionRun struct {
-	test             *testing.T
-	fleet            *fleet
-	target           *node
-	mode             partitionMode
+	test   *testing.T
+	fleet  *fleet
+	target *node
+	mode   partitionMode
+	// startedAt is when the partition began, 0 while there is none.
 	startedAt        clock.Instant
 	name             string
 	newestGeneration int64
@@ -56,7 +60,7 @@
 	acks             int
 }
 
-// apply cuts the controller off, or joins it again.
+// apply starts or ends the partition of the target.
 func (c *partitionRun) apply(partitioned bool) {
 	if c.mode == paused {
 		c.target.down = partitioned
@@ -75,30 +79,31 @@
 	}
 }
 
-// excused tells whether a process need not know: only the one that is cut off itself.
+// isTarget reports whether a process is the partitioned controller, which is exempt from the checks.
 func (c *partitionRun) isTarget(process *node) bool { return process == c.target }
 
-// order sends a change of the configuration to a controller drawn by lot, and to the
-// next until one confirms it.
+// changeConfig submits a new configuration to a random controller. If it is confirmed, every process
+// must follow it within convergeBound. The target must not confirm it once its lease has expired.
 func (c *partitionRun) changeConfig() {
 	c.newestGeneration++
 	generation, controller := c.newestGeneration, c.randomController()
 	controller.submitConfig(generation, func() {
 		c.acks++
 		if controller == c.target && c.startedAt > 0 && c.fleet.Now.Sub(c.startedAt) > constants.ContactLease+constants.PushTimeout {
-			c.test.Errorf("%s: a controller that is cut off confirmed generation %d", c.name, generation)
+			c.test.Errorf("%s: the partitioned controller confirmed generation %d", c.name, generation)
 		}
 		c.fleet.After(convergeBound, func() {
 			for _, process := range c.fleet.nodes {
 				if process.generation < generation && !c.isTarget(process) {
-					c.test.Errorf("%s: %s follows %d, %d was confirmed by %s", c.name, process.own.Address, process.generation, generation, controller.own.Address)
+					c.test.Errorf("%s: %s follows generation %d, want %d as confirmed by %s", c.name, process.own.Address, process.generation, generation, controller.own.Address)
 				}
 			}
 		})
 	})
 }
 
-// drain registers a worker, and has it drain a little later.
+// drainWorker registers a worker and drains it one second later. If the drain is acknowledged, every
+// process that knows the worker must know of the drain within drainBound.
 func (c *partitionRun) drainWorker() {
 	c.workerCount++
 	id, registerController, drainController := fmt.Sprint("w", c.workerCount), c.randomController(), c.randomController()
@@ -112,7 +117,7 @@
 			c.fleet.After(drainBound, func() {
 				for _, process := range c.fleet.nodes {
 					if got, known := process.registry.Get(id); known && got.Phase != messages.PhaseDraining && !c.isTarget(process) {
-						c.test.Errorf("%s: %s does not know that %s drains, acknowledged by %s", c.name, process.own.Address, id, drainController.own.Address)
+						c.test.Errorf("%s: %s does not know of the drain of %s that was acknowledged by %s", c.name, process.own.Address, id, drainController.own.Address)
 					}
 				}
 			})
@@ -120,6 +125,7 @@
 	})
 }
 
+// randomController returns a random controller that is not down.
 func (c *partitionRun) randomController() *node {
 	controllers := c.fleet.controllers()
 	controller := controllers[c.fleet.Random.Intn(len(controllers))]
@@ -129,7 +135,7 @@
 	return controller
 }
 
-// knowsAll checks that every controller in touch takes every live process for live.
+// checkLiveness checks that every controller except the target considers every other process live.
 func (c *partitionRun) checkLiveness() {
 	for _, process := range c.fleet.controllers() {
 		if c.isTarget(process) {
@@ -141,13 +147,13 @@
 		}
 		for _, other := range c.fleet.nodes {
 			if other != process && !c.isTarget(other) && !live[other.own.Address] {
-				c.test.Errorf("%s: at %v %s takes %s for silent", c.name, c.fleet.Now, process.own.Address, other.own.Address)
+				c.test.Errorf("%s: at %v: %s considers %s silent, want live", c.name, c.fleet.Now, process.own.Address, other.own.Address)
 			}
 		}
 	}
 }
 
-// leftAlone checks that nobody goes on reporting to a controller that has lost contact.
+// checkNoReports checks that no process still reports to a controller that has lost contact.
 func (c *partitionRun) checkNoReports() {
 	bound := constants.ContactLease + constants.ShufflePeriod + 2*constants.ReportTimeout
 	if c.startedAt == 0 || c.fleet.Now.Sub(c.startedAt) < bound {
@@ -155,12 +161,13 @@
 	}
 	for _, process := range c.fleet.nodes {
 		if process.control.firstController == c.target.own.Address && process != c.target {
-			c.test.Errorf("%s: %s still reports to it after %v", c.name, process.own.Address, c.fleet.Now.Sub(c.startedAt))
+			c.test.Errorf("%s: %s still reports to the partitioned controller after %v", c.name, process.own.Address, c.fleet.Now.Sub(c.startedAt))
 		}
 	}
 }
 
-// play runs one cut of a length, with orders and drains from before it until after it.
+// run simulates one partition of a length, with configurations and drains requested before, during and
+// after it.
 func (c *partitionRun) run(length clock.Duration) {
 	fleet := c.fleet
 	fleet.Run(clock.Instant(0).Add(6 * second))
@@ -192,18 +199,19 @@
 	fleet.Run(end.Add(convergeBound + second))
 	for _, process := range fleet.nodes {
 		if process.generation < c.target.generation || c.target.generation < process.generation {
-			c.test.Errorf("%s: at the end %s follows %d, the one that was cut off %d", c.name, process.own.Address, process.generation, c.target.generation)
+			c.test.Errorf("%s: after the partition %s follows generation %d, the partitioned controller follows %d", c.name, process.own.Address, process.generation, c.target.generation)
 		}
 	}
 	if c.acks == 0 {
-		c.test.Errorf("%s: nothing was acknowledged", c.name)
+		c.test.Errorf("%s: no request was acknowledged", c.name)
 	}
 }
 
-// TestOneControllerPartitioned: whichever controller is cut off, both ways, in one direction,
-// from all or frozen, for 1 to 60 s, with 3, 5 or 8 controllers: what is acknowledged
-// meanwhile is known at each process in touch within its bound, no live process is taken
-// for silent, nobody goes on reporting to the one that is cut off, and it confirms nothing.
+// TestOneControllerPartitioned partitions each controller in turn (in both directions, in one
+// direction, from every process, or paused) for 1 to 60 s, with 3, 5 or 8 controllers. Every
+// process in contact must know what was acknowledged meanwhile within its bound, no live
+// process may be considered silent, no process may go on reporting to the partitioned
+// controller, and that controller must not confirm anything.
 func TestOneControllerPartitioned(t *testing.T) {
 	t.Parallel()
 	sizes := []struct{ zones, controllers int }{{3, 1}, {5, 1}, {4, 2}}
@@ -219,19 +227,19 @@
 	}
 }
 
-// playCuts cuts one controller off in each direction, for each length.
+// runPartitions partitions one controller in each mode, for each length.
 func runPartitions(t *testing.T, seed int64, zones, controllers, index int) {
 	t.Helper()
 
 	for mode := bothWays; mode < partitionModes; mode++ {
 		for j, length := range []clock.Duration{1, 5, 12, 20, 60} {
 			if seeds(0) == 0 && (index+j+int(mode))%int(partitionModes) != 0 {
-				// One direction each in CI: the rest is played on demand.
+				// In CI each length runs in one mode; the others run if LEMONARCH_SEEDS is set.
 				continue
 			}
 			c := &partitionRun{test: t, fleet: newFleet(seed, zones, controllers, 1, 2), mode: mode}
 			c.target = c.fleet.controllers()[index]
-			c.name = fmt.Sprintf("seed %d, %d controllers, %s, direction %d, %d s", seed, zones*controllers, c.target.own.Address, mode, length)
+			c.name = fmt.Sprintf("seed %d, %d controllers, %s, mode %d, %d s", seed, zones*controllers, c.target.own.Address, mode, length)
 			c.run(length * second)
 			if t.Failed() {
 				return
--- a/internal/control/broadcast/drive_test.go
+++ b/internal/control/broadcast/drive_test.go
@@ -9,7 +9,7 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// drive makes the calls of a job, and ticks it while it lasts.
+// makeCalls makes the calls of a tree, and calls its Tick periodically until it is done.
 func (n *node) makeCalls(update *messages.RelayRequest, tree *broadcast.Tree, sends []broadcast.Send, start clock.Instant) {
 	for _, send := range sends {
 		n.makeCall(update, tree, send, start)
@@ -21,6 +21,7 @@
 	})
 }
 
+// makeCall makes one call, passes its outcome to the tree, and makes the calls that follow.
 func (n *node) makeCall(update *messages.RelayRequest, tree *broadcast.Tree, send broadcast.Send, start clock.Instant) {
 	var message transport.Marshaler
 	switch {
@@ -55,7 +56,8 @@
 	})
 }
 
-// spread tells the fleet; acknowledged runs once all in touch took it, or at the bound.
+// broadcast sends an update to the fleet. It calls acknowledged once all processes in contact have
+// accepted it or failed, or once the bound has passed.
 func (n *node) broadcast(update *messages.RelayRequest, bound clock.Duration, acknowledged func()) {
 	n.fleet.sequence++
 	update.From, update.Sequence = membership.Key(n.own), n.fleet.sequence
--- a/internal/control/broadcast/fleet_test.go
+++ b/internal/control/broadcast/fleet_test.go
@@ -15,8 +15,8 @@
 
 const heartbeatPeriod = 1200 * 1_000_000
 
-// node is one process: the cores of membership, workers and spreading, joined as the
-// rims of the real processes join them.
+// node is one simulated process: the membership, worker and broadcast state machines, connected as
+// the servers of the real processes connect them.
 type node struct {
 	fleet      *fleet
 	own        messages.NodeInfo
@@ -28,17 +28,19 @@
 	relays     map[string]*broadcast.Tree
 	pulling    bool
 	control    controlState
-	// messages and bytes sent, those to other zones apart.
+	// messages and bytes count what was sent; crossZoneBytes counts the bytes sent to other zones.
 	messages, bytes, crossZoneBytes int
 	appliedGenerations              []int64
 }
 
+// peerState stores what was last exchanged with one peer.
 type peerState struct {
+	// workerList and processes are the peer's digests at the last pull.
 	workerList, processes messages.Digest
 	contactsSentAt        clock.Instant
 }
 
-// fleet is many nodes in one world.
+// fleet is a set of nodes in one simulated network.
 type fleet struct {
 	*simulation.World
 	nodes     []*node
@@ -86,7 +88,7 @@
 	}
 }
 
-// call carries a request and its answer, or fails after the duration.
+// call sends a request and calls done with the response, or with failed set after the timeout.
 func (n *node) call(address string, req transport.Marshaler, timeout clock.Duration, done func(resp transport.Marshaler, failed bool)) {
 	receiver, ended := n.fleet.byAddress[address], false
 	finish := func(resp transport.Marshaler, failed bool) {
@@ -128,7 +130,7 @@
 		resp.Workers, resp.OverdueComplete, resp.Overdue = n.registry.Digest(n.own.Incarnation), true, n.registry.Overdue(now)
 		response(resp)
 	case *messages.ControllerHeartbeat:
-		// What is told is chosen before it counts as told.
+		// The response is built first, because handling the heartbeat marks contacts as sent.
 		heartbeat := n.heartbeatFor(membership.Key(request.From))
 		n.handleHeartbeat(request, now)
 		response(heartbeat)
@@ -144,7 +146,7 @@
 	}
 }
 
-// respondToUpdate answers what is about configurations, the register and updates.
+// respondToUpdate responds to requests about configurations, the register and updates.
 func (n *node) respondToUpdate(req transport.Marshaler, response func(transport.Marshaler)) {
 	now := n.fleet.Now
 	switch request := req.(type) {
--- a/internal/control/broadcast/loops_test.go
+++ b/internal/control/broadcast/loops_test.go
@@ -8,7 +8,7 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// observe takes entries, and pulls a configuration that somebody was seen to have.
+// observe merges entries into the view, and pulls a newer configuration that one of them lists.
 func (n *node) observe(entries []messages.NodeInfo) {
 	n.view.Observe(entries, n.fleet.Now)
 	n.observeEntries(entries)
@@ -24,7 +24,7 @@
 	n.pull(newest.Generation, newest.Address)
 }
 
-// pull asks one process, then the controllers, until this one follows a generation.
+// pull pulls from one process, then from the controllers, until this node follows a generation.
 func (n *node) pull(generation int64, first string) {
 	if generation <= n.generation || n.pulling {
 		return
@@ -55,7 +55,8 @@
 	})
 }
 
-// period is the periodic report: a controller's with controllers, anybody else's with a controller.
+// reportPeriodically sends the periodic reports: a controller sends heartbeats to other controllers,
+// any other process reports to a controller.
 func (n *node) reportPeriodically() {
 	if n.own.Role == membership.RoleController {
 		n.fleet.After(constants.ControllerHeartbeatPeriod, n.reportPeriodically)
@@ -120,6 +121,8 @@
 	return n.peerStates[key]
 }
 
+// pullSince compares a peer's reported digest with the own one, and returns the version from which to
+// pull and whether a pull is needed.
 func pullSince(read *messages.Digest, reported, own messages.Digest) (uint64, bool) {
 	if reported.Sum == own.Sum {
 		*read = reported
--- a/internal/control/broadcastserver/batch_test.go
+++ b/internal/control/broadcastserver/batch_test.go
@@ -9,7 +9,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// batchRecorder records the batches that leave; each is under way until release closes.
+// batchRecorder records the batches that are sent. Each stays in flight until release is closed.
 type batchRecorder struct {
 	batches
 	notified chan []messages.Worker
@@ -27,19 +27,20 @@
 	return r
 }
 
-// checkNothingLeft fails where a batch has left.
+// checkNothingSent fails the test if a batch was sent.
 func (r *batchRecorder) checkNothingSent(t *testing.T) {
 	t.Helper()
 
 	select {
 	case sent := <-r.notified:
-		t.Fatalf("%d left before their window", len(sent))
+		t.Fatalf("%d changes were sent before the end of their window", len(sent))
 	default:
 	}
 }
 
-// addBinding adds binding changes, and gives what waits until the fleet has all of them.
-func (r *batchRecorder) addBinding(count int) *sync.WaitGroup {
+// addUrgent adds urgent changes, and returns a group that waits until the fleet was notified of all
+// of them.
+func (r *batchRecorder) addUrgent(count int) *sync.WaitGroup {
 	var group sync.WaitGroup
 	for i := 0; i < count; i++ {
 		done := r.add(messages.Worker{ID: fmt.Sprint("e", i)}, true)
@@ -52,8 +53,9 @@
 	return &group
 }
 
-// A fleet whose workers all start at once is notified a few times; a drain leaves at once
-// and takes along what waits; nothing is sent twice or never.
+// TestChangesAreBatchedAndDrainsAreSentAtOnce checks that a fleet whose workers all start at the same
+// time is notified only a few times, that a drain is sent immediately together with the pending
+// changes, and that every change is sent exactly once.
 func TestChangesAreBatchedAndDrainsAreSentAtOnce(t *testing.T) {
 	r := newBatchRecorder()
 	for i := 0; i < 300; i++ {
@@ -62,24 +64,25 @@
 	r.checkNothingSent(t)
 	done := r.add(messages.Worker{ID: "d0", Phase: messages.PhaseDraining}, true)
 	if first := <-r.notified; len(first) != 301 || first[300].ID != "d0" {
-		t.Fatalf("%d left with the drain", len(first))
+		t.Fatalf("%d changes were sent with the drain, or the drain is not the last", len(first))
 	}
 	select {
 	case <-done:
-		t.Fatal("done before the fleet was notified")
+		t.Fatal("done was closed before the fleet was notified")
 	default:
 	}
 	if r.windows[0](); len(r.windows) != 1 || len(r.notified) != 0 {
-		t.Fatal("the window sent what had left")
+		t.Fatal("the end of the window sent changes again")
 	}
-	// As many batches as may be under way leave; the rest go together after one of them.
+	// Urgent batches are sent immediately up to UpdateBatchesInFlight; later changes are combined
+	// and sent after one of them has ended.
 	for i := 1; i < constants.UpdateBatchesInFlight; i++ {
 		r.add(messages.Worker{ID: fmt.Sprint("d", i)}, true)
 		if single := <-r.notified; len(single) != 1 {
 			t.Fatal(single)
 		}
 	}
-	group := r.addBinding(50)
+	group := r.addUrgent(50)
 	close(r.release)
 	count := 0
 	for count < 50 {
@@ -90,7 +93,7 @@
 	if count != 50 {
 		t.Fatal(count)
 	}
-	// What does not bind leaves once its window is over.
+	// Changes that are not urgent are sent at the end of their window.
 	r.add(messages.Worker{ID: "f0"}, false)
 	r.add(messages.Worker{ID: "f1"}, false)
 	r.windows[len(r.windows)-1]()
--- a/internal/control/membership/bench_test.go
+++ b/internal/control/membership/bench_test.go
@@ -7,7 +7,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// BenchmarkRespondToReport is a controller's work for one report in a fleet of 390.
+// BenchmarkRespondToReport measures a controller's response to one report in a fleet of 390 processes.
 func BenchmarkRespondToReport(b *testing.B) {
 	own := entry(RoleController, 1)
 	own.Role = RoleController
--- a/internal/control/membership/cut_test.go
+++ b/internal/control/membership/cut_test.go
@@ -41,7 +41,7 @@
 	return s
 }
 
-// shuffle exchanges views with a partner, and does so again after a period.
+// shuffle exchanges views with a partner, and repeats that every constants.ShufflePeriod.
 func (s *shufflers) shuffle(name string) {
 	s.world.After(constants.ShufflePeriod, func() { s.shuffle(name) })
 	partner := s.views[name].Partner(s.world.Now)
@@ -56,12 +56,12 @@
 	})
 }
 
-// run lets so many periods pass.
+// run advances the simulation by a number of shuffle periods.
 func (s *shufflers) run(periods int) {
 	s.world.Run(s.world.Now.Add(clock.Duration(periods) * constants.ShufflePeriod))
 }
 
-// setPartitioned cuts the first half off from the second, or joins them.
+// setPartitioned partitions the first half of the processes from the second, or reconnects them.
 func (s *shufflers) setPartitioned(partitioned bool) {
 	for _, left := range s.names[:6] {
 		for _, right := range s.names[6:] {
@@ -71,30 +71,30 @@
 	}
 }
 
-// check fails unless everybody knows everybody and, while partitioned, takes only the own
-// half for live.
+// check fails the test unless every process knows all others and, while partitioned, considers only
+// its own half live.
 func (s *shufflers) check(when string, partitioned bool) {
 	for _, name := range s.names {
 		if got := len(s.views[name].All("", s.world.Now)); got != len(s.names)-1 {
-			s.test.Fatalf("seed %d, %s: %s knows %d", s.seed, when, name, got)
+			s.test.Fatalf("seed %d, %s: wrong number of processes known to %s: %d", s.seed, when, name, got)
 		}
 		if !partitioned {
 			continue
 		}
 		if got := len(s.views[name].Live("", s.world.Now)); got > 5 {
-			s.test.Fatalf("seed %d, %s: %s takes %d for live", s.seed, when, name, got)
+			s.test.Fatalf("seed %d, %s: %s considers %d processes live, want at most 5", s.seed, when, name, got)
 		}
 	}
 }
 
-// Views on a lossy network are partitioned in two halves and joined again: each half sees
-// the other as silent, keeps it in its view, and finds it again; a process that was
-// started anew meanwhile is known by its new incarnation only.
+// TestViewsUnderPartitions partitions processes on a lossy network into two halves and reconnects them.
+// Each half must consider the other silent, keep it in its view, and contact it again
+// afterwards. A process that was restarted meanwhile must be known by its new incarnation only.
 func TestViewsUnderPartitions(t *testing.T) {
 	for seed := int64(1); seed <= 30; seed++ {
 		s := newShufflers(t, seed)
 		s.run(15)
-		s.check("met", false)
+		s.check("converged", false)
 		s.setPartitioned(true)
 		s.run(10)
 		s.check("partitioned", true)
@@ -102,10 +102,10 @@
 		s.views["n7"].Observe([]messages.NodeInfo{shufflerEntry("n8", 1)}, s.world.Now)
 		s.setPartitioned(false)
 		s.run(20)
-		s.check("joined", false)
+		s.check("reconnected", false)
 		for _, other := range s.views["n1"].All("", s.world.Now) {
 			if other.Name == "n7" && other.Incarnation != 2 {
-				t.Fatalf("seed %d: an old incarnation is still believed in", seed)
+				t.Fatalf("seed %d: the view still contains the old incarnation of n7", seed)
 			}
 		}
 	}
--- a/internal/control/membership/membership_test.go
+++ b/internal/control/membership/membership_test.go
@@ -13,7 +13,8 @@
 	return messages.NodeInfo{Name: name, Incarnation: incarnation, Role: RoleGateway, Address: name + ":1"}
 }
 
-// Many views that each know one seed learn of all others by shuffling.
+// TestViewsConvergeByShuffling checks that 25 views that initially share only one seed learn of all
+// other processes by shuffling.
 func TestViewsConvergeByShuffling(t *testing.T) {
 	const count = 25
 	views := map[string]*View{}
@@ -41,7 +42,7 @@
 	}
 	for _, name := range names {
 		if got := len(views[name].All("", now)); got != count-1 {
-			t.Fatalf("%s knows %d of %d", name, got, count-1)
+			t.Fatalf("%s knows %d processes, want %d", name, got, count-1)
 		}
 	}
 }
@@ -61,11 +62,11 @@
 	view.Observe([]messages.NodeInfo{entry("a", 1)}, 0)
 	later := clock.Instant(0).Add(constants.SuspectAfter)
 	if len(view.Live("", later)) != 0 || len(view.All("", later)) != 1 {
-		t.Fatal("a silent process is not live but still known")
+		t.Fatal("a silent process must not be live but must still be known")
 	}
 	view.NoteContact("forge/a", later)
 	if len(view.Live("", later)) != 1 {
-		t.Fatal("a direct message makes it live again")
+		t.Fatal("a process must be live again after a direct message")
 	}
 }
 
@@ -77,9 +78,9 @@
 		view.Observe([]messages.NodeInfo{entry(fmt.Sprint("n", i), 1)}, clock.Instant(i))
 	}
 	if got := len(view.All("", 0)); got != ViewSize(count) || got > 40 {
-		t.Fatalf("%d entries", got)
+		t.Fatalf("got %d entries, which is not the bound of the view", got)
 	}
-	// Who matters is never dropped by the bound: controllers, and stores at a store.
+	// The bound never removes controllers, nor stores from the view of a store or controller.
 	for _, role := range []string{RoleController, RoleStore} {
 		member := NewView(messages.NodeInfo{Name: "own", Role: role, Address: "own:1"}, 1)
 		for i := 0; i < count; i++ {
@@ -90,7 +91,7 @@
 			member.Observe([]messages.NodeInfo{info}, clock.Instant(i))
 		}
 		if len(member.All(RoleStore, 0)) != count || len(member.All(RoleController, 0)) != count {
-			t.Fatalf("a %s lost some", role)
+			t.Fatalf("the view of a %s is incomplete", role)
 		}
 	}
 }
--- a/internal/control/membership/neighbours_test.go
+++ b/internal/control/membership/neighbours_test.go
@@ -27,9 +27,9 @@
 		t.Fatal(first)
 	}
 	if again := view.Neighbours(RoleGateway, 4, 0); fmt.Sprint(again) != fmt.Sprint(first) {
-		t.Fatal("not the same ones")
+		t.Fatal("second call returned different neighbours")
 	}
-	// One that leaves is replaced; the others stay.
+	// A draining neighbour is replaced; the others stay.
 	departed := first[0]
 	departed.Draining = true
 	view.Observe([]messages.NodeInfo{departed}, 1)
--- a/internal/control/membership/reports_test.go
+++ b/internal/control/membership/reports_test.go
@@ -20,8 +20,8 @@
 	return names
 }
 
-// A process reports to its own zone's controllers before others, and to those last that
-// have just failed to answer, leave, or are known to be silent.
+// TestControllerReportOrder checks that a process reports to the controllers of its own zone first,
+// and last to those that recently failed to respond, are draining, or are known to be silent.
 func TestControllerReportOrder(t *testing.T) {
 	own := entry("own", 1)
 	own.Zone = "a"
@@ -41,16 +41,16 @@
 	later := clock.Instant(0).Add(constants.SuspectAfter)
 	view.NoteContact("foreman/r", later)
 	if got := order(view, later); got[0] != 'r' {
-		t.Fatal("silent ones come first: ", got)
+		t.Fatal("silent controllers must come last: ", got)
 	}
 	view.NoteContact("foreman/"+string(first[0]), later)
 	if got := order(view, later); got[0] != first[0] {
-		t.Fatal("it answers again: ", got)
+		t.Fatal("a controller that responds again must come first: ", got)
 	}
 }
 
-// A controller's answer fills an empty view to its bound, keeps it fresh, and tells of one
-// that fell silent by its age alone.
+// TestReportsFillAndRefreshView checks that a controller's responses fill an empty view to its bound,
+// keep it fresh, and show a process that became silent by its age only.
 func TestReportsFillAndRefreshView(t *testing.T) {
 	const population = 120
 	controller := controllerOf(population)
@@ -65,7 +65,7 @@
 		report()
 	}
 	checkFullView(t, view, population, now)
-	// All but one go on speaking to the controller.
+	// All processes but one continue to contact the controller.
 	silent := view.All(RoleGateway, now)[0].Name
 	for round := 0; round < 6; round++ {
 		now = now.Add(constants.ShufflePeriod)
@@ -78,18 +78,18 @@
 	}
 	for _, entry := range view.All(RoleGateway, now) {
 		if live := entry.AgeMs < constants.SuspectAfter.Milliseconds(); live == (entry.Name == silent) {
-			t.Fatalf("%s: heard %d ms ago", entry.Name, entry.AgeMs)
+			t.Fatalf("%s: wrong liveness: last contact %d ms ago", entry.Name, entry.AgeMs)
 		}
 	}
-	// Without a controller it goes on with those that it had.
+	// Without contact to a controller, processes that were live stay live.
 	before := len(view.Live(RoleGateway, now))
 	now = now.Add(10 * constants.ShufflePeriod)
 	if got := len(view.Live(RoleGateway, now)); got != before {
-		t.Fatal("its own deafness made others silent: ", got, before)
+		t.Fatal("peers became silent while no controller was in contact: ", got, before)
 	}
 }
 
-// controllerOf makes the view of a controller that knows so many gateways in four zones.
+// controllerOf returns the view of a controller that knows population gateways in four zones.
 func controllerOf(population int) *View {
 	controller := NewView(controllerEntry("f", "a"), 1)
 	for i := 0; i < population; i++ {
@@ -101,7 +101,7 @@
 }
 
 // checkFullView checks that the view of a gateway in zone a is filled to its bound, with enough
-// of each zone.
+// gateways of each zone.
 func checkFullView(t *testing.T, view *View, population int, now clock.Instant) {
 	t.Helper()
 
