--- a/internal/control/broadcastserver/broadcast.go
+++ b/internal/control/broadcastserver/broadcast.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// AnnounceWorker broadcasts a change of a worker. It waits for the fleet, at most for
-// constants.BroadcastTimeout, only if the caller's acknowledgement guarantees that the fleet
-// knows the change (a drain or departure). A worker in the steady phase may become known later.
+// AnnounceWorker broadcasts a change of a worker. Only for a drain or departure, whose
+// acknowledgement by the caller guarantees that the fleet knows of it, does it wait for the fleet,
+// for at most constants.BroadcastTimeout. A new worker may become known a moment later.
 func (s *Server) AnnounceWorker(worker messages.Worker) {
 	waitForFleet := worker.Phase != messages.PhaseSteady
 	done := s.batches.add(worker, waitForFleet)
--- a/internal/control/membership/viewsize.go
+++ b/internal/control/membership/viewsize.go
@@ -25,7 +25,8 @@
 
 // selectPeers returns the processes of a role that an owner retains, at most limit: first the
 // constants.FarLinks of lowest weight in each other zone, then those of the owner's zone, then the
-// rest, each by weight. The result is deterministic: the same list yields the same selection.
+// rest, each by weight. Every process that selects for the same owner from the same list gets the
+// same result.
 func selectPeers(owner messages.NodeInfo, entries []messages.NodeInfo, limit int) []messages.NodeInfo {
 	if len(entries) <= limit {
 		return entries
