--- a/internal/control/broadcast/cut_test.go
+++ b/internal/control/broadcast/cut_test.go
@@ -14,105 +14,110 @@
 
 const (
 	second = 1_000_000_000
-	// convergeBound is converge-ms, and drainBound drain-ms, of the strictest deployment.
+	// convergeBound and drainBound are converge-ms and drain-ms of the strictest deployment.
 	convergeBound = 2 * second
 	drainBound    = 2 * second
 )
 
-// seeds gives how many seeds a simulation plays: few, or as many as LEMONARCH_SEEDS says.
-func seeds(few int) int {
-	if many, err := strconv.Atoi(os.Getenv("LEMONARCH_SEEDS")); err == nil {
-		return many
+// seeds returns the number of seeds to simulate: the value of LEMONARCH_SEEDS if it is set, otherwise
+// defaultCount.
+func seeds(defaultCount int) int {
+	if count, err := strconv.Atoi(os.Getenv("LEMONARCH_SEEDS")); err == nil {
+		return count
 	}
-	return few
+	return defaultCount
 }
 
-// direction says which way a controller is cut off, and from whom.
-type direction int
+// partitionMode is the way in which a controller is partitioned.
+type partitionMode int
 
 const (
-	bothWays direction = iota
-	// unheard: what it sends to other controllers is lost.
-	unheard
-	// deaf: what other controllers send to it is lost.
-	deaf
-	// fromAll: it is cut off from every process, both ways.
-	fromAll
-	// frozen: it stands still, and goes on where it was.
-	frozen
-	directions
+	// bothWays: messages between it and other controllers are lost in both directions.
+	bothWays partitionMode = iota
+	// outbound: messages from it to other controllers are lost.
+	outbound
+	// inbound: messages from other controllers to it are lost.
+	inbound
+	// fromEveryProcess: messages between it and every other process are lost in both directions.
+	fromEveryProcess
+	// paused: the process is paused and later resumes with its state.
+	paused
+	partitionModes
 )
 
-// cut is one play: a controller is cut off while orders and drains come.
-type cut struct {
+// partitionRun is one simulation in which a controller is partitioned while configurations and drains
+// are requested.
+type partitionRun struct {
 	test   *testing.T
 	fleet  *fleet
-	hit    *node
-	how    direction
-	began  clock.Instant
-	name   string
-	newest int64
-	worker int
-	acks   int
+	target *node
+	mode   partitionMode
+	// startedAt is when the partition began, 0 while there is none.
+	startedAt        clock.Instant
+	name             string
+	newestGeneration int64
+	workerCount      int
+	acks             int
 }
 
-// apply cuts the controller off, or joins it again.
-func (c *cut) apply(on bool) {
-	if c.how == frozen {
-		c.hit.down = on
+// apply starts or ends the partition of the target.
+func (c *partitionRun) apply(partitioned bool) {
+	if c.mode == paused {
+		c.target.down = partitioned
 		return
 	}
 	for _, other := range c.fleet.nodes {
-		if other == c.hit || (c.how != fromAll && other.own.Role != membership.RoleController) {
+		if other == c.target || (c.mode != fromEveryProcess && other.own.Role != membership.RoleController) {
 			continue
 		}
-		if c.how != deaf {
-			c.fleet.SetPartitioned(c.hit.own.Address, other.own.Address, on)
+		if c.mode != inbound {
+			c.fleet.SetPartitioned(c.target.own.Address, other.own.Address, partitioned)
 		}
-		if c.how != unheard {
-			c.fleet.SetPartitioned(other.own.Address, c.hit.own.Address, on)
+		if c.mode != outbound {
+			c.fleet.SetPartitioned(other.own.Address, c.target.own.Address, partitioned)
 		}
 	}
 }
 
-// excused tells whether a process need not know: only the one that is cut off itself.
-func (c *cut) excused(here *node) bool { return here == c.hit }
+// isTarget reports whether a process is the partitioned controller, which is exempt from the checks.
+func (c *partitionRun) isTarget(process *node) bool { return process == c.target }
 
-// order sends a change of the configuration to a controller drawn by lot, and to the
-// next until one confirms it.
-func (c *cut) order() {
-	c.newest++
-	generation, taker := c.newest, c.draw()
-	taker.order(generation, func() {
+// changeConfig submits a new configuration to a random controller. If it is confirmed, every process
+// must follow it within convergeBound. The target must not confirm it once its lease has expired.
+func (c *partitionRun) changeConfig() {
+	c.newestGeneration++
+	generation, controller := c.newestGeneration, c.randomController()
+	controller.submitConfig(generation, func() {
 		c.acks++
-		if taker == c.hit && c.began > 0 && c.fleet.Now.Sub(c.began) > constants.ContactLease+constants.PushTimeout {
-			c.test.Errorf("%s: a controller that is cut off confirmed generation %d", c.name, generation)
+		if controller == c.target && c.startedAt > 0 && c.fleet.Now.Sub(c.startedAt) > constants.ContactLease+constants.PushTimeout {
+			c.test.Errorf("%s: the partitioned controller confirmed generation %d", c.name, generation)
 		}
 		c.fleet.After(convergeBound, func() {
-			for _, here := range c.fleet.nodes {
-				if here.config < generation && !c.excused(here) {
-					c.test.Errorf("%s: %s follows %d, %d was confirmed by %s", c.name, here.own.Address, here.config, generation, taker.own.Address)
+			for _, process := range c.fleet.nodes {
+				if process.generation < generation && !c.isTarget(process) {
+					c.test.Errorf("%s: %s follows generation %d, want %d as confirmed by %s", c.name, process.own.Address, process.generation, generation, controller.own.Address)
 				}
 			}
 		})
 	})
 }
 
-// drain registers a worker, and has it drain a little later.
-func (c *cut) drain() {
-	c.worker++
-	id, first, taker := fmt.Sprint("w", c.worker), c.draw(), c.draw()
-	if !first.attached() || !first.registry.Heartbeat(steady(id, 1, messages.PhaseSteady), c.fleet.Now) {
+// drainWorker registers a worker and drains it one second later. If the drain is acknowledged, every
+// process that knows the worker must know of the drain within drainBound.
+func (c *partitionRun) drainWorker() {
+	c.workerCount++
+	id, registerController, drainController := fmt.Sprint("w", c.workerCount), c.randomController(), c.randomController()
+	if !registerController.attached() || !registerController.registry.Heartbeat(newWorker(id, 1, messages.PhaseSteady), c.fleet.Now) {
 		return
 	}
-	first.spread(&messages.RelayRequest{Workers: []messages.Worker{steady(id, 1, messages.PhaseSteady)}}, constants.BroadcastTimeout, func() {})
+	registerController.broadcast(&messages.RelayRequest{Workers: []messages.Worker{newWorker(id, 1, messages.PhaseSteady)}}, constants.BroadcastTimeout, func() {})
 	c.fleet.After(second, func() {
-		taker.bind(steady(id, 2, messages.PhaseDraining), func() {
+		drainController.drainWorker(newWorker(id, 2, messages.PhaseDraining), func() {
 			c.acks++
 			c.fleet.After(drainBound, func() {
-				for _, here := range c.fleet.nodes {
-					if got, known := here.registry.Get(id); known && got.Phase != messages.PhaseDraining && !c.excused(here) {
-						c.test.Errorf("%s: %s does not know that %s drains, acknowledged by %s", c.name, here.own.Address, id, taker.own.Address)
+				for _, process := range c.fleet.nodes {
+					if got, known := process.registry.Get(id); known && got.Phase != messages.PhaseDraining && !c.isTarget(process) {
+						c.test.Errorf("%s: %s does not know of the drain of %s that was acknowledged by %s", c.name, process.own.Address, id, drainController.own.Address)
 					}
 				}
 			})
@@ -120,52 +125,54 @@
 	})
 }
 
-func (c *cut) draw() *node {
+// randomController returns a random controller that is not down.
+func (c *partitionRun) randomController() *node {
 	controllers := c.fleet.controllers()
-	taker := controllers[c.fleet.Random.Intn(len(controllers))]
-	for taker.down {
-		taker = controllers[c.fleet.Random.Intn(len(controllers))]
+	controller := controllers[c.fleet.Random.Intn(len(controllers))]
+	for controller.down {
+		controller = controllers[c.fleet.Random.Intn(len(controllers))]
 	}
-	return taker
+	return controller
 }
 
-// knowsAll checks that every controller in touch takes every live process for live.
-func (c *cut) knowsAll() {
-	for _, here := range c.fleet.controllers() {
-		if c.excused(here) {
+// checkLiveness checks that every controller except the target considers every other process live.
+func (c *partitionRun) checkLiveness() {
+	for _, process := range c.fleet.controllers() {
+		if c.isTarget(process) {
 			continue
 		}
 		live := map[string]bool{}
-		for _, entry := range here.view.Live("", c.fleet.Now) {
+		for _, entry := range process.view.Live("", c.fleet.Now) {
 			live[entry.Address] = true
 		}
 		for _, other := range c.fleet.nodes {
-			if other != here && !c.excused(other) && !live[other.own.Address] {
-				c.test.Errorf("%s: at %v %s takes %s for silent", c.name, c.fleet.Now, here.own.Address, other.own.Address)
+			if other != process && !c.isTarget(other) && !live[other.own.Address] {
+				c.test.Errorf("%s: at %v: %s considers %s silent, want live", c.name, c.fleet.Now, process.own.Address, other.own.Address)
 			}
 		}
 	}
 }
 
-// leftAlone checks that nobody goes on reporting to a controller that has lost contact.
-func (c *cut) leftAlone() {
+// checkNoReports checks that no process still reports to a controller that has lost contact.
+func (c *partitionRun) checkNoReports() {
 	bound := constants.ContactLease + constants.ShufflePeriod + 2*constants.ReportTimeout
-	if c.began == 0 || c.fleet.Now.Sub(c.began) < bound {
+	if c.startedAt == 0 || c.fleet.Now.Sub(c.startedAt) < bound {
 		return
 	}
-	for _, here := range c.fleet.nodes {
-		if here.control.first == c.hit.own.Address && here != c.hit {
-			c.test.Errorf("%s: %s still reports to it after %v", c.name, here.own.Address, c.fleet.Now.Sub(c.began))
+	for _, process := range c.fleet.nodes {
+		if process.control.firstController == c.target.own.Address && process != c.target {
+			c.test.Errorf("%s: %s still reports to the partitioned controller after %v", c.name, process.own.Address, c.fleet.Now.Sub(c.startedAt))
 		}
 	}
 }
 
-// play runs one cut of a length, with orders and drains from before it until after it.
-func (c *cut) play(length clock.Duration) {
+// run simulates one partition of a length, with configurations and drains requested before, during and
+// after it.
+func (c *partitionRun) run(length clock.Duration) {
 	fleet := c.fleet
 	fleet.Run(clock.Instant(0).Add(6 * second))
 	end := fleet.Now.Add(length + 6*second)
-	var orders, draining, looks func()
+	var changes, drains, checks func()
 	repeat := func(period clock.Duration, function func(), next *func()) {
 		*next = func() {
 			if fleet.Now < end && !c.test.Failed() {
@@ -175,35 +182,36 @@
 		}
 		fleet.After(period, *next)
 	}
-	repeat(700_000_000, c.order, &orders)
-	repeat(1_100_000_000, c.drain, &draining)
+	repeat(700_000_000, c.changeConfig, &changes)
+	repeat(1_100_000_000, c.drainWorker, &drains)
 	repeat(500_000_000, func() {
-		c.knowsAll()
-		c.leftAlone()
-	}, &looks)
+		c.checkLiveness()
+		c.checkNoReports()
+	}, &checks)
 	fleet.After(2*second, func() {
-		c.began = fleet.Now
+		c.startedAt = fleet.Now
 		c.apply(true)
 		fleet.After(length, func() {
-			c.began = 0
+			c.startedAt = 0
 			c.apply(false)
 		})
 	})
 	fleet.Run(end.Add(convergeBound + second))
-	for _, here := range fleet.nodes {
-		if here.config < c.hit.config || c.hit.config < here.config {
-			c.test.Errorf("%s: at the end %s follows %d, the one that was cut off %d", c.name, here.own.Address, here.config, c.hit.config)
+	for _, process := range fleet.nodes {
+		if process.generation < c.target.generation || c.target.generation < process.generation {
+			c.test.Errorf("%s: after the partition %s follows generation %d, the partitioned controller follows %d", c.name, process.own.Address, process.generation, c.target.generation)
 		}
 	}
 	if c.acks == 0 {
-		c.test.Errorf("%s: nothing was acknowledged", c.name)
+		c.test.Errorf("%s: no request was acknowledged", c.name)
 	}
 }
 
-// TestOneControllerPartitioned: whichever controller is cut off, both ways, in one direction,
-// from all or frozen, for 1 to 60 s, with 3, 5 or 8 controllers: what is acknowledged
-// meanwhile is known at each process in touch within its bound, no live process is taken
-// for silent, nobody goes on reporting to the one that is cut off, and it confirms nothing.
+// TestOneControllerPartitioned partitions each controller in turn (in both directions, in one
+// direction, from every process, or paused) for 1 to 60 s, with 3, 5 or 8 controllers. Every
+// process in contact must know what was acknowledged meanwhile within its bound, no live
+// process may be considered silent, no process may go on reporting to the partitioned
+// controller, and that controller must not confirm anything.
 func TestOneControllerPartitioned(t *testing.T) {
 	t.Parallel()
 	sizes := []struct{ zones, controllers int }{{3, 1}, {5, 1}, {4, 2}}
@@ -212,27 +220,27 @@
 			for i := 0; i < size.zones*size.controllers; i++ {
 				t.Run(fmt.Sprintf("seed %d, %d controllers, number %d", seed, size.zones*size.controllers, i), func(t *testing.T) {
 					t.Parallel()
-					playCuts(t, int64(seed), size.zones, size.controllers, i)
+					runPartitions(t, int64(seed), size.zones, size.controllers, i)
 				})
 			}
 		}
 	}
 }
 
-// playCuts cuts one controller off in each direction, for each length.
-func playCuts(t *testing.T, seed int64, zones, controllers, i int) {
+// runPartitions partitions one controller in each mode, for each length.
+func runPartitions(t *testing.T, seed int64, zones, controllers, index int) {
 	t.Helper()
 
-	for how := bothWays; how < directions; how++ {
-		for turn, length := range []clock.Duration{1, 5, 12, 20, 60} {
-			if seeds(0) == 0 && (i+turn+int(how))%int(directions) != 0 {
-				// One direction each in CI: the rest is played on demand.
+	for mode := bothWays; mode < partitionModes; mode++ {
+		for j, length := range []clock.Duration{1, 5, 12, 20, 60} {
+			if seeds(0) == 0 && (index+j+int(mode))%int(partitionModes) != 0 {
+				// In CI each length runs in one mode; the others run if LEMONARCH_SEEDS is set.
 				continue
 			}
-			c := &cut{test: t, fleet: newFleet(seed, zones, controllers, 1, 2), how: how}
-			c.hit = c.fleet.controllers()[i]
-			c.name = fmt.Sprintf("seed %d, %d controllers, %s, direction %d, %d s", seed, zones*controllers, c.hit.own.Address, how, length)
-			c.play(length * second)
+			c := &partitionRun{test: t, fleet: newFleet(seed, zones, controllers, 1, 2), mode: mode}
+			c.target = c.fleet.controllers()[index]
+			c.name = fmt.Sprintf("seed %d, %d controllers, %s, mode %d, %d s", seed, zones*controllers, c.target.own.Address, mode, length)
+			c.run(length * second)
 			if t.Failed() {
 				return
 			}
--- a/internal/control/membership/reports.go
+++ b/internal/control/membership/reports.go
@@ -8,11 +8,11 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// ageStep is the unit of the ages in an exchange, in ns.
-const ageStep = 10_000_000
+// ageUnit is the unit of the ages in a report response, in nanoseconds.
+const ageUnit = 10_000_000
 
-// Report is what the owner says in its periodic exchange with a controller: itself, and
-// whose ages it wants.
+// Report returns the owner's periodic report to a controller: its own entry, and the hashes of the
+// peers whose ages it requests.
 func (v *View) Report() *messages.Shuffle {
 	req := &messages.Shuffle{Entries: []messages.NodeInfo{v.self}}
 	for _, key := range v.keys() {
@@ -21,22 +21,23 @@
 	return req
 }
 
-// BriefReport is the owner's short report to a second controller: a sign of life, and
-// a request for what is new.
+// BriefReport returns the owner's short report to a second controller: a sign of life, and a request
+// for what is new.
 func (v *View) BriefReport() *messages.Shuffle {
 	return &messages.Shuffle{Entries: []messages.NodeInfo{v.self}, Brief: true}
 }
 
-// RespondToReport is a controller's: itself, the ages asked for, whom the asker should know and
-// does not, and how many there are of each role.
+// RespondToReport returns a controller's response to a report: its own entry, the requested ages, the
+// peers that the reporter should know but does not, and the number of processes of each role.
+// A brief report is answered with the own entry only.
 func (v *View) RespondToReport(req *messages.Shuffle, now clock.Instant) *messages.Shuffle {
 	resp := &messages.Shuffle{Entries: []messages.NodeInfo{v.self}}
 	if req.Brief {
 		return resp
 	}
-	has := map[uint32]bool{}
+	knownHashes := map[uint32]bool{}
 	for _, hash := range req.KnownHashes {
-		has[hash] = true
+		knownHashes[hash] = true
 		resp.Ages = append(resp.Ages, v.age(hash, now))
 	}
 	if len(req.Entries) == 0 {
@@ -46,49 +47,50 @@
 	resp.Counts = recommended.counts
 	for _, key := range recommended.keys {
 		known := v.peers[key]
-		if known != nil && !has[known.hash] && len(resp.Entries) <= constants.ShuffleSize && now.Sub(known.lastContact) < constants.SuspectAfter {
+		if known != nil && !knownHashes[known.hash] && len(resp.Entries) <= constants.ShuffleSize && now.Sub(known.lastContact) < constants.SuspectAfter {
 			resp.Entries = append(resp.Entries, v.withAge(known, now))
 		}
 	}
 	return resp
 }
 
-// recommendation is whom a process should know, and how many there are.
+// recommendation lists the peers that a process should know, and the number of processes of each role.
 type recommendation struct {
-	version uint64
-	at      clock.Instant
-	keys    []string
-	counts  []messages.RoleCount
+	version    uint64
+	computedAt clock.Instant
+	keys       []string
+	counts     []messages.RoleCount
 }
 
-// recommend gives whom an asker should know. Reckoning that goes over the whole directory,
-// so it is done anew only after a change or a while.
-func (v *View) recommend(asker messages.NodeInfo, now clock.Instant) recommendation {
-	if d, done := v.recommended[Key(asker)]; done && d.version == v.version && now.Sub(d.at) < constants.ViewReuseTime {
-		return d
+// recommend returns the peers that a reporter should know. The computation iterates over the whole
+// directory, so its result is reused until the view changes or constants.ViewReuseTime passes.
+func (v *View) recommend(reporter messages.NodeInfo, now clock.Instant) recommendation {
+	if rec, found := v.recommendations[Key(reporter)]; found && rec.version == v.version && now.Sub(rec.computedAt) < constants.ViewReuseTime {
+		return rec
 	}
-	d := recommendation{version: v.version, at: now}
+	rec := recommendation{version: v.version, computedAt: now}
 	for _, role := range []string{RoleController, RoleStore, RoleGateway} {
-		d.counts = append(d.counts, messages.RoleCount{Role: role, Count: v.Population(role, now)})
+		rec.counts = append(rec.counts, messages.RoleCount{Role: role, Count: v.Population(role, now)})
 		var others []messages.NodeInfo
 		for _, entry := range v.Live(role, now) {
-			if Key(entry) != Key(asker) && (!entry.Draining || role == RoleController) {
+			if Key(entry) != Key(reporter) && (!entry.Draining || role == RoleController) {
 				others = append(others, entry)
 			}
 		}
-		if !isCompleteFor(asker.Role, role) {
-			others = selectPeers(asker, others, ViewSize(v.Population(role, now)))
+		if !isCompleteFor(reporter.Role, role) {
+			others = selectPeers(reporter, others, ViewSize(v.Population(role, now)))
 		}
 		for _, entry := range others {
-			d.keys = append(d.keys, Key(entry))
+			rec.keys = append(rec.keys, Key(entry))
 		}
 	}
-	v.recommended[Key(asker)] = d
-	return d
+	v.recommendations[Key(reporter)] = rec
+	return rec
 }
 
-// age gives what is told of a process: one that is as fresh as reports come is reported as
-// in contact just now, so that only silence shows.
+// age returns the age to report for a process, in units of ageUnit. An age below
+// constants.FreshReportAge, which is normal between reports, is reported as 0, so that only
+// silence is visible.
 func (v *View) age(hash uint32, now clock.Instant) uint16 {
 	key, found := v.keyByHash[hash]
 	if !found {
@@ -101,17 +103,17 @@
 	if age < constants.FreshReportAge {
 		return 0
 	}
-	return uint16(min(int64(age)/ageStep, messages.AgeUnknown))
+	return uint16(min(int64(age)/ageUnit, messages.AgeUnknown))
 }
 
-// HandleReportResponse takes a controller's answer to a request.
+// HandleReportResponse merges a controller's response to a report into the view.
 func (v *View) HandleReportResponse(req, resp *messages.Shuffle, now clock.Instant) {
 	for i, hash := range req.KnownHashes {
 		if i >= len(resp.Ages) || resp.Ages[i] == messages.AgeUnknown {
 			continue
 		}
 		if known := v.peers[v.keyByHash[hash]]; known != nil {
-			known.lastContact = max(known.lastContact, now-clock.Instant(resp.Ages[i])*ageStep)
+			known.lastContact = max(known.lastContact, now-clock.Instant(resp.Ages[i])*ageUnit)
 		}
 	}
 	for _, count := range resp.Counts {
@@ -120,8 +122,8 @@
 	v.Observe(resp.Entries, now)
 }
 
-// Controllers gives the controllers in the order in which the owner reports to them: those of
-// its zone first, those that have just failed or are silent last.
+// Controllers returns the controllers in the order in which the owner reports to them: those of its
+// own zone first, those that recently failed, are silent or are draining last.
 func (v *View) Controllers(now clock.Instant) []messages.NodeInfo {
 	entries := v.All(RoleController, now)
 	own := Key(v.self)
@@ -135,25 +137,26 @@
 		return 0
 	}
 	sort.SliceStable(entries, func(left, right int) bool {
-		found, other := rank(entries[left]), rank(entries[right])
-		return found < other || (found == other && rendezvousWeight(own, Key(entries[left])) < rendezvousWeight(own, Key(entries[right])))
+		leftRank, rightRank := rank(entries[left]), rank(entries[right])
+		return leftRank < rightRank || (leftRank == rightRank && rendezvousWeight(own, Key(entries[left])) < rendezvousWeight(own, Key(entries[right])))
 	})
 	return entries
 }
 
-// usable tells whether a controller is worth asking: it was in contact lately and did not
-// just fail to answer, or answer that it is detached.
+// usable reports whether a controller is a candidate for a report: it is not draining, was in contact
+// within constants.SuspectAfter, and within that time neither failed to respond nor responded
+// that it is detached.
 func (v *View) usable(entry messages.NodeInfo, now clock.Instant) bool {
-	failed, shunned := v.failedAt[entry.Address]
-	if shunned && now.Sub(failed) < constants.SuspectAfter {
+	failedAt, hasFailed := v.failedAt[entry.Address]
+	if hasFailed && now.Sub(failedAt) < constants.SuspectAfter {
 		return false
 	}
 	return !entry.Draining && entry.AgeMs < constants.SuspectAfter.Milliseconds()
 }
 
-// SecondControllers gives the controllers other than the first in the order in which a
-// short report tries them: the usable ones of other zones in random order, then the
-// usable ones of the owner's zone, then the rest.
+// SecondControllers returns the controllers other than the first in the order in which a brief report
+// tries them: the usable ones of other zones, then the usable ones of the owner's zone, then
+// the rest, each group in random order.
 func (v *View) SecondControllers(first string, now clock.Instant) []messages.NodeInfo {
 	var ranked [3][]messages.NodeInfo
 	for _, entry := range v.All(RoleController, now) {
