--- a/internal/control/assignments/assignments.go
+++ b/internal/control/assignments/assignments.go
@@ -1,6 +1,6 @@
-// Package assignments keeps the assignments that a node follows: which adapters hang
-// where, and which window comes next. It has no I/O, and knows nothing of how they
-// were planned.
+// Package assignments is the table of the assignments that a process follows: which adapters are placed
+// on which nodes, and which window starts next. It does no I/O, and does not depend on how the
+// assignments were planned.
 package assignments
 
 import (
@@ -10,30 +10,32 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Table is what one process follows. Its owner guards it.
+// Table is the plan that one process follows. It is not safe for concurrent use: its owner locks it.
 type Table struct {
 	plan messages.PlanResponse
 }
 
-// Apply puts a chosen plan in force, never one that is older than the present one.
-func (b *Table) Apply(plan messages.PlanResponse) bool {
-	if plan.Revision <= b.plan.Revision {
+// Apply puts a chosen plan in force, unless it is not newer than the current one. It reports whether
+// the plan was applied.
+func (t *Table) Apply(plan messages.PlanResponse) bool {
+	if plan.Revision <= t.plan.Revision {
 		return false
 	}
-	b.plan = plan
+	t.plan = plan
 	return true
 }
 
-// Plan gives what is in force.
-func (b *Table) Plan() messages.PlanResponse { return b.plan }
+// Plan returns the plan in force.
+func (t *Table) Plan() messages.PlanResponse { return t.plan }
 
-// Revision is its number, 0 for none.
-func (b *Table) Revision() int64 { return b.plan.Revision }
+// Revision returns the revision of the plan in force, 0 for none.
+func (t *Table) Revision() int64 { return t.plan.Revision }
 
-// Next gives the window that starts next after a minute of the day.
+// Next returns the window that starts next after a minute of the day, and whether there is one. Of
+// windows that start at the same minute it returns the first by name.
 func Next(windows []messages.PlanWindow, minute int) (messages.PlanWindow, bool) {
 	const day = 24 * 60
-	found, best := messages.PlanWindow{}, day+1
+	next, shortestWait := messages.PlanWindow{}, day+1
 	for _, window := range windows {
 		start, valid := minuteOf(window.Starts)
 		if !valid {
@@ -41,49 +43,50 @@
 		}
 		wait := ((start-minute)%day + day) % day
 		if wait == 0 {
-			// It has begun: the next time is tomorrow.
+			// The window has started now, so its next start is tomorrow.
 			wait = day
 		}
-		if wait < best || (wait == best && window.Name < found.Name) {
-			found, best = window, wait
+		if wait < shortestWait || (wait == shortestWait && window.Name < next.Name) {
+			next, shortestWait = window, wait
 		}
 	}
-	return found, best <= day
+	return next, shortestWait <= day
 }
 
+// minuteOf parses a time of day such as "22:30" into a minute of the day, and reports whether it is valid.
 func minuteOf(starts string) (int, bool) {
-	hours, minutes, truncated := strings.Cut(starts, ":")
-	hour, wrongHour := strconv.Atoi(hours)
-	minute, wrongMinute := strconv.Atoi(minutes)
-	return hour*60 + minute, truncated && wrongHour == nil && wrongMinute == nil
+	hours, minutes, separated := strings.Cut(starts, ":")
+	hour, hourErr := strconv.Atoi(hours)
+	minute, minuteErr := strconv.Atoi(minutes)
+	return hour*60 + minute, separated && hourErr == nil && minuteErr == nil
 }
 
-// Status shows what is in force on a node, or on all where node is empty: one row a
-// copy, and one for each collision.
+// Status lists the assignments in force on a node, or on all nodes if node is empty. It has one row for
+// each placement of an adapter, each absent node and each collision.
 func Status(plan *messages.PlanResponse, node string, minute int) *messages.StatusResponse {
 	status := &messages.StatusResponse{Columns: []string{"revision", "generation", "next-window", "node", "window", "adapter", "state"}}
 	if plan.Revision == 0 {
 		return status
 	}
-	coming := "(none)"
+	nextWindow := "(none)"
 	if window, found := Next(plan.Windows, minute); found {
-		coming = window.Name + " " + window.Starts
+		nextWindow = window.Name + " " + window.Starts
 	}
 	row := func(node, window, adapter, state string) {
 		status.Rows = append(status.Rows, []string{strconv.FormatInt(plan.Revision, 10), strconv.FormatInt(plan.Generation, 10),
-			coming, node, window, adapter, state})
+			nextWindow, node, window, adapter, state})
 	}
-	for _, line := range plan.Collisions {
-		row("", "", "", "COLLISION, the last answer stays in force: "+line)
+	for _, collision := range plan.Collisions {
+		row("", "", "", "COLLISION, the last answer stays in force: "+collision)
 	}
 	for _, name := range plan.Absent {
 		if node == "" || name == node {
 			row(name, "", "", "gone")
 		}
 	}
-	for _, key := range plan.Placements {
-		if node == "" || key.Node == node {
-			row(key.Node, key.Window, key.Adapter, "in force")
+	for _, placement := range plan.Placements {
+		if node == "" || placement.Node == node {
+			row(placement.Node, placement.Window, placement.Adapter, "in force")
 		}
 	}
 	if len(status.Rows) == 0 {
--- a/internal/control/assignments/assignments_test.go
+++ b/internal/control/assignments/assignments_test.go
@@ -7,18 +7,18 @@
 	"lemonarch/internal/platform/messages"
 )
 
-func TestNeverGoesBack(t *testing.T) {
-	board := Table{}
+func TestApplyRejectsOlderRevisions(t *testing.T) {
+	table := Table{}
 	for _, step := range []struct {
 		revision int64
-		taken    bool
+		applied  bool
 	}{{0, false}, {2, true}, {2, false}, {1, false}, {7, true}, {3, false}} {
-		if board.Apply(messages.PlanResponse{Revision: step.revision}) != step.taken {
+		if table.Apply(messages.PlanResponse{Revision: step.revision}) != step.applied {
 			t.Fatal(step)
 		}
 	}
-	if board.Revision() != 7 {
-		t.Fatal(board.Revision())
+	if table.Revision() != 7 {
+		t.Fatal(table.Revision())
 	}
 }
 
@@ -30,10 +30,10 @@
 		}
 	}
 	if next, found := Next(windows[:1], 22*60+30); !found || next.Name != "nightly" {
-		t.Error("the only window does not come again tomorrow")
+		t.Error("the only window is not returned as the next one at its own start")
 	}
 	if _, found := Next(nil, 0); found {
-		t.Error("a window where there is none")
+		t.Error("got a window from an empty list")
 	}
 }
 
@@ -58,6 +58,6 @@
 		t.Fatal(got)
 	}
 	if len(Status(&messages.PlanResponse{}, "n1", 0).Rows) != 0 {
-		t.Fatal("something shown where nothing is in force")
+		t.Fatal("got rows for a plan with revision 0")
 	}
 }
--- a/internal/control/assignmentserver/assignmentserver.go
+++ b/internal/control/assignmentserver/assignmentserver.go
@@ -1,8 +1,8 @@
-// Package assignmentserver keeps the assignments of adapters to nodes at one controller: what
-// is in force, an operator's change of it, and a new plan when a node of the rules goes or
-// comes back. The value lives in a register of its own beside the configuration's: the same
-// machines and the same two rounds, but ballots, sets and records on disk of their own, so
-// that a write to one never meets a write to the other. The planner is package adapterplan.
+// Package assignmentserver manages the assignments of adapters to nodes on one controller: the plan in
+// force, an operator's changes, and a new plan when a node of the rules becomes absent or
+// comes back. The plan is stored in a register separate from that of the configuration. Both use the same
+// machines and the same two rounds, but separate ballots, sets and records on disk, so
+// that a write to one never conflicts with a write to the other. The planner is package adapterplan.
 package assignmentserver
 
 import (
@@ -23,10 +23,10 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// RegisterName is the name of the register of assignments, on the wire and on disk.
+// RegisterName is the name of the register of assignments, in messages and on disk.
 const RegisterName = "plans"
 
-// Server keeps the assignments at one controller.
+// Server manages the assignments on one controller.
 type Server struct {
 	node    *agent.Agent
 	replica *registerserver.Replica
@@ -38,17 +38,18 @@
 	lock  sync.Mutex
 	table assignments.Table
 	// pulling is set while a newer plan is being pulled from another controller.
-	pulling  bool
+	pulling bool
+	// presence tracks which nodes of the plan are absent.
 	presence adapterplan.Presence
 	// changedAt is when the plan in force last changed.
 	changedAt clock.Instant
 }
 
-// New makes the server on the register of assignments and registers the requests of other
-// processes.
+// New creates the server on the register of assignments and registers the handlers for other processes'
+// requests.
 func New(replica *registerserver.Replica, contact *contactserver.Server, workers *workerserver.Table) *Server {
 	s := &Server{node: replica.Node, replica: replica, sets: registerserver.NewSetMaintainer(replica, nil), contact: contact, workers: workers}
-	registerserver.HandleNamed(s.node.Runtime, s.register)
+	registerserver.HandleNamed(s.node.Runtime, s.findRegister)
 	process.Handle(s.node.Runtime, messages.KindPlanPull, s.handlePull)
 	process.Handle(s.node.Runtime, messages.KindPlanApply, s.handleApply)
 	s.node.Report("assignments", func() *messages.StatusResponse {
@@ -59,49 +60,49 @@
 	return s
 }
 
-// register gives the register of a name. There is one so far.
-func (s *Server) register(name string) (*registerserver.Replica, error) {
+// findRegister returns the register with a name. RegisterName is the only one so far.
+func (s *Server) findRegister(name string) (*registerserver.Replica, error) {
 	if name != RegisterName {
 		return nil, process.ErrUnavailable.New("no register is named " + name)
 	}
 	return s.replica, nil
 }
 
-// onAccepted reads the register a little later, in a goroutine that ends with the read:
-// what was accepted is not chosen yet.
+// onAccepted reads the register a little later, in a goroutine that ends with the read: a value
+// that this process's acceptor has just accepted is not chosen yet.
 func (s *Server) onAccepted(int64) {
 	go func() {
 		clock.Sleep(constants.PushTimeout)
 		if _, err := s.Read(); err != nil {
-			s.node.Log.Debug("assignments not read", "err", err.Error())
+			s.node.Log.Debug("reading assignments failed", "err", err.Error())
 		}
 	}()
 }
 
-// Replica is this process's part in the register of assignments.
+// Replica returns this process's replica of the register of assignments.
 func (s *Server) Replica() *registerserver.Replica { return s.replica }
 
-// Plan gives what is in force here.
+// Plan returns the plan in force on this process.
 func (s *Server) Plan() messages.PlanResponse {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.table.Plan()
 }
 
-// apply puts a chosen value in force here.
+// apply puts a chosen plan in force on this process.
 func (s *Server) apply(plan *messages.PlanResponse) {
 	s.lock.Lock()
-	taken := s.table.Apply(*plan)
-	if taken {
+	applied := s.table.Apply(*plan)
+	if applied {
 		s.changedAt = clock.Now()
 	}
 	s.lock.Unlock()
-	if taken {
+	if applied {
 		s.node.Log.Info("assignments applied", "revision", plan.Revision, "generation", plan.Generation, "absent", len(plan.Absent), "collisions", len(plan.Collisions))
 	}
 }
 
-// Read reads the register at a majority, and applies what it holds.
+// Read reads the register from a majority, and applies the plan in it.
 func (s *Server) Read() (*messages.PlanResponse, error) {
 	if len(s.replica.Known().Acceptors) == 0 {
 		s.replica.SyncSets()
@@ -118,7 +119,8 @@
 	return plan, nil
 }
 
-// Observe follows another controller that has a newer plan: what it tells is chosen.
+// Observe pulls the plan of another controller if its revision is newer. No read from a majority is needed,
+// since a controller follows only chosen plans.
 func (s *Server) Observe(revision int64, address string) {
 	s.lock.Lock()
 	behind := revision > s.table.Revision() && !s.pulling
@@ -136,17 +138,19 @@
 	s.lock.Unlock()
 }
 
+// handlePull responds with the complete plan or a node's part of it, after a read from a majority if the
+// request is for a linearizable read.
 func (s *Server) handlePull(req *messages.PlanRequest) (*messages.PlanResponse, error) {
 	plan := s.Plan()
 	if req.Linearizable {
 		if !s.contact.Await() {
 			return nil, contactserver.ErrNoContact.New("assignments")
 		}
-		decided, err := s.Read()
+		chosen, err := s.Read()
 		if err != nil {
 			return nil, err
 		}
-		plan = *decided
+		plan = *chosen
 	}
 	if req.Complete {
 		return &plan, nil
@@ -154,25 +158,25 @@
 	return adapterplan.Part(&plan, req.Node), nil
 }
 
-// handleApply puts an operator's rules in force on top of the revision that they were
-// planned on.
+// handleApply puts an operator's rules in force, based on the revision for which they were
+// planned.
 func (s *Server) handleApply(req *messages.PlanApplyRequest) (*messages.PlanApplyResponse, error) {
-	now, err := s.Read()
+	current, err := s.Read()
 	if err != nil {
 		return &messages.PlanApplyResponse{Reason: "no majority of the register answers: " + err.Error()}, nil
 	}
 	if len(req.Rules)+len(req.Solution) > constants.PlanBody {
 		return &messages.PlanApplyResponse{Reason: "rules and answer are too large for the register"}, nil
 	}
-	if string(now.Value.Rules) == string(req.Rules) {
-		return &messages.PlanApplyResponse{Applied: true, Revision: now.Revision, Reason: "in force already"}, nil
+	if string(current.Value.Rules) == string(req.Rules) {
+		return &messages.PlanApplyResponse{Applied: true, Revision: current.Revision, Reason: "in force already"}, nil
 	}
-	if now.Revision != req.Base {
-		return &messages.PlanApplyResponse{Revision: now.Revision, Reason: "another plan was put in force meanwhile"}, nil
+	if current.Revision != req.Base {
+		return &messages.PlanApplyResponse{Revision: current.Revision, Reason: "another plan was put in force meanwhile"}, nil
 	}
-	value, err := adapterplan.Enact(&now.Value, req.Rules, req.Solution)
+	value, err := adapterplan.Enact(&current.Value, req.Rules, req.Solution)
 	if err != nil {
-		return &messages.PlanApplyResponse{Revision: now.Revision, Reason: err.Error()}, nil
+		return &messages.PlanApplyResponse{Revision: current.Revision, Reason: err.Error()}, nil
 	}
 	plan, result, err := s.commit(value, req.Base)
 	if err != nil {
--- a/internal/control/assignmentserver/replan.go
+++ b/internal/control/assignmentserver/replan.go
@@ -12,15 +12,15 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// commit writes a value on top of a revision, and waits until the set that holds it
+// commit writes a plan based on a revision, and waits until the acceptor set that stores it
 // tolerates the fault budget.
 func (s *Server) commit(next *messages.PlanValue, base int64) (*messages.PlanResponse, register.Result, error) {
 	version, body, err := adapterplan.Version(next, base)
 	if err != nil {
 		return nil, register.ResultConflict, err
 	}
-	always := func(register.Result) bool { return true }
-	value, result, err := s.sets.CommitTolerant(version, body, always)
+	anyResult := func(register.Result) bool { return true }
+	value, result, err := s.sets.CommitTolerant(version, body, anyResult)
 	if err != nil {
 		return nil, result, err
 	}
@@ -31,11 +31,11 @@
 	return plan, result, err
 }
 
-// ReconcileSet keeps the register's acceptor set complete.
+// ReconcileSet adds or replaces acceptors of the register as needed for a complete set.
 func (s *Server) ReconcileSet() { s.sets.Reconcile() }
 
-// Reconcile keeps the register's acceptor set complete, and plans anew when a node of the
-// rules absent or came back.
+// Reconcile reconciles the register's acceptor set, and replans when a node of the
+// rules became absent or came back.
 func (s *Server) Reconcile() {
 	s.ReconcileSet()
 	plan := s.Plan()
@@ -47,50 +47,52 @@
 	}
 }
 
-// replanDue gives the nodes of the plan that are absent, and whether a plan without them is
-// due.
+// replanDue returns the nodes of the plan that are absent, and whether a plan without them is
+// due: they differ from the absent nodes of the plan in force, which last changed more than
+// constants.PlanBackoff ago.
 func (s *Server) replanDue(plan *messages.PlanResponse) (absent []string, due bool) {
 	now := clock.Now()
 	s.lock.Lock()
 	absent = s.presence.Gone(plan, s.present(), now)
-	calm := now.Sub(s.changedAt) > constants.PlanBackoff
+	backoffOver := now.Sub(s.changedAt) > constants.PlanBackoff
 	s.lock.Unlock()
-	return absent, calm && !slices.Equal(absent, plan.Absent)
+	return absent, backoffOver && !slices.Equal(absent, plan.Absent)
 }
 
-// replan puts a plan without the absent nodes in force.
+// replan computes a plan without the absent nodes and puts it in force.
 func (s *Server) replan(plan *messages.PlanResponse, absent []string) {
-	// Another controller may have seen it first.
+	// Another controller may have replanned already.
 	current, err := s.Read()
 	if err != nil || current.Revision != plan.Revision {
 		return
 	}
 	next, moves, err := adapterplan.Anew(&current.Value, absent)
 	if err != nil {
-		s.node.Log.Error("assignments not planned anew", "absent", strings.Join(absent, ","), "err", err.Error())
+		s.node.Log.Error("replanning assignments failed", "absent", strings.Join(absent, ","), "err", err.Error())
 		return
 	}
-	after, result, err := s.commit(next, current.Revision)
+	committed, result, err := s.commit(next, current.Revision)
 	if err != nil || !result.InForce() {
 		return
 	}
-	s.logReplan(after, absent, moves)
+	s.logReplan(committed, absent, moves)
 }
 
-// logReplan logs a new plan, or the collisions that keep the one before in force.
-func (s *Server) logReplan(after *messages.PlanResponse, absent []string, moves int) {
-	coming, _ := assignments.Next(after.Windows, clock.DayMinute())
-	for _, line := range after.Collisions {
-		s.node.Log.Warn("assignments collide, the last answer stays in force", "revision", after.Revision, "absent", strings.Join(absent, ","),
-			"next-window", coming.Name, "starts", coming.Starts, "collision", line)
+// logReplan logs a new plan, or the collisions because of which the previous placements stay in force.
+func (s *Server) logReplan(plan *messages.PlanResponse, absent []string, moves int) {
+	window, _ := assignments.Next(plan.Windows, clock.DayMinute())
+	for _, collision := range plan.Collisions {
+		s.node.Log.Warn("assignments collide, previous placements stay in force", "revision", plan.Revision, "absent", strings.Join(absent, ","),
+			"next-window", window.Name, "starts", window.Starts, "collision", collision)
 	}
-	if len(after.Collisions) == 0 {
-		s.node.Log.Info("assignments planned anew", "revision", after.Revision, "absent", strings.Join(absent, ","), "moves", moves,
-			"next-window", coming.Name, "starts", coming.Starts)
+	if len(plan.Collisions) == 0 {
+		s.node.Log.Info("assignments replanned", "revision", plan.Revision, "absent", strings.Join(absent, ","), "moves", moves,
+			"next-window", window.Name, "starts", window.Starts)
 	}
 }
 
-// present names the processes and workers that were in contact lately.
+// present returns the names of the processes and workers that were in contact lately: this process, others
+// that are not draining and were heard of within constants.SuspectAfter, and the present workers.
 func (s *Server) present() map[string]bool {
 	present := map[string]bool{s.node.Self.Name: true}
 	for _, entry := range s.node.All("") {
--- a/internal/control/configserver/configserver.go
+++ b/internal/control/configserver/configserver.go
@@ -1,9 +1,9 @@
-// Package configserver keeps the configuration of the fleet at one controller: it commits
-// new versions through the register, applies and broadcasts what was chosen, and answers
-// processes that read the configuration or the sets of the register.
+// Package configserver manages the configuration of the fleet on one controller: it commits
+// new versions through the register, applies and broadcasts chosen versions, and serves the
+// configuration and the sets of the register to other processes.
 //
-// A version is chosen once a majority of the acceptors has it on disk; it is acknowledged
-// once the set of acceptors tolerates the fault budget and the processes in contact were
+// A version is chosen once a majority of the acceptors has it on disk. It is acknowledged
+// once the acceptor set tolerates the fault budget and the processes in contact were
 // notified (docs/control/2-one-history.md).
 package configserver
 
@@ -20,24 +20,24 @@
 	"lemonarch/internal/platform/process"
 )
 
-// acceptedReads is how often a process looks for a version that its acceptor accepted and
-// nobody announced (ours).
+// acceptedReads is how many times a process reads the register for a version that its acceptor accepted
+// and no process announced.
 const acceptedReads = 5
 
-// Server keeps the configuration at one controller.
+// Server manages the configuration on one controller.
 type Server struct {
 	node      *agent.Agent
 	replica   *registerserver.Replica
 	sets      *registerserver.SetMaintainer
 	contact   *contactserver.Server
 	broadcast *broadcastserver.Server
-	// reads and setReads share the reads of callers that come at one time.
+	// reads and setReads share reads of the register among concurrent callers.
 	reads    sharedRead
 	setReads sharedRead
 }
 
-// New makes the server. Its contact lease is made here as well, since what the lease finds
-// behind is caught up by this server. The requests of other processes are registered.
+// New creates the server and registers the handlers for other processes' requests. It also creates the
+// contact lease, since this server catches up when the lease finds that a newer version was accepted.
 func New(replica *registerserver.Replica, sets *registerserver.SetMaintainer, broadcast *broadcastserver.Server) *Server {
 	s := &Server{node: replica.Node, replica: replica, sets: sets, broadcast: broadcast}
 	s.contact = contactserver.New(replica, s.catchUp)
@@ -48,23 +48,24 @@
 	return s
 }
 
-// Contact is the contact lease of this process.
+// Contact returns the contact lease of this process.
 func (s *Server) Contact() *contactserver.Server { return s.contact }
 
-// Outcome is how a change of the configuration came out.
+// Outcome is the outcome of a change of the configuration.
 type Outcome struct {
-	// Value is the register's value after it.
+	// Value is the register's value after the change.
 	Value  messages.RegisterValue
 	Result register.Result
-	// Err, where it is set, means that the change may or may not be in force.
+	// Err, if not nil, means that the change may or may not be in force.
 	Err error
 }
 
-// confirmed tells whether the version is in force.
+// confirmed reports whether the version is in force for certain.
 func (o *Outcome) confirmed() bool { return o.Err == nil && o.Result.InForce() }
 
-// Commit puts a version in force, waits until the set that holds it tolerates the fault
-// budget, and has everybody notified. It gives up once contact with a majority is lost.
+// Commit puts a version in force, waits until the acceptor set that stores it tolerates the fault
+// budget, and notifies all processes in contact. It stops waiting, with an unknown outcome, once contact
+// with a majority is lost.
 func (s *Server) Commit(version messages.Version, body []byte) Outcome {
 	outcome, inContact := contactserver.WhileValid(s.contact, func() Outcome { return s.commit(version, body) })
 	if !inContact {
@@ -75,7 +76,7 @@
 
 func (s *Server) commit(version messages.Version, body []byte) Outcome {
 	var outcome Outcome
-	// A refusal needs no waiting for the set.
+	// A rejection does not wait for the set.
 	outcome.Value, outcome.Result, outcome.Err = s.sets.CommitTolerant(version, body, register.Result.InForce)
 	if outcome.Err == nil {
 		s.apply(outcome.Value, outcome.confirmed())
@@ -83,7 +84,7 @@
 	return outcome
 }
 
-// Load reads the value in force and applies it here.
+// Load reads the value in force from the register and applies it to this process.
 func (s *Server) Load() error {
 	value, err := s.replica.Read()
 	if err != nil {
@@ -93,8 +94,9 @@
 	return nil
 }
 
-// apply puts a chosen value in force here and, where push is set, notifies everybody before
-// it returns; where it is only newer than what was followed here, without waiting.
+// apply applies a chosen value to this process. If push is set, it also broadcasts the value, and returns
+// once all processes in contact have it or after constants.PushTimeout. Otherwise it broadcasts a value
+// that is newer than this process's own, without waiting.
 func (s *Server) apply(value messages.RegisterValue, push bool) {
 	if value.Current.Generation == 0 {
 		return
@@ -110,9 +112,9 @@
 	}
 }
 
-// onAccepted follows what this process's acceptor accepted. The proposer may die right after
-// it has acknowledged a version, so this process looks for itself a little later, in a
-// goroutine that ends after acceptedReads.
+// onAccepted follows a version that this process's acceptor accepted. The proposer may crash right after
+// it has acknowledged the version, before it announces it, so this process reads the register itself a
+// little later, in a goroutine that ends after at most acceptedReads reads.
 func (s *Server) onAccepted(generation int64) {
 	if generation <= s.node.Generation() {
 		return
@@ -128,7 +130,8 @@
 	}()
 }
 
-// catchUp looks for what an acceptor has accepted and this process does not follow.
+// catchUp reads the register if an acceptor has accepted sets or a configuration that are newer than
+// those that this process follows.
 func (s *Server) catchUp(accepted contact.Versions) {
 	if accepted.SetEpoch > s.contact.Followed().SetEpoch {
 		if _, err := s.replica.ReadSets(); err != nil {
--- a/internal/control/configserver/handlers.go
+++ b/internal/control/configserver/handlers.go
@@ -6,8 +6,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// handleConfigPull answers a process that wants the configuration: from a majority where it
-// asks for that, or where nothing is followed here.
+// handleConfigPull responds with the configuration. It reads the configuration from a majority if the
+// request is for a linearizable read, or if this process has no configuration yet.
 func (s *Server) handleConfigPull(req *messages.ConfigPull) (*messages.ConfigPush, error) {
 	linearizable := req.Known < 0
 	if linearizable && !s.contact.Await() {
@@ -24,8 +24,9 @@
 	return &messages.ConfigPush{Generation: value.Current.Generation, Body: value.Body}, nil
 }
 
-// handleRegisterRead gives the sets and the leadership in the register. Where no majority is
-// in contact, the sets last seen in force still help a joiner to find the acceptors.
+// handleRegisterRead responds with the sets and the leadership in the register. If no majority is
+// in contact, it responds with the sets last seen in force, from which a joiner can still find the
+// acceptors.
 func (s *Server) handleRegisterRead(_ *messages.Ack) (*messages.RegisterResponse, error) {
 	if s.contact.Await() {
 		if value, err := s.setReads.Read(s.replica.ReadSets); err == nil {
--- a/internal/control/configserver/sharedread.go
+++ b/internal/control/configserver/sharedread.go
@@ -6,65 +6,68 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// sharedRead lets those that ask for the register at one time share a read: after a
-// loss of power the whole fleet asks at once. A read that was under way when somebody
-// came may be older than the request, so joiners wait for the next one.
+// sharedRead lets concurrent callers share a read of the register: after a power loss, all processes
+// of the fleet send their requests at once. A read that was already in flight when a caller arrives
+// may return a value older than the caller's request, so the caller waits for the next one.
 type sharedRead struct {
 	lock sync.Mutex
+	// next is the round that the next caller joins, nil if there is none.
 	next *readRound
+	// busy is set while a goroutine runs the rounds.
 	busy bool
 }
 
 type readRound struct {
-	done   chan struct{}
-	shares int
-	value  messages.RegisterValue
-	err    error
+	done    chan struct{}
+	waiters int
+	value   messages.RegisterValue
+	err     error
 }
 
-// Read gives a value read after the call began.
+// Read returns a value that was read after the call began.
 func (s *sharedRead) Read(read func() (messages.RegisterValue, error)) (messages.RegisterValue, error) {
 	s.lock.Lock()
 	if s.next == nil {
 		s.next = &readRound{done: make(chan struct{})}
 	}
-	mine := s.next
-	mine.shares++
-	begin := !s.busy
+	round := s.next
+	round.waiters++
+	start := !s.busy
 	s.busy = true
 	s.lock.Unlock()
-	if begin {
+	if start {
 		s.run(read)
 	}
-	<-mine.done
-	return mine.value, mine.err
+	<-round.done
+	return round.value, round.err
 }
 
-// run reads as long as somebody waits.
+// run reads until no caller is waiting. It does the first read itself and the later ones in a new
+// goroutine.
 func (s *sharedRead) run(read func() (messages.RegisterValue, error)) {
 	first := true
 	for {
 		s.lock.Lock()
-		reading := s.next
+		round := s.next
 		s.next = nil
-		if reading == nil {
+		if round == nil {
 			s.busy = false
 			s.lock.Unlock()
 			return
 		}
 		s.lock.Unlock()
-		work := func() {
-			reading.value, reading.err = read()
-			close(reading.done)
+		runRound := func() {
+			round.value, round.err = read()
+			close(round.done)
 		}
 		if first {
-			work()
+			runRound()
 			first = false
 			continue
 		}
-		// The one that began has its answer; the rest go on without it.
+		// The caller of run has its result and returns. A new goroutine serves the others.
 		go func() {
-			work()
+			runRound()
 			s.run(read)
 		}()
 		return
--- a/internal/control/configserver/sharedread_test.go
+++ b/internal/control/configserver/sharedread_test.go
@@ -9,7 +9,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Many that ask at once share a read, and none gets a value read before it asked.
+// Concurrent callers share a read, and no caller receives a value that was read before its call. Otherwise a
+// caller that arrives while a read is in flight could get a value older than its request.
 func TestReadsAreSharedButNeverOlderThanTheRequest(t *testing.T) {
 	const rounds, callers = 50, 20
 	var shared sharedRead
@@ -23,28 +24,28 @@
 		return value, nil
 	}
 	var group sync.WaitGroup
-	ask := func() {
+	startCaller := func() {
 		least := uint64(replica.Load())
 		group.Add(1)
 		go func() {
 			defer group.Done()
 			if value, _ := shared.Read(read); value.SetEpoch < least {
-				t.Errorf("asked at %d, got %d", least, value.SetEpoch)
+				t.Errorf("read began after value %d, got %d", least, value.SetEpoch)
 			}
 		}()
 	}
-	ask()
+	startCaller()
 	<-start
 	for round := 0; round < rounds; round++ {
-		// A read is under way; all who come now share the one after it.
+		// A read is in flight. All callers that arrive now share the next one.
 		replica.Add(1)
 		for caller := 0; caller < callers; caller++ {
-			ask()
+			startCaller()
 		}
 		for waiting := 0; waiting < callers; runtime.Gosched() {
 			shared.lock.Lock()
 			if shared.next != nil {
-				waiting = shared.next.shares
+				waiting = shared.next.waiters
 			}
 			shared.lock.Unlock()
 		}
@@ -54,6 +55,6 @@
 	release <- struct{}{}
 	group.Wait()
 	if reads.Load() != rounds+1 {
-		t.Fatalf("%d reads for %d callers", reads.Load(), rounds*callers+1)
+		t.Fatalf("got %d reads for %d callers, want one per round and the first", reads.Load(), rounds*callers+1)
 	}
 }
--- a/internal/control/controller/calls_test.go
+++ b/internal/control/controller/calls_test.go
@@ -32,7 +32,7 @@
 	}
 	renewContact(t, controller)
 	startUp(t, controller)
-	server := httptest.NewServer(controller.calls())
+	server := httptest.NewServer(controller.handler())
 	t.Cleanup(server.Close)
 	return controller, server
 }
@@ -50,11 +50,11 @@
 func clearCall(t *testing.T, server *httptest.Server, method, path, base, body string) (int, string) {
 	t.Helper()
 
-	return callPast(t, server, method, path, base, body, http.StatusServiceUnavailable, http.StatusGatewayTimeout)
+	return callUntilClear(t, server, method, path, base, body, http.StatusServiceUnavailable, http.StatusGatewayTimeout)
 }
 
 // callPast makes a call until its status is none of the unclear ones.
-func callPast(t *testing.T, server *httptest.Server, method, path, base, body string, outcomeUnknown ...int) (int, string) {
+func callUntilClear(t *testing.T, server *httptest.Server, method, path, base, body string, outcomeUnknown ...int) (int, string) {
 	t.Helper()
 
 	const tries = 100
@@ -181,7 +181,7 @@
 func TestRetireOfUnknownAndOfTooMany(t *testing.T) {
 	controller, server := open(t, t.TempDir(), true)
 	setJustStarted(controller)
-	if status, _ := callPast(t, server, "POST", "/-/Retire.Open/store-1", "", "{}", http.StatusGatewayTimeout); status != 503 {
+	if status, _ := callUntilClear(t, server, "POST", "/-/Retire.Open/store-1", "", "{}", http.StatusGatewayTimeout); status != 503 {
 		t.Fatal("a controller that has just started can't know: ", status)
 	}
 	setLongRunning(controller)
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -1,5 +1,5 @@
-// Package controller is the control process: it wires the servers of the control plane to one
-// node and runs their loops. Who owns which state stands in docs/architecture.md.
+// Package controller is the control process: it connects the servers of the control plane to one
+// node and runs their loops. docs/architecture.md describes which server owns which state.
 package controller
 
 import (
@@ -32,8 +32,8 @@
 	"lemonarch/internal/platform/settings"
 )
 
-// firstDisk is the identity of every seed's disk at the system's first start, so that all of
-// them begin with one and the same acceptor set.
+// firstDisk is the disk identity of every seed at the system's first start. All seeds share it, so
+// that all of them start with the same acceptor set.
 const firstDisk = "first"
 
 // Controller is one control process.
@@ -52,16 +52,16 @@
 	clients     inbound.Limits
 }
 
-// New opens the disk and prepares the process.
+// New opens the data directory and builds the process. Run starts it.
 func New(nodeSettings *settings.Settings, log hclog.Logger) (*Controller, error) {
 	disk, err := openDisk(nodeSettings)
 	if err != nil {
 		return nil, err
 	}
-	return newOn(disk, nodeSettings, log)
+	return newOnDisk(disk, nodeSettings, log)
 }
 
-// openDisk gives the folder of the settings, or one in memory where there is none.
+// openDisk returns the data directory of the settings, or an in-memory disk if none is set.
 func openDisk(nodeSettings *settings.Settings) (recordlog.Disk, error) {
 	if nodeSettings.DataDir == "" {
 		return recordlog.NewMemoryDisk(), nil
@@ -72,8 +72,8 @@
 	return recordlog.Directory(nodeSettings.DataDir), nil
 }
 
-// newOn prepares the process on an open disk.
-func newOn(disk recordlog.Disk, nodeSettings *settings.Settings, log hclog.Logger) (*Controller, error) {
+// newOnDisk builds the process on an open disk.
+func newOnDisk(disk recordlog.Disk, nodeSettings *settings.Settings, log hclog.Logger) (*Controller, error) {
 	first, identity := firstSet(nodeSettings)
 	replica, err := registerserver.Open(disk, first, identity)
 	if err != nil {
@@ -91,19 +91,19 @@
 	if err != nil {
 		return nil, err
 	}
-	announced := replica.Disk()
+	announcedDisk := replica.Disk()
 	if !registerserver.Votes(nodeSettings) {
-		// Announced without a disk, so that those with one take the place that a seed list
-		// gave to this process.
-		announced = ""
+		// A process that does not vote announces no disk, so that a process with a disk takes over
+		// the place in the acceptor set that the seed list assigned to this one.
+		announcedDisk = ""
 	}
-	node := agent.New(nodeSettings, membership.RoleController, constants.PortController, announced, log)
+	node := agent.New(nodeSettings, membership.RoleController, constants.PortController, announcedDisk, log)
 	replica.Node, plans.Node = node, node
 	return wire(node, replica, plans, table, checker), nil
 }
 
-// firstSet gives the acceptor set of the system's first start, empty at any other, and the
-// identity that an empty disk gets.
+// firstSet returns the acceptor set of the system's first start, which is empty at any later start,
+// and the identity to write to a disk that is empty.
 func firstSet(nodeSettings *settings.Settings) (first []messages.Member, identity string) {
 	identity = randomIdentity()
 	if !nodeSettings.Bootstrap {
@@ -121,17 +121,17 @@
 
 func randomIdentity() string {
 	var bytes [8]byte
-	// Read never fails (crypto/rand).
+	// crypto/rand documents that Read never returns an error.
 	_, _ = rand.Read(bytes[:])
 	return hex.EncodeToString(bytes[:])
 }
 
-// wire makes the servers on a node, in the order in which they need each other.
+// wire creates the servers on a node, in the order of their dependencies.
 func wire(node *agent.Agent, replica, plans *registerserver.Replica, table *workerserver.Table, checker *configcheck.Checker) *Controller {
 	c := &Controller{Node: node, Register: replica, peers: newPeers()}
 	replica.HandleConfiguration()
-	// Who has not recovered the workers from a majority takes no place in the set yet: it would
-	// count for what it does not know.
+	// A controller that has not recovered the workers from a majority does not join the acceptor set
+	// yet: it would count towards a quorum for changes of workers that it does not know.
 	c.sets = registerserver.NewSetMaintainer(replica, func() bool { return !table.Recovering() })
 	c.broadcast = broadcastserver.New(node, table)
 	c.configs = configserver.New(replica, c.sets, c.broadcast)
@@ -144,22 +144,22 @@
 	node.OnReportResponse(c.completeReportResponse)
 	node.Report(messages.QueryLeadership, c.reportRegister)
 	node.Report("workers", c.reportWorkers)
-	c.server, c.clients = inbound.NewServer(c.calls()), inbound.LimitsOf(node.Settings.Limits)
-	// The file of workers is written from the beginning: calls may come before Run.
+	c.server, c.clients = inbound.NewServer(c.handler()), inbound.LimitsOf(node.Settings.Limits)
+	// The writer of the workers file starts here, since calls may arrive before Run.
 	go c.workers.Run(node.Stop, node.Log)
 	return c
 }
 
-// contact is the contact lease of this process.
+// contact returns the contact lease of this process.
 func (c *Controller) contact() *contactserver.Server { return c.configs.Contact() }
 
-// calls is the tree of matchers for workers and the operator.
-func (c *Controller) calls() http.Handler {
-	tree := chi.NewRouter()
-	tree.Post("/-/Workers.Heartbeat/{id}", c.workers.HandleHeartbeat)
-	tree.Post("/-/Workers.Depart/{id}", c.workers.HandleDepart)
-	c.operator.Register(tree)
-	return tree
+// handler returns the HTTP routes for workers and the operator.
+func (c *Controller) handler() http.Handler {
+	router := chi.NewRouter()
+	router.Post("/-/Workers.Heartbeat/{id}", c.workers.HandleHeartbeat)
+	router.Post("/-/Workers.Depart/{id}", c.workers.HandleDepart)
+	c.operator.Register(router)
+	return router
 }
 
 // Run serves until Shutdown.
@@ -188,7 +188,8 @@
 	return process.ErrUnavailable.Wrap(err, "control")
 }
 
-// catchUp gets from peers what this process can't know after its start.
+// catchUp requests from peers the state that this process lacks after a start: the other controllers'
+// tables, the workers, the acceptor sets, the configuration and the assignments.
 func (c *Controller) catchUp() {
 	c.heartbeatPeers()
 	go c.workers.Recover()
@@ -201,7 +202,7 @@
 		c.Register.SyncSets()
 		if len(c.Register.Known().Acceptors) > 0 && c.configs.Load() == nil {
 			if _, err := c.assignments.Read(); err != nil {
-				c.Node.Log.Debug("assignments not read", "err", err.Error())
+				c.Node.Log.Debug("reading assignments failed", "err", err.Error())
 			}
 			return
 		}
@@ -209,13 +210,14 @@
 	}
 }
 
-// Shutdown stops in order: calls under way are answered first.
+// Shutdown drains the node, waits for HTTP requests in flight for at most
+// constants.BulkCallTimeout, and then stops the node.
 func (c *Controller) Shutdown() {
 	c.Node.Drain()
 	ctx, cancel := contexts.WithTimeout(contexts.Background(), constants.BulkCallTimeout)
 	defer cancel()
 	if err := c.server.Shutdown(ctx); err != nil {
-		c.Node.Log.Warn("calls cut off at shutdown", "err", err.Error())
+		c.Node.Log.Warn("HTTP requests aborted at shutdown", "err", err.Error())
 	}
 	c.Node.Shutdown()
 }
--- a/internal/control/controller/mounted_test.go
+++ b/internal/control/controller/mounted_test.go
@@ -9,27 +9,27 @@
 
 // mounted is a simulated disk as one incarnation of a process sees it: after that incarnation nothing
 // more is written.
-type mounted struct {
-	lock *sync.Mutex
-	disk *simulation.Disk
-	dead bool
+type mountedDisk struct {
+	lock      *sync.Mutex
+	disk      *simulation.Disk
+	powerLost bool
 }
 
 type mountedFile struct {
-	mounted *mounted
+	mount *mountedDisk
 	recordlog.File
 }
 
-func (m *mounted) do(work func() error) error {
+func (m *mountedDisk) do(work func() error) error {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	if m.dead {
+	if m.powerLost {
 		return simulation.ErrFull
 	}
 	return work()
 }
 
-func (m *mounted) Open(name string) (file recordlog.File, err error) {
+func (m *mountedDisk) Open(name string) (file recordlog.File, err error) {
 	err = m.do(func() error {
 		inner, cause := m.disk.Open(name)
 		file = &mountedFile{m, inner}
@@ -38,30 +38,30 @@
 	return file, err
 }
 
-func (m *mounted) Rename(from, to string) error {
+func (m *mountedDisk) Rename(from, to string) error {
 	return m.do(func() error { return m.disk.Rename(from, to) })
 }
-func (m *mounted) Remove(name string) error {
+func (m *mountedDisk) Remove(name string) error {
 	return m.do(func() error { return m.disk.Remove(name) })
 }
-func (m *mounted) SyncDirectory() error { return m.do(m.disk.SyncDirectory) }
+func (m *mountedDisk) SyncDirectory() error { return m.do(m.disk.SyncDirectory) }
 
 func (m *mountedFile) Write(text []byte) (count int, err error) {
-	err = m.mounted.do(func() error {
+	err = m.mount.do(func() error {
 		var cause error
 		count, cause = m.File.Write(text)
 		return cause
 	})
 	return count, err
 }
-func (m *mountedFile) Sync() error { return m.mounted.do(m.File.Sync) }
+func (m *mountedFile) Sync() error { return m.mount.do(m.File.Sync) }
 
 func (m *mountedFile) Truncate(size int64) error {
-	return m.mounted.do(func() error { return m.File.Truncate(size) })
+	return m.mount.do(func() error { return m.File.Truncate(size) })
 }
 
 func (m *mountedFile) Size() (size int64, err error) {
-	err = m.mounted.do(func() error {
+	err = m.mount.do(func() error {
 		var cause error
 		size, cause = m.File.Size()
 		return cause
@@ -70,7 +70,7 @@
 }
 
 func (m *mountedFile) ReadAt(into []byte, offset int64) (count int, err error) {
-	err = m.mounted.do(func() error {
+	err = m.mount.do(func() error {
 		var cause error
 		count, cause = m.File.ReadAt(into, offset)
 		return cause
--- a/internal/control/controller/named_test.go
+++ b/internal/control/controller/named_test.go
@@ -30,7 +30,7 @@
 	for number := 1; number <= count; number++ {
 		controllers[number] = voter(t, network, number, true)
 	}
-	introduce(controllers)
+	exchangeMembership(controllers)
 	return controllers, network
 }
 
@@ -52,7 +52,7 @@
 }
 
 // introduce has all know of all, as their heartbeats would.
-func introduce(controllers map[int]*Controller) {
+func exchangeMembership(controllers map[int]*Controller) {
 	for _, controller := range controllers {
 		for _, other := range controllers {
 			if controller != other {
@@ -80,7 +80,7 @@
 		t.Fatal("the configuration's set changed with it: ", members(controllers[8]))
 	}
 	rules, resp := rulesAndSolution(t)
-	introduce(controllers)
+	exchangeMembership(controllers)
 	response := &messages.PlanApplyResponse{}
 	dispatchTo(t, controllers[1], messages.KindPlanApply, &messages.PlanApplyRequest{Rules: rules, Solution: resp}, response)
 	if !response.Applied || response.Revision != 1 {
@@ -91,7 +91,7 @@
 	controllers[3].Node.Transport.Close()
 	// The same machine with an empty disk, which is no first start.
 	controllers[3] = voter(t, network, 3, false)
-	introduce(controllers)
+	exchangeMembership(controllers)
 	promise := &messages.PrepareResponse{}
 	dispatchTo(t, controllers[3], messages.KindNamedPrepare, &messages.NamedPrepareRequest{Name: assignmentserver.RegisterName,
 		Request: messages.PrepareRequest{Ballot: messages.Ballot{Counter: 1 << 30, Node: "x"}, Disk: before.Disk}}, promise)
--- a/internal/control/controller/peers.go
+++ b/internal/control/controller/peers.go
@@ -10,26 +10,29 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// Controllers exchange a heartbeat once a period: digests of their tables of workers and
-// processes, and who was in contact with each directly. Whoever sees a digest that differs
-// pulls what the other's table has beyond its own.
+// Controllers exchange a heartbeat once per constants.ControllerHeartbeatPeriod. It carries digests of
+// the sender's tables of workers and processes, and which workers and processes contacted the
+// sender directly. A controller that receives a digest different from its own pulls the entries
+// that its own table lacks.
 
-// peers is what this controller remembers of the others. It is safe for concurrent use.
+// peers is the state that this controller keeps about the other controllers. It is safe for
+// concurrent use.
 type peers struct {
 	lock  sync.Mutex
 	byKey map[string]*peer
 }
 
-// peer is what is remembered of one: how far its tables were read, and when it was last
-// given a heartbeat of this process.
+// peer is the state kept about one other controller.
 type peer struct {
+	// workers and processes record up to which version the peer's tables were read.
 	workers, processes messages.Digest
-	lastHeartbeat      clock.Instant
+	// lastHeartbeat is when the peer last received a heartbeat of this process, zero for never.
+	lastHeartbeat clock.Instant
 }
 
 func newPeers() peers { return peers{byKey: map[string]*peer{}} }
 
-// lastHeartbeat is when a peer was last given a heartbeat of this process, zero for never.
+// lastHeartbeat returns when a peer last received a heartbeat of this process, zero for never.
 func (p *peers) lastHeartbeat(key string) clock.Instant {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -39,7 +42,7 @@
 	return 0
 }
 
-// update runs a function on what is remembered of a peer, under the lock.
+// update runs a function on the state of a peer, under the lock. The state is created if needed.
 func (p *peers) update(key string, function func(peer *peer)) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -49,8 +52,8 @@
 	function(p.byKey[key])
 }
 
-// heartbeatPeers exchanges a heartbeat with every other controller: there are few. Of two,
-// the one with the lesser name begins, unless it has been silent for long.
+// heartbeatPeers exchanges a heartbeat with every other controller, since there are few of them. Of two
+// controllers the one with the lesser key starts the exchange, unless it has been silent for two periods.
 func (c *Controller) heartbeatPeers() {
 	now := clock.Now()
 	c.workers.Forget()
@@ -65,8 +68,8 @@
 	}
 }
 
-// peersToCall gives the controllers that this one begins the exchange with, by address; the
-// key of one that is known by its address only is empty.
+// peersToCall returns the controllers with which this one starts the exchange: their keys by address.
+// The key of a controller that is known only by its address is empty.
 func (c *Controller) peersToCall() map[string]string {
 	node, addresses := c.Node, map[string]string{}
 	for _, address := range node.Settings.SeedAddresses(constants.PortController) {
@@ -84,8 +87,8 @@
 	return addresses
 }
 
-// heartbeatFor is the heartbeat to another controller: digests, and who was in contact with
-// this process directly since the last one.
+// heartbeatFor builds the heartbeat to another controller: the digests, and the workers and processes
+// that contacted this process directly since the last heartbeat to that controller.
 func (c *Controller) heartbeatFor(key string) *messages.ControllerHeartbeat {
 	since := c.peers.lastHeartbeat(key)
 	heartbeat := &messages.ControllerHeartbeat{Workers: c.workers.Digest(c.Node.Self.Incarnation), ContactedWorkers: c.workers.HeartbeatsSince(since),
@@ -97,18 +100,18 @@
 	return heartbeat
 }
 
-// handleHeartbeat answers another controller's heartbeat with one of this process.
+// handleHeartbeat responds to another controller's heartbeat with a heartbeat of this process.
 func (c *Controller) handleHeartbeat(heartbeat *messages.ControllerHeartbeat) (*messages.ControllerHeartbeat, error) {
-	// The instant is taken before the answer is made: what happens in between comes again
-	// with the next one.
+	// The time is read before the response is built, so that a contact in between is reported again
+	// in the next heartbeat instead of being missed.
 	now := clock.Now()
 	resp := c.heartbeatFor(membership.Key(heartbeat.From))
 	go c.observeHeartbeat(heartbeat, now)
 	return resp, nil
 }
 
-// observeHeartbeat takes another controller's heartbeat, and pulls what its tables have
-// beyond those here. sentAt is when that controller was given a heartbeat of this process.
+// observeHeartbeat applies another controller's heartbeat, and pulls the entries that its tables have
+// and those here lack. sentAt is when this process sent its own heartbeat to that controller.
 func (c *Controller) observeHeartbeat(heartbeat *messages.ControllerHeartbeat, sentAt clock.Instant) {
 	c.Node.Observe([]messages.NodeInfo{heartbeat.From})
 	go c.assignments.Observe(heartbeat.PlanRevision, heartbeat.From.Address)
@@ -135,7 +138,7 @@
 	}
 }
 
-// pullWorkers takes the workers of a peer that changed after a clock.
+// pullWorkers pulls the workers that changed in a peer's table after the version since.
 func (c *Controller) pullWorkers(key, address string, since uint64) {
 	resp := &messages.WorkersUpdate{}
 	req := &messages.WorkersPullRequest{Since: since, Buckets: c.workers.BucketSums()}
@@ -146,7 +149,7 @@
 	c.peers.update(key, func(peer *peer) { peer.workers = resp.Table })
 }
 
-// pullProcesses takes the processes of a peer that changed after a clock.
+// pullProcesses pulls the processes that changed in a peer's table after the version since.
 func (c *Controller) pullProcesses(key, address string, since uint64) {
 	resp := &messages.Shuffle{}
 	if transport.Call(c.Node.Transport, address, messages.KindDirectoryPull, &messages.DirectoryPullRequest{Since: since}, resp, constants.CallTimeout) != nil {
@@ -156,7 +159,7 @@
 	c.peers.update(key, func(peer *peer) { peer.processes = resp.Table })
 }
 
-// handleDirectoryPull gives the processes that changed after a clock.
+// handleDirectoryPull responds with the processes that changed after the requested version.
 func (c *Controller) handleDirectoryPull(req *messages.DirectoryPullRequest) (*messages.Shuffle, error) {
 	resp := &messages.Shuffle{}
 	c.Node.WithView(func(view *membership.View) {
@@ -165,29 +168,30 @@
 	return resp, nil
 }
 
-// needsPull tells whether another's table may hold something beyond this process's own, and
-// from which clock on to ask for it. read is how far that table was read.
-func needsPull(read *messages.Digest, theirs, own messages.Digest) (since uint64, needed bool) {
-	if theirs.Sum == own.Sum {
-		*read = theirs
+// needsPull reports whether a peer's table may have entries that this process's own table lacks, and the
+// version after which to request them. lastRead is the version of the peer's table that was read last.
+func needsPull(lastRead *messages.Digest, remote, local messages.Digest) (since uint64, needed bool) {
+	if remote.Sum == local.Sum {
+		*lastRead = remote
 		return 0, false
 	}
-	if read.Incarnation != theirs.Incarnation {
+	if lastRead.Incarnation != remote.Incarnation {
 		return 0, true
 	}
-	return read.Clock, theirs.Clock > read.Clock
+	return lastRead.Clock, remote.Clock > lastRead.Clock
 }
 
-// completeReportResponse adds to the answer to a process's report: a digest of the table of
-// workers, and who is overdue. A controller that is not in contact with a majority, or has
-// just started, says that and nothing else.
+// completeReportResponse adds to the response to a process's report: the digest of the table of
+// workers, the revision of the assignments and the overdue workers. A controller that is not in contact
+// with a majority responds only with its own entry and Detached; one that has not recovered the workers
+// yet omits all of these, and the counts of processes.
 func (c *Controller) completeReportResponse(resp *messages.Shuffle) {
 	if !c.contact().Valid() {
 		*resp = messages.Shuffle{Entries: resp.Entries[:1], Detached: true}
 		return
 	}
 	if c.workers.Recovering() {
-		// It knows too few yet to say how many there are, or who is silent.
+		// The tables are still incomplete, so the counts and the list of overdue workers would be wrong.
 		resp.Counts = nil
 		return
 	}
--- a/internal/control/controller/plans_test.go
+++ b/internal/control/controller/plans_test.go
@@ -101,7 +101,7 @@
 }
 
 // TestNamedBallotsAreTheirOwn: a high ballot in one register stops nobody in another.
-func TestNamedBallotsAreTheirOwn(t *testing.T) {
+func TestNamedRegistersHaveSeparateBallots(t *testing.T) {
 	controller, server := open(t, t.TempDir(), true)
 	identity := controller.assignments.Replica().Identity()
 	high := register.NewBallot(1<<40, "other", "disk", 1)
--- a/internal/control/controller/recovery_test.go
+++ b/internal/control/controller/recovery_test.go
@@ -27,10 +27,10 @@
 	test        *testing.T
 	seed        int64
 	random      *rand.Rand
-	room        *transport.MemoryNetwork
+	network     *transport.MemoryNetwork
 	lock        sync.Mutex
 	disks       map[int]*simulation.Disk
-	mounts      map[int]*mounted
+	mounts      map[int]*mountedDisk
 	controllers map[int]*Controller
 	// phases are the furthest phases that were acknowledged.
 	phases map[string]messages.Phase
@@ -41,12 +41,12 @@
 	nodeSettings := &settings.Settings{NodeName: fmt.Sprint("m", number), Address: fmt.Sprint("10.0.0.", number), Zone: fmt.Sprint("h", number),
 		InternalPorts: []int{7000, 7010}, Seeds: []string{"10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"}, Bootstrap: first, InQuorum: true,
 		HeartbeatMs: 1200, FaultBudget: settings.FaultBudget{Machines: 1}}
-	p.mounts[number] = &mounted{lock: &p.lock, disk: p.disks[number]}
-	controller, err := newOn(p.mounts[number], nodeSettings, hclog.NewNullLogger())
+	p.mounts[number] = &mountedDisk{lock: &p.lock, disk: p.disks[number]}
+	controller, err := newOnDisk(p.mounts[number], nodeSettings, hclog.NewNullLogger())
 	if err != nil {
 		p.test.Fatal(err)
 	}
-	controller.Node.Transport = p.room.Transport(controller.Node.Self.Address)
+	controller.Node.Transport = p.network.Transport(controller.Node.Self.Address)
 	if err = controller.Node.Transport.Serve(controller.Node.Dispatch); err != nil {
 		p.test.Fatal(err)
 	}
@@ -55,13 +55,13 @@
 }
 
 // lose ends an incarnation as a loss of power does.
-func (p *powerFleet) lose(number int) {
+func (p *powerFleet) losePower(number int) {
 	controller := p.controllers[number]
 	if controller == nil {
 		return
 	}
 	p.lock.Lock()
-	p.mounts[number].dead = true
+	p.mounts[number].powerLost = true
 	p.lock.Unlock()
 	controller.Node.Shutdown()
 	controller.Node.Transport.(*transport.Memory).Close()
@@ -75,7 +75,7 @@
 		controller.Register.SyncSets()
 	}
 	startUp(p.test, controller)
-	introduce(p.controllers)
+	exchangeMembership(p.controllers)
 }
 
 // callWorker makes a worker's call at a controller, and tells whether it was acknowledged.
@@ -88,7 +88,7 @@
 	controller := p.controllers[number]
 	controller.contact().Round()
 	writer := httptest.NewRecorder()
-	controller.calls().ServeHTTP(writer, httptest.NewRequest(http.MethodPost, path, strings.NewReader(body)))
+	controller.handler().ServeHTTP(writer, httptest.NewRequest(http.MethodPost, path, strings.NewReader(body)))
 	return writer.Code == http.StatusOK
 }
 
@@ -98,16 +98,16 @@
 	switch p.random.Intn(10) {
 	case 0:
 		for other := 1; other <= 3; other++ {
-			p.room.SetPartitioned(p.controllers[other].Node.Self.Address, false)
+			p.network.SetPartitioned(p.controllers[other].Node.Self.Address, false)
 		}
 		if p.random.Intn(2) == 0 {
-			p.room.SetPartitioned(p.controllers[number].Node.Self.Address, true)
+			p.network.SetPartitioned(p.controllers[number].Node.Self.Address, true)
 		}
 	case 1:
 		for other := 1; other <= 3; other++ {
-			p.room.SetPartitioned(p.controllers[other].Node.Self.Address, false)
+			p.network.SetPartitioned(p.controllers[other].Node.Self.Address, false)
 		}
-		p.lose(number)
+		p.losePower(number)
 		p.join(p.start(number, false))
 	default:
 		id := fmt.Sprint("w", p.random.Intn(6))
@@ -120,10 +120,10 @@
 
 // loseAll has all lose power, one perhaps its disk besides, and starts them again; where
 // no disk was lost, one may stay down.
-func (p *powerFleet) loseAll() {
+func (p *powerFleet) loseAllPower() {
 	for number := 1; number <= 3; number++ {
-		p.room.SetPartitioned(p.controllers[number].Node.Self.Address, false)
-		p.lose(number)
+		p.network.SetPartitioned(p.controllers[number].Node.Self.Address, false)
+		p.losePower(number)
 	}
 	hit, wiped := 1+p.random.Intn(3), p.random.Intn(2) == 0
 	if wiped {
@@ -132,7 +132,7 @@
 	for _, i := range p.random.Perm(3) {
 		if number := i + 1; wiped || number != hit {
 			controller := p.start(number, false)
-			if _, err := controller.Node.Dispatch(messages.KindWorkersPull, packed(p.test, &messages.WorkersPullRequest{})); err == nil {
+			if _, err := controller.Node.Dispatch(messages.KindWorkersPull, encode(p.test, &messages.WorkersPullRequest{})); err == nil {
 				p.test.Fatalf("seed %d: m%d vouches for workers before it has heard anybody", p.seed, number)
 			}
 		}
@@ -142,7 +142,7 @@
 	}
 }
 
-func packed(t *testing.T, message transport.Marshaler) []byte {
+func encode(t *testing.T, message transport.Marshaler) []byte {
 	t.Helper()
 
 	body, err := message.MarshalMsg(nil)
@@ -171,8 +171,8 @@
 		seeds = many
 	}
 	for seed := int64(1); seed <= int64(seeds) && !t.Failed(); seed++ {
-		p := &powerFleet{test: t, seed: seed, random: rand.New(rand.NewSource(seed)), room: transport.NewMemoryNetwork(),
-			disks: map[int]*simulation.Disk{}, mounts: map[int]*mounted{}, controllers: map[int]*Controller{}, phases: map[string]messages.Phase{}}
+		p := &powerFleet{test: t, seed: seed, random: rand.New(rand.NewSource(seed)), network: transport.NewMemoryNetwork(),
+			disks: map[int]*simulation.Disk{}, mounts: map[int]*mountedDisk{}, controllers: map[int]*Controller{}, phases: map[string]messages.Phase{}}
 		for number := 1; number <= 3; number++ {
 			p.disks[number] = simulation.NewDisk(10*seed + int64(number))
 			p.start(number, true)
@@ -183,7 +183,7 @@
 		for steps := 0; steps < 25; steps++ {
 			p.step()
 		}
-		p.loseAll()
+		p.loseAllPower()
 		p.check()
 		for _, phase := range p.phases {
 			if phase > messages.PhaseSteady {
@@ -191,7 +191,7 @@
 			}
 		}
 		for number := 1; number <= 3; number++ {
-			p.lose(number)
+			p.losePower(number)
 		}
 	}
 	if acknowledged == 0 {
--- a/internal/control/controller/report.go
+++ b/internal/control/controller/report.go
@@ -7,7 +7,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// reportRegister tells what this process last knew of the register.
+// reportRegister reports the state of the register that this process last saw.
 func (c *Controller) reportRegister() *messages.StatusResponse {
 	known := c.Register.Known()
 	state := "stands by"
--- a/internal/control/controller/slim_test.go
+++ b/internal/control/controller/slim_test.go
@@ -8,7 +8,7 @@
 
 // Who reads the sets alone gets them as they stand and no body, from an acceptor too;
 // the register itself keeps its body.
-func TestReadingSetsBringsNoBody(t *testing.T) {
+func TestReadSetsOmitsTheBody(t *testing.T) {
 	controller, server := open(t, t.TempDir(), true)
 	if status, body := clearCall(t, server, "POST", "/-/Configuration.Replace", "0", config(2)); status != 200 {
 		t.Fatal(status, body)
--- a/internal/control/controller/startup_test.go
+++ b/internal/control/controller/startup_test.go
@@ -13,7 +13,7 @@
 const drainCall = `{"backend":"s","address":"127.0.0.1:1","zone":"h","capacity":4,"phase":"draining","call-count":3}`
 
 // reported gives a controller's answer to a gateway's report.
-func reported(controller *Controller) *messages.Shuffle {
+func reportResponse(controller *Controller) *messages.Shuffle {
 	var resp *messages.Shuffle
 	asker := messages.NodeInfo{Name: "f", Role: membership.RoleGateway, Address: "127.0.0.3:1", Zone: "h"}
 	controller.Node.WithView(func(view *membership.View) {
@@ -28,7 +28,7 @@
 func TestStartingControllerRecoversFirst(t *testing.T) {
 	controllers, network := voters(t, 3)
 	starting := controllers[1]
-	server := httptest.NewServer(starting.calls())
+	server := httptest.NewServer(starting.handler())
 	defer server.Close()
 	network.SetPartitioned(controllers[2].Node.Self.Address, true)
 	network.SetPartitioned(controllers[3].Node.Self.Address, true)
@@ -38,7 +38,7 @@
 	if status, _ := call(t, server, "POST", "/-/Workers.Heartbeat/w", "", drainCall); status != 503 {
 		t.Fatal(status)
 	}
-	if resp := reported(starting); !resp.Detached || len(resp.Counts) != 0 || resp.OverdueComplete || resp.Workers.Incarnation != 0 {
+	if resp := reportResponse(starting); !resp.Detached || len(resp.Counts) != 0 || resp.OverdueComplete || resp.Workers.Incarnation != 0 {
 		t.Fatal(resp)
 	}
 	if status, _ := call(t, server, "POST", "/-/Configuration.Replace", "0", config(2)); status != 504 {
@@ -47,7 +47,7 @@
 	network.SetPartitioned(controllers[2].Node.Self.Address, false)
 	starting.contact().Round()
 	startUp(t, starting)
-	if resp := reported(starting); resp.Detached || len(resp.Counts) == 0 || !resp.OverdueComplete {
+	if resp := reportResponse(starting); resp.Detached || len(resp.Counts) == 0 || !resp.OverdueComplete {
 		t.Fatal(resp)
 	}
 	if status, body := clearCall(t, server, "POST", "/-/Workers.Heartbeat/w", "", drainCall); status != 200 {
@@ -60,7 +60,7 @@
 func TestDrainIsNotAcknowledgedByOneDisk(t *testing.T) {
 	controllers, _ := voters(t, 3)
 	startUp(t, controllers[1])
-	server := httptest.NewServer(controllers[1].calls())
+	server := httptest.NewServer(controllers[1].handler())
 	defer server.Close()
 	hang := make(chan struct{})
 	defer close(hang)
--- a/internal/control/controller/zonetraffic.go
+++ b/internal/control/controller/zonetraffic.go
@@ -10,8 +10,8 @@
 	"lemonarch/internal/traffic/trafficstats"
 )
 
-// handleZoneTraffic asks the gateways and stores of a zone for their traffic summaries and
-// answers with the merged ones. Who is known and gives none is named.
+// handleZoneTraffic requests the traffic summaries of the gateways and stores of a zone and responds
+// with the merged summaries. Known processes that returned none are listed as missing.
 func (c *Controller) handleZoneTraffic(req *messages.ZoneTrafficRequest) (*messages.ZoneTrafficResponse, error) {
 	var processes []messages.NodeInfo
 	for _, role := range []string{membership.RoleGateway, membership.RoleStore} {
@@ -38,7 +38,8 @@
 	return resp, nil
 }
 
-// collectTraffic asks processes, a bounded number at a time; nil stands for one that is silent.
+// collectTraffic requests the summaries of processes, at most constants.TrafficCollectors at a time.
+// The response of a process that did not respond is nil.
 func (c *Controller) collectTraffic(processes []messages.NodeInfo) []*messages.TrafficSummaryResponse {
 	responses := make([]*messages.TrafficSummaryResponse, len(processes))
 	slots := make(chan struct{}, constants.TrafficCollectors)
--- a/internal/control/operatorapi/configuration.go
+++ b/internal/control/operatorapi/configuration.go
@@ -12,17 +12,18 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// headerBase names the version that a change builds on (PROTOCOL).
+// headerBase is the header with the generation on which a change is based (PROTOCOL).
 const headerBase = "Lemonarch-Base-Revision"
 
-// bodyLimitFactor is how much larger a configuration may be than a request body (ours).
+// bodyLimitFactor is the maximum size of a configuration as a multiple of constants.RequestLimit, the
+// limit of a request body.
 const bodyLimitFactor = 4
 
-// configurationCopies is how often a configuration is held while it is committed: as it came, in a
-// message of the register, and in the frame of that message.
+// configurationCopies is how many copies of a configuration are in memory while it is committed: the body
+// as received, in a message of the register, and in the frame of that message.
 const configurationCopies = 3
 
-// handleReplace puts a configuration in force on top of its base.
+// handleReplace puts a configuration in force, based on the generation that the request names.
 func (a *API) handleReplace(writer http.ResponseWriter, request *http.Request) {
 	body, complete := httpreply.ReadBody(writer, request, bodyLimitFactor*constants.RequestLimit, configurationCopies)
 	if !complete {
@@ -38,7 +39,7 @@
 	a.checkLock.Unlock()
 	if len(findings) > 0 {
 		a.node.Log.Info("configuration rejected", "reason", findings[0])
-		httpreply.JSON(writer, http.StatusBadRequest, refusal{Error: findings[0], Findings: findings})
+		httpreply.JSON(writer, http.StatusBadRequest, rejection{Error: findings[0], Findings: findings})
 		return
 	}
 	if !a.requireContact(writer) {
@@ -47,8 +48,8 @@
 	version := messages.Version{Generation: config.Generation, Base: base, Hash: routeconfig.Hash(body)}
 	outcome := a.configs.Commit(version, body)
 	if outcome.Err != nil {
-		// Not in force for certain only without a second round; both are 5xx, and
-		// neither is a refusal.
+		// It is certain that the version is not in force only if no second round was started. That case and
+		// the unknown outcome both get a 5xx status, and neither is a rejection.
 		a.node.Log.Warn("configuration outcome unknown", "generation", config.Generation, "err", outcome.Err.Error())
 		httpreply.Error(writer, http.StatusGatewayTimeout, outcome.Err.Error())
 		return
@@ -58,29 +59,29 @@
 		a.node.Log.Info("configuration acknowledged", "generation", config.Generation)
 		httpreply.JSON(writer, http.StatusOK, map[string]int64{"generation": config.Generation})
 	case register.ResultBaseAhead:
-		// An earlier attempt that is still on its way could meet the base in force: no
-		// refusal holds for ever here.
+		// An earlier attempt that is still in flight may arrive once the base is in force and succeed, so
+		// the request can't be rejected for good.
 		httpreply.Error(writer, http.StatusGatewayTimeout, "the base is not in force")
 	case register.ResultConflict:
-		a.refuse(writer, http.StatusPreconditionFailed, version, "another version is in place: "+strconv.FormatInt(outcome.Value.Current.Generation, 10))
+		a.reject(writer, http.StatusPreconditionFailed, version, "another version is in place: "+strconv.FormatInt(outcome.Value.Current.Generation, 10))
 	default:
-		a.refuse(writer, http.StatusBadRequest, version, "generation is not above the current one")
+		a.reject(writer, http.StatusBadRequest, version, "generation is not above the current one")
 	}
 }
 
-// refuse answers an order that the register refused, and logs it.
-func (a *API) refuse(writer http.ResponseWriter, status int, version messages.Version, why string) {
-	a.node.Log.Info("configuration rejected", "generation", version.Generation, "base", version.Base, "reason", why)
-	httpreply.Error(writer, status, why)
+// reject responds to a request that the register rejected, and logs it.
+func (a *API) reject(writer http.ResponseWriter, status int, version messages.Version, reason string) {
+	a.node.Log.Info("configuration rejected", "generation", version.Generation, "base", version.Base, "reason", reason)
+	httpreply.Error(writer, status, reason)
 }
 
-// refusal is the body of a response to a configuration that is not valid.
-type refusal struct {
+// rejection is the body of a response to an invalid configuration.
+type rejection struct {
 	Error    string   `json:"error"`
 	Findings []string `json:"findings"`
 }
 
-// handleRead gives the configuration in force, as it was sent.
+// handleRead responds with the configuration in force, byte for byte as the operator sent it.
 func (a *API) handleRead(writer http.ResponseWriter, _ *http.Request) {
 	if !a.requireContact(writer) {
 		return
--- a/internal/control/operatorapi/operatorapi.go
+++ b/internal/control/operatorapi/operatorapi.go
@@ -1,6 +1,6 @@
 // Package operatorapi serves the operator's calls on a controller: replacing and reading the
-// configuration, and retiring storage machines. An answer with a 5xx status may or may not
-// have taken effect; a 4xx never will (PROTOCOL, Configuration and Retire).
+// configuration, and retiring storage machines. A call with a 5xx response may or may not
+// take effect; one with a 4xx response never does (PROTOCOL, Configuration and Retire).
 package operatorapi
 
 import (
@@ -24,26 +24,26 @@
 	sets    *registerserver.SetMaintainer
 	configs *configserver.Server
 
-	// checkLock guards checker, which is for one caller at a time.
+	// checkLock guards checker, which is not safe for concurrent use.
 	checkLock sync.Mutex
 	checker   *configcheck.Checker
 }
 
-// New makes the API on the register of the configuration.
+// New creates the API on the register of the configuration.
 func New(replica *registerserver.Replica, sets *registerserver.SetMaintainer, configs *configserver.Server, checker *configcheck.Checker) *API {
 	return &API{node: replica.Node, replica: replica, sets: sets, configs: configs, checker: checker}
 }
 
-// Register adds the operator's calls to a tree of matchers.
-func (a *API) Register(tree chi.Router) {
-	tree.Post("/-/Configuration.Replace", a.handleReplace)
-	tree.Get("/-/Configuration.Read", a.handleRead)
-	tree.Post("/-/Retire.Open/{node}", a.handleRetireOpen)
-	tree.Get("/-/Retire.Read/{node}", a.handleRetireRead)
+// Register adds the operator's calls to a router.
+func (a *API) Register(router chi.Router) {
+	router.Post("/-/Configuration.Replace", a.handleReplace)
+	router.Get("/-/Configuration.Read", a.handleRead)
+	router.Post("/-/Retire.Open/{node}", a.handleRetireOpen)
+	router.Get("/-/Retire.Read/{node}", a.handleRetireRead)
 }
 
-// requireContact answers with 504 where this process has no contact with a majority: it can
-// neither confirm nor refuse.
+// requireContact reports whether this process is in contact with a majority. If it is not, it responds with
+// 504, since the process can neither confirm nor reject the call.
 func (a *API) requireContact(writer http.ResponseWriter) bool {
 	if a.configs.Contact().Await() {
 		return true
--- a/internal/control/operatorapi/retire.go
+++ b/internal/control/operatorapi/retire.go
@@ -14,7 +14,7 @@
 	"lemonarch/internal/platform/httpreply"
 )
 
-// handleRetireOpen begins to empty a storage machine.
+// handleRetireOpen starts the retirement of a storage machine.
 func (a *API) handleRetireOpen(writer http.ResponseWriter, request *http.Request) {
 	if !a.requireContact(writer) {
 		return
@@ -37,7 +37,8 @@
 		known = known || member.Name == name
 	}
 	if !known && clock.Now().Sub(a.node.StartedAt) < constants.SuspectAfter {
-		// A process that has just started can't tell unknown from not yet in contact.
+		// A process that has just started can't distinguish an unknown machine from one that has not yet
+		// been in contact.
 		httpreply.Error(writer, http.StatusServiceUnavailable, contactserver.NoClearAnswer)
 		return
 	}
@@ -45,7 +46,8 @@
 		httpreply.Error(writer, http.StatusNotFound, "no such storage machine")
 		return
 	}
-	// The count is part of the change: another order may be taken meanwhile.
+	// The number of remaining stores is checked within the change, since another retirement may be
+	// accepted in the meantime.
 	var result register.Result
 	_, err = a.replica.Change(register.RetireStore(name, serving, a.sets.SetSize(), &result))
 	switch {
@@ -54,12 +56,13 @@
 	case result == register.ResultTooFewStores:
 		httpreply.Error(writer, http.StatusConflict, "too few would be left")
 	default:
-		a.node.Log.Info("retire opened", "node", name)
+		a.node.Log.Info("retirement of storage machine started", "node", name)
 		httpreply.JSON(writer, http.StatusOK, struct{}{})
 	}
 }
 
-// handleRetireRead tells how far that is.
+// handleRetireRead responds with the phase of a storage machine's retirement: "active" while the machine is
+// in the store set, "settled" once it is not.
 func (a *API) handleRetireRead(writer http.ResponseWriter, request *http.Request) {
 	if !a.requireContact(writer) {
 		return
--- a/internal/control/workers/buckets.go
+++ b/internal/control/workers/buckets.go
@@ -8,29 +8,30 @@
 )
 
 // Tables that differ in a few entries are compared by buckets of the workers' hashes, so that
-// a pull costs as much as what differs, and not as much as the table: in a fleet whose workers
-// come and go, the tables of two processes are hardly ever alike at one moment.
+// the cost of a pull depends on the number of differing entries and not on the size of the table. In a
+// fleet whose workers come and go, the tables of two processes are rarely equal at any given moment.
 
 const (
-	// bucketCount is how many buckets a table keeps, bucketSize the bytes of one sum. At 3,000
-	// workers about twelve share a bucket (ours).
+	// bucketCount is the number of buckets of a table. With 3,000 workers about twelve share a bucket.
 	bucketCount = 256
-	bucketSize  = 4
-	// bucketsMin is the least number of buckets that is sent, and workersPerBucket how many
-	// workers a bucket should have (ours): sums must not outweigh the entries of a small fleet.
-	bucketsMin       = 8
+	// bucketSize is the encoded size of a bucket's sum, in bytes.
+	bucketSize = 4
+	// bucketsMin is the least number of buckets that is sent.
+	bucketsMin = 8
+	// workersPerBucket is the number of workers per bucket up to which fewer buckets are sent: in a small
+	// fleet, the sums must not be larger than the entries themselves.
 	workersPerBucket = 4
 )
 
-// buckets are the sums of a table by bucket.
+// buckets holds one sum for each bucket of a table.
 type buckets [bucketCount]uint32
 
-// toggle adds an entry's sum to its bucket, or takes it out again.
+// toggle adds an entry's sum to its bucket, or removes it if it was added before.
 func (b *buckets) toggle(id string, sum uint64) {
 	b[Hash(id)%bucketCount] ^= uint32(sum) ^ uint32(sum>>32)
 }
 
-// folded gives the sums of a smaller number of buckets, a power of two.
+// folded returns the sums of a smaller number of buckets. count is a power of two.
 func (b *buckets) folded(count int) []uint32 {
 	sums := make([]uint32, count)
 	for i, sum := range b {
@@ -39,8 +40,8 @@
 	return sums
 }
 
-// BucketSums encodes the table's sums for a pull; nothing for an empty table, of which
-// everything is wanted.
+// BucketSums encodes the table's sums for a pull. It returns nil for an empty table, so that the
+// peer sends all its entries.
 func (r *Registry) BucketSums() []byte {
 	if len(r.entries) == 0 {
 		return nil
@@ -56,8 +57,9 @@
 	return encoded
 }
 
-// Differing gives the workers changed after a count, aged, whose buckets differ from the sums
-// that an asker sent. Sums that can't be read leave nothing out.
+// Differing returns the workers changed after a version whose buckets differ from the sums in a
+// request, with their ages. If the sums can't be decoded, it returns all workers changed after
+// the version.
 func (r *Registry) Differing(version uint64, sums []byte, now clock.Instant) []messages.Worker {
 	count := len(sums) / bucketSize
 	if count == 0 || count > bucketCount || count&(count-1) != 0 || len(sums)%bucketSize != 0 {
--- a/internal/control/workers/lists_test.go
+++ b/internal/control/workers/lists_test.go
@@ -8,27 +8,27 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// The kept lists follow each change of the table.
+// The cached lists are invalidated by each change of the table.
 func TestCachedListsFollowTheTable(t *testing.T) {
 	table := New(1_200_000_000)
-	expect := func(what string, named, entries int) {
+	expect := func(step string, inService, total int) {
 		t.Helper()
-		if got := len(table.ByService("s")); got != named {
-			t.Errorf("%s: %d of the service, want %d", what, got, named)
+		if got := len(table.ByService("s")); got != inService {
+			t.Errorf("%s: got %d workers of the service, want %d", step, got, inService)
 		}
-		if got := len(table.Sorted()); got != entries {
-			t.Errorf("%s: %d in all, want %d", what, got, entries)
+		if got := len(table.Sorted()); got != total {
+			t.Errorf("%s: got %d workers in total, want %d", step, got, total)
 		}
 	}
 	expect("empty", 0, 0)
 	table.Merge(messages.Worker{ID: "v", Backend: "s", CallCount: 1}, 1)
-	expect("one", 1, 1)
+	expect("one worker", 1, 1)
 	table.Merge(messages.Worker{ID: "w", Backend: "s", CallCount: 1}, 1)
-	expect("two", 2, 2)
+	expect("two workers", 2, 2)
 	table.Merge(messages.Worker{ID: "w", Backend: "s", CallCount: 2, Phase: messages.PhaseDraining}, 2)
-	expect("one drains", 1, 2)
+	expect("one worker draining", 1, 2)
 	table.Merge(messages.Worker{ID: "v", Backend: "t", CallCount: 2}, 2)
-	expect("one serves another", 0, 2)
+	expect("other worker moved to another service", 0, 2)
 	if entries := table.Sorted(); entries[0].ID != "v" || entries[0].Backend != "t" || entries[1].ID != "w" {
 		t.Error(entries)
 	}
--- a/internal/control/workers/registry.go
+++ b/internal/control/workers/registry.go
@@ -1,5 +1,5 @@
-// Package workers keeps the registered workers and what was last said of them.
-// A step function without I/O.
+// Package workers is the table of registered workers, with the last known state of each.
+// It does no I/O and reads no clock: callers pass in the time.
 package workers
 
 import (
@@ -10,17 +10,20 @@
 	"lemonarch/internal/platform/messages"
 )
 
+// entry is the state of one worker.
 type entry struct {
-	// worker holds the last change; its count is the version.
+	// worker is the state after the last change. Its CallCount is the version of the state.
 	worker messages.Worker
-	// lastCallCount is the count of the last call, lastHeartbeat the last heartbeat known of, lastDirect the
-	// last one that was taken here.
-	lastCallCount             int64
+	// lastCallCount is the count of the worker's last call to this process.
+	lastCallCount int64
+	// lastHeartbeat is when the last known heartbeat was sent, lastDirect when this process last received one.
 	lastHeartbeat, lastDirect clock.Instant
-	change                    uint64
+	// changeVersion is the table's version at the entry's last change.
+	changeVersion uint64
 }
 
-// Registry is the soft state of registration.
+// Registry is the table of registered workers. It is soft state: heartbeats and
+// merges from other tables rebuild it.
 type Registry struct {
 	entries         map[string]*entry
 	idByHash        map[uint32]string
@@ -28,74 +31,75 @@
 	version         uint64
 	sum             uint64
 	buckets         buckets
-	// overdue are the hashes on the last list of silent workers, confirmed its instant.
-	overdue   map[uint32]bool
-	confirmed clock.Instant
-	// byService are the lists by service and sorted all of them, empty after a change.
+	// overdue has the hashes on the last list of silent workers from a controller, which was received at
+	// overdueReportedAt.
+	overdue           map[uint32]bool
+	overdueReportedAt clock.Instant
+	// byService and sorted cache the lists of ByService and Sorted until the next change.
 	byService map[string][]messages.Worker
 	sorted    []messages.Worker
 }
 
-// New makes an empty registry.
+// New returns an empty registry. heartbeat is the period of the workers' heartbeats.
 func New(heartbeat clock.Duration) *Registry {
 	return &Registry{entries: map[string]*entry{}, idByHash: map[uint32]string{}, heartbeatPeriod: heartbeat, overdue: map[uint32]bool{},
 		byService: map[string][]messages.Worker{}}
 }
 
-// Merge takes a versioned entry and tells whether it changed the table. Entries join:
-// the description of the highest count and the furthest phase win, in whatever order
-// and however often they come, so that all tables end alike.
+// Merge merges a versioned entry and reports whether it changed the table. The result has the
+// description with the highest call count and the latest phase. It doesn't depend on the order or
+// the repetition of merges, so all tables converge.
 func (r *Registry) Merge(worker messages.Worker, now clock.Instant) bool {
 	age := clock.Duration(worker.AgeMs) * 1_000_000
 	lastContact := now - clock.Instant(age)
 	worker.AgeMs = 0
-	have := r.entries[worker.ID]
-	if have == nil {
+	current := r.entries[worker.ID]
+	if current == nil {
 		if age > constants.ForgetAfter {
-			// Forgotten here, and not yet where it comes from.
+			// This table has already forgotten the worker, and the sender's has not yet.
 			return false
 		}
-		have = &entry{lastHeartbeat: lastContact}
-		r.entries[worker.ID], r.idByHash[Hash(worker.ID)] = have, worker.ID
-		r.put(have, worker)
+		current = &entry{lastHeartbeat: lastContact}
+		r.entries[worker.ID], r.idByHash[Hash(worker.ID)] = current, worker.ID
+		r.put(current, worker)
 		return true
 	}
-	was := have.worker
-	if worker.Backend == "" || (worker.CallCount <= was.CallCount && was.Backend != "") {
-		// A departure carries no description, and what is late has an old one.
+	previous := current.worker
+	if worker.Backend == "" || (worker.CallCount <= previous.CallCount && previous.Backend != "") {
+		// A departure has no description, and a late entry has an outdated one.
 		late := worker
-		worker = was
-		worker.CallCount, worker.Phase = max(was.CallCount, late.CallCount), max(was.Phase, late.Phase)
+		worker = previous
+		worker.CallCount, worker.Phase = max(previous.CallCount, late.CallCount), max(previous.Phase, late.Phase)
 	}
-	worker.Phase = max(worker.Phase, was.Phase)
-	worker.CallCount = max(worker.CallCount, was.CallCount)
-	have.lastHeartbeat = max(have.lastHeartbeat, lastContact)
-	if worker == was {
+	worker.Phase = max(worker.Phase, previous.Phase)
+	worker.CallCount = max(worker.CallCount, previous.CallCount)
+	current.lastHeartbeat = max(current.lastHeartbeat, lastContact)
+	if worker == previous {
 		return false
 	}
-	r.put(have, worker)
+	r.put(current, worker)
 	return true
 }
 
-// Since gives the workers changed after a count, aged.
+// Since returns the workers changed after a version of the table, with their ages, in order of their ids.
 func (r *Registry) Since(version uint64, now clock.Instant) []messages.Worker {
 	return r.since(version, now, func(string) bool { return true })
 }
 
-func (r *Registry) since(version uint64, now clock.Instant, wanted func(id string) bool) []messages.Worker {
-	var found []messages.Worker
+func (r *Registry) since(version uint64, now clock.Instant, include func(id string) bool) []messages.Worker {
+	var changed []messages.Worker
 	for id, entry := range r.entries {
-		if entry.change > version && wanted(id) {
+		if entry.changeVersion > version && include(id) {
 			worker := entry.worker
 			worker.AgeMs = r.sinceLastHeartbeat(id, entry, now).Milliseconds()
-			found = append(found, worker)
+			changed = append(changed, worker)
 		}
 	}
-	sort.Slice(found, func(left, right int) bool { return found[left].ID < found[right].ID })
-	return found
+	sort.Slice(changed, func(left, right int) bool { return changed[left].ID < changed[right].ID })
+	return changed
 }
 
-// Get finds a worker.
+// Get returns a worker by its id.
 func (r *Registry) Get(id string) (messages.Worker, bool) {
 	entry := r.entries[id]
 	if entry == nil {
@@ -104,20 +108,20 @@
 	return entry.worker, true
 }
 
-// Status is how a worker looks by its heartbeats.
+// Status is a worker's health as judged by its phase and heartbeats.
 type Status int
 
 // The statuses.
 const (
 	StatusHealthy Status = iota
-	// StatusSuspect: several heartbeats are missing.
+	// StatusSuspect means that several heartbeats are missing.
 	StatusSuspect
-	// StatusUnavailable: draining, departed, or silent for long.
+	// StatusUnavailable means draining, departed, unknown, or silent for constants.HeartbeatsDeparted periods.
 	StatusUnavailable
 )
 
-// Status judges a worker. listening is false while no controller was in contact
-// lately: then silence says nothing about the workers.
+// Status returns the status of a worker. listening is false if no controller was in contact
+// lately: then missing heartbeats are no evidence against a worker.
 func (r *Registry) Status(id string, now clock.Instant, listening bool) Status {
 	entry := r.entries[id]
 	if entry == nil || entry.worker.Phase != messages.PhaseSteady {
@@ -135,11 +139,11 @@
 	return StatusHealthy
 }
 
-// All gives every worker, aged, in order.
+// All returns every worker, with its age, in order of the ids.
 func (r *Registry) All(now clock.Instant) []messages.Worker { return r.Since(0, now) }
 
-// Sorted gives all workers in order of their ids, without ages. The list is kept until
-// the table changes, and must not be written to.
+// Sorted returns all workers in order of their ids, without ages. The list is cached until
+// the table changes, and must not be modified.
 func (r *Registry) Sorted() []messages.Worker {
 	if r.sorted == nil {
 		r.sorted = make([]messages.Worker, 0, len(r.entries))
@@ -151,19 +155,19 @@
 	return r.sorted
 }
 
-// ByService gives the steady workers of a service, in order of their ids. The list is kept
-// until the table changes, and must not be written to.
+// ByService returns the steady workers of a service, in order of their ids. The list is cached
+// until the table changes, and must not be modified.
 func (r *Registry) ByService(service string) []messages.Worker {
-	found, retained := r.byService[service]
-	if retained {
-		return found
+	list, cached := r.byService[service]
+	if cached {
+		return list
 	}
 	for _, entry := range r.entries {
 		if entry.worker.Backend == service && entry.worker.Phase == messages.PhaseSteady {
-			found = append(found, entry.worker)
+			list = append(list, entry.worker)
 		}
 	}
-	sort.Slice(found, func(left, right int) bool { return found[left].ID < found[right].ID })
-	r.byService[service] = found
-	return found
+	sort.Slice(list, func(left, right int) bool { return list[left].ID < list[right].ID })
+	r.byService[service] = list
+	return list
 }
--- a/internal/control/workers/table_test.go
+++ b/internal/control/workers/table_test.go
@@ -11,61 +11,63 @@
 )
 
 func TestSteadyHeartbeatsChangeNothing(t *testing.T) {
-	registry := New(beat)
+	registry := New(heartbeatPeriod)
 	if !registry.Heartbeat(worker(1, messages.PhaseSteady), 0) {
-		t.Fatal("a new worker is a change")
+		t.Fatal("the first heartbeat of a worker was not reported as a change")
 	}
-	was := registry.Digest(1)
+	before := registry.Digest(1)
 	for count := int64(2); count < 50; count++ {
-		if registry.Heartbeat(worker(count, messages.PhaseSteady), clock.Instant(count*beat)) {
-			t.Fatal("a plain beat is told")
+		if registry.Heartbeat(worker(count, messages.PhaseSteady), clock.Instant(count*heartbeatPeriod)) {
+			t.Fatal("a plain heartbeat was reported as a change")
 		}
 	}
-	if registry.Digest(1) != was || len(registry.Since(was.Clock, 0)) != 0 {
-		t.Fatal("a plain beat moved the table")
+	if registry.Digest(1) != before || len(registry.Since(before.Clock, 0)) != 0 {
+		t.Fatal("plain heartbeats changed the table")
 	}
-	if !registry.Heartbeat(worker(50, messages.PhaseDraining), 50*beat) || registry.Digest(1) == was {
-		t.Fatal("a drain is no change")
+	if !registry.Heartbeat(worker(50, messages.PhaseDraining), 50*heartbeatPeriod) || registry.Digest(1) == before {
+		t.Fatal("a drain was not reported as a change")
 	}
-	if registry.Heartbeat(worker(49, messages.PhaseSteady), 50*beat) || registry.Heartbeat(worker(51, messages.PhaseSteady), 51*beat) {
-		t.Fatal("a drain was taken back")
+	if registry.Heartbeat(worker(49, messages.PhaseSteady), 50*heartbeatPeriod) || registry.Heartbeat(worker(51, messages.PhaseSteady), 51*heartbeatPeriod) {
+		t.Fatal("a steady heartbeat after a drain was reported as a change")
 	}
-	if got := registry.HeartbeatsSince(50 * beat); len(got) != 1 || got[0] != Hash("w") {
+	if got := registry.HeartbeatsSince(50 * heartbeatPeriod); len(got) != 1 || got[0] != Hash("w") {
 		t.Fatal(got)
 	}
 }
 
-// Whatever the order in which entries come, and however often, tables end alike.
-func TestTablesJoin(t *testing.T) {
+// Tables that merge the same entries are equal, in any order and with any repetition. Otherwise the tables of
+// two processes would never converge.
+func TestMergeIsOrderIndependent(t *testing.T) {
 	for seed := int64(0); seed < 200; seed++ {
 		random := rand.New(rand.NewSource(seed))
 		var entries []messages.Worker
 		for i := 0; i < 12; i++ {
-			found := worker(random.Int63n(5)+1, messages.Phase(random.Intn(3)))
-			found.ID = fmt.Sprint("w", random.Intn(3))
-			found.Capacity = int(found.CallCount)
-			if found.Phase == messages.PhaseDeparted && random.Intn(2) == 0 {
-				found.Backend, found.Address, found.Capacity = "", "", 0
+			merged := worker(random.Int63n(5)+1, messages.Phase(random.Intn(3)))
+			merged.ID = fmt.Sprint("w", random.Intn(3))
+			merged.Capacity = int(merged.CallCount)
+			if merged.Phase == messages.PhaseDeparted && random.Intn(2) == 0 {
+				merged.Backend, merged.Address, merged.Capacity = "", "", 0
 			}
-			entries = append(entries, found)
+			entries = append(entries, merged)
 		}
-		left, right := New(beat), New(beat)
-		for _, found := range entries {
-			left.Merge(found, 0)
+		left, right := New(heartbeatPeriod), New(heartbeatPeriod)
+		for _, merged := range entries {
+			left.Merge(merged, 0)
 		}
-		random.Shuffle(len(entries), func(found, other int) { entries[found], entries[other] = entries[other], entries[found] })
-		for _, found := range append(entries, entries...) {
-			right.Merge(found, 0)
+		random.Shuffle(len(entries), func(i, j int) { entries[i], entries[j] = entries[j], entries[i] })
+		for _, merged := range append(entries, entries...) {
+			right.Merge(merged, 0)
 		}
 		if left.Digest(0).Sum != right.Digest(0).Sum {
-			t.Fatalf("seed %d: %v %v", seed, left.All(0), right.All(0))
+			t.Fatalf("seed %d: tables differ: %v and %v", seed, left.All(0), right.All(0))
 		}
 	}
 }
 
-// A gateway in contact with controllers that gets no heartbeats takes nobody for silent whom they don't name.
+// A gateway that is in contact with controllers and receives no heartbeats itself treats only those workers as
+// silent that the controllers list as overdue.
 func TestOverdueWorkersAreReportedByControllers(t *testing.T) {
-	registry := New(beat)
+	registry := New(heartbeatPeriod)
 	other := worker(1, messages.PhaseSteady)
 	other.ID = "x"
 	registry.Merge(worker(1, messages.PhaseSteady), 0)
@@ -73,14 +75,14 @@
 	now := clock.Instant(0)
 	silent := []messages.Overdue{}
 	for round := int64(1); round <= 60; round++ {
-		now = clock.Instant(round * beat)
+		now = clock.Instant(round * heartbeatPeriod)
 		silent = silent[:0]
 		if round > constants.HeartbeatsSuspect {
 			silent = append(silent, messages.Overdue{WorkerHash: Hash("x"), AgeMs: (now / 1_000_000).Sub(0).Nanoseconds()})
 		}
 		registry.ApplyOverdue(silent, now)
 		if registry.Status("w", now, true) != StatusHealthy {
-			t.Fatalf("round %d: a worker that beats is doubted", round)
+			t.Fatalf("round %d: a worker that sends heartbeats is not healthy", round)
 		}
 		want := StatusHealthy
 		switch {
@@ -90,32 +92,32 @@
 			want = StatusSuspect
 		}
 		if got := registry.Status("x", now, true); got != want {
-			t.Fatalf("round %d: %v", round, got)
+			t.Fatalf("round %d: unexpected status %v of the overdue worker", round, got)
 		}
 	}
-	// It comes back: the next list does not name it.
+	// The worker comes back: the next list doesn't contain it.
 	registry.ApplyOverdue(nil, now)
 	if registry.Status("x", now, true) != StatusHealthy {
-		t.Fatal("still silent")
+		t.Fatal("a worker that is no longer overdue is not healthy")
 	}
-	// Deaf for long: nothing is forgotten but what was known to be silent.
+	// No reports arrive for long: only workers that were reported as overdue may be forgotten.
 	registry.Forget(now.Add(3 * constants.ForgetAfter))
 	if len(registry.All(now)) != 2 {
-		t.Fatal("own deafness made workers go")
+		t.Fatal("workers that were not overdue were forgotten")
 	}
 }
 
 func TestForgottenEntriesStayForgotten(t *testing.T) {
-	registry := New(beat)
+	registry := New(heartbeatPeriod)
 	departed := worker(3, messages.PhaseDeparted)
 	registry.Merge(departed, 0)
-	sum := New(beat).Digest(0).Sum
+	sum := New(heartbeatPeriod).Digest(0).Sum
 	registry.Forget(clock.Instant(0).Add(constants.ForgetAfter + 1))
 	if registry.Digest(0).Sum != sum {
-		t.Fatal("the sum keeps what was forgotten")
+		t.Fatal("the sum of the table still includes a forgotten worker")
 	}
 	departed.AgeMs = constants.ForgetAfter.Milliseconds() + 1
 	if registry.Merge(departed, 0) {
-		t.Fatal("taken back from one that has not forgotten yet")
+		t.Fatal("a forgotten worker was merged again from a table that has not forgotten it yet")
 	}
 }
--- a/internal/control/workers/workers_test.go
+++ b/internal/control/workers/workers_test.go
@@ -8,46 +8,46 @@
 	"lemonarch/internal/platform/messages"
 )
 
-const beat = 1_200_000_000
+const heartbeatPeriod = 1_200_000_000
 
 func worker(count int64, phase messages.Phase) messages.Worker {
 	return messages.Worker{ID: "w", Backend: "s", Address: "a:1", Capacity: 4, CallCount: count, Phase: phase}
 }
 
-func TestLateCallsAreKnownByTheirCount(t *testing.T) {
-	registry := New(beat)
+func TestLateCallsAreIgnored(t *testing.T) {
+	registry := New(heartbeatPeriod)
 	registry.Merge(worker(5, messages.PhaseDraining), 0)
 	if registry.Merge(worker(4, messages.PhaseSteady), 1) {
-		t.Fatal("a late call changed something")
+		t.Fatal("a late call changed the table")
 	}
-	// Even a later count never makes an incarnation steady again.
+	// Even a call with a higher count never makes an incarnation steady again.
 	registry.Merge(worker(6, messages.PhaseSteady), 2)
 	if got, _ := registry.Get("w"); got.Phase != messages.PhaseDraining {
 		t.Fatal(got.Phase)
 	}
 	if registry.Status("w", 2, true) != StatusUnavailable {
-		t.Fatal("a draining worker may be placed on")
+		t.Fatal("a draining worker is not unavailable")
 	}
 }
 
-func TestDepartureBeforeAnythingElse(t *testing.T) {
-	registry := New(beat)
+func TestDepartureBeforeFirstHeartbeat(t *testing.T) {
+	registry := New(heartbeatPeriod)
 	registry.Merge(messages.Worker{ID: "w", Phase: messages.PhaseDeparted, CallCount: 9}, 0)
 	registry.Merge(worker(8, messages.PhaseSteady), 1)
 	if registry.Status("w", 1, true) != StatusUnavailable {
-		t.Fatal("a late heartbeat brought a gone worker back")
+		t.Fatal("a late heartbeat made a departed worker available again")
 	}
 }
 
 func TestStatusWhileWorkersOrControllersAreSilent(t *testing.T) {
-	registry := New(beat)
+	registry := New(heartbeatPeriod)
 	registry.Merge(worker(1, messages.PhaseSteady), 0)
-	suspect := clock.Instant(0).Add((constants.HeartbeatsSuspect + 1) * beat)
-	departed := clock.Instant(0).Add((constants.HeartbeatsDeparted + 1) * beat)
+	suspect := clock.Instant(0).Add((constants.HeartbeatsSuspect + 1) * heartbeatPeriod)
+	departed := clock.Instant(0).Add((constants.HeartbeatsDeparted + 1) * heartbeatPeriod)
 	if registry.Status("w", suspect, true) != StatusSuspect || registry.Status("w", departed, true) != StatusUnavailable {
-		t.Fatal("silence is not judged")
+		t.Fatal("a silent worker is not suspect and then unavailable")
 	}
 	if registry.Status("w", departed, false) != StatusHealthy {
-		t.Fatal("a node that hears no controller must go on with what it has")
+		t.Fatal("a silent worker is not healthy for a node that is not in contact with a controller")
 	}
 }
--- a/internal/control/workerserver/calls.go
+++ b/internal/control/workerserver/calls.go
@@ -24,10 +24,11 @@
 	Count      int64   `json:"call-count"`
 }
 
-// heartbeatCopies is how often a worker's call is held: as it came, and decoded.
+// heartbeatCopies is how many copies of a worker's call are in memory: the body as received, and the
+// decoded call.
 const heartbeatCopies = 2
 
-// HandleHeartbeat takes a worker's heartbeat, which may say that it drains.
+// HandleHeartbeat handles a worker's heartbeat, which may report that the worker is draining.
 func (s *Server) HandleHeartbeat(writer http.ResponseWriter, request *http.Request) {
 	if !s.acceptsWorkerCalls(writer) {
 		return
@@ -53,8 +54,8 @@
 	s.acknowledge(writer, worker)
 }
 
-// acceptsWorkerCalls tells whether this process can commit what a worker says. Where it
-// can't, it answers with 503, and the caller goes on to another controller.
+// acceptsWorkerCalls reports whether this process can commit changes of workers. If it
+// can't, it responds with 503, and the caller tries another controller.
 func (s *Server) acceptsWorkerCalls(writer http.ResponseWriter) bool {
 	if s.Recovering() || !s.contact.Await() {
 		httpreply.Error(writer, http.StatusServiceUnavailable, contactserver.NoClearAnswer)
@@ -63,7 +64,7 @@
 	return true
 }
 
-// HandleDepart takes a worker's departure.
+// HandleDepart handles a worker's departure.
 func (s *Server) HandleDepart(writer http.ResponseWriter, request *http.Request) {
 	if !s.acceptsWorkerCalls(writer) {
 		return
@@ -73,7 +74,7 @@
 		return
 	}
 	var call heartbeatBody
-	// A departure needs nothing but the id; what the body adds is welcome.
+	// A departure requires only the id. The body is optional.
 	_ = json.Unmarshal(body, &call)
 	worker, known := s.Get(chi.URLParam(request, "id"))
 	if !known {
@@ -84,9 +85,9 @@
 	s.acknowledge(writer, worker)
 }
 
-// acknowledge applies a call of a worker and answers it. A drain or a departure is
+// acknowledge applies a call of a worker and responds to it. A drain or a departure is
 // acknowledged once a majority of the acceptors has it on disk and the processes in
-// contact were notified; where that fails the caller asks another controller.
+// contact were notified. If that fails, the response is 503 and the caller tries another controller.
 func (s *Server) acknowledge(writer http.ResponseWriter, worker messages.Worker) {
 	if namesTooLong(&worker) {
 		httpreply.Error(writer, http.StatusBadRequest, "id, backend, address or zone is too long")
@@ -100,11 +101,11 @@
 	case worker.Phase == messages.PhaseSteady:
 		if changed {
 			s.file.enqueue(worker)
-			s.announce.AnnounceWorker(worker)
+			s.announcer.AnnounceWorker(worker)
 		}
 	case !s.durable.isDurable(worker):
 		if !s.commitWorkerChange(worker, changed) {
-			s.node.Log.Warn("write not committed by quorum", "worker", worker.ID, "phase", worker.Phase.String())
+			s.node.Log.Warn("worker change not committed by quorum", "worker", worker.ID, "phase", worker.Phase.String())
 			httpreply.Error(writer, http.StatusServiceUnavailable, contactserver.NoClearAnswer)
 			return
 		}
@@ -113,8 +114,8 @@
 	httpreply.JSON(writer, http.StatusOK, struct{}{})
 }
 
-// namesTooLong tells whether a worker's names are longer than anybody would choose: every process
-// keeps them.
+// namesTooLong reports whether one of a worker's names exceeds constants.WorkerNameBytes. The length
+// is limited since every process stores the names.
 func namesTooLong(worker *messages.Worker) bool {
 	for _, name := range []string{worker.ID, worker.Backend, worker.Address, worker.Zone} {
 		if len(name) > constants.WorkerNameBytes {
@@ -124,15 +125,15 @@
 	return false
 }
 
-// commitWorkerChange notifies all in contact of a drain or a departure and has it persisted
-// by a majority, at the same time. What this process knew before is not announced once
-// more, at each controller that a draining worker calls: the reports bring it to everybody
-// in contact.
+// commitWorkerChange announces a drain or a departure to all processes in contact and persists it at a
+// majority of the acceptors, concurrently. It reports whether the change was persisted. A change that
+// this process already knew is not announced again, or every controller that a draining worker calls
+// would announce it: the processes in contact receive it in the responses to their reports.
 func (s *Server) commitWorkerChange(worker messages.Worker, announce bool) bool {
 	persisted := make(chan bool, 1)
 	go func() { persisted <- s.persistAtQuorum(worker) }()
 	if announce {
-		s.announce.AnnounceWorker(worker)
+		s.announcer.AnnounceWorker(worker)
 	}
 	return <-persisted
 }
--- a/internal/control/workerserver/file.go
+++ b/internal/control/workerserver/file.go
@@ -12,34 +12,35 @@
 	"lemonarch/internal/platform/recordlog"
 )
 
-// workerFileName is the file of known workers, and workerFileLimit its length in bytes at
-// which it is rewritten (ours).
 const (
-	workerFileName  = "workers"
+	// workerFileName is the name of the file of known workers.
+	workerFileName = "workers"
+	// workerFileLimit is the size, in bytes, above which the file is rewritten.
 	workerFileLimit = 512 << 10
 )
 
-// ErrWorkersFile is the error of a file of workers that can't be kept.
+// ErrWorkersFile is returned if the file of workers can't be read or written.
 var ErrWorkersFile = errs.Define("workers on disk")
 
 // workerFile is the file of known workers. A drain or a departure is on the disks of a
-// majority of the acceptors before it is acknowledged (persist.go). A steady worker is
-// written when the disk has time for it: its next heartbeat says the same.
+// majority of the acceptors before it is acknowledged (persist.go). The state of a steady worker is
+// written asynchronously and may be lost, since its next heartbeat repeats it.
 type workerFile struct {
 	log   *recordlog.Log
 	queue chan writeRequest
-	// rewriteDue asks the next write for the complete file anew.
+	// rewriteDue makes the next write rewrite the complete file.
 	rewriteDue atomic.Bool
 }
 
-// writeRequest is a list of workers to be written. done, where there is one, gets the result
-// once they are on disk.
+// writeRequest is a list of workers to write.
 type writeRequest struct {
 	workers []messages.Worker
-	done    chan error
+	// done receives the result of the write, after the sync. It may be nil.
+	done chan error
 }
 
-// openWorkerFile reads the file: the last record of each worker counts.
+// openWorkerFile opens the file and reads the workers in it. The last record of each worker counts, with
+// the latest phase of all its records.
 func openWorkerFile(disk recordlog.Disk) (*workerFile, []messages.Worker, error) {
 	known := map[string]messages.Worker{}
 	var order []string
@@ -64,13 +65,13 @@
 		worker.AgeMs = 0
 		workers = append(workers, worker)
 	}
-	const waiting = 256
-	return &workerFile{log: log, queue: make(chan writeRequest, waiting)}, workers, nil
+	const queueCapacity = 256
+	return &workerFile{log: log, queue: make(chan writeRequest, queueCapacity)}, workers, nil
 }
 
-// enqueue queues a change that binds nobody: a worker's call is not held up by the disk,
-// and a change that finds the queue full is written with the next rewrite, or comes again
-// with the worker's next heartbeat.
+// enqueue queues a change that need not be durable before it is acknowledged, so that a worker's call
+// doesn't wait for the disk. If the queue is full, the change is dropped: the next rewrite writes it, or
+// the worker's next heartbeat repeats it.
 func (f *workerFile) enqueue(worker messages.Worker) {
 	select {
 	case f.queue <- writeRequest{workers: []messages.Worker{worker}}:
@@ -78,7 +79,8 @@
 	}
 }
 
-// persist returns once workers are on disk, with an error if that failed or took too long.
+// persist writes workers and returns once they are on disk. It returns an error if that failed or took
+// longer than constants.BroadcastTimeout.
 func (f *workerFile) persist(workers []messages.Worker) error {
 	timer := clock.NewTimer(constants.BroadcastTimeout)
 	defer timer.Stop()
@@ -96,18 +98,18 @@
 	}
 }
 
-// requestRewrite has the file written anew, without waiting for it.
+// requestRewrite makes the writer rewrite the file, and does not wait for it.
 func (f *workerFile) requestRewrite() {
 	f.rewriteDue.Store(true)
 	select {
 	case f.queue <- writeRequest{}:
 	default:
-		// The queue is full: the file is written soon anyway.
+		// The queue is full, so a write that does the rewrite is already due.
 	}
 }
 
-// run writes what was queued, several changes with one sync. all gives every worker for
-// a rewrite of the file.
+// run writes the queued changes until stop is closed, several of them with one sync. all returns every
+// worker, for a rewrite of the file.
 func (f *workerFile) run(stop <-chan struct{}, all func() []messages.Worker, logger hclog.Logger) {
 	for {
 		var batch []writeRequest
@@ -127,7 +129,7 @@
 		}
 		err := f.write(batch, all)
 		if err != nil {
-			logger.Warn("workers not written to disk", "err", err.Error())
+			logger.Warn("writing workers to disk failed", "err", err.Error())
 		}
 		for _, request := range batch {
 			if request.done != nil {
@@ -137,8 +139,8 @@
 	}
 }
 
-// write puts a batch on disk. What is in the batch is in all as well: callers change the
-// registry first.
+// write writes a batch to disk. A rewrite covers the batch as well, since callers change the registry,
+// from which all reads, before they queue a change.
 func (f *workerFile) write(batch []writeRequest, all func() []messages.Worker) error {
 	if f.rewriteDue.Swap(false) || f.log.Size() > workerFileLimit {
 		_, err := f.log.Rewrite(recordlog.Records(encodeWorkers(all())...))
--- a/internal/control/workerserver/golden_test.go
+++ b/internal/control/workerserver/golden_test.go
@@ -10,7 +10,7 @@
 	"lemonarch/internal/tooling/fixture"
 )
 
-// goldenWorkers are the workers of the golden files, as they were written one by one.
+// goldenWorkers are the workers of the golden files, in the order in which they were written.
 var goldenWorkers = []messages.Worker{
 	{ID: "w1", Backend: "model", Address: "10.0.1.1:9000", Zone: "north", Capacity: 24, WarmupMs: 300, CallCount: 3, Software: "g7"},
 	{ID: "w2", Backend: "model", Address: "10.0.1.2:9000", Zone: "south", Capacity: 12, CallCount: 9, Software: "g7"},
@@ -18,8 +18,9 @@
 	{ID: "w2", Backend: "model", Address: "10.0.1.2:9000", Zone: "south", Capacity: 12, Phase: messages.PhaseDeparted, CallCount: 10, Software: "g7"},
 }
 
-// TestGoldenWorkersFile has the file of workers written and rewritten to the bytes that an
-// earlier version wrote, and read, also with a torn tail.
+// TestGoldenWorkersFile checks that the file of workers is written and rewritten with exactly the bytes of the
+// golden files, which an earlier version wrote, and that these are read, also with a torn tail. A
+// changed format would lose the workers of an earlier version at an upgrade.
 func TestGoldenWorkersFile(t *testing.T) {
 	dir := t.TempDir()
 	file, _, err := openWorkerFile(recordlog.Directory(dir))
@@ -61,7 +62,7 @@
 			t.Fatal(golden.name, err)
 		}
 		if len(workers) != 2 || workers[0].Phase != messages.PhaseDraining || workers[1].Phase != golden.second || workers[1].Address != "10.0.1.2:9000" {
-			t.Errorf("%s less %d bytes: read %+v", golden.name, golden.torn, workers)
+			t.Errorf("%s without the last %d bytes: unexpected workers %+v", golden.name, golden.torn, workers)
 		}
 	}
 }
--- a/internal/control/workerserver/persist.go
+++ b/internal/control/workerserver/persist.go
@@ -9,8 +9,8 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// durableChanges remembers which drains and departures a majority of the acceptors has on
-// disk: only these are acknowledged. It is safe for concurrent use.
+// durableChanges records which drains and departures a majority of the acceptors has on
+// disk. Only these are acknowledged. It is safe for concurrent use.
 type durableChanges struct {
 	lock   sync.Mutex
 	phases map[string]messages.Phase
@@ -28,7 +28,7 @@
 	d.phases[worker.ID] = max(d.phases[worker.ID], worker.Phase)
 }
 
-// trim forgets workers that the table does not know any more.
+// trim removes workers that are no longer in the table.
 func (d *durableChanges) trim(known func(id string) bool) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -39,9 +39,8 @@
 	}
 }
 
-// persistAtQuorum has a drain or a departure written to disk by a majority of the
-// acceptors, this process among them where it is one, and tells whether that was done
-// within constants.BroadcastTimeout.
+// persistAtQuorum requests every acceptor, this process included if it is one, to write a drain or
+// a departure to disk. It reports whether a majority did so within constants.BroadcastTimeout.
 func (s *Server) persistAtQuorum(worker messages.Worker) bool {
 	sets := s.contact.Sets()
 	req := &messages.WorkersPersistRequest{From: s.node.Self.Address, Workers: []messages.Worker{worker}}
@@ -51,14 +50,14 @@
 		}
 		resp := &messages.ContactResponse{}
 		err := transport.Call(s.node.Transport, member.Address, messages.KindWorkersPersist, req, resp, constants.BroadcastTimeout)
-		// It counts for the disk that it was written to.
+		// The response counts for the disk that the change was written to.
 		member.Disk = resp.Disk
 		return member, true, err
 	}
 	return registerserver.QuorumCall(&sets, constants.BroadcastTimeout, call, func(written bool) bool { return written })
 }
 
-// handlePersist answers another controller that wants changes of workers on disk.
+// handlePersist handles another controller's request to write changes of workers to disk.
 func (s *Server) handlePersist(req *messages.WorkersPersistRequest) (*messages.ContactResponse, error) {
 	s.Merge(req.Workers)
 	if err := s.file.persist(req.Workers); err != nil {
--- a/internal/control/workerserver/recovery.go
+++ b/internal/control/workerserver/recovery.go
@@ -8,12 +8,14 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// A controller that has just started knows the workers from its file alone. That file may
-// lack a drain that was acknowledged meanwhile, or never reached this disk. So nothing of
-// it is told to anybody until a majority of the acceptors responded: a drain that was
-// acknowledged is on the disk, or in the memory, of at least one of them.
+// A controller that has just started knows the workers only from its file. That file may
+// lack a drain that was acknowledged while the process was down, or that was never written to this disk.
+// So the controller sends none of it to other processes, except in responses to their own recovery,
+// until a majority of the acceptors has responded: a drain that was acknowledged is on the disk, or in
+// the memory, of at least one of them.
 
-// handleRecover answers a controller that has just started.
+// handleRecover handles the request of a controller that has just started. It responds with the workers
+// of the table and, until this process has recovered itself, those of the file.
 func (s *Server) handleRecover(_ *messages.WorkersRecoverRequest) (*messages.WorkersRecoverResponse, error) {
 	resp := &messages.WorkersRecoverResponse{Disk: s.replica.Disk(), SetEpoch: s.replica.Known().SetEpoch}
 	s.lock.Lock()
@@ -23,7 +25,7 @@
 	return resp, nil
 }
 
-// Recover asks the acceptors what they know of workers until a majority responded or the
+// Recover requests the workers from the acceptors until a majority has responded or the
 // process stops.
 func (s *Server) Recover() {
 	for !s.RecoverRound() {
@@ -36,7 +38,7 @@
 	s.node.Log.Info("workers recovered from quorum", "after-ms", clock.Now().Sub(s.node.StartedAt).Milliseconds())
 }
 
-// RecoverRound asks each acceptor once, and tells whether a majority responded.
+// RecoverRound sends one request to each acceptor, and reports whether a majority responded.
 func (s *Server) RecoverRound() bool {
 	sets := s.replica.Known()
 	ahead := len(sets.Acceptors) == 0
@@ -44,7 +46,8 @@
 	recovered := registerserver.QuorumCall(&sets, 0, s.recoverFrom(sets.SetEpoch), func(resp *messages.WorkersRecoverResponse) bool {
 		responses = append(responses, resp)
 		if resp.SetEpoch > sets.SetEpoch {
-			// It may be of another set: it counts once that set is known here.
+			// The acceptor is ahead and may be in another set: its response counts once this process
+			// knows that set.
 			ahead = true
 			return false
 		}
@@ -60,8 +63,8 @@
 	return false
 }
 
-// recoverFrom gives the call to one acceptor. Its response counts for the disk that gave it;
-// this process knows itself.
+// recoverFrom returns the function that calls one acceptor. A response counts for the disk that it
+// reports. For this process itself no request is sent: mergeRecovered adds its own file.
 func (s *Server) recoverFrom(epoch uint64) func(messages.Member) (messages.Member, *messages.WorkersRecoverResponse, error) {
 	return func(member messages.Member) (messages.Member, *messages.WorkersRecoverResponse, error) {
 		if member.Address == s.node.Self.Address {
@@ -75,9 +78,9 @@
 	}
 }
 
-// mergeRecovered joins what a majority knows of workers with the file. Where one of them
-// knows them authoritatively, a steady worker that only files name is taken for long
-// departed: a departure is forgotten after a while, and a file may be older than that.
+// mergeRecovered merges the responses of a majority and the workers of the own file into the registry. If
+// one of the responses is authoritative, a steady worker that is only in files counts as departed long ago
+// and is left out: departures are forgotten after a while, and a file may be older than that.
 func (s *Server) mergeRecovered(responses []*messages.WorkersRecoverResponse) {
 	now := clock.Now()
 	s.lock.Lock()
@@ -85,7 +88,7 @@
 	known, phases, authoritative := summarize(responses)
 	for _, resp := range responses {
 		for _, worker := range resp.Workers {
-			// The furthest phase counts, whoever knows of it.
+			// The latest phase in any response counts.
 			worker.Phase = phases[worker.ID]
 			if !authoritative || known[worker.ID] || worker.Phase != messages.PhaseSteady {
 				s.registry.Merge(worker, now)
@@ -95,12 +98,12 @@
 	s.fromFile = nil
 	s.recovered.Store(true)
 	s.lock.Unlock()
-	// What was recovered is kept here as well, now that this process may join the acceptors,
-	// and what was left out is not: the next start would read it again.
+	// The rewrite persists the recovered workers on this disk as well, since this process may now join the
+	// acceptors. It also removes the workers that were left out, which the next start would read again.
 	s.file.requestRewrite()
 }
 
-// summarize gives the workers that an authoritative response names, the furthest phase of
+// summarize returns the workers that are in an authoritative response, the latest phase of
 // every worker, and whether any response is authoritative.
 func summarize(responses []*messages.WorkersRecoverResponse) (known map[string]bool, phases map[string]messages.Phase, authoritative bool) {
 	known, phases = map[string]bool{}, map[string]messages.Phase{}
--- a/internal/control/workerserver/server.go
+++ b/internal/control/workerserver/server.go
@@ -9,25 +9,26 @@
 	"lemonarch/internal/platform/process"
 )
 
-// Announcer notifies the fleet of a change of a worker. It returns once the processes in
-// contact have it, or after a bound, where the change binds whoever acknowledges it.
+// Announcer notifies the fleet of changes of workers.
 type Announcer interface {
+	// AnnounceWorker announces a change of a worker. For a change that must be known before it is
+	// acknowledged, it returns once the processes in contact have it, or after a timeout.
 	AnnounceWorker(worker messages.Worker)
 }
 
-// Server serves workers, and other controllers that ask about workers.
+// Server handles the calls of workers, and the requests of other processes about workers.
 type Server struct {
 	*Table
-	node     *agent.Agent
-	replica  *registerserver.Replica
-	contact  *contactserver.Server
-	announce Announcer
-	durable  durableChanges
+	node      *agent.Agent
+	replica   *registerserver.Replica
+	contact   *contactserver.Server
+	announcer Announcer
+	durable   durableChanges
 }
 
-// New makes the server on an open table and registers the requests of other processes.
+// New creates the server on an open table and registers the handlers for other processes' requests.
 func New(table *Table, replica *registerserver.Replica, contact *contactserver.Server, announce Announcer) *Server {
-	s := &Server{Table: table, node: replica.Node, replica: replica, contact: contact, announce: announce,
+	s := &Server{Table: table, node: replica.Node, replica: replica, contact: contact, announcer: announce,
 		durable: durableChanges{phases: map[string]messages.Phase{}}}
 	runtime := s.node.Runtime
 	process.Handle(runtime, messages.KindWorkersUpdate, s.handleUpdate)
@@ -37,17 +38,18 @@
 	return s
 }
 
-// handleUpdate takes changes of workers that another process passes on.
+// handleUpdate applies changes of workers that another process forwards.
 func (s *Server) handleUpdate(req *messages.WorkersUpdate) (*messages.Ack, error) {
 	s.Merge(req.Workers)
 	s.node.NoteContact(req.From)
 	return &messages.Ack{Accepted: true}, nil
 }
 
-// handlePull gives the changes after a clock, without those that the asker has by its sums.
+// handlePull responds with the changes after a version, without those that the requester already has
+// according to its bucket sums.
 func (s *Server) handlePull(req *messages.WorkersPullRequest) (*messages.WorkersUpdate, error) {
 	if s.Recovering() {
-		// What the file says may be older than a drain that was acknowledged.
+		// The file may be older than a drain that was acknowledged.
 		return nil, contactserver.ErrNoContact.New("workers not known yet")
 	}
 	update := &messages.WorkersUpdate{From: membership.Key(s.node.Self)}
@@ -55,7 +57,7 @@
 	return update, nil
 }
 
-// Forget drops what was known of workers that departed or were silent for long.
+// Forget drops workers that departed, or have been silent, for long.
 func (s *Server) Forget() {
 	s.forget()
 	s.durable.trim(func(id string) bool {
--- a/internal/control/workerserver/table.go
+++ b/internal/control/workerserver/table.go
@@ -1,11 +1,11 @@
-// Package workerserver is a controller's registration of workers: their calls over HTTP, the
-// table of workers with its file, and the durability of drains and departures. The table's
-// rules, without I/O, are package workers.
+// Package workerserver implements the registration of workers on a controller: their calls over HTTP,
+// the table of workers with its file, and the durability of drains and departures. The rules of the
+// table, without I/O, are in package workers.
 //
 // A drain or a departure is acknowledged once a majority of the acceptors has it on disk
 // and the processes in contact were notified (docs/control/4-state-not-history.md). A
-// controller that has just started acknowledges nothing until a majority told it what it
-// knows of the workers (recovery.go).
+// controller that has just started acknowledges nothing until it has recovered the workers from a
+// majority of the acceptors (recovery.go).
 package workerserver
 
 import (
@@ -26,17 +26,17 @@
 // Table is a controller's table of workers with its file. It is safe for concurrent use.
 type Table struct {
 	file *workerFile
-	// recovered is set once a majority of the acceptors told what it knows of workers.
+	// recovered is set once the workers were recovered from a majority of the acceptors.
 	recovered atomic.Bool
 
 	// lock guards the fields below.
 	lock     sync.Mutex
 	registry *workers.Registry
-	// fromFile are the workers of the file, until the table is recovered.
+	// fromFile are the workers read from the file, until the table is recovered.
 	fromFile []messages.Worker
 }
 
-// OpenTable reads the file of workers. heartbeat is the period of workers' calls.
+// OpenTable opens the table and reads its file. heartbeat is the period of workers' calls.
 func OpenTable(disk recordlog.Disk, heartbeat clock.Duration) (*Table, error) {
 	file, fromFile, err := openWorkerFile(disk)
 	if err != nil {
@@ -45,22 +45,22 @@
 	return &Table{file: file, registry: workers.New(heartbeat), fromFile: fromFile}, nil
 }
 
-// Run writes the file until stop closes.
+// Run writes changes to the file until stop is closed.
 func (t *Table) Run(stop <-chan struct{}, log hclog.Logger) { t.file.run(stop, t.toPersist, log) }
 
-// toPersist gives all that belongs in the file.
+// toPersist returns all workers that a rewrite of the file must contain.
 func (t *Table) toPersist() []messages.Worker {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	return append(t.registry.All(clock.Now()), t.fromFile...)
 }
 
-// Recovering tells whether this process has started and has not recovered the workers from a majority of the
-// acceptors yet: until then it takes no calls of workers, who go to the next
-// controller, and confirms none.
+// Recovering reports whether this process has not yet recovered the workers from a majority of the
+// acceptors since its start. Until then it rejects the calls of workers, which then try the next
+// controller, and confirms no workers to other processes.
 func (t *Table) Recovering() bool { return !t.recovered.Load() }
 
-// Merge takes entries of another table.
+// Merge merges entries of another table.
 func (t *Table) Merge(entries []messages.Worker) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -71,7 +71,7 @@
 	}
 }
 
-// heartbeat takes a worker's own call. It gives the worker as it then stands, and whether
+// heartbeat applies a worker's own call. It returns the worker's state after the call, and whether
 // the call changed anything.
 func (t *Table) heartbeat(worker messages.Worker) (messages.Worker, bool) {
 	t.lock.Lock()
@@ -81,21 +81,22 @@
 	return worker, changed
 }
 
-// Get finds a worker.
+// Get returns a worker by its id.
 func (t *Table) Get(id string) (messages.Worker, bool) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	return t.registry.Get(id)
 }
 
-// All gives every worker, with its age, in order of the ids.
+// All returns every worker, with its age, in order of the ids.
 func (t *Table) All() []messages.Worker {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	return t.registry.All(clock.Now())
 }
 
-// Present names the workers that have not departed and called lately.
+// Present returns the ids of the workers that have not departed and that called within
+// constants.ReplaceAfter.
 func (t *Table) Present() []string {
 	var present []string
 	for _, worker := range t.All() {
@@ -106,8 +107,8 @@
 	return present
 }
 
-// Groups counts the steady workers that called lately, and their capacity, by service and
-// zone, in order.
+// Groups returns the number and the capacity of the steady workers that called within
+// constants.ReplaceAfter, by service and zone, in order of these.
 func (t *Table) Groups() []messages.WorkerGroup {
 	byKey := map[[2]string]*messages.WorkerGroup{}
 	for _, worker := range t.All() {
@@ -131,7 +132,7 @@
 	return groups
 }
 
-// Digest stands for the table in the incarnation of a process.
+// Digest returns the digest of the table for an incarnation of this process.
 func (t *Table) Digest(incarnation int64) messages.Digest {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -145,7 +146,7 @@
 	return t.registry.Overdue(clock.Now())
 }
 
-// HeartbeatsSince gives the hashes of the workers whose calls were taken here after an
+// HeartbeatsSince returns the hashes of the workers whose calls this process received after an
 // instant.
 func (t *Table) HeartbeatsSince(instant clock.Instant) []uint32 {
 	t.lock.Lock()
@@ -153,22 +154,22 @@
 	return t.registry.HeartbeatsSince(instant)
 }
 
-// ConfirmHeartbeats takes another controller's list of workers that called it lately.
+// ConfirmHeartbeats applies another controller's list of workers that called it lately.
 func (t *Table) ConfirmHeartbeats(hashes []uint32) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.registry.ConfirmHeartbeats(hashes, clock.Now())
 }
 
-// BucketSums are the table's sums for a pull from another controller.
+// BucketSums returns the encoded sums of the table's buckets, for a pull from another controller.
 func (t *Table) BucketSums() []byte {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	return t.registry.BucketSums()
 }
 
-// differing gives the changes after a clock in buckets that differ from those of the asker,
-// with the digest of the table that they lead to.
+// differing returns the workers changed after a version whose buckets differ from the requester's sums,
+// and the digest that the table then has.
 func (t *Table) differing(version uint64, buckets []byte, incarnation int64) ([]messages.Worker, messages.Digest) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
