--- a/internal/control/controller/budget_test.go
+++ b/internal/control/controller/budget_test.go
@@ -14,20 +14,20 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// fleet makes controllers on machines 10.0.0.1 and so on, joined in memory; the first
-// three are the seeds. Machines named blank have no disk.
-func fleet(t *testing.T, count int, blank map[int]bool) (map[int]*Controller, *transport.MemoryNetwork) {
+// fleet creates controllers on machines 10.0.0.1 and so on, connected by an in-memory network. The first
+// three are the seeds. The machines in diskless have no disk.
+func fleet(t *testing.T, count int, diskless map[int]bool) (map[int]*Controller, *transport.MemoryNetwork) {
 	t.Helper()
 
 	network, controllers := transport.NewMemoryNetwork(), map[int]*Controller{}
 	for number := 1; number <= count; number++ {
-		found := &settings.Settings{NodeName: fmt.Sprint("m", number), Address: fmt.Sprint("10.0.0.", number), Zone: fmt.Sprint("h", number%4),
+		processSettings := &settings.Settings{NodeName: fmt.Sprint("m", number), Address: fmt.Sprint("10.0.0.", number), Zone: fmt.Sprint("h", number%4),
 			InternalPorts: []int{7000, 7010}, Seeds: []string{"10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"}, Bootstrap: true,
 			HeartbeatMs: 1200, FaultBudget: settings.FaultBudget{Machines: 2}}
-		// Those that count in the quorum vote, here from memory: a real disk's syncs
-		// would make the outcome hang on the load of the machine that tests.
-		found.InQuorum = !blank[number]
-		controller, err := New(found, hclog.NewNullLogger())
+		// The machines with a disk vote, and their disks are in memory: with syncs of a real disk, the
+		// outcome would depend on the load of the test machine.
+		processSettings.InQuorum = !diskless[number]
+		controller, err := New(processSettings, hclog.NewNullLogger())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -37,33 +37,34 @@
 		}
 		controllers[number] = controller
 	}
-	for _, found := range controllers {
-		renewContact(t, found)
+	for _, controller := range controllers {
+		renewContact(t, controller)
 		for _, other := range controllers {
-			found.Node.Observe([]messages.NodeInfo{other.Node.Self})
+			controller.Node.Observe([]messages.NodeInfo{other.Node.Self})
 		}
 	}
 	return controllers, network
 }
 
-// reconcileSet has a controller look after the set as one does in its first second, without
-// the dice that come later.
+// reconcileSet makes a controller reconcile the acceptor set as in the first second after its start,
+// without the random choice that applies later.
 func reconcileSet(controller *Controller) {
 	controller.Node.StartedAt = clock.Now()
 	recoverWorkers(controller)
 	controller.sets.Reconcile()
 }
 
+// members returns the addresses of the acceptors that a controller knows.
 func members(controller *Controller) map[string]bool {
-	found := map[string]bool{}
+	addresses := map[string]bool{}
 	for _, member := range controller.Register.Known().Acceptors {
-		found[member.Address] = true
+		addresses[member.Address] = true
 	}
-	return found
+	return addresses
 }
 
-// Eight controllers that know three seeds make a set of five, and no larger one,
-// whoever asks in whatever order.
+// Eight controllers that start with three seeds expand the acceptor set to five members, as the budget
+// of two machines requires, and to no more. Each of them reconciles the set in turn.
 func TestSetExpandsToTheBudget(t *testing.T) {
 	controllers, network := fleet(t, 8, nil)
 	for round := 0; round < 3; round++ {
@@ -75,7 +76,7 @@
 	if err != nil || len(value.Acceptors) != 5 || len(value.Previous) != 0 {
 		t.Fatal(err, len(value.Acceptors), len(value.Previous))
 	}
-	// Two of the seeds fall silent: the register still answers, and outlasts them.
+	// The register remains readable after the loss of two seeds.
 	network.SetPartitioned("10.0.0.1:7000", true)
 	network.SetPartitioned("10.0.0.2:7000", true)
 	if _, err = controllers[8].Register.Read(); err != nil {
@@ -83,12 +84,13 @@
 	}
 }
 
-// A controller without a disk runs, answers and has no vote; a seat that the seed
-// list gave to one goes to a machine with a disk.
+// A controller without a disk runs, responds and does not vote. A place in the acceptor set that the seed
+// list assigned to one is taken over by a machine with a disk. Otherwise votes without a disk would
+// count towards a quorum.
 func TestControllerWithoutADisk(t *testing.T) {
 	controllers, _ := fleet(t, 8, map[int]bool{2: true, 7: true})
 	if controllers[7].Node.Self.Disk != "" {
-		t.Fatal("tells of a disk that it has not")
+		t.Fatal("a controller without a disk announces a disk")
 	}
 	for round := 0; round < 4; round++ {
 		for _, number := range []int{7, 2, 4, 5, 6, 8} {
@@ -99,13 +101,13 @@
 	if len(set) != 5 || set["10.0.0.2:7000"] || set["10.0.0.7:7000"] {
 		t.Fatal(set)
 	}
-	// The front without a vote still reads the register.
+	// A controller that does not vote can still read the register.
 	if value, err := controllers[7].Register.Read(); err != nil || len(value.Acceptors) != 5 {
 		t.Fatal(err, len(value.Acceptors))
 	}
 }
 
-// generationInForce is that of the register, and 0 where a majority does not answer in time.
+// generationInForce returns the generation in the register, and 0 if no majority responds in time.
 func generationInForce(controller *Controller) int64 {
 	value, err := controller.Register.Read()
 	if err != nil {
@@ -114,28 +116,28 @@
 	return value.Current.Generation
 }
 
-// Nothing is acknowledged while two losses could take it away and others are there
-// to join; once the set is complete, or nobody can make it so, it is.
+// A change is not acknowledged while two machine losses could lose it and other controllers could
+// join the acceptor set. It is acknowledged once the set is complete, or can't be completed.
 func TestAcknowledgedOnlyInASetThatToleratesTheBudget(t *testing.T) {
 	folder := t.TempDir()
 	controller, server := open(t, folder, true)
 	controller.Node.Settings.FaultBudget.Machines = 2
 	setJustStarted(controller)
-	// The other one goes on reporting: on a slow machine it would be taken for silent.
+	// The other controller is observed repeatedly: on a slow machine it would otherwise count as silent.
 	other := []messages.NodeInfo{{Name: "other", Role: membership.RoleController, Address: "127.0.0.1:9", Disk: "d"}}
 	controller.Node.Observe(other)
 	go clock.Every(constants.ContactPeriod, controller.Node.Stop, func() { controller.Node.Observe(other) })
 	for attempts := 0; generationInForce(controller) != 2; attempts++ {
-		// In force, and held back; where contact was lost it was not put in force.
+		// The change is in force and its acknowledgement is held back. If contact was lost, it is not in force.
 		if status, body := call(t, server, "POST", "/-/Configuration.Replace", "0", config(2)); status != 504 || attempts > 100 {
 			t.Fatal(status, body)
 		}
 	}
-	// A refusal needs no waiting.
+	// A rejection doesn't wait for the set.
 	if status, _ := clearCall(t, server, "POST", "/-/Configuration.Replace", "1", config(3)); status != 412 {
 		t.Fatal(status)
 	}
-	// A base that may yet come into force allows no refusal.
+	// A base that may yet come into force can't be rejected.
 	if status, _ := call(t, server, "POST", "/-/Configuration.Replace", "7", config(9)); status != 504 {
 		t.Fatal(status)
 	}
@@ -145,8 +147,8 @@
 	}
 }
 
-// A seed without a disk counts for nothing at the first start: what is acknowledged
-// waits until machines with a disk have its seat.
+// At the first start, a seed without a disk doesn't count towards the fault budget: acknowledgements wait
+// until a machine with a disk has taken over its place in the acceptor set.
 func TestFirstAcknowledgementWaitsForDisks(t *testing.T) {
 	controllers, _ := fleet(t, 4, map[int]bool{2: true})
 	controller := controllers[1]
@@ -154,26 +156,26 @@
 	controllers[4].Node.Settings.FaultBudget.Machines = 1
 	value, err := controller.Register.Read()
 	if err != nil || controller.sets.ToleratesBudget(&value) {
-		t.Fatal("bears with a seed that has no disk: ", err)
+		t.Fatal("the set tolerates the budget with a seed that has no disk: ", err)
 	}
 	reconcileSet(controllers[4])
 	if value, err = controller.Register.Read(); err != nil || !controller.sets.ToleratesBudget(&value) {
-		t.Fatal("does not bear with three disks: ", err, members(controller))
+		t.Fatal("the set doesn't tolerate the budget with three disks: ", err, members(controller))
 	}
 }
 
-// Long after the start a smaller set has to do only where nobody else answers: four
-// machines with a disk are there, and the set is of the three seeds.
+// Long after the start, a set smaller than the budget requires suffices only if no other machine
+// responds. Here four machines have a disk, and the acceptor set consists of the three seeds.
 func TestSmallerSetSufficesOnlyWhereNobodyElseResponds(t *testing.T) {
 	controllers, network := fleet(t, 4, nil)
 	controller := controllers[1]
 	setLongRunning(controller)
 	value, err := controller.Register.Read()
 	if err != nil || controller.sets.ToleratesBudget(&value) {
-		t.Fatal("acknowledges in a set of three while a fourth machine answers: ", err)
+		t.Fatal("a set of three suffices while a fourth machine responds: ", err)
 	}
 	network.SetPartitioned(controllers[4].Node.Self.Address, true)
 	if !controller.sets.ToleratesBudget(&value) {
-		t.Fatal("waits for a machine that does not answer")
+		t.Fatal("the set waits for a machine that does not respond")
 	}
 }
--- a/internal/control/controller/calls_test.go
+++ b/internal/control/controller/calls_test.go
@@ -23,6 +23,7 @@
 		Seeds: []string{"127.0.0.1:21000"}, Bootstrap: bootstrap, DataDir: folder, HeartbeatMs: 1200}
 }
 
+// open starts a controller with a data directory, and an HTTP server for its calls.
 func open(t *testing.T, folder string, bootstrap bool) (*Controller, *httptest.Server) {
 	t.Helper()
 
@@ -37,7 +38,7 @@
 	return controller, server
 }
 
-// renewContact runs the rounds of the contact lease, as Run does, until the test ends.
+// renewContact renews the contact lease periodically, as Run does, until the test ends.
 func renewContact(t *testing.T, controller *Controller) {
 	t.Helper()
 
@@ -45,55 +46,55 @@
 	t.Cleanup(controller.Node.Shutdown)
 }
 
-// clearCall makes a call as an operator or a worker does: what gets no clear answer (503,
-// 504) is sent again. On a machine under load a contact lease may run out meanwhile.
+// clearCall makes a call as an operator or a worker does: a call with an unclear outcome (503, 504)
+// is retried. On a loaded machine a contact lease may expire in the meantime.
 func clearCall(t *testing.T, server *httptest.Server, method, path, base, body string) (int, string) {
 	t.Helper()
 
 	return callUntilClear(t, server, method, path, base, body, http.StatusServiceUnavailable, http.StatusGatewayTimeout)
 }
 
-// callPast makes a call until its status is none of the unclear ones.
+// callUntilClear retries a call until its status is none of the unclear ones.
 func callUntilClear(t *testing.T, server *httptest.Server, method, path, base, body string, outcomeUnknown ...int) (int, string) {
 	t.Helper()
 
-	const tries = 100
+	const attempts = 100
 	for attempt := 1; ; attempt++ {
 		status, text := call(t, server, method, path, base, body)
-		if !slices.Contains(outcomeUnknown, status) || attempt == tries {
+		if !slices.Contains(outcomeUnknown, status) || attempt == attempts {
 			return status, text
 		}
 		<-clock.After(constants.TickPeriod)
 	}
 }
 
-// recoverWorkers has a controller recover the workers from the acceptors, where a majority answers.
+// recoverWorkers makes a controller recover the workers from the acceptors, if a majority responds.
 func recoverWorkers(controller *Controller) {
 	for attempts := 0; controller.workers.Recovering() && attempts < 3 && !controller.workers.RecoverRound(); attempts++ {
 		continue
 	}
 }
 
-// startUp has a controller do what it does in its first second: contact the acceptors, and
-// recover the workers from a majority of them.
+// startUp makes a controller do what it does in the first second after its start: contact the acceptors,
+// and recover the workers from a majority of them.
 func startUp(t *testing.T, controller *Controller) {
 	t.Helper()
 
 	for attempts := 0; !controller.contact().Await() || !controller.workers.RecoverRound(); attempts++ {
 		if attempts > 100 {
-			t.Fatal("a majority answers, and there is no contact")
+			t.Fatal("no contact with a majority, or workers not recovered, after 100 attempts")
 		}
 		controller.contact().Round()
 	}
 }
 
-// setJustStarted has a controller act as one does that has just started, however slow the
-// machine is that tests.
+// setJustStarted makes a controller behave as if it had just started, however slow the test machine
+// is.
 func setJustStarted(controller *Controller) {
 	controller.Node.StartedAt = clock.Now().Add(clock.Milliseconds(3_600_000))
 }
 
-// setLongRunning has a controller act as a minute after its start.
+// setLongRunning makes a controller behave as a minute after its start.
 func setLongRunning(controller *Controller) {
 	controller.Node.StartedAt = clock.Now().Add(-clock.Milliseconds(60_000))
 }
@@ -118,7 +119,8 @@
 	return fmt.Sprintf(`{"generation":%d,"channels":[{"name":"a","host":"h","path-prefix":"/a/","route-kind":"idempotent","cutoff-ms":5,"backend":"s"}],"backends":[{"name":"s"}],"limits":{}}`, generation)
 }
 
-// What PROTOCOL says of changes, over a real disk, and again after a restart.
+// TestReplaceAndRead checks the rules of PROTOCOL for changes of the configuration, with a real disk, and the
+// configuration after a restart.
 func TestReplaceAndRead(t *testing.T) {
 	folder := t.TempDir()
 	_, server := open(t, folder, true)
@@ -139,7 +141,7 @@
 	}
 	for _, step := range steps {
 		if status, body := clearCall(t, server, "POST", "/-/Configuration.Replace", step.base, step.body); status != step.status {
-			t.Errorf("%s: %d %s, want %d", step.name, status, body, step.status)
+			t.Errorf("%s: got %d %s, want %d", step.name, status, body, step.status)
 		}
 	}
 	if status, body := clearCall(t, server, "GET", "/-/Configuration.Read", "", ""); status != 200 || body != config(5) {
@@ -173,7 +175,7 @@
 		status, body := clearCall(t, server, "POST", "/-/"+step.path, "", step.body)
 		worker, _ := controller.workers.Get("w")
 		if status != step.status || worker.Phase != step.phase {
-			t.Fatalf("%s %s: %d %s, phase %s", step.path, step.body, status, body, worker.Phase)
+			t.Fatalf("%s %s: got %d %s, phase %s", step.path, step.body, status, body, worker.Phase)
 		}
 	}
 }
@@ -182,7 +184,7 @@
 	controller, server := open(t, t.TempDir(), true)
 	setJustStarted(controller)
 	if status, _ := callUntilClear(t, server, "POST", "/-/Retire.Open/store-1", "", "{}", http.StatusGatewayTimeout); status != 503 {
-		t.Fatal("a controller that has just started can't know: ", status)
+		t.Fatal("a controller that has just started must respond with 503 for an unknown store, got ", status)
 	}
 	setLongRunning(controller)
 	if status, _ := clearCall(t, server, "POST", "/-/Retire.Open/store-1", "", "{}"); status != 404 {
@@ -190,7 +192,7 @@
 	}
 	controller.Node.Observe([]messages.NodeInfo{{Name: "store-1", Role: membership.RoleStore, Address: "x:1"}})
 	if status, _ := clearCall(t, server, "POST", "/-/Retire.Open/store-1", "", "{}"); status != 409 {
-		t.Fatal("the last store was to be emptied: ", status)
+		t.Fatal("retiring the last store: want 409, got ", status)
 	}
 	if status, _ := clearCall(t, server, "GET", "/-/Retire.Read/store-1", "", ""); status != 404 {
 		t.Fatal(status)
--- a/internal/control/controller/golden_test.go
+++ b/internal/control/controller/golden_test.go
@@ -11,8 +11,8 @@
 	"lemonarch/internal/platform/recordlog"
 )
 
-// TestGoldenNames holds the names of the files in data-dir: another name would lose what
-// an earlier version left there.
+// TestGoldenNames checks the names of the files in data-dir: with another name, the data of an
+// earlier version would be lost.
 func TestGoldenNames(t *testing.T) {
 	dir := t.TempDir()
 	first := []messages.Member{{Address: "10.0.0.1:7660", Disk: "first"}}
@@ -25,21 +25,21 @@
 	if _, err := workerserver.OpenTable(recordlog.Directory(dir), 0); err != nil {
 		t.Fatal(err)
 	}
-	entries, err := os.ReadDir(dir)
+	files, err := os.ReadDir(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var names []string
-	for _, entry := range entries {
-		names = append(names, entry.Name())
+	for _, file := range files {
+		names = append(names, file.Name())
 	}
 	want := []string{"register", "register-plans", "register-plans-taken", "register-taken", "workers"}
 	if len(names) != len(want) {
-		t.Fatalf("files %v, want %v", names, want)
+		t.Fatalf("got files %v, want %v", names, want)
 	}
 	for i := range want {
 		if names[i] != want[i] {
-			t.Errorf("file %s, want %s", names[i], want[i])
+			t.Errorf("got file %s, want %s", names[i], want[i])
 		}
 	}
 }
--- a/internal/control/controller/mounted_test.go
+++ b/internal/control/controller/mounted_test.go
@@ -7,19 +7,21 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// mounted is a simulated disk as one incarnation of a process sees it: after that incarnation nothing
-// more is written.
+// mountedDisk is a simulated disk as mounted by one incarnation of a process. After the incarnation has
+// lost power, all operations fail, so that it can't write any more.
 type mountedDisk struct {
 	lock      *sync.Mutex
 	disk      *simulation.Disk
 	powerLost bool
 }
 
+// mountedFile is an open file of a mountedDisk.
 type mountedFile struct {
 	mount *mountedDisk
 	recordlog.File
 }
 
+// do runs an operation on the disk, or fails after the loss of power.
 func (m *mountedDisk) do(work func() error) error {
 	m.lock.Lock()
 	defer m.lock.Unlock()
--- a/internal/control/controller/named_test.go
+++ b/internal/control/controller/named_test.go
@@ -14,15 +14,15 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// reconcilePlansSet has a controller look after the register of assignments as one does in
-// its first second.
+// reconcilePlansSet makes a controller reconcile the acceptor set of the register of assignments as in the
+// first second after its start.
 func reconcilePlansSet(controller *Controller) {
 	controller.Node.StartedAt = clock.Now()
 	controller.assignments.ReconcileSet()
 }
 
-// voters makes controllers whose disks are in memory and vote all the same, so that the
-// test does not hang on how fast the machine's disk syncs.
+// voters creates controllers that vote with disks in memory, so that the
+// test does not depend on how fast the machine's disk syncs.
 func voters(t *testing.T, count int) (map[int]*Controller, *transport.MemoryNetwork) {
 	t.Helper()
 
@@ -34,6 +34,7 @@
 	return controllers, network
 }
 
+// voter creates one such controller. first marks the system's first start.
 func voter(t *testing.T, network *transport.MemoryNetwork, number int, first bool) *Controller {
 	t.Helper()
 
@@ -51,7 +52,7 @@
 	return controller
 }
 
-// introduce has all know of all, as their heartbeats would.
+// exchangeMembership makes every controller observe all others, as their heartbeats would.
 func exchangeMembership(controllers map[int]*Controller) {
 	for _, controller := range controllers {
 		for _, other := range controllers {
@@ -62,9 +63,10 @@
 	}
 }
 
-// TestAssignmentsSurviveALostDiskAndTwoLosses: the register of assignments grows to the
-// budget, an emptied member comes back as somebody else, and what was acknowledged is
-// read from the rest. The configuration's set is left as it was throughout.
+// TestAssignmentsSurviveALostDiskAndTwoLosses checks that the acceptor set of the register of assignments
+// expands to the budget, that a member whose disk was wiped returns with a new identity and does not
+// vote under the old one, and that an acknowledged plan can be read after two more machines are lost.
+// The acceptor set of the configuration must not change.
 func TestAssignmentsSurviveALostDiskAndTwoLosses(t *testing.T) {
 	controllers, network := voters(t, 8)
 	for round := 0; round < 3; round++ {
@@ -74,40 +76,40 @@
 	}
 	set := controllers[8].assignments.Replica().Known()
 	if len(set.Acceptors) != 5 || len(set.Previous) != 0 {
-		t.Fatal("the set is of ", len(set.Acceptors), len(set.Previous))
+		t.Fatal("want a set of 5 acceptors and no previous set, got ", len(set.Acceptors), len(set.Previous))
 	}
 	if len(members(controllers[8])) != 3 {
-		t.Fatal("the configuration's set changed with it: ", members(controllers[8]))
+		t.Fatal("the acceptor set of the configuration changed: ", members(controllers[8]))
 	}
 	rules, resp := rulesAndSolution(t)
 	exchangeMembership(controllers)
 	response := &messages.PlanApplyResponse{}
 	dispatchTo(t, controllers[1], messages.KindPlanApply, &messages.PlanApplyRequest{Rules: rules, Solution: resp}, response)
 	if !response.Applied || response.Revision != 1 {
-		t.Fatalf("%+v", response)
+		t.Fatalf("plan not applied: %+v", response)
 	}
 	network.SetPartitioned(controllers[1].Node.Self.Address, true)
 	before := controllers[3].assignments.Replica().Identity()
 	controllers[3].Node.Transport.Close()
-	// The same machine with an empty disk, which is no first start.
+	// The same machine starts with an empty disk, and not as at the system's first start.
 	controllers[3] = voter(t, network, 3, false)
 	exchangeMembership(controllers)
 	promise := &messages.PrepareResponse{}
 	dispatchTo(t, controllers[3], messages.KindNamedPrepare, &messages.NamedPrepareRequest{Name: assignmentserver.RegisterName,
 		Request: messages.PrepareRequest{Ballot: messages.Ballot{Counter: 1 << 30, Node: "x"}, Disk: before.Disk}}, promise)
 	if promise.Granted {
-		t.Fatal("an amnesiac voted under its old name")
+		t.Fatal("an acceptor whose disk was wiped voted with its old identity")
 	}
 	for round := 0; round < 3; round++ {
 		reconcilePlansSet(controllers[3])
 	}
 	known := controllers[3].assignments.Replica().Known()
-	inside := false
+	rejoined := false
 	for _, member := range known.Acceptors {
-		inside = inside || member.Disk == controllers[3].assignments.Replica().Identity().Disk
+		rejoined = rejoined || member.Disk == controllers[3].assignments.Replica().Identity().Disk
 	}
-	if !inside || len(known.Acceptors) != 5 {
-		t.Fatal("the wiped machine did not come back: ", known.Acceptors)
+	if !rejoined || len(known.Acceptors) != 5 {
+		t.Fatal("the machine whose disk was wiped is not in the acceptor set of five: ", known.Acceptors)
 	}
 	network.SetPartitioned(controllers[2].Node.Self.Address, true)
 	plan, err := controllers[3].assignments.Read()
--- a/internal/control/controller/plans_test.go
+++ b/internal/control/controller/plans_test.go
@@ -14,7 +14,7 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// dispatchTo puts a request to a controller as the transport would.
+// dispatchTo sends a request to a controller as the transport would.
 func dispatchTo(t *testing.T, controller *Controller, kind messages.Kind, req transport.Marshaler, resp transport.Unmarshaler) {
 	t.Helper()
 
@@ -28,6 +28,7 @@
 	}
 }
 
+// rulesAndSolution returns the rules of docs/assign, with replacements, and the planner's solution for them.
 func rulesAndSolution(t *testing.T, change ...string) (rules, resp []byte) {
 	t.Helper()
 
@@ -36,18 +37,18 @@
 		t.Fatal(err)
 	}
 	changed := strings.NewReplacer(change...).Replace(string(text))
-	read, findings := adapterplan.Read([]byte(changed))
+	parsed, findings := adapterplan.Read([]byte(changed))
 	if len(findings) > 0 {
 		t.Fatal(findings)
 	}
-	plan, _, _, _ := adapterplan.Plan(read, nil, nil)
+	plan, _, _, _ := adapterplan.Plan(parsed, nil, nil)
 	body := &bytes.Buffer{}
 	_ = adapterplan.JSON(body, plan)
 	return []byte(changed), body.Bytes()
 }
 
-// TestApplyOverARealDisk: what PROTOCOL asks of configurations holds for assignments,
-// on a register that shares nothing with the configuration's.
+// TestApplyOverARealDisk checks that the rules of PROTOCOL for changes of the configuration also apply to
+// assignments, and that their register shares no state with that of the configuration.
 func TestApplyOverARealDisk(t *testing.T) {
 	folder := t.TempDir()
 	controller, server := open(t, folder, true)
@@ -58,10 +59,10 @@
 	next, nextResponse := rulesAndSolution(t, "generation = 4", "generation = 5")
 	for _, step := range []struct {
 		name     string
-		question messages.PlanApplyRequest
-		taken    bool
+		request  messages.PlanApplyRequest
+		applied  bool
 		revision int64
-		why      string
+		reason   string
 	}{
 		{"wrong base", messages.PlanApplyRequest{Base: 3, Rules: rules, Solution: resp}, false, 0, "another plan"},
 		{"first", messages.PlanApplyRequest{Base: 0, Rules: rules, Solution: resp}, true, 1, ""},
@@ -73,34 +74,35 @@
 		{"next", messages.PlanApplyRequest{Base: 1, Rules: next, Solution: nextResponse}, true, 2, ""},
 	} {
 		response := &messages.PlanApplyResponse{}
-		dispatchTo(t, controller, messages.KindPlanApply, &step.question, response)
+		dispatchTo(t, controller, messages.KindPlanApply, &step.request, response)
 		for attempts := 0; response.Unclear && attempts < 20; attempts++ {
-			// A disk that syncs too slowly leaves it unclear: the same again tells.
-			dispatchTo(t, controller, messages.KindPlanApply, &step.question, response)
+			// The outcome is unknown if the disk syncs too slowly. A retry of the same request resolves it.
+			dispatchTo(t, controller, messages.KindPlanApply, &step.request, response)
 		}
-		if response.Applied != step.taken || response.Unclear || !strings.Contains(response.Reason, step.why) || (step.revision > 0 && response.Revision > 0 && response.Revision != step.revision) {
-			t.Errorf("%s: %+v", step.name, response)
+		if response.Applied != step.applied || response.Unclear || !strings.Contains(response.Reason, step.reason) || (step.revision > 0 && response.Revision > 0 && response.Revision != step.revision) {
+			t.Errorf("%s: unexpected response %+v", step.name, response)
 		}
 	}
 	if status, body := clearCall(t, server, "GET", "/-/Configuration.Read", "", ""); status != 200 || body != config(2) {
-		t.Fatal("the configuration was touched: ", status, body)
+		t.Fatal("the configuration changed: ", status, body)
 	}
 	again, server := open(t, folder, false)
 	plan := &messages.PlanResponse{}
 	dispatchTo(t, again, messages.KindPlanPull, &messages.PlanRequest{Complete: true, Linearizable: true}, plan)
 	if plan.Revision != 2 || plan.Generation != 5 || !bytes.Equal(plan.Value.Rules, next) {
-		t.Fatal("after a restart: ", plan.Revision, plan.Generation)
+		t.Fatal("wrong plan after a restart: revision and generation ", plan.Revision, plan.Generation)
 	}
 	dispatchTo(t, again, messages.KindPlanPull, &messages.PlanRequest{Node: "n3"}, plan)
 	if len(plan.Placements) != 1 || plan.Placements[0].Adapter != "battery-fault-reader" || len(plan.Value.Rules) != 0 {
 		t.Fatal(plan)
 	}
 	if status, body := clearCall(t, server, "GET", "/-/Configuration.Read", "", ""); status != 200 || body != config(2) {
-		t.Fatal("after a restart the configuration is ", status, body)
+		t.Fatal("wrong configuration after a restart: ", status, body)
 	}
 }
 
-// TestNamedBallotsAreTheirOwn: a high ballot in one register stops nobody in another.
+// TestNamedRegistersHaveSeparateBallots checks that a high ballot in one register does not block proposers in
+// another.
 func TestNamedRegistersHaveSeparateBallots(t *testing.T) {
 	controller, server := open(t, t.TempDir(), true)
 	identity := controller.assignments.Replica().Identity()
@@ -108,16 +110,16 @@
 	resp := &messages.PrepareResponse{}
 	dispatchTo(t, controller, messages.KindNamedPrepare, &messages.NamedPrepareRequest{Name: assignmentserver.RegisterName, Request: messages.PrepareRequest{Ballot: high, Disk: identity.Disk}}, resp)
 	if !resp.Granted {
-		t.Fatal("not granted")
+		t.Fatal("prepare with a high ballot was not granted")
 	}
 	if before := controller.Register.Record().Promised; before.Counter >= 1<<40 {
-		t.Fatal("the configuration's ballot moved: ", before)
+		t.Fatal("the promised ballot of the configuration's register changed: ", before)
 	}
 	if status, _ := clearCall(t, server, "POST", "/-/Configuration.Replace", "0", config(2)); status != 200 {
 		t.Fatal(status)
 	}
 	body, _ := (&messages.NamedPrepareRequest{Name: "nobody's"}).MarshalMsg(nil)
 	if _, err := controller.Node.Dispatch(messages.KindNamedPrepare, body); err == nil {
-		t.Fatal("a register that nobody keeps promised something")
+		t.Fatal("prepare for a register with an unknown name succeeded")
 	}
 }
--- a/internal/control/controller/recovery_test.go
+++ b/internal/control/controller/recovery_test.go
@@ -19,7 +19,7 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// phaseNames are the phases as workers say them.
+// phaseNames are the names of the phases in workers' calls.
 var phaseNames = map[messages.Phase]string{messages.PhaseSteady: "steady", messages.PhaseDraining: "draining"}
 
 // powerFleet is three controllers on simulated disks that lose power.
@@ -32,11 +32,13 @@
 	disks       map[int]*simulation.Disk
 	mounts      map[int]*mountedDisk
 	controllers map[int]*Controller
-	// phases are the furthest phases that were acknowledged.
+	// phases are the latest phases that were acknowledged, by worker.
 	phases map[string]messages.Phase
-	count  int64
+	// count is the count of the last worker's call.
+	count int64
 }
 
+// start starts a controller on its disk. first marks the system's first start.
 func (p *powerFleet) start(number int, first bool) *Controller {
 	nodeSettings := &settings.Settings{NodeName: fmt.Sprint("m", number), Address: fmt.Sprint("10.0.0.", number), Zone: fmt.Sprint("h", number),
 		InternalPorts: []int{7000, 7010}, Seeds: []string{"10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"}, Bootstrap: first, InQuorum: true,
@@ -54,7 +56,7 @@
 	return controller
 }
 
-// lose ends an incarnation as a loss of power does.
+// losePower ends an incarnation with a loss of power, which also loses what was not synced to disk.
 func (p *powerFleet) losePower(number int) {
 	controller := p.controllers[number]
 	if controller == nil {
@@ -69,7 +71,7 @@
 	delete(p.controllers, number)
 }
 
-// join has a started controller learn what it can't know.
+// join makes a started controller read the acceptor sets and recover the workers.
 func (p *powerFleet) join(controller *Controller) {
 	if len(controller.Register.Known().Acceptors) == 0 {
 		controller.Register.SyncSets()
@@ -78,7 +80,7 @@
 	exchangeMembership(p.controllers)
 }
 
-// callWorker makes a worker's call at a controller, and tells whether it was acknowledged.
+// callWorker sends a worker's call to a controller, and reports whether it was acknowledged.
 func (p *powerFleet) callWorker(number int, id string, phase messages.Phase) bool {
 	p.count++
 	path, body := "/-/Workers.Heartbeat/"+id, fmt.Sprintf(`{"backend":"s","address":"a:1","zone":"h1","capacity":4,"phase":"%s","call-count":%d}`, phaseNames[phase], p.count)
@@ -92,7 +94,7 @@
 	return writer.Code == http.StatusOK
 }
 
-// step makes one random step: a call of a worker, a cut, or a restart.
+// step makes one random step: a call of a worker, a network partition, or a restart.
 func (p *powerFleet) step() {
 	number := 1 + p.random.Intn(3)
 	switch p.random.Intn(10) {
@@ -118,22 +120,22 @@
 	}
 }
 
-// loseAll has all lose power, one perhaps its disk besides, and starts them again; where
-// no disk was lost, one may stay down.
+// loseAllPower ends all controllers with a loss of power, which wipes one disk in half of the runs, and
+// restarts them. If no disk was wiped, one controller stays down.
 func (p *powerFleet) loseAllPower() {
 	for number := 1; number <= 3; number++ {
 		p.network.SetPartitioned(p.controllers[number].Node.Self.Address, false)
 		p.losePower(number)
 	}
-	hit, wiped := 1+p.random.Intn(3), p.random.Intn(2) == 0
+	target, wiped := 1+p.random.Intn(3), p.random.Intn(2) == 0
 	if wiped {
-		p.disks[hit].Wipe()
+		p.disks[target].Wipe()
 	}
 	for _, i := range p.random.Perm(3) {
-		if number := i + 1; wiped || number != hit {
+		if number := i + 1; wiped || number != target {
 			controller := p.start(number, false)
 			if _, err := controller.Node.Dispatch(messages.KindWorkersPull, encode(p.test, &messages.WorkersPullRequest{})); err == nil {
-				p.test.Fatalf("seed %d: m%d vouches for workers before it has heard anybody", p.seed, number)
+				p.test.Fatalf("seed %d: m%d responded with workers before it recovered them from a majority", p.seed, number)
 			}
 		}
 	}
@@ -142,6 +144,7 @@
 	}
 }
 
+// encode returns the encoded message.
 func encode(t *testing.T, message transport.Marshaler) []byte {
 	t.Helper()
 
@@ -152,23 +155,24 @@
 	return body
 }
 
+// check checks that no controller has a worker in an earlier phase than was acknowledged.
 func (p *powerFleet) check() {
 	for number, controller := range p.controllers {
 		for id, phase := range p.phases {
 			if worker, known := controller.workers.Get(id); known && worker.Phase < phase {
-				p.test.Errorf("seed %d: m%d takes %s for %s, %s was acknowledged", p.seed, number, id, worker.Phase, phase)
+				p.test.Errorf("seed %d: m%d has worker %s as %s after %s was acknowledged", p.seed, number, id, worker.Phase, phase)
 			}
 		}
 	}
 }
 
-// TestAcknowledgedDrainsSurviveALossOfPower: after any cuts and restarts, and a loss of
-// power of all with one disk lost or one machine down, no controller that vouches for the
-// workers takes one for steady whose drain or departure was acknowledged.
+// TestAcknowledgedDrainsSurviveALossOfPower checks that no acknowledged drain or departure is lost by
+// random partitions and restarts, followed by a power loss of all controllers with one disk lost or one
+// machine down. A controller that has recovered must not have such a worker as steady.
 func TestAcknowledgedDrainsSurviveALossOfPower(t *testing.T) {
 	seeds, acknowledged := 60, 0
-	if many, err := strconv.Atoi(os.Getenv("LEMONARCH_SEEDS")); err == nil {
-		seeds = many
+	if count, err := strconv.Atoi(os.Getenv("LEMONARCH_SEEDS")); err == nil {
+		seeds = count
 	}
 	for seed := int64(1); seed <= int64(seeds) && !t.Failed(); seed++ {
 		p := &powerFleet{test: t, seed: seed, random: rand.New(rand.NewSource(seed)), network: transport.NewMemoryNetwork(),
--- a/internal/control/controller/shutdown_test.go
+++ b/internal/control/controller/shutdown_test.go
@@ -10,7 +10,7 @@
 	"lemonarch/internal/tooling/fixture"
 )
 
-// A controller that has served leaves no goroutine behind after its shutdown.
+// After the shutdown of a controller that has served, none of its goroutines is left.
 func TestShutdownLeavesNoGoroutine(t *testing.T) {
 	others := goleak.IgnoreCurrent()
 	nodeSettings := nodeSettings(t.TempDir(), true)
--- a/internal/control/controller/slim_test.go
+++ b/internal/control/controller/slim_test.go
@@ -6,8 +6,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Who reads the sets alone gets them as they stand and no body, from an acceptor too;
-// the register itself keeps its body.
+// A read of only the sets returns the current sets without the body of the value, and so does a query of an
+// acceptor. The value in the register keeps its body.
 func TestReadSetsOmitsTheBody(t *testing.T) {
 	controller, server := open(t, t.TempDir(), true)
 	if status, body := clearCall(t, server, "POST", "/-/Configuration.Replace", "0", config(2)); status != 200 {
--- a/internal/control/controller/startup_test.go
+++ b/internal/control/controller/startup_test.go
@@ -12,19 +12,20 @@
 
 const drainCall = `{"backend":"s","address":"127.0.0.1:1","zone":"h","capacity":4,"phase":"draining","call-count":3}`
 
-// reported gives a controller's answer to a gateway's report.
+// reportResponse returns a controller's response to a gateway's report.
 func reportResponse(controller *Controller) *messages.Shuffle {
 	var resp *messages.Shuffle
-	asker := messages.NodeInfo{Name: "f", Role: membership.RoleGateway, Address: "127.0.0.3:1", Zone: "h"}
+	reporter := messages.NodeInfo{Name: "f", Role: membership.RoleGateway, Address: "127.0.0.3:1", Zone: "h"}
 	controller.Node.WithView(func(view *membership.View) {
-		resp = view.RespondToReport(&messages.Shuffle{Entries: []messages.NodeInfo{asker}}, clock.Now())
+		resp = view.RespondToReport(&messages.Shuffle{Entries: []messages.NodeInfo{reporter}}, clock.Now())
 	})
 	controller.completeReportResponse(resp)
 	return resp
 }
 
-// A controller that has just started acknowledges no drain, counts nobody and vouches for
-// no worker until the workers were recovered from a majority of the acceptors.
+// Until a controller that has just started has recovered the workers from a majority of the acceptors, it
+// acknowledges no drain, and its responses to reports contain no counts and confirm no workers. Its file
+// may lack a drain that was acknowledged meanwhile.
 func TestStartingControllerRecoversFirst(t *testing.T) {
 	controllers, network := voters(t, 3)
 	starting := controllers[1]
@@ -33,7 +34,7 @@
 	network.SetPartitioned(controllers[2].Node.Self.Address, true)
 	network.SetPartitioned(controllers[3].Node.Self.Address, true)
 	if starting.workers.RecoverRound() || starting.contact().Await() {
-		t.Fatal("no majority answers")
+		t.Fatal("recovered or in contact without a majority")
 	}
 	if status, _ := call(t, server, "POST", "/-/Workers.Heartbeat/w", "", drainCall); status != 503 {
 		t.Fatal(status)
@@ -55,8 +56,8 @@
 	}
 }
 
-// A drain that the other acceptors do not write in time is not acknowledged, and the
-// worker is told so within the second that it waits.
+// A drain that the other acceptors do not write to disk in time is not acknowledged, and the worker
+// receives the 503 response within the second that it waits.
 func TestDrainIsNotAcknowledgedByOneDisk(t *testing.T) {
 	controllers, _ := voters(t, 3)
 	startUp(t, controllers[1])
@@ -83,6 +84,6 @@
 	}
 	const second, slack = 1_000_000_000, 100_000_000
 	if constants.ContactTimeout/2+constants.BroadcastTimeout > second-slack {
-		t.Fatal("the bounds of a worker's call do not fit into its second")
+		t.Fatal("the timeouts of a worker's call add up to more than the second that the worker waits")
 	}
 }
