--- a/internal/control/assignmentserver/replan.go
+++ b/internal/control/assignmentserver/replan.go
@@ -92,12 +92,12 @@
 }
 
 // present returns the names of the processes and workers that were in contact lately: this process, others
-// that are not draining and were heard of within constants.SuspectAfter, and the present workers.
+// that are not draining and were in contact within constants.SuspectAfter, and the present workers.
 func (s *Server) present() map[string]bool {
 	present := map[string]bool{s.node.Self.Name: true}
-	for _, entry := range s.node.All("") {
-		if entry.AgeMs < constants.SuspectAfter.Milliseconds() && !entry.Draining {
-			present[entry.Name] = true
+	for _, info := range s.node.All("") {
+		if info.AgeMs < constants.SuspectAfter.Milliseconds() && !info.Draining {
+			present[info.Name] = true
 		}
 	}
 	for _, worker := range s.workers.Present() {
--- a/internal/control/configserver/configserver.go
+++ b/internal/control/configserver/configserver.go
@@ -113,8 +113,8 @@
 }
 
 // onAccepted follows a version that this process's acceptor accepted. The proposer may crash right after
-// it has acknowledged the version, before it announces it, so this process reads the register itself a
-// little later, in a goroutine that ends after at most acceptedReads reads.
+// it has acknowledged the version, so this process reads the register itself a little later, in a
+// goroutine that ends after at most acceptedReads reads.
 func (s *Server) onAccepted(generation int64) {
 	if generation <= s.node.Generation() {
 		return
--- a/internal/control/configserver/sharedread_test.go
+++ b/internal/control/configserver/sharedread_test.go
@@ -30,7 +30,7 @@
 		go func() {
 			defer group.Done()
 			if value, _ := shared.Read(read); value.SetEpoch < least {
-				t.Errorf("read began after value %d, got %d", least, value.SetEpoch)
+				t.Errorf("called Read at value %d, got the older value %d", least, value.SetEpoch)
 			}
 		}()
 	}
--- a/internal/control/controller/budget_test.go
+++ b/internal/control/controller/budget_test.go
@@ -166,7 +166,7 @@
 
 // Long after the start, a set smaller than the budget requires suffices only if no other machine
 // responds. Here four machines have a disk, and the acceptor set consists of the three seeds.
-func TestSmallerSetSufficesOnlyWhereNobodyElseResponds(t *testing.T) {
+func TestSmallerSetSufficesOnlyIfNoOtherMachineResponds(t *testing.T) {
 	controllers, network := fleet(t, 4, nil)
 	controller := controllers[1]
 	setLongRunning(controller)
--- a/internal/control/controller/named_test.go
+++ b/internal/control/controller/named_test.go
@@ -65,7 +65,8 @@
 
 // TestAssignmentsSurviveALostDiskAndTwoLosses checks that the acceptor set of the register of assignments
 // expands to the budget, that a member whose disk was wiped returns with a new identity and does not
-// vote under the old one, and that an acknowledged plan can be read after two more machines are lost.
+// vote under the old one, and that an acknowledged plan can still be read after this disk and two other
+// machines are lost.
 // The acceptor set of the configuration must not change.
 func TestAssignmentsSurviveALostDiskAndTwoLosses(t *testing.T) {
 	controllers, network := voters(t, 8)
--- a/internal/control/controller/peers.go
+++ b/internal/control/controller/peers.go
@@ -75,13 +75,13 @@
 	for _, address := range node.Settings.SeedAddresses(constants.PortController) {
 		addresses[address] = ""
 	}
-	for _, entry := range node.All(membership.RoleController) {
-		key := membership.Key(entry)
-		if key < membership.Key(node.Self) && entry.AgeMs < 2*constants.ControllerHeartbeatPeriod.Milliseconds() {
-			delete(addresses, entry.Address)
+	for _, info := range node.All(membership.RoleController) {
+		key := membership.Key(info)
+		if key < membership.Key(node.Self) && info.AgeMs < 2*constants.ControllerHeartbeatPeriod.Milliseconds() {
+			delete(addresses, info.Address)
 			continue
 		}
-		addresses[entry.Address] = key
+		addresses[info.Address] = key
 	}
 	delete(addresses, node.Self.Address)
 	return addresses
--- a/internal/control/controller/zonetraffic.go
+++ b/internal/control/controller/zonetraffic.go
@@ -15,9 +15,9 @@
 func (c *Controller) handleZoneTraffic(req *messages.ZoneTrafficRequest) (*messages.ZoneTrafficResponse, error) {
 	var processes []messages.NodeInfo
 	for _, role := range []string{membership.RoleGateway, membership.RoleStore} {
-		for _, entry := range c.Node.All(role) {
-			if entry.Zone == req.Zone && !entry.Draining && entry.AgeMs < constants.ForgetAfter.Milliseconds() {
-				processes = append(processes, entry)
+		for _, info := range c.Node.All(role) {
+			if info.Zone == req.Zone && !info.Draining && info.AgeMs < constants.ForgetAfter.Milliseconds() {
+				processes = append(processes, info)
 			}
 		}
 	}
@@ -44,14 +44,14 @@
 	responses := make([]*messages.TrafficSummaryResponse, len(processes))
 	slots := make(chan struct{}, constants.TrafficCollectors)
 	var group sync.WaitGroup
-	for i, entry := range processes {
+	for i, info := range processes {
 		group.Add(1)
 		slots <- struct{}{}
 		go func() {
 			defer group.Done()
 			defer func() { <-slots }()
 			resp := &messages.TrafficSummaryResponse{}
-			if transport.Call(c.Node.Transport, entry.Address, messages.KindTrafficSummary, &messages.TrafficSummaryRequest{}, resp, constants.CallTimeout) == nil {
+			if transport.Call(c.Node.Transport, info.Address, messages.KindTrafficSummary, &messages.TrafficSummaryRequest{}, resp, constants.CallTimeout) == nil {
 				responses[i] = resp
 			}
 		}()
--- a/internal/control/operatorapi/retire.go
+++ b/internal/control/operatorapi/retire.go
@@ -27,10 +27,10 @@
 	}
 	known := slices.Contains(value.Retired, name)
 	var serving []string
-	for _, entry := range a.node.All(membership.RoleStore) {
-		known = known || entry.Name == name
-		if entry.AgeMs < constants.SuspectAfter.Milliseconds() && !entry.Draining {
-			serving = append(serving, entry.Name)
+	for _, info := range a.node.All(membership.RoleStore) {
+		known = known || info.Name == name
+		if info.AgeMs < constants.SuspectAfter.Milliseconds() && !info.Draining {
+			serving = append(serving, info.Name)
 		}
 	}
 	for _, member := range value.Stores {
--- a/internal/control/workers/buckets.go
+++ b/internal/control/workers/buckets.go
@@ -18,8 +18,8 @@
 	bucketSize = 4
 	// bucketsMin is the least number of buckets that is sent.
 	bucketsMin = 8
-	// workersPerBucket is the number of workers per bucket up to which fewer buckets are sent: in a small
-	// fleet, the sums must not be larger than the entries themselves.
+	// workersPerBucket is the average number of workers per bucket above which more buckets are sent. In a
+	// small fleet, few buckets are sent, since the sums must not be larger than the entries themselves.
 	workersPerBucket = 4
 )
 
--- a/internal/control/workers/registry.go
+++ b/internal/control/workers/registry.go
@@ -16,7 +16,8 @@
 	worker messages.Worker
 	// lastCallCount is the count of the worker's last call to this process.
 	lastCallCount int64
-	// lastHeartbeat is when the last known heartbeat was sent, lastDirect when this process last received one.
+	// lastHeartbeat is the time of the last known heartbeat, lastDirect of the last one that this process
+	// received itself.
 	lastHeartbeat, lastDirect clock.Instant
 	// changeVersion is the table's version at the entry's last change.
 	changeVersion uint64
