--- a/internal/control/controller/zonetraffic.go
+++ b/internal/control/controller/zonetraffic.go
@@ -10,14 +10,14 @@
 	"lemonarch/internal/traffic/trafficstats"
 )
 
-// handleZoneTraffic asks the gateways and stores of a zone for their traffic summaries and
-// answers with the merged ones. Who is known and gives none is named.
+// handleZoneTraffic requests the traffic summaries of the gateways and stores of a zone and responds
+// with the merged summaries. Known processes that returned none are listed as missing.
 func (c *Controller) handleZoneTraffic(req *messages.ZoneTrafficRequest) (*messages.ZoneTrafficResponse, error) {
 	var processes []messages.NodeInfo
 	for _, role := range []string{membership.RoleGateway, membership.RoleStore} {
-		for _, entry := range c.Node.All(role) {
-			if entry.Zone == req.Zone && !entry.Draining && entry.AgeMs < constants.ForgetAfter.Milliseconds() {
-				processes = append(processes, entry)
+		for _, info := range c.Node.All(role) {
+			if info.Zone == req.Zone && !info.Draining && info.AgeMs < constants.ForgetAfter.Milliseconds() {
+				processes = append(processes, info)
 			}
 		}
 	}
@@ -38,19 +38,20 @@
 	return resp, nil
 }
 
-// collectTraffic asks processes, a bounded number at a time; nil stands for one that is silent.
+// collectTraffic requests the summaries of processes, at most constants.TrafficCollectors at a time.
+// The response of a process that did not respond is nil.
 func (c *Controller) collectTraffic(processes []messages.NodeInfo) []*messages.TrafficSummaryResponse {
 	responses := make([]*messages.TrafficSummaryResponse, len(processes))
 	slots := make(chan struct{}, constants.TrafficCollectors)
 	var group sync.WaitGroup
-	for i, entry := range processes {
+	for i, info := range processes {
 		group.Add(1)
 		slots <- struct{}{}
 		go func() {
 			defer group.Done()
 			defer func() { <-slots }()
 			resp := &messages.TrafficSummaryResponse{}
-			if transport.Call(c.Node.Transport, entry.Address, messages.KindTrafficSummary, &messages.TrafficSummaryRequest{}, resp, constants.CallTimeout) == nil {
+			if transport.Call(c.Node.Transport, info.Address, messages.KindTrafficSummary, &messages.TrafficSummaryRequest{}, resp, constants.CallTimeout) == nil {
 				responses[i] = resp
 			}
 		}()
