--- a/internal/batch/jobclient/jobclient.go
+++ b/internal/batch/jobclient/jobclient.go
@@ -1,5 +1,5 @@
-// Package jobclient is a client for jobs: it submits them, reads and follows them, and
-// ends them, by the calls that any edge node takes.
+// Package jobclient is a client for batch jobs. It submits, reads, follows and ends jobs through
+// HTTP calls that any gateway accepts.
 package jobclient
 
 import (
@@ -17,19 +17,19 @@
 	"lemonarch/internal/platform/errs"
 )
 
-// The errors of calls on jobs.
+// Errors returned by Client.
 var (
-	// ErrOutcomeUnknown: nothing clear came back; the call may be made again, elsewhere.
-	ErrOutcomeUnknown = errs.Define("no clear answer")
-	// ErrRejected: it is promised that nothing of the job runs.
+	// ErrOutcomeUnknown reports no conclusive response. The call may be retried at any gateway.
+	ErrOutcomeUnknown = errs.Define("outcome unknown")
+	// ErrRejected reports a rejection: the system guarantees that no item of the job runs.
 	ErrRejected = errs.Define("lot refused")
-	// ErrInvalidCall: the call will not be taken the next time either.
+	// ErrInvalidCall reports a call that would be rejected again if retried.
 	ErrInvalidCall = errs.Define("call not taken")
-	// ErrCorruptResponse: the answer is not what the protocol says.
-	ErrCorruptResponse = errs.Define("answer spoilt")
+	// ErrCorruptResponse reports a response that violates the protocol.
+	ErrCorruptResponse = errs.Define("corrupt response")
 )
 
-// Item is one request of a job.
+// Item is one request in a job.
 type Item struct {
 	ID      string            `json:"id"`
 	Path    string            `json:"path"`
@@ -38,7 +38,7 @@
 	Tokens  int64             `json:"tokens"`
 }
 
-// Job is many requests that are submitted at once; at most 200.
+// Job is a set of requests that are submitted together, at most 200 (constants.JobItemsMax).
 type Job struct {
 	Requests []Item `json:"requests"`
 }
@@ -50,53 +50,55 @@
 	Text  string `json:"text"`
 }
 
-// Settled and Abandoned are the phases of an output.
+// PhaseSettled and PhaseAbandoned are the phases of an output.
 const (
 	PhaseSettled   = "settled"
 	PhaseAbandoned = "abandoned"
 )
 
-// Page is what one read gives.
+// Page is the response to one read. Next is the next position to read, Sum the number of items.
 type Page struct {
 	Sum     int      `json:"sum"`
 	Next    int      `json:"next-token"`
 	Outputs []Output `json:"outputs"`
 }
 
-// Client calls the edge nodes of a fleet, each call on a new connection.
+// Client calls the gateways of a fleet, each call on a new connection.
 type Client struct {
-	// Edges are addresses, host:port; the next is taken after a failure.
+	// Edges contains gateway addresses, host:port. After a failure the next one is used.
 	Edges []string
-	// Host is that of the jobs' route.
+	// Host is the host of the jobs' route.
 	Host string
-	turn int
-	// Transport may be replaced in tests.
+	// edgeIndex, modulo the length of Edges, selects the gateway of the next call.
+	edgeIndex int
+	// Transport sends the requests. Tests may set it; nil means a new http.Transport per call.
 	Transport http.RoundTripper
-	// Backoff waits between two tries; nil is a real wait.
+	// Backoff waits between two attempts. If nil, the client sleeps.
 	Backoff func(clock.Duration)
 }
 
-func (c *Client) pause(timeout clock.Duration) {
+func (c *Client) wait(backoff clock.Duration) {
 	if c.Backoff != nil {
-		c.Backoff(timeout)
+		c.Backoff(backoff)
 		return
 	}
-	clock.Sleep(timeout)
+	clock.Sleep(backoff)
 }
 
-type answer struct {
-	status int
-	body   []byte
-	after  clock.Duration
+// response is a response's status, its body, and the duration in its Retry-After header, or 0.
+type response struct {
+	status     int
+	body       []byte
+	retryAfter clock.Duration
 }
 
-func (c *Client) call(until contexts.Context, method, path string, header map[string]string, body []byte, limit clock.Duration) (answer, error) {
-	limited, release := contexts.WithTimeout(until, limit)
-	defer release()
-	edge := c.Edges[c.turn%len(c.Edges)]
-	request, err := http.NewRequestWithContext(limited, method, "http://"+edge+path, bytes.NewReader(body))
+func (c *Client) call(ctx contexts.Context, method, path string, header map[string]string, body []byte, timeout clock.Duration) (response, error) {
+	callCtx, cancel := contexts.WithTimeout(ctx, timeout)
+	defer cancel()
+	edge := c.Edges[c.edgeIndex%len(c.Edges)]
+	request, err := http.NewRequestWithContext(callCtx, method, "http://"+edge+path, bytes.NewReader(body))
 	if err != nil {
-		return answer{}, ErrInvalidCall.Wrap(err, path)
+		return response{}, ErrInvalidCall.Wrap(err, path)
 	}
 	request.Host, request.Close = c.Host, true
 	for name, value := range header {
@@ -106,140 +108,142 @@
 	if transport == nil {
 		transport = &http.Transport{DisableKeepAlives: true, DisableCompression: true}
 	}
-	got, err := transport.RoundTrip(request)
+	resp, err := transport.RoundTrip(request)
 	if err != nil {
-		c.turn++
-		return answer{}, ErrOutcomeUnknown.Wrap(err, edge)
+		c.edgeIndex++
+		return response{}, ErrOutcomeUnknown.Wrap(err, edge)
 	}
-	defer got.Body.Close()
-	output, err := io.ReadAll(io.LimitReader(got.Body, constants.JobResponseLimit))
+	defer resp.Body.Close()
+	content, err := io.ReadAll(io.LimitReader(resp.Body, constants.JobResponseLimit))
 	if err != nil {
-		c.turn++
-		return answer{}, ErrOutcomeUnknown.Wrap(err, edge)
+		c.edgeIndex++
+		return response{}, ErrOutcomeUnknown.Wrap(err, edge)
 	}
-	if got.StatusCode >= 500 || got.StatusCode == http.StatusTooManyRequests {
-		c.turn++
+	if resp.StatusCode >= 500 || resp.StatusCode == http.StatusTooManyRequests {
+		c.edgeIndex++
 	}
-	seconds, _ := strconv.ParseFloat(got.Header.Get("Retry-After"), 64)
-	return answer{got.StatusCode, output, clock.Milliseconds(max(seconds, 0) * 1000)}, nil
+	seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
+	return response{resp.StatusCode, content, clock.Milliseconds(max(seconds, 0) * 1000)}, nil
 }
 
-// Submit sends a job under its id until it is taken or the context ends. What may
-// have been taken is sent again unchanged: the system takes it once.
-func (c *Client) Submit(until contexts.Context, id, path string, job Job) (attempts int, err error) {
+// Submit sends a job under its id until it is accepted or the context ends. A job that may have
+// been accepted is sent again unchanged; the system accepts it only once.
+func (c *Client) Submit(ctx contexts.Context, id, path string, job Job) (attempts int, err error) {
 	if len(job.Requests) == 0 || len(job.Requests) > constants.JobItemsMax {
-		return 0, ErrInvalidCall.New("a lot holds 1 to " + strconv.Itoa(constants.JobItemsMax) + " items")
+		return 0, ErrInvalidCall.New("a job must have 1 to " + strconv.Itoa(constants.JobItemsMax) + " items")
 	}
 	body, err := json.Marshal(job)
 	if err != nil {
-		return 0, ErrInvalidCall.Wrap(err, "lot")
+		return 0, ErrInvalidCall.Wrap(err, "encode job")
 	}
-	maybe := false
+	maybeAccepted := false
 	for {
 		attempts++
-		got, err := c.call(until, http.MethodPost, path, map[string]string{"Lemonarch-Attempt-Id": id, "Content-Type": "application/json"}, body, constants.JobCallTimeout)
-		backoff := max(got.after, constants.LabRetry)
+		resp, err := c.call(ctx, http.MethodPost, path, map[string]string{"Lemonarch-Attempt-Id": id, "Content-Type": "application/json"}, body, constants.JobCallTimeout)
+		backoff := max(resp.retryAfter, constants.LabRetry)
 		switch {
 		case err != nil:
-			maybe = true
-		case got.status == http.StatusAccepted:
+			maybeAccepted = true
+		case resp.status == http.StatusAccepted:
 			return attempts, nil
-		case got.status == http.StatusTooManyRequests || got.status == http.StatusServiceUnavailable:
-			err = ErrRejected.New(strconv.Itoa(got.status))
-		case got.status >= 400 && got.status < 500:
-			return attempts, ErrInvalidCall.New(strconv.Itoa(got.status) + " " + string(got.body))
+		case resp.status == http.StatusTooManyRequests || resp.status == http.StatusServiceUnavailable:
+			err = ErrRejected.New(strconv.Itoa(resp.status))
+		case resp.status >= 400 && resp.status < 500:
+			return attempts, ErrInvalidCall.New(strconv.Itoa(resp.status) + " " + string(resp.body))
 		default:
-			maybe = true
-			err = ErrOutcomeUnknown.New(strconv.Itoa(got.status))
+			maybeAccepted = true
+			err = ErrOutcomeUnknown.New(strconv.Itoa(resp.status))
 		}
-		if until.Err() == nil {
-			c.pause(backoff)
+		if ctx.Err() == nil {
+			c.wait(backoff)
 		}
-		if until.Err() != nil {
-			if maybe {
-				// One unclear answer is enough: nothing may be said of the job.
-				return attempts, ErrOutcomeUnknown.New("the lot may have been taken; the last try: " + err.Error())
+		if ctx.Err() != nil {
+			if maybeAccepted {
+				// After one inconclusive attempt the job must not be reported as rejected.
+				return attempts, ErrOutcomeUnknown.New("the job may have been accepted; last attempt: " + err.Error())
 			}
 			return attempts, err
 		}
 	}
 }
 
-// Read gives one page from a position on; hold lets the system wait for an output.
-func (c *Client) Read(until contexts.Context, id string, cursor int, wait clock.Duration) (*Page, error) {
+// Read returns the page of outputs that starts at the position cursor. If there is none yet, the
+// system waits up to wait for an output before it responds.
+func (c *Client) Read(ctx contexts.Context, id string, cursor int, wait clock.Duration) (*Page, error) {
 	header := map[string]string{}
 	if wait > 0 {
 		header["Lemonarch-Hold-Ms"] = strconv.FormatInt(wait.Milliseconds(), 10)
 	}
-	got, err := c.call(until, http.MethodGet, "/-/lots/"+url.PathEscape(id)+"?page-cursor="+strconv.Itoa(cursor), header, nil, wait+constants.JobReadSlack)
+	resp, err := c.call(ctx, http.MethodGet, "/-/lots/"+url.PathEscape(id)+"?page-cursor="+strconv.Itoa(cursor), header, nil, wait+constants.JobReadSlack)
 	if err != nil {
 		return nil, err
 	}
-	if err = c.clear(got, id); err != nil {
+	if err = c.checkStatus(resp, id); err != nil {
 		return nil, err
 	}
 	page := &Page{}
-	if err = json.Unmarshal(got.body, page); err != nil {
-		return nil, ErrCorruptResponse.Wrap(err, "page of lot "+id)
+	if err = json.Unmarshal(resp.body, page); err != nil {
+		return nil, ErrCorruptResponse.Wrap(err, "decode page of job "+id)
 	}
 	if page.Next != cursor+len(page.Outputs) || page.Next > page.Sum {
-		return nil, ErrCorruptResponse.New("page of lot " + id + " does not add up")
+		return nil, ErrCorruptResponse.New("page of job " + id + " has a next-token that does not match its outputs and sum")
 	}
 	return page, nil
 }
 
-// End ends a job; calls may be repeated.
-func (c *Client) End(until contexts.Context, id string) error {
-	got, err := c.call(until, http.MethodDelete, "/-/lots/"+url.PathEscape(id), nil, nil, constants.JobCallTimeout)
+// End ends a job. The call may be repeated.
+func (c *Client) End(ctx contexts.Context, id string) error {
+	resp, err := c.call(ctx, http.MethodDelete, "/-/lots/"+url.PathEscape(id), nil, nil, constants.JobCallTimeout)
 	if err != nil {
 		return err
 	}
-	return c.clear(got, id)
+	return c.checkStatus(resp, id)
 }
 
-// Body gives the body of an item that is not listed yet.
-func (c *Client) Body(until contexts.Context, id, item string) ([]byte, error) {
-	got, err := c.call(until, http.MethodGet, "/-/items/"+url.PathEscape(id)+"?id="+url.QueryEscape(item), nil, nil, constants.JobCallTimeout)
+// Body returns the request body of an item that is not listed yet.
+func (c *Client) Body(ctx contexts.Context, id, item string) ([]byte, error) {
+	resp, err := c.call(ctx, http.MethodGet, "/-/items/"+url.PathEscape(id)+"?id="+url.QueryEscape(item), nil, nil, constants.JobCallTimeout)
 	if err != nil {
 		return nil, err
 	}
-	return got.body, c.clear(got, id)
+	return resp.body, c.checkStatus(resp, id)
 }
 
-func (c *Client) clear(got answer, id string) error {
+// checkStatus returns the error that the status of a response stands for, or nil for 200.
+func (c *Client) checkStatus(resp response, id string) error {
 	switch {
-	case got.status == http.StatusOK:
+	case resp.status == http.StatusOK:
 		return nil
-	case got.status >= 500 || got.status == http.StatusTooManyRequests || got.status == http.StatusRequestTimeout:
-		return ErrOutcomeUnknown.New(strconv.Itoa(got.status))
-	case got.status == http.StatusNotFound:
-		return ErrInvalidCall.New("no lot " + id + " (404)")
+	case resp.status >= 500 || resp.status == http.StatusTooManyRequests || resp.status == http.StatusRequestTimeout:
+		return ErrOutcomeUnknown.New(strconv.Itoa(resp.status))
+	case resp.status == http.StatusNotFound:
+		return ErrInvalidCall.New("no job " + id + " (404)")
 	}
-	return ErrInvalidCall.New(strconv.Itoa(got.status) + " " + string(got.body))
+	return ErrInvalidCall.New(strconv.Itoa(resp.status) + " " + string(resp.body))
 }
 
-// Again tells whether a call may be made again.
+// Again reports whether a call that failed with err may be retried.
 func Again(err error) bool { return errs.Is(err, ErrOutcomeUnknown) }
 
-// Follow reads a job to its end and hands each page on; from is the first position.
-func (c *Client) Follow(until contexts.Context, id string, from int, each func(page *Page) error) error {
+// Follow reads a job from the position from to its end and calls handle with each page.
+func (c *Client) Follow(ctx contexts.Context, id string, from int, handle func(page *Page) error) error {
 	for cursor := from; ; {
-		page, err := c.Read(until, id, cursor, time.Second)
+		page, err := c.Read(ctx, id, cursor, time.Second)
 		if err != nil {
-			if !Again(err) || until.Err() != nil {
+			if !Again(err) || ctx.Err() != nil {
 				return err
 			}
-			c.pause(constants.LoadPollBackoff)
+			c.wait(constants.LoadPollBackoff)
 			continue
 		}
-		if err = each(page); err != nil {
+		if err = handle(page); err != nil {
 			return err
 		}
 		if cursor = page.Next; cursor >= page.Sum {
 			return nil
 		}
-		if until.Err() != nil {
-			return ErrOutcomeUnknown.Wrap(until.Err(), "lot "+id+" is not finished")
+		if ctx.Err() != nil {
+			return ErrOutcomeUnknown.Wrap(ctx.Err(), "job "+id+" is not finished")
 		}
 	}
 }
--- a/internal/batch/jobclient/jobclient_test.go
+++ b/internal/batch/jobclient/jobclient_test.go
@@ -13,7 +13,8 @@
 	"lemonarch/internal/platform/errs"
 )
 
-// script answers calls one after the other, without sockets.
+// script is an http.RoundTripper that plays its steps in order, without sockets. A step that
+// returns status 0 stands for a broken connection.
 type script struct {
 	test  *testing.T
 	steps []func(request *http.Request, body []byte) (int, string)
@@ -24,7 +25,7 @@
 func (s *script) RoundTrip(request *http.Request) (*http.Response, error) {
 	body, _ := io.ReadAll(request.Body)
 	if s.calls >= len(s.steps) {
-		s.test.Fatal("one call too many", request.Method, request.URL)
+		s.test.Fatal("call after the last step of the script", request.Method, request.URL)
 	}
 	step := s.steps[s.calls]
 	s.calls++
@@ -39,57 +40,58 @@
 	return recorder.Result(), nil
 }
 
-func says(status int, text string) func(*http.Request, []byte) (int, string) {
+func respondWith(status int, text string) func(*http.Request, []byte) (int, string) {
 	return func(*http.Request, []byte) (int, string) { return status, text }
 }
 
 func client(t *testing.T, outcomes ...func(*http.Request, []byte) (int, string)) (*Client, *script) {
 	t.Helper()
 
-	play := &script{test: t, steps: outcomes}
-	return &Client{Edges: []string{"a:1", "b:1"}, Host: "h", Transport: play, Backoff: func(clock.Duration) {}}, play
+	transport := &script{test: t, steps: outcomes}
+	return &Client{Edges: []string{"a:1", "b:1"}, Host: "h", Transport: transport, Backoff: func(clock.Duration) {}}, transport
 }
 
 var oneItem = Job{Requests: []Item{{ID: "i", Path: "/batch/1", Body: []byte{1, 2, 250}, Tokens: 3}}}
 
-// After an unclear answer the same job goes to another node, unchanged.
+// After an inconclusive response the same job is sent to another gateway, unchanged.
 func TestSubmitRetriesElsewhere(t *testing.T) {
 	var first []byte
-	c, play := client(t,
+	c, transport := client(t,
 		func(_ *http.Request, body []byte) (int, string) { first = body; return 0, "" },
-		says(503, ""),
+		respondWith(503, ""),
 		func(request *http.Request, body []byte) (int, string) {
 			var job Job
 			if string(body) != string(first) || json.Unmarshal(body, &job) != nil || string(job.Requests[0].Body) != "\x01\x02\xfa" ||
 				request.Host != "h" || request.Header.Get("Lemonarch-Attempt-Id") != "lot" {
-				t.Error("not the same lot", string(body))
+				t.Error("the second attempt sent another job", string(body))
 			}
 			return 202, ""
 		})
 	attempts, err := c.Submit(contexts.Background(), "lot", "/batch/x", oneItem)
-	if err != nil || attempts != 3 || play.hosts[0] == play.hosts[1] || play.hosts[1] == play.hosts[2] {
-		t.Fatal(attempts, err, play.hosts)
+	if err != nil || attempts != 3 || transport.hosts[0] == transport.hosts[1] || transport.hosts[1] == transport.hosts[2] {
+		t.Fatal(attempts, err, transport.hosts)
 	}
 }
 
-// Refused means that every try was refused: one unclear answer forbids to say so.
-func TestRejectedOnlyWhereEveryAttemptWas(t *testing.T) {
-	for _, unclear := range []bool{false, true} {
-		until, halt := contexts.WithCancel(contexts.Background())
+// Submit returns ErrRejected only if every attempt was rejected. After one inconclusive attempt
+// the job may have been accepted.
+func TestSubmitRejectedOnlyIfEveryAttemptWas(t *testing.T) {
+	for _, inconclusive := range []bool{false, true} {
+		ctx, cancel := contexts.WithCancel(contexts.Background())
 		status := 429
-		if unclear {
+		if inconclusive {
 			status = 504
 		}
-		c, _ := client(t, says(status, ""), func(*http.Request, []byte) (int, string) { halt(); return 429, "" })
-		_, err := c.Submit(until, "lot", "/batch/x", oneItem)
-		if errs.Is(err, ErrRejected) == unclear || errs.Is(err, ErrOutcomeUnknown) != unclear {
-			t.Fatal(unclear, err)
+		c, _ := client(t, respondWith(status, ""), func(*http.Request, []byte) (int, string) { cancel(); return 429, "" })
+		_, err := c.Submit(ctx, "lot", "/batch/x", oneItem)
+		if errs.Is(err, ErrRejected) == inconclusive || errs.Is(err, ErrOutcomeUnknown) != inconclusive {
+			t.Fatal(inconclusive, err)
 		}
 	}
 }
 
-func TestWhatIsWrongIsNotSentAgain(t *testing.T) {
-	c, _ := client(t, says(400, "no"))
+func TestInvalidCallIsNotRetried(t *testing.T) {
+	c, _ := client(t, respondWith(400, "no"))
 	if _, err := c.Submit(contexts.Background(), "lot", "/x", oneItem); !errs.Is(err, ErrInvalidCall) {
 		t.Fatal(err)
 	}
@@ -100,24 +102,24 @@
 
 func TestFollowReadsToTheEnd(t *testing.T) {
 	c, _ := client(t,
-		says(200, `{"sum":2,"next-token":1,"outputs":[{"id":"i","phase":"settled","text":"x"}]}`),
-		says(503, ""),
-		says(200, `{"sum":2,"next-token":1,"outputs":[]}`),
-		says(200, `{"sum":2,"next-token":2,"outputs":[{"id":"j","phase":"abandoned","text":""}]}`))
-	var seen []string
+		respondWith(200, `{"sum":2,"next-token":1,"outputs":[{"id":"i","phase":"settled","text":"x"}]}`),
+		respondWith(503, ""),
+		respondWith(200, `{"sum":2,"next-token":1,"outputs":[]}`),
+		respondWith(200, `{"sum":2,"next-token":2,"outputs":[{"id":"j","phase":"abandoned","text":""}]}`))
+	var phases []string
 	err := c.Follow(contexts.Background(), "lot", 0, func(page *Page) error {
 		for _, output := range page.Outputs {
-			seen = append(seen, output.ID+output.Phase)
+			phases = append(phases, output.ID+output.Phase)
 		}
 		return nil
 	})
-	if err != nil || len(seen) != 2 || seen[1] != "jabandoned" {
-		t.Fatal(err, seen)
+	if err != nil || len(phases) != 2 || phases[1] != "jabandoned" {
+		t.Fatal(err, phases)
 	}
 }
 
-func TestPageThatDoesNotAddUp(t *testing.T) {
-	c, _ := client(t, says(200, `{"sum":2,"next-token":2,"outputs":[{"id":"i","phase":"settled","text":"x"}]}`), says(404, ""))
+func TestReadRejectsInconsistentPage(t *testing.T) {
+	c, _ := client(t, respondWith(200, `{"sum":2,"next-token":2,"outputs":[{"id":"i","phase":"settled","text":"x"}]}`), respondWith(404, ""))
 	if _, err := c.Read(contexts.Background(), "lot", 0, time.Second); !errs.Is(err, ErrCorruptResponse) {
 		t.Fatal(err)
 	}
--- a/internal/batch/jobroute/jobroute.go
+++ b/internal/batch/jobroute/jobroute.go
@@ -1,5 +1,4 @@
-// Package jobroute finds the batch route of the newest configuration that a job or an item
-// belongs to.
+// Package jobroute finds the batch route of a job or an item in the newest configuration.
 package jobroute
 
 import (
@@ -8,8 +7,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Of gives the batch route that a job belongs to by where it was submitted; nil when the
-// configuration has none any more, or config is nil.
+// Of returns the batch route of a job by the host and path to which it was submitted. It
+// returns nil if the configuration no longer has such a route, or if config is nil.
 func Of(config *routeconfig.Config, host, path string) *routeconfig.Route {
 	if config == nil {
 		return nil
@@ -21,7 +20,7 @@
 	return route
 }
 
-// OfItem gives the batch route of an item, or else that of its job.
+// OfItem returns the batch route of an item's own path, or that of its job if there is none.
 func OfItem(config *routeconfig.Config, item *dispatch.Item) *routeconfig.Route {
 	if own := Of(config, item.Job.Host, item.Path); own != nil {
 		return own
--- a/internal/batch/outputcodec/outputcodec.go
+++ b/internal/batch/outputcodec/outputcodec.go
@@ -1,6 +1,7 @@
-// Package outputcodec compresses the output of an item where it was run: it goes over the
-// leader's link once to the leader and once from it to each store, and between zones. What
-// does not get smaller stays as it is; a flag beside it says which.
+// Package outputcodec compresses the output of an item at the node that ran it, because the
+// output crosses the leader's link once to the leader and once more to each store, and also
+// crosses zones. An output that compression does not shrink is kept unchanged; a flag stored
+// beside it says whether it is compressed.
 package outputcodec
 
 import (
@@ -13,18 +14,20 @@
 	"lemonarch/internal/platform/errs"
 )
 
-// ErrCorrupt is the error of an output whose text can't be unpacked.
-var ErrCorrupt = errs.Define("output text")
+// ErrCorrupt is returned for an output that cannot be decompressed.
+var ErrCorrupt = errs.Define("corrupt output")
 
-// compressor is used by one run at a time: a writer holds buffers of its own.
+// compressor is shared by all runs and used by one at a time, because each flate.Writer has
+// buffers of its own.
 var compressor struct {
 	sync.Mutex
 	writer *flate.Writer
 }
 
-// Compress compresses an output where its run ended: its text goes over the leader's link
-// once to it and once from it to each store, and between zones. Symbols alone are
-// weighed, which costs little of a small processor. What gets no smaller stays as it is.
+// Compress compresses an output when its run has ended. It uses Huffman coding only, without
+// matching of repeated strings, because that takes little time even on a small processor. It
+// returns the output unchanged, and false, if the output is shorter than
+// constants.CompressMinBytes or does not get smaller.
 func Compress(output []byte) (body []byte, compressed bool) {
 	if len(output) < constants.CompressMinBytes {
 		return output, false
@@ -46,11 +49,11 @@
 	return out.Bytes(), true
 }
 
-// Decompress gives the text of an output back.
+// Decompress returns the original output.
 func Decompress(body []byte, compressed bool) ([]byte, error) {
 	if !compressed {
 		return body, nil
 	}
 	output, err := io.ReadAll(flate.NewReader(bytes.NewReader(body)))
-	return output, ErrCorrupt.Wrap(err, "unpack")
+	return output, ErrCorrupt.Wrap(err, "decompress")
 }
--- a/internal/batch/store/copy_test.go
+++ b/internal/batch/store/copy_test.go
@@ -18,7 +18,7 @@
 		fleet.work()
 	}
 	leaseholder := fleet.leaderStore()
-	current := leaseholder.current()
+	current := leaseholder.currentTerm()
 	joiner := fleet.outside()
 	appended := 0
 	fleet.network.OnFrame(func(frame transport.ObservedFrame) {
--- a/internal/batch/store/executor_test.go
+++ b/internal/batch/store/executor_test.go
@@ -96,7 +96,7 @@
 	end := clock.Now().Add(clock.Milliseconds(15_000))
 	for len(found) < sum && clock.Now() < end {
 		page := outputsPage{}
-		if err := json.Unmarshal(server.current().Serve(&messages.JobCallRequest{Method: http.MethodGet, Job: jobID, Cursor: len(found), WaitMs: 1000}).Body, &page); err != nil {
+		if err := json.Unmarshal(server.currentTerm().Serve(&messages.JobCallRequest{Method: http.MethodGet, Job: jobID, Cursor: len(found), WaitMs: 1000}).Body, &page); err != nil {
 			t.Fatal(err)
 		}
 		for _, line := range page.Outputs {
@@ -116,7 +116,7 @@
 // RELEASE with the events so far, a 500 one that counts, a 422 a REJECT.
 func TestExecutorDerivesAcknowledgements(t *testing.T) {
 	server, worker := driven(t, 11)
-	if resp := server.current().Serve(jobCallOf("mixed", 5)); resp.Status != 202 {
+	if resp := server.currentTerm().Serve(jobCallOf("mixed", 5)); resp.Status != 202 {
 		t.Fatal(resp.Status)
 	}
 	for id, line := range outputs(t, server, "mixed", 5) {
@@ -137,7 +137,7 @@
 // The end of a job breaks its runs off at once, and none begins again.
 func TestEndOfAJobStopsRuns(t *testing.T) {
 	server, worker := driven(t, 12)
-	if resp := server.current().Serve(jobCallOf("stuck", 3)); resp.Status != 202 {
+	if resp := server.currentTerm().Serve(jobCallOf("stuck", 3)); resp.Status != 202 {
 		t.Fatal(resp.Status)
 	}
 	start := map[string]bool{}
@@ -149,7 +149,7 @@
 			t.Fatal("not all were begun: ", start)
 		}
 	}
-	if resp := server.current().Serve(&messages.JobCallRequest{Method: http.MethodDelete, Job: "stuck"}); resp.Status != 200 {
+	if resp := server.currentTerm().Serve(&messages.JobCallRequest{Method: http.MethodDelete, Job: "stuck"}); resp.Status != 200 {
 		t.Fatal(resp.Status)
 	}
 	for count := 0; count < 3; count++ {
@@ -160,7 +160,7 @@
 		}
 	}
 	// The next job is run to its end meanwhile; nothing of the ended one is.
-	if resp := server.current().Serve(jobCallOf("next", 2)); resp.Status != 202 {
+	if resp := server.currentTerm().Serve(jobCallOf("next", 2)); resp.Status != 202 {
 		t.Fatal(resp.Status)
 	}
 	outputs(t, server, "next", 2)
--- a/internal/batch/store/fleet_test.go
+++ b/internal/batch/store/fleet_test.go
@@ -83,7 +83,7 @@
 		Seeds: []string{"10.0.0.99:80"}, HeartbeatMs: 1200, FaultBudget: settings.FaultBudget{Machines: r.budget}, Tolerances: settings.Tolerances{StatusS: 120, CancelMs: 3000}}
 	runtime := agent.New(nodeSettings, membership.RoleStore, constants.PortStore, store.Disk(), hclog.NewNullLogger())
 	runtime.Transport = r.network.Transport(runtime.Self.Address)
-	server := wire(runtime, store)
+	server := newServer(runtime, store)
 	server.registerHandlers()
 	server.registerReports()
 	runtime.ApplyConfig([]byte(quotaConfig))
@@ -97,7 +97,7 @@
 }
 
 func (r *storeFleet) stop(server *Server) {
-	if current := server.current(); current != nil {
+	if current := server.currentTerm(); current != nil {
 		current.Close("stopped")
 	}
 	server.Node.Shutdown()
@@ -157,7 +157,7 @@
 	var found *Server
 	r.until("a holder", func() bool {
 		for _, server := range r.all() {
-			if current := server.current(); current != nil && server.election.HoldsLease() && current.Serving() {
+			if current := server.currentTerm(); current != nil && server.election.HoldsLease() && current.Serving() {
 				found = server
 			}
 		}
@@ -180,7 +180,7 @@
 	for _, element := range r.taken {
 		r.call(&messages.JobCallRequest{Method: "GET", Job: element}, 200)
 	}
-	current := r.leaderStore().current()
+	current := r.leaderStore().currentTerm()
 	if current == nil {
 		return
 	}
--- a/internal/batch/store/forwarder.go
+++ b/internal/batch/store/forwarder.go
@@ -9,25 +9,25 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// forwarder passes records on to other stores, in their order, and tells the leader what each
-// of them answered. It is safe for concurrent use.
+// forwarder sends a leader's append requests on to other stores, in order for each store, and
+// reports the response of each store to the leader. It is safe for concurrent use.
 type forwarder struct {
 	transport func() transport.Transport
 	stop      <-chan struct{}
 
 	lock sync.Mutex
-	// queues are the orders that wait, by the address they go to. Each has a goroutine that
-	// ends once it was idle for constants.SuspectAfter.
+	// queues contains the pending requests by target address. Each queue has a goroutine that
+	// ends once it has been idle for constants.SuspectAfter.
 	queues map[string]chan *messages.AppendRequest
 }
 
-func newForwarder(wire func() transport.Transport, stop <-chan struct{}) *forwarder {
-	return &forwarder{transport: wire, stop: stop, queues: map[string]chan *messages.AppendRequest{}}
+func newForwarder(currentTransport func() transport.Transport, stop <-chan struct{}) *forwarder {
+	return &forwarder{transport: currentTransport, stop: stop, queues: map[string]chan *messages.AppendRequest{}}
 }
 
-// pass queues an order for the store that it names; an order that finds the queue full is
-// dropped.
-func (f *forwarder) pass(req *messages.AppendRequest) {
+// enqueue queues a request for the store that it names. The request is dropped if the queue is
+// full.
+func (f *forwarder) enqueue(req *messages.AppendRequest) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	queue := f.queues[req.Forward.Address]
@@ -42,7 +42,7 @@
 	}
 }
 
-// run makes the calls of one queue.
+// run sends the requests of one queue, one at a time.
 func (f *forwarder) run(address string, queue chan *messages.AppendRequest) {
 	for {
 		select {
@@ -62,16 +62,16 @@
 	}
 }
 
-// forward makes one call and reports its outcome; without an answer there is nothing to
-// report, and the leader sees to it itself.
+// forward sends one request and reports the response to the leader. If the target does not
+// respond, nothing is reported, and the leader sends the records itself.
 func (f *forwarder) forward(req *messages.AppendRequest) {
 	target := req.Forward
-	onward := *req
-	onward.Disk, onward.Forward = target.Disk, nil
+	targetReq := *req
+	targetReq.Disk, targetReq.Forward = target.Disk, nil
 	forwarded := &messages.AppendForwarded{Epoch: req.Epoch, Address: target.Address, Disk: target.Disk}
-	wire := f.transport()
-	if transport.Call(wire, target.Address, messages.KindAppend, &onward, &forwarded.Response, constants.CallTimeout) != nil {
+	sender := f.transport()
+	if transport.Call(sender, target.Address, messages.KindAppend, &targetReq, &forwarded.Response, constants.CallTimeout) != nil {
 		return
 	}
-	_ = transport.Notify(wire, target.ReportTo, messages.KindAppendForwarded, forwarded)
+	_ = transport.Notify(sender, target.ReportTo, messages.KindAppendForwarded, forwarded)
 }
--- a/internal/batch/store/forwarder_test.go
+++ b/internal/batch/store/forwarder_test.go
@@ -84,7 +84,7 @@
 	wire := network.Transport("own")
 	f := newForwarder(func() transport.Transport { return wire }, stop)
 	for i := int64(0); i < 10*constants.ForwardQueue; i++ {
-		f.pass(&messages.AppendRequest{Epoch: 3, Disk: "own", PreviousIndex: i,
+		f.enqueue(&messages.AppendRequest{Epoch: 3, Disk: "own", PreviousIndex: i,
 			Forward: &messages.AppendForward{Address: "slow", Disk: "target", ReportTo: "leader"}})
 	}
 	close(release)
--- a/internal/batch/store/handlers.go
+++ b/internal/batch/store/handlers.go
@@ -11,7 +11,7 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// registerHandlers registers the requests of other processes.
+// registerHandlers registers the handlers of requests from other processes.
 func (s *Server) registerHandlers() {
 	runtime := s.Node.Runtime
 	process.Handle(runtime, messages.KindFence, s.handleFence)
@@ -26,7 +26,7 @@
 	process.Handle(runtime, messages.KindStopJob, s.handleStopJob)
 }
 
-// handleFence has this store refuse the orders of earlier epochs.
+// handleFence makes this store reject requests of earlier epochs.
 func (s *Server) handleFence(req *messages.FenceRequest) (*messages.FenceResponse, error) {
 	resp, err := s.Log.Fence(req)
 	if err != nil {
@@ -36,30 +36,31 @@
 	return &resp, nil
 }
 
-// handleAppend takes a leader's records.
+// handleAppend appends a leader's records to the log.
 func (s *Server) handleAppend(req *messages.AppendRequest) (*messages.AppendResponse, error) {
 	s.election.ObserveEpoch(req.Epoch)
 	if req.Forward != nil {
-		// Passed on before it is written here: neither waits for the other's disk.
-		s.forward.pass(req)
+		// Forwarded before the local write, so that neither store waits for the other's disk.
+		s.forwarder.enqueue(req)
 	}
 	resp, err := s.Log.Append(req)
 	if err != nil {
-		s.Node.Log.Error("records not appended", "err", err.Error())
+		s.Node.Log.Error("failed to append records", "err", err.Error())
 		return nil, err
 	}
 	return &resp, nil
 }
 
-// handleAppendForwarded takes what a store answered to records that another passed on to it.
+// handleAppendForwarded processes a store's response to records that another store forwarded
+// to it.
 func (s *Server) handleAppendForwarded(forwarded *messages.AppendForwarded) (*messages.Ack, error) {
-	if current := s.current(); current != nil {
-		current.HandleForwarded(forwarded)
+	if term := s.currentTerm(); term != nil {
+		term.HandleForwarded(forwarded)
 	}
 	return &messages.Ack{Accepted: true}, nil
 }
 
-// handleCopy fetches one range of records from another store and keeps it.
+// handleCopy fetches one range of records from another store and appends it to the log.
 func (s *Server) handleCopy(req *messages.CopyRequest) (*messages.AppendResponse, error) {
 	s.election.ObserveEpoch(req.Epoch)
 	fetched := &messages.FetchResponse{}
@@ -68,7 +69,8 @@
 		return nil, err
 	}
 	records := fetched.Records
-	// What the source has compacted is committed, also behind what was asked for.
+	// Records that the source has compacted are committed, so they are kept even past the
+	// requested range.
 	last := max(req.Last, fetched.Base)
 	for len(records) > 0 && records[len(records)-1].Index > last {
 		records = records[:len(records)-1]
@@ -84,21 +86,22 @@
 	return &resp, nil
 }
 
-// handleJobCall answers a client's call on a job that a gateway forwarded.
+// handleJobCall responds to a client's call on a job, forwarded by a gateway.
 func (s *Server) handleJobCall(call *messages.JobCallRequest) (*messages.JobCallResponse, error) {
-	if !s.firstCopy(call, clock.Now()) {
-		// The first copy is answered, or will be; a second might end otherwise.
+	if !s.isFirstCopy(call, clock.Now()) {
+		// The first copy gets the response; a second execution might have another outcome.
 		return leader.OutcomeUnknown(), nil
 	}
-	current := s.current()
-	if current == nil {
+	term := s.currentTerm()
+	if term == nil {
 		return s.notLeader(), nil
 	}
-	resp := current.Serve(call)
-	if s.election.HoldsLease() && !current.Closed() {
+	resp := term.Serve(call)
+	if s.election.HoldsLease() && !term.Closed() {
 		return resp, nil
 	}
-	// A lease that expired meanwhile makes what this process knows old: nothing of it is told.
+	// The lease expired or the term ended meanwhile, so this process's state may be stale and
+	// must not be returned.
 	if call.Method != http.MethodPost {
 		return s.notLeader(), nil
 	}
@@ -108,16 +111,17 @@
 	return resp, nil
 }
 
-// firstCopy tells whether a call comes for the first time, and turns the time to live that
-// it brought into an instant of this process's own clock.
-func (s *Server) firstCopy(call *messages.JobCallRequest, now clock.Instant) bool {
+// isFirstCopy reports whether a call arrives for the first time. It also converts the call's
+// time to live into an instant of this process's clock.
+func (s *Server) isFirstCopy(call *messages.JobCallRequest, now clock.Instant) bool {
 	if call.TTLMs > 0 {
 		call.ExpiresAt = int64(now.Add(clock.Milliseconds(float64(call.TTLMs))))
 	}
 	return s.deduplicator.First(call.RequestID, now)
 }
 
-// notLeader is the answer where this process does not lead; it names the leader, if known.
+// notLeader returns the response of a process that does not lead. It names the leader, if
+// known.
 func (s *Server) notLeader() *messages.JobCallResponse {
 	return &messages.JobCallResponse{NotLeader: true, Leader: s.election.OtherLeader()}
 }
@@ -130,30 +134,32 @@
 	return s.Acknowledge(req), nil
 }
 
-// handleStopJob breaks off what runs here of a job that has ended.
+// handleStopJob stops this process's runs of a job that has ended.
 func (s *Server) handleStopJob(req *messages.StopJobRequest) (*messages.Ack, error) {
 	s.executor.StopJob(req.Job)
 	return &messages.Ack{Accepted: true}, nil
 }
 
-// Acquire hands items to an executor where this process leads.
+// Acquire assigns items to an executor. If this process does not lead, the response names the
+// leader, if known.
 func (s *Server) Acquire(req *messages.AcquireRequest) *messages.AcquireResponse {
-	if current := s.current(); current != nil {
-		return current.Acquire(req)
+	if term := s.currentTerm(); term != nil {
+		return term.Acquire(req)
 	}
 	return &messages.AcquireResponse{NotLeader: true, Leader: s.election.OtherLeader()}
 }
 
-// Acknowledge takes an executor's acknowledgements where this process leads.
+// Acknowledge processes an executor's acknowledgements. If this process does not lead, the
+// response names the leader, if known.
 func (s *Server) Acknowledge(req *messages.AcknowledgeRequest) *messages.AcknowledgeResponse {
-	if current := s.current(); current != nil {
-		return current.Acknowledge(req)
+	if term := s.currentTerm(); term != nil {
+		return term.Acknowledge(req)
 	}
 	return &messages.AcknowledgeResponse{NotLeader: true, Leader: s.election.OtherLeader()}
 }
 
-// LeaderAddress is the address of the leader, or nothing.
+// LeaderAddress returns the address of the leader, or "" if it is unknown.
 func (s *Server) LeaderAddress() string { return s.election.LeaderAddress() }
 
-// LeaderEpoch is the epoch of the leader, as far as this process knows.
+// LeaderEpoch returns the epoch of the leader that this process knows.
 func (s *Server) LeaderEpoch() uint64 { return s.election.LeaderEpoch() }
--- a/internal/batch/store/helpers_test.go
+++ b/internal/batch/store/helpers_test.go
@@ -61,7 +61,7 @@
 	nodeSettings := &settings.Settings{NodeName: "m", Address: "10.0.0.1", InternalPorts: []int{1, 9}, HeartbeatMs: 1200}
 	node := agent.New(nodeSettings, "store", 2, log.Disk(), hclog.NewNullLogger())
 	node.Transport = transport.NewMemoryNetwork().Transport("m")
-	server := wire(node, log)
+	server := newServer(node, log)
 	node.ApplyConfig([]byte(quotaConfig))
 	server.election = &appointed{Campaign: leadership.New(node, nil), self: node.Self.Address}
 	appoint(t, server, 1)
@@ -87,11 +87,11 @@
 // known tells whether the leader knows a job.
 func known(t *testing.T, server *Server, jobID string) bool {
 	t.Helper()
-	return server.current().Serve(&messages.JobCallRequest{Method: http.MethodGet, Job: jobID}).Status != http.StatusNotFound
+	return server.currentTerm().Serve(&messages.JobCallRequest{Method: http.MethodGet, Job: jobID}).Status != http.StatusNotFound
 }
 
 // jobCount is how many jobs the leader knows.
-func jobCount(server *Server) int { return len(server.current().ReportJobs().Rows) }
+func jobCount(server *Server) int { return len(server.currentTerm().ReportJobs().Rows) }
 
 func jobCallOf(id string, items int) *messages.JobCallRequest {
 	body := `{"requests":[`
--- a/internal/batch/store/promise_test.go
+++ b/internal/batch/store/promise_test.go
@@ -56,7 +56,7 @@
 		t.Fatal(resp.Status)
 	}
 	// Sent on by one that held nothing, then met by the same process as the leader.
-	server.current().Close("another takes over")
+	server.currentTerm().Close("another takes over")
 	moved := jobCallOf("moved", 2)
 	moved.RequestID = "f#4"
 	if resp := put(t, server, moved); !resp.NotLeader {
@@ -103,7 +103,7 @@
 // The time to live that a frame carries is counted from its arrival.
 func TestTimeToLiveCountsFromTheArrival(t *testing.T) {
 	call, now := &messages.JobCallRequest{TTLMs: 60_000}, clock.Instant(7)
-	soleLeader(t, simulation.NewDisk(6)).firstCopy(call, now)
+	soleLeader(t, simulation.NewDisk(6)).isFirstCopy(call, now)
 	if leader.Expired(call, now.Add(clock.Milliseconds(59_999))) || !leader.Expired(call, now.Add(clock.Milliseconds(60_000))) {
 		t.Fatal(call.ExpiresAt)
 	}
--- a/internal/batch/store/recovery_test.go
+++ b/internal/batch/store/recovery_test.go
@@ -22,7 +22,7 @@
 func (f *recoveryFleet) call(client *transport.Memory, call *messages.JobCallRequest) int {
 	status := 0
 	for _, server := range f.all() {
-		if server.current() == nil {
+		if server.currentTerm() == nil {
 			continue
 		}
 		resp := &messages.JobCallResponse{}
@@ -109,7 +109,7 @@
 		f.t.Error("nobody leads")
 		return
 	}
-	counted, named := leading.current().Members(), f.storeSet()
+	counted, named := leading.currentTerm().Members(), f.storeSet()
 	same := len(counted) == len(named)
 	for _, member := range counted {
 		same = same && slices.ContainsFunc(named, func(other messages.Member) bool { return register.Identity(other) == register.Identity(member) })
--- a/internal/batch/store/recoveryfleet_test.go
+++ b/internal/batch/store/recoveryfleet_test.go
@@ -115,7 +115,7 @@
 	log := hclog.New(&hclog.LoggerOptions{Output: f, DisableTime: true, Name: name, Level: hclog.Info})
 	runtime := agent.New(nodeSettings, membership.RoleStore, constants.PortStore, store.Disk(), log)
 	runtime.Transport = poweredTransport{f.network.Transport(runtime.Self.Address), f, current, runtime.Self.Address}
-	server := wire(runtime, store)
+	server := newServer(runtime, store)
 	server.registerHandlers()
 	server.registerReports()
 	runtime.ApplyConfig([]byte(roomyConfig))
@@ -140,7 +140,7 @@
 	f.lock.Unlock()
 	if server != nil {
 		server.power.lost.Store(true)
-		if current := server.current(); current != nil {
+		if current := server.currentTerm(); current != nil {
 			current.Close("power is lost")
 		}
 		server.Node.Shutdown()
@@ -184,7 +184,7 @@
 // leading gives the process that serves as the leader, or nil.
 func (f *recoveryFleet) leading() *poweredServer {
 	for _, server := range f.all() {
-		if current := server.current(); current != nil && server.election.HoldsLease() && current.Serving() {
+		if current := server.currentTerm(); current != nil && server.election.HoldsLease() && current.Serving() {
 			return server
 		}
 	}
--- a/internal/batch/store/report.go
+++ b/internal/batch/store/report.go
@@ -7,7 +7,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// registerReports registers what a store answers to the status queries of the shell.
+// registerReports registers a store's responses to the status queries of the shell.
 func (s *Server) registerReports() {
 	s.Node.Report(messages.QueryLeadership, s.reportLeadership)
 	s.Node.Report(messages.QueryJobs, s.reportJobs)
@@ -15,12 +15,12 @@
 	s.Node.Report("stores", s.reportStores)
 }
 
-// reportLeadership tells who leads, as far as this process knows.
+// reportLeadership reports the leader that this process knows, and its epoch.
 func (s *Server) reportLeadership() *messages.StatusResponse {
 	known, state := s.election.Announced(), "follows"
-	if current := s.current(); current != nil {
-		known, state = current.Leadership(), "takes over"
-		if current.Serving() {
+	if term := s.currentTerm(); term != nil {
+		known, state = term.Leadership(), "takes over"
+		if term.Serving() {
 			state = "holds"
 		}
 	}
@@ -28,22 +28,22 @@
 		Rows: [][]string{{"lots", state, strconv.FormatUint(known.Epoch, 10), known.Holder}}}
 }
 
-// reportJobs lists the jobs, where this process leads.
+// reportJobs lists the jobs if this process leads; otherwise the list is empty.
 func (s *Server) reportJobs() *messages.StatusResponse {
-	if current := s.current(); current != nil {
-		return current.ReportJobs()
+	if term := s.currentTerm(); term != nil {
+		return term.ReportJobs()
 	}
 	return leader.JobsReport()
 }
 
-// reportStores tells how far this process's log reaches, and where it leads those of the
-// other members.
+// reportStores reports the last index of this process's log and, if this process leads, those
+// of the other members.
 func (s *Server) reportStores() *messages.StatusResponse {
 	last := strconv.FormatInt(s.Log.Extent().Last, 10)
 	status := &messages.StatusResponse{Columns: []string{"store", "disk", "records", "missing", "state"},
 		Rows: [][]string{{s.Node.Self.Name, s.Log.Disk(), last, "", "own copy"}}}
-	if current := s.current(); current != nil {
-		status.Rows = append(status.Rows, current.ReportStores()...)
+	if term := s.currentTerm(); term != nil {
+		status.Rows = append(status.Rows, term.ReportStores()...)
 	}
 	return status
 }
--- a/internal/batch/store/server.go
+++ b/internal/batch/store/server.go
@@ -1,6 +1,6 @@
-// Package store is the storage process: it wires the durable log of records, the election of
-// the leader, the leader's term where this process has it, and the running of items. Who
-// owns which state stands in docs/architecture.md.
+// Package store implements the storage process. It connects the durable log of records, the
+// leader election, the leader's term while this process leads, and the execution of items.
+// docs/architecture.md describes which package owns which state.
 package store
 
 import (
@@ -46,17 +46,17 @@
 	Gossip *loadgossip.Gossip
 	Log    *replicalog.Log
 
-	election election
-	executor *executorserver.Server
-	forward  *forwarder
-	// deduplicator knows the calls that have come, so that a second copy of one is seen.
+	election  election
+	executor  *executorserver.Server
+	forwarder *forwarder
+	// deduplicator remembers the calls received, to detect a second copy of a call.
 	deduplicator transport.Deduplicator
 }
 
-// New opens the disk and prepares the process.
+// New opens the log in the data directory and creates the process.
 func New(nodeSettings *settings.Settings, log hclog.Logger) (*Server, error) {
 	if err := os.MkdirAll(nodeSettings.DataDir, 0o755); err != nil {
-		return nil, replicalog.ErrCorrupt.Wrap(err, "data-dir")
+		return nil, replicalog.ErrCorrupt.Wrap(err, "create data-dir")
 	}
 	var identity [8]byte
 	// Read never fails (crypto/rand).
@@ -66,31 +66,31 @@
 		return nil, err
 	}
 	node := agent.New(nodeSettings, membership.RoleStore, constants.PortStore, replica.Disk(), log)
-	s := wire(node, replica)
+	s := newServer(node, replica)
 	s.registerHandlers()
 	s.registerReports()
 	return s, nil
 }
 
-// wire makes the parts of the process on a node and its log.
-func wire(node *agent.Agent, replica *replicalog.Log) *Server {
+// newServer creates the parts of the process for a node and its log.
+func newServer(node *agent.Agent, replica *replicalog.Log) *Server {
 	s := &Server{Node: node, Gossip: loadgossip.New(node), Log: replica}
 	s.executor = executorserver.New(s.Gossip, s)
-	s.forward = newForwarder(func() transport.Transport { return node.Transport }, node.Stop)
+	s.forwarder = newForwarder(func() transport.Transport { return node.Transport }, node.Stop)
 	s.election = leadership.New(node, func(elected messages.Leadership, stores []messages.Member) leadership.Term {
 		return s.newTerm(elected, stores)
 	})
 	return s
 }
 
-// newTerm makes the term of this process in an epoch.
+// newTerm creates this process's term as the leader of an epoch.
 func (s *Server) newTerm(elected messages.Leadership, stores []messages.Member) *leader.Term {
 	process := &leader.Process{Node: s.Node, Log: s.Log, Election: s.election, StopJob: s.executor.StopJob}
 	return leader.NewTerm(process, elected, stores)
 }
 
-// current gives this process's term that has not ended, or nil.
-func (s *Server) current() *leader.Term {
+// currentTerm returns this process's term, or nil if there is none or it has ended.
+func (s *Server) currentTerm() *leader.Term {
 	term, _ := s.election.Current().(*leader.Term)
 	return term
 }
@@ -106,7 +106,7 @@
 	go s.Node.PullFirst(func() {})
 	go clock.Every(constants.GossipPeriod*2, s.Node.Stop, func() {
 		if err := s.Log.CompactIfDue(clock.Now()); err != nil {
-			s.Node.Log.Error("log not compacted", "err", err.Error())
+			s.Node.Log.Error("failed to compact log", "err", err.Error())
 		}
 	})
 	s.Node.Log.Info("serving", "internal", s.Node.Self.Address, "disk", s.Node.Self.Disk)
@@ -114,14 +114,14 @@
 	return nil
 }
 
-// Shutdown resigns the leadership first, so that another store takes it at once, and gives
-// what runs here back with its events.
+// Shutdown resigns the leadership first, so that another store takes over at once. It then
+// releases the items running here, together with their events so far.
 func (s *Server) Shutdown() {
 	s.election.Drain()
 	s.Node.Drain()
-	if current := s.current(); current != nil {
-		current.Close("shutting down")
-		current.Resign()
+	if term := s.currentTerm(); term != nil {
+		term.Close("shutting down")
+		term.Resign()
 	}
 	s.executor.Drain()
 	s.Node.Shutdown()
