--- a/internal/batch/store/budget_test.go
+++ b/internal/batch/store/budget_test.go
@@ -12,8 +12,8 @@
 )
 
 // slowly carries an order; a slow store takes longer over it.
-func (s *simFleet) slowly(from, to string, function func()) {
-	lag := s.lag[to]
+func (s *simFleet) sendAppend(from, to string, function func()) {
+	lag := s.appendDelay[to]
 	if lag == 0 {
 		s.world.Send(from, to, function)
 		return
@@ -22,15 +22,15 @@
 }
 
 // slowTwo makes two members of the set slow, and nobody else.
-func (s *simFleet) slowTwo() {
-	s.lag = map[string]clock.Duration{}
+func (s *simFleet) slowTwoMembers() {
+	s.appendDelay = map[string]clock.Duration{}
 	for _, i := range s.world.Random.Perm(len(s.set))[:2] {
-		s.lag[s.set[i].Address] = clock.Milliseconds(120)
+		s.appendDelay[s.set[i].Address] = clock.Milliseconds(120)
 	}
 }
 
 // pair draws two members of the set; half of the time those that have most.
-func (s *simFleet) pair() []messages.Member {
+func (s *simFleet) randomPair() []messages.Member {
 	order := s.world.Random.Perm(len(s.set))
 	if s.world.Random.Intn(2) == 0 {
 		has := func(i int) int64 {
@@ -42,7 +42,7 @@
 }
 
 // fresh gives a store outside the set.
-func (s *simFleet) fresh() messages.Member {
+func (s *simFleet) spareStore() messages.Member {
 	inSet := map[string]bool{}
 	for _, member := range s.set {
 		inSet[member.Address] = true
@@ -52,7 +52,7 @@
 			return s.stores[name].member
 		}
 	}
-	s.test.Fatal("no store stands by")
+	s.t.Fatal("no store stands by")
 	return messages.Member{}
 }
 
@@ -62,8 +62,8 @@
 	before := s.acknowledgements
 	for step := 0; step < 4000 && s.acknowledgements == before; step++ {
 		if step%30 == 0 {
-			s.number++
-			id := fmt.Sprintf("lot%d", s.number)
+			s.jobNumber++
+			id := fmt.Sprintf("lot%d", s.jobNumber)
 			packed, _ := (&messages.JobBody{Path: "/p/", Items: []messages.JobItem{{ID: id + "-0", Tokens: 1}}}).MarshalMsg(nil)
 			s.leader.submit(messages.Record{Kind: messages.RecordJob, Job: id, Body: packed})
 			s.leader.submit(messages.Record{Kind: messages.RecordOutput, Job: id, Item: id + "-0"})
@@ -72,12 +72,12 @@
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(1)))
 	}
 	if s.acknowledgements == before {
-		s.test.Fatal("nothing was told any more")
+		s.t.Fatal("nothing was told any more")
 	}
 }
 
 // wipeBack brings a machine back with an empty disk.
-func (s *simFleet) wipeBack(store *simStore, disk string) {
+func (s *simFleet) restartWiped(store *simStore, disk string) {
 	store.down = true
 	store.disk.PowerLoss()
 	store.disk.Wipe()
@@ -98,7 +98,7 @@
 	fleet.electAny()
 	for len(fleet.set) < 5 {
 		fleet.awaitAcknowledged()
-		fleet.replaceMember(messages.Member{}, fleet.fresh())
+		fleet.replaceMember(messages.Member{}, fleet.spareStore())
 	}
 	return fleet
 }
@@ -113,7 +113,7 @@
 		s.open(s.stores[name])
 	}
 	for i, member := range lost {
-		s.wipeBack(s.stores[member.Address], disk(i))
+		s.restartWiped(s.stores[member.Address], disk(i))
 	}
 	s.electAny()
 	for _, member := range lost {
@@ -124,7 +124,7 @@
 }
 
 // losePowerOf takes the power of some for a while.
-func (s *simFleet) losePowerOf(lost []messages.Member) {
+func (s *simFleet) losePowerTemporarily(lost []messages.Member) {
 	for _, member := range lost {
 		s.stores[member.Address].down = true
 		s.stores[member.Address].disk.PowerLoss()
@@ -137,44 +137,44 @@
 }
 
 // loseForGood replaces some by others; they come back with empty disks later.
-func (s *simFleet) loseForGood(lost []messages.Member, disk func(i int) string) {
+func (s *simFleet) losePermanently(lost []messages.Member, disk func(i int) string) {
 	for _, member := range lost {
 		s.stores[member.Address].down = true
 	}
 	s.electAny()
 	for _, member := range lost {
-		s.replaceMember(member, s.fresh())
+		s.replaceMember(member, s.spareStore())
 	}
 	for i, member := range lost {
-		s.wipeBack(s.stores[member.Address], disk(i))
+		s.restartWiped(s.stores[member.Address], disk(i))
 	}
 }
 
 // loseTwo strikes two stores right after an acknowledgement, in one of three ways.
-func (s *simFleet) loseTwo(round int) {
-	if len(s.lag) == 0 {
-		s.slowTwo()
+func (s *simFleet) loseTwoStores(round int) {
+	if len(s.appendDelay) == 0 {
+		s.slowTwoMembers()
 	}
 	s.awaitAcknowledged()
 	// Slow stores count as lost: they recover as the others are struck.
-	s.lag = nil
-	lost := s.pair()
+	s.appendDelay = nil
+	lost := s.randomPair()
 	disk := func(i int) string { return fmt.Sprintf("wiped-%d-%d", round, i) }
 	switch s.world.Random.Intn(3) {
 	case 0:
 		s.losePowerAndDisks(lost, disk)
 	case 1:
-		s.losePowerOf(lost)
+		s.losePowerTemporarily(lost)
 	case 2:
-		s.loseForGood(lost, disk)
+		s.losePermanently(lost, disk)
 	}
 	s.electAny()
 	s.awaitAcknowledged()
 	if s.world.Random.Intn(2) == 0 {
 		// A member is emptied under load, two others slow; the next fault follows.
-		s.slowTwo()
-		if out := s.pair()[1]; out.Address != s.leader.at {
-			s.replaceMember(out, s.fresh())
+		s.slowTwoMembers()
+		if out := s.randomPair()[1]; out.Address != s.leader.address {
+			s.replaceMember(out, s.spareStore())
 		}
 	}
 }
@@ -186,7 +186,7 @@
 	for seed := int64(1); seed <= int64(simulation.Seeds(40)); seed++ {
 		fleet := newBudgetFleet(t, seed)
 		for round := 0; round < 5; round++ {
-			fleet.loseTwo(round)
+			fleet.loseTwoStores(round)
 		}
 		for _, member := range fleet.set {
 			if register.Identity(fleet.stores[member.Address].member) != register.Identity(member) {
--- a/internal/batch/store/copy_test.go
+++ b/internal/batch/store/copy_test.go
@@ -15,11 +15,11 @@
 func TestJoinerCopiesFromAMember(t *testing.T) {
 	fleet := newStoreFleet(t, 31)
 	for number := 0; number < 4; number++ {
-		fleet.work()
+		fleet.submitAndCheck()
 	}
 	leaseholder := fleet.leaderStore()
 	current := leaseholder.currentTerm()
-	joiner := fleet.outside()
+	joiner := fleet.nonMember()
 	appended := 0
 	fleet.network.OnFrame(func(frame transport.ObservedFrame) {
 		if !frame.Response && frame.Kind == messages.KindAppend && frame.To == joiner.Node.Self.Address && frame.From == leaseholder.Node.Self.Address {
@@ -48,11 +48,11 @@
 // checkSameRecords checks that a joiner has the same records, under the same epochs, as the
 // members that have them; the leader's own disk may still be behind what is durable.
 func (r *storeFleet) checkSameRecords(joiner *Server, done int64, budget int) {
-	inside := r.records()
+	inside := r.storeSetDisks()
 	for index := int64(1); index <= done; index++ {
 		left, _ := joiner.Log.Read(index)
 		compared := 0
-		for _, server := range r.all() {
+		for _, server := range r.servers() {
 			if _, member := inside[server.Node.Self.Name]; !member {
 				continue
 			}
@@ -62,23 +62,23 @@
 			}
 			compared++
 			if left == nil || fmt.Sprint(*left) != fmt.Sprint(*right) {
-				r.test.Fatal(index, server.Node.Self.Name)
+				r.t.Fatal(index, server.Node.Self.Name)
 			}
 		}
 		if compared < replication.CopiesNeeded(len(inside), budget) {
-			r.test.Fatal("durable with ", compared, " copies: ", index)
+			r.t.Fatal("durable with ", compared, " copies: ", index)
 		}
 	}
 }
 
 // outside gives a store that is no member of the store set.
-func (r *storeFleet) outside() *Server {
-	inside := r.records()
-	for _, server := range r.all() {
+func (r *storeFleet) nonMember() *Server {
+	inside := r.storeSetDisks()
+	for _, server := range r.servers() {
 		if _, in := inside[server.Node.Self.Name]; !in {
 			return server
 		}
 	}
-	r.test.Fatal("all are members")
+	r.t.Fatal("all are members")
 	return nil
 }
--- a/internal/batch/store/displacement_test.go
+++ b/internal/batch/store/displacement_test.go
@@ -15,17 +15,17 @@
 // items, three edge benches place live requests of rank 0, all on the same workers.
 type simCluster struct {
 	*simFleet
-	benches    map[string]*admission.Scheduler
-	workerList map[string]int
+	schedulers map[string]*admission.Scheduler
+	workerLoad map[string]int
 	cut        map[string]bool
 	running    map[*dispatch.Item]func()
 	// What the outside saw: events of an item as its result was made durable, and
 	// how each live request ended.
-	results  map[string][]string
-	live     map[int]int
-	promised int
-	asked    int
-	taken    map[string]int
+	results   map[string][]string
+	endCounts map[int]int
+	refused   int
+	requested int
+	counts    map[string]int
 }
 
 const (
@@ -36,12 +36,12 @@
 func newCluster(t *testing.T, seed int64) *simCluster {
 	t.Helper()
 
-	cluster := &simCluster{simFleet: newSimFleet(t, seed, 3), benches: map[string]*admission.Scheduler{}, workerList: map[string]int{},
-		cut: map[string]bool{}, running: map[*dispatch.Item]func(){}, results: map[string][]string{}, live: map[int]int{}, taken: map[string]int{}}
+	cluster := &simCluster{simFleet: newSimFleet(t, seed, 3), schedulers: map[string]*admission.Scheduler{}, workerLoad: map[string]int{},
+		cut: map[string]bool{}, running: map[*dispatch.Item]func(){}, results: map[string][]string{}, endCounts: map[int]int{}, counts: map[string]int{}}
 	for _, name := range []string{"e0", "e1", "e2"} {
 		cluster.scheduler(name, "gateway")
 	}
-	cluster.pump()
+	cluster.pumpSchedulers()
 	return cluster
 }
 
@@ -55,32 +55,32 @@
 	scheduler.Merge(list, s.world.Now)
 	scheduler.OnPressure(func(entries []messages.Pressure) {
 		acknowledged := &messages.PressureNotice{From: role + "/" + name, Entries: entries}
-		for _, other := range simulation.Keys(s.benches) {
+		for _, other := range simulation.Keys(s.schedulers) {
 			if other == name {
 				continue
 			}
 			s.world.Send(name, other, func() {
-				if s.benches[other] != nil {
-					s.benches[other].YieldToPressure(acknowledged, 1, s.world.Now)
+				if s.schedulers[other] != nil {
+					s.schedulers[other].YieldToPressure(acknowledged, 1, s.world.Now)
 				}
 			})
 		}
 	})
-	s.benches[name] = scheduler
+	s.schedulers[name] = scheduler
 }
 
-func (s *simCluster) pump() {
-	for _, name := range simulation.Keys(s.benches) {
-		s.benches[name].PumpWaiting(s.world.Now)
+func (s *simCluster) pumpSchedulers() {
+	for _, name := range simulation.Keys(s.schedulers) {
+		s.schedulers[name].PumpWaiting(s.world.Now)
 	}
-	s.world.After(clock.Milliseconds(15), s.pump)
+	s.world.After(clock.Milliseconds(15), s.pumpSchedulers)
 	// Gossip runs every fourth time: the bursts are short too.
-	if s.taken["pumps"]++; s.taken["pumps"]%4 == 0 {
-		for _, name := range simulation.Keys(s.benches) {
-			packet := s.benches[name].MakeGossip(s.world.Now)
-			for _, other := range simulation.Keys(s.benches) {
+	if s.counts["pumps"]++; s.counts["pumps"]%4 == 0 {
+		for _, name := range simulation.Keys(s.schedulers) {
+			packet := s.schedulers[name].MakeGossip(s.world.Now)
+			for _, other := range simulation.Keys(s.schedulers) {
 				if other != name {
-					s.benches[other].HandleGossip(packet, s.world.Now)
+					s.schedulers[other].HandleGossip(packet, s.world.Now)
 				}
 			}
 		}
@@ -89,17 +89,17 @@
 
 // request is one live request of the high rank: served, or promised never to run.
 func (s *simCluster) request() {
-	s.asked++
-	number := s.asked
-	scheduler := s.benches[fmt.Sprint("e", number%3)]
+	s.requested++
+	number := s.requested
+	scheduler := s.schedulers[fmt.Sprint("e", number%3)]
 	done := func(resp admission.Decision) {
-		s.live[number]++
+		s.endCounts[number]++
 		if resp.Verdict != admission.VerdictGranted {
-			s.promised++
+			s.refused++
 			return
 		}
-		s.arrive(resp.Grant)
-		s.world.After(clock.Milliseconds(40+40*s.world.Random.Float64()), func() { s.leave(resp.Grant, admission.ResultServed) })
+		s.occupySlot(resp.Grant)
+		s.world.After(clock.Milliseconds(40+40*s.world.Random.Float64()), func() { s.releaseSlot(resp.Grant, admission.ResultServed) })
 	}
 	resp, _ := scheduler.Admit(&admission.Request{Service: "s", Priority: 0, Setpoint: 200_000_000,
 		QueueUntil: s.world.Now.Add(clock.Milliseconds(150))}, done, s.world.Now)
@@ -110,13 +110,13 @@
 
 // arrive takes a place at a worker, which tells its load to whoever asked; leave
 // gives it back.
-func (s *simCluster) arrive(grant *admission.Grant) {
-	s.workerList[grant.Worker.ID]++
-	grant.FirstEvent(fmt.Sprintf("%d,0,%d", s.workerList[grant.Worker.ID], clusterSlots), s.world.Now)
+func (s *simCluster) occupySlot(grant *admission.Grant) {
+	s.workerLoad[grant.Worker.ID]++
+	grant.FirstEvent(fmt.Sprintf("%d,0,%d", s.workerLoad[grant.Worker.ID], clusterSlots), s.world.Now)
 }
 
-func (s *simCluster) leave(grant *admission.Grant, result admission.Result) {
-	s.workerList[grant.Worker.ID]--
+func (s *simCluster) releaseSlot(grant *admission.Grant, result admission.Result) {
+	s.workerLoad[grant.Worker.ID]--
 	grant.End(result, s.world.Now)
 }
 
@@ -124,15 +124,15 @@
 func (s *simCluster) dispatch() {
 	defer s.world.After(clock.Milliseconds(10), s.dispatch)
 	leader := s.leader
-	if leader == nil || !leader.ready || s.stores[leader.at].down {
+	if leader == nil || !leader.ready || s.stores[leader.address].down {
 		return
 	}
 	name := fmt.Sprint("holder", leader.epoch)
-	if s.benches[name] == nil {
+	if s.schedulers[name] == nil {
 		// Another process: whatever the one before ran is broken off by the workers.
-		for old := range s.benches {
+		for old := range s.schedulers {
 			if old[0] == 'h' {
-				delete(s.benches, old)
+				delete(s.schedulers, old)
 			}
 		}
 		s.running = map[*dispatch.Item]func(){}
@@ -148,7 +148,7 @@
 }
 
 func (s *simCluster) start(leader *simLeader, name string, item *dispatch.Item) {
-	resp, _ := s.benches[name].Admit(&admission.Request{Service: "s", Bulk: true, Priority: 2}, nil, s.world.Now)
+	resp, _ := s.schedulers[name].Admit(&admission.Request{Service: "s", Bulk: true, Priority: 2}, nil, s.world.Now)
 	if resp.Verdict != admission.VerdictGranted {
 		return
 	}
@@ -157,24 +157,24 @@
 		resp.Grant.End(admission.ResultCanceled, s.world.Now)
 		return
 	}
-	s.arrive(resp.Grant)
+	s.occupySlot(resp.Grant)
 	over := false
 	requeue := func(result admission.Result) {
 		if !over {
 			over = true
 			item.Requeue(run)
-			s.leave(resp.Grant, result)
+			s.releaseSlot(resp.Grant, result)
 		}
 	}
 	if item.Preempted < 3 {
 		resp.Grant.AllowPreemption(func() {
 			if item.Yield(run) {
-				s.taken["displaced"]++
+				s.counts["displaced"]++
 				s.world.After(clock.Milliseconds(1), func() { requeue(admission.ResultCanceled) })
 			}
 		})
 	}
-	s.stream(leader, item, run, &over, requeue, func() { s.leave(resp.Grant, admission.ResultServed) })
+	s.stream(leader, item, run, &over, requeue, func() { s.releaseSlot(resp.Grant, admission.ResultServed) })
 }
 
 // stream has the worker stream from where the run began, and sometimes break off.
@@ -210,7 +210,7 @@
 		return
 	}
 	job := item.Job
-	position := s.place(leader, job)
+	position := s.nextPosition(leader, job)
 	text := ""
 	for _, piece := range item.Events {
 		text += string(piece) + "\n"
@@ -219,7 +219,7 @@
 }
 
 // place counts the positions given so far, durable or on their way.
-func (s *simCluster) place(leader *simLeader, job *dispatch.Job) int {
+func (s *simCluster) nextPosition(leader *simLeader, job *dispatch.Job) int {
 	count := len(job.Listings)
 	for _, record := range leader.records {
 		if record.Index > leader.applied && record.Kind == messages.RecordOutput && record.Job == job.ID {
--- a/internal/batch/store/executor_test.go
+++ b/internal/batch/store/executor_test.go
@@ -18,18 +18,18 @@
 // fakeWorker streams four events an item; what else it does is told by the item's
 // name: "-0" is 422, "-1" is always 500, "-2" is cut after two events at first.
 type fakeWorker struct {
-	lock    sync.Mutex
-	tries   map[string]int
-	resumed map[string]string
-	stuck   chan string
-	dropped chan string
+	lock         sync.Mutex
+	attempts     map[string]int
+	resumed      map[string]string
+	hanging      chan string
+	disconnected chan string
 }
 
 func (s *fakeWorker) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	id := request.Header.Get("Lemonarch-Attempt-Id")
 	s.lock.Lock()
-	s.tries[id]++
-	attempt := s.tries[id]
+	s.attempts[id]++
+	attempt := s.attempts[id]
 	if last := request.Header.Get("Last-Event-Id"); last != "" {
 		s.resumed[id] = last
 	}
@@ -54,19 +54,19 @@
 			panic(http.ErrAbortHandler)
 		}
 		if strings.HasPrefix(id, "stuck") {
-			s.stuck <- id
+			s.hanging <- id
 			<-request.Context().Done()
-			s.dropped <- id
+			s.disconnected <- id
 			return
 		}
 	}
 }
 
 // driven is a store that leads, runs items, and has one worker.
-func driven(t *testing.T, seed int64) (*Server, *fakeWorker) {
+func leaderWithWorker(t *testing.T, seed int64) (*Server, *fakeWorker) {
 	t.Helper()
 
-	worker := &fakeWorker{tries: map[string]int{}, resumed: map[string]string{}, stuck: make(chan string, 9), dropped: make(chan string, 9)}
+	worker := &fakeWorker{attempts: map[string]int{}, resumed: map[string]string{}, hanging: make(chan string, 9), disconnected: make(chan string, 9)}
 	upstream := httptest.NewServer(worker)
 	t.Cleanup(upstream.Close)
 	server := soleLeader(t, simulation.NewDisk(seed))
@@ -115,8 +115,8 @@
 // What an executor acknowledges follows from the stream: the end is an ACCEPT, a cut a
 // RELEASE with the events so far, a 500 one that counts, a 422 a REJECT.
 func TestExecutorDerivesAcknowledgements(t *testing.T) {
-	server, worker := driven(t, 11)
-	if resp := server.currentTerm().Serve(jobCallOf("mixed", 5)); resp.Status != 202 {
+	server, worker := leaderWithWorker(t, 11)
+	if resp := server.currentTerm().Serve(submitCall("mixed", 5)); resp.Status != 202 {
 		t.Fatal(resp.Status)
 	}
 	for id, line := range outputs(t, server, "mixed", 5) {
@@ -129,21 +129,21 @@
 	worker.lock.Lock()
 	defer worker.lock.Unlock()
 	// Two tries is what the route allows.
-	if worker.tries["mixed-1"] != 2 || worker.tries["mixed-0"] != 1 || worker.resumed["mixed-2"] != "2" {
-		t.Fatal(worker.tries, worker.resumed)
+	if worker.attempts["mixed-1"] != 2 || worker.attempts["mixed-0"] != 1 || worker.resumed["mixed-2"] != "2" {
+		t.Fatal(worker.attempts, worker.resumed)
 	}
 }
 
 // The end of a job breaks its runs off at once, and none begins again.
 func TestEndOfAJobStopsRuns(t *testing.T) {
-	server, worker := driven(t, 12)
-	if resp := server.currentTerm().Serve(jobCallOf("stuck", 3)); resp.Status != 202 {
+	server, worker := leaderWithWorker(t, 12)
+	if resp := server.currentTerm().Serve(submitCall("stuck", 3)); resp.Status != 202 {
 		t.Fatal(resp.Status)
 	}
 	start := map[string]bool{}
 	for len(start) < 3 {
 		select {
-		case id := <-worker.stuck:
+		case id := <-worker.hanging:
 			start[id] = true
 		case <-clock.After(clock.Milliseconds(10_000)):
 			t.Fatal("not all were begun: ", start)
@@ -154,19 +154,19 @@
 	}
 	for count := 0; count < 3; count++ {
 		select {
-		case <-worker.dropped:
+		case <-worker.disconnected:
 		case <-clock.After(clock.Milliseconds(1500)):
 			t.Fatal("runs go on after the end of their lot: ", count)
 		}
 	}
 	// The next job is run to its end meanwhile; nothing of the ended one is.
-	if resp := server.currentTerm().Serve(jobCallOf("next", 2)); resp.Status != 202 {
+	if resp := server.currentTerm().Serve(submitCall("next", 2)); resp.Status != 202 {
 		t.Fatal(resp.Status)
 	}
 	outputs(t, server, "next", 2)
 	worker.lock.Lock()
 	defer worker.lock.Unlock()
-	for id, attempts := range worker.tries {
+	for id, attempts := range worker.attempts {
 		if strings.HasPrefix(id, "stuck") && attempts != 1 {
 			t.Fatal("begun again after the end: ", id)
 		}
--- a/internal/batch/store/fakeregister_test.go
+++ b/internal/batch/store/fakeregister_test.go
@@ -13,9 +13,9 @@
 // fakeRegister stands for the controllers: one acceptor, whose agreement with others is
 // tested elsewhere.
 type fakeRegister struct {
-	lock   sync.Mutex
-	value  messages.RegisterValue
-	grants *lease.Grantor
+	lock    sync.Mutex
+	value   messages.RegisterValue
+	grantor *lease.Grantor
 	// delay, where set, says for how long a change is on its way before it is applied; its
 	// sender may have given up by then. Set before the first store starts.
 	delay func(req *messages.RegisterChangeRequest) clock.Duration
@@ -29,7 +29,7 @@
 	}
 }
 
-func (r *fakeRegister) answer(kind messages.Kind, body []byte) ([]byte, error) {
+func (r *fakeRegister) respond(kind messages.Kind, body []byte) ([]byte, error) {
 	if kind == messages.KindRegisterChange && r.delay != nil {
 		req := &messages.RegisterChangeRequest{}
 		if err := transport.Decode(body, req); err != nil {
@@ -47,7 +47,7 @@
 		if err := transport.Decode(body, req); err != nil {
 			return nil, err
 		}
-		resp := r.grants.Grant(*req, r.value.Leadership, clock.Now())
+		resp := r.grantor.Grant(*req, r.value.Leadership, clock.Now())
 		return transport.Encode(&resp)
 	case messages.KindRegisterChange:
 		req, done := &messages.RegisterChangeRequest{}, false
--- a/internal/batch/store/faults_test.go
+++ b/internal/batch/store/faults_test.go
@@ -14,7 +14,7 @@
 func TestStoresUnderFaults(t *testing.T) {
 	for seed := int64(1); seed <= 2; seed++ {
 		fleet := newStoreFleet(t, seed)
-		fleet.work()
+		fleet.submitAndCheck()
 		for _, fault := range fleet.random.Perm(4) {
 			old := fleet.leaderStore()
 			name := old.Node.Self.Name
@@ -22,10 +22,10 @@
 			switch fault {
 			case 0:
 				fleet.network.SetPartitioned(old.Node.Self.Address, true)
-				fleet.work()
+				fleet.submitAndCheck()
 				fleet.network.SetPartitioned(old.Node.Self.Address, false)
 			case 1:
-				fleet.stop(old)
+				fleet.stopServer(old)
 				fleet.disks[name].PowerLoss()
 				again := fleet.start(number, "unused")
 				if strings.HasPrefix(again.Node.Self.Disk, "unused") {
@@ -33,26 +33,26 @@
 				}
 				go again.election.Run()
 			case 2:
-				fleet.stop(old)
+				fleet.stopServer(old)
 				fleet.disks[name].PowerLoss()
 				fleet.disks[name].Wipe()
 				fresh := fmt.Sprint(name, "-wiped")
 				again := fleet.start(number, fresh)
 				go again.election.Run()
-				fleet.work()
-				fleet.until("the set is complete without the lost disk", func() bool {
-					records := fleet.records()
+				fleet.submitAndCheck()
+				fleet.waitFor("the set is complete without the lost disk", func() bool {
+					records := fleet.storeSetDisks()
 					disk, in := records[name]
 					return len(records) == 3 && (!in || disk == fresh)
 				})
 			case 3:
-				fleet.localRegister.lock.Lock()
-				fleet.localRegister.change(register.Retire(name))
-				fleet.localRegister.lock.Unlock()
-				fleet.until("the retired store is left", func() bool { _, in := fleet.records()[name]; return !in })
+				fleet.register.lock.Lock()
+				fleet.register.change(register.Retire(name))
+				fleet.register.lock.Unlock()
+				fleet.waitFor("the retired store is left", func() bool { _, in := fleet.storeSetDisks()[name]; return !in })
 			}
-			fleet.work()
+			fleet.submitAndCheck()
 		}
-		fleet.until("the set is complete", func() bool { return len(fleet.records()) == 3 })
+		fleet.waitFor("the set is complete", func() bool { return len(fleet.storeSetDisks()) == 3 })
 	}
 }
--- a/internal/batch/store/fleet_test.go
+++ b/internal/batch/store/fleet_test.go
@@ -23,18 +23,18 @@
 // storeFleet is real stores on fake disks: the first set is drawn from them, three of five for
 // a budget of one, and they take the leadership from each other.
 type storeFleet struct {
-	test *testing.T
+	t *testing.T
 	// budget is how many stores may be lost at once.
-	budget        int
-	random        *rand.Rand
-	network       *transport.MemoryNetwork
-	localRegister *fakeRegister
-	disks         map[string]*simulation.Disk
-	lock          sync.Mutex
-	stores        map[string]*Server
-	client        *transport.Memory
-	taken         []string
-	ended         map[string]bool
+	budget       int
+	random       *rand.Rand
+	network      *transport.MemoryNetwork
+	register     *fakeRegister
+	disks        map[string]*simulation.Disk
+	lock         sync.Mutex
+	stores       map[string]*Server
+	client       *transport.Memory
+	acceptedJobs []string
+	endedJobs    map[string]bool
 }
 
 func newStoreFleet(t *testing.T, seed int64) *storeFleet {
@@ -47,10 +47,10 @@
 func newStoreFleetOf(t *testing.T, seed int64, count, budget int) *storeFleet {
 	t.Helper()
 
-	fleet := &storeFleet{budget: budget, test: t, random: rand.New(rand.NewSource(seed)), network: transport.NewMemoryNetwork(), disks: map[string]*simulation.Disk{}, stores: map[string]*Server{}, ended: map[string]bool{}}
-	fleet.localRegister = &fakeRegister{grants: lease.NewGrantor(clock.Now(), true),
+	fleet := &storeFleet{budget: budget, t: t, random: rand.New(rand.NewSource(seed)), network: transport.NewMemoryNetwork(), disks: map[string]*simulation.Disk{}, stores: map[string]*Server{}, endedJobs: map[string]bool{}}
+	fleet.register = &fakeRegister{grantor: lease.NewGrantor(clock.Now(), true),
 		value: messages.RegisterValue{Acceptors: []messages.Member{{Address: fakeRegisterAddress, Disk: "r"}}}}
-	_ = fleet.network.Transport(fakeRegisterAddress).Serve(fleet.localRegister.answer)
+	_ = fleet.network.Transport(fakeRegisterAddress).Serve(fleet.register.respond)
 	fleet.client = fleet.network.Transport("client")
 	for number := 1; number <= count; number++ {
 		name := fmt.Sprint("s", number)
@@ -58,15 +58,15 @@
 		fleet.start(number, name+"-0")
 	}
 	stop := make(chan struct{})
-	go clock.Every(constants.TickPeriod*4, stop, fleet.meet)
-	fleet.meet()
+	go clock.Every(constants.TickPeriod*4, stop, fleet.exchangeMembers)
+	fleet.exchangeMembers()
 	for _, name := range simulation.Keys(fleet.stores) {
 		go fleet.stores[name].election.Run()
 	}
 	t.Cleanup(func() {
 		close(stop)
-		for _, server := range fleet.all() {
-			fleet.stop(server)
+		for _, server := range fleet.servers() {
+			fleet.stopServer(server)
 		}
 	})
 	return fleet
@@ -77,7 +77,7 @@
 	name := fmt.Sprint("s", number)
 	store, err := replicalog.Open(r.disks[name], identity)
 	if err != nil {
-		r.test.Fatal(err)
+		r.t.Fatal(err)
 	}
 	nodeSettings := &settings.Settings{NodeName: name, Address: fmt.Sprint("10.0.0.", number), Zone: fmt.Sprint("h", number%3), InternalPorts: []int{7000, 7010},
 		Seeds: []string{"10.0.0.99:80"}, HeartbeatMs: 1200, FaultBudget: settings.FaultBudget{Machines: r.budget}, Tolerances: settings.Tolerances{StatusS: 120, CancelMs: 3000}}
@@ -88,7 +88,7 @@
 	server.registerReports()
 	runtime.ApplyConfig([]byte(quotaConfig))
 	if err = runtime.Transport.Serve(runtime.Dispatch); err != nil {
-		r.test.Fatal(err)
+		r.t.Fatal(err)
 	}
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -96,7 +96,7 @@
 	return server
 }
 
-func (r *storeFleet) stop(server *Server) {
+func (r *storeFleet) stopServer(server *Server) {
 	if current := server.currentTerm(); current != nil {
 		current.Close("stopped")
 	}
@@ -104,7 +104,7 @@
 	server.Node.Transport.Close()
 }
 
-func (r *storeFleet) all() []*Server {
+func (r *storeFleet) servers() []*Server {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	var all []*Server
@@ -115,8 +115,8 @@
 }
 
 // meet keeps the processes known to each other, as shuffles do.
-func (r *storeFleet) meet() {
-	all := r.all()
+func (r *storeFleet) exchangeMembers() {
+	all := r.servers()
 	for _, server := range all {
 		for _, other := range all {
 			if server != other {
@@ -127,10 +127,10 @@
 }
 
 // until polls the world of real timers until something holds.
-func (r *storeFleet) until(what string, condition func() bool) {
+func (r *storeFleet) waitFor(what string, condition func() bool) {
 	for end := clock.Now().Add(clock.Milliseconds(20_000)); !condition(); {
 		if clock.Now() > end {
-			r.test.Fatal("never: ", what)
+			r.t.Fatal("never: ", what)
 		}
 		<-clock.After(constants.TickPeriod / 2)
 	}
@@ -138,14 +138,14 @@
 
 // call asks one store after the other until one that holds the leadership answers.
 func (r *storeFleet) call(call *messages.JobCallRequest, want int) {
-	r.until(fmt.Sprint(call.Method, " ", call.Job, " answered by ", want), func() bool {
-		for _, server := range r.all() {
+	r.waitFor(fmt.Sprint(call.Method, " ", call.Job, " answered by ", want), func() bool {
+		for _, server := range r.servers() {
 			resp := &messages.JobCallResponse{}
 			if transport.Call(r.client, server.Node.Self.Address, messages.KindJobCall, call, resp, clock.Milliseconds(700)) != nil || resp.NotLeader || resp.Status >= 500 {
 				continue
 			}
 			if resp.Status != want {
-				r.test.Fatalf("%s %s: %d by %s, want %d", call.Method, call.Job, resp.Status, server.Node.Self.Name, want)
+				r.t.Fatalf("%s %s: %d by %s, want %d", call.Method, call.Job, resp.Status, server.Node.Self.Name, want)
 			}
 			return true
 		}
@@ -155,8 +155,8 @@
 
 func (r *storeFleet) leaderStore() *Server {
 	var found *Server
-	r.until("a holder", func() bool {
-		for _, server := range r.all() {
+	r.waitFor("a holder", func() bool {
+		for _, server := range r.servers() {
 			if current := server.currentTerm(); current != nil && server.election.HoldsLease() && current.Serving() {
 				found = server
 			}
@@ -167,17 +167,17 @@
 }
 
 // work hands a job in, ends an older one, and looks for all that was told.
-func (r *storeFleet) work() {
-	jobID := fmt.Sprint("lot", len(r.taken))
-	r.call(jobCallOf(jobID, 1), 202)
-	r.taken = append(r.taken, jobID)
+func (r *storeFleet) submitAndCheck() {
+	jobID := fmt.Sprint("lot", len(r.acceptedJobs))
+	r.call(submitCall(jobID, 1), 202)
+	r.acceptedJobs = append(r.acceptedJobs, jobID)
 	// Few stay open, so that each new one fits.
-	if len(r.taken) > 2 {
-		old := r.taken[len(r.taken)-3]
+	if len(r.acceptedJobs) > 2 {
+		old := r.acceptedJobs[len(r.acceptedJobs)-3]
 		r.call(&messages.JobCallRequest{Method: "DELETE", Job: old}, 200)
-		r.ended[old] = true
+		r.endedJobs[old] = true
 	}
-	for _, element := range r.taken {
+	for _, element := range r.acceptedJobs {
 		r.call(&messages.JobCallRequest{Method: "GET", Job: element}, 200)
 	}
 	current := r.leaderStore().currentTerm()
@@ -185,17 +185,17 @@
 		return
 	}
 	for _, row := range current.ReportJobs().Rows {
-		if jobID, state := row[0], row[len(row)-1]; r.ended[jobID] && state != "ended" {
-			r.test.Fatal("an ended lot is open again: ", jobID)
+		if jobID, state := row[0], row[len(row)-1]; r.endedJobs[jobID] && state != "ended" {
+			r.t.Fatal("an ended lot is open again: ", jobID)
 		}
 	}
 }
 
-func (r *storeFleet) records() map[string]string {
-	r.localRegister.lock.Lock()
-	defer r.localRegister.lock.Unlock()
+func (r *storeFleet) storeSetDisks() map[string]string {
+	r.register.lock.Lock()
+	defer r.register.lock.Unlock()
 	disks := map[string]string{}
-	for _, member := range r.localRegister.value.Stores {
+	for _, member := range r.register.value.Stores {
 		disks[member.Name] = member.Disk
 	}
 	return disks
--- a/internal/batch/store/forwarder_test.go
+++ b/internal/batch/store/forwarder_test.go
@@ -23,34 +23,34 @@
 // member cut off, and after a leader was lost, jobs are taken all the same.
 func TestMembersPassRecordsOn(t *testing.T) {
 	fleet := newStoreFleetOf(t, 7, 6, 2)
-	fleet.work()
+	fleet.submitAndCheck()
 	leading := fleet.leaderStore()
-	fleet.until("records are passed on", func() bool {
-		fleet.work()
+	fleet.waitFor("records are passed on", func() bool {
+		fleet.submitAndCheck()
 		forwarded := int64(0)
-		for _, server := range fleet.all() {
+		for _, server := range fleet.servers() {
 			forwarded += sentOf(server, messages.KindAppendForwarded)
 		}
 		return forwarded > 4
 	})
-	for name := range fleet.records() {
+	for name := range fleet.storeSetDisks() {
 		if name == leading.Node.Self.Name {
 			continue
 		}
 		address := fleet.stores[name].Node.Self.Address
 		fleet.network.SetPartitioned(address, true)
 		start := clock.Now()
-		fleet.work()
+		fleet.submitAndCheck()
 		if took := clock.Now().Sub(start); took > 3*constants.ForwardTimeout+constants.LeaseDuration {
 			t.Errorf("work with %s cut off took %v", name, took)
 		}
 		fleet.network.SetPartitioned(address, false)
 	}
-	fleet.stop(leading)
+	fleet.stopServer(leading)
 	fleet.disks[leading.Node.Self.Name].PowerLoss()
-	fleet.work()
-	if len(fleet.records()) < 4 {
-		t.Fatal(fleet.records())
+	fleet.submitAndCheck()
+	if len(fleet.storeSetDisks()) < 4 {
+		t.Fatal(fleet.storeSetDisks())
 	}
 }
 
--- a/internal/batch/store/helpers_test.go
+++ b/internal/batch/store/helpers_test.go
@@ -21,29 +21,29 @@
 const quotaConfig = `{"generation":1,"channels":[{"name":"b","host":"h","path-prefix":"/b/","route-kind":"bulk","backend":"s","tries":2,"retain-s":60,"result-setpoint-ms":9000,"backlog-cap":100}],"backends":[{"name":"s"}],"limits":{}}`
 
 // appointed is an election that a process has won for as long as its term is not closed.
-type appointed struct {
+type fixedElection struct {
 	*leadership.Campaign
 	self string
 	term *leader.Term
 }
 
-func (a *appointed) HoldsLease() bool { return true }
+func (a *fixedElection) HoldsLease() bool { return true }
 
-func (a *appointed) Current() leadership.Term {
+func (a *fixedElection) Current() leadership.Term {
 	if a.term == nil || a.term.Closed() {
 		return nil
 	}
 	return a.term
 }
 
-func (a *appointed) LeaderAddress() string {
+func (a *fixedElection) LeaderAddress() string {
 	if a.Current() == nil {
 		return ""
 	}
 	return a.self
 }
 
-func (a *appointed) LeaderEpoch() uint64 {
+func (a *fixedElection) LeaderEpoch() uint64 {
 	if a.Current() == nil {
 		return 0
 	}
@@ -63,17 +63,17 @@
 	node.Transport = transport.NewMemoryNetwork().Transport("m")
 	server := newServer(node, log)
 	node.ApplyConfig([]byte(quotaConfig))
-	server.election = &appointed{Campaign: leadership.New(node, nil), self: node.Self.Address}
-	appoint(t, server, 1)
+	server.election = &fixedElection{Campaign: leadership.New(node, nil), self: node.Self.Address}
+	startTerm(t, server, 1)
 	return server
 }
 
 // appoint begins a term of the sole store and waits until it serves.
-func appoint(t *testing.T, server *Server, epoch uint64) {
+func startTerm(t *testing.T, server *Server, epoch uint64) {
 	t.Helper()
 	elected := messages.Leadership{Holder: "m", Incarnation: server.Node.Self.Incarnation, Epoch: epoch}
 	term := server.newTerm(elected, []messages.Member{server.election.Member()})
-	server.election.(*appointed).term = term
+	server.election.(*fixedElection).term = term
 	term.TakeOver()
 	for end := clock.Now().Add(clock.Milliseconds(5000)); !term.Serving(); {
 		if clock.Now() > end {
@@ -85,7 +85,7 @@
 }
 
 // known tells whether the leader knows a job.
-func known(t *testing.T, server *Server, jobID string) bool {
+func jobKnown(t *testing.T, server *Server, jobID string) bool {
 	t.Helper()
 	return server.currentTerm().Serve(&messages.JobCallRequest{Method: http.MethodGet, Job: jobID}).Status != http.StatusNotFound
 }
@@ -93,7 +93,7 @@
 // jobCount is how many jobs the leader knows.
 func jobCount(server *Server) int { return len(server.currentTerm().ReportJobs().Rows) }
 
-func jobCallOf(id string, items int) *messages.JobCallRequest {
+func submitCall(id string, items int) *messages.JobCallRequest {
 	body := `{"requests":[`
 	for i := 0; i < items; i++ {
 		if i > 0 {
--- a/internal/batch/store/jobs_test.go
+++ b/internal/batch/store/jobs_test.go
@@ -11,12 +11,12 @@
 )
 
 // work submits jobs and lists their items, as a leader does.
-func (s *simFleet) work(rounds int) {
+func (s *simFleet) submitJobs(rounds int) {
 	for round := 0; round < rounds; round++ {
 		leader := s.leader
-		if leader != nil && leader.ready && !s.stores[leader.at].down {
-			s.number++
-			id := fmt.Sprintf("lot%d", s.number)
+		if leader != nil && leader.ready && !s.stores[leader.address].down {
+			s.jobNumber++
+			id := fmt.Sprintf("lot%d", s.jobNumber)
 			body := &messages.JobBody{Path: "/p/"}
 			for item := 0; item < 3; item++ {
 				body.Items = append(body.Items, messages.JobItem{ID: fmt.Sprintf("%s-%d", id, item), Tokens: 10})
@@ -33,7 +33,7 @@
 	}
 }
 
-func (s *simFleet) live() []string {
+func (s *simFleet) liveMembers() []string {
 	var names []string
 	for _, member := range s.set {
 		store := s.stores[member.Address]
@@ -53,23 +53,23 @@
 	// One that is cut off and one that is down are more than the budget: nobody need be
 	// able to take over before the cut ends.
 	if partitioned {
-		s.joinMembers()
+		s.healMembers()
 		if s.tryTakeovers() {
 			return
 		}
 	}
-	s.test.Fatal("nobody could take over although the budget was kept")
+	s.t.Fatal("nobody could take over although the budget was kept")
 }
 
 // tryTakeovers lets live members ask for the leadership in turn; false where none gets it.
 func (s *simFleet) tryTakeovers() bool {
-	names := s.live()
+	names := s.liveMembers()
 	for attempt := 0; attempt < 12; attempt++ {
 		epoch := s.epoch + 1
-		s.take(names[s.world.Random.Intn(len(names))])
+		s.startTakeover(names[s.world.Random.Intn(len(names))])
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(400)))
 		if s.leader != nil && s.leader.epoch == epoch && s.leader.ready {
-			s.check(s.leader)
+			s.checkJobs(s.leader)
 			return true
 		}
 	}
@@ -93,16 +93,16 @@
 }
 
 // joinMembers ends the cuts of members of the set.
-func (s *simFleet) joinMembers() {
+func (s *simFleet) healMembers() {
 	for _, member := range s.set {
 		s.isolate(member.Address, simulation.Keys(s.stores), false)
 	}
 }
 
 // swapBegin has the leader send everything to a joiner.
-func (s *simFleet) swapBegin(joiner messages.Member) {
-	if s.leader.next[register.Identity(joiner)] == 0 {
-		s.leader.next[register.Identity(joiner)] = 1
+func (s *simFleet) feedJoiner(joiner messages.Member) {
+	if s.leader.nextIndex[register.Identity(joiner)] == 0 {
+		s.leader.nextIndex[register.Identity(joiner)] = 1
 		s.leader.feed(joiner)
 	}
 }
@@ -117,7 +117,7 @@
 		}
 	}
 	next = append(next, joiner)
-	s.swapBegin(joiner)
+	s.feedJoiner(joiner)
 	target := leader.replicator.Last()
 	for attempt := 0; attempt < 200 && leader.replicator.MatchIndex(register.Identity(joiner)) < target; attempt++ {
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(30)))
@@ -128,7 +128,7 @@
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(30)))
 	}
 	if !leader.replicator.InNextSet(index) {
-		s.test.Fatal("the set to come never had everything")
+		s.t.Fatal("the set to come never had everything")
 	}
 	s.set = next
 	leader.replicator.Members, leader.replicator.Next = next, nil
@@ -141,7 +141,7 @@
 		fleet.world.Loss, fleet.world.Double = 0.05, 0.05
 		fleet.electAny()
 		for round := 0; round < 6; round++ {
-			fleet.work(6)
+			fleet.submitJobs(6)
 			victim := fleet.set[fleet.world.Random.Intn(len(fleet.set))]
 			switch fleet.world.Random.Intn(4) {
 			case 0:
@@ -154,7 +154,7 @@
 			case 3:
 				fleet.retire(victim)
 			}
-			fleet.work(3)
+			fleet.submitJobs(3)
 		}
 		fleet.loseAll()
 		acknowledged += fleet.acknowledgements
@@ -169,9 +169,9 @@
 		fleet := newSimFleet(t, 5, 3)
 		fleet.world.Loss = 0.1
 		fleet.electAny()
-		fleet.work(10)
+		fleet.submitJobs(10)
 		fleet.electAny()
-		fleet.work(10)
+		fleet.submitJobs(10)
 		return fleet.world.Sum()
 	}
 	if first, second := sum(), sum(); first != second {
--- a/internal/batch/store/losses_test.go
+++ b/internal/batch/store/losses_test.go
@@ -44,15 +44,15 @@
 
 // setChange is a change of the store set that is played a step at a time.
 type setChange struct {
-	fleet   *simFleet
-	out, in messages.Member
-	next    []messages.Member
-	holder  *simLeader
-	copier  string
+	fleet           *simFleet
+	leaving, joiner messages.Member
+	next            []messages.Member
+	leader          *simLeader
+	source          string
 }
 
 // until runs the world until something holds; false where it does not within a while.
-func (s *simFleet) until(condition func() bool) bool {
+func (s *simFleet) runUntil(condition func() bool) bool {
 	for attempt := 0; attempt < 3000 && !condition(); attempt++ {
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(2)))
 	}
@@ -60,15 +60,15 @@
 }
 
 // play carries the change up to a step, as changeSet does; false where it got stuck.
-func (s *setChange) play(step int) bool {
-	fleet, leader, identity := s.fleet, s.holder, register.Identity(s.in)
-	fleet.swapBegin(s.in)
+func (s *setChange) advance(step int) bool {
+	fleet, leader, identity := s.fleet, s.leader, register.Identity(s.joiner)
+	fleet.feedJoiner(s.joiner)
 	target := leader.replicator.Last()
 	reached := func() bool { return leader.replicator.MatchIndex(identity) >= target }
 	if step == stepCopying {
-		return fleet.until(func() bool { return fleet.stores[s.in.Address].store.Extent().Last > 0 })
+		return fleet.runUntil(func() bool { return fleet.stores[s.joiner.Address].store.Extent().Last > 0 })
 	}
-	if !fleet.until(reached) {
+	if !fleet.runUntil(reached) {
 		return false
 	}
 	if step == stepCopied {
@@ -79,7 +79,7 @@
 	if step == stepBothSets {
 		return true
 	}
-	if !fleet.until(func() bool { return leader.replicator.InNextSet(index) }) {
+	if !fleet.runUntil(func() bool { return leader.replicator.InNextSet(index) }) {
 		return false
 	}
 	if step == stepDurable {
@@ -98,7 +98,7 @@
 // settled is gone besides, with its disk.
 func (s *setChange) victims(step int) []string {
 	fleet := s.fleet
-	roles := []string{s.holder.at, s.copier, s.in.Address, s.out.Address, s.next[0].Address}
+	roles := []string{s.leader.address, s.source, s.joiner.Address, s.leaving.Address, s.next[0].Address}
 	inSet := func(name string) bool {
 		return slices.ContainsFunc(fleet.set, func(member messages.Member) bool { return member.Address == name })
 	}
@@ -114,7 +114,7 @@
 		}
 	}
 	// Who is no member may go in any number.
-	for _, name := range []string{s.in.Address, s.out.Address} {
+	for _, name := range []string{s.joiner.Address, s.leaving.Address} {
 		if !inSet(name) && (step >= stepCommitted || fleet.world.Random.Intn(2) == 0) && !slices.Contains(lost, name) {
 			lost = append(lost, name)
 		}
@@ -123,7 +123,7 @@
 }
 
 // strike loses machines at once, each in one way; at times all others lose power too.
-func (s *simFleet) strike(lost []string, round int) (wiped []string) {
+func (s *simFleet) loseMachines(lost []string, round int) (wiped []string) {
 	if s.world.Random.Intn(3) == 0 {
 		for _, name := range simulation.Keys(s.stores) {
 			if !slices.Contains(lost, name) {
@@ -177,7 +177,7 @@
 
 // worstLosses plays one seed: in each round a member is replaced, and the worst losses
 // strike at a step of it, right after or in the middle of an acknowledgement.
-func worstLosses(t *testing.T, seed int64, outcomes map[int]int) {
+func playWorstLosses(t *testing.T, seed int64, outcomes map[int]int) {
 	t.Helper()
 
 	budget := 1 + int(seed%2)
@@ -187,9 +187,9 @@
 	for round := 0; round < 6; round++ {
 		fleet.awaitAcknowledged()
 		leader := fleet.leader
-		candidates := slices.DeleteFunc(slices.Clone(fleet.set), func(member messages.Member) bool { return member.Address == leader.at })
-		out, in := candidates[fleet.world.Random.Intn(len(candidates))], fleet.fresh()
-		change := &setChange{fleet: fleet, out: out, in: in, holder: leader, copier: candidates[0].Address}
+		candidates := slices.DeleteFunc(slices.Clone(fleet.set), func(member messages.Member) bool { return member.Address == leader.address })
+		out, in := candidates[fleet.world.Random.Intn(len(candidates))], fleet.spareStore()
+		change := &setChange{fleet: fleet, leaving: out, joiner: in, leader: leader, source: candidates[0].Address}
 		for _, member := range fleet.set {
 			if register.Identity(member) != register.Identity(out) {
 				change.next = append(change.next, member)
@@ -197,7 +197,7 @@
 		}
 		change.next = append(change.next, in)
 		step := fleet.world.Random.Intn(stepCount)
-		if !change.play(step) {
+		if !change.advance(step) {
 			t.Fatalf("seed %d: the change got stuck before step %d", seed, step)
 		}
 		// In half of all rounds the loss strikes right after a result was told.
@@ -205,7 +205,7 @@
 			fleet.awaitAcknowledged()
 		}
 		lost := change.victims(step)
-		fleet.strike(lost, round)
+		fleet.loseMachines(lost, round)
 		outcomes[step]++
 		fleet.electAny()
 		fleet.awaitAcknowledged()
@@ -220,7 +220,7 @@
 	seeds := int64(simulation.Seeds(200))
 	outcomes := map[int]int{}
 	for seed := int64(1); seed <= seeds; seed++ {
-		worstLosses(t, seed, outcomes)
+		playWorstLosses(t, seed, outcomes)
 	}
 	for step := 0; step < stepCount; step++ {
 		if int64(outcomes[step]) < seeds/4 {
--- a/internal/batch/store/overload_test.go
+++ b/internal/batch/store/overload_test.go
@@ -10,13 +10,13 @@
 )
 
 // submitJob submits a job of items that really run.
-func (s *simCluster) lot(items int) {
+func (s *simCluster) submitJob(items int) {
 	leader := s.leader
-	if leader == nil || !leader.ready || s.stores[leader.at].down {
+	if leader == nil || !leader.ready || s.stores[leader.address].down {
 		return
 	}
-	s.number++
-	id := fmt.Sprint("job", s.number)
+	s.jobNumber++
+	id := fmt.Sprint("job", s.jobNumber)
 	body := &messages.JobBody{Path: "/p/"}
 	for i := 0; i < items; i++ {
 		body.Items = append(body.Items, messages.JobItem{ID: fmt.Sprintf("%s-%d", id, i), Tokens: 10})
@@ -27,7 +27,7 @@
 
 // overload plays a burst of the high tier over running jobs, while the leader
 // dies, its leadership changes hands, a store is cut off and workers cut streams.
-func overload(t *testing.T, seed int64) *simCluster {
+func playOverload(t *testing.T, seed int64) *simCluster {
 	t.Helper()
 
 	cluster := newCluster(t, seed)
@@ -35,7 +35,7 @@
 	cluster.electAny()
 	cluster.dispatch()
 	for count := 0; count < 6; count++ {
-		cluster.lot(8)
+		cluster.submitJob(8)
 	}
 	for burst := 0; burst < 90; burst++ {
 		at := clock.Milliseconds(100 + 15*float64(burst))
@@ -46,7 +46,7 @@
 		})
 	}
 	cluster.world.Run(cluster.world.Now.Add(clock.Milliseconds(500)))
-	victim := cluster.stores[cluster.leader.at]
+	victim := cluster.stores[cluster.leader.address]
 	if seed%2 == 0 {
 		// The leader's machine loses power in the middle of it.
 		victim.down = true
@@ -58,11 +58,11 @@
 		cluster.electAny()
 	}
 	other := cluster.set[cluster.world.Random.Intn(3)].Address
-	if other != cluster.leader.at {
+	if other != cluster.leader.address {
 		cluster.world.Isolate(other, []string{"s0", "s1", "s2"}, true)
 		cluster.world.After(clock.Milliseconds(400), func() { cluster.world.Isolate(other, []string{"s0", "s1", "s2"}, false) })
 	}
-	cluster.lot(5)
+	cluster.submitJob(5)
 	cluster.world.Run(cluster.world.Now.Add(clock.Milliseconds(30_000)))
 	return cluster
 }
@@ -72,13 +72,13 @@
 func TestOverloadDisplacesAndFinishesOnce(t *testing.T) {
 	preempted, promised, requested := 0, 0, 0
 	for seed := int64(1); seed <= 40; seed++ {
-		cluster := overload(t, seed)
-		preempted += cluster.taken["displaced"]
-		promised += cluster.promised
-		requested += cluster.asked
-		for number := 1; number <= cluster.asked; number++ {
-			if cluster.live[number] != 1 {
-				t.Fatalf("seed %d: live request %d ended %d times", seed, number, cluster.live[number])
+		cluster := playOverload(t, seed)
+		preempted += cluster.counts["displaced"]
+		promised += cluster.refused
+		requested += cluster.requested
+		for number := 1; number <= cluster.requested; number++ {
+			if cluster.endCounts[number] != 1 {
+				t.Fatalf("seed %d: live request %d ended %d times", seed, number, cluster.endCounts[number])
 			}
 		}
 		jobs := cluster.leader.jobs.Jobs()
@@ -92,7 +92,7 @@
 			listed := map[string]int{}
 			for _, listing := range job.Listings {
 				listed[listing.Item]++
-				record, err := cluster.stores[cluster.leader.at].store.Read(listing.Index)
+				record, err := cluster.stores[cluster.leader.address].store.Read(listing.Index)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -117,7 +117,7 @@
 }
 
 func TestOverloadSameSeedSameHistory(t *testing.T) {
-	if first, second := overload(t, 9).world.Sum(), overload(t, 9).world.Sum(); first != second {
+	if first, second := playOverload(t, 9).world.Sum(), playOverload(t, 9).world.Sum(); first != second {
 		t.Fatal("one seed gave two histories")
 	}
 }
--- a/internal/batch/store/poweredparts_test.go
+++ b/internal/batch/store/poweredparts_test.go
@@ -70,7 +70,7 @@
 }
 
 // carry waits until so many bytes are through.
-func (l *link) carry(bytes int) {
+func (l *link) transmit(bytes int) {
 	l.lock.Lock()
 	now := clock.Now()
 	l.freeAt = max(l.freeAt, now).Add(clock.Milliseconds(float64(bytes) / l.bytesPerSecond * 1000))
@@ -83,9 +83,9 @@
 // machine's link, machines without power are silent, and so is a process after it.
 type poweredTransport struct {
 	*transport.Memory
-	fleet *recoveryFleet
-	power *power
-	own   string
+	fleet   *recoveryFleet
+	power   *power
+	address string
 }
 
 func (t poweredTransport) Serve(handler transport.Handler) error {
@@ -94,16 +94,16 @@
 		if t.power.lost.Load() {
 			return nil, simulation.ErrDown
 		}
-		t.fleet.links[t.own].carry(len(resp))
+		t.fleet.links[t.address].transmit(len(resp))
 		return resp, err
 	})
 }
 
 func (t poweredTransport) Call(address string, kind messages.Kind, body []byte, timeout clock.Duration) ([]byte, error) {
 	sentAt := clock.Now()
-	t.fleet.links[t.own].carry(len(body))
+	t.fleet.links[t.address].transmit(len(body))
 	left := timeout - clock.Now().Sub(sentAt)
-	if left <= 0 || t.power.lost.Load() || t.fleet.isDark(address) {
+	if left <= 0 || t.power.lost.Load() || t.fleet.isPoweredOff(address) {
 		clock.Sleep(max(left, 0))
 		return nil, transport.ErrTimeout.New(address)
 	}
--- a/internal/batch/store/promise_test.go
+++ b/internal/batch/store/promise_test.go
@@ -13,7 +13,7 @@
 )
 
 // put hands a call in as a frame brings it.
-func put(t *testing.T, server *Server, call *messages.JobCallRequest) *messages.JobCallResponse {
+func sendCall(t *testing.T, server *Server, call *messages.JobCallRequest) *messages.JobCallResponse {
 	t.Helper()
 
 	body, err := transport.Encode(call)
@@ -35,35 +35,35 @@
 // whatever has changed in between; the same job in a new question is.
 func TestSecondCopyOfARejectedSubmission(t *testing.T) {
 	server := soleLeader(t, simulation.NewDisk(4))
-	full := jobCallOf("full", 6)
+	full := submitCall("full", 6)
 	full.RequestID = "f#1"
-	if resp := put(t, server, full); resp.Status != 202 {
+	if resp := sendCall(t, server, full); resp.Status != 202 {
 		t.Fatal(resp.Status)
 	}
-	late := jobCallOf("late", 2)
+	late := submitCall("late", 2)
 	late.RequestID = "f#2"
-	if resp := put(t, server, late); resp.Status != 429 {
+	if resp := sendCall(t, server, late); resp.Status != 429 {
 		t.Fatal(resp.Status)
 	}
-	if resp := put(t, server, &messages.JobCallRequest{Method: "DELETE", Job: "full"}); resp.Status != 200 {
+	if resp := sendCall(t, server, &messages.JobCallRequest{Method: "DELETE", Job: "full"}); resp.Status != 200 {
 		t.Fatal(resp.Status)
 	}
-	if resp := put(t, server, late); resp.Status != 504 || known(t, server, "late") {
+	if resp := sendCall(t, server, late); resp.Status != 504 || jobKnown(t, server, "late") {
 		t.Fatal("a refused question was taken: ", resp.Status)
 	}
 	late.RequestID = "f#3"
-	if resp := put(t, server, late); resp.Status != 202 {
+	if resp := sendCall(t, server, late); resp.Status != 202 {
 		t.Fatal(resp.Status)
 	}
 	// Sent on by one that held nothing, then met by the same process as the leader.
 	server.currentTerm().Close("another takes over")
-	moved := jobCallOf("moved", 2)
+	moved := submitCall("moved", 2)
 	moved.RequestID = "f#4"
-	if resp := put(t, server, moved); !resp.NotLeader {
+	if resp := sendCall(t, server, moved); !resp.NotLeader {
 		t.Fatal(resp.Status)
 	}
-	appoint(t, server, 2)
-	if resp := put(t, server, moved); resp.Status != 504 || known(t, server, "moved") {
+	startTerm(t, server, 2)
+	if resp := sendCall(t, server, moved); resp.Status != 504 || jobKnown(t, server, "moved") {
 		t.Fatal("a question that was sent on was taken: ", resp.Status)
 	}
 }
@@ -76,13 +76,13 @@
 	var lock sync.Mutex
 	refused, taken := map[string]bool{}, map[string]bool{}
 	for number := 0; number < 60; number++ {
-		call := jobCallOf(fmt.Sprint("lot", number%10), 2)
+		call := submitCall(fmt.Sprint("lot", number%10), 2)
 		// Six copies a job make three requests of two copies.
 		call.RequestID = fmt.Sprint(number%10, "/", number/20)
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			resp := put(t, server, call)
+			resp := sendCall(t, server, call)
 			lock.Lock()
 			defer lock.Unlock()
 			refused[call.RequestID] = refused[call.RequestID] || resp.Status == 429
--- a/internal/batch/store/recovery_test.go
+++ b/internal/batch/store/recovery_test.go
@@ -21,7 +21,7 @@
 // call makes a call at whoever leads, and gives the status; zero where nobody answered.
 func (f *recoveryFleet) call(client *transport.Memory, call *messages.JobCallRequest) int {
 	status := 0
-	for _, server := range f.all() {
+	for _, server := range f.servers() {
 		if server.currentTerm() == nil {
 			continue
 		}
@@ -46,9 +46,9 @@
 		case <-clock.After(clock.Milliseconds(random.Float64() * 300)):
 		}
 		job := fmt.Sprint("job-", name, "-", number)
-		if f.call(client, jobCallOf(job, 1+random.Intn(60))) == http.StatusAccepted {
+		if f.call(client, submitCall(job, 1+random.Intn(60))) == http.StatusAccepted {
 			f.lock.Lock()
-			f.accepted = append(f.accepted, job)
+			f.acceptedNames = append(f.acceptedNames, job)
 			f.lock.Unlock()
 		}
 	}
@@ -58,7 +58,7 @@
 func (f *recoveryFleet) acceptedJobs() []string {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	return slices.Clone(f.accepted)
+	return slices.Clone(f.acceptedNames)
 }
 
 // checkReadable reads jobs until each was answered, for as long as the operators try.
@@ -96,7 +96,7 @@
 			return 0
 		}
 		delay := clock.Milliseconds(patience + part*(longest-patience))
-		f.note("a change of the set is on its way for %v: %d stores", delay, len(req.Stores))
+		f.logf("a change of the set is on its way for %v: %d stores", delay, len(req.Stores))
 		return delay
 	}
 }
@@ -104,7 +104,7 @@
 // checkSetOfLeader compares the set by which the leader counts with the one that the register
 // names for the next leader.
 func (f *recoveryFleet) checkSetOfLeader() {
-	leading := f.leading()
+	leading := f.leader()
 	if leading == nil {
 		f.t.Error("nobody leads")
 		return
@@ -125,7 +125,7 @@
 func TestLateChangeOfTheSetIsNotPutBackInForce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRecoveryFleet(t, 1, 7, 2)
-		defer f.end()
+		defer f.shutDown()
 		f.delayChanges(1, func(number int, _ *rand.Rand) bool { return number == 1 })
 		go f.submitJobs("a", 1)
 		sleepMs(5000)
@@ -136,7 +136,7 @@
 		sleepMs(20_000)
 		f.checkSetOfLeader()
 		jobs := f.acceptedJobs()
-		f.loseDisks(f.leadingNumber(), lost)
+		f.loseDisks(f.leaderNumber(), lost)
 		f.checkReadable(jobs)
 	})
 }
@@ -155,20 +155,20 @@
 func playLossesOfDisks(t *testing.T, seed int64) {
 	t.Helper()
 	f := newRecoveryFleet(t, seed, 9, 2)
-	defer f.end()
+	defer f.shutDown()
 	f.delayChanges(seed, func(_ int, random *rand.Rand) bool { return random.Intn(3) == 0 })
 	for client := int64(0); client < 2; client++ {
 		go f.submitJobs(fmt.Sprint(client), seed*7+client)
 	}
 	sleepMs(6000 + f.random.Float64()*4000)
-	f.loseDisksOneAfterTheOther(f.pairOfStores())
+	f.loseDisksInTurn(f.randomPair())
 	// sync-s has passed since they came back.
 	sleepMs(12_000 + f.random.Float64()*3000)
-	jobs, pair := f.acceptedJobs(), f.pairOfStores()
+	jobs, pair := f.acceptedJobs(), f.randomPair()
 	if f.random.Intn(2) == 0 {
 		f.loseDisks(pair[0], pair[1])
 	} else {
-		f.loseDisksOneAfterTheOther(pair)
+		f.loseDisksInTurn(pair)
 	}
 	f.checkReadable(jobs)
 }
--- a/internal/batch/store/recoveryfaults_test.go
+++ b/internal/batch/store/recoveryfaults_test.go
@@ -1,7 +1,7 @@
 package store
 
 // pairOfStores draws two machines, mostly of the store set.
-func (f *recoveryFleet) pairOfStores() []int {
+func (f *recoveryFleet) randomPair() []int {
 	members := map[string]bool{}
 	if f.random.Intn(4) > 0 {
 		for _, member := range f.storeSet() {
@@ -31,8 +31,8 @@
 }
 
 // leadingNumber is the machine that leads.
-func (f *recoveryFleet) leadingNumber() int {
-	leading := f.leading()
+func (f *recoveryFleet) leaderNumber() int {
+	leading := f.leader()
 	if leading == nil {
 		f.t.Fatal("nobody leads")
 	}
@@ -41,7 +41,7 @@
 
 // memberBesidesLeader gives a machine of the set that does not lead.
 func (f *recoveryFleet) memberBesidesLeader() int {
-	leader := f.leadingNumber()
+	leader := f.leaderNumber()
 	for _, member := range f.storeSet() {
 		if number := f.numberOf(member.Name); number != leader {
 			return number
@@ -53,7 +53,7 @@
 
 // loseDisks takes the power from all machines and the disks from two, and starts all again.
 func (f *recoveryFleet) loseDisks(first, second int) {
-	f.note("all lose power, %s and %s their disks; %d jobs accepted, %d stores in the set", storeName(first), storeName(second), len(f.acceptedJobs()), len(f.storeSet()))
+	f.logf("all lose power, %s and %s their disks; %d jobs accepted, %d stores in the set", storeName(first), storeName(second), len(f.acceptedJobs()), len(f.storeSet()))
 	for number := 1; number <= len(f.disks); number++ {
 		f.powerOff(number, number == first || number == second)
 	}
@@ -67,8 +67,8 @@
 }
 
 // loseDisksOneAfterTheOther takes the disks of machines while the others go on.
-func (f *recoveryFleet) loseDisksOneAfterTheOther(machines []int) {
-	f.note("stores %v lose their disks", machines)
+func (f *recoveryFleet) loseDisksInTurn(machines []int) {
+	f.logf("stores %v lose their disks", machines)
 	for _, number := range machines {
 		f.powerOff(number, true)
 		sleepMs(f.random.Float64() * 400)
--- a/internal/batch/store/recoveryfleet_test.go
+++ b/internal/batch/store/recoveryfleet_test.go
@@ -22,7 +22,7 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-const roomyConfig = `{"generation":1,"channels":[{"name":"b","host":"h","path-prefix":"/b/","route-kind":"bulk","backend":"s","tries":2,"retain-s":600,"result-setpoint-ms":9000,"backlog-cap":0}],"backends":[{"name":"s"}],"limits":{}}`
+const unlimitedConfig = `{"generation":1,"channels":[{"name":"b","host":"h","path-prefix":"/b/","route-kind":"bulk","backend":"s","tries":2,"retain-s":600,"result-setpoint-ms":9000,"backlog-cap":0}],"backends":[{"name":"s"}],"limits":{}}`
 
 // recoveryFleet is real store processes in simulated time: machines lose their power and their
 // disks and come back, links carry so many bytes a second, and changes of the store set may
@@ -39,12 +39,12 @@
 	disks map[string]*simulation.Disk
 	stop  chan struct{}
 
-	lock     sync.Mutex
-	dark     map[string]bool
-	running  map[string]*poweredServer
-	accepted []string
-	lines    []string
-	starts   int
+	lock          sync.Mutex
+	poweredOff    map[string]bool
+	running       map[string]*poweredServer
+	acceptedNames []string
+	logLines      []string
+	starts        int
 }
 
 // poweredServer is one incarnation of a store process.
@@ -59,10 +59,10 @@
 	clock.Sleep(clock.Milliseconds(1000) - clock.Now().Sub(0))
 	f := &recoveryFleet{t: t, random: rand.New(rand.NewSource(seed)), budget: budget, network: transport.NewMemoryNetwork(),
 		links: map[string]*link{}, disks: map[string]*simulation.Disk{}, stop: make(chan struct{}),
-		dark: map[string]bool{}, running: map[string]*poweredServer{}}
-	f.register = &fakeRegister{grants: lease.NewGrantor(clock.Now(), true),
+		poweredOff: map[string]bool{}, running: map[string]*poweredServer{}}
+	f.register = &fakeRegister{grantor: lease.NewGrantor(clock.Now(), true),
 		value: messages.RegisterValue{Acceptors: []messages.Member{{Address: fakeRegisterAddress, Disk: "r"}}}}
-	_ = f.network.Transport(fakeRegisterAddress).Serve(f.register.answer)
+	_ = f.network.Transport(fakeRegisterAddress).Serve(f.register.respond)
 	const linkBytes = 7.5e6
 	for number := 1; number <= stores; number++ {
 		f.links[storeAddress(number)] = &link{bytesPerSecond: linkBytes * (0.3 + f.random.Float64())}
@@ -71,8 +71,8 @@
 	for number := 1; number <= stores; number++ {
 		f.start(number)
 	}
-	f.meet()
-	go clock.Every(constants.TickPeriod*4, f.stop, f.meet)
+	f.exchangeMembers()
+	go clock.Every(constants.TickPeriod*4, f.stop, f.exchangeMembers)
 	return f
 }
 
@@ -80,7 +80,7 @@
 func storeAddress(number int) string { return fmt.Sprint("10.0.0.", number, ":7002") }
 
 // note writes a line into the fleet's one log.
-func (f *recoveryFleet) note(format string, arguments ...any) {
+func (f *recoveryFleet) logf(format string, arguments ...any) {
 	_, _ = fmt.Fprintf(f, format, arguments...)
 }
 
@@ -88,14 +88,14 @@
 func (f *recoveryFleet) Write(line []byte) (int, error) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.lines = append(f.lines, fmt.Sprintf("%8.3f %s", float64(clock.Now())/1e9, strings.TrimSpace(string(line))))
+	f.logLines = append(f.logLines, fmt.Sprintf("%8.3f %s", float64(clock.Now())/1e9, strings.TrimSpace(string(line))))
 	return len(line), nil
 }
 
-func (f *recoveryFleet) isDark(address string) bool {
+func (f *recoveryFleet) isPoweredOff(address string) bool {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	return f.dark[address]
+	return f.poweredOff[address]
 }
 
 // start opens a process on the disk of its machine.
@@ -118,13 +118,13 @@
 	server := newServer(runtime, store)
 	server.registerHandlers()
 	server.registerReports()
-	runtime.ApplyConfig([]byte(roomyConfig))
+	runtime.ApplyConfig([]byte(unlimitedConfig))
 	if err = runtime.Transport.Serve(runtime.Dispatch); err != nil {
 		f.t.Error(name, err)
 		return
 	}
 	f.lock.Lock()
-	delete(f.dark, runtime.Self.Address)
+	delete(f.poweredOff, runtime.Self.Address)
 	f.running[name] = &poweredServer{server, current}
 	f.lock.Unlock()
 	go server.election.Run()
@@ -136,7 +136,7 @@
 	f.lock.Lock()
 	server := f.running[name]
 	delete(f.running, name)
-	f.dark[storeAddress(number)] = true
+	f.poweredOff[storeAddress(number)] = true
 	f.lock.Unlock()
 	if server != nil {
 		server.power.lost.Store(true)
@@ -152,7 +152,7 @@
 	}
 }
 
-func (f *recoveryFleet) all() []*poweredServer {
+func (f *recoveryFleet) servers() []*poweredServer {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	var all []*poweredServer
@@ -163,8 +163,8 @@
 }
 
 // meet keeps the processes known to each other, as reports do.
-func (f *recoveryFleet) meet() {
-	all := f.all()
+func (f *recoveryFleet) exchangeMembers() {
+	all := f.servers()
 	for _, server := range all {
 		for _, other := range all {
 			if server != other {
@@ -182,8 +182,8 @@
 }
 
 // leading gives the process that serves as the leader, or nil.
-func (f *recoveryFleet) leading() *poweredServer {
-	for _, server := range f.all() {
+func (f *recoveryFleet) leader() *poweredServer {
+	for _, server := range f.servers() {
 		if current := server.currentTerm(); current != nil && server.election.HoldsLease() && current.Serving() {
 			return server
 		}
@@ -192,7 +192,7 @@
 }
 
 // end takes the power from all, and waits until nothing is under way.
-func (f *recoveryFleet) end() {
+func (f *recoveryFleet) shutDown() {
 	close(f.stop)
 	for number := 1; number <= len(f.disks); number++ {
 		f.powerOff(number, false)
@@ -201,6 +201,6 @@
 	if f.t.Failed() {
 		f.lock.Lock()
 		defer f.lock.Unlock()
-		f.t.Log("\n" + strings.Join(f.lines, "\n"))
+		f.t.Log("\n" + strings.Join(f.logLines, "\n"))
 	}
 }
--- a/internal/batch/store/secondloss_test.go
+++ b/internal/batch/store/secondloss_test.go
@@ -21,7 +21,7 @@
 			continue
 		}
 		if s.replicator.MarkLost(register.Identity(member)) {
-			s.apply()
+			s.applyCommitted()
 		}
 	}
 	return left
@@ -33,8 +33,8 @@
 	next := leader.markLost()
 	leader.replicator.Next = next
 	index := leader.submit(messages.Record{Kind: messages.RecordNoop})
-	if !s.until(func() bool { return leader.replicator.InNextSet(index) }) {
-		s.test.Fatal("the smaller set was never agreed on")
+	if !s.runUntil(func() bool { return leader.replicator.InNextSet(index) }) {
+		s.t.Fatal("the smaller set was never agreed on")
 	}
 	s.set = next
 	leader.replicator.Members, leader.replicator.Next = next, nil
@@ -43,25 +43,25 @@
 // electAfterLosses has somebody take over where too few disks may be left for as many copies
 // as usual.
 func (s *simFleet) electAfterLosses() {
-	names := s.live()
+	names := s.liveMembers()
 	for attempt := 0; attempt < 12; attempt++ {
 		epoch := s.epoch + 1
-		s.take(names[s.world.Random.Intn(len(names))])
+		s.startTakeover(names[s.world.Random.Intn(len(names))])
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(300)))
 		if s.leader == nil || s.leader.epoch != epoch {
 			continue
 		}
 		s.leader.markLost()
-		if s.until(func() bool { return s.leader.ready }) {
-			s.check(s.leader)
+		if s.runUntil(func() bool { return s.leader.ready }) {
+			s.checkJobs(s.leader)
 			return
 		}
 	}
-	s.test.Fatal("nobody could take over")
+	s.t.Fatal("nobody could take over")
 }
 
 // wipeSome takes the disks of some members, and at times the power of all others.
-func (s *simFleet) wipeSome(members []messages.Member, round string) {
+func (s *simFleet) wipeMembers(members []messages.Member, round string) {
 	if s.world.Random.Intn(2) == 0 {
 		for _, name := range simulation.Keys(s.stores) {
 			s.stores[name].disk.PowerLoss()
@@ -70,11 +70,11 @@
 		s.leader = nil
 	}
 	for _, member := range members {
-		if s.leader != nil && s.leader.at == member.Address {
+		if s.leader != nil && s.leader.address == member.Address {
 			s.leader.fenced = true
 			s.leader = nil
 		}
-		s.wipeBack(s.stores[member.Address], member.Name+round)
+		s.restartWiped(s.stores[member.Address], member.Name+round)
 	}
 }
 
@@ -87,29 +87,29 @@
 		fleet.electAny()
 		for round := 0; round < 3; round++ {
 			fleet.awaitAcknowledged()
-			first := fleet.pair()
-			fleet.wipeSome(first, fmt.Sprint("-a", round))
+			first := fleet.randomPair()
+			fleet.wipeMembers(first, fmt.Sprint("-a", round))
 			if fleet.leader == nil {
 				fleet.electAfterLosses()
 			}
 			fleet.removeLost()
 			// The copying begins, and is not complete when the second loss strikes.
 			for _, member := range first {
-				fleet.swapBegin(fleet.stores[member.Address].member)
+				fleet.feedJoiner(fleet.stores[member.Address].member)
 			}
 			fleet.awaitAcknowledged()
-			second := fleet.pair()
+			second := fleet.randomPair()
 			if slices.ContainsFunc(second, func(member messages.Member) bool { return slices.Contains(first, member) }) {
 				t.Fatal("a lost disk is a member still")
 			}
-			fleet.wipeSome(second, fmt.Sprint("-b", round))
+			fleet.wipeMembers(second, fmt.Sprint("-b", round))
 			if fleet.leader == nil {
 				fleet.electAfterLosses()
 			}
 			fleet.removeLost()
 			fleet.awaitAcknowledged()
 			for len(fleet.set) < 5 {
-				fleet.replaceMember(messages.Member{}, fleet.fresh())
+				fleet.replaceMember(messages.Member{}, fleet.spareStore())
 			}
 		}
 	}
--- a/internal/batch/store/share_executor_test.go
+++ b/internal/batch/store/share_executor_test.go
@@ -11,66 +11,66 @@
 
 // simDriver is an executor node in a shareCluster: the real core, simulated messages and
 // workers.
-type simDriver struct {
-	cluster *shareCluster
-	name    string
-	core    *executor.Runner
-	life    int64
-	asking  bool
-	telling [2]bool
-	renewed clock.Instant
-	shown   uint64
+type simExecutor struct {
+	cluster       *shareCluster
+	name          string
+	core          *executor.Runner
+	incarnation   int64
+	acquiring     bool
+	acknowledging [2]bool
+	renewedAt     clock.Instant
+	renewedEpoch  uint64
 }
 
-func (s *simDriver) now() clock.Instant { return s.cluster.clockValue(s.name) }
+func (s *simExecutor) now() clock.Instant { return s.cluster.clockValue(s.name) }
 
-func (s *simDriver) loop() {
+func (s *simExecutor) loop() {
 	cluster := s.cluster
 	defer cluster.world.After(clock.Milliseconds(20+5*cluster.world.Random.Float64()), s.loop)
 	if cluster.frozen[s.name] {
 		return
 	}
-	s.halt(s.core.Lapsed(s.now()))
-	if all, _ := s.core.Count(); all < 4 && !s.asking {
+	s.stopTasks(s.core.Lapsed(s.now()))
+	if all, _ := s.core.Count(); all < 4 && !s.acquiring {
 		s.acquire()
 	}
-	due := s.now().Sub(s.renewed) >= dispatch.LockDuration(shareCancel)/4
-	if cluster.leader != nil && (due || cluster.leader.epoch > s.shown) {
-		s.shown = cluster.leader.epoch
+	due := s.now().Sub(s.renewedAt) >= dispatch.LockDuration(shareCancelMs)/4
+	if cluster.leader != nil && (due || cluster.leader.epoch > s.renewedEpoch) {
+		s.renewedEpoch = cluster.leader.epoch
 		s.renew()
 	}
-	s.tell(0, s.core.Results())
-	s.tell(1, s.core.Releases())
+	s.sendAcknowledgements(0, s.core.Results())
+	s.sendAcknowledgements(1, s.core.Releases())
 }
 
 // at runs a function at the machine unless it is frozen or started anew by then.
-func (s *simDriver) at(incarnation int64, function func()) func() {
+func (s *simExecutor) ifRunning(incarnation int64, function func()) func() {
 	return func() {
-		if s.life == incarnation {
+		if s.incarnation == incarnation {
 			function()
 		}
 	}
 }
 
-func (s *simDriver) who() dispatch.Executor {
-	return dispatch.Executor{Name: s.name, Incarnation: s.life, Address: s.name}
+func (s *simExecutor) identity() dispatch.Executor {
+	return dispatch.Executor{Name: s.name, Incarnation: s.incarnation, Address: s.name}
 }
 
-func (s *simDriver) acquire() {
-	cluster, leader, incarnation := s.cluster, s.cluster.leader, s.life
+func (s *simExecutor) acquire() {
+	cluster, leader, incarnation := s.cluster, s.cluster.leader, s.incarnation
 	if leader == nil {
 		return
 	}
-	s.asking = true
-	sentAt, who := s.now(), s.who()
+	s.acquiring = true
+	sentAt, who := s.now(), s.identity()
 	answered := false
-	cluster.world.After(clock.Milliseconds(200), s.at(incarnation, func() {
+	cluster.world.After(clock.Milliseconds(200), s.ifRunning(incarnation, func() {
 		// The question timed out: an answer that comes later is dropped.
 		if !answered {
-			answered, s.asking = true, false
+			answered, s.acquiring = true, false
 		}
 	}))
-	cluster.send(s.name, leader.at, func() {
+	cluster.send(s.name, leader.address, func() {
 		dispatcher := cluster.serving(leader)
 		if dispatcher == nil {
 			return
@@ -78,54 +78,54 @@
 		resp := &messages.AcquireResponse{LockMs: clock.ToMilliseconds(dispatcher.Lock)}
 		options := &dispatch.AcquireOptions{Executor: who, Capacity: map[string]int{"s": 2}, Terms: cluster.terms,
 			Service: func(*dispatch.Item) string { return "s" }}
-		for _, given := range dispatcher.Acquire(options, cluster.clockValue(leader.at)) {
+		for _, given := range dispatcher.Acquire(options, cluster.clockValue(leader.address)) {
 			item := given.Item
 			resp.Items = append(resp.Items, messages.AcquiredItem{Number: given.Number, Job: item.Job.ID, Item: item.JobItem, LastID: item.LastID,
 				Events: item.Events[:len(item.Events):len(item.Events)], Preempted: item.Preempted})
 		}
-		cluster.send(leader.at, s.name, s.at(incarnation, func() {
+		cluster.send(leader.address, s.name, s.ifRunning(incarnation, func() {
 			if answered {
 				return
 			}
-			answered, s.asking = true, false
+			answered, s.acquiring = true, false
 			for _, task := range s.core.Add(resp, sentAt, s.now()) {
-				s.begin(task)
+				s.startTask(task)
 			}
-			cluster.single()
+			cluster.checkSingleAcquisition()
 		}))
 	})
 }
 
-func (s *simDriver) acknowledge(entries []messages.Acknowledgement, epoch uint64, received func(verdicts []messages.AckVerdict)) {
-	cluster, leader, incarnation, who := s.cluster, s.cluster.leader, s.life, s.who()
+func (s *simExecutor) acknowledge(entries []messages.Acknowledgement, epoch uint64, received func(verdicts []messages.AckVerdict)) {
+	cluster, leader, incarnation, who := s.cluster, s.cluster.leader, s.incarnation, s.identity()
 	if leader == nil {
 		return
 	}
-	cluster.send(s.name, leader.at, func() {
+	cluster.send(s.name, leader.address, func() {
 		dispatcher := cluster.serving(leader)
 		if dispatcher == nil {
 			return
 		}
 		var verdicts []messages.AckVerdict
 		last := int64(0)
-		dispatcher.ObserveExecutor(who, cluster.clockValue(leader.at))
+		dispatcher.ObserveExecutor(who, cluster.clockValue(leader.address))
 		for i := range entries {
-			outcome := dispatcher.Acknowledge(who, &entries[i], cluster.clockValue(leader.at))
+			outcome := dispatcher.Acknowledge(who, &entries[i], cluster.clockValue(leader.address))
 			verdicts = append(verdicts, outcome.Verdict)
 			last = max(last, outcome.Index)
 		}
 		if epoch > 0 {
-			dispatcher.ReportedAll(who, epoch, cluster.clockValue(leader.at))
+			dispatcher.ReportedAll(who, epoch, cluster.clockValue(leader.address))
 		}
 		cluster.whenDurable(leader, last, 100, func() {
-			cluster.send(leader.at, s.name, s.at(incarnation, func() { received(verdicts) }))
+			cluster.send(leader.address, s.name, s.ifRunning(incarnation, func() { received(verdicts) }))
 		})
 	})
 }
 
-func (s *simDriver) renew() {
+func (s *simExecutor) renew() {
 	sentAt := s.now()
-	s.renewed = sentAt
+	s.renewedAt = sentAt
 	if s.cluster.leader == nil {
 		return
 	}
@@ -133,19 +133,19 @@
 	s.core.DropBefore(epoch)
 	if entries := s.core.Renewals(sentAt); true {
 		s.acknowledge(entries, epoch, func(verdicts []messages.AckVerdict) {
-			s.halt(s.core.HandleRenewals(entries, verdicts, sentAt, dispatch.LockDuration(shareCancel)))
+			s.stopTasks(s.core.HandleRenewals(entries, verdicts, sentAt, dispatch.LockDuration(shareCancelMs)))
 		})
 	}
 }
 
 // tell repeats a batch until it is answered.
-func (s *simDriver) tell(lane int, batch []messages.Acknowledgement) {
-	if len(batch) == 0 || s.telling[lane] {
+func (s *simExecutor) sendAcknowledgements(lane int, batch []messages.Acknowledgement) {
+	if len(batch) == 0 || s.acknowledging[lane] {
 		return
 	}
-	s.telling[lane] = true
-	incarnation := s.life
-	s.cluster.world.After(clock.Milliseconds(120), s.at(incarnation, func() { s.telling[lane] = false }))
+	s.acknowledging[lane] = true
+	incarnation := s.incarnation
+	s.cluster.world.After(clock.Milliseconds(120), s.ifRunning(incarnation, func() { s.acknowledging[lane] = false }))
 	s.acknowledge(batch, 0, func(verdicts []messages.AckVerdict) {
 		for i, entry := range batch {
 			if verdicts[i] != messages.AckRecorded {
@@ -163,13 +163,13 @@
 }
 
 // halt closes the connections of runs: each sets its item back.
-func (s *simDriver) halt(tasks []*executor.Task) {
+func (s *simExecutor) stopTasks(tasks []*executor.Task) {
 	for _, task := range tasks {
 		s.release(task, messages.Acknowledgement{})
 	}
 }
 
-func (s *simDriver) release(task *executor.Task, entry messages.Acknowledgement) {
+func (s *simExecutor) release(task *executor.Task, entry messages.Acknowledgement) {
 	entry.Kind = messages.AckRelease
 	entry.Preempted = task.Item.Yielding()
 	task.Item.Requeue(task.Run)
@@ -177,14 +177,14 @@
 }
 
 // begin brings a task to a worker, which streams from where it is asked to.
-func (s *simDriver) begin(task *executor.Task) {
-	cluster, incarnation := s.cluster, s.life
-	cluster.world.After(clock.Milliseconds(10*cluster.world.Random.Float64()), s.at(incarnation, func() {
+func (s *simExecutor) startTask(task *executor.Task) {
+	cluster, incarnation := s.cluster, s.incarnation
+	cluster.world.After(clock.Milliseconds(10*cluster.world.Random.Float64()), s.ifRunning(incarnation, func() {
 		if cluster.frozen[s.name] || !task.MayRun(s.now()) {
 			return
 		}
-		if acked, ended := cluster.endAcked[task.Item.Job.ID]; ended && cluster.world.Now.Sub(acked) > clock.Milliseconds(shareCancel) {
-			cluster.test.Fatalf("%s reaches a worker %v after the end of its lot", task.Item.ID, cluster.world.Now.Sub(acked))
+		if acked, ended := cluster.endAcked[task.Item.Job.ID]; ended && cluster.world.Now.Sub(acked) > clock.Milliseconds(shareCancelMs) {
+			cluster.t.Fatalf("%s reaches a worker %v after the end of its lot", task.Item.ID, cluster.world.Now.Sub(acked))
 		}
 		task.Started = true
 		chance := cluster.world.Random.Float64()
@@ -200,14 +200,14 @@
 	}))
 }
 
-func (s *simDriver) stream(task *executor.Task, next int64) {
-	cluster, incarnation := s.cluster, s.life
-	cluster.world.After(clock.Milliseconds(20+200*cluster.world.Random.Float64()), s.at(incarnation, func() {
+func (s *simExecutor) stream(task *executor.Task, next int64) {
+	cluster, incarnation := s.cluster, s.incarnation
+	cluster.world.After(clock.Milliseconds(20+200*cluster.world.Random.Float64()), s.ifRunning(incarnation, func() {
 		switch {
 		case task.Stopped():
 		case cluster.frozen[s.name]:
 			// The events wait in the machine's buffers.
-			cluster.thawed[s.name] = append(cluster.thawed[s.name], s.at(incarnation, func() { s.stream(task, next) }))
+			cluster.deferred[s.name] = append(cluster.deferred[s.name], s.ifRunning(incarnation, func() { s.stream(task, next) }))
 		case cluster.world.Random.Float64() < 0.03:
 			s.release(task, messages.Acknowledgement{})
 		case cluster.world.Random.Float64() < 0.02 && task.Item.Yield(task.Run):
@@ -228,8 +228,8 @@
 }
 
 // restart is a process that dies and starts anew: what it held is gone.
-func (s *simDriver) restart() {
-	s.life++
+func (s *simExecutor) restart() {
+	s.incarnation++
 	s.core = executor.New()
-	s.asking, s.telling = false, [2]bool{}
+	s.acquiring, s.acknowledging = false, [2]bool{}
 }
--- a/internal/batch/store/share_sim_test.go
+++ b/internal/batch/store/share_sim_test.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	shareCancel   = 3000
+	shareCancelMs = 3000
 	shareEvents   = 6
 	shareAttempts = 3
-	shareRetain   = 25_000
+	shareRetainMs = 25_000
 )
 
 // shareCluster is a fleet of stores whose leader dispatches items to executors, on the
 // same cores as the real one. Every clock has an offset and a rate of its own.
 type shareCluster struct {
 	*simFleet
-	executors   map[string]*simDriver
+	executors   map[string]*simExecutor
 	dispatchers map[*simLeader]*dispatch.Dispatcher
 	ending      map[*simLeader]map[string]bool
 	// over says that a leader's hold has ended; no other is taken before.
-	over   map[*simLeader]bool
-	frozen map[string]bool
-	thawed map[string][]func()
-	offset map[string]float64
-	rate   map[string]float64
+	leaseEnded map[*simLeader]bool
+	frozen     map[string]bool
+	deferred   map[string][]func()
+	offset     map[string]float64
+	rate       map[string]float64
 	// What the outside saw.
 	accepted     map[string]string
 	failures     map[string]int
@@ -40,25 +40,25 @@
 	sentAt       map[string]clock.Instant
 	endAcked     map[string]clock.Instant
 	endRequested map[string]bool
-	observed     map[string]int64
+	counts       map[string]int64
 	// callers are the clients; what they draw is their own.
-	callers    callers
+	calls      callRecorder
 	callRandom *rand.Rand
 }
 
 func newShareCluster(t *testing.T, seed int64) *shareCluster {
 	t.Helper()
 
-	cluster := &shareCluster{simFleet: newSimFleet(t, seed, 4), executors: map[string]*simDriver{}, dispatchers: map[*simLeader]*dispatch.Dispatcher{},
-		ending: map[*simLeader]map[string]bool{}, over: map[*simLeader]bool{}, frozen: map[string]bool{}, thawed: map[string][]func(){},
+	cluster := &shareCluster{simFleet: newSimFleet(t, seed, 4), executors: map[string]*simExecutor{}, dispatchers: map[*simLeader]*dispatch.Dispatcher{},
+		ending: map[*simLeader]map[string]bool{}, leaseEnded: map[*simLeader]bool{}, frozen: map[string]bool{}, deferred: map[string][]func(){},
 		offset: map[string]float64{}, rate: map[string]float64{}, accepted: map[string]string{}, failures: map[string]int{},
-		rejected: map[string]bool{}, sentAt: map[string]clock.Instant{}, endAcked: map[string]clock.Instant{}, endRequested: map[string]bool{}, observed: map[string]int64{}}
+		rejected: map[string]bool{}, sentAt: map[string]clock.Instant{}, endAcked: map[string]clock.Instant{}, endRequested: map[string]bool{}, counts: map[string]int64{}}
 	cluster.callRandom = rand.New(rand.NewSource(seed))
 	for _, name := range []string{"s0", "s1", "s2", "s3", "d4", "d5"} {
 		cluster.offset[name] = 1e9 * (1 + 50*cluster.world.Random.Float64())
 		// Clocks run up to 2 % too fast or too slow.
 		cluster.rate[name] = 0.98 + 0.04*cluster.world.Random.Float64()
-		cluster.executors[name] = &simDriver{cluster: cluster, name: name, core: executor.New(), life: 1}
+		cluster.executors[name] = &simExecutor{cluster: cluster, name: name, core: executor.New(), incarnation: 1}
 		cluster.executors[name].loop()
 	}
 	return cluster
@@ -73,7 +73,7 @@
 func (s *shareCluster) send(from, to string, function func()) {
 	s.world.Send(from, to, func() {
 		if s.frozen[to] {
-			s.thawed[to] = append(s.thawed[to], function)
+			s.deferred[to] = append(s.deferred[to], function)
 			return
 		}
 		function()
@@ -84,8 +84,8 @@
 
 func (s *shareCluster) thaw(name string) {
 	s.frozen[name] = false
-	waited := s.thawed[name]
-	s.thawed[name] = nil
+	waited := s.deferred[name]
+	s.deferred[name] = nil
 	for _, function := range waited {
 		function()
 	}
@@ -93,12 +93,12 @@
 
 // serving gives the dispatcher of a leader that may act, or nil.
 func (s *shareCluster) serving(leader *simLeader) *dispatch.Dispatcher {
-	if leader == nil || leader != s.leader || !leader.ready || s.over[leader] || s.stores[leader.at].down || s.frozen[leader.at] {
+	if leader == nil || leader != s.leader || !leader.ready || s.leaseEnded[leader] || s.stores[leader.address].down || s.frozen[leader.address] {
 		return nil
 	}
 	dispatcher := s.dispatchers[leader]
 	if dispatcher == nil {
-		dispatcher = dispatch.NewDispatcher(leader.jobs, leader.epoch, leader.first, dispatch.LockDuration(shareCancel), s.clockValue(leader.at))
+		dispatcher = dispatch.NewDispatcher(leader.jobs, leader.epoch, leader.firstIndex, dispatch.LockDuration(shareCancelMs), s.clockValue(leader.address))
 		dispatcher.Append = leader.submit
 		ending := map[string]bool{}
 		dispatcher.Ending = func(job *dispatch.Job) bool { return ending[job.ID] }
@@ -111,27 +111,27 @@
 // terms gives jobs up once they are older than retain-s; the wall clock is shared.
 func (s *shareCluster) terms(job *dispatch.Job) dispatch.JobTerms {
 	age := clock.ToMilliseconds(s.world.Now.Sub(s.sentAt[job.ID]))
-	return dispatch.JobTerms{Due: int64(s.sentAt[job.ID]), Overdue: age > 8000, Expired: age > shareRetain}
+	return dispatch.JobTerms{Due: int64(s.sentAt[job.ID]), Overdue: age > 8000, Expired: age > shareRetainMs}
 }
 
 // reconcileAll is the leader's upkeep.
 func (s *shareCluster) reconcileAll() {
 	defer s.world.After(clock.Milliseconds(50), s.reconcileAll)
 	if dispatcher := s.serving(s.leader); dispatcher != nil {
-		now := s.clockValue(s.leader.at)
+		now := s.clockValue(s.leader.address)
 		dispatcher.ExpireLocks(now)
 		dispatcher.AbandonExpired(s.terms, now)
 		dispatcher.RecordAcquisitionsKnown(now)
-		if now < dispatcher.StartedAt().Add(dispatcher.Lock) && !dispatcher.Uncertain(now) && s.observed[fmt.Sprint("sure", s.leader.epoch)] == 0 {
-			s.observed[fmt.Sprint("sure", s.leader.epoch)] = 1
-			s.observed["early"]++
+		if now < dispatcher.StartedAt().Add(dispatcher.Lock) && !dispatcher.Uncertain(now) && s.counts[fmt.Sprint("sure", s.leader.epoch)] == 0 {
+			s.counts[fmt.Sprint("sure", s.leader.epoch)] = 1
+			s.counts["early"]++
 		}
 	}
-	s.single()
+	s.checkSingleAcquisition()
 }
 
 // single checks that no two executors believe that they hold one item.
-func (s *shareCluster) single() {
+func (s *shareCluster) checkSingleAcquisition() {
 	pending := map[string]string{}
 	for _, name := range simulation.Keys(s.executors) {
 		for _, task := range s.executors[name].core.All() {
@@ -139,7 +139,7 @@
 				continue
 			}
 			if other, twice := pending[task.Item.ID]; twice {
-				s.test.Fatalf("%s and %s both hold %s (%x) at %d", other, name, task.Item.ID, task.Number, s.world.Now)
+				s.t.Fatalf("%s and %s both hold %s (%x) at %d", other, name, task.Item.ID, task.Number, s.world.Now)
 			}
 			pending[task.Item.ID] = name
 		}
@@ -152,19 +152,19 @@
 	if s.serving(leader) == nil {
 		return
 	}
-	s.number++
-	id := fmt.Sprint("job", s.number)
+	s.jobNumber++
+	id := fmt.Sprint("job", s.jobNumber)
 	body := &messages.JobBody{Path: "/p/"}
 	for i := 0; i < items; i++ {
 		name := fmt.Sprintf("%s-%d", id, i)
-		if i == 0 && s.number%4 == 0 {
+		if i == 0 && s.jobNumber%4 == 0 {
 			s.rejected[name] = true
 		}
-		body.Items = append(body.Items, messages.JobItem{ID: name, Tokens: 10, Headers: map[string]string{"Lemonarch-Prompt-Prefix": fmt.Sprintf("%d:9,%s:1", s.number%3, name)}})
+		body.Items = append(body.Items, messages.JobItem{ID: name, Tokens: 10, Headers: map[string]string{"Lemonarch-Prompt-Prefix": fmt.Sprintf("%d:9,%s:1", s.jobNumber%3, name)}})
 	}
 	packed, _ := body.MarshalMsg(nil)
 	s.sentAt[id] = s.world.Now
-	acknowledged := s.handedIn(id)
+	acknowledged := s.recordSubmission(id)
 	index := leader.submit(messages.Record{Kind: messages.RecordJob, Job: id, Body: packed})
 	s.whenDurable(leader, index, 100, acknowledged)
 }
@@ -185,13 +185,13 @@
 		names = append(names, executor.Name)
 	}
 	for _, name := range names {
-		s.send(leader.at, name, func() { s.executors[name].halt(s.executors[name].core.StopJob(id)) })
+		s.send(leader.address, name, func() { s.executors[name].stopTasks(s.executors[name].core.StopJob(id)) })
 	}
 	index := leader.submit(messages.Record{Kind: messages.RecordJobEnd, Job: id})
 	s.whenDurable(leader, index, 100, func() {
 		if _, known := s.endAcked[id]; !known {
 			s.endAcked[id] = s.world.Now
-			s.answered(linearize.JobCall{Kind: linearize.JobEnd, Lot: id}, linearize.JobReply{Outcome: linearize.JobDone}, start)
+			s.recordCall(linearize.JobCall{Kind: linearize.JobEnd, Lot: id}, linearize.JobReply{Outcome: linearize.JobDone}, start)
 		}
 	})
 }
--- a/internal/batch/store/share_test.go
+++ b/internal/batch/store/share_test.go
@@ -11,23 +11,23 @@
 // share plays one seeded history: jobs come and are ended while machines freeze, are
 // cut off, start anew, lose power or their disk, stores are slow, replies are lost,
 // and the leadership changes in the middle of locks.
-func share(t *testing.T, seed int64) *shareCluster {
+func playShareGroup(t *testing.T, seed int64) *shareCluster {
 	t.Helper()
 
 	cluster := newShareCluster(t, seed)
 	cluster.world.Loss, cluster.world.Double = 0.06, 0.06
 	cluster.electAny()
 	cluster.reconcileAll()
-	cluster.read()
+	cluster.readPeriodically()
 	random := cluster.world.Random
 	names := simulation.Keys(cluster.executors)
 	for round := 0; round < 14; round++ {
 		cluster.submitJob(2 + random.Intn(5))
-		if random.Intn(3) == 0 && cluster.number > 0 {
-			id := fmt.Sprint("job", 1+random.Intn(cluster.number))
+		if random.Intn(3) == 0 && cluster.jobNumber > 0 {
+			id := fmt.Sprint("job", 1+random.Intn(cluster.jobNumber))
 			cluster.world.After(clock.Milliseconds(300*random.Float64()), func() { cluster.endJob(id) })
 		}
-		cluster.strike(names, round)
+		cluster.injectFault(names, round)
 		cluster.world.Run(cluster.world.Now.Add(clock.Milliseconds(200 + 900*random.Float64())))
 	}
 	cluster.settleDown(names)
@@ -35,13 +35,13 @@
 }
 
 // strike lets one machine suffer a fault.
-func (s *shareCluster) strike(names []string, round int) {
+func (s *shareCluster) injectFault(names []string, round int) {
 	random := s.world.Random
 	victim := names[random.Intn(len(names))]
 	timeout := clock.Milliseconds(200 + 4000*random.Float64())
 	switch random.Intn(6) {
 	case 0:
-		if s.leader.at != victim {
+		if s.leader.address != victim {
 			s.freeze(victim)
 			s.world.After(timeout, func() { s.thaw(victim) })
 		}
@@ -49,18 +49,18 @@
 		s.isolate(victim, names, true)
 		s.world.After(timeout, func() { s.isolate(victim, names, false) })
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(100)))
-		if s.leader.at == victim {
+		if s.leader.address == victim {
 			s.isolate(victim, names, false)
-			s.move()
+			s.changeLeader()
 		}
 	case 2:
 		s.executors[victim].restart()
 	case 3:
-		s.move()
+		s.changeLeader()
 	case 4:
 		s.powerOrDisk(random.Intn(2) == 0, round)
 	case 5:
-		s.slow(names, victim, 12)
+		s.slowDown(names, victim, 12)
 	}
 }
 
@@ -72,26 +72,26 @@
 	}
 	s.world.Loss, s.world.Double = 0, 0
 	s.world.Run(s.world.Now.Add(clock.Milliseconds(6000)))
-	s.move()
+	s.changeLeader()
 	s.world.Run(s.world.Now.Add(clock.Milliseconds(35_000)))
 }
 
 // move lets the leadership change in the middle of everything; all locks go on.
-func (s *shareCluster) move() {
+func (s *shareCluster) changeLeader() {
 	if s.leader != nil {
-		s.over[s.leader] = true
+		s.leaseEnded[s.leader] = true
 	}
 	s.electAny()
 }
 
 // slow makes a machine answer only now and then, as one with a bad disk does.
-func (s *shareCluster) slow(names []string, victim string, times int) {
-	if times == 0 || s.leader.at == victim {
+func (s *shareCluster) slowDown(names []string, victim string, times int) {
+	if times == 0 || s.leader.address == victim {
 		s.isolate(victim, names, false)
 		return
 	}
 	s.isolate(victim, names, times%4 != 0)
-	s.world.After(clock.Milliseconds(90), func() { s.slow(names, victim, times-1) })
+	s.world.After(clock.Milliseconds(90), func() { s.slowDown(names, victim, times-1) })
 }
 
 // powerOrDisk takes a store's power or its whole disk, while another holds the leadership.
@@ -104,7 +104,7 @@
 	if wipe {
 		store.disk.Wipe()
 	}
-	s.move()
+	s.changeLeader()
 	if wipe {
 		store.member.Disk = fmt.Sprintf("%s-%d", store.member.Name, round+1)
 	}
@@ -125,10 +125,10 @@
 	}
 	total := map[string]int64{}
 	for seed := int64(1); seed <= seeds; seed++ {
-		cluster := share(t, seed)
-		cluster.judge(seed)
+		cluster := playShareGroup(t, seed)
+		cluster.checkOutcome(seed)
 		cluster.checkCalls(seed)
-		total["calls"] += int64(cluster.callers.history.Clear())
+		total["calls"] += int64(cluster.calls.history.Clear())
 		for _, dispatcher := range cluster.dispatchers {
 			total["lapses"] += dispatcher.Counts.Lapses
 			total["adopted"] += dispatcher.Counts.Adopted
@@ -138,7 +138,7 @@
 			total["dropped"] += dispatcher.Counts.Abandoned
 		}
 		total["accepted"] += int64(len(cluster.accepted))
-		total["early"] += cluster.observed["early"]
+		total["early"] += cluster.counts["early"]
 		total["ended"] += int64(len(cluster.endAcked))
 	}
 	for name, least := range map[string]int64{"lapses": 3, "adopted": 3, "releases": 10, "failures": 3, "dropped": 1, "accepted": 20, "calls": 100, "ended": 1, "early": 1} {
@@ -150,7 +150,7 @@
 }
 
 func TestShareGroupSameSeedSameHistory(t *testing.T) {
-	if first, second := share(t, 7).world.Sum(), share(t, 7).world.Sum(); first != second {
+	if first, second := playShareGroup(t, 7).world.Sum(), playShareGroup(t, 7).world.Sum(); first != second {
 		t.Fatal("one seed gave two histories")
 	}
 }
--- a/internal/batch/store/simulation_faults_test.go
+++ b/internal/batch/store/simulation_faults_test.go
@@ -12,7 +12,7 @@
 	store.down = true
 	store.disk.PowerLoss()
 	s.electAny()
-	s.work(3)
+	s.submitJobs(3)
 	s.open(store)
 }
 
@@ -23,7 +23,7 @@
 	store.down = true
 	store.disk.Wipe()
 	s.electAny()
-	s.work(3)
+	s.submitJobs(3)
 	store.member.Disk = disk
 	s.open(store)
 	s.replaceMember(victim, store.member)
@@ -34,30 +34,30 @@
 	if s.leader == nil {
 		return
 	}
-	partitioned, old := s.leader.at, s.leader
+	partitioned, old := s.leader.address, s.leader
 	var names []string
 	for name := range s.stores {
 		names = append(names, name)
 	}
 	s.world.Isolate(partitioned, names, true)
 	s.stores[partitioned].down = false
-	others := s.live()
+	others := s.liveMembers()
 	if i := slices.Index(others, partitioned); i >= 0 {
 		others = append(others[:i], others[i+1:]...)
 	}
 	for attempt := 0; attempt < 12 && (s.leader == old || !s.leader.ready); attempt++ {
-		s.take(others[s.world.Random.Intn(len(others))])
+		s.startTakeover(others[s.world.Random.Intn(len(others))])
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(400)))
 	}
-	s.check(s.leader)
+	s.checkJobs(s.leader)
 	old.submit(messages.Record{Kind: messages.RecordOutput, Job: "lot1", Position: 9, Item: "stale"})
-	s.work(3)
+	s.submitJobs(3)
 	s.world.Isolate(partitioned, names, false)
 }
 
 // retire replaces a member by the spare; the leader itself is never retired.
 func (s *simFleet) retire(victim messages.Member) {
-	if victim.Address == s.leader.at {
+	if victim.Address == s.leader.address {
 		return
 	}
 	for _, name := range []string{"s0", "s1", "s2", "s3"} {
--- a/internal/batch/store/simulation_leader_test.go
+++ b/internal/batch/store/simulation_leader_test.go
@@ -10,8 +10,8 @@
 )
 
 // begin goes on from the best copy. Fetching is done in one step here.
-func (s *simLeader) begin(set []messages.Member, copies map[string]messages.FenceResponse) {
-	own := s.fleet.stores[s.at]
+func (s *simLeader) takeOver(set []messages.Member, copies map[string]messages.FenceResponse) {
+	own := s.fleet.stores[s.address]
 	best := replication.BestCopy(copies)
 	if best != register.Identity(own.member) {
 		for _, member := range set {
@@ -38,13 +38,13 @@
 	s.replicator = replication.NewReplicator(s.epoch, set, s.fleet.budget, last+1)
 	jobs, err := own.store.Jobs()
 	if err != nil {
-		s.fleet.test.Fatal(err)
+		s.fleet.t.Fatal(err)
 	}
-	s.jobs, s.first, s.applied = jobs, last+1, last
+	s.jobs, s.firstIndex, s.applied = jobs, last+1, last
 	s.fleet.leader = s
 	s.submit(messages.Record{Kind: messages.RecordNoop})
 	for _, member := range set {
-		s.next[register.Identity(member)] = last + 1
+		s.nextIndex[register.Identity(member)] = last + 1
 		s.feed(member)
 	}
 }
@@ -58,11 +58,11 @@
 // feed sends a store what it lacks, again and again.
 func (s *simLeader) feed(member messages.Member) {
 	fleet, identity := s.fleet, register.Identity(member)
-	if fleet.stores[s.at].down || s.fenced {
+	if fleet.stores[s.address].down || s.fenced {
 		return
 	}
-	defer fleet.world.After(clock.Milliseconds(30)+fleet.lag[member.Address], func() { s.feed(member) })
-	next := s.next[identity]
+	defer fleet.world.After(clock.Milliseconds(30)+fleet.appendDelay[member.Address], func() { s.feed(member) })
+	next := s.nextIndex[identity]
 	if next > s.replicator.Last() {
 		return
 	}
@@ -71,8 +71,8 @@
 		return
 	}
 	target := fleet.stores[member.Address]
-	fleet.count(member.Address, req)
-	fleet.slowly(s.at, member.Address, func() {
+	fleet.countTraffic(member.Address, req)
+	fleet.sendAppend(s.address, member.Address, func() {
 		if target.down {
 			return
 		}
@@ -80,7 +80,7 @@
 		if err != nil {
 			return
 		}
-		fleet.world.Send(member.Address, s.at, func() { s.handleAppendResponse(identity, next, &resp) })
+		fleet.world.Send(member.Address, s.address, func() { s.handleAppendResponse(identity, next, &resp) })
 	})
 }
 
@@ -89,24 +89,24 @@
 func (s *simLeader) appendRequest(member messages.Member, next int64) *messages.AppendRequest {
 	fleet := s.fleet
 	req := &messages.AppendRequest{Epoch: s.epoch, Disk: member.Disk, PreviousIndex: next - 1, CommitIndex: s.replicator.CommitIndex()}
-	if next >= s.first && next > fleet.stores[s.at].store.Compacted() {
-		req.Records = append(req.Records, s.records[next-s.first:]...)
+	if next >= s.firstIndex && next > fleet.stores[s.address].store.Compacted() {
+		req.Records = append(req.Records, s.records[next-s.firstIndex:]...)
 	} else {
-		fetched, err := fleet.stores[s.at].store.Fetch(&messages.FetchRequest{First: next})
+		fetched, err := fleet.stores[s.address].store.Fetch(&messages.FetchRequest{First: next})
 		if err != nil {
 			return nil
 		}
 		req.Base, req.BaseEpoch = fetched.Base, fetched.BaseEpoch
 		for _, record := range fetched.Records {
-			if record.Index < s.first || fetched.Base > 0 {
+			if record.Index < s.firstIndex || fetched.Base > 0 {
 				req.Records = append(req.Records, record)
 			}
 		}
 	}
-	if next-1 >= s.first {
+	if next-1 >= s.firstIndex {
 		req.PreviousEpoch = s.epoch
 	} else {
-		req.PreviousEpoch = fleet.stores[s.at].store.EpochAt(next - 1)
+		req.PreviousEpoch = fleet.stores[s.address].store.EpochAt(next - 1)
 	}
 	return req
 }
@@ -118,39 +118,39 @@
 		// A later epoch was raised: the term ends, as the real one does.
 		s.fenced = true
 	case resp.Granted:
-		s.next[identity] = max(s.next[identity], resp.Last+1)
+		s.nextIndex[identity] = max(s.nextIndex[identity], resp.Last+1)
 		if s.replicator.UpdateMatch(identity, resp.Last) {
-			s.apply()
+			s.applyCommitted()
 		}
 	case resp.EpochRanges != nil:
-		common := replication.CommonIndex(s.fleet.stores[s.at].store.Extent(), replication.ExtentOfAppend(resp))
-		s.next[identity] = min(common, next-1) + 1
+		common := replication.CommonIndex(s.fleet.stores[s.address].store.Extent(), replication.ExtentOfAppend(resp))
+		s.nextIndex[identity] = min(common, next-1) + 1
 	}
 }
 
 // apply tells clients of what is durable; that binds every later leader.
-func (s *simLeader) apply() {
+func (s *simLeader) applyCommitted() {
 	s.ready = true
 	fleet := s.fleet
 	for s.applied < s.replicator.CommitIndex() {
-		record := s.records[s.applied+1-s.first]
+		record := s.records[s.applied+1-s.firstIndex]
 		if err := s.jobs.Apply(&record); err != nil {
-			fleet.test.Fatal(err)
+			fleet.t.Fatal(err)
 		}
 		s.applied++
 		if record.Kind == messages.RecordForget {
-			fleet.gone[record.Job] = true
+			fleet.forgotten[record.Job] = true
 		}
 		// An earlier leader that learns late of its copies acknowledges nothing that binds of a job
 		// whose time was over meanwhile.
-		if record.Kind != messages.RecordOutput || fleet.dropped[record.Job] {
+		if record.Kind != messages.RecordOutput || fleet.forgetRequested[record.Job] {
 			continue
 		}
 		key := fmt.Sprintf("%s/%d", record.Job, record.Position)
-		if other, known := fleet.announced[key]; known && other != record.Item {
-			fleet.test.Fatalf("position %s held %s and now holds %s", key, other, record.Item)
+		if other, known := fleet.acknowledgedItems[key]; known && other != record.Item {
+			fleet.t.Fatalf("position %s held %s and now holds %s", key, other, record.Item)
 		}
-		fleet.announced[key] = record.Item
+		fleet.acknowledgedItems[key] = record.Item
 		fleet.acknowledgements++
 		fleet.world.Record("told %s %s", key, record.Item)
 	}
--- a/internal/batch/store/simulation_test.go
+++ b/internal/batch/store/simulation_test.go
@@ -27,44 +27,44 @@
 
 type simLeader struct {
 	fleet      *simFleet
-	at         string
+	address    string
 	epoch      uint64
 	replicator *replication.Replicator
 	jobs       *dispatch.JobTable
 	records    []messages.Record
 	applied    int64
-	next       map[string]int64
+	nextIndex  map[string]int64
 	ready      bool
-	first      int64
+	firstIndex int64
 	forgets    map[string]bool
 	// fenced says that a member has told of a later epoch.
 	fenced bool
 }
 
 type simFleet struct {
-	test   *testing.T
+	t      *testing.T
 	world  *simulation.World
 	stores map[string]*simStore
 	// The register, whose own agreement is tested elsewhere.
-	epoch     uint64
-	set       []messages.Member
-	leader    *simLeader
-	announced map[string]string
-	toldAt    map[string]uint64
+	epoch             uint64
+	set               []messages.Member
+	leader            *simLeader
+	acknowledgedItems map[string]string
+	toldAt            map[string]uint64
 	// acknowledgements counts what was ever told; forgotten jobs are no longer in told, and those
 	// whose word of it is durable are in gone.
 	acknowledgements int
-	gone             map[string]bool
-	number           int
+	forgotten        map[string]bool
+	jobNumber        int
 	// sent counts what each store was sent.
 	sent map[string]traffic
 	// dropped are the jobs that some leader has begun to forget.
-	dropped map[string]bool
+	forgetRequested map[string]bool
 	// isolated are the machines that are cut off now.
 	isolated map[string]bool
 	// budget is how many stores may be lost at once.
-	budget int
-	lag    map[string]clock.Duration
+	budget      int
+	appendDelay map[string]clock.Duration
 }
 
 // newSimFleet makes stores of which the first three are the set, for a budget of one.
@@ -77,7 +77,7 @@
 func newSimFleetOf(t *testing.T, seed int64, count, budget, size int) *simFleet {
 	t.Helper()
 
-	fleet := &simFleet{budget: budget, test: t, world: simulation.NewWorld(seed), stores: map[string]*simStore{}, announced: map[string]string{}, toldAt: map[string]uint64{}, gone: map[string]bool{}, isolated: map[string]bool{}, dropped: map[string]bool{}, sent: map[string]traffic{}}
+	fleet := &simFleet{budget: budget, t: t, world: simulation.NewWorld(seed), stores: map[string]*simStore{}, acknowledgedItems: map[string]string{}, toldAt: map[string]uint64{}, forgotten: map[string]bool{}, isolated: map[string]bool{}, forgetRequested: map[string]bool{}, sent: map[string]traffic{}}
 	for i := 0; i < count; i++ {
 		name := fmt.Sprintf("s%d", i)
 		store := &simStore{disk: simulation.NewDisk(seed*31 + int64(i))}
@@ -88,14 +88,14 @@
 			fleet.set = append(fleet.set, store.member)
 		}
 	}
-	fleet.tidy(rand.New(rand.NewSource(seed)))
+	fleet.compactPeriodically(rand.New(rand.NewSource(seed)))
 	return fleet
 }
 
 func (s *simFleet) open(ss *simStore) {
 	store, err := replicalog.Open(ss.disk, ss.member.Disk)
 	if err != nil {
-		s.test.Fatal(err)
+		s.t.Fatal(err)
 	}
 	// Files are rewritten as soon as half of them says nothing any more.
 	store.SetCompaction(replicalog.Compaction{Bytes: 1 << 40, Records: 6, Lag: clock.Milliseconds(150)})
@@ -104,9 +104,9 @@
 }
 
 // take makes a process the leader of a new epoch; the one before may not notice.
-func (s *simFleet) take(name string) {
+func (s *simFleet) startTakeover(name string) {
 	s.epoch++
-	leader := &simLeader{fleet: s, at: name, epoch: s.epoch, next: map[string]int64{}, forgets: map[string]bool{}}
+	leader := &simLeader{fleet: s, address: name, epoch: s.epoch, nextIndex: map[string]int64{}, forgets: map[string]bool{}}
 	set := append([]messages.Member(nil), s.set...)
 	copies := map[string]messages.FenceResponse{}
 	started := false
@@ -125,7 +125,7 @@
 				own := copies[register.Identity(s.stores[name].member)].Granted
 				if !started && own && replication.EnoughFenced(len(set), len(copies), s.budget) {
 					started = true
-					leader.begin(set, copies)
+					leader.takeOver(set, copies)
 				}
 			})
 		})
--- a/internal/batch/store/upkeep_test.go
+++ b/internal/batch/store/upkeep_test.go
@@ -14,15 +14,15 @@
 
 // tidy rewrites files now and then, at an instant of each store's own. What it draws is its
 // own, so that the rest of a seed's history doesn't hang on it.
-func (s *simFleet) tidy(random *rand.Rand) {
+func (s *simFleet) compactPeriodically(random *rand.Rand) {
 	for _, name := range simulation.Keys(s.stores) {
 		if store := s.stores[name]; !store.down && random.Intn(3) > 0 {
 			if err := store.store.CompactIfDue(s.world.Now); err != nil && !store.faulty {
-				s.test.Fatal(err)
+				s.t.Fatal(err)
 			}
 		}
 	}
-	s.world.After(clock.Milliseconds(200), func() { s.tidy(random) })
+	s.world.After(clock.Milliseconds(200), func() { s.compactPeriodically(random) })
 }
 
 // forget drops jobs that are done, as a leader does once their time is over; the newest
@@ -36,27 +36,27 @@
 		}
 	}
 	for _, job := range done[:max(len(done)-kept, 0)] {
-		s.forgets[job.ID], s.fleet.dropped[job.ID] = true, true
+		s.forgets[job.ID], s.fleet.forgetRequested[job.ID] = true, true
 		s.submit(messages.Record{Kind: messages.RecordForget, Job: job.ID})
 		for i := range job.Listings {
-			delete(s.fleet.announced, fmt.Sprintf("%s/%d", job.ID, i))
+			delete(s.fleet.acknowledgedItems, fmt.Sprintf("%s/%d", job.ID, i))
 		}
 	}
 }
 
 // check compares a leader's book with all that was ever told.
-func (s *simFleet) check(leader *simLeader) {
+func (s *simFleet) checkJobs(leader *simLeader) {
 	for _, job := range leader.jobs.Jobs() {
-		if s.gone[job.ID] {
-			s.test.Fatalf("holder of epoch %d has %s again", leader.epoch, job.ID)
+		if s.forgotten[job.ID] {
+			s.t.Fatalf("holder of epoch %d has %s again", leader.epoch, job.ID)
 		}
 	}
-	for _, key := range simulation.Keys(s.announced) {
+	for _, key := range simulation.Keys(s.acknowledgedItems) {
 		jobID, number, _ := strings.Cut(key, "/")
 		position, _ := strconv.Atoi(number)
 		found := leader.jobs.Job(jobID)
-		if found == nil || position >= len(found.Listings) || found.Listings[position].Item != s.announced[key] {
-			s.test.Fatalf("holder of epoch %d lacks %s", leader.epoch, key)
+		if found == nil || position >= len(found.Listings) || found.Listings[position].Item != s.acknowledgedItems[key] {
+			s.t.Fatalf("holder of epoch %d lacks %s", leader.epoch, key)
 		}
 	}
 }
