--- a/internal/batch/store/budget_test.go
+++ b/internal/batch/store/budget_test.go
@@ -11,17 +11,17 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// slowly carries an order; a slow store takes longer over it.
+// sendAppend delivers an append request; a slow store processes it later.
 func (s *simFleet) sendAppend(from, to string, function func()) {
-	lag := s.appendDelay[to]
-	if lag == 0 {
+	delay := s.appendDelay[to]
+	if delay == 0 {
 		s.world.Send(from, to, function)
 		return
 	}
-	s.world.Send(from, to, func() { s.world.After(lag, function) })
+	s.world.Send(from, to, func() { s.world.After(delay, function) })
 }
 
-// slowTwo makes two members of the set slow, and nobody else.
+// slowTwoMembers makes two members of the set slow, and no other store.
 func (s *simFleet) slowTwoMembers() {
 	s.appendDelay = map[string]clock.Duration{}
 	for _, i := range s.world.Random.Perm(len(s.set))[:2] {
@@ -29,19 +29,19 @@
 	}
 }
 
-// pair draws two members of the set; half of the time those that have most.
+// randomPair draws two members of the set, half of the time those with the most records.
 func (s *simFleet) randomPair() []messages.Member {
 	order := s.world.Random.Perm(len(s.set))
 	if s.world.Random.Intn(2) == 0 {
-		has := func(i int) int64 {
+		lastIndex := func(i int) int64 {
 			return s.stores[s.set[i].Address].store.Extent().Last
 		}
-		sort.SliceStable(order, func(left, right int) bool { return has(order[left]) > has(order[right]) })
+		sort.SliceStable(order, func(left, right int) bool { return lastIndex(order[left]) > lastIndex(order[right]) })
 	}
 	return []messages.Member{s.set[order[0]], s.set[order[1]]}
 }
 
-// fresh gives a store outside the set.
+// spareStore returns a running store outside the set.
 func (s *simFleet) spareStore() messages.Member {
 	inSet := map[string]bool{}
 	for _, member := range s.set {
@@ -52,12 +52,12 @@
 			return s.stores[name].member
 		}
 	}
-	s.t.Fatal("no store stands by")
+	s.t.Fatal("no spare store is running")
 	return messages.Member{}
 }
 
-// awaitAcknowledged runs until the leader has told one more result: the fault that follows
-// strikes right after an acknowledgement.
+// awaitAcknowledged runs the world until the leader has acknowledged another output, so that the
+// next fault occurs right after an acknowledgement.
 func (s *simFleet) awaitAcknowledged() {
 	before := s.acknowledgements
 	for step := 0; step < 4000 && s.acknowledgements == before; step++ {
@@ -72,11 +72,11 @@
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(1)))
 	}
 	if s.acknowledgements == before {
-		s.t.Fatal("nothing was told any more")
+		s.t.Fatal("no further output was acknowledged within 4 s")
 	}
 }
 
-// wipeBack brings a machine back with an empty disk.
+// restartWiped restarts a machine with an empty disk.
 func (s *simFleet) restartWiped(store *simStore, disk string) {
 	store.down = true
 	store.disk.PowerLoss()
@@ -85,13 +85,13 @@
 	s.open(store)
 }
 
-// newBudgetFleet makes a fleet with a fault budget of two, whose set is complete.
+// newBudgetFleet creates a fleet with a fault budget of two and a complete store set.
 func newBudgetFleet(t *testing.T, seed int64) *simFleet {
 	t.Helper()
 
 	fleet := newSimFleetOf(t, seed, 9, 2, 5)
 	if seed%4 == 0 {
-		// The first set is smaller than the budget asks, and grows under load.
+		// The first set is smaller than the budget requires, and grows under load.
 		fleet = newSimFleetOf(t, seed, 9, 2, 3)
 	}
 	fleet.world.Loss, fleet.world.Double = 0.04, 0.04
@@ -103,7 +103,7 @@
 	return fleet
 }
 
-// losePowerAndDisks takes everybody's power, and the disks of some.
+// losePowerAndDisks cuts the power of all stores and wipes the disks of some.
 func (s *simFleet) losePowerAndDisks(lost []messages.Member, disk func(i int) string) {
 	for _, name := range simulation.Keys(s.stores) {
 		s.stores[name].down = true
@@ -119,11 +119,11 @@
 	for _, member := range lost {
 		s.replaceMember(member, s.stores[member.Address].member)
 	}
-	// Somebody takes over at the very moment of the change.
+	// A store takes over at the moment of the set change.
 	s.electAny()
 }
 
-// losePowerOf takes the power of some for a while.
+// losePowerTemporarily cuts the power of some stores for a while.
 func (s *simFleet) losePowerTemporarily(lost []messages.Member) {
 	for _, member := range lost {
 		s.stores[member.Address].down = true
@@ -136,7 +136,7 @@
 	}
 }
 
-// loseForGood replaces some by others; they come back with empty disks later.
+// losePermanently replaces some stores by others. The lost ones return later with empty disks.
 func (s *simFleet) losePermanently(lost []messages.Member, disk func(i int) string) {
 	for _, member := range lost {
 		s.stores[member.Address].down = true
@@ -150,13 +150,13 @@
 	}
 }
 
-// loseTwo strikes two stores right after an acknowledgement, in one of three ways.
+// loseTwoStores makes two stores fail right after an acknowledgement, in one of three ways.
 func (s *simFleet) loseTwoStores(round int) {
 	if len(s.appendDelay) == 0 {
 		s.slowTwoMembers()
 	}
 	s.awaitAcknowledged()
-	// Slow stores count as lost: they recover as the others are struck.
+	// Slow stores count against the budget, so they recover before the others fail.
 	s.appendDelay = nil
 	lost := s.randomPair()
 	disk := func(i int) string { return fmt.Sprintf("wiped-%d-%d", round, i) }
@@ -171,16 +171,17 @@
 	s.electAny()
 	s.awaitAcknowledged()
 	if s.world.Random.Intn(2) == 0 {
-		// A member is emptied under load, two others slow; the next fault follows.
+		// A member is replaced under load while two members are slow; the next fault follows.
 		s.slowTwoMembers()
-		if out := s.randomPair()[1]; out.Address != s.leader.address {
-			s.replaceMember(out, s.spareStore())
+		if leaving := s.randomPair()[1]; leaving.Address != s.leader.address {
+			s.replaceMember(leaving, s.spareStore())
 		}
 	}
 }
 
-// Records outlast the loss of any two of five stores right after they were acknowledged:
-// disks lost while all others lose power, kills, and machines gone for good.
+// Acknowledged records survive the loss of any two of five stores right after the
+// acknowledgement: two disks lost while all other stores lose power, two stores down for a while,
+// or two machines lost permanently.
 func TestJobsUnderLossOfTwo(t *testing.T) {
 	acknowledged := 0
 	for seed := int64(1); seed <= int64(simulation.Seeds(40)); seed++ {
@@ -190,12 +191,12 @@
 		}
 		for _, member := range fleet.set {
 			if register.Identity(fleet.stores[member.Address].member) != register.Identity(member) {
-				t.Fatalf("seed %d: the set names a disk that is gone", seed)
+				t.Fatalf("seed %d: the store set names a lost disk", seed)
 			}
 		}
 		acknowledged += fleet.acknowledgements
 	}
 	if acknowledged < 300 {
-		t.Fatalf("only %d results were acknowledged in all", acknowledged)
+		t.Fatalf("%d outputs were acknowledged in total, want at least 300", acknowledged)
 	}
 }
--- a/internal/batch/store/copy_test.go
+++ b/internal/batch/store/copy_test.go
@@ -10,75 +10,75 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// A joiner gets what is durable from a member, and no frame of it from the
-// leader; a member that came back with another disk is no source.
+// A joiner copies the durable records from another member, and the leader sends it none of them.
+// A member that came back with another disk rejects fetches meant for the old disk.
 func TestJoinerCopiesFromAMember(t *testing.T) {
 	fleet := newStoreFleet(t, 31)
 	for number := 0; number < 4; number++ {
 		fleet.submitAndCheck()
 	}
-	leaseholder := fleet.leaderStore()
-	current := leaseholder.currentTerm()
+	leading := fleet.leaderStore()
+	term := leading.currentTerm()
 	joiner := fleet.nonMember()
 	appended := 0
 	fleet.network.OnFrame(func(frame transport.ObservedFrame) {
-		if !frame.Response && frame.Kind == messages.KindAppend && frame.To == joiner.Node.Self.Address && frame.From == leaseholder.Node.Self.Address {
+		if !frame.Response && frame.Kind == messages.KindAppend && frame.To == joiner.Node.Self.Address && frame.From == leading.Node.Self.Address {
 			appended++
 		}
 	})
-	done := current.CopyTo(joiner.election.Member(), 0, leader.NewCopyDeadline())
-	durable := current.CommitIndex()
+	copied := term.CopyTo(joiner.election.Member(), 0, leader.NewCopyDeadline())
+	durable := term.CommitIndex()
 	extent := joiner.Log.Extent()
 	last, epochRanges := extent.Last, extent.EpochRanges
-	if done == 0 || last != done || appended > 0 || done > durable {
-		t.Fatal(done, last, appended, durable)
+	if copied == 0 || last != copied || appended > 0 || copied > durable {
+		t.Fatal(copied, last, appended, durable)
 	}
-	fleet.checkSameRecords(joiner, done, leaseholder.Node.Settings.Budget())
+	fleet.checkSameRecords(joiner, copied, leading.Node.Settings.Budget())
 	if len(epochRanges) == 0 {
-		t.Fatal("no epochs")
+		t.Fatal("the joiner has no epoch ranges")
 	}
 	body, _ := transport.Encode(&messages.FetchRequest{First: 1, Disk: "another"})
 	response, err := joiner.Node.Dispatch(messages.KindFetch, body)
 	resp := &messages.FetchResponse{}
 	if err != nil || transport.Decode(response, resp) != nil || resp.Granted || len(resp.Records) > 0 {
-		t.Fatal("a store answered for a disk that it has not")
+		t.Fatal("a store granted a fetch for a disk that it does not have")
 	}
 }
 
-// checkSameRecords checks that a joiner has the same records, under the same epochs, as the
-// members that have them; the leader's own disk may still be behind what is durable.
-func (r *storeFleet) checkSameRecords(joiner *Server, done int64, budget int) {
-	inside := r.storeSetDisks()
-	for index := int64(1); index <= done; index++ {
-		left, _ := joiner.Log.Read(index)
+// checkSameRecords checks that a joiner has the same records with the same epochs as the members
+// that have them. The leader's own disk may still be behind the commit index.
+func (r *storeFleet) checkSameRecords(joiner *Server, copied int64, budget int) {
+	members := r.storeSetDisks()
+	for index := int64(1); index <= copied; index++ {
+		got, _ := joiner.Log.Read(index)
 		compared := 0
 		for _, server := range r.servers() {
-			if _, member := inside[server.Node.Self.Name]; !member {
+			if _, member := members[server.Node.Self.Name]; !member {
 				continue
 			}
-			right, err := server.Log.Read(index)
+			want, err := server.Log.Read(index)
 			if err != nil {
 				continue
 			}
 			compared++
-			if left == nil || fmt.Sprint(*left) != fmt.Sprint(*right) {
+			if got == nil || fmt.Sprint(*got) != fmt.Sprint(*want) {
 				r.t.Fatal(index, server.Node.Self.Name)
 			}
 		}
-		if compared < replication.CopiesNeeded(len(inside), budget) {
-			r.t.Fatal("durable with ", compared, " copies: ", index)
+		if compared < replication.CopiesNeeded(len(members), budget) {
+			r.t.Fatal("only ", compared, " members have the durable record ", index)
 		}
 	}
 }
 
-// outside gives a store that is no member of the store set.
+// nonMember returns a store that is not a member of the store set.
 func (r *storeFleet) nonMember() *Server {
-	inside := r.storeSetDisks()
+	members := r.storeSetDisks()
 	for _, server := range r.servers() {
-		if _, in := inside[server.Node.Self.Name]; !in {
+		if _, member := members[server.Node.Self.Name]; !member {
 			return server
 		}
 	}
-	r.t.Fatal("all are members")
+	r.t.Fatal("every store is a member of the set")
 	return nil
 }
--- a/internal/batch/store/displacement_test.go
+++ b/internal/batch/store/displacement_test.go
@@ -11,17 +11,18 @@
 	"lemonarch/internal/traffic/admission"
 )
 
-// simCluster is a fleet of stores with workers and benches: the leader's bench places
-// items, three edge benches place live requests of rank 0, all on the same workers.
+// simCluster is a fleet of stores with workers and admission schedulers. The leader's scheduler
+// places items, and those of three gateways place live requests of priority 0, all on the same
+// workers.
 type simCluster struct {
 	*simFleet
 	schedulers map[string]*admission.Scheduler
 	workerLoad map[string]int
 	cut        map[string]bool
 	running    map[*dispatch.Item]func()
-	// What the outside saw: events of an item as its result was made durable, and
-	// how each live request ended.
-	results   map[string][]string
+	results    map[string][]string
+	// endCounts is the number of times that each live request ended; refused counts the live
+	// requests that were rejected, requested all of them.
 	endCounts map[int]int
 	refused   int
 	requested int
@@ -39,14 +40,14 @@
 	cluster := &simCluster{simFleet: newSimFleet(t, seed, 3), schedulers: map[string]*admission.Scheduler{}, workerLoad: map[string]int{},
 		cut: map[string]bool{}, running: map[*dispatch.Item]func(){}, results: map[string][]string{}, endCounts: map[int]int{}, counts: map[string]int{}}
 	for _, name := range []string{"e0", "e1", "e2"} {
-		cluster.scheduler(name, "gateway")
+		cluster.addScheduler(name, "gateway")
 	}
 	cluster.pumpSchedulers()
 	return cluster
 }
 
-// scheduler makes a node's admission, as a process that starts would.
-func (s *simCluster) scheduler(name, role string) {
+// addScheduler creates the admission scheduler of a node, as a starting process does.
+func (s *simCluster) addScheduler(name, role string) {
 	scheduler := admission.New(messages.NodeInfo{Name: name, Role: role, Zone: "h"}, 1_200_000_000_000)
 	var list []messages.Worker
 	for _, worker := range []string{"w0", "w1"} {
@@ -54,14 +55,14 @@
 	}
 	scheduler.Merge(list, s.world.Now)
 	scheduler.OnPressure(func(entries []messages.Pressure) {
-		acknowledged := &messages.PressureNotice{From: role + "/" + name, Entries: entries}
+		notice := &messages.PressureNotice{From: role + "/" + name, Entries: entries}
 		for _, other := range simulation.Keys(s.schedulers) {
 			if other == name {
 				continue
 			}
 			s.world.Send(name, other, func() {
 				if s.schedulers[other] != nil {
-					s.schedulers[other].YieldToPressure(acknowledged, 1, s.world.Now)
+					s.schedulers[other].YieldToPressure(notice, 1, s.world.Now)
 				}
 			})
 		}
@@ -74,7 +75,7 @@
 		s.schedulers[name].PumpWaiting(s.world.Now)
 	}
 	s.world.After(clock.Milliseconds(15), s.pumpSchedulers)
-	// Gossip runs every fourth time: the bursts are short too.
+	// Gossip runs on every fourth pump only, because the bursts are short too.
 	if s.counts["pumps"]++; s.counts["pumps"]%4 == 0 {
 		for _, name := range simulation.Keys(s.schedulers) {
 			packet := s.schedulers[name].MakeGossip(s.world.Now)
@@ -87,12 +88,13 @@
 	}
 }
 
-// request is one live request of the high rank: served, or promised never to run.
+// request sends one live request of the highest priority. It is served, or rejected with the
+// guarantee that it never runs.
 func (s *simCluster) request() {
 	s.requested++
 	number := s.requested
 	scheduler := s.schedulers[fmt.Sprint("e", number%3)]
-	done := func(resp admission.Decision) {
+	handleDecision := func(resp admission.Decision) {
 		s.endCounts[number]++
 		if resp.Verdict != admission.VerdictGranted {
 			s.refused++
@@ -102,14 +104,14 @@
 		s.world.After(clock.Milliseconds(40+40*s.world.Random.Float64()), func() { s.releaseSlot(resp.Grant, admission.ResultServed) })
 	}
 	resp, _ := scheduler.Admit(&admission.Request{Service: "s", Priority: 0, Setpoint: 200_000_000,
-		QueueUntil: s.world.Now.Add(clock.Milliseconds(150))}, done, s.world.Now)
+		QueueUntil: s.world.Now.Add(clock.Milliseconds(150))}, handleDecision, s.world.Now)
 	if resp.Verdict != admission.VerdictQueued {
-		done(resp)
+		handleDecision(resp)
 	}
 }
 
-// arrive takes a place at a worker, which tells its load to whoever asked; leave
-// gives it back.
+// occupySlot takes a slot of a worker and reports the worker's load with the first event.
+// releaseSlot frees it.
 func (s *simCluster) occupySlot(grant *admission.Grant) {
 	s.workerLoad[grant.Worker.ID]++
 	grant.FirstEvent(fmt.Sprintf("%d,0,%d", s.workerLoad[grant.Worker.ID], clusterSlots), s.world.Now)
@@ -120,7 +122,7 @@
 	grant.End(result, s.world.Now)
 }
 
-// dispatch runs items of the present leader wherever its bench finds capacity.
+// dispatch runs items of the current leader wherever its scheduler finds capacity.
 func (s *simCluster) dispatch() {
 	defer s.world.After(clock.Milliseconds(10), s.dispatch)
 	leader := s.leader
@@ -129,14 +131,14 @@
 	}
 	name := fmt.Sprint("holder", leader.epoch)
 	if s.schedulers[name] == nil {
-		// Another process: whatever the one before ran is broken off by the workers.
+		// The leader is another process now: the workers cancel the runs of the previous one.
 		for old := range s.schedulers {
 			if old[0] == 'h' {
 				delete(s.schedulers, old)
 			}
 		}
 		s.running = map[*dispatch.Item]func(){}
-		s.scheduler(name, "store")
+		s.addScheduler(name, "store")
 	}
 	for _, job := range leader.jobs.Jobs() {
 		for _, item := range job.Items {
@@ -158,10 +160,10 @@
 		return
 	}
 	s.occupySlot(resp.Grant)
-	over := false
+	ended := false
 	requeue := func(result admission.Result) {
-		if !over {
-			over = true
+		if !ended {
+			ended = true
 			item.Requeue(run)
 			s.releaseSlot(resp.Grant, result)
 		}
@@ -174,18 +176,18 @@
 			}
 		})
 	}
-	s.stream(leader, item, run, &over, requeue, func() { s.releaseSlot(resp.Grant, admission.ResultServed) })
+	s.stream(leader, item, run, &ended, requeue, func() { s.releaseSlot(resp.Grant, admission.ResultServed) })
 }
 
-// stream has the worker stream from where the run began, and sometimes break off.
-func (s *simCluster) stream(leader *simLeader, item *dispatch.Item, run int, over *bool, requeue func(admission.Result), served func()) {
+// stream makes the worker stream events from the start of the run on, and fail at random.
+func (s *simCluster) stream(leader *simLeader, item *dispatch.Item, run int, ended *bool, requeue func(admission.Result), served func()) {
 	next := item.LastID + 1
 	var step func()
 	step = func() {
 		switch {
-		case *over:
+		case *ended:
 		case s.leader != leader:
-			// Its process is gone or fenced: the worker drops the run.
+			// The leader's process has ended or is fenced: the worker cancels the run.
 			requeue(admission.ResultCanceled)
 		case s.world.Random.Float64() < 0.01:
 			requeue(admission.ResultFailed)
@@ -195,8 +197,8 @@
 			s.world.After(clock.Milliseconds(12), step)
 		default:
 			s.finish(leader, item, run)
-			if !*over {
-				*over = true
+			if !*ended {
+				*ended = true
 				served()
 			}
 		}
@@ -218,7 +220,7 @@
 	leader.submit(messages.Record{Kind: messages.RecordOutput, Job: job.ID, Item: item.ID, Position: position, Body: []byte(text)})
 }
 
-// place counts the positions given so far, durable or on their way.
+// nextPosition returns the number of positions assigned so far, durable or pending.
 func (s *simCluster) nextPosition(leader *simLeader, job *dispatch.Job) int {
 	count := len(job.Listings)
 	for _, record := range leader.records {
--- a/internal/batch/store/executor_test.go
+++ b/internal/batch/store/executor_test.go
@@ -15,8 +15,9 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// fakeWorker streams four events an item; what else it does is told by the item's
-// name: "-0" is 422, "-1" is always 500, "-2" is cut after two events at first.
+// fakeWorker streams four events for each item. For some items the id selects another behaviour:
+// "mixed...-0" responds with 422, "mixed...-1" always with 500, the first attempt at
+// "mixed...-2" is cut off after two events, and "stuck..." hangs after its first event.
 type fakeWorker struct {
 	lock         sync.Mutex
 	attempts     map[string]int
@@ -62,7 +63,7 @@
 	}
 }
 
-// driven is a store that leads, runs items, and has one worker.
+// leaderWithWorker starts a store that leads, runs items, and has one worker.
 func leaderWithWorker(t *testing.T, seed int64) (*Server, *fakeWorker) {
 	t.Helper()
 
@@ -77,12 +78,12 @@
 	return server, worker
 }
 
-// outputsPage is what a read of a job answers (PROTOCOL).
+// outputsPage is the response to a read of a job (PROTOCOL).
 type outputsPage struct {
 	Outputs []listedOutput `json:"outputs"`
 }
 
-// listedOutput is one line of it.
+// listedOutput is one output in an outputsPage.
 type listedOutput struct {
 	ID    string `json:"id"`
 	Phase string `json:"phase"`
@@ -99,54 +100,55 @@
 		if err := json.Unmarshal(server.currentTerm().Serve(&messages.JobCallRequest{Method: http.MethodGet, Job: jobID, Cursor: len(found), WaitMs: 1000}).Body, &page); err != nil {
 			t.Fatal(err)
 		}
-		for _, line := range page.Outputs {
-			if _, twice := found[line.ID]; twice {
-				t.Fatal("listed twice: ", line.ID)
+		for _, output := range page.Outputs {
+			if _, twice := found[output.ID]; twice {
+				t.Fatal("item is listed twice: ", output.ID)
 			}
-			found[line.ID] = line
+			found[output.ID] = output
 		}
 	}
 	if len(found) != sum {
-		t.Fatalf("%d of %d are listed", len(found), sum)
+		t.Fatalf("got %d listed items, want %d", len(found), sum)
 	}
 	return found
 }
 
-// What an executor acknowledges follows from the stream: the end is an ACCEPT, a cut a
-// RELEASE with the events so far, a 500 one that counts, a 422 a REJECT.
+// An executor derives its acknowledgement from the worker's stream: a complete stream is an
+// ACCEPT, a broken one a RELEASE with the events so far, a 500 a RELEASE that counts as a failed
+// attempt, and a 422 a REJECT.
 func TestExecutorDerivesAcknowledgements(t *testing.T) {
 	server, worker := leaderWithWorker(t, 11)
 	if resp := server.currentTerm().Serve(submitCall("mixed", 5)); resp.Status != 202 {
 		t.Fatal(resp.Status)
 	}
-	for id, line := range outputs(t, server, "mixed", 5) {
+	for id, output := range outputs(t, server, "mixed", 5) {
 		complete := fmt.Sprintf("%s.1\n%s.2\n%s.3\n%s.4", id, id, id, id)
 		abandoned := strings.HasSuffix(id, "-0") || strings.HasSuffix(id, "-1")
-		if (line.Phase == "abandoned") != abandoned || (!abandoned && line.Text != complete) {
-			t.Fatal(line)
+		if (output.Phase == "abandoned") != abandoned || (!abandoned && output.Text != complete) {
+			t.Fatal(output)
 		}
 	}
 	worker.lock.Lock()
 	defer worker.lock.Unlock()
-	// Two tries is what the route allows.
+	// The route allows two attempts.
 	if worker.attempts["mixed-1"] != 2 || worker.attempts["mixed-0"] != 1 || worker.resumed["mixed-2"] != "2" {
 		t.Fatal(worker.attempts, worker.resumed)
 	}
 }
 
-// The end of a job breaks its runs off at once, and none begins again.
+// Ending a job stops its runs at once, and none of its items is started again.
 func TestEndOfAJobStopsRuns(t *testing.T) {
 	server, worker := leaderWithWorker(t, 12)
 	if resp := server.currentTerm().Serve(submitCall("stuck", 3)); resp.Status != 202 {
 		t.Fatal(resp.Status)
 	}
-	start := map[string]bool{}
-	for len(start) < 3 {
+	started := map[string]bool{}
+	for len(started) < 3 {
 		select {
 		case id := <-worker.hanging:
-			start[id] = true
+			started[id] = true
 		case <-clock.After(clock.Milliseconds(10_000)):
-			t.Fatal("not all were begun: ", start)
+			t.Fatal("not all items were started within 10 s: ", started)
 		}
 	}
 	if resp := server.currentTerm().Serve(&messages.JobCallRequest{Method: http.MethodDelete, Job: "stuck"}); resp.Status != 200 {
@@ -156,10 +158,10 @@
 		select {
 		case <-worker.disconnected:
 		case <-clock.After(clock.Milliseconds(1500)):
-			t.Fatal("runs go on after the end of their lot: ", count)
+			t.Fatal("runs continue after the end of their job; stopped so far: ", count)
 		}
 	}
-	// The next job is run to its end meanwhile; nothing of the ended one is.
+	// The next job runs to completion; no item of the ended job runs meanwhile.
 	if resp := server.currentTerm().Serve(submitCall("next", 2)); resp.Status != 202 {
 		t.Fatal(resp.Status)
 	}
@@ -168,7 +170,7 @@
 	defer worker.lock.Unlock()
 	for id, attempts := range worker.attempts {
 		if strings.HasPrefix(id, "stuck") && attempts != 1 {
-			t.Fatal("begun again after the end: ", id)
+			t.Fatal("item was started again after the end of its job: ", id)
 		}
 	}
 }
--- a/internal/batch/store/fakeregister_test.go
+++ b/internal/batch/store/fakeregister_test.go
@@ -10,14 +10,14 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// fakeRegister stands for the controllers: one acceptor, whose agreement with others is
+// fakeRegister replaces the controllers by a single acceptor. The agreement among acceptors is
 // tested elsewhere.
 type fakeRegister struct {
 	lock    sync.Mutex
 	value   messages.RegisterValue
 	grantor *lease.Grantor
-	// delay, where set, says for how long a change is on its way before it is applied; its
-	// sender may have given up by then. Set before the first store starts.
+	// delay, if not nil, returns how long a change is in transit before it is applied; its sender
+	// may have timed out by then. It is set before the first store starts.
 	delay func(req *messages.RegisterChangeRequest) clock.Duration
 }
 
@@ -50,16 +50,16 @@
 		resp := r.grantor.Grant(*req, r.value.Leadership, clock.Now())
 		return transport.Encode(&resp)
 	case messages.KindRegisterChange:
-		req, done := &messages.RegisterChangeRequest{}, false
+		req, applied := &messages.RegisterChangeRequest{}, false
 		if err := transport.Decode(body, req); err != nil {
 			return nil, err
 		}
-		change := register.SetStores(req.Holder, req.Sequence, req.Stores, &done)
+		change := register.SetStores(req.Holder, req.Sequence, req.Stores, &applied)
 		if req.Campaign {
-			change = register.Campaign(req.Holder, req.ExpectEpoch, req.Stores, &done)
+			change = register.Campaign(req.Holder, req.ExpectEpoch, req.Stores, &applied)
 		}
 		r.change(change)
-		return transport.Encode(&messages.RegisterResponse{Applied: done, Known: true, Value: r.value})
+		return transport.Encode(&messages.RegisterResponse{Applied: applied, Known: true, Value: r.value})
 	}
 	return nil, nil
 }
--- a/internal/batch/store/faults_test.go
+++ b/internal/batch/store/faults_test.go
@@ -8,9 +8,9 @@
 	"lemonarch/internal/control/register"
 )
 
-// The rim of real stores (campaign, term, feeding, set changes) over the transport
-// in memory and fake disks: the leader is cut off, killed, loses its disk, or is to
-// be emptied, in an order drawn from the seed. What was told holds after each.
+// Real stores (campaign, term, replication, set changes) run on an in-memory transport and fake
+// disks. In an order drawn from the seed, the leader is partitioned, killed, loses its disk, or is
+// retired. After each fault, everything that was acknowledged must still be in effect.
 func TestStoresUnderFaults(t *testing.T) {
 	for seed := int64(1); seed <= 2; seed++ {
 		fleet := newStoreFleet(t, seed)
@@ -27,32 +27,32 @@
 			case 1:
 				fleet.stopServer(old)
 				fleet.disks[name].PowerLoss()
-				again := fleet.start(number, "unused")
-				if strings.HasPrefix(again.Node.Self.Disk, "unused") {
-					t.Fatal("the disk forgot who it is")
+				restarted := fleet.start(number, "unused")
+				if strings.HasPrefix(restarted.Node.Self.Disk, "unused") {
+					t.Fatal("the restarted store has a new disk identity")
 				}
-				go again.election.Run()
+				go restarted.election.Run()
 			case 2:
 				fleet.stopServer(old)
 				fleet.disks[name].PowerLoss()
 				fleet.disks[name].Wipe()
-				fresh := fmt.Sprint(name, "-wiped")
-				again := fleet.start(number, fresh)
-				go again.election.Run()
+				wipedDisk := fmt.Sprint(name, "-wiped")
+				restarted := fleet.start(number, wipedDisk)
+				go restarted.election.Run()
 				fleet.submitAndCheck()
-				fleet.waitFor("the set is complete without the lost disk", func() bool {
-					records := fleet.storeSetDisks()
-					disk, in := records[name]
-					return len(records) == 3 && (!in || disk == fresh)
+				fleet.waitFor("the store set is complete without the lost disk", func() bool {
+					disks := fleet.storeSetDisks()
+					disk, member := disks[name]
+					return len(disks) == 3 && (!member || disk == wipedDisk)
 				})
 			case 3:
 				fleet.register.lock.Lock()
 				fleet.register.change(register.Retire(name))
 				fleet.register.lock.Unlock()
-				fleet.waitFor("the retired store is left", func() bool { _, in := fleet.storeSetDisks()[name]; return !in })
+				fleet.waitFor("the retired store is no longer in the store set", func() bool { _, member := fleet.storeSetDisks()[name]; return !member })
 			}
 			fleet.submitAndCheck()
 		}
-		fleet.waitFor("the set is complete", func() bool { return len(fleet.storeSetDisks()) == 3 })
+		fleet.waitFor("the store set is complete", func() bool { return len(fleet.storeSetDisks()) == 3 })
 	}
 }
--- a/internal/batch/store/fleet_test.go
+++ b/internal/batch/store/fleet_test.go
@@ -20,11 +20,11 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// storeFleet is real stores on fake disks: the first set is drawn from them, three of five for
-// a budget of one, and they take the leadership from each other.
+// storeFleet is a set of real stores on fake disks. They choose the first store set among
+// themselves (three of five for a fault budget of one) and compete for the leadership.
 type storeFleet struct {
 	t *testing.T
-	// budget is how many stores may be lost at once.
+	// budget is the number of stores that may be lost at once.
 	budget       int
 	random       *rand.Rand
 	network      *transport.MemoryNetwork
@@ -43,7 +43,7 @@
 	return newStoreFleetOf(t, seed, 5, 1)
 }
 
-// newStoreFleetOf makes so many stores for a fault budget.
+// newStoreFleetOf starts count stores with a fault budget.
 func newStoreFleetOf(t *testing.T, seed int64, count, budget int) *storeFleet {
 	t.Helper()
 
@@ -72,18 +72,18 @@
 	return fleet
 }
 
-// start opens a process on the disk of its machine.
+// start starts a store process on the disk of its machine.
 func (r *storeFleet) start(number int, identity string) *Server {
 	name := fmt.Sprint("s", number)
-	store, err := replicalog.Open(r.disks[name], identity)
+	replica, err := replicalog.Open(r.disks[name], identity)
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	nodeSettings := &settings.Settings{NodeName: name, Address: fmt.Sprint("10.0.0.", number), Zone: fmt.Sprint("h", number%3), InternalPorts: []int{7000, 7010},
 		Seeds: []string{"10.0.0.99:80"}, HeartbeatMs: 1200, FaultBudget: settings.FaultBudget{Machines: r.budget}, Tolerances: settings.Tolerances{StatusS: 120, CancelMs: 3000}}
-	runtime := agent.New(nodeSettings, membership.RoleStore, constants.PortStore, store.Disk(), hclog.NewNullLogger())
+	runtime := agent.New(nodeSettings, membership.RoleStore, constants.PortStore, replica.Disk(), hclog.NewNullLogger())
 	runtime.Transport = r.network.Transport(runtime.Self.Address)
-	server := newServer(runtime, store)
+	server := newServer(runtime, replica)
 	server.registerHandlers()
 	server.registerReports()
 	runtime.ApplyConfig([]byte(quotaConfig))
@@ -97,8 +97,8 @@
 }
 
 func (r *storeFleet) stopServer(server *Server) {
-	if current := server.currentTerm(); current != nil {
-		current.Close("stopped")
+	if term := server.currentTerm(); term != nil {
+		term.Close("stopped")
 	}
 	server.Node.Shutdown()
 	server.Node.Transport.Close()
@@ -114,7 +114,7 @@
 	return all
 }
 
-// meet keeps the processes known to each other, as shuffles do.
+// exchangeMembers makes every process known to every other, as membership shuffles do.
 func (r *storeFleet) exchangeMembers() {
 	all := r.servers()
 	for _, server := range all {
@@ -126,17 +126,17 @@
 	}
 }
 
-// until polls the world of real timers until something holds.
-func (r *storeFleet) waitFor(what string, condition func() bool) {
+// waitFor polls in real time until a condition is met, for up to 20 s.
+func (r *storeFleet) waitFor(description string, condition func() bool) {
 	for end := clock.Now().Add(clock.Milliseconds(20_000)); !condition(); {
 		if clock.Now() > end {
-			r.t.Fatal("never: ", what)
+			r.t.Fatal("condition not met within 20 s: ", description)
 		}
 		<-clock.After(constants.TickPeriod / 2)
 	}
 }
 
-// call asks one store after the other until one that holds the leadership answers.
+// call sends a call to one store after the other until the leader responds.
 func (r *storeFleet) call(call *messages.JobCallRequest, want int) {
 	r.waitFor(fmt.Sprint(call.Method, " ", call.Job, " answered by ", want), func() bool {
 		for _, server := range r.servers() {
@@ -154,43 +154,45 @@
 }
 
 func (r *storeFleet) leaderStore() *Server {
-	var found *Server
-	r.waitFor("a holder", func() bool {
+	var leader *Server
+	r.waitFor("a store leads and serves", func() bool {
 		for _, server := range r.servers() {
-			if current := server.currentTerm(); current != nil && server.election.HoldsLease() && current.Serving() {
-				found = server
+			if term := server.currentTerm(); term != nil && server.election.HoldsLease() && term.Serving() {
+				leader = server
 			}
 		}
-		return found != nil
+		return leader != nil
 	})
-	return found
+	return leader
 }
 
-// work hands a job in, ends an older one, and looks for all that was told.
+// submitAndCheck submits a job, ends an older one, and checks that every acknowledged submission
+// and end is still in effect.
 func (r *storeFleet) submitAndCheck() {
 	jobID := fmt.Sprint("lot", len(r.acceptedJobs))
 	r.call(submitCall(jobID, 1), 202)
 	r.acceptedJobs = append(r.acceptedJobs, jobID)
-	// Few stay open, so that each new one fits.
+	// Few jobs stay open, so that each new one fits into the backlog.
 	if len(r.acceptedJobs) > 2 {
 		old := r.acceptedJobs[len(r.acceptedJobs)-3]
 		r.call(&messages.JobCallRequest{Method: "DELETE", Job: old}, 200)
 		r.endedJobs[old] = true
 	}
-	for _, element := range r.acceptedJobs {
-		r.call(&messages.JobCallRequest{Method: "GET", Job: element}, 200)
+	for _, accepted := range r.acceptedJobs {
+		r.call(&messages.JobCallRequest{Method: "GET", Job: accepted}, 200)
 	}
-	current := r.leaderStore().currentTerm()
-	if current == nil {
+	term := r.leaderStore().currentTerm()
+	if term == nil {
 		return
 	}
-	for _, row := range current.ReportJobs().Rows {
+	for _, row := range term.ReportJobs().Rows {
 		if jobID, state := row[0], row[len(row)-1]; r.endedJobs[jobID] && state != "ended" {
-			r.t.Fatal("an ended lot is open again: ", jobID)
+			r.t.Fatal("an ended job is open again: ", jobID)
 		}
 	}
 }
 
+// storeSetDisks returns the disk of each member of the store set, by the member's name.
 func (r *storeFleet) storeSetDisks() map[string]string {
 	r.register.lock.Lock()
 	defer r.register.lock.Unlock()
--- a/internal/batch/store/forwarder_test.go
+++ b/internal/batch/store/forwarder_test.go
@@ -9,8 +9,8 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// sentOf adds up the messages of a kind that a store has sent.
-func sentOf(server *Server, kind messages.Kind) (sent int64) {
+// sentMessages returns the number of messages of a kind that a store has sent.
+func sentMessages(server *Server, kind messages.Kind) (sent int64) {
 	for _, sample := range server.Node.Transport.(transport.Metered).Meter().Samples() {
 		if sample.Kind == kind {
 			sent += sample.Flow.Sent.Messages
@@ -19,17 +19,17 @@
 	return sent
 }
 
-// Of five members the leader feeds two, who pass the records on to the other two; with any
-// member cut off, and after a leader was lost, jobs are taken all the same.
-func TestMembersPassRecordsOn(t *testing.T) {
+// In a set of five members the leader sends records to two, which forward them to the other two.
+// Jobs are still accepted with any one member partitioned, and after the loss of the leader.
+func TestMembersForwardRecords(t *testing.T) {
 	fleet := newStoreFleetOf(t, 7, 6, 2)
 	fleet.submitAndCheck()
 	leading := fleet.leaderStore()
-	fleet.waitFor("records are passed on", func() bool {
+	fleet.waitFor("records are forwarded", func() bool {
 		fleet.submitAndCheck()
 		forwarded := int64(0)
 		for _, server := range fleet.servers() {
-			forwarded += sentOf(server, messages.KindAppendForwarded)
+			forwarded += sentMessages(server, messages.KindAppendForwarded)
 		}
 		return forwarded > 4
 	})
@@ -42,7 +42,7 @@
 		start := clock.Now()
 		fleet.submitAndCheck()
 		if took := clock.Now().Sub(start); took > 3*constants.ForwardTimeout+constants.LeaseDuration {
-			t.Errorf("work with %s cut off took %v", name, took)
+			t.Errorf("calls on jobs with %s partitioned took %v", name, took)
 		}
 		fleet.network.SetPartitioned(address, false)
 	}
@@ -54,12 +54,12 @@
 	}
 }
 
-// An order that finds the queue full is dropped, and one whose target is silent is not
-// reported: the leader sends it itself.
-func TestForwarderHoldsNobodyUp(t *testing.T) {
+// The forwarder drops a request if the queue is full and reports nothing for one whose target does
+// not respond: the leader sends those records itself.
+func TestForwarderDropsRequestsOfFullQueue(t *testing.T) {
 	network, stop := transport.NewMemoryNetwork(), make(chan struct{})
 	defer close(stop)
-	release, got := make(chan struct{}), make(chan int64, 100)
+	release, forwarded := make(chan struct{}), make(chan int64, 100)
 	_ = network.Transport("slow").Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
 		<-release
 		req := &messages.AppendRequest{}
@@ -67,22 +67,22 @@
 			return nil, err
 		}
 		if req.Disk != "target" || req.Forward != nil {
-			t.Error("passed on as ", req.Disk, req.Forward)
+			t.Error("got a forwarded request for disk and target ", req.Disk, req.Forward)
 		}
-		got <- req.PreviousIndex
+		forwarded <- req.PreviousIndex
 		return transport.Encode(&messages.AppendResponse{Granted: true, Last: req.PreviousIndex})
 	})
 	reported := make(chan *messages.AppendForwarded, 100)
 	_ = network.Transport("leader").Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
-		forwarded := &messages.AppendForwarded{}
-		if err := transport.Decode(body, forwarded); err != nil {
+		report := &messages.AppendForwarded{}
+		if err := transport.Decode(body, report); err != nil {
 			return nil, err
 		}
-		reported <- forwarded
+		reported <- report
 		return transport.Encode(&messages.Ack{})
 	})
-	wire := network.Transport("own")
-	f := newForwarder(func() transport.Transport { return wire }, stop)
+	sender := network.Transport("own")
+	f := newForwarder(func() transport.Transport { return sender }, stop)
 	for i := int64(0); i < 10*constants.ForwardQueue; i++ {
 		f.enqueue(&messages.AppendRequest{Epoch: 3, Disk: "own", PreviousIndex: i,
 			Forward: &messages.AppendForward{Address: "slow", Disk: "target", ReportTo: "leader"}})
@@ -90,14 +90,14 @@
 	close(release)
 	last := int64(-1)
 	for range constants.ForwardQueue {
-		index := <-got
+		index := <-forwarded
 		if index <= last {
-			t.Fatal("passed on out of order: ", index, last)
+			t.Fatal("forwarded out of order: ", index, last)
 		}
 		last = index
 	}
-	// Reports may pass each other on their way, and one more order than the queue holds may be
-	// under way.
+	// Reports may overtake each other, and one request more than the queue's capacity may be in
+	// flight.
 	reportedOn := map[int64]bool{}
 	for range constants.ForwardQueue {
 		report := <-reported
--- a/internal/batch/store/helpers_test.go
+++ b/internal/batch/store/helpers_test.go
@@ -20,7 +20,7 @@
 
 const quotaConfig = `{"generation":1,"channels":[{"name":"b","host":"h","path-prefix":"/b/","route-kind":"bulk","backend":"s","tries":2,"retain-s":60,"result-setpoint-ms":9000,"backlog-cap":100}],"backends":[{"name":"s"}],"limits":{}}`
 
-// appointed is an election that a process has won for as long as its term is not closed.
+// fixedElection is an election that the process has won until its term is closed.
 type fixedElection struct {
 	*leadership.Campaign
 	self string
@@ -50,25 +50,25 @@
 	return a.term.Epoch()
 }
 
-// soleLeader is a store process that is the whole store set and leads it in epoch 1, on a
-// fake disk.
+// soleLeader starts a store process on a fake disk that is the only member of the store set and
+// leads in epoch 1.
 func soleLeader(t *testing.T, disk *simulation.Disk) *Server {
 	t.Helper()
-	log, err := replicalog.Open(disk, "disk")
+	replica, err := replicalog.Open(disk, "disk")
 	if err != nil {
 		t.Fatal(err)
 	}
 	nodeSettings := &settings.Settings{NodeName: "m", Address: "10.0.0.1", InternalPorts: []int{1, 9}, HeartbeatMs: 1200}
-	node := agent.New(nodeSettings, "store", 2, log.Disk(), hclog.NewNullLogger())
+	node := agent.New(nodeSettings, "store", 2, replica.Disk(), hclog.NewNullLogger())
 	node.Transport = transport.NewMemoryNetwork().Transport("m")
-	server := newServer(node, log)
+	server := newServer(node, replica)
 	node.ApplyConfig([]byte(quotaConfig))
 	server.election = &fixedElection{Campaign: leadership.New(node, nil), self: node.Self.Address}
 	startTerm(t, server, 1)
 	return server
 }
 
-// appoint begins a term of the sole store and waits until it serves.
+// startTerm starts a term of the sole store and waits until it serves.
 func startTerm(t *testing.T, server *Server, epoch uint64) {
 	t.Helper()
 	elected := messages.Leadership{Holder: "m", Incarnation: server.Node.Self.Incarnation, Epoch: epoch}
@@ -77,20 +77,20 @@
 	term.TakeOver()
 	for end := clock.Now().Add(clock.Milliseconds(5000)); !term.Serving(); {
 		if clock.Now() > end {
-			t.Fatal("does not serve")
+			t.Fatal("the term did not serve within 5 s")
 		}
 		<-clock.After(clock.Milliseconds(5))
 	}
 	t.Cleanup(func() { term.Close("test is over") })
 }
 
-// known tells whether the leader knows a job.
+// jobKnown reports whether the leader knows a job.
 func jobKnown(t *testing.T, server *Server, jobID string) bool {
 	t.Helper()
 	return server.currentTerm().Serve(&messages.JobCallRequest{Method: http.MethodGet, Job: jobID}).Status != http.StatusNotFound
 }
 
-// jobCount is how many jobs the leader knows.
+// jobCount returns the number of jobs that the leader knows.
 func jobCount(server *Server) int { return len(server.currentTerm().ReportJobs().Rows) }
 
 func submitCall(id string, items int) *messages.JobCallRequest {
--- a/internal/batch/store/history_test.go
+++ b/internal/batch/store/history_test.go
@@ -10,10 +10,11 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// jobsPerTerm is how many jobs come, end and are forgotten in each term of a history.
+// jobsPerTerm is the number of jobs that are submitted, end and are forgotten in each term.
 const jobsPerTerm = 4
 
-// cost is what a store takes to be complete again after a history of takeovers.
+// catchUpCost is the cost of bringing a store up to date after a history of takeovers: the
+// records, bytes and time of the copy, and the size of its file and memory afterwards.
 type catchUpCost struct {
 	records, bytes, fileBytes, recordsInMemory int
 	duration                                   clock.Duration
@@ -23,16 +24,16 @@
 	return fmt.Sprintf("%d records, %d bytes, %.0f ms; file %d bytes, %d records in memory", c.records, c.bytes, clock.ToMilliseconds(c.duration), c.fileBytes, c.recordsInMemory)
 }
 
-// worse takes the larger of each.
+// maximum returns the larger value of each field.
 func (c catchUpCost) maximum(other catchUpCost) catchUpCost {
 	return catchUpCost{records: max(c.records, other.records), bytes: max(c.bytes, other.bytes), fileBytes: max(c.fileBytes, other.fileBytes),
 		recordsInMemory: max(c.recordsInMemory, other.recordsInMemory), duration: max(c.duration, other.duration)}
 }
 
-// term plays one term: a member takes the leadership, jobs are done and forgotten.
+// runTerm plays one term: a member takes over, and jobs are finished and forgotten.
 func (s *simFleet) runTerm() {
 	if s.leader != nil {
-		// It learns from the register that its term is over.
+		// The old leader learns from the register that its term is over.
 		s.leader.fenced = true
 	}
 	s.electAny()
@@ -42,13 +43,13 @@
 	s.world.Run(s.world.Now.Add(clock.Milliseconds(300)))
 }
 
-// bringBack feeds a store until it has all and gives what that took.
+// catchUp waits until a store has all records and returns what that cost.
 func (s *simFleet) catchUp(name string, before traffic) catchUpCost {
 	identity := register.Identity(s.stores[name].member)
 	start, leader := s.world.Now, s.leader
 	for attempt := 0; leader.replicator.MatchIndex(identity) < leader.replicator.Last(); attempt++ {
 		if attempt > 400 {
-			s.t.Fatal("never caught up")
+			s.t.Fatal("the store did not catch up within 4 s")
 		}
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(10)))
 	}
@@ -58,10 +59,10 @@
 		fileBytes: int(bytes), recordsInMemory: records, duration: s.world.Now.Sub(start)}
 }
 
-// After hundreds of takeovers, and jobs that were ended and forgotten, a store that was
-// away for all of them, or comes with an empty disk, is made complete with what counts now:
-// records, bytes, time, file and memory are the same after 20 and after 400 changes.
-func TestCatchUpIsFlatInThePast(t *testing.T) {
+// A store that was down during hundreds of takeovers, whose jobs have ended and been forgotten, or
+// that comes back with an empty disk, is sent only what is still relevant. Records, bytes, time,
+// file size and memory must be about the same after 20 and after 400 takeovers.
+func TestCatchUpCostIndependentOfHistoryLength(t *testing.T) {
 	measure := func(takeovers int, wipe bool) catchUpCost {
 		fleet := newSimFleet(t, 11, 3)
 		for _, store := range fleet.stores {
@@ -82,42 +83,42 @@
 		} else {
 			fleet.open(away)
 		}
-		took := fleet.catchUp("s2", before)
+		result := fleet.catchUp("s2", before)
 		if wipe {
 			fleet.replaceMember(old, away.member)
 		}
 		fleet.startTakeover("s2")
 		fleet.world.Run(fleet.world.Now.Add(clock.Milliseconds(400)))
 		if fleet.leader.address != "s2" || !fleet.leader.ready {
-			t.Fatal("the store that came back can't take the duty")
+			t.Fatal("the store that came back could not take over")
 		}
 		fleet.checkJobs(fleet.leader)
-		return took
+		return result
 	}
 	for _, wipe := range []bool{false, true} {
-		// What there is grows up to each rewrite: the worst of some instants is compared.
+		// The log grows until each compaction, so the maximum over several lengths is compared.
 		worst := func(takeovers int) catchUpCost {
-			most := catchUpCost{}
-			for more := range 5 {
-				most = most.maximum(measure(takeovers+more, wipe))
+			worstCost := catchUpCost{}
+			for extra := range 5 {
+				worstCost = worstCost.maximum(measure(takeovers+extra, wipe))
 			}
-			return most
+			return worstCost
 		}
 		few, many := worst(20), worst(400)
-		t.Logf("wiped %v, 20 changes and a few: %v", wipe, few)
-		t.Logf("wiped %v, 400 changes and a few: %v", wipe, many)
+		t.Logf("wiped %v, 20 to 24 takeovers: %v", wipe, few)
+		t.Logf("wiped %v, 400 to 404 takeovers: %v", wipe, many)
 		if many.records > 2*few.records || many.bytes > 2*few.bytes || many.fileBytes > 2*few.fileBytes || many.recordsInMemory > 2*few.recordsInMemory || many.duration > 2*few.duration {
-			t.Error("the past is carried along")
+			t.Error("the cost of catching up grows with the length of the history")
 		}
 	}
 }
 
-// traffic is what a store was sent.
+// traffic is the number of records and bytes sent to a store.
 type traffic struct{ records, bytes int }
 
 func (s *simFleet) countTraffic(to string, req *messages.AppendRequest) {
-	traffic := s.sent[to]
-	traffic.records += len(req.Records)
-	traffic.bytes += req.Msgsize()
-	s.sent[to] = traffic
+	total := s.sent[to]
+	total.records += len(req.Records)
+	total.bytes += req.Msgsize()
+	s.sent[to] = total
 }
--- a/internal/batch/store/share_executor_test.go
+++ b/internal/batch/store/share_executor_test.go
@@ -44,7 +44,7 @@
 }
 
 // at runs a function at the machine unless it is frozen or started anew by then.
-func (s *simExecutor) ifRunning(incarnation int64, function func()) func() {
+func (s *simExecutor) ifSameIncarnation(incarnation int64, function func()) func() {
 	return func() {
 		if s.incarnation == incarnation {
 			function()
@@ -64,7 +64,7 @@
 	s.acquiring = true
 	sentAt, who := s.now(), s.identity()
 	answered := false
-	cluster.world.After(clock.Milliseconds(200), s.ifRunning(incarnation, func() {
+	cluster.world.After(clock.Milliseconds(200), s.ifSameIncarnation(incarnation, func() {
 		// The question timed out: an answer that comes later is dropped.
 		if !answered {
 			answered, s.acquiring = true, false
@@ -83,7 +83,7 @@
 			resp.Items = append(resp.Items, messages.AcquiredItem{Number: given.Number, Job: item.Job.ID, Item: item.JobItem, LastID: item.LastID,
 				Events: item.Events[:len(item.Events):len(item.Events)], Preempted: item.Preempted})
 		}
-		cluster.send(leader.address, s.name, s.ifRunning(incarnation, func() {
+		cluster.send(leader.address, s.name, s.ifSameIncarnation(incarnation, func() {
 			if answered {
 				return
 			}
@@ -118,7 +118,7 @@
 			dispatcher.ReportedAll(who, epoch, cluster.clockValue(leader.address))
 		}
 		cluster.whenDurable(leader, last, 100, func() {
-			cluster.send(leader.address, s.name, s.ifRunning(incarnation, func() { received(verdicts) }))
+			cluster.send(leader.address, s.name, s.ifSameIncarnation(incarnation, func() { received(verdicts) }))
 		})
 	})
 }
@@ -145,7 +145,7 @@
 	}
 	s.acknowledging[lane] = true
 	incarnation := s.incarnation
-	s.cluster.world.After(clock.Milliseconds(120), s.ifRunning(incarnation, func() { s.acknowledging[lane] = false }))
+	s.cluster.world.After(clock.Milliseconds(120), s.ifSameIncarnation(incarnation, func() { s.acknowledging[lane] = false }))
 	s.acknowledge(batch, 0, func(verdicts []messages.AckVerdict) {
 		for i, entry := range batch {
 			if verdicts[i] != messages.AckRecorded {
@@ -179,7 +179,7 @@
 // begin brings a task to a worker, which streams from where it is asked to.
 func (s *simExecutor) startTask(task *executor.Task) {
 	cluster, incarnation := s.cluster, s.incarnation
-	cluster.world.After(clock.Milliseconds(10*cluster.world.Random.Float64()), s.ifRunning(incarnation, func() {
+	cluster.world.After(clock.Milliseconds(10*cluster.world.Random.Float64()), s.ifSameIncarnation(incarnation, func() {
 		if cluster.frozen[s.name] || !task.MayRun(s.now()) {
 			return
 		}
@@ -202,12 +202,12 @@
 
 func (s *simExecutor) stream(task *executor.Task, next int64) {
 	cluster, incarnation := s.cluster, s.incarnation
-	cluster.world.After(clock.Milliseconds(20+200*cluster.world.Random.Float64()), s.ifRunning(incarnation, func() {
+	cluster.world.After(clock.Milliseconds(20+200*cluster.world.Random.Float64()), s.ifSameIncarnation(incarnation, func() {
 		switch {
 		case task.Stopped():
 		case cluster.frozen[s.name]:
 			// The events wait in the machine's buffers.
-			cluster.deferred[s.name] = append(cluster.deferred[s.name], s.ifRunning(incarnation, func() { s.stream(task, next) }))
+			cluster.deferred[s.name] = append(cluster.deferred[s.name], s.ifSameIncarnation(incarnation, func() { s.stream(task, next) }))
 		case cluster.world.Random.Float64() < 0.03:
 			s.release(task, messages.Acknowledgement{})
 		case cluster.world.Random.Float64() < 0.02 && task.Item.Yield(task.Run):
