--- a/internal/batch/store/displacement_test.go
+++ b/internal/batch/store/displacement_test.go
@@ -20,7 +20,8 @@
 	workerLoad map[string]int
 	cut        map[string]bool
 	running    map[*dispatch.Item]func()
-	results    map[string][]string
+	// results contains the events of each item when its output became durable.
+	results map[string][]string
 	// endCounts is the number of times that each live request ended; refused counts the live
 	// requests that were rejected, requested all of them.
 	endCounts map[int]int
--- a/internal/batch/store/jobs_test.go
+++ b/internal/batch/store/jobs_test.go
@@ -10,7 +10,7 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// work submits jobs and lists their items, as a leader does.
+// submitJobs submits jobs and appends the outputs of their items, as a leader does.
 func (s *simFleet) submitJobs(rounds int) {
 	for round := 0; round < rounds; round++ {
 		leader := s.leader
@@ -24,7 +24,7 @@
 			packed, _ := body.MarshalMsg(nil)
 			leader.submit(messages.Record{Kind: messages.RecordJob, Job: id, Body: packed})
 			leader.forget()
-			// The items end in another order each time.
+			// The items of each job finish in a random order.
 			for position, item := range s.world.Random.Perm(3) {
 				leader.submit(messages.Record{Kind: messages.RecordOutput, Job: id, Position: position, Item: fmt.Sprintf("%s-%d", id, item)})
 			}
@@ -33,6 +33,7 @@
 	}
 }
 
+// liveMembers returns the members of the set that run on the disk named in the set.
 func (s *simFleet) liveMembers() []string {
 	var names []string
 	for _, member := range s.set {
@@ -44,24 +45,25 @@
 	return names
 }
 
-// electAny lets a random live member take over and checks what it knows.
+// electAny makes a random live member take over and checks the state that it recovered.
 func (s *simFleet) electAny() {
 	partitioned := s.anyPartitioned()
 	if s.tryTakeovers() {
 		return
 	}
-	// One that is cut off and one that is down are more than the budget: nobody need be
-	// able to take over before the cut ends.
+	// A partitioned member and one that is down exceed the budget, so a takeover need not be
+	// possible before the partition ends.
 	if partitioned {
 		s.healMembers()
 		if s.tryTakeovers() {
 			return
 		}
 	}
-	s.t.Fatal("nobody could take over although the budget was kept")
+	s.t.Fatal("no member could take over although the losses were within the fault budget")
 }
 
-// tryTakeovers lets live members ask for the leadership in turn; false where none gets it.
+// tryTakeovers makes random live members try to take over, up to 12 times. It reports whether
+// one succeeded.
 func (s *simFleet) tryTakeovers() bool {
 	names := s.liveMembers()
 	for attempt := 0; attempt < 12; attempt++ {
@@ -76,13 +78,13 @@
 	return false
 }
 
-// isolate cuts a machine off from all others, or joins it.
+// isolate partitions a machine from all others, or ends the partition.
 func (s *simFleet) isolate(name string, others []string, partitioned bool) {
 	s.isolated[name] = partitioned
 	s.world.Isolate(name, others, partitioned)
 }
 
-// anyPartitioned tells whether a member of the set is cut off.
+// anyPartitioned reports whether a member of the set is partitioned.
 func (s *simFleet) anyPartitioned() bool {
 	for _, member := range s.set {
 		if s.isolated[member.Address] {
@@ -92,14 +94,14 @@
 	return false
 }
 
-// joinMembers ends the cuts of members of the set.
+// healMembers ends the partitions of all members of the set.
 func (s *simFleet) healMembers() {
 	for _, member := range s.set {
 		s.isolate(member.Address, simulation.Keys(s.stores), false)
 	}
 }
 
-// swapBegin has the leader send everything to a joiner.
+// feedJoiner makes the leader start to send all records to a joiner.
 func (s *simFleet) feedJoiner(joiner messages.Member) {
 	if s.leader.nextIndex[register.Identity(joiner)] == 0 {
 		s.leader.nextIndex[register.Identity(joiner)] = 1
@@ -107,12 +109,12 @@
 	}
 }
 
-// replaceMember replaces a member by another store, as the leader's changeSet does.
-func (s *simFleet) replaceMember(out, joiner messages.Member) {
+// replaceMember replaces a member by another store, as leader.Term.changeSet does.
+func (s *simFleet) replaceMember(leaving, joiner messages.Member) {
 	leader := s.leader
 	var next []messages.Member
 	for _, member := range s.set {
-		if register.Identity(member) != register.Identity(out) {
+		if register.Identity(member) != register.Identity(leaving) {
 			next = append(next, member)
 		}
 	}
@@ -128,12 +130,14 @@
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(30)))
 	}
 	if !leader.replicator.InNextSet(index) {
-		s.t.Fatal("the set to come never had everything")
+		s.t.Fatal("the next set did not get all records within 6 s")
 	}
 	s.set = next
 	leader.replicator.Members, leader.replicator.Next = next, nil
 }
 
+// Positions that were acknowledged survive loss of power or disk, partitions of the leader and
+// retirement of members, as long as the losses are within the fault budget of one.
 func TestJobsUnderFaults(t *testing.T) {
 	acknowledged := 0
 	for seed := int64(1); seed <= int64(simulation.Seeds(60)); seed++ {
@@ -160,12 +164,12 @@
 		acknowledged += fleet.acknowledgements
 	}
 	if acknowledged < 1000 {
-		t.Fatalf("only %d results were acknowledged in all", acknowledged)
+		t.Fatalf("%d outputs were acknowledged in total, want at least 1000", acknowledged)
 	}
 }
 
 func TestSameSeedSameHistory(t *testing.T) {
-	sum := func() uint64 {
+	historySum := func() uint64 {
 		fleet := newSimFleet(t, 5, 3)
 		fleet.world.Loss = 0.1
 		fleet.electAny()
@@ -174,7 +178,7 @@
 		fleet.submitJobs(10)
 		return fleet.world.Sum()
 	}
-	if first, second := sum(), sum(); first != second {
-		t.Fatal("one seed gave two histories")
+	if first, second := historySum(), historySum(); first != second {
+		t.Fatal("two runs with the same seed differ")
 	}
 }
--- a/internal/batch/store/losses_test.go
+++ b/internal/batch/store/losses_test.go
@@ -12,37 +12,39 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// The steps of a change of the store set at which a loss may strike.
+// The steps of a change of the store set after which machines may be lost.
 const (
-	// stepCopying: the joiner has a part of the records.
+	// stepCopying: the joiner has some of the records.
 	stepCopying = iota
-	// stepCopied: the joiner has everything, and counts for nothing yet.
+	// stepCopied: the joiner has all records, and its copies do not count yet.
 	stepCopied
-	// stepBothSets: records need copies in both sets, and none has them yet.
+	// stepBothSets: records need copies in both sets, and none is in both yet.
 	stepBothSets
-	// stepDurable: the marker is durable in both sets; the register names the old one.
+	// stepDurable: the marker record is durable in both sets; the register names the old set.
 	stepDurable
-	// stepNamed: the register names the new set, and the leader doesn't know it yet.
+	// stepNamed: the register names the new set, and the leader does not know it yet.
 	stepNamed
-	// stepCommitted: whoever retired the machine was told that it is settled.
+	// stepCommitted: the leader counts the new set only, and the operator who retired the
+	// machine got the confirmation.
 	stepCommitted
 	stepCount
 )
 
-// lossKind is what befalls a lost machine.
+// lossKind is the way in which a machine is lost.
 type lossKind int
 
 const (
 	lossDown lossKind = iota
 	lossPower
 	lossDisk
-	// lossFull: the disk takes nothing any more; lossSync: it takes it and can't sync.
+	// lossFull: the disk is full and rejects writes.
 	lossFull
+	// lossSync: the disk accepts writes, and syncs fail.
 	lossSync
 	lossKinds
 )
 
-// setChange is a change of the store set that is played a step at a time.
+// setChange is a change of the store set that is advanced step by step.
 type setChange struct {
 	fleet           *simFleet
 	leaving, joiner messages.Member
@@ -51,7 +53,7 @@
 	source          string
 }
 
-// until runs the world until something holds; false where it does not within a while.
+// runUntil runs the world until a condition is met, for up to 6 s. It reports whether it was met.
 func (s *simFleet) runUntil(condition func() bool) bool {
 	for attempt := 0; attempt < 3000 && !condition(); attempt++ {
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(2)))
@@ -59,7 +61,8 @@
 	return condition()
 }
 
-// play carries the change up to a step, as changeSet does; false where it got stuck.
+// advance carries out the change up to a step, as leader.Term.changeSet does. It reports whether
+// the step was reached.
 func (s *setChange) advance(step int) bool {
 	fleet, leader, identity := s.fleet, s.leader, register.Identity(s.joiner)
 	fleet.feedJoiner(s.joiner)
@@ -93,10 +96,11 @@
 	return true
 }
 
-// victims draws the machines whose loss is the worst now: of the copier, the newest
-// member, the one that leaves and the leader, as many as the budget allows. One that is
-// settled is gone besides, with its disk.
-func (s *setChange) victims(step int) []string {
+// chooseVictims draws the machines whose loss is the worst at this step: as many members as the
+// budget allows of the leader, the source of the copy, the joiner, the leaving member and the
+// first member of the new set. Machines outside the set are lost in addition: from stepCommitted
+// on always, before that half of the time.
+func (s *setChange) chooseVictims(step int) []string {
 	fleet := s.fleet
 	roles := []string{s.leader.address, s.source, s.joiner.Address, s.leaving.Address, s.next[0].Address}
 	inSet := func(name string) bool {
@@ -105,15 +109,15 @@
 	var lost []string
 	for _, i := range fleet.world.Random.Perm(len(roles)) {
 		name := roles[i]
-		counts := inSet(name)
-		if slices.Contains(lost, name) || (counts && len(lost) >= fleet.budget) {
+		member := inSet(name)
+		if slices.Contains(lost, name) || (member && len(lost) >= fleet.budget) {
 			continue
 		}
-		if counts {
+		if member {
 			lost = append(lost, name)
 		}
 	}
-	// Who is no member may go in any number.
+	// Machines outside the set may be lost in any number.
 	for _, name := range []string{s.joiner.Address, s.leaving.Address} {
 		if !inSet(name) && (step >= stepCommitted || fleet.world.Random.Intn(2) == 0) && !slices.Contains(lost, name) {
 			lost = append(lost, name)
@@ -122,7 +126,8 @@
 	return lost
 }
 
-// strike loses machines at once, each in one way; at times all others lose power too.
+// loseMachines makes machines fail at once, each in a random way. Sometimes all other machines
+// lose power too.
 func (s *simFleet) loseMachines(lost []string, round int) (wiped []string) {
 	if s.world.Random.Intn(3) == 0 {
 		for _, name := range simulation.Keys(s.stores) {
@@ -160,7 +165,8 @@
 	return wiped
 }
 
-// repair brings everything back, emptied members first copied to and then named again.
+// repair restarts the lost machines. Members with a wiped disk get all records first and are then
+// members again.
 func (s *simFleet) repair(lost []string) {
 	for _, name := range lost {
 		store := s.stores[name]
@@ -169,14 +175,14 @@
 	}
 	s.electAny()
 	for _, member := range slices.Clone(s.set) {
-		if now := s.stores[member.Address].member; register.Identity(now) != register.Identity(member) {
-			s.replaceMember(member, now)
+		if current := s.stores[member.Address].member; register.Identity(current) != register.Identity(member) {
+			s.replaceMember(member, current)
 		}
 	}
 }
 
-// worstLosses plays one seed: in each round a member is replaced, and the worst losses
-// strike at a step of it, right after or in the middle of an acknowledgement.
+// playWorstLosses plays one seed. In each round a member is replaced, and at one step of the
+// change the worst machines are lost, right after an acknowledgement or in the middle of one.
 func playWorstLosses(t *testing.T, seed int64, outcomes map[int]int) {
 	t.Helper()
 
@@ -188,23 +194,23 @@
 		fleet.awaitAcknowledged()
 		leader := fleet.leader
 		candidates := slices.DeleteFunc(slices.Clone(fleet.set), func(member messages.Member) bool { return member.Address == leader.address })
-		out, in := candidates[fleet.world.Random.Intn(len(candidates))], fleet.spareStore()
-		change := &setChange{fleet: fleet, leaving: out, joiner: in, leader: leader, source: candidates[0].Address}
+		leaving, joiner := candidates[fleet.world.Random.Intn(len(candidates))], fleet.spareStore()
+		change := &setChange{fleet: fleet, leaving: leaving, joiner: joiner, leader: leader, source: candidates[0].Address}
 		for _, member := range fleet.set {
-			if register.Identity(member) != register.Identity(out) {
+			if register.Identity(member) != register.Identity(leaving) {
 				change.next = append(change.next, member)
 			}
 		}
-		change.next = append(change.next, in)
+		change.next = append(change.next, joiner)
 		step := fleet.world.Random.Intn(stepCount)
 		if !change.advance(step) {
-			t.Fatalf("seed %d: the change got stuck before step %d", seed, step)
+			t.Fatalf("seed %d: the set change did not reach step %d", seed, step)
 		}
-		// In half of all rounds the loss strikes right after a result was told.
+		// In half of all rounds the loss occurs right after an output was acknowledged.
 		if fleet.world.Random.Intn(2) == 0 {
 			fleet.awaitAcknowledged()
 		}
-		lost := change.victims(step)
+		lost := change.chooseVictims(step)
 		fleet.loseMachines(lost, round)
 		outcomes[step]++
 		fleet.electAny()
@@ -213,9 +219,9 @@
 	}
 }
 
-// Whatever the budget allows to be lost at whatever step of a change of the store set,
-// with or without disks, all that was told stands and another leader takes over.
-// LEMONARCH_SEEDS sets the number of seeds.
+// Machines are lost at any step of a change of the store set, with or without their disks, up to
+// the fault budget. Everything that was acknowledged must survive, and another leader must take
+// over. LEMONARCH_SEEDS sets the number of seeds.
 func TestSetChangesUnderWorstLosses(t *testing.T) {
 	seeds := int64(simulation.Seeds(200))
 	outcomes := map[int]int{}
@@ -224,7 +230,7 @@
 	}
 	for step := 0; step < stepCount; step++ {
 		if int64(outcomes[step]) < seeds/4 {
-			t.Fatal("too few losses at a step: ", outcomes)
+			t.Fatal("too few losses at one of the steps: ", outcomes)
 		}
 	}
 	t.Log("losses by step: ", outcomes)
--- a/internal/batch/store/overload_test.go
+++ b/internal/batch/store/overload_test.go
@@ -9,7 +9,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// submitJob submits a job of items that really run.
+// submitJob submits a job whose items run on the simulated workers.
 func (s *simCluster) submitJob(items int) {
 	leader := s.leader
 	if leader == nil || !leader.ready || s.stores[leader.address].down {
@@ -25,8 +25,9 @@
 	leader.submit(messages.Record{Kind: messages.RecordJob, Job: id, Body: packed})
 }
 
-// overload plays a burst of the high tier over running jobs, while the leader
-// dies, its leadership changes hands, a store is cut off and workers cut streams.
+// playOverload runs a burst of live requests of the highest priority over running jobs. Meanwhile
+// the leader's machine loses power or the leadership changes, a store is partitioned, and workers
+// break streams off.
 func playOverload(t *testing.T, seed int64) *simCluster {
 	t.Helper()
 
@@ -48,13 +49,13 @@
 	cluster.world.Run(cluster.world.Now.Add(clock.Milliseconds(500)))
 	victim := cluster.stores[cluster.leader.address]
 	if seed%2 == 0 {
-		// The leader's machine loses power in the middle of it.
+		// The leader's machine loses power during the burst.
 		victim.down = true
 		victim.disk.PowerLoss()
 		cluster.electAny()
 		cluster.open(victim)
 	} else {
-		// The leadership changes hands while its leader still runs.
+		// Another store takes over while the old leader still runs.
 		cluster.electAny()
 	}
 	other := cluster.set[cluster.world.Random.Intn(3)].Address
@@ -67,14 +68,14 @@
 	return cluster
 }
 
-// Every displaced item ends exactly once, with each of its events once; every live
-// request is served or promised never to run, exactly once.
-func TestOverloadDisplacesAndFinishesOnce(t *testing.T) {
-	preempted, promised, requested := 0, 0, 0
+// Every preempted item finishes exactly once, with each of its events once. Every live request
+// ends exactly once: it is served, or rejected with the guarantee that it never runs.
+func TestOverloadPreemptsAndFinishesOnce(t *testing.T) {
+	preempted, refused, requested := 0, 0, 0
 	for seed := int64(1); seed <= 40; seed++ {
 		cluster := playOverload(t, seed)
 		preempted += cluster.counts["displaced"]
-		promised += cluster.refused
+		refused += cluster.refused
 		requested += cluster.requested
 		for number := 1; number <= cluster.requested; number++ {
 			if cluster.endCounts[number] != 1 {
@@ -83,11 +84,11 @@
 		}
 		jobs := cluster.leader.jobs.Jobs()
 		if len(jobs) == 0 {
-			t.Fatalf("seed %d: no lots", seed)
+			t.Fatalf("seed %d: no jobs", seed)
 		}
 		for _, job := range jobs {
 			if len(job.Listings) != job.Total() {
-				t.Fatalf("seed %d: lot %s lists %d of %d", seed, job.ID, len(job.Listings), job.Total())
+				t.Fatalf("seed %d: job %s has %d listed items, want %d", seed, job.ID, len(job.Listings), job.Total())
 			}
 			listed := map[string]int{}
 			for _, listing := range job.Listings {
@@ -111,13 +112,13 @@
 			}
 		}
 	}
-	if preempted < 40 || promised == 0 || promised*3 > requested {
-		t.Fatalf("too little or too much trouble: %d displaced, %d of %d live requests refused", preempted, promised, requested)
+	if preempted < 40 || refused == 0 || refused*3 > requested {
+		t.Fatalf("preemptions or rejections out of the expected range: %d items preempted, %d of %d live requests rejected", preempted, refused, requested)
 	}
 }
 
 func TestOverloadSameSeedSameHistory(t *testing.T) {
 	if first, second := playOverload(t, 9).world.Sum(), playOverload(t, 9).world.Sum(); first != second {
-		t.Fatal("one seed gave two histories")
+		t.Fatal("two runs with the same seed differ")
 	}
 }
--- a/internal/batch/store/poweredparts_test.go
+++ b/internal/batch/store/poweredparts_test.go
@@ -11,11 +11,11 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// power is whether a process still runs: without it, it reaches neither disk nor network, and
-// what it had under way has no effect any more.
+// power is the power supply of a process. Once it is lost, the process reaches neither disk nor
+// network, and its pending operations have no effect.
 type power struct{ lost atomic.Bool }
 
-// poweredDisk is a machine's disk as one process on it sees it.
+// poweredDisk is a machine's disk as used by one process. It fails once the process has lost power.
 type poweredDisk struct {
 	*simulation.Disk
 	power *power
@@ -59,17 +59,17 @@
 	return f.File.Truncate(size)
 }
 
-// linkDelay is the time that a message takes on an empty link.
+// linkDelay is the latency of a message on an idle link.
 const linkDelay = clock.Duration(500_000)
 
-// link is a machine's way into the network: bytes go through it one after the other.
+// link is a machine's network link. It transmits messages one after the other.
 type link struct {
 	lock           sync.Mutex
 	freeAt         clock.Instant
 	bytesPerSecond float64
 }
 
-// carry waits until so many bytes are through.
+// transmit waits until a message of a number of bytes has been transmitted.
 func (l *link) transmit(bytes int) {
 	l.lock.Lock()
 	now := clock.Now()
@@ -79,8 +79,9 @@
 	clock.Sleep(left + linkDelay)
 }
 
-// poweredTransport is the transport of one process of a recoveryFleet: bytes take time on its
-// machine's link, machines without power are silent, and so is a process after it.
+// poweredTransport is the transport of one process of a recoveryFleet. Bytes take time on its
+// machine's link. Machines without power do not respond, nor does a process whose machine has
+// lost power since its start.
 type poweredTransport struct {
 	*transport.Memory
 	fleet   *recoveryFleet
--- a/internal/batch/store/promise_test.go
+++ b/internal/batch/store/promise_test.go
@@ -12,7 +12,7 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// put hands a call in as a frame brings it.
+// sendCall passes a call to the server as if it had arrived in a frame.
 func sendCall(t *testing.T, server *Server, call *messages.JobCallRequest) *messages.JobCallResponse {
 	t.Helper()
 
@@ -31,8 +31,9 @@
 	return resp
 }
 
-// A question that was refused, or sent on, is never taken by its second copy,
-// whatever has changed in between; the same job in a new question is.
+// A second copy of a submission that was rejected, or that was referred to another leader, must
+// not be accepted, whatever has changed in between: its sender already has the response to the
+// first copy. The same job under a new request ID is accepted.
 func TestSecondCopyOfARejectedSubmission(t *testing.T) {
 	server := soleLeader(t, simulation.NewDisk(4))
 	full := submitCall("full", 6)
@@ -49,13 +50,13 @@
 		t.Fatal(resp.Status)
 	}
 	if resp := sendCall(t, server, late); resp.Status != 504 || jobKnown(t, server, "late") {
-		t.Fatal("a refused question was taken: ", resp.Status)
+		t.Fatal("the second copy of a rejected submission was accepted: ", resp.Status)
 	}
 	late.RequestID = "f#3"
 	if resp := sendCall(t, server, late); resp.Status != 202 {
 		t.Fatal(resp.Status)
 	}
-	// Sent on by one that held nothing, then met by the same process as the leader.
+	// The process does not lead when the first copy arrives, and leads when the second arrives.
 	server.currentTerm().Close("another takes over")
 	moved := submitCall("moved", 2)
 	moved.RequestID = "f#4"
@@ -64,20 +65,20 @@
 	}
 	startTerm(t, server, 2)
 	if resp := sendCall(t, server, moved); resp.Status != 504 || jobKnown(t, server, "moved") {
-		t.Fatal("a question that was sent on was taken: ", resp.Status)
+		t.Fatal("the second copy of a submission referred to another leader was accepted: ", resp.Status)
 	}
 }
 
-// Many copies of many requests race: each request has one outcome, and a job
-// stands only if one of its requests was not refused.
+// Copies of many submissions race. Each request must have one outcome, and a job must exist only
+// if one of its requests was not rejected.
 func TestCopiesOfSubmissionsRace(t *testing.T) {
 	server := soleLeader(t, simulation.NewDisk(5))
 	var group sync.WaitGroup
 	var lock sync.Mutex
-	refused, taken := map[string]bool{}, map[string]bool{}
+	rejected, accepted := map[string]bool{}, map[string]bool{}
 	for number := 0; number < 60; number++ {
 		call := submitCall(fmt.Sprint("lot", number%10), 2)
-		// Six copies a job make three requests of two copies.
+		// The six calls for a job are three requests, each sent twice.
 		call.RequestID = fmt.Sprint(number%10, "/", number/20)
 		group.Add(1)
 		go func() {
@@ -85,14 +86,14 @@
 			resp := sendCall(t, server, call)
 			lock.Lock()
 			defer lock.Unlock()
-			refused[call.RequestID] = refused[call.RequestID] || resp.Status == 429
-			taken[call.RequestID] = taken[call.RequestID] || resp.Status == 202
+			rejected[call.RequestID] = rejected[call.RequestID] || resp.Status == 429
+			accepted[call.RequestID] = accepted[call.RequestID] || resp.Status == 202
 		}()
 	}
 	group.Wait()
-	for ask := range refused {
-		if refused[ask] && taken[ask] {
-			t.Error("two outcomes of ", ask)
+	for requestID := range rejected {
+		if rejected[requestID] && accepted[requestID] {
+			t.Error("both rejected and accepted: ", requestID)
 		}
 	}
 	if jobCount(server) != 3 {
@@ -100,7 +101,7 @@
 	}
 }
 
-// The time to live that a frame carries is counted from its arrival.
+// A call's time to live counts from its arrival.
 func TestTimeToLiveCountsFromTheArrival(t *testing.T) {
 	call, now := &messages.JobCallRequest{TTLMs: 60_000}, clock.Instant(7)
 	soleLeader(t, simulation.NewDisk(6)).isFirstCopy(call, now)
--- a/internal/batch/store/recovery_test.go
+++ b/internal/batch/store/recovery_test.go
@@ -15,10 +15,10 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// sleepMs waits a number of ms of simulated time.
+// sleepMs waits a number of milliseconds of simulated time.
 func sleepMs(count float64) { clock.Sleep(clock.Milliseconds(count)) }
 
-// call makes a call at whoever leads, and gives the status; zero where nobody answered.
+// call sends a call to the leader and returns the response's status, or 0 if there was none.
 func (f *recoveryFleet) call(client *transport.Memory, call *messages.JobCallRequest) int {
 	status := 0
 	for _, server := range f.servers() {
@@ -36,7 +36,7 @@
 	return status
 }
 
-// submitJobs submits jobs until the fleet ends, and notes those that were accepted.
+// submitJobs submits jobs until the fleet shuts down, and records those that were accepted.
 func (f *recoveryFleet) submitJobs(name string, seed int64) {
 	random, client := rand.New(rand.NewSource(seed)), f.network.Transport("client-"+name)
 	for number := 0; ; number++ {
@@ -54,14 +54,15 @@
 	}
 }
 
-// acceptedJobs gives the jobs that were accepted so far.
+// acceptedJobs returns the jobs that were accepted so far.
 func (f *recoveryFleet) acceptedJobs() []string {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	return slices.Clone(f.acceptedNames)
 }
 
-// checkReadable reads jobs until each was answered, for as long as the operators try.
+// checkReadable reads each job until it is returned, for at most 20 s in total, as long as
+// operators retry.
 func (f *recoveryFleet) checkReadable(jobs []string) {
 	client, end := f.network.Transport("reader"), clock.Now().Add(clock.Milliseconds(20_000))
 	for _, job := range jobs {
@@ -71,7 +72,7 @@
 				break
 			}
 			if status == http.StatusNotFound || clock.Now() > end {
-				f.t.Errorf("%s was accepted and can't be read (last status %d); the register names %d stores", job, status, len(f.storeSet()))
+				f.t.Errorf("%s was accepted and cannot be read (last status %d); the register names %d stores", job, status, len(f.storeSet()))
 				return
 			}
 			sleepMs(100)
@@ -79,10 +80,10 @@
 	}
 }
 
-// delayChanges has some changes of the set be on their way to the register for longer than
-// their senders wait, up to 12 s: those of which late says so by their number.
+// delayChanges makes some set changes take longer to reach the register than their senders wait,
+// up to 12 s. late selects these changes by their number.
 func (f *recoveryFleet) delayChanges(seed int64, late func(number int, random *rand.Rand) bool) {
-	const patience, longest = 2500, 12_000
+	const senderTimeoutMs, maxDelayMs = 2500, 12_000
 	random, number := rand.New(rand.NewSource(seed)), 0
 	f.register.delay = func(req *messages.RegisterChangeRequest) clock.Duration {
 		if req.Campaign {
@@ -90,23 +91,23 @@
 		}
 		f.lock.Lock()
 		number++
-		delayed, part := late(number, random), random.Float64()
+		delayed, fraction := late(number, random), random.Float64()
 		f.lock.Unlock()
 		if !delayed {
 			return 0
 		}
-		delay := clock.Milliseconds(patience + part*(longest-patience))
-		f.logf("a change of the set is on its way for %v: %d stores", delay, len(req.Stores))
+		delay := clock.Milliseconds(senderTimeoutMs + fraction*(maxDelayMs-senderTimeoutMs))
+		f.logf("a set change is delayed by %v: %d stores", delay, len(req.Stores))
 		return delay
 	}
 }
 
-// checkSetOfLeader compares the set by which the leader counts with the one that the register
-// names for the next leader.
+// checkSetOfLeader checks that the set on which the leader counts copies is the one that the
+// register names for the next leader.
 func (f *recoveryFleet) checkSetOfLeader() {
 	leading := f.leader()
 	if leading == nil {
-		f.t.Error("nobody leads")
+		f.t.Error("no store leads")
 		return
 	}
 	counted, named := leading.currentTerm().Members(), f.storeSet()
@@ -119,10 +120,10 @@
 	}
 }
 
-// A change of the store set that is late, since the controller that it was sent to was cut off,
-// must not put an older set in force after a newer one: the next leader would ask stores that
-// lack what was acknowledged, or none that answers.
-func TestLateChangeOfTheSetIsNotPutBackInForce(t *testing.T) {
+// A set change can arrive late because the controller that it was sent to was partitioned. It must
+// not replace a newer set by an older one: the next leader would fence stores that lack
+// acknowledged records, or that do not respond.
+func TestLateSetChangeDoesNotReplaceNewerSet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRecoveryFleet(t, 1, 7, 2)
 		defer f.shutDown()
@@ -141,18 +142,18 @@
 	})
 }
 
-// Disks are lost two at a time, each time once the ones before have had their time to be
-// copied to, at times while all others lose power; changes of the set are late now and then.
-// Whatever was accepted can be read soon after.
-func TestAcceptedJobsOutlastLossesOfDisks(t *testing.T) {
+// Disks are lost two at a time, each time after the replacements of the previous ones had the time
+// to get their copies. Sometimes all other stores lose power as well, and some set changes are
+// delayed. Every accepted job must be readable soon afterwards.
+func TestAcceptedJobsSurviveDiskLosses(t *testing.T) {
 	for seed := int64(1); seed <= int64(simulation.Seeds(2)); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playLossesOfDisks(t, seed) })
+			synctest.Test(t, func(t *testing.T) { playDiskLosses(t, seed) })
 		})
 	}
 }
 
-func playLossesOfDisks(t *testing.T, seed int64) {
+func playDiskLosses(t *testing.T, seed int64) {
 	t.Helper()
 	f := newRecoveryFleet(t, seed, 9, 2)
 	defer f.shutDown()
@@ -162,7 +163,7 @@
 	}
 	sleepMs(6000 + f.random.Float64()*4000)
 	f.loseDisksInTurn(f.randomPair())
-	// sync-s has passed since they came back.
+	// The tolerance sync-s has passed since the stores came back.
 	sleepMs(12_000 + f.random.Float64()*3000)
 	jobs, pair := f.acceptedJobs(), f.randomPair()
 	if f.random.Intn(2) == 0 {
--- a/internal/batch/store/recoveryfaults_test.go
+++ b/internal/batch/store/recoveryfaults_test.go
@@ -1,6 +1,6 @@
 package store
 
-// pairOfStores draws two machines, mostly of the store set.
+// randomPair draws two machines, mostly from the store set.
 func (f *recoveryFleet) randomPair() []int {
 	members := map[string]bool{}
 	if f.random.Intn(4) > 0 {
@@ -19,27 +19,27 @@
 	return append(pair, others...)[:2]
 }
 
-// numberOf gives a machine by its name.
+// numberOf returns the number of the machine with a name.
 func (f *recoveryFleet) numberOf(name string) int {
 	for number := 1; number <= len(f.disks); number++ {
 		if storeName(number) == name {
 			return number
 		}
 	}
-	f.t.Fatal("no machine ", name)
+	f.t.Fatal("unknown machine ", name)
 	return 0
 }
 
-// leadingNumber is the machine that leads.
+// leaderNumber returns the number of the machine that leads.
 func (f *recoveryFleet) leaderNumber() int {
 	leading := f.leader()
 	if leading == nil {
-		f.t.Fatal("nobody leads")
+		f.t.Fatal("no store leads")
 	}
 	return f.numberOf(leading.Node.Self.Name)
 }
 
-// memberBesidesLeader gives a machine of the set that does not lead.
+// memberBesidesLeader returns the number of a machine in the set that does not lead.
 func (f *recoveryFleet) memberBesidesLeader() int {
 	leader := f.leaderNumber()
 	for _, member := range f.storeSet() {
@@ -47,13 +47,13 @@
 			return number
 		}
 	}
-	f.t.Fatal("a set of one")
+	f.t.Fatal("the store set has no member besides the leader")
 	return 0
 }
 
-// loseDisks takes the power from all machines and the disks from two, and starts all again.
+// loseDisks cuts the power of all machines, wipes the disks of two, and restarts all.
 func (f *recoveryFleet) loseDisks(first, second int) {
-	f.logf("all lose power, %s and %s their disks; %d jobs accepted, %d stores in the set", storeName(first), storeName(second), len(f.acceptedJobs()), len(f.storeSet()))
+	f.logf("all stores lose power, %s and %s also their disks; %d jobs accepted, %d stores in the set", storeName(first), storeName(second), len(f.acceptedJobs()), len(f.storeSet()))
 	for number := 1; number <= len(f.disks); number++ {
 		f.powerOff(number, number == first || number == second)
 	}
@@ -66,7 +66,7 @@
 	}
 }
 
-// loseDisksOneAfterTheOther takes the disks of machines while the others go on.
+// loseDisksInTurn wipes the disks of machines one after the other while the others keep running.
 func (f *recoveryFleet) loseDisksInTurn(machines []int) {
 	f.logf("stores %v lose their disks", machines)
 	for _, number := range machines {
--- a/internal/batch/store/recoveryfleet_test.go
+++ b/internal/batch/store/recoveryfleet_test.go
@@ -24,17 +24,16 @@
 
 const unlimitedConfig = `{"generation":1,"channels":[{"name":"b","host":"h","path-prefix":"/b/","route-kind":"bulk","backend":"s","tries":2,"retain-s":600,"result-setpoint-ms":9000,"backlog-cap":0}],"backends":[{"name":"s"}],"limits":{}}`
 
-// recoveryFleet is real store processes in simulated time: machines lose their power and their
-// disks and come back, links carry so many bytes a second, and changes of the store set may
-// reach the register late. It is played in a bubble of testing/synctest, so nothing in it may
-// hold a lock while it waits.
+// recoveryFleet runs real store processes in simulated time. Machines lose power and disks and
+// come back, links have a limited bandwidth, and set changes may reach the register late. It runs
+// in a bubble of testing/synctest, so no code in it may hold a lock while it waits.
 type recoveryFleet struct {
 	t        *testing.T
 	random   *rand.Rand
 	budget   int
 	network  *transport.MemoryNetwork
 	register *fakeRegister
-	// links are by address, disks by name. Neither map changes once the fleet has started.
+	// links is keyed by address, disks by name. Neither map changes after the fleet has started.
 	links map[string]*link
 	disks map[string]*simulation.Disk
 	stop  chan struct{}
@@ -55,7 +54,7 @@
 
 func newRecoveryFleet(t *testing.T, seed int64, stores, budget int) *recoveryFleet {
 	t.Helper()
-	// A bubble begins in the year 2000, long before the steady clock of this process.
+	// A bubble starts in the year 2000, long before the monotonic clock of this process.
 	clock.Sleep(clock.Milliseconds(1000) - clock.Now().Sub(0))
 	f := &recoveryFleet{t: t, random: rand.New(rand.NewSource(seed)), budget: budget, network: transport.NewMemoryNetwork(),
 		links: map[string]*link{}, disks: map[string]*simulation.Disk{}, stop: make(chan struct{}),
@@ -79,12 +78,12 @@
 func storeName(number int) string    { return fmt.Sprint("s", number) }
 func storeAddress(number int) string { return fmt.Sprint("10.0.0.", number, ":7002") }
 
-// note writes a line into the fleet's one log.
+// logf writes a line to the fleet's log.
 func (f *recoveryFleet) logf(format string, arguments ...any) {
 	_, _ = fmt.Fprintf(f, format, arguments...)
 }
 
-// Write takes a log line of a process.
+// Write appends a log line of a process to the fleet's log.
 func (f *recoveryFleet) Write(line []byte) (int, error) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -98,14 +97,14 @@
 	return f.poweredOff[address]
 }
 
-// start opens a process on the disk of its machine.
+// start starts a store process on the disk of its machine.
 func (f *recoveryFleet) start(number int) {
-	name, current := storeName(number), &power{}
+	name, supply := storeName(number), &power{}
 	f.lock.Lock()
 	f.starts++
 	identity := fmt.Sprint(name, "-", f.starts)
 	f.lock.Unlock()
-	store, err := replicalog.Open(poweredDisk{f.disks[name], current}, identity)
+	replica, err := replicalog.Open(poweredDisk{f.disks[name], supply}, identity)
 	if err != nil {
 		f.t.Error(name, err)
 		return
@@ -113,9 +112,9 @@
 	nodeSettings := &settings.Settings{NodeName: name, Address: fmt.Sprint("10.0.0.", number), Zone: fmt.Sprint("h", number%4), InternalPorts: []int{7000, 7010},
 		Seeds: []string{"10.0.0.99:80"}, HeartbeatMs: 1200, FaultBudget: settings.FaultBudget{Machines: f.budget}, Tolerances: settings.Tolerances{StatusS: 120, CancelMs: 3000}}
 	log := hclog.New(&hclog.LoggerOptions{Output: f, DisableTime: true, Name: name, Level: hclog.Info})
-	runtime := agent.New(nodeSettings, membership.RoleStore, constants.PortStore, store.Disk(), log)
-	runtime.Transport = poweredTransport{f.network.Transport(runtime.Self.Address), f, current, runtime.Self.Address}
-	server := newServer(runtime, store)
+	runtime := agent.New(nodeSettings, membership.RoleStore, constants.PortStore, replica.Disk(), log)
+	runtime.Transport = poweredTransport{f.network.Transport(runtime.Self.Address), f, supply, runtime.Self.Address}
+	server := newServer(runtime, replica)
 	server.registerHandlers()
 	server.registerReports()
 	runtime.ApplyConfig([]byte(unlimitedConfig))
@@ -125,12 +124,12 @@
 	}
 	f.lock.Lock()
 	delete(f.poweredOff, runtime.Self.Address)
-	f.running[name] = &poweredServer{server, current}
+	f.running[name] = &poweredServer{server, supply}
 	f.lock.Unlock()
 	go server.election.Run()
 }
 
-// powerOff ends the process of a machine in the middle of whatever it does.
+// powerOff cuts the power of a machine, which ends its process at any point of its work.
 func (f *recoveryFleet) powerOff(number int, diskLost bool) {
 	name := storeName(number)
 	f.lock.Lock()
@@ -140,8 +139,8 @@
 	f.lock.Unlock()
 	if server != nil {
 		server.power.lost.Store(true)
-		if current := server.currentTerm(); current != nil {
-			current.Close("power is lost")
+		if term := server.currentTerm(); term != nil {
+			term.Close("power is lost")
 		}
 		server.Node.Shutdown()
 		server.Node.Transport.Close()
@@ -162,7 +161,7 @@
 	return all
 }
 
-// meet keeps the processes known to each other, as reports do.
+// exchangeMembers makes every process known to every other, as heartbeats do.
 func (f *recoveryFleet) exchangeMembers() {
 	all := f.servers()
 	for _, server := range all {
@@ -174,24 +173,24 @@
 	}
 }
 
-// storeSet gives the set that the register names.
+// storeSet returns the store set that the register names.
 func (f *recoveryFleet) storeSet() []messages.Member {
 	f.register.lock.Lock()
 	defer f.register.lock.Unlock()
 	return slices.Clone(f.register.value.Stores)
 }
 
-// leading gives the process that serves as the leader, or nil.
+// leader returns the process that serves as the leader, or nil if there is none.
 func (f *recoveryFleet) leader() *poweredServer {
 	for _, server := range f.servers() {
-		if current := server.currentTerm(); current != nil && server.election.HoldsLease() && current.Serving() {
+		if term := server.currentTerm(); term != nil && server.election.HoldsLease() && term.Serving() {
 			return server
 		}
 	}
 	return nil
 }
 
-// end takes the power from all, and waits until nothing is under way.
+// shutDown cuts the power of all machines and waits until no operation is pending.
 func (f *recoveryFleet) shutDown() {
 	close(f.stop)
 	for number := 1; number <= len(f.disks); number++ {
--- a/internal/batch/store/secondloss_test.go
+++ b/internal/batch/store/secondloss_test.go
@@ -11,37 +11,38 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// markLost notes at a leader which members' machines have another disk now, as
-// Term.markLostDisks does, and gives the members that are left.
-func (s *simLeader) markLost() (left []messages.Member) {
+// markLost marks, at a leader, the members whose machines now have another disk, as
+// leader.Term.markLostDisks does. It returns the remaining members.
+func (s *simLeader) markLost() (remaining []messages.Member) {
 	for _, member := range s.replicator.Members {
 		store := s.fleet.stores[member.Address]
 		if store.down || register.Identity(store.member) == register.Identity(member) {
-			left = append(left, member)
+			remaining = append(remaining, member)
 			continue
 		}
 		if s.replicator.MarkLost(register.Identity(member)) {
 			s.applyCommitted()
 		}
 	}
-	return left
+	return remaining
 }
 
-// removeLost has the register name the set without the lost disks, as Term.removeLostDisks does.
+// removeLost replaces the set in the register by one without the lost disks, as
+// leader.Term.removeLostDisks does.
 func (s *simFleet) removeLost() {
 	leader := s.leader
 	next := leader.markLost()
 	leader.replicator.Next = next
 	index := leader.submit(messages.Record{Kind: messages.RecordNoop})
 	if !s.runUntil(func() bool { return leader.replicator.InNextSet(index) }) {
-		s.t.Fatal("the smaller set was never agreed on")
+		s.t.Fatal("the set without the lost disks was not agreed on within 6 s")
 	}
 	s.set = next
 	leader.replicator.Members, leader.replicator.Next = next, nil
 }
 
-// electAfterLosses has somebody take over where too few disks may be left for as many copies
-// as usual.
+// electAfterLosses makes a member take over after losses that may leave too few disks for the
+// usual number of copies.
 func (s *simFleet) electAfterLosses() {
 	names := s.liveMembers()
 	for attempt := 0; attempt < 12; attempt++ {
@@ -57,10 +58,10 @@
 			return
 		}
 	}
-	s.t.Fatal("nobody could take over")
+	s.t.Fatal("no member could take over")
 }
 
-// wipeSome takes the disks of some members, and at times the power of all others.
+// wipeMembers wipes the disks of some members. Half of the time all stores lose power before.
 func (s *simFleet) wipeMembers(members []messages.Member, round string) {
 	if s.world.Random.Intn(2) == 0 {
 		for _, name := range simulation.Keys(s.stores) {
@@ -78,8 +79,8 @@
 	}
 }
 
-// Two disks of five are lost, and two more before the copies of the first are complete: all
-// that was told stands, and the last member that has it takes over and tells it.
+// Two of five disks are lost, and two more before the copies that replace the first two are
+// complete. Everything that was acknowledged must survive: the last member that has it takes over.
 func TestSecondLossBeforeTheCopiesAreComplete(t *testing.T) {
 	for seed := int64(1); seed <= int64(simulation.Seeds(60)); seed++ {
 		fleet := newSimFleetOf(t, seed, 9, 2, 5)
@@ -93,14 +94,14 @@
 				fleet.electAfterLosses()
 			}
 			fleet.removeLost()
-			// The copying begins, and is not complete when the second loss strikes.
+			// The copying starts, and is not complete when the second loss occurs.
 			for _, member := range first {
 				fleet.feedJoiner(fleet.stores[member.Address].member)
 			}
 			fleet.awaitAcknowledged()
 			second := fleet.randomPair()
 			if slices.ContainsFunc(second, func(member messages.Member) bool { return slices.Contains(first, member) }) {
-				t.Fatal("a lost disk is a member still")
+				t.Fatal("a lost disk is still a member of the set")
 			}
 			fleet.wipeMembers(second, fmt.Sprint("-b", round))
 			if fleet.leader == nil {
--- a/internal/batch/store/simulation_faults_test.go
+++ b/internal/batch/store/simulation_faults_test.go
@@ -7,7 +7,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// losePower takes a store's power for a while: what was synced stays.
+// losePower cuts a store's power for a while. Synced data survives.
 func (s *simFleet) losePower(store *simStore) {
 	store.down = true
 	store.disk.PowerLoss()
@@ -16,8 +16,8 @@
 	s.open(store)
 }
 
-// loseDisk takes a member's disk: the machine comes back as somebody else, and gets its place
-// again once it has everything.
+// loseDisk wipes a member's disk. The machine comes back with another disk identity and becomes a
+// member again once it has all records.
 func (s *simFleet) loseDisk(victim messages.Member, disk string) {
 	store := s.stores[victim.Address]
 	store.down = true
@@ -29,7 +29,7 @@
 	s.replaceMember(victim, store.member)
 }
 
-// partitionLeader cuts the leader off, which does not know that another took over.
+// partitionLeader partitions the leader, which does not learn that another store took over.
 func (s *simFleet) partitionLeader() {
 	if s.leader == nil {
 		return
@@ -55,7 +55,7 @@
 	s.world.Isolate(partitioned, names, false)
 }
 
-// retire replaces a member by the spare; the leader itself is never retired.
+// retire replaces a member by the spare store. The leader is never retired.
 func (s *simFleet) retire(victim messages.Member) {
 	if victim.Address == s.leader.address {
 		return
@@ -69,7 +69,7 @@
 	}
 }
 
-// loseAll takes everybody's power, and one member's disk.
+// loseAll cuts the power of all stores and wipes one member's disk.
 func (s *simFleet) loseAll() {
 	s.world.Run(s.world.Now.Add(clock.Milliseconds(500)))
 	wiped := s.set[s.world.Random.Intn(3)].Address
--- a/internal/batch/store/simulation_leader_test.go
+++ b/internal/batch/store/simulation_leader_test.go
@@ -9,7 +9,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// begin goes on from the best copy. Fetching is done in one step here.
+// takeOver starts the term from the best copy of the log. Fetching is a single step here.
 func (s *simLeader) takeOver(set []messages.Member, copies map[string]messages.FenceResponse) {
 	own := s.fleet.stores[s.address]
 	best := replication.BestCopy(copies)
@@ -55,7 +55,7 @@
 	return record.Index
 }
 
-// feed sends a store what it lacks, again and again.
+// feed sends a store the records that it lacks, and repeats that periodically.
 func (s *simLeader) feed(member messages.Member) {
 	fleet, identity := s.fleet, register.Identity(member)
 	if fleet.stores[s.address].down || s.fenced {
@@ -84,8 +84,8 @@
 	})
 }
 
-// appendRequest is the order to a store with what it lacks from next on; nil where it can't
-// be read.
+// appendRequest returns the request with the records that a store lacks, starting at next. It
+// returns nil if they cannot be read.
 func (s *simLeader) appendRequest(member messages.Member, next int64) *messages.AppendRequest {
 	fleet := s.fleet
 	req := &messages.AppendRequest{Epoch: s.epoch, Disk: member.Disk, PreviousIndex: next - 1, CommitIndex: s.replicator.CommitIndex()}
@@ -111,11 +111,11 @@
 	return req
 }
 
-// handleAppendResponse takes a store's response to an order that began at next.
+// handleAppendResponse processes a store's response to a request that started at next.
 func (s *simLeader) handleAppendResponse(identity string, next int64, resp *messages.AppendResponse) {
 	switch {
 	case resp.Epoch > s.epoch:
-		// A later epoch was raised: the term ends, as the real one does.
+		// There is a later epoch: the term ends, as a real one does.
 		s.fenced = true
 	case resp.Granted:
 		s.nextIndex[identity] = max(s.nextIndex[identity], resp.Last+1)
@@ -128,7 +128,7 @@
 	}
 }
 
-// apply tells clients of what is durable; that binds every later leader.
+// applyCommitted acknowledges committed records to clients. Every later leader must know them.
 func (s *simLeader) applyCommitted() {
 	s.ready = true
 	fleet := s.fleet
@@ -141,14 +141,14 @@
 		if record.Kind == messages.RecordForget {
 			fleet.forgotten[record.Job] = true
 		}
-		// An earlier leader that learns late of its copies acknowledges nothing that binds of a job
-		// whose time was over meanwhile.
+		// An earlier leader may learn late that its records have enough copies. Its acknowledgements
+		// are not checked for a job whose retention ended meanwhile.
 		if record.Kind != messages.RecordOutput || fleet.forgetRequested[record.Job] {
 			continue
 		}
 		key := fmt.Sprintf("%s/%d", record.Job, record.Position)
 		if other, known := fleet.acknowledgedItems[key]; known && other != record.Item {
-			fleet.t.Fatalf("position %s held %s and now holds %s", key, other, record.Item)
+			fleet.t.Fatalf("position %s was item %s and is now item %s", key, other, record.Item)
 		}
 		fleet.acknowledgedItems[key] = record.Item
 		fleet.acknowledgements++
--- a/internal/batch/store/simulation_test.go
+++ b/internal/batch/store/simulation_test.go
@@ -14,17 +14,18 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// simStore is a store on a fake disk; simLeader is the leader of one epoch, made
-// of the same cores as the real one, driven by events instead of threads.
+// simStore is a store on a fake disk.
 type simStore struct {
 	member messages.Member
 	disk   *simulation.Disk
 	store  *replicalog.Log
 	down   bool
-	// faulty says that its disk may refuse what it is asked for.
+	// faulty is set while its disk may fail operations.
 	faulty bool
 }
 
+// simLeader is the leader of one epoch. It uses the same replication and job tables as the real
+// leader, driven by events instead of goroutines.
 type simLeader struct {
 	fleet      *simFleet
 	address    string
@@ -37,37 +38,38 @@
 	ready      bool
 	firstIndex int64
 	forgets    map[string]bool
-	// fenced says that a member has told of a later epoch.
+	// fenced is set once a member has responded with a later epoch.
 	fenced bool
 }
 
+// simFleet is a set of simulated stores with at most one leader that clients use.
 type simFleet struct {
 	t      *testing.T
 	world  *simulation.World
 	stores map[string]*simStore
-	// The register, whose own agreement is tested elsewhere.
+	// epoch and set are the content of the register, whose agreement is tested elsewhere.
 	epoch             uint64
 	set               []messages.Member
 	leader            *simLeader
 	acknowledgedItems map[string]string
 	toldAt            map[string]uint64
-	// acknowledgements counts what was ever told; forgotten jobs are no longer in told, and those
-	// whose word of it is durable are in gone.
+	// acknowledgements counts all acknowledged outputs. Jobs that a leader has begun to forget are
+	// no longer in acknowledgedItems; those whose forget record is durable are in forgotten.
 	acknowledgements int
 	forgotten        map[string]bool
 	jobNumber        int
-	// sent counts what each store was sent.
+	// sent is the traffic to each store.
 	sent map[string]traffic
-	// dropped are the jobs that some leader has begun to forget.
+	// forgetRequested contains the jobs that some leader has begun to forget.
 	forgetRequested map[string]bool
-	// isolated are the machines that are cut off now.
+	// isolated contains the machines that are partitioned now.
 	isolated map[string]bool
-	// budget is how many stores may be lost at once.
+	// budget is the number of stores that may be lost at once.
 	budget      int
 	appendDelay map[string]clock.Duration
 }
 
-// newSimFleet makes stores of which the first three are the set, for a budget of one.
+// newSimFleet creates stores for a fault budget of one. The first three are the store set.
 func newSimFleet(t *testing.T, seed int64, count int) *simFleet {
 	t.Helper()
 
@@ -97,13 +99,13 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	// Files are rewritten as soon as half of them says nothing any more.
+	// Files are rewritten as soon as half of their records are obsolete.
 	store.SetCompaction(replicalog.Compaction{Bytes: 1 << 40, Records: 6, Lag: clock.Milliseconds(150)})
 	ss.store, ss.down = store, false
 	ss.member.Disk = store.Disk()
 }
 
-// take makes a process the leader of a new epoch; the one before may not notice.
+// startTakeover makes a process campaign for a new epoch. The previous leader may not notice.
 func (s *simFleet) startTakeover(name string) {
 	s.epoch++
 	leader := &simLeader{fleet: s, address: name, epoch: s.epoch, nextIndex: map[string]int64{}, forgets: map[string]bool{}}
--- a/internal/batch/store/upkeep_test.go
+++ b/internal/batch/store/upkeep_test.go
@@ -12,8 +12,8 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// tidy rewrites files now and then, at an instant of each store's own. What it draws is its
-// own, so that the rest of a seed's history doesn't hang on it.
+// compactPeriodically compacts the logs, each store's at other times. It draws from a random
+// source of its own, so that the rest of a seed's history does not depend on it.
 func (s *simFleet) compactPeriodically(random *rand.Rand) {
 	for _, name := range simulation.Keys(s.stores) {
 		if store := s.stores[name]; !store.down && random.Intn(3) > 0 {
@@ -25,17 +25,16 @@
 	s.world.After(clock.Milliseconds(200), func() { s.compactPeriodically(random) })
 }
 
-// forget drops jobs that are done, as a leader does once their time is over; the newest
-// stay.
+// forget drops finished jobs, as a leader does after their retention. The newest ones stay.
 func (s *simLeader) forget() {
 	const kept = 3
-	var done []*dispatch.Job
+	var finished []*dispatch.Job
 	for _, job := range s.jobs.Jobs() {
 		if !job.Open() && !s.forgets[job.ID] {
-			done = append(done, job)
+			finished = append(finished, job)
 		}
 	}
-	for _, job := range done[:max(len(done)-kept, 0)] {
+	for _, job := range finished[:max(len(finished)-kept, 0)] {
 		s.forgets[job.ID], s.fleet.forgetRequested[job.ID] = true, true
 		s.submit(messages.Record{Kind: messages.RecordForget, Job: job.ID})
 		for i := range job.Listings {
@@ -44,19 +43,19 @@
 	}
 }
 
-// check compares a leader's book with all that was ever told.
+// checkJobs checks that a leader knows everything that was acknowledged, and no forgotten job.
 func (s *simFleet) checkJobs(leader *simLeader) {
 	for _, job := range leader.jobs.Jobs() {
 		if s.forgotten[job.ID] {
-			s.t.Fatalf("holder of epoch %d has %s again", leader.epoch, job.ID)
+			s.t.Fatalf("the leader of epoch %d has the forgotten job %s", leader.epoch, job.ID)
 		}
 	}
 	for _, key := range simulation.Keys(s.acknowledgedItems) {
 		jobID, number, _ := strings.Cut(key, "/")
 		position, _ := strconv.Atoi(number)
-		found := leader.jobs.Job(jobID)
-		if found == nil || position >= len(found.Listings) || found.Listings[position].Item != s.acknowledgedItems[key] {
-			s.t.Fatalf("holder of epoch %d lacks %s", leader.epoch, key)
+		job := leader.jobs.Job(jobID)
+		if job == nil || position >= len(job.Listings) || job.Listings[position].Item != s.acknowledgedItems[key] {
+			s.t.Fatalf("the leader of epoch %d lacks the acknowledged output at %s", leader.epoch, key)
 		}
 	}
 }
