--- a/internal/batch/store/share_callers_test.go
+++ b/internal/batch/store/share_callers_test.go
@@ -11,13 +11,13 @@
 	"lemonarch/internal/tooling/linearize"
 )
 
-// callers record what clients of jobs see: each call from its sending to its answer.
+// callRecorder records what clients of jobs observe: each call from request to response.
 type callRecorder struct {
 	history linearize.History
 	count   int
 }
 
-// handedIn records a submission; told notes the 202.
+// recordSubmission records the start of a submission. The returned function records its 202.
 func (s *shareCluster) recordSubmission(id string) (acknowledged func()) {
 	s.calls.count++
 	operation := s.calls.history.Begin(s.calls.count, linearize.JobCall{Kind: linearize.JobSubmit, Lot: id},
@@ -25,14 +25,14 @@
 	return func() { operation.End(linearize.JobReply{Outcome: linearize.JobDone}, int64(s.world.Now)) }
 }
 
-// answered records a call that has its answer.
+// recordCall records a call that started at start and now has its response.
 func (s *shareCluster) recordCall(call linearize.JobCall, reply linearize.JobReply, start clock.Instant) {
 	s.calls.count++
 	operation := s.calls.history.Begin(s.calls.count, call, linearize.JobReply{}, int64(start))
 	operation.End(reply, int64(s.world.Now))
 }
 
-// read sends reads again and again; a call takes its time there and back.
+// readPeriodically sends reads of random jobs. Request and response each take a random time.
 func (s *shareCluster) readPeriodically() {
 	random := s.callRandom
 	defer s.world.After(clock.Milliseconds(40+160*random.Float64()), s.readPeriodically)
@@ -40,18 +40,18 @@
 		return
 	}
 	call := linearize.JobCall{Kind: linearize.JobRead, Lot: fmt.Sprint("job", 1+random.Intn(s.jobNumber)), From: random.Intn(2)}
-	start, resp := s.world.Now, clock.Milliseconds(40*random.Float64())
+	start, responseDelay := s.world.Now, clock.Milliseconds(40*random.Float64())
 	s.world.After(clock.Milliseconds(40*random.Float64()), func() {
 		leader := s.leader
 		if s.serving(leader) == nil {
 			return
 		}
 		reply := s.readJob(leader, call)
-		s.world.After(resp, func() { s.recordCall(call, reply, start) })
+		s.world.After(responseDelay, func() { s.recordCall(call, reply, start) })
 	})
 }
 
-// page is what a leader that serves says of a job.
+// readJob returns a serving leader's response to a read of a job.
 func (s *shareCluster) readJob(leader *simLeader, call linearize.JobCall) linearize.JobReply {
 	job := leader.jobs.Job(call.Lot)
 	if job == nil {
@@ -64,7 +64,7 @@
 	return reply
 }
 
-// textOf is an output's text, from the leader's memory or its disk.
+// outputText returns an output's text from the leader's memory or its disk.
 func (s *shareCluster) outputText(leader *simLeader, listing dispatch.Listing) string {
 	if i := listing.Index - leader.firstIndex; i >= 0 && i < int64(len(leader.records)) {
 		return string(leader.records[i].Body)
@@ -76,14 +76,14 @@
 	return string(record.Body)
 }
 
-// checkCalls tells whether one order of all calls explains what clients saw.
+// checkCalls checks that the recorded calls are linearizable.
 func (s *shareCluster) checkCalls(seed int64) {
 	if err := s.calls.history.Check(linearize.JobsModel(), time.Minute); err != nil {
 		s.t.Fatalf("seed %d: %v", seed, err)
 	}
 }
 
-// judge compares the last leader's book with all that was seen outside.
+// checkOutcome compares the last leader's jobs with everything that clients and executors observed.
 func (s *shareCluster) checkOutcome(seed int64) {
 	var ids []string
 	for _, job := range s.leader.jobs.Jobs() {
@@ -108,16 +108,16 @@
 				s.t.Fatalf("seed %d: %s has two positions", seed, listing.Item)
 			case listing.Abandoned && !s.rejected[listing.Item] && s.failures[listing.Item] < shareAttempts &&
 				s.world.Now.Sub(s.sentAt[id]) < clock.Milliseconds(shareRetainMs):
-				s.t.Fatalf("seed %d: %s was given up after %d failures", seed, listing.Item, s.failures[listing.Item])
+				s.t.Fatalf("seed %d: %s was abandoned after %d failures", seed, listing.Item, s.failures[listing.Item])
 			case !listing.Abandoned && string(record.Body) != want:
 				s.t.Fatalf("seed %d: %s has the text %q", seed, listing.Item, strings.ReplaceAll(string(record.Body), "\n", " "))
 			case listing.Abandoned && s.accepted[listing.Item] != "" && s.accepted[listing.Item] != "rejected":
-				s.t.Fatalf("seed %d: %s was acknowledged and then given up", seed, listing.Item)
+				s.t.Fatalf("seed %d: %s was acknowledged and then abandoned", seed, listing.Item)
 			}
 		}
 		for _, item := range job.Items {
 			if listed[item.ID] == 0 && (s.accepted[item.ID] != "" || !job.Ended) {
-				s.t.Fatalf("seed %d: %s is not listed; state %d, acknowledged %q, lapses %d", seed, item.ID, item.State, s.accepted[item.ID], item.Lapses)
+				s.t.Fatalf("seed %d: %s is not listed; state %d, acknowledged %q, lock expiries %d", seed, item.ID, item.State, s.accepted[item.ID], item.Lapses)
 			}
 		}
 	}
--- a/internal/batch/store/share_executor_test.go
+++ b/internal/batch/store/share_executor_test.go
@@ -9,8 +9,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// simDriver is an executor node in a shareCluster: the real core, simulated messages and
-// workers.
+// simExecutor is an executor node in a shareCluster. It uses the real executor.Runner with
+// simulated messages and workers.
 type simExecutor struct {
 	cluster       *shareCluster
 	name          string
@@ -43,7 +43,7 @@
 	s.sendAcknowledgements(1, s.core.Releases())
 }
 
-// at runs a function at the machine unless it is frozen or started anew by then.
+// ifSameIncarnation wraps a function so that it does nothing once the process has restarted.
 func (s *simExecutor) ifSameIncarnation(incarnation int64, function func()) func() {
 	return func() {
 		if s.incarnation == incarnation {
@@ -62,12 +62,12 @@
 		return
 	}
 	s.acquiring = true
-	sentAt, who := s.now(), s.identity()
-	answered := false
+	sentAt, requester := s.now(), s.identity()
+	finished := false
 	cluster.world.After(clock.Milliseconds(200), s.ifSameIncarnation(incarnation, func() {
-		// The question timed out: an answer that comes later is dropped.
-		if !answered {
-			answered, s.acquiring = true, false
+		// The request timed out: a later response is dropped.
+		if !finished {
+			finished, s.acquiring = true, false
 		}
 	}))
 	cluster.send(s.name, leader.address, func() {
@@ -76,18 +76,18 @@
 			return
 		}
 		resp := &messages.AcquireResponse{LockMs: clock.ToMilliseconds(dispatcher.Lock)}
-		options := &dispatch.AcquireOptions{Executor: who, Capacity: map[string]int{"s": 2}, Terms: cluster.terms,
+		options := &dispatch.AcquireOptions{Executor: requester, Capacity: map[string]int{"s": 2}, Terms: cluster.terms,
 			Service: func(*dispatch.Item) string { return "s" }}
-		for _, given := range dispatcher.Acquire(options, cluster.clockValue(leader.address)) {
-			item := given.Item
-			resp.Items = append(resp.Items, messages.AcquiredItem{Number: given.Number, Job: item.Job.ID, Item: item.JobItem, LastID: item.LastID,
+		for _, acquisition := range dispatcher.Acquire(options, cluster.clockValue(leader.address)) {
+			item := acquisition.Item
+			resp.Items = append(resp.Items, messages.AcquiredItem{Number: acquisition.Number, Job: item.Job.ID, Item: item.JobItem, LastID: item.LastID,
 				Events: item.Events[:len(item.Events):len(item.Events)], Preempted: item.Preempted})
 		}
 		cluster.send(leader.address, s.name, s.ifSameIncarnation(incarnation, func() {
-			if answered {
+			if finished {
 				return
 			}
-			answered, s.acquiring = true, false
+			finished, s.acquiring = true, false
 			for _, task := range s.core.Add(resp, sentAt, s.now()) {
 				s.startTask(task)
 			}
@@ -96,8 +96,8 @@
 	})
 }
 
-func (s *simExecutor) acknowledge(entries []messages.Acknowledgement, epoch uint64, received func(verdicts []messages.AckVerdict)) {
-	cluster, leader, incarnation, who := s.cluster, s.cluster.leader, s.incarnation, s.identity()
+func (s *simExecutor) acknowledge(entries []messages.Acknowledgement, epoch uint64, handleVerdicts func(verdicts []messages.AckVerdict)) {
+	cluster, leader, incarnation, sender := s.cluster, s.cluster.leader, s.incarnation, s.identity()
 	if leader == nil {
 		return
 	}
@@ -108,17 +108,17 @@
 		}
 		var verdicts []messages.AckVerdict
 		last := int64(0)
-		dispatcher.ObserveExecutor(who, cluster.clockValue(leader.address))
+		dispatcher.ObserveExecutor(sender, cluster.clockValue(leader.address))
 		for i := range entries {
-			outcome := dispatcher.Acknowledge(who, &entries[i], cluster.clockValue(leader.address))
+			outcome := dispatcher.Acknowledge(sender, &entries[i], cluster.clockValue(leader.address))
 			verdicts = append(verdicts, outcome.Verdict)
 			last = max(last, outcome.Index)
 		}
 		if epoch > 0 {
-			dispatcher.ReportedAll(who, epoch, cluster.clockValue(leader.address))
+			dispatcher.ReportedAll(sender, epoch, cluster.clockValue(leader.address))
 		}
 		cluster.whenDurable(leader, last, 100, func() {
-			cluster.send(leader.address, s.name, s.ifSameIncarnation(incarnation, func() { received(verdicts) }))
+			cluster.send(leader.address, s.name, s.ifSameIncarnation(incarnation, func() { handleVerdicts(verdicts) }))
 		})
 	})
 }
@@ -138,7 +138,8 @@
 	}
 }
 
-// tell repeats a batch until it is answered.
+// sendAcknowledgements sends a batch, and again until it gets a response. Each lane has at most
+// one batch in flight.
 func (s *simExecutor) sendAcknowledgements(lane int, batch []messages.Acknowledgement) {
 	if len(batch) == 0 || s.acknowledging[lane] {
 		return
@@ -162,7 +163,7 @@
 	})
 }
 
-// halt closes the connections of runs: each sets its item back.
+// stopTasks closes the connections of runs, so that each run requeues its item.
 func (s *simExecutor) stopTasks(tasks []*executor.Task) {
 	for _, task := range tasks {
 		s.release(task, messages.Acknowledgement{})
@@ -176,7 +177,7 @@
 	s.core.Done(task, entry)
 }
 
-// begin brings a task to a worker, which streams from where it is asked to.
+// startTask sends a task to a worker, which streams from the requested event on.
 func (s *simExecutor) startTask(task *executor.Task) {
 	cluster, incarnation := s.cluster, s.incarnation
 	cluster.world.After(clock.Milliseconds(10*cluster.world.Random.Float64()), s.ifSameIncarnation(incarnation, func() {
@@ -184,7 +185,7 @@
 			return
 		}
 		if acked, ended := cluster.endAcked[task.Item.Job.ID]; ended && cluster.world.Now.Sub(acked) > clock.Milliseconds(shareCancelMs) {
-			cluster.t.Fatalf("%s reaches a worker %v after the end of its lot", task.Item.ID, cluster.world.Now.Sub(acked))
+			cluster.t.Fatalf("%s reached a worker %v after the end of its job", task.Item.ID, cluster.world.Now.Sub(acked))
 		}
 		task.Started = true
 		chance := cluster.world.Random.Float64()
@@ -206,7 +207,7 @@
 		switch {
 		case task.Stopped():
 		case cluster.frozen[s.name]:
-			// The events wait in the machine's buffers.
+			// The events wait in the buffers of the frozen machine.
 			cluster.deferred[s.name] = append(cluster.deferred[s.name], s.ifSameIncarnation(incarnation, func() { s.stream(task, next) }))
 		case cluster.world.Random.Float64() < 0.03:
 			s.release(task, messages.Acknowledgement{})
@@ -219,15 +220,15 @@
 			}
 		case task.Item.Finish(task.Run):
 			text := ""
-			for _, piece := range task.Item.Events {
-				text += string(piece) + "\n"
+			for _, event := range task.Item.Events {
+				text += string(event) + "\n"
 			}
 			s.core.Done(task, messages.Acknowledgement{Kind: messages.AckAccept, Output: []byte(text)})
 		}
 	}))
 }
 
-// restart is a process that dies and starts anew: what it held is gone.
+// restart makes the process crash and start again, which loses its acquisitions.
 func (s *simExecutor) restart() {
 	s.incarnation++
 	s.core = executor.New()
--- a/internal/batch/store/share_sim_test.go
+++ b/internal/batch/store/share_sim_test.go
@@ -20,20 +20,21 @@
 	shareRetainMs = 25_000
 )
 
-// shareCluster is a fleet of stores whose leader dispatches items to executors, on the
-// same cores as the real one. Every clock has an offset and a rate of its own.
+// shareCluster is a fleet of stores whose leader dispatches items to executors, with the same
+// dispatch.Dispatcher and executor.Runner as the real one. Every clock has an offset and a rate of
+// its own.
 type shareCluster struct {
 	*simFleet
 	executors   map[string]*simExecutor
 	dispatchers map[*simLeader]*dispatch.Dispatcher
 	ending      map[*simLeader]map[string]bool
-	// over says that a leader's hold has ended; no other is taken before.
+	// leaseEnded contains the leaders whose lease has ended. No other store takes over before.
 	leaseEnded map[*simLeader]bool
 	frozen     map[string]bool
 	deferred   map[string][]func()
 	offset     map[string]float64
 	rate       map[string]float64
-	// What the outside saw.
+	// The following maps record what executors and clients observed, and some events.
 	accepted     map[string]string
 	failures     map[string]int
 	rejected     map[string]bool
@@ -41,7 +42,7 @@
 	endAcked     map[string]clock.Instant
 	endRequested map[string]bool
 	counts       map[string]int64
-	// callers are the clients; what they draw is their own.
+	// calls records the clients' calls. Clients draw from a random source of their own.
 	calls      callRecorder
 	callRandom *rand.Rand
 }
@@ -64,12 +65,12 @@
 	return cluster
 }
 
-// version is the steady clock of a machine.
+// clockValue returns the time of a machine's monotonic clock.
 func (s *shareCluster) clockValue(name string) clock.Instant {
 	return clock.Instant(s.offset[name] + s.rate[name]*float64(s.world.Now))
 }
 
-// send carries a message; a frozen machine reads it when it is thawed.
+// send delivers a message. A frozen machine processes it when it is thawed.
 func (s *shareCluster) send(from, to string, function func()) {
 	s.world.Send(from, to, func() {
 		if s.frozen[to] {
@@ -84,14 +85,14 @@
 
 func (s *shareCluster) thaw(name string) {
 	s.frozen[name] = false
-	waited := s.deferred[name]
+	pending := s.deferred[name]
 	s.deferred[name] = nil
-	for _, function := range waited {
+	for _, function := range pending {
 		function()
 	}
 }
 
-// serving gives the dispatcher of a leader that may act, or nil.
+// serving returns the dispatcher of a leader that may act, or nil if it may not.
 func (s *shareCluster) serving(leader *simLeader) *dispatch.Dispatcher {
 	if leader == nil || leader != s.leader || !leader.ready || s.leaseEnded[leader] || s.stores[leader.address].down || s.frozen[leader.address] {
 		return nil
@@ -108,13 +109,13 @@
 	return dispatcher
 }
 
-// terms gives jobs up once they are older than retain-s; the wall clock is shared.
+// terms makes jobs expire once they are older than retain-s. All machines share the wall clock.
 func (s *shareCluster) terms(job *dispatch.Job) dispatch.JobTerms {
 	age := clock.ToMilliseconds(s.world.Now.Sub(s.sentAt[job.ID]))
 	return dispatch.JobTerms{Due: int64(s.sentAt[job.ID]), Overdue: age > 8000, Expired: age > shareRetainMs}
 }
 
-// reconcileAll is the leader's upkeep.
+// reconcileAll performs the leader's periodic maintenance.
 func (s *shareCluster) reconcileAll() {
 	defer s.world.After(clock.Milliseconds(50), s.reconcileAll)
 	if dispatcher := s.serving(s.leader); dispatcher != nil {
@@ -130,7 +131,7 @@
 	s.checkSingleAcquisition()
 }
 
-// single checks that no two executors believe that they hold one item.
+// checkSingleAcquisition checks that no two executors have a valid acquisition of the same item.
 func (s *shareCluster) checkSingleAcquisition() {
 	pending := map[string]string{}
 	for _, name := range simulation.Keys(s.executors) {
@@ -139,14 +140,14 @@
 				continue
 			}
 			if other, twice := pending[task.Item.ID]; twice {
-				s.t.Fatalf("%s and %s both hold %s (%x) at %d", other, name, task.Item.ID, task.Number, s.world.Now)
+				s.t.Fatalf("%s and %s both have acquired %s (%x) at %d", other, name, task.Item.ID, task.Number, s.world.Now)
 			}
 			pending[task.Item.ID] = name
 		}
 	}
 }
 
-// submitJob submits a job; some of its items no worker can do.
+// submitJob submits a job. Workers reject one item of every fourth job.
 func (s *shareCluster) submitJob(items int) {
 	leader := s.leader
 	if s.serving(leader) == nil {
@@ -169,8 +170,8 @@
 	s.whenDurable(leader, index, 100, acknowledged)
 }
 
-// endJob ends a job as the real leader does: nothing is acquired from the decision
-// on, executors are told, and the end is acknowledged once it is durable.
+// endJob ends a job as the real leader does: after the decision no item is acquired, executors
+// are notified, and the end is acknowledged once it is durable.
 func (s *shareCluster) endJob(id string) {
 	leader := s.leader
 	dispatcher := s.serving(leader)
@@ -196,7 +197,7 @@
 	})
 }
 
-// whenDurable goes on once a record is durable and the leader still serves.
+// whenDurable calls a function once a record is durable, if the leader still serves by then.
 func (s *shareCluster) whenDurable(leader *simLeader, index int64, attempts int, function func()) {
 	switch {
 	case s.serving(leader) == nil || attempts == 0:
--- a/internal/batch/store/share_test.go
+++ b/internal/batch/store/share_test.go
@@ -8,9 +8,9 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// share plays one seeded history: jobs come and are ended while machines freeze, are
-// cut off, start anew, lose power or their disk, stores are slow, replies are lost,
-// and the leadership changes in the middle of locks.
+// playShareGroup plays one seeded history: jobs are submitted and ended while machines freeze, are
+// partitioned, restart, or lose power or their disk, stores are slow, messages are lost, and the
+// leadership changes while items are locked.
 func playShareGroup(t *testing.T, seed int64) *shareCluster {
 	t.Helper()
 
@@ -34,20 +34,20 @@
 	return cluster
 }
 
-// strike lets one machine suffer a fault.
+// injectFault makes one machine fail in a random way.
 func (s *shareCluster) injectFault(names []string, round int) {
 	random := s.world.Random
 	victim := names[random.Intn(len(names))]
-	timeout := clock.Milliseconds(200 + 4000*random.Float64())
+	duration := clock.Milliseconds(200 + 4000*random.Float64())
 	switch random.Intn(6) {
 	case 0:
 		if s.leader.address != victim {
 			s.freeze(victim)
-			s.world.After(timeout, func() { s.thaw(victim) })
+			s.world.After(duration, func() { s.thaw(victim) })
 		}
 	case 1:
 		s.isolate(victim, names, true)
-		s.world.After(timeout, func() { s.isolate(victim, names, false) })
+		s.world.After(duration, func() { s.isolate(victim, names, false) })
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(100)))
 		if s.leader.address == victim {
 			s.isolate(victim, names, false)
@@ -64,7 +64,7 @@
 	}
 }
 
-// settleDown runs a calm time, in which all that may end ends.
+// settleDown runs the cluster without faults until every job that can finish has finished.
 func (s *shareCluster) settleDown(names []string) {
 	for _, name := range names {
 		s.thaw(name)
@@ -76,7 +76,7 @@
 	s.world.Run(s.world.Now.Add(clock.Milliseconds(35_000)))
 }
 
-// move lets the leadership change in the middle of everything; all locks go on.
+// changeLeader makes another store take over at any moment. All locks remain valid.
 func (s *shareCluster) changeLeader() {
 	if s.leader != nil {
 		s.leaseEnded[s.leader] = true
@@ -84,7 +84,7 @@
 	s.electAny()
 }
 
-// slow makes a machine answer only now and then, as one with a bad disk does.
+// slowDown makes a machine respond only intermittently, as one with a failing disk does.
 func (s *shareCluster) slowDown(names []string, victim string, times int) {
 	if times == 0 || s.leader.address == victim {
 		s.isolate(victim, names, false)
@@ -94,7 +94,7 @@
 	s.world.After(clock.Milliseconds(90), func() { s.slowDown(names, victim, times-1) })
 }
 
-// powerOrDisk takes a store's power or its whole disk, while another holds the leadership.
+// powerOrDisk cuts a store's power or wipes its disk. Another store leads meanwhile.
 func (s *shareCluster) powerOrDisk(wipe bool, round int) {
 	victim := s.set[s.world.Random.Intn(len(s.set))]
 	store := s.stores[victim.Address]
@@ -114,10 +114,9 @@
 	}
 }
 
-// Under any trouble an item has one live acquisition, one position and its whole
-// text; what was acknowledged stays; nothing is given up but on the four grounds;
-// nothing reaches a worker later than cancel-ms after the end of its job; and all
-// else is done in the end.
+// Under any fault, an item has one valid acquisition, one position and its complete text. What was
+// acknowledged is kept, an item is abandoned for one of the four permitted reasons only, no item
+// reaches a worker later than cancel-ms after the end of its job, and all other items finish.
 func TestShareGroupUnderFaults(t *testing.T) {
 	seeds := int64(60)
 	if testing.Short() {
@@ -141,9 +140,9 @@
 		total["early"] += cluster.counts["early"]
 		total["ended"] += int64(len(cluster.endAcked))
 	}
-	for name, least := range map[string]int64{"lapses": 3, "adopted": 3, "releases": 10, "failures": 3, "dropped": 1, "accepted": 20, "calls": 100, "ended": 1, "early": 1} {
-		if total[name] < least*seeds/2 {
-			t.Fatalf("too little trouble: %v", total)
+	for name, minimum := range map[string]int64{"lapses": 3, "adopted": 3, "releases": 10, "failures": 3, "dropped": 1, "accepted": 20, "calls": 100, "ended": 1, "early": 1} {
+		if total[name] < minimum*seeds/2 {
+			t.Fatalf("too few events of a kind, want more faults: %v", total)
 		}
 	}
 	t.Log(total)
@@ -151,6 +150,6 @@
 
 func TestShareGroupSameSeedSameHistory(t *testing.T) {
 	if first, second := playShareGroup(t, 7).world.Sum(), playShareGroup(t, 7).world.Sum(); first != second {
-		t.Fatal("one seed gave two histories")
+		t.Fatal("two runs with the same seed differ")
 	}
 }
--- a/internal/batch/store/shutdown_test.go
+++ b/internal/batch/store/shutdown_test.go
@@ -11,9 +11,9 @@
 	"lemonarch/internal/tooling/fixture"
 )
 
-// A store that has served leaves no goroutine behind after its shutdown.
+// A store that has served leaves no goroutine running after its shutdown.
 func TestShutdownLeavesNoGoroutine(t *testing.T) {
-	others := goleak.IgnoreCurrent()
+	ignored := goleak.IgnoreCurrent()
 	nodeSettings := &settings.Settings{NodeName: "m", Address: "10.0.0.1", Zone: "h", InternalPorts: []int{7000, 7010},
 		Seeds: []string{"10.0.0.99:80"}, HeartbeatMs: 1200, DataDir: t.TempDir()}
 	server, err := New(nodeSettings, hclog.NewNullLogger())
@@ -29,5 +29,5 @@
 	if err = <-ended; err != nil {
 		t.Fatal(err)
 	}
-	goleak.VerifyNone(t, others)
+	goleak.VerifyNone(t, ignored)
 }
