--- a/internal/batch/jobclient/jobclient.go
+++ b/internal/batch/jobclient/jobclient.go
@@ -209,7 +209,7 @@
 	return resp.body, c.checkStatus(resp, id)
 }
 
-// checkStatus returns the error that the status of a response stands for, or nil for 200.
+// checkStatus returns nil for a response with status 200, and otherwise the error for its status.
 func (c *Client) checkStatus(resp response, id string) error {
 	switch {
 	case resp.status == http.StatusOK:
--- a/internal/batch/jobclient/jobclient_test.go
+++ b/internal/batch/jobclient/jobclient_test.go
@@ -14,7 +14,7 @@
 )
 
 // script is an http.RoundTripper that plays its steps in order, without sockets. A step that
-// returns status 0 stands for a broken connection.
+// returns status 0 simulates a broken connection.
 type script struct {
 	test  *testing.T
 	steps []func(request *http.Request, body []byte) (int, string)
--- a/internal/batch/store/fleet_test.go
+++ b/internal/batch/store/fleet_test.go
@@ -138,7 +138,7 @@
 
 // call sends a call to one store after the other until the leader responds.
 func (r *storeFleet) call(call *messages.JobCallRequest, want int) {
-	r.waitFor(fmt.Sprint(call.Method, " ", call.Job, " answered by ", want), func() bool {
+	r.waitFor(fmt.Sprint(call.Method, " ", call.Job, " returns status ", want), func() bool {
 		for _, server := range r.servers() {
 			resp := &messages.JobCallResponse{}
 			if transport.Call(r.client, server.Node.Self.Address, messages.KindJobCall, call, resp, clock.Milliseconds(700)) != nil || resp.NotLeader || resp.Status >= 500 {
--- a/internal/batch/store/recovery_test.go
+++ b/internal/batch/store/recovery_test.go
@@ -61,8 +61,8 @@
 	return slices.Clone(f.acceptedNames)
 }
 
-// checkReadable reads each job until it is returned, for at most 20 s in total, as long as
-// operators retry.
+// checkReadable reads each job until it is returned, for at most 20 s in total, which is
+// how long operators retry.
 func (f *recoveryFleet) checkReadable(jobs []string) {
 	client, end := f.network.Transport("reader"), clock.Now().Add(clock.Milliseconds(20_000))
 	for _, job := range jobs {
--- a/internal/batch/store/simulation_leader_test.go
+++ b/internal/batch/store/simulation_leader_test.go
@@ -152,6 +152,6 @@
 		}
 		fleet.acknowledgedItems[key] = record.Item
 		fleet.acknowledgements++
-		fleet.world.Record("told %s %s", key, record.Item)
+		fleet.world.Record("acknowledged %s %s", key, record.Item)
 	}
 }
