--- a/internal/batch/store/displacement_test.go
+++ b/internal/batch/store/displacement_test.go
@@ -11,21 +11,23 @@
 	"lemonarch/internal/traffic/admission"
 )
 
-// simCluster is a fleet of stores with workers and benches: the leader's bench places
-// items, three edge benches place live requests of rank 0, all on the same workers.
+// simCluster is a fleet of stores with workers and admission schedulers. The leader's scheduler
+// places items, and those of three gateways place live requests of priority 0, all on the same
+// workers.
 type simCluster struct {
 	*simFleet
-	benches    map[string]*admission.Scheduler
-	workerList map[string]int
+	schedulers map[string]*admission.Scheduler
+	workerLoad map[string]int
 	cut        map[string]bool
 	running    map[*dispatch.Item]func()
-	// What the outside saw: events of an item as its result was made durable, and
-	// how each live request ended.
-	results  map[string][]string
-	live     map[int]int
-	promised int
-	asked    int
-	taken    map[string]int
+	// results contains the events of each item when its output became durable.
+	results map[string][]string
+	// endCounts is the number of times that each live request ended; refused counts the live
+	// requests that were rejected, requested all of them.
+	endCounts map[int]int
+	refused   int
+	requested int
+	counts    map[string]int
 }
 
 const (
@@ -36,17 +38,17 @@
 func newCluster(t *testing.T, seed int64) *simCluster {
 	t.Helper()
 
-	cluster := &simCluster{simFleet: newSimFleet(t, seed, 3), benches: map[string]*admission.Scheduler{}, workerList: map[string]int{},
-		cut: map[string]bool{}, running: map[*dispatch.Item]func(){}, results: map[string][]string{}, live: map[int]int{}, taken: map[string]int{}}
+	cluster := &simCluster{simFleet: newSimFleet(t, seed, 3), schedulers: map[string]*admission.Scheduler{}, workerLoad: map[string]int{},
+		cut: map[string]bool{}, running: map[*dispatch.Item]func(){}, results: map[string][]string{}, endCounts: map[int]int{}, counts: map[string]int{}}
 	for _, name := range []string{"e0", "e1", "e2"} {
-		cluster.scheduler(name, "gateway")
+		cluster.addScheduler(name, "gateway")
 	}
-	cluster.pump()
+	cluster.pumpSchedulers()
 	return cluster
 }
 
-// scheduler makes a node's admission, as a process that starts would.
-func (s *simCluster) scheduler(name, role string) {
+// addScheduler creates the admission scheduler of a node, as a starting process does.
+func (s *simCluster) addScheduler(name, role string) {
 	scheduler := admission.New(messages.NodeInfo{Name: name, Role: role, Zone: "h"}, 1_200_000_000_000)
 	var list []messages.Worker
 	for _, worker := range []string{"w0", "w1"} {
@@ -54,89 +56,90 @@
 	}
 	scheduler.Merge(list, s.world.Now)
 	scheduler.OnPressure(func(entries []messages.Pressure) {
-		acknowledged := &messages.PressureNotice{From: role + "/" + name, Entries: entries}
-		for _, other := range simulation.Keys(s.benches) {
+		notice := &messages.PressureNotice{From: role + "/" + name, Entries: entries}
+		for _, other := range simulation.Keys(s.schedulers) {
 			if other == name {
 				continue
 			}
 			s.world.Send(name, other, func() {
-				if s.benches[other] != nil {
-					s.benches[other].YieldToPressure(acknowledged, 1, s.world.Now)
+				if s.schedulers[other] != nil {
+					s.schedulers[other].YieldToPressure(notice, 1, s.world.Now)
 				}
 			})
 		}
 	})
-	s.benches[name] = scheduler
+	s.schedulers[name] = scheduler
 }
 
-func (s *simCluster) pump() {
-	for _, name := range simulation.Keys(s.benches) {
-		s.benches[name].PumpWaiting(s.world.Now)
+func (s *simCluster) pumpSchedulers() {
+	for _, name := range simulation.Keys(s.schedulers) {
+		s.schedulers[name].PumpWaiting(s.world.Now)
 	}
-	s.world.After(clock.Milliseconds(15), s.pump)
-	// Gossip runs every fourth time: the bursts are short too.
-	if s.taken["pumps"]++; s.taken["pumps"]%4 == 0 {
-		for _, name := range simulation.Keys(s.benches) {
-			packet := s.benches[name].MakeGossip(s.world.Now)
-			for _, other := range simulation.Keys(s.benches) {
+	s.world.After(clock.Milliseconds(15), s.pumpSchedulers)
+	// Gossip runs on every fourth pump only, because the bursts are short too.
+	if s.counts["pumps"]++; s.counts["pumps"]%4 == 0 {
+		for _, name := range simulation.Keys(s.schedulers) {
+			packet := s.schedulers[name].MakeGossip(s.world.Now)
+			for _, other := range simulation.Keys(s.schedulers) {
 				if other != name {
-					s.benches[other].HandleGossip(packet, s.world.Now)
+					s.schedulers[other].HandleGossip(packet, s.world.Now)
 				}
 			}
 		}
 	}
 }
 
-// request is one live request of the high rank: served, or promised never to run.
+// request sends one live request of the highest priority. It is served, or rejected with the
+// guarantee that it never runs.
 func (s *simCluster) request() {
-	s.asked++
-	number := s.asked
-	scheduler := s.benches[fmt.Sprint("e", number%3)]
-	done := func(resp admission.Decision) {
-		s.live[number]++
+	s.requested++
+	number := s.requested
+	scheduler := s.schedulers[fmt.Sprint("e", number%3)]
+	handleDecision := func(resp admission.Decision) {
+		s.endCounts[number]++
 		if resp.Verdict != admission.VerdictGranted {
-			s.promised++
+			s.refused++
 			return
 		}
-		s.arrive(resp.Grant)
-		s.world.After(clock.Milliseconds(40+40*s.world.Random.Float64()), func() { s.leave(resp.Grant, admission.ResultServed) })
+		s.occupySlot(resp.Grant)
+		s.world.After(clock.Milliseconds(40+40*s.world.Random.Float64()), func() { s.releaseSlot(resp.Grant, admission.ResultServed) })
 	}
 	resp, _ := scheduler.Admit(&admission.Request{Service: "s", Priority: 0, Setpoint: 200_000_000,
-		QueueUntil: s.world.Now.Add(clock.Milliseconds(150))}, done, s.world.Now)
+		QueueUntil: s.world.Now.Add(clock.Milliseconds(150))}, handleDecision, s.world.Now)
 	if resp.Verdict != admission.VerdictQueued {
-		done(resp)
+		handleDecision(resp)
 	}
 }
 
-// arrive takes a place at a worker, which tells its load to whoever asked; leave
-// gives it back.
-func (s *simCluster) arrive(grant *admission.Grant) {
-	s.workerList[grant.Worker.ID]++
-	grant.FirstEvent(fmt.Sprintf("%d,0,%d", s.workerList[grant.Worker.ID], clusterSlots), s.world.Now)
+// occupySlot takes a slot of a worker and reports the worker's load with the first event.
+// releaseSlot frees it.
+func (s *simCluster) occupySlot(grant *admission.Grant) {
+	s.workerLoad[grant.Worker.ID]++
+	grant.FirstEvent(fmt.Sprintf("%d,0,%d", s.workerLoad[grant.Worker.ID], clusterSlots), s.world.Now)
 }
 
-func (s *simCluster) leave(grant *admission.Grant, result admission.Result) {
-	s.workerList[grant.Worker.ID]--
+func (s *simCluster) releaseSlot(grant *admission.Grant, result admission.Result) {
+	s.workerLoad[grant.Worker.ID]--
 	grant.End(result, s.world.Now)
 }
 
-// dispatch runs items of the present leader wherever its bench finds capacity.
+// dispatch runs items of the current leader wherever its scheduler finds capacity.
 func (s *simCluster) dispatch() {
 	defer s.world.After(clock.Milliseconds(10), s.dispatch)
 	leader := s.leader
-	if leader == nil || !leader.ready || s.stores[leader.at].down {
+	if leader == nil || !leader.ready || s.stores[leader.address].down {
 		return
 	}
 	name := fmt.Sprint("holder", leader.epoch)
-	if s.benches[name] == nil {
-		// Another process: whatever the one before ran is broken off by the workers.
-		for old := range s.benches {
+	if s.schedulers[name] == nil {
+		// The leader is another process now: the workers cancel the runs of the previous one.
+		for old := range s.schedulers {
 			if old[0] == 'h' {
-				delete(s.benches, old)
+				delete(s.schedulers, old)
 			}
 		}
 		s.running = map[*dispatch.Item]func(){}
-		s.scheduler(name, "store")
+		s.addScheduler(name, "store")
 	}
 	for _, job := range leader.jobs.Jobs() {
 		for _, item := range job.Items {
@@ -148,7 +151,7 @@
 }
 
 func (s *simCluster) start(leader *simLeader, name string, item *dispatch.Item) {
-	resp, _ := s.benches[name].Admit(&admission.Request{Service: "s", Bulk: true, Priority: 2}, nil, s.world.Now)
+	resp, _ := s.schedulers[name].Admit(&admission.Request{Service: "s", Bulk: true, Priority: 2}, nil, s.world.Now)
 	if resp.Verdict != admission.VerdictGranted {
 		return
 	}
@@ -157,35 +160,35 @@
 		resp.Grant.End(admission.ResultCanceled, s.world.Now)
 		return
 	}
-	s.arrive(resp.Grant)
-	over := false
+	s.occupySlot(resp.Grant)
+	ended := false
 	requeue := func(result admission.Result) {
-		if !over {
-			over = true
+		if !ended {
+			ended = true
 			item.Requeue(run)
-			s.leave(resp.Grant, result)
+			s.releaseSlot(resp.Grant, result)
 		}
 	}
 	if item.Preempted < 3 {
 		resp.Grant.AllowPreemption(func() {
 			if item.Yield(run) {
-				s.taken["displaced"]++
+				s.counts["displaced"]++
 				s.world.After(clock.Milliseconds(1), func() { requeue(admission.ResultCanceled) })
 			}
 		})
 	}
-	s.stream(leader, item, run, &over, requeue, func() { s.leave(resp.Grant, admission.ResultServed) })
+	s.stream(leader, item, run, &ended, requeue, func() { s.releaseSlot(resp.Grant, admission.ResultServed) })
 }
 
-// stream has the worker stream from where the run began, and sometimes break off.
-func (s *simCluster) stream(leader *simLeader, item *dispatch.Item, run int, over *bool, requeue func(admission.Result), served func()) {
+// stream makes the worker stream events from the start of the run on, and fail at random.
+func (s *simCluster) stream(leader *simLeader, item *dispatch.Item, run int, ended *bool, requeue func(admission.Result), served func()) {
 	next := item.LastID + 1
 	var step func()
 	step = func() {
 		switch {
-		case *over:
+		case *ended:
 		case s.leader != leader:
-			// Its process is gone or fenced: the worker drops the run.
+			// The leader's process has ended or is fenced: the worker cancels the run.
 			requeue(admission.ResultCanceled)
 		case s.world.Random.Float64() < 0.01:
 			requeue(admission.ResultFailed)
@@ -195,8 +198,8 @@
 			s.world.After(clock.Milliseconds(12), step)
 		default:
 			s.finish(leader, item, run)
-			if !*over {
-				*over = true
+			if !*ended {
+				*ended = true
 				served()
 			}
 		}
@@ -210,7 +213,7 @@
 		return
 	}
 	job := item.Job
-	position := s.place(leader, job)
+	position := s.nextPosition(leader, job)
 	text := ""
 	for _, piece := range item.Events {
 		text += string(piece) + "\n"
@@ -218,8 +221,8 @@
 	leader.submit(messages.Record{Kind: messages.RecordOutput, Job: job.ID, Item: item.ID, Position: position, Body: []byte(text)})
 }
 
-// place counts the positions given so far, durable or on their way.
-func (s *simCluster) place(leader *simLeader, job *dispatch.Job) int {
+// nextPosition returns the number of positions assigned so far, durable or pending.
+func (s *simCluster) nextPosition(leader *simLeader, job *dispatch.Job) int {
 	count := len(job.Listings)
 	for _, record := range leader.records {
 		if record.Index > leader.applied && record.Kind == messages.RecordOutput && record.Job == job.ID {
--- a/internal/batch/store/fleet_test.go
+++ b/internal/batch/store/fleet_test.go
@@ -20,21 +20,21 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// storeFleet is real stores on fake disks: the first set is drawn from them, three of five for
-// a budget of one, and they take the leadership from each other.
+// storeFleet is a set of real stores on fake disks. They choose the first store set among
+// themselves (three of five for a fault budget of one) and compete for the leadership.
 type storeFleet struct {
-	test *testing.T
-	// budget is how many stores may be lost at once.
-	budget        int
-	random        *rand.Rand
-	network       *transport.MemoryNetwork
-	localRegister *fakeRegister
-	disks         map[string]*simulation.Disk
-	lock          sync.Mutex
-	stores        map[string]*Server
-	client        *transport.Memory
-	taken         []string
-	ended         map[string]bool
+	t *testing.T
+	// budget is the number of stores that may be lost at once.
+	budget       int
+	random       *rand.Rand
+	network      *transport.MemoryNetwork
+	register     *fakeRegister
+	disks        map[string]*simulation.Disk
+	lock         sync.Mutex
+	stores       map[string]*Server
+	client       *transport.Memory
+	acceptedJobs []string
+	endedJobs    map[string]bool
 }
 
 func newStoreFleet(t *testing.T, seed int64) *storeFleet {
@@ -43,14 +43,14 @@
 	return newStoreFleetOf(t, seed, 5, 1)
 }
 
-// newStoreFleetOf makes so many stores for a fault budget.
+// newStoreFleetOf starts count stores with a fault budget.
 func newStoreFleetOf(t *testing.T, seed int64, count, budget int) *storeFleet {
 	t.Helper()
 
-	fleet := &storeFleet{budget: budget, test: t, random: rand.New(rand.NewSource(seed)), network: transport.NewMemoryNetwork(), disks: map[string]*simulation.Disk{}, stores: map[string]*Server{}, ended: map[string]bool{}}
-	fleet.localRegister = &fakeRegister{grants: lease.NewGrantor(clock.Now(), true),
+	fleet := &storeFleet{budget: budget, t: t, random: rand.New(rand.NewSource(seed)), network: transport.NewMemoryNetwork(), disks: map[string]*simulation.Disk{}, stores: map[string]*Server{}, endedJobs: map[string]bool{}}
+	fleet.register = &fakeRegister{grantor: lease.NewGrantor(clock.Now(), true),
 		value: messages.RegisterValue{Acceptors: []messages.Member{{Address: fakeRegisterAddress, Disk: "r"}}}}
-	_ = fleet.network.Transport(fakeRegisterAddress).Serve(fleet.localRegister.answer)
+	_ = fleet.network.Transport(fakeRegisterAddress).Serve(fleet.register.respond)
 	fleet.client = fleet.network.Transport("client")
 	for number := 1; number <= count; number++ {
 		name := fmt.Sprint("s", number)
@@ -58,37 +58,37 @@
 		fleet.start(number, name+"-0")
 	}
 	stop := make(chan struct{})
-	go clock.Every(constants.TickPeriod*4, stop, fleet.meet)
-	fleet.meet()
+	go clock.Every(constants.TickPeriod*4, stop, fleet.exchangeMembers)
+	fleet.exchangeMembers()
 	for _, name := range simulation.Keys(fleet.stores) {
 		go fleet.stores[name].election.Run()
 	}
 	t.Cleanup(func() {
 		close(stop)
-		for _, server := range fleet.all() {
-			fleet.stop(server)
+		for _, server := range fleet.servers() {
+			fleet.stopServer(server)
 		}
 	})
 	return fleet
 }
 
-// start opens a process on the disk of its machine.
+// start starts a store process on the disk of its machine.
 func (r *storeFleet) start(number int, identity string) *Server {
 	name := fmt.Sprint("s", number)
-	store, err := replicalog.Open(r.disks[name], identity)
+	replica, err := replicalog.Open(r.disks[name], identity)
 	if err != nil {
-		r.test.Fatal(err)
+		r.t.Fatal(err)
 	}
 	nodeSettings := &settings.Settings{NodeName: name, Address: fmt.Sprint("10.0.0.", number), Zone: fmt.Sprint("h", number%3), InternalPorts: []int{7000, 7010},
 		Seeds: []string{"10.0.0.99:80"}, HeartbeatMs: 1200, FaultBudget: settings.FaultBudget{Machines: r.budget}, Tolerances: settings.Tolerances{StatusS: 120, CancelMs: 3000}}
-	runtime := agent.New(nodeSettings, membership.RoleStore, constants.PortStore, store.Disk(), hclog.NewNullLogger())
+	runtime := agent.New(nodeSettings, membership.RoleStore, constants.PortStore, replica.Disk(), hclog.NewNullLogger())
 	runtime.Transport = r.network.Transport(runtime.Self.Address)
-	server := wire(runtime, store)
+	server := newServer(runtime, replica)
 	server.registerHandlers()
 	server.registerReports()
 	runtime.ApplyConfig([]byte(quotaConfig))
 	if err = runtime.Transport.Serve(runtime.Dispatch); err != nil {
-		r.test.Fatal(err)
+		r.t.Fatal(err)
 	}
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -96,15 +96,15 @@
 	return server
 }
 
-func (r *storeFleet) stop(server *Server) {
-	if current := server.current(); current != nil {
-		current.Close("stopped")
+func (r *storeFleet) stopServer(server *Server) {
+	if term := server.currentTerm(); term != nil {
+		term.Close("stopped")
 	}
 	server.Node.Shutdown()
 	server.Node.Transport.Close()
 }
 
-func (r *storeFleet) all() []*Server {
+func (r *storeFleet) servers() []*Server {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	var all []*Server
@@ -114,9 +114,9 @@
 	return all
 }
 
-// meet keeps the processes known to each other, as shuffles do.
-func (r *storeFleet) meet() {
-	all := r.all()
+// exchangeMembers makes every process known to every other, as membership shuffles do.
+func (r *storeFleet) exchangeMembers() {
+	all := r.servers()
 	for _, server := range all {
 		for _, other := range all {
 			if server != other {
@@ -126,26 +126,26 @@
 	}
 }
 
-// until polls the world of real timers until something holds.
-func (r *storeFleet) until(what string, condition func() bool) {
+// waitFor polls in real time until a condition is met, for up to 20 s.
+func (r *storeFleet) waitFor(description string, condition func() bool) {
 	for end := clock.Now().Add(clock.Milliseconds(20_000)); !condition(); {
 		if clock.Now() > end {
-			r.test.Fatal("never: ", what)
+			r.t.Fatal("condition not met within 20 s: ", description)
 		}
 		<-clock.After(constants.TickPeriod / 2)
 	}
 }
 
-// call asks one store after the other until one that holds the leadership answers.
+// call sends a call to one store after the other until the leader responds.
 func (r *storeFleet) call(call *messages.JobCallRequest, want int) {
-	r.until(fmt.Sprint(call.Method, " ", call.Job, " answered by ", want), func() bool {
-		for _, server := range r.all() {
+	r.waitFor(fmt.Sprint(call.Method, " ", call.Job, " returns status ", want), func() bool {
+		for _, server := range r.servers() {
 			resp := &messages.JobCallResponse{}
 			if transport.Call(r.client, server.Node.Self.Address, messages.KindJobCall, call, resp, clock.Milliseconds(700)) != nil || resp.NotLeader || resp.Status >= 500 {
 				continue
 			}
 			if resp.Status != want {
-				r.test.Fatalf("%s %s: %d by %s, want %d", call.Method, call.Job, resp.Status, server.Node.Self.Name, want)
+				r.t.Fatalf("%s %s: %d by %s, want %d", call.Method, call.Job, resp.Status, server.Node.Self.Name, want)
 			}
 			return true
 		}
@@ -154,48 +154,50 @@
 }
 
 func (r *storeFleet) leaderStore() *Server {
-	var found *Server
-	r.until("a holder", func() bool {
-		for _, server := range r.all() {
-			if current := server.current(); current != nil && server.election.HoldsLease() && current.Serving() {
-				found = server
+	var leader *Server
+	r.waitFor("a store leads and serves", func() bool {
+		for _, server := range r.servers() {
+			if term := server.currentTerm(); term != nil && server.election.HoldsLease() && term.Serving() {
+				leader = server
 			}
 		}
-		return found != nil
+		return leader != nil
 	})
-	return found
+	return leader
 }
 
-// work hands a job in, ends an older one, and looks for all that was told.
-func (r *storeFleet) work() {
-	jobID := fmt.Sprint("lot", len(r.taken))
-	r.call(jobCallOf(jobID, 1), 202)
-	r.taken = append(r.taken, jobID)
-	// Few stay open, so that each new one fits.
-	if len(r.taken) > 2 {
-		old := r.taken[len(r.taken)-3]
+// submitAndCheck submits a job, ends an older one, and checks that every acknowledged submission
+// and end is still in effect.
+func (r *storeFleet) submitAndCheck() {
+	jobID := fmt.Sprint("lot", len(r.acceptedJobs))
+	r.call(submitCall(jobID, 1), 202)
+	r.acceptedJobs = append(r.acceptedJobs, jobID)
+	// Few jobs stay open, so that each new one fits into the backlog.
+	if len(r.acceptedJobs) > 2 {
+		old := r.acceptedJobs[len(r.acceptedJobs)-3]
 		r.call(&messages.JobCallRequest{Method: "DELETE", Job: old}, 200)
-		r.ended[old] = true
+		r.endedJobs[old] = true
 	}
-	for _, element := range r.taken {
-		r.call(&messages.JobCallRequest{Method: "GET", Job: element}, 200)
+	for _, accepted := range r.acceptedJobs {
+		r.call(&messages.JobCallRequest{Method: "GET", Job: accepted}, 200)
 	}
-	current := r.leaderStore().current()
-	if current == nil {
+	term := r.leaderStore().currentTerm()
+	if term == nil {
 		return
 	}
-	for _, row := range current.ReportJobs().Rows {
-		if jobID, state := row[0], row[len(row)-1]; r.ended[jobID] && state != "ended" {
-			r.test.Fatal("an ended lot is open again: ", jobID)
+	for _, row := range term.ReportJobs().Rows {
+		if jobID, state := row[0], row[len(row)-1]; r.endedJobs[jobID] && state != "ended" {
+			r.t.Fatal("an ended job is open again: ", jobID)
 		}
 	}
 }
 
-func (r *storeFleet) records() map[string]string {
-	r.localRegister.lock.Lock()
-	defer r.localRegister.lock.Unlock()
+// storeSetDisks returns the disk of each member of the store set, by the member's name.
+func (r *storeFleet) storeSetDisks() map[string]string {
+	r.register.lock.Lock()
+	defer r.register.lock.Unlock()
 	disks := map[string]string{}
-	for _, member := range r.localRegister.value.Stores {
+	for _, member := range r.register.value.Stores {
 		disks[member.Name] = member.Disk
 	}
 	return disks
--- a/internal/batch/store/jobs_test.go
+++ b/internal/batch/store/jobs_test.go
@@ -10,13 +10,13 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// work submits jobs and lists their items, as a leader does.
-func (s *simFleet) work(rounds int) {
+// submitJobs submits jobs and appends the outputs of their items, as a leader does.
+func (s *simFleet) submitJobs(rounds int) {
 	for round := 0; round < rounds; round++ {
 		leader := s.leader
-		if leader != nil && leader.ready && !s.stores[leader.at].down {
-			s.number++
-			id := fmt.Sprintf("lot%d", s.number)
+		if leader != nil && leader.ready && !s.stores[leader.address].down {
+			s.jobNumber++
+			id := fmt.Sprintf("lot%d", s.jobNumber)
 			body := &messages.JobBody{Path: "/p/"}
 			for item := 0; item < 3; item++ {
 				body.Items = append(body.Items, messages.JobItem{ID: fmt.Sprintf("%s-%d", id, item), Tokens: 10})
@@ -24,7 +24,7 @@
 			packed, _ := body.MarshalMsg(nil)
 			leader.submit(messages.Record{Kind: messages.RecordJob, Job: id, Body: packed})
 			leader.forget()
-			// The items end in another order each time.
+			// The items of each job finish in a random order.
 			for position, item := range s.world.Random.Perm(3) {
 				leader.submit(messages.Record{Kind: messages.RecordOutput, Job: id, Position: position, Item: fmt.Sprintf("%s-%d", id, item)})
 			}
@@ -33,7 +33,8 @@
 	}
 }
 
-func (s *simFleet) live() []string {
+// liveMembers returns the members of the set that run on the disk named in the set.
+func (s *simFleet) liveMembers() []string {
 	var names []string
 	for _, member := range s.set {
 		store := s.stores[member.Address]
@@ -44,45 +45,46 @@
 	return names
 }
 
-// electAny lets a random live member take over and checks what it knows.
+// electAny makes a random live member take over and checks the state that it recovered.
 func (s *simFleet) electAny() {
 	partitioned := s.anyPartitioned()
 	if s.tryTakeovers() {
 		return
 	}
-	// One that is cut off and one that is down are more than the budget: nobody need be
-	// able to take over before the cut ends.
+	// A partitioned member and one that is down exceed the budget, so a takeover need not be
+	// possible before the partition ends.
 	if partitioned {
-		s.joinMembers()
+		s.healMembers()
 		if s.tryTakeovers() {
 			return
 		}
 	}
-	s.test.Fatal("nobody could take over although the budget was kept")
+	s.t.Fatal("no member could take over although the losses were within the fault budget")
 }
 
-// tryTakeovers lets live members ask for the leadership in turn; false where none gets it.
+// tryTakeovers makes random live members try to take over, up to 12 times. It reports whether
+// one succeeded.
 func (s *simFleet) tryTakeovers() bool {
-	names := s.live()
+	names := s.liveMembers()
 	for attempt := 0; attempt < 12; attempt++ {
 		epoch := s.epoch + 1
-		s.take(names[s.world.Random.Intn(len(names))])
+		s.startTakeover(names[s.world.Random.Intn(len(names))])
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(400)))
 		if s.leader != nil && s.leader.epoch == epoch && s.leader.ready {
-			s.check(s.leader)
+			s.checkJobs(s.leader)
 			return true
 		}
 	}
 	return false
 }
 
-// isolate cuts a machine off from all others, or joins it.
+// isolate partitions a machine from all others, or ends the partition.
 func (s *simFleet) isolate(name string, others []string, partitioned bool) {
 	s.isolated[name] = partitioned
 	s.world.Isolate(name, others, partitioned)
 }
 
-// anyPartitioned tells whether a member of the set is cut off.
+// anyPartitioned reports whether a member of the set is partitioned.
 func (s *simFleet) anyPartitioned() bool {
 	for _, member := range s.set {
 		if s.isolated[member.Address] {
@@ -92,32 +94,32 @@
 	return false
 }
 
-// joinMembers ends the cuts of members of the set.
-func (s *simFleet) joinMembers() {
+// healMembers ends the partitions of all members of the set.
+func (s *simFleet) healMembers() {
 	for _, member := range s.set {
 		s.isolate(member.Address, simulation.Keys(s.stores), false)
 	}
 }
 
-// swapBegin has the leader send everything to a joiner.
-func (s *simFleet) swapBegin(joiner messages.Member) {
-	if s.leader.next[register.Identity(joiner)] == 0 {
-		s.leader.next[register.Identity(joiner)] = 1
+// feedJoiner makes the leader start to send all records to a joiner.
+func (s *simFleet) feedJoiner(joiner messages.Member) {
+	if s.leader.nextIndex[register.Identity(joiner)] == 0 {
+		s.leader.nextIndex[register.Identity(joiner)] = 1
 		s.leader.feed(joiner)
 	}
 }
 
-// replaceMember replaces a member by another store, as the leader's changeSet does.
-func (s *simFleet) replaceMember(out, joiner messages.Member) {
+// replaceMember replaces a member by another store, as leader.Term.changeSet does.
+func (s *simFleet) replaceMember(leaving, joiner messages.Member) {
 	leader := s.leader
 	var next []messages.Member
 	for _, member := range s.set {
-		if register.Identity(member) != register.Identity(out) {
+		if register.Identity(member) != register.Identity(leaving) {
 			next = append(next, member)
 		}
 	}
 	next = append(next, joiner)
-	s.swapBegin(joiner)
+	s.feedJoiner(joiner)
 	target := leader.replicator.Last()
 	for attempt := 0; attempt < 200 && leader.replicator.MatchIndex(register.Identity(joiner)) < target; attempt++ {
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(30)))
@@ -128,12 +130,14 @@
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(30)))
 	}
 	if !leader.replicator.InNextSet(index) {
-		s.test.Fatal("the set to come never had everything")
+		s.t.Fatal("the next set did not get all records within 6 s")
 	}
 	s.set = next
 	leader.replicator.Members, leader.replicator.Next = next, nil
 }
 
+// Positions that were acknowledged survive loss of power or disk, partitions of the leader and
+// retirement of members, as long as the losses are within the fault budget of one.
 func TestJobsUnderFaults(t *testing.T) {
 	acknowledged := 0
 	for seed := int64(1); seed <= int64(simulation.Seeds(60)); seed++ {
@@ -141,7 +145,7 @@
 		fleet.world.Loss, fleet.world.Double = 0.05, 0.05
 		fleet.electAny()
 		for round := 0; round < 6; round++ {
-			fleet.work(6)
+			fleet.submitJobs(6)
 			victim := fleet.set[fleet.world.Random.Intn(len(fleet.set))]
 			switch fleet.world.Random.Intn(4) {
 			case 0:
@@ -154,27 +158,27 @@
 			case 3:
 				fleet.retire(victim)
 			}
-			fleet.work(3)
+			fleet.submitJobs(3)
 		}
 		fleet.loseAll()
 		acknowledged += fleet.acknowledgements
 	}
 	if acknowledged < 1000 {
-		t.Fatalf("only %d results were acknowledged in all", acknowledged)
+		t.Fatalf("%d outputs were acknowledged in total, want at least 1000", acknowledged)
 	}
 }
 
 func TestSameSeedSameHistory(t *testing.T) {
-	sum := func() uint64 {
+	historySum := func() uint64 {
 		fleet := newSimFleet(t, 5, 3)
 		fleet.world.Loss = 0.1
 		fleet.electAny()
-		fleet.work(10)
+		fleet.submitJobs(10)
 		fleet.electAny()
-		fleet.work(10)
+		fleet.submitJobs(10)
 		return fleet.world.Sum()
 	}
-	if first, second := sum(), sum(); first != second {
-		t.Fatal("one seed gave two histories")
+	if first, second := historySum(), historySum(); first != second {
+		t.Fatal("two runs with the same seed differ")
 	}
 }
--- a/internal/batch/store/losses_test.go
+++ b/internal/batch/store/losses_test.go
@@ -12,63 +12,66 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// The steps of a change of the store set at which a loss may strike.
+// The steps of a change of the store set after which machines may be lost.
 const (
-	// stepCopying: the joiner has a part of the records.
+	// stepCopying: the joiner has some of the records.
 	stepCopying = iota
-	// stepCopied: the joiner has everything, and counts for nothing yet.
+	// stepCopied: the joiner has all records, and its copies do not count yet.
 	stepCopied
-	// stepBothSets: records need copies in both sets, and none has them yet.
+	// stepBothSets: records need copies in both sets, and none is in both yet.
 	stepBothSets
-	// stepDurable: the marker is durable in both sets; the register names the old one.
+	// stepDurable: the marker record is durable in both sets; the register names the old set.
 	stepDurable
-	// stepNamed: the register names the new set, and the leader doesn't know it yet.
+	// stepNamed: the register names the new set, and the leader does not know it yet.
 	stepNamed
-	// stepCommitted: whoever retired the machine was told that it is settled.
+	// stepCommitted: the leader counts the new set only, and the operator who retired the
+	// machine got the confirmation.
 	stepCommitted
 	stepCount
 )
 
-// lossKind is what befalls a lost machine.
+// lossKind is the way in which a machine is lost.
 type lossKind int
 
 const (
 	lossDown lossKind = iota
 	lossPower
 	lossDisk
-	// lossFull: the disk takes nothing any more; lossSync: it takes it and can't sync.
+	// lossFull: the disk is full and rejects writes.
 	lossFull
+	// lossSync: the disk accepts writes, and syncs fail.
 	lossSync
 	lossKinds
 )
 
-// setChange is a change of the store set that is played a step at a time.
+// setChange is a change of the store set that is advanced step by step.
 type setChange struct {
-	fleet   *simFleet
-	out, in messages.Member
-	next    []messages.Member
-	holder  *simLeader
-	copier  string
+	fleet           *simFleet
+	leaving, joiner messages.Member
+	next            []messages.Member
+	leader          *simLeader
+	source          string
 }
 
-// until runs the world until something holds; false where it does not within a while.
-func (s *simFleet) until(condition func() bool) bool {
+// runUntil runs the world until a condition is met, for up to 6 s. It reports whether it was met.
+func (s *simFleet) runUntil(condition func() bool) bool {
 	for attempt := 0; attempt < 3000 && !condition(); attempt++ {
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(2)))
 	}
 	return condition()
 }
 
-// play carries the change up to a step, as changeSet does; false where it got stuck.
-func (s *setChange) play(step int) bool {
-	fleet, leader, identity := s.fleet, s.holder, register.Identity(s.in)
-	fleet.swapBegin(s.in)
+// advance carries out the change up to a step, as leader.Term.changeSet does. It reports whether
+// the step was reached.
+func (s *setChange) advance(step int) bool {
+	fleet, leader, identity := s.fleet, s.leader, register.Identity(s.joiner)
+	fleet.feedJoiner(s.joiner)
 	target := leader.replicator.Last()
 	reached := func() bool { return leader.replicator.MatchIndex(identity) >= target }
 	if step == stepCopying {
-		return fleet.until(func() bool { return fleet.stores[s.in.Address].store.Extent().Last > 0 })
+		return fleet.runUntil(func() bool { return fleet.stores[s.joiner.Address].store.Extent().Last > 0 })
 	}
-	if !fleet.until(reached) {
+	if !fleet.runUntil(reached) {
 		return false
 	}
 	if step == stepCopied {
@@ -79,7 +82,7 @@
 	if step == stepBothSets {
 		return true
 	}
-	if !fleet.until(func() bool { return leader.replicator.InNextSet(index) }) {
+	if !fleet.runUntil(func() bool { return leader.replicator.InNextSet(index) }) {
 		return false
 	}
 	if step == stepDurable {
@@ -93,28 +96,29 @@
 	return true
 }
 
-// victims draws the machines whose loss is the worst now: of the copier, the newest
-// member, the one that leaves and the leader, as many as the budget allows. One that is
-// settled is gone besides, with its disk.
-func (s *setChange) victims(step int) []string {
+// chooseVictims draws the machines whose loss is the worst at this step: as many members as the
+// budget allows of the leader, the source of the copy, the joiner, the leaving member and the
+// first member of the new set. Machines outside the set are lost in addition: from stepCommitted
+// on always, before that half of the time.
+func (s *setChange) chooseVictims(step int) []string {
 	fleet := s.fleet
-	roles := []string{s.holder.at, s.copier, s.in.Address, s.out.Address, s.next[0].Address}
+	roles := []string{s.leader.address, s.source, s.joiner.Address, s.leaving.Address, s.next[0].Address}
 	inSet := func(name string) bool {
 		return slices.ContainsFunc(fleet.set, func(member messages.Member) bool { return member.Address == name })
 	}
 	var lost []string
 	for _, i := range fleet.world.Random.Perm(len(roles)) {
 		name := roles[i]
-		counts := inSet(name)
-		if slices.Contains(lost, name) || (counts && len(lost) >= fleet.budget) {
+		member := inSet(name)
+		if slices.Contains(lost, name) || (member && len(lost) >= fleet.budget) {
 			continue
 		}
-		if counts {
+		if member {
 			lost = append(lost, name)
 		}
 	}
-	// Who is no member may go in any number.
-	for _, name := range []string{s.in.Address, s.out.Address} {
+	// Machines outside the set may be lost in any number.
+	for _, name := range []string{s.joiner.Address, s.leaving.Address} {
 		if !inSet(name) && (step >= stepCommitted || fleet.world.Random.Intn(2) == 0) && !slices.Contains(lost, name) {
 			lost = append(lost, name)
 		}
@@ -122,8 +126,9 @@
 	return lost
 }
 
-// strike loses machines at once, each in one way; at times all others lose power too.
-func (s *simFleet) strike(lost []string, round int) (wiped []string) {
+// loseMachines makes machines fail at once, each in a random way. Sometimes all other machines
+// lose power too.
+func (s *simFleet) loseMachines(lost []string, round int) (wiped []string) {
 	if s.world.Random.Intn(3) == 0 {
 		for _, name := range simulation.Keys(s.stores) {
 			if !slices.Contains(lost, name) {
@@ -160,7 +165,8 @@
 	return wiped
 }
 
-// repair brings everything back, emptied members first copied to and then named again.
+// repair restarts the lost machines. Members with a wiped disk get all records first and are then
+// members again.
 func (s *simFleet) repair(lost []string) {
 	for _, name := range lost {
 		store := s.stores[name]
@@ -169,15 +175,15 @@
 	}
 	s.electAny()
 	for _, member := range slices.Clone(s.set) {
-		if now := s.stores[member.Address].member; register.Identity(now) != register.Identity(member) {
-			s.replaceMember(member, now)
+		if current := s.stores[member.Address].member; register.Identity(current) != register.Identity(member) {
+			s.replaceMember(member, current)
 		}
 	}
 }
 
-// worstLosses plays one seed: in each round a member is replaced, and the worst losses
-// strike at a step of it, right after or in the middle of an acknowledgement.
-func worstLosses(t *testing.T, seed int64, outcomes map[int]int) {
+// playWorstLosses plays one seed. In each round a member is replaced, and at one step of the
+// change the worst machines are lost, right after an acknowledgement or in the middle of one.
+func playWorstLosses(t *testing.T, seed int64, outcomes map[int]int) {
 	t.Helper()
 
 	budget := 1 + int(seed%2)
@@ -187,25 +193,25 @@
 	for round := 0; round < 6; round++ {
 		fleet.awaitAcknowledged()
 		leader := fleet.leader
-		candidates := slices.DeleteFunc(slices.Clone(fleet.set), func(member messages.Member) bool { return member.Address == leader.at })
-		out, in := candidates[fleet.world.Random.Intn(len(candidates))], fleet.fresh()
-		change := &setChange{fleet: fleet, out: out, in: in, holder: leader, copier: candidates[0].Address}
+		candidates := slices.DeleteFunc(slices.Clone(fleet.set), func(member messages.Member) bool { return member.Address == leader.address })
+		leaving, joiner := candidates[fleet.world.Random.Intn(len(candidates))], fleet.spareStore()
+		change := &setChange{fleet: fleet, leaving: leaving, joiner: joiner, leader: leader, source: candidates[0].Address}
 		for _, member := range fleet.set {
-			if register.Identity(member) != register.Identity(out) {
+			if register.Identity(member) != register.Identity(leaving) {
 				change.next = append(change.next, member)
 			}
 		}
-		change.next = append(change.next, in)
+		change.next = append(change.next, joiner)
 		step := fleet.world.Random.Intn(stepCount)
-		if !change.play(step) {
-			t.Fatalf("seed %d: the change got stuck before step %d", seed, step)
+		if !change.advance(step) {
+			t.Fatalf("seed %d: the set change did not reach step %d", seed, step)
 		}
-		// In half of all rounds the loss strikes right after a result was told.
+		// In half of all rounds the loss occurs right after an output was acknowledged.
 		if fleet.world.Random.Intn(2) == 0 {
 			fleet.awaitAcknowledged()
 		}
-		lost := change.victims(step)
-		fleet.strike(lost, round)
+		lost := change.chooseVictims(step)
+		fleet.loseMachines(lost, round)
 		outcomes[step]++
 		fleet.electAny()
 		fleet.awaitAcknowledged()
@@ -213,18 +219,18 @@
 	}
 }
 
-// Whatever the budget allows to be lost at whatever step of a change of the store set,
-// with or without disks, all that was told stands and another leader takes over.
-// LEMONARCH_SEEDS sets the number of seeds.
+// Machines are lost at any step of a change of the store set, with or without their disks, up to
+// the fault budget. Everything that was acknowledged must survive, and another leader must take
+// over. LEMONARCH_SEEDS sets the number of seeds.
 func TestSetChangesUnderWorstLosses(t *testing.T) {
 	seeds := int64(simulation.Seeds(200))
 	outcomes := map[int]int{}
 	for seed := int64(1); seed <= seeds; seed++ {
-		worstLosses(t, seed, outcomes)
+		playWorstLosses(t, seed, outcomes)
 	}
 	for step := 0; step < stepCount; step++ {
 		if int64(outcomes[step]) < seeds/4 {
-			t.Fatal("too few losses at a step: ", outcomes)
+			t.Fatal("too few losses at one of the steps: ", outcomes)
 		}
 	}
 	t.Log("losses by step: ", outcomes)
--- a/internal/batch/store/poweredparts_test.go
+++ b/internal/batch/store/poweredparts_test.go
@@ -11,11 +11,11 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// power is whether a process still runs: without it, it reaches neither disk nor network, and
-// what it had under way has no effect any more.
+// power is the power supply of a process. Once it is lost, the process reaches neither disk nor
+// network, and its pending operations have no effect.
 type power struct{ lost atomic.Bool }
 
-// poweredDisk is a machine's disk as one process on it sees it.
+// poweredDisk is a machine's disk as used by one process. It fails once the process has lost power.
 type poweredDisk struct {
 	*simulation.Disk
 	power *power
@@ -59,18 +59,18 @@
 	return f.File.Truncate(size)
 }
 
-// linkDelay is the time that a message takes on an empty link.
+// linkDelay is the latency of a message on an idle link.
 const linkDelay = clock.Duration(500_000)
 
-// link is a machine's way into the network: bytes go through it one after the other.
+// link is a machine's network link. It transmits messages one after the other.
 type link struct {
 	lock           sync.Mutex
 	freeAt         clock.Instant
 	bytesPerSecond float64
 }
 
-// carry waits until so many bytes are through.
-func (l *link) carry(bytes int) {
+// transmit waits until a message of a number of bytes has been transmitted.
+func (l *link) transmit(bytes int) {
 	l.lock.Lock()
 	now := clock.Now()
 	l.freeAt = max(l.freeAt, now).Add(clock.Milliseconds(float64(bytes) / l.bytesPerSecond * 1000))
@@ -79,13 +79,14 @@
 	clock.Sleep(left + linkDelay)
 }
 
-// poweredTransport is the transport of one process of a recoveryFleet: bytes take time on its
-// machine's link, machines without power are silent, and so is a process after it.
+// poweredTransport is the transport of one process of a recoveryFleet. Bytes take time on its
+// machine's link. Machines without power do not respond, nor does a process whose machine has
+// lost power since its start.
 type poweredTransport struct {
 	*transport.Memory
-	fleet *recoveryFleet
-	power *power
-	own   string
+	fleet   *recoveryFleet
+	power   *power
+	address string
 }
 
 func (t poweredTransport) Serve(handler transport.Handler) error {
@@ -94,16 +95,16 @@
 		if t.power.lost.Load() {
 			return nil, simulation.ErrDown
 		}
-		t.fleet.links[t.own].carry(len(resp))
+		t.fleet.links[t.address].transmit(len(resp))
 		return resp, err
 	})
 }
 
 func (t poweredTransport) Call(address string, kind messages.Kind, body []byte, timeout clock.Duration) ([]byte, error) {
 	sentAt := clock.Now()
-	t.fleet.links[t.own].carry(len(body))
+	t.fleet.links[t.address].transmit(len(body))
 	left := timeout - clock.Now().Sub(sentAt)
-	if left <= 0 || t.power.lost.Load() || t.fleet.isDark(address) {
+	if left <= 0 || t.power.lost.Load() || t.fleet.isPoweredOff(address) {
 		clock.Sleep(max(left, 0))
 		return nil, transport.ErrTimeout.New(address)
 	}
--- a/internal/batch/store/simulation_faults_test.go
+++ b/internal/batch/store/simulation_faults_test.go
@@ -7,57 +7,57 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// losePower takes a store's power for a while: what was synced stays.
+// losePower cuts a store's power for a while. Synced data survives.
 func (s *simFleet) losePower(store *simStore) {
 	store.down = true
 	store.disk.PowerLoss()
 	s.electAny()
-	s.work(3)
+	s.submitJobs(3)
 	s.open(store)
 }
 
-// loseDisk takes a member's disk: the machine comes back as somebody else, and gets its place
-// again once it has everything.
+// loseDisk wipes a member's disk. The machine comes back with another disk identity and becomes a
+// member again once it has all records.
 func (s *simFleet) loseDisk(victim messages.Member, disk string) {
 	store := s.stores[victim.Address]
 	store.down = true
 	store.disk.Wipe()
 	s.electAny()
-	s.work(3)
+	s.submitJobs(3)
 	store.member.Disk = disk
 	s.open(store)
 	s.replaceMember(victim, store.member)
 }
 
-// partitionLeader cuts the leader off, which does not know that another took over.
+// partitionLeader partitions the leader, which does not learn that another store took over.
 func (s *simFleet) partitionLeader() {
 	if s.leader == nil {
 		return
 	}
-	partitioned, old := s.leader.at, s.leader
+	partitioned, old := s.leader.address, s.leader
 	var names []string
 	for name := range s.stores {
 		names = append(names, name)
 	}
 	s.world.Isolate(partitioned, names, true)
 	s.stores[partitioned].down = false
-	others := s.live()
+	others := s.liveMembers()
 	if i := slices.Index(others, partitioned); i >= 0 {
 		others = append(others[:i], others[i+1:]...)
 	}
 	for attempt := 0; attempt < 12 && (s.leader == old || !s.leader.ready); attempt++ {
-		s.take(others[s.world.Random.Intn(len(others))])
+		s.startTakeover(others[s.world.Random.Intn(len(others))])
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(400)))
 	}
-	s.check(s.leader)
+	s.checkJobs(s.leader)
 	old.submit(messages.Record{Kind: messages.RecordOutput, Job: "lot1", Position: 9, Item: "stale"})
-	s.work(3)
+	s.submitJobs(3)
 	s.world.Isolate(partitioned, names, false)
 }
 
-// retire replaces a member by the spare; the leader itself is never retired.
+// retire replaces a member by the spare store. The leader is never retired.
 func (s *simFleet) retire(victim messages.Member) {
-	if victim.Address == s.leader.at {
+	if victim.Address == s.leader.address {
 		return
 	}
 	for _, name := range []string{"s0", "s1", "s2", "s3"} {
@@ -69,7 +69,7 @@
 	}
 }
 
-// loseAll takes everybody's power, and one member's disk.
+// loseAll cuts the power of all stores and wipes one member's disk.
 func (s *simFleet) loseAll() {
 	s.world.Run(s.world.Now.Add(clock.Milliseconds(500)))
 	wiped := s.set[s.world.Random.Intn(3)].Address
--- a/internal/batch/store/simulation_test.go
+++ b/internal/batch/store/simulation_test.go
@@ -14,60 +14,62 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// simStore is a store on a fake disk; simLeader is the leader of one epoch, made
-// of the same cores as the real one, driven by events instead of threads.
+// simStore is a store on a fake disk.
 type simStore struct {
 	member messages.Member
 	disk   *simulation.Disk
 	store  *replicalog.Log
 	down   bool
-	// faulty says that its disk may refuse what it is asked for.
+	// faulty is set while its disk may fail operations.
 	faulty bool
 }
 
+// simLeader is the leader of one epoch. It uses the same replication and job tables as the real
+// leader, driven by events instead of goroutines.
 type simLeader struct {
 	fleet      *simFleet
-	at         string
+	address    string
 	epoch      uint64
 	replicator *replication.Replicator
 	jobs       *dispatch.JobTable
 	records    []messages.Record
 	applied    int64
-	next       map[string]int64
+	nextIndex  map[string]int64
 	ready      bool
-	first      int64
+	firstIndex int64
 	forgets    map[string]bool
-	// fenced says that a member has told of a later epoch.
+	// fenced is set once a member has responded with a later epoch.
 	fenced bool
 }
 
+// simFleet is a set of simulated stores with at most one leader that clients use.
 type simFleet struct {
-	test   *testing.T
+	t      *testing.T
 	world  *simulation.World
 	stores map[string]*simStore
-	// The register, whose own agreement is tested elsewhere.
-	epoch     uint64
-	set       []messages.Member
-	leader    *simLeader
-	announced map[string]string
-	toldAt    map[string]uint64
-	// acknowledgements counts what was ever told; forgotten jobs are no longer in told, and those
-	// whose word of it is durable are in gone.
+	// epoch and set are the content of the register, whose agreement is tested elsewhere.
+	epoch             uint64
+	set               []messages.Member
+	leader            *simLeader
+	acknowledgedItems map[string]string
+	toldAt            map[string]uint64
+	// acknowledgements counts all acknowledged outputs. Jobs that a leader has begun to forget are
+	// no longer in acknowledgedItems; those whose forget record is durable are in forgotten.
 	acknowledgements int
-	gone             map[string]bool
-	number           int
-	// sent counts what each store was sent.
+	forgotten        map[string]bool
+	jobNumber        int
+	// sent is the traffic to each store.
 	sent map[string]traffic
-	// dropped are the jobs that some leader has begun to forget.
-	dropped map[string]bool
-	// isolated are the machines that are cut off now.
+	// forgetRequested contains the jobs that some leader has begun to forget.
+	forgetRequested map[string]bool
+	// isolated contains the machines that are partitioned now.
 	isolated map[string]bool
-	// budget is how many stores may be lost at once.
-	budget int
-	lag    map[string]clock.Duration
+	// budget is the number of stores that may be lost at once.
+	budget      int
+	appendDelay map[string]clock.Duration
 }
 
-// newSimFleet makes stores of which the first three are the set, for a budget of one.
+// newSimFleet creates stores for a fault budget of one. The first three are the store set.
 func newSimFleet(t *testing.T, seed int64, count int) *simFleet {
 	t.Helper()
 
@@ -77,7 +79,7 @@
 func newSimFleetOf(t *testing.T, seed int64, count, budget, size int) *simFleet {
 	t.Helper()
 
-	fleet := &simFleet{budget: budget, test: t, world: simulation.NewWorld(seed), stores: map[string]*simStore{}, announced: map[string]string{}, toldAt: map[string]uint64{}, gone: map[string]bool{}, isolated: map[string]bool{}, dropped: map[string]bool{}, sent: map[string]traffic{}}
+	fleet := &simFleet{budget: budget, t: t, world: simulation.NewWorld(seed), stores: map[string]*simStore{}, acknowledgedItems: map[string]string{}, toldAt: map[string]uint64{}, forgotten: map[string]bool{}, isolated: map[string]bool{}, forgetRequested: map[string]bool{}, sent: map[string]traffic{}}
 	for i := 0; i < count; i++ {
 		name := fmt.Sprintf("s%d", i)
 		store := &simStore{disk: simulation.NewDisk(seed*31 + int64(i))}
@@ -88,25 +90,25 @@
 			fleet.set = append(fleet.set, store.member)
 		}
 	}
-	fleet.tidy(rand.New(rand.NewSource(seed)))
+	fleet.compactPeriodically(rand.New(rand.NewSource(seed)))
 	return fleet
 }
 
 func (s *simFleet) open(ss *simStore) {
 	store, err := replicalog.Open(ss.disk, ss.member.Disk)
 	if err != nil {
-		s.test.Fatal(err)
+		s.t.Fatal(err)
 	}
-	// Files are rewritten as soon as half of them says nothing any more.
+	// Files are rewritten as soon as half of their records are obsolete.
 	store.SetCompaction(replicalog.Compaction{Bytes: 1 << 40, Records: 6, Lag: clock.Milliseconds(150)})
 	ss.store, ss.down = store, false
 	ss.member.Disk = store.Disk()
 }
 
-// take makes a process the leader of a new epoch; the one before may not notice.
-func (s *simFleet) take(name string) {
+// startTakeover makes a process campaign for a new epoch. The previous leader may not notice.
+func (s *simFleet) startTakeover(name string) {
 	s.epoch++
-	leader := &simLeader{fleet: s, at: name, epoch: s.epoch, next: map[string]int64{}, forgets: map[string]bool{}}
+	leader := &simLeader{fleet: s, address: name, epoch: s.epoch, nextIndex: map[string]int64{}, forgets: map[string]bool{}}
 	set := append([]messages.Member(nil), s.set...)
 	copies := map[string]messages.FenceResponse{}
 	started := false
@@ -125,7 +127,7 @@
 				own := copies[register.Identity(s.stores[name].member)].Granted
 				if !started && own && replication.EnoughFenced(len(set), len(copies), s.budget) {
 					started = true
-					leader.begin(set, copies)
+					leader.takeOver(set, copies)
 				}
 			})
 		})
