--- a/internal/platform/inbound/body.go
+++ b/internal/platform/inbound/body.go
@@ -10,34 +10,35 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// Body says how a body is read.
+// Body configures how a request body is read.
 type Body struct {
-	// Limit is the most bytes that it may have.
+	// Limit is the maximum length of the body in bytes.
 	Limit int64
-	// Copies is how often the handler holds it at most, this one included.
+	// Copies is the maximum number of copies of the body that the handler keeps in memory at a
+	// time, including the one that Read returns.
 	Copies int64
-	// Timeout is how long it may take from now on.
+	// Timeout bounds reading the whole body, counted from the call of Read.
 	Timeout clock.Duration
 }
 
-// Read reads the whole body of a request. What it holds counts until the request's handler
-// returns. The errors are ErrTooLarge, ErrNoRoom, ErrTooSlow and ErrBroken; after any of them
-// nothing of the request has run.
+// Read reads the whole body of a request. The memory of the body is charged to the request until
+// the request's handler returns. Read returns ErrTooLarge, ErrNoRoom, ErrTooSlow or ErrBroken; after
+// any of them no part of the request has been executed.
 func (b Body) Read(writer http.ResponseWriter, request *http.Request) ([]byte, error) {
 	if request.ContentLength > b.Limit {
-		return nil, ErrTooLarge.New("as announced")
+		return nil, ErrTooLarge.New("content length exceeds the limit")
 	}
 	if request.ContentLength == 0 {
 		return nil, nil
 	}
-	connection := ofRequest(request)
+	connection := connOfRequest(request)
 	if connection == nil {
 		return b.read(writer, request, nil)
 	}
 	connection.beginBody(b.Timeout)
 	body, err := b.read(writer, request, connection)
 	if !connection.endBody(err == nil) {
-		return nil, ErrNoRoom.New("connection had to give way")
+		return nil, ErrNoRoom.New("connection was evicted to free memory")
 	}
 	return body, err
 }
@@ -46,7 +47,8 @@
 	source := http.MaxBytesReader(writer, request.Body, b.Limit)
 	expected, first := b.Limit, int64(constants.BodyFirstBytes)
 	if request.ContentLength > 0 {
-		// One byte more than is announced, to see the end.
+		// One byte more than the content length, so that the read that reaches the end of the body
+		// needs no larger buffer.
 		expected = request.ContentLength
 		first = min(expected+1, constants.BodyAnnouncedBytes)
 	}
@@ -57,11 +59,11 @@
 			body = append(make([]byte, 0, min(2*int64(cap(body)), expected+1)), body...)
 		}
 		if connection != nil && int64(cap(body)) > counted {
-			grown := int64(cap(body))
-			if !connection.hold((grown-counted)*b.Copies, max(grown, request.ContentLength)*b.Copies) {
-				return nil, ErrNoRoom.New("body")
+			capacity := int64(cap(body))
+			if !connection.charge((capacity-counted)*b.Copies, max(capacity, request.ContentLength)*b.Copies) {
+				return nil, ErrNoRoom.New("reserve memory for the body")
 			}
-			counted = grown
+			counted = capacity
 		}
 		count, err := source.Read(body[len(body):cap(body)])
 		body = body[:len(body)+count]
@@ -74,28 +76,28 @@
 	}
 }
 
-// readError names why a body could not be read.
+// readError maps an error of reading a body to one of the errors of this package.
 func readError(err error) error {
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return ErrTooLarge.New("as sent")
+		return ErrTooLarge.New("received body exceeds the limit")
 	case errors.Is(err, ErrNoRoom):
-		return ErrNoRoom.Wrap(err, "body")
+		return ErrNoRoom.Wrap(err, "read body")
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return ErrTooSlow.Wrap(err, "body")
+		return ErrTooSlow.Wrap(err, "read body")
 	}
-	return ErrBroken.Wrap(err, "body")
+	return ErrBroken.Wrap(err, "read body")
 }
 
-// hold counts bytes that the request is about to hold, of all that it wants; false where there is
-// no room for them.
-func (c *Conn) hold(count, wanted int64) bool {
+// charge charges count bytes that the request is about to allocate; total is the memory that the
+// whole request needs. It returns false if the memory limit does not allow the bytes.
+func (c *Conn) charge(count, total int64) bool {
 	needed := c.meter(count)
 	if needed == 0 {
 		return true
 	}
-	if c.listener.memory.reserve(c, needed, wanted) {
+	if c.listener.memory.reserve(c, needed, total) {
 		return true
 	}
 	c.listener.refused.Add(1)
--- a/internal/platform/inbound/conn.go
+++ b/internal/platform/inbound/conn.go
@@ -10,66 +10,69 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// phase is how far the present request of a connection has come.
+// phase is the progress of the current request of a connection.
 type phase int
 
-// The phases, in the order in which a request goes through them.
+// The phases, in the order in which a request passes through them.
 const (
-	// phaseIdle: no byte of a request has come.
+	// phaseIdle: no byte of a request has been received.
 	phaseIdle phase = iota
-	// phaseHead and phaseBody: a part of the request has come.
+	// phaseHead and phaseBody: a part of the head or the body has been received.
 	phaseHead
 	phaseBody
-	// phaseServing: the request is whole, or its handler wants no more of it.
+	// phaseServing: the request has been received completely, or its handler reads no more of it.
 	phaseServing
-	// phaseDraining: the request is answered, and what is left of its body is thrown away.
+	// phaseDraining: the request has a response, and the rest of its body is discarded.
 	phaseDraining
 )
 
-// What a client gets whose head could not be read: for want of room, or since it is too long.
-// Nothing of the request has run, and nothing will.
+// The responses to a request whose head could not be read: because the memory limit was reached, or
+// because the head is too long. No part of the request has been executed, nor will be.
 var (
-	noRoomAnswer   = fmt.Sprintf("HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: %.3f\r\nContent-Length: 0\r\n\r\n", constants.ClientRetryAfter.Seconds())
-	tooLargeAnswer = "HTTP/1.1 431 Request Header Fields Too Large\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+	unavailableResponse  = fmt.Sprintf("HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: %.3f\r\nContent-Length: 0\r\n\r\n", constants.ClientRetryAfter.Seconds())
+	headTooLargeResponse = "HTTP/1.1 431 Request Header Fields Too Large\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 )
 
-// Conn is one connection of a client. It knows how far its request has come and how fast it comes.
+// Conn is one connection of a client. It tracks the phase of the current request and the rate at
+// which its bytes arrive.
 type Conn struct {
 	net.Conn
 	listener *Listener
 
 	lock  sync.Mutex
 	phase phase
-	// since is when the present phase of waiting for the client began: the first byte of the
-	// request, or the end of the one before.
-	since clock.Instant
-	// head is what came of the head, early what came of the next request before the present one was
-	// answered.
+	// waitingSince is when the current wait for the client began: at the first byte of the request,
+	// or, on an idle connection, at the end of the previous request.
+	waitingSince clock.Instant
+	// head tracks the head received so far. early keeps the bytes of the next request that were
+	// received before the response to the current one.
 	head  headScan
 	early []byte
-	// unmetered is what the present request may still hold without being counted.
+	// unmetered is how many bytes the current request may still allocate without being charged.
 	unmetered int64
 	rate      rate
-	// evicted is set once the connection had to give way to others.
+	// evicted is set once the connection was chosen to free resources for others.
 	evicted bool
-	// deadline is the server's, bodyDeadline ours; the earlier one counts. Zero for none.
+	// deadline is set by the HTTP server, bodyDeadline by this package; the earlier one applies.
+	// Zero means no deadline.
 	deadline, bodyDeadline clock.Time
-	// writingSince is the clock.Instant at which the write under way began, 0 where there is none.
+	// writingSince is the clock.Instant at which the write in progress began, 0 if there is none.
 	writingSince atomic.Int64
 
-	// charged is how many bytes the request holds by the memory's count, leaving how many of them it
-	// was made to give back and has not yet; Memory.lock guards both.
-	charged, leaving int64
+	// charged is how many bytes the Memory has charged to the request. releasing is how many of
+	// them an evicted request will release but has not released yet. Memory.lock guards both.
+	charged, releasing int64
 }
 
 func newConn(raw net.Conn, listener *Listener) *Conn {
-	return &Conn{Conn: raw, listener: listener, since: clock.Now(), unmetered: constants.ClientUnmeteredBytes}
+	return &Conn{Conn: raw, listener: listener, waitingSince: clock.Now(), unmetered: constants.ClientUnmeteredBytes}
 }
 
-// Read reads, counts what comes, and refuses a head that there is no room for.
+// Read reads from the connection, counts the bytes received, and rejects a head that is too long or
+// that the memory limit does not allow.
 func (c *Conn) Read(into []byte) (int, error) {
 	if c.wasEvicted() {
-		return 0, ErrNoRoom.New("connection had to give way")
+		return 0, ErrNoRoom.New("connection was evicted to free memory")
 	}
 	count, err := c.Conn.Read(into)
 	if count == 0 {
@@ -77,66 +80,67 @@
 	}
 	needed, tooLarge := c.received(into[:count])
 	if tooLarge {
-		c.endWith(tooLargeAnswer)
-		return 0, ErrTooLarge.New("head")
+		c.respondAndClose(headTooLargeResponse)
+		return 0, ErrTooLarge.New("head exceeds the limit")
 	}
 	if needed > 0 && !c.listener.memory.reserve(c, needed, needed) {
 		c.listener.refused.Add(1)
-		c.endWith(noRoomAnswer)
-		return 0, ErrNoRoom.New("head")
+		c.respondAndClose(unavailableResponse)
+		return 0, ErrNoRoom.New("reserve memory for the head")
 	}
 	return count, err
 }
 
-// received notes bytes that came, and tells how many bytes more the head of the request holds, or
-// that it is longer than it may be.
-func (c *Conn) received(text []byte) (needed int64, tooLarge bool) {
+// received records bytes that were read. It returns how many additional bytes must be charged for the
+// head of the request, and whether the head is longer than allowed.
+func (c *Conn) received(data []byte) (needed int64, tooLarge bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	now := clock.Now()
-	c.rate.add(len(text), now)
+	c.rate.add(len(data), now)
 	switch c.phase {
 	case phaseIdle:
-		c.phase, c.since = phaseHead, now
+		c.phase, c.waitingSince = phaseHead, now
 	case phaseServing:
-		c.early = append(c.early, text...)
+		c.early = append(c.early, data...)
 		return 0, false
 	case phaseBody, phaseDraining:
 		return 0, false
 	}
 	before := c.headCost()
-	c.head.feed(text)
-	return c.meterLocked(c.headCost() - before), c.listener.outgrowsHead(c.head.bytes)
+	c.head.feed(data)
+	return c.meterLocked(c.headCost() - before), c.listener.headTooLarge(c.head.bytes)
 }
 
-// headCost is what the head holds once it is parsed: its text twice, and an entry for each line.
+// headCost is the memory of the parsed head in bytes: its text twice, and an entry for each line.
 func (c *Conn) headCost() int64 {
 	return 2*c.head.bytes + constants.HeaderLineBytes*c.head.lines
 }
 
-// meterLocked takes bytes out of what the request may hold uncounted, and gives the rest. The
-// lock is held.
+// meterLocked deducts count bytes from the request's unmetered allowance and returns the remainder,
+// which must be charged. The caller holds the lock.
 func (c *Conn) meterLocked(count int64) int64 {
 	free := min(count, c.unmetered)
 	c.unmetered -= free
 	return count - free
 }
 
-// meter does the same.
+// meter is meterLocked for callers that do not hold the lock.
 func (c *Conn) meter(count int64) int64 {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	return c.meterLocked(count)
 }
 
-// Write passes an answer on and notes how long the client takes to read it.
-func (c *Conn) Write(text []byte) (int, error) {
+// Write writes a part of a response and records when the write began, so that a client that does not
+// read its response can be detected.
+func (c *Conn) Write(data []byte) (int, error) {
 	c.writingSince.Store(int64(clock.Now()))
 	defer c.writingSince.Store(0)
-	return c.Conn.Write(text)
+	return c.Conn.Write(data)
 }
 
-// SetReadDeadline sets the server's deadline; an earlier one of ours for the body stays.
+// SetReadDeadline sets the HTTP server's deadline; an earlier body deadline remains in effect.
 func (c *Conn) SetReadDeadline(at clock.Time) error {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -163,43 +167,45 @@
 	return c.SetWriteDeadline(at)
 }
 
-// Close ends the connection and gives back what its request held: the server calls it once it has
-// let go of the request.
+// Close closes the connection and releases the memory charged to its request. The server calls it
+// once it no longer references the request.
 func (c *Conn) Close() error {
 	c.listener.memory.release(c)
-	return c.cut()
+	return c.abort()
 }
 
-// cut ends the connection while the server may still hold a part of the request, which counts on.
-func (c *Conn) cut() error {
+// abort closes the connection without releasing the memory charged to its request, because the
+// server may still reference a part of the request.
+func (c *Conn) abort() error {
 	c.listener.forget(c)
 	return c.Conn.Close()
 }
 
-// answer writes an answer of its own, behind which the connection ends.
-func (c *Conn) answer(text string) error {
+// writeResponse writes a raw response, after which the caller closes the connection.
+func (c *Conn) writeResponse(text string) error {
 	_ = c.SetWriteDeadline(clock.Deadline(constants.ClientRefusalTimeout))
 	_, err := c.Conn.Write([]byte(text))
 	return err
 }
 
-// endWith answers and ends the connection once the client has come to its end.
-func (c *Conn) endWith(text string) {
-	if c.answer(text) == nil {
+// respondAndClose writes a raw response and closes the connection after the client has ended its
+// side, or after the limits of CloseWrite.
+func (c *Conn) respondAndClose(text string) {
+	if c.writeResponse(text) == nil {
 		_ = CloseWrite(c)
 	}
-	_ = c.cut()
+	_ = c.abort()
 }
 
-// turnAway refuses a connection that there is no room for, without waiting for its client.
-func (c *Conn) turnAway() {
+// reject responds 503 and closes the connection at once, without waiting for the client.
+func (c *Conn) reject() {
 	c.listener.refused.Add(1)
-	_ = c.answer(noRoomAnswer)
-	_ = c.cut()
+	_ = c.writeResponse(unavailableResponse)
+	_ = c.abort()
 }
 
-// answerSince is when the write under way began, 0 where there is none.
-func (c *Conn) answerSince() clock.Instant { return clock.Instant(c.writingSince.Load()) }
+// writeStart is when the write in progress began, 0 if there is none.
+func (c *Conn) writeStart() clock.Instant { return clock.Instant(c.writingSince.Load()) }
 
 func (c *Conn) wasEvicted() bool {
 	c.lock.Lock()
@@ -207,12 +213,13 @@
 	return c.evicted
 }
 
-// evict makes the connection give way. One whose handler reads its body is woken up and answers
-// itself; any other one is closed. False where it is no longer what it was chosen for: a request that
-// has come whole meanwhile is served.
+// evict ends the connection's request to free its resources. If a handler is reading the body, its
+// read is interrupted and the handler sends the response; any other connection is closed here. It
+// returns false if the connection's state has changed since it was chosen: a request that was
+// received completely in the meantime is served.
 func (c *Conn) evict(chosen *candidate) bool {
 	c.lock.Lock()
-	if c.evicted || c.phase != chosen.phase || c.answerSince() != chosen.writingSince {
+	if c.evicted || c.phase != chosen.phase || c.writeStart() != chosen.writingSince {
 		c.lock.Unlock()
 		return false
 	}
@@ -223,9 +230,9 @@
 	switch chosen.phase {
 	case phaseBody:
 	case phaseHead:
-		c.turnAway()
+		c.reject()
 	case phaseIdle, phaseServing, phaseDraining:
-		_ = c.cut()
+		_ = c.abort()
 	}
 	return true
 }
--- a/internal/platform/inbound/headscan.go
+++ b/internal/platform/inbound/headscan.go
@@ -5,38 +5,39 @@
 	"net/http"
 )
 
-// linePrefixBytes is how much of each line of a head is looked at: enough for the names below.
+// linePrefixBytes is how many bytes of each line of a head are examined: enough for the names below.
 const linePrefixBytes = 20
 
-// The headers that say where a body ends.
+// The names of the headers that define where a body ends.
 var (
-	lengthHeader = []byte("content-length:")
-	codingHeader = []byte("transfer-encoding:")
+	contentLengthPrefix    = []byte("content-length:")
+	transferEncodingPrefix = []byte("transfer-encoding:")
 )
 
-// headScan follows the head of a request as its bytes come. The server drops Content-Length where
-// Transfer-Encoding stands too, so only the bytes tell that both came (RFC 9112, 6.1).
+// headScan parses the head of a request incrementally, as its bytes arrive. The server drops
+// Content-Length if Transfer-Encoding is present too, so only the raw bytes show that a request has
+// both (RFC 9112, 6.1).
 type headScan struct {
-	// bytes and lines are those of the head so far; whole is set once it has ended.
+	// bytes and lines count the head so far; complete is set once the head has ended.
 	bytes, lines int64
-	whole        bool
-	// prefix is the beginning of the present line, lineBytes its length so far.
+	complete     bool
+	// prefix is the beginning of the current line, lineBytes the line's length so far.
 	prefix    [linePrefixBytes]byte
 	lineBytes int
-	// first is the beginning of the request line, firstBytes its length.
-	first      [linePrefixBytes]byte
-	firstBytes int
-	// hasLength and hasCoding tell which of the headers came.
-	hasLength, hasCoding bool
+	// requestLine is the beginning of the request line, requestLineBytes the length of that beginning.
+	requestLine      [linePrefixBytes]byte
+	requestLineBytes int
+	// hasContentLength and hasTransferEncoding report which of the headers are present.
+	hasContentLength, hasTransferEncoding bool
 }
 
-// feed takes the next bytes; those behind the head count for nothing.
-func (h *headScan) feed(text []byte) {
-	for len(text) > 0 && !h.whole {
-		end := bytes.IndexByte(text, '\n')
-		part := text
+// feed processes the next bytes and ignores those after the end of the head.
+func (h *headScan) feed(data []byte) {
+	for len(data) > 0 && !h.complete {
+		end := bytes.IndexByte(data, '\n')
+		part := data
 		if end >= 0 {
-			part = text[:end]
+			part = data[:end]
 		}
 		if h.lineBytes < linePrefixBytes {
 			copy(h.prefix[h.lineBytes:], part)
@@ -48,40 +49,40 @@
 		}
 		h.bytes++
 		h.endLine()
-		text = text[end+1:]
+		data = data[end+1:]
 	}
 }
 
-// endLine looks at a line that is whole.
+// endLine processes a complete line.
 func (h *headScan) endLine() {
 	line := h.prefix[:min(h.lineBytes, linePrefixBytes)]
 	empty := h.lineBytes == 0 || (h.lineBytes == 1 && line[0] == '\r')
 	h.lineBytes = 0
 	if empty {
-		// Empty lines before the request line are passed over.
-		h.whole = h.lines > 0
+		// Empty lines before the request line are skipped.
+		h.complete = h.lines > 0
 		return
 	}
 	h.lines++
 	if h.lines == 1 {
-		h.first, h.firstBytes = h.prefix, len(line)
+		h.requestLine, h.requestLineBytes = h.prefix, len(line)
 		return
 	}
-	h.hasLength = h.hasLength || hasName(line, lengthHeader)
-	h.hasCoding = h.hasCoding || hasName(line, codingHeader)
+	h.hasContentLength = h.hasContentLength || hasName(line, contentLengthPrefix)
+	h.hasTransferEncoding = h.hasTransferEncoding || hasName(line, transferEncodingPrefix)
 }
 
 func hasName(line, name []byte) bool {
 	return len(line) >= len(name) && bytes.EqualFold(line[:len(name)], name)
 }
 
-// covers tells whether the whole head of a request was seen, and not that of another one: a client
-// may send the next request before the present one is answered.
+// covers reports whether the complete head of this request was scanned, rather than that of another
+// request: a client may send the next request before the response to the current one.
 func (h *headScan) covers(request *http.Request) bool {
 	line := request.Method + " " + request.RequestURI
-	length := min(len(line), h.firstBytes)
-	return h.whole && length > 0 && line[:length] == string(h.first[:length])
+	length := min(len(line), h.requestLineBytes)
+	return h.complete && length > 0 && line[:length] == string(h.requestLine[:length])
 }
 
-// ambiguous tells whether the head says in two ways where the body ends.
-func (h *headScan) ambiguous() bool { return h.hasLength && h.hasCoding }
+// ambiguous reports whether the head defines the end of the body in two ways.
+func (h *headScan) ambiguous() bool { return h.hasContentLength && h.hasTransferEncoding }
--- a/internal/platform/inbound/headscan_test.go
+++ b/internal/platform/inbound/headscan_test.go
@@ -12,7 +12,7 @@
 
 // However the bytes of a head are cut into reads, the same is seen.
 func TestHeadsAreSeenAtEveryCut(t *testing.T) {
-	for _, found := range []struct {
+	for _, test := range []struct {
 		head, body string
 		lines      int64
 		ambiguous  bool
@@ -25,12 +25,12 @@
 		{"POST /a HTTP/1.1\r\nContent-Length: 30\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n", 2, false},
 		{"POST /a HTTP/1.1\r\nX: Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", "", 3, false},
 	} {
-		text := found.head + found.body
+		text := test.head + test.body
 		for cut := range text {
 			scan := headScan{}
 			scan.feed([]byte(text[:cut]))
 			scan.feed([]byte(text[cut:]))
-			if !scan.whole || scan.bytes != int64(len(found.head)) || scan.lines != found.lines || scan.ambiguous() != found.ambiguous {
+			if !scan.complete || scan.bytes != int64(len(test.head)) || scan.lines != test.lines || scan.ambiguous() != test.ambiguous {
 				t.Fatalf("%q cut at %d: %+v", text, cut, scan)
 			}
 		}
@@ -96,20 +96,20 @@
 func TestHeadLimitIsFollowed(t *testing.T) {
 	listener, _ := serve(t, 0, 1<<20)
 	c := dial(t, listener)
-	ask := func(length int) int {
+	statusFor := func(length int) int {
 		c.send("GET / HTTP/1.1\r\nHost: h\r\nX-Long: %s\r\n\r\n", strings.Repeat("x", length))
 		return c.status()
 	}
 	listener.SetHeadLimit(8 << 10)
-	if status := ask(8 << 10); status != http.StatusOK {
+	if status := statusFor(8 << 10); status != http.StatusOK {
 		t.Error("a head inside the limit: ", status)
 	}
 	listener.SetHeadLimit(32 << 10)
-	if status := ask(30 << 10); status != http.StatusOK {
+	if status := statusFor(30 << 10); status != http.StatusOK {
 		t.Error("a head inside the raised limit: ", status)
 	}
 	listener.SetHeadLimit(8 << 10)
-	if status := ask(30 << 10); status != http.StatusRequestHeaderFieldsTooLarge {
+	if status := statusFor(30 << 10); status != http.StatusRequestHeaderFieldsTooLarge {
 		t.Error("a head over the lowered limit: ", status)
 	}
 }
--- a/internal/platform/inbound/helpers_test.go
+++ b/internal/platform/inbound/helpers_test.go
@@ -85,11 +85,11 @@
 }
 
 // await waits until a condition holds.
-func await(t *testing.T, what string, holds func() bool) {
+func await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 
 	for range 2000 {
-		if holds() {
+		if condition() {
 			return
 		}
 		<-clock.After(clock.Milliseconds(5))
--- a/internal/platform/inbound/limits.go
+++ b/internal/platform/inbound/limits.go
@@ -1,8 +1,8 @@
-// Package inbound bounds what the clients of a process can make it hold: how many connections, and
-// how many bytes of heads and bodies whose requests are not answered yet. Clients are not trusted to
-// end what they begin. Nothing is refused while there is room; where there is none, idle
-// connections and the slowest senders give way first, and whoever finds no room even so gets
-// 503: its request has not run and never will.
+// Package inbound bounds the resources that the clients of a process can consume: the number of
+// connections, and the bytes of heads and bodies of requests that have no response yet. Clients are
+// not trusted to finish what they begin. Nothing is rejected below the limits. At a limit, idle
+// connections and the slowest senders are evicted first; a request or connection that still does not
+// fit receives 503, and that request has not been executed and never will be.
 package inbound
 
 import (
@@ -13,26 +13,27 @@
 
 // The errors of reading a request.
 var (
-	// ErrTooLarge: the body is longer than is allowed.
+	// ErrTooLarge means that the head or the body is longer than allowed.
 	ErrTooLarge = errs.Define("body too large")
-	// ErrNoRoom: the process has no memory for the body, now.
+	// ErrNoRoom means that the process currently has no memory for the request.
 	ErrNoRoom = errs.Define("no room for the body")
-	// ErrTooSlow: the body was not whole in time.
+	// ErrTooSlow means that the body was not received completely before its deadline.
 	ErrTooSlow = errs.Define("body not whole in time")
-	// ErrBroken: the body ended early, or is not framed as HTTP wants it.
+	// ErrBroken means that the body ended early or has invalid HTTP framing.
 	ErrBroken = errs.Define("body can't be read")
 )
 
-// Limits are what one process grants its clients.
+// Limits bounds the resources that the clients of one process may use.
 type Limits struct {
-	// Connections is how many connections a main listener may have; 0 for no limit.
+	// Connections is the maximum number of open connections of a main listener; 0 means no limit.
 	Connections int
-	// Memory is how many bytes the requests of all listeners may hold together, beyond what each
-	// connection may hold anyway; 0 for no limit.
+	// Memory is how many bytes the requests of all listeners may use together, in addition to the
+	// unmetered allowance of each connection; 0 means no limit.
 	Memory int64
 }
 
-// LimitsOf derives the limits from what the machine gives the process: memory-mb, and file-handles.
+// LimitsOf derives the limits from the resources of the process: the settings memory-mb and
+// file-handles.
 func LimitsOf(machine settings.Limits) Limits {
 	limits := Limits{
 		Connections: int(machine.MemoryShare(constants.ClientConnectionsShare) / constants.ClientConnectionBytes),
--- a/internal/platform/inbound/lingeringclose.go
+++ b/internal/platform/inbound/lingeringclose.go
@@ -8,12 +8,12 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// halfCloser is what a TCP connection can do.
+// halfCloser is a connection whose write side can be closed alone, such as a TCP connection.
 type halfCloser interface{ CloseWrite() error }
 
-// CloseWrite ends our side of a connection and lets the client come to its end, for a bounded time
-// and number of bytes: closing with unread bytes resets, and a reset takes the answer along that
-// says why.
+// CloseWrite closes the write side of a connection and then reads until the client ends its side, for
+// a bounded time and number of bytes. Closing a connection with unread bytes resets it, and a reset
+// can discard the response before the client has read it.
 func CloseWrite(connection net.Conn) error {
 	raw := connection
 	if counted, is := connection.(*Conn); is {
@@ -30,5 +30,6 @@
 	return err
 }
 
-// CloseWrite does so. The standard server asks for it where it answers a body that is too large.
+// CloseWrite calls the function CloseWrite. The standard server uses this method when it responds to
+// a body that is too large.
 func (c *Conn) CloseWrite() error { return CloseWrite(c) }
--- a/internal/platform/inbound/listener.go
+++ b/internal/platform/inbound/listener.go
@@ -13,28 +13,28 @@
 	"lemonarch/internal/platform/contexts"
 )
 
-// Listener takes the connections of clients, up to a number.
+// Listener accepts the connections of clients, up to a maximum number.
 type Listener struct {
 	net.Listener
 	memory *Memory
-	// connections is the most that may be open; 0 for no limit.
+	// connections is the maximum number of open connections; 0 means no limit.
 	connections int
 
 	lock sync.Mutex
 	open map[*Conn]struct{}
-	// headLimit is how long a head may be, in bytes.
+	// headLimit is the maximum length of a head in bytes.
 	headLimit atomic.Int64
-	// evicted and refused count what had to give way and what found no room.
+	// evicted counts evicted connections, refused the requests and connections that were rejected.
 	evicted, refused atomic.Int64
 }
 
-// Listen listens at an address. The requests of its connections share memory with those of other
-// listeners of the process.
+// Listen listens on an address. The requests of its connections share the memory limit with those of
+// the process's other listeners.
 func Listen(address string, connections int, memory *Memory) (*Listener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(descriptor uintptr) {
-			// What has arrived and is not yet read counts as well. A system that can't bound it
-			// is no reason not to serve.
+			// Bytes in the receive buffer use memory as well, so the buffer is bounded. If the
+			// system can't bound it, the listener serves anyway.
 			_ = syscall.SetsockoptInt(int(descriptor), syscall.SOL_SOCKET, syscall.SO_RCVBUF, constants.ClientReceiveBuffer)
 		})
 	}}
@@ -48,8 +48,9 @@
 	return NewListener(listener, connections, memory), nil
 }
 
-// boundBacklog lets as many connections wait to be accepted as may be open: what arrives on them
-// counts too. A system that can't bound them is no reason not to serve.
+// boundBacklog limits the accept backlog to the maximum number of open connections, because bytes
+// received on connections in the backlog use memory too. If the system can't set the limit, the
+// listener serves anyway.
 func boundBacklog(listener net.Listener, connections int) {
 	socket, can := listener.(syscall.Conn)
 	if !can {
@@ -73,15 +74,15 @@
 	return l
 }
 
-// SetHeadLimit bounds heads, in bytes, from the next bytes on that come.
+// SetHeadLimit sets the maximum length of a head in bytes. It applies from the next bytes received.
 func (l *Listener) SetHeadLimit(limit int) { l.headLimit.Store(int64(limit)) }
 
-func (l *Listener) outgrowsHead(length int64) bool {
+func (l *Listener) headTooLarge(length int64) bool {
 	return length > l.headLimit.Load()+constants.HeadSlack
 }
 
-// Accept gives the next connection. Where there are too many, another one is closed for it, or it
-// is refused.
+// Accept returns the next connection. At the limit it evicts another connection, or rejects the new
+// one if none can be evicted.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		raw, err := l.Listener.Accept()
@@ -92,11 +93,11 @@
 		if l.admit(connection) {
 			return connection, nil
 		}
-		connection.turnAway()
+		connection.reject()
 	}
 }
 
-// admit notes a connection; false where there are too many and none can be closed.
+// admit registers a connection. It returns false at the limit if no connection can be evicted.
 func (l *Listener) admit(connection *Conn) bool {
 	for {
 		l.lock.Lock()
@@ -112,8 +113,8 @@
 			return false
 		}
 		if chosen.connection.evict(chosen) {
-			// Its handler may still be under way; the descriptor is free at once.
-			_ = chosen.connection.cut()
+			// Its handler may still be running, but the file descriptor is freed at once.
+			_ = chosen.connection.abort()
 		}
 	}
 }
@@ -124,28 +125,28 @@
 	delete(l.open, connection)
 }
 
-// candidates lists the connections that are open, except those that give way already.
+// candidates lists the open connections, except those that are already evicted.
 func (l *Listener) candidates(now clock.Instant) []candidate {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	list := make([]candidate, 0, len(l.open))
 	for connection := range l.open {
-		if entry, available := connection.candidate(now); available {
-			list = append(list, entry)
+		if found, available := connection.candidate(now); available {
+			list = append(list, found)
 		}
 	}
 	return list
 }
 
-func (c *Conn) candidate(now clock.Instant) (entry candidate, available bool) {
+func (c *Conn) candidate(now clock.Instant) (found candidate, available bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	entry = candidate{connection: c, phase: c.phase, since: c.since, recent: c.rate.recent(now), writingSince: c.answerSince()}
-	return entry, !c.evicted
+	found = candidate{connection: c, phase: c.phase, waitingSince: c.waitingSince, recent: c.rate.recent(now), writingSince: c.writeStart()}
+	return found, !c.evicted
 }
 
-// LogPressure writes a line each period in which connections had to give way or found no room, until
-// stop closes. listener names the port.
+// LogPressure logs one line for each period in which connections were evicted or rejected, until stop
+// is closed. listener names the port.
 func (l *Listener) LogPressure(log hclog.Logger, listener string, stop <-chan struct{}) {
 	evicted, refused := int64(0), int64(0)
 	clock.Every(constants.ClientLogPeriod, stop, func() {
@@ -159,15 +160,16 @@
 	})
 }
 
-// Open is how many connections are open.
+// Open returns the number of open connections.
 func (l *Listener) Open() int {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	return len(l.open)
 }
 
-// Evicted is how many connections had to give way.
+// Evicted returns the number of connections evicted since the start.
 func (l *Listener) Evicted() int64 { return l.evicted.Load() }
 
-// Refused is how many requests and connections found no room.
+// Refused returns the number of requests and connections rejected since the start because a limit was
+// reached.
 func (l *Listener) Refused() int64 { return l.refused.Load() }
--- a/internal/platform/inbound/memory.go
+++ b/internal/platform/inbound/memory.go
@@ -7,43 +7,44 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// Memory is what the requests of all listeners of a process may hold together.
+// Memory accounts for the memory that the requests of all listeners of a process use together.
 type Memory struct {
-	// limit is in bytes; 0 for none.
+	// limit is in bytes; 0 means no limit.
 	limit int64
 
 	lock sync.Mutex
 	used int64
-	// leaving is the part of used whose requests had to give way and will end.
-	leaving int64
-	// released closes when a request gives bytes back.
+	// releasing is the part of used that belongs to evicted requests, which will end soon.
+	releasing int64
+	// released is closed when a request releases bytes, and then replaced.
 	released  chan struct{}
 	listeners []*Listener
 }
 
-// NewMemory makes an empty one; limit is in bytes, 0 for none.
+// NewMemory returns a Memory with nothing charged; limit is in bytes, 0 means no limit.
 func NewMemory(limit int64) *Memory {
 	return &Memory{limit: limit, released: make(chan struct{})}
 }
 
-// Used is how many bytes are held.
+// Used returns the number of charged bytes.
 func (m *Memory) Used() int64 {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	return m.used
 }
 
-// reserve counts bytes for a connection's request; false where there is no room for them. Where
-// there is none, requests that are still coming give way: slow ones, and those that hold much more
-// than this one wants in all. That takes them a moment, which is waited for.
-func (m *Memory) reserve(c *Conn, count, wanted int64) bool {
+// reserve charges count bytes to a connection's request; total is the memory that the whole request
+// needs. At the limit it evicts requests that are not received completely yet: slow ones, and those
+// charged much more than total. It waits for evicted requests to release their memory, up to
+// ClientRoomTimeout, and returns false if the bytes could not be charged.
+func (m *Memory) reserve(c *Conn, count, total int64) bool {
 	end := clock.Now().Add(constants.ClientRoomTimeout)
 	for {
-		done, missing, released := m.take(c, count)
-		if done {
+		reserved, shortfall, released := m.tryReserve(c, count)
+		if reserved {
 			return true
 		}
-		if missing > 0 && !m.makeRoom(c, missing, wanted) {
+		if shortfall > 0 && !m.evictRequests(c, shortfall, total) {
 			return false
 		}
 		select {
@@ -54,21 +55,22 @@
 	}
 }
 
-// take counts the bytes if there is room. Else it tells how many bytes are missing beyond those
-// that will be given back anyway, and what closes when some are.
-func (m *Memory) take(c *Conn, count int64) (done bool, missing int64, released <-chan struct{}) {
+// tryReserve charges the bytes if the limit allows it. Otherwise it returns how many bytes are short,
+// not counting those that evicted requests will release, and a channel that is closed at the next
+// release.
+func (m *Memory) tryReserve(c *Conn, count int64) (reserved bool, shortfall int64, released <-chan struct{}) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	// A single request inside the limits is served whatever it holds.
+	// If no other request is charged, this one is served regardless of its size.
 	if m.limit <= 0 || m.used+count <= m.limit || m.used == c.charged {
 		m.used += count
 		c.charged += count
 		return true, 0, nil
 	}
-	return false, m.used + count - m.limit - m.leaving, m.released
+	return false, m.used + count - m.limit - m.releasing, m.released
 }
 
-// release gives back all that a connection's request holds.
+// release releases all bytes charged to a connection's request.
 func (m *Memory) release(c *Conn) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
@@ -76,14 +78,15 @@
 		return
 	}
 	m.used -= c.charged
-	m.leaving -= c.leaving
-	c.charged, c.leaving = 0, 0
+	m.releasing -= c.releasing
+	c.charged, c.releasing = 0, 0
 	close(m.released)
 	m.released = make(chan struct{})
 }
 
-// makeRoom makes requests give way until they hold as much as is missing; false where none can.
-func (m *Memory) makeRoom(c *Conn, missing, wanted int64) bool {
+// evictRequests evicts requests until their charged bytes cover the shortfall. It returns false if no
+// request could be evicted.
+func (m *Memory) evictRequests(c *Conn, shortfall, total int64) bool {
 	now := clock.Now()
 	var candidates []candidate
 	m.lock.Lock()
@@ -101,13 +104,13 @@
 	}
 	m.lock.Unlock()
 	freed := false
-	for missing > 0 {
-		chosen := chooseHolder(candidates, wanted, now)
+	for shortfall > 0 {
+		chosen := chooseRequest(candidates, total, now)
 		if chosen == nil {
 			break
 		}
 		if chosen.connection.evict(chosen) {
-			missing -= m.markLeaving(chosen.connection)
+			shortfall -= m.markReleasing(chosen.connection)
 			freed = true
 		}
 		chosen.charged = 0
@@ -115,12 +118,12 @@
 	return freed
 }
 
-// markLeaving notes that a request will give back what it holds, and tells how much that is; one that
-// has ended since has given it back.
-func (m *Memory) markLeaving(c *Conn) int64 {
+// markReleasing records that an evicted request will release its charged bytes and returns their
+// number. It returns 0 if the request has ended in the meantime and has already released them.
+func (m *Memory) markReleasing(c *Conn) int64 {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	m.leaving += c.charged - c.leaving
-	c.leaving = c.charged
-	return c.leaving
+	m.releasing += c.charged - c.releasing
+	c.releasing = c.charged
+	return c.releasing
 }
--- a/internal/platform/inbound/rate.go
+++ b/internal/platform/inbound/rate.go
@@ -5,33 +5,32 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// rate counts the bytes of the present window and of the one before.
+// rate counts the bytes received in the current window and in the previous one.
 type rate struct {
-	window          clock.Instant
-	present, before int64
+	window            clock.Instant
+	current, previous int64
 }
 
-// add counts bytes.
 func (r *rate) add(count int, now clock.Instant) {
-	r.turn(now)
-	r.present += int64(count)
+	r.rotate(now)
+	r.current += int64(count)
 }
 
-// turn begins a new window where the present one is over.
-func (r *rate) turn(now clock.Instant) {
+// rotate starts a new window if the current one is over.
+func (r *rate) rotate(now clock.Instant) {
 	age := now.Sub(r.window)
 	if age < constants.ClientRateWindow {
 		return
 	}
-	r.before = r.present
+	r.previous = r.current
 	if age >= 2*constants.ClientRateWindow {
-		r.before = 0
+		r.previous = 0
 	}
-	r.present, r.window = 0, now
+	r.current, r.window = 0, now
 }
 
-// recent is how many bytes came in the last one to two windows.
+// recent returns how many bytes were received in the last one to two windows.
 func (r *rate) recent(now clock.Instant) int64 {
-	r.turn(now)
-	return r.present + r.before
+	r.rotate(now)
+	return r.current + r.previous
 }
--- a/internal/platform/inbound/request.go
+++ b/internal/platform/inbound/request.go
@@ -9,13 +9,13 @@
 	"lemonarch/internal/platform/contexts"
 )
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// wrapper is a connection that has another one inside.
+// wrapper is a connection that wraps another one.
 type wrapper interface{ NetConn() net.Conn }
 
-// connOf finds the counted connection inside others; nil where there is none.
+// connOf unwraps a connection until it finds a Conn. It returns nil if there is none.
 func connOf(raw net.Conn) *Conn {
 	for raw != nil {
 		if found, is := raw.(*Conn); is {
@@ -30,7 +30,8 @@
 	return nil
 }
 
-// ConnContext is for http.Server: requests find their connection by it.
+// ConnContext is the ConnContext hook of http.Server. It stores the connection in the context of its
+// requests.
 func ConnContext(parent contexts.Context, raw net.Conn) contexts.Context {
 	if found := connOf(raw); found != nil {
 		return contexts.WithValue(parent, connKey{}, found)
@@ -38,30 +39,31 @@
 	return parent
 }
 
-// ConnState is for http.Server: it tells that a request has been answered.
+// ConnState is the ConnState hook of http.Server. It marks the connection as idle once the response to
+// a request has been sent.
 func ConnState(raw net.Conn, state http.ConnState) {
 	if found := connOf(raw); found != nil && state == http.StateIdle {
 		found.becomeIdle()
 	}
 }
 
-func ofRequest(request *http.Request) *Conn {
+func connOfRequest(request *http.Request) *Conn {
 	found, _ := request.Context().Value(connKey{}).(*Conn)
 	return found
 }
 
-// Handler makes every request of a handler end in order: it gives back what the request held, and
-// doesn't wait for a body that nobody reads.
+// Handler wraps a handler so that each request releases its memory when the handler returns, bounds
+// the wait for a body that the handler doesn't read, and rejects requests with ambiguous framing.
 func Handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		connection := ofRequest(request)
+		connection := connOfRequest(request)
 		if connection == nil {
 			next.ServeHTTP(writer, request)
 			return
 		}
 		defer connection.end()
 		framing := connection.begin(request)
-		if framing != framingSound {
+		if framing != framingUnambiguous {
 			writer.Header().Set("Connection", "close")
 		}
 		if framing == framingAmbiguous {
@@ -72,20 +74,22 @@
 	})
 }
 
-// framing says whether it is certain where a request ends.
+// framing classifies whether the end of a request is known with certainty.
 type framing int
 
-// The framings.
 const (
-	// framingSound: there is one reading.
-	framingSound framing = iota
-	// framingUnseen: the head's bytes were not all seen, so nothing may follow on the connection.
-	framingUnseen
+	// framingUnambiguous: the head defines the end of the body in one way.
+	framingUnambiguous framing = iota
+	// framingUnverified: not all bytes of the head were scanned, so the connection is closed after
+	// this request.
+	framingUnverified
 	// framingAmbiguous: the head has both Content-Length and Transfer-Encoding.
+	// The request is rejected.
 	framingAmbiguous
 )
 
-// begin notes that the head is whole. A body counts as one that nobody wants until it is asked for.
+// begin records that the head is complete. Until the handler reads the body, the body is treated as
+// one to discard.
 func (c *Conn) begin(request *http.Request) framing {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -95,23 +99,23 @@
 	}
 	switch {
 	case len(request.TransferEncoding) == 0:
-		return framingSound
+		return framingUnambiguous
 	case !c.head.covers(request):
-		return framingUnseen
+		return framingUnverified
 	case c.head.ambiguous():
 		return framingAmbiguous
 	}
-	return framingSound
+	return framingUnambiguous
 }
 
-// drainLocked bounds how long the rest of the body is waited for. The lock is held.
+// drainLocked bounds the wait for the rest of the body. The caller holds the lock.
 func (c *Conn) drainLocked() {
 	c.phase = phaseDraining
 	c.bodyDeadline = clock.Deadline(constants.ClientDrainTimeout)
 	_ = c.applyDeadlineLocked()
 }
 
-// beginBody notes that the handler reads the body, until a deadline.
+// beginBody records that the handler starts to read the body, and sets the body deadline.
 func (c *Conn) beginBody(timeout clock.Duration) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -120,12 +124,12 @@
 	_ = c.applyDeadlineLocked()
 }
 
-// endBody notes that the handler has the whole body, or wants no more of it. It tells whether the
-// request may be served: one that had to give way meanwhile may not.
-func (c *Conn) endBody(whole bool) bool {
+// endBody records that the handler has read the complete body, or reads no more of it. It reports
+// whether the request may be served: not if it was evicted in the meantime.
+func (c *Conn) endBody(complete bool) bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	if !whole {
+	if !complete {
 		c.drainLocked()
 		return !c.evicted
 	}
@@ -134,7 +138,7 @@
 	return !c.evicted
 }
 
-// end gives back what the request held.
+// end releases the memory charged to the request.
 func (c *Conn) end() {
 	c.listener.memory.release(c)
 	c.lock.Lock()
@@ -144,14 +148,14 @@
 	}
 }
 
-// becomeIdle notes that the connection waits for the next request.
+// becomeIdle records that the connection waits for the next request.
 func (c *Conn) becomeIdle() {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.phase, c.since = phaseIdle, clock.Now()
+	c.phase, c.waitingSince = phaseIdle, clock.Now()
 	c.head, c.unmetered, c.rate = headScan{}, constants.ClientUnmeteredBytes, rate{}
 	if len(c.early) > 0 {
-		// The next request has begun.
+		// A part of the next request has already been received.
 		c.phase = phaseHead
 		c.head.feed(c.early)
 		c.early = nil
--- a/internal/platform/inbound/server.go
+++ b/internal/platform/inbound/server.go
@@ -6,8 +6,8 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// NewServer makes the server of a Listener, which bounds connections and heads; bodies are bounded by
-// those who read them. Idle connections end by constants.ControlIdle.
+// NewServer returns the HTTP server for a Listener. The Listener bounds connections and heads; each
+// handler bounds the body that it reads. Idle connections are closed after constants.ControlIdle.
 func NewServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           Handler(handler),
--- a/internal/platform/inbound/victim_test.go
+++ b/internal/platform/inbound/victim_test.go
@@ -17,19 +17,19 @@
 	now := 100 * second
 	connections := make([]Conn, 8)
 	list := []candidate{
-		{connection: &connections[0], phase: phaseServing, since: 1, charged: 900},
-		{connection: &connections[1], phase: phaseBody, since: now - 5*second, recent: 500, charged: 50},
-		{connection: &connections[2], phase: phaseHead, since: now - 3*second, recent: 20, charged: 10},
-		{connection: &connections[3], phase: phaseBody, since: now, recent: 0, charged: 800},
-		{connection: &connections[4], phase: phaseServing, since: 1, writingSince: now - 4*second},
-		{connection: &connections[5], phase: phaseServing, since: 1, writingSince: now},
-		{connection: &connections[6], phase: phaseIdle, since: now - 2*second},
-		{connection: &connections[7], phase: phaseIdle, since: now - 1*second},
-	}
-	holders, closed := []int{}, []int{}
+		{connection: &connections[0], phase: phaseServing, waitingSince: 1, charged: 900},
+		{connection: &connections[1], phase: phaseBody, waitingSince: now - 5*second, recent: 500, charged: 50},
+		{connection: &connections[2], phase: phaseHead, waitingSince: now - 3*second, recent: 20, charged: 10},
+		{connection: &connections[3], phase: phaseBody, waitingSince: now, recent: 0, charged: 800},
+		{connection: &connections[4], phase: phaseServing, waitingSince: 1, writingSince: now - 4*second},
+		{connection: &connections[5], phase: phaseServing, waitingSince: 1, writingSince: now},
+		{connection: &connections[6], phase: phaseIdle, waitingSince: now - 2*second},
+		{connection: &connections[7], phase: phaseIdle, waitingSince: now - 1*second},
+	}
+	evicted, closed := []int{}, []int{}
 	remaining := append([]candidate{}, list...)
-	for chosen := chooseHolder(remaining, 100, now); chosen != nil; chosen = chooseHolder(remaining, 100, now) {
-		holders = append(holders, indexOf(connections, chosen.connection))
+	for chosen := chooseRequest(remaining, 100, now); chosen != nil; chosen = chooseRequest(remaining, 100, now) {
+		evicted = append(evicted, indexOf(connections, chosen.connection))
 		chosen.charged = 0
 	}
 	remaining = append([]candidate{}, list...)
@@ -37,20 +37,20 @@
 		closed = append(closed, indexOf(connections, chosen.connection))
 		*chosen = candidate{phase: phaseServing}
 	}
-	if fmt.Sprint(holders) != "[2 1 3]" {
-		t.Error("memory is given back by", holders)
+	if fmt.Sprint(evicted) != "[2 1 3]" {
+		t.Error("memory is given back by", evicted)
 	}
 	if fmt.Sprint(closed) != "[6 7 2 1 4]" {
 		t.Error("connections are closed in the order", closed)
 	}
-	if chooseHolder(list[3:4], 500, now) != nil {
+	if chooseRequest(list[3:4], 500, now) != nil {
 		t.Error("a request gives way to one that holds nearly as much")
 	}
 }
 
-func indexOf(connections []Conn, wanted *Conn) int {
+func indexOf(connections []Conn, target *Conn) int {
 	for i := range connections {
-		if &connections[i] == wanted {
+		if &connections[i] == target {
 			return i
 		}
 	}
@@ -86,12 +86,12 @@
 func TestWholeRequestsAreServed(t *testing.T) {
 	memory := NewMemory(1000)
 	listener := NewListener(nil, 0, memory)
-	ours, theirs := net.Pipe()
-	defer theirs.Close()
-	connection := newConn(ours, listener)
+	server, client := net.Pipe()
+	defer client.Close()
+	connection := newConn(server, listener)
 	listener.open[connection] = struct{}{}
 	connection.phase = phaseBody
-	if done, _, _ := memory.take(connection, 600); !done {
+	if done, _, _ := memory.tryReserve(connection, 600); !done {
 		t.Fatal("no room in calm")
 	}
 	chosen := listener.candidates(clock.Now())[0]
@@ -103,15 +103,15 @@
 		t.Fatal("a request gives way once")
 	}
 	for range 2 {
-		memory.markLeaving(connection)
+		memory.markReleasing(connection)
 	}
-	if memory.leaving != 600 {
-		t.Error(memory.leaving, "bytes are awaited")
+	if memory.releasing != 600 {
+		t.Error(memory.releasing, "bytes are awaited")
 	}
 	connection.end()
-	memory.markLeaving(connection)
-	if memory.leaving != 0 || memory.used != 0 {
-		t.Error(memory.leaving, memory.used)
+	memory.markReleasing(connection)
+	if memory.releasing != 0 || memory.used != 0 {
+		t.Error(memory.releasing, memory.used)
 	}
 }
 
@@ -120,17 +120,17 @@
 	for _, at := range []phase{phaseHead, phaseBody, phaseDraining} {
 		memory := NewMemory(1000)
 		listener := NewListener(nil, 0, memory)
-		ours, theirs := net.Pipe()
-		defer theirs.Close()
-		connection := newConn(ours, listener)
+		server, client := net.Pipe()
+		defer client.Close()
+		connection := newConn(server, listener)
 		listener.open[connection] = struct{}{}
 		connection.phase = at
-		memory.take(connection, 600)
+		memory.tryReserve(connection, 600)
 		chosen := listener.candidates(clock.Now())[0]
 		if !connection.evict(&chosen) {
 			t.Fatal(at, "does not give way")
 		}
-		_ = connection.cut()
+		_ = connection.abort()
 		if memory.Used() != 600 || listener.Open() != 0 {
 			t.Error(at, memory.Used(), listener.Open())
 		}
--- a/internal/platform/process/main.go
+++ b/internal/platform/process/main.go
@@ -27,7 +27,7 @@
 // Main is the thin part that all daemons share: settings, signals, exit codes.
 func Main(name string, make func(nodeSettings *settings.Settings, log hclog.Logger) (Process, error)) {
 	// First of all: until it is caught, a SIGHUP ends the process.
-	caught := catchSignals()
+	received := catchSignals()
 	nodeSettings, err := settings.Load()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, name+": "+err.Error())
@@ -36,9 +36,9 @@
 	Prepare(nodeSettings)
 	log := NewLog(name)
 	started := newStarted()
-	go checkOnReload(caught.reload, settings.Load, log)
+	go checkOnReload(received.reload, settings.Load, log)
 	go func() {
-		leaveOnSignal(caught.terminate, started, log)
+		shutDownOnSignal(received.terminate, started, log)
 		os.Exit(exitOK)
 	}()
 	process, err := make(nodeSettings, log)
--- a/internal/platform/process/signals.go
+++ b/internal/platform/process/signals.go
@@ -19,10 +19,10 @@
 
 // catchSignals begins to catch the signals that a process heeds.
 func catchSignals() signals {
-	caught := signals{terminate: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
-	signal.Notify(caught.terminate, syscall.SIGTERM, syscall.SIGINT)
-	signal.Notify(caught.reload, syscall.SIGHUP)
-	return caught
+	received := signals{terminate: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
+	signal.Notify(received.terminate, syscall.SIGTERM, syscall.SIGINT)
+	signal.Notify(received.reload, syscall.SIGHUP)
+	return received
 }
 
 // newStarted makes the channel on which Main hands over the process once it is made.
@@ -30,7 +30,7 @@
 
 // leaveOnSignal waits for a termination and stops the process in order. One that is
 // still being made has taken nothing on yet and is left as it is.
-func leaveOnSignal(terminate <-chan os.Signal, started <-chan Process, log hclog.Logger) {
+func shutDownOnSignal(terminate <-chan os.Signal, started <-chan Process, log hclog.Logger) {
 	received := <-terminate
 	log.Info("shutting down", "signal", received.String())
 	select {
--- a/internal/platform/process/signals_test.go
+++ b/internal/platform/process/signals_test.go
@@ -31,7 +31,7 @@
 func TestReloadChecksTheFileOnly(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.toml")
 	t.Setenv(settings.Variable, path)
-	for _, found := range []struct{ text, want string }{
+	for _, test := range []struct{ text, want string }{
 		{validSettings, "hold from the next start"},
 		{strings.Replace(validSettings, "10.0.0.2:80", "10.9.0.2:80", 1), "hold from the next start"},
 		{strings.Replace(validSettings, "1200", "0", 1), "heartbeat-ms"},
@@ -39,11 +39,11 @@
 		{"\x00", "not readable as TOML"},
 		{"", "node-name is missing"},
 	} {
-		if err := os.WriteFile(path, []byte(found.text), 0o644); err != nil {
+		if err := os.WriteFile(path, []byte(test.text), 0o644); err != nil {
 			t.Fatal(err)
 		}
-		if got := reloadOnce(); strings.Count(got, "\n") != 1 || !strings.Contains(got, found.want) {
-			t.Errorf("want %q in one line, got %q", found.want, got)
+		if got := reloadOnce(); strings.Count(got, "\n") != 1 || !strings.Contains(got, test.want) {
+			t.Errorf("want %q in one line, got %q", test.want, got)
 		}
 	}
 	if err := os.Remove(path); err != nil {
@@ -78,10 +78,10 @@
 // A termination reaches the process behind any number of reloads, and one that comes
 // before there is a process ends the start.
 func TestTerminationIsNotLostBehindReloads(t *testing.T) {
-	caught := catchSignals()
+	received := catchSignals()
 	t.Cleanup(func() {
-		signal.Stop(caught.terminate)
-		signal.Stop(caught.reload)
+		signal.Stop(received.terminate)
+		signal.Stop(received.reload)
 	})
 	for range 100 {
 		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
@@ -94,11 +94,11 @@
 	process, started := &leaver{}, newStarted()
 	started <- process
 	var text bytes.Buffer
-	leaveOnSignal(caught.terminate, started, lineLog(&text))
+	shutDownOnSignal(received.terminate, started, lineLog(&text))
 	if process.left != 1 || !strings.Contains(text.String(), "signal="+syscall.SIGTERM.String()) {
 		t.Fatal(process.left, text.String())
 	}
 	early := make(chan os.Signal, 1)
 	early <- syscall.SIGTERM
-	leaveOnSignal(early, newStarted(), hclog.NewNullLogger())
+	shutDownOnSignal(early, newStarted(), hclog.NewNullLogger())
 }
--- a/internal/platform/process/status.go
+++ b/internal/platform/process/status.go
@@ -19,21 +19,21 @@
 		resp = report()
 	}
 	if req.Zone != "" {
-		resp.Rows = ofZone(resp, req.Zone)
+		resp.Rows = filterByZone(resp, req.Zone)
 	}
 	if len(resp.Rows) > constants.StatusRows {
 		// A bounded response costs a node little; the last row says how many are left out.
-		left := len(resp.Rows) - constants.StatusRows
+		omitted := len(resp.Rows) - constants.StatusRows
 		resp.Rows = resp.Rows[:constants.StatusRows]
 		more := make([]string, len(resp.Columns))
-		more[0] = "(" + strconv.Itoa(left) + " more)"
+		more[0] = "(" + strconv.Itoa(omitted) + " more)"
 		resp.Rows = append(resp.Rows, more)
 	}
 	return resp, nil
 }
 
 // ofZone keeps the rows that name a zone in their column of that name.
-func ofZone(status *messages.StatusResponse, zone string) [][]string {
+func filterByZone(status *messages.StatusResponse, zone string) [][]string {
 	var matching [][]string
 	for i, column := range status.Columns {
 		if column != "zone" {
--- a/internal/platform/process/traffic.go
+++ b/internal/platform/process/traffic.go
@@ -13,18 +13,18 @@
 
 // meter gives the transport's counters; a transport without any counts nothing.
 func (r *Runtime) meter() *transport.Meter {
-	if metered, able := r.Transport.(transport.Metered); able {
+	if metered, ok := r.Transport.(transport.Metered); ok {
 		return metered.Meter()
 	}
 	return transport.NewMeter()
 }
 
 // RecordLocalities tells the traffic counters which hosts are in this process's zone.
-func (r *Runtime) RecordLocalities(entries []messages.NodeInfo) {
+func (r *Runtime) RecordLocalities(nodes []messages.NodeInfo) {
 	meter := r.meter()
-	for _, entry := range entries {
-		if entry.Zone != "" {
-			meter.SetLocality(entry.Address, entry.Zone == r.Self.Zone)
+	for _, node := range nodes {
+		if node.Zone != "" {
+			meter.SetLocality(node.Address, node.Zone == r.Self.Zone)
 		}
 	}
 }
@@ -32,11 +32,11 @@
 // reportTraffic lists what was sent and received since the start, the busiest first.
 func (r *Runtime) reportTraffic() *messages.StatusResponse {
 	status := &messages.StatusResponse{Columns: []string{"kind", "place", "sent", "sent-bytes", "received", "received-bytes", "life-s"}}
-	incarnation := strconv.FormatInt((clock.WallNanos()-r.Self.Incarnation)/1_000_000_000, 10)
+	ageSeconds := strconv.FormatInt((clock.WallNanos()-r.Self.Incarnation)/1_000_000_000, 10)
 	number := func(value int64) string { return strconv.FormatInt(value, 10) }
 	for _, sample := range r.meter().Samples() {
 		status.Rows = append(status.Rows, []string{sample.Kind.String(), sample.Locality.String(), number(sample.Sent.Messages),
-			number(sample.Sent.Bytes), number(sample.Received.Messages), number(sample.Received.Bytes), incarnation})
+			number(sample.Sent.Bytes), number(sample.Received.Messages), number(sample.Received.Bytes), ageSeconds})
 	}
 	return status
 }
@@ -61,7 +61,7 @@
 // UnknownFrames is how many frames of unknown kinds were skipped since the start.
 func (r *Runtime) UnknownFrames() int64 {
 	if tcp, ok := r.Transport.(*transport.TCP); ok {
-		return tcp.Unknown()
+		return tcp.UnknownFrames()
 	}
 	return 0
 }
--- a/internal/platform/recordlog/format.go
+++ b/internal/platform/recordlog/format.go
@@ -19,26 +19,26 @@
 	lengthMask = provesPrefix - 1
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // appendRecord appends a record to a text.
-func appendRecord(text, body []byte, proof bool) []byte {
-	first := uint32(len(body)) | checksumsHeader
+func appendRecord(data, body []byte, proof bool) []byte {
+	lengthAndFlags := uint32(len(body)) | checksumsHeader
 	if proof {
-		first |= provesPrefix
+		lengthAndFlags |= provesPrefix
 	}
-	text = binary.BigEndian.AppendUint32(text, first)
-	text = binary.BigEndian.AppendUint32(text, checksum(first, body))
-	return append(text, body...)
+	data = binary.BigEndian.AppendUint32(data, lengthAndFlags)
+	data = binary.BigEndian.AppendUint32(data, checksum(lengthAndFlags, body))
+	return append(data, body...)
 }
 
-func checksum(first uint32, body []byte) uint32 {
-	if first&checksumsHeader == 0 {
-		return crc32.Checksum(body, table)
+func checksum(lengthAndFlags uint32, body []byte) uint32 {
+	if lengthAndFlags&checksumsHeader == 0 {
+		return crc32.Checksum(body, castagnoli)
 	}
 	var word [4]byte
-	binary.BigEndian.PutUint32(word[:], first)
-	return crc32.Update(crc32.Checksum(word[:], table), table, body)
+	binary.BigEndian.PutUint32(word[:], lengthAndFlags)
+	return crc32.Update(crc32.Checksum(word[:], castagnoli), castagnoli, body)
 }
 
 // bodyLength reads the length of the body from a head.
@@ -47,16 +47,16 @@
 // parseRecord reads the record at the beginning of a text. Proof says that what
 // stands before it was synced; an older version's record says so too, since it may
 // have been.
-func parseRecord(text []byte) (body []byte, proof, complete bool) {
-	if len(text) < headerBytes {
+func parseRecord(data []byte) (body []byte, proof, complete bool) {
+	if len(data) < headerBytes {
 		return nil, false, false
 	}
-	first, length := binary.BigEndian.Uint32(text), bodyLength(text)
-	if length == 0 || length > int64(len(text)-headerBytes) {
+	first, length := binary.BigEndian.Uint32(data), bodyLength(data)
+	if length == 0 || length > int64(len(data)-headerBytes) {
 		return nil, false, false
 	}
-	body = text[headerBytes : headerBytes+length]
-	if checksum(first, body) != binary.BigEndian.Uint32(text[4:]) {
+	body = data[headerBytes : headerBytes+length]
+	if checksum(first, body) != binary.BigEndian.Uint32(data[4:]) {
 		return nil, false, false
 	}
 	return body, first&checksumsHeader == 0 || first&provesPrefix != 0, true
@@ -65,9 +65,9 @@
 // findProofAfter looks for a complete record which shows that what stands before it was
 // synced. Of what no sync has covered, any part may be missing while a later one is
 // there; only what was synced can have been damaged.
-func findProofAfter(text []byte, offset int64) (int64, bool) {
-	for ; offset+headerBytes < int64(len(text)); offset++ {
-		if _, proof, complete := parseRecord(text[offset:]); complete && proof {
+func findProofAfter(data []byte, offset int64) (int64, bool) {
+	for ; offset+headerBytes < int64(len(data)); offset++ {
+		if _, proof, complete := parseRecord(data[offset:]); complete && proof {
 			return offset, true
 		}
 	}
--- a/internal/platform/recordlog/powerloss_test.go
+++ b/internal/platform/recordlog/powerloss_test.go
@@ -145,14 +145,14 @@
 // may tells whether a file may hold this: what was acknowledged and any beginning
 // of what followed, or a whole replacement.
 func (m *machine) may(found []string) bool {
-	for _, complete := range m.replacements {
-		if slices.Equal(found, complete) {
+	for _, candidate := range m.replacements {
+		if slices.Equal(found, candidate) {
 			return true
 		}
 	}
 	for _, tail := range append(m.refused, m.tail) {
-		complete := slices.Concat(m.acked, tail)
-		if len(found) >= len(m.acked) && len(found) <= len(complete) && slices.Equal(found, complete[:len(found)]) {
+		candidate := slices.Concat(m.acked, tail)
+		if len(found) >= len(m.acked) && len(found) <= len(candidate) && slices.Equal(found, candidate[:len(found)]) {
 			return true
 		}
 	}
--- a/internal/platform/recordlog/recordlog.go
+++ b/internal/platform/recordlog/recordlog.go
@@ -82,7 +82,7 @@
 }
 
 func (l *Log) recover(each func(offset int64, body []byte) error) error {
-	if err := l.removeUnfinished(); err != nil {
+	if err := l.removeUnfinishedRewrite(); err != nil {
 		return err
 	}
 	// The name of a new file lasts only once its folder is synced.
@@ -93,24 +93,24 @@
 }
 
 // removeUnfinished takes away what a rewrite that was interrupted has left.
-func (l *Log) removeUnfinished() error {
-	fresh := l.name + rewriteSuffix
-	if err := l.disk.Remove(fresh); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return diskError(err, "remove "+fresh)
+func (l *Log) removeUnfinishedRewrite() error {
+	newName := l.name + rewriteSuffix
+	if err := l.disk.Remove(newName); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		return diskError(err, "remove "+newName)
 	}
 	return nil
 }
 
 func (l *Log) replay(each func(offset int64, body []byte) error) error {
-	text, err := l.readAll()
+	data, err := l.readAll()
 	if err != nil {
 		return err
 	}
 	offset := int64(0)
-	for offset < int64(len(text)) {
-		body, _, complete := parseRecord(text[offset:])
+	for offset < int64(len(data)) {
+		body, _, complete := parseRecord(data[offset:])
 		if !complete {
-			if later, found := findProofAfter(text, offset+1); found {
+			if later, found := findProofAfter(data, offset+1); found {
 				return ErrCorrupt.New(fmt.Sprintf("file %s at byte %d, which was synced before the record at %d", l.name, offset, later))
 			}
 			break
@@ -121,7 +121,7 @@
 		offset += headerBytes + int64(len(body))
 	}
 	l.size, l.synced = offset, offset
-	l.tailDirty = offset < int64(len(text))
+	l.tailDirty = offset < int64(len(data))
 	return l.Sync()
 }
 
@@ -130,14 +130,14 @@
 	if err != nil {
 		return nil, diskError(err, "size of "+l.name)
 	}
-	text := make([]byte, length)
+	data := make([]byte, length)
 	if length == 0 {
-		return text, nil
+		return data, nil
 	}
-	if _, err = l.file.ReadAt(text, 0); err != nil && !errors.Is(err, io.EOF) {
+	if _, err = l.file.ReadAt(data, 0); err != nil && !errors.Is(err, io.EOF) {
 		return nil, diskError(err, "read "+l.name)
 	}
-	return text, nil
+	return data, nil
 }
 
 // Append writes records without syncing and gives their offsets.
@@ -150,29 +150,29 @@
 	if err := l.repairTail(); err != nil {
 		return nil, err
 	}
-	var text []byte
+	var data []byte
 	offsets := make([]int64, 0, len(bodies))
 	for _, body := range bodies {
 		if len(body) == 0 || len(body) > lengthMask {
 			return nil, ErrDisk.New(fmt.Sprintf("record of %d bytes for %s", len(body), l.name))
 		}
-		offset := l.size + int64(len(text))
+		offset := l.size + int64(len(data))
 		offsets = append(offsets, offset)
-		text = appendRecord(text, body, proof || offset == l.synced)
+		data = appendRecord(data, body, proof || offset == l.synced)
 	}
-	if _, err := l.file.Write(text); err != nil {
+	if _, err := l.file.Write(data); err != nil {
 		l.tailDirty = true
 		_ = l.file.Truncate(l.size)
 		return nil, diskError(err, "write "+l.name)
 	}
-	l.size += int64(len(text))
+	l.size += int64(len(data))
 	switch {
 	case proof:
 		// A file that fails while it is filled is given up as a whole.
 	case len(l.pending) == 0:
-		l.pending = text
+		l.pending = data
 	default:
-		l.pending = append(l.pending, text...)
+		l.pending = append(l.pending, data...)
 	}
 	return offsets, nil
 }
@@ -223,11 +223,11 @@
 	if _, err := l.file.ReadAt(head[:], offset); err != nil {
 		return nil, diskError(err, "read "+l.name)
 	}
-	text := make([]byte, headerBytes+bodyLength(head[:]))
-	if _, err := l.file.ReadAt(text, offset); err != nil && !errors.Is(err, io.EOF) {
+	data := make([]byte, headerBytes+bodyLength(head[:]))
+	if _, err := l.file.ReadAt(data, offset); err != nil && !errors.Is(err, io.EOF) {
 		return nil, diskError(err, "read "+l.name)
 	}
-	body, _, complete := parseRecord(text)
+	body, _, complete := parseRecord(data)
 	if !complete {
 		return nil, ErrCorrupt.New(fmt.Sprintf("file %s at byte %d", l.name, offset))
 	}
@@ -241,9 +241,9 @@
 func (l *Log) Close() error { return l.file.Close() }
 
 // diskError types an error of the disk.
-func diskError(err error, text string) error {
+func diskError(err error, operation string) error {
 	if errors.Is(err, syscall.ENOSPC) {
 		err = ErrDiskFull.Wrap(err, "no space left")
 	}
-	return ErrDisk.Wrap(err, text)
+	return ErrDisk.Wrap(err, operation)
 }
--- a/internal/platform/recordlog/recordlog_test.go
+++ b/internal/platform/recordlog/recordlog_test.go
@@ -207,14 +207,14 @@
 		t.Fatal(err)
 	}
 	var found []string
-	again, err := recordlog.Open(recordlog.Directory(folder), "file", func(_ int64, body []byte) error {
+	reopened, err := recordlog.Open(recordlog.Directory(folder), "file", func(_ int64, body []byte) error {
 		found = append(found, string(body))
 		return nil
 	})
 	if err != nil || fmt.Sprint(found) != "[one]" {
 		t.Fatal(found, err)
 	}
-	if _, err = again.Append([]byte("three")); err != nil {
+	if _, err = reopened.Append([]byte("three")); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/platform/recordlog/rewrite.go
+++ b/internal/platform/recordlog/rewrite.go
@@ -18,41 +18,41 @@
 // error the old records can still be read; if the rename may have been done,
 // nothing can be appended until a rewrite succeeds.
 func (l *Log) Rewrite(next func() ([]byte, bool, error)) ([]int64, error) {
-	if err := l.removeUnfinished(); err != nil {
+	if err := l.removeUnfinishedRewrite(); err != nil {
 		return nil, err
 	}
-	fresh := l.name + rewriteSuffix
-	file, err := l.disk.Open(fresh)
+	newName := l.name + rewriteSuffix
+	file, err := l.disk.Open(newName)
 	if err != nil {
-		return nil, diskError(err, "open "+fresh)
+		return nil, diskError(err, "open "+newName)
 	}
-	made := &Log{disk: l.disk, name: fresh, file: file}
-	offsets, err := made.fill(next)
+	replacement := &Log{disk: l.disk, name: newName, file: file}
+	offsets, err := replacement.fill(next)
 	if err == nil {
-		err = l.replaceBy(fresh)
+		err = l.replaceBy(newName)
 	}
 	if err != nil {
 		// The file is given up as it is.
 		_ = file.Close()
 		if !l.unlinked {
 			// Its bytes are space that the disk may need.
-			_ = l.disk.Remove(fresh)
+			_ = l.disk.Remove(newName)
 		}
 		return nil, err
 	}
 	// What the old file held is in the new one, which is synced.
 	_ = l.file.Close()
-	l.file, l.size, l.synced = file, made.size, made.synced
+	l.file, l.size, l.synced = file, replacement.size, replacement.synced
 	l.pending, l.tailDirty, l.unlinked = nil, false, false
 	return offsets, nil
 }
 
 // replaceBy lets a new file take the name of this one.
-func (l *Log) replaceBy(fresh string) error {
+func (l *Log) replaceBy(newName string) error {
 	// Also an operation that was refused may have been done.
 	l.unlinked = true
-	if err := l.disk.Rename(fresh, l.name); err != nil {
-		return diskError(err, "rename "+fresh)
+	if err := l.disk.Rename(newName, l.name); err != nil {
+		return diskError(err, "rename "+newName)
 	}
 	return diskError(l.disk.SyncDirectory(), "sync folder of "+l.name)
 }
@@ -105,11 +105,11 @@
 
 // Size is the length in bytes.
 func (r osFile) Size() (int64, error) {
-	facts, err := r.Stat()
+	info, err := r.Stat()
 	if err != nil {
 		return 0, err
 	}
-	return facts.Size(), nil
+	return info.Size(), nil
 }
 
 // Open opens a file for appending and reading.
--- a/internal/platform/settings/golden_test.go
+++ b/internal/platform/settings/golden_test.go
@@ -19,11 +19,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var written bytes.Buffer
-	if err = toml.NewEncoder(&written).Encode(parsed); err != nil {
+	var encoded bytes.Buffer
+	if err = toml.NewEncoder(&encoded).Encode(parsed); err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(written.Bytes(), golden) {
-		t.Errorf("was:\n%s\nis:\n%s", golden, written.Bytes())
+	if !bytes.Equal(encoded.Bytes(), golden) {
+		t.Errorf("was:\n%s\nis:\n%s", golden, encoded.Bytes())
 	}
 }
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -86,17 +86,17 @@
 
 // LoadFile reads and checks one settings file.
 func LoadFile(path string) (*Settings, error) {
-	text, err := os.ReadFile(path)
+	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, ErrInvalid.Wrap(err, "can't read the file")
 	}
-	return Parse(text)
+	return Parse(data)
 }
 
 // Parse reads and checks the text of a settings file.
-func Parse(text []byte) (*Settings, error) {
+func Parse(data []byte) (*Settings, error) {
 	nodeSettings := &Settings{}
-	if _, err := toml.Decode(string(text), nodeSettings); err != nil {
+	if _, err := toml.Decode(string(data), nodeSettings); err != nil {
 		return nil, ErrInvalid.Wrap(err, "not readable as TOML")
 	}
 	if findings := nodeSettings.Check(); len(findings) > 0 {
@@ -109,36 +109,36 @@
 // Check lists every missing field and every senseless value.
 func (s *Settings) Check() []string {
 	var findings []string
-	need := func(holds bool, text string) {
-		if !holds {
-			findings = append(findings, text)
+	require := func(condition bool, finding string) {
+		if !condition {
+			findings = append(findings, finding)
 		}
 	}
-	need(s.NodeName != "", "node-name is missing")
-	need(s.Zone != "", "zone is missing")
-	need(net.ParseIP(s.Address) != nil, "ip is missing or no address")
-	need(len(s.InternalPorts) == 2 && s.InternalPorts[0] > 0 &&
+	require(s.NodeName != "", "node-name is missing")
+	require(s.Zone != "", "zone is missing")
+	require(net.ParseIP(s.Address) != nil, "ip is missing or no address")
+	require(len(s.InternalPorts) == 2 && s.InternalPorts[0] > 0 &&
 		s.InternalPorts[1] >= s.InternalPorts[0]+2 && s.InternalPorts[1] < 65536,
 		"internal-ports must be two ports at least two apart")
-	need(len(s.Seeds) > 0, "seeds is missing")
+	require(len(s.Seeds) > 0, "seeds is missing")
 	for _, seed := range s.Seeds {
-		need(addressValid(seed), "seeds holds "+strconv.Quote(seed)+", which is no address")
+		require(addressValid(seed), "seeds holds "+strconv.Quote(seed)+", which is no address")
 	}
-	need(s.Limits.MemoryMB > 16, "limits.memory-mb is missing or too small")
+	require(s.Limits.MemoryMB > 16, "limits.memory-mb is missing or too small")
 	budget := s.FaultBudget
-	need(min(budget.Machines, budget.Zones, budget.Regions) >= 0, "fault-budget is below 0")
-	need(s.HeartbeatMs > 0, "heartbeat-ms is missing or not above 0")
-	need(s.Tolerances.GraceS > 0, "tolerances.grace-s is missing or not above 0")
+	require(min(budget.Machines, budget.Zones, budget.Regions) >= 0, "fault-budget is below 0")
+	require(s.HeartbeatMs > 0, "heartbeat-ms is missing or not above 0")
+	require(s.Tolerances.GraceS > 0, "tolerances.grace-s is missing or not above 0")
 	for _, service := range s.Serves {
 		switch service {
 		case "edge":
-			need(addressValid(s.Bind.Ingress), "bind-addresses.ingress is missing or no address")
-			need(addressValid(s.Bind.Readiness), "bind-addresses.readiness is missing or no address")
+			require(addressValid(s.Bind.Ingress), "bind-addresses.ingress is missing or no address")
+			require(addressValid(s.Bind.Readiness), "bind-addresses.readiness is missing or no address")
 		case "controller":
 			// Without data-dir it answers calls and has no vote.
-			need(addressValid(s.Bind.Control), "bind-addresses.control is missing or no address")
+			require(addressValid(s.Bind.Control), "bind-addresses.control is missing or no address")
 		case "storage":
-			need(s.DataDir != "", "data-dir is missing")
+			require(s.DataDir != "", "data-dir is missing")
 		}
 	}
 	return findings
--- a/internal/platform/transport/address_test.go
+++ b/internal/platform/transport/address_test.go
@@ -56,8 +56,8 @@
 	const tries = 1000
 	for number := os.Getpid(); number < os.Getpid()+tries; number++ {
 		host := fmt.Sprintf("127.%d.%d.253", 1+number/256%250, number%256)
-		if pending, err := net.Listen("tcp4", fmt.Sprintf("%s:%d", host, firstFreePort)); err == nil {
-			c.host, c.held = host, pending
+		if listener, err := net.Listen("tcp4", fmt.Sprintf("%s:%d", host, firstFreePort)); err == nil {
+			c.host, c.held = host, listener
 			return
 		}
 	}
--- a/internal/platform/transport/async.go
+++ b/internal/platform/transport/async.go
@@ -32,42 +32,42 @@
 type AsyncHandler func(kind messages.Kind, body []byte, reply func([]byte, error))
 
 // OnFrame names who is told of every frame; it must not block.
-func (r *MemoryNetwork) OnFrame(seen func(ObservedFrame)) {
+func (r *MemoryNetwork) OnFrame(observer func(ObservedFrame)) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.onFrame = seen
+	r.onFrame = observer
 }
 
 // Simulate gives the network an environment, which CallAsync and NotifyAsync need.
-func (r *MemoryNetwork) Simulate(surroundings Environment) {
+func (r *MemoryNetwork) Simulate(environment Environment) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.environment = surroundings
+	r.environment = environment
 }
 
 // observe tells of a frame with a body.
 func (r *MemoryNetwork) observe(from, to string, kind messages.Kind, resp bool, body []byte) {
 	r.lock.Lock()
-	seen := r.onFrame
+	observer := r.onFrame
 	r.lock.Unlock()
-	if seen != nil {
-		seen(ObservedFrame{From: from, To: to, Kind: kind, Response: resp, Bytes: headerBytes + len(body)})
+	if observer != nil {
+		observer(ObservedFrame{From: from, To: to, Kind: kind, Response: resp, Bytes: headerBytes + len(body)})
 	}
 }
 
 // ServeAsync registers who answers what is sent to this address by CallAsync, instead of Serve.
-func (t *Memory) ServeAsync(later AsyncHandler) error {
+func (t *Memory) ServeAsync(handler AsyncHandler) error {
 	t.network.lock.Lock()
 	defer t.network.lock.Unlock()
-	if t.network.handlers[t.own] != nil || t.network.asyncHandlers[t.own] != nil {
-		return ErrUnreachable.New("address taken: " + t.own)
+	if t.network.handlers[t.ownAddress] != nil || t.network.asyncHandlers[t.ownAddress] != nil {
+		return ErrUnreachable.New("address taken: " + t.ownAddress)
 	}
-	t.network.asyncHandlers[t.own] = later
+	t.network.asyncHandlers[t.ownAddress] = handler
 	return nil
 }
 
 // asyncHandlerAt gives who answers at an address, nil where nobody does.
-func (t *Memory) asyncHandlerAt(address string) (later AsyncHandler, partitioned bool) {
+func (t *Memory) asyncHandlerAt(address string) (asyncHandler AsyncHandler, partitioned bool) {
 	handler, partitioned := t.handlerAt(address)
 	if handler != nil {
 		return func(kind messages.Kind, body []byte, reply func([]byte, error)) { reply(handler(kind, body)) }, partitioned
@@ -80,63 +80,63 @@
 // CallAsync is Call on the simulated clock: nothing waits, then is run once with what came
 // of it. Like on the wire, a process that is not there is told apart from silence.
 func (t *Memory) CallAsync(address string, kind messages.Kind, body []byte, timeout clock.Duration, then func([]byte, error)) {
-	network, own, around, ended := t.network, t.own, t.network.environment, false
-	end := func(resp []byte, err error) {
-		if !ended {
-			ended = true
+	network, own, environment, done := t.network, t.ownAddress, t.network.environment, false
+	complete := func(resp []byte, err error) {
+		if !done {
+			done = true
 			then(resp, err)
 		}
 	}
 	// Most calls are answered in time: the clock is asked only for those that may not be.
-	lost := func(departed clock.Duration) {
-		around.Clock.After(max(0, timeout-departed), func() { end(nil, ErrTimeout.New(address+" silent")) })
+	timeOut := func(elapsed clock.Duration) {
+		environment.Clock.After(max(0, timeout-elapsed), func() { complete(nil, ErrTimeout.New(address+" silent")) })
 	}
 	network.observe(own, address, kind, false, body)
-	there := around.Delay(own, address)
-	around.Clock.After(there, func() {
-		later, partitioned := t.asyncHandlerAt(address)
-		if partitioned || !around.Reachable(own, address) {
-			lost(there)
+	requestDelay := environment.Delay(own, address)
+	environment.Clock.After(requestDelay, func() {
+		handler, partitioned := t.asyncHandlerAt(address)
+		if partitioned || !environment.Reachable(own, address) {
+			timeOut(requestDelay)
 			return
 		}
-		if later == nil {
-			around.Clock.After(there, func() { end(nil, ErrUnreachable.New(address)) })
+		if handler == nil {
+			environment.Clock.After(requestDelay, func() { complete(nil, ErrUnreachable.New(address)) })
 			return
 		}
 		replied := false
-		later(kind, body, func(resp []byte, err error) {
+		handler(kind, body, func(resp []byte, err error) {
 			replied = true
-			refused := err != nil || resp == nil
-			if refused {
+			rejected := err != nil || resp == nil
+			if rejected {
 				resp = nil
 			}
 			network.observe(address, own, kind, true, resp)
-			response := around.Delay(address, own)
-			around.Clock.After(response, func() {
-				if _, partitioned := t.asyncHandlerAt(address); partitioned || !around.Reachable(address, own) {
-					lost(there + response)
+			responseDelay := environment.Delay(address, own)
+			environment.Clock.After(responseDelay, func() {
+				if _, partitioned := t.asyncHandlerAt(address); partitioned || !environment.Reachable(address, own) {
+					timeOut(requestDelay + responseDelay)
 					return
 				}
-				if refused {
-					end(nil, ErrRejected.New(address))
+				if rejected {
+					complete(nil, ErrRejected.New(address))
 					return
 				}
-				end(resp, nil)
+				complete(resp, nil)
 			})
 		})
 		if !replied {
-			lost(there)
+			timeOut(requestDelay)
 		}
 	})
 }
 
 // NotifyAsync is Notify on the simulated clock: one frame that nobody answers.
 func (t *Memory) NotifyAsync(address string, kind messages.Kind, body []byte) {
-	network, own, around := t.network, t.own, t.network.environment
+	network, own, environment := t.network, t.ownAddress, t.network.environment
 	network.observe(own, address, kind, false, body)
-	around.Clock.After(around.Delay(own, address), func() {
-		if later, partitioned := t.asyncHandlerAt(address); later != nil && !partitioned && around.Reachable(own, address) {
-			later(kind, body, func([]byte, error) {})
+	environment.Clock.After(environment.Delay(own, address), func() {
+		if handler, partitioned := t.asyncHandlerAt(address); handler != nil && !partitioned && environment.Reachable(own, address) {
+			handler(kind, body, func([]byte, error) {})
 		}
 	})
 }
--- a/internal/platform/transport/async_test.go
+++ b/internal/platform/transport/async_test.go
@@ -89,21 +89,21 @@
 		at  clock.Instant
 	}
 	var results []result
-	post := func(address string, kind messages.Kind) {
+	call := func(address string, kind messages.Kind) {
 		start := world.Now
 		network.Transport("client").CallAsync(address, kind, nil, clock.Milliseconds(30), func(_ []byte, err error) {
 			results = append(results, result{err, world.Now - start})
 		})
 		world.Run(world.Now + clock.Instant(enough))
 	}
-	post("server", messages.Kind(9999))
-	post("nobody", messages.KindShuffle)
-	post("server", messages.KindGossip)
-	post("server", messages.KindShuffle)
-	silent := clock.Instant(clock.Milliseconds(30))
+	call("server", messages.Kind(9999))
+	call("nobody", messages.KindShuffle)
+	call("server", messages.KindGossip)
+	call("server", messages.KindShuffle)
+	timeout := clock.Instant(clock.Milliseconds(30))
 	if len(results) != 4 || !errs.Is(results[0].err, transport.ErrRejected) || !errs.Is(results[1].err, transport.ErrUnreachable) ||
-		!errs.Is(results[2].err, transport.ErrTimeout) || results[2].at != silent ||
-		!errs.Is(results[3].err, transport.ErrTimeout) || results[3].at != silent {
+		!errs.Is(results[2].err, transport.ErrTimeout) || results[2].at != timeout ||
+		!errs.Is(results[3].err, transport.ErrTimeout) || results[3].at != timeout {
 		t.Fatalf("%+v", results)
 	}
 }
--- a/internal/platform/transport/deduplicator.go
+++ b/internal/platform/transport/deduplicator.go
@@ -33,13 +33,13 @@
 	if o.received == nil {
 		o.received = map[string]bool{}
 	}
-	departed := 0
-	for departed < len(o.order) && now.Sub(o.order[departed].at) > constants.FrameLifetime {
-		delete(o.received, o.order[departed].name)
-		departed++
+	expired := 0
+	for expired < len(o.order) && now.Sub(o.order[expired].at) > constants.FrameLifetime {
+		delete(o.received, o.order[expired].name)
+		expired++
 	}
-	if departed > 0 {
-		o.order = append([]receivedRequest(nil), o.order[departed:]...)
+	if expired > 0 {
+		o.order = append([]receivedRequest(nil), o.order[expired:]...)
 	}
 	if o.received[name] {
 		return false
--- a/internal/platform/transport/dial_test.go
+++ b/internal/platform/transport/dial_test.go
@@ -11,22 +11,22 @@
 )
 
 // dialling is a wire whose dials last until they are released, and are counted.
-func dialling() (wire *TCP, release chan struct{}, dials *atomic.Int64) {
-	wire, release, dials = NewTCP(""), make(chan struct{}), &atomic.Int64{}
-	wire.dial = func(string) (net.Conn, error) {
+func dialling() (client *TCP, release chan struct{}, dials *atomic.Int64) {
+	client, release, dials = NewTCP(""), make(chan struct{}), &atomic.Int64{}
+	client.dial = func(string) (net.Conn, error) {
 		dials.Add(1)
 		<-release
 		return nil, net.ErrClosed
 	}
-	return wire, release, dials
+	return client, release, dials
 }
 
 // callAtOnce makes many calls to one peer and hands over how each ended.
-func callAtOnce(wire *TCP, count int, timeout clock.Duration) <-chan error {
+func callAtOnce(client *TCP, count int, timeout clock.Duration) <-chan error {
 	ended := make(chan error, count)
 	for range count {
 		go func() {
-			_, err := wire.Call("there", messages.KindShuffle, nil, timeout)
+			_, err := client.Call("there", messages.KindShuffle, nil, timeout)
 			ended <- err
 		}()
 	}
@@ -35,10 +35,10 @@
 
 // A peer that is out of reach holds no caller past its span, however many call it.
 func TestCallersDoNotQueueForDials(t *testing.T) {
-	wire, release, dials := dialling()
+	client, release, dials := dialling()
 	defer close(release)
 	const callers = 20
-	ended := callAtOnce(wire, callers, clock.Milliseconds(50))
+	ended := callAtOnce(client, callers, clock.Milliseconds(50))
 	for range callers {
 		// The dial never ends before them.
 		if err := <-ended; !errs.Is(err, ErrUnreachable) {
--- a/internal/platform/transport/everybyte_test.go
+++ b/internal/platform/transport/everybyte_test.go
@@ -48,18 +48,18 @@
 // is worked on once at most, is never told as unreached where it was worked on, and each
 // answer is that of its own call.
 func TestFaultAtEveryByteOfAFrame(t *testing.T) {
-	for _, trouble := range faultrelay.Faults() {
+	for _, fault := range faultrelay.Faults() {
 		for i := 0; i < 2*frameLength; i++ {
-			struck := faultrelay.Strike{Fault: trouble, Response: i >= frameLength, At: i % frameLength}
-			t.Run(fmt.Sprint(trouble, struck.Response, struck.At), func(t *testing.T) {
+			strike := faultrelay.Strike{Fault: fault, Response: i >= frameLength, At: i % frameLength}
+			t.Run(fmt.Sprint(fault, strike.Response, strike.At), func(t *testing.T) {
 				t.Parallel()
-				playFrames(t, struck)
+				playFrames(t, strike)
 			})
 		}
 	}
 }
 
-func playFrames(t *testing.T, struck faultrelay.Strike) {
+func playFrames(t *testing.T, strike faultrelay.Strike) {
 	t.Helper()
 
 	server := newLedger(t, "127.0.0.1:0", "one")
@@ -80,7 +80,7 @@
 		}
 	}
 	call("rest")
-	relay.Arm(&struck)
+	relay.Arm(&strike)
 	var group sync.WaitGroup
 	for _, body := range []string{"left", "right"} {
 		group.Add(1)
--- a/internal/platform/transport/memory.go
+++ b/internal/platform/transport/memory.go
@@ -33,7 +33,7 @@
 
 // Transport gives the transport that serves at an address.
 func (r *MemoryNetwork) Transport(address string) *Memory {
-	return &Memory{network: r, own: address, meter: r.meter(address)}
+	return &Memory{network: r, ownAddress: address, meter: r.meter(address)}
 }
 
 // meter gives the meter of an address: it counts on when a process there starts anew.
@@ -48,9 +48,9 @@
 
 // Memory is a transport in memory.
 type Memory struct {
-	network *MemoryNetwork
-	own     string
-	meter   *Meter
+	network    *MemoryNetwork
+	ownAddress string
+	meter      *Meter
 }
 
 // Meter counts what this process sends and receives.
@@ -60,10 +60,10 @@
 func (t *Memory) Serve(handler Handler) error {
 	t.network.lock.Lock()
 	defer t.network.lock.Unlock()
-	if t.network.handlers[t.own] != nil {
-		return ErrUnreachable.New("address taken: " + t.own)
+	if t.network.handlers[t.ownAddress] != nil {
+		return ErrUnreachable.New("address taken: " + t.ownAddress)
 	}
-	t.network.handlers[t.own] = handler
+	t.network.handlers[t.ownAddress] = handler
 	return nil
 }
 
@@ -83,12 +83,12 @@
 	}
 	answered := make(chan result, 1)
 	other := t.network.meter(address)
-	other.received(kind, t.own, len(body))
-	t.network.observe(t.own, address, kind, false, body)
+	other.received(kind, t.ownAddress, len(body))
+	t.network.observe(t.ownAddress, address, kind, false, body)
 	go func() {
 		resp, err := handler(kind, body)
-		other.sent(kind, t.own, len(resp))
-		t.network.observe(address, t.own, kind, true, resp)
+		other.sent(kind, t.ownAddress, len(resp))
+		t.network.observe(address, t.ownAddress, kind, true, resp)
 		answered <- result{resp, err}
 	}()
 	timer := clock.NewTimer(timeout)
@@ -108,13 +108,13 @@
 func (t *Memory) handlerAt(address string) (handler Handler, partitioned bool) {
 	t.network.lock.Lock()
 	defer t.network.lock.Unlock()
-	return t.network.handlers[address], t.network.partitioned[address] || t.network.partitioned[t.own]
+	return t.network.handlers[address], t.network.partitioned[address] || t.network.partitioned[t.ownAddress]
 }
 
 // Close takes the handler off the network.
 func (t *Memory) Close() {
 	t.network.lock.Lock()
 	defer t.network.lock.Unlock()
-	delete(t.network.handlers, t.own)
-	delete(t.network.asyncHandlers, t.own)
+	delete(t.network.handlers, t.ownAddress)
+	delete(t.network.asyncHandlers, t.ownAddress)
 }
--- a/internal/platform/transport/meter.go
+++ b/internal/platform/transport/meter.go
@@ -17,10 +17,10 @@
 	LocalityUnknown Locality = iota
 	LocalitySameZone
 	LocalityOtherZone
-	localities
+	localityCount
 )
 
-var localityNames = [localities]string{"unknown", "own-zone", "other-zone"}
+var localityNames = [localityCount]string{"unknown", "own-zone", "other-zone"}
 
 // String names a locality in reports.
 func (p Locality) String() string { return localityNames[p] }
@@ -45,12 +45,12 @@
 type Meter struct {
 	lock  sync.Mutex
 	hosts map[string]Locality
-	flows map[messages.Kind]*[localities]Flow
+	flows map[messages.Kind]*[localityCount]Flow
 }
 
 // NewMeter makes a meter that knows of no host yet.
 func NewMeter() *Meter {
-	return &Meter{hosts: map[string]Locality{}, flows: map[messages.Kind]*[localities]Flow{}}
+	return &Meter{hosts: map[string]Locality{}, flows: map[messages.Kind]*[localityCount]Flow{}}
 }
 
 func hostOf(address string) string {
@@ -72,12 +72,12 @@
 }
 
 func (m *Meter) flow(kind messages.Kind, address string) *Flow {
-	found := m.flows[kind]
-	if found == nil {
-		found = &[localities]Flow{}
-		m.flows[kind] = found
+	flows := m.flows[kind]
+	if flows == nil {
+		flows = &[localityCount]Flow{}
+		m.flows[kind] = flows
 	}
-	return &found[m.hosts[hostOf(address)]]
+	return &flows[m.hosts[hostOf(address)]]
 }
 
 func (m *Meter) sent(kind messages.Kind, address string, body int) {
@@ -107,22 +107,22 @@
 func (m *Meter) Samples() []FlowSample {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	var readings []FlowSample
+	var samples []FlowSample
 	for kind, flows := range m.flows {
 		for i, flow := range flows {
 			if flow != (Flow{}) {
-				readings = append(readings, FlowSample{Kind: kind, Locality: Locality(i), Flow: flow})
+				samples = append(samples, FlowSample{Kind: kind, Locality: Locality(i), Flow: flow})
 			}
 		}
 	}
-	sort.Slice(readings, func(left, right int) bool {
-		sample, other := readings[left], readings[right]
+	sort.Slice(samples, func(left, right int) bool {
+		sample, other := samples[left], samples[right]
 		if sample.Sent.Bytes != other.Sent.Bytes {
 			return sample.Sent.Bytes > other.Sent.Bytes
 		}
 		return sample.Kind < other.Kind || (sample.Kind == other.Kind && sample.Locality < other.Locality)
 	})
-	return readings
+	return samples
 }
 
 // Total sums the samples of a locality; LocalityUnknown sums all.
--- a/internal/platform/transport/meter_test.go
+++ b/internal/platform/transport/meter_test.go
@@ -37,9 +37,9 @@
 		if got := client.(transport.Metered).Meter().Total(transport.LocalitySameZone); got != want {
 			t.Fatalf("%s: client counted %+v", name, got)
 		}
-		readings := client.(transport.Metered).Meter().Samples()
-		if len(readings) != 1 || readings[0].Kind != messages.KindGossip || readings[0].Locality != transport.LocalitySameZone {
-			t.Fatalf("%s: %+v", name, readings)
+		samples := client.(transport.Metered).Meter().Samples()
+		if len(samples) != 1 || samples[0].Kind != messages.KindGossip || samples[0].Locality != transport.LocalitySameZone {
+			t.Fatalf("%s: %+v", name, samples)
 		}
 		resp := transport.Flow{Sent: want.Received, Received: want.Sent}
 		if got := server.(transport.Metered).Meter().Total(transport.LocalityUnknown); got != resp {
--- a/internal/platform/transport/notify.go
+++ b/internal/platform/transport/notify.go
@@ -19,8 +19,8 @@
 	if err != nil {
 		return ErrMalformed.Wrap(err, "message can't be written")
 	}
-	if teller, able := transport.(Notifier); able {
-		return teller.Notify(address, kind, body)
+	if notifier, able := transport.(Notifier); able {
+		return notifier.Notify(address, kind, body)
 	}
 	_, err = transport.Call(address, kind, body, constants.CallTimeout)
 	return err
@@ -35,8 +35,8 @@
 	if err != nil {
 		return err
 	}
-	notified := frame{frameType: frameNotification, kind: kind, body: body}
-	return peer.write(current, &notified, end, nil)
+	outgoing := frame{frameType: frameNotification, kind: kind, body: body}
+	return peer.write(current, &outgoing, end, nil)
 }
 
 // Notify runs the other side's handler; whatever it answers is dropped.
@@ -46,9 +46,9 @@
 		return ErrUnreachable.New(address)
 	}
 	t.meter.sent(kind, address, len(body))
-	t.network.observe(t.own, address, kind, false, body)
+	t.network.observe(t.ownAddress, address, kind, false, body)
 	if !partitioned {
-		t.network.meter(address).received(kind, t.own, len(body))
+		t.network.meter(address).received(kind, t.ownAddress, len(body))
 		go func() { _, _ = handler(kind, body) }()
 	}
 	return nil
--- a/internal/platform/transport/notify_test.go
+++ b/internal/platform/transport/notify_test.go
@@ -16,26 +16,26 @@
 
 	server, address := make()
 	defer server.Close()
-	received := newReceived()
+	deliveries := newReceived()
 	err := server.Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
 		if kind == messages.KindGossip {
-			received <- string(body)
+			deliveries <- string(body)
 		}
 		return []byte("answer"), nil
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	client, nobody := make()
+	client, unusedAddress := make()
 	defer client.Close()
-	teller := client.(transport.Notifier)
-	if err = teller.Notify(address, messages.KindGossip, []byte("word")); err != nil {
+	notifier := client.(transport.Notifier)
+	if err = notifier.Notify(address, messages.KindGossip, []byte("word")); err != nil {
 		t.Fatal(err)
 	}
 	select {
-	case word := <-received:
-		if word != "word" {
-			t.Fatal(word)
+	case notification := <-deliveries:
+		if notification != "word" {
+			t.Fatal(notification)
 		}
 	case <-clock.After(enough):
 		t.Fatal("what was told never arrived")
@@ -44,7 +44,7 @@
 	if resp, err := client.Call(address, messages.KindShuffle, nil, enough); err != nil || string(resp) != "answer" {
 		t.Fatalf("%q %v", resp, err)
 	}
-	if err = teller.Notify(nobody, messages.KindGossip, nil); !errs.Is(err, transport.ErrUnreachable) {
+	if err = notifier.Notify(unusedAddress, messages.KindGossip, nil); !errs.Is(err, transport.ErrUnreachable) {
 		t.Fatalf("told nobody: %v", err)
 	}
 }
@@ -74,12 +74,12 @@
 func TestNotifyAsACall(t *testing.T) {
 	network := transport.NewMemoryNetwork()
 	server := network.Transport("a")
-	received := newReceived()
+	deliveries := newReceived()
 	_ = server.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
-		received <- "called"
+		deliveries <- "called"
 		return []byte{}, nil
 	})
-	if err := transport.Notify(plain{network.Transport("b")}, "a", messages.KindGossip, &messages.Ack{}); err != nil || len(received) != 1 {
-		t.Fatal(err, len(received))
+	if err := transport.Notify(plain{network.Transport("b")}, "a", messages.KindGossip, &messages.Ack{}); err != nil || len(deliveries) != 1 {
+		t.Fatal(err, len(deliveries))
 	}
 }
--- a/internal/platform/transport/peer.go
+++ b/internal/platform/transport/peer.go
@@ -73,24 +73,24 @@
 		p.dialing = &dialAttempt{done: make(chan struct{})}
 		go p.open(p.dialing)
 	}
-	waited := p.dialing
+	attempt := p.dialing
 	p.lock.Unlock()
 	timer := clock.NewTimer(end.Sub(clock.Now()))
 	defer timer.Stop()
 	select {
-	case <-waited.done:
-		return waited.conn, waited.err
+	case <-attempt.done:
+		return attempt.conn, attempt.err
 	case <-timer.C:
 		return nil, ErrUnreachable.New(p.address + " not dialled in time")
 	}
 }
 
 // open dials and tells all who wait.
-func (p *peer) open(under *dialAttempt) {
+func (p *peer) open(attempt *dialAttempt) {
 	connection, err := p.transport.dial(p.address)
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	defer close(under.done)
+	defer close(attempt.done)
 	p.dialing = nil
 	if err == nil && p.closed {
 		connection.Close()
@@ -98,13 +98,13 @@
 	}
 	if err != nil {
 		p.lastFailure = clock.Now()
-		under.err = ErrUnreachable.Wrap(err, p.address)
+		attempt.err = ErrUnreachable.Wrap(err, p.address)
 		return
 	}
 	p.lastFailure = 0
-	under.conn = &peerConn{conn: connection, pending: map[uint64]pendingCall{}, lastReceived: clock.Now()}
-	p.current = under.conn
-	go p.readLoop(under.conn)
+	attempt.conn = &peerConn{conn: connection, pending: map[uint64]pendingCall{}, lastReceived: clock.Now()}
+	p.current = attempt.conn
+	go p.readLoop(attempt.conn)
 }
 
 func (p *peer) readLoop(current *peerConn) {
@@ -131,15 +131,15 @@
 	if resp.frameType != frameResponse && resp.frameType != frameRejected {
 		return true
 	}
-	waiting, known := l.pending[resp.number]
+	call, known := l.pending[resp.number]
 	if !known {
 		return true
 	}
-	if waiting.kind != resp.kind {
+	if call.kind != resp.kind {
 		return false
 	}
 	delete(l.pending, resp.number)
-	waiting.response <- resp
+	call.response <- resp
 	return true
 }
 
@@ -157,26 +157,26 @@
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	l.dead = true
-	for number, waiting := range l.pending {
-		close(waiting.response)
+	for number, call := range l.pending {
+		close(call.response)
 		delete(l.pending, number)
 	}
 }
 
 // register notes a call whose answer is waited for; false where the connection has ended.
-func (l *peerConn) register(number uint64, waiting pendingCall) bool {
+func (l *peerConn) register(number uint64, call pendingCall) bool {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	if l.dead {
 		return false
 	}
-	l.pending[number] = waiting
+	l.pending[number] = call
 	return true
 }
 
 // withdraw ends the wait of a call that gives up, and tells whether nothing at all came
 // on the connection since an instant.
-func (l *peerConn) withdraw(number uint64, since clock.Instant) (partitioned bool) {
+func (l *peerConn) withdraw(number uint64, since clock.Instant) (silent bool) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	delete(l.pending, number)
@@ -211,15 +211,15 @@
 		return nil, err
 	}
 	sentAt := clock.Now()
-	waiting := pendingCall{kind: req.kind, response: make(chan frame, 1)}
-	err = p.write(current, &req, end, func(number uint64) bool { return current.register(number, waiting) })
+	pending := pendingCall{kind: req.kind, response: make(chan frame, 1)}
+	err = p.write(current, &req, end, func(number uint64) bool { return current.register(number, pending) })
 	if err != nil {
 		return nil, err
 	}
 	timer := clock.NewTimer(end.Sub(clock.Now()))
 	defer timer.Stop()
 	select {
-	case resp, open := <-waiting.response:
+	case resp, open := <-pending.response:
 		if !open {
 			return nil, ErrTimeout.New(p.address + " broke off")
 		}
--- a/internal/platform/transport/peer_test.go
+++ b/internal/platform/transport/peer_test.go
@@ -49,8 +49,8 @@
 // the receiver would take the next frame for the missing part.
 func TestNothingFollowsHalfAFrame(t *testing.T) {
 	raw := &halfWriter{}
-	wire := NewTCP("")
-	peer := wire.peer("there")
+	client := NewTCP("")
+	peer := client.peer("there")
 	current := &peerConn{conn: raw, pending: map[uint64]pendingCall{}}
 	peer.current = current
 	end := clock.Now().Add(clock.Milliseconds(60_000))
@@ -76,8 +76,8 @@
 // A call whose time is over before its turn to write is never sent, and says so.
 func TestLateCallIsNotSent(t *testing.T) {
 	raw := &halfWriter{}
-	wire := NewTCP("")
-	peer := wire.peer("there")
+	client := NewTCP("")
+	peer := client.peer("there")
 	err := peer.write(&peerConn{conn: raw}, &frame{frameType: frameRequest}, clock.Now()-1, nil)
 	if !errs.Is(err, ErrUnreachable) || raw.writes != 0 {
 		t.Fatal(err, raw.writes)
@@ -109,16 +109,16 @@
 // not number their calls in order, and are served as they come.
 func TestDoubledCallIsWorkedOnOnce(t *testing.T) {
 	for version, want := range map[byte][]uint64{orderedFrameVersion: {5, 9, 12}, 1: {5, 9, 9, 5, 12}} {
-		near, far := net.Pipe()
-		go NewTCP("").serveConnection(far, func(_ messages.Kind, body []byte) ([]byte, error) { return body, nil })
+		clientSide, serverSide := net.Pipe()
+		go NewTCP("").serveConnection(serverSide, func(_ messages.Kind, body []byte) ([]byte, error) { return body, nil })
 		go func() {
 			for _, number := range []uint64{5, 9, 9, 5, 12} {
 				text := appendFrame(nil, frame{frameType: frameRequest, kind: messages.KindShuffle, number: number, body: []byte("body")})
 				text[1] = version
-				_, _ = near.Write(text)
+				_, _ = clientSide.Write(text)
 			}
 		}()
-		got, responses := map[uint64]int{}, bufio.NewReader(near)
+		got, responses := map[uint64]int{}, bufio.NewReader(clientSide)
 		for range want {
 			resp, err := readFrame(responses)
 			if err != nil {
@@ -134,6 +134,6 @@
 				t.Errorf("version %d: call %d was worked on %d times too often", version, number, surplus)
 			}
 		}
-		near.Close()
+		clientSide.Close()
 	}
 }
--- a/internal/platform/transport/tcp.go
+++ b/internal/platform/transport/tcp.go
@@ -34,14 +34,14 @@
 
 // TCP is the transport over TCP.
 type TCP struct {
-	own      string
-	meter    *Meter
-	lock     sync.Mutex
-	peers    map[string]*peer
-	listener net.Listener
-	number   atomic.Uint64
-	unknown  atomic.Int64
-	closed   bool
+	ownAddress    string
+	meter         *Meter
+	lock          sync.Mutex
+	peers         map[string]*peer
+	listener      net.Listener
+	number        atomic.Uint64
+	unknownFrames atomic.Int64
+	closed        bool
 	// accepted are the connections of callers, which end with this incarnation.
 	accepted map[net.Conn]struct{}
 	// dial opens a connection to a peer.
@@ -50,10 +50,10 @@
 
 // NewTCP makes a transport that listens on its own address when it serves.
 func NewTCP(own string) *TCP {
-	wire := &TCP{own: own, meter: NewMeter(), peers: map[string]*peer{}, accepted: map[net.Conn]struct{}{}, dial: dialPeer}
+	w := &TCP{ownAddress: own, meter: NewMeter(), peers: map[string]*peer{}, accepted: map[net.Conn]struct{}{}, dial: dialPeer}
 	// The upper half names this incarnation: no number of an earlier one comes again.
-	wire.number.Store(uint64(rand.Uint32()) << incarnationShift)
-	return wire
+	w.number.Store(uint64(rand.Uint32()) << incarnationShift)
+	return w
 }
 
 // incarnationShift leaves the lower half of a call's number for counting.
@@ -63,13 +63,13 @@
 func (w *TCP) Meter() *Meter { return w.meter }
 
 // Unknown counts frames of unknown kinds that were skipped.
-func (w *TCP) Unknown() int64 { return w.unknown.Load() }
+func (w *TCP) UnknownFrames() int64 { return w.unknownFrames.Load() }
 
 // Serve listens and hands calls to the handler.
 func (w *TCP) Serve(handler Handler) error {
-	listener, err := net.Listen("tcp4", w.own)
+	listener, err := net.Listen("tcp4", w.ownAddress)
 	if err != nil {
-		return ErrUnreachable.Wrap(err, "can't listen on "+w.own)
+		return ErrUnreachable.Wrap(err, "can't listen on "+w.ownAddress)
 	}
 	w.lock.Lock()
 	w.listener = listener
@@ -142,20 +142,20 @@
 		if f.frameType == frameNotification {
 			go func() {
 				if body, err := handler(f.kind, f.body); err != nil || body == nil {
-					w.unknown.Add(1)
+					w.unknownFrames.Add(1)
 				}
 			}()
 			continue
 		}
 		if f.frameType != frameRequest {
-			w.unknown.Add(1)
+			w.unknownFrames.Add(1)
 			continue
 		}
 		go func() {
 			body, err := handler(f.kind, f.body)
 			resp := frame{frameType: frameResponse, kind: f.kind, number: f.number, body: body}
 			if err != nil || body == nil {
-				w.unknown.Add(1)
+				w.unknownFrames.Add(1)
 				resp.frameType, resp.body = frameRejected, nil
 			}
 			w.meter.sent(f.kind, caller, len(resp.body))
--- a/internal/platform/transport/transport_test.go
+++ b/internal/platform/transport/transport_test.go
@@ -136,8 +136,8 @@
 	defer connection.Close()
 	_, _ = connection.Write([]byte("this is no frame of ours at all"))
 	_ = connection.SetReadDeadline(clock.Deadline(enough))
-	var found [1]byte
-	if _, err = connection.Read(found[:]); err == nil {
+	var buffer [1]byte
+	if _, err = connection.Read(buffer[:]); err == nil {
 		t.Fatal("a damaged frame was answered")
 	}
 	client := transport.NewTCP("")
