--- a/internal/platform/process/main.go
+++ b/internal/platform/process/main.go
@@ -9,24 +9,25 @@
 	"lemonarch/internal/platform/settings"
 )
 
-// Process is what a program runs.
+// Process is the implementation of one daemon.
 type Process interface {
-	// Run serves until Shutdown was called or it can't go on.
+	// Run serves until Shutdown is called, or returns the error that prevents it from serving.
 	Run() error
-	// Shutdown stops in order.
+	// Shutdown stops the process gracefully.
 	Shutdown()
 }
 
-// Exit codes of the daemons.
+// The exit codes of the daemons.
 const (
 	exitOK       = 0
 	exitFailed   = 1
 	exitSettings = 2
 )
 
-// Main is the thin part that all daemons share: settings, signals, exit codes.
+// Main is the main function of all daemons: it reads the settings, handles signals and sets the exit
+// code. make creates the daemon's process.
 func Main(name string, make func(nodeSettings *settings.Settings, log hclog.Logger) (Process, error)) {
-	// First of all: until it is caught, a SIGHUP ends the process.
+	// Done first, because a SIGHUP that is not caught ends the process.
 	received := catchSignals()
 	nodeSettings, err := settings.Load()
 	if err != nil {
@@ -51,6 +52,7 @@
 		log.Error("process failed", "err", err.Error())
 		os.Exit(exitFailed)
 	}
-	// Run returns as soon as the listener closes; Shutdown still ends what is under way.
+	// Run returns as soon as the listener closes, while Shutdown still finishes requests in flight;
+	// the signal handler exits after it.
 	select {}
 }
--- a/internal/platform/process/runtime.go
+++ b/internal/platform/process/runtime.go
@@ -1,7 +1,6 @@
-// Package process is the runtime that every process of ours stands on: its settings, its
-// transport with the handlers of requests, its log, its status reports, and its incarnation from
-// start to shutdown. It knows nothing of other processes: package agent adds what a
-// process knows of the fleet.
+// Package process is the runtime of every lemonarch process: its settings, its transport with the
+// request handlers, its log, its status reports, and its incarnation from start to shutdown. It
+// has no knowledge of other processes; package agent adds what a process knows about the fleet.
 package process
 
 import (
@@ -21,21 +20,21 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// ErrUnavailable is the error of a process that can't do what it was asked.
-var ErrUnavailable = errs.Define("process unable")
+// ErrUnavailable means that the process can't perform a requested operation.
+var ErrUnavailable = errs.Define("process unavailable")
 
-// Runtime is what one process runs on. Its exported fields are set before Start and only
-// read after it.
+// Runtime is the runtime of one process. Its exported fields are set before Start and only read
+// after it.
 type Runtime struct {
 	Settings *settings.Settings
-	// Self is how this process is known to others.
+	// Self describes this process to others.
 	Self      messages.NodeInfo
 	Transport transport.Transport
 	Log       hclog.Logger
-	// StartedAt is when this incarnation began: who has just started knows too little of the
-	// others to judge them.
+	// StartedAt is when this incarnation began. A process that has just started knows too little
+	// about the others to judge whether they have failed.
 	StartedAt clock.Instant
-	// Stop is closed by Shutdown; loops end with it.
+	// Stop is closed by Shutdown; background loops end when it closes.
 	Stop chan struct{}
 
 	handlers map[messages.Kind]handler
@@ -44,17 +43,18 @@
 	shutdown sync.Once
 }
 
-// handler serves one kind of request, encoded.
+// handler serves one kind of request; the request and the response are encoded.
 type handler func(body []byte) ([]byte, error)
 
-// Prepare sets the limits that the machine gives, before anything is allocated.
+// Prepare applies the machine's resource limits to the Go runtime. It runs before anything is
+// allocated.
 func Prepare(nodeSettings *settings.Settings) {
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(constants.CollectPercent)
 	debug.SetMemoryLimit(nodeSettings.Limits.MemoryShare(constants.MemoryShare))
 }
 
-// NewLog makes the log: one line of key=value pairs for each event.
+// NewLog returns the logger, which writes one line of key=value pairs for each event.
 func NewLog(name string) hclog.Logger {
 	level := hclog.Info
 	if os.Getenv("LEMONARCH_LOG") == "debug" {
@@ -63,8 +63,8 @@
 	return hclog.New(&hclog.LoggerOptions{Name: name, Level: level, Output: os.Stdout, DisableTime: true})
 }
 
-// New makes the runtime of a process of a role. port is the offset of the role's internal
-// port, disk the identity of the process's disk, empty where it has none.
+// New returns the runtime of a process with a role. port is the offset of the role's internal
+// port, disk the identity of the process's disk, empty if it has none.
 func New(nodeSettings *settings.Settings, role string, port int, disk string, log hclog.Logger) *Runtime {
 	self := messages.NodeInfo{Name: nodeSettings.NodeName, Incarnation: clock.WallNanos(), Role: role, Zone: nodeSettings.Zone,
 		Address: nodeSettings.InternalAddress(nodeSettings.Address, port), Disk: disk}
@@ -75,9 +75,9 @@
 	return r
 }
 
-// Handle registers who serves a kind of request: the request is decoded and the response
-// encoded here. A later registration replaces an earlier one. It panics after Start, since
-// requests are dispatched without a lock.
+// Handle registers the function that serves a kind of request. The registered handler decodes the
+// request and encodes the response. A later registration replaces an earlier one. Handle panics after
+// Start, since requests are dispatched without a lock.
 func Handle[Request, Response any, RequestPointer interface {
 	*Request
 	transport.Unmarshaler
@@ -101,8 +101,8 @@
 	}
 }
 
-// Dispatch serves one request. The kinds of later versions have no handler; nil without an
-// error has the transport count them as unknown.
+// Dispatch serves one request. Kinds introduced by later versions have no handler here; for those
+// Dispatch returns nil without an error, which the transport counts as an unknown frame.
 func (r *Runtime) Dispatch(kind messages.Kind, body []byte) ([]byte, error) {
 	serve := r.handlers[kind]
 	if serve == nil {
@@ -111,7 +111,7 @@
 	return serve(body)
 }
 
-// Start serves requests and begins the loops.
+// Start begins to serve requests and starts the background loops.
 func (r *Runtime) Start() error {
 	r.started.Store(true)
 	if err := r.Transport.Serve(r.Dispatch); err != nil {
@@ -121,5 +121,5 @@
 	return nil
 }
 
-// Shutdown stops the loops.
+// Shutdown stops the background loops by closing Stop.
 func (r *Runtime) Shutdown() { r.shutdown.Do(func() { close(r.Stop) }) }
--- a/internal/platform/process/signals.go
+++ b/internal/platform/process/signals.go
@@ -10,14 +10,15 @@
 	"lemonarch/internal/platform/settings"
 )
 
-// signals holds what the platform tells a process, each kind in a channel of its own:
-// repeats join into one, and many reloads can't push a termination out.
+// signals contains the channels of the signals that a process handles. Each kind has its own
+// channel of capacity one: repeated signals are merged, and many reloads can't displace a
+// termination.
 type signals struct {
 	terminate chan os.Signal
 	reload    chan os.Signal
 }
 
-// catchSignals begins to catch the signals that a process heeds.
+// catchSignals starts to catch the signals that a process handles.
 func catchSignals() signals {
 	received := signals{terminate: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
 	signal.Notify(received.terminate, syscall.SIGTERM, syscall.SIGINT)
@@ -25,11 +26,12 @@
 	return received
 }
 
-// newStarted makes the channel on which Main hands over the process once it is made.
+// newStarted returns the channel on which Main passes the process to the signal handler once it is
+// created.
 func newStarted() chan Process { return make(chan Process, 1) }
 
-// leaveOnSignal waits for a termination and stops the process in order. One that is
-// still being made has taken nothing on yet and is left as it is.
+// shutDownOnSignal waits for a termination signal and shuts the process down gracefully. A process
+// that is still being created has accepted no work yet and needs no shutdown.
 func shutDownOnSignal(terminate <-chan os.Signal, started <-chan Process, log hclog.Logger) {
 	received := <-terminate
 	log.Info("shutting down", "signal", received.String())
@@ -40,9 +42,9 @@
 	}
 }
 
-// checkOnReload checks the settings file at each reload and logs the result in one
-// line. Settings are read at the start only: sockets, limits and sets are built from
-// them, so a valid change holds from the next start and nothing under way is cut.
+// checkOnReload checks the settings file at each reload signal and logs the result in one line.
+// Settings are applied at the start only: sockets, limits and sets are created from them, so a
+// valid change takes effect at the next start and interrupts nothing in progress.
 func checkOnReload(reload <-chan os.Signal, load func() (*settings.Settings, error), log hclog.Logger) {
 	for range reload {
 		if _, err := load(); err != nil {
--- a/internal/platform/process/status.go
+++ b/internal/platform/process/status.go
@@ -7,8 +7,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Report registers the answer to a status query of the shell. Reports only read, and are
-// short; a later registration replaces an earlier one.
+// Report registers the function that responds to a status query of the shell. A report must only
+// read state, and must be short. A later registration replaces an earlier one.
 func (r *Runtime) Report(query string, report func() *messages.StatusResponse) {
 	r.reports[query] = report
 }
@@ -22,7 +22,7 @@
 		resp.Rows = filterByZone(resp, req.Zone)
 	}
 	if len(resp.Rows) > constants.StatusRows {
-		// A bounded response costs a node little; the last row says how many are left out.
+		// A bounded response costs a node little; the last row contains the number of omitted rows.
 		omitted := len(resp.Rows) - constants.StatusRows
 		resp.Rows = resp.Rows[:constants.StatusRows]
 		more := make([]string, len(resp.Columns))
@@ -32,7 +32,7 @@
 	return resp, nil
 }
 
-// ofZone keeps the rows that name a zone in their column of that name.
+// filterByZone returns the rows whose column "zone" equals zone.
 func filterByZone(status *messages.StatusResponse, zone string) [][]string {
 	var matching [][]string
 	for i, column := range status.Columns {
--- a/internal/platform/process/traffic.go
+++ b/internal/platform/process/traffic.go
@@ -11,7 +11,7 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// meter gives the transport's counters; a transport without any counts nothing.
+// meter returns the transport's meter, or an empty one if the transport has none.
 func (r *Runtime) meter() *transport.Meter {
 	if metered, ok := r.Transport.(transport.Metered); ok {
 		return metered.Meter()
@@ -19,7 +19,8 @@
 	return transport.NewMeter()
 }
 
-// RecordLocalities tells the traffic counters which hosts are in this process's zone.
+// RecordLocalities records in the traffic meter which hosts are in this process's zone. Nodes without
+// a zone are ignored.
 func (r *Runtime) RecordLocalities(nodes []messages.NodeInfo) {
 	meter := r.meter()
 	for _, node := range nodes {
@@ -29,7 +30,8 @@
 	}
 }
 
-// reportTraffic lists what was sent and received since the start, the busiest first.
+// reportTraffic lists the traffic since the start by kind and locality, ordered by bytes sent, largest
+// first.
 func (r *Runtime) reportTraffic() *messages.StatusResponse {
 	status := &messages.StatusResponse{Columns: []string{"kind", "place", "sent", "sent-bytes", "received", "received-bytes", "life-s"}}
 	ageSeconds := strconv.FormatInt((clock.WallNanos()-r.Self.Incarnation)/1_000_000_000, 10)
@@ -41,7 +43,7 @@
 	return status
 }
 
-// LogTraffic writes the counters as one line, with a pair for each kind and locality.
+// LogTraffic logs the counters in one line, with a key=value pair for each kind and locality.
 func (r *Runtime) LogTraffic(level hclog.Level) {
 	values := []any{"life-ms", (clock.WallNanos() - r.Self.Incarnation) / 1_000_000}
 	for _, sample := range r.meter().Samples() {
@@ -51,14 +53,14 @@
 	r.Log.Log(level, "traffic sent", values...)
 }
 
-// logTrafficPeriodically logs the counters at debug level, for measurements.
+// logTrafficPeriodically logs the counters each TrafficPeriod if debug logging is on, for measurements.
 func (r *Runtime) logTrafficPeriodically() {
 	if r.Log.IsDebug() {
 		clock.Every(constants.TrafficPeriod, r.Stop, func() { r.LogTraffic(hclog.Debug) })
 	}
 }
 
-// UnknownFrames is how many frames of unknown kinds were skipped since the start.
+// UnknownFrames returns how many frames of unknown types or kinds were skipped since the start.
 func (r *Runtime) UnknownFrames() int64 {
 	if tcp, ok := r.Transport.(*transport.TCP); ok {
 		return tcp.UnknownFrames()
--- a/internal/platform/recordlog/format.go
+++ b/internal/platform/recordlog/format.go
@@ -5,15 +5,16 @@
 	"hash/crc32"
 )
 
-// A record is a head of two words, big-endian, and its body. The first word holds
-// the length of the body and two flags, the second a checksum of the first word and
-// the body. Records that older versions wrote have no flags, and a checksum of the
-// body alone.
+// A record is a header of two big-endian 32-bit words, followed by the body. The first
+// word contains the length of the body and two flags, the second a checksum of the first
+// word and the body. Records written by older versions have no flags, and their checksum
+// covers the body alone.
 const (
 	headerBytes = 8
-	// checksumsHeader hashes a record whose checksum covers its first word.
+	// checksumsHeader marks a record whose checksum covers its first word.
 	checksumsHeader = 1 << 31
-	// provesPrefix hashes a record before which everything was synced when it was written.
+	// provesPrefix marks a record that was written when everything before it in the file was
+	// synced.
 	provesPrefix = 1 << 30
 
 	lengthMask = provesPrefix - 1
@@ -21,7 +22,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// appendRecord appends a record to a text.
+// appendRecord appends an encoded record to data; proof sets provesPrefix.
 func appendRecord(data, body []byte, proof bool) []byte {
 	lengthAndFlags := uint32(len(body)) | checksumsHeader
 	if proof {
@@ -41,12 +42,12 @@
 	return crc32.Update(crc32.Checksum(word[:], castagnoli), castagnoli, body)
 }
 
-// bodyLength reads the length of the body from a head.
+// bodyLength returns the length of the body from a record header.
 func bodyLength(head []byte) int64 { return int64(binary.BigEndian.Uint32(head) & lengthMask) }
 
-// parseRecord reads the record at the beginning of a text. Proof says that what
-// stands before it was synced; an older version's record says so too, since it may
-// have been.
+// parseRecord decodes the record at the beginning of data; complete is false if there is no
+// complete valid record. proof reports that everything before the record was synced. It is
+// also true for a record of an older version, since what precedes that may have been synced.
 func parseRecord(data []byte) (body []byte, proof, complete bool) {
 	if len(data) < headerBytes {
 		return nil, false, false
@@ -62,9 +63,9 @@
 	return body, first&checksumsHeader == 0 || first&provesPrefix != 0, true
 }
 
-// findProofAfter looks for a complete record which shows that what stands before it was
-// synced. Of what no sync has covered, any part may be missing while a later one is
-// there; only what was synced can have been damaged.
+// findProofAfter searches from offset for a complete record which proves that everything before
+// it was synced. Any part of the data that no sync has covered may be missing while a later part
+// is present, so an invalid record counts as damage only if it was synced.
 func findProofAfter(data []byte, offset int64) (int64, bool) {
 	for ; offset+headerBytes < int64(len(data)); offset++ {
 		if _, proof, complete := parseRecord(data[offset:]); complete && proof {
--- a/internal/platform/recordlog/memorydisk.go
+++ b/internal/platform/recordlog/memorydisk.go
@@ -6,17 +6,17 @@
 	"sync"
 )
 
-// MemoryDisk is a folder in memory, for a process on a machine without a disk: what it holds
-// ends with the process, as if the disk came back empty each time.
+// MemoryDisk is a Disk in memory, for a process on a machine without a disk. Its files are lost when
+// the process ends, as if the disk were empty at each start.
 type MemoryDisk struct {
 	lock  sync.Mutex
 	files map[string]*memoryFile
 }
 
-// NewMemoryDisk makes an empty one.
+// NewMemoryDisk returns a disk without files.
 func NewMemoryDisk() *MemoryDisk { return &MemoryDisk{files: map[string]*memoryFile{}} }
 
-// Open opens a file, making it where it is missing.
+// Open opens a file and creates it if it is missing.
 func (f *MemoryDisk) Open(name string) (File, error) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -26,7 +26,7 @@
 	return f.files[name], nil
 }
 
-// Rename replaces one file by another.
+// Rename renames a file and replaces a file of the new name.
 func (f *MemoryDisk) Rename(from, to string) error {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// Remove forgets a file.
+// Remove removes a file.
 func (f *MemoryDisk) Remove(name string) error {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// SyncDirectory has nothing to do.
+// SyncDirectory does nothing: file names in memory need no sync.
 func (f *MemoryDisk) SyncDirectory() error { return nil }
 
 type memoryFile struct {
@@ -55,7 +55,7 @@
 	text []byte
 }
 
-// Write appends.
+// Write appends to the file.
 func (f *memoryFile) Write(text []byte) (int, error) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -63,7 +63,7 @@
 	return len(text), nil
 }
 
-// ReadAt reads from an offset; io.EOF says that the file ends before.
+// ReadAt reads from an offset; it returns io.EOF if the file ends before the buffer is full.
 func (f *memoryFile) ReadAt(into []byte, offset int64) (int, error) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -77,10 +77,10 @@
 	return count, nil
 }
 
-// Sync has nothing to do.
+// Sync does nothing: data in memory needs no sync.
 func (f *memoryFile) Sync() error { return nil }
 
-// Truncate cuts the file where it is longer.
+// Truncate shortens the file to size if it is longer.
 func (f *memoryFile) Truncate(size int64) error {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -88,12 +88,12 @@
 	return nil
 }
 
-// Size is the length in bytes.
+// Size returns the length in bytes.
 func (f *memoryFile) Size() (int64, error) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	return int64(len(f.text)), nil
 }
 
-// Close has nothing to do: the file lasts as long as its disk.
+// Close does nothing: the file exists as long as its disk.
 func (f *memoryFile) Close() error { return nil }
--- a/internal/platform/recordlog/recordlog.go
+++ b/internal/platform/recordlog/recordlog.go
@@ -1,12 +1,12 @@
-// Package recordlog keeps records on disk: an append-only file of checksummed
-// records that is rewritten when it gets long. Disk is an interface so that tests
-// can lose, tear and reorder what was not synced.
+// Package recordlog stores records on disk, in an append-only file of checksummed records that is
+// rewritten when it becomes long. Disk is an interface so that tests can drop, tear and reorder
+// writes that were not synced.
 //
-// A record lasts once Sync has returned without an error after its Append, or
-// Rewrite has. A failed Append takes back its own records, a failed Sync all that
-// was appended since the last one that succeeded; after a restart they may be there
-// all the same. A failed Rewrite leaves the old records or the new ones. A Log
-// is for one goroutine at a time; it blocks for as long as its disk does.
+// A record is durable once a Sync after its Append, or a Rewrite that contains it, has returned
+// without an error. A failed Append discards its own records, and a failed Sync all records appended
+// since the last successful Sync; after a restart the discarded records may be present nevertheless.
+// A failed Rewrite leaves either the old records or the new ones. A Log must be used by one
+// goroutine at a time; its methods block for as long as the disk does.
 package recordlog
 
 import (
@@ -19,13 +19,13 @@
 	"lemonarch/internal/platform/errs"
 )
 
-// The errors of the store.
+// The errors of the record log.
 var (
-	// ErrCorrupt means a record that was complete once and no longer is.
-	ErrCorrupt = errs.Define("record damaged")
-	// ErrDisk means that the disk refused an operation.
-	ErrDisk = errs.Define("disk refused")
-	// ErrDiskFull means that the disk takes no more bytes; such an error is ErrDisk too.
+	// ErrCorrupt means that a record that was synced is no longer valid.
+	ErrCorrupt = errs.Define("corrupt record")
+	// ErrDisk means that a disk operation failed.
+	ErrDisk = errs.Define("disk operation failed")
+	// ErrDiskFull means that the disk has no space left; such an error is an ErrDisk too.
 	ErrDiskFull = errs.Define("disk full")
 )
 
@@ -39,13 +39,13 @@
 	Close() error
 }
 
-// Disk is a folder of files.
+// Disk is a directory of files.
 type Disk interface {
-	// Open opens a file for appending and reading, making it where it is missing.
+	// Open opens a file for appending and reading, and creates it if it is missing.
 	Open(name string) (File, error)
 	Rename(from, to string) error
 	Remove(name string) error
-	// SyncDirectory makes names last.
+	// SyncDirectory makes created, renamed and removed file names durable.
 	SyncDirectory() error
 }
 
@@ -54,19 +54,19 @@
 	disk Disk
 	name string
 	file File
-	// size is where the next record goes, and synced what the last sync covered.
+	// size is the offset of the next record, synced the size that the last successful sync covered.
 	size, synced int64
-	// pending is what was appended since that sync, in case it must be written again.
+	// pending is what was appended since that sync, in case it has to be written again.
 	pending []byte
-	// tailDirty says that the file may hold something else behind synced.
+	// tailDirty means that the bytes of the file after synced may differ from pending.
 	tailDirty bool
-	// unlinked says that a rewrite failed at its rename or later: the open file may
-	// have lost its name, and what is written to it would be lost with it.
+	// unlinked means that a rewrite failed at its rename or later: the open file may no longer
+	// have a name, in which case everything written to it would be lost.
 	unlinked bool
 }
 
-// Open reads all complete records, in order, and cuts a torn tail. What it has read
-// lasts, also if the process that wrote it was killed before its sync.
+// Open opens a log, passes all complete records to each in order, and truncates a torn tail. The
+// records it has read are durable when it returns, even if their writer was killed before its sync.
 func Open(disk Disk, name string, each func(offset int64, body []byte) error) (*Log, error) {
 	file, err := disk.Open(name)
 	if err != nil {
@@ -74,7 +74,7 @@
 	}
 	logfile := &Log{disk: disk, name: name, file: file}
 	if err = logfile.recover(each); err != nil {
-		// Nothing was written that the close could lose.
+		// An error of Close can be ignored, since nothing was written.
 		_ = file.Close()
 		return nil, err
 	}
@@ -85,14 +85,14 @@
 	if err := l.removeUnfinishedRewrite(); err != nil {
 		return err
 	}
-	// The name of a new file lasts only once its folder is synced.
+	// The name of a new file is durable only after its directory is synced.
 	if err := l.disk.SyncDirectory(); err != nil {
-		return diskError(err, "sync folder of "+l.name)
+		return diskError(err, "sync directory of "+l.name)
 	}
 	return l.replay(each)
 }
 
-// removeUnfinished takes away what a rewrite that was interrupted has left.
+// removeUnfinishedRewrite removes the file that an interrupted rewrite may have left.
 func (l *Log) removeUnfinishedRewrite() error {
 	newName := l.name + rewriteSuffix
 	if err := l.disk.Remove(newName); err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -111,7 +111,7 @@
 		body, _, complete := parseRecord(data[offset:])
 		if !complete {
 			if later, found := findProofAfter(data, offset+1); found {
-				return ErrCorrupt.New(fmt.Sprintf("file %s at byte %d, which was synced before the record at %d", l.name, offset, later))
+				return ErrCorrupt.New(fmt.Sprintf("file %s at byte %d, which was synced before the record at byte %d was written", l.name, offset, later))
 			}
 			break
 		}
@@ -128,7 +128,7 @@
 func (l *Log) readAll() ([]byte, error) {
 	length, err := l.file.Size()
 	if err != nil {
-		return nil, diskError(err, "size of "+l.name)
+		return nil, diskError(err, "get size of "+l.name)
 	}
 	data := make([]byte, length)
 	if length == 0 {
@@ -140,12 +140,12 @@
 	return data, nil
 }
 
-// Append writes records without syncing and gives their offsets.
+// Append writes records without syncing and returns their offsets.
 func (l *Log) Append(bodies ...[]byte) ([]int64, error) {
 	return l.write(bodies, false)
 }
 
-// write appends records; proof says that all of them prove what stands before them.
+// write appends records and returns their offsets; proof marks each of them with provesPrefix.
 func (l *Log) write(bodies [][]byte, proof bool) ([]int64, error) {
 	if err := l.repairTail(); err != nil {
 		return nil, err
@@ -154,7 +154,7 @@
 	offsets := make([]int64, 0, len(bodies))
 	for _, body := range bodies {
 		if len(body) == 0 || len(body) > lengthMask {
-			return nil, ErrDisk.New(fmt.Sprintf("record of %d bytes for %s", len(body), l.name))
+			return nil, ErrDisk.New(fmt.Sprintf("invalid record length of %d bytes for %s", len(body), l.name))
 		}
 		offset := l.size + int64(len(data))
 		offsets = append(offsets, offset)
@@ -168,7 +168,7 @@
 	l.size += int64(len(data))
 	switch {
 	case proof:
-		// A file that fails while it is filled is given up as a whole.
+		// If a rewrite fails its replacement file is discarded, so its records are not kept.
 	case len(l.pending) == 0:
 		l.pending = data
 	default:
@@ -177,7 +177,7 @@
 	return offsets, nil
 }
 
-// Sync makes all that was appended last.
+// Sync makes all appended records durable.
 func (l *Log) Sync() error {
 	err := l.repairTail()
 	if err == nil {
@@ -191,19 +191,19 @@
 	return nil
 }
 
-// repairTail puts the file right after a refused operation: what no sync has covered is
-// cut and written again, since the system may have dropped it without telling later
-// syncs. It is synced before anything follows it, so that nothing that was cut can
-// come back between later records.
+// repairTail restores the file after a failed operation. It truncates the part that no sync has covered
+// and writes it again, since the system may have dropped that part without reporting an error to later
+// syncs. It syncs before anything else is appended, so that truncated data can't reappear between
+// later records.
 func (l *Log) repairTail() error {
 	if l.unlinked {
-		return ErrDisk.New("a rewrite of " + l.name + " failed: its file may have no name")
+		return ErrDisk.New("a rewrite of " + l.name + " failed: the open file may have no name")
 	}
 	if !l.tailDirty {
 		return nil
 	}
 	if err := l.file.Truncate(l.synced); err != nil {
-		return diskError(err, "cut tail of "+l.name)
+		return diskError(err, "truncate tail of "+l.name)
 	}
 	if len(l.pending) > 0 {
 		if _, err := l.file.Write(l.pending); err != nil {
@@ -217,7 +217,7 @@
 	return nil
 }
 
-// ReadAt reads the record that starts at an offset.
+// ReadAt returns the body of the record that starts at an offset.
 func (l *Log) ReadAt(offset int64) ([]byte, error) {
 	var head [headerBytes]byte
 	if _, err := l.file.ReadAt(head[:], offset); err != nil {
@@ -234,13 +234,13 @@
 	return body, nil
 }
 
-// Size gives the length of the file.
+// Size returns the length of the file in bytes.
 func (l *Log) Size() int64 { return l.size }
 
 // Close closes the file.
 func (l *Log) Close() error { return l.file.Close() }
 
-// diskError types an error of the disk.
+// diskError wraps an error of the disk as ErrDisk, and as ErrDiskFull if no space is left.
 func diskError(err error, operation string) error {
 	if errors.Is(err, syscall.ENOSPC) {
 		err = ErrDiskFull.Wrap(err, "no space left")
--- a/internal/platform/recordlog/rewrite.go
+++ b/internal/platform/recordlog/rewrite.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// rewriteBatch is how many bytes a rewrite writes at once.
+	// rewriteBatch is the size in bytes after which a rewrite writes its batch of records.
 	rewriteBatch = 1 << 20
-	// rewriteSuffix names the file that a rewrite fills.
+	// rewriteSuffix is the file name suffix of the replacement file of a rewrite.
 	rewriteSuffix = ".new"
 )
 
-// Rewrite replaces the file by one that holds just the records that next gives:
-// a new file, synced, renamed over the old one, and the folder synced. After an
-// error the old records can still be read; if the rename may have been done,
+// Rewrite replaces the file by one that contains only the records returned by next, and returns
+// their offsets. It writes and syncs a new file, renames it over the old one and syncs the
+// directory. After an error the old records can still be read; if the rename may have happened,
 // nothing can be appended until a rewrite succeeds.
 func (l *Log) Rewrite(next func() ([]byte, bool, error)) ([]int64, error) {
 	if err := l.removeUnfinishedRewrite(); err != nil {
@@ -32,33 +32,33 @@
 		err = l.replaceBy(newName)
 	}
 	if err != nil {
-		// The file is given up as it is.
+		// The replacement file is discarded, so an error of Close can be ignored.
 		_ = file.Close()
 		if !l.unlinked {
-			// Its bytes are space that the disk may need.
+			// Free its space on the disk.
 			_ = l.disk.Remove(newName)
 		}
 		return nil, err
 	}
-	// What the old file held is in the new one, which is synced.
+	// An error of Close can be ignored: the records are in the new file, which is synced.
 	_ = l.file.Close()
 	l.file, l.size, l.synced = file, replacement.size, replacement.synced
 	l.pending, l.tailDirty, l.unlinked = nil, false, false
 	return offsets, nil
 }
 
-// replaceBy lets a new file take the name of this one.
+// replaceBy renames a new file to the name of this one.
 func (l *Log) replaceBy(newName string) error {
-	// Also an operation that was refused may have been done.
+	// Set before the rename: an operation that returned an error may have been executed.
 	l.unlinked = true
 	if err := l.disk.Rename(newName, l.name); err != nil {
 		return diskError(err, "rename "+newName)
 	}
-	return diskError(l.disk.SyncDirectory(), "sync folder of "+l.name)
+	return diskError(l.disk.SyncDirectory(), "sync directory of "+l.name)
 }
 
-// fill writes all records that next gives and syncs them. The file has no name that
-// is read before all of it is synced, so that each record proves those before it.
+// fill writes all records returned by next and syncs them. The file gets the name that Open reads
+// only after all of it is synced, so each record can be marked as proof of those before it.
 func (l *Log) fill(next func() ([]byte, bool, error)) ([]int64, error) {
 	var offsets []int64
 	var batch [][]byte
@@ -86,7 +86,7 @@
 	}
 }
 
-// Records gives a list of bodies to Rewrite.
+// Records returns the function next of Rewrite for a list of bodies.
 func Records(bodies ...[]byte) func() ([]byte, bool, error) {
 	return func() ([]byte, bool, error) {
 		if len(bodies) == 0 {
@@ -98,12 +98,12 @@
 	}
 }
 
-// Directory is a real folder as a Disk.
+// Directory is a Disk in a directory of the file system, named by its path.
 type Directory string
 
 type osFile struct{ *os.File }
 
-// Size is the length in bytes.
+// Size returns the length in bytes.
 func (r osFile) Size() (int64, error) {
 	info, err := r.Stat()
 	if err != nil {
@@ -112,7 +112,7 @@
 	return info.Size(), nil
 }
 
-// Open opens a file for appending and reading.
+// Open opens a file for appending and reading, and creates it if it is missing.
 func (f Directory) Open(name string) (File, error) {
 	file, err := os.OpenFile(filepath.Join(string(f), name), os.O_RDWR|os.O_CREATE|os.O_APPEND, 0o644)
 	if err != nil {
@@ -121,17 +121,17 @@
 	return osFile{file}, nil
 }
 
-// Rename gives a file another name.
+// Rename renames a file and replaces a file of the new name.
 func (f Directory) Rename(from, to string) error {
 	return os.Rename(filepath.Join(string(f), from), filepath.Join(string(f), to))
 }
 
-// Remove takes a file away.
+// Remove removes a file.
 func (f Directory) Remove(name string) error {
 	return os.Remove(filepath.Join(string(f), name))
 }
 
-// SyncDirectory makes names last.
+// SyncDirectory makes created, renamed and removed file names durable.
 func (f Directory) SyncDirectory() error {
 	handle, err := os.Open(string(f))
 	if err != nil {
--- a/internal/platform/settings/golden_test.go
+++ b/internal/platform/settings/golden_test.go
@@ -8,8 +8,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// TestGoldenSettings reads a file that sets every key, and writes the same bytes again: the
-// names of the keys are the operators'.
+// TestGoldenSettings parses a file that sets every key and checks that encoding the result yields the
+// same bytes: operators' files use these keys, so their names must not change.
 func TestGoldenSettings(t *testing.T) {
 	golden, err := os.ReadFile("testdata/settings.toml")
 	if err != nil {
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -12,13 +12,13 @@
 	"lemonarch/internal/platform/errs"
 )
 
-// Variable names the variable that holds the path of the settings file.
+// Variable is the name of the environment variable with the path of the settings file.
 const Variable = "LEMONARCH_SETTINGS"
 
-// ErrInvalid is the kind of every settings error.
+// ErrInvalid is the kind of all errors of this package.
 var ErrInvalid = errs.Define("settings")
 
-// Settings is what a process is told at its start. Unknown fields are ignored.
+// Settings is the configuration that a process reads at its start. Unknown fields are ignored.
 type Settings struct {
 	NodeName      string            `toml:"node-name"`
 	Role          string            `toml:"role"`
@@ -40,28 +40,29 @@
 	Tolerances    Tolerances        `toml:"tolerances"`
 }
 
-// Bind holds the addresses of what the role serves.
+// Bind lists the addresses on which the process listens for the services of its role.
 type Bind struct {
 	Ingress   string `toml:"ingress"`
 	Readiness string `toml:"readiness"`
 	Control   string `toml:"control"`
 }
 
-// Limits holds what the machine gives the process.
+// Limits lists the resources of the machine that the process may use.
 type Limits struct {
 	MemoryMB    int `toml:"memory-mb"`
 	FileHandles int `toml:"file-handles"`
 	DiskMB      int `toml:"disk-mb"`
 }
 
-// FaultBudget says what may be lost at once.
+// FaultBudget is how many machines, zones and regions may fail at the same time.
 type FaultBudget struct {
 	Machines int `toml:"machines"`
 	Zones    int `toml:"zones"`
 	Regions  int `toml:"regions"`
 }
 
-// Tolerances holds the figures of the rules.
+// Tolerances lists the time limits and tolerances that the rules of operation refer to. The
+// suffixes Ms and S are the units.
 type Tolerances struct {
 	DrainMs        float64 `toml:"drain-ms"`
 	GraceS         float64 `toml:"grace-s"`
@@ -75,7 +76,7 @@
 	QuotaOvershoot float64 `toml:"quota-overshoot"`
 }
 
-// Load reads the file that the variable names and checks it.
+// Load reads and checks the settings file named by the environment variable Variable.
 func Load() (*Settings, error) {
 	path := os.Getenv(Variable)
 	if path == "" {
@@ -100,13 +101,13 @@
 		return nil, ErrInvalid.Wrap(err, "not readable as TOML")
 	}
 	if findings := nodeSettings.Check(); len(findings) > 0 {
-		// One clear line: the first finding is named, the rest through check.
+		// The error has one line and names only the first finding; Check lists all of them.
 		return nodeSettings, ErrInvalid.New(findings[0])
 	}
 	return nodeSettings, nil
 }
 
-// Check lists every missing field and every senseless value.
+// Check returns a finding for every missing field and every invalid value.
 func (s *Settings) Check() []string {
 	var findings []string
 	require := func(condition bool, finding string) {
@@ -135,7 +136,7 @@
 			require(addressValid(s.Bind.Ingress), "bind-addresses.ingress is missing or no address")
 			require(addressValid(s.Bind.Readiness), "bind-addresses.readiness is missing or no address")
 		case "controller":
-			// Without data-dir it answers calls and has no vote.
+			// Without data-dir a controller serves calls but has no vote, so data-dir is optional.
 			require(addressValid(s.Bind.Control), "bind-addresses.control is missing or no address")
 		case "storage":
 			require(s.DataDir != "", "data-dir is missing")
@@ -153,12 +154,13 @@
 	return err == nil && number > 0 && number < 65536
 }
 
-// InternalAddress gives the address of a role's internal port on a machine.
+// InternalAddress returns the address of a role's internal port on a host; offset is the role's offset
+// from the first internal port.
 func (s *Settings) InternalAddress(host string, offset int) string {
 	return net.JoinHostPort(host, strconv.Itoa(s.InternalPorts[0]+offset))
 }
 
-// SeedAddresses gives the internal addresses of the controllers named as seeds.
+// SeedAddresses returns the internal addresses of the controllers listed as seeds.
 func (s *Settings) SeedAddresses(offset int) []string {
 	var addresses []string
 	for _, seed := range s.Seeds {
@@ -170,24 +172,24 @@
 	return addresses
 }
 
-// MemoryShare is a part of the memory that the machine gives, in bytes.
+// MemoryShare returns a share, from 0 to 1, of the memory limit in bytes.
 func (l Limits) MemoryShare(share float64) int64 {
 	return int64(share * float64(l.MemoryMB) * (1 << 20))
 }
 
-// Budget gives how many members of a set may be lost at once.
+// Budget returns how many members of a set may fail at the same time.
 func (s *Settings) Budget() int {
 	budget := s.FaultBudget
-	// A set's members stand in different zones, so a lost zone loses one of them.
+	// The members of a set are in different zones, so the loss of a zone affects one of them.
 	return max(budget.Machines, budget.Zones, budget.Regions)
 }
 
-// Grace is the time between SIGTERM and SIGKILL.
+// Grace returns the time between SIGTERM and SIGKILL.
 func (s *Settings) Grace() clock.Duration {
 	return clock.Milliseconds(s.Tolerances.GraceS * 1000)
 }
 
-// Heartbeat is the usual time between two heartbeats of a worker.
+// Heartbeat returns the usual interval between two heartbeats of a worker.
 func (s *Settings) Heartbeat() clock.Duration {
 	return clock.Milliseconds(s.HeartbeatMs)
 }
--- a/internal/platform/transport/async.go
+++ b/internal/platform/transport/async.go
@@ -5,9 +5,9 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// ObservedFrame is one frame as a network saw it pass: a call, the answer to one, or what nobody
-// answers. Bytes are those that the wire would carry, head included; what TCP and IP
-// add is not in it.
+// ObservedFrame describes one frame sent over a MemoryNetwork: a request, a response or a
+// notification. Bytes is its encoded length as on a TCP connection, frame header included, without
+// the overhead of TCP and IP.
 type ObservedFrame struct {
 	From, To string
 	Kind     messages.Kind
@@ -15,37 +15,39 @@
 	Bytes    int
 }
 
-// Clock runs a function after a duration: the simulated world of tests and hollow fleets.
+// Clock runs a function after a duration. The simulated clocks of tests and hollow fleets implement
+// it.
 type Clock interface {
 	After(timeout clock.Duration, function func())
 }
 
-// Environment is what a simulated network needs: a clock, how long a frame is under way
-// between two addresses, and whether it arrives at all.
+// Environment is the configuration of a simulated network: its clock, the delay of a frame between
+// two addresses, and whether a frame between them arrives at all.
 type Environment struct {
 	Clock     Clock
 	Delay     func(from, to string) clock.Duration
 	Reachable func(from, to string) bool
 }
 
-// AsyncHandler answers a call on the simulated clock, at once or later; reply is run once.
+// AsyncHandler handles a call on the simulated clock. It calls reply exactly once, immediately or
+// later.
 type AsyncHandler func(kind messages.Kind, body []byte, reply func([]byte, error))
 
-// OnFrame names who is told of every frame; it must not block.
+// OnFrame sets the function that is called for every frame; it must not block.
 func (r *MemoryNetwork) OnFrame(observer func(ObservedFrame)) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.onFrame = observer
 }
 
-// Simulate gives the network an environment, which CallAsync and NotifyAsync need.
+// Simulate sets the environment of the network, which CallAsync and NotifyAsync require.
 func (r *MemoryNetwork) Simulate(environment Environment) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.environment = environment
 }
 
-// observe tells of a frame with a body.
+// observe reports a frame to the function set by OnFrame.
 func (r *MemoryNetwork) observe(from, to string, kind messages.Kind, resp bool, body []byte) {
 	r.lock.Lock()
 	observer := r.onFrame
@@ -55,18 +57,19 @@
 	}
 }
 
-// ServeAsync registers who answers what is sent to this address by CallAsync, instead of Serve.
+// ServeAsync registers the handler for CallAsync and NotifyAsync to this address, in place of Serve.
 func (t *Memory) ServeAsync(handler AsyncHandler) error {
 	t.network.lock.Lock()
 	defer t.network.lock.Unlock()
 	if t.network.handlers[t.ownAddress] != nil || t.network.asyncHandlers[t.ownAddress] != nil {
-		return ErrUnreachable.New("address taken: " + t.ownAddress)
+		return ErrUnreachable.New("address already in use: " + t.ownAddress)
 	}
 	t.network.asyncHandlers[t.ownAddress] = handler
 	return nil
 }
 
-// asyncHandlerAt gives who answers at an address, nil where nobody does.
+// asyncHandlerAt returns the handler registered at an address, by Serve or ServeAsync, or nil if there
+// is none.
 func (t *Memory) asyncHandlerAt(address string) (asyncHandler AsyncHandler, partitioned bool) {
 	handler, partitioned := t.handlerAt(address)
 	if handler != nil {
@@ -77,8 +80,9 @@
 	return t.network.asyncHandlers[address], partitioned
 }
 
-// CallAsync is Call on the simulated clock: nothing waits, then is run once with what came
-// of it. Like on the wire, a process that is not there is told apart from silence.
+// CallAsync is Call on the simulated clock: it does not block, and then is called once with the
+// result. As over TCP, an address without a process (ErrUnreachable) is distinguished from a missing
+// response (ErrTimeout).
 func (t *Memory) CallAsync(address string, kind messages.Kind, body []byte, timeout clock.Duration, then func([]byte, error)) {
 	network, own, environment, done := t.network, t.ownAddress, t.network.environment, false
 	complete := func(resp []byte, err error) {
@@ -87,9 +91,9 @@
 			then(resp, err)
 		}
 	}
-	// Most calls are answered in time: the clock is asked only for those that may not be.
+	// Most calls get their response in time, so a timer is set only for those that may not.
 	timeOut := func(elapsed clock.Duration) {
-		environment.Clock.After(max(0, timeout-elapsed), func() { complete(nil, ErrTimeout.New(address+" silent")) })
+		environment.Clock.After(max(0, timeout-elapsed), func() { complete(nil, ErrTimeout.New(address+" did not respond")) })
 	}
 	network.observe(own, address, kind, false, body)
 	requestDelay := environment.Delay(own, address)
@@ -130,7 +134,7 @@
 	})
 }
 
-// NotifyAsync is Notify on the simulated clock: one frame that nobody answers.
+// NotifyAsync is Notify on the simulated clock: it sends one frame that has no response.
 func (t *Memory) NotifyAsync(address string, kind messages.Kind, body []byte) {
 	network, own, environment := t.network, t.ownAddress, t.network.environment
 	network.observe(own, address, kind, false, body)
--- a/internal/platform/transport/deduplicator.go
+++ b/internal/platform/transport/deduplicator.go
@@ -7,13 +7,13 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// Deduplicator lets each numbered call through once. A frame may come twice, or long after
-// its sender was given a response to the first copy: a second copy that was worked
-// on would contradict that answer.
+// Deduplicator accepts each named call once. A frame may arrive twice, and the second copy may
+// arrive long after the sender received the response to the first one. Executing the second copy
+// would contradict that response.
 type Deduplicator struct {
 	lock     sync.Mutex
 	received map[string]bool
-	// order holds the names in order of arrival, so that old ones are forgotten.
+	// order lists the names in order of arrival, so that old ones can be dropped.
 	order []receivedRequest
 }
 
@@ -22,8 +22,8 @@
 	at   clock.Instant
 }
 
-// First tells whether a name comes for the first time. A call without a name is of
-// an older sender and always passes.
+// First reports whether a name is received for the first time within FrameLifetime. A call without a
+// name comes from a sender of an older version and is always accepted.
 func (o *Deduplicator) First(name string, now clock.Instant) bool {
 	if name == "" {
 		return true
--- a/internal/platform/transport/frame.go
+++ b/internal/platform/transport/frame.go
@@ -9,7 +9,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// The frame header: magic byte, version, sort, kind, number of the call, length of the body.
+// The frame header: magic byte, version, frame type, kind, number of the call, length of the body.
 const (
 	headerBytes       = 1 + 1 + 1 + 2 + 8 + 4
 	frameMagic        = 0xA7
@@ -19,8 +19,8 @@
 	frameNotification = 4
 )
 
-// orderedFrameVersion is the first version of senders that number their calls in the order in
-// which they are written on a connection.
+// orderedFrameVersion is the first frame version whose senders number calls in the order in which
+// they write them to a connection.
 const orderedFrameVersion = 2
 
 type frame struct {
@@ -45,9 +45,10 @@
 		return frame{}, err
 	}
 	length := binary.BigEndian.Uint32(head[13:])
-	// A wrong magic byte or a senseless length can't be read past: the connection ends.
+	// After a wrong magic byte or an invalid length the next frame can't be located, so the
+	// connection is closed.
 	if head[0] != frameMagic || length > constants.FrameLimit {
-		return frame{}, ErrMalformed.New("head")
+		return frame{}, ErrMalformed.New("invalid header")
 	}
 	f := frame{
 		version:   head[1],
--- a/internal/platform/transport/memory.go
+++ b/internal/platform/transport/memory.go
@@ -7,36 +7,36 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// MemoryNetwork joins in-memory transports, in tests and hollow fleets.
+// MemoryNetwork connects in-memory transports in tests and hollow fleets.
 type MemoryNetwork struct {
 	lock        sync.Mutex
 	handlers    map[string]Handler
 	partitioned map[string]bool
-	// onFrame is told of every frame; environment is what CallAsync and NotifyAsync work in.
+	// onFrame is called for every frame; environment configures CallAsync and NotifyAsync.
 	onFrame       func(ObservedFrame)
 	environment   Environment
 	meters        map[string]*Meter
 	asyncHandlers map[string]AsyncHandler
 }
 
-// NewMemoryNetwork makes an empty network.
+// NewMemoryNetwork returns an empty network.
 func NewMemoryNetwork() *MemoryNetwork {
 	return &MemoryNetwork{handlers: map[string]Handler{}, partitioned: map[string]bool{}, meters: map[string]*Meter{}, asyncHandlers: map[string]AsyncHandler{}}
 }
 
-// SetPartitioned cuts an address off or ends that.
+// SetPartitioned starts or ends the partition of an address from all others.
 func (r *MemoryNetwork) SetPartitioned(address string, partitioned bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.partitioned[address] = partitioned
 }
 
-// Transport gives the transport that serves at an address.
+// Transport returns a transport with the given address.
 func (r *MemoryNetwork) Transport(address string) *Memory {
 	return &Memory{network: r, ownAddress: address, meter: r.meter(address)}
 }
 
-// meter gives the meter of an address: it counts on when a process there starts anew.
+// meter returns the meter of an address. It keeps its counts when the process at the address restarts.
 func (r *MemoryNetwork) meter(address string) *Meter {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -46,28 +46,28 @@
 	return r.meters[address]
 }
 
-// Memory is a transport in memory.
+// Memory is the in-memory Transport.
 type Memory struct {
 	network    *MemoryNetwork
 	ownAddress string
 	meter      *Meter
 }
 
-// Meter counts what this process sends and receives.
+// Meter returns the meter of the traffic that this process sends and receives.
 func (t *Memory) Meter() *Meter { return t.meter }
 
-// Serve registers the handler.
+// Serve registers the handler for calls to this address.
 func (t *Memory) Serve(handler Handler) error {
 	t.network.lock.Lock()
 	defer t.network.lock.Unlock()
 	if t.network.handlers[t.ownAddress] != nil {
-		return ErrUnreachable.New("address taken: " + t.ownAddress)
+		return ErrUnreachable.New("address already in use: " + t.ownAddress)
 	}
 	t.network.handlers[t.ownAddress] = handler
 	return nil
 }
 
-// Call runs the other side's handler at once.
+// Call runs the handler of the called address and waits for its response until the timeout.
 func (t *Memory) Call(address string, kind messages.Kind, body []byte, timeout clock.Duration) ([]byte, error) {
 	handler, partitioned := t.handlerAt(address)
 	if handler == nil {
@@ -75,7 +75,7 @@
 	}
 	t.meter.sent(kind, address, len(body))
 	if partitioned {
-		return nil, ErrTimeout.New(address + " silent")
+		return nil, ErrTimeout.New(address + " did not respond")
 	}
 	type result struct {
 		body []byte
@@ -101,7 +101,7 @@
 		}
 		return r.body, nil
 	case <-timer.C:
-		return nil, ErrTimeout.New(address + " silent")
+		return nil, ErrTimeout.New(address + " did not respond")
 	}
 }
 
@@ -111,7 +111,7 @@
 	return t.network.handlers[address], t.network.partitioned[address] || t.network.partitioned[t.ownAddress]
 }
 
-// Close takes the handler off the network.
+// Close removes the handlers of this address from the network.
 func (t *Memory) Close() {
 	t.network.lock.Lock()
 	defer t.network.lock.Unlock()
--- a/internal/platform/transport/meter.go
+++ b/internal/platform/transport/meter.go
@@ -8,12 +8,12 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Locality is where the other side of a message stands.
+// Locality is the location of the other side of a message relative to this process's zone.
 type Locality int
 
-// The localities.
+// The localities; localityCount is their number.
 const (
-	// LocalityUnknown: the caller has not said where that host stands.
+	// LocalityUnknown: SetLocality was not called for the host.
 	LocalityUnknown Locality = iota
 	LocalitySameZone
 	LocalityOtherZone
@@ -22,15 +22,15 @@
 
 var localityNames = [localityCount]string{"unknown", "own-zone", "other-zone"}
 
-// String names a locality in reports.
+// String returns the name of the locality in reports.
 func (p Locality) String() string { return localityNames[p] }
 
-// Count is a number of messages with their encoded bytes, heads included.
+// Count is a number of messages and of their encoded bytes, frame headers included.
 type Count struct {
 	Messages, Bytes int64
 }
 
-// Flow is what went both ways. Calls and their answers both count.
+// Flow counts the traffic in both directions. Requests and responses both count.
 type Flow struct {
 	Sent, Received Count
 }
@@ -40,15 +40,15 @@
 	Meter() *Meter
 }
 
-// Meter counts messages by kind and locality. What a process sends to itself counts
-// as its own zone's.
+// Meter counts messages by kind and locality. Messages that a process sends to itself count as its
+// own zone's.
 type Meter struct {
 	lock  sync.Mutex
 	hosts map[string]Locality
 	flows map[messages.Kind]*[localityCount]Flow
 }
 
-// NewMeter makes a meter that knows of no host yet.
+// NewMeter returns a meter without known host localities.
 func NewMeter() *Meter {
 	return &Meter{hosts: map[string]Locality{}, flows: map[messages.Kind]*[localityCount]Flow{}}
 }
@@ -60,7 +60,7 @@
 	return address
 }
 
-// SetLocality says whether the host of an address stands in the own zone.
+// SetLocality records whether the host of an address is in the own zone.
 func (m *Meter) SetLocality(address string, own bool) {
 	locality := LocalityOtherZone
 	if own {
@@ -96,14 +96,14 @@
 	flow.Received.Bytes += int64(headerBytes + body)
 }
 
-// FlowSample is one line of a meter.
+// FlowSample is the traffic of one kind and locality.
 type FlowSample struct {
 	Kind     messages.Kind
 	Locality Locality
 	Flow
 }
 
-// Samples gives what was counted since the start, the busiest first.
+// Samples returns the counts since the start, ordered by bytes sent, largest first.
 func (m *Meter) Samples() []FlowSample {
 	m.lock.Lock()
 	defer m.lock.Unlock()
@@ -125,7 +125,7 @@
 	return samples
 }
 
-// Total sums the samples of a locality; LocalityUnknown sums all.
+// Total returns the sum of the samples of a locality; LocalityUnknown sums those of all localities.
 func (m *Meter) Total(locality Locality) Flow {
 	var total Flow
 	for _, sample := range m.Samples() {
--- a/internal/platform/transport/notify.go
+++ b/internal/platform/transport/notify.go
@@ -6,18 +6,18 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Notifier is a transport that can also send what nobody answers.
+// Notifier is a transport that can also send notifications, which have no response.
 type Notifier interface {
-	// Notify sends a body one way. No error means only that it left.
+	// Notify sends a notification. A nil error means only that the frame was sent.
 	Notify(address string, kind messages.Kind, body []byte) error
 }
 
-// Notify sends a message one way where the transport can, and else as a call whose
-// answer nobody reads.
+// Notify sends a message as a notification if the transport is a Notifier, and otherwise as a call
+// whose response is ignored.
 func Notify(transport Transport, address string, kind messages.Kind, message Marshaler) error {
 	body, err := message.MarshalMsg(nil)
 	if err != nil {
-		return ErrMalformed.Wrap(err, "message can't be written")
+		return ErrMalformed.Wrap(err, "encode message")
 	}
 	if notifier, able := transport.(Notifier); able {
 		return notifier.Notify(address, kind, body)
@@ -26,8 +26,9 @@
 	return err
 }
 
-// Notify sends one frame that is not answered: half the messages, and no wake-up for
-// an answer. Versions that do not know its sort skip and count it.
+// Notify sends one frame that has no response: compared with a call this halves the messages and
+// saves waking the sender for a response. Versions that do not know this frame type skip and count
+// it.
 func (w *TCP) Notify(address string, kind messages.Kind, body []byte) error {
 	peer := w.peer(address)
 	end := clock.Now().Add(constants.DialTimeout)
@@ -39,7 +40,7 @@
 	return peer.write(current, &outgoing, end, nil)
 }
 
-// Notify runs the other side's handler; whatever it answers is dropped.
+// Notify runs the handler of the called address and discards its response.
 func (t *Memory) Notify(address string, kind messages.Kind, body []byte) error {
 	handler, partitioned := t.handlerAt(address)
 	if handler == nil {
--- a/internal/platform/transport/peer.go
+++ b/internal/platform/transport/peer.go
@@ -10,26 +10,26 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// peer is one other process and the connection to it.
+// peer is one remote process and the connection to it.
 type peer struct {
 	address   string
 	transport *TCP
 	lock      sync.Mutex
 	current   *peerConn
-	// dialing is the dial under way, if any.
+	// dialing is the dial in progress, nil if there is none.
 	dialing     *dialAttempt
 	lastFailure clock.Instant
 	closed      bool
 }
 
-// dialAttempt is one dial, whose outcome all who wait for it take.
+// dialAttempt is one dial; all callers that wait for it share its outcome.
 type dialAttempt struct {
 	done chan struct{}
 	conn *peerConn
 	err  error
 }
 
-// peerConn is one connection with the calls that wait on it.
+// peerConn is one connection and its pending calls.
 type peerConn struct {
 	conn         net.Conn
 	writing      sync.Mutex
@@ -39,7 +39,7 @@
 	dead         bool
 }
 
-// pendingCall is a call that waits for its answer.
+// pendingCall is a call that waits for its response.
 type pendingCall struct {
 	kind     messages.Kind
 	response chan frame
@@ -55,16 +55,16 @@
 	}
 }
 
-// connect gives the connection, and opens it where there is none. It waits until the end at
-// most, and never for a second dial: a peer that is out of reach would else hold its
-// callers for as many dials as there are of them.
+// connect returns the connection and opens it if there is none. It waits until end at most, and never
+// for a second dial: otherwise an unreachable peer would block its callers for as many dials as there
+// are callers.
 func (p *peer) connect(end clock.Instant) (*peerConn, error) {
 	p.lock.Lock()
 	if p.current != nil {
 		defer p.lock.Unlock()
 		return p.current, nil
 	}
-	// A peer that has just been out of reach is not dialled by every caller anew.
+	// After a failed dial the peer is not dialled again by every caller.
 	if p.lastFailure != 0 && clock.Now().Sub(p.lastFailure) < constants.StartBackoff/2 {
 		defer p.lock.Unlock()
 		return nil, ErrUnreachable.New(p.address)
@@ -81,11 +81,11 @@
 	case <-attempt.done:
 		return attempt.conn, attempt.err
 	case <-timer.C:
-		return nil, ErrUnreachable.New(p.address + " not dialled in time")
+		return nil, ErrUnreachable.New(p.address + ": dial timed out")
 	}
 }
 
-// open dials and tells all who wait.
+// open dials the peer and publishes the outcome to all callers that wait for the attempt.
 func (p *peer) open(attempt *dialAttempt) {
 	connection, err := p.transport.dial(p.address)
 	p.lock.Lock()
@@ -122,8 +122,9 @@
 	p.forget(current)
 }
 
-// deliver hands a response to the call that it names; what names none is nobody's. False
-// means that the connection can't be trusted any more.
+// deliver passes a response to the pending call with its number and ignores a response that matches
+// none. It returns false if the response's kind differs from the call's, since the connection's data
+// can't be trusted any more.
 func (l *peerConn) deliver(resp frame) bool {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -163,7 +164,7 @@
 	}
 }
 
-// register notes a call whose answer is waited for; false where the connection has ended.
+// register adds a pending call. It returns false if the connection is closed.
 func (l *peerConn) register(number uint64, call pendingCall) bool {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -174,8 +175,8 @@
 	return true
 }
 
-// withdraw ends the wait of a call that gives up, and tells whether nothing at all came
-// on the connection since an instant.
+// withdraw removes a pending call that timed out, and reports whether nothing at all was received on
+// the connection since an instant.
 func (l *peerConn) withdraw(number uint64, since clock.Instant) (silent bool) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -183,9 +184,10 @@
 	return l.lastReceived < since
 }
 
-// write numbers a frame and sends it, if its time is not over before its turn comes. The
-// receiver counts on rising numbers, so both happen under one lock. After a part of a
-// frame nothing may follow: the connection ends before the next writer's turn.
+// write numbers a frame and sends it, unless end passes while it waits for the lock. The receiver
+// relies on increasing numbers, so a frame is numbered and written under one lock. Nothing may be
+// written after a partial frame, so a failed write closes the connection before the next writer gets
+// the lock. before, if set, is called with the number before the write; false cancels the write.
 func (p *peer) write(current *peerConn, outgoing *frame, end clock.Instant, before func(number uint64) bool) error {
 	current.writing.Lock()
 	defer current.writing.Unlock()
@@ -203,7 +205,7 @@
 	return nil
 }
 
-// call sends a call and waits for its answer. Its timeout counts from here, dial included.
+// call sends a request and waits for the response. The timeout includes the dial.
 func (p *peer) call(req frame, timeout clock.Duration) ([]byte, error) {
 	end := clock.Now().Add(timeout)
 	current, err := p.connect(end)
@@ -221,7 +223,7 @@
 	select {
 	case resp, open := <-pending.response:
 		if !open {
-			return nil, ErrTimeout.New(p.address + " broke off")
+			return nil, ErrTimeout.New(p.address + ": connection closed before the response")
 		}
 		if resp.frameType != frameResponse {
 			return nil, ErrRejected.New(p.address)
@@ -229,10 +231,10 @@
 		return resp.body, nil
 	case <-timer.C:
 		if current.withdraw(req.number, sentAt) {
-			// Nothing at all came in this time: the connection may be cut, so the next
-			// call opens a new one.
+			// Nothing at all was received in this time, so the connection may be broken: the
+			// next call opens a new one.
 			p.forget(current)
 		}
-		return nil, ErrTimeout.New(p.address + " silent")
+		return nil, ErrTimeout.New(p.address + " did not respond")
 	}
 }
--- a/internal/platform/transport/tcp.go
+++ b/internal/platform/transport/tcp.go
@@ -13,15 +13,17 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// userTimeout is TCP_USER_TIMEOUT, which the syscall package does not name.
+// userTimeout is the socket option TCP_USER_TIMEOUT, which the syscall package does not define.
 const userTimeout = 0x12
 
-// Dial opens a connection whose silence under unacknowledged bytes is bounded.
+// Dial opens a TCP connection that the kernel closes if sent bytes stay unacknowledged for longer than
+// sinceContact.
 func Dial(address string, timeout, sinceContact clock.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1}
 	dialer.Control = func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(descriptor uintptr) {
-			// Behind a cut nothing comes back: the kernel gives up for us.
+			// If the network path is cut no packet comes back, and the kernel closes the connection
+			// at this timeout.
 			_ = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, userTimeout, int(sinceContact.Milliseconds()))
 		})
 	}
@@ -32,7 +34,7 @@
 	return Dial(address, constants.DialTimeout, constants.ConnectionTimeout)
 }
 
-// TCP is the transport over TCP.
+// TCP is the Transport over TCP.
 type TCP struct {
 	ownAddress    string
 	meter         *Meter
@@ -42,34 +44,35 @@
 	number        atomic.Uint64
 	unknownFrames atomic.Int64
 	closed        bool
-	// accepted are the connections of callers, which end with this incarnation.
+	// accepted lists the connections opened by callers; Close closes them.
 	accepted map[net.Conn]struct{}
 	// dial opens a connection to a peer.
 	dial func(address string) (net.Conn, error)
 }
 
-// NewTCP makes a transport that listens on its own address when it serves.
+// NewTCP returns a transport that listens on ownAddress once Serve is called.
 func NewTCP(own string) *TCP {
 	w := &TCP{ownAddress: own, meter: NewMeter(), peers: map[string]*peer{}, accepted: map[net.Conn]struct{}{}, dial: dialPeer}
-	// The upper half names this incarnation: no number of an earlier one comes again.
+	// The upper half is random and identifies this incarnation, so that call numbers of an earlier
+	// incarnation are not reused.
 	w.number.Store(uint64(rand.Uint32()) << incarnationShift)
 	return w
 }
 
-// incarnationShift leaves the lower half of a call's number for counting.
+// incarnationShift is the position of the incarnation in a call number; the lower half is a counter.
 const incarnationShift = 32
 
-// Meter counts what this process sends and receives.
+// Meter returns the meter of the traffic that this process sends and receives.
 func (w *TCP) Meter() *Meter { return w.meter }
 
-// Unknown counts frames of unknown kinds that were skipped.
+// UnknownFrames returns how many frames of unknown types or kinds were skipped.
 func (w *TCP) UnknownFrames() int64 { return w.unknownFrames.Load() }
 
-// Serve listens and hands calls to the handler.
+// Serve listens on the own address and passes calls to the handler.
 func (w *TCP) Serve(handler Handler) error {
 	listener, err := net.Listen("tcp4", w.ownAddress)
 	if err != nil {
-		return ErrUnreachable.Wrap(err, "can't listen on "+w.ownAddress)
+		return ErrUnreachable.Wrap(err, "listen on "+w.ownAddress)
 	}
 	w.lock.Lock()
 	w.listener = listener
@@ -84,7 +87,7 @@
 				if closed {
 					return
 				}
-				// Out of descriptors, say: wait a little rather than spin.
+				// For example, no file descriptor is left: wait instead of retrying in a busy loop.
 				clock.Sleep(constants.BackoffBase)
 				continue
 			}
@@ -94,14 +97,14 @@
 	return nil
 }
 
-// Address is where the transport listens, once it serves.
+// Address returns the address on which the transport listens. Serve must have been called.
 func (w *TCP) Address() string {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	return w.listener.Addr().String()
 }
 
-// admit notes a caller's connection; false once this incarnation is over.
+// admit registers a caller's connection. It returns false after Close.
 func (w *TCP) admit(connection net.Conn) bool {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -134,7 +137,7 @@
 			return
 		}
 		if f.version >= orderedFrameVersion && f.number <= last {
-			// A frame that came twice: its first copy was worked on.
+			// A duplicate: the first copy of this frame was already handled.
 			continue
 		}
 		last = f.number
@@ -169,7 +172,7 @@
 	}
 }
 
-// Call sends one call and waits.
+// Call sends a request and waits for the response.
 func (w *TCP) Call(address string, kind messages.Kind, body []byte, timeout clock.Duration) ([]byte, error) {
 	return w.peer(address).call(frame{frameType: frameRequest, kind: kind, body: body}, timeout)
 }
@@ -185,7 +188,7 @@
 	return p
 }
 
-// Close ends the listener and all connections.
+// Close closes the listener and all connections.
 func (w *TCP) Close() {
 	w.lock.Lock()
 	defer w.lock.Unlock()
--- a/internal/platform/transport/transport.go
+++ b/internal/platform/transport/transport.go
@@ -1,5 +1,5 @@
-// Package transport is the transport between our processes: msgp frames over TCP,
-// with an in-memory implementation for tests.
+// Package transport carries calls between lemonarch processes: msgp messages in frames over TCP, with
+// an in-memory implementation for tests and hollow fleets.
 package transport
 
 import (
@@ -10,44 +10,46 @@
 
 // The errors of the transport.
 var (
-	// ErrUnreachable means that the call certainly did not arrive.
-	ErrUnreachable = errs.Define("peer unreached")
-	// ErrTimeout means that it may have arrived.
-	ErrTimeout = errs.Define("peer unanswered")
-	// ErrRejected means that the peer does not know the call or could not read it.
-	ErrRejected = errs.Define("peer refused")
-	// ErrMalformed means bytes that are no frame.
-	ErrMalformed = errs.Define("frame damaged")
+	// ErrUnreachable means that the call was certainly not delivered.
+	ErrUnreachable = errs.Define("peer unreachable")
+	// ErrTimeout means that no response arrived; the call may have been delivered.
+	ErrTimeout = errs.Define("no response from peer")
+	// ErrRejected means that the peer does not know the call's kind or that its handler returned an
+	// error, for example for a body that it could not decode.
+	ErrRejected = errs.Define("peer rejected the call")
+	// ErrMalformed means that bytes could not be decoded as a frame or as a message.
+	ErrMalformed = errs.Define("malformed frame or message")
 )
 
-// Handler answers a call; a nil answer with no error means an unknown kind.
+// Handler handles a call and returns the response body; nil without an error means that the kind is
+// unknown.
 type Handler func(kind messages.Kind, body []byte) ([]byte, error)
 
-// Transport carries calls between processes.
+// Transport sends calls to other processes and serves those it receives.
 type Transport interface {
-	// Call sends a body and waits for the answer.
+	// Call sends a request with a body and waits for the body of the response until the timeout.
 	Call(address string, kind messages.Kind, body []byte, timeout clock.Duration) ([]byte, error)
-	// Serve hands calls that arrive at this process to the handler.
+	// Serve passes calls that arrive at this process to the handler. It does not block.
 	Serve(handler Handler) error
-	// Close ends it.
+	// Close stops serving and closes all connections.
 	Close()
 }
 
-// Marshaler is a message that can be written.
+// Marshaler is a message that can be encoded.
 type Marshaler interface {
 	MarshalMsg([]byte) ([]byte, error)
 }
 
-// Unmarshaler is a message that can be read.
+// Unmarshaler is a message that can be decoded.
 type Unmarshaler interface {
 	UnmarshalMsg([]byte) ([]byte, error)
 }
 
-// Call sends a message and reads the answer into another.
+// Call sends a message as a request and decodes the response into resp.
 func Call(transport Transport, address string, kind messages.Kind, req Marshaler, resp Unmarshaler, timeout clock.Duration) error {
 	body, err := req.MarshalMsg(nil)
 	if err != nil {
-		return ErrMalformed.Wrap(err, "question can't be written")
+		return ErrMalformed.Wrap(err, "encode request")
 	}
 	response, err := transport.Call(address, kind, body, timeout)
 	if err != nil {
@@ -60,7 +62,7 @@
 	return nil
 }
 
-// Decode turns the body of a call into a message.
+// Decode decodes the body of a request into a message.
 func Decode(body []byte, message Unmarshaler) error {
 	if _, err := message.UnmarshalMsg(body); err != nil {
 		return ErrMalformed.Wrap(err, "call can't be read")
@@ -68,7 +70,7 @@
 	return nil
 }
 
-// Encode turns a message into the body of an answer.
+// Encode encodes a message as the body of a response.
 func Encode(message Marshaler) ([]byte, error) {
 	return message.MarshalMsg(nil)
 }
