--- a/internal/platform/inbound/headscan_test.go
+++ b/internal/platform/inbound/headscan_test.go
@@ -10,8 +10,9 @@
 	"testing"
 )
 
-// However the bytes of a head are cut into reads, the same is seen.
-func TestHeadsAreSeenAtEveryCut(t *testing.T) {
+// TestHeadScanAtEverySplit feeds each head in two parts, split at every byte, and expects the same
+// result: the way a head is divided into reads must not change how it is parsed.
+func TestHeadScanAtEverySplit(t *testing.T) {
 	for _, test := range []struct {
 		head, body string
 		lines      int64
@@ -21,7 +22,7 @@
 		{"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", "0\r\n\r\n", 4, true},
 		{"POST /a HTTP/1.1\ntransfer-encoding: chunked\nCONTENT-LENGTH:3\n\n", "", 3, true},
 		{"\r\n\r\nGET /a HTTP/1.1\r\nHost: h\r\n\r\n", "", 2, false},
-		// In a body, and in values, the names count for nothing.
+		// The header names are ignored in a body and in the value of another header.
 		{"POST /a HTTP/1.1\r\nContent-Length: 30\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n", 2, false},
 		{"POST /a HTTP/1.1\r\nX: Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", "", 3, false},
 	} {
@@ -37,8 +38,9 @@
 	}
 }
 
-// A request whose body's end is told in two ways is refused, and what follows it on the connection
-// is not run (RFC 9112, 6.1).
+// TestAmbiguousRequestsAreRefused guards against request smuggling: a request that has both
+// Content-Length and Transfer-Encoding is rejected, and bytes that follow it on the connection are not
+// executed as another request (RFC 9112, 6.1).
 func TestAmbiguousRequestsAreRefused(t *testing.T) {
 	listener, _ := serve(t, 0, 1<<20)
 	inner := "POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nx"
@@ -50,9 +52,9 @@
 		want string
 	}{
 		"alone":                 {ambiguous, "[400]"},
-		"behind a sound one":    {inner + ambiguous, "[200 200]"},
-		"behind a chunked one":  {sound + ambiguous, "[200 200]"},
-		"sound ones, pipelined": {inner + inner + inner, "[200 200 200]"},
+		"after a valid one":     {inner + ambiguous, "[200 200]"},
+		"after a chunked one":   {sound + ambiguous, "[200 200]"},
+		"valid ones, pipelined": {inner + inner + inner, "[200 200 200]"},
 	} {
 		c := dial(t, listener)
 		c.send("%s", sent.text)
@@ -62,12 +64,12 @@
 			t.Error(name, err)
 		}
 		if got := fmt.Sprint(statuses(answers)); got != sent.want {
-			t.Errorf("%s: %s, not %s", name, got, sent.want)
+			t.Errorf("%s: got statuses %s, want %s", name, got, sent.want)
 		}
 	}
 }
 
-// statuses lists the answers on a connection.
+// statuses parses the responses received on a connection and returns their status codes.
 func statuses(text []byte) []int {
 	var list []int
 	reader := bufio.NewReader(bytes.NewReader(text))
@@ -82,8 +84,9 @@
 	}
 }
 
-// A chunked request after another on a kept connection is seen whole, and the connection goes on.
-func TestKeptConnectionsGoOn(t *testing.T) {
+// TestChunkedRequestsOnKeptConnection checks that the head of each chunked request on a keep-alive
+// connection is scanned completely; otherwise the server would close the connection.
+func TestChunkedRequestsOnKeptConnection(t *testing.T) {
 	listener, _ := serve(t, 0, 1<<20)
 	c := dial(t, listener)
 	for range 200 {
@@ -92,8 +95,9 @@
 	}
 }
 
-// A limit of heads holds from the next head on, longer or shorter, on kept connections too.
-func TestHeadLimitIsFollowed(t *testing.T) {
+// TestHeadLimitChange checks that a raised or lowered head limit applies from the next head on, also on
+// open connections.
+func TestHeadLimitChange(t *testing.T) {
 	listener, _ := serve(t, 0, 1<<20)
 	c := dial(t, listener)
 	statusFor := func(length int) int {
@@ -102,14 +106,14 @@
 	}
 	listener.SetHeadLimit(8 << 10)
 	if status := statusFor(8 << 10); status != http.StatusOK {
-		t.Error("a head inside the limit: ", status)
+		t.Error("head within the limit: got status ", status)
 	}
 	listener.SetHeadLimit(32 << 10)
 	if status := statusFor(30 << 10); status != http.StatusOK {
-		t.Error("a head inside the raised limit: ", status)
+		t.Error("head within the raised limit: got status ", status)
 	}
 	listener.SetHeadLimit(8 << 10)
 	if status := statusFor(30 << 10); status != http.StatusRequestHeaderFieldsTooLarge {
-		t.Error("a head over the lowered limit: ", status)
+		t.Error("head above the lowered limit: got status ", status)
 	}
 }
--- a/internal/platform/inbound/helpers_test.go
+++ b/internal/platform/inbound/helpers_test.go
@@ -14,11 +14,11 @@
 	"lemonarch/internal/platform/errs"
 )
 
-// bodyLimit is the longest body that the test's handler takes.
+// bodyLimit is the maximum body length that the test handler accepts.
 const bodyLimit = 256 << 10
 
-// serve starts a server whose handler reads the body and says how many bytes it had, or why it had
-// none. Paths below /unread don't read it.
+// serve starts a server whose handler reads the body and responds with its length, or with the status
+// for the error. For paths that start with /unread the handler doesn't read the body.
 func serve(t *testing.T, connections int, memory int64) (*Listener, *Memory) {
 	t.Helper()
 
@@ -48,7 +48,7 @@
 	return listener, budget
 }
 
-// client is one raw connection.
+// client is a raw client connection.
 type client struct {
 	net.Conn
 	reader *bufio.Reader
@@ -65,10 +65,10 @@
 	return &client{Conn: raw, reader: bufio.NewReader(raw)}
 }
 
-// send writes what it can: the other side may have closed.
+// send writes to the connection and ignores errors, since the server may have closed it.
 func (c *client) send(format string, args ...any) { fmt.Fprintf(c.Conn, format, args...) }
 
-// status reads one answer; 0 where the connection ended without one.
+// status reads one response and returns its status code, or 0 if the connection ended without one.
 func (c *client) status() int {
 	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
@@ -79,13 +79,13 @@
 	return resp.StatusCode
 }
 
-// begin sends a part of a body that is announced as longer.
-func (c *client) begin(announced, sent int) {
+// sendPartialBody sends a request whose Content-Length is announced, with sent bytes of body.
+func (c *client) sendPartialBody(announced, sent int) {
 	c.send("POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", announced, strings.Repeat("x", sent))
 }
 
-// await waits until a condition holds.
-func await(t *testing.T, what string, condition func() bool) {
+// waitFor waits until a condition is true and fails the test after 10 s.
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 
 	for range 2000 {
@@ -94,5 +94,5 @@
 		}
 		<-clock.After(clock.Milliseconds(5))
 	}
-	t.Fatal("never: " + what)
+	t.Fatal("timed out waiting for: " + what)
 }
--- a/internal/platform/inbound/inbound_test.go
+++ b/internal/platform/inbound/inbound_test.go
@@ -12,7 +12,8 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// A body comes back as it was sent, whatever its framing and length, and what it held is given back.
+// TestBodiesAreReadWhole checks that bodies of any length and framing are read completely and that
+// their memory is released.
 func TestBodiesAreReadWhole(t *testing.T) {
 	listener, memory := serve(t, 0, 1<<20)
 	c := dial(t, listener)
@@ -27,7 +28,7 @@
 		c.send("0\r\n\r\n")
 		checkLength(t, c, length)
 	}
-	await(t, "all bytes are given back", func() bool { return memory.Used() == 0 })
+	waitFor(t, "all bytes are released", func() bool { return memory.Used() == 0 })
 }
 
 func checkLength(t *testing.T, c *client, length int) {
@@ -40,15 +41,16 @@
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	if err != nil || string(text) != fmt.Sprint(length) {
-		t.Fatalf("%d bytes were read as %q: %v", length, text, err)
+		t.Fatalf("body of %d bytes: got response %q, err %v", length, text, err)
 	}
 }
 
-// A body over the limit is refused as it is announced, and as it comes.
+// TestBodiesOverTheLimit checks that a body above the limit is rejected by its Content-Length, and by
+// the bytes received if it is chunked.
 func TestBodiesOverTheLimit(t *testing.T) {
 	listener, memory := serve(t, 0, 1<<20)
 	announced := dial(t, listener)
-	announced.begin(bodyLimit+1, 0)
+	announced.sendPartialBody(bodyLimit+1, 0)
 	if status := announced.status(); status != http.StatusRequestEntityTooLarge {
 		t.Error(status)
 	}
@@ -57,52 +59,53 @@
 	if status := sent.status(); status != http.StatusRequestEntityTooLarge {
 		t.Error(status)
 	}
-	await(t, "all bytes are given back", func() bool { return memory.Used() == 0 })
+	waitFor(t, "all bytes are released", func() bool { return memory.Used() == 0 })
 }
 
-// A single request is served whatever it holds; a second large one finds no room, and an ordinary
-// one does.
-func TestOneLargeBodyIsServedInCalm(t *testing.T) {
+// TestSingleLargeBodyIsServed checks that a single request is served even if its body exceeds the
+// memory limit. A second large one is then rejected, while one of ordinary size is served.
+func TestSingleLargeBodyIsServed(t *testing.T) {
 	listener, memory := serve(t, 0, 64<<10)
 	c := dial(t, listener)
-	c.begin(200_000, 199_999)
-	await(t, "the body is held", func() bool { return memory.Used() > 64<<10 })
+	c.sendPartialBody(200_000, 199_999)
+	waitFor(t, "the body is charged", func() bool { return memory.Used() > 64<<10 })
 	other := dial(t, listener)
-	other.begin(150_000, 150_000)
+	other.sendPartialBody(150_000, 150_000)
 	if status := other.status(); status != http.StatusServiceUnavailable {
-		t.Error("a second large body: ", status)
+		t.Error("second large body: got status ", status)
 	}
 	small := dial(t, listener)
-	small.begin(1000, 1000)
+	small.sendPartialBody(1000, 1000)
 	if status := small.status(); status != http.StatusOK {
-		t.Error("an ordinary body: ", status)
+		t.Error("ordinary body: got status ", status)
 	}
 	c.send("x")
 	if status := c.status(); status != http.StatusOK {
-		t.Error("the first body: ", status)
+		t.Error("first body: got status ", status)
 	}
 }
 
-// A body that has stopped gives way to one that comes.
-func TestStoppedBodiesGiveWay(t *testing.T) {
+// TestStalledBodiesAreEvicted checks that a request whose body has stopped arriving is evicted for one
+// that arrives, and that its client receives 503.
+func TestStalledBodiesAreEvicted(t *testing.T) {
 	listener, memory := serve(t, 0, 300<<10)
 	var stopped []*client
 	for range 2 {
 		c := dial(t, listener)
-		c.begin(150_000, 149_999)
+		c.sendPartialBody(150_000, 149_999)
 		stopped = append(stopped, c)
 	}
-	await(t, "both are held", func() bool { return memory.Used() > 250_000 })
+	waitFor(t, "both bodies are charged", func() bool { return memory.Used() > 250_000 })
 	<-clock.After(constants.ClientGrace + constants.ClientRateWindow/10)
 	c := dial(t, listener)
-	c.begin(150_000, 150_000)
+	c.sendPartialBody(150_000, 150_000)
 	if status := c.status(); status != http.StatusOK {
-		t.Fatal("a whole body beside stopped ones: ", status)
+		t.Fatal("complete body while others are stalled: got status ", status)
 	}
 	if listener.Evicted() != 1 {
-		t.Error(listener.Evicted(), "gave way")
+		t.Error(listener.Evicted(), "connections were evicted, want 1")
 	}
-	// The one that gave way is told that nothing ran.
+	// The client of the evicted request is informed that it was not executed.
 	statuses := make(chan int, len(stopped))
 	for _, c := range stopped {
 		go func() { statuses <- c.status() }()
@@ -112,13 +115,14 @@
 	}
 }
 
-// Silent connections are closed for new ones, the oldest first; a request under way is not.
+// TestConnectionsAreBounded checks that idle connections are closed for new ones at the limit, and that
+// a request in progress is not interrupted.
 func TestConnectionsAreBounded(t *testing.T) {
 	const most = 4
 	listener, _ := serve(t, most, 1<<20)
 	working := dial(t, listener)
-	working.begin(10, 5)
-	await(t, "the request has begun", func() bool {
+	working.sendPartialBody(10, 5)
+	waitFor(t, "the handler reads the body", func() bool {
 		list := listener.candidates(clock.Now())
 		return len(list) == 1 && list[0].phase == phaseBody
 	})
@@ -126,38 +130,40 @@
 		dial(t, listener)
 	}
 	c := dial(t, listener)
-	c.begin(3, 3)
+	c.sendPartialBody(3, 3)
 	if status := c.status(); status != http.StatusOK {
 		t.Error(status)
 	}
 	if open := listener.Open(); open > most {
-		t.Error(open, "connections are open")
+		t.Error(open, "connections are open, above the limit")
 	}
 	working.send("xxxxx")
 	if status := working.status(); status != http.StatusOK {
-		t.Error("the request under way: ", status)
+		t.Error("request in progress: got status ", status)
 	}
 }
 
-// A head of many short lines counts by what it holds.
+// TestHeadsAreBounded sends heads of many short lines, whose parsed form is much larger than their
+// bytes, and checks that they are charged by the size of the parsed form.
 func TestHeadsAreBounded(t *testing.T) {
 	listener, memory := serve(t, 0, 128<<10)
 	for range 4 {
 		c := dial(t, listener)
 		c.send("GET / HTTP/1.1\r\nHost: h\r\n%s", strings.Repeat("a:\r\n", 4000))
 	}
-	await(t, "no room", func() bool { return listener.Refused() > 0 })
+	waitFor(t, "a head is rejected", func() bool { return listener.Refused() > 0 })
 	if used := memory.Used(); used > 4*4096*constants.HeaderLineBytes {
-		t.Error(used, "bytes are held")
+		t.Error(used, "bytes are charged")
 	}
 	c := dial(t, listener)
 	c.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	if status := c.status(); status != http.StatusOK {
-		t.Error("an ordinary head: ", status)
+		t.Error("ordinary head: got status ", status)
 	}
 }
 
-// A body that nobody reads holds neither the answer nor the connection for long.
+// TestUnreadBodiesAreNotWaitedFor checks that an incomplete body which the handler does not read delays
+// neither the response nor the close of the connection for long.
 func TestUnreadBodiesAreNotWaitedFor(t *testing.T) {
 	listener, _ := serve(t, 0, 1<<20)
 	c := dial(t, listener)
@@ -166,7 +172,7 @@
 		t.Error(status)
 	}
 	if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Error("the connection goes on: ", err)
+		t.Error("connection stayed open: ", err)
 	}
-	await(t, "the connection is gone", func() bool { return listener.Open() == 0 })
+	waitFor(t, "the connection is closed", func() bool { return listener.Open() == 0 })
 }
--- a/internal/platform/inbound/victim_test.go
+++ b/internal/platform/inbound/victim_test.go
@@ -10,9 +10,10 @@
 	"lemonarch/internal/platform/settings"
 )
 
-// Memory is given back by the slowest first, connections by the longest idle; what is whole keeps
-// both.
-func TestChoices(t *testing.T) {
+// TestEvictionOrder checks the order of eviction: for memory the slowest request first, for connections
+// the one idle for the longest time. A complete request is not evicted for memory, and its connection
+// is closed only if its client has not read the response for long.
+func TestEvictionOrder(t *testing.T) {
 	second := clock.Instant(clock.Milliseconds(1000))
 	now := 100 * second
 	connections := make([]Conn, 8)
@@ -38,13 +39,13 @@
 		*chosen = candidate{phase: phaseServing}
 	}
 	if fmt.Sprint(evicted) != "[2 1 3]" {
-		t.Error("memory is given back by", evicted)
+		t.Error("requests are evicted for memory in the order", evicted)
 	}
 	if fmt.Sprint(closed) != "[6 7 2 1 4]" {
 		t.Error("connections are closed in the order", closed)
 	}
 	if chooseRequest(list[3:4], 500, now) != nil {
-		t.Error("a request gives way to one that holds nearly as much")
+		t.Error("a request was evicted for one that needs nearly as much memory")
 	}
 }
 
@@ -57,7 +58,7 @@
 	return -1
 }
 
-func TestRateForgets(t *testing.T) {
+func TestRateExpires(t *testing.T) {
 	window := clock.Instant(constants.ClientRateWindow)
 	r := rate{}
 	r.add(100, window)
@@ -70,7 +71,7 @@
 	}
 }
 
-func TestLimitsFollowTheMachine(t *testing.T) {
+func TestLimitsOfMachine(t *testing.T) {
 	small := LimitsOf(settings.Limits{MemoryMB: 96, FileHandles: 600})
 	large := LimitsOf(settings.Limits{MemoryMB: 284, FileHandles: 4100})
 	if small.Connections > 200 || small.Connections < 100 || large.Connections < 500 || large.Connections > 1950 || small.Memory >= large.Memory {
@@ -81,9 +82,9 @@
 	}
 }
 
-// A request that has come whole since it was chosen is not made to give way, and nothing that was to
-// be given back is counted twice.
-func TestWholeRequestsAreServed(t *testing.T) {
+// TestCompleteRequestsAreNotEvicted checks that a request which was received completely after it was
+// chosen is not evicted, and that the bytes an evicted request will release are counted once.
+func TestCompleteRequestsAreNotEvicted(t *testing.T) {
 	memory := NewMemory(1000)
 	listener := NewListener(nil, 0, memory)
 	server, client := net.Pipe()
@@ -92,21 +93,21 @@
 	listener.open[connection] = struct{}{}
 	connection.phase = phaseBody
 	if done, _, _ := memory.tryReserve(connection, 600); !done {
-		t.Fatal("no room in calm")
+		t.Fatal("could not reserve memory below the limit")
 	}
 	chosen := listener.candidates(clock.Now())[0]
 	if !connection.endBody(true) || connection.evict(&chosen) {
-		t.Fatal("a whole request had to give way")
+		t.Fatal("a complete request was evicted")
 	}
 	connection.phase = phaseBody
 	if !connection.evict(&chosen) || connection.evict(&chosen) {
-		t.Fatal("a request gives way once")
+		t.Fatal("a request must be evicted exactly once")
 	}
 	for range 2 {
 		memory.markReleasing(connection)
 	}
 	if memory.releasing != 600 {
-		t.Error(memory.releasing, "bytes are awaited")
+		t.Error(memory.releasing, "bytes are marked as releasing, want 600")
 	}
 	connection.end()
 	memory.markReleasing(connection)
@@ -115,8 +116,9 @@
 	}
 }
 
-// What a request holds counts until the server has let go of it, also where its connection was cut.
-func TestHeldBytesCountUntilTheyAreGivenBack(t *testing.T) {
+// TestChargedBytesUntilClose checks that the bytes of a request stay charged until the server calls
+// Close, even if its connection was aborted before.
+func TestChargedBytesUntilClose(t *testing.T) {
 	for _, at := range []phase{phaseHead, phaseBody, phaseDraining} {
 		memory := NewMemory(1000)
 		listener := NewListener(nil, 0, memory)
@@ -128,7 +130,7 @@
 		memory.tryReserve(connection, 600)
 		chosen := listener.candidates(clock.Now())[0]
 		if !connection.evict(&chosen) {
-			t.Fatal(at, "does not give way")
+			t.Fatal(at, "was not evicted")
 		}
 		_ = connection.abort()
 		if memory.Used() != 600 || listener.Open() != 0 {
--- a/internal/platform/process/signals_test.go
+++ b/internal/platform/process/signals_test.go
@@ -26,8 +26,8 @@
 grace-s = 8
 `
 
-// Each reload gives one line, whatever the file holds by then, and reaches nothing but
-// the log; the file is read at the signal, not before.
+// TestReloadChecksTheFileOnly checks that each reload logs exactly one line, whatever the content of the
+// file, and has no other effect. The file is read at the signal, not before.
 func TestReloadChecksTheFileOnly(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.toml")
 	t.Setenv(settings.Variable, path)
@@ -54,29 +54,29 @@
 	}
 }
 
-// reloadOnce gives what is logged at one reload.
+// reloadOnce returns the log output of one reload.
 func reloadOnce() string {
 	reload := make(chan os.Signal, 1)
 	reload <- syscall.SIGHUP
 	close(reload)
 	var text bytes.Buffer
-	checkOnReload(reload, settings.Load, lineLog(&text))
+	checkOnReload(reload, settings.Load, newBufferLog(&text))
 	return text.String()
 }
 
-// lineLog writes one line an event.
-func lineLog(text *bytes.Buffer) hclog.Logger {
+// newBufferLog returns a logger that writes one line per event to a buffer.
+func newBufferLog(text *bytes.Buffer) hclog.Logger {
 	return hclog.New(&hclog.LoggerOptions{Output: text, DisableTime: true})
 }
 
-// leaver counts how often it was told to leave.
-type leaver struct{ left int }
+// recordingProcess is a Process that counts the calls of Shutdown.
+type recordingProcess struct{ shutdowns int }
 
-func (*leaver) Run() error  { return nil }
-func (l *leaver) Shutdown() { l.left++ }
+func (*recordingProcess) Run() error  { return nil }
+func (l *recordingProcess) Shutdown() { l.shutdowns++ }
 
-// A termination reaches the process behind any number of reloads, and one that comes
-// before there is a process ends the start.
+// TestTerminationIsNotLostBehindReloads checks that a termination signal reaches the process after any
+// number of reload signals, and that one received before the process is created ends the start.
 func TestTerminationIsNotLostBehindReloads(t *testing.T) {
 	received := catchSignals()
 	t.Cleanup(func() {
@@ -91,12 +91,12 @@
 	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	process, started := &leaver{}, newStarted()
+	process, started := &recordingProcess{}, newStarted()
 	started <- process
 	var text bytes.Buffer
-	shutDownOnSignal(received.terminate, started, lineLog(&text))
-	if process.left != 1 || !strings.Contains(text.String(), "signal="+syscall.SIGTERM.String()) {
-		t.Fatal(process.left, text.String())
+	shutDownOnSignal(received.terminate, started, newBufferLog(&text))
+	if process.shutdowns != 1 || !strings.Contains(text.String(), "signal="+syscall.SIGTERM.String()) {
+		t.Fatal(process.shutdowns, text.String())
 	}
 	early := make(chan os.Signal, 1)
 	early <- syscall.SIGTERM
--- a/internal/platform/recordlog/recordlog_test.go
+++ b/internal/platform/recordlog/recordlog_test.go
@@ -14,15 +14,15 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// contract is what every disk has to keep.
-func contract(t *testing.T, make func() recordlog.Disk) {
+// diskContract checks the behaviour of a log on a disk, which every Disk has to support.
+func diskContract(t *testing.T, make func() recordlog.Disk) {
 	t.Helper()
 
-	t.Run("records come back in order", func(t *testing.T) { checkOrder(t, make()) })
-	t.Run("a rewrite keeps what it is given and nothing else", func(t *testing.T) { checkRewrite(t, make()) })
+	t.Run("records are read in order", func(t *testing.T) { checkOrder(t, make()) })
+	t.Run("a rewrite keeps only the given records", func(t *testing.T) { checkRewrite(t, make()) })
 }
 
-// readAll opens the file of a disk and gives its records.
+// readAll opens the file of a disk and returns its records.
 func readAll(t *testing.T, disk recordlog.Disk) []string {
 	t.Helper()
 
@@ -80,15 +80,15 @@
 	}
 }
 
-func TestContractModel(t *testing.T) {
-	contract(t, func() recordlog.Disk { return simulation.NewDisk(1) })
+func TestContractSimulatedDisk(t *testing.T) {
+	diskContract(t, func() recordlog.Disk { return simulation.NewDisk(1) })
 }
 
-func TestContractFolder(t *testing.T) {
-	contract(t, func() recordlog.Disk { return recordlog.Directory(t.TempDir()) })
+func TestContractDirectory(t *testing.T) {
+	diskContract(t, func() recordlog.Disk { return recordlog.Directory(t.TempDir()) })
 }
 
-func TestPowerLossRetainsWhatWasSynced(t *testing.T) {
+func TestPowerLossKeepsSyncedRecords(t *testing.T) {
 	for seed := int64(0); seed < 200; seed++ {
 		disk := simulation.NewDisk(seed)
 		logfile, _ := recordlog.Open(disk, "file", nil)
@@ -109,9 +109,10 @@
 	}
 }
 
-// Whatever byte is spoilt of what a later record proves to have been synced, the
-// file is refused; a bad byte behind that may be a write that was never synced.
-func TestDamageBeforeTheTailStops(t *testing.T) {
+// TestDamageBeforeTailIsReported corrupts each byte of a file in turn. Opening the file must fail if a
+// later record proves that the byte was synced; a bad byte after that may belong to a write that was
+// never synced, and is truncated.
+func TestDamageBeforeTailIsReported(t *testing.T) {
 	proven := int64(2*8 + 6)
 	for offset := int64(0); offset < proven+8+5; offset++ {
 		disk := simulation.NewDisk(1)
@@ -135,8 +136,8 @@
 	}
 }
 
-// older is a record as it was written before records had flags.
-func older(body string) []byte {
+// olderRecord encodes a record as older versions did, before records had flags.
+func olderRecord(body string) []byte {
 	text := binary.BigEndian.AppendUint32(nil, uint32(len(body)))
 	text = binary.BigEndian.AppendUint32(text, crc32.Checksum([]byte(body), crc32.MakeTable(crc32.Castagnoli)))
 	return append(text, body...)
@@ -145,7 +146,7 @@
 func TestFilesOfOlderVersionsAreRead(t *testing.T) {
 	disk := simulation.NewDisk(1)
 	file, _ := disk.Open("file")
-	_, _ = file.Write(append(older("one"), older("two")...))
+	_, _ = file.Write(append(olderRecord("one"), olderRecord("two")...))
 	var found []string
 	each := func(_ int64, body []byte) error {
 		found = append(found, string(body))
@@ -168,7 +169,8 @@
 	}
 }
 
-// A sync that hangs holds up its caller, and nothing is acknowledged before it ends.
+// TestStalledDisk checks that a sync on a stalled disk blocks its caller and acknowledges nothing before
+// the disk has completed it.
 func TestStalledDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := simulation.NewDisk(1)
@@ -187,12 +189,12 @@
 		}()
 		synctest.Wait()
 		if ended || disk.Syncs != before {
-			t.Fatal("acknowledged by a disk that answers nothing")
+			t.Fatal("sync was acknowledged while the disk was stalled")
 		}
 		close(stalled)
 		synctest.Wait()
 		if !ended || disk.Syncs != before+1 {
-			t.Fatal("not ended with the stall")
+			t.Fatal("sync did not end after the stall")
 		}
 	})
 }
@@ -219,7 +221,7 @@
 	}
 }
 
-func TestFullDiskRejectsAndRetains(t *testing.T) {
+func TestFullDiskKeepsEarlierRecords(t *testing.T) {
 	disk := simulation.NewDisk(1)
 	logfile, _ := recordlog.Open(disk, "file", nil)
 	_, _ = logfile.Append([]byte("one"))
--- a/internal/platform/settings/settings_test.go
+++ b/internal/platform/settings/settings_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const sound = `node-name = "n"
+const validSettings = `node-name = "n"
 zone = "z"
 ip = "10.0.0.1"
 internal-ports = [7000,7010]
@@ -22,8 +22,8 @@
 grace-s = 8
 `
 
-func TestSoundSettings(t *testing.T) {
-	nodeSettings, err := Parse([]byte(sound))
+func TestValidSettings(t *testing.T) {
+	nodeSettings, err := Parse([]byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,7 +49,7 @@
 		"fault-budget":            {`[tolerances]`, "[fault-budget]\nmachines = -1\n[tolerances]"},
 		"fault-budget is below 0": {`[tolerances]`, "[fault-budget]\nregions = -1\n[tolerances]"},
 	} {
-		_, err := Parse([]byte(strings.Replace(sound, change[0], change[1], 1)))
+		_, err := Parse([]byte(strings.Replace(validSettings, change[0], change[1], 1)))
 		if err == nil || !strings.Contains(err.Error(), name) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", name, err)
 		}
--- a/internal/platform/transport/address_test.go
+++ b/internal/platform/transport/address_test.go
@@ -8,58 +8,59 @@
 	"testing"
 )
 
-// Ports that the system gives nobody of its own accord.
+// The ports used by the tests, which are below the range that the system assigns automatically. The
+// first one is reserved to claim a host.
 const (
-	firstFreePort = 10_000
-	lastFreePort  = 30_000
+	reservedPort = 10_000
+	highestPort  = 30_000
 )
 
-// claim is a loopback address that this process of tests has to itself as long as it runs:
-// no other run of the tests, and no outgoing connection, takes a port of it.
-type claim struct {
+// hostClaim is a loopback host that only this test process uses as long as it runs: neither another
+// run of the tests nor an outgoing connection takes one of its ports.
+type hostClaim struct {
 	lock sync.Mutex
 	host string
-	// held keeps others off: whoever listens at the first port of a host has it.
-	held net.Listener
-	next int
+	// listener claims the host: the process that listens on the reserved port of a host owns it.
+	listener net.Listener
+	lastPort int
 }
 
-var ownAddresses = claim{next: firstFreePort}
+var claimedHost = hostClaim{lastPort: reservedPort}
 
-// freeAddress gives an address where nobody listens, and that it gives nobody else.
+// freeAddress returns an address on which no process listens and which it returns only once.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 
-	ownAddresses.lock.Lock()
-	defer ownAddresses.lock.Unlock()
-	if ownAddresses.held == nil {
-		ownAddresses.take(t)
+	claimedHost.lock.Lock()
+	defer claimedHost.lock.Unlock()
+	if claimedHost.listener == nil {
+		claimedHost.take(t)
 	}
-	for ownAddresses.next < lastFreePort {
-		ownAddresses.next++
-		address := fmt.Sprintf("%s:%d", ownAddresses.host, ownAddresses.next)
-		// Somebody may listen at this port of every address.
+	for claimedHost.lastPort < highestPort {
+		claimedHost.lastPort++
+		address := fmt.Sprintf("%s:%d", claimedHost.host, claimedHost.lastPort)
+		// Another process may listen on this port of all addresses.
 		listener, err := net.Listen("tcp4", address)
 		if err == nil {
 			listener.Close()
 			return address
 		}
 	}
-	t.Fatal("no free port is left")
+	t.Fatal("no free port left")
 	return ""
 }
 
-// take finds a host that no other process has.
-func (c *claim) take(t *testing.T) {
+// take claims a host that no other process has claimed.
+func (c *hostClaim) take(t *testing.T) {
 	t.Helper()
 
 	const tries = 1000
 	for number := os.Getpid(); number < os.Getpid()+tries; number++ {
 		host := fmt.Sprintf("127.%d.%d.253", 1+number/256%250, number%256)
-		if listener, err := net.Listen("tcp4", fmt.Sprintf("%s:%d", host, firstFreePort)); err == nil {
-			c.host, c.held = host, listener
+		if listener, err := net.Listen("tcp4", fmt.Sprintf("%s:%d", host, reservedPort)); err == nil {
+			c.host, c.listener = host, listener
 			return
 		}
 	}
-	t.Fatal("no loopback address is free")
+	t.Fatal("no free loopback address")
 }
--- a/internal/platform/transport/async_test.go
+++ b/internal/platform/transport/async_test.go
@@ -12,18 +12,18 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// counters counts frames; calls come from several threads in the contract.
-type counters struct {
-	lock           sync.Mutex
-	calls, answers int
-	bytes          int
+// frameCounter counts frames; the contract tests call it from several goroutines.
+type frameCounter struct {
+	lock             sync.Mutex
+	calls, responses int
+	bytes            int
 }
 
-func (c *counters) seen(frame transport.ObservedFrame) {
+func (c *frameCounter) observe(frame transport.ObservedFrame) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if frame.Response {
-		c.answers++
+		c.responses++
 	} else {
 		c.calls++
 	}
@@ -31,8 +31,8 @@
 }
 
 func TestContractCountingMemory(t *testing.T) {
-	network, count, counted := transport.NewMemoryNetwork(), 0, &counters{}
-	network.OnFrame(counted.seen)
+	network, count, counted := transport.NewMemoryNetwork(), 0, &frameCounter{}
+	network.OnFrame(counted.observe)
 	callContract(t, func() (transport.Transport, string) {
 		count++
 		address := fmt.Sprint("node", count)
@@ -40,43 +40,44 @@
 	})
 	counted.lock.Lock()
 	defer counted.lock.Unlock()
-	// Five calls of the contract find somebody; the last of them is never answered in
-	// time, though its answer may come before we look.
-	if counted.calls != 5 || counted.answers < 4 {
-		t.Fatalf("counted %d calls and %d answers", counted.calls, counted.answers)
+	// Five calls of the contract reach a handler. The last of them has no response before its
+	// timeout, although its response may be sent before this check.
+	if counted.calls != 5 || counted.responses < 4 {
+		t.Fatalf("got %d calls and %d responses, want 5 calls and at least 4 responses", counted.calls, counted.responses)
 	}
 }
 
-// simulated makes a network on a fake clock with a millisecond each way.
-func simulated() (*transport.MemoryNetwork, *simulation.World, *counters, map[string]bool) {
-	network, world, counted, departed := transport.NewMemoryNetwork(), simulation.NewWorld(1), &counters{}, map[string]bool{}
-	network.OnFrame(counted.seen)
+// newSimulatedNetwork returns a network on a simulated clock with a delay of 1 ms in each direction.
+// Addresses in the returned map are unreachable.
+func newSimulatedNetwork() (*transport.MemoryNetwork, *simulation.World, *frameCounter, map[string]bool) {
+	network, world, counted, departed := transport.NewMemoryNetwork(), simulation.NewWorld(1), &frameCounter{}, map[string]bool{}
+	network.OnFrame(counted.observe)
 	network.Simulate(transport.Environment{Clock: world,
 		Delay:     func(string, string) clock.Duration { return clock.Milliseconds(1) },
 		Reachable: func(from, to string) bool { return !departed[from] && !departed[to] }})
 	return network, world, counted, departed
 }
 
-func TestPostTakesItsTimeAndCounts(t *testing.T) {
-	network, world, counted, _ := simulated()
+func TestCallAsyncDelayAndCounts(t *testing.T) {
+	network, world, counted, _ := newSimulatedNetwork()
 	_ = network.Transport("server").Serve(func(_ messages.Kind, body []byte) ([]byte, error) { return append([]byte("to "), body...), nil })
 	var resp string
 	at := clock.Instant(0)
-	network.Transport("client").CallAsync("server", messages.KindShuffle, []byte("one"), enough, func(body []byte, err error) {
+	network.Transport("client").CallAsync("server", messages.KindShuffle, []byte("one"), callTimeout, func(body []byte, err error) {
 		if err != nil {
 			t.Error(err)
 		}
 		resp, at = string(body), world.Now
 	})
-	world.Run(clock.Instant(enough))
-	// The head is 17 bytes: the frame format's contract.
-	if resp != "to one" || at != clock.Instant(clock.Milliseconds(2)) || counted.calls != 1 || counted.answers != 1 || counted.bytes != 17+3+17+6 {
-		t.Fatalf("%q at %d, %+v", resp, at, counted)
+	world.Run(clock.Instant(callTimeout))
+	// The frame header is 17 bytes, as the frame format defines.
+	if resp != "to one" || at != clock.Instant(clock.Milliseconds(2)) || counted.calls != 1 || counted.responses != 1 || counted.bytes != 17+3+17+6 {
+		t.Fatalf("got response %q at %d, counters %+v", resp, at, counted)
 	}
 }
 
 func TestCallAsyncDistinguishesTimeoutRejectionAndAbsence(t *testing.T) {
-	network, world, _, departed := simulated()
+	network, world, _, departed := newSimulatedNetwork()
 	_ = network.Transport("server").Serve(func(kind messages.Kind, _ []byte) ([]byte, error) {
 		if kind == messages.KindGossip {
 			departed["server"] = true
@@ -94,7 +95,7 @@
 		network.Transport("client").CallAsync(address, kind, nil, clock.Milliseconds(30), func(_ []byte, err error) {
 			results = append(results, result{err, world.Now - start})
 		})
-		world.Run(world.Now + clock.Instant(enough))
+		world.Run(world.Now + clock.Instant(callTimeout))
 	}
 	call("server", messages.Kind(9999))
 	call("nobody", messages.KindShuffle)
--- a/internal/platform/transport/deduplicator_test.go
+++ b/internal/platform/transport/deduplicator_test.go
@@ -8,16 +8,16 @@
 	"lemonarch/internal/platform/transport"
 )
 
-func TestEachNamedCallPassesOnce(t *testing.T) {
+func TestNamedCallIsAcceptedOnce(t *testing.T) {
 	deduplicator, now := &transport.Deduplicator{}, clock.Instant(1)
 	if !deduplicator.First("a", now) || !deduplicator.First("b", now) || deduplicator.First("a", now) || deduplicator.First("b", now.Add(constants.FrameLifetime)) {
-		t.Fatal("a call passed twice, or a new one not at all")
+		t.Fatal("a call was accepted twice, or a new one was rejected")
 	}
 	if first, second := deduplicator.First("", now), deduplicator.First("", now); !first || !second {
-		t.Fatal("a call without a name was held up")
+		t.Fatal("a call without a name was rejected")
 	}
-	// What no frame can come from any more is forgotten, or memory would grow.
+	// A name is dropped once no frame with it can arrive any more; otherwise memory would grow.
 	if !deduplicator.First("a", now.Add(constants.FrameLifetime+2)) {
-		t.Fatal("never forgotten")
+		t.Fatal("the name was not dropped after FrameLifetime")
 	}
 }
--- a/internal/platform/transport/dial_test.go
+++ b/internal/platform/transport/dial_test.go
@@ -10,8 +10,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// dialling is a wire whose dials last until they are released, and are counted.
-func dialling() (client *TCP, release chan struct{}, dials *atomic.Int64) {
+// newBlockedDialer returns a transport whose dials are counted and block until release is closed.
+func newBlockedDialer() (client *TCP, release chan struct{}, dials *atomic.Int64) {
 	client, release, dials = NewTCP(""), make(chan struct{}), &atomic.Int64{}
 	client.dial = func(string) (net.Conn, error) {
 		dials.Add(1)
@@ -21,8 +21,8 @@
 	return client, release, dials
 }
 
-// callAtOnce makes many calls to one peer and hands over how each ended.
-func callAtOnce(client *TCP, count int, timeout clock.Duration) <-chan error {
+// callConcurrently makes many calls to one peer and returns a channel with the error of each.
+func callConcurrently(client *TCP, count int, timeout clock.Duration) <-chan error {
 	ended := make(chan error, count)
 	for range count {
 		go func() {
@@ -33,19 +33,20 @@
 	return ended
 }
 
-// A peer that is out of reach holds no caller past its span, however many call it.
+// TestCallersDoNotQueueForDials checks that an unreachable peer blocks no caller beyond its timeout,
+// however many call at once. Callers that each waited for a dial of their own would queue.
 func TestCallersDoNotQueueForDials(t *testing.T) {
-	client, release, dials := dialling()
+	client, release, dials := newBlockedDialer()
 	defer close(release)
 	const callers = 20
-	ended := callAtOnce(client, callers, clock.Milliseconds(50))
+	ended := callConcurrently(client, callers, clock.Milliseconds(50))
 	for range callers {
-		// The dial never ends before them.
+		// The dial is released only after all calls have ended.
 		if err := <-ended; !errs.Is(err, ErrUnreachable) {
 			t.Fatal(err)
 		}
 	}
 	if dials.Load() != 1 {
-		t.Error("dials under way: ", dials.Load())
+		t.Error("dials, want 1: ", dials.Load())
 	}
 }
--- a/internal/platform/transport/everybyte_test.go
+++ b/internal/platform/transport/everybyte_test.go
@@ -12,21 +12,21 @@
 	"lemonarch/internal/tooling/faultrelay"
 )
 
-// ledger is a server that keeps count of the calls that it worked on.
-type ledger struct {
-	wire *transport.TCP
-	lock sync.Mutex
-	runs map[string]int
+// countingServer is a server that counts the calls it handled, by their body.
+type countingServer struct {
+	transport *transport.TCP
+	lock      sync.Mutex
+	calls     map[string]int
 }
 
-func newLedger(t *testing.T, address, incarnation string) *ledger {
+func newCountingServer(t *testing.T, address, incarnation string) *countingServer {
 	t.Helper()
 
-	l := &ledger{wire: transport.NewTCP(address), runs: map[string]int{}}
-	err := l.wire.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
+	l := &countingServer{transport: transport.NewTCP(address), calls: map[string]int{}}
+	err := l.transport.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
 		l.lock.Lock()
 		defer l.lock.Unlock()
-		l.runs[string(body)]++
+		l.calls[string(body)]++
 		return []byte(incarnation + " to " + string(body)), nil
 	})
 	if err != nil {
@@ -35,36 +35,36 @@
 	return l
 }
 
-func (l *ledger) ran(body string) int {
+func (l *countingServer) callCount(body string) int {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	return l.runs[body]
+	return l.calls[body]
 }
 
-// frameLength is more than a call or an answer of this test has.
+// frameLength is larger than any request or response frame of this test.
 const frameLength = 17 + 12
 
-// Whatever befalls the connection at whichever byte of a call or of its answer: each call
-// is worked on once at most, is never told as unreached where it was worked on, and each
-// answer is that of its own call.
+// TestFaultAtEveryByteOfAFrame injects each fault at every byte of a request and of its response. Each
+// call must be handled at most once, must not fail with ErrUnreachable if it was handled, and must get
+// only its own response.
 func TestFaultAtEveryByteOfAFrame(t *testing.T) {
 	for _, fault := range faultrelay.Faults() {
 		for i := 0; i < 2*frameLength; i++ {
 			strike := faultrelay.Strike{Fault: fault, Response: i >= frameLength, At: i % frameLength}
 			t.Run(fmt.Sprint(fault, strike.Response, strike.At), func(t *testing.T) {
 				t.Parallel()
-				playFrames(t, strike)
+				checkFault(t, strike)
 			})
 		}
 	}
 }
 
-func playFrames(t *testing.T, strike faultrelay.Strike) {
+func checkFault(t *testing.T, strike faultrelay.Strike) {
 	t.Helper()
 
-	server := newLedger(t, "127.0.0.1:0", "one")
-	defer server.wire.Close()
-	relay, err := faultrelay.New(server.wire.Address())
+	server := newCountingServer(t, "127.0.0.1:0", "one")
+	defer server.transport.Close()
+	relay, err := faultrelay.New(server.transport.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,10 +73,10 @@
 	call := func(body string) {
 		resp, err := client.Call(relay.Address(), messages.KindShuffle, []byte(body), clock.Milliseconds(60))
 		if err == nil && string(resp) != "one to "+body {
-			t.Errorf("%q got %q", body, resp)
+			t.Errorf("call %q got response %q", body, resp)
 		}
-		if errs.Is(err, transport.ErrUnreachable) && server.ran(body) > 0 {
-			t.Errorf("%q was told as unreached, and ran", body)
+		if errs.Is(err, transport.ErrUnreachable) && server.callCount(body) > 0 {
+			t.Errorf("call %q failed with ErrUnreachable, but was handled", body)
 		}
 	}
 	call("rest")
@@ -94,14 +94,14 @@
 	call("next")
 	relay.End()
 	for _, body := range []string{"rest", "left", "right", "next"} {
-		if ran := server.ran(body); ran > 1 {
-			t.Errorf("%q ran %d times", body, ran)
+		if ran := server.callCount(body); ran > 1 {
+			t.Errorf("call %q was handled %d times, want at most once", body, ran)
 		}
 	}
 }
 
-// A call that waits for one incarnation of a process is not answered by the next one at the same
-// address, and later calls are answered by that one alone.
+// TestNewIncarnationAtTheSameAddress checks that a call pending at one incarnation of a process gets no
+// response from the next one at the same address, and that later calls get theirs from the new one.
 func TestNewIncarnationAtTheSameAddress(t *testing.T) {
 	address, wait, requested := freeAddress(t), newGate(), newGate()
 	first := transport.NewTCP(address)
@@ -114,21 +114,21 @@
 	defer client.Close()
 	ended := make(chan error, 1)
 	go func() {
-		_, err := client.Call(address, messages.KindShuffle, []byte("pending"), enough)
+		_, err := client.Call(address, messages.KindShuffle, []byte("pending"), callTimeout)
 		ended <- err
 	}()
 	<-requested
 	first.Close()
 	close(wait)
 	if err := <-ended; !errs.Is(err, transport.ErrTimeout) {
-		t.Fatal("the pending call ended with ", err)
+		t.Fatal("want ErrTimeout for the pending call, got ", err)
 	}
-	second := newLedger(t, address, "new")
-	defer second.wire.Close()
+	second := newCountingServer(t, address, "new")
+	defer second.transport.Close()
 	for {
-		resp, err := client.Call(address, messages.KindShuffle, []byte("later"), enough)
+		resp, err := client.Call(address, messages.KindShuffle, []byte("later"), callTimeout)
 		if errs.Is(err, transport.ErrUnreachable) {
-			// The caller remembers for an instant that nobody was there.
+			// After a failed dial the client does not dial the peer again for a short time.
 			continue
 		}
 		if err != nil || string(resp) != "new to later" {
@@ -136,7 +136,7 @@
 		}
 		break
 	}
-	if second.ran("pending") != 0 {
-		t.Fatal("the call came to the new life")
+	if second.callCount("pending") != 0 {
+		t.Fatal("the pending call was handled by the new incarnation")
 	}
 }
--- a/internal/platform/transport/meter_test.go
+++ b/internal/platform/transport/meter_test.go
@@ -7,15 +7,16 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// Both transports count a call and its answer at both ends, by kind and place.
+// TestTrafficIsCounted checks that both transports count a request and its response on both sides, by
+// kind and locality.
 func TestTrafficIsCounted(t *testing.T) {
 	network := transport.NewMemoryNetwork()
 	makers := map[string]func() (transport.Transport, string){
-		"wire": func() (transport.Transport, string) {
+		"tcp": func() (transport.Transport, string) {
 			address := freeAddress(t)
 			return transport.NewTCP(address), address
 		},
-		"twin": func() (transport.Transport, string) {
+		"memory": func() (transport.Transport, string) {
 			return network.Transport("server:1"), "server:1"
 		},
 	}
@@ -23,27 +24,27 @@
 		server, address := make()
 		_ = server.Serve(func(messages.Kind, []byte) ([]byte, error) { return []byte("four"), nil })
 		client := server
-		if name == "twin" {
+		if name == "memory" {
 			client = network.Transport("client:1")
 		} else {
 			client = transport.NewTCP("")
 		}
 		client.(transport.Metered).Meter().SetLocality(address, true)
-		if _, err := client.Call(address, messages.KindGossip, []byte("seven b"), enough); err != nil {
+		if _, err := client.Call(address, messages.KindGossip, []byte("seven b"), callTimeout); err != nil {
 			t.Fatal(name, err)
 		}
 		const head = 17
 		want := transport.Flow{Sent: transport.Count{Messages: 1, Bytes: head + 7}, Received: transport.Count{Messages: 1, Bytes: head + 4}}
 		if got := client.(transport.Metered).Meter().Total(transport.LocalitySameZone); got != want {
-			t.Fatalf("%s: client counted %+v", name, got)
+			t.Fatalf("%s: client counted flow %+v", name, got)
 		}
 		samples := client.(transport.Metered).Meter().Samples()
 		if len(samples) != 1 || samples[0].Kind != messages.KindGossip || samples[0].Locality != transport.LocalitySameZone {
-			t.Fatalf("%s: %+v", name, samples)
+			t.Fatalf("%s: client samples %+v", name, samples)
 		}
 		resp := transport.Flow{Sent: want.Received, Received: want.Sent}
 		if got := server.(transport.Metered).Meter().Total(transport.LocalityUnknown); got != resp {
-			t.Fatalf("%s: server counted %+v", name, got)
+			t.Fatalf("%s: server counted flow %+v", name, got)
 		}
 		server.Close()
 		client.Close()
--- a/internal/platform/transport/notify_test.go
+++ b/internal/platform/transport/notify_test.go
@@ -10,7 +10,7 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// notifyContract is what every transport keeps for what nobody answers.
+// notifyContract checks the behaviour of notifications that every Notifier has to implement.
 func notifyContract(t *testing.T, make func() (transport.Transport, string)) {
 	t.Helper()
 
@@ -37,15 +37,15 @@
 		if notification != "word" {
 			t.Fatal(notification)
 		}
-	case <-clock.After(enough):
-		t.Fatal("what was told never arrived")
+	case <-clock.After(callTimeout):
+		t.Fatal("the notification did not arrive")
 	}
-	// The line carries calls as before, and no answer of the told one comes between.
-	if resp, err := client.Call(address, messages.KindShuffle, nil, enough); err != nil || string(resp) != "answer" {
+	// The connection carries calls as before, and no response to the notification is mistaken for theirs.
+	if resp, err := client.Call(address, messages.KindShuffle, nil, callTimeout); err != nil || string(resp) != "answer" {
 		t.Fatalf("%q %v", resp, err)
 	}
 	if err = notifier.Notify(unusedAddress, messages.KindGossip, nil); !errs.Is(err, transport.ErrUnreachable) {
-		t.Fatalf("told nobody: %v", err)
+		t.Fatalf("notify an unused address: got %v", err)
 	}
 }
 
@@ -67,11 +67,11 @@
 	})
 }
 
-// plain is a transport that knows calls only.
-type plain struct{ transport.Transport }
+// callOnly is a transport that does not implement Notifier.
+type callOnly struct{ transport.Transport }
 
-// Over a transport without one-way messages a word is a call like any other.
-func TestNotifyAsACall(t *testing.T) {
+// TestNotifyFallsBackToCall checks that Notify sends a call over a transport without notifications.
+func TestNotifyFallsBackToCall(t *testing.T) {
 	network := transport.NewMemoryNetwork()
 	server := network.Transport("a")
 	deliveries := newReceived()
@@ -79,7 +79,7 @@
 		deliveries <- "called"
 		return []byte{}, nil
 	})
-	if err := transport.Notify(plain{network.Transport("b")}, "a", messages.KindGossip, &messages.Ack{}); err != nil || len(deliveries) != 1 {
+	if err := transport.Notify(callOnly{network.Transport("b")}, "a", messages.KindGossip, &messages.Ack{}); err != nil || len(deliveries) != 1 {
 		t.Fatal(err, len(deliveries))
 	}
 }
--- a/internal/platform/transport/peer_test.go
+++ b/internal/platform/transport/peer_test.go
@@ -13,8 +13,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// halfWriter takes half of the first frame, as a connection does whose deadline is over.
-type halfWriter struct {
+// partialWriter writes half of the first frame, as a connection does whose write deadline expires.
+type partialWriter struct {
 	net.Conn
 	lock    sync.Mutex
 	closed  bool
@@ -22,7 +22,7 @@
 	writes  int
 }
 
-func (h *halfWriter) Write(text []byte) (int, error) {
+func (h *partialWriter) Write(text []byte) (int, error) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	h.writes++
@@ -36,19 +36,19 @@
 	return h.written.Write(text)
 }
 
-func (h *halfWriter) SetWriteDeadline(clock.Time) error { return nil }
+func (h *partialWriter) SetWriteDeadline(clock.Time) error { return nil }
 
-func (h *halfWriter) Close() error {
+func (h *partialWriter) Close() error {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	h.closed = true
 	return nil
 }
 
-// After a part of a frame nothing follows on the connection, however many wait to write:
-// the receiver would take the next frame for the missing part.
-func TestNothingFollowsHalfAFrame(t *testing.T) {
-	raw := &halfWriter{}
+// TestNothingIsWrittenAfterPartialFrame checks that nothing is written to a connection after a partial
+// frame, however many writers wait: the receiver would read the next frame as the missing part.
+func TestNothingIsWrittenAfterPartialFrame(t *testing.T) {
+	raw := &partialWriter{}
 	client := NewTCP("")
 	peer := client.peer("there")
 	current := &peerConn{conn: raw, pending: map[uint64]pendingCall{}}
@@ -62,20 +62,21 @@
 			defer group.Done()
 			outgoing := &frame{frameType: frameRequest, kind: messages.KindShuffle, body: []byte("body")}
 			if peer.write(current, outgoing, end, nil) == nil {
-				t.Error("a frame was written behind half a frame")
+				t.Error("a frame was written after a partial frame")
 			}
 		}()
 	}
 	current.writing.Unlock()
 	group.Wait()
 	if raw.written.Len() != (headerBytes+4)/2 {
-		t.Error("bytes on the connection: ", raw.written.Len())
+		t.Error("want only half a frame on the connection, got bytes: ", raw.written.Len())
 	}
 }
 
-// A call whose time is over before its turn to write is never sent, and says so.
+// TestLateCallIsNotSent checks that a call whose timeout has passed before its write is not sent and
+// fails with ErrUnreachable.
 func TestLateCallIsNotSent(t *testing.T) {
-	raw := &halfWriter{}
+	raw := &partialWriter{}
 	client := NewTCP("")
 	peer := client.peer("there")
 	err := peer.write(&peerConn{conn: raw}, &frame{frameType: frameRequest}, clock.Now()-1, nil)
@@ -84,30 +85,31 @@
 	}
 }
 
-// An answer is delivered once, to the call that it names by number and kind.
-func TestResponsesNameTheirCall(t *testing.T) {
+// TestResponsesMatchCallByNumberAndKind checks that a response is delivered once, to the call with its
+// number and kind.
+func TestResponsesMatchCallByNumberAndKind(t *testing.T) {
 	call := pendingCall{kind: messages.KindShuffle, response: make(chan frame, 2)}
 	current := &peerConn{pending: map[uint64]pendingCall{7: call}}
 	other := uint64(7) + 1<<incarnationShift
 	for _, stray := range []frame{{frameType: frameResponse, kind: messages.KindShuffle, number: 8}, {frameType: frameResponse, kind: messages.KindShuffle, number: other},
 		{frameType: frameRequest, kind: messages.KindShuffle, number: 7}, {frameType: frameNotification, kind: messages.KindShuffle, number: 7}} {
 		if !current.deliver(stray) || len(call.response) != 0 {
-			t.Fatal("taken for the answer: ", stray)
+			t.Fatal("frame was accepted as the response: ", stray)
 		}
 	}
 	if current.deliver(frame{frameType: frameResponse, kind: messages.KindJobCall, number: 7}) || len(call.response) != 0 {
-		t.Fatal("an answer of another kind was taken")
+		t.Fatal("a response of another kind was accepted")
 	}
 	for count := 0; count < 2; count++ {
 		if !current.deliver(frame{frameType: frameResponse, kind: messages.KindShuffle, number: 7}) || len(call.response) != 1 {
-			t.Fatal("delivered ", len(call.response))
+			t.Fatal("responses delivered, want 1: ", len(call.response))
 		}
 	}
 }
 
-// A call that is delivered twice on a connection is worked on once; senders of before did
-// not number their calls in order, and are served as they come.
-func TestDoubledCallIsWorkedOnOnce(t *testing.T) {
+// TestDuplicateCallIsHandledOnce checks that a call which arrives twice on a connection is handled once.
+// Senders of frame version 1 did not number calls in order, so all their calls are handled.
+func TestDuplicateCallIsHandledOnce(t *testing.T) {
 	for version, want := range map[byte][]uint64{orderedFrameVersion: {5, 9, 12}, 1: {5, 9, 9, 5, 12}} {
 		clientSide, serverSide := net.Pipe()
 		go NewTCP("").serveConnection(serverSide, func(_ messages.Kind, body []byte) ([]byte, error) { return body, nil })
@@ -131,7 +133,7 @@
 		}
 		for number, surplus := range got {
 			if surplus != 0 {
-				t.Errorf("version %d: call %d was worked on %d times too often", version, number, surplus)
+				t.Errorf("version %d: call %d: got %d responses more than expected", version, number, surplus)
 			}
 		}
 		clientSide.Close()
--- a/internal/platform/transport/transport_test.go
+++ b/internal/platform/transport/transport_test.go
@@ -12,15 +12,15 @@
 	"lemonarch/internal/platform/transport"
 )
 
-const enough = 5_000_000_000
+const callTimeout = 5_000_000_000
 
-// callContract is what every transport has to keep.
+// callContract checks the behaviour of calls that every transport has to implement.
 func callContract(t *testing.T, make func() (transport.Transport, string)) {
 	t.Helper()
 
 	t.Run("responses go to their requests", func(t *testing.T) { checkResponsesMatch(t, make) })
-	t.Run("unknown kinds are rejected and the rest goes on", func(t *testing.T) { checkUnknownKinds(t, make) })
-	t.Run("nobody there is told apart from no response", func(t *testing.T) { checkUnreachable(t, make) })
+	t.Run("unknown kinds are rejected and later calls succeed", func(t *testing.T) { checkUnknownKinds(t, make) })
+	t.Run("an unreachable peer is distinguished from a timeout", func(t *testing.T) { checkUnreachable(t, make) })
 }
 
 func checkResponsesMatch(t *testing.T, make func() (transport.Transport, string)) {
@@ -31,7 +31,7 @@
 	release := [2]chan struct{}{}
 	release[0], release[1] = newGate(), newGate()
 	err := server.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
-		// The first request is answered last.
+		// The response to the first request is sent last.
 		i := int(body[0])
 		if i == 0 {
 			<-release[0]
@@ -47,12 +47,12 @@
 	group.Add(1)
 	go func() {
 		defer group.Done()
-		resp, err := client.Call(address, messages.KindShuffle, []byte{0}, enough)
+		resp, err := client.Call(address, messages.KindShuffle, []byte{0}, callTimeout)
 		if err != nil || string(resp) != "to \x00" {
 			t.Errorf("%q %v", resp, err)
 		}
 	}()
-	resp, err := client.Call(address, messages.KindShuffle, []byte{1}, enough)
+	resp, err := client.Call(address, messages.KindShuffle, []byte{1}, callTimeout)
 	if err != nil || string(resp) != "to \x01" {
 		t.Errorf("%q %v", resp, err)
 	}
@@ -73,10 +73,10 @@
 	})
 	client, _ := make()
 	defer client.Close()
-	if _, err := client.Call(address, messages.Kind(9999), nil, enough); !errs.Is(err, transport.ErrRejected) {
+	if _, err := client.Call(address, messages.Kind(9999), nil, callTimeout); !errs.Is(err, transport.ErrRejected) {
 		t.Fatalf("got %v", err)
 	}
-	if resp, err := client.Call(address, messages.KindShuffle, nil, enough); err != nil || string(resp) != "known" {
+	if resp, err := client.Call(address, messages.KindShuffle, nil, callTimeout); err != nil || string(resp) != "known" {
 		t.Fatalf("%q %v", resp, err)
 	}
 }
@@ -86,7 +86,7 @@
 
 	client, address := make()
 	defer client.Close()
-	if _, err := client.Call(address, messages.KindShuffle, nil, enough); !errs.Is(err, transport.ErrUnreachable) {
+	if _, err := client.Call(address, messages.KindShuffle, nil, callTimeout); !errs.Is(err, transport.ErrUnreachable) {
 		t.Fatalf("got %v", err)
 	}
 	server, busy := make()
@@ -97,8 +97,8 @@
 		<-wait
 		return []byte{}, nil
 	})
-	// Another caller: the system may hand the first address out again, where the first
-	// caller remembers for an instant that nobody was.
+	// Use another caller: the address of the first call may be assigned again, and the first caller
+	// does not dial an address again for a short time after a failed dial.
 	caller, _ := make()
 	defer caller.Close()
 	if _, err := caller.Call(busy, messages.KindShuffle, nil, clock.Milliseconds(500)); !errs.Is(err, transport.ErrTimeout) {
@@ -108,7 +108,7 @@
 
 func newGate() chan struct{} { return make(chan struct{}) }
 
-func TestContractWire(t *testing.T) {
+func TestContractTCP(t *testing.T) {
 	callContract(t, func() (transport.Transport, string) {
 		address := freeAddress(t)
 		return transport.NewTCP(address), address
@@ -135,14 +135,14 @@
 	}
 	defer connection.Close()
 	_, _ = connection.Write([]byte("this is no frame of ours at all"))
-	_ = connection.SetReadDeadline(clock.Deadline(enough))
+	_ = connection.SetReadDeadline(clock.Deadline(callTimeout))
 	var buffer [1]byte
 	if _, err = connection.Read(buffer[:]); err == nil {
-		t.Fatal("a damaged frame was answered")
+		t.Fatal("got a response to a malformed frame")
 	}
 	client := transport.NewTCP("")
 	defer client.Close()
-	if resp, err := client.Call(address, messages.KindShuffle, nil, enough); err != nil || string(resp) != "yes" {
+	if resp, err := client.Call(address, messages.KindShuffle, nil, callTimeout); err != nil || string(resp) != "yes" {
 		t.Fatalf("%q %v", resp, err)
 	}
 }
