--- a/internal/platform/inbound/body.go
+++ b/internal/platform/inbound/body.go
@@ -22,7 +22,7 @@
 }
 
 // Read reads the whole body of a request. The memory of the body is charged to the request until
-// the request's handler returns. Read returns ErrTooLarge, ErrNoRoom, ErrTooSlow or ErrBroken; after
+// the request's handler returns. Read returns ErrTooLarge, ErrNoRoom, ErrTooSlow or ErrMalformedBody; after
 // any of them no part of the request has been executed.
 func (b Body) Read(writer http.ResponseWriter, request *http.Request) ([]byte, error) {
 	if request.ContentLength > b.Limit {
@@ -53,17 +53,17 @@
 		first = min(expected+1, constants.BodyAnnouncedBytes)
 	}
 	body := make([]byte, 0, first)
-	counted := int64(0)
+	charged := int64(0)
 	for {
 		if len(body) == cap(body) {
 			body = append(make([]byte, 0, min(2*int64(cap(body)), expected+1)), body...)
 		}
-		if connection != nil && int64(cap(body)) > counted {
+		if connection != nil && int64(cap(body)) > charged {
 			capacity := int64(cap(body))
-			if !connection.charge((capacity-counted)*b.Copies, max(capacity, request.ContentLength)*b.Copies) {
+			if !connection.charge((capacity-charged)*b.Copies, max(capacity, request.ContentLength)*b.Copies) {
 				return nil, ErrNoRoom.New("reserve memory for the body")
 			}
-			counted = capacity
+			charged = capacity
 		}
 		count, err := source.Read(body[len(body):cap(body)])
 		body = body[:len(body)+count]
@@ -87,7 +87,7 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return ErrTooSlow.Wrap(err, "read body")
 	}
-	return ErrBroken.Wrap(err, "read body")
+	return ErrMalformedBody.Wrap(err, "read body")
 }
 
 // charge charges count bytes that the request is about to allocate; total is the memory that the
--- a/internal/platform/inbound/conn.go
+++ b/internal/platform/inbound/conn.go
@@ -44,10 +44,10 @@
 	// waitingSince is when the current wait for the client began: at the first byte of the request,
 	// or, on an idle connection, at the end of the previous request.
 	waitingSince clock.Instant
-	// head tracks the head received so far. early keeps the bytes of the next request that were
+	// head tracks the head received so far. pipelined stores the bytes of the next request that were
 	// received before the response to the current one.
-	head  headScan
-	early []byte
+	head      headScan
+	pipelined []byte
 	// unmetered is how many bytes the current request may still allocate without being charged.
 	unmetered int64
 	rate      rate
@@ -102,7 +102,7 @@
 	case phaseIdle:
 		c.phase, c.waitingSince = phaseHead, now
 	case phaseServing:
-		c.early = append(c.early, data...)
+		c.pipelined = append(c.pipelined, data...)
 		return 0, false
 	case phaseBody, phaseDraining:
 		return 0, false
@@ -120,9 +120,9 @@
 // meterLocked deducts count bytes from the request's unmetered allowance and returns the remainder,
 // which must be charged. The caller holds the lock.
 func (c *Conn) meterLocked(count int64) int64 {
-	free := min(count, c.unmetered)
-	c.unmetered -= free
-	return count - free
+	covered := min(count, c.unmetered)
+	c.unmetered -= covered
+	return count - covered
 }
 
 // meter is meterLocked for callers that do not hold the lock.
--- a/internal/platform/inbound/headscan_test.go
+++ b/internal/platform/inbound/headscan_test.go
@@ -46,25 +46,25 @@
 	inner := "POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nx"
 	ambiguous := "POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + inner
 	ambiguous = fmt.Sprintf(ambiguous, len("0\r\n\r\n")+len(inner))
-	sound := "POST /b HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n"
-	for name, sent := range map[string]struct {
+	valid := "POST /b HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n"
+	for name, test := range map[string]struct {
 		text string
 		want string
 	}{
 		"alone":                 {ambiguous, "[400]"},
 		"after a valid one":     {inner + ambiguous, "[200 200]"},
-		"after a chunked one":   {sound + ambiguous, "[200 200]"},
+		"after a chunked one":   {valid + ambiguous, "[200 200]"},
 		"valid ones, pipelined": {inner + inner + inner, "[200 200 200]"},
 	} {
 		c := dial(t, listener)
-		c.send("%s", sent.text)
+		c.send("%s", test.text)
 		_ = c.Conn.(interface{ CloseWrite() error }).CloseWrite()
-		answers, err := io.ReadAll(c.reader)
+		responses, err := io.ReadAll(c.reader)
 		if err != nil {
 			t.Error(name, err)
 		}
-		if got := fmt.Sprint(statuses(answers)); got != sent.want {
-			t.Errorf("%s: got statuses %s, want %s", name, got, sent.want)
+		if got := fmt.Sprint(statuses(responses)); got != test.want {
+			t.Errorf("%s: got statuses %s, want %s", name, got, test.want)
 		}
 	}
 }
--- a/internal/platform/inbound/inbound_test.go
+++ b/internal/platform/inbound/inbound_test.go
@@ -89,11 +89,11 @@
 // that arrives, and that its client receives 503.
 func TestStalledBodiesAreEvicted(t *testing.T) {
 	listener, memory := serve(t, 0, 300<<10)
-	var stopped []*client
+	var stalled []*client
 	for range 2 {
 		c := dial(t, listener)
 		c.sendPartialBody(150_000, 149_999)
-		stopped = append(stopped, c)
+		stalled = append(stalled, c)
 	}
 	waitFor(t, "both bodies are charged", func() bool { return memory.Used() > 250_000 })
 	<-clock.After(constants.ClientGrace + constants.ClientRateWindow/10)
@@ -106,8 +106,8 @@
 		t.Error(listener.Evicted(), "connections were evicted, want 1")
 	}
 	// The client of the evicted request is informed that it was not executed.
-	statuses := make(chan int, len(stopped))
-	for _, c := range stopped {
+	statuses := make(chan int, len(stalled))
+	for _, c := range stalled {
 		go func() { statuses <- c.status() }()
 	}
 	if status := <-statuses; status != http.StatusServiceUnavailable {
@@ -118,15 +118,15 @@
 // TestConnectionsAreBounded checks that idle connections are closed for new ones at the limit, and that
 // a request in progress is not interrupted.
 func TestConnectionsAreBounded(t *testing.T) {
-	const most = 4
-	listener, _ := serve(t, most, 1<<20)
+	const limit = 4
+	listener, _ := serve(t, limit, 1<<20)
 	working := dial(t, listener)
 	working.sendPartialBody(10, 5)
 	waitFor(t, "the handler reads the body", func() bool {
 		list := listener.candidates(clock.Now())
 		return len(list) == 1 && list[0].phase == phaseBody
 	})
-	for range 3 * most {
+	for range 3 * limit {
 		dial(t, listener)
 	}
 	c := dial(t, listener)
@@ -134,7 +134,7 @@
 	if status := c.status(); status != http.StatusOK {
 		t.Error(status)
 	}
-	if open := listener.Open(); open > most {
+	if open := listener.Open(); open > limit {
 		t.Error(open, "connections are open, above the limit")
 	}
 	working.send("xxxxx")
--- a/internal/platform/inbound/limits.go
+++ b/internal/platform/inbound/limits.go
@@ -19,8 +19,8 @@
 	ErrNoRoom = errs.Define("no room for the body")
 	// ErrTooSlow means that the body was not received completely before its deadline.
 	ErrTooSlow = errs.Define("body not whole in time")
-	// ErrBroken means that the body ended early or has invalid HTTP framing.
-	ErrBroken = errs.Define("body can't be read")
+	// ErrMalformedBody means that the body ended early or has invalid HTTP framing.
+	ErrMalformedBody = errs.Define("body can't be read")
 )
 
 // Limits bounds the resources that the clients of one process may use.
--- a/internal/platform/inbound/lingeringclose.go
+++ b/internal/platform/inbound/lingeringclose.go
@@ -16,14 +16,14 @@
 // can discard the response before the client has read it.
 func CloseWrite(connection net.Conn) error {
 	raw := connection
-	if counted, is := connection.(*Conn); is {
+	if counted, ok := connection.(*Conn); ok {
 		raw = counted.Conn
 	}
-	half, can := raw.(halfCloser)
-	if !can {
+	closer, ok := raw.(halfCloser)
+	if !ok {
 		return nil
 	}
-	err := half.CloseWrite()
+	err := closer.CloseWrite()
 	if err == nil && raw.SetReadDeadline(clock.Deadline(constants.LingerTimeout)) == nil {
 		_, _ = io.CopyN(io.Discard, raw, constants.LingerBytes)
 	}
--- a/internal/platform/inbound/listener.go
+++ b/internal/platform/inbound/listener.go
@@ -52,8 +52,8 @@
 // received on connections in the backlog use memory too. If the system can't set the limit, the
 // listener serves anyway.
 func boundBacklog(listener net.Listener, connections int) {
-	socket, can := listener.(syscall.Conn)
-	if !can {
+	socket, ok := listener.(syscall.Conn)
+	if !ok {
 		return
 	}
 	raw, err := socket.SyscallConn()
@@ -131,18 +131,18 @@
 	defer l.lock.Unlock()
 	list := make([]candidate, 0, len(l.open))
 	for connection := range l.open {
-		if found, available := connection.candidate(now); available {
-			list = append(list, found)
+		if snapshot, available := connection.candidate(now); available {
+			list = append(list, snapshot)
 		}
 	}
 	return list
 }
 
-func (c *Conn) candidate(now clock.Instant) (found candidate, available bool) {
+func (c *Conn) candidate(now clock.Instant) (snapshot candidate, available bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	found = candidate{connection: c, phase: c.phase, waitingSince: c.waitingSince, recent: c.rate.recent(now), writingSince: c.writeStart()}
-	return found, !c.evicted
+	snapshot = candidate{connection: c, phase: c.phase, waitingSince: c.waitingSince, recent: c.rate.recent(now), writingSince: c.writeStart()}
+	return snapshot, !c.evicted
 }
 
 // LogPressure logs one line for each period in which connections were evicted or rejected, until stop
--- a/internal/platform/inbound/request.go
+++ b/internal/platform/inbound/request.go
@@ -18,14 +18,14 @@
 // connOf unwraps a connection until it finds a Conn. It returns nil if there is none.
 func connOf(raw net.Conn) *Conn {
 	for raw != nil {
-		if found, is := raw.(*Conn); is {
-			return found
+		if connection, ok := raw.(*Conn); ok {
+			return connection
 		}
-		wraps, is := raw.(wrapper)
-		if !is {
+		wrapped, ok := raw.(wrapper)
+		if !ok {
 			return nil
 		}
-		raw = wraps.NetConn()
+		raw = wrapped.NetConn()
 	}
 	return nil
 }
@@ -33,8 +33,8 @@
 // ConnContext is the ConnContext hook of http.Server. It stores the connection in the context of its
 // requests.
 func ConnContext(parent contexts.Context, raw net.Conn) contexts.Context {
-	if found := connOf(raw); found != nil {
-		return contexts.WithValue(parent, connKey{}, found)
+	if connection := connOf(raw); connection != nil {
+		return contexts.WithValue(parent, connKey{}, connection)
 	}
 	return parent
 }
@@ -42,14 +42,14 @@
 // ConnState is the ConnState hook of http.Server. It marks the connection as idle once the response to
 // a request has been sent.
 func ConnState(raw net.Conn, state http.ConnState) {
-	if found := connOf(raw); found != nil && state == http.StateIdle {
-		found.becomeIdle()
+	if connection := connOf(raw); connection != nil && state == http.StateIdle {
+		connection.becomeIdle()
 	}
 }
 
 func connOfRequest(request *http.Request) *Conn {
-	found, _ := request.Context().Value(connKey{}).(*Conn)
-	return found
+	connection, _ := request.Context().Value(connKey{}).(*Conn)
+	return connection
 }
 
 // Handler wraps a handler so that each request releases its memory when the handler returns, bounds
@@ -154,11 +154,11 @@
 	defer c.lock.Unlock()
 	c.phase, c.waitingSince = phaseIdle, clock.Now()
 	c.head, c.unmetered, c.rate = headScan{}, constants.ClientUnmeteredBytes, rate{}
-	if len(c.early) > 0 {
+	if len(c.pipelined) > 0 {
 		// A part of the next request has already been received.
 		c.phase = phaseHead
-		c.head.feed(c.early)
-		c.early = nil
+		c.head.feed(c.pipelined)
+		c.pipelined = nil
 	}
 	if !c.bodyDeadline.IsZero() {
 		c.bodyDeadline = clock.Time{}
--- a/internal/platform/process/status.go
+++ b/internal/platform/process/status.go
@@ -25,9 +25,9 @@
 		// A bounded response costs a node little; the last row contains the number of omitted rows.
 		omitted := len(resp.Rows) - constants.StatusRows
 		resp.Rows = resp.Rows[:constants.StatusRows]
-		more := make([]string, len(resp.Columns))
-		more[0] = "(" + strconv.Itoa(omitted) + " more)"
-		resp.Rows = append(resp.Rows, more)
+		summary := make([]string, len(resp.Columns))
+		summary[0] = "(" + strconv.Itoa(omitted) + " more)"
+		resp.Rows = append(resp.Rows, summary)
 	}
 	return resp, nil
 }
--- a/internal/platform/process/traffic.go
+++ b/internal/platform/process/traffic.go
@@ -35,10 +35,10 @@
 func (r *Runtime) reportTraffic() *messages.StatusResponse {
 	status := &messages.StatusResponse{Columns: []string{"kind", "place", "sent", "sent-bytes", "received", "received-bytes", "life-s"}}
 	ageSeconds := strconv.FormatInt((clock.WallNanos()-r.Self.Incarnation)/1_000_000_000, 10)
-	number := func(value int64) string { return strconv.FormatInt(value, 10) }
+	format := func(value int64) string { return strconv.FormatInt(value, 10) }
 	for _, sample := range r.meter().Samples() {
-		status.Rows = append(status.Rows, []string{sample.Kind.String(), sample.Locality.String(), number(sample.Sent.Messages),
-			number(sample.Sent.Bytes), number(sample.Received.Messages), number(sample.Received.Bytes), ageSeconds})
+		status.Rows = append(status.Rows, []string{sample.Kind.String(), sample.Locality.String(), format(sample.Sent.Messages),
+			format(sample.Sent.Bytes), format(sample.Received.Messages), format(sample.Received.Bytes), ageSeconds})
 	}
 	return status
 }
--- a/internal/platform/recordlog/recordlog.go
+++ b/internal/platform/recordlog/recordlog.go
@@ -110,8 +110,8 @@
 	for offset < int64(len(data)) {
 		body, _, complete := parseRecord(data[offset:])
 		if !complete {
-			if later, found := findProofAfter(data, offset+1); found {
-				return ErrCorrupt.New(fmt.Sprintf("file %s at byte %d, which was synced before the record at byte %d was written", l.name, offset, later))
+			if proofOffset, found := findProofAfter(data, offset+1); found {
+				return ErrCorrupt.New(fmt.Sprintf("file %s at byte %d, which was synced before the record at byte %d was written", l.name, offset, proofOffset))
 			}
 			break
 		}
--- a/internal/platform/transport/async_test.go
+++ b/internal/platform/transport/async_test.go
@@ -50,12 +50,12 @@
 // newSimulatedNetwork returns a network on a simulated clock with a delay of 1 ms in each direction.
 // Addresses in the returned map are unreachable.
 func newSimulatedNetwork() (*transport.MemoryNetwork, *simulation.World, *frameCounter, map[string]bool) {
-	network, world, counted, departed := transport.NewMemoryNetwork(), simulation.NewWorld(1), &frameCounter{}, map[string]bool{}
+	network, world, counted, unreachable := transport.NewMemoryNetwork(), simulation.NewWorld(1), &frameCounter{}, map[string]bool{}
 	network.OnFrame(counted.observe)
 	network.Simulate(transport.Environment{Clock: world,
 		Delay:     func(string, string) clock.Duration { return clock.Milliseconds(1) },
-		Reachable: func(from, to string) bool { return !departed[from] && !departed[to] }})
-	return network, world, counted, departed
+		Reachable: func(from, to string) bool { return !unreachable[from] && !unreachable[to] }})
+	return network, world, counted, unreachable
 }
 
 func TestCallAsyncDelayAndCounts(t *testing.T) {
@@ -77,10 +77,10 @@
 }
 
 func TestCallAsyncDistinguishesTimeoutRejectionAndAbsence(t *testing.T) {
-	network, world, _, departed := newSimulatedNetwork()
+	network, world, _, unreachable := newSimulatedNetwork()
 	_ = network.Transport("server").Serve(func(kind messages.Kind, _ []byte) ([]byte, error) {
 		if kind == messages.KindGossip {
-			departed["server"] = true
+			unreachable["server"] = true
 			return []byte("lost on its way"), nil
 		}
 		return nil, nil
--- a/internal/platform/transport/everybyte_test.go
+++ b/internal/platform/transport/everybyte_test.go
@@ -94,8 +94,8 @@
 	call("next")
 	relay.End()
 	for _, body := range []string{"rest", "left", "right", "next"} {
-		if ran := server.callCount(body); ran > 1 {
-			t.Errorf("call %q was handled %d times, want at most once", body, ran)
+		if calls := server.callCount(body); calls > 1 {
+			t.Errorf("call %q was handled %d times, want at most once", body, calls)
 		}
 	}
 }
--- a/internal/platform/transport/memory.go
+++ b/internal/platform/transport/memory.go
@@ -81,7 +81,7 @@
 		body []byte
 		err  error
 	}
-	answered := make(chan result, 1)
+	responses := make(chan result, 1)
 	other := t.network.meter(address)
 	other.received(kind, t.ownAddress, len(body))
 	t.network.observe(t.ownAddress, address, kind, false, body)
@@ -89,12 +89,12 @@
 		resp, err := handler(kind, body)
 		other.sent(kind, t.ownAddress, len(resp))
 		t.network.observe(address, t.ownAddress, kind, true, resp)
-		answered <- result{resp, err}
+		responses <- result{resp, err}
 	}()
 	timer := clock.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case r := <-answered:
+	case r := <-responses:
 		t.meter.received(kind, address, len(r.body))
 		if r.err != nil || r.body == nil {
 			return nil, ErrRejected.New(address)
--- a/internal/platform/transport/notify.go
+++ b/internal/platform/transport/notify.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		return ErrMalformed.Wrap(err, "encode message")
 	}
-	if notifier, able := transport.(Notifier); able {
+	if notifier, ok := transport.(Notifier); ok {
 		return notifier.Notify(address, kind, body)
 	}
 	_, err = transport.Call(address, kind, body, constants.CallTimeout)
--- a/internal/platform/transport/peer.go
+++ b/internal/platform/transport/peer.go
@@ -191,13 +191,13 @@
 func (p *peer) write(current *peerConn, outgoing *frame, end clock.Instant, before func(number uint64) bool) error {
 	current.writing.Lock()
 	defer current.writing.Unlock()
-	left := end.Sub(clock.Now())
+	remaining := end.Sub(clock.Now())
 	outgoing.number = p.transport.number.Add(1)
-	if left <= 0 || (before != nil && !before(outgoing.number)) {
+	if remaining <= 0 || (before != nil && !before(outgoing.number)) {
 		return ErrUnreachable.New(p.address)
 	}
 	p.transport.meter.sent(outgoing.kind, p.address, len(outgoing.body))
-	_ = current.conn.SetWriteDeadline(clock.Deadline(left))
+	_ = current.conn.SetWriteDeadline(clock.Deadline(remaining))
 	if _, err := current.conn.Write(appendFrame(make([]byte, 0, headerBytes+len(outgoing.body)), *outgoing)); err != nil {
 		p.forget(current)
 		return ErrTimeout.Wrap(err, p.address)
--- a/internal/platform/transport/peer_test.go
+++ b/internal/platform/transport/peer_test.go
@@ -115,9 +115,9 @@
 		go NewTCP("").serveConnection(serverSide, func(_ messages.Kind, body []byte) ([]byte, error) { return body, nil })
 		go func() {
 			for _, number := range []uint64{5, 9, 9, 5, 12} {
-				text := appendFrame(nil, frame{frameType: frameRequest, kind: messages.KindShuffle, number: number, body: []byte("body")})
-				text[1] = version
-				_, _ = clientSide.Write(text)
+				data := appendFrame(nil, frame{frameType: frameRequest, kind: messages.KindShuffle, number: number, body: []byte("body")})
+				data[1] = version
+				_, _ = clientSide.Write(data)
 			}
 		}()
 		got, responses := map[uint64]int{}, bufio.NewReader(clientSide)
