--- a/internal/platform/inbound/body.go
+++ b/internal/platform/inbound/body.go
@@ -22,8 +22,8 @@
 }
 
 // Read reads the whole body of a request. The memory of the body is charged to the request until
-// the request's handler returns. Read returns ErrTooLarge, ErrNoRoom, ErrTooSlow or ErrMalformedBody; after
-// any of them no part of the request has been executed.
+// the request's handler returns. The errors are ErrTooLarge, ErrNoRoom, ErrTooSlow and
+// ErrMalformedBody; after any of them no part of the request has been executed.
 func (b Body) Read(writer http.ResponseWriter, request *http.Request) ([]byte, error) {
 	if request.ContentLength > b.Limit {
 		return nil, ErrTooLarge.New("content length exceeds the limit")
--- a/internal/platform/inbound/inbound_test.go
+++ b/internal/platform/inbound/inbound_test.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// TestConnectionsAreBounded checks that idle connections are closed for new ones at the limit, and that
-// a request in progress is not interrupted.
+// TestConnectionsAreBounded checks that idle connections are closed for new ones at the limit, the
+// longest idle first, and that a request in progress is not interrupted.
 func TestConnectionsAreBounded(t *testing.T) {
 	const limit = 4
 	listener, _ := serve(t, limit, 1<<20)
--- a/internal/platform/inbound/memory.go
+++ b/internal/platform/inbound/memory.go
@@ -61,7 +61,8 @@
 func (m *Memory) tryReserve(c *Conn, count int64) (reserved bool, shortfall int64, released <-chan struct{}) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	// If no other request is charged, this one is served regardless of its size.
+	// If no other request is charged, this one is served even above the memory limit: its own size is
+	// bounded by the limits of heads and bodies.
 	if m.limit <= 0 || m.used+count <= m.limit || m.used == c.charged {
 		m.used += count
 		c.charged += count
--- a/internal/platform/recordlog/rewrite.go
+++ b/internal/platform/recordlog/rewrite.go
@@ -35,7 +35,7 @@
 		// The replacement file is discarded, so an error of Close can be ignored.
 		_ = file.Close()
 		if !l.unlinked {
-			// Free its space on the disk.
+			// Free its space, which the disk may need.
 			_ = l.disk.Remove(newName)
 		}
 		return nil, err
--- a/internal/platform/transport/tcp.go
+++ b/internal/platform/transport/tcp.go
@@ -51,8 +51,8 @@
 }
 
 // NewTCP returns a transport that listens on ownAddress once Serve is called.
-func NewTCP(own string) *TCP {
-	w := &TCP{ownAddress: own, meter: NewMeter(), peers: map[string]*peer{}, accepted: map[net.Conn]struct{}{}, dial: dialPeer}
+func NewTCP(ownAddress string) *TCP {
+	w := &TCP{ownAddress: ownAddress, meter: NewMeter(), peers: map[string]*peer{}, accepted: map[net.Conn]struct{}{}, dial: dialPeer}
 	// The upper half is random and identifies this incarnation, so that call numbers of an earlier
 	// incarnation are not reused.
 	w.number.Store(uint64(rand.Uint32()) << incarnationShift)
