--- a/internal/platform/process/traffic.go
+++ b/internal/platform/process/traffic.go
@@ -60,7 +60,8 @@
 	}
 }
 
-// UnknownFrames returns how many frames of unknown types or kinds were skipped since the start.
+// UnknownFrames returns how many frames since the start were of an unknown type or kind, or failed with
+// an error of their handler. It returns 0 for a transport other than TCP.
 func (r *Runtime) UnknownFrames() int64 {
 	if tcp, ok := r.Transport.(*transport.TCP); ok {
 		return tcp.UnknownFrames()
--- a/internal/platform/recordlog/recordlog.go
+++ b/internal/platform/recordlog/recordlog.go
@@ -21,7 +21,7 @@
 
 // The errors of the record log.
 var (
-	// ErrCorrupt means that a record that was synced is no longer valid.
+	// ErrCorrupt means that a record that was once complete is no longer valid.
 	ErrCorrupt = errs.Define("corrupt record")
 	// ErrDisk means that a disk operation failed.
 	ErrDisk = errs.Define("disk operation failed")
@@ -145,7 +145,8 @@
 	return l.write(bodies, false)
 }
 
-// write appends records and returns their offsets; proof marks each of them with provesPrefix.
+// write appends records and returns their offsets. With proof all of them are marked with
+// provesPrefix, otherwise only one that starts at synced.
 func (l *Log) write(bodies [][]byte, proof bool) ([]int64, error) {
 	if err := l.repairTail(); err != nil {
 		return nil, err
--- a/internal/platform/transport/tcp.go
+++ b/internal/platform/transport/tcp.go
@@ -65,7 +65,8 @@
 // Meter returns the meter of the traffic that this process sends and receives.
 func (w *TCP) Meter() *Meter { return w.meter }
 
-// UnknownFrames returns how many frames of unknown types or kinds were skipped.
+// UnknownFrames returns how many frames were of an unknown type or kind, or failed with an error of
+// the handler.
 func (w *TCP) UnknownFrames() int64 { return w.unknownFrames.Load() }
 
 // Serve listens on the own address and passes calls to the handler.
