--- a/internal/platform/inbound/victim_test.go
+++ b/internal/platform/inbound/victim_test.go
@@ -10,26 +10,27 @@
 	"lemonarch/internal/platform/settings"
 )
 
-// Memory is given back by the slowest first, connections by the longest idle; what is whole keeps
-// both.
-func TestChoices(t *testing.T) {
+// TestEvictionOrder checks the order of eviction: for memory the slowest request first, for connections
+// the one idle for the longest time. A complete request is not evicted for memory, and its connection
+// is closed only if its client has not read the response for long.
+func TestEvictionOrder(t *testing.T) {
 	second := clock.Instant(clock.Milliseconds(1000))
 	now := 100 * second
 	connections := make([]Conn, 8)
 	list := []candidate{
-		{connection: &connections[0], phase: phaseServing, since: 1, charged: 900},
-		{connection: &connections[1], phase: phaseBody, since: now - 5*second, recent: 500, charged: 50},
-		{connection: &connections[2], phase: phaseHead, since: now - 3*second, recent: 20, charged: 10},
-		{connection: &connections[3], phase: phaseBody, since: now, recent: 0, charged: 800},
-		{connection: &connections[4], phase: phaseServing, since: 1, writingSince: now - 4*second},
-		{connection: &connections[5], phase: phaseServing, since: 1, writingSince: now},
-		{connection: &connections[6], phase: phaseIdle, since: now - 2*second},
-		{connection: &connections[7], phase: phaseIdle, since: now - 1*second},
-	}
-	holders, closed := []int{}, []int{}
+		{connection: &connections[0], phase: phaseServing, waitingSince: 1, charged: 900},
+		{connection: &connections[1], phase: phaseBody, waitingSince: now - 5*second, recent: 500, charged: 50},
+		{connection: &connections[2], phase: phaseHead, waitingSince: now - 3*second, recent: 20, charged: 10},
+		{connection: &connections[3], phase: phaseBody, waitingSince: now, recent: 0, charged: 800},
+		{connection: &connections[4], phase: phaseServing, waitingSince: 1, writingSince: now - 4*second},
+		{connection: &connections[5], phase: phaseServing, waitingSince: 1, writingSince: now},
+		{connection: &connections[6], phase: phaseIdle, waitingSince: now - 2*second},
+		{connection: &connections[7], phase: phaseIdle, waitingSince: now - 1*second},
+	}
+	evicted, closed := []int{}, []int{}
 	remaining := append([]candidate{}, list...)
-	for chosen := chooseHolder(remaining, 100, now); chosen != nil; chosen = chooseHolder(remaining, 100, now) {
-		holders = append(holders, indexOf(connections, chosen.connection))
+	for chosen := chooseRequest(remaining, 100, now); chosen != nil; chosen = chooseRequest(remaining, 100, now) {
+		evicted = append(evicted, indexOf(connections, chosen.connection))
 		chosen.charged = 0
 	}
 	remaining = append([]candidate{}, list...)
@@ -37,27 +38,27 @@
 		closed = append(closed, indexOf(connections, chosen.connection))
 		*chosen = candidate{phase: phaseServing}
 	}
-	if fmt.Sprint(holders) != "[2 1 3]" {
-		t.Error("memory is given back by", holders)
+	if fmt.Sprint(evicted) != "[2 1 3]" {
+		t.Error("requests are evicted for memory in the order", evicted)
 	}
 	if fmt.Sprint(closed) != "[6 7 2 1 4]" {
 		t.Error("connections are closed in the order", closed)
 	}
-	if chooseHolder(list[3:4], 500, now) != nil {
-		t.Error("a request gives way to one that holds nearly as much")
+	if chooseRequest(list[3:4], 500, now) != nil {
+		t.Error("a request was evicted for one that needs nearly as much memory")
 	}
 }
 
-func indexOf(connections []Conn, wanted *Conn) int {
+func indexOf(connections []Conn, target *Conn) int {
 	for i := range connections {
-		if &connections[i] == wanted {
+		if &connections[i] == target {
 			return i
 		}
 	}
 	return -1
 }
 
-func TestRateForgets(t *testing.T) {
+func TestRateExpires(t *testing.T) {
 	window := clock.Instant(constants.ClientRateWindow)
 	r := rate{}
 	r.add(100, window)
@@ -70,7 +71,7 @@
 	}
 }
 
-func TestLimitsFollowTheMachine(t *testing.T) {
+func TestLimitsOfMachine(t *testing.T) {
 	small := LimitsOf(settings.Limits{MemoryMB: 96, FileHandles: 600})
 	large := LimitsOf(settings.Limits{MemoryMB: 284, FileHandles: 4100})
 	if small.Connections > 200 || small.Connections < 100 || large.Connections < 500 || large.Connections > 1950 || small.Memory >= large.Memory {
@@ -81,56 +82,57 @@
 	}
 }
 
-// A request that has come whole since it was chosen is not made to give way, and nothing that was to
-// be given back is counted twice.
-func TestWholeRequestsAreServed(t *testing.T) {
+// TestCompleteRequestsAreNotEvicted checks that a request which was received completely after it was
+// chosen is not evicted, and that the bytes an evicted request will release are counted once.
+func TestCompleteRequestsAreNotEvicted(t *testing.T) {
 	memory := NewMemory(1000)
 	listener := NewListener(nil, 0, memory)
-	ours, theirs := net.Pipe()
-	defer theirs.Close()
-	connection := newConn(ours, listener)
+	server, client := net.Pipe()
+	defer client.Close()
+	connection := newConn(server, listener)
 	listener.open[connection] = struct{}{}
 	connection.phase = phaseBody
-	if done, _, _ := memory.take(connection, 600); !done {
-		t.Fatal("no room in calm")
+	if done, _, _ := memory.tryReserve(connection, 600); !done {
+		t.Fatal("could not reserve memory below the limit")
 	}
 	chosen := listener.candidates(clock.Now())[0]
 	if !connection.endBody(true) || connection.evict(&chosen) {
-		t.Fatal("a whole request had to give way")
+		t.Fatal("a complete request was evicted")
 	}
 	connection.phase = phaseBody
 	if !connection.evict(&chosen) || connection.evict(&chosen) {
-		t.Fatal("a request gives way once")
+		t.Fatal("a request must be evicted exactly once")
 	}
 	for range 2 {
-		memory.markLeaving(connection)
+		memory.markReleasing(connection)
 	}
-	if memory.leaving != 600 {
-		t.Error(memory.leaving, "bytes are awaited")
+	if memory.releasing != 600 {
+		t.Error(memory.releasing, "bytes are marked as releasing, want 600")
 	}
 	connection.end()
-	memory.markLeaving(connection)
-	if memory.leaving != 0 || memory.used != 0 {
-		t.Error(memory.leaving, memory.used)
+	memory.markReleasing(connection)
+	if memory.releasing != 0 || memory.used != 0 {
+		t.Error(memory.releasing, memory.used)
 	}
 }
 
-// What a request holds counts until the server has let go of it, also where its connection was cut.
-func TestHeldBytesCountUntilTheyAreGivenBack(t *testing.T) {
+// TestChargedBytesUntilClose checks that the bytes of a request stay charged until the server calls
+// Close, even if its connection was aborted before.
+func TestChargedBytesUntilClose(t *testing.T) {
 	for _, at := range []phase{phaseHead, phaseBody, phaseDraining} {
 		memory := NewMemory(1000)
 		listener := NewListener(nil, 0, memory)
-		ours, theirs := net.Pipe()
-		defer theirs.Close()
-		connection := newConn(ours, listener)
+		server, client := net.Pipe()
+		defer client.Close()
+		connection := newConn(server, listener)
 		listener.open[connection] = struct{}{}
 		connection.phase = at
-		memory.take(connection, 600)
+		memory.tryReserve(connection, 600)
 		chosen := listener.candidates(clock.Now())[0]
 		if !connection.evict(&chosen) {
-			t.Fatal(at, "does not give way")
+			t.Fatal(at, "was not evicted")
 		}
-		_ = connection.cut()
+		_ = connection.abort()
 		if memory.Used() != 600 || listener.Open() != 0 {
 			t.Error(at, memory.Used(), listener.Open())
 		}
--- a/internal/platform/process/status.go
+++ b/internal/platform/process/status.go
@@ -7,8 +7,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Report registers the answer to a status query of the shell. Reports only read, and are
-// short; a later registration replaces an earlier one.
+// Report registers the function that responds to a status query of the shell. A report must only
+// read state, and must be short. A later registration replaces an earlier one.
 func (r *Runtime) Report(query string, report func() *messages.StatusResponse) {
 	r.reports[query] = report
 }
@@ -19,21 +19,21 @@
 		resp = report()
 	}
 	if req.Zone != "" {
-		resp.Rows = ofZone(resp, req.Zone)
+		resp.Rows = filterByZone(resp, req.Zone)
 	}
 	if len(resp.Rows) > constants.StatusRows {
-		// A bounded response costs a node little; the last row says how many are left out.
-		left := len(resp.Rows) - constants.StatusRows
+		// A bounded response costs a node little; the last row contains the number of omitted rows.
+		omitted := len(resp.Rows) - constants.StatusRows
 		resp.Rows = resp.Rows[:constants.StatusRows]
-		more := make([]string, len(resp.Columns))
-		more[0] = "(" + strconv.Itoa(left) + " more)"
-		resp.Rows = append(resp.Rows, more)
+		summary := make([]string, len(resp.Columns))
+		summary[0] = "(" + strconv.Itoa(omitted) + " more)"
+		resp.Rows = append(resp.Rows, summary)
 	}
 	return resp, nil
 }
 
-// ofZone keeps the rows that name a zone in their column of that name.
-func ofZone(status *messages.StatusResponse, zone string) [][]string {
+// filterByZone returns the rows whose column "zone" equals zone.
+func filterByZone(status *messages.StatusResponse, zone string) [][]string {
 	var matching [][]string
 	for i, column := range status.Columns {
 		if column != "zone" {
--- a/internal/platform/process/traffic.go
+++ b/internal/platform/process/traffic.go
@@ -11,37 +11,39 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// meter gives the transport's counters; a transport without any counts nothing.
+// meter returns the transport's meter, or an empty one if the transport has none.
 func (r *Runtime) meter() *transport.Meter {
-	if metered, able := r.Transport.(transport.Metered); able {
+	if metered, ok := r.Transport.(transport.Metered); ok {
 		return metered.Meter()
 	}
 	return transport.NewMeter()
 }
 
-// RecordLocalities tells the traffic counters which hosts are in this process's zone.
-func (r *Runtime) RecordLocalities(entries []messages.NodeInfo) {
+// RecordLocalities records in the traffic meter which hosts are in this process's zone. Nodes without
+// a zone are ignored.
+func (r *Runtime) RecordLocalities(nodes []messages.NodeInfo) {
 	meter := r.meter()
-	for _, entry := range entries {
-		if entry.Zone != "" {
-			meter.SetLocality(entry.Address, entry.Zone == r.Self.Zone)
+	for _, node := range nodes {
+		if node.Zone != "" {
+			meter.SetLocality(node.Address, node.Zone == r.Self.Zone)
 		}
 	}
 }
 
-// reportTraffic lists what was sent and received since the start, the busiest first.
+// reportTraffic lists the traffic since the start by kind and locality, ordered by bytes sent, largest
+// first.
 func (r *Runtime) reportTraffic() *messages.StatusResponse {
 	status := &messages.StatusResponse{Columns: []string{"kind", "place", "sent", "sent-bytes", "received", "received-bytes", "life-s"}}
-	incarnation := strconv.FormatInt((clock.WallNanos()-r.Self.Incarnation)/1_000_000_000, 10)
-	number := func(value int64) string { return strconv.FormatInt(value, 10) }
+	ageSeconds := strconv.FormatInt((clock.WallNanos()-r.Self.Incarnation)/1_000_000_000, 10)
+	format := func(value int64) string { return strconv.FormatInt(value, 10) }
 	for _, sample := range r.meter().Samples() {
-		status.Rows = append(status.Rows, []string{sample.Kind.String(), sample.Locality.String(), number(sample.Sent.Messages),
-			number(sample.Sent.Bytes), number(sample.Received.Messages), number(sample.Received.Bytes), incarnation})
+		status.Rows = append(status.Rows, []string{sample.Kind.String(), sample.Locality.String(), format(sample.Sent.Messages),
+			format(sample.Sent.Bytes), format(sample.Received.Messages), format(sample.Received.Bytes), ageSeconds})
 	}
 	return status
 }
 
-// LogTraffic writes the counters as one line, with a pair for each kind and locality.
+// LogTraffic logs the counters in one line, with a key=value pair for each kind and locality.
 func (r *Runtime) LogTraffic(level hclog.Level) {
 	values := []any{"life-ms", (clock.WallNanos() - r.Self.Incarnation) / 1_000_000}
 	for _, sample := range r.meter().Samples() {
@@ -51,17 +53,18 @@
 	r.Log.Log(level, "traffic sent", values...)
 }
 
-// logTrafficPeriodically logs the counters at debug level, for measurements.
+// logTrafficPeriodically logs the counters each TrafficPeriod if debug logging is on, for measurements.
 func (r *Runtime) logTrafficPeriodically() {
 	if r.Log.IsDebug() {
 		clock.Every(constants.TrafficPeriod, r.Stop, func() { r.LogTraffic(hclog.Debug) })
 	}
 }
 
-// UnknownFrames is how many frames of unknown kinds were skipped since the start.
+// UnknownFrames returns how many frames since the start were of an unknown type or kind, or failed with
+// an error of their handler. It returns 0 for a transport other than TCP.
 func (r *Runtime) UnknownFrames() int64 {
 	if tcp, ok := r.Transport.(*transport.TCP); ok {
-		return tcp.Unknown()
+		return tcp.UnknownFrames()
 	}
 	return 0
 }
