--- a/cmd/lemonarch/assign.go
+++ b/cmd/lemonarch/assign.go
@@ -28,35 +28,35 @@
 	command.Flags().StringVar(&options.keep, "keep", "", "an earlier answer (JSON), of which as much stays as can")
 	command.Flags().StringVar(&options.format, "output", "json", "table or json")
 	command.RunE = func(command *cobra.Command, arguments []string) error {
-		var only *string
+		var window *string
 		if command.Flags().Changed("window") {
-			only = &options.window
+			window = &options.window
 		}
-		return assign(command.OutOrStdout(), command.ErrOrStderr(), arguments[0], only, options)
+		return assign(command.OutOrStdout(), command.ErrOrStderr(), arguments[0], window, options)
 	}
 	return command
 }
 
 // readRules gives the rules of a file; findings go to the writer, one a line.
-func readRules(path string, complaints io.Writer) (*adapterplan.Rules, []byte, error) {
+func readRules(path string, diagnostics io.Writer) (*adapterplan.Rules, []byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, nil, exitError{exitUnusable, err.Error()}
 	}
 	rules, findings := adapterplan.Read(text)
 	for _, finding := range findings {
-		fmt.Fprintln(complaints, path+": "+finding)
+		fmt.Fprintln(diagnostics, path+": "+finding)
 	}
 	if len(findings) > 0 {
 		return nil, nil, exitError{exitInvalid, fmt.Sprintf("%s is not valid, findings=%d", path, len(findings))}
 	}
-	for _, notes := range rules.Notes() {
-		fmt.Fprintln(complaints, path+": note: "+notes)
+	for _, note := range rules.Notes() {
+		fmt.Fprintln(diagnostics, path+": note: "+note)
 	}
 	return rules, text, nil
 }
 
-func assign(writer, complaints io.Writer, path string, only *string, options assignOptions) error {
+func assign(writer, diagnostics io.Writer, path string, window *string, options assignOptions) error {
 	if err := checkFormat(options.format); err != nil {
 		return err
 	}
@@ -70,11 +70,11 @@
 			return exitError{exitUnusable, "--keep " + options.keep + ": " + strings.ReplaceAll(err.Error(), "\n", " ")}
 		}
 	}
-	rules, _, err := readRules(path, complaints)
+	rules, _, err := readRules(path, diagnostics)
 	if err != nil {
 		return err
 	}
-	answer, refusal, err := planned(rules, only, earlier)
+	answer, refusal, err := planWithTimeout(rules, window, earlier)
 	if err != nil {
 		return err
 	}
@@ -83,7 +83,7 @@
 
 // planned plans within a bound of time: the question is as hard as questions get,
 // and an operator before a window needs to be told so in time.
-func planned(rules *adapterplan.Rules, only *string, earlier *adapterplan.Answer) (*adapterplan.Answer, *adapterplan.Refusal, error) {
+func planWithTimeout(rules *adapterplan.Rules, window *string, earlier *adapterplan.Answer) (*adapterplan.Answer, *adapterplan.Refusal, error) {
 	type result struct {
 		answer  *adapterplan.Answer
 		refusal *adapterplan.Refusal
@@ -91,21 +91,21 @@
 	}
 	done := make(chan result, 1)
 	go func() {
-		entry := result{}
-		entry.answer, entry.refusal, _, entry.err = adapterplan.Plan(rules, only, earlier)
-		done <- entry
+		planned := result{}
+		planned.answer, planned.refusal, _, planned.err = adapterplan.Plan(rules, window, earlier)
+		done <- planned
 	}()
 	timer := clock.NewTimer(constants.PlanTime)
 	defer timer.Stop()
 	select {
-	case entry := <-done:
-		if errs.Is(entry.err, adapterplan.ErrInvalidCall) {
-			return nil, nil, exitError{exitUnusable, "--window: " + entry.err.Error()}
+	case planned := <-done:
+		if errs.Is(planned.err, adapterplan.ErrInvalidCall) {
+			return nil, nil, exitError{exitUnusable, "--window: " + planned.err.Error()}
 		}
-		if entry.err != nil {
-			return nil, nil, exitError{exitUnusable, entry.err.Error()}
+		if planned.err != nil {
+			return nil, nil, exitError{exitUnusable, planned.err.Error()}
 		}
-		return entry.answer, entry.refusal, nil
+		return planned.answer, planned.refusal, nil
 	case <-timer.C:
 		return nil, nil, exitError{exitUnusable, "not decided within " + constants.PlanTime.String()}
 	}
--- a/cmd/lemonarch/assign_apply.go
+++ b/cmd/lemonarch/assign_apply.go
@@ -22,9 +22,9 @@
 			if err := checkFormat(format); err != nil {
 				return err
 			}
-			wire := transport.NewTCP("")
-			defer wire.Close()
-			shell, err := fleetshell.New(wire, seed, constants.StatusTimeout)
+			tcp := transport.NewTCP("")
+			defer tcp.Close()
+			shell, err := fleetshell.New(tcp, seed, constants.StatusTimeout)
 			if err != nil {
 				return exitError{exitUnusable, err.Error()}
 			}
@@ -83,8 +83,8 @@
 
 // apply plans on this machine, so that the controllers need no solver for it, and puts rules
 // and answer in force on top of what was read.
-func apply(writer, complaints io.Writer, shell *fleetshell.Shell, path, format string) error {
-	rules, text, err := readRules(path, complaints)
+func apply(writer, diagnostics io.Writer, shell *fleetshell.Shell, path, format string) error {
+	rules, text, err := readRules(path, diagnostics)
 	if err != nil {
 		return err
 	}
@@ -98,7 +98,7 @@
 			return exitError{exitInvalid, "the answer in force can't be read: " + oneLine(err)}
 		}
 	}
-	answer, refusal, err := planned(rules, nil, earlier)
+	answer, refusal, err := planWithTimeout(rules, nil, earlier)
 	if err != nil {
 		return err
 	}
@@ -120,9 +120,9 @@
 	if answer.Moves != nil {
 		moves = *answer.Moves
 	}
-	fmt.Fprintf(complaints, "in force: revision=%d generation=%d moves=%d\n", plan.Revision, plan.Generation, moves)
+	fmt.Fprintf(diagnostics, "in force: revision=%d generation=%d moves=%d\n", plan.Revision, plan.Generation, moves)
 	for _, line := range plan.Collisions {
-		fmt.Fprintln(complaints, "collision, the last answer stays in force: "+line)
+		fmt.Fprintln(diagnostics, "collision, the last answer stays in force: "+line)
 	}
 	return printPlan(writer, answer, nil, format)
 }
--- a/cmd/lemonarch/assign_apply_test.go
+++ b/cmd/lemonarch/assign_apply_test.go
@@ -17,7 +17,7 @@
 )
 
 // oneController is a fleet of one control process on a transport in memory.
-func oneController(t *testing.T) (*transport.MemoryNetwork, *fleetshell.Shell) {
+func newControllerFleet(t *testing.T) (*transport.MemoryNetwork, *fleetshell.Shell) {
 	t.Helper()
 
 	nodeSettings := &settings.Settings{NodeName: "m", Address: "127.0.0.1", Zone: "h", InternalPorts: []int{21100, 21110},
@@ -39,41 +39,41 @@
 	return network, shell
 }
 
-func applied(shell *fleetshell.Shell, path string) (output, notes string, code int, text string) {
-	out, problems := &bytes.Buffer{}, &bytes.Buffer{}
-	if err := apply(out, problems, shell, path, "json"); err != nil {
+func runApply(shell *fleetshell.Shell, path string) (output, notes string, code int, text string) {
+	out, diagnostics := &bytes.Buffer{}, &bytes.Buffer{}
+	if err := apply(out, diagnostics, shell, path, "json"); err != nil {
 		code, text = exitUnusable, err.Error()
-		if entry := (exitError{}); errors.As(err, &entry) {
-			code = entry.code
+		if exit := (exitError{}); errors.As(err, &exit) {
+			code = exit.code
 		}
 	}
-	return out.String(), problems.String(), code, text
+	return out.String(), diagnostics.String(), code, text
 }
 
 func TestApplyThroughAController(t *testing.T) {
-	network, shell := oneController(t)
+	network, shell := newControllerFleet(t)
 	text, _ := os.ReadFile(exampleRules)
 	change := func(pairs ...string) string {
-		return written(t, "rules.toml", strings.NewReplacer(pairs...).Replace(string(text)))
+		return writeTestFile(t, "rules.toml", strings.NewReplacer(pairs...).Replace(string(text)))
 	}
-	planned, _, _, _ := called(exampleRules)
+	planned, _, _, _ := runAssign(exampleRules)
 	for range 2 {
 		// The same file once more changes nothing.
-		output, notes, code, line := applied(shell, exampleRules)
+		output, notes, code, line := runApply(shell, exampleRules)
 		if code != 0 || output != planned || notes != "in force: revision=1 generation=4 moves=0\n" {
 			t.Fatal(code, line, notes, output)
 		}
 	}
-	if _, _, code, line := applied(shell, change("# Which nodes", "# Nodes that")); code != exitInvalid || !strings.Contains(line, "generation is not above") {
+	if _, _, code, line := runApply(shell, change("# Which nodes", "# Nodes that")); code != exitInvalid || !strings.Contains(line, "generation is not above") {
 		t.Fatal(code, line)
 	}
 	// n3 gives its slot up: the reader has to move, and there is nowhere else.
-	output, _, code, _ := applied(shell, change("generation = 4", "generation = 5", "adapter-slots = 1", "adapter-slots = 0"))
+	output, _, code, _ := runApply(shell, change("generation = 4", "generation = 5", "adapter-slots = 1", "adapter-slots = 0"))
 	if code != exitInvalid || !strings.HasPrefix(output, `{"collisions":[`) {
 		t.Fatal(code, output)
 	}
 	// A large node more, first by name: what stands stays all the same.
-	output, notes, code, line := applied(shell, change("generation = 4", "generation = 5", `"battery-fault-reader"]`, `"battery-fault-reader"]`+"\n[[nodes]]\nname = \"n0\"\nzone = \"oslo-a\"\nlabels = [\"large\"]\nadapter-slots = 1\n"))
+	output, notes, code, line := runApply(shell, change("generation = 4", "generation = 5", `"battery-fault-reader"]`, `"battery-fault-reader"]`+"\n[[nodes]]\nname = \"n0\"\nzone = \"oslo-a\"\nlabels = [\"large\"]\nadapter-slots = 1\n"))
 	if code != 0 || notes != "in force: revision=2 generation=5 moves=0\n" || !strings.Contains(output, `"moves":0`) {
 		t.Fatal(code, line, notes, output)
 	}
@@ -87,7 +87,7 @@
 		t.Fatal(shown.String())
 	}
 	network.SetPartitioned(shell.Seed, true)
-	if _, _, code, line = applied(shell, exampleRules); code != exitUnusable || strings.Contains(line, "\n") {
+	if _, _, code, line = runApply(shell, exampleRules); code != exitUnusable || strings.Contains(line, "\n") {
 		t.Fatal(code, line)
 	}
 }
@@ -99,7 +99,7 @@
 		"no file":      {"apply", "--seed", "127.0.0.1:1"},
 		"format":       {"apply", exampleRules, "--seed", "127.0.0.1:1", "--output", "yaml"},
 	} {
-		if output, _, code, text := called(arguments...); code != exitUnusable || output != "" || text == "" || strings.Contains(text, "\n") {
+		if output, _, code, text := runAssign(arguments...); code != exitUnusable || output != "" || text == "" || strings.Contains(text, "\n") {
 			t.Errorf("%s: code %d, %q, %q", name, code, output, text)
 		}
 	}
--- a/cmd/lemonarch/forecast.go
+++ b/cmd/lemonarch/forecast.go
@@ -40,19 +40,19 @@
 }
 
 // readScenario gives the scenario of a file; findings go to the writer, one a line.
-func readScenario(path string, complaints io.Writer) (*forecast.Scenario, error) {
+func readScenario(path string, diagnostics io.Writer) (*forecast.Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, exitError{exitUnusable, err.Error()}
 	}
 	scenario, findings := forecast.Read(text)
-	return scenario, complain(path, findings, complaints)
+	return scenario, reportFindings(path, findings, diagnostics)
 }
 
 // complain writes findings, and gives the error that ends the command where there are any.
-func complain(path string, findings []string, complaints io.Writer) error {
+func reportFindings(path string, findings []string, diagnostics io.Writer) error {
 	for _, finding := range findings {
-		fmt.Fprintln(complaints, path+": "+finding)
+		fmt.Fprintln(diagnostics, path+": "+finding)
 	}
 	if len(findings) > 0 {
 		return exitError{exitUnusable, fmt.Sprintf("%s is not valid, findings=%d", path, len(findings))}
@@ -60,29 +60,29 @@
 	return nil
 }
 
-func runForecast(writer, complaints io.Writer, path string, options forecastOptions) error {
+func runForecast(writer, diagnostics io.Writer, path string, options forecastOptions) error {
 	if err := checkFormat(options.format); err != nil {
 		return err
 	}
 	// Nothing is asked of the fleet before the file is known to be sound.
-	scenario, err := readScenario(path, complaints)
+	scenario, err := readScenario(path, diagnostics)
 	if err != nil {
 		return err
 	}
-	known, err := collectKnown(options.seed)
+	state, err := collectFleetState(options.seed)
 	if err != nil {
 		return err
 	}
-	report, findings := forecast.Forecast(scenario, known, options.random)
-	if err = complain(path, findings, complaints); err != nil {
+	report, findings := forecast.Forecast(scenario, state, options.random)
+	if err = reportFindings(path, findings, diagnostics); err != nil {
 		return err
 	}
 	if err = printReport(writer, report, options); err != nil {
 		return err
 	}
 	if options.keep != "" {
-		kept := &forecast.Record{Asked: scenario, Known: known, Predicted: report}
-		if err = kept.Write(options.keep); err != nil {
+		record := &forecast.Record{Asked: scenario, Known: state, Predicted: report}
+		if err = record.Write(options.keep); err != nil {
 			return exitError{exitUnusable, "--keep: " + err.Error()}
 		}
 	}
@@ -93,18 +93,18 @@
 }
 
 // collectKnown asks the fleet.
-func collectKnown(seed string) (*forecast.Known, error) {
+func collectFleetState(seed string) (*forecast.Known, error) {
 	if seed == "" {
 		return nil, exitError{exitUnusable, "--seed is wanted: the internal address of any process"}
 	}
-	wire := transport.NewTCP("")
-	defer wire.Close()
-	collector := &forecast.Collector{Transport: wire, Seed: seed, Timeout: constants.StatusTimeout}
-	known, err := collector.Collect()
+	tcp := transport.NewTCP("")
+	defer tcp.Close()
+	collector := &forecast.Collector{Transport: tcp, Seed: seed, Timeout: constants.StatusTimeout}
+	state, err := collector.Collect()
 	if err != nil {
 		return nil, exitError{exitInvalid, err.Error()}
 	}
-	return known, nil
+	return state, nil
 }
 
 func printReport(writer io.Writer, report *forecast.Report, options forecastOptions) error {
@@ -129,15 +129,15 @@
 		if err := checkFormat(format); err != nil {
 			return err
 		}
-		kept, err := forecast.ReadRecord(arguments[0])
+		record, err := forecast.ReadRecord(arguments[0])
 		if err != nil {
 			return exitError{exitUnusable, err.Error()}
 		}
-		known, err := collectKnown(seed)
+		state, err := collectFleetState(seed)
 		if err != nil {
 			return err
 		}
-		review := forecast.NewReview(kept, known)
+		review := forecast.NewReview(record, state)
 		if format == "json" {
 			return review.JSON(command.OutOrStdout())
 		}
--- a/cmd/lemonarch/forecast_test.go
+++ b/cmd/lemonarch/forecast_test.go
@@ -10,22 +10,22 @@
 )
 
 // run runs the command line and gives what it prints and its exit code.
-func runForecastLine(t *testing.T, arguments ...string) (out, complaints string, code int) {
+func runCommandLine(t *testing.T, arguments ...string) (out, diagnostics string, code int) {
 	t.Helper()
-	var printed, wrong bytes.Buffer
+	var stdout, stderr bytes.Buffer
 	root := rootCommand()
-	root.SetOut(&printed)
-	root.SetErr(&wrong)
+	root.SetOut(&stdout)
+	root.SetErr(&stderr)
 	root.SetArgs(arguments)
 	if err := root.Execute(); err != nil {
 		code = exitUnusable
-		var entry exitError
-		if errors.As(err, &entry) {
-			code = entry.code
+		var exit exitError
+		if errors.As(err, &exit) {
+			code = exit.code
 		}
-		wrong.WriteString(err.Error())
+		stderr.WriteString(err.Error())
 	}
-	return printed.String(), wrong.String(), code
+	return stdout.String(), stderr.String(), code
 }
 
 // A file that is not valid is refused with a line for each field before the fleet is asked;
@@ -39,27 +39,27 @@
 		}
 		return path
 	}
-	sound := write("sound.toml", "[[surges]]\nname = \"s\"\nduration-s = 5\n[[surges.traffic]]\nroute = \"r\"\nrate = 3.0\n")
-	wrong := write("wrong.toml", "[[surges]]\nname = \"s\"\n[[surges.traffic]]\nroute = \"r\"\nrate = -3.0\n")
-	for _, found := range []struct {
+	valid := write("sound.toml", "[[surges]]\nname = \"s\"\nduration-s = 5\n[[surges.traffic]]\nroute = \"r\"\nrate = 3.0\n")
+	invalid := write("wrong.toml", "[[surges]]\nname = \"s\"\n[[surges.traffic]]\nroute = \"r\"\nrate = -3.0\n")
+	for _, test := range []struct {
 		arguments []string
 		code      int
 		want      string
 	}{
-		{[]string{"forecast", wrong, "--seed", "127.0.0.1:1"}, exitUnusable, "surges[0].duration-s: missing"},
+		{[]string{"forecast", invalid, "--seed", "127.0.0.1:1"}, exitUnusable, "surges[0].duration-s: missing"},
 		{[]string{"forecast", filepath.Join(dir, "none.toml"), "--seed", "127.0.0.1:1"}, exitUnusable, "none.toml"},
-		{[]string{"forecast", sound}, exitUnusable, "--seed is wanted"},
-		{[]string{"forecast", sound, "--seed", "127.0.0.1:1"}, exitInvalid, "does not answer"},
-		{[]string{"forecast", sound, "--seed", "127.0.0.1:1", "--output", "xml"}, exitUnusable, "--output"},
+		{[]string{"forecast", valid}, exitUnusable, "--seed is wanted"},
+		{[]string{"forecast", valid, "--seed", "127.0.0.1:1"}, exitInvalid, "does not answer"},
+		{[]string{"forecast", valid, "--seed", "127.0.0.1:1", "--output", "xml"}, exitUnusable, "--output"},
 		{[]string{"forecast", "review", filepath.Join(dir, "none.json"), "--seed", "127.0.0.1:1"}, exitUnusable, "none.json"},
 		{[]string{"lab", "forecast", "--cases", "0"}, exitUnusable, "--cases"},
 	} {
-		_, complaints, code := runForecastLine(t, found.arguments...)
-		if code != found.code || !strings.Contains(complaints, found.want) {
-			t.Errorf("%v: %d %q, want %d %q", found.arguments, code, complaints, found.code, found.want)
+		_, diagnostics, code := runCommandLine(t, test.arguments...)
+		if code != test.code || !strings.Contains(diagnostics, test.want) {
+			t.Errorf("%v: %d %q, want %d %q", test.arguments, code, diagnostics, test.code, test.want)
 		}
 	}
-	out, _, code := runForecastLine(t, "lab", "forecast", "--cases", "2")
+	out, _, code := runCommandLine(t, "lab", "forecast", "--cases", "2")
 	if code != 0 || !strings.Contains(out, "right family") {
 		t.Error(code, out)
 	}
--- a/cmd/lemonarch/jobs.go
+++ b/cmd/lemonarch/jobs.go
@@ -31,16 +31,16 @@
 // jobsCommand is the client for lots.
 func jobsCommand() *cobra.Command {
 	flags := &jobFlags{}
-	group := &cobra.Command{Use: "jobs", Aliases: []string{"lots"}, Short: "Submit, follow, read and cancel batch jobs"}
-	group.PersistentFlags().StringSliceVar(&flags.edges, "edge", nil, "addresses of edge nodes, host:port (several: the next is taken after a failure)")
-	group.PersistentFlags().StringVar(&flags.host, "host", lab.Host, "host of the jobs' route")
-	group.PersistentFlags().DurationVar(&flags.limit, "limit", time.Minute, "how long to try")
-	group.AddCommand(submitCommand(flags), followCommand(flags), readCommand(flags), endCommand(flags))
-	return group
+	jobs := &cobra.Command{Use: "jobs", Aliases: []string{"lots"}, Short: "Submit, follow, read and cancel batch jobs"}
+	jobs.PersistentFlags().StringSliceVar(&flags.edges, "edge", nil, "addresses of edge nodes, host:port (several: the next is taken after a failure)")
+	jobs.PersistentFlags().StringVar(&flags.host, "host", lab.Host, "host of the jobs' route")
+	jobs.PersistentFlags().DurationVar(&flags.limit, "limit", time.Minute, "how long to try")
+	jobs.AddCommand(submitCommand(flags), followCommand(flags), readCommand(flags), cancelCommand(flags))
+	return jobs
 }
 
 // run gives a client and a context that ends with the limit or a signal.
-func (l *jobFlags) run(function func(until contexts.Context, client *jobclient.Client) error) error {
+func (l *jobFlags) run(call func(ctx contexts.Context, client *jobclient.Client) error) error {
 	if len(l.edges) == 0 {
 		return exitError{exitUnusable, "--edge is missing"}
 	}
@@ -54,12 +54,12 @@
 	}
 	limited, release := contexts.WithTimeout(contexts.Background(), l.limit)
 	defer release()
-	until, halt := signal.NotifyContext(limited, syscall.SIGINT, syscall.SIGTERM)
-	defer halt()
-	err := function(until, &jobclient.Client{Edges: l.edges, Host: l.host})
+	ctx, stop := signal.NotifyContext(limited, syscall.SIGINT, syscall.SIGTERM)
+	defer stop()
+	err := call(ctx, &jobclient.Client{Edges: l.edges, Host: l.host})
 	if err != nil {
-		var known exitError
-		if errors.As(err, &known) {
+		var exit exitError
+		if errors.As(err, &exit) {
 			return err
 		}
 		return exitError{exitInvalid, oneLine(err)}
@@ -89,14 +89,14 @@
 					return exitError{exitUnusable, arguments[0] + ": " + oneLine(err)}
 				}
 			}
-			return flags.run(func(until contexts.Context, client *jobclient.Client) error {
-				attempts, err := client.Submit(until, id, path, job)
+			return flags.run(func(ctx contexts.Context, client *jobclient.Client) error {
+				attempts, err := client.Submit(ctx, id, path, job)
 				if err != nil {
 					return err
 				}
 				fmt.Fprintf(command.ErrOrStderr(), "taken: lot=%s items=%d tries=%d\n", id, len(job.Requests), attempts)
 				if follow {
-					return followJob(command, until, client, id)
+					return followJob(command, ctx, client, id)
 				}
 				fmt.Fprintln(command.OutOrStdout(), id)
 				return nil
@@ -112,15 +112,15 @@
 func followCommand(flags *jobFlags) *cobra.Command {
 	return &cobra.Command{Use: "follow JOB", Args: cobra.ExactArgs(1), Short: "Follow a job to its end, with progress",
 		RunE: func(command *cobra.Command, arguments []string) error {
-			return flags.run(func(until contexts.Context, client *jobclient.Client) error {
-				return followJob(command, until, client, arguments[0])
+			return flags.run(func(ctx contexts.Context, client *jobclient.Client) error {
+				return followJob(command, ctx, client, arguments[0])
 			})
 		}}
 }
 
-func followJob(command *cobra.Command, until contexts.Context, client *jobclient.Client, id string) error {
+func followJob(command *cobra.Command, ctx contexts.Context, client *jobclient.Client, id string) error {
 	started, completed, abandoned := clock.Now(), 0, 0
-	err := client.Follow(until, id, 0, func(page *jobclient.Page) error {
+	err := client.Follow(ctx, id, 0, func(page *jobclient.Page) error {
 		for _, output := range page.Outputs {
 			if output.Phase == jobclient.PhaseSettled {
 				completed++
@@ -147,8 +147,8 @@
 			if from < 0 {
 				return exitError{exitUnusable, "--from must not be below 0"}
 			}
-			return flags.run(func(until contexts.Context, client *jobclient.Client) error {
-				return printOutputs(until, client, arguments[0], from, command)
+			return flags.run(func(ctx contexts.Context, client *jobclient.Client) error {
+				return printOutputs(ctx, client, arguments[0], from, command)
 			})
 		}}
 	command.Flags().IntVar(&from, "from", 0, "first position")
@@ -156,11 +156,11 @@
 }
 
 // printOutputs prints what is listed of a job from a position on, and at the end a summary.
-func printOutputs(until contexts.Context, client *jobclient.Client, id string, from int, command *cobra.Command) error {
+func printOutputs(ctx contexts.Context, client *jobclient.Client, id string, from int, command *cobra.Command) error {
 	writer := json.NewEncoder(command.OutOrStdout())
 	for cursor := from; ; {
-		page, err := client.Read(until, id, cursor, 0)
-		if err != nil && jobclient.Again(err) && until.Err() == nil {
+		page, err := client.Read(ctx, id, cursor, 0)
+		if err != nil && jobclient.Again(err) && ctx.Err() == nil {
 			clock.Sleep(clock.Milliseconds(200))
 			continue
 		}
@@ -180,17 +180,17 @@
 	}
 }
 
-func endCommand(flags *jobFlags) *cobra.Command {
+func cancelCommand(flags *jobFlags) *cobra.Command {
 	return &cobra.Command{Use: "cancel JOB", Aliases: []string{"end"}, Args: cobra.ExactArgs(1), Short: "Cancel a job: nothing more of it is run",
 		RunE: func(command *cobra.Command, arguments []string) error {
-			return flags.run(func(until contexts.Context, client *jobclient.Client) error {
+			return flags.run(func(ctx contexts.Context, client *jobclient.Client) error {
 				for {
-					err := client.End(until, arguments[0])
+					err := client.End(ctx, arguments[0])
 					if err == nil {
 						fmt.Fprintln(command.OutOrStdout(), "ended: lot="+arguments[0])
 						return nil
 					}
-					if !jobclient.Again(err) || until.Err() != nil {
+					if !jobclient.Again(err) || ctx.Err() != nil {
 						return err
 					}
 					clock.Sleep(clock.Milliseconds(200))
--- a/cmd/lemonarch/jobs_test.go
+++ b/cmd/lemonarch/jobs_test.go
@@ -18,12 +18,12 @@
 		if err != nil {
 			t.Fatal(names[0], err)
 		}
-		before, _, err := rootCommand().Find(strings.Fields(names[1]))
+		earlier, _, err := rootCommand().Find(strings.Fields(names[1]))
 		if err != nil {
 			t.Fatal(names[1], err)
 		}
-		if current.CommandPath() != before.CommandPath() || current.CommandPath() == "lemonarch" {
-			t.Errorf("%s is %q, %s is %q", names[0], current.CommandPath(), names[1], before.CommandPath())
+		if current.CommandPath() != earlier.CommandPath() || current.CommandPath() == "lemonarch" {
+			t.Errorf("%s is %q, %s is %q", names[0], current.CommandPath(), names[1], earlier.CommandPath())
 		}
 	}
 }
--- a/cmd/lemonarch/lab_forecast.go
+++ b/cmd/lemonarch/lab_forecast.go
@@ -29,7 +29,7 @@
 	command.Flags().IntVar(&first, "first", first, "number of the first case")
 	command.Flags().BoolVar(&real, "real", real, "play the cases on the real programs in real time, 50 s each")
 	command.Flags().StringVar(&plan.Network, "network", plan.Network, "first three bytes of the loopback addresses, with --real")
-	plan.Programs = besides()
+	plan.Programs = programFolder()
 	command.RunE = func(command *cobra.Command, _ []string) error {
 		if cases < 1 || cases > forecastCasesMax {
 			return exitError{exitUnusable, fmt.Sprintf("--cases must lie between 1 and %d", forecastCasesMax)}
@@ -37,12 +37,12 @@
 		if err := checkFormat(format); err != nil {
 			return err
 		}
-		until, halt := signal.NotifyContext(contexts.Background(), syscall.SIGINT, syscall.SIGTERM)
-		defer halt()
+		ctx, stop := signal.NotifyContext(contexts.Background(), syscall.SIGINT, syscall.SIGTERM)
+		defer stop()
 		var results []*forecastcases.Result
-		for number := first; number < first+cases && until.Err() == nil; number++ {
+		for number := first; number < first+cases && ctx.Err() == nil; number++ {
 			generated := forecastcases.Generate(number, seed)
-			result, err := playForecastCase(until, generated, plan, seed, real)
+			result, err := playForecastCase(ctx, generated, plan, seed, real)
 			if err != nil {
 				return exitError{exitInvalid, oneLine(err)}
 			}
@@ -57,9 +57,9 @@
 }
 
 // playForecastCase plays a case in simulated time, or on the real programs.
-func playForecastCase(until contexts.Context, generated *forecastcases.Case, plan lab.Plan, seed uint64, real bool) (*forecastcases.Result, error) {
+func playForecastCase(ctx contexts.Context, generated *forecastcases.Case, plan lab.Plan, seed uint64, real bool) (*forecastcases.Result, error) {
 	if real {
-		return forecastlab.Play(until, generated, plan, seed)
+		return forecastlab.Play(ctx, generated, plan, seed)
 	}
 	return forecastcases.Play(generated, seed)
 }
--- a/cmd/lemonarch/lab_load.go
+++ b/cmd/lemonarch/lab_load.go
@@ -23,7 +23,7 @@
 	experiment string
 	format     string
 	mix        string
-	picture    string
+	plotPath   string
 }
 
 // newLabLoad is the command that sends load to lab fleets and checks every answer.
@@ -45,7 +45,7 @@
 	flags.StringSliceVar(&l.addresses, "endpoint", []string{""}, "control endpoints of the fleets, as lab up prints them (default: the usual one)")
 	flags.StringVar(&l.experiment, "experiment", "", "file of an experiment (TOML); the other flags of the load are not used then")
 	flags.StringVar(&l.format, "output", l.format, "table or json")
-	flags.StringVar(&l.picture, "plot", "", "draw latency by percentile into this file (.svg, .png or .pdf)")
+	flags.StringVar(&l.plotPath, "plot", "", "draw latency by percentile into this file (.svg, .png or .pdf)")
 	flags.Float64Var(&l.options.Rate, "rate", l.options.Rate, "requests a second")
 	flags.Float64Var(&l.options.LotRate, "lots", l.options.LotRate, "lots a second; 0 for none")
 	flags.IntVar(&l.options.Items, "items", l.options.Items, "items of a lot")
@@ -60,26 +60,26 @@
 	if err := checkFormat(l.format); err != nil {
 		return err
 	}
-	if l.picture != "" {
-		if err := loadgen.CheckPlot(l.picture); err != nil {
+	if l.plotPath != "" {
+		if err := loadgen.CheckPlot(l.plotPath); err != nil {
 			return exitError{exitUnusable, oneLine(err)}
 		}
 	}
-	until, halt := signal.NotifyContext(contexts.Background(), syscall.SIGINT, syscall.SIGTERM)
-	defer halt()
+	ctx, stop := signal.NotifyContext(contexts.Background(), syscall.SIGINT, syscall.SIGTERM)
+	defer stop()
 	var results []*loadgen.Result
 	var err error
 	l.options.Progress = func(text string) { fmt.Fprintln(command.ErrOrStderr(), text) }
 	if l.experiment != "" {
-		results, err = conduct(until, l.experiment, l.options.Progress)
+		results, err = runExperiment(ctx, l.experiment, l.options.Progress)
 	} else if l.options.Mix, err = loadgen.ParseMix(l.mix); err == nil {
-		results, err = drive(until, l.options, l.addresses)
+		results, err = driveFleets(ctx, l.options, l.addresses)
 	}
 	if err != nil {
 		return exitError{exitUnusable, oneLine(err)}
 	}
-	if l.picture != "" {
-		if err = loadgen.Plot(l.picture, results); err != nil {
+	if l.plotPath != "" {
+		if err = loadgen.Plot(l.plotPath, results); err != nil {
 			// The report is worth more than its picture, and still comes.
 			fmt.Fprintln(command.ErrOrStderr(), oneLine(err))
 		}
@@ -96,29 +96,29 @@
 }
 
 // conduct runs the experiment of a file.
-func conduct(until contexts.Context, path string, progress func(string)) ([]*loadgen.Result, error) {
+func runExperiment(ctx contexts.Context, path string, progress func(string)) ([]*loadgen.Result, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	entry, options, err := loadgen.ReadExperiment(string(text), besides())
+	experiment, options, err := loadgen.ReadExperiment(string(text), programFolder())
 	if err != nil {
 		return nil, err
 	}
 	options.Progress = progress
-	return entry.Run(until, options)
+	return experiment.Run(ctx, options)
 }
 
 // drive loads fleets that are up already, all at the same time.
-func drive(until contexts.Context, options loadgen.Options, addresses []string) ([]*loadgen.Result, error) {
+func driveFleets(ctx contexts.Context, options loadgen.Options, addresses []string) ([]*loadgen.Result, error) {
 	if err := options.Check(); err != nil {
 		return nil, err
 	}
-	usual := lab.NewPlan()
+	defaults := lab.NewPlan()
 	var endpoints []*loadgen.Endpoint
 	for _, address := range addresses {
 		if strings.TrimSpace(address) == "" {
-			address = usual.Endpoint()
+			address = defaults.Endpoint()
 		}
 		endpoint, err := loadgen.OpenEndpoint(address)
 		if err != nil {
@@ -131,23 +131,23 @@
 		result   *loadgen.Result
 		err      error
 	}
-	resp := make(chan driven, len(endpoints))
+	finished := make(chan driven, len(endpoints))
 	for i, endpoint := range endpoints {
 		go func() {
-			result, err := loadgen.Drive(until, options, endpoint, nil)
-			resp <- driven{i, result, err}
+			result, err := loadgen.Drive(ctx, options, endpoint, nil)
+			finished <- driven{i, result, err}
 		}()
 	}
 	results := make([]*loadgen.Result, len(endpoints))
 	var err error
 	for range endpoints {
-		entry := <-resp
-		if entry.err != nil {
-			err = entry.err
+		outcome := <-finished
+		if outcome.err != nil {
+			err = outcome.err
 			continue
 		}
-		entry.result.Close()
-		results[entry.position] = entry.result
+		outcome.result.Close()
+		results[outcome.position] = outcome.result
 	}
 	return results, err
 }
--- a/cmd/lemonarch/lab_soak.go
+++ b/cmd/lemonarch/lab_soak.go
@@ -24,7 +24,7 @@
 // newLabSoak is the command that starts a fleet, has troubles befall it in series, and checks
 // every answer.
 func newLabSoak() *cobra.Command {
-	entry := &labSoak{options: soak.Options{Programs: besides()}, format: "table"}
+	soakCommand := &labSoak{options: soak.Options{Programs: programFolder()}, format: "table"}
 	command := &cobra.Command{Use: "soak", Args: cobra.NoArgs,
 		Short: "Draw a fleet and a series of troubles from a seed, play it with real programs, and check every answer",
 		Long: "Starts gateways, controllers, stores and emulated workers on loopback, sends requests, streams and jobs,\n" +
@@ -32,13 +32,13 @@
 			"the seeds bring planned work alone; then no request may be cut either. The schedule follows from the\n" +
 			"seed, byte for byte; what real processes make of it may differ from run to run.\n\n" +
 			"Exit code 1: a promise was broken, or nothing was served; the logs are kept.",
-		RunE: func(command *cobra.Command, _ []string) error { return entry.run(command) }}
+		RunE: func(command *cobra.Command, _ []string) error { return soakCommand.run(command) }}
 	flags := command.Flags()
-	flags.Int64Var(&entry.options.Seed, "seed", 1, "what the schedule is drawn from")
-	flags.DurationVar(&entry.options.Duration, "duration", 30_000_000_000, "how long load is sent")
-	flags.IntVar(&entry.options.Processes, "processes", 16, "gateways, controllers and stores at most")
-	flags.StringVar(&entry.format, "output", entry.format, "table or json")
-	flags.BoolVar(&entry.schedule, "schedule", false, "print the schedule as an experiment file, and play nothing")
+	flags.Int64Var(&soakCommand.options.Seed, "seed", 1, "what the schedule is drawn from")
+	flags.DurationVar(&soakCommand.options.Duration, "duration", 30_000_000_000, "how long load is sent")
+	flags.IntVar(&soakCommand.options.Processes, "processes", 16, "gateways, controllers and stores at most")
+	flags.StringVar(&soakCommand.format, "output", soakCommand.format, "table or json")
+	flags.BoolVar(&soakCommand.schedule, "schedule", false, "print the schedule as an experiment file, and play nothing")
 	return command
 }
 
@@ -46,7 +46,7 @@
 	if err := checkFormat(l.format); err != nil {
 		return err
 	}
-	schedule, err := soak.Draw(l.options)
+	schedule, err := soak.Generate(l.options)
 	if err != nil {
 		return exitError{exitUnusable, oneLine(err)}
 	}
@@ -57,9 +57,9 @@
 		}
 		return err
 	}
-	until, halt := signal.NotifyContext(contexts.Background(), syscall.SIGINT, syscall.SIGTERM)
-	defer halt()
-	report, err := soak.Run(until, schedule, func(text string) { fmt.Fprintln(command.ErrOrStderr(), text) })
+	ctx, stop := signal.NotifyContext(contexts.Background(), syscall.SIGINT, syscall.SIGTERM)
+	defer stop()
+	report, err := soak.Run(ctx, schedule, func(text string) { fmt.Fprintln(command.ErrOrStderr(), text) })
 	if err != nil {
 		return exitError{exitUnusable, oneLine(err)}
 	}
@@ -76,14 +76,14 @@
 			return err
 		}
 	} else {
-		fmt.Fprintf(out, "soak seed=%d planned-only=%v processes=%d broken=%d", report.Seed, report.Planned, report.Processes, report.Result.Broken)
+		fmt.Fprintf(out, "soak seed=%d planned-only=%v processes=%d broken=%d", report.Seed, report.PlannedOnly, report.Processes, report.Result.Broken)
 		var kinds []string
-		for kind := range report.Tried {
+		for kind := range report.TroubleCounts {
 			kinds = append(kinds, kind)
 		}
 		slices.Sort(kinds)
 		for _, kind := range kinds {
-			fmt.Fprintf(out, " %s=%d", kind, report.Tried[kind])
+			fmt.Fprintf(out, " %s=%d", kind, report.TroubleCounts[kind])
 		}
 		fmt.Fprintln(out)
 		loadgen.Write(out, []*loadgen.Result{report.Result})
--- a/cmd/lemonarch/lab_up.go
+++ b/cmd/lemonarch/lab_up.go
@@ -24,22 +24,22 @@
 		Long: "Starts gateways, controllers and stores found beside this program, and emulated workers,\n" +
 			"each node on a loopback address of its own. Ctrl-C (SIGINT) or SIGTERM ends everything.",
 		RunE: func(command *cobra.Command, _ []string) error {
-			until, halt := signal.NotifyContext(contexts.Background(), syscall.SIGINT, syscall.SIGTERM)
-			defer halt()
+			ctx, stop := signal.NotifyContext(contexts.Background(), syscall.SIGINT, syscall.SIGTERM)
+			defer stop()
 			var err error
 			if families != "" {
 				if plan.Families, err = lab.ReadFamilies(families); err != nil {
 					return exitError{exitUnusable, oneLine(err)}
 				}
 			}
-			fleet, err := lab.Start(until, plan, folder)
+			fleet, err := lab.Start(ctx, plan, folder)
 			if err != nil {
 				return exitError{exitInvalid, oneLine(err)}
 			}
 			defer fleet.Stop()
-			describe(command.OutOrStdout(), fleet)
+			printSummary(command.OutOrStdout(), fleet)
 			select {
-			case <-until.Done():
+			case <-ctx.Done():
 				fmt.Fprintln(command.OutOrStdout(), "stopping")
 				return nil
 			case err := <-fleet.Died:
@@ -55,7 +55,7 @@
 func oneLine(err error) string { return strings.ReplaceAll(err.Error(), "\n", " ") }
 
 // describe prints where to call.
-func describe(writer io.Writer, fleet *lab.Fleet) {
+func printSummary(writer io.Writer, fleet *lab.Fleet) {
 	card := fleet.Card()
 	fmt.Fprintf(writer, "ready: %d processes, %d emulated workers, all on loopback\n", len(card.Programs), len(card.Workers))
 	fmt.Fprintln(writer, "  requests      http://"+strings.Join(card.Ingress, " http://"))
@@ -77,7 +77,7 @@
 
 // planFlags are the flags of a fleet.
 func planFlags(command *cobra.Command, plan *lab.Plan) {
-	plan.Programs = besides()
+	plan.Programs = programFolder()
 	flags := command.Flags()
 	flags.IntVar(&plan.Gateways, "gateways", plan.Gateways, "gateways")
 	flags.IntVar(&plan.Controllers, "controllers", plan.Controllers, "controllers")
@@ -94,7 +94,7 @@
 }
 
 // besides is the folder of this program.
-func besides() string {
+func programFolder() string {
 	path, err := os.Executable()
 	if err != nil {
 		return "target"
--- a/cmd/lemonarch/main.go
+++ b/cmd/lemonarch/main.go
@@ -40,8 +40,8 @@
 		SilenceUsage: true, SilenceErrors: true}
 	root.CompletionOptions.DisableDefaultCmd = true
 	root.AddCommand(checkCommand(), shellCommand(), importCommand(), labCommand(), jobsCommand(), assignCommand(), forecastCommand())
-	info, known := debug.ReadBuildInfo()
-	root.Version = version(info, known)
+	info, available := debug.ReadBuildInfo()
+	root.Version = version(info, available)
 	root.SetVersionTemplate("{{.Name}} {{.Version}}\n")
 	return root
 }
@@ -51,9 +51,9 @@
 	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "lemonarch: "+err.Error())
 		code := exitUnusable
-		var entry exitError
-		if errors.As(err, &entry) {
-			code = entry.code
+		var exit exitError
+		if errors.As(err, &exit) {
+			code = exit.code
 		}
 		os.Exit(code)
 	}
--- a/cmd/lemonarch/shell.go
+++ b/cmd/lemonarch/shell.go
@@ -19,7 +19,7 @@
 	seed, format, limit := "", "table", constants.StatusTimeout
 	command := &cobra.Command{Use: "shell [QUERY]", Args: cobra.MaximumNArgs(1),
 		Short: "Ask a fleet for its state; without a query, interactively",
-		Long:  "Queries:\n" + help()}
+		Long:  "Queries:\n" + queryHelp()}
 	command.Flags().StringVar(&seed, "seed", "", "internal address of any process, host:port")
 	command.Flags().StringVar(&format, "output", format, "table or json")
 	command.Flags().DurationVar(&limit, "limit", limit, "how long to wait for each process")
@@ -30,29 +30,29 @@
 		if limit <= 0 {
 			return exitError{exitUnusable, "--limit must be above 0"}
 		}
-		wire := transport.NewTCP("")
-		defer wire.Close()
-		shell, err := fleetshell.New(wire, seed, limit)
+		tcp := transport.NewTCP("")
+		defer tcp.Close()
+		shell, err := fleetshell.New(tcp, seed, limit)
 		if err != nil {
 			return exitError{exitUnusable, err.Error()}
 		}
 		if len(arguments) == 1 {
-			return show(command.OutOrStdout(), shell, arguments[0], format)
+			return printQuery(command.OutOrStdout(), shell, arguments[0], format)
 		}
-		return converse(command.InOrStdin(), command.OutOrStdout(), shell, format)
+		return runInteractive(command.InOrStdin(), command.OutOrStdout(), shell, format)
 	}
 	return command
 }
 
-func help() string {
+func queryHelp() string {
 	text := ""
 	for _, name := range fleetshell.QueryNames() {
-		text += fmt.Sprintf("  %-13s %s\n", name, fleetshell.Queries[name].Shows)
+		text += fmt.Sprintf("  %-13s %s\n", name, fleetshell.Queries[name].Description)
 	}
 	return text
 }
 
-func show(writer io.Writer, shell *fleetshell.Shell, query, format string) error {
+func printQuery(writer io.Writer, shell *fleetshell.Shell, query, format string) error {
 	responses, err := shell.Query(query)
 	if errs.Is(err, fleetshell.ErrInvalidCall) {
 		return exitError{exitUnusable, err.Error()}
@@ -68,7 +68,7 @@
 }
 
 // converse reads queries line by line until the end.
-func converse(reader io.Reader, writer io.Writer, shell *fleetshell.Shell, format string) error {
+func runInteractive(reader io.Reader, writer io.Writer, shell *fleetshell.Shell, format string) error {
 	lines := bufio.NewScanner(reader)
 	fmt.Fprint(writer, "lemonarch> ")
 	for lines.Scan() {
@@ -77,9 +77,9 @@
 		case "quit", "exit":
 			return nil
 		case "help":
-			fmt.Fprint(writer, help())
+			fmt.Fprint(writer, queryHelp())
 		default:
-			if err := show(writer, shell, text, format); err != nil {
+			if err := printQuery(writer, shell, text, format); err != nil {
 				// One wrong query does not end the conversation.
 				fmt.Fprintln(os.Stderr, err.Error())
 			}
--- a/cmd/lemonarch/version_test.go
+++ b/cmd/lemonarch/version_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestVersionNamesTheBuild(t *testing.T) {
+func TestVersion(t *testing.T) {
 	info := &debug.BuildInfo{GoVersion: "go1.26", Settings: []debug.BuildSetting{
 		{Key: "vcs.revision", Value: "0123456789abcdef"}, {Key: "vcs.modified", Value: "true"}}}
 	if got := version(info, true); got != "(devel) 0123456789ab changed go1.26" {
@@ -23,13 +23,13 @@
 
 // The flag prints one line with the program's name and asks nothing of anybody.
 func TestVersionFlag(t *testing.T) {
-	root, written := rootCommand(), &bytes.Buffer{}
-	root.SetOut(written)
+	root, output := rootCommand(), &bytes.Buffer{}
+	root.SetOut(output)
 	root.SetArgs([]string{"--version"})
 	if err := root.Execute(); err != nil {
 		t.Fatal(err)
 	}
-	if text := written.String(); !strings.HasPrefix(text, "lemonarch ") || strings.Count(text, "\n") != 1 || !strings.Contains(text, "go1.") {
+	if text := output.String(); !strings.HasPrefix(text, "lemonarch ") || strings.Count(text, "\n") != 1 || !strings.Contains(text, "go1.") {
 		t.Fatalf("%q", text)
 	}
 }
--- a/internal/tooling/fleetshell/controllers.go
+++ b/internal/tooling/fleetshell/controllers.go
@@ -10,13 +10,13 @@
 
 // Controllers gives the addresses of the control processes that the seed knows.
 func (s *Shell) Controllers() ([]string, error) {
-	known := &messages.StatusResponse{}
-	err := transport.Call(s.Transport, s.Seed, messages.KindStatus, &messages.StatusRequest{Query: "nodes"}, known, s.Limit)
+	status := &messages.StatusResponse{}
+	err := transport.Call(s.Transport, s.Seed, messages.KindStatus, &messages.StatusRequest{Query: "nodes"}, status, s.Timeout)
 	if err != nil {
 		return nil, ErrNoFleet.Wrap(err, "seed "+s.Seed+" does not answer (its internal address is needed)")
 	}
 	var addresses []string
-	for _, row := range known.Rows {
+	for _, row := range status.Rows {
 		if role, _, _ := strings.Cut(row[0], "/"); role == membership.RoleController && len(row) > 2 {
 			addresses = append(addresses, row[2])
 		}
--- a/internal/tooling/fleetshell/fleet.go
+++ b/internal/tooling/fleetshell/fleet.go
@@ -15,37 +15,37 @@
 	key, role, zone, address string
 }
 
-func processesOf(status *messages.StatusResponse) (found []process) {
+func processesOf(status *messages.StatusResponse) (processes []process) {
 	for _, row := range status.Rows {
-		if role, _, named := strings.Cut(row[0], "/"); named && len(row) > 2 {
-			found = append(found, process{row[0], role, row[1], row[2]})
+		if role, _, valid := strings.Cut(row[0], "/"); valid && len(row) > 2 {
+			processes = append(processes, process{row[0], role, row[1], row[2]})
 		}
 	}
-	return found
+	return processes
 }
 
 // fleet gives every process: most know a part of the fleet only, controllers know all. One
 // is asked for the zones, and then for the processes of each zone, since an answer is
 // bounded. What the seed knows is used where no controller answers.
-func (s *Shell) fleet(known *messages.StatusResponse) []process {
-	found := map[string]process{}
-	for _, entry := range processesOf(known) {
-		found[entry.key] = entry
+func (s *Shell) allProcesses(seedNodes *messages.StatusResponse) []process {
+	byKey := map[string]process{}
+	for _, proc := range processesOf(seedNodes) {
+		byKey[proc.key] = proc
 	}
-	for _, entry := range processesOf(known) {
+	for _, proc := range processesOf(seedNodes) {
 		zones := &messages.StatusResponse{}
-		if entry.role != membership.RoleController || s.call(entry.address, &messages.StatusRequest{Query: "zones"}, zones) != nil {
+		if proc.role != membership.RoleController || s.call(proc.address, &messages.StatusRequest{Query: "zones"}, zones) != nil {
 			continue
 		}
 		complete := true
 		for _, row := range zones.Rows {
-			part := &messages.StatusResponse{}
-			if s.call(entry.address, &messages.StatusRequest{Query: "nodes", Zone: row[0]}, part) != nil {
+			inZone := &messages.StatusResponse{}
+			if s.call(proc.address, &messages.StatusRequest{Query: "nodes", Zone: row[0]}, inZone) != nil {
 				complete = false
 				break
 			}
-			for _, other := range processesOf(part) {
-				found[other.key] = other
+			for _, other := range processesOf(inZone) {
+				byKey[other.key] = other
 			}
 		}
 		if complete && len(zones.Rows) > 0 {
@@ -53,39 +53,39 @@
 		}
 	}
 	var all []process
-	for _, entry := range found {
-		all = append(all, entry)
+	for _, proc := range byKey {
+		all = append(all, proc)
 	}
 	sort.Slice(all, func(left, right int) bool { return all[left].key < all[right].key })
 	return all
 }
 
 func (s *Shell) call(address string, req *messages.StatusRequest, resp *messages.StatusResponse) error {
-	return transport.Call(s.Transport, address, messages.KindStatus, req, resp, s.Limit)
+	return transport.Call(s.Transport, address, messages.KindStatus, req, resp, s.Timeout)
 }
 
 // queryZones puts a query to the processes of the roles, one zone after the other, so
 // that a large fleet does not answer all at once.
 func (s *Shell) queryZones(fleet []process, query string, roles []string) []Response {
 	var responses []Response
-	zones, names := map[string][]int{}, []string{}
+	indexesByZone, zoneNames := map[string][]int{}, []string{}
 	addresses := []string{}
-	for _, entry := range fleet {
+	for _, proc := range fleet {
 		for _, role := range roles {
-			if entry.role != role {
+			if proc.role != role {
 				continue
 			}
-			if zones[entry.zone] == nil {
-				names = append(names, entry.zone)
+			if indexesByZone[proc.zone] == nil {
+				zoneNames = append(zoneNames, proc.zone)
 			}
-			zones[entry.zone] = append(zones[entry.zone], len(responses))
-			responses, addresses = append(responses, Response{Process: entry.key}), append(addresses, entry.address)
+			indexesByZone[proc.zone] = append(indexesByZone[proc.zone], len(responses))
+			responses, addresses = append(responses, Response{Process: proc.key}), append(addresses, proc.address)
 		}
 	}
-	sort.Strings(names)
-	for _, zone := range names {
+	sort.Strings(zoneNames)
+	for _, zone := range zoneNames {
 		var group sync.WaitGroup
-		for _, i := range zones[zone] {
+		for _, i := range indexesByZone[zone] {
 			group.Add(1)
 			go func() {
 				defer group.Done()
--- a/internal/tooling/fleetshell/fleet_test.go
+++ b/internal/tooling/fleetshell/fleet_test.go
@@ -11,7 +11,7 @@
 
 // A seed that knows few leads to a controller, which names all, zone by zone; a controller
 // that is silent is passed over.
-func TestAllAreQueriedThroughAController(t *testing.T) {
+func TestQueryUsesControllerDirectory(t *testing.T) {
 	network := transport.NewMemoryNetwork()
 	columns := []string{"process", "zone", "address"}
 	row := func(key, zone string) []string { return []string{key, zone, key + ":1"} }
@@ -38,16 +38,16 @@
 		})
 	}
 	for _, list := range zones {
-		for _, entry := range list {
-			serve(entry[0])
+		for _, response := range list {
+			serve(response[0])
 		}
 	}
 	network.SetPartitioned("foreman/x:1", true)
 	shell, _ := New(network.Transport("shell"), "forge/n0:1", clock.Milliseconds(500))
 	responses, err := shell.Query("config")
 	timedOut := 0
-	for _, entry := range responses {
-		if entry.TimedOut {
+	for _, response := range responses {
+		if response.TimedOut {
 			timedOut++
 		}
 	}
--- a/internal/tooling/fleetshell/fleetshell.go
+++ b/internal/tooling/fleetshell/fleetshell.go
@@ -27,9 +27,9 @@
 	// Roles are the roles of the processes that answer it; none means the seed alone.
 	Roles []string
 	// Shows says what the answers show.
-	Shows string
+	Description string
 	// Wire is its name on the wire, where that is another one.
-	Wire string
+	WireName string
 }
 
 // Aliases are the earlier names of queries, which go on working.
@@ -77,7 +77,7 @@
 type Shell struct {
 	Transport transport.Transport
 	Seed      string
-	Limit     clock.Duration
+	Timeout   clock.Duration
 }
 
 // New checks the address of the seed.
@@ -86,28 +86,28 @@
 	if err != nil || host == "" || port == "" {
 		return nil, ErrInvalidCall.New("seed " + seed + " is no address of the form host:port")
 	}
-	return &Shell{Transport: carrier, Seed: seed, Limit: limit}, nil
+	return &Shell{Transport: carrier, Seed: seed, Timeout: limit}, nil
 }
 
 // Query puts one query to every process that answers it.
 func (s *Shell) Query(query string) ([]Response, error) {
-	if name, old := Aliases[query]; old {
+	if name, isAlias := Aliases[query]; isAlias {
 		query = name
 	}
-	known, found := Queries[query]
+	definition, found := Queries[query]
 	if !found {
 		return nil, ErrInvalidCall.New("unknown query " + query + "; there are: " + strings.Join(QueryNames(), ", "))
 	}
 	nodes := &messages.StatusResponse{}
-	err := transport.Call(s.Transport, s.Seed, messages.KindStatus, &messages.StatusRequest{Query: "nodes"}, nodes, s.Limit)
+	err := transport.Call(s.Transport, s.Seed, messages.KindStatus, &messages.StatusRequest{Query: "nodes"}, nodes, s.Timeout)
 	if err != nil {
 		return nil, ErrNoFleet.Wrap(err, "seed "+s.Seed+" does not answer (its internal address is needed)")
 	}
-	if len(known.Roles) == 0 {
-		return named([]Response{{Process: "seed", Status: *nodes}}), nil
+	if len(definition.Roles) == 0 {
+		return translateRoles([]Response{{Process: "seed", Status: *nodes}}), nil
 	}
-	if known.Wire != "" {
-		query = known.Wire
+	if definition.WireName != "" {
+		query = definition.WireName
 	}
-	return named(s.queryZones(s.fleet(nodes), query, known.Roles)), nil
+	return translateRoles(s.queryZones(s.allProcesses(nodes), query, definition.Roles)), nil
 }
--- a/internal/tooling/fleetshell/fleetshell_test.go
+++ b/internal/tooling/fleetshell/fleetshell_test.go
@@ -11,7 +11,7 @@
 	"lemonarch/internal/platform/transport"
 )
 
-func fleet(t *testing.T) (*transport.MemoryNetwork, transport.Transport) {
+func newTestFleet(t *testing.T) (*transport.MemoryNetwork, transport.Transport) {
 	t.Helper()
 
 	network := transport.NewMemoryNetwork()
@@ -35,7 +35,7 @@
 }
 
 func TestTimeoutIsShown(t *testing.T) {
-	network, transport := fleet(t)
+	network, transport := newTestFleet(t)
 	network.SetPartitioned("forge/b:1", true)
 	shell, err := New(transport, "forge/a:1", clock.Milliseconds(200))
 	if err != nil {
@@ -61,8 +61,8 @@
 	}
 }
 
-func TestBadCalls(t *testing.T) {
-	_, transport := fleet(t)
+func TestInvalidCalls(t *testing.T) {
+	_, transport := newTestFleet(t)
 	if _, err := New(transport, "nowhere", 1); !errs.Is(err, ErrInvalidCall) {
 		t.Fatal(err)
 	}
@@ -70,8 +70,8 @@
 	if _, err := shell.Query("weather"); !errs.Is(err, ErrInvalidCall) {
 		t.Fatal(err)
 	}
-	lost, _ := New(transport, "forge/z:1", clock.Milliseconds(200))
-	if _, err := lost.Query("nodes"); !errs.Is(err, ErrNoFleet) {
+	unreachable, _ := New(transport, "forge/z:1", clock.Milliseconds(200))
+	if _, err := unreachable.Query("nodes"); !errs.Is(err, ErrNoFleet) {
 		t.Fatal(err)
 	}
 }
--- a/internal/tooling/fleetshell/names.go
+++ b/internal/tooling/fleetshell/names.go
@@ -7,7 +7,7 @@
 )
 
 // named puts the names of programs in the place of the roles' words on the wire.
-func named(responses []Response) []Response {
+func translateRoles(responses []Response) []Response {
 	for i := range responses {
 		resp := &responses[i]
 		resp.Process = processName(resp.Process)
--- a/internal/tooling/lab/endpoint.go
+++ b/internal/tooling/lab/endpoint.go
@@ -37,11 +37,11 @@
 	card := Card{Label: f.Plan.Label, Ingress: f.Plan.Ingress(), Controls: f.Plan.Controls(), Stride: f.Plan.shape().Stride,
 		Routes: f.Routes(), Programs: map[string]int{}, Workers: map[string]string{},
 		Seed: f.Plan.host(constants.LabEdgeHost, 0, constants.LabInternalPort+constants.PortController)}
-	for _, entry := range f.processes {
-		card.Programs[entry.node.name] = entry.id()
+	for _, running := range f.processes {
+		card.Programs[running.node.name] = running.id()
 	}
-	for _, entry := range f.places {
-		card.Workers[entry.name] = entry.address
+	for _, running := range f.workerSlots {
+		card.Workers[running.name] = running.address
 	}
 	return card
 }
@@ -50,29 +50,29 @@
 func (f *Fleet) serveEndpoint() error {
 	listener, err := net.Listen("tcp4", f.Plan.Endpoint())
 	if err != nil {
-		return ErrInvalidLab.New("control endpoint at " + f.Plan.Endpoint() + ": " + lastWords(err))
+		return ErrInvalidLab.New("control endpoint at " + f.Plan.Endpoint() + ": " + rootCause(err))
 	}
-	tree := chi.NewRouter()
-	tree.Get("/fleet", func(writer http.ResponseWriter, _ *http.Request) { httpreply.JSON(writer, http.StatusOK, f.Card()) })
-	tree.Get("/runs", func(writer http.ResponseWriter, request *http.Request) {
+	router := chi.NewRouter()
+	router.Get("/fleet", func(writer http.ResponseWriter, _ *http.Request) { httpreply.JSON(writer, http.StatusOK, f.Card()) })
+	router.Get("/runs", func(writer http.ResponseWriter, request *http.Request) {
 		runs, dropped := f.record.Of(request.URL.Query().Get("prefix"))
 		httpreply.JSON(writer, http.StatusOK, Runs{runs, dropped})
 	})
-	tree.Post("/trouble", func(writer http.ResponseWriter, request *http.Request) {
-		var fault Trouble
+	router.Post("/trouble", func(writer http.ResponseWriter, request *http.Request) {
+		var trouble Trouble
 		reader := json.NewDecoder(http.MaxBytesReader(writer, request.Body, constants.HeadLimit))
 		reader.DisallowUnknownFields()
-		if err := reader.Decode(&fault); err != nil {
+		if err := reader.Decode(&trouble); err != nil {
 			httpreply.Error(writer, http.StatusBadRequest, "trouble can't be read: "+err.Error())
 			return
 		}
-		if err := f.Trouble(fault); err != nil {
+		if err := f.Trouble(trouble); err != nil {
 			httpreply.Error(writer, http.StatusBadRequest, err.Error())
 			return
 		}
 		httpreply.JSON(writer, http.StatusOK, struct{}{})
 	})
-	f.endpoint = newEndpoint(listener, tree)
+	f.endpoint = newEndpoint(listener, router)
 	return nil
 }
 
@@ -83,12 +83,12 @@
 }
 
 func newEndpoint(listener net.Listener, handler http.Handler) *endpoint {
-	entry := &endpoint{server: &http.Server{Handler: handler, ReadHeaderTimeout: constants.LabGrace}, served: make(chan struct{})}
+	created := &endpoint{server: &http.Server{Handler: handler, ReadHeaderTimeout: constants.LabGrace}, served: make(chan struct{})}
 	go func() {
-		defer close(entry.served)
-		_ = entry.server.Serve(listener)
+		defer close(created.served)
+		_ = created.server.Serve(listener)
 	}()
-	return entry
+	return created
 }
 
 // close ends the server; its address is free then, also where it had not begun to serve.
--- a/internal/tooling/lab/families.go
+++ b/internal/tooling/lab/families.go
@@ -64,15 +64,15 @@
 	if len(families) == 0 || len(families) > familiesMax {
 		return ErrInvalidLab.New(fmt.Sprintf("families: between 1 and %d are wanted, not %d", familiesMax, len(families)))
 	}
-	names, workers := map[string]bool{}, 0
+	seen, workers := map[string]bool{}, 0
 	for i := range families {
 		family := &families[i]
-		if names[family.Name] {
+		if seen[family.Name] {
 			return ErrInvalidLab.New(fmt.Sprintf("families[%d].name: %q stands twice", i, family.Name))
 		}
-		names[family.Name] = true
+		seen[family.Name] = true
 		workers += family.Workers
-		if field, sound := family.soundness(); !sound {
+		if field, valid := family.firstInvalidField(); !valid {
 			return ErrInvalidLab.New(fmt.Sprintf("families[%d].%s: missing or senseless", i, field))
 		}
 	}
@@ -83,7 +83,7 @@
 }
 
 // soundness names the first field that makes no sense.
-func (f *Family) soundness() (field string, sound bool) {
+func (f *Family) firstInvalidField() (field string, valid bool) {
 	checks := []struct {
 		field string
 		sound bool
@@ -110,13 +110,13 @@
 }
 
 // familyPlaces are the places of the families' workers.
-func (p *Plan) familyPlaces() []*place {
-	var all []*place
+func (p *Plan) familyWorkerSlots() []*workerSlot {
+	var all []*workerSlot
 	for i := range p.Families {
 		for number := range p.Families[i].Workers {
 			nodeSettings := p.Families[i].settings()
 			nodeSettings.Zone = p.zone(number)
-			all = append(all, &place{name: p.Families[i].Name + "-" + strconv.Itoa(number+1), nodeSettings: nodeSettings, seed: p.Seed*1000 + int64(len(all)),
+			all = append(all, &workerSlot{name: p.Families[i].Name + "-" + strconv.Itoa(number+1), nodeSettings: nodeSettings, seed: p.Seed*1000 + int64(len(all)),
 				address: p.host(constants.LabWorkerHost, len(all), constants.LabWorkerPort)})
 		}
 	}
--- a/internal/tooling/lab/fleet.go
+++ b/internal/tooling/lab/fleet.go
@@ -21,22 +21,22 @@
 	// Died tells of the first process that ended by itself.
 	Died chan error
 
-	record    *workeremulator.Record
-	processes []*process
-	places    []*place
-	endpoint  *endpoint
-	starter   *starter
-	operator  operator
-	stopping  chan struct{}
-	once      sync.Once
-	own       bool
-	troubles  sync.WaitGroup
+	record          *workeremulator.Record
+	processes       []*process
+	workerSlots     []*workerSlot
+	endpoint        *endpoint
+	starter         *starter
+	operator        operator
+	stopping        chan struct{}
+	stopOnce        sync.Once
+	ownsFolder      bool
+	runningTroubles sync.WaitGroup
 }
 
 // Start carries a plan out and returns once every gateway is ready. Where anything
 // goes wrong or the context is cancelled, all that was started is ended before it returns.
 // An empty folder makes it use one of its own, which goes away with the fleet.
-func Start(called contexts.Context, plan Plan, folder string) (*Fleet, error) {
+func Start(ctx contexts.Context, plan Plan, folder string) (*Fleet, error) {
 	if err := plan.Check(); err != nil {
 		return nil, err
 	}
@@ -48,7 +48,7 @@
 		}
 		configuration = text
 	}
-	if err := plan.free(); err != nil {
+	if err := plan.checkAddressesFree(); err != nil {
 		return nil, err
 	}
 	programs, err := filepath.Abs(plan.Programs)
@@ -62,12 +62,12 @@
 		if fleet.Folder, err = os.MkdirTemp("", "lemonarch-lab-"); err != nil {
 			return nil, ErrInvalidLab.Wrap(err, "temporary folder")
 		}
-		fleet.own = true
+		fleet.ownsFolder = true
 	} else if err = os.MkdirAll(folder, 0o755); err != nil {
 		return nil, ErrInvalidLab.Wrap(err, "folder")
 	}
 	if fleet.Folder, err = filepath.Abs(fleet.Folder); err == nil {
-		err = fleet.start(called, configuration)
+		err = fleet.start(ctx, configuration)
 	}
 	if err != nil {
 		fleet.Stop()
@@ -76,43 +76,43 @@
 	return fleet, nil
 }
 
-func (f *Fleet) start(called contexts.Context, configuration []byte) error {
+func (f *Fleet) start(ctx contexts.Context, configuration []byte) error {
 	for _, node := range f.Plan.nodes() {
-		entry := newProcess(&f.Plan, node, f.Folder, f.starter)
-		path, err := f.Plan.write(node, f.Folder, true)
+		proc := newProcess(&f.Plan, node, f.Folder, f.starter)
+		path, err := f.Plan.writeSettings(node, f.Folder, true)
 		if err != nil {
 			return err
 		}
-		entry.path = path
-		if err = entry.run(f.died); err != nil {
+		proc.settingsPath = path
+		if err = proc.run(f.reportFailure); err != nil {
 			return err
 		}
-		f.processes = append(f.processes, entry)
+		f.processes = append(f.processes, proc)
 	}
-	for _, entry := range f.Plan.places() {
-		if err := entry.begin(f.record, f.Plan.Controls()); err != nil {
+	for _, proc := range f.Plan.workerSlots() {
+		if err := proc.start(f.record, f.Plan.Controls()); err != nil {
 			return err
 		}
-		f.places = append(f.places, entry)
+		f.workerSlots = append(f.workerSlots, proc)
 	}
 	if err := f.serveEndpoint(); err != nil {
 		return err
 	}
-	end := clock.Now().Add(constants.LabStartLimit)
-	if err := f.until(called, end, "the first configuration", func() error { return f.operator.first(configuration) }); err != nil {
+	deadline := clock.Now().Add(constants.LabStartLimit)
+	if err := f.retryUntil(ctx, deadline, "the first configuration", func() error { return f.operator.sendFirst(configuration) }); err != nil {
 		return err
 	}
-	if err := f.until(called, end, "every gateway ready", f.ready); err != nil {
+	if err := f.retryUntil(ctx, deadline, "every gateway ready", f.ready); err != nil {
 		return err
 	}
-	return f.until(called, end, "a store on duty", f.lotsReady)
+	return f.retryUntil(ctx, deadline, "a store on duty", f.jobsReady)
 }
 
 // lotsReady asks for a lot that nobody handed in: only where the stores can be sure
 // is the answer 404, and from then on lots are taken.
-func (f *Fleet) lotsReady() error {
+func (f *Fleet) jobsReady() error {
 	for _, address := range f.Plan.Ingress() {
-		resp, err := f.operator.ask(http.MethodGet, "http://"+address+"/-/lots/lab-start", nil, 0)
+		resp, err := f.operator.call(http.MethodGet, "http://"+address+"/-/lots/lab-start", nil, 0)
 		if err != nil {
 			return err
 		}
@@ -124,7 +124,7 @@
 }
 
 // died keeps the first death; a fleet that is being stopped has none.
-func (f *Fleet) died(err error) {
+func (f *Fleet) reportFailure(err error) {
 	select {
 	case <-f.stopping:
 	case f.Died <- err:
@@ -133,20 +133,20 @@
 }
 
 // until tries again and again, and tells of a death or of the last failure.
-func (f *Fleet) until(called contexts.Context, end clock.Instant, what string, function func() error) error {
+func (f *Fleet) retryUntil(ctx contexts.Context, deadline clock.Instant, condition string, check func() error) error {
 	for {
-		err := function()
+		err := check()
 		if err == nil {
 			return nil
 		}
-		var final refused
-		if errors.As(err, &final) || clock.Now() >= end {
-			return ErrInvalidLab.Wrap(err, "no success with "+what)
+		var rejected rejectedError
+		if errors.As(err, &rejected) || clock.Now() >= deadline {
+			return ErrInvalidLab.Wrap(err, "no success with "+condition)
 		}
 		select {
 		case err = <-f.Died:
 			return err
-		case <-called.Done():
+		case <-ctx.Done():
 			return ErrInvalidLab.New("stopped while starting")
 		case <-clock.After(constants.LabRetry):
 		}
@@ -156,7 +156,7 @@
 // ready asks every gateway whether it is.
 func (f *Fleet) ready() error {
 	for _, address := range f.Plan.Readiness() {
-		resp, err := f.operator.ask(http.MethodGet, "http://"+address+"/-/readiness", nil, 0)
+		resp, err := f.operator.call(http.MethodGet, "http://"+address+"/-/readiness", nil, 0)
 		if err != nil {
 			return err
 		}
@@ -169,26 +169,26 @@
 
 // Stop ends everything that was started, each by its id.
 func (f *Fleet) Stop() {
-	f.once.Do(func() {
+	f.stopOnce.Do(func() {
 		close(f.stopping)
 		// Troubles under way end first, so that none starts a process once more.
-		f.troubles.Wait()
+		f.runningTroubles.Wait()
 		if f.endpoint != nil {
 			f.endpoint.close()
 		}
 		var group sync.WaitGroup
-		for _, entry := range f.processes {
+		for _, proc := range f.processes {
 			group.Add(1)
 			go func() {
 				defer group.Done()
-				entry.stop()
+				proc.stop()
 			}()
 		}
 		group.Wait()
-		for _, entry := range f.places {
-			entry.crash()
+		for _, proc := range f.workerSlots {
+			proc.crash()
 		}
-		if f.own {
+		if f.ownsFolder {
 			// What can't be removed stays in the folder for temporary files.
 			_ = os.RemoveAll(f.Folder)
 		}
--- a/internal/tooling/lab/lab_test.go
+++ b/internal/tooling/lab/lab_test.go
@@ -39,9 +39,9 @@
 	const tries = 1000
 	for number := os.Getpid(); number < os.Getpid()+tries; number++ {
 		network := fmt.Sprintf("127.%d.%d", 1+number/256%250, number%256)
-		claim, err := net.Listen("tcp4", network+".254:7099")
+		listener, err := net.Listen("tcp4", network+".254:7099")
 		if err == nil {
-			t.Cleanup(func() { claim.Close() })
+			t.Cleanup(func() { listener.Close() })
 			return network
 		}
 	}
@@ -51,22 +51,22 @@
 
 // Every process of every shape gets settings that the daemons take, and no two
 // processes share an address.
-func TestSettingsAreTaken(t *testing.T) {
+func TestSettingsAreValid(t *testing.T) {
 	for _, counts := range [][4]int{{1, 1, 1, 1}, {2, 3, 3, 2}, {5, 9, 4, 3}, {1, 5, 7, 9}} {
 		plan := NewPlan()
 		plan.Gateways, plan.Controllers, plan.Stores, plan.Zones = counts[0], counts[1], counts[2], counts[3]
 		folder := t.TempDir()
-		observed := map[string]bool{}
-		for _, entry := range plan.nodes() {
-			path, err := plan.write(entry, folder, true)
+		addressesSeen := map[string]bool{}
+		for _, target := range plan.nodes() {
+			path, err := plan.writeSettings(target, folder, true)
 			if err != nil {
 				t.Fatal(err)
 			}
 			nodeSettings, err := settings.LoadFile(path)
-			if err != nil || nodeSettings.NodeName != entry.machine || nodeSettings.Zone != entry.zone || observed[entry.role+nodeSettings.Address] {
-				t.Fatal(entry, nodeSettings, err)
+			if err != nil || nodeSettings.NodeName != target.machine || nodeSettings.Zone != target.zone || addressesSeen[target.role+nodeSettings.Address] {
+				t.Fatal(target, nodeSettings, err)
 			}
-			observed[entry.role+nodeSettings.Address] = true
+			addressesSeen[target.role+nodeSettings.Address] = true
 			if budget := nodeSettings.FaultBudget.Machines; 2*budget+1 > min(plan.Controllers, plan.Stores) {
 				t.Fatal("more may be lost than half of the set", budget)
 			}
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestPlansThatCanNotBe(t *testing.T) {
+func TestInvalidPlans(t *testing.T) {
 	for want, change := range map[string]func(plan *Plan){
 		"gateways":     func(plan *Plan) { plan.Gateways = 0 },
 		"controllers":  func(plan *Plan) { plan.Controllers = -1 },
@@ -108,7 +108,7 @@
 }
 
 // A busy address is named before anything starts.
-func TestBusyAddressIsNamed(t *testing.T) {
+func TestBusyAddressIsReported(t *testing.T) {
 	plan := NewPlan()
 	plan.Network, plan.Programs = ownNetwork(t), programs(t, "exec sleep 60")
 	busy := plan.Ingress()[1]
@@ -128,7 +128,7 @@
 
 // A process that dies at the start is named with its last words, and the others are
 // ended by their ids.
-func TestDyingChildEndsTheStart(t *testing.T) {
+func TestExitedChildFailsStart(t *testing.T) {
 	plan := NewPlan()
 	plan.Network, plan.Programs = ownNetwork(t), programs(t, "exec sleep 60")
 	dying := filepath.Join(plan.Programs, "store")
@@ -144,25 +144,25 @@
 		t.Fatal(err)
 	}
 	// Stop waits for each child, so the addresses are free and a new start could begin.
-	if err = plan.free(); err != nil {
+	if err = plan.checkAddressesFree(); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // A start that is called off ends what it has begun.
-func TestStartThatIsCalledOff(t *testing.T) {
+func TestCancelledStart(t *testing.T) {
 	plan := NewPlan()
 	plan.Network, plan.Programs = ownNetwork(t), programs(t, "exec sleep 60")
-	called, halt := contexts.WithCancel(contexts.Background())
-	halt()
-	fleet, err := Start(called, plan, t.TempDir())
+	ctx, cancel := contexts.WithCancel(contexts.Background())
+	cancel()
+	fleet, err := Start(ctx, plan, t.TempDir())
 	if err == nil {
 		fleet.Stop()
 	}
 	if err == nil || !strings.Contains(err.Error(), "stopped") {
 		t.Fatal(err)
 	}
-	if err = plan.free(); err != nil {
+	if err = plan.checkAddressesFree(); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -170,27 +170,27 @@
 func TestStoppedProcessesEnd(t *testing.T) {
 	plan := NewPlan()
 	plan.Programs = programs(t, "exec sleep 60")
-	died := make(chan error, 4)
-	for _, end := range []func(*process){(*process).stop, (*process).kill} {
-		entry := newProcess(&plan, plan.nodes()[0], t.TempDir(), newStarter())
-		if err := entry.run(func(err error) { died <- err }); err != nil {
+	failures := make(chan error, 4)
+	for _, endProcess := range []func(*process){(*process).stop, (*process).kill} {
+		target := newProcess(&plan, plan.nodes()[0], t.TempDir(), newStarter())
+		if err := target.run(func(err error) { failures <- err }); err != nil {
 			t.Fatal(err)
 		}
-		id := entry.id()
-		end(entry)
+		id := target.id()
+		endProcess(target)
 		if _, err := os.Stat("/proc/" + strconv.Itoa(id)); err == nil {
 			t.Fatal("still there", id)
 		}
 	}
 	select {
-	case err := <-died:
+	case err := <-failures:
 		t.Fatal("what the lab ends itself is no death", err)
 	default:
 	}
 }
 
 // Each change goes on top of the one before, and a refusal is final.
-func TestOperatorBuildsOnTheLast(t *testing.T) {
+func TestOperatorSendsNextGeneration(t *testing.T) {
 	var bases, bodies []string
 	status := http.StatusOK
 	control := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -202,7 +202,7 @@
 	defer control.Close()
 	plan := NewPlan()
 	operator := operator{controls: []string{control.Listener.Addr().String()}}
-	if err := operator.first(plan.firstConfiguration()); err != nil {
+	if err := operator.sendFirst(plan.firstConfiguration()); err != nil {
 		t.Fatal(err)
 	}
 	for next := int64(2); next < 4; next++ {
@@ -216,7 +216,7 @@
 	status = http.StatusPreconditionFailed
 	if _, err := operator.addRoute(); err == nil {
 		t.Fatal("a refusal passed for a success")
-	} else if final := refused(""); !errors.As(err, &final) {
+	} else if rejected := rejectedError(""); !errors.As(err, &rejected) {
 		t.Fatal(err)
 	}
 }
--- a/internal/tooling/lab/operator.go
+++ b/internal/tooling/lab/operator.go
@@ -14,10 +14,10 @@
 )
 
 // refused is the refusal of an order that would not be taken the next time either.
-type refused string
+type rejectedError string
 
 // Error gives the reason.
-func (r refused) Error() string { return string(r) }
+func (r rejectedError) Error() string { return string(r) }
 
 // operator sends configurations, one on top of the other.
 type operator struct {
@@ -26,17 +26,17 @@
 	config   *routeconfig.Config
 }
 
-type answered struct {
+type httpResponse struct {
 	status int
 	body   []byte
 }
 
 var operatorClient = http.Client{Timeout: constants.LabGrace}
 
-func (o *operator) ask(method, url string, body []byte, base int64) (answered, error) {
+func (o *operator) call(method, url string, body []byte, base int64) (httpResponse, error) {
 	request, err := http.NewRequest(method, url, bytes.NewReader(body))
 	if err != nil {
-		return answered{}, ErrInvalidLab.Wrap(err, "call")
+		return httpResponse{}, ErrInvalidLab.Wrap(err, "call")
 	}
 	if body != nil {
 		request.Header.Set("Lemonarch-Base-Revision", strconv.FormatInt(base, 10))
@@ -44,73 +44,73 @@
 	}
 	resp, err := operatorClient.Do(request)
 	if err != nil {
-		return answered{}, ErrInvalidLab.New(lastWords(err))
+		return httpResponse{}, ErrInvalidLab.New(rootCause(err))
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(resp.Body, 64<<10))
-	return answered{resp.StatusCode, text}, ErrInvalidLab.Wrap(err, "answer")
+	return httpResponse{resp.StatusCode, text}, ErrInvalidLab.Wrap(err, "answer")
 }
 
 // first sends the first configuration.
-func (o *operator) first(body []byte) error { return o.send(body, 0) }
+func (o *operator) sendFirst(body []byte) error { return o.send(body, 0) }
 
 // addRoute sends the next one: the present one with one route more. Fields that this
 // program does not know stay as they are.
 func (o *operator) addRoute() (generation int64, err error) {
 	o.lock.Lock()
-	present := o.config
+	current := o.config
 	o.lock.Unlock()
-	if present == nil {
+	if current == nil {
 		return 0, ErrInvalidLab.New("there is no configuration yet")
 	}
-	generation = present.Generation + 1
-	body, err := withRoute(present.Body, generation, addedRoute(generation))
+	generation = current.Generation + 1
+	body, err := withRoute(current.Body, generation, addedRoute(generation))
 	if err != nil {
 		return 0, ErrInvalidLab.Wrap(err, "configuration")
 	}
-	return generation, o.send(body, present.Generation)
+	return generation, o.send(body, current.Generation)
 }
 
 // withRoute gives a configuration a new generation and one route more.
 func withRoute(body []byte, generation int64, route routeconfig.Route) ([]byte, error) {
-	complete := map[string]json.RawMessage{}
-	if err := json.Unmarshal(body, &complete); err != nil {
+	fields := map[string]json.RawMessage{}
+	if err := json.Unmarshal(body, &fields); err != nil {
 		return nil, err
 	}
 	var routes []json.RawMessage
-	if err := json.Unmarshal(complete["channels"], &routes); err != nil {
+	if err := json.Unmarshal(fields["channels"], &routes); err != nil {
 		return nil, err
 	}
 	added, err := json.Marshal(route)
 	if err != nil {
 		return nil, err
 	}
-	if complete["channels"], err = json.Marshal(append(routes, added)); err != nil {
+	if fields["channels"], err = json.Marshal(append(routes, added)); err != nil {
 		return nil, err
 	}
-	complete["generation"] = json.RawMessage(strconv.FormatInt(generation, 10))
-	return json.Marshal(complete)
+	fields["generation"] = json.RawMessage(strconv.FormatInt(generation, 10))
+	return json.Marshal(fields)
 }
 
 // send sends a whole configuration to one control after the other until it is taken.
 func (o *operator) send(body []byte, base int64) error {
 	var err error
 	for _, address := range o.controls {
-		var resp answered
-		resp, err = o.ask(http.MethodPost, "http://"+address+"/-/Configuration.Replace", body, base)
+		var resp httpResponse
+		resp, err = o.call(http.MethodPost, "http://"+address+"/-/Configuration.Replace", body, base)
 		switch {
 		case err != nil:
 		case resp.status == http.StatusOK:
-			config, unreadable := routeconfig.Parse(body)
-			if unreadable != nil {
-				return unreadable
+			config, parseErr := routeconfig.Parse(body)
+			if parseErr != nil {
+				return parseErr
 			}
 			o.lock.Lock()
 			o.config = config
 			o.lock.Unlock()
 			return nil
 		case resp.status >= 400 && resp.status < 500 && resp.status != http.StatusTooManyRequests && resp.status != http.StatusRequestTimeout:
-			return refused("configuration refused with " + strconv.Itoa(resp.status) + ": " + strings.TrimSpace(string(resp.body)))
+			return rejectedError("configuration refused with " + strconv.Itoa(resp.status) + ": " + strings.TrimSpace(string(resp.body)))
 		default:
 			err = ErrInvalidLab.New(address + " answered " + strconv.Itoa(resp.status))
 		}
--- a/internal/tooling/lab/plan.go
+++ b/internal/tooling/lab/plan.go
@@ -68,9 +68,9 @@
 		{"memory-mb", p.MemoryMB, 0, constants.LabMemoryMBMax},
 		{"file-handles", p.FileHandles, 0, constants.LabFileHandlesMax},
 	}
-	for _, entry := range bounds {
-		if entry.value < entry.low || entry.value > entry.high {
-			return ErrInvalidLab.New(fmt.Sprintf("%s must lie between %d and %d, not %d", entry.name, entry.low, entry.high, entry.value))
+	for _, bound := range bounds {
+		if bound.value < bound.low || bound.value > bound.high {
+			return ErrInvalidLab.New(fmt.Sprintf("%s must lie between %d and %d, not %d", bound.name, bound.low, bound.high, bound.value))
 		}
 	}
 	if count := p.Gateways + p.Controllers + p.Stores; count > constants.LabProcesses {
@@ -104,8 +104,8 @@
 	disk                               bool
 }
 
-func (p *Plan) host(first, i, port int) string {
-	return net.JoinHostPort(p.Network+"."+strconv.Itoa(first+i), strconv.Itoa(port))
+func (p *Plan) host(firstHost, i, port int) string {
+	return net.JoinHostPort(p.Network+"."+strconv.Itoa(firstHost+i), strconv.Itoa(port))
 }
 
 func (p *Plan) zone(i int) string { return "zone-" + strconv.Itoa(i%p.Zones+1) }
@@ -113,10 +113,10 @@
 // nodes lists the processes: controllers first, since the others ask them.
 func (p *Plan) nodes() []node {
 	var all []node
-	add := func(role string, count, first int, machine string, disk bool) {
+	add := func(role string, count, firstHost int, machine string, disk bool) {
 		for i := 0; i < count; i++ {
 			number := strconv.Itoa(i + 1)
-			all = append(all, node{role + "-" + number, role, machine + "-" + number, p.Network + "." + strconv.Itoa(first+i), p.zone(i), disk})
+			all = append(all, node{role + "-" + number, role, machine + "-" + number, p.Network + "." + strconv.Itoa(firstHost+i), p.zone(i), disk})
 		}
 	}
 	add("controller", p.Controllers, constants.LabEdgeHost, "edge", true)
@@ -126,20 +126,20 @@
 }
 
 // Ingress lists the addresses that downstreams call.
-func (p *Plan) Ingress() []string { return p.edges(p.Gateways, constants.LabIngressPort) }
+func (p *Plan) Ingress() []string { return p.edgeAddresses(p.Gateways, constants.LabIngressPort) }
 
 // Readiness lists the addresses that tell whether a gateway is ready.
-func (p *Plan) Readiness() []string { return p.edges(p.Gateways, constants.LabReadyPort) }
+func (p *Plan) Readiness() []string { return p.edgeAddresses(p.Gateways, constants.LabReadyPort) }
 
 // Controls lists the addresses that workers and the operator call.
-func (p *Plan) Controls() []string { return p.edges(p.Controllers, constants.LabControlPort) }
+func (p *Plan) Controls() []string { return p.edgeAddresses(p.Controllers, constants.LabControlPort) }
 
 // Endpoint is the address of the control endpoint.
 func (p *Plan) Endpoint() string {
 	return p.host(constants.LabEndpointHost, 0, constants.LabEndpointPort)
 }
 
-func (p *Plan) edges(count, port int) []string {
+func (p *Plan) edgeAddresses(count, port int) []string {
 	var all []string
 	for i := 0; i < count; i++ {
 		all = append(all, p.host(constants.LabEdgeHost, i, port))
@@ -149,20 +149,20 @@
 
 // free checks that nobody holds the addresses, so that a busy port is told by name
 // before anything has started.
-func (p *Plan) free() error {
+func (p *Plan) checkAddressesFree() error {
 	addresses := append(append(p.Ingress(), p.Readiness()...), p.Controls()...)
 	addresses = append(addresses, p.Endpoint())
-	for _, entry := range p.places() {
-		addresses = append(addresses, entry.address)
+	for _, process := range p.workerSlots() {
+		addresses = append(addresses, process.address)
 	}
-	for _, entry := range p.nodes() {
-		offset := map[string]int{"controller": constants.PortController, "gateway": constants.PortGateway, "store": constants.PortStore}[entry.role]
-		addresses = append(addresses, net.JoinHostPort(entry.address, strconv.Itoa(constants.LabInternalPort+offset)))
+	for _, process := range p.nodes() {
+		offset := map[string]int{"controller": constants.PortController, "gateway": constants.PortGateway, "store": constants.PortStore}[process.role]
+		addresses = append(addresses, net.JoinHostPort(process.address, strconv.Itoa(constants.LabInternalPort+offset)))
 	}
 	for _, address := range addresses {
 		listener, err := net.Listen("tcp4", address)
 		if err != nil {
-			return ErrInvalidLab.New(address + " can't be had (" + lastWords(err) + "); is another lab running? --network names other addresses")
+			return ErrInvalidLab.New(address + " can't be had (" + rootCause(err) + "); is another lab running? --network names other addresses")
 		}
 		listener.Close()
 	}
@@ -170,7 +170,7 @@
 }
 
 // lastWords is the innermost reason of a failure.
-func lastWords(err error) string {
+func rootCause(err error) string {
 	for {
 		inner, wraps := err.(interface{ Unwrap() error })
 		if !wraps || inner.Unwrap() == nil {
--- a/internal/tooling/lab/process.go
+++ b/internal/tooling/lab/process.go
@@ -18,15 +18,15 @@
 // lab: the kernel ends a child when the thread that began it ends, so nothing stays
 // behind even where the lab itself is killed.
 type starter struct {
-	orders chan func()
+	calls chan func()
 }
 
 func newStarter() *starter {
-	starter := &starter{orders: make(chan func())}
+	starter := &starter{calls: make(chan func())}
 	go func() {
 		runtime.LockOSThread()
-		for order := range starter.orders {
-			order()
+		for call := range starter.calls {
+			call()
 		}
 	}()
 	return starter
@@ -34,37 +34,37 @@
 
 func (s *starter) start(command *exec.Cmd) error {
 	done := make(chan error)
-	s.orders <- func() { done <- command.Start() }
+	s.calls <- func() { done <- command.Start() }
 	return <-done
 }
 
 // process is one real program of the fleet.
 type process struct {
-	node    node
-	starter *starter
-	program string
-	path    string
-	log     string
+	node         node
+	starter      *starter
+	programPath  string
+	settingsPath string
+	logPath      string
 
 	// restarting is held while a trouble ends the process and starts it again.
 	restarting sync.Mutex
 
 	lock    sync.Mutex
 	command *exec.Cmd
-	ended   chan struct{}
+	exited  chan struct{}
 	// expected tells that the lab ends it itself.
 	expected bool
 }
 
 // run starts the program; died is told where it ends unexpectedly.
-func (p *process) run(died func(error)) error {
-	log, err := os.OpenFile(p.log, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+func (p *process) run(reportFailure func(error)) error {
+	log, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
 		return ErrInvalidLab.Wrap(err, "log of "+p.node.name)
 	}
-	command := exec.Command(p.program)
+	command := exec.Command(p.programPath)
 	command.Stdout, command.Stderr = log, log
-	command.Env = append(os.Environ(), settings.Variable+"="+p.path)
+	command.Env = append(os.Environ(), settings.Variable+"="+p.settingsPath)
 	// A group of its own: a Ctrl-C at the terminal reaches the lab alone, which then
 	// ends the others in order.
 	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
@@ -76,7 +76,7 @@
 	}
 	ended := make(chan struct{})
 	p.lock.Lock()
-	p.command, p.ended, p.expected = command, ended, false
+	p.command, p.exited, p.expected = command, ended, false
 	p.lock.Unlock()
 	go func() {
 		err := command.Wait()
@@ -85,13 +85,13 @@
 		p.lock.Unlock()
 		close(ended)
 		if !expected {
-			died(ErrInvalidLab.New(p.node.name + " ended by itself (" + resultOf(err) + "): " + p.lastLine()))
+			reportFailure(ErrInvalidLab.New(p.node.name + " ended by itself (" + exitStatus(err) + "): " + p.lastLine()))
 		}
 	}()
 	return nil
 }
 
-func resultOf(err error) string {
+func exitStatus(err error) string {
 	if err == nil {
 		return "exit status 0"
 	}
@@ -99,7 +99,7 @@
 }
 
 func (p *process) lastLine() string {
-	text, _ := os.ReadFile(p.log)
+	text, _ := os.ReadFile(p.logPath)
 	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
 	return lines[len(lines)-1]
 }
@@ -113,7 +113,7 @@
 	}
 	p.expected = p.expected || expected
 	select {
-	case <-p.ended:
+	case <-p.exited:
 	default:
 		_ = p.command.Process.Signal(signal)
 	}
@@ -125,7 +125,7 @@
 	// A frozen process can't heed anything but SIGKILL.
 	p.signal(syscall.SIGCONT, true)
 	p.lock.Lock()
-	ended := p.ended
+	ended := p.exited
 	p.lock.Unlock()
 	if ended == nil {
 		return
@@ -142,7 +142,7 @@
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL, true)
 	p.lock.Lock()
-	ended := p.ended
+	ended := p.exited
 	p.lock.Unlock()
 	if ended != nil {
 		<-ended
@@ -159,6 +159,6 @@
 	return p.command.Process.Pid
 }
 
-func newProcess(plan *Plan, entry node, folder string, starter *starter) *process {
-	return &process{node: entry, starter: starter, program: filepath.Join(plan.Programs, entry.role), log: filepath.Join(folder, entry.name+".log")}
+func newProcess(plan *Plan, spec node, folder string, starter *starter) *process {
+	return &process{node: spec, starter: starter, programPath: filepath.Join(plan.Programs, spec.role), logPath: filepath.Join(folder, spec.name+".log")}
 }
--- a/internal/tooling/lab/reload_test.go
+++ b/internal/tooling/lab/reload_test.go
@@ -10,7 +10,7 @@
 )
 
 // A reload finds the changed file in place, and is no reason for a process to end.
-func TestReloadFollowsTheFile(t *testing.T) {
+func TestReloadWritesSettingsFile(t *testing.T) {
 	// Where the tests run with SIGHUP ignored (nohup), their children inherit that, and a
 	// shell can't trap a signal that was ignored when it started.
 	hangups := make(chan os.Signal, 1)
@@ -18,15 +18,15 @@
 	defer signal.Stop(hangups)
 	plan := NewPlan()
 	plan.Programs = programs(t, `trap 'cat "$LEMONARCH_SETTINGS" > "$LEMONARCH_SETTINGS.seen"; kill "$other"; exit 0' HUP; sleep 60 & other=$!; echo > "$LEMONARCH_SETTINGS.up"; wait`)
-	for valid, want := range map[bool]string{true: "bootstrap = false", false: unreadable} {
+	for valid, want := range map[bool]string{true: "bootstrap = false", false: invalidSettings} {
 		fleet := &Fleet{Plan: plan, Folder: t.TempDir(), stopping: make(chan struct{}), Died: make(chan error, 1)}
-		entry := newProcess(&plan, plan.nodes()[0], fleet.Folder, newStarter())
-		path, err := plan.write(entry.node, fleet.Folder, true)
+		target := newProcess(&plan, plan.nodes()[0], fleet.Folder, newStarter())
+		path, err := plan.writeSettings(target.node, fleet.Folder, true)
 		if err != nil {
 			t.Fatal(err)
 		}
-		entry.path = path
-		if err := entry.run(fleet.died); err != nil {
+		target.settingsPath = path
+		if err := target.run(fleet.reportFailure); err != nil {
 			t.Fatal(err)
 		}
 		for {
@@ -35,8 +35,8 @@
 			}
 			runtime.Gosched()
 		}
-		fleet.harm(entry, Trouble{Kind: map[bool]string{true: kindReload, false: kindReloadBad}[valid]})
-		<-entry.ended
+		fleet.applyToProcess(target, Trouble{Kind: map[bool]string{true: kindReload, false: kindReloadBad}[valid]})
+		<-target.exited
 		if text, err := os.ReadFile(path + ".seen"); err != nil || !strings.Contains(string(text), want) {
 			t.Error(valid, err, string(text))
 		}
--- a/internal/tooling/lab/settings.go
+++ b/internal/tooling/lab/settings.go
@@ -23,9 +23,9 @@
 )
 
 // nodeSettings makes the settings of one process.
-func (p *Plan) nodeSettings(entry node, folder string, first bool) *settings.Settings {
-	nodeSettings := &settings.Settings{NodeName: entry.machine, Role: entry.role, MachineClass: "edge", Address: entry.address, Zone: entry.zone, Region: "lab",
-		InternalPorts: []int{constants.LabInternalPort, constants.LabInternalPort + 15}, Bootstrap: first, InQuorum: entry.disk,
+func (p *Plan) nodeSettings(spec node, folder string, first bool) *settings.Settings {
+	nodeSettings := &settings.Settings{NodeName: spec.machine, Role: spec.role, MachineClass: "edge", Address: spec.address, Zone: spec.zone, Region: "lab",
+		InternalPorts: []int{constants.LabInternalPort, constants.LabInternalPort + 15}, Bootstrap: first, InQuorum: spec.disk,
 		HeartbeatMs: clock.ToMilliseconds(constants.LabHeartbeat), Zones: map[string]string{},
 		Limits: p.limits(),
 		Tolerances: settings.Tolerances{DrainMs: constants.LabDrainMs, GraceS: constants.LabGrace.Seconds(), ConvergeMs: 2000, AckMs: 4000, SyncS: 5,
@@ -36,8 +36,8 @@
 	for i := 0; i < p.Zones; i++ {
 		nodeSettings.Zones[p.zone(i)] = "lab"
 	}
-	bind := func(port int) string { return fmt.Sprintf("%s:%d", entry.address, port) }
-	switch entry.role {
+	bind := func(port int) string { return fmt.Sprintf("%s:%d", spec.address, port) }
+	switch spec.role {
 	case "gateway":
 		nodeSettings.Serves = []string{"edge"}
 		nodeSettings.Bind = settings.Bind{Ingress: bind(constants.LabIngressPort), Readiness: bind(constants.LabReadyPort)}
@@ -47,8 +47,8 @@
 	case "store":
 		nodeSettings.Serves, nodeSettings.MachineClass = []string{"storage"}, "storage"
 	}
-	if entry.disk {
-		nodeSettings.DataDir = filepath.Join(folder, "data", entry.name)
+	if spec.disk {
+		nodeSettings.DataDir = filepath.Join(folder, "data", spec.name)
 	}
 	return nodeSettings
 }
@@ -66,20 +66,20 @@
 }
 
 // write puts the settings file of a process in place.
-func (p *Plan) write(entry node, folder string, first bool) (string, error) {
-	nodeSettings := p.nodeSettings(entry, folder, first)
+func (p *Plan) writeSettings(spec node, folder string, first bool) (string, error) {
+	nodeSettings := p.nodeSettings(spec, folder, first)
 	if findings := nodeSettings.Check(); len(findings) > 0 {
-		return "", ErrInvalidLab.New("settings of " + entry.name + ": " + findings[0])
+		return "", ErrInvalidLab.New("settings of " + spec.name + ": " + findings[0])
 	}
 	if nodeSettings.DataDir != "" {
 		if err := os.MkdirAll(nodeSettings.DataDir, 0o755); err != nil {
-			return "", ErrInvalidLab.Wrap(err, "data folder of "+entry.name)
+			return "", ErrInvalidLab.Wrap(err, "data folder of "+spec.name)
 		}
 	}
 	var text bytes.Buffer
 	if err := toml.NewEncoder(&text).Encode(nodeSettings); err != nil {
-		return "", ErrInvalidLab.Wrap(err, "settings of "+entry.name)
+		return "", ErrInvalidLab.Wrap(err, "settings of "+spec.name)
 	}
-	path := filepath.Join(folder, entry.name+".toml")
-	return path, ErrInvalidLab.Wrap(os.WriteFile(path, text.Bytes(), 0o644), "settings of "+entry.name)
+	path := filepath.Join(folder, spec.name+".toml")
+	return path, ErrInvalidLab.Wrap(os.WriteFile(path, text.Bytes(), 0o644), "settings of "+spec.name)
 }
--- a/internal/tooling/lab/trouble.go
+++ b/internal/tooling/lab/trouble.go
@@ -86,26 +86,28 @@
 	return nil
 }
 
-func matches(name, target string) bool { return name == target || strings.HasPrefix(name, target+"-") }
+func matchesTarget(name, target string) bool {
+	return name == target || strings.HasPrefix(name, target+"-")
+}
 
 func seconds(count float64) clock.Duration { return clock.Milliseconds(count * 1000) }
 
 // Trouble begins a trouble; it goes on by itself.
-func (f *Fleet) Trouble(fault Trouble) error {
-	if err := fault.Check(); err != nil {
+func (f *Fleet) Trouble(trouble Trouble) error {
+	if err := trouble.Check(); err != nil {
 		return err
 	}
-	if fault.Kind == kindConfigure {
+	if trouble.Kind == kindConfigure {
 		_, err := f.operator.addRoute()
 		return err
 	}
 	found := false
-	begin := func(function func()) {
+	run := func(apply func()) {
 		found = true
-		f.troubles.Add(1)
+		f.runningTroubles.Add(1)
 		go func() {
-			defer f.troubles.Done()
-			function()
+			defer f.runningTroubles.Done()
+			apply()
 		}()
 	}
 	select {
@@ -113,111 +115,111 @@
 		return ErrInvalidLab.New("the fleet is being stopped")
 	default:
 	}
-	for _, entry := range f.processes {
-		if matches(entry.node.name, fault.Target) {
-			begin(func() { f.harm(entry, fault) })
+	for _, target := range f.processes {
+		if matchesTarget(target.node.name, trouble.Target) {
+			run(func() { f.applyToProcess(target, trouble) })
 		}
 	}
-	for _, entry := range f.places {
-		if matches(entry.name, fault.Target) {
-			begin(func() { f.disturb(entry, fault) })
+	for _, target := range f.workerSlots {
+		if matchesTarget(target.name, trouble.Target) {
+			run(func() { f.applyToWorker(target, trouble) })
 		}
 	}
 	if !found {
-		return ErrInvalidLab.New("nothing here is called " + strconv.Quote(fault.Target))
+		return ErrInvalidLab.New("nothing here is called " + strconv.Quote(trouble.Target))
 	}
 	return nil
 }
 
 // pause waits, unless the fleet is stopped.
-func (f *Fleet) pause(span clock.Duration) bool {
+func (f *Fleet) pause(duration clock.Duration) bool {
 	select {
 	case <-f.stopping:
 		return false
-	case <-clock.After(span):
+	case <-clock.After(duration):
 		return true
 	}
 }
 
 // harm does to a process what the trouble says.
-func (f *Fleet) harm(entry *process, fault Trouble) {
-	switch fault.Kind {
+func (f *Fleet) applyToProcess(target *process, trouble Trouble) {
+	switch trouble.Kind {
 	case kindReload, kindReloadBad:
-		if err := f.reload(entry, fault.Kind == kindReload); err != nil {
-			f.died(err)
+		if err := f.reload(target, trouble.Kind == kindReload); err != nil {
+			f.reportFailure(err)
 		}
 		return
 	case kindFreeze:
-		entry.signal(syscall.SIGSTOP, false)
-		f.pause(seconds(fault.ForS))
-		entry.signal(syscall.SIGCONT, false)
+		target.signal(syscall.SIGSTOP, false)
+		f.pause(seconds(trouble.ForS))
+		target.signal(syscall.SIGCONT, false)
 		return
 	}
 	// Of two that end a process the second has to wait for its restart.
-	entry.restarting.Lock()
-	defer entry.restarting.Unlock()
-	switch fault.Kind {
+	target.restarting.Lock()
+	defer target.restarting.Unlock()
+	switch trouble.Kind {
 	case kindKill:
-		entry.kill()
+		target.kill()
 	case kindStop:
-		entry.stop()
+		target.stop()
 	case kindWipe:
-		entry.kill()
-		if err := f.wipe(entry.node); err != nil {
-			f.died(err)
+		target.kill()
+		if err := f.wipe(target.node); err != nil {
+			f.reportFailure(err)
 			return
 		}
 	}
-	if !f.pause(max(seconds(fault.BackS), constants.LabRestart)) {
+	if !f.pause(max(seconds(trouble.BackS), constants.LabRestart)) {
 		return
 	}
 	// Not the first start any more: the disk holds what it held.
-	if _, err := f.Plan.write(entry.node, f.Folder, false); err != nil {
-		f.died(err)
+	if _, err := f.Plan.writeSettings(target.node, f.Folder, false); err != nil {
+		f.reportFailure(err)
 		return
 	}
-	if err := entry.run(f.died); err != nil {
-		f.died(err)
+	if err := target.run(f.reportFailure); err != nil {
+		f.reportFailure(err)
 	}
 }
 
 // disturb does to a worker what the trouble says.
-func (f *Fleet) disturb(entry *place, fault Trouble) {
-	back := max(seconds(fault.BackS), constants.LabRestart)
-	begin := func() {
-		if err := entry.begin(f.record, f.Plan.Controls()); err != nil {
-			f.died(err)
+func (f *Fleet) applyToWorker(target *workerSlot, trouble Trouble) {
+	downtime := max(seconds(trouble.BackS), constants.LabRestart)
+	start := func() {
+		if err := target.start(f.record, f.Plan.Controls()); err != nil {
+			f.reportFailure(err)
 		}
 	}
-	if fault.Kind != kindFaults {
-		entry.restarting.Lock()
-		defer entry.restarting.Unlock()
+	if trouble.Kind != kindFaults {
+		target.restarting.Lock()
+		defer target.restarting.Unlock()
 	}
-	switch fault.Kind {
+	switch trouble.Kind {
 	case kindCrash:
-		entry.crash()
-		if f.pause(back) {
-			begin()
+		target.crash()
+		if f.pause(downtime) {
+			start()
 		}
 	case kindReplace:
-		entry.leave()
-		begin()
+		target.leave()
+		start()
 	case kindFlap:
-		for end := clock.Now().Add(seconds(fault.ForS)); clock.Now() < end; {
-			entry.crash()
-			if !f.pause(back) {
+		for end := clock.Now().Add(seconds(trouble.ForS)); clock.Now() < end; {
+			target.crash()
+			if !f.pause(downtime) {
 				return
 			}
-			begin()
-			if !f.pause(back) {
+			start()
+			if !f.pause(downtime) {
 				return
 			}
 		}
 	case kindFaults:
-		entry.trouble(fault.Faults)
-		if fault.ForS > 0 {
-			f.pause(seconds(fault.ForS))
-			entry.trouble(workeremulator.Faults{})
+		target.setFaults(trouble.Faults)
+		if trouble.ForS > 0 {
+			f.pause(seconds(trouble.ForS))
+			target.setFaults(workeremulator.Faults{})
 		}
 	}
 }
--- a/internal/tooling/lab/workers.go
+++ b/internal/tooling/lab/workers.go
@@ -19,7 +19,7 @@
 }
 
 // place is where one emulated worker stands; its lives follow each other there.
-type place struct {
+type workerSlot struct {
 	// restarting is held while a trouble ends the worker and begins its next life.
 	restarting sync.Mutex
 
@@ -27,26 +27,26 @@
 	nodeSettings  workeremulator.Settings
 	seed          int64
 
-	lock   sync.Mutex
-	life   int
-	worker *workeremulator.Worker
-	beater *workeremulator.Beater
-	halt   func()
+	lock        sync.Mutex
+	incarnation int
+	worker      *workeremulator.Worker
+	beater      *workeremulator.Beater
+	cancel      func()
 	// served closes once the present life's listener is closed.
-	served chan struct{}
-	faults workeremulator.Faults
+	serveDone chan struct{}
+	faults    workeremulator.Faults
 }
 
-func (p *Plan) places() []*place {
+func (p *Plan) workerSlots() []*workerSlot {
 	if len(p.Families) > 0 {
-		return p.familyPlaces()
+		return p.familyWorkerSlots()
 	}
-	var all []*place
+	var all []*workerSlot
 	add := func(kind string, count int, nodeSettings workeremulator.Settings) {
 		for number := 0; number < count; number++ {
-			entry := nodeSettings
-			entry.Zone = p.zone(number)
-			all = append(all, &place{name: kind + "-" + strconv.Itoa(number+1), nodeSettings: entry, seed: p.Seed*1000 + int64(len(all)),
+			slotSettings := nodeSettings
+			slotSettings.Zone = p.zone(number)
+			all = append(all, &workerSlot{name: kind + "-" + strconv.Itoa(number+1), nodeSettings: slotSettings, seed: p.Seed*1000 + int64(len(all)),
 				address: p.host(constants.LabWorkerHost, len(all), constants.LabWorkerPort)})
 		}
 	}
@@ -57,7 +57,7 @@
 }
 
 // begin starts a new life: a new id, at the same address.
-func (p *place) begin(record *workeremulator.Record, controls []string) error {
+func (p *workerSlot) start(record *workeremulator.Record, controls []string) error {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	if p.worker != nil {
@@ -65,63 +65,63 @@
 	}
 	listener, err := net.Listen("tcp4", p.address)
 	if err != nil {
-		return ErrInvalidLab.New(p.name + " can't listen at " + p.address + ": " + lastWords(err))
+		return ErrInvalidLab.New(p.name + " can't listen at " + p.address + ": " + rootCause(err))
 	}
-	p.life++
+	p.incarnation++
 	nodeSettings := p.nodeSettings
-	nodeSettings.ID = fmt.Sprintf("%s-life%d", p.name, p.life)
-	p.worker = workeremulator.NewWorker(nodeSettings, record, workeremulator.RealClock{}, p.seed+int64(p.life)*100_000)
+	nodeSettings.ID = fmt.Sprintf("%s-life%d", p.name, p.incarnation)
+	p.worker = workeremulator.NewWorker(nodeSettings, record, workeremulator.RealClock{}, p.seed+int64(p.incarnation)*100_000)
 	p.worker.SetFaults(p.faults)
 	p.beater = workeremulator.NewBeater(p.worker, p.address, controls)
-	until, halt := contexts.WithCancel(contexts.Background())
-	p.halt = halt
-	worker, served := p.worker, make(chan struct{})
-	p.served = served
+	ctx, cancel := contexts.WithCancel(contexts.Background())
+	p.cancel = cancel
+	worker, serveDone := p.worker, make(chan struct{})
+	p.serveDone = serveDone
 	go func() {
-		defer close(served)
+		defer close(serveDone)
 		worker.Serve(listener)
 	}()
-	go p.beater.Keep(until, constants.LabHeartbeat)
+	go p.beater.Keep(ctx, constants.LabHeartbeat)
 	return nil
 }
 
 // emulated is one life of a worker.
-type emulated struct {
-	worker *workeremulator.Worker
-	beater *workeremulator.Beater
-	served chan struct{}
+type workerIncarnation struct {
+	worker    *workeremulator.Worker
+	beater    *workeremulator.Beater
+	serveDone chan struct{}
 }
 
 // take gives the present life away, so that somebody ends it.
-func (p *place) take() (incarnation emulated, found bool) {
+func (p *workerSlot) detach() (incarnation workerIncarnation, running bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	incarnation = emulated{p.worker, p.beater, p.served}
-	if p.halt != nil {
-		p.halt()
+	incarnation = workerIncarnation{p.worker, p.beater, p.serveDone}
+	if p.cancel != nil {
+		p.cancel()
 	}
-	p.worker, p.beater, p.halt = nil, nil, nil
+	p.worker, p.beater, p.cancel = nil, nil, nil
 	return incarnation, incarnation.worker != nil
 }
 
 // crash ends the present life without a word; its address is free then.
-func (p *place) crash() {
-	if incarnation, found := p.take(); found {
+func (p *workerSlot) crash() {
+	if incarnation, running := p.detach(); running {
 		incarnation.worker.Crash()
-		<-incarnation.served
+		<-incarnation.serveDone
 	}
 }
 
 // leave ends the present life in order; its address is free then.
-func (p *place) leave() {
-	if incarnation, found := p.take(); found {
+func (p *workerSlot) leave() {
+	if incarnation, running := p.detach(); running {
 		incarnation.beater.LeaveInOrder(clock.Milliseconds(constants.LabDrainMs))
-		<-incarnation.served
+		<-incarnation.serveDone
 	}
 }
 
 // trouble switches faults on and off; they outlast the present life.
-func (p *place) trouble(faults workeremulator.Faults) {
+func (p *workerSlot) setFaults(faults workeremulator.Faults) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.faults = faults
--- a/internal/tooling/soak/run.go
+++ b/internal/tooling/soak/run.go
@@ -10,10 +10,10 @@
 
 // Report is what came of one schedule.
 type Report struct {
-	Seed    int64 `json:"seed"`
-	Planned bool  `json:"planned-only"`
+	Seed        int64 `json:"seed"`
+	PlannedOnly bool  `json:"planned-only"`
 	// Tried counts the troubles of the schedule by kind.
-	Tried map[string]int `json:"troubles"`
+	TroubleCounts map[string]int `json:"troubles"`
 	// Processes is how many gateways, controllers and stores the fleet had.
 	Processes int             `json:"processes"`
 	Result    *loadgen.Result `json:"result"`
@@ -27,7 +27,7 @@
 
 // Run plays a schedule: it starts the fleet, sends the load with the troubles in between, checks
 // what came back, and ends everything that it started. The logs stay where a promise was broken.
-func Run(until contexts.Context, schedule *Schedule, progress func(text string)) (report *Report, err error) {
+func Run(ctx contexts.Context, schedule *Schedule, progress func(text string)) (report *Report, err error) {
 	folder, err := os.MkdirTemp("", "lemonarch-soak-")
 	if err != nil {
 		return nil, ErrInvalidSoak.Wrap(err, "folder")
@@ -38,55 +38,55 @@
 		}
 	}()
 	plan := schedule.Experiment.Fleets[0]
-	fleet, err := lab.Start(until, plan, folder)
+	fleet, err := lab.Start(ctx, plan, folder)
 	if err != nil {
 		return nil, ErrInvalidSoak.Wrap(err, "fleet; logs in "+folder)
 	}
 	defer fleet.Stop()
-	inner, halt := contexts.WithCancel(until)
-	defer halt()
-	deaths := make(chan error, 1)
+	fleetCtx, cancel := contexts.WithCancel(ctx)
+	defer cancel()
+	failures := make(chan error, 1)
 	go func() {
 		select {
-		case death := <-fleet.Died:
-			deaths <- death
-			halt()
-		case <-inner.Done():
+		case failure := <-fleet.Died:
+			failures <- failure
+			cancel()
+		case <-fleetCtx.Done():
 		}
 	}()
-	result, err := drive(inner, schedule, fleet, progress)
+	result, err := drive(fleetCtx, schedule, fleet, progress)
 	select {
-	case death := <-deaths:
-		return nil, ErrInvalidSoak.Wrap(death, "a process ended by itself; logs in "+folder)
+	case failure := <-failures:
+		return nil, ErrInvalidSoak.Wrap(failure, "a process ended by itself; logs in "+folder)
 	default:
 	}
 	if err != nil {
 		return nil, ErrInvalidSoak.Wrap(err, "load; logs in "+folder)
 	}
 	result.Close()
-	report = &Report{Seed: schedule.Seed, Planned: schedule.Planned, Tried: schedule.tried(), Processes: plan.Gateways + plan.Controllers + plan.Stores, Result: result}
+	report = &Report{Seed: schedule.Seed, PlannedOnly: schedule.PlannedOnly, TroubleCounts: schedule.troubleCounts(), Processes: plan.Gateways + plan.Controllers + plan.Stores, Result: result}
 	if report.Broken() {
 		report.Logs = folder
 	}
 	return report, nil
 }
 
-func drive(until contexts.Context, schedule *Schedule, fleet *lab.Fleet, progress func(text string)) (*loadgen.Result, error) {
+func drive(ctx contexts.Context, schedule *Schedule, fleet *lab.Fleet, progress func(text string)) (*loadgen.Result, error) {
 	endpoint, err := loadgen.OpenEndpoint(fleet.Plan.Endpoint())
 	if err != nil {
 		return nil, err
 	}
 	options := loadgen.NewOptions()
 	options.Rate, options.LotRate, options.Items, options.Tries = schedule.Experiment.Rate, schedule.Experiment.LotRate, schedule.Experiment.Items, schedule.Experiment.Tries
-	options.For, options.Seed, options.PlannedOnly, options.Progress = schedule.Duration, schedule.Seed, schedule.Planned, progress
-	return loadgen.Drive(until, options, endpoint, schedule.Experiment.Trouble)
+	options.For, options.Seed, options.PlannedOnly, options.Progress = schedule.Duration, schedule.Seed, schedule.PlannedOnly, progress
+	return loadgen.Drive(ctx, options, endpoint, schedule.Experiment.Trouble)
 }
 
 // tried counts the troubles by kind.
-func (s *Schedule) tried() map[string]int {
-	tried := map[string]int{}
+func (s *Schedule) troubleCounts() map[string]int {
+	counts := map[string]int{}
 	for _, trouble := range s.Experiment.Trouble {
-		tried[trouble.Kind]++
+		counts[trouble.Kind]++
 	}
-	return tried
+	return counts
 }
--- a/internal/tooling/soak/schedule_test.go
+++ b/internal/tooling/soak/schedule_test.go
@@ -7,9 +7,9 @@
 	"lemonarch/internal/platform/constants"
 )
 
-func drawn(t *testing.T, seed int64) *Schedule {
+func generated(t *testing.T, seed int64) *Schedule {
 	t.Helper()
-	schedule, err := Draw(Options{Seed: seed, Duration: 40 * time.Second, Processes: 24})
+	schedule, err := Generate(Options{Seed: seed, Duration: 40 * time.Second, Processes: 24})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -17,14 +17,14 @@
 }
 
 // The same seed draws the same schedule, byte for byte, and another seed another one.
-func TestScheduleFollowsFromItsSeed(t *testing.T) {
+func TestScheduleIsDeterministic(t *testing.T) {
 	texts := map[string]bool{}
 	for seed := int64(1); seed <= 50; seed++ {
-		first, err := drawn(t, seed).Text()
+		first, err := generated(t, seed).Text()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if second, _ := drawn(t, seed).Text(); first != second {
+		if second, _ := generated(t, seed).Text(); first != second {
 			t.Fatal("seed ", seed, " drew two schedules")
 		}
 		texts[first] = true
@@ -36,31 +36,31 @@
 
 // Every schedule holds to its bounds: sizes, times, what planned work is, and no two losses of
 // processes with a disk within the time in which the first is made good.
-func TestSchedulesHoldToTheirBounds(t *testing.T) {
+func TestScheduleBounds(t *testing.T) {
 	planned, kinds := 0, map[string]int{}
 	for seed := int64(1); seed <= 200; seed++ {
-		schedule := drawn(t, seed)
-		if schedule.Planned {
+		schedule := generated(t, seed)
+		if schedule.PlannedOnly {
 			planned++
 		}
 		plan := schedule.Experiment.Fleets[0]
 		if total := plan.Gateways + plan.Controllers + plan.Stores; total > 24 || plan.Gateways < 2 {
 			t.Fatalf("seed %d: %d processes, %d gateways", seed, total, plan.Gateways)
 		}
-		lastCounted := -constants.SoakRepairTime.Seconds()
+		lastDiskTroubleS := -constants.SoakRepairTime.Seconds()
 		for _, trouble := range schedule.Experiment.Trouble {
 			kinds[trouble.Kind]++
 			if err := trouble.Check(); err != nil || trouble.AtS >= 40 {
 				t.Fatalf("seed %d: %v %v", seed, trouble, err)
 			}
-			if schedule.Planned && (trouble.Kind == "kill" || trouble.Kind == "freeze" || trouble.Kind == "wipe" || trouble.Kind == "crash") {
+			if schedule.PlannedOnly && (trouble.Kind == "kill" || trouble.Kind == "freeze" || trouble.Kind == "wipe" || trouble.Kind == "crash") {
 				t.Fatalf("seed %d: %s is no planned work", seed, trouble.Kind)
 			}
 			if trouble.Target != "" && (trouble.Target[0] == 's' || trouble.Target[0] == 'c') {
-				if trouble.AtS-lastCounted < constants.SoakRepairTime.Seconds()-0.02 {
+				if trouble.AtS-lastDiskTroubleS < constants.SoakRepairTime.Seconds()-0.02 {
 					t.Fatalf("seed %d: %v follows at once", seed, trouble)
 				}
-				lastCounted = trouble.AtS
+				lastDiskTroubleS = trouble.AtS
 			}
 		}
 	}
@@ -69,9 +69,9 @@
 	}
 }
 
-func TestOptionsOutOfBoundsAreRefused(t *testing.T) {
+func TestInvalidOptions(t *testing.T) {
 	for _, options := range []Options{{Duration: time.Second, Processes: 10}, {Duration: 24 * time.Hour, Processes: 10}, {Duration: 20 * time.Second, Processes: 3}, {Duration: 20 * time.Second, Processes: 1000}} {
-		if _, err := Draw(options); err == nil {
+		if _, err := Generate(options); err == nil {
 			t.Error("drawn: ", options)
 		}
 	}
