--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -1,4 +1,4 @@
-// Command controller keeps the configuration and the registration of workers.
+// Command controller stores the configuration and the registration of workers.
 package main
 
 import (
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -1,4 +1,4 @@
-// Command gateway takes requests at the edge and passes them on to workers.
+// Command gateway accepts client requests at the edge and forwards them to workers.
 package main
 
 import (
--- a/cmd/lemonarch/assign.go
+++ b/cmd/lemonarch/assign.go
@@ -22,10 +22,10 @@
 func assignCommand() *cobra.Command {
 	options := assignOptions{}
 	command := &cobra.Command{Use: "assign FILE", Args: cobra.ExactArgs(1),
-		Short: "Turn placement rules for adapters into assignments to nodes, or name the rules that collide"}
+		Short: "Turn placement rules for adapters into assignments to nodes, or list the rules that conflict"}
 	command.AddCommand(applyCommand())
-	command.Flags().StringVar(&options.window, "window", "", "plan only this window")
-	command.Flags().StringVar(&options.keep, "keep", "", "an earlier answer (JSON), of which as much stays as can")
+	command.Flags().StringVar(&options.window, "window", "", "plan this window only")
+	command.Flags().StringVar(&options.keep, "keep", "", "file with an earlier plan (JSON); its assignments are kept where the rules allow")
 	command.Flags().StringVar(&options.format, "output", "json", "table or json")
 	command.RunE = func(command *cobra.Command, arguments []string) error {
 		var window *string
@@ -37,7 +37,7 @@
 	return command
 }
 
-// readRules gives the rules of a file; findings go to the writer, one a line.
+// readRules reads and checks a rules file. It writes findings and notes to diagnostics, one per line.
 func readRules(path string, diagnostics io.Writer) (*adapterplan.Rules, []byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -81,8 +81,9 @@
 	return printPlan(writer, answer, refusal, options.format)
 }
 
-// planned plans within a bound of time: the question is as hard as questions get,
-// and an operator before a window needs to be told so in time.
+// planWithTimeout plans within constants.PlanTime. Planning is a computationally hard problem with no
+// useful bound on its duration, and an operator who prepares a window must learn in time
+// that there will be no result.
 func planWithTimeout(rules *adapterplan.Rules, window *string, earlier *adapterplan.Answer) (*adapterplan.Answer, *adapterplan.Refusal, error) {
 	type result struct {
 		answer  *adapterplan.Answer
@@ -107,11 +108,11 @@
 		}
 		return planned.answer, planned.refusal, nil
 	case <-timer.C:
-		return nil, nil, exitError{exitUnusable, "not decided within " + constants.PlanTime.String()}
+		return nil, nil, exitError{exitUnusable, "planning timed out after " + constants.PlanTime.String()}
 	}
 }
 
-// printPlan writes the answer, or the refusal with its exit code.
+// printPlan writes the answer, or writes the refusal and returns the error with its exit code.
 func printPlan(writer io.Writer, answer *adapterplan.Answer, refusal *adapterplan.Refusal, format string) error {
 	if refusal != nil {
 		if format == "table" {
@@ -119,7 +120,7 @@
 		} else if err := adapterplan.JSON(writer, refusal); err != nil {
 			return err
 		}
-		return exitError{exitInvalid, fmt.Sprintf("the rules can't all be met, collisions=%d", len(refusal.Collisions))}
+		return exitError{exitInvalid, fmt.Sprintf("the rules conflict, collisions=%d", len(refusal.Collisions))}
 	}
 	if format == "table" {
 		answer.Table(writer)
--- a/cmd/lemonarch/assign_apply.go
+++ b/cmd/lemonarch/assign_apply.go
@@ -17,7 +17,7 @@
 func applyCommand() *cobra.Command {
 	seed, format := "", "json"
 	command := &cobra.Command{Use: "apply FILE", Args: cobra.ExactArgs(1),
-		Short: "Plan the rules on top of what is in force, and put rules and answer in force in the fleet",
+		Short: "Plan the rules starting from the plan in force, and apply rules and plan to the fleet",
 		RunE: func(command *cobra.Command, arguments []string) error {
 			if err := checkFormat(format); err != nil {
 				return err
@@ -35,13 +35,14 @@
 	return command
 }
 
-// controllerClient speaks with one controller.
+// controllerClient sends requests to one controller.
 type controllerClient struct {
 	shell   *fleetshell.Shell
 	address string
 }
 
-// findController finds a controller that reads what is in force at a majority.
+// findController returns the first controller that can read the plan in force from a majority of
+// the acceptors, and that plan.
 func findController(shell *fleetshell.Shell) (*controllerClient, *messages.PlanResponse, error) {
 	addresses, err := shell.Controllers()
 	if err != nil {
@@ -53,7 +54,7 @@
 			return client, plan, nil
 		}
 	}
-	return nil, nil, exitError{exitInvalid, "no controller reads the register of assignments, nothing was changed"}
+	return nil, nil, exitError{exitInvalid, "no controller can read the register of assignments, nothing was changed"}
 }
 
 func (c *controllerClient) read() (*messages.PlanResponse, error) {
@@ -61,28 +62,28 @@
 	return plan, transport.Call(c.shell.Transport, c.address, messages.KindPlanPull, &messages.PlanRequest{Complete: true, Linearizable: true}, plan, constants.BulkCallTimeout)
 }
 
-// apply puts rules in force and reads them back: what it gives is what a majority holds.
+// apply puts rules in force and reads them back, so the result is the plan that a majority stores.
 func (c *controllerClient) apply(req *messages.PlanApplyRequest) (*messages.PlanResponse, error) {
 	resp := &messages.PlanApplyResponse{}
 	err := transport.Call(c.shell.Transport, c.address, messages.KindPlanApply, req, resp, constants.BulkCallTimeout)
 	if err != nil || resp.Unclear {
-		return nil, exitError{exitInvalid, "it is not known whether the rules are in force; apply the same file again to find out"}
+		return nil, exitError{exitInvalid, "outcome unknown: the rules may or may not be in force; apply the same file again to find out"}
 	}
 	if !resp.Applied {
 		return nil, exitError{exitInvalid, "not in force: " + resp.Reason}
 	}
 	plan, err := c.read()
 	if err != nil {
-		return nil, exitError{exitInvalid, fmt.Sprintf("acknowledged as revision %d, and could not be read back: %s", resp.Revision, oneLine(err))}
+		return nil, exitError{exitInvalid, fmt.Sprintf("acknowledged as revision %d, but reading it back failed: %s", resp.Revision, oneLine(err))}
 	}
 	if !bytes.Equal(plan.Value.Rules, req.Rules) {
-		return nil, exitError{exitInvalid, fmt.Sprintf("acknowledged as revision %d, and overtaken by revision %d", resp.Revision, plan.Revision)}
+		return nil, exitError{exitInvalid, fmt.Sprintf("acknowledged as revision %d, but already replaced by revision %d", resp.Revision, plan.Revision)}
 	}
 	return plan, nil
 }
 
 // apply plans on this machine, so that the controllers need no solver for it, and puts rules
-// and answer in force on top of what was read.
+// and plan in force with the revision that was read as their base.
 func apply(writer, diagnostics io.Writer, shell *fleetshell.Shell, path, format string) error {
 	rules, text, err := readRules(path, diagnostics)
 	if err != nil {
@@ -95,7 +96,7 @@
 	var earlier *adapterplan.Answer
 	if current.Revision > 0 {
 		if earlier, err = adapterplan.ReadAnswer(current.Value.Solution); err != nil {
-			return exitError{exitInvalid, "the answer in force can't be read: " + oneLine(err)}
+			return exitError{exitInvalid, "the plan in force can't be parsed: " + oneLine(err)}
 		}
 	}
 	answer, refusal, err := planWithTimeout(rules, nil, earlier)
@@ -122,7 +123,7 @@
 	}
 	fmt.Fprintf(diagnostics, "in force: revision=%d generation=%d moves=%d\n", plan.Revision, plan.Generation, moves)
 	for _, line := range plan.Collisions {
-		fmt.Fprintln(diagnostics, "collision, the last answer stays in force: "+line)
+		fmt.Fprintln(diagnostics, "collision, the previous plan stays in force: "+line)
 	}
 	return printPlan(writer, answer, nil, format)
 }
--- a/cmd/lemonarch/assign_apply_test.go
+++ b/cmd/lemonarch/assign_apply_test.go
@@ -16,7 +16,7 @@
 	"lemonarch/internal/tooling/fleetshell"
 )
 
-// oneController is a fleet of one control process on a transport in memory.
+// newControllerFleet returns a fleet of one controller on an in-memory transport.
 func newControllerFleet(t *testing.T) (*transport.MemoryNetwork, *fleetshell.Shell) {
 	t.Helper()
 
@@ -58,7 +58,7 @@
 	}
 	planned, _, _, _ := runAssign(exampleRules)
 	for range 2 {
-		// The same file once more changes nothing.
+		// Applying the same file again changes nothing.
 		output, notes, code, line := runApply(shell, exampleRules)
 		if code != 0 || output != planned || notes != "in force: revision=1 generation=4 moves=0\n" {
 			t.Fatal(code, line, notes, output)
@@ -67,12 +67,12 @@
 	if _, _, code, line := runApply(shell, change("# Which nodes", "# Nodes that")); code != exitInvalid || !strings.Contains(line, "generation is not above") {
 		t.Fatal(code, line)
 	}
-	// n3 gives its slot up: the reader has to move, and there is nowhere else.
+	// n3 has no slot any more: the reader would have to move, and no other node can take it.
 	output, _, code, _ := runApply(shell, change("generation = 4", "generation = 5", "adapter-slots = 1", "adapter-slots = 0"))
 	if code != exitInvalid || !strings.HasPrefix(output, `{"collisions":[`) {
 		t.Fatal(code, output)
 	}
-	// A large node more, first by name: what stands stays all the same.
+	// An additional large node that sorts first by name does not move existing assignments.
 	output, notes, code, line := runApply(shell, change("generation = 4", "generation = 5", `"battery-fault-reader"]`, `"battery-fault-reader"]`+"\n[[nodes]]\nname = \"n0\"\nzone = \"oslo-a\"\nlabels = [\"large\"]\nadapter-slots = 1\n"))
 	if code != 0 || notes != "in force: revision=2 generation=5 moves=0\n" || !strings.Contains(output, `"moves":0`) {
 		t.Fatal(code, line, notes, output)
--- a/cmd/lemonarch/assign_test.go
+++ b/cmd/lemonarch/assign_test.go
@@ -11,7 +11,7 @@
 
 const exampleRules = "../../docs/assign/rules.toml"
 
-// called runs assign and gives what it writes and its exit code.
+// runAssign runs assign and returns its output, its diagnostics, its exit code and its error text.
 func runAssign(arguments ...string) (output, diagnostics string, code int, text string) {
 	command := assignCommand()
 	command.SilenceUsage, command.SilenceErrors = true, true
@@ -46,7 +46,7 @@
 	earlier := writeTestFile(t, "earlier.json", output)
 	for range 3 {
 		if again, _, _, _ := runAssign(exampleRules, "--output", "json"); again != output {
-			t.Fatal("another answer from the same file", again)
+			t.Fatal("the same file gave a different plan", again)
 		}
 	}
 	if retained, _, _, _ := runAssign(exampleRules, "--keep", earlier); !strings.Contains(retained, `"moves":0`) {
@@ -72,7 +72,7 @@
 	if table, _, code, _ := runAssign(path, "--output", "table"); code != exitInvalid || !strings.Contains(table, "rules:    no-second-slot") {
 		t.Fatal(code, table)
 	}
-	// A window that can be met is not held back by one that can't, if asked for alone.
+	// A window that can be planned is planned by itself even if the rules of another window conflict.
 	if _, _, code, _ = runAssign(path, "--window", "nightly"); code != 0 {
 		t.Fatal(code)
 	}
--- a/cmd/lemonarch/check.go
+++ b/cmd/lemonarch/check.go
@@ -35,7 +35,8 @@
 		}}
 }
 
-// findingsOf tells JSON from TOML by its first byte.
+// findingsOf checks a configuration (JSON) or a settings file (TOML) and returns the findings. A file
+// whose first non-blank byte is a brace is treated as JSON.
 func findingsOf(text []byte) []string {
 	if bytes.HasPrefix(bytes.TrimSpace(text), []byte("{")) {
 		checker, err := configcheck.New()
@@ -54,8 +55,8 @@
 
 func importCommand() *cobra.Command {
 	options := openapiimport.Options{}
-	group := &cobra.Command{Use: "import", Short: "Make a configuration from other formats"}
-	from := &cobra.Command{Use: "openapi FILE", Args: cobra.ExactArgs(1), Short: "Turn the paths of an OpenAPI file into routes",
+	group := &cobra.Command{Use: "import", Short: "Create a configuration from other formats"}
+	from := &cobra.Command{Use: "openapi FILE", Args: cobra.ExactArgs(1), Short: "Convert the paths of an OpenAPI file to routes",
 		RunE: func(command *cobra.Command, arguments []string) error {
 			text, err := os.ReadFile(arguments[0])
 			if err != nil {
@@ -72,7 +73,7 @@
 			}
 			fmt.Fprintln(command.OutOrStdout(), string(body))
 			if len(findings) == 0 {
-				// What is written must be what the daemons would take.
+				// The configuration that was written must pass the check that the daemons apply.
 				findings = findingsOf(body)
 			}
 			for _, finding := range findings {
@@ -84,7 +85,7 @@
 			return nil
 		}}
 	from.Flags().StringVar(&options.Backend, "backend", "service", "name of the service that the routes go to")
-	from.Flags().StringVar(&options.Host, "host", "", "host of the routes, where the file names no server")
+	from.Flags().StringVar(&options.Host, "host", "", "host of the routes if the file names no server")
 	from.Flags().IntVar(&options.CutoffMs, "cutoff-ms", 5000, "cutoff-ms of the routes")
 	group.AddCommand(from)
 	return group
--- a/cmd/lemonarch/forecast.go
+++ b/cmd/lemonarch/forecast.go
@@ -12,7 +12,7 @@
 	"lemonarch/internal/tooling/forecast"
 )
 
-// exitLate is the exit code of a forecast in which something turns late.
+// exitLate is the exit code of a forecast that predicts late requests.
 const exitLate = 3
 
 // forecastOptions are the flags of forecast.
@@ -24,14 +24,14 @@
 func forecastCommand() *cobra.Command {
 	options := forecastOptions{}
 	command := &cobra.Command{Use: "forecast FILE", Args: cobra.ExactArgs(1),
-		Short: "Tell how much capacity each model family has in a surge that is foreseen, and what would turn late",
-		Long: "FILE describes the surges (docs/forecast.md). Exit code 0: nothing turns late; 1: the fleet can't be reached;\n" +
-			"2: the file is not valid; 3: something turns late."}
+		Short: "Forecast the capacity of each model family in an expected surge, and which requests would be late",
+		Long: "FILE describes the surges (docs/forecast.md). Exit code 0: no requests would be late; 1: the fleet can't be reached;\n" +
+			"2: the file is not valid; 3: some requests would be late."}
 	command.Flags().StringVar(&options.seed, "seed", "", "internal address of any process, host:port")
 	command.Flags().StringVar(&options.format, "output", "table", "table or json")
-	command.Flags().StringVar(&options.plot, "plot", "", "file for a plot of the waits over time (svg or png)")
-	command.Flags().StringVar(&options.keep, "keep", "", "file in which the forecast is kept for a review")
-	command.Flags().Uint64Var(&options.random, "random-seed", 1, "seed of the simulation's draws")
+	command.Flags().StringVar(&options.plot, "plot", "", "file for a plot of wait times over time (svg or png)")
+	command.Flags().StringVar(&options.keep, "keep", "", "file to which the forecast is saved for a later review")
+	command.Flags().Uint64Var(&options.random, "random-seed", 1, "random seed of the simulation")
 	command.RunE = func(command *cobra.Command, arguments []string) error {
 		return runForecast(command.OutOrStdout(), command.ErrOrStderr(), arguments[0], options)
 	}
@@ -39,7 +39,7 @@
 	return command
 }
 
-// readScenario gives the scenario of a file; findings go to the writer, one a line.
+// readScenario reads and checks a scenario file. It writes findings to diagnostics, one per line.
 func readScenario(path string, diagnostics io.Writer) (*forecast.Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -49,7 +49,7 @@
 	return scenario, reportFindings(path, findings, diagnostics)
 }
 
-// complain writes findings, and gives the error that ends the command where there are any.
+// reportFindings writes the findings and, if there are any, returns the error that ends the command.
 func reportFindings(path string, findings []string, diagnostics io.Writer) error {
 	for _, finding := range findings {
 		fmt.Fprintln(diagnostics, path+": "+finding)
@@ -64,7 +64,7 @@
 	if err := checkFormat(options.format); err != nil {
 		return err
 	}
-	// Nothing is asked of the fleet before the file is known to be sound.
+	// The file is checked before any request is sent to the fleet.
 	scenario, err := readScenario(path, diagnostics)
 	if err != nil {
 		return err
@@ -87,15 +87,15 @@
 		}
 	}
 	if report.AnyLate() {
-		return exitError{exitLate, "something turns late"}
+		return exitError{exitLate, "some requests would be late"}
 	}
 	return nil
 }
 
-// collectKnown asks the fleet.
+// collectFleetState collects the state of the fleet that the forecast needs, starting from the seed.
 func collectFleetState(seed string) (*forecast.Known, error) {
 	if seed == "" {
-		return nil, exitError{exitUnusable, "--seed is wanted: the internal address of any process"}
+		return nil, exitError{exitUnusable, "--seed is missing: internal address of any process, host:port"}
 	}
 	tcp := transport.NewTCP("")
 	defer tcp.Close()
@@ -122,7 +122,7 @@
 func reviewCommand() *cobra.Command {
 	seed, format := "", "table"
 	command := &cobra.Command{Use: "review KEPT", Args: cobra.ExactArgs(1),
-		Short: "Compare a forecast that was kept with what the fleet saw in the last minutes"}
+		Short: "Compare a saved forecast with what the fleet measured in the last minutes"}
 	command.Flags().StringVar(&seed, "seed", "", "internal address of any process, host:port")
 	command.Flags().StringVar(&format, "output", format, "table or json")
 	command.RunE = func(command *cobra.Command, arguments []string) error {
--- a/cmd/lemonarch/forecast_test.go
+++ b/cmd/lemonarch/forecast_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// run runs the command line and gives what it prints and its exit code.
+// runCommandLine runs the command line and returns its output, its diagnostics and its exit code.
 func runCommandLine(t *testing.T, arguments ...string) (out, diagnostics string, code int) {
 	t.Helper()
 	var stdout, stderr bytes.Buffer
@@ -28,8 +28,8 @@
 	return stdout.String(), stderr.String(), code
 }
 
-// A file that is not valid is refused with a line for each field before the fleet is asked;
-// a fleet that can't be reached is told apart from it by the exit code.
+// An invalid file is rejected with a line for each field before any request goes to the fleet. An
+// unreachable fleet has an exit code of its own.
 func TestForecastExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -48,7 +48,7 @@
 	}{
 		{[]string{"forecast", invalid, "--seed", "127.0.0.1:1"}, exitUnusable, "surges[0].duration-s: missing"},
 		{[]string{"forecast", filepath.Join(dir, "none.toml"), "--seed", "127.0.0.1:1"}, exitUnusable, "none.toml"},
-		{[]string{"forecast", valid}, exitUnusable, "--seed is wanted"},
+		{[]string{"forecast", valid}, exitUnusable, "--seed is missing"},
 		{[]string{"forecast", valid, "--seed", "127.0.0.1:1"}, exitInvalid, "does not answer"},
 		{[]string{"forecast", valid, "--seed", "127.0.0.1:1", "--output", "xml"}, exitUnusable, "--output"},
 		{[]string{"forecast", "review", filepath.Join(dir, "none.json"), "--seed", "127.0.0.1:1"}, exitUnusable, "none.json"},
--- a/cmd/lemonarch/jobs.go
+++ b/cmd/lemonarch/jobs.go
@@ -21,32 +21,32 @@
 	"lemonarch/internal/tooling/lab"
 )
 
-// jobFlags are what every call on a lot needs.
+// jobFlags are the flags that every subcommand of jobs needs.
 type jobFlags struct {
 	edges []string
 	host  string
 	limit clock.Duration
 }
 
-// jobsCommand is the client for lots.
+// jobsCommand returns the command that submits, follows, reads and cancels batch jobs.
 func jobsCommand() *cobra.Command {
 	flags := &jobFlags{}
 	jobs := &cobra.Command{Use: "jobs", Aliases: []string{"lots"}, Short: "Submit, follow, read and cancel batch jobs"}
-	jobs.PersistentFlags().StringSliceVar(&flags.edges, "edge", nil, "addresses of edge nodes, host:port (several: the next is taken after a failure)")
+	jobs.PersistentFlags().StringSliceVar(&flags.edges, "edge", nil, "addresses of edge nodes, host:port (if several are given, the next one is used after a failure)")
 	jobs.PersistentFlags().StringVar(&flags.host, "host", lab.Host, "host of the jobs' route")
 	jobs.PersistentFlags().DurationVar(&flags.limit, "limit", time.Minute, "how long to try")
 	jobs.AddCommand(submitCommand(flags), followCommand(flags), readCommand(flags), cancelCommand(flags))
 	return jobs
 }
 
-// run gives a client and a context that ends with the limit or a signal.
+// run calls a function with a client and a context that ends after the limit or on SIGINT or SIGTERM.
 func (l *jobFlags) run(call func(ctx contexts.Context, client *jobclient.Client) error) error {
 	if len(l.edges) == 0 {
 		return exitError{exitUnusable, "--edge is missing"}
 	}
 	for _, edge := range l.edges {
 		if _, _, err := net.SplitHostPort(edge); err != nil {
-			return exitError{exitUnusable, "--edge: " + strconv.Quote(edge) + " is no host:port"}
+			return exitError{exitUnusable, "--edge: " + strconv.Quote(edge) + " is not host:port"}
 		}
 	}
 	if l.limit <= 0 {
@@ -70,7 +70,7 @@
 func submitCommand(flags *jobFlags) *cobra.Command {
 	id, path, sample, follow := "", "/batch/lot", 0, false
 	command := &cobra.Command{Use: "submit [FILE]", Aliases: []string{"hand-in"}, Args: cobra.MaximumNArgs(1),
-		Short: "Submit a job from a file ({\"requests\":[...]}, as the protocol has it) or of samples",
+		Short: "Submit a job from a file ({\"requests\":[...]}, as in the protocol) or made of sample items",
 		RunE: func(command *cobra.Command, arguments []string) error {
 			if id == "" {
 				id = newID()
@@ -102,9 +102,9 @@
 				return nil
 			})
 		}}
-	command.Flags().StringVar(&id, "id", "", "id of the job (default: drawn)")
+	command.Flags().StringVar(&id, "id", "", "id of the job (default: random)")
 	command.Flags().StringVar(&path, "path", path, "path under the route's prefix")
-	command.Flags().IntVar(&sample, "sample", 0, "make a job of so many sample items for the lab's own configuration")
+	command.Flags().IntVar(&sample, "sample", 0, "number of sample items, made for the lab's default configuration")
 	command.Flags().BoolVar(&follow, "follow", false, "follow the job to its end")
 	return command
 }
@@ -142,7 +142,7 @@
 
 func readCommand(flags *jobFlags) *cobra.Command {
 	from := 0
-	command := &cobra.Command{Use: "read JOB", Args: cobra.ExactArgs(1), Short: "Print what is listed of a job, one output a line, as JSON",
+	command := &cobra.Command{Use: "read JOB", Args: cobra.ExactArgs(1), Short: "Print the outputs listed so far of a job as JSON, one per line",
 		RunE: func(command *cobra.Command, arguments []string) error {
 			if from < 0 {
 				return exitError{exitUnusable, "--from must not be below 0"}
@@ -151,11 +151,11 @@
 				return printOutputs(ctx, client, arguments[0], from, command)
 			})
 		}}
-	command.Flags().IntVar(&from, "from", 0, "first position")
+	command.Flags().IntVar(&from, "from", 0, "position of the first output")
 	return command
 }
 
-// printOutputs prints what is listed of a job from a position on, and at the end a summary.
+// printOutputs prints the listed outputs of a job from a position on, and then a summary.
 func printOutputs(ctx contexts.Context, client *jobclient.Client, id string, from int, command *cobra.Command) error {
 	writer := json.NewEncoder(command.OutOrStdout())
 	for cursor := from; ; {
@@ -181,7 +181,7 @@
 }
 
 func cancelCommand(flags *jobFlags) *cobra.Command {
-	return &cobra.Command{Use: "cancel JOB", Aliases: []string{"end"}, Args: cobra.ExactArgs(1), Short: "Cancel a job: nothing more of it is run",
+	return &cobra.Command{Use: "cancel JOB", Aliases: []string{"end"}, Args: cobra.ExactArgs(1), Short: "Cancel a job: its remaining items are not run",
 		RunE: func(command *cobra.Command, arguments []string) error {
 			return flags.run(func(ctx contexts.Context, client *jobclient.Client) error {
 				for {
@@ -205,7 +205,7 @@
 	return hex.EncodeToString(bytes[:])
 }
 
-// sampleJob makes items that the lab's own configuration can run.
+// sampleJob returns a job of count items that the lab's default configuration can run.
 func sampleJob(id string, count int) jobclient.Job {
 	job := jobclient.Job{}
 	for number := 0; number < count; number++ {
--- a/cmd/lemonarch/jobs_test.go
+++ b/cmd/lemonarch/jobs_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The commands on batch jobs work under their earlier names as well, to the same flags.
+// The commands for batch jobs also work under their earlier names, with the same flags.
 func TestEarlierNamesOfJobCommands(t *testing.T) {
 	for _, names := range [][2]string{
 		{"jobs", "lots"},
--- a/cmd/lemonarch/lab_forecast.go
+++ b/cmd/lemonarch/lab_forecast.go
@@ -16,23 +16,24 @@
 // forecastCasesMax bounds the cases of one call.
 const forecastCasesMax = 10_000
 
-// labForecastCommand tries the forecast on generated cases with emulated engines in simulated time.
+// labForecastCommand returns the command that compares forecasts with the course of generated surges
+// on emulated engines, in simulated time or on the real programs.
 func labForecastCommand() *cobra.Command {
 	cases, first, seed, format, real := 30, 0, uint64(1), "table", false
 	plan := lab.NewPlan()
 	command := &cobra.Command{Use: "forecast", Args: cobra.NoArgs,
-		Short: "Forecast generated surges on emulated engines, bring them about, and compare",
-		Long:  "In simulated time, or with --real on gateways, controllers and stores of a lab, one fleet a case."}
+		Short: "Forecast generated surges on emulated engines, run them, and compare",
+		Long:  "Runs in simulated time, or with --real on gateways, controllers and stores of a lab, one fleet per case."}
 	command.Flags().IntVar(&cases, "cases", cases, "how many cases")
-	command.Flags().Uint64Var(&seed, "random-seed", seed, "seed of the draws")
+	command.Flags().Uint64Var(&seed, "random-seed", seed, "seed of the generated cases")
 	command.Flags().StringVar(&format, "output", format, "table or json")
 	command.Flags().IntVar(&first, "first", first, "number of the first case")
-	command.Flags().BoolVar(&real, "real", real, "play the cases on the real programs in real time, 50 s each")
+	command.Flags().BoolVar(&real, "real", real, "run the cases on the real programs in real time, 50 s each")
 	command.Flags().StringVar(&plan.Network, "network", plan.Network, "first three bytes of the loopback addresses, with --real")
 	plan.Programs = programFolder()
 	command.RunE = func(command *cobra.Command, _ []string) error {
 		if cases < 1 || cases > forecastCasesMax {
-			return exitError{exitUnusable, fmt.Sprintf("--cases must lie between 1 and %d", forecastCasesMax)}
+			return exitError{exitUnusable, fmt.Sprintf("--cases must be between 1 and %d", forecastCasesMax)}
 		}
 		if err := checkFormat(format); err != nil {
 			return err
@@ -56,7 +57,7 @@
 	return command
 }
 
-// playForecastCase plays a case in simulated time, or on the real programs.
+// playForecastCase runs a case in simulated time, or on the real programs if real is set.
 func playForecastCase(ctx contexts.Context, generated *forecastcases.Case, plan lab.Plan, seed uint64, real bool) (*forecastcases.Result, error) {
 	if real {
 		return forecastlab.Play(ctx, generated, plan, seed)
--- a/cmd/lemonarch/lab_load.go
+++ b/cmd/lemonarch/lab_load.go
@@ -16,7 +16,7 @@
 	"lemonarch/internal/tooling/loadgen"
 )
 
-// labLoad is the command that sends load to lab fleets, with its flags.
+// labLoad holds the flags of lab load.
 type labLoad struct {
 	options    loadgen.Options
 	addresses  []string
@@ -26,14 +26,14 @@
 	plotPath   string
 }
 
-// newLabLoad is the command that sends load to lab fleets and checks every answer.
+// newLabLoad returns the command that sends load to lab fleets and checks every response.
 func newLabLoad() *cobra.Command {
 	load := &labLoad{options: loadgen.NewOptions(), format: "table"}
 	command := &cobra.Command{Use: "load", Args: cobra.NoArgs,
-		Short: "Send requests, streams and lots to a lab fleet, check every answer, and report",
-		Long: "Sends to a fleet that lab up has started (--endpoint), or starts the fleets of an experiment\n" +
-			"file, breaks what it says when it says, and ends them. Several fleets get the same load at\n" +
-			"the same time and are reported side by side.\n\n" +
+		Short: "Send requests, streams and batch jobs to a lab fleet, check every response, and report",
+		Long: "Sends load to a fleet started by lab up (--endpoint), or starts the fleets of an experiment\n" +
+			"file, injects its troubles at the times given there, and stops the fleets. Several fleets get\n" +
+			"the same load at the same time and are reported side by side.\n\n" +
 			"Exit code 1: a promise was broken, or nothing was served.\n\n" +
 			"Kinds of trouble in an experiment file:\n" + faultKinds()}
 	load.register(command.Flags())
@@ -42,17 +42,17 @@
 }
 
 func (l *labLoad) register(flags *pflag.FlagSet) {
-	flags.StringSliceVar(&l.addresses, "endpoint", []string{""}, "control endpoints of the fleets, as lab up prints them (default: the usual one)")
-	flags.StringVar(&l.experiment, "experiment", "", "file of an experiment (TOML); the other flags of the load are not used then")
+	flags.StringSliceVar(&l.addresses, "endpoint", []string{""}, "control endpoints of the fleets, as lab up prints them (default: that of a fleet with default flags)")
+	flags.StringVar(&l.experiment, "experiment", "", "experiment file (TOML); it replaces the other flags of the load")
 	flags.StringVar(&l.format, "output", l.format, "table or json")
-	flags.StringVar(&l.plotPath, "plot", "", "draw latency by percentile into this file (.svg, .png or .pdf)")
-	flags.Float64Var(&l.options.Rate, "rate", l.options.Rate, "requests a second")
-	flags.Float64Var(&l.options.LotRate, "lots", l.options.LotRate, "lots a second; 0 for none")
-	flags.IntVar(&l.options.Items, "items", l.options.Items, "items of a lot")
-	flags.StringVar(&l.mix, "mix", "query=6,review=1,confirm=2,status=3", "parts of each kind of request")
-	flags.DurationVar(&l.options.For, "for", l.options.For, "how long to send")
-	flags.IntVar(&l.options.Count, "count", 0, "how many requests at most; 0 for no such bound")
-	flags.IntVar(&l.options.Tries, "tries", l.options.Tries, "how often a request is tried in all")
+	flags.StringVar(&l.plotPath, "plot", "", "file for a plot of latency by percentile (.svg, .png or .pdf)")
+	flags.Float64Var(&l.options.Rate, "rate", l.options.Rate, "requests per second")
+	flags.Float64Var(&l.options.LotRate, "lots", l.options.LotRate, "batch jobs per second; 0 for none")
+	flags.IntVar(&l.options.Items, "items", l.options.Items, "items per batch job")
+	flags.StringVar(&l.mix, "mix", "query=6,review=1,confirm=2,status=3", "relative share of each kind of request")
+	flags.DurationVar(&l.options.For, "for", l.options.For, "how long to send load")
+	flags.IntVar(&l.options.Count, "count", 0, "maximum number of requests; 0 for no limit")
+	flags.IntVar(&l.options.Tries, "tries", l.options.Tries, "maximum number of attempts per request, the first one included")
 	flags.Int64Var(&l.options.Seed, "seed", l.options.Seed, "seed of the load")
 }
 
@@ -80,7 +80,7 @@
 	}
 	if l.plotPath != "" {
 		if err = loadgen.Plot(l.plotPath, results); err != nil {
-			// The report is worth more than its picture, and still comes.
+			// A failed plot is no reason to withhold the report.
 			fmt.Fprintln(command.ErrOrStderr(), oneLine(err))
 		}
 	}
@@ -95,7 +95,7 @@
 	return text
 }
 
-// conduct runs the experiment of a file.
+// runExperiment runs the experiment described by a file.
 func runExperiment(ctx contexts.Context, path string, progress func(string)) ([]*loadgen.Result, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -109,7 +109,7 @@
 	return experiment.Run(ctx, options)
 }
 
-// drive loads fleets that are up already, all at the same time.
+// driveFleets sends load to fleets that are already running, to all at the same time.
 func driveFleets(ctx contexts.Context, options loadgen.Options, addresses []string) ([]*loadgen.Result, error) {
 	if err := options.Check(); err != nil {
 		return nil, err
@@ -152,7 +152,8 @@
 	return results, err
 }
 
-// printResults prints the results; a broken promise is an exit code of its own.
+// printResults prints the results. It returns an error with exitInvalid if a promise was broken or a
+// fleet served nothing.
 func printResults(command *cobra.Command, results []*loadgen.Result, format string) error {
 	if format == "json" {
 		writer := json.NewEncoder(command.OutOrStdout())
--- a/cmd/lemonarch/lab_soak.go
+++ b/cmd/lemonarch/lab_soak.go
@@ -14,31 +14,31 @@
 	"lemonarch/internal/tooling/soak"
 )
 
-// labSoak is the command that plays a drawn schedule of troubles, with its flags.
+// labSoak holds the flags of lab soak.
 type labSoak struct {
 	options  soak.Options
 	format   string
 	schedule bool
 }
 
-// newLabSoak is the command that starts a fleet, has troubles befall it in series, and checks
-// every answer.
+// newLabSoak returns the command that starts a fleet, injects a generated series of troubles, and
+// checks every response.
 func newLabSoak() *cobra.Command {
 	soakCommand := &labSoak{options: soak.Options{Programs: programFolder()}, format: "table"}
 	command := &cobra.Command{Use: "soak", Args: cobra.NoArgs,
-		Short: "Draw a fleet and a series of troubles from a seed, play it with real programs, and check every answer",
+		Short: "Generate a fleet and a series of troubles from a seed, run it with real programs, and check every response",
 		Long: "Starts gateways, controllers, stores and emulated workers on loopback, sends requests, streams and jobs,\n" +
-			"and meanwhile stops, kills, freezes, empties, reloads and reconfigures what the seed says. About half of\n" +
-			"the seeds bring planned work alone; then no request may be cut either. The schedule follows from the\n" +
-			"seed, byte for byte; what real processes make of it may differ from run to run.\n\n" +
+			"and meanwhile stops, kills, freezes, wipes, reloads and reconfigures processes as the seed determines. About\n" +
+			"half of the seeds contain planned work only; then no request may be cut either. The same seed gives the same\n" +
+			"schedule, byte for byte; the course of the real processes may differ from run to run.\n\n" +
 			"Exit code 1: a promise was broken, or nothing was served; the logs are kept.",
 		RunE: func(command *cobra.Command, _ []string) error { return soakCommand.run(command) }}
 	flags := command.Flags()
-	flags.Int64Var(&soakCommand.options.Seed, "seed", 1, "what the schedule is drawn from")
-	flags.DurationVar(&soakCommand.options.Duration, "duration", 30_000_000_000, "how long load is sent")
-	flags.IntVar(&soakCommand.options.Processes, "processes", 16, "gateways, controllers and stores at most")
+	flags.Int64Var(&soakCommand.options.Seed, "seed", 1, "seed from which the schedule is generated")
+	flags.DurationVar(&soakCommand.options.Duration, "duration", 30_000_000_000, "how long to send load")
+	flags.IntVar(&soakCommand.options.Processes, "processes", 16, "maximum number of gateways, controllers and stores together")
 	flags.StringVar(&soakCommand.format, "output", soakCommand.format, "table or json")
-	flags.BoolVar(&soakCommand.schedule, "schedule", false, "print the schedule as an experiment file, and play nothing")
+	flags.BoolVar(&soakCommand.schedule, "schedule", false, "print the schedule as an experiment file and exit")
 	return command
 }
 
@@ -66,7 +66,8 @@
 	return l.print(command, report)
 }
 
-// print prints the report; a broken promise is an exit code of its own.
+// print prints the report. It returns an error with exitInvalid if a promise was broken or nothing
+// was served.
 func (l *labSoak) print(command *cobra.Command, report *soak.Report) error {
 	out := command.OutOrStdout()
 	if l.format == "json" {
--- a/cmd/lemonarch/lab_up.go
+++ b/cmd/lemonarch/lab_up.go
@@ -16,13 +16,13 @@
 	"lemonarch/internal/tooling/lab"
 )
 
-// newLabUp is the command that starts a fleet and serves until it is stopped.
+// newLabUp returns the command that starts a fleet and serves until it is stopped.
 func newLabUp() *cobra.Command {
 	plan, folder, families := lab.NewPlan(), "", ""
 	command := &cobra.Command{Use: "up", Args: cobra.NoArgs,
 		Short: "Start a small fleet on loopback with emulated workers, and serve until stopped",
-		Long: "Starts gateways, controllers and stores found beside this program, and emulated workers,\n" +
-			"each node on a loopback address of its own. Ctrl-C (SIGINT) or SIGTERM ends everything.",
+		Long: "Starts the gateway, controller and store programs found beside this program, and emulated workers,\n" +
+			"each node on a loopback address of its own. Ctrl-C (SIGINT) or SIGTERM stops all of them.",
 		RunE: func(command *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(contexts.Background(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
@@ -47,14 +47,14 @@
 			}
 		}}
 	planFlags(command, &plan)
-	command.Flags().StringVar(&families, "fleet", "", "file of families with workers of their own (docs/lab.md)")
-	command.Flags().StringVar(&folder, "folder", "", "keep settings, logs and data in this folder (default: a temporary one that goes away)")
+	command.Flags().StringVar(&families, "fleet", "", "file of model families with their own workers (docs/lab.md)")
+	command.Flags().StringVar(&folder, "folder", "", "folder for settings, logs and data (default: a temporary one, removed at the end)")
 	return command
 }
 
 func oneLine(err error) string { return strings.ReplaceAll(err.Error(), "\n", " ") }
 
-// describe prints where to call.
+// printSummary prints the addresses of the fleet, its process ids and example commands.
 func printSummary(writer io.Writer, fleet *lab.Fleet) {
 	card := fleet.Card()
 	fmt.Fprintf(writer, "ready: %d processes, %d emulated workers, all on loopback\n", len(card.Programs), len(card.Workers))
@@ -75,25 +75,25 @@
 	fmt.Fprintln(writer, "Ctrl-C ends everything.")
 }
 
-// planFlags are the flags of a fleet.
+// planFlags registers the flags of a fleet.
 func planFlags(command *cobra.Command, plan *lab.Plan) {
 	plan.Programs = programFolder()
 	flags := command.Flags()
-	flags.IntVar(&plan.Gateways, "gateways", plan.Gateways, "gateways")
-	flags.IntVar(&plan.Controllers, "controllers", plan.Controllers, "controllers")
-	flags.IntVar(&plan.Stores, "stores", plan.Stores, "stores")
-	flags.IntVar(&plan.Workers, "workers", plan.Workers, "emulated model workers")
-	flags.IntVar(&plan.Plain, "plain-workers", plan.Plain, "emulated workers of plain requests")
-	flags.IntVar(&plan.Zones, "zones", plan.Zones, "zones over which all of them are spread")
-	flags.IntVar(&plan.Capacity, "capacity", plan.Capacity, "requests that a model worker runs at once")
-	flags.Int64Var(&plan.CacheTokens, "cache-tokens", plan.CacheTokens, "memory of a model worker, in tokens")
-	flags.Int64Var(&plan.Seed, "seed", plan.Seed, "seed of the emulated workers' troubles")
+	flags.IntVar(&plan.Gateways, "gateways", plan.Gateways, "number of gateways")
+	flags.IntVar(&plan.Controllers, "controllers", plan.Controllers, "number of controllers")
+	flags.IntVar(&plan.Stores, "stores", plan.Stores, "number of stores")
+	flags.IntVar(&plan.Workers, "workers", plan.Workers, "number of emulated model workers")
+	flags.IntVar(&plan.Plain, "plain-workers", plan.Plain, "number of emulated workers for plain requests")
+	flags.IntVar(&plan.Zones, "zones", plan.Zones, "number of zones over which processes and workers are spread")
+	flags.IntVar(&plan.Capacity, "capacity", plan.Capacity, "requests that a model worker runs concurrently")
+	flags.Int64Var(&plan.CacheTokens, "cache-tokens", plan.CacheTokens, "cache size of a model worker, in tokens")
+	flags.Int64Var(&plan.Seed, "seed", plan.Seed, "random seed of the emulated workers' faults")
 	flags.StringVar(&plan.Network, "network", plan.Network, "first three bytes of the loopback addresses")
-	flags.StringVar(&plan.Programs, "programs", plan.Programs, "folder with gateway, controller and store")
-	flags.StringVar(&plan.Configuration, "configuration", "", "file of the first configuration (default: the lab's own)")
+	flags.StringVar(&plan.Programs, "programs", plan.Programs, "folder with the gateway, controller and store programs")
+	flags.StringVar(&plan.Configuration, "configuration", "", "file with the initial configuration (default: the lab's built-in one)")
 }
 
-// besides is the folder of this program.
+// programFolder returns the folder of this program, or "target" if the path of this program is unknown.
 func programFolder() string {
 	path, err := os.Executable()
 	if err != nil {
--- a/cmd/lemonarch/main.go
+++ b/cmd/lemonarch/main.go
@@ -1,5 +1,6 @@
-// Command lemonarch is the command line of operators and users: it checks files, asks the fleet for its
-// state, imports routes, handles lots, and tries all of it in a lab on one machine.
+// Command lemonarch is the command line for operators and users: it checks files, queries the state of
+// a fleet, imports routes, handles batch jobs, places adapters, forecasts surges, and runs a lab on one
+// machine.
 package main
 
 import (
@@ -11,22 +12,23 @@
 	"github.com/spf13/cobra"
 )
 
-// exit codes: what was asked holds, does not hold, or can't be asked so.
+// Exit codes of failures: exitInvalid if the check or operation failed, exitUnusable if the call
+// itself is wrong (flags, arguments, files). Success is 0.
 const (
 	exitInvalid  = 1
 	exitUnusable = 2
 )
 
-// exitError is a failure with its exit code.
+// exitError is an error with the exit code of the command.
 type exitError struct {
 	code int
 	text string
 }
 
-// Error is the line that is printed.
+// Error returns the line that is printed.
 func (c exitError) Error() string { return c.text }
 
-// checkFormat tells whether a value of --output names a format.
+// checkFormat returns an error unless the value of --output is a known format.
 func checkFormat(format string) error {
 	if format != "table" && format != "json" {
 		return exitError{exitUnusable, "--output must be table or json"}
@@ -34,9 +36,9 @@
 	return nil
 }
 
-// rootCommand gathers all subcommands.
+// rootCommand returns the command with all subcommands.
 func rootCommand() *cobra.Command {
-	root := &cobra.Command{Use: "lemonarch", Short: "Check files, ask a fleet for its state, import routes, handle jobs, place adapters, forecast surges, try it all in a lab",
+	root := &cobra.Command{Use: "lemonarch", Short: "Check files, query the state of a fleet, import routes, handle batch jobs, place adapters, forecast surges, run a lab",
 		SilenceUsage: true, SilenceErrors: true}
 	root.CompletionOptions.DisableDefaultCmd = true
 	root.AddCommand(checkCommand(), shellCommand(), importCommand(), labCommand(), jobsCommand(), assignCommand(), forecastCommand())
--- a/cmd/lemonarch/shell.go
+++ b/cmd/lemonarch/shell.go
@@ -18,11 +18,11 @@
 func shellCommand() *cobra.Command {
 	seed, format, limit := "", "table", constants.StatusTimeout
 	command := &cobra.Command{Use: "shell [QUERY]", Args: cobra.MaximumNArgs(1),
-		Short: "Ask a fleet for its state; without a query, interactively",
+		Short: "Query the state of a fleet; interactive if no query is given",
 		Long:  "Queries:\n" + queryHelp()}
 	command.Flags().StringVar(&seed, "seed", "", "internal address of any process, host:port")
 	command.Flags().StringVar(&format, "output", format, "table or json")
-	command.Flags().DurationVar(&limit, "limit", limit, "how long to wait for each process")
+	command.Flags().DurationVar(&limit, "limit", limit, "timeout for each process")
 	command.RunE = func(command *cobra.Command, arguments []string) error {
 		if err := checkFormat(format); err != nil {
 			return err
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// converse reads queries line by line until the end.
+// runInteractive reads queries line by line until quit, exit or the end of the input.
 func runInteractive(reader io.Reader, writer io.Writer, shell *fleetshell.Shell, format string) error {
 	lines := bufio.NewScanner(reader)
 	fmt.Fprint(writer, "lemonarch> ")
@@ -80,7 +80,7 @@
 			fmt.Fprint(writer, queryHelp())
 		default:
 			if err := printQuery(writer, shell, text, format); err != nil {
-				// One wrong query does not end the conversation.
+				// A failed query does not end the session.
 				fmt.Fprintln(os.Stderr, err.Error())
 			}
 		}
--- a/cmd/lemonarch/version.go
+++ b/cmd/lemonarch/version.go
@@ -2,8 +2,8 @@
 
 import "runtime/debug"
 
-// version names the build in one line: the source's revision and whether it was
-// changed since, where the build knows them, and the Go that made it.
+// version describes the build in one line: the module version, the source revision and whether the
+// source was modified since, if the build recorded them, and the Go version.
 func version(info *debug.BuildInfo, available bool) string {
 	if !available {
 		return "unknown build"
--- a/cmd/lemonarch/version_test.go
+++ b/cmd/lemonarch/version_test.go
@@ -17,11 +17,11 @@
 		t.Fatal(got)
 	}
 	if version(nil, false) == "" {
-		t.Fatal("says nothing")
+		t.Fatal("version of an unknown build is empty")
 	}
 }
 
-// The flag prints one line with the program's name and asks nothing of anybody.
+// The flag prints one line with the program's name and needs no other argument.
 func TestVersionFlag(t *testing.T) {
 	root, output := rootCommand(), &bytes.Buffer{}
 	root.SetOut(output)
--- a/cmd/store/main.go
+++ b/cmd/store/main.go
@@ -1,4 +1,4 @@
-// Command store keeps lots and runs their items.
+// Command store stores batch jobs and runs their items on workers.
 package main
 
 import (
