--- a/internal/tooling/fleetshell/aliases_test.go
+++ b/internal/tooling/fleetshell/aliases_test.go
@@ -2,18 +2,18 @@
 
 import "testing"
 
-// The earlier names of queries lead to queries, and no name has two meanings.
+// Each earlier name of a query is an alias of a query, and no name is both a query and an alias.
 func TestAliasesLeadToQueries(t *testing.T) {
 	for _, old := range []string{"duty", "lots", "pace", "displacement"} {
 		name, isAlias := Aliases[old]
 		if !isAlias {
-			t.Errorf("%s is no alias", old)
+			t.Errorf("%s is not an alias", old)
 		}
 		if query, found := Queries[name]; !found || query.WireName != old {
-			t.Errorf("%s leads to %s, which is sent as %q", old, name, query.WireName)
+			t.Errorf("%s is an alias of %s, which is sent as %q", old, name, query.WireName)
 		}
 		if _, found := Queries[old]; found {
-			t.Errorf("%s is a query and an alias", old)
+			t.Errorf("%s is both a query and an alias", old)
 		}
 	}
 }
--- a/internal/tooling/fleetshell/controllers.go
+++ b/internal/tooling/fleetshell/controllers.go
@@ -8,12 +8,12 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// Controllers gives the addresses of the control processes that the seed knows.
+// Controllers returns the addresses of the controllers that the seed knows.
 func (s *Shell) Controllers() ([]string, error) {
 	status := &messages.StatusResponse{}
 	err := transport.Call(s.Transport, s.Seed, messages.KindStatus, &messages.StatusRequest{Query: "nodes"}, status, s.Timeout)
 	if err != nil {
-		return nil, ErrNoFleet.Wrap(err, "seed "+s.Seed+" does not answer (its internal address is needed)")
+		return nil, ErrNoFleet.Wrap(err, "seed "+s.Seed+" did not respond (the seed must be an internal address)")
 	}
 	var addresses []string
 	for _, row := range status.Rows {
--- a/internal/tooling/fleetshell/fleet.go
+++ b/internal/tooling/fleetshell/fleet.go
@@ -10,7 +10,7 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// process is one of the fleet, as a row of the query nodes names it.
+// process is one process of the fleet, taken from a row of the query nodes.
 type process struct {
 	key, role, zone, address string
 }
@@ -24,9 +24,10 @@
 	return processes
 }
 
-// fleet gives every process: most know a part of the fleet only, controllers know all. One
-// is asked for the zones, and then for the processes of each zone, since an answer is
-// bounded. What the seed knows is used where no controller answers.
+// allProcesses returns every process of the fleet. Most processes know only a part of the fleet, while
+// controllers know all of it, so one controller is queried for the zones and then for the
+// processes of each zone, since the size of a response is bounded. If no controller responds, the
+// result is what the seed knows.
 func (s *Shell) allProcesses(seedNodes *messages.StatusResponse) []process {
 	byKey := map[string]process{}
 	for _, proc := range processesOf(seedNodes) {
@@ -64,8 +65,8 @@
 	return transport.Call(s.Transport, address, messages.KindStatus, req, resp, s.Timeout)
 }
 
-// queryZones puts a query to the processes of the roles, one zone after the other, so
-// that a large fleet does not answer all at once.
+// queryZones sends a query to all processes of the given roles, one zone after the other, so
+// that the processes of a large fleet do not all respond at once.
 func (s *Shell) queryZones(fleet []process, query string, roles []string) []Response {
 	var responses []Response
 	indexesByZone, zoneNames := map[string][]int{}, []string{}
--- a/internal/tooling/fleetshell/fleet_test.go
+++ b/internal/tooling/fleetshell/fleet_test.go
@@ -9,8 +9,8 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// A seed that knows few leads to a controller, which names all, zone by zone; a controller
-// that is silent is passed over.
+// A seed that knows only a few processes leads to a controller, which lists all of them zone by zone. A
+// controller that does not respond is skipped.
 func TestQueryUsesControllerDirectory(t *testing.T) {
 	network := transport.NewMemoryNetwork()
 	columns := []string{"process", "zone", "address"}
--- a/internal/tooling/fleetshell/fleetshell.go
+++ b/internal/tooling/fleetshell/fleetshell.go
@@ -1,5 +1,5 @@
-// Package fleetshell asks a fleet for its state: it reads only, gives each process a
-// bounded time, and shows silence as silence.
+// Package fleetshell queries the state of a fleet. It only reads, limits the time that it waits for each
+// process, and reports a process that did not respond as such.
 package fleetshell
 
 import (
@@ -14,25 +14,25 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// The errors of the shell.
+// Kinds of errors of the shell.
 var (
-	// ErrInvalidCall means that the question itself is wrong.
-	ErrInvalidCall = errs.Define("bad call")
-	// ErrNoFleet means that the seed does not answer.
-	ErrNoFleet = errs.Define("no fleet")
+	// ErrInvalidCall means that the query or the address of the seed is invalid.
+	ErrInvalidCall = errs.Define("invalid call")
+	// ErrNoFleet means that the seed does not respond, or knows no controller.
+	ErrNoFleet = errs.Define("fleet unreachable")
 )
 
-// Query is one query of the shell.
+// Query describes one query of the shell.
 type Query struct {
-	// Roles are the roles of the processes that answer it; none means the seed alone.
+	// Roles are the roles of the processes that respond to it; if empty, only the seed responds.
 	Roles []string
-	// Shows says what the answers show.
+	// Description says what the responses show.
 	Description string
-	// Wire is its name on the wire, where that is another one.
+	// WireName is the name of the query on the wire; if empty, it is the same as in the shell.
 	WireName string
 }
 
-// Aliases are the earlier names of queries, which go on working.
+// Aliases maps earlier names of queries, which are still accepted, to the current ones.
 var Aliases = map[string]string{
 	messages.QueryLeadership: "leadership",
 	messages.QueryJobs:       "jobs",
@@ -40,23 +40,23 @@
 	"displacement":           "preemption",
 }
 
-// Queries are the queries by name.
+// Queries contains the queries by name.
 var Queries = map[string]Query{
-	"nodes":       {nil, "the processes that the seed knows, and when each was heard", ""},
+	"nodes":       {nil, "the processes that the seed knows, and when each was last heard from", ""},
 	"zones":       {[]string{membership.RoleController}, "how many processes each controller knows in each zone", ""},
-	"config":      {[]string{membership.RoleGateway, membership.RoleController, membership.RoleStore}, "the generation that each process follows", ""},
+	"config":      {[]string{membership.RoleGateway, membership.RoleController, membership.RoleStore}, "the configuration generation that each process uses", ""},
 	"workers":     {[]string{membership.RoleGateway, membership.RoleController, membership.RoleStore}, "workers and their health, as each process sees them", ""},
 	"leadership":  {[]string{membership.RoleController, membership.RoleStore}, "acceptors, leaders and epochs", messages.QueryLeadership},
 	"jobs":        {[]string{membership.RoleStore}, "batch jobs and backlog, at the leader", messages.QueryJobs},
-	"stores":      {[]string{membership.RoleStore}, "copies and what is missing of them", ""},
-	"slowness":    {[]string{membership.RoleStore}, "whether a storage machine is slow now, by its own measure", messages.QuerySlowness},
+	"stores":      {[]string{membership.RoleStore}, "replicas and what they are missing", ""},
+	"slowness":    {[]string{membership.RoleStore}, "whether a storage machine is slow at present, by its own measurement", messages.QuerySlowness},
 	"index":       {[]string{membership.RoleGateway, membership.RoleStore}, "prefix index and residency downgrades", ""},
-	"traffic":     {[]string{membership.RoleGateway, membership.RoleController, membership.RoleStore}, "messages and bytes by kind, in the own zone and to others", ""},
-	"assignments": {[]string{membership.RoleGateway, membership.RoleController, membership.RoleStore}, "adapters that each node has in force, and the window that comes next", ""},
+	"traffic":     {[]string{membership.RoleGateway, membership.RoleController, membership.RoleStore}, "messages and bytes by kind, within the zone and to other zones", ""},
+	"assignments": {[]string{membership.RoleGateway, membership.RoleController, membership.RoleStore}, "adapters in force on each node, and the next window", ""},
 	"preemption":  {[]string{membership.RoleGateway, membership.RoleStore}, "preempted, resumed and finished work by route", "displacement"},
 }
 
-// QueryNames lists the queries in order.
+// QueryNames returns the names of the queries in alphabetical order.
 func QueryNames() []string {
 	var names []string
 	for name := range Queries {
@@ -66,42 +66,42 @@
 	return names
 }
 
-// Response is what one process said.
+// Response is the response of one process, or its timeout.
 type Response struct {
 	Process  string
 	TimedOut bool
 	Status   messages.StatusResponse
 }
 
-// Shell asks over a transport.
+// Shell queries a fleet over a transport. Timeout limits the call to each process.
 type Shell struct {
 	Transport transport.Transport
 	Seed      string
 	Timeout   clock.Duration
 }
 
-// New checks the address of the seed.
+// New returns a shell for the fleet of a seed. It returns ErrInvalidCall if the seed is not host:port.
 func New(carrier transport.Transport, seed string, limit clock.Duration) (*Shell, error) {
 	host, port, err := net.SplitHostPort(seed)
 	if err != nil || host == "" || port == "" {
-		return nil, ErrInvalidCall.New("seed " + seed + " is no address of the form host:port")
+		return nil, ErrInvalidCall.New("seed " + seed + " is not an address of the form host:port")
 	}
 	return &Shell{Transport: carrier, Seed: seed, Timeout: limit}, nil
 }
 
-// Query puts one query to every process that answers it.
+// Query sends a query to every process of the roles that respond to it.
 func (s *Shell) Query(query string) ([]Response, error) {
 	if name, isAlias := Aliases[query]; isAlias {
 		query = name
 	}
 	definition, found := Queries[query]
 	if !found {
-		return nil, ErrInvalidCall.New("unknown query " + query + "; there are: " + strings.Join(QueryNames(), ", "))
+		return nil, ErrInvalidCall.New("unknown query " + query + "; known queries: " + strings.Join(QueryNames(), ", "))
 	}
 	nodes := &messages.StatusResponse{}
 	err := transport.Call(s.Transport, s.Seed, messages.KindStatus, &messages.StatusRequest{Query: "nodes"}, nodes, s.Timeout)
 	if err != nil {
-		return nil, ErrNoFleet.Wrap(err, "seed "+s.Seed+" does not answer (its internal address is needed)")
+		return nil, ErrNoFleet.Wrap(err, "seed "+s.Seed+" did not respond (the seed must be an internal address)")
 	}
 	if len(definition.Roles) == 0 {
 		return translateRoles([]Response{{Process: "seed", Status: *nodes}}), nil
--- a/internal/tooling/fleetshell/fleetshell_test.go
+++ b/internal/tooling/fleetshell/fleetshell_test.go
@@ -54,7 +54,7 @@
 		t.Fatal(list.String())
 	}
 	if responses, _ = shell.Query("nodes"); responses[0].Status.Rows[2][0] != "store/c" {
-		t.Fatal("the role's word on the wire is shown", responses)
+		t.Fatal("the role's name on the wire is shown instead of the program name", responses)
 	}
 	if responses, _ = shell.Query("lots"); len(responses) != 1 || responses[0].Process != "store/c" {
 		t.Fatal(responses)
--- a/internal/tooling/fleetshell/names.go
+++ b/internal/tooling/fleetshell/names.go
@@ -6,7 +6,7 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// named puts the names of programs in the place of the roles' words on the wire.
+// translateRoles replaces the roles' names on the wire by the names of the programs.
 func translateRoles(responses []Response) []Response {
 	for i := range responses {
 		resp := &responses[i]
@@ -20,8 +20,8 @@
 	return responses
 }
 
-// processName gives the name of a process, role/machine, for people. Anything else stays
-// as it is.
+// processName translates the key of a process, role/machine, to its displayed name. Any other text is
+// returned unchanged.
 func processName(key string) string {
 	role, machine, found := strings.Cut(key, "/")
 	if !found {
--- a/internal/tooling/fleetshell/show.go
+++ b/internal/tooling/fleetshell/show.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// Table writes answers for people: a table for each set of columns.
+// Table writes responses as text, with a table for each set of columns.
 func Table(writer io.Writer, responses []Response) {
 	var timedOut []string
 	table := tabwriter.NewWriter(writer, 0, 4, 2, ' ', 0)
@@ -35,7 +35,7 @@
 	}
 }
 
-// JSON writes answers for tools: one object for each process.
+// JSON writes responses as JSON, with one object for each process.
 func JSON(writer io.Writer, responses []Response) error {
 	type line struct {
 		Process string              `json:"process"`
--- a/internal/tooling/soak/run.go
+++ b/internal/tooling/soak/run.go
@@ -8,25 +8,25 @@
 	"lemonarch/internal/tooling/loadgen"
 )
 
-// Report is what came of one schedule.
+// Report is the result of running one schedule.
 type Report struct {
 	Seed        int64 `json:"seed"`
 	PlannedOnly bool  `json:"planned-only"`
-	// Tried counts the troubles of the schedule by kind.
+	// TroubleCounts is the number of troubles in the schedule by kind.
 	TroubleCounts map[string]int `json:"troubles"`
-	// Processes is how many gateways, controllers and stores the fleet had.
+	// Processes is the number of gateways, controllers and stores of the fleet.
 	Processes int             `json:"processes"`
 	Result    *loadgen.Result `json:"result"`
-	// Logs is the folder with settings, disks and output of every process; empty unless a promise
-	// was broken.
+	// Logs is the folder with settings, disks and output of every process; empty unless Broken.
 	Logs string `json:"logs,omitempty"`
 }
 
-// Broken tells whether a promise was broken, or nothing was served at all.
+// Broken reports whether a promise was broken or nothing was served.
 func (r *Report) Broken() bool { return r.Result.Broken > 0 || r.Result.Served() == 0 }
 
-// Run plays a schedule: it starts the fleet, sends the load with the troubles in between, checks
-// what came back, and ends everything that it started. The logs stay where a promise was broken.
+// Run runs a schedule: it starts the fleet, sends the load while it injects the troubles, checks the
+// responses, and stops everything that it started. The logs are kept if the run fails, a promise was
+// broken or nothing was served.
 func Run(ctx contexts.Context, schedule *Schedule, progress func(text string)) (report *Report, err error) {
 	folder, err := os.MkdirTemp("", "lemonarch-soak-")
 	if err != nil {
@@ -57,7 +57,7 @@
 	result, err := drive(fleetCtx, schedule, fleet, progress)
 	select {
 	case failure := <-failures:
-		return nil, ErrInvalidSoak.Wrap(failure, "a process ended by itself; logs in "+folder)
+		return nil, ErrInvalidSoak.Wrap(failure, "a process exited unexpectedly; logs in "+folder)
 	default:
 	}
 	if err != nil {
@@ -82,7 +82,7 @@
 	return loadgen.Drive(ctx, options, endpoint, schedule.Experiment.Trouble)
 }
 
-// tried counts the troubles by kind.
+// troubleCounts returns the number of troubles by kind.
 func (s *Schedule) troubleCounts() map[string]int {
 	counts := map[string]int{}
 	for _, trouble := range s.Experiment.Trouble {
--- a/internal/tooling/soak/schedule.go
+++ b/internal/tooling/soak/schedule.go
@@ -1,7 +1,7 @@
-// Package soak draws, from a seed, a fleet of the real programs with a series of troubles that
-// overlap, sends load to it and holds every answer against what was promised. It shows what
-// simulated time can't: sockets, signals, files and schedulers. One seed draws one schedule;
-// what real processes make of it may differ from run to run.
+// Package soak generates, from a seed, a fleet of the real programs and a series of overlapping
+// troubles, sends load to the fleet and checks every response against what the fleet promises. It covers
+// what tests in simulated time can't: sockets, signals, files and schedulers. A seed always gives the
+// same schedule, but the course of the real processes may differ from run to run.
 package soak
 
 import (
@@ -19,36 +19,37 @@
 	"lemonarch/internal/tooling/loadgen"
 )
 
-// ErrInvalidSoak is the error of options that no schedule can be drawn for.
+// ErrInvalidSoak is the kind of errors of this package: invalid options, or a run that could not be
+// carried out.
 var ErrInvalidSoak = errs.Define("soak")
 
-// Options say what is drawn.
+// Options are the parameters from which a schedule is generated.
 type Options struct {
 	Seed int64
-	// Duration is how long load is sent.
+	// Duration is the time for which load is sent.
 	Duration clock.Duration
-	// Processes is how many gateways, controllers and stores the fleet has at most.
+	// Processes is the maximum number of gateways, controllers and stores together.
 	Processes int
-	// Programs is the folder with the programs.
+	// Programs is the folder with the gateway, controller and store programs.
 	Programs string
 }
 
-// Schedule is what one seed draws.
+// Schedule is the fleet, load and troubles generated from one seed.
 type Schedule struct {
 	Options
-	// Planned says that nothing but planned work befalls the fleet: stops in order, SIGHUP,
-	// changes of the configuration, workers that leave. Then no request may be cut.
+	// PlannedOnly means that the schedule contains only planned work: graceful stops, SIGHUP,
+	// configuration changes, workers that leave. Then no request may be cut.
 	PlannedOnly bool
 	Experiment  loadgen.Experiment
 }
 
-// Draw draws the schedule of a seed; the same options give the same one.
+// Generate returns the schedule of a seed. The same options give the same schedule.
 func Generate(options Options) (*Schedule, error) {
 	switch {
 	case options.Duration < constants.SoakMinDuration || options.Duration > constants.LoadTime:
-		return nil, ErrInvalidSoak.New("duration must lie between " + constants.SoakMinDuration.String() + " and " + constants.LoadTime.String())
+		return nil, ErrInvalidSoak.New("duration must be between " + constants.SoakMinDuration.String() + " and " + constants.LoadTime.String())
 	case options.Processes < constants.SoakMinProcesses || options.Processes > constants.LabProcesses:
-		return nil, ErrInvalidSoak.New("processes must lie between " + strconv.Itoa(constants.SoakMinProcesses) + " and " + strconv.Itoa(constants.LabProcesses))
+		return nil, ErrInvalidSoak.New("processes must be between " + strconv.Itoa(constants.SoakMinProcesses) + " and " + strconv.Itoa(constants.LabProcesses))
 	}
 	g := generator{random: rand.New(rand.NewSource(options.Seed)), lastStartS: options.Duration.Seconds() - constants.SoakQuietEnd.Seconds()}
 	schedule := &Schedule{Options: options, PlannedOnly: g.random.Intn(2) == 0}
@@ -65,22 +66,23 @@
 	return schedule, nil
 }
 
-// Text is the schedule as an experiment file, byte for byte the same for the same options.
+// Text returns the schedule as an experiment file, byte for byte the same for the same options.
 func (s *Schedule) Text() (string, error) {
 	var text bytes.Buffer
 	err := toml.NewEncoder(&text).Encode(s.Experiment)
 	return text.String(), ErrInvalidSoak.Wrap(err, "schedule")
 }
 
-// drawer draws the parts of a schedule.
+// generator generates the parts of a schedule.
 type generator struct {
 	random *rand.Rand
-	// end is when the last trouble begins, in seconds: after it the fleet has time to recover.
+	// lastStartS is the time in seconds before which the last trouble begins, so that the fleet has time
+	// to recover afterwards.
 	lastStartS float64
 	troubles   []lab.Trouble
 }
 
-// sizes draws how many processes of each role there are: some fleets as large as is allowed.
+// fleetSizes generates the number of processes of each role. A third of the fleets have the maximum size.
 func (g *generator) fleetSizes(plan *lab.Plan, limit int) {
 	total := limit
 	if g.random.Intn(3) > 0 {
@@ -101,14 +103,16 @@
 	g.troubles = append(g.troubles, trouble)
 }
 
-// series calls a function at times with a mean gap between them, in seconds, up to the end.
+// series calls a function for times that are a random gap apart, up to lastStartS. The gaps are
+// exponentially distributed; meanGap is in seconds.
 func (g *generator) series(meanGap float64, call func(atS float64)) {
 	for atS := 1 + g.random.ExpFloat64()*meanGap; atS < g.lastStartS; atS += 0.1 + g.random.ExpFloat64()*meanGap {
 		call(atS)
 	}
 }
 
-// gateways draws their troubles, which overlap freely: any number of gateways may go.
+// gatewayTroubles generates the troubles of gateways. They may overlap, since any number of gateways may
+// be down at the same time.
 func (g *generator) gatewayTroubles(count int, planned bool) {
 	kinds := []string{"stop", "stop", "reload", "reload-invalid"}
 	if !planned {
@@ -120,8 +124,9 @@
 	})
 }
 
-// counted draws the troubles of the processes with a disk, one after the other: each has time to
-// come back and to be copied to before the next, as the fault budget of the smallest fleet wants.
+// diskProcessTroubles generates the troubles of the processes with a disk, one after the other. Each
+// process has time to restart and to receive its replicas before the next trouble, as the
+// fault budget of the smallest fleet requires.
 func (g *generator) diskProcessTroubles(plan *lab.Plan, planned bool) {
 	kinds := []string{"stop", "reload"}
 	if !planned {
@@ -136,12 +141,12 @@
 	}
 }
 
-// configuration draws changes of the configuration.
+// configurationChanges generates changes of the configuration.
 func (g *generator) configurationChanges() {
 	g.series(3, func(atS float64) { g.add(lab.Trouble{AtS: atS, Kind: "configure"}) })
 }
 
-// workers draws the troubles of workers.
+// workerTroubles generates the troubles of workers.
 func (g *generator) workerTroubles(plan *lab.Plan, planned bool) {
 	kinds := []string{"replace"}
 	if !planned {
--- a/internal/tooling/soak/schedule_test.go
+++ b/internal/tooling/soak/schedule_test.go
@@ -16,7 +16,7 @@
 	return schedule
 }
 
-// The same seed draws the same schedule, byte for byte, and another seed another one.
+// The same seed gives the same schedule, byte for byte, and different seeds give different ones.
 func TestScheduleIsDeterministic(t *testing.T) {
 	texts := map[string]bool{}
 	for seed := int64(1); seed <= 50; seed++ {
@@ -25,17 +25,17 @@
 			t.Fatal(err)
 		}
 		if second, _ := generated(t, seed).Text(); first != second {
-			t.Fatal("seed ", seed, " drew two schedules")
+			t.Fatal("seed ", seed, " gave two different schedules")
 		}
 		texts[first] = true
 	}
 	if len(texts) != 50 {
-		t.Errorf("%d schedules of 50 seeds", len(texts))
+		t.Errorf("got %d different schedules, want 50", len(texts))
 	}
 }
 
-// Every schedule holds to its bounds: sizes, times, what planned work is, and no two losses of
-// processes with a disk within the time in which the first is made good.
+// Every schedule respects the bounds on fleet size and times and on what counts as planned work, and no two
+// processes with a disk are lost within the time that the repair of the first takes.
 func TestScheduleBounds(t *testing.T) {
 	planned, kinds := 0, map[string]int{}
 	for seed := int64(1); seed <= 200; seed++ {
@@ -54,11 +54,11 @@
 				t.Fatalf("seed %d: %v %v", seed, trouble, err)
 			}
 			if schedule.PlannedOnly && (trouble.Kind == "kill" || trouble.Kind == "freeze" || trouble.Kind == "wipe" || trouble.Kind == "crash") {
-				t.Fatalf("seed %d: %s is no planned work", seed, trouble.Kind)
+				t.Fatalf("seed %d: %s is not planned work", seed, trouble.Kind)
 			}
 			if trouble.Target != "" && (trouble.Target[0] == 's' || trouble.Target[0] == 'c') {
 				if trouble.AtS-lastDiskTroubleS < constants.SoakRepairTime.Seconds()-0.02 {
-					t.Fatalf("seed %d: %v follows at once", seed, trouble)
+					t.Fatalf("seed %d: %v follows before the previous process is repaired", seed, trouble)
 				}
 				lastDiskTroubleS = trouble.AtS
 			}
@@ -72,7 +72,7 @@
 func TestInvalidOptions(t *testing.T) {
 	for _, options := range []Options{{Duration: time.Second, Processes: 10}, {Duration: 24 * time.Hour, Processes: 10}, {Duration: 20 * time.Second, Processes: 3}, {Duration: 20 * time.Second, Processes: 1000}} {
 		if _, err := Generate(options); err == nil {
-			t.Error("drawn: ", options)
+			t.Error("invalid options accepted: ", options)
 		}
 	}
 }
