--- a/internal/tooling/lab/configuration.go
+++ b/internal/tooling/lab/configuration.go
@@ -7,7 +7,8 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// firstConfiguration is the lab's own: one route of each kind.
+// firstConfiguration returns the lab's built-in initial configuration: that of the families if there are
+// any, otherwise five routes that cover every kind of route.
 func (p *Plan) firstConfiguration() []byte {
 	if len(p.Families) > 0 {
 		return p.familyConfiguration()
@@ -35,7 +36,7 @@
 	return config.Encode()
 }
 
-// labRoute gives a route its name, its place, and two tries where it states none.
+// labRoute completes a route with its name, host and prefix, and with two tries if it sets none.
 func labRoute(name string, route routeconfig.Route) routeconfig.Route {
 	route.Name, route.Host, route.Prefix = name, Host, "/"+name+"/"
 	if route.Tries == 0 {
@@ -44,7 +45,7 @@
 	return route
 }
 
-// addedRoute is the route that a changed configuration has more than the one before.
+// addedRoute returns the route that a new generation adds to the previous one.
 func addedRoute(generation int64) routeconfig.Route {
 	name := "added-" + strconv.FormatInt(generation, 10)
 	return labRoute(name, routeconfig.Route{KindName: "idempotent", Backend: PlainService, SetpointMs: 300, CutoffMs: 3000})
--- a/internal/tooling/lab/endpoint.go
+++ b/internal/tooling/lab/endpoint.go
@@ -13,7 +13,7 @@
 	"lemonarch/internal/tooling/workeremulator"
 )
 
-// Card tells a load tool what it needs to know of a fleet.
+// Card describes a fleet to a load tool.
 type Card struct {
 	Label    string              `json:"label"`
 	Ingress  []string            `json:"ingress"`
@@ -25,32 +25,32 @@
 	Workers  map[string]string   `json:"workers"`
 }
 
-// Runs is what the emulated workers ran.
+// Runs lists the requests that the emulated workers ran.
 type Runs struct {
 	Runs []workeremulator.Run `json:"runs"`
-	// Dropped counts runs that no longer fitted into the record.
+	// Dropped is the number of runs that did not fit into the record any more.
 	Dropped int `json:"dropped"`
 }
 
-// Card gives the fleet's card.
+// Card returns the description of the fleet.
 func (f *Fleet) Card() Card {
 	card := Card{Label: f.Plan.Label, Ingress: f.Plan.Ingress(), Controls: f.Plan.Controls(), Stride: f.Plan.shape().Stride,
 		Routes: f.Routes(), Programs: map[string]int{}, Workers: map[string]string{},
 		Seed: f.Plan.host(constants.LabEdgeHost, 0, constants.LabInternalPort+constants.PortController)}
-	for _, running := range f.processes {
-		card.Programs[running.node.name] = running.id()
+	for _, process := range f.processes {
+		card.Programs[process.node.name] = process.id()
 	}
-	for _, running := range f.workerSlots {
-		card.Workers[running.name] = running.address
+	for _, slot := range f.workerSlots {
+		card.Workers[slot.name] = slot.address
 	}
 	return card
 }
 
-// serveEndpoint opens the control endpoint, on loopback like everything else.
+// serveEndpoint starts the control endpoint on a loopback address.
 func (f *Fleet) serveEndpoint() error {
 	listener, err := net.Listen("tcp4", f.Plan.Endpoint())
 	if err != nil {
-		return ErrInvalidLab.New("control endpoint at " + f.Plan.Endpoint() + ": " + rootCause(err))
+		return ErrInvalidLab.New("control endpoint can't listen at " + f.Plan.Endpoint() + ": " + rootCause(err))
 	}
 	router := chi.NewRouter()
 	router.Get("/fleet", func(writer http.ResponseWriter, _ *http.Request) { httpreply.JSON(writer, http.StatusOK, f.Card()) })
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// endpoint serves a handler until it is closed.
+// endpoint is an HTTP server that runs until it is closed.
 type endpoint struct {
 	server *http.Server
 	served chan struct{}
@@ -91,7 +91,7 @@
 	return created
 }
 
-// close ends the server; its address is free then, also where it had not begun to serve.
+// close stops the server and waits until its address is free, even if it had not begun to serve.
 func (e *endpoint) close() {
 	_ = e.server.Close()
 	<-e.served
--- a/internal/tooling/lab/families.go
+++ b/internal/tooling/lab/families.go
@@ -12,36 +12,35 @@
 	"lemonarch/internal/tooling/workeremulator"
 )
 
-// Family is one service of a lab's fleet with its own workers, and one route to it of the same
-// name.
+// Family is one service of the fleet with its own workers, and one route of the same name to it.
 type Family struct {
 	Name string `toml:"name"`
-	// Model is what its workers run; without one they take plain requests of WorkMs each.
+	// Model is the model that its workers run. If empty, they serve plain requests that take WorkMs each.
 	Model  string  `toml:"model"`
 	WorkMs float64 `toml:"work-ms"`
-	// Workers is their number, Capacity the requests that each runs at once.
+	// Workers is the number of workers, Capacity the number of requests that each runs concurrently.
 	Workers  int `toml:"workers"`
 	Capacity int `toml:"capacity"`
-	// CacheTokens is a worker's memory, ReadPerMs the prompt tokens that it reads in a ms, StepMs
-	// and StepEachMs the time of a token and what each running request adds, Stride the tokens
-	// of an event.
+	// CacheTokens is a worker's cache size in tokens, ReadPerMs the number of prompt tokens that it
+	// prefills per ms. StepMs is the time per output token, to which each running request adds
+	// StepEachMs. Stride is the number of tokens per event.
 	CacheTokens int64   `toml:"cache-tokens"`
 	ReadPerMs   float64 `toml:"read-per-ms"`
 	StepMs      float64 `toml:"step-ms"`
 	StepEachMs  float64 `toml:"step-each-ms"`
 	Stride      int     `toml:"stride"`
-	// TargetMs is the route's setpoint-ms, GapMs its gap-setpoint-ms.
+	// TargetMs is the setpoint-ms of the route, GapMs its gap-setpoint-ms.
 	TargetMs float64 `toml:"target-ms"`
 	GapMs    float64 `toml:"gap-ms"`
 }
 
-// familiesMax and familyWorkersMax bound a lab's families and all their workers (ours).
+// familiesMax and familyWorkersMax are the maximum numbers of families and of their workers together.
 const (
 	familiesMax      = 12
 	familyWorkersMax = 60
 )
 
-// ReadFamilies reads the families of a TOML file.
+// ReadFamilies reads and checks the families of a TOML file.
 func ReadFamilies(path string) ([]Family, error) {
 	file := struct {
 		Families []Family `toml:"families"`
@@ -59,30 +58,30 @@
 	return file.Families, nil
 }
 
-// checkFamilies gives the first thing that stands in the way, naming the field.
+// checkFamilies returns an error for the first invalid field, or nil.
 func checkFamilies(families []Family) error {
 	if len(families) == 0 || len(families) > familiesMax {
-		return ErrInvalidLab.New(fmt.Sprintf("families: between 1 and %d are wanted, not %d", familiesMax, len(families)))
+		return ErrInvalidLab.New(fmt.Sprintf("families: count must be between 1 and %d, got %d", familiesMax, len(families)))
 	}
 	seen, workers := map[string]bool{}, 0
 	for i := range families {
 		family := &families[i]
 		if seen[family.Name] {
-			return ErrInvalidLab.New(fmt.Sprintf("families[%d].name: %q stands twice", i, family.Name))
+			return ErrInvalidLab.New(fmt.Sprintf("families[%d].name: %q is used twice", i, family.Name))
 		}
 		seen[family.Name] = true
 		workers += family.Workers
 		if field, valid := family.firstInvalidField(); !valid {
-			return ErrInvalidLab.New(fmt.Sprintf("families[%d].%s: missing or senseless", i, field))
+			return ErrInvalidLab.New(fmt.Sprintf("families[%d].%s: missing or out of range", i, field))
 		}
 	}
 	if workers > familyWorkersMax {
-		return ErrInvalidLab.New(fmt.Sprintf("families: %d workers in all; at most %d", workers, familyWorkersMax))
+		return ErrInvalidLab.New(fmt.Sprintf("families: %d workers in total, want at most %d", workers, familyWorkersMax))
 	}
 	return nil
 }
 
-// soundness names the first field that makes no sense.
+// firstInvalidField returns the name of the first field that is missing or out of range, or true.
 func (f *Family) firstInvalidField() (field string, valid bool) {
 	checks := []struct {
 		field string
@@ -101,7 +100,7 @@
 	return "", true
 }
 
-// settings are those of one of the family's workers.
+// settings returns the settings of each worker of the family.
 func (f *Family) settings() workeremulator.Settings {
 	shape := workeremulator.Shape{Capacity: f.Capacity, Queue: f.Capacity / 2, CacheTokens: f.CacheTokens, ReadPerMs: f.ReadPerMs,
 		Step: clock.Milliseconds(f.StepMs), StepEach: clock.Milliseconds(f.StepEachMs), Stride: f.Stride}
@@ -109,7 +108,7 @@
 		ConnLimit: constants.LabConnLimit, Probe: ProbePath, Revision: 1}
 }
 
-// familyPlaces are the places of the families' workers.
+// familyWorkerSlots returns the slots of the workers of all families.
 func (p *Plan) familyWorkerSlots() []*workerSlot {
 	var all []*workerSlot
 	for i := range p.Families {
@@ -123,7 +122,7 @@
 	return all
 }
 
-// familyConfiguration has a route and a service for each family.
+// familyConfiguration returns a configuration with a route and a service for each family.
 func (p *Plan) familyConfiguration() []byte {
 	config := routeconfig.Config{Generation: 1,
 		Limits: routeconfig.Limits{HeaderBytes: 16384, BodyBytes: 1 << 20, HeaderWaitMs: 3000, IdleMs: 15000}}
--- a/internal/tooling/lab/fleet.go
+++ b/internal/tooling/lab/fleet.go
@@ -14,11 +14,12 @@
 	"lemonarch/internal/tooling/workeremulator"
 )
 
-// Fleet is one running fleet.
+// Fleet is a running fleet.
 type Fleet struct {
 	Plan   Plan
 	Folder string
-	// Died tells of the first process that ended by itself.
+	// Died receives the first failure: a process that exited unexpectedly, or a trouble that could not be
+	// carried out.
 	Died chan error
 
 	record          *workeremulator.Record
@@ -33,9 +34,9 @@
 	runningTroubles sync.WaitGroup
 }
 
-// Start carries a plan out and returns once every gateway is ready. Where anything
-// goes wrong or the context is cancelled, all that was started is ended before it returns.
-// An empty folder makes it use one of its own, which goes away with the fleet.
+// Start starts the fleet of a plan and returns once every gateway is ready and the stores accept batch
+// jobs. If it fails or the context is cancelled, it stops everything that it started before it returns.
+// If folder is empty, the fleet uses a temporary one, which Stop removes.
 func Start(ctx contexts.Context, plan Plan, folder string) (*Fleet, error) {
 	if err := plan.Check(); err != nil {
 		return nil, err
@@ -89,27 +90,27 @@
 		}
 		f.processes = append(f.processes, proc)
 	}
-	for _, proc := range f.Plan.workerSlots() {
-		if err := proc.start(f.record, f.Plan.Controls()); err != nil {
+	for _, slot := range f.Plan.workerSlots() {
+		if err := slot.start(f.record, f.Plan.Controls()); err != nil {
 			return err
 		}
-		f.workerSlots = append(f.workerSlots, proc)
+		f.workerSlots = append(f.workerSlots, slot)
 	}
 	if err := f.serveEndpoint(); err != nil {
 		return err
 	}
 	deadline := clock.Now().Add(constants.LabStartLimit)
-	if err := f.retryUntil(ctx, deadline, "the first configuration", func() error { return f.operator.sendFirst(configuration) }); err != nil {
+	if err := f.retryUntil(ctx, deadline, "sending the first configuration", func() error { return f.operator.sendFirst(configuration) }); err != nil {
 		return err
 	}
-	if err := f.retryUntil(ctx, deadline, "every gateway ready", f.ready); err != nil {
+	if err := f.retryUntil(ctx, deadline, "waiting for every gateway to be ready", f.ready); err != nil {
 		return err
 	}
-	return f.retryUntil(ctx, deadline, "a store on duty", f.jobsReady)
+	return f.retryUntil(ctx, deadline, "waiting for the stores to accept batch jobs", f.jobsReady)
 }
 
-// lotsReady asks for a lot that nobody handed in: only where the stores can be sure
-// is the answer 404, and from then on lots are taken.
+// jobsReady requests a batch job that does not exist. The response is 404 only if the stores can
+// decide that, and from then on jobs are accepted.
 func (f *Fleet) jobsReady() error {
 	for _, address := range f.Plan.Ingress() {
 		resp, err := f.operator.call(http.MethodGet, "http://"+address+"/-/lots/lab-start", nil, 0)
@@ -117,13 +118,13 @@
 			return err
 		}
 		if resp.status != http.StatusNotFound {
-			return ErrInvalidLab.New(address + " can't answer for lots yet")
+			return ErrInvalidLab.New(address + " does not accept batch jobs yet")
 		}
 	}
 	return nil
 }
 
-// died keeps the first death; a fleet that is being stopped has none.
+// reportFailure sends a failure to Died unless one is pending already or the fleet is being stopped.
 func (f *Fleet) reportFailure(err error) {
 	select {
 	case <-f.stopping:
@@ -132,7 +133,8 @@
 	}
 }
 
-// until tries again and again, and tells of a death or of the last failure.
+// retryUntil calls check every LabRetry until it succeeds. It returns the error of check if that is a
+// rejection or the deadline has passed, and the failure of a process if there is one.
 func (f *Fleet) retryUntil(ctx contexts.Context, deadline clock.Instant, condition string, check func() error) error {
 	for {
 		err := check()
@@ -141,19 +143,19 @@
 		}
 		var rejected rejectedError
 		if errors.As(err, &rejected) || clock.Now() >= deadline {
-			return ErrInvalidLab.Wrap(err, "no success with "+condition)
+			return ErrInvalidLab.Wrap(err, "start failed while "+condition)
 		}
 		select {
 		case err = <-f.Died:
 			return err
 		case <-ctx.Done():
-			return ErrInvalidLab.New("stopped while starting")
+			return ErrInvalidLab.New("stopped while the fleet was starting")
 		case <-clock.After(constants.LabRetry):
 		}
 	}
 }
 
-// ready asks every gateway whether it is.
+// ready returns nil if every gateway reports that it is ready.
 func (f *Fleet) ready() error {
 	for _, address := range f.Plan.Readiness() {
 		resp, err := f.operator.call(http.MethodGet, "http://"+address+"/-/readiness", nil, 0)
@@ -167,11 +169,11 @@
 	return nil
 }
 
-// Stop ends everything that was started, each by its id.
+// Stop stops everything that was started, each process by its id.
 func (f *Fleet) Stop() {
 	f.stopOnce.Do(func() {
 		close(f.stopping)
-		// Troubles under way end first, so that none starts a process once more.
+		// Running troubles must end first, so that none of them restarts a process afterwards.
 		f.runningTroubles.Wait()
 		if f.endpoint != nil {
 			f.endpoint.close()
@@ -185,15 +187,15 @@
 			}()
 		}
 		group.Wait()
-		for _, proc := range f.workerSlots {
-			proc.crash()
+		for _, slot := range f.workerSlots {
+			slot.crash()
 		}
 		if f.ownsFolder {
-			// What can't be removed stays in the folder for temporary files.
+			// Files that can't be removed are left in the folder for temporary files.
 			_ = os.RemoveAll(f.Folder)
 		}
 	})
 }
 
-// Routes gives the routes of the configuration in force, as far as it was sent here.
+// Routes returns the routes of the last configuration that was sent through this fleet.
 func (f *Fleet) Routes() []routeconfig.Route { return f.operator.routes() }
--- a/internal/tooling/lab/lab_test.go
+++ b/internal/tooling/lab/lab_test.go
@@ -18,7 +18,7 @@
 	"lemonarch/internal/platform/settings"
 )
 
-// programs makes a folder of programs out of shell scripts.
+// programs creates a folder in which every program is the given shell script.
 func programs(t *testing.T, script string) string {
 	t.Helper()
 
@@ -31,8 +31,8 @@
 	return folder
 }
 
-// ownNetwork gives addresses that no other run of the tests on this machine has: whoever
-// holds the last one of them has them all, until the test is over.
+// ownNetwork returns a network that no other test run on this machine uses. The run that listens on the
+// network's last address owns all of its addresses until the test ends.
 func ownNetwork(t *testing.T) string {
 	t.Helper()
 
@@ -45,12 +45,12 @@
 			return network
 		}
 	}
-	t.Skip("this machine has no such addresses")
+	t.Skip("no free loopback network on this machine")
 	return ""
 }
 
-// Every process of every shape gets settings that the daemons take, and no two
-// processes share an address.
+// Every process of plans of several sizes gets settings that the daemons accept, and no two processes
+// of a role share an address.
 func TestSettingsAreValid(t *testing.T) {
 	for _, counts := range [][4]int{{1, 1, 1, 1}, {2, 3, 3, 2}, {5, 9, 4, 3}, {1, 5, 7, 9}} {
 		plan := NewPlan()
@@ -68,7 +68,7 @@
 			}
 			addressesSeen[target.role+nodeSettings.Address] = true
 			if budget := nodeSettings.FaultBudget.Machines; 2*budget+1 > min(plan.Controllers, plan.Stores) {
-				t.Fatal("more may be lost than half of the set", budget)
+				t.Fatal("fault budget is not less than half of the smaller set", budget)
 			}
 		}
 	}
@@ -107,7 +107,7 @@
 	}
 }
 
-// A busy address is named before anything starts.
+// The error of a start names an address in use, before anything is started.
 func TestBusyAddressIsReported(t *testing.T) {
 	plan := NewPlan()
 	plan.Network, plan.Programs = ownNetwork(t), programs(t, "exec sleep 60")
@@ -126,8 +126,8 @@
 	}
 }
 
-// A process that dies at the start is named with its last words, and the others are
-// ended by their ids.
+// If a process exits during the start, the error contains its name and the last line of its log, and the
+// other processes are stopped by their ids.
 func TestExitedChildFailsStart(t *testing.T) {
 	plan := NewPlan()
 	plan.Network, plan.Programs = ownNetwork(t), programs(t, "exec sleep 60")
@@ -143,13 +143,13 @@
 	if err == nil || !strings.Contains(err.Error(), "store-") || !strings.Contains(err.Error(), "the disk is gone") {
 		t.Fatal(err)
 	}
-	// Stop waits for each child, so the addresses are free and a new start could begin.
+	// Stop waits for each child, so the addresses are free for a new start.
 	if err = plan.checkAddressesFree(); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// A start that is called off ends what it has begun.
+// A start whose context is cancelled stops what it has started.
 func TestCancelledStart(t *testing.T) {
 	plan := NewPlan()
 	plan.Network, plan.Programs = ownNetwork(t), programs(t, "exec sleep 60")
@@ -179,17 +179,17 @@
 		id := target.id()
 		endProcess(target)
 		if _, err := os.Stat("/proc/" + strconv.Itoa(id)); err == nil {
-			t.Fatal("still there", id)
+			t.Fatal("process still exists, id", id)
 		}
 	}
 	select {
 	case err := <-failures:
-		t.Fatal("what the lab ends itself is no death", err)
+		t.Fatal("a process stopped by the lab was reported as a failure", err)
 	default:
 	}
 }
 
-// Each change goes on top of the one before, and a refusal is final.
+// Each change is based on the previous generation, and a rejection is not retried.
 func TestOperatorSendsNextGeneration(t *testing.T) {
 	var bases, bodies []string
 	status := http.StatusOK
@@ -215,7 +215,7 @@
 	}
 	status = http.StatusPreconditionFailed
 	if _, err := operator.addRoute(); err == nil {
-		t.Fatal("a refusal passed for a success")
+		t.Fatal("a rejected configuration was reported as accepted")
 	} else if rejected := rejectedError(""); !errors.As(err, &rejected) {
 		t.Fatal(err)
 	}
--- a/internal/tooling/lab/operator.go
+++ b/internal/tooling/lab/operator.go
@@ -13,13 +13,13 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// refused is the refusal of an order that would not be taken the next time either.
+// rejectedError is the rejection of a request that would be rejected on a retry, too.
 type rejectedError string
 
-// Error gives the reason.
+// Error returns the reason.
 func (r rejectedError) Error() string { return string(r) }
 
-// operator sends configurations, one on top of the other.
+// operator sends configurations to the controllers, each based on the previous one.
 type operator struct {
 	controls []string
 	lock     sync.Mutex
@@ -54,8 +54,8 @@
 // first sends the first configuration.
 func (o *operator) sendFirst(body []byte) error { return o.send(body, 0) }
 
-// addRoute sends the next one: the present one with one route more. Fields that this
-// program does not know stay as they are.
+// addRoute sends the next generation: the current configuration with one more route. Fields that
+// this program does not know are left unchanged.
 func (o *operator) addRoute() (generation int64, err error) {
 	o.lock.Lock()
 	current := o.config
@@ -71,7 +71,7 @@
 	return generation, o.send(body, current.Generation)
 }
 
-// withRoute gives a configuration a new generation and one route more.
+// withRoute returns a copy of a configuration with a new generation and one more route.
 func withRoute(body []byte, generation int64, route routeconfig.Route) ([]byte, error) {
 	fields := map[string]json.RawMessage{}
 	if err := json.Unmarshal(body, &fields); err != nil {
@@ -92,7 +92,7 @@
 	return json.Marshal(fields)
 }
 
-// send sends a whole configuration to one control after the other until it is taken.
+// send sends a whole configuration to one controller after the other until one accepts it.
 func (o *operator) send(body []byte, base int64) error {
 	var err error
 	for _, address := range o.controls {
--- a/internal/tooling/lab/plan.go
+++ b/internal/tooling/lab/plan.go
@@ -1,6 +1,5 @@
-// Package lab holds a small fleet on one machine: the real programs on loopback
-// addresses, emulated workers for them, and a control endpoint by which both are watched and
-// put in trouble.
+// Package lab runs a small fleet on one machine: the real programs on loopback addresses, emulated
+// workers for them, and a control endpoint to observe both and to inject troubles.
 package lab
 
 import (
@@ -14,44 +13,44 @@
 	"lemonarch/internal/platform/errs"
 )
 
-// ErrInvalidLab is the error of a plan that can't be carried out.
+// ErrInvalidLab is the kind of errors of this package, such as a plan that can't be carried out.
 var ErrInvalidLab = errs.Define("lab")
 
-// Plan says what a fleet consists of.
+// Plan describes the processes and workers of a fleet.
 type Plan struct {
 	// Label names the fleet in reports.
 	Label string `toml:"label"`
-	// Programs is the folder with gateway, controller and store.
+	// Programs is the folder with the gateway, controller and store programs.
 	Programs string `toml:"programs"`
-	// Network is the first three bytes of the addresses, 127 at the front.
+	// Network is the first three bytes of the addresses, the first of which is 127.
 	Network     string `toml:"network"`
 	Gateways    int    `toml:"gateways"`
 	Controllers int    `toml:"controllers"`
 	Stores      int    `toml:"stores"`
-	// Workers run the model, Plain workers the plain requests.
+	// Workers is the number of workers that run the model, Plain that of workers for plain requests.
 	Workers int `toml:"workers"`
 	Plain   int `toml:"plain-workers"`
 	Zones   int `toml:"zones"`
-	// Capacity and CacheTokens are those of each model worker.
+	// Capacity (concurrent requests) and CacheTokens (cache size) apply to each model worker.
 	Capacity    int   `toml:"capacity"`
 	CacheTokens int64 `toml:"cache-tokens"`
 	Seed        int64 `toml:"seed"`
-	// MemoryMB and FileHandles are what the settings grant each process; 0 for the lab's own.
+	// MemoryMB and FileHandles are the limits in the settings of each process; 0 for the lab's defaults.
 	MemoryMB    int `toml:"memory-mb"`
 	FileHandles int `toml:"file-handles"`
-	// Configuration is the file of the first configuration; empty for the lab's own.
+	// Configuration is the file with the initial configuration; empty for the built-in one.
 	Configuration string `toml:"configuration"`
-	// Families, where there are any, take the place of the lab's own workers and routes.
+	// Families, if there are any, replace the lab's default workers and routes.
 	Families []Family `toml:"families"`
 }
 
-// NewPlan gives what is used where nothing else is said.
+// NewPlan returns the default plan.
 func NewPlan() Plan {
 	return Plan{Label: "lab", Network: constants.LabNetwork, Gateways: 2, Controllers: 3, Stores: 3, Workers: 4, Plain: 2, Zones: 2,
 		Capacity: 8, CacheTokens: 60_000, Seed: 1}
 }
 
-// Check gives the first thing that stands in the way, naming the flag.
+// Check returns an error that names the first invalid flag, or nil.
 func (p *Plan) Check() error {
 	bounds := []struct {
 		name      string
@@ -70,11 +69,11 @@
 	}
 	for _, bound := range bounds {
 		if bound.value < bound.low || bound.value > bound.high {
-			return ErrInvalidLab.New(fmt.Sprintf("%s must lie between %d and %d, not %d", bound.name, bound.low, bound.high, bound.value))
+			return ErrInvalidLab.New(fmt.Sprintf("%s must be between %d and %d, got %d", bound.name, bound.low, bound.high, bound.value))
 		}
 	}
 	if count := p.Gateways + p.Controllers + p.Stores; count > constants.LabProcesses {
-		return ErrInvalidLab.New(fmt.Sprintf("gateways, controllers and stores make %d processes; at most %d", count, constants.LabProcesses))
+		return ErrInvalidLab.New(fmt.Sprintf("gateways, controllers and stores: %d processes in total, want at most %d", count, constants.LabProcesses))
 	}
 	if p.CacheTokens < 1000 {
 		return ErrInvalidLab.New("cache-tokens must be 1000 or more")
@@ -86,20 +85,20 @@
 	}
 	address := net.ParseIP(p.Network + ".1")
 	if address == nil || address.To4() == nil || !address.IsLoopback() {
-		return ErrInvalidLab.New("network must be three bytes of a loopback address, such as " + constants.LabNetwork + ", not " + strconv.Quote(p.Network))
+		return ErrInvalidLab.New("network must be three bytes of a loopback address, such as " + constants.LabNetwork + ", got " + strconv.Quote(p.Network))
 	}
 	for _, role := range []string{"gateway", "controller", "store"} {
 		path := filepath.Join(p.Programs, role)
 		if state, err := os.Stat(path); err != nil || state.IsDir() || state.Mode()&0o111 == 0 {
-			return ErrInvalidLab.New("no program " + path + "; build them: go build -buildvcs=false -ldflags=-linkmode=external -o target/ ./cmd/...")
+			return ErrInvalidLab.New("no program at " + path + "; build them: go build -buildvcs=false -ldflags=-linkmode=external -o target/ ./cmd/...")
 		}
 	}
 	return nil
 }
 
-// node is one process that is to run.
+// node describes one process of the plan.
 type node struct {
-	// name is what the lab calls it, machine what the fleet calls its machine.
+	// name is the name of the process in the lab, machine the name of its machine in the fleet.
 	name, role, machine, address, zone string
 	disk                               bool
 }
@@ -110,7 +109,7 @@
 
 func (p *Plan) zone(i int) string { return "zone-" + strconv.Itoa(i%p.Zones+1) }
 
-// nodes lists the processes: controllers first, since the others ask them.
+// nodes lists the processes. Controllers come first, since the others send requests to them.
 func (p *Plan) nodes() []node {
 	var all []node
 	add := func(role string, count, firstHost int, machine string, disk bool) {
@@ -125,16 +124,16 @@
 	return all
 }
 
-// Ingress lists the addresses that downstreams call.
+// Ingress returns the addresses for requests of clients.
 func (p *Plan) Ingress() []string { return p.edgeAddresses(p.Gateways, constants.LabIngressPort) }
 
-// Readiness lists the addresses that tell whether a gateway is ready.
+// Readiness returns the addresses of the readiness checks of the gateways.
 func (p *Plan) Readiness() []string { return p.edgeAddresses(p.Gateways, constants.LabReadyPort) }
 
-// Controls lists the addresses that workers and the operator call.
+// Controls returns the addresses of the controllers for requests of workers and the operator.
 func (p *Plan) Controls() []string { return p.edgeAddresses(p.Controllers, constants.LabControlPort) }
 
-// Endpoint is the address of the control endpoint.
+// Endpoint returns the address of the control endpoint.
 func (p *Plan) Endpoint() string {
 	return p.host(constants.LabEndpointHost, 0, constants.LabEndpointPort)
 }
@@ -147,8 +146,8 @@
 	return all
 }
 
-// free checks that nobody holds the addresses, so that a busy port is told by name
-// before anything has started.
+// checkAddressesFree returns an error that names the first address in use, so that a busy
+// port is reported before anything is started.
 func (p *Plan) checkAddressesFree() error {
 	addresses := append(append(p.Ingress(), p.Readiness()...), p.Controls()...)
 	addresses = append(addresses, p.Endpoint())
@@ -162,14 +161,14 @@
 	for _, address := range addresses {
 		listener, err := net.Listen("tcp4", address)
 		if err != nil {
-			return ErrInvalidLab.New(address + " can't be had (" + rootCause(err) + "); is another lab running? --network names other addresses")
+			return ErrInvalidLab.New(address + " is not available (" + rootCause(err) + "); is another lab running? --network names other addresses")
 		}
 		listener.Close()
 	}
 	return nil
 }
 
-// lastWords is the innermost reason of a failure.
+// rootCause returns the text of the innermost error.
 func rootCause(err error) string {
 	for {
 		inner, wraps := err.(interface{ Unwrap() error })
--- a/internal/tooling/lab/process.go
+++ b/internal/tooling/lab/process.go
@@ -14,9 +14,9 @@
 	"lemonarch/internal/platform/settings"
 )
 
-// starter starts every process of a fleet on one thread that lives as long as the
-// lab: the kernel ends a child when the thread that began it ends, so nothing stays
-// behind even where the lab itself is killed.
+// starter starts every process of a fleet on one thread that exists as long as the lab. With
+// Pdeathsig the kernel kills a child when the thread that started it ends, so no process
+// is left behind even if the lab itself is killed.
 type starter struct {
 	calls chan func()
 }
@@ -38,7 +38,7 @@
 	return <-done
 }
 
-// process is one real program of the fleet.
+// process is one running program of the fleet.
 type process struct {
 	node         node
 	starter      *starter
@@ -46,17 +46,17 @@
 	settingsPath string
 	logPath      string
 
-	// restarting is held while a trouble ends the process and starts it again.
+	// restarting is locked while a trouble stops the process and starts it again.
 	restarting sync.Mutex
 
 	lock    sync.Mutex
 	command *exec.Cmd
 	exited  chan struct{}
-	// expected tells that the lab ends it itself.
+	// expected means that the lab itself ends the process.
 	expected bool
 }
 
-// run starts the program; died is told where it ends unexpectedly.
+// run starts the program. It calls reportFailure if the process exits unexpectedly.
 func (p *process) run(reportFailure func(error)) error {
 	log, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
@@ -65,11 +65,12 @@
 	command := exec.Command(p.programPath)
 	command.Stdout, command.Stderr = log, log
 	command.Env = append(os.Environ(), settings.Variable+"="+p.settingsPath)
-	// A group of its own: a Ctrl-C at the terminal reaches the lab alone, which then
-	// ends the others in order.
+	// With a process group of its own the child does not receive a Ctrl-C at the terminal: only
+	// the lab does, which then stops the processes gracefully.
 	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	err = p.starter.start(command)
-	// The process has a descriptor of its own; nothing was written through this one.
+	// The child has its own descriptor; nothing was written through this one, so an error of Close is
+	// of no consequence.
 	_ = log.Close()
 	if err != nil {
 		return ErrInvalidLab.Wrap(err, p.node.name)
@@ -85,7 +86,7 @@
 		p.lock.Unlock()
 		close(ended)
 		if !expected {
-			reportFailure(ErrInvalidLab.New(p.node.name + " ended by itself (" + exitStatus(err) + "): " + p.lastLine()))
+			reportFailure(ErrInvalidLab.New(p.node.name + " exited unexpectedly (" + exitStatus(err) + "): " + p.lastLine()))
 		}
 	}()
 	return nil
@@ -104,7 +105,7 @@
 	return lines[len(lines)-1]
 }
 
-// signal sends a signal to this process alone, by its id.
+// signal sends a signal to this process only, by its id.
 func (p *process) signal(signal os.Signal, expected bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -119,10 +120,10 @@
 	}
 }
 
-// stop ends the process in order, and by force once its grace is over.
+// stop sends SIGTERM and waits for the process to exit. After LabGrace it sends SIGKILL.
 func (p *process) stop() {
 	p.signal(syscall.SIGTERM, true)
-	// A frozen process can't heed anything but SIGKILL.
+	// A process stopped by SIGSTOP handles no other signal than SIGKILL until it receives SIGCONT.
 	p.signal(syscall.SIGCONT, true)
 	p.lock.Lock()
 	ended := p.exited
@@ -138,7 +139,7 @@
 	}
 }
 
-// kill ends the process at once.
+// kill sends SIGKILL and waits for the process to exit.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL, true)
 	p.lock.Lock()
@@ -149,7 +150,7 @@
 	}
 }
 
-// id is the process id, or 0.
+// id returns the process id, or 0 if the process was never started.
 func (p *process) id() int {
 	p.lock.Lock()
 	defer p.lock.Unlock()
--- a/internal/tooling/lab/reload.go
+++ b/internal/tooling/lab/reload.go
@@ -5,10 +5,10 @@
 	"syscall"
 )
 
-// unreadable stands in the settings file of a process that is to meet an invalid one.
+// invalidSettings is the content of a settings file that can't be parsed.
 const invalidSettings = "seeds = ["
 
-// wipe empties the disk of a process that does not run.
+// wipe removes the data folder of a process that is not running.
 func (f *Fleet) wipe(spec node) error {
 	folder := f.Plan.nodeSettings(spec, f.Folder, false).DataDir
 	if folder == "" {
@@ -17,7 +17,7 @@
 	return ErrInvalidLab.Wrap(os.RemoveAll(folder), "disk of "+spec.name)
 }
 
-// reload changes the settings file of a process, as of a later start, and sends SIGHUP.
+// reload writes the settings file of a process as for a restart, or an invalid one, and sends SIGHUP.
 func (f *Fleet) reload(target *process, valid bool) error {
 	path, err := f.Plan.writeSettings(target.node, f.Folder, false)
 	if err != nil {
--- a/internal/tooling/lab/reload_test.go
+++ b/internal/tooling/lab/reload_test.go
@@ -9,9 +9,10 @@
 	"testing"
 )
 
-// A reload finds the changed file in place, and is no reason for a process to end.
+// When SIGHUP arrives, the process finds the new settings file in place. Its exit after the signal (it
+// is the script that exits here) must be the only one.
 func TestReloadWritesSettingsFile(t *testing.T) {
-	// Where the tests run with SIGHUP ignored (nohup), their children inherit that, and a
+	// If the tests run with SIGHUP ignored (nohup), their children inherit that, and a
 	// shell can't trap a signal that was ignored when it started.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
--- a/internal/tooling/lab/settings.go
+++ b/internal/tooling/lab/settings.go
@@ -13,7 +13,7 @@
 	"lemonarch/internal/platform/settings"
 )
 
-// The names in the lab's own configuration.
+// Names in the lab's built-in configuration.
 const (
 	Host         = "lab.example"
 	ModelService = "model"
@@ -22,7 +22,8 @@
 	ProbePath    = "/health"
 )
 
-// nodeSettings makes the settings of one process.
+// nodeSettings returns the settings of one process. first is true for the first start of the process, which
+// bootstraps the fleet.
 func (p *Plan) nodeSettings(spec node, folder string, first bool) *settings.Settings {
 	nodeSettings := &settings.Settings{NodeName: spec.machine, Role: spec.role, MachineClass: "edge", Address: spec.address, Zone: spec.zone, Region: "lab",
 		InternalPorts: []int{constants.LabInternalPort, constants.LabInternalPort + 15}, Bootstrap: first, InQuorum: spec.disk,
@@ -30,7 +31,7 @@
 		Limits: p.limits(),
 		Tolerances: settings.Tolerances{DrainMs: constants.LabDrainMs, GraceS: constants.LabGrace.Seconds(), ConvergeMs: 2000, AckMs: 4000, SyncS: 5,
 			StatusS: 300, CancelMs: 3000, SettlingMs: 1000, AddressReuseS: 2, QuotaOvershoot: 0.1}}
-	// What may be lost is less than half of the smaller of the two sets.
+	// The fault budget is less than half of the smaller of the two sets, controllers and stores.
 	nodeSettings.FaultBudget.Machines = (min(p.Controllers, p.Stores) - 1) / 2
 	nodeSettings.Seeds = p.Controls()[:min(3, p.Controllers)]
 	for i := 0; i < p.Zones; i++ {
@@ -53,7 +54,7 @@
 	return nodeSettings
 }
 
-// limits are what the settings grant each process.
+// limits returns the resource limits in the settings of each process.
 func (p *Plan) limits() settings.Limits {
 	limits := settings.Limits{MemoryMB: constants.LabMemoryMB, FileHandles: constants.LabFileHandles, DiskMB: constants.LabDiskMB}
 	if p.MemoryMB > 0 {
@@ -65,7 +66,7 @@
 	return limits
 }
 
-// write puts the settings file of a process in place.
+// writeSettings creates the data folder of a process and writes its settings file. It returns the path.
 func (p *Plan) writeSettings(spec node, folder string, first bool) (string, error) {
 	nodeSettings := p.nodeSettings(spec, folder, first)
 	if findings := nodeSettings.Check(); len(findings) > 0 {
--- a/internal/tooling/lab/trouble.go
+++ b/internal/tooling/lab/trouble.go
@@ -11,16 +11,17 @@
 	"lemonarch/internal/tooling/workeremulator"
 )
 
-// Trouble is one thing that goes wrong, or one piece of planned work.
+// Trouble is one failure to inject, or one piece of planned work to carry out.
 type Trouble struct {
-	// AtS is when, in seconds from the start of the load.
+	// AtS is the time at which it begins, in seconds from the start of the load.
 	AtS float64 `toml:"at-s" json:"at-s"`
-	// Kind is one of Kinds.
+	// Kind is one of the keys of Kinds.
 	Kind string `toml:"kind" json:"kind"`
-	// Target is the name of a process (gateway-1) or worker (worker-2), or all of a
-	// kind (gateway, worker).
+	// Target is the name of a process (gateway-1) or worker (worker-2), or the common prefix
+	// for all of a kind (gateway, worker).
 	Target string `toml:"target" json:"target"`
-	// ForS is how long it lasts; BackS after how long a process or worker returns.
+	// ForS is the duration in seconds; BackS is the time in seconds after which a process or worker is
+	// started again.
 	ForS   float64               `toml:"for-s" json:"for-s"`
 	BackS  float64               `toml:"back-s" json:"back-s"`
 	Faults workeremulator.Faults `toml:"faults" json:"faults"`
@@ -41,22 +42,22 @@
 	kindWipe      = "wipe"
 )
 
-// Kinds tells what each kind of trouble does.
+// Kinds describes each kind of trouble.
 var Kinds = map[string]string{
 	kindKill:      "a process is killed, and started again after back-s",
 	kindWipe:      "a process is killed and its disk emptied, and started again after back-s",
-	kindStop:      "a process is stopped in order, and started again after back-s",
-	kindFreeze:    "a process stands still for for-s",
-	kindCrash:     "a worker resets every connection, and returns as a new life after back-s",
-	kindReplace:   "a worker leaves in order, and a new life takes its place",
-	kindFlap:      "a worker goes down and up by turns for for-s, each for back-s",
-	kindFaults:    "the faults of a worker are set for for-s (or for good)",
-	kindConfigure: "a new configuration with one route more is sent",
-	kindReload:    "the settings file of a process is written anew, and it gets SIGHUP",
-	kindReloadBad: "the settings file of a process becomes invalid, and it gets SIGHUP",
+	kindStop:      "a process is stopped gracefully, and started again after back-s",
+	kindFreeze:    "a process is suspended (SIGSTOP) for for-s",
+	kindCrash:     "a worker resets every connection, and is started again as a new incarnation after back-s",
+	kindReplace:   "a worker leaves gracefully, and a new incarnation replaces it",
+	kindFlap:      "a worker alternates between down and up for for-s, back-s each",
+	kindFaults:    "the faults of a worker are set for for-s (permanently if 0)",
+	kindConfigure: "a new configuration with one more route is sent",
+	kindReload:    "the settings file of a process is rewritten, and the process gets SIGHUP",
+	kindReloadBad: "the settings file of a process becomes invalid, and the process gets SIGHUP",
 }
 
-// Check tells what is wrong with a trouble, before anything is broken.
+// Check returns an error for the first invalid field, or nil. It has no effect on the fleet.
 func (t *Trouble) Check() error {
 	onProcess, onWorker := false, false
 	switch t.Kind {
@@ -92,7 +93,7 @@
 
 func seconds(count float64) clock.Duration { return clock.Milliseconds(count * 1000) }
 
-// Trouble begins a trouble; it goes on by itself.
+// Trouble checks a trouble and begins it. All kinds but configure continue in the background.
 func (f *Fleet) Trouble(trouble Trouble) error {
 	if err := trouble.Check(); err != nil {
 		return err
@@ -131,7 +132,7 @@
 	return nil
 }
 
-// pause waits, unless the fleet is stopped.
+// pause waits for a duration. It returns false as soon as the fleet is being stopped.
 func (f *Fleet) pause(duration clock.Duration) bool {
 	select {
 	case <-f.stopping:
@@ -141,7 +142,7 @@
 	}
 }
 
-// harm does to a process what the trouble says.
+// applyToProcess carries out a trouble on a process.
 func (f *Fleet) applyToProcess(target *process, trouble Trouble) {
 	switch trouble.Kind {
 	case kindReload, kindReloadBad:
@@ -155,7 +156,7 @@
 		target.signal(syscall.SIGCONT, false)
 		return
 	}
-	// Of two that end a process the second has to wait for its restart.
+	// If two troubles end the same process, the second must wait until it is restarted.
 	target.restarting.Lock()
 	defer target.restarting.Unlock()
 	switch trouble.Kind {
@@ -173,7 +174,8 @@
 	if !f.pause(max(seconds(trouble.BackS), constants.LabRestart)) {
 		return
 	}
-	// Not the first start any more: the disk holds what it held.
+	// This is not the first start, so the settings must not say bootstrap: the data on the disk, unless it
+	// was wiped, is still there.
 	if _, err := f.Plan.writeSettings(target.node, f.Folder, false); err != nil {
 		f.reportFailure(err)
 		return
@@ -183,7 +185,7 @@
 	}
 }
 
-// disturb does to a worker what the trouble says.
+// applyToWorker carries out a trouble on a worker.
 func (f *Fleet) applyToWorker(target *workerSlot, trouble Trouble) {
 	downtime := max(seconds(trouble.BackS), constants.LabRestart)
 	start := func() {
@@ -224,7 +226,7 @@
 	}
 }
 
-// KindNames lists the kinds of trouble in order.
+// KindNames returns the kinds of trouble in alphabetical order.
 func KindNames() []string {
 	names := make([]string, 0, len(Kinds))
 	for name := range Kinds {
--- a/internal/tooling/lab/workers.go
+++ b/internal/tooling/lab/workers.go
@@ -12,15 +12,15 @@
 	"lemonarch/internal/tooling/workeremulator"
 )
 
-// shape is the engine of the fleet's model workers.
+// shape returns the engine parameters of the model workers.
 func (p *Plan) shape() workeremulator.Shape {
 	return workeremulator.Shape{Capacity: p.Capacity, Queue: p.Capacity / 2, CacheTokens: p.CacheTokens, ReadPerMs: constants.LabReadPerMs,
 		Step: constants.LabStep, StepEach: constants.LabStepEach, Stride: constants.LabStride}
 }
 
-// place is where one emulated worker stands; its lives follow each other there.
+// workerSlot is the address of one emulated worker, at which its incarnations follow each other.
 type workerSlot struct {
-	// restarting is held while a trouble ends the worker and begins its next life.
+	// restarting is locked while a trouble stops the worker and starts its next incarnation.
 	restarting sync.Mutex
 
 	name, address string
@@ -32,7 +32,7 @@
 	worker      *workeremulator.Worker
 	beater      *workeremulator.Beater
 	cancel      func()
-	// served closes once the present life's listener is closed.
+	// serveDone is closed once the listener of the current incarnation is closed.
 	serveDone chan struct{}
 	faults    workeremulator.Faults
 }
@@ -56,7 +56,7 @@
 	return all
 }
 
-// begin starts a new life: a new id, at the same address.
+// start starts a new incarnation, with a new id at the same address, unless one is running.
 func (p *workerSlot) start(record *workeremulator.Record, controls []string) error {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -85,14 +85,15 @@
 	return nil
 }
 
-// emulated is one life of a worker.
+// workerIncarnation is one incarnation of an emulated worker.
 type workerIncarnation struct {
 	worker    *workeremulator.Worker
 	beater    *workeremulator.Beater
 	serveDone chan struct{}
 }
 
-// take gives the present life away, so that somebody ends it.
+// detach removes the current incarnation from the slot, stops its heartbeats and returns it; the
+// caller must stop the worker. It returns false if none is running.
 func (p *workerSlot) detach() (incarnation workerIncarnation, running bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -104,7 +105,7 @@
 	return incarnation, incarnation.worker != nil
 }
 
-// crash ends the present life without a word; its address is free then.
+// crash ends the current incarnation abruptly, without deregistering it, and waits until its address is free.
 func (p *workerSlot) crash() {
 	if incarnation, running := p.detach(); running {
 		incarnation.worker.Crash()
@@ -112,7 +113,7 @@
 	}
 }
 
-// leave ends the present life in order; its address is free then.
+// leave stops the current incarnation gracefully and waits until its address is free.
 func (p *workerSlot) leave() {
 	if incarnation, running := p.detach(); running {
 		incarnation.beater.LeaveInOrder(clock.Milliseconds(constants.LabDrainMs))
@@ -120,7 +121,7 @@
 	}
 }
 
-// trouble switches faults on and off; they outlast the present life.
+// setFaults sets the faults of the worker. They also apply to later incarnations.
 func (p *workerSlot) setFaults(faults workeremulator.Faults) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
