--- a/cmd/lemonarch/assign.go
+++ b/cmd/lemonarch/assign.go
@@ -81,9 +81,9 @@
 	return printPlan(writer, answer, refusal, options.format)
 }
 
-// planWithTimeout plans within constants.PlanTime. Planning is a computationally hard problem with no
-// useful bound on its duration, and an operator who prepares a window must learn in time
-// that there will be no result.
+// planWithTimeout stops waiting for a plan after constants.PlanTime. Planning is a computationally hard
+// problem that may take arbitrarily long, and an operator who prepares a window must learn in
+// time that there is no result.
 func planWithTimeout(rules *adapterplan.Rules, window *string, earlier *adapterplan.Answer) (*adapterplan.Answer, *adapterplan.Refusal, error) {
 	type result struct {
 		answer  *adapterplan.Answer
--- a/cmd/lemonarch/lab_forecast.go
+++ b/cmd/lemonarch/lab_forecast.go
@@ -13,7 +13,7 @@
 	"lemonarch/internal/tooling/lab"
 )
 
-// forecastCasesMax bounds the cases of one call.
+// forecastCasesMax is the maximum number of cases in one run.
 const forecastCasesMax = 10_000
 
 // labForecastCommand returns the command that compares forecasts with the course of generated surges
--- a/cmd/lemonarch/lab_load.go
+++ b/cmd/lemonarch/lab_load.go
@@ -126,16 +126,16 @@
 		}
 		endpoints = append(endpoints, endpoint)
 	}
-	type driven struct {
+	type driveResult struct {
 		position int
 		result   *loadgen.Result
 		err      error
 	}
-	finished := make(chan driven, len(endpoints))
+	finished := make(chan driveResult, len(endpoints))
 	for i, endpoint := range endpoints {
 		go func() {
 			result, err := loadgen.Drive(ctx, options, endpoint, nil)
-			finished <- driven{i, result, err}
+			finished <- driveResult{i, result, err}
 		}()
 	}
 	results := make([]*loadgen.Result, len(endpoints))
--- a/cmd/lemonarch/lab_up.go
+++ b/cmd/lemonarch/lab_up.go
@@ -56,21 +56,21 @@
 
 // printSummary prints the addresses of the fleet, its process ids and example commands.
 func printSummary(writer io.Writer, fleet *lab.Fleet) {
-	card := fleet.Card()
-	fmt.Fprintf(writer, "ready: %d processes, %d emulated workers, all on loopback\n", len(card.Programs), len(card.Workers))
-	fmt.Fprintln(writer, "  requests      http://"+strings.Join(card.Ingress, " http://"))
-	fmt.Fprintln(writer, "  configuration http://"+strings.Join(card.Controls, " http://"))
+	info := fleet.Card()
+	fmt.Fprintf(writer, "ready: %d processes, %d emulated workers, all on loopback\n", len(info.Programs), len(info.Workers))
+	fmt.Fprintln(writer, "  requests      http://"+strings.Join(info.Ingress, " http://"))
+	fmt.Fprintln(writer, "  configuration http://"+strings.Join(info.Controls, " http://"))
 	fmt.Fprintln(writer, "  control       http://"+fleet.Plan.Endpoint())
 	fmt.Fprintln(writer, "  files         "+fleet.Folder)
-	names := make([]string, 0, len(card.Programs))
-	for name, id := range card.Programs {
+	names := make([]string, 0, len(info.Programs))
+	for name, id := range info.Programs {
 		names = append(names, fmt.Sprintf("%s=%d", name, id))
 	}
 	sort.Strings(names)
 	fmt.Fprintln(writer, "  processes     "+strings.Join(names, " "))
 	fmt.Fprintln(writer, "try, in another terminal:")
-	fmt.Fprintf(writer, "  curl -s -i http://%s/status/1 -H 'Host: %s' -H 'Lemonarch-Attempt-Id: first' -d hello\n", card.Ingress[0], lab.Host)
-	fmt.Fprintf(writer, "  %s shell --seed %s nodes\n", os.Args[0], card.Seed)
+	fmt.Fprintf(writer, "  curl -s -i http://%s/status/1 -H 'Host: %s' -H 'Lemonarch-Attempt-Id: first' -d hello\n", info.Ingress[0], lab.Host)
+	fmt.Fprintf(writer, "  %s shell --seed %s nodes\n", os.Args[0], info.Seed)
 	fmt.Fprintf(writer, "  %s lab load --endpoint %s\n", os.Args[0], fleet.Plan.Endpoint())
 	fmt.Fprintln(writer, "Ctrl-C ends everything.")
 }
--- a/internal/tooling/lab/endpoint.go
+++ b/internal/tooling/lab/endpoint.go
@@ -34,16 +34,16 @@
 
 // Card returns the description of the fleet.
 func (f *Fleet) Card() Card {
-	card := Card{Label: f.Plan.Label, Ingress: f.Plan.Ingress(), Controls: f.Plan.Controls(), Stride: f.Plan.shape().Stride,
+	info := Card{Label: f.Plan.Label, Ingress: f.Plan.Ingress(), Controls: f.Plan.Controls(), Stride: f.Plan.shape().Stride,
 		Routes: f.Routes(), Programs: map[string]int{}, Workers: map[string]string{},
 		Seed: f.Plan.host(constants.LabEdgeHost, 0, constants.LabInternalPort+constants.PortController)}
-	for _, process := range f.processes {
-		card.Programs[process.node.name] = process.id()
+	for _, proc := range f.processes {
+		info.Programs[proc.node.name] = proc.id()
 	}
 	for _, slot := range f.workerSlots {
-		card.Workers[slot.name] = slot.address
+		info.Workers[slot.name] = slot.address
 	}
-	return card
+	return info
 }
 
 // serveEndpoint starts the control endpoint on a loopback address.
--- a/internal/tooling/lab/families.go
+++ b/internal/tooling/lab/families.go
@@ -81,11 +81,12 @@
 	return nil
 }
 
-// firstInvalidField returns the name of the first field that is missing or out of range, or true.
+// firstInvalidField returns the name of the first field that is missing or out of range and false, or
+// true if all fields are valid.
 func (f *Family) firstInvalidField() (field string, valid bool) {
 	checks := []struct {
 		field string
-		sound bool
+		valid bool
 	}{
 		{"name", f.Name != ""}, {"workers", f.Workers > 0}, {"capacity", f.Capacity > 0}, {"target-ms", f.TargetMs > 0},
 		{"work-ms", f.Model != "" || f.WorkMs > 0}, {"cache-tokens", f.Model == "" || f.CacheTokens >= 1000},
@@ -93,7 +94,7 @@
 		{"step-each-ms", f.StepEachMs >= 0}, {"stride", f.Model == "" || f.Stride > 0}, {"gap-ms", f.GapMs >= 0},
 	}
 	for _, check := range checks {
-		if !check.sound {
+		if !check.valid {
 			return check.field, false
 		}
 	}
--- a/internal/tooling/lab/fleet.go
+++ b/internal/tooling/lab/fleet.go
@@ -135,7 +135,7 @@
 
 // retryUntil calls check every LabRetry until it succeeds. It returns the error of check if that is a
 // rejection or the deadline has passed, and the failure of a process if there is one.
-func (f *Fleet) retryUntil(ctx contexts.Context, deadline clock.Instant, condition string, check func() error) error {
+func (f *Fleet) retryUntil(ctx contexts.Context, deadline clock.Instant, activity string, check func() error) error {
 	for {
 		err := check()
 		if err == nil {
@@ -143,7 +143,7 @@
 		}
 		var rejected rejectedError
 		if errors.As(err, &rejected) || clock.Now() >= deadline {
-			return ErrInvalidLab.Wrap(err, "start failed while "+condition)
+			return ErrInvalidLab.Wrap(err, "start failed while "+activity)
 		}
 		select {
 		case err = <-f.Died:
--- a/internal/tooling/lab/plan.go
+++ b/internal/tooling/lab/plan.go
@@ -151,12 +151,12 @@
 func (p *Plan) checkAddressesFree() error {
 	addresses := append(append(p.Ingress(), p.Readiness()...), p.Controls()...)
 	addresses = append(addresses, p.Endpoint())
-	for _, process := range p.workerSlots() {
-		addresses = append(addresses, process.address)
+	for _, spec := range p.workerSlots() {
+		addresses = append(addresses, spec.address)
 	}
-	for _, process := range p.nodes() {
-		offset := map[string]int{"controller": constants.PortController, "gateway": constants.PortGateway, "store": constants.PortStore}[process.role]
-		addresses = append(addresses, net.JoinHostPort(process.address, strconv.Itoa(constants.LabInternalPort+offset)))
+	for _, spec := range p.nodes() {
+		offset := map[string]int{"controller": constants.PortController, "gateway": constants.PortGateway, "store": constants.PortStore}[spec.role]
+		addresses = append(addresses, net.JoinHostPort(spec.address, strconv.Itoa(constants.LabInternalPort+offset)))
 	}
 	for _, address := range addresses {
 		listener, err := net.Listen("tcp4", address)
--- a/internal/tooling/lab/reload_test.go
+++ b/internal/tooling/lab/reload_test.go
@@ -9,8 +9,9 @@
 	"testing"
 )
 
-// When SIGHUP arrives, the process finds the new settings file in place. Its exit after the signal (it
-// is the script that exits here) must be the only one.
+// When SIGHUP arrives, the changed settings file is already in place. A reload must not make a
+// process exit: the lab does not expect an exit after it. Here the script exits so that the test can
+// wait for it.
 func TestReloadWritesSettingsFile(t *testing.T) {
 	// If the tests run with SIGHUP ignored (nohup), their children inherit that, and a
 	// shell can't trap a signal that was ignored when it started.
--- a/internal/tooling/lab/settings.go
+++ b/internal/tooling/lab/settings.go
@@ -22,8 +22,8 @@
 	ProbePath    = "/health"
 )
 
-// nodeSettings returns the settings of one process. first is true for the first start of the process, which
-// bootstraps the fleet.
+// nodeSettings returns the settings of one process. first is true for the first start of the
+// process, in which it bootstraps the fleet.
 func (p *Plan) nodeSettings(spec node, folder string, first bool) *settings.Settings {
 	nodeSettings := &settings.Settings{NodeName: spec.machine, Role: spec.role, MachineClass: "edge", Address: spec.address, Zone: spec.zone, Region: "lab",
 		InternalPorts: []int{constants.LabInternalPort, constants.LabInternalPort + 15}, Bootstrap: first, InQuorum: spec.disk,
--- a/internal/tooling/lab/workers.go
+++ b/internal/tooling/lab/workers.go
@@ -57,31 +57,31 @@
 }
 
 // start starts a new incarnation, with a new id at the same address, unless one is running.
-func (p *workerSlot) start(record *workeremulator.Record, controls []string) error {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	if p.worker != nil {
+func (s *workerSlot) start(record *workeremulator.Record, controls []string) error {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	if s.worker != nil {
 		return nil
 	}
-	listener, err := net.Listen("tcp4", p.address)
+	listener, err := net.Listen("tcp4", s.address)
 	if err != nil {
-		return ErrInvalidLab.New(p.name + " can't listen at " + p.address + ": " + rootCause(err))
+		return ErrInvalidLab.New(s.name + " can't listen at " + s.address + ": " + rootCause(err))
 	}
-	p.incarnation++
-	nodeSettings := p.nodeSettings
-	nodeSettings.ID = fmt.Sprintf("%s-life%d", p.name, p.incarnation)
-	p.worker = workeremulator.NewWorker(nodeSettings, record, workeremulator.RealClock{}, p.seed+int64(p.incarnation)*100_000)
-	p.worker.SetFaults(p.faults)
-	p.beater = workeremulator.NewBeater(p.worker, p.address, controls)
+	s.incarnation++
+	nodeSettings := s.nodeSettings
+	nodeSettings.ID = fmt.Sprintf("%s-life%d", s.name, s.incarnation)
+	s.worker = workeremulator.NewWorker(nodeSettings, record, workeremulator.RealClock{}, s.seed+int64(s.incarnation)*100_000)
+	s.worker.SetFaults(s.faults)
+	s.beater = workeremulator.NewBeater(s.worker, s.address, controls)
 	ctx, cancel := contexts.WithCancel(contexts.Background())
-	p.cancel = cancel
-	worker, serveDone := p.worker, make(chan struct{})
-	p.serveDone = serveDone
+	s.cancel = cancel
+	worker, serveDone := s.worker, make(chan struct{})
+	s.serveDone = serveDone
 	go func() {
 		defer close(serveDone)
 		worker.Serve(listener)
 	}()
-	go p.beater.Keep(ctx, constants.LabHeartbeat)
+	go s.beater.Keep(ctx, constants.LabHeartbeat)
 	return nil
 }
 
@@ -94,39 +94,40 @@
 
 // detach removes the current incarnation from the slot, stops its heartbeats and returns it; the
 // caller must stop the worker. It returns false if none is running.
-func (p *workerSlot) detach() (incarnation workerIncarnation, running bool) {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	incarnation = workerIncarnation{p.worker, p.beater, p.serveDone}
-	if p.cancel != nil {
-		p.cancel()
+func (s *workerSlot) detach() (incarnation workerIncarnation, running bool) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	incarnation = workerIncarnation{s.worker, s.beater, s.serveDone}
+	if s.cancel != nil {
+		s.cancel()
 	}
-	p.worker, p.beater, p.cancel = nil, nil, nil
+	s.worker, s.beater, s.cancel = nil, nil, nil
 	return incarnation, incarnation.worker != nil
 }
 
-// crash ends the current incarnation abruptly, without deregistering it, and waits until its address is free.
-func (p *workerSlot) crash() {
-	if incarnation, running := p.detach(); running {
+// crash ends the current incarnation abruptly, without deregistering it, and waits until its
+// address is free.
+func (s *workerSlot) crash() {
+	if incarnation, running := s.detach(); running {
 		incarnation.worker.Crash()
 		<-incarnation.serveDone
 	}
 }
 
 // leave stops the current incarnation gracefully and waits until its address is free.
-func (p *workerSlot) leave() {
-	if incarnation, running := p.detach(); running {
+func (s *workerSlot) leave() {
+	if incarnation, running := s.detach(); running {
 		incarnation.beater.LeaveInOrder(clock.Milliseconds(constants.LabDrainMs))
 		<-incarnation.serveDone
 	}
 }
 
 // setFaults sets the faults of the worker. They also apply to later incarnations.
-func (p *workerSlot) setFaults(faults workeremulator.Faults) {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	p.faults = faults
-	if p.worker != nil {
-		p.worker.SetFaults(faults)
+func (s *workerSlot) setFaults(faults workeremulator.Faults) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.faults = faults
+	if s.worker != nil {
+		s.worker.SetFaults(faults)
 	}
 }
--- a/internal/tooling/soak/schedule.go
+++ b/internal/tooling/soak/schedule.go
@@ -82,7 +82,8 @@
 	troubles   []lab.Trouble
 }
 
-// fleetSizes generates the number of processes of each role. A third of the fleets have the maximum size.
+// fleetSizes generates the number of processes of each role. About a third of the fleets have the
+// maximum size.
 func (g *generator) fleetSizes(plan *lab.Plan, limit int) {
 	total := limit
 	if g.random.Intn(3) > 0 {
@@ -103,8 +104,8 @@
 	g.troubles = append(g.troubles, trouble)
 }
 
-// series calls a function for times that are a random gap apart, up to lastStartS. The gaps are
-// exponentially distributed; meanGap is in seconds.
+// series calls a function for a series of random times up to lastStartS. The time between two of them
+// is 0.1 s plus an exponentially distributed gap with mean meanGap; all times are in seconds.
 func (g *generator) series(meanGap float64, call func(atS float64)) {
 	for atS := 1 + g.random.ExpFloat64()*meanGap; atS < g.lastStartS; atS += 0.1 + g.random.ExpFloat64()*meanGap {
 		call(atS)
--- a/internal/tooling/soak/schedule_test.go
+++ b/internal/tooling/soak/schedule_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// Every schedule respects the bounds on fleet size and times and on what counts as planned work, and no two
-// processes with a disk are lost within the time that the repair of the first takes.
+// Every schedule respects the bounds on fleet size and times and on what counts as planned work, and no
+// two processes with a disk are lost within the time that the repair of the first takes.
 func TestScheduleBounds(t *testing.T) {
 	planned, kinds := 0, map[string]int{}
 	for seed := int64(1); seed <= 200; seed++ {
