--- a/cmd/lemonarch/assign.go
+++ b/cmd/lemonarch/assign.go
@@ -22,41 +22,41 @@
 func assignCommand() *cobra.Command {
 	options := assignOptions{}
 	command := &cobra.Command{Use: "assign FILE", Args: cobra.ExactArgs(1),
-		Short: "Turn placement rules for adapters into assignments to nodes, or name the rules that collide"}
+		Short: "Turn placement rules for adapters into assignments to nodes, or list the rules that conflict"}
 	command.AddCommand(applyCommand())
-	command.Flags().StringVar(&options.window, "window", "", "plan only this window")
-	command.Flags().StringVar(&options.keep, "keep", "", "an earlier answer (JSON), of which as much stays as can")
+	command.Flags().StringVar(&options.window, "window", "", "plan this window only")
+	command.Flags().StringVar(&options.keep, "keep", "", "file with an earlier plan (JSON); its assignments are kept where the rules allow")
 	command.Flags().StringVar(&options.format, "output", "json", "table or json")
 	command.RunE = func(command *cobra.Command, arguments []string) error {
-		var only *string
+		var window *string
 		if command.Flags().Changed("window") {
-			only = &options.window
+			window = &options.window
 		}
-		return assign(command.OutOrStdout(), command.ErrOrStderr(), arguments[0], only, options)
+		return assign(command.OutOrStdout(), command.ErrOrStderr(), arguments[0], window, options)
 	}
 	return command
 }
 
-// readRules gives the rules of a file; findings go to the writer, one a line.
-func readRules(path string, complaints io.Writer) (*adapterplan.Rules, []byte, error) {
+// readRules reads and checks a rules file. It writes findings and notes to diagnostics, one per line.
+func readRules(path string, diagnostics io.Writer) (*adapterplan.Rules, []byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, nil, exitError{exitUnusable, err.Error()}
 	}
 	rules, findings := adapterplan.Read(text)
 	for _, finding := range findings {
-		fmt.Fprintln(complaints, path+": "+finding)
+		fmt.Fprintln(diagnostics, path+": "+finding)
 	}
 	if len(findings) > 0 {
 		return nil, nil, exitError{exitInvalid, fmt.Sprintf("%s is not valid, findings=%d", path, len(findings))}
 	}
-	for _, notes := range rules.Notes() {
-		fmt.Fprintln(complaints, path+": note: "+notes)
+	for _, note := range rules.Notes() {
+		fmt.Fprintln(diagnostics, path+": note: "+note)
 	}
 	return rules, text, nil
 }
 
-func assign(writer, complaints io.Writer, path string, only *string, options assignOptions) error {
+func assign(writer, diagnostics io.Writer, path string, window *string, options assignOptions) error {
 	if err := checkFormat(options.format); err != nil {
 		return err
 	}
@@ -70,20 +70,21 @@
 			return exitError{exitUnusable, "--keep " + options.keep + ": " + strings.ReplaceAll(err.Error(), "\n", " ")}
 		}
 	}
-	rules, _, err := readRules(path, complaints)
+	rules, _, err := readRules(path, diagnostics)
 	if err != nil {
 		return err
 	}
-	answer, refusal, err := planned(rules, only, earlier)
+	answer, refusal, err := planWithTimeout(rules, window, earlier)
 	if err != nil {
 		return err
 	}
 	return printPlan(writer, answer, refusal, options.format)
 }
 
-// planned plans within a bound of time: the question is as hard as questions get,
-// and an operator before a window needs to be told so in time.
-func planned(rules *adapterplan.Rules, only *string, earlier *adapterplan.Answer) (*adapterplan.Answer, *adapterplan.Refusal, error) {
+// planWithTimeout stops waiting for a plan after constants.PlanTime. Planning is a computationally hard
+// problem that may take arbitrarily long, and an operator who prepares a window must learn in
+// time that there is no result.
+func planWithTimeout(rules *adapterplan.Rules, window *string, earlier *adapterplan.Answer) (*adapterplan.Answer, *adapterplan.Refusal, error) {
 	type result struct {
 		answer  *adapterplan.Answer
 		refusal *adapterplan.Refusal
@@ -91,27 +92,27 @@
 	}
 	done := make(chan result, 1)
 	go func() {
-		entry := result{}
-		entry.answer, entry.refusal, _, entry.err = adapterplan.Plan(rules, only, earlier)
-		done <- entry
+		planned := result{}
+		planned.answer, planned.refusal, _, planned.err = adapterplan.Plan(rules, window, earlier)
+		done <- planned
 	}()
 	timer := clock.NewTimer(constants.PlanTime)
 	defer timer.Stop()
 	select {
-	case entry := <-done:
-		if errs.Is(entry.err, adapterplan.ErrInvalidCall) {
-			return nil, nil, exitError{exitUnusable, "--window: " + entry.err.Error()}
+	case planned := <-done:
+		if errs.Is(planned.err, adapterplan.ErrInvalidCall) {
+			return nil, nil, exitError{exitUnusable, "--window: " + planned.err.Error()}
 		}
-		if entry.err != nil {
-			return nil, nil, exitError{exitUnusable, entry.err.Error()}
+		if planned.err != nil {
+			return nil, nil, exitError{exitUnusable, planned.err.Error()}
 		}
-		return entry.answer, entry.refusal, nil
+		return planned.answer, planned.refusal, nil
 	case <-timer.C:
-		return nil, nil, exitError{exitUnusable, "not decided within " + constants.PlanTime.String()}
+		return nil, nil, exitError{exitUnusable, "planning timed out after " + constants.PlanTime.String()}
 	}
 }
 
-// printPlan writes the answer, or the refusal with its exit code.
+// printPlan writes the answer, or writes the refusal and returns the error with its exit code.
 func printPlan(writer io.Writer, answer *adapterplan.Answer, refusal *adapterplan.Refusal, format string) error {
 	if refusal != nil {
 		if format == "table" {
@@ -119,7 +120,7 @@
 		} else if err := adapterplan.JSON(writer, refusal); err != nil {
 			return err
 		}
-		return exitError{exitInvalid, fmt.Sprintf("the rules can't all be met, collisions=%d", len(refusal.Collisions))}
+		return exitError{exitInvalid, fmt.Sprintf("the rules conflict, collisions=%d", len(refusal.Collisions))}
 	}
 	if format == "table" {
 		answer.Table(writer)
--- a/internal/tooling/fleetshell/fleetshell_test.go
+++ b/internal/tooling/fleetshell/fleetshell_test.go
@@ -11,7 +11,7 @@
 	"lemonarch/internal/platform/transport"
 )
 
-func fleet(t *testing.T) (*transport.MemoryNetwork, transport.Transport) {
+func newTestFleet(t *testing.T) (*transport.MemoryNetwork, transport.Transport) {
 	t.Helper()
 
 	network := transport.NewMemoryNetwork()
@@ -35,7 +35,7 @@
 }
 
 func TestTimeoutIsShown(t *testing.T) {
-	network, transport := fleet(t)
+	network, transport := newTestFleet(t)
 	network.SetPartitioned("forge/b:1", true)
 	shell, err := New(transport, "forge/a:1", clock.Milliseconds(200))
 	if err != nil {
@@ -54,15 +54,15 @@
 		t.Fatal(list.String())
 	}
 	if responses, _ = shell.Query("nodes"); responses[0].Status.Rows[2][0] != "store/c" {
-		t.Fatal("the role's word on the wire is shown", responses)
+		t.Fatal("the role's name on the wire is shown instead of the program name", responses)
 	}
 	if responses, _ = shell.Query("lots"); len(responses) != 1 || responses[0].Process != "store/c" {
 		t.Fatal(responses)
 	}
 }
 
-func TestBadCalls(t *testing.T) {
-	_, transport := fleet(t)
+func TestInvalidCalls(t *testing.T) {
+	_, transport := newTestFleet(t)
 	if _, err := New(transport, "nowhere", 1); !errs.Is(err, ErrInvalidCall) {
 		t.Fatal(err)
 	}
@@ -70,8 +70,8 @@
 	if _, err := shell.Query("weather"); !errs.Is(err, ErrInvalidCall) {
 		t.Fatal(err)
 	}
-	lost, _ := New(transport, "forge/z:1", clock.Milliseconds(200))
-	if _, err := lost.Query("nodes"); !errs.Is(err, ErrNoFleet) {
+	unreachable, _ := New(transport, "forge/z:1", clock.Milliseconds(200))
+	if _, err := unreachable.Query("nodes"); !errs.Is(err, ErrNoFleet) {
 		t.Fatal(err)
 	}
 }
--- a/internal/tooling/fleetshell/names.go
+++ b/internal/tooling/fleetshell/names.go
@@ -6,8 +6,8 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// named puts the names of programs in the place of the roles' words on the wire.
-func named(responses []Response) []Response {
+// translateRoles replaces the roles' names on the wire by the names of the programs.
+func translateRoles(responses []Response) []Response {
 	for i := range responses {
 		resp := &responses[i]
 		resp.Process = processName(resp.Process)
@@ -20,8 +20,8 @@
 	return responses
 }
 
-// processName gives the name of a process, role/machine, for people. Anything else stays
-// as it is.
+// processName translates the key of a process, role/machine, to its displayed name. Any other text is
+// returned unchanged.
 func processName(key string) string {
 	role, machine, found := strings.Cut(key, "/")
 	if !found {
--- a/internal/tooling/lab/lab_test.go
+++ b/internal/tooling/lab/lab_test.go
@@ -18,7 +18,7 @@
 	"lemonarch/internal/platform/settings"
 )
 
-// programs makes a folder of programs out of shell scripts.
+// programs creates a folder in which every program is the given shell script.
 func programs(t *testing.T, script string) string {
 	t.Helper()
 
@@ -31,44 +31,44 @@
 	return folder
 }
 
-// ownNetwork gives addresses that no other run of the tests on this machine has: whoever
-// holds the last one of them has them all, until the test is over.
+// ownNetwork returns a network that no other test run on this machine uses. The run that listens on the
+// network's last address owns all of its addresses until the test ends.
 func ownNetwork(t *testing.T) string {
 	t.Helper()
 
 	const tries = 1000
 	for number := os.Getpid(); number < os.Getpid()+tries; number++ {
 		network := fmt.Sprintf("127.%d.%d", 1+number/256%250, number%256)
-		claim, err := net.Listen("tcp4", network+".254:7099")
+		listener, err := net.Listen("tcp4", network+".254:7099")
 		if err == nil {
-			t.Cleanup(func() { claim.Close() })
+			t.Cleanup(func() { listener.Close() })
 			return network
 		}
 	}
-	t.Skip("this machine has no such addresses")
+	t.Skip("no free loopback network on this machine")
 	return ""
 }
 
-// Every process of every shape gets settings that the daemons take, and no two
-// processes share an address.
-func TestSettingsAreTaken(t *testing.T) {
+// Every process of plans of several sizes gets settings that the daemons accept, and no two processes
+// of a role share an address.
+func TestSettingsAreValid(t *testing.T) {
 	for _, counts := range [][4]int{{1, 1, 1, 1}, {2, 3, 3, 2}, {5, 9, 4, 3}, {1, 5, 7, 9}} {
 		plan := NewPlan()
 		plan.Gateways, plan.Controllers, plan.Stores, plan.Zones = counts[0], counts[1], counts[2], counts[3]
 		folder := t.TempDir()
-		observed := map[string]bool{}
-		for _, entry := range plan.nodes() {
-			path, err := plan.write(entry, folder, true)
+		addressesSeen := map[string]bool{}
+		for _, target := range plan.nodes() {
+			path, err := plan.writeSettings(target, folder, true)
 			if err != nil {
 				t.Fatal(err)
 			}
 			nodeSettings, err := settings.LoadFile(path)
-			if err != nil || nodeSettings.NodeName != entry.machine || nodeSettings.Zone != entry.zone || observed[entry.role+nodeSettings.Address] {
-				t.Fatal(entry, nodeSettings, err)
+			if err != nil || nodeSettings.NodeName != target.machine || nodeSettings.Zone != target.zone || addressesSeen[target.role+nodeSettings.Address] {
+				t.Fatal(target, nodeSettings, err)
 			}
-			observed[entry.role+nodeSettings.Address] = true
+			addressesSeen[target.role+nodeSettings.Address] = true
 			if budget := nodeSettings.FaultBudget.Machines; 2*budget+1 > min(plan.Controllers, plan.Stores) {
-				t.Fatal("more may be lost than half of the set", budget)
+				t.Fatal("fault budget is not less than half of the smaller set", budget)
 			}
 		}
 	}
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestPlansThatCanNotBe(t *testing.T) {
+func TestInvalidPlans(t *testing.T) {
 	for want, change := range map[string]func(plan *Plan){
 		"gateways":     func(plan *Plan) { plan.Gateways = 0 },
 		"controllers":  func(plan *Plan) { plan.Controllers = -1 },
@@ -107,8 +107,8 @@
 	}
 }
 
-// A busy address is named before anything starts.
-func TestBusyAddressIsNamed(t *testing.T) {
+// The error of a start names an address in use, before anything is started.
+func TestBusyAddressIsReported(t *testing.T) {
 	plan := NewPlan()
 	plan.Network, plan.Programs = ownNetwork(t), programs(t, "exec sleep 60")
 	busy := plan.Ingress()[1]
@@ -126,9 +126,9 @@
 	}
 }
 
-// A process that dies at the start is named with its last words, and the others are
-// ended by their ids.
-func TestDyingChildEndsTheStart(t *testing.T) {
+// If a process exits during the start, the error contains its name and the last line of its log, and the
+// other processes are stopped by their ids.
+func TestExitedChildFailsStart(t *testing.T) {
 	plan := NewPlan()
 	plan.Network, plan.Programs = ownNetwork(t), programs(t, "exec sleep 60")
 	dying := filepath.Join(plan.Programs, "store")
@@ -143,26 +143,26 @@
 	if err == nil || !strings.Contains(err.Error(), "store-") || !strings.Contains(err.Error(), "the disk is gone") {
 		t.Fatal(err)
 	}
-	// Stop waits for each child, so the addresses are free and a new start could begin.
-	if err = plan.free(); err != nil {
+	// Stop waits for each child, so the addresses are free for a new start.
+	if err = plan.checkAddressesFree(); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// A start that is called off ends what it has begun.
-func TestStartThatIsCalledOff(t *testing.T) {
+// A start whose context is cancelled stops what it has started.
+func TestCancelledStart(t *testing.T) {
 	plan := NewPlan()
 	plan.Network, plan.Programs = ownNetwork(t), programs(t, "exec sleep 60")
-	called, halt := contexts.WithCancel(contexts.Background())
-	halt()
-	fleet, err := Start(called, plan, t.TempDir())
+	ctx, cancel := contexts.WithCancel(contexts.Background())
+	cancel()
+	fleet, err := Start(ctx, plan, t.TempDir())
 	if err == nil {
 		fleet.Stop()
 	}
 	if err == nil || !strings.Contains(err.Error(), "stopped") {
 		t.Fatal(err)
 	}
-	if err = plan.free(); err != nil {
+	if err = plan.checkAddressesFree(); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -170,27 +170,27 @@
 func TestStoppedProcessesEnd(t *testing.T) {
 	plan := NewPlan()
 	plan.Programs = programs(t, "exec sleep 60")
-	died := make(chan error, 4)
-	for _, end := range []func(*process){(*process).stop, (*process).kill} {
-		entry := newProcess(&plan, plan.nodes()[0], t.TempDir(), newStarter())
-		if err := entry.run(func(err error) { died <- err }); err != nil {
+	failures := make(chan error, 4)
+	for _, endProcess := range []func(*process){(*process).stop, (*process).kill} {
+		target := newProcess(&plan, plan.nodes()[0], t.TempDir(), newStarter())
+		if err := target.run(func(err error) { failures <- err }); err != nil {
 			t.Fatal(err)
 		}
-		id := entry.id()
-		end(entry)
+		id := target.id()
+		endProcess(target)
 		if _, err := os.Stat("/proc/" + strconv.Itoa(id)); err == nil {
-			t.Fatal("still there", id)
+			t.Fatal("process still exists, id", id)
 		}
 	}
 	select {
-	case err := <-died:
-		t.Fatal("what the lab ends itself is no death", err)
+	case err := <-failures:
+		t.Fatal("a process stopped by the lab was reported as a failure", err)
 	default:
 	}
 }
 
-// Each change goes on top of the one before, and a refusal is final.
-func TestOperatorBuildsOnTheLast(t *testing.T) {
+// Each change is based on the previous generation, and a rejection is not retried.
+func TestOperatorSendsNextGeneration(t *testing.T) {
 	var bases, bodies []string
 	status := http.StatusOK
 	control := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -202,7 +202,7 @@
 	defer control.Close()
 	plan := NewPlan()
 	operator := operator{controls: []string{control.Listener.Addr().String()}}
-	if err := operator.first(plan.firstConfiguration()); err != nil {
+	if err := operator.sendFirst(plan.firstConfiguration()); err != nil {
 		t.Fatal(err)
 	}
 	for next := int64(2); next < 4; next++ {
@@ -215,8 +215,8 @@
 	}
 	status = http.StatusPreconditionFailed
 	if _, err := operator.addRoute(); err == nil {
-		t.Fatal("a refusal passed for a success")
-	} else if final := refused(""); !errors.As(err, &final) {
+		t.Fatal("a rejected configuration was reported as accepted")
+	} else if rejected := rejectedError(""); !errors.As(err, &rejected) {
 		t.Fatal(err)
 	}
 }
