--- a/internal/tooling/crowd/control_test.go
+++ b/internal/tooling/crowd/control_test.go
@@ -26,45 +26,45 @@
 	request.Content = []byte(configuration(1))
 	padding := strings.Repeat(" ", bodyBytes-len(request.Content))
 	request.Content = append(request.Content, padding...)
-	f.outlasts(t, f.control(), crowdMembers, request)
+	f.checkWithCrowd(t, f.control(), crowdMembers, request)
 }
 
 func TestControlOutlastsBodiesThatStopShort(t *testing.T) {
 	f := startFleet(t)
-	f.outlasts(t, f.control(), crowdMembers, stopShort(replace(FramingLength)))
+	f.checkWithCrowd(t, f.control(), crowdMembers, stopShort(replace(FramingLength)))
 }
 
 func TestControlOutlastsBodiesOverTheLimit(t *testing.T) {
 	f := startFleet(t)
 	request := replace(FramingChunked)
 	request.ChunkBytes, request.Bytes, request.StayOpen = 64<<10, 32*bodyBytes, true
-	f.outlasts(t, f.control(), 64, request)
+	f.checkWithCrowd(t, f.control(), 64, request)
 }
 
 func TestControlOutlastsSmallChunks(t *testing.T) {
 	f := startFleet(t)
 	request := stopShort(replace(FramingChunked))
 	request.ChunkBytes, request.Bytes = 1, smallChunksBytes
-	f.outlasts(t, f.control(), crowdMembers, request)
+	f.checkWithCrowd(t, f.control(), crowdMembers, request)
 }
 
 func TestControlOutlastsHeartbeatsThatStopShort(t *testing.T) {
 	f := startFleet(t)
 	request := stopShort(replace(FramingLength))
 	request.Path, request.Announced, request.Bytes = "/-/Workers.Heartbeat/w", 60<<10, 50<<10
-	f.outlasts(t, f.control(), crowdMembers, request)
+	f.checkWithCrowd(t, f.control(), crowdMembers, request)
 }
 
 func TestControlOutlastsHeadsThatStopShort(t *testing.T) {
 	f := startFleet(t)
 	request := replace(FramingNone)
 	request.Headers, request.HeadOnly, request.StayOpen = manyHeaders(512<<10), true, true
-	f.outlasts(t, f.control(), crowdMembers, request)
+	f.checkWithCrowd(t, f.control(), crowdMembers, request)
 }
 
 func TestControlOutlastsSilentConnections(t *testing.T) {
 	f := startFleet(t)
-	f.outlasts(t, f.control(), 2*fileHandles, Request{Silent: true, StayOpen: true})
+	f.checkWithCrowd(t, f.control(), 2*fileHandles, Request{Silent: true, StayOpen: true})
 }
 
 // One body that costs far more to check than to send: routes that share nothing but their fault.
@@ -72,7 +72,7 @@
 	f := startFleet(t)
 	request := replace(FramingLength)
 	request.Content = []byte(strings.Repeat("[", bodyBytes))
-	f.outlasts(t, f.control(), crowdMembers/8, request)
+	f.checkWithCrowd(t, f.control(), crowdMembers/8, request)
 }
 
 func TestControlOutlastsConfigurationsOfManyRoutes(t *testing.T) {
@@ -85,23 +85,23 @@
 	request := replace(FramingLength)
 	request.Content = []byte(`{"generation":2,"channels":[` + strings.Join(routes, ",") + `],"backends":[]}`)
 	request.Announced, request.Bytes = int64(len(request.Content)), int64(len(request.Content))
-	f.outlasts(t, f.control(), 8, request)
+	f.checkWithCrowd(t, f.control(), 8, request)
 }
 
 func TestReadinessOutlastsHeadsThatStopShort(t *testing.T) {
 	f := startFleet(t)
 	request := Request{Method: http.MethodGet, Path: "/-/readiness", Host: "ready", Headers: manyHeaders(512 << 10), HeadOnly: true, StayOpen: true}
-	f.outlasts(t, f.readiness(), crowdMembers, request)
+	f.checkWithCrowd(t, f.readiness(), crowdMembers, request)
 }
 
 func TestReadinessOutlastsBodies(t *testing.T) {
 	f := startFleet(t)
 	request := stopShort(replace(FramingLength))
 	request.Path = "/-/readiness"
-	f.outlasts(t, f.readiness(), crowdMembers, request)
+	f.checkWithCrowd(t, f.readiness(), crowdMembers, request)
 }
 
 func TestReadinessOutlastsSilentConnections(t *testing.T) {
 	f := startFleet(t)
-	f.outlasts(t, f.readiness(), 2*fileHandles, Request{Silent: true, StayOpen: true})
+	f.checkWithCrowd(t, f.readiness(), 2*fileHandles, Request{Silent: true, StayOpen: true})
 }
--- a/internal/tooling/crowd/crowd.go
+++ b/internal/tooling/crowd/crowd.go
@@ -57,7 +57,7 @@
 		c.ended.Add(1)
 		go func() {
 			defer c.ended.Done()
-			c.play(number)
+			c.runMember(number)
 		}()
 	}
 }
@@ -102,20 +102,20 @@
 }
 
 // play is one member's life: a connection, and further ones where it is refused.
-func (c *Crowd) play(number int) {
+func (c *Crowd) runMember(number int) {
 	settled := sync.OnceFunc(c.settled.Done)
 	defer settled()
 	end := clock.Now().Add(settleTimeout)
 	for round := 0; round <= c.Rounds && clock.Now() < end; round++ {
 		connection, err := net.DialTimeout("tcp4", c.Address, dialTimeout)
-		if err != nil || !c.admit(connection) {
+		if err != nil || !c.addConnection(connection) {
 			if err == nil {
 				connection.Close()
 			}
 			continue
 		}
 		c.exchange(connection, number, round, settled)
-		c.release(connection)
+		c.removeConnection(connection)
 	}
 }
 
@@ -128,18 +128,18 @@
 	over := make(chan struct{})
 	go func() {
 		defer close(over)
-		c.readAnswers(connection)
+		c.readResponses(connection)
 	}()
 	err := c.Request.write(connection, strconv.Itoa(number)+"-"+strconv.Itoa(round))
 	if c.Request.StayOpen && (err == nil || errors.Is(err, os.ErrDeadlineExceeded)) {
 		settled()
-		c.Request.creep(connection, over)
+		c.Request.trickle(connection, over)
 	}
 	<-over
 }
 
 // readAnswers counts the answers of a connection until it ends.
-func (c *Crowd) readAnswers(connection net.Conn) {
+func (c *Crowd) readResponses(connection net.Conn) {
 	reader := bufio.NewReader(connection)
 	status := statusNone
 	for {
@@ -170,7 +170,7 @@
 }
 
 // admit notes a connection; false once the crowd is closed.
-func (c *Crowd) admit(connection net.Conn) bool {
+func (c *Crowd) addConnection(connection net.Conn) bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if !c.closed {
@@ -179,7 +179,7 @@
 	return !c.closed
 }
 
-func (c *Crowd) release(connection net.Conn) {
+func (c *Crowd) removeConnection(connection net.Conn) {
 	connection.Close()
 	c.lock.Lock()
 	defer c.lock.Unlock()
--- a/internal/tooling/crowd/harness_test.go
+++ b/internal/tooling/crowd/harness_test.go
@@ -131,7 +131,7 @@
 // outlasts plays a crowd against a listener. While the crowd is still there, every listener must
 // answer one ordinary request; then the process must still live, and must have stayed inside what
 // its settings grant.
-func (f *fleet) outlasts(t *testing.T, at target, members int, request Request) {
+func (f *fleet) checkWithCrowd(t *testing.T, at target, members int, request Request) {
 	t.Helper()
 
 	crowd := &Crowd{Address: at.address, Members: members, Rounds: 2, Request: request}
@@ -142,7 +142,7 @@
 	crowd.Start()
 	crowd.AwaitSettled()
 	t.Logf("settled: open=%d statuses=%v", crowd.Open(), crowd.Statuses())
-	f.answersOrdinaryRequests(t)
+	f.checkOrdinaryRequests(t)
 	crowd.Close()
 	select {
 	case died := <-f.Died:
@@ -150,17 +150,17 @@
 	default:
 	}
 	for program, watch := range watches {
-		checkCost(t, program, watch.Stop())
+		checkPeakUsage(t, program, watch.Stop())
 	}
 }
 
-func checkCost(t *testing.T, program string, cost Cost) {
+func checkPeakUsage(t *testing.T, program string, cost PeakUsage) {
 	t.Helper()
 
 	const bound = memoryMB * 1_000_000
-	t.Logf("%s: resident=%.1f MB unread=%.1f MB both=%.1f MB descriptors=%d", program, megabytes(cost.Resident), megabytes(cost.Unread), megabytes(cost.Both), cost.Descriptors)
-	if cost.Resident > bound || cost.Both > bound {
-		t.Errorf("%s used %.1f MB resident, %.1f MB with unread bytes; memory-mb is %d", program, megabytes(cost.Resident), megabytes(cost.Both), memoryMB)
+	t.Logf("%s: resident=%.1f MB unread=%.1f MB both=%.1f MB descriptors=%d", program, megabytes(cost.Resident), megabytes(cost.Unread), megabytes(cost.Combined), cost.Descriptors)
+	if cost.Resident > bound || cost.Combined > bound {
+		t.Errorf("%s used %.1f MB resident, %.1f MB with unread bytes; memory-mb is %d", program, megabytes(cost.Resident), megabytes(cost.Combined), memoryMB)
 	}
 	if cost.Descriptors > fileHandles {
 		t.Errorf("%s had %d descriptors open; file-handles is %d", program, cost.Descriptors, fileHandles)
@@ -170,19 +170,19 @@
 func megabytes(bytes int64) float64 { return float64(bytes) / 1e6 }
 
 // answersOrdinaryRequests makes one ordinary request at each listener.
-func (f *fleet) answersOrdinaryRequests(t *testing.T) {
+func (f *fleet) checkOrdinaryRequests(t *testing.T) {
 	t.Helper()
 
 	edge := "http://" + f.Plan.Ingress()[0]
-	f.answers(t, http.MethodPost, edge+"/status/1", bytes.Repeat([]byte("o"), 2<<10))
-	f.answers(t, http.MethodPost, edge+"/status/2", bytes.Repeat([]byte("o"), 100<<10))
-	f.answers(t, http.MethodGet, "http://"+f.Plan.Readiness()[0]+"/-/readiness", nil)
-	f.answers(t, http.MethodGet, "http://"+f.Plan.Controls()[0]+"/-/Configuration.Read", nil)
+	f.checkServed(t, http.MethodPost, edge+"/status/1", bytes.Repeat([]byte("o"), 2<<10))
+	f.checkServed(t, http.MethodPost, edge+"/status/2", bytes.Repeat([]byte("o"), 100<<10))
+	f.checkServed(t, http.MethodGet, "http://"+f.Plan.Readiness()[0]+"/-/readiness", nil)
+	f.checkServed(t, http.MethodGet, "http://"+f.Plan.Controls()[0]+"/-/Configuration.Read", nil)
 }
 
 // answers makes one ordinary request, again after a failure or a refusal, as the pages say that
 // callers do: each try on a new connection with an id of its own.
-func (f *fleet) answers(t *testing.T, method, url string, body []byte) {
+func (f *fleet) checkServed(t *testing.T, method, url string, body []byte) {
 	t.Helper()
 
 	client := http.Client{Timeout: callerTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
--- a/internal/tooling/crowd/ingress_test.go
+++ b/internal/tooling/crowd/ingress_test.go
@@ -36,71 +36,71 @@
 
 func TestIngressOutlastsWholeBodies(t *testing.T) {
 	f := startFleet(t)
-	f.outlasts(t, f.ingress(), crowdMembers, post("status", FramingLength))
+	f.checkWithCrowd(t, f.ingress(), crowdMembers, post("status", FramingLength))
 }
 
 func TestIngressOutlastsWholePrompts(t *testing.T) {
 	f := startFleet(t)
-	f.outlasts(t, f.ingress(), crowdMembers, post("query", FramingLength))
+	f.checkWithCrowd(t, f.ingress(), crowdMembers, post("query", FramingLength))
 }
 
 func TestIngressOutlastsBodiesThatStopShort(t *testing.T) {
 	f := startFleet(t)
-	f.outlasts(t, f.ingress(), crowdMembers, stopShort(post("status", FramingLength)))
+	f.checkWithCrowd(t, f.ingress(), crowdMembers, stopShort(post("status", FramingLength)))
 }
 
 func TestIngressOutlastsJobsThatStopShort(t *testing.T) {
 	f := startFleet(t)
-	f.outlasts(t, f.ingress(), crowdMembers, stopShort(post("batch", FramingLength)))
+	f.checkWithCrowd(t, f.ingress(), crowdMembers, stopShort(post("batch", FramingLength)))
 }
 
 func TestIngressOutlastsBodiesInPieces(t *testing.T) {
 	f := startFleet(t)
 	request := stopShort(post("status", FramingLength))
 	request.PieceBytes, request.PauseMs = 32<<10, 20
-	f.outlasts(t, f.ingress(), crowdMembers, request)
+	f.checkWithCrowd(t, f.ingress(), crowdMembers, request)
 }
 
 // A body that still grows, by a byte now and then, has not stopped.
 func TestIngressOutlastsBodiesThatCreep(t *testing.T) {
 	f := startFleet(t)
 	request := post("status", FramingLength)
-	request.Bytes, request.StayOpen, request.CreepBytes, request.CreepMs = bodyBytes-2000, true, 1000, 50
-	f.outlasts(t, f.ingress(), crowdMembers, request)
+	request.Bytes, request.StayOpen, request.TrickleBytes, request.TrickleMs = bodyBytes-2000, true, 1000, 50
+	f.checkWithCrowd(t, f.ingress(), crowdMembers, request)
 }
 
 func TestIngressOutlastsAnnouncedBodiesOverTheLimit(t *testing.T) {
 	f := startFleet(t)
 	request := post("status", FramingLength)
 	request.Announced, request.Bytes, request.StayOpen = 1<<40, 4*bodyBytes, true
-	f.outlasts(t, f.ingress(), crowdMembers, request)
+	f.checkWithCrowd(t, f.ingress(), crowdMembers, request)
 }
 
 func TestIngressOutlastsSentBodiesOverTheLimit(t *testing.T) {
 	f := startFleet(t)
 	request := post("status", FramingChunked)
 	request.ChunkBytes, request.Bytes, request.StayOpen = 64<<10, 4*bodyBytes, true
-	f.outlasts(t, f.ingress(), crowdMembers, request)
+	f.checkWithCrowd(t, f.ingress(), crowdMembers, request)
 }
 
 func TestIngressOutlastsLargeChunks(t *testing.T) {
 	f := startFleet(t)
 	request := stopShort(post("status", FramingChunked))
 	request.ChunkBytes, request.Bytes = 256<<10, bodyBytes-256<<10
-	f.outlasts(t, f.ingress(), crowdMembers, request)
+	f.checkWithCrowd(t, f.ingress(), crowdMembers, request)
 }
 
 func TestIngressOutlastsSmallChunks(t *testing.T) {
 	f := startFleet(t)
 	request := stopShort(post("status", FramingChunked))
 	request.ChunkBytes, request.Bytes = 1, smallChunksBytes
-	f.outlasts(t, f.ingress(), crowdMembers, request)
+	f.checkWithCrowd(t, f.ingress(), crowdMembers, request)
 }
 
 // A body where nobody reads it: there is no route, or the call has none.
 func TestIngressOutlastsBodiesWithoutARoute(t *testing.T) {
 	f := startFleet(t)
-	f.outlasts(t, f.ingress(), crowdMembers, stopShort(post("nowhere", FramingLength)))
+	f.checkWithCrowd(t, f.ingress(), crowdMembers, stopShort(post("nowhere", FramingLength)))
 }
 
 // manyHeaders is a head of many short lines, nearly as long as is allowed.
@@ -117,12 +117,12 @@
 	f := startFleet(t)
 	request := post("status", FramingNone)
 	request.Headers, request.HeadOnly, request.StayOpen = manyHeaders(headerBytes), true, true
-	f.outlasts(t, f.ingress(), crowdMembers, request)
+	f.checkWithCrowd(t, f.ingress(), crowdMembers, request)
 }
 
 func TestIngressOutlastsSilentConnections(t *testing.T) {
 	f := startFleet(t)
-	f.outlasts(t, f.ingress(), 2*fileHandles, Request{Silent: true, StayOpen: true})
+	f.checkWithCrowd(t, f.ingress(), 2*fileHandles, Request{Silent: true, StayOpen: true})
 }
 
 // job is a job whose items fill a body of the largest allowed length.
@@ -141,7 +141,7 @@
 	request := post("batch", FramingLength)
 	request.Content = job(8)
 	request.Announced, request.Bytes = int64(len(request.Content)), int64(len(request.Content))
-	f.outlasts(t, f.ingress(), crowdMembers, request)
+	f.checkWithCrowd(t, f.ingress(), crowdMembers, request)
 }
 
 // A job of allowed length that names far more items than a job may have.
@@ -150,7 +150,7 @@
 	request := post("batch", FramingLength)
 	request.Content = []byte(`{"requests":[` + strings.Repeat("{},", (bodyBytes-20)/3) + `{}]}`)
 	request.Announced, request.Bytes = int64(len(request.Content)), int64(len(request.Content))
-	f.outlasts(t, f.ingress(), crowdMembers/4, request)
+	f.checkWithCrowd(t, f.ingress(), crowdMembers/4, request)
 }
 
 // A prompt of as many parts as a head has room for, unlike any other from its first part on.
@@ -160,5 +160,5 @@
 	request.Announced, request.Bytes = 0, 0
 	parts := strings.Repeat(",a:1", (headerBytes-512)/len(",a:1"))
 	request.Headers = append(request.Headers, "Lemonarch-Prompt-Prefix: {attempt}:1"+parts)
-	f.outlasts(t, f.ingress(), crowdMembers, request)
+	f.checkWithCrowd(t, f.ingress(), crowdMembers, request)
 }
--- a/internal/tooling/crowd/request.go
+++ b/internal/tooling/crowd/request.go
@@ -23,7 +23,7 @@
 )
 
 // attemptMark stands in a head for the member's number, so that no two requests share an id.
-const attemptMark = "{attempt}"
+const attemptPlaceholder = "{attempt}"
 
 // writeBytes is how much a member writes at a time.
 const writeBytes = 64 << 10
@@ -46,8 +46,8 @@
 	PauseMs    float64
 	// CreepBytes are sent one by one after Bytes, a pause of CreepMs between them, by a member that
 	// stays open.
-	CreepBytes int
-	CreepMs    float64
+	TrickleBytes int
+	TrickleMs    float64
 	// HeadOnly leaves out the empty line that ends the head; no body follows.
 	HeadOnly bool
 	// StayOpen keeps the connection until the other side ends it.
@@ -107,7 +107,7 @@
 	text := &strings.Builder{}
 	fmt.Fprintf(text, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.Path, r.Host)
 	for _, line := range r.Headers {
-		text.WriteString(strings.ReplaceAll(line, attemptMark, attempt) + "\r\n")
+		text.WriteString(strings.ReplaceAll(line, attemptPlaceholder, attempt) + "\r\n")
 	}
 	switch r.Framing {
 	case FramingLength:
@@ -123,16 +123,16 @@
 }
 
 // creep sends single bytes until they are all sent or the connection is over.
-func (r *Request) creep(connection net.Conn, over <-chan struct{}) {
+func (r *Request) trickle(connection net.Conn, over <-chan struct{}) {
 	text := []byte("x")
 	if r.Framing == FramingChunked {
 		text = []byte("1\r\nx\r\n")
 	}
-	for range r.CreepBytes {
+	for range r.TrickleBytes {
 		select {
 		case <-over:
 			return
-		case <-clock.After(clock.Milliseconds(r.CreepMs)):
+		case <-clock.After(clock.Milliseconds(r.TrickleMs)):
 		}
 		if _, err := connection.Write(text); err != nil {
 			return
--- a/internal/tooling/crowd/watch.go
+++ b/internal/tooling/crowd/watch.go
@@ -14,13 +14,13 @@
 const watchPeriodMs = 10
 
 // Cost is the most that a process was seen to use.
-type Cost struct {
+type PeakUsage struct {
 	// Resident is the peak of its resident memory in bytes, as the system tells it.
 	Resident int64
 	// Unread is the most bytes that had arrived on its connections and were not yet read.
 	Unread int64
 	// Both is the most that resident memory and unread bytes made together at one look.
-	Both int64
+	Combined int64
 	// Descriptors is the most that were open.
 	Descriptors int
 }
@@ -33,7 +33,7 @@
 	ports   map[string]bool
 	stop    chan struct{}
 	done    chan struct{}
-	cost    Cost
+	usage    PeakUsage
 }
 
 // NewWatch begins to watch a process that listens at an address on some ports.
@@ -57,11 +57,11 @@
 }
 
 // Stop ends the watch and gives what was seen.
-func (w *Watch) Stop() Cost {
+func (w *Watch) Stop() PeakUsage {
 	close(w.stop)
 	<-w.done
-	w.look()
-	return w.cost
+	w.sample()
+	return w.usage
 }
 
 func (w *Watch) run() {
@@ -71,25 +71,25 @@
 		case <-w.stop:
 			return
 		case <-clock.After(clock.Milliseconds(watchPeriodMs)):
-			w.look()
+			w.sample()
 		}
 	}
 }
 
 // look takes one sample; a process that is gone gives none.
-func (w *Watch) look() {
+func (w *Watch) sample() {
 	resident, err := w.status("VmRSS:")
 	if err != nil {
 		return
 	}
 	if peak, err := w.status("VmHWM:"); err == nil {
-		w.cost.Resident = max(w.cost.Resident, peak)
+		w.usage.Resident = max(w.usage.Resident, peak)
 	}
-	unread := w.unread()
-	w.cost.Unread = max(w.cost.Unread, unread)
-	w.cost.Both = max(w.cost.Both, resident+unread)
+	unread := w.unreadBytes()
+	w.usage.Unread = max(w.usage.Unread, unread)
+	w.usage.Combined = max(w.usage.Combined, resident+unread)
 	if entries, err := os.ReadDir("/proc/" + strconv.Itoa(w.process) + "/fd"); err == nil {
-		w.cost.Descriptors = max(w.cost.Descriptors, len(entries))
+		w.usage.Descriptors = max(w.usage.Descriptors, len(entries))
 	}
 }
 
@@ -119,7 +119,7 @@
 
 // unread adds up what waits to be read on the process's ports. What waits on a listening socket
 // are connections, not bytes.
-func (w *Watch) unread() int64 {
+func (w *Watch) unreadBytes() int64 {
 	text, err := os.ReadFile("/proc/net/tcp")
 	if err != nil {
 		return 0
--- a/internal/tooling/faultrelay/faultrelay.go
+++ b/internal/tooling/faultrelay/faultrelay.go
@@ -1,5 +1,5 @@
-// Package faultrelay is a TCP relay for tests that strikes one connection at one byte:
-// it closes, resets, drops, holds back or doubles what passes.
+// Package faultrelay provides a TCP relay for tests that injects one fault at one byte of one
+// connection: it closes or resets the connection, or drops, delays or duplicates bytes.
 package faultrelay
 
 import (
@@ -7,57 +7,61 @@
 	"sync"
 )
 
-// Fault is a fault of a connection.
+// Fault is a kind of fault on a connection.
 type Fault int
 
-// The faults.
+// The kinds of faults.
 const (
-	// Close closes both ends in order, and Reset with a reset.
+	// Close closes both connections in order; Reset closes them with a TCP reset.
 	Close Fault = iota
 	Reset
-	// Drop forwards nothing any more.
+	// Drop forwards no more bytes in this direction and leaves the connections open.
 	Drop
-	// Freeze holds the bytes back until the relay is thawed.
+	// Freeze delays the bytes until Thaw is called.
 	Freeze
-	// Double delivers the bytes so far once more, behind what came with them.
+	// Double delivers all bytes up to the fault a second time, after the rest of the read that
+	// reached it.
 	Double
-	// Restart resets as well; the test starts the caller anew.
+	// Restart resets the connections as Reset does; the test also restarts the caller.
 	Restart
 )
 
 var names = [...]string{"cut", "reset", "silence", "freeze", "double", "restart"}
 
-// String gives the name of a fault.
-func (t Fault) String() string { return names[t] }
+// String returns the name of a fault.
+func (f Fault) String() string { return names[f] }
 
-// Faults lists all of them.
+// Faults returns all kinds of faults.
 func Faults() []Fault { return []Fault{Close, Reset, Drop, Freeze, Double, Restart} }
 
-// Strike says what happens once so many bytes have passed in one direction.
+// Strike is a fault to inject once a number of bytes has passed in one direction.
 type Strike struct {
 	Fault Fault
-	// Response tells that the bytes are those that come back to the caller.
+	// Response selects the direction from the server to the caller; false is the direction from
+	// the caller to the server.
 	Response bool
-	At       int
+	// At is the number of bytes, counted from Arm, after which the fault happens.
+	At int
 }
 
-// Relay stands between callers and a server and strikes once, at one byte.
+// Relay forwards connections from callers to a server and injects at most one armed fault.
 type Relay struct {
 	listener  net.Listener
 	target    string
 	lock      sync.Mutex
-	armed     *Strike
+	pending   *Strike
 	forwarded [2]int
-	frozen    []byte
+	received  []byte
 	thawed    chan struct{}
 	ended     chan struct{}
 	open      []net.Conn
-	// over tells that End has closed what is open: what is accepted later closes at once.
-	over  bool
-	pumps sync.WaitGroup
+	// closed is set once End has closed the open connections; a connection that is accepted
+	// after that is closed at once.
+	closed bool
+	pumps  sync.WaitGroup
 }
 
-// New makes a relay to a target; callers connect to its Address.
+// New starts a relay to a target address. Callers connect to its Address.
 func New(target string) (*Relay, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -69,65 +73,68 @@
 	return relay, nil
 }
 
-// Address is where callers connect.
+// Address returns the address to which callers connect.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
 func (r *Relay) accept() {
 	defer r.pumps.Done()
 	for {
-		near, err := r.listener.Accept()
+		caller, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp4", r.target)
+		server, err := net.Dial("tcp4", r.target)
 		if err != nil {
-			near.Close()
+			caller.Close()
 			continue
 		}
 		r.lock.Lock()
-		r.open = append(r.open, near, far)
-		if r.over {
-			near.Close()
+		r.open = append(r.open, caller, server)
+		if r.closed {
+			caller.Close()
 		}
 		r.lock.Unlock()
 		r.pumps.Add(2)
-		go r.pump(near, far, 0)
-		go r.pump(far, near, 1)
+		go r.pump(caller, server, 0)
+		go r.pump(server, caller, 1)
 	}
 }
 
-// Arm sets the strike and counts from here.
+// Arm sets the fault to inject and restarts the counting of bytes.
 func (r *Relay) Arm(next *Strike) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.armed, r.forwarded, r.frozen = next, [2]int{}, nil
+	r.pending, r.forwarded, r.received = next, [2]int{}, nil
 }
 
-// Counts tells how many bytes passed in each direction since the relay was armed.
+// Counts returns how many bytes have passed in each direction since the relay was armed.
 func (r *Relay) Counts() (request, response int) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.forwarded[0], r.forwarded[1]
 }
 
-// due gives the strike, once, and how much of the bytes passes before it.
-func (r *Relay) due(direction int, bytes []byte) (*Strike, int) {
+// takeDue counts the bytes. If they reach the armed fault, it disarms it and returns it, with the
+// number of these bytes to forward before it; otherwise it returns nil.
+func (r *Relay) takeDue(direction int, chunk []byte) (*Strike, int) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	before := r.forwarded[direction]
-	r.forwarded[direction] += len(bytes)
-	if r.armed == nil || r.armed.Response != (direction == 1) {
+	r.forwarded[direction] += len(chunk)
+	if r.pending == nil || r.pending.Response != (direction == 1) {
 		return nil, 0
 	}
-	r.frozen = append(r.frozen, bytes...)
-	if r.forwarded[direction] < r.armed.At {
+	r.received = append(r.received, chunk...)
+	if r.forwarded[direction] < r.pending.At {
 		return nil, 0
 	}
-	struck := r.armed
-	r.armed = nil
-	return struck, struck.At - before
+	due := r.pending
+	r.pending = nil
+	return due, due.At - before
 }
 
+// pump forwards bytes in one direction, 0 from the caller and 1 from the server, until the
+// connection ends or a fault ends it.
 func (r *Relay) pump(from, to net.Conn, direction int) {
 	defer r.pumps.Done()
 	defer to.Close()
@@ -135,10 +142,10 @@
 	for {
 		count, err := from.Read(buffer)
 		if count > 0 {
-			struck, allowed := r.due(direction, buffer[:count])
-			if struck == nil {
+			due, allowed := r.takeDue(direction, buffer[:count])
+			if due == nil {
 				_, _ = to.Write(buffer[:count])
-			} else if !r.befall(struck, from, to, buffer[:count], allowed) {
+			} else if !r.inject(due, from, to, buffer[:count], allowed) {
 				return
 			}
 		}
@@ -148,15 +155,15 @@
 	}
 }
 
-// befall plays a strike; false ends the pump.
-func (r *Relay) befall(struck *Strike, from, to net.Conn, bytes []byte, allowed int) bool {
-	if struck.Fault == Double {
-		_, _ = to.Write(bytes)
-		_, _ = to.Write(r.frozen[:struck.At])
+// inject performs a fault. It returns false if the pump has to end.
+func (r *Relay) inject(due *Strike, from, to net.Conn, chunk []byte, allowed int) bool {
+	if due.Fault == Double {
+		_, _ = to.Write(chunk)
+		_, _ = to.Write(r.received[:due.At])
 		return true
 	}
-	_, _ = to.Write(bytes[:allowed])
-	switch struck.Fault {
+	_, _ = to.Write(chunk[:allowed])
+	switch due.Fault {
 	case Drop:
 		<-r.ended
 	case Freeze:
@@ -164,29 +171,30 @@
 		case <-r.thawed:
 		case <-r.ended:
 		}
-		_, _ = to.Write(bytes[allowed:])
+		_, _ = to.Write(chunk[allowed:])
 		return true
 	case Reset, Restart:
-		for _, end := range []net.Conn{from, to} {
-			_ = end.(*net.TCPConn).SetLinger(0)
+		for _, connection := range []net.Conn{from, to} {
+			_ = connection.(*net.TCPConn).SetLinger(0)
 		}
 	}
 	from.Close()
 	return false
 }
 
-// Thaw lets what is held back pass on.
+// Thaw forwards the bytes that Freeze has delayed.
 func (r *Relay) Thaw() { close(r.thawed) }
 
-// End closes everything in order and waits until all that was under way has arrived.
+// End closes all connections in order and waits until the bytes read so far have been forwarded.
 func (r *Relay) End() {
 	r.listener.Close()
 	close(r.ended)
 	r.lock.Lock()
-	r.over = true
+	r.closed = true
 	for i, connection := range r.open {
 		if i%2 == 0 {
-			// Ends the way to the server once what was read has been written.
+			// Closing the caller's connection makes its pump close the server's once the bytes read
+			// so far have been written.
 			connection.Close()
 		}
 	}
--- a/internal/tooling/faultrelay/faultrelay_test.go
+++ b/internal/tooling/faultrelay/faultrelay_test.go
@@ -7,14 +7,15 @@
 	"lemonarch/internal/platform/clock"
 )
 
-// A relay ends whether a caller came before, while or after it does.
-func TestEndMeetsACallerThatIsJustComing(t *testing.T) {
+// End must return no matter whether a caller connects before, during or after it. A connection
+// accepted during End must not be left open, or End waits for it for ever.
+func TestEndWhileACallerConnects(t *testing.T) {
 	server, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer server.Close()
-	const rounds, patience = 300, 60_000
+	const rounds, timeoutMs = 300, 60_000
 	for round := range rounds {
 		relay, err := New(server.Addr().String())
 		if err != nil {
@@ -26,7 +27,7 @@
 		}
 		served := make(chan net.Conn, 1)
 		go func() {
-			// Answers the end of what it reads by its own, as servers do.
+			// Closes the connection once the caller has closed it, as servers do.
 			connection, err := server.Accept()
 			if err == nil {
 				_, _ = connection.Read(make([]byte, 1))
@@ -41,11 +42,12 @@
 		}()
 		select {
 		case <-ended:
-		case <-clock.After(clock.Milliseconds(patience)):
-			t.Fatal("does not end, round ", round)
+		case <-clock.After(clock.Milliseconds(timeoutMs)):
+			t.Fatal("End did not return in time, round ", round)
 		}
 		caller.Close()
-		// A caller that the relay never took is not served: this one ends the wait.
+		// If the relay never accepted the caller, the server has accepted no connection yet: this
+		// connection ends its wait.
 		if last, err := net.Dial("tcp4", server.Addr().String()); err == nil {
 			last.Close()
 		}
--- a/internal/tooling/loadgen/check.go
+++ b/internal/tooling/loadgen/check.go
@@ -9,19 +9,19 @@
 )
 
 // sent is what is known of one attempt that a client sent.
-type sent struct {
+type sentAttempt struct {
 	attempt    string
 	path, body string
 	services   []string
 	// once: may not run twice. promised: it was answered that it has not run.
-	once, promised, succeeded, item bool
+	atMostOnce, notExecuted, succeeded, batchItem bool
 	// cut: its connection ended without a whole answer.
 	cut bool
 }
 
 // checkPlain holds a plain success against what the worker must have said.
 func checkPlain(attempt string, body []byte, seal, echoed string, got []byte) *Finding {
-	if finding := checkStamp(attempt, seal, echoed); finding != nil {
+	if finding := checkSeal(attempt, seal, echoed); finding != nil {
 		return finding
 	}
 	if string(got) != workeremulator.PlainBody(attempt, body) {
@@ -30,7 +30,7 @@
 	return nil
 }
 
-func checkStamp(attempt, seal, echoed string) *Finding {
+func checkSeal(attempt, seal, echoed string) *Finding {
 	if echoed != attempt {
 		return &Finding{"MIXED", attempt, "the answer names another attempt: " + echoed}
 	}
@@ -41,15 +41,15 @@
 }
 
 // follower checks a stream, event by event.
-type follower struct {
+type streamCheck struct {
 	attempt string
 	// last is the id of the last event; all is how many there must be.
-	last, all int64
+	lastID, eventCount int64
 	finding   *Finding
 }
 
 // event takes one event; false once the order is broken.
-func (f *follower) event(text string) bool {
+func (f *streamCheck) addEvent(text string) bool {
 	var id int64
 	data := ""
 	for _, line := range strings.Split(text, "\n") {
@@ -60,27 +60,27 @@
 		}
 	}
 	switch {
-	case id != f.last+1:
-		f.finding = &Finding{"ORDER", f.attempt, fmt.Sprintf("event %d follows event %d", id, f.last)}
+	case id != f.lastID+1:
+		f.finding = &Finding{"ORDER", f.attempt, fmt.Sprintf("event %d follows event %d", id, f.lastID)}
 	case data != workeremulator.EventData(f.attempt, id):
 		f.finding = &Finding{"MIXED", f.attempt, fmt.Sprintf("event %d is not the worker's", id)}
-	case id > f.all:
-		f.finding = &Finding{"ORDER", f.attempt, fmt.Sprintf("event %d of %d", id, f.all)}
+	case id > f.eventCount:
+		f.finding = &Finding{"ORDER", f.attempt, fmt.Sprintf("event %d of %d", id, f.eventCount)}
 	}
-	f.last = id
+	f.lastID = id
 	return f.finding == nil
 }
 
 // end takes the clean end of a stream.
-func (f *follower) end() *Finding {
-	if f.finding == nil && f.last != f.all {
-		f.finding = &Finding{"ORDER", f.attempt, fmt.Sprintf("ends as complete behind event %d of %d", f.last, f.all)}
+func (f *streamCheck) finish() *Finding {
+	if f.finding == nil && f.lastID != f.eventCount {
+		f.finding = &Finding{"ORDER", f.attempt, fmt.Sprintf("ends as complete behind event %d of %d", f.lastID, f.eventCount)}
 	}
 	return f.finding
 }
 
 // checkRuns holds what was sent against what the workers ran.
-func checkRuns(all map[string]*sent, runs []workeremulator.Run) []Finding {
+func checkRuns(all map[string]*sentAttempt, runs []workeremulator.Run) []Finding {
 	var findings []Finding
 	count := map[string]int{}
 	ended := map[string]bool{}
@@ -102,10 +102,10 @@
 		if !fits {
 			findings = append(findings, Finding{"ROUTE", run.Attempt, "ran at service " + run.Service})
 		}
-		if entry.once && count[run.Attempt] == 2 {
+		if entry.atMostOnce && count[run.Attempt] == 2 {
 			findings = append(findings, Finding{"TWICE", run.Attempt, "ran again at " + run.Worker})
 		}
-		if (entry.once || entry.item) && entry.promised && count[run.Attempt] == 1 {
+		if (entry.atMostOnce || entry.batchItem) && entry.notExecuted && count[run.Attempt] == 1 {
 			findings = append(findings, Finding{"REFUSED", run.Attempt, "was promised not to run, and ran at " + run.Worker})
 		}
 	}
@@ -120,7 +120,7 @@
 // checkCuts finds the attempts that were passed on to a worker and whose connection ended without
 // a whole answer all the same, which planned work may not bring about. An attempt that crossed the
 // close of its connection was not passed on.
-func checkCuts(all map[string]*sent, runs []workeremulator.Run) []Finding {
+func checkCuts(all map[string]*sentAttempt, runs []workeremulator.Run) []Finding {
 	var findings []Finding
 	reported := map[string]bool{}
 	for _, run := range runs {
@@ -136,36 +136,36 @@
 type jobCheck struct {
 	id string
 	// events is how many events each item has; listed is what stands at each position.
-	events   map[string]int64
-	listed   []jobclient.Output
-	position map[string]int
+	eventCounts   map[string]int64
+	outputs   []jobclient.Output
+	positions map[string]int
 }
 
 func newJobCheck(id string) *jobCheck {
-	return &jobCheck{id: id, events: map[string]int64{}, position: map[string]int{}}
+	return &jobCheck{id: id, eventCounts: map[string]int64{}, positions: map[string]int{}}
 }
 
 // page takes what one read gave from a position on.
-func (l *jobCheck) page(cursor int, page *jobclient.Page) []Finding {
+func (l *jobCheck) addPage(cursor int, page *jobclient.Page) []Finding {
 	var findings []Finding
 	add := func(rule, what string) { findings = append(findings, Finding{rule, l.id, what}) }
-	if page.Sum != len(l.events) {
-		add("MIXED", fmt.Sprintf("sum is %d, items are %d", page.Sum, len(l.events)))
+	if page.Sum != len(l.eventCounts) {
+		add("MIXED", fmt.Sprintf("sum is %d, items are %d", page.Sum, len(l.eventCounts)))
 	}
 	for i, output := range page.Outputs {
 		at := cursor + i
-		if at < len(l.listed) {
-			if l.listed[at] != output {
+		if at < len(l.outputs) {
+			if l.outputs[at] != output {
 				add("TWICE", fmt.Sprintf("position %d holds another result than before", at))
 			}
 			continue
 		}
-		if before, twice := l.position[output.ID]; twice {
+		if before, twice := l.positions[output.ID]; twice {
 			add("TWICE", fmt.Sprintf("item %s stands at positions %d and %d", output.ID, before, at))
 		}
-		l.position[output.ID] = at
-		l.listed = append(l.listed, output)
-		events, known := l.events[output.ID]
+		l.positions[output.ID] = at
+		l.outputs = append(l.outputs, output)
+		events, known := l.eventCounts[output.ID]
 		switch {
 		case !known:
 			add("MIXED", "item "+output.ID+" belongs to another lot")
--- a/internal/tooling/loadgen/check_test.go
+++ b/internal/tooling/loadgen/check_test.go
@@ -16,14 +16,14 @@
 	return text
 }
 
-func oneSent() map[string]*sent {
-	return map[string]*sent{"a": {attempt: "a", path: "/confirm/1", body: workeremulator.BodySum([]byte("b")), services: []string{"s"}, once: true, succeeded: true}}
+func sampleAttempts() map[string]*sentAttempt {
+	return map[string]*sentAttempt{"a": {attempt: "a", path: "/confirm/1", body: workeremulator.BodySum([]byte("b")), services: []string{"s"}, atMostOnce: true, succeeded: true}}
 }
 
-var oneRun = workeremulator.Run{Attempt: "a", Worker: "w", Service: "s", Method: "POST", Path: "/confirm/1", Body: workeremulator.BodySum([]byte("b")), Ended: true}
+var sampleRun = workeremulator.Run{Attempt: "a", Worker: "w", Service: "s", Method: "POST", Path: "/confirm/1", Body: workeremulator.BodySum([]byte("b")), Ended: true}
 
-func changed(change func(run *workeremulator.Run)) workeremulator.Run {
-	run := oneRun
+func withChange(change func(run *workeremulator.Run)) workeremulator.Run {
+	run := sampleRun
 	change(&run)
 	return run
 }
@@ -32,25 +32,25 @@
 func TestRunsAgainstWhatWasSent(t *testing.T) {
 	for name, entry := range map[string]struct {
 		runs []workeremulator.Run
-		edit func(sent *sent)
+		edit func(sent *sentAttempt)
 		want string
 	}{
-		"sound":            {[]workeremulator.Run{oneRun}, nil, ""},
-		"doubled":          {[]workeremulator.Run{oneRun, oneRun}, nil, "TWICE "},
-		"three times":      {[]workeremulator.Run{oneRun, oneRun, oneRun}, nil, "TWICE "},
-		"may be repeated":  {[]workeremulator.Run{oneRun, oneRun}, func(sent *sent) { sent.once = false }, ""},
-		"unasked":          {[]workeremulator.Run{oneRun, changed(func(run *workeremulator.Run) { run.Attempt = "x" })}, nil, "UNASKED "},
-		"other path":       {[]workeremulator.Run{changed(func(run *workeremulator.Run) { run.Path = "/confirm/2" })}, nil, "UNASKED "},
-		"other method":     {[]workeremulator.Run{changed(func(run *workeremulator.Run) { run.Method = "PUT" })}, nil, "UNASKED "},
-		"other body":       {[]workeremulator.Run{changed(func(run *workeremulator.Run) { run.Body = "" })}, nil, "UNASKED "},
-		"other service":    {[]workeremulator.Run{changed(func(run *workeremulator.Run) { run.Service = "t" })}, nil, "ROUTE "},
-		"promised and ran": {[]workeremulator.Run{oneRun}, func(sent *sent) { sent.promised = true }, "REFUSED "},
-		"item promised":    {[]workeremulator.Run{oneRun, oneRun}, func(sent *sent) { sent.promised, sent.once, sent.item = true, false, true }, "REFUSED "},
+		"sound":            {[]workeremulator.Run{sampleRun}, nil, ""},
+		"doubled":          {[]workeremulator.Run{sampleRun, sampleRun}, nil, "TWICE "},
+		"three times":      {[]workeremulator.Run{sampleRun, sampleRun, sampleRun}, nil, "TWICE "},
+		"may be repeated":  {[]workeremulator.Run{sampleRun, sampleRun}, func(sent *sentAttempt) { sent.atMostOnce = false }, ""},
+		"unasked":          {[]workeremulator.Run{sampleRun, withChange(func(run *workeremulator.Run) { run.Attempt = "x" })}, nil, "UNASKED "},
+		"other path":       {[]workeremulator.Run{withChange(func(run *workeremulator.Run) { run.Path = "/confirm/2" })}, nil, "UNASKED "},
+		"other method":     {[]workeremulator.Run{withChange(func(run *workeremulator.Run) { run.Method = "PUT" })}, nil, "UNASKED "},
+		"other body":       {[]workeremulator.Run{withChange(func(run *workeremulator.Run) { run.Body = "" })}, nil, "UNASKED "},
+		"other service":    {[]workeremulator.Run{withChange(func(run *workeremulator.Run) { run.Service = "t" })}, nil, "ROUTE "},
+		"promised and ran": {[]workeremulator.Run{sampleRun}, func(sent *sentAttempt) { sent.notExecuted = true }, "REFUSED "},
+		"item promised":    {[]workeremulator.Run{sampleRun, sampleRun}, func(sent *sentAttempt) { sent.notExecuted, sent.atMostOnce, sent.batchItem = true, false, true }, "REFUSED "},
 		"nobody's success": {nil, nil, "MIXED "},
-		"cut success":      {[]workeremulator.Run{changed(func(run *workeremulator.Run) { run.Ended = false })}, nil, "MIXED "},
-		"failed, no run":   {nil, func(sent *sent) { sent.succeeded = false }, ""},
+		"cut success":      {[]workeremulator.Run{withChange(func(run *workeremulator.Run) { run.Ended = false })}, nil, "MIXED "},
+		"failed, no run":   {nil, func(sent *sentAttempt) { sent.succeeded = false }, ""},
 	} {
-		all := oneSent()
+		all := sampleAttempts()
 		if entry.edit != nil {
 			entry.edit(all["a"])
 		}
@@ -81,7 +81,7 @@
 	}
 }
 
-func event(number int64) string {
+func eventText(number int64) string {
 	return fmt.Sprintf("id: %d\ndata: %s\n", number, workeremulator.EventData("a", number))
 }
 
@@ -91,24 +91,24 @@
 		events []string
 		rule   string
 	}{
-		"sound":           {0, []string{event(1), event(2), event(3)}, ""},
-		"goes on":         {2, []string{event(3)}, ""},
-		"missing":         {0, []string{event(1), event(3)}, "ORDER"},
-		"missing first":   {0, []string{event(2), event(3)}, "ORDER"},
-		"twice":           {0, []string{event(1), event(1), event(2), event(3)}, "ORDER"},
-		"ends early":      {0, []string{event(1), event(2)}, "ORDER"},
-		"one too many":    {0, []string{event(1), event(2), event(3), event(4)}, "ORDER"},
-		"another's event": {0, []string{event(1), "id: 2\ndata: x\n", event(3)}, "MIXED"},
+		"sound":           {0, []string{eventText(1), eventText(2), eventText(3)}, ""},
+		"goes on":         {2, []string{eventText(3)}, ""},
+		"missing":         {0, []string{eventText(1), eventText(3)}, "ORDER"},
+		"missing first":   {0, []string{eventText(2), eventText(3)}, "ORDER"},
+		"twice":           {0, []string{eventText(1), eventText(1), eventText(2), eventText(3)}, "ORDER"},
+		"ends early":      {0, []string{eventText(1), eventText(2)}, "ORDER"},
+		"one too many":    {0, []string{eventText(1), eventText(2), eventText(3), eventText(4)}, "ORDER"},
+		"another's event": {0, []string{eventText(1), "id: 2\ndata: x\n", eventText(3)}, "MIXED"},
 	} {
-		follower := &follower{attempt: "a", last: entry.from, all: 3}
+		follower := &streamCheck{attempt: "a", lastID: entry.from, eventCount: 3}
 		complete := true
 		for _, text := range entry.events {
-			if complete = follower.event(text); !complete {
+			if complete = follower.addEvent(text); !complete {
 				break
 			}
 		}
 		if complete {
-			follower.end()
+			follower.finish()
 		}
 		got := ""
 		if follower.finding != nil {
@@ -147,10 +147,10 @@
 		"unknown phase":      {[]read{{0, 2, list(jobclient.Output{ID: "i1", Phase: "done", Text: first.Text})}}, "MIXED "},
 	} {
 		check := newJobCheck("lot")
-		check.events = map[string]int64{"i1": 2, "i2": 3}
+		check.eventCounts = map[string]int64{"i1": 2, "i2": 3}
 		var findings []Finding
 		for _, read := range entry.reads {
-			findings = append(findings, check.page(read.cursor, &jobclient.Page{Sum: read.sum, Outputs: read.outputs})...)
+			findings = append(findings, check.addPage(read.cursor, &jobclient.Page{Sum: read.sum, Outputs: read.outputs})...)
 		}
 		if got := rules(findings); got != entry.want {
 			t.Errorf("%s: %q, not %q", name, got, entry.want)
@@ -161,7 +161,7 @@
 // Around planned work a request that a worker ran may not lose its connection without a whole
 // answer; one that was never passed on may.
 func TestCutRequestsThatRanAreFound(t *testing.T) {
-	all := map[string]*sent{"ran": {attempt: "ran", cut: true}, "crossed": {attempt: "crossed", cut: true}, "answered": {attempt: "answered"}}
+	all := map[string]*sentAttempt{"ran": {attempt: "ran", cut: true}, "crossed": {attempt: "crossed", cut: true}, "answered": {attempt: "answered"}}
 	runs := []workeremulator.Run{{Attempt: "ran", Worker: "w1"}, {Attempt: "ran", Worker: "w2"}, {Attempt: "answered", Worker: "w1"}}
 	findings := checkCuts(all, runs)
 	if len(findings) != 1 || findings[0].Rule != "LOST" || findings[0].Attempt != "ran" {
--- a/internal/tooling/loadgen/drive.go
+++ b/internal/tooling/loadgen/drive.go
@@ -25,8 +25,8 @@
 	result  *Result
 
 	lock sync.Mutex
-	sent map[string]*sent
-	open int
+	attempts map[string]*sentAttempt
+	inFlight int
 }
 
 // Drive sends a whole load to the fleet behind an endpoint, checks it, and gives what came of
@@ -44,25 +44,25 @@
 		return nil, err
 	}
 	entry := newRun(options, card, routes, "ld"+strconv.FormatInt(clock.WallNanos(), 36)+"-")
-	entry.play(until, endpoint, faults)
-	return entry.result, entry.compareWith(endpoint)
+	entry.sendLoad(until, endpoint, faults)
+	return entry.result, entry.fetchAndCompareRuns(endpoint)
 }
 
 // play sends everything, with the troubles in between, and waits for the last answer.
-func (r *run) play(until contexts.Context, endpoint *Endpoint, faults []lab.Trouble) {
+func (r *run) sendLoad(until contexts.Context, endpoint *Endpoint, faults []lab.Trouble) {
 	var group sync.WaitGroup
 	started := clock.Now()
 	for _, fault := range faults {
-		group.Go(func() { r.begin(until, started, endpoint, fault) })
+		group.Go(func() { r.startTrouble(until, started, endpoint, fault) })
 	}
 	if r.options.LotRate > 0 {
-		group.Go(func() { r.sendLots(until, started) })
+		group.Go(func() { r.sendJobs(until, started) })
 	}
 	done := make(chan struct{})
 	if progress := r.options.Progress; progress != nil {
-		go clock.Every(constants.LoadProgress, done, func() { progress(r.result.sofar(clock.Now().Sub(started))) })
+		go clock.Every(constants.LoadProgress, done, func() { progress(r.result.progressLine(clock.Now().Sub(started))) })
 	}
-	r.orders(until, started)
+	r.sendRequests(until, started)
 	group.Wait()
 	close(done)
 	if transport, is := r.client.(*http.Transport); is {
@@ -72,44 +72,44 @@
 }
 
 // begin has the fleet begin a trouble at its time.
-func (r *run) begin(until contexts.Context, started clock.Instant, endpoint *Endpoint, fault lab.Trouble) {
+func (r *run) startTrouble(until contexts.Context, started clock.Instant, endpoint *Endpoint, fault lab.Trouble) {
 	if !waitUntil(until, started.Add(clock.Milliseconds(fault.AtS*1000))) {
 		return
 	}
-	if err := endpoint.Trouble(fault); err != nil {
-		r.result.note("trouble " + fault.Kind + " " + fault.Target + ": " + err.Error())
+	if err := endpoint.StartTrouble(fault); err != nil {
+		r.result.addNote("trouble " + fault.Kind + " " + fault.Target + ": " + err.Error())
 	}
 }
 
 // compareWith holds what was sent against what the fleet's workers ran.
-func (r *run) compareWith(endpoint *Endpoint) error {
+func (r *run) fetchAndCompareRuns(endpoint *Endpoint) error {
 	runs, err := endpoint.Runs(r.prefix)
 	if err != nil {
 		return err
 	}
-	r.compare(runs.Runs)
+	r.compareRuns(runs.Runs)
 	if runs.Dropped > 0 {
-		r.result.note(strconv.Itoa(runs.Dropped) + " runs no longer fitted into the record; the check is partial")
+		r.result.addNote(strconv.Itoa(runs.Dropped) + " runs no longer fitted into the record; the check is partial")
 	}
 	return nil
 }
 
 func newRun(options Options, card *lab.Card, routes map[string]*routeconfig.Route, prefix string) *run {
 	dialer := &net.Dialer{Timeout: constants.EmulatorHeartbeatWait}
-	return &run{options: options, card: card, routes: routes, prefix: prefix, result: newResult(card.Label), sent: map[string]*sent{}, pause: clock.Sleep,
+	return &run{options: options, card: card, routes: routes, prefix: prefix, result: newResult(card.Label), attempts: map[string]*sentAttempt{}, pause: clock.Sleep,
 		client: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: constants.LoadOpen, DialContext: dialer.DialContext}}
 }
 
 // compare holds all that was sent against the record of the workers.
-func (r *run) compare(runs []workeremulator.Run) {
+func (r *run) compareRuns(runs []workeremulator.Run) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	findings := checkRuns(r.sent, runs)
+	findings := checkRuns(r.attempts, runs)
 	if r.options.PlannedOnly {
-		findings = append(findings, checkCuts(r.sent, runs)...)
+		findings = append(findings, checkCuts(r.attempts, runs)...)
 	}
 	for _, finding := range findings {
-		r.result.find(finding)
+		r.result.addFinding(finding)
 	}
 	r.result.Runs = len(runs)
 }
@@ -125,7 +125,7 @@
 }
 
 // orders sends every order when it is due, whatever became of those before.
-func (r *run) orders(until contexts.Context, started clock.Instant) {
+func (r *run) sendRequests(until contexts.Context, started clock.Instant) {
 	var group sync.WaitGroup
 	for _, due := range schedule(&r.options, r.routes, len(r.card.Ingress)) {
 		if at := started.Add(due.at); at > clock.Now() && !waitUntil(until, at) {
@@ -135,22 +135,22 @@
 			break
 		}
 		r.lock.Lock()
-		full := r.open >= constants.LoadOpen
+		full := r.inFlight >= constants.LoadOpen
 		if !full {
-			r.open++
+			r.inFlight++
 		}
 		r.lock.Unlock()
 		if full {
 			// Told, not hidden: a load tool that is full no longer sends its rate.
-			r.result.notSent()
+			r.result.countNotSent()
 			continue
 		}
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			r.serve(due.order)
+			r.sendWithRetries(due.spec)
 			r.lock.Lock()
-			r.open--
+			r.inFlight--
 			r.lock.Unlock()
 		}()
 	}
@@ -158,28 +158,28 @@
 }
 
 // remember notes an attempt before it is sent.
-func (r *run) remember(attempt, path string, body []byte, route *routeconfig.Route, once, item bool) *sent {
+func (r *run) recordAttempt(attempt, path string, body []byte, route *routeconfig.Route, once, item bool) *sentAttempt {
 	services := []string{route.Backend}
 	for _, share := range route.Weighted {
 		services = append(services, share.Backend)
 	}
-	made := &sent{attempt: attempt, path: path, body: workeremulator.BodySum(body), services: services, once: once, item: item}
+	made := &sentAttempt{attempt: attempt, path: path, body: workeremulator.BodySum(body), services: services, atMostOnce: once, batchItem: item}
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.sent[attempt] = made
+	r.attempts[attempt] = made
 	return made
 }
 
 // noteCut notes an attempt whose connection ended without an answer.
-func (r *run) noteCut(made *sent) {
+func (r *run) recordCut(made *sentAttempt) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	made.cut = true
 }
 
 // settle notes what became of an attempt.
-func (r *run) settle(made *sent, promised, succeeded bool) {
+func (r *run) recordOutcome(made *sentAttempt, promised, succeeded bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	made.promised, made.succeeded = promised, succeeded
+	made.notExecuted, made.succeeded = promised, succeeded
 }
--- a/internal/tooling/loadgen/drive_test.go
+++ b/internal/tooling/loadgen/drive_test.go
@@ -16,18 +16,18 @@
 )
 
 // hasty is a clock that does not wait.
-type hasty struct {
+type immediateClock struct {
 	lock sync.Mutex
 	now  clock.Instant
 }
 
-func (h *hasty) Now() clock.Instant {
+func (h *immediateClock) Now() clock.Instant {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	return h.now
 }
 
-func (h *hasty) After(span clock.Duration, function func()) {
+func (h *immediateClock) After(span clock.Duration, function func()) {
 	h.lock.Lock()
 	h.now = h.now.Add(span)
 	h.lock.Unlock()
@@ -35,13 +35,13 @@
 }
 
 // direct leads requests to workers in this process, without a fleet or a socket.
-type direct struct {
+type inProcessTransport struct {
 	model, plain *workeremulator.Worker
 	// before may answer in the worker's place.
 	before func(request *http.Request) *http.Response
 }
 
-func (d *direct) RoundTrip(request *http.Request) (*http.Response, error) {
+func (d *inProcessTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	if d.before != nil {
 		if resp := d.before(request); resp != nil {
 			return resp, nil
@@ -65,11 +65,11 @@
 }
 
 // driven serves the orders of a short run one by one and compares the records.
-func driven(t *testing.T, faults workeremulator.Faults, before func(request *http.Request) *http.Response) *Result {
+func runWithWorkers(t *testing.T, faults workeremulator.Faults, before func(request *http.Request) *http.Response) *Result {
 	t.Helper()
 	shape := workeremulator.Shape{Capacity: 8, Queue: 4, CacheTokens: 60_000, ReadPerMs: 100, Step: time.Millisecond, Stride: 4}
-	record, instant := &workeremulator.Record{}, &hasty{now: clock.Instant(time.Second)}
-	front := &direct{before: before}
+	record, instant := &workeremulator.Record{}, &immediateClock{now: clock.Instant(time.Second)}
+	front := &inProcessTransport{before: before}
 	front.model = workeremulator.NewWorker(workeremulator.Settings{ID: "w1", Service: "model", Model: "m", Shape: shape}, record, instant, 1)
 	front.plain = workeremulator.NewWorker(workeremulator.Settings{ID: "w2", Service: "clerk", Work: time.Millisecond, Shape: workeremulator.Shape{Capacity: 8}}, record, instant, 2)
 	front.model.SetFaults(faults)
@@ -85,15 +85,15 @@
 	entry := newRun(options, card, routes, "t-")
 	entry.client, entry.pause = front, func(clock.Duration) {}
 	for _, due := range schedule(&options, routes, 2) {
-		entry.serve(due.order)
+		entry.sendWithRetries(due.spec)
 	}
 	runs, _ := record.Of("t-")
-	entry.compare(runs)
+	entry.compareRuns(runs)
 	entry.result.Close()
 	return entry.result
 }
 
-func found(result *Result, rule string) int {
+func countFindings(result *Result, rule string) int {
 	count := 0
 	for _, finding := range result.Findings {
 		if finding.Rule == rule {
@@ -104,7 +104,7 @@
 }
 
 func TestSoundWorkersBreakNothing(t *testing.T) {
-	result := driven(t, workeremulator.Faults{}, nil)
+	result := runWithWorkers(t, workeremulator.Faults{}, nil)
 	if result.Broken != 0 || result.Served() != 60 || result.Worth != 1 || result.Runs != 60 {
 		t.Fatal(result.Findings, result.Served(), result.Worth, result.Runs, result.Causes)
 	}
@@ -113,14 +113,14 @@
 // Each guard of the whole path, from the worker to the report, can fail.
 func TestBrokenWorkersAreCaught(t *testing.T) {
 	for rule, faults := range map[string]workeremulator.Faults{"TWICE": {Twice: 1}, "ORDER": {Skip: 1}, "MIXED": {Forge: 1}} {
-		result := driven(t, faults, nil)
-		if result.Broken == 0 || found(result, rule) == 0 {
+		result := runWithWorkers(t, faults, nil)
+		if result.Broken == 0 || countFindings(result, rule) == 0 {
 			t.Error(rule, result.Findings)
 		}
 	}
 }
 
-func answering(status int, header ...string) *http.Response {
+func response(status int, header ...string) *http.Response {
 	recorder := httptest.NewRecorder()
 	for i := 0; i+1 < len(header); i += 2 {
 		recorder.Header().Set(header[i], header[i+1])
@@ -131,17 +131,17 @@
 
 // A promise frees every kind for another try, a 502 only what may be repeated; each
 // try has an id of its own.
-func TestWhatIsRetried(t *testing.T) {
+func TestRetriesByStatus(t *testing.T) {
 	for status, want := range map[int]string{503: "failed 0", 502: "failed confirm review", 400: "failed confirm query review status"} {
 		observed := map[string]bool{}
-		result := driven(t, workeremulator.Faults{}, func(request *http.Request) *http.Response {
+		result := runWithWorkers(t, workeremulator.Faults{}, func(request *http.Request) *http.Response {
 			attempt := request.Header.Get("Lemonarch-Attempt-Id")
 			if observed[attempt] {
 				t.Error("an attempt was sent twice", attempt)
 			}
 			observed[attempt] = true
 			if strings.HasSuffix(attempt, "-1") {
-				return answering(status)
+				return response(status)
 			}
 			return nil
 		})
@@ -162,7 +162,7 @@
 
 // A success that no worker gave is caught by the record.
 func TestInventedSuccess(t *testing.T) {
-	result := driven(t, workeremulator.Faults{}, func(request *http.Request) *http.Response {
+	result := runWithWorkers(t, workeremulator.Faults{}, func(request *http.Request) *http.Response {
 		attempt := request.Header.Get("Lemonarch-Attempt-Id")
 		if !strings.HasPrefix(request.URL.Path, "/status/") {
 			return nil
@@ -173,7 +173,7 @@
 		_, _ = recorder.WriteString(workeremulator.PlainBody(attempt, []byte("order "+strings.TrimPrefix(request.URL.Path, "/status/"))))
 		return recorder.Result()
 	})
-	if found(result, "MIXED") == 0 {
+	if countFindings(result, "MIXED") == 0 {
 		t.Fatal("nobody missed the runs")
 	}
 }
@@ -186,7 +186,7 @@
 		options.Seed = seed
 		all := ""
 		for _, due := range schedule(&options, routes, 3) {
-			all += fmt.Sprint(due.at, due.order.kind, due.order.node, due.order.prompt)
+			all += fmt.Sprint(due.at, due.spec.kind, due.spec.node, due.spec.prompt)
 		}
 		return all
 	}
--- a/internal/tooling/loadgen/endpoint.go
+++ b/internal/tooling/loadgen/endpoint.go
@@ -18,7 +18,7 @@
 type Endpoint struct{ address string }
 
 // loopback allows addresses on this machine alone: load is for the lab.
-func loopback(address string) error {
+func checkLoopback(address string) error {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return ErrInvalidLoad.New(strconv.Quote(address) + " is no host:port")
@@ -32,12 +32,12 @@
 // OpenEndpoint checks the address of an endpoint.
 func OpenEndpoint(address string) (*Endpoint, error) {
 	address = strings.TrimSuffix(strings.TrimPrefix(address, "http://"), "/")
-	return &Endpoint{address}, loopback(address)
+	return &Endpoint{address}, checkLoopback(address)
 }
 
 var endpointClient = http.Client{Timeout: constants.LabStartLimit}
 
-func (e *Endpoint) ask(method, path string, body []byte, into any) error {
+func (e *Endpoint) call(method, path string, body []byte, into any) error {
 	request, err := http.NewRequest(method, "http://"+e.address+path, bytes.NewReader(body))
 	if err != nil {
 		return ErrInvalidLoad.Wrap(err, "endpoint")
@@ -60,14 +60,14 @@
 // Card asks for the card, and takes it only where everything is on loopback.
 func (e *Endpoint) Card() (*lab.Card, error) {
 	card := &lab.Card{}
-	if err := e.ask(http.MethodGet, "/fleet", nil, card); err != nil {
+	if err := e.call(http.MethodGet, "/fleet", nil, card); err != nil {
 		return nil, err
 	}
 	if len(card.Ingress) == 0 || card.Stride < 1 {
 		return nil, ErrInvalidLoad.New("the fleet at " + e.address + " describes no fleet")
 	}
 	for _, address := range card.Ingress {
-		if err := loopback(address); err != nil {
+		if err := checkLoopback(address); err != nil {
 			return nil, err
 		}
 	}
@@ -77,14 +77,14 @@
 // Runs asks what the workers ran of the attempts that begin with the prefix.
 func (e *Endpoint) Runs(prefix string) (*lab.Runs, error) {
 	runs := &lab.Runs{}
-	return runs, e.ask(http.MethodGet, "/runs?prefix="+url.QueryEscape(prefix), nil, runs)
+	return runs, e.call(http.MethodGet, "/runs?prefix="+url.QueryEscape(prefix), nil, runs)
 }
 
 // Trouble has the fleet begin a trouble.
-func (e *Endpoint) Trouble(fault lab.Trouble) error {
+func (e *Endpoint) StartTrouble(fault lab.Trouble) error {
 	body, err := json.Marshal(fault)
 	if err != nil {
 		return ErrInvalidLoad.Wrap(err, "trouble")
 	}
-	return e.ask(http.MethodPost, "/trouble", body, &struct{}{})
+	return e.call(http.MethodPost, "/trouble", body, &struct{}{})
 }
--- a/internal/tooling/loadgen/mix.go
+++ b/internal/tooling/loadgen/mix.go
@@ -25,17 +25,17 @@
 	worth float64
 	// counts is how many shared heads there are, of so many tokens; sessions how many
 	// parts of one's own, and how large they are.
-	counts, headTokens, sessions, ownLow, ownHigh int
-	outLow, outHigh                               int
+	heads, headTokens, sessions, sessionTokensMin, sessionTokensMax int
+	outputTokensMin, outputTokensMax                               int
 }
 
 // profiles of the kinds of request that the lab's own configuration has.
 var profiles = map[string]profile{
-	"query":   {worth: 2, counts: 8, headTokens: 160, sessions: 200, ownLow: 100, ownHigh: 600, outLow: 16, outHigh: 48},
-	"review":  {worth: 3, counts: 6, headTokens: 3000, sessions: 60, ownLow: 400, ownHigh: 1500, outLow: 12, outHigh: 24},
+	"query":   {worth: 2, heads: 8, headTokens: 160, sessions: 200, sessionTokensMin: 100, sessionTokensMax: 600, outputTokensMin: 16, outputTokensMax: 48},
+	"review":  {worth: 3, heads: 6, headTokens: 3000, sessions: 60, sessionTokensMin: 400, sessionTokensMax: 1500, outputTokensMin: 12, outputTokensMax: 24},
 	"confirm": {worth: 1},
 	"status":  {worth: 1},
-	"batch":   {worth: 2, counts: 4, headTokens: 400, sessions: 1 << 30, ownLow: 100, ownHigh: 800, outLow: 20, outHigh: 60},
+	"batch":   {worth: 2, heads: 4, headTokens: 400, sessions: 1 << 30, sessionTokensMin: 100, sessionTokensMax: 800, outputTokensMin: 20, outputTokensMax: 60},
 }
 
 // Share is one part of a mix.
@@ -68,7 +68,7 @@
 }
 
 // draw picks a kind.
-func draw(mix []Share, random *rand.Rand) string {
+func drawKind(mix []Share, random *rand.Rand) string {
 	total := 0.0
 	for _, share := range mix {
 		total += share.Part
@@ -85,21 +85,21 @@
 
 // prompt is what a request for tokens carries.
 type prompt struct {
-	in, out int64
-	parts   string
+	inputTokens, outputTokens int64
+	prefix   string
 }
 
 func (p profile) prompt(random *rand.Rand) prompt {
 	between := func(low, high int) int { return low + random.Intn(high-low+1) }
-	head, session := random.Intn(p.counts), random.Intn(p.sessions)
+	head, session := random.Intn(p.heads), random.Intn(p.sessions)
 	// A session's part keeps its size, or kept parts would never be found again.
-	own := p.ownLow + session%(p.ownHigh-p.ownLow+1)
-	return prompt{in: int64(p.headTokens + own), out: int64(between(p.outLow, p.outHigh)),
-		parts: fmt.Sprintf("a%x:%d,b%x%x:%d", head+p.headTokens<<8, p.headTokens, head, session+p.headTokens<<32, own)}
+	own := p.sessionTokensMin + session%(p.sessionTokensMax-p.sessionTokensMin+1)
+	return prompt{inputTokens: int64(p.headTokens + own), outputTokens: int64(between(p.outputTokensMin, p.outputTokensMax)),
+		prefix: fmt.Sprintf("a%x:%d,b%x%x:%d", head+p.headTokens<<8, p.headTokens, head, session+p.headTokens<<32, own)}
 }
 
 // order is one request that a client wants served.
-type order struct {
+type requestSpec struct {
 	kind   string
 	route  *routeconfig.Route
 	number int
@@ -108,7 +108,7 @@
 	body   []byte
 }
 
-func (o *order) plain() bool { return o.prompt.out == 0 }
+func (o *requestSpec) isPlain() bool { return o.prompt.outputTokens == 0 }
 
 // repeatable: may run more than once.
 func repeatable(route *routeconfig.Route) bool {
@@ -116,28 +116,28 @@
 }
 
 // planned is when an order is due, from the start of the load.
-type planned struct {
+type arrival struct {
 	at    clock.Duration
-	order *order
+	spec *requestSpec
 }
 
 // schedule draws the orders of a run: open arrivals at a rate, the same for a seed
 // whatever the fleet does and however many nodes it has.
-func schedule(options *Options, routes map[string]*routeconfig.Route, nodes int) []planned {
+func schedule(options *Options, routes map[string]*routeconfig.Route, nodes int) []arrival {
 	random := rand.New(rand.NewSource(options.Seed))
-	var all []planned
+	var all []arrival
 	at := 0.0
 	for number := 0; options.Count == 0 || number < options.Count; number++ {
 		at += random.ExpFloat64() / options.Rate * 1000
 		if clock.Milliseconds(at) >= options.For {
 			break
 		}
-		kind := draw(options.Mix, random)
-		entry := &order{kind: kind, route: routes[kind], number: number, node: int(random.Float64() * float64(nodes)), body: []byte("order " + strconv.Itoa(number))}
-		if profiles[kind].counts > 0 {
+		kind := drawKind(options.Mix, random)
+		entry := &requestSpec{kind: kind, route: routes[kind], number: number, node: int(random.Float64() * float64(nodes)), body: []byte("order " + strconv.Itoa(number))}
+		if profiles[kind].heads > 0 {
 			entry.prompt = profiles[kind].prompt(random)
 		}
-		all = append(all, planned{clock.Milliseconds(at), entry})
+		all = append(all, arrival{clock.Milliseconds(at), entry})
 	}
 	return all
 }
--- a/internal/tooling/loadgen/options_test.go
+++ b/internal/tooling/loadgen/options_test.go
@@ -24,7 +24,7 @@
 }
 
 // Each senseless file gets one line that names what is wrong.
-func TestExperimentsThatCanNotBe(t *testing.T) {
+func TestInvalidExperiments(t *testing.T) {
 	folder := programs(t)
 	for text, want := range map[string]string{
 		"rate = 0.0":                      "rate",
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestExperimentTakesWhatIsUsual(t *testing.T) {
+func TestExperimentDefaults(t *testing.T) {
 	folder := programs(t)
 	entry, options, err := ReadExperiment("rate = 7.0\n[[fleet]]\ngateways = 1\n[[fleet]]\nlabel = \"b\"\ncapacity = 2\n", folder)
 	if err != nil || options.Rate != 7 || options.Items != NewOptions().Items || len(entry.Fleets) != 2 {
--- a/internal/tooling/loadgen/plot.go
+++ b/internal/tooling/loadgen/plot.go
@@ -24,7 +24,7 @@
 
 // line gives the latency of a kind by the share of the slowest: x is how many
 // requests there are to each one that takes longer.
-func (k *Kind) line() plotter.XYs {
+func (k *Kind) latencyCurve() plotter.XYs {
 	var points plotter.XYs
 	for step := 1; step <= constants.LoadPlotSteps; step++ {
 		left := math.Pow(2, -float64(step))
@@ -51,7 +51,7 @@
 	chosen := 0
 	for fleet, result := range results {
 		for i, kind := range result.Kinds {
-			points := kind.line()
+			points := kind.latencyCurve()
 			if len(points) < 2 {
 				continue
 			}
--- a/internal/tooling/loadgen/plot_test.go
+++ b/internal/tooling/loadgen/plot_test.go
@@ -14,9 +14,9 @@
 		t.Fatal("a plot of nothing")
 	}
 	for count := 1; count <= 1000; count++ {
-		result.item(true, time.Duration(count)*time.Millisecond, true)
+		result.countItem(true, time.Duration(count)*time.Millisecond, true)
 	}
-	points := result.kind("batch").line()
+	points := result.kind("batch").latencyCurve()
 	if len(points) != 9 || points[0].Y < 495 || points[0].Y > 505 || points[8].Y < 990 {
 		t.Fatal("1,000 requests have a half, a quarter and so on to one in 512", points)
 	}
--- a/internal/tooling/loadgen/report.go
+++ b/internal/tooling/loadgen/report.go
@@ -14,14 +14,14 @@
 func Write(writer io.Writer, results []*Result) {
 	fmt.Fprintln(writer, Caveat)
 	for _, result := range results {
-		writeOne(writer, result)
+		writeResult(writer, result)
 	}
 	if len(results) > 1 {
 		writeRatios(writer, results)
 	}
 }
 
-func writeOne(writer io.Writer, result *Result) {
+func writeResult(writer io.Writer, result *Result) {
 	fmt.Fprintf(writer, "\n%s: worth %.3f, served %d, took %.1f s, runs at workers %d\n", result.Label, result.Worth, result.Served(), result.Took, result.Runs)
 	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "kind\tsent\tin time\tlate\tfailed\tworth\tp50 ms\tp90 ms\tp99 ms\tmax ms\t")
--- a/internal/tooling/loadgen/result.go
+++ b/internal/tooling/loadgen/result.go
@@ -91,20 +91,20 @@
 }
 
 // serve counts an order that was served whole.
-func (r *Result) serve(order *order, state *served, now clock.Instant) {
+func (r *Result) countServed(order *requestSpec, state *requestState, now clock.Instant) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	first := state.first
+	first := state.firstEvent
 	if first == 0 {
 		first = now
 	}
-	took := first.Sub(state.begun)
-	inTime := took <= order.route.Setpoint() && (order.route.GapMs <= 0 || state.gap <= clock.Milliseconds(order.route.GapMs))
+	took := first.Sub(state.started)
+	inTime := took <= order.route.Setpoint() && (order.route.GapMs <= 0 || state.maxGap <= clock.Milliseconds(order.route.GapMs))
 	r.count(order.kind, inTime, true).record(took)
 }
 
 // fail counts an order that was not served.
-func (r *Result) fail(order *order, cause string) {
+func (r *Result) countFailed(order *requestSpec, cause string) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.count(order.kind, false, false)
@@ -112,27 +112,27 @@
 }
 
 // again counts a try that failed and is followed by another.
-func (r *Result) again(cause string) {
+func (r *Result) countRetry(cause string) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.Retried[cause]++
 }
 
 // submitJob notes how long the handing in of a lot took.
-func (r *Result) handIn(took clock.Duration) {
+func (r *Result) countSubmission(took clock.Duration) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	entry := r.kind(handInKind)
+	entry := r.kind(submissionKind)
 	entry.Sent++
 	entry.InTime++
 	entry.record(took)
 }
 
 // handInKind is the line of the report on accepted lots; it earns nothing itself.
-const handInKind = "batch-202"
+const submissionKind = "batch-202"
 
 // item counts one listed item.
-func (r *Result) item(completed bool, took clock.Duration, inTime bool) {
+func (r *Result) countItem(completed bool, took clock.Duration, inTime bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	entry := r.count("batch", completed && inTime, completed)
@@ -144,7 +144,7 @@
 }
 
 // failItems counts items that were never listed.
-func (r *Result) failItems(count int, cause string) {
+func (r *Result) countFailedItems(count int, cause string) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	for ; count > 0; count-- {
@@ -153,20 +153,20 @@
 	}
 }
 
-func (r *Result) notSent() {
+func (r *Result) countNotSent() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.NotSent++
 }
 
-func (r *Result) note(text string) {
+func (r *Result) addNote(text string) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.Notes = append(r.Notes, text)
 }
 
 // find keeps a broken promise.
-func (r *Result) find(finding Finding) {
+func (r *Result) addFinding(finding Finding) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.Broken++
@@ -176,12 +176,12 @@
 }
 
 // sofar is one line of progress.
-func (r *Result) sofar(span clock.Duration) string {
+func (r *Result) progressLine(span clock.Duration) string {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	inTime, late, failed := 0, 0, 0
 	for _, entry := range r.Kinds {
-		if entry.Name != handInKind {
+		if entry.Name != submissionKind {
 			inTime, late, failed = inTime+entry.InTime, late+entry.Late, failed+entry.Failed
 		}
 	}
@@ -210,7 +210,7 @@
 func (r *Result) Served() int {
 	count := 0
 	for _, entry := range r.Kinds {
-		if entry.Name != handInKind {
+		if entry.Name != submissionKind {
 			count += entry.InTime + entry.Late
 		}
 	}
--- a/internal/tooling/loadgen/send.go
+++ b/internal/tooling/loadgen/send.go
@@ -19,61 +19,61 @@
 )
 
 // result is what came of one try.
-type result struct {
+type attemptResult struct {
 	// cause is empty for a success.
 	cause   string
-	promise bool
+	notExecuted bool
 	// unread: no node can have read it, so that any kind may be sent again.
 	unread  bool
-	final   bool
-	after   clock.Duration
+	permanent   bool
+	retryAfter   clock.Duration
 	finding *Finding
 }
 
 // served is what is known of an order over all its tries.
-type served struct {
-	begun, deadline clock.Instant
-	first, last     clock.Instant
-	gap             clock.Duration
+type requestState struct {
+	started, deadline clock.Instant
+	firstEvent, lastEvent     clock.Instant
+	maxGap             clock.Duration
 	lastID          int64
 }
 
 // serve tries an order until it is served or may not be tried again.
-func (r *run) serve(order *order) {
+func (r *run) sendWithRetries(order *requestSpec) {
 	now := clock.Now()
-	state := &served{begun: now, deadline: now.Add(order.route.Cutoff())}
+	state := &requestState{started: now, deadline: now.Add(order.route.Cutoff())}
 	for attempt := 1; ; attempt++ {
-		got := r.try(order, state, attempt)
+		got := r.sendAttempt(order, state, attempt)
 		if got.finding != nil {
-			r.result.find(*got.finding)
+			r.result.addFinding(*got.finding)
 		}
 		if got.cause == "" {
-			r.result.serve(order, state, clock.Now())
+			r.result.countServed(order, state, clock.Now())
 			return
 		}
-		wait := min(max(got.after, constants.LabRetry/4), state.deadline.Sub(clock.Now())/3)
-		mayAgain := !got.final && (repeatable(order.route) || got.promise || got.unread)
+		wait := min(max(got.retryAfter, constants.LabRetry/4), state.deadline.Sub(clock.Now())/3)
+		mayAgain := !got.permanent && (repeatable(order.route) || got.notExecuted || got.unread)
 		if !mayAgain || attempt >= r.options.Tries || wait <= 0 {
-			r.result.fail(order, got.cause)
+			r.result.countFailed(order, got.cause)
 			return
 		}
-		r.result.again(got.cause)
+		r.result.countRetry(got.cause)
 		r.pause(wait)
 	}
 }
 
 // try sends one attempt to one node; each try is another attempt, at another node.
-func (r *run) try(order *order, state *served, try int) result {
+func (r *run) sendAttempt(order *requestSpec, state *requestState, try int) attemptResult {
 	attempt := r.prefix + strconv.Itoa(order.number) + "-" + strconv.Itoa(try)
 	path := order.route.Prefix + strconv.Itoa(order.number)
-	made := r.remember(attempt, path, order.body, order.route, !repeatable(order.route), false)
+	made := r.recordAttempt(attempt, path, order.body, order.route, !repeatable(order.route), false)
 	left := state.deadline.Sub(clock.Now())
 	limited, release := contexts.WithTimeout(contexts.Background(), left)
 	defer release()
 	node := r.card.Ingress[(order.node+try-1)%len(r.card.Ingress)]
 	request, err := http.NewRequestWithContext(limited, http.MethodPost, "http://"+node+path, bytes.NewReader(order.body))
 	if err != nil {
-		return result{cause: "unsendable", final: true}
+		return attemptResult{cause: "unsendable", permanent: true}
 	}
 	// Without it the library may send a body once more on its own; every send must be ours.
 	request.GetBody = nil
@@ -81,10 +81,10 @@
 	header := request.Header
 	header.Set("Lemonarch-Attempt-Id", attempt)
 	header.Set("Lemonarch-Time-Left-Ms", strconv.FormatInt(left.Milliseconds(), 10))
-	if !order.plain() {
+	if !order.isPlain() {
 		header.Set("Lemonarch-Model", lab.ModelName)
-		header.Set("Lemonarch-Token-Count", strconv.FormatInt(order.prompt.in, 10)+","+strconv.FormatInt(order.prompt.out, 10))
-		header.Set("Lemonarch-Prompt-Prefix", order.prompt.parts)
+		header.Set("Lemonarch-Token-Count", strconv.FormatInt(order.prompt.inputTokens, 10)+","+strconv.FormatInt(order.prompt.outputTokens, 10))
+		header.Set("Lemonarch-Prompt-Prefix", order.prompt.prefix)
 	}
 	if state.lastID > 0 {
 		header.Set("Last-Event-Id", strconv.FormatInt(state.lastID, 10))
@@ -93,39 +93,39 @@
 	if err != nil {
 		cause := causeOf(err, limited)
 		if cause == causeCut {
-			r.noteCut(made)
+			r.recordCut(made)
 		}
-		return result{cause: cause, unread: cause == causeRefused}
+		return attemptResult{cause: cause, unread: cause == causeRefused}
 	}
 	defer resp.Body.Close()
-	var got result
+	var got attemptResult
 	switch {
 	case resp.StatusCode < 300 && order.route.Kind() == messages.RouteStreaming:
-		got = r.stream(order, state, attempt, resp, release)
+		got = r.readStream(order, state, attempt, resp, release)
 	case resp.StatusCode < 300:
-		got = plain(order, state, attempt, resp)
+		got = readPlain(order, state, attempt, resp)
 	default:
-		got = refusal(resp)
+		got = readErrorResponse(resp)
 	}
 	if got.cause == causeAnswerCut || got.cause == causeStreamCut {
-		r.noteCut(made)
+		r.recordCut(made)
 	}
-	r.settle(made, got.promise, got.cause == "")
+	r.recordOutcome(made, got.notExecuted, got.cause == "")
 	return got
 }
 
 // refusal reads an answer that is no success.
-func refusal(resp *http.Response) result {
+func readErrorResponse(resp *http.Response) attemptResult {
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, constants.EmulatorHeartbeatBytes))
-	got := result{cause: strconv.Itoa(resp.StatusCode)}
+	got := attemptResult{cause: strconv.Itoa(resp.StatusCode)}
 	switch resp.StatusCode {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-		got.promise = true
+		got.notExecuted = true
 	case http.StatusBadRequest, http.StatusUnauthorized, http.StatusNotFound, http.StatusRequestEntityTooLarge, http.StatusRequestHeaderFieldsTooLarge:
-		got.final = true
+		got.permanent = true
 	}
 	seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
-	got.after = clock.Milliseconds(max(seconds, 0) * 1000)
+	got.retryAfter = clock.Milliseconds(max(seconds, 0) * 1000)
 	return got
 }
 
@@ -153,24 +153,24 @@
 }
 
 // plain reads a success that is no stream.
-func plain(order *order, state *served, attempt string, resp *http.Response) result {
+func readPlain(order *requestSpec, state *requestState, attempt string, resp *http.Response) attemptResult {
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return result{cause: causeAnswerCut}
+		return attemptResult{cause: causeAnswerCut}
 	}
-	state.first = clock.Now()
+	state.firstEvent = clock.Now()
 	if finding := checkPlain(attempt, order.body, resp.Header.Get("Lemonarch-Server-Seal"), resp.Header.Get("Lemonarch-Attempt-Id"), body); finding != nil {
-		return result{cause: "not the answer", final: true, finding: finding}
+		return attemptResult{cause: "not the answer", permanent: true, finding: finding}
 	}
-	return result{}
+	return attemptResult{}
 }
 
 // stream reads a stream of events, and gives it up after a silence.
-func (r *run) stream(order *order, state *served, attempt string, resp *http.Response, halt func()) result {
-	if finding := checkStamp(attempt, resp.Header.Get("Lemonarch-Server-Seal"), resp.Header.Get("Lemonarch-Attempt-Id")); finding != nil {
-		return result{cause: "not the answer", final: true, finding: finding}
+func (r *run) readStream(order *requestSpec, state *requestState, attempt string, resp *http.Response, halt func()) attemptResult {
+	if finding := checkSeal(attempt, resp.Header.Get("Lemonarch-Server-Seal"), resp.Header.Get("Lemonarch-Attempt-Id")); finding != nil {
+		return attemptResult{cause: "not the answer", permanent: true, finding: finding}
 	}
-	follower := &follower{attempt: attempt, last: state.lastID, all: workeremulator.Events(order.prompt.out, r.card.Stride)}
+	follower := &streamCheck{attempt: attempt, lastID: state.lastID, eventCount: workeremulator.Events(order.prompt.outputTokens, r.card.Stride)}
 	elapsed := max(constants.LoadTimeout, 4*order.route.Setpoint(), 8*clock.Milliseconds(order.route.GapMs))
 	var timedOut atomic.Bool
 	timer := time.AfterFunc(elapsed, func() { timedOut.Store(true); halt() })
@@ -181,14 +181,14 @@
 		if err != nil {
 			if err != io.EOF || event != "" || text != "" {
 				if timedOut.Load() {
-					return result{cause: "silence"}
+					return attemptResult{cause: "silence"}
 				}
-				return result{cause: causeStreamCut}
+				return attemptResult{cause: causeStreamCut}
 			}
-			if finding := follower.end(); finding != nil {
-				return result{cause: "not the answer", final: true, finding: finding}
+			if finding := follower.finish(); finding != nil {
+				return attemptResult{cause: "not the answer", permanent: true, finding: finding}
 			}
-			return result{}
+			return attemptResult{}
 		}
 		if text != "\n" {
 			event += text
@@ -196,15 +196,15 @@
 		}
 		timer.Reset(elapsed)
 		now := clock.Now()
-		if state.first == 0 {
-			state.first = now
+		if state.firstEvent == 0 {
+			state.firstEvent = now
 		} else {
-			state.gap = max(state.gap, now.Sub(state.last))
+			state.maxGap = max(state.maxGap, now.Sub(state.lastEvent))
 		}
-		state.last = now
-		if !follower.event(event) {
-			return result{cause: "not the answer", final: true, finding: follower.finding}
+		state.lastEvent = now
+		if !follower.addEvent(event) {
+			return attemptResult{cause: "not the answer", permanent: true, finding: follower.finding}
 		}
-		state.lastID, event = follower.last, ""
+		state.lastID, event = follower.lastID, ""
 	}
 }
--- a/internal/tooling/simulation/disk.go
+++ b/internal/tooling/simulation/disk.go
@@ -10,16 +10,17 @@
 	"lemonarch/internal/platform/recordlog"
 )
 
-// ErrFull is what a full disk says.
+// ErrFull is the error of a write that does not fit on the disk.
 var ErrFull = fmt.Errorf("fake disk: %w", syscall.ENOSPC)
 
-// ErrDown is what every operation says once the machine is without power.
+// ErrDown is the error of every operation on a machine without power. Tests return it from
+// Disk.Intercept.
 var ErrDown = errors.New("fake disk: machine is down")
 
-// Operation is a kind of call to the disk.
+// Operation is a kind of operation on the disk.
 type Operation int
 
-// The operations that Disk.Intercept hears of.
+// The operations that are passed to Disk.Intercept.
 const (
 	OperationOpen Operation = iota
 	OperationWrite
@@ -30,54 +31,55 @@
 	OperationSyncFolder
 )
 
-// Disk is a folder in memory with the habits of a real one. After a loss of power a
-// file holds what its last sync covered, and each later write by itself may be
-// present, missing or torn; each entry of the folder that was made, renamed or
-// removed since the folder's last sync is kept or lost by itself.
+// Disk is a directory in memory that loses data on a power failure as a real disk does.
+// After a power failure a file contains everything up to its last sync; each later write
+// is present, missing or torn, independently of the others. Each directory entry that was
+// created, renamed or removed since the directory's last sync is kept or lost,
+// independently of the others.
 type Disk struct {
 	lock   sync.Mutex
 	random *rand.Rand
-	// names is the folder as it is seen now; a nil content is no file.
+	// names maps each file name to its current content. A nil content means that there is no file.
 	names map[string]*content
-	// unsynced holds, for each name that changed since the last sync of the folder,
-	// what it stood for one after the other; the first of them lasts.
+	// unsynced lists, for each name that changed since the last sync of the directory, the
+	// contents that it has referred to, oldest first. The first one is the synced one.
 	unsynced map[string][]*content
-	// Free is how many more bytes fit; below zero means no bound.
+	// Free is the free space in bytes; a negative value means unlimited.
 	Free int
-	// Syncs counts the syncs of files.
+	// Syncs is the number of file syncs.
 	Syncs int
-	// Intercept, where set, hears of each operation before it is done. Its error
-	// refuses the operation, and while it blocks, the disk answers nothing.
+	// Intercept, if set, is called before each operation. If it returns an error, the
+	// operation fails with it; while it blocks, the operation does not return.
 	Intercept func(operation Operation, name string) error
 }
 
-// NewDisk makes an empty disk.
+// NewDisk returns an empty disk without a space limit.
 func NewDisk(seed int64) *Disk {
 	disk := &Disk{random: rand.New(rand.NewSource(seed)), Free: -1}
 	disk.Wipe()
 	return disk
 }
 
-// Wipe empties it.
+// Wipe removes all files.
 func (d *Disk) Wipe() {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.names, d.unsynced = map[string]*content{}, map[string][]*content{}
 }
 
-// PowerLoss decides what is left of all that was not synced. In one of four cases
-// nothing of it is.
+// PowerLoss simulates a power failure: it draws at random which unsynced changes survive.
+// With a probability of one in four none of them does.
 func (d *Disk) PowerLoss() {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	allLost := d.random.Intn(4) == 0
 	for _, name := range Keys(d.unsynced) {
-		choices := d.unsynced[name]
-		lasting := 0
+		versions := d.unsynced[name]
+		kept := 0
 		if !allLost {
-			lasting = d.random.Intn(len(choices))
+			kept = d.random.Intn(len(versions))
 		}
-		d.set(name, choices[lasting])
+		d.set(name, versions[kept])
 	}
 	d.unsynced = map[string][]*content{}
 	for _, name := range Keys(d.names) {
@@ -85,7 +87,7 @@
 	}
 }
 
-// Spoil flips a byte of a file, as a failing disk would.
+// Spoil inverts one byte of a file, as a failing disk may do.
 func (d *Disk) Spoil(name string, offset int) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -94,14 +96,14 @@
 	file.sync()
 }
 
-// Names gives the names of the files there are.
+// Names returns the names of all files, sorted.
 func (d *Disk) Names() []string {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return Keys(d.names)
 }
 
-// Open opens or makes a file.
+// Open opens a file and creates it if it does not exist.
 func (d *Disk) Open(name string) (recordlog.File, error) {
 	if err := d.intercept(OperationOpen, name); err != nil {
 		return nil, err
@@ -114,7 +116,7 @@
 	return &handle{disk: d, name: name, file: d.names[name]}, nil
 }
 
-// Rename gives a file another name, which lasts with the folder.
+// Rename renames a file. The change is durable after the next SyncDirectory.
 func (d *Disk) Rename(from, to string) error {
 	if err := d.intercept(OperationRename, from); err != nil {
 		return err
@@ -130,7 +132,7 @@
 	return nil
 }
 
-// Remove takes a file away.
+// Remove removes a file. The change is durable after the next SyncDirectory.
 func (d *Disk) Remove(name string) error {
 	if err := d.intercept(OperationRemove, name); err != nil {
 		return err
@@ -144,7 +146,7 @@
 	return nil
 }
 
-// SyncDirectory makes names last.
+// SyncDirectory makes all creations, renames and removals of files durable.
 func (d *Disk) SyncDirectory() error {
 	if err := d.intercept(OperationSyncFolder, ""); err != nil {
 		return err
@@ -155,7 +157,8 @@
 	return nil
 }
 
-// change notes what a name stands for from now on. The lock is held.
+// change makes a name refer to another content, or to none if file is nil, and records the
+// unsynced change. The caller holds the lock.
 func (d *Disk) change(name string, file *content) {
 	if len(d.unsynced[name]) == 0 {
 		d.unsynced[name] = []*content{d.names[name]}
--- a/internal/tooling/simulation/file.go
+++ b/internal/tooling/simulation/file.go
@@ -5,76 +5,77 @@
 	"math/rand"
 )
 
-// tornBytes is how many bytes of a torn write are there or not there together.
+// tornBytes is the size of the pieces of a torn write; each piece is written or missing as a whole.
 const tornBytes = 16
 
-// write is a change of a file that no sync has covered: bytes at an offset, or a
-// new length where truncate is set.
-type write struct {
+// pendingWrite is a change of a file that has not been synced yet: bytes written at an offset,
+// or, if truncate is set, a change of the length to offset.
+type pendingWrite struct {
 	truncate bool
 	offset   int
 	text     []byte
 }
 
-// content is what a file holds: as its last sync left it, and as it is seen now.
+// content is the content of a file: synced at its last sync, text at present. writes are the
+// unsynced changes between the two, in order.
 type content struct {
 	synced []byte
 	text   []byte
-	writes []write
+	writes []pendingWrite
 }
 
-// sync makes all of it last.
+// sync makes the present content durable.
 func (c *content) sync() {
 	c.synced = append([]byte(nil), c.text...)
 	c.writes = nil
 }
 
-// powerLoss decides of each unsynced change whether it is there, missing or torn.
+// powerLoss draws for each unsynced change whether it is present, missing or torn.
 func (c *content) powerLoss(random *rand.Rand, allLost bool) {
 	c.text = append([]byte(nil), c.synced...)
-	for _, item := range c.writes {
+	for _, change := range c.writes {
 		if allLost {
 			break
 		}
 		switch random.Intn(3) {
 		case 0:
-			c.apply(item)
+			c.apply(change)
 		case 1:
-			c.applyTorn(item, random)
+			c.applyTorn(change, random)
 		}
 	}
 	c.sync()
 }
 
-func (c *content) apply(item write) {
-	if item.truncate {
-		c.resize(item.offset)
+func (c *content) apply(change pendingWrite) {
+	if change.truncate {
+		c.resize(change.offset)
 		return
 	}
-	if end := item.offset + len(item.text); end > len(c.text) {
+	if end := change.offset + len(change.text); end > len(c.text) {
 		c.resize(end)
 	}
-	copy(c.text[item.offset:], item.text)
+	copy(c.text[change.offset:], change.text)
 }
 
-// applyTorn applies a beginning of a write, or pieces from anywhere in it; what is
-// missing between them reads as zeros.
-func (c *content) applyTorn(item write, random *rand.Rand) {
-	if item.truncate || len(item.text) == 0 {
+// applyTorn applies a prefix of a write, in half of the cases with its last byte corrupted, or
+// random pieces of it; missing bytes between them read as zeros.
+func (c *content) applyTorn(change pendingWrite, random *rand.Rand) {
+	if change.truncate || len(change.text) == 0 {
 		return
 	}
 	if random.Intn(2) == 0 {
-		item.text = append([]byte(nil), item.text[:random.Intn(len(item.text))]...)
-		if len(item.text) > 0 && random.Intn(2) == 0 {
-			item.text[len(item.text)-1] ^= 0x5a
+		change.text = append([]byte(nil), change.text[:random.Intn(len(change.text))]...)
+		if len(change.text) > 0 && random.Intn(2) == 0 {
+			change.text[len(change.text)-1] ^= 0x5a
 		}
-		c.apply(item)
+		c.apply(change)
 		return
 	}
-	for start := 0; start < len(item.text); start += tornBytes {
+	for start := 0; start < len(change.text); start += tornBytes {
 		if random.Intn(2) == 0 {
-			end := min(start+tornBytes, len(item.text))
-			c.apply(write{offset: item.offset + start, text: item.text[start:end]})
+			end := min(start+tornBytes, len(change.text))
+			c.apply(pendingWrite{offset: change.offset + start, text: change.text[start:end]})
 		}
 	}
 }
@@ -94,42 +95,42 @@
 	file *content
 }
 
-// Write appends; a refused write may have taken a part.
+// Write appends to the file. A write that fails may have written a part.
 func (h *handle) Write(text []byte) (int, error) {
 	err := h.disk.intercept(OperationWrite, h.name)
 	h.disk.lock.Lock()
 	defer h.disk.lock.Unlock()
-	part := len(text)
+	written := len(text)
 	if err != nil {
-		part = h.disk.random.Intn(len(text) + 1)
+		written = h.disk.random.Intn(len(text) + 1)
 	}
 	if free := h.disk.Free; free >= 0 {
-		if part > free {
-			part, err = free, ErrFull
+		if written > free {
+			written, err = free, ErrFull
 		}
-		h.disk.Free -= part
+		h.disk.Free -= written
 	}
-	change := write{offset: len(h.file.text), text: append([]byte(nil), text[:part]...)}
+	change := pendingWrite{offset: len(h.file.text), text: append([]byte(nil), text[:written]...)}
 	h.file.apply(change)
 	h.file.writes = append(h.file.writes, change)
-	return part, err
+	return written, err
 }
 
-// ReadAt reads from an offset; io.EOF says that the file ends before.
-func (h *handle) ReadAt(into []byte, offset int64) (int, error) {
+// ReadAt reads from an offset. It returns io.EOF if the file ends before the buffer is full.
+func (h *handle) ReadAt(buffer []byte, offset int64) (int, error) {
 	h.disk.lock.Lock()
 	defer h.disk.lock.Unlock()
 	if offset >= int64(len(h.file.text)) {
 		return 0, io.EOF
 	}
-	count := copy(into, h.file.text[offset:])
-	if count < len(into) {
+	count := copy(buffer, h.file.text[offset:])
+	if count < len(buffer) {
 		return count, io.EOF
 	}
 	return count, nil
 }
 
-// Sync makes what was written last.
+// Sync makes everything written so far durable.
 func (h *handle) Sync() error {
 	if err := h.disk.intercept(OperationSync, h.name); err != nil {
 		return err
@@ -141,25 +142,25 @@
 	return nil
 }
 
-// Truncate cuts the file where it is longer.
+// Truncate sets the length of the file: it cuts a longer file and fills a shorter one with zeros.
 func (h *handle) Truncate(size int64) error {
 	if err := h.disk.intercept(OperationTruncate, h.name); err != nil {
 		return err
 	}
 	h.disk.lock.Lock()
 	defer h.disk.lock.Unlock()
-	change := write{truncate: true, offset: int(size)}
+	change := pendingWrite{truncate: true, offset: int(size)}
 	h.file.apply(change)
 	h.file.writes = append(h.file.writes, change)
 	return nil
 }
 
-// Size is the length in bytes.
+// Size returns the length in bytes.
 func (h *handle) Size() (int64, error) {
 	h.disk.lock.Lock()
 	defer h.disk.lock.Unlock()
 	return int64(len(h.file.text)), nil
 }
 
-// Close has nothing to do.
+// Close does nothing.
 func (h *handle) Close() error { return nil }
--- a/internal/tooling/simulation/seeds.go
+++ b/internal/tooling/simulation/seeds.go
@@ -6,11 +6,12 @@
 	"strconv"
 )
 
-// SeedsVariable names the environment variable that says how many seeds a test
-// plays in place of the few that CI plays.
+// SeedsVariable is the name of the environment variable that sets how many seeds a test runs,
+// in place of the few that CI runs.
 const SeedsVariable = "LEMONARCH_SEEDS"
 
-// Seeds tells how many seeds a test plays: few, unless the environment says more.
+// Seeds returns how many seeds a test runs: the value of the environment variable if it is a
+// positive number, otherwise few.
 func Seeds(few int) int {
 	if count, err := strconv.Atoi(os.Getenv(SeedsVariable)); err == nil && count > 0 {
 		return count
@@ -18,13 +19,13 @@
 	return few
 }
 
-// PinRapid makes the property tests of a package play the same histories each time,
-// as many as Seeds tells, and leave no files behind. A test's TestMain calls it; flags
-// given on the command line win.
+// PinRapid makes the property tests of a package (pgregory.net/rapid) run the same histories
+// each time, as many as Seeds returns, and leave no fail files behind. It is called from a
+// package's TestMain. Flags given on the command line take precedence.
 func PinRapid(few int) error {
 	flag.Parse()
 	given := map[string]bool{}
-	flag.Visit(func(item *flag.Flag) { given[item.Name] = true })
+	flag.Visit(func(option *flag.Flag) { given[option.Name] = true })
 	for name, value := range map[string]string{
 		"rapid.seed": "1", "rapid.checks": strconv.Itoa(Seeds(few)), "rapid.nofailfile": "true",
 	} {
--- a/internal/tooling/simulation/world.go
+++ b/internal/tooling/simulation/world.go
@@ -1,5 +1,6 @@
-// Package simulation is a seeded world for tests: a clock, a network with cuts, loss, delay and
-// duplication, and disks that lose what was not synced. One seed repeats one history.
+// Package simulation provides a deterministic environment for tests: a clock, a network with
+// partitions, loss, delay and duplication, and disks that lose unsynced data. The same seed
+// produces the same history.
 package simulation
 
 import (
@@ -12,18 +13,21 @@
 	"lemonarch/internal/platform/clock"
 )
 
+// event is a function to be called at an instant. order is its sequence number among all events.
 type event struct {
 	at       clock.Instant
 	order    int
 	function func()
 }
 
+// events is a heap of pending events, the earliest first.
 type events []event
 
-// Len is how many events wait (heap.Interface).
+// Len returns the number of pending events (heap.Interface).
 func (e events) Len() int { return len(e) }
 
-// Less orders events by instant, and those of one instant as they were added.
+// Less orders events by instant, and events of the same instant in the order in which they were
+// added.
 func (e events) Less(left, right int) bool {
 	if e[left].at != e[right].at {
 		return e[left].at < e[right].at
@@ -31,13 +35,13 @@
 	return e[left].order < e[right].order
 }
 
-// Swap exchanges two.
+// Swap swaps two events.
 func (e events) Swap(left, right int) { e[left], e[right] = e[right], e[left] }
 
 // Push adds an event.
-func (e *events) Push(item any) { *e = append(*e, item.(event)) }
+func (e *events) Push(next any) { *e = append(*e, next.(event)) }
 
-// Pop takes the last.
+// Pop removes and returns the last event of the slice.
 func (e *events) Pop() any {
 	old := *e
 	next := old[len(old)-1]
@@ -45,43 +49,46 @@
 	return next
 }
 
-// World is a fake clock with a network that delays, loses, doubles and cuts.
+// World is a simulated clock and a network that delays, loses and duplicates messages and can be
+// partitioned.
 type World struct {
 	Random *rand.Rand
 	Now    clock.Instant
 	queue  events
 	order  int
-	// Loss and Double are chances for each message.
+	// Loss and Double are the probabilities, 0 to 1, that a message is lost, or duplicated if it
+	// is not lost.
 	Loss, Double float64
 	partitioned  map[string]bool
 	history      []string
 }
 
-// NewWorld makes a world whose history depends on its seed alone.
+// NewWorld returns a world whose history depends only on its seed.
 func NewWorld(seed int64) *World {
 	return &World{Random: rand.New(rand.NewSource(seed)), partitioned: map[string]bool{}}
 }
 
-// After runs a function at a later moment.
+// After calls a function once a time span has passed.
 func (w *World) After(span clock.Duration, function func()) {
 	w.order++
 	heap.Push(&w.queue, event{w.Now.Add(span), w.order, function})
 }
 
-// SetPartitioned cuts one direction between two nodes, or joins it.
+// SetPartitioned cuts or restores the network in one direction between two nodes.
 func (w *World) SetPartitioned(from, to string, partitioned bool) {
 	w.partitioned[from+">"+to] = partitioned
 }
 
-// Isolate cuts a node off in both directions, or joins it.
+// Isolate cuts or restores the network in both directions between a node and the others.
 func (w *World) Isolate(node string, others []string, partitioned bool) {
-	for _, other := range others {
-		w.SetPartitioned(node, other, partitioned)
-		w.SetPartitioned(other, node, partitioned)
+	for _, peer := range others {
+		w.SetPartitioned(node, peer, partitioned)
+		w.SetPartitioned(peer, node, partitioned)
 	}
 }
 
-// Send carries a message: the function runs at the receiver, or never, or twice.
+// Send delivers a message by calling function after a delay: once, twice if the message is
+// duplicated, or not at all if it is lost or the direction is partitioned on delivery.
 func (w *World) Send(from, to string, function func()) {
 	copies := 1
 	if w.Random.Float64() < w.Loss {
@@ -99,7 +106,7 @@
 	}
 }
 
-// Run plays events until a moment.
+// Run processes all events up to and including an instant, and sets the clock to it.
 func (w *World) Run(until clock.Instant) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		next := heap.Pop(&w.queue).(event)
@@ -109,24 +116,25 @@
 	w.Now = until
 }
 
-// Forget drops every event that is still to come.
+// Forget drops all pending events.
 func (w *World) Forget() { w.queue = nil }
 
-// Record writes a line of history.
+// Record adds a line, with the time, to the history.
 func (w *World) Record(format string, values ...any) {
 	w.history = append(w.history, fmt.Sprintf("%d ", w.Now)+fmt.Sprintf(format, values...))
 }
 
-// Sum names the whole history: the same seed gives the same sum.
+// Sum returns a hash of the whole history. The same seed produces the same hash.
 func (w *World) Sum() uint64 {
-	sum := fnv.New64a()
-	for _, text := range w.history {
-		sum.Write([]byte(text))
+	hash := fnv.New64a()
+	for _, line := range w.history {
+		hash.Write([]byte(line))
 	}
-	return sum.Sum64()
+	return hash.Sum64()
 }
 
-// Keys gives the keys of a map in order, so that no history depends on chance.
+// Keys returns the sorted keys of a map, so that a history does not depend on the random order
+// in which Go iterates over maps.
 func Keys[Value any](from map[string]Value) []string {
 	keys := make([]string, 0, len(from))
 	for key := range from {
