--- a/internal/tooling/crowd/control_test.go
+++ b/internal/tooling/crowd/control_test.go
@@ -11,10 +11,11 @@
 	"lemonarch/internal/tooling/lab"
 )
 
-// Each test plays one kind of client that doesn't behave against the listeners of workers, the
-// operator and the platform (issue 33).
+// Each test runs one kind of misbehaving client against the listeners for workers, operators and
+// the platform (issue 33).
 
-// replace is a call with a body as long as a client's may be.
+// replace is a call of Configuration.Replace with a body of the largest length that a client may
+// send.
 func replace(framing Framing) Request {
 	return Request{Method: http.MethodPost, Path: "/-/Configuration.Replace", Host: "control", Framing: framing, Announced: bodyBytes, Bytes: bodyBytes,
 		Headers: []string{"Lemonarch-Base-Revision: 1", "Content-Type: application/json"}}
@@ -67,7 +68,7 @@
 	f.checkWithCrowd(t, f.control(), 2*fileHandles, Request{Silent: true, StayOpen: true})
 }
 
-// One body that costs far more to check than to send: routes that share nothing but their fault.
+// A body that costs far more to check than to send: deeply nested JSON.
 func TestControlOutlastsDeepConfigurations(t *testing.T) {
 	f := startFleet(t)
 	request := replace(FramingLength)
@@ -75,6 +76,7 @@
 	f.checkWithCrowd(t, f.control(), crowdMembers/8, request)
 }
 
+// A body that costs far more to check than to send: many different routes, all with the same errors.
 func TestControlOutlastsConfigurationsOfManyRoutes(t *testing.T) {
 	f := startFleet(t)
 	var routes []string
--- a/internal/tooling/crowd/crowd.go
+++ b/internal/tooling/crowd/crowd.go
@@ -1,6 +1,6 @@
-// Package crowd plays clients that don't behave against one listener of a real process: bodies
-// that stop short of their end and stay open, bodies over every limit, chunks of one byte, heads
-// without an end, connections that say nothing. It also watches what they cost that process.
+// Package crowd simulates misbehaving clients of one listener of a real process: incomplete bodies
+// on connections that stay open, bodies above the limit, chunks of one byte, incomplete heads and
+// connections that send nothing. It also measures the resources that the process uses meanwhile.
 package crowd
 
 import (
@@ -18,27 +18,29 @@
 	"lemonarch/internal/platform/errs"
 )
 
-// ErrInvalidCrowd is the error of a crowd that can't be played.
+// ErrInvalidCrowd is the error of a crowd or a watch that can't be started.
 var ErrInvalidCrowd = errs.Define("crowd")
 
 const (
 	// dialTimeout bounds one connection attempt of a member.
 	dialTimeout = 2 * time.Second
-	// settleTimeout is how long a member goes on trying to send, however slowly it is read.
+	// settleTimeout limits how long a member tries to connect and send, also if the process reads
+	// slowly.
 	settleTimeout = 8 * time.Second
-	// statusNone is recorded where a connection ended without a status line.
+	// statusNone is counted for a connection that ended without a status line.
 	statusNone = 0
 )
 
-// Crowd is a number of clients that all send the same kind of request to one address.
+// Crowd is a number of clients that all send the same kind of request to one address. Set the
+// exported fields before Start.
 type Crowd struct {
-	// Address is the listener, host and port.
+	// Address is the listener's address, host:port.
 	Address string
-	// Members is how many clients there are, each with one connection at a time.
+	// Members is the number of clients, each with one connection at a time.
 	Members int
-	// Rounds is how often a member connects again after its connection has ended; 0 for never.
+	// Rounds is how often a member reconnects after its connection has ended; 0 is never.
 	Rounds int
-	// Request is what each of them sends.
+	// Request is the request that each member sends.
 	Request Request
 
 	lock     sync.Mutex
@@ -49,7 +51,7 @@
 	ended    sync.WaitGroup
 }
 
-// Start connects the members; each sends on its own.
+// Start starts the members; each connects and sends independently of the others.
 func (c *Crowd) Start() {
 	c.open, c.statuses = map[net.Conn]struct{}{}, map[int]int{}
 	for number := range c.Members {
@@ -62,8 +64,8 @@
 	}
 }
 
-// AwaitSettled waits until every member has sent what it wants to send, or was refused each
-// time, for a bounded time. Members that stay open still do.
+// AwaitSettled waits until every member has sent its request or has failed in every round, at most
+// 2*settleTimeout. Members whose request sets StayOpen keep their connections.
 func (c *Crowd) AwaitSettled() {
 	settled := make(chan struct{})
 	go func() {
@@ -76,7 +78,7 @@
 	}
 }
 
-// Close ends all connections.
+// Close closes all connections and waits until the members have ended.
 func (c *Crowd) Close() {
 	c.lock.Lock()
 	c.closed = true
@@ -87,21 +89,23 @@
 	c.ended.Wait()
 }
 
-// Open counts the connections that the other side has not ended.
+// Open returns the number of connections that the process has not closed.
 func (c *Crowd) Open() int {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	return len(c.open)
 }
 
-// Statuses counts the answers by status; 0 stands for a connection that ended without one.
+// Statuses returns the number of responses by status code; 0 counts the connections that ended
+// without one.
 func (c *Crowd) Statuses() map[int]int {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	return maps.Clone(c.statuses)
 }
 
-// play is one member's life: a connection, and further ones where it is refused.
+// runMember connects, sends the request and waits for the end of the connection, and repeats this
+// for the configured number of rounds.
 func (c *Crowd) runMember(number int) {
 	settled := sync.OnceFunc(c.settled.Done)
 	defer settled()
@@ -119,26 +123,26 @@
 	}
 }
 
-// exchange sends one request and stays until the other side ends the connection.
+// exchange sends one request and reads until the connection ends.
 func (c *Crowd) exchange(connection net.Conn, number, round int, settled func()) {
 	_ = connection.SetWriteDeadline(clock.Deadline(settleTimeout))
 	if !c.Request.StayOpen {
 		_ = connection.SetReadDeadline(clock.Deadline(settleTimeout))
 	}
-	over := make(chan struct{})
+	ended := make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(ended)
 		c.readResponses(connection)
 	}()
 	err := c.Request.write(connection, strconv.Itoa(number)+"-"+strconv.Itoa(round))
 	if c.Request.StayOpen && (err == nil || errors.Is(err, os.ErrDeadlineExceeded)) {
 		settled()
-		c.Request.trickle(connection, over)
+		c.Request.trickle(connection, ended)
 	}
-	<-over
+	<-ended
 }
 
-// readAnswers counts the answers of a connection until it ends.
+// readResponses counts the responses on a connection until it ends.
 func (c *Crowd) readResponses(connection net.Conn) {
 	reader := bufio.NewReader(connection)
 	status := statusNone
@@ -148,7 +152,7 @@
 			status, _ = strconv.Atoi(fields[1])
 			c.count(status)
 			if !c.Request.StayOpen {
-				// The answer is all that this member wanted.
+				// A member that does not stay open closes its connection after the response.
 				connection.Close()
 			}
 		}
@@ -169,7 +173,7 @@
 	}
 }
 
-// admit notes a connection; false once the crowd is closed.
+// addConnection adds a connection to the open ones. It returns false if the crowd is closed.
 func (c *Crowd) addConnection(connection net.Conn) bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
--- a/internal/tooling/crowd/harness_test.go
+++ b/internal/tooling/crowd/harness_test.go
@@ -20,27 +20,28 @@
 	"lemonarch/internal/tooling/lab"
 )
 
-// What the settings of the fleets grant each process. They are the bounds of every test.
+// The limits that the settings of the fleets set for each process. Each test fails if a process
+// exceeds them.
 const (
 	memoryMB    = 96
 	fileHandles = 600
 )
 
-// The limits of the configuration, and the network of the fleets.
+// The limits in the configuration, and the network of the fleets.
 const (
 	bodyBytes   = 1 << 20
 	headerBytes = 16 << 10
 	network     = "127.0.93"
 )
 
-// What the ordinary caller does: so many tries, a pause between them, and so long for one.
+// The ordinary caller's number of tries, the pause between them and the timeout of one try.
 const (
 	callerTries   = 40
 	callerPauseMs = 250
 	callerTimeout = 5 * time.Second
 )
 
-// programs is the folder of the programs under test, built by TestMain.
+// programs is the folder of the programs under test, which TestMain builds.
 var programs string
 
 func TestMain(m *testing.M) {
@@ -63,7 +64,7 @@
 	return m.Run()
 }
 
-// fleet is a small fleet under lowered limits.
+// fleet is a small fleet with low limits.
 type fleet struct{ *lab.Fleet }
 
 func startFleet(t *testing.T) *fleet {
@@ -85,7 +86,7 @@
 	return &fleet{started}
 }
 
-// configuration has a route of each kind that the tests call.
+// configuration returns a configuration with a route of each kind that the tests call.
 func configuration(generation int) string {
 	route := `{"name":%q,"host":%q,"path-prefix":"/%s/","route-kind":%q,"backend":%q,"setpoint-ms":1000,"cutoff-ms":8000,"priority":0,"tries":2%s}`
 	routes := []string{
@@ -98,7 +99,8 @@
 		generation, strings.Join(routes, ","), lab.ModelService, lab.ProbePath, lab.PlainService, lab.ProbePath, headerBytes, bodyBytes)
 }
 
-// target is one process with the listener that a crowd calls.
+// target is a process with the address of the listener that a crowd calls. ports are all ports of
+// the process whose unread bytes are counted.
 type target struct {
 	program, address string
 	ports            []int
@@ -116,7 +118,7 @@
 	return target{"controller-1", f.Plan.Controls()[0], []int{constants.LabControlPort}}
 }
 
-// watch begins to watch a process of the fleet.
+// watch starts to watch a process of the fleet.
 func (f *fleet) watch(t *testing.T, program, address string, ports ...int) *Watch {
 	t.Helper()
 
@@ -128,9 +130,9 @@
 	return watch
 }
 
-// outlasts plays a crowd against a listener. While the crowd is still there, every listener must
-// answer one ordinary request; then the process must still live, and must have stayed inside what
-// its settings grant.
+// checkWithCrowd runs a crowd against a listener. While the crowd is connected, every listener must
+// answer one ordinary request. Afterwards no process may have ended or exceeded the limits in its
+// settings.
 func (f *fleet) checkWithCrowd(t *testing.T, at target, members int, request Request) {
 	t.Helper()
 
@@ -146,7 +148,7 @@
 	crowd.Close()
 	select {
 	case died := <-f.Died:
-		t.Errorf("a process ended: %v", died)
+		t.Errorf("a process ended during the test: %v", died)
 	default:
 	}
 	for program, watch := range watches {
@@ -154,39 +156,40 @@
 	}
 }
 
-func checkPeakUsage(t *testing.T, program string, cost PeakUsage) {
+func checkPeakUsage(t *testing.T, program string, usage PeakUsage) {
 	t.Helper()
 
 	const bound = memoryMB * 1_000_000
-	t.Logf("%s: resident=%.1f MB unread=%.1f MB both=%.1f MB descriptors=%d", program, megabytes(cost.Resident), megabytes(cost.Unread), megabytes(cost.Combined), cost.Descriptors)
-	if cost.Resident > bound || cost.Combined > bound {
-		t.Errorf("%s used %.1f MB resident, %.1f MB with unread bytes; memory-mb is %d", program, megabytes(cost.Resident), megabytes(cost.Combined), memoryMB)
+	t.Logf("%s: resident=%.1f MB unread=%.1f MB combined=%.1f MB descriptors=%d", program, megabytes(usage.Resident), megabytes(usage.Unread), megabytes(usage.Combined), usage.Descriptors)
+	if usage.Resident > bound || usage.Combined > bound {
+		t.Errorf("%s used %.1f MB resident and %.1f MB with unread bytes, want at most memory-mb = %d", program, megabytes(usage.Resident), megabytes(usage.Combined), memoryMB)
 	}
-	if cost.Descriptors > fileHandles {
-		t.Errorf("%s had %d descriptors open; file-handles is %d", program, cost.Descriptors, fileHandles)
+	if usage.Descriptors > fileHandles {
+		t.Errorf("%s had %d open descriptors, want at most file-handles = %d", program, usage.Descriptors, fileHandles)
 	}
 }
 
 func megabytes(bytes int64) float64 { return float64(bytes) / 1e6 }
 
-// answersOrdinaryRequests makes one ordinary request at each listener.
+// checkOrdinaryRequests sends ordinary requests to each listener and fails the test if one is not
+// answered.
 func (f *fleet) checkOrdinaryRequests(t *testing.T) {
 	t.Helper()
 
-	edge := "http://" + f.Plan.Ingress()[0]
-	f.checkServed(t, http.MethodPost, edge+"/status/1", bytes.Repeat([]byte("o"), 2<<10))
-	f.checkServed(t, http.MethodPost, edge+"/status/2", bytes.Repeat([]byte("o"), 100<<10))
+	gateway := "http://" + f.Plan.Ingress()[0]
+	f.checkServed(t, http.MethodPost, gateway+"/status/1", bytes.Repeat([]byte("o"), 2<<10))
+	f.checkServed(t, http.MethodPost, gateway+"/status/2", bytes.Repeat([]byte("o"), 100<<10))
 	f.checkServed(t, http.MethodGet, "http://"+f.Plan.Readiness()[0]+"/-/readiness", nil)
 	f.checkServed(t, http.MethodGet, "http://"+f.Plan.Controls()[0]+"/-/Configuration.Read", nil)
 }
 
-// answers makes one ordinary request, again after a failure or a refusal, as the pages say that
-// callers do: each try on a new connection with an id of its own.
+// checkServed sends one ordinary request and retries it after a failure or a rejection, as the
+// documentation requires of callers: each try is on a new connection with an id of its own.
 func (f *fleet) checkServed(t *testing.T, method, url string, body []byte) {
 	t.Helper()
 
 	client := http.Client{Timeout: callerTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	last := ""
+	lastResult := ""
 	for try := range callerTries {
 		request, err := http.NewRequest(method, url, bytes.NewReader(body))
 		if err != nil {
@@ -201,11 +204,11 @@
 				t.Logf("%s answered at try %d", url, try+1)
 				return
 			}
-			last = resp.Status
+			lastResult = resp.Status
 		} else {
-			last = err.Error()
+			lastResult = err.Error()
 		}
 		clock.Sleep(clock.Milliseconds(callerPauseMs))
 	}
-	t.Errorf("%s %s: no answer in %d tries: %s", method, url, callerTries, last)
+	t.Errorf("%s %s: no 200 response in %d tries, last result: %s", method, url, callerTries, lastResult)
 }
--- a/internal/tooling/crowd/ingress_test.go
+++ b/internal/tooling/crowd/ingress_test.go
@@ -13,22 +13,23 @@
 	"lemonarch/internal/tooling/lab"
 )
 
-// Each test plays one kind of client that doesn't behave against the ingress (issue 33).
+// Each test runs one kind of misbehaving client against the ingress (issue 33).
 
-// crowdMembers is the crowd of a test: its bodies come to four times what the settings grant.
+// crowdMembers is the number of clients in most tests: their bodies together are four times the
+// memory that the settings allow.
 const crowdMembers = 400
 
-// smallChunksBytes is how much of a body is sent in chunks of one byte, each of which takes six
-// bytes on the wire.
+// smallChunksBytes is the number of bytes of a body that are sent in chunks of one byte, each of
+// which takes six bytes on the wire.
 const smallChunksBytes = 320 << 10
 
-// post is a request on a route, with a body of the largest allowed length.
+// post returns a request on a route with a body of the largest allowed length.
 func post(route string, framing Framing) Request {
 	return Request{Method: http.MethodPost, Path: "/" + route + "/1", Host: lab.Host, Framing: framing, Announced: bodyBytes, Bytes: bodyBytes,
 		Headers: []string{"Lemonarch-Attempt-Id: crowd-{attempt}", "Lemonarch-Model: " + lab.ModelName, "Lemonarch-Token-Count: 500,20"}}
 }
 
-// stopShort makes a request end just short of its body's end and stay open.
+// stopShort makes a request send all but the last 10 bytes of its body and stay open.
 func stopShort(request Request) Request {
 	request.Bytes, request.StayOpen = bodyBytes-10, true
 	return request
@@ -61,7 +62,7 @@
 	f.checkWithCrowd(t, f.ingress(), crowdMembers, request)
 }
 
-// A body that still grows, by a byte now and then, has not stopped.
+// A body that still arrives, one byte every 50 ms, must not be treated as stalled.
 func TestIngressOutlastsBodiesThatCreep(t *testing.T) {
 	f := startFleet(t)
 	request := post("status", FramingLength)
@@ -97,13 +98,14 @@
 	f.checkWithCrowd(t, f.ingress(), crowdMembers, request)
 }
 
-// A body where nobody reads it: there is no route, or the call has none.
+// Nothing in the gateway reads the body, since there is no route for the request.
+// (TestReadinessOutlastsBodies does the same with a call that takes no body.)
 func TestIngressOutlastsBodiesWithoutARoute(t *testing.T) {
 	f := startFleet(t)
 	f.checkWithCrowd(t, f.ingress(), crowdMembers, stopShort(post("nowhere", FramingLength)))
 }
 
-// manyHeaders is a head of many short lines, nearly as long as is allowed.
+// manyHeaders returns many short header lines, in all nearly as long as limit.
 func manyHeaders(limit int) []string {
 	var lines []string
 	for number, length := 0, 0; length < limit-512; number++ {
@@ -125,7 +127,7 @@
 	f.checkWithCrowd(t, f.ingress(), 2*fileHandles, Request{Silent: true, StayOpen: true})
 }
 
-// job is a job whose items fill a body of the largest allowed length.
+// job returns a batch job whose items fill a body of the largest allowed length.
 func job(items int) []byte {
 	body := base64.StdEncoding.EncodeToString(bytes.Repeat([]byte("p"), (bodyBytes/items-200)*3/4))
 	lines := make([]string, 0, items)
@@ -135,7 +137,8 @@
 	return []byte(`{"requests":[` + strings.Join(lines, ",") + `]}`)
 }
 
-// Whole jobs that are all taken: what they hold must fit where jobs are kept.
+// Complete batch jobs, all of which are accepted: their contents must fit into the memory of the
+// store.
 func TestStoreOutlastsWholeJobs(t *testing.T) {
 	f := startFleet(t)
 	request := post("batch", FramingLength)
@@ -144,7 +147,7 @@
 	f.checkWithCrowd(t, f.ingress(), crowdMembers, request)
 }
 
-// A job of allowed length that names far more items than a job may have.
+// A batch job of allowed length with far more items than a job may have.
 func TestStoreOutlastsJobsOfTooManyItems(t *testing.T) {
 	f := startFleet(t)
 	request := post("batch", FramingLength)
@@ -153,7 +156,8 @@
 	f.checkWithCrowd(t, f.ingress(), crowdMembers/4, request)
 }
 
-// A prompt of as many parts as a head has room for, unlike any other from its first part on.
+// A prompt prefix of as many parts as fit into a head. The first part is unique, so that no two
+// prompts share a prefix.
 func TestIngressOutlastsPromptsOfManyParts(t *testing.T) {
 	f := startFleet(t)
 	request := post("query", FramingLength)
--- a/internal/tooling/crowd/request.go
+++ b/internal/tooling/crowd/request.go
@@ -9,54 +9,56 @@
 	"lemonarch/internal/platform/clock"
 )
 
-// Framing says how a request's body is delimited.
+// Framing is how a request's body is delimited.
 type Framing int
 
-// The framings.
+// The kinds of framing.
 const (
-	// FramingNone: there is no body.
+	// FramingNone is a request without a body.
 	FramingNone Framing = iota
-	// FramingLength: Content-Length announces the body.
+	// FramingLength is a body with a Content-Length.
 	FramingLength
-	// FramingChunked: the body comes in chunks.
+	// FramingChunked is a body in chunked transfer encoding.
 	FramingChunked
 )
 
-// attemptMark stands in a head for the member's number, so that no two requests share an id.
+// attemptPlaceholder is replaced in header lines by the numbers of the member and its round, so
+// that no two requests have the same id.
 const attemptPlaceholder = "{attempt}"
 
-// writeBytes is how much a member writes at a time.
+// writeBytes is the number of bytes of the body that a member writes at a time.
 const writeBytes = 64 << 10
 
-// Request is what a member sends.
+// Request is the request that a member sends.
 type Request struct {
-	// Method, Path and Host name the call.
+	// Method, Path and Host are those of the request line and the Host header.
 	Method, Path, Host string
-	// Headers are further lines of the head; "{attempt}" becomes a name of the request.
+	// Headers are further header lines; "{attempt}" in them is replaced by a unique id of the request.
 	Headers []string
 	Framing Framing
-	// Content is the body, repeated until Bytes are sent; empty for the letter x.
+	// Content is the body, repeated until Bytes are sent; if empty, the body is the letter x repeated.
 	Content []byte
-	// Announced is the Content-Length; Bytes is how much of the body is sent.
+	// Announced is the Content-Length. Bytes is the number of bytes of the body that are sent.
 	Announced, Bytes int64
-	// ChunkBytes is the length of a chunk.
+	// ChunkBytes is the length of a chunk in bytes.
 	ChunkBytes int
-	// PieceBytes and PauseMs: a piece is written, then a pause is made; 0 for no pauses.
+	// PieceBytes is the number of bytes written at a time, 0 for writeBytes. PauseMs is the pause
+	// after each write, 0 for none.
 	PieceBytes int
 	PauseMs    float64
-	// CreepBytes are sent one by one after Bytes, a pause of CreepMs between them, by a member that
-	// stays open.
+	// TrickleBytes is the number of bytes sent one at a time after Bytes, with a pause of TrickleMs
+	// before each, if StayOpen is set.
 	TrickleBytes int
 	TrickleMs    float64
-	// HeadOnly leaves out the empty line that ends the head; no body follows.
+	// HeadOnly omits the empty line that ends the head, and the body.
 	HeadOnly bool
-	// StayOpen keeps the connection until the other side ends it.
+	// StayOpen keeps the connection open until the process closes it.
 	StayOpen bool
-	// Silent sends nothing at all.
+	// Silent connects and sends nothing.
 	Silent bool
 }
 
-// write sends head and body.
+// write sends the head and Bytes of the body.
 func (r *Request) write(connection net.Conn, attempt string) error {
 	if r.Silent {
 		return nil
@@ -86,7 +88,8 @@
 	return nil
 }
 
-// unit is the least that is written, with the bytes of the body in it.
+// unit returns the bytes that are written as a unit, a chunk or the content, and how many bytes of
+// the body they contain.
 func (r *Request) unit() (text []byte, payload int64) {
 	content := r.Content
 	if len(content) == 0 {
@@ -102,7 +105,7 @@
 	return fmt.Appendf(nil, "%x\r\n%s\r\n", len(data), data), int64(len(data))
 }
 
-// head writes the request line and the header lines.
+// head returns the request line and the header lines.
 func (r *Request) head(attempt string) []byte {
 	text := &strings.Builder{}
 	fmt.Fprintf(text, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.Path, r.Host)
@@ -122,15 +125,15 @@
 	return []byte(text.String())
 }
 
-// creep sends single bytes until they are all sent or the connection is over.
-func (r *Request) trickle(connection net.Conn, over <-chan struct{}) {
+// trickle sends single bytes until all are sent or the connection has ended.
+func (r *Request) trickle(connection net.Conn, ended <-chan struct{}) {
 	text := []byte("x")
 	if r.Framing == FramingChunked {
 		text = []byte("1\r\nx\r\n")
 	}
 	for range r.TrickleBytes {
 		select {
-		case <-over:
+		case <-ended:
 			return
 		case <-clock.After(clock.Milliseconds(r.TrickleMs)):
 		}
--- a/internal/tooling/crowd/watch.go
+++ b/internal/tooling/crowd/watch.go
@@ -10,37 +10,39 @@
 	"lemonarch/internal/platform/clock"
 )
 
-// watchPeriodMs is the time between two looks at the process.
+// watchPeriodMs is the time between two samples, in milliseconds.
 const watchPeriodMs = 10
 
-// Cost is the most that a process was seen to use.
+// PeakUsage is the highest resource usage of a process seen in any sample.
 type PeakUsage struct {
-	// Resident is the peak of its resident memory in bytes, as the system tells it.
+	// Resident is the peak of the resident memory in bytes as recorded by the kernel (VmHWM).
 	Resident int64
-	// Unread is the most bytes that had arrived on its connections and were not yet read.
+	// Unread is the highest number of bytes received on its connections and not yet read by it.
 	Unread int64
-	// Both is the most that resident memory and unread bytes made together at one look.
+	// Combined is the highest sum of resident memory and unread bytes in one sample.
 	Combined int64
-	// Descriptors is the most that were open.
+	// Descriptors is the highest number of open file descriptors.
 	Descriptors int
 }
 
-// Watch looks at one process until it is stopped.
+// Watch samples the resource usage of one process until it is stopped.
 type Watch struct {
+	// process is the process id.
 	process int
 	// address is the process's address in the notation of /proc/net/tcp, without the port.
 	address string
 	ports   map[string]bool
 	stop    chan struct{}
 	done    chan struct{}
-	usage    PeakUsage
+	usage   PeakUsage
 }
 
-// NewWatch begins to watch a process that listens at an address on some ports.
+// NewWatch starts to watch the process with the given id, which listens on the given address and
+// ports.
 func NewWatch(process int, address string, ports ...int) (*Watch, error) {
 	host := net.ParseIP(address).To4()
 	if host == nil {
-		return nil, ErrInvalidCrowd.New("no address: " + address)
+		return nil, ErrInvalidCrowd.New("not an IPv4 address: " + address)
 	}
 	// The kernel writes addresses in the byte order of the machine, which is little-endian on
 	// x86-64 and arm64.
@@ -56,7 +58,7 @@
 	return w, nil
 }
 
-// Stop ends the watch and gives what was seen.
+// Stop takes a last sample, ends the watch and returns the peak usage.
 func (w *Watch) Stop() PeakUsage {
 	close(w.stop)
 	<-w.done
@@ -76,7 +78,7 @@
 	}
 }
 
-// look takes one sample; a process that is gone gives none.
+// sample takes one sample. It does nothing if the process has ended.
 func (w *Watch) sample() {
 	resident, err := w.status("VmRSS:")
 	if err != nil {
@@ -93,11 +95,11 @@
 	}
 }
 
-// status reads one line of the process's status, in bytes.
+// status returns the value of one line of /proc/PID/status, in bytes.
 func (w *Watch) status(name string) (int64, error) {
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(w.process) + "/status")
 	if err != nil {
-		return 0, ErrInvalidCrowd.Wrap(err, "process")
+		return 0, ErrInvalidCrowd.Wrap(err, "read process status")
 	}
 	for line := range strings.Lines(string(text)) {
 		fields := strings.Fields(line)
@@ -106,10 +108,10 @@
 			return kilobytes << 10, ErrInvalidCrowd.Wrap(err, name)
 		}
 	}
-	return 0, ErrInvalidCrowd.New("no " + name)
+	return 0, ErrInvalidCrowd.New("process status has no line " + name)
 }
 
-// The columns of /proc/net/tcp, and the state of a socket that listens.
+// The columns of /proc/net/tcp, and the state of a listening socket.
 const (
 	columnLocal  = 1
 	columnState  = 3
@@ -117,8 +119,8 @@
 	stateListen  = "0A"
 )
 
-// unread adds up what waits to be read on the process's ports. What waits on a listening socket
-// are connections, not bytes.
+// unreadBytes returns the number of unread bytes in the receive queues of the process's ports.
+// Listening sockets are left out: their receive queue counts connections, not bytes.
 func (w *Watch) unreadBytes() int64 {
 	text, err := os.ReadFile("/proc/net/tcp")
 	if err != nil {
@@ -134,10 +136,10 @@
 		if address != w.address || !w.ports[port] {
 			continue
 		}
-		_, receiving, _ := strings.Cut(fields[columnQueues], ":")
-		waiting, err := strconv.ParseInt(receiving, 16, 64)
+		_, receiveQueue, _ := strings.Cut(fields[columnQueues], ":")
+		unread, err := strconv.ParseInt(receiveQueue, 16, 64)
 		if err == nil {
-			total += waiting
+			total += unread
 		}
 	}
 	return total
