--- a/internal/tooling/loadgen/check.go
+++ b/internal/tooling/loadgen/check.go
@@ -8,48 +8,50 @@
 	"lemonarch/internal/tooling/workeremulator"
 )
 
-// sent is what is known of one attempt that a client sent.
+// sentAttempt records one attempt that a client sent.
 type sentAttempt struct {
 	attempt    string
 	path, body string
 	services   []string
-	// once: may not run twice. promised: it was answered that it has not run.
+	// atMostOnce is set if the attempt must not run twice, notExecuted if the response promised
+	// that it has not run and will not run, batchItem if it is an item of a batch job.
 	atMostOnce, notExecuted, succeeded, batchItem bool
-	// cut: its connection ended without a whole answer.
+	// cut is set if its connection ended before a complete response.
 	cut bool
 }
 
-// checkPlain holds a plain success against what the worker must have said.
+// checkPlain compares a successful plain response with the one that the worker must have sent.
 func checkPlain(attempt string, body []byte, seal, echoed string, got []byte) *Finding {
 	if finding := checkSeal(attempt, seal, echoed); finding != nil {
 		return finding
 	}
 	if string(got) != workeremulator.PlainBody(attempt, body) {
-		return &Finding{"MIXED", attempt, "the body is not the worker's whole body"}
+		return &Finding{"MIXED", attempt, "body differs from the worker's complete body"}
 	}
 	return nil
 }
 
+// checkSeal checks that a response names the attempt and has a worker's seal for it.
 func checkSeal(attempt, seal, echoed string) *Finding {
 	if echoed != attempt {
-		return &Finding{"MIXED", attempt, "the answer names another attempt: " + echoed}
+		return &Finding{"MIXED", attempt, "response names another attempt: " + echoed}
 	}
-	if _, holds := workeremulator.Sealed(seal, attempt); !holds {
-		return &Finding{"MIXED", attempt, "the stamp is not a worker's for this attempt"}
+	if _, valid := workeremulator.Sealed(seal, attempt); !valid {
+		return &Finding{"MIXED", attempt, "seal is not a worker's seal for this attempt"}
 	}
 	return nil
 }
 
-// follower checks a stream, event by event.
+// streamCheck checks a stream event by event.
 type streamCheck struct {
 	attempt string
-	// last is the id of the last event; all is how many there must be.
-	lastID, eventCount int64
-	finding   *Finding
+	// lastEventID is the id of the last event; eventCount is the number of events in the whole stream.
+	lastEventID, eventCount int64
+	finding                 *Finding
 }
 
-// event takes one event; false once the order is broken.
-func (f *streamCheck) addEvent(text string) bool {
+// addEvent checks the next event. It returns false once an event is wrong or out of order.
+func (c *streamCheck) addEvent(text string) bool {
 	var id int64
 	data := ""
 	for _, line := range strings.Split(text, "\n") {
@@ -60,125 +62,126 @@
 		}
 	}
 	switch {
-	case id != f.lastID+1:
-		f.finding = &Finding{"ORDER", f.attempt, fmt.Sprintf("event %d follows event %d", id, f.lastID)}
-	case data != workeremulator.EventData(f.attempt, id):
-		f.finding = &Finding{"MIXED", f.attempt, fmt.Sprintf("event %d is not the worker's", id)}
-	case id > f.eventCount:
-		f.finding = &Finding{"ORDER", f.attempt, fmt.Sprintf("event %d of %d", id, f.eventCount)}
+	case id != c.lastEventID+1:
+		c.finding = &Finding{"ORDER", c.attempt, fmt.Sprintf("event %d follows event %d", id, c.lastEventID)}
+	case data != workeremulator.EventData(c.attempt, id):
+		c.finding = &Finding{"MIXED", c.attempt, fmt.Sprintf("event %d differs from the worker's event", id)}
+	case id > c.eventCount:
+		c.finding = &Finding{"ORDER", c.attempt, fmt.Sprintf("got event %d, want at most %d events", id, c.eventCount)}
 	}
-	f.lastID = id
-	return f.finding == nil
+	c.lastEventID = id
+	return c.finding == nil
 }
 
-// end takes the clean end of a stream.
-func (f *streamCheck) finish() *Finding {
-	if f.finding == nil && f.lastID != f.eventCount {
-		f.finding = &Finding{"ORDER", f.attempt, fmt.Sprintf("ends as complete behind event %d of %d", f.lastID, f.eventCount)}
+// finish checks the regular end of a stream.
+func (c *streamCheck) finish() *Finding {
+	if c.finding == nil && c.lastEventID != c.eventCount {
+		c.finding = &Finding{"ORDER", c.attempt, fmt.Sprintf("stream ended as complete after event %d of %d", c.lastEventID, c.eventCount)}
 	}
-	return f.finding
+	return c.finding
 }
 
-// checkRuns holds what was sent against what the workers ran.
-func checkRuns(all map[string]*sentAttempt, runs []workeremulator.Run) []Finding {
+// checkRuns compares the attempts sent with the runs that the workers recorded.
+func checkRuns(attempts map[string]*sentAttempt, runs []workeremulator.Run) []Finding {
 	var findings []Finding
 	count := map[string]int{}
 	ended := map[string]bool{}
 	for _, run := range runs {
-		entry := all[run.Attempt]
-		if entry == nil {
-			findings = append(findings, Finding{"UNASKED", run.Attempt, "ran at " + run.Worker + ", and nobody sent it"})
+		sent := attempts[run.Attempt]
+		if sent == nil {
+			findings = append(findings, Finding{"UNASKED", run.Attempt, "ran at " + run.Worker + " but was not sent by any client"})
 			continue
 		}
 		count[run.Attempt]++
 		ended[run.Attempt] = ended[run.Attempt] || run.Ended
-		if run.Path != entry.path || run.Body != entry.body || run.Method != "POST" {
+		if run.Path != sent.path || run.Body != sent.body || run.Method != "POST" {
 			findings = append(findings, Finding{"UNASKED", run.Attempt, "ran with another method, path or body: " + run.Method + " " + run.Path})
 		}
-		fits := false
-		for _, service := range entry.services {
-			fits = fits || service == run.Service
+		serviceMatches := false
+		for _, service := range sent.services {
+			serviceMatches = serviceMatches || service == run.Service
 		}
-		if !fits {
+		if !serviceMatches {
 			findings = append(findings, Finding{"ROUTE", run.Attempt, "ran at service " + run.Service})
 		}
-		if entry.atMostOnce && count[run.Attempt] == 2 {
-			findings = append(findings, Finding{"TWICE", run.Attempt, "ran again at " + run.Worker})
+		if sent.atMostOnce && count[run.Attempt] == 2 {
+			findings = append(findings, Finding{"TWICE", run.Attempt, "ran a second time at " + run.Worker})
 		}
-		if (entry.atMostOnce || entry.batchItem) && entry.notExecuted && count[run.Attempt] == 1 {
-			findings = append(findings, Finding{"REFUSED", run.Attempt, "was promised not to run, and ran at " + run.Worker})
+		if (sent.atMostOnce || sent.batchItem) && sent.notExecuted && count[run.Attempt] == 1 {
+			findings = append(findings, Finding{"REFUSED", run.Attempt, "response promised that it does not run, but it ran at " + run.Worker})
 		}
 	}
-	for attempt, entry := range all {
-		if entry.succeeded && !ended[attempt] {
-			findings = append(findings, Finding{"MIXED", attempt, "a success that no worker gave"})
+	for attempt, sent := range attempts {
+		if sent.succeeded && !ended[attempt] {
+			findings = append(findings, Finding{"MIXED", attempt, "successful response without a completed run at any worker"})
 		}
 	}
 	return findings
 }
 
-// checkCuts finds the attempts that were passed on to a worker and whose connection ended without
-// a whole answer all the same, which planned work may not bring about. An attempt that crossed the
-// close of its connection was not passed on.
-func checkCuts(all map[string]*sentAttempt, runs []workeremulator.Run) []Finding {
+// checkCuts finds the attempts that ran at a worker although their connection ended before a
+// complete response. Planned work must not cause this. An attempt that was sent while the other
+// side closed its connection was not forwarded to a worker, and is no finding.
+func checkCuts(attempts map[string]*sentAttempt, runs []workeremulator.Run) []Finding {
 	var findings []Finding
 	reported := map[string]bool{}
 	for _, run := range runs {
-		if entry := all[run.Attempt]; entry != nil && entry.cut && !reported[run.Attempt] {
+		if sent := attempts[run.Attempt]; sent != nil && sent.cut && !reported[run.Attempt] {
 			reported[run.Attempt] = true
-			findings = append(findings, Finding{"LOST", run.Attempt, "ran at " + run.Worker + ", and its connection ended without a whole answer"})
+			findings = append(findings, Finding{"LOST", run.Attempt, "ran at " + run.Worker + ", but its connection ended before a complete response"})
 		}
 	}
 	return findings
 }
 
-// jobCheck follows one lot through its reads.
+// jobCheck checks the reads of one batch job against each other.
 type jobCheck struct {
 	id string
-	// events is how many events each item has; listed is what stands at each position.
-	eventCounts   map[string]int64
-	outputs   []jobclient.Output
-	positions map[string]int
+	// eventCounts is the number of events of each item by id. outputs are the outputs read so far
+	// by position, and positions is the position of each item by id.
+	eventCounts map[string]int64
+	outputs     []jobclient.Output
+	positions   map[string]int
 }
 
 func newJobCheck(id string) *jobCheck {
 	return &jobCheck{id: id, eventCounts: map[string]int64{}, positions: map[string]int{}}
 }
 
-// page takes what one read gave from a position on.
-func (l *jobCheck) addPage(cursor int, page *jobclient.Page) []Finding {
+// addPage checks the page that one read from position cursor returned, and adds its new outputs.
+func (c *jobCheck) addPage(cursor int, page *jobclient.Page) []Finding {
 	var findings []Finding
-	add := func(rule, what string) { findings = append(findings, Finding{rule, l.id, what}) }
-	if page.Sum != len(l.eventCounts) {
-		add("MIXED", fmt.Sprintf("sum is %d, items are %d", page.Sum, len(l.eventCounts)))
+	add := func(rule, text string) { findings = append(findings, Finding{rule, c.id, text}) }
+	if page.Sum != len(c.eventCounts) {
+		add("MIXED", fmt.Sprintf("sum is %d, want %d items", page.Sum, len(c.eventCounts)))
 	}
 	for i, output := range page.Outputs {
-		at := cursor + i
-		if at < len(l.outputs) {
-			if l.outputs[at] != output {
-				add("TWICE", fmt.Sprintf("position %d holds another result than before", at))
+		index := cursor + i
+		if index < len(c.outputs) {
+			if c.outputs[index] != output {
+				add("TWICE", fmt.Sprintf("output at position %d differs from an earlier read", index))
 			}
 			continue
 		}
-		if before, twice := l.positions[output.ID]; twice {
-			add("TWICE", fmt.Sprintf("item %s stands at positions %d and %d", output.ID, before, at))
+		if before, repeated := c.positions[output.ID]; repeated {
+			add("TWICE", fmt.Sprintf("item %s is at positions %d and %d", output.ID, before, index))
 		}
-		l.positions[output.ID] = at
-		l.outputs = append(l.outputs, output)
-		events, known := l.eventCounts[output.ID]
+		c.positions[output.ID] = index
+		c.outputs = append(c.outputs, output)
+		events, known := c.eventCounts[output.ID]
 		switch {
 		case !known:
-			add("MIXED", "item "+output.ID+" belongs to another lot")
+			add("MIXED", "item "+output.ID+" belongs to another job")
 		case output.Phase == jobclient.PhaseSettled && output.Text != completeText(output.ID, events):
-			add("MIXED", "the text of item "+output.ID+" is not its whole output")
+			add("MIXED", "text of item "+output.ID+" differs from its complete output")
 		case output.Phase != jobclient.PhaseSettled && output.Phase != jobclient.PhaseAbandoned:
-			add("MIXED", "item "+output.ID+" has the phase "+output.Phase)
+			add("MIXED", "item "+output.ID+" has unexpected phase "+output.Phase)
 		}
 	}
 	return findings
 }
 
-// completeText is what a settled item must hold.
+// completeText returns the text that a settled item must have.
 func completeText(item string, events int64) string {
 	lines := make([]string, 0, events)
 	for number := int64(1); number <= events; number++ {
--- a/internal/tooling/loadgen/check_test.go
+++ b/internal/tooling/loadgen/check_test.go
@@ -28,34 +28,34 @@
 	return run
 }
 
-// Each way in which runs may differ from what was sent is caught, and only it.
+// Each difference between the runs and the attempts must be found, and nothing else.
 func TestRunsAgainstWhatWasSent(t *testing.T) {
-	for name, entry := range map[string]struct {
+	for name, test := range map[string]struct {
 		runs []workeremulator.Run
 		edit func(sent *sentAttempt)
 		want string
 	}{
-		"sound":            {[]workeremulator.Run{sampleRun}, nil, ""},
-		"doubled":          {[]workeremulator.Run{sampleRun, sampleRun}, nil, "TWICE "},
-		"three times":      {[]workeremulator.Run{sampleRun, sampleRun, sampleRun}, nil, "TWICE "},
-		"may be repeated":  {[]workeremulator.Run{sampleRun, sampleRun}, func(sent *sentAttempt) { sent.atMostOnce = false }, ""},
-		"unasked":          {[]workeremulator.Run{sampleRun, withChange(func(run *workeremulator.Run) { run.Attempt = "x" })}, nil, "UNASKED "},
-		"other path":       {[]workeremulator.Run{withChange(func(run *workeremulator.Run) { run.Path = "/confirm/2" })}, nil, "UNASKED "},
-		"other method":     {[]workeremulator.Run{withChange(func(run *workeremulator.Run) { run.Method = "PUT" })}, nil, "UNASKED "},
-		"other body":       {[]workeremulator.Run{withChange(func(run *workeremulator.Run) { run.Body = "" })}, nil, "UNASKED "},
-		"other service":    {[]workeremulator.Run{withChange(func(run *workeremulator.Run) { run.Service = "t" })}, nil, "ROUTE "},
-		"promised and ran": {[]workeremulator.Run{sampleRun}, func(sent *sentAttempt) { sent.notExecuted = true }, "REFUSED "},
-		"item promised":    {[]workeremulator.Run{sampleRun, sampleRun}, func(sent *sentAttempt) { sent.notExecuted, sent.atMostOnce, sent.batchItem = true, false, true }, "REFUSED "},
-		"nobody's success": {nil, nil, "MIXED "},
-		"cut success":      {[]workeremulator.Run{withChange(func(run *workeremulator.Run) { run.Ended = false })}, nil, "MIXED "},
-		"failed, no run":   {nil, func(sent *sentAttempt) { sent.succeeded = false }, ""},
+		"sound":               {[]workeremulator.Run{sampleRun}, nil, ""},
+		"run twice":           {[]workeremulator.Run{sampleRun, sampleRun}, nil, "TWICE "},
+		"three times":         {[]workeremulator.Run{sampleRun, sampleRun, sampleRun}, nil, "TWICE "},
+		"may be repeated":     {[]workeremulator.Run{sampleRun, sampleRun}, func(sent *sentAttempt) { sent.atMostOnce = false }, ""},
+		"not sent":            {[]workeremulator.Run{sampleRun, withChange(func(run *workeremulator.Run) { run.Attempt = "x" })}, nil, "UNASKED "},
+		"other path":          {[]workeremulator.Run{withChange(func(run *workeremulator.Run) { run.Path = "/confirm/2" })}, nil, "UNASKED "},
+		"other method":        {[]workeremulator.Run{withChange(func(run *workeremulator.Run) { run.Method = "PUT" })}, nil, "UNASKED "},
+		"other body":          {[]workeremulator.Run{withChange(func(run *workeremulator.Run) { run.Body = "" })}, nil, "UNASKED "},
+		"other service":       {[]workeremulator.Run{withChange(func(run *workeremulator.Run) { run.Service = "t" })}, nil, "ROUTE "},
+		"promised not to run": {[]workeremulator.Run{sampleRun}, func(sent *sentAttempt) { sent.notExecuted = true }, "REFUSED "},
+		"item promised":       {[]workeremulator.Run{sampleRun, sampleRun}, func(sent *sentAttempt) { sent.notExecuted, sent.atMostOnce, sent.batchItem = true, false, true }, "REFUSED "},
+		"success without run": {nil, nil, "MIXED "},
+		"run not completed":   {[]workeremulator.Run{withChange(func(run *workeremulator.Run) { run.Ended = false })}, nil, "MIXED "},
+		"failed, no run":      {nil, func(sent *sentAttempt) { sent.succeeded = false }, ""},
 	} {
-		all := sampleAttempts()
-		if entry.edit != nil {
-			entry.edit(all["a"])
+		attempts := sampleAttempts()
+		if test.edit != nil {
+			test.edit(attempts["a"])
 		}
-		if got := rules(checkRuns(all, entry.runs)); got != entry.want {
-			t.Errorf("%s: %q, not %q", name, got, entry.want)
+		if got := rules(checkRuns(attempts, test.runs)); got != test.want {
+			t.Errorf("%s: got rules %q, want %q", name, got, test.want)
 		}
 	}
 }
@@ -63,19 +63,19 @@
 func TestStampAndBody(t *testing.T) {
 	body := []byte("b")
 	sound := workeremulator.PlainBody("a", body)
-	for name, entry := range map[string]struct {
+	for name, test := range map[string]struct {
 		seal, echoed, text string
 		caught             bool
 	}{
 		"sound":            {workeremulator.Seal("w", "a"), "a", sound, false},
 		"another's stamp":  {workeremulator.Seal("w", "b"), "a", sound, true},
 		"no stamp":         {"", "a", sound, true},
-		"made-up stamp":    {"w.1234", "a", sound, true},
+		"forged stamp":     {"w.1234", "a", sound, true},
 		"another attempt":  {workeremulator.Seal("w", "a"), "b", sound, true},
 		"half a body":      {workeremulator.Seal("w", "a"), "a", sound[:5], true},
 		"another's answer": {workeremulator.Seal("w", "a"), "a", workeremulator.PlainBody("b", body), true},
 	} {
-		if got := checkPlain("a", body, entry.seal, entry.echoed, []byte(entry.text)); (got != nil) != entry.caught {
+		if got := checkPlain("a", body, test.seal, test.echoed, []byte(test.text)); (got != nil) != test.caught {
 			t.Error(name, got)
 		}
 	}
@@ -86,7 +86,7 @@
 }
 
 func TestOrderOfEvents(t *testing.T) {
-	for name, entry := range map[string]struct {
+	for name, test := range map[string]struct {
 		from   int64
 		events []string
 		rule   string
@@ -100,22 +100,22 @@
 		"one too many":    {0, []string{eventText(1), eventText(2), eventText(3), eventText(4)}, "ORDER"},
 		"another's event": {0, []string{eventText(1), "id: 2\ndata: x\n", eventText(3)}, "MIXED"},
 	} {
-		follower := &streamCheck{attempt: "a", lastID: entry.from, eventCount: 3}
+		check := &streamCheck{attempt: "a", lastEventID: test.from, eventCount: 3}
 		complete := true
-		for _, text := range entry.events {
-			if complete = follower.addEvent(text); !complete {
+		for _, text := range test.events {
+			if complete = check.addEvent(text); !complete {
 				break
 			}
 		}
 		if complete {
-			follower.finish()
+			check.finish()
 		}
 		got := ""
-		if follower.finding != nil {
-			got = follower.finding.Rule
+		if check.finding != nil {
+			got = check.finding.Rule
 		}
-		if got != entry.rule {
-			t.Errorf("%s: %q, not %q", name, got, entry.rule)
+		if got != test.rule {
+			t.Errorf("%s: got rules %q, want %q", name, got, test.rule)
 		}
 	}
 }
@@ -132,7 +132,7 @@
 	list := func(outputs ...jobclient.Output) []jobclient.Output { return outputs }
 	short := first
 	short.Text = completeText("i1", 1)
-	for name, entry := range map[string]struct {
+	for name, test := range map[string]struct {
 		reads []read
 		want  string
 	}{
@@ -149,21 +149,21 @@
 		check := newJobCheck("lot")
 		check.eventCounts = map[string]int64{"i1": 2, "i2": 3}
 		var findings []Finding
-		for _, read := range entry.reads {
+		for _, read := range test.reads {
 			findings = append(findings, check.addPage(read.cursor, &jobclient.Page{Sum: read.sum, Outputs: read.outputs})...)
 		}
-		if got := rules(findings); got != entry.want {
-			t.Errorf("%s: %q, not %q", name, got, entry.want)
+		if got := rules(findings); got != test.want {
+			t.Errorf("%s: got rules %q, want %q", name, got, test.want)
 		}
 	}
 }
 
-// Around planned work a request that a worker ran may not lose its connection without a whole
-// answer; one that was never passed on may.
+// During planned work, a request that ran at a worker must not have its connection ended before a
+// complete response. One that never reached a worker may.
 func TestCutRequestsThatRanAreFound(t *testing.T) {
-	all := map[string]*sentAttempt{"ran": {attempt: "ran", cut: true}, "crossed": {attempt: "crossed", cut: true}, "answered": {attempt: "answered"}}
+	attempts := map[string]*sentAttempt{"ran": {attempt: "ran", cut: true}, "crossed": {attempt: "crossed", cut: true}, "answered": {attempt: "answered"}}
 	runs := []workeremulator.Run{{Attempt: "ran", Worker: "w1"}, {Attempt: "ran", Worker: "w2"}, {Attempt: "answered", Worker: "w1"}}
-	findings := checkCuts(all, runs)
+	findings := checkCuts(attempts, runs)
 	if len(findings) != 1 || findings[0].Rule != "LOST" || findings[0].Attempt != "ran" {
 		t.Error(findings)
 	}
--- a/internal/tooling/loadgen/drive.go
+++ b/internal/tooling/loadgen/drive.go
@@ -14,7 +14,7 @@
 	"lemonarch/internal/tooling/workeremulator"
 )
 
-// run is one load on one fleet.
+// run is one load run against one fleet.
 type run struct {
 	options Options
 	card    *lab.Card
@@ -25,13 +25,15 @@
 	result  *Result
 
 	lock sync.Mutex
+	// attempts are all attempts sent, by id; inFlight is the number of requests in flight.
 	attempts map[string]*sentAttempt
 	inFlight int
 }
 
-// Drive sends a whole load to the fleet behind an endpoint, checks it, and gives what came of
-// it. It ends early, in order, when the context does. The result is partial beside an error.
-func Drive(until contexts.Context, options Options, endpoint *Endpoint, faults []lab.Trouble) (*Result, error) {
+// Drive sends a whole load to the fleet of an endpoint, checks the responses and returns the result.
+// It ends early, but in order, when the context does. If it returns both, the result is partial
+// because of the error.
+func Drive(ctx contexts.Context, options Options, endpoint *Endpoint, faults []lab.Trouble) (*Result, error) {
 	if err := options.Check(); err != nil {
 		return nil, err
 	}
@@ -43,45 +45,46 @@
 	if err != nil {
 		return nil, err
 	}
-	entry := newRun(options, card, routes, "ld"+strconv.FormatInt(clock.WallNanos(), 36)+"-")
-	entry.sendLoad(until, endpoint, faults)
-	return entry.result, entry.fetchAndCompareRuns(endpoint)
+	load := newRun(options, card, routes, "ld"+strconv.FormatInt(clock.WallNanos(), 36)+"-")
+	load.sendLoad(ctx, endpoint, faults)
+	return load.result, load.fetchAndCompareRuns(endpoint)
 }
 
-// play sends everything, with the troubles in between, and waits for the last answer.
-func (r *run) sendLoad(until contexts.Context, endpoint *Endpoint, faults []lab.Trouble) {
+// sendLoad sends all requests and batch jobs, starts the troubles at their times, and waits for the
+// last response.
+func (r *run) sendLoad(ctx contexts.Context, endpoint *Endpoint, faults []lab.Trouble) {
 	var group sync.WaitGroup
 	started := clock.Now()
 	for _, fault := range faults {
-		group.Go(func() { r.startTrouble(until, started, endpoint, fault) })
+		group.Go(func() { r.startTrouble(ctx, started, endpoint, fault) })
 	}
 	if r.options.LotRate > 0 {
-		group.Go(func() { r.sendJobs(until, started) })
+		group.Go(func() { r.sendJobs(ctx, started) })
 	}
 	done := make(chan struct{})
 	if progress := r.options.Progress; progress != nil {
 		go clock.Every(constants.LoadProgress, done, func() { progress(r.result.progressLine(clock.Now().Sub(started))) })
 	}
-	r.sendRequests(until, started)
+	r.sendRequests(ctx, started)
 	group.Wait()
 	close(done)
-	if transport, is := r.client.(*http.Transport); is {
+	if transport, ok := r.client.(*http.Transport); ok {
 		transport.CloseIdleConnections()
 	}
 	r.result.Took = clock.Now().Sub(started).Seconds()
 }
 
-// begin has the fleet begin a trouble at its time.
-func (r *run) startTrouble(until contexts.Context, started clock.Instant, endpoint *Endpoint, fault lab.Trouble) {
-	if !waitUntil(until, started.Add(clock.Milliseconds(fault.AtS*1000))) {
+// startTrouble requests the start of a trouble from the fleet at the trouble's time.
+func (r *run) startTrouble(ctx contexts.Context, started clock.Instant, endpoint *Endpoint, trouble lab.Trouble) {
+	if !waitUntil(ctx, started.Add(clock.Milliseconds(trouble.AtS*1000))) {
 		return
 	}
-	if err := endpoint.StartTrouble(fault); err != nil {
-		r.result.addNote("trouble " + fault.Kind + " " + fault.Target + ": " + err.Error())
+	if err := endpoint.StartTrouble(trouble); err != nil {
+		r.result.addNote("start trouble " + trouble.Kind + " " + trouble.Target + ": " + err.Error())
 	}
 }
 
-// compareWith holds what was sent against what the fleet's workers ran.
+// fetchAndCompareRuns fetches the runs of the fleet's workers and compares the attempts with them.
 func (r *run) fetchAndCompareRuns(endpoint *Endpoint) error {
 	runs, err := endpoint.Runs(r.prefix)
 	if err != nil {
@@ -89,7 +92,7 @@
 	}
 	r.compareRuns(runs.Runs)
 	if runs.Dropped > 0 {
-		r.result.addNote(strconv.Itoa(runs.Dropped) + " runs no longer fitted into the record; the check is partial")
+		r.result.addNote(strconv.Itoa(runs.Dropped) + " runs did not fit into the workers' record; the check is partial")
 	}
 	return nil
 }
@@ -100,7 +103,7 @@
 		client: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: constants.LoadOpen, DialContext: dialer.DialContext}}
 }
 
-// compare holds all that was sent against the record of the workers.
+// compareRuns adds a finding for each difference between the attempts and the workers' runs.
 func (r *run) compareRuns(runs []workeremulator.Run) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -114,24 +117,24 @@
 	r.result.Runs = len(runs)
 }
 
-// waitUntil waits for a moment; false where the context ends first.
-func waitUntil(until contexts.Context, at clock.Instant) bool {
+// waitUntil waits until an instant. It returns false if the context ends first.
+func waitUntil(ctx contexts.Context, at clock.Instant) bool {
 	select {
-	case <-until.Done():
+	case <-ctx.Done():
 		return false
 	case <-clock.After(at.Sub(clock.Now())):
 		return true
 	}
 }
 
-// orders sends every order when it is due, whatever became of those before.
-func (r *run) sendRequests(until contexts.Context, started clock.Instant) {
+// sendRequests sends every request when it is due, regardless of the outcome of earlier ones.
+func (r *run) sendRequests(ctx contexts.Context, started clock.Instant) {
 	var group sync.WaitGroup
 	for _, due := range schedule(&r.options, r.routes, len(r.card.Ingress)) {
-		if at := started.Add(due.at); at > clock.Now() && !waitUntil(until, at) {
+		if at := started.Add(due.at); at > clock.Now() && !waitUntil(ctx, at) {
 			break
 		}
-		if until.Err() != nil {
+		if ctx.Err() != nil {
 			break
 		}
 		r.lock.Lock()
@@ -141,7 +144,7 @@
 		}
 		r.lock.Unlock()
 		if full {
-			// Told, not hidden: a load tool that is full no longer sends its rate.
+			// Count this, so that the report shows it: the load tool no longer sends at its rate.
 			r.result.countNotSent()
 			continue
 		}
@@ -157,29 +160,29 @@
 	group.Wait()
 }
 
-// remember notes an attempt before it is sent.
-func (r *run) recordAttempt(attempt, path string, body []byte, route *routeconfig.Route, once, item bool) *sentAttempt {
+// recordAttempt records an attempt before it is sent.
+func (r *run) recordAttempt(attempt, path string, body []byte, route *routeconfig.Route, atMostOnce, batchItem bool) *sentAttempt {
 	services := []string{route.Backend}
 	for _, share := range route.Weighted {
 		services = append(services, share.Backend)
 	}
-	made := &sentAttempt{attempt: attempt, path: path, body: workeremulator.BodySum(body), services: services, atMostOnce: once, batchItem: item}
+	sent := &sentAttempt{attempt: attempt, path: path, body: workeremulator.BodySum(body), services: services, atMostOnce: atMostOnce, batchItem: batchItem}
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.attempts[attempt] = made
-	return made
+	r.attempts[attempt] = sent
+	return sent
 }
 
-// noteCut notes an attempt whose connection ended without an answer.
-func (r *run) recordCut(made *sentAttempt) {
+// recordCut records that an attempt's connection ended before a complete response.
+func (r *run) recordCut(sent *sentAttempt) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	made.cut = true
+	sent.cut = true
 }
 
-// settle notes what became of an attempt.
-func (r *run) recordOutcome(made *sentAttempt, promised, succeeded bool) {
+// recordOutcome records the outcome of an attempt that was answered.
+func (r *run) recordOutcome(sent *sentAttempt, notExecuted, succeeded bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	made.notExecuted, made.succeeded = promised, succeeded
+	sent.notExecuted, sent.succeeded = notExecuted, succeeded
 }
--- a/internal/tooling/loadgen/drive_test.go
+++ b/internal/tooling/loadgen/drive_test.go
@@ -15,7 +15,7 @@
 	"lemonarch/internal/tooling/workeremulator"
 )
 
-// hasty is a clock that does not wait.
+// immediateClock is a clock whose timers fire at once and advance its time.
 type immediateClock struct {
 	lock sync.Mutex
 	now  clock.Instant
@@ -34,10 +34,10 @@
 	go function()
 }
 
-// direct leads requests to workers in this process, without a fleet or a socket.
+// inProcessTransport passes requests to workers in this process, without a fleet or a socket.
 type inProcessTransport struct {
 	model, plain *workeremulator.Worker
-	// before may answer in the worker's place.
+	// before, if not nil, is called first. If it returns a response, the worker is not called.
 	before func(request *http.Request) *http.Response
 }
 
@@ -64,16 +64,17 @@
 	{Name: "status", Host: "h", Prefix: "/status/", KindName: "idempotent", Backend: "clerk", CutoffMs: 60000, SetpointMs: 60000},
 }
 
-// driven serves the orders of a short run one by one and compares the records.
+// runWithWorkers sends the requests of a short load one by one to two emulated workers with the
+// given faults, and compares the attempts with the workers' runs.
 func runWithWorkers(t *testing.T, faults workeremulator.Faults, before func(request *http.Request) *http.Response) *Result {
 	t.Helper()
 	shape := workeremulator.Shape{Capacity: 8, Queue: 4, CacheTokens: 60_000, ReadPerMs: 100, Step: time.Millisecond, Stride: 4}
-	record, instant := &workeremulator.Record{}, &immediateClock{now: clock.Instant(time.Second)}
-	front := &inProcessTransport{before: before}
-	front.model = workeremulator.NewWorker(workeremulator.Settings{ID: "w1", Service: "model", Model: "m", Shape: shape}, record, instant, 1)
-	front.plain = workeremulator.NewWorker(workeremulator.Settings{ID: "w2", Service: "clerk", Work: time.Millisecond, Shape: workeremulator.Shape{Capacity: 8}}, record, instant, 2)
-	front.model.SetFaults(faults)
-	front.plain.SetFaults(faults)
+	record, testClock := &workeremulator.Record{}, &immediateClock{now: clock.Instant(time.Second)}
+	transport := &inProcessTransport{before: before}
+	transport.model = workeremulator.NewWorker(workeremulator.Settings{ID: "w1", Service: "model", Model: "m", Shape: shape}, record, testClock, 1)
+	transport.plain = workeremulator.NewWorker(workeremulator.Settings{ID: "w2", Service: "clerk", Work: time.Millisecond, Shape: workeremulator.Shape{Capacity: 8}}, record, testClock, 2)
+	transport.model.SetFaults(faults)
+	transport.plain.SetFaults(faults)
 	options := NewOptions()
 	options.Count, options.For = 60, time.Hour
 	card := &lab.Card{Label: "test", Ingress: []string{"n1", "n2"}, Stride: 4, Routes: testRoutes}
@@ -82,15 +83,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	entry := newRun(options, card, routes, "t-")
-	entry.client, entry.pause = front, func(clock.Duration) {}
+	load := newRun(options, card, routes, "t-")
+	load.client, load.pause = transport, func(clock.Duration) {}
 	for _, due := range schedule(&options, routes, 2) {
-		entry.sendWithRetries(due.spec)
+		load.sendWithRetries(due.spec)
 	}
 	runs, _ := record.Of("t-")
-	entry.compareRuns(runs)
-	entry.result.Close()
-	return entry.result
+	load.compareRuns(runs)
+	load.result.Close()
+	return load.result
 }
 
 func countFindings(result *Result, rule string) int {
@@ -110,7 +111,7 @@
 	}
 }
 
-// Each guard of the whole path, from the worker to the report, can fail.
+// Each fault of the workers must lead to a finding of its rule in the report.
 func TestBrokenWorkersAreCaught(t *testing.T) {
 	for rule, faults := range map[string]workeremulator.Faults{"TWICE": {Twice: 1}, "ORDER": {Skip: 1}, "MIXED": {Forge: 1}} {
 		result := runWithWorkers(t, faults, nil)
@@ -129,17 +130,17 @@
 	return recorder.Result()
 }
 
-// A promise frees every kind for another try, a 502 only what may be repeated; each
-// try has an id of its own.
+// A 503 promises that the request has not run, so every kind is retried; after a 502 only kinds that
+// may run more than once are retried, after a 400 none. Each try has an attempt id of its own.
 func TestRetriesByStatus(t *testing.T) {
 	for status, want := range map[int]string{503: "failed 0", 502: "failed confirm review", 400: "failed confirm query review status"} {
-		observed := map[string]bool{}
+		sent := map[string]bool{}
 		result := runWithWorkers(t, workeremulator.Faults{}, func(request *http.Request) *http.Response {
 			attempt := request.Header.Get("Lemonarch-Attempt-Id")
-			if observed[attempt] {
-				t.Error("an attempt was sent twice", attempt)
+			if sent[attempt] {
+				t.Error("attempt id was sent twice:", attempt)
 			}
-			observed[attempt] = true
+			sent[attempt] = true
 			if strings.HasSuffix(attempt, "-1") {
 				return response(status)
 			}
@@ -160,7 +161,7 @@
 	}
 }
 
-// A success that no worker gave is caught by the record.
+// A successful response that no worker sent must be found by comparison with the workers' runs.
 func TestInventedSuccess(t *testing.T) {
 	result := runWithWorkers(t, workeremulator.Faults{}, func(request *http.Request) *http.Response {
 		attempt := request.Header.Get("Lemonarch-Attempt-Id")
@@ -174,26 +175,26 @@
 		return recorder.Result()
 	})
 	if countFindings(result, "MIXED") == 0 {
-		t.Fatal("nobody missed the runs")
+		t.Fatal("no MIXED finding for responses without a run")
 	}
 }
 
-// The same seed gives the same orders, whatever the fleet.
+// The same seed must draw the same requests, another seed other requests.
 func TestScheduleFollowsItsSeed(t *testing.T) {
 	options := NewOptions()
 	routes := map[string]*routeconfig.Route{}
 	text := func(seed int64) string {
 		options.Seed = seed
-		all := ""
+		drawn := ""
 		for _, due := range schedule(&options, routes, 3) {
-			all += fmt.Sprint(due.at, due.spec.kind, due.spec.node, due.spec.prompt)
+			drawn += fmt.Sprint(due.at, due.spec.kind, due.spec.node, due.spec.prompt)
 		}
-		return all
+		return drawn
 	}
 	if first, again := text(1), text(1); first != again || first == text(2) {
-		t.Fatal("the schedule does not follow its seed")
+		t.Fatal("schedule does not depend on the seed alone")
 	}
 	if count := len(schedule(&options, routes, 3)); count < 500 || count > 700 {
-		t.Fatal("40 a second for 15 s made", count)
+		t.Fatal("want 500 to 700 requests for a rate of 40 a second and 15 s, got", count)
 	}
 }
--- a/internal/tooling/loadgen/experiment.go
+++ b/internal/tooling/loadgen/experiment.go
@@ -15,97 +15,99 @@
 	"lemonarch/internal/tooling/lab"
 )
 
-// ReadExperiment reads and checks a file; what it leaves out is as usual. programs is
-// the folder of programs of fleets that name none.
+// ReadExperiment decodes and checks the text of an experiment file. Settings that it omits have
+// their defaults. programs is the folder of the programs for fleets that name none.
 func ReadExperiment(text, programs string) (*Experiment, Options, error) {
-	usual := NewOptions()
-	entry := &Experiment{Rate: usual.Rate, LotRate: usual.LotRate, Items: usual.Items, ForS: usual.For.Seconds(), Tries: usual.Tries, Seed: usual.Seed}
-	// Fleets are read twice: each begins with what is usual.
-	var count struct {
+	defaults := NewOptions()
+	experiment := &Experiment{Rate: defaults.Rate, LotRate: defaults.LotRate, Items: defaults.Items, ForS: defaults.For.Seconds(), Tries: defaults.Tries, Seed: defaults.Seed}
+	// The file is decoded twice: the first pass counts the fleets, so that each fleet can be given
+	// its defaults before the second.
+	var counted struct {
 		Fleets []map[string]any `toml:"fleet"`
 	}
-	if _, err := toml.Decode(text, &count); err != nil {
-		return nil, usual, ErrInvalidLoad.New("experiment can't be read: " + strings.ReplaceAll(err.Error(), "\n", " "))
+	if _, err := toml.Decode(text, &counted); err != nil {
+		return nil, defaults, ErrInvalidLoad.New("experiment can't be read: " + strings.ReplaceAll(err.Error(), "\n", " "))
 	}
-	for i := range count.Fleets {
+	for i := range counted.Fleets {
 		plan := lab.NewPlan()
 		plan.Label, plan.Programs = "fleet-"+strconv.Itoa(i+1), programs
 		plan.Network = networkOf(i)
-		entry.Fleets = append(entry.Fleets, plan)
+		experiment.Fleets = append(experiment.Fleets, plan)
 	}
-	if len(entry.Fleets) == 0 {
+	if len(experiment.Fleets) == 0 {
 		plan := lab.NewPlan()
 		plan.Programs = programs
-		entry.Fleets = []lab.Plan{plan}
+		experiment.Fleets = []lab.Plan{plan}
 	}
-	known, err := toml.Decode(text, entry)
+	metadata, err := toml.Decode(text, experiment)
 	if err != nil {
-		return nil, usual, ErrInvalidLoad.New("experiment can't be read: " + strings.ReplaceAll(err.Error(), "\n", " "))
+		return nil, defaults, ErrInvalidLoad.New("experiment can't be read: " + strings.ReplaceAll(err.Error(), "\n", " "))
 	}
-	if extra := known.Undecoded(); len(extra) > 0 {
-		return nil, usual, ErrInvalidLoad.New("experiment: unknown field " + extra[0].String())
+	if extra := metadata.Undecoded(); len(extra) > 0 {
+		return nil, defaults, ErrInvalidLoad.New("experiment has unknown field " + extra[0].String())
 	}
-	options := usual
-	options.Rate, options.LotRate, options.Items, options.Count, options.Tries, options.Seed = entry.Rate, entry.LotRate, entry.Items, entry.Count, entry.Tries, entry.Seed
-	options.PlannedOnly = entry.PlannedOnly
-	options.For = clock.Milliseconds(entry.ForS * 1000)
-	if entry.Mix != "" {
-		if options.Mix, err = ParseMix(entry.Mix); err != nil {
+	options := defaults
+	options.Rate, options.LotRate, options.Items, options.Count, options.Tries, options.Seed = experiment.Rate, experiment.LotRate, experiment.Items, experiment.Count, experiment.Tries, experiment.Seed
+	options.PlannedOnly = experiment.PlannedOnly
+	options.For = clock.Milliseconds(experiment.ForS * 1000)
+	if experiment.Mix != "" {
+		if options.Mix, err = ParseMix(experiment.Mix); err != nil {
 			return nil, options, err
 		}
 	}
 	if err = options.Check(); err != nil {
 		return nil, options, err
 	}
-	return entry, options, entry.check(options)
+	return experiment, options, experiment.check(options)
 }
 
 func (e *Experiment) check(options Options) error {
 	processes := 0
-	observed := map[string]bool{}
+	used := map[string]bool{}
 	for i := range e.Fleets {
 		plan := &e.Fleets[i]
 		if err := plan.Check(); err != nil {
 			return ErrInvalidLoad.New(plan.Label + ": " + err.Error())
 		}
-		if observed[plan.Network] || observed[plan.Label] {
+		if used[plan.Network] || used[plan.Label] {
 			return ErrInvalidLoad.New("two fleets have the same label or network: " + plan.Label)
 		}
-		observed[plan.Network], observed[plan.Label] = true, true
+		used[plan.Network], used[plan.Label] = true, true
 		processes += plan.Gateways + plan.Controllers + plan.Stores
 	}
 	if processes > constants.LabProcesses {
-		return ErrInvalidLoad.New(fmt.Sprintf("the fleets have %d processes together; at most %d", processes, constants.LabProcesses))
+		return ErrInvalidLoad.New(fmt.Sprintf("the fleets have %d processes together, want at most %d", processes, constants.LabProcesses))
 	}
 	for i := range e.Trouble {
-		fault := &e.Trouble[i]
-		if err := fault.Check(); err != nil {
+		trouble := &e.Trouble[i]
+		if err := trouble.Check(); err != nil {
 			return ErrInvalidLoad.New("trouble " + strconv.Itoa(i+1) + ": " + err.Error())
 		}
-		if clock.Milliseconds(fault.AtS*1000) >= options.For {
-			return ErrInvalidLoad.New("trouble " + strconv.Itoa(i+1) + ": at-s lies behind the end of the load")
+		if clock.Milliseconds(trouble.AtS*1000) >= options.For {
+			return ErrInvalidLoad.New("trouble " + strconv.Itoa(i+1) + ": at-s is behind the end of the load")
 		}
 	}
 	return nil
 }
 
-// networkOf gives the addresses of one of several fleets.
+// networkOf returns the network, the first three bytes of the addresses, of fleet number i.
 func networkOf(i int) string {
 	base := net.ParseIP(constants.LabNetwork + ".0").To4()
 	return fmt.Sprintf("%d.%d.%d", base[0], base[1], int(base[2])+i)
 }
 
-// Run starts the fleets, sends the same load to all of them at the same time with
-// the same troubles, and ends them.
-func (e *Experiment) Run(until contexts.Context, options Options) ([]*Result, error) {
-	fleets, err := e.start(until, options.Progress)
+// Run starts the fleets, sends the same load with the same troubles to all of them at the same
+// time, and stops them.
+func (e *Experiment) Run(ctx contexts.Context, options Options) ([]*Result, error) {
+	fleets, err := e.start(ctx, options.Progress)
 	defer stop(fleets)
 	if err != nil {
 		return nil, err
 	}
-	// A death ends the whole experiment: what is left would be compared unequally.
-	inner, halt := contexts.WithCancel(until)
-	defer halt()
+	// If a process of a fleet dies, end the whole experiment: the results of the fleets would not
+	// be comparable.
+	runCtx, cancel := contexts.WithCancel(ctx)
+	defer cancel()
 	deaths := make(chan error, len(fleets))
 	results, failures := make([]*Result, len(fleets)), make([]error, len(fleets))
 	var group sync.WaitGroup
@@ -114,11 +116,11 @@
 			select {
 			case err := <-fleet.Died:
 				deaths <- ErrInvalidLoad.New(fleet.Plan.Label + ": " + err.Error())
-				halt()
-			case <-inner.Done():
+				cancel()
+			case <-runCtx.Done():
 			}
 		}()
-		group.Go(func() { results[i], failures[i] = e.drive(inner, options, fleet) })
+		group.Go(func() { results[i], failures[i] = e.drive(runCtx, options, fleet) })
 	}
 	group.Wait()
 	select {
@@ -135,14 +137,14 @@
 	return results, nil
 }
 
-// start starts the fleets one after the other; those that did are given also where one
-// did not.
-func (e *Experiment) start(until contexts.Context, progress func(string)) (fleets []*lab.Fleet, err error) {
+// start starts the fleets one after the other. If one fails, it returns those that have started
+// and the error.
+func (e *Experiment) start(ctx contexts.Context, progress func(string)) (fleets []*lab.Fleet, err error) {
 	for _, plan := range e.Fleets {
-		if until.Err() != nil {
-			return fleets, ErrInvalidLoad.New("stopped")
+		if ctx.Err() != nil {
+			return fleets, ErrInvalidLoad.New("stopped before all fleets had started")
 		}
-		fleet, err := lab.Start(until, plan, "")
+		fleet, err := lab.Start(ctx, plan, "")
 		if err != nil {
 			return fleets, ErrInvalidLoad.New(plan.Label + ": " + err.Error())
 		}
@@ -154,7 +156,7 @@
 	return fleets, nil
 }
 
-// stop ends fleets beside each other.
+// stop stops all fleets concurrently.
 func stop(fleets []*lab.Fleet) {
 	var group sync.WaitGroup
 	for _, fleet := range fleets {
@@ -163,11 +165,11 @@
 	group.Wait()
 }
 
-// drive sends the load to one of the fleets.
-func (e *Experiment) drive(until contexts.Context, options Options, fleet *lab.Fleet) (*Result, error) {
+// drive sends the load to one fleet.
+func (e *Experiment) drive(ctx contexts.Context, options Options, fleet *lab.Fleet) (*Result, error) {
 	endpoint, err := OpenEndpoint(fleet.Plan.Endpoint())
 	if err != nil {
 		return nil, err
 	}
-	return Drive(until, options, endpoint, e.Trouble)
+	return Drive(ctx, options, endpoint, e.Trouble)
 }
--- a/internal/tooling/loadgen/lots.go
+++ b/internal/tooling/loadgen/lots.go
@@ -15,8 +15,8 @@
 	"lemonarch/internal/tooling/workeremulator"
 )
 
-// sendLots sends lots at their rate and follows each.
-func (r *run) sendJobs(until contexts.Context, started clock.Instant) {
+// sendJobs submits batch jobs at their rate, reads each to its end, and waits for all of them.
+func (r *run) sendJobs(ctx contexts.Context, started clock.Instant) {
 	random := rand.New(rand.NewSource(r.options.Seed + constants.LoadJobSeed))
 	var group sync.WaitGroup
 	at := 0.0
@@ -24,10 +24,10 @@
 		at += random.ExpFloat64() / r.options.LotRate * 1000
 		due := clock.Milliseconds(at)
 		if number == 0 {
-			// However short the load, there is one lot.
+			// There is at least one job, even in a short load.
 			due = min(due, r.options.For/4)
 		}
-		if due >= r.options.For || !waitUntil(until, started.Add(due)) {
+		if due >= r.options.For || !waitUntil(ctx, started.Add(due)) {
 			break
 		}
 		job, check := r.newJob(number, random)
@@ -41,6 +41,7 @@
 	group.Wait()
 }
 
+// newJob draws a batch job, records its items as attempts, and returns it with its check.
 func (r *run) newJob(number int, random *rand.Rand) (jobclient.Job, *jobCheck) {
 	check := newJobCheck(r.prefix + "lot" + strconv.Itoa(number))
 	job, route := jobclient.Job{}, r.routes["batch"]
@@ -48,7 +49,7 @@
 		prompt := profiles["batch"].prompt(random)
 		item := jobclient.Item{ID: check.id + "-" + strconv.Itoa(i), Path: fmt.Sprintf("%s%d/%d", route.Prefix, number, i),
 			Tokens: prompt.inputTokens + prompt.outputTokens, Body: []byte("item " + strconv.Itoa(i)), Headers: map[string]string{"Lemonarch-Model": lab.ModelName,
-				"Lemonarch-Token-Count": fmt.Sprintf("%d,%d", prompt.inputTokens, prompt.outputTokens), "Lemonarch-Prompt-Prefix": prompt.prefix}}
+				"Lemonarch-Token-Count": fmt.Sprintf("%d,%d", prompt.inputTokens, prompt.outputTokens), "Lemonarch-Prompt-Prefix": prompt.prefixParts}}
 		check.eventCounts[item.ID] = workeremulator.Events(prompt.outputTokens, r.card.Stride)
 		job.Requests = append(job.Requests, item)
 		r.recordAttempt(item.ID, item.Path, item.Body, route, false, true)
@@ -56,50 +57,51 @@
 	return job, check
 }
 
-// lot hands one lot in, follows it to its end, and reads it once more from the start.
+// runJob submits one batch job, reads its outputs until all are listed or constants.LoadDrain has
+// passed, and reads them once more from the start.
 func (r *run) runJob(check *jobCheck, job jobclient.Job, node int) {
 	route := r.routes["batch"]
-	edges := append(append([]string(nil), r.card.Ingress[node:]...), r.card.Ingress[:node]...)
-	client := &jobclient.Client{Edges: edges, Host: route.Host}
-	limited, release := contexts.WithTimeout(contexts.Background(), constants.LoadDrain)
-	defer release()
+	gateways := append(append([]string(nil), r.card.Ingress[node:]...), r.card.Ingress[:node]...)
+	client := &jobclient.Client{Edges: gateways, Host: route.Host}
+	ctx, cancel := contexts.WithTimeout(contexts.Background(), constants.LoadDrain)
+	defer cancel()
 	started := clock.Now()
-	handing, halt := contexts.WithTimeout(limited, 2*constants.JobCallTimeout)
-	_, err := client.Submit(handing, check.id, route.Prefix+"lot", job)
-	halt()
+	submitCtx, cancelSubmit := contexts.WithTimeout(ctx, 2*constants.JobCallTimeout)
+	_, err := client.Submit(submitCtx, check.id, route.Prefix+"lot", job)
+	cancelSubmit()
 	if err != nil {
-		refused := errs.Is(err, jobclient.ErrRejected)
-		r.recordItemsNotExecuted(check, refused)
+		rejected := errs.Is(err, jobclient.ErrRejected)
+		r.recordItemsNotExecuted(check, rejected)
 		cause := "lot unclear"
-		if refused {
+		if rejected {
 			cause = "lot refused"
 		}
 		r.result.countFailedItems(len(job.Requests), cause)
 		return
 	}
 	r.result.countSubmission(clock.Now().Sub(started))
-	result, reads, answered := clock.Milliseconds(route.ResultMs), 0, false
-	for len(check.outputs) < len(job.Requests) && limited.Err() == nil {
+	resultTimeout, reads, answered := clock.Milliseconds(route.ResultMs), 0, false
+	for len(check.outputs) < len(job.Requests) && ctx.Err() == nil {
 		reads++
 		cursor := len(check.outputs)
 		if reads%4 == 0 {
-			// From time to time from an earlier position: it must say the same again.
+			// Every fourth read is from an earlier position: it must return the same outputs again.
 			cursor /= 2
 		}
 		before := len(check.outputs)
-		page, err := client.Read(limited, check.id, cursor, 0)
+		page, err := client.Read(ctx, check.id, cursor, 0)
 		r.checkRead(check, cursor, page, err)
 		answered = answered || err == nil
 		if err == nil {
 			took := clock.Now().Sub(started)
 			for _, output := range check.outputs[before:] {
-				r.result.countItem(output.Phase == jobclient.PhaseSettled, took, took <= result)
+				r.result.countItem(output.Phase == jobclient.PhaseSettled, took, took <= resultTimeout)
 			}
 		}
 		clock.Sleep(constants.LoadPollBackoff)
 	}
 	if !answered {
-		r.result.addFinding(Finding{"LOST", check.id, "it was accepted, and no read of it was answered to the end"})
+		r.result.addFinding(Finding{"LOST", check.id, "job was accepted, but no read of it returned a complete response"})
 	}
 	if missing := len(job.Requests) - len(check.outputs); missing > 0 {
 		r.result.countFailedItems(missing, "item not listed")
@@ -107,23 +109,23 @@
 	r.rereadJob(client, check)
 }
 
-// readAgain reads a lot from the start: what was read must come again.
+// rereadJob reads a batch job from the start: the same outputs must be returned again.
 func (r *run) rereadJob(client *jobclient.Client, check *jobCheck) {
-	limited, release := contexts.WithTimeout(contexts.Background(), 2*constants.JobCallTimeout)
-	defer release()
+	ctx, cancel := contexts.WithTimeout(contexts.Background(), 2*constants.JobCallTimeout)
+	defer cancel()
 	for cursor, observed := 0, len(check.outputs); cursor < observed; {
-		page, err := client.Read(limited, check.id, cursor, 0)
+		page, err := client.Read(ctx, check.id, cursor, 0)
 		r.checkRead(check, cursor, page, err)
 		switch {
 		case err == nil && len(page.Outputs) == 0:
-			r.result.addFinding(Finding{"LOST", check.id, fmt.Sprintf("position %d was read before, and is gone", cursor)})
+			r.result.addFinding(Finding{"LOST", check.id, fmt.Sprintf("position %d was read before but is no longer listed", cursor)})
 			return
 		case err == nil:
 			cursor = page.Next
 		case !jobclient.Again(err):
 			return
-		case limited.Err() != nil:
-			r.result.addNote("lot " + check.id + " could not be read again: " + err.Error())
+		case ctx.Err() != nil:
+			r.result.addNote("job " + check.id + " could not be read again: " + err.Error())
 			return
 		default:
 			clock.Sleep(constants.LabRetry)
@@ -131,7 +133,7 @@
 	}
 }
 
-// judgeRead takes one read of a lot that was accepted.
+// checkRead adds the findings of one read of an accepted batch job.
 func (r *run) checkRead(check *jobCheck, cursor int, page *jobclient.Page, err error) {
 	switch {
 	case err == nil:
@@ -145,11 +147,12 @@
 	}
 }
 
-// promiseItems notes that none of a lot's items may run.
-func (r *run) recordItemsNotExecuted(check *jobCheck, refused bool) {
+// recordItemsNotExecuted records for all items of a batch job whether its rejection promised that
+// none of them runs.
+func (r *run) recordItemsNotExecuted(check *jobCheck, rejected bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	for item := range check.eventCounts {
-		r.attempts[item].notExecuted = refused
+		r.attempts[item].notExecuted = rejected
 	}
 }
--- a/internal/tooling/loadgen/mix.go
+++ b/internal/tooling/loadgen/mix.go
@@ -1,6 +1,6 @@
-// Package loadgen drives load into a lab's fleets, checks every answer against what
-// the emulated workers ran, and reports worth, latency and failures. Its figures are
-// of loopback and of emulated workers.
+// Package loadgen sends load to the fleets of a lab, checks every response against the runs that
+// the emulated workers recorded, and reports worth, latency and failures. Its figures are from
+// loopback and emulated workers.
 package loadgen
 
 import (
@@ -17,19 +17,21 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// ErrInvalidLoad is the error of options or experiments that can't be carried out.
+// ErrInvalidLoad is the error of options or experiments that are invalid or can't be carried out.
 var ErrInvalidLoad = errs.Define("load")
 
-// profile says what one kind of request looks like. All figures are ours.
+// profile describes the requests of one kind.
 type profile struct {
+	// worth is what a response in time earns.
 	worth float64
-	// counts is how many shared heads there are, of so many tokens; sessions how many
-	// parts of one's own, and how large they are.
+	// heads is the number of different shared prompt heads, each of headTokens tokens. sessions is
+	// the number of different session parts, each of sessionTokensMin to sessionTokensMax tokens.
+	// No heads means that the kind has no prompt.
 	heads, headTokens, sessions, sessionTokensMin, sessionTokensMax int
-	outputTokensMin, outputTokensMax                               int
+	outputTokensMin, outputTokensMax                                int
 }
 
-// profiles of the kinds of request that the lab's own configuration has.
+// profiles are the profiles of the kinds of requests by route name in the lab's own configuration.
 var profiles = map[string]profile{
 	"query":   {worth: 2, heads: 8, headTokens: 160, sessions: 200, sessionTokensMin: 100, sessionTokensMax: 600, outputTokensMin: 16, outputTokensMax: 48},
 	"review":  {worth: 3, heads: 6, headTokens: 3000, sessions: 60, sessionTokensMin: 400, sessionTokensMax: 1500, outputTokensMin: 12, outputTokensMax: 24},
@@ -38,67 +40,70 @@
 	"batch":   {worth: 2, heads: 4, headTokens: 400, sessions: 1 << 30, sessionTokensMin: 100, sessionTokensMax: 800, outputTokensMin: 20, outputTokensMax: 60},
 }
 
-// Share is one part of a mix.
+// Share is the share of one kind of request in a mix, relative to the parts of the other kinds.
 type Share struct {
 	Kind string
 	Part float64
 }
 
-// ParseMix reads NAME=PART,...; the names are those of routes.
+// ParseMix parses a mix of the form NAME=PART,... where each NAME is that of a route.
 func ParseMix(text string) ([]Share, error) {
 	var mix []Share
 	total := 0.0
-	observed := map[string]bool{}
+	used := map[string]bool{}
 	for _, field := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		part, err := strconv.ParseFloat(value, 64)
 		_, known := profiles[name]
-		if err != nil || !(part >= 0) || part > constants.LoadRate || !known || name == "batch" || observed[name] {
-			return nil, ErrInvalidLoad.New("mix: " + strconv.Quote(field) + " is not NAME=PART with a NAME of query, review, confirm or status, once")
+		if err != nil || !(part >= 0) || part > constants.LoadRate || !known || name == "batch" || used[name] {
+			return nil, ErrInvalidLoad.New("mix: " + strconv.Quote(field) + " is not NAME=PART with NAME one of query, review, confirm or status, each at most once")
 		}
-		observed[name] = true
+		used[name] = true
 		total += part
 		mix = append(mix, Share{name, part})
 	}
 	if total <= 0 {
-		return nil, ErrInvalidLoad.New("mix: its parts add up to 0")
+		return nil, ErrInvalidLoad.New("mix: parts add up to 0, want more than 0")
 	}
 	sort.Slice(mix, func(left, right int) bool { return mix[left].Kind < mix[right].Kind })
 	return mix, nil
 }
 
-// draw picks a kind.
+// drawKind draws a kind with the probabilities of the mix.
 func drawKind(mix []Share, random *rand.Rand) string {
 	total := 0.0
 	for _, share := range mix {
 		total += share.Part
 	}
-	at := random.Float64() * total
+	point := random.Float64() * total
 	for _, share := range mix {
-		if at < share.Part {
+		if point < share.Part {
 			return share.Kind
 		}
-		at -= share.Part
+		point -= share.Part
 	}
 	return mix[len(mix)-1].Kind
 }
 
-// prompt is what a request for tokens carries.
+// prompt is the size of a model request in tokens, and the value of its prompt prefix header.
 type prompt struct {
 	inputTokens, outputTokens int64
-	prefix   string
+	prefixParts               string
 }
 
+// prompt draws a prompt of the profile.
 func (p profile) prompt(random *rand.Rand) prompt {
 	between := func(low, high int) int { return low + random.Intn(high-low+1) }
 	head, session := random.Intn(p.heads), random.Intn(p.sessions)
-	// A session's part keeps its size, or kept parts would never be found again.
+	// The size depends on the session only. If it changed from request to request, the cached
+	// prefix of a session would never be hit.
 	own := p.sessionTokensMin + session%(p.sessionTokensMax-p.sessionTokensMin+1)
 	return prompt{inputTokens: int64(p.headTokens + own), outputTokens: int64(between(p.outputTokensMin, p.outputTokensMax)),
-		prefix: fmt.Sprintf("a%x:%d,b%x%x:%d", head+p.headTokens<<8, p.headTokens, head, session+p.headTokens<<32, own)}
+		prefixParts: fmt.Sprintf("a%x:%d,b%x%x:%d", head+p.headTokens<<8, p.headTokens, head, session+p.headTokens<<32, own)}
 }
 
-// order is one request that a client wants served.
+// requestSpec is one request to be served, with all its tries. node is the index of the gateway of
+// the first try.
 type requestSpec struct {
 	kind   string
 	route  *routeconfig.Route
@@ -108,24 +113,25 @@
 	body   []byte
 }
 
-func (o *requestSpec) isPlain() bool { return o.prompt.outputTokens == 0 }
+// isPlain reports whether the request has no prompt.
+func (s *requestSpec) isPlain() bool { return s.prompt.outputTokens == 0 }
 
-// repeatable: may run more than once.
+// repeatable reports whether requests on a route may run more than once.
 func repeatable(route *routeconfig.Route) bool {
 	return route.Kind() == messages.RouteIdempotent || (route.Kind() == messages.RouteStreaming && route.Resumable)
 }
 
-// planned is when an order is due, from the start of the load.
+// arrival is a request with the time at which it is due, from the start of the load.
 type arrival struct {
-	at    clock.Duration
+	at   clock.Duration
 	spec *requestSpec
 }
 
-// schedule draws the orders of a run: open arrivals at a rate, the same for a seed
-// whatever the fleet does and however many nodes it has.
+// schedule draws the requests of a run: Poisson arrivals at a rate (open load). For a seed they are
+// the same regardless of the fleet's responses and its number of nodes.
 func schedule(options *Options, routes map[string]*routeconfig.Route, nodes int) []arrival {
 	random := rand.New(rand.NewSource(options.Seed))
-	var all []arrival
+	var arrivals []arrival
 	at := 0.0
 	for number := 0; options.Count == 0 || number < options.Count; number++ {
 		at += random.ExpFloat64() / options.Rate * 1000
@@ -133,11 +139,11 @@
 			break
 		}
 		kind := drawKind(options.Mix, random)
-		entry := &requestSpec{kind: kind, route: routes[kind], number: number, node: int(random.Float64() * float64(nodes)), body: []byte("order " + strconv.Itoa(number))}
+		spec := &requestSpec{kind: kind, route: routes[kind], number: number, node: int(random.Float64() * float64(nodes)), body: []byte("order " + strconv.Itoa(number))}
 		if profiles[kind].heads > 0 {
-			entry.prompt = profiles[kind].prompt(random)
+			spec.prompt = profiles[kind].prompt(random)
 		}
-		all = append(all, arrival{clock.Milliseconds(at), entry})
+		arrivals = append(arrivals, arrival{clock.Milliseconds(at), spec})
 	}
-	return all
+	return arrivals
 }
--- a/internal/tooling/loadgen/options.go
+++ b/internal/tooling/loadgen/options.go
@@ -11,73 +11,79 @@
 	"lemonarch/internal/tooling/lab"
 )
 
-// Options say what load is sent.
+// Options describe the load to send.
 type Options struct {
-	// Rate is requests a second, LotRate lots a second, of so many Items each.
+	// Rate is the number of requests a second, LotRate the number of batch jobs a second, and Items
+	// the number of items of each job.
 	Rate, LotRate float64
 	Items         int
-	Mix           []Share
-	For           clock.Duration
-	// Count bounds the requests; 0 is up to the time.
+	// Mix is the mix of the kinds of requests.
+	Mix []Share
+	// For is how long requests are sent.
+	For clock.Duration
+	// Count is the largest number of requests; 0 means that only For limits it.
 	Count int
-	// Tries is how often a client tries in all.
+	// Tries is the largest number of attempts of a request, the first included.
 	Tries int
-	Seed  int64
-	// PlannedOnly says that nothing but planned work befalls the fleet: a request that a worker
-	// ran must then be answered, and a connection that ends without an answer is a finding.
+	// Seed determines all random draws of the load.
+	Seed int64
+	// PlannedOnly is set if the fleet is only subject to planned work, not to faults. A request
+	// that a worker ran must then be answered: a connection of such a request that ends without a
+	// complete response is a finding.
 	PlannedOnly bool
-	// Progress, where set, is told now and then how far the load is.
+	// Progress, if not nil, is called periodically with a line about the progress of the load.
 	Progress func(text string)
 }
 
-// NewOptions gives what is used where nothing else is said.
+// NewOptions returns the default options.
 func NewOptions() Options {
 	mix, _ := ParseMix("query=6,review=1,confirm=2,status=3")
 	return Options{Rate: 40, LotRate: 0.3, Items: 10, Mix: mix, For: 15 * time.Second, Tries: 2, Seed: 1}
 }
 
-// Check gives the first thing that stands in the way.
+// Check returns an error about the first option that is out of range, or nil.
 func (o *Options) Check() error {
 	switch {
 	case !(o.Rate > 0 && o.Rate <= constants.LoadRate):
 		return ErrInvalidLoad.New(fmt.Sprintf("rate must be above 0 and at most %d", constants.LoadRate))
 	case !(o.LotRate >= 0 && o.LotRate <= constants.LoadRate):
-		return ErrInvalidLoad.New(fmt.Sprintf("lots must lie between 0 and %d", constants.LoadRate))
+		return ErrInvalidLoad.New(fmt.Sprintf("lots must be between 0 and %d", constants.LoadRate))
 	case o.Items < 1 || o.Items > constants.JobItemsMax:
-		return ErrInvalidLoad.New(fmt.Sprintf("items must lie between 1 and %d", constants.JobItemsMax))
+		return ErrInvalidLoad.New(fmt.Sprintf("items must be between 1 and %d", constants.JobItemsMax))
 	case o.For <= 0 || o.For > constants.LoadTime:
 		return ErrInvalidLoad.New(fmt.Sprintf("for must be above 0 and at most %s", constants.LoadTime))
 	case o.Count < 0 || o.Count > constants.LoadCount:
-		return ErrInvalidLoad.New(fmt.Sprintf("count must lie between 0 and %d", constants.LoadCount))
+		return ErrInvalidLoad.New(fmt.Sprintf("count must be between 0 and %d", constants.LoadCount))
 	case o.Tries < 1 || o.Tries > 5:
-		return ErrInvalidLoad.New("tries must lie between 1 and 5")
+		return ErrInvalidLoad.New("tries must be between 1 and 5")
 	}
 	return nil
 }
 
-// routesOf finds the route of each kind that the options name.
+// routesOf returns the fleet's routes by name. It returns an error if the route of a kind that the
+// options use is missing.
 func (o *Options) routesOf(card *lab.Card) (map[string]*routeconfig.Route, error) {
 	routes := map[string]*routeconfig.Route{}
 	for i := range card.Routes {
 		routes[card.Routes[i].Name] = &card.Routes[i]
 	}
-	wanted := []string{}
+	required := []string{}
 	for _, share := range o.Mix {
-		wanted = append(wanted, share.Kind)
+		required = append(required, share.Kind)
 	}
 	if o.LotRate > 0 {
-		wanted = append(wanted, "batch")
+		required = append(required, "batch")
 	}
-	for _, name := range wanted {
+	for _, name := range required {
 		if routes[name] == nil {
-			return nil, ErrInvalidLoad.New("the fleet's configuration has no route called " + name)
+			return nil, ErrInvalidLoad.New("the fleet's configuration has no route named " + name)
 		}
 	}
 	return routes, nil
 }
 
-// Experiment is what a TOML file says: the load, the fleets side by side, and what
-// breaks when.
+// Experiment is the content of a TOML experiment file: the load, the fleets that are compared, and
+// the troubles with their times.
 type Experiment struct {
 	Rate    float64 `toml:"rate"`
 	LotRate float64 `toml:"lots"`
@@ -93,14 +99,14 @@
 	Trouble     []lab.Trouble `toml:"trouble"`
 }
 
-// Finding is one broken promise.
+// Finding is one violation of a rule that the fleet must keep.
 type Finding struct {
 	Rule    string `json:"rule"`
 	Attempt string `json:"attempt"`
 	What    string `json:"what"`
 }
 
-// String gives it on one line.
+// String returns the finding as one line.
 func (f Finding) String() string {
 	return strings.TrimSpace(f.Rule + " " + f.Attempt + ": " + f.What)
 }
--- a/internal/tooling/loadgen/options_test.go
+++ b/internal/tooling/loadgen/options_test.go
@@ -10,7 +10,7 @@
 	"lemonarch/internal/tooling/workeremulator"
 )
 
-// programs makes a folder that looks as if the programs were in it.
+// programs returns a folder with empty files in place of the programs.
 func programs(t *testing.T) string {
 	t.Helper()
 
@@ -23,7 +23,7 @@
 	return folder
 }
 
-// Each senseless file gets one line that names what is wrong.
+// Each invalid file must lead to an error of one line that names the fault.
 func TestInvalidExperiments(t *testing.T) {
 	folder := programs(t)
 	for text, want := range map[string]string{
@@ -51,26 +51,26 @@
 	} {
 		_, _, err := ReadExperiment(text, folder)
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: got error %v", text, err)
 		}
 	}
 }
 
 func TestExperimentDefaults(t *testing.T) {
 	folder := programs(t)
-	entry, options, err := ReadExperiment("rate = 7.0\n[[fleet]]\ngateways = 1\n[[fleet]]\nlabel = \"b\"\ncapacity = 2\n", folder)
-	if err != nil || options.Rate != 7 || options.Items != NewOptions().Items || len(entry.Fleets) != 2 {
-		t.Fatal(entry, options, err)
+	experiment, options, err := ReadExperiment("rate = 7.0\n[[fleet]]\ngateways = 1\n[[fleet]]\nlabel = \"b\"\ncapacity = 2\n", folder)
+	if err != nil || options.Rate != 7 || options.Items != NewOptions().Items || len(experiment.Fleets) != 2 {
+		t.Fatal(experiment, options, err)
 	}
-	first, second := entry.Fleets[0], entry.Fleets[1]
+	first, second := experiment.Fleets[0], experiment.Fleets[1]
 	if first.Gateways != 1 || second.Gateways != 2 || second.Capacity != 2 || first.Capacity == 2 || second.Label != "b" || first.Network == second.Network || first.Programs != folder {
 		t.Fatal(first, second)
 	}
 }
 
-// Every field of a trouble can be set by its name in the file.
+// Every field of a trouble can be set by its name in an experiment file.
 func TestFaultsAreReadCompletely(t *testing.T) {
-	entry, _, err := ReadExperiment(`[[trouble]]
+	experiment, _, err := ReadExperiment(`[[trouble]]
 at-s = 1.0
 kind = "faults"
 target = "worker-1"
@@ -80,16 +80,16 @@
 `, programs(t))
 	want := lab.Trouble{AtS: 1, Kind: "faults", Target: "worker-1", ForS: 2, BackS: 3, Faults: workeremulator.Faults{Fail: 0.1, Full: 0.2, Hang: 0.3,
 		Cut: 0.4, Garble: 0.5, Surplus: 0.6, Twice: 0.7, Skip: 0.8, Forge: 0.9, Never: 0.25, LateMs: 1, Slow: 2, Lying: true, ForgetMs: 3}}
-	if err != nil || len(entry.Trouble) != 1 || entry.Trouble[0] != want {
-		t.Fatal(entry, err)
+	if err != nil || len(experiment.Trouble) != 1 || experiment.Trouble[0] != want {
+		t.Fatal(experiment, err)
 	}
 }
 
-// The experiments that the documents name are sound.
+// The experiment files of the documentation must be valid.
 func TestExperimentsOfTheDocuments(t *testing.T) {
 	files, _ := filepath.Glob("../../../docs/experiments/*.toml")
 	if len(files) == 0 {
-		t.Fatal("there are none")
+		t.Fatal("found no experiment files")
 	}
 	for _, file := range files {
 		text, err := os.ReadFile(file)
--- a/internal/tooling/loadgen/report.go
+++ b/internal/tooling/loadgen/report.go
@@ -7,10 +7,10 @@
 	"text/tabwriter"
 )
 
-// Caveat stands above every report.
-const Caveat = "figures of loopback and emulated workers: they compare runs on this machine, and tell nothing of real workers or networks"
+// Caveat is the first line of every report.
+const Caveat = "figures are from loopback and emulated workers: they can compare runs on this machine, but do not predict real workers or networks"
 
-// Write prints the results, side by side where there are several.
+// Write prints the results and, if there are several, their ratios to the first one.
 func Write(writer io.Writer, results []*Result) {
 	fmt.Fprintln(writer, Caveat)
 	for _, result := range results {
@@ -25,20 +25,20 @@
 	fmt.Fprintf(writer, "\n%s: worth %.3f, served %d, took %.1f s, runs at workers %d\n", result.Label, result.Worth, result.Served(), result.Took, result.Runs)
 	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "kind\tsent\tin time\tlate\tfailed\tworth\tp50 ms\tp90 ms\tp99 ms\tmax ms\t")
-	for _, entry := range result.Kinds {
-		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%.3f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", entry.Name, entry.Sent, entry.InTime, entry.Late, entry.Failed, entry.Worth, entry.P50, entry.P90, entry.P99, entry.Max)
+	for _, kind := range result.Kinds {
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%.3f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", kind.Name, kind.Sent, kind.InTime, kind.Late, kind.Failed, kind.Worth, kind.P50, kind.P90, kind.P99, kind.Max)
 	}
 	_ = table.Flush()
 	writeCounts(writer, "failures", result.Causes)
-	writeCounts(writer, "tried again after", result.Retried)
+	writeCounts(writer, "retried after", result.Retried)
 	if result.NotSent > 0 {
-		fmt.Fprintf(writer, "not sent, since too many were under way: %d\n", result.NotSent)
+		fmt.Fprintf(writer, "not sent because too many requests were in flight: %d\n", result.NotSent)
 	}
 	for _, note := range result.Notes {
 		fmt.Fprintln(writer, "note: "+note)
 	}
 	if result.Broken == 0 {
-		fmt.Fprintln(writer, "checks: every answer has its stamp, its order and its one run; nothing broken")
+		fmt.Fprintln(writer, "checks: every response has its seal, its order and its one run; no rule was broken")
 		return
 	}
 	fmt.Fprintf(writer, "checks: BROKEN %d\n", result.Broken)
@@ -50,6 +50,7 @@
 	}
 }
 
+// writeCounts prints counts by name, the largest first.
 func writeCounts(writer io.Writer, title string, counts map[string]int) {
 	if len(counts) == 0 {
 		fmt.Fprintln(writer, title+": none")
@@ -71,20 +72,20 @@
 	}
 }
 
-// writeRatios compares each fleet with the first: ratios of one run hold where
-// absolute times of a busy machine do not.
+// writeRatios prints the ratios of each fleet to the first one. Ratios within one run are valid even
+// on a busy machine, where absolute times are not.
 func writeRatios(writer io.Writer, results []*Result) {
 	first := results[0]
-	fmt.Fprintf(writer, "\nside by side, as ratios to %s\n", first.Label)
+	fmt.Fprintf(writer, "\nratios to %s\n", first.Label)
 	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "fleet\tkind\tworth\tp50\tp90\tp99\t")
 	for _, result := range results[1:] {
 		fmt.Fprintf(table, "%s\tall\t%s\t\t\t\t\n", result.Label, ratio(result.Worth, first.Worth))
-		for _, entry := range result.Kinds {
+		for _, kind := range result.Kinds {
 			for _, base := range first.Kinds {
-				if base.Name == entry.Name {
-					fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t\n", result.Label, entry.Name, ratio(entry.Worth, base.Worth),
-						ratio(entry.P50, base.P50), ratio(entry.P90, base.P90), ratio(entry.P99, base.P99))
+				if base.Name == kind.Name {
+					fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t\n", result.Label, kind.Name, ratio(kind.Worth, base.Worth),
+						ratio(kind.P50, base.P50), ratio(kind.P90, base.P90), ratio(kind.P99, base.P99))
 				}
 			}
 		}
@@ -92,6 +93,7 @@
 	_ = table.Flush()
 }
 
+// ratio returns value/base as text, or "-" if base is 0.
 func ratio(value, base float64) string {
 	if base == 0 {
 		return "-"
--- a/internal/tooling/loadgen/result.go
+++ b/internal/tooling/loadgen/result.go
@@ -11,20 +11,21 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// Kind is what came of one kind of request.
+// Kind is the result of one kind of request.
 type Kind struct {
 	Name string `json:"kind"`
-	// Sent counts orders (of lots: items), InTime and Late those served, Failed the others.
+	// Sent is the number of requests, or of items for batch jobs. InTime and Late are those served
+	// within and after their setpoint, Failed the others.
 	Sent   int `json:"sent"`
 	InTime int `json:"in-time"`
 	Late   int `json:"late"`
 	Failed int `json:"failed"`
-	// Worth is what was earned of what was owed, 0 to 1.
+	// Worth is the share of the possible worth (owed) that was earned, 0 to 1.
 	Worth  float64 `json:"worth"`
 	earned float64
 	owed   float64
-	// The percentiles are in ms: to the first event of a stream, to the end of a plain
-	// answer, from the handing in of a lot to the reading of an item.
+	// P50, P90, P99 and Max are latencies in ms: up to the first event of a stream, up to the end
+	// of a plain response, or from the submission of a batch job to the read of an item's output.
 	P50 float64 `json:"p50-ms"`
 	P90 float64 `json:"p90-ms"`
 	P99 float64 `json:"p99-ms"`
@@ -33,16 +34,16 @@
 	times *hdrhistogram.Histogram
 }
 
-// Result is what came of one load on one fleet.
+// Result is the result of one load run against one fleet.
 type Result struct {
 	Label string `json:"label"`
-	// Worth is what was earned of what was owed, over all kinds.
+	// Worth is the share of the possible worth that was earned over all kinds, 0 to 1.
 	Worth   float64        `json:"worth"`
 	Kinds   []*Kind        `json:"kinds"`
 	Causes  map[string]int `json:"failures-by-cause"`
 	Retried map[string]int `json:"tries-again-by-cause"`
-	// Findings holds the broken promises, at most constants.LoadFindings of them;
-	// Broken counts all.
+	// Findings are the first rule violations, at most constants.LoadFindings of them. Broken is the
+	// number of all violations.
 	Findings []Finding `json:"findings"`
 	Broken   int       `json:"broken"`
 	Notes    []string  `json:"notes"`
@@ -58,92 +59,96 @@
 	return &Result{Label: label, Causes: map[string]int{}, Retried: map[string]int{}, Findings: []Finding{}, Notes: []string{}, kinds: map[string]*Kind{}}
 }
 
-// kind finds the counts of a kind. The lock is held.
+// kind returns the result of a kind and creates it if needed. The caller holds the lock.
 func (r *Result) kind(name string) *Kind {
-	entry := r.kinds[name]
-	if entry == nil {
-		entry = &Kind{Name: name, times: hdrhistogram.New(1, constants.LoadTime.Microseconds(), constants.LoadDigits)}
-		r.kinds[name] = entry
-		r.Kinds = append(r.Kinds, entry)
+	kind := r.kinds[name]
+	if kind == nil {
+		kind = &Kind{Name: name, times: hdrhistogram.New(1, constants.LoadTime.Microseconds(), constants.LoadDigits)}
+		r.kinds[name] = kind
+		r.Kinds = append(r.Kinds, kind)
 		sort.Slice(r.Kinds, func(left, right int) bool { return r.Kinds[left].Name < r.Kinds[right].Name })
 	}
-	return entry
+	return kind
 }
 
+// record adds a latency.
 func (k *Kind) record(span clock.Duration) { _ = k.times.RecordValue(max(span.Microseconds(), 1)) }
 
-// count adds a share of the worth to what was earned. The lock is held.
+// count counts one request or item. One in time earns the whole worth of its kind, a late one the
+// share constants.LoadLate of it, a failed one nothing. The caller holds the lock.
 func (r *Result) count(name string, inTime, served bool) *Kind {
-	entry, value := r.kind(name), profiles[name].worth
-	entry.Sent++
-	entry.owed += value
+	kind, value := r.kind(name), profiles[name].worth
+	kind.Sent++
+	kind.owed += value
 	switch {
 	case inTime:
-		entry.InTime++
-		entry.earned += value
+		kind.InTime++
+		kind.earned += value
 	case served:
-		entry.Late++
-		entry.earned += value * constants.LoadLate
+		kind.Late++
+		kind.earned += value * constants.LoadLate
 	default:
-		entry.Failed++
+		kind.Failed++
 	}
-	return entry
+	return kind
 }
 
-// serve counts an order that was served whole.
-func (r *Result) countServed(order *requestSpec, state *requestState, now clock.Instant) {
+// countServed counts a request that was served completely. It is in time if the first event, or the
+// end of a plain response, came within the setpoint and no gap between events exceeded GapMs.
+func (r *Result) countServed(spec *requestSpec, state *requestState, now clock.Instant) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	first := state.firstEvent
-	if first == 0 {
-		first = now
+	answered := state.firstEvent
+	if answered == 0 {
+		answered = now
 	}
-	took := first.Sub(state.started)
-	inTime := took <= order.route.Setpoint() && (order.route.GapMs <= 0 || state.maxGap <= clock.Milliseconds(order.route.GapMs))
-	r.count(order.kind, inTime, true).record(took)
+	latency := answered.Sub(state.started)
+	inTime := latency <= spec.route.Setpoint() && (spec.route.GapMs <= 0 || state.maxGap <= clock.Milliseconds(spec.route.GapMs))
+	r.count(spec.kind, inTime, true).record(latency)
 }
 
-// fail counts an order that was not served.
-func (r *Result) countFailed(order *requestSpec, cause string) {
+// countFailed counts a request that was not served.
+func (r *Result) countFailed(spec *requestSpec, cause string) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.count(order.kind, false, false)
-	r.Causes[order.kind+": "+cause]++
+	r.count(spec.kind, false, false)
+	r.Causes[spec.kind+": "+cause]++
 }
 
-// again counts a try that failed and is followed by another.
+// countRetry counts a failed attempt that is retried.
 func (r *Result) countRetry(cause string) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.Retried[cause]++
 }
 
-// submitJob notes how long the handing in of a lot took.
+// countSubmission counts an accepted batch job and how long its submission took.
 func (r *Result) countSubmission(took clock.Duration) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	entry := r.kind(submissionKind)
-	entry.Sent++
-	entry.InTime++
-	entry.record(took)
+	kind := r.kind(submissionKind)
+	kind.Sent++
+	kind.InTime++
+	kind.record(took)
 }
 
-// handInKind is the line of the report on accepted lots; it earns nothing itself.
+// submissionKind is the name under which accepted batch jobs are reported. They earn nothing
+// themselves; their items do.
 const submissionKind = "batch-202"
 
-// item counts one listed item.
+// countItem counts one listed item of a batch job.
 func (r *Result) countItem(completed bool, took clock.Duration, inTime bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	entry := r.count("batch", completed && inTime, completed)
+	kind := r.count("batch", completed && inTime, completed)
 	if completed {
-		entry.record(took)
+		kind.record(took)
 	} else {
 		r.Causes["batch: item abandoned"]++
 	}
 }
 
-// failItems counts items that were never listed.
+// countFailedItems counts items of a batch job that were never listed.
 func (r *Result) countFailedItems(count int, cause string) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -165,7 +170,7 @@
 	r.Notes = append(r.Notes, text)
 }
 
-// find keeps a broken promise.
+// addFinding counts a rule violation and keeps it if the report has space for it.
 func (r *Result) addFinding(finding Finding) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -175,43 +180,43 @@
 	}
 }
 
-// sofar is one line of progress.
+// progressLine returns one line about the progress of the load.
 func (r *Result) progressLine(span clock.Duration) string {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	inTime, late, failed := 0, 0, 0
-	for _, entry := range r.Kinds {
-		if entry.Name != submissionKind {
-			inTime, late, failed = inTime+entry.InTime, late+entry.Late, failed+entry.Failed
+	for _, kind := range r.Kinds {
+		if kind.Name != submissionKind {
+			inTime, late, failed = inTime+kind.InTime, late+kind.Late, failed+kind.Failed
 		}
 	}
 	return fmt.Sprintf("%s after=%.0fs in-time=%d late=%d failed=%d broken=%d", r.Label, span.Seconds(), inTime, late, failed, r.Broken)
 }
 
-// Close works out worth and percentiles.
+// Close computes worth and percentiles from the counts.
 func (r *Result) Close() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	earned, owed := 0.0, 0.0
-	for _, entry := range r.Kinds {
-		earned, owed = earned+entry.earned, owed+entry.owed
-		if entry.owed > 0 {
-			entry.Worth = entry.earned / entry.owed
+	for _, kind := range r.Kinds {
+		earned, owed = earned+kind.earned, owed+kind.owed
+		if kind.owed > 0 {
+			kind.Worth = kind.earned / kind.owed
 		}
-		at := func(percent float64) float64 { return float64(entry.times.ValueAtPercentile(percent)) / 1000 }
-		entry.P50, entry.P90, entry.P99, entry.Max = at(50), at(90), at(99), float64(entry.times.Max())/1000
+		percentileMs := func(percent float64) float64 { return float64(kind.times.ValueAtPercentile(percent)) / 1000 }
+		kind.P50, kind.P90, kind.P99, kind.Max = percentileMs(50), percentileMs(90), percentileMs(99), float64(kind.times.Max())/1000
 	}
 	if owed > 0 {
 		r.Worth = earned / owed
 	}
 }
 
-// Served counts what was served at all, in time or late.
+// Served returns the number of requests and items served, in time or late.
 func (r *Result) Served() int {
 	count := 0
-	for _, entry := range r.Kinds {
-		if entry.Name != submissionKind {
-			count += entry.InTime + entry.Late
+	for _, kind := range r.Kinds {
+		if kind.Name != submissionKind {
+			count += kind.InTime + kind.Late
 		}
 	}
 	return count
--- a/internal/tooling/loadgen/send.go
+++ b/internal/tooling/loadgen/send.go
@@ -18,131 +18,137 @@
 	"lemonarch/internal/tooling/workeremulator"
 )
 
-// result is what came of one try.
+// attemptResult is the outcome of one attempt.
 type attemptResult struct {
-	// cause is empty for a success.
-	cause   string
+	// cause is the cause of a failure, empty for a success.
+	cause string
+	// notExecuted is set if the response promised that the request has not run.
 	notExecuted bool
-	// unread: no node can have read it, so that any kind may be sent again.
-	unread  bool
-	permanent   bool
-	retryAfter   clock.Duration
-	finding *Finding
+	// unread is set if no node can have read the request, so that a request of any kind may be
+	// sent again.
+	unread     bool
+	permanent  bool
+	retryAfter clock.Duration
+	finding    *Finding
 }
 
-// served is what is known of an order over all its tries.
+// requestState is the state of a request over all its attempts. maxGap is the longest time between
+// two events of its stream; firstEvent is the end of the response if that is not a stream.
 type requestState struct {
-	started, deadline clock.Instant
-	firstEvent, lastEvent     clock.Instant
-	maxGap             clock.Duration
-	lastID          int64
+	started, deadline     clock.Instant
+	firstEvent, lastEvent clock.Instant
+	maxGap                clock.Duration
+	lastID                int64
 }
 
-// serve tries an order until it is served or may not be tried again.
-func (r *run) sendWithRetries(order *requestSpec) {
+// sendWithRetries sends a request until it is served or must not be retried.
+func (r *run) sendWithRetries(spec *requestSpec) {
 	now := clock.Now()
-	state := &requestState{started: now, deadline: now.Add(order.route.Cutoff())}
+	state := &requestState{started: now, deadline: now.Add(spec.route.Cutoff())}
 	for attempt := 1; ; attempt++ {
-		got := r.sendAttempt(order, state, attempt)
-		if got.finding != nil {
-			r.result.addFinding(*got.finding)
+		outcome := r.sendAttempt(spec, state, attempt)
+		if outcome.finding != nil {
+			r.result.addFinding(*outcome.finding)
 		}
-		if got.cause == "" {
-			r.result.countServed(order, state, clock.Now())
+		if outcome.cause == "" {
+			r.result.countServed(spec, state, clock.Now())
 			return
 		}
-		wait := min(max(got.retryAfter, constants.LabRetry/4), state.deadline.Sub(clock.Now())/3)
-		mayAgain := !got.permanent && (repeatable(order.route) || got.notExecuted || got.unread)
-		if !mayAgain || attempt >= r.options.Tries || wait <= 0 {
-			r.result.countFailed(order, got.cause)
+		wait := min(max(outcome.retryAfter, constants.LabRetry/4), state.deadline.Sub(clock.Now())/3)
+		mayRetry := !outcome.permanent && (repeatable(spec.route) || outcome.notExecuted || outcome.unread)
+		if !mayRetry || attempt >= r.options.Tries || wait <= 0 {
+			r.result.countFailed(spec, outcome.cause)
 			return
 		}
-		r.result.countRetry(got.cause)
+		r.result.countRetry(outcome.cause)
 		r.pause(wait)
 	}
 }
 
-// try sends one attempt to one node; each try is another attempt, at another node.
-func (r *run) sendAttempt(order *requestSpec, state *requestState, try int) attemptResult {
-	attempt := r.prefix + strconv.Itoa(order.number) + "-" + strconv.Itoa(try)
-	path := order.route.Prefix + strconv.Itoa(order.number)
-	made := r.recordAttempt(attempt, path, order.body, order.route, !repeatable(order.route), false)
-	left := state.deadline.Sub(clock.Now())
-	limited, release := contexts.WithTimeout(contexts.Background(), left)
-	defer release()
-	node := r.card.Ingress[(order.node+try-1)%len(r.card.Ingress)]
-	request, err := http.NewRequestWithContext(limited, http.MethodPost, "http://"+node+path, bytes.NewReader(order.body))
+// sendAttempt sends one attempt to one node. Each try of a request has an attempt id of its own and
+// goes to the next node.
+func (r *run) sendAttempt(spec *requestSpec, state *requestState, try int) attemptResult {
+	attempt := r.prefix + strconv.Itoa(spec.number) + "-" + strconv.Itoa(try)
+	path := spec.route.Prefix + strconv.Itoa(spec.number)
+	sent := r.recordAttempt(attempt, path, spec.body, spec.route, !repeatable(spec.route), false)
+	remaining := state.deadline.Sub(clock.Now())
+	ctx, cancel := contexts.WithTimeout(contexts.Background(), remaining)
+	defer cancel()
+	node := r.card.Ingress[(spec.node+try-1)%len(r.card.Ingress)]
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+path, bytes.NewReader(spec.body))
 	if err != nil {
 		return attemptResult{cause: "unsendable", permanent: true}
 	}
-	// Without it the library may send a body once more on its own; every send must be ours.
+	// With GetBody net/http may send the request a second time without the caller's knowledge.
+	// Every send must be recorded as an attempt.
 	request.GetBody = nil
-	request.Host, request.Close = order.route.Host, try > 1
+	request.Host, request.Close = spec.route.Host, try > 1
 	header := request.Header
 	header.Set("Lemonarch-Attempt-Id", attempt)
-	header.Set("Lemonarch-Time-Left-Ms", strconv.FormatInt(left.Milliseconds(), 10))
-	if !order.isPlain() {
+	header.Set("Lemonarch-Time-Left-Ms", strconv.FormatInt(remaining.Milliseconds(), 10))
+	if !spec.isPlain() {
 		header.Set("Lemonarch-Model", lab.ModelName)
-		header.Set("Lemonarch-Token-Count", strconv.FormatInt(order.prompt.inputTokens, 10)+","+strconv.FormatInt(order.prompt.outputTokens, 10))
-		header.Set("Lemonarch-Prompt-Prefix", order.prompt.prefix)
+		header.Set("Lemonarch-Token-Count", strconv.FormatInt(spec.prompt.inputTokens, 10)+","+strconv.FormatInt(spec.prompt.outputTokens, 10))
+		header.Set("Lemonarch-Prompt-Prefix", spec.prompt.prefixParts)
 	}
 	if state.lastID > 0 {
 		header.Set("Last-Event-Id", strconv.FormatInt(state.lastID, 10))
 	}
 	resp, err := r.client.RoundTrip(request)
 	if err != nil {
-		cause := causeOf(err, limited)
+		cause := causeOf(err, ctx)
 		if cause == causeCut {
-			r.recordCut(made)
+			r.recordCut(sent)
 		}
 		return attemptResult{cause: cause, unread: cause == causeRefused}
 	}
 	defer resp.Body.Close()
-	var got attemptResult
+	var outcome attemptResult
 	switch {
-	case resp.StatusCode < 300 && order.route.Kind() == messages.RouteStreaming:
-		got = r.readStream(order, state, attempt, resp, release)
+	case resp.StatusCode < 300 && spec.route.Kind() == messages.RouteStreaming:
+		outcome = r.readStream(spec, state, attempt, resp, cancel)
 	case resp.StatusCode < 300:
-		got = readPlain(order, state, attempt, resp)
+		outcome = readPlain(spec, state, attempt, resp)
 	default:
-		got = readErrorResponse(resp)
+		outcome = readErrorResponse(resp)
 	}
-	if got.cause == causeAnswerCut || got.cause == causeStreamCut {
-		r.recordCut(made)
+	if outcome.cause == causeAnswerCut || outcome.cause == causeStreamCut {
+		r.recordCut(sent)
 	}
-	r.recordOutcome(made, got.notExecuted, got.cause == "")
-	return got
+	r.recordOutcome(sent, outcome.notExecuted, outcome.cause == "")
+	return outcome
 }
 
-// refusal reads an answer that is no success.
+// readErrorResponse reads a response whose status is not a success.
 func readErrorResponse(resp *http.Response) attemptResult {
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, constants.EmulatorHeartbeatBytes))
-	got := attemptResult{cause: strconv.Itoa(resp.StatusCode)}
+	outcome := attemptResult{cause: strconv.Itoa(resp.StatusCode)}
 	switch resp.StatusCode {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-		got.notExecuted = true
+		outcome.notExecuted = true
 	case http.StatusBadRequest, http.StatusUnauthorized, http.StatusNotFound, http.StatusRequestEntityTooLarge, http.StatusRequestHeaderFieldsTooLarge:
-		got.permanent = true
+		outcome.permanent = true
 	}
 	seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
-	got.retryAfter = clock.Milliseconds(max(seconds, 0) * 1000)
-	return got
+	outcome.retryAfter = clock.Milliseconds(max(seconds, 0) * 1000)
+	return outcome
 }
 
-// causeRefused: nobody listened.
+// causeRefused is the cause if no process listens at the address.
 const causeRefused = "connection refused"
 
-// The causes of a connection that ended without an answer, or within one.
+// The causes if a connection ended before a response, or within one.
 const (
 	causeCut       = "connection cut"
 	causeAnswerCut = "answer cut"
 	causeStreamCut = "stream cut"
 )
 
-func causeOf(err error, limited contexts.Context) string {
+// causeOf returns the cause of a failed round trip.
+func causeOf(err error, ctx contexts.Context) string {
 	text := err.Error()
 	switch {
-	case limited.Err() != nil:
+	case ctx.Err() != nil:
 		return "silence"
 	case strings.Contains(text, "refused"):
 		return causeRefused
@@ -152,28 +158,28 @@
 	return "no answer"
 }
 
-// plain reads a success that is no stream.
-func readPlain(order *requestSpec, state *requestState, attempt string, resp *http.Response) attemptResult {
+// readPlain reads a successful response that is not a stream.
+func readPlain(spec *requestSpec, state *requestState, attempt string, resp *http.Response) attemptResult {
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return attemptResult{cause: causeAnswerCut}
 	}
 	state.firstEvent = clock.Now()
-	if finding := checkPlain(attempt, order.body, resp.Header.Get("Lemonarch-Server-Seal"), resp.Header.Get("Lemonarch-Attempt-Id"), body); finding != nil {
+	if finding := checkPlain(attempt, spec.body, resp.Header.Get("Lemonarch-Server-Seal"), resp.Header.Get("Lemonarch-Attempt-Id"), body); finding != nil {
 		return attemptResult{cause: "not the answer", permanent: true, finding: finding}
 	}
 	return attemptResult{}
 }
 
-// stream reads a stream of events, and gives it up after a silence.
-func (r *run) readStream(order *requestSpec, state *requestState, attempt string, resp *http.Response, halt func()) attemptResult {
+// readStream reads a stream of events, and aborts it if no event arrives within a timeout.
+func (r *run) readStream(spec *requestSpec, state *requestState, attempt string, resp *http.Response, cancel func()) attemptResult {
 	if finding := checkSeal(attempt, resp.Header.Get("Lemonarch-Server-Seal"), resp.Header.Get("Lemonarch-Attempt-Id")); finding != nil {
 		return attemptResult{cause: "not the answer", permanent: true, finding: finding}
 	}
-	follower := &streamCheck{attempt: attempt, lastID: state.lastID, eventCount: workeremulator.Events(order.prompt.outputTokens, r.card.Stride)}
-	elapsed := max(constants.LoadTimeout, 4*order.route.Setpoint(), 8*clock.Milliseconds(order.route.GapMs))
+	check := &streamCheck{attempt: attempt, lastEventID: state.lastID, eventCount: workeremulator.Events(spec.prompt.outputTokens, r.card.Stride)}
+	timeout := max(constants.LoadTimeout, 4*spec.route.Setpoint(), 8*clock.Milliseconds(spec.route.GapMs))
 	var timedOut atomic.Bool
-	timer := time.AfterFunc(elapsed, func() { timedOut.Store(true); halt() })
+	timer := time.AfterFunc(timeout, func() { timedOut.Store(true); cancel() })
 	defer timer.Stop()
 	reader, event := bufio.NewReader(resp.Body), ""
 	for {
@@ -185,7 +191,7 @@
 				}
 				return attemptResult{cause: causeStreamCut}
 			}
-			if finding := follower.finish(); finding != nil {
+			if finding := check.finish(); finding != nil {
 				return attemptResult{cause: "not the answer", permanent: true, finding: finding}
 			}
 			return attemptResult{}
@@ -194,7 +200,7 @@
 			event += text
 			continue
 		}
-		timer.Reset(elapsed)
+		timer.Reset(timeout)
 		now := clock.Now()
 		if state.firstEvent == 0 {
 			state.firstEvent = now
@@ -202,9 +208,9 @@
 			state.maxGap = max(state.maxGap, now.Sub(state.lastEvent))
 		}
 		state.lastEvent = now
-		if !follower.addEvent(event) {
-			return attemptResult{cause: "not the answer", permanent: true, finding: follower.finding}
+		if !check.addEvent(event) {
+			return attemptResult{cause: "not the answer", permanent: true, finding: check.finding}
 		}
-		state.lastID, event = follower.lastID, ""
+		state.lastID, event = check.lastEventID, ""
 	}
 }
