--- a/internal/tooling/crowd/crowd.go
+++ b/internal/tooling/crowd/crowd.go
@@ -104,8 +104,8 @@
 	return maps.Clone(c.statuses)
 }
 
-// runMember connects, sends the request and waits for the end of the connection, and repeats this
-// for the configured number of rounds.
+// runMember connects, sends the request and waits for the end of the connection. It repeats this up
+// to Rounds times, but starts no round after settleTimeout.
 func (c *Crowd) runMember(number int) {
 	settled := sync.OnceFunc(c.settled.Done)
 	defer settled()
--- a/internal/tooling/crowd/watch.go
+++ b/internal/tooling/crowd/watch.go
@@ -58,7 +58,7 @@
 	return w, nil
 }
 
-// Stop takes a last sample, ends the watch and returns the peak usage.
+// Stop ends the watch, takes a last sample and returns the peak usage.
 func (w *Watch) Stop() PeakUsage {
 	close(w.stop)
 	<-w.done
--- a/internal/tooling/loadgen/check_test.go
+++ b/internal/tooling/loadgen/check_test.go
@@ -35,7 +35,7 @@
 		edit func(sent *sentAttempt)
 		want string
 	}{
-		"sound":               {[]workeremulator.Run{sampleRun}, nil, ""},
+		"valid":               {[]workeremulator.Run{sampleRun}, nil, ""},
 		"run twice":           {[]workeremulator.Run{sampleRun, sampleRun}, nil, "TWICE "},
 		"three times":         {[]workeremulator.Run{sampleRun, sampleRun, sampleRun}, nil, "TWICE "},
 		"may be repeated":     {[]workeremulator.Run{sampleRun, sampleRun}, func(sent *sentAttempt) { sent.atMostOnce = false }, ""},
@@ -60,20 +60,20 @@
 	}
 }
 
-func TestStampAndBody(t *testing.T) {
+func TestSealAndBody(t *testing.T) {
 	body := []byte("b")
 	sound := workeremulator.PlainBody("a", body)
 	for name, test := range map[string]struct {
 		seal, echoed, text string
 		caught             bool
 	}{
-		"sound":            {workeremulator.Seal("w", "a"), "a", sound, false},
-		"another's stamp":  {workeremulator.Seal("w", "b"), "a", sound, true},
-		"no stamp":         {"", "a", sound, true},
-		"forged stamp":     {"w.1234", "a", sound, true},
-		"another attempt":  {workeremulator.Seal("w", "a"), "b", sound, true},
-		"half a body":      {workeremulator.Seal("w", "a"), "a", sound[:5], true},
-		"another's answer": {workeremulator.Seal("w", "a"), "a", workeremulator.PlainBody("b", body), true},
+		"valid":                  {workeremulator.Seal("w", "a"), "a", sound, false},
+		"another attempt's seal": {workeremulator.Seal("w", "b"), "a", sound, true},
+		"no seal":                {"", "a", sound, true},
+		"forged seal":            {"w.1234", "a", sound, true},
+		"another attempt":        {workeremulator.Seal("w", "a"), "b", sound, true},
+		"half a body":            {workeremulator.Seal("w", "a"), "a", sound[:5], true},
+		"another attempt's body": {workeremulator.Seal("w", "a"), "a", workeremulator.PlainBody("b", body), true},
 	} {
 		if got := checkPlain("a", body, test.seal, test.echoed, []byte(test.text)); (got != nil) != test.caught {
 			t.Error(name, got)
@@ -91,14 +91,14 @@
 		events []string
 		rule   string
 	}{
-		"sound":           {0, []string{eventText(1), eventText(2), eventText(3)}, ""},
-		"goes on":         {2, []string{eventText(3)}, ""},
-		"missing":         {0, []string{eventText(1), eventText(3)}, "ORDER"},
-		"missing first":   {0, []string{eventText(2), eventText(3)}, "ORDER"},
-		"twice":           {0, []string{eventText(1), eventText(1), eventText(2), eventText(3)}, "ORDER"},
-		"ends early":      {0, []string{eventText(1), eventText(2)}, "ORDER"},
-		"one too many":    {0, []string{eventText(1), eventText(2), eventText(3), eventText(4)}, "ORDER"},
-		"another's event": {0, []string{eventText(1), "id: 2\ndata: x\n", eventText(3)}, "MIXED"},
+		"valid":            {0, []string{eventText(1), eventText(2), eventText(3)}, ""},
+		"resumed":          {2, []string{eventText(3)}, ""},
+		"missing":          {0, []string{eventText(1), eventText(3)}, "ORDER"},
+		"missing first":    {0, []string{eventText(2), eventText(3)}, "ORDER"},
+		"twice":            {0, []string{eventText(1), eventText(1), eventText(2), eventText(3)}, "ORDER"},
+		"ends early":       {0, []string{eventText(1), eventText(2)}, "ORDER"},
+		"one too many":     {0, []string{eventText(1), eventText(2), eventText(3), eventText(4)}, "ORDER"},
+		"wrong event data": {0, []string{eventText(1), "id: 2\ndata: x\n", eventText(3)}, "MIXED"},
 	} {
 		check := &streamCheck{attempt: "a", lastEventID: test.from, eventCount: 3}
 		complete := true
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestPagesOfALot(t *testing.T) {
+func TestPagesOfAJob(t *testing.T) {
 	first := jobclient.Output{ID: "i1", Phase: jobclient.PhaseSettled, Text: completeText("i1", 2)}
 	second := jobclient.Output{ID: "i2", Phase: jobclient.PhaseSettled, Text: completeText("i2", 3)}
 	dropped := jobclient.Output{ID: "i2", Phase: jobclient.PhaseAbandoned}
@@ -136,13 +136,13 @@
 		reads []read
 		want  string
 	}{
-		"sound":              {[]read{{0, 2, list(first)}, {1, 2, list(second)}, {0, 2, list(first, second)}}, ""},
+		"valid":              {[]read{{0, 2, list(first)}, {1, 2, list(second)}, {0, 2, list(first, second)}}, ""},
 		"abandoned":          {[]read{{0, 2, list(first, dropped)}}, ""},
 		"item twice":         {[]read{{0, 2, list(first, first)}}, "TWICE "},
 		"position changed":   {[]read{{0, 2, list(first)}, {0, 2, list(second)}}, "TWICE "},
 		"phase changed":      {[]read{{0, 2, list(first, dropped)}, {1, 2, list(second)}}, "TWICE "},
 		"event missing":      {[]read{{0, 2, list(short)}}, "MIXED "},
-		"another lot's item": {[]read{{0, 2, list(jobclient.Output{ID: "x", Phase: jobclient.PhaseSettled})}}, "MIXED "},
+		"another job's item": {[]read{{0, 2, list(jobclient.Output{ID: "x", Phase: jobclient.PhaseSettled})}}, "MIXED "},
 		"wrong sum":          {[]read{{0, 3, list(first)}}, "MIXED "},
 		"unknown phase":      {[]read{{0, 2, list(jobclient.Output{ID: "i1", Phase: "done", Text: first.Text})}}, "MIXED "},
 	} {
--- a/internal/tooling/loadgen/drive.go
+++ b/internal/tooling/loadgen/drive.go
@@ -19,10 +19,13 @@
 	options Options
 	card    *lab.Card
 	routes  map[string]*routeconfig.Route
-	prefix  string
-	client  http.RoundTripper
-	pause   func(clock.Duration)
-	result  *Result
+	// prefix begins the ids of all attempts of the run, so that the endpoint can return the run's
+	// attempts only.
+	prefix string
+	client http.RoundTripper
+	// pause sleeps before a retry; tests replace it.
+	pause  func(clock.Duration)
+	result *Result
 
 	lock sync.Mutex
 	// attempts are all attempts sent, by id; inFlight is the number of requests in flight.
@@ -31,9 +34,9 @@
 }
 
 // Drive sends a whole load to the fleet of an endpoint, checks the responses and returns the result.
-// It ends early, but in order, when the context does. If it returns both, the result is partial
-// because of the error.
-func Drive(ctx contexts.Context, options Options, endpoint *Endpoint, faults []lab.Trouble) (*Result, error) {
+// If the context ends first, it sends nothing more and waits for the requests and jobs in flight. A
+// result that is returned together with an error is partial.
+func Drive(ctx contexts.Context, options Options, endpoint *Endpoint, troubles []lab.Trouble) (*Result, error) {
 	if err := options.Check(); err != nil {
 		return nil, err
 	}
@@ -46,17 +49,17 @@
 		return nil, err
 	}
 	load := newRun(options, card, routes, "ld"+strconv.FormatInt(clock.WallNanos(), 36)+"-")
-	load.sendLoad(ctx, endpoint, faults)
+	load.sendLoad(ctx, endpoint, troubles)
 	return load.result, load.fetchAndCompareRuns(endpoint)
 }
 
 // sendLoad sends all requests and batch jobs, starts the troubles at their times, and waits for the
 // last response.
-func (r *run) sendLoad(ctx contexts.Context, endpoint *Endpoint, faults []lab.Trouble) {
+func (r *run) sendLoad(ctx contexts.Context, endpoint *Endpoint, troubles []lab.Trouble) {
 	var group sync.WaitGroup
 	started := clock.Now()
-	for _, fault := range faults {
-		group.Go(func() { r.startTrouble(ctx, started, endpoint, fault) })
+	for _, trouble := range troubles {
+		group.Go(func() { r.startTrouble(ctx, started, endpoint, trouble) })
 	}
 	if r.options.LotRate > 0 {
 		group.Go(func() { r.sendJobs(ctx, started) })
--- a/internal/tooling/loadgen/drive_test.go
+++ b/internal/tooling/loadgen/drive_test.go
@@ -21,16 +21,16 @@
 	now  clock.Instant
 }
 
-func (h *immediateClock) Now() clock.Instant {
-	h.lock.Lock()
-	defer h.lock.Unlock()
-	return h.now
+func (c *immediateClock) Now() clock.Instant {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	return c.now
 }
 
-func (h *immediateClock) After(span clock.Duration, function func()) {
-	h.lock.Lock()
-	h.now = h.now.Add(span)
-	h.lock.Unlock()
+func (c *immediateClock) After(span clock.Duration, function func()) {
+	c.lock.Lock()
+	c.now = c.now.Add(span)
+	c.lock.Unlock()
 	go function()
 }
 
@@ -41,16 +41,16 @@
 	before func(request *http.Request) *http.Response
 }
 
-func (d *inProcessTransport) RoundTrip(request *http.Request) (*http.Response, error) {
-	if d.before != nil {
-		if resp := d.before(request); resp != nil {
+func (t *inProcessTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+	if t.before != nil {
+		if resp := t.before(request); resp != nil {
 			return resp, nil
 		}
 	}
 	request.RequestURI = request.URL.RequestURI()
-	worker := d.plain
+	worker := t.plain
 	if request.Header.Get("Lemonarch-Token-Count") != "" {
-		worker = d.model
+		worker = t.model
 	}
 	recorder := httptest.NewRecorder()
 	worker.Handler().ServeHTTP(recorder, request)
--- a/internal/tooling/loadgen/lots.go
+++ b/internal/tooling/loadgen/lots.go
@@ -80,7 +80,7 @@
 		return
 	}
 	r.result.countSubmission(clock.Now().Sub(started))
-	resultTimeout, reads, answered := clock.Milliseconds(route.ResultMs), 0, false
+	resultSetpoint, reads, answered := clock.Milliseconds(route.ResultMs), 0, false
 	for len(check.outputs) < len(job.Requests) && ctx.Err() == nil {
 		reads++
 		cursor := len(check.outputs)
@@ -95,7 +95,7 @@
 		if err == nil {
 			took := clock.Now().Sub(started)
 			for _, output := range check.outputs[before:] {
-				r.result.countItem(output.Phase == jobclient.PhaseSettled, took, took <= resultTimeout)
+				r.result.countItem(output.Phase == jobclient.PhaseSettled, took, took <= resultSetpoint)
 			}
 		}
 		clock.Sleep(constants.LoadPollBackoff)
@@ -113,7 +113,7 @@
 func (r *run) rereadJob(client *jobclient.Client, check *jobCheck) {
 	ctx, cancel := contexts.WithTimeout(contexts.Background(), 2*constants.JobCallTimeout)
 	defer cancel()
-	for cursor, observed := 0, len(check.outputs); cursor < observed; {
+	for cursor, outputCount := 0, len(check.outputs); cursor < outputCount; {
 		page, err := client.Read(ctx, check.id, cursor, 0)
 		r.checkRead(check, cursor, page, err)
 		switch {
--- a/internal/tooling/loadgen/result.go
+++ b/internal/tooling/loadgen/result.go
@@ -170,7 +170,7 @@
 	r.Notes = append(r.Notes, text)
 }
 
-// addFinding counts a rule violation and keeps it if the report has space for it.
+// addFinding counts a rule violation and keeps it unless constants.LoadFindings are kept already.
 func (r *Result) addFinding(finding Finding) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/tooling/loadgen/send.go
+++ b/internal/tooling/loadgen/send.go
@@ -26,7 +26,8 @@
 	notExecuted bool
 	// unread is set if no node can have read the request, so that a request of any kind may be
 	// sent again.
-	unread     bool
+	unread bool
+	// permanent is set if the request must not be retried. retryAfter is the value of Retry-After.
 	permanent  bool
 	retryAfter clock.Duration
 	finding    *Finding
