--- a/internal/tooling/loadgen/lots.go
+++ b/internal/tooling/loadgen/lots.go
@@ -15,8 +15,8 @@
 	"lemonarch/internal/tooling/workeremulator"
 )
 
-// sendLots sends lots at their rate and follows each.
-func (r *run) sendLots(until contexts.Context, started clock.Instant) {
+// sendJobs submits batch jobs at their rate, reads each to its end, and waits for all of them.
+func (r *run) sendJobs(ctx contexts.Context, started clock.Instant) {
 	random := rand.New(rand.NewSource(r.options.Seed + constants.LoadJobSeed))
 	var group sync.WaitGroup
 	at := 0.0
@@ -24,106 +24,108 @@
 		at += random.ExpFloat64() / r.options.LotRate * 1000
 		due := clock.Milliseconds(at)
 		if number == 0 {
-			// However short the load, there is one lot.
+			// There is at least one job, even in a short load.
 			due = min(due, r.options.For/4)
 		}
-		if due >= r.options.For || !waitUntil(until, started.Add(due)) {
+		if due >= r.options.For || !waitUntil(ctx, started.Add(due)) {
 			break
 		}
-		job, check := r.makeLot(number, random)
+		job, check := r.newJob(number, random)
 		node := random.Intn(len(r.card.Ingress))
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			r.lot(check, job, node)
+			r.runJob(check, job, node)
 		}()
 	}
 	group.Wait()
 }
 
-func (r *run) makeLot(number int, random *rand.Rand) (jobclient.Job, *jobCheck) {
+// newJob draws a batch job, records its items as attempts, and returns it with its check.
+func (r *run) newJob(number int, random *rand.Rand) (jobclient.Job, *jobCheck) {
 	check := newJobCheck(r.prefix + "lot" + strconv.Itoa(number))
 	job, route := jobclient.Job{}, r.routes["batch"]
 	for i := 0; i < r.options.Items; i++ {
 		prompt := profiles["batch"].prompt(random)
 		item := jobclient.Item{ID: check.id + "-" + strconv.Itoa(i), Path: fmt.Sprintf("%s%d/%d", route.Prefix, number, i),
-			Tokens: prompt.in + prompt.out, Body: []byte("item " + strconv.Itoa(i)), Headers: map[string]string{"Lemonarch-Model": lab.ModelName,
-				"Lemonarch-Token-Count": fmt.Sprintf("%d,%d", prompt.in, prompt.out), "Lemonarch-Prompt-Prefix": prompt.parts}}
-		check.events[item.ID] = workeremulator.Events(prompt.out, r.card.Stride)
+			Tokens: prompt.inputTokens + prompt.outputTokens, Body: []byte("item " + strconv.Itoa(i)), Headers: map[string]string{"Lemonarch-Model": lab.ModelName,
+				"Lemonarch-Token-Count": fmt.Sprintf("%d,%d", prompt.inputTokens, prompt.outputTokens), "Lemonarch-Prompt-Prefix": prompt.prefixParts}}
+		check.eventCounts[item.ID] = workeremulator.Events(prompt.outputTokens, r.card.Stride)
 		job.Requests = append(job.Requests, item)
-		r.remember(item.ID, item.Path, item.Body, route, false, true)
+		r.recordAttempt(item.ID, item.Path, item.Body, route, false, true)
 	}
 	return job, check
 }
 
-// lot hands one lot in, follows it to its end, and reads it once more from the start.
-func (r *run) lot(check *jobCheck, job jobclient.Job, node int) {
+// runJob submits one batch job, reads its outputs until all are listed or constants.LoadDrain has
+// passed, and reads them once more from the start.
+func (r *run) runJob(check *jobCheck, job jobclient.Job, node int) {
 	route := r.routes["batch"]
-	edges := append(append([]string(nil), r.card.Ingress[node:]...), r.card.Ingress[:node]...)
-	client := &jobclient.Client{Edges: edges, Host: route.Host}
-	limited, release := contexts.WithTimeout(contexts.Background(), constants.LoadDrain)
-	defer release()
+	gateways := append(append([]string(nil), r.card.Ingress[node:]...), r.card.Ingress[:node]...)
+	client := &jobclient.Client{Edges: gateways, Host: route.Host}
+	ctx, cancel := contexts.WithTimeout(contexts.Background(), constants.LoadDrain)
+	defer cancel()
 	started := clock.Now()
-	handing, halt := contexts.WithTimeout(limited, 2*constants.JobCallTimeout)
-	_, err := client.Submit(handing, check.id, route.Prefix+"lot", job)
-	halt()
+	submitCtx, cancelSubmit := contexts.WithTimeout(ctx, 2*constants.JobCallTimeout)
+	_, err := client.Submit(submitCtx, check.id, route.Prefix+"lot", job)
+	cancelSubmit()
 	if err != nil {
-		refused := errs.Is(err, jobclient.ErrRejected)
-		r.promiseItems(check, refused)
+		rejected := errs.Is(err, jobclient.ErrRejected)
+		r.recordItemsNotExecuted(check, rejected)
 		cause := "lot unclear"
-		if refused {
+		if rejected {
 			cause = "lot refused"
 		}
-		r.result.failItems(len(job.Requests), cause)
+		r.result.countFailedItems(len(job.Requests), cause)
 		return
 	}
-	r.result.handIn(clock.Now().Sub(started))
-	result, reads, answered := clock.Milliseconds(route.ResultMs), 0, false
-	for len(check.listed) < len(job.Requests) && limited.Err() == nil {
+	r.result.countSubmission(clock.Now().Sub(started))
+	resultSetpoint, reads, answered := clock.Milliseconds(route.ResultMs), 0, false
+	for len(check.outputs) < len(job.Requests) && ctx.Err() == nil {
 		reads++
-		cursor := len(check.listed)
+		cursor := len(check.outputs)
 		if reads%4 == 0 {
-			// From time to time from an earlier position: it must say the same again.
+			// Every fourth read is from an earlier position: it must return the same outputs again.
 			cursor /= 2
 		}
-		before := len(check.listed)
-		page, err := client.Read(limited, check.id, cursor, 0)
-		r.judgeRead(check, cursor, page, err)
+		before := len(check.outputs)
+		page, err := client.Read(ctx, check.id, cursor, 0)
+		r.checkRead(check, cursor, page, err)
 		answered = answered || err == nil
 		if err == nil {
 			took := clock.Now().Sub(started)
-			for _, output := range check.listed[before:] {
-				r.result.item(output.Phase == jobclient.PhaseSettled, took, took <= result)
+			for _, output := range check.outputs[before:] {
+				r.result.countItem(output.Phase == jobclient.PhaseSettled, took, took <= resultSetpoint)
 			}
 		}
 		clock.Sleep(constants.LoadPollBackoff)
 	}
 	if !answered {
-		r.result.find(Finding{"LOST", check.id, "it was accepted, and no read of it was answered to the end"})
+		r.result.addFinding(Finding{"LOST", check.id, "job was accepted, but no read of it returned a complete response"})
 	}
-	if missing := len(job.Requests) - len(check.listed); missing > 0 {
-		r.result.failItems(missing, "item not listed")
+	if missing := len(job.Requests) - len(check.outputs); missing > 0 {
+		r.result.countFailedItems(missing, "item not listed")
 	}
-	r.readAgain(client, check)
+	r.rereadJob(client, check)
 }
 
-// readAgain reads a lot from the start: what was read must come again.
-func (r *run) readAgain(client *jobclient.Client, check *jobCheck) {
-	limited, release := contexts.WithTimeout(contexts.Background(), 2*constants.JobCallTimeout)
-	defer release()
-	for cursor, observed := 0, len(check.listed); cursor < observed; {
-		page, err := client.Read(limited, check.id, cursor, 0)
-		r.judgeRead(check, cursor, page, err)
+// rereadJob reads a batch job from the start: the same outputs must be returned again.
+func (r *run) rereadJob(client *jobclient.Client, check *jobCheck) {
+	ctx, cancel := contexts.WithTimeout(contexts.Background(), 2*constants.JobCallTimeout)
+	defer cancel()
+	for cursor, outputCount := 0, len(check.outputs); cursor < outputCount; {
+		page, err := client.Read(ctx, check.id, cursor, 0)
+		r.checkRead(check, cursor, page, err)
 		switch {
 		case err == nil && len(page.Outputs) == 0:
-			r.result.find(Finding{"LOST", check.id, fmt.Sprintf("position %d was read before, and is gone", cursor)})
+			r.result.addFinding(Finding{"LOST", check.id, fmt.Sprintf("position %d was read before but is no longer listed", cursor)})
 			return
 		case err == nil:
 			cursor = page.Next
 		case !jobclient.Again(err):
 			return
-		case limited.Err() != nil:
-			r.result.note("lot " + check.id + " could not be read again: " + err.Error())
+		case ctx.Err() != nil:
+			r.result.addNote("job " + check.id + " could not be read again: " + err.Error())
 			return
 		default:
 			clock.Sleep(constants.LabRetry)
@@ -131,25 +133,26 @@
 	}
 }
 
-// judgeRead takes one read of a lot that was accepted.
-func (r *run) judgeRead(check *jobCheck, cursor int, page *jobclient.Page, err error) {
+// checkRead adds the findings of one read of an accepted batch job.
+func (r *run) checkRead(check *jobCheck, cursor int, page *jobclient.Page, err error) {
 	switch {
 	case err == nil:
-		for _, finding := range check.page(cursor, page) {
-			r.result.find(finding)
+		for _, finding := range check.addPage(cursor, page) {
+			r.result.addFinding(finding)
 		}
 	case errs.Is(err, jobclient.ErrCorruptResponse):
-		r.result.find(Finding{"MIXED", check.id, err.Error()})
+		r.result.addFinding(Finding{"MIXED", check.id, err.Error()})
 	case !jobclient.Again(err):
-		r.result.find(Finding{"LOST", check.id, err.Error()})
+		r.result.addFinding(Finding{"LOST", check.id, err.Error()})
 	}
 }
 
-// promiseItems notes that none of a lot's items may run.
-func (r *run) promiseItems(check *jobCheck, refused bool) {
+// recordItemsNotExecuted records for all items of a batch job whether its rejection promised that
+// none of them runs.
+func (r *run) recordItemsNotExecuted(check *jobCheck, rejected bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	for item := range check.events {
-		r.sent[item].promised = refused
+	for item := range check.eventCounts {
+		r.attempts[item].notExecuted = rejected
 	}
 }
