--- a/internal/configuration/adapterplan/planner.go
+++ b/internal/configuration/adapterplan/planner.go
@@ -6,7 +6,7 @@
 type Counts struct {
 	// Asked is how often it was asked whether what is settled has an answer, and
 	// Solved how often the solver had to be called for it.
-	Asked, Solved int
+	Checks, SolverCalls int
 }
 
 // planner decides whether a partial assignment can be completed.
@@ -15,47 +15,47 @@
 	counts  *Counts
 	// kept weighs the places of an earlier answer, least how many must stay.
 	kept  [][]int
-	least int
+	minKept int
 	// effort is how many clauses the solver may learn over one question.
-	effort int
+	clausesMax int
 }
 
 // complete gives a full assignment that agrees with what is settled, if there is one.
 func (p *planner) complete(settled partial) (partial, bool, error) {
-	p.counts.Asked++
+	p.counts.Checks++
 	// Where choice is plenty the plainest guess is an answer; it costs least.
-	if _, guess := p.guess(settled, p.order()); guess != nil && p.problem.holds(guess) && p.keeps(guess) >= p.least {
+	if _, guess := p.guess(settled, p.choiceOrder()); guess != nil && p.problem.satisfiedBy(guess) && p.keptCount(guess) >= p.minKept {
 		return guess, true, nil
 	}
-	if p.problem.short(settled) {
+	if p.problem.insufficient(settled) {
 		return nil, false, nil
 	}
-	if p.least > 0 {
-		if _, _, keeps := p.problem.flow(settled, p.problem.copiesMeasure(settled), p.kept); keeps < p.least {
+	if p.minKept > 0 {
+		if _, _, keeps := p.problem.flow(settled, p.problem.copiesMeasure(settled), p.kept); keeps < p.minKept {
 			return nil, false, nil
 		}
 	}
-	p.counts.Solved++
+	p.counts.SolverCalls++
 	encoding := newEncoding(p.problem, settled)
-	if p.least > 0 {
-		encoding.keep(p.kept, p.least)
+	if p.minKept > 0 {
+		encoding.addKept(p.kept, p.minKept)
 	}
-	full, found, err := encoding.solve(p.effort)
+	full, found, err := encoding.solve(p.clausesMax)
 	if err != nil || !found {
 		return nil, false, err
 	}
-	if !p.problem.holds(full) || p.keeps(full) < p.least {
+	if !p.problem.satisfiedBy(full) || p.keptCount(full) < p.minKept {
 		return nil, false, ErrUndecided.New("the solver's answer breaks a rule")
 	}
 	return full, true, nil
 }
 
 // keeps counts what a full assignment keeps of the earlier answer.
-func (p *planner) keeps(full partial) int {
+func (p *planner) keptCount(full partial) int {
 	count := 0
 	for place := range full {
 		for node, is := range full[place] {
-			if is == stands {
+			if is == placed {
 				count += weightOf(p.kept, place, node)
 			}
 		}
@@ -72,7 +72,7 @@
 	number      [][]int
 	last        int
 	constraints []solver.PBConstr
-	never       bool
+	unsatisfiable       bool
 }
 
 func newEncoding(problem *problem, settled partial) *encoding {
@@ -87,13 +87,13 @@
 		}
 	}
 	for place := range problem.variables {
-		encoded.copies(place)
+		encoded.addCopies(place)
 		if problem.variables[place].zones > 1 {
-			encoded.spread(place)
+			encoded.addSpread(place)
 		}
 	}
 	for node := range problem.nodes {
-		encoded.load(node)
+		encoded.addCapacity(node)
 	}
 	for _, members := range problem.apartNodes {
 		for node := range problem.nodes {
@@ -107,7 +107,7 @@
 		}
 	}
 	for _, members := range problem.apartZones {
-		encoded.apartZones(members)
+		encoded.addApartZones(members)
 	}
 	return encoded
 }
@@ -125,7 +125,7 @@
 		return
 	}
 	if total < sum {
-		e.never = true
+		e.unsatisfiable = true
 		return
 	}
 	e.constraints = append(e.constraints, solver.GtEq(literals, weights, sum))
@@ -149,11 +149,11 @@
 }
 
 // copies adds that a variable has exactly its copies.
-func (e *encoding) copies(place int) {
+func (e *encoding) addCopies(place int) {
 	missing := e.problem.variables[place].copies
 	var free []int
 	for node, is := range e.settled[place] {
-		if is == stands {
+		if is == placed {
 			missing--
 		}
 		if number := e.number[place][node]; number > 0 {
@@ -165,16 +165,16 @@
 }
 
 // load adds slots and memory of a node.
-func (e *encoding) load(node int) {
+func (e *encoding) addCapacity(node int) {
 	host := &e.problem.nodes[node]
-	slots, memory := host.Slots, wide
+	slots, memory := host.Slots, unbounded
 	if host.MemoryMB != nil {
 		memory = *host.MemoryMB
 	}
 	var free, sizes, weights []int
 	for place := range e.problem.variables {
 		size, weight := len(e.problem.variables[place].names), e.problem.variables[place].memory
-		if e.settled[place][node] == stands {
+		if e.settled[place][node] == placed {
 			slots, memory = slots-size, memory-weight
 		}
 		if number := e.number[place][node]; number > 0 {
--- a/internal/configuration/configcheck/configcheck.go
+++ b/internal/configuration/configcheck/configcheck.go
@@ -23,7 +23,7 @@
 	schema  cue.Value
 	uses    int
 	// gathered is how many bytes were checked in the present context.
-	gathered int
+	checkedBytes int
 }
 
 // usesBeforeRenewal and bytesBeforeRenewal bound what the CUE context gathers: it never forgets
@@ -41,7 +41,7 @@
 
 func (c *Checker) renew() error {
 	c.context = cuecontext.New()
-	c.uses, c.gathered = 0, 0
+	c.uses, c.checkedBytes = 0, 0
 	value := c.context.CompileString(schemaText)
 	if err := value.Err(); err != nil {
 		return routeconfig.ErrMalformed.Wrap(err, "schema")
@@ -66,15 +66,15 @@
 	}
 	var findings []string
 	if !long {
-		findings = c.shape(body)
+		findings = c.shapeFindings(body)
 	}
-	return config, append(findings, crossing(config)...)
+	return config, append(findings, crossFieldFindings(config)...)
 }
 
-func (c *Checker) shape(body []byte) []string {
+func (c *Checker) shapeFindings(body []byte) []string {
 	c.uses++
-	c.gathered += len(body)
-	if c.uses > usesBeforeRenewal || c.gathered > bytesBeforeRenewal {
+	c.checkedBytes += len(body)
+	if c.uses > usesBeforeRenewal || c.checkedBytes > bytesBeforeRenewal {
 		if err := c.renew(); err != nil {
 			return []string{err.Error()}
 		}
@@ -92,23 +92,23 @@
 }
 
 // crossing checks what no single field shows.
-func crossing(config *routeconfig.Config) []string {
+func crossFieldFindings(config *routeconfig.Config) []string {
 	var findings []string
 	places := map[string]string{}
 	for index := range config.Routes {
 		route := &config.Routes[index]
-		place := route.Place()
+		place := route.HostPrefix()
 		if other, taken := places[place]; taken {
 			findings = append(findings, fmt.Sprintf("channels: %s and %s share host and path-prefix %s", other, route.Name, place))
 		}
 		places[place] = route.Name
-		findings = append(findings, services(config, route)...)
+		findings = append(findings, serviceFindings(config, route)...)
 	}
 	return findings
 }
 
 // services checks where a route leads.
-func services(config *routeconfig.Config, route *routeconfig.Route) []string {
+func serviceFindings(config *routeconfig.Config, route *routeconfig.Route) []string {
 	var findings []string
 	known := func(backend string) {
 		if config.Service(backend) == nil {
--- a/internal/configuration/configcheck/configcheck_test.go
+++ b/internal/configuration/configcheck/configcheck_test.go
@@ -8,7 +8,7 @@
 	"lemonarch/internal/configuration/routeconfig"
 )
 
-const sound = `{"generation":7,"channels":[
+const validBody = `{"generation":7,"channels":[
 {"name":"a","host":"h.example","path-prefix":"/one/","route-kind":"streaming","cutoff-ms":6000,"weighted":[{"backend":"s","share":90},{"backend":"t","share":10}],"tries":2},
 {"name":"b","host":"h.example","path-prefix":"/one/two/","route-kind":"effectful","cutoff-ms":100,"backend":"t","later":1}],
 "backends":[{"name":"s","probe":"/health","conn-limit":9},{"name":"t"}],"limits":{"max-header-bytes":100},"also-later":{}}`
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, findings := checker.Check([]byte(sound)); len(findings) != 0 {
+	if _, findings := checker.Check([]byte(validBody)); len(findings) != 0 {
 		t.Fatal(findings)
 	}
 	for name, change := range map[string][2]string{
@@ -35,14 +35,14 @@
 		"type":            {`"tries":2`, `"tries":"two"`},
 		"more behind":     {`"also-later":{}}`, `"also-later":{}} {}`},
 	} {
-		if _, findings := checker.Check([]byte(strings.Replace(sound, change[0], change[1], 1))); len(findings) == 0 {
+		if _, findings := checker.Check([]byte(strings.Replace(validBody, change[0], change[1], 1))); len(findings) == 0 {
 			t.Errorf("%s: nothing found", name)
 		}
 	}
 }
 
 func TestLongestPrefixWins(t *testing.T) {
-	config, _ := routeconfig.Parse([]byte(sound))
+	config, _ := routeconfig.Parse([]byte(validBody))
 	for path, want := range map[string]string{"/one/x": "a", "/one/two/x": "b", "/one/two": "a", "/one": "", "/": ""} {
 		got := ""
 		if route := config.Match("H.example:80", path); route != nil {
@@ -62,7 +62,7 @@
 }
 
 // long is a sound configuration of some length, with many routes.
-func long(routes int) string {
+func longBody(routes int) string {
 	text := &strings.Builder{}
 	text.WriteString(`{"generation":7,"later":{"a":[1]},"backends":[{"name":"s","probe":"/health"}],"limits":{"idle-ms":15000},"channels":[`)
 	for number := range routes {
@@ -81,7 +81,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	config, findings := checker.Check([]byte(long(600)))
+	config, findings := checker.Check([]byte(longBody(600)))
 	if len(findings) != 0 || len(config.Routes) != 600 || config.Limits.IdleMs != 15000 {
 		t.Fatal(findings)
 	}
@@ -99,15 +99,15 @@
 		"a late place":    {`"path-prefix":"/r599/"`, `"path-prefix":"/r0/"`},
 		"a long route":    {`"name":"r599"`, `"name":"r599` + strings.Repeat("x", elementBytes) + `"`},
 	} {
-		changed := strings.Replace(long(600), change[0], change[1], 1)
-		if changed == long(600) {
+		changed := strings.Replace(longBody(600), change[0], change[1], 1)
+		if changed == longBody(600) {
 			t.Fatal(name, "changes nothing")
 		}
 		if _, findings := checker.Check([]byte(changed)); len(findings) == 0 {
 			t.Error(name, "is let through")
 		}
 	}
-	if _, findings := checker.Check([]byte(strings.ReplaceAll(long(600), "streaming", "maybe"))); len(findings) > findingsMax {
+	if _, findings := checker.Check([]byte(strings.ReplaceAll(longBody(600), "streaming", "maybe"))); len(findings) > findingsMax {
 		t.Error(len(findings), "findings are kept")
 	}
 }
--- a/internal/configuration/configcheck/pieces.go
+++ b/internal/configuration/configcheck/pieces.go
@@ -132,13 +132,13 @@
 			continue
 		}
 		if length > 0 && length+len(element) > pieceBytes {
-			p.check(name, first, piece)
+			p.checkPiece(name, first, piece)
 			piece, length, first = piece[:0], 0, index
 		}
 		piece = append(piece, element)
 		length += len(element)
 	}
-	p.check(name, first, piece)
+	p.checkPiece(name, first, piece)
 	if len(p.findings) >= findingsMax {
 		return nil
 	}
@@ -146,13 +146,13 @@
 }
 
 // check checks some elements of a list, as a configuration that holds nothing else.
-func (p *pieces) check(name string, first int, piece []json.RawMessage) {
+func (p *pieces) checkPiece(name string, first int, piece []json.RawMessage) {
 	if len(piece) == 0 || len(p.findings) >= findingsMax {
 		return
 	}
 	whole := map[string]any{memberGeneration: 1, memberRoutes: []json.RawMessage{}, memberServices: []json.RawMessage{}, memberLimits: struct{}{}}
 	whole[name] = piece
-	p.shape(whole, name+" from "+strconv.Itoa(first)+" on: ")
+	p.checkShape(whole, name+" from "+strconv.Itoa(first)+" on: ")
 }
 
 // checkRest checks what is no list; a member that is missing is missing here as well.
@@ -169,16 +169,16 @@
 	if p.limits != nil {
 		whole[memberLimits] = p.limits
 	}
-	p.shape(whole, "")
+	p.checkShape(whole, "")
 }
 
-func (p *pieces) shape(whole map[string]any, where string) {
+func (p *pieces) checkShape(whole map[string]any, where string) {
 	text, err := json.Marshal(whole)
 	if err != nil {
 		p.add("can't be read: " + err.Error())
 		return
 	}
-	for _, finding := range p.checker.shape(text) {
+	for _, finding := range p.checker.shapeFindings(text) {
 		p.add(where + finding)
 	}
 }
--- a/internal/configuration/cueshape/cueshape.go
+++ b/internal/configuration/cueshape/cueshape.go
@@ -31,17 +31,17 @@
 		problem := compiled.Unify(context.Encode(values)).Validate(cue.Concrete(true))
 		found := map[string]bool{}
 		for _, each := range errors.Errors(problem) {
-			where := field(each.Path())
+			where := fieldName(each.Path())
 			if wrong[where] {
 				continue
 			}
 			format, arguments := each.Msg()
-			finding := where + ": " + plain(fmt.Sprintf(format, arguments...))
+			finding := where + ": " + shortMessage(fmt.Sprintf(format, arguments...))
 			if !slices.Contains(findings, finding) {
 				findings = append(findings, finding)
 			}
 			found[where] = true
-			again = takeOut(values, each.Path()) || again
+			again = removeField(values, each.Path()) || again
 		}
 		for where := range found {
 			wrong[where] = true
@@ -52,7 +52,7 @@
 }
 
 // plain shortens what CUE says: of a wrong type it quotes the whole schema.
-func plain(message string) string {
+func shortMessage(message string) string {
 	if _, types, cut := strings.Cut(message, "(mismatched types "); cut {
 		return "wrong type (mismatched types " + types
 	}
@@ -60,7 +60,7 @@
 }
 
 // takeOut removes the field at a path; it tells whether there was one.
-func takeOut(values any, path []string) bool {
+func removeField(values any, path []string) bool {
 	if len(path) > 0 && strings.HasPrefix(path[0], "#") {
 		path = path[1:]
 	}
@@ -75,19 +75,19 @@
 		if there && (len(path) == 1 || list) {
 			delete(holder, key)
 		} else if there {
-			return takeOut(inner, path[1:])
+			return removeField(inner, path[1:])
 		}
 		return there
 	case []map[string]any:
 		if place, err := strconv.Atoi(key); err == nil && place < len(holder) && len(path) > 1 {
-			return takeOut(holder[place], path[1:])
+			return removeField(holder[place], path[1:])
 		}
 	}
 	return false
 }
 
 // field writes a path as an operator would: rules[2].kind.
-func field(path []string) string {
+func fieldName(path []string) string {
 	text := ""
 	for _, part := range path {
 		part = strings.Trim(part, `"`)
--- a/internal/configuration/openapiimport/openapiimport.go
+++ b/internal/configuration/openapiimport/openapiimport.go
@@ -32,7 +32,7 @@
 	if document.Paths == nil || document.Paths.Len() == 0 {
 		return nil, nil, ErrMalformed.New("no paths")
 	}
-	host, base, finding := place(document, options.Host)
+	host, base, finding := hostAndBase(document, options.Host)
 	if finding != "" {
 		findings = append(findings, finding)
 	}
@@ -45,7 +45,7 @@
 	}
 	sort.Strings(names)
 	for _, path := range names {
-		prefix, mapped := prefixOf(base + path)
+		prefix, mapped := fixedPrefix(base + path)
 		if !mapped {
 			findings = append(findings, "path "+path+" has no fixed beginning of its own")
 			continue
@@ -61,7 +61,7 @@
 			}
 			continue
 		}
-		byPrefix[prefix] = &routeconfig.Route{Name: nameOf(prefix), Host: host, Prefix: prefix, KindName: kind, CutoffMs: float64(options.CutoffMs), Backend: options.Backend, Tries: triesOf(kind)}
+		byPrefix[prefix] = &routeconfig.Route{Name: routeName(prefix), Host: host, Prefix: prefix, KindName: kind, CutoffMs: float64(options.CutoffMs), Backend: options.Backend, Tries: triesOf(kind)}
 		order = append(order, prefix)
 	}
 	for _, prefix := range order {
@@ -71,7 +71,7 @@
 }
 
 // place gives the host and the base path, from the option or the one server.
-func place(document *openapi3.T, host string) (string, string, string) {
+func hostAndBase(document *openapi3.T, host string) (string, string, string) {
 	base := ""
 	if len(document.Servers) > 0 {
 		if parsed, err := url.Parse(document.Servers[0].URL); err == nil && !strings.Contains(document.Servers[0].URL, "{") {
@@ -90,7 +90,7 @@
 }
 
 // prefixOf gives the fixed folders that a path begins with.
-func prefixOf(path string) (string, bool) {
+func fixedPrefix(path string) (string, bool) {
 	fixed := path
 	if at := strings.IndexByte(path, '{'); at >= 0 {
 		fixed = path[:at]
@@ -112,7 +112,7 @@
 		if method == "POST" || method == "PATCH" {
 			next = "effectful"
 		}
-		if streams(operation) {
+		if isStreaming(operation) {
 			next = "streaming"
 		}
 		if kind == "" || next != "idempotent" {
@@ -122,7 +122,7 @@
 	return kind
 }
 
-func streams(operation *openapi3.Operation) bool {
+func isStreaming(operation *openapi3.Operation) bool {
 	if operation.Responses == nil {
 		return false
 	}
@@ -142,6 +142,6 @@
 	return 1
 }
 
-func nameOf(prefix string) string {
+func routeName(prefix string) string {
 	return "r-" + strings.ReplaceAll(strings.Trim(prefix, "/"), "/", "-")
 }
--- a/internal/configuration/openapiimport/openapiimport_test.go
+++ b/internal/configuration/openapiimport/openapiimport_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestWhatCantBeMappedIsNamed(t *testing.T) {
+func TestUnmappedPathsReported(t *testing.T) {
 	text := strings.Replace(document, "/orders/{id}", "/{anything}", 1)
 	text = strings.Replace(text, `"https://api.example/v1"`, `"/"`, 1)
 	_, findings, err := Import([]byte(text), Options{})
--- a/internal/configuration/routeconfig/routeconfig.go
+++ b/internal/configuration/routeconfig/routeconfig.go
@@ -153,7 +153,7 @@
 func (c *Config) Service(name string) *Service { return c.service[name] }
 
 // Place is where the route stands; Match can't tell two routes of one place apart.
-func (r *Route) Place() string { return strings.ToLower(r.Host) + r.Prefix }
+func (r *Route) HostPrefix() string { return strings.ToLower(r.Host) + r.Prefix }
 
 // Kind says what may be repeated on the route.
 func (r *Route) Kind() messages.RouteKind {
