--- a/internal/configuration/adapterplan/planner.go
+++ b/internal/configuration/adapterplan/planner.go
@@ -14,7 +14,7 @@
 	problem *problem
 	counts  *Counts
 	// kept weighs the places of an earlier answer, least how many must stay.
-	kept  [][]int
+	kept    [][]int
 	minKept int
 	// effort is how many clauses the solver may learn over one question.
 	clausesMax int
@@ -31,7 +31,7 @@
 		return nil, false, nil
 	}
 	if p.minKept > 0 {
-		if _, _, keeps := p.problem.flow(settled, p.problem.copiesMeasure(settled), p.kept); keeps < p.minKept {
+		if _, _, keepable := p.problem.flow(settled, p.problem.copiesMeasure(settled), p.kept); keepable < p.minKept {
 			return nil, false, nil
 		}
 	}
@@ -53,10 +53,10 @@
 // keeps counts what a full assignment keeps of the earlier answer.
 func (p *planner) keptCount(full partial) int {
 	count := 0
-	for place := range full {
-		for node, is := range full[place] {
-			if is == placed {
-				count += weightOf(p.kept, place, node)
+	for index := range full {
+		for node, state := range full[index] {
+			if state == placed {
+				count += weightOf(p.kept, index, node)
 			}
 		}
 	}
@@ -67,29 +67,29 @@
 // that a variable does not stand on a node: the solver tries "not" first, so that it
 // starts by standing variables on the first nodes and not by excluding all.
 type encoding struct {
-	problem     *problem
-	settled     partial
-	number      [][]int
-	last        int
-	constraints []solver.PBConstr
-	unsatisfiable       bool
+	problem       *problem
+	settled       partial
+	number        [][]int
+	last          int
+	constraints   []solver.PBConstr
+	unsatisfiable bool
 }
 
 func newEncoding(problem *problem, settled partial) *encoding {
 	encoded := &encoding{problem: problem, settled: settled, number: make([][]int, len(problem.variables))}
-	for place := range problem.variables {
-		encoded.number[place] = make([]int, len(problem.nodes))
-		for node, is := range settled[place] {
-			if is == open {
+	for index := range problem.variables {
+		encoded.number[index] = make([]int, len(problem.nodes))
+		for node, state := range settled[index] {
+			if state == open {
 				encoded.last++
-				encoded.number[place][node] = encoded.last
+				encoded.number[index][node] = encoded.last
 			}
 		}
 	}
-	for place := range problem.variables {
-		encoded.addCopies(place)
-		if problem.variables[place].zones > 1 {
-			encoded.addSpread(place)
+	for index := range problem.variables {
+		encoded.addCopies(index)
+		if problem.variables[index].zones > 1 {
+			encoded.addSpread(index)
 		}
 	}
 	for node := range problem.nodes {
@@ -97,13 +97,13 @@
 	}
 	for _, members := range problem.apartNodes {
 		for node := range problem.nodes {
-			var there []int
+			var literals []int
 			for _, member := range members {
 				if number := encoded.number[member][node]; number > 0 {
-					there = append(there, -number)
+					literals = append(literals, -number)
 				}
 			}
-			encoded.atMost(there, nil, 1)
+			encoded.atMost(literals, nil, 1)
 		}
 	}
 	for _, members := range problem.apartZones {
@@ -149,14 +149,14 @@
 }
 
 // copies adds that a variable has exactly its copies.
-func (e *encoding) addCopies(place int) {
-	missing := e.problem.variables[place].copies
+func (e *encoding) addCopies(index int) {
+	missing := e.problem.variables[index].copies
 	var free []int
-	for node, is := range e.settled[place] {
-		if is == placed {
+	for node, state := range e.settled[index] {
+		if state == placed {
 			missing--
 		}
-		if number := e.number[place][node]; number > 0 {
+		if number := e.number[index][node]; number > 0 {
 			free = append(free, -number)
 		}
 	}
@@ -172,12 +172,12 @@
 		memory = *host.MemoryMB
 	}
 	var free, sizes, weights []int
-	for place := range e.problem.variables {
-		size, weight := len(e.problem.variables[place].names), e.problem.variables[place].memory
-		if e.settled[place][node] == placed {
+	for index := range e.problem.variables {
+		size, weight := len(e.problem.variables[index].names), e.problem.variables[index].memory
+		if e.settled[index][node] == placed {
 			slots, memory = slots-size, memory-weight
 		}
-		if number := e.number[place][node]; number > 0 {
+		if number := e.number[index][node]; number > 0 {
 			free, sizes, weights = append(free, -number), append(sizes, size), append(weights, weight)
 		}
 	}
--- a/internal/configuration/configcheck/configcheck.go
+++ b/internal/configuration/configcheck/configcheck.go
@@ -53,8 +53,8 @@
 // Check gives the configuration or the findings against it. What it holds meanwhile is a small
 // multiple of the body's length, whatever the body holds.
 func (c *Checker) Check(body []byte) (*routeconfig.Config, []string) {
-	long := len(body) > pieceBytes
-	if long {
+	inPieces := len(body) > pieceBytes
+	if inPieces {
 		// Its shape first: only of a body of sound routes is the parsed form not much longer.
 		if findings := c.shapeInPieces(body); len(findings) > 0 {
 			return nil, findings
@@ -65,7 +65,7 @@
 		return nil, []string{err.Error()}
 	}
 	var findings []string
-	if !long {
+	if !inPieces {
 		findings = c.shapeFindings(body)
 	}
 	return config, append(findings, crossFieldFindings(config)...)
@@ -85,8 +85,8 @@
 	}
 	value := c.context.BuildExpr(expression).Unify(c.schema)
 	var findings []string
-	for _, one := range errors.Errors(value.Validate(cue.Concrete(true))) {
-		findings = append(findings, one.Error())
+	for _, validationErr := range errors.Errors(value.Validate(cue.Concrete(true))) {
+		findings = append(findings, validationErr.Error())
 	}
 	return findings
 }
@@ -94,14 +94,14 @@
 // crossing checks what no single field shows.
 func crossFieldFindings(config *routeconfig.Config) []string {
 	var findings []string
-	places := map[string]string{}
+	routeNames := map[string]string{}
 	for index := range config.Routes {
 		route := &config.Routes[index]
-		place := route.HostPrefix()
-		if other, taken := places[place]; taken {
-			findings = append(findings, fmt.Sprintf("channels: %s and %s share host and path-prefix %s", other, route.Name, place))
+		hostPrefix := route.HostPrefix()
+		if other, taken := routeNames[hostPrefix]; taken {
+			findings = append(findings, fmt.Sprintf("channels: %s and %s share host and path-prefix %s", other, route.Name, hostPrefix))
 		}
-		places[place] = route.Name
+		routeNames[hostPrefix] = route.Name
 		findings = append(findings, serviceFindings(config, route)...)
 	}
 	return findings
@@ -110,19 +110,19 @@
 // services checks where a route leads.
 func serviceFindings(config *routeconfig.Config, route *routeconfig.Route) []string {
 	var findings []string
-	known := func(backend string) {
+	requireKnown := func(backend string) {
 		if config.Service(backend) == nil {
 			findings = append(findings, fmt.Sprintf("channels: %s names the unknown service %q", route.Name, backend))
 		}
 	}
 	if len(route.Weighted) == 0 {
-		known(route.Backend)
+		requireKnown(route.Backend)
 		return findings
 	}
 	total := 0.0
 	for _, share := range route.Weighted {
 		total += share.Share
-		known(share.Backend)
+		requireKnown(share.Backend)
 	}
 	if total <= 0 {
 		findings = append(findings, fmt.Sprintf("channels: the shares of %s add up to 0", route.Name))
--- a/internal/configuration/configcheck/pieces.go
+++ b/internal/configuration/configcheck/pieces.go
@@ -150,36 +150,36 @@
 	if len(piece) == 0 || len(p.findings) >= findingsMax {
 		return
 	}
-	whole := map[string]any{memberGeneration: 1, memberRoutes: []json.RawMessage{}, memberServices: []json.RawMessage{}, memberLimits: struct{}{}}
-	whole[name] = piece
-	p.checkShape(whole, name+" from "+strconv.Itoa(first)+" on: ")
+	members := map[string]any{memberGeneration: 1, memberRoutes: []json.RawMessage{}, memberServices: []json.RawMessage{}, memberLimits: struct{}{}}
+	members[name] = piece
+	p.checkShape(members, name+" from "+strconv.Itoa(first)+" on: ")
 }
 
 // checkRest checks what is no list; a member that is missing is missing here as well.
 func (p *pieces) checkRest() {
-	whole := map[string]any{}
+	members := map[string]any{}
 	for _, name := range []string{memberRoutes, memberServices} {
 		if p.seen[name] {
-			whole[name] = []json.RawMessage{}
+			members[name] = []json.RawMessage{}
 		}
 	}
 	if p.generation != nil {
-		whole[memberGeneration] = p.generation
+		members[memberGeneration] = p.generation
 	}
 	if p.limits != nil {
-		whole[memberLimits] = p.limits
+		members[memberLimits] = p.limits
 	}
-	p.checkShape(whole, "")
+	p.checkShape(members, "")
 }
 
-func (p *pieces) checkShape(whole map[string]any, where string) {
-	text, err := json.Marshal(whole)
+func (p *pieces) checkShape(members map[string]any, prefix string) {
+	text, err := json.Marshal(members)
 	if err != nil {
 		p.add("can't be read: " + err.Error())
 		return
 	}
 	for _, finding := range p.checker.shapeFindings(text) {
-		p.add(where + finding)
+		p.add(prefix + finding)
 	}
 }
 
--- a/internal/configuration/cueshape/cueshape.go
+++ b/internal/configuration/cueshape/cueshape.go
@@ -21,30 +21,30 @@
 	context := cuecontext.New()
 	compiled := context.CompileString(schema).LookupPath(cue.ParsePath(definition))
 	findings := slices.Clone(known)
-	wrong := map[string]bool{}
+	reported := map[string]bool{}
 	for _, finding := range findings {
-		where, _, _ := strings.Cut(finding, ":")
-		wrong[where] = true
+		name, _, _ := strings.Cut(finding, ":")
+		reported[name] = true
 	}
-	for again := true; again; {
-		again = false
-		problem := compiled.Unify(context.Encode(values)).Validate(cue.Concrete(true))
+	for repeat := true; repeat; {
+		repeat = false
+		validationErr := compiled.Unify(context.Encode(values)).Validate(cue.Concrete(true))
 		found := map[string]bool{}
-		for _, each := range errors.Errors(problem) {
-			where := fieldName(each.Path())
-			if wrong[where] {
+		for _, fieldErr := range errors.Errors(validationErr) {
+			name := fieldName(fieldErr.Path())
+			if reported[name] {
 				continue
 			}
-			format, arguments := each.Msg()
-			finding := where + ": " + shortMessage(fmt.Sprintf(format, arguments...))
+			format, arguments := fieldErr.Msg()
+			finding := name + ": " + shortMessage(fmt.Sprintf(format, arguments...))
 			if !slices.Contains(findings, finding) {
 				findings = append(findings, finding)
 			}
-			found[where] = true
-			again = removeField(values, each.Path()) || again
+			found[name] = true
+			repeat = removeField(values, fieldErr.Path()) || repeat
 		}
-		for where := range found {
-			wrong[where] = true
+		for name := range found {
+			reported[name] = true
 		}
 	}
 	slices.Sort(findings)
@@ -70,17 +70,17 @@
 	key := strings.Trim(path[0], `"`)
 	switch holder := values.(type) {
 	case map[string]any:
-		inner, there := holder[key]
-		_, list := inner.([]any)
-		if there && (len(path) == 1 || list) {
+		inner, present := holder[key]
+		_, isList := inner.([]any)
+		if present && (len(path) == 1 || isList) {
 			delete(holder, key)
-		} else if there {
+		} else if present {
 			return removeField(inner, path[1:])
 		}
-		return there
+		return present
 	case []map[string]any:
-		if place, err := strconv.Atoi(key); err == nil && place < len(holder) && len(path) > 1 {
-			return removeField(holder[place], path[1:])
+		if index, err := strconv.Atoi(key); err == nil && index < len(holder) && len(path) > 1 {
+			return removeField(holder[index], path[1:])
 		}
 	}
 	return false
--- a/internal/configuration/openapiimport/openapiimport.go
+++ b/internal/configuration/openapiimport/openapiimport.go
@@ -37,7 +37,7 @@
 		findings = append(findings, finding)
 	}
 	byPrefix := map[string]*routeconfig.Route{}
-	var order []string
+	var prefixes []string
 	paths := document.Paths.Map()
 	var names []string
 	for path := range paths {
@@ -55,16 +55,16 @@
 			findings = append(findings, "path "+path+" has no operation")
 			continue
 		}
-		if have := byPrefix[prefix]; have != nil {
-			if have.KindName != kind {
-				findings = append(findings, fmt.Sprintf("path %s is %s, but its prefix %s is %s already", path, kind, prefix, have.KindName))
+		if existing := byPrefix[prefix]; existing != nil {
+			if existing.KindName != kind {
+				findings = append(findings, fmt.Sprintf("path %s is %s, but its prefix %s is %s already", path, kind, prefix, existing.KindName))
 			}
 			continue
 		}
 		byPrefix[prefix] = &routeconfig.Route{Name: routeName(prefix), Host: host, Prefix: prefix, KindName: kind, CutoffMs: float64(options.CutoffMs), Backend: options.Backend, Tries: triesOf(kind)}
-		order = append(order, prefix)
+		prefixes = append(prefixes, prefix)
 	}
-	for _, prefix := range order {
+	for _, prefix := range prefixes {
 		routes = append(routes, *byPrefix[prefix])
 	}
 	return routes, findings, nil
@@ -108,15 +108,15 @@
 func kindOf(item *openapi3.PathItem) string {
 	kind := ""
 	for method, operation := range item.Operations() {
-		next := "idempotent"
+		operationKind := "idempotent"
 		if method == "POST" || method == "PATCH" {
-			next = "effectful"
+			operationKind = "effectful"
 		}
 		if isStreaming(operation) {
-			next = "streaming"
+			operationKind = "streaming"
 		}
-		if kind == "" || next != "idempotent" {
-			kind = next
+		if kind == "" || operationKind != "idempotent" {
+			kind = operationKind
 		}
 	}
 	return kind
