--- a/internal/configuration/adapterplan/planner.go
+++ b/internal/configuration/adapterplan/planner.go
@@ -2,28 +2,30 @@
 
 import "github.com/crillab/gophersat/solver"
 
-// Counts is the work that an answer took.
+// Counts measures the work that an answer took.
 type Counts struct {
-	// Asked is how often it was asked whether what is settled has an answer, and
-	// Solved how often the solver had to be called for it.
+	// Checks counts the checks whether a partial assignment can be completed, and
+	// SolverCalls those checks that needed the solver.
 	Checks, SolverCalls int
 }
 
-// planner decides whether a partial assignment can be completed.
+// planner completes partial assignments of one problem.
 type planner struct {
 	problem *problem
 	counts  *Counts
-	// kept weighs the places of an earlier answer, least how many must stay.
+	// kept counts, by variable and node, the assignments of an earlier answer; nil means
+	// that there is none. minKept is how many of them must be kept.
 	kept    [][]int
 	minKept int
-	// effort is how many clauses the solver may learn over one question.
+	// clausesMax is how many clauses the solver may learn in one call.
 	clausesMax int
 }
 
-// complete gives a full assignment that agrees with what is settled, if there is one.
+// complete returns a full assignment that agrees with the settled one, if there is one.
+// The error is ErrEffortExceeded if the solver reached its limit.
 func (p *planner) complete(settled partial) (partial, bool, error) {
 	p.counts.Checks++
-	// Where choice is plenty the plainest guess is an answer; it costs least.
+	// The greedy guess comes first since it costs least: with many choices it is an answer.
 	if _, guess := p.guess(settled, p.choiceOrder()); guess != nil && p.problem.satisfiedBy(guess) && p.keptCount(guess) >= p.minKept {
 		return guess, true, nil
 	}
@@ -50,7 +52,7 @@
 	return full, true, nil
 }
 
-// keeps counts what a full assignment keeps of the earlier answer.
+// keptCount counts the assignments of the earlier answer that a full assignment keeps.
 func (p *planner) keptCount(full partial) int {
 	count := 0
 	for index := range full {
@@ -63,15 +65,18 @@
 	return count
 }
 
-// encoding writes a partial assignment as constraints for the solver. A literal says
-// that a variable does not stand on a node: the solver tries "not" first, so that it
-// starts by standing variables on the first nodes and not by excluding all.
+// encoding translates the completion of a partial assignment into constraints for the
+// solver. A positive literal means that a variable is not placed on a node. The solver
+// tries false first, so it starts by placing variables on the first nodes instead of
+// excluding all of them.
 type encoding struct {
-	problem       *problem
-	settled       partial
-	number        [][]int
-	last          int
-	constraints   []solver.PBConstr
+	problem *problem
+	settled partial
+	// number is the solver's variable for each variable and open node; 0 if it is not open.
+	number      [][]int
+	lastNumber  int
+	constraints []solver.PBConstr
+	// unsatisfiable means that a constraint can't be met, whatever the values.
 	unsatisfiable bool
 }
 
@@ -81,8 +86,8 @@
 		encoded.number[index] = make([]int, len(problem.nodes))
 		for node, state := range settled[index] {
 			if state == open {
-				encoded.last++
-				encoded.number[index][node] = encoded.last
+				encoded.lastNumber++
+				encoded.number[index][node] = encoded.lastNumber
 			}
 		}
 	}
@@ -112,7 +117,8 @@
 	return encoded
 }
 
-// atLeast adds that the weights of what holds reach a sum.
+// atLeast requires that the weights of the true literals reach a sum. Nil weights mean
+// 1 for each literal.
 func (e *encoding) atLeast(literals, weights []int, sum int) {
 	total := len(literals)
 	if weights != nil {
@@ -131,7 +137,7 @@
 	e.constraints = append(e.constraints, solver.GtEq(literals, weights, sum))
 }
 
-// atMost adds that the weights of what holds do not pass a sum.
+// atMost requires that the weights of the true literals do not exceed a sum.
 func (e *encoding) atMost(literals, weights []int, sum int) {
 	total := len(literals)
 	var opposite, sizes []int
@@ -148,7 +154,7 @@
 	e.atLeast(opposite, sizes, total-sum)
 }
 
-// copies adds that a variable has exactly its copies.
+// addCopies requires that a variable is placed on exactly as many nodes as it has copies.
 func (e *encoding) addCopies(index int) {
 	missing := e.problem.variables[index].copies
 	var free []int
@@ -164,7 +170,7 @@
 	e.atLeast(free, nil, missing)
 }
 
-// load adds slots and memory of a node.
+// addCapacity limits the copies on a node to its slots and memory.
 func (e *encoding) addCapacity(node int) {
 	host := &e.problem.nodes[node]
 	slots, memory := host.Slots, unbounded
--- a/internal/configuration/configcheck/configcheck.go
+++ b/internal/configuration/configcheck/configcheck.go
@@ -1,5 +1,5 @@
-// Package configcheck checks an operator's configuration: its shape with CUE, and in
-// Go what crosses fields. The daemons and the command line use the same code.
+// Package configcheck validates an operator's configuration: against a CUE schema, and in
+// Go for conditions across fields. The daemons and the command line use the same code.
 package configcheck
 
 import (
@@ -17,17 +17,17 @@
 //go:embed schema.cue
 var schemaText string
 
-// Checker holds the compiled schema.
+// Checker validates configurations with a compiled schema.
 type Checker struct {
 	context *cue.Context
 	schema  cue.Value
 	uses    int
-	// gathered is how many bytes were checked in the present context.
+	// checkedBytes is how many bytes were checked in the current context.
 	checkedBytes int
 }
 
-// usesBeforeRenewal and bytesBeforeRenewal bound what the CUE context gathers: it never forgets
-// values, and they take many times their length.
+// usesBeforeRenewal and bytesBeforeRenewal bound the memory of the CUE context: it never
+// releases values, and they take many times the length of their text.
 const (
 	usesBeforeRenewal  = 64
 	bytesBeforeRenewal = 128 << 10
@@ -39,6 +39,7 @@
 	return checker, checker.renew()
 }
 
+// renew replaces the CUE context by an empty one.
 func (c *Checker) renew() error {
 	c.context = cuecontext.New()
 	c.uses, c.checkedBytes = 0, 0
@@ -50,12 +51,13 @@
 	return routeconfig.ErrMalformed.Wrap(c.schema.Err(), "schema")
 }
 
-// Check gives the configuration or the findings against it. What it holds meanwhile is a small
-// multiple of the body's length, whatever the body holds.
+// Check returns the configuration and the findings against it; it is valid if there are none.
+// The memory used is a small multiple of the body's length, whatever its content.
 func (c *Checker) Check(body []byte) (*routeconfig.Config, []string) {
 	inPieces := len(body) > pieceBytes
 	if inPieces {
-		// Its shape first: only of a body of sound routes is the parsed form not much longer.
+		// The schema is checked before parsing: only if the routes are valid is the parsed form
+		// not much longer than the body.
 		if findings := c.shapeInPieces(body); len(findings) > 0 {
 			return nil, findings
 		}
@@ -71,6 +73,7 @@
 	return config, append(findings, crossFieldFindings(config)...)
 }
 
+// shapeFindings returns the findings of the schema against a body.
 func (c *Checker) shapeFindings(body []byte) []string {
 	c.uses++
 	c.checkedBytes += len(body)
@@ -91,7 +94,7 @@
 	return findings
 }
 
-// crossing checks what no single field shows.
+// crossFieldFindings checks conditions that involve several fields.
 func crossFieldFindings(config *routeconfig.Config) []string {
 	var findings []string
 	routeNames := map[string]string{}
@@ -107,7 +110,7 @@
 	return findings
 }
 
-// services checks where a route leads.
+// serviceFindings checks the services of a route.
 func serviceFindings(config *routeconfig.Config, route *routeconfig.Route) []string {
 	var findings []string
 	requireKnown := func(backend string) {
--- a/internal/configuration/configcheck/pieces.go
+++ b/internal/configuration/configcheck/pieces.go
@@ -7,20 +7,21 @@
 	"strconv"
 )
 
-// A CUE value takes some two hundred times the length of its text, so a long configuration is checked
-// in pieces: each some of its routes or services, together with everything else that has a shape.
+// A CUE value takes about two hundred times the length of its text, so a long configuration is checked
+// in pieces. A piece is some of its routes or services, completed to a configuration with valid
+// placeholders for the other members of the schema. Those that are not lists are checked at the end.
 
 const (
-	// pieceBytes is the length of a piece, in bytes; a shorter configuration is checked whole.
+	// pieceBytes is the length of a piece, in bytes. A shorter configuration is checked as a whole.
 	pieceBytes = 32 << 10
-	// elementBytes is the longest route or service, and the most that all other members with a shape
-	// may take, in bytes.
+	// elementBytes is the maximum length, in bytes, of a route or service and of each other member of
+	// the schema.
 	elementBytes = 128 << 10
-	// findingsMax is how many findings are enough.
+	// findingsMax is the number of findings after which checking stops.
 	findingsMax = 20
 )
 
-// The members of a configuration that have a shape.
+// The members of a configuration that the schema describes.
 const (
 	memberGeneration = "generation"
 	memberRoutes     = "channels"
@@ -28,17 +29,18 @@
 	memberLimits     = "limits"
 )
 
-// pieces is a configuration that is being read piece by piece.
+// pieces checks a configuration piece by piece.
 type pieces struct {
 	checker  *Checker
 	findings []string
-	// seen are the names of the members that were read.
+	// seen has the names of the schema's members that were read.
 	seen map[string]bool
-	// generation and limits are the members that are no lists.
+	// generation and limits are the members that are not lists.
 	generation, limits json.RawMessage
 }
 
-// shapeInPieces gives the findings against the shape of a long configuration, some twenty at most.
+// shapeInPieces returns the findings of the schema against a long configuration, about findingsMax at
+// most.
 func (c *Checker) shapeInPieces(body []byte) []string {
 	p := &pieces{checker: c, seen: map[string]bool{}}
 	decoder := json.NewDecoder(bytes.NewReader(body))
@@ -48,14 +50,14 @@
 	if len(p.findings) == 0 {
 		p.checkRest()
 	}
-	// What was gathered for one long configuration is not kept for the next.
+	// The context is not kept for the next configuration, since it never releases values.
 	if err := c.renew(); err != nil {
 		return []string{err.Error()}
 	}
 	return p.findings
 }
 
-// read goes through the members in the order in which they come.
+// read reads the members in the order of the text.
 func (p *pieces) read(decoder *json.Decoder) error {
 	if err := expect(decoder, '{'); err != nil {
 		return err
@@ -82,7 +84,7 @@
 	return nil
 }
 
-// member reads the value of one member. Those that this program does not know are let through.
+// member reads the value of one member. Unknown members are accepted.
 func (p *pieces) member(decoder *json.Decoder, name string) error {
 	if p.seen[name] {
 		p.add(name + " stands twice")
@@ -103,7 +105,7 @@
 	return decoder.Decode(&unknown)
 }
 
-// value reads a member that is no list.
+// value reads a member that is not a list.
 func (p *pieces) value(decoder *json.Decoder, name string, into *json.RawMessage) error {
 	if err := decoder.Decode(into); err != nil {
 		return err
@@ -145,7 +147,8 @@
 	return expect(decoder, ']')
 }
 
-// check checks some elements of a list, as a configuration that holds nothing else.
+// checkPiece checks some elements of a list, in a configuration whose other members are valid
+// placeholders.
 func (p *pieces) checkPiece(name string, first int, piece []json.RawMessage) {
 	if len(piece) == 0 || len(p.findings) >= findingsMax {
 		return
@@ -155,7 +158,8 @@
 	p.checkShape(members, name+" from "+strconv.Itoa(first)+" on: ")
 }
 
-// checkRest checks what is no list; a member that is missing is missing here as well.
+// checkRest checks the members that are not lists. The lists themselves are empty; a member that the
+// configuration lacks is missing here too, so that it is reported.
 func (p *pieces) checkRest() {
 	members := map[string]any{}
 	for _, name := range []string{memberRoutes, memberServices} {
@@ -172,6 +176,7 @@
 	p.checkShape(members, "")
 }
 
+// checkShape checks members against the schema and puts prefix before each finding.
 func (p *pieces) checkShape(members map[string]any, prefix string) {
 	text, err := json.Marshal(members)
 	if err != nil {
@@ -183,6 +188,7 @@
 	}
 }
 
+// add adds a finding, up to findingsMax.
 func (p *pieces) add(finding string) {
 	if len(p.findings) < findingsMax {
 		p.findings = append(p.findings, finding)
--- a/internal/configuration/configcheck/schema.cue
+++ b/internal/configuration/configcheck/schema.cue
@@ -1,5 +1,5 @@
-// The shape of a configuration. Fields that are not named here are let through:
-// operators may use newer ones than this program knows.
+// The schema of a configuration. Unknown fields are accepted: operators may use fields
+// of a newer version of this program.
 #Configuration: {
 	generation: int & >0
 	channels: [...#Channel]
--- a/internal/configuration/cueshape/cueshape.go
+++ b/internal/configuration/cueshape/cueshape.go
@@ -1,5 +1,5 @@
-// Package cueshape holds the values of a file against a CUE schema and tells every finding in
-// one line, by the field's name as an operator would write it.
+// Package cueshape validates the values of a file against a CUE schema. Each finding is one line
+// and begins with the field's name as an operator would write it.
 package cueshape
 
 import (
@@ -13,10 +13,11 @@
 	"cuelang.org/go/cue/errors"
 )
 
-// Findings holds values against a definition of a schema and adds what is wrong to the findings
-// known already, in order. The schema is compiled at each call: nobody pays for it who never
-// checks a file. CUE keeps silent on what is missing while something else is wrong, so what is
-// wrong is taken out of the values and it is asked again, until every finding is told.
+// Findings validates values against a definition of a schema and returns the findings together
+// with those known already, sorted. It removes invalid fields from values. The schema is compiled
+// at each call, so that a process which never checks a file has no cost from it. CUE does not report
+// missing fields while other fields are invalid, so Findings removes the invalid fields and validates
+// again, until there is no new finding.
 func Findings(schema, definition string, values map[string]any, known []string) []string {
 	context := cuecontext.New()
 	compiled := context.CompileString(schema).LookupPath(cue.ParsePath(definition))
@@ -51,7 +52,7 @@
 	return findings
 }
 
-// plain shortens what CUE says: of a wrong type it quotes the whole schema.
+// shortMessage shortens a message of CUE to one line: for a wrong type CUE quotes the whole schema.
 func shortMessage(message string) string {
 	if _, types, cut := strings.Cut(message, "(mismatched types "); cut {
 		return "wrong type (mismatched types " + types
@@ -59,7 +60,8 @@
 	return strings.ReplaceAll(message, "\n", " ")
 }
 
-// takeOut removes the field at a path; it tells whether there was one.
+// removeField removes the field at a path, or the whole list that contains it, and reports whether
+// it was present.
 func removeField(values any, path []string) bool {
 	if len(path) > 0 && strings.HasPrefix(path[0], "#") {
 		path = path[1:]
@@ -68,25 +70,25 @@
 		return false
 	}
 	key := strings.Trim(path[0], `"`)
-	switch holder := values.(type) {
+	switch container := values.(type) {
 	case map[string]any:
-		inner, present := holder[key]
+		inner, present := container[key]
 		_, isList := inner.([]any)
 		if present && (len(path) == 1 || isList) {
-			delete(holder, key)
+			delete(container, key)
 		} else if present {
 			return removeField(inner, path[1:])
 		}
 		return present
 	case []map[string]any:
-		if index, err := strconv.Atoi(key); err == nil && index < len(holder) && len(path) > 1 {
-			return removeField(holder[index], path[1:])
+		if index, err := strconv.Atoi(key); err == nil && index < len(container) && len(path) > 1 {
+			return removeField(container[index], path[1:])
 		}
 	}
 	return false
 }
 
-// field writes a path as an operator would: rules[2].kind.
+// fieldName writes a path as an operator would, for example rules[2].kind.
 func fieldName(path []string) string {
 	text := ""
 	for _, part := range path {
--- a/internal/configuration/openapiimport/openapiimport.go
+++ b/internal/configuration/openapiimport/openapiimport.go
@@ -1,4 +1,4 @@
-// Package openapiimport makes routes of a configuration from an OpenAPI file.
+// Package openapiimport converts the paths of an OpenAPI document to routes of a configuration.
 package openapiimport
 
 import (
@@ -13,17 +13,19 @@
 	"lemonarch/internal/platform/errs"
 )
 
-// ErrMalformed is the error of a file that is no OpenAPI document.
+// ErrMalformed means that a file is not an OpenAPI document with paths.
 var ErrMalformed = errs.Define("openapi")
 
-// Options are what the document does not say.
+// Options are the route settings that the document does not contain.
 type Options struct {
+	// Host is the host of all routes; if it is empty, the host of the first server is used.
 	Host     string
 	Backend  string
 	CutoffMs int
 }
 
-// Import reads a document; what can't be mapped is named.
+// Import returns one route for each path prefix of a document, and a finding for each part that
+// can't be mapped.
 func Import(text []byte, options Options) (routes []routeconfig.Route, findings []string, err error) {
 	document, err := openapi3.NewLoader().LoadFromData(text)
 	if err != nil {
@@ -70,7 +72,8 @@
 	return routes, findings, nil
 }
 
-// place gives the host and the base path, from the option or the one server.
+// hostAndBase returns the host, from the option or the first server, the base path of that server,
+// and a finding if one of them is not known.
 func hostAndBase(document *openapi3.T, host string) (string, string, string) {
 	base := ""
 	if len(document.Servers) > 0 {
@@ -89,7 +92,8 @@
 	return host, base, ""
 }
 
-// prefixOf gives the fixed folders that a path begins with.
+// fixedPrefix returns the leading segments of a path that contain no parameter, and whether there
+// are any.
 func fixedPrefix(path string) (string, bool) {
 	fixed := path
 	if at := strings.IndexByte(path, '{'); at >= 0 {
@@ -104,7 +108,7 @@
 	return fixed, fixed != "/" && fixed != ""
 }
 
-// kindOf is the most careful kind that fits all operations of a path.
+// kindOf returns the most restrictive kind that fits all operations of a path, or "" if it has none.
 func kindOf(item *openapi3.PathItem) string {
 	kind := ""
 	for method, operation := range item.Operations() {
@@ -122,6 +126,7 @@
 	return kind
 }
 
+// isStreaming reports whether an operation responds with an event stream.
 func isStreaming(operation *openapi3.Operation) bool {
 	if operation.Responses == nil {
 		return false
@@ -134,14 +139,16 @@
 	return false
 }
 
+// triesOf returns the number of attempts for a request of a kind.
 func triesOf(kind string) int {
 	if kind == "idempotent" {
 		return 2
 	}
-	// What must not run twice gets one try unless the operator says more.
+	// A request that must not be executed twice gets one attempt unless the operator configures more.
 	return 1
 }
 
+// routeName derives the name of a route from its prefix.
 func routeName(prefix string) string {
 	return "r-" + strings.ReplaceAll(strings.Trim(prefix, "/"), "/", "-")
 }
--- a/internal/configuration/routeconfig/routeconfig.go
+++ b/internal/configuration/routeconfig/routeconfig.go
@@ -1,5 +1,5 @@
-// Package routeconfig is the configuration as the programs use it: routes, services and
-// limits, with the choice of a route by host and path.
+// Package routeconfig parses the configuration (routes, services and limits) and selects
+// the route of a request by host and path.
 package routeconfig
 
 import (
@@ -15,10 +15,10 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// ErrMalformed is the error of a body that is no configuration.
+// ErrMalformed means that a body is not a configuration.
 var ErrMalformed = errs.Define("configuration")
 
-// Share is one part of a weighted route.
+// Share is the relative weight of one service of a weighted route.
 type Share struct {
 	Backend string  `json:"backend"`
 	Share   float64 `json:"share"`
@@ -58,7 +58,7 @@
 	Engine    *Engine `json:"engine,omitempty"`
 }
 
-// Limits bounds what a client may send.
+// Limits bounds the requests and idle times of clients.
 type Limits struct {
 	HeaderBytes  int     `json:"max-header-bytes,omitempty"`
 	BodyBytes    int64   `json:"max-body-bytes,omitempty"`
@@ -66,8 +66,8 @@
 	IdleMs       float64 `json:"idle-ms,omitempty"`
 }
 
-// Config is a configuration, ready for use where Parse made it. Written as JSON it is what
-// an operator sends; fields that are 0 are left out.
+// Config is a configuration. Only one returned by Parse is ready for use. Its JSON form is
+// the one that an operator sends; optional fields that are 0 are omitted.
 type Config struct {
 	Generation int64     `json:"generation"`
 	Routes     []Route   `json:"channels"`
@@ -79,7 +79,7 @@
 	service map[string]*Service
 }
 
-// Parse reads a body that was checked before it was taken.
+// Parse parses a body. It does not validate: the body was checked before it was accepted.
 func Parse(body []byte) (*Config, error) {
 	config := &Config{}
 	if err := json.Unmarshal(body, config); err != nil {
@@ -97,7 +97,7 @@
 		config.byHost[host] = append(config.byHost[host], route)
 	}
 	for _, routes := range config.byHost {
-		// The longest prefix that begins the path wins, so they are tried first.
+		// The longest matching prefix wins, so routes are tried in that order.
 		sort.SliceStable(routes, func(left, right int) bool { return len(routes[left].Prefix) > len(routes[right].Prefix) })
 	}
 	for index := range config.Services {
@@ -106,23 +106,23 @@
 	return config, nil
 }
 
-// Encode writes the configuration as an operator sends it.
+// Encode returns the configuration as JSON, as an operator sends it.
 func (c *Config) Encode() []byte {
 	body, err := json.Marshal(c)
 	if err != nil {
-		// Numbers that are no numbers: nobody but a program can put them there.
+		// Marshal fails only for NaN or infinite numbers, which only a program can have set.
 		panic(err)
 	}
 	return body
 }
 
-// Hash names a body.
+// Hash returns the SHA-256 of a body in hexadecimal, which identifies it.
 func Hash(body []byte) string {
 	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:])
 }
 
-// Match finds the route of a request; nil where there is none.
+// Match returns the route of a request, or nil if there is none.
 func (c *Config) Match(host, path string) *Route {
 	host = strings.ToLower(host)
 	routes, found := c.byHost[host]
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// RouteNamed finds the route of a host and prefix, or nil.
+// RouteNamed returns the route with this host and prefix, or nil if there is none.
 func (c *Config) RouteNamed(host, prefix string) *Route {
 	for _, route := range c.byHost[strings.ToLower(host)] {
 		if route.Prefix == prefix {
@@ -149,13 +149,14 @@
 	return nil
 }
 
-// Service finds a service by name, or nil.
+// Service returns the service with this name, or nil if there is none.
 func (c *Config) Service(name string) *Service { return c.service[name] }
 
-// Place is where the route stands; Match can't tell two routes of one place apart.
+// HostPrefix returns the host and prefix of the route. Match can't distinguish two routes with
+// the same value.
 func (r *Route) HostPrefix() string { return strings.ToLower(r.Host) + r.Prefix }
 
-// Kind says what may be repeated on the route.
+// Kind returns the kind of the route, which determines whether requests may be repeated.
 func (r *Route) Kind() messages.RouteKind {
 	switch r.KindName {
 	case "idempotent":
@@ -165,11 +166,11 @@
 	case "bulk":
 		return messages.RouteBulk
 	}
-	// Unknown kinds are treated with the greatest care.
+	// An unknown kind is treated as the most restrictive one.
 	return messages.RouteEffectful
 }
 
-// Choose draws the service of one request: draw lies in [0, 1).
+// Choose returns the service of one request by weight, for a random draw in [0, 1).
 func (r *Route) Choose(draw float64) string {
 	if len(r.Weighted) == 0 {
 		return r.Backend
@@ -193,7 +194,7 @@
 	return chosen
 }
 
-// Services names the services that requests of the route may go to.
+// Services returns the names of the services to which requests of the route may go.
 func (r *Route) Services() []string {
 	if len(r.Weighted) == 0 {
 		return []string{r.Backend}
@@ -207,7 +208,7 @@
 	return names
 }
 
-// Cutoff is the longest the operator wants a request held.
+// Cutoff returns the maximum time that a request may take; the default is one hour.
 func (r *Route) Cutoff() clock.Duration {
 	if r.CutoffMs <= 0 {
 		return clock.Milliseconds(3_600_000)
@@ -215,16 +216,17 @@
 	return clock.Milliseconds(r.CutoffMs)
 }
 
-// Retain is how long after its lot was sent an item may still be run.
+// Retain returns how long after its batch job was sent an item may still be run; the default
+// is 24 hours.
 func (r *Route) Retain() clock.Duration {
 	if r.RetainS <= 0 {
-		// Not stated: nothing may be given up for its age.
+		// Not configured: no item may be given up because of its age.
 		return clock.Milliseconds(24 * 3_600_000)
 	}
 	return clock.Milliseconds(r.RetainS * 1000)
 }
 
-// Setpoint is the time within which an answer earns its full worth.
+// Setpoint returns the time within which a response has its full value; the default is 1 s.
 func (r *Route) Setpoint() clock.Duration {
 	if r.SetpointMs <= 0 {
 		return clock.Milliseconds(1000)
