--- a/internal/configuration/adapterplan/planner.go
+++ b/internal/configuration/adapterplan/planner.go
@@ -73,7 +73,8 @@
 	problem *problem
 	settled partial
 	// number is the solver's variable for each variable and open node; 0 if it is not open.
-	number      [][]int
+	number [][]int
+	// lastNumber is the highest number in use.
 	lastNumber  int
 	constraints []solver.PBConstr
 	// unsatisfiable means that a constraint can't be met, whatever the values.
--- a/internal/configuration/configcheck/configcheck_test.go
+++ b/internal/configuration/configcheck/configcheck_test.go
@@ -36,7 +36,7 @@
 		"more behind":     {`"also-later":{}}`, `"also-later":{}} {}`},
 	} {
 		if _, findings := checker.Check([]byte(strings.Replace(validBody, change[0], change[1], 1))); len(findings) == 0 {
-			t.Errorf("%s: nothing found", name)
+			t.Errorf("%s: got no findings, want at least one", name)
 		}
 	}
 }
@@ -49,7 +49,7 @@
 			got = route.Name
 		}
 		if got != want {
-			t.Errorf("%s: %q, want %q", path, got, want)
+			t.Errorf("%s: got route %q, want %q", path, got, want)
 		}
 	}
 	counts := map[string]int{}
@@ -61,7 +61,7 @@
 	}
 }
 
-// long is a sound configuration of some length, with many routes.
+// longBody returns a valid configuration with this number of routes.
 func longBody(routes int) string {
 	text := &strings.Builder{}
 	text.WriteString(`{"generation":7,"later":{"a":[1]},"backends":[{"name":"s","probe":"/health"}],"limits":{"idle-ms":15000},"channels":[`)
@@ -75,7 +75,7 @@
 	return text.String()
 }
 
-// A configuration that is checked in pieces is held to the same shape as one that is checked whole.
+// A configuration that is checked in pieces must meet the same schema as one that is checked as a whole.
 func TestLongConfigurations(t *testing.T) {
 	checker, err := New()
 	if err != nil {
@@ -101,13 +101,13 @@
 	} {
 		changed := strings.Replace(longBody(600), change[0], change[1], 1)
 		if changed == longBody(600) {
-			t.Fatal(name, "changes nothing")
+			t.Fatal(name, "the replacement changed nothing")
 		}
 		if _, findings := checker.Check([]byte(changed)); len(findings) == 0 {
-			t.Error(name, "is let through")
+			t.Error(name, "is accepted")
 		}
 	}
 	if _, findings := checker.Check([]byte(strings.ReplaceAll(longBody(600), "streaming", "maybe"))); len(findings) > findingsMax {
-		t.Error(len(findings), "findings are kept")
+		t.Error(len(findings), "findings, want at most findingsMax")
 	}
 }
--- a/internal/configuration/openapiimport/openapiimport_test.go
+++ b/internal/configuration/openapiimport/openapiimport_test.go
@@ -43,6 +43,6 @@
 		t.Fatal(findings, err)
 	}
 	if _, _, err = Import([]byte("nothing: here"), Options{}); err == nil {
-		t.Fatal("no document was taken")
+		t.Fatal("a file that is not an OpenAPI document was accepted")
 	}
 }
--- a/internal/configuration/routeconfig/routeconfig_test.go
+++ b/internal/configuration/routeconfig/routeconfig_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A route that states no retain-s gives nothing up for its age.
+// A route without retain-s does not give up items because of their age.
 func TestRetain(t *testing.T) {
 	without, with := Route{}, Route{RetainS: 5}
 	if without.Retain().Hours() < 1 || with.Retain().Seconds() != 5 {
