--- a/internal/configuration/configcheck/configcheck_test.go
+++ b/internal/configuration/configcheck/configcheck_test.go
@@ -22,18 +22,18 @@
 		t.Fatal(findings)
 	}
 	for name, change := range map[string][2]string{
-		"cut short":       {`"also-later":{}}`, ``},
-		"unknown service": {`"backend":"t","later"`, `"backend":"gone","later"`},
-		"unknown in part": {`{"backend":"s","share":90}`, `{"backend":"gone","share":90}`},
-		"same place":      {`"/one/two/"`, `"/one/"`},
-		"same host":       {`"host":"h.example","path-prefix":"/one/two/"`, `"host":"H.Example","path-prefix":"/one/"`},
-		"no weight":       {`"share":90},{"backend":"t","share":10}`, `"share":0},{"backend":"t","share":0}`},
-		"no time-out":     {`"cutoff-ms":100`, `"cutoff-ms":0`},
-		"no generation":   {`"generation":7`, `"generation":0`},
-		"prefix":          {`"/one/two/"`, `"one/two"`},
-		"kind":            {`"effectful"`, `"maybe"`},
-		"type":            {`"tries":2`, `"tries":"two"`},
-		"more behind":     {`"also-later":{}}`, `"also-later":{}} {}`},
+		"cut short":        {`"also-later":{}}`, ``},
+		"unknown service":  {`"backend":"t","later"`, `"backend":"gone","later"`},
+		"unknown weighted": {`{"backend":"s","share":90}`, `{"backend":"gone","share":90}`},
+		"same prefix":      {`"/one/two/"`, `"/one/"`},
+		"same host":        {`"host":"h.example","path-prefix":"/one/two/"`, `"host":"H.Example","path-prefix":"/one/"`},
+		"no weight":        {`"share":90},{"backend":"t","share":10}`, `"share":0},{"backend":"t","share":0}`},
+		"no time-out":      {`"cutoff-ms":100`, `"cutoff-ms":0`},
+		"no generation":    {`"generation":7`, `"generation":0`},
+		"prefix":           {`"/one/two/"`, `"one/two"`},
+		"kind":             {`"effectful"`, `"maybe"`},
+		"type":             {`"tries":2`, `"tries":"two"`},
+		"trailing data":    {`"also-later":{}}`, `"also-later":{}} {}`},
 	} {
 		if _, findings := checker.Check([]byte(strings.Replace(validBody, change[0], change[1], 1))); len(findings) == 0 {
 			t.Errorf("%s: got no findings, want at least one", name)
@@ -86,18 +86,18 @@
 		t.Fatal(findings)
 	}
 	for name, change := range map[string][2]string{
-		"cut short":       {`]}`, `]`},
-		"more behind":     {`]}`, `]} {}`},
-		"no generation":   {`"generation":7`, `"generation":0`},
-		"missing":         {`"generation":7,`, ``},
-		"no list":         {`"backends":[{"name":"s","probe":"/health"}]`, `"backends":7`},
-		"null list":       {`"backends":[{"name":"s","probe":"/health"}]`, `"backends":null`},
-		"limits":          {`"idle-ms":15000`, `"idle-ms":0`},
-		"stands twice":    {`"generation":7`, `"generation":7,"generation":8`},
-		"unknown service": {`{"name":"s","probe"`, `{"name":"t","probe"`},
-		"a late kind":     {`"name":"r599","host":"h.example","path-prefix":"/r599/","route-kind":"streaming"`, `"name":"r599","host":"h.example","path-prefix":"/r599/","route-kind":"maybe"`},
-		"a late place":    {`"path-prefix":"/r599/"`, `"path-prefix":"/r0/"`},
-		"a long route":    {`"name":"r599"`, `"name":"r599` + strings.Repeat("x", elementBytes) + `"`},
+		"cut short":        {`]}`, `]`},
+		"trailing data":    {`]}`, `]} {}`},
+		"no generation":    {`"generation":7`, `"generation":0`},
+		"missing":          {`"generation":7,`, ``},
+		"no list":          {`"backends":[{"name":"s","probe":"/health"}]`, `"backends":7`},
+		"null list":        {`"backends":[{"name":"s","probe":"/health"}]`, `"backends":null`},
+		"limits":           {`"idle-ms":15000`, `"idle-ms":0`},
+		"stands twice":     {`"generation":7`, `"generation":7,"generation":8`},
+		"unknown service":  {`{"name":"s","probe"`, `{"name":"t","probe"`},
+		"unknown kind":     {`"name":"r599","host":"h.example","path-prefix":"/r599/","route-kind":"streaming"`, `"name":"r599","host":"h.example","path-prefix":"/r599/","route-kind":"maybe"`},
+		"duplicate prefix": {`"path-prefix":"/r599/"`, `"path-prefix":"/r0/"`},
+		"a long route":     {`"name":"r599"`, `"name":"r599` + strings.Repeat("x", elementBytes) + `"`},
 	} {
 		changed := strings.Replace(longBody(600), change[0], change[1], 1)
 		if changed == longBody(600) {
--- a/internal/configuration/cueshape/cueshape.go
+++ b/internal/configuration/cueshape/cueshape.go
@@ -15,7 +15,7 @@
 
 // Findings validates values against a definition of a schema and returns the findings together
 // with those known already, sorted. It removes invalid fields from values. The schema is compiled
-// at each call, so that a process which never checks a file has no cost from it. CUE does not report
+// at each call, so that a process which never checks a file does not pay for it. CUE does not report
 // missing fields while other fields are invalid, so Findings removes the invalid fields and validates
 // again, until there is no new finding.
 func Findings(schema, definition string, values map[string]any, known []string) []string {
--- a/internal/configuration/routeconfig/routeconfig.go
+++ b/internal/configuration/routeconfig/routeconfig.go
@@ -24,7 +24,8 @@
 	Share   float64 `json:"share"`
 }
 
-// Route is one channel of the configuration.
+// Route is one channel of the configuration. Fields whose names end in Ms are in milliseconds,
+// RetainS is in seconds. The methods Cutoff, Setpoint and Retain apply the defaults.
 type Route struct {
 	Name       string  `json:"name"`
 	Host       string  `json:"host"`
@@ -32,16 +33,21 @@
 	KindName   string  `json:"route-kind"`
 	CutoffMs   float64 `json:"cutoff-ms"`
 	SetpointMs float64 `json:"setpoint-ms,omitempty"`
-	ResultMs   float64 `json:"result-setpoint-ms,omitempty"`
-	RetainS    float64 `json:"retain-s,omitempty"`
+	// ResultMs is the time after its submission by which a batch job is due.
+	ResultMs float64 `json:"result-setpoint-ms,omitempty"`
+	RetainS  float64 `json:"retain-s,omitempty"`
+	// BacklogCap is the maximum number of tokens in waiting batch jobs; 0 means no limit.
 	BacklogCap int64   `json:"backlog-cap,omitempty"`
 	Priority   int     `json:"priority"`
 	Backend    string  `json:"backend,omitempty"`
 	Weighted   []Share `json:"weighted,omitempty"`
-	Tries      int     `json:"tries,omitempty"`
-	Affine     bool    `json:"affine,omitempty"`
-	Resumable  bool    `json:"resumable,omitempty"`
-	GapMs      float64 `json:"gap-setpoint-ms,omitempty"`
+	// Tries is the maximum number of attempts of a request; Parse sets it to at least 1.
+	Tries int `json:"tries,omitempty"`
+	// Affine routes are placed by the prefix of the prompt.
+	Affine    bool `json:"affine,omitempty"`
+	Resumable bool `json:"resumable,omitempty"`
+	// GapMs is the maximum time between two events of a stream; 0 means no limit is set.
+	GapMs float64 `json:"gap-setpoint-ms,omitempty"`
 }
 
 // Engine describes the workers of a service that runs a model.
@@ -52,8 +58,9 @@
 
 // Service is one backend of the configuration.
 type Service struct {
-	Name      string  `json:"name"`
-	Probe     string  `json:"probe,omitempty"`
+	Name  string `json:"name"`
+	Probe string `json:"probe,omitempty"`
+	// ConnLimit is the maximum number of connections to a worker; 0 means no limit.
 	ConnLimit int     `json:"conn-limit,omitempty"`
 	Engine    *Engine `json:"engine,omitempty"`
 }
@@ -139,8 +146,8 @@
 	return nil
 }
 
-// RouteNamed returns the route with this host and prefix, or nil if there is none.
-func (c *Config) RouteNamed(host, prefix string) *Route {
+// RouteByPrefix returns the route with this host and prefix, or nil if there is none.
+func (c *Config) RouteByPrefix(host, prefix string) *Route {
 	for _, route := range c.byHost[strings.ToLower(host)] {
 		if route.Prefix == prefix {
 			return route
