--- a/internal/configuration/adapterplan/planner.go
+++ b/internal/configuration/adapterplan/planner.go
@@ -2,117 +2,124 @@
 
 import "github.com/crillab/gophersat/solver"
 
-// Counts is the work that an answer took.
+// Counts measures the work that an answer took.
 type Counts struct {
-	// Asked is how often it was asked whether what is settled has an answer, and
-	// Solved how often the solver had to be called for it.
-	Asked, Solved int
+	// Checks counts the checks whether a partial assignment can be completed, and
+	// SolverCalls those checks that needed the solver.
+	Checks, SolverCalls int
 }
 
-// planner decides whether a partial assignment can be completed.
+// planner completes partial assignments of one problem.
 type planner struct {
 	problem *problem
 	counts  *Counts
-	// kept weighs the places of an earlier answer, least how many must stay.
-	kept  [][]int
-	least int
-	// effort is how many clauses the solver may learn over one question.
-	effort int
+	// kept counts, by variable and node, the assignments of an earlier answer; nil means
+	// that there is none. minKept is how many of them must be kept.
+	kept    [][]int
+	minKept int
+	// clausesMax is how many clauses the solver may learn in one call.
+	clausesMax int
 }
 
-// complete gives a full assignment that agrees with what is settled, if there is one.
+// complete returns a full assignment that agrees with the settled one, if there is one.
+// The error is ErrEffortExceeded if the solver reached its limit.
 func (p *planner) complete(settled partial) (partial, bool, error) {
-	p.counts.Asked++
-	// Where choice is plenty the plainest guess is an answer; it costs least.
-	if _, guess := p.guess(settled, p.order()); guess != nil && p.problem.holds(guess) && p.keeps(guess) >= p.least {
+	p.counts.Checks++
+	// The greedy guess comes first since it costs least: with many choices it is an answer.
+	if _, guess := p.guess(settled, p.choiceOrder()); guess != nil && p.problem.satisfiedBy(guess) && p.keptCount(guess) >= p.minKept {
 		return guess, true, nil
 	}
-	if p.problem.short(settled) {
+	if p.problem.insufficient(settled) {
 		return nil, false, nil
 	}
-	if p.least > 0 {
-		if _, _, keeps := p.problem.flow(settled, p.problem.copiesMeasure(settled), p.kept); keeps < p.least {
+	if p.minKept > 0 {
+		if _, _, keepable := p.problem.flow(settled, p.problem.copiesMeasure(settled), p.kept); keepable < p.minKept {
 			return nil, false, nil
 		}
 	}
-	p.counts.Solved++
+	p.counts.SolverCalls++
 	encoding := newEncoding(p.problem, settled)
-	if p.least > 0 {
-		encoding.keep(p.kept, p.least)
+	if p.minKept > 0 {
+		encoding.addKept(p.kept, p.minKept)
 	}
-	full, found, err := encoding.solve(p.effort)
+	full, found, err := encoding.solve(p.clausesMax)
 	if err != nil || !found {
 		return nil, false, err
 	}
-	if !p.problem.holds(full) || p.keeps(full) < p.least {
+	if !p.problem.satisfiedBy(full) || p.keptCount(full) < p.minKept {
 		return nil, false, ErrUndecided.New("the solver's answer breaks a rule")
 	}
 	return full, true, nil
 }
 
-// keeps counts what a full assignment keeps of the earlier answer.
-func (p *planner) keeps(full partial) int {
+// keptCount counts the assignments of the earlier answer that a full assignment keeps.
+func (p *planner) keptCount(full partial) int {
 	count := 0
-	for place := range full {
-		for node, is := range full[place] {
-			if is == stands {
-				count += weightOf(p.kept, place, node)
+	for index := range full {
+		for node, state := range full[index] {
+			if state == placed {
+				count += weightOf(p.kept, index, node)
 			}
 		}
 	}
 	return count
 }
 
-// encoding writes a partial assignment as constraints for the solver. A literal says
-// that a variable does not stand on a node: the solver tries "not" first, so that it
-// starts by standing variables on the first nodes and not by excluding all.
+// encoding translates the completion of a partial assignment into constraints for the
+// solver. A positive literal means that a variable is not placed on a node. The solver
+// tries false first, so it starts by placing variables on the first nodes instead of
+// excluding all of them.
 type encoding struct {
-	problem     *problem
-	settled     partial
-	number      [][]int
-	last        int
+	problem *problem
+	settled partial
+	// number is the solver's variable for each variable and open node; 0 if it is not open.
+	number [][]int
+	// lastNumber is the highest number in use.
+	lastNumber  int
 	constraints []solver.PBConstr
-	never       bool
+	// unsatisfiable means that a constraint can't be met, whatever the values.
+	unsatisfiable bool
 }
 
 func newEncoding(problem *problem, settled partial) *encoding {
 	encoded := &encoding{problem: problem, settled: settled, number: make([][]int, len(problem.variables))}
-	for place := range problem.variables {
-		encoded.number[place] = make([]int, len(problem.nodes))
-		for node, is := range settled[place] {
-			if is == open {
-				encoded.last++
-				encoded.number[place][node] = encoded.last
+	for index := range problem.variables {
+		encoded.number[index] = make([]int, len(problem.nodes))
+		for node, state := range settled[index] {
+			if state == open {
+				encoded.lastNumber++
+				encoded.number[index][node] = encoded.lastNumber
 			}
 		}
 	}
-	for place := range problem.variables {
-		encoded.copies(place)
-		if problem.variables[place].zones > 1 {
-			encoded.spread(place)
+	for index := range problem.variables {
+		encoded.addCopies(index)
+		if problem.variables[index].zones > 1 {
+			encoded.addSpread(index)
 		}
 	}
 	for node := range problem.nodes {
-		encoded.load(node)
+		encoded.addCapacity(node)
 	}
 	for _, members := range problem.apartNodes {
 		for node := range problem.nodes {
-			var there []int
+			var literals []int
 			for _, member := range members {
 				if number := encoded.number[member][node]; number > 0 {
-					there = append(there, -number)
+					literals = append(literals, -number)
 				}
 			}
-			encoded.atMost(there, nil, 1)
+			encoded.atMost(literals, nil, 1)
 		}
 	}
 	for _, members := range problem.apartZones {
-		encoded.apartZones(members)
+		encoded.addApartZones(members)
 	}
 	return encoded
 }
 
-// atLeast adds that the weights of what holds reach a sum.
+// atLeast requires that the weights of the true literals reach a sum. Nil weights mean
+// 1 for each literal.
 func (e *encoding) atLeast(literals, weights []int, sum int) {
 	total := len(literals)
 	if weights != nil {
@@ -125,13 +132,13 @@
 		return
 	}
 	if total < sum {
-		e.never = true
+		e.unsatisfiable = true
 		return
 	}
 	e.constraints = append(e.constraints, solver.GtEq(literals, weights, sum))
 }
 
-// atMost adds that the weights of what holds do not pass a sum.
+// atMost requires that the weights of the true literals do not exceed a sum.
 func (e *encoding) atMost(literals, weights []int, sum int) {
 	total := len(literals)
 	var opposite, sizes []int
@@ -148,15 +155,15 @@
 	e.atLeast(opposite, sizes, total-sum)
 }
 
-// copies adds that a variable has exactly its copies.
-func (e *encoding) copies(place int) {
-	missing := e.problem.variables[place].copies
+// addCopies requires that a variable is placed on exactly as many nodes as it has copies.
+func (e *encoding) addCopies(index int) {
+	missing := e.problem.variables[index].copies
 	var free []int
-	for node, is := range e.settled[place] {
-		if is == stands {
+	for node, state := range e.settled[index] {
+		if state == placed {
 			missing--
 		}
-		if number := e.number[place][node]; number > 0 {
+		if number := e.number[index][node]; number > 0 {
 			free = append(free, -number)
 		}
 	}
@@ -164,20 +171,20 @@
 	e.atLeast(free, nil, missing)
 }
 
-// load adds slots and memory of a node.
-func (e *encoding) load(node int) {
+// addCapacity limits the copies on a node to its slots and memory.
+func (e *encoding) addCapacity(node int) {
 	host := &e.problem.nodes[node]
-	slots, memory := host.Slots, wide
+	slots, memory := host.Slots, unbounded
 	if host.MemoryMB != nil {
 		memory = *host.MemoryMB
 	}
 	var free, sizes, weights []int
-	for place := range e.problem.variables {
-		size, weight := len(e.problem.variables[place].names), e.problem.variables[place].memory
-		if e.settled[place][node] == stands {
+	for index := range e.problem.variables {
+		size, weight := len(e.problem.variables[index].names), e.problem.variables[index].memory
+		if e.settled[index][node] == placed {
 			slots, memory = slots-size, memory-weight
 		}
-		if number := e.number[place][node]; number > 0 {
+		if number := e.number[index][node]; number > 0 {
 			free, sizes, weights = append(free, -number), append(sizes, size), append(weights, weight)
 		}
 	}
--- a/internal/configuration/configcheck/configcheck.go
+++ b/internal/configuration/configcheck/configcheck.go
@@ -1,5 +1,5 @@
-// Package configcheck checks an operator's configuration: its shape with CUE, and in
-// Go what crosses fields. The daemons and the command line use the same code.
+// Package configcheck validates an operator's configuration: against a CUE schema, and in
+// Go for conditions across fields. The daemons and the command line use the same code.
 package configcheck
 
 import (
@@ -17,17 +17,17 @@
 //go:embed schema.cue
 var schemaText string
 
-// Checker holds the compiled schema.
+// Checker validates configurations with a compiled schema.
 type Checker struct {
 	context *cue.Context
 	schema  cue.Value
 	uses    int
-	// gathered is how many bytes were checked in the present context.
-	gathered int
+	// checkedBytes is how many bytes were checked in the current context.
+	checkedBytes int
 }
 
-// usesBeforeRenewal and bytesBeforeRenewal bound what the CUE context gathers: it never forgets
-// values, and they take many times their length.
+// usesBeforeRenewal and bytesBeforeRenewal bound the memory of the CUE context: it never
+// releases values, and they take many times the length of their text.
 const (
 	usesBeforeRenewal  = 64
 	bytesBeforeRenewal = 128 << 10
@@ -39,9 +39,10 @@
 	return checker, checker.renew()
 }
 
+// renew replaces the CUE context by an empty one.
 func (c *Checker) renew() error {
 	c.context = cuecontext.New()
-	c.uses, c.gathered = 0, 0
+	c.uses, c.checkedBytes = 0, 0
 	value := c.context.CompileString(schemaText)
 	if err := value.Err(); err != nil {
 		return routeconfig.ErrMalformed.Wrap(err, "schema")
@@ -50,12 +51,13 @@
 	return routeconfig.ErrMalformed.Wrap(c.schema.Err(), "schema")
 }
 
-// Check gives the configuration or the findings against it. What it holds meanwhile is a small
-// multiple of the body's length, whatever the body holds.
+// Check returns the configuration and the findings against it; it is valid if there are none.
+// The memory used is a small multiple of the body's length, whatever its content.
 func (c *Checker) Check(body []byte) (*routeconfig.Config, []string) {
-	long := len(body) > pieceBytes
-	if long {
-		// Its shape first: only of a body of sound routes is the parsed form not much longer.
+	inPieces := len(body) > pieceBytes
+	if inPieces {
+		// The schema is checked before parsing: only if the routes are valid is the parsed form
+		// not much longer than the body.
 		if findings := c.shapeInPieces(body); len(findings) > 0 {
 			return nil, findings
 		}
@@ -65,16 +67,17 @@
 		return nil, []string{err.Error()}
 	}
 	var findings []string
-	if !long {
-		findings = c.shape(body)
+	if !inPieces {
+		findings = c.shapeFindings(body)
 	}
-	return config, append(findings, crossing(config)...)
+	return config, append(findings, crossFieldFindings(config)...)
 }
 
-func (c *Checker) shape(body []byte) []string {
+// shapeFindings returns the findings of the schema against a body.
+func (c *Checker) shapeFindings(body []byte) []string {
 	c.uses++
-	c.gathered += len(body)
-	if c.uses > usesBeforeRenewal || c.gathered > bytesBeforeRenewal {
+	c.checkedBytes += len(body)
+	if c.uses > usesBeforeRenewal || c.checkedBytes > bytesBeforeRenewal {
 		if err := c.renew(); err != nil {
 			return []string{err.Error()}
 		}
@@ -85,44 +88,44 @@
 	}
 	value := c.context.BuildExpr(expression).Unify(c.schema)
 	var findings []string
-	for _, one := range errors.Errors(value.Validate(cue.Concrete(true))) {
-		findings = append(findings, one.Error())
+	for _, validationErr := range errors.Errors(value.Validate(cue.Concrete(true))) {
+		findings = append(findings, validationErr.Error())
 	}
 	return findings
 }
 
-// crossing checks what no single field shows.
-func crossing(config *routeconfig.Config) []string {
+// crossFieldFindings checks conditions that involve several fields.
+func crossFieldFindings(config *routeconfig.Config) []string {
 	var findings []string
-	places := map[string]string{}
+	routeNames := map[string]string{}
 	for index := range config.Routes {
 		route := &config.Routes[index]
-		place := route.Place()
-		if other, taken := places[place]; taken {
-			findings = append(findings, fmt.Sprintf("channels: %s and %s share host and path-prefix %s", other, route.Name, place))
+		hostPrefix := route.HostPrefix()
+		if other, taken := routeNames[hostPrefix]; taken {
+			findings = append(findings, fmt.Sprintf("channels: %s and %s share host and path-prefix %s", other, route.Name, hostPrefix))
 		}
-		places[place] = route.Name
-		findings = append(findings, services(config, route)...)
+		routeNames[hostPrefix] = route.Name
+		findings = append(findings, serviceFindings(config, route)...)
 	}
 	return findings
 }
 
-// services checks where a route leads.
-func services(config *routeconfig.Config, route *routeconfig.Route) []string {
+// serviceFindings checks the services of a route.
+func serviceFindings(config *routeconfig.Config, route *routeconfig.Route) []string {
 	var findings []string
-	known := func(backend string) {
+	requireKnown := func(backend string) {
 		if config.Service(backend) == nil {
 			findings = append(findings, fmt.Sprintf("channels: %s names the unknown service %q", route.Name, backend))
 		}
 	}
 	if len(route.Weighted) == 0 {
-		known(route.Backend)
+		requireKnown(route.Backend)
 		return findings
 	}
 	total := 0.0
 	for _, share := range route.Weighted {
 		total += share.Share
-		known(share.Backend)
+		requireKnown(share.Backend)
 	}
 	if total <= 0 {
 		findings = append(findings, fmt.Sprintf("channels: the shares of %s add up to 0", route.Name))
--- a/internal/configuration/cueshape/cueshape.go
+++ b/internal/configuration/cueshape/cueshape.go
@@ -1,5 +1,5 @@
-// Package cueshape holds the values of a file against a CUE schema and tells every finding in
-// one line, by the field's name as an operator would write it.
+// Package cueshape validates the values of a file against a CUE schema. Each finding is one line
+// and begins with the field's name as an operator would write it.
 package cueshape
 
 import (
@@ -13,54 +13,56 @@
 	"cuelang.org/go/cue/errors"
 )
 
-// Findings holds values against a definition of a schema and adds what is wrong to the findings
-// known already, in order. The schema is compiled at each call: nobody pays for it who never
-// checks a file. CUE keeps silent on what is missing while something else is wrong, so what is
-// wrong is taken out of the values and it is asked again, until every finding is told.
+// Findings validates values against a definition of a schema and returns the findings together
+// with those known already, sorted. It removes invalid fields from values. The schema is compiled
+// at each call, so that a process which never checks a file does not pay for it. CUE does not report
+// missing fields while other fields are invalid, so Findings removes the invalid fields and validates
+// again, until there is no new finding.
 func Findings(schema, definition string, values map[string]any, known []string) []string {
 	context := cuecontext.New()
 	compiled := context.CompileString(schema).LookupPath(cue.ParsePath(definition))
 	findings := slices.Clone(known)
-	wrong := map[string]bool{}
+	reported := map[string]bool{}
 	for _, finding := range findings {
-		where, _, _ := strings.Cut(finding, ":")
-		wrong[where] = true
+		name, _, _ := strings.Cut(finding, ":")
+		reported[name] = true
 	}
-	for again := true; again; {
-		again = false
-		problem := compiled.Unify(context.Encode(values)).Validate(cue.Concrete(true))
+	for repeat := true; repeat; {
+		repeat = false
+		validationErr := compiled.Unify(context.Encode(values)).Validate(cue.Concrete(true))
 		found := map[string]bool{}
-		for _, each := range errors.Errors(problem) {
-			where := field(each.Path())
-			if wrong[where] {
+		for _, fieldErr := range errors.Errors(validationErr) {
+			name := fieldName(fieldErr.Path())
+			if reported[name] {
 				continue
 			}
-			format, arguments := each.Msg()
-			finding := where + ": " + plain(fmt.Sprintf(format, arguments...))
+			format, arguments := fieldErr.Msg()
+			finding := name + ": " + shortMessage(fmt.Sprintf(format, arguments...))
 			if !slices.Contains(findings, finding) {
 				findings = append(findings, finding)
 			}
-			found[where] = true
-			again = takeOut(values, each.Path()) || again
+			found[name] = true
+			repeat = removeField(values, fieldErr.Path()) || repeat
 		}
-		for where := range found {
-			wrong[where] = true
+		for name := range found {
+			reported[name] = true
 		}
 	}
 	slices.Sort(findings)
 	return findings
 }
 
-// plain shortens what CUE says: of a wrong type it quotes the whole schema.
-func plain(message string) string {
+// shortMessage shortens a message of CUE to one line: for a wrong type CUE quotes the whole schema.
+func shortMessage(message string) string {
 	if _, types, cut := strings.Cut(message, "(mismatched types "); cut {
 		return "wrong type (mismatched types " + types
 	}
 	return strings.ReplaceAll(message, "\n", " ")
 }
 
-// takeOut removes the field at a path; it tells whether there was one.
-func takeOut(values any, path []string) bool {
+// removeField removes the field at a path, or the whole list that contains it, and reports whether
+// it was present.
+func removeField(values any, path []string) bool {
 	if len(path) > 0 && strings.HasPrefix(path[0], "#") {
 		path = path[1:]
 	}
@@ -68,26 +70,26 @@
 		return false
 	}
 	key := strings.Trim(path[0], `"`)
-	switch holder := values.(type) {
+	switch container := values.(type) {
 	case map[string]any:
-		inner, there := holder[key]
-		_, list := inner.([]any)
-		if there && (len(path) == 1 || list) {
-			delete(holder, key)
-		} else if there {
-			return takeOut(inner, path[1:])
+		inner, present := container[key]
+		_, isList := inner.([]any)
+		if present && (len(path) == 1 || isList) {
+			delete(container, key)
+		} else if present {
+			return removeField(inner, path[1:])
 		}
-		return there
+		return present
 	case []map[string]any:
-		if place, err := strconv.Atoi(key); err == nil && place < len(holder) && len(path) > 1 {
-			return takeOut(holder[place], path[1:])
+		if index, err := strconv.Atoi(key); err == nil && index < len(container) && len(path) > 1 {
+			return removeField(container[index], path[1:])
 		}
 	}
 	return false
 }
 
-// field writes a path as an operator would: rules[2].kind.
-func field(path []string) string {
+// fieldName writes a path as an operator would, for example rules[2].kind.
+func fieldName(path []string) string {
 	text := ""
 	for _, part := range path {
 		part = strings.Trim(part, `"`)
--- a/internal/configuration/openapiimport/openapiimport.go
+++ b/internal/configuration/openapiimport/openapiimport.go
@@ -1,4 +1,4 @@
-// Package openapiimport makes routes of a configuration from an OpenAPI file.
+// Package openapiimport converts the paths of an OpenAPI document to routes of a configuration.
 package openapiimport
 
 import (
@@ -13,17 +13,19 @@
 	"lemonarch/internal/platform/errs"
 )
 
-// ErrMalformed is the error of a file that is no OpenAPI document.
+// ErrMalformed means that a file is not an OpenAPI document with paths.
 var ErrMalformed = errs.Define("openapi")
 
-// Options are what the document does not say.
+// Options are the route settings that the document does not contain.
 type Options struct {
+	// Host is the host of all routes; if it is empty, the host of the first server is used.
 	Host     string
 	Backend  string
 	CutoffMs int
 }
 
-// Import reads a document; what can't be mapped is named.
+// Import returns one route for each path prefix of a document, and a finding for each part that
+// can't be mapped.
 func Import(text []byte, options Options) (routes []routeconfig.Route, findings []string, err error) {
 	document, err := openapi3.NewLoader().LoadFromData(text)
 	if err != nil {
@@ -32,12 +34,12 @@
 	if document.Paths == nil || document.Paths.Len() == 0 {
 		return nil, nil, ErrMalformed.New("no paths")
 	}
-	host, base, finding := place(document, options.Host)
+	host, base, finding := hostAndBase(document, options.Host)
 	if finding != "" {
 		findings = append(findings, finding)
 	}
 	byPrefix := map[string]*routeconfig.Route{}
-	var order []string
+	var prefixes []string
 	paths := document.Paths.Map()
 	var names []string
 	for path := range paths {
@@ -45,7 +47,7 @@
 	}
 	sort.Strings(names)
 	for _, path := range names {
-		prefix, mapped := prefixOf(base + path)
+		prefix, mapped := fixedPrefix(base + path)
 		if !mapped {
 			findings = append(findings, "path "+path+" has no fixed beginning of its own")
 			continue
@@ -55,23 +57,24 @@
 			findings = append(findings, "path "+path+" has no operation")
 			continue
 		}
-		if have := byPrefix[prefix]; have != nil {
-			if have.KindName != kind {
-				findings = append(findings, fmt.Sprintf("path %s is %s, but its prefix %s is %s already", path, kind, prefix, have.KindName))
+		if existing := byPrefix[prefix]; existing != nil {
+			if existing.KindName != kind {
+				findings = append(findings, fmt.Sprintf("path %s is %s, but its prefix %s is %s already", path, kind, prefix, existing.KindName))
 			}
 			continue
 		}
-		byPrefix[prefix] = &routeconfig.Route{Name: nameOf(prefix), Host: host, Prefix: prefix, KindName: kind, CutoffMs: float64(options.CutoffMs), Backend: options.Backend, Tries: triesOf(kind)}
-		order = append(order, prefix)
+		byPrefix[prefix] = &routeconfig.Route{Name: routeName(prefix), Host: host, Prefix: prefix, KindName: kind, CutoffMs: float64(options.CutoffMs), Backend: options.Backend, Tries: triesOf(kind)}
+		prefixes = append(prefixes, prefix)
 	}
-	for _, prefix := range order {
+	for _, prefix := range prefixes {
 		routes = append(routes, *byPrefix[prefix])
 	}
 	return routes, findings, nil
 }
 
-// place gives the host and the base path, from the option or the one server.
-func place(document *openapi3.T, host string) (string, string, string) {
+// hostAndBase returns the host, from the option or the first server, the base path of that server,
+// and a finding if one of them is not known.
+func hostAndBase(document *openapi3.T, host string) (string, string, string) {
 	base := ""
 	if len(document.Servers) > 0 {
 		if parsed, err := url.Parse(document.Servers[0].URL); err == nil && !strings.Contains(document.Servers[0].URL, "{") {
@@ -89,8 +92,9 @@
 	return host, base, ""
 }
 
-// prefixOf gives the fixed folders that a path begins with.
-func prefixOf(path string) (string, bool) {
+// fixedPrefix returns the leading segments of a path that contain no parameter, and whether there
+// are any.
+func fixedPrefix(path string) (string, bool) {
 	fixed := path
 	if at := strings.IndexByte(path, '{'); at >= 0 {
 		fixed = path[:at]
@@ -104,25 +108,26 @@
 	return fixed, fixed != "/" && fixed != ""
 }
 
-// kindOf is the most careful kind that fits all operations of a path.
+// kindOf returns the most restrictive kind that fits all operations of a path, or "" if it has none.
 func kindOf(item *openapi3.PathItem) string {
 	kind := ""
 	for method, operation := range item.Operations() {
-		next := "idempotent"
+		operationKind := "idempotent"
 		if method == "POST" || method == "PATCH" {
-			next = "effectful"
+			operationKind = "effectful"
 		}
-		if streams(operation) {
-			next = "streaming"
+		if isStreaming(operation) {
+			operationKind = "streaming"
 		}
-		if kind == "" || next != "idempotent" {
-			kind = next
+		if kind == "" || operationKind != "idempotent" {
+			kind = operationKind
 		}
 	}
 	return kind
 }
 
-func streams(operation *openapi3.Operation) bool {
+// isStreaming reports whether an operation responds with an event stream.
+func isStreaming(operation *openapi3.Operation) bool {
 	if operation.Responses == nil {
 		return false
 	}
@@ -134,14 +139,16 @@
 	return false
 }
 
+// triesOf returns the number of attempts for a request of a kind.
 func triesOf(kind string) int {
 	if kind == "idempotent" {
 		return 2
 	}
-	// What must not run twice gets one try unless the operator says more.
+	// A request that must not be executed twice gets one attempt unless the operator configures more.
 	return 1
 }
 
-func nameOf(prefix string) string {
+// routeName derives the name of a route from its prefix.
+func routeName(prefix string) string {
 	return "r-" + strings.ReplaceAll(strings.Trim(prefix, "/"), "/", "-")
 }
