--- a/internal/tooling/explore/explore.go
+++ b/internal/tooling/explore/explore.go
@@ -50,17 +50,17 @@
 	// Depth is the number of steps of the longest history that was played.
 	Depth int
 	// Whole says that no step led on from the last states: nothing is left out.
-	Whole bool
+	Complete bool
 	// Broken is the invariant that was broken, and Trace the steps that led to it.
-	Broken error
-	Trace  []string
+	Violation error
+	Trace     []string
 }
 
 // String gives the figures of an exploration on one line.
 func (r Result) String() string {
-	text := fmt.Sprintf("states=%d steps=%d depth=%d whole=%v", r.States, r.Steps, r.Depth, r.Whole)
-	if r.Broken != nil {
-		text += fmt.Sprintf("\nbroken: %v after\n  %s", r.Broken, strings.Join(r.Trace, "\n  "))
+	text := fmt.Sprintf("states=%d steps=%d depth=%d whole=%v", r.States, r.Steps, r.Depth, r.Complete)
+	if r.Violation != nil {
+		text += fmt.Sprintf("\nbroken: %v after\n  %s", r.Violation, strings.Join(r.Trace, "\n  "))
 	}
 	return text
 }
@@ -81,50 +81,50 @@
 }
 
 // walk is one exploration.
-type walk struct {
+type explorer struct {
 	seen   map[key]bool
 	visits []visit
 	result Result
 }
 
 // open is a state whose steps were not followed yet.
-type open struct {
+type pendingState struct {
 	state State
-	place int32
+	index int32
 }
 
 // Run explores all histories from a state up to a depth. It stops at the first state
 // that breaks an invariant. Next is called on several states at once.
 func Run(start State, depth int) Result {
-	entry := &walk{seen: map[key]bool{}}
-	level := entry.meet(nil, &found{key: keyOf(start), state: start, name: "start", parent: -1, broken: start.Check()})
-	for ; len(level) > 0 && entry.result.Depth < depth && entry.result.Broken == nil; entry.result.Depth++ {
-		level = entry.follow(level)
+	run := &explorer{seen: map[key]bool{}}
+	frontier := run.add(nil, &successor{key: keyOf(start), state: start, name: "start", parent: -1, violation: start.Check()})
+	for ; len(frontier) > 0 && run.result.Depth < depth && run.result.Violation == nil; run.result.Depth++ {
+		frontier = run.expandLevel(frontier)
 	}
-	entry.result.States = len(entry.visits)
-	entry.result.Whole = len(level) == 0
-	return entry.result
+	run.result.States = len(run.visits)
+	run.result.Complete = len(frontier) == 0
+	return run.result
 }
 
 // found is a state that one step led to, before it is known to be new.
-type found struct {
-	key    key
-	state  State
-	name   string
-	parent int32
-	broken error
+type successor struct {
+	key       key
+	state     State
+	name      string
+	parent    int32
+	violation error
 }
 
 // follow gives the states one step behind those of a level. The steps of a batch are
 // worked out side by side, and taken in their order.
-func (w *walk) follow(level []open) []open {
-	var next []open
-	for len(level) > 0 && w.result.Broken == nil {
-		batch := level[:min(len(level), batchStates)]
-		level = level[len(batch):]
-		for _, list := range w.expand(batch) {
+func (w *explorer) expandLevel(frontier []pendingState) []pendingState {
+	var next []pendingState
+	for len(frontier) > 0 && w.result.Violation == nil {
+		batch := frontier[:min(len(frontier), batchStates)]
+		frontier = frontier[len(batch):]
+		for _, list := range w.expandBatch(batch) {
 			for index := range list {
-				next = w.meet(next, &list[index])
+				next = w.add(next, &list[index])
 			}
 		}
 	}
@@ -133,8 +133,8 @@
 
 // expand works out the steps of a batch; those that lead to states met before are
 // counted and left out.
-func (w *walk) expand(batch []open) [][]found {
-	lists := make([][]found, len(batch))
+func (w *explorer) expandBatch(batch []pendingState) [][]successor {
+	lists := make([][]successor, len(batch))
 	counts := make([]int, workers)
 	var group sync.WaitGroup
 	for worker := range workers {
@@ -142,7 +142,7 @@
 			for i := worker; i < len(batch); i += workers {
 				steps := batch[i].state.Next()
 				counts[worker] += len(steps)
-				lists[i] = w.unmet(steps, batch[i].place)
+				lists[i] = w.unseen(steps, batch[i].index)
 				batch[i].state = nil
 			}
 		})
@@ -154,12 +154,12 @@
 	return lists
 }
 
-func (w *walk) unmet(steps []Step, parent int32) []found {
-	var list []found
+func (w *explorer) unseen(steps []Step, parent int32) []successor {
+	var list []successor
 	for _, step := range steps {
-		name := keyOf(step.To)
-		if !w.seen[name] {
-			list = append(list, found{key: name, state: step.To, name: step.Name, parent: parent, broken: step.To.Check()})
+		stateKey := keyOf(step.To)
+		if !w.seen[stateKey] {
+			list = append(list, successor{key: stateKey, state: step.To, name: step.Name, parent: parent, violation: step.To.Check()})
 		}
 	}
 	return list
@@ -171,20 +171,20 @@
 }
 
 // meet adds a state to a level, unless it was met before.
-func (w *walk) meet(level []open, fresh *found) []open {
-	if w.seen[fresh.key] {
-		return level
+func (w *explorer) add(frontier []pendingState, next *successor) []pendingState {
+	if w.seen[next.key] {
+		return frontier
 	}
-	w.seen[fresh.key] = true
+	w.seen[next.key] = true
 	i := int32(len(w.visits))
-	w.visits = append(w.visits, visit{parent: fresh.parent, name: fresh.name})
-	if fresh.broken != nil && w.result.Broken == nil {
-		w.result.Broken, w.result.Trace = fresh.broken, w.trace(i)
+	w.visits = append(w.visits, visit{parent: next.parent, name: next.name})
+	if next.violation != nil && w.result.Violation == nil {
+		w.result.Violation, w.result.Trace = next.violation, w.trace(i)
 	}
-	return append(level, open{state: fresh.state, place: i})
+	return append(frontier, pendingState{state: next.state, index: i})
 }
 
-func (w *walk) trace(i int32) []string {
+func (w *explorer) trace(i int32) []string {
 	var names []string
 	for ; i >= 0; i = w.visits[i].parent {
 		names = append([]string{w.visits[i].name}, names...)
--- a/internal/tooling/explore/explore_test.go
+++ b/internal/tooling/explore/explore_test.go
@@ -3,14 +3,14 @@
 import "testing"
 
 var (
-	three = []string{"a", "b", "c"}
+	threeMembers = []string{"a", "b", "c"}
 	// twoWriters put two versions on one base.
-	twoWriters = Plan{Members: three, Writers: []string{"a", "b"}, Attempts: 1}
+	twoWriters = Plan{Members: threeMembers, Writers: []string{"a", "b"}, Attempts: 1}
 	// replacement: d takes the place of a, which is taken for gone and is not, while
 	// a's operator puts a version in force.
-	replacement = Plan{Members: three, Outsiders: []string{"d"}, Tenders: []string{"d"}, Suspect: "a", Writers: []string{"a"}, Attempts: 2}
+	replacement = Plan{Members: threeMembers, NonMembers: []string{"d"}, Reconcilers: []string{"d"}, Suspect: "a", Writers: []string{"a"}, Attempts: 2}
 	// amnesia: any machine may lose its disk; a, if it does, joins again by itself.
-	amnesia = Plan{Members: three, Tenders: []string{"a"}, Writers: []string{"b"}, Attempts: 2, Wipes: 1}
+	diskLoss = Plan{Members: threeMembers, Reconcilers: []string{"a"}, Writers: []string{"b"}, Attempts: 2, Wipes: 1}
 )
 
 // with gives a plan with a change to it.
@@ -34,7 +34,7 @@
 		{"two writers, two attempts", twoWriters.with(func(plan *Plan) { plan.Attempts = 2 }), 9},
 		{"two writers, a disk lost, a process restarted", twoWriters.with(func(plan *Plan) { plan.Wipes, plan.Restarts = 1, 1 }), 10},
 		{"two writers, two attempts, a disk lost", twoWriters.with(func(plan *Plan) { plan.Attempts, plan.Wipes = 2, 1 }), 8},
-		{"two writers, messages doubled", twoWriters.with(func(plan *Plan) { plan.Doubles = 2 }), 9},
+		{"two writers, messages doubled", twoWriters.with(func(plan *Plan) { plan.Duplicates = 2 }), 9},
 		{"four acceptors", twoWriters.with(func(plan *Plan) { plan.Members = []string{"a", "b", "c", "d"} }), 10},
 	})
 }
@@ -42,7 +42,7 @@
 // The same while the set of acceptors changes.
 func TestChangeOfMembers(t *testing.T) {
 	explore(t, []exploration{
-		{"a disk lost, its machine joins again", amnesia, 12},
+		{"a disk lost, its machine joins again", diskLoss, 12},
 		{"a member replaced that is not gone", replacement, 10},
 		{"a member replaced, a process restarted", replacement.with(func(plan *Plan) { plan.Restarts = 1 }), 8},
 	})
@@ -51,11 +51,11 @@
 func explore(t *testing.T, list []exploration) {
 	t.Helper()
 
-	for _, entry := range list {
-		t.Run(entry.name, func(t *testing.T) {
-			result := Run(NewFleet(entry.plan), Depth(entry.depth))
+	for _, test := range list {
+		t.Run(test.name, func(t *testing.T) {
+			result := Run(NewRegisterState(test.plan), Depth(test.depth))
 			t.Log(result)
-			if result.Broken != nil {
+			if result.Violation != nil {
 				t.Fail()
 			}
 		})
@@ -64,18 +64,18 @@
 
 // Each guard of the register, taken out, is missed within the depth of CI.
 func TestGuardsTakenOut(t *testing.T) {
-	for _, entry := range []struct {
+	for _, test := range []struct {
 		name string
 		plan Plan
 	}{
 		{"a wiped acceptor keeps its identity", twoWriters.with(func(plan *Plan) { plan.Wipes, plan.KeepIdentity = 1, true })},
 		{"accepted values are ignored", twoWriters.with(func(plan *Plan) { plan.IgnoreAccepted = true })},
-		{"the old set is let go at once", replacement.with(func(plan *Plan) { plan.SettleAtOnce = true })},
+		{"the old set is let go at once", replacement.with(func(plan *Plan) { plan.DropPreviousAtOnce = true })},
 	} {
-		t.Run(entry.name, func(t *testing.T) {
-			result := Run(NewFleet(entry.plan), 12)
+		t.Run(test.name, func(t *testing.T) {
+			result := Run(NewRegisterState(test.plan), 12)
 			t.Log(result)
-			if result.Broken == nil {
+			if result.Violation == nil {
 				t.Fatal("the exploration finds nothing wrong")
 			}
 		})
--- a/internal/tooling/explore/faults.go
+++ b/internal/tooling/explore/faults.go
@@ -7,15 +7,15 @@
 
 // bearsLoss tells whether all members of the newest sets chosen have their disks: the
 // loss of one more is within the budget.
-func (f *fleet) bearsLoss() bool {
+func (f *registerState) toleratesLoss() bool {
 	sets := &messages.RegisterValue{Acceptors: f.processes[0].first}
 	for index := range f.votes {
 		if f.votes[index].chosen {
-			sets = f.table.at(f.votes[index].value)
+			sets = f.table.value(f.votes[index].value)
 		}
 	}
 	for _, member := range register.Targets(sets) {
-		if f.processes[f.at(member.Name)].disk != member.Disk {
+		if f.processes[f.indexOf(member.Name)].disk != member.Disk {
 			return false
 		}
 	}
@@ -24,46 +24,46 @@
 
 // wipe takes a machine's disk: it comes back empty, under a new identity, and knows
 // only the sets that others tell it.
-func (f *fleet) wipe(i int) *fleet {
+func (f *registerState) wipe(i int) *registerState {
 	next := f.clone()
 	next.wipes--
-	at := &next.processes[i]
-	at.promised, at.accepted, at.value = messages.Ballot{}, messages.Ballot{}, none
+	proc := &next.processes[i]
+	proc.promised, proc.accepted, proc.value = messages.Ballot{}, messages.Ballot{}, none
 	if !f.plan.KeepIdentity {
-		at.disk += "'"
-		at.first = nil
+		proc.disk += "'"
+		proc.first = nil
 	}
 	next.restarted(i)
 	for other := range next.processes {
 		if other != i {
-			next.learn(i, next.table.at(next.processes[other].known))
+			next.learnSets(i, next.table.value(next.processes[other].known))
 		}
 	}
-	next.tidy()
+	next.dropObsolete()
 	return next
 }
 
 // restart begins a process's next life with its disk.
-func (f *fleet) restart(i int) *fleet {
+func (f *registerState) restart(i int) *registerState {
 	next := f.clone()
 	next.restarts--
 	next.restarted(i)
-	next.tidy()
+	next.dropObsolete()
 	return next
 }
 
-func (f *fleet) restarted(i int) {
-	at := &f.processes[i]
-	if at.proposer != nil {
-		run := *at.proposer
-		run.life++
-		run.settled, run.answers = true, nil
-		at.proposer = &run
+func (f *registerState) restarted(i int) {
+	proc := &f.processes[i]
+	if proc.proposer != nil {
+		run := *proc.proposer
+		run.incarnation++
+		run.ended, run.responses = true, nil
+		proc.proposer = &run
 	}
-	if at.value == none {
-		at.known = f.table.id(&messages.RegisterValue{Acceptors: at.first})
+	if proc.value == none {
+		proc.known = f.table.id(&messages.RegisterValue{Acceptors: proc.first})
 		return
 	}
-	sets := setsOnly(f.table.at(at.value))
-	at.known = f.table.id(&sets)
+	sets := setsOnly(f.table.value(proc.value))
+	proc.known = f.table.id(&sets)
 }
--- a/internal/tooling/explore/fleet.go
+++ b/internal/tooling/explore/fleet.go
@@ -9,13 +9,13 @@
 type Plan struct {
 	// Members are the machines of the first acceptor set; Outsiders have an empty
 	// disk and are in no set.
-	Members, Outsiders []string
+	Members, NonMembers []string
 	// Writers are the machines whose processes each put one version on base 0.
 	Writers []string
 	// Tenders are the machines whose processes look after the acceptor set, as the
 	// controllers do; they take Suspect, where set, for gone.
-	Tenders []string
-	Suspect string
+	Reconcilers []string
+	Suspect     string
 	// Versions is how many versions each writer puts in force one after the other,
 	// each on the newest that it knows; none means one.
 	Versions int
@@ -25,7 +25,7 @@
 	// lost one is in the set, and Restarts how many processes start again with theirs.
 	Wipes, Restarts int
 	// Doubles is how many messages are delivered a second time.
-	Doubles int
+	Duplicates int
 	// KeepIdentity breaks the acceptor on purpose, to see the model find it: one that
 	// lost its disk goes on voting under its old identity.
 	KeepIdentity bool
@@ -33,7 +33,7 @@
 	IgnoreAccepted bool
 	// SettleAtOnce breaks the change of members on purpose: the old set is let go
 	// in the same step in which the new one is proposed.
-	SettleAtOnce bool
+	DropPreviousAtOnce bool
 }
 
 // process is one machine: an acceptor and, on some, a proposer.
@@ -53,25 +53,25 @@
 // proposer is what runs a machine's proposals, one attempt after the other.
 type proposer struct {
 	// version is what a writer puts in force; one without a generation is a tender.
-	version  messages.Version
-	attempts int
-	life     int64
+	version     messages.Version
+	attempts    int
+	incarnation int64
 	// ballot, known and answers name the attempt that runs: it is played again from
 	// its beginning wherever it is needed. settled says that it has ended.
-	ballot  messages.Ballot
-	known   valueID
-	answers []answer
-	settled bool
+	ballot    messages.Ballot
+	known     valueID
+	responses []response
+	ended     bool
 	// accepting says that the attempt's second round was begun.
 	accepting bool
 	// told says that the version has a clear answer, and versions counts those that
 	// had one before.
-	told     bool
-	versions int
+	responded bool
+	versions  int
 }
 
 // answer is one message that came back to a proposer.
-type answer struct {
+type response struct {
 	member   messages.Member
 	promise  *messages.PrepareResponse
 	accepted *messages.AcceptResponse
@@ -94,46 +94,46 @@
 type vote struct {
 	ballot messages.Ballot
 	value  valueID
-	by     []messages.Member
+	voters []messages.Member
 	chosen bool
 }
 
 // fleet is a state of the register's model.
-type fleet struct {
+type registerState struct {
 	plan      *Plan
-	table     *values
+	table     *valueTable
 	processes []process
 	requests  []request
 	votes     []vote
 	// wipes, restarts and doubles are how many are left.
-	wipes, restarts, doubles int
-	broken                   error
+	wipes, restarts, duplicates int
+	violation                   error
 }
 
 // NewFleet gives the first state of a plan's model.
-func NewFleet(plan Plan) State {
-	entry := &fleet{plan: &plan, table: newValues(), wipes: plan.Wipes, restarts: plan.Restarts, doubles: plan.Doubles}
+func NewRegisterState(plan Plan) State {
+	state := &registerState{plan: &plan, table: newValues(), wipes: plan.Wipes, restarts: plan.Restarts, duplicates: plan.Duplicates}
 	var first []messages.Member
 	for _, name := range plan.Members {
 		first = append(first, messages.Member{Name: name, Address: name, Disk: "1"})
 	}
-	initial := entry.table.id(&messages.RegisterValue{Acceptors: first})
+	initial := state.table.id(&messages.RegisterValue{Acceptors: first})
 	for _, name := range plan.Members {
-		entry.processes = append(entry.processes, process{name: name, disk: "1", first: first, value: none, known: initial})
+		state.processes = append(state.processes, process{name: name, disk: "1", first: first, value: none, known: initial})
 	}
-	for _, name := range plan.Outsiders {
-		entry.processes = append(entry.processes, process{name: name, disk: "1", value: none, known: initial})
+	for _, name := range plan.NonMembers {
+		state.processes = append(state.processes, process{name: name, disk: "1", value: none, known: initial})
 	}
 	for number, name := range plan.Writers {
-		entry.processes[entry.at(name)].proposer = &proposer{version: messages.Version{Generation: int64(number + 1), Hash: name}, settled: true}
+		state.processes[state.indexOf(name)].proposer = &proposer{version: messages.Version{Generation: int64(number + 1), Hash: name}, ended: true}
 	}
-	for _, name := range plan.Tenders {
-		entry.processes[entry.at(name)].proposer = &proposer{settled: true}
+	for _, name := range plan.Reconcilers {
+		state.processes[state.indexOf(name)].proposer = &proposer{ended: true}
 	}
-	return entry
+	return state
 }
 
-func (f *fleet) at(name string) int {
+func (f *registerState) indexOf(name string) int {
 	for i := range f.processes {
 		if f.processes[i].name == name {
 			return i
@@ -143,7 +143,7 @@
 }
 
 // clone copies what steps change. Proposers are copied by those who change them.
-func (f *fleet) clone() *fleet {
+func (f *registerState) clone() *registerState {
 	next := *f
 	next.processes = append([]process(nil), f.processes...)
 	next.requests = append([]request(nil), f.requests...)
@@ -157,27 +157,27 @@
 }
 
 // acceptor gives the real acceptor with the process's record.
-func (f *fleet) acceptor(i int) *register.Acceptor {
-	at := &f.processes[i]
-	record := messages.AcceptorRecord{Disk: at.disk, First: at.first, Promised: at.promised, Accepted: at.accepted}
-	if at.value != none {
-		record.HasValue, record.Value = true, *f.table.at(at.value)
+func (f *registerState) acceptor(i int) *register.Acceptor {
+	proc := &f.processes[i]
+	record := messages.AcceptorRecord{Disk: proc.disk, First: proc.first, Promised: proc.promised, Accepted: proc.accepted}
+	if proc.value != none {
+		record.HasValue, record.Value = true, *f.table.value(proc.value)
 	}
 	return register.NewAcceptor(record)
 }
 
 // keep takes over what the real acceptor has to have on disk.
-func (f *fleet) keep(i int, acceptor *register.Acceptor) {
-	at, record := &f.processes[i], acceptor.Record()
-	at.promised, at.accepted = record.Promised, record.Accepted
+func (f *registerState) storeRecord(i int, acceptor *register.Acceptor) {
+	proc, record := &f.processes[i], acceptor.Record()
+	proc.promised, proc.accepted = record.Promised, record.Accepted
 	if record.HasValue {
-		at.value = f.table.id(&record.Value)
+		proc.value = f.table.id(&record.Value)
 	}
 }
 
 // learn takes the sets of a value that a process has met.
-func (f *fleet) learn(i int, value *messages.RegisterValue) {
-	known := f.table.at(f.processes[i].known)
+func (f *registerState) learnSets(i int, value *messages.RegisterValue) {
+	known := f.table.value(f.processes[i].known)
 	if len(value.Acceptors) > 0 && (value.SetEpoch >= known.SetEpoch || len(known.Acceptors) == 0) {
 		sets := setsOnly(value)
 		f.processes[i].known = f.table.id(&sets)
--- a/internal/tooling/explore/key.go
+++ b/internal/tooling/explore/key.go
@@ -10,7 +10,7 @@
 
 // Key names the state. The answers of an attempt count as a set, and so do the
 // requests under way.
-func (f *fleet) Key() []byte {
+func (f *registerState) Key() []byte {
 	text := make([]byte, 0, 512)
 	for i := range f.processes {
 		text = f.processes[i].appendKey(text)
@@ -27,13 +27,13 @@
 		text = appendBallot(text, f.votes[index].ballot)
 		text = appendNumber(text, int64(f.votes[index].value))
 		text = strconv.AppendBool(text, f.votes[index].chosen)
-		names := make([]string, 0, len(f.votes[index].by))
-		for _, member := range f.votes[index].by {
+		names := make([]string, 0, len(f.votes[index].voters))
+		for _, member := range f.votes[index].voters {
 			names = append(names, register.Identity(member))
 		}
 		text = appendSet(text, names)
 	}
-	for _, left := range []int{f.wipes, f.restarts, f.doubles} {
+	for _, left := range []int{f.wipes, f.restarts, f.duplicates} {
 		text = appendNumber(text, int64(left))
 	}
 	return text
@@ -50,16 +50,16 @@
 		return text
 	}
 	text = appendNumber(text, int64(run.attempts))
-	text = appendNumber(text, run.life)
-	text = strconv.AppendBool(strconv.AppendBool(strconv.AppendBool(text, run.settled), run.accepting), run.told)
+	text = appendNumber(text, run.incarnation)
+	text = strconv.AppendBool(strconv.AppendBool(strconv.AppendBool(text, run.ended), run.accepting), run.responded)
 	text = appendNumber(text, run.version.Generation)
 	text = appendNumber(text, run.version.Base)
 	text = appendNumber(text, int64(run.versions))
 	text = appendBallot(text, run.ballot)
 	text = appendNumber(text, int64(run.known))
-	keys := make([]string, 0, len(run.answers))
-	for index := range run.answers {
-		keys = append(keys, run.answers[index].key)
+	keys := make([]string, 0, len(run.responses))
+	for index := range run.responses {
+		keys = append(keys, run.responses[index].key)
 	}
 	return appendSet(text, keys)
 }
--- a/internal/tooling/explore/lease_test.go
+++ b/internal/tooling/explore/lease_test.go
@@ -9,32 +9,32 @@
 // Whatever is late, lost, doubled or out of order, and whoever restarts, at most one
 // hold stands, by steady clocks that run up to a tenth too slow or too fast.
 func TestOneLeaseIsValid(t *testing.T) {
-	taken := 0
+	acquired := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		for range leaseHistories {
-			taken += playLease(rt)
+			acquired += runLeaseHistory(rt)
 		}
 	})
-	t.Logf("the duty was taken %d times", taken)
+	t.Logf("the duty was taken %d times", acquired)
 }
 
 // playLease plays one history and tells how often the duty was taken in it.
-func playLease(rt *rapid.T) int {
-	entry := newLeaseWorld(rt)
+func runLeaseHistory(rt *rapid.T) int {
+	model := newLeaseModel(rt)
 	rt.Repeat(map[string]func(*rapid.T){
-		"":         entry.check,
-		"advance":  entry.advance,
-		"ask":      entry.ask,
-		"exchange": entry.exchange, "exchange 2": entry.exchange, "exchange 3": entry.exchange,
-		"deliver": entry.deliver, "deliver 2": entry.deliver,
-		"give up": entry.giveUp, "give up 2": entry.giveUp,
-		"restart": entry.restart,
+		"":         model.check,
+		"advance":  model.advance,
+		"ask":      model.startRound,
+		"exchange": model.exchange, "exchange 2": model.exchange, "exchange 3": model.exchange,
+		"deliver": model.deliver, "deliver 2": model.deliver,
+		"give up": model.giveUp, "give up 2": model.giveUp,
+		"restart": model.restart,
 		"read": func(rt *rapid.T) {
-			entry.nodes[drawNode(rt)].read = entry.duty
+			model.nodes[drawNode(rt)].known = model.duty
 		},
 		"catch up": func(rt *rapid.T) {
-			entry.nodes[drawNode(rt)].view = entry.duty
+			model.nodes[drawNode(rt)].view = model.duty
 		},
 	})
-	return entry.takeover
+	return model.acquired
 }
--- a/internal/tooling/explore/leaseworld_test.go
+++ b/internal/tooling/explore/leaseworld_test.go
@@ -21,110 +21,110 @@
 
 // leaseNode is an acceptor and a candidate on one machine, with a clock of their own.
 type leaseNode struct {
-	rate  float64
-	begun clock.Instant
+	rate      float64
+	startedAt clock.Instant
 	// grants and view are the acceptor: its side of the lease, and the duty as its
 	// register value names it.
 	grants *lease.Grantor
 	view   messages.Leadership
 	// hold, term and read are the candidate: term is its duty while it holds one, and
 	// read the newest duty that it knows.
-	name string
-	life int64
-	turn uint64
+	name        string
+	incarnation int64
+	sequence    uint64
 	// current is the one round that it waits for.
 	current *round
-	hold    lease.Lease
+	lease   lease.Lease
 	term    messages.Leadership
-	read    messages.Leadership
+	known   messages.Leadership
 }
 
 // round is one question to all acceptors.
 type round struct {
-	from     int
-	question messages.LeaseRequest
-	asked    clock.Instant
-	renews   bool
-	granted  map[int]bool
-	latest   uint64
+	from        int
+	request     messages.LeaseRequest
+	sentAt      clock.Instant
+	renews      bool
+	granted     map[int]bool
+	latestEpoch uint64
 }
 
 // leaseWorld plays candidates that seek, renew and release one duty, as stores do.
-type leaseWorld struct {
+type leaseModel struct {
 	now      clock.Instant
 	nodes    [leaseNodes]leaseNode
 	duty     messages.Leadership
 	inFlight []func(rt *rapid.T)
 	names    []string
-	takeover int
+	acquired int
 }
 
-func newLeaseWorld(rt *rapid.T) *leaseWorld {
-	entry := &leaseWorld{}
-	for i := range entry.nodes {
+func newLeaseModel(rt *rapid.T) *leaseModel {
+	model := &leaseModel{}
+	for i := range model.nodes {
 		rate := rapid.Float64Range(slowest, fastest).Draw(rt, "rate")
-		entry.nodes[i] = leaseNode{rate: rate, name: fmt.Sprint("n", i), life: 1, grants: lease.NewGrantor(0, true)}
+		model.nodes[i] = leaseNode{rate: rate, name: fmt.Sprint("n", i), incarnation: 1, grants: lease.NewGrantor(0, true)}
 	}
-	return entry
+	return model
 }
 
 // clock is the steady clock of a machine's process.
-func (l *leaseWorld) clock(i int) clock.Instant {
+func (l *leaseModel) clock(i int) clock.Instant {
 	node := &l.nodes[i]
-	return clock.Instant(float64(l.now-node.begun) * node.rate)
+	return clock.Instant(float64(l.now-node.startedAt) * node.rate)
 }
 
-func (l *leaseWorld) send(name string, function func(rt *rapid.T)) {
+func (l *leaseModel) send(name string, function func(rt *rapid.T)) {
 	l.inFlight, l.names = append(l.inFlight, function), append(l.names, name)
 }
 
 func drawNode(rt *rapid.T) int { return rapid.IntRange(0, leaseNodes-1).Draw(rt, "node") }
 
-func (l *leaseWorld) advance(rt *rapid.T) {
+func (l *leaseModel) advance(rt *rapid.T) {
 	l.now = l.now.Add(clock.Milliseconds(float64(rapid.IntRange(1, 500).Draw(rt, "ms"))))
 }
 
 // ask opens a round of the candidate: it renews what it holds, or seeks the duty.
-func (l *leaseWorld) ask(rt *rapid.T) {
+func (l *leaseModel) startRound(rt *rapid.T) {
 	i := drawNode(rt)
 	node := &l.nodes[i]
-	if node.term.Epoch > 0 && !node.hold.Valid(l.clock(i)) {
+	if node.term.Epoch > 0 && !node.lease.Valid(l.clock(i)) {
 		node.term = messages.Leadership{}
 	}
-	req := messages.LeaseRequest{Candidate: node.name, Incarnation: node.life, Epoch: node.read.Epoch}
+	req := messages.LeaseRequest{Candidate: node.name, Incarnation: node.incarnation, Epoch: node.known.Epoch}
 	if node.term.Epoch > 0 {
 		req.Epoch = node.term.Epoch
 	}
-	current := &round{from: i, question: req, asked: l.clock(i), renews: node.term.Epoch > 0, granted: map[int]bool{}}
-	l.post(current)
+	current := &round{from: i, request: req, sentAt: l.clock(i), renews: node.term.Epoch > 0, granted: map[int]bool{}}
+	l.sendRound(current)
 }
 
-func (l *leaseWorld) post(current *round) {
+func (l *leaseModel) sendRound(current *round) {
 	node := &l.nodes[current.from]
-	node.turn++
-	current.question.Sequence = node.turn
+	node.sequence++
+	current.request.Sequence = node.sequence
 	node.current = current
 	for target := range l.nodes {
-		l.send(fmt.Sprintf("%v to n%d", current.question, target), func(*rapid.T) {
+		l.send(fmt.Sprintf("%v to n%d", current.request, target), func(*rapid.T) {
 			acceptor := &l.nodes[target]
-			resp := acceptor.grants.Grant(current.question, acceptor.view, l.clock(target))
-			l.send(fmt.Sprintf("n%d answers %v: %v", target, current.question, resp), func(rt *rapid.T) {
-				l.hear(rt, current, target, resp)
+			resp := acceptor.grants.Grant(current.request, acceptor.view, l.clock(target))
+			l.send(fmt.Sprintf("n%d answers %v: %v", target, current.request, resp), func(rt *rapid.T) {
+				l.handleResponse(rt, current, target, resp)
 			})
 		})
 	}
 }
 
-func (l *leaseWorld) hear(rt *rapid.T, current *round, from int, resp messages.LeaseResponse) {
+func (l *leaseModel) handleResponse(rt *rapid.T, current *round, from int, resp messages.LeaseResponse) {
 	node := &l.nodes[current.from]
-	if node.current != current || current.question.Release {
+	if node.current != current || current.request.Release {
 		return
 	}
 	current.granted[from] = resp.Granted
-	current.latest = max(current.latest, resp.Epoch)
+	current.latestEpoch = max(current.latestEpoch, resp.Epoch)
 	granted := 0
-	for _, yes := range current.granted {
-		if yes {
+	for _, grantedHere := range current.granted {
+		if grantedHere {
 			granted++
 		}
 	}
@@ -134,44 +134,44 @@
 	node.current = nil
 	switch {
 	case current.renews:
-		if current.latest <= current.question.Epoch && node.term.Epoch == current.question.Epoch {
-			node.hold.Renewed(current.asked)
+		if current.latestEpoch <= current.request.Epoch && node.term.Epoch == current.request.Epoch {
+			node.lease.Renewed(current.sentAt)
 		}
-	case l.duty.Epoch == current.question.Epoch:
-		l.take(rt, node, current)
+	case l.duty.Epoch == current.request.Epoch:
+		l.acquire(rt, node, current)
 	default:
 		l.release(node, current.from)
 	}
 }
 
 // take raises the epoch in the register: a majority of the acceptors knows it.
-func (l *leaseWorld) take(rt *rapid.T, node *leaseNode, current *round) {
-	l.duty = messages.Leadership{Holder: node.name, Incarnation: node.life, Epoch: l.duty.Epoch + 1}
-	without := rapid.IntRange(0, leaseNodes).Draw(rt, "not told")
+func (l *leaseModel) acquire(rt *rapid.T, node *leaseNode, current *round) {
+	l.duty = messages.Leadership{Holder: node.name, Incarnation: node.incarnation, Epoch: l.duty.Epoch + 1}
+	uninformed := rapid.IntRange(0, leaseNodes).Draw(rt, "not told")
 	for i := range l.nodes {
-		if i != without {
+		if i != uninformed {
 			l.nodes[i].view = l.duty
 		}
 	}
-	node.term, node.read = l.duty, l.duty
-	node.hold.Renewed(current.asked)
-	l.takeover++
+	node.term, node.known = l.duty, l.duty
+	node.lease.Renewed(current.sentAt)
+	l.acquired++
 }
 
 // release gives back what was granted.
-func (l *leaseWorld) release(node *leaseNode, i int) {
-	node.hold.Revoke()
+func (l *leaseModel) release(node *leaseNode, i int) {
+	node.lease.Revoke()
 	node.term = messages.Leadership{}
-	l.post(&round{from: i, question: messages.LeaseRequest{Candidate: node.name, Incarnation: node.life, Epoch: node.read.Epoch, Release: true}})
+	l.sendRound(&round{from: i, request: messages.LeaseRequest{Candidate: node.name, Incarnation: node.incarnation, Epoch: node.known.Epoch, Release: true}})
 }
 
 // give up: a candidate that was not granted the duty in time, or leaves, releases it.
-func (l *leaseWorld) giveUp(rt *rapid.T) {
+func (l *leaseModel) giveUp(rt *rapid.T) {
 	i := drawNode(rt)
 	l.release(&l.nodes[i], i)
 }
 
-func (l *leaseWorld) deliver(rt *rapid.T) {
+func (l *leaseModel) deliver(rt *rapid.T) {
 	if len(l.inFlight) == 0 {
 		return
 	}
@@ -186,14 +186,14 @@
 }
 
 // exchange is a round of which most messages arrive at once; the others stay late.
-func (l *leaseWorld) exchange(rt *rapid.T) {
+func (l *leaseModel) exchange(rt *rapid.T) {
 	before := len(l.inFlight)
 	if rapid.Bool().Draw(rt, "up to date") {
 		for i := range l.nodes {
-			l.nodes[i].read = l.duty
+			l.nodes[i].known = l.duty
 		}
 	}
-	l.ask(rt)
+	l.startRound(rt)
 	for i := before; i < len(l.inFlight); {
 		if rapid.IntRange(0, 3).Draw(rt, "late") == 0 {
 			i++
@@ -209,23 +209,23 @@
 
 // restart begins a machine's next life: its clock starts again, the acceptor keeps its
 // register value and forgets its grants, the candidate forgets all.
-func (l *leaseWorld) restart(rt *rapid.T) {
+func (l *leaseModel) restart(rt *rapid.T) {
 	node := &l.nodes[drawNode(rt)]
-	node.begun, node.life, node.turn = l.now, node.life+1, 0
-	node.grants, node.hold, node.current = lease.NewGrantor(0, false), lease.Lease{}, nil
-	node.term, node.read = messages.Leadership{}, messages.Leadership{}
+	node.startedAt, node.incarnation, node.sequence = l.now, node.incarnation+1, 0
+	node.grants, node.lease, node.current = lease.NewGrantor(0, false), lease.Lease{}, nil
+	node.term, node.known = messages.Leadership{}, messages.Leadership{}
 }
 
-func (l *leaseWorld) check(rt *rapid.T) {
-	standing := ""
+func (l *leaseModel) check(rt *rapid.T) {
+	holders := ""
 	count := 0
 	for i := range l.nodes {
-		if node := &l.nodes[i]; node.term.Epoch > 0 && node.hold.Valid(l.clock(i)) {
-			standing += fmt.Sprintf(" %s in epoch %d", node.name, node.term.Epoch)
+		if node := &l.nodes[i]; node.term.Epoch > 0 && node.lease.Valid(l.clock(i)) {
+			holders += fmt.Sprintf(" %s in epoch %d", node.name, node.term.Epoch)
 			count++
 		}
 	}
 	if count > 1 {
-		rt.Fatalf("%d holds stand at once:%s", count, standing)
+		rt.Fatalf("%d holds stand at once:%s", count, holders)
 	}
 }
--- a/internal/tooling/explore/steps.go
+++ b/internal/tooling/explore/steps.go
@@ -23,16 +23,16 @@
 //
 // The answers to a second round count only once they are a quorum: then the proposer
 // hears all of them or none.
-func (f *fleet) Next() []Step {
+func (f *registerState) Next() []Step {
 	var steps []Step
-	if f.broken != nil {
+	if f.violation != nil {
 		return nil
 	}
 	for i := range f.processes {
-		if run := f.processes[i].proposer; run != nil && run.attempts < f.plan.Attempts && !run.told && !f.untouched(run) {
-			steps = f.attempt(steps, i)
+		if run := f.processes[i].proposer; run != nil && run.attempts < f.plan.Attempts && !run.responded && !f.nothingDelivered(run) {
+			steps = f.openBallot(steps, i)
 		}
-		if f.wipes > 0 && f.bearsLoss() {
+		if f.wipes > 0 && f.toleratesLoss() {
 			steps = append(steps, Step{Name: "wipe " + f.processes[i].name, To: f.wipe(i)})
 		}
 		if f.restarts > 0 && f.processes[i].proposer != nil {
@@ -47,15 +47,15 @@
 
 // change gives what a proposer proposes next, or nil; result is what a writer's
 // change came to.
-func (f *fleet) change(i int, known *messages.RegisterValue, result *register.Result) register.Change {
-	at := &f.processes[i]
-	if at.proposer.version.Generation > 0 {
-		return register.Replace(at.proposer.version, []byte(at.proposer.version.Hash), result)
+func (f *registerState) change(i int, known *messages.RegisterValue, result *register.Result) register.Change {
+	proc := &f.processes[i]
+	if proc.proposer.version.Generation > 0 {
+		return register.Replace(proc.proposer.version, []byte(proc.proposer.version.Hash), result)
 	}
-	tending := register.SetReconciler{Own: at.member(), Votes: true, Size: modelSize,
+	reconciler := register.SetReconciler{Own: proc.member(), Votes: true, Size: modelSize,
 		Departed: func(member messages.Member) bool { return member.Address == f.plan.Suspect }}
-	change := tending.NextChange(*known)
-	if change == nil || !f.plan.SettleAtOnce {
+	change := reconciler.NextChange(*known)
+	if change == nil || !f.plan.DropPreviousAtOnce {
 		return change
 	}
 	return func(current messages.RegisterValue) (messages.RegisterValue, register.Verdict) {
@@ -67,31 +67,31 @@
 
 // attempt opens a ballot higher than all before. It may be opened at any moment: the
 // attempt before it was refused, or had no answer in time.
-func (f *fleet) attempt(steps []Step, i int) []Step {
+func (f *registerState) openBallot(steps []Step, i int) []Step {
 	var result register.Result
 	known := f.processes[i].known
-	if f.change(i, f.table.at(known), &result) == nil {
+	if f.change(i, f.table.value(known), &result) == nil {
 		return steps
 	}
 	next := f.clone()
 	run := *f.processes[i].proposer
 	next.processes[i].proposer = &run
 	run.attempts++
-	run.ballot = register.NewBallot(f.highest()+1, f.processes[i].name, f.processes[i].disk, run.life)
-	run.known, run.answers, run.settled, run.accepting = known, nil, false, false
-	_, sends := next.play(i, &result)
-	next.post(i, run.ballot, sends)
-	next.tidy()
+	run.ballot = register.NewBallot(f.highest()+1, f.processes[i].name, f.processes[i].disk, run.incarnation)
+	run.known, run.responses, run.ended, run.accepting = known, nil, false, false
+	_, sends := next.replay(i, &result)
+	next.addRequests(i, run.ballot, sends)
+	next.dropObsolete()
 	return append(steps, Step{Name: fmt.Sprintf("%s opens %v", f.processes[i].name, run.ballot), To: next})
 }
 
 // untouched tells whether an attempt was opened and none of its messages delivered.
-func (f *fleet) untouched(run *proposer) bool {
-	return !run.settled && len(run.answers) == 0
+func (f *registerState) nothingDelivered(run *proposer) bool {
+	return !run.ended && len(run.responses) == 0
 }
 
 // highest is the highest counter used so far.
-func (f *fleet) highest() uint64 {
+func (f *registerState) highest() uint64 {
 	var highest uint64
 	for i := range f.processes {
 		highest = max(highest, f.processes[i].promised.Counter)
@@ -104,15 +104,15 @@
 
 // play runs a proposer's attempt from its beginning. It gives what the last answer,
 // or the beginning, made it send.
-func (f *fleet) play(i int, result *register.Result) (*register.Proposal, []register.Send) {
+func (f *registerState) replay(i int, result *register.Result) (*register.Proposal, []register.Send) {
 	run := f.processes[i].proposer
-	known := f.table.at(run.known)
+	known := f.table.value(run.known)
 	proposal, sends := register.NewProposal(run.ballot, *known, f.change(i, known, result))
-	for _, got := range run.answers {
-		if got.promise != nil {
-			sends = proposal.HandlePrepareResponse(got.member, *got.promise)
+	for _, resp := range run.responses {
+		if resp.promise != nil {
+			sends = proposal.HandlePrepareResponse(resp.member, *resp.promise)
 		} else {
-			proposal.HandleAcceptResponse(got.member, *got.accepted)
+			proposal.HandleAcceptResponse(resp.member, *resp.accepted)
 			sends = nil
 		}
 	}
@@ -120,7 +120,7 @@
 }
 
 // post puts messages under way.
-func (f *fleet) post(i int, ballot messages.Ballot, sends []register.Send) {
+func (f *registerState) addRequests(i int, ballot messages.Ballot, sends []register.Send) {
 	for _, send := range sends {
 		message := request{from: i, ballot: ballot, member: send.Member, value: none}
 		if send.Accept != nil {
@@ -131,113 +131,113 @@
 }
 
 // deliver gives the steps in which one message reaches its acceptor.
-func (f *fleet) deliver(steps []Step, index int) []Step {
-	for _, again := range []bool{false, true} {
-		if again && f.doubles == 0 {
+func (f *registerState) deliver(steps []Step, index int) []Step {
+	for _, duplicate := range []bool{false, true} {
+		if duplicate && f.duplicates == 0 {
 			continue
 		}
 		if f.requests[index].value == none {
-			steps = f.deliverPrepare(steps, index, again)
+			steps = f.deliverPrepare(steps, index, duplicate)
 		} else {
-			steps = f.deliverAccept(steps, index, again)
+			steps = f.deliverAccept(steps, index, duplicate)
 		}
 	}
 	return steps
 }
 
 // taken gives the state without a message, or with it where it comes again.
-func (f *fleet) taken(index int, again bool) *fleet {
+func (f *registerState) withoutRequest(index int, duplicate bool) *registerState {
 	next := f.clone()
-	if again {
-		next.doubles--
+	if duplicate {
+		next.duplicates--
 	} else {
 		next.requests = slices.Delete(next.requests, index, index+1)
 	}
 	return next
 }
 
-func (f *fleet) deliverPrepare(steps []Step, index int, again bool) []Step {
+func (f *registerState) deliverPrepare(steps []Step, index int, duplicate bool) []Step {
 	message := f.requests[index]
-	target := f.at(message.member.Name)
+	target := f.indexOf(message.member.Name)
 	acceptor := f.acceptor(target)
-	promise, _ := acceptor.Prepare(&messages.PrepareRequest{Ballot: message.ballot, Disk: f.asked(&message)})
-	known := f.table.at(f.processes[message.from].proposer.known)
+	promise, _ := acceptor.Prepare(&messages.PrepareRequest{Ballot: message.ballot, Disk: f.targetDisk(&message)})
+	known := f.table.value(f.processes[message.from].proposer.known)
 	if !promise.Granted && promise.Value.SetEpoch <= known.SetEpoch {
 		return steps
 	}
 	if f.plan.IgnoreAccepted {
 		promise.Accepted = messages.Ballot{}
 	}
-	next := f.taken(index, again)
-	next.keep(target, acceptor)
-	got := answer{member: message.member, promise: &promise}
-	got.key = fmt.Sprint(register.Identity(message.member), promise.Granted, promise.Accepted, f.processes[target].value)
-	next.hear(message.from, got)
-	next.tidy()
+	next := f.withoutRequest(index, duplicate)
+	next.storeRecord(target, acceptor)
+	resp := response{member: message.member, promise: &promise}
+	resp.key = fmt.Sprint(register.Identity(message.member), promise.Granted, promise.Accepted, f.processes[target].value)
+	next.handleResponse(message.from, resp)
+	next.dropObsolete()
 	name := fmt.Sprintf("%v prepared at %s, granted=%v", message.ballot, message.member.Name, promise.Granted)
 	return append(steps, Step{Name: name, To: next, Message: true})
 }
 
-func (f *fleet) deliverAccept(steps []Step, index int, again bool) []Step {
+func (f *registerState) deliverAccept(steps []Step, index int, duplicate bool) []Step {
 	message := f.requests[index]
-	target, value := f.at(message.member.Name), f.table.at(message.value)
+	target, value := f.indexOf(message.member.Name), f.table.value(message.value)
 	acceptor := f.acceptor(target)
-	accepted, _ := acceptor.Accept(&messages.AcceptRequest{Ballot: message.ballot, Disk: f.asked(&message), Value: *value})
+	accepted, _ := acceptor.Accept(&messages.AcceptRequest{Ballot: message.ballot, Disk: f.targetDisk(&message), Value: *value})
 	if !accepted.Granted {
 		return steps
 	}
-	next := f.taken(index, again)
-	next.keep(target, acceptor)
-	next.learn(target, value)
-	voters := next.vote(message.ballot, message.value, message.member)
+	next := f.withoutRequest(index, duplicate)
+	next.storeRecord(target, acceptor)
+	next.learnSets(target, value)
+	voters := next.recordVote(message.ballot, message.value, message.member)
 	name := fmt.Sprintf("%v accepted at %s: versions=%v epoch=%d", message.ballot, message.member.Name, versions(value), value.SetEpoch)
-	if run := f.processes[message.from].proposer; voters != nil && run.ballot == message.ballot && !run.settled {
-		lastContact := next.clone()
+	if run := f.processes[message.from].proposer; voters != nil && run.ballot == message.ballot && !run.ended {
+		withQuorum := next.clone()
 		for _, voter := range voters {
-			lastContact.hear(message.from, answer{member: voter, accepted: &messages.AcceptResponse{Granted: true, Promised: message.ballot}})
+			withQuorum.handleResponse(message.from, response{member: voter, accepted: &messages.AcceptResponse{Granted: true, Promised: message.ballot}})
 		}
-		lastContact.tidy()
-		steps = append(steps, Step{Name: name + ", and told", To: lastContact, Message: true})
+		withQuorum.dropObsolete()
+		steps = append(steps, Step{Name: name + ", and told", To: withQuorum, Message: true})
 	}
-	next.tidy()
+	next.dropObsolete()
 	return append(steps, Step{Name: name, To: next, Message: true})
 }
 
 // asked is the disk identity that a message names; the broken acceptor of
 // Plan.KeepIdentity answers for any.
-func (f *fleet) asked(message *request) string {
+func (f *registerState) targetDisk(message *request) string {
 	if f.plan.KeepIdentity {
-		return f.processes[f.at(message.member.Name)].disk
+		return f.processes[f.indexOf(message.member.Name)].disk
 	}
 	return message.member.Disk
 }
 
 // waits tells whether the sender of a prepare still waits for its answer.
-func (f *fleet) waits(message *request) bool {
+func (f *registerState) awaitsResponse(message *request) bool {
 	run := f.processes[message.from].proposer
-	return !run.settled && run.ballot == message.ballot && !run.accepting
+	return !run.ended && run.ballot == message.ballot && !run.accepting
 }
 
 // hear gives an answer to a proposer.
-func (f *fleet) hear(i int, got answer) {
+func (f *registerState) handleResponse(i int, resp response) {
 	run := *f.processes[i].proposer
-	run.answers = append(append([]answer(nil), run.answers...), got)
+	run.responses = append(append([]response(nil), run.responses...), resp)
 	f.processes[i].proposer = &run
 	var result register.Result
-	proposal, sends := f.play(i, &result)
-	f.post(i, run.ballot, sends)
+	proposal, sends := f.replay(i, &result)
+	f.addRequests(i, run.ballot, sends)
 	switch proposal.Stage() {
 	case register.StageAccept:
 		run.accepting = true
 	case register.StageDone:
 		value := proposal.Value()
-		run.settled, run.answers = true, nil
-		f.learn(i, &value)
-		f.told(&run, &value, result)
+		run.ended, run.responses = true, nil
+		f.learnSets(i, &value)
+		f.recordResult(&run, &value, result)
 	case register.StageLost:
-		run.settled, run.answers = true, nil
+		run.ended, run.responses = true, nil
 		if newer := proposal.Newer(); newer != nil {
-			f.learn(i, newer)
+			f.learnSets(i, newer)
 		}
 	}
 }
--- a/internal/tooling/explore/tidy.go
+++ b/internal/tooling/explore/tidy.go
@@ -9,13 +9,13 @@
 
 // tidy drops messages that can change nothing any more: whoever would refuse them
 // now refuses them for ever.
-func (f *fleet) tidy() {
+func (f *registerState) dropObsolete() {
 	retained := f.requests[:0]
 	for index := range f.requests {
 		message := &f.requests[index]
-		at := &f.processes[f.at(message.member.Name)]
-		refused := register.Less(message.ballot, at.promised) || (at.disk != message.member.Disk && !f.plan.KeepIdentity)
-		if (message.value == none && f.waits(message)) || (message.value != none && !refused) {
+		target := &f.processes[f.indexOf(message.member.Name)]
+		refused := register.Less(message.ballot, target.promised) || (target.disk != message.member.Disk && !f.plan.KeepIdentity)
+		if (message.value == none && f.awaitsResponse(message)) || (message.value != none && !refused) {
 			retained = append(retained, *message)
 		}
 	}
@@ -24,7 +24,7 @@
 }
 
 // mayBeChosen tells whether accepts of a ballot are under way or can still be sent.
-func (f *fleet) mayBeChosen(ballot messages.Ballot) bool {
+func (f *registerState) mayBeChosen(ballot messages.Ballot) bool {
 	for index := range f.requests {
 		if f.requests[index].ballot == ballot {
 			return true
--- a/internal/tooling/explore/values.go
+++ b/internal/tooling/explore/values.go
@@ -12,15 +12,15 @@
 
 // values is a table of all register values that an exploration has met, so that
 // states hold small numbers. Values in it are never changed.
-type values struct {
+type valueTable struct {
 	lock  sync.RWMutex
 	list  []messages.RegisterValue
 	index map[string]valueID
 }
 
-func newValues() *values { return &values{index: map[string]valueID{}} }
+func newValues() *valueTable { return &valueTable{index: map[string]valueID{}} }
 
-func (v *values) id(value *messages.RegisterValue) valueID {
+func (v *valueTable) id(value *messages.RegisterValue) valueID {
 	text, err := value.MarshalMsg(nil)
 	if err != nil {
 		panic(err)
@@ -36,7 +36,7 @@
 	return id
 }
 
-func (v *values) at(id valueID) *messages.RegisterValue {
+func (v *valueTable) value(id valueID) *messages.RegisterValue {
 	v.lock.RLock()
 	defer v.lock.RUnlock()
 	return &v.list[id]
--- a/internal/tooling/linearize/controller.go
+++ b/internal/tooling/linearize/controller.go
@@ -12,14 +12,14 @@
 // controller is one simulated control machine: an acceptor whose record stands in a
 // log file on a fake disk, and what its process knows.
 type controller struct {
-	name     string
-	disk     *simulation.Disk
-	logfile  *recordlog.Log
-	acceptor *register.Acceptor
-	down     bool
-	life     int64
-	counter  uint64
-	known    messages.RegisterValue
+	name        string
+	disk        *simulation.Disk
+	logfile     *recordlog.Log
+	acceptor    *register.Acceptor
+	down        bool
+	incarnation int64
+	counter     uint64
+	known       messages.RegisterValue
 }
 
 // start reads the disk: nothing else is known to a new life.
@@ -39,7 +39,7 @@
 	}
 	c.acceptor = register.NewAcceptor(record)
 	c.down, c.counter, c.known = false, 0, c.acceptor.Value()
-	c.life++
+	c.incarnation++
 	return c.write()
 }
 
@@ -68,4 +68,4 @@
 }
 
 // identity names a disk that came back empty.
-func (c *controller) identity() string { return fmt.Sprintf("%s-%d", c.name, c.life) }
+func (c *controller) identity() string { return fmt.Sprintf("%s-%d", c.name, c.incarnation) }
--- a/internal/tooling/linearize/fleet.go
+++ b/internal/tooling/linearize/fleet.go
@@ -15,41 +15,41 @@
 	attemptMs = 400
 	attempts  = 4
 	// silentMs is how long a member is down before others take its place.
-	silentMs = 2500
+	departedAfterMs = 2500
 )
 
 // Breaks takes guards of the fleet out, so that a test can see the check find it.
-type Breaks struct {
+type Defects struct {
 	// KeepIdentity: a machine whose disk came back empty votes under its old identity.
 	KeepIdentity bool
 	// ReadOne: a read believes the first acceptor that answers.
-	ReadOne bool
+	ReadFromOne bool
 	// RefuseResent: a version that was taken is refused when it is sent again.
-	RefuseResent bool
+	RejectResent bool
 	// AnswerUnsynced: an acceptor answers before its record is on disk.
-	AnswerUnsynced bool
+	RespondUnsynced bool
 }
 
 // Fleet is a seeded simulation of the control machines with the real core of the
 // register, of operators who call them, and of their worst days.
 type Fleet struct {
-	History History
-	breaks  Breaks
-	world   *simulation.World
-	names   []string
-	nodes   map[string]*controller
-	since   map[string]clock.Instant
+	History   History
+	defects   Defects
+	world     *simulation.World
+	names     []string
+	nodes     map[string]*controller
+	downSince map[string]clock.Instant
 	// crash says that the next proposer that begins its second round dies in it.
-	crash bool
+	crashNextProposer bool
 	// next is the highest generation that any operator has used.
-	next int64
-	err  error
+	highestGeneration int64
+	err               error
 }
 
 // NewFleet makes a fleet of five control machines, three of them acceptors.
-func NewFleet(seed int64, breaks Breaks) *Fleet {
-	fleet := &Fleet{breaks: breaks, world: simulation.NewWorld(seed), names: []string{"a", "b", "c", "d", "e"},
-		nodes: map[string]*controller{}, since: map[string]clock.Instant{}}
+func NewFleet(seed int64, breaks Defects) *Fleet {
+	fleet := &Fleet{defects: breaks, world: simulation.NewWorld(seed), names: []string{"a", "b", "c", "d", "e"},
+		nodes: map[string]*controller{}, downSince: map[string]clock.Instant{}}
 	fleet.world.Loss, fleet.world.Double = 0.05, 0.05
 	var first []messages.Member
 	for _, name := range fleet.names[:setSize] {
@@ -58,8 +58,8 @@
 	for i, name := range fleet.names {
 		node := &controller{name: name, disk: simulation.NewDisk(seed + int64(i))}
 		fleet.nodes[name] = node
-		fleet.fail(node.start(name, first))
-		fleet.tend(name)
+		fleet.recordError(node.start(name, first))
+		fleet.reconcile(name)
 	}
 	return fleet
 }
@@ -67,22 +67,22 @@
 // Run plays the fleet's day and gives the first error of its machinery.
 func (f *Fleet) Run(span clock.Duration) error {
 	for number := range operators {
-		f.operate(number, f.world.Now.Add(span))
+		f.runOperator(number, f.world.Now.Add(span))
 	}
-	f.trouble(f.world.Now.Add(span))
+	f.scheduleFaults(f.world.Now.Add(span))
 	f.world.Run(f.world.Now.Add(span + clock.Milliseconds(20_000)))
 	return f.err
 }
 
-func (f *Fleet) fail(err error) {
+func (f *Fleet) recordError(err error) {
 	if f.err == nil {
 		f.err = err
 	}
 }
 
 // after runs a function in a random time between two, in milliseconds.
-func (f *Fleet) after(least, most float64, function func()) {
-	f.world.After(clock.Milliseconds(least+(most-least)*f.world.Random.Float64()), function)
+func (f *Fleet) afterRandom(minMs, maxMs float64, function func()) {
+	f.world.After(clock.Milliseconds(minMs+(maxMs-minMs)*f.world.Random.Float64()), function)
 }
 
 func (f *Fleet) any() *controller {
@@ -91,36 +91,36 @@
 
 // tend is what each process does about once in half a second: learn of newer sets from
 // others, then propose what the step says.
-func (f *Fleet) tend(name string) {
-	f.after(200, 800, func() {
-		f.tend(name)
+func (f *Fleet) reconcile(name string) {
+	f.afterRandom(200, 800, func() {
+		f.reconcile(name)
 		node := f.nodes[name]
 		if node.down {
 			return
 		}
 		if other := f.any(); !other.down && (other.known.SetEpoch > node.known.SetEpoch || len(node.known.Acceptors) == 0) {
-			known, incarnation := other.known, node.life
+			known, incarnation := other.known, node.incarnation
 			f.world.Send(other.name, name, func() {
-				if node.life == incarnation {
+				if node.incarnation == incarnation {
 					node.learn(known)
 				}
 			})
 		}
-		tending := register.SetReconciler{Own: node.member(), Votes: true, Size: setSize, Departed: f.gone}
-		if change := tending.NextChange(node.known); change != nil {
+		reconciler := register.SetReconciler{Own: node.member(), Votes: true, Size: setSize, Departed: f.departed}
+		if change := reconciler.NextChange(node.known); change != nil {
 			f.propose(node, change, attempts, func(*messages.RegisterValue) {})
 		}
 	})
 }
 
-func (f *Fleet) gone(member messages.Member) bool {
+func (f *Fleet) departed(member messages.Member) bool {
 	node := f.nodes[member.Address]
-	return node.down && f.world.Now.Sub(f.since[member.Address]) > clock.Milliseconds(silentMs)
+	return node.down && f.world.Now.Sub(f.downSince[member.Address]) > clock.Milliseconds(departedAfterMs)
 }
 
 // whole tells whether all machines are up, none is cut off, and the newest set known
 // anywhere is complete with the disks that its members have.
-func (f *Fleet) whole() bool {
+func (f *Fleet) healthy() bool {
 	var newest messages.RegisterValue
 	for _, name := range f.names {
 		node := f.nodes[name]
--- a/internal/tooling/linearize/history.go
+++ b/internal/tooling/linearize/history.go
@@ -37,7 +37,7 @@
 // Operation is one operation under way.
 type Operation struct {
 	history *History
-	place   int
+	index   int
 }
 
 // Begin notes that a client begins an operation at a moment. Until it ends, it counts
@@ -46,7 +46,7 @@
 	h.operations = append(h.operations, porcupine.Operation{
 		ClientId: client, Input: input, Call: now, Output: unclear, Return: math.MaxInt64,
 	})
-	return &Operation{history: h, place: len(h.operations) - 1}
+	return &Operation{history: h, index: len(h.operations) - 1}
 }
 
 // End notes its clear answer; an unclear one leaves it open for ever.
@@ -54,8 +54,8 @@
 	if reply.Unclear() {
 		return
 	}
-	entry := &o.history.operations[o.place]
-	entry.Output, entry.Return = reply, now
+	operation := &o.history.operations[o.index]
+	operation.Output, operation.Return = reply, now
 }
 
 // Len is the number of operations.
@@ -87,12 +87,12 @@
 func (h *History) describe(model porcupine.Model) string {
 	text := ""
 	for index := range h.operations {
-		entry := &h.operations[index]
+		operation := &h.operations[index]
 		end := "open"
-		if entry.Return != math.MaxInt64 {
-			end = fmt.Sprintf("%.1f", float64(entry.Return)/1e6)
+		if operation.Return != math.MaxInt64 {
+			end = fmt.Sprintf("%.1f", float64(operation.Return)/1e6)
 		}
-		text += fmt.Sprintf("\n  %8.1f to %8s ms, client %d: %s", float64(entry.Call)/1e6, end, entry.ClientId, model.DescribeOperation(entry.Input, entry.Output))
+		text += fmt.Sprintf("\n  %8.1f to %8s ms, client %d: %s", float64(operation.Call)/1e6, end, operation.ClientId, model.DescribeOperation(operation.Input, operation.Output))
 	}
 	return text
 }
--- a/internal/tooling/linearize/jobs.go
+++ b/internal/tooling/linearize/jobs.go
@@ -58,7 +58,7 @@
 
 // jobState is the state of one sequential lot.
 type jobState struct {
-	taken bool
+	accepted bool
 	// results holds the results that callers were told, by position; those that were
 	// listed and that nobody read are empty.
 	results string
@@ -109,26 +109,26 @@
 
 func stepJob(state jobState, call JobCall, reply JobReply) []any {
 	next := state
-	next.taken = true
+	next.accepted = true
 	switch {
 	case reply.Unclear() && call.Kind == JobSubmit:
 		return []any{state, next}
 	case reply.Unclear():
 		return []any{state}
 	case reply.Outcome == JobMissing || reply.Outcome == JobRejected:
-		return only(state, !state.taken)
+		return stateIf(state, !state.accepted)
 	case call.Kind == JobSubmit:
 		return []any{next}
 	case call.Kind == JobEnd:
-		return only(state, state.taken)
+		return stateIf(state, state.accepted)
 	default:
-		read, fits := state.read(call.From, reply.Results)
-		return only(read, state.taken && fits)
+		read, allowed := state.read(call.From, reply.Results)
+		return stateIf(read, state.accepted && allowed)
 	}
 }
 
-func only(state jobState, legal bool) []any {
-	if !legal {
+func stateIf(state jobState, allowed bool) []any {
+	if !allowed {
 		return nil
 	}
 	return []any{state}
--- a/internal/tooling/linearize/jobs_test.go
+++ b/internal/tooling/linearize/jobs_test.go
@@ -15,33 +15,33 @@
 
 func checkJobs(list []jobOperation) error {
 	history := History{}
-	for client, entry := range list {
-		history.Begin(client, entry.call, JobReply{}, entry.begun).End(entry.reply, entry.ended)
+	for client, operation := range list {
+		history.Begin(client, operation.call, JobReply{}, operation.begun).End(operation.reply, operation.ended)
 	}
 	return history.Check(JobsModel(), checkLimit)
 }
 
 func TestJobsModel(t *testing.T) {
-	handIn, end := JobCall{Kind: JobSubmit, Lot: "x"}, JobCall{Kind: JobEnd, Lot: "x"}
+	submit, end := JobCall{Kind: JobSubmit, Lot: "x"}, JobCall{Kind: JobEnd, Lot: "x"}
 	read := func(from int) JobCall { return JobCall{Kind: JobRead, Lot: "x", From: from} }
 	received := func(results ...string) JobReply { return JobReply{Outcome: JobDone, Results: results} }
 	refused, missing := JobReply{Outcome: JobRejected}, JobReply{Outcome: JobMissing}
-	for name, entry := range map[string]struct {
+	for name, test := range map[string]struct {
 		legal bool
 		list  []jobOperation
 	}{
-		"taken, read, ended":           {true, []jobOperation{{0, 1, handIn, received()}, {2, 3, read(0), received("a", "b")}, {4, 5, read(1), received("b", "c")}, {6, 7, end, received()}, {8, 9, read(3), received()}}},
-		"an unclear one may come late": {true, []jobOperation{{0, 1, handIn, JobReply{}}, {2, 3, read(0), missing}, {4, 5, handIn, refused}, {6, 7, read(0), received("a")}}},
-		"one read skips a part":        {true, []jobOperation{{0, 1, handIn, received()}, {2, 3, read(2), received("c")}, {4, 5, read(0), received("a", "b", "c")}}},
-		"a taken lot is missing":       {false, []jobOperation{{0, 1, handIn, received()}, {2, 3, read(0), missing}}},
-		"a taken lot is refused":       {false, []jobOperation{{0, 1, handIn, received()}, {2, 3, handIn, refused}}},
-		"a refused lot runs":           {false, []jobOperation{{0, 1, handIn, refused}, {2, 3, read(0), received("a")}}},
-		"a result changes":             {false, []jobOperation{{0, 1, handIn, received()}, {2, 3, read(0), received("a", "b")}, {4, 5, read(1), received("c")}}},
-		"a listed result is gone":      {false, []jobOperation{{0, 1, handIn, received()}, {2, 3, read(0), received("a", "b")}, {4, 5, read(1), received()}}},
-		"two readers at once disagree": {false, []jobOperation{{0, 1, handIn, received()}, {2, 5, read(0), received("a")}, {3, 4, read(0), received("b")}}},
+		"taken, read, ended":           {true, []jobOperation{{0, 1, submit, received()}, {2, 3, read(0), received("a", "b")}, {4, 5, read(1), received("b", "c")}, {6, 7, end, received()}, {8, 9, read(3), received()}}},
+		"an unclear one may come late": {true, []jobOperation{{0, 1, submit, JobReply{}}, {2, 3, read(0), missing}, {4, 5, submit, refused}, {6, 7, read(0), received("a")}}},
+		"one read skips a part":        {true, []jobOperation{{0, 1, submit, received()}, {2, 3, read(2), received("c")}, {4, 5, read(0), received("a", "b", "c")}}},
+		"a taken lot is missing":       {false, []jobOperation{{0, 1, submit, received()}, {2, 3, read(0), missing}}},
+		"a taken lot is refused":       {false, []jobOperation{{0, 1, submit, received()}, {2, 3, submit, refused}}},
+		"a refused lot runs":           {false, []jobOperation{{0, 1, submit, refused}, {2, 3, read(0), received("a")}}},
+		"a result changes":             {false, []jobOperation{{0, 1, submit, received()}, {2, 3, read(0), received("a", "b")}, {4, 5, read(1), received("c")}}},
+		"a listed result is gone":      {false, []jobOperation{{0, 1, submit, received()}, {2, 3, read(0), received("a", "b")}, {4, 5, read(1), received()}}},
+		"two readers at once disagree": {false, []jobOperation{{0, 1, submit, received()}, {2, 5, read(0), received("a")}, {3, 4, read(0), received("b")}}},
 	} {
-		err := checkJobs(entry.list)
-		if entry.legal && err != nil || !entry.legal && !errs.Is(err, ErrNotLinearizable) {
+		err := checkJobs(test.list)
+		if test.legal && err != nil || !test.legal && !errs.Is(err, ErrNotLinearizable) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/tooling/linearize/operators.go
+++ b/internal/tooling/linearize/operators.go
@@ -13,18 +13,18 @@
 	operators = 4
 	// callMs is how long an operator waits before it sends a call again, to another
 	// machine, and sendings how often it sends it before it gives up.
-	callMs   = 700
-	sendings = 3
+	resendMs = 700
+	sendsMax = 3
 )
 
 // operate is one operator's day: reads, versions on the version it last heard of, and
 // now and then bytes of another operator, an old base, or a number that was used.
-func (f *Fleet) operate(number int, until clock.Instant) {
+func (f *Fleet) runOperator(number int, stopAt clock.Instant) {
 	var base int64
 	var last messages.Version
 	var next func()
 	next = func() {
-		if f.world.Now > until {
+		if f.world.Now > stopAt {
 			return
 		}
 		call := RegisterCall{}
@@ -36,13 +36,13 @@
 			if reply.Outcome == RegisterRead {
 				base = reply.Found.Generation
 			}
-			if reply.Outcome == RegisterTaken {
+			if reply.Outcome == RegisterApplied {
 				base = max(base, call.Version.Generation)
 			}
-			f.after(10, 900, next)
+			f.afterRandom(10, 900, next)
 		})
 	}
-	f.after(0, 500, next)
+	f.afterRandom(0, 500, next)
 }
 
 func (f *Fleet) version(number int, base int64, last messages.Version) messages.Version {
@@ -51,10 +51,10 @@
 		return last
 	}
 	version := messages.Version{Base: base, Hash: fmt.Sprint("operator", number)}
-	if f.next <= base || f.world.Random.Intn(4) > 0 {
-		f.next = max(f.next, base) + 1
+	if f.highestGeneration <= base || f.world.Random.Intn(4) > 0 {
+		f.highestGeneration = max(f.highestGeneration, base) + 1
 	}
-	version.Generation = f.next
+	version.Generation = f.highestGeneration
 	if f.world.Random.Intn(4) == 0 {
 		// Two operators with the same bytes.
 		version.Hash = "shared"
@@ -63,20 +63,20 @@
 }
 
 // call sends a call until it has a clear answer or the operator gives up.
-func (f *Fleet) call(number int, call RegisterCall, ended func(reply RegisterReply)) {
+func (f *Fleet) call(number int, call RegisterCall, done func(reply RegisterReply)) {
 	operation := f.History.Begin(number, call, RegisterReply{}, int64(f.world.Now))
-	over := false
+	finished := false
 	finish := func(reply RegisterReply) {
-		if over {
+		if finished {
 			return
 		}
-		over = true
+		finished = true
 		operation.End(reply, int64(f.world.Now))
-		ended(reply)
+		done(reply)
 	}
 	var send func(left int)
 	send = func(left int) {
-		if over {
+		if finished {
 			return
 		}
 		if left == 0 {
@@ -93,9 +93,9 @@
 				})
 			})
 		})
-		f.world.After(clock.Milliseconds(callMs), func() { send(left - 1) })
+		f.world.After(clock.Milliseconds(resendMs), func() { send(left - 1) })
 	}
-	send(sendings)
+	send(sendsMax)
 }
 
 // serve is what a control machine does with a call.
@@ -110,8 +110,8 @@
 	}
 	var result register.Result
 	change := register.Replace(call.Version, []byte(call.Version.Hash), &result)
-	if f.breaks.RefuseResent {
-		change = refuseResent(change, call.Version, &result)
+	if f.defects.RejectResent {
+		change = rejectResent(change, call.Version, &result)
 	}
 	f.propose(node, change, attempts, func(value *messages.RegisterValue) {
 		if value != nil {
@@ -123,18 +123,18 @@
 func outcome(result register.Result) RegisterOutcome {
 	switch result {
 	case register.ResultApplied, register.ResultAlreadyApplied:
-		return RegisterTaken
+		return RegisterApplied
 	case register.ResultConflict:
-		return RegisterOther
+		return RegisterConflict
 	case register.ResultGenerationTooOld:
-		return RegisterOld
+		return RegisterGenerationTooOld
 	default:
 		return RegisterUnclear
 	}
 }
 
 // refuseResent is the change of Breaks.RefuseResent.
-func refuseResent(change register.Change, version messages.Version, result *register.Result) register.Change {
+func rejectResent(change register.Change, version messages.Version, result *register.Result) register.Change {
 	return func(current messages.RegisterValue) (messages.RegisterValue, register.Verdict) {
 		next, verdict := change(current)
 		if *result == register.ResultAlreadyApplied && current.Current.Generation != version.Base {
--- a/internal/tooling/linearize/propose.go
+++ b/internal/tooling/linearize/propose.go
@@ -9,49 +9,49 @@
 // attempt is one proposal on its way.
 type attempt struct {
 	*Fleet
-	node     *controller
-	life     int64
-	proposal *register.Proposal
-	over     bool
+	node        *controller
+	incarnation int64
+	proposal    *register.Proposal
+	finished    bool
 	// again makes the next attempt, and ended takes the outcome.
-	again func()
-	ended func(value *messages.RegisterValue)
+	retry func()
+	done  func(value *messages.RegisterValue)
 }
 
 // propose drives a change from a node. Ended is called once, with nil where the
 // outcome is unclear, or never where the process dies.
-func (f *Fleet) propose(node *controller, change register.Change, attempts int, ended func(value *messages.RegisterValue)) {
+func (f *Fleet) propose(node *controller, change register.Change, attempts int, done func(value *messages.RegisterValue)) {
 	if node.down || attempts == 0 || len(node.known.Acceptors) == 0 {
-		ended(nil)
+		done(nil)
 		return
 	}
 	node.counter++
-	ballot := register.NewBallot(node.counter, node.name, node.acceptor.Disk(), node.life)
+	ballot := register.NewBallot(node.counter, node.name, node.acceptor.Disk(), node.incarnation)
 	proposal, sends := register.NewProposal(ballot, node.known, change)
-	entry := &attempt{Fleet: f, node: node, life: node.life, proposal: proposal, ended: ended}
-	entry.again = func() {
-		if !entry.dead() {
-			f.propose(node, change, attempts-1, ended)
+	current := &attempt{Fleet: f, node: node, incarnation: node.incarnation, proposal: proposal, done: done}
+	current.retry = func() {
+		if !current.stale() {
+			f.propose(node, change, attempts-1, done)
 		}
 	}
-	entry.send(sends)
+	current.send(sends)
 	f.world.After(clock.Milliseconds(attemptMs), func() {
-		if !entry.over {
-			entry.over = true
-			entry.again()
+		if !current.finished {
+			current.finished = true
+			current.retry()
 		}
 	})
 }
 
 // dead tells whether the incarnation that made the attempt is over.
-func (a *attempt) dead() bool { return a.node.down || a.node.life != a.life }
+func (a *attempt) stale() bool { return a.node.down || a.node.incarnation != a.incarnation }
 
 func (a *attempt) send(list []register.Send) {
-	if len(list) > 0 && list[0].Accept != nil && a.crash {
+	if len(list) > 0 && list[0].Accept != nil && a.crashNextProposer {
 		// The worst moment: the second round is decided on, and some get it.
-		a.crash = false
+		a.crashNextProposer = false
 		list = list[:a.world.Random.Intn(len(list))]
-		a.world.After(0, func() { a.bounce(a.node, a.world.Random.Intn(2) == 0) })
+		a.world.After(0, func() { a.restart(a.node, a.world.Random.Intn(2) == 0) })
 	}
 	for _, message := range list {
 		target := a.nodes[message.Member.Address]
@@ -60,81 +60,81 @@
 				return
 			}
 			if message.Prepare != nil {
-				resp, keep := target.acceptor.Prepare(message.Prepare)
-				a.answer(target, keep, func() { a.hear(a.proposal.HandlePrepareResponse(message.Member, resp)) })
+				resp, mustWrite := target.acceptor.Prepare(message.Prepare)
+				a.respond(target, mustWrite, func() { a.advance(a.proposal.HandlePrepareResponse(message.Member, resp)) })
 				return
 			}
-			resp, keep := target.acceptor.Accept(message.Accept)
-			if keep {
+			resp, mustWrite := target.acceptor.Accept(message.Accept)
+			if mustWrite {
 				target.learn(message.Accept.Value)
 			}
-			a.answer(target, keep, func() {
+			a.respond(target, mustWrite, func() {
 				a.proposal.HandleAcceptResponse(message.Member, resp)
-				a.hear(nil)
+				a.advance(nil)
 			})
 		})
 	}
 }
 
 // answer sends an answer once the record behind it is on disk.
-func (a *attempt) answer(target *controller, keep bool, arrived func()) {
-	if keep && !a.breaks.AnswerUnsynced {
-		a.fail(target.write())
+func (a *attempt) respond(target *controller, mustWrite bool, deliver func()) {
+	if mustWrite && !a.defects.RespondUnsynced {
+		a.recordError(target.write())
 	}
-	a.after(0, 15, func() {
+	a.afterRandom(0, 15, func() {
 		if target.down {
 			return
 		}
 		a.world.Send(target.name, a.node.name, func() {
-			if !a.over && !a.dead() {
-				arrived()
+			if !a.finished && !a.stale() {
+				deliver()
 			}
 		})
 	})
 }
 
 // hear sends what an answer led to, and looks where the proposal stands.
-func (a *attempt) hear(list []register.Send) {
+func (a *attempt) advance(list []register.Send) {
 	a.send(list)
 	node, proposal := a.node, a.proposal
 	switch proposal.Stage() {
 	case register.StageDone:
-		a.over = true
+		a.finished = true
 		value := proposal.Value()
 		node.learn(value)
 		if proposal.FinishedOther() {
-			a.again()
+			a.retry()
 			return
 		}
-		a.ended(&value)
+		a.done(&value)
 	case register.StageLost:
-		a.over = true
+		a.finished = true
 		node.counter = max(node.counter, proposal.Highest().Counter)
 		if newer := proposal.Newer(); newer != nil {
 			node.learn(*newer)
 		}
-		a.after(5, 120, a.again)
+		a.afterRandom(5, 120, a.retry)
 	}
 }
 
 // read is the quick look, and a whole proposal where that does not settle it.
-func (f *Fleet) read(node *controller, ended func(value *messages.RegisterValue)) {
+func (f *Fleet) read(node *controller, done func(value *messages.RegisterValue)) {
 	if node.down || len(node.known.Acceptors) == 0 {
-		ended(nil)
+		done(nil)
 		return
 	}
 	reading, sends := register.NewQuorumRead(node.known)
-	incarnation, over := node.life, false
+	incarnation, finished := node.incarnation, false
 	settle := func(value *messages.RegisterValue) {
-		if over || node.down || node.life != incarnation {
+		if finished || node.down || node.incarnation != incarnation {
 			return
 		}
-		over = true
+		finished = true
 		if value != nil {
-			ended(value)
+			done(value)
 			return
 		}
-		f.propose(node, register.ReadOnly, attempts, ended)
+		f.propose(node, register.ReadOnly, attempts, done)
 	}
 	for _, message := range sends {
 		target := f.nodes[message.Member.Address]
@@ -145,7 +145,7 @@
 			resp, _ := target.acceptor.Prepare(message.Prepare)
 			f.world.Send(target.name, node.name, func() {
 				value, completed := reading.HandlePrepareResponse(message.Member, resp)
-				if f.breaks.ReadOne {
+				if f.defects.ReadFromOne {
 					value, completed = &resp.Value, true
 				}
 				if completed {
--- a/internal/tooling/linearize/register.go
+++ b/internal/tooling/linearize/register.go
@@ -23,12 +23,12 @@
 	// RegisterUnclear: no answer, or one that says nothing.
 	RegisterUnclear RegisterOutcome = iota
 	// RegisterTaken: the version is or was in force.
-	RegisterTaken
+	RegisterApplied
 	// RegisterOther: another version than the base is in force, and the version
 	// never was and never will be.
-	RegisterOther
+	RegisterConflict
 	// RegisterOld: the generation is not above that in force.
-	RegisterOld
+	RegisterGenerationTooOld
 	// RegisterRead: the version in force is told.
 	RegisterRead
 )
@@ -51,7 +51,7 @@
 	return fmt.Sprintf("%d on %d %s\n", version.Generation, version.Base, version.Hash)
 }
 
-func (c chain) holds(version messages.Version) bool {
+func (c chain) contains(version messages.Version) bool {
 	return strings.HasPrefix(string(c), versionName(version)) || strings.Contains(string(c), "\n"+versionName(version))
 }
 
@@ -86,31 +86,31 @@
 	return model.ToModel()
 }
 
-func stepRegister(taken chain, version messages.Version, reply RegisterReply) []any {
-	name, generation := taken.current()
+func stepRegister(versions chain, version messages.Version, reply RegisterReply) []any {
+	name, generation := versions.current()
 	if version.Generation == 0 {
-		received := reply.Found.Generation == 0 && name == "" || versionName(reply.Found) == name
-		if reply.Unclear() || received {
-			return []any{taken}
+		matches := reply.Found.Generation == 0 && name == "" || versionName(reply.Found) == name
+		if reply.Unclear() || matches {
+			return []any{versions}
 		}
 		return nil
 	}
-	known := taken.holds(version)
+	known := versions.contains(version)
 	fits := version.Base == generation && version.Generation > generation
-	next := taken + chain(versionName(version))
+	next := versions + chain(versionName(version))
 	switch {
-	case reply.Outcome == RegisterTaken && known:
-		return []any{taken}
-	case reply.Outcome == RegisterTaken && fits:
+	case reply.Outcome == RegisterApplied && known:
+		return []any{versions}
+	case reply.Outcome == RegisterApplied && fits:
 		return []any{next}
-	case reply.Outcome == RegisterOther && !known && version.Base != generation:
-		return []any{taken}
-	case reply.Outcome == RegisterOld && !known && version.Generation <= generation:
-		return []any{taken}
+	case reply.Outcome == RegisterConflict && !known && version.Base != generation:
+		return []any{versions}
+	case reply.Outcome == RegisterGenerationTooOld && !known && version.Generation <= generation:
+		return []any{versions}
 	case reply.Unclear() && !known && fits:
-		return []any{taken, next}
+		return []any{versions, next}
 	case reply.Unclear():
-		return []any{taken}
+		return []any{versions}
 	}
 	return nil
 }
--- a/internal/tooling/workeremulator/beats.go
+++ b/internal/tooling/workeremulator/beats.go
@@ -23,11 +23,11 @@
 	Address  string
 	Controls []string
 
-	lock   sync.Mutex
-	target string
-	turn   int
-	count  int64
-	client http.Client
+	lock           sync.Mutex
+	target         string
+	nextController int
+	count          int64
+	client         http.Client
 }
 
 // NewBeater makes one.
@@ -42,7 +42,7 @@
 	return beater
 }
 
-type beatBody struct {
+type heartbeatBody struct {
 	Backend    string        `json:"backend"`
 	Address    string        `json:"address"`
 	Zone       string        `json:"zone"`
@@ -70,16 +70,16 @@
 		addresses = append(addresses, b.target)
 	}
 	for i := range b.Controls {
-		addresses = append(addresses, b.Controls[(b.turn+i)%len(b.Controls)])
+		addresses = append(addresses, b.Controls[(b.nextController+i)%len(b.Controls)])
 	}
-	b.turn++
+	b.nextController++
 	count, target := b.count, b.target
 	b.lock.Unlock()
 	nodeSettings := &b.Worker.Settings
-	body := beatBody{Backend: nodeSettings.Service, Address: b.Address, Zone: nodeSettings.Zone, Generation: "v1", Capacity: nodeSettings.Shape.Capacity,
+	body := heartbeatBody{Backend: nodeSettings.Service, Address: b.Address, Zone: nodeSettings.Zone, Generation: "v1", Capacity: nodeSettings.Shape.Capacity,
 		Phase: "steady", Stage: "both", Models: b.Worker.models(), Count: count}
 	b.Worker.lock.Lock()
-	body.WarmupMs = max(clock.ToMilliseconds(b.Worker.warm.Sub(b.Worker.clockValue.Now())), 0)
+	body.WarmupMs = max(clock.ToMilliseconds(b.Worker.warmUntil.Sub(b.Worker.clockValue.Now())), 0)
 	if b.Worker.leaving {
 		body.Phase = "draining"
 	}
--- a/internal/tooling/workeremulator/beats_test.go
+++ b/internal/tooling/workeremulator/beats_test.go
@@ -17,7 +17,7 @@
 	var counts []int64
 	serve := func(name, target string, status int) *httptest.Server {
 		server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-			var call beatBody
+			var call heartbeatBody
 			_ = json.NewDecoder(request.Body).Decode(&call)
 			lock.Lock()
 			paths, counts = append(paths, name+request.URL.Path+" "+call.Phase), append(counts, call.Count)
--- a/internal/tooling/workeremulator/cache.go
+++ b/internal/tooling/workeremulator/cache.go
@@ -11,44 +11,44 @@
 	Tokens int64
 }
 
-type entry struct {
+type cachedPart struct {
 	tokens int64
 	pins   int
 	// whole tells that some request has read all of it.
-	whole bool
-	used  int64
+	complete bool
+	lastUse  int64
 }
 
 // cache is the memory of an engine: parts held by running requests, and parts kept.
 type cache struct {
 	limit int64
 	// held counts all tokens in memory, pinned those that running requests hold.
-	held       int64
-	pinned     int64
-	entries    map[string]*entry
-	clockValue int64
+	tokens   int64
+	pinned   int64
+	entries  map[string]*cachedPart
+	useCount int64
 }
 
-func newCache(limit int64) *cache { return &cache{limit: limit, entries: map[string]*entry{}} }
+func newCache(limit int64) *cache { return &cache{limit: limit, entries: map[string]*cachedPart{}} }
 
 // partsOf gives the parts of a prompt; what no part names belongs to the request alone.
-func partsOf(request Ask) []Part {
+func promptParts(request Ask) []Part {
 	var parts []Part
-	observed := map[string]bool{}
+	seen := map[string]bool{}
 	for _, part := range request.Parts {
 		// A part named twice is in memory once.
-		if key := request.Model + "/" + part.Key; !observed[key] {
-			observed[key] = true
+		if key := request.Model + "/" + part.Key; !seen[key] {
+			seen[key] = true
 			parts = append(parts, Part{Key: key, Tokens: part.Tokens})
 		}
 	}
-	if rest := request.In - total(parts); rest > 0 {
-		parts = append(parts, Part{Key: "~" + strconv.FormatInt(request.Ticket, 10), Tokens: rest})
+	if remaining := request.In - totalTokens(parts); remaining > 0 {
+		parts = append(parts, Part{Key: "~" + strconv.FormatInt(request.Ticket, 10), Tokens: remaining})
 	}
 	return parts
 }
 
-func total(parts []Part) int64 {
+func totalTokens(parts []Part) int64 {
 	sum := int64(0)
 	for _, part := range parts {
 		sum += part.Tokens
@@ -57,15 +57,15 @@
 }
 
 // whole tells that a part need not be read.
-func (c *cache) whole(part Part) bool {
-	entry := c.entries[part.Key]
-	return entry != nil && entry.whole
+func (c *cache) isComplete(part Part) bool {
+	cached := c.entries[part.Key]
+	return cached != nil && cached.complete
 }
 
 // read notes that a part was read to its end.
-func (c *cache) read(part Part) {
-	if entry := c.entries[part.Key]; entry != nil {
-		entry.whole = true
+func (c *cache) markComplete(part Part) {
+	if cached := c.entries[part.Key]; cached != nil {
+		cached.complete = true
 	}
 }
 
@@ -73,23 +73,23 @@
 func (c *cache) pin(parts []Part, extra, outputs int64) bool {
 	need := extra
 	for _, part := range parts {
-		if item := c.entries[part.Key]; item != nil {
-			c.grip(item, 1)
+		if cached := c.entries[part.Key]; cached != nil {
+			c.addPins(cached, 1)
 		} else {
 			need += part.Tokens
 		}
 	}
-	fits := c.room(need, outputs)
+	fits := c.makeRoom(need, outputs)
 	for _, part := range parts {
-		item := c.entries[part.Key]
+		cached := c.entries[part.Key]
 		switch {
-		case item != nil && !fits:
-			c.grip(item, -1)
-		case item == nil && fits:
-			item = &entry{tokens: part.Tokens}
-			c.entries[part.Key] = item
-			c.held += part.Tokens
-			c.grip(item, 1)
+		case cached != nil && !fits:
+			c.addPins(cached, -1)
+		case cached == nil && fits:
+			cached = &cachedPart{tokens: part.Tokens}
+			c.entries[part.Key] = cached
+			c.tokens += part.Tokens
+			c.addPins(cached, 1)
 		}
 	}
 	return fits
@@ -98,53 +98,53 @@
 // unpin lets parts go; those that were read stay kept until room is needed.
 func (c *cache) unpin(parts []Part) {
 	for i := len(parts) - 1; i >= 0; i-- {
-		entry := c.entries[parts[i].Key]
-		if entry == nil {
+		cached := c.entries[parts[i].Key]
+		if cached == nil {
 			continue
 		}
-		c.grip(entry, -1)
-		c.clockValue++
-		entry.used = c.clockValue
-		if entry.pins == 0 && (!entry.whole || strings.HasPrefix(parts[i].Key, "~")) {
-			c.drop(parts[i].Key, entry)
+		c.addPins(cached, -1)
+		c.useCount++
+		cached.lastUse = c.useCount
+		if cached.pins == 0 && (!cached.complete || strings.HasPrefix(parts[i].Key, "~")) {
+			c.remove(parts[i].Key, cached)
 		}
 	}
 }
 
 // room makes room for tokens; the parts unused for longest give way.
-func (c *cache) room(tokens, outputs int64) bool {
+func (c *cache) makeRoom(tokens, outputs int64) bool {
 	if c.limit <= 0 {
 		return true
 	}
 	if c.pinned+outputs+tokens > c.limit {
 		return false
 	}
-	for c.held+outputs+tokens > c.limit {
+	for c.tokens+outputs+tokens > c.limit {
 		oldest := ""
-		for key, entry := range c.entries {
-			if entry.pins == 0 && (oldest == "" || entry.used < c.entries[oldest].used) {
+		for key, part := range c.entries {
+			if part.pins == 0 && (oldest == "" || part.lastUse < c.entries[oldest].lastUse) {
 				oldest = key
 			}
 		}
-		c.drop(oldest, c.entries[oldest])
+		c.remove(oldest, c.entries[oldest])
 	}
 	return true
 }
 
-func (c *cache) drop(key string, item *entry) {
-	c.held -= item.tokens
+func (c *cache) remove(key string, part *cachedPart) {
+	c.tokens -= part.tokens
 	delete(c.entries, key)
 }
 
 // grip counts who holds a part; what somebody holds can't give way.
-func (c *cache) grip(item *entry, change int) {
-	before := item.pins > 0
-	item.pins += change
-	switch after := item.pins > 0; {
+func (c *cache) addPins(part *cachedPart, change int) {
+	before := part.pins > 0
+	part.pins += change
+	switch after := part.pins > 0; {
 	case after && !before:
-		c.pinned += item.tokens
+		c.pinned += part.tokens
 	case before && !after:
-		c.pinned -= item.tokens
+		c.pinned -= part.tokens
 	}
 }
 
--- a/internal/tooling/workeremulator/calledoff_test.go
+++ b/internal/tooling/workeremulator/calledoff_test.go
@@ -12,12 +12,12 @@
 
 // calledOff is a connection whose first read ends without bytes, as when the server
 // calls a pending read off; the next one brings some.
-type calledOff struct {
+type cancelledRead struct {
 	net.Conn
 	reads int
 }
 
-func (c *calledOff) Read(buffer []byte) (int, error) {
+func (c *cancelledRead) Read(buffer []byte) (int, error) {
 	c.reads++
 	if c.reads == 1 {
 		return 0, os.ErrDeadlineExceeded
@@ -25,20 +25,20 @@
 	return copy(buffer, "x"), nil
 }
 
-func (c *calledOff) Close() error { return nil }
+func (c *cancelledRead) Close() error { return nil }
 
 // The server calls a pending read off after an answer, at times only when the clock has
 // moved on: that must not count as a use of the connection.
 func TestReadCalledOffIsNoUse(t *testing.T) {
-	clockValue := &hasty{now: clock.Instant(time.Second)}
+	clockValue := &immediateClock{now: clock.Instant(time.Second)}
 	worker := NewWorker(plainSettings, &Record{}, clockValue, 1)
 	worker.SetFaults(Faults{ForgetMs: 500})
-	entry := &connection{Conn: &calledOff{}, listener: newLimitedListener(nil, worker), active: clockValue.Now()}
+	conn := &connection{Conn: &cancelledRead{}, listener: newLimitedListener(nil, worker), active: clockValue.Now()}
 	clockValue.After(time.Second, func() {})
-	if count, err := entry.Read(make([]byte, 1)); count != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
+	if count, err := conn.Read(make([]byte, 1)); count != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatal(count, err)
 	}
-	if count, err := entry.Read(make([]byte, 1)); count != 0 || !errors.Is(err, net.ErrClosed) {
+	if count, err := conn.Read(make([]byte, 1)); count != 0 || !errors.Is(err, net.ErrClosed) {
 		t.Fatal("a forgotten connection was read from", count, err)
 	}
 }
--- a/internal/tooling/workeremulator/engine.go
+++ b/internal/tooling/workeremulator/engine.go
@@ -10,30 +10,30 @@
 	"lemonarch/internal/platform/constants"
 )
 
-type job struct {
-	ask   Ask
-	parts []Part
+type activeRequest struct {
+	request Ask
+	parts   []Part
 	// pinned tells that its parts are held in memory.
 	pinned bool
 	// unread counts, part by part, the tokens still to read; again those of its own
 	// output that were lost when it was put back or resumed.
-	unread []int64
-	again  int64
-	out    int64
-	begun  bool
-	ends   clock.Instant
+	unreadPrompt []int64
+	unreadOutput int64
+	outputTokens int64
+	started      bool
+	endsAt       clock.Instant
 }
 
 // Engine is a batching engine without I/O.
 type Engine struct {
-	shape   Shape
-	running []*job
-	waiting []*job
-	cache   *cache
-	next    clock.Instant
-	effects []Effect
+	shape    Shape
+	running  []*activeRequest
+	waiting  []*activeRequest
+	cache    *cache
+	nextStep clock.Instant
+	effects  []Effect
 	// ReadTokens counts prompt tokens that were read, Reused those that were kept.
-	ReadTokens, Reused, PutBacks int64
+	ReadTokens, Reused, Preemptions int64
 }
 
 // NewEngine makes an empty one.
@@ -60,108 +60,108 @@
 
 // Next is when the next tick is due; false where nothing is under way.
 func (e *Engine) Next() (clock.Instant, bool) {
-	at, some := clock.Instant(0), false
+	at, pending := clock.Instant(0), false
 	earlier := func(moment clock.Instant) {
-		if !some || moment < at {
-			at, some = moment, true
+		if !pending || moment < at {
+			at, pending = moment, true
 		}
 	}
-	if e.tokens() > 0 {
-		earlier(e.next)
+	if e.tokenRequests() > 0 {
+		earlier(e.nextStep)
 	}
-	for _, entry := range e.running {
-		if entry.ask.Work > 0 {
-			earlier(entry.ends)
+	for _, req := range e.running {
+		if req.request.Work > 0 {
+			earlier(req.endsAt)
 		}
 	}
-	for _, list := range [][]*job{e.running, e.waiting} {
-		for _, entry := range list {
-			if entry.ask.Until > 0 {
-				earlier(entry.ask.Until)
+	for _, list := range [][]*activeRequest{e.running, e.waiting} {
+		for _, req := range list {
+			if req.request.Until > 0 {
+				earlier(req.request.Until)
 			}
 		}
 	}
-	return at, some
+	return at, pending
 }
 
 // State tells what is running and waiting, and what of the memory can't give way.
 func (e *Engine) State() (running, waiting int, used int64) {
 	used = e.cache.pinned
-	for _, entry := range e.running {
-		used += entry.out
+	for _, req := range e.running {
+		used += req.outputTokens
 	}
 	return len(e.running), len(e.waiting), used
 }
 
-func (e *Engine) tell(kind EffectKind, entry *job, number int64) {
-	e.effects = append(e.effects, Effect{kind, entry.ask.Ticket, number})
+func (e *Engine) emit(kind EffectKind, req *activeRequest, number int64) {
+	e.effects = append(e.effects, Effect{kind, req.request.Ticket, number})
 }
 
-func (e *Engine) arrive(request Ask) {
-	entry := &job{ask: request, parts: partsOf(request)}
-	if request.Work == 0 {
+func (e *Engine) arrive(arrived Ask) {
+	req := &activeRequest{request: arrived, parts: promptParts(arrived)}
+	if arrived.Work == 0 {
 		// What the asker has already is read, not made again.
-		entry.out = min(request.From*int64(e.shape.Stride), request.Out)
+		req.outputTokens = min(arrived.From*int64(e.shape.Stride), arrived.Out)
 	}
-	tooLarge := request.Work == 0 && e.shape.CacheTokens > 0 && total(entry.parts)+request.Out > e.shape.CacheTokens
+	tooLarge := arrived.Work == 0 && e.shape.CacheTokens > 0 && totalTokens(req.parts)+arrived.Out > e.shape.CacheTokens
 	if tooLarge || len(e.running)+len(e.waiting) >= e.shape.Capacity+e.shape.Queue {
-		e.tell(EffectRefuse, entry, 0)
+		e.emit(EffectRefuse, req, 0)
 		return
 	}
-	e.waiting = append(e.waiting, entry)
+	e.waiting = append(e.waiting, req)
 }
 
 // admit lets waiting requests run in the order they came: engines know no ranks.
 func (e *Engine) admit(now clock.Instant) {
 	for len(e.waiting) > 0 && len(e.running) < e.shape.Capacity {
-		entry := e.waiting[0]
-		if entry.ask.Work == 0 && !e.hold(entry) {
+		req := e.waiting[0]
+		if req.request.Work == 0 && !e.allocate(req) {
 			return
 		}
 		e.waiting = e.waiting[1:]
-		if entry.ask.Work > 0 {
-			entry.begun, entry.ends = true, now.Add(e.slowed(entry.ask.Work))
-			e.tell(EffectBegin, entry, 0)
-		} else if e.tokens() == 0 {
-			e.next = now.Add(e.stepSpan(1))
+		if req.request.Work > 0 {
+			req.started, req.endsAt = true, now.Add(e.workSpan(req.request.Work))
+			e.emit(EffectBegin, req, 0)
+		} else if e.tokenRequests() == 0 {
+			e.nextStep = now.Add(e.stepSpan(1))
 		}
-		e.running = append(e.running, entry)
+		e.running = append(e.running, req)
 	}
 }
 
 // hold takes memory for a request and finds what of its prompt is kept.
-func (e *Engine) hold(entry *job) bool {
-	if !e.cache.pin(entry.parts, entry.out, e.outputs()) {
+func (e *Engine) allocate(req *activeRequest) bool {
+	if !e.cache.pin(req.parts, req.outputTokens, e.outputTokens()) {
 		return false
 	}
-	entry.pinned = true
-	entry.unread = make([]int64, len(entry.parts))
-	retained := true
-	for i, part := range entry.parts {
+	req.pinned = true
+	req.unreadPrompt = make([]int64, len(req.parts))
+	cached := true
+	for i, part := range req.parts {
 		// A kept part counts only where all parts before it are kept as well.
-		retained = retained && e.cache.whole(part)
-		if retained {
+		cached = cached && e.cache.isComplete(part)
+		if cached {
 			e.Reused += part.Tokens
 		} else {
-			entry.unread[i] = part.Tokens
+			req.unreadPrompt[i] = part.Tokens
 		}
 	}
-	entry.again = entry.out
+	req.unreadOutput = req.outputTokens
 	return true
 }
 
-func (e *Engine) outputs() int64 {
+func (e *Engine) outputTokens() int64 {
 	sum := int64(0)
-	for _, entry := range e.running {
-		sum += entry.out
+	for _, req := range e.running {
+		sum += req.outputTokens
 	}
 	return sum
 }
 
-func (e *Engine) tokens() int {
+func (e *Engine) tokenRequests() int {
 	count := 0
-	for _, entry := range e.running {
-		if entry.ask.Work == 0 {
+	for _, req := range e.running {
+		if req.request.Work == 0 {
 			count++
 		}
 	}
@@ -173,26 +173,26 @@
 }
 
 // slowed: plain work takes up to twice as long on a full worker.
-func (e *Engine) slowed(work clock.Duration) clock.Duration {
+func (e *Engine) workSpan(work clock.Duration) clock.Duration {
 	return work + work*clock.Duration(len(e.running))/clock.Duration(max(e.shape.Capacity, 1))
 }
 
 func (e *Engine) catchUp(now clock.Instant) {
-	for count := 0; count < constants.EmulatorEventLimit && e.tokens() > 0 && e.next <= now; count++ {
-		at, span := e.next, e.stepSpan(e.tokens())
-		e.round(span)
+	for count := 0; count < constants.EmulatorEventLimit && e.tokenRequests() > 0 && e.nextStep <= now; count++ {
+		at, span := e.nextStep, e.stepSpan(e.tokenRequests())
+		e.runStep(span)
 		e.admit(at)
-		e.next = at.Add(e.stepSpan(max(e.tokens(), 1)))
+		e.nextStep = at.Add(e.stepSpan(max(e.tokenRequests(), 1)))
 	}
-	var ended []*job
-	for _, entry := range e.running {
-		if entry.ask.Work > 0 && entry.ends <= now {
-			ended = append(ended, entry)
+	var ended []*activeRequest
+	for _, req := range e.running {
+		if req.request.Work > 0 && req.endsAt <= now {
+			ended = append(ended, req)
 		}
 	}
-	sort.SliceStable(ended, func(left, right int) bool { return ended[left].ends < ended[right].ends })
-	for _, entry := range ended {
-		e.tell(EffectFinish, entry, 0)
-		e.drop(entry)
+	sort.SliceStable(ended, func(left, right int) bool { return ended[left].endsAt < ended[right].endsAt })
+	for _, req := range ended {
+		e.emit(EffectFinish, req, 0)
+		e.drop(req)
 	}
 }
--- a/internal/tooling/workeremulator/engine_test.go
+++ b/internal/tooling/workeremulator/engine_test.go
@@ -12,37 +12,37 @@
 var smallShape = Shape{Capacity: 4, Queue: 2, CacheTokens: 1000, ReadPerMs: 100, Step: time.Millisecond, StepEach: time.Millisecond / 2, Stride: 4}
 
 // drive runs an engine until nothing is under way, and notes when what happened.
-type told struct {
+type timedEffect struct {
 	Effect
 	at clock.Instant
 }
 
-func drive(engine *Engine, events map[clock.Instant][]Event, limit clock.Instant) []told {
-	var all []told
-	note := func(effects []Effect, now clock.Instant) {
+func drive(engine *Engine, events map[clock.Instant][]Event, limit clock.Instant) []timedEffect {
+	var collected []timedEffect
+	record := func(effects []Effect, now clock.Instant) {
 		for _, effect := range effects {
-			all = append(all, told{effect, now})
+			collected = append(collected, timedEffect{effect, now})
 		}
 	}
 	for now := clock.Instant(0); now <= limit; now += clock.Instant(time.Millisecond / 4) {
 		for _, event := range events[now] {
-			note(engine.Step(event, now), now)
+			record(engine.Step(event, now), now)
 		}
-		if at, some := engine.Next(); some && at <= now {
-			note(engine.Step(Event{Kind: EventTick}, now), now)
+		if at, due := engine.Next(); due && at <= now {
+			record(engine.Step(Event{Kind: EventTick}, now), now)
 		}
 	}
-	return all
+	return collected
 }
 
-func of(all []told, ticket int64, kind EffectKind) []told {
-	var some []told
-	for _, entry := range all {
-		if entry.Ticket == ticket && entry.Kind == kind {
-			some = append(some, entry)
+func effectsOf(effects []timedEffect, ticket int64, kind EffectKind) []timedEffect {
+	var matching []timedEffect
+	for _, effect := range effects {
+		if effect.Ticket == ticket && effect.Kind == kind {
+			matching = append(matching, effect)
 		}
 	}
-	return some
+	return matching
 }
 
 func arrive(ticket, in, out int64, parts ...Part) Event {
@@ -55,7 +55,7 @@
 func TestTokensSlowDownWithTheBatch(t *testing.T) {
 	alone := drive(NewEngine(smallShape), map[clock.Instant][]Event{0: {arrive(1, 10, 40)}}, milliseconds(500))
 	full := drive(NewEngine(smallShape), map[clock.Instant][]Event{0: {arrive(1, 10, 40), arrive(2, 10, 40), arrive(3, 10, 40), arrive(4, 10, 40)}}, milliseconds(500))
-	first, second := of(alone, 1, EffectFinish), of(full, 1, EffectFinish)
+	first, second := effectsOf(alone, 1, EffectFinish), effectsOf(full, 1, EffectFinish)
 	if len(first) != 1 || len(second) != 1 || second[0].at < first[0].at*3/2 {
 		t.Fatal(first, second)
 	}
@@ -65,13 +65,13 @@
 func TestPrefillGoesOnBetweenTokens(t *testing.T) {
 	shape := smallShape
 	shape.ReadPerMs = 10
-	all := drive(NewEngine(shape), map[clock.Instant][]Event{0: {arrive(1, 10, 80)}, milliseconds(20): {arrive(2, 800, 4)}}, milliseconds(900))
-	started := of(all, 2, EffectBegin)
+	effects := drive(NewEngine(shape), map[clock.Instant][]Event{0: {arrive(1, 10, 80)}, milliseconds(20): {arrive(2, 800, 4)}}, milliseconds(900))
+	started := effectsOf(effects, 2, EffectBegin)
 	if len(started) != 1 || started[0].at < milliseconds(90) {
 		t.Fatal("800 tokens at 10 a ms were read too soon", started)
 	}
 	between := 0
-	for _, event := range of(all, 1, EffectEvent) {
+	for _, event := range effectsOf(effects, 1, EffectEvent) {
 		if event.at > milliseconds(20) && event.at < started[0].at {
 			between++
 		}
@@ -109,7 +109,7 @@
 		engine.Step(arrive(int64(i), 300, 4, Part{key, 300}), milliseconds(float64(100*i)))
 		engine.Step(Event{}, milliseconds(float64(100*i+90)))
 	}
-	if !engine.cache.whole(Part{Key: "m/a"}) || engine.cache.whole(Part{Key: "m/b"}) || !engine.cache.whole(Part{Key: "m/d"}) {
+	if !engine.cache.isComplete(Part{Key: "m/a"}) || engine.cache.isComplete(Part{Key: "m/b"}) || !engine.cache.isComplete(Part{Key: "m/d"}) {
 		t.Fatal(engine.cache.entries)
 	}
 }
@@ -118,19 +118,19 @@
 // stream is missing or doubled.
 func TestNewestIsPreemptedAndResumed(t *testing.T) {
 	engine := NewEngine(smallShape)
-	all := drive(engine, map[clock.Instant][]Event{0: {arrive(1, 400, 200), arrive(2, 400, 200)}}, milliseconds(3000))
-	if engine.PutBacks == 0 || len(of(all, 1, EffectPutBack)) > 0 {
-		t.Fatal("the newest was not put back", engine.PutBacks)
+	effects := drive(engine, map[clock.Instant][]Event{0: {arrive(1, 400, 200), arrive(2, 400, 200)}}, milliseconds(3000))
+	if engine.Preemptions == 0 || len(effectsOf(effects, 1, EffectPutBack)) > 0 {
+		t.Fatal("the newest was not put back", engine.Preemptions)
 	}
 	for _, ticket := range []int64{1, 2} {
-		follow(t, of(all, ticket, EffectEvent), 1, 50)
-		if len(of(all, ticket, EffectFinish)) != 1 || len(of(all, ticket, EffectBegin)) != 1 {
+		checkEvents(t, effectsOf(effects, ticket, EffectEvent), 1, 50)
+		if len(effectsOf(effects, ticket, EffectFinish)) != 1 || len(effectsOf(effects, ticket, EffectBegin)) != 1 {
 			t.Fatal("ticket", ticket, "did not finish once")
 		}
 	}
 }
 
-func follow(t *testing.T, events []told, first, last int64) {
+func checkEvents(t *testing.T, events []timedEffect, first, last int64) {
 	t.Helper()
 	for i, event := range events {
 		if event.Number != first+int64(i) {
@@ -145,12 +145,12 @@
 func TestResumeContinuesAfterTheLastEvent(t *testing.T) {
 	event := arrive(1, 100, 40)
 	event.Ask.From = 3
-	all := drive(NewEngine(smallShape), map[clock.Instant][]Event{0: {event}}, milliseconds(300))
-	follow(t, of(all, 1, EffectEvent), 4, 10)
+	effects := drive(NewEngine(smallShape), map[clock.Instant][]Event{0: {event}}, milliseconds(300))
+	checkEvents(t, effectsOf(effects, 1, EffectEvent), 4, 10)
 	event.Ask.From = 10
-	all = drive(NewEngine(smallShape), map[clock.Instant][]Event{0: {event}}, milliseconds(300))
-	if len(of(all, 1, EffectEvent)) != 0 || len(of(all, 1, EffectFinish)) != 1 {
-		t.Fatal("nothing was left, and yet something came", all)
+	effects = drive(NewEngine(smallShape), map[clock.Instant][]Event{0: {event}}, milliseconds(300))
+	if len(effectsOf(effects, 1, EffectEvent)) != 0 || len(effectsOf(effects, 1, EffectFinish)) != 1 {
+		t.Fatal("nothing was left, and yet something came", effects)
 	}
 }
 
@@ -162,9 +162,9 @@
 	large := arrive(8, 2000, 4)
 	late := arrive(9, 10, 800)
 	late.Ask.Until = milliseconds(300)
-	all := drive(NewEngine(smallShape), map[clock.Instant][]Event{0: events, milliseconds(200): {large, late}}, milliseconds(400))
-	if len(of(all, 7, EffectRefuse)) != 1 || len(of(all, 6, EffectFinish)) != 1 || len(of(all, 8, EffectRefuse)) != 1 || len(of(all, 9, EffectExpire)) != 1 {
-		t.Fatal(all)
+	effects := drive(NewEngine(smallShape), map[clock.Instant][]Event{0: events, milliseconds(200): {large, late}}, milliseconds(400))
+	if len(effectsOf(effects, 7, EffectRefuse)) != 1 || len(effectsOf(effects, 6, EffectFinish)) != 1 || len(effectsOf(effects, 8, EffectRefuse)) != 1 || len(effectsOf(effects, 9, EffectExpire)) != 1 {
+		t.Fatal(effects)
 	}
 }
 
@@ -176,7 +176,7 @@
 		engine := NewEngine(smallShape)
 		ends, last := map[int64]int{}, map[int64]int64{}
 		started := map[int64]bool{}
-		take := func(effects []Effect) {
+		apply := func(effects []Effect) {
 			for _, effect := range effects {
 				switch effect.Kind {
 				case EffectEvent:
@@ -191,8 +191,8 @@
 				}
 			}
 			running, waiting, used := engine.State()
-			if running > 4 || running+waiting > 6+1 || used > 1000 || engine.cache.held+engine.outputs() > 1000 {
-				t.Fatal("seed", seed, running, waiting, used, engine.cache.held)
+			if running > 4 || running+waiting > 6+1 || used > 1000 || engine.cache.tokens+engine.outputTokens() > 1000 {
+				t.Fatal("seed", seed, running, waiting, used, engine.cache.tokens)
 			}
 		}
 		now, count := clock.Instant(0), int64(0)
@@ -204,9 +204,9 @@
 				if random.Intn(5) == 0 {
 					event.Ask.Work = time.Millisecond * 10
 				}
-				take(engine.Step(event, now))
+				apply(engine.Step(event, now))
 			}
-			take(engine.Step(Event{Kind: EventTick}, now))
+			apply(engine.Step(Event{Kind: EventTick}, now))
 		}
 		for ticket := int64(1); ticket <= count; ticket++ {
 			if ends[ticket] != 1 {
--- a/internal/tooling/workeremulator/exchange.go
+++ b/internal/tooling/workeremulator/exchange.go
@@ -11,35 +11,35 @@
 
 // exchange is one request on its connection.
 type exchange struct {
-	worker   *Worker
-	writer   http.ResponseWriter
-	request  *http.Request
-	body     []byte
-	attempt  string
-	fate     fate
-	ask      Ask
-	headSent bool
+	worker        *Worker
+	writer        http.ResponseWriter
+	request       *http.Request
+	body          []byte
+	attempt       string
+	faults        drawnFaults
+	engineRequest Ask
+	headSent      bool
 }
 
 // run writes what the engine makes, until the response is complete or broken.
-func (e *exchange) run(entry *waiter) {
-	if e.fate.late > 0 && !e.waitLate() {
+func (e *exchange) run(waiting *waiter) {
+	if e.faults.late > 0 && !e.waitLate() {
 		return
 	}
-	half := max(Events(e.ask.Out, e.worker.Settings.Shape.Stride)/2, 1)
+	faultEvent := max(Events(e.engineRequest.Out, e.worker.Settings.Shape.Stride)/2, 1)
 	for {
 		var effect Effect
 		select {
-		case effect = <-entry.effects:
+		case effect = <-waiting.effects:
 		case <-e.request.Context().Done():
 			return
 		}
-		if e.fate.hang && effect.Kind != EffectRefuse {
+		if e.faults.hang && effect.Kind != EffectRefuse {
 			// Silence, while the connection stays: only its other end can end it.
 			<-e.request.Context().Done()
 			return
 		}
-		if e.apply(effect, half, entry) {
+		if e.apply(effect, faultEvent, waiting) {
 			return
 		}
 	}
@@ -48,7 +48,7 @@
 // waitLate waits for as long as this response is to be late; false where its client left.
 func (e *exchange) waitLate() bool {
 	over := make(chan struct{})
-	e.worker.clockValue.After(e.fate.late, func() { close(over) })
+	e.worker.clockValue.After(e.faults.late, func() { close(over) })
 	select {
 	case <-over:
 		return true
@@ -59,10 +59,10 @@
 
 // apply writes what follows from one effect, and tells whether the response is over. half is
 // the event at which troubles strike.
-func (e *exchange) apply(effect Effect, half int64, entry *waiter) (over bool) {
+func (e *exchange) apply(effect Effect, faultEvent int64, waiting *waiter) (complete bool) {
 	switch effect.Kind {
 	case EffectRefuse:
-		e.worker.notRun(e.writer, http.StatusServiceUnavailable, "full, or too late")
+		e.worker.rejectNotExecuted(e.writer, http.StatusServiceUnavailable, "full, or too late")
 		return true
 	case EffectExpire:
 		if e.headSent {
@@ -73,15 +73,15 @@
 	case EffectBegin:
 		return e.begin()
 	case EffectEvent:
-		if e.fate.cut && effect.Number > half {
+		if e.faults.cut && effect.Number > faultEvent {
 			panic(http.ErrAbortHandler)
 		}
-		if !e.fate.skip || effect.Number != half {
-			e.event(effect.Number)
+		if !e.faults.skip || effect.Number != faultEvent {
+			e.writeEvent(effect.Number)
 		}
 	case EffectFinish:
 		if e.finish() {
-			e.worker.record.End(entry.run)
+			e.worker.record.End(waiting.run)
 		}
 		return true
 	}
@@ -89,24 +89,24 @@
 }
 
 // begin answers at once where the request meets a trouble that strikes at its beginning.
-func (e *exchange) begin() (over bool) {
+func (e *exchange) begin() (complete bool) {
 	switch {
-	case e.garbled():
+	case e.writeGarbled():
 		return true
-	case e.fate.never:
+	case e.faults.never:
 		httpreply.Error(e.writer, http.StatusUnprocessableEntity, "can never be done")
 		return true
-	case e.fate.fail:
+	case e.faults.fail:
 		httpreply.Error(e.writer, http.StatusInternalServerError, "failed")
 		return true
 	}
 	return false
 }
 
-func (e *exchange) head(kind string) {
+func (e *exchange) writeHead(kind string) {
 	header := e.writer.Header()
 	seal := Seal(e.worker.Settings.ID, e.attempt)
-	if e.fate.forge {
+	if e.faults.forge {
 		seal = Seal(e.worker.Settings.ID, "another")
 	}
 	header.Set(headerSeal, seal)
@@ -118,35 +118,35 @@
 	e.headSent = true
 }
 
-func (e *exchange) event(number int64) {
+func (e *exchange) writeEvent(number int64) {
 	if !e.headSent {
-		e.head("text/event-stream")
+		e.writeHead("text/event-stream")
 	}
 	fmt.Fprintf(e.writer, "id: %d\ndata: %s\n\n", number, EventData(e.attempt, number))
 	e.flush()
 }
 
 func (e *exchange) flush() {
-	if flusher, can := e.writer.(http.Flusher); can {
+	if flusher, ok := e.writer.(http.Flusher); ok {
 		flusher.Flush()
 	}
 }
 
 // finish ends an answer; false where it was broken on purpose.
 func (e *exchange) finish() bool {
-	if e.ask.Work == 0 {
+	if e.engineRequest.Work == 0 {
 		if !e.headSent {
-			e.head("text/event-stream")
+			e.writeHead("text/event-stream")
 		}
 		return true
 	}
 	text := PlainBody(e.attempt, e.body)
-	e.head("text/plain")
-	if e.fate.surplus {
-		return e.doubled(text)
+	e.writeHead("text/plain")
+	if e.faults.surplus {
+		return e.writeTwice(text)
 	}
 	e.writer.Header().Set("Content-Length", strconv.Itoa(len(text)))
-	if e.fate.cut {
+	if e.faults.cut {
 		_, _ = io.WriteString(e.writer, text[:len(text)/2])
 		e.flush()
 		panic(http.ErrAbortHandler)
--- a/internal/tooling/workeremulator/faults.go
+++ b/internal/tooling/workeremulator/faults.go
@@ -37,8 +37,8 @@
 	ForgetMs float64 `toml:"forget-ms" json:"forget-ms,omitempty"`
 }
 
-func (f *Faults) late() clock.Duration   { return clock.Milliseconds(f.LateMs) }
-func (f *Faults) forget() clock.Duration { return clock.Milliseconds(f.ForgetMs) }
+func (f *Faults) lateBy() clock.Duration      { return clock.Milliseconds(f.LateMs) }
+func (f *Faults) forgetAfter() clock.Duration { return clock.Milliseconds(f.ForgetMs) }
 
 // Check lists senseless values.
 func (f *Faults) Check() []string {
--- a/internal/tooling/workeremulator/record.go
+++ b/internal/tooling/workeremulator/record.go
@@ -37,14 +37,14 @@
 func (r *Record) Begin(run Run) *Run {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	retained := &run
+	stored := &run
 	if len(r.runs) >= constants.EmulatorRunLimit {
 		// Bounded: the check says that it saw only a part.
 		r.dropped++
-		return retained
+		return stored
 	}
-	r.runs = append(r.runs, retained)
-	return retained
+	r.runs = append(r.runs, stored)
+	return stored
 }
 
 // End notes that a run gave its whole answer.
@@ -80,13 +80,13 @@
 func Seal(worker, attempt string) string { return worker + "." + sum("seal", worker, attempt) }
 
 // Sealed tells whether a stamp belongs to an attempt, and which worker gave it.
-func Sealed(seal, attempt string) (worker string, holds bool) {
+func Sealed(seal, attempt string) (worker string, valid bool) {
 	worker, _, _ = strings.Cut(seal, ".")
 	return worker, worker != "" && seal == Seal(worker, attempt)
 }
 
 // hopeless tells whether an attempt belongs to the share that can never be done.
-func hopeless(attempt string, share float64) bool {
+func neverSucceeds(attempt string, share float64) bool {
 	digest := sha256.Sum256([]byte("never" + attempt))
 	return float64(digest[0])/256 < share
 }
--- a/internal/tooling/workeremulator/report.go
+++ b/internal/tooling/workeremulator/report.go
@@ -10,7 +10,7 @@
 )
 
 // moment is how things stood at some time.
-type moment struct {
+type loadSample struct {
 	at               clock.Instant
 	running, waiting int
 	used             int64
@@ -18,10 +18,10 @@
 
 // note keeps how things stand, and forgets all but what reports still need. The
 // lock is held.
-func (w *Worker) note() {
+func (w *Worker) recordLoad() {
 	now := w.clockValue.Now()
 	running, waiting, used := w.engine.State()
-	w.history = append(w.history, moment{now, running, waiting, used})
+	w.history = append(w.history, loadSample{now, running, waiting, used})
 	old := 0
 	for old+1 < len(w.history) && w.history[old+1].at.Add(constants.EmulatorReportAge) <= now {
 		old++
@@ -30,11 +30,11 @@
 }
 
 // stood gives how things stood a report's age ago. The lock is held.
-func (w *Worker) stood() moment {
-	now, found := w.clockValue.Now(), moment{}
-	for _, entry := range w.history {
-		if entry.at.Add(constants.EmulatorReportAge) <= now {
-			found = entry
+func (w *Worker) delayedLoad() loadSample {
+	now, found := w.clockValue.Now(), loadSample{}
+	for _, sample := range w.history {
+		if sample.at.Add(constants.EmulatorReportAge) <= now {
+			found = sample
 		}
 	}
 	return found
@@ -65,13 +65,13 @@
 	return []modelReport{{Name: w.Settings.Model, Generation: w.Settings.Revision, Adapters: []string{}}}
 }
 
-func (w *Worker) answerReport(writer http.ResponseWriter, _ *http.Request) {
+func (w *Worker) serveReport(writer http.ResponseWriter, _ *http.Request) {
 	w.lock.Lock()
-	stood := w.stood()
-	entry := report{Stage: "both", Models: w.models(), CallCount: w.handled, Queued: stood.waiting, Active: stood.running, CacheUsed: stood.used,
+	sample := w.delayedLoad()
+	current := report{Stage: "both", Models: w.models(), CallCount: w.handled, Queued: sample.waiting, Active: sample.running, CacheUsed: sample.used,
 		CacheSize: w.Settings.Shape.CacheTokens, Handled: w.handled}
 	w.lock.Unlock()
-	httpreply.JSON(writer, http.StatusOK, entry)
+	httpreply.JSON(writer, http.StatusOK, current)
 }
 
 // load is what Lemonarch-Worker-Load says. The lock is held.
--- a/internal/tooling/workeremulator/rim.go
+++ b/internal/tooling/workeremulator/rim.go
@@ -11,8 +11,8 @@
 )
 
 // garbled writes bytes that form no answer, where the fault asks for it.
-func (e *exchange) garbled() bool {
-	if !e.fate.garble {
+func (e *exchange) writeGarbled() bool {
+	if !e.faults.garble {
 		return false
 	}
 	if connection := e.hijack(); connection != nil {
@@ -23,7 +23,7 @@
 }
 
 // doubled writes a whole answer, and the same once more behind it.
-func (e *exchange) doubled(text string) bool {
+func (e *exchange) writeTwice(text string) bool {
 	resp := "HTTP/1.1 200 OK\r\n"
 	for name := range e.writer.Header() {
 		if name != "Connection" {
@@ -41,8 +41,8 @@
 }
 
 func (e *exchange) hijack() net.Conn {
-	hijacker, can := e.writer.(http.Hijacker)
-	if !can {
+	hijacker, ok := e.writer.(http.Hijacker)
+	if !ok {
 		return nil
 	}
 	connection, _, err := hijacker.Hijack()
@@ -53,14 +53,14 @@
 }
 
 // answerProbe waits for a slot as a request does, and says whether the worker is well.
-func (w *Worker) answerProbe(writer http.ResponseWriter, request *http.Request) {
-	ticket, entry := w.enter(Ask{Work: 1}, Run{})
-	defer w.leave(ticket)
+func (w *Worker) serveProbe(writer http.ResponseWriter, request *http.Request) {
+	ticket, waiting := w.submit(Ask{Work: 1}, Run{})
+	defer w.cancel(ticket)
 	for done := false; !done; {
 		select {
-		case effect := <-entry.effects:
+		case effect := <-waiting.effects:
 			if effect.Kind == EffectRefuse {
-				w.notRun(writer, http.StatusServiceUnavailable, "full")
+				w.rejectNotExecuted(writer, http.StatusServiceUnavailable, "full")
 				return
 			}
 			done = effect.Kind == EffectFinish
@@ -69,13 +69,13 @@
 		}
 	}
 	w.lock.Lock()
-	well := !w.leaving != w.faults.Lying
+	healthy := !w.leaving != w.faults.Lying
 	load := w.load()
 	w.lock.Unlock()
 	writer.Header().Set(headerID, w.Settings.ID)
 	writer.Header().Set(headerLoad, load)
 	status := http.StatusOK
-	if !well {
+	if !healthy {
 		status = http.StatusServiceUnavailable
 	}
 	httpreply.JSON(writer, status, struct{}{})
@@ -100,19 +100,19 @@
 		if err != nil {
 			return nil, err
 		}
-		entry := &connection{Conn: raw, listener: l, active: l.worker.clockValue.Now()}
+		conn := &connection{Conn: raw, listener: l, active: l.worker.clockValue.Now()}
 		l.lock.Lock()
 		limit := l.worker.Settings.ConnLimit
 		full := limit > 0 && len(l.open) >= limit
 		if !full {
-			l.open[entry] = true
+			l.open[conn] = true
 		}
 		l.lock.Unlock()
 		if full {
-			entry.reset()
+			conn.reset()
 			continue
 		}
-		return entry, nil
+		return conn, nil
 	}
 }
 
@@ -121,12 +121,12 @@
 	l.Listener.Close()
 	l.lock.Lock()
 	var all []*connection
-	for entry := range l.open {
-		all = append(all, entry)
+	for conn := range l.open {
+		all = append(all, conn)
 	}
 	l.lock.Unlock()
-	for _, entry := range all {
-		entry.reset()
+	for _, conn := range all {
+		conn.reset()
 	}
 }
 
@@ -148,7 +148,7 @@
 	}
 	worker := c.listener.worker
 	worker.lock.Lock()
-	forget := worker.faults.forget()
+	forget := worker.faults.forgetAfter()
 	worker.lock.Unlock()
 	now := worker.clockValue.Now()
 	c.lock.Lock()
@@ -179,7 +179,7 @@
 }
 
 func (c *connection) reset() {
-	if socket, is := c.Conn.(*net.TCPConn); is {
+	if socket, ok := c.Conn.(*net.TCPConn); ok {
 		_ = socket.SetLinger(0)
 	}
 	_ = c.Close()
--- a/internal/tooling/workeremulator/round.go
+++ b/internal/tooling/workeremulator/round.go
@@ -3,77 +3,77 @@
 import "lemonarch/internal/platform/clock"
 
 // round is one token of every running request, and one piece of reading.
-func (e *Engine) round(span clock.Duration) {
+func (e *Engine) runStep(span clock.Duration) {
 	budget := int64(e.shape.ReadPerMs * clock.ToMilliseconds(span))
 	// A copy: the round itself takes requests out of the list.
-	for _, entry := range append([]*job(nil), e.running...) {
-		if entry.ask.Work > 0 || !entry.pinned {
+	for _, req := range append([]*activeRequest(nil), e.running...) {
+		if req.request.Work > 0 || !req.pinned {
 			continue
 		}
-		if e.read(entry, &budget) {
-			e.token(entry)
+		if e.prefill(req, &budget) {
+			e.decode(req)
 		}
 	}
 }
 
 // read reads as much of a prompt as the budget allows; true once nothing is left.
-func (e *Engine) read(entry *job, budget *int64) bool {
-	did := false
-	for i := range entry.unread {
-		if entry.unread[i] == 0 {
+func (e *Engine) prefill(req *activeRequest, budget *int64) bool {
+	worked := false
+	for i := range req.unreadPrompt {
+		if req.unreadPrompt[i] == 0 {
 			continue
 		}
-		did = true
-		part := min(*budget, entry.unread[i])
-		entry.unread[i] -= part
-		*budget -= part
-		e.ReadTokens += part
-		if entry.unread[i] > 0 {
+		worked = true
+		read := min(*budget, req.unreadPrompt[i])
+		req.unreadPrompt[i] -= read
+		*budget -= read
+		e.ReadTokens += read
+		if req.unreadPrompt[i] > 0 {
 			return false
 		}
-		e.cache.read(entry.parts[i])
+		e.cache.markComplete(req.parts[i])
 	}
-	if entry.again > 0 {
-		did = true
-		part := min(*budget, entry.again)
-		entry.again -= part
-		*budget -= part
-		e.ReadTokens += part
+	if req.unreadOutput > 0 {
+		worked = true
+		read := min(*budget, req.unreadOutput)
+		req.unreadOutput -= read
+		*budget -= read
+		e.ReadTokens += read
 	}
 	// The token comes with the next step: this one went into reading.
-	return !did
+	return !worked
 }
 
 // token makes one token of a request, which may need room from others.
-func (e *Engine) token(entry *job) {
-	if entry.out < entry.ask.Out {
-		for !e.cache.room(1, e.outputs()) {
+func (e *Engine) decode(req *activeRequest) {
+	if req.outputTokens < req.request.Out {
+		for !e.cache.makeRoom(1, e.outputTokens()) {
 			newest := e.newest()
-			e.putBack(newest)
-			if newest == entry {
+			e.preempt(newest)
+			if newest == req {
 				return
 			}
 		}
-		entry.out++
+		req.outputTokens++
 	}
-	if !entry.begun {
-		entry.begun = true
-		e.tell(EffectBegin, entry, 0)
+	if !req.started {
+		req.started = true
+		e.emit(EffectBegin, req, 0)
 	}
 	stride := int64(e.shape.Stride)
-	complete := entry.out == entry.ask.Out
-	if number := (entry.out + stride - 1) / stride; number > entry.ask.From && (entry.out%stride == 0 || complete) {
-		e.tell(EffectEvent, entry, number)
+	complete := req.outputTokens == req.request.Out
+	if number := (req.outputTokens + stride - 1) / stride; number > req.request.From && (req.outputTokens%stride == 0 || complete) {
+		e.emit(EffectEvent, req, number)
 	}
 	if complete {
-		e.tell(EffectFinish, entry, 0)
-		e.drop(entry)
+		e.emit(EffectFinish, req, 0)
+		e.drop(req)
 	}
 }
 
-func (e *Engine) newest() *job {
+func (e *Engine) newest() *activeRequest {
 	for i := len(e.running) - 1; i >= 0; i-- {
-		if e.running[i].ask.Work == 0 {
+		if e.running[i].request.Work == 0 {
 			return e.running[i]
 		}
 	}
@@ -82,37 +82,37 @@
 
 // putBack sets a request to the head of the queue; what it has made stays told, and
 // is read anew with its prompt.
-func (e *Engine) putBack(entry *job) {
-	e.PutBacks++
-	e.tell(EffectPutBack, entry, 0)
-	e.drop(entry)
-	e.waiting = append([]*job{entry}, e.waiting...)
+func (e *Engine) preempt(req *activeRequest) {
+	e.Preemptions++
+	e.emit(EffectPutBack, req, 0)
+	e.drop(req)
+	e.waiting = append([]*activeRequest{req}, e.waiting...)
 }
 
 // drop takes a running request out and lets its memory go; read parts stay kept.
-func (e *Engine) drop(entry *job) {
+func (e *Engine) drop(req *activeRequest) {
 	for i, other := range e.running {
-		if other == entry {
+		if other == req {
 			e.running = append(e.running[:i:i], e.running[i+1:]...)
 			break
 		}
 	}
-	if entry.pinned {
-		e.cache.unpin(entry.parts)
-		entry.pinned = false
+	if req.pinned {
+		e.cache.unpin(req.parts)
+		req.pinned = false
 	}
 }
 
 // remove forgets a request, wherever it stands.
 func (e *Engine) remove(ticket int64) {
-	for _, entry := range e.running {
-		if entry.ask.Ticket == ticket {
-			e.drop(entry)
+	for _, req := range e.running {
+		if req.request.Ticket == ticket {
+			e.drop(req)
 			return
 		}
 	}
-	for i, entry := range e.waiting {
-		if entry.ask.Ticket == ticket {
+	for i, req := range e.waiting {
+		if req.request.Ticket == ticket {
 			e.waiting = append(e.waiting[:i:i], e.waiting[i+1:]...)
 			return
 		}
@@ -120,18 +120,18 @@
 }
 
 func (e *Engine) expire(now clock.Instant) {
-	for _, list := range [][]*job{e.running, e.waiting} {
-		for _, entry := range append([]*job(nil), list...) {
-			if entry.ask.Until == 0 || now < entry.ask.Until {
+	for _, list := range [][]*activeRequest{e.running, e.waiting} {
+		for _, req := range append([]*activeRequest(nil), list...) {
+			if req.request.Until == 0 || now < req.request.Until {
 				continue
 			}
 			kind := EffectExpire
-			if !entry.begun {
+			if !req.started {
 				// Without a first token it has not run, and may say so.
 				kind = EffectRefuse
 			}
-			e.tell(kind, entry, 0)
-			e.remove(entry.ask.Ticket)
+			e.emit(kind, req, 0)
+			e.remove(req.request.Ticket)
 		}
 	}
 }
--- a/internal/tooling/workeremulator/sender_test.go
+++ b/internal/tooling/workeremulator/sender_test.go
@@ -26,7 +26,7 @@
 ],"backends":[{"name":"s","conn-limit":50}],"limits":{"max-header-bytes":8192,"max-body-bytes":1000,"header-wait-ms":3000,"idle-ms":5000}}`
 
 // edge puts the real data plane in front of emulated workers; the first is preferred.
-func edge(t *testing.T, addresses ...string) string {
+func startDataPlane(t *testing.T, addresses ...string) string {
 	t.Helper()
 
 	scheduler := admission.New(messages.NodeInfo{Name: "n", Role: membership.RoleGateway, Zone: "h"}, time.Second)
@@ -47,7 +47,7 @@
 	return server.Listener.Addr().String()
 }
 
-func through(t *testing.T, address, path string) (*http.Response, string, error) {
+func sendThrough(t *testing.T, address, path string) (*http.Response, string, error) {
 	t.Helper()
 
 	request, _ := http.NewRequest(http.MethodPost, "http://"+address+path, strings.NewReader("body"))
@@ -64,7 +64,7 @@
 	return resp, string(body), err
 }
 
-func whole(attempt string) string {
+func completeStream(attempt string) string {
 	text := ""
 	for number := int64(1); number <= 8; number++ {
 		text += fmt.Sprintf("id: %d\ndata: %s\n\n", number, EventData(attempt, number))
@@ -75,11 +75,11 @@
 // Our own sender and streams take an emulated worker for a real one.
 func TestSenderTakesTheStream(t *testing.T) {
 	_, record, address, _ := start(t, engineSettings)
-	resp, body, err := through(t, edge(t, address), "/rigid/x")
-	if err != nil || resp.StatusCode != 200 || body != whole("one") {
+	resp, body, err := sendThrough(t, startDataPlane(t, address), "/rigid/x")
+	if err != nil || resp.StatusCode != 200 || body != completeStream("one") {
 		t.Fatal(resp, body, err)
 	}
-	if _, holds := Sealed(resp.Header.Get(headerSeal), "one"); !holds {
+	if _, valid := Sealed(resp.Header.Get(headerSeal), "one"); !valid {
 		t.Fatal(resp.Header)
 	}
 	if runs, _ := record.Of(""); len(runs) != 1 || !runs[0].Ended {
@@ -94,8 +94,8 @@
 	nodeSettings := engineSettings
 	nodeSettings.ID = "w2"
 	_, after, secondAddress, _ := start(t, nodeSettings)
-	resp, body, err := through(t, edge(t, firstAddress, secondAddress), "/stream/x")
-	if err != nil || resp.StatusCode != 200 || body != whole("one") {
+	resp, body, err := sendThrough(t, startDataPlane(t, firstAddress, secondAddress), "/stream/x")
+	if err != nil || resp.StatusCode != 200 || body != completeStream("one") {
 		t.Fatal(resp, body, err)
 	}
 	runs, _ := before.Of("")
--- a/internal/tooling/workeremulator/warmup_test.go
+++ b/internal/tooling/workeremulator/warmup_test.go
@@ -11,11 +11,11 @@
 func TestWarmup(t *testing.T) {
 	nodeSettings := engineSettings
 	nodeSettings.Warmup = time.Second
-	clockValue := &hasty{now: clock.Instant(time.Second)}
+	clockValue := &immediateClock{now: clock.Instant(time.Second)}
 	var later func()
-	worker := NewWorker(nodeSettings, &Record{}, holding{clockValue, &later}, 1)
-	if worker.engine.shape.Step != 2*smallShape.Step || worker.warm.Sub(clockValue.Now()) != time.Second {
-		t.Fatal(worker.engine.shape, worker.warm)
+	worker := NewWorker(nodeSettings, &Record{}, deferringClock{clockValue, &later}, 1)
+	if worker.engine.shape.Step != 2*smallShape.Step || worker.warmUntil.Sub(clockValue.Now()) != time.Second {
+		t.Fatal(worker.engine.shape, worker.warmUntil)
 	}
 	worker.SetFaults(Faults{Slow: 3})
 	if worker.engine.shape.Step != 6*smallShape.Step {
@@ -30,9 +30,9 @@
 }
 
 // holding is a clock that keeps what is to happen later.
-type holding struct {
-	*hasty
+type deferringClock struct {
+	*immediateClock
 	later *func()
 }
 
-func (h holding) After(_ clock.Duration, function func()) { *h.later = function }
+func (h deferringClock) After(_ clock.Duration, function func()) { *h.later = function }
--- a/internal/tooling/workeremulator/worker.go
+++ b/internal/tooling/workeremulator/worker.go
@@ -47,9 +47,9 @@
 
 // waiter is what one connection waits for.
 type waiter struct {
-	effects chan Effect
-	run     *Run
-	about   Run
+	effects     chan Effect
+	run         *Run
+	runTemplate Run
 }
 
 // Worker is one life of an emulated worker.
@@ -63,37 +63,37 @@
 	engine     *Engine
 	waiters    map[int64]*waiter
 	ticket     int64
-	timer      clock.Instant
+	timerAt    clock.Instant
 	faults     Faults
-	warm       clock.Instant
+	warmUntil  clock.Instant
 	leaving    bool
 	ended      bool
 	handled    int64
 	server     *http.Server
 	listener   *limitedListener
-	history    []moment
+	history    []loadSample
 }
 
 // NewWorker makes a worker; the seed decides which requests its faults meet.
 func NewWorker(nodeSettings Settings, record *Record, clockValue Clock, seed int64) *Worker {
 	nodeSettings.Shape.Stride = max(nodeSettings.Shape.Stride, 1)
-	worker := &Worker{warm: clockValue.Now().Add(nodeSettings.Warmup), Settings: nodeSettings, clockValue: clockValue, record: record, random: rand.New(rand.NewSource(seed)),
+	worker := &Worker{warmUntil: clockValue.Now().Add(nodeSettings.Warmup), Settings: nodeSettings, clockValue: clockValue, record: record, random: rand.New(rand.NewSource(seed)),
 		engine: NewEngine(nodeSettings.Shape), waiters: map[int64]*waiter{}}
-	worker.pace()
+	worker.updateSpeed()
 	if nodeSettings.Warmup > 0 {
 		clockValue.After(nodeSettings.Warmup, func() {
 			worker.lock.Lock()
 			defer worker.lock.Unlock()
-			worker.pace()
+			worker.updateSpeed()
 		})
 	}
 	tree := chi.NewRouter()
-	tree.Get("/-/report", worker.answerReport)
+	tree.Get("/-/report", worker.serveReport)
 	if nodeSettings.Probe != "" {
-		tree.Get(nodeSettings.Probe, worker.answerProbe)
+		tree.Get(nodeSettings.Probe, worker.serveProbe)
 	}
-	tree.NotFound(worker.answer)
-	tree.MethodNotAllowed(worker.answer)
+	tree.NotFound(worker.serveRequest)
+	tree.MethodNotAllowed(worker.serveRequest)
 	worker.server = &http.Server{Handler: tree, IdleTimeout: constants.EmulatorIdle, ReadHeaderTimeout: constants.EmulatorIdle}
 	return worker
 }
@@ -115,13 +115,13 @@
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.faults = faults
-	w.pace()
+	w.updateSpeed()
 }
 
 // pace sets how fast the engine is just now. The lock is held.
-func (w *Worker) pace() {
+func (w *Worker) updateSpeed() {
 	slow := max(w.faults.Slow, 1)
-	if w.clockValue.Now() < w.warm {
+	if w.clockValue.Now() < w.warmUntil {
 		slow *= constants.EmulatorWarmupSlow
 	}
 	shape := w.Settings.Shape
@@ -164,20 +164,20 @@
 func (w *Worker) chance(share float64) bool { return share > 0 && w.random.Float64() < share }
 
 // enter hands a request to the engine and gives where its effects come.
-func (w *Worker) enter(request Ask, about Run) (int64, *waiter) {
+func (w *Worker) submit(request Ask, template Run) (int64, *waiter) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.ticket++
 	request.Ticket = w.ticket
 	// Room for all effects of one request: the engine never waits for a connection.
-	entry := &waiter{effects: make(chan Effect, 8+Events(request.Out, w.engine.shape.Stride)), about: about}
-	w.waiters[request.Ticket] = entry
+	waiting := &waiter{effects: make(chan Effect, 8+Events(request.Out, w.engine.shape.Stride)), runTemplate: template}
+	w.waiters[request.Ticket] = waiting
 	w.step(Event{Kind: EventArrive, Ask: request})
-	return request.Ticket, entry
+	return request.Ticket, waiting
 }
 
 // leave takes a request back whose connection has closed.
-func (w *Worker) leave(ticket int64) {
+func (w *Worker) cancel(ticket int64) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	delete(w.waiters, ticket)
@@ -187,43 +187,43 @@
 // step runs the engine and hands out its effects. The lock is held.
 func (w *Worker) step(event Event) {
 	for _, effect := range w.engine.Step(event, w.clockValue.Now()) {
-		entry := w.waiters[effect.Ticket]
-		if entry == nil || effect.Kind == EffectPutBack {
+		waiting := w.waiters[effect.Ticket]
+		if waiting == nil || effect.Kind == EffectPutBack {
 			continue
 		}
-		if effect.Kind == EffectBegin && entry.about.Attempt != "" {
-			entry.run = w.record.Begin(entry.about)
+		if effect.Kind == EffectBegin && waiting.runTemplate.Attempt != "" {
+			waiting.run = w.record.Begin(waiting.runTemplate)
 			if w.chance(w.faults.Twice) {
-				w.record.Begin(entry.about)
+				w.record.Begin(waiting.runTemplate)
 			}
 		}
-		entry.effects <- effect
+		waiting.effects <- effect
 		switch effect.Kind {
 		case EffectFinish, EffectRefuse, EffectExpire:
 			delete(w.waiters, effect.Ticket)
 		}
 	}
-	w.note()
-	w.arm()
+	w.recordLoad()
+	w.armTimer()
 }
 
 // arm sets a timer for the engine's next tick, if none rings by then. The lock is held.
-func (w *Worker) arm() {
-	at, some := w.engine.Next()
-	if !some || w.ended || (w.timer > 0 && w.timer <= at) {
+func (w *Worker) armTimer() {
+	at, pending := w.engine.Next()
+	if !pending || w.ended || (w.timerAt > 0 && w.timerAt <= at) {
 		return
 	}
 	now := w.clockValue.Now()
-	w.timer = max(at, now+1)
-	mine := w.timer
-	w.clockValue.After(w.timer.Sub(now), func() {
+	w.timerAt = max(at, now+1)
+	armedFor := w.timerAt
+	w.clockValue.After(w.timerAt.Sub(now), func() {
 		w.lock.Lock()
 		defer w.lock.Unlock()
-		if w.timer != mine || w.ended {
+		if w.timerAt != armedFor || w.ended {
 			// A later call asked for an earlier tick, and that one has taken over.
 			return
 		}
-		w.timer = 0
+		w.timerAt = 0
 		w.step(Event{Kind: EventTick})
 	})
 }
--- a/internal/tooling/workeremulator/worker_test.go
+++ b/internal/tooling/workeremulator/worker_test.go
@@ -17,18 +17,18 @@
 
 // hasty is a clock that does not wait: whatever is to happen later happens at once,
 // with the clock set forward.
-type hasty struct {
+type immediateClock struct {
 	lock sync.Mutex
 	now  clock.Instant
 }
 
-func (h *hasty) Now() clock.Instant {
+func (h *immediateClock) Now() clock.Instant {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	return h.now
 }
 
-func (h *hasty) After(span clock.Duration, function func()) {
+func (h *immediateClock) After(span clock.Duration, function func()) {
 	h.lock.Lock()
 	h.now = h.now.Add(span)
 	h.lock.Unlock()
@@ -38,20 +38,20 @@
 var engineSettings = Settings{ID: "w1", Service: "s", Model: "m", Probe: "/health", Revision: 1, Shape: smallShape}
 var plainSettings = Settings{ID: "w1", Service: "s", Probe: "/health", Work: 10 * time.Millisecond, Shape: Shape{Capacity: 4, Queue: 2}}
 
-func start(t *testing.T, nodeSettings Settings) (*Worker, *Record, string, *hasty) {
+func start(t *testing.T, nodeSettings Settings) (*Worker, *Record, string, *immediateClock) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	record, clockValue := &Record{}, &hasty{now: clock.Instant(time.Second)}
+	record, clockValue := &Record{}, &immediateClock{now: clock.Instant(time.Second)}
 	worker := NewWorker(nodeSettings, record, clockValue, 1)
 	go worker.Serve(listener)
 	t.Cleanup(worker.Crash)
 	return worker, record, listener.Addr().String(), clockValue
 }
 
-func ask(address, attempt string, header ...string) (*http.Response, string, error) {
+func post(address, attempt string, header ...string) (*http.Response, string, error) {
 	request, _ := http.NewRequest(http.MethodPost, "http://"+address+"/a/b", strings.NewReader("body"))
 	request.Header.Set(headerAttempt, attempt)
 	for i := 0; i+1 < len(header); i += 2 {
@@ -69,12 +69,12 @@
 
 func TestStreamSealAndRecord(t *testing.T) {
 	_, record, address, _ := start(t, engineSettings)
-	resp, body, err := ask(address, "one", headerTokens, "20,12", headerPrefix, "a:10", headerModel, "m", headerTarget, "w1", headerLast, "1")
+	resp, body, err := post(address, "one", headerTokens, "20,12", headerPrefix, "a:10", headerModel, "m", headerTarget, "w1", headerLastEventID, "1")
 	want := fmt.Sprintf("id: 2\ndata: %s\n\nid: 3\ndata: %s\n\n", EventData("one", 2), EventData("one", 3))
 	if err != nil || body != want || resp.Header.Get(headerAttempt) != "one" || resp.Header.Get(headerLoad) == "" || resp.Header.Get("Keep-Alive") == "" {
 		t.Fatal(resp, body, err)
 	}
-	if worker, holds := Sealed(resp.Header.Get(headerSeal), "one"); !holds || worker != "w1" {
+	if worker, valid := Sealed(resp.Header.Get(headerSeal), "one"); !valid || worker != "w1" {
 		t.Fatal(resp.Header)
 	}
 	runs, _ := record.Of("on")
@@ -88,16 +88,16 @@
 	for name, header := range map[string][]string{
 		"target": {headerTarget, "w2"}, "revision": {headerRevision, "7"}, "late": {headerTimeLeft, "0"},
 	} {
-		resp, _, err := ask(address, "one", header...)
-		if err != nil || resp.Header.Get(headerNotRun) == "" {
+		resp, _, err := post(address, "one", header...)
+		if err != nil || resp.Header.Get(headerNotExecuted) == "" {
 			t.Fatal(name, resp, err)
 		}
 	}
 	worker.SetFaults(Faults{Full: 1})
-	if resp, _, err := ask(address, "one"); err != nil || resp.StatusCode != 503 || resp.Header.Get(headerNotRun) == "" {
+	if resp, _, err := post(address, "one"); err != nil || resp.StatusCode != 503 || resp.Header.Get(headerNotExecuted) == "" {
 		t.Fatal(resp, err)
 	}
-	if resp, _, err := ask(address, ""); err != nil || resp.StatusCode != 400 {
+	if resp, _, err := post(address, ""); err != nil || resp.StatusCode != 400 {
 		t.Fatal(resp, err)
 	}
 	if runs, _ := record.Of(""); len(runs) != 0 {
@@ -137,19 +137,19 @@
 func TestBrokenResponses(t *testing.T) {
 	worker, record, address, _ := start(t, plainSettings)
 	worker.SetFaults(Faults{Fail: 1})
-	if resp, _, err := ask(address, "fail"); err != nil || resp.StatusCode != 500 || resp.Header.Get(headerNotRun) != "" {
+	if resp, _, err := post(address, "fail"); err != nil || resp.StatusCode != 500 || resp.Header.Get(headerNotExecuted) != "" {
 		t.Fatal(resp, err)
 	}
 	worker.SetFaults(Faults{Never: 1})
-	if resp, _, err := ask(address, "never"); err != nil || resp.StatusCode != 422 || resp.Header.Get(headerNotRun) != "" {
+	if resp, _, err := post(address, "never"); err != nil || resp.StatusCode != 422 || resp.Header.Get(headerNotExecuted) != "" {
 		t.Fatal(resp, err)
 	}
 	worker.SetFaults(Faults{Cut: 1})
-	if _, body, err := ask(address, "cut"); err == nil {
+	if _, body, err := post(address, "cut"); err == nil {
 		t.Fatal("a cut answer looked whole", body)
 	}
 	worker.SetFaults(Faults{Garble: 1})
-	if resp, _, err := ask(address, "garble"); err == nil {
+	if resp, _, err := post(address, "garble"); err == nil {
 		t.Fatal(resp)
 	}
 	worker.SetFaults(Faults{Surplus: 1})
@@ -215,7 +215,7 @@
 	if resp, err := http.ReadResponse(bufio.NewReader(first), nil); err != nil || resp.StatusCode != 200 {
 		t.Fatal(resp, err)
 	}
-	if resp, _, err := ask(address, "one"); err == nil {
+	if resp, _, err := post(address, "one"); err == nil {
 		t.Fatal(resp)
 	}
 }
