--- a/internal/tooling/explore/explore.go
+++ b/internal/tooling/explore/explore.go
@@ -1,6 +1,6 @@
-// Package explore walks through all interleavings of a small model, breadth first,
-// so that the history behind a broken invariant is a shortest one. The models of
-// this package play the cores of the control side; they hold no time.
+// Package explore visits all interleavings of a small model in breadth-first order, so that the
+// trace to an invariant violation is a shortest one. The models in this package run the core
+// state machines of the control plane; the model of the register has no clock.
 package explore
 
 import (
@@ -12,12 +12,12 @@
 	"sync"
 )
 
-// DepthVariable names the environment variable with the depth that the tests explore
-// to, in steps, in place of the depth of CI.
+// DepthVariable names the environment variable that overrides the depth, in steps, to which the
+// tests explore. Without it they use the depth of CI.
 const DepthVariable = "LEMONARCH_EXPLORE_DEPTH"
 
-// Depth is how many steps deep a test explores: shallow, unless the environment says
-// otherwise.
+// Depth returns the number of steps to which a test explores: the value of DepthVariable if it
+// is a positive number, otherwise shallow.
 func Depth(shallow int) int {
 	if depth, err := strconv.Atoi(os.Getenv(DepthVariable)); err == nil && depth > 0 {
 		return depth
@@ -25,76 +25,80 @@
 	return shallow
 }
 
-// State is one state of a model. Two states with the same key have the same future.
+// State is one state of a model. Two states with the same key must have the same possible
+// futures.
 type State interface {
-	// Key names all that matters of the state.
+	// Key encodes everything in the state that can affect later steps or checks.
 	Key() []byte
-	// Next gives every step that can follow.
+	// Next returns every step that can follow. It is called on several states concurrently.
 	Next() []Step
-	// Check gives the invariant that the state breaks, or nil.
+	// Check returns an error that describes the invariant that the state violates, or nil.
 	Check() error
 }
 
-// Step is one event and the state after it.
+// Step is one event and the state that results from it.
 type Step struct {
 	Name string
 	To   State
-	// Message says that the step delivers a message.
+	// Message reports whether the step delivers a message.
 	Message bool
 }
 
-// Result tells what an exploration has seen.
+// Result summarizes an exploration.
 type Result struct {
-	// States counts the distinct states met and Steps the steps between them.
+	// States is the number of distinct states visited, Steps the number of steps between them.
 	States, Steps int
-	// Depth is the number of steps of the longest history that was played.
+	// Depth is the number of steps in the longest history explored.
 	Depth int
-	// Whole says that no step led on from the last states: nothing is left out.
+	// Complete reports whether the whole state space was visited: the last states had no
+	// further steps.
 	Complete bool
-	// Broken is the invariant that was broken, and Trace the steps that led to it.
+	// Violation is the first invariant violation found, or nil. Trace lists the steps that led
+	// to it.
 	Violation error
 	Trace     []string
 }
 
-// String gives the figures of an exploration on one line.
+// String formats the counts of an exploration on one line, followed by the violation and its
+// trace if there is one.
 func (r Result) String() string {
-	text := fmt.Sprintf("states=%d steps=%d depth=%d whole=%v", r.States, r.Steps, r.Depth, r.Complete)
+	text := fmt.Sprintf("states=%d steps=%d depth=%d complete=%v", r.States, r.Steps, r.Depth, r.Complete)
 	if r.Violation != nil {
-		text += fmt.Sprintf("\nbroken: %v after\n  %s", r.Violation, strings.Join(r.Trace, "\n  "))
+		text += fmt.Sprintf("\nviolation: %v after\n  %s", r.Violation, strings.Join(r.Trace, "\n  "))
 	}
 	return text
 }
 
 const (
-	// batchStates is how many states are followed side by side before their steps are
-	// taken, and workers how many goroutines do that.
+	// batchStates is the number of states expanded concurrently before their successors are
+	// added; workers is the number of goroutines that expand them.
 	batchStates = 4096
 	workers     = 4
 )
 
 type key [16]byte
 
-// visit is a state that was met: how it was reached, to tell its history.
+// visit records how a visited state was reached, so that its trace can be rebuilt.
 type visit struct {
 	parent int32
 	name   string
 }
 
-// walk is one exploration.
+// explorer is the state of one exploration.
 type explorer struct {
 	seen   map[key]bool
 	visits []visit
 	result Result
 }
 
-// open is a state whose steps were not followed yet.
+// pendingState is a visited state whose steps were not expanded yet.
 type pendingState struct {
 	state State
 	index int32
 }
 
-// Run explores all histories from a state up to a depth. It stops at the first state
-// that breaks an invariant. Next is called on several states at once.
+// Run explores all histories from a start state up to a depth. It stops at the first state that
+// violates an invariant. Next is called on several states concurrently.
 func Run(start State, depth int) Result {
 	run := &explorer{seen: map[key]bool{}}
 	frontier := run.add(nil, &successor{key: keyOf(start), state: start, name: "start", parent: -1, violation: start.Check()})
@@ -106,7 +110,7 @@
 	return run.result
 }
 
-// found is a state that one step led to, before it is known to be new.
+// successor is a state that one step led to. It may have been visited before.
 type successor struct {
 	key       key
 	state     State
@@ -115,8 +119,8 @@
 	violation error
 }
 
-// follow gives the states one step behind those of a level. The steps of a batch are
-// worked out side by side, and taken in their order.
+// expandLevel returns the new states that are one step after those of the frontier. The steps
+// of a batch are computed concurrently and added in order, so that the result is deterministic.
 func (w *explorer) expandLevel(frontier []pendingState) []pendingState {
 	var next []pendingState
 	for len(frontier) > 0 && w.result.Violation == nil {
@@ -131,8 +135,8 @@
 	return next
 }
 
-// expand works out the steps of a batch; those that lead to states met before are
-// counted and left out.
+// expandBatch computes the steps of a batch. Steps to states visited before are counted and
+// left out.
 func (w *explorer) expandBatch(batch []pendingState) [][]successor {
 	lists := make([][]successor, len(batch))
 	counts := make([]int, workers)
@@ -170,7 +174,7 @@
 	return key(sum[:len(key{})])
 }
 
-// meet adds a state to a level, unless it was met before.
+// add appends a state to a frontier unless it was visited before.
 func (w *explorer) add(frontier []pendingState, next *successor) []pendingState {
 	if w.seen[next.key] {
 		return frontier
--- a/internal/tooling/explore/faults.go
+++ b/internal/tooling/explore/faults.go
@@ -5,8 +5,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// bearsLoss tells whether all members of the newest sets chosen have their disks: the
-// loss of one more is within the budget.
+// toleratesLoss reports whether all members of the newest chosen acceptor sets have their
+// disks. Only then is the loss of one more within the fault budget.
 func (f *registerState) toleratesLoss() bool {
 	sets := &messages.RegisterValue{Acceptors: f.processes[0].first}
 	for index := range f.votes {
@@ -22,8 +22,8 @@
 	return true
 }
 
-// wipe takes a machine's disk: it comes back empty, under a new identity, and knows
-// only the sets that others tell it.
+// wipe erases a machine's disk. The machine comes back empty, under a new identity, and knows
+// only the sets that it learns from others.
 func (f *registerState) wipe(i int) *registerState {
 	next := f.clone()
 	next.wipes--
@@ -43,7 +43,7 @@
 	return next
 }
 
-// restart begins a process's next life with its disk.
+// restart begins the next incarnation of a process, which keeps its disk.
 func (f *registerState) restart(i int) *registerState {
 	next := f.clone()
 	next.restarts--
--- a/internal/tooling/explore/fleet.go
+++ b/internal/tooling/explore/fleet.go
@@ -5,92 +5,94 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Plan says what a model of the register plays.
+// Plan configures a model of the register.
 type Plan struct {
-	// Members are the machines of the first acceptor set; Outsiders have an empty
-	// disk and are in no set.
+	// Members are the machines of the first acceptor set. NonMembers have an empty disk and are
+	// in no set.
 	Members, NonMembers []string
-	// Writers are the machines whose processes each put one version on base 0.
+	// Writers are the machines whose processes each propose one version on base 0.
 	Writers []string
-	// Tenders are the machines whose processes look after the acceptor set, as the
-	// controllers do; they take Suspect, where set, for gone.
+	// Reconcilers are the machines whose processes maintain the acceptor set, as the
+	// controllers do. If Suspect is set, they consider it departed.
 	Reconcilers []string
 	Suspect     string
-	// Versions is how many versions each writer puts in force one after the other,
-	// each on the newest that it knows; none means one.
+	// Versions is the number of versions that each writer applies one after the other, each
+	// based on the newest that it knows. Zero means one.
 	Versions int
-	// Attempts is how many ballots each of these processes opens at most.
+	// Attempts is the maximum number of ballots that each of these processes opens.
 	Attempts int
-	// Wipes is how many machines lose their disks, at any moment at which no other
-	// lost one is in the set, and Restarts how many processes start again with theirs.
+	// Wipes is the number of machines that lose their disks, at any moment at which no other
+	// member of the set has lost its disk. Restarts is the number of processes that restart and
+	// keep their disk.
 	Wipes, Restarts int
-	// Doubles is how many messages are delivered a second time.
+	// Duplicates is the number of messages that are delivered a second time.
 	Duplicates int
-	// KeepIdentity breaks the acceptor on purpose, to see the model find it: one that
-	// lost its disk goes on voting under its old identity.
+	// KeepIdentity is a deliberate defect of the acceptor that the model must detect: an
+	// acceptor that lost its disk continues to vote under its old identity.
 	KeepIdentity bool
-	// IgnoreAccepted breaks the proposer on purpose: it overlooks what was accepted.
+	// IgnoreAccepted is a deliberate defect of the proposer: it ignores values accepted before.
 	IgnoreAccepted bool
-	// SettleAtOnce breaks the change of members on purpose: the old set is let go
-	// in the same step in which the new one is proposed.
+	// DropPreviousAtOnce is a deliberate defect of the membership change: the old set is
+	// dropped in the same step in which the new one is proposed.
 	DropPreviousAtOnce bool
 }
 
-// process is one machine: an acceptor and, on some, a proposer.
+// process is one machine: an acceptor and, on some machines, a proposer.
 type process struct {
 	name  string
 	disk  string
 	first []messages.Member
-	// promised, accepted and value are the acceptor's record; value is none where
-	// nothing was accepted.
+	// promised, accepted and value are the acceptor's record. value is none if nothing was
+	// accepted.
 	promised, accepted messages.Ballot
 	value              valueID
-	// known is the newest value heard of, for its sets.
+	// known is the newest value that the process has received. Only its sets are used.
 	known    valueID
 	proposer *proposer
 }
 
-// proposer is what runs a machine's proposals, one attempt after the other.
+// proposer runs the proposals of one machine, one attempt after the other.
 type proposer struct {
-	// version is what a writer puts in force; one without a generation is a tender.
+	// version is the version that a writer proposes. A version without a generation marks a
+	// reconciler.
 	version     messages.Version
 	attempts    int
 	incarnation int64
-	// ballot, known and answers name the attempt that runs: it is played again from
-	// its beginning wherever it is needed. settled says that it has ended.
+	// ballot, known and responses identify the current attempt, which is replayed from its
+	// beginning whenever its state is needed. ended reports whether it has ended.
 	ballot    messages.Ballot
 	known     valueID
 	responses []response
 	ended     bool
-	// accepting says that the attempt's second round was begun.
+	// accepting reports whether the attempt has begun its accept phase.
 	accepting bool
-	// told says that the version has a clear answer, and versions counts those that
-	// had one before.
+	// responded reports whether the outcome of the version is known. versions counts the
+	// earlier versions whose outcome is known.
 	responded bool
 	versions  int
 }
 
-// answer is one message that came back to a proposer.
+// response is one message returned to a proposer.
 type response struct {
 	member   messages.Member
 	promise  *messages.PrepareResponse
 	accepted *messages.AcceptResponse
-	// key names it within the attempt.
+	// key identifies the response within the attempt.
 	key string
 }
 
-// request is a message that has not reached its acceptor yet.
+// request is a message that is in flight to an acceptor.
 type request struct {
 	from   int
 	ballot messages.Ballot
 	member messages.Member
-	// value is what an accept carries; none for a prepare.
+	// value is the value of an accept request, and none for a prepare request.
 	value valueID
 }
 
 const none valueID = -1
 
-// vote is what is known of one ballot: its value and who ever accepted it.
+// vote is the state of one ballot: its value and the acceptors that accepted it.
 type vote struct {
 	ballot messages.Ballot
 	value  valueID
@@ -98,19 +100,19 @@
 	chosen bool
 }
 
-// fleet is a state of the register's model.
+// registerState is a state of the register's model.
 type registerState struct {
 	plan      *Plan
 	table     *valueTable
 	processes []process
 	requests  []request
 	votes     []vote
-	// wipes, restarts and doubles are how many are left.
+	// wipes, restarts and duplicates are the numbers still available.
 	wipes, restarts, duplicates int
 	violation                   error
 }
 
-// NewFleet gives the first state of a plan's model.
+// NewRegisterState returns the initial state of a plan's model.
 func NewRegisterState(plan Plan) State {
 	state := &registerState{plan: &plan, table: newValues(), wipes: plan.Wipes, restarts: plan.Restarts, duplicates: plan.Duplicates}
 	var first []messages.Member
@@ -139,10 +141,10 @@
 			return i
 		}
 	}
-	panic("no such machine: " + name)
+	panic("unknown machine: " + name)
 }
 
-// clone copies what steps change. Proposers are copied by those who change them.
+// clone copies what steps change, except proposers: a step that changes a proposer copies it.
 func (f *registerState) clone() *registerState {
 	next := *f
 	next.processes = append([]process(nil), f.processes...)
@@ -151,12 +153,12 @@
 	return &next
 }
 
-// member is a process as an acceptor.
+// member returns a process as a member of an acceptor set.
 func (p *process) member() messages.Member {
 	return messages.Member{Name: p.name, Address: p.name, Disk: p.disk}
 }
 
-// acceptor gives the real acceptor with the process's record.
+// acceptor returns a register.Acceptor with the process's record.
 func (f *registerState) acceptor(i int) *register.Acceptor {
 	proc := &f.processes[i]
 	record := messages.AcceptorRecord{Disk: proc.disk, First: proc.first, Promised: proc.promised, Accepted: proc.accepted}
@@ -166,7 +168,7 @@
 	return register.NewAcceptor(record)
 }
 
-// keep takes over what the real acceptor has to have on disk.
+// storeRecord stores the record that the acceptor must have on disk.
 func (f *registerState) storeRecord(i int, acceptor *register.Acceptor) {
 	proc, record := &f.processes[i], acceptor.Record()
 	proc.promised, proc.accepted = record.Promised, record.Accepted
@@ -175,7 +177,7 @@
 	}
 }
 
-// learn takes the sets of a value that a process has met.
+// learnSets updates the sets that a process knows from a value that it received.
 func (f *registerState) learnSets(i int, value *messages.RegisterValue) {
 	known := f.table.value(f.processes[i].known)
 	if len(value.Acceptors) > 0 && (value.SetEpoch >= known.SetEpoch || len(known.Acceptors) == 0) {
--- a/internal/tooling/explore/invariants.go
+++ b/internal/tooling/explore/invariants.go
@@ -8,8 +8,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// vote notes that an acceptor accepted a value. Once that value is chosen by it, it
-// gives the acceptors that chose it.
+// recordVote records that an acceptor accepted a value. If this vote makes the value chosen, it
+// returns the acceptors that chose it.
 func (f *registerState) recordVote(ballot messages.Ballot, value valueID, voter messages.Member) []messages.Member {
 	i, known := slices.BinarySearchFunc(f.votes, ballot, func(ballotVotes vote, sought messages.Ballot) int {
 		if ballotVotes.ballot == sought {
@@ -25,7 +25,7 @@
 	}
 	ballotVotes := &f.votes[i]
 	if ballotVotes.value != value {
-		f.violation = fmt.Errorf("two values under ballot %v", ballot)
+		f.violation = fmt.Errorf("two different values accepted under ballot %v", ballot)
 		return nil
 	}
 	if ballotVotes.chosen || slices.Contains(ballotVotes.voters, voter) {
@@ -45,8 +45,8 @@
 	return list
 }
 
-// chosen checks a value that was just chosen against all others that ever were: in
-// the order of their ballots, each is built on the one before.
+// checkChosen checks a newly chosen value against all values chosen before: in the order of
+// their ballots, each value must be built on the one before.
 func (f *registerState) checkChosen(newest *vote) {
 	for index := range f.votes {
 		other := &f.votes[index]
@@ -58,7 +58,7 @@
 			earlier, later = newest, other
 		}
 		if !follows(f.table.value(later.value), f.table.value(earlier.value)) {
-			f.violation = fmt.Errorf("chosen values that do not follow each other: %s and %s", f.describe(earlier), f.describe(later))
+			f.violation = fmt.Errorf("chosen value is not built on the previous one: %s and %s", f.describe(earlier), f.describe(later))
 		}
 	}
 }
@@ -68,16 +68,16 @@
 	return fmt.Sprintf("%v versions=%v epoch=%d", chosen.ballot, versions(value), value.SetEpoch)
 }
 
-// told notes what a writer's operator is told.
+// recordResult checks and records the result that a writer's operator receives.
 func (f *registerState) recordResult(run *proposer, value *messages.RegisterValue, result register.Result) {
 	if run.version.Generation == 0 {
 		return
 	}
 	if result.InForce() && !f.wasChosen(run.version) {
-		f.violation = fmt.Errorf("acknowledged and never chosen: %v", run.version)
+		f.violation = fmt.Errorf("version was acknowledged but never chosen: %v", run.version)
 	}
 	if !result.InForce() && f.wasChosen(run.version) {
-		f.violation = fmt.Errorf("refused and chosen: %v", run.version)
+		f.violation = fmt.Errorf("version was rejected but chosen: %v", run.version)
 	}
 	run.responded = true
 	if run.versions+1 < f.plan.Versions {
@@ -86,7 +86,7 @@
 	}
 }
 
-// newest is the highest generation used so far.
+// newest returns the highest generation used so far.
 func (f *registerState) newest() int64 {
 	var newest int64
 	for i := range f.processes {
@@ -100,7 +100,7 @@
 	return newest
 }
 
-// wasChosen tells whether a version stands in a value that was chosen.
+// wasChosen reports whether a version is part of a value that was chosen.
 func (f *registerState) wasChosen(version messages.Version) bool {
 	for index := range f.votes {
 		if f.votes[index].chosen && slices.Contains(versions(f.table.value(f.votes[index].value)), version) {
@@ -110,7 +110,8 @@
 	return false
 }
 
-// Check gives the invariant that the state breaks.
+// Check returns an error if the state violates an invariant: a recorded violation, or a chosen
+// value that a proposal could miss.
 func (f *registerState) Check() error {
 	if f.violation != nil {
 		return f.violation
@@ -126,19 +127,19 @@
 	}
 	chosen := &f.votes[newest]
 	if f.canMiss(chosen, f.table.value(chosen.value)) {
-		return fmt.Errorf("a majority does not know of the chosen %s", f.describe(chosen))
+		return fmt.Errorf("a quorum of acceptors does not know the chosen value %s", f.describe(chosen))
 	}
 	for i := range f.processes {
 		if known := f.table.value(f.processes[i].known); f.canMiss(chosen, known) {
-			return fmt.Errorf("%s, which knows the sets of epoch %d, can miss the chosen %s", f.processes[i].name, known.SetEpoch, f.describe(chosen))
+			return fmt.Errorf("a proposal by %s to the sets of epoch %d can miss the chosen value %s", f.processes[i].name, known.SetEpoch, f.describe(chosen))
 		}
 	}
 	return nil
 }
 
-// missable tells whether a proposal to the sets of a value could miss what was chosen:
-// whether acceptors that hold neither the chosen value nor a later one, and know of no
-// newer sets, make a quorum.
+// canMiss reports whether a proposal to the sets of a value could miss the chosen value. That
+// is so if the acceptors that have accepted neither the chosen value nor a later one, and know
+// of no newer sets, form a quorum.
 func (f *registerState) canMiss(chosen *vote, sets *messages.RegisterValue) bool {
 	voters := map[string]bool{}
 	for i := range f.processes {
--- a/internal/tooling/explore/key.go
+++ b/internal/tooling/explore/key.go
@@ -8,8 +8,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Key names the state. The answers of an attempt count as a set, and so do the
-// requests under way.
+// Key encodes the state. The responses of an attempt are encoded as a set, and so are the
+// requests in flight: their order has no effect.
 func (f *registerState) Key() []byte {
 	text := make([]byte, 0, 512)
 	for i := range f.processes {
@@ -73,7 +73,8 @@
 	return append(append(append(text, ':'), ballot.Node...), ' ')
 }
 
-// appendSet appends names whatever their order.
+// appendSet appends names in sorted order, so that sets with the same members have the same
+// encoding.
 func appendSet(text []byte, names []string) []byte {
 	slices.Sort(names)
 	for _, name := range names {
--- a/internal/tooling/explore/lease_test.go
+++ b/internal/tooling/explore/lease_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is late, lost, doubled or out of order, and whoever restarts, at most one
-// hold stands, by steady clocks that run up to a tenth too slow or too fast.
+// At most one lease is valid at a time although messages are delayed, lost, duplicated or
+// reordered and processes restart. The monotonic clocks run up to a tenth too slow or too fast.
 func TestOneLeaseIsValid(t *testing.T) {
 	acquired := 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -15,10 +15,10 @@
 			acquired += runLeaseHistory(rt)
 		}
 	})
-	t.Logf("the duty was taken %d times", acquired)
+	t.Logf("leadership was acquired %d times", acquired)
 }
 
-// playLease plays one history and tells how often the duty was taken in it.
+// runLeaseHistory runs one random history and returns how often leadership was acquired in it.
 func runLeaseHistory(rt *rapid.T) int {
 	model := newLeaseModel(rt)
 	rt.Repeat(map[string]func(*rapid.T){
@@ -30,10 +30,10 @@
 		"give up": model.giveUp, "give up 2": model.giveUp,
 		"restart": model.restart,
 		"read": func(rt *rapid.T) {
-			model.nodes[drawNode(rt)].known = model.duty
+			model.nodes[drawNode(rt)].known = model.leadership
 		},
 		"catch up": func(rt *rapid.T) {
-			model.nodes[drawNode(rt)].view = model.duty
+			model.nodes[drawNode(rt)].view = model.leadership
 		},
 	})
 	return model.acquired
--- a/internal/tooling/explore/leaseworld_test.go
+++ b/internal/tooling/explore/leaseworld_test.go
@@ -12,34 +12,34 @@
 
 const (
 	leaseNodes = 3
-	// leaseHistories is how many histories are played for each that Seeds counts: they
+	// leaseHistories is the number of histories run for each one that Seeds counts, since they
 	// are short.
 	leaseHistories = 15
-	// slowest and fastest are the rates of steady clocks against true time.
+	// slowest and fastest bound the rates of the monotonic clocks relative to true time.
 	slowest, fastest = 0.9, 1.1
 )
 
-// leaseNode is an acceptor and a candidate on one machine, with a clock of their own.
+// leaseNode is an acceptor and a candidate on one machine with its own clock.
 type leaseNode struct {
 	rate      float64
 	startedAt clock.Instant
-	// grants and view are the acceptor: its side of the lease, and the duty as its
-	// register value names it.
+	// grants and view belong to the acceptor: its lease grants, and the leadership as named in
+	// its register value.
 	grants *lease.Grantor
 	view   messages.Leadership
-	// hold, term and read are the candidate: term is its duty while it holds one, and
-	// read the newest duty that it knows.
+	// lease, term and known belong to the candidate: term is its own leadership while it is the
+	// leader, and known the newest leadership that it knows of.
 	name        string
 	incarnation int64
 	sequence    uint64
-	// current is the one round that it waits for.
+	// current is the only round whose responses the candidate still accepts.
 	current *round
 	lease   lease.Lease
 	term    messages.Leadership
 	known   messages.Leadership
 }
 
-// round is one question to all acceptors.
+// round is one lease request sent to all acceptors.
 type round struct {
 	from        int
 	request     messages.LeaseRequest
@@ -49,11 +49,11 @@
 	latestEpoch uint64
 }
 
-// leaseWorld plays candidates that seek, renew and release one duty, as stores do.
+// leaseModel simulates candidates that acquire, renew and release one leadership, as stores do.
 type leaseModel struct {
 	now      clock.Instant
 	nodes    [leaseNodes]leaseNode
-	duty     messages.Leadership
+	leadership     messages.Leadership
 	inFlight []func(rt *rapid.T)
 	names    []string
 	acquired int
@@ -68,7 +68,7 @@
 	return model
 }
 
-// clock is the steady clock of a machine's process.
+// clock returns the monotonic clock of a machine's process.
 func (l *leaseModel) clock(i int) clock.Instant {
 	node := &l.nodes[i]
 	return clock.Instant(float64(l.now-node.startedAt) * node.rate)
@@ -84,7 +84,8 @@
 	l.now = l.now.Add(clock.Milliseconds(float64(rapid.IntRange(1, 500).Draw(rt, "ms"))))
 }
 
-// ask opens a round of the candidate: it renews what it holds, or seeks the duty.
+// startRound starts a round of a random candidate: it renews the lease that it holds, or tries
+// to acquire leadership.
 func (l *leaseModel) startRound(rt *rapid.T) {
 	i := drawNode(rt)
 	node := &l.nodes[i]
@@ -108,7 +109,7 @@
 		l.send(fmt.Sprintf("%v to n%d", current.request, target), func(*rapid.T) {
 			acceptor := &l.nodes[target]
 			resp := acceptor.grants.Grant(current.request, acceptor.view, l.clock(target))
-			l.send(fmt.Sprintf("n%d answers %v: %v", target, current.request, resp), func(rt *rapid.T) {
+			l.send(fmt.Sprintf("n%d responds to %v: %v", target, current.request, resp), func(rt *rapid.T) {
 				l.handleResponse(rt, current, target, resp)
 			})
 		})
@@ -137,35 +138,36 @@
 		if current.latestEpoch <= current.request.Epoch && node.term.Epoch == current.request.Epoch {
 			node.lease.Renewed(current.sentAt)
 		}
-	case l.duty.Epoch == current.request.Epoch:
+	case l.leadership.Epoch == current.request.Epoch:
 		l.acquire(rt, node, current)
 	default:
 		l.release(node, current.from)
 	}
 }
 
-// take raises the epoch in the register: a majority of the acceptors knows it.
+// acquire raises the epoch in the register, which a majority of the acceptors then knows.
 func (l *leaseModel) acquire(rt *rapid.T, node *leaseNode, current *round) {
-	l.duty = messages.Leadership{Holder: node.name, Incarnation: node.incarnation, Epoch: l.duty.Epoch + 1}
-	uninformed := rapid.IntRange(0, leaseNodes).Draw(rt, "not told")
+	l.leadership = messages.Leadership{Holder: node.name, Incarnation: node.incarnation, Epoch: l.leadership.Epoch + 1}
+	uninformed := rapid.IntRange(0, leaseNodes).Draw(rt, "uninformed acceptor")
 	for i := range l.nodes {
 		if i != uninformed {
-			l.nodes[i].view = l.duty
+			l.nodes[i].view = l.leadership
 		}
 	}
-	node.term, node.known = l.duty, l.duty
+	node.term, node.known = l.leadership, l.leadership
 	node.lease.Renewed(current.sentAt)
 	l.acquired++
 }
 
-// release gives back what was granted.
+// release releases what was granted.
 func (l *leaseModel) release(node *leaseNode, i int) {
 	node.lease.Revoke()
 	node.term = messages.Leadership{}
 	l.sendRound(&round{from: i, request: messages.LeaseRequest{Candidate: node.name, Incarnation: node.incarnation, Epoch: node.known.Epoch, Release: true}})
 }
 
-// give up: a candidate that was not granted the duty in time, or leaves, releases it.
+// giveUp releases the lease of a candidate that was not granted leadership in time or is
+// leaving.
 func (l *leaseModel) giveUp(rt *rapid.T) {
 	i := drawNode(rt)
 	l.release(&l.nodes[i], i)
@@ -185,12 +187,12 @@
 	function(rt)
 }
 
-// exchange is a round of which most messages arrive at once; the others stay late.
+// exchange runs a round in which most messages arrive immediately. The others stay in flight.
 func (l *leaseModel) exchange(rt *rapid.T) {
 	before := len(l.inFlight)
 	if rapid.Bool().Draw(rt, "up to date") {
 		for i := range l.nodes {
-			l.nodes[i].known = l.duty
+			l.nodes[i].known = l.leadership
 		}
 	}
 	l.startRound(rt)
@@ -207,8 +209,8 @@
 	}
 }
 
-// restart begins a machine's next life: its clock starts again, the acceptor keeps its
-// register value and forgets its grants, the candidate forgets all.
+// restart begins a machine's next incarnation: its clock restarts, the acceptor keeps its
+// register value and loses its grants, and the candidate loses all state.
 func (l *leaseModel) restart(rt *rapid.T) {
 	node := &l.nodes[drawNode(rt)]
 	node.startedAt, node.incarnation, node.sequence = l.now, node.incarnation+1, 0
@@ -226,6 +228,6 @@
 		}
 	}
 	if count > 1 {
-		rt.Fatalf("%d holds stand at once:%s", count, holders)
+		rt.Fatalf("%d leases are valid at once, want at most 1:%s", count, holders)
 	}
 }
--- a/internal/tooling/explore/steps.go
+++ b/internal/tooling/explore/steps.go
@@ -8,21 +8,23 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// modelSize is how many acceptors the tenders want: the loss of one is borne.
+// modelSize is the number of acceptors that the reconcilers aim for. A set of three tolerates
+// the loss of one.
 const modelSize = 3
 
-// Next gives every step that can follow. What is left out follows from three facts.
+// Next returns every step that can follow. It omits steps that can't reveal further violations,
+// for three reasons.
 //
-// An acceptor's answer reaches its proposer in the same step or never: a proposer that
-// hears later does later what it would have done, and its messages wait as long as they
-// like. A message that is lost is one that is never delivered.
+// An acceptor's response reaches its proposer in the same step or never. A proposer that
+// receives it later would only do later what it does now, and its messages may stay in flight
+// for any time. A lost message is one that is never delivered.
 //
-// A promise whose answer is lost only makes an acceptor refuse more, so that the same
-// history without it breaks the same invariants. A refusal only makes a proposer try
-// again, which it may do at any moment.
+// A promise whose response is lost only makes an acceptor reject more, so the same history
+// without it violates the same invariants. A rejection only makes a proposer retry, which it
+// may do at any moment.
 //
-// The answers to a second round count only once they are a quorum: then the proposer
-// hears all of them or none.
+// The responses to the accept phase matter only once they form a quorum, so the proposer
+// receives all of them or none.
 func (f *registerState) Next() []Step {
 	var steps []Step
 	if f.violation != nil {
@@ -45,8 +47,8 @@
 	return steps
 }
 
-// change gives what a proposer proposes next, or nil; result is what a writer's
-// change came to.
+// change returns the change that a proposer proposes next, or nil if there is none. result
+// receives the outcome of a writer's change.
 func (f *registerState) change(i int, known *messages.RegisterValue, result *register.Result) register.Change {
 	proc := &f.processes[i]
 	if proc.proposer.version.Generation > 0 {
@@ -65,8 +67,8 @@
 	}
 }
 
-// attempt opens a ballot higher than all before. It may be opened at any moment: the
-// attempt before it was refused, or had no answer in time.
+// openBallot opens a ballot higher than all before. This may happen at any moment, since the
+// previous attempt may have been rejected or have timed out.
 func (f *registerState) openBallot(steps []Step, i int) []Step {
 	var result register.Result
 	known := f.processes[i].known
@@ -82,15 +84,16 @@
 	_, sends := next.replay(i, &result)
 	next.addRequests(i, run.ballot, sends)
 	next.dropObsolete()
-	return append(steps, Step{Name: fmt.Sprintf("%s opens %v", f.processes[i].name, run.ballot), To: next})
+	return append(steps, Step{Name: fmt.Sprintf("%s opens ballot %v", f.processes[i].name, run.ballot), To: next})
 }
 
-// untouched tells whether an attempt was opened and none of its messages delivered.
+// nothingDelivered reports whether an attempt is open and none of its messages has been
+// delivered.
 func (f *registerState) nothingDelivered(run *proposer) bool {
 	return !run.ended && len(run.responses) == 0
 }
 
-// highest is the highest counter used so far.
+// highest returns the highest ballot counter used so far.
 func (f *registerState) highest() uint64 {
 	var highest uint64
 	for i := range f.processes {
@@ -102,8 +105,8 @@
 	return highest
 }
 
-// play runs a proposer's attempt from its beginning. It gives what the last answer,
-// or the beginning, made it send.
+// replay runs a proposer's current attempt from its beginning. It returns the messages that the
+// last response, or the start if there was no response, caused it to send.
 func (f *registerState) replay(i int, result *register.Result) (*register.Proposal, []register.Send) {
 	run := f.processes[i].proposer
 	known := f.table.value(run.known)
@@ -119,7 +122,7 @@
 	return proposal, sends
 }
 
-// post puts messages under way.
+// addRequests puts messages in flight.
 func (f *registerState) addRequests(i int, ballot messages.Ballot, sends []register.Send) {
 	for _, send := range sends {
 		message := request{from: i, ballot: ballot, member: send.Member, value: none}
@@ -130,7 +133,7 @@
 	}
 }
 
-// deliver gives the steps in which one message reaches its acceptor.
+// deliver appends the steps in which one message reaches its acceptor.
 func (f *registerState) deliver(steps []Step, index int) []Step {
 	for _, duplicate := range []bool{false, true} {
 		if duplicate && f.duplicates == 0 {
@@ -145,7 +148,8 @@
 	return steps
 }
 
-// taken gives the state without a message, or with it where it comes again.
+// withoutRequest returns the state without a message. If the message is to be delivered again,
+// it stays in flight.
 func (f *registerState) withoutRequest(index int, duplicate bool) *registerState {
 	next := f.clone()
 	if duplicate {
@@ -197,14 +201,14 @@
 			withQuorum.handleResponse(message.from, response{member: voter, accepted: &messages.AcceptResponse{Granted: true, Promised: message.ballot}})
 		}
 		withQuorum.dropObsolete()
-		steps = append(steps, Step{Name: name + ", and told", To: withQuorum, Message: true})
+		steps = append(steps, Step{Name: name + ", quorum reported to the proposer", To: withQuorum, Message: true})
 	}
 	next.dropObsolete()
 	return append(steps, Step{Name: name, To: next, Message: true})
 }
 
-// asked is the disk identity that a message names; the broken acceptor of
-// Plan.KeepIdentity answers for any.
+// targetDisk returns the disk identity that a message is addressed to. With the defect
+// Plan.KeepIdentity an acceptor responds to any, so its current identity is returned.
 func (f *registerState) targetDisk(message *request) string {
 	if f.plan.KeepIdentity {
 		return f.processes[f.indexOf(message.member.Name)].disk
@@ -212,13 +216,13 @@
 	return message.member.Disk
 }
 
-// waits tells whether the sender of a prepare still waits for its answer.
+// awaitsResponse reports whether the sender of a prepare request still waits for the response.
 func (f *registerState) awaitsResponse(message *request) bool {
 	run := f.processes[message.from].proposer
 	return !run.ended && run.ballot == message.ballot && !run.accepting
 }
 
-// hear gives an answer to a proposer.
+// handleResponse passes a response to a proposer.
 func (f *registerState) handleResponse(i int, resp response) {
 	run := *f.processes[i].proposer
 	run.responses = append(append([]response(nil), run.responses...), resp)
--- a/internal/tooling/explore/tidy.go
+++ b/internal/tooling/explore/tidy.go
@@ -7,8 +7,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// tidy drops messages that can change nothing any more: whoever would refuse them
-// now refuses them for ever.
+// dropObsolete drops messages that can no longer have any effect: an acceptor that would reject
+// one now would reject it at any later time too.
 func (f *registerState) dropObsolete() {
 	retained := f.requests[:0]
 	for index := range f.requests {
@@ -23,7 +23,7 @@
 	f.votes = slices.DeleteFunc(f.votes, func(cast vote) bool { return !cast.chosen && !f.mayBeChosen(cast.ballot) })
 }
 
-// mayBeChosen tells whether accepts of a ballot are under way or can still be sent.
+// mayBeChosen reports whether accept requests of a ballot are in flight or can still be sent.
 func (f *registerState) mayBeChosen(ballot messages.Ballot) bool {
 	for index := range f.requests {
 		if f.requests[index].ballot == ballot {
--- a/internal/tooling/explore/values.go
+++ b/internal/tooling/explore/values.go
@@ -7,11 +7,11 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// valueID is a place in a table of values.
+// valueID is the index of a value in a valueTable.
 type valueID int32
 
-// values is a table of all register values that an exploration has met, so that
-// states hold small numbers. Values in it are never changed.
+// valueTable stores all register values of an exploration, so that states store small numbers
+// in place of values. Values in it are never changed.
 type valueTable struct {
 	lock  sync.RWMutex
 	list  []messages.RegisterValue
@@ -42,13 +42,13 @@
 	return &v.list[id]
 }
 
-// setsOnly gives a value that has nothing but another's sets: all that a proposer
-// uses of the newest value it knows.
+// setsOnly returns a value with only the sets of another one. A proposer uses nothing else of
+// the newest value that it knows.
 func setsOnly(value *messages.RegisterValue) messages.RegisterValue {
 	return messages.RegisterValue{Acceptors: value.Acceptors, Previous: value.Previous, SetEpoch: value.SetEpoch}
 }
 
-// versions gives the versions taken in a value, oldest first.
+// versions returns the versions in a value, oldest first.
 func versions(value *messages.RegisterValue) []messages.Version {
 	if value.Current.Generation == 0 {
 		return nil
@@ -56,8 +56,8 @@
 	return append(append([]messages.Version{}, value.History...), value.Current)
 }
 
-// follows tells whether a value was built on another one: it holds all its versions
-// in the same order, and sets that are the same or newer.
+// follows reports whether a value was built on another one: it contains all versions of the
+// earlier one in the same order, and its sets are the same or newer.
 func follows(later, earlier *messages.RegisterValue) bool {
 	taken, before := versions(later), versions(earlier)
 	if len(taken) < len(before) || later.SetEpoch < earlier.SetEpoch {
--- a/internal/tooling/explore/walk_test.go
+++ b/internal/tooling/explore/walk_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// Long histories by chance: members are replaced, lose their disks and join again many
-// times, while versions follow each other.
+// Long random histories in which members are replaced, lose their disks and rejoin many times
+// while versions are applied one after another.
 func TestLongHistories(t *testing.T) {
 	plan := Plan{Members: threeMembers, NonMembers: []string{"d", "e"}, Suspect: "a",
 		Reconcilers: []string{"a", "b", "c", "d"}, Writers: []string{"e"}, Versions: 20,
@@ -34,10 +34,10 @@
 			epochs, longest = max(epochs, value.SetEpoch), max(longest, len(versions(value)))
 		}
 	})
-	t.Logf("up to epoch %d and %d versions in one history", epochs, longest)
+	t.Logf("highest epoch %d and at most %d versions in one history", epochs, longest)
 }
 
-// drawStep draws a step, a message nine times of ten.
+// drawStep draws a step, and with a probability of nine in ten one that delivers a message.
 func drawStep(rt *rapid.T, steps []Step) Step {
 	var candidates []Step
 	delivery := rapid.IntRange(0, 9).Draw(rt, "kind") > 0
