--- a/internal/tooling/explore/explore.go
+++ b/internal/tooling/explore/explore.go
@@ -120,7 +120,7 @@
 }
 
 // expandLevel returns the new states that are one step after those of the frontier. The steps
-// of a batch are computed concurrently and added in order, so that the result is deterministic.
+// of a batch are computed concurrently and added in order.
 func (w *explorer) expandLevel(frontier []pendingState) []pendingState {
 	var next []pendingState
 	for len(frontier) > 0 && w.result.Violation == nil {
--- a/internal/tooling/explore/invariants.go
+++ b/internal/tooling/explore/invariants.go
@@ -141,11 +141,11 @@
 // is so if the acceptors that have accepted neither the chosen value nor a later one, and know
 // of no newer sets, form a quorum.
 func (f *registerState) canMiss(chosen *vote, sets *messages.RegisterValue) bool {
-	voters := map[string]bool{}
+	unaware := map[string]bool{}
 	for i := range f.processes {
 		proc := &f.processes[i]
 		newer := proc.value != none && f.table.value(proc.value).SetEpoch > sets.SetEpoch
-		voters[register.Identity(proc.member())] = !newer && register.Less(proc.accepted, chosen.ballot)
+		unaware[register.Identity(proc.member())] = !newer && register.Less(proc.accepted, chosen.ballot)
 	}
-	return register.Quorum(sets, voters)
+	return register.Quorum(sets, unaware)
 }
--- a/internal/tooling/explore/leaseworld_test.go
+++ b/internal/tooling/explore/leaseworld_test.go
@@ -51,12 +51,12 @@
 
 // leaseModel simulates candidates that acquire, renew and release one leadership, as stores do.
 type leaseModel struct {
-	now      clock.Instant
-	nodes    [leaseNodes]leaseNode
-	leadership     messages.Leadership
-	inFlight []func(rt *rapid.T)
-	names    []string
-	acquired int
+	now        clock.Instant
+	nodes      [leaseNodes]leaseNode
+	leadership messages.Leadership
+	inFlight   []func(rt *rapid.T)
+	names      []string
+	acquired   int
 }
 
 func newLeaseModel(rt *rapid.T) *leaseModel {
--- a/internal/tooling/linearize/controller.go
+++ b/internal/tooling/linearize/controller.go
@@ -9,8 +9,8 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// controller is one simulated control machine: an acceptor whose record stands in a
-// log file on a fake disk, and what its process knows.
+// controller is one simulated controller machine: an acceptor whose record is stored in a log
+// file on a simulated disk, and the state of its process.
 type controller struct {
 	name        string
 	disk        *simulation.Disk
@@ -22,7 +22,7 @@
 	known       messages.RegisterValue
 }
 
-// start reads the disk: nothing else is known to a new life.
+// start reads the acceptor's record from the disk. A new incarnation has no other state.
 func (c *controller) start(identity string, first []messages.Member) error {
 	record := messages.AcceptorRecord{}
 	logfile, err := recordlog.Open(c.disk, "register", func(_ int64, body []byte) error {
@@ -43,7 +43,7 @@
 	return c.write()
 }
 
-// write appends the acceptor's record; sync makes it last.
+// write appends the acceptor's record to the log and syncs it, which makes it durable.
 func (c *controller) write() error {
 	record := c.acceptor.Record()
 	body, err := record.MarshalMsg(nil)
@@ -60,12 +60,12 @@
 	return messages.Member{Name: c.name, Address: c.name, Disk: c.acceptor.Disk()}
 }
 
-// learn takes newer sets.
+// learn takes over sets that are not older than the known ones.
 func (c *controller) learn(value messages.RegisterValue) {
 	if len(value.Acceptors) > 0 && (value.SetEpoch >= c.known.SetEpoch || len(c.known.Acceptors) == 0) {
 		c.known = value
 	}
 }
 
-// identity names a disk that came back empty.
+// identity returns a new identity for a disk that came back empty.
 func (c *controller) identity() string { return fmt.Sprintf("%s-%d", c.name, c.incarnation) }
--- a/internal/tooling/linearize/faults.go
+++ b/internal/tooling/linearize/faults.go
@@ -2,8 +2,8 @@
 
 import "lemonarch/internal/platform/clock"
 
-// trouble brings one fault after another, each once the one before is over and the set
-// of acceptors is whole again: within a budget of one machine.
+// scheduleFaults injects one fault after another, each once the previous one is over and the
+// acceptor set is complete again. This stays within a fault budget of one machine.
 func (f *Fleet) scheduleFaults(stopAt clock.Instant) {
 	f.afterRandom(100, 700, func() {
 		if f.world.Now > stopAt {
@@ -28,7 +28,7 @@
 	case 3:
 		f.restart(victim, f.world.Random.Intn(2) == 0)
 	case 4:
-		// All lose power, or all are killed.
+		// All machines lose power, or all processes are killed.
 		power := f.world.Random.Intn(2) == 0
 		for _, name := range f.names {
 			f.restart(f.nodes[name], power)
@@ -40,7 +40,8 @@
 	}
 }
 
-// cut cuts a machine off from all others and from the operators, one way or both.
+// partition cuts a machine off from all others and from the operators, in one or both
+// directions.
 func (f *Fleet) partition(victim *controller, toVictim, fromVictim bool) {
 	setPartitioned := func(partitioned bool) {
 		for _, name := range f.names {
@@ -52,7 +53,7 @@
 	f.afterRandom(300, 5000, func() { setPartitioned(false) })
 }
 
-// bounce ends a process; it is started again with its disk.
+// restart ends a process and later starts it again with its disk.
 func (f *Fleet) restart(victim *controller, losePower bool) {
 	if victim.down {
 		return
@@ -64,7 +65,7 @@
 	f.afterRandom(50, 4000, func() { f.recordError(victim.start("", nil)) })
 }
 
-// wipe ends a process; its machine comes back without what its disk held.
+// wipe ends a process. Its machine comes back with an empty disk.
 func (f *Fleet) wipe(victim *controller) {
 	if victim.down {
 		return
--- a/internal/tooling/linearize/fleet.go
+++ b/internal/tooling/linearize/fleet.go
@@ -8,30 +8,31 @@
 )
 
 const (
-	// setSize is how many acceptors the simulated fleet keeps: one loss is borne.
+	// setSize is the number of acceptors that the simulated fleet maintains. A set of three
+	// tolerates the loss of one.
 	setSize = 3
-	// attemptMs is how long a proposer waits for its two rounds, and attempts how many
-	// it makes for one call.
+	// attemptMs is how long a proposer waits for its two phases, and attempts the number of
+	// attempts for one call.
 	attemptMs = 400
 	attempts  = 4
-	// silentMs is how long a member is down before others take its place.
+	// departedAfterMs is how long a member must be down before the others replace it.
 	departedAfterMs = 2500
 )
 
-// Breaks takes guards of the fleet out, so that a test can see the check find it.
+// Defects removes guards from the fleet, so that a test can verify that the check detects it.
 type Defects struct {
-	// KeepIdentity: a machine whose disk came back empty votes under its old identity.
+	// KeepIdentity lets a machine whose disk came back empty vote under its old identity.
 	KeepIdentity bool
-	// ReadOne: a read believes the first acceptor that answers.
+	// ReadFromOne lets a read return the value of the first acceptor that responds.
 	ReadFromOne bool
-	// RefuseResent: a version that was taken is refused when it is sent again.
+	// RejectResent rejects a version that was already applied when it is sent again.
 	RejectResent bool
-	// AnswerUnsynced: an acceptor answers before its record is on disk.
+	// RespondUnsynced lets an acceptor respond before its record is on disk.
 	RespondUnsynced bool
 }
 
-// Fleet is a seeded simulation of the control machines with the real core of the
-// register, of operators who call them, and of their worst days.
+// Fleet is a seeded simulation of the controller machines, which run the real register core, of
+// the operators that call them, and of severe faults.
 type Fleet struct {
 	History   History
 	defects   Defects
@@ -39,14 +40,15 @@
 	names     []string
 	nodes     map[string]*controller
 	downSince map[string]clock.Instant
-	// crash says that the next proposer that begins its second round dies in it.
+	// crashNextProposer reports whether the next proposer that begins its accept phase crashes
+	// in it.
 	crashNextProposer bool
-	// next is the highest generation that any operator has used.
+	// highestGeneration is the highest generation that any operator has used.
 	highestGeneration int64
 	err               error
 }
 
-// NewFleet makes a fleet of five control machines, three of them acceptors.
+// NewFleet returns a fleet of five controller machines, three of which are acceptors.
 func NewFleet(seed int64, breaks Defects) *Fleet {
 	fleet := &Fleet{defects: breaks, world: simulation.NewWorld(seed), names: []string{"a", "b", "c", "d", "e"},
 		nodes: map[string]*controller{}, downSince: map[string]clock.Instant{}}
@@ -64,7 +66,8 @@
 	return fleet
 }
 
-// Run plays the fleet's day and gives the first error of its machinery.
+// Run runs the simulation for a time span and returns the first internal error of the
+// simulation.
 func (f *Fleet) Run(span clock.Duration) error {
 	for number := range operators {
 		f.runOperator(number, f.world.Now.Add(span))
@@ -80,7 +83,7 @@
 	}
 }
 
-// after runs a function in a random time between two, in milliseconds.
+// afterRandom calls a function after a random delay between minMs and maxMs, in milliseconds.
 func (f *Fleet) afterRandom(minMs, maxMs float64, function func()) {
 	f.world.After(clock.Milliseconds(minMs+(maxMs-minMs)*f.world.Random.Float64()), function)
 }
@@ -89,8 +92,8 @@
 	return f.nodes[f.names[f.world.Random.Intn(len(f.names))]]
 }
 
-// tend is what each process does about once in half a second: learn of newer sets from
-// others, then propose what the step says.
+// reconcile runs on each process about every half second: it learns newer sets from another
+// process, then proposes the change that register.SetReconciler returns.
 func (f *Fleet) reconcile(name string) {
 	f.afterRandom(200, 800, func() {
 		f.reconcile(name)
@@ -118,8 +121,8 @@
 	return node.down && f.world.Now.Sub(f.downSince[member.Address]) > clock.Milliseconds(departedAfterMs)
 }
 
-// whole tells whether all machines are up, none is cut off, and the newest set known
-// anywhere is complete with the disks that its members have.
+// healthy reports whether all machines are up and the newest known acceptor set is complete,
+// with the disks that its members currently have.
 func (f *Fleet) healthy() bool {
 	var newest messages.RegisterValue
 	for _, name := range f.names {
--- a/internal/tooling/linearize/history.go
+++ b/internal/tooling/linearize/history.go
@@ -1,7 +1,7 @@
-// Package linearize records what the callers of the control side and of the lots see,
-// and checks it against a sequential model: there must be one order of all calls, in
-// which each takes effect at one moment between its beginning and its end, that
-// explains every answer.
+// Package linearize records the calls of the clients of the control plane and of lots (batch
+// jobs) with their responses, and checks them against a sequential model. A history is
+// linearizable if there is one order of all calls that explains every response, where each call
+// takes effect at one moment between its beginning and its end.
 package linearize
 
 import (
@@ -14,34 +14,35 @@
 	"lemonarch/internal/platform/errs"
 )
 
-// The errors of a check.
+// The errors returned by History.Check.
 var (
-	// ErrNotLinearizable means that no order of the calls explains the answers.
+	// ErrNotLinearizable means that no order of the calls explains the responses.
 	ErrNotLinearizable = errs.Define("history not linearizable")
-	// ErrUndecided means that the check was given up for want of time.
+	// ErrUndecided means that the check did not finish within its time limit.
 	ErrUndecided = errs.Define("history not decided")
 )
 
-// Reply is what a caller was told of an operation.
+// Reply is the response that a client received for an operation.
 type Reply interface {
-	// Unclear says that the operation may or may not have taken effect, or may yet.
+	// Unclear reports whether the outcome is unknown: the operation may have taken effect, may
+	// still take effect, or may never do so.
 	Unclear() bool
 }
 
-// History is the calls of all clients. An operation that a client sends again
-// unchanged, because it has no clear answer yet, is one operation.
+// History records the calls of all clients. An operation that a client sends again unchanged,
+// because it has no clear response yet, counts as one operation.
 type History struct {
 	operations []porcupine.Operation
 }
 
-// Operation is one operation under way.
+// Operation is one operation in a history.
 type Operation struct {
 	history *History
 	index   int
 }
 
-// Begin notes that a client begins an operation at a moment. Until it ends, it counts
-// as unclear.
+// Begin records that a client begins an operation at a time. Until the operation ends, its
+// outcome counts as unclear.
 func (h *History) Begin(client int, input any, unclear Reply, now int64) *Operation {
 	h.operations = append(h.operations, porcupine.Operation{
 		ClientId: client, Input: input, Call: now, Output: unclear, Return: math.MaxInt64,
@@ -49,7 +50,7 @@
 	return &Operation{history: h, index: len(h.operations) - 1}
 }
 
-// End notes its clear answer; an unclear one leaves it open for ever.
+// End records the response if it is clear. An unclear one leaves the operation open for ever.
 func (o *Operation) End(reply Reply, now int64) {
 	if reply.Unclear() {
 		return
@@ -58,10 +59,10 @@
 	operation.Output, operation.Return = reply, now
 }
 
-// Len is the number of operations.
+// Len returns the number of operations.
 func (h *History) Len() int { return len(h.operations) }
 
-// Clear is the number of operations with a clear answer.
+// Clear returns the number of operations with a clear response.
 func (h *History) Clear() int {
 	count := 0
 	for index := range h.operations {
@@ -72,7 +73,8 @@
 	return count
 }
 
-// Check gives an error where no order explains the history.
+// Check returns an error if no order of the calls explains the history, or if none was found
+// within the limit.
 func (h *History) Check(model porcupine.Model, limit time.Duration) error {
 	switch porcupine.CheckOperationsTimeout(model, h.operations, limit) {
 	case porcupine.Ok:
@@ -80,7 +82,7 @@
 	case porcupine.Illegal:
 		return ErrNotLinearizable.New(h.describe(model))
 	default:
-		return ErrUndecided.New(fmt.Sprintf("%d operations in %v", len(h.operations), limit))
+		return ErrUndecided.New(fmt.Sprintf("%d operations not checked within %v", len(h.operations), limit))
 	}
 }
 
--- a/internal/tooling/linearize/jobs.go
+++ b/internal/tooling/linearize/jobs.go
@@ -8,15 +8,15 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// JobKind is the kind of a JobCallRequest.
+// JobKind is the kind of a JobCall.
 type JobKind int
 
 // The kinds of calls for lots.
 const (
-	// JobSubmit hands a lot in. Each sending is an operation of its own: one that was
-	// refused may be sent again and be taken.
+	// JobSubmit submits a lot. Each time it is sent counts as an operation of its own, since a
+	// lot that was rejected may be sent again and then be accepted.
 	JobSubmit JobKind = iota
-	// JobRead reads results from a position on.
+	// JobRead reads the results from a position on.
 	JobRead
 	// JobEnd ends a lot.
 	JobEnd
@@ -26,45 +26,45 @@
 type JobCall struct {
 	Kind JobKind
 	Lot  string
-	// From is the position a read begins at.
+	// From is the position at which a read begins.
 	From int
 }
 
-// JobOutcome is the kind of answer to a JobCallRequest.
+// JobOutcome is the kind of response to a JobCall.
 type JobOutcome int
 
-// The outcomes.
+// The outcomes of a JobCall.
 const (
-	// JobUnclear: no answer, or one that says nothing.
+	// JobUnclear means that there was no response, or one that does not state the outcome.
 	JobUnclear JobOutcome = iota
-	// JobDone: handed in, read or ended.
+	// JobDone means that the lot was submitted, read or ended.
 	JobDone
-	// JobRejected: a hand-in of which nothing runs.
+	// JobRejected means that a submission was rejected and nothing of the lot runs.
 	JobRejected
-	// JobMissing: there is no such lot.
+	// JobMissing means that there is no such lot.
 	JobMissing
 )
 
-// JobReply is the answer to a JobCallRequest.
+// JobReply is the response to a JobCall.
 type JobReply struct {
 	Outcome JobOutcome
-	// Results are what a read told, from its position on, each as one text that names
-	// item, phase and content.
+	// Results are the results that a read returned, from its position on. Each is one text that
+	// contains item, phase and content.
 	Results []string
 }
 
-// Unclear says that nothing is known of the outcome.
+// Unclear reports whether nothing is known of the outcome.
 func (l JobReply) Unclear() bool { return l.Outcome == JobUnclear }
 
-// jobState is the state of one sequential lot.
+// jobState is the state of one lot in the sequential model.
 type jobState struct {
 	accepted bool
-	// results holds the results that callers were told, by position; those that were
-	// listed and that nobody read are empty.
+	// results contains the results returned to clients, by position. Results that were listed
+	// but that no client has read are empty.
 	results string
 }
 
-// resultEnd ends each result in a jobState; no text holds it.
+// resultEnd terminates each result in a jobState. No result contains it.
 const resultEnd = "\x00"
 
 func (l jobState) list() []string {
@@ -72,9 +72,9 @@
 	return list[:len(list)-1]
 }
 
-// JobsModel is the sequential model of lots: a lot is there from the moment it was
-// taken, each position gets one result for good, in order, and whoever reads meets all
-// that anybody was told before.
+// JobsModel returns the sequential model of lots: a lot exists from the moment it is accepted,
+// each position receives one final result, in order, and a read returns at least all results
+// that were returned to any client before.
 func JobsModel() porcupine.Model {
 	model := porcupine.NondeterministicModel{
 		Partition: byJob,
@@ -134,11 +134,12 @@
 	return []any{state}
 }
 
-// read gives the state after a read that told these results.
+// read returns the state after a read that returned these results, and whether they are
+// consistent with the state before.
 func (l jobState) read(from int, results []string) (jobState, bool) {
 	known := l.list()
 	if len(results) == 0 {
-		// At least one is told where one exists.
+		// A read must return at least one result if one exists.
 		return l, len(known) <= from
 	}
 	for i, text := range results {
--- a/internal/tooling/linearize/jobs_test.go
+++ b/internal/tooling/linearize/jobs_test.go
@@ -6,7 +6,7 @@
 	"lemonarch/internal/platform/errs"
 )
 
-// jobOperation is one operation of a history that is written down by hand.
+// jobOperation is one operation of a hand-written history.
 type jobOperation struct {
 	begun, ended int64
 	call         JobCall
@@ -25,20 +25,20 @@
 	submit, end := JobCall{Kind: JobSubmit, Lot: "x"}, JobCall{Kind: JobEnd, Lot: "x"}
 	read := func(from int) JobCall { return JobCall{Kind: JobRead, Lot: "x", From: from} }
 	received := func(results ...string) JobReply { return JobReply{Outcome: JobDone, Results: results} }
-	refused, missing := JobReply{Outcome: JobRejected}, JobReply{Outcome: JobMissing}
+	rejected, missing := JobReply{Outcome: JobRejected}, JobReply{Outcome: JobMissing}
 	for name, test := range map[string]struct {
 		legal bool
 		list  []jobOperation
 	}{
-		"taken, read, ended":           {true, []jobOperation{{0, 1, submit, received()}, {2, 3, read(0), received("a", "b")}, {4, 5, read(1), received("b", "c")}, {6, 7, end, received()}, {8, 9, read(3), received()}}},
-		"an unclear one may come late": {true, []jobOperation{{0, 1, submit, JobReply{}}, {2, 3, read(0), missing}, {4, 5, submit, refused}, {6, 7, read(0), received("a")}}},
-		"one read skips a part":        {true, []jobOperation{{0, 1, submit, received()}, {2, 3, read(2), received("c")}, {4, 5, read(0), received("a", "b", "c")}}},
-		"a taken lot is missing":       {false, []jobOperation{{0, 1, submit, received()}, {2, 3, read(0), missing}}},
-		"a taken lot is refused":       {false, []jobOperation{{0, 1, submit, received()}, {2, 3, submit, refused}}},
-		"a refused lot runs":           {false, []jobOperation{{0, 1, submit, refused}, {2, 3, read(0), received("a")}}},
-		"a result changes":             {false, []jobOperation{{0, 1, submit, received()}, {2, 3, read(0), received("a", "b")}, {4, 5, read(1), received("c")}}},
-		"a listed result is gone":      {false, []jobOperation{{0, 1, submit, received()}, {2, 3, read(0), received("a", "b")}, {4, 5, read(1), received()}}},
-		"two readers at once disagree": {false, []jobOperation{{0, 1, submit, received()}, {2, 5, read(0), received("a")}, {3, 4, read(0), received("b")}}},
+		"accepted, read, ended":                      {true, []jobOperation{{0, 1, submit, received()}, {2, 3, read(0), received("a", "b")}, {4, 5, read(1), received("b", "c")}, {6, 7, end, received()}, {8, 9, read(3), received()}}},
+		"an unclear submission may take effect late": {true, []jobOperation{{0, 1, submit, JobReply{}}, {2, 3, read(0), missing}, {4, 5, submit, rejected}, {6, 7, read(0), received("a")}}},
+		"one read skips some results":                {true, []jobOperation{{0, 1, submit, received()}, {2, 3, read(2), received("c")}, {4, 5, read(0), received("a", "b", "c")}}},
+		"an accepted lot is missing":                 {false, []jobOperation{{0, 1, submit, received()}, {2, 3, read(0), missing}}},
+		"an accepted lot is rejected":                {false, []jobOperation{{0, 1, submit, received()}, {2, 3, submit, rejected}}},
+		"a rejected lot runs":                        {false, []jobOperation{{0, 1, submit, rejected}, {2, 3, read(0), received("a")}}},
+		"a result changes":                           {false, []jobOperation{{0, 1, submit, received()}, {2, 3, read(0), received("a", "b")}, {4, 5, read(1), received("c")}}},
+		"a listed result is missing":                 {false, []jobOperation{{0, 1, submit, received()}, {2, 3, read(0), received("a", "b")}, {4, 5, read(1), received()}}},
+		"two readers at once disagree":               {false, []jobOperation{{0, 1, submit, received()}, {2, 5, read(0), received("a")}, {3, 4, read(0), received("b")}}},
 	} {
 		err := checkJobs(test.list)
 		if test.legal && err != nil || !test.legal && !errs.Is(err, ErrNotLinearizable) {
--- a/internal/tooling/linearize/linearize_test.go
+++ b/internal/tooling/linearize/linearize_test.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	// daySpan is how long operators call in one history, in ns of the fake clock.
+	// callSpan is how long the operators call in one history, in ns of the simulated clock.
 	callSpan = clock.Duration(12_000_000_000)
-	// checkLimit is how long one history may be checked.
+	// checkLimit is the time limit for checking one history.
 	checkLimit = 20 * time.Second
 )
 
-// play plays one seed's day and checks what the operators saw.
+// runHistory runs the simulation with one seed and checks the history that the operators
+// recorded.
 func runHistory(t *testing.T, seed int64, breaks Defects) (*Fleet, error) {
 	t.Helper()
 
@@ -39,19 +40,19 @@
 			epochs = max(epochs, int(fleet.nodes[name].known.SetEpoch))
 		}
 	}
-	t.Logf("%d calls, %d with a clear answer, up to %d steps of the set in one history", calls, clear, epochs)
+	t.Logf("%d calls, %d with a clear response, highest set epoch %d in one history", calls, clear, epochs)
 	if clear*2 < calls {
-		t.Fatal("less than half of the calls had a clear answer: the simulation tests little")
+		t.Fatal("less than half of the calls had a clear response: the simulation tests too little")
 	}
 }
 
-// Each guard that is taken out shows in the history of some seed.
+// Each removed guard must make the history of some seed not linearizable.
 func TestBrokenRegistersAreFound(t *testing.T) {
 	for name, breaks := range map[string]Defects{
-		"a wiped acceptor keeps its identity":   {KeepIdentity: true},
-		"a read believes one acceptor":          {ReadFromOne: true},
-		"a resent version is refused":           {RejectResent: true},
-		"an acceptor answers before its record": {RespondUnsynced: true},
+		"a wiped acceptor keeps its identity":               {KeepIdentity: true},
+		"a read uses one acceptor's response":               {ReadFromOne: true},
+		"a resent version is rejected":                      {RejectResent: true},
+		"an acceptor responds before its record is on disk": {RespondUnsynced: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range int64(400) {
@@ -60,7 +61,7 @@
 					return
 				}
 			}
-			t.Fatal("not found in 400 seeds")
+			t.Fatal("removed guard was not detected in 400 seeds")
 		})
 	}
 }
--- a/internal/tooling/linearize/operators.go
+++ b/internal/tooling/linearize/operators.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// operators is how many call at once.
+	// operators is the number of operators that call concurrently.
 	operators = 4
-	// callMs is how long an operator waits before it sends a call again, to another
-	// machine, and sendings how often it sends it before it gives up.
+	// resendMs is how long an operator waits before it sends a call again, to another machine.
+	// sendsMax is how often it sends a call before it gives up.
 	resendMs = 700
 	sendsMax = 3
 )
 
-// operate is one operator's day: reads, versions on the version it last heard of, and
-// now and then bytes of another operator, an old base, or a number that was used.
+// runOperator runs one operator: it reads and proposes versions based on the version that it
+// last learned of. Occasionally it uses the bytes of another operator, an outdated base, or a
+// generation that was already used.
 func (f *Fleet) runOperator(number int, stopAt clock.Instant) {
 	var base int64
 	var last messages.Version
@@ -47,7 +48,7 @@
 
 func (f *Fleet) version(number int, base int64, last messages.Version) messages.Version {
 	if last.Generation > 0 && f.world.Random.Intn(5) == 0 {
-		// The same bytes once more, though they may have been answered.
+		// Send the same bytes again although the call may already have been answered.
 		return last
 	}
 	version := messages.Version{Base: base, Hash: fmt.Sprint("operator", number)}
@@ -56,13 +57,13 @@
 	}
 	version.Generation = f.highestGeneration
 	if f.world.Random.Intn(4) == 0 {
-		// Two operators with the same bytes.
+		// Let two operators propose the same bytes.
 		version.Hash = "shared"
 	}
 	return version
 }
 
-// call sends a call until it has a clear answer or the operator gives up.
+// call sends a call until it has a clear response or the operator gives up.
 func (f *Fleet) call(number int, call RegisterCall, done func(reply RegisterReply)) {
 	operation := f.History.Begin(number, call, RegisterReply{}, int64(f.world.Now))
 	finished := false
@@ -98,7 +99,7 @@
 	send(sendsMax)
 }
 
-// serve is what a control machine does with a call.
+// serve handles a call at a controller machine.
 func (f *Fleet) serve(node *controller, call RegisterCall, resp func(reply RegisterReply)) {
 	if call.Version.Generation == 0 {
 		f.read(node, func(value *messages.RegisterValue) {
@@ -133,7 +134,7 @@
 	}
 }
 
-// refuseResent is the change of Breaks.RefuseResent.
+// rejectResent wraps a change with the defect Defects.RejectResent.
 func rejectResent(change register.Change, version messages.Version, result *register.Result) register.Change {
 	return func(current messages.RegisterValue) (messages.RegisterValue, register.Verdict) {
 		next, verdict := change(current)
--- a/internal/tooling/linearize/propose.go
+++ b/internal/tooling/linearize/propose.go
@@ -6,20 +6,20 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// attempt is one proposal on its way.
+// attempt is one proposal in progress.
 type attempt struct {
 	*Fleet
 	node        *controller
 	incarnation int64
 	proposal    *register.Proposal
 	finished    bool
-	// again makes the next attempt, and ended takes the outcome.
+	// retry starts the next attempt, and done receives the outcome.
 	retry func()
 	done  func(value *messages.RegisterValue)
 }
 
-// propose drives a change from a node. Ended is called once, with nil where the
-// outcome is unclear, or never where the process dies.
+// propose runs a proposal for a change on a node. It calls done once, with nil if the outcome
+// is unclear, or never if the process crashes.
 func (f *Fleet) propose(node *controller, change register.Change, attempts int, done func(value *messages.RegisterValue)) {
 	if node.down || attempts == 0 || len(node.known.Acceptors) == 0 {
 		done(nil)
@@ -43,12 +43,13 @@
 	})
 }
 
-// dead tells whether the incarnation that made the attempt is over.
+// stale reports whether the incarnation that started the attempt has ended.
 func (a *attempt) stale() bool { return a.node.down || a.node.incarnation != a.incarnation }
 
 func (a *attempt) send(list []register.Send) {
 	if len(list) > 0 && list[0].Accept != nil && a.crashNextProposer {
-		// The worst moment: the second round is decided on, and some get it.
+		// Crash at the worst moment: the accept phase has begun and only some acceptors receive
+		// the request.
 		a.crashNextProposer = false
 		list = list[:a.world.Random.Intn(len(list))]
 		a.world.After(0, func() { a.restart(a.node, a.world.Random.Intn(2) == 0) })
@@ -76,7 +77,7 @@
 	}
 }
 
-// answer sends an answer once the record behind it is on disk.
+// respond sends a response once the record that it depends on is on disk.
 func (a *attempt) respond(target *controller, mustWrite bool, deliver func()) {
 	if mustWrite && !a.defects.RespondUnsynced {
 		a.recordError(target.write())
@@ -93,7 +94,7 @@
 	})
 }
 
-// hear sends what an answer led to, and looks where the proposal stands.
+// advance sends the messages that a response led to and handles the proposal's new stage.
 func (a *attempt) advance(list []register.Send) {
 	a.send(list)
 	node, proposal := a.node, a.proposal
@@ -117,7 +118,8 @@
 	}
 }
 
-// read is the quick look, and a whole proposal where that does not settle it.
+// read tries a quorum read and falls back to a full proposal if that does not determine the
+// value.
 func (f *Fleet) read(node *controller, done func(value *messages.RegisterValue)) {
 	if node.down || len(node.known.Acceptors) == 0 {
 		done(nil)
--- a/internal/tooling/linearize/register.go
+++ b/internal/tooling/linearize/register.go
@@ -9,42 +9,42 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// RegisterCall is an operator's call: a version to be put in force, or a read where it
-// has no generation.
+// RegisterCall is an operator's call: a version to be applied, or a read if the version has no
+// generation.
 type RegisterCall struct {
 	Version messages.Version
 }
 
-// RegisterOutcome is the kind of answer to a RegisterCall.
+// RegisterOutcome is the kind of response to a RegisterCall.
 type RegisterOutcome int
 
-// The outcomes.
+// The outcomes of a RegisterCall.
 const (
-	// RegisterUnclear: no answer, or one that says nothing.
+	// RegisterUnclear means that there was no response, or one that does not state the outcome.
 	RegisterUnclear RegisterOutcome = iota
-	// RegisterTaken: the version is or was in force.
+	// RegisterApplied means that the version is or was in force.
 	RegisterApplied
-	// RegisterOther: another version than the base is in force, and the version
-	// never was and never will be.
+	// RegisterConflict means that a version other than the base is in force, and that the
+	// proposed version never was and never will be.
 	RegisterConflict
-	// RegisterOld: the generation is not above that in force.
+	// RegisterGenerationTooOld means that the generation is not above that in force.
 	RegisterGenerationTooOld
-	// RegisterRead: the version in force is told.
+	// RegisterRead means that the response contains the version in force.
 	RegisterRead
 )
 
-// RegisterReply is the answer to a RegisterCall.
+// RegisterReply is the response to a RegisterCall.
 type RegisterReply struct {
 	Outcome RegisterOutcome
-	// Found is the version that a read told.
+	// Found is the version that a read returned.
 	Found messages.Version
 }
 
-// Unclear says that nothing is known of the outcome.
+// Unclear reports whether nothing is known of the outcome.
 func (r RegisterReply) Unclear() bool { return r.Outcome == RegisterUnclear }
 
-// chain is the state of the sequential register: the versions taken, oldest first, each
-// as its name and a line feed.
+// chain is the state of the sequential register: the applied versions, oldest first, each as
+// its name and a line feed.
 type chain string
 
 func versionName(version messages.Version) string {
@@ -55,20 +55,20 @@
 	return strings.HasPrefix(string(c), versionName(version)) || strings.Contains(string(c), "\n"+versionName(version))
 }
 
-// current is the name of the version in force, and its generation.
+// current returns the name of the version in force and its generation.
 func (c chain) current() (string, int64) {
 	if c == "" {
 		return "", 0
 	}
 	start := strings.LastIndexByte(string(c[:len(c)-1]), '\n') + 1
 	var generation int64
-	// A line that is no number is generation 0.
+	// A line that does not start with a number counts as generation 0.
 	_, _ = fmt.Sscan(string(c[start:]), &generation)
 	return string(c[start:]), generation
 }
 
-// RegisterModel is a compare-and-set register whose versions are known for ever once
-// they were taken.
+// RegisterModel returns the sequential model of a compare-and-set register that remembers each
+// applied version for ever.
 func RegisterModel() porcupine.Model {
 	model := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{chain("")} },
