--- a/internal/tooling/workeremulator/answer.go
+++ b/internal/tooling/workeremulator/answer.go
@@ -10,7 +10,7 @@
 	"lemonarch/internal/platform/httpreply"
 )
 
-// The headers of the protocol that a worker reads or writes.
+// The protocol headers that a worker reads or writes.
 const (
 	headerAttempt     = "Lemonarch-Attempt-Id"
 	headerTarget      = "Lemonarch-Target-Worker"
@@ -27,11 +27,11 @@
 	headerLastEventID = "Last-Event-Id"
 )
 
-// fate is which troubles one request meets.
+// drawnFaults are the troubles drawn for one request.
 type drawnFaults struct {
 	fail, full, hang, cut, garble, surplus, skip, forge, never bool
 	late                                                       clock.Duration
-	leaving                                                    bool
+	draining                                                   bool
 }
 
 func (w *Worker) drawFaults(attempt string) drawnFaults {
@@ -41,16 +41,16 @@
 	faults := &w.faults
 	return drawnFaults{fail: w.chance(faults.Fail), full: w.chance(faults.Full), hang: w.chance(faults.Hang),
 		cut: w.chance(faults.Cut), garble: w.chance(faults.Garble), surplus: w.chance(faults.Surplus),
-		skip: w.chance(faults.Skip), forge: w.chance(faults.Forge), late: faults.lateBy(), leaving: w.leaving, never: neverSucceeds(attempt, faults.Never)}
+		skip: w.chance(faults.Skip), forge: w.chance(faults.Forge), late: faults.lateBy(), draining: w.draining, never: neverSucceeds(attempt, faults.Never)}
 }
 
-// notRun answers that the request did not run and never will.
+// rejectNotExecuted responds that the request was not executed and never will be.
 func (w *Worker) rejectNotExecuted(writer http.ResponseWriter, status int, reason string) {
 	writer.Header().Set(headerNotExecuted, "1")
 	httpreply.Error(writer, status, reason)
 }
 
-// answer serves one request of a route.
+// serveRequest serves one request of a route.
 func (w *Worker) serveRequest(writer http.ResponseWriter, request *http.Request) {
 	header := request.Header
 	attempt := header.Get(headerAttempt)
@@ -59,7 +59,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	faults := w.drawFaults(attempt)
-	if faults.leaving {
+	if faults.draining {
 		writer.Header().Set("Connection", "close")
 	} else {
 		writer.Header().Set("Keep-Alive", "timeout="+strconv.Itoa(int(constants.EmulatorIdle.Seconds())))
@@ -85,15 +85,16 @@
 		return
 	}
 	template := Run{Attempt: attempt, Worker: w.Settings.ID, Service: w.Settings.Service, Method: request.Method,
-		Path: request.RequestURI, Body: BodySum(body), From: req.From}
+		Path: request.RequestURI, Body: BodySum(body), From: req.LastEvent}
 	ticket, waiting := w.submit(req, template)
-	// A worker drops a request once its connection has closed.
+	// The request is dropped once its connection has closed.
 	defer w.cancel(ticket)
 	response := &exchange{worker: w, writer: writer, request: request, body: body, attempt: attempt, faults: faults, engineRequest: req}
 	response.run(waiting)
 }
 
-// ask reads what a request wants of the engine.
+// parseRequest reads from the headers what a request requires of the engine. It returns false
+// if a header can't be parsed.
 func (w *Worker) parseRequest(header http.Header) (Ask, bool) {
 	request := Ask{Model: header.Get(headerModel)}
 	if text := header.Get(headerTimeLeft); text != "" {
@@ -101,7 +102,7 @@
 		if err != nil || left < 0 {
 			return request, false
 		}
-		request.Until = w.clockValue.Now().Add(clock.Milliseconds(left))
+		request.Deadline = w.clockValue.Now().Add(clock.Milliseconds(left))
 	}
 	if w.Settings.Model == "" {
 		request.Work = max(w.Settings.Work, 1)
@@ -109,11 +110,12 @@
 	}
 	var readable bool
 	request.In, request.Out, request.Parts, readable = ParsePrompt(header.Get(headerTokens), header.Get(headerPrefix))
-	// Bounded: what is asked for reserves room for its events.
+	// The output is limited because a channel with capacity for all of its events is allocated
+	// up front.
 	readable = readable && request.Out <= constants.EmulatorOutLimit
 	if last := header.Get(headerLastEventID); readable && last != "" {
 		number, err := strconv.ParseInt(last, 10, 64)
-		request.From, readable = number, err == nil && number >= 0
+		request.LastEvent, readable = number, err == nil && number >= 0
 	}
 	return request, readable
 }
--- a/internal/tooling/workeremulator/ask.go
+++ b/internal/tooling/workeremulator/ask.go
@@ -2,77 +2,82 @@
 
 import "lemonarch/internal/platform/clock"
 
-// Shape is what an engine can do.
+// Shape is the capacity and speed of an engine.
 type Shape struct {
-	// Capacity is how many requests run at once, Queue how many more may wait.
+	// Capacity is the maximum number of requests that run concurrently, Queue the maximum
+	// number that wait.
 	Capacity, Queue int
-	// CacheTokens is the memory, shared by running requests and kept parts.
+	// CacheTokens is the memory size in tokens, shared by running requests and cached parts. If
+	// it is not above 0, memory is unlimited.
 	CacheTokens int64
-	// ReadPerMs is how many prompt tokens are read in a ms, all requests together.
+	// ReadPerMs is the number of prompt tokens prefilled per ms, over all requests.
 	ReadPerMs float64
-	// Step is the time of one token of all running requests; StepEach is added for
-	// each of them, so that tokens come more slowly as more run.
+	// Step is the base duration of a step, in which each running request produces one token.
+	// StepEach is added for each running request, so that tokens come more slowly with a larger
+	// batch.
 	Step, StepEach clock.Duration
-	// Stride is how many tokens one event of a stream holds.
+	// Stride is the number of tokens in one event of a stream.
 	Stride int
 }
 
-// Ask is one request for an engine.
+// Ask is one request to an engine.
 type Ask struct {
-	// Ticket is the rim's name for it: attempt ids may come twice.
+	// Ticket identifies the request within its worker. The attempt id can't be used since it
+	// may occur twice.
 	Ticket int64
 	Model  string
 	In     int64
 	Out    int64
 	Parts  []Part
-	// From is the last event that the asker has already.
-	From int64
-	// Work, where above 0, makes it a plain request that takes so long and has no tokens.
+	// LastEvent is the number of the last event that the client already has; 0 if it has none.
+	LastEvent int64
+	// Work, if above 0, makes this a plain request without tokens that takes this long.
 	Work clock.Duration
-	// Until is when work on it ceases; 0 is never.
-	Until clock.Instant
+	// Deadline is when processing of the request is abandoned; 0 means never.
+	Deadline clock.Instant
 }
 
-// EventKind says what happens to an engine.
+// EventKind is the kind of an input event of an engine.
 type EventKind int
 
-// The events.
+// The kinds of events.
 const (
 	EventTick EventKind = iota
 	EventArrive
 	EventCancel
 )
 
-// Event is one event.
+// Event is one input event.
 type Event struct {
 	Kind   EventKind
 	Ask    Ask
 	Ticket int64
 }
 
-// EffectKind says what an engine wants done.
+// EffectKind is the kind of an output of an engine.
 type EffectKind int
 
-// The effects.
+// The kinds of effects.
 const (
-	// EffectRefuse: not run, and never will be.
+	// EffectRefuse means that the request was not executed and never will be.
 	EffectRefuse EffectKind = iota
-	// EffectBegin: it runs from here on.
+	// EffectBegin means that the request counts as running from now on.
 	EffectBegin
-	// EffectEvent: one event of its stream is there.
+	// EffectEvent means that one event of the request's stream is complete.
 	EffectEvent
-	// EffectFinish: the whole answer is there.
+	// EffectFinish means that the whole response is complete.
 	EffectFinish
-	// EffectExpire: its time ran out while it ran.
+	// EffectExpire means that the deadline passed while the request was running.
 	EffectExpire
-	// EffectPutBack: memory ran out, and it waits again; nobody is told.
-	EffectPutBack
+	// EffectPreempt means that memory ran out and the request waits again. It is not reported
+	// to the client.
+	EffectPreempt
 )
 
 // Effect is one effect on one request.
 type Effect struct {
 	Kind   EffectKind
 	Ticket int64
-	// Number is the id of the event.
+	// Number is the number of the event, for EffectEvent.
 	Number int64
 }
--- a/internal/tooling/workeremulator/beats.go
+++ b/internal/tooling/workeremulator/beats.go
@@ -13,15 +13,16 @@
 	"lemonarch/internal/platform/errs"
 )
 
-// ErrNotAcknowledged is the error of a call that nobody acknowledged.
+// ErrNotAcknowledged means that a call was not acknowledged.
 var ErrNotAcknowledged = errs.Define("call not acknowledged")
 
-// Beater registers a worker by its calls.
+// Beater registers a worker by sending heartbeats.
 type Beater struct {
 	Worker *Worker
-	// Address is where the worker serves; Controls are those who may be called.
-	Address  string
-	Controls []string
+	// Address is the address at which the worker serves requests. Controllers are the addresses
+	// that may be called.
+	Address     string
+	Controllers []string
 
 	lock           sync.Mutex
 	target         string
@@ -30,12 +31,12 @@
 	client         http.Client
 }
 
-// NewBeater makes one.
+// NewBeater returns a Beater that has sent nothing yet.
 func NewBeater(worker *Worker, address string, controls []string) *Beater {
-	beater := &Beater{Worker: worker, Address: address, Controls: controls}
+	beater := &Beater{Worker: worker, Address: address, Controllers: controls}
 	beater.client = http.Client{Timeout: constants.EmulatorHeartbeatWait, CheckRedirect: func(_ *http.Request, via []*http.Request) error {
 		if len(via) > constants.EmulatorRedirects {
-			return ErrNotAcknowledged.New("redirected too often")
+			return ErrNotAcknowledged.New("too many redirects")
 		}
 		return nil
 	}}
@@ -55,11 +56,12 @@
 	Count      int64         `json:"call-count"`
 }
 
-// Beat sends one heartbeat. The target of an earlier answer is called first, and is
-// forgotten once a beat fails there; then the controls come, by turns.
+// Beat sends one heartbeat. If an earlier response named a target, it is called first, and is
+// forgotten once a heartbeat to it fails. The controllers follow, and each call starts with the
+// next one of them.
 func (b *Beater) Beat() error { return b.call("/-/Workers.Heartbeat/") }
 
-// Depart says that the worker has gone.
+// Depart reports that the worker has departed.
 func (b *Beater) Depart() error { return b.call("/-/Workers.Depart/") }
 
 func (b *Beater) call(path string) error {
@@ -69,8 +71,8 @@
 	if b.target != "" {
 		addresses = append(addresses, b.target)
 	}
-	for i := range b.Controls {
-		addresses = append(addresses, b.Controls[(b.nextController+i)%len(b.Controls)])
+	for i := range b.Controllers {
+		addresses = append(addresses, b.Controllers[(b.nextController+i)%len(b.Controllers)])
 	}
 	b.nextController++
 	count, target := b.count, b.target
@@ -80,15 +82,15 @@
 		Phase: "steady", Stage: "both", Models: b.Worker.models(), Count: count}
 	b.Worker.lock.Lock()
 	body.WarmupMs = max(clock.ToMilliseconds(b.Worker.warmUntil.Sub(b.Worker.clockValue.Now())), 0)
-	if b.Worker.leaving {
+	if b.Worker.draining {
 		body.Phase = "draining"
 	}
 	b.Worker.lock.Unlock()
 	text, err := json.Marshal(body)
 	if err != nil {
-		return ErrNotAcknowledged.Wrap(err, "body")
+		return ErrNotAcknowledged.Wrap(err, "encode request body")
 	}
-	err = ErrNotAcknowledged.New("nobody to call")
+	err = ErrNotAcknowledged.New("no controller address to call")
 	for _, address := range addresses {
 		var next string
 		if next, err = b.send("http://"+address+path+nodeSettings.ID, text); err == nil {
@@ -108,16 +110,17 @@
 	return err
 }
 
-// send makes one call; an acknowledgement is a 2xx of bounded size in time.
+// send makes one call. Only a 2xx response of limited size that arrives within the timeout
+// counts as an acknowledgement.
 func (b *Beater) send(url string, text []byte) (target string, err error) {
 	resp, err := b.client.Post(url, "application/json", bytes.NewReader(text))
 	if err != nil {
-		return "", ErrNotAcknowledged.Wrap(err, "call")
+		return "", ErrNotAcknowledged.Wrap(err, "send request")
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, constants.EmulatorHeartbeatBytes+1))
 	if err != nil {
-		return "", ErrNotAcknowledged.Wrap(err, "answer")
+		return "", ErrNotAcknowledged.Wrap(err, "read response")
 	}
 	if resp.StatusCode < 200 || resp.StatusCode > 299 || len(body) > constants.EmulatorHeartbeatBytes {
 		return "", ErrNotAcknowledged.New(resp.Status)
@@ -125,7 +128,7 @@
 	var received struct {
 		Target string `json:"beat-target"`
 	}
-	// An answer need not hold anything.
+	// The response body may be empty.
 	_ = json.Unmarshal(body, &received)
 	return received.Target, nil
 }
@@ -136,14 +139,14 @@
 	clock.Every(period, until.Done(), func() { _ = b.Beat() })
 }
 
-// LeaveInOrder says that the worker is draining, serves on for a while after that
-// was acknowledged, departs and ends.
+// LeaveInOrder reports that the worker is draining, continues to serve for the drain time once
+// that was acknowledged, then departs and shuts down.
 func (b *Beater) LeaveInOrder(drain clock.Duration) {
-	b.Worker.Leave()
-	for attempts := 0; b.Beat() != nil && attempts < len(b.Controls)+2; attempts++ {
+	b.Worker.Drain()
+	for attempts := 0; b.Beat() != nil && attempts < len(b.Controllers)+2; attempts++ {
 		clock.Sleep(constants.LabRetry)
 	}
 	clock.Sleep(drain + constants.EmulatorLeaveSlack)
 	_ = b.Depart()
-	b.Worker.End(constants.LabGrace)
+	b.Worker.Shutdown(constants.LabGrace)
 }
--- a/internal/tooling/workeremulator/beats_test.go
+++ b/internal/tooling/workeremulator/beats_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// Beats carry a rising count, follow the told target, and forget it once it fails.
+// Heartbeats carry an increasing count, go to the target named in a response, and return to the
+// controllers once that target fails.
 func TestHeartbeats(t *testing.T) {
 	var lock sync.Mutex
 	var paths []string
@@ -38,9 +39,9 @@
 		}
 	}
 	other.Close()
-	worker.Leave()
+	worker.Drain()
 	if beater.Beat() != nil || beater.Depart() != nil {
-		t.Fatal("the first control still answers")
+		t.Fatal("heartbeat or departure failed although the first controller responds")
 	}
 	want := "[first/-/Workers.Heartbeat/w1 steady other/-/Workers.Heartbeat/w1 steady first/-/Workers.Heartbeat/w1 draining first/-/Workers.Depart/w1 draining]"
 	if fmt.Sprint(paths) != want || fmt.Sprint(counts) != "[1 2 3 4]" {
--- a/internal/tooling/workeremulator/cache.go
+++ b/internal/tooling/workeremulator/cache.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Part is one part of a prompt, named by model and id.
+// Part is one part of a prompt. Its key consists of model and id.
 type Part struct {
 	Key    string
 	Tokens int64
@@ -14,29 +14,31 @@
 type cachedPart struct {
 	tokens int64
 	pins   int
-	// whole tells that some request has read all of it.
+	// complete reports whether some request has prefilled the whole part.
 	complete bool
 	lastUse  int64
 }
 
-// cache is the memory of an engine: parts held by running requests, and parts kept.
+// cache is the memory of an engine. It stores the parts pinned by running requests and parts
+// kept for reuse.
 type cache struct {
 	limit int64
-	// held counts all tokens in memory, pinned those that running requests hold.
-	tokens   int64
-	pinned   int64
-	entries  map[string]*cachedPart
-	useCount int64
+	// storedTokens counts all tokens in memory, pinnedTokens those pinned by running requests.
+	storedTokens int64
+	pinnedTokens int64
+	entries      map[string]*cachedPart
+	useCount     int64
 }
 
 func newCache(limit int64) *cache { return &cache{limit: limit, entries: map[string]*cachedPart{}} }
 
-// partsOf gives the parts of a prompt; what no part names belongs to the request alone.
+// promptParts returns the parts of a prompt. The tokens that belong to no part form an extra
+// part private to the request.
 func promptParts(request Ask) []Part {
 	var parts []Part
 	seen := map[string]bool{}
 	for _, part := range request.Parts {
-		// A part named twice is in memory once.
+		// A part named twice is stored once.
 		if key := request.Model + "/" + part.Key; !seen[key] {
 			seen[key] = true
 			parts = append(parts, Part{Key: key, Tokens: part.Tokens})
@@ -56,20 +58,21 @@
 	return sum
 }
 
-// whole tells that a part need not be read.
+// isComplete reports whether a part is in memory and need not be prefilled.
 func (c *cache) isComplete(part Part) bool {
 	cached := c.entries[part.Key]
 	return cached != nil && cached.complete
 }
 
-// read notes that a part was read to its end.
+// markComplete records that a part was prefilled to its end.
 func (c *cache) markComplete(part Part) {
 	if cached := c.entries[part.Key]; cached != nil {
 		cached.complete = true
 	}
 }
 
-// pin takes memory for parts, extra tokens included, next to what outputs hold.
+// pin reserves memory for parts and extra tokens, in addition to that used by outputs. It
+// returns false, and pins nothing, if they don't fit.
 func (c *cache) pin(parts []Part, extra, outputs int64) bool {
 	need := extra
 	for _, part := range parts {
@@ -88,14 +91,14 @@
 		case cached == nil && fits:
 			cached = &cachedPart{tokens: part.Tokens}
 			c.entries[part.Key] = cached
-			c.tokens += part.Tokens
+			c.storedTokens += part.Tokens
 			c.addPins(cached, 1)
 		}
 	}
 	return fits
 }
 
-// unpin lets parts go; those that were read stay kept until room is needed.
+// unpin releases parts. Complete parts stay cached until their memory is needed.
 func (c *cache) unpin(parts []Part) {
 	for i := len(parts) - 1; i >= 0; i-- {
 		cached := c.entries[parts[i].Key]
@@ -111,15 +114,16 @@
 	}
 }
 
-// room makes room for tokens; the parts unused for longest give way.
+// makeRoom evicts the least recently used parts until a number of tokens fits. It returns
+// false, and evicts nothing, if pinned parts and outputs leave too little memory.
 func (c *cache) makeRoom(tokens, outputs int64) bool {
 	if c.limit <= 0 {
 		return true
 	}
-	if c.pinned+outputs+tokens > c.limit {
+	if c.pinnedTokens+outputs+tokens > c.limit {
 		return false
 	}
-	for c.tokens+outputs+tokens > c.limit {
+	for c.storedTokens+outputs+tokens > c.limit {
 		oldest := ""
 		for key, part := range c.entries {
 			if part.pins == 0 && (oldest == "" || part.lastUse < c.entries[oldest].lastUse) {
@@ -132,23 +136,23 @@
 }
 
 func (c *cache) remove(key string, part *cachedPart) {
-	c.tokens -= part.tokens
+	c.storedTokens -= part.tokens
 	delete(c.entries, key)
 }
 
-// grip counts who holds a part; what somebody holds can't give way.
+// addPins changes the number of requests that pin a part. A pinned part can't be evicted.
 func (c *cache) addPins(part *cachedPart, change int) {
 	before := part.pins > 0
 	part.pins += change
 	switch after := part.pins > 0; {
 	case after && !before:
-		c.pinned += part.tokens
+		c.pinnedTokens += part.tokens
 	case before && !after:
-		c.pinned -= part.tokens
+		c.pinnedTokens -= part.tokens
 	}
 }
 
-// ParsePrompt reads Lemonarch-Token-Count and Lemonarch-Prompt-Prefix.
+// ParsePrompt parses the values of Lemonarch-Token-Count and Lemonarch-Prompt-Prefix.
 func ParsePrompt(count, prefix string) (in, out int64, parts []Part, readable bool) {
 	before, after, _ := strings.Cut(count, ",")
 	in, err := strconv.ParseInt(strings.TrimSpace(before), 10, 64)
--- a/internal/tooling/workeremulator/calledoff_test.go
+++ b/internal/tooling/workeremulator/calledoff_test.go
@@ -10,8 +10,8 @@
 	"lemonarch/internal/platform/clock"
 )
 
-// calledOff is a connection whose first read ends without bytes, as when the server
-// calls a pending read off; the next one brings some.
+// cancelledRead is a connection whose first read ends without bytes, as when the server cancels
+// a pending read. The second read returns one byte.
 type cancelledRead struct {
 	net.Conn
 	reads int
@@ -27,8 +27,8 @@
 
 func (c *cancelledRead) Close() error { return nil }
 
-// The server calls a pending read off after an answer, at times only when the clock has
-// moved on: that must not count as a use of the connection.
+// The server cancels a pending read after a response, sometimes only after the clock has
+// advanced. That must not count as activity on the connection.
 func TestReadCalledOffIsNoUse(t *testing.T) {
 	clockValue := &immediateClock{now: clock.Instant(time.Second)}
 	worker := NewWorker(plainSettings, &Record{}, clockValue, 1)
@@ -39,6 +39,6 @@
 		t.Fatal(count, err)
 	}
 	if count, err := conn.Read(make([]byte, 1)); count != 0 || !errors.Is(err, net.ErrClosed) {
-		t.Fatal("a forgotten connection was read from", count, err)
+		t.Fatal("read from a forgotten connection succeeded, want net.ErrClosed", count, err)
 	}
 }
--- a/internal/tooling/workeremulator/engine.go
+++ b/internal/tooling/workeremulator/engine.go
@@ -1,6 +1,7 @@
-// Package workeremulator holds emulated workers, so that the system can be tried without any
-// model: an engine that batches, reads prompts in pieces and keeps prefixes (a step
-// function with a clock), and a rim round it that speaks HTTP/1.1 and registers.
+// Package workeremulator implements emulated workers, so that the system can be tested without
+// a model. A worker consists of a batching engine with chunked prefill and a prefix cache,
+// implemented as a step function with a clock, and an HTTP/1.1 server around it that registers
+// with the controllers.
 package workeremulator
 
 import (
@@ -13,10 +14,11 @@
 type activeRequest struct {
 	request Ask
 	parts   []Part
-	// pinned tells that its parts are held in memory.
+	// pinned reports whether the request's parts are pinned in memory.
 	pinned bool
-	// unread counts, part by part, the tokens still to read; again those of its own
-	// output that were lost when it was put back or resumed.
+	// unreadPrompt is the number of tokens still to be prefilled, by part. unreadOutput is the
+	// number of tokens of its own output that must be prefilled again because the request was
+	// preempted or resumed.
 	unreadPrompt []int64
 	unreadOutput int64
 	outputTokens int64
@@ -32,20 +34,21 @@
 	cache    *cache
 	nextStep clock.Instant
 	effects  []Effect
-	// ReadTokens counts prompt tokens that were read, Reused those that were kept.
-	ReadTokens, Reused, Preemptions int64
+	// ReadTokens counts the tokens that were prefilled, ReusedTokens the prompt tokens found in
+	// the cache, and Preemptions the preempted requests.
+	ReadTokens, ReusedTokens, Preemptions int64
 }
 
-// NewEngine makes an empty one.
+// NewEngine returns an engine without requests.
 func NewEngine(shape Shape) *Engine {
 	shape.Stride = max(shape.Stride, 1)
 	return &Engine{shape: shape, cache: newCache(shape.CacheTokens)}
 }
 
-// Step takes one event and gives what follows from it.
+// Step processes one event and returns its effects.
 func (e *Engine) Step(event Event, now clock.Instant) []Effect {
 	e.effects = nil
-	// What was due before the event comes first.
+	// Steps that were due before the event come first.
 	e.catchUp(now)
 	switch event.Kind {
 	case EventArrive:
@@ -58,7 +61,7 @@
 	return e.effects
 }
 
-// Next is when the next tick is due; false where nothing is under way.
+// Next returns when the next tick is due, or false if no request is in progress.
 func (e *Engine) Next() (clock.Instant, bool) {
 	at, pending := clock.Instant(0), false
 	earlier := func(moment clock.Instant) {
@@ -76,17 +79,18 @@
 	}
 	for _, list := range [][]*activeRequest{e.running, e.waiting} {
 		for _, req := range list {
-			if req.request.Until > 0 {
-				earlier(req.request.Until)
+			if req.request.Deadline > 0 {
+				earlier(req.request.Deadline)
 			}
 		}
 	}
 	return at, pending
 }
 
-// State tells what is running and waiting, and what of the memory can't give way.
+// State returns the numbers of running and waiting requests and the memory that can't be
+// evicted, in tokens.
 func (e *Engine) State() (running, waiting int, used int64) {
-	used = e.cache.pinned
+	used = e.cache.pinnedTokens
 	for _, req := range e.running {
 		used += req.outputTokens
 	}
@@ -100,8 +104,8 @@
 func (e *Engine) arrive(arrived Ask) {
 	req := &activeRequest{request: arrived, parts: promptParts(arrived)}
 	if arrived.Work == 0 {
-		// What the asker has already is read, not made again.
-		req.outputTokens = min(arrived.From*int64(e.shape.Stride), arrived.Out)
+		// Output that the client already has is prefilled, not generated again.
+		req.outputTokens = min(arrived.LastEvent*int64(e.shape.Stride), arrived.Out)
 	}
 	tooLarge := arrived.Work == 0 && e.shape.CacheTokens > 0 && totalTokens(req.parts)+arrived.Out > e.shape.CacheTokens
 	if tooLarge || len(e.running)+len(e.waiting) >= e.shape.Capacity+e.shape.Queue {
@@ -111,7 +115,7 @@
 	e.waiting = append(e.waiting, req)
 }
 
-// admit lets waiting requests run in the order they came: engines know no ranks.
+// admit starts waiting requests in order of arrival. Engines have no priorities.
 func (e *Engine) admit(now clock.Instant) {
 	for len(e.waiting) > 0 && len(e.running) < e.shape.Capacity {
 		req := e.waiting[0]
@@ -129,7 +133,7 @@
 	}
 }
 
-// hold takes memory for a request and finds what of its prompt is kept.
+// allocate reserves memory for a request and determines which parts of its prompt are cached.
 func (e *Engine) allocate(req *activeRequest) bool {
 	if !e.cache.pin(req.parts, req.outputTokens, e.outputTokens()) {
 		return false
@@ -138,10 +142,10 @@
 	req.unreadPrompt = make([]int64, len(req.parts))
 	cached := true
 	for i, part := range req.parts {
-		// A kept part counts only where all parts before it are kept as well.
+		// A cached part counts only if all parts before it are cached too.
 		cached = cached && e.cache.isComplete(part)
 		if cached {
-			e.Reused += part.Tokens
+			e.ReusedTokens += part.Tokens
 		} else {
 			req.unreadPrompt[i] = part.Tokens
 		}
@@ -172,7 +176,8 @@
 	return max(e.shape.Step+e.shape.StepEach*clock.Duration(count), 1)
 }
 
-// slowed: plain work takes up to twice as long on a full worker.
+// workSpan returns the duration of plain work, which takes up to twice as long on a full
+// worker.
 func (e *Engine) workSpan(work clock.Duration) clock.Duration {
 	return work + work*clock.Duration(len(e.running))/clock.Duration(max(e.shape.Capacity, 1))
 }
--- a/internal/tooling/workeremulator/engine_test.go
+++ b/internal/tooling/workeremulator/engine_test.go
@@ -11,7 +11,7 @@
 
 var smallShape = Shape{Capacity: 4, Queue: 2, CacheTokens: 1000, ReadPerMs: 100, Step: time.Millisecond, StepEach: time.Millisecond / 2, Stride: 4}
 
-// drive runs an engine until nothing is under way, and notes when what happened.
+// timedEffect is an effect and when it occurred.
 type timedEffect struct {
 	Effect
 	at clock.Instant
@@ -51,7 +51,7 @@
 
 func milliseconds(count float64) clock.Instant { return clock.Instant(clock.Milliseconds(count)) }
 
-// Each token comes more slowly as more requests run.
+// Tokens come more slowly the more requests run.
 func TestTokensSlowDownWithTheBatch(t *testing.T) {
 	alone := drive(NewEngine(smallShape), map[clock.Instant][]Event{0: {arrive(1, 10, 40)}}, milliseconds(500))
 	full := drive(NewEngine(smallShape), map[clock.Instant][]Event{0: {arrive(1, 10, 40), arrive(2, 10, 40), arrive(3, 10, 40), arrive(4, 10, 40)}}, milliseconds(500))
@@ -61,14 +61,14 @@
 	}
 }
 
-// A long prompt is read in pieces, between the tokens of others.
+// A long prompt is prefilled in chunks, between which other requests produce tokens.
 func TestPrefillGoesOnBetweenTokens(t *testing.T) {
 	shape := smallShape
 	shape.ReadPerMs = 10
 	effects := drive(NewEngine(shape), map[clock.Instant][]Event{0: {arrive(1, 10, 80)}, milliseconds(20): {arrive(2, 800, 4)}}, milliseconds(900))
 	started := effectsOf(effects, 2, EffectBegin)
 	if len(started) != 1 || started[0].at < milliseconds(90) {
-		t.Fatal("800 tokens at 10 a ms were read too soon", started)
+		t.Fatal("800 tokens at 10 per ms were prefilled too soon", started)
 	}
 	between := 0
 	for _, event := range effectsOf(effects, 1, EffectEvent) {
@@ -77,32 +77,32 @@
 		}
 	}
 	if between < 5 {
-		t.Fatal("the other stream stood still while the prompt was read", between)
+		t.Fatal("too few events of the other stream during prefill, want at least 5, got", between)
 	}
 }
 
-// Kept parts are not read again, provided that all before them are kept.
+// Cached parts are not prefilled again, provided that all parts before them are cached.
 func TestCachedPrefixIsNotPrefilledAgain(t *testing.T) {
 	engine := NewEngine(smallShape)
 	shared, own := Part{"a", 300}, Part{"b", 100}
 	drive(engine, map[clock.Instant][]Event{0: {arrive(1, 400, 4, shared, own)}}, milliseconds(100))
-	if engine.ReadTokens != 400 || engine.Reused != 0 {
-		t.Fatal(engine.ReadTokens, engine.Reused)
+	if engine.ReadTokens != 400 || engine.ReusedTokens != 0 {
+		t.Fatal(engine.ReadTokens, engine.ReusedTokens)
 	}
 	engine.Step(arrive(2, 400, 4, shared, Part{"c", 100}), milliseconds(101))
 	engine.Step(Event{}, milliseconds(200))
-	if engine.ReadTokens != 500 || engine.Reused != 300 {
-		t.Fatal("the shared part was read again", engine.ReadTokens, engine.Reused)
+	if engine.ReadTokens != 500 || engine.ReusedTokens != 300 {
+		t.Fatal("shared part was prefilled again", engine.ReadTokens, engine.ReusedTokens)
 	}
-	// b is kept, but what stands before it here is not.
+	// b is cached, but the part before it in this prompt is not.
 	engine.Step(arrive(3, 150, 4, Part{"d", 50}, own), milliseconds(201))
 	engine.Step(Event{}, milliseconds(300))
-	if engine.ReadTokens != 650 || engine.Reused != 300 {
-		t.Fatal("a part counted as kept behind one that is not", engine.ReadTokens, engine.Reused)
+	if engine.ReadTokens != 650 || engine.ReusedTokens != 300 {
+		t.Fatal("part counted as cached after one that is not cached", engine.ReadTokens, engine.ReusedTokens)
 	}
 }
 
-// The parts unused for longest give way.
+// The least recently used parts are evicted first.
 func TestOldestPartGivesWay(t *testing.T) {
 	engine := NewEngine(smallShape)
 	for i, key := range []string{"a", "b", "c", "a", "d"} {
@@ -114,18 +114,18 @@
 	}
 }
 
-// When memory runs out, the newest is put back, goes on later, and no event of its
-// stream is missing or doubled.
+// When memory runs out, the newest request is preempted and resumed later. No event of its
+// stream may be lost or duplicated.
 func TestNewestIsPreemptedAndResumed(t *testing.T) {
 	engine := NewEngine(smallShape)
 	effects := drive(engine, map[clock.Instant][]Event{0: {arrive(1, 400, 200), arrive(2, 400, 200)}}, milliseconds(3000))
-	if engine.Preemptions == 0 || len(effectsOf(effects, 1, EffectPutBack)) > 0 {
-		t.Fatal("the newest was not put back", engine.Preemptions)
+	if engine.Preemptions == 0 || len(effectsOf(effects, 1, EffectPreempt)) > 0 {
+		t.Fatal("want the newest request preempted and the other not, got preemptions", engine.Preemptions)
 	}
 	for _, ticket := range []int64{1, 2} {
 		checkEvents(t, effectsOf(effects, ticket, EffectEvent), 1, 50)
 		if len(effectsOf(effects, ticket, EffectFinish)) != 1 || len(effectsOf(effects, ticket, EffectBegin)) != 1 {
-			t.Fatal("ticket", ticket, "did not finish once")
+			t.Fatal("ticket", ticket, "did not begin and finish exactly once")
 		}
 	}
 }
@@ -134,23 +134,23 @@
 	t.Helper()
 	for i, event := range events {
 		if event.Number != first+int64(i) {
-			t.Fatal("event", event.Number, "at place", i)
+			t.Fatal("event", event.Number, "at index", i)
 		}
 	}
 	if int64(len(events)) != last-first+1 {
-		t.Fatal("events", len(events))
+		t.Fatal("wrong number of events", len(events))
 	}
 }
 
 func TestResumeContinuesAfterTheLastEvent(t *testing.T) {
 	event := arrive(1, 100, 40)
-	event.Ask.From = 3
+	event.Ask.LastEvent = 3
 	effects := drive(NewEngine(smallShape), map[clock.Instant][]Event{0: {event}}, milliseconds(300))
 	checkEvents(t, effectsOf(effects, 1, EffectEvent), 4, 10)
-	event.Ask.From = 10
+	event.Ask.LastEvent = 10
 	effects = drive(NewEngine(smallShape), map[clock.Instant][]Event{0: {event}}, milliseconds(300))
 	if len(effectsOf(effects, 1, EffectEvent)) != 0 || len(effectsOf(effects, 1, EffectFinish)) != 1 {
-		t.Fatal("nothing was left, and yet something came", effects)
+		t.Fatal("resuming after the last event must only finish, got", effects)
 	}
 }
 
@@ -161,15 +161,15 @@
 	}
 	large := arrive(8, 2000, 4)
 	late := arrive(9, 10, 800)
-	late.Ask.Until = milliseconds(300)
+	late.Ask.Deadline = milliseconds(300)
 	effects := drive(NewEngine(smallShape), map[clock.Instant][]Event{0: events, milliseconds(200): {large, late}}, milliseconds(400))
 	if len(effectsOf(effects, 7, EffectRefuse)) != 1 || len(effectsOf(effects, 6, EffectFinish)) != 1 || len(effectsOf(effects, 8, EffectRefuse)) != 1 || len(effectsOf(effects, 9, EffectExpire)) != 1 {
 		t.Fatal(effects)
 	}
 }
 
-// Whatever comes in whatever order: places and memory keep their bounds, and every
-// request ends once, with all its events in order.
+// For random events in any order, concurrency and memory stay within their limits, and every
+// request ends exactly once, with its events in order.
 func TestAnyHistoryStaysInBounds(t *testing.T) {
 	for seed := int64(0); seed < 30; seed++ {
 		random := rand.New(rand.NewSource(seed))
@@ -191,8 +191,8 @@
 				}
 			}
 			running, waiting, used := engine.State()
-			if running > 4 || running+waiting > 6+1 || used > 1000 || engine.cache.tokens+engine.outputTokens() > 1000 {
-				t.Fatal("seed", seed, running, waiting, used, engine.cache.tokens)
+			if running > 4 || running+waiting > 6+1 || used > 1000 || engine.cache.storedTokens+engine.outputTokens() > 1000 {
+				t.Fatal("seed", seed, running, waiting, used, engine.cache.storedTokens)
 			}
 		}
 		now, count := clock.Instant(0), int64(0)
--- a/internal/tooling/workeremulator/exchange.go
+++ b/internal/tooling/workeremulator/exchange.go
@@ -9,7 +9,7 @@
 	"lemonarch/internal/platform/httpreply"
 )
 
-// exchange is one request on its connection.
+// exchange is one request and its response on a connection.
 type exchange struct {
 	worker        *Worker
 	writer        http.ResponseWriter
@@ -21,7 +21,7 @@
 	headSent      bool
 }
 
-// run writes what the engine makes, until the response is complete or broken.
+// run writes the effects of the engine until the response is complete or was broken by a fault.
 func (e *exchange) run(waiting *waiter) {
 	if e.faults.late > 0 && !e.waitLate() {
 		return
@@ -35,7 +35,7 @@
 			return
 		}
 		if e.faults.hang && effect.Kind != EffectRefuse {
-			// Silence, while the connection stays: only its other end can end it.
+			// Send nothing and keep the connection open until the other side closes it.
 			<-e.request.Context().Done()
 			return
 		}
@@ -45,7 +45,8 @@
 	}
 }
 
-// waitLate waits for as long as this response is to be late; false where its client left.
+// waitLate waits for as long as this response is to be delayed. It returns false if the client
+// left before.
 func (e *exchange) waitLate() bool {
 	over := make(chan struct{})
 	e.worker.clockValue.After(e.faults.late, func() { close(over) })
@@ -57,8 +58,8 @@
 	}
 }
 
-// apply writes what follows from one effect, and tells whether the response is over. half is
-// the event at which troubles strike.
+// apply writes the result of one effect and reports whether the response is complete.
+// faultEvent is the number of the event at which cut and skip take effect.
 func (e *exchange) apply(effect Effect, faultEvent int64, waiting *waiter) (complete bool) {
 	switch effect.Kind {
 	case EffectRefuse:
@@ -88,7 +89,8 @@
 	return false
 }
 
-// begin answers at once where the request meets a trouble that strikes at its beginning.
+// begin sends the response of a trouble that takes effect at the start of a run. It returns
+// false if the request has none.
 func (e *exchange) begin() (complete bool) {
 	switch {
 	case e.writeGarbled():
@@ -132,7 +134,7 @@
 	}
 }
 
-// finish ends an answer; false where it was broken on purpose.
+// finish ends a response. It returns false if the response was deliberately broken.
 func (e *exchange) finish() bool {
 	if e.engineRequest.Work == 0 {
 		if !e.headSent {
--- a/internal/tooling/workeremulator/faults.go
+++ b/internal/tooling/workeremulator/faults.go
@@ -2,45 +2,49 @@
 
 import "lemonarch/internal/platform/clock"
 
-// Faults are the troubles of one worker that can be switched on and off. A share is
-// the part of the requests, from 0 to 1, that it concerns.
+// Faults are the troubles of one worker that can be switched on and off. A share is the
+// fraction of the requests that a trouble affects, from 0 to 1.
 type Faults struct {
-	// Fail: a 500 comes instead of an answer, after the run.
+	// Fail is the share of requests that receive a 500 instead of the response, after the run.
 	Fail float64 `toml:"fail" json:"fail,omitempty"`
-	// Full: turned away although there is room.
+	// Full is the share of requests that are rejected although there is capacity.
 	Full float64 `toml:"full" json:"full,omitempty"`
-	// Hang: nothing more comes, and the connection stays.
+	// Hang is the share of requests for which nothing more is sent while the connection stays
+	// open.
 	Hang float64 `toml:"hang" json:"hang,omitempty"`
-	// Cut: the answer breaks off in its midst.
+	// Cut is the share of responses that are cut off in the middle.
 	Cut float64 `toml:"cut" json:"cut,omitempty"`
-	// Garble: bytes come that form no answer.
+	// Garble is the share of requests that receive bytes which are not a valid response.
 	Garble float64 `toml:"garble" json:"garble,omitempty"`
-	// Surplus: a second answer follows a whole one on the same connection.
+	// Surplus is the share of responses that are followed by a second response on the same
+	// connection.
 	Surplus float64 `toml:"surplus" json:"surplus,omitempty"`
-	// Twice: the worker claims one run more than there was. It breaks the record on
-	// purpose, so that the check of the load can be seen to catch it.
+	// Twice is the share of runs that the worker records once too often. It corrupts the record
+	// deliberately, to show that the load generator's check detects this.
 	Twice float64 `toml:"twice" json:"twice,omitempty"`
-	// Skip: one event of a stream is left out, for the same purpose.
+	// Skip is the share of streams in which one event is left out, for the same purpose.
 	Skip float64 `toml:"skip" json:"skip,omitempty"`
-	// Forge: the stamp is another's, for the same purpose.
+	// Forge is the share of responses whose seal is that of another attempt, for the same
+	// purpose.
 	Forge float64 `toml:"forge" json:"forge,omitempty"`
-	// Never: a 422, for the same requests at every worker: they can never be done.
+	// Never is the share of requests that receive a 422 because they can never be done. These
+	// are the same requests at every worker.
 	Never float64 `toml:"never" json:"never,omitempty"`
-	// LateMs: each answer begins so much later.
+	// LateMs is the delay before each response, in ms.
 	LateMs float64 `toml:"late-ms" json:"late-ms,omitempty"`
-	// Slow: steps take so many times as long; 0 is as usual.
+	// Slow is the factor by which steps take longer; 0 means normal speed.
 	Slow float64 `toml:"slow" json:"slow,omitempty"`
-	// Lying: health answers say the contrary.
+	// Lying inverts the result of health checks.
 	Lying bool `toml:"lying" json:"lying,omitempty"`
-	// ForgetMs: an idle connection is forgotten after it, without a word; what comes
-	// on it next meets a reset.
+	// ForgetMs is the time after which an idle connection is silently forgotten, in ms; 0 means
+	// never. Bytes that arrive on it afterwards cause a reset.
 	ForgetMs float64 `toml:"forget-ms" json:"forget-ms,omitempty"`
 }
 
 func (f *Faults) lateBy() clock.Duration      { return clock.Milliseconds(f.LateMs) }
 func (f *Faults) forgetAfter() clock.Duration { return clock.Milliseconds(f.ForgetMs) }
 
-// Check lists senseless values.
+// Check returns a list of invalid values.
 func (f *Faults) Check() []string {
 	var findings []string
 	for name, share := range map[string]float64{"fail": f.Fail, "full": f.Full, "hang": f.Hang, "cut": f.Cut,
--- a/internal/tooling/workeremulator/report.go
+++ b/internal/tooling/workeremulator/report.go
@@ -9,15 +9,15 @@
 	"lemonarch/internal/platform/httpreply"
 )
 
-// moment is how things stood at some time.
+// loadSample is the load of the engine at one time.
 type loadSample struct {
 	at               clock.Instant
 	running, waiting int
 	used             int64
 }
 
-// note keeps how things stand, and forgets all but what reports still need. The
-// lock is held.
+// recordLoad appends the current load to the history and drops samples that no report needs any
+// more. The caller must hold the lock.
 func (w *Worker) recordLoad() {
 	now := w.clockValue.Now()
 	running, waiting, used := w.engine.State()
@@ -29,7 +29,7 @@
 	w.history = w.history[old:]
 }
 
-// stood gives how things stood a report's age ago. The lock is held.
+// delayedLoad returns the load as it was EmulatorReportAge ago. The caller must hold the lock.
 func (w *Worker) delayedLoad() loadSample {
 	now, found := w.clockValue.Now(), loadSample{}
 	for _, sample := range w.history {
@@ -74,7 +74,7 @@
 	httpreply.JSON(writer, http.StatusOK, current)
 }
 
-// load is what Lemonarch-Worker-Load says. The lock is held.
+// load returns the value of Lemonarch-Worker-Load. The caller must hold the lock.
 func (w *Worker) load() string {
 	running, waiting, _ := w.engine.State()
 	return strconv.Itoa(running) + "," + strconv.Itoa(waiting) + "," + strconv.Itoa(w.Settings.Shape.Capacity)
--- a/internal/tooling/workeremulator/rim.go
+++ b/internal/tooling/workeremulator/rim.go
@@ -10,7 +10,8 @@
 	"lemonarch/internal/platform/httpreply"
 )
 
-// garbled writes bytes that form no answer, where the fault asks for it.
+// writeGarbled writes bytes that are not a valid response if the fault was drawn, and reports
+// whether it was.
 func (e *exchange) writeGarbled() bool {
 	if !e.faults.garble {
 		return false
@@ -22,7 +23,7 @@
 	return true
 }
 
-// doubled writes a whole answer, and the same once more behind it.
+// writeTwice writes a complete response twice.
 func (e *exchange) writeTwice(text string) bool {
 	resp := "HTTP/1.1 200 OK\r\n"
 	for name := range e.writer.Header() {
@@ -52,7 +53,7 @@
 	return connection
 }
 
-// answerProbe waits for a slot as a request does, and says whether the worker is well.
+// serveProbe waits for a slot as a request does, then responds whether the worker is healthy.
 func (w *Worker) serveProbe(writer http.ResponseWriter, request *http.Request) {
 	ticket, waiting := w.submit(Ask{Work: 1}, Run{})
 	defer w.cancel(ticket)
@@ -69,7 +70,7 @@
 		}
 	}
 	w.lock.Lock()
-	healthy := !w.leaving != w.faults.Lying
+	healthy := !w.draining != w.faults.Lying
 	load := w.load()
 	w.lock.Unlock()
 	writer.Header().Set(headerID, w.Settings.ID)
@@ -81,7 +82,7 @@
 	httpreply.JSON(writer, status, struct{}{})
 }
 
-// limitedListener resets connections beyond the limit, and all of them at a crash.
+// limitedListener resets connections beyond the limit. At a crash it resets all of them.
 type limitedListener struct {
 	net.Listener
 	worker *Worker
@@ -93,7 +94,7 @@
 	return &limitedListener{Listener: listener, worker: worker, open: map[*connection]bool{}}
 }
 
-// Accept gives the next connection within the limit.
+// Accept returns the next connection within the limit.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		raw, err := l.Listener.Accept()
@@ -116,7 +117,7 @@
 	}
 }
 
-// reset ends every connection with a reset.
+// reset closes the listener and resets every connection.
 func (l *limitedListener) reset() {
 	l.Listener.Close()
 	l.lock.Lock()
@@ -138,9 +139,9 @@
 	active   clock.Instant
 }
 
-// Read notes that bytes came; what comes on a forgotten connection is reset. A read that
-// ends without bytes is no use of the connection: the server calls a pending read off
-// after each answer, which the other side can't see.
+// Read records that bytes arrived. If the connection was forgotten, it is reset. A read that
+// ends without bytes is not activity: the server cancels a pending read after each response,
+// which the other side can't see.
 func (c *connection) Read(buffer []byte) (int, error) {
 	count, err := c.Conn.Read(buffer)
 	if count == 0 {
@@ -162,7 +163,7 @@
 	return count, err
 }
 
-// Write notes that the connection is in use.
+// Write records that the connection is in use.
 func (c *connection) Write(buffer []byte) (int, error) {
 	c.lock.Lock()
 	c.active = c.listener.worker.clockValue.Now()
@@ -170,7 +171,7 @@
 	return c.Conn.Write(buffer)
 }
 
-// Close gives its place back.
+// Close removes the connection from the listener's open connections.
 func (c *connection) Close() error {
 	c.listener.lock.Lock()
 	delete(c.listener.open, c)
--- a/internal/tooling/workeremulator/round.go
+++ b/internal/tooling/workeremulator/round.go
@@ -2,10 +2,10 @@
 
 import "lemonarch/internal/platform/clock"
 
-// round is one token of every running request, and one piece of reading.
+// runStep generates one token for every running request, or prefills a chunk of its prompt.
 func (e *Engine) runStep(span clock.Duration) {
 	budget := int64(e.shape.ReadPerMs * clock.ToMilliseconds(span))
-	// A copy: the round itself takes requests out of the list.
+	// Iterate over a copy, since the step removes requests from the list.
 	for _, req := range append([]*activeRequest(nil), e.running...) {
 		if req.request.Work > 0 || !req.pinned {
 			continue
@@ -16,7 +16,8 @@
 	}
 }
 
-// read reads as much of a prompt as the budget allows; true once nothing is left.
+// prefill processes as much of a prompt as the budget allows. It returns true if there was
+// nothing left to process.
 func (e *Engine) prefill(req *activeRequest, budget *int64) bool {
 	worked := false
 	for i := range req.unreadPrompt {
@@ -40,11 +41,12 @@
 		*budget -= read
 		e.ReadTokens += read
 	}
-	// The token comes with the next step: this one went into reading.
+	// The step was spent on prefill, so the token comes with the next one.
 	return !worked
 }
 
-// token makes one token of a request, which may need room from others.
+// decode generates one token of a request. If memory is full, it preempts requests, the newest
+// first.
 func (e *Engine) decode(req *activeRequest) {
 	if req.outputTokens < req.request.Out {
 		for !e.cache.makeRoom(1, e.outputTokens()) {
@@ -62,7 +64,7 @@
 	}
 	stride := int64(e.shape.Stride)
 	complete := req.outputTokens == req.request.Out
-	if number := (req.outputTokens + stride - 1) / stride; number > req.request.From && (req.outputTokens%stride == 0 || complete) {
+	if number := (req.outputTokens + stride - 1) / stride; number > req.request.LastEvent && (req.outputTokens%stride == 0 || complete) {
 		e.emit(EffectEvent, req, number)
 	}
 	if complete {
@@ -80,16 +82,17 @@
 	return nil
 }
 
-// putBack sets a request to the head of the queue; what it has made stays told, and
-// is read anew with its prompt.
+// preempt moves a request to the head of the queue. Output sent so far remains valid and is
+// prefilled again together with the prompt.
 func (e *Engine) preempt(req *activeRequest) {
 	e.Preemptions++
-	e.emit(EffectPutBack, req, 0)
+	e.emit(EffectPreempt, req, 0)
 	e.drop(req)
 	e.waiting = append([]*activeRequest{req}, e.waiting...)
 }
 
-// drop takes a running request out and lets its memory go; read parts stay kept.
+// drop removes a running request and releases its memory. Parts that were prefilled completely
+// stay cached.
 func (e *Engine) drop(req *activeRequest) {
 	for i, other := range e.running {
 		if other == req {
@@ -103,7 +106,7 @@
 	}
 }
 
-// remove forgets a request, wherever it stands.
+// remove removes a request, whether it is running or waiting.
 func (e *Engine) remove(ticket int64) {
 	for _, req := range e.running {
 		if req.request.Ticket == ticket {
@@ -122,12 +125,13 @@
 func (e *Engine) expire(now clock.Instant) {
 	for _, list := range [][]*activeRequest{e.running, e.waiting} {
 		for _, req := range append([]*activeRequest(nil), list...) {
-			if req.request.Until == 0 || now < req.request.Until {
+			if req.request.Deadline == 0 || now < req.request.Deadline {
 				continue
 			}
 			kind := EffectExpire
 			if !req.started {
-				// Without a first token it has not run, and may say so.
+				// Without a first token the request has not run and may be reported as not
+				// executed.
 				kind = EffectRefuse
 			}
 			e.emit(kind, req, 0)
--- a/internal/tooling/workeremulator/sender_test.go
+++ b/internal/tooling/workeremulator/sender_test.go
@@ -25,7 +25,8 @@
 {"name":"rigid","host":"h","path-prefix":"/rigid/","route-kind":"streaming","cutoff-ms":4000,"setpoint-ms":100,"backend":"s","tries":3}
 ],"backends":[{"name":"s","conn-limit":50}],"limits":{"max-header-bytes":8192,"max-body-bytes":1000,"header-wait-ms":3000,"idle-ms":5000}}`
 
-// edge puts the real data plane in front of emulated workers; the first is preferred.
+// startDataPlane starts the gateway's data plane in front of emulated workers. The first worker
+// is preferred.
 func startDataPlane(t *testing.T, addresses ...string) string {
 	t.Helper()
 
@@ -72,7 +73,7 @@
 	return text
 }
 
-// Our own sender and streams take an emulated worker for a real one.
+// The gateway's sender and stream handling work with an emulated worker as with a real one.
 func TestSenderTakesTheStream(t *testing.T) {
 	_, record, address, _ := start(t, engineSettings)
 	resp, body, err := sendThrough(t, startDataPlane(t, address), "/rigid/x")
@@ -87,7 +88,8 @@
 	}
 }
 
-// A stream that the first worker cuts goes on at the second, behind its last event.
+// A stream that the first worker cuts off is resumed at the second worker, after its last
+// event.
 func TestSenderRetriesElsewhere(t *testing.T) {
 	first, before, firstAddress, _ := start(t, engineSettings)
 	first.SetFaults(Faults{Cut: 1})
--- a/internal/tooling/workeremulator/warmup_test.go
+++ b/internal/tooling/workeremulator/warmup_test.go
@@ -7,7 +7,8 @@
 	"lemonarch/internal/platform/clock"
 )
 
-// A worker is slow for its warm-up, says so in its beats, and is itself afterwards.
+// A worker is slow during warm-up, reports the remaining time in its heartbeats, and runs at
+// normal speed afterwards.
 func TestWarmup(t *testing.T) {
 	nodeSettings := engineSettings
 	nodeSettings.Warmup = time.Second
@@ -19,17 +20,17 @@
 	}
 	worker.SetFaults(Faults{Slow: 3})
 	if worker.engine.shape.Step != 6*smallShape.Step {
-		t.Fatal("trouble and warm-up do not add up", worker.engine.shape)
+		t.Fatal("slow trouble and warm-up must multiply, got", worker.engine.shape)
 	}
 	worker.SetFaults(Faults{})
 	clockValue.now = clock.Instant(2 * time.Second)
 	later()
 	if worker.engine.shape.Step != smallShape.Step || worker.engine.shape.ReadPerMs != smallShape.ReadPerMs {
-		t.Fatal("slow for ever", worker.engine.shape)
+		t.Fatal("still slow after warm-up", worker.engine.shape)
 	}
 }
 
-// holding is a clock that keeps what is to happen later.
+// deferringClock is a clock that stores the scheduled function without calling it.
 type deferringClock struct {
 	*immediateClock
 	later *func()
--- a/internal/tooling/workeremulator/worker.go
+++ b/internal/tooling/workeremulator/worker.go
@@ -14,45 +14,45 @@
 	"lemonarch/internal/platform/contexts"
 )
 
-// Clock is the time of a worker; tests hand in one that does not wait.
+// Clock is the time source of a worker. Tests pass one that does not wait.
 type Clock interface {
 	Now() clock.Instant
 	After(span clock.Duration, function func())
 }
 
-// RealClock is the machine's.
+// RealClock is the machine's clock.
 type RealClock struct{}
 
-// Now gives the present moment.
+// Now returns the current time.
 func (RealClock) Now() clock.Instant { return clock.Now() }
 
-// After calls a function once a span is over.
+// After calls a function after a delay.
 func (RealClock) After(span clock.Duration, function func()) { time.AfterFunc(span, function) }
 
 // Settings describe one worker.
 type Settings struct {
 	ID, Service, Zone string
-	// Model is empty for a worker of plain requests; these take Work each.
+	// Model is empty for a worker of plain requests, each of which takes Work.
 	Model     string
 	Work      clock.Duration
 	Shape     Shape
 	ConnLimit int
-	// Probe is the path of health questions.
+	// Probe is the path of health checks; empty means that there is none.
 	Probe string
-	// Warmup is how long a life is slow from its start, by half.
+	// Warmup is how long the worker runs at half speed after its start.
 	Warmup clock.Duration
-	// Revision is the version of its weights.
+	// Revision is the version of the worker's weights.
 	Revision int64
 }
 
-// waiter is what one connection waits for.
+// waiter receives the effects of one request for its connection.
 type waiter struct {
 	effects     chan Effect
 	run         *Run
 	runTemplate Run
 }
 
-// Worker is one life of an emulated worker.
+// Worker is one incarnation of an emulated worker.
 type Worker struct {
 	Settings Settings
 
@@ -66,7 +66,7 @@
 	timerAt    clock.Instant
 	faults     Faults
 	warmUntil  clock.Instant
-	leaving    bool
+	draining   bool
 	ended      bool
 	handled    int64
 	server     *http.Server
@@ -74,7 +74,7 @@
 	history    []loadSample
 }
 
-// NewWorker makes a worker; the seed decides which requests its faults meet.
+// NewWorker returns a worker. The seed determines which requests its faults affect.
 func NewWorker(nodeSettings Settings, record *Record, clockValue Clock, seed int64) *Worker {
 	nodeSettings.Shape.Stride = max(nodeSettings.Shape.Stride, 1)
 	worker := &Worker{warmUntil: clockValue.Now().Add(nodeSettings.Warmup), Settings: nodeSettings, clockValue: clockValue, record: record, random: rand.New(rand.NewSource(seed)),
@@ -98,10 +98,11 @@
 	return worker
 }
 
-// Handler answers requests without any socket, for tests of what stands in front.
+// Handler returns the handler that serves requests without a socket, for tests of what runs in
+// front of workers.
 func (w *Worker) Handler() http.Handler { return w.server.Handler }
 
-// Serve takes connections until the worker ends.
+// Serve accepts connections until the worker ends.
 func (w *Worker) Serve(listener net.Listener) {
 	limited := newLimitedListener(listener, w)
 	w.lock.Lock()
@@ -110,7 +111,7 @@
 	_ = w.server.Serve(limited)
 }
 
-// SetFaults switches troubles on and off.
+// SetFaults replaces the troubles that are switched on.
 func (w *Worker) SetFaults(faults Faults) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -118,7 +119,7 @@
 	w.updateSpeed()
 }
 
-// pace sets how fast the engine is just now. The lock is held.
+// updateSpeed sets the current speed of the engine. The caller must hold the lock.
 func (w *Worker) updateSpeed() {
 	slow := max(w.faults.Slow, 1)
 	if w.clockValue.Now() < w.warmUntil {
@@ -129,7 +130,7 @@
 	w.engine.shape.ReadPerMs = shape.ReadPerMs / slow
 }
 
-// Crash ends a worker without a word: every connection is reset.
+// Crash ends a worker without notice and resets every connection.
 func (w *Worker) Crash() {
 	w.lock.Lock()
 	w.ended = true
@@ -141,8 +142,9 @@
 	w.server.Close()
 }
 
-// End closes a worker that has left in order; what still runs may finish within the span.
-func (w *Worker) End(span clock.Duration) {
+// Shutdown closes a worker that has drained. Requests that still run may finish within the
+// span.
+func (w *Worker) Shutdown(span clock.Duration) {
 	limited, release := contexts.WithTimeout(contexts.Background(), span)
 	defer release()
 	if w.server.Shutdown(limited) != nil {
@@ -153,30 +155,31 @@
 	w.ended = true
 }
 
-// Leave makes it say Connection: close, and say that it is draining.
-func (w *Worker) Leave() {
+// Drain makes the worker send Connection: close and report that it is draining.
+func (w *Worker) Drain() {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	w.leaving = true
+	w.draining = true
 }
 
-// chance draws whether a fault meets a request. The lock is held.
+// chance randomly decides whether a fault affects a request. The caller must hold the lock.
 func (w *Worker) chance(share float64) bool { return share > 0 && w.random.Float64() < share }
 
-// enter hands a request to the engine and gives where its effects come.
+// submit passes a request to the engine and returns the waiter that receives its effects.
 func (w *Worker) submit(request Ask, template Run) (int64, *waiter) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.ticket++
 	request.Ticket = w.ticket
-	// Room for all effects of one request: the engine never waits for a connection.
+	// The channel has capacity for all effects of one request, so that the engine never blocks
+	// on a connection.
 	waiting := &waiter{effects: make(chan Effect, 8+Events(request.Out, w.engine.shape.Stride)), runTemplate: template}
 	w.waiters[request.Ticket] = waiting
 	w.step(Event{Kind: EventArrive, Ask: request})
 	return request.Ticket, waiting
 }
 
-// leave takes a request back whose connection has closed.
+// cancel removes a request whose connection has closed.
 func (w *Worker) cancel(ticket int64) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -184,11 +187,11 @@
 	w.step(Event{Kind: EventCancel, Ticket: ticket})
 }
 
-// step runs the engine and hands out its effects. The lock is held.
+// step runs the engine and passes on its effects. The caller must hold the lock.
 func (w *Worker) step(event Event) {
 	for _, effect := range w.engine.Step(event, w.clockValue.Now()) {
 		waiting := w.waiters[effect.Ticket]
-		if waiting == nil || effect.Kind == EffectPutBack {
+		if waiting == nil || effect.Kind == EffectPreempt {
 			continue
 		}
 		if effect.Kind == EffectBegin && waiting.runTemplate.Attempt != "" {
@@ -207,7 +210,8 @@
 	w.armTimer()
 }
 
-// arm sets a timer for the engine's next tick, if none rings by then. The lock is held.
+// armTimer sets a timer for the engine's next tick, unless one fires by then. The caller must
+// hold the lock.
 func (w *Worker) armTimer() {
 	at, pending := w.engine.Next()
 	if !pending || w.ended || (w.timerAt > 0 && w.timerAt <= at) {
@@ -220,7 +224,7 @@
 		w.lock.Lock()
 		defer w.lock.Unlock()
 		if w.timerAt != armedFor || w.ended {
-			// A later call asked for an earlier tick, and that one has taken over.
+			// A later call needed an earlier tick, and its timer has replaced this one.
 			return
 		}
 		w.timerAt = 0
--- a/internal/tooling/workeremulator/worker_test.go
+++ b/internal/tooling/workeremulator/worker_test.go
@@ -15,8 +15,8 @@
 	"lemonarch/internal/platform/clock"
 )
 
-// hasty is a clock that does not wait: whatever is to happen later happens at once,
-// with the clock set forward.
+// immediateClock is a clock that does not wait: a scheduled function runs immediately, with the
+// clock set forward.
 type immediateClock struct {
 	lock sync.Mutex
 	now  clock.Instant
@@ -101,7 +101,7 @@
 		t.Fatal(resp, err)
 	}
 	if runs, _ := record.Of(""); len(runs) != 0 {
-		t.Fatal("something ran", runs)
+		t.Fatal("requests ran, want none", runs)
 	}
 }
 
@@ -123,9 +123,9 @@
 	if status, _, _ := get("/health"); status != 503 {
 		t.Fatal(status)
 	}
-	worker.Leave()
+	worker.Drain()
 	if status, _, _ := get("/health"); status != 200 {
-		t.Fatal("a lying worker that leaves says that it is well", status)
+		t.Fatal("lying worker that drains must report healthy, got status", status)
 	}
 	var received report
 	if _, body, _ := get("/-/report"); json.Unmarshal([]byte(body), &received) != nil || received.Stage != "both" {
@@ -133,7 +133,7 @@
 	}
 }
 
-// Each broken answer is broken in the way that its name says.
+// Each trouble breaks the response in the way that its name says.
 func TestBrokenResponses(t *testing.T) {
 	worker, record, address, _ := start(t, plainSettings)
 	worker.SetFaults(Faults{Fail: 1})
@@ -146,7 +146,7 @@
 	}
 	worker.SetFaults(Faults{Cut: 1})
 	if _, body, err := post(address, "cut"); err == nil {
-		t.Fatal("a cut answer looked whole", body)
+		t.Fatal("cut response was read without error", body)
 	}
 	worker.SetFaults(Faults{Garble: 1})
 	if resp, _, err := post(address, "garble"); err == nil {
@@ -168,11 +168,11 @@
 		_, _ = io.Copy(io.Discard, resp.Body)
 	}
 	if runs, _ := record.Of(""); len(runs) != 5 {
-		t.Fatal("a broken answer counts as run", runs)
+		t.Fatal("each broken response must count as one run, want 5, got", runs)
 	}
 }
 
-// Bytes on a connection that the worker has silently forgotten meet a reset.
+// Bytes on a connection that the worker has silently forgotten cause a reset.
 func TestForgottenConnection(t *testing.T) {
 	worker, record, address, clockValue := start(t, plainSettings)
 	worker.SetFaults(Faults{ForgetMs: 500})
@@ -195,7 +195,7 @@
 	}
 	clockValue.After(time.Second, func() {})
 	if err := send(); err == nil {
-		t.Fatal("a forgotten connection answered")
+		t.Fatal("got a response on a forgotten connection")
 	}
 	if runs, _ := record.Of(""); len(runs) != 1 {
 		t.Fatal(runs)
