--- a/internal/tooling/explore/explore_test.go
+++ b/internal/tooling/explore/explore_test.go
@@ -64,7 +64,7 @@
 }
 
 // Removing any guard of the register must lead to a violation within the depth of CI.
-func TestGuardsTakenOut(t *testing.T) {
+func TestRemovedGuardsAreDetected(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		plan Plan
--- a/internal/tooling/explore/invariants.go
+++ b/internal/tooling/explore/invariants.go
@@ -47,15 +47,15 @@
 
 // checkChosen checks a newly chosen value against all values chosen before: in the order of
 // their ballots, each value must be built on the one before.
-func (f *registerState) checkChosen(newest *vote) {
+func (f *registerState) checkChosen(justChosen *vote) {
 	for index := range f.votes {
 		other := &f.votes[index]
-		if !other.chosen || other.ballot == newest.ballot {
+		if !other.chosen || other.ballot == justChosen.ballot {
 			continue
 		}
-		earlier, later := other, newest
-		if register.Less(newest.ballot, other.ballot) {
-			earlier, later = newest, other
+		earlier, later := other, justChosen
+		if register.Less(justChosen.ballot, other.ballot) {
+			earlier, later = justChosen, other
 		}
 		if !follows(f.table.value(later.value), f.table.value(earlier.value)) {
 			f.violation = fmt.Errorf("chosen value is not built on the previous one: %s and %s", f.describe(earlier), f.describe(later))
--- a/internal/tooling/explore/steps.go
+++ b/internal/tooling/explore/steps.go
@@ -148,9 +148,9 @@
 	return steps
 }
 
-// withoutRequest returns the state without a message. If the message is to be delivered again,
-// it stays in flight.
-func (f *registerState) withoutRequest(index int, duplicate bool) *registerState {
+// afterDelivery returns the state in which a message was delivered. It is no longer in flight,
+// unless it is to be delivered again.
+func (f *registerState) afterDelivery(index int, duplicate bool) *registerState {
 	next := f.clone()
 	if duplicate {
 		next.duplicates--
@@ -172,7 +172,7 @@
 	if f.plan.IgnoreAccepted {
 		promise.Accepted = messages.Ballot{}
 	}
-	next := f.withoutRequest(index, duplicate)
+	next := f.afterDelivery(index, duplicate)
 	next.storeRecord(target, acceptor)
 	resp := response{member: message.member, promise: &promise}
 	resp.key = fmt.Sprint(register.Identity(message.member), promise.Granted, promise.Accepted, f.processes[target].value)
@@ -190,7 +190,7 @@
 	if !accepted.Granted {
 		return steps
 	}
-	next := f.withoutRequest(index, duplicate)
+	next := f.afterDelivery(index, duplicate)
 	next.storeRecord(target, acceptor)
 	next.learnSets(target, value)
 	voters := next.recordVote(message.ballot, message.value, message.member)
--- a/internal/tooling/explore/values.go
+++ b/internal/tooling/explore/values.go
@@ -59,12 +59,12 @@
 // follows reports whether a value was built on another one: it contains all versions of the
 // earlier one in the same order, and its sets are the same or newer.
 func follows(later, earlier *messages.RegisterValue) bool {
-	taken, before := versions(later), versions(earlier)
-	if len(taken) < len(before) || later.SetEpoch < earlier.SetEpoch {
+	laterVersions, earlierVersions := versions(later), versions(earlier)
+	if len(laterVersions) < len(earlierVersions) || later.SetEpoch < earlier.SetEpoch {
 		return false
 	}
-	for i := range before {
-		if taken[i] != before[i] {
+	for i := range earlierVersions {
+		if laterVersions[i] != earlierVersions[i] {
 			return false
 		}
 	}
--- a/internal/tooling/linearize/fleet.go
+++ b/internal/tooling/linearize/fleet.go
@@ -32,7 +32,7 @@
 }
 
 // Fleet is a seeded simulation of the controller machines, which run the real register core, of
-// the operators that call them, and of severe faults.
+// the operators that call them, and of severe faults of the machines and the network.
 type Fleet struct {
 	History   History
 	defects   Defects
@@ -49,8 +49,8 @@
 }
 
 // NewFleet returns a fleet of five controller machines, three of which are acceptors.
-func NewFleet(seed int64, breaks Defects) *Fleet {
-	fleet := &Fleet{defects: breaks, world: simulation.NewWorld(seed), names: []string{"a", "b", "c", "d", "e"},
+func NewFleet(seed int64, defects Defects) *Fleet {
+	fleet := &Fleet{defects: defects, world: simulation.NewWorld(seed), names: []string{"a", "b", "c", "d", "e"},
 		nodes: map[string]*controller{}, downSince: map[string]clock.Instant{}}
 	fleet.world.Loss, fleet.world.Double = 0.05, 0.05
 	var first []messages.Member
--- a/internal/tooling/linearize/linearize_test.go
+++ b/internal/tooling/linearize/linearize_test.go
@@ -18,10 +18,10 @@
 
 // runHistory runs the simulation with one seed and checks the history that the operators
 // recorded.
-func runHistory(t *testing.T, seed int64, breaks Defects) (*Fleet, error) {
+func runHistory(t *testing.T, seed int64, defects Defects) (*Fleet, error) {
 	t.Helper()
 
-	fleet := NewFleet(seed, breaks)
+	fleet := NewFleet(seed, defects)
 	if err := fleet.Run(callSpan); err != nil {
 		t.Fatalf("seed %d: %v", seed, err)
 	}
@@ -47,8 +47,8 @@
 }
 
 // Each removed guard must make the history of some seed not linearizable.
-func TestBrokenRegistersAreFound(t *testing.T) {
-	for name, breaks := range map[string]Defects{
+func TestRemovedGuardsAreDetected(t *testing.T) {
+	for name, defects := range map[string]Defects{
 		"a wiped acceptor keeps its identity":               {KeepIdentity: true},
 		"a read uses one acceptor's response":               {ReadFromOne: true},
 		"a resent version is rejected":                      {RejectResent: true},
@@ -56,7 +56,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range int64(400) {
-				if _, err := runHistory(t, seed, breaks); errs.Is(err, ErrNotLinearizable) {
+				if _, err := runHistory(t, seed, defects); errs.Is(err, ErrNotLinearizable) {
 					t.Logf("found with seed %d", seed)
 					return
 				}
--- a/internal/tooling/workeremulator/answer.go
+++ b/internal/tooling/workeremulator/answer.go
@@ -87,10 +87,10 @@
 	template := Run{Attempt: attempt, Worker: w.Settings.ID, Service: w.Settings.Service, Method: request.Method,
 		Path: request.RequestURI, Body: BodySum(body), From: req.LastEvent}
 	ticket, waiting := w.submit(req, template)
-	// The request is dropped once its connection has closed.
+	// A worker must drop a request once its connection has closed.
 	defer w.cancel(ticket)
-	response := &exchange{worker: w, writer: writer, request: request, body: body, attempt: attempt, faults: faults, engineRequest: req}
-	response.run(waiting)
+	current := &exchange{worker: w, writer: writer, request: request, body: body, attempt: attempt, faults: faults, engineRequest: req}
+	current.run(waiting)
 }
 
 // parseRequest reads from the headers what a request requires of the engine. It returns false
--- a/internal/tooling/workeremulator/beats.go
+++ b/internal/tooling/workeremulator/beats.go
@@ -32,8 +32,8 @@
 }
 
 // NewBeater returns a Beater that has sent nothing yet.
-func NewBeater(worker *Worker, address string, controls []string) *Beater {
-	beater := &Beater{Worker: worker, Address: address, Controllers: controls}
+func NewBeater(worker *Worker, address string, controllers []string) *Beater {
+	beater := &Beater{Worker: worker, Address: address, Controllers: controllers}
 	beater.client = http.Client{Timeout: constants.EmulatorHeartbeatWait, CheckRedirect: func(_ *http.Request, via []*http.Request) error {
 		if len(via) > constants.EmulatorRedirects {
 			return ErrNotAcknowledged.New("too many redirects")
@@ -77,8 +77,8 @@
 	b.nextController++
 	count, target := b.count, b.target
 	b.lock.Unlock()
-	nodeSettings := &b.Worker.Settings
-	body := heartbeatBody{Backend: nodeSettings.Service, Address: b.Address, Zone: nodeSettings.Zone, Generation: "v1", Capacity: nodeSettings.Shape.Capacity,
+	settings := &b.Worker.Settings
+	body := heartbeatBody{Backend: settings.Service, Address: b.Address, Zone: settings.Zone, Generation: "v1", Capacity: settings.Shape.Capacity,
 		Phase: "steady", Stage: "both", Models: b.Worker.models(), Count: count}
 	b.Worker.lock.Lock()
 	body.WarmupMs = max(clock.ToMilliseconds(b.Worker.warmUntil.Sub(b.Worker.clockValue.Now())), 0)
@@ -93,7 +93,7 @@
 	err = ErrNotAcknowledged.New("no controller address to call")
 	for _, address := range addresses {
 		var next string
-		if next, err = b.send("http://"+address+path+nodeSettings.ID, text); err == nil {
+		if next, err = b.send("http://"+address+path+settings.ID, text); err == nil {
 			b.lock.Lock()
 			if next != "" {
 				b.target = next
--- a/internal/tooling/workeremulator/cache.go
+++ b/internal/tooling/workeremulator/cache.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Part is one part of a prompt. Its key consists of model and id.
+// Part is one part of a prompt. Its key is the id in the request, and model and id in the cache.
 type Part struct {
 	Key    string
 	Tokens int64
--- a/internal/tooling/workeremulator/calledoff_test.go
+++ b/internal/tooling/workeremulator/calledoff_test.go
@@ -29,7 +29,7 @@
 
 // The server cancels a pending read after a response, sometimes only after the clock has
 // advanced. That must not count as activity on the connection.
-func TestReadCalledOffIsNoUse(t *testing.T) {
+func TestCancelledReadIsNotActivity(t *testing.T) {
 	clockValue := &immediateClock{now: clock.Instant(time.Second)}
 	worker := NewWorker(plainSettings, &Record{}, clockValue, 1)
 	worker.SetFaults(Faults{ForgetMs: 500})
--- a/internal/tooling/workeremulator/engine_test.go
+++ b/internal/tooling/workeremulator/engine_test.go
@@ -103,7 +103,7 @@
 }
 
 // The least recently used parts are evicted first.
-func TestOldestPartGivesWay(t *testing.T) {
+func TestLeastRecentlyUsedPartIsEvicted(t *testing.T) {
 	engine := NewEngine(smallShape)
 	for i, key := range []string{"a", "b", "c", "a", "d"} {
 		engine.Step(arrive(int64(i), 300, 4, Part{key, 300}), milliseconds(float64(100*i)))
--- a/internal/tooling/workeremulator/exchange.go
+++ b/internal/tooling/workeremulator/exchange.go
@@ -48,10 +48,10 @@
 // waitLate waits for as long as this response is to be delayed. It returns false if the client
 // left before.
 func (e *exchange) waitLate() bool {
-	over := make(chan struct{})
-	e.worker.clockValue.After(e.faults.late, func() { close(over) })
+	done := make(chan struct{})
+	e.worker.clockValue.After(e.faults.late, func() { close(done) })
 	select {
-	case <-over:
+	case <-done:
 		return true
 	case <-e.request.Context().Done():
 		return false
--- a/internal/tooling/workeremulator/faults.go
+++ b/internal/tooling/workeremulator/faults.go
@@ -5,7 +5,8 @@
 // Faults are the troubles of one worker that can be switched on and off. A share is the
 // fraction of the requests that a trouble affects, from 0 to 1.
 type Faults struct {
-	// Fail is the share of requests that receive a 500 instead of the response, after the run.
+	// Fail is the share of requests that receive a 500 instead of the response. The run has begun
+	// by then and is recorded.
 	Fail float64 `toml:"fail" json:"fail,omitempty"`
 	// Full is the share of requests that are rejected although there is capacity.
 	Full float64 `toml:"full" json:"full,omitempty"`
--- a/internal/tooling/workeremulator/sender_test.go
+++ b/internal/tooling/workeremulator/sender_test.go
@@ -74,7 +74,7 @@
 }
 
 // The gateway's sender and stream handling work with an emulated worker as with a real one.
-func TestSenderTakesTheStream(t *testing.T) {
+func TestSenderForwardsTheStream(t *testing.T) {
 	_, record, address, _ := start(t, engineSettings)
 	resp, body, err := sendThrough(t, startDataPlane(t, address), "/rigid/x")
 	if err != nil || resp.StatusCode != 200 || body != completeStream("one") {
@@ -93,9 +93,9 @@
 func TestSenderRetriesElsewhere(t *testing.T) {
 	first, before, firstAddress, _ := start(t, engineSettings)
 	first.SetFaults(Faults{Cut: 1})
-	nodeSettings := engineSettings
-	nodeSettings.ID = "w2"
-	_, after, secondAddress, _ := start(t, nodeSettings)
+	settings := engineSettings
+	settings.ID = "w2"
+	_, after, secondAddress, _ := start(t, settings)
 	resp, body, err := sendThrough(t, startDataPlane(t, firstAddress, secondAddress), "/stream/x")
 	if err != nil || resp.StatusCode != 200 || body != completeStream("one") {
 		t.Fatal(resp, body, err)
--- a/internal/tooling/workeremulator/warmup_test.go
+++ b/internal/tooling/workeremulator/warmup_test.go
@@ -10,11 +10,11 @@
 // A worker is slow during warm-up, reports the remaining time in its heartbeats, and runs at
 // normal speed afterwards.
 func TestWarmup(t *testing.T) {
-	nodeSettings := engineSettings
-	nodeSettings.Warmup = time.Second
+	settings := engineSettings
+	settings.Warmup = time.Second
 	clockValue := &immediateClock{now: clock.Instant(time.Second)}
 	var later func()
-	worker := NewWorker(nodeSettings, &Record{}, deferringClock{clockValue, &later}, 1)
+	worker := NewWorker(settings, &Record{}, deferringClock{clockValue, &later}, 1)
 	if worker.engine.shape.Step != 2*smallShape.Step || worker.warmUntil.Sub(clockValue.Now()) != time.Second {
 		t.Fatal(worker.engine.shape, worker.warmUntil)
 	}
--- a/internal/tooling/workeremulator/worker.go
+++ b/internal/tooling/workeremulator/worker.go
@@ -75,26 +75,26 @@
 }
 
 // NewWorker returns a worker. The seed determines which requests its faults affect.
-func NewWorker(nodeSettings Settings, record *Record, clockValue Clock, seed int64) *Worker {
-	nodeSettings.Shape.Stride = max(nodeSettings.Shape.Stride, 1)
-	worker := &Worker{warmUntil: clockValue.Now().Add(nodeSettings.Warmup), Settings: nodeSettings, clockValue: clockValue, record: record, random: rand.New(rand.NewSource(seed)),
-		engine: NewEngine(nodeSettings.Shape), waiters: map[int64]*waiter{}}
+func NewWorker(settings Settings, record *Record, clockValue Clock, seed int64) *Worker {
+	settings.Shape.Stride = max(settings.Shape.Stride, 1)
+	worker := &Worker{warmUntil: clockValue.Now().Add(settings.Warmup), Settings: settings, clockValue: clockValue, record: record, random: rand.New(rand.NewSource(seed)),
+		engine: NewEngine(settings.Shape), waiters: map[int64]*waiter{}}
 	worker.updateSpeed()
-	if nodeSettings.Warmup > 0 {
-		clockValue.After(nodeSettings.Warmup, func() {
+	if settings.Warmup > 0 {
+		clockValue.After(settings.Warmup, func() {
 			worker.lock.Lock()
 			defer worker.lock.Unlock()
 			worker.updateSpeed()
 		})
 	}
-	tree := chi.NewRouter()
-	tree.Get("/-/report", worker.serveReport)
-	if nodeSettings.Probe != "" {
-		tree.Get(nodeSettings.Probe, worker.serveProbe)
+	router := chi.NewRouter()
+	router.Get("/-/report", worker.serveReport)
+	if settings.Probe != "" {
+		router.Get(settings.Probe, worker.serveProbe)
 	}
-	tree.NotFound(worker.serveRequest)
-	tree.MethodNotAllowed(worker.serveRequest)
-	worker.server = &http.Server{Handler: tree, IdleTimeout: constants.EmulatorIdle, ReadHeaderTimeout: constants.EmulatorIdle}
+	router.NotFound(worker.serveRequest)
+	router.MethodNotAllowed(worker.serveRequest)
+	worker.server = &http.Server{Handler: router, IdleTimeout: constants.EmulatorIdle, ReadHeaderTimeout: constants.EmulatorIdle}
 	return worker
 }
 
@@ -145,9 +145,9 @@
 // Shutdown closes a worker that has drained. Requests that still run may finish within the
 // span.
 func (w *Worker) Shutdown(span clock.Duration) {
-	limited, release := contexts.WithTimeout(contexts.Background(), span)
+	ctx, release := contexts.WithTimeout(contexts.Background(), span)
 	defer release()
-	if w.server.Shutdown(limited) != nil {
+	if w.server.Shutdown(ctx) != nil {
 		w.server.Close()
 	}
 	w.lock.Lock()
--- a/internal/tooling/workeremulator/worker_test.go
+++ b/internal/tooling/workeremulator/worker_test.go
@@ -38,14 +38,14 @@
 var engineSettings = Settings{ID: "w1", Service: "s", Model: "m", Probe: "/health", Revision: 1, Shape: smallShape}
 var plainSettings = Settings{ID: "w1", Service: "s", Probe: "/health", Work: 10 * time.Millisecond, Shape: Shape{Capacity: 4, Queue: 2}}
 
-func start(t *testing.T, nodeSettings Settings) (*Worker, *Record, string, *immediateClock) {
+func start(t *testing.T, settings Settings) (*Worker, *Record, string, *immediateClock) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	record, clockValue := &Record{}, &immediateClock{now: clock.Instant(time.Second)}
-	worker := NewWorker(nodeSettings, record, clockValue, 1)
+	worker := NewWorker(settings, record, clockValue, 1)
 	go worker.Serve(listener)
 	t.Cleanup(worker.Crash)
 	return worker, record, listener.Addr().String(), clockValue
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestNotRunIsStated(t *testing.T) {
+func TestNotExecutedIsReported(t *testing.T) {
 	worker, record, address, _ := start(t, plainSettings)
 	for name, header := range map[string][]string{
 		"target": {headerTarget, "w2"}, "revision": {headerRevision, "7"}, "late": {headerTimeLeft, "0"},
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestProbeAndItsLies(t *testing.T) {
+func TestHealthCheckAndLyingTrouble(t *testing.T) {
 	worker, _, address, _ := start(t, plainSettings)
 	get := func(path string) (int, string, http.Header) {
 		resp, err := http.Get("http://" + address + path)
@@ -203,9 +203,9 @@
 }
 
 func TestConnectionsBeyondTheLimitAreReset(t *testing.T) {
-	nodeSettings := plainSettings
-	nodeSettings.ConnLimit = 1
-	_, _, address, _ := start(t, nodeSettings)
+	settings := plainSettings
+	settings.ConnLimit = 1
+	_, _, address, _ := start(t, settings)
 	first, err := net.Dial("tcp4", address)
 	if err != nil {
 		t.Fatal(err)
