--- a/internal/tooling/workeremulator/engine_test.go
+++ b/internal/tooling/workeremulator/engine_test.go
@@ -17,6 +17,7 @@
 	at clock.Instant
 }
 
+// drive runs an engine up to a time limit and returns its effects with their times.
 func drive(engine *Engine, events map[clock.Instant][]Event, limit clock.Instant) []timedEffect {
 	var collected []timedEffect
 	record := func(effects []Effect, now clock.Instant) {
