--- a/internal/tooling/explore/fleet.go
+++ b/internal/tooling/explore/fleet.go
@@ -5,145 +5,147 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Plan says what a model of the register plays.
+// Plan configures a model of the register.
 type Plan struct {
-	// Members are the machines of the first acceptor set; Outsiders have an empty
-	// disk and are in no set.
-	Members, Outsiders []string
-	// Writers are the machines whose processes each put one version on base 0.
+	// Members are the machines of the first acceptor set. NonMembers have an empty disk and are
+	// in no set.
+	Members, NonMembers []string
+	// Writers are the machines whose processes each propose one version on base 0.
 	Writers []string
-	// Tenders are the machines whose processes look after the acceptor set, as the
-	// controllers do; they take Suspect, where set, for gone.
-	Tenders []string
-	Suspect string
-	// Versions is how many versions each writer puts in force one after the other,
-	// each on the newest that it knows; none means one.
+	// Reconcilers are the machines whose processes maintain the acceptor set, as the
+	// controllers do. If Suspect is set, they consider it departed.
+	Reconcilers []string
+	Suspect     string
+	// Versions is the number of versions that each writer applies one after the other, each
+	// based on the newest that it knows. Zero means one.
 	Versions int
-	// Attempts is how many ballots each of these processes opens at most.
+	// Attempts is the maximum number of ballots that each of these processes opens.
 	Attempts int
-	// Wipes is how many machines lose their disks, at any moment at which no other
-	// lost one is in the set, and Restarts how many processes start again with theirs.
+	// Wipes is the number of machines that lose their disks, at any moment at which no other
+	// member of the set has lost its disk. Restarts is the number of processes that restart and
+	// keep their disk.
 	Wipes, Restarts int
-	// Doubles is how many messages are delivered a second time.
-	Doubles int
-	// KeepIdentity breaks the acceptor on purpose, to see the model find it: one that
-	// lost its disk goes on voting under its old identity.
+	// Duplicates is the number of messages that are delivered a second time.
+	Duplicates int
+	// KeepIdentity is a deliberate defect of the acceptor that the model must detect: an
+	// acceptor that lost its disk continues to vote under its old identity.
 	KeepIdentity bool
-	// IgnoreAccepted breaks the proposer on purpose: it overlooks what was accepted.
+	// IgnoreAccepted is a deliberate defect of the proposer: it ignores values accepted before.
 	IgnoreAccepted bool
-	// SettleAtOnce breaks the change of members on purpose: the old set is let go
-	// in the same step in which the new one is proposed.
-	SettleAtOnce bool
+	// DropPreviousAtOnce is a deliberate defect of the membership change: the old set is
+	// dropped in the same step in which the new one is proposed.
+	DropPreviousAtOnce bool
 }
 
-// process is one machine: an acceptor and, on some, a proposer.
+// process is one machine: an acceptor and, on some machines, a proposer.
 type process struct {
 	name  string
 	disk  string
 	first []messages.Member
-	// promised, accepted and value are the acceptor's record; value is none where
-	// nothing was accepted.
+	// promised, accepted and value are the acceptor's record. value is none if nothing was
+	// accepted.
 	promised, accepted messages.Ballot
 	value              valueID
-	// known is the newest value heard of, for its sets.
+	// known is the newest value that the process has received. Only its sets are used.
 	known    valueID
 	proposer *proposer
 }
 
-// proposer is what runs a machine's proposals, one attempt after the other.
+// proposer runs the proposals of one machine, one attempt after the other.
 type proposer struct {
-	// version is what a writer puts in force; one without a generation is a tender.
-	version  messages.Version
-	attempts int
-	life     int64
-	// ballot, known and answers name the attempt that runs: it is played again from
-	// its beginning wherever it is needed. settled says that it has ended.
-	ballot  messages.Ballot
-	known   valueID
-	answers []answer
-	settled bool
-	// accepting says that the attempt's second round was begun.
+	// version is the version that a writer proposes. A version without a generation marks a
+	// reconciler.
+	version     messages.Version
+	attempts    int
+	incarnation int64
+	// ballot, known and responses identify the current attempt, which is replayed from its
+	// beginning whenever its state is needed. ended reports whether it has ended.
+	ballot    messages.Ballot
+	known     valueID
+	responses []response
+	ended     bool
+	// accepting reports whether the attempt has begun its accept phase.
 	accepting bool
-	// told says that the version has a clear answer, and versions counts those that
-	// had one before.
-	told     bool
-	versions int
+	// responded reports whether the outcome of the version is known. versions counts the
+	// earlier versions whose outcome is known.
+	responded bool
+	versions  int
 }
 
-// answer is one message that came back to a proposer.
-type answer struct {
+// response is one message returned to a proposer.
+type response struct {
 	member   messages.Member
 	promise  *messages.PrepareResponse
 	accepted *messages.AcceptResponse
-	// key names it within the attempt.
+	// key identifies the response within the attempt.
 	key string
 }
 
-// request is a message that has not reached its acceptor yet.
+// request is a message that is in flight to an acceptor.
 type request struct {
 	from   int
 	ballot messages.Ballot
 	member messages.Member
-	// value is what an accept carries; none for a prepare.
+	// value is the value of an accept request, and none for a prepare request.
 	value valueID
 }
 
 const none valueID = -1
 
-// vote is what is known of one ballot: its value and who ever accepted it.
+// vote is the state of one ballot: its value and the acceptors that accepted it.
 type vote struct {
 	ballot messages.Ballot
 	value  valueID
-	by     []messages.Member
+	voters []messages.Member
 	chosen bool
 }
 
-// fleet is a state of the register's model.
-type fleet struct {
+// registerState is a state of the register's model.
+type registerState struct {
 	plan      *Plan
-	table     *values
+	table     *valueTable
 	processes []process
 	requests  []request
 	votes     []vote
-	// wipes, restarts and doubles are how many are left.
-	wipes, restarts, doubles int
-	broken                   error
+	// wipes, restarts and duplicates are the numbers still available.
+	wipes, restarts, duplicates int
+	violation                   error
 }
 
-// NewFleet gives the first state of a plan's model.
-func NewFleet(plan Plan) State {
-	entry := &fleet{plan: &plan, table: newValues(), wipes: plan.Wipes, restarts: plan.Restarts, doubles: plan.Doubles}
+// NewRegisterState returns the initial state of a plan's model.
+func NewRegisterState(plan Plan) State {
+	state := &registerState{plan: &plan, table: newValues(), wipes: plan.Wipes, restarts: plan.Restarts, duplicates: plan.Duplicates}
 	var first []messages.Member
 	for _, name := range plan.Members {
 		first = append(first, messages.Member{Name: name, Address: name, Disk: "1"})
 	}
-	initial := entry.table.id(&messages.RegisterValue{Acceptors: first})
+	initial := state.table.id(&messages.RegisterValue{Acceptors: first})
 	for _, name := range plan.Members {
-		entry.processes = append(entry.processes, process{name: name, disk: "1", first: first, value: none, known: initial})
+		state.processes = append(state.processes, process{name: name, disk: "1", first: first, value: none, known: initial})
 	}
-	for _, name := range plan.Outsiders {
-		entry.processes = append(entry.processes, process{name: name, disk: "1", value: none, known: initial})
+	for _, name := range plan.NonMembers {
+		state.processes = append(state.processes, process{name: name, disk: "1", value: none, known: initial})
 	}
 	for number, name := range plan.Writers {
-		entry.processes[entry.at(name)].proposer = &proposer{version: messages.Version{Generation: int64(number + 1), Hash: name}, settled: true}
+		state.processes[state.indexOf(name)].proposer = &proposer{version: messages.Version{Generation: int64(number + 1), Hash: name}, ended: true}
 	}
-	for _, name := range plan.Tenders {
-		entry.processes[entry.at(name)].proposer = &proposer{settled: true}
+	for _, name := range plan.Reconcilers {
+		state.processes[state.indexOf(name)].proposer = &proposer{ended: true}
 	}
-	return entry
+	return state
 }
 
-func (f *fleet) at(name string) int {
+func (f *registerState) indexOf(name string) int {
 	for i := range f.processes {
 		if f.processes[i].name == name {
 			return i
 		}
 	}
-	panic("no such machine: " + name)
+	panic("unknown machine: " + name)
 }
 
-// clone copies what steps change. Proposers are copied by those who change them.
-func (f *fleet) clone() *fleet {
+// clone copies what steps change, except proposers: a step that changes a proposer copies it.
+func (f *registerState) clone() *registerState {
 	next := *f
 	next.processes = append([]process(nil), f.processes...)
 	next.requests = append([]request(nil), f.requests...)
@@ -151,33 +153,33 @@
 	return &next
 }
 
-// member is a process as an acceptor.
+// member returns a process as a member of an acceptor set.
 func (p *process) member() messages.Member {
 	return messages.Member{Name: p.name, Address: p.name, Disk: p.disk}
 }
 
-// acceptor gives the real acceptor with the process's record.
-func (f *fleet) acceptor(i int) *register.Acceptor {
-	at := &f.processes[i]
-	record := messages.AcceptorRecord{Disk: at.disk, First: at.first, Promised: at.promised, Accepted: at.accepted}
-	if at.value != none {
-		record.HasValue, record.Value = true, *f.table.at(at.value)
+// acceptor returns a register.Acceptor with the process's record.
+func (f *registerState) acceptor(i int) *register.Acceptor {
+	proc := &f.processes[i]
+	record := messages.AcceptorRecord{Disk: proc.disk, First: proc.first, Promised: proc.promised, Accepted: proc.accepted}
+	if proc.value != none {
+		record.HasValue, record.Value = true, *f.table.value(proc.value)
 	}
 	return register.NewAcceptor(record)
 }
 
-// keep takes over what the real acceptor has to have on disk.
-func (f *fleet) keep(i int, acceptor *register.Acceptor) {
-	at, record := &f.processes[i], acceptor.Record()
-	at.promised, at.accepted = record.Promised, record.Accepted
+// storeRecord stores the record that the acceptor must have on disk.
+func (f *registerState) storeRecord(i int, acceptor *register.Acceptor) {
+	proc, record := &f.processes[i], acceptor.Record()
+	proc.promised, proc.accepted = record.Promised, record.Accepted
 	if record.HasValue {
-		at.value = f.table.id(&record.Value)
+		proc.value = f.table.id(&record.Value)
 	}
 }
 
-// learn takes the sets of a value that a process has met.
-func (f *fleet) learn(i int, value *messages.RegisterValue) {
-	known := f.table.at(f.processes[i].known)
+// learnSets updates the sets that a process knows from a value that it received.
+func (f *registerState) learnSets(i int, value *messages.RegisterValue) {
+	known := f.table.value(f.processes[i].known)
 	if len(value.Acceptors) > 0 && (value.SetEpoch >= known.SetEpoch || len(known.Acceptors) == 0) {
 		sets := setsOnly(value)
 		f.processes[i].known = f.table.id(&sets)
--- a/internal/tooling/explore/tidy.go
+++ b/internal/tooling/explore/tidy.go
@@ -7,15 +7,15 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// tidy drops messages that can change nothing any more: whoever would refuse them
-// now refuses them for ever.
-func (f *fleet) tidy() {
+// dropObsolete drops messages that can no longer have any effect: an acceptor that would reject
+// one now would reject it at any later time too.
+func (f *registerState) dropObsolete() {
 	retained := f.requests[:0]
 	for index := range f.requests {
 		message := &f.requests[index]
-		at := &f.processes[f.at(message.member.Name)]
-		refused := register.Less(message.ballot, at.promised) || (at.disk != message.member.Disk && !f.plan.KeepIdentity)
-		if (message.value == none && f.waits(message)) || (message.value != none && !refused) {
+		target := &f.processes[f.indexOf(message.member.Name)]
+		refused := register.Less(message.ballot, target.promised) || (target.disk != message.member.Disk && !f.plan.KeepIdentity)
+		if (message.value == none && f.awaitsResponse(message)) || (message.value != none && !refused) {
 			retained = append(retained, *message)
 		}
 	}
@@ -23,8 +23,8 @@
 	f.votes = slices.DeleteFunc(f.votes, func(cast vote) bool { return !cast.chosen && !f.mayBeChosen(cast.ballot) })
 }
 
-// mayBeChosen tells whether accepts of a ballot are under way or can still be sent.
-func (f *fleet) mayBeChosen(ballot messages.Ballot) bool {
+// mayBeChosen reports whether accept requests of a ballot are in flight or can still be sent.
+func (f *registerState) mayBeChosen(ballot messages.Ballot) bool {
 	for index := range f.requests {
 		if f.requests[index].ballot == ballot {
 			return true
--- a/internal/tooling/explore/values.go
+++ b/internal/tooling/explore/values.go
@@ -7,20 +7,20 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// valueID is a place in a table of values.
+// valueID is the index of a value in a valueTable.
 type valueID int32
 
-// values is a table of all register values that an exploration has met, so that
-// states hold small numbers. Values in it are never changed.
-type values struct {
+// valueTable stores all register values of an exploration, so that states store small numbers
+// in place of values. Values in it are never changed.
+type valueTable struct {
 	lock  sync.RWMutex
 	list  []messages.RegisterValue
 	index map[string]valueID
 }
 
-func newValues() *values { return &values{index: map[string]valueID{}} }
+func newValues() *valueTable { return &valueTable{index: map[string]valueID{}} }
 
-func (v *values) id(value *messages.RegisterValue) valueID {
+func (v *valueTable) id(value *messages.RegisterValue) valueID {
 	text, err := value.MarshalMsg(nil)
 	if err != nil {
 		panic(err)
@@ -36,19 +36,19 @@
 	return id
 }
 
-func (v *values) at(id valueID) *messages.RegisterValue {
+func (v *valueTable) value(id valueID) *messages.RegisterValue {
 	v.lock.RLock()
 	defer v.lock.RUnlock()
 	return &v.list[id]
 }
 
-// setsOnly gives a value that has nothing but another's sets: all that a proposer
-// uses of the newest value it knows.
+// setsOnly returns a value with only the sets of another one. A proposer uses nothing else of
+// the newest value that it knows.
 func setsOnly(value *messages.RegisterValue) messages.RegisterValue {
 	return messages.RegisterValue{Acceptors: value.Acceptors, Previous: value.Previous, SetEpoch: value.SetEpoch}
 }
 
-// versions gives the versions taken in a value, oldest first.
+// versions returns the versions in a value, oldest first.
 func versions(value *messages.RegisterValue) []messages.Version {
 	if value.Current.Generation == 0 {
 		return nil
@@ -56,15 +56,15 @@
 	return append(append([]messages.Version{}, value.History...), value.Current)
 }
 
-// follows tells whether a value was built on another one: it holds all its versions
-// in the same order, and sets that are the same or newer.
+// follows reports whether a value was built on another one: it contains all versions of the
+// earlier one in the same order, and its sets are the same or newer.
 func follows(later, earlier *messages.RegisterValue) bool {
-	taken, before := versions(later), versions(earlier)
-	if len(taken) < len(before) || later.SetEpoch < earlier.SetEpoch {
+	laterVersions, earlierVersions := versions(later), versions(earlier)
+	if len(laterVersions) < len(earlierVersions) || later.SetEpoch < earlier.SetEpoch {
 		return false
 	}
-	for i := range before {
-		if taken[i] != before[i] {
+	for i := range earlierVersions {
+		if laterVersions[i] != earlierVersions[i] {
 			return false
 		}
 	}
--- a/internal/tooling/linearize/linearize_test.go
+++ b/internal/tooling/linearize/linearize_test.go
@@ -10,57 +10,58 @@
 )
 
 const (
-	// daySpan is how long operators call in one history, in ns of the fake clock.
-	daySpan = clock.Duration(12_000_000_000)
-	// checkLimit is how long one history may be checked.
+	// callSpan is how long the operators call in one history, in ns of the simulated clock.
+	callSpan = clock.Duration(12_000_000_000)
+	// checkLimit is the time limit for checking one history.
 	checkLimit = 20 * time.Second
 )
 
-// play plays one seed's day and checks what the operators saw.
-func play(t *testing.T, seed int64, breaks Breaks) (*Fleet, error) {
+// runHistory runs the simulation with one seed and checks the history that the operators
+// recorded.
+func runHistory(t *testing.T, seed int64, defects Defects) (*Fleet, error) {
 	t.Helper()
 
-	fleet := NewFleet(seed, breaks)
-	if err := fleet.Run(daySpan); err != nil {
+	fleet := NewFleet(seed, defects)
+	if err := fleet.Run(callSpan); err != nil {
 		t.Fatalf("seed %d: %v", seed, err)
 	}
 	return fleet, fleet.History.Check(RegisterModel(), checkLimit)
 }
 
 func TestOperatorsSeeARegister(t *testing.T) {
-	calls, clear, changes := 0, 0, 0
+	calls, clear, epochs := 0, 0, 0
 	for seed := range int64(simulation.Seeds(200)) {
-		fleet, err := play(t, seed, Breaks{})
+		fleet, err := runHistory(t, seed, Defects{})
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		calls, clear = calls+fleet.History.Len(), clear+fleet.History.Clear()
 		for _, name := range fleet.names {
-			changes = max(changes, int(fleet.nodes[name].known.SetEpoch))
+			epochs = max(epochs, int(fleet.nodes[name].known.SetEpoch))
 		}
 	}
-	t.Logf("%d calls, %d with a clear answer, up to %d steps of the set in one history", calls, clear, changes)
+	t.Logf("%d calls, %d with a clear response, highest set epoch %d in one history", calls, clear, epochs)
 	if clear*2 < calls {
-		t.Fatal("less than half of the calls had a clear answer: the simulation tests little")
+		t.Fatal("less than half of the calls had a clear response: the simulation tests too little")
 	}
 }
 
-// Each guard that is taken out shows in the history of some seed.
-func TestBrokenRegistersAreFound(t *testing.T) {
-	for name, breaks := range map[string]Breaks{
-		"a wiped acceptor keeps its identity":   {KeepIdentity: true},
-		"a read believes one acceptor":          {ReadOne: true},
-		"a resent version is refused":           {RefuseResent: true},
-		"an acceptor answers before its record": {AnswerUnsynced: true},
+// Each removed guard must make the history of some seed not linearizable.
+func TestRemovedGuardsAreDetected(t *testing.T) {
+	for name, defects := range map[string]Defects{
+		"a wiped acceptor keeps its identity":               {KeepIdentity: true},
+		"a read uses one acceptor's response":               {ReadFromOne: true},
+		"a resent version is rejected":                      {RejectResent: true},
+		"an acceptor responds before its record is on disk": {RespondUnsynced: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range int64(400) {
-				if _, err := play(t, seed, breaks); errs.Is(err, ErrNotLinearizable) {
+				if _, err := runHistory(t, seed, defects); errs.Is(err, ErrNotLinearizable) {
 					t.Logf("found with seed %d", seed)
 					return
 				}
 			}
-			t.Fatal("not found in 400 seeds")
+			t.Fatal("removed guard was not detected in 400 seeds")
 		})
 	}
 }
--- a/internal/tooling/workeremulator/report.go
+++ b/internal/tooling/workeremulator/report.go
@@ -9,19 +9,19 @@
 	"lemonarch/internal/platform/httpreply"
 )
 
-// moment is how things stood at some time.
-type moment struct {
+// loadSample is the load of the engine at one time.
+type loadSample struct {
 	at               clock.Instant
 	running, waiting int
 	used             int64
 }
 
-// note keeps how things stand, and forgets all but what reports still need. The
-// lock is held.
-func (w *Worker) note() {
+// recordLoad appends the current load to the history and drops samples that no report needs any
+// more. The caller must hold the lock.
+func (w *Worker) recordLoad() {
 	now := w.clockValue.Now()
 	running, waiting, used := w.engine.State()
-	w.history = append(w.history, moment{now, running, waiting, used})
+	w.history = append(w.history, loadSample{now, running, waiting, used})
 	old := 0
 	for old+1 < len(w.history) && w.history[old+1].at.Add(constants.EmulatorReportAge) <= now {
 		old++
@@ -29,12 +29,12 @@
 	w.history = w.history[old:]
 }
 
-// stood gives how things stood a report's age ago. The lock is held.
-func (w *Worker) stood() moment {
-	now, found := w.clockValue.Now(), moment{}
-	for _, entry := range w.history {
-		if entry.at.Add(constants.EmulatorReportAge) <= now {
-			found = entry
+// delayedLoad returns the load as it was EmulatorReportAge ago. The caller must hold the lock.
+func (w *Worker) delayedLoad() loadSample {
+	now, found := w.clockValue.Now(), loadSample{}
+	for _, sample := range w.history {
+		if sample.at.Add(constants.EmulatorReportAge) <= now {
+			found = sample
 		}
 	}
 	return found
@@ -65,16 +65,16 @@
 	return []modelReport{{Name: w.Settings.Model, Generation: w.Settings.Revision, Adapters: []string{}}}
 }
 
-func (w *Worker) answerReport(writer http.ResponseWriter, _ *http.Request) {
+func (w *Worker) serveReport(writer http.ResponseWriter, _ *http.Request) {
 	w.lock.Lock()
-	stood := w.stood()
-	entry := report{Stage: "both", Models: w.models(), CallCount: w.handled, Queued: stood.waiting, Active: stood.running, CacheUsed: stood.used,
+	sample := w.delayedLoad()
+	current := report{Stage: "both", Models: w.models(), CallCount: w.handled, Queued: sample.waiting, Active: sample.running, CacheUsed: sample.used,
 		CacheSize: w.Settings.Shape.CacheTokens, Handled: w.handled}
 	w.lock.Unlock()
-	httpreply.JSON(writer, http.StatusOK, entry)
+	httpreply.JSON(writer, http.StatusOK, current)
 }
 
-// load is what Lemonarch-Worker-Load says. The lock is held.
+// load returns the value of Lemonarch-Worker-Load. The caller must hold the lock.
 func (w *Worker) load() string {
 	running, waiting, _ := w.engine.State()
 	return strconv.Itoa(running) + "," + strconv.Itoa(waiting) + "," + strconv.Itoa(w.Settings.Shape.Capacity)
