--- a/internal/tooling/forecast/capacity.go
+++ b/internal/tooling/forecast/capacity.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// The resources of a family.
+// The resources of a family that a surge can exhaust.
 const (
 	ResourceSlots       = "slots"
 	ResourceMemory      = "kv-memory"
@@ -11,9 +11,9 @@
 	ResourceConnections = "connections"
 )
 
-// Resource is how much of a resource is used, as a part of what there is: now, and at the
-// highest in the surge. FactorLeft is how many times the surge would fit; nil where the surge
-// adds nothing, or the resource is not known.
+// Resource is the utilization of one resource as a fraction of its capacity: at present, and at
+// the peak of the surges. FactorLeft is how many times the surge would fit into the capacity that
+// is left; nil if the surge adds nothing, or the capacity of the resource is unknown.
 type Resource struct {
 	Resource   string   `json:"resource"`
 	UsedNow    *float64 `json:"used-now"`
@@ -21,43 +21,44 @@
 	FactorLeft *float64 `json:"factor-left"`
 }
 
-// usage is the use of each resource by some traffic, in its own unit.
+// usage is the use of each resource by some traffic: slots, tokens of KV memory, prompt tokens
+// per ms, events per ms, and connections.
 type usage struct{ slots, memory, prefill, decode, connections float64 }
 
 func (u usage) plus(other usage) usage {
 	return usage{u.slots + other.slots, u.memory + other.memory, u.prefill + other.prefill, u.decode + other.decode, u.connections + other.connections}
 }
 
-// resources gives the resources of a family, summed over its services.
+// resources returns the utilization of each resource of the family, summed over its services.
 func (f *family) resources() []Resource {
-	var now, have usage
-	for _, of := range f.services {
-		have = have.plus(of.capacity())
+	var now, total usage
+	for _, s := range f.services {
+		total = total.plus(s.capacity())
 	}
-	for _, entry := range f.demands {
-		if of := f.service(entry.service); of != nil {
-			now = now.plus(of.usage(entry.rate, entry.promptTokens, entry.freshTokens, entry.events, entry.durationMs))
+	for _, d := range f.demands {
+		if s := f.service(d.service); s != nil {
+			now = now.plus(s.usage(d.rate, d.promptTokens, d.freshTokens, d.events, d.durationMs))
 		}
 	}
 	peak := f.peak(now)
 	rows := []struct {
 		name             string
-		now, peak, whole float64
+		now, peak, total float64
 	}{
-		{ResourceSlots, now.slots, peak.slots, have.slots},
-		{ResourceMemory, now.memory, peak.memory, have.memory},
-		{ResourcePrefill, now.prefill, peak.prefill, have.prefill},
-		{ResourceDecode, now.decode, peak.decode, have.decode},
-		{ResourceConnections, now.connections, peak.connections, have.connections},
+		{ResourceSlots, now.slots, peak.slots, total.slots},
+		{ResourceMemory, now.memory, peak.memory, total.memory},
+		{ResourcePrefill, now.prefill, peak.prefill, total.prefill},
+		{ResourceDecode, now.decode, peak.decode, total.decode},
+		{ResourceConnections, now.connections, peak.connections, total.connections},
 	}
 	resources := make([]Resource, 0, len(rows))
 	for _, row := range rows {
 		resource := Resource{Resource: row.name}
-		if row.whole > 0 && f.known() {
-			used, surge := rounded(row.now/row.whole), rounded(row.peak/row.whole)
+		if row.total > 0 && f.predictable() {
+			used, surge := rounded(row.now/row.total), rounded(row.peak/row.total)
 			resource.UsedNow, resource.UsedSurge = &used, &surge
 			if row.peak > row.now {
-				left := rounded(max(row.whole-row.now, 0) / (row.peak - row.now))
+				left := rounded(max(row.total-row.now, 0) / (row.peak - row.now))
 				resource.FactorLeft = &left
 			}
 		}
@@ -66,18 +67,18 @@
 	return resources
 }
 
-// peak gives the highest use of each resource over the surges' beginnings, at one of which the
-// sum is at its highest.
+// peak returns the highest use of each resource. It evaluates only the starts of the surges,
+// since the sum of the traffic reaches its maximum at one of them.
 func (f *family) peak(now usage) usage {
 	highest := now
-	for _, entry := range f.demands {
-		for _, begun := range entry.additions {
+	for _, d := range f.demands {
+		for _, starting := range d.additions {
 			at := now
 			for _, other := range f.demands {
-				of := f.service(other.service)
+				s := f.service(other.service)
 				for _, added := range other.additions {
-					if of != nil && added.fromMs <= begun.fromMs && begun.fromMs < added.untilMs {
-						at = at.plus(of.usage(added.rate, added.promptTokens, added.freshTokens, added.events, other.durationMs))
+					if s != nil && added.fromMs <= starting.fromMs && starting.fromMs < added.untilMs {
+						at = at.plus(s.usage(added.rate, added.promptTokens, added.freshTokens, added.events, other.durationMs))
 					}
 				}
 			}
@@ -89,73 +90,77 @@
 }
 
 func (f *family) service(name string) *service {
-	for _, of := range f.services {
-		if of.name == name {
-			return of
+	for _, s := range f.services {
+		if s.name == name {
+			return s
 		}
 	}
 	return nil
 }
 
-// capacity is what a service has: slots, tokens of memory, prompt tokens a ms, events a ms and
-// connections.
+// capacity returns the capacity of the service: slots, tokens of memory, prompt tokens per ms,
+// events per ms, and connections.
 func (s *service) capacity() usage {
 	workers := float64(s.workers)
-	have := usage{slots: workers * s.slots, memory: workers * s.cacheTokens, connections: workers * s.connections}
-	if s.pace.prefillKnown && s.pace.tokenMs > 0 {
-		have.prefill = workers / s.pace.tokenMs
+	total := usage{slots: workers * s.slots, memory: workers * s.cacheTokens, connections: workers * s.connections}
+	if s.latency.prefillKnown && s.latency.tokenMs > 0 {
+		total.prefill = workers / s.latency.tokenMs
 	}
-	if s.pace.decodeKnown && s.pace.prefillKnown && s.pace.eventMs > 0 {
-		// A full worker makes its events one for each slot in the time between two.
-		have.decode = workers * s.slots / s.pace.gapAt(s.slots)
+	if s.latency.decodeKnown && s.latency.prefillKnown && s.latency.eventMs > 0 {
+		// A full worker emits one event for each slot in every event gap.
+		total.decode = workers * s.slots / s.latency.eventGapMs(s.slots)
 	}
-	return have
+	return total
 }
 
-// gapAt is the time between two events where so many requests run at a worker.
-func (p *pace) gapAt(running float64) float64 {
-	return p.eventMs + p.eachMs*max(running-1, 0)
+// eventGapMs returns the time between two events of a request, in ms, at a worker that runs
+// the given number of requests.
+func (p *latencyModel) eventGapMs(running float64) float64 {
+	return p.eventMs + p.perRequestMs*max(running-1, 0)
 }
 
-// usage is what traffic takes of a service: by Little's law it holds its rate times its stay.
+// usage returns what traffic uses of the service. By Little's law, the number of requests present
+// is the arrival rate times the service time.
 func (s *service) usage(rate, promptTokens, freshTokens, events, durationMs float64) usage {
 	perMs := rate / 1000
-	stay := s.stayMs(freshTokens, events, durationMs)
-	return usage{slots: perMs * stay, memory: perMs * stay * promptTokens, prefill: perMs * freshTokens, decode: perMs * events, connections: perMs * stay}
+	serviceMs := s.serviceTimeMs(freshTokens, events, durationMs)
+	return usage{slots: perMs * serviceMs, memory: perMs * serviceMs * promptTokens, prefill: perMs * freshTokens, decode: perMs * events, connections: perMs * serviceMs}
 }
 
-// plainMs is the time of plain work alone at a worker: by the learnt pace, or as observed
-// where there is none.
-func (s *service) plainMs(durationMs float64) float64 {
-	if s.pace.decodeKnown && !s.pace.prefillKnown {
-		return s.pace.gapAt(1)
+// plainWorkMs returns the duration of a plain request that runs alone at a worker: from the fitted
+// latency model if only its decode part could be fitted, else the observed duration.
+func (s *service) plainWorkMs(durationMs float64) float64 {
+	if s.latency.decodeKnown && !s.latency.prefillKnown {
+		return s.latency.eventGapMs(1)
 	}
 	return durationMs
 }
 
-// slowdown is how many times longer work takes where so many requests run.
-func (p *pace) slowdown(running float64) float64 {
-	if p.gapAt(1) <= 0 {
+// slowdown returns how many times longer work takes at a worker that runs the given number of
+// requests than at one that runs a single request.
+func (p *latencyModel) slowdown(running float64) float64 {
+	if p.eventGapMs(1) <= 0 {
 		return 1
 	}
-	return p.gapAt(running) / p.gapAt(1)
+	return p.eventGapMs(running) / p.eventGapMs(1)
 }
 
-// stayMs is how long a request stays at a worker that is neither idle nor full: by the learnt
-// pace, or as observed where there is none.
-func (s *service) stayMs(freshTokens, events, durationMs float64) float64 {
+// serviceTimeMs returns how long a request occupies a worker that is neither idle nor full: from the
+// fitted latency model, or the observed duration if there is none. A plain request is slowed down
+// as at a full worker.
+func (s *service) serviceTimeMs(freshTokens, events, durationMs float64) float64 {
 	if events <= 1 {
-		return s.plainMs(durationMs) * s.pace.slowdown(s.slots)
+		return s.plainWorkMs(durationMs) * s.latency.slowdown(s.slots)
 	}
-	if !s.pace.prefillKnown || !s.pace.decodeKnown {
+	if !s.latency.prefillKnown || !s.latency.decodeKnown {
 		return durationMs
 	}
-	return s.pace.firstMs + s.pace.tokenMs*freshTokens + (events-1)*s.pace.gapAt(s.slots/2)
+	return s.latency.firstMs + s.latency.tokenMs*freshTokens + (events-1)*s.latency.eventGapMs(s.slots/2)
 }
 
-// shortOf names the resource of which most is used in the surge.
-func shortOf(resources []Resource) string {
-	most, name := math.Inf(-1), shortOfNothing
+// mostUsedResource returns the name of the resource with the highest utilization in the surge.
+func mostUsedResource(resources []Resource) string {
+	most, name := math.Inf(-1), noResource
 	for _, resource := range resources {
 		if resource.UsedSurge != nil && *resource.UsedSurge > most {
 			most, name = *resource.UsedSurge, resource.Resource
@@ -164,5 +169,5 @@
 	return name
 }
 
-// rounded keeps three digits behind the point: more would only show noise.
+// rounded rounds to three decimal places: further digits would only show noise.
 func rounded(value float64) float64 { return math.Round(value*1000) / 1000 }
--- a/internal/tooling/forecast/collect.go
+++ b/internal/tooling/forecast/collect.go
@@ -14,27 +14,28 @@
 	"lemonarch/internal/traffic/trafficstats"
 )
 
-// ErrUnreachable is the error of a fleet that tells nothing.
+// ErrUnreachable is returned if the fleet can't be reached or lacks the data for a forecast.
 var ErrUnreachable = errs.Define("fleet")
 
-// Collector asks a fleet for what a forecast stands on.
+// Collector requests from a fleet the data that a forecast is based on.
 type Collector struct {
 	Transport transport.Transport
-	// Seed is the internal address of any process.
+	// Seed is the internal address (host:port) of any process of the fleet.
 	Seed string
-	// Timeout bounds each call.
+	// Timeout bounds each status and configuration call; calls for a zone's traffic use twice
+	// constants.BulkCallTimeout.
 	Timeout clock.Duration
 }
 
-// Collect gives what is known now: a controller of each zone merges the summaries of its
-// zone's processes.
+// Collect returns the present state of the fleet. For each zone, one controller merges the traffic
+// summaries of the zone's processes.
 func (c *Collector) Collect() (*Known, error) {
 	controllers, err := c.controllers()
 	if err != nil {
 		return nil, err
 	}
-	known := &Known{}
-	if known.Config, err = c.config(controllers); err != nil {
+	state := &Known{}
+	if state.Config, err = c.config(controllers); err != nil {
 		return nil, err
 	}
 	zones, err := c.zones(controllers)
@@ -43,30 +44,30 @@
 	}
 	merged := trafficstats.Merged{}
 	for _, zone := range zones {
-		resp := c.zone(zone, controllers)
+		resp := c.zoneTraffic(zone, controllers)
 		if resp == nil {
-			known.Missing = append(known.Missing, "zone "+zone)
+			state.Missing = append(state.Missing, "zone "+zone)
 			continue
 		}
 		for i := range resp.Summaries {
 			merged.Add(&resp.Summaries[i])
 		}
-		known.Answered += resp.Answered
-		known.Missing = append(known.Missing, resp.Missing...)
-		known.ObservedS = max(known.ObservedS, float64(resp.ObservedMs)/1000)
-		known.Workers = resp.Workers
+		state.Answered += resp.Answered
+		state.Missing = append(state.Missing, resp.Missing...)
+		state.ObservedS = max(state.ObservedS, float64(resp.ObservedMs)/1000)
+		state.Workers = resp.Workers
 	}
-	if known.Answered == 0 {
-		return nil, ErrUnreachable.New("no gateway and no store tells of its traffic")
+	if state.Answered == 0 {
+		return nil, ErrUnreachable.New("no gateway or store returned a traffic summary")
 	}
-	known.Summaries = merged.Summaries()
-	return known, nil
+	state.Summaries = merged.Summaries()
+	return state, nil
 }
 
-// controller is a control process and its zone.
+// controller is the zone and the internal address of a controller process.
 type controller struct{ zone, address string }
 
-// controllers gives those that the seed knows, in order.
+// controllers returns the controllers in the seed's list of nodes, in the order of that list.
 func (c *Collector) controllers() ([]controller, error) {
 	status, err := c.status(c.Seed, "nodes")
 	if err != nil {
@@ -79,7 +80,7 @@
 		}
 	}
 	if len(found) == 0 {
-		return nil, ErrUnreachable.New("seed " + c.Seed + " knows no controller")
+		return nil, ErrUnreachable.New("seed " + c.Seed + " lists no controller")
 	}
 	return found, nil
 }
@@ -90,25 +91,25 @@
 	return resp, err
 }
 
-// config gives the configuration in force from the first controller that has it.
+// config returns the configuration in force, from the first controller that responds with one.
 func (c *Collector) config(controllers []controller) (*routeconfig.Config, error) {
-	var last error
-	for _, each := range controllers {
+	var lastErr error
+	for _, ctrl := range controllers {
 		resp := &messages.ConfigPush{}
-		if last = transport.Call(c.Transport, each.address, messages.KindConfigPull, &messages.ConfigPull{}, resp, c.Timeout); last == nil && len(resp.Body) > 0 {
+		if lastErr = transport.Call(c.Transport, ctrl.address, messages.KindConfigPull, &messages.ConfigPull{}, resp, c.Timeout); lastErr == nil && len(resp.Body) > 0 {
 			return routeconfig.Parse(resp.Body)
 		}
 	}
-	if last == nil {
-		last = ErrUnreachable.New("no configuration is in force")
+	if lastErr == nil {
+		lastErr = ErrUnreachable.New("no configuration is in force")
 	}
-	return nil, ErrUnreachable.Wrap(last, "configuration")
+	return nil, ErrUnreachable.Wrap(lastErr, "configuration")
 }
 
-// zones gives the zones of the fleet.
+// zones returns the names of the fleet's zones, sorted.
 func (c *Collector) zones(controllers []controller) ([]string, error) {
-	for _, each := range controllers {
-		status, err := c.status(each.address, "zones")
+	for _, ctrl := range controllers {
+		status, err := c.status(ctrl.address, "zones")
 		if err != nil || len(status.Rows) == 0 {
 			continue
 		}
@@ -119,32 +120,33 @@
 		slices.Sort(zones)
 		return zones, nil
 	}
-	return nil, ErrUnreachable.New("no controller tells the zones")
+	return nil, ErrUnreachable.New("no controller returned the list of zones")
 }
 
-// zone has a controller merge the summaries of a zone: one of its own, else any other.
-func (c *Collector) zone(zone string, controllers []controller) *messages.ZoneTrafficResponse {
+// zoneTraffic requests the merged summaries of a zone, first from controllers in that zone, then
+// from the others. It returns nil if none of the controllers tried responds.
+func (c *Collector) zoneTraffic(zone string, controllers []controller) *messages.ZoneTrafficResponse {
 	order := slices.Clone(controllers)
 	slices.SortStableFunc(order, func(left, right controller) int {
-		near := func(each controller) int {
-			if each.zone == zone {
+		distance := func(ctrl controller) int {
+			if ctrl.zone == zone {
 				return 0
 			}
 			return 1
 		}
-		return near(left) - near(right)
+		return distance(left) - distance(right)
 	})
-	for i, each := range order {
-		if i >= controllersTried {
+	for i, ctrl := range order {
+		if i >= controllersPerZoneMax {
 			break
 		}
 		resp := &messages.ZoneTrafficResponse{}
-		if transport.Call(c.Transport, each.address, messages.KindZoneTraffic, &messages.ZoneTrafficRequest{Zone: zone}, resp, constants.BulkCallTimeout*2) == nil {
+		if transport.Call(c.Transport, ctrl.address, messages.KindZoneTraffic, &messages.ZoneTrafficRequest{Zone: zone}, resp, constants.BulkCallTimeout*2) == nil {
 			return resp
 		}
 	}
 	return nil
 }
 
-// controllersTried bounds how many controllers are asked for one zone.
-const controllersTried = 3
+// controllersPerZoneMax bounds how many controllers are tried for one zone.
+const controllersPerZoneMax = 3
--- a/internal/tooling/forecast/constants.go
+++ b/internal/tooling/forecast/constants.go
@@ -1,36 +1,37 @@
 package forecast
 
 const (
-	// horizonAfterSurgeS is how long after the last surge a forecast looks, in seconds (ours):
-	// what has queued up is served or refused by then.
+	// horizonAfterSurgeS is how far the default horizon extends past the end of the last surge, in
+	// seconds: queued requests are served or refused by then.
 	horizonAfterSurgeS = 10.0
-	// ShortWaitMs is the mean wait that a family bears: it is short from the first window of a
-	// second in which its requests wait longer (ours). docs/forecast.md states it.
+	// ShortWaitMs is the highest acceptable mean queue wait of a family, in ms: the family is short
+	// of capacity from the first window of one second whose mean wait is higher. Stated in
+	// docs/forecast.md.
 	ShortWaitMs = 50.0
-	// ShortRefusals is the share of refused requests that a family bears in the same way (ours).
+	// ShortRefusals is the highest acceptable share of refused requests, applied to the same
+	// windows.
 	ShortRefusals = 0.02
-	// LateShare is the share of late or refused requests from which on a class is called late
-	// (ours).
+	// LateShare is the share of late or refused requests above which a class counts as late.
 	LateShare = 0.05
-	// windowMs is the length of the windows in which shortages are looked for.
+	// windowMs is the length of the time windows in which shortages are detected, in ms.
 	windowMs = 1000.0
-	// queueShare of the latency target is how long gateways let a request wait before they
-	// refuse it, as constants.QueueShare does for the gateways.
+	// queueShare is the fraction of its latency target that a request may wait in the queue
+	// before it is refused. It corresponds to constants.QueueShare, which gateways apply.
 	queueShare = 0.25
-	// observedMin is how many placed requests, and pointsMin how many points of a line, are
-	// wanted before anything is said of a class or a service (ours).
-	observedMin = 30
-	pointsMin   = 20
-	// repetitions is how often the simulation is run, each time with other draws (ours), and
-	// simulatedWorkersMax how many workers of a service are simulated: of more, a share is, with
-	// the same share of the traffic.
+	// observationsMin is the minimum number of placed requests for a prediction about a class;
+	// pointsMin is the minimum number of samples for fitting a line to a service.
+	observationsMin = 30
+	pointsMin       = 20
+	// repetitions is the number of simulation runs per family, each with different random draws.
+	// simulatedWorkersMax is how many workers of a service are simulated at most: of a larger
+	// service a fraction is simulated, with the same fraction of the traffic.
 	repetitions         = 9
 	simulatedWorkersMax = 24
-	// sizeShape is the shape of the gamma distribution that sizes are drawn from (ours): a
-	// standard deviation of 0.7 of the mean.
+	// sizeShape is the shape parameter of the gamma distribution from which request sizes are
+	// drawn: 2 results in a standard deviation of 0.7 times the mean.
 	sizeShape = 2.0
-	// bulkShare of a worker's slots is the most that items of batch jobs take (ours).
+	// bulkShare is the maximum fraction of a worker's slots that batch items may use.
 	bulkShare = 0.8
-	// shortOfNothing is predicted where no resource is used up.
-	shortOfNothing = ""
+	// noResource is the predicted scarce resource if the utilization of no resource is known.
+	noResource = ""
 )
--- a/internal/tooling/forecast/demand.go
+++ b/internal/tooling/forecast/demand.go
@@ -6,79 +6,82 @@
 	"strings"
 )
 
-// addition is what a surge adds to a class.
+// addition is the traffic that a surge adds to a class.
 type addition struct {
 	fromMs, untilMs float64
-	// rate is requests a second, or items.
+	// rate is in requests, or items of batch jobs, per second.
 	rate                              float64
 	dueMs                             float64
 	promptTokens, freshTokens, events float64
 }
 
-// demand is a class with what surges add to it.
+// demand is a class with the traffic that surges add to it.
 type demand struct {
 	*class
 	additions []addition
-	// unknown says why nothing can be predicted of it; empty where it can.
-	unknown string
+	// unknownReason states why nothing can be predicted about the class; empty if it can.
+	unknownReason string
 }
 
-// demands joins the present classes and the surges; findings name routes that nobody knows.
-func demands(scenario *Scenario, known *Known) (joined []*demand, findings []string) {
-	for _, entry := range known.classes() {
-		joined = append(joined, &demand{class: entry})
+// demands combines the present classes with the surges. It reports findings for unknown routes,
+// for traffic that does not fit the kind of its route, and for families that match no class.
+func demands(scenario *Scenario, known *Known) (all []*demand, findings []string) {
+	for _, c := range known.classes() {
+		all = append(all, &demand{class: c})
 	}
 	for i, surge := range scenario.Surges {
 		for j := range surge.Traffic {
 			traffic := &surge.Traffic[j]
-			where := fmt.Sprintf("surges[%d].traffic[%d]", i, j)
+			field := fmt.Sprintf("surges[%d].traffic[%d]", i, j)
 			route := known.routeNamed(traffic.Route)
 			if route == nil {
-				findings = append(findings, fmt.Sprintf("%s.route: no route is named %q", where, traffic.Route))
+				findings = append(findings, fmt.Sprintf("%s.route: no route is named %q", field, traffic.Route))
 				continue
 			}
 			if traffic.Items > 0 != (newClass(route, "", "").bulk) && traffic.Factor == nil {
-				findings = append(findings, where+": items go with batch routes, rates with others")
+				findings = append(findings, field+": items go with batch routes, rates with others")
 				continue
 			}
-			joined = addTraffic(joined, known, &surge, traffic)
+			all = addTraffic(all, known, &surge, traffic)
 		}
 	}
 	for _, family := range scenario.Families {
-		if !slices.ContainsFunc(joined, func(d *demand) bool { return family.has(d.service, d.model) }) {
+		if !slices.ContainsFunc(all, func(d *demand) bool { return family.includes(d.service, d.model) }) {
 			findings = append(findings, fmt.Sprintf("families: nothing that is known belongs to %q", family.Name))
 		}
 	}
-	return joined, findings
+	return all, findings
 }
 
-// addTraffic adds the traffic of a surge to the classes of its route, by their present shares.
-func addTraffic(joined []*demand, known *Known, surge *Surge, traffic *Traffic) []*demand {
-	var of []*demand
+// addTraffic adds the traffic of a surge to the classes of its route, in proportion to their
+// present rates.
+func addTraffic(all []*demand, known *Known, surge *Surge, traffic *Traffic) []*demand {
+	var onRoute []*demand
 	total := 0.0
-	for _, entry := range joined {
-		if entry.name() == traffic.Route {
-			of = append(of, entry)
-			total += entry.rate
+	for _, d := range all {
+		if d.name() == traffic.Route {
+			onRoute = append(onRoute, d)
+			total += d.rate
 		}
 	}
-	if len(of) == 0 {
-		// Nothing was observed of the route: it is known by the configuration alone.
+	if len(onRoute) == 0 {
+		// No traffic was observed on the route: only its configuration is known.
 		route := known.routeNamed(traffic.Route)
-		entry := &demand{class: newClass(route, route.Services()[0], "")}
-		joined, of = append(joined, entry), []*demand{entry}
+		d := &demand{class: newClass(route, route.Services()[0], "")}
+		all, onRoute = append(all, d), []*demand{d}
 	}
-	for _, entry := range of {
-		share := 1 / float64(len(of))
+	for _, d := range onRoute {
+		share := 1 / float64(len(onRoute))
 		if total > 0 {
-			share = entry.rate / total
+			share = d.rate / total
 		}
-		entry.additions = append(entry.additions, entry.additionOf(surge, traffic, share))
+		d.additions = append(d.additions, d.additionOf(surge, traffic, share))
 	}
-	return joined
+	return all
 }
 
-// additionOf turns a surge's traffic into an addition to a class that gets a share of it.
+// additionOf returns what the surge's traffic adds to the class, which receives the given share
+// of it.
 func (d *demand) additionOf(surge *Surge, traffic *Traffic, share float64) addition {
 	added := addition{fromMs: surge.StartS * 1000, untilMs: (surge.StartS + surge.DurationS) * 1000, dueMs: d.dueMs,
 		promptTokens: d.promptTokens, freshTokens: d.freshTokens, events: d.events}
@@ -93,72 +96,74 @@
 			added.dueMs = traffic.DueS * 1000
 		}
 	}
-	stated := func(value *float64, into *float64) {
+	override := func(value *float64, target *float64) {
 		if value != nil {
-			*into = *value
+			*target = *value
 		}
 	}
-	stated(traffic.PromptTokens, &added.promptTokens)
-	stated(traffic.FreshTokens, &added.freshTokens)
-	stated(traffic.Events, &added.events)
+	override(traffic.PromptTokens, &added.promptTokens)
+	override(traffic.FreshTokens, &added.freshTokens)
+	override(traffic.Events, &added.events)
 	if traffic.PromptTokens != nil && traffic.FreshTokens == nil && d.promptTokens > 0 {
-		// As much of it is cached as of the present prompts.
+		// Assumes the same cached fraction as for the present prompts.
 		added.freshTokens = added.promptTokens * d.freshTokens / d.promptTokens
 	}
 	return added
 }
 
-// family is the demands on some services whose capacity is predicted together.
+// family is a set of demands and the services that they use, whose capacity is predicted together.
 type family struct {
 	name     string
 	demands  []*demand
 	services []*service
 }
 
-// families sorts the demands into the families of the scenario; what belongs to none is a
-// family of its own, by service and model.
-func families(scenario *Scenario, joined []*demand, services map[string]*service) []*family {
+// families groups the demands into the families of the scenario. Demands that belong to none of
+// them form one family for each service and model.
+func families(scenario *Scenario, demands []*demand, services map[string]*service) []*family {
 	byName := map[string]*family{}
-	for _, entry := range joined {
-		name := scenario.familyOf(entry.service, entry.model)
+	for _, d := range demands {
+		name := scenario.familyOf(d.service, d.model)
 		if byName[name] == nil {
 			byName[name] = &family{name: name}
 		}
-		byName[name].demands = append(byName[name].demands, entry)
+		byName[name].demands = append(byName[name].demands, d)
 	}
-	var all []*family
-	for _, entry := range byName {
-		entry.attach(services)
-		all = append(all, entry)
+	var grouped []*family
+	for _, f := range byName {
+		f.attachServices(services)
+		grouped = append(grouped, f)
 	}
-	slices.SortFunc(all, func(left, right *family) int { return strings.Compare(left.name, right.name) })
-	return all
+	slices.SortFunc(grouped, func(left, right *family) int { return strings.Compare(left.name, right.name) })
+	return grouped
 }
 
-// attach gives a family its services, and notes at each demand what is not known.
-func (f *family) attach(services map[string]*service) {
+// attachServices sets the services of the family, and sets unknownReason of each demand that
+// can't be predicted.
+func (f *family) attachServices(services map[string]*service) {
 	added := map[string]bool{}
-	for _, entry := range f.demands {
-		of := services[entry.service]
+	for _, d := range f.demands {
+		s := services[d.service]
 		switch {
-		case of == nil || of.workers == 0:
-			entry.unknown = "service " + entry.service + " has no workers"
+		case s == nil || s.workers == 0:
+			d.unknownReason = "service " + d.service + " has no workers"
 			continue
-		case entry.observed < observedMin && !entry.stated():
-			entry.unknown = fmt.Sprintf("%d requests were observed, %d are wanted", entry.observed, observedMin)
-		case entry.events > 1 && (!of.pace.prefillKnown || !of.pace.decodeKnown):
-			entry.unknown = "the pace of service " + entry.service + " was not observed"
+		case d.observed < observationsMin && !d.fullySpecified():
+			d.unknownReason = fmt.Sprintf("%d requests were observed, %d are wanted", d.observed, observationsMin)
+		case d.events > 1 && (!s.latency.prefillKnown || !s.latency.decodeKnown):
+			d.unknownReason = "the pace of service " + d.service + " was not observed"
 		}
-		if !added[entry.service] {
-			added[entry.service] = true
-			f.services = append(f.services, of)
+		if !added[d.service] {
+			added[d.service] = true
+			f.services = append(f.services, s)
 		}
 	}
 	slices.SortFunc(f.services, func(left, right *service) int { return strings.Compare(left.name, right.name) })
 }
 
-// stated tells whether the scenario says all of a class that was not observed.
-func (d *demand) stated() bool {
+// fullySpecified reports whether the scenario states all that is needed about a class that was
+// not observed.
+func (d *demand) fullySpecified() bool {
 	if len(d.additions) == 0 || d.rate > 0 {
 		return false
 	}
@@ -170,7 +175,7 @@
 	return true
 }
 
-// known tells whether anything can be predicted of the family.
-func (f *family) known() bool {
-	return !slices.ContainsFunc(f.demands, func(d *demand) bool { return d.unknown != "" })
+// predictable reports whether all demands of the family can be predicted.
+func (f *family) predictable() bool {
+	return !slices.ContainsFunc(f.demands, func(d *demand) bool { return d.unknownReason != "" })
 }
--- a/internal/tooling/forecast/forecast_test.go
+++ b/internal/tooling/forecast/forecast_test.go
@@ -8,55 +8,56 @@
 	"testing"
 )
 
-// The family that a surge overloads is the one that is named, with the resource that it uses
-// up; the others are not.
-func TestNamesTheFamilyThatTightens(t *testing.T) {
+// Guards against a forecast that names the wrong family or resource: the family that the surge
+// overloads must be predicted to run short first, of the resource that the surge exhausts.
+func TestPredictsTheFamilyThatRunsShort(t *testing.T) {
 	known := testKnown(t)
-	for _, found := range []struct{ what, text, first, of string }{
-		{"a little more", surge(traffic("kiosk", "factor = 1.2")), "", ""},
-		{"plain requests", surge(traffic("status", "rate = 900.0")), "app", ResourceSlots},
-		{"long prompts", surge(traffic("draft", "rate = 400.0\nevents = 2")), "llm/m", ResourcePrefill},
-		{"long answers", surge(traffic("kiosk", "rate = 90.0\nfresh-tokens = 10\nprompt-tokens = 20\nevents = 200")), "llm/m", ResourceDecode},
-		{"large prompts that are cached", surge(traffic("draft", "rate = 150.0\nprompt-tokens = 90000\nfresh-tokens = 100\nevents = 12")), "llm/m", ResourceMemory},
+	for _, test := range []struct{ name, text, first, resource string }{
+		{"a little more", surgeTOML(trafficTOML("kiosk", "factor = 1.2")), "", ""},
+		{"plain requests", surgeTOML(trafficTOML("status", "rate = 900.0")), "app", ResourceSlots},
+		{"long prompts", surgeTOML(trafficTOML("draft", "rate = 400.0\nevents = 2")), "llm/m", ResourcePrefill},
+		{"long answers", surgeTOML(trafficTOML("kiosk", "rate = 90.0\nfresh-tokens = 10\nprompt-tokens = 20\nevents = 200")), "llm/m", ResourceDecode},
+		{"large prompts that are cached", surgeTOML(trafficTOML("draft", "rate = 150.0\nprompt-tokens = 90000\nfresh-tokens = 100\nevents = 12")), "llm/m", ResourceMemory},
 	} {
-		predicted := report(t, known, found.text)
-		first, of := "", ""
+		predicted := runForecast(t, known, test.text)
+		first, resource := "", ""
 		if predicted.FirstShort != nil {
 			first = *predicted.FirstShort
 			for _, capacity := range predicted.Families {
 				if capacity.Family == first {
-					of = *capacity.ShortOf
+					resource = *capacity.ShortOf
 				}
 			}
 		}
-		if first != found.first || of != found.of {
+		if first != test.first || resource != test.resource {
 			var text bytes.Buffer
 			_ = predicted.Table(&text)
-			t.Errorf("%s: %q of %q, want %q of %q\n%s", found.what, first, of, found.first, found.of, text.String())
+			t.Errorf("%s: got family %q short of %q, want %q short of %q\n%s", test.name, first, resource, test.first, test.resource, text.String())
 		}
-		if predicted.AnyLate() != (found.first != "") {
-			t.Errorf("%s: late %v", found.what, predicted.AnyLate())
+		if predicted.AnyLate() != (test.first != "") {
+			t.Errorf("%s: got AnyLate %v, want the opposite", test.name, predicted.AnyLate())
 		}
 	}
 }
 
-// The same scenario and seed give the same bytes, whatever the order of the summaries.
+// Guards against reports that depend on the order of the summaries: the same scenario and seed must
+// result in the same bytes.
 func TestSameScenarioSameBytes(t *testing.T) {
-	text := surge(traffic("kiosk", "factor = 4.0")+traffic("batch", "items = 4000\ndue-s = 8")) + "[[families]]\nname = \"both\"\nservices = [\"llm\", \"app\"]\n"
+	text := surgeTOML(trafficTOML("kiosk", "factor = 4.0")+trafficTOML("batch", "items = 4000\ndue-s = 8")) + "[[families]]\nname = \"both\"\nservices = [\"llm\", \"app\"]\n"
 	var first bytes.Buffer
 	known := testKnown(t)
-	_ = report(t, known, text).JSON(&first)
+	_ = runForecast(t, known, text).JSON(&first)
 	for range 3 {
 		rand.Shuffle(len(known.Summaries), func(i, j int) { known.Summaries[i], known.Summaries[j] = known.Summaries[j], known.Summaries[i] })
 		var again bytes.Buffer
-		if _ = report(t, known, text).JSON(&again); again.String() != first.String() {
-			t.Fatal("differs:\n", again.String(), first.String())
+		if _ = runForecast(t, known, text).JSON(&again); again.String() != first.String() {
+			t.Fatal("report differs from the first one; got and want:\n", again.String(), first.String())
 		}
 	}
 }
 
-// capacity gives the use of each resource in the surge and the factors left, by family.
-func capacity(predicted *Report) map[string][2]float64 {
+// resourceUse returns the use in the surge and the factor left, by family and resource.
+func resourceUse(predicted *Report) map[string][2]float64 {
 	resources := map[string][2]float64{}
 	for _, family := range predicted.Families {
 		for _, resource := range family.Resources {
@@ -73,27 +74,28 @@
 	return resources
 }
 
-// More traffic never gives more capacity.
+// Guards against capacity that grows with traffic: a higher rate must never lower the use of a
+// resource or raise the factor left.
 func TestMoreTrafficNeverGivesMoreCapacity(t *testing.T) {
 	known, random := testKnown(t), rand.New(rand.NewPCG(4, 4))
 	for range 30 {
 		route := []string{"kiosk", "draft", "status"}[random.IntN(3)]
 		rate := random.Float64() * 200
-		more := rate * (1 + random.Float64())
-		less := capacity(report(t, known, surge(traffic(route, fmt.Sprintf("rate = %f", rate)))))
-		for name, with := range capacity(report(t, known, surge(traffic(route, fmt.Sprintf("rate = %f", more))))) {
-			if with[0] < less[name][0] || with[1] > less[name][1] {
-				t.Fatalf("%s at %s %.1f: %v, at %.1f: %v", name, route, rate, less[name], more, with)
+		higherRate := rate * (1 + random.Float64())
+		atRate := resourceUse(runForecast(t, known, surgeTOML(trafficTOML(route, fmt.Sprintf("rate = %f", rate)))))
+		for name, atHigher := range resourceUse(runForecast(t, known, surgeTOML(trafficTOML(route, fmt.Sprintf("rate = %f", higherRate))))) {
+			if atHigher[0] < atRate[name][0] || atHigher[1] > atRate[name][1] {
+				t.Fatalf("%s with route %s at rate %.1f: use and factor left %v; at the higher rate %.1f: %v", name, route, rate, atRate[name], higherRate, atHigher)
 			}
 		}
 	}
 }
 
-// Splitting a surge in two halves at the same time changes no capacity.
-func TestHalvesEqualTheSum(t *testing.T) {
+// Splitting the traffic of a surge into two equal parts must not change the predicted capacity.
+func TestSplitSurgeHasSameCapacity(t *testing.T) {
 	known := testKnown(t)
-	whole := capacity(report(t, known, surge(traffic("draft", "rate = 80.0"))))
-	halves := capacity(report(t, known, surge(traffic("draft", "rate = 40.0")+traffic("draft", "rate = 40.0"))))
+	whole := resourceUse(runForecast(t, known, surgeTOML(trafficTOML("draft", "rate = 80.0"))))
+	halves := resourceUse(runForecast(t, known, surgeTOML(trafficTOML("draft", "rate = 40.0")+trafficTOML("draft", "rate = 40.0"))))
 	for name := range whole {
 		if whole[name] != halves[name] {
 			t.Error(name, whole[name], halves[name])
@@ -101,120 +103,123 @@
 	}
 }
 
-// A family without traffic never runs short, and what was hardly observed is unknown, not a number.
-func TestNothingIsMadeUp(t *testing.T) {
+// Guards against predictions without a basis: a family without a surge must not run short, and a
+// class with too few observed requests must be reported as unknown instead of with figures.
+func TestUnobservedClassesAreUnknown(t *testing.T) {
 	known := testKnown(t)
-	predicted := report(t, known, surge(traffic("draft", "rate = 900.0")))
+	predicted := runForecast(t, known, surgeTOML(trafficTOML("draft", "rate = 900.0")))
 	for _, capacity := range predicted.Families {
 		if capacity.Family == "app" && capacity.ShortAtS != nil {
-			t.Error("short without a surge: ", *capacity.ShortAtS)
+			t.Error("family without a surge runs short, at seconds: ", *capacity.ShortAtS)
 		}
 	}
 	for i := range known.Summaries {
 		if known.Summaries[i].Route == "status" {
-			known.Summaries[i].Placed = observedMin - 1
+			known.Summaries[i].Placed = observationsMin - 1
 		}
 	}
-	predicted = report(t, known, surge(traffic("status", "rate = 900.0")))
+	predicted = runForecast(t, known, surgeTOML(trafficTOML("status", "rate = 900.0")))
 	for _, class := range predicted.Classes {
 		if class.Class == "status" && (class.Unknown == "" || class.Late != nil || class.LateShare != nil) {
-			t.Errorf("%+v", class)
+			t.Errorf("class status: got %+v, want unknown and no figures", class)
 		}
 	}
 	if predicted.FirstShort != nil {
-		t.Error("named although unknown: ", *predicted.FirstShort)
+		t.Error("got a first family to run short although it is unknown: ", *predicted.FirstShort)
 	}
 }
 
-// Missing nodes are named, and widen the intervals.
+// Nodes that did not respond must be named in the report and widen the intervals.
 func TestMissingNodesWidenTheIntervals(t *testing.T) {
-	text := surge(traffic("kiosk", "factor = 7.0"))
+	text := surgeTOML(trafficTOML("kiosk", "factor = 7.0"))
 	width := func(known *Known) float64 {
-		for _, class := range report(t, known, text).Classes {
+		for _, class := range runForecast(t, known, text).Classes {
 			if class.Class == "kiosk" && class.Low != nil {
 				return *class.High - *class.Low
 			}
 		}
-		t.Fatal("no interval")
+		t.Fatal("class kiosk has no interval")
 		return 0
 	}
 	known := testKnown(t)
 	full := width(known)
 	known.Missing = []string{"gateway/a", "gateway/b", "gateway/c", "gateway/d"}
-	// What the missing ones saw is taken to be as much: half as much was observed of the same traffic.
+	// The missing nodes are assumed to have observed the same traffic, so with twice the time the
+	// rate stays the same.
 	known.ObservedS *= 2
 	if half := width(known); half <= full && full < 1 {
 		t.Fatal(half, full)
 	}
-	if predicted := report(t, known, text); len(predicted.NodesMissing) != 4 || predicted.NodesAnswered != 4 {
+	if predicted := runForecast(t, known, text); len(predicted.NodesMissing) != 4 || predicted.NodesAnswered != 4 {
 		t.Fatal(predicted.NodesMissing, predicted.NodesAnswered)
 	}
 }
 
-// Workers that are thought away leave less capacity.
-func TestWithoutAZone(t *testing.T) {
+// Excluding one of two equal zones must double the use of slots.
+func TestExcludedZoneReducesCapacity(t *testing.T) {
 	known := testKnown(t)
-	text := surge(traffic("kiosk", "factor = 2.0"))
-	all, less := capacity(report(t, known, text)), capacity(report(t, known, text+"[[without]]\nzone = \"a\"\n"))
-	if most, half := all["llm/m/slots"][0], less["llm/m/slots"][0]; half < 1.9*most || half > 2.1*most {
-		t.Fatal(most, half)
+	text := surgeTOML(trafficTOML("kiosk", "factor = 2.0"))
+	complete, withoutZone := resourceUse(runForecast(t, known, text)), resourceUse(runForecast(t, known, text+"[[without]]\nzone = \"a\"\n"))
+	if before, after := complete["llm/m/slots"][0], withoutZone["llm/m/slots"][0]; after < 1.9*before || after > 2.1*before {
+		t.Fatal(before, after)
 	}
 }
 
-// Each wrong field is named in a line, and nothing is answered.
+// Each wrong field of a scenario must be named in a finding, and no report returned.
 func TestFindings(t *testing.T) {
-	for _, found := range []struct{ text, want string }{
+	for _, test := range []struct{ text, want string }{
 		{"", "surges: missing"},
 		{"x", "not readable as TOML"},
-		{surge(traffic("kiosk", "rate = -1.0")), "surges[0].traffic[0].rate"},
-		{surge(traffic("kiosk", "factor = 0.5")), "surges[0].traffic[0].factor"},
-		{surge(traffic("kiosk", "rate = 1.0\nfactor = 2.0")), "one of rate, factor and items"},
-		{surge(traffic("kiosk", "")), "one of rate, factor and items"},
-		{surge(traffic("kiosk", "rate = 1.0\npace = 3")), "surges[0].traffic[0].pace"},
-		{"[[surges]]\nname = \"s\"\n" + traffic("kiosk", "rate = 1.0"), "surges[0].duration-s: missing"},
-		{surge(traffic("kiosk", "rate = 1.0")) + "[[families]]\nname = \"a\"\nmodels = [\"m\"]\n[[families]]\nname = \"b\"\nservices = [\"llm\"]\n", "overlaps"},
-		{surge(traffic("kiosk", "rate = 1.0")) + "[[families]]\nname = \"a\"\n", "models or services"},
-		{surge(traffic("kiosk", "rate = 1.0")) + "[[without]]\nworkers = 2\n", "one of zone and service"},
-		{surge(traffic("nobody", "rate = 1.0")), `no route is named "nobody"`},
-		{surge(traffic("batch", "rate = 1.0")), "items go with batch routes"},
-		{surge(traffic("kiosk", "rate = 1.0")) + "[[families]]\nname = \"a\"\nmodels = [\"other\"]\n", `nothing that is known belongs to "a"`},
+		{surgeTOML(trafficTOML("kiosk", "rate = -1.0")), "surges[0].traffic[0].rate"},
+		{surgeTOML(trafficTOML("kiosk", "factor = 0.5")), "surges[0].traffic[0].factor"},
+		{surgeTOML(trafficTOML("kiosk", "rate = 1.0\nfactor = 2.0")), "one of rate, factor and items"},
+		{surgeTOML(trafficTOML("kiosk", "")), "one of rate, factor and items"},
+		{surgeTOML(trafficTOML("kiosk", "rate = 1.0\npace = 3")), "surges[0].traffic[0].pace"},
+		{"[[surges]]\nname = \"s\"\n" + trafficTOML("kiosk", "rate = 1.0"), "surges[0].duration-s: missing"},
+		{surgeTOML(trafficTOML("kiosk", "rate = 1.0")) + "[[families]]\nname = \"a\"\nmodels = [\"m\"]\n[[families]]\nname = \"b\"\nservices = [\"llm\"]\n", "overlaps"},
+		{surgeTOML(trafficTOML("kiosk", "rate = 1.0")) + "[[families]]\nname = \"a\"\n", "models or services"},
+		{surgeTOML(trafficTOML("kiosk", "rate = 1.0")) + "[[without]]\nworkers = 2\n", "one of zone and service"},
+		{surgeTOML(trafficTOML("nobody", "rate = 1.0")), `no route is named "nobody"`},
+		{surgeTOML(trafficTOML("batch", "rate = 1.0")), "items go with batch routes"},
+		{surgeTOML(trafficTOML("kiosk", "rate = 1.0")) + "[[families]]\nname = \"a\"\nmodels = [\"other\"]\n", `nothing that is known belongs to "a"`},
 	} {
-		scenario, findings := Read([]byte(found.text))
+		scenario, findings := Read([]byte(test.text))
 		if len(findings) == 0 {
 			_, findings = Forecast(scenario, testKnown(t), 1)
 		}
-		if !strings.Contains(strings.Join(findings, "\n"), found.want) {
-			t.Errorf("%q: %v, want %s", found.text, findings, found.want)
+		if !strings.Contains(strings.Join(findings, "\n"), test.want) {
+			t.Errorf("%q: got findings %v, want one with %s", test.text, findings, test.want)
 		}
 	}
 }
 
-// A kept forecast is read back as it was, and a review names the family that tightened.
+// A written forecast must be readable, and a review must name the family that ran short since: the
+// one whose requests were refused, or none if there were no refusals.
 func TestRecordAndReview(t *testing.T) {
 	known, path := testKnown(t), t.TempDir()+"/kept.json"
-	text := surge(traffic("status", "rate = 900.0"))
-	kept := &Record{Asked: ask(t, text), Known: known, Predicted: report(t, known, text)}
-	if err := kept.Write(path); err != nil {
+	text := surgeTOML(trafficTOML("status", "rate = 900.0"))
+	record := &Record{Asked: parseScenario(t, text), Known: known, Predicted: runForecast(t, known, text)}
+	if err := record.Write(path); err != nil {
 		t.Fatal(err)
 	}
-	again, err := ReadRecord(path)
+	reread, err := ReadRecord(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	seen := testKnown(t)
-	for i := range seen.Summaries {
-		if seen.Summaries[i].Route == "status" {
-			seen.Summaries[i].Rejected = seen.Summaries[i].Served
+	observed := testKnown(t)
+	for i := range observed.Summaries {
+		if observed.Summaries[i].Route == "status" {
+			observed.Summaries[i].Rejected = observed.Summaries[i].Served
 		}
 	}
-	review := NewReview(again, seen)
-	if !review.Agrees || review.Tightened == nil || *review.Tightened != "app" {
+	review := NewReview(reread, observed)
+	if !review.Agrees || review.ObservedFirstShort == nil || *review.ObservedFirstShort != "app" {
 		t.Fatalf("%+v", review)
 	}
-	if calm := NewReview(again, testKnown(t)); calm.Agrees || calm.Tightened != nil {
-		t.Fatalf("%+v", calm)
+	if unchanged := NewReview(reread, testKnown(t)); unchanged.Agrees || unchanged.ObservedFirstShort != nil {
+		t.Fatalf("%+v", unchanged)
 	}
 	if _, err = ReadRecord(path + ".none"); err == nil {
-		t.Fatal("read what is not there")
+		t.Fatal("got no error for a missing file")
 	}
 }
--- a/internal/tooling/forecast/helpers_test.go
+++ b/internal/tooling/forecast/helpers_test.go
@@ -18,25 +18,26 @@
 {"name":"status","host":"h","path-prefix":"/s/","route-kind":"idempotent","cutoff-ms":4000,"setpoint-ms":300,"priority":0,"backend":"app"}],
 "backends":[{"name":"llm","conn-limit":200,"engine":{"capacity":12,"cache-tokens":300000}},{"name":"app","conn-limit":100}],"limits":{}}`
 
-// observed adds requests to a recorder, as gateways see them.
-func observed(recorder *trafficstats.Recorder, count int, o trafficstats.Observation, random *rand.Rand) {
+// recordRequests adds requests to a recorder, as gateways observe them.
+func recordRequests(recorder *trafficstats.Recorder, count int, o trafficstats.Observation, random *rand.Rand) {
 	for range count {
-		each := o
-		each.Outcome, each.Placed = trafficstats.OutcomeServed, true
-		each.Running = 1 + random.IntN(8)
-		each.LoadKnown = true
+		observation := o
+		observation.Outcome, observation.Placed = trafficstats.OutcomeServed, true
+		observation.Running = 1 + random.IntN(8)
+		observation.LoadKnown = true
 		if o.Events > 1 {
-			each.FreshTokens = int(float64(o.FreshTokens) * (0.5 + random.Float64()))
-			// 2 ms and a token in 100 to the first event; 20 ms and 1 ms for each that runs between two.
-			each.FirstEvent = clock.Milliseconds(2 + float64(each.FreshTokens)/100)
-			each.EventGap = clock.Milliseconds(20 + float64(each.Running))
-			each.Duration = each.FirstEvent + each.EventGap*clock.Duration(o.Events-1)
+			observation.FreshTokens = int(float64(o.FreshTokens) * (0.5 + random.Float64()))
+			// The first event takes 2 ms plus 1 ms per 100 fresh tokens; the gap between two events
+			// is 20 ms plus 1 ms for each running request.
+			observation.FirstEvent = clock.Milliseconds(2 + float64(observation.FreshTokens)/100)
+			observation.EventGap = clock.Milliseconds(20 + float64(observation.Running))
+			observation.Duration = observation.FirstEvent + observation.EventGap*clock.Duration(o.Events-1)
 		}
-		recorder.Record(&each, 1)
+		recorder.Record(&observation, 1)
 	}
 }
 
-// testKnown is a fleet of 10 model workers and 2 plain ones, observed for 60 s.
+// testKnown returns the state of a fleet of 10 model workers and 2 plain workers, observed for 60 s.
 func testKnown(t *testing.T) *Known {
 	t.Helper()
 	config, err := routeconfig.Parse([]byte(testConfig))
@@ -47,16 +48,16 @@
 	class := func(route, service, model string) trafficstats.Class {
 		return trafficstats.Class{Route: route, Service: service, Model: model}
 	}
-	observed(recorder, 3000, trafficstats.Observation{Class: class("kiosk", "llm", "m"), PromptTokens: 700, FreshTokens: 500, Events: 10}, random)
-	observed(recorder, 600, trafficstats.Observation{Class: class("draft", "llm", "m"), PromptTokens: 17000, FreshTokens: 4000, Events: 6}, random)
-	observed(recorder, 600, trafficstats.Observation{Class: class("batch", "llm", "m"), Bulk: true, PromptTokens: 1200, FreshTokens: 800, Events: 20}, random)
-	observed(recorder, 1200, trafficstats.Observation{Class: class("status", "app", ""), Duration: clock.Milliseconds(30)}, random)
+	recordRequests(recorder, 3000, trafficstats.Observation{Class: class("kiosk", "llm", "m"), PromptTokens: 700, FreshTokens: 500, Events: 10}, random)
+	recordRequests(recorder, 600, trafficstats.Observation{Class: class("draft", "llm", "m"), PromptTokens: 17000, FreshTokens: 4000, Events: 6}, random)
+	recordRequests(recorder, 600, trafficstats.Observation{Class: class("batch", "llm", "m"), Bulk: true, PromptTokens: 1200, FreshTokens: 800, Events: 20}, random)
+	recordRequests(recorder, 1200, trafficstats.Observation{Class: class("status", "app", ""), Duration: clock.Milliseconds(30)}, random)
 	summaries, _ := recorder.Summaries(2)
 	return &Known{Config: config, ObservedS: 60, Summaries: summaries, Answered: 4,
 		Workers: []messages.WorkerGroup{{Service: "app", Zone: "a", Workers: 2, Slots: 12}, {Service: "llm", Zone: "a", Workers: 5, Slots: 60}, {Service: "llm", Zone: "b", Workers: 5, Slots: 60}}}
 }
 
-func ask(t *testing.T, text string) *Scenario {
+func parseScenario(t *testing.T, text string) *Scenario {
 	t.Helper()
 	scenario, findings := Read([]byte(text))
 	if len(findings) > 0 {
@@ -65,19 +66,19 @@
 	return scenario
 }
 
-func report(t *testing.T, known *Known, text string) *Report {
+func runForecast(t *testing.T, known *Known, text string) *Report {
 	t.Helper()
-	predicted, findings := Forecast(ask(t, text), known, 1)
+	predicted, findings := Forecast(parseScenario(t, text), known, 1)
 	if len(findings) > 0 {
 		t.Fatal(findings)
 	}
 	return predicted
 }
 
-func surge(lines string) string {
+func surgeTOML(lines string) string {
 	return "[[surges]]\nname = \"s\"\nstart-s = 5\nduration-s = 15\n" + lines
 }
 
-func traffic(route, amount string) string {
+func trafficTOML(route, amount string) string {
 	return fmt.Sprintf("[[surges.traffic]]\nroute = %q\n%s\n", route, amount)
 }
--- a/internal/tooling/forecast/known.go
+++ b/internal/tooling/forecast/known.go
@@ -9,55 +9,60 @@
 	"lemonarch/internal/traffic/trafficstats"
 )
 
-// Known is what the fleet told: its configuration, its workers, and the traffic of the last
-// minutes.
+// Known is the state of a fleet as its processes reported it: the configuration, the workers, and
+// the traffic of the last minutes.
 type Known struct {
 	Config *routeconfig.Config
 	// ObservedS is the time that the summaries cover, in seconds.
 	ObservedS float64
 	Summaries []messages.TrafficSummary
 	Workers   []messages.WorkerGroup
-	// Answered counts the gateways and stores whose summaries are in, Missing names the others.
+	// Answered is the number of gateways and stores whose summaries are included; Missing names
+	// the others, and the zones from which no controller responded.
 	Answered int
 	Missing  []string
 }
 
-// class is the requests of one route that go to one service for one model.
+// class is the requests of one route to one service for one model.
 type class struct {
 	route          *routeconfig.Route
 	service, model string
 	bulk           bool
-	// rate is the present traffic, in requests a second; observed counts what it stands on.
+	// rate is the present traffic in requests per second; observed is the number of placed
+	// requests that the figures of the class are based on.
 	rate     float64
 	observed int64
-	// promptTokens, freshTokens and events are means by request; durationMs is the mean time
-	// from the sending to the end.
+	// promptTokens, freshTokens (not cached by a worker) and events are means per request.
 	promptTokens, freshTokens, events float64
-	// outTokens is the mean of the most that may go out.
+	// outTokens is the mean limit of output tokens per request; durationMs is the mean time from
+	// sending a request to its end.
 	outTokens, durationMs float64
-	// targetMs is the time to the first event, or for a plain request to the answer, that is
-	// still in time; gapMs the same between two events, 0 for none; dueMs that of an item.
+	// targetMs is the latency target: for the first event, or for the response to a plain request.
+	// gapMs is the target for the time between two events, 0 if there is none. dueMs is the time in
+	// which an item of a batch job is due.
 	targetMs, gapMs, dueMs float64
 	priority               int
 }
 
-// name is what the class is named as.
+// name returns the name of the class, which is that of its route.
 func (c *class) name() string { return c.route.Name }
 
-// service is the workers of one service, and what was learnt of their pace.
+// service is the workers of one service and the latency model fitted to them.
 type service struct {
 	name    string
 	workers int
-	// slots is the capacity of one worker; cacheTokens its memory, 0 where unknown.
+	// slots is the mean capacity of one worker; cacheTokens its KV memory in tokens, 0 if unknown;
+	// connections its connection limit.
 	slots       float64
 	cacheTokens float64
 	connections float64
-	pace        pace
+	latency     latencyModel
 }
 
-// classes gives the classes of a known state, in order of their names.
+// classes returns the observed classes, sorted by route, service and model. Summaries of routes
+// that are not configured are skipped.
 func (k *Known) classes() []*class {
-	var found []*class
+	var classes []*class
 	covered := max(k.ObservedS, 1)
 	share := k.answeredShare()
 	for i := range k.Summaries {
@@ -66,25 +71,25 @@
 		if route == nil {
 			continue
 		}
-		entry := newClass(route, summary.Service, summary.Model)
-		entry.bulk = entry.bulk || summary.Bulk
-		entry.observed = summary.Placed
-		entry.rate = float64(summary.Served+summary.Rejected+summary.Failed) / covered / share
+		c := newClass(route, summary.Service, summary.Model)
+		c.bulk = c.bulk || summary.Bulk
+		c.observed = summary.Placed
+		c.rate = float64(summary.Served+summary.Rejected+summary.Failed) / covered / share
 		if summary.Placed > 0 {
-			entry.promptTokens = float64(summary.PromptTokens) / float64(summary.Placed)
-			entry.freshTokens = float64(summary.FreshTokens) / float64(summary.Placed)
-			entry.outTokens = float64(summary.OutTokens) / float64(summary.Placed)
+			c.promptTokens = float64(summary.PromptTokens) / float64(summary.Placed)
+			c.freshTokens = float64(summary.FreshTokens) / float64(summary.Placed)
+			c.outTokens = float64(summary.OutTokens) / float64(summary.Placed)
 		}
 		if summary.Served > 0 {
-			entry.events = float64(summary.Events) / float64(summary.Served)
-			entry.durationMs = trafficstats.Decode(&summary.Duration).Mean() / 10
+			c.events = float64(summary.Events) / float64(summary.Served)
+			c.durationMs = trafficstats.Decode(&summary.Duration).Mean() / 10
 		}
-		found = append(found, entry)
+		classes = append(classes, c)
 	}
-	slices.SortStableFunc(found, func(left, right *class) int {
+	slices.SortStableFunc(classes, func(left, right *class) int {
 		return strings.Compare(left.name()+"\x00"+left.service+"\x00"+left.model, right.name()+"\x00"+right.service+"\x00"+right.model)
 	})
-	return found
+	return classes
 }
 
 func newClass(route *routeconfig.Route, serviceName, model string) *class {
@@ -93,8 +98,8 @@
 		gapMs: route.GapMs, dueMs: route.ResultMs}
 }
 
-// answeredShare is the part of the fleet that told what it saw; the rest is taken to have observed
-// as much on the mean.
+// answeredShare returns the fraction of the fleet that reported its traffic. The rest is assumed to
+// have observed the same traffic on average.
 func (k *Known) answeredShare() float64 {
 	if k.Answered == 0 {
 		return 1
@@ -111,35 +116,36 @@
 	return nil
 }
 
-// services gives the services with workers, what is thought away left out, with their pace.
-func (k *Known) services(without []Without) map[string]*service {
-	found := map[string]*service{}
+// services returns the services that have workers, without the excluded ones, each with its latency
+// model.
+func (k *Known) services(exclusions []Exclusion) map[string]*service {
+	services := map[string]*service{}
 	slots := map[string]float64{}
 	for _, group := range k.Workers {
-		away := slices.ContainsFunc(without, func(w Without) bool { return w.Zone == group.Zone && w.Zone != "" })
-		if away || group.Workers == 0 {
+		excluded := slices.ContainsFunc(exclusions, func(w Exclusion) bool { return w.Zone == group.Zone && w.Zone != "" })
+		if excluded || group.Workers == 0 {
 			continue
 		}
-		if found[group.Service] == nil {
-			found[group.Service] = &service{name: group.Service}
+		if services[group.Service] == nil {
+			services[group.Service] = &service{name: group.Service}
 		}
-		found[group.Service].workers += group.Workers
+		services[group.Service].workers += group.Workers
 		slots[group.Service] += float64(group.Slots)
 	}
-	for name, entry := range found {
-		entry.slots = slots[name] / float64(entry.workers)
-		for _, w := range without {
+	for name, s := range services {
+		s.slots = slots[name] / float64(s.workers)
+		for _, w := range exclusions {
 			if w.Service == name {
-				entry.workers = max(entry.workers-w.Workers, 0)
+				s.workers = max(s.workers-w.Workers, 0)
 			}
 		}
-		if described := k.Config.Service(name); described != nil {
-			entry.connections = float64(described.ConnLimit)
-			if described.Engine != nil {
-				entry.cacheTokens = float64(described.Engine.CacheTokens)
+		if configured := k.Config.Service(name); configured != nil {
+			s.connections = float64(configured.ConnLimit)
+			if configured.Engine != nil {
+				s.cacheTokens = float64(configured.Engine.CacheTokens)
 			}
 		}
-		entry.pace = k.paceOf(name)
+		s.latency = k.fitLatency(name)
 	}
-	return found
+	return services
 }
--- a/internal/tooling/forecast/pace.go
+++ b/internal/tooling/forecast/pace.go
@@ -5,20 +5,20 @@
 	"lemonarch/internal/traffic/trafficstats"
 )
 
-// pace is how fast the workers of a service are, as a gateway sees them.
-type pace struct {
-	// firstMs is the time to the first event of a request without anything to read; tokenMs is
-	// added for each fresh token of its prompt. known says that both were learnt.
+// latencyModel models the speed of the workers of a service as observed by gateways.
+type latencyModel struct {
+	// firstMs is the time to the first event of a request whose whole prompt is cached; tokenMs is
+	// added for each fresh token of the prompt. prefillKnown is set if both could be fitted.
 	firstMs, tokenMs float64
 	prefillKnown     bool
-	// eventMs is the time between two events of a request alone at a worker; eachMs is added
-	// for each other request that runs there.
-	eventMs, eachMs float64
-	decodeKnown     bool
+	// eventMs is the time between two events of a request that runs alone at a worker; perRequestMs
+	// is added for each other request that runs there. decodeKnown is set if both could be fitted.
+	eventMs, perRequestMs float64
+	decodeKnown           bool
 }
 
-// paceOf learns the pace of a service from the lines that its requests drew.
-func (k *Known) paceOf(name string) pace {
+// fitLatency fits the latency model of a service to the regression sums in its traffic summaries.
+func (k *Known) fitLatency(name string) latencyModel {
 	var prefill, decode messages.Regression
 	for i := range k.Summaries {
 		if k.Summaries[i].Service != name {
@@ -27,22 +27,23 @@
 		trafficstats.AddRegression(&prefill, &k.Summaries[i].Prefill)
 		trafficstats.AddRegression(&decode, &k.Summaries[i].Decode)
 	}
-	learnt := pace{}
-	learnt.firstMs, learnt.tokenMs, learnt.prefillKnown = fitLineMs(&prefill)
+	fitted := latencyModel{}
+	fitted.firstMs, fitted.tokenMs, fitted.prefillKnown = fitLineMs(&prefill)
 	base, slope, known := fitLineMs(&decode)
-	// The line is over all requests that run, the request itself among them.
-	learnt.eventMs, learnt.eachMs, learnt.decodeKnown = base+slope, slope, known
-	return learnt
+	// The fitted line counts all running requests, including the request itself.
+	fitted.eventMs, fitted.perRequestMs, fitted.decodeKnown = base+slope, slope, known
+	return fitted
 }
 
-// fitLineMs is fitLine for sums whose y are tenths of a millisecond.
+// fitLineMs is fitLine for sums whose y values are in tenths of a millisecond.
 func fitLineMs(sums *messages.Regression) (base, slope float64, known bool) {
 	base, slope, known = fitLine(sums)
 	return base / 10, slope / 10, known
 }
 
-// fitLine fits y = base + slope x, neither below zero: where the points do not spread, or fall,
-// the mean stands for all x. known is false where there are too few points.
+// fitLine fits y = base + slope*x with base and slope of at least 0. If x hardly varies, or y does
+// not increase with x, it returns the mean of y with slope 0. known is false if there are fewer than
+// pointsMin points.
 func fitLine(sums *messages.Regression) (base, slope float64, known bool) {
 	if sums.Count < pointsMin {
 		return 0, 0, false
@@ -56,7 +57,7 @@
 	slope = covariance / variance
 	base = meanY - slope*meanX
 	if base < 0 {
-		// Through the origin.
+		// Fits the line through the origin.
 		return 0, sums.XY / sums.XX, true
 	}
 	return base, slope, true
--- a/internal/tooling/forecast/plot.go
+++ b/internal/tooling/forecast/plot.go
@@ -7,8 +7,8 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Plot writes the mean wait of each family over time, of the first run, to a file whose ending
-// names the format.
+// Plot writes a plot of the mean wait of each family over time, from the first simulation run. The
+// extension of the file selects the format.
 func (a *Report) Plot(path string) error {
 	canvas := plot.New()
 	canvas.Title.Text = "Forecast: mean wait by family"
@@ -16,7 +16,7 @@
 	var lines []any
 	for _, capacity := range a.Families {
 		var points plotter.XYs
-		for second, wait := range capacity.waits {
+		for second, wait := range capacity.meanWaitsMs {
 			if wait >= 0 {
 				points = append(points, plotter.XY{X: float64(second), Y: wait})
 			}
--- a/internal/tooling/forecast/queue.go
+++ b/internal/tooling/forecast/queue.go
@@ -1,39 +1,42 @@
 package forecast
 
-// place starts what waits: live requests by rank, then items, the first due first.
+// place starts waiting requests at workers: live requests in order of priority, then items of batch
+// jobs in order of arrival. It returns at the first request for which no worker has a free slot, so
+// items are started only when no live request waits.
 func (w *world) place(nowMs float64) {
 	for len(w.queue) > 0 {
 		r := w.queue[0]
-		chosen := w.freest(r)
-		if chosen == nil {
+		target := w.leastLoaded(r)
+		if target == nil {
 			return
 		}
 		w.queue = w.queue[1:]
-		w.note(r, nowMs-r.arrivedMs, false)
-		chosen.start(r, nowMs)
+		w.recordWait(r, nowMs-r.arrivedMs, false)
+		target.start(r, nowMs)
 	}
 	for len(w.batch) > 0 {
 		r := w.batch[0]
-		chosen := w.freest(r)
-		if chosen == nil {
+		target := w.leastLoaded(r)
+		if target == nil {
 			return
 		}
 		w.batch = w.batch[1:]
-		chosen.start(r, nowMs)
+		target.start(r, nowMs)
 	}
 }
 
-// freest gives the worker of the request's service on which fewest run.
-func (w *world) freest(r *request) (chosen *worker) {
-	for _, each := range w.workers {
-		if each.of.name == r.demand.service && each.fits(r) && (chosen == nil || each.given() < chosen.given()) {
-			chosen = each
+// leastLoaded returns the worker of the request's service with the fewest assigned requests among
+// those that can accept it, or nil if there is none.
+func (w *world) leastLoaded(r *request) (least *worker) {
+	for _, candidate := range w.workers {
+		if candidate.service.name == r.demand.service && candidate.hasFreeSlot(r) && (least == nil || candidate.assigned() < least.assigned()) {
+			least = candidate
 		}
 	}
-	return chosen
+	return least
 }
 
-// refuseOverdue refuses those that have waited as long as they may.
+// refuseOverdue refuses queued requests that have waited for queueShare of their latency target.
 func (w *world) refuseOverdue(nowMs float64) {
 	kept := w.queue[:0]
 	for _, r := range w.queue {
@@ -41,48 +44,48 @@
 			kept = append(kept, r)
 			continue
 		}
-		w.note(r, nowMs-r.arrivedMs, true)
-		w.count(r, true)
+		w.recordWait(r, nowMs-r.arrivedMs, true)
+		w.countInSurge(r, true)
 	}
 	w.queue = kept
 }
 
-// note counts a request in the window in which it arrived.
-func (w *world) note(r *request, waitMs float64, refused bool) {
-	at := &w.windows[min(int(r.arrivedMs/windowMs), len(w.windows)-1)]
-	at.waitMs += waitMs
+// recordWait adds a request's wait to the window in which the request arrived.
+func (w *world) recordWait(r *request, waitMs float64, refused bool) {
+	current := &w.windows[min(int(r.arrivedMs/windowMs), len(w.windows)-1)]
+	current.waitMs += waitMs
 	if refused {
-		at.refused++
+		current.refused++
 	} else {
-		at.placed++
+		current.placed++
 	}
 }
 
-// finished counts a request that is done.
-func (w *world) finished(r *request, nowMs float64) {
+// recordCompletion counts a completed request as late or in time.
+func (w *world) recordCompletion(r *request, nowMs float64) {
 	late := r.firstMs-r.arrivedMs > r.demand.targetMs || (r.demand.gapMs > 0 && r.gapMs > r.demand.gapMs)
 	if r.bulk {
 		late = r.dueMs > 0 && nowMs-r.arrivedMs > r.dueMs
 	}
-	w.count(r, late)
+	w.countInSurge(r, late)
 }
 
-// count counts a request that arrived in a surge of its family.
-func (w *world) count(r *request, late bool) {
-	if !w.family.surgesAt(r.arrivedMs) {
+// countInSurge counts a request if it arrived during a surge of its family.
+func (w *world) countInSurge(r *request, late bool) {
+	if !w.family.surgeActiveAt(r.arrivedMs) {
 		return
 	}
-	of := w.tallies[r.demand]
-	of.all++
+	counts := w.tallies[r.demand]
+	counts.total++
 	if late {
-		of.late++
+		counts.late++
 	}
 }
 
-// surgesAt tells whether a surge on the family is on.
-func (f *family) surgesAt(atMs float64) bool {
-	for _, entry := range f.demands {
-		for _, added := range entry.additions {
+// surgeActiveAt reports whether a surge on the family is active at the given time.
+func (f *family) surgeActiveAt(atMs float64) bool {
+	for _, d := range f.demands {
+		for _, added := range d.additions {
 			if added.fromMs <= atMs && atMs < added.untilMs {
 				return true
 			}
@@ -91,14 +94,15 @@
 	return false
 }
 
-// shortAtMs is the first window in which the family was short, -1 for none.
+// shortAtMs returns the start of the first window in which the family was short of capacity, or -1
+// if there is none.
 func (w *world) shortAtMs() float64 {
-	for i, at := range w.windows {
-		all := at.placed + at.refused
-		if all == 0 {
+	for i, current := range w.windows {
+		total := current.placed + current.refused
+		if total == 0 {
 			continue
 		}
-		if at.waitMs/float64(all) > ShortWaitMs || float64(at.refused) > ShortRefusals*float64(all) {
+		if current.waitMs/float64(total) > ShortWaitMs || float64(current.refused) > ShortRefusals*float64(total) {
 			return float64(i) * windowMs
 		}
 	}
--- a/internal/tooling/forecast/report.go
+++ b/internal/tooling/forecast/report.go
@@ -12,72 +12,76 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Report is a forecast. Its members and their order are stable.
+// Report is a forecast. Its JSON members and their order are stable.
 type Report struct {
 	Families []FamilyCapacity `json:"families"`
-	// FirstShort is the family that runs short first; nil where none does.
-	FirstShort *string     `json:"first-short"`
-	Classes    []ClassLate `json:"classes"`
-	// NodesAnswered counts the gateways and stores whose traffic is known, NodesMissing names
-	// the others. ObservedS is the time that the traffic was observed, in seconds.
+	// FirstShort is the family that runs short of capacity first; nil if none does.
+	FirstShort *string         `json:"first-short"`
+	Classes    []ClassForecast `json:"classes"`
+	// NodesAnswered is the number of gateways and stores whose traffic is known; NodesMissing names
+	// the others, and zones from which no controller responded. ObservedS is how long the traffic was
+	// observed, in seconds.
 	NodesAnswered int      `json:"nodes-answered"`
 	NodesMissing  []string `json:"nodes-missing"`
 	ObservedS     float64  `json:"observed-s"`
 }
 
-// FamilyCapacity is the capacity of a family.
+// FamilyCapacity is the predicted capacity of a family.
 type FamilyCapacity struct {
 	Family    string     `json:"family"`
 	Resources []Resource `json:"resources"`
-	// ShortAtS is when it runs short, in seconds from now, and ShortOf of what; nil where it
-	// does not in most of the runs, or where Unknown says why nothing is predicted.
+	// ShortAtS is when the family runs short of capacity, in seconds from now, and ShortOf the
+	// resource that is exhausted. Both are nil if it does not run short in most of the simulation
+	// runs, or if nothing is predicted, for the reason in Unknown.
 	ShortAtS *float64 `json:"short-at-s"`
 	ShortOf  *string  `json:"short-of"`
 	Unknown  string   `json:"unknown,omitempty"`
-	// waits are the mean waits by second of a run, for the plot.
-	waits []float64
+	// meanWaitsMs are the mean waits of each second of the first run, for the plot; -1 for a second
+	// without requests.
+	meanWaitsMs []float64
 }
 
-// ClassLate tells whether a class turns late in the surge. Late is nil, as are the shares,
-// where Unknown says why nothing is predicted.
-type ClassLate struct {
+// ClassForecast predicts whether a class becomes late in the surge. Late and the shares are nil if
+// nothing is predicted, for the reason in Unknown.
+type ClassForecast struct {
 	Class  string `json:"class"`
 	Family string `json:"family"`
 	Late   *bool  `json:"late"`
-	// LateShare is the share of requests that are late or refused, Low and High its interval.
+	// LateShare is the share of requests that are late or refused; Low and High are the bounds of
+	// its interval.
 	LateShare *float64 `json:"late-share"`
 	Low       *float64 `json:"low"`
 	High      *float64 `json:"high"`
 	Unknown   string   `json:"unknown,omitempty"`
 }
 
-// Forecast answers a scenario from what is known. Findings say what of the scenario the fleet
-// does not know; there is no report then.
+// Forecast predicts the effects of a scenario on a fleet of the given state. If the scenario does not
+// match the fleet, for example if it names an unknown route, Forecast returns findings and no report.
 func Forecast(scenario *Scenario, known *Known, seed uint64) (*Report, []string) {
-	joined, findings := demands(scenario, known)
+	combined, findings := demands(scenario, known)
 	if len(findings) > 0 {
 		return nil, findings
 	}
-	report := &Report{Families: []FamilyCapacity{}, Classes: []ClassLate{}, NodesAnswered: known.Answered,
+	report := &Report{Families: []FamilyCapacity{}, Classes: []ClassForecast{}, NodesAnswered: known.Answered,
 		NodesMissing: append([]string{}, known.Missing...), ObservedS: rounded(known.ObservedS)}
 	slices.Sort(report.NodesMissing)
 	earliest := math.Inf(1)
-	for _, each := range families(scenario, joined, known.services(scenario.Without)) {
-		capacity, classes := each.forecast(scenario.HorizonS*1000, seed, known.answeredShare())
+	for _, f := range families(scenario, combined, known.services(scenario.Exclusions)) {
+		capacity, classes := f.forecast(scenario.HorizonS*1000, seed, known.answeredShare())
 		report.Families = append(report.Families, capacity)
 		report.Classes = append(report.Classes, classes...)
 		if capacity.ShortAtS != nil && *capacity.ShortAtS < earliest {
 			earliest, report.FirstShort = *capacity.ShortAtS, &capacity.Family
 		}
 	}
-	slices.SortStableFunc(report.Classes, func(left, right ClassLate) int { return strings.Compare(left.Class, right.Class) })
+	slices.SortStableFunc(report.Classes, func(left, right ClassForecast) int { return strings.Compare(left.Class, right.Class) })
 	return report, nil
 }
 
-// forecast tells of one family.
-func (f *family) forecast(horizonMs float64, seed uint64, answered float64) (FamilyCapacity, []ClassLate) {
+// forecast simulates one family and returns its capacity and the lateness of its classes.
+func (f *family) forecast(horizonMs float64, seed uint64, answered float64) (FamilyCapacity, []ClassForecast) {
 	capacity := FamilyCapacity{Family: f.name, Resources: f.resources()}
-	if !f.known() {
+	if !f.predictable() {
 		return f.unknownCapacity(capacity)
 	}
 	var shortAt []float64
@@ -87,49 +91,49 @@
 		if at := w.shortAtMs(); at >= 0 {
 			shortAt = append(shortAt, at/1000)
 		}
-		for entry, of := range w.tallies {
-			if of.all > 0 {
-				shares[entry] = append(shares[entry], float64(of.late)/float64(of.all))
+		for d, counts := range w.tallies {
+			if counts.total > 0 {
+				shares[d] = append(shares[d], float64(counts.late)/float64(counts.total))
 			}
 		}
 		if repetition == 0 {
-			capacity.waits = w.waits()
+			capacity.meanWaitsMs = w.meanWaitsMs()
 		}
 	}
 	if len(shortAt) > repetitions/2 {
 		slices.Sort(shortAt)
-		at, of := rounded(shortAt[len(shortAt)/2]), shortOf(capacity.Resources)
-		capacity.ShortAtS, capacity.ShortOf = &at, &of
+		medianS, resource := rounded(shortAt[len(shortAt)/2]), mostUsedResource(capacity.Resources)
+		capacity.ShortAtS, capacity.ShortOf = &medianS, &resource
 	}
 	return capacity, f.lateClasses(shares, answered)
 }
 
-// unknownCapacity tells of a family of which too little is known.
-func (f *family) unknownCapacity(capacity FamilyCapacity) (FamilyCapacity, []ClassLate) {
-	var classes []ClassLate
-	for _, entry := range f.demands {
-		why := entry.unknown
-		if why == "" {
-			why = "another class of its family is not known"
+// unknownCapacity returns the result for a family about which too little is known, with the reasons.
+func (f *family) unknownCapacity(capacity FamilyCapacity) (FamilyCapacity, []ClassForecast) {
+	var classes []ClassForecast
+	for _, d := range f.demands {
+		reason := d.unknownReason
+		if reason == "" {
+			reason = "another class of its family is not known"
 		} else {
-			capacity.Unknown = entry.name() + ": " + why
+			capacity.Unknown = d.name() + ": " + reason
 		}
-		classes = append(classes, ClassLate{Class: entry.name(), Family: f.name, Unknown: why})
+		classes = append(classes, ClassForecast{Class: d.name(), Family: f.name, Unknown: reason})
 	}
 	return capacity, classes
 }
 
-// lateClasses gives the classes of the family with their intervals, the wider, the fewer of
-// the nodes have told what they saw.
-func (f *family) lateClasses(shares map[*demand][]float64, answered float64) []ClassLate {
-	var classes []ClassLate
-	for _, entry := range f.demands {
-		predicted := ClassLate{Class: entry.name(), Family: f.name}
-		if of := shares[entry]; len(of) == 0 {
+// lateClasses returns the lateness of the family's classes with their intervals. The smaller the
+// fraction of nodes that reported their traffic, the wider the intervals.
+func (f *family) lateClasses(shares map[*demand][]float64, answered float64) []ClassForecast {
+	var classes []ClassForecast
+	for _, d := range f.demands {
+		predicted := ClassForecast{Class: d.name(), Family: f.name}
+		if classShares := shares[d]; len(classShares) == 0 {
 			predicted.Unknown = "no surge on its family"
 		} else {
-			mean, deviation := stat.MeanStdDev(of, nil)
-			if len(of) < 2 {
+			mean, deviation := stat.MeanStdDev(classShares, nil)
+			if len(classShares) < 2 {
 				deviation = 0
 			}
 			width := 2 * deviation / math.Sqrt(max(answered, 0.01))
@@ -142,36 +146,36 @@
 	return classes
 }
 
-// waits are the mean waits of the windows, in ms; -1 for one without requests.
-func (w *world) waits() []float64 {
+// meanWaitsMs returns the mean wait of each window, in ms; -1 for a window without requests.
+func (w *world) meanWaitsMs() []float64 {
 	waits := make([]float64, len(w.windows))
-	for i, at := range w.windows {
+	for i, current := range w.windows {
 		waits[i] = -1
-		if all := at.placed + at.refused; all > 0 {
-			waits[i] = at.waitMs / float64(all)
+		if total := current.placed + current.refused; total > 0 {
+			waits[i] = current.waitMs / float64(total)
 		}
 	}
 	return waits
 }
 
-// AnyLate tells whether any class turns late.
+// AnyLate reports whether any class is predicted to become late.
 func (a *Report) AnyLate() bool {
-	return slices.ContainsFunc(a.Classes, func(c ClassLate) bool { return c.Late != nil && *c.Late })
+	return slices.ContainsFunc(a.Classes, func(c ClassForecast) bool { return c.Late != nil && *c.Late })
 }
 
-// JSON writes the report, its members in their order.
+// JSON writes the report as indented JSON.
 func (a *Report) JSON(writer io.Writer) error {
 	return WriteJSON(writer, a)
 }
 
-// WriteJSON writes a value, indented.
+// WriteJSON writes a value as indented JSON.
 func WriteJSON(writer io.Writer, value any) error {
 	encoder := json.NewEncoder(writer)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(value)
 }
 
-// Table writes the report for people.
+// Table writes the report as human-readable tables.
 func (a *Report) Table(writer io.Writer) error {
 	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', 0)
 	first := "none runs short"
@@ -186,7 +190,7 @@
 			if capacity.ShortOf != nil && *capacity.ShortOf == resource.Resource {
 				short = fmt.Sprintf("at %.0f s", *capacity.ShortAtS)
 			}
-			fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\n", capacity.Family, resource.Resource, percent(resource.UsedNow), percent(resource.UsedSurge), times(resource.FactorLeft), short)
+			fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\n", capacity.Family, resource.Resource, formatPercent(resource.UsedNow), formatPercent(resource.UsedSurge), formatFactor(resource.FactorLeft), short)
 		}
 		if capacity.Unknown != "" {
 			fmt.Fprintf(table, "%s\tunknown: %s\n", capacity.Family, capacity.Unknown)
@@ -202,19 +206,19 @@
 		if *class.Late {
 			late = "yes"
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s to %s\n", class.Class, class.Family, late, percent(class.LateShare), percent(class.Low), percent(class.High))
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s to %s\n", class.Class, class.Family, late, formatPercent(class.LateShare), formatPercent(class.Low), formatPercent(class.High))
 	}
 	return table.Flush()
 }
 
-func percent(part *float64) string {
-	if part == nil {
+func formatPercent(fraction *float64) string {
+	if fraction == nil {
 		return "unknown"
 	}
-	return fmt.Sprintf("%.0f%%", *part*100)
+	return fmt.Sprintf("%.0f%%", *fraction*100)
 }
 
-func times(factor *float64) string {
+func formatFactor(factor *float64) string {
 	if factor == nil {
 		return "-"
 	}
--- a/internal/tooling/forecast/review.go
+++ b/internal/tooling/forecast/review.go
@@ -15,17 +15,17 @@
 	"lemonarch/internal/traffic/trafficstats"
 )
 
-// ErrRecord is the error of a file of a forecast that can't be written or read.
+// ErrRecord is returned if a forecast record or plot can't be written, or a record can't be read.
 var ErrRecord = errs.Define("forecast record")
 
-// Record is a forecast with what it stands on, for a later review.
+// Record is a forecast together with the data that it is based on, for a later review.
 type Record struct {
 	Asked     *Scenario `json:"asked"`
 	Known     *Known    `json:"known"`
 	Predicted *Report   `json:"predicted"`
 }
 
-// recordFile is Record as it is written: the configuration as its own JSON.
+// recordFile is the JSON form of Record. It embeds the configuration in its own JSON encoding.
 type recordFile struct {
 	Asked     *Scenario                 `json:"asked"`
 	Config    json.RawMessage           `json:"configuration"`
@@ -37,11 +37,11 @@
 	Predicted *Report                   `json:"predicted"`
 }
 
-// Write writes the forecast to a file: the whole of it, or nothing.
+// Write writes the forecast to a file atomically: it writes a temporary file and renames it.
 func (k *Record) Write(path string) error {
-	known := k.Known
-	body, err := json.MarshalIndent(recordFile{Asked: k.Asked, Config: known.Config.Encode(), ObservedS: known.ObservedS,
-		Summaries: known.Summaries, Workers: known.Workers, Answered: known.Answered, Missing: known.Missing, Predicted: k.Predicted}, "", "  ")
+	state := k.Known
+	body, err := json.MarshalIndent(recordFile{Asked: k.Asked, Config: state.Config.Encode(), ObservedS: state.ObservedS,
+		Summaries: state.Summaries, Workers: state.Workers, Answered: state.Answered, Missing: state.Missing, Predicted: k.Predicted}, "", "  ")
 	if err != nil {
 		return ErrRecord.Wrap(err, path)
 	}
@@ -52,7 +52,7 @@
 	return ErrRecord.Wrap(os.Rename(temporary, path), path)
 }
 
-// ReadRecord reads a forecast that was kept.
+// ReadRecord reads a forecast from a file that Record.Write wrote.
 func ReadRecord(path string) (*Record, error) {
 	body, err := os.ReadFile(path)
 	if err != nil {
@@ -69,48 +69,49 @@
 	if err != nil {
 		return nil, ErrRecord.Wrap(err, path+": configuration")
 	}
-	known := &Known{Config: config, ObservedS: file.ObservedS, Summaries: file.Summaries, Workers: file.Workers, Answered: file.Answered, Missing: file.Missing}
-	return &Record{Asked: file.Asked, Known: known, Predicted: file.Predicted}, nil
+	state := &Known{Config: config, ObservedS: file.ObservedS, Summaries: file.Summaries, Workers: file.Workers, Answered: file.Answered, Missing: file.Missing}
+	return &Record{Asked: file.Asked, Known: state, Predicted: file.Predicted}, nil
 }
 
-// Review compares a forecast with what came.
+// Review compares a forecast with what was observed afterwards.
 type Review struct {
-	// Predicted is the family that was to run short first, Tightened the one that did; nil for none.
-	Predicted *string       `json:"predicted-first-short"`
-	Tightened *string       `json:"tightened"`
-	Agrees    bool          `json:"agrees"`
-	Classes   []ClassReview `json:"classes"`
+	// PredictedFirstShort is the family that was predicted to run short of capacity first;
+	// ObservedFirstShort is the one that exceeded its bounds most. Each is nil if there is none.
+	PredictedFirstShort *string       `json:"predicted-first-short"`
+	ObservedFirstShort  *string       `json:"tightened"`
+	Agrees              bool          `json:"agrees"`
+	Classes             []ClassReview `json:"classes"`
 }
 
-// ClassReview compares a class. Observed is the share that was late or refused; nil where too few
-// requests were observed.
+// ClassReview compares the prediction for a class with the observation. Observed is the share of
+// requests that were late, refused or failed; nil if too few requests were observed.
 type ClassReview struct {
 	Class         string   `json:"class"`
 	Family        string   `json:"family"`
 	PredictedLate *bool    `json:"predicted-late"`
 	Predicted     *float64 `json:"predicted-late-share"`
 	Observed      *float64 `json:"observed-late-share"`
-	// WaitMs is the mean wait in the queue.
+	// WaitMs is the mean wait in the queue, in ms.
 	WaitMs float64 `json:"wait-ms"`
 	Agrees *bool   `json:"agrees"`
 }
 
-// NewReview compares a forecast with what the fleet has observed since. Which family tightened is
-// measured: the one whose requests waited longest over the bound, or of which more than the
-// bound were refused (constants ShortWaitMs and ShortRefusals).
-func NewReview(kept *Record, seen *Known) *Review {
-	review := &Review{Predicted: kept.Predicted.FirstShort, Classes: []ClassReview{}}
-	worst := 1.0
-	for i := range seen.Summaries {
-		summary := &seen.Summaries[i]
-		predicted := kept.predictionOf(summary)
+// NewReview compares a forecast with what the fleet has observed since. The family that ran short is
+// the one that exceeds its bounds by the largest factor, either for the mean wait (ShortWaitMs) or
+// for the share of refused requests (ShortRefusals).
+func NewReview(record *Record, observed *Known) *Review {
+	review := &Review{PredictedFirstShort: record.Predicted.FirstShort, Classes: []ClassReview{}}
+	worstExcess := 1.0
+	for i := range observed.Summaries {
+		summary := &observed.Summaries[i]
+		predicted := record.predictionOf(summary)
 		if predicted == nil {
 			continue
 		}
 		class := ClassReview{Class: predicted.Class, Family: predicted.Family, PredictedLate: predicted.Late, Predicted: predicted.LateShare}
-		all := summary.Served + summary.Rejected + summary.Failed
+		total := summary.Served + summary.Rejected + summary.Failed
 		class.WaitMs = rounded(trafficstats.Decode(&summary.QueueWait).Mean() / 10)
-		if route := seen.routeNamed(summary.Route); all >= observedMin && route != nil {
+		if route := observed.routeNamed(summary.Route); total >= observationsMin && route != nil {
 			share := rounded(lateShareOf(summary, route))
 			class.Observed = &share
 			if class.PredictedLate != nil {
@@ -118,22 +119,22 @@
 				class.Agrees = &agrees
 			}
 		}
-		if all > 0 && !summary.Bulk {
-			tightness := max(class.WaitMs/ShortWaitMs, float64(summary.Rejected)/float64(all)/ShortRefusals)
-			if tightness > worst {
+		if total > 0 && !summary.Bulk {
+			excess := max(class.WaitMs/ShortWaitMs, float64(summary.Rejected)/float64(total)/ShortRefusals)
+			if excess > worstExcess {
 				name := predicted.Family
-				worst, review.Tightened = tightness, &name
+				worstExcess, review.ObservedFirstShort = excess, &name
 			}
 		}
 		review.Classes = append(review.Classes, class)
 	}
 	slices.SortStableFunc(review.Classes, func(left, right ClassReview) int { return strings.Compare(left.Class, right.Class) })
-	review.Agrees = (review.Predicted == nil) == (review.Tightened == nil) && (review.Predicted == nil || *review.Predicted == *review.Tightened)
+	review.Agrees = (review.PredictedFirstShort == nil) == (review.ObservedFirstShort == nil) && (review.PredictedFirstShort == nil || *review.PredictedFirstShort == *review.ObservedFirstShort)
 	return review
 }
 
-// predictionOf finds what was predicted of a summary's class.
-func (k *Record) predictionOf(summary *messages.TrafficSummary) *ClassLate {
+// predictionOf returns the prediction for the class of a summary, or nil if there is none.
+func (k *Record) predictionOf(summary *messages.TrafficSummary) *ClassForecast {
 	family := k.Asked.familyOf(summary.Service, summary.Model)
 	for i := range k.Predicted.Classes {
 		if predicted := &k.Predicted.Classes[i]; predicted.Class == summary.Route && predicted.Family == family {
@@ -143,25 +144,26 @@
 	return nil
 }
 
-// lateShareOf is the share of a class's requests that were refused, failed, or late by their
-// time to the first event or between events.
+// lateShareOf returns the share of a class's requests that were refused, failed, or exceeded a
+// latency target: that for the first event (or the response) or that for the gap between events.
 func lateShareOf(summary *messages.TrafficSummary, route *routeconfig.Route) float64 {
-	all := float64(summary.Served + summary.Rejected + summary.Failed)
+	total := float64(summary.Served + summary.Rejected + summary.Failed)
 	late := float64(summary.Rejected + summary.Failed)
 	first, target := &summary.FirstEvent, float64(route.Setpoint().Milliseconds())
 	if len(summary.EventGap.Counts) == 0 {
 		first = &summary.Duration
 	}
-	overFirst := over(first, target)
-	overGap := 0.0
+	lateFirst := shareAbove(first, target)
+	lateGap := 0.0
 	if route.GapMs > 0 {
-		overGap = over(&summary.EventGap, route.GapMs)
+		lateGap = shareAbove(&summary.EventGap, route.GapMs)
 	}
-	return min((late+max(overFirst, overGap)*float64(summary.Served))/all, 1)
+	return min((late+max(lateFirst, lateGap)*float64(summary.Served))/total, 1)
 }
 
-// over is the share of a histogram's values above a bound in ms.
-func over(encoded *messages.Histogram, boundMs float64) float64 {
+// shareAbove returns the share of a histogram's values that are above a bound in ms. The histogram
+// counts in tenths of a millisecond.
+func shareAbove(encoded *messages.Histogram, boundMs float64) float64 {
 	histogram := trafficstats.Decode(encoded)
 	if histogram.TotalCount() == 0 {
 		return 0
@@ -175,12 +177,12 @@
 	return float64(above) / float64(histogram.TotalCount())
 }
 
-// JSON writes the review.
+// JSON writes the review as indented JSON.
 func (r *Review) JSON(writer io.Writer) error {
 	return WriteJSON(writer, r)
 }
 
-// Table writes the review for people.
+// Table writes the review as a human-readable table.
 func (r *Review) Table(writer io.Writer) error {
 	name := func(family *string) string {
 		if family == nil {
@@ -189,14 +191,14 @@
 		return *family
 	}
 	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(table, "predicted first short: %s\ntightened: %s\nagrees: %v\n\n", name(r.Predicted), name(r.Tightened), r.Agrees)
+	fmt.Fprintf(table, "predicted first short: %s\ntightened: %s\nagrees: %v\n\n", name(r.PredictedFirstShort), name(r.ObservedFirstShort), r.Agrees)
 	fmt.Fprintln(table, "class\tfamily\ttold\tcame\twait ms\tagrees")
 	for _, class := range r.Classes {
 		agrees := "-"
 		if class.Agrees != nil {
 			agrees = fmt.Sprint(*class.Agrees)
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%.1f\t%s\n", class.Class, class.Family, percent(class.Predicted), percent(class.Observed), class.WaitMs, agrees)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%.1f\t%s\n", class.Class, class.Family, formatPercent(class.Predicted), formatPercent(class.Observed), class.WaitMs, agrees)
 	}
 	return table.Flush()
 }
--- a/internal/tooling/forecast/schema.cue
+++ b/internal/tooling/forecast/schema.cue
@@ -1,5 +1,5 @@
-// The shape of a file that asks for a forecast. It is closed: an unknown field may be a wish
-// that the operator believes to be answered.
+// The schema of a forecast scenario. It is closed, so that unknown fields are rejected: ignoring one
+// would let the operator believe that the forecast takes it into account.
 #Scenario: {
 	"horizon-s"?: >0 & <=86400
 	surges: [#Surge, ...#Surge]
--- a/internal/tooling/forecast/simulate.go
+++ b/internal/tooling/forecast/simulate.go
@@ -13,18 +13,19 @@
 	family    *family
 	random    rand.Source
 	horizonMs float64
-	// scale is the part of the family's workers and traffic that is simulated.
+	// scale is the fraction of the family's workers and traffic that is simulated.
 	scale   float64
 	workers []*worker
-	queue   []*request
-	batch   []*request
-	// arrivals are the next arrival of each stream of requests.
+	// queue is the live requests that wait, by priority; batch is the items of batch jobs that wait.
+	queue []*request
+	batch []*request
+	// streams are the sources of arriving requests.
 	streams []*stream
 	windows []window
 	tallies map[*demand]*tally
 }
 
-// stream is the arrivals of a class, at present or of a surge.
+// stream is the arrivals of a class, either of its present traffic or of a surge.
 type stream struct {
 	demand          *demand
 	added           addition
@@ -32,58 +33,59 @@
 	nextMs          float64
 }
 
-// window is what came of the requests that arrived in one window of time.
+// window is the total wait and the outcomes of the requests that arrived in one time window.
 type window struct {
 	waitMs          float64
 	placed, refused int
 }
 
-// tally counts the requests of a class that arrived while a surge was on.
-type tally struct{ all, late int }
+// tally counts the requests of a class that arrived during a surge.
+type tally struct{ total, late int }
 
-// run plays the family until the horizon.
+// run simulates the family until the horizon.
 func (f *family) run(horizonMs float64, seed uint64) *world {
 	w := &world{family: f, random: rand.NewPCG(seed, 1), horizonMs: horizonMs, scale: 1, tallies: map[*demand]*tally{}}
-	most := 0
-	for _, of := range f.services {
-		most = max(most, of.workers)
+	largest := 0
+	for _, s := range f.services {
+		largest = max(largest, s.workers)
 	}
-	if most > simulatedWorkersMax {
-		w.scale = simulatedWorkersMax / float64(most)
+	if largest > simulatedWorkersMax {
+		w.scale = simulatedWorkersMax / float64(largest)
 	}
-	for _, of := range f.services {
-		for range max(int(math.Round(float64(of.workers)*w.scale)), 1) {
-			w.workers = append(w.workers, newWorker(of))
+	for _, s := range f.services {
+		for range max(int(math.Round(float64(s.workers)*w.scale)), 1) {
+			w.workers = append(w.workers, newWorker(s))
 		}
 	}
 	w.windows = make([]window, int(horizonMs/windowMs)+1)
-	for _, entry := range f.demands {
-		w.tallies[entry] = &tally{}
-		present := addition{rate: entry.rate, dueMs: entry.dueMs, promptTokens: entry.promptTokens, freshTokens: entry.freshTokens, events: entry.events}
-		w.addStream(entry, present, 0, horizonMs)
-		for _, added := range entry.additions {
-			w.addStream(entry, added, added.fromMs, min(added.untilMs, horizonMs))
+	for _, d := range f.demands {
+		w.tallies[d] = &tally{}
+		present := addition{rate: d.rate, dueMs: d.dueMs, promptTokens: d.promptTokens, freshTokens: d.freshTokens, events: d.events}
+		w.addStream(d, present, 0, horizonMs)
+		for _, added := range d.additions {
+			w.addStream(d, added, added.fromMs, min(added.untilMs, horizonMs))
 		}
 	}
-	w.play()
+	w.processEvents()
 	return w
 }
 
-func (w *world) addStream(entry *demand, added addition, fromMs, untilMs float64) {
+func (w *world) addStream(d *demand, added addition, fromMs, untilMs float64) {
 	if added.rate <= 0 || fromMs >= untilMs {
 		return
 	}
-	s := &stream{demand: entry, added: added, fromMs: fromMs, untilMs: untilMs}
+	s := &stream{demand: d, added: added, fromMs: fromMs, untilMs: untilMs}
 	s.nextMs = fromMs + w.interArrival(added.rate)
 	w.streams = append(w.streams, s)
 }
 
-// interArrival draws the time to the next arrival of a Poisson stream, in ms.
+// interArrival draws the time to the next arrival of a Poisson stream, in ms, for a rate in requests
+// per second.
 func (w *world) interArrival(rate float64) float64 {
 	return distuv.Exponential{Rate: rate * w.scale / 1000, Src: w.random}.Rand()
 }
 
-// size draws a size with a mean.
+// size draws a size from a gamma distribution with the given mean.
 func (w *world) size(mean float64) float64 {
 	if mean <= 0 {
 		return 0
@@ -91,45 +93,46 @@
 	return distuv.Gamma{Alpha: sizeShape, Beta: sizeShape / mean, Src: w.random}.Rand()
 }
 
-func (w *world) play() {
+// processEvents handles arrivals, ends of phases and refusals in order of time until the horizon.
+func (w *world) processEvents() {
 	for {
 		arrival := w.nextArrival()
-		ending := w.nextEnding()
+		finishing := w.nextPhaseEnd()
 		refusal := w.nextRefusal()
-		nowMs := min(arrival.at(), ending.at(), refusal)
+		nowMs := min(arrival.nextAtMs(), finishing.nextAtMs(), refusal)
 		if nowMs > w.horizonMs {
 			break
 		}
 		switch nowMs {
 		case refusal:
 			w.refuseOverdue(nowMs)
-		case ending.at():
-			for _, r := range ending.step(nowMs) {
-				w.finished(r, nowMs)
+		case finishing.nextAtMs():
+			for _, r := range finishing.completePhases(nowMs) {
+				w.recordCompletion(r, nowMs)
 			}
 		default:
 			w.arrive(arrival, nowMs)
 		}
 		w.place(nowMs)
 	}
-	// What still waits for a result past its time is late as well.
+	// Items that still wait at the horizon although they were due before it count as late.
 	for _, r := range w.batch {
 		if r.arrivedMs+r.dueMs <= w.horizonMs {
-			w.count(r, true)
+			w.countInSurge(r, true)
 		}
 	}
 }
 
-// at is when the stream's next request arrives, +Inf for none.
-func (s *stream) at() float64 {
+// nextAtMs returns when the stream's next request arrives; +Inf for a nil stream.
+func (s *stream) nextAtMs() float64 {
 	if s == nil {
 		return math.Inf(1)
 	}
 	return s.nextMs
 }
 
-// at is when the worker's next phase ends, +Inf for none.
-func (w *worker) at() float64 {
+// nextAtMs returns when the worker's next phase ends; +Inf for a nil worker.
+func (w *worker) nextAtMs() float64 {
 	if w == nil {
 		return math.Inf(1)
 	}
@@ -138,23 +141,23 @@
 
 func (w *world) nextArrival() (next *stream) {
 	for _, s := range w.streams {
-		if s.nextMs < s.untilMs && s.nextMs < next.at() {
+		if s.nextMs < s.untilMs && s.nextMs < next.nextAtMs() {
 			next = s
 		}
 	}
 	return next
 }
 
-func (w *world) nextEnding() (next *worker) {
-	for _, each := range w.workers {
-		if each.nextMs < next.at() {
-			next = each
+func (w *world) nextPhaseEnd() (next *worker) {
+	for _, candidate := range w.workers {
+		if candidate.nextMs < next.nextAtMs() {
+			next = candidate
 		}
 	}
 	return next
 }
 
-// nextRefusal is when the first that waits is refused.
+// nextRefusal returns when the next queued request is refused; +Inf if the queue is empty.
 func (w *world) nextRefusal() float64 {
 	at := math.Inf(1)
 	for _, r := range w.queue {
@@ -163,16 +166,16 @@
 	return at
 }
 
-// arrive takes the next request of a stream.
+// arrive queues the next request of a stream and draws the arrival of the one after it.
 func (w *world) arrive(s *stream, nowMs float64) {
 	s.nextMs = nowMs + w.interArrival(s.added.rate)
 	r := &request{demand: s.demand, arrivedMs: nowMs, bulk: s.demand.bulk, dueMs: s.added.dueMs}
-	if of := w.family.service(s.demand.service); s.demand.events > 1 || s.added.events > 1 || of.pace.decodeKnown && s.demand.bulk {
-		r.fresh, r.events = w.size(s.added.freshTokens), max(w.size(s.added.events), 1)
-		r.prompt = r.fresh + max(s.added.promptTokens-s.added.freshTokens, 0)
-		r.out = s.demand.outTokens * r.events / max(s.demand.events, 1)
+	if svc := w.family.service(s.demand.service); s.demand.events > 1 || s.added.events > 1 || svc.latency.decodeKnown && s.demand.bulk {
+		r.freshTokens, r.events = w.size(s.added.freshTokens), max(w.size(s.added.events), 1)
+		r.promptTokens = r.freshTokens + max(s.added.promptTokens-s.added.freshTokens, 0)
+		r.outTokens = s.demand.outTokens * r.events / max(s.demand.events, 1)
 	} else {
-		r.plainMs = max(w.size(of.plainMs(s.demand.durationMs)), 0.1)
+		r.plainMs = max(w.size(svc.plainWorkMs(s.demand.durationMs)), 0.1)
 	}
 	if r.bulk {
 		w.batch = append(w.batch, r)
--- a/internal/tooling/forecast/worker.go
+++ b/internal/tooling/forecast/worker.go
@@ -4,60 +4,63 @@
 
 // request is one simulated request or item.
 type request struct {
-	demand    *demand
-	arrivedMs float64
-	fresh     float64
-	prompt    float64
-	events    float64
-	out       float64
-	plainMs   float64
-	dueMs     float64
-	placedMs  float64
-	firstMs   float64
-	// gapMs is the longest mean time between events that it met.
+	demand       *demand
+	arrivedMs    float64
+	freshTokens  float64
+	promptTokens float64
+	events       float64
+	outTokens    float64
+	plainMs      float64
+	dueMs        float64
+	placedMs     float64
+	firstMs      float64
+	// gapMs is the longest mean time between events during the request.
 	gapMs float64
 	bulk  bool
-	// left is what is left of the present phase: fresh tokens, events, or ms of plain work.
-	left    float64
-	reading bool
+	// remaining is the remainder of the present phase: ms of prefill, events, or ms of plain work.
+	// prefilling is set during the prefill phase.
+	remaining  float64
+	prefilling bool
 }
 
-// worker is a worker as the forecast takes it to be: it reads one prompt at a time, the oldest
-// first, and makes the events of all others the slower, the more of them run.
+// worker is the forecast's model of a worker. It prefills one prompt at a time, the oldest first, and
+// emits the events of all other requests, more slowly the more requests run.
 type worker struct {
-	of      *service
+	service *service
 	running []*request
-	// pending have a slot and wait for memory, in their order: gateways count slots only.
-	pending []*request
-	bulk    int
-	held    float64
-	atMs    float64
-	// nextMs is when the next phase of a request ends; +Inf where nothing runs.
+	// pending requests have a slot and wait for memory, in order of arrival: gateways count only
+	// slots when they place a request.
+	pending    []*request
+	bulk       int
+	memoryUsed float64
+	atMs       float64
+	// nextMs is when the next phase of a request ends; +Inf if nothing runs.
 	nextMs float64
 }
 
-func newWorker(of *service) *worker { return &worker{of: of, nextMs: math.Inf(1)} }
+func newWorker(s *service) *worker { return &worker{service: s, nextMs: math.Inf(1)} }
 
-// given is how many requests have a slot.
-func (w *worker) given() int { return len(w.running) + len(w.pending) }
+// assigned returns how many requests have a slot.
+func (w *worker) assigned() int { return len(w.running) + len(w.pending) }
 
-// fits tells whether a request gets a slot.
-func (w *worker) fits(r *request) bool {
-	if r.bulk && float64(w.bulk) >= bulkShare*w.of.slots {
+// hasFreeSlot reports whether the request can have a slot.
+func (w *worker) hasFreeSlot(r *request) bool {
+	if r.bulk && float64(w.bulk) >= bulkShare*w.service.slots {
 		return false
 	}
-	return float64(w.given()) < w.of.slots
+	return float64(w.assigned()) < w.service.slots
 }
 
-// hasMemory tells whether a request may run beside those that do.
+// hasMemory reports whether the request fits into memory beside the running ones. A request that
+// would run alone always fits.
 func (w *worker) hasMemory(r *request) bool {
-	return w.of.cacheTokens <= 0 || len(w.running) == 0 || w.held+r.tokens() <= w.of.cacheTokens
+	return w.service.cacheTokens <= 0 || len(w.running) == 0 || w.memoryUsed+r.memoryTokens() <= w.service.cacheTokens
 }
 
-// tokens is the memory that a request holds, half of what goes out on the mean.
-func (r *request) tokens() float64 { return r.prompt + r.out/2 }
+// memoryTokens returns the mean memory that a request uses: its prompt and half of its output.
+func (r *request) memoryTokens() float64 { return r.promptTokens + r.outTokens/2 }
 
-// start gives a request a slot.
+// start assigns a slot to a request.
 func (w *worker) start(r *request, nowMs float64) {
 	w.advance(nowMs)
 	r.placedMs = nowMs
@@ -69,32 +72,32 @@
 	w.schedule()
 }
 
-// admit lets those run that have waited longest for memory.
+// admit starts pending requests in their order as long as memory suffices.
 func (w *worker) admit() {
 	for len(w.pending) > 0 && w.hasMemory(w.pending[0]) {
-		w.run(w.pending[0])
+		w.startFirstPhase(w.pending[0])
 		w.pending = w.pending[1:]
 	}
 }
 
-// run begins the first phase of a request.
-func (w *worker) run(r *request) {
+// startFirstPhase starts the first phase of a request: plain work or prefill.
+func (w *worker) startFirstPhase(r *request) {
 	if r.plainMs > 0 {
-		r.left = r.plainMs
+		r.remaining = r.plainMs
 	} else {
-		r.reading, r.left = true, r.fresh*w.of.pace.tokenMs+w.of.pace.firstMs
+		r.prefilling, r.remaining = true, r.freshTokens*w.service.latency.tokenMs+w.service.latency.firstMs
 	}
 	w.running = append(w.running, r)
-	w.held += r.tokens()
+	w.memoryUsed += r.memoryTokens()
 }
 
-// rates gives how fast the phases go on: events a ms, and ms of plain work a ms.
+// rates returns the present speed of the phases: events per ms, and ms of plain work per ms.
 func (w *worker) rates() (event, plain float64) {
-	gap := max(w.of.pace.gapAt(float64(len(w.running))), 1e-6)
-	return 1 / gap, w.of.pace.gapAt(1) / gap
+	gap := max(w.service.latency.eventGapMs(float64(len(w.running))), 1e-6)
+	return 1 / gap, w.service.latency.eventGapMs(1) / gap
 }
 
-// advance moves all phases on to a time before the next end of one.
+// advance updates the progress of all phases to a time that is not after the next end of a phase.
 func (w *worker) advance(nowMs float64) {
 	elapsed := nowMs - w.atMs
 	w.atMs = nowMs
@@ -106,58 +109,58 @@
 	for _, r := range w.running {
 		switch {
 		case r.plainMs > 0:
-			r.left -= elapsed * plain
-		case r.reading:
+			r.remaining -= elapsed * plain
+		case r.prefilling:
 			if !prefillActive {
-				r.left -= elapsed
+				r.remaining -= elapsed
 			}
 			prefillActive = true
 		default:
-			r.left -= elapsed * event
+			r.remaining -= elapsed * event
 		}
 	}
 }
 
-// schedule finds the next end of a phase.
+// schedule computes when the next phase ends.
 func (w *worker) schedule() {
 	w.nextMs = math.Inf(1)
 	event, plain := w.rates()
 	prefillActive := false
 	for _, r := range w.running {
-		left := r.left
+		durationMs := r.remaining
 		switch {
 		case r.plainMs > 0:
-			left /= plain
-		case r.reading:
+			durationMs /= plain
+		case r.prefilling:
 			if prefillActive {
 				continue
 			}
 			prefillActive = true
 		default:
 			r.gapMs = max(r.gapMs, 1/event)
-			left /= event
+			durationMs /= event
 		}
-		w.nextMs = min(w.nextMs, w.atMs+max(left, 0))
+		w.nextMs = min(w.nextMs, w.atMs+max(durationMs, 0))
 	}
 }
 
-// step ends the phases that are over now, and gives the requests that are done.
-func (w *worker) step(nowMs float64) (done []*request) {
-	const over = 1e-6
+// completePhases ends the phases that are over now, and returns the requests that are completed.
+func (w *worker) completePhases(nowMs float64) (done []*request) {
+	const tolerance = 1e-6
 	w.advance(nowMs)
 	kept := w.running[:0]
 	prefillActive := false
 	for _, r := range w.running {
-		first := r.reading && !prefillActive
-		prefillActive = prefillActive || r.reading
-		if r.left > over || (r.reading && !first) {
+		prefillingNow := r.prefilling && !prefillActive
+		prefillActive = prefillActive || r.prefilling
+		if r.remaining > tolerance || (r.prefilling && !prefillingNow) {
 			kept = append(kept, r)
 			continue
 		}
-		if r.reading && r.plainMs == 0 {
-			// Its first event is out, the others follow.
-			r.reading, r.firstMs, r.left = false, nowMs, r.events-1
-			if r.left > over {
+		if r.prefilling && r.plainMs == 0 {
+			// The first event is emitted at the end of prefill; the others follow in the next phase.
+			r.prefilling, r.firstMs, r.remaining = false, nowMs, r.events-1
+			if r.remaining > tolerance {
 				kept = append(kept, r)
 				continue
 			}
@@ -165,7 +168,7 @@
 		if r.firstMs == 0 {
 			r.firstMs = nowMs
 		}
-		w.held -= r.tokens()
+		w.memoryUsed -= r.memoryTokens()
 		if r.bulk {
 			w.bulk--
 		}
--- a/internal/tooling/forecastcases/calls.go
+++ b/internal/tooling/forecastcases/calls.go
@@ -6,67 +6,70 @@
 	"lemonarch/internal/traffic/trafficstats"
 )
 
-// effects takes what an engine did.
-func (f *fleet) effects(of *engineState, effects []workeremulator.Effect) {
+// handleEffects applies the effects that an engine returned for a step.
+func (f *familySimulation) handleEffects(engine *engineState, effects []workeremulator.Effect) {
 	for _, effect := range effects {
-		c := f.calls[effect.Ticket]
+		c := f.requests[effect.Ticket]
 		if c == nil {
 			continue
 		}
 		switch effect.Kind {
 		case workeremulator.EffectEvent:
-			f.event(c, of)
+			f.recordEvent(c, engine)
 		case workeremulator.EffectFinish:
-			of.given--
+			engine.assigned--
 			f.finish(c)
 		case workeremulator.EffectRefuse, workeremulator.EffectExpire:
-			of.given--
-			f.end(c, trafficstats.OutcomeRejected, true)
+			engine.assigned--
+			f.recordOutcome(c, trafficstats.OutcomeRejected, true)
 		}
 	}
 }
 
-func (f *fleet) event(c *call, of *engineState) {
+// recordEvent records an event of a request. The first one samples the load of the engine.
+func (f *familySimulation) recordEvent(c *request, source *engineState) {
 	if c.events == 0 {
 		c.firstAt = f.now
-		running, waiting, _ := of.engine.State()
+		running, waiting, _ := source.engine.State()
 		c.running, c.waiting = running, waiting
 	} else {
-		c.longest = max(c.longest, f.now.Sub(c.lastAt))
+		c.longestGap = max(c.longestGap, f.now.Sub(c.lastAt))
 	}
 	c.events++
 	c.lastAt = f.now
 }
 
-func (f *fleet) finish(c *call) {
+// finish completes a request that was served, and determines whether it was late.
+func (f *familySimulation) finish(c *request) {
 	class := &f.plan.class
 	first := c.firstAt
 	if class.work > 0 {
 		first = f.now
 	}
 	late := clock.ToMilliseconds(first.Sub(c.arrivedAt)) > class.targetMs ||
-		(class.gapMs > 0 && clock.ToMilliseconds(c.longest) > class.gapMs)
-	f.end(c, trafficstats.OutcomeServed, late)
+		(class.gapMs > 0 && clock.ToMilliseconds(c.longestGap) > class.gapMs)
+	f.recordOutcome(c, trafficstats.OutcomeServed, late)
 }
 
-// end counts a request and tells the recorder of it, as a gateway does.
-func (f *fleet) end(c *call, outcome trafficstats.Outcome, late bool) {
-	delete(f.calls, c.ticket)
+// recordOutcome removes a request, counts it if it arrived during the surge, and adds it to the traffic
+// recorder as a gateway does.
+func (f *familySimulation) recordOutcome(c *request, outcome trafficstats.Outcome, late bool) {
+	delete(f.requests, c.ticket)
 	if c.arrivedAt >= f.surgeFrom && c.arrivedAt < f.surgeUntil {
-		f.all++
+		f.surgeTotal++
 		if late {
-			f.late++
+			f.surgeLate++
 		}
 	}
 	class := &f.plan.class
 	o := &trafficstats.Observation{Class: trafficstats.Class{Route: f.plan.name, Service: f.plan.name}, Outcome: outcome,
-		Placed: c.at != nil, QueueWait: f.now.Sub(c.arrivedAt)}
+		Placed: c.engine != nil, QueueWait: f.now.Sub(c.arrivedAt)}
 	if class.work == 0 {
 		o.Class.Model = f.plan.name
 	}
-	if c.at != nil {
+	if c.engine != nil {
 		o.QueueWait, o.Duration = c.sentAt.Sub(c.arrivedAt), f.now.Sub(c.sentAt)
-		o.PromptTokens, o.FreshTokens, o.OutTokens, o.Events = int(c.own+class.shared), int(c.own), int(class.out), c.events
+		o.PromptTokens, o.FreshTokens, o.OutTokens, o.Events = int(c.ownTokens+class.sharedTokens), int(c.ownTokens), int(class.outTokens), c.events
 		o.Running, o.Waiting, o.LoadKnown = c.running, c.waiting, true
 	}
 	if c.firstAt > 0 {
--- a/internal/tooling/forecastcases/cases_test.go
+++ b/internal/tooling/forecastcases/cases_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// Of 30 generated cases the family that tightened is the one that was named in at least 27, and of
-// the classes called late or not late nine in ten come out so.
+// Guards against a loss of accuracy of the forecast: in at least 27 of 30 generated cases the family
+// that runs short must be the predicted one, and for nine in ten classes the prediction whether they
+// become late must be right.
 func TestForecastsMatchOutcomes(t *testing.T) {
 	var results []*Result
 	for number := range 30 {
@@ -20,7 +21,7 @@
 	var text bytes.Buffer
 	_ = Table(&text, results)
 	t.Log(text.String())
-	if summary.RightFamily < 27 || summary.RightClasses*10 < summary.Classes*9 {
-		t.Errorf("%+v", summary)
+	if summary.CorrectFamilies < 27 || summary.CorrectClasses*10 < summary.Classes*9 {
+		t.Errorf("got %+v, want at least 27 right families and 90%% right classes", summary)
 	}
 }
--- a/internal/tooling/forecastcases/compare.go
+++ b/internal/tooling/forecastcases/compare.go
@@ -12,95 +12,96 @@
 	"lemonarch/internal/tooling/forecast"
 )
 
-// ErrCase is the error of a case that can't be asked about.
+// ErrCase is returned if a case can't be forecast.
 var ErrCase = errs.Define("case")
 
-// Before the surge a case is observed for ObservedS seconds; the surge lasts SurgeS, and
-// AfterS more are played so that what it left is done.
+// The phases of a case, in seconds: its traffic is observed for ObservedS before the surge, the surge
+// lasts SurgeS, and the case continues for AfterS so that requests left from the surge complete.
 const (
 	ObservedS = 30.0
 	SurgeS    = 15.0
 	AfterS    = 5.0
 )
 
-// Result is a case, what was forecast, and what came.
+// Result is the outcome of a case: what was predicted and what was observed.
 type Result struct {
-	Case  int    `json:"case"`
-	Meant string `json:"meant"`
-	// Named and Tightened are the family that was forecast to run short first and the one that
-	// did, empty for none; ShortOf is of what.
-	Named     string `json:"named"`
-	ShortOf   string `json:"short-of"`
-	Tightened string `json:"tightened"`
-	// NamedAtS and TightenedAtS are seconds from the surge's beginning, -1 for never.
-	NamedAtS     float64       `json:"named-at-s"`
-	TightenedAtS float64       `json:"tightened-at-s"`
-	Classes      []ClassResult `json:"classes"`
+	Case             int    `json:"case"`
+	IntendedShortage string `json:"meant"`
+	// PredictedShort is the family that was predicted to run short first, and ShortOf the predicted
+	// resource; ObservedShort is the family that did run short first. Each is empty if there is none.
+	PredictedShort string `json:"named"`
+	ShortOf        string `json:"short-of"`
+	ObservedShort  string `json:"tightened"`
+	// PredictedShortAtS and ObservedShortAtS are in seconds from the start of the surge, -1 for never.
+	PredictedShortAtS float64       `json:"named-at-s"`
+	ObservedShortAtS  float64       `json:"tightened-at-s"`
+	Classes           []ClassResult `json:"classes"`
 }
 
-// ClassResult is the late share of a class as it was forecast and as it came.
+// ClassResult is the late share of a class as predicted and as observed.
 type ClassResult struct {
 	Class     string  `json:"class"`
 	Predicted float64 `json:"predicted"`
 	Observed  float64 `json:"observed"`
 }
 
-// RightFamily tells whether the family that was named is the one that tightened.
-func (r *Result) RightFamily() bool { return r.Named == r.Tightened }
+// FamilyCorrect reports whether the predicted family is the one that ran short, or neither exists.
+func (r *Result) FamilyCorrect() bool { return r.PredictedShort == r.ObservedShort }
 
-// Right tells whether the class was called late as it came.
-func (c *ClassResult) Right() bool {
+// Correct reports whether the prediction that the class is late or not late was right.
+func (c *ClassResult) Correct() bool {
 	return (c.Predicted > forecast.LateShare) == (c.Observed > forecast.LateShare)
 }
 
-// Play forecasts a case, brings its surge about, and compares.
+// Play forecasts a case, simulates its surge, and compares the prediction with the observation.
 func Play(c *Case, seed uint64) (*Result, error) {
 	from := clock.Instant(0).Add(clock.Milliseconds(ObservedS * 1000))
 	until := from.Add(clock.Milliseconds(SurgeS * 1000))
-	var fleets []*fleet
+	var simulations []*familySimulation
 	for i, plan := range c.families {
 		f := newFleet(plan, seed*100+uint64(i), from, until)
 		f.runUntil(from - 1)
-		fleets = append(fleets, f)
+		simulations = append(simulations, f)
 	}
-	report, err := ask(c, fleets, seed)
+	report, err := forecastCase(c, simulations, seed)
 	if err != nil {
 		return nil, err
 	}
 	result := NewResult(c, report)
-	for i, f := range fleets {
+	for i, f := range simulations {
 		f.runUntil(until.Add(clock.Milliseconds(AfterS * 1000)))
-		if at := f.tightenedAtS(); at >= 0 {
-			result.Tighten(c.families[i].name, at)
+		if seconds := f.shortAtS(); seconds >= 0 {
+			result.RecordShortage(c.families[i].name, seconds)
 		}
-		result.AddClass(c.families[i].name, f.late, f.all, report)
+		result.AddClass(c.families[i].name, f.surgeLate, f.surgeTotal, report)
 	}
 	return result, nil
 }
 
-// NewResult begins the result of a case with what was forecast.
+// NewResult returns the result of a case with the prediction filled in.
 func NewResult(c *Case, report *forecast.Report) *Result {
-	result := &Result{Case: c.Number, Meant: c.Short, NamedAtS: -1, TightenedAtS: -1}
+	result := &Result{Case: c.Number, IntendedShortage: c.Shortage, PredictedShortAtS: -1, ObservedShortAtS: -1}
 	for _, capacity := range report.Families {
 		if report.FirstShort != nil && capacity.Family == *report.FirstShort {
-			result.Named, result.ShortOf, result.NamedAtS = c.nameOf(capacity.Family), *capacity.ShortOf, *capacity.ShortAtS
+			result.PredictedShort, result.ShortOf, result.PredictedShortAtS = c.nameOf(capacity.Family), *capacity.ShortOf, *capacity.ShortAtS
 		}
 	}
 	return result
 }
 
-// Tighten notes that a family was short so many seconds after the surge began; the first counts.
-func (r *Result) Tighten(family string, atS float64) {
-	if r.TightenedAtS < 0 || atS < r.TightenedAtS {
-		r.Tightened, r.TightenedAtS = family, atS
+// RecordShortage records that a family was short atS seconds after the start of the surge. Only the
+// earliest shortage is kept.
+func (r *Result) RecordShortage(family string, atS float64) {
+	if r.ObservedShortAtS < 0 || atS < r.ObservedShortAtS {
+		r.ObservedShort, r.ObservedShortAtS = family, atS
 	}
 }
 
-// AddClass adds the late share of a class as it came, beside what was predicted.
-func (r *Result) AddClass(name string, late, all int, report *forecast.Report) {
+// AddClass adds the observed late share of a class, next to the predicted one.
+func (r *Result) AddClass(name string, late, total int, report *forecast.Report) {
 	class := ClassResult{Class: name}
-	if all > 0 {
-		class.Observed = float64(late) / float64(all)
+	if total > 0 {
+		class.Observed = float64(late) / float64(total)
 	}
 	for _, predicted := range report.Classes {
 		if predicted.Class == name && predicted.LateShare != nil {
@@ -110,7 +111,8 @@
 	r.Classes = append(r.Classes, class)
 }
 
-// nameOf gives the plan's name of a family that the forecast names by service and model.
+// nameOf returns the plan's name of a family, which the forecast names by service, or by service and
+// model.
 func (c *Case) nameOf(family string) string {
 	for _, plan := range c.families {
 		if family == plan.name || family == plan.name+"/"+plan.name {
@@ -120,8 +122,8 @@
 	return family
 }
 
-// ask asks for the forecast with what the fleets have observed.
-func ask(c *Case, fleets []*fleet, seed uint64) (*forecast.Report, error) {
+// forecastCase forecasts a case from the traffic that the simulated families have recorded.
+func forecastCase(c *Case, simulations []*familySimulation, seed uint64) (*forecast.Report, error) {
 	config := routeconfig.Config{Generation: 1}
 	known := &forecast.Known{ObservedS: ObservedS, Answered: 1}
 	for i, plan := range c.families {
@@ -133,7 +135,7 @@
 		config.Services = append(config.Services, routeconfig.Service{Name: plan.name, ConnLimit: 1000,
 			Engine: &routeconfig.Engine{Capacity: plan.shape.Capacity, CacheTokens: plan.shape.CacheTokens}})
 		known.Workers = append(known.Workers, messages.WorkerGroup{Service: plan.name, Zone: "z", Workers: plan.engines, Slots: plan.engines * plan.shape.Capacity})
-		summaries, _ := fleets[i].recorder.Summaries(fleets[i].now)
+		summaries, _ := simulations[i].recorder.Summaries(simulations[i].now)
 		known.Summaries = append(known.Summaries, summaries...)
 	}
 	var err error
@@ -143,11 +145,11 @@
 	return c.Forecast(known, seed)
 }
 
-// Forecast forecasts the surge of the case from what is known of its fleet.
+// Forecast predicts the surge of the case from the known state of its fleet.
 func (c *Case) Forecast(known *forecast.Known, seed uint64) (*forecast.Report, error) {
 	surge := forecast.Surge{Name: "surge", DurationS: SurgeS}
 	for _, plan := range c.families {
-		surge.Traffic = append(surge.Traffic, forecast.Traffic{Route: plan.name, Rate: &plan.surge})
+		surge.Traffic = append(surge.Traffic, forecast.Traffic{Route: plan.name, Rate: &plan.surgeRate})
 	}
 	scenario := &forecast.Scenario{HorizonS: SurgeS + AfterS, Surges: []forecast.Surge{surge}}
 	report, findings := forecast.Forecast(scenario, known, seed)
@@ -157,33 +159,33 @@
 	return report, nil
 }
 
-// Summary counts how many of the results came out as they were forecast.
+// Summary counts how many families and classes were predicted correctly.
 type Summary struct {
-	Cases        int `json:"cases"`
-	RightFamily  int `json:"right-family"`
-	Classes      int `json:"classes"`
-	RightClasses int `json:"right-classes"`
+	Cases           int `json:"cases"`
+	CorrectFamilies int `json:"right-family"`
+	Classes         int `json:"classes"`
+	CorrectClasses  int `json:"right-classes"`
 }
 
-// Summarize counts.
+// Summarize counts the correct predictions of the results.
 func Summarize(results []*Result) Summary {
 	summary := Summary{}
 	for _, result := range results {
 		summary.Cases++
-		if result.RightFamily() {
-			summary.RightFamily++
+		if result.FamilyCorrect() {
+			summary.CorrectFamilies++
 		}
 		for i := range result.Classes {
 			summary.Classes++
-			if result.Classes[i].Right() {
-				summary.RightClasses++
+			if result.Classes[i].Correct() {
+				summary.CorrectClasses++
 			}
 		}
 	}
 	return summary
 }
 
-// JSON writes results and their summary.
+// JSON writes the results and their summary as indented JSON.
 func JSON(writer io.Writer, results []*Result) error {
 	return forecast.WriteJSON(writer, struct {
 		Summary Summary   `json:"summary"`
@@ -191,11 +193,11 @@
 	}{Summarize(results), results})
 }
 
-// Table writes them for people.
+// Table writes the results as a human-readable table. A "!" marks a wrongly predicted class.
 func Table(writer io.Writer, results []*Result) error {
 	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "case\tmeant\tnamed\tof\tat s\ttightened\tat s\tright\tclasses predicted, observed")
-	none := func(name string) string {
+	orNone := func(name string) string {
 		if name == "" {
 			return "none"
 		}
@@ -206,15 +208,15 @@
 		for i := range result.Classes {
 			class := &result.Classes[i]
 			mark := ""
-			if !class.Right() {
+			if !class.Correct() {
 				mark = "!"
 			}
 			classes += fmt.Sprintf("%.2f,%.2f%s ", class.Predicted, class.Observed, mark)
 		}
-		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%.0f\t%s\t%.0f\t%v\t%s\n", result.Case, result.Meant, none(result.Named), none(result.ShortOf), result.NamedAtS,
-			none(result.Tightened), result.TightenedAtS, result.RightFamily(), classes)
+		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%.0f\t%s\t%.0f\t%v\t%s\n", result.Case, result.IntendedShortage, orNone(result.PredictedShort), orNone(result.ShortOf), result.PredictedShortAtS,
+			orNone(result.ObservedShort), result.ObservedShortAtS, result.FamilyCorrect(), classes)
 	}
 	summary := Summarize(results)
-	fmt.Fprintf(table, "\nright family: %d of %d; right classes: %d of %d\n", summary.RightFamily, summary.Cases, summary.RightClasses, summary.Classes)
+	fmt.Fprintf(table, "\nright family: %d of %d; right classes: %d of %d\n", summary.CorrectFamilies, summary.Cases, summary.CorrectClasses, summary.Classes)
 	return table.Flush()
 }
--- a/internal/tooling/forecastcases/fleet.go
+++ b/internal/tooling/forecastcases/fleet.go
@@ -10,91 +10,92 @@
 	"lemonarch/internal/traffic/trafficstats"
 )
 
-// queueShare of a class's target is how long its requests wait for an engine before they are
-// refused, as at a gateway.
+// queueShare is the fraction of a class's latency target that its requests wait for an engine before
+// they are refused, as at a gateway.
 const queueShare = 0.25
 
-// windowMs is the length of the windows in which a family's tightening is looked for, by the
-// forecast's own bounds.
+// windowMs is the length of the time windows in which a family's shortage is detected, with the same
+// bounds as in the forecast.
 const windowMs = 1000.0
 
-// fleet plays a family in simulated time, with a gateway's stand-in that gives each request to
-// the engine with the fewest.
-type fleet struct {
+// familySimulation simulates a family in simulated time. It acts as the gateway and sends each request
+// to the engine with the fewest.
+type familySimulation struct {
 	plan     *familyPlan
 	random   *rand.Rand
 	recorder *trafficstats.Recorder
 	now      clock.Instant
 	engines  []*engineState
-	queue    []*call
-	calls    map[int64]*call
+	queue    []*request
+	requests map[int64]*request
 	tickets  int64
 	nextAt   clock.Instant
-	// surgeFrom and surgeUntil bound the surge.
+	// surgeFrom and surgeUntil are the start and the end of the surge.
 	surgeFrom, surgeUntil clock.Instant
 	windows               []window
-	late, all             int
+	surgeLate, surgeTotal int
 }
 
-// engineState is an engine and how many requests were given to it.
+// engineState is an engine and the number of requests that are assigned to it.
 type engineState struct {
-	engine *workeremulator.Engine
-	given  int
+	engine   *workeremulator.Engine
+	assigned int
 }
 
-// call is one request.
-type call struct {
-	ticket    int64
-	arrivedAt clock.Instant
-	sentAt    clock.Instant
-	firstAt   clock.Instant
-	lastAt    clock.Instant
-	events    int
-	longest   clock.Duration
-	running   int
-	waiting   int
-	own       int64
-	at        *engineState
+// request is one simulated request.
+type request struct {
+	ticket     int64
+	arrivedAt  clock.Instant
+	sentAt     clock.Instant
+	firstAt    clock.Instant
+	lastAt     clock.Instant
+	events     int
+	longestGap clock.Duration
+	running    int
+	waiting    int
+	ownTokens  int64
+	engine     *engineState
 }
 
-// window is what came of the requests that arrived in one window.
+// window is the total wait and the outcomes of the requests that arrived in one time window.
 type window struct {
-	waitMs      float64
-	all, refuse int
+	waitMs         float64
+	total, refused int
 }
 
-func newFleet(plan *familyPlan, seed uint64, surgeFrom, surgeUntil clock.Instant) *fleet {
-	f := &fleet{plan: plan, random: rand.New(rand.NewPCG(seed, 77)), recorder: trafficstats.New(0), calls: map[int64]*call{},
+func newFleet(plan *familyPlan, seed uint64, surgeFrom, surgeUntil clock.Instant) *familySimulation {
+	f := &familySimulation{plan: plan, random: rand.New(rand.NewPCG(seed, 77)), recorder: trafficstats.New(0), requests: map[int64]*request{},
 		surgeFrom: surgeFrom, surgeUntil: surgeUntil}
 	for range plan.engines {
 		f.engines = append(f.engines, &engineState{engine: workeremulator.NewEngine(plan.shape)})
 	}
-	f.nextAt = f.interArrival()
+	f.nextAt = f.drawArrival()
 	return f
 }
 
-// interArrival draws when the next request comes.
-func (f *fleet) interArrival() clock.Instant {
+// drawArrival draws when the next request arrives.
+func (f *familySimulation) drawArrival() clock.Instant {
 	rate := f.plan.rate
 	if f.now >= f.surgeFrom && f.now < f.surgeUntil {
-		rate += f.plan.surge
+		rate += f.plan.surgeRate
 	}
 	at := f.now.Add(clock.Milliseconds(f.random.ExpFloat64() * 1000 / rate))
 	if f.now < f.surgeFrom && at > f.surgeFrom {
-		// The surge begins before: drawn anew from there, which a Poisson stream allows.
+		// The surge starts before the arrival. The arrival is drawn again from the start of the
+		// surge, which is valid since a Poisson process has no memory.
 		f.now = f.surgeFrom
-		return f.interArrival()
+		return f.drawArrival()
 	}
 	return at
 }
 
-// runUntil plays the family until an instant.
-func (f *fleet) runUntil(end clock.Instant) {
+// runUntil simulates the family until an instant.
+func (f *familySimulation) runUntil(end clock.Instant) {
 	for {
 		at, due := f.nextAt, (*engineState)(nil)
-		for _, each := range f.engines {
-			if next, some := each.engine.Next(); some && next < at {
-				at, due = next, each
+		for _, candidate := range f.engines {
+			if next, ok := candidate.engine.Next(); ok && next < at {
+				at, due = next, candidate
 			}
 		}
 		if overdue := f.overdueAt(); overdue < at {
@@ -106,7 +107,7 @@
 		f.now = max(f.now, at)
 		switch {
 		case due != nil:
-			f.effects(due, due.engine.Step(workeremulator.Event{Kind: workeremulator.EventTick}, f.now))
+			f.handleEffects(due, due.engine.Step(workeremulator.Event{Kind: workeremulator.EventTick}, f.now))
 		case at == f.nextAt:
 			f.arrive()
 		}
@@ -115,89 +116,89 @@
 	}
 }
 
-func (f *fleet) arrive() {
+func (f *familySimulation) arrive() {
 	f.tickets++
-	c := &call{ticket: f.tickets, arrivedAt: f.now}
-	f.calls[c.ticket] = c
+	c := &request{ticket: f.tickets, arrivedAt: f.now}
+	f.requests[c.ticket] = c
 	f.queue = append(f.queue, c)
-	f.nextAt = f.interArrival()
+	f.nextAt = f.drawArrival()
 }
 
-// place gives waiting requests to engines with a slot left.
-func (f *fleet) place() {
+// place sends waiting requests to engines with a free slot.
+func (f *familySimulation) place() {
 	for len(f.queue) > 0 {
-		var chosen *engineState
-		for _, each := range f.engines {
-			if each.given < f.plan.shape.Capacity && (chosen == nil || each.given < chosen.given) {
-				chosen = each
+		var target *engineState
+		for _, candidate := range f.engines {
+			if candidate.assigned < f.plan.shape.Capacity && (target == nil || candidate.assigned < target.assigned) {
+				target = candidate
 			}
 		}
-		if chosen == nil {
+		if target == nil {
 			return
 		}
 		c := f.queue[0]
 		f.queue = f.queue[1:]
-		f.send(c, chosen)
+		f.send(c, target)
 	}
 }
 
-func (f *fleet) send(c *call, to *engineState) {
+func (f *familySimulation) send(c *request, target *engineState) {
 	class := &f.plan.class
-	f.note(c, false)
-	c.sentAt, c.at = f.now, to
-	to.given++
-	running, waiting, _ := to.engine.State()
+	f.recordWait(c, false)
+	c.sentAt, c.engine = f.now, target
+	target.assigned++
+	running, waiting, _ := target.engine.State()
 	c.running, c.waiting = running+1, waiting
-	wanted := workeremulator.Ask{Ticket: c.ticket, Model: f.plan.name, Work: class.work}
+	work := workeremulator.Ask{Ticket: c.ticket, Model: f.plan.name, Work: class.work}
 	if class.work == 0 {
-		// Sizes spread round their means.
+		// Sizes are uniform between 0.5 and 1.5 times the mean.
 		size := 0.5 + f.random.Float64()
-		c.own = int64(float64(class.own) * size)
-		wanted.In, wanted.Out = c.own+class.shared, max(int64(float64(class.out)*(0.5+f.random.Float64())), 1)
-		if class.shared > 0 {
-			wanted.Parts = []workeremulator.Part{{Key: "shared", Tokens: class.shared}}
+		c.ownTokens = int64(float64(class.ownTokens) * size)
+		work.In, work.Out = c.ownTokens+class.sharedTokens, max(int64(float64(class.outTokens)*(0.5+f.random.Float64())), 1)
+		if class.sharedTokens > 0 {
+			work.Parts = []workeremulator.Part{{Key: "shared", Tokens: class.sharedTokens}}
 		}
 	}
-	f.effects(to, to.engine.Step(workeremulator.Event{Kind: workeremulator.EventArrive, Ask: wanted}, f.now))
+	f.handleEffects(target, target.engine.Step(workeremulator.Event{Kind: workeremulator.EventArrive, Ask: work}, f.now))
 }
 
-// overdueAt is when the first that waits is refused.
-func (f *fleet) overdueAt() clock.Instant {
+// overdueAt returns when the first queued request is refused.
+func (f *familySimulation) overdueAt() clock.Instant {
 	if len(f.queue) == 0 {
 		return math.MaxInt64
 	}
 	return f.queue[0].arrivedAt.Add(clock.Milliseconds(queueShare * f.plan.class.targetMs))
 }
 
-func (f *fleet) refuseOverdue() {
+func (f *familySimulation) refuseOverdue() {
 	for len(f.queue) > 0 && f.overdueAt() <= f.now {
 		c := f.queue[0]
 		f.queue = f.queue[1:]
-		f.note(c, true)
-		f.end(c, trafficstats.OutcomeRejected, true)
+		f.recordWait(c, true)
+		f.recordOutcome(c, trafficstats.OutcomeRejected, true)
 	}
 }
 
-// note counts a request's wait in the window of its arrival.
-func (f *fleet) note(c *call, refused bool) {
+// recordWait adds a request's wait to the window in which the request arrived.
+func (f *familySimulation) recordWait(c *request, refused bool) {
 	i := int(clock.ToMilliseconds(c.arrivedAt.Sub(0)) / windowMs)
 	for len(f.windows) <= i {
 		f.windows = append(f.windows, window{})
 	}
 	f.windows[i].waitMs += clock.ToMilliseconds(f.now.Sub(c.arrivedAt))
-	f.windows[i].all++
+	f.windows[i].total++
 	if refused {
-		f.windows[i].refuse++
+		f.windows[i].refused++
 	}
 }
 
-// tightenedAtS is the first window from the surge on in which the family was short, in seconds
-// from the surge's beginning; -1 for none.
-func (f *fleet) tightenedAtS() float64 {
+// shortAtS returns the start of the first window since the start of the surge in which the family was
+// short of capacity, in seconds from the start of the surge; -1 if there is none.
+func (f *familySimulation) shortAtS() float64 {
 	from := int(clock.ToMilliseconds(f.surgeFrom.Sub(0)) / windowMs)
 	for i := from; i < len(f.windows); i++ {
 		w := f.windows[i]
-		if w.all > 0 && (w.waitMs/float64(w.all) > forecast.ShortWaitMs || float64(w.refuse) > forecast.ShortRefusals*float64(w.all)) {
+		if w.total > 0 && (w.waitMs/float64(w.total) > forecast.ShortWaitMs || float64(w.refused) > forecast.ShortRefusals*float64(w.total)) {
 			return float64(i - from)
 		}
 	}
--- a/internal/tooling/forecastlab/drive.go
+++ b/internal/tooling/forecastlab/drive.go
@@ -1,6 +1,6 @@
-// Package forecastlab tries the forecast on the real programs: it starts a lab's fleet for a
-// generated case, loads it, forecasts, brings the surge about in real time, and compares. Figures
-// are of loopback and emulated workers.
+// Package forecastlab validates package forecast on the real programs: it starts a lab fleet for a
+// generated case, puts it under load, forecasts, runs the surge in real time, and compares the
+// prediction with the observation. The figures apply to loopback and emulated workers only.
 package forecastlab
 
 import (
@@ -19,10 +19,10 @@
 	"lemonarch/internal/tooling/lab"
 )
 
-// requestTimeout is how long a client waits.
+// requestTimeout is how long a client waits for the whole response.
 const requestTimeout = 5 * time.Second
 
-// driver sends the requests of one family as they come, whatever becomes of those before.
+// driver sends the requests of one family as an open-loop load: it does not wait for earlier requests.
 type driver struct {
 	load    forecastcases.Load
 	ingress []string
@@ -30,11 +30,11 @@
 	client  *http.Client
 
 	lock sync.Mutex
-	// surging is set while the surge is on; all and late count the requests that came in it.
-	surging   bool
-	all, late int
-	sent      int
-	under     sync.WaitGroup
+	// surgeActive is set during the surge; surgeTotal and surgeLate count the requests sent in it.
+	surgeActive           bool
+	surgeTotal, surgeLate int
+	sent                  int
+	inFlight              sync.WaitGroup
 }
 
 func newDriver(load forecastcases.Load, ingress []string, seed uint64) *driver {
@@ -42,19 +42,20 @@
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 200, DisableCompression: true}}}
 }
 
-// run sends until the context ends, and waits for what is under way.
+// run sends requests until the context ends, and then waits for those in flight.
 func (d *driver) run(until context.Context) {
-	defer d.under.Wait()
+	defer d.inFlight.Wait()
 	next := clock.Now()
 	for until.Err() == nil {
 		d.lock.Lock()
 		rate := d.load.Rate
-		if d.surging {
-			rate += d.load.Surge
+		if d.surgeActive {
+			rate += d.load.SurgeRate
 		}
 		d.lock.Unlock()
 		next = next.Add(clock.Milliseconds(d.random.ExpFloat64() * 1000 / rate))
-		// A pause is short against the times that matter, so that a surge begins in time.
+		// Sleeps at most 20 ms at a time, which is short compared with the durations of a case, so that
+		// a surge starts in time.
 		for clock.Now() < next && until.Err() == nil {
 			clock.Sleep(min(next.Sub(clock.Now()), clock.Milliseconds(20)))
 		}
@@ -62,36 +63,36 @@
 	}
 }
 
-// setSurging begins or ends the surge.
-func (d *driver) setSurging(on bool) {
+// setSurge starts or ends the surge.
+func (d *driver) setSurge(on bool) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	d.surging = on
+	d.surgeActive = on
 }
 
-// send sends one request in a goroutine of its own, which ends within requestTimeout.
+// send sends one request in a new goroutine, which ends within requestTimeout.
 func (d *driver) send() {
 	d.lock.Lock()
 	d.sent++
-	counts := d.surging
+	inSurge := d.surgeActive
 	request := d.request(d.sent)
 	d.lock.Unlock()
-	d.under.Add(1)
+	d.inFlight.Add(1)
 	go func() {
-		defer d.under.Done()
-		late := !d.inTime(request)
+		defer d.inFlight.Done()
+		late := !d.servedInTime(request)
 		d.lock.Lock()
 		defer d.lock.Unlock()
-		if counts {
-			d.all++
+		if inSurge {
+			d.surgeTotal++
 			if late {
-				d.late++
+				d.surgeLate++
 			}
 		}
 	}()
 }
 
-// request makes the number-th request. The lock is held.
+// request returns the request with the given number. The caller must hold the lock.
 func (d *driver) request(number int) *http.Request {
 	address := d.ingress[d.random.IntN(len(d.ingress))]
 	request, _ := http.NewRequest(http.MethodPost, "http://"+address+"/"+d.load.Family+"/"+fmt.Sprint(number), strings.NewReader("x"))
@@ -99,22 +100,23 @@
 	header := request.Header
 	header.Set("Lemonarch-Attempt-Id", fmt.Sprintf("%s-%d", d.load.Family, number))
 	header.Set("Lemonarch-Time-Left-Ms", fmt.Sprint(requestTimeout.Milliseconds()))
-	if d.load.Out > 0 {
-		own := int64(float64(d.load.Own) * (0.5 + d.random.Float64()))
-		out := max(int64(float64(d.load.Out)*(0.5+d.random.Float64())), 1)
+	if d.load.OutTokens > 0 {
+		own := int64(float64(d.load.OwnTokens) * (0.5 + d.random.Float64()))
+		out := max(int64(float64(d.load.OutTokens)*(0.5+d.random.Float64())), 1)
 		header.Set("Lemonarch-Model", d.load.Family)
-		header.Set("Lemonarch-Token-Count", fmt.Sprintf("%d,%d", own+d.load.Shared, out))
+		header.Set("Lemonarch-Token-Count", fmt.Sprintf("%d,%d", own+d.load.SharedTokens, out))
 		prefix := fmt.Sprintf("b%x:%d", number, own)
-		if d.load.Shared > 0 {
-			prefix = fmt.Sprintf("a1:%d,", d.load.Shared) + prefix
+		if d.load.SharedTokens > 0 {
+			prefix = fmt.Sprintf("a1:%d,", d.load.SharedTokens) + prefix
 		}
 		header.Set("Lemonarch-Prompt-Prefix", prefix)
 	}
 	return request
 }
 
-// inTime tells whether a request was answered completely and in time.
-func (d *driver) inTime(request *http.Request) bool {
+// servedInTime sends a request, and reports whether the response was complete and met the latency
+// targets.
+func (d *driver) servedInTime(request *http.Request) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	start := clock.Now()
@@ -134,7 +136,7 @@
 	return clock.ToMilliseconds(first.Sub(start)) <= d.load.TargetMs && (d.load.GapMs <= 0 || clock.ToMilliseconds(longest) <= d.load.GapMs)
 }
 
-// readEvents reads a body to its end, and gives when its first line came and the longest pause
+// readEvents reads a body to its end. It returns when the first line arrived and the longest gap
 // between two events.
 func (d *driver) readEvents(body io.Reader) (first clock.Instant, longest clock.Duration, err error) {
 	reader, last := bufio.NewReader(body), clock.Instant(0)
--- a/internal/tooling/forecastlab/play.go
+++ b/internal/tooling/forecastlab/play.go
@@ -12,7 +12,7 @@
 	"lemonarch/internal/tooling/lab"
 )
 
-// Play plays a case on a fleet of its own: plan says everything but the families.
+// Play runs a case on a new lab fleet. The families come from the case; plan configures the rest.
 func Play(until context.Context, c *forecastcases.Case, plan lab.Plan, seed uint64) (*forecastcases.Result, error) {
 	families, loads := c.Lab()
 	plan.Families = families
@@ -24,69 +24,69 @@
 	card := fleet.Card()
 	wire := transport.NewTCP("")
 	defer wire.Close()
-	p := &play{watch: newWatch(&forecast.Collector{Transport: wire, Seed: card.Seed, Timeout: constants.StatusTimeout})}
+	p := &caseRun{monitor: newShortageMonitor(&forecast.Collector{Transport: wire, Seed: card.Seed, Timeout: constants.StatusTimeout})}
 	for i, load := range loads {
 		p.drivers = append(p.drivers, newDriver(load, card.Ingress, seed*100+uint64(i)))
 	}
 	return p.run(until, c, seed)
 }
 
-// play is a case that is being played.
-type play struct {
+// caseRun is a case in progress.
+type caseRun struct {
 	drivers []*driver
-	watch   *watch
+	monitor *shortageMonitor
 }
 
-func (p *play) run(until context.Context, c *forecastcases.Case, seed uint64) (*forecastcases.Result, error) {
-	loaded, end := context.WithCancel(until)
+func (p *caseRun) run(until context.Context, c *forecastcases.Case, seed uint64) (*forecastcases.Result, error) {
+	loadCtx, stopLoad := context.WithCancel(until)
 	var group sync.WaitGroup
-	begin := func(run func(context.Context)) {
+	startLoop := func(run func(context.Context)) {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			run(loaded)
+			run(loadCtx)
 		}()
 	}
 	for _, d := range p.drivers {
-		begin(d.run)
+		startLoop(d.run)
 	}
 	clock.Sleep(clock.Milliseconds(forecastcases.ObservedS * 1000))
-	known, err := p.watch.collector.Collect()
+	known, err := p.monitor.collector.Collect()
 	var report *forecast.Report
 	if err == nil {
 		report, err = c.Forecast(known, seed)
 	}
 	if err != nil {
-		end()
+		stopLoad()
 		group.Wait()
 		return nil, err
 	}
-	p.watch.look(known, clock.Now())
+	p.monitor.update(known, clock.Now())
 	surgeAt := clock.Now()
-	begin(p.watch.run)
-	p.setSurging(true)
+	startLoop(p.monitor.run)
+	p.setSurge(true)
 	clock.Sleep(clock.Milliseconds(forecastcases.SurgeS * 1000))
-	p.setSurging(false)
+	p.setSurge(false)
 	clock.Sleep(clock.Milliseconds(forecastcases.AfterS * 1000))
-	end()
+	stopLoad()
 	group.Wait()
 	return p.result(c, report, surgeAt), nil
 }
 
-func (p *play) setSurging(on bool) {
+func (p *caseRun) setSurge(on bool) {
 	for _, d := range p.drivers {
-		d.setSurging(on)
+		d.setSurge(on)
 	}
 }
 
-// result compares what was predicted with what came.
-func (p *play) result(c *forecastcases.Case, report *forecast.Report, surgeAt clock.Instant) *forecastcases.Result {
+// result compares the prediction with the observation.
+func (p *caseRun) result(c *forecastcases.Case, report *forecast.Report, surgeAt clock.Instant) *forecastcases.Result {
 	result := forecastcases.NewResult(c, report)
 	for _, d := range p.drivers {
-		if at, short := p.watch.shortAt[d.load.Family]; short {
-			result.Tighten(d.load.Family, at.Sub(surgeAt).Seconds())
+		if at, short := p.monitor.shortAt[d.load.Family]; short {
+			result.RecordShortage(d.load.Family, at.Sub(surgeAt).Seconds())
 		}
-		result.AddClass(d.load.Family, d.late, d.all, report)
+		result.AddClass(d.load.Family, d.surgeLate, d.surgeTotal, report)
 	}
 	return result
 }
--- a/internal/tooling/forecastlab/watch.go
+++ b/internal/tooling/forecastlab/watch.go
@@ -9,45 +9,47 @@
 	"lemonarch/internal/traffic/trafficstats"
 )
 
-// observed is what the fleet has observed of a family so far.
-type observed struct {
+// queueTotals is the cumulative number of queued and rejected requests of a family and their total
+// wait.
+type queueTotals struct {
 	requests, rejected int64
 	waitMs             float64
 }
 
-func observationOf(summary *messages.TrafficSummary) observed {
+func queueTotalsOf(summary *messages.TrafficSummary) queueTotals {
 	histogram := trafficstats.Decode(&summary.QueueWait)
-	return observed{requests: histogram.TotalCount(), rejected: summary.Rejected, waitMs: histogram.Mean() / 10 * float64(histogram.TotalCount())}
+	return queueTotals{requests: histogram.TotalCount(), rejected: summary.Rejected, waitMs: histogram.Mean() / 10 * float64(histogram.TotalCount())}
 }
 
-// watch asks the fleet once a second, and notes when each family was first short.
-type watch struct {
+// shortageMonitor polls the traffic of the fleet once a second, and records when each family was
+// first short of capacity.
+type shortageMonitor struct {
 	collector *forecast.Collector
-	before    map[string]observed
-	// shortAt is, by family, when its waits or refusals passed a bound.
+	before    map[string]queueTotals
+	// shortAt is, by family, when its wait or its share of refusals first exceeded its bound.
 	shortAt map[string]clock.Instant
 }
 
-func newWatch(collector *forecast.Collector) *watch {
-	return &watch{collector: collector, before: map[string]observed{}, shortAt: map[string]clock.Instant{}}
+func newShortageMonitor(collector *forecast.Collector) *shortageMonitor {
+	return &shortageMonitor{collector: collector, before: map[string]queueTotals{}, shortAt: map[string]clock.Instant{}}
 }
 
-// run looks until the context ends.
-func (w *watch) run(until context.Context) {
+// run polls until the context ends.
+func (w *shortageMonitor) run(until context.Context) {
 	for until.Err() == nil {
 		start := clock.Now()
 		if known, err := w.collector.Collect(); err == nil {
-			w.look(known, start)
+			w.update(known, start)
 		}
 		clock.Sleep(max(start.Add(clock.Milliseconds(1000)).Sub(clock.Now()), 0))
 	}
 }
 
-// look compares with the look before.
-func (w *watch) look(known *forecast.Known, now clock.Instant) {
+// update compares the traffic totals with those of the previous poll.
+func (w *shortageMonitor) update(known *forecast.Known, now clock.Instant) {
 	for i := range known.Summaries {
 		summary := &known.Summaries[i]
-		current, before := observationOf(summary), w.before[summary.Service]
+		current, before := queueTotalsOf(summary), w.before[summary.Service]
 		w.before[summary.Service] = current
 		requests := current.requests - before.requests
 		if requests <= 0 || before.requests == 0 {
