--- a/internal/tooling/forecast/capacity.go
+++ b/internal/tooling/forecast/capacity.go
@@ -73,17 +73,17 @@
 	highest := now
 	for _, d := range f.demands {
 		for _, starting := range d.additions {
-			at := now
+			sum := now
 			for _, other := range f.demands {
 				s := f.service(other.service)
 				for _, added := range other.additions {
 					if s != nil && added.fromMs <= starting.fromMs && starting.fromMs < added.untilMs {
-						at = at.plus(s.usage(added.rate, added.promptTokens, added.freshTokens, added.events, other.durationMs))
+						sum = sum.plus(s.usage(added.rate, added.promptTokens, added.freshTokens, added.events, other.durationMs))
 					}
 				}
 			}
-			highest = usage{max(highest.slots, at.slots), max(highest.memory, at.memory), max(highest.prefill, at.prefill),
-				max(highest.decode, at.decode), max(highest.connections, at.connections)}
+			highest = usage{max(highest.slots, sum.slots), max(highest.memory, sum.memory), max(highest.prefill, sum.prefill),
+				max(highest.decode, sum.decode), max(highest.connections, sum.connections)}
 		}
 	}
 	return highest
@@ -160,10 +160,10 @@
 
 // mostUsedResource returns the name of the resource with the highest utilization in the surge.
 func mostUsedResource(resources []Resource) string {
-	most, name := math.Inf(-1), noResource
+	highest, name := math.Inf(-1), noResource
 	for _, resource := range resources {
-		if resource.UsedSurge != nil && *resource.UsedSurge > most {
-			most, name = *resource.UsedSurge, resource.Resource
+		if resource.UsedSurge != nil && *resource.UsedSurge > highest {
+			highest, name = *resource.UsedSurge, resource.Resource
 		}
 	}
 	return name
--- a/internal/tooling/forecast/forecast_test.go
+++ b/internal/tooling/forecast/forecast_test.go
@@ -213,11 +213,11 @@
 		}
 	}
 	review := NewReview(reread, observed)
-	if !review.Agrees || review.ObservedFirstShort == nil || *review.ObservedFirstShort != "app" {
-		t.Fatalf("%+v", review)
+	if !review.Agrees || review.ObservedShort == nil || *review.ObservedShort != "app" {
+		t.Fatalf("review: got %+v, want agreement on family app", review)
 	}
-	if unchanged := NewReview(reread, testKnown(t)); unchanged.Agrees || unchanged.ObservedFirstShort != nil {
-		t.Fatalf("%+v", unchanged)
+	if unchanged := NewReview(reread, testKnown(t)); unchanged.Agrees || unchanged.ObservedShort != nil {
+		t.Fatalf("review without refusals: got %+v, want no family and no agreement", unchanged)
 	}
 	if _, err = ReadRecord(path + ".none"); err == nil {
 		t.Fatal("got no error for a missing file")
--- a/internal/tooling/forecast/review.go
+++ b/internal/tooling/forecast/review.go
@@ -76,9 +76,9 @@
 // Review compares a forecast with what was observed afterwards.
 type Review struct {
 	// PredictedFirstShort is the family that was predicted to run short of capacity first;
-	// ObservedFirstShort is the one that exceeded its bounds most. Each is nil if there is none.
+	// ObservedShort is the one that exceeded its bounds most. Each is nil if there is none.
 	PredictedFirstShort *string       `json:"predicted-first-short"`
-	ObservedFirstShort  *string       `json:"tightened"`
+	ObservedShort       *string       `json:"tightened"`
 	Agrees              bool          `json:"agrees"`
 	Classes             []ClassReview `json:"classes"`
 }
@@ -123,13 +123,13 @@
 			excess := max(class.WaitMs/ShortWaitMs, float64(summary.Rejected)/float64(total)/ShortRefusals)
 			if excess > worstExcess {
 				name := predicted.Family
-				worstExcess, review.ObservedFirstShort = excess, &name
+				worstExcess, review.ObservedShort = excess, &name
 			}
 		}
 		review.Classes = append(review.Classes, class)
 	}
 	slices.SortStableFunc(review.Classes, func(left, right ClassReview) int { return strings.Compare(left.Class, right.Class) })
-	review.Agrees = (review.PredictedFirstShort == nil) == (review.ObservedFirstShort == nil) && (review.PredictedFirstShort == nil || *review.PredictedFirstShort == *review.ObservedFirstShort)
+	review.Agrees = (review.PredictedFirstShort == nil) == (review.ObservedShort == nil) && (review.PredictedFirstShort == nil || *review.PredictedFirstShort == *review.ObservedShort)
 	return review
 }
 
@@ -191,7 +191,7 @@
 		return *family
 	}
 	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(table, "predicted first short: %s\ntightened: %s\nagrees: %v\n\n", name(r.PredictedFirstShort), name(r.ObservedFirstShort), r.Agrees)
+	fmt.Fprintf(table, "predicted first short: %s\ntightened: %s\nagrees: %v\n\n", name(r.PredictedFirstShort), name(r.ObservedShort), r.Agrees)
 	fmt.Fprintln(table, "class\tfamily\ttold\tcame\twait ms\tagrees")
 	for _, class := range r.Classes {
 		agrees := "-"
--- a/internal/tooling/forecast/simulate.go
+++ b/internal/tooling/forecast/simulate.go
@@ -16,7 +16,8 @@
 	// scale is the fraction of the family's workers and traffic that is simulated.
 	scale   float64
 	workers []*worker
-	// queue is the live requests that wait, by priority; batch is the items of batch jobs that wait.
+	// queue is the live requests that wait, by priority; batch is the items of batch jobs that wait,
+	// in order of arrival.
 	queue []*request
 	batch []*request
 	// streams are the sources of arriving requests.
--- a/internal/tooling/forecastcases/cases.go
+++ b/internal/tooling/forecastcases/cases.go
@@ -12,7 +12,7 @@
 	"lemonarch/internal/tooling/workeremulator"
 )
 
-// The resources that the surge of a case exhausts first, with the same names as in package forecast.
+// What the surge of a case exhausts first: a resource of package forecast, or nothing.
 const (
 	ShortageSlots   = "slots"
 	ShortageMemory  = "kv-memory"
@@ -21,7 +21,7 @@
 	ShortageNone    = "none"
 )
 
-// Shortages lists all of them. Case numbers cycle through the list in this order.
+// Shortages lists all kinds of shortage. Case numbers cycle through the list in this order.
 var Shortages = []string{ShortageSlots, ShortageMemory, ShortagePrefill, ShortageDecode, ShortageNone}
 
 // Case is a fleet of several families and a surge on it.
--- a/internal/tooling/forecastlab/drive.go
+++ b/internal/tooling/forecastlab/drive.go
@@ -43,10 +43,10 @@
 }
 
 // run sends requests until the context ends, and then waits for those in flight.
-func (d *driver) run(until context.Context) {
+func (d *driver) run(ctx context.Context) {
 	defer d.inFlight.Wait()
 	next := clock.Now()
-	for until.Err() == nil {
+	for ctx.Err() == nil {
 		d.lock.Lock()
 		rate := d.load.Rate
 		if d.surgeActive {
@@ -56,7 +56,7 @@
 		next = next.Add(clock.Milliseconds(d.random.ExpFloat64() * 1000 / rate))
 		// Sleeps at most 20 ms at a time, which is short compared with the durations of a case, so that
 		// a surge starts in time.
-		for clock.Now() < next && until.Err() == nil {
+		for clock.Now() < next && ctx.Err() == nil {
 			clock.Sleep(min(next.Sub(clock.Now()), clock.Milliseconds(20)))
 		}
 		d.send()
--- a/internal/tooling/forecastlab/play.go
+++ b/internal/tooling/forecastlab/play.go
@@ -13,22 +13,22 @@
 )
 
 // Play runs a case on a new lab fleet. The families come from the case; plan configures the rest.
-func Play(until context.Context, c *forecastcases.Case, plan lab.Plan, seed uint64) (*forecastcases.Result, error) {
+func Play(ctx context.Context, c *forecastcases.Case, plan lab.Plan, seed uint64) (*forecastcases.Result, error) {
 	families, loads := c.Lab()
 	plan.Families = families
-	fleet, err := lab.Start(until, plan, "")
+	fleet, err := lab.Start(ctx, plan, "")
 	if err != nil {
 		return nil, err
 	}
 	defer fleet.Stop()
 	card := fleet.Card()
-	wire := transport.NewTCP("")
-	defer wire.Close()
-	p := &caseRun{monitor: newShortageMonitor(&forecast.Collector{Transport: wire, Seed: card.Seed, Timeout: constants.StatusTimeout})}
+	tcp := transport.NewTCP("")
+	defer tcp.Close()
+	p := &caseRun{monitor: newShortageMonitor(&forecast.Collector{Transport: tcp, Seed: card.Seed, Timeout: constants.StatusTimeout})}
 	for i, load := range loads {
 		p.drivers = append(p.drivers, newDriver(load, card.Ingress, seed*100+uint64(i)))
 	}
-	return p.run(until, c, seed)
+	return p.run(ctx, c, seed)
 }
 
 // caseRun is a case in progress.
@@ -37,8 +37,8 @@
 	monitor *shortageMonitor
 }
 
-func (p *caseRun) run(until context.Context, c *forecastcases.Case, seed uint64) (*forecastcases.Result, error) {
-	loadCtx, stopLoad := context.WithCancel(until)
+func (p *caseRun) run(ctx context.Context, c *forecastcases.Case, seed uint64) (*forecastcases.Result, error) {
+	loadCtx, stopLoad := context.WithCancel(ctx)
 	var group sync.WaitGroup
 	startLoop := func(run func(context.Context)) {
 		group.Add(1)
--- a/internal/tooling/forecastlab/watch.go
+++ b/internal/tooling/forecastlab/watch.go
@@ -25,18 +25,19 @@
 // first short of capacity.
 type shortageMonitor struct {
 	collector *forecast.Collector
-	before    map[string]queueTotals
+	// previous is, by family, the totals of the previous poll.
+	previous map[string]queueTotals
 	// shortAt is, by family, when its wait or its share of refusals first exceeded its bound.
 	shortAt map[string]clock.Instant
 }
 
 func newShortageMonitor(collector *forecast.Collector) *shortageMonitor {
-	return &shortageMonitor{collector: collector, before: map[string]queueTotals{}, shortAt: map[string]clock.Instant{}}
+	return &shortageMonitor{collector: collector, previous: map[string]queueTotals{}, shortAt: map[string]clock.Instant{}}
 }
 
 // run polls until the context ends.
-func (w *shortageMonitor) run(until context.Context) {
-	for until.Err() == nil {
+func (w *shortageMonitor) run(ctx context.Context) {
+	for ctx.Err() == nil {
 		start := clock.Now()
 		if known, err := w.collector.Collect(); err == nil {
 			w.update(known, start)
@@ -49,14 +50,14 @@
 func (w *shortageMonitor) update(known *forecast.Known, now clock.Instant) {
 	for i := range known.Summaries {
 		summary := &known.Summaries[i]
-		current, before := queueTotalsOf(summary), w.before[summary.Service]
-		w.before[summary.Service] = current
-		requests := current.requests - before.requests
-		if requests <= 0 || before.requests == 0 {
+		current, previous := queueTotalsOf(summary), w.previous[summary.Service]
+		w.previous[summary.Service] = current
+		requests := current.requests - previous.requests
+		if requests <= 0 || previous.requests == 0 {
 			continue
 		}
-		wait := (current.waitMs - before.waitMs) / float64(requests)
-		refused := float64(current.rejected-before.rejected) / float64(requests)
+		wait := (current.waitMs - previous.waitMs) / float64(requests)
+		refused := float64(current.rejected-previous.rejected) / float64(requests)
 		if _, noted := w.shortAt[summary.Service]; !noted && (wait > forecast.ShortWaitMs || refused > forecast.ShortRefusals) {
 			w.shortAt[summary.Service] = now
 		}
