--- a/internal/tooling/forecastcases/compare.go
+++ b/internal/tooling/forecastcases/compare.go
@@ -59,7 +59,7 @@
 	until := from.Add(clock.Milliseconds(SurgeS * 1000))
 	var simulations []*familySimulation
 	for i, plan := range c.families {
-		f := newFleet(plan, seed*100+uint64(i), from, until)
+		f := newFamilySimulation(plan, seed*100+uint64(i), from, until)
 		f.runUntil(from - 1)
 		simulations = append(simulations, f)
 	}
--- a/internal/tooling/forecastcases/fleet.go
+++ b/internal/tooling/forecastcases/fleet.go
@@ -18,8 +18,8 @@
 // bounds as in the forecast.
 const windowMs = 1000.0
 
-// familySimulation simulates a family in simulated time. It acts as the gateway and sends each request
-// to the engine with the fewest.
+// familySimulation runs a family in simulated time. It acts as the gateway and sends each request to
+// the engine with the fewest assigned requests.
 type familySimulation struct {
 	plan     *familyPlan
 	random   *rand.Rand
@@ -63,7 +63,7 @@
 	total, refused int
 }
 
-func newFleet(plan *familyPlan, seed uint64, surgeFrom, surgeUntil clock.Instant) *familySimulation {
+func newFamilySimulation(plan *familyPlan, seed uint64, surgeFrom, surgeUntil clock.Instant) *familySimulation {
 	f := &familySimulation{plan: plan, random: rand.New(rand.NewPCG(seed, 77)), recorder: trafficstats.New(0), requests: map[int64]*request{},
 		surgeFrom: surgeFrom, surgeUntil: surgeUntil}
 	for range plan.engines {
