--- a/cmd/lemonarch/assign.go
+++ b/cmd/lemonarch/assign.go
@@ -81,7 +81,7 @@
 	return printPlan(writer, answer, refusal, options.format)
 }
 
-// planWithTimeout stops waiting for a plan after constants.PlanTime. Planning is a computationally hard
+// planWithTimeout stops waiting for a plan after constants.PlanTimeout. Planning is a computationally hard
 // problem that may take arbitrarily long, and an operator who prepares a window must learn in
 // time that there is no result.
 func planWithTimeout(rules *adapterplan.Rules, window *string, earlier *adapterplan.Answer) (*adapterplan.Answer, *adapterplan.Refusal, error) {
@@ -96,7 +96,7 @@
 		planned.answer, planned.refusal, _, planned.err = adapterplan.Plan(rules, window, earlier)
 		done <- planned
 	}()
-	timer := clock.NewTimer(constants.PlanTime)
+	timer := clock.NewTimer(constants.PlanTimeout)
 	defer timer.Stop()
 	select {
 	case planned := <-done:
@@ -108,7 +108,7 @@
 		}
 		return planned.answer, planned.refusal, nil
 	case <-timer.C:
-		return nil, nil, exitError{exitUnusable, "planning timed out after " + constants.PlanTime.String()}
+		return nil, nil, exitError{exitUnusable, "planning timed out after " + constants.PlanTimeout.String()}
 	}
 }
 
--- a/cmd/lemonarch/forecast.go
+++ b/cmd/lemonarch/forecast.go
@@ -81,7 +81,7 @@
 		return err
 	}
 	if options.keep != "" {
-		record := &forecast.Record{Asked: scenario, Known: state, Predicted: report}
+		record := &forecast.Record{Scenario: scenario, State: state, Predicted: report}
 		if err = record.Write(options.keep); err != nil {
 			return exitError{exitUnusable, "--keep: " + err.Error()}
 		}
@@ -93,7 +93,7 @@
 }
 
 // collectFleetState collects the state of the fleet that the forecast needs, starting from the seed.
-func collectFleetState(seed string) (*forecast.Known, error) {
+func collectFleetState(seed string) (*forecast.FleetState, error) {
 	if seed == "" {
 		return nil, exitError{exitUnusable, "--seed is missing: internal address of any process, host:port"}
 	}
--- a/cmd/lemonarch/jobs.go
+++ b/cmd/lemonarch/jobs.go
@@ -128,8 +128,8 @@
 				abandoned++
 			}
 		}
-		if len(page.Outputs) > 0 || page.Sum == 0 {
-			fmt.Fprintf(command.OutOrStdout(), "lot=%s listed=%d/%d settled=%d abandoned=%d after=%s\n", id, page.Next, page.Sum, completed, abandoned,
+		if len(page.Outputs) > 0 || page.Total == 0 {
+			fmt.Fprintf(command.OutOrStdout(), "lot=%s listed=%d/%d settled=%d abandoned=%d after=%s\n", id, page.Next, page.Total, completed, abandoned,
 				clock.Now().Sub(started).Round(10*time.Millisecond))
 		}
 		return nil
@@ -160,7 +160,7 @@
 	writer := json.NewEncoder(command.OutOrStdout())
 	for cursor := from; ; {
 		page, err := client.Read(ctx, id, cursor, 0)
-		if err != nil && jobclient.Again(err) && ctx.Err() == nil {
+		if err != nil && jobclient.IsRetryable(err) && ctx.Err() == nil {
 			clock.Sleep(clock.Milliseconds(200))
 			continue
 		}
@@ -174,7 +174,7 @@
 		}
 		cursor = page.Next
 		if len(page.Outputs) == 0 {
-			fmt.Fprintf(command.ErrOrStderr(), "listed=%d sum=%d\n", cursor, page.Sum)
+			fmt.Fprintf(command.ErrOrStderr(), "listed=%d sum=%d\n", cursor, page.Total)
 			return nil
 		}
 	}
@@ -190,7 +190,7 @@
 						fmt.Fprintln(command.OutOrStdout(), "ended: lot="+arguments[0])
 						return nil
 					}
-					if !jobclient.Again(err) || ctx.Err() != nil {
+					if !jobclient.IsRetryable(err) || ctx.Err() != nil {
 						return err
 					}
 					clock.Sleep(clock.Milliseconds(200))
--- a/cmd/lemonarch/lab_forecast.go
+++ b/cmd/lemonarch/lab_forecast.go
@@ -60,7 +60,7 @@
 // playForecastCase runs a case in simulated time, or on the real programs if real is set.
 func playForecastCase(ctx contexts.Context, generated *forecastcases.Case, plan lab.Plan, seed uint64, real bool) (*forecastcases.Result, error) {
 	if real {
-		return forecastlab.Play(ctx, generated, plan, seed)
+		return forecastlab.Run(ctx, generated, plan, seed)
 	}
-	return forecastcases.Play(generated, seed)
+	return forecastcases.Run(generated, seed)
 }
--- a/cmd/lemonarch/lab_up.go
+++ b/cmd/lemonarch/lab_up.go
@@ -42,7 +42,7 @@
 			case <-ctx.Done():
 				fmt.Fprintln(command.OutOrStdout(), "stopping")
 				return nil
-			case err := <-fleet.Died:
+			case err := <-fleet.Failed:
 				return exitError{exitInvalid, oneLine(err)}
 			}
 		}}
@@ -56,7 +56,7 @@
 
 // printSummary prints the addresses of the fleet, its process ids and example commands.
 func printSummary(writer io.Writer, fleet *lab.Fleet) {
-	info := fleet.Card()
+	info := fleet.Info()
 	fmt.Fprintf(writer, "ready: %d processes, %d emulated workers, all on loopback\n", len(info.Programs), len(info.Workers))
 	fmt.Fprintln(writer, "  requests      http://"+strings.Join(info.Ingress, " http://"))
 	fmt.Fprintln(writer, "  configuration http://"+strings.Join(info.Controls, " http://"))
--- a/internal/batch/dispatch/accounting.go
+++ b/internal/batch/dispatch/accounting.go
@@ -27,10 +27,10 @@
 	return index
 }
 
-// ReportedAll marks an executor as accounted for: it has reported all of its acquisitions to this
+// MarkFullyReported marks an executor as accounted for: it has reported all of its acquisitions to this
 // leader and no longer accepts items from earlier leaders. The caller processes the reported
 // acquisitions first. A report for another epoch is ignored.
-func (d *Dispatcher) ReportedAll(executor Executor, epoch uint64, now clock.Instant) {
+func (d *Dispatcher) MarkFullyReported(executor Executor, epoch uint64, now clock.Instant) {
 	if epoch == d.epoch {
 		delete(d.unaccounted, executorID{executor.Name, executor.Incarnation})
 		d.updateUncertainty(now)
--- a/internal/batch/dispatch/accounting_test.go
+++ b/internal/batch/dispatch/accounting_test.go
@@ -17,8 +17,8 @@
 	next := newTestDispatcher(t, 2, old.records, ms(100))
 	// A report to an earlier leader, or of another incarnation, accounts for no executor.
 	next.ObserveExecutor(Executor{Name: "x"}, ms(110))
-	next.ReportedAll(Executor{Name: "x"}, 1, ms(110))
-	next.ReportedAll(Executor{Name: "y", Incarnation: 7}, 2, ms(110))
+	next.MarkFullyReported(Executor{Name: "x"}, 1, ms(110))
+	next.MarkFullyReported(Executor{Name: "y", Incarnation: 7}, 2, ms(110))
 	if len(next.acquire("z", 3, ms(110))) != 0 {
 		t.Fatal("items dispatched although no executor has reported its acquisitions")
 	}
@@ -30,7 +30,7 @@
 	if next.acknowledge("x", messages.AckRenew, acquired[0].Number, "a", ms(140)) != messages.AckRenewed {
 		t.Fatal("reported acquisition was not adopted")
 	}
-	next.ReportedAll(Executor{Name: "x"}, 2, ms(140))
+	next.MarkFullyReported(Executor{Name: "x"}, 2, ms(140))
 	if remaining := next.acquire("z", 3, ms(140)); len(remaining) != 2 || remaining[0].Item.ID != "b" {
 		t.Fatal("items not dispatched although all executors are accounted for: ", itemIDs(remaining))
 	}
--- a/internal/batch/dispatch/acknowledge.go
+++ b/internal/batch/dispatch/acknowledge.go
@@ -108,7 +108,7 @@
 		}
 		if ack.Preempted {
 			item.Preempted++
-			item.OwedResume = true
+			item.ResumePending = true
 		}
 		backoff := retryBackoff(1)
 		if !ack.Preempted && !ack.NotStarted {
--- a/internal/batch/dispatch/dispatcher.go
+++ b/internal/batch/dispatch/dispatcher.go
@@ -59,14 +59,14 @@
 
 // Counts are the dispatcher's event counters, for reports to the operator.
 type Counts struct {
-	Deliveries, Lapses, Releases, Failures, Renewals, Adopted, Completed, Abandoned, Late int64
+	Deliveries, LockExpiries, Releases, Failures, Renewals, Adopted, Completed, Abandoned, Late int64
 }
 
 // LockDuration returns how long an acquisition stays valid without a renewal, derived from the
 // setting cancel-ms, which is zero if it is not set.
 func LockDuration(cancelMs float64) clock.Duration {
 	if cancelMs <= 0 {
-		return constants.LockUnstated
+		return constants.LockDefault
 	}
 	return min(constants.LockMax, clock.Milliseconds(constants.LockShare*cancelMs))
 }
@@ -127,11 +127,11 @@
 		if now < acquisition.expiresAt {
 			continue
 		}
-		acquisition.Item.Lapses++
+		acquisition.Item.LockExpiries++
 		count++
-		d.requeue(acquisition, retryBackoff(acquisition.Item.Lapses), now)
+		d.requeue(acquisition, retryBackoff(acquisition.Item.LockExpiries), now)
 	}
-	d.Counts.Lapses += int64(count)
+	d.Counts.LockExpiries += int64(count)
 	return count
 }
 
--- a/internal/batch/dispatch/item.go
+++ b/internal/batch/dispatch/item.go
@@ -38,9 +38,9 @@
 	// Runs counts the runs of the item; the latest run has this number.
 	Runs int
 	// Lapses, Releases and Renewals count the expired locks, releases and renewals of its acquisitions.
-	Lapses, Releases, Renewals int
-	// OwedResume reports that the item was preempted and has not been resumed yet.
-	OwedResume     bool
+	LockExpiries, Releases, Renewals int
+	// ResumePending reports that the item was preempted and has not been resumed yet.
+	ResumePending  bool
 	Job            *Job
 	yieldRequested bool
 	// closedByAcquisition is the number of the acquisition that ended the item; closingRecordIndex is
@@ -113,7 +113,7 @@
 	if i.State != ItemAcquired || i.Runs != run {
 		return false
 	}
-	i.OwedResume = i.OwedResume || i.yieldRequested
+	i.ResumePending = i.ResumePending || i.yieldRequested
 	i.setState(ItemAvailable)
 	i.yieldRequested = false
 	if i.LastID == 0 {
--- a/internal/batch/dispatch/jobtable.go
+++ b/internal/batch/dispatch/jobtable.go
@@ -180,9 +180,9 @@
 	return nil
 }
 
-// Waiting returns the number of tokens of unfinished items of the jobs for which match returns true.
+// WaitingTokens returns the number of tokens of unfinished items of the jobs for which match returns true.
 // Only open jobs are visited: finished ones are kept for minutes, and submissions come in bursts.
-func (b *JobTable) Waiting(match func(job *Job) bool) int64 {
+func (b *JobTable) WaitingTokens(match func(job *Job) bool) int64 {
 	total := int64(0)
 	for _, job := range b.openJobs() {
 		if match(job) {
--- a/internal/batch/dispatch/jobtable_test.go
+++ b/internal/batch/dispatch/jobtable_test.go
@@ -15,16 +15,16 @@
 		t.Fatal("job record rejected")
 	}
 	all := func(*Job) bool { return true }
-	if jobs.Waiting(all) != 12 {
-		t.Fatal(jobs.Waiting(all))
+	if jobs.WaitingTokens(all) != 12 {
+		t.Fatal(jobs.WaitingTokens(all))
 	}
-	if apply(messages.Record{Kind: messages.RecordOutput, Job: "l", Item: "y"}) != nil || jobs.Waiting(all) != 5 {
+	if apply(messages.Record{Kind: messages.RecordOutput, Job: "l", Item: "y"}) != nil || jobs.WaitingTokens(all) != 5 {
 		t.Fatal("output record rejected, or waiting tokens not 5")
 	}
 	if apply(messages.Record{Kind: messages.RecordOutput, Job: "l", Item: "x", Position: 0}) == nil {
 		t.Fatal("second output at the same position was accepted")
 	}
-	if apply(messages.Record{Kind: messages.RecordJobEnd, Job: "l"}) != nil || jobs.Job("l").Open() || jobs.Waiting(all) != 0 {
+	if apply(messages.Record{Kind: messages.RecordJobEnd, Job: "l"}) != nil || jobs.Job("l").Open() || jobs.WaitingTokens(all) != 0 {
 		t.Fatal("ended job is open or has waiting tokens")
 	}
 	if got := jobs.Job("l").Listings; len(got) != 1 || got[0].Item != "y" {
--- a/internal/batch/dispatch/waiting_test.go
+++ b/internal/batch/dispatch/waiting_test.go
@@ -78,7 +78,7 @@
 			}
 			for _, path := range []string{"/0", "/1", ""} {
 				match := func(job *Job) bool { return path == "" || job.Path == path }
-				if got, want := table.Waiting(match), scanWaiting(table, match); got != want {
+				if got, want := table.WaitingTokens(match), scanWaiting(table, match); got != want {
 					t.Fatalf("seed %d step %d: got %d waiting tokens, want %d", seed, step, got, want)
 				}
 			}
@@ -105,7 +105,7 @@
 func BenchmarkWaiting(b *testing.B) {
 	jobs := benchmarkTable(b)
 	for b.Loop() {
-		jobs.Waiting(func(*Job) bool { return true })
+		jobs.WaitingTokens(func(*Job) bool { return true })
 	}
 }
 
--- a/internal/batch/executor/runner.go
+++ b/internal/batch/executor/runner.go
@@ -75,7 +75,7 @@
 			continue
 		}
 		job := &dispatch.Job{ID: acquiredItem.Job, Host: acquiredItem.Host, Path: acquiredItem.Path, SubmittedMs: acquiredItem.SubmittedMs}
-		item := &dispatch.Item{JobItem: acquiredItem.Item, Job: job, Events: acquiredItem.Events, LastID: acquiredItem.LastID, Preempted: acquiredItem.Preempted, OwedResume: acquiredItem.Owed}
+		item := &dispatch.Item{JobItem: acquiredItem.Item, Job: job, Events: acquiredItem.Events, LastID: acquiredItem.LastID, Preempted: acquiredItem.Preempted, ResumePending: acquiredItem.ResumePending}
 		task := &Task{Number: acquiredItem.Number, Item: item, Run: item.StartRun(), Since: now, lockedUntil: until, lastProgress: now}
 		r.inputBytes += item.InputBytes()
 		r.tasks[task.Number] = task
@@ -97,9 +97,9 @@
 	return tasks
 }
 
-// DropBefore makes Add reject items of epochs below the given one. It is called when all tasks are
+// RejectEpochsBefore makes Add reject items of epochs below the given one. It is called when all tasks are
 // reported to the leader of that epoch: responses of earlier leaders that arrive later are ignored.
-func (r *Runner) DropBefore(epoch uint64) { r.fencedEpoch = max(r.fencedEpoch, epoch) }
+func (r *Runner) RejectEpochsBefore(epoch uint64) { r.fencedEpoch = max(r.fencedEpoch, epoch) }
 
 // Renewals returns the renewals of all locks of tasks that deliver events or may still be
 // waiting for the first one, to be sent in one message. The other locks are left to expire.
@@ -132,9 +132,9 @@
 	return stopped
 }
 
-// Lapsed stops the tasks whose lock is about to expire and returns those that it stopped, so that
+// StopExpired stops the tasks whose lock is about to expire and returns those that it stopped, so that
 // their runs end before the next executor's run starts.
-func (r *Runner) Lapsed(now clock.Instant) []*Task {
+func (r *Runner) StopExpired(now clock.Instant) []*Task {
 	var stopped []*Task
 	for _, task := range r.All() {
 		if now >= task.lockedUntil {
--- a/internal/batch/executor/runner_test.go
+++ b/internal/batch/executor/runner_test.go
@@ -30,10 +30,10 @@
 	}
 	task := runner.Add(acquired(2), ms(0), ms(2000))[0]
 	end := ms(2500).Add(-constants.LockMargin)
-	if !task.MayRun(end-1) || task.MayRun(end) || len(runner.Lapsed(end-1)) != 0 {
+	if !task.MayRun(end-1) || task.MayRun(end) || len(runner.StopExpired(end-1)) != 0 {
 		t.Fatal("lock does not end at the request plus its duration less the margin")
 	}
-	if stopped := runner.Lapsed(end); len(stopped) != 1 || len(runner.Lapsed(end)) != 0 || len(runner.Renewals(end)) != 0 {
+	if stopped := runner.StopExpired(end); len(stopped) != 1 || len(runner.StopExpired(end)) != 0 || len(runner.Renewals(end)) != 0 {
 		t.Fatal("run with an expired lock was not stopped exactly once, or was renewed")
 	}
 }
@@ -116,7 +116,7 @@
 func TestDropBefore(t *testing.T) {
 	runner := New()
 	runner.Add(acquired(5<<40|1), ms(0), ms(100))
-	runner.DropBefore(6)
+	runner.RejectEpochsBefore(6)
 	if len(runner.Add(acquired(5<<40|2), ms(0), ms(100))) != 0 || len(runner.Add(acquired(6<<40|1), ms(0), ms(100))) != 1 || len(runner.Renewals(ms(100))) != 2 {
 		t.Fatal("item of an earlier leader was added, or an existing task was dropped")
 	}
@@ -137,7 +137,7 @@
 		}
 		runner.HandleRenewals(entries, []messages.AckVerdict{messages.AckRenewed}, ms(at), lock)
 	}
-	if !task.MayRun(ms(16_000)) || len(runner.Lapsed(ms(17_000))) != 1 {
+	if !task.MayRun(ms(16_000)) || len(runner.StopExpired(ms(17_000))) != 1 {
 		t.Fatal("hanging run was stopped too early or not at all")
 	}
 }
--- a/internal/batch/executorserver/executorserver.go
+++ b/internal/batch/executorserver/executorserver.go
@@ -159,7 +159,7 @@
 func (s *Server) maintain() {
 	now, epoch := clock.Now(), s.leader.LeaderEpoch()
 	s.lock.Lock()
-	s.stopRunsLocked(s.runner.Lapsed(now))
+	s.stopRunsLocked(s.runner.StopExpired(now))
 	due := !s.locks.renewing && now.Sub(s.locks.renewedAt) >= s.locks.duration/constants.RenewalsPerLock
 	// All acquisitions are reported to a new leader immediately.
 	due = due || epoch > s.locks.reportedEpoch
@@ -167,7 +167,7 @@
 	if due {
 		// Sent even without renewals, so that the dispatcher knows that this executor is alive.
 		entries = s.runner.Renewals(now)
-		s.runner.DropBefore(epoch)
+		s.runner.RejectEpochsBefore(epoch)
 		s.locks.reportedEpoch = max(s.locks.reportedEpoch, epoch)
 		s.locks.renewedAt = now
 		s.locks.renewing = true
--- a/internal/batch/executorserver/place.go
+++ b/internal/batch/executorserver/place.go
@@ -186,7 +186,7 @@
 	s.lock.Lock()
 	mayRun := task.MayRun(clock.Now()) && !s.draining
 	task.Started = mayRun
-	resumed, preemptible := item.OwedResume, item.Preempted < constants.PreemptionLimit
+	resumed, preemptible := item.ResumePending, item.Preempted < constants.PreemptionLimit
 	s.lock.Unlock()
 	if !mayRun {
 		resp.Grant.End(admission.ResultCanceled, now)
--- a/internal/batch/executorserver/run.go
+++ b/internal/batch/executorserver/run.go
@@ -77,12 +77,12 @@
 func (s *Server) collectEvents(task *executor.Task, response *proxy.Response, outgoing *proxy.Request) error {
 	splitter := &proxy.Splitter{}
 	if task.Item.LastID > 0 {
-		splitter.Next = task.Item.LastID + 1
+		splitter.NextID = task.Item.LastID + 1
 	}
 	return s.gossip.Sender.Stream(response, splitter, outgoing.Deadline, outgoing.SilenceTimeout, func(events []byte) error {
 		s.lock.Lock()
 		defer s.lock.Unlock()
-		if task.Stopped() || !task.Item.AppendEvents(task.Run, proxy.Data(events), splitter.Last) {
+		if task.Stopped() || !task.Item.AppendEvents(task.Run, proxy.EventData(events), splitter.LastID) {
 			return proxy.ErrNotSent.New("run was stopped or preempted")
 		}
 		task.NoteProgress(clock.Now())
@@ -166,7 +166,7 @@
 	task.Item.Requeue(task.Run)
 	s.lock.Unlock()
 	if ack.Preempted {
-		s.gossip.Scheduler.Counters(route.Name).Displaced.Add(1)
+		s.gossip.Scheduler.Counters(route.Name).Preempted.Add(1)
 	}
 	grant.End(result, clock.Now())
 	s.finishTask(task, ack)
--- a/internal/batch/jobclient/jobclient.go
+++ b/internal/batch/jobclient/jobclient.go
@@ -58,7 +58,7 @@
 
 // Page is the response to one read. Next is the next position to read, Sum the number of items.
 type Page struct {
-	Sum     int      `json:"sum"`
+	Total   int      `json:"sum"`
 	Next    int      `json:"next-token"`
 	Outputs []Output `json:"outputs"`
 }
@@ -185,7 +185,7 @@
 	if err = json.Unmarshal(resp.body, page); err != nil {
 		return nil, ErrCorruptResponse.Wrap(err, "decode page of job "+id)
 	}
-	if page.Next != cursor+len(page.Outputs) || page.Next > page.Sum {
+	if page.Next != cursor+len(page.Outputs) || page.Next > page.Total {
 		return nil, ErrCorruptResponse.New("page of job " + id + " has a next-token that does not match its outputs and sum")
 	}
 	return page, nil
@@ -222,15 +222,15 @@
 	return ErrInvalidCall.New(strconv.Itoa(resp.status) + " " + string(resp.body))
 }
 
-// Again reports whether a call that failed with err may be retried.
-func Again(err error) bool { return errs.Is(err, ErrOutcomeUnknown) }
+// IsRetryable reports whether a call that failed with err may be retried.
+func IsRetryable(err error) bool { return errs.Is(err, ErrOutcomeUnknown) }
 
 // Follow reads a job from the position from to its end and calls handle with each page.
 func (c *Client) Follow(ctx contexts.Context, id string, from int, handle func(page *Page) error) error {
 	for cursor := from; ; {
 		page, err := c.Read(ctx, id, cursor, time.Second)
 		if err != nil {
-			if !Again(err) || ctx.Err() != nil {
+			if !IsRetryable(err) || ctx.Err() != nil {
 				return err
 			}
 			c.wait(constants.LoadPollBackoff)
@@ -239,7 +239,7 @@
 		if err = handle(page); err != nil {
 			return err
 		}
-		if cursor = page.Next; cursor >= page.Sum {
+		if cursor = page.Next; cursor >= page.Total {
 			return nil
 		}
 		if ctx.Err() != nil {
--- a/internal/batch/leader/copy.go
+++ b/internal/batch/leader/copy.go
@@ -96,7 +96,7 @@
 		}
 		replicator := t.records.replicator
 		// While no record of this epoch is committed, the inherited records are copied.
-		return min(replicator.MatchIndex(register.Identity(member)), max(replicator.CommitIndex(), replicator.Inherited()))
+		return min(replicator.MatchIndex(register.Identity(member)), max(replicator.CommitIndex(), replicator.LastInheritedIndex()))
 	}
 	for _, member := range t.records.replicator.Members {
 		best = max(best, available(member))
--- a/internal/batch/leader/dispatch.go
+++ b/internal/batch/leader/dispatch.go
@@ -87,7 +87,7 @@
 		select {
 		case <-available:
 			// Many items usually become available at once: wait briefly to acquire them together.
-			clock.Sleep(constants.PumpPeriod / 2)
+			clock.Sleep(constants.PollPeriod / 2)
 		case <-t.lifecycle.stop:
 		case <-clock.After(min(end.Sub(now), constants.TickPeriod)):
 		}
@@ -103,8 +103,8 @@
 			Path: item.Job.Path, SubmittedMs: item.Job.SubmittedMs, Item: item.JobItem, LastID: item.LastID,
 			// The capacity is limited so that an executor in this process can't append to the
 			// leader's own slice.
-			Events: item.Events[:len(item.Events):len(item.Events)], Preempted: item.Preempted, Owed: item.OwedResume})
-		item.OwedResume = false
+			Events: item.Events[:len(item.Events):len(item.Events)], Preempted: item.Preempted, ResumePending: item.ResumePending})
+		item.ResumePending = false
 	}
 	return resp
 }
@@ -137,7 +137,7 @@
 		}
 	}
 	if req.Epoch > 0 {
-		t.items.dispatcher.ReportedAll(executor, req.Epoch, now)
+		t.items.dispatcher.MarkFullyReported(executor, req.Epoch, now)
 	}
 	t.lock.Unlock()
 	durable := last == 0 || t.awaitCommit(last, constants.RoundTimeout)
--- a/internal/batch/leader/intake.go
+++ b/internal/batch/leader/intake.go
@@ -67,7 +67,7 @@
 		}
 		in.waiting = in.waiting[1:]
 		in.drop(next.job)
-		in.admitted[next.job] = admittedJob{next.bytes, now.Add(constants.IntakeTime)}
+		in.admitted[next.job] = admittedJob{next.bytes, now.Add(constants.IntakeTimeout)}
 		in.bytes += next.bytes
 		close(next.admitted)
 	}
--- a/internal/batch/leader/intake_test.go
+++ b/internal/batch/leader/intake_test.go
@@ -49,11 +49,11 @@
 	if !in.withdraw(offers[3]) || in.withdraw(offers[2]) {
 		t.Fatal("want a waiting offer withdrawn and an admitted one kept")
 	}
-	in.admit(now.Add(constants.IntakeTime - 1))
+	in.admit(now.Add(constants.IntakeTimeout - 1))
 	if state() != "012" {
 		t.Fatal(state())
 	}
-	in.admit(clock.Now().Add(constants.IntakeTime))
+	in.admit(clock.Now().Add(constants.IntakeTimeout))
 	if state() != "0124" || in.bytes != half || len(in.admitted) != 1 {
 		t.Fatal(state(), in.bytes)
 	}
--- a/internal/batch/leader/latency.go
+++ b/internal/batch/leader/latency.go
@@ -36,11 +36,11 @@
 func (l *appendLatency) isSlow(identity string) bool {
 	var others []float64
 	for name, mean := range l.means {
-		if name != identity && l.counts[name] >= constants.LagLeast {
+		if name != identity && l.counts[name] >= constants.LagSamplesMin {
 			others = append(others, mean)
 		}
 	}
-	if len(others) == 0 || l.counts[identity] < constants.LagLeast {
+	if len(others) == 0 || l.counts[identity] < constants.LagSamplesMin {
 		return false
 	}
 	slices.Sort(others)
--- a/internal/batch/leader/quota.go
+++ b/internal/batch/leader/quota.go
@@ -52,7 +52,7 @@
 // waitingTokens returns the sum of the tokens that wait on a route, including those of jobs that are
 // not yet committed. The lock is held.
 func (t *Term) waitingTokens(config *routeconfig.Config, route *routeconfig.Route) int64 {
-	total := t.jobs.Waiting(func(job *dispatch.Job) bool {
+	total := t.jobs.WaitingTokens(func(job *dispatch.Job) bool {
 		return !t.submissions.ending[job.ID] && t.submissions.quota.route(config, submitPath{job.Host, job.Path}) == route
 	})
 	for _, pending := range t.submissions.quota.pending {
--- a/internal/batch/leader/report.go
+++ b/internal/batch/leader/report.go
@@ -58,7 +58,7 @@
 				acquired++
 			}
 			deliveries += item.Runs
-			lapses += item.Lapses
+			lapses += item.LockExpiries
 			releases += item.Releases
 			failures += len(item.FailedBy)
 			renewals += item.Renewals
--- a/internal/batch/replication/replicator.go
+++ b/internal/batch/replication/replicator.go
@@ -81,8 +81,8 @@
 // InNextSet reports whether enough members of the new store set have synced all records up to an index.
 func (p *Replicator) InNextSet(index int64) bool { return p.replicatedIndexIn(p.Next) >= index }
 
-// Inherited returns the index of the last record of earlier epochs, with which this epoch started.
-func (p *Replicator) Inherited() int64 { return p.first - 1 }
+// LastInheritedIndex returns the index of the last record of earlier epochs, with which this epoch started.
+func (p *Replicator) LastInheritedIndex() int64 { return p.first - 1 }
 
 // CommitIndex returns the index up to which all records are durable.
 func (p *Replicator) CommitIndex() int64 { return p.commitIndex }
--- a/internal/batch/store/budget_test.go
+++ b/internal/batch/store/budget_test.go
@@ -94,7 +94,7 @@
 		// The first set is smaller than the budget requires, and grows under load.
 		fleet = newSimFleetOf(t, seed, 9, 2, 3)
 	}
-	fleet.world.Loss, fleet.world.Double = 0.04, 0.04
+	fleet.world.LossProbability, fleet.world.DuplicateProbability = 0.04, 0.04
 	fleet.electAny()
 	for len(fleet.set) < 5 {
 		fleet.awaitAcknowledged()
--- a/internal/batch/store/jobs_test.go
+++ b/internal/batch/store/jobs_test.go
@@ -142,7 +142,7 @@
 	acknowledged := 0
 	for seed := int64(1); seed <= int64(simulation.Seeds(60)); seed++ {
 		fleet := newSimFleet(t, seed, 4)
-		fleet.world.Loss, fleet.world.Double = 0.05, 0.05
+		fleet.world.LossProbability, fleet.world.DuplicateProbability = 0.05, 0.05
 		fleet.electAny()
 		for round := 0; round < 6; round++ {
 			fleet.submitJobs(6)
@@ -171,12 +171,12 @@
 func TestSameSeedSameHistory(t *testing.T) {
 	historySum := func() uint64 {
 		fleet := newSimFleet(t, 5, 3)
-		fleet.world.Loss = 0.1
+		fleet.world.LossProbability = 0.1
 		fleet.electAny()
 		fleet.submitJobs(10)
 		fleet.electAny()
 		fleet.submitJobs(10)
-		return fleet.world.Sum()
+		return fleet.world.HistoryHash()
 	}
 	if first, second := historySum(), historySum(); first != second {
 		t.Fatal("two runs with the same seed differ")
--- a/internal/batch/store/losses_test.go
+++ b/internal/batch/store/losses_test.go
@@ -145,7 +145,7 @@
 		store.down = kind < lossFull
 		switch kind {
 		case lossFull:
-			store.disk.Free = s.world.Random.Intn(300)
+			store.disk.FreeBytes = s.world.Random.Intn(300)
 		case lossSync:
 			store.disk.Intercept = func(operation simulation.Operation, _ string) error {
 				if operation == simulation.OperationSync {
@@ -170,7 +170,7 @@
 func (s *simFleet) repair(lost []string) {
 	for _, name := range lost {
 		store := s.stores[name]
-		store.disk.Free, store.disk.Intercept, store.faulty = -1, nil, false
+		store.disk.FreeBytes, store.disk.Intercept, store.faulty = -1, nil, false
 		s.open(store)
 	}
 	s.electAny()
@@ -188,7 +188,7 @@
 
 	budget := 1 + int(seed%2)
 	fleet := newSimFleetOf(t, seed, 2*budget+4, budget, 2*budget+1)
-	fleet.world.Loss, fleet.world.Double = 0.03, 0.03
+	fleet.world.LossProbability, fleet.world.DuplicateProbability = 0.03, 0.03
 	fleet.electAny()
 	for round := 0; round < 6; round++ {
 		fleet.awaitAcknowledged()
--- a/internal/batch/store/overload_test.go
+++ b/internal/batch/store/overload_test.go
@@ -32,7 +32,7 @@
 	t.Helper()
 
 	cluster := newCluster(t, seed)
-	cluster.world.Loss, cluster.world.Double = 0.03, 0.03
+	cluster.world.LossProbability, cluster.world.DuplicateProbability = 0.03, 0.03
 	cluster.electAny()
 	cluster.dispatch()
 	for count := 0; count < 6; count++ {
@@ -118,7 +118,7 @@
 }
 
 func TestOverloadSameSeedSameHistory(t *testing.T) {
-	if first, second := playOverload(t, 9).world.Sum(), playOverload(t, 9).world.Sum(); first != second {
+	if first, second := playOverload(t, 9).world.HistoryHash(), playOverload(t, 9).world.HistoryHash(); first != second {
 		t.Fatal("two runs with the same seed differ")
 	}
 }
--- a/internal/batch/store/secondloss_test.go
+++ b/internal/batch/store/secondloss_test.go
@@ -85,7 +85,7 @@
 func TestSecondLossBeforeTheCopiesAreComplete(t *testing.T) {
 	for seed := int64(1); seed <= int64(simulation.Seeds(60)); seed++ {
 		fleet := newSimFleetOf(t, seed, 9, 2, 5)
-		fleet.world.Loss, fleet.world.Double = 0.03, 0.03
+		fleet.world.LossProbability, fleet.world.DuplicateProbability = 0.03, 0.03
 		fleet.electAny()
 		for round := 0; round < 3; round++ {
 			fleet.awaitAcknowledged()
--- a/internal/batch/store/share_callers_test.go
+++ b/internal/batch/store/share_callers_test.go
@@ -117,7 +117,7 @@
 		}
 		for _, item := range job.Items {
 			if listed[item.ID] == 0 && (s.accepted[item.ID] != "" || !job.Ended) {
-				s.t.Fatalf("seed %d: %s is not listed; state %d, acknowledged %q, lock expiries %d", seed, item.ID, item.State, s.accepted[item.ID], item.Lapses)
+				s.t.Fatalf("seed %d: %s is not listed; state %d, acknowledged %q, lock expiries %d", seed, item.ID, item.State, s.accepted[item.ID], item.LockExpiries)
 			}
 		}
 	}
--- a/internal/batch/store/share_executor_test.go
+++ b/internal/batch/store/share_executor_test.go
@@ -30,7 +30,7 @@
 	if cluster.frozen[s.name] {
 		return
 	}
-	s.stopTasks(s.core.Lapsed(s.now()))
+	s.stopTasks(s.core.StopExpired(s.now()))
 	if all, _ := s.core.Count(); all < 4 && !s.acquiring {
 		s.acquire()
 	}
@@ -115,7 +115,7 @@
 			last = max(last, outcome.Index)
 		}
 		if epoch > 0 {
-			dispatcher.ReportedAll(sender, epoch, cluster.clockValue(leader.address))
+			dispatcher.MarkFullyReported(sender, epoch, cluster.clockValue(leader.address))
 		}
 		cluster.whenDurable(leader, last, 100, func() {
 			cluster.send(leader.address, s.name, s.ifSameIncarnation(incarnation, func() { handleVerdicts(verdicts) }))
@@ -130,7 +130,7 @@
 		return
 	}
 	epoch := s.cluster.leader.epoch
-	s.core.DropBefore(epoch)
+	s.core.RejectEpochsBefore(epoch)
 	if entries := s.core.Renewals(sentAt); true {
 		s.acknowledge(entries, epoch, func(verdicts []messages.AckVerdict) {
 			s.stopTasks(s.core.HandleRenewals(entries, verdicts, sentAt, dispatch.LockDuration(shareCancelMs)))
--- a/internal/batch/store/share_test.go
+++ b/internal/batch/store/share_test.go
@@ -15,7 +15,7 @@
 	t.Helper()
 
 	cluster := newShareCluster(t, seed)
-	cluster.world.Loss, cluster.world.Double = 0.06, 0.06
+	cluster.world.LossProbability, cluster.world.DuplicateProbability = 0.06, 0.06
 	cluster.electAny()
 	cluster.reconcileAll()
 	cluster.readPeriodically()
@@ -70,7 +70,7 @@
 		s.thaw(name)
 		s.isolate(name, names, false)
 	}
-	s.world.Loss, s.world.Double = 0, 0
+	s.world.LossProbability, s.world.DuplicateProbability = 0, 0
 	s.world.Run(s.world.Now.Add(clock.Milliseconds(6000)))
 	s.changeLeader()
 	s.world.Run(s.world.Now.Add(clock.Milliseconds(35_000)))
@@ -129,7 +129,7 @@
 		cluster.checkCalls(seed)
 		total["calls"] += int64(cluster.calls.history.Clear())
 		for _, dispatcher := range cluster.dispatchers {
-			total["lapses"] += dispatcher.Counts.Lapses
+			total["lapses"] += dispatcher.Counts.LockExpiries
 			total["adopted"] += dispatcher.Counts.Adopted
 			total["releases"] += dispatcher.Counts.Releases
 			total["late"] += dispatcher.Counts.Late
@@ -149,7 +149,7 @@
 }
 
 func TestShareGroupSameSeedSameHistory(t *testing.T) {
-	if first, second := playShareGroup(t, 7).world.Sum(), playShareGroup(t, 7).world.Sum(); first != second {
+	if first, second := playShareGroup(t, 7).world.HistoryHash(), playShareGroup(t, 7).world.HistoryHash(); first != second {
 		t.Fatal("two runs with the same seed differ")
 	}
 }
--- a/internal/control/assignmentserver/assignmentserver.go
+++ b/internal/control/assignmentserver/assignmentserver.go
@@ -111,7 +111,7 @@
 	if err != nil {
 		return nil, err
 	}
-	plan, err := adapterplan.Told(value.Current, value.Body)
+	plan, err := adapterplan.DecodePlan(value.Current, value.Body)
 	if err != nil {
 		return nil, err
 	}
@@ -155,7 +155,7 @@
 	if req.Complete {
 		return &plan, nil
 	}
-	return adapterplan.Part(&plan, req.Node), nil
+	return adapterplan.NodePlan(&plan, req.Node), nil
 }
 
 // handleApply puts an operator's rules in force, based on the revision for which they were
@@ -165,7 +165,7 @@
 	if err != nil {
 		return &messages.PlanApplyResponse{Reason: "no majority of the register answers: " + err.Error()}, nil
 	}
-	if len(req.Rules)+len(req.Solution) > constants.PlanBody {
+	if len(req.Rules)+len(req.Solution) > constants.PlanBytesMax {
 		return &messages.PlanApplyResponse{Reason: "rules and answer are too large for the register"}, nil
 	}
 	if string(current.Value.Rules) == string(req.Rules) {
--- a/internal/control/assignmentserver/replan.go
+++ b/internal/control/assignmentserver/replan.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		return nil, result, err
 	}
-	plan, err := adapterplan.Told(value.Current, value.Body)
+	plan, err := adapterplan.DecodePlan(value.Current, value.Body)
 	if err == nil {
 		s.apply(plan)
 	}
@@ -53,7 +53,7 @@
 func (s *Server) replanDue(plan *messages.PlanResponse) (absent []string, due bool) {
 	now := clock.Now()
 	s.lock.Lock()
-	absent = s.presence.Gone(plan, s.present(), now)
+	absent = s.presence.Absent(plan, s.present(), now)
 	backoffOver := now.Sub(s.changedAt) > constants.PlanBackoff
 	s.lock.Unlock()
 	return absent, backoffOver && !slices.Equal(absent, plan.Absent)
@@ -66,7 +66,7 @@
 	if err != nil || current.Revision != plan.Revision {
 		return
 	}
-	next, moves, err := adapterplan.Anew(&current.Value, absent)
+	next, moves, err := adapterplan.Replan(&current.Value, absent)
 	if err != nil {
 		s.node.Log.Error("replanning assignments failed", "absent", strings.Join(absent, ","), "err", err.Error())
 		return
--- a/internal/control/broadcast/broadcast_test.go
+++ b/internal/control/broadcast/broadcast_test.go
@@ -150,7 +150,7 @@
 			}
 			if generation == 2 {
 				detached = fleet.injectFault(int(seed%5), controller)
-				fleet.Loss = 0.02
+				fleet.LossProbability = 0.02
 			}
 			controller.applyConfig(generation)
 			acknowledged := clock.Instant(0)
--- a/internal/control/contact/contact_test.go
+++ b/internal/control/contact/contact_test.go
@@ -138,7 +138,7 @@
 			first.Acceptors = append(first.Acceptors, member(i))
 		}
 		p.sets, p.followed = []messages.RegisterValue{first}, contact.Versions{SetEpoch: 1}
-		p.Loss, p.Double = 0.1*p.Random.Float64(), 0.05
+		p.LossProbability, p.DuplicateProbability = 0.1*p.Random.Float64(), 0.05
 		p.every(constants.ContactPeriod, p.round)
 		p.every(2*constants.ContactPeriod, p.propose)
 		p.every(50_000_000, p.check)
--- a/internal/control/controller/plans_test.go
+++ b/internal/control/controller/plans_test.go
@@ -70,7 +70,7 @@
 		{"lost its race", messages.PlanApplyRequest{Base: 0, Rules: next, Solution: nextResponse}, false, 1, "another plan"},
 		{"answer of other rules", messages.PlanApplyRequest{Base: 1, Rules: next, Solution: resp}, false, 1, "another generation"},
 		{"old generation", messages.PlanApplyRequest{Base: 1, Rules: append([]byte("# older\n"), rules...), Solution: resp}, false, 1, "generation is not above"},
-		{"too large", messages.PlanApplyRequest{Base: 1, Rules: append(bytes.Repeat([]byte("# long\n"), constants.PlanBody/7), next...), Solution: nextResponse}, false, 1, "too large"},
+		{"too large", messages.PlanApplyRequest{Base: 1, Rules: append(bytes.Repeat([]byte("# long\n"), constants.PlanBytesMax/7), next...), Solution: nextResponse}, false, 1, "too large"},
 		{"next", messages.PlanApplyRequest{Base: 1, Rules: next, Solution: nextResponse}, true, 2, ""},
 	} {
 		response := &messages.PlanApplyResponse{}
--- a/internal/control/lease/simulation_test.go
+++ b/internal/control/lease/simulation_test.go
@@ -25,7 +25,7 @@
 func newCandidates(seed int64) *candidates {
 	c := &candidates{world: simulation.NewWorld(seed), names: []string{"a", "b", "c"},
 		grantors: map[string]*lease.Grantor{}, leases: map[string]*lease.Lease{}}
-	c.world.Loss, c.world.Double = 0.1, 0.05
+	c.world.LossProbability, c.world.DuplicateProbability = 0.1, 0.05
 	for _, name := range c.names {
 		c.grantors[name] = lease.NewGrantor(c.world.Now, true)
 		c.leases[name] = &lease.Lease{}
--- a/internal/control/membership/cut_test.go
+++ b/internal/control/membership/cut_test.go
@@ -28,7 +28,7 @@
 	t.Helper()
 
 	s := &shufflers{test: t, seed: seed, world: simulation.NewWorld(seed), views: map[string]*membership.View{}}
-	s.world.Loss = 0.1
+	s.world.LossProbability = 0.1
 	for i := 0; i < 12; i++ {
 		name := fmt.Sprint("n", i)
 		s.names = append(s.names, name)
--- a/internal/control/membership/membership.go
+++ b/internal/control/membership/membership.go
@@ -168,7 +168,7 @@
 			sameZone = append(sameZone, entry.Address)
 		}
 	}
-	if len(sameZone) > 0 && v.random.Intn(constants.FarShuffle) > 0 {
+	if len(sameZone) > 0 && v.random.Intn(constants.OtherZoneShuffleRounds) > 0 {
 		live = sameZone
 	}
 	if len(live) == 0 {
--- a/internal/control/membership/reports_test.go
+++ b/internal/control/membership/reports_test.go
@@ -110,11 +110,11 @@
 		zones[entry.Zone]++
 	}
 	size := ViewSize(population)
-	if got := len(view.All(RoleGateway, now)); got != size || view.Population(RoleGateway, now) != population || zones["a"] < size-3*(constants.FarLinks+1) {
+	if got := len(view.All(RoleGateway, now)); got != size || view.Population(RoleGateway, now) != population || zones["a"] < size-3*(constants.OtherZonePeersMin+1) {
 		t.Fatal(got, view.Population(RoleGateway, now), zones)
 	}
 	for zone, count := range zones {
-		if count < constants.FarLinks {
+		if count < constants.OtherZonePeersMin {
 			t.Fatal(zone, count)
 		}
 	}
--- a/internal/control/membership/viewsize.go
+++ b/internal/control/membership/viewsize.go
@@ -24,7 +24,7 @@
 }
 
 // selectPeers returns the processes of a role that an owner retains, at most limit: first the
-// constants.FarLinks of lowest weight in each other zone, then those of the owner's zone, then the
+// constants.OtherZonePeersMin of lowest weight in each other zone, then those of the owner's zone, then the
 // rest, each by weight. Every process that selects for the same owner from the same list gets the
 // same result.
 func selectPeers(owner messages.NodeInfo, entries []messages.NodeInfo, limit int) []messages.NodeInfo {
@@ -48,7 +48,7 @@
 			return 1
 		}
 		otherZoneCounts[entry.Zone]++
-		if otherZoneCounts[entry.Zone] <= constants.FarLinks {
+		if otherZoneCounts[entry.Zone] <= constants.OtherZonePeersMin {
 			return 0
 		}
 		return 2
--- a/internal/control/register/budget_test.go
+++ b/internal/control/register/budget_test.go
@@ -66,7 +66,7 @@
 func TestAcknowledgedSurvivesTwoLosses(t *testing.T) {
 	for seed := int64(1); seed <= int64(simulation.Seeds(120)); seed++ {
 		fleet := newGrowingFleet(t, seed)
-		fleet.world.Loss, fleet.world.Double = 0.02, 0.02
+		fleet.world.LossProbability, fleet.world.DuplicateProbability = 0.02, 0.02
 		if seed%3 == 0 {
 			fleet.maxSyncMs = 60
 		}
--- a/internal/control/register/operators_test.go
+++ b/internal/control/register/operators_test.go
@@ -205,7 +205,7 @@
 	total := map[string]int{}
 	for seed := int64(1); seed <= int64(simulation.Seeds(120)); seed++ {
 		operators := newOperators(t, seed)
-		operators.world.Loss, operators.world.Double, operators.crashProbability = 0.03, 0.03, 0.03
+		operators.world.LossProbability, operators.world.DuplicateProbability, operators.crashProbability = 0.03, 0.03, 0.03
 		operators.maxSyncMs = float64(seed%3) * 8
 		for index := range 8 {
 			operators.run(fmt.Sprint("operator", index), 14)
--- a/internal/control/register/trouble_test.go
+++ b/internal/control/register/trouble_test.go
@@ -13,7 +13,7 @@
 	names := []string{"a", "b", "c"}
 	for seed := int64(1); seed <= 150; seed++ {
 		fleet := newFleet(t, seed, names...)
-		fleet.world.Loss, fleet.world.Double = 0.05, 0.05
+		fleet.world.LossProbability, fleet.world.DuplicateProbability = 0.05, 0.05
 		generation, base := int64(0), int64(0)
 		for round := 0; round < 12; round++ {
 			// Two operators base a change on the same version at different nodes.
@@ -46,13 +46,13 @@
 func TestSameSeedSameHistory(t *testing.T) {
 	sum := func() uint64 {
 		fleet := newFleet(t, 7, "a", "b", "c")
-		fleet.world.Loss = 0.1
+		fleet.world.LossProbability = 0.1
 		for step := int64(1); step < 6; step++ {
 			fleet.replace("a", step, step-1, "x")
 			fleet.replace("b", step, step-1, "y")
 			fleet.world.Run(fleet.world.Now.Add(clock.Milliseconds(3000)))
 		}
-		return fleet.world.Sum()
+		return fleet.world.HistoryHash()
 	}
 	if first, second := sum(), sum(); first != second {
 		t.Fatal("the same seed produced two different histories")
@@ -131,7 +131,7 @@
 	for seed := int64(1); seed <= 300; seed++ {
 		fleet := newFleet(t, seed, "a", "b", "c")
 		fleet.addNonMember("d")
-		fleet.world.Loss = 0.3
+		fleet.world.LossProbability = 0.3
 		fleet.replace("a", 1, 0, "1")
 		fleet.world.Run(clock.Instant(3_000_000_000))
 		base := fleet.newest("a")
@@ -191,7 +191,7 @@
 	for seed := int64(1); seed <= 80; seed++ {
 		fleet := newFleet(t, seed, "a", "b", "c")
 		fleet.addNonMember("d")
-		fleet.world.Loss = 0.03
+		fleet.world.LossProbability = 0.03
 		fleet.maxSyncMs = 120
 		names := []string{"a", "b", "c", "d"}
 		generation, base := int64(0), int64(0)
--- a/internal/control/register/worst_test.go
+++ b/internal/control/register/worst_test.go
@@ -87,7 +87,7 @@
 	totalLosses := 0
 	for seed := int64(1); seed <= int64(simulation.Seeds(80)); seed++ {
 		w := &repairFleet{growingFleet: newGrowingFleet(t, seed)}
-		w.world.Loss, w.world.Double = 0.02, 0.02
+		w.world.LossProbability, w.world.DuplicateProbability = 0.02, 0.02
 		w.maxSyncMs = float64(seed%3) * 15
 		w.onChosen = w.handleChosen
 		if !w.runUntil(clock.Milliseconds(20_000), w.complete) {
--- a/internal/control/registerserver/maintainer.go
+++ b/internal/control/registerserver/maintainer.go
@@ -103,7 +103,7 @@
 
 // isUnresponsive reports whether no process was in contact with a member for
 // constants.ReplaceAfter. For a member in this process's own zone the shorter
-// constants.SucceedAfter applies: this process is assumed to be its replacement, and until it has
+// constants.ReplaceInZoneAfter applies: this process is assumed to be its replacement, and until it has
 // joined, the set tolerates one loss less.
 func (m *SetMaintainer) isUnresponsive(member messages.Member) bool {
 	limit, age, known := constants.ReplaceAfter, int64(0), false
@@ -113,7 +113,7 @@
 		}
 		age, known = controller.AgeMs, true
 		if controller.Zone == m.replica.Node.Self.Zone {
-			limit = constants.SucceedAfter
+			limit = constants.ReplaceInZoneAfter
 		}
 	}
 	if known && age < limit.Milliseconds() {
--- a/internal/platform/constants/assign.go
+++ b/internal/platform/constants/assign.go
@@ -4,19 +4,19 @@
 
 // Adapter placement.
 const (
-	// PlanTime is the timeout of planning for an operator, who then sees that the result is
+	// PlanTimeout is the timeout of planning for an operator, who then sees that the result is
 	// undecided. Most files take well under a second, but some inputs could take forever.
-	PlanTime = time.Minute
-	// PlanEffort is the most clauses that the solver may learn for one request, which is one to
+	PlanTimeout = time.Minute
+	// PlanClausesMax is the most clauses that the solver may learn for one request, which is one to
 	// two seconds of work. It is a count rather than a time so that the result is the same on
 	// every machine.
-	PlanEffort = 20000
-	// NamingEffort is the same limit for shortening the list of adapters in a collision report.
-	NamingEffort = 500
-	// PlanBody is the maximum size, in bytes, of the rules and the solution in the register of
+	PlanClausesMax = 20000
+	// CollisionClausesMax is the same limit for shortening the list of adapters in a collision report.
+	CollisionClausesMax = 500
+	// PlanBytesMax is the maximum size, in bytes, of the rules and the solution in the register of
 	// assignments. Rules for 200 nodes take 30,000 bytes, and each round of the register
 	// carries them.
-	PlanBody = 256 << 10
+	PlanBytesMax = 256 << 10
 	// PlanPeriod is the period at which a controller checks for absent nodes of the rules.
 	PlanPeriod = 2 * time.Second
 	// PlanAbsentAfter is the silence after which a node counts as absent: longer than a restart
@@ -25,6 +25,6 @@
 	// PlanBackoff is the minimum time between two plans that a controller makes without an
 	// operator's request, so that a flapping node does not move adapters each time.
 	PlanBackoff = 10 * time.Second
-	// PlanForget is the silence after which a node counts as never seen.
-	PlanForget = 24 * time.Hour
+	// PlanForgetAfter is the silence after which a node counts as never seen.
+	PlanForgetAfter = 24 * time.Hour
 )
--- a/internal/platform/constants/constants.go
+++ b/internal/platform/constants/constants.go
@@ -90,23 +90,23 @@
 	IndexNodes = 4000
 	// PromptPartsMax is the maximum number of parts of a prompt that the index considers.
 	PromptPartsMax = 32
-	// ReadRate is the initial estimate of the prefill rate, in prompt tokens per ms, until
+	// PrefillRateGuess is the initial estimate of the prefill rate, in prompt tokens per ms, until
 	// observed streams refine it.
-	ReadRate = 120.0
-	// FirstGuess is the initial estimate, in ms, of the time from the end of the prefill to the
+	PrefillRateGuess = 120.0
+	// FirstEventMsGuess is the initial estimate, in ms, of the time from the end of the prefill to the
 	// first event. It is that long because an event contains several tokens.
-	FirstGuess = 30.0
-	// StepGuess is the initial estimate, in ms, of the wait that each running request adds for
+	FirstEventMsGuess = 30.0
+	// RunningRequestMsGuess is the initial estimate, in ms, of the wait that each running request adds for
 	// the others.
-	StepGuess = 0.4
-	// RelayAfter is how many stores must have failed to respond before a call is relayed to
+	RunningRequestMsGuess = 0.4
+	// RelayAfterFailures is how many stores must have failed to respond before a call is relayed to
 	// another gateway, and the maximum number of gateways tried.
-	RelayAfter = 2
-	// LongReading is the prefill time, in ms, above which peers are notified of a prompt at
+	RelayAfterFailures = 2
+	// LongPrefillMs is the prefill time, in ms, above which peers are notified of a prompt at
 	// once: other requests would wait behind it for longer than gossip takes.
-	LongReading = 12.0
-	// ErrPenalty is the risk, in ms of score, of a worker that is suspect.
-	ErrPenalty = 4000.0
+	LongPrefillMs = 12.0
+	// SuspectPenaltyMs is the risk, in ms of score, of a worker that is suspect.
+	SuspectPenaltyMs = 4000.0
 )
 
 // Preemption.
@@ -128,10 +128,10 @@
 
 // Data plane.
 const (
-	// PumpPeriod is the polling period of waiting requests and connections.
-	PumpPeriod = 15 * time.Millisecond
-	// LeastConnections is the minimum number of connections to a worker that a node may open.
-	LeastConnections = 4
+	// PollPeriod is the polling period of waiting requests and connections.
+	PollPeriod = 15 * time.Millisecond
+	// ConnectionsMin is the minimum number of connections to a worker that a node may open.
+	ConnectionsMin = 4
 	// RequestLimit is the limit of request bodies, in bytes, until a configuration is known. The
 	// operator API and the emulated workers limit bodies to multiples of it.
 	RequestLimit = 4 << 20
@@ -140,8 +140,8 @@
 	// BufferedResponseMax is the size in bytes up to which a non-streaming response is buffered
 	// completely, so that a truncated one can be retried before the client has received a byte.
 	BufferedResponseMax = 256 << 10
-	// WorkerDial bounds a connection attempt to a worker. The latency of links is low.
-	WorkerDial = 250 * time.Millisecond
+	// WorkerDialTimeout bounds a connection attempt to a worker. The latency of links is low.
+	WorkerDialTimeout = 250 * time.Millisecond
 	// StreamTimeout is the silence after which a retryable stream resumes at another worker,
 	// until the usual latency of the service has been learned. Clients give up after two seconds.
 	StreamTimeout = 900 * time.Millisecond
--- a/internal/platform/constants/dispatch.go
+++ b/internal/platform/constants/dispatch.go
@@ -15,8 +15,8 @@
 	// LockMargin is how long before the end of its lock an executor stops, by its own monotonic
 	// clock. The clocks of machines drift by far less in that time.
 	LockMargin = 150 * time.Millisecond
-	// LockUnstated is the lock if the settings contain no cancel-ms.
-	LockUnstated = 2 * time.Second
+	// LockDefault is the lock if the settings contain no cancel-ms.
+	LockDefault = 2 * time.Second
 	// RenewalsPerLock is how many times a lock is renewed within its length, so that two
 	// messages may be lost.
 	RenewalsPerLock = 4
--- a/internal/platform/constants/gossip.go
+++ b/internal/platform/constants/gossip.go
@@ -13,28 +13,28 @@
 	// GossipLoads is the maximum number of load samples in a packet: those of a zone with 150
 	// workers. With them the packet stays within 1,400 bytes.
 	GossipLoads = 144
-	// GossipMinChange is the maximum age of a load observation that is passed on: an older one
+	// GossipAgeMax is the maximum age of a load observation that is passed on: an older one
 	// would expire before it is used.
-	GossipMinChange = 2 * GossipPeriod
+	GossipAgeMax = 2 * GossipPeriod
 	// GossipPrefixes is the maximum number of residency samples in a packet, and
 	// GossipPrefixLeast the minimum length, in tokens, of a prefix that is worth one.
 	GossipPrefixes    = 16
 	GossipPrefixLeast = 1000
 	// GossipFanout is the number of neighbours in its own zone to which a process sends a packet.
 	GossipFanout = 3
-	// LonelyAfter is the silence after which a neighbour no longer counts as a sender. A process
+	// GossipSenderTimeout is the silence after which a neighbour no longer counts as a sender. A process
 	// with fewer than two senders requests packets from the processes to which it sends. Each
-	// process serves at most TieLimit such requesters, each for TieTime after its last request.
-	LonelyAfter = 2500 * time.Millisecond
-	TieLimit    = 2
-	TieTime     = 20 * time.Second
+	// process serves at most ReplyPeersMax such requesters, each for ReplyPeerDuration after its last request.
+	GossipSenderTimeout = 2500 * time.Millisecond
+	ReplyPeersMax       = 2
+	ReplyPeerDuration   = 20 * time.Second
 	// NeighbourAge is the maximum age of the last contact with a process, reported by others
 	// included, for it to be selected as a neighbour. Shuffles take some seconds to spread
 	// through a large fleet.
 	NeighbourAge = 10 * time.Second
-	// ReadingFanout is the maximum number of peers that are notified of a long prefill: all of a
+	// PrefillFanout is the maximum number of peers that are notified of a long prefill: all of a
 	// small fleet, and the nearest ones of a large fleet.
-	ReadingFanout = 12
+	PrefillFanout = 12
 	// PressureFanout is the number of stores to which a pressure notice is sent, and
 	// PressureHops how often they forward it. The cost is the same in a fleet of any size.
 	PressureFanout = 3
@@ -43,16 +43,16 @@
 
 // Selection of workers by a process of a large fleet.
 const (
-	// FullFor is the minimum time for which an observation that a worker was full counts: the
+	// FullDurationMin is the minimum time for which an observation that a worker was full counts: the
 	// duration of a few requests.
-	FullFor = 350 * time.Millisecond
-	// SpreadMs is the random part, in ms, of a non-engine worker's score. It is smaller than the
+	FullDurationMin = 350 * time.Millisecond
+	// ScoreJitterMs is the random part, in ms, of a non-engine worker's score. It is smaller than the
 	// 2 ms that another zone costs.
-	SpreadMs = 1.0
+	ScoreJitterMs = 1.0
 	// ReachAllUpTo is the number of workers of a service up to which a node considers all of
-	// them. Of more, it considers ReachSubset, and in addition up to ReachHomes home workers
-	// and up to ReachHomes holders of a long prefix.
-	ReachAllUpTo = 24
-	ReachSubset  = 8
-	ReachHomes   = 4
+	// them. Of more, it considers ReachSubset, and in addition up to ReachPrefixWorkers home workers
+	// and up to ReachPrefixWorkers holders of a long prefix.
+	ReachAllUpTo       = 24
+	ReachSubset        = 8
+	ReachPrefixWorkers = 4
 )
--- a/internal/platform/constants/inbound.go
+++ b/internal/platform/constants/inbound.go
@@ -46,11 +46,11 @@
 	// ClientRateWindow is the time over which the bytes received from a client are counted, to
 	// find the slowest client.
 	ClientRateWindow = time.Second
-	// ClientDeafTime is how long a client may leave a response unread before its connection may
+	// ClientUnreadTimeout is how long a client may leave a response unread before its connection may
 	// be closed in favour of a new one.
-	ClientDeafTime = 3 * time.Second
-	// ClientRoomTimeout is how long a request waits for memory that other requests are freeing.
-	ClientRoomTimeout = 250 * time.Millisecond
+	ClientUnreadTimeout = 3 * time.Second
+	// ClientMemoryTimeout is how long a request waits for memory that other requests are freeing.
+	ClientMemoryTimeout = 250 * time.Millisecond
 	// ClientRetryAfter is the Retry-After of a request that was rejected for lack of memory.
 	ClientRetryAfter = 250 * time.Millisecond
 	// ClientRefusalTimeout bounds the writing of a rejection.
--- a/internal/platform/constants/lab.go
+++ b/internal/platform/constants/lab.go
@@ -101,8 +101,8 @@
 	LoadRate  = 5000
 	// LoadOpen is the maximum number of requests in flight. Further ones count as not sent.
 	LoadOpen = 4000
-	// LoadLate is the share of a response's value that remains after its latency target.
-	LoadLate = 0.3
+	// LateResponseValue is the share of a response's value that remains after its latency target.
+	LateResponseValue = 0.3
 	// LoadProgress is the time between two progress lines.
 	LoadProgress = 5 * time.Second
 	// LoadDigits is the number of significant digits of the histograms.
--- a/internal/platform/constants/pace.go
+++ b/internal/platform/constants/pace.go
@@ -12,8 +12,8 @@
 	SlownessFactor = 3
 	// LagWeight is the weight of the newest latency of a store in its moving average.
 	LagWeight = 0.2
-	// LagLeast is the minimum number of latencies of a store for it to be judged or compared.
-	LagLeast = 6
+	// LagSamplesMin is the minimum number of latencies of a store for it to be judged or compared.
+	LagSamplesMin = 6
 	// LagFactor is the multiple of the usual latency above which a store is slow, and LagFloorMs
 	// the minimum latency, in ms, that counts as slow. Below it, a takeover costs more than it
 	// gains.
--- a/internal/platform/constants/replicas.go
+++ b/internal/platform/constants/replicas.go
@@ -23,8 +23,8 @@
 	// IntakeBytes is the maximum number of bytes of jobs in transit to the leader or to the
 	// stores: a fifth of a second of the slowest links, and enough to keep them busy.
 	IntakeBytes = 2 << 20
-	// IntakeTime is how long a job that was admitted counts as in transit if it does not arrive.
-	IntakeTime = 2 * time.Second
+	// IntakeTimeout is how long a job that was admitted counts as in transit if it does not arrive.
+	IntakeTimeout = 2 * time.Second
 	// OfferMinBytes is the minimum size in bytes of a job that is offered before it is sent. A
 	// smaller one is sent at once.
 	OfferMinBytes = 4 << 10
--- a/internal/platform/constants/views.go
+++ b/internal/platform/constants/views.go
@@ -11,12 +11,12 @@
 	// ViewBase is the constant part of the size of a bounded view, to which twice the binary
 	// logarithm of the population is added. Up to 25 processes of a role, the view is complete.
 	ViewBase = 16
-	// FarLinks is the minimum number of processes of each other zone in a bounded view, so that
+	// OtherZonePeersMin is the minimum number of processes of each other zone in a bounded view, so that
 	// one may be lost.
-	FarLinks = 2
-	// FarShuffle is the number of shuffles of which on average one goes to another zone. Bytes
+	OtherZonePeersMin = 2
+	// OtherZoneShuffleRounds is the number of shuffles of which on average one goes to another zone. Bytes
 	// between zones are expensive.
-	FarShuffle = 4
+	OtherZoneShuffleRounds = 4
 	// ViewReuseTime is how long a controller reuses a computed view of a process while no process
 	// joins or leaves.
 	ViewReuseTime = 5 * time.Second
@@ -31,10 +31,10 @@
 	SuspectAfter = 3 * time.Second
 	// ForgetAfter is the silence after which an entry is removed from the view.
 	ForgetAfter = 45 * time.Second
-	// SucceedAfter is the silence after which a process replaces a silent member of its own zone.
+	// ReplaceInZoneAfter is the silence after which a process replaces a silent member of its own zone.
 	// Reports through others make a silence look up to 1.4 s shorter, and the replacement has to
 	// be complete well within sync-s.
-	SucceedAfter = 2 * time.Second
+	ReplaceInZoneAfter = 2 * time.Second
 	// ReconcilePeriod is the period at which a controller checks whether the acceptor sets need a
 	// change. A joiner has to be a member well within sync-s after its start, silence included.
 	ReconcilePeriod = 250 * time.Millisecond
--- a/internal/platform/httpreply/httpreply.go
+++ b/internal/platform/httpreply/httpreply.go
@@ -78,7 +78,7 @@
 	switch {
 	case errs.Is(err, inbound.ErrTooLarge):
 		Error(writer, http.StatusRequestEntityTooLarge, "body too large")
-	case errs.Is(err, inbound.ErrNoRoom):
+	case errs.Is(err, inbound.ErrMemoryLimit):
 		RetryAfter(writer, http.StatusServiceUnavailable, constants.ClientRetryAfter)
 	case errs.Is(err, inbound.ErrTooSlow):
 		Error(writer, http.StatusRequestTimeout, "body not whole in time")
--- a/internal/platform/inbound/body.go
+++ b/internal/platform/inbound/body.go
@@ -22,7 +22,7 @@
 }
 
 // Read reads the whole body of a request. The memory of the body is charged to the request until
-// the request's handler returns. The errors are ErrTooLarge, ErrNoRoom, ErrTooSlow and
+// the request's handler returns. The errors are ErrTooLarge, ErrMemoryLimit, ErrTooSlow and
 // ErrMalformedBody; after any of them no part of the request has been executed.
 func (b Body) Read(writer http.ResponseWriter, request *http.Request) ([]byte, error) {
 	if request.ContentLength > b.Limit {
@@ -38,7 +38,7 @@
 	connection.beginBody(b.Timeout)
 	body, err := b.read(writer, request, connection)
 	if !connection.endBody(err == nil) {
-		return nil, ErrNoRoom.New("connection was evicted to free memory")
+		return nil, ErrMemoryLimit.New("connection was evicted to free memory")
 	}
 	return body, err
 }
@@ -61,7 +61,7 @@
 		if connection != nil && int64(cap(body)) > charged {
 			capacity := int64(cap(body))
 			if !connection.charge((capacity-charged)*b.Copies, max(capacity, request.ContentLength)*b.Copies) {
-				return nil, ErrNoRoom.New("reserve memory for the body")
+				return nil, ErrMemoryLimit.New("reserve memory for the body")
 			}
 			charged = capacity
 		}
@@ -82,8 +82,8 @@
 	switch {
 	case errors.As(err, &tooLarge):
 		return ErrTooLarge.New("received body exceeds the limit")
-	case errors.Is(err, ErrNoRoom):
-		return ErrNoRoom.Wrap(err, "read body")
+	case errors.Is(err, ErrMemoryLimit):
+		return ErrMemoryLimit.Wrap(err, "read body")
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return ErrTooSlow.Wrap(err, "read body")
 	}
--- a/internal/platform/inbound/conn.go
+++ b/internal/platform/inbound/conn.go
@@ -72,7 +72,7 @@
 // that the memory limit does not allow.
 func (c *Conn) Read(into []byte) (int, error) {
 	if c.wasEvicted() {
-		return 0, ErrNoRoom.New("connection was evicted to free memory")
+		return 0, ErrMemoryLimit.New("connection was evicted to free memory")
 	}
 	count, err := c.Conn.Read(into)
 	if count == 0 {
@@ -86,7 +86,7 @@
 	if needed > 0 && !c.listener.memory.reserve(c, needed, needed) {
 		c.listener.refused.Add(1)
 		c.respondAndClose(unavailableResponse)
-		return 0, ErrNoRoom.New("reserve memory for the head")
+		return 0, ErrMemoryLimit.New("reserve memory for the head")
 	}
 	return count, err
 }
--- a/internal/platform/inbound/helpers_test.go
+++ b/internal/platform/inbound/helpers_test.go
@@ -35,7 +35,7 @@
 		switch {
 		case err == nil:
 			fmt.Fprint(writer, len(body))
-		case errs.Is(err, ErrNoRoom):
+		case errs.Is(err, ErrMemoryLimit):
 			writer.WriteHeader(http.StatusServiceUnavailable)
 		case errs.Is(err, ErrTooLarge):
 			writer.WriteHeader(http.StatusRequestEntityTooLarge)
--- a/internal/platform/inbound/limits.go
+++ b/internal/platform/inbound/limits.go
@@ -15,8 +15,8 @@
 var (
 	// ErrTooLarge means that the head or the body is longer than allowed.
 	ErrTooLarge = errs.Define("body too large")
-	// ErrNoRoom means that the process currently has no memory for the request.
-	ErrNoRoom = errs.Define("no room for the body")
+	// ErrMemoryLimit means that the process currently has no memory for the request.
+	ErrMemoryLimit = errs.Define("no room for the body")
 	// ErrTooSlow means that the body was not received completely before its deadline.
 	ErrTooSlow = errs.Define("body not whole in time")
 	// ErrMalformedBody means that the body ended early or has invalid HTTP framing.
--- a/internal/platform/inbound/memory.go
+++ b/internal/platform/inbound/memory.go
@@ -38,7 +38,7 @@
 // charged much more than total. It waits for evicted requests to release their memory, up to
 // ClientRoomTimeout, and returns false if the bytes could not be charged.
 func (m *Memory) reserve(c *Conn, count, total int64) bool {
-	end := clock.Now().Add(constants.ClientRoomTimeout)
+	end := clock.Now().Add(constants.ClientMemoryTimeout)
 	for {
 		reserved, shortfall, released := m.tryReserve(c, count)
 		if reserved {
--- a/internal/platform/inbound/victim.go
+++ b/internal/platform/inbound/victim.go
@@ -60,7 +60,7 @@
 				idle = c
 			}
 		case c.writingSince > 0:
-			if now.Sub(c.writingSince) >= constants.ClientDeafTime && (stalled == nil || c.writingSince < stalled.writingSince) {
+			if now.Sub(c.writingSince) >= constants.ClientUnreadTimeout && (stalled == nil || c.writingSince < stalled.writingSince) {
 				stalled = c
 			}
 		case c.phase != phaseServing && now.Sub(c.waitingSince) >= constants.ClientGrace:
--- a/internal/platform/messages/dispatch.go
+++ b/internal/platform/messages/dispatch.go
@@ -33,10 +33,10 @@
 	SubmittedMs int64   `msg:"t"`
 	Item        JobItem `msg:"i"`
 	// LastID and Events are the events of an earlier attempt that its RELEASE returned.
-	LastID    int64    `msg:"e"`
-	Events    [][]byte `msg:"g"`
-	Preempted int      `msg:"y"`
-	Owed      bool     `msg:"o"`
+	LastID        int64    `msg:"e"`
+	Events        [][]byte `msg:"g"`
+	Preempted     int      `msg:"y"`
+	ResumePending bool     `msg:"o"`
 }
 
 // AcquireResponse contains items, each locked for LockMs from the time at which it was acquired.
--- a/internal/platform/messages/dispatch_gen.go
+++ b/internal/platform/messages/dispatch_gen.go
@@ -862,7 +862,7 @@
 	o = msgp.AppendInt(o, z.Preempted)
 	// string "o"
 	o = append(o, 0xa1, 0x6f)
-	o = msgp.AppendBool(o, z.Owed)
+	o = msgp.AppendBool(o, z.ResumePending)
 	return
 }
 
@@ -952,9 +952,9 @@
 				return
 			}
 		case "o":
-			z.Owed, bts, err = msgp.ReadBoolBytes(bts)
+			z.ResumePending, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Owed")
+				err = msgp.WrapError(err, "ResumePending")
 				return
 			}
 		default:
--- a/internal/platform/process/signals_test.go
+++ b/internal/platform/process/signals_test.go
@@ -30,7 +30,7 @@
 // file, and has no other effect. The file is read at the signal, not before.
 func TestReloadChecksTheFileOnly(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.toml")
-	t.Setenv(settings.Variable, path)
+	t.Setenv(settings.PathVariable, path)
 	for _, test := range []struct{ text, want string }{
 		{validSettings, "hold from the next start"},
 		{strings.Replace(validSettings, "10.0.0.2:80", "10.9.0.2:80", 1), "hold from the next start"},
--- a/internal/platform/recordlog/powerloss_test.go
+++ b/internal/platform/recordlog/powerloss_test.go
@@ -122,7 +122,7 @@
 
 // open opens the log as a new incarnation and checks the records it reads.
 func (m *model) open(rt *rapid.T) {
-	m.operationsLeft, m.disk.Free = -1, -1
+	m.operationsLeft, m.disk.FreeBytes = -1, -1
 	var found []string
 	var offsets []int64
 	logfile, err := recordlog.Open(m.disk, "file", func(offset int64, body []byte) error {
@@ -187,8 +187,8 @@
 				m.disk.PowerLoss()
 				m.open(rt)
 			},
-			"fill":        func(rt *rapid.T) { m.disk.Free = rapid.IntRange(0, 200).Draw(rt, "room") },
-			"make room":   func(*rapid.T) { m.disk.Free = -1 },
+			"fill":        func(rt *rapid.T) { m.disk.FreeBytes = rapid.IntRange(0, 200).Draw(rt, "room") },
+			"make room":   func(*rapid.T) { m.disk.FreeBytes = -1 },
 			"disk fails":  func(*rapid.T) { m.operationsLeft, m.failure = 0, syscall.EIO },
 			"disk serves": func(*rapid.T) { m.operationsLeft = -1 },
 		})
--- a/internal/platform/recordlog/recordlog_test.go
+++ b/internal/platform/recordlog/recordlog_test.go
@@ -121,7 +121,7 @@
 		_ = logfile.Sync()
 		_, _ = logfile.Append([]byte("three"))
 		_ = logfile.Sync()
-		disk.Spoil("file", int(offset))
+		disk.CorruptByte("file", int(offset))
 		var found []string
 		_, err := recordlog.Open(disk, "file", func(_ int64, body []byte) error {
 			found = append(found, string(body))
@@ -163,7 +163,7 @@
 	if _, err = recordlog.Open(disk, "file", each); err != nil || fmt.Sprint(found) != "[one two three]" {
 		t.Fatal(found, err)
 	}
-	disk.Spoil("file", 9)
+	disk.CorruptByte("file", 9)
 	if _, err = recordlog.Open(disk, "file", each); !errs.Is(err, recordlog.ErrCorrupt) {
 		t.Fatalf("got %v", err)
 	}
@@ -225,11 +225,11 @@
 	disk := simulation.NewDisk(1)
 	logfile, _ := recordlog.Open(disk, "file", nil)
 	_, _ = logfile.Append([]byte("one"))
-	disk.Free = 5
+	disk.FreeBytes = 5
 	if _, err := logfile.Append([]byte("does not fit")); !errs.Is(err, recordlog.ErrDisk) {
 		t.Fatalf("got %v", err)
 	}
-	disk.Free = -1
+	disk.FreeBytes = -1
 	if _, err := logfile.Append([]byte("two")); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -12,8 +12,8 @@
 	"lemonarch/internal/platform/errs"
 )
 
-// Variable is the name of the environment variable with the path of the settings file.
-const Variable = "LEMONARCH_SETTINGS"
+// PathVariable is the name of the environment variable with the path of the settings file.
+const PathVariable = "LEMONARCH_SETTINGS"
 
 // ErrInvalid is the kind of all errors of this package.
 var ErrInvalid = errs.Define("settings")
@@ -78,9 +78,9 @@
 
 // Load reads and checks the settings file named by the environment variable Variable.
 func Load() (*Settings, error) {
-	path := os.Getenv(Variable)
+	path := os.Getenv(PathVariable)
 	if path == "" {
-		return nil, ErrInvalid.New(Variable + " is not set")
+		return nil, ErrInvalid.New(PathVariable + " is not set")
 	}
 	return LoadFile(path)
 }
--- a/internal/platform/transport/everybyte_test.go
+++ b/internal/platform/transport/everybyte_test.go
@@ -50,7 +50,7 @@
 func TestFaultAtEveryByteOfAFrame(t *testing.T) {
 	for _, fault := range faultrelay.Faults() {
 		for i := 0; i < 2*frameLength; i++ {
-			strike := faultrelay.Strike{Fault: fault, Response: i >= frameLength, At: i % frameLength}
+			strike := faultrelay.Injection{Fault: fault, Response: i >= frameLength, At: i % frameLength}
 			t.Run(fmt.Sprint(fault, strike.Response, strike.At), func(t *testing.T) {
 				t.Parallel()
 				checkFault(t, strike)
@@ -59,7 +59,7 @@
 	}
 }
 
-func checkFault(t *testing.T, strike faultrelay.Strike) {
+func checkFault(t *testing.T, strike faultrelay.Injection) {
 	t.Helper()
 
 	server := newCountingServer(t, "127.0.0.1:0", "one")
--- a/internal/tooling/crowd/harness_test.go
+++ b/internal/tooling/crowd/harness_test.go
@@ -123,7 +123,7 @@
 	t.Helper()
 
 	host, _, _ := strings.Cut(address, ":")
-	watch, err := NewWatch(f.Card().Programs[program], host, ports...)
+	watch, err := NewWatch(f.Info().Programs[program], host, ports...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -147,7 +147,7 @@
 	f.checkOrdinaryRequests(t)
 	crowd.Close()
 	select {
-	case died := <-f.Died:
+	case died := <-f.Failed:
 		t.Errorf("a process ended during the test: %v", died)
 	default:
 	}
--- a/internal/tooling/faultrelay/faultrelay.go
+++ b/internal/tooling/faultrelay/faultrelay.go
@@ -19,9 +19,9 @@
 	Drop
 	// Freeze delays the bytes until Thaw is called.
 	Freeze
-	// Double delivers all bytes up to the fault a second time, after the rest of the read that
+	// Duplicate delivers all bytes up to the fault a second time, after the rest of the read that
 	// reached it.
-	Double
+	Duplicate
 	// Restart resets the connections as Reset does; the test also restarts the caller.
 	Restart
 )
@@ -32,10 +32,10 @@
 func (f Fault) String() string { return names[f] }
 
 // Faults returns all kinds of faults.
-func Faults() []Fault { return []Fault{Close, Reset, Drop, Freeze, Double, Restart} }
+func Faults() []Fault { return []Fault{Close, Reset, Drop, Freeze, Duplicate, Restart} }
 
-// Strike is a fault to inject once a number of bytes has passed in one direction.
-type Strike struct {
+// Injection is a fault to inject once a number of bytes has passed in one direction.
+type Injection struct {
 	Fault Fault
 	// Response selects the direction from the server to the caller; false is the direction from
 	// the caller to the server.
@@ -49,7 +49,7 @@
 	listener  net.Listener
 	target    string
 	lock      sync.Mutex
-	pending   *Strike
+	pending   *Injection
 	forwarded [2]int
 	received  []byte
 	thawed    chan struct{}
@@ -101,7 +101,7 @@
 }
 
 // Arm sets the fault to inject and restarts the counting of bytes.
-func (r *Relay) Arm(next *Strike) {
+func (r *Relay) Arm(next *Injection) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.pending, r.forwarded, r.received = next, [2]int{}, nil
@@ -116,7 +116,7 @@
 
 // takeDue counts the bytes. If they reach the armed fault, it disarms it and returns it, with the
 // number of these bytes to forward before it; otherwise it returns nil.
-func (r *Relay) takeDue(direction int, chunk []byte) (*Strike, int) {
+func (r *Relay) takeDue(direction int, chunk []byte) (*Injection, int) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	before := r.forwarded[direction]
@@ -156,8 +156,8 @@
 }
 
 // inject performs a fault. It returns false if the pump has to end.
-func (r *Relay) inject(due *Strike, from, to net.Conn, chunk []byte, allowed int) bool {
-	if due.Fault == Double {
+func (r *Relay) inject(due *Injection, from, to net.Conn, chunk []byte, allowed int) bool {
+	if due.Fault == Duplicate {
 		_, _ = to.Write(chunk)
 		_, _ = to.Write(r.received[:due.At])
 		return true
--- a/internal/tooling/forecast/collect.go
+++ b/internal/tooling/forecast/collect.go
@@ -29,12 +29,12 @@
 
 // Collect returns the present state of the fleet. For each zone, one controller merges the traffic
 // summaries of the zone's processes.
-func (c *Collector) Collect() (*Known, error) {
+func (c *Collector) Collect() (*FleetState, error) {
 	controllers, err := c.controllers()
 	if err != nil {
 		return nil, err
 	}
-	state := &Known{}
+	state := &FleetState{}
 	if state.Config, err = c.config(controllers); err != nil {
 		return nil, err
 	}
--- a/internal/tooling/forecast/demand.go
+++ b/internal/tooling/forecast/demand.go
@@ -25,7 +25,7 @@
 
 // demands combines the present classes with the surges. It reports findings for unknown routes,
 // for traffic that does not fit the kind of its route, and for families that match no class.
-func demands(scenario *Scenario, known *Known) (all []*demand, findings []string) {
+func demands(scenario *Scenario, known *FleetState) (all []*demand, findings []string) {
 	for _, c := range known.classes() {
 		all = append(all, &demand{class: c})
 	}
@@ -55,7 +55,7 @@
 
 // addTraffic adds the traffic of a surge to the classes of its route, in proportion to their
 // present rates.
-func addTraffic(all []*demand, known *Known, surge *Surge, traffic *Traffic) []*demand {
+func addTraffic(all []*demand, known *FleetState, surge *Surge, traffic *Traffic) []*demand {
 	var onRoute []*demand
 	total := 0.0
 	for _, d := range all {
--- a/internal/tooling/forecast/forecast_test.go
+++ b/internal/tooling/forecast/forecast_test.go
@@ -132,7 +132,7 @@
 // Nodes that did not respond must be named in the report and widen the intervals.
 func TestMissingNodesWidenTheIntervals(t *testing.T) {
 	text := surgeTOML(trafficTOML("kiosk", "factor = 7.0"))
-	width := func(known *Known) float64 {
+	width := func(known *FleetState) float64 {
 		for _, class := range runForecast(t, known, text).Classes {
 			if class.Class == "kiosk" && class.Low != nil {
 				return *class.High - *class.Low
@@ -198,7 +198,7 @@
 func TestRecordAndReview(t *testing.T) {
 	known, path := testKnown(t), t.TempDir()+"/kept.json"
 	text := surgeTOML(trafficTOML("status", "rate = 900.0"))
-	record := &Record{Asked: parseScenario(t, text), Known: known, Predicted: runForecast(t, known, text)}
+	record := &Record{Scenario: parseScenario(t, text), State: known, Predicted: runForecast(t, known, text)}
 	if err := record.Write(path); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/tooling/forecast/helpers_test.go
+++ b/internal/tooling/forecast/helpers_test.go
@@ -38,7 +38,7 @@
 }
 
 // testKnown returns the state of a fleet of 10 model workers and 2 plain workers, observed for 60 s.
-func testKnown(t *testing.T) *Known {
+func testKnown(t *testing.T) *FleetState {
 	t.Helper()
 	config, err := routeconfig.Parse([]byte(testConfig))
 	if err != nil {
@@ -53,7 +53,7 @@
 	recordRequests(recorder, 600, trafficstats.Observation{Class: class("batch", "llm", "m"), Bulk: true, PromptTokens: 1200, FreshTokens: 800, Events: 20}, random)
 	recordRequests(recorder, 1200, trafficstats.Observation{Class: class("status", "app", ""), Duration: clock.Milliseconds(30)}, random)
 	summaries, _ := recorder.Summaries(2)
-	return &Known{Config: config, ObservedS: 60, Summaries: summaries, Answered: 4,
+	return &FleetState{Config: config, ObservedS: 60, Summaries: summaries, Answered: 4,
 		Workers: []messages.WorkerGroup{{Service: "app", Zone: "a", Workers: 2, Slots: 12}, {Service: "llm", Zone: "a", Workers: 5, Slots: 60}, {Service: "llm", Zone: "b", Workers: 5, Slots: 60}}}
 }
 
@@ -66,7 +66,7 @@
 	return scenario
 }
 
-func runForecast(t *testing.T, known *Known, text string) *Report {
+func runForecast(t *testing.T, known *FleetState, text string) *Report {
 	t.Helper()
 	predicted, findings := Forecast(parseScenario(t, text), known, 1)
 	if len(findings) > 0 {
--- a/internal/tooling/forecast/known.go
+++ b/internal/tooling/forecast/known.go
@@ -9,9 +9,9 @@
 	"lemonarch/internal/traffic/trafficstats"
 )
 
-// Known is the state of a fleet as its processes reported it: the configuration, the workers, and
+// FleetState is the state of a fleet as its processes reported it: the configuration, the workers, and
 // the traffic of the last minutes.
-type Known struct {
+type FleetState struct {
 	Config *routeconfig.Config
 	// ObservedS is the time that the summaries cover, in seconds.
 	ObservedS float64
@@ -61,7 +61,7 @@
 
 // classes returns the observed classes, sorted by route, service and model. Summaries of routes
 // that are not configured are skipped.
-func (k *Known) classes() []*class {
+func (k *FleetState) classes() []*class {
 	var classes []*class
 	covered := max(k.ObservedS, 1)
 	share := k.answeredShare()
@@ -100,14 +100,14 @@
 
 // answeredShare returns the fraction of the fleet that reported its traffic. The rest is assumed to
 // have observed the same traffic on average.
-func (k *Known) answeredShare() float64 {
+func (k *FleetState) answeredShare() float64 {
 	if k.Answered == 0 {
 		return 1
 	}
 	return float64(k.Answered) / float64(k.Answered+len(k.Missing))
 }
 
-func (k *Known) routeNamed(name string) *routeconfig.Route {
+func (k *FleetState) routeNamed(name string) *routeconfig.Route {
 	for i := range k.Config.Routes {
 		if k.Config.Routes[i].Name == name {
 			return &k.Config.Routes[i]
@@ -118,7 +118,7 @@
 
 // services returns the services that have workers, without the excluded ones, each with its latency
 // model.
-func (k *Known) services(exclusions []Exclusion) map[string]*service {
+func (k *FleetState) services(exclusions []Exclusion) map[string]*service {
 	services := map[string]*service{}
 	slots := map[string]float64{}
 	for _, group := range k.Workers {
--- a/internal/tooling/forecast/pace.go
+++ b/internal/tooling/forecast/pace.go
@@ -18,7 +18,7 @@
 }
 
 // fitLatency fits the latency model of a service to the regression sums in its traffic summaries.
-func (k *Known) fitLatency(name string) latencyModel {
+func (k *FleetState) fitLatency(name string) latencyModel {
 	var prefill, decode messages.Regression
 	for i := range k.Summaries {
 		if k.Summaries[i].Service != name {
--- a/internal/tooling/forecast/report.go
+++ b/internal/tooling/forecast/report.go
@@ -57,7 +57,7 @@
 
 // Forecast predicts the effects of a scenario on a fleet of the given state. If the scenario does not
 // match the fleet, for example if it names an unknown route, Forecast returns findings and no report.
-func Forecast(scenario *Scenario, known *Known, seed uint64) (*Report, []string) {
+func Forecast(scenario *Scenario, known *FleetState, seed uint64) (*Report, []string) {
 	combined, findings := demands(scenario, known)
 	if len(findings) > 0 {
 		return nil, findings
--- a/internal/tooling/forecast/review.go
+++ b/internal/tooling/forecast/review.go
@@ -20,9 +20,9 @@
 
 // Record is a forecast together with the data that it is based on, for a later review.
 type Record struct {
-	Asked     *Scenario `json:"asked"`
-	Known     *Known    `json:"known"`
-	Predicted *Report   `json:"predicted"`
+	Scenario  *Scenario   `json:"asked"`
+	State     *FleetState `json:"known"`
+	Predicted *Report     `json:"predicted"`
 }
 
 // recordFile is the JSON form of Record. It embeds the configuration in its own JSON encoding.
@@ -39,8 +39,8 @@
 
 // Write writes the forecast to a file atomically: it writes a temporary file and renames it.
 func (k *Record) Write(path string) error {
-	state := k.Known
-	body, err := json.MarshalIndent(recordFile{Asked: k.Asked, Config: state.Config.Encode(), ObservedS: state.ObservedS,
+	state := k.State
+	body, err := json.MarshalIndent(recordFile{Asked: k.Scenario, Config: state.Config.Encode(), ObservedS: state.ObservedS,
 		Summaries: state.Summaries, Workers: state.Workers, Answered: state.Answered, Missing: state.Missing, Predicted: k.Predicted}, "", "  ")
 	if err != nil {
 		return ErrRecord.Wrap(err, path)
@@ -69,8 +69,8 @@
 	if err != nil {
 		return nil, ErrRecord.Wrap(err, path+": configuration")
 	}
-	state := &Known{Config: config, ObservedS: file.ObservedS, Summaries: file.Summaries, Workers: file.Workers, Answered: file.Answered, Missing: file.Missing}
-	return &Record{Asked: file.Asked, Known: state, Predicted: file.Predicted}, nil
+	state := &FleetState{Config: config, ObservedS: file.ObservedS, Summaries: file.Summaries, Workers: file.Workers, Answered: file.Answered, Missing: file.Missing}
+	return &Record{Scenario: file.Asked, State: state, Predicted: file.Predicted}, nil
 }
 
 // Review compares a forecast with what was observed afterwards.
@@ -99,7 +99,7 @@
 // NewReview compares a forecast with what the fleet has observed since. The family that ran short is
 // the one that exceeds its bounds by the largest factor, either for the mean wait (ShortWaitMs) or
 // for the share of refused requests (ShortRefusals).
-func NewReview(record *Record, observed *Known) *Review {
+func NewReview(record *Record, observed *FleetState) *Review {
 	review := &Review{PredictedFirstShort: record.Predicted.FirstShort, Classes: []ClassReview{}}
 	worstExcess := 1.0
 	for i := range observed.Summaries {
@@ -135,7 +135,7 @@
 
 // predictionOf returns the prediction for the class of a summary, or nil if there is none.
 func (k *Record) predictionOf(summary *messages.TrafficSummary) *ClassForecast {
-	family := k.Asked.familyOf(summary.Service, summary.Model)
+	family := k.Scenario.familyOf(summary.Service, summary.Model)
 	for i := range k.Predicted.Classes {
 		if predicted := &k.Predicted.Classes[i]; predicted.Class == summary.Route && predicted.Family == family {
 			return predicted
--- a/internal/tooling/forecastcases/cases_test.go
+++ b/internal/tooling/forecastcases/cases_test.go
@@ -11,7 +11,7 @@
 func TestForecastsMatchOutcomes(t *testing.T) {
 	var results []*Result
 	for number := range 30 {
-		result, err := Play(Generate(number, 1), 1)
+		result, err := Run(Generate(number, 1), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/tooling/forecastcases/compare.go
+++ b/internal/tooling/forecastcases/compare.go
@@ -53,8 +53,8 @@
 	return (c.Predicted > forecast.LateShare) == (c.Observed > forecast.LateShare)
 }
 
-// Play forecasts a case, simulates its surge, and compares the prediction with the observation.
-func Play(c *Case, seed uint64) (*Result, error) {
+// Run forecasts a case, simulates its surge, and compares the prediction with the observation.
+func Run(c *Case, seed uint64) (*Result, error) {
 	from := clock.Instant(0).Add(clock.Milliseconds(ObservedS * 1000))
 	until := from.Add(clock.Milliseconds(SurgeS * 1000))
 	var simulations []*familySimulation
@@ -125,7 +125,7 @@
 // forecastCase forecasts a case from the traffic that the simulated families have recorded.
 func forecastCase(c *Case, simulations []*familySimulation, seed uint64) (*forecast.Report, error) {
 	config := routeconfig.Config{Generation: 1}
-	known := &forecast.Known{ObservedS: ObservedS, Answered: 1}
+	known := &forecast.FleetState{ObservedS: ObservedS, Answered: 1}
 	for i, plan := range c.families {
 		route := routeconfig.Route{Name: plan.name, Host: "h", Prefix: "/" + plan.name + "/", KindName: "idempotent", Backend: plan.name, SetpointMs: plan.class.targetMs, CutoffMs: 10_000}
 		if plan.class.work == 0 {
@@ -146,7 +146,7 @@
 }
 
 // Forecast predicts the surge of the case from the known state of its fleet.
-func (c *Case) Forecast(known *forecast.Known, seed uint64) (*forecast.Report, error) {
+func (c *Case) Forecast(known *forecast.FleetState, seed uint64) (*forecast.Report, error) {
 	surge := forecast.Surge{Name: "surge", DurationS: SurgeS}
 	for _, plan := range c.families {
 		surge.Traffic = append(surge.Traffic, forecast.Traffic{Route: plan.name, Rate: &plan.surgeRate})
--- a/internal/tooling/forecastcases/fleet.go
+++ b/internal/tooling/forecastcases/fleet.go
@@ -149,7 +149,7 @@
 	target.assigned++
 	running, waiting, _ := target.engine.State()
 	c.running, c.waiting = running+1, waiting
-	work := workeremulator.Ask{Ticket: c.ticket, Model: f.plan.name, Work: class.work}
+	work := workeremulator.EngineRequest{Ticket: c.ticket, Model: f.plan.name, Work: class.work}
 	if class.work == 0 {
 		// Sizes are uniform between 0.5 and 1.5 times the mean.
 		size := 0.5 + f.random.Float64()
@@ -159,7 +159,7 @@
 			work.Parts = []workeremulator.Part{{Key: "shared", Tokens: class.sharedTokens}}
 		}
 	}
-	f.handleEffects(target, target.engine.Step(workeremulator.Event{Kind: workeremulator.EventArrive, Ask: work}, f.now))
+	f.handleEffects(target, target.engine.Step(workeremulator.Event{Kind: workeremulator.EventArrive, Request: work}, f.now))
 }
 
 // overdueAt returns when the first queued request is refused.
--- a/internal/tooling/forecastlab/play.go
+++ b/internal/tooling/forecastlab/play.go
@@ -12,8 +12,8 @@
 	"lemonarch/internal/tooling/lab"
 )
 
-// Play runs a case on a new lab fleet. The families come from the case; plan configures the rest.
-func Play(ctx context.Context, c *forecastcases.Case, plan lab.Plan, seed uint64) (*forecastcases.Result, error) {
+// Run runs a case on a new lab fleet. The families come from the case; plan configures the rest.
+func Run(ctx context.Context, c *forecastcases.Case, plan lab.Plan, seed uint64) (*forecastcases.Result, error) {
 	families, loads := c.Lab()
 	plan.Families = families
 	fleet, err := lab.Start(ctx, plan, "")
@@ -21,7 +21,7 @@
 		return nil, err
 	}
 	defer fleet.Stop()
-	card := fleet.Card()
+	card := fleet.Info()
 	tcp := transport.NewTCP("")
 	defer tcp.Close()
 	p := &caseRun{monitor: newShortageMonitor(&forecast.Collector{Transport: tcp, Seed: card.Seed, Timeout: constants.StatusTimeout})}
--- a/internal/tooling/forecastlab/watch.go
+++ b/internal/tooling/forecastlab/watch.go
@@ -47,7 +47,7 @@
 }
 
 // update compares the traffic totals with those of the previous poll.
-func (w *shortageMonitor) update(known *forecast.Known, now clock.Instant) {
+func (w *shortageMonitor) update(known *forecast.FleetState, now clock.Instant) {
 	for i := range known.Summaries {
 		summary := &known.Summaries[i]
 		current, previous := queueTotalsOf(summary), w.previous[summary.Service]
--- a/internal/tooling/hollowfleet/dispatch.go
+++ b/internal/tooling/hollowfleet/dispatch.go
@@ -26,7 +26,7 @@
 
 // beginDispatch lets the holder hand items out and take acknowledgements.
 func (s *storage) beginDispatch(node *Node, own *storeState) {
-	own.dispatcher = dispatch.NewDispatcher(own.book, lotEpoch, 1, constants.LockUnstated, node.now())
+	own.dispatcher = dispatch.NewDispatcher(own.book, lotEpoch, 1, constants.LockDefault, node.now())
 	own.dispatcher.Append = func(record messages.Record) int64 { return s.submit(node, own, record) }
 	terms := func(job *dispatch.Job) dispatch.JobTerms { return dispatch.JobTerms{Due: job.SubmittedMs + 3_600_000} }
 	node.answerers[messages.KindAcquire] = func(body []byte, reply func(transport.Marshaler)) {
@@ -85,12 +85,12 @@
 
 // beginDriver lets a store run items.
 func (s *storage) beginDriver(node *Node) *driverState {
-	own := &driverState{core: executor.New(), lock: constants.LockUnstated}
+	own := &driverState{core: executor.New(), lock: constants.LockDefault}
 	if s.fleet.Plan.Lots == 0 {
 		return own
 	}
 	node.every(constants.TickPeriod, func() {
-		node.step(CoreDriver, func() { s.halt(own.core.Lapsed(node.now())) })
+		node.step(CoreDriver, func() { s.halt(own.core.StopExpired(node.now())) })
 		if node.now().Sub(own.renewed) >= own.lock/constants.RenewalsPerLock {
 			own.renewed = node.now()
 			s.renewLocks(node, own)
--- a/internal/tooling/hollowfleet/gossip.go
+++ b/internal/tooling/hollowfleet/gossip.go
@@ -124,8 +124,8 @@
 	}
 	sort.Slice(found.zones, func(left, right int) bool { return found.zones[left][0].Zone < found.zones[right][0].Zone })
 	found.gossip = loadgossip.Neighbours(own, found.near, constants.GossipFanout)
-	found.readings = loadgossip.Neighbours(own, found.near, constants.ReadingFanout)
-	if left := constants.ReadingFanout - len(found.readings); left > 0 {
+	found.readings = loadgossip.Neighbours(own, found.near, constants.PrefillFanout)
+	if left := constants.PrefillFanout - len(found.readings); left > 0 {
 		found.readings = append(found.readings, loadgossip.Neighbours(own, found.far, left)...)
 	}
 	return found
--- a/internal/tooling/hollowfleet/probe.go
+++ b/internal/tooling/hollowfleet/probe.go
@@ -96,7 +96,7 @@
 	jobTable := dispatch.NewJobTable()
 	probe.TakeMs = timed(func() { _ = jobTable.Apply(record) }) / 1e6
 	probe.HeapMB = (heapBytes() - before) / (1 << 20)
-	probe.WaitingMs = timed(func() { jobTable.Waiting(func(*dispatch.Job) bool { return true }) }) / 1e6
+	probe.WaitingMs = timed(func() { jobTable.WaitingTokens(func(*dispatch.Job) bool { return true }) }) / 1e6
 	job := jobTable.Job(record.Job)
 	stride := max(1, size/sampledOutputs)
 	count, spent := 0, 0.0
--- a/internal/tooling/hollowfleet/readings.go
+++ b/internal/tooling/hollowfleet/readings.go
@@ -15,7 +15,7 @@
 		if !part {
 			chosen = own.neighbours.readings
 		}
-		node.tell(chosen[:min(len(chosen), constants.ReadingFanout)], CoreReadings, messages.KindPrefill, received)
+		node.tell(chosen[:min(len(chosen), constants.PrefillFanout)], CoreReadings, messages.KindPrefill, received)
 		return
 	}
 	if _, part := own.scheduler.NodesFor(received.Worker, nil); !part {
--- a/internal/tooling/hollowfleet/real.go
+++ b/internal/tooling/hollowfleet/real.go
@@ -132,7 +132,7 @@
 				return ErrNotStarted.Wrap(err, "settings")
 			}
 			child := exec.Command(filepath.Join(r.plan.Programs, constants.RoleName(role)))
-			child.Env = append(os.Environ(), settings.Variable+"="+path)
+			child.Env = append(os.Environ(), settings.PathVariable+"="+path)
 			if err := child.Start(); err != nil {
 				return ErrNotStarted.Wrap(err, role)
 			}
--- a/internal/tooling/hollowfleet/result.go
+++ b/internal/tooling/hollowfleet/result.go
@@ -206,7 +206,7 @@
 				}
 			}
 			// What waits for these processes holds on to them as well.
-			f.world.Forget()
+			f.world.DropEvents()
 			after := heapBytes()
 			cost.HeapKB[mechanism.Name()] = max(0, before-after) / 1024 / float64(max(running, 1))
 			before = after
--- a/internal/tooling/hollowfleet/traffic.go
+++ b/internal/tooling/hollowfleet/traffic.go
@@ -94,7 +94,7 @@
 	if long {
 		retained, own = 6000, 3000
 	}
-	prompt := prefixindex.Prompt{Tokens: shared + retained + own, Out: 200}
+	prompt := prefixindex.Prompt{Tokens: shared + retained + own, OutTokens: 200}
 	for _, part := range []struct {
 		name   string
 		tokens int
--- a/internal/tooling/lab/endpoint.go
+++ b/internal/tooling/lab/endpoint.go
@@ -13,8 +13,8 @@
 	"lemonarch/internal/tooling/workeremulator"
 )
 
-// Card describes a fleet to a load tool.
-type Card struct {
+// FleetInfo describes a fleet to a load tool.
+type FleetInfo struct {
 	Label    string              `json:"label"`
 	Ingress  []string            `json:"ingress"`
 	Controls []string            `json:"controls"`
@@ -32,9 +32,9 @@
 	Dropped int `json:"dropped"`
 }
 
-// Card returns the description of the fleet.
-func (f *Fleet) Card() Card {
-	info := Card{Label: f.Plan.Label, Ingress: f.Plan.Ingress(), Controls: f.Plan.Controls(), Stride: f.Plan.shape().Stride,
+// Info returns the description of the fleet.
+func (f *Fleet) Info() FleetInfo {
+	info := FleetInfo{Label: f.Plan.Label, Ingress: f.Plan.Ingress(), Controls: f.Plan.Controls(), Stride: f.Plan.shape().Stride,
 		Routes: f.Routes(), Programs: map[string]int{}, Workers: map[string]string{},
 		Seed: f.Plan.host(constants.LabEdgeHost, 0, constants.LabInternalPort+constants.PortController)}
 	for _, proc := range f.processes {
@@ -53,9 +53,9 @@
 		return ErrInvalidLab.New("control endpoint can't listen at " + f.Plan.Endpoint() + ": " + rootCause(err))
 	}
 	router := chi.NewRouter()
-	router.Get("/fleet", func(writer http.ResponseWriter, _ *http.Request) { httpreply.JSON(writer, http.StatusOK, f.Card()) })
+	router.Get("/fleet", func(writer http.ResponseWriter, _ *http.Request) { httpreply.JSON(writer, http.StatusOK, f.Info()) })
 	router.Get("/runs", func(writer http.ResponseWriter, request *http.Request) {
-		runs, dropped := f.record.Of(request.URL.Query().Get("prefix"))
+		runs, dropped := f.record.WithPrefix(request.URL.Query().Get("prefix"))
 		httpreply.JSON(writer, http.StatusOK, Runs{runs, dropped})
 	})
 	router.Post("/trouble", func(writer http.ResponseWriter, request *http.Request) {
@@ -66,7 +66,7 @@
 			httpreply.Error(writer, http.StatusBadRequest, "trouble can't be read: "+err.Error())
 			return
 		}
-		if err := f.Trouble(trouble); err != nil {
+		if err := f.InjectTrouble(trouble); err != nil {
 			httpreply.Error(writer, http.StatusBadRequest, err.Error())
 			return
 		}
--- a/internal/tooling/lab/fleet.go
+++ b/internal/tooling/lab/fleet.go
@@ -18,9 +18,9 @@
 type Fleet struct {
 	Plan   Plan
 	Folder string
-	// Died receives the first failure: a process that exited unexpectedly, or a trouble that could not be
+	// Failed receives the first failure: a process that exited unexpectedly, or a trouble that could not be
 	// carried out.
-	Died chan error
+	Failed chan error
 
 	record          *workeremulator.Record
 	processes       []*process
@@ -57,7 +57,7 @@
 		return nil, ErrInvalidLab.Wrap(err, "programs")
 	}
 	plan.Programs = programs
-	fleet := &Fleet{Plan: plan, Folder: folder, Died: make(chan error, 1), record: &workeremulator.Record{}, starter: newStarter(),
+	fleet := &Fleet{Plan: plan, Folder: folder, Failed: make(chan error, 1), record: &workeremulator.Record{}, starter: newStarter(),
 		stopping: make(chan struct{}), operator: operator{controls: plan.Controls()}}
 	if folder == "" {
 		if fleet.Folder, err = os.MkdirTemp("", "lemonarch-lab-"); err != nil {
@@ -128,7 +128,7 @@
 func (f *Fleet) reportFailure(err error) {
 	select {
 	case <-f.stopping:
-	case f.Died <- err:
+	case f.Failed <- err:
 	default:
 	}
 }
@@ -146,7 +146,7 @@
 			return ErrInvalidLab.Wrap(err, "start failed while "+activity)
 		}
 		select {
-		case err = <-f.Died:
+		case err = <-f.Failed:
 			return err
 		case <-ctx.Done():
 			return ErrInvalidLab.New("stopped while the fleet was starting")
--- a/internal/tooling/lab/process.go
+++ b/internal/tooling/lab/process.go
@@ -64,7 +64,7 @@
 	}
 	command := exec.Command(p.programPath)
 	command.Stdout, command.Stderr = log, log
-	command.Env = append(os.Environ(), settings.Variable+"="+p.settingsPath)
+	command.Env = append(os.Environ(), settings.PathVariable+"="+p.settingsPath)
 	// With a process group of its own the child does not receive a Ctrl-C at the terminal: only
 	// the lab does, which then stops the processes gracefully.
 	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
--- a/internal/tooling/lab/reload_test.go
+++ b/internal/tooling/lab/reload_test.go
@@ -21,7 +21,7 @@
 	plan := NewPlan()
 	plan.Programs = programs(t, `trap 'cat "$LEMONARCH_SETTINGS" > "$LEMONARCH_SETTINGS.seen"; kill "$other"; exit 0' HUP; sleep 60 & other=$!; echo > "$LEMONARCH_SETTINGS.up"; wait`)
 	for valid, want := range map[bool]string{true: "bootstrap = false", false: invalidSettings} {
-		fleet := &Fleet{Plan: plan, Folder: t.TempDir(), stopping: make(chan struct{}), Died: make(chan error, 1)}
+		fleet := &Fleet{Plan: plan, Folder: t.TempDir(), stopping: make(chan struct{}), Failed: make(chan error, 1)}
 		target := newProcess(&plan, plan.nodes()[0], fleet.Folder, newStarter())
 		path, err := plan.writeSettings(target.node, fleet.Folder, true)
 		if err != nil {
--- a/internal/tooling/lab/trouble.go
+++ b/internal/tooling/lab/trouble.go
@@ -93,8 +93,8 @@
 
 func seconds(count float64) clock.Duration { return clock.Milliseconds(count * 1000) }
 
-// Trouble checks a trouble and begins it. All kinds but configure continue in the background.
-func (f *Fleet) Trouble(trouble Trouble) error {
+// InjectTrouble checks a trouble and begins it. All kinds but configure continue in the background.
+func (f *Fleet) InjectTrouble(trouble Trouble) error {
 	if err := trouble.Check(); err != nil {
 		return err
 	}
--- a/internal/tooling/lab/workers.go
+++ b/internal/tooling/lab/workers.go
@@ -30,7 +30,7 @@
 	lock        sync.Mutex
 	incarnation int
 	worker      *workeremulator.Worker
-	beater      *workeremulator.Beater
+	beater      *workeremulator.HeartbeatSender
 	cancel      func()
 	// serveDone is closed once the listener of the current incarnation is closed.
 	serveDone chan struct{}
@@ -72,7 +72,7 @@
 	nodeSettings.ID = fmt.Sprintf("%s-life%d", s.name, s.incarnation)
 	s.worker = workeremulator.NewWorker(nodeSettings, record, workeremulator.RealClock{}, s.seed+int64(s.incarnation)*100_000)
 	s.worker.SetFaults(s.faults)
-	s.beater = workeremulator.NewBeater(s.worker, s.address, controls)
+	s.beater = workeremulator.NewHeartbeatSender(s.worker, s.address, controls)
 	ctx, cancel := contexts.WithCancel(contexts.Background())
 	s.cancel = cancel
 	worker, serveDone := s.worker, make(chan struct{})
@@ -81,14 +81,14 @@
 		defer close(serveDone)
 		worker.Serve(listener)
 	}()
-	go s.beater.Keep(ctx, constants.LabHeartbeat)
+	go s.beater.SendUntil(ctx, constants.LabHeartbeat)
 	return nil
 }
 
 // workerIncarnation is one incarnation of an emulated worker.
 type workerIncarnation struct {
 	worker    *workeremulator.Worker
-	beater    *workeremulator.Beater
+	beater    *workeremulator.HeartbeatSender
 	serveDone chan struct{}
 }
 
@@ -117,7 +117,7 @@
 // leave stops the current incarnation gracefully and waits until its address is free.
 func (s *workerSlot) leave() {
 	if incarnation, running := s.detach(); running {
-		incarnation.beater.LeaveInOrder(clock.Milliseconds(constants.LabDrainMs))
+		incarnation.beater.DrainAndShutDown(clock.Milliseconds(constants.LabDrainMs))
 		<-incarnation.serveDone
 	}
 }
--- a/internal/tooling/linearize/fleet.go
+++ b/internal/tooling/linearize/fleet.go
@@ -52,7 +52,7 @@
 func NewFleet(seed int64, defects Defects) *Fleet {
 	fleet := &Fleet{defects: defects, world: simulation.NewWorld(seed), names: []string{"a", "b", "c", "d", "e"},
 		nodes: map[string]*controller{}, downSince: map[string]clock.Instant{}}
-	fleet.world.Loss, fleet.world.Double = 0.05, 0.05
+	fleet.world.LossProbability, fleet.world.DuplicateProbability = 0.05, 0.05
 	var first []messages.Member
 	for _, name := range fleet.names[:setSize] {
 		first = append(first, messages.Member{Name: name, Address: name, Disk: name})
--- a/internal/tooling/loadgen/check.go
+++ b/internal/tooling/loadgen/check.go
@@ -36,7 +36,7 @@
 	if echoed != attempt {
 		return &Finding{"MIXED", attempt, "response names another attempt: " + echoed}
 	}
-	if _, valid := workeremulator.Sealed(seal, attempt); !valid {
+	if _, valid := workeremulator.VerifySeal(seal, attempt); !valid {
 		return &Finding{"MIXED", attempt, "seal is not a worker's seal for this attempt"}
 	}
 	return nil
@@ -152,8 +152,8 @@
 func (c *jobCheck) addPage(cursor int, page *jobclient.Page) []Finding {
 	var findings []Finding
 	add := func(rule, text string) { findings = append(findings, Finding{rule, c.id, text}) }
-	if page.Sum != len(c.eventCounts) {
-		add("MIXED", fmt.Sprintf("sum is %d, want %d items", page.Sum, len(c.eventCounts)))
+	if page.Total != len(c.eventCounts) {
+		add("MIXED", fmt.Sprintf("sum is %d, want %d items", page.Total, len(c.eventCounts)))
 	}
 	for i, output := range page.Outputs {
 		index := cursor + i
--- a/internal/tooling/loadgen/check_test.go
+++ b/internal/tooling/loadgen/check_test.go
@@ -150,7 +150,7 @@
 		check.eventCounts = map[string]int64{"i1": 2, "i2": 3}
 		var findings []Finding
 		for _, read := range test.reads {
-			findings = append(findings, check.addPage(read.cursor, &jobclient.Page{Sum: read.sum, Outputs: read.outputs})...)
+			findings = append(findings, check.addPage(read.cursor, &jobclient.Page{Total: read.sum, Outputs: read.outputs})...)
 		}
 		if got := rules(findings); got != test.want {
 			t.Errorf("%s: got rules %q, want %q", name, got, test.want)
--- a/internal/tooling/loadgen/drive.go
+++ b/internal/tooling/loadgen/drive.go
@@ -17,7 +17,7 @@
 // run is one load run against one fleet.
 type run struct {
 	options Options
-	card    *lab.Card
+	card    *lab.FleetInfo
 	routes  map[string]*routeconfig.Route
 	// prefix begins the ids of all attempts of the run, so that the endpoint can return the run's
 	// attempts only.
@@ -61,7 +61,7 @@
 	for _, trouble := range troubles {
 		group.Go(func() { r.startTrouble(ctx, started, endpoint, trouble) })
 	}
-	if r.options.LotRate > 0 {
+	if r.options.JobRate > 0 {
 		group.Go(func() { r.sendJobs(ctx, started) })
 	}
 	done := make(chan struct{})
@@ -100,7 +100,7 @@
 	return nil
 }
 
-func newRun(options Options, card *lab.Card, routes map[string]*routeconfig.Route, prefix string) *run {
+func newRun(options Options, card *lab.FleetInfo, routes map[string]*routeconfig.Route, prefix string) *run {
 	dialer := &net.Dialer{Timeout: constants.EmulatorHeartbeatWait}
 	return &run{options: options, card: card, routes: routes, prefix: prefix, result: newResult(card.Label), attempts: map[string]*sentAttempt{}, pause: clock.Sleep,
 		client: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: constants.LoadOpen, DialContext: dialer.DialContext}}
--- a/internal/tooling/loadgen/drive_test.go
+++ b/internal/tooling/loadgen/drive_test.go
@@ -77,8 +77,8 @@
 	transport.plain.SetFaults(faults)
 	options := NewOptions()
 	options.Count, options.For = 60, time.Hour
-	card := &lab.Card{Label: "test", Ingress: []string{"n1", "n2"}, Stride: 4, Routes: testRoutes}
-	options.LotRate = 0
+	card := &lab.FleetInfo{Label: "test", Ingress: []string{"n1", "n2"}, Stride: 4, Routes: testRoutes}
+	options.JobRate = 0
 	routes, err := options.routesOf(card)
 	if err != nil {
 		t.Fatal(err)
@@ -88,9 +88,9 @@
 	for _, due := range schedule(&options, routes, 2) {
 		load.sendWithRetries(due.spec)
 	}
-	runs, _ := record.Of("t-")
+	runs, _ := record.WithPrefix("t-")
 	load.compareRuns(runs)
-	load.result.Close()
+	load.result.Finalize()
 	return load.result
 }
 
--- a/internal/tooling/loadgen/endpoint.go
+++ b/internal/tooling/loadgen/endpoint.go
@@ -62,8 +62,8 @@
 
 // Card fetches the description of the fleet. It returns an error unless all ingress addresses are on
 // this machine.
-func (e *Endpoint) Card() (*lab.Card, error) {
-	card := &lab.Card{}
+func (e *Endpoint) Card() (*lab.FleetInfo, error) {
+	card := &lab.FleetInfo{}
 	if err := e.call(http.MethodGet, "/fleet", nil, card); err != nil {
 		return nil, err
 	}
--- a/internal/tooling/loadgen/lots.go
+++ b/internal/tooling/loadgen/lots.go
@@ -21,7 +21,7 @@
 	var group sync.WaitGroup
 	at := 0.0
 	for number := 0; ; number++ {
-		at += random.ExpFloat64() / r.options.LotRate * 1000
+		at += random.ExpFloat64() / r.options.JobRate * 1000
 		due := clock.Milliseconds(at)
 		if number == 0 {
 			// There is at least one job, even in a short load.
@@ -122,7 +122,7 @@
 			return
 		case err == nil:
 			cursor = page.Next
-		case !jobclient.Again(err):
+		case !jobclient.IsRetryable(err):
 			return
 		case ctx.Err() != nil:
 			r.result.addNote("job " + check.id + " could not be read again: " + err.Error())
@@ -142,7 +142,7 @@
 		}
 	case errs.Is(err, jobclient.ErrCorruptResponse):
 		r.result.addFinding(Finding{"MIXED", check.id, err.Error()})
-	case !jobclient.Again(err):
+	case !jobclient.IsRetryable(err):
 		r.result.addFinding(Finding{"LOST", check.id, err.Error()})
 	}
 }
--- a/internal/tooling/loadgen/options.go
+++ b/internal/tooling/loadgen/options.go
@@ -13,9 +13,9 @@
 
 // Options describe the load to send.
 type Options struct {
-	// Rate is the number of requests a second, LotRate the number of batch jobs a second, and Items
+	// Rate is the number of requests a second, JobRate the number of batch jobs a second, and Items
 	// the number of items of each job.
-	Rate, LotRate float64
+	Rate, JobRate float64
 	Items         int
 	// Mix is the mix of the kinds of requests.
 	Mix []Share
@@ -38,7 +38,7 @@
 // NewOptions returns the default options.
 func NewOptions() Options {
 	mix, _ := ParseMix("query=6,review=1,confirm=2,status=3")
-	return Options{Rate: 40, LotRate: 0.3, Items: 10, Mix: mix, For: 15 * time.Second, Tries: 2, Seed: 1}
+	return Options{Rate: 40, JobRate: 0.3, Items: 10, Mix: mix, For: 15 * time.Second, Tries: 2, Seed: 1}
 }
 
 // Check returns an error about the first option that is out of range, or nil.
@@ -46,7 +46,7 @@
 	switch {
 	case !(o.Rate > 0 && o.Rate <= constants.LoadRate):
 		return ErrInvalidLoad.New(fmt.Sprintf("rate must be above 0 and at most %d", constants.LoadRate))
-	case !(o.LotRate >= 0 && o.LotRate <= constants.LoadRate):
+	case !(o.JobRate >= 0 && o.JobRate <= constants.LoadRate):
 		return ErrInvalidLoad.New(fmt.Sprintf("lots must be between 0 and %d", constants.LoadRate))
 	case o.Items < 1 || o.Items > constants.JobItemsMax:
 		return ErrInvalidLoad.New(fmt.Sprintf("items must be between 1 and %d", constants.JobItemsMax))
@@ -62,7 +62,7 @@
 
 // routesOf returns the fleet's routes by name. It returns an error if the route of a kind that the
 // options use is missing.
-func (o *Options) routesOf(card *lab.Card) (map[string]*routeconfig.Route, error) {
+func (o *Options) routesOf(card *lab.FleetInfo) (map[string]*routeconfig.Route, error) {
 	routes := map[string]*routeconfig.Route{}
 	for i := range card.Routes {
 		routes[card.Routes[i].Name] = &card.Routes[i]
@@ -71,7 +71,7 @@
 	for _, share := range o.Mix {
 		required = append(required, share.Kind)
 	}
-	if o.LotRate > 0 {
+	if o.JobRate > 0 {
 		required = append(required, "batch")
 	}
 	for _, name := range required {
--- a/internal/tooling/loadgen/result.go
+++ b/internal/tooling/loadgen/result.go
@@ -75,7 +75,7 @@
 func (k *Kind) record(span clock.Duration) { _ = k.times.RecordValue(max(span.Microseconds(), 1)) }
 
 // count counts one request or item. One in time earns the whole worth of its kind, a late one the
-// share constants.LoadLate of it, a failed one nothing. The caller holds the lock.
+// share constants.LateResponseValue of it, a failed one nothing. The caller holds the lock.
 func (r *Result) count(name string, inTime, served bool) *Kind {
 	kind, value := r.kind(name), profiles[name].worth
 	kind.Sent++
@@ -86,7 +86,7 @@
 		kind.earned += value
 	case served:
 		kind.Late++
-		kind.earned += value * constants.LoadLate
+		kind.earned += value * constants.LateResponseValue
 	default:
 		kind.Failed++
 	}
@@ -193,8 +193,8 @@
 	return fmt.Sprintf("%s after=%.0fs in-time=%d late=%d failed=%d broken=%d", r.Label, span.Seconds(), inTime, late, failed, r.Broken)
 }
 
-// Close computes worth and percentiles from the counts.
-func (r *Result) Close() {
+// Finalize computes worth and percentiles from the counts.
+func (r *Result) Finalize() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	earned, owed := 0.0, 0.0
--- a/internal/tooling/simulation/disk.go
+++ b/internal/tooling/simulation/disk.go
@@ -28,7 +28,7 @@
 	OperationSync
 	OperationRename
 	OperationRemove
-	OperationSyncFolder
+	OperationSyncDirectory
 )
 
 // Disk is a directory in memory that loses data on a power failure as a real disk does.
@@ -44,8 +44,8 @@
 	// unsynced lists, for each name that changed since the last sync of the directory, the
 	// contents that it has referred to, oldest first. The first one is the synced one.
 	unsynced map[string][]*content
-	// Free is the free space in bytes; a negative value means unlimited.
-	Free int
+	// FreeBytes is the free space in bytes; a negative value means unlimited.
+	FreeBytes int
 	// Syncs is the number of file syncs.
 	Syncs int
 	// Intercept, if set, is called before each operation. If it returns an error, the
@@ -55,7 +55,7 @@
 
 // NewDisk returns an empty disk without a space limit.
 func NewDisk(seed int64) *Disk {
-	disk := &Disk{random: rand.New(rand.NewSource(seed)), Free: -1}
+	disk := &Disk{random: rand.New(rand.NewSource(seed)), FreeBytes: -1}
 	disk.Wipe()
 	return disk
 }
@@ -87,8 +87,8 @@
 	}
 }
 
-// Spoil inverts one byte of a file, as a failing disk may do.
-func (d *Disk) Spoil(name string, offset int) {
+// CorruptByte inverts one byte of a file, as a failing disk may do.
+func (d *Disk) CorruptByte(name string, offset int) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	file := d.names[name]
@@ -148,7 +148,7 @@
 
 // SyncDirectory makes all creations, renames and removals of files durable.
 func (d *Disk) SyncDirectory() error {
-	if err := d.intercept(OperationSyncFolder, ""); err != nil {
+	if err := d.intercept(OperationSyncDirectory, ""); err != nil {
 		return err
 	}
 	d.lock.Lock()
--- a/internal/tooling/simulation/file.go
+++ b/internal/tooling/simulation/file.go
@@ -104,11 +104,11 @@
 	if err != nil {
 		written = h.disk.random.Intn(len(text) + 1)
 	}
-	if free := h.disk.Free; free >= 0 {
+	if free := h.disk.FreeBytes; free >= 0 {
 		if written > free {
 			written, err = free, ErrFull
 		}
-		h.disk.Free -= written
+		h.disk.FreeBytes -= written
 	}
 	change := pendingWrite{offset: len(h.file.text), text: append([]byte(nil), text[:written]...)}
 	h.file.apply(change)
--- a/internal/tooling/simulation/world.go
+++ b/internal/tooling/simulation/world.go
@@ -56,11 +56,11 @@
 	Now    clock.Instant
 	queue  events
 	order  int
-	// Loss and Double are the probabilities, 0 to 1, that a message is lost, or duplicated if it
+	// LossProbability and Double are the probabilities, 0 to 1, that a message is lost, or duplicated if it
 	// is not lost.
-	Loss, Double float64
-	partitioned  map[string]bool
-	history      []string
+	LossProbability, DuplicateProbability float64
+	partitioned                           map[string]bool
+	history                               []string
 }
 
 // NewWorld returns a world whose history depends only on its seed.
@@ -91,9 +91,9 @@
 // duplicated, or not at all if it is lost or the direction is partitioned on delivery.
 func (w *World) Send(from, to string, function func()) {
 	copies := 1
-	if w.Random.Float64() < w.Loss {
+	if w.Random.Float64() < w.LossProbability {
 		copies = 0
-	} else if w.Random.Float64() < w.Double {
+	} else if w.Random.Float64() < w.DuplicateProbability {
 		copies = 2
 	}
 	for ; copies > 0; copies-- {
@@ -116,16 +116,16 @@
 	w.Now = until
 }
 
-// Forget drops all pending events.
-func (w *World) Forget() { w.queue = nil }
+// DropEvents drops all pending events.
+func (w *World) DropEvents() { w.queue = nil }
 
 // Record adds a line, with the time, to the history.
 func (w *World) Record(format string, values ...any) {
 	w.history = append(w.history, fmt.Sprintf("%d ", w.Now)+fmt.Sprintf(format, values...))
 }
 
-// Sum returns a hash of the whole history. The same seed produces the same hash.
-func (w *World) Sum() uint64 {
+// HistoryHash returns a hash of the whole history. The same seed produces the same hash.
+func (w *World) HistoryHash() uint64 {
 	hash := fnv.New64a()
 	for _, line := range w.history {
 		hash.Write([]byte(line))
--- a/internal/tooling/soak/run.go
+++ b/internal/tooling/soak/run.go
@@ -48,7 +48,7 @@
 	failures := make(chan error, 1)
 	go func() {
 		select {
-		case failure := <-fleet.Died:
+		case failure := <-fleet.Failed:
 			failures <- failure
 			cancel()
 		case <-fleetCtx.Done():
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, ErrInvalidSoak.Wrap(err, "load; logs in "+folder)
 	}
-	result.Close()
+	result.Finalize()
 	report = &Report{Seed: schedule.Seed, PlannedOnly: schedule.PlannedOnly, TroubleCounts: schedule.troubleCounts(), Processes: plan.Gateways + plan.Controllers + plan.Stores, Result: result}
 	if report.Broken() {
 		report.Logs = folder
@@ -77,7 +77,7 @@
 		return nil, err
 	}
 	options := loadgen.NewOptions()
-	options.Rate, options.LotRate, options.Items, options.Tries = schedule.Experiment.Rate, schedule.Experiment.LotRate, schedule.Experiment.Items, schedule.Experiment.Tries
+	options.Rate, options.JobRate, options.Items, options.Tries = schedule.Experiment.Rate, schedule.Experiment.LotRate, schedule.Experiment.Items, schedule.Experiment.Tries
 	options.For, options.Seed, options.PlannedOnly, options.Progress = schedule.Duration, schedule.Seed, schedule.PlannedOnly, progress
 	return loadgen.Drive(ctx, options, endpoint, schedule.Experiment.Trouble)
 }
--- a/internal/tooling/workeremulator/answer.go
+++ b/internal/tooling/workeremulator/answer.go
@@ -95,8 +95,8 @@
 
 // parseRequest reads from the headers what a request requires of the engine. It returns false
 // if a header can't be parsed.
-func (w *Worker) parseRequest(header http.Header) (Ask, bool) {
-	request := Ask{Model: header.Get(headerModel)}
+func (w *Worker) parseRequest(header http.Header) (EngineRequest, bool) {
+	request := EngineRequest{Model: header.Get(headerModel)}
 	if text := header.Get(headerTimeLeft); text != "" {
 		left, err := strconv.ParseFloat(text, 64)
 		if err != nil || left < 0 {
--- a/internal/tooling/workeremulator/ask.go
+++ b/internal/tooling/workeremulator/ask.go
@@ -20,8 +20,8 @@
 	Stride int
 }
 
-// Ask is one request to an engine.
-type Ask struct {
+// EngineRequest is one request to an engine.
+type EngineRequest struct {
 	// Ticket identifies the request within its worker. The attempt id can't be used since it
 	// may occur twice.
 	Ticket int64
@@ -49,9 +49,9 @@
 
 // Event is one input event.
 type Event struct {
-	Kind   EventKind
-	Ask    Ask
-	Ticket int64
+	Kind    EventKind
+	Request EngineRequest
+	Ticket  int64
 }
 
 // EffectKind is the kind of an output of an engine.
--- a/internal/tooling/workeremulator/beats.go
+++ b/internal/tooling/workeremulator/beats.go
@@ -16,8 +16,8 @@
 // ErrNotAcknowledged means that a call was not acknowledged.
 var ErrNotAcknowledged = errs.Define("call not acknowledged")
 
-// Beater registers a worker by sending heartbeats.
-type Beater struct {
+// HeartbeatSender registers a worker by sending heartbeats.
+type HeartbeatSender struct {
 	Worker *Worker
 	// Address is the address at which the worker serves requests. Controllers are the addresses
 	// that may be called.
@@ -31,9 +31,9 @@
 	client         http.Client
 }
 
-// NewBeater returns a Beater that has sent nothing yet.
-func NewBeater(worker *Worker, address string, controllers []string) *Beater {
-	beater := &Beater{Worker: worker, Address: address, Controllers: controllers}
+// NewHeartbeatSender returns a Beater that has sent nothing yet.
+func NewHeartbeatSender(worker *Worker, address string, controllers []string) *HeartbeatSender {
+	beater := &HeartbeatSender{Worker: worker, Address: address, Controllers: controllers}
 	beater.client = http.Client{Timeout: constants.EmulatorHeartbeatWait, CheckRedirect: func(_ *http.Request, via []*http.Request) error {
 		if len(via) > constants.EmulatorRedirects {
 			return ErrNotAcknowledged.New("too many redirects")
@@ -59,12 +59,12 @@
 // Beat sends one heartbeat. If an earlier response named a target, it is called first, and is
 // forgotten once a heartbeat to it fails. The controllers follow, and each call starts with the
 // next one of them.
-func (b *Beater) Beat() error { return b.call("/-/Workers.Heartbeat/") }
+func (b *HeartbeatSender) Beat() error { return b.call("/-/Workers.Heartbeat/") }
 
 // Depart reports that the worker has departed.
-func (b *Beater) Depart() error { return b.call("/-/Workers.Depart/") }
+func (b *HeartbeatSender) Depart() error { return b.call("/-/Workers.Depart/") }
 
-func (b *Beater) call(path string) error {
+func (b *HeartbeatSender) call(path string) error {
 	b.lock.Lock()
 	b.count++
 	addresses := []string{}
@@ -112,7 +112,7 @@
 
 // send makes one call. Only a 2xx response of limited size that arrives within the timeout
 // counts as an acknowledgement.
-func (b *Beater) send(url string, text []byte) (target string, err error) {
+func (b *HeartbeatSender) send(url string, text []byte) (target string, err error) {
 	resp, err := b.client.Post(url, "application/json", bytes.NewReader(text))
 	if err != nil {
 		return "", ErrNotAcknowledged.Wrap(err, "send request")
@@ -133,15 +133,15 @@
 	return received.Target, nil
 }
 
-// Keep sends heartbeats until the context ends.
-func (b *Beater) Keep(until contexts.Context, period clock.Duration) {
+// SendUntil sends heartbeats until the context ends.
+func (b *HeartbeatSender) SendUntil(until contexts.Context, period clock.Duration) {
 	_ = b.Beat()
 	clock.Every(period, until.Done(), func() { _ = b.Beat() })
 }
 
-// LeaveInOrder reports that the worker is draining, continues to serve for the drain time once
+// DrainAndShutDown reports that the worker is draining, continues to serve for the drain time once
 // that was acknowledged, then departs and shuts down.
-func (b *Beater) LeaveInOrder(drain clock.Duration) {
+func (b *HeartbeatSender) DrainAndShutDown(drain clock.Duration) {
 	b.Worker.Drain()
 	for attempts := 0; b.Beat() != nil && attempts < len(b.Controllers)+2; attempts++ {
 		clock.Sleep(constants.LabRetry)
--- a/internal/tooling/workeremulator/beats_test.go
+++ b/internal/tooling/workeremulator/beats_test.go
@@ -32,7 +32,7 @@
 	other := serve("other", "", 200)
 	first := serve("first", other.Listener.Addr().String(), 200)
 	worker, _, address, _ := start(t, plainSettings)
-	beater := NewBeater(worker, address, []string{first.Listener.Addr().String()})
+	beater := NewHeartbeatSender(worker, address, []string{first.Listener.Addr().String()})
 	for count := 0; count < 2; count++ {
 		if err := beater.Beat(); err != nil {
 			t.Fatal(err)
--- a/internal/tooling/workeremulator/cache.go
+++ b/internal/tooling/workeremulator/cache.go
@@ -34,7 +34,7 @@
 
 // promptParts returns the parts of a prompt. The tokens that belong to no part form an extra
 // part private to the request.
-func promptParts(request Ask) []Part {
+func promptParts(request EngineRequest) []Part {
 	var parts []Part
 	seen := map[string]bool{}
 	for _, part := range request.Parts {
--- a/internal/tooling/workeremulator/engine.go
+++ b/internal/tooling/workeremulator/engine.go
@@ -12,7 +12,7 @@
 )
 
 type activeRequest struct {
-	request Ask
+	request EngineRequest
 	parts   []Part
 	// pinned reports whether the request's parts are pinned in memory.
 	pinned bool
@@ -52,7 +52,7 @@
 	e.catchUp(now)
 	switch event.Kind {
 	case EventArrive:
-		e.arrive(event.Ask)
+		e.arrive(event.Request)
 	case EventCancel:
 		e.remove(event.Ticket)
 	}
@@ -101,7 +101,7 @@
 	e.effects = append(e.effects, Effect{kind, req.request.Ticket, number})
 }
 
-func (e *Engine) arrive(arrived Ask) {
+func (e *Engine) arrive(arrived EngineRequest) {
 	req := &activeRequest{request: arrived, parts: promptParts(arrived)}
 	if arrived.Work == 0 {
 		// Output that the client already has is prefilled, not generated again.
--- a/internal/tooling/workeremulator/engine_test.go
+++ b/internal/tooling/workeremulator/engine_test.go
@@ -47,7 +47,7 @@
 }
 
 func arrive(ticket, in, out int64, parts ...Part) Event {
-	return Event{Kind: EventArrive, Ask: Ask{Ticket: ticket, Model: "m", In: in, Out: out, Parts: parts}}
+	return Event{Kind: EventArrive, Request: EngineRequest{Ticket: ticket, Model: "m", In: in, Out: out, Parts: parts}}
 }
 
 func milliseconds(count float64) clock.Instant { return clock.Instant(clock.Milliseconds(count)) }
@@ -145,10 +145,10 @@
 
 func TestResumeContinuesAfterTheLastEvent(t *testing.T) {
 	event := arrive(1, 100, 40)
-	event.Ask.LastEvent = 3
+	event.Request.LastEvent = 3
 	effects := drive(NewEngine(smallShape), map[clock.Instant][]Event{0: {event}}, milliseconds(300))
 	checkEvents(t, effectsOf(effects, 1, EffectEvent), 4, 10)
-	event.Ask.LastEvent = 10
+	event.Request.LastEvent = 10
 	effects = drive(NewEngine(smallShape), map[clock.Instant][]Event{0: {event}}, milliseconds(300))
 	if len(effectsOf(effects, 1, EffectEvent)) != 0 || len(effectsOf(effects, 1, EffectFinish)) != 1 {
 		t.Fatal("resuming after the last event must only finish, got", effects)
@@ -162,7 +162,7 @@
 	}
 	large := arrive(8, 2000, 4)
 	late := arrive(9, 10, 800)
-	late.Ask.Deadline = milliseconds(300)
+	late.Request.Deadline = milliseconds(300)
 	effects := drive(NewEngine(smallShape), map[clock.Instant][]Event{0: events, milliseconds(200): {large, late}}, milliseconds(400))
 	if len(effectsOf(effects, 7, EffectRefuse)) != 1 || len(effectsOf(effects, 6, EffectFinish)) != 1 || len(effectsOf(effects, 8, EffectRefuse)) != 1 || len(effectsOf(effects, 9, EffectExpire)) != 1 {
 		t.Fatal(effects)
@@ -203,7 +203,7 @@
 				count++
 				event := arrive(count, 20+random.Int63n(300), 1+random.Int63n(60), Part{strconv.Itoa(random.Intn(4)), 20})
 				if random.Intn(5) == 0 {
-					event.Ask.Work = time.Millisecond * 10
+					event.Request.Work = time.Millisecond * 10
 				}
 				apply(engine.Step(event, now))
 			}
--- a/internal/tooling/workeremulator/exchange.go
+++ b/internal/tooling/workeremulator/exchange.go
@@ -17,7 +17,7 @@
 	body          []byte
 	attempt       string
 	faults        drawnFaults
-	engineRequest Ask
+	engineRequest EngineRequest
 	headSent      bool
 }
 
--- a/internal/tooling/workeremulator/record.go
+++ b/internal/tooling/workeremulator/record.go
@@ -54,9 +54,9 @@
 	run.Ended = true
 }
 
-// Of returns the runs whose attempt id starts with the prefix, and the number of runs that
+// WithPrefix returns the runs whose attempt id starts with the prefix, and the number of runs that
 // exceeded the record's limit.
-func (r *Record) Of(prefix string) ([]Run, int) {
+func (r *Record) WithPrefix(prefix string) ([]Run, int) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	runs := []Run{}
@@ -79,8 +79,8 @@
 // Seal returns the seal of a worker on the response to an attempt.
 func Seal(worker, attempt string) string { return worker + "." + sum("seal", worker, attempt) }
 
-// Sealed reports whether a seal is valid for an attempt, and returns the worker that it names.
-func Sealed(seal, attempt string) (worker string, valid bool) {
+// VerifySeal reports whether a seal is valid for an attempt, and returns the worker that it names.
+func VerifySeal(seal, attempt string) (worker string, valid bool) {
 	worker, _, _ = strings.Cut(seal, ".")
 	return worker, worker != "" && seal == Seal(worker, attempt)
 }
--- a/internal/tooling/workeremulator/rim.go
+++ b/internal/tooling/workeremulator/rim.go
@@ -55,7 +55,7 @@
 
 // serveProbe waits for a slot as a request does, then responds whether the worker is healthy.
 func (w *Worker) serveProbe(writer http.ResponseWriter, request *http.Request) {
-	ticket, waiting := w.submit(Ask{Work: 1}, Run{})
+	ticket, waiting := w.submit(EngineRequest{Work: 1}, Run{})
 	defer w.cancel(ticket)
 	for done := false; !done; {
 		select {
--- a/internal/tooling/workeremulator/sender_test.go
+++ b/internal/tooling/workeremulator/sender_test.go
@@ -80,10 +80,10 @@
 	if err != nil || resp.StatusCode != 200 || body != completeStream("one") {
 		t.Fatal(resp, body, err)
 	}
-	if _, valid := Sealed(resp.Header.Get(headerSeal), "one"); !valid {
+	if _, valid := VerifySeal(resp.Header.Get(headerSeal), "one"); !valid {
 		t.Fatal(resp.Header)
 	}
-	if runs, _ := record.Of(""); len(runs) != 1 || !runs[0].Ended {
+	if runs, _ := record.WithPrefix(""); len(runs) != 1 || !runs[0].Ended {
 		t.Fatal(runs)
 	}
 }
@@ -100,8 +100,8 @@
 	if err != nil || resp.StatusCode != 200 || body != completeStream("one") {
 		t.Fatal(resp, body, err)
 	}
-	runs, _ := before.Of("")
-	more, _ := after.Of("")
+	runs, _ := before.WithPrefix("")
+	more, _ := after.WithPrefix("")
 	if len(runs) != 1 || len(more) != 1 || more[0].From != 4 {
 		t.Fatal(runs, more)
 	}
--- a/internal/tooling/workeremulator/worker.go
+++ b/internal/tooling/workeremulator/worker.go
@@ -166,7 +166,7 @@
 func (w *Worker) chance(share float64) bool { return share > 0 && w.random.Float64() < share }
 
 // submit passes a request to the engine and returns the waiter that receives its effects.
-func (w *Worker) submit(request Ask, template Run) (int64, *waiter) {
+func (w *Worker) submit(request EngineRequest, template Run) (int64, *waiter) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.ticket++
@@ -175,7 +175,7 @@
 	// on a connection.
 	waiting := &waiter{effects: make(chan Effect, 8+Events(request.Out, w.engine.shape.Stride)), runTemplate: template}
 	w.waiters[request.Ticket] = waiting
-	w.step(Event{Kind: EventArrive, Ask: request})
+	w.step(Event{Kind: EventArrive, Request: request})
 	return request.Ticket, waiting
 }
 
--- a/internal/tooling/workeremulator/worker_test.go
+++ b/internal/tooling/workeremulator/worker_test.go
@@ -74,10 +74,10 @@
 	if err != nil || body != want || resp.Header.Get(headerAttempt) != "one" || resp.Header.Get(headerLoad) == "" || resp.Header.Get("Keep-Alive") == "" {
 		t.Fatal(resp, body, err)
 	}
-	if worker, valid := Sealed(resp.Header.Get(headerSeal), "one"); !valid || worker != "w1" {
+	if worker, valid := VerifySeal(resp.Header.Get(headerSeal), "one"); !valid || worker != "w1" {
 		t.Fatal(resp.Header)
 	}
-	runs, _ := record.Of("on")
+	runs, _ := record.WithPrefix("on")
 	if len(runs) != 1 || runs[0].From != 1 || runs[0].Path != "/a/b" || runs[0].Body != BodySum([]byte("body")) {
 		t.Fatal(runs)
 	}
@@ -100,7 +100,7 @@
 	if resp, _, err := post(address, ""); err != nil || resp.StatusCode != 400 {
 		t.Fatal(resp, err)
 	}
-	if runs, _ := record.Of(""); len(runs) != 0 {
+	if runs, _ := record.WithPrefix(""); len(runs) != 0 {
 		t.Fatal("requests ran, want none", runs)
 	}
 }
@@ -167,7 +167,7 @@
 		}
 		_, _ = io.Copy(io.Discard, resp.Body)
 	}
-	if runs, _ := record.Of(""); len(runs) != 5 {
+	if runs, _ := record.WithPrefix(""); len(runs) != 5 {
 		t.Fatal("each broken response must count as one run, want 5, got", runs)
 	}
 }
@@ -197,7 +197,7 @@
 	if err := send(); err == nil {
 		t.Fatal("got a response on a forgotten connection")
 	}
-	if runs, _ := record.Of(""); len(runs) != 1 {
+	if runs, _ := record.WithPrefix(""); len(runs) != 1 {
 		t.Fatal(runs)
 	}
 }
--- a/internal/traffic/admission/admission.go
+++ b/internal/traffic/admission/admission.go
@@ -113,8 +113,8 @@
 	return scheduler
 }
 
-// Locked calls function while holding the scheduler's lock.
-func (s *Scheduler) Locked(function func()) {
+// WithLock calls function while holding the scheduler's lock.
+func (s *Scheduler) WithLock(function func()) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	function()
--- a/internal/traffic/admission/counters.go
+++ b/internal/traffic/admission/counters.go
@@ -5,7 +5,7 @@
 // Counters counts the requests of one route that were preempted, resumed and finished in this
 // process.
 type Counters struct {
-	Displaced, Resumed, Finished atomic.Int64
+	Preempted, Resumed, Finished atomic.Int64
 }
 
 // Counters returns the counters of a route and creates them if necessary.
--- a/internal/traffic/admission/flow.go
+++ b/internal/traffic/admission/flow.go
@@ -28,7 +28,7 @@
 		sums = &flow{}
 		s.gossip.flows[grant.request.Service] = sums
 	}
-	sums.tokens = flowDecay*sums.tokens + float64(grant.FreshTokens+grant.request.Prompt.Out/2)
+	sums.tokens = flowDecay*sums.tokens + float64(grant.FreshTokens+grant.request.Prompt.OutTokens/2)
 	sums.count = flowDecay*sums.count + 1
 	sums.durationMs = flowDecay*sums.durationMs + clock.ToMilliseconds(now.Sub(grant.startedAt))
 }
--- a/internal/traffic/admission/gossip.go
+++ b/internal/traffic/admission/gossip.go
@@ -70,7 +70,7 @@
 			// The peers have already received this observation from this node.
 			continue
 		}
-		if sample.Health == messages.HealthUnknown && sample.AgeMs > constants.GossipMinChange.Milliseconds() {
+		if sample.Health == messages.HealthUnknown && sample.AgeMs > constants.GossipAgeMax.Milliseconds() {
 			continue
 		}
 		wait := now.Sub(last.sentAt)
@@ -135,9 +135,9 @@
 	return state.workersByHash[hash]
 }
 
-// Alert returns the numbers of placements and downgrades, and reports whether the share of
+// DowngradeAlert returns the numbers of placements and downgrades, and reports whether the share of
 // downgrades exceeds constants.DowngradeAlert. It needs more than 200 placements to do so.
-func (s *Scheduler) Alert() (placements, downgrades int64, alert bool) {
+func (s *Scheduler) DowngradeAlert() (placements, downgrades int64, alert bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	placements, downgrades = s.Index.Placements, s.Index.Downgrades
--- a/internal/traffic/admission/health.go
+++ b/internal/traffic/admission/health.go
@@ -44,7 +44,7 @@
 		case result == ResultTimeout && grant.silenceLevel == silenceTimeout:
 			// NoteSilence recorded this timeout while the request was pending.
 			return
-		case result == ResultTimeout && grant.silence > 0 && grant.silence < constants.SureTimeout:
+		case result == ResultTimeout && grant.silence > 0 && grant.silence < constants.SilenceFaultTimeout:
 			fault = health.FaultSlow
 		}
 		s.recordFault(worker, fault, now)
@@ -113,9 +113,9 @@
 // constants.RiskFloor, in ms of score.
 func (s *Scheduler) riskMs(req *Request, worker messages.Worker, now clock.Instant) float64 {
 	median := s.Tracker.MedianFailureRate(worker.Backend, now)
-	cost := constants.ErrCostOnce
+	cost := constants.FailureCostNotRetryableMs
 	if req.Retryable || req.Bulk {
-		cost = constants.ErrCost
+		cost = constants.FailureCostMs
 	}
 	return cost * max(0, s.Tracker.OutcomesOf(worker.ID, worker.Backend).FailureRate(median, now)-median-constants.RiskFloor)
 }
--- a/internal/traffic/admission/observation.go
+++ b/internal/traffic/admission/observation.go
@@ -12,7 +12,7 @@
 	observation := &trafficstats.Observation{
 		Class: trafficstats.Class{Route: route, Service: g.request.Service, Model: model},
 		Bulk:  true, Outcome: trafficstats.OutcomeServed, Placed: true,
-		PromptTokens: g.request.Prompt.Tokens, FreshTokens: g.FreshTokens, OutTokens: g.request.Prompt.Out,
+		PromptTokens: g.request.Prompt.Tokens, FreshTokens: g.FreshTokens, OutTokens: g.request.Prompt.OutTokens,
 		Events: events, Duration: now.Sub(g.startedAt),
 	}
 	if g.firstAt > 0 {
--- a/internal/traffic/admission/pump.go
+++ b/internal/traffic/admission/pump.go
@@ -30,7 +30,7 @@
 	return s.slab.Len() > 0
 }
 
-// RunPump pumps the queues every constants.PumpPeriod while requests are queued, and sleeps while
+// RunPump pumps the queues every constants.PollPeriod while requests are queued, and sleeps while
 // none are, so that an idle process causes no wakeups.
 func (s *Scheduler) RunPump(stop <-chan struct{}) {
 	for {
@@ -43,7 +43,7 @@
 			select {
 			case <-stop:
 				return
-			case <-clock.After(constants.PumpPeriod):
+			case <-clock.After(constants.PollPeriod):
 			}
 		}
 	}
--- a/internal/traffic/admission/pump_test.go
+++ b/internal/traffic/admission/pump_test.go
@@ -24,7 +24,7 @@
 	for round := 0; round < 2; round++ {
 		rejected := make(chan Decision, 1)
 		req := newRequest(0)
-		req.QueueUntil = clock.Now().Add(2 * constants.PumpPeriod)
+		req.QueueUntil = clock.Now().Add(2 * constants.PollPeriod)
 		if decision, _ := scheduler.Admit(req, func(late Decision) { rejected <- late }, clock.Now()); decision.Verdict != VerdictQueued {
 			t.Fatal(decision.Verdict)
 		}
--- a/internal/traffic/admission/reach.go
+++ b/internal/traffic/admission/reach.go
@@ -149,10 +149,10 @@
 	for i := range all {
 		ids[i] = all[i].ID
 	}
-	for _, worker := range s.Index.Homes(&req.Prompt, ids, constants.ReachHomes) {
+	for _, worker := range s.Index.Homes(&req.Prompt, ids, constants.ReachPrefixWorkers) {
 		holders[worker] = true
 	}
-	for _, worker := range s.Index.Holders(&req.Prompt, constants.ReachHomes) {
+	for _, worker := range s.Index.Holders(&req.Prompt, constants.ReachPrefixWorkers) {
 		holders[worker] = true
 	}
 	for _, worker := range considered {
--- a/internal/traffic/admission/reach_test.go
+++ b/internal/traffic/admission/reach_test.go
@@ -99,7 +99,7 @@
 		t.Fatal("not placed on the worker that holds the prefix but on ", decision.Grant.Worker.ID)
 	}
 	failed := scheduler.subset("s", scheduler.Registry.ByService("s"), atSecond(2))[0].ID
-	scheduler.Locked(func() { scheduler.Tracker.Of(failed).RecordFailure(constants.EjectFor, atSecond(4)) })
+	scheduler.WithLock(func() { scheduler.Tracker.Of(failed).RecordFailure(constants.EjectFor, atSecond(4)) })
 	for _, worker := range scheduler.subset("s", scheduler.Registry.ByService("s"), atSecond(4)) {
 		if worker.ID == failed {
 			t.Fatal("a failing worker is still in the subset")
--- a/internal/traffic/admission/selectworker.go
+++ b/internal/traffic/admission/selectworker.go
@@ -118,7 +118,7 @@
 	}
 	candidate.RiskMs += s.riskMs(sel.request, *worker, sel.now)
 	if suspect {
-		candidate.RiskMs += constants.ErrPenalty
+		candidate.RiskMs += constants.SuspectPenaltyMs
 	}
 	sel.workers = append(sel.workers, *worker)
 	sel.candidates = append(sel.candidates, candidate)
@@ -135,7 +135,7 @@
 	}
 	s.Index.SetCache(worker.ID, sel.cacheTokens)
 	prefills := float64(health.PendingTokens())/s.Index.PrefillRate() + clock.ToMilliseconds(health.PeerPrefillLeft(sel.now))
-	return prefills + float64(running)*constants.StepGuess
+	return prefills + float64(running)*constants.RunningRequestMsGuess
 }
 
 // newGrant records that the request is placed on a worker, and reports a long prompt to the peers.
@@ -153,7 +153,7 @@
 		return grant
 	}
 	grant.prefillTime = clock.Milliseconds(float64(max(health.PendingTokens(), 0))/s.Index.PrefillRate()) + health.PeerPrefillLeft(now)
-	if prefillMs := float64(grant.FreshTokens) / s.Index.PrefillRate(); prefillMs > constants.LongReading && s.onPrefill != nil {
+	if prefillMs := float64(grant.FreshTokens) / s.Index.PrefillRate(); prefillMs > constants.LongPrefillMs && s.onPrefill != nil {
 		s.onPrefill(worker.ID, prefillMs)
 	}
 	return grant
--- a/internal/traffic/admission/silence.go
+++ b/internal/traffic/admission/silence.go
@@ -80,16 +80,16 @@
 }
 
 // NoteSilence records a silence after which the request keeps waiting: shorter than
-// constants.SureTimeout it counts as slowness, from then on as a timeout.
+// constants.SilenceFaultTimeout it counts as slowness, from then on as a timeout.
 func (g *Grant) NoteSilence(elapsed clock.Duration, now clock.Instant) {
 	scheduler := g.scheduler
 	scheduler.lock.Lock()
 	defer scheduler.lock.Unlock()
 	switch {
-	case elapsed >= constants.SureTimeout && g.silenceLevel < silenceTimeout:
+	case elapsed >= constants.SilenceFaultTimeout && g.silenceLevel < silenceTimeout:
 		g.silenceLevel = silenceTimeout
 		scheduler.recordFault(g.Worker, health.FaultTimeout, now)
-	case elapsed < constants.SureTimeout && g.silenceLevel < silenceSlow:
+	case elapsed < constants.SilenceFaultTimeout && g.silenceLevel < silenceSlow:
 		g.silenceLevel = silenceSlow
 		scheduler.recordFault(g.Worker, health.FaultSlow, now)
 	}
--- a/internal/traffic/admission/stale.go
+++ b/internal/traffic/admission/stale.go
@@ -15,7 +15,7 @@
 // new samples.
 
 // isFull reports whether a request finds no slot at a worker. The observation that a worker is full
-// is valid for about one mean request duration, but at least for constants.FullFor; then a request
+// is valid for about one mean request duration, but at least for constants.FullDurationMin; then a request
 // must probe the worker. Items do not probe, and nothing probes an engine, whose batch stays full:
 // there preemption under pressure frees slots.
 func (s *Scheduler) isFull(req *Request, worker messages.Worker, engine bool, running int, now clock.Instant) bool {
@@ -27,7 +27,7 @@
 	if req.Bulk || engine || health.Own() >= capacity || !health.Known(now) {
 		return true
 	}
-	return health.PendingPrefills() > 0 || health.Age(now) <= max(constants.FullFor, s.meanDuration(req.Service))
+	return health.PendingPrefills() > 0 || health.Age(now) <= max(constants.FullDurationMin, s.meanDuration(req.Service))
 }
 
 // meanDuration returns the mean duration of a request at a service's worker, as observed by this
@@ -59,5 +59,5 @@
 		s.jitterState = rendezvousWeight(s.self, "")
 	}
 	s.jitterState = prefixindex.MixBits(s.jitterState + 0x9e3779b97f4a7c15)
-	return constants.SpreadMs * float64(s.jitterState>>11) / (1 << 53)
+	return constants.ScoreJitterMs * float64(s.jitterState>>11) / (1 << 53)
 }
--- a/internal/traffic/admission/stale_test.go
+++ b/internal/traffic/admission/stale_test.go
@@ -16,10 +16,10 @@
 func TestFullStateLastsForMeanDuration(t *testing.T) {
 	scheduler := newScheduler(t, 4, "w")
 	scheduler.HandleGossip(&messages.Gossip{From: "forge/x", Loads: encodedLoad("w", 50, 0)}, atSecond(10))
-	if decision, _ := scheduler.Admit(newRequest(0), nil, atSecond(10).Add(constants.FullFor)); decision.Verdict == VerdictGranted {
+	if decision, _ := scheduler.Admit(newRequest(0), nil, atSecond(10).Add(constants.FullDurationMin)); decision.Verdict == VerdictGranted {
 		t.Fatal("placed on a worker that was full a moment ago")
 	}
-	later := atSecond(10).Add(constants.FullFor) + 1
+	later := atSecond(10).Add(constants.FullDurationMin) + 1
 	if decision, _ := scheduler.Admit(&Request{Service: "s", Bulk: true, Priority: 2}, nil, later); decision.Verdict == VerdictGranted {
 		t.Fatal("an item probed the worker")
 	}
--- a/internal/traffic/gateway/clientconn.go
+++ b/internal/traffic/gateway/clientconn.go
@@ -70,7 +70,7 @@
 	count, err := p.Conn.Read(buffer)
 	if count == 0 && errors.Is(err, os.ErrDeadlineExceeded) && p.isIdleWithDeadline() {
 		// This process may have been suspended while the request arrived, so read once more.
-		_ = p.Conn.SetReadDeadline(clock.Deadline(constants.PumpPeriod))
+		_ = p.Conn.SetReadDeadline(clock.Deadline(constants.PollPeriod))
 		count, err = p.Conn.Read(buffer)
 	}
 	if count > 0 && !p.startRequest() {
--- a/internal/traffic/gateway/gateway.go
+++ b/internal/traffic/gateway/gateway.go
@@ -79,7 +79,7 @@
 	go readinessListener.LogPressure(runtime.Log, "readiness", runtime.Stop)
 	go ingressListener.LogPressure(runtime.Log, "ingress", runtime.Stop)
 	for runtime.Config() == nil {
-		clock.Sleep(constants.PumpPeriod)
+		clock.Sleep(constants.PollPeriod)
 	}
 	err = g.serve(ingressListener)
 	if errors.Is(err, http.ErrServerClosed) || g.Proxy.Draining.Load() {
@@ -108,7 +108,7 @@
 // known, and the process is not draining.
 func (g *Gateway) readiness(writer http.ResponseWriter, _ *http.Request) {
 	workerCount := 0
-	g.Gossip.Scheduler.Locked(func() { workerCount = len(g.Gossip.Scheduler.Registry.All(clock.Now())) })
+	g.Gossip.Scheduler.WithLock(func() { workerCount = len(g.Gossip.Scheduler.Registry.All(clock.Now())) })
 	if g.Proxy.Draining.Load() || !g.configConfirmed.Load() || workerCount == 0 {
 		httpreply.Text(writer, http.StatusServiceUnavailable, "not ready")
 		return
@@ -128,7 +128,7 @@
 		if clock.Now().Sub(started) > constants.DrainAcceptTime && g.idle() {
 			break
 		}
-		clock.Sleep(constants.PumpPeriod)
+		clock.Sleep(constants.PollPeriod)
 	}
 	counts := &g.Proxy.Counts
 	g.Node.Log.Info("gateway drained", "served", counts.Served.Load(), "refused", counts.Rejected.Load(), "failed", counts.Failed.Load(),
--- a/internal/traffic/gateway/jobcall_test.go
+++ b/internal/traffic/gateway/jobcall_test.go
@@ -65,7 +65,7 @@
 	const step = 7
 	for _, fault := range faultrelay.Faults() {
 		for i := int(fault) % step; i < 2*jobFrameLength; i += step {
-			strike := faultrelay.Strike{Fault: fault, Response: i >= jobFrameLength, At: i % jobFrameLength}
+			strike := faultrelay.Injection{Fault: fault, Response: i >= jobFrameLength, At: i % jobFrameLength}
 			t.Run(fmt.Sprint(fault, strike.Response, strike.At), func(t *testing.T) {
 				t.Parallel()
 				runJobCalls(t, strike)
@@ -74,7 +74,7 @@
 	}
 }
 
-func runJobCalls(t *testing.T, strike faultrelay.Strike) {
+func runJobCalls(t *testing.T, strike faultrelay.Injection) {
 	t.Helper()
 
 	store := newLeaderStub(t)
--- a/internal/traffic/gateway/jobforwarder.go
+++ b/internal/traffic/gateway/jobforwarder.go
@@ -132,7 +132,7 @@
 	tried := map[string]bool{}
 	for g.now() < end {
 		// A gateway that is partitioned from the stores may still reach one that is not.
-		if failures >= constants.RelayAfter && !call.Forwarded && len(relays) < constants.RelayAfter {
+		if failures >= constants.RelayAfterFailures && !call.Forwarded && len(relays) < constants.RelayAfterFailures {
 			resp, err := g.relay(call, end, relays)
 			outcome.observe(err)
 			if resp != nil {
--- a/internal/traffic/health/ejection.go
+++ b/internal/traffic/health/ejection.go
@@ -33,10 +33,10 @@
 		next.crashes = previous.crashes + 1
 	}
 	t.outcomes.incarnations[address] = next
-	if next.crashes < constants.FlapDeaths {
+	if next.crashes < constants.FlapCrashes {
 		return 0
 	}
-	outcomes.level = min(next.crashes-constants.FlapDeaths, constants.EjectLevels)
+	outcomes.level = min(next.crashes-constants.FlapCrashes, constants.EjectLevels)
 	outcomes.failedAt = now
 	return t.eject(worker, outcomes, now)
 }
--- a/internal/traffic/health/latency.go
+++ b/internal/traffic/health/latency.go
@@ -16,7 +16,7 @@
 // Observe adds a time in ms.
 func (p *Latency) Observe(milliseconds float64) {
 	p.count++
-	p.retryBudget = min(p.retryBudget+constants.HedgeEarned, constants.HedgeBudget)
+	p.retryBudget = min(p.retryBudget+constants.HedgeBudgetPerResponse, constants.HedgeBudget)
 	if p.count == 1 {
 		p.mean, p.deviation, p.retryBudget = milliseconds, milliseconds/2, constants.HedgeBudget/2
 		return
@@ -30,12 +30,12 @@
 }
 
 // Timeout returns the time after which a wait is unusual, between shortest and longest. It returns
-// longest until constants.PaceLeast times have been observed.
+// longest until constants.LatencySamplesMin times have been observed.
 func (p *Latency) Timeout(shortest, longest clock.Duration) clock.Duration {
-	if p.count < constants.PaceLeast {
+	if p.count < constants.LatencySamplesMin {
 		return longest
 	}
-	return min(max(clock.Milliseconds(p.mean+constants.PaceSpread*p.deviation), shortest), longest)
+	return min(max(clock.Milliseconds(p.mean+constants.LatencyDeviations*p.deviation), shortest), longest)
 }
 
 // TakeRetry takes one retry after a silence from the budget and reports whether there was one. When
--- a/internal/traffic/health/outcomes.go
+++ b/internal/traffic/health/outcomes.go
@@ -73,7 +73,7 @@
 	incarnations map[string]addressHistory
 }
 
-// medianRate is the median failure rate of a service, cached for constants.UsualPeriod.
+// medianRate is the median failure rate of a service, cached for constants.MedianPeriod.
 type medianRate struct {
 	rate float64
 	at   clock.Instant
@@ -137,7 +137,7 @@
 
 // MedianFailureRate returns the median failure rate of a service's workers.
 func (t *Tracker) MedianFailureRate(service string, now clock.Instant) float64 {
-	if cached, found := t.outcomes.medians[service]; found && now.Sub(cached.at) < constants.UsualPeriod {
+	if cached, found := t.outcomes.medians[service]; found && now.Sub(cached.at) < constants.MedianPeriod {
 		return cached.rate
 	}
 	var rates []float64
@@ -186,7 +186,7 @@
 	outcomes.failures += fault.weight()
 	outcomes.counts[fault]++
 	outcomes.failedAt = now
-	if outcomes.IsEjected(now) || outcomes.FailureRate(median, now) <= max(constants.EjectRate, constants.EjectOver*median) {
+	if outcomes.IsEjected(now) || outcomes.FailureRate(median, now) <= max(constants.EjectRate, constants.EjectMedianFactor*median) {
 		return 0
 	}
 	return t.eject(worker, outcomes, now)
--- a/internal/traffic/health/peers.go
+++ b/internal/traffic/health/peers.go
@@ -74,7 +74,7 @@
 	if h.fresh(now) {
 		count = max(count, h.observed.count+own-h.observed.own)
 	}
-	if h.full.known && now.Sub(h.full.at) < constants.FullFor {
+	if h.full.known && now.Sub(h.full.at) < constants.FullDurationMin {
 		count = max(count, h.full.count+own-h.full.own)
 	}
 	return count
--- a/internal/traffic/loadgossip/budget.go
+++ b/internal/traffic/loadgossip/budget.go
@@ -24,13 +24,13 @@
 }
 
 // connectionBudget returns the budget for a worker of the given capacity, in concurrent requests,
-// and the given limit of connections. It is never below constants.LeastConnections.
+// and the given limit of connections. It is never below constants.ConnectionsMin.
 func connectionBudget(capacity, limit int, role string) int {
 	share := constants.ConnectionPart
 	if role == membership.RoleStore {
 		// Few processes run items, and each of them runs many at a worker.
 		share = constants.ConnectionPartItems
 	}
-	need := capacity + constants.QueueAheadMax + constants.LeastConnections
-	return max(min(need, int(share*float64(limit))), constants.LeastConnections)
+	need := capacity + constants.QueueAheadMax + constants.ConnectionsMin
+	return max(min(need, int(share*float64(limit))), constants.ConnectionsMin)
 }
--- a/internal/traffic/loadgossip/budget_test.go
+++ b/internal/traffic/loadgossip/budget_test.go
@@ -15,11 +15,11 @@
 		role            string
 		want            int
 	}{
-		{16, 520, membership.RoleGateway, 16 + constants.QueueAheadMax + constants.LeastConnections},
+		{16, 520, membership.RoleGateway, 16 + constants.QueueAheadMax + constants.ConnectionsMin},
 		{48, 320, membership.RoleGateway, 40},
-		{48, 320, membership.RoleStore, 48 + constants.QueueAheadMax + constants.LeastConnections},
+		{48, 320, membership.RoleStore, 48 + constants.QueueAheadMax + constants.ConnectionsMin},
 		{24, 220, membership.RoleGateway, 27},
-		{24, 10, membership.RoleGateway, constants.LeastConnections},
+		{24, 10, membership.RoleGateway, constants.ConnectionsMin},
 	} {
 		if got := connectionBudget(test.capacity, test.limit, test.role); got != test.want {
 			t.Errorf("%+v: got %d connections", test, got)
--- a/internal/traffic/loadgossip/gossip.go
+++ b/internal/traffic/loadgossip/gossip.go
@@ -35,7 +35,7 @@
 		recipients = append(recipients, peer)
 	}
 	g.notifyAll(recipients, messages.KindGossip, packet)
-	placements, downgrades, alert := g.Scheduler.Alert()
+	placements, downgrades, alert := g.Scheduler.DowngradeAlert()
 	if alert && !g.alerted {
 		g.Node.Log.Warn("residency downgrades above threshold", "residency_route_downgrades", downgrades, "placements", placements)
 	}
--- a/internal/traffic/loadgossip/peers.go
+++ b/internal/traffic/loadgossip/peers.go
@@ -87,8 +87,8 @@
 	selected.byZone = groupByZone(selected.otherZones)
 	selected.gossipPeers = Neighbours(own, selected.sameZone, constants.GossipFanout)
 	selected.gatewayPeers = Neighbours(own, withRole(selected.sameZone, membership.RoleGateway), constants.GossipFanout)
-	selected.prefillPeers = Neighbours(own, selected.sameZone, constants.ReadingFanout)
-	if remaining := constants.ReadingFanout - len(selected.prefillPeers); remaining > 0 {
+	selected.prefillPeers = Neighbours(own, selected.sameZone, constants.PrefillFanout)
+	if remaining := constants.PrefillFanout - len(selected.prefillPeers); remaining > 0 {
 		selected.prefillPeers = append(selected.prefillPeers, Neighbours(own, selected.otherZones, remaining)...)
 	}
 	return selected
--- a/internal/traffic/loadgossip/peers_test.go
+++ b/internal/traffic/loadgossip/peers_test.go
@@ -137,7 +137,7 @@
 		t.Fatalf("got %d prefill peers, want 7", len(small.prefillPeers))
 	}
 	large := selectPeers(zone("a", 40)[0], append(zone("a", 40), zone("b", 40)...))
-	if len(large.prefillPeers) != constants.ReadingFanout || large.prefillPeers[0].Zone != "a" {
+	if len(large.prefillPeers) != constants.PrefillFanout || large.prefillPeers[0].Zone != "a" {
 		t.Fatalf("got %d prefill peers, want the limit, the own zone first", len(large.prefillPeers))
 	}
 }
--- a/internal/traffic/loadgossip/prefill.go
+++ b/internal/traffic/loadgossip/prefill.go
@@ -29,7 +29,7 @@
 		if !part {
 			selected = peers.prefillPeers
 		}
-		g.notifyAll(selected[:min(len(selected), constants.ReadingFanout)], messages.KindPrefill, notice)
+		g.notifyAll(selected[:min(len(selected), constants.PrefillFanout)], messages.KindPrefill, notice)
 		return
 	}
 	if _, part := g.Scheduler.NodesFor(notice.Worker, nil); !part {
--- a/internal/traffic/loadgossip/replypeers.go
+++ b/internal/traffic/loadgossip/replypeers.go
@@ -31,16 +31,16 @@
 	}
 	t.senders[packet.From] = now
 	for from, at := range t.senders {
-		if now.Sub(at) >= constants.LonelyAfter {
+		if now.Sub(at) >= constants.GossipSenderTimeout {
 			delete(t.senders, from)
 		}
 	}
 	for from, requester := range t.requesters {
-		if now.Sub(requester.at) >= constants.TieTime {
+		if now.Sub(requester.at) >= constants.ReplyPeerDuration {
 			delete(t.requesters, from)
 		}
 	}
-	if _, known := t.requesters[packet.From]; packet.ReplyTo != "" && (known || len(t.requesters) < constants.TieLimit) {
+	if _, known := t.requesters[packet.From]; packet.ReplyTo != "" && (known || len(t.requesters) < constants.ReplyPeersMax) {
 		t.requesters[packet.From] = replyPeer{packet.ReplyTo, now}
 	}
 }
@@ -50,13 +50,13 @@
 	if t.startedAt == 0 {
 		t.startedAt = now
 	}
-	if now.Sub(t.startedAt) < constants.LonelyAfter {
+	if now.Sub(t.startedAt) < constants.GossipSenderTimeout {
 		// The peers have not yet had time to send a packet.
 		return false
 	}
 	count := 0
 	for _, at := range t.senders {
-		if now.Sub(at) < constants.LonelyAfter {
+		if now.Sub(at) < constants.GossipSenderTimeout {
 			count++
 		}
 	}
@@ -67,7 +67,7 @@
 func (t *replyPeers) missingFrom(recipients []messages.NodeInfo, now clock.Instant) []messages.NodeInfo {
 	var missing []messages.NodeInfo
 	for _, requester := range t.requesters {
-		skip := now.Sub(requester.at) >= constants.TieTime
+		skip := now.Sub(requester.at) >= constants.ReplyPeerDuration
 		for _, recipient := range recipients {
 			skip = skip || recipient.Address == requester.address
 		}
--- a/internal/traffic/loadgossip/report.go
+++ b/internal/traffic/loadgossip/report.go
@@ -24,7 +24,7 @@
 	now := clock.Now()
 	statusNames := map[workers.Status]string{workers.StatusHealthy: "good", workers.StatusSuspect: "suspect", workers.StatusUnavailable: "out"}
 	scheduler := g.Scheduler
-	scheduler.Locked(func() {
+	scheduler.WithLock(func() {
 		for _, worker := range scheduler.Registry.All(now) {
 			health := scheduler.Tracker.Of(worker.ID)
 			answers, failures := health.Counts()
@@ -40,7 +40,7 @@
 func (g *Gossip) reportIndex() *messages.StatusResponse {
 	status := &messages.StatusResponse{Columns: []string{"prefixes", "placements", "hits", "residency_route_downgrades", "downgrade-share", "tokens-a-ms"}}
 	scheduler := g.Scheduler
-	scheduler.Locked(func() {
+	scheduler.WithLock(func() {
 		index := scheduler.Index
 		share := 0.0
 		if index.Placements > 0 {
@@ -62,7 +62,7 @@
 	sort.Strings(routes)
 	for _, route := range routes {
 		counters := countersByRoute[route]
-		status.Rows = append(status.Rows, []string{route, formatInt(counters.Displaced.Load()), formatInt(counters.Resumed.Load()), formatInt(counters.Finished.Load())})
+		status.Rows = append(status.Rows, []string{route, formatInt(counters.Preempted.Load()), formatInt(counters.Resumed.Load()), formatInt(counters.Finished.Load())})
 	}
 	return status
 }
@@ -70,7 +70,7 @@
 // logDisplacement logs the preemption counts of each route whose counts have changed.
 func (g *Gossip) logDisplacement() {
 	for route, counters := range g.Scheduler.AllCounters() {
-		displaced := counters.Displaced.Load()
+		displaced := counters.Preempted.Load()
 		if sum := displaced + counters.Resumed.Load() + counters.Finished.Load(); sum != g.loggedCounts[route] {
 			g.loggedCounts[route] = sum
 			g.Node.Log.Info("preemption counts changed", "route", route, "displaced", displaced, "resumed", counters.Resumed.Load(), "finished", counters.Finished.Load())
--- a/internal/traffic/loadgossip/staleness_test.go
+++ b/internal/traffic/loadgossip/staleness_test.go
@@ -85,7 +85,7 @@
 		}
 		worker = candidates[hash%len(candidates)]
 	}
-	node.scheduler.Locked(func() { node.scheduler.Tracker.Of(worker).ObserveLoad("5,0,16", now) })
+	node.scheduler.WithLock(func() { node.scheduler.Tracker.Of(worker).ObserveLoad("5,0,16", now) })
 }
 
 // gossipRound simulates one gossip period of a node.
@@ -143,7 +143,7 @@
 	missing := 0
 	for _, node := range f.nodes {
 		for _, worker := range f.zoneWorkers(node) {
-			node.scheduler.Locked(func() {
+			node.scheduler.WithLock(func() {
 				sample, known := node.scheduler.Tracker.Of(worker).Sample(now)
 				if !known || sample.Running == messages.RunningUnknown {
 					missing++
@@ -194,12 +194,12 @@
 	paused.paused = true
 	worker := sim.zoneWorkers(paused)[0]
 	at := clock.Instant(5) * clock.Instant(constants.GossipPeriod)
-	paused.scheduler.Locked(func() { paused.scheduler.Tracker.Of(worker).ObserveLoad("200,0,16", at) })
+	paused.scheduler.WithLock(func() { paused.scheduler.Tracker.Of(worker).ObserveLoad("200,0,16", at) })
 	sim.run(5, 4, 0)
 	paused.paused = false
 	sim.run(9, 3, 0)
 	for _, node := range sim.nodes {
-		node.scheduler.Locked(func() {
+		node.scheduler.WithLock(func() {
 			if running := node.scheduler.Tracker.Of(worker).Running(at.Add(7 * constants.GossipPeriod)); running != 0 {
 				t.Errorf("%s still counts %d running requests at the worker, want 0", node.own.Name, running)
 			}
--- a/internal/traffic/prefixindex/index.go
+++ b/internal/traffic/prefixindex/index.go
@@ -20,9 +20,9 @@
 // Prompt describes the prompt of a request as stated in the request's headers: its parts, its
 // length in tokens, and the maximum number of output tokens (Out).
 type Prompt struct {
-	Parts  []Part
-	Tokens int
-	Out    int
+	Parts     []Part
+	Tokens    int
+	OutTokens int
 }
 
 // Index is one node's own view of which prefixes are cached at which worker.
@@ -40,7 +40,7 @@
 
 // NewIndex returns an empty index.
 func NewIndex() *Index {
-	return &Index{turnovers: map[string]*turnover{}, prefillRate: constants.ReadRate, firstEventMs: constants.FirstGuess}
+	return &Index{turnovers: map[string]*turnover{}, prefillRate: constants.PrefillRateGuess, firstEventMs: constants.FirstEventMsGuess}
 }
 
 // ParsePrompt parses the headers that describe a prompt. Only the first constants.PromptPartsMax
@@ -51,7 +51,7 @@
 	fields := strings.Split(counts, ",")
 	prompt.Tokens, _ = strconv.Atoi(strings.TrimSpace(fields[0]))
 	if len(fields) > 1 {
-		prompt.Out, _ = strconv.Atoi(strings.TrimSpace(fields[1]))
+		prompt.OutTokens, _ = strconv.Atoi(strings.TrimSpace(fields[1]))
 	}
 	if prefix == "" {
 		return prompt
@@ -97,7 +97,7 @@
 		cached = max(cached, probability*float64(tokens))
 	}
 	fresh := max(prompt.Tokens, tokens) - int(cached)
-	cacheTurnover.own += int64(fresh + prompt.Out/2)
+	cacheTurnover.own += int64(fresh + prompt.OutTokens/2)
 	for position := range prompt.Parts {
 		leaf := i.tree.Leaf(key[:8*(position+1)])
 		if leaf.own == nil {
@@ -128,7 +128,7 @@
 		case alone && fresh > significantTokens && observedPrefillMs > 0:
 			i.prefillRate += 0.05 * (min(max(float64(fresh)/observedPrefillMs, 20), 2000) - i.prefillRate)
 		case alone && fresh < fewTokens:
-			i.firstEventMs += 0.02 * (min(clock.ToMilliseconds(waited), 4*constants.FirstGuess) - i.firstEventMs)
+			i.firstEventMs += 0.02 * (min(clock.ToMilliseconds(waited), 4*constants.FirstEventMsGuess) - i.firstEventMs)
 		}
 		return
 	}
--- a/internal/traffic/prefixindex/prefixindex_test.go
+++ b/internal/traffic/prefixindex/prefixindex_test.go
@@ -193,7 +193,7 @@
 	next := prompt("x2", 12_000)
 	fresh := index.RecordPlacement(next, "first", 1)
 	before := index.Advertisements(2, 10, 1000)[0].Probability
-	index.RecordFirstEvent(next, "first", fresh, clock.Milliseconds(constants.FirstGuess+12_200/constants.ReadRate), true, 2)
+	index.RecordFirstEvent(next, "first", fresh, clock.Milliseconds(constants.FirstEventMsGuess+12_200/constants.PrefillRateGuess), true, 2)
 	if after := index.Advertisements(3, 10, 1000)[0].Probability; after >= before {
 		t.Fatalf("advertised probability: got %v, then %v, want a lower one", before, after)
 	}
--- a/internal/traffic/proxy/begunresponse_test.go
+++ b/internal/traffic/proxy/begunresponse_test.go
@@ -64,7 +64,7 @@
 	server, proxy := newProxyServer(t, newWorkerStub(t, "w1", script), newWorkerStub(t, "w2", script))
 	stop := make(chan struct{})
 	defer close(stop)
-	go clock.Every(constants.PumpPeriod, stop, proxy.PumpQueue)
+	go clock.Every(constants.PollPeriod, stop, proxy.PumpQueue)
 	expectWholeStream(t, server)
 	if aborted := proxy.Counts.Aborted.Load(); aborted != 0 || rejected.Load() != rejectionCount+1 {
 		t.Error(aborted, rejected.Load())
--- a/internal/traffic/proxy/core_test.go
+++ b/internal/traffic/proxy/core_test.go
@@ -47,10 +47,10 @@
 func TestSplitterAtEveryOffset(t *testing.T) {
 	text := "lemonarch-weight-versions: 3\n" + event(4) + event(5) + event(6)
 	for cut := 0; cut <= len(text); cut++ {
-		splitter := &Splitter{Next: 4}
+		splitter := &Splitter{NextID: 4}
 		first, consecutive := splitter.Feed([]byte(text[:cut]))
 		second, secondConsecutive := splitter.Feed([]byte(text[cut:]))
-		if !consecutive || !secondConsecutive || string(first)+string(second) != text || len(splitter.Remainder()) > 0 || splitter.Last != 6 {
+		if !consecutive || !secondConsecutive || string(first)+string(second) != text || len(splitter.Remainder()) > 0 || splitter.LastID != 6 {
 			t.Fatalf("cut at %d: %q %q", cut, first, second)
 		}
 	}
@@ -58,7 +58,7 @@
 
 func TestSplitterRejectsNonConsecutiveIDs(t *testing.T) {
 	for _, text := range []string{event(5), event(3), event(4) + event(6), event(4) + event(4)} {
-		splitter := &Splitter{Next: 4}
+		splitter := &Splitter{NextID: 4}
 		if _, consecutive := splitter.Feed([]byte(text)); consecutive {
 			t.Fatalf("%q was accepted after event 3", text)
 		}
@@ -66,7 +66,7 @@
 }
 
 func TestData(t *testing.T) {
-	parts := Data([]byte(event(1) + "id: 2\ndata: a\ndata: b\n\n"))
+	parts := EventData([]byte(event(1) + "id: 2\ndata: a\ndata: b\n\n"))
 	if len(parts) != 2 || string(parts[0]) != "piece 1" || string(parts[1]) != "a\nb" {
 		t.Fatalf("%q", parts)
 	}
--- a/internal/traffic/proxy/events.go
+++ b/internal/traffic/proxy/events.go
@@ -9,13 +9,13 @@
 // never leaves part of an event with the client, and checks that the ids are consecutive.
 type Splitter struct {
 	remainder []byte
-	// Last is the id of the last complete event that had one. It is valid if HasID is set.
-	Last int64
+	// LastID is the id of the last complete event that had one. It is valid if HasID is set.
+	LastID int64
 	// HasID is set once a complete event had an id.
 	HasID bool
 	// Next, if above 0, is the id that the first event must have: a resumed stream must continue
 	// with exactly the event after the last one that was forwarded.
-	Next int64
+	NextID int64
 }
 
 var eventDelimiter = []byte("\n\n")
@@ -52,13 +52,13 @@
 	if !found {
 		return true
 	}
-	if s.Next > 0 && id != s.Next {
+	if s.NextID > 0 && id != s.NextID {
 		return false
 	}
-	if s.HasID && id != s.Last+1 {
+	if s.HasID && id != s.LastID+1 {
 		return false
 	}
-	s.Next, s.Last, s.HasID = 0, id, true
+	s.NextID, s.LastID, s.HasID = 0, id, true
 	return true
 }
 
@@ -83,9 +83,9 @@
 	return 0, false
 }
 
-// Data returns the data of each of the complete events that has any. The data lines of one event are
+// EventData returns the data of each of the complete events that has any. The data lines of one event are
 // joined by line feeds.
-func Data(events []byte) [][]byte {
+func EventData(events []byte) [][]byte {
 	var parts [][]byte
 	for _, event := range bytes.Split(events, eventDelimiter) {
 		var lines [][]byte
--- a/internal/traffic/proxy/everybyte_test.go
+++ b/internal/traffic/proxy/everybyte_test.go
@@ -20,7 +20,7 @@
 type faultCase struct {
 	path   string
 	reused bool
-	strike faultrelay.Strike
+	strike faultrelay.Injection
 }
 
 func (c *faultCase) String() string {
@@ -196,10 +196,10 @@
 		requestLength, responseLength := measureLengths(t, path)
 		for _, fault := range faultrelay.Faults() {
 			for i := 0; i < requestLength+responseLength; i += byteStep(path, fault) {
-				strike := faultrelay.Strike{Fault: fault, At: i}
+				strike := faultrelay.Injection{Fault: fault, At: i}
 				if i >= requestLength {
 					strike.Response, strike.At = true, i-requestLength
-				} else if fault == faultrelay.Double {
+				} else if fault == faultrelay.Duplicate {
 					// A network does not deliver the bytes of a connection twice.
 					continue
 				}
--- a/internal/traffic/proxy/fault_test.go
+++ b/internal/traffic/proxy/fault_test.go
@@ -16,7 +16,7 @@
 func trainLatencies(t *testing.T, proxy *Proxy, request admission.Request) {
 	t.Helper()
 
-	for count := 0; count < constants.PaceLeast; count++ {
+	for count := 0; count < constants.LatencySamplesMin; count++ {
 		resp, _ := proxy.Scheduler.Admit(&request, nil, clock.Now())
 		if resp.Verdict != admission.VerdictGranted {
 			t.Fatal(resp.Verdict)
@@ -53,7 +53,7 @@
 			t.Fatalf("%s: retried at another worker only after %v", path, took)
 		}
 		var failures int64
-		proxy.Scheduler.Locked(func() { _, failures = proxy.Scheduler.Tracker.Of("w1").Counts() })
+		proxy.Scheduler.WithLock(func() { _, failures = proxy.Scheduler.Tracker.Of("w1").Counts() })
 		if failures != 1 {
 			t.Fatal("want the hang recorded once, got failures: ", failures)
 		}
@@ -96,7 +96,7 @@
 		// Respond only after the silence was recorded, independently of the speed of this machine.
 		for suspect := false; !suspect; {
 			<-clock.After(clock.Milliseconds(5))
-			proxy.Scheduler.Locked(func() { suspect = proxy.Scheduler.Tracker.Of("w1").Suspect(clock.Now()) })
+			proxy.Scheduler.WithLock(func() { suspect = proxy.Scheduler.Tracker.Of("w1").Suspect(clock.Now()) })
 		}
 		close(respond)
 	}()
@@ -125,7 +125,7 @@
 			t.Fatal(text, err)
 		}
 		var failures int64
-		proxy.Scheduler.Locked(func() { _, failures = proxy.Scheduler.Tracker.Of("w1").Counts() })
+		proxy.Scheduler.WithLock(func() { _, failures = proxy.Scheduler.Tracker.Of("w1").Counts() })
 		if wantFailure != (failures > 0) {
 			t.Fatalf("%q: got %d failures", text, failures)
 		}
--- a/internal/traffic/proxy/idle_test.go
+++ b/internal/traffic/proxy/idle_test.go
@@ -53,7 +53,7 @@
 		t.Fatal("safe idle time was not reduced: ", safeIdle)
 	}
 	suspect, failures := false, int64(0)
-	proxy.Scheduler.Locked(func() {
+	proxy.Scheduler.WithLock(func() {
 		health := proxy.Scheduler.Tracker.Of("w1")
 		suspect = health.Suspect(clock.Now())
 		_, failures = health.Counts()
--- a/internal/traffic/proxy/preempt_test.go
+++ b/internal/traffic/proxy/preempt_test.go
@@ -33,7 +33,7 @@
 	go func() {
 		<-reached
 		// The first two events may not have arrived yet, so repeat the pressure until the stream yields.
-		for proxy.Scheduler.Counters("stream").Displaced.Load() == 0 {
+		for proxy.Scheduler.Counters("stream").Preempted.Load() == 0 {
 			proxy.Scheduler.YieldToPressure(&messages.PressureNotice{From: "x", Entries: []messages.Pressure{{Service: "s", Waiting: 1}}}, 1, clock.Now())
 		}
 	}()
@@ -44,7 +44,7 @@
 	}
 	counters := proxy.Scheduler.Counters("stream")
 	if err != nil || resp.StatusCode != 200 || body != want || worker.seen() != 2 ||
-		counters.Displaced.Load() != 1 || counters.Resumed.Load() != 1 || counters.Finished.Load() != 1 {
-		t.Fatal(resp, body, err, worker.seen(), counters.Displaced.Load(), counters.Resumed.Load(), counters.Finished.Load())
+		counters.Preempted.Load() != 1 || counters.Resumed.Load() != 1 || counters.Finished.Load() != 1 {
+		t.Fatal(resp, body, err, worker.seen(), counters.Preempted.Load(), counters.Resumed.Load(), counters.Finished.Load())
 	}
 }
--- a/internal/traffic/proxy/proxy.go
+++ b/internal/traffic/proxy/proxy.go
@@ -146,7 +146,7 @@
 }
 
 func (p *Proxy) rejectBody(writer http.ResponseWriter, err error) {
-	if errs.Is(err, inbound.ErrNoRoom) {
+	if errs.Is(err, inbound.ErrMemoryLimit) {
 		p.Counts.Rejected.Add(1)
 	}
 	httpreply.RefuseBody(writer, err)
@@ -192,13 +192,13 @@
 	now := clock.Now()
 	pool.Sweep(func(worker string) bool {
 		departed := false
-		scheduler.Locked(func() {
+		scheduler.WithLock(func() {
 			known, found := scheduler.Registry.Get(worker)
 			departed = !found || known.Phase == messages.PhaseDeparted
 		})
 		return departed
 	})
-	scheduler.Locked(func() {
+	scheduler.WithLock(func() {
 		scheduler.Registry.Forget(now)
 		scheduler.Tracker.Sweep(now)
 	})
--- a/internal/traffic/proxy/relay.go
+++ b/internal/traffic/proxy/relay.go
@@ -68,7 +68,7 @@
 	splitter := &Splitter{}
 	if e.hasEvent {
 		// The client has the events up to lastID: the new run must continue with the next one.
-		splitter.Next = e.lastID + 1
+		splitter.NextID = e.lastID + 1
 	}
 	flusher, _ := e.writer.(http.Flusher)
 	timeout := grant.InterEventTimeout(clock.Milliseconds(e.route.GapMs))
@@ -85,7 +85,7 @@
 		}
 		gaps.event(clock.Now())
 		if splitter.HasID {
-			e.lastID, e.hasEvent = splitter.Last, true
+			e.lastID, e.hasEvent = splitter.LastID, true
 		}
 		if _, writeErr := e.writer.Write(events); writeErr != nil {
 			return errClientDisconnected.Wrap(writeErr, "write events")
@@ -115,7 +115,7 @@
 	if e.preempted.Swap(false) {
 		result = admission.ResultCanceled
 		e.wasPreempted, e.requeued = true, true
-		e.proxyServer.Scheduler.Counters(e.route.Name).Displaced.Add(1)
+		e.proxyServer.Scheduler.Counters(e.route.Name).Preempted.Add(1)
 	}
 	if errs.Is(err, errClientDisconnected) || e.request.Context().Err() != nil || clock.Now() >= e.deadline {
 		result = admission.ResultCanceled
--- a/internal/traffic/proxy/send.go
+++ b/internal/traffic/proxy/send.go
@@ -53,7 +53,7 @@
 	if !evidence.Sent {
 		kind = ErrNotSent
 	}
-	if !connection.Reused || connection.Halted() || errs.Is(err, workerconn.ErrWorkerUnresponsive) {
+	if !connection.Reused || connection.ClosedLocally() || errs.Is(err, workerconn.ErrWorkerUnresponsive) {
 		return false, kind
 	}
 	// The worker had most likely closed the idle connection. The request may still have run, so it
--- a/internal/traffic/proxy/traffic.go
+++ b/internal/traffic/proxy/traffic.go
@@ -52,7 +52,7 @@
 		Class:        trafficstats.Class{Route: e.route.Name, Service: e.admission.Service, Model: e.model},
 		Outcome:      observed.outcome,
 		Placed:       observed.wasPlaced,
-		PromptTokens: e.admission.Prompt.Tokens, FreshTokens: observed.freshTokens, OutTokens: e.admission.Prompt.Out,
+		PromptTokens: e.admission.Prompt.Tokens, FreshTokens: observed.freshTokens, OutTokens: e.admission.Prompt.OutTokens,
 		Events: observed.events, EventGap: observed.eventGap,
 		LoadKnown: observed.loadKnown, Running: observed.running, Waiting: observed.waiting,
 		QueueWait: now.Sub(e.arrivedAt),
--- a/internal/traffic/workerconn/await.go
+++ b/internal/traffic/workerconn/await.go
@@ -34,7 +34,7 @@
 		if now >= wait.Until && c.nothingReceived() {
 			return ErrWorkerUnresponsive.New("no byte received before the deadline")
 		}
-		timeout := max(wait.Until.Sub(now), constants.PumpPeriod)
+		timeout := max(wait.Until.Sub(now), constants.PollPeriod)
 		if wait.SilenceTimeout > 0 {
 			silentSince := checkedAt
 			if wait.ShouldGiveUp == nil {
@@ -47,7 +47,7 @@
 				}
 				checkedAt, silentSince = now, now
 			}
-			timeout = min(timeout, max(wait.SilenceTimeout-now.Sub(silentSince), constants.PumpPeriod/8))
+			timeout = min(timeout, max(wait.SilenceTimeout-now.Sub(silentSince), constants.PollPeriod/8))
 		}
 		_ = c.connection.SetReadDeadline(clock.Deadline(timeout))
 		if _, err := c.reader.Peek(1); err == nil {
@@ -65,7 +65,7 @@
 // socket itself: on an overloaded processor the timeout may expire before bytes are read that have
 // already been received.
 func (c *Connection) nothingReceived() bool {
-	_ = c.connection.SetReadDeadline(clock.Deadline(constants.PumpPeriod))
+	_ = c.connection.SetReadDeadline(clock.Deadline(constants.PollPeriod))
 	return c.isOpenAndDrained()
 }
 
--- a/internal/traffic/workerconn/history.go
+++ b/internal/traffic/workerconn/history.go
@@ -17,12 +17,12 @@
 }
 
 func (c *requestHistory) add(attempt string) {
-	if len(c.hashes) < constants.CarriedRequests {
+	if len(c.hashes) < constants.RequestHistorySize {
 		c.hashes = append(c.hashes, hashAttempt(attempt))
 		return
 	}
 	c.hashes[c.next] = hashAttempt(attempt)
-	c.next = (c.next + 1) % constants.CarriedRequests
+	c.next = (c.next + 1) % constants.RequestHistorySize
 }
 
 func (c *requestHistory) has(attempt string) bool {
--- a/internal/traffic/workerconn/workerconn.go
+++ b/internal/traffic/workerconn/workerconn.go
@@ -88,7 +88,7 @@
 }
 
 func (p *Pool) open(worker messages.Worker, connections *workerConnections) (*Connection, error) {
-	connection, err := transport.Dial(worker.Address, constants.WorkerDial, constants.ConnectionTimeout)
+	connection, err := transport.Dial(worker.Address, constants.WorkerDialTimeout, constants.ConnectionTimeout)
 	if err != nil {
 		p.lock.Lock()
 		connections.open--
@@ -177,8 +177,8 @@
 	c.closeOnce()
 }
 
-// Halted reports whether this process closed the connection with Close.
-func (c *Connection) Halted() bool { return c.closedLocally.Load() }
+// ClosedLocally reports whether this process closed the connection with Close.
+func (c *Connection) ClosedLocally() bool { return c.closedLocally.Load() }
 
 func (c *Connection) closeOnce() {
 	if !c.closed.Swap(true) {
