--- a/internal/traffic/gateway/gateway.go
+++ b/internal/traffic/gateway/gateway.go
@@ -99,7 +99,7 @@
 	clients.setLimits(g.Node.Config().Limits)
 	ingress := inbound.NewServer(g.Proxy)
 	ingress.ConnState = trackState
-	g.Node.Log.Info("gateway serving", "ingress", g.Node.Settings.Bind.Ingress)
+	g.Node.Log.Info("gateway started", "ingress", g.Node.Settings.Bind.Ingress)
 	g.ingressServer.Store(ingress)
 	return ingress.Serve(clients)
 }
--- a/internal/traffic/gateway/jobcall_test.go
+++ b/internal/traffic/gateway/jobcall_test.go
@@ -65,16 +65,16 @@
 	const step = 7
 	for _, fault := range faultrelay.Faults() {
 		for i := int(fault) % step; i < 2*jobFrameLength; i += step {
-			strike := faultrelay.Injection{Fault: fault, Response: i >= jobFrameLength, At: i % jobFrameLength}
-			t.Run(fmt.Sprint(fault, strike.Response, strike.At), func(t *testing.T) {
+			injection := faultrelay.Injection{Fault: fault, Response: i >= jobFrameLength, At: i % jobFrameLength}
+			t.Run(fmt.Sprint(fault, injection.Response, injection.At), func(t *testing.T) {
 				t.Parallel()
-				runJobCalls(t, strike)
+				runJobCalls(t, injection)
 			})
 		}
 	}
 }
 
-func runJobCalls(t *testing.T, strike faultrelay.Injection) {
+func runJobCalls(t *testing.T, injection faultrelay.Injection) {
 	t.Helper()
 
 	store := newLeaderStub(t)
@@ -102,7 +102,7 @@
 		rejected[job] = (resp == nil && !mayHaveRun) || (resp != nil && promisesNotRun(resp.Status))
 	}
 	call(http.MethodGet, "rest")
-	relay.Arm(&strike)
+	relay.Arm(&injection)
 	var group sync.WaitGroup
 	for i, method := range []string{http.MethodPost, http.MethodGet, http.MethodPost} {
 		group.Add(1)
--- a/internal/traffic/health/outcomes_test.go
+++ b/internal/traffic/health/outcomes_test.go
@@ -44,11 +44,11 @@
 			}
 			worker := open[random.Intn(len(open))]
 			sent[worker]++
-			chance := 0.01
+			probability := 0.01
 			if worker < "w02" {
-				chance = 0.45
+				probability = 0.45
 			}
-			if random.Float64() < chance {
+			if random.Float64() < probability {
 				tracker.RecordFault(worker, "s", FaultReset, now)
 			} else {
 				tracker.RecordSuccess(worker, "s", now)
--- a/internal/traffic/health/peers.go
+++ b/internal/traffic/health/peers.go
@@ -15,7 +15,7 @@
 const ownHistorySize = 8
 
 // suspectsLimit bounds the number of peers whose suspicions are stored; it covers the gossip
-// neighbors of a node.
+// neighbours of a node.
 const suspectsLimit = 16
 
 type observation struct {
--- a/internal/traffic/loadgossip/gossip.go
+++ b/internal/traffic/loadgossip/gossip.go
@@ -37,10 +37,10 @@
 	g.notifyAll(recipients, messages.KindGossip, packet)
 	placements, downgrades, alert := g.Scheduler.DowngradeAlert()
 	if alert && !g.alerted {
-		g.Node.Log.Warn("residency downgrades above threshold", "residency_route_downgrades", downgrades, "placements", placements)
+		g.Node.Log.Warn("residency downgrade threshold exceeded", "residency_route_downgrades", downgrades, "placements", placements)
 	}
 	g.alerted = alert
-	g.logDisplacement()
+	g.logPreemptionCounts()
 }
 
 func (g *Gossip) handleGossip(packet *messages.Gossip) (*messages.Ack, error) {
--- a/internal/traffic/loadgossip/report.go
+++ b/internal/traffic/loadgossip/report.go
@@ -16,7 +16,7 @@
 func (g *Gossip) registerReports() {
 	g.Node.Report("workers", g.reportWorkers)
 	g.Node.Report("index", g.reportIndex)
-	g.Node.Report("displacement", g.reportDisplacement)
+	g.Node.Report("displacement", g.reportPreemptions)
 }
 
 func (g *Gossip) reportWorkers() *messages.StatusResponse {
@@ -27,11 +27,11 @@
 	scheduler.WithLock(func() {
 		for _, worker := range scheduler.Registry.All(now) {
 			health := scheduler.Tracker.Of(worker.ID)
-			answers, failures := health.Counts()
+			responses, failures := health.Counts()
 			status.Rows = append(status.Rows, []string{worker.ID, worker.Backend, worker.Zone, worker.Phase.String(),
 				statusNames[scheduler.Registry.Status(worker.ID, now, true)], formatInt(worker.AgeMs), formatInt(health.Own() - health.OwnBulk()),
 				formatInt(health.OwnBulk()), formatInt(health.Running(now)), formatInt(worker.Capacity), strconv.FormatBool(health.Suspect(now)),
-				formatInt(answers), formatInt(failures), scheduler.OutcomeSummary(worker, now)})
+				formatInt(responses), formatInt(failures), scheduler.OutcomeSummary(worker, now)})
 		}
 	})
 	return status
@@ -52,7 +52,7 @@
 	return status
 }
 
-func (g *Gossip) reportDisplacement() *messages.StatusResponse {
+func (g *Gossip) reportPreemptions() *messages.StatusResponse {
 	status := &messages.StatusResponse{Columns: []string{"route", "displaced", "resumed", "finished"}}
 	countersByRoute := g.Scheduler.AllCounters()
 	routes := make([]string, 0, len(countersByRoute))
@@ -67,13 +67,13 @@
 	return status
 }
 
-// logDisplacement logs the preemption counts of each route whose counts have changed.
-func (g *Gossip) logDisplacement() {
+// logPreemptionCounts logs the preemption counts of each route whose counts have changed.
+func (g *Gossip) logPreemptionCounts() {
 	for route, counters := range g.Scheduler.AllCounters() {
-		displaced := counters.Preempted.Load()
-		if sum := displaced + counters.Resumed.Load() + counters.Finished.Load(); sum != g.loggedCounts[route] {
+		preempted := counters.Preempted.Load()
+		if sum := preempted + counters.Resumed.Load() + counters.Finished.Load(); sum != g.loggedCounts[route] {
 			g.loggedCounts[route] = sum
-			g.Node.Log.Info("preemption counts changed", "route", route, "displaced", displaced, "resumed", counters.Resumed.Load(), "finished", counters.Finished.Load())
+			g.Node.Log.Info("preemption counts changed", "route", route, "displaced", preempted, "resumed", counters.Resumed.Load(), "finished", counters.Finished.Load())
 		}
 	}
 }
--- a/internal/traffic/prefixindex/index.go
+++ b/internal/traffic/prefixindex/index.go
@@ -18,7 +18,7 @@
 }
 
 // Prompt describes the prompt of a request as stated in the request's headers: its parts, its
-// length in tokens, and the maximum number of output tokens (Out).
+// length in tokens, and the maximum number of output tokens (OutTokens).
 type Prompt struct {
 	Parts     []Part
 	Tokens    int
--- a/internal/traffic/proxy/admit.go
+++ b/internal/traffic/proxy/admit.go
@@ -12,7 +12,7 @@
 	now := clock.Now()
 	left := e.deadline.Sub(now)
 	if e.attempts == 0 {
-		// A rejection within this share of the latency target, a quarter, leaves the client time to retry.
+		// A rejection within a quarter of the latency target (QueueShare is below it) leaves the client time to retry.
 		timeout := clock.Duration(float64(e.admission.Setpoint) * constants.QueueShare)
 		e.admission.QueueUntil = min(e.arrivedAt.Add(timeout), e.deadline)
 	} else {
--- a/internal/traffic/proxy/everybyte_test.go
+++ b/internal/traffic/proxy/everybyte_test.go
@@ -18,13 +18,13 @@
 
 // faultCase is one case: a request by its path, on a new or a reused connection, and a fault.
 type faultCase struct {
-	path   string
-	reused bool
-	strike faultrelay.Injection
+	path      string
+	reused    bool
+	injection faultrelay.Injection
 }
 
 func (c *faultCase) String() string {
-	return fmt.Sprintf("%s reused=%v %s response=%v at=%d", c.path, c.reused, c.strike.Fault, c.strike.Response, c.strike.At)
+	return fmt.Sprintf("%s reused=%v %s response=%v at=%d", c.path, c.reused, c.injection.Fault, c.injection.Response, c.injection.At)
 }
 
 // serveComplete sends a complete response of the kind that the request's path has.
@@ -102,29 +102,29 @@
 func (c *faultCase) run(t *testing.T) string {
 	t.Helper()
 
-	stage := newTestbed(t)
+	bed := newTestbed(t)
 	if c.reused {
 		for i := 0; i < 2; i++ {
-			if resp, _, err := sendRequest(t, stage.node, "/safe/x", map[string]string{headerAttempt: fmt.Sprint("first-", i)}); err != nil || resp.StatusCode != 200 {
+			if resp, _, err := sendRequest(t, bed.node, "/safe/x", map[string]string{headerAttempt: fmt.Sprint("first-", i)}); err != nil || resp.StatusCode != 200 {
 				return fmt.Sprint("request before the fault failed: ", resp, err)
 			}
 		}
 	}
-	strike := c.strike
-	stage.relays[0].Arm(&strike)
+	injection := c.injection
+	bed.relays[0].Arm(&injection)
 	headers := map[string]string{headerAttempt: "probe"}
-	if strike.Fault == faultrelay.Drop || strike.Fault == faultrelay.Freeze {
+	if injection.Fault == faultrelay.Drop || injection.Fault == faultrelay.Freeze {
 		headers[headerTimeLeft] = "120"
 	}
-	resp, body, err := sendRequest(t, stage.node, c.path, headers)
-	if strike.Fault == faultrelay.Restart {
-		stage.node.Close()
-		stage.start(t)
+	resp, body, err := sendRequest(t, bed.node, c.path, headers)
+	if injection.Fault == faultrelay.Restart {
+		bed.node.Close()
+		bed.start(t)
 	}
-	stage.relays[0].Thaw()
-	next, nextBody, nextErr := sendRequest(t, stage.node, "/safe/x", map[string]string{headerAttempt: "next"})
-	stage.settle(t)
-	return c.check(stage.ran("probe"), resp, body, err) + c.checkNext(next, nextBody, nextErr)
+	bed.relays[0].Thaw()
+	next, nextBody, nextErr := sendRequest(t, bed.node, "/safe/x", map[string]string{headerAttempt: "next"})
+	bed.settle(t)
+	return c.check(bed.ran("probe"), resp, body, err) + c.checkNext(next, nextBody, nextErr)
 }
 
 // check returns how the response to the request with the fault violates the protocol, or an empty string.
@@ -155,13 +155,13 @@
 func measureLengths(t *testing.T, path string) (request, resp int) {
 	t.Helper()
 
-	stage := newTestbed(t)
-	stage.relays[0].Arm(nil)
-	if _, _, err := sendRequest(t, stage.node, path, map[string]string{headerAttempt: "probe"}); err != nil {
+	bed := newTestbed(t)
+	bed.relays[0].Arm(nil)
+	if _, _, err := sendRequest(t, bed.node, path, map[string]string{headerAttempt: "probe"}); err != nil {
 		t.Fatal(err)
 	}
-	stage.settle(t)
-	return stage.relays[0].Counts()
+	bed.settle(t)
+	return bed.relays[0].Counts()
 }
 
 // byteStep returns the distance between the bytes at which a fault is injected: 1 for a close or a
@@ -196,15 +196,15 @@
 		requestLength, responseLength := measureLengths(t, path)
 		for _, fault := range faultrelay.Faults() {
 			for i := 0; i < requestLength+responseLength; i += byteStep(path, fault) {
-				strike := faultrelay.Injection{Fault: fault, At: i}
+				injection := faultrelay.Injection{Fault: fault, At: i}
 				if i >= requestLength {
-					strike.Response, strike.At = true, i-requestLength
+					injection.Response, injection.At = true, i-requestLength
 				} else if fault == faultrelay.Duplicate {
 					// A network does not deliver the bytes of a connection twice.
 					continue
 				}
 				for _, reused := range connectionCases(i, fault) {
-					cases = append(cases, faultCase{path, reused, strike})
+					cases = append(cases, faultCase{path, reused, injection})
 				}
 			}
 		}
--- a/internal/traffic/proxy/exchange.go
+++ b/internal/traffic/proxy/exchange.go
@@ -129,7 +129,7 @@
 	if err != nil {
 		result := e.resultOfError(err)
 		grant.End(result, clock.Now())
-		e.proxyServer.Log.Debug("request attempt failed", "worker", grant.Worker.ID, "err", err.Error())
+		e.proxyServer.Log.Debug("failed to complete request attempt", "worker", grant.Worker.ID, "err", err.Error())
 		return e.decideRetry(evidence), false
 	}
 	if response.NotRun || response.HTTPResponse.StatusCode >= 300 {
--- a/internal/traffic/proxy/relay.go
+++ b/internal/traffic/proxy/relay.go
@@ -121,7 +121,7 @@
 		result = admission.ResultCanceled
 	}
 	grant.End(result, clock.Now())
-	e.proxyServer.Log.Debug("event stream from worker failed", "worker", grant.Worker.ID, "last", e.lastID, "err", err.Error())
+	e.proxyServer.Log.Debug("failed to relay event stream", "worker", grant.Worker.ID, "last", e.lastID, "err", err.Error())
 	return e.decideRetry(Evidence{Sent: true}), false
 }
 
--- a/internal/traffic/proxy/send.go
+++ b/internal/traffic/proxy/send.go
@@ -56,7 +56,7 @@
 	if !connection.Reused || connection.ClosedLocally() || errs.Is(err, workerconn.ErrWorkerUnresponsive) {
 		return false, kind
 	}
-	// The worker had most likely closed the idle connection. The request may still have run, so it
+	// The worker had most likely discarded the idle connection. The request may still have run, so it
 	// is sent again only if it is retryable or was not sent at all.
 	s.Pool.RecordStale(connection)
 	if evidence.Sent && !outgoing.Retryable {
--- a/internal/traffic/proxy/sender.go
+++ b/internal/traffic/proxy/sender.go
@@ -19,9 +19,9 @@
 	ErrCorruptResponse = errs.Define("corrupt response")
 	// ErrResponseLost means that a timeout, a reset or a broken connection followed after sending.
 	ErrResponseLost = errs.Define("answer lost")
-	// ErrStaleConnection means that the worker had closed the idle connection, which is no sign of
+	// ErrStaleConnection means that the worker had discarded the idle connection, which is no sign of
 	// bad health.
-	ErrStaleConnection = errs.Define("idle connection closed by worker")
+	ErrStaleConnection = errs.Define("idle connection discarded by worker")
 )
 
 // Sender sends single requests to single workers. Gateways and stores use it.
@@ -43,7 +43,7 @@
 	// SilenceTimeout; see workerconn.Wait.
 	ShouldGiveUp func(elapsed clock.Duration) bool
 	// Retryable means that the request may use any idle connection, and is sent again if the worker
-	// had already closed that connection.
+	// had already discarded that connection.
 	Retryable bool
 	// RequireSeal means that a success must carry the worker's seal.
 	RequireSeal bool
