--- a/internal/control/assignmentserver/assignmentserver.go
+++ b/internal/control/assignmentserver/assignmentserver.go
@@ -74,7 +74,7 @@
 	go func() {
 		clock.Sleep(constants.PushTimeout)
 		if _, err := s.Read(); err != nil {
-			s.node.Log.Debug("reading assignments failed", "err", err.Error())
+			s.node.Log.Debug("failed to read assignments", "err", err.Error())
 		}
 	}()
 }
--- a/internal/control/assignmentserver/replan.go
+++ b/internal/control/assignmentserver/replan.go
@@ -68,7 +68,7 @@
 	}
 	next, moves, err := adapterplan.Replan(&current.Value, absent)
 	if err != nil {
-		s.node.Log.Error("replanning assignments failed", "absent", strings.Join(absent, ","), "err", err.Error())
+		s.node.Log.Error("failed to replan assignments", "absent", strings.Join(absent, ","), "err", err.Error())
 		return
 	}
 	committed, result, err := s.commit(next, current.Revision)
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -202,7 +202,7 @@
 		c.Register.SyncSets()
 		if len(c.Register.Known().Acceptors) > 0 && c.configs.Load() == nil {
 			if _, err := c.assignments.Read(); err != nil {
-				c.Node.Log.Debug("reading assignments failed", "err", err.Error())
+				c.Node.Log.Debug("failed to read assignments", "err", err.Error())
 			}
 			return
 		}
--- a/internal/control/workerserver/calls.go
+++ b/internal/control/workerserver/calls.go
@@ -105,7 +105,7 @@
 		}
 	case !s.durable.isDurable(worker):
 		if !s.commitWorkerChange(worker, changed) {
-			s.node.Log.Warn("worker change not committed by quorum", "worker", worker.ID, "phase", worker.Phase.String())
+			s.node.Log.Warn("failed to commit worker change at quorum", "worker", worker.ID, "phase", worker.Phase.String())
 			httpreply.Error(writer, http.StatusServiceUnavailable, contactserver.NoClearAnswer)
 			return
 		}
--- a/internal/control/workerserver/file.go
+++ b/internal/control/workerserver/file.go
@@ -129,7 +129,7 @@
 		}
 		err := f.write(batch, all)
 		if err != nil {
-			logger.Warn("writing workers to disk failed", "err", err.Error())
+			logger.Warn("failed to write workers to disk", "err", err.Error())
 		}
 		for _, request := range batch {
 			if request.done != nil {
--- a/internal/platform/constants/constants.go
+++ b/internal/platform/constants/constants.go
@@ -128,7 +128,8 @@
 
 // Data plane.
 const (
-	// PollPeriod is the polling period of waiting requests and connections.
+	// PollPeriod is the polling period of a gateway that waits for its first configuration or drains,
+	// and the read deadline with which a connection is checked for received bytes.
 	PollPeriod = 15 * time.Millisecond
 	// ConnectionsMin is the minimum number of connections to a worker that a node may open.
 	ConnectionsMin = 4
--- a/internal/platform/inbound/memory.go
+++ b/internal/platform/inbound/memory.go
@@ -36,7 +36,7 @@
 // reserve charges count bytes to a connection's request; total is the memory that the whole request
 // needs. At the limit it evicts requests that are not received completely yet: slow ones, and those
 // charged much more than total. It waits for evicted requests to release their memory, up to
-// ClientRoomTimeout, and returns false if the bytes could not be charged.
+// ClientMemoryTimeout, and returns false if the bytes could not be charged.
 func (m *Memory) reserve(c *Conn, count, total int64) bool {
 	end := clock.Now().Add(constants.ClientMemoryTimeout)
 	for {
--- a/internal/platform/inbound/victim.go
+++ b/internal/platform/inbound/victim.go
@@ -48,7 +48,7 @@
 
 // chooseConnection returns the connection to close for a new one: the one that has been idle for the
 // longest time; else the slowest of those whose request has been arriving for at least ClientGrace;
-// else the one whose client has not read its response for the longest time, at least ClientDeafTime.
+// else the one whose client has not read its response for the longest time, at least ClientUnreadTimeout.
 // Returns nil if there is no such connection.
 func chooseConnection(candidates []candidate, now clock.Instant) *candidate {
 	var idle, slowest, stalled *candidate
--- a/internal/platform/process/main.go
+++ b/internal/platform/process/main.go
@@ -44,12 +44,12 @@
 	}()
 	process, err := make(nodeSettings, log)
 	if err != nil {
-		log.Error("process not started", "err", err.Error())
+		log.Error("failed to start process", "err", err.Error())
 		os.Exit(exitFailed)
 	}
 	started <- process
 	if err = process.Run(); err != nil {
-		log.Error("process failed", "err", err.Error())
+		log.Error("failed to run process", "err", err.Error())
 		os.Exit(exitFailed)
 	}
 	// Run returns as soon as the listener closes, while Shutdown still finishes requests in flight;
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -76,7 +76,8 @@
 	QuotaOvershoot float64 `toml:"quota-overshoot"`
 }
 
-// Load reads and checks the settings file named by the environment variable Variable.
+// Load reads and checks the settings file named by the environment variable
+// PathVariable.
 func Load() (*Settings, error) {
 	path := os.Getenv(PathVariable)
 	if path == "" {
--- a/internal/platform/transport/everybyte_test.go
+++ b/internal/platform/transport/everybyte_test.go
@@ -50,16 +50,16 @@
 func TestFaultAtEveryByteOfAFrame(t *testing.T) {
 	for _, fault := range faultrelay.Faults() {
 		for i := 0; i < 2*frameLength; i++ {
-			strike := faultrelay.Injection{Fault: fault, Response: i >= frameLength, At: i % frameLength}
-			t.Run(fmt.Sprint(fault, strike.Response, strike.At), func(t *testing.T) {
+			injection := faultrelay.Injection{Fault: fault, Response: i >= frameLength, At: i % frameLength}
+			t.Run(fmt.Sprint(fault, injection.Response, injection.At), func(t *testing.T) {
 				t.Parallel()
-				checkFault(t, strike)
+				checkFault(t, injection)
 			})
 		}
 	}
 }
 
-func checkFault(t *testing.T, strike faultrelay.Injection) {
+func checkFault(t *testing.T, injection faultrelay.Injection) {
 	t.Helper()
 
 	server := newCountingServer(t, "127.0.0.1:0", "one")
@@ -80,7 +80,7 @@
 		}
 	}
 	call("rest")
-	relay.Arm(&strike)
+	relay.Arm(&injection)
 	var group sync.WaitGroup
 	for _, body := range []string{"left", "right"} {
 		group.Add(1)
--- a/internal/platform/transport/peer.go
+++ b/internal/platform/transport/peer.go
@@ -36,7 +36,7 @@
 	lock         sync.Mutex
 	pending      map[uint64]pendingCall
 	lastReceived clock.Instant
-	dead         bool
+	closed       bool
 }
 
 // pendingCall is a call that waits for its response.
@@ -157,7 +157,7 @@
 	l.conn.Close()
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	l.dead = true
+	l.closed = true
 	for number, call := range l.pending {
 		close(call.response)
 		delete(l.pending, number)
@@ -168,7 +168,7 @@
 func (l *peerConn) register(number uint64, call pendingCall) bool {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	if l.dead {
+	if l.closed {
 		return false
 	}
 	l.pending[number] = call
--- a/internal/platform/transport/tcp.go
+++ b/internal/platform/transport/tcp.go
@@ -17,14 +17,14 @@
 const userTimeout = 0x12
 
 // Dial opens a TCP connection that the kernel closes if sent bytes stay unacknowledged for longer than
-// sinceContact.
-func Dial(address string, timeout, sinceContact clock.Duration) (net.Conn, error) {
+// ackTimeout.
+func Dial(address string, timeout, ackTimeout clock.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1}
 	dialer.Control = func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(descriptor uintptr) {
 			// If the network path is cut no packet comes back, and the kernel closes the connection
 			// at this timeout.
-			_ = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, userTimeout, int(sinceContact.Milliseconds()))
+			_ = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, userTimeout, int(ackTimeout.Milliseconds()))
 		})
 	}
 	return dialer.Dial("tcp4", address)
