--- a/internal/platform/process/main.go
+++ b/internal/platform/process/main.go
@@ -49,7 +49,7 @@
 	}
 	started <- process
 	if err = process.Run(); err != nil {
-		log.Error("failed to run process", "err", err.Error())
+		log.Error("process failed", "err", err.Error())
 		os.Exit(exitFailed)
 	}
 	// Run returns as soon as the listener closes, while Shutdown still finishes requests in flight;
--- a/internal/platform/process/signals.go
+++ b/internal/platform/process/signals.go
@@ -48,7 +48,7 @@
 func checkOnReload(reload <-chan os.Signal, load func() (*settings.Settings, error), log hclog.Logger) {
 	for range reload {
 		if _, err := load(); err != nil {
-			log.Warn("failed to validate changed settings", "err", err.Error())
+			log.Warn("changed settings are not valid", "err", err.Error())
 			continue
 		}
 		log.Info("changed settings hold from the next start")
--- a/internal/traffic/gateway/gateway.go
+++ b/internal/traffic/gateway/gateway.go
@@ -99,7 +99,7 @@
 	clients.setLimits(g.Node.Config().Limits)
 	ingress := inbound.NewServer(g.Proxy)
 	ingress.ConnState = trackState
-	g.Node.Log.Info("gateway started", "ingress", g.Node.Settings.Bind.Ingress)
+	g.Node.Log.Info("serving", "ingress", g.Node.Settings.Bind.Ingress)
 	g.ingressServer.Store(ingress)
 	return ingress.Serve(clients)
 }
@@ -131,7 +131,7 @@
 		clock.Sleep(constants.PollPeriod)
 	}
 	counts := &g.Proxy.Counts
-	g.Node.Log.Info("gateway drained", "served", counts.Served.Load(), "refused", counts.Rejected.Load(), "failed", counts.Failed.Load(),
+	g.Node.Log.Info("drained", "served", counts.Served.Load(), "refused", counts.Rejected.Load(), "failed", counts.Failed.Load(),
 		"resumed", counts.Resumed.Load(), "cut", counts.Aborted.Load())
 	g.Node.Shutdown()
 	for _, server := range []*http.Server{g.ingressServer.Load(), g.readinessServer.Load()} {
