--- a/internal/tooling/forecast/collect.go
+++ b/internal/tooling/forecast/collect.go
@@ -71,7 +71,7 @@
 func (c *Collector) controllers() ([]controller, error) {
 	status, err := c.status(c.Seed, "nodes")
 	if err != nil {
-		return nil, ErrUnreachable.Wrap(err, "seed "+c.Seed+" does not answer (its internal address is needed)")
+		return nil, ErrUnreachable.Wrap(err, "seed "+c.Seed+" does not answer (the seed must be an internal address)")
 	}
 	var found []controller
 	for _, row := range status.Rows {
--- a/internal/tooling/forecastlab/play.go
+++ b/internal/tooling/forecastlab/run.go
@@ -21,12 +21,12 @@
 		return nil, err
 	}
 	defer fleet.Stop()
-	card := fleet.Info()
+	info := fleet.Info()
 	tcp := transport.NewTCP("")
 	defer tcp.Close()
-	p := &caseRun{monitor: newShortageMonitor(&forecast.Collector{Transport: tcp, Seed: card.Seed, Timeout: constants.StatusTimeout})}
+	p := &caseRun{monitor: newShortageMonitor(&forecast.Collector{Transport: tcp, Seed: info.Seed, Timeout: constants.StatusTimeout})}
 	for i, load := range loads {
-		p.drivers = append(p.drivers, newDriver(load, card.Ingress, seed*100+uint64(i)))
+		p.drivers = append(p.drivers, newDriver(load, info.Ingress, seed*100+uint64(i)))
 	}
 	return p.run(ctx, c, seed)
 }
--- a/internal/tooling/lab/families.go
+++ b/internal/tooling/lab/families.go
@@ -114,9 +114,9 @@
 	var all []*workerSlot
 	for i := range p.Families {
 		for number := range p.Families[i].Workers {
-			nodeSettings := p.Families[i].settings()
-			nodeSettings.Zone = p.zone(number)
-			all = append(all, &workerSlot{name: p.Families[i].Name + "-" + strconv.Itoa(number+1), nodeSettings: nodeSettings, seed: p.Seed*1000 + int64(len(all)),
+			workerSettings := p.Families[i].settings()
+			workerSettings.Zone = p.zone(number)
+			all = append(all, &workerSlot{name: p.Families[i].Name + "-" + strconv.Itoa(number+1), workerSettings: workerSettings, seed: p.Seed*1000 + int64(len(all)),
 				address: p.host(constants.LabWorkerHost, len(all), constants.LabWorkerPort)})
 		}
 	}
--- a/internal/tooling/lab/fleet.go
+++ b/internal/tooling/lab/fleet.go
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// reportFailure sends a failure to Died unless one is pending already or the fleet is being stopped.
+// reportFailure sends a failure to Failed unless one is pending already or the fleet is being stopped.
 func (f *Fleet) reportFailure(err error) {
 	select {
 	case <-f.stopping:
--- a/internal/tooling/lab/operator.go
+++ b/internal/tooling/lab/operator.go
@@ -51,7 +51,7 @@
 	return httpResponse{resp.StatusCode, text}, ErrInvalidLab.Wrap(err, "answer")
 }
 
-// first sends the first configuration.
+// sendFirst sends the first configuration.
 func (o *operator) sendFirst(body []byte) error { return o.send(body, 0) }
 
 // addRoute sends the next generation: the current configuration with one more route. Fields that
--- a/internal/tooling/lab/workers.go
+++ b/internal/tooling/lab/workers.go
@@ -23,14 +23,14 @@
 	// restarting is locked while a trouble stops the worker and starts its next incarnation.
 	restarting sync.Mutex
 
-	name, address string
-	nodeSettings  workeremulator.Settings
-	seed          int64
+	name, address  string
+	workerSettings workeremulator.Settings
+	seed           int64
 
 	lock        sync.Mutex
 	incarnation int
 	worker      *workeremulator.Worker
-	beater      *workeremulator.HeartbeatSender
+	heartbeats  *workeremulator.HeartbeatSender
 	cancel      func()
 	// serveDone is closed once the listener of the current incarnation is closed.
 	serveDone chan struct{}
@@ -42,11 +42,11 @@
 		return p.familyWorkerSlots()
 	}
 	var all []*workerSlot
-	add := func(kind string, count int, nodeSettings workeremulator.Settings) {
+	add := func(kind string, count int, workerSettings workeremulator.Settings) {
 		for number := 0; number < count; number++ {
-			slotSettings := nodeSettings
+			slotSettings := workerSettings
 			slotSettings.Zone = p.zone(number)
-			all = append(all, &workerSlot{name: kind + "-" + strconv.Itoa(number+1), nodeSettings: slotSettings, seed: p.Seed*1000 + int64(len(all)),
+			all = append(all, &workerSlot{name: kind + "-" + strconv.Itoa(number+1), workerSettings: slotSettings, seed: p.Seed*1000 + int64(len(all)),
 				address: p.host(constants.LabWorkerHost, len(all), constants.LabWorkerPort)})
 		}
 	}
@@ -68,11 +68,11 @@
 		return ErrInvalidLab.New(s.name + " can't listen at " + s.address + ": " + rootCause(err))
 	}
 	s.incarnation++
-	nodeSettings := s.nodeSettings
-	nodeSettings.ID = fmt.Sprintf("%s-life%d", s.name, s.incarnation)
-	s.worker = workeremulator.NewWorker(nodeSettings, record, workeremulator.RealClock{}, s.seed+int64(s.incarnation)*100_000)
+	workerSettings := s.workerSettings
+	workerSettings.ID = fmt.Sprintf("%s-life%d", s.name, s.incarnation)
+	s.worker = workeremulator.NewWorker(workerSettings, record, workeremulator.RealClock{}, s.seed+int64(s.incarnation)*100_000)
 	s.worker.SetFaults(s.faults)
-	s.beater = workeremulator.NewHeartbeatSender(s.worker, s.address, controls)
+	s.heartbeats = workeremulator.NewHeartbeatSender(s.worker, s.address, controls)
 	ctx, cancel := contexts.WithCancel(contexts.Background())
 	s.cancel = cancel
 	worker, serveDone := s.worker, make(chan struct{})
@@ -81,15 +81,15 @@
 		defer close(serveDone)
 		worker.Serve(listener)
 	}()
-	go s.beater.SendUntil(ctx, constants.LabHeartbeat)
+	go s.heartbeats.SendUntil(ctx, constants.LabHeartbeat)
 	return nil
 }
 
 // workerIncarnation is one incarnation of an emulated worker.
 type workerIncarnation struct {
-	worker    *workeremulator.Worker
-	beater    *workeremulator.HeartbeatSender
-	serveDone chan struct{}
+	worker     *workeremulator.Worker
+	heartbeats *workeremulator.HeartbeatSender
+	serveDone  chan struct{}
 }
 
 // detach removes the current incarnation from the slot, stops its heartbeats and returns it; the
@@ -97,11 +97,11 @@
 func (s *workerSlot) detach() (incarnation workerIncarnation, running bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	incarnation = workerIncarnation{s.worker, s.beater, s.serveDone}
+	incarnation = workerIncarnation{s.worker, s.heartbeats, s.serveDone}
 	if s.cancel != nil {
 		s.cancel()
 	}
-	s.worker, s.beater, s.cancel = nil, nil, nil
+	s.worker, s.heartbeats, s.cancel = nil, nil, nil
 	return incarnation, incarnation.worker != nil
 }
 
@@ -117,7 +117,7 @@
 // leave stops the current incarnation gracefully and waits until its address is free.
 func (s *workerSlot) leave() {
 	if incarnation, running := s.detach(); running {
-		incarnation.beater.DrainAndShutDown(clock.Milliseconds(constants.LabDrainMs))
+		incarnation.heartbeats.DrainAndShutDown(clock.Milliseconds(constants.LabDrainMs))
 		<-incarnation.serveDone
 	}
 }
--- a/internal/tooling/linearize/history.go
+++ b/internal/tooling/linearize/history.go
@@ -1,7 +1,7 @@
-// Package linearize records the calls of the clients of the control plane and of lots (batch
-// jobs) with their responses, and checks them against a sequential model. A history is
-// linearizable if there is one order of all calls that explains every response, where each call
-// takes effect at one moment between its beginning and its end.
+// Package linearize records the calls of the clients of the control plane and of batch jobs with
+// their responses, and checks them against a sequential model. A history is linearizable if there
+// is one order of all calls that explains every response, where each call takes effect at one
+// moment between its beginning and its end.
 package linearize
 
 import (
--- a/internal/tooling/linearize/jobs.go
+++ b/internal/tooling/linearize/jobs.go
@@ -11,21 +11,22 @@
 // JobKind is the kind of a JobCall.
 type JobKind int
 
-// The kinds of calls for lots.
+// The kinds of calls for batch jobs.
 const (
-	// JobSubmit submits a lot. Each time it is sent counts as an operation of its own, since a
-	// lot that was rejected may be sent again and then be accepted.
+	// JobSubmit submits a batch job. Each time it is sent counts as an operation of its own, since
+	// a job that was rejected may be sent again and then be accepted.
 	JobSubmit JobKind = iota
 	// JobRead reads the results from a position on.
 	JobRead
-	// JobEnd ends a lot.
+	// JobEnd ends a batch job.
 	JobEnd
 )
 
-// JobCall is a client's call for one lot.
+// JobCall is a client's call for one batch job.
 type JobCall struct {
 	Kind JobKind
-	Lot  string
+	// Lot is the id of the job.
+	Lot string
 	// From is the position at which a read begins.
 	From int
 }
@@ -37,11 +38,11 @@
 const (
 	// JobUnclear means that there was no response, or one that does not state the outcome.
 	JobUnclear JobOutcome = iota
-	// JobDone means that the lot was submitted, read or ended.
+	// JobDone means that the job was submitted, read or ended.
 	JobDone
-	// JobRejected means that a submission was rejected and nothing of the lot runs.
+	// JobRejected means that a submission was rejected and nothing of the job runs.
 	JobRejected
-	// JobMissing means that there is no such lot.
+	// JobMissing means that there is no such job.
 	JobMissing
 )
 
@@ -56,7 +57,7 @@
 // Unclear reports whether nothing is known of the outcome.
 func (l JobReply) Unclear() bool { return l.Outcome == JobUnclear }
 
-// jobState is the state of one lot in the sequential model.
+// jobState is the state of one batch job in the sequential model.
 type jobState struct {
 	accepted bool
 	// results contains the results returned to clients, by position. Results that were listed
@@ -72,9 +73,9 @@
 	return list[:len(list)-1]
 }
 
-// JobsModel returns the sequential model of lots: a lot exists from the moment it is accepted,
-// each position receives one final result, in order, and a read returns at least all results
-// that were returned to any client before.
+// JobsModel returns the sequential model of batch jobs: a job exists from the moment it is
+// accepted, each position receives one final result, in order, and a read returns at least all
+// results that were returned to any client before.
 func JobsModel() porcupine.Model {
 	model := porcupine.NondeterministicModel{
 		Partition: byJob,
@@ -84,7 +85,7 @@
 		},
 		DescribeOperation: func(input, output any) string {
 			call, reply := input.(JobCall), output.(JobReply)
-			return fmt.Sprintf("lot %s, call %d from %d: outcome %d %q", call.Lot, call.Kind, call.From, reply.Outcome, reply.Results)
+			return fmt.Sprintf("job %s, call %d from %d: outcome %d %q", call.Lot, call.Kind, call.From, reply.Outcome, reply.Results)
 		},
 	}
 	return model.ToModel()
--- a/internal/tooling/loadgen/drive.go
+++ b/internal/tooling/loadgen/drive.go
@@ -17,7 +17,7 @@
 // run is one load run against one fleet.
 type run struct {
 	options Options
-	card    *lab.FleetInfo
+	info    *lab.FleetInfo
 	routes  map[string]*routeconfig.Route
 	// prefix begins the ids of all attempts of the run, so that the endpoint can return the run's
 	// attempts only.
@@ -40,15 +40,15 @@
 	if err := options.Check(); err != nil {
 		return nil, err
 	}
-	card, err := endpoint.Card()
+	info, err := endpoint.Info()
 	if err != nil {
 		return nil, err
 	}
-	routes, err := options.routesOf(card)
+	routes, err := options.routesOf(info)
 	if err != nil {
 		return nil, err
 	}
-	load := newRun(options, card, routes, "ld"+strconv.FormatInt(clock.WallNanos(), 36)+"-")
+	load := newRun(options, info, routes, "ld"+strconv.FormatInt(clock.WallNanos(), 36)+"-")
 	load.sendLoad(ctx, endpoint, troubles)
 	return load.result, load.fetchAndCompareRuns(endpoint)
 }
@@ -100,9 +100,9 @@
 	return nil
 }
 
-func newRun(options Options, card *lab.FleetInfo, routes map[string]*routeconfig.Route, prefix string) *run {
+func newRun(options Options, info *lab.FleetInfo, routes map[string]*routeconfig.Route, prefix string) *run {
 	dialer := &net.Dialer{Timeout: constants.EmulatorHeartbeatWait}
-	return &run{options: options, card: card, routes: routes, prefix: prefix, result: newResult(card.Label), attempts: map[string]*sentAttempt{}, pause: clock.Sleep,
+	return &run{options: options, info: info, routes: routes, prefix: prefix, result: newResult(info.Label), attempts: map[string]*sentAttempt{}, pause: clock.Sleep,
 		client: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: constants.LoadOpen, DialContext: dialer.DialContext}}
 }
 
@@ -133,7 +133,7 @@
 // sendRequests sends every request when it is due, regardless of the outcome of earlier ones.
 func (r *run) sendRequests(ctx contexts.Context, started clock.Instant) {
 	var group sync.WaitGroup
-	for _, due := range schedule(&r.options, r.routes, len(r.card.Ingress)) {
+	for _, due := range schedule(&r.options, r.routes, len(r.info.Ingress)) {
 		if at := started.Add(due.at); at > clock.Now() && !waitUntil(ctx, at) {
 			break
 		}
--- a/internal/tooling/loadgen/drive_test.go
+++ b/internal/tooling/loadgen/drive_test.go
@@ -77,13 +77,13 @@
 	transport.plain.SetFaults(faults)
 	options := NewOptions()
 	options.Count, options.For = 60, time.Hour
-	card := &lab.FleetInfo{Label: "test", Ingress: []string{"n1", "n2"}, Stride: 4, Routes: testRoutes}
+	info := &lab.FleetInfo{Label: "test", Ingress: []string{"n1", "n2"}, Stride: 4, Routes: testRoutes}
 	options.JobRate = 0
-	routes, err := options.routesOf(card)
+	routes, err := options.routesOf(info)
 	if err != nil {
 		t.Fatal(err)
 	}
-	load := newRun(options, card, routes, "t-")
+	load := newRun(options, info, routes, "t-")
 	load.client, load.pause = transport, func(clock.Duration) {}
 	for _, due := range schedule(&options, routes, 2) {
 		load.sendWithRetries(due.spec)
--- a/internal/tooling/loadgen/endpoint.go
+++ b/internal/tooling/loadgen/endpoint.go
@@ -60,22 +60,22 @@
 	return ErrInvalidLoad.Wrap(json.Unmarshal(text, into), "the fleet at "+e.address+" sent a response that can't be decoded")
 }
 
-// Card fetches the description of the fleet. It returns an error unless all ingress addresses are on
+// Info fetches the description of the fleet. It returns an error unless all ingress addresses are on
 // this machine.
-func (e *Endpoint) Card() (*lab.FleetInfo, error) {
-	card := &lab.FleetInfo{}
-	if err := e.call(http.MethodGet, "/fleet", nil, card); err != nil {
+func (e *Endpoint) Info() (*lab.FleetInfo, error) {
+	info := &lab.FleetInfo{}
+	if err := e.call(http.MethodGet, "/fleet", nil, info); err != nil {
 		return nil, err
 	}
-	if len(card.Ingress) == 0 || card.Stride < 1 {
+	if len(info.Ingress) == 0 || info.Stride < 1 {
 		return nil, ErrInvalidLoad.New("the fleet at " + e.address + " sent a description without an ingress or stride")
 	}
-	for _, address := range card.Ingress {
+	for _, address := range info.Ingress {
 		if err := checkLoopback(address); err != nil {
 			return nil, err
 		}
 	}
-	return card, nil
+	return info, nil
 }
 
 // Runs fetches the workers' runs of the attempts whose ids begin with the prefix.
--- a/internal/tooling/loadgen/experiment.go
+++ b/internal/tooling/loadgen/experiment.go
@@ -104,18 +104,18 @@
 	if err != nil {
 		return nil, err
 	}
-	// If a process of a fleet dies, end the whole experiment: the results of the fleets would not
-	// be comparable.
+	// If a process of a fleet exits unexpectedly, end the whole experiment: the results of the
+	// fleets would not be comparable.
 	runCtx, cancel := contexts.WithCancel(ctx)
 	defer cancel()
-	deaths := make(chan error, len(fleets))
+	fleetFailures := make(chan error, len(fleets))
 	results, failures := make([]*Result, len(fleets)), make([]error, len(fleets))
 	var group sync.WaitGroup
 	for i, fleet := range fleets {
 		go func() {
 			select {
 			case err := <-fleet.Failed:
-				deaths <- ErrInvalidLoad.New(fleet.Plan.Label + ": " + err.Error())
+				fleetFailures <- ErrInvalidLoad.New(fleet.Plan.Label + ": " + err.Error())
 				cancel()
 			case <-runCtx.Done():
 			}
@@ -124,7 +124,7 @@
 	}
 	group.Wait()
 	select {
-	case err := <-deaths:
+	case err := <-fleetFailures:
 		return nil, err
 	default:
 	}
--- a/internal/tooling/loadgen/lots.go
+++ b/internal/tooling/loadgen/jobs.go
@@ -31,7 +31,7 @@
 			break
 		}
 		job, check := r.newJob(number, random)
-		node := random.Intn(len(r.card.Ingress))
+		node := random.Intn(len(r.info.Ingress))
 		group.Add(1)
 		go func() {
 			defer group.Done()
@@ -50,7 +50,7 @@
 		item := jobclient.Item{ID: check.id + "-" + strconv.Itoa(i), Path: fmt.Sprintf("%s%d/%d", route.Prefix, number, i),
 			Tokens: prompt.inputTokens + prompt.outputTokens, Body: []byte("item " + strconv.Itoa(i)), Headers: map[string]string{"Lemonarch-Model": lab.ModelName,
 				"Lemonarch-Token-Count": fmt.Sprintf("%d,%d", prompt.inputTokens, prompt.outputTokens), "Lemonarch-Prompt-Prefix": prompt.prefixParts}}
-		check.eventCounts[item.ID] = workeremulator.Events(prompt.outputTokens, r.card.Stride)
+		check.eventCounts[item.ID] = workeremulator.Events(prompt.outputTokens, r.info.Stride)
 		job.Requests = append(job.Requests, item)
 		r.recordAttempt(item.ID, item.Path, item.Body, route, false, true)
 	}
@@ -61,7 +61,7 @@
 // passed, and reads them once more from the start.
 func (r *run) runJob(check *jobCheck, job jobclient.Job, node int) {
 	route := r.routes["batch"]
-	gateways := append(append([]string(nil), r.card.Ingress[node:]...), r.card.Ingress[:node]...)
+	gateways := append(append([]string(nil), r.info.Ingress[node:]...), r.info.Ingress[:node]...)
 	client := &jobclient.Client{Edges: gateways, Host: route.Host}
 	ctx, cancel := contexts.WithTimeout(contexts.Background(), constants.LoadDrain)
 	defer cancel()
--- a/internal/tooling/loadgen/options.go
+++ b/internal/tooling/loadgen/options.go
@@ -62,10 +62,10 @@
 
 // routesOf returns the fleet's routes by name. It returns an error if the route of a kind that the
 // options use is missing.
-func (o *Options) routesOf(card *lab.FleetInfo) (map[string]*routeconfig.Route, error) {
+func (o *Options) routesOf(info *lab.FleetInfo) (map[string]*routeconfig.Route, error) {
 	routes := map[string]*routeconfig.Route{}
-	for i := range card.Routes {
-		routes[card.Routes[i].Name] = &card.Routes[i]
+	for i := range info.Routes {
+		routes[info.Routes[i].Name] = &info.Routes[i]
 	}
 	required := []string{}
 	for _, share := range o.Mix {
--- a/internal/tooling/loadgen/send.go
+++ b/internal/tooling/loadgen/send.go
@@ -75,7 +75,7 @@
 	remaining := state.deadline.Sub(clock.Now())
 	ctx, cancel := contexts.WithTimeout(contexts.Background(), remaining)
 	defer cancel()
-	node := r.card.Ingress[(spec.node+try-1)%len(r.card.Ingress)]
+	node := r.info.Ingress[(spec.node+try-1)%len(r.info.Ingress)]
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+path, bytes.NewReader(spec.body))
 	if err != nil {
 		return attemptResult{cause: "unsendable", permanent: true}
@@ -177,7 +177,7 @@
 	if finding := checkSeal(attempt, resp.Header.Get("Lemonarch-Server-Seal"), resp.Header.Get("Lemonarch-Attempt-Id")); finding != nil {
 		return attemptResult{cause: "not the answer", permanent: true, finding: finding}
 	}
-	check := &streamCheck{attempt: attempt, lastEventID: state.lastID, eventCount: workeremulator.Events(spec.prompt.outputTokens, r.card.Stride)}
+	check := &streamCheck{attempt: attempt, lastEventID: state.lastID, eventCount: workeremulator.Events(spec.prompt.outputTokens, r.info.Stride)}
 	timeout := max(constants.LoadTimeout, 4*spec.route.Setpoint(), 8*clock.Milliseconds(spec.route.GapMs))
 	var timedOut atomic.Bool
 	timer := time.AfterFunc(timeout, func() { timedOut.Store(true); cancel() })
--- a/internal/tooling/simulation/world.go
+++ b/internal/tooling/simulation/world.go
@@ -56,8 +56,8 @@
 	Now    clock.Instant
 	queue  events
 	order  int
-	// LossProbability and Double are the probabilities, 0 to 1, that a message is lost, or duplicated if it
-	// is not lost.
+	// LossProbability is the probability, 0 to 1, that a message is lost, DuplicateProbability that
+	// it is duplicated if it is not lost.
 	LossProbability, DuplicateProbability float64
 	partitioned                           map[string]bool
 	history                               []string
--- a/internal/tooling/workeremulator/beats.go
+++ b/internal/tooling/workeremulator/heartbeats.go
@@ -31,16 +31,16 @@
 	client         http.Client
 }
 
-// NewHeartbeatSender returns a Beater that has sent nothing yet.
+// NewHeartbeatSender returns a sender that has sent nothing yet.
 func NewHeartbeatSender(worker *Worker, address string, controllers []string) *HeartbeatSender {
-	beater := &HeartbeatSender{Worker: worker, Address: address, Controllers: controllers}
-	beater.client = http.Client{Timeout: constants.EmulatorHeartbeatWait, CheckRedirect: func(_ *http.Request, via []*http.Request) error {
+	sender := &HeartbeatSender{Worker: worker, Address: address, Controllers: controllers}
+	sender.client = http.Client{Timeout: constants.EmulatorHeartbeatWait, CheckRedirect: func(_ *http.Request, via []*http.Request) error {
 		if len(via) > constants.EmulatorRedirects {
 			return ErrNotAcknowledged.New("too many redirects")
 		}
 		return nil
 	}}
-	return beater
+	return sender
 }
 
 type heartbeatBody struct {
--- a/internal/tooling/workeremulator/beats_test.go
+++ b/internal/tooling/workeremulator/heartbeats_test.go
@@ -32,15 +32,15 @@
 	other := serve("other", "", 200)
 	first := serve("first", other.Listener.Addr().String(), 200)
 	worker, _, address, _ := start(t, plainSettings)
-	beater := NewHeartbeatSender(worker, address, []string{first.Listener.Addr().String()})
+	sender := NewHeartbeatSender(worker, address, []string{first.Listener.Addr().String()})
 	for count := 0; count < 2; count++ {
-		if err := beater.Beat(); err != nil {
+		if err := sender.Beat(); err != nil {
 			t.Fatal(err)
 		}
 	}
 	other.Close()
 	worker.Drain()
-	if beater.Beat() != nil || beater.Depart() != nil {
+	if sender.Beat() != nil || sender.Depart() != nil {
 		t.Fatal("heartbeat or departure failed although the first controller responds")
 	}
 	want := "[first/-/Workers.Heartbeat/w1 steady other/-/Workers.Heartbeat/w1 steady first/-/Workers.Heartbeat/w1 draining first/-/Workers.Depart/w1 draining]"
