--- a/cmd/lemonarch/lab_forecast.go
+++ b/cmd/lemonarch/lab_forecast.go
@@ -43,7 +43,7 @@
 		var results []*forecastcases.Result
 		for number := first; number < first+cases && ctx.Err() == nil; number++ {
 			generated := forecastcases.Generate(number, seed)
-			result, err := playForecastCase(ctx, generated, plan, seed, real)
+			result, err := runForecastCase(ctx, generated, plan, seed, real)
 			if err != nil {
 				return exitError{exitInvalid, oneLine(err)}
 			}
@@ -57,8 +57,8 @@
 	return command
 }
 
-// playForecastCase runs a case in simulated time, or on the real programs if real is set.
-func playForecastCase(ctx contexts.Context, generated *forecastcases.Case, plan lab.Plan, seed uint64, real bool) (*forecastcases.Result, error) {
+// runForecastCase runs a case in simulated time, or on the real programs if real is set.
+func runForecastCase(ctx contexts.Context, generated *forecastcases.Case, plan lab.Plan, seed uint64, real bool) (*forecastcases.Result, error) {
 	if real {
 		return forecastlab.Run(ctx, generated, plan, seed)
 	}
--- a/internal/tooling/crowd/harness_test.go
+++ b/internal/tooling/crowd/harness_test.go
@@ -147,8 +147,8 @@
 	f.checkOrdinaryRequests(t)
 	crowd.Close()
 	select {
-	case died := <-f.Failed:
-		t.Errorf("a process ended during the test: %v", died)
+	case failure := <-f.Failed:
+		t.Errorf("a process ended during the test: %v", failure)
 	default:
 	}
 	for program, watch := range watches {
--- a/internal/tooling/loadgen/options.go
+++ b/internal/tooling/loadgen/options.go
@@ -86,7 +86,7 @@
 // the troubles with their times.
 type Experiment struct {
 	Rate    float64 `toml:"rate"`
-	LotRate float64 `toml:"lots"`
+	JobRate float64 `toml:"lots"`
 	Items   int     `toml:"items"`
 	Mix     string  `toml:"mix"`
 	ForS    float64 `toml:"for-s"`
--- a/internal/tooling/soak/schedule.go
+++ b/internal/tooling/soak/schedule.go
@@ -56,7 +56,7 @@
 	plan := lab.NewPlan()
 	plan.Label, plan.Programs, plan.Seed = "soak-"+strconv.FormatInt(options.Seed, 10), options.Programs, options.Seed
 	g.fleetSizes(&plan, options.Processes)
-	schedule.Experiment = loadgen.Experiment{Rate: 80, LotRate: 0.5, Items: 10, ForS: options.Duration.Seconds(), Tries: 2, Seed: options.Seed,
+	schedule.Experiment = loadgen.Experiment{Rate: 80, JobRate: 0.5, Items: 10, ForS: options.Duration.Seconds(), Tries: 2, Seed: options.Seed,
 		PlannedOnly: schedule.PlannedOnly, Fleets: []lab.Plan{plan}}
 	g.gatewayTroubles(plan.Gateways, schedule.PlannedOnly)
 	g.diskProcessTroubles(&plan, schedule.PlannedOnly)
