--- a/internal/tooling/loadgen/experiment.go
+++ b/internal/tooling/loadgen/experiment.go
@@ -19,7 +19,7 @@
 // their defaults. programs is the folder of the programs for fleets that name none.
 func ReadExperiment(text, programs string) (*Experiment, Options, error) {
 	defaults := NewOptions()
-	experiment := &Experiment{Rate: defaults.Rate, LotRate: defaults.JobRate, Items: defaults.Items, ForS: defaults.For.Seconds(), Tries: defaults.Tries, Seed: defaults.Seed}
+	experiment := &Experiment{Rate: defaults.Rate, JobRate: defaults.JobRate, Items: defaults.Items, ForS: defaults.For.Seconds(), Tries: defaults.Tries, Seed: defaults.Seed}
 	// The file is decoded twice: the first pass counts the fleets, so that each fleet can be given
 	// its defaults before the second.
 	var counted struct {
@@ -47,7 +47,7 @@
 		return nil, defaults, ErrInvalidLoad.New("experiment has unknown field " + extra[0].String())
 	}
 	options := defaults
-	options.Rate, options.JobRate, options.Items, options.Count, options.Tries, options.Seed = experiment.Rate, experiment.LotRate, experiment.Items, experiment.Count, experiment.Tries, experiment.Seed
+	options.Rate, options.JobRate, options.Items, options.Count, options.Tries, options.Seed = experiment.Rate, experiment.JobRate, experiment.Items, experiment.Count, experiment.Tries, experiment.Seed
 	options.PlannedOnly = experiment.PlannedOnly
 	options.For = clock.Milliseconds(experiment.ForS * 1000)
 	if experiment.Mix != "" {
@@ -104,18 +104,18 @@
 	if err != nil {
 		return nil, err
 	}
-	// If a process of a fleet dies, end the whole experiment: the results of the fleets would not
-	// be comparable.
+	// If a process of a fleet exits unexpectedly, end the whole experiment: the results of the
+	// fleets would not be comparable.
 	runCtx, cancel := contexts.WithCancel(ctx)
 	defer cancel()
-	deaths := make(chan error, len(fleets))
+	fleetFailures := make(chan error, len(fleets))
 	results, failures := make([]*Result, len(fleets)), make([]error, len(fleets))
 	var group sync.WaitGroup
 	for i, fleet := range fleets {
 		go func() {
 			select {
 			case err := <-fleet.Failed:
-				deaths <- ErrInvalidLoad.New(fleet.Plan.Label + ": " + err.Error())
+				fleetFailures <- ErrInvalidLoad.New(fleet.Plan.Label + ": " + err.Error())
 				cancel()
 			case <-runCtx.Done():
 			}
@@ -124,7 +124,7 @@
 	}
 	group.Wait()
 	select {
-	case err := <-deaths:
+	case err := <-fleetFailures:
 		return nil, err
 	default:
 	}
