--- a/internal/batch/dispatch/acquire.go
+++ b/internal/batch/dispatch/acquire.go
@@ -11,9 +11,9 @@
 type JobTerms struct {
 	// Due is when the job's results are due, in milliseconds of wall-clock time.
 	Due int64
-	// Overdue reports that the job can no longer meet its due time, however soon it runs.
+	// Overdue reports whether the job can no longer meet its due time, however soon it runs.
 	Overdue bool
-	// Expired reports that the job's route was removed or its retain-s has passed.
+	// Expired reports whether the job's route was removed or its retain-s has passed.
 	Expired bool
 }
 
@@ -28,7 +28,7 @@
 	Service func(item *Item) string
 }
 
-// prefixOwner is the executor that most recently acquired an item with a shared prefix.
+// prefixOwner is the executor that owns a shared prefix, and when it last acquired an item with it.
 type prefixOwner struct {
 	executor   string
 	assignedAt clock.Instant
--- a/internal/batch/dispatch/acquire_test.go
+++ b/internal/batch/dispatch/acquire_test.go
@@ -15,8 +15,8 @@
 	for i := 0; i < items; i++ {
 		body.Items = append(body.Items, messages.JobItem{ID: fmt.Sprint(id, i), Headers: map[string]string{"Lemonarch-Prompt-Prefix": prefix + ":9,own:1"}})
 	}
-	packed, _ := body.MarshalMsg(nil)
-	d.Append(messages.Record{Kind: messages.RecordJob, Job: id, Body: packed, AtMs: int64(len(d.records))})
+	encoded, _ := body.MarshalMsg(nil)
+	d.Append(messages.Record{Kind: messages.RecordJob, Job: id, Body: encoded, AtMs: int64(len(d.records))})
 	d.applyRecords()
 }
 
@@ -141,11 +141,11 @@
 	for _, length := range []int{2 * constants.AcquireBytes, constants.AcquireBytes / 2, constants.AcquireBytes / 2, 10} {
 		body.Items = append(body.Items, messages.JobItem{ID: fmt.Sprint(len(body.Items)), Body: make([]byte, length)})
 	}
-	packed, err := body.MarshalMsg(nil)
+	encoded, err := body.MarshalMsg(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	dispatcher.Append(messages.Record{Kind: messages.RecordJob, Job: "a", Body: packed, AtMs: 1})
+	dispatcher.Append(messages.Record{Kind: messages.RecordJob, Job: "a", Body: encoded, AtMs: 1})
 	dispatcher.applyRecords()
 	for _, want := range []string{"0 ", "1 2 ", "3 "} {
 		if acquired := itemIDs(dispatcher.acquire("x", 4, ms(1))); acquired != want {
--- a/internal/batch/dispatch/acquisition.go
+++ b/internal/batch/dispatch/acquisition.go
@@ -21,7 +21,7 @@
 	run       int
 	startedAt clock.Instant
 	expiresAt clock.Instant
-	// ranFromStart reports that the run began at the first event, so that its duration counts
+	// ranFromStart reports whether the run began at the first event, so that its duration counts
 	// towards Dispatcher.MeanRunMs.
 	ranFromStart bool
 }
--- a/internal/batch/dispatch/dispatcher_test.go
+++ b/internal/batch/dispatch/dispatcher_test.go
@@ -56,8 +56,8 @@
 	for _, item := range items {
 		body.Items = append(body.Items, messages.JobItem{ID: item, Tokens: 1})
 	}
-	packed, _ := body.MarshalMsg(nil)
-	d.Append(messages.Record{Kind: messages.RecordJob, Job: id, Body: packed, AtMs: int64(len(d.records))})
+	encoded, _ := body.MarshalMsg(nil)
+	d.Append(messages.Record{Kind: messages.RecordJob, Job: id, Body: encoded, AtMs: int64(len(d.records))})
 	d.applyRecords()
 }
 
--- a/internal/batch/dispatch/item.go
+++ b/internal/batch/dispatch/item.go
@@ -37,9 +37,9 @@
 	Preempted int
 	// Runs counts the runs of the item; the latest run has this number.
 	Runs int
-	// Lapses, Releases and Renewals count the expired locks, releases and renewals of its acquisitions.
+	// LockExpiries, Releases and Renewals count what happened to its acquisitions.
 	LockExpiries, Releases, Renewals int
-	// ResumePending reports that the item was preempted and has not been resumed yet.
+	// ResumePending reports whether the item was preempted and has not been resumed yet.
 	ResumePending  bool
 	Job            *Job
 	yieldRequested bool
--- a/internal/batch/dispatch/waiting_test.go
+++ b/internal/batch/dispatch/waiting_test.go
@@ -8,7 +8,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// scanWaiting visits every item of every job. Waiting must agree with it.
+// scanWaiting visits every item of every job. WaitingTokens must agree with it.
 func scanWaiting(jobs *JobTable, match func(job *Job) bool) int64 {
 	total := int64(0)
 	for _, job := range jobs.Jobs() {
@@ -30,14 +30,14 @@
 	for i := 0; i < items; i++ {
 		body.Items = append(body.Items, messages.JobItem{ID: fmt.Sprint(id, "-", i), Tokens: tokens + int64(i)})
 	}
-	packed, _ := body.MarshalMsg(nil)
-	if err := jobs.Apply(&messages.Record{Kind: messages.RecordJob, Job: id, Body: packed}); err != nil {
+	encoded, _ := body.MarshalMsg(nil)
+	if err := jobs.Apply(&messages.Record{Kind: messages.RecordJob, Job: id, Body: encoded}); err != nil {
 		tb.Fatal(err)
 	}
 	return jobs.Job(id)
 }
 
-// After any order of operations on jobs, Waiting and the set of available items agree with visiting
+// After any order of operations on jobs, WaitingTokens and the set of available items agree with visiting
 // every item, for each path alone and for both.
 func TestWaitingMatchesFullScan(t *testing.T) {
 	for seed := int64(1); seed <= 200; seed++ {
--- a/internal/batch/executor/runner.go
+++ b/internal/batch/executor/runner.go
@@ -20,7 +20,7 @@
 	Run int
 	// Since is when the item was acquired.
 	Since clock.Instant
-	// Started reports that the item was sent to a worker.
+	// Started reports whether the item was sent to a worker.
 	Started bool
 	// lockedUntil is the end of the lock by this process's monotonic clock, less LockMargin.
 	lockedUntil clock.Instant
--- a/internal/batch/jobclient/jobclient.go
+++ b/internal/batch/jobclient/jobclient.go
@@ -56,7 +56,7 @@
 	PhaseAbandoned = "abandoned"
 )
 
-// Page is the response to one read. Next is the next position to read, Sum the number of items.
+// Page is the response to one read. Next is the next position to read, Total the number of items.
 type Page struct {
 	Total   int      `json:"sum"`
 	Next    int      `json:"next-token"`
@@ -69,8 +69,8 @@
 	Edges []string
 	// Host is the host of the jobs' route.
 	Host string
-	// edgeIndex, modulo the length of Edges, selects the gateway of the next call.
-	edgeIndex int
+	// gatewayIndex, modulo the length of Edges, selects the gateway of the next call.
+	gatewayIndex int
 	// Transport sends the requests. Tests may set it; nil means a new http.Transport per call.
 	Transport http.RoundTripper
 	// Backoff waits between two attempts. If nil, the client sleeps.
@@ -95,8 +95,8 @@
 func (c *Client) call(ctx contexts.Context, method, path string, header map[string]string, body []byte, timeout clock.Duration) (response, error) {
 	callCtx, cancel := contexts.WithTimeout(ctx, timeout)
 	defer cancel()
-	edge := c.Edges[c.edgeIndex%len(c.Edges)]
-	request, err := http.NewRequestWithContext(callCtx, method, "http://"+edge+path, bytes.NewReader(body))
+	gateway := c.Edges[c.gatewayIndex%len(c.Edges)]
+	request, err := http.NewRequestWithContext(callCtx, method, "http://"+gateway+path, bytes.NewReader(body))
 	if err != nil {
 		return response{}, ErrInvalidCall.Wrap(err, path)
 	}
@@ -110,17 +110,17 @@
 	}
 	resp, err := transport.RoundTrip(request)
 	if err != nil {
-		c.edgeIndex++
-		return response{}, ErrOutcomeUnknown.Wrap(err, edge)
+		c.gatewayIndex++
+		return response{}, ErrOutcomeUnknown.Wrap(err, gateway)
 	}
 	defer resp.Body.Close()
 	content, err := io.ReadAll(io.LimitReader(resp.Body, constants.JobResponseLimit))
 	if err != nil {
-		c.edgeIndex++
-		return response{}, ErrOutcomeUnknown.Wrap(err, edge)
+		c.gatewayIndex++
+		return response{}, ErrOutcomeUnknown.Wrap(err, gateway)
 	}
 	if resp.StatusCode >= 500 || resp.StatusCode == http.StatusTooManyRequests {
-		c.edgeIndex++
+		c.gatewayIndex++
 	}
 	seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 	return response{resp.StatusCode, content, clock.Milliseconds(max(seconds, 0) * 1000)}, nil
--- a/internal/batch/leader/addmember.go
+++ b/internal/batch/leader/addmember.go
@@ -10,8 +10,8 @@
 // addMember copies all records to a joiner and starts to send it new ones. It returns when the
 // joiner has caught up or the attempt has ended. target is the index up to which the joiner must
 // have synced before its copy counts.
-func (t *Term) addMember(change replacement, offset int, timeout *CopyDeadline) (target int64) {
-	from := t.CopyTo(change.in, offset, timeout)
+func (t *Term) addMember(change replacement, offset int, deadline *CopyDeadline) (target int64) {
+	from := t.CopyTo(change.in, offset, deadline)
 	t.lock.Lock()
 	// The last copied record is sent again from here, to verify that the copy is contiguous with
 	// this process's records.
@@ -24,7 +24,7 @@
 	}
 	t.process.Node.Log.Info("store set change started", "in", change.in.Name, "out", outName, "copied", from, "records", target, "epoch", t.leadership.Epoch)
 	sentAt := clock.Now()
-	for !t.hasSynced(change.in, target) && !t.Closed() && !timeout.passed() {
+	for !t.hasSynced(change.in, target) && !t.Closed() && !deadline.passed() {
 		clock.Sleep(constants.TickPeriod)
 		if clock.Now().Sub(sentAt) < constants.LeaseDuration {
 			continue
@@ -50,25 +50,25 @@
 // get the same time again plus constants.JoinerWait. A set that lacks one copy is closer to complete
 // than one that lacks two, and what was copied to the others is kept for a later attempt.
 func (t *Term) syncJoiners(replacements []replacement) (complete []replacement) {
-	targets, ended, timeout := make([]int64, len(replacements)), make(chan int, len(replacements)), NewCopyDeadline()
+	targets, ended, deadline := make([]int64, len(replacements)), make(chan int, len(replacements)), NewCopyDeadline()
 	start := clock.Now()
 	for i := range replacements {
 		go func() {
-			targets[i] = t.addMember(replacements[i], i, timeout)
+			targets[i] = t.addMember(replacements[i], i, deadline)
 			ended <- i
 		}()
 	}
-	var deadline chan struct{}
+	var waitElapsed chan struct{}
 	for remaining := len(replacements); remaining > 0; {
 		select {
 		case i := <-ended:
 			remaining--
-			if deadline == nil && t.hasSynced(replacements[i].in, targets[i]) {
-				deadline = clock.ClosedAfter(clock.Now().Sub(start) + constants.JoinerWait)
+			if waitElapsed == nil && t.hasSynced(replacements[i].in, targets[i]) {
+				waitElapsed = clock.ClosedAfter(clock.Now().Sub(start) + constants.JoinerWait)
 			}
-		case <-deadline:
-			timeout.closed.Store(true)
-			deadline = nil
+		case <-waitElapsed:
+			deadline.closed.Store(true)
+			waitElapsed = nil
 		}
 	}
 	for i, change := range replacements {
--- a/internal/batch/leader/copy.go
+++ b/internal/batch/leader/copy.go
@@ -28,7 +28,7 @@
 // the joiner has them. The copy comes from another member because the leader's own link already
 // carries each new record to every store, and a store whose disk was lost has to be complete again
 // soon. offset is different for each of the joiners that copy at the same time.
-func (t *Term) CopyTo(joiner messages.Member, offset int, timeout *CopyDeadline) int64 {
+func (t *Term) CopyTo(joiner messages.Member, offset int, deadline *CopyDeadline) int64 {
 	identity := register.Identity(joiner)
 	last := int64(0)
 	for failures := 0; ; {
@@ -36,11 +36,11 @@
 		done := t.feeds.copied[identity]
 		source, target := t.source(joiner, offset+failures)
 		t.lock.Unlock()
-		if source == nil || target <= done || (done > 0 && caughtUp(target-done, last)) || timeout.passed() || t.Closed() {
+		if source == nil || target <= done || (done > 0 && caughtUp(target-done, last)) || deadline.passed() || t.Closed() {
 			return done
 		}
 		last = target - done
-		copied := t.copyRound(joiner, *source, done, target, timeout)
+		copied := t.copyRound(joiner, *source, done, target, deadline)
 		t.lock.Lock()
 		t.feeds.copied[identity] = copied
 		t.lock.Unlock()
@@ -66,17 +66,17 @@
 
 // copyRound copies the records up to target, which were durable when the round started. It returns
 // the index up to which the joiner has records. More records may arrive in the meantime.
-func (t *Term) copyRound(joiner, source messages.Member, done, target int64, timeout *CopyDeadline) int64 {
+func (t *Term) copyRound(joiner, source messages.Member, done, target int64, deadline *CopyDeadline) int64 {
 	first, start := done, clock.Now()
 	defer func() {
 		t.process.Node.Log.Info("store copy round ended", "store", joiner.Name, "source", source.Name, "from", first, "to", done, "of", target,
 			"took-ms", clock.Now().Sub(start).Milliseconds())
 	}()
-	for done < target && !timeout.passed() && !t.Closed() {
+	for done < target && !deadline.passed() && !t.Closed() {
 		resp := &messages.AppendResponse{}
 		req := &messages.CopyRequest{Epoch: t.leadership.Epoch, Disk: joiner.Disk, Source: source.Address, SourceDisk: source.Disk, First: done + 1, Last: target}
 		if err := transport.Call(t.process.Node.Transport, joiner.Address, messages.KindCopy, req, resp, constants.BulkCallTimeout); err != nil || !resp.Granted || resp.Last <= done {
-			t.process.Node.Log.Info("store copy ends early", "store", joiner.Name, "source", source.Name, "at", done, "granted", resp.Granted, "failed", err != nil)
+			t.process.Node.Log.Info("store copy ended early", "store", joiner.Name, "source", source.Name, "at", done, "granted", resp.Granted, "failed", err != nil)
 			break
 		}
 		done = resp.Last
--- a/internal/batch/leader/departed.go
+++ b/internal/batch/leader/departed.go
@@ -32,7 +32,7 @@
 		}
 	}
 	t.lock.Unlock()
-	t.process.Node.Log.Warn("removed departed stores from the store set", "stores", len(next), "removed", len(members)-len(next), "epoch", t.leadership.Epoch)
+	t.process.Node.Log.Warn("departed stores removed from the store set", "stores", len(next), "removed", len(members)-len(next), "epoch", t.leadership.Epoch)
 }
 
 // withoutDeparted returns the members that have not departed. It returns all members if the set can
--- a/internal/batch/leader/disklost.go
+++ b/internal/batch/leader/disklost.go
@@ -37,7 +37,7 @@
 		t.stopFeedOf(identity)
 	}
 	t.lock.Unlock()
-	t.process.Node.Log.Info("removed stores with lost disks from the store set", "lost", len(lost), "stores", len(next), "epoch", t.leadership.Epoch)
+	t.process.Node.Log.Info("stores with lost disks removed from the store set", "lost", len(lost), "stores", len(next), "epoch", t.leadership.Epoch)
 }
 
 // markLostDisks finds the members whose disks are lost, excludes them from the count of copies, and
--- a/internal/batch/leader/dispatch.go
+++ b/internal/batch/leader/dispatch.go
@@ -9,11 +9,11 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// openDispatcher creates the dispatcher of this epoch. before is the index of this epoch's first
+// openDispatcher creates the dispatcher of this epoch. firstIndex is the index of this epoch's first
 // record. The lock is held.
-func (t *Term) openDispatcher(before int64) {
+func (t *Term) openDispatcher(firstIndex int64) {
 	lock := dispatch.LockDuration(t.process.Node.Settings.Tolerances.CancelMs)
-	dispatcher := dispatch.NewDispatcher(t.jobs, t.leadership.Epoch, before, lock, t.lifecycle.startedAt)
+	dispatcher := dispatch.NewDispatcher(t.jobs, t.leadership.Epoch, firstIndex, lock, t.lifecycle.startedAt)
 	dispatcher.Append = t.appendRecord
 	dispatcher.Ending = func(job *dispatch.Job) bool { return t.submissions.ending[job.ID] }
 	dispatcher.Attempts = func(item *dispatch.Item) int {
@@ -25,7 +25,7 @@
 	t.items.dispatcher = dispatcher
 }
 
-// jobTerms returns a function that returns the limits for a job under a configuration at the
+// jobTerms returns a function that returns the terms of a job under a configuration at the
 // current time. The lock is held while that function is called.
 func (t *Term) jobTerms(config *routeconfig.Config) func(job *dispatch.Job) dispatch.JobTerms {
 	wall, now := clock.WallNanos()/1_000_000, clock.Now()
@@ -172,7 +172,7 @@
 		}
 		t.lock.Lock()
 		defer t.lock.Unlock()
-		if expired, lapsed := t.items.dispatcher.ExpireExecutors(now), t.items.dispatcher.ExpireLocks(now); expired || lapsed > 0 {
+		if executorsExpired, locksExpired := t.items.dispatcher.ExpireExecutors(now), t.items.dispatcher.ExpireLocks(now); executorsExpired || locksExpired > 0 {
 			t.wakeExecutorsLocked()
 		}
 		if now.Sub(scannedAt) >= constants.ExpirePeriod {
--- a/internal/batch/leader/intake.go
+++ b/internal/batch/leader/intake.go
@@ -52,8 +52,8 @@
 	return queued
 }
 
-// admit admits the oldest waiting offers for which there is capacity. If no job is admitted, it
-// admits one whatever its size.
+// admit removes expired jobs and admits the oldest waiting offers for which there is capacity. While
+// no other job is admitted, the oldest offer is admitted whatever its size.
 func (in *intake) admit(now clock.Instant) {
 	for job, admitted := range in.admitted {
 		if now >= admitted.expiresAt {
--- a/internal/batch/leader/outputs.go
+++ b/internal/batch/leader/outputs.go
@@ -37,7 +37,7 @@
 	for i := cursor; i < len(listings); i++ {
 		output, err := t.output(listings[i].Index)
 		if err != nil {
-			t.process.Node.Log.Error("output can't be read", "err", err.Error())
+			t.process.Node.Log.Error("failed to read output", "err", err.Error())
 			return errorResponse(http.StatusServiceUnavailable, "output can't be read now")
 		}
 		if size += len(output) + recordOverhead; size > constants.PageBytes && i > cursor {
--- a/internal/batch/leader/setpolicy.go
+++ b/internal/batch/leader/setpolicy.go
@@ -78,7 +78,8 @@
 }
 
 // replaceDeparted replaces a member that has been silent for longer than the limit: SuspectAfter if
-// the spare store is in the same zone, and ReplaceAfter otherwise.
+// the spare store is in the same zone, and ReplaceAfter otherwise. A member that this process does
+// not know counts as silent once the process has been running for ReplaceAfter.
 func (s *storeSet) replaceDeparted() (out, joiner *messages.Member) {
 	for i := range s.members {
 		member := s.members[i]
@@ -157,7 +158,7 @@
 		case joiner == nil || (out != nil && out.Name == joiner.Name):
 			return out, joiner
 		case p.isSlow(*joiner):
-			p.Node.Log.Info("skipping slow or unresponsive store", "store", joiner.Name)
+			p.Node.Log.Info("slow or unresponsive store skipped", "store", joiner.Name)
 			// All records must be copied to a joiner first, so it should not be slow.
 			delete(nodes, joiner.Name)
 		case out != nil && !retired[out.Name] && !p.isUnresponsive(*out):
--- a/internal/batch/leader/submit.go
+++ b/internal/batch/leader/submit.go
@@ -96,7 +96,7 @@
 		// The gateway has the route, so this process's configuration may be the older one.
 		return &messages.JobCallResponse{NotLeader: true}
 	}
-	packed, err := body.MarshalMsg(nil)
+	encoded, err := body.MarshalMsg(nil)
 	if err != nil {
 		return errorResponse(http.StatusBadRequest, "lot can't be kept")
 	}
@@ -111,12 +111,12 @@
 		t.lock.Unlock()
 		return &messages.JobCallResponse{NotLeader: true}
 	}
-	if rejection := t.checkCapacityLocked(config, route, tokens, len(packed), len(body.Items)); rejection != nil {
+	if rejection := t.checkCapacityLocked(config, route, tokens, len(encoded), len(body.Items)); rejection != nil {
 		t.lock.Unlock()
 		return rejection
 	}
 	index := t.appendRecord(messages.Record{Kind: messages.RecordJob, Job: call.Job, Host: call.Host, Route: route.Name,
-		AtMs: clock.WallNanos() / 1_000_000, Body: packed})
+		AtMs: clock.WallNanos() / 1_000_000, Body: encoded})
 	t.submissions.submitting[call.Job] = index
 	t.submissions.quota.addPending(call, tokens)
 	t.lock.Unlock()
--- a/internal/batch/leader/submit_test.go
+++ b/internal/batch/leader/submit_test.go
@@ -69,7 +69,7 @@
 	}
 	// The result of a run that was in progress is not accepted any more.
 	if accept(1, "late") != messages.AckTerminal || len(term.Acquire(req).Items) != 0 {
-		t.Fatal("ended lot accepts a result or dispatches an item")
+		t.Fatal("ended job accepts a result or dispatches an item")
 	}
 	term.Close("another process takes over")
 	disk.PowerLoss()
@@ -80,7 +80,7 @@
 	}
 	for _, jobItem := range job.Items {
 		if !jobItem.Terminal() && jobItem.StartRun() != 0 {
-			t.Fatal("item of an ended lot would run: ", jobItem.ID)
+			t.Fatal("item of an ended job would run: ", jobItem.ID)
 		}
 	}
 	if resp := next.endJob(&messages.JobCallRequest{Job: "lot"}); resp.Status != 200 {
@@ -109,7 +109,7 @@
 		}
 	}
 	if term.readJob(&messages.JobCallRequest{Job: "x"}).Status != 404 || term.itemBody(&messages.JobCallRequest{Job: "x"}).Status != 404 || term.endJob(&messages.JobCallRequest{Job: "x"}).Status != 404 {
-		t.Error("call on an unknown lot did not return 404")
+		t.Error("call on an unknown job did not return 404")
 	}
 }
 
--- a/internal/batch/leader/takeover.go
+++ b/internal/batch/leader/takeover.go
@@ -23,13 +23,13 @@
 		return
 	}
 	if err := t.adoptBestCopy(copies); err != nil {
-		t.process.Node.Log.Error("records can't be read", "epoch", t.leadership.Epoch, "err", err.Error())
+		t.process.Node.Log.Error("failed to read records", "epoch", t.leadership.Epoch, "err", err.Error())
 		t.Close("best copy can't be read")
 		return
 	}
 	index, err := t.replicateFrom(copies)
 	if err != nil {
-		t.process.Node.Log.Error("records can't be read", "epoch", t.leadership.Epoch, "err", err.Error())
+		t.process.Node.Log.Error("failed to read records", "epoch", t.leadership.Epoch, "err", err.Error())
 		t.Close("records can't be read")
 		return
 	}
@@ -206,7 +206,7 @@
 	jobs := len(t.jobs.Jobs())
 	t.notifyLocked()
 	t.lock.Unlock()
-	t.process.Node.Log.Info("leadership takeover complete", "epoch", t.leadership.Epoch, "records", last, "jobs", jobs)
+	t.process.Node.Log.Info("leadership takeover completed", "epoch", t.leadership.Epoch, "records", last, "jobs", jobs)
 	go clock.Every(constants.LeaseRenewPeriod, t.lifecycle.stop, t.announce)
 	t.maintainSet()
 	go clock.Every(constants.GossipPeriod, t.lifecycle.stop, t.forgetExpiredJobs)
@@ -236,7 +236,7 @@
 
 // announce sends the leadership to all stores, since a store that receives no announcement for the
 // duration of a lease campaigns, and to the known gateways in the first LeaderReminderRounds rounds
-// and then in one of as many. A process that was missed can request the leadership from any store.
+// and in every LeaderReminderRounds-th round after that. A process that was missed can request the leadership from any store.
 func (t *Term) announce() {
 	if !t.process.Election.HoldsLease() {
 		return
--- a/internal/batch/leadership/campaign.go
+++ b/internal/batch/leadership/campaign.go
@@ -141,8 +141,8 @@
 	c.requestLease(messages.LeaseRequest{Candidate: c.node.Self.Name, Incarnation: c.node.Self.Incarnation, Epoch: epoch, Release: true}, constants.LeaseRenewPeriod)
 }
 
-// requestLease sends a request to every acceptor. It returns whether a majority granted it,
-// and the latest epoch in the responses. It returns as soon as a majority has granted the
+// requestLease sends a request to every acceptor. It reports whether a majority granted it,
+// and returns the latest epoch in the responses. It returns as soon as a majority has granted the
 // request, without waiting for the remaining acceptors; each call is limited to timeout.
 func (c *Campaign) requestLease(req messages.LeaseRequest, timeout clock.Duration) (granted bool, latest uint64) {
 	c.lock.Lock()
--- a/internal/batch/replication/append.go
+++ b/internal/batch/replication/append.go
@@ -4,9 +4,9 @@
 
 // AppendPlan describes the writes that an append request requires.
 type AppendPlan struct {
-	// RaiseFence reports that the fenced epoch rises to the epoch of the request.
+	// RaiseFence reports whether the fenced epoch rises to the epoch of the request.
 	RaiseFence bool
-	// Truncate reports that all records after TruncateTo are dropped first.
+	// Truncate reports whether all records after TruncateTo are dropped first.
 	Truncate   bool
 	TruncateTo int64
 	// Reset, if not nil, is the base of a compacted copy that replaces the whole replica.
--- a/internal/batch/store/budget_test.go
+++ b/internal/batch/store/budget_test.go
@@ -64,8 +64,8 @@
 		if step%30 == 0 {
 			s.jobNumber++
 			id := fmt.Sprintf("lot%d", s.jobNumber)
-			packed, _ := (&messages.JobBody{Path: "/p/", Items: []messages.JobItem{{ID: id + "-0", Tokens: 1}}}).MarshalMsg(nil)
-			s.leader.submit(messages.Record{Kind: messages.RecordJob, Job: id, Body: packed})
+			encoded, _ := (&messages.JobBody{Path: "/p/", Items: []messages.JobItem{{ID: id + "-0", Tokens: 1}}}).MarshalMsg(nil)
+			s.leader.submit(messages.Record{Kind: messages.RecordJob, Job: id, Body: encoded})
 			s.leader.submit(messages.Record{Kind: messages.RecordOutput, Job: id, Item: id + "-0"})
 			s.leader.forget()
 		}
--- a/internal/batch/store/jobs_test.go
+++ b/internal/batch/store/jobs_test.go
@@ -21,8 +21,8 @@
 			for item := 0; item < 3; item++ {
 				body.Items = append(body.Items, messages.JobItem{ID: fmt.Sprintf("%s-%d", id, item), Tokens: 10})
 			}
-			packed, _ := body.MarshalMsg(nil)
-			leader.submit(messages.Record{Kind: messages.RecordJob, Job: id, Body: packed})
+			encoded, _ := body.MarshalMsg(nil)
+			leader.submit(messages.Record{Kind: messages.RecordJob, Job: id, Body: encoded})
 			leader.forget()
 			// The items of each job finish in a random order.
 			for position, item := range s.world.Random.Perm(3) {
--- a/internal/batch/store/overload_test.go
+++ b/internal/batch/store/overload_test.go
@@ -21,8 +21,8 @@
 	for i := 0; i < items; i++ {
 		body.Items = append(body.Items, messages.JobItem{ID: fmt.Sprintf("%s-%d", id, i), Tokens: 10})
 	}
-	packed, _ := body.MarshalMsg(nil)
-	leader.submit(messages.Record{Kind: messages.RecordJob, Job: id, Body: packed})
+	encoded, _ := body.MarshalMsg(nil)
+	leader.submit(messages.Record{Kind: messages.RecordJob, Job: id, Body: encoded})
 }
 
 // playOverload runs a burst of live requests of the highest priority over running jobs. Meanwhile
@@ -74,7 +74,7 @@
 	preempted, refused, requested := 0, 0, 0
 	for seed := int64(1); seed <= 40; seed++ {
 		cluster := playOverload(t, seed)
-		preempted += cluster.counts["displaced"]
+		preempted += cluster.counts["preempted"]
 		refused += cluster.refused
 		requested += cluster.requested
 		for number := 1; number <= cluster.requested; number++ {
--- a/internal/batch/store/displacement_test.go
+++ b/internal/batch/store/preemption_test.go
@@ -172,7 +172,7 @@
 	if item.Preempted < 3 {
 		resp.Grant.AllowPreemption(func() {
 			if item.Yield(run) {
-				s.counts["displaced"]++
+				s.counts["preempted"]++
 				s.world.After(clock.Milliseconds(1), func() { requeue(admission.ResultCanceled) })
 			}
 		})
--- a/internal/batch/store/server.go
+++ b/internal/batch/store/server.go
@@ -36,7 +36,7 @@
 	ObserveEpoch(epoch uint64)
 	OtherLeader() string
 	Announced() messages.Leadership
-	HandleAnnouncement(acknowledged *messages.LeaderAnnouncement) (*messages.Ack, error)
+	HandleAnnouncement(announcement *messages.LeaderAnnouncement) (*messages.Ack, error)
 	ReportSlowness() *messages.StatusResponse
 }
 
--- a/internal/batch/store/share_sim_test.go
+++ b/internal/batch/store/share_sim_test.go
@@ -163,10 +163,10 @@
 		}
 		body.Items = append(body.Items, messages.JobItem{ID: name, Tokens: 10, Headers: map[string]string{"Lemonarch-Prompt-Prefix": fmt.Sprintf("%d:9,%s:1", s.jobNumber%3, name)}})
 	}
-	packed, _ := body.MarshalMsg(nil)
+	encoded, _ := body.MarshalMsg(nil)
 	s.sentAt[id] = s.world.Now
 	acknowledged := s.recordSubmission(id)
-	index := leader.submit(messages.Record{Kind: messages.RecordJob, Job: id, Body: packed})
+	index := leader.submit(messages.Record{Kind: messages.RecordJob, Job: id, Body: encoded})
 	s.whenDurable(leader, index, 100, acknowledged)
 }
 
