--- a/internal/batch/dispatch/acquisition.go
+++ b/internal/batch/dispatch/acquisition.go
@@ -32,7 +32,7 @@
 // EpochOf returns the epoch in which the acquisition with a number was granted.
 func EpochOf(number uint64) uint64 { return number >> serialBits }
 
-// grant acquires an item for an executor. Number is zero for a new acquisition, or the number that
+// grant acquires an item for an executor. number is zero for a new acquisition, or the number that
 // the executor reported after a takeover. It returns nil if the item can't be run.
 func (d *Dispatcher) grant(item *Item, executor Executor, number uint64, now clock.Instant) *Acquisition {
 	fresh := item.LastID == 0 && number == 0
--- a/internal/batch/dispatch/dispatcher_test.go
+++ b/internal/batch/dispatch/dispatcher_test.go
@@ -21,7 +21,7 @@
 
 func ms(count float64) clock.Instant { return clock.Instant(clock.Milliseconds(count)) }
 
-// newTestDispatcher continues from records, as a new leader does. StartedAt is when it became the leader.
+// newTestDispatcher continues from records, as a new leader does. startedAt is when it became the leader.
 func newTestDispatcher(t *testing.T, epoch uint64, records []messages.Record, startedAt clock.Instant) *testDispatcher {
 	t.Helper()
 
--- a/internal/batch/executorserver/place.go
+++ b/internal/batch/executorserver/place.go
@@ -22,7 +22,7 @@
 	workers    map[string]bool
 }
 
-// owner returns the name of the store that owns a worker. Stores maps names to zones.
+// owner returns the name of the store that owns a worker. stores maps names to zones.
 func owner(worker, zone string, stores map[string]string) string {
 	best, bestHash, bestInZone := "", uint64(0), false
 	for name, storeZone := range stores {
--- a/internal/batch/leader/copy_test.go
+++ b/internal/batch/leader/copy_test.go
@@ -14,12 +14,12 @@
 // while the set was still incomplete.
 func TestCopyEndsWhileRecordsArrive(t *testing.T) {
 	for _, rate := range []float64{50, 250, 600, 1200} {
-		// speed is the copy rate in records per second, and trip the fixed time of a round in seconds.
-		const speed, trip = 2000.0, 0.05
+		// copyRate is in records per second, roundTime the fixed time of a round in seconds.
+		const copyRate, roundTime = 2000.0, 0.05
 		lacking, before, spent := int64(4000), int64(0), 0.0
 		rounds := 0
 		for ; !caughtUp(lacking, before); rounds++ {
-			took := float64(lacking)/speed + trip
+			took := float64(lacking)/copyRate + roundTime
 			before, lacking = lacking, int64(took*rate)
 			spent += took
 		}
--- a/internal/batch/leader/delegate.go
+++ b/internal/batch/leader/delegate.go
@@ -57,8 +57,9 @@
 
 func (f *feeder) upstream() *feeder { return f.paired(-1) }
 
-// paired returns the feeder of the member that is the given number of halves after this feeder's
-// member in the order of feederPairs.
+// paired returns the feeder of the member that is halves times heads places after this feeder's
+// member in the order of feederPairs, or before it if halves is negative. It returns nil if there
+// is none.
 func (f *feeder) paired(halves int) *feeder {
 	others, heads := f.term.feederPairs()
 	identity := register.Identity(f.member)
--- a/internal/batch/leader/term.go
+++ b/internal/batch/leader/term.go
@@ -97,7 +97,7 @@
 	ending     map[string]bool
 	forgetting map[string]bool
 	quota      quota
-	// intake limits how many jobs are sent to the leader at the same time.
+	// intake limits the bytes of the jobs that are in flight at the same time.
 	intake intake
 }
 
--- a/internal/batch/replication/compaction.go
+++ b/internal/batch/replication/compaction.go
@@ -80,7 +80,7 @@
 	return base, retained
 }
 
-// Compact applies a compaction whose file has been synced. Retained are the kept records with
+// Compact applies a compaction whose file has been synced. retained are the kept records with
 // their new offsets.
 func (r *Replica) Compact(base Base, retained []IndexEntry) {
 	count := 0
--- a/internal/batch/replication/lag.go
+++ b/internal/batch/replication/lag.go
@@ -9,7 +9,7 @@
 	since  clock.Instant
 }
 
-// Behind updates the lag and returns it. MatchIndex is the index up to which the leader's own store
+// Behind updates the lag and returns it. matchIndex is the index up to which the leader's own store
 // has synced. The lag is the time since the own store was first seen behind, counted until it has
 // reached the commit index of that moment; zero if it keeps up.
 func (l *ReplicaLag) Behind(matchIndex, commitIndex int64, now clock.Instant) clock.Duration {
--- a/internal/batch/replication/replica.go
+++ b/internal/batch/replication/replica.go
@@ -141,7 +141,7 @@
 	return extent
 }
 
-// Fence returns the response to a new leader's fence request. Persist reports that the caller must
+// Fence returns the response to a new leader's fence request. persist reports whether the caller must
 // sync the epoch and call SetFencedEpoch before it responds. Fence does not set the epoch: if the sync
 // fails, a retry has to sync it again.
 func (r *Replica) Fence(req *messages.FenceRequest) (resp messages.FenceResponse, persist bool) {
--- a/internal/batch/store/overload_test.go
+++ b/internal/batch/store/overload_test.go
@@ -71,11 +71,11 @@
 // Every preempted item finishes exactly once, with each of its events once. Every live request
 // ends exactly once: it is served, or rejected with the guarantee that it never runs.
 func TestOverloadPreemptsAndFinishesOnce(t *testing.T) {
-	preempted, refused, requested := 0, 0, 0
+	preempted, rejected, requested := 0, 0, 0
 	for seed := int64(1); seed <= 40; seed++ {
 		cluster := playOverload(t, seed)
 		preempted += cluster.counts["preempted"]
-		refused += cluster.refused
+		rejected += cluster.rejected
 		requested += cluster.requested
 		for number := 1; number <= cluster.requested; number++ {
 			if cluster.endCounts[number] != 1 {
@@ -112,8 +112,8 @@
 			}
 		}
 	}
-	if preempted < 40 || refused == 0 || refused*3 > requested {
-		t.Fatalf("preemptions or rejections out of the expected range: %d items preempted, %d of %d live requests rejected", preempted, refused, requested)
+	if preempted < 40 || rejected == 0 || rejected*3 > requested {
+		t.Fatalf("preemptions or rejections out of the expected range: %d items preempted, %d of %d live requests rejected", preempted, rejected, requested)
 	}
 }
 
--- a/internal/batch/store/preemption_test.go
+++ b/internal/batch/store/preemption_test.go
@@ -22,10 +22,10 @@
 	running    map[*dispatch.Item]func()
 	// results contains the events of each item when its output became durable.
 	results map[string][]string
-	// endCounts is the number of times that each live request ended; refused counts the live
+	// endCounts is the number of times that each live request ended; rejected counts the live
 	// requests that were rejected, requested all of them.
 	endCounts map[int]int
-	refused   int
+	rejected  int
 	requested int
 	counts    map[string]int
 }
@@ -98,7 +98,7 @@
 	handleDecision := func(resp admission.Decision) {
 		s.endCounts[number]++
 		if resp.Verdict != admission.VerdictGranted {
-			s.refused++
+			s.rejected++
 			return
 		}
 		s.occupySlot(resp.Grant)
--- a/internal/batch/store/share_executor_test.go
+++ b/internal/batch/store/share_executor_test.go
@@ -14,7 +14,7 @@
 type simExecutor struct {
 	cluster       *shareCluster
 	name          string
-	core          *executor.Runner
+	runner        *executor.Runner
 	incarnation   int64
 	acquiring     bool
 	acknowledging [2]bool
@@ -30,8 +30,8 @@
 	if cluster.frozen[s.name] {
 		return
 	}
-	s.stopTasks(s.core.StopExpired(s.now()))
-	if all, _ := s.core.Count(); all < 4 && !s.acquiring {
+	s.stopTasks(s.runner.StopExpired(s.now()))
+	if all, _ := s.runner.Count(); all < 4 && !s.acquiring {
 		s.acquire()
 	}
 	due := s.now().Sub(s.renewedAt) >= dispatch.LockDuration(shareCancelMs)/4
@@ -39,8 +39,8 @@
 		s.renewedEpoch = cluster.leader.epoch
 		s.renew()
 	}
-	s.sendAcknowledgements(0, s.core.Results())
-	s.sendAcknowledgements(1, s.core.Releases())
+	s.sendAcknowledgements(0, s.runner.Results())
+	s.sendAcknowledgements(1, s.runner.Releases())
 }
 
 // ifSameIncarnation wraps a function so that it does nothing once the process has restarted.
@@ -88,7 +88,7 @@
 				return
 			}
 			finished, s.acquiring = true, false
-			for _, task := range s.core.Add(resp, sentAt, s.now()) {
+			for _, task := range s.runner.Add(resp, sentAt, s.now()) {
 				s.startTask(task)
 			}
 			cluster.checkSingleAcquisition()
@@ -130,10 +130,10 @@
 		return
 	}
 	epoch := s.cluster.leader.epoch
-	s.core.RejectEpochsBefore(epoch)
-	if entries := s.core.Renewals(sentAt); true {
+	s.runner.RejectEpochsBefore(epoch)
+	if entries := s.runner.Renewals(sentAt); true {
 		s.acknowledge(entries, epoch, func(verdicts []messages.AckVerdict) {
-			s.stopTasks(s.core.HandleRenewals(entries, verdicts, sentAt, dispatch.LockDuration(shareCancelMs)))
+			s.stopTasks(s.runner.HandleRenewals(entries, verdicts, sentAt, dispatch.LockDuration(shareCancelMs)))
 		})
 	}
 }
@@ -159,7 +159,7 @@
 				s.cluster.accepted[entry.Item] = "rejected"
 			}
 		}
-		s.core.HandleVerdicts(batch, verdicts)
+		s.runner.HandleVerdicts(batch, verdicts)
 	})
 }
 
@@ -174,7 +174,7 @@
 	entry.Kind = messages.AckRelease
 	entry.Preempted = task.Item.Yielding()
 	task.Item.Requeue(task.Run)
-	s.core.Done(task, entry)
+	s.runner.Done(task, entry)
 }
 
 // startTask sends a task to a worker, which streams from the requested event on.
@@ -191,7 +191,7 @@
 		chance := cluster.world.Random.Float64()
 		switch {
 		case cluster.rejected[task.Item.ID]:
-			s.core.Done(task, messages.Acknowledgement{Kind: messages.AckReject})
+			s.runner.Done(task, messages.Acknowledgement{Kind: messages.AckReject})
 		case chance < 0.08:
 			cluster.failures[task.Item.ID]++
 			s.release(task, messages.Acknowledgement{Failed: true})
@@ -223,7 +223,7 @@
 			for _, event := range task.Item.Events {
 				text += string(event) + "\n"
 			}
-			s.core.Done(task, messages.Acknowledgement{Kind: messages.AckAccept, Output: []byte(text)})
+			s.runner.Done(task, messages.Acknowledgement{Kind: messages.AckAccept, Output: []byte(text)})
 		}
 	}))
 }
@@ -231,6 +231,6 @@
 // restart makes the process crash and start again, which loses its acquisitions.
 func (s *simExecutor) restart() {
 	s.incarnation++
-	s.core = executor.New()
+	s.runner = executor.New()
 	s.acquiring, s.acknowledging = false, [2]bool{}
 }
--- a/internal/batch/store/share_sim_test.go
+++ b/internal/batch/store/share_sim_test.go
@@ -59,7 +59,7 @@
 		cluster.offset[name] = 1e9 * (1 + 50*cluster.world.Random.Float64())
 		// Clocks run up to 2 % too fast or too slow.
 		cluster.rate[name] = 0.98 + 0.04*cluster.world.Random.Float64()
-		cluster.executors[name] = &simExecutor{cluster: cluster, name: name, core: executor.New(), incarnation: 1}
+		cluster.executors[name] = &simExecutor{cluster: cluster, name: name, runner: executor.New(), incarnation: 1}
 		cluster.executors[name].loop()
 	}
 	return cluster
@@ -133,16 +133,16 @@
 
 // checkSingleAcquisition checks that no two executors have a valid acquisition of the same item.
 func (s *shareCluster) checkSingleAcquisition() {
-	pending := map[string]string{}
+	owners := map[string]string{}
 	for _, name := range simulation.Keys(s.executors) {
-		for _, task := range s.executors[name].core.All() {
+		for _, task := range s.executors[name].runner.All() {
 			if !task.MayRun(s.clockValue(name)) {
 				continue
 			}
-			if other, twice := pending[task.Item.ID]; twice {
+			if other, twice := owners[task.Item.ID]; twice {
 				s.t.Fatalf("%s and %s both have acquired %s (%x) at %d", other, name, task.Item.ID, task.Number, s.world.Now)
 			}
-			pending[task.Item.ID] = name
+			owners[task.Item.ID] = name
 		}
 	}
 }
@@ -186,7 +186,7 @@
 		names = append(names, executor.Name)
 	}
 	for _, name := range names {
-		s.send(leader.address, name, func() { s.executors[name].stopTasks(s.executors[name].core.StopJob(id)) })
+		s.send(leader.address, name, func() { s.executors[name].stopTasks(s.executors[name].runner.StopJob(id)) })
 	}
 	index := leader.submit(messages.Record{Kind: messages.RecordJobEnd, Job: id})
 	s.whenDurable(leader, index, 100, func() {
--- a/internal/batch/store/simulation_test.go
+++ b/internal/batch/store/simulation_test.go
@@ -52,7 +52,7 @@
 	set               []messages.Member
 	leader            *simLeader
 	acknowledgedItems map[string]string
-	toldAt            map[string]uint64
+	acknowledgedAt    map[string]uint64
 	// acknowledgements counts all acknowledged outputs. Jobs that a leader has begun to forget are
 	// no longer in acknowledgedItems; those whose forget record is durable are in forgotten.
 	acknowledgements int
@@ -79,7 +79,7 @@
 func newSimFleetOf(t *testing.T, seed int64, count, budget, size int) *simFleet {
 	t.Helper()
 
-	fleet := &simFleet{budget: budget, t: t, world: simulation.NewWorld(seed), stores: map[string]*simStore{}, acknowledgedItems: map[string]string{}, toldAt: map[string]uint64{}, forgotten: map[string]bool{}, isolated: map[string]bool{}, forgetRequested: map[string]bool{}, sent: map[string]traffic{}}
+	fleet := &simFleet{budget: budget, t: t, world: simulation.NewWorld(seed), stores: map[string]*simStore{}, acknowledgedItems: map[string]string{}, acknowledgedAt: map[string]uint64{}, forgotten: map[string]bool{}, isolated: map[string]bool{}, forgetRequested: map[string]bool{}, sent: map[string]traffic{}}
 	for i := 0; i < count; i++ {
 		name := fmt.Sprintf("s%d", i)
 		store := &simStore{disk: simulation.NewDisk(seed*31 + int64(i))}
