--- a/internal/batch/dispatch/dispatcher_test.go
+++ b/internal/batch/dispatch/dispatcher_test.go
@@ -21,7 +21,7 @@
 
 func ms(count float64) clock.Instant { return clock.Instant(clock.Milliseconds(count)) }
 
-// newTestDispatcher continues from records, as a new leader does. StartedAt is when it became the leader.
+// newTestDispatcher continues from records, as a new leader does. startedAt is when it became the leader.
 func newTestDispatcher(t *testing.T, epoch uint64, records []messages.Record, startedAt clock.Instant) *testDispatcher {
 	t.Helper()
 
@@ -56,8 +56,8 @@
 	for _, item := range items {
 		body.Items = append(body.Items, messages.JobItem{ID: item, Tokens: 1})
 	}
-	packed, _ := body.MarshalMsg(nil)
-	d.Append(messages.Record{Kind: messages.RecordJob, Job: id, Body: packed, AtMs: int64(len(d.records))})
+	encoded, _ := body.MarshalMsg(nil)
+	d.Append(messages.Record{Kind: messages.RecordJob, Job: id, Body: encoded, AtMs: int64(len(d.records))})
 	d.applyRecords()
 }
 
--- a/internal/batch/replication/append.go
+++ b/internal/batch/replication/append.go
@@ -4,9 +4,9 @@
 
 // AppendPlan describes the writes that an append request requires.
 type AppendPlan struct {
-	// RaiseFence reports that the fenced epoch rises to the epoch of the request.
+	// RaiseFence reports whether the fenced epoch rises to the epoch of the request.
 	RaiseFence bool
-	// Truncate reports that all records after TruncateTo are dropped first.
+	// Truncate reports whether all records after TruncateTo are dropped first.
 	Truncate   bool
 	TruncateTo int64
 	// Reset, if not nil, is the base of a compacted copy that replaces the whole replica.
@@ -111,7 +111,7 @@
 	return true
 }
 
-// Commit applies a plan that has been written and synced. Offsets are those of the plan's records in the file.
+// Commit applies a plan that has been written and synced. offsets are those of the plan's records in the file.
 func (r *Replica) Commit(plan AppendPlan, epoch uint64, offsets []int64) {
 	if plan.RaiseFence {
 		r.fencedEpoch = epoch
