--- a/internal/tooling/forecast/review.go
+++ b/internal/tooling/forecast/review.go
@@ -192,7 +192,7 @@
 	}
 	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(table, "predicted first short: %s\ntightened: %s\nagrees: %v\n\n", name(r.PredictedFirstShort), name(r.ObservedShort), r.Agrees)
-	fmt.Fprintln(table, "class\tfamily\tpredicted\tobserved\twait ms\tagrees")
+	fmt.Fprintln(table, "class\tfamily\ttold\tcame\twait ms\tagrees")
 	for _, class := range r.Classes {
 		agrees := "-"
 		if class.Agrees != nil {
