--- a/internal/control/agent/reports.go
+++ b/internal/control/agent/reports.go
@@ -46,8 +46,8 @@
 			}
 		}
 		clock.Sleep(constants.StartBackoff * 2)
-		// Controllers that all start at the same time continue for minRounds rounds, so that each
-		// learns of the others.
+		// Controllers that all start at the same time continue for more than minRounds rounds, so that
+		// each learns of the others.
 		if len(a.Live(membership.RoleController)) > 0 && (!controller || round > minRounds) {
 			break
 		}
--- a/internal/control/broadcast/tree.go
+++ b/internal/control/broadcast/tree.go
@@ -46,7 +46,9 @@
 	controllers []messages.NodeInfo
 	processes   []messages.NodeInfo
 	// relay is the address of the controller that currently relays, empty if there is none.
-	relay       string
+	relay string
+	// requestedAt is the time from which constants.RelayTimeout counts. It is in the future while an
+	// accepted relay may take constants.ZoneBroadcastTimeout.
 	requestedAt clock.Instant
 	// complete is set once no further response from the zone's controllers is awaited.
 	complete bool
@@ -59,9 +61,11 @@
 	branches map[string]*branch
 	// pending is the set of receiver addresses whose response is awaited.
 	pending map[string]bool
+	// missing is the set of hashes of the processes that failed, or that the directory lacks.
 	missing map[uint32]bool
-	hashes  map[string]uint32
-	nodes   map[string]messages.NodeInfo
+	// hashes and nodes are keyed by address.
+	hashes map[string]uint32
+	nodes  map[string]messages.NodeInfo
 }
 
 // NewTree begins an update for all processes of a directory except self. fanout is the number of
--- a/internal/control/broadcastserver/batch.go
+++ b/internal/control/broadcastserver/batch.go
@@ -11,8 +11,10 @@
 // batches combines worker changes that arrive within a short window, so that a fleet whose workers
 // all start at the same time is notified a few times instead of once per worker. An urgent
 // change (a drain, a departure) is sent immediately, together with all pending changes. If
-// constants.UpdateBatchesInFlight batches are in flight already, it is sent when one of them ends.
+// constants.UpdateBatchesInFlight batches are in flight already, it is sent when one of them or the
+// window ends.
 type batches struct {
+	// lock guards next and inFlight.
 	lock sync.Mutex
 	next *batch
 	// inFlight is the number of batches that are being broadcast.
@@ -26,11 +28,12 @@
 type batch struct {
 	workers []messages.Worker
 	urgent  bool
-	// done is closed once the fleet has been notified.
+	// done is closed once the broadcast has returned: the processes in contact have the changes or
+	// failed, or constants.BroadcastTimeout has passed.
 	done chan struct{}
 }
 
-// add adds a change to the next batch. done is closed once the fleet has been notified.
+// add adds a change to the next batch. done is closed once the broadcast of that batch has returned.
 func (b *batches) add(worker messages.Worker, urgent bool) (done chan struct{}) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
--- a/internal/control/contact/contact.go
+++ b/internal/control/contact/contact.go
@@ -16,8 +16,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Versions is the acceptor set and the configuration that a process follows or an acceptor has
-// accepted.
+// Versions identifies the acceptor set, by its epoch, and the configuration, by its generation, that
+// a process follows or an acceptor has accepted.
 type Versions struct {
 	SetEpoch   uint64
 	Generation int64
@@ -62,7 +62,7 @@
 	return register.Quorum(sets, responded)
 }
 
-// Trim removes acceptors that are no longer in a set.
+// Trim removes acceptors that are in none of the given sets.
 func (l *Lease) Trim(sets *messages.RegisterValue) {
 	members := map[string]bool{}
 	for _, member := range append(append([]messages.Member(nil), sets.Acceptors...), sets.Previous...) {
--- a/internal/control/contactserver/contactserver.go
+++ b/internal/control/contactserver/contactserver.go
@@ -109,8 +109,8 @@
 	return s.requestedAt == 0 || clock.Now().Sub(s.requestedAt) > constants.ContactPeriod+constants.ContactTimeout
 }
 
-// Round sends a contact request to every acceptor and handles the state of its own acceptor
-// directly. It does not wait for the responses.
+// Round sends a contact request to every other acceptor and handles the state of this process's own
+// acceptor directly. It does not wait for the responses.
 func (s *Server) Round() {
 	node, known := s.replica.Node, s.replica.Known()
 	known.Body, known.History = nil, nil
@@ -134,8 +134,8 @@
 }
 
 // handleResponse handles the response of one acceptor to a round that began at sentAt. If the
-// acceptor is ahead, it starts to catch up; until this process follows the newer versions, that
-// acceptor does not renew the lease.
+// acceptor is ahead, this process starts to catch up; until it follows the newer versions, the
+// responses of that acceptor do not renew the lease.
 func (s *Server) handleResponse(member messages.Member, sentAt clock.Instant, resp *messages.ContactResponse) {
 	// The response counts for the disk that it names: a machine whose disk was emptied is a
 	// different acceptor.
--- a/internal/control/controller/peers.go
+++ b/internal/control/controller/peers.go
@@ -26,13 +26,14 @@
 type peer struct {
 	// workers and processes record up to which version the peer's tables were read.
 	workers, processes messages.Digest
-	// lastHeartbeat is when the peer last received a heartbeat of this process, zero for never.
+	// lastHeartbeat is when this process last began a heartbeat to the peer, zero for never. Its own
+	// call counts once the peer has responded, its response to a call of the peer in any case.
 	lastHeartbeat clock.Instant
 }
 
 func newPeers() peers { return peers{byKey: map[string]*peer{}} }
 
-// lastHeartbeat returns when a peer last received a heartbeat of this process, zero for never.
+// lastHeartbeat returns the field of that name for a peer, zero for never.
 func (p *peers) lastHeartbeat(key string) clock.Instant {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -111,7 +112,8 @@
 }
 
 // observeHeartbeat applies another controller's heartbeat, and pulls the entries that its tables have
-// and those here lack. sentAt is when this process sent its own heartbeat to that controller.
+// and those here lack. sentAt is a time just before this process built its own heartbeat to that
+// controller.
 func (c *Controller) observeHeartbeat(heartbeat *messages.ControllerHeartbeat, sentAt clock.Instant) {
 	c.Node.Observe([]messages.NodeInfo{heartbeat.From})
 	go c.assignments.Observe(heartbeat.PlanRevision, heartbeat.From.Address)
--- a/internal/control/lease/lease.go
+++ b/internal/control/lease/lease.go
@@ -23,7 +23,8 @@
 type Grantor struct {
 	grantee     string
 	incarnation int64
-	// sequence is the sequence number of the newest request that was granted to this incarnation.
+	// sequence is the sequence number of the newest request that was granted to this incarnation of
+	// the grantee.
 	sequence uint64
 	until    clock.Instant
 	// quietUntil is the time by which grants of an earlier incarnation of this acceptor have
@@ -99,7 +100,7 @@
 	}
 }
 
-// Lease is the holder side of the lease. Its zero value is not valid.
+// Lease is the holder side of the lease. The zero Lease was never granted: Valid returns false.
 type Lease struct {
 	until clock.Instant
 }
--- a/internal/control/membership/membership.go
+++ b/internal/control/membership/membership.go
@@ -43,7 +43,8 @@
 	// version counts the changes; sum is a checksum of the entries.
 	version, sum uint64
 	// lastController is the time of the last contact with any controller; counts is the number of
-	// processes of each role as a controller last reported it.
+	// processes of each role as a controller last reported it; trimmedAt is the time at which trim
+	// last removed silent peers.
 	lastController clock.Instant
 	trimmedAt      clock.Instant
 	counts         map[string]int
@@ -200,7 +201,7 @@
 }
 
 // Live returns the entries of a role, or of all roles if it is empty, that were in contact within
-// constants.SuspectAfter.
+// constants.SuspectAfter before the reference time (see reference).
 func (v *View) Live(role string, now clock.Instant) []messages.NodeInfo {
 	var found []messages.NodeInfo
 	reference := v.reference(now)
--- a/internal/control/membership/reports.go
+++ b/internal/control/membership/reports.go
@@ -21,8 +21,8 @@
 	return req
 }
 
-// BriefReport returns the owner's short report to a second controller: a sign of life, and a request
-// for what is new.
+// BriefReport returns the owner's short report to a second controller: a sign of life that requests
+// neither ages nor peers.
 func (v *View) BriefReport() *messages.Shuffle {
 	return &messages.Shuffle{Entries: []messages.NodeInfo{v.self}, Brief: true}
 }
--- a/internal/control/register/history.go
+++ b/internal/control/register/history.go
@@ -46,7 +46,7 @@
 		return history, head
 	}
 	if head.Chunks == 0 && len(unarchived) > constants.ArchiveChunk+1 {
-		// Written by an earlier release, which kept a short history and no archive.
+		// The value was written by an earlier release, which kept a short history and no archive.
 		head.Since = unarchived[0].Generation
 	}
 	head.Digest = chain(head.Digest, fingerprints(unarchived[:constants.ArchiveChunk]))
--- a/internal/control/register/reconcile.go
+++ b/internal/control/register/reconcile.go
@@ -16,8 +16,8 @@
 	// JointRecent is set if a joint set has existed for a short time only. The joiner, which
 	// proposed it, ends it; the other processes do not, so as not to compete with it.
 	JointRecent bool
-	// Diskless reports whether a member has no disk. Departed reports whether a member has been
-	// unreachable for a long time; it is called only if no other change is needed.
+	// Diskless reports whether a member has no disk; it may be nil. Departed reports whether a member
+	// has been unreachable for a long time; it is called only if no other change is needed.
 	Diskless func(member messages.Member) bool
 	Departed func(member messages.Member) bool
 }
--- a/internal/control/registerserver/archive.go
+++ b/internal/control/registerserver/archive.go
@@ -28,7 +28,8 @@
 	today func() int64
 	lock  sync.Mutex
 	state register.Archive
-	// stale is set if the file lacks chunks that state contains, because a write failed.
+	// stale is set if the file lacks chunks that state contains, because a write failed. It is
+	// guarded by writing.
 	stale bool
 	// pulling is held by the goroutine that requests chunks from other acceptors. nextPull is the
 	// earliest time of the next such request.
--- a/internal/control/registerserver/maintainer.go
+++ b/internal/control/registerserver/maintainer.go
@@ -16,9 +16,9 @@
 // errNoResponse is the error of a member that does not respond to a contact request.
 var errNoResponse = errs.Define("member does not respond")
 
-// SetMaintainer keeps the acceptor set of a register complete: this process joins the set in the
-// place of its own earlier disk or of a departed member, and ends incomplete set changes. Each
-// process only ever proposes itself.
+// SetMaintainer keeps the acceptor set of a register complete: this process joins a set that is too
+// small, or takes the place of its own earlier disk, of a member without a disk or of a departed
+// member, and it ends incomplete set changes. Each process only ever proposes itself.
 type SetMaintainer struct {
 	replica *Replica
 	// mayJoin, if set, reports whether this process may join the set yet.
@@ -102,7 +102,7 @@
 }
 
 // isUnresponsive reports whether no process was in contact with a member for
-// constants.ReplaceAfter. For a member in this process's own zone the shorter
+// constants.ReplaceAfter, and the member does not respond to this process now either. For a member in this process's own zone the shorter
 // constants.ReplaceInZoneAfter applies: this process is assumed to be its replacement, and until it has
 // joined, the set tolerates one loss less.
 func (m *SetMaintainer) isUnresponsive(member messages.Member) bool {
--- a/internal/control/registerserver/quorumcall.go
+++ b/internal/control/registerserver/quorumcall.go
@@ -15,11 +15,12 @@
 
 // QuorumCall calls every member of a value's sets concurrently and passes each response to handle,
 // which reports whether it counts. QuorumCall returns true as soon as the members whose responses
-// count form a quorum, and false if they do not.
+// count form a quorum, and false if they do not once every call has returned or the timeout has
+// passed.
 //
 // call returns the member that responded, because a response counts for the disk that it names.
-// With a timeout of zero, QuorumCall waits for every call to return. Calls in flight when
-// QuorumCall returns are not canceled.
+// With a timeout of zero, QuorumCall sets no limit of its own, so each call must return. Calls in
+// flight when QuorumCall returns are not canceled.
 func QuorumCall[Response any](sets *messages.RegisterValue, timeout clock.Duration,
 	call func(member messages.Member) (messages.Member, Response, error), handle func(response Response) (counts bool)) bool {
 	members := register.Targets(sets)
--- a/internal/control/registerserver/reconcile.go
+++ b/internal/control/registerserver/reconcile.go
@@ -44,9 +44,9 @@
 }
 
 // readWithBackoff reads without a ballot if that is decisive. If not, a change may be in progress:
-// it retries after constants.ReconcileBackoff, and then reads by a proposal only with
-// constants.ReconcileProbability, so that not all processes propose at once; the others return nil
-// and retry at their next call.
+// it retries after constants.ReconcileBackoff, and then reads by a proposal only with the
+// probability constants.ReconcileProbability, so that not all processes propose at once; the others
+// return nil and retry at their next call.
 func (r *Replica) readWithBackoff() (*messages.RegisterValue, error) {
 	if value := r.quickRead(true); value != nil {
 		return value, nil
--- a/internal/control/workers/registry.go
+++ b/internal/control/workers/registry.go
@@ -100,7 +100,7 @@
 	return changed
 }
 
-// Get returns a worker by its id.
+// Get returns a worker by its id, without its age, and reports whether the table contains it.
 func (r *Registry) Get(id string) (messages.Worker, bool) {
 	entry := r.entries[id]
 	if entry == nil {
--- a/internal/control/workerserver/calls.go
+++ b/internal/control/workerserver/calls.go
@@ -87,7 +87,8 @@
 
 // acknowledge applies a call of a worker and responds to it. A drain or a departure is
 // acknowledged once a majority of the acceptors has it on disk and the processes in
-// contact were notified. If that fails, the response is 503 and the caller tries another controller.
+// contact were notified, or the announcement has timed out. If no majority has it on disk in time, the
+// response is 503 and the caller tries another controller.
 func (s *Server) acknowledge(writer http.ResponseWriter, worker messages.Worker) {
 	if namesTooLong(&worker) {
 		httpreply.Error(writer, http.StatusBadRequest, "id, backend, address or zone is too long")
--- a/internal/control/workerserver/persist.go
+++ b/internal/control/workerserver/persist.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// persistAtQuorum requests every acceptor, this process included if it is one, to write a drain or
+// persistAtQuorum asks every acceptor, this process included if it is one, to write a drain or
 // a departure to disk. It reports whether a majority did so within constants.BroadcastTimeout.
 func (s *Server) persistAtQuorum(worker messages.Worker) bool {
 	sets := s.contact.Sets()
--- a/internal/control/workerserver/recovery.go
+++ b/internal/control/workerserver/recovery.go
@@ -38,7 +38,8 @@
 	s.node.Log.Info("workers recovered from quorum", "after-ms", clock.Now().Sub(s.node.StartedAt).Milliseconds())
 }
 
-// RecoverRound sends one request to each acceptor, and reports whether a majority responded.
+// RecoverRound sends one request to each acceptor, and reports whether a majority responded. If so, the
+// workers are then recovered.
 func (s *Server) RecoverRound() bool {
 	sets := s.replica.Known()
 	ahead := len(sets.Acceptors) == 0
--- a/internal/control/workerserver/server.go
+++ b/internal/control/workerserver/server.go
@@ -57,7 +57,8 @@
 	return update, nil
 }
 
-// Forget drops workers that departed, or have been silent, for long.
+// Forget drops workers whose last heartbeat is more than twice constants.ForgetAfter ago, whether they
+// departed or fell silent.
 func (s *Server) Forget() {
 	s.forget()
 	s.durable.trim(func(id string) bool {
--- a/internal/control/workerserver/table.go
+++ b/internal/control/workerserver/table.go
@@ -60,7 +60,7 @@
 // controller, and confirms no workers to other processes.
 func (t *Table) Recovering() bool { return !t.recovered.Load() }
 
-// Merge merges entries of another table.
+// Merge merges entries of another table, and queues those that changed this table for the file.
 func (t *Table) Merge(entries []messages.Worker) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -81,7 +81,7 @@
 	return worker, changed
 }
 
-// Get returns a worker by its id.
+// Get returns a worker by its id, without its age, and reports whether the table contains it.
 func (t *Table) Get(id string) (messages.Worker, bool) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -176,7 +176,8 @@
 	return t.registry.Differing(version, buckets, clock.Now()), t.registry.Digest(incarnation)
 }
 
-// forget drops workers that departed or were silent for long.
+// forget drops workers whose last heartbeat is more than twice constants.ForgetAfter ago: the registry
+// drops what was older than constants.ForgetAfter at that time before now.
 func (t *Table) forget() {
 	t.lock.Lock()
 	defer t.lock.Unlock()
