--- a/internal/control/agent/assignments_test.go
+++ b/internal/control/agent/assignments_test.go
@@ -31,7 +31,7 @@
 		revision = step.has
 		node.pullPlan("controller:1")
 		if plan := node.Assigned(); plan.Revision != step.want || len(plan.Placements) != 1 || requester != "n" {
-			t.Fatalf("controller has %d: %+v", step.has, plan)
+			t.Fatalf("controller has revision %d: %+v", step.has, plan)
 		}
 	}
 	before := pulls
--- a/internal/control/configserver/sharedread.go
+++ b/internal/control/configserver/sharedread.go
@@ -18,7 +18,8 @@
 }
 
 type readRound struct {
-	done    chan struct{}
+	done chan struct{}
+	// waiters is the number of callers that joined the round.
 	waiters int
 	value   messages.RegisterValue
 	err     error
--- a/internal/control/configserver/sharedread_test.go
+++ b/internal/control/configserver/sharedread_test.go
@@ -14,10 +14,10 @@
 func TestReadsAreSharedButNeverOlderThanTheRequest(t *testing.T) {
 	const rounds, callers = 50, 20
 	var shared sharedRead
-	var replica, reads atomic.Int64
+	var current, reads atomic.Int64
 	start, release := make(chan struct{}), make(chan struct{})
 	read := func() (messages.RegisterValue, error) {
-		value := messages.RegisterValue{SetEpoch: uint64(replica.Load())}
+		value := messages.RegisterValue{SetEpoch: uint64(current.Load())}
 		reads.Add(1)
 		start <- struct{}{}
 		<-release
@@ -25,7 +25,7 @@
 	}
 	var group sync.WaitGroup
 	startCaller := func() {
-		least := uint64(replica.Load())
+		least := uint64(current.Load())
 		group.Add(1)
 		go func() {
 			defer group.Done()
@@ -38,7 +38,7 @@
 	<-start
 	for round := 0; round < rounds; round++ {
 		// A read is in flight. All callers that arrive now share the next one.
-		replica.Add(1)
+		current.Add(1)
 		for caller := 0; caller < callers; caller++ {
 			startCaller()
 		}
--- a/internal/control/controller/calls_test.go
+++ b/internal/control/controller/calls_test.go
@@ -46,7 +46,7 @@
 	t.Cleanup(controller.Node.Shutdown)
 }
 
-// clearCall makes a call as an operator or a worker does: a call with an unclear outcome (503, 504)
+// clearCall makes a call as an operator or a worker does: a call with an unknown outcome (503, 504)
 // is retried. On a loaded machine a contact lease may expire in the meantime.
 func clearCall(t *testing.T, server *httptest.Server, method, path, base, body string) (int, string) {
 	t.Helper()
@@ -54,7 +54,7 @@
 	return callUntilClear(t, server, method, path, base, body, http.StatusServiceUnavailable, http.StatusGatewayTimeout)
 }
 
-// callUntilClear retries a call until its status is none of the unclear ones.
+// callUntilClear retries a call, for at most 100 attempts, until its status is none of outcomeUnknown.
 func callUntilClear(t *testing.T, server *httptest.Server, method, path, base, body string, outcomeUnknown ...int) (int, string) {
 	t.Helper()
 
@@ -147,8 +147,8 @@
 	if status, body := clearCall(t, server, "GET", "/-/Configuration.Read", "", ""); status != 200 || body != config(5) {
 		t.Fatal(status, body)
 	}
-	_, again := open(t, folder, false)
-	if status, body := clearCall(t, again, "GET", "/-/Configuration.Read", "", ""); status != 200 || body != config(5) {
+	_, restarted := open(t, folder, false)
+	if status, body := clearCall(t, restarted, "GET", "/-/Configuration.Read", "", ""); status != 200 || body != config(5) {
 		t.Fatal("after a restart: ", status, body)
 	}
 }
--- a/internal/control/controller/named_test.go
+++ b/internal/control/controller/named_test.go
@@ -82,10 +82,10 @@
 	if len(members(controllers[8])) != 3 {
 		t.Fatal("the acceptor set of the configuration changed: ", members(controllers[8]))
 	}
-	rules, resp := rulesAndSolution(t)
+	rules, solution := rulesAndSolution(t)
 	exchangeMembership(controllers)
 	response := &messages.PlanApplyResponse{}
-	dispatchTo(t, controllers[1], messages.KindPlanApply, &messages.PlanApplyRequest{Rules: rules, Solution: resp}, response)
+	dispatchTo(t, controllers[1], messages.KindPlanApply, &messages.PlanApplyRequest{Rules: rules, Solution: solution}, response)
 	if !response.Applied || response.Revision != 1 {
 		t.Fatalf("plan not applied: %+v", response)
 	}
--- a/internal/control/controller/plans_test.go
+++ b/internal/control/controller/plans_test.go
@@ -29,7 +29,7 @@
 }
 
 // rulesAndSolution returns the rules of docs/assign, with replacements, and the planner's solution for them.
-func rulesAndSolution(t *testing.T, change ...string) (rules, resp []byte) {
+func rulesAndSolution(t *testing.T, change ...string) (rules, solution []byte) {
 	t.Helper()
 
 	text, err := os.ReadFile("../../../docs/assign/rules.toml")
@@ -55,8 +55,8 @@
 	if status, _ := clearCall(t, server, "POST", "/-/Configuration.Replace", "0", config(2)); status != 200 {
 		t.Fatal(status)
 	}
-	rules, resp := rulesAndSolution(t)
-	next, nextResponse := rulesAndSolution(t, "generation = 4", "generation = 5")
+	rules, solution := rulesAndSolution(t)
+	next, nextSolution := rulesAndSolution(t, "generation = 4", "generation = 5")
 	for _, step := range []struct {
 		name     string
 		request  messages.PlanApplyRequest
@@ -64,14 +64,14 @@
 		revision int64
 		reason   string
 	}{
-		{"wrong base", messages.PlanApplyRequest{Base: 3, Rules: rules, Solution: resp}, false, 0, "another plan"},
-		{"first", messages.PlanApplyRequest{Base: 0, Rules: rules, Solution: resp}, true, 1, ""},
-		{"resent", messages.PlanApplyRequest{Base: 0, Rules: rules, Solution: resp}, true, 1, "in force already"},
-		{"lost its race", messages.PlanApplyRequest{Base: 0, Rules: next, Solution: nextResponse}, false, 1, "another plan"},
-		{"answer of other rules", messages.PlanApplyRequest{Base: 1, Rules: next, Solution: resp}, false, 1, "another generation"},
-		{"old generation", messages.PlanApplyRequest{Base: 1, Rules: append([]byte("# older\n"), rules...), Solution: resp}, false, 1, "generation is not above"},
-		{"too large", messages.PlanApplyRequest{Base: 1, Rules: append(bytes.Repeat([]byte("# long\n"), constants.PlanBytesMax/7), next...), Solution: nextResponse}, false, 1, "too large"},
-		{"next", messages.PlanApplyRequest{Base: 1, Rules: next, Solution: nextResponse}, true, 2, ""},
+		{"wrong base", messages.PlanApplyRequest{Base: 3, Rules: rules, Solution: solution}, false, 0, "another plan"},
+		{"first", messages.PlanApplyRequest{Base: 0, Rules: rules, Solution: solution}, true, 1, ""},
+		{"resent", messages.PlanApplyRequest{Base: 0, Rules: rules, Solution: solution}, true, 1, "in force already"},
+		{"lost its race", messages.PlanApplyRequest{Base: 0, Rules: next, Solution: nextSolution}, false, 1, "another plan"},
+		{"solution of other rules", messages.PlanApplyRequest{Base: 1, Rules: next, Solution: solution}, false, 1, "another generation"},
+		{"old generation", messages.PlanApplyRequest{Base: 1, Rules: append([]byte("# older\n"), rules...), Solution: solution}, false, 1, "generation is not above"},
+		{"too large", messages.PlanApplyRequest{Base: 1, Rules: append(bytes.Repeat([]byte("# long\n"), constants.PlanBytesMax/7), next...), Solution: nextSolution}, false, 1, "too large"},
+		{"next", messages.PlanApplyRequest{Base: 1, Rules: next, Solution: nextSolution}, true, 2, ""},
 	} {
 		response := &messages.PlanApplyResponse{}
 		dispatchTo(t, controller, messages.KindPlanApply, &step.request, response)
@@ -86,13 +86,13 @@
 	if status, body := clearCall(t, server, "GET", "/-/Configuration.Read", "", ""); status != 200 || body != config(2) {
 		t.Fatal("the configuration changed: ", status, body)
 	}
-	again, server := open(t, folder, false)
+	restarted, server := open(t, folder, false)
 	plan := &messages.PlanResponse{}
-	dispatchTo(t, again, messages.KindPlanPull, &messages.PlanRequest{Complete: true, Linearizable: true}, plan)
+	dispatchTo(t, restarted, messages.KindPlanPull, &messages.PlanRequest{Complete: true, Linearizable: true}, plan)
 	if plan.Revision != 2 || plan.Generation != 5 || !bytes.Equal(plan.Value.Rules, next) {
 		t.Fatal("wrong plan after a restart: revision and generation ", plan.Revision, plan.Generation)
 	}
-	dispatchTo(t, again, messages.KindPlanPull, &messages.PlanRequest{Node: "n3"}, plan)
+	dispatchTo(t, restarted, messages.KindPlanPull, &messages.PlanRequest{Node: "n3"}, plan)
 	if len(plan.Placements) != 1 || plan.Placements[0].Adapter != "battery-fault-reader" || len(plan.Value.Rules) != 0 {
 		t.Fatal(plan)
 	}
--- a/internal/control/controller/recovery_test.go
+++ b/internal/control/controller/recovery_test.go
@@ -34,7 +34,7 @@
 	controllers map[int]*Controller
 	// phases are the latest phases that were acknowledged, by worker.
 	phases map[string]messages.Phase
-	// count is the count of the last worker's call.
+	// count is the call count in the last call of any worker.
 	count int64
 }
 
--- a/internal/control/lease/lease_test.go
+++ b/internal/control/lease/lease_test.go
@@ -22,7 +22,7 @@
 		t.Fatal("not granted after the previous grant expired")
 	}
 	if grantor.Grant(messages.LeaseRequest{Candidate: "a", Incarnation: 1, Epoch: 1}, leadership, end+1).Granted {
-		t.Fatal("granted to a holder whose lease had expired")
+		t.Fatal("granted to the previous holder while another candidate has the lease")
 	}
 }
 
--- a/internal/control/register/archive_test.go
+++ b/internal/control/register/archive_test.go
@@ -41,9 +41,9 @@
 
 // fill has an acceptor pull the chunks that it lacks from another.
 func (a *archives) fill(at, from int) bool {
-	for _, found := range []uint64{a.archive[at].LastChunk(), 0} {
-		for filled := true; filled; found = a.archive[at].LastChunk() {
-			resp := a.archive[from].Lookup(&messages.ArchiveRequest{Head: a.value.Archive, Pull: true, LastChunk: found})
+	for _, lastChunk := range []uint64{a.archive[at].LastChunk(), 0} {
+		for filled := true; filled; lastChunk = a.archive[at].LastChunk() {
+			resp := a.archive[from].Lookup(&messages.ArchiveRequest{Head: a.value.Archive, Pull: true, LastChunk: lastChunk})
 			if filled = a.archive[at].Fill(a.value.Archive, resp.Chunks); filled {
 				a.files[at] = append(a.files[at], resp.Chunks...)
 			}
@@ -70,7 +70,8 @@
 	return changed, version
 }
 
-// check queries every archive for the status of a version.
+// check queries every archive for the status of a version. With mayForget, a complete archive may have
+// dropped the version.
 func (a *archives) check(rt *rapid.T, version messages.Version, committed, mayForget bool) {
 	var result register.Result
 	_, _ = register.Replace(version, nil, &result)(a.value)
@@ -168,7 +169,8 @@
 	})
 }
 
-// Bounds the size of a value and of a whole archive by the number of changes.
+// The size of a value without its body is bounded by a constant, and that of a whole archive by the
+// number of changes.
 func TestArchiveCost(t *testing.T) {
 	for _, changes := range []int{40, 300, 2300, 6900} {
 		archives := newArchives(2)
--- a/internal/control/register/contention_test.go
+++ b/internal/control/register/contention_test.go
@@ -35,7 +35,7 @@
 }
 
 // Eight changes at once through eight processes, on disks that sync at once and on slow ones: every
-// proposer completes within the time of one change.
+// proposer completes within the timeout of one change.
 func TestEightConcurrentProposersAllComplete(t *testing.T) {
 	for _, maxSyncMs := range []float64{0, 10, 30, 60} {
 		var longest, total clock.Duration
--- a/internal/control/register/drive_test.go
+++ b/internal/control/register/drive_test.go
@@ -137,8 +137,8 @@
 	}
 }
 
-// quickRead reports whether the change would leave the value in force as it is, and returns that
-// value.
+// quickRead passes the value in force to callback, or an empty value if the read is not decisive.
+// decided is set if the change would leave the value in force as it is.
 func (f *fleet) quickRead(from string, change register.Change, callback func(value messages.RegisterValue, decided bool)) {
 	node, finished := f.controllers[from], false
 	incarnation := node.incarnation
@@ -213,8 +213,8 @@
 	if other.down {
 		return
 	}
-	for _, found := range []uint64{node.archive.LastChunk(), 0} {
-		resp := other.archive.Lookup(&messages.ArchiveRequest{Head: value.Archive, Pull: true, LastChunk: found})
+	for _, lastChunk := range []uint64{node.archive.LastChunk(), 0} {
+		resp := other.archive.Lookup(&messages.ArchiveRequest{Head: value.Archive, Pull: true, LastChunk: lastChunk})
 		node.archive.Fill(value.Archive, resp.Chunks)
 	}
 	node.archive.Extend(value, 1)
--- a/internal/control/register/growingset_test.go
+++ b/internal/control/register/growingset_test.go
@@ -12,8 +12,9 @@
 )
 
 // These tests use eight controllers that know three seeds, and a fault budget of two machines,
-// which needs five acceptors. budgetSilence is the time in ns after which a stopped member counts
-// as departed, and budgetRecover the time in ms within which a change must be acknowledged.
+// which needs five acceptors (budgetSize). budgetSilence is the time in ns after which a stopped
+// member counts as departed, and budgetRecover the time in ms within which a change must be
+// acknowledged.
 const (
 	budgetSize    = 5
 	budgetSilence = 6_000_000_000
--- a/internal/control/register/operators_test.go
+++ b/internal/control/register/operators_test.go
@@ -136,15 +136,15 @@
 
 // run is one operator. It bases its requests on the version that it believes to be the newest. Some
 // of them reuse the generation or the exact content of another request, and some repeat an old one.
-func (o *operators) run(operator string, orders int) {
+func (o *operators) run(operator string, requests int) {
 	newest := int64(0)
-	var step func(left int)
-	step = func(left int) {
-		if left == 0 {
+	var step func(remaining int)
+	step = func(remaining int) {
+		if remaining == 0 {
 			return
 		}
 		random := o.world.Random
-		version := messages.Version{Generation: newest + 1 + int64(random.Intn(2)), Base: newest, Hash: fmt.Sprint(operator, left)}
+		version := messages.Version{Generation: newest + 1 + int64(random.Intn(2)), Base: newest, Hash: fmt.Sprint(operator, remaining)}
 		if len(o.sent) > 0 && random.Intn(4) == 0 {
 			version = o.sent[random.Intn(len(o.sent))]
 			o.counts["again"]++
@@ -152,14 +152,14 @@
 		if len(o.sent) > 0 && random.Intn(8) == 0 {
 			// Based on a request that has no response yet.
 			base := o.sent[len(o.sent)-1]
-			version = messages.Version{Generation: base.Generation + 1, Base: base.Generation, Hash: fmt.Sprint("hasty", operator, left)}
+			version = messages.Version{Generation: base.Generation + 1, Base: base.Generation, Hash: fmt.Sprint("hasty", operator, remaining)}
 		}
 		o.sent = append(o.sent, version)
 		finished := false
 		next := func() {
 			if !finished {
 				finished = true
-				o.world.After(clock.Milliseconds(40*random.Float64()), func() { step(left - 1) })
+				o.world.After(clock.Milliseconds(40*random.Float64()), func() { step(remaining - 1) })
 			}
 		}
 		o.sendUntilResolved(operator, version, 6, func(status status) {
@@ -177,7 +177,7 @@
 		})
 		o.world.After(clock.Milliseconds(3000), next)
 	}
-	step(orders)
+	step(requests)
 }
 
 // injectFaults isolates, restarts and partitions processes, one at a time.
--- a/internal/control/register/repair_test.go
+++ b/internal/control/register/repair_test.go
@@ -14,8 +14,8 @@
 // the moment at which a change of the set is chosen.
 type repairFleet struct {
 	*growingFleet
-	// lossPending is set until the second loss has occurred. epoch is the epoch of the set before
-	// it.
+	// lossPending is set until the second loss has occurred, which it does at a set with a later epoch
+	// than epoch.
 	lossPending bool
 	epoch       uint64
 	losses      int
@@ -69,7 +69,7 @@
 	})
 }
 
-// newestSet returns the newest value known to any process.
+// newestSet returns the value with the newest set that any process knows to be chosen.
 func (w *repairFleet) newestSet() messages.RegisterValue {
 	var newest messages.RegisterValue
 	for _, name := range simulation.Keys(w.controllers) {
