--- a/internal/control/broadcast/outcomes.go
+++ b/internal/control/broadcast/outcomes.go
@@ -71,8 +71,8 @@
 func (j *Tree) Receiver(send Send) messages.NodeInfo { return j.nodes[send.Address] }
 
 // Unconfirmed returns the processes whose confirmation of a configuration does not arrive at this
-// tree: those of the own zone that receive it by forwarding, and those of other zones. sends are the
-// sends that NewTree returned; their direct receivers are left out.
+// tree: those of the own zone that receive it by forwarding, and those of other zones. sends are
+// those that NewTree returned; their direct receivers are left out.
 func (j *Tree) Unconfirmed(sends []Send) []messages.NodeInfo {
 	direct := map[string]bool{}
 	for _, send := range sends {
--- a/internal/control/broadcastserver/batch.go
+++ b/internal/control/broadcastserver/batch.go
@@ -33,7 +33,7 @@
 	done chan struct{}
 }
 
-// add adds a change to the next batch. done is closed once the broadcast of that batch has returned.
+// add adds a change to the next batch. done is closed once the broadcast of the batch has returned.
 func (b *batches) add(worker messages.Worker, urgent bool) (done chan struct{}) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
--- a/internal/control/contact/contact.go
+++ b/internal/control/contact/contact.go
@@ -16,8 +16,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Versions identifies the acceptor set, by its epoch, and the configuration, by its generation, that
-// a process follows or an acceptor has accepted.
+// Versions identifies the acceptor set, by its epoch, and the configuration, by its generation,
+// that a process follows or an acceptor has accepted.
 type Versions struct {
 	SetEpoch   uint64
 	Generation int64
--- a/internal/control/controller/calls_test.go
+++ b/internal/control/controller/calls_test.go
@@ -54,7 +54,7 @@
 	return callUntilClear(t, server, method, path, base, body, http.StatusServiceUnavailable, http.StatusGatewayTimeout)
 }
 
-// callUntilClear retries a call, for at most 100 attempts, until its status is none of outcomeUnknown.
+// callUntilClear retries a call, at most 100 times, until its status is none of outcomeUnknown.
 func callUntilClear(t *testing.T, server *httptest.Server, method, path, base, body string, outcomeUnknown ...int) (int, string) {
 	t.Helper()
 
--- a/internal/control/register/archive_test.go
+++ b/internal/control/register/archive_test.go
@@ -70,8 +70,8 @@
 	return changed, version
 }
 
-// check queries every archive for the status of a version. With mayForget, a complete archive may have
-// dropped the version.
+// check queries every archive for the status of a version. With mayForget, a complete archive may
+// have dropped the version.
 func (a *archives) check(rt *rapid.T, version messages.Version, committed, mayForget bool) {
 	var result register.Result
 	_, _ = register.Replace(version, nil, &result)(a.value)
--- a/internal/control/register/faults_test.go
+++ b/internal/control/register/faults_test.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// A version that is sent again, as after an unknown outcome, is acknowledged although another version
-// has followed it, never rejected. A new version on the old base is a conflict.
+// A version that is sent again, as after an unknown outcome, is acknowledged although another
+// version has followed it, never rejected. A new version on the old base is a conflict.
 func TestLostAcknowledgementThenResend(t *testing.T) {
 	fleet := newFleet(t, 11, "a", "b", "c")
 	fleet.replace("a", 2, 0, "two")
--- a/internal/control/registerserver/maintainer.go
+++ b/internal/control/registerserver/maintainer.go
@@ -102,9 +102,9 @@
 }
 
 // isUnresponsive reports whether no process was in contact with a member for
-// constants.ReplaceAfter, and the member does not respond to this process now either. For a member in this process's own zone the shorter
-// constants.ReplaceInZoneAfter applies: this process is assumed to be its replacement, and until it has
-// joined, the set tolerates one loss less.
+// constants.ReplaceAfter, and the member does not respond to this process now either. For a member
+// in this process's own zone the shorter constants.ReplaceInZoneAfter applies: this process is
+// assumed to be the member's replacement, and until it has joined, the set tolerates one loss less.
 func (m *SetMaintainer) isUnresponsive(member messages.Member) bool {
 	limit, age, known := constants.ReplaceAfter, int64(0), false
 	for _, controller := range m.replica.Node.All(membership.RoleController) {
--- a/internal/control/registerserver/read.go
+++ b/internal/control/registerserver/read.go
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// readAt reads at the sets of a value. value is nil if the responses do not decide what is in force.
-// newer is a value with newer sets that an acceptor reported, or nil.
+// readAt reads at the sets of a value. value is nil if the responses do not decide what is in
+// force. newer is a value with newer sets that an acceptor reported, or nil.
 func (r *Replica) readAt(known messages.RegisterValue, withoutBody bool) (value, newer *messages.RegisterValue) {
 	read, sends := register.NewQuorumRead(known)
 	responses := make(chan memberResponse, len(sends))
--- a/internal/control/workerserver/table.go
+++ b/internal/control/workerserver/table.go
@@ -177,7 +177,7 @@
 }
 
 // forget drops workers whose last heartbeat is more than twice constants.ForgetAfter ago: the registry
-// drops what was older than constants.ForgetAfter at that time before now.
+// subtracts constants.ForgetAfter once more from the time that it is given.
 func (t *Table) forget() {
 	t.lock.Lock()
 	defer t.lock.Unlock()
