--- a/internal/batch/leader/addmember_test.go
+++ b/internal/batch/leader/addmember_test.go
@@ -36,12 +36,12 @@
 	term := startServingTerm(t, soleStore(t, simulation.NewDisk(12)), 1)
 	term.lock.Lock()
 	defer term.lock.Unlock()
-	done := term.records.replicator.CommitIndex()
+	committed := term.records.replicator.CommitIndex()
 	for _, name := range []string{"r", "s", "t"} {
 		term.records.replicator.Members = append(term.records.replicator.Members, messages.Member{Name: name, Address: name, Disk: name})
 	}
-	term.records.replicator.UpdateMatch("r#r", done)
-	term.records.replicator.UpdateMatch("s#s", done)
+	term.records.replicator.UpdateMatch("r#r", committed)
+	term.records.replicator.UpdateMatch("s#s", committed)
 	first, _ := term.source(messages.Member{Name: "t", Address: "t"}, 0)
 	second, _ := term.source(messages.Member{Name: "u", Address: "u"}, 1)
 	if first == nil || second == nil || first.Name == second.Name {
--- a/internal/batch/leader/copy.go
+++ b/internal/batch/leader/copy.go
@@ -49,7 +49,7 @@
 			continue
 		}
 		// The records copied so far are kept. The rest is requested from another member. After
-		// constants.CopyRetries failures the leader sends it.
+		// more than constants.CopyRetries failures in a row the leader sends it.
 		if failures++; failures > constants.CopyRetries {
 			return copied
 		}
@@ -87,7 +87,8 @@
 // source selects a member other than this process and the joiner that has most of the durable
 // records, and returns it with the index up to which it has them. Records that a store has synced
 // in this epoch are identical to this process's. offset is different for each of the joiners that
-// copy at the same time, so that they do not share one source's link. The lock is held.
+// copy at the same time, so that they do not share one source's link.
+// It returns nil if no such member has any of them. The lock is held.
 func (t *Term) source(joiner messages.Member, offset int) (*messages.Member, int64) {
 	best, own := int64(0), t.process.Node.Self.Address
 	available := func(member messages.Member) int64 {
--- a/internal/batch/leader/delegate.go
+++ b/internal/batch/leader/delegate.go
@@ -156,7 +156,7 @@
 }
 
 // failDownstream ends the delegation of the downstream store immediately, because this feeder's
-// store can't be reached. Records are then sent to the downstream store directly.
+// store can't be reached or can't store records. Records are then sent to the downstream store directly.
 func (f *feeder) failDownstream() {
 	t := f.term
 	t.lock.Lock()
@@ -167,8 +167,9 @@
 	}
 }
 
-// fail ends a delegation that made no progress. The period of direct sending doubles with each
-// failure in a row, up to constants.ForwardBackoffSteps. The lock is held.
+// fail ends a delegation that made no progress. The period of direct sending is
+// constants.ForwardBackoff at first and doubles with each further failure in a row, up to
+// constants.ForwardBackoffSteps failures. The lock is held.
 func (d *delegation) fail(now clock.Instant) {
 	d.active = false
 	d.failures = min(d.failures+1, constants.ForwardBackoffSteps)
--- a/internal/batch/leader/departed.go
+++ b/internal/batch/leader/departed.go
@@ -36,7 +36,8 @@
 }
 
 // withoutDeparted returns the members that have not departed. It returns all members if the set can
-// continue unchanged or a spare store can join it.
+// continue unchanged, a spare store can join it, or this process has not yet been running for
+// constants.ReplaceAfter.
 func (p *Process) withoutDeparted(members []messages.Member) []messages.Member {
 	nodes := p.knownStores()
 	set := p.storeSet(members, nodes, nil, nil)
--- a/internal/batch/leader/dispatch.go
+++ b/internal/batch/leader/dispatch.go
@@ -41,7 +41,7 @@
 }
 
 // Acquire returns items to an executor. If there are none, it waits for the requested time, limited to
-// constants.AcquireWait.
+// constants.AcquireWait, but not longer than until the list of executors changes.
 func (t *Term) Acquire(req *messages.AcquireRequest) *messages.AcquireResponse {
 	start := clock.Now()
 	if !t.waitServing(constants.AcquireWait) {
--- a/internal/batch/leader/feed.go
+++ b/internal/batch/leader/feed.go
@@ -21,7 +21,8 @@
 	// delegation.
 	next       int64
 	delegation delegation
-	// progressAt is when the store last confirmed records. It is guarded by Term.lock.
+	// progressAt is when the feeder started, or when a response to a direct request last set next.
+	// It is guarded by Term.lock.
 	progressAt clock.Instant
 	quit       chan struct{}
 }
--- a/internal/batch/leader/helpers_test.go
+++ b/internal/batch/leader/helpers_test.go
@@ -50,6 +50,7 @@
 	return term
 }
 
+// jobCallOf returns the submission of a job with a number of items of 15 tokens each.
 func jobCallOf(id string, items int) *messages.JobCallRequest {
 	body := `{"requests":[`
 	for i := 0; i < items; i++ {
--- a/internal/batch/leader/intake.go
+++ b/internal/batch/leader/intake.go
@@ -19,8 +19,8 @@
 // intake tracks the jobs that may be in flight to the leader or to the stores. It is guarded by
 // Term.lock.
 type intake struct {
-	// admitted maps the ids of the admitted jobs, until they are durable or rejected; bytes is the
-	// sum of their sizes.
+	// admitted contains the admitted jobs by id, until they are durable, rejected or expired; bytes
+	// is the sum of their sizes.
 	admitted map[string]admittedJob
 	bytes    int
 	// waiting are the offers that are not yet admitted, the oldest first.
@@ -73,7 +73,7 @@
 	}
 }
 
-// release frees the capacity of a job that is durable or will not be sent, and admits others.
+// release frees the capacity of a job that is durable or was rejected, and admits others.
 func (in *intake) release(job string) {
 	in.drop(job)
 	in.admit(clock.Now())
--- a/internal/batch/leader/jobcalls.go
+++ b/internal/batch/leader/jobcalls.go
@@ -49,7 +49,8 @@
 	return t.readJob(call)
 }
 
-// waitServing waits until the takeover is complete, and reports whether this process leads.
+// waitServing waits until the takeover is complete, and reports whether this process leads. It
+// returns false on timeout or if the term ends.
 func (t *Term) waitServing(timeout clock.Duration) bool {
 	end := clock.Now().Add(timeout)
 	for {
@@ -116,7 +117,8 @@
 	return &messages.JobCallResponse{Status: http.StatusOK, Body: []byte("{}")}
 }
 
-// forgetExpiredJobs drops the jobs whose retention period is over, so that the log can be compacted.
+// forgetExpiredJobs appends a record to drop each finished job whose retention period is over, so
+// that the log can be compacted.
 func (t *Term) forgetExpiredJobs() {
 	if !t.process.Election.HoldsLease() {
 		return
--- a/internal/batch/leader/lag.go
+++ b/internal/batch/leader/lag.go
@@ -8,7 +8,7 @@
 
 // watchOwnLag resigns the leadership when this process's own disk lags far behind the other stores.
 // Jobs are read from that disk, and a later takeover would have to wait for it. Commits do not
-// depend on it: a record is durable once the fastest f+1 stores have synced it.
+// depend on it: a record is durable once the fastest budget + 1 stores have synced it.
 func (t *Term) watchOwnLag() {
 	own := register.Identity(t.process.Election.Member())
 	clock.Every(constants.LeaseRenewPeriod, t.lifecycle.stop, func() {
--- a/internal/batch/leader/memory.go
+++ b/internal/batch/leader/memory.go
@@ -6,7 +6,8 @@
 // memory, so jobs that fit on the disks may not fit in memory.
 
 // exceedsMemoryLimitLocked reports whether another job of the given size would exceed the memory
-// limit. A single job is accepted whatever its size. The lock is held.
+// limit. It returns false if there is no limit, or no other job in memory: a single job is accepted
+// whatever its size. The lock is held.
 func (t *Term) exceedsMemoryLimitLocked(jobBytes int) bool {
 	limit := t.process.Node.Settings.Limits.MemoryShare(constants.JobInputShare)
 	usedBytes := t.jobs.InputBytes() + int64(t.submissions.intake.bytes)
--- a/internal/batch/leader/outputs.go
+++ b/internal/batch/leader/outputs.go
@@ -99,7 +99,8 @@
 	return &messages.JobCallResponse{Status: http.StatusOK, ContentType: "application/octet-stream", Body: body}
 }
 
-// submittedBody reads the body of an item from the record of its job.
+// submittedBody reads the body of an item from the record of its job. It returns nil without an
+// error if the job has no such item.
 func (t *Term) submittedBody(index int64, itemID string) ([]byte, error) {
 	record, err := t.process.Log.Read(index)
 	if err != nil {
--- a/internal/batch/leader/quota.go
+++ b/internal/batch/leader/quota.go
@@ -36,7 +36,7 @@
 	q.pending[call.Job] = pendingJob{submitPath{call.Host, call.Path}, tokens}
 }
 
-// route returns the batch route of a path. A path is matched once per configuration.
+// route returns the batch route of a path, or nil if there is none. A path is matched once per configuration.
 func (q *quota) route(config *routeconfig.Config, at submitPath) *routeconfig.Route {
 	if q.config != config || len(q.routes) > submitPathsMax {
 		q.config, q.routes = config, map[submitPath]*routeconfig.Route{}
--- a/internal/batch/leader/report.go
+++ b/internal/batch/leader/report.go
@@ -70,7 +70,7 @@
 }
 
 // ReportStores returns one row per member of the store set: name, disk, the index up to which it has
-// synced, and the number of records that it lacks.
+// synced, the number of records that it lacks, and a fixed text.
 func (t *Term) ReportStores() [][]string {
 	var rows [][]string
 	t.lock.Lock()
--- a/internal/batch/leader/setpolicy.go
+++ b/internal/batch/leader/setpolicy.go
@@ -110,7 +110,8 @@
 }
 
 // spare returns the best store that is not a member, to replace a member in the given zone. It
-// returns nil if there is none.
+// skips stores that are retired, draining, silent or without a known disk, and returns nil if no
+// other is left.
 func (s *storeSet) spare(zone string) *messages.Member {
 	members, zones := map[string]bool{}, map[string]bool{}
 	for _, member := range s.members {
@@ -138,7 +139,7 @@
 }
 
 // diskLost returns a member's machine with its new disk if the machine returned with a different
-// disk, and nil otherwise.
+// disk, and nil otherwise. It also returns nil if the machine is retired or silent.
 func diskLost(member messages.Member, nodes map[string]messages.NodeInfo, retired map[string]bool) *messages.Member {
 	node, known := nodes[member.Name]
 	if !known || node.Disk == member.Disk || node.Disk == "" || retired[member.Name] || node.AgeMs >= constants.SuspectAfter.Milliseconds() {
@@ -149,6 +150,7 @@
 
 // nextResponsiveChange returns the next change whose joiner is not slow. Before it replaces a member
 // that seems silent, it sends a request to that member. It deletes slow joiners from nodes.
+// A member's own machine that rejoins with a new disk is not checked.
 func (p *Process) nextResponsiveChange(members []messages.Member, nodes map[string]messages.NodeInfo, retired map[string]bool) (out, joiner *messages.Member) {
 	responding := map[string]bool{}
 	// Each further round excludes one more joiner or member.
--- a/internal/batch/leader/submit.go
+++ b/internal/batch/leader/submit.go
@@ -123,7 +123,8 @@
 	return t.awaitSubmitted(index, accepted)
 }
 
-// Expired reports whether the time in which a submission may be accepted is over.
+// Expired reports whether the time in which a submission may be accepted is over. That time is
+// unlimited if call.ExpiresAt is zero.
 func Expired(call *messages.JobCallRequest, now clock.Instant) bool {
 	return call.ExpiresAt > 0 && int64(now) >= call.ExpiresAt
 }
--- a/internal/batch/leader/takeover.go
+++ b/internal/batch/leader/takeover.go
@@ -234,9 +234,9 @@
 	node.Multicast(node.Live(membership.RoleStore), messages.KindLeaderAnnouncement, announcement, constants.LeaseRenewPeriod, nil)
 }
 
-// announce sends the leadership to all stores, since a store that receives no announcement for the
-// duration of a lease campaigns, and to the known gateways in the first LeaderReminderRounds rounds
-// and in every LeaderReminderRounds-th round after that. A process that was missed can request the leadership from any store.
+// announce sends the leadership to all stores, since a store campaigns after about the duration of a
+// lease without an announcement, and to the known gateways in the first LeaderReminderRounds rounds and
+// every LeaderReminderRounds-th one after that. Any store gives the leadership to a process that was missed.
 func (t *Term) announce() {
 	if !t.process.Election.HoldsLease() {
 		return
--- a/internal/batch/leadership/campaign.go
+++ b/internal/batch/leadership/campaign.go
@@ -35,7 +35,8 @@
 }
 
 // eligible reports whether this process may lead. Only members of the store set have all
-// the records, and a member that is being retired should not begin a new term.
+// the records, and a member that is being retired should not begin a new term. While there is no
+// set yet, every store that can propose one is eligible.
 func (c *Campaign) eligible() bool {
 	if c.draining.Load() || c.isYielding() {
 		return false
@@ -112,7 +113,8 @@
 	return constants.LeaseRenewPeriod
 }
 
-// renewRound sends the acceptors one request to extend the lease of a term.
+// renewRound sends the acceptors one request to extend the lease of a term. It ends the term if an
+// acceptor reports a later epoch.
 func (c *Campaign) renewRound(current Term) {
 	sentAt := clock.Now()
 	req := messages.LeaseRequest{Candidate: c.node.Self.Name, Incarnation: c.node.Self.Incarnation, Epoch: current.Epoch()}
--- a/internal/batch/leadership/leadership.go
+++ b/internal/batch/leadership/leadership.go
@@ -2,8 +2,8 @@
 // first requests a lease from the acceptors (package lease), which permits only one candidate at
 // a time to continue. It then increments the leadership's epoch in the register. The epoch is
 // what fences an earlier leader that continues after its lease has expired. The leader renews
-// the lease and sends announcements; a store that receives no announcement for the duration of
-// a lease campaigns.
+// the lease and sends announcements; a store that receives no announcement for
+// about the duration of a lease (leaderTimeout) campaigns.
 package leadership
 
 import (
@@ -113,7 +113,8 @@
 	}
 }
 
-// HandleAnnouncement records the announced leader, or its resignation.
+// HandleAnnouncement records the announced leader, or its resignation. It ignores an announcement
+// of an earlier epoch than the last, and ends this process's term if the announced epoch is later.
 func (c *Campaign) HandleAnnouncement(announcement *messages.LeaderAnnouncement) (*messages.Ack, error) {
 	c.lock.Lock()
 	if announcement.Leadership.Epoch >= c.leader.leadership.Epoch {
@@ -127,7 +128,7 @@
 	return &messages.Ack{Accepted: true}, nil
 }
 
-// Announced returns the most recently announced leadership.
+// Announced returns the most recently announced leadership, or the zero value if there was none.
 func (c *Campaign) Announced() messages.Leadership {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -153,7 +154,7 @@
 	return c.OtherLeader()
 }
 
-// LeaderEpoch returns the epoch of the leader known to this process.
+// LeaderEpoch returns the epoch of the last leader known to this process, or zero if there was none.
 func (c *Campaign) LeaderEpoch() uint64 {
 	if current := c.Current(); current != nil {
 		return current.Epoch()
--- a/internal/batch/leadership/register.go
+++ b/internal/batch/leadership/register.go
@@ -31,7 +31,7 @@
 	return clock.Now().Sub(c.register.readAt)
 }
 
-// ReadRegister reads the sets and the leadership from a controller. It reports whether a
+// ReadRegister reads the register, without its body, from a controller, and caches it. It reports whether a
 // controller responded with a value confirmed by a majority.
 func (c *Campaign) ReadRegister() bool {
 	for _, address := range c.controllers() {
@@ -45,8 +45,8 @@
 	return false
 }
 
-// ChangeRegister requests a change of the register from a controller. known is false if the
-// outcome is unknown.
+// ChangeRegister requests a change of the register from a controller. known is false and
+// resp is nil if no controller responded, so that the outcome is unknown.
 func (c *Campaign) ChangeRegister(req *messages.RegisterChangeRequest) (resp *messages.RegisterResponse, known bool) {
 	for _, address := range c.controllers() {
 		resp = &messages.RegisterResponse{}
--- a/internal/batch/leadership/slowness.go
+++ b/internal/batch/leadership/slowness.go
@@ -78,7 +78,8 @@
 // not change, since earlier versions read it.
 const SlownessSlow = "slow"
 
-// ReportSlowness returns whether this machine is currently slow. The leader requests this
+// ReportSlowness returns whether this machine is currently slow, and the shortest run time of the
+// workload in microseconds. The leader requests this
 // report from a store before it selects that store as a joiner.
 func (c *Campaign) ReportSlowness() *messages.StatusResponse {
 	c.lock.Lock()
@@ -108,7 +109,7 @@
 // ShouldResign reports whether the leader should leave the leadership to others because its
 // machine is slow or, as determined by the caller, its disk is. It returns false if this process
 // has resigned within constants.ResignBackoff, so that the leadership does not keep moving when
-// all machines are slow.
+// all machines are slow. If it returns true, it records the resignation.
 func (c *Campaign) ShouldResign(diskSlow bool, now clock.Instant) bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -122,7 +123,7 @@
 
 // yields reports whether this process currently leaves the leadership to others: it has
 // resigned within constants.YieldTime, or its machine is slow and it has not yielded within
-// constants.ResignBackoff.
+// constants.ResignBackoff. The latter counts as a resignation from then on.
 func (c *Campaign) yields(now clock.Instant) bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
--- a/internal/batch/leadership/slowness_test.go
+++ b/internal/batch/leadership/slowness_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// newCampaign returns the campaign of a store that sends no requests.
+// newCampaign returns the campaign of a store that has no transport yet.
 func newCampaign() *Campaign {
 	nodeSettings := &settings.Settings{NodeName: "m", Address: "10.0.0.1", InternalPorts: []int{1, 9}, HeartbeatMs: 1200}
 	return New(agent.New(nodeSettings, "store", 2, "disk", hclog.NewNullLogger()), nil)
