--- a/internal/batch/dispatch/accounting.go
+++ b/internal/batch/dispatch/accounting.go
@@ -57,7 +57,7 @@
 }
 
 // RecordAcquisitionsKnown appends, once per epoch, a record that every acquisition of an earlier epoch
-// has either ended or been adopted. Later leaders then need not wait for the executors of those epochs.
+// has either ended or been adopted. It does nothing while that is uncertain. Later leaders then need not wait for the executors of those epochs.
 func (d *Dispatcher) RecordAcquisitionsKnown(now clock.Instant) {
 	if d.acquisitionsKnown || now < d.uncertainUntil {
 		return
@@ -66,7 +66,8 @@
 	d.Append(messages.Record{Kind: messages.RecordAcquisitionsKnown})
 }
 
-// addExecutor applies a RecordExecutor record.
+// addExecutor applies a RecordExecutor record, whose Item is the executor's name and whose AtMs is its
+// incarnation.
 func (b *JobTable) addExecutor(record *messages.Record) {
 	b.executors[executorID{record.Item, record.AtMs}] = record.Epoch
 }
--- a/internal/batch/dispatch/acknowledge.go
+++ b/internal/batch/dispatch/acknowledge.go
@@ -93,6 +93,7 @@
 }
 
 // release makes an item available again and keeps the events that the executor returned with it.
+// If the run ended with a 500 response, it counts the failure.
 func (d *Dispatcher) release(item *Item, ack *messages.Acknowledgement, now clock.Instant) AckOutcome {
 	outcome := AckOutcome{Verdict: messages.AckRecorded}
 	acquisition := item.acquisition
@@ -123,7 +124,8 @@
 }
 
 // recordFailure counts a 500 response durably, once per acquisition, and abandons the item when
-// its attempts are exhausted. The record of the failure precedes the record that ends the item.
+// its attempts are exhausted. The record of the failure precedes the record that ends the item. It
+// returns the index of the last record appended, or zero if the failure was counted before.
 func (d *Dispatcher) recordFailure(item *Item, number uint64) int64 {
 	if !item.countFailure(number) {
 		return 0
--- a/internal/batch/dispatch/acquire.go
+++ b/internal/batch/dispatch/acquire.go
@@ -34,16 +34,17 @@
 	assignedAt clock.Instant
 }
 
-// candidatesPerSlot is how many candidates are considered for each free slot. Among these, the ones
-// due soonest, items whose shared prefix the executor already has come first.
+// candidatesPerSlot is how many candidates are considered for each free slot. They are the items due
+// soonest; among them, items whose shared prefix the executor already has come first.
 const candidatesPerSlot = 4
 
 // prefixOwnersLimit bounds the number of entries in Dispatcher.prefixOwners, which is cleared when full.
 const prefixOwnersLimit = 4096
 
 // Acquire dispatches items in order of due time, jobs that can still meet theirs first. Among the
-// items due soonest it prefers those whose shared prefix the executor acquired before. It returns
-// nil while the executor's registration is not durable.
+// items due soonest it prefers those whose shared prefix the executor acquired before. It stops
+// once the inputs of the items reach constants.AcquireBytes, and returns nil while the executor's
+// registration is not durable.
 func (d *Dispatcher) Acquire(options *AcquireOptions, now clock.Instant) []*Acquisition {
 	if d.RegisterExecutor(options.Executor) > 0 {
 		return nil
@@ -82,7 +83,7 @@
 	return acquired
 }
 
-// candidates returns the available items due soonest. Items that have waited for PrefixWait come
+// candidates returns the available items due soonest, at most limit of them. Items that have waited for PrefixWait come
 // first, then those whose prefix the executor owns, so that few workers compute each shared prefix.
 // No item is reserved for an executor: leaving a slot idle costs more than computing the prefix again.
 func (d *Dispatcher) candidates(jobs []dueJob, options *AcquireOptions, limit int, now clock.Instant) []*Item {
--- a/internal/batch/dispatch/acquire_test.go
+++ b/internal/batch/dispatch/acquire_test.go
@@ -72,7 +72,8 @@
 	}
 }
 
-// scanAvailable visits every item. The set of available items must agree with it.
+// scanAvailable lists the available items of a job by visiting every item. The job's set of available
+// items must agree with it.
 func scanAvailable(job *Job) string {
 	text := ""
 	for _, item := range job.Items {
--- a/internal/batch/dispatch/dispatcher.go
+++ b/internal/batch/dispatch/dispatcher.go
@@ -62,8 +62,8 @@
 	Deliveries, LockExpiries, Releases, Failures, Renewals, Adopted, Completed, Abandoned, Late int64
 }
 
-// LockDuration returns how long an acquisition stays valid without a renewal, derived from the
-// setting cancel-ms, which is zero if it is not set.
+// LockDuration returns how long an acquisition stays valid without a renewal: constants.LockShare of the
+// setting cancel-ms, at most constants.LockMax, or constants.LockDefault if the setting is zero (not set).
 func LockDuration(cancelMs float64) clock.Duration {
 	if cancelMs <= 0 {
 		return constants.LockDefault
--- a/internal/batch/dispatch/dispatcher_test.go
+++ b/internal/batch/dispatch/dispatcher_test.go
@@ -79,6 +79,7 @@
 	return d.Acknowledge(Executor{Name: executor}, ack, now).Verdict
 }
 
+// events is an option of acknowledge: the executor returns events with the ids 1 to count.
 func events(count int) func(*messages.Acknowledgement) {
 	return func(ack *messages.Acknowledgement) {
 		for event := 1; event <= count; event++ {
--- a/internal/batch/dispatch/item.go
+++ b/internal/batch/dispatch/item.go
@@ -83,8 +83,9 @@
 	return i.State == ItemAcquired && i.Runs == run && !i.Job.Ended
 }
 
-// AppendEvents adds events of a run, the last of which has the given id. Events after a yield are
-// rejected: the next run resumes after the last event that was added before it.
+// AppendEvents adds events of a run, the last of which has the given id. It returns false if the run has
+// ended. Events after a yield are rejected too: the next run resumes after the last event that was added
+// before the yield.
 func (i *Item) AppendEvents(run int, events [][]byte, last int64) bool {
 	if !i.running(run) || i.yieldRequested {
 		return false
@@ -109,6 +110,7 @@
 
 // Requeue ends a run without a result. The item keeps its place in the order of the job and its
 // events if they carry ids. Events without ids are dropped, since no run can resume after them.
+// It returns false if the run has ended.
 func (i *Item) Requeue(run int) bool {
 	if i.State != ItemAcquired || i.Runs != run {
 		return false
@@ -132,7 +134,7 @@
 }
 
 // Abandon ends an available item, or the run whose worker rejected it, with the result that the item
-// is abandoned.
+// is abandoned. It returns false if neither is the case or the job has ended.
 func (i *Item) Abandon(run int) bool {
 	if i.Job.Ended || (i.State != ItemAvailable && !i.running(run)) {
 		return false
--- a/internal/batch/dispatch/jobtable.go
+++ b/internal/batch/dispatch/jobtable.go
@@ -20,16 +20,21 @@
 
 // Job is one batch job.
 type Job struct {
-	ID          string
-	Host        string
-	Path        string
+	ID   string
+	Host string
+	Path string
+	// SubmittedMs is when the job was submitted, in milliseconds of wall-clock time.
 	SubmittedMs int64
-	Index       int64
-	Items       []*Item
-	Listings    []Listing
-	Ended       bool
-	total       int
-	openItems   int
+	// Index is the index of the job's record.
+	Index int64
+	Items []*Item
+	// Listings are the durable results, in the order of their positions.
+	Listings []Listing
+	// Ended reports whether the job was ended by its client; its items are not run any more.
+	Ended bool
+	// total is the number of items, openItems that of the items without a durable result.
+	total     int
+	openItems int
 	// KnownSince is when this leader learned of the job, by its monotonic clock.
 	KnownSince clock.Instant
 	// pendingListings counts positions that were assigned and are not durable yet.
--- a/internal/batch/replicalog/compact.go
+++ b/internal/batch/replicalog/compact.go
@@ -69,7 +69,7 @@
 	return true
 }
 
-// worthCompacting reports whether a rewrite drops at least as much as it has to write. Then each byte
+// worthCompacting reports whether compaction drops at least as much as it has to write. Then each byte
 // and each record is written a bounded number of times, and the file contains at most twice the
 // data that is not obsolete, apart from the minimum sizes.
 func (r *compactionState) worthCompacting(size, keptBytes int64, retained, dropped int) bool {
--- a/internal/batch/replicalog/golden_test.go
+++ b/internal/batch/replicalog/golden_test.go
@@ -67,12 +67,12 @@
 		{"replica-rewritten", 0, 8, 5},
 		{"replica-appended", 3, 7, 0},
 	} {
-		output, err := os.ReadFile(filepath.Join("testdata", file.golden))
+		content, err := os.ReadFile(filepath.Join("testdata", file.golden))
 		if err != nil {
 			t.Fatal(err)
 		}
 		dir := t.TempDir()
-		if err = os.WriteFile(filepath.Join(dir, "replica"), output[:len(output)-file.torn], 0o644); err != nil {
+		if err = os.WriteFile(filepath.Join(dir, "replica"), content[:len(content)-file.torn], 0o644); err != nil {
 			t.Fatal(err)
 		}
 		log, err := Open(recordlog.Directory(dir), "other")
--- a/internal/batch/replicalog/read.go
+++ b/internal/batch/replicalog/read.go
@@ -15,6 +15,7 @@
 	return l.read(index)
 }
 
+// read is Read for a caller that holds the lock.
 func (l *Log) read(index int64) (*messages.Record, error) {
 	if index < 1 || index > l.replica.Last() {
 		return nil, ErrCorrupt.New("record index out of range")
--- a/internal/batch/replication/append.go
+++ b/internal/batch/replication/append.go
@@ -111,7 +111,8 @@
 	return true
 }
 
-// Commit applies a plan that has been written and synced. offsets are those of the plan's records in the file.
+// Commit applies a plan that has been written and synced. epoch is that of the request,
+// offsets are those of the plan's records in the file.
 func (r *Replica) Commit(plan AppendPlan, epoch uint64, offsets []int64) {
 	if plan.RaiseFence {
 		r.fencedEpoch = epoch
--- a/internal/batch/replication/replica.go
+++ b/internal/batch/replication/replica.go
@@ -14,8 +14,9 @@
 
 // IndexEntry is the part of a record that a store keeps in memory; the body stays on disk.
 type IndexEntry struct {
-	Index  int64
-	Epoch  uint64
+	Index int64
+	Epoch uint64
+	// Offset is that of the record in the file, or negative for an empty record that is not written yet.
 	Offset int64
 	Job    string
 	// Size is the approximate size of the record on disk, in bytes.
@@ -40,7 +41,8 @@
 }
 
 // Replica is one store's copy of the records, in the order in which the leaders appended them.
-// The caller syncs what a method returns to be written before it responds to the request.
+// The caller syncs what a method returns to be written before it responds to the request. Replica is
+// not safe for concurrent use.
 type Replica struct {
 	// Disk is the identity of the disk.
 	Disk        string
--- a/internal/batch/replication/replicator.go
+++ b/internal/batch/replication/replicator.go
@@ -12,7 +12,7 @@
 type Replicator struct {
 	Epoch   uint64
 	Members []messages.Member
-	// Next is the new store set while the set is being changed, nil otherwise. With a joint set, a
+	// Next is the new store set while the set is being changed, nil otherwise. While it is set, a
 	// record is durable only with enough copies in both sets.
 	Next []messages.Member
 	// budget is the fault budget: the number of store losses to tolerate.
@@ -33,7 +33,7 @@
 	return &Replicator{Epoch: epoch, Members: members, budget: budget, matchIndex: map[string]int64{}, lost: map[string]bool{}, first: first, last: first - 1}
 }
 
-// NextIndex returns the index for a new record of the leader.
+// NextIndex assigns the next index to a new record of the leader, and returns it.
 func (p *Replicator) NextIndex() int64 {
 	p.last++
 	return p.last
