--- a/internal/batch/executor/ackqueue.go
+++ b/internal/batch/executor/ackqueue.go
@@ -5,7 +5,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// ackQueue stores acknowledgements until the dispatcher has responded to them.
+// ackQueue stores acknowledgements until the dispatcher has responded to them with a final verdict.
 type ackQueue struct {
 	entries []messages.Acknowledgement
 	// confirms counts, by acquisition, the confirm requests since its complete output was last sent.
--- a/internal/batch/executor/runner.go
+++ b/internal/batch/executor/runner.go
@@ -24,7 +24,8 @@
 	Started bool
 	// lockedUntil is the end of the lock by this process's monotonic clock, less LockMargin.
 	lockedUntil clock.Instant
-	stopped     bool
+	// stopped is set once the run has to end.
+	stopped bool
 	// lastProgress is when the item was acquired or its stream last delivered events.
 	lastProgress clock.Instant
 }
@@ -66,6 +67,7 @@
 // Add adds the items in the response to an acquire request and returns their tasks. The lock is
 // counted from sentAt, when the request was sent, plus the time that the dispatcher delayed the
 // response. So it ends here no later than at the dispatcher, however late the response arrives.
+// Items that are tasks already, whose lock has ended or whose epoch is rejected are left out.
 func (r *Runner) Add(resp *messages.AcquireResponse, sentAt, now clock.Instant) []*Task {
 	until := sentAt.Add(clock.Milliseconds(resp.WaitedMs + resp.LockMs)).Add(-constants.LockMargin)
 	var added []*Task
@@ -164,7 +166,7 @@
 	return []*Task{task}
 }
 
-// Done removes a task and queues its acknowledgement, which is sent until the dispatcher has responded to it.
+// Done removes a task and queues its acknowledgement, which is sent until it has a final verdict.
 // A task that was removed before is ignored.
 func (r *Runner) Done(task *Task, ack messages.Acknowledgement) {
 	if r.tasks[task.Number] != task {
--- a/internal/batch/jobclient/jobclient.go
+++ b/internal/batch/jobclient/jobclient.go
@@ -19,7 +19,7 @@
 
 // Errors returned by Client.
 var (
-	// ErrOutcomeUnknown reports no conclusive response. The call may be retried at any gateway.
+	// ErrOutcomeUnknown reports that there was no conclusive response. The call may be retried at any gateway.
 	ErrOutcomeUnknown = errs.Define("outcome unknown")
 	// ErrRejected reports a rejection: the system guarantees that no item of the job runs.
 	ErrRejected = errs.Define("lot refused")
@@ -63,7 +63,7 @@
 	Outputs []Output `json:"outputs"`
 }
 
-// Client calls the gateways of a fleet, each call on a new connection.
+// Client calls the gateways of a fleet, each call on a new connection. It is not safe for concurrent use.
 type Client struct {
 	// Edges contains gateway addresses, host:port. After a failure the next one is used.
 	Edges []string
--- a/internal/batch/jobclient/jobclient_test.go
+++ b/internal/batch/jobclient/jobclient_test.go
@@ -44,10 +44,11 @@
 	return func(*http.Request, []byte) (int, string) { return status, text }
 }
 
-func client(t *testing.T, outcomes ...func(*http.Request, []byte) (int, string)) (*Client, *script) {
+// client returns a client of two gateways, and the transport that plays the steps.
+func client(t *testing.T, steps ...func(*http.Request, []byte) (int, string)) (*Client, *script) {
 	t.Helper()
 
-	transport := &script{test: t, steps: outcomes}
+	transport := &script{test: t, steps: steps}
 	return &Client{Edges: []string{"a:1", "b:1"}, Host: "h", Transport: transport, Backoff: func(clock.Duration) {}}, transport
 }
 
--- a/internal/batch/jobroute/jobroute.go
+++ b/internal/batch/jobroute/jobroute.go
@@ -1,4 +1,4 @@
-// Package jobroute finds the batch route of a job or an item in the newest configuration.
+// Package jobroute finds the batch route of a job or an item in a configuration.
 package jobroute
 
 import (
@@ -21,6 +21,7 @@
 }
 
 // OfItem returns the batch route of an item's own path, or that of its job if there is none.
+// It returns nil if there is neither.
 func OfItem(config *routeconfig.Config, item *dispatch.Item) *routeconfig.Route {
 	if own := Of(config, item.Job.Host, item.Path); own != nil {
 		return own
--- a/internal/batch/store/executor_test.go
+++ b/internal/batch/store/executor_test.go
@@ -90,6 +90,7 @@
 	Text  string `json:"text"`
 }
 
+// outputs reads a job until sum items are listed, for at most 15 s, and returns them by item id.
 func outputs(t *testing.T, server *Server, jobID string, sum int) map[string]listedOutput {
 	t.Helper()
 
--- a/internal/batch/store/fleet_test.go
+++ b/internal/batch/store/fleet_test.go
@@ -136,7 +136,8 @@
 	}
 }
 
-// call sends a call to one store after the other until the leader responds.
+// call sends a call to one store after the other until the leader responds, and checks the status of the
+// response.
 func (r *storeFleet) call(call *messages.JobCallRequest, want int) {
 	r.waitFor(fmt.Sprint(call.Method, " ", call.Job, " returns status ", want), func() bool {
 		for _, server := range r.servers() {
@@ -153,6 +154,7 @@
 	})
 }
 
+// leaderStore waits until a store leads and serves, and returns it.
 func (r *storeFleet) leaderStore() *Server {
 	var leader *Server
 	r.waitFor("a store leads and serves", func() bool {
--- a/internal/batch/store/handlers.go
+++ b/internal/batch/store/handlers.go
@@ -161,5 +161,5 @@
 // LeaderAddress returns the address of the leader, or "" if it is unknown.
 func (s *Server) LeaderAddress() string { return s.election.LeaderAddress() }
 
-// LeaderEpoch returns the epoch of the leader that this process knows.
+// LeaderEpoch returns the epoch of the last leader that this process knows, or zero if there was none.
 func (s *Server) LeaderEpoch() uint64 { return s.election.LeaderEpoch() }
--- a/internal/batch/store/helpers_test.go
+++ b/internal/batch/store/helpers_test.go
@@ -93,6 +93,7 @@
 // jobCount returns the number of jobs that the leader knows.
 func jobCount(server *Server) int { return len(server.currentTerm().ReportJobs().Rows) }
 
+// submitCall returns the submission of a job with a number of items of 15 tokens each.
 func submitCall(id string, items int) *messages.JobCallRequest {
 	body := `{"requests":[`
 	for i := 0; i < items; i++ {
--- a/internal/batch/store/jobs_test.go
+++ b/internal/batch/store/jobs_test.go
@@ -109,7 +109,8 @@
 	}
 }
 
-// replaceMember replaces a member by another store, as leader.Term.changeSet does.
+// replaceMember replaces a member by another store, as leader.Term.changeSet does. If leaving is the
+// zero value, the joiner is added.
 func (s *simFleet) replaceMember(leaving, joiner messages.Member) {
 	leader := s.leader
 	var next []messages.Member
--- a/internal/batch/store/losses_test.go
+++ b/internal/batch/store/losses_test.go
@@ -20,7 +20,8 @@
 	stepCopied
 	// stepBothSets: records need copies in both sets, and none is in both yet.
 	stepBothSets
-	// stepDurable: the marker record is durable in both sets; the register names the old set.
+	// stepDurable: enough members of the new set have the marker record; the register names the old
+	// set.
 	stepDurable
 	// stepNamed: the register names the new set, and the leader does not know it yet.
 	stepNamed
@@ -127,7 +128,7 @@
 }
 
 // loseMachines makes machines fail at once, each in a random way. Sometimes all other machines
-// lose power too.
+// lose power too. It returns the machines whose disks were wiped.
 func (s *simFleet) loseMachines(lost []string, round int) (wiped []string) {
 	if s.world.Random.Intn(3) == 0 {
 		for _, name := range simulation.Keys(s.stores) {
@@ -183,7 +184,7 @@
 
 // playWorstLosses plays one seed. In each round a member is replaced, and at one step of the
 // change the worst machines are lost, right after an acknowledgement or in the middle of one.
-func playWorstLosses(t *testing.T, seed int64, outcomes map[int]int) {
+func playWorstLosses(t *testing.T, seed int64, lossesByStep map[int]int) {
 	t.Helper()
 
 	budget := 1 + int(seed%2)
@@ -212,7 +213,7 @@
 		}
 		lost := change.chooseVictims(step)
 		fleet.loseMachines(lost, round)
-		outcomes[step]++
+		lossesByStep[step]++
 		fleet.electAny()
 		fleet.awaitAcknowledged()
 		fleet.repair(lost)
@@ -224,14 +225,14 @@
 // over. LEMONARCH_SEEDS sets the number of seeds.
 func TestSetChangesUnderWorstLosses(t *testing.T) {
 	seeds := int64(simulation.Seeds(200))
-	outcomes := map[int]int{}
+	lossesByStep := map[int]int{}
 	for seed := int64(1); seed <= seeds; seed++ {
-		playWorstLosses(t, seed, outcomes)
+		playWorstLosses(t, seed, lossesByStep)
 	}
 	for step := 0; step < stepCount; step++ {
-		if int64(outcomes[step]) < seeds/4 {
-			t.Fatal("too few losses at one of the steps: ", outcomes)
+		if int64(lossesByStep[step]) < seeds/4 {
+			t.Fatal("too few losses at one of the steps: ", lossesByStep)
 		}
 	}
-	t.Log("losses by step: ", outcomes)
+	t.Log("losses by step: ", lossesByStep)
 }
--- a/internal/batch/store/preemption_test.go
+++ b/internal/batch/store/preemption_test.go
@@ -76,7 +76,7 @@
 		s.schedulers[name].PumpWaiting(s.world.Now)
 	}
 	s.world.After(clock.Milliseconds(15), s.pumpSchedulers)
-	// Gossip runs on every fourth pump only, because the bursts are short too.
+	// Gossip runs on every fourth pump: its period is short (60 ms) because the bursts are short too.
 	if s.counts["pumps"]++; s.counts["pumps"]%4 == 0 {
 		for _, name := range simulation.Keys(s.schedulers) {
 			packet := s.schedulers[name].MakeGossip(s.world.Now)
--- a/internal/batch/store/recoveryfleet_test.go
+++ b/internal/batch/store/recoveryfleet_test.go
@@ -161,7 +161,7 @@
 	return all
 }
 
-// exchangeMembers makes every process known to every other, as heartbeats do.
+// exchangeMembers makes every process known to every other, as membership shuffles do.
 func (f *recoveryFleet) exchangeMembers() {
 	all := f.servers()
 	for _, server := range all {
--- a/internal/batch/store/report.go
+++ b/internal/batch/store/report.go
@@ -37,7 +37,7 @@
 }
 
 // reportStores reports the last index of this process's log and, if this process leads, those
-// of the other members.
+// of all members of the store set.
 func (s *Server) reportStores() *messages.StatusResponse {
 	last := strconv.FormatInt(s.Log.Extent().Last, 10)
 	status := &messages.StatusResponse{Columns: []string{"store", "disk", "records", "missing", "state"},
--- a/internal/batch/store/share_executor_test.go
+++ b/internal/batch/store/share_executor_test.go
@@ -138,8 +138,8 @@
 	}
 }
 
-// sendAcknowledgements sends a batch, and again until it gets a response. Each lane has at most
-// one batch in flight.
+// sendAcknowledgements sends a batch, and again until it gets a response. Lane 0 is for results,
+// lane 1 for releases; each has at most one batch in flight.
 func (s *simExecutor) sendAcknowledgements(lane int, batch []messages.Acknowledgement) {
 	if len(batch) == 0 || s.acknowledging[lane] {
 		return
@@ -163,7 +163,7 @@
 	})
 }
 
-// stopTasks closes the connections of runs, so that each run requeues its item.
+// stopTasks ends runs as closing their connections does: each run requeues its item.
 func (s *simExecutor) stopTasks(tasks []*executor.Task) {
 	for _, task := range tasks {
 		s.release(task, messages.Acknowledgement{})
--- a/internal/batch/store/share_sim_test.go
+++ b/internal/batch/store/share_sim_test.go
@@ -123,6 +123,7 @@
 		dispatcher.ExpireLocks(now)
 		dispatcher.AbandonExpired(s.terms, now)
 		dispatcher.RecordAcquisitionsKnown(now)
+		// Count the epochs in which all executors were accounted for before one lock duration had passed.
 		if now < dispatcher.StartedAt().Add(dispatcher.Lock) && !dispatcher.Uncertain(now) && s.counts[fmt.Sprint("sure", s.leader.epoch)] == 0 {
 			s.counts[fmt.Sprint("sure", s.leader.epoch)] = 1
 			s.counts["early"]++
--- a/internal/batch/store/simulation_test.go
+++ b/internal/batch/store/simulation_test.go
@@ -94,15 +94,16 @@
 	return fleet
 }
 
-func (s *simFleet) open(ss *simStore) {
-	store, err := replicalog.Open(ss.disk, ss.member.Disk)
+// open starts a store on its disk.
+func (s *simFleet) open(store *simStore) {
+	log, err := replicalog.Open(store.disk, store.member.Disk)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	// Files are rewritten as soon as half of their records are obsolete.
-	store.SetCompaction(replicalog.Compaction{Bytes: 1 << 40, Records: 6, Lag: clock.Milliseconds(150)})
-	ss.store, ss.down = store, false
-	ss.member.Disk = store.Disk()
+	log.SetCompaction(replicalog.Compaction{Bytes: 1 << 40, Records: 6, Lag: clock.Milliseconds(150)})
+	store.store, store.down = log, false
+	store.member.Disk = log.Disk()
 }
 
 // startTakeover makes a process campaign for a new epoch. The previous leader may not notice.
