--- a/internal/batch/dispatch/accounting.go
+++ b/internal/batch/dispatch/accounting.go
@@ -57,7 +57,8 @@
 }
 
 // RecordAcquisitionsKnown appends, once per epoch, a record that every acquisition of an earlier epoch
-// has either ended or been adopted. It does nothing while that is uncertain. Later leaders then need not wait for the executors of those epochs.
+// has either ended or been adopted. It does nothing while that is uncertain. Once the record is durable,
+// later leaders need not wait for the executors of those epochs.
 func (d *Dispatcher) RecordAcquisitionsKnown(now clock.Instant) {
 	if d.acquisitionsKnown || now < d.uncertainUntil {
 		return
--- a/internal/batch/jobclient/jobclient.go
+++ b/internal/batch/jobclient/jobclient.go
@@ -200,7 +200,7 @@
 	return c.checkStatus(resp, id)
 }
 
-// Body returns the request body of an item that is not listed yet.
+// Body returns the request body of an item as submitted, whether or not the item is listed yet.
 func (c *Client) Body(ctx contexts.Context, id, item string) ([]byte, error) {
 	resp, err := c.call(ctx, http.MethodGet, "/-/items/"+url.PathEscape(id)+"?id="+url.QueryEscape(item), nil, nil, constants.JobCallTimeout)
 	if err != nil {
--- a/internal/batch/leader/takeover.go
+++ b/internal/batch/leader/takeover.go
@@ -236,7 +236,7 @@
 
 // announce sends the leadership to all stores, since a store campaigns after about the duration of a
 // lease without an announcement, and to the known gateways in the first LeaderReminderRounds rounds and
-// every LeaderReminderRounds-th one after that. Any store gives the leadership to a process that was missed.
+// every LeaderReminderRounds-th one after that. A process that was missed can ask any store who leads.
 func (t *Term) announce() {
 	if !t.process.Election.HoldsLease() {
 		return
--- a/internal/batch/leader/term.go
+++ b/internal/batch/leader/term.go
@@ -149,7 +149,7 @@
 // Epoch returns the epoch of the term, which fences earlier terms.
 func (t *Term) Epoch() uint64 { return t.leadership.Epoch }
 
-// Close ends the term: it no longer responds to requests, runs items or writes records.
+// Close ends the term: it no longer responds to requests, dispatches items or writes records.
 func (t *Term) Close(reason string) {
 	t.lifecycle.closeOnce.Do(func() {
 		t.process.Node.Log.Info("leadership lost", "epoch", t.leadership.Epoch, "reason", reason)
--- a/internal/batch/leadership/leadership.go
+++ b/internal/batch/leadership/leadership.go
@@ -27,7 +27,7 @@
 	Epoch() uint64
 	// TakeOver prepares the term to serve. It is called in its own goroutine.
 	TakeOver()
-	// Close ends the term: it no longer responds to requests, runs items or writes records.
+	// Close ends the term: it no longer responds to requests, dispatches items or writes records.
 	Close(reason string)
 	// Closed reports whether the term has ended.
 	Closed() bool
--- a/internal/batch/store/share_sim_test.go
+++ b/internal/batch/store/share_sim_test.go
@@ -81,6 +81,7 @@
 	})
 }
 
+// freeze makes a machine stop processing messages until thaw, which delivers those that arrived meanwhile.
 func (s *shareCluster) freeze(name string) { s.frozen[name] = true }
 
 func (s *shareCluster) thaw(name string) {
--- a/internal/batch/store/simulation_test.go
+++ b/internal/batch/store/simulation_test.go
@@ -76,6 +76,7 @@
 	return newSimFleetOf(t, seed, count, 1, 3)
 }
 
+// newSimFleetOf creates count stores, the first size of which are the store set.
 func newSimFleetOf(t *testing.T, seed int64, count, budget, size int) *simFleet {
 	t.Helper()
 
