--- a/internal/batch/jobclient/jobclient.go
+++ b/internal/batch/jobclient/jobclient.go
@@ -19,7 +19,7 @@
 
 // Errors returned by Client.
 var (
-	// ErrOutcomeUnknown reports no conclusive response. The call may be retried at any gateway.
+	// ErrOutcomeUnknown reports that there was no conclusive response. The call may be retried at any gateway.
 	ErrOutcomeUnknown = errs.Define("outcome unknown")
 	// ErrRejected reports a rejection: the system guarantees that no item of the job runs.
 	ErrRejected = errs.Define("lot refused")
@@ -63,7 +63,7 @@
 	Outputs []Output `json:"outputs"`
 }
 
-// Client calls the gateways of a fleet, each call on a new connection.
+// Client calls the gateways of a fleet, each call on a new connection. It is not safe for concurrent use.
 type Client struct {
 	// Edges contains gateway addresses, host:port. After a failure the next one is used.
 	Edges []string
@@ -200,7 +200,7 @@
 	return c.checkStatus(resp, id)
 }
 
-// Body returns the request body of an item that is not listed yet.
+// Body returns the request body of an item as submitted, whether or not the item is listed yet.
 func (c *Client) Body(ctx contexts.Context, id, item string) ([]byte, error) {
 	resp, err := c.call(ctx, http.MethodGet, "/-/items/"+url.PathEscape(id)+"?id="+url.QueryEscape(item), nil, nil, constants.JobCallTimeout)
 	if err != nil {
--- a/internal/batch/store/share_sim_test.go
+++ b/internal/batch/store/share_sim_test.go
@@ -81,6 +81,7 @@
 	})
 }
 
+// freeze makes a machine stop processing messages until thaw, which delivers those that arrived meanwhile.
 func (s *shareCluster) freeze(name string) { s.frozen[name] = true }
 
 func (s *shareCluster) thaw(name string) {
@@ -123,6 +124,7 @@
 		dispatcher.ExpireLocks(now)
 		dispatcher.AbandonExpired(s.terms, now)
 		dispatcher.RecordAcquisitionsKnown(now)
+		// Count the epochs in which all executors were accounted for before one lock duration had passed.
 		if now < dispatcher.StartedAt().Add(dispatcher.Lock) && !dispatcher.Uncertain(now) && s.counts[fmt.Sprint("sure", s.leader.epoch)] == 0 {
 			s.counts[fmt.Sprint("sure", s.leader.epoch)] = 1
 			s.counts["early"]++
--- a/internal/batch/store/simulation_test.go
+++ b/internal/batch/store/simulation_test.go
@@ -76,6 +76,7 @@
 	return newSimFleetOf(t, seed, count, 1, 3)
 }
 
+// newSimFleetOf creates count stores, the first size of which are the store set.
 func newSimFleetOf(t *testing.T, seed int64, count, budget, size int) *simFleet {
 	t.Helper()
 
@@ -94,15 +95,16 @@
 	return fleet
 }
 
-func (s *simFleet) open(ss *simStore) {
-	store, err := replicalog.Open(ss.disk, ss.member.Disk)
+// open starts a store on its disk.
+func (s *simFleet) open(store *simStore) {
+	log, err := replicalog.Open(store.disk, store.member.Disk)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	// Files are rewritten as soon as half of their records are obsolete.
-	store.SetCompaction(replicalog.Compaction{Bytes: 1 << 40, Records: 6, Lag: clock.Milliseconds(150)})
-	ss.store, ss.down = store, false
-	ss.member.Disk = store.Disk()
+	log.SetCompaction(replicalog.Compaction{Bytes: 1 << 40, Records: 6, Lag: clock.Milliseconds(150)})
+	store.store, store.down = log, false
+	store.member.Disk = log.Disk()
 }
 
 // startTakeover makes a process campaign for a new epoch. The previous leader may not notice.
