--- a/cmd/lemonarch/assign_apply_test.go
+++ b/cmd/lemonarch/assign_apply_test.go
@@ -67,7 +67,7 @@
 	if _, _, code, line := runApply(shell, change("# Which nodes", "# Nodes that")); code != exitInvalid || !strings.Contains(line, "generation is not above") {
 		t.Fatal(code, line)
 	}
-	// n3 has no slot any more: the reader would have to move, and no other node can take it.
+	// n3 has no slot any more: battery-fault-reader would have to move, and no other node can take it.
 	output, _, code, _ := runApply(shell, change("generation = 4", "generation = 5", "adapter-slots = 1", "adapter-slots = 0"))
 	if code != exitInvalid || !strings.HasPrefix(output, `{"collisions":[`) {
 		t.Fatal(code, output)
--- a/cmd/lemonarch/jobs.go
+++ b/cmd/lemonarch/jobs.go
@@ -155,7 +155,8 @@
 	return command
 }
 
-// printOutputs prints the listed outputs of a job from a position on, and then a summary.
+// printOutputs prints the listed outputs of a job from a position on, and then a summary. It repeats a
+// read after a retryable error until the context ends.
 func printOutputs(ctx contexts.Context, client *jobclient.Client, id string, from int, command *cobra.Command) error {
 	writer := json.NewEncoder(command.OutOrStdout())
 	for cursor := from; ; {
--- a/cmd/lemonarch/lab_load.go
+++ b/cmd/lemonarch/lab_load.go
@@ -109,7 +109,8 @@
 	return experiment.Run(ctx, options)
 }
 
-// driveFleets sends load to fleets that are already running, to all at the same time.
+// driveFleets sends load to fleets that are already running, to all at the same time. The results are in
+// the order of the addresses; those of fleets that failed are nil, and one of their errors is returned.
 func driveFleets(ctx contexts.Context, options loadgen.Options, addresses []string) ([]*loadgen.Result, error) {
 	if err := options.Check(); err != nil {
 		return nil, err
--- a/cmd/lemonarch/main.go
+++ b/cmd/lemonarch/main.go
@@ -12,8 +12,9 @@
 	"github.com/spf13/cobra"
 )
 
-// Exit codes of failures: exitInvalid if the check or operation failed, exitUnusable if the call
-// itself is wrong (flags, arguments, files). Success is 0.
+// Exit codes of failures: exitInvalid if the check or operation failed, exitUnusable if there is no
+// result: the call itself is wrong (flags, arguments, files), planning timed out, or the error has no
+// code of its own. Success is 0.
 const (
 	exitInvalid  = 1
 	exitUnusable = 2
--- a/internal/platform/constants/replicas.go
+++ b/internal/platform/constants/replicas.go
@@ -14,11 +14,11 @@
 	// A member that lags further behind has to be copied anew.
 	RewriteLag = 20 * time.Second
 	// SetAgreementTimeout is how long a change of the store set may wait until the new set stores
-	// all records: as long as a member may be silent before it counts as silent. The change is
+	// all records: as long as a process may send nothing before it counts as silent. The change is
 	// then abandoned, since a member that is silent for longer may require another change.
 	SetAgreementTimeout = SuspectAfter
-	// JoinerWait is how much longer than twice the time of the first joiner the other joiners of
-	// a change may take.
+	// JoinerWait is part of the time that the other joiners of a change have after the first one
+	// is complete: as long as the first one took, and JoinerWait in addition.
 	JoinerWait = time.Second
 	// IntakeBytes is the maximum number of bytes of jobs in transit to the leader or to the
 	// stores: a fifth of a second of the slowest links, and enough to keep them busy.
--- a/internal/platform/constants/views.go
+++ b/internal/platform/constants/views.go
@@ -23,9 +23,9 @@
 	// FreshReportAge is the age below which a controller reports a process as in contact just
 	// now: one report per second, and one heartbeat between controllers.
 	FreshReportAge = 1800 * time.Millisecond
-	// NeighbourRounds is the number of rounds of which a process shuffles in one with a neighbour
-	// in addition to its report to a controller. That matters only while no controller is
-	// available.
+	// NeighbourRounds is the number of rounds, each with a report to a controller, in which a
+	// process shuffles once with a neighbour as well. The shuffle matters only while no controller
+	// is available, and is then made in each round.
 	NeighbourRounds = 10
 	// SuspectAfter is the silence after which a process counts as silent.
 	SuspectAfter = 3 * time.Second
--- a/internal/platform/contexts/contexts.go
+++ b/internal/platform/contexts/contexts.go
@@ -18,7 +18,8 @@
 	return func() { remove() }
 }
 
-// WithTimeout returns a context that is cancelled after a timeout.
+// WithTimeout returns a context that is cancelled after a timeout, and the function that cancels it
+// earlier.
 func WithTimeout(parent Context, timeout time.Duration) (Context, func()) {
 	return context.WithTimeout(parent, timeout)
 }
--- a/internal/platform/inbound/listener.go
+++ b/internal/platform/inbound/listener.go
@@ -28,7 +28,7 @@
 	evicted, refused atomic.Int64
 }
 
-// Listen listens on an address. The requests of its connections share the memory limit with those of
+// Listen listens on an address for at most the given number of open connections, 0 for no limit. The requests of its connections share the memory limit with those of
 // the process's other listeners.
 func Listen(address string, connections int, memory *Memory) (*Listener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
@@ -63,7 +63,8 @@
 	_ = raw.Control(func(descriptor uintptr) { _ = syscall.Listen(int(descriptor), connections) })
 }
 
-// NewListener counts the connections of a listener. Heads are bounded by constants.HeadLimit until
+// NewListener wraps a listener, whose open connections it counts and limits: connections is the
+// maximum number, 0 for no limit. Heads are bounded by constants.HeadLimit until
 // SetHeadLimit says otherwise.
 func NewListener(listener net.Listener, connections int, memory *Memory) *Listener {
 	l := &Listener{Listener: listener, memory: memory, connections: connections, open: map[*Conn]struct{}{}}
--- a/internal/platform/inbound/memory.go
+++ b/internal/platform/inbound/memory.go
@@ -100,6 +100,7 @@
 	for i := range candidates {
 		candidates[i].charged = candidates[i].connection.charged
 		if candidates[i].connection == c {
+			// A request is not evicted to make room for itself.
 			candidates[i].phase = phaseServing
 		}
 	}
--- a/internal/platform/inbound/request.go
+++ b/internal/platform/inbound/request.go
@@ -88,8 +88,8 @@
 	framingAmbiguous
 )
 
-// begin records that the head is complete. Until the handler reads the body, the body is treated as
-// one to discard.
+// begin records that the head is complete, and classifies its framing. Until the handler reads the
+// body, the body is treated as one to discard.
 func (c *Conn) begin(request *http.Request) framing {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -138,7 +138,8 @@
 	return !c.evicted
 }
 
-// end releases the memory charged to the request.
+// end releases the memory charged to the request. If the rest of the body is still to be discarded, its
+// timeout starts again.
 func (c *Conn) end() {
 	c.listener.memory.release(c)
 	c.lock.Lock()
--- a/internal/platform/inbound/victim.go
+++ b/internal/platform/inbound/victim.go
@@ -22,7 +22,7 @@
 // chooseRequest returns the request to evict for its memory: the slowest of those that have been
 // arriving for at least ClientGrace; if there is none, the largest, provided that it is charged more
 // than twice the total that the requesting one needs. A request that was received completely is never
-// evicted. Returns nil if there is no such request.
+// evicted. It returns nil if there is no such request.
 func chooseRequest(candidates []candidate, total int64, now clock.Instant) *candidate {
 	var slowest, largest *candidate
 	for i := range candidates {
@@ -49,7 +49,7 @@
 // chooseConnection returns the connection to close for a new one: the one that has been idle for the
 // longest time; else the slowest of those whose request has been arriving for at least ClientGrace;
 // else the one whose client has not read its response for the longest time, at least ClientUnreadTimeout.
-// Returns nil if there is no such connection.
+// It returns nil if there is no such connection.
 func chooseConnection(candidates []candidate, now clock.Instant) *candidate {
 	var idle, slowest, stalled *candidate
 	for i := range candidates {
--- a/internal/platform/messages/dispatch.go
+++ b/internal/platform/messages/dispatch.go
@@ -32,7 +32,8 @@
 	Path        string  `msg:"p"`
 	SubmittedMs int64   `msg:"t"`
 	Item        JobItem `msg:"i"`
-	// LastID and Events are the events of an earlier attempt that its RELEASE returned.
+	// Events are the events of an earlier attempt that its RELEASE returned, and LastID the id of
+	// the last of them, zero if there are none.
 	LastID        int64    `msg:"e"`
 	Events        [][]byte `msg:"g"`
 	Preempted     int      `msg:"y"`
@@ -64,7 +65,8 @@
 	Output []byte `msg:"t"`
 	// Compressed is set if Output is compressed (DEFLATE).
 	Compressed bool `msg:"z"`
-	// Events and LastID are the events that a RELEASE returns, from the first event on.
+	// Events are the events that a RELEASE returns, from the first event on, and LastID the id of
+	// the last of them.
 	Events [][]byte `msg:"g"`
 	LastID int64    `msg:"e"`
 	// Failed marks a RELEASE after a 500, Preempted one after a preemption, NotStarted one of an
--- a/internal/platform/messages/gossip.go
+++ b/internal/platform/messages/gossip.go
@@ -21,9 +21,12 @@
 // RunningUnknown marks a load sample without a load, which contains only the health.
 const RunningUnknown = 255
 
-// The special values of the health in a load sample, which is always the sender's own evidence.
+// The values of the health in a load sample, which is always the sender's own evidence. A receiver
+// treats every value other than HealthSuspect as no suspicion.
 const (
+	// HealthUnknown means that the sender does not suspect the worker.
 	HealthUnknown = 255
+	// HealthSuspect means that the sender has ejected the worker.
 	HealthSuspect = 0
 )
 
@@ -32,7 +35,7 @@
 type LoadSample struct {
 	// WorkerHash is the hash of the worker's id.
 	WorkerHash uint32
-	// Running is how many requests of all callers the worker had.
+	// Running is how many requests of all callers the worker had, or RunningUnknown.
 	Running int
 	// AgeMs is how long ago the worker reported it, in ms. It is kept when the sample is
 	// forwarded.
--- a/internal/platform/process/main.go
+++ b/internal/platform/process/main.go
@@ -27,7 +27,7 @@
 // Main is the main function of all daemons: it reads the settings, handles signals and sets the exit
 // code. make creates the daemon's process.
 func Main(name string, make func(nodeSettings *settings.Settings, log hclog.Logger) (Process, error)) {
-	// Done first, because a SIGHUP that is not caught ends the process.
+	// Signals are caught before anything else, because a SIGHUP that is not caught ends the process.
 	received := catchSignals()
 	nodeSettings, err := settings.Load()
 	if err != nil {
--- a/internal/platform/process/runtime.go
+++ b/internal/platform/process/runtime.go
@@ -46,8 +46,8 @@
 // handler serves one kind of request; the request and the response are encoded.
 type handler func(body []byte) ([]byte, error)
 
-// Prepare applies the machine's resource limits to the Go runtime. It runs before anything is
-// allocated.
+// Prepare applies the machine's resource limits to the Go runtime. Main calls it before it creates the
+// process.
 func Prepare(nodeSettings *settings.Settings) {
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(constants.CollectPercent)
--- a/internal/platform/process/status.go
+++ b/internal/platform/process/status.go
@@ -8,7 +8,9 @@
 )
 
 // Report registers the function that responds to a status query of the shell. A report must only
-// read state, and must be short. A later registration replaces an earlier one.
+// read state, and must be short. A later registration replaces an earlier one. Report must not be
+// called after Start, since queries are served without a lock. A query without a report gets an empty
+// response.
 func (r *Runtime) Report(query string, report func() *messages.StatusResponse) {
 	r.reports[query] = report
 }
@@ -32,7 +34,7 @@
 	return resp, nil
 }
 
-// filterByZone returns the rows whose column "zone" equals zone.
+// filterByZone returns the rows whose column "zone" equals zone, and none if there is no such column.
 func filterByZone(status *messages.StatusResponse, zone string) [][]string {
 	var matching [][]string
 	for i, column := range status.Columns {
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -76,8 +76,7 @@
 	QuotaOvershoot float64 `toml:"quota-overshoot"`
 }
 
-// Load reads and checks the settings file named by the environment variable
-// PathVariable.
+// Load reads and checks the settings file whose path is in the environment variable PathVariable.
 func Load() (*Settings, error) {
 	path := os.Getenv(PathVariable)
 	if path == "" {
@@ -95,7 +94,8 @@
 	return Parse(data)
 }
 
-// Parse reads and checks the text of a settings file.
+// Parse reads and checks the text of a settings file. If only the check fails, it returns the settings
+// with the error, so that Check can list all findings.
 func Parse(data []byte) (*Settings, error) {
 	nodeSettings := &Settings{}
 	if _, err := toml.Decode(string(data), nodeSettings); err != nil {
@@ -161,7 +161,8 @@
 	return net.JoinHostPort(host, strconv.Itoa(s.InternalPorts[0]+offset))
 }
 
-// SeedAddresses returns the internal addresses of the controllers listed as seeds.
+// SeedAddresses returns the internal addresses of the controllers listed as seeds; offset has the same
+// meaning as in InternalAddress.
 func (s *Settings) SeedAddresses(offset int) []string {
 	var addresses []string
 	for _, seed := range s.Seeds {
--- a/internal/platform/transport/async.go
+++ b/internal/platform/transport/async.go
@@ -33,7 +33,8 @@
 // later.
 type AsyncHandler func(kind messages.Kind, body []byte, reply func([]byte, error))
 
-// OnFrame sets the function that is called for every frame; it must not block.
+// OnFrame sets the function that is called for every frame; it must not block. Call and Notify send no
+// frame to an address without a handler, and a Call from or to a partitioned address sends none either.
 func (r *MemoryNetwork) OnFrame(observer func(ObservedFrame)) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/platform/transport/everybyte_test.go
+++ b/internal/platform/transport/everybyte_test.go
@@ -41,7 +41,7 @@
 	return l.calls[body]
 }
 
-// frameLength is larger than any request or response frame of this test.
+// frameLength is the length in bytes of the longest frame of this test: a header and "one to right".
 const frameLength = 17 + 12
 
 // TestFaultAtEveryByteOfAFrame injects each fault at every byte of a request and of its response. Each
--- a/internal/platform/transport/memory.go
+++ b/internal/platform/transport/memory.go
@@ -12,7 +12,7 @@
 	lock        sync.Mutex
 	handlers    map[string]Handler
 	partitioned map[string]bool
-	// onFrame is called for every frame; environment configures CallAsync and NotifyAsync.
+	// onFrame, set by OnFrame, observes the frames; environment configures CallAsync and NotifyAsync.
 	onFrame       func(ObservedFrame)
 	environment   Environment
 	meters        map[string]*Meter
--- a/internal/platform/transport/peer.go
+++ b/internal/platform/transport/peer.go
@@ -10,7 +10,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// peer is one remote process and the connection to it.
+// peer is one remote process and the connection to it. Its lock guards the fields after it.
 type peer struct {
 	address   string
 	transport *TCP
@@ -31,7 +31,8 @@
 
 // peerConn is one connection and its pending calls.
 type peerConn struct {
-	conn         net.Conn
+	conn net.Conn
+	// writing is locked while a frame is numbered and written; lock guards the fields after it.
 	writing      sync.Mutex
 	lock         sync.Mutex
 	pending      map[uint64]pendingCall
--- a/internal/platform/transport/tcp.go
+++ b/internal/platform/transport/tcp.go
@@ -36,8 +36,9 @@
 
 // TCP is the Transport over TCP.
 type TCP struct {
-	ownAddress    string
-	meter         *Meter
+	ownAddress string
+	meter      *Meter
+	// lock guards peers, listener, closed and accepted.
 	lock          sync.Mutex
 	peers         map[string]*peer
 	listener      net.Listener
--- a/internal/tooling/crowd/control_test.go
+++ b/internal/tooling/crowd/control_test.go
@@ -68,7 +68,8 @@
 	f.checkWithCrowd(t, f.control(), 2*fileHandles, Request{Silent: true, StayOpen: true})
 }
 
-// A body that costs far more to check than to send: deeply nested JSON.
+// TestControlOutlastsDeepConfigurations sends bodies that cost far more to check than to send: deeply
+// nested JSON.
 func TestControlOutlastsDeepConfigurations(t *testing.T) {
 	f := startFleet(t)
 	request := replace(FramingLength)
@@ -76,7 +77,8 @@
 	f.checkWithCrowd(t, f.control(), crowdMembers/8, request)
 }
 
-// A body that costs far more to check than to send: many different routes, all with the same errors.
+// TestControlOutlastsConfigurationsOfManyRoutes sends bodies that cost far more to check than to send:
+// many different routes, all with the same errors.
 func TestControlOutlastsConfigurationsOfManyRoutes(t *testing.T) {
 	f := startFleet(t)
 	var routes []string
--- a/internal/tooling/crowd/ingress_test.go
+++ b/internal/tooling/crowd/ingress_test.go
@@ -62,7 +62,8 @@
 	f.checkWithCrowd(t, f.ingress(), crowdMembers, request)
 }
 
-// A body that still arrives, one byte every 50 ms, must not be treated as stalled.
+// TestIngressOutlastsBodiesThatCreep sends bodies that still arrive, one byte every 50 ms, and must not
+// be treated as stalled.
 func TestIngressOutlastsBodiesThatCreep(t *testing.T) {
 	f := startFleet(t)
 	request := post("status", FramingLength)
@@ -98,8 +99,8 @@
 	f.checkWithCrowd(t, f.ingress(), crowdMembers, request)
 }
 
-// Nothing in the gateway reads the body, since there is no route for the request.
-// (TestReadinessOutlastsBodies does the same with a call that takes no body.)
+// TestIngressOutlastsBodiesWithoutARoute sends bodies that nothing in the gateway reads, since there is
+// no route for the request. (TestReadinessOutlastsBodies does the same with a call that takes no body.)
 func TestIngressOutlastsBodiesWithoutARoute(t *testing.T) {
 	f := startFleet(t)
 	f.checkWithCrowd(t, f.ingress(), crowdMembers, stopShort(post("nowhere", FramingLength)))
@@ -137,8 +138,8 @@
 	return []byte(`{"requests":[` + strings.Join(lines, ",") + `]}`)
 }
 
-// Complete batch jobs, all of which are accepted: their contents must fit into the memory of the
-// store.
+// TestStoreOutlastsWholeJobs sends complete batch jobs, all of which are accepted: their contents must
+// fit into the memory of the store.
 func TestStoreOutlastsWholeJobs(t *testing.T) {
 	f := startFleet(t)
 	request := post("batch", FramingLength)
@@ -147,7 +148,8 @@
 	f.checkWithCrowd(t, f.ingress(), crowdMembers, request)
 }
 
-// A batch job of allowed length with far more items than a job may have.
+// TestStoreOutlastsJobsOfTooManyItems sends batch jobs of allowed length with far more items than a job
+// may have.
 func TestStoreOutlastsJobsOfTooManyItems(t *testing.T) {
 	f := startFleet(t)
 	request := post("batch", FramingLength)
@@ -156,8 +158,8 @@
 	f.checkWithCrowd(t, f.ingress(), crowdMembers/4, request)
 }
 
-// A prompt prefix of as many parts as fit into a head. The first part is unique, so that no two
-// prompts share a prefix.
+// TestIngressOutlastsPromptsOfManyParts sends prompt prefixes of as many parts as fit into a head. The
+// first part is unique, so that no two prompts share a prefix.
 func TestIngressOutlastsPromptsOfManyParts(t *testing.T) {
 	f := startFleet(t)
 	request := post("query", FramingLength)
--- a/internal/tooling/explore/explore_test.go
+++ b/internal/tooling/explore/explore_test.go
@@ -27,8 +27,8 @@
 	depth int
 }
 
-// With messages in any order and any of them lost, a chosen value is followed only by values
-// built on it, and every acknowledged version was chosen.
+// TestRegister checks, with messages in any order and any of them lost, that a chosen value is
+// followed only by values built on it, and that every acknowledged version was chosen.
 func TestRegister(t *testing.T) {
 	explore(t, []exploration{
 		{"two writers", twoWriters, 40},
@@ -40,7 +40,7 @@
 	})
 }
 
-// The same invariants while the set of acceptors changes.
+// TestChangeOfMembers checks the same invariants while the set of acceptors changes.
 func TestChangeOfMembers(t *testing.T) {
 	explore(t, []exploration{
 		{"a disk lost, its machine rejoins", diskLoss, 12},
@@ -63,7 +63,8 @@
 	}
 }
 
-// Removing any guard of the register must lead to a violation within the depth of CI.
+// TestRemovedGuardsAreDetected checks that removing any guard of the register leads to a violation
+// within the depth of CI.
 func TestRemovedGuardsAreDetected(t *testing.T) {
 	for _, test := range []struct {
 		name string
--- a/internal/tooling/explore/state.go
+++ b/internal/tooling/explore/state.go
@@ -39,8 +39,10 @@
 
 // process is one machine: an acceptor and, on some machines, a proposer.
 type process struct {
-	name  string
-	disk  string
+	name string
+	// disk is the identity of the machine's disk.
+	disk string
+	// first is the first acceptor set, empty on a machine outside it.
 	first []messages.Member
 	// promised, accepted and value are the acceptor's record. value is none if nothing was
 	// accepted.
@@ -90,6 +92,7 @@
 	value valueID
 }
 
+// none is the valueID of no value.
 const none valueID = -1
 
 // vote is the state of one ballot: its value and the acceptors that accepted it.
--- a/internal/tooling/faultrelay/faultrelay.go
+++ b/internal/tooling/faultrelay/faultrelay.go
@@ -12,7 +12,7 @@
 
 // The kinds of faults.
 const (
-	// Close closes both connections in order; Reset closes them with a TCP reset.
+	// Close closes both connections in an orderly way; Reset closes them with a TCP reset.
 	Close Fault = iota
 	Reset
 	// Drop forwards no more bytes in this direction and leaves the connections open.
@@ -46,15 +46,19 @@
 
 // Relay forwards connections from callers to a server and injects at most one armed fault.
 type Relay struct {
-	listener  net.Listener
-	target    string
-	lock      sync.Mutex
-	pending   *Injection
+	listener net.Listener
+	target   string
+	// lock guards pending, forwarded, received, open and closed.
+	lock    sync.Mutex
+	pending *Injection
+	// forwarded counts the bytes since Arm: 0 those from the caller, 1 those from the server.
+	// received is the bytes since Arm in the direction of the pending fault.
 	forwarded [2]int
 	received  []byte
 	thawed    chan struct{}
 	ended     chan struct{}
-	open      []net.Conn
+	// open lists the connections in pairs, the caller's before the server's.
+	open []net.Conn
 	// closed is set once End has closed the open connections; a connection that is accepted
 	// after that is closed at once.
 	closed bool
@@ -185,7 +189,7 @@
 // Thaw forwards the bytes that Freeze has delayed.
 func (r *Relay) Thaw() { close(r.thawed) }
 
-// End closes all connections in order and waits until the bytes read so far have been forwarded.
+// End closes all connections in an orderly way and waits until the bytes read so far have been forwarded.
 func (r *Relay) End() {
 	r.listener.Close()
 	close(r.ended)
--- a/internal/tooling/faultrelay/faultrelay_test.go
+++ b/internal/tooling/faultrelay/faultrelay_test.go
@@ -7,8 +7,8 @@
 	"lemonarch/internal/platform/clock"
 )
 
-// End must return no matter whether a caller connects before, during or after it. A connection
-// accepted during End must not be left open, or End waits for it for ever.
+// TestEndWhileACallerConnects checks that End returns no matter whether a caller connects before, during
+// or after it. A connection accepted during End must not be left open, or End waits for it for ever.
 func TestEndWhileACallerConnects(t *testing.T) {
 	server, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -27,7 +27,7 @@
 		}
 		served := make(chan net.Conn, 1)
 		go func() {
-			// Closes the connection once the caller has closed it, as servers do.
+			// The server closes the connection once the caller has closed it, as servers do.
 			connection, err := server.Accept()
 			if err == nil {
 				_, _ = connection.Read(make([]byte, 1))
--- a/internal/tooling/fleetshell/aliases_test.go
+++ b/internal/tooling/fleetshell/aliases_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Each earlier name of a query is an alias of a query, and no name is both a query and an alias.
+// TestAliasesLeadToQueries checks that each earlier name of a query is an alias of a query, and that no
+// name is both a query and an alias.
 func TestAliasesLeadToQueries(t *testing.T) {
 	for _, old := range []string{"duty", "lots", "pace", "displacement"} {
 		name, isAlias := Aliases[old]
--- a/internal/tooling/fleetshell/fleet_test.go
+++ b/internal/tooling/fleetshell/fleet_test.go
@@ -9,8 +9,9 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// A seed that knows only a few processes leads to a controller, which lists all of them zone by zone. A
-// controller that does not respond is skipped.
+// TestQueryUsesControllerDirectory checks that a seed which knows only a few processes leads to a
+// controller, which lists all of them zone by zone, and that a controller that does not respond is
+// skipped.
 func TestQueryUsesControllerDirectory(t *testing.T) {
 	network := transport.NewMemoryNetwork()
 	columns := []string{"process", "zone", "address"}
--- a/internal/tooling/forecast/constants.go
+++ b/internal/tooling/forecast/constants.go
@@ -16,7 +16,7 @@
 	// windowMs is the length of the time windows in which shortages are detected, in ms.
 	windowMs = 1000.0
 	// queueShare is the fraction of its latency target that a request may wait in the queue
-	// before it is refused. Gateways apply constants.QueueShare in the same way.
+	// before it is refused. Gateways apply constants.QueueShare, a little less, in the same way.
 	queueShare = 0.25
 	// observationsMin is the minimum number of placed requests for a prediction about a class;
 	// pointsMin is the minimum number of samples for fitting a line to a service.
