--- a/cmd/lemonarch/jobs_test.go
+++ b/cmd/lemonarch/jobs_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// The commands for batch jobs also work under their earlier names, with the same flags.
+// TestEarlierNamesOfJobCommands checks that the commands for batch jobs also work under their earlier
+// names, with the same flags.
 func TestEarlierNamesOfJobCommands(t *testing.T) {
 	for _, names := range [][2]string{
 		{"jobs", "lots"},
--- a/cmd/lemonarch/version_test.go
+++ b/cmd/lemonarch/version_test.go
@@ -21,7 +21,8 @@
 	}
 }
 
-// The flag prints one line with the program's name and needs no other argument.
+// TestVersionFlag checks that the flag prints one line with the program's name and needs no other
+// argument.
 func TestVersionFlag(t *testing.T) {
 	root, output := rootCommand(), &bytes.Buffer{}
 	root.SetOut(output)
--- a/internal/tooling/explore/state.go
+++ b/internal/tooling/explore/state.go
@@ -42,7 +42,7 @@
 	name string
 	// disk is the identity of the machine's disk.
 	disk string
-	// first is the first acceptor set, empty on a machine outside it.
+	// first is the first acceptor set; empty on a machine outside it, or whose disk was lost.
 	first []messages.Member
 	// promised, accepted and value are the acceptor's record. value is none if nothing was
 	// accepted.
--- a/internal/tooling/explore/walk_test.go
+++ b/internal/tooling/explore/walk_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// Long random histories in which members are replaced, lose their disks and rejoin many times
-// while versions are applied one after another.
+// TestLongHistories explores long random histories in which members are replaced, lose their disks and
+// rejoin many times while versions are applied one after another.
 func TestLongHistories(t *testing.T) {
 	plan := Plan{Members: threeMembers, NonMembers: []string{"d", "e"}, Suspect: "a",
 		Reconcilers: []string{"a", "b", "c", "d"}, Writers: []string{"e"}, Versions: 20,
--- a/internal/tooling/forecast/forecast_test.go
+++ b/internal/tooling/forecast/forecast_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// Guards against a forecast that names the wrong family or resource: the family that the surge
-// overloads must be predicted to run short first, of the resource that the surge exhausts.
+// TestPredictsTheFamilyThatRunsShort guards against a forecast that names the wrong family or resource:
+// the family that the surge overloads must be predicted to run short first, of the resource that the
+// surge exhausts.
 func TestPredictsTheFamilyThatRunsShort(t *testing.T) {
 	known := testKnown(t)
 	for _, test := range []struct{ name, text, first, resource string }{
@@ -40,8 +41,8 @@
 	}
 }
 
-// Guards against reports that depend on the order of the summaries: the same scenario and seed must
-// result in the same bytes.
+// TestSameScenarioSameBytes guards against reports that depend on the order of the summaries: the same
+// scenario and seed must result in the same bytes.
 func TestSameScenarioSameBytes(t *testing.T) {
 	text := surgeTOML(trafficTOML("kiosk", "factor = 4.0")+trafficTOML("batch", "items = 4000\ndue-s = 8")) + "[[families]]\nname = \"both\"\nservices = [\"llm\", \"app\"]\n"
 	var first bytes.Buffer
@@ -74,8 +75,8 @@
 	return resources
 }
 
-// Guards against capacity that grows with traffic: a higher rate must never lower the use of a
-// resource or raise the factor left.
+// TestMoreTrafficNeverGivesMoreCapacity guards against capacity that grows with traffic: a higher rate
+// must never lower the use of a resource or raise the factor left.
 func TestMoreTrafficNeverGivesMoreCapacity(t *testing.T) {
 	known, random := testKnown(t), rand.New(rand.NewPCG(4, 4))
 	for range 30 {
@@ -91,7 +92,8 @@
 	}
 }
 
-// Splitting the traffic of a surge into two equal parts must not change the predicted capacity.
+// TestSplitSurgeHasSameCapacity checks that splitting the traffic of a surge into two equal parts does
+// not change the predicted capacity.
 func TestSplitSurgeHasSameCapacity(t *testing.T) {
 	known := testKnown(t)
 	whole := resourceUse(runForecast(t, known, surgeTOML(trafficTOML("draft", "rate = 80.0"))))
@@ -103,8 +105,9 @@
 	}
 }
 
-// Guards against predictions without a basis: a family without a surge must not run short, and a
-// class with too few observed requests must be reported as unknown instead of with figures.
+// TestUnobservedClassesAreUnknown guards against predictions without a basis: a family without a surge
+// must not run short, and a class with too few observed requests must be reported as unknown instead of
+// with figures.
 func TestUnobservedClassesAreUnknown(t *testing.T) {
 	known := testKnown(t)
 	predicted := runForecast(t, known, surgeTOML(trafficTOML("draft", "rate = 900.0")))
@@ -129,7 +132,8 @@
 	}
 }
 
-// Nodes that did not respond must be named in the report and widen the intervals.
+// TestMissingNodesWidenTheIntervals checks that nodes which did not respond are named in the report and
+// widen the intervals.
 func TestMissingNodesWidenTheIntervals(t *testing.T) {
 	text := surgeTOML(trafficTOML("kiosk", "factor = 7.0"))
 	width := func(known *FleetState) float64 {
@@ -155,7 +159,7 @@
 	}
 }
 
-// Excluding one of two equal zones must double the use of slots.
+// TestExcludedZoneReducesCapacity checks that excluding one of two equal zones doubles the use of slots.
 func TestExcludedZoneReducesCapacity(t *testing.T) {
 	known := testKnown(t)
 	text := surgeTOML(trafficTOML("kiosk", "factor = 2.0"))
@@ -165,7 +169,8 @@
 	}
 }
 
-// Each wrong field of a scenario must be named in a finding, and no report returned.
+// TestFindings checks that each wrong field of a scenario is named in a finding, and that no report is
+// returned.
 func TestFindings(t *testing.T) {
 	for _, test := range []struct{ text, want string }{
 		{"", "surges: missing"},
@@ -193,8 +198,8 @@
 	}
 }
 
-// A written forecast must be readable, and a review must name the family that ran short since: the
-// one whose requests were refused, or none if there were no refusals.
+// TestRecordAndReview checks that a written forecast can be read, and that a review names the family that
+// ran short since: the one whose requests were refused, or none if there were no refusals.
 func TestRecordAndReview(t *testing.T) {
 	known, path := testKnown(t), t.TempDir()+"/kept.json"
 	text := surgeTOML(trafficTOML("status", "rate = 900.0"))
--- a/internal/tooling/forecastcases/cases_test.go
+++ b/internal/tooling/forecastcases/cases_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// Guards against a loss of accuracy of the forecast: in at least 27 of 30 generated cases the family
-// that runs short must be the predicted one, and for nine in ten classes the prediction whether they
-// become late must be right.
+// TestForecastsMatchOutcomes guards against a loss of accuracy of the forecast: in at least 27 of 30
+// generated cases the family that runs short must be the predicted one, and for nine in ten classes the
+// prediction whether they become late must be right.
 func TestForecastsMatchOutcomes(t *testing.T) {
 	var results []*Result
 	for number := range 30 {
--- a/internal/tooling/forecastcases/simulation.go
+++ b/internal/tooling/forecastcases/simulation.go
@@ -11,7 +11,7 @@
 )
 
 // queueShare is the fraction of a class's latency target that its requests wait for an engine before
-// they are refused, as at a gateway.
+// they are refused, as in package forecast. That of gateways is a little less (constants.QueueShare).
 const queueShare = 0.25
 
 // windowMs is the length of the time windows in which a family's shortage is detected, with the same
--- a/internal/tooling/lab/fleet.go
+++ b/internal/tooling/lab/fleet.go
@@ -134,7 +134,8 @@
 }
 
 // retryUntil calls check every LabRetry until it succeeds. It returns the error of check if that is a
-// rejection or the deadline has passed, and the failure of a process if there is one.
+// rejection or the deadline has passed, the failure of a process if there is one, and an error once
+// the context is cancelled.
 func (f *Fleet) retryUntil(ctx contexts.Context, deadline clock.Instant, activity string, check func() error) error {
 	for {
 		err := check()
--- a/internal/tooling/lab/lab_test.go
+++ b/internal/tooling/lab/lab_test.go
@@ -49,8 +49,8 @@
 	return ""
 }
 
-// Every process of plans of several sizes gets settings that the daemons accept, and no two processes
-// of a role share an address.
+// TestSettingsAreValid checks that every process of plans of several sizes gets settings that the daemons
+// accept, and that no two processes of a role share an address.
 func TestSettingsAreValid(t *testing.T) {
 	for _, counts := range [][4]int{{1, 1, 1, 1}, {2, 3, 3, 2}, {5, 9, 4, 3}, {1, 5, 7, 9}} {
 		plan := NewPlan()
@@ -107,7 +107,8 @@
 	}
 }
 
-// The error of a start names an address in use, before anything is started.
+// TestBusyAddressIsReported checks that the error of a start names an address in use, before anything is
+// started.
 func TestBusyAddressIsReported(t *testing.T) {
 	plan := NewPlan()
 	plan.Network, plan.Programs = ownNetwork(t), programs(t, "exec sleep 60")
@@ -126,8 +127,8 @@
 	}
 }
 
-// If a process exits during the start, the error contains its name and the last line of its log, and the
-// other processes are stopped by their ids.
+// TestExitedChildFailsStart checks that, if a process exits during the start, the error contains its name
+// and the last line of its log, and the other processes are stopped by their ids.
 func TestExitedChildFailsStart(t *testing.T) {
 	plan := NewPlan()
 	plan.Network, plan.Programs = ownNetwork(t), programs(t, "exec sleep 60")
@@ -149,7 +150,7 @@
 	}
 }
 
-// A start whose context is cancelled stops what it has started.
+// TestCancelledStart checks that a start whose context is cancelled stops what it has started.
 func TestCancelledStart(t *testing.T) {
 	plan := NewPlan()
 	plan.Network, plan.Programs = ownNetwork(t), programs(t, "exec sleep 60")
@@ -189,7 +190,8 @@
 	}
 }
 
-// Each change is based on the previous generation, and a rejection is not retried.
+// TestOperatorSendsNextGeneration checks that each change is based on the previous generation, and that a
+// rejection is not retried.
 func TestOperatorSendsNextGeneration(t *testing.T) {
 	var bases, bodies []string
 	status := http.StatusOK
--- a/internal/tooling/lab/process.go
+++ b/internal/tooling/lab/process.go
@@ -105,7 +105,8 @@
 	return lines[len(lines)-1]
 }
 
-// signal sends a signal to this process only, by its id.
+// signal sends a signal to this process only, by its id, unless it has exited. With expected set, an
+// exit from now on is not a failure.
 func (p *process) signal(signal os.Signal, expected bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
--- a/internal/tooling/lab/reload_test.go
+++ b/internal/tooling/lab/reload_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// When SIGHUP arrives, the changed settings file is already in place. A reload must not make a
-// process exit: the lab does not expect an exit after it. Here the script exits so that the test can
-// wait for it.
+// TestReloadWritesSettingsFile checks that the changed settings file is in place when SIGHUP arrives. A
+// reload must not make a process exit: the lab does not expect an exit after it. Here the script exits so
+// that the test can wait for it.
 func TestReloadWritesSettingsFile(t *testing.T) {
 	// If the tests run with SIGHUP ignored (nohup), their children inherit that, and a
 	// shell can't trap a signal that was ignored when it started.
--- a/internal/tooling/linearize/faults.go
+++ b/internal/tooling/linearize/faults.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// partition cuts a machine off from all others and from the operators, in one or both
-// directions.
+// partition cuts a machine off from all others, in one or both directions. Operators still reach
+// it. While its outgoing messages are cut, so are those to its own acceptor.
 func (f *Fleet) partition(victim *controller, toVictim, fromVictim bool) {
 	setPartitioned := func(partitioned bool) {
 		for _, name := range f.names {
--- a/internal/tooling/linearize/linearize_test.go
+++ b/internal/tooling/linearize/linearize_test.go
@@ -46,7 +46,8 @@
 	}
 }
 
-// Each removed guard must make the history of some seed not linearizable.
+// TestRemovedGuardsAreDetected checks that each removed guard makes the history of some seed not
+// linearizable.
 func TestRemovedGuardsAreDetected(t *testing.T) {
 	for name, defects := range map[string]Defects{
 		"a wiped acceptor keeps its identity":               {KeepIdentity: true},
--- a/internal/tooling/loadgen/check_test.go
+++ b/internal/tooling/loadgen/check_test.go
@@ -28,7 +28,8 @@
 	return run
 }
 
-// Each difference between the runs and the attempts must be found, and nothing else.
+// TestRunsAgainstWhatWasSent checks that each difference between the runs and the attempts is found, and
+// nothing else.
 func TestRunsAgainstWhatWasSent(t *testing.T) {
 	for name, test := range map[string]struct {
 		runs []workeremulator.Run
@@ -158,8 +159,8 @@
 	}
 }
 
-// During planned work, a request that ran at a worker must not have its connection ended before a
-// complete response. One that never reached a worker may.
+// TestCutRequestsThatRanAreFound checks that, during planned work, a request that ran at a worker and
+// whose connection ended before a complete response is found. One that never reached a worker is not.
 func TestCutRequestsThatRanAreFound(t *testing.T) {
 	attempts := map[string]*sentAttempt{"ran": {attempt: "ran", cut: true}, "crossed": {attempt: "crossed", cut: true}, "answered": {attempt: "answered"}}
 	runs := []workeremulator.Run{{Attempt: "ran", Worker: "w1"}, {Attempt: "ran", Worker: "w2"}, {Attempt: "answered", Worker: "w1"}}
--- a/internal/tooling/loadgen/drive_test.go
+++ b/internal/tooling/loadgen/drive_test.go
@@ -111,7 +111,8 @@
 	}
 }
 
-// Each fault of the workers must lead to a finding of its rule in the report.
+// TestBrokenWorkersAreCaught checks that each fault of the workers leads to a finding of its rule in the
+// report.
 func TestBrokenWorkersAreCaught(t *testing.T) {
 	for rule, faults := range map[string]workeremulator.Faults{"TWICE": {Twice: 1}, "ORDER": {Skip: 1}, "MIXED": {Forge: 1}} {
 		result := runWithWorkers(t, faults, nil)
@@ -130,8 +131,9 @@
 	return recorder.Result()
 }
 
-// A 503 promises that the request has not run, so every kind is retried; after a 502 only kinds that
-// may run more than once are retried, after a 400 none. Each try has an attempt id of its own.
+// TestRetriesByStatus checks which requests are retried. A 503 promises that the request has not run, so
+// every kind is retried; after a 502 only kinds that may run more than once are retried, after a 400
+// none. Each try has an attempt id of its own.
 func TestRetriesByStatus(t *testing.T) {
 	for status, want := range map[int]string{503: "failed 0", 502: "failed confirm review", 400: "failed confirm query review status"} {
 		sent := map[string]bool{}
@@ -161,7 +163,8 @@
 	}
 }
 
-// A successful response that no worker sent must be found by comparison with the workers' runs.
+// TestInventedSuccess checks that a successful response that no worker sent is found by comparison with
+// the workers' runs.
 func TestInventedSuccess(t *testing.T) {
 	result := runWithWorkers(t, workeremulator.Faults{}, func(request *http.Request) *http.Response {
 		attempt := request.Header.Get("Lemonarch-Attempt-Id")
@@ -179,7 +182,8 @@
 	}
 }
 
-// The same seed must draw the same requests, another seed other requests.
+// TestScheduleFollowsItsSeed checks that the same seed draws the same requests, and another seed other
+// requests.
 func TestScheduleFollowsItsSeed(t *testing.T) {
 	options := NewOptions()
 	routes := map[string]*routeconfig.Route{}
--- a/internal/tooling/loadgen/mix.go
+++ b/internal/tooling/loadgen/mix.go
@@ -128,7 +128,8 @@
 }
 
 // schedule draws the requests of a run: Poisson arrivals at a rate (open load). For a seed they are
-// the same regardless of the fleet's responses and its number of nodes.
+// the same regardless of the fleet's responses and, apart from the node of each first try, of its
+// number of nodes.
 func schedule(options *Options, routes map[string]*routeconfig.Route, nodes int) []arrival {
 	random := rand.New(rand.NewSource(options.Seed))
 	var arrivals []arrival
--- a/internal/tooling/loadgen/options_test.go
+++ b/internal/tooling/loadgen/options_test.go
@@ -23,7 +23,8 @@
 	return folder
 }
 
-// Each invalid file must lead to an error of one line that names the fault.
+// TestInvalidExperiments checks that each invalid file leads to an error of one line that names the
+// fault.
 func TestInvalidExperiments(t *testing.T) {
 	folder := programs(t)
 	for text, want := range map[string]string{
@@ -68,7 +69,8 @@
 	}
 }
 
-// Every field of a trouble can be set by its name in an experiment file.
+// TestFaultsAreReadCompletely checks that every field of a trouble can be set by its name in an
+// experiment file.
 func TestFaultsAreReadCompletely(t *testing.T) {
 	experiment, _, err := ReadExperiment(`[[trouble]]
 at-s = 1.0
@@ -85,7 +87,7 @@
 	}
 }
 
-// The experiment files of the documentation must be valid.
+// TestExperimentsOfTheDocuments checks that the experiment files of the documentation are valid.
 func TestExperimentsOfTheDocuments(t *testing.T) {
 	files, _ := filepath.Glob("../../../docs/experiments/*.toml")
 	if len(files) == 0 {
--- a/internal/tooling/soak/schedule_test.go
+++ b/internal/tooling/soak/schedule_test.go
@@ -16,7 +16,8 @@
 	return schedule
 }
 
-// The same seed gives the same schedule, byte for byte, and different seeds give different ones.
+// TestScheduleIsDeterministic checks that the same seed gives the same schedule, byte for byte, and
+// different seeds different ones.
 func TestScheduleIsDeterministic(t *testing.T) {
 	texts := map[string]bool{}
 	for seed := int64(1); seed <= 50; seed++ {
@@ -34,8 +35,9 @@
 	}
 }
 
-// Every schedule respects the bounds on fleet size and times and on what counts as planned work, and no
-// two processes with a disk are lost within the time that the repair of the first takes.
+// TestScheduleBounds checks that every schedule respects the bounds on fleet size and times and on what
+// counts as planned work, and that no two processes with a disk are lost within the time that the repair
+// of the first takes.
 func TestScheduleBounds(t *testing.T) {
 	planned, kinds := 0, map[string]int{}
 	for seed := int64(1); seed <= 200; seed++ {
--- a/internal/tooling/workeremulator/cancelledread_test.go
+++ b/internal/tooling/workeremulator/cancelledread_test.go
@@ -27,8 +27,9 @@
 
 func (c *cancelledRead) Close() error { return nil }
 
-// The server cancels a pending read after a response, sometimes only after the clock has
-// advanced. That must not count as activity on the connection.
+// TestCancelledReadIsNotActivity checks that a cancelled read does not count as activity on the
+// connection: the server cancels a pending read after a response, sometimes only after the clock has
+// advanced.
 func TestCancelledReadIsNotActivity(t *testing.T) {
 	clockValue := &immediateClock{now: clock.Instant(time.Second)}
 	worker := NewWorker(plainSettings, &Record{}, clockValue, 1)
--- a/internal/tooling/workeremulator/engine_test.go
+++ b/internal/tooling/workeremulator/engine_test.go
@@ -52,7 +52,7 @@
 
 func milliseconds(count float64) clock.Instant { return clock.Instant(clock.Milliseconds(count)) }
 
-// Tokens come more slowly the more requests run.
+// TestTokensSlowDownWithTheBatch checks that tokens come more slowly the more requests run.
 func TestTokensSlowDownWithTheBatch(t *testing.T) {
 	alone := drive(NewEngine(smallShape), map[clock.Instant][]Event{0: {arrive(1, 10, 40)}}, milliseconds(500))
 	full := drive(NewEngine(smallShape), map[clock.Instant][]Event{0: {arrive(1, 10, 40), arrive(2, 10, 40), arrive(3, 10, 40), arrive(4, 10, 40)}}, milliseconds(500))
@@ -62,7 +62,8 @@
 	}
 }
 
-// A long prompt is prefilled in chunks, between which other requests produce tokens.
+// TestPrefillGoesOnBetweenTokens checks that a long prompt is prefilled in chunks, between which other
+// requests produce tokens.
 func TestPrefillGoesOnBetweenTokens(t *testing.T) {
 	shape := smallShape
 	shape.ReadPerMs = 10
@@ -82,7 +83,8 @@
 	}
 }
 
-// Cached parts are not prefilled again, provided that all parts before them are cached.
+// TestCachedPrefixIsNotPrefilledAgain checks that cached parts are not prefilled again, provided that all
+// parts before them are cached.
 func TestCachedPrefixIsNotPrefilledAgain(t *testing.T) {
 	engine := NewEngine(smallShape)
 	shared, own := Part{"a", 300}, Part{"b", 100}
@@ -103,7 +105,7 @@
 	}
 }
 
-// The least recently used parts are evicted first.
+// TestLeastRecentlyUsedPartIsEvicted checks that the least recently used parts are evicted first.
 func TestLeastRecentlyUsedPartIsEvicted(t *testing.T) {
 	engine := NewEngine(smallShape)
 	for i, key := range []string{"a", "b", "c", "a", "d"} {
@@ -115,8 +117,8 @@
 	}
 }
 
-// When memory runs out, the newest request is preempted and resumed later. No event of its
-// stream may be lost or duplicated.
+// TestNewestIsPreemptedAndResumed checks that the newest request is preempted when memory runs out, and
+// resumed later. No event of its stream may be lost or duplicated.
 func TestNewestIsPreemptedAndResumed(t *testing.T) {
 	engine := NewEngine(smallShape)
 	effects := drive(engine, map[clock.Instant][]Event{0: {arrive(1, 400, 200), arrive(2, 400, 200)}}, milliseconds(3000))
@@ -169,8 +171,8 @@
 	}
 }
 
-// For random events in any order, concurrency and memory stay within their limits, and every
-// request ends exactly once, with its events in order.
+// TestAnyHistoryStaysInBounds checks, for random events in any order, that concurrency and memory stay
+// within their limits, and that every request ends exactly once, with its events in order.
 func TestAnyHistoryStaysInBounds(t *testing.T) {
 	for seed := int64(0); seed < 30; seed++ {
 		random := rand.New(rand.NewSource(seed))
--- a/internal/tooling/workeremulator/exchange.go
+++ b/internal/tooling/workeremulator/exchange.go
@@ -89,8 +89,8 @@
 	return false
 }
 
-// begin sends the response of a trouble that takes effect at the start of a run. It returns
-// false if the request has none.
+// begin sends the response of a fault that takes effect at the start of a run. It returns false
+// if none was drawn for the request.
 func (e *exchange) begin() (complete bool) {
 	switch {
 	case e.writeGarbled():
--- a/internal/tooling/workeremulator/faults.go
+++ b/internal/tooling/workeremulator/faults.go
@@ -2,8 +2,8 @@
 
 import "lemonarch/internal/platform/clock"
 
-// Faults are the troubles of one worker that can be switched on and off. A share is the
-// fraction of the requests that a trouble affects, from 0 to 1.
+// Faults are the faults of one worker, each of which can be switched on and off. A share is the
+// fraction of the requests that a fault affects, from 0 to 1.
 type Faults struct {
 	// Fail is the share of requests that receive a 500 instead of the response. The run has begun
 	// by then and is recorded.
@@ -45,7 +45,7 @@
 func (f *Faults) lateBy() clock.Duration      { return clock.Milliseconds(f.LateMs) }
 func (f *Faults) forgetAfter() clock.Duration { return clock.Milliseconds(f.ForgetMs) }
 
-// Check returns a list of invalid values.
+// Check returns a finding for each invalid value, in no particular order.
 func (f *Faults) Check() []string {
 	var findings []string
 	for name, share := range map[string]float64{"fail": f.Fail, "full": f.Full, "hang": f.Hang, "cut": f.Cut,
--- a/internal/tooling/workeremulator/heartbeats.go
+++ b/internal/tooling/workeremulator/heartbeats.go
@@ -56,9 +56,9 @@
 	Count      int64         `json:"call-count"`
 }
 
-// Beat sends one heartbeat. If an earlier response named a target, it is called first, and is
-// forgotten once a heartbeat to it fails. The controllers follow, and each call starts with the
-// next one of them.
+// Beat sends one heartbeat to the first address that acknowledges it. The target that an earlier
+// response named, if any, is called first, and is forgotten once a call to it fails. The
+// controllers follow, and each call starts with the next one of them.
 func (b *HeartbeatSender) Beat() error { return b.call("/-/Workers.Heartbeat/") }
 
 // Depart reports that the worker has departed.
@@ -139,8 +139,9 @@
 	clock.Every(period, until.Done(), func() { _ = b.Beat() })
 }
 
-// DrainAndShutDown reports that the worker is draining, continues to serve for the drain time once
-// that was acknowledged, then departs and shuts down.
+// DrainAndShutDown reports that the worker is draining. Once that is acknowledged, or after three
+// attempts more than there are controllers, it continues to serve for the drain time and
+// constants.EmulatorLeaveSlack, then departs and shuts down.
 func (b *HeartbeatSender) DrainAndShutDown(drain clock.Duration) {
 	b.Worker.Drain()
 	for attempts := 0; b.Beat() != nil && attempts < len(b.Controllers)+2; attempts++ {
--- a/internal/tooling/workeremulator/heartbeats_test.go
+++ b/internal/tooling/workeremulator/heartbeats_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// Heartbeats carry an increasing count, go to the target named in a response, and return to the
-// controllers once that target fails.
+// TestHeartbeats checks that heartbeats carry an increasing count, go to the target named in a response,
+// and return to the controllers once that target fails.
 func TestHeartbeats(t *testing.T) {
 	var lock sync.Mutex
 	var paths []string
--- a/internal/tooling/workeremulator/request.go
+++ b/internal/tooling/workeremulator/request.go
@@ -27,7 +27,7 @@
 	headerLastEventID = "Last-Event-Id"
 )
 
-// drawnFaults are the troubles drawn for one request.
+// drawnFaults are the faults drawn for one request.
 type drawnFaults struct {
 	fail, full, hang, cut, garble, surplus, skip, forge, never bool
 	late                                                       clock.Duration
--- a/internal/tooling/workeremulator/sender_test.go
+++ b/internal/tooling/workeremulator/sender_test.go
@@ -73,7 +73,8 @@
 	return text
 }
 
-// The gateway's sender and stream handling work with an emulated worker as with a real one.
+// TestSenderForwardsTheStream checks that the gateway's sender and stream handling work with an emulated
+// worker as with a real one.
 func TestSenderForwardsTheStream(t *testing.T) {
 	_, record, address, _ := start(t, engineSettings)
 	resp, body, err := sendThrough(t, startDataPlane(t, address), "/rigid/x")
@@ -88,8 +89,8 @@
 	}
 }
 
-// A stream that the first worker cuts off is resumed at the second worker, after its last
-// event.
+// TestSenderRetriesElsewhere checks that a stream which the first worker cuts off is resumed at the
+// second worker, after its last event.
 func TestSenderRetriesElsewhere(t *testing.T) {
 	first, before, firstAddress, _ := start(t, engineSettings)
 	first.SetFaults(Faults{Cut: 1})
--- a/internal/tooling/workeremulator/warmup_test.go
+++ b/internal/tooling/workeremulator/warmup_test.go
@@ -7,8 +7,8 @@
 	"lemonarch/internal/platform/clock"
 )
 
-// A worker is slow during warm-up, reports the remaining time in its heartbeats, and runs at
-// normal speed afterwards.
+// TestWarmup checks that a worker is slow during warm-up, reports the remaining time in its heartbeats,
+// and runs at normal speed afterwards.
 func TestWarmup(t *testing.T) {
 	settings := engineSettings
 	settings.Warmup = time.Second
--- a/internal/tooling/workeremulator/worker.go
+++ b/internal/tooling/workeremulator/worker.go
@@ -58,20 +58,21 @@
 
 	clockValue Clock
 	record     *Record
-	lock       sync.Mutex
-	random     *rand.Rand
-	engine     *Engine
-	waiters    map[int64]*waiter
-	ticket     int64
-	timerAt    clock.Instant
-	faults     Faults
-	warmUntil  clock.Instant
-	draining   bool
-	ended      bool
-	handled    int64
-	server     *http.Server
-	listener   *limitedListener
-	history    []loadSample
+	// lock guards those of the fields after it that change after NewWorker.
+	lock      sync.Mutex
+	random    *rand.Rand
+	engine    *Engine
+	waiters   map[int64]*waiter
+	ticket    int64
+	timerAt   clock.Instant
+	faults    Faults
+	warmUntil clock.Instant
+	draining  bool
+	ended     bool
+	handled   int64
+	server    *http.Server
+	listener  *limitedListener
+	history   []loadSample
 }
 
 // NewWorker returns a worker. The seed determines which requests its faults affect.
@@ -111,7 +112,7 @@
 	_ = w.server.Serve(limited)
 }
 
-// SetFaults replaces the troubles that are switched on.
+// SetFaults replaces the faults that are switched on.
 func (w *Worker) SetFaults(faults Faults) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
--- a/internal/tooling/workeremulator/worker_test.go
+++ b/internal/tooling/workeremulator/worker_test.go
@@ -133,7 +133,7 @@
 	}
 }
 
-// Each trouble breaks the response in the way that its name says.
+// TestBrokenResponses checks that each fault breaks the response in the way that its name says.
 func TestBrokenResponses(t *testing.T) {
 	worker, record, address, _ := start(t, plainSettings)
 	worker.SetFaults(Faults{Fail: 1})
@@ -172,7 +172,8 @@
 	}
 }
 
-// Bytes on a connection that the worker has silently forgotten cause a reset.
+// TestForgottenConnection checks that bytes on a connection that the worker has silently forgotten cause
+// a reset.
 func TestForgottenConnection(t *testing.T) {
 	worker, record, address, clockValue := start(t, plainSettings)
 	worker.SetFaults(Faults{ForgetMs: 500})
