--- a/internal/platform/messages/dispatch.go
+++ b/internal/platform/messages/dispatch.go
@@ -18,8 +18,9 @@
 	Incarnation int64             `msg:"l"`
 	Address     string            `msg:"a"`
 	Capacity    []ServiceCapacity `msg:"r"`
-	WaitMs      int               `msg:"h"`
-	Zone        string            `msg:"z"`
+	// WaitMs is how long the response may be delayed, in ms, and constants.AcquireWait at most.
+	WaitMs int    `msg:"h"`
+	Zone   string `msg:"z"`
 	// KnownVersion is the version of the list of executors that the requester has.
 	KnownVersion uint64 `msg:"k"`
 }
--- a/internal/platform/messages/members.go
+++ b/internal/platform/messages/members.go
@@ -7,10 +7,13 @@
 	Role        string `msg:"r"`
 	Zone        string `msg:"h"`
 	Address     string `msg:"a"`
-	Disk        string `msg:"d"`
-	AgeMs       int64  `msg:"g"`
-	Draining    bool   `msg:"x"`
-	Generation  int64  `msg:"c"`
+	// Disk is the identity of the process's disk, empty if it has none.
+	Disk string `msg:"d"`
+	// AgeMs is the time since the last contact with the process, in ms.
+	AgeMs    int64 `msg:"g"`
+	Draining bool  `msg:"x"`
+	// Generation is the generation of the configuration that the process uses.
+	Generation int64 `msg:"c"`
 }
 
 // Ballot orders the rounds of the register.
@@ -44,13 +47,15 @@
 
 // RegisterValue is the value that the acceptors agree on.
 type RegisterValue struct {
-	Current    Version    `msg:"c"`
-	Body       []byte     `msg:"b"`
-	History    []Version  `msg:"y"`
-	Acceptors  []Member   `msg:"a"`
-	Previous   []Member   `msg:"p"`
-	SetEpoch   uint64     `msg:"e"`
-	Stores     []Member   `msg:"s"`
+	Current   Version   `msg:"c"`
+	Body      []byte    `msg:"b"`
+	History   []Version `msg:"y"`
+	Acceptors []Member  `msg:"a"`
+	// Previous is the old acceptor set while the set changes, and empty otherwise.
+	Previous []Member `msg:"p"`
+	SetEpoch uint64   `msg:"e"`
+	Stores   []Member `msg:"s"`
+	// Retired contains the names of the store machines that are to be emptied.
 	Retired    []string   `msg:"r"`
 	Leadership Leadership `msg:"d"`
 	// StoresSequence is the number of the newest change of Stores in the current epoch, and zero
@@ -156,19 +161,23 @@
 
 // Worker is a registered worker.
 type Worker struct {
-	ID        string `msg:"i"`
-	Backend   string `msg:"b"`
-	Address   string `msg:"a"`
-	Zone      string `msg:"h"`
-	Capacity  int    `msg:"c"`
-	Phase     Phase  `msg:"p"`
-	WarmupMs  int64  `msg:"w"`
-	CallCount int64  `msg:"n"`
-	AgeMs     int64  `msg:"g"`
-	Software  string `msg:"s"`
-}
-
-// Ack is a response without content.
+	ID       string `msg:"i"`
+	Backend  string `msg:"b"`
+	Address  string `msg:"a"`
+	Zone     string `msg:"h"`
+	Capacity int    `msg:"c"`
+	Phase    Phase  `msg:"p"`
+	// WarmupMs is how long the worker is still warming up, in ms.
+	WarmupMs int64 `msg:"w"`
+	// CallCount orders the worker's calls: of two states, the one with the higher count is newer.
+	CallCount int64 `msg:"n"`
+	// AgeMs is the time since the worker's last heartbeat, in ms.
+	AgeMs    int64  `msg:"g"`
+	Software string `msg:"s"`
+}
+
+// Ack is a response without content, and the request of a kind that needs none. In the response to a
+// ConfigPush, Accepted is not set if the receiver still uses an earlier generation.
 type Ack struct {
 	Accepted bool `msg:"t"`
 }
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -47,7 +47,8 @@
 	Control   string `toml:"control"`
 }
 
-// Limits lists the resources of the machine that the process may use.
+// Limits lists the resources of the machine that the process may use. FileHandles and DiskMB are not
+// limited if they are 0.
 type Limits struct {
 	MemoryMB    int `toml:"memory-mb"`
 	FileHandles int `toml:"file-handles"`
--- a/internal/tooling/loadgen/check_test.go
+++ b/internal/tooling/loadgen/check_test.go
@@ -63,17 +63,17 @@
 
 func TestSealAndBody(t *testing.T) {
 	body := []byte("b")
-	sound := workeremulator.PlainBody("a", body)
+	validBody := workeremulator.PlainBody("a", body)
 	for name, test := range map[string]struct {
 		seal, echoed, text string
 		caught             bool
 	}{
-		"valid":                  {workeremulator.Seal("w", "a"), "a", sound, false},
-		"another attempt's seal": {workeremulator.Seal("w", "b"), "a", sound, true},
-		"no seal":                {"", "a", sound, true},
-		"forged seal":            {"w.1234", "a", sound, true},
-		"another attempt":        {workeremulator.Seal("w", "a"), "b", sound, true},
-		"half a body":            {workeremulator.Seal("w", "a"), "a", sound[:5], true},
+		"valid":                  {workeremulator.Seal("w", "a"), "a", validBody, false},
+		"another attempt's seal": {workeremulator.Seal("w", "b"), "a", validBody, true},
+		"no seal":                {"", "a", validBody, true},
+		"forged seal":            {"w.1234", "a", validBody, true},
+		"another attempt":        {workeremulator.Seal("w", "a"), "b", validBody, true},
+		"half a body":            {workeremulator.Seal("w", "a"), "a", validBody[:5], true},
 		"another attempt's body": {workeremulator.Seal("w", "a"), "a", workeremulator.PlainBody("b", body), true},
 	} {
 		if got := checkPlain("a", body, test.seal, test.echoed, []byte(test.text)); (got != nil) != test.caught {
