--- a/cmd/lemonarch/main.go
+++ b/cmd/lemonarch/main.go
@@ -13,7 +13,7 @@
 )
 
 // Exit codes of failures: exitInvalid if the check or operation failed, exitUnusable if there is no
-// result: the call itself is wrong (flags, arguments, files), planning timed out, or the error has no
+// result, mostly because the call itself is wrong (flags, arguments, files), and for an error without a
 // code of its own. Success is 0.
 const (
 	exitInvalid  = 1
--- a/internal/platform/constants/gossip.go
+++ b/internal/platform/constants/gossip.go
@@ -10,8 +10,8 @@
 	GossipPeriod = time.Second
 	// GossipStale is the age at which a peer's sample expires: three periods.
 	GossipStale = 3 * GossipPeriod
-	// GossipLoads is the maximum number of load samples in a packet: almost all of a zone with
-	// 150 workers. With them the packet stays within 1,400 bytes.
+	// GossipLoads is the maximum number of load samples in a packet: enough for almost all workers
+	// of a zone that has 150. With them the packet stays within 1,400 bytes.
 	GossipLoads = 144
 	// GossipAgeMax is the maximum age of a load observation that is passed on: an older one
 	// would expire before it is used.
--- a/internal/platform/inbound/listener.go
+++ b/internal/platform/inbound/listener.go
@@ -28,8 +28,8 @@
 	evicted, refused atomic.Int64
 }
 
-// Listen listens on an address for at most the given number of open connections, 0 for no limit. The requests of its connections share the memory limit with those of
-// the process's other listeners.
+// Listen listens on an address for at most the given number of open connections, 0 for no limit. The
+// requests of its connections share the memory limit with those of the process's other listeners.
 func Listen(address string, connections int, memory *Memory) (*Listener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(descriptor uintptr) {
@@ -64,8 +64,7 @@
 }
 
 // NewListener wraps a listener, whose open connections it counts and limits: connections is the
-// maximum number, 0 for no limit. Heads are bounded by constants.HeadLimit until
-// SetHeadLimit says otherwise.
+// maximum number, 0 for no limit. Heads are bounded by constants.HeadLimit until SetHeadLimit is called.
 func NewListener(listener net.Listener, connections int, memory *Memory) *Listener {
 	l := &Listener{Listener: listener, memory: memory, connections: connections, open: map[*Conn]struct{}{}}
 	l.SetHeadLimit(constants.HeadLimit)
--- a/internal/platform/transport/async.go
+++ b/internal/platform/transport/async.go
@@ -33,8 +33,9 @@
 // later.
 type AsyncHandler func(kind messages.Kind, body []byte, reply func([]byte, error))
 
-// OnFrame sets the function that is called for every frame; it must not block. Call and Notify send no
-// frame to an address without a handler, and a Call from or to a partitioned address sends none either.
+// OnFrame sets the function that is called for every frame; it must not block. Not
+// reported are a Call or Notify to an address without a handler, and a Call from or to a partitioned
+// address.
 func (r *MemoryNetwork) OnFrame(observer func(ObservedFrame)) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/tooling/crowd/ingress_test.go
+++ b/internal/tooling/crowd/ingress_test.go
@@ -62,8 +62,8 @@
 	f.checkWithCrowd(t, f.ingress(), crowdMembers, request)
 }
 
-// TestIngressOutlastsBodiesThatCreep sends bodies that still arrive, one byte every 50 ms, and must not
-// be treated as stalled.
+// TestIngressOutlastsBodiesThatCreep sends bodies that must not be treated as stalled, since they still
+// arrive, one byte every 50 ms.
 func TestIngressOutlastsBodiesThatCreep(t *testing.T) {
 	f := startFleet(t)
 	request := post("status", FramingLength)
--- a/internal/tooling/faultrelay/faultrelay.go
+++ b/internal/tooling/faultrelay/faultrelay.go
@@ -51,7 +51,7 @@
 	// lock guards pending, forwarded, received, open and closed.
 	lock    sync.Mutex
 	pending *Injection
-	// forwarded counts the bytes since Arm: 0 those from the caller, 1 those from the server.
+	// forwarded counts the bytes since Arm: index 0 those from the caller, 1 those from the server.
 	// received is the bytes since Arm in the direction of the pending fault.
 	forwarded [2]int
 	received  []byte
