--- a/internal/platform/messages/dispatch.go
+++ b/internal/platform/messages/dispatch.go
@@ -18,8 +18,9 @@
 	Incarnation int64             `msg:"l"`
 	Address     string            `msg:"a"`
 	Capacity    []ServiceCapacity `msg:"r"`
-	WaitMs      int               `msg:"h"`
-	Zone        string            `msg:"z"`
+	// WaitMs is how long the response may be delayed, in ms, and constants.AcquireWait at most.
+	WaitMs int    `msg:"h"`
+	Zone   string `msg:"z"`
 	// KnownVersion is the version of the list of executors that the requester has.
 	KnownVersion uint64 `msg:"k"`
 }
@@ -32,7 +33,8 @@
 	Path        string  `msg:"p"`
 	SubmittedMs int64   `msg:"t"`
 	Item        JobItem `msg:"i"`
-	// LastID and Events are the events of an earlier attempt that its RELEASE returned.
+	// Events are the events of an earlier attempt that its RELEASE returned, and LastID the id of
+	// the last of them, zero if there are none.
 	LastID        int64    `msg:"e"`
 	Events        [][]byte `msg:"g"`
 	Preempted     int      `msg:"y"`
@@ -64,7 +66,8 @@
 	Output []byte `msg:"t"`
 	// Compressed is set if Output is compressed (DEFLATE).
 	Compressed bool `msg:"z"`
-	// Events and LastID are the events that a RELEASE returns, from the first event on.
+	// Events are the events that a RELEASE returns, from the first event on, and LastID the id of
+	// the last of them.
 	Events [][]byte `msg:"g"`
 	LastID int64    `msg:"e"`
 	// Failed marks a RELEASE after a 500, Preempted one after a preemption, NotStarted one of an
--- a/internal/tooling/loadgen/check_test.go
+++ b/internal/tooling/loadgen/check_test.go
@@ -28,7 +28,8 @@
 	return run
 }
 
-// Each difference between the runs and the attempts must be found, and nothing else.
+// TestRunsAgainstWhatWasSent checks that each difference between the runs and the attempts is found, and
+// nothing else.
 func TestRunsAgainstWhatWasSent(t *testing.T) {
 	for name, test := range map[string]struct {
 		runs []workeremulator.Run
@@ -62,17 +63,17 @@
 
 func TestSealAndBody(t *testing.T) {
 	body := []byte("b")
-	sound := workeremulator.PlainBody("a", body)
+	validBody := workeremulator.PlainBody("a", body)
 	for name, test := range map[string]struct {
 		seal, echoed, text string
 		caught             bool
 	}{
-		"valid":                  {workeremulator.Seal("w", "a"), "a", sound, false},
-		"another attempt's seal": {workeremulator.Seal("w", "b"), "a", sound, true},
-		"no seal":                {"", "a", sound, true},
-		"forged seal":            {"w.1234", "a", sound, true},
-		"another attempt":        {workeremulator.Seal("w", "a"), "b", sound, true},
-		"half a body":            {workeremulator.Seal("w", "a"), "a", sound[:5], true},
+		"valid":                  {workeremulator.Seal("w", "a"), "a", validBody, false},
+		"another attempt's seal": {workeremulator.Seal("w", "b"), "a", validBody, true},
+		"no seal":                {"", "a", validBody, true},
+		"forged seal":            {"w.1234", "a", validBody, true},
+		"another attempt":        {workeremulator.Seal("w", "a"), "b", validBody, true},
+		"half a body":            {workeremulator.Seal("w", "a"), "a", validBody[:5], true},
 		"another attempt's body": {workeremulator.Seal("w", "a"), "a", workeremulator.PlainBody("b", body), true},
 	} {
 		if got := checkPlain("a", body, test.seal, test.echoed, []byte(test.text)); (got != nil) != test.caught {
@@ -158,8 +159,8 @@
 	}
 }
 
-// During planned work, a request that ran at a worker must not have its connection ended before a
-// complete response. One that never reached a worker may.
+// TestCutRequestsThatRanAreFound checks that, during planned work, a request that ran at a worker and
+// whose connection ended before a complete response is found. One that never reached a worker is not.
 func TestCutRequestsThatRanAreFound(t *testing.T) {
 	attempts := map[string]*sentAttempt{"ran": {attempt: "ran", cut: true}, "crossed": {attempt: "crossed", cut: true}, "answered": {attempt: "answered"}}
 	runs := []workeremulator.Run{{Attempt: "ran", Worker: "w1"}, {Attempt: "ran", Worker: "w2"}, {Attempt: "answered", Worker: "w1"}}
