--- a/internal/traffic/admission/admission.go
+++ b/internal/traffic/admission/admission.go
@@ -19,12 +19,16 @@
 type Request struct {
 	Service string
 	Prompt  prefixindex.Prompt
-	Affine  bool
-	Bulk    bool
+	// Affine means that the worker is chosen by the prompt's prefix as well as by load.
+	Affine bool
+	// Bulk marks an item of a batch job ("item" in this package); all other requests are live.
+	Bulk bool
 	// Retryable reports whether the request may be sent to another worker if this one fails.
 	Retryable bool
-	Priority  int
-	Setpoint  clock.Duration
+	// Priority orders the queue; a lower number is a higher priority.
+	Priority int
+	// Setpoint is the latency target of the request's route.
+	Setpoint clock.Duration
 	// Deadline is when the client stops waiting. QueueUntil is when the request leaves the queue
 	// and is rejected.
 	Deadline   clock.Instant
@@ -50,7 +54,8 @@
 	VerdictQueued
 )
 
-// Decision is the result of an admission, passed to the continuation of a queued request.
+// Decision is the result of an admission, returned by Admit or passed to the continuation of a
+// queued request. Grant is set only if the verdict is VerdictGranted.
 type Decision struct {
 	Verdict Verdict
 	Grant   *Grant
@@ -127,7 +132,7 @@
 	s.config = config
 }
 
-// NoteControllerContact records that a controller was in contact.
+// NoteControllerContact records that a controller was in contact. The caller must hold the lock.
 func (s *Scheduler) NoteControllerContact(now clock.Instant) { s.controllerContactAt = now }
 
 // Merge applies worker updates and resumes queued requests that can now be placed.
@@ -146,8 +151,8 @@
 	s.Pump(now)
 }
 
-// Admit places a request immediately, queues it, or rejects it. A queued request preempts work of
-// lower priority.
+// Admit places a request immediately, queues it, or rejects it. If resume is nil, the request is
+// never queued. A live request that is queued preempts work of lower priority.
 func (s *Scheduler) Admit(req *Request, resume func(Decision), now clock.Instant) (Decision, Handle) {
 	decision, handle := s.admit(req, resume, now)
 	if decision.Verdict == VerdictQueued {
@@ -196,7 +201,8 @@
 	return false
 }
 
-// Withdraw removes a queued request. It returns false if the request has already been resumed.
+// Withdraw removes a queued request. It returns false if the request has already been resumed or
+// withdrawn.
 func (s *Scheduler) Withdraw(handle Handle) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/traffic/admission/admission_test.go
+++ b/internal/traffic/admission/admission_test.go
@@ -35,14 +35,14 @@
 	slab := Slab[string]{}
 	first := slab.Put("one")
 	if value, found := slab.Take(first); !found || value != "one" {
-		t.Fatal(value, found)
+		t.Fatalf("taken: %q, %v, want the stored value", value, found)
 	}
 	second := slab.Put("two")
 	if _, found := slab.Take(first); found {
 		t.Fatal("a stale handle returned the value of a reused cell")
 	}
 	if value, _ := slab.Get(second); value != "two" || slab.Len() != 1 {
-		t.Fatal(value)
+		t.Fatalf("got %q and %d stored values, want the second value alone", value, slab.Len())
 	}
 }
 
@@ -54,21 +54,22 @@
 	for count := 0; count < 1+constants.QueueAheadMax; count++ {
 		decision, _ := scheduler.Admit(newRequest(0), nil, 2)
 		if decision.Verdict != VerdictGranted {
-			t.Fatal(decision.Verdict)
+			t.Fatal("request not granted while there is capacity, verdict: ", decision.Verdict)
 		}
 		grants = append(grants, decision.Grant)
 	}
+	// order lists the priorities of the resumed requests, negative for a rejection.
 	var order []int
 	enqueue := func(priority int) {
-		decision, _ := scheduler.Admit(newRequest(priority), func(late Decision) {
-			if late.Verdict == VerdictGranted {
+		decision, _ := scheduler.Admit(newRequest(priority), func(queuedDecision Decision) {
+			if queuedDecision.Verdict == VerdictGranted {
 				order = append(order, priority)
 			} else {
 				order = append(order, -priority)
 			}
 		}, 3)
 		if decision.Verdict != VerdictQueued {
-			t.Fatal(decision.Verdict)
+			t.Fatal("request not queued, verdict: ", decision.Verdict)
 		}
 	}
 	enqueue(2)
@@ -77,7 +78,7 @@
 	grants[0].End(ResultServed, 4)
 	grants[1].End(ResultServed, 5)
 	if len(order) != 2 || order[0] != 0 || order[1] != 1 {
-		t.Fatal(order)
+		t.Fatal("want the priorities 0 and 1 resumed in this order, got ", order)
 	}
 	scheduler.Pump(1_000_000_001)
 	if len(order) != 3 || order[2] != -2 {
--- a/internal/traffic/admission/capacity.go
+++ b/internal/traffic/admission/capacity.go
@@ -6,7 +6,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Workers returns the known workers in order.
+// Workers returns the known workers in order of their IDs.
 func (s *Scheduler) Workers(now clock.Instant) []messages.Worker {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/traffic/admission/health_test.go
+++ b/internal/traffic/admission/health_test.go
@@ -40,7 +40,7 @@
 		now := atSecond(2)
 		endRequest(scheduler, "w", result, now)
 		if len(ejections) != 1 || ejections[0].Worker != "w" || ejections[0].Duration != constants.EjectFor {
-			t.Fatal(result, ejections)
+			t.Fatal(result, ": want one ejection of w, got ", ejections)
 		}
 		if countPlacements(scheduler, true, 40, now)["w"] > 0 {
 			t.Fatal(result, ": request placed on an ejected worker")
@@ -51,15 +51,15 @@
 		}
 		endRequest(scheduler, "w", ResultServed, now)
 		if len(ejections) != 2 || ejections[1].Duration != 0 {
-			t.Fatal(result, ejections)
+			t.Fatal(result, ": want an ejection and a return, got ", ejections)
 		}
 	}
 }
 
-// Requests canceled by this side, and rejections by a full worker, do not count against the worker.
+// Requests canceled by the client or this process, and rejections by a full worker, do not count against the worker.
 func TestOutcomesThatDoNotCount(t *testing.T) {
 	scheduler := newScheduler(t, 4, "v", "w", "x")
-	scheduler.OnEjection(func(ejection Ejection) { t.Fatal(ejection) })
+	scheduler.OnEjection(func(ejection Ejection) { t.Fatal("ejected or returned: ", ejection) })
 	for count := 0; count < 5; count++ {
 		// A full worker is tried again only after some time, hence the steps of 2 s.
 		endRequest(scheduler, "w", ResultCanceled, atSecond(2*count+2))
--- a/internal/traffic/admission/preemption.go
+++ b/internal/traffic/admission/preemption.go
@@ -84,8 +84,8 @@
 // ownPressureKey is the key of this process's own report. No process has an empty name.
 const ownPressureKey = ""
 
-// ObservePressure stores a peer's report that other processes act on: no item starts while the
-// report is valid, but nothing yields.
+// ObservePressure stores a peer's report that other processes act on: while the report is valid, no
+// item starts above the floor (bulkFloor), but nothing yields.
 func (s *Scheduler) ObservePressure(notice *messages.PressureNotice, now clock.Instant) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -186,7 +186,7 @@
 }
 
 // underPressure reports whether requests of a higher priority are waiting for capacity at a
-// service, in this process or at a peer.
+// service, in this process or at a peer. The caller must hold the lock.
 func (s *Scheduler) underPressure(service string, priority int, now clock.Instant) bool {
 	for _, report := range s.pressure {
 		if now.Sub(report.at) >= constants.PressureStale {
--- a/internal/traffic/admission/preemption_test.go
+++ b/internal/traffic/admission/preemption_test.go
@@ -38,13 +38,13 @@
 		}
 	}
 	served := 0
-	decision, _ := scheduler.Admit(newRequest(0), func(late Decision) {
-		if late.Verdict == VerdictGranted {
+	decision, _ := scheduler.Admit(newRequest(0), func(queuedDecision Decision) {
+		if queuedDecision.Verdict == VerdictGranted {
 			served++
 		}
 	}, 101)
 	if decision.Verdict != VerdictQueued || len(yielded) != 1 || yielded[0] != len(items)-1 {
-		t.Fatal(decision.Verdict, yielded)
+		t.Fatal("want the request queued and the youngest item preempted, got the verdict and items ", decision.Verdict, yielded)
 	}
 	// The item was already requested to yield, and its slot will be free soon; no second item may
 	// be preempted for the same request.
@@ -65,7 +65,7 @@
 	scheduler.Admit(newRequest(1), func(Decision) {}, 100)
 	scheduler.Admit(newRequest(2), func(Decision) {}, 100)
 	if len(yielded) != 0 {
-		t.Fatal(yielded)
+		t.Fatal("streams of the same or a higher priority were preempted: ", yielded)
 	}
 	scheduler.Admit(newRequest(0), func(Decision) {}, 101)
 	if len(yielded) != 1 {
@@ -81,7 +81,7 @@
 	fillSlots(t, scheduler, 2+constants.QueueAheadMax, 3, false, &streams)
 	scheduler.Admit(newRequest(0), func(Decision) {}, 100)
 	if len(items) != 1 || len(streams) != 0 {
-		t.Fatal(items, streams)
+		t.Fatal("want one item and no stream to yield, got ", items, streams)
 	}
 }
 
--- a/internal/traffic/admission/prefills_test.go
+++ b/internal/traffic/admission/prefills_test.go
@@ -12,15 +12,15 @@
 		req.Prompt.Tokens = 700
 		decision, _ := scheduler.Admit(req, nil, 2)
 		if decision.Verdict != VerdictGranted {
-			t.Fatal(decision.Verdict)
+			t.Fatal("request not granted, verdict: ", decision.Verdict)
 		}
 		health := scheduler.Tracker.Of("w")
 		if health.PendingPrefills() != 1 || health.PendingTokens() != int64(decision.Grant.FreshTokens) {
-			t.Fatal(health.PendingPrefills(), health.PendingTokens())
+			t.Fatal("pending prefills and tokens of one placed request: ", health.PendingPrefills(), health.PendingTokens())
 		}
 		decision.Grant.End(result, 3)
 		if health.PendingPrefills() != 0 || health.PendingTokens() != 0 {
-			t.Fatal(result, health.PendingPrefills(), health.PendingTokens())
+			t.Fatal(result, ": prefills and tokens still pending after the end: ", health.PendingPrefills(), health.PendingTokens())
 		}
 	}
 }
--- a/internal/traffic/admission/pump_test.go
+++ b/internal/traffic/admission/pump_test.go
@@ -18,20 +18,20 @@
 	}()
 	for count := 0; count < 1+constants.QueueAheadMax; count++ {
 		if decision, _ := scheduler.Admit(newRequest(0), nil, clock.Now()); decision.Verdict != VerdictGranted {
-			t.Fatal(decision.Verdict)
+			t.Fatal("request not granted while there is capacity, verdict: ", decision.Verdict)
 		}
 	}
 	for round := 0; round < 2; round++ {
 		rejected := make(chan Decision, 1)
 		req := newRequest(0)
 		req.QueueUntil = clock.Now().Add(2 * constants.PollPeriod)
-		if decision, _ := scheduler.Admit(req, func(late Decision) { rejected <- late }, clock.Now()); decision.Verdict != VerdictQueued {
-			t.Fatal(decision.Verdict)
+		if decision, _ := scheduler.Admit(req, func(queuedDecision Decision) { rejected <- queuedDecision }, clock.Now()); decision.Verdict != VerdictQueued {
+			t.Fatal("request not queued, verdict: ", decision.Verdict)
 		}
 		select {
-		case late := <-rejected:
-			if late.Verdict != VerdictNoCapacity {
-				t.Fatal(late.Verdict)
+		case queuedDecision := <-rejected:
+			if queuedDecision.Verdict != VerdictNoCapacity {
+				t.Fatal("queued request not rejected, verdict: ", queuedDecision.Verdict)
 			}
 		case <-clock.After(5_000_000_000):
 			t.Fatal("the queued request was not rejected within 5 s, round ", round)
--- a/internal/traffic/admission/rate.go
+++ b/internal/traffic/admission/rate.go
@@ -39,6 +39,9 @@
 	return min(max(wait, 50*1_000_000), constants.GossipPeriod)
 }
 
+// expectedWait returns the time until the service has finished as many requests as are queued ahead
+// of this one, plus one. It returns false if the service's rate is not known yet. The caller must
+// hold the lock.
 func (s *Scheduler) expectedWait(req *Request) (clock.Duration, bool) {
 	rate := s.rates[req.Service]
 	if rate == nil || rate.perSecond <= 0 {
--- a/internal/traffic/admission/stale.go
+++ b/internal/traffic/admission/stale.go
@@ -15,9 +15,10 @@
 // new samples.
 
 // isFull reports whether a request finds no slot at a worker. The observation that a worker is full
-// is valid for about one mean request duration, but at least for constants.FullDurationMin; then a request
-// must probe the worker. Items do not probe, and nothing probes an engine, whose batch stays full:
-// there preemption under pressure frees slots.
+// is valid for about one mean request duration, but at least for constants.FullDurationMin; then a
+// request must probe the worker, unless another request of this process still awaits its first event
+// there. Items do not probe, and nothing probes an engine, whose batch stays full: there preemption
+// under pressure frees slots.
 func (s *Scheduler) isFull(req *Request, worker messages.Worker, engine bool, running int, now clock.Instant) bool {
 	capacity := s.capacityFor(req, worker, now)
 	if running < capacity {
--- a/internal/traffic/admission/subset.go
+++ b/internal/traffic/admission/subset.go
@@ -104,7 +104,7 @@
 
 // NodesFor returns those of the given nodes that are in the worker's zone and consider the worker
 // according to their weights. It also reports whether nodes consider only a part of the service's
-// workers.
+// workers. If they consider all of them, or the worker is unknown, it returns nil and false.
 func (s *Scheduler) NodesFor(worker string, nodes []messages.NodeInfo) (nodesFor []messages.NodeInfo, part bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/traffic/admission/subset_test.go
+++ b/internal/traffic/admission/subset_test.go
@@ -119,7 +119,7 @@
 	current := schedulers["edge-0"]
 	nodesFor, part := current.NodesFor("i-0001", nodes)
 	if !part || len(nodesFor) == 0 || len(nodesFor) == len(nodes) {
-		t.Fatal(len(nodesFor), part)
+		t.Fatalf("NodesFor returned %d of %d nodes and %v, want a part of them and true", len(nodesFor), len(nodes), part)
 	}
 	isListed := map[string]bool{}
 	for _, node := range nodesFor {
--- a/internal/traffic/health/ejection.go
+++ b/internal/traffic/health/ejection.go
@@ -7,8 +7,9 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// addressHistory is the history of an address: the incarnation that currently responds there, and
-// the number of previous incarnations that ended without draining.
+// addressHistory is the history of an address: the incarnation that currently responds there, when
+// it was first observed (startedAt), and the number of previous incarnations in a row that ended
+// without draining, each within constants.FlapWindow of its start (crashes).
 type addressHistory struct {
 	worker, service string
 	crashes         int
@@ -18,7 +19,8 @@
 // ObserveIncarnation records a new incarnation at an address. If at least two previous incarnations
 // in a row ended without draining, each within constants.FlapWindow of its start, the new one is
 // ejected for a growing time and then on trial, because the worker may be flapping (crashing and
-// restarting in turn). It returns the duration of the ejection, or 0 if there is none.
+// restarting in turn). orderly reports whether the previous incarnation ended by draining, or how it
+// ended is not known. It returns the duration of the ejection, or 0 if there is none.
 func (t *Tracker) ObserveIncarnation(worker, service, address string, orderly bool, now clock.Instant) (duration clock.Duration) {
 	outcomes := t.OutcomesOf(worker, service)
 	previous, found := t.outcomes.incarnations[address]
@@ -51,8 +53,8 @@
 	delete(t.outcomes.ejected, worker)
 }
 
-// Sweep deletes the addresses whose last incarnation started more than constants.ForgetAfter ago,
-// and ends the trials whose time has expired.
+// Sweep deletes the addresses whose last incarnation started more than constants.ForgetAfter ago and
+// has no recorded outcomes, and ends the trials whose time has expired.
 func (t *Tracker) Sweep(now clock.Instant) {
 	for address, history := range t.outcomes.incarnations {
 		if now.Sub(history.startedAt) > constants.ForgetAfter && t.outcomes.byWorker[history.worker] == nil {
@@ -73,7 +75,8 @@
 // Ejected returns those of the given workers that receive no ordinary request now, but never more
 // than constants.EjectShare of them (or one, if the share rounds down to none of several): if more
 // qualify, those with the highest failure rates. idle reports whether this process has no request
-// running at a worker. repeatable reports whether the request may be used as a trial.
+// running at a worker. repeatable reports whether the request may be sent again elsewhere, and so may
+// be used as a trial.
 func (t *Tracker) Ejected(workerList []string, repeatable bool, idle func(worker string) bool, now clock.Instant) map[string]bool {
 	type ejectionCandidate struct {
 		worker string
--- a/internal/traffic/health/health.go
+++ b/internal/traffic/health/health.go
@@ -13,6 +13,8 @@
 
 // Health is the state known of one worker.
 type Health struct {
+	// live and bulk count the requests of this process that are at the worker; bulk counts those
+	// that are items of batch jobs.
 	live, bulk       int
 	pendingTokens    int64
 	pendingPrefills  int
@@ -66,7 +68,8 @@
 	h.recordOwnCount(now)
 }
 
-// PrefillDone records that a prompt was prefilled, because its first event arrived.
+// PrefillDone records that a prompt no longer awaits its prefill: its first event arrived, or its
+// request ended without one. fresh is the number that was passed to RequestStarted.
 func (h *Health) PrefillDone(fresh int) {
 	h.pendingTokens -= int64(fresh)
 	h.pendingPrefills--
@@ -138,7 +141,8 @@
 	}
 }
 
-// RecordFailure records a failure. While the worker is ejected here, peers are notified of it.
+// RecordFailure records a failure. ejected is the duration of the ejection that it caused, or 0.
+// While the worker is ejected here, peers are notified of it.
 func (h *Health) RecordFailure(ejected clock.Duration, now clock.Instant) {
 	h.failures++
 	if ejected > 0 {
@@ -161,7 +165,8 @@
 	return now < h.suspectUntil || h.SuspectedByPeers(now)
 }
 
-// SuspectedByPeers reports whether several peers have ejected the worker.
+// SuspectedByPeers reports whether at least two peers have recently reported that they ejected the
+// worker.
 func (h *Health) SuspectedByPeers(now clock.Instant) bool {
 	return h.suspectedByPeers(now)
 }
--- a/internal/traffic/health/outcomes.go
+++ b/internal/traffic/health/outcomes.go
@@ -25,7 +25,7 @@
 	// FaultShed means that the worker rejected the request although its reported load leaves
 	// capacity.
 	FaultShed
-	// FaultSlow means that the first event arrived well after the usual time.
+	// FaultSlow means silence for unusually long, but for less than constants.SilenceFaultTimeout.
 	FaultSlow
 	faultKinds
 )
@@ -47,14 +47,16 @@
 // Outcomes contains the outcomes of this process's requests at one incarnation of a worker.
 type Outcomes struct {
 	service string
-	// successes and failures are exponentially decayed counts of outcomes.
+	// successes and failures are exponentially decayed counts of outcomes, as of the time at.
 	successes, failures float64
 	at                  clock.Instant
-	level               int
-	failedAt            clock.Instant
-	ejectedUntil        clock.Instant
-	// trial is true from the start of an ejection until enough requests have succeeded. It takes
-	// effect when the ejection ends.
+	// level is the number of recent ejections, at most constants.EjectLevels; each level doubles the
+	// duration of the next ejection.
+	level        int
+	failedAt     clock.Instant
+	ejectedUntil clock.Instant
+	// trial is true from the start of an ejection until enough requests have succeeded or trialEnd
+	// has passed. It takes effect when the ejection ends.
 	trial    bool
 	trialEnd clock.Instant
 	// trialsLeft is the number of trials that must still succeed, initially the number of recent
@@ -192,6 +194,8 @@
 	return t.eject(worker, outcomes, now)
 }
 
+// eject ejects a worker for constants.EjectFor, doubled per level, and then puts it on trial. It
+// returns the duration of the ejection.
 func (t *Tracker) eject(worker string, outcomes *Outcomes, now clock.Instant) clock.Duration {
 	duration := constants.EjectFor << outcomes.level
 	outcomes.level = min(outcomes.level+1, constants.EjectLevels)
--- a/internal/traffic/health/outcomes_test.go
+++ b/internal/traffic/health/outcomes_test.go
@@ -23,8 +23,9 @@
 func always(string) bool { return true }
 
 // Of 20 workers two fail 45 of 100 requests and the others 1 of 100. Ejected workers receive only
-// trials. At half a request per second and worker, the two failing workers must receive less than
-// half of their proportional share.
+// trials. At half a request per second and worker, the two failing workers must receive at most 50
+// of 600 requests with any seed, and on average over the seeds at most half of their proportional
+// share, which is 60.
 func TestPartlyFailingWorkersAreEjected(t *testing.T) {
 	const seeds = 20
 	total := 0
@@ -96,7 +97,7 @@
 	}
 	tracker.RecordFault("w03", "s", FaultError, now)
 	if ejected := tracker.Ejected(workerList, false, never, now+1); len(ejected) != 1 || !ejected["w03"] {
-		t.Fatal(ejected)
+		t.Fatal("want only w03 ejected, got ", ejected)
 	}
 }
 
@@ -113,7 +114,7 @@
 		if duration != want {
 			t.Fatalf("round %d: ejected for %v, want %v", round, duration, want)
 		}
-		if more := tracker.RecordFault("w00", "s", FaultRefused, now+1); more != 0 {
+		if again := tracker.RecordFault("w00", "s", FaultRefused, now+1); again != 0 {
 			t.Fatal("ejected again while already ejected")
 		}
 		now = now.Add(duration)
@@ -145,16 +146,17 @@
 	if !tracker.RecordSuccess("w00", "s", now) || tracker.Ejected(workerList, false, never, now)["w00"] {
 		t.Fatal("the worker did not return after a successful trial")
 	}
-	other := tracker.RecordFault("w01", "s", FaultTimeout, now)
+	secondDuration := tracker.RecordFault("w01", "s", FaultTimeout, now)
 	// Without trials, the worker returns when the trial period has passed.
-	end := now.Add(3*other + 1)
+	end := now.Add(3*secondDuration + 1)
 	tracker.Sweep(end)
 	if tracker.Ejected(workerList, false, never, end)["w01"] {
 		t.Fatal("a worker without trials did not return after its trial period")
 	}
 }
 
-// If all workers of a service fail at the same rate, none exceeds the median and none is ejected.
+// If all workers of a service fail at the same rate, none clearly exceeds the median, and none is
+// ejected once enough outcomes are recorded (after the first 200 requests).
 func TestUniformFailureRateEjectsNoWorker(t *testing.T) {
 	tracker, workerList := New(), workerNames(9)
 	random := rand.New(rand.NewSource(5))
@@ -210,7 +212,7 @@
 	want := []clock.Duration{0, 0, constants.EjectFor, 2 * constants.EjectFor, 4 * constants.EjectFor, 8 * constants.EjectFor}
 	for i := range want {
 		if durations[i] != want[i] {
-			t.Fatal(durations)
+			t.Fatalf("ejection durations %v, want %v", durations, want)
 		}
 	}
 	if tracker.ObserveIncarnation("other", "t", "a:1", false, now) != 0 {
@@ -228,9 +230,9 @@
 			t.Fatal("orderly ends counted as flapping")
 		}
 	}
-	seldom := New()
+	farApart := New()
 	for incarnation := 0; incarnation < 6; incarnation++ {
-		if seldom.ObserveIncarnation(fmt.Sprint("life", incarnation), "s", "a:1", false, now) != 0 {
+		if farApart.ObserveIncarnation(fmt.Sprint("life", incarnation), "s", "a:1", false, now) != 0 {
 			t.Fatal("crashes far apart counted as flapping")
 		}
 		now = now.Add(constants.FlapWindow + 1)
--- a/internal/traffic/health/peers.go
+++ b/internal/traffic/health/peers.go
@@ -124,7 +124,7 @@
 	h.suspects[from] = now
 }
 
-// suspectedByPeers reports whether at least two peers have recently reported failures of the
+// suspectedByPeers reports whether at least two peers have recently reported that they ejected the
 // worker. A single peer may have a fault of its own.
 func (h *Health) suspectedByPeers(now clock.Instant) bool {
 	const minPeers = 2
