--- a/internal/traffic/loadgossip/budget.go
+++ b/internal/traffic/loadgossip/budget.go
@@ -6,8 +6,9 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// budget returns the maximum number of connections that this node may have to a worker. It does
-// not depend on the number of nodes: requests are placed by the load that all nodes observe, so the
+// budget returns the maximum number of connections that this node may have to a worker; 0, if the
+// service is unknown or states no connection limit, means no limit. It does not depend on the number
+// of nodes: requests are placed by the load that all nodes observe, so the
 // connections in use at a worker follow its capacity, and a node never needs more than that. The
 // limit of one eighth of the worker's connections (constants.ConnectionPart) keeps a burst at one
 // node from taking connections that other nodes need.
--- a/internal/traffic/loadgossip/gossip.go
+++ b/internal/traffic/loadgossip/gossip.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// gossipRound sends the largest changes to a few neighbours, and in some rounds also to a node of
-// another zone.
+// gossipRound sends this process's gossip packet (Scheduler.MakeGossip) to a few neighbours and to
+// the peers that requested it, and in some rounds also to a node of another zone.
 func (g *Gossip) gossipRound() {
 	packet := g.Scheduler.MakeGossip(clock.Now())
 	packet.Generation = g.Node.Generation()
@@ -56,8 +56,8 @@
 
 // notifyPressure reports immediately that requests are waiting at this process, so that work of
 // lower priority yields well before the next gossip round. The notice is sent to a few stores, which
-// forward it to other stores, and to the neighbouring gateways. Each receiver yields its share of
-// the number of waiting requests.
+// forward it to other stores, and to the neighbouring gateways. Each process that receives it
+// directly yields its share of the number of waiting requests.
 func (g *Gossip) notifyPressure(entries []messages.Pressure) {
 	peers := g.currentPeers()
 	notice := &messages.PressureNotice{From: membership.Key(g.Node.Self), Entries: entries, Hops: constants.PressureHops}
--- a/internal/traffic/loadgossip/loadgossip.go
+++ b/internal/traffic/loadgossip/loadgossip.go
@@ -25,11 +25,15 @@
 	Pool      *workerconn.Pool
 	Sender    proxy.Sender
 	// Traffic records summaries of the requests that this process places.
-	Traffic      *trafficstats.Recorder
+	Traffic *trafficstats.Recorder
+	// alerted is true if the downgrade threshold was exceeded in the last gossip round. loggedCounts
+	// is the sum of each route's preemption counts when they were last logged. Only gossipRound uses
+	// them.
 	alerted      bool
 	loggedCounts map[string]int64
 	workerTables workerTables
 
+	// lock protects the fields below it.
 	lock                sync.Mutex
 	peers               peerSet
 	replyPeers          replyPeers
--- a/internal/traffic/loadgossip/peers.go
+++ b/internal/traffic/loadgossip/peers.go
@@ -27,7 +27,8 @@
 }
 
 // Neighbours returns the nodes that a process notifies: its successors in fanout hash rings, where
-// each process has a position by a hash of its name. Each process is thus notified by as many as it
+// each process has a position by a hash of its name. Further rings, up to 4*fanout in all, are used
+// if some successors are the same node. Each process is thus notified by as many as it
 // notifies, no process needs a complete list, and a process that joins or leaves changes only the
 // neighbours next to it.
 func Neighbours(own messages.NodeInfo, nodes []messages.NodeInfo, fanout int) []messages.NodeInfo {
@@ -63,6 +64,7 @@
 }
 
 // peerSet contains the nodes that this process notifies. It is selected anew in each gossip period.
+// population is the number of live gateways and stores in the fleet.
 type peerSet struct {
 	sameZone, otherZones                    []messages.NodeInfo
 	byZone                                  [][]messages.NodeInfo
--- a/internal/traffic/loadgossip/replypeers.go
+++ b/internal/traffic/loadgossip/replypeers.go
@@ -12,7 +12,8 @@
 // that notify them. Such a process requests in its packets that the receivers notify it as well.
 
 // replyPeers records the peers that notify this process (senders, with the time of the last packet),
-// and the peers that this process notifies because they requested it (requesters).
+// and the peers that this process notifies because they requested it (requesters). startedAt is the
+// time of the first call of hasFewSenders.
 type replyPeers struct {
 	startedAt  clock.Instant
 	senders    map[string]clock.Instant
--- a/internal/traffic/loadgossip/staleness_test.go
+++ b/internal/traffic/loadgossip/staleness_test.go
@@ -220,6 +220,6 @@
 		return total
 	}
 	if first, second := sum(), sum(); first != second {
-		t.Fatal(first, second)
+		t.Fatal("two simulations with the same seed differ: ", first, second)
 	}
 }
--- a/internal/traffic/prefixindex/index.go
+++ b/internal/traffic/prefixindex/index.go
@@ -27,8 +27,10 @@
 
 // Index is one node's own view of which prefixes are cached at which worker.
 type Index struct {
-	tree       Tree
-	turnovers  map[string]*turnover
+	tree      Tree
+	turnovers map[string]*turnover
+	// Placements counts the recorded placements. Downgrades counts the choices that the residency
+	// weight changed, and Hits those of a worker that is expected to have cached a part of the prompt.
 	Placements int64
 	Downgrades int64
 	Hits       int64
@@ -113,8 +115,8 @@
 
 // RecordFirstEvent updates the estimates from the delay of a request's first event. A first
 // event that arrives as late as after a full prefill shows that the prefix was not cached, and
-// lowers the confidence in it. alone is true if no other prefill was pending at the worker when the
-// request was placed.
+// lowers the confidence in it. alone is true if no other prefill of this node was pending at the
+// worker when the request was placed.
 func (i *Index) RecordFirstEvent(prompt *Prompt, worker string, fresh int, waited clock.Duration, alone bool, now clock.Instant) {
 	saved := max(prompt.Tokens, 1) - fresh
 	fullPrefillMs := float64(prompt.Tokens) / i.prefillRate
--- a/internal/traffic/prefixindex/prefixindex_test.go
+++ b/internal/traffic/prefixindex/prefixindex_test.go
@@ -26,7 +26,7 @@
 	return []Candidate{{Worker: "first", WaitMs: waitFirst}, {Worker: "second"}}
 }
 
-// Compares the tree with a map: a walk visits every inserted key that is a prefix of the walked key,
+// The tree agrees with a map: a walk visits every inserted key that is a prefix of the walked key,
 // whatever was removed in between.
 func TestTreeAgainstMap(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(42)
@@ -81,7 +81,7 @@
 	count := 0
 	tree.Each(func(*Leaf) { count++ })
 	if count != 256 {
-		t.Fatal(count)
+		t.Fatalf("visited %d leaves, want 256", count)
 	}
 	for value := 0; value < 255; value++ {
 		tree.Remove([]byte{1, byte(value)})
@@ -89,7 +89,7 @@
 	visited := 0
 	tree.Walk([]byte{1, 255}, func(int, *Leaf) { visited++ })
 	if visited != 1 || tree.Size() != 1 {
-		t.Fatal(visited, tree.Size())
+		t.Fatalf("visited %d of %d leaves, want the one that was not removed", visited, tree.Size())
 	}
 }
 
@@ -206,7 +206,7 @@
 	for number := range constants.IndexNodes / 8 {
 		prompt := ParsePrompt("m", "500,20", strconv.Itoa(number)+":1"+strings.Repeat(",a:1", 4000))
 		if len(prompt.Parts) != constants.PromptPartsMax || prompt.Tokens != 500 {
-			t.Fatal(len(prompt.Parts), prompt.Tokens)
+			t.Fatalf("parsed %d parts and %d tokens, want %d and 500", len(prompt.Parts), prompt.Tokens, constants.PromptPartsMax)
 		}
 		index.RecordPlacement(&prompt, "w", 1)
 		if size := index.tree.Size(); size > constants.IndexNodes {
@@ -214,6 +214,6 @@
 		}
 	}
 	if few := ParsePrompt("m", "5", " a:1, b:2"); len(few.Parts) != 2 || few.Parts[1].Tokens != 2 {
-		t.Error(few)
+		t.Errorf("parsed %+v, want two parts of 1 and 2 tokens", few)
 	}
 }
--- a/internal/traffic/prefixindex/residency.go
+++ b/internal/traffic/prefixindex/residency.go
@@ -58,7 +58,7 @@
 // occupy part of it, so the last tenth is never counted on.
 func retained(entered, capacity int64) float64 {
 	if capacity <= 0 {
-		// The engine has not reported its capacity, so there is no sign of eviction.
+		// The capacity of the cache is not known, so there is no sign of eviction.
 		return 1
 	}
 	share := float64(entered) / float64(capacity)
--- a/internal/traffic/prefixindex/tree.go
+++ b/internal/traffic/prefixindex/tree.go
@@ -10,8 +10,8 @@
 	children branch
 }
 
-// Tree is an adaptive radix tree over prompt parts. Its keys are the ids of the
-// parts, eight bytes each, so a prefix of a prompt is a prefix of its key.
+// Tree is an adaptive radix tree over prompt parts. Its keys are the names of the parts (Part.Name),
+// eight bytes each, so a prefix of a prompt is a prefix of its key.
 type Tree struct {
 	root node
 	size int
--- a/internal/traffic/trafficstats/histogram.go
+++ b/internal/traffic/trafficstats/histogram.go
@@ -37,7 +37,7 @@
 	return encoded
 }
 
-// Decode returns the histogram of an encoded one. Its values are in tenths of a millisecond. Buckets
+// Decode decodes a histogram. Its values are in tenths of a millisecond. Buckets
 // that are out of range are ignored.
 func Decode(encoded *messages.Histogram) *hdrhistogram.Histogram {
 	snapshot := newHistogram().Export()
--- a/internal/traffic/trafficstats/trafficstats_test.go
+++ b/internal/traffic/trafficstats/trafficstats_test.go
@@ -72,14 +72,14 @@
 	recorder.Record(observation("r", random), at(10))
 	recorder.Record(observation("r", random), at(70))
 	if placed, observed := count(80); placed != 2 || observed != 80 {
-		t.Fatal(placed, observed)
+		t.Fatalf("%d placed in %v s, want 2 in 80 s", placed, observed)
 	}
 	recorder.Record(observation("r", random), at(140))
 	if placed, observed := count(141); placed != 2 || observed != 71 {
-		t.Fatal(placed, observed)
+		t.Fatalf("%d placed in %v s, want 2 in 71 s", placed, observed)
 	}
 	if placed, observed := count(600); placed != 0 || observed != constants.TrafficWindow.Seconds() {
-		t.Fatal(placed, observed)
+		t.Fatalf("%d placed in %v s, want none in one empty window", placed, observed)
 	}
 }
 
@@ -91,10 +91,10 @@
 	}
 	summaries, _ := recorder.Summaries(1)
 	if len(summaries) != constants.TrafficClasses+1 {
-		t.Fatal(len(summaries))
+		t.Fatalf("%d summaries, want %d", len(summaries), constants.TrafficClasses+1)
 	}
 	if body := encoded(t, summaries); len(body) > 200<<10 {
-		t.Fatal(len(body))
+		t.Fatalf("the encoded summaries have %d bytes, want at most 200 KiB", len(body))
 	}
 	for _, milliseconds := range []float64{0.1, 1, 37, 800, 25_000, 119_000} {
 		histogram := newHistogram()
@@ -108,7 +108,7 @@
 	var disabled *Recorder
 	disabled.Record(observation("r", random), 1)
 	if summaries, observed := disabled.Summaries(1); summaries != nil || observed != 0 {
-		t.Fatal(summaries, observed)
+		t.Fatal("a nil recorder returned ", summaries, observed)
 	}
 }
 
--- a/internal/traffic/workerconn/workerconn.go
+++ b/internal/traffic/workerconn/workerconn.go
@@ -62,12 +62,14 @@
 	lastReadAt atomic.Int64
 }
 
-// Pool contains the connections to all workers. safeIdleTimes is by service.
+// Pool contains the connections to all workers. It is safe for concurrent use. safeIdleTimes is by
+// service.
 type Pool struct {
 	lock          sync.Mutex
 	byWorker      map[string]*workerConnections
 	safeIdleTimes map[string]clock.Duration
-	Opened        atomic.Int64
+	// Opened counts the connections that were opened.
+	Opened atomic.Int64
 	// StaleCount counts idle connections that were reset when they were used again, because the
 	// worker had discarded them.
 	StaleCount atomic.Int64
@@ -87,6 +89,8 @@
 	return connections
 }
 
+// open opens a connection that the caller has already counted in connections.open. If that fails, it
+// reduces the count again.
 func (p *Pool) open(worker messages.Worker, connections *workerConnections) (*Connection, error) {
 	connection, err := transport.Dial(worker.Address, constants.WorkerDialTimeout, constants.ConnectionTimeout)
 	if err != nil {
