--- a/internal/traffic/gateway/connections_test.go
+++ b/internal/traffic/gateway/connections_test.go
@@ -86,11 +86,11 @@
 	owner := newClientConns(nil, routeconfig.Limits{IdleMs: 5_000})
 	connection, _ := idleConnection(owner, deadlineExceeded, bytesArrive)
 	if count, err := connection.Read(make([]byte, 4)); count != 4 || err != nil {
-		t.Fatal(count, err)
+		t.Fatal("bytes that arrived while suspended were not read: ", count, err)
 	}
 	connection, _ = idleConnection(owner, deadlineExceeded, deadlineExceeded)
 	if count, err := connection.Read(make([]byte, 4)); count != 0 || err == nil {
-		t.Fatal(count, err)
+		t.Fatal("want a timeout on a connection without bytes, got ", count, err)
 	}
 }
 
@@ -166,7 +166,7 @@
 		t.Fatalf("got bytes after an aborted response: %q", rest)
 	}
 	if order := <-started + <-started + <-started; order != "/one/two/broken" || len(started) > 0 {
-		t.Fatal(order, len(started))
+		t.Fatalf("handled %s and %d more, want /one/two/broken and none", order, len(started))
 	}
 }
 
@@ -186,6 +186,6 @@
 		owner.setLimits(routeconfig.Limits{HeaderBytes: bytes})
 	}
 	if got := fmt.Sprint(listener.limits); got != fmt.Sprint([]int{16_000, 100_000, 100_000, 8_000, constants.HeadLimit}) {
-		t.Error(got)
+		t.Error("head limits set on the listener: ", got)
 	}
 }
--- a/internal/traffic/gateway/jobforwarder_test.go
+++ b/internal/traffic/gateway/jobforwarder_test.go
@@ -45,9 +45,9 @@
 	<-tried
 	started := clock.Now()
 	forwarder.observeLeader(&messages.LeaderAnnouncement{Leadership: messages.Leadership{Epoch: 2, Address: "new"}})
-	got := <-results
-	if got.response == nil || got.response.Status != 202 || !got.mayHaveRun {
-		t.Fatal(got)
+	forwarded := <-results
+	if forwarded.response == nil || forwarded.response.Status != 202 || !forwarded.mayHaveRun {
+		t.Fatalf("got %+v, want status 202 from the new leader", forwarded)
 	}
 	if waited := clock.Now().Sub(started); waited > clock.Milliseconds(600) {
 		t.Fatal("call did not leave the old leader at once, waited ", waited)
@@ -55,7 +55,7 @@
 	// An announcement of an earlier epoch must be ignored.
 	forwarder.observeLeader(&messages.LeaderAnnouncement{Leadership: messages.Leadership{Epoch: 1, Address: "old"}})
 	if address, _ := forwarder.leader(); address != "new" {
-		t.Fatal(address)
+		t.Fatalf("leader is %q after an earlier announcement, want new", address)
 	}
 }
 
@@ -90,11 +90,11 @@
 	observe("near", messages.NodeInfo{Name: "z", Role: membership.RoleStore, Address: "store"})
 	resp, _ := gateways["cut"].Forward(&messages.JobCallRequest{Method: "POST", Job: "l"}, clock.Milliseconds(5000))
 	if resp == nil || resp.Status != 202 || len(calls) != 1 || !calls[0] {
-		t.Fatal(resp, calls)
+		t.Fatal("want status 202 and one relayed call, got ", resp, calls)
 	}
 	// If the other gateway can't reach a store either, nothing ran and there is no response.
 	network.Transport("store").Close()
 	if resp, mayHaveRun := gateways["cut"].Forward(&messages.JobCallRequest{Method: "POST", Job: "l"}, clock.Milliseconds(1500)); resp != nil || mayHaveRun {
-		t.Fatal(resp, mayHaveRun)
+		t.Fatal("want no response and nothing run, got ", resp, mayHaveRun)
 	}
 }
--- a/internal/traffic/gateway/outcome_test.go
+++ b/internal/traffic/gateway/outcome_test.go
@@ -216,7 +216,7 @@
 	<-tried
 	forwarder.observeLeader(&messages.LeaderAnnouncement{Leadership: messages.Leadership{Epoch: 2, Address: "new"}})
 	if resp := <-results; resp == nil || resp.Status != 504 {
-		t.Fatal(resp)
+		t.Fatal("want status 504, got ", resp)
 	}
 }
 
@@ -237,6 +237,6 @@
 	network.SetPartitioned("silent", true)
 	resp, mayHaveRun := partitioned.Forward(&messages.JobCallRequest{Method: "POST", Job: "l"}, clock.Milliseconds(3000))
 	if !mayHaveRun || (resp != nil && resp.Status != 504) {
-		t.Fatal(resp, mayHaveRun)
+		t.Fatal("want an unknown outcome, got ", resp, mayHaveRun)
 	}
 }
--- a/internal/traffic/proxy/everybyte_test.go
+++ b/internal/traffic/proxy/everybyte_test.go
@@ -143,7 +143,7 @@
 	return ""
 }
 
-// checkNext does the same for the response to the request after the fault.
+// checkNext checks the response to the request after the fault in the same way.
 func (c *faultCase) checkNext(resp *http.Response, body string, err error) string {
 	if err == nil && resp.StatusCode == 200 && (body != "for next" || resp.Header.Get(headerAttempt) != "next") {
 		return fmt.Sprintf("the next request got body %q", body)
--- a/internal/traffic/proxy/exchange.go
+++ b/internal/traffic/proxy/exchange.go
@@ -31,6 +31,8 @@
 	arrivedAt   clock.Instant
 	deadline    clock.Instant
 
+	// attempts counts the attempts that use up one of the route's tries, and undelivered those in
+	// which no byte of the request reached a worker; see decideRetry.
 	attempts    int
 	undelivered int
 	mayHaveRun  bool
--- a/internal/traffic/proxy/proxy.go
+++ b/internal/traffic/proxy/proxy.go
@@ -187,7 +187,7 @@
 }
 
 // SweepConnections closes connections that were idle for too long or whose worker has departed or
-// is unknown, and removes outdated workers and health records.
+// is unknown, removes outdated workers and address histories, and ends expired trials.
 func SweepConnections(pool *workerconn.Pool, scheduler *admission.Scheduler) {
 	now := clock.Now()
 	pool.Sweep(func(worker string) bool {
--- a/internal/traffic/proxy/sender.go
+++ b/internal/traffic/proxy/sender.go
@@ -15,7 +15,8 @@
 var (
 	// ErrNotSent means that no byte of the request reached a worker.
 	ErrNotSent = errs.Define("request not sent to worker")
-	// ErrCorruptResponse means that what was received is not a valid response to the request.
+	// ErrCorruptResponse means that what was received is not a valid response to the request, or that
+	// the connection failed within the head of the response.
 	ErrCorruptResponse = errs.Define("corrupt response")
 	// ErrResponseLost means that a timeout, a reset or a broken connection followed after sending.
 	ErrResponseLost = errs.Define("answer lost")
@@ -28,7 +29,8 @@
 type Sender struct {
 	Scheduler *admission.Scheduler
 	Pool      *workerconn.Pool
-	// Budget returns the maximum number of connections that this process may have to a worker.
+	// Budget returns the maximum number of connections that this process may have to a worker; 0
+	// means no limit.
 	Budget func(worker messages.Worker) int
 }
 
--- a/internal/traffic/proxy/silence.go
+++ b/internal/traffic/proxy/silence.go
@@ -11,8 +11,9 @@
 )
 
 // silencePolicy returns the function that decides whether to stop waiting for a worker that has sent
-// nothing for longer than usual. A retryable request goes to another worker, while attempts are left
-// and the service as a whole has not become slow. Any other request keeps waiting, since silence alone is
+// nothing for longer than usual. A retryable request goes to another worker while attempts are left:
+// at once if the retry budget permits it, that is unless the service as a whole has become slow, and
+// otherwise after a silence of constants.StreamTimeout. Any other request keeps waiting, since silence alone is
 // no reason to end a response before its deadline. In both cases the silence is recorded, so that other
 // requests are not sent to the silent worker.
 func (e *exchange) silencePolicy(grant *admission.Grant) func(elapsed clock.Duration) bool {
--- a/internal/traffic/proxy/workerfailure.go
+++ b/internal/traffic/proxy/workerfailure.go
@@ -66,7 +66,7 @@
 	e.lastFailure = &workerFailure{response.HTTPResponse.StatusCode, response.HTTPResponse.Header, body}
 	retry := e.decideRetry(Evidence{Sent: true})
 	if response.HTTPResponse.StatusCode < 500 {
-		// A 4xx is caused by the request itself: another worker would return the same.
+		// A status below 500 is caused by the request itself: another worker would return the same.
 		retry = RetryNever
 	}
 	return retry, false
--- a/internal/traffic/proxy/workerstub_test.go
+++ b/internal/traffic/proxy/workerstub_test.go
@@ -166,7 +166,7 @@
 	return newProxyServerFor(t, list)
 }
 
-// newProxyServerFor does the same for workers given by id and address.
+// newProxyServerFor starts a proxy in front of workers given by id and address.
 func newProxyServerFor(t *testing.T, list []messages.Worker) (*httptest.Server, *Proxy) {
 	t.Helper()
 
