--- a/internal/configuration/configcheck/configcheck.go
+++ b/internal/configuration/configcheck/configcheck.go
@@ -51,7 +51,9 @@
 	return routeconfig.ErrMalformed.Wrap(c.schema.Err(), "schema")
 }
 
-// Check returns the configuration and the findings against it; it is valid if there are none.
+// Check returns the configuration and the findings against it; it is valid if there are none. The
+// configuration is nil if it can't be parsed, or if it is longer than pieceBytes and does not match
+// the schema.
 // The memory used is a small multiple of the body's length, whatever its content.
 func (c *Checker) Check(body []byte) (*routeconfig.Config, []string) {
 	inPieces := len(body) > pieceBytes
--- a/internal/configuration/configcheck/configcheck_test.go
+++ b/internal/configuration/configcheck/configcheck_test.go
@@ -19,7 +19,7 @@
 		t.Fatal(err)
 	}
 	if _, findings := checker.Check([]byte(validBody)); len(findings) != 0 {
-		t.Fatal(findings)
+		t.Fatal("findings against a valid configuration: ", findings)
 	}
 	for name, change := range map[string][2]string{
 		"cut short":        {`"also-later":{}}`, ``},
@@ -57,7 +57,7 @@
 		counts[config.Routes[0].Choose(float64(draw)/100)]++
 	}
 	if counts["s"] != 90 || counts["t"] != 10 {
-		t.Error(counts)
+		t.Error("want 90 draws for s and 10 for t, got ", counts)
 	}
 }
 
@@ -83,7 +83,7 @@
 	}
 	config, findings := checker.Check([]byte(longBody(600)))
 	if len(findings) != 0 || len(config.Routes) != 600 || config.Limits.IdleMs != 15000 {
-		t.Fatal(findings)
+		t.Fatal("a valid long configuration was not accepted unchanged: ", findings)
 	}
 	for name, change := range map[string][2]string{
 		"cut short":        {`]}`, `]`},
--- a/internal/configuration/openapiimport/openapiimport.go
+++ b/internal/configuration/openapiimport/openapiimport.go
@@ -108,7 +108,9 @@
 	return fixed, fixed != "/" && fixed != ""
 }
 
-// kindOf returns the most restrictive kind that fits all operations of a path, or "" if it has none.
+// kindOf returns the kind of a path's operations, or "" if it has none. It is idempotent only if all
+// operations are. For a path with both effectful and streaming operations it is one of these two
+// kinds, which one is not determined.
 func kindOf(item *openapi3.PathItem) string {
 	kind := ""
 	for method, operation := range item.Operations() {
--- a/internal/configuration/openapiimport/openapiimport_test.go
+++ b/internal/configuration/openapiimport/openapiimport_test.go
@@ -30,7 +30,7 @@
 	want := map[string]string{"/v1/answers/": "streaming", "/v1/orders/": "idempotent", "/v1/payments/": "effectful"}
 	for _, route := range routes {
 		if want[route.Prefix] != route.KindName || route.Host != "api.example" || route.Backend != "s" {
-			t.Error(route)
+			t.Errorf("unexpected route %+v", route)
 		}
 	}
 }
--- a/internal/configuration/routeconfig/routeconfig.go
+++ b/internal/configuration/routeconfig/routeconfig.go
@@ -24,7 +24,7 @@
 	Share   float64 `json:"share"`
 }
 
-// Route is one channel of the configuration. Fields whose names end in Ms are in milliseconds,
+// Route is one route of the configuration, whose JSON form calls it a channel. Fields whose names end in Ms are in milliseconds,
 // RetainS is in seconds. The methods Cutoff, Setpoint and Retain apply the defaults.
 type Route struct {
 	Name       string  `json:"name"`
@@ -50,13 +50,14 @@
 	GapMs float64 `json:"gap-setpoint-ms,omitempty"`
 }
 
-// Engine describes the workers of a service that runs a model.
+// Engine describes the workers of a service that runs a model. CacheTokens is the capacity of a
+// worker's prefix cache, in tokens; 0 means that it is not known.
 type Engine struct {
 	Capacity    int   `json:"capacity,omitempty"`
 	CacheTokens int64 `json:"cache-tokens,omitempty"`
 }
 
-// Service is one backend of the configuration.
+// Service is one service of the configuration, whose JSON form calls it a backend.
 type Service struct {
 	Name  string `json:"name"`
 	Probe string `json:"probe,omitempty"`
@@ -65,7 +66,9 @@
 	Engine    *Engine `json:"engine,omitempty"`
 }
 
-// Limits bounds the requests and idle times of clients.
+// Limits bounds the requests and idle times of clients. If HeaderBytes or BodyBytes is 0, the
+// gateway applies constants.HeadLimit or constants.RequestLimit; a HeaderWaitMs or IdleMs of 0 means
+// no limit.
 type Limits struct {
 	HeaderBytes  int     `json:"max-header-bytes,omitempty"`
 	BodyBytes    int64   `json:"max-body-bytes,omitempty"`
@@ -223,11 +226,11 @@
 	return clock.Milliseconds(r.CutoffMs)
 }
 
-// Retain returns how long after its batch job was sent an item may still be run; the default
+// Retain returns how long after its batch job was submitted an item may still be run; the default
 // is 24 hours.
 func (r *Route) Retain() clock.Duration {
 	if r.RetainS <= 0 {
-		// Not configured: no item may be given up because of its age.
+		// Not configured: long enough that normally no item is given up because of its age.
 		return clock.Milliseconds(24 * 3_600_000)
 	}
 	return clock.Milliseconds(r.RetainS * 1000)
--- a/internal/configuration/routeconfig/routeconfig_test.go
+++ b/internal/configuration/routeconfig/routeconfig_test.go
@@ -2,17 +2,17 @@
 
 import "testing"
 
-// A route without retain-s does not give up items because of their age.
+// A route without retain-s retains items for a long time, at least an hour.
 func TestRetain(t *testing.T) {
-	without, with := Route{}, Route{RetainS: 5}
-	if without.Retain().Hours() < 1 || with.Retain().Seconds() != 5 {
-		t.Fatal(without.Retain(), with.Retain())
+	byDefault, configured := Route{}, Route{RetainS: 5}
+	if byDefault.Retain().Hours() < 1 || configured.Retain().Seconds() != 5 {
+		t.Fatal("default and configured time, want at least 1 h and 5 s: ", byDefault.Retain(), configured.Retain())
 	}
 }
 
 func TestUnknownKindsAreTreatedWithCare(t *testing.T) {
 	route := Route{KindName: "of-a-later-version"}
 	if route.Kind().String() != "RouteEffectful" {
-		t.Fatal(route.Kind())
+		t.Fatal("an unknown kind was not treated as effectful: ", route.Kind())
 	}
 }
