--- a/internal/traffic/proxy/begunresponse_test.go
+++ b/internal/traffic/proxy/begunresponse_test.go
@@ -31,7 +31,7 @@
 	server, proxy := newProxyServer(t, worker)
 	expectWholeStream(t, server)
 	if aborted := proxy.Counts.Aborted.Load(); aborted != 0 || worker.seen() != 2 {
-		t.Error(aborted, worker.seen())
+		t.Errorf("%d responses aborted and %d requests at the worker, want 0 and 2", aborted, worker.seen())
 	}
 }
 
@@ -67,7 +67,7 @@
 	go clock.Every(constants.PollPeriod, stop, proxy.PumpQueue)
 	expectWholeStream(t, server)
 	if aborted := proxy.Counts.Aborted.Load(); aborted != 0 || rejected.Load() != rejectionCount+1 {
-		t.Error(aborted, rejected.Load())
+		t.Errorf("%d responses aborted and %d resumptions requested, want 0 and %d", aborted, rejected.Load(), rejectionCount+1)
 	}
 }
 
--- a/internal/traffic/proxy/everybyte_test.go
+++ b/internal/traffic/proxy/everybyte_test.go
@@ -27,7 +27,8 @@
 	return fmt.Sprintf("%s reused=%v %s response=%v at=%d", c.path, c.reused, c.injection.Fault, c.injection.Response, c.injection.At)
 }
 
-// serveComplete sends a complete response of the kind that the request's path has.
+// serveComplete sends a complete response to a request: an event stream if its path is that of a
+// streaming route, otherwise a plain one.
 func serveComplete(_ int, request *http.Request, connection net.Conn) {
 	if strings.HasPrefix(request.RequestURI, "/rigid/") || strings.HasPrefix(request.RequestURI, "/stream/") {
 		write(connection, streamHead(request)+chunk(event(1))+chunk(event(2))+"0\r\n\r\n")
@@ -164,14 +165,14 @@
 	return bed.relays[0].Counts()
 }
 
-// byteStep returns the distance between the bytes at which a fault is injected: 1 for a close or a
-// reset of an effectful request, and otherwise more, to save time.
+// byteStep returns the distance between the bytes at which a fault is injected: 1 if every byte is
+// tested and for a close or a reset of an effectful request, and otherwise more, to save time.
 func byteStep(path string, fault faultrelay.Fault) int {
-	violation := fault == faultrelay.Close || fault == faultrelay.Reset
+	closesConnection := fault == faultrelay.Close || fault == faultrelay.Reset
 	switch {
-	case os.Getenv(everyByte) != "", violation && path == "/once/x":
+	case os.Getenv(everyByte) != "", closesConnection && path == "/once/x":
 		return 1
-	case violation && path == "/rigid/x":
+	case closesConnection && path == "/rigid/x":
 		return 5
 	}
 	return 23
--- a/internal/traffic/proxy/protocol_test.go
+++ b/internal/traffic/proxy/protocol_test.go
@@ -137,13 +137,13 @@
 // request must not be sent to another worker, whether it is being processed or streamed.
 func TestWorkStopsWithItsClient(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/once/x", "/stream/x"} {
-		cut := make(chan clock.Instant, 1)
+		closedAt := make(chan clock.Instant, 1)
 		worker := newWorkerStub(t, "w1", func(_ int, request *http.Request, connection net.Conn) {
 			if path == "/stream/x" {
 				write(connection, streamHead(request)+chunk(event(1)))
 			}
 			_, _ = connection.Read(make([]byte, 1))
-			cut <- clock.Now()
+			closedAt <- clock.Now()
 		})
 		other := newWorkerStub(t, "w2", func(int, *http.Request, net.Conn) {})
 		server, _ := newProxyServer(t, worker, other)
@@ -155,9 +155,9 @@
 		for worker.seen() == 0 {
 			clock.Sleep(clock.Milliseconds(1))
 		}
-		left := clock.Now()
+		disconnectedAt := clock.Now()
 		client.Close()
-		if elapsed := (<-cut).Sub(left); elapsed > clock.Milliseconds(500) {
+		if elapsed := (<-closedAt).Sub(disconnectedAt); elapsed > clock.Milliseconds(500) {
 			t.Errorf("%s: worker connection closed %v after the client disconnected", path, elapsed)
 		}
 		if other.seen() > 0 {
--- a/internal/traffic/proxy/proxy_test.go
+++ b/internal/traffic/proxy/proxy_test.go
@@ -241,6 +241,6 @@
 	}
 	close(wait)
 	if got := <-ended; got != "true done <nil>" && got != "truedone<nil>" && got != "truedone <nil>" {
-		t.Fatal(got)
+		t.Fatal("the request in flight did not succeed: ", got)
 	}
 }
--- a/internal/traffic/proxy/workerstub_test.go
+++ b/internal/traffic/proxy/workerstub_test.go
@@ -117,6 +117,7 @@
 	}
 }
 
+// seen returns the number of requests that were read completely.
 func (s *workerStub) seen() int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
