--- a/internal/traffic/prefixindex/tree.go
+++ b/internal/traffic/prefixindex/tree.go
@@ -97,6 +97,8 @@
 	}
 }
 
+// removeBelow removes the leaf at the end of the path rest below a node, and reports whether there
+// was one.
 func removeBelow(current *node, rest []byte) bool {
 	if len(rest) == 0 {
 		removed := current.leaf != nil
--- a/internal/traffic/proxy/proxy.go
+++ b/internal/traffic/proxy/proxy.go
@@ -45,7 +45,9 @@
 	Counts    Counts
 }
 
-// Counts are the request counters shown to operators.
+// Counts are the request counters shown to operators. Resumed counts attempts that continue a begun
+// response, Aborted the responses that were truncated after they had begun. Retried is never
+// incremented.
 type Counts struct {
 	Served, Rejected, Failed, Resumed, Retried, Aborted atomic.Int64
 }
