--- a/internal/traffic/prefixindex/tree.go
+++ b/internal/traffic/prefixindex/tree.go
@@ -10,8 +10,8 @@
 	children branch
 }
 
-// Tree is an adaptive radix tree over prompt parts. Its keys are the ids of the
-// parts, eight bytes each, so a prefix of a prompt is a prefix of its key.
+// Tree is an adaptive radix tree over prompt parts. Its keys are the names of the parts (Part.Name),
+// eight bytes each, so a prefix of a prompt is a prefix of its key.
 type Tree struct {
 	root node
 	size int
@@ -97,6 +97,8 @@
 	}
 }
 
+// removeBelow removes the leaf at the end of the path rest below a node, and reports whether there
+// was one.
 func removeBelow(current *node, rest []byte) bool {
 	if len(rest) == 0 {
 		removed := current.leaf != nil
--- a/internal/traffic/proxy/proxy.go
+++ b/internal/traffic/proxy/proxy.go
@@ -45,7 +45,9 @@
 	Counts    Counts
 }
 
-// Counts are the request counters shown to operators.
+// Counts are the request counters shown to operators. Resumed counts attempts that continue a begun
+// response, Aborted the responses that were truncated after they had begun. Retried is never
+// incremented.
 type Counts struct {
 	Served, Rejected, Failed, Resumed, Retried, Aborted atomic.Int64
 }
@@ -187,7 +189,7 @@
 }
 
 // SweepConnections closes connections that were idle for too long or whose worker has departed or
-// is unknown, and removes outdated workers and health records.
+// is unknown, removes outdated workers and address histories, and ends expired trials.
 func SweepConnections(pool *workerconn.Pool, scheduler *admission.Scheduler) {
 	now := clock.Now()
 	pool.Sweep(func(worker string) bool {
--- a/internal/traffic/proxy/workerstub_test.go
+++ b/internal/traffic/proxy/workerstub_test.go
@@ -117,6 +117,7 @@
 	}
 }
 
+// seen returns the number of requests that were read completely.
 func (s *workerStub) seen() int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -166,7 +167,7 @@
 	return newProxyServerFor(t, list)
 }
 
-// newProxyServerFor does the same for workers given by id and address.
+// newProxyServerFor starts a proxy in front of workers given by id and address.
 func newProxyServerFor(t *testing.T, list []messages.Worker) (*httptest.Server, *Proxy) {
 	t.Helper()
 
