--- a/cmd/lemonarch/jobs_test.go
+++ b/cmd/lemonarch/jobs_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// The commands on batch jobs work under their earlier names as well, to the same flags.
+// TestEarlierNamesOfJobCommands checks that the commands for batch jobs also work under their earlier
+// names, with the same flags.
 func TestEarlierNamesOfJobCommands(t *testing.T) {
 	for _, names := range [][2]string{
 		{"jobs", "lots"},
@@ -18,12 +19,12 @@
 		if err != nil {
 			t.Fatal(names[0], err)
 		}
-		before, _, err := rootCommand().Find(strings.Fields(names[1]))
+		earlier, _, err := rootCommand().Find(strings.Fields(names[1]))
 		if err != nil {
 			t.Fatal(names[1], err)
 		}
-		if current.CommandPath() != before.CommandPath() || current.CommandPath() == "lemonarch" {
-			t.Errorf("%s is %q, %s is %q", names[0], current.CommandPath(), names[1], before.CommandPath())
+		if current.CommandPath() != earlier.CommandPath() || current.CommandPath() == "lemonarch" {
+			t.Errorf("%s is %q, %s is %q", names[0], current.CommandPath(), names[1], earlier.CommandPath())
 		}
 	}
 }
--- a/internal/batch/leader/outputs.go
+++ b/internal/batch/leader/outputs.go
@@ -10,7 +10,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// outputPage is the answer to a read of a job (PROTOCOL, lots).
+// outputPage is the response to a read of a job (PROTOCOL, lots).
 type outputPage struct {
 	Sum     int           `json:"sum"`
 	Next    int           `json:"next-token"`
@@ -30,15 +30,15 @@
 	phaseAbandoned = "abandoned"
 )
 
-// page gives results from a position on, up to constants.PageBytes.
+// page returns the results from a position on, limited to constants.PageBytes but at least one.
 func (t *Term) page(total, cursor int, listings []dispatch.Listing) *messages.JobCallResponse {
 	page := outputPage{Sum: total, Next: cursor, Outputs: []outputEntry{}}
 	size := 0
 	for i := cursor; i < len(listings); i++ {
 		output, err := t.output(listings[i].Index)
 		if err != nil {
-			t.process.Node.Log.Error("output can't be read", "err", err.Error())
-			return refuse(http.StatusServiceUnavailable, "output can't be read now")
+			t.process.Node.Log.Error("failed to read output", "err", err.Error())
+			return errorResponse(http.StatusServiceUnavailable, "output can't be read now")
 		}
 		if size += len(output) + recordOverhead; size > constants.PageBytes && i > cursor {
 			break
@@ -52,12 +52,13 @@
 	}
 	body, err := json.Marshal(page)
 	if err != nil {
-		return refuse(http.StatusInternalServerError, "page can't be written")
+		return errorResponse(http.StatusInternalServerError, "page can't be written")
 	}
 	return &messages.JobCallResponse{Status: http.StatusOK, Body: body}
 }
 
-// output gives an output's text: from memory while it is new, else from disk.
+// output returns the text of an output, from memory if its record is still there and from disk
+// otherwise.
 func (t *Term) output(index int64) ([]byte, error) {
 	t.lock.Lock()
 	if record := t.recentAt(index); record != nil {
@@ -73,32 +74,33 @@
 	return outputcodec.Decompress(record.Body, record.Compressed)
 }
 
-// itemBody gives the body of an item as it was submitted.
+// itemBody returns the body of an item as submitted.
 func (t *Term) itemBody(call *messages.JobCallRequest) *messages.JobCallResponse {
 	t.lock.Lock()
 	job := t.jobs.Job(call.Job)
 	if job == nil {
 		t.lock.Unlock()
-		return refuse(http.StatusNotFound, "no such lot")
+		return errorResponse(http.StatusNotFound, "no such lot")
 	}
 	item := job.Item(call.Item)
 	if item == nil {
 		t.lock.Unlock()
-		return refuse(http.StatusNotFound, "no such item")
+		return errorResponse(http.StatusNotFound, "no such item")
 	}
 	body, index := item.Body, job.Index
 	t.lock.Unlock()
 	if body == nil {
-		// It is listed, or its job has ended: the body is still in the job's record.
+		// The item is listed or its job has ended. The body is still in the job's record.
 		var err error
 		if body, err = t.submittedBody(index, call.Item); err != nil {
-			return refuse(http.StatusServiceUnavailable, "body can't be read now")
+			return errorResponse(http.StatusServiceUnavailable, "body can't be read now")
 		}
 	}
 	return &messages.JobCallResponse{Status: http.StatusOK, ContentType: "application/octet-stream", Body: body}
 }
 
-// submittedBody reads the body of an item from the record of its job.
+// submittedBody reads the body of an item from the record of its job. It returns nil without an
+// error if the job has no such item.
 func (t *Term) submittedBody(index int64, itemID string) ([]byte, error) {
 	record, err := t.process.Log.Read(index)
 	if err != nil {
--- a/internal/batch/leader/report.go
+++ b/internal/batch/leader/report.go
@@ -10,33 +10,33 @@
 	"lemonarch/internal/platform/messages"
 )
 
-func number[Integer int | int64 | uint64](value Integer) string {
+func formatInteger[Integer int | int64 | uint64](value Integer) string {
 	return strconv.FormatInt(int64(value), 10)
 }
 
-// Leadership is the leadership of this term.
+// Leadership returns the leadership of this term.
 func (t *Term) Leadership() messages.Leadership { return t.leadership }
 
-// Members gives the store set by which this term counts copies.
+// Members returns the store set that this term uses to count copies.
 func (t *Term) Members() []messages.Member {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	return slices.Clone(t.records.replicator.Members)
 }
 
-// Serving tells whether the takeover is complete.
+// Serving reports whether the term serves calls: its takeover is complete and it has not ended.
 func (t *Term) Serving() bool {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	return t.serving
 }
 
-// JobsReport is a list of jobs without rows.
+// JobsReport returns a job report without rows.
 func JobsReport() *messages.StatusResponse {
 	return &messages.StatusResponse{Columns: []string{"lot", "path", "age-s", "items", "listed", "acquired", "waiting-tokens", "deliveries", "lapses", "releases", "failures", "renewals", "state"}}
 }
 
-// ReportJobs lists the jobs.
+// ReportJobs returns a report with one row per job.
 func (t *Term) ReportJobs() *messages.StatusResponse {
 	status := JobsReport()
 	now := clock.WallNanos() / 1_000_000
@@ -58,25 +58,27 @@
 				acquired++
 			}
 			deliveries += item.Runs
-			lapses += item.Lapses
+			lapses += item.LockExpiries
 			releases += item.Releases
 			failures += len(item.FailedBy)
 			renewals += item.Renewals
 		}
-		status.Rows = append(status.Rows, []string{job.ID, job.Path, number((now - job.SubmittedMs) / 1000), number(job.Total()),
-			number(len(job.Listings)), number(acquired), number(tokens), number(deliveries), number(lapses), number(releases), number(failures), number(renewals), state})
+		status.Rows = append(status.Rows, []string{job.ID, job.Path, formatInteger((now - job.SubmittedMs) / 1000), formatInteger(job.Total()),
+			formatInteger(len(job.Listings)), formatInteger(acquired), formatInteger(tokens), formatInteger(deliveries), formatInteger(lapses), formatInteger(releases), formatInteger(failures), formatInteger(renewals), state})
 	}
 	return status
 }
 
-// ReportStores gives a row a member of the store set: how far it has synced, and what it lacks.
+// ReportStores returns one row per member of the store set: name, disk, the index up to which it has
+// synced, the number of records that it lacks, and its state, which is
+// always "in the set".
 func (t *Term) ReportStores() [][]string {
 	var rows [][]string
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	for _, member := range t.records.replicator.Members {
 		match := t.records.replicator.MatchIndex(register.Identity(member))
-		rows = append(rows, []string{member.Name, member.Disk, number(match), number(t.records.replicator.Last() - match), "in the set"})
+		rows = append(rows, []string{member.Name, member.Disk, formatInteger(match), formatInteger(t.records.replicator.Last() - match), "in the set"})
 	}
 	return rows
 }
--- a/internal/batch/store/budget_test.go
+++ b/internal/batch/store/budget_test.go
@@ -11,38 +11,38 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// slowly carries an order; a slow store takes longer over it.
-func (s *simFleet) slowly(from, to string, function func()) {
-	lag := s.lag[to]
-	if lag == 0 {
+// sendAppend delivers an append request; a slow store processes it later.
+func (s *simFleet) sendAppend(from, to string, function func()) {
+	delay := s.appendDelay[to]
+	if delay == 0 {
 		s.world.Send(from, to, function)
 		return
 	}
-	s.world.Send(from, to, func() { s.world.After(lag, function) })
+	s.world.Send(from, to, func() { s.world.After(delay, function) })
 }
 
-// slowTwo makes two members of the set slow, and nobody else.
-func (s *simFleet) slowTwo() {
-	s.lag = map[string]clock.Duration{}
+// slowTwoMembers makes two members of the set slow, and no other store.
+func (s *simFleet) slowTwoMembers() {
+	s.appendDelay = map[string]clock.Duration{}
 	for _, i := range s.world.Random.Perm(len(s.set))[:2] {
-		s.lag[s.set[i].Address] = clock.Milliseconds(120)
+		s.appendDelay[s.set[i].Address] = clock.Milliseconds(120)
 	}
 }
 
-// pair draws two members of the set; half of the time those that have most.
-func (s *simFleet) pair() []messages.Member {
+// randomPair draws two members of the set, half of the time those with the most records.
+func (s *simFleet) randomPair() []messages.Member {
 	order := s.world.Random.Perm(len(s.set))
 	if s.world.Random.Intn(2) == 0 {
-		has := func(i int) int64 {
+		lastIndex := func(i int) int64 {
 			return s.stores[s.set[i].Address].store.Extent().Last
 		}
-		sort.SliceStable(order, func(left, right int) bool { return has(order[left]) > has(order[right]) })
+		sort.SliceStable(order, func(left, right int) bool { return lastIndex(order[left]) > lastIndex(order[right]) })
 	}
 	return []messages.Member{s.set[order[0]], s.set[order[1]]}
 }
 
-// fresh gives a store outside the set.
-func (s *simFleet) fresh() messages.Member {
+// spareStore returns a running store outside the set.
+func (s *simFleet) spareStore() messages.Member {
 	inSet := map[string]bool{}
 	for _, member := range s.set {
 		inSet[member.Address] = true
@@ -52,32 +52,32 @@
 			return s.stores[name].member
 		}
 	}
-	s.test.Fatal("no store stands by")
+	s.t.Fatal("no spare store is running")
 	return messages.Member{}
 }
 
-// awaitAcknowledged runs until the leader has told one more result: the fault that follows
-// strikes right after an acknowledgement.
+// awaitAcknowledged runs the world until the leader has acknowledged another output, so that the
+// next fault occurs right after an acknowledgement.
 func (s *simFleet) awaitAcknowledged() {
 	before := s.acknowledgements
 	for step := 0; step < 4000 && s.acknowledgements == before; step++ {
 		if step%30 == 0 {
-			s.number++
-			id := fmt.Sprintf("lot%d", s.number)
-			packed, _ := (&messages.JobBody{Path: "/p/", Items: []messages.JobItem{{ID: id + "-0", Tokens: 1}}}).MarshalMsg(nil)
-			s.leader.submit(messages.Record{Kind: messages.RecordJob, Job: id, Body: packed})
+			s.jobNumber++
+			id := fmt.Sprintf("lot%d", s.jobNumber)
+			encoded, _ := (&messages.JobBody{Path: "/p/", Items: []messages.JobItem{{ID: id + "-0", Tokens: 1}}}).MarshalMsg(nil)
+			s.leader.submit(messages.Record{Kind: messages.RecordJob, Job: id, Body: encoded})
 			s.leader.submit(messages.Record{Kind: messages.RecordOutput, Job: id, Item: id + "-0"})
 			s.leader.forget()
 		}
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(1)))
 	}
 	if s.acknowledgements == before {
-		s.test.Fatal("nothing was told any more")
+		s.t.Fatal("no further output was acknowledged within 4 s")
 	}
 }
 
-// wipeBack brings a machine back with an empty disk.
-func (s *simFleet) wipeBack(store *simStore, disk string) {
+// restartWiped restarts a machine with an empty disk.
+func (s *simFleet) restartWiped(store *simStore, disk string) {
 	store.down = true
 	store.disk.PowerLoss()
 	store.disk.Wipe()
@@ -85,25 +85,25 @@
 	s.open(store)
 }
 
-// newBudgetFleet makes a fleet with a fault budget of two, whose set is complete.
+// newBudgetFleet creates a fleet with a fault budget of two and a complete store set.
 func newBudgetFleet(t *testing.T, seed int64) *simFleet {
 	t.Helper()
 
 	fleet := newSimFleetOf(t, seed, 9, 2, 5)
 	if seed%4 == 0 {
-		// The first set is smaller than the budget asks, and grows under load.
+		// The first set is smaller than the budget requires, and grows under load.
 		fleet = newSimFleetOf(t, seed, 9, 2, 3)
 	}
-	fleet.world.Loss, fleet.world.Double = 0.04, 0.04
+	fleet.world.LossProbability, fleet.world.DuplicateProbability = 0.04, 0.04
 	fleet.electAny()
 	for len(fleet.set) < 5 {
 		fleet.awaitAcknowledged()
-		fleet.replaceMember(messages.Member{}, fleet.fresh())
+		fleet.replaceMember(messages.Member{}, fleet.spareStore())
 	}
 	return fleet
 }
 
-// losePowerAndDisks takes everybody's power, and the disks of some.
+// losePowerAndDisks cuts the power of all stores and wipes the disks of some.
 func (s *simFleet) losePowerAndDisks(lost []messages.Member, disk func(i int) string) {
 	for _, name := range simulation.Keys(s.stores) {
 		s.stores[name].down = true
@@ -113,18 +113,18 @@
 		s.open(s.stores[name])
 	}
 	for i, member := range lost {
-		s.wipeBack(s.stores[member.Address], disk(i))
+		s.restartWiped(s.stores[member.Address], disk(i))
 	}
 	s.electAny()
 	for _, member := range lost {
 		s.replaceMember(member, s.stores[member.Address].member)
 	}
-	// Somebody takes over at the very moment of the change.
+	// A store takes over at the moment of the set change.
 	s.electAny()
 }
 
-// losePowerOf takes the power of some for a while.
-func (s *simFleet) losePowerOf(lost []messages.Member) {
+// losePowerTemporarily cuts the power of some stores for a while.
+func (s *simFleet) losePowerTemporarily(lost []messages.Member) {
 	for _, member := range lost {
 		s.stores[member.Address].down = true
 		s.stores[member.Address].disk.PowerLoss()
@@ -136,66 +136,67 @@
 	}
 }
 
-// loseForGood replaces some by others; they come back with empty disks later.
-func (s *simFleet) loseForGood(lost []messages.Member, disk func(i int) string) {
+// losePermanently replaces some stores by others. The lost ones return later with empty disks.
+func (s *simFleet) losePermanently(lost []messages.Member, disk func(i int) string) {
 	for _, member := range lost {
 		s.stores[member.Address].down = true
 	}
 	s.electAny()
 	for _, member := range lost {
-		s.replaceMember(member, s.fresh())
+		s.replaceMember(member, s.spareStore())
 	}
 	for i, member := range lost {
-		s.wipeBack(s.stores[member.Address], disk(i))
+		s.restartWiped(s.stores[member.Address], disk(i))
 	}
 }
 
-// loseTwo strikes two stores right after an acknowledgement, in one of three ways.
-func (s *simFleet) loseTwo(round int) {
-	if len(s.lag) == 0 {
-		s.slowTwo()
+// loseTwoStores makes two stores fail right after an acknowledgement, in one of three ways.
+func (s *simFleet) loseTwoStores(round int) {
+	if len(s.appendDelay) == 0 {
+		s.slowTwoMembers()
 	}
 	s.awaitAcknowledged()
-	// Slow stores count as lost: they recover as the others are struck.
-	s.lag = nil
-	lost := s.pair()
+	// Slow stores count against the budget, so they recover before the others fail.
+	s.appendDelay = nil
+	lost := s.randomPair()
 	disk := func(i int) string { return fmt.Sprintf("wiped-%d-%d", round, i) }
 	switch s.world.Random.Intn(3) {
 	case 0:
 		s.losePowerAndDisks(lost, disk)
 	case 1:
-		s.losePowerOf(lost)
+		s.losePowerTemporarily(lost)
 	case 2:
-		s.loseForGood(lost, disk)
+		s.losePermanently(lost, disk)
 	}
 	s.electAny()
 	s.awaitAcknowledged()
 	if s.world.Random.Intn(2) == 0 {
-		// A member is emptied under load, two others slow; the next fault follows.
-		s.slowTwo()
-		if out := s.pair()[1]; out.Address != s.leader.at {
-			s.replaceMember(out, s.fresh())
+		// A member is replaced under load while two members are slow; the next fault follows.
+		s.slowTwoMembers()
+		if leaving := s.randomPair()[1]; leaving.Address != s.leader.address {
+			s.replaceMember(leaving, s.spareStore())
 		}
 	}
 }
 
-// Records outlast the loss of any two of five stores right after they were acknowledged:
-// disks lost while all others lose power, kills, and machines gone for good.
+// Acknowledged records survive the loss of any two of five stores right after the
+// acknowledgement: two disks lost while all other stores lose power, two stores down for a while,
+// or two machines lost permanently.
 func TestJobsUnderLossOfTwo(t *testing.T) {
 	acknowledged := 0
 	for seed := int64(1); seed <= int64(simulation.Seeds(40)); seed++ {
 		fleet := newBudgetFleet(t, seed)
 		for round := 0; round < 5; round++ {
-			fleet.loseTwo(round)
+			fleet.loseTwoStores(round)
 		}
 		for _, member := range fleet.set {
 			if register.Identity(fleet.stores[member.Address].member) != register.Identity(member) {
-				t.Fatalf("seed %d: the set names a disk that is gone", seed)
+				t.Fatalf("seed %d: the store set names a lost disk", seed)
 			}
 		}
 		acknowledged += fleet.acknowledgements
 	}
 	if acknowledged < 300 {
-		t.Fatalf("only %d results were acknowledged in all", acknowledged)
+		t.Fatalf("%d outputs were acknowledged in total, want at least 300", acknowledged)
 	}
 }
--- a/internal/batch/store/overload_test.go
+++ b/internal/batch/store/overload_test.go
@@ -9,33 +9,34 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// submitJob submits a job of items that really run.
-func (s *simCluster) lot(items int) {
+// submitJob submits a job whose items run on the simulated workers.
+func (s *simCluster) submitJob(items int) {
 	leader := s.leader
-	if leader == nil || !leader.ready || s.stores[leader.at].down {
+	if leader == nil || !leader.ready || s.stores[leader.address].down {
 		return
 	}
-	s.number++
-	id := fmt.Sprint("job", s.number)
+	s.jobNumber++
+	id := fmt.Sprint("job", s.jobNumber)
 	body := &messages.JobBody{Path: "/p/"}
 	for i := 0; i < items; i++ {
 		body.Items = append(body.Items, messages.JobItem{ID: fmt.Sprintf("%s-%d", id, i), Tokens: 10})
 	}
-	packed, _ := body.MarshalMsg(nil)
-	leader.submit(messages.Record{Kind: messages.RecordJob, Job: id, Body: packed})
+	encoded, _ := body.MarshalMsg(nil)
+	leader.submit(messages.Record{Kind: messages.RecordJob, Job: id, Body: encoded})
 }
 
-// overload plays a burst of the high tier over running jobs, while the leader
-// dies, its leadership changes hands, a store is cut off and workers cut streams.
-func overload(t *testing.T, seed int64) *simCluster {
+// playOverload runs a burst of live requests of the highest priority over running jobs. Meanwhile
+// the leader's machine loses power or the leadership changes, a store is partitioned, and workers
+// break streams off.
+func playOverload(t *testing.T, seed int64) *simCluster {
 	t.Helper()
 
 	cluster := newCluster(t, seed)
-	cluster.world.Loss, cluster.world.Double = 0.03, 0.03
+	cluster.world.LossProbability, cluster.world.DuplicateProbability = 0.03, 0.03
 	cluster.electAny()
 	cluster.dispatch()
 	for count := 0; count < 6; count++ {
-		cluster.lot(8)
+		cluster.submitJob(8)
 	}
 	for burst := 0; burst < 90; burst++ {
 		at := clock.Milliseconds(100 + 15*float64(burst))
@@ -46,53 +47,53 @@
 		})
 	}
 	cluster.world.Run(cluster.world.Now.Add(clock.Milliseconds(500)))
-	victim := cluster.stores[cluster.leader.at]
+	victim := cluster.stores[cluster.leader.address]
 	if seed%2 == 0 {
-		// The leader's machine loses power in the middle of it.
+		// The leader's machine loses power during the burst.
 		victim.down = true
 		victim.disk.PowerLoss()
 		cluster.electAny()
 		cluster.open(victim)
 	} else {
-		// The leadership changes hands while its leader still runs.
+		// Another store takes over while the old leader still runs.
 		cluster.electAny()
 	}
 	other := cluster.set[cluster.world.Random.Intn(3)].Address
-	if other != cluster.leader.at {
+	if other != cluster.leader.address {
 		cluster.world.Isolate(other, []string{"s0", "s1", "s2"}, true)
 		cluster.world.After(clock.Milliseconds(400), func() { cluster.world.Isolate(other, []string{"s0", "s1", "s2"}, false) })
 	}
-	cluster.lot(5)
+	cluster.submitJob(5)
 	cluster.world.Run(cluster.world.Now.Add(clock.Milliseconds(30_000)))
 	return cluster
 }
 
-// Every displaced item ends exactly once, with each of its events once; every live
-// request is served or promised never to run, exactly once.
-func TestOverloadDisplacesAndFinishesOnce(t *testing.T) {
-	preempted, promised, requested := 0, 0, 0
+// Every preempted item finishes exactly once, with each of its events once. Every live request
+// ends exactly once: it is served, or rejected with the guarantee that it never runs.
+func TestOverloadPreemptsAndFinishesOnce(t *testing.T) {
+	preempted, rejected, requested := 0, 0, 0
 	for seed := int64(1); seed <= 40; seed++ {
-		cluster := overload(t, seed)
-		preempted += cluster.taken["displaced"]
-		promised += cluster.promised
-		requested += cluster.asked
-		for number := 1; number <= cluster.asked; number++ {
-			if cluster.live[number] != 1 {
-				t.Fatalf("seed %d: live request %d ended %d times", seed, number, cluster.live[number])
+		cluster := playOverload(t, seed)
+		preempted += cluster.counts["preempted"]
+		rejected += cluster.rejected
+		requested += cluster.requested
+		for number := 1; number <= cluster.requested; number++ {
+			if cluster.endCounts[number] != 1 {
+				t.Fatalf("seed %d: live request %d ended %d times", seed, number, cluster.endCounts[number])
 			}
 		}
 		jobs := cluster.leader.jobs.Jobs()
 		if len(jobs) == 0 {
-			t.Fatalf("seed %d: no lots", seed)
+			t.Fatalf("seed %d: no jobs", seed)
 		}
 		for _, job := range jobs {
 			if len(job.Listings) != job.Total() {
-				t.Fatalf("seed %d: lot %s lists %d of %d", seed, job.ID, len(job.Listings), job.Total())
+				t.Fatalf("seed %d: job %s has %d listed items, want %d", seed, job.ID, len(job.Listings), job.Total())
 			}
 			listed := map[string]int{}
 			for _, listing := range job.Listings {
 				listed[listing.Item]++
-				record, err := cluster.stores[cluster.leader.at].store.Read(listing.Index)
+				record, err := cluster.stores[cluster.leader.address].store.Read(listing.Index)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -111,13 +112,13 @@
 			}
 		}
 	}
-	if preempted < 40 || promised == 0 || promised*3 > requested {
-		t.Fatalf("too little or too much trouble: %d displaced, %d of %d live requests refused", preempted, promised, requested)
+	if preempted < 40 || rejected == 0 || rejected*3 > requested {
+		t.Fatalf("preemptions or rejections out of the expected range: %d items preempted, %d of %d live requests rejected", preempted, rejected, requested)
 	}
 }
 
 func TestOverloadSameSeedSameHistory(t *testing.T) {
-	if first, second := overload(t, 9).world.Sum(), overload(t, 9).world.Sum(); first != second {
-		t.Fatal("one seed gave two histories")
+	if first, second := playOverload(t, 9).world.HistoryHash(), playOverload(t, 9).world.HistoryHash(); first != second {
+		t.Fatal("two runs with the same seed differ")
 	}
 }
--- a/internal/configuration/openapiimport/openapiimport_test.go
+++ b/internal/configuration/openapiimport/openapiimport_test.go
@@ -30,12 +30,12 @@
 	want := map[string]string{"/v1/answers/": "streaming", "/v1/orders/": "idempotent", "/v1/payments/": "effectful"}
 	for _, route := range routes {
 		if want[route.Prefix] != route.KindName || route.Host != "api.example" || route.Backend != "s" {
-			t.Error(route)
+			t.Errorf("unexpected route %+v", route)
 		}
 	}
 }
 
-func TestWhatCantBeMappedIsNamed(t *testing.T) {
+func TestUnmappedPathsReported(t *testing.T) {
 	text := strings.Replace(document, "/orders/{id}", "/{anything}", 1)
 	text = strings.Replace(text, `"https://api.example/v1"`, `"/"`, 1)
 	_, findings, err := Import([]byte(text), Options{})
@@ -43,6 +43,6 @@
 		t.Fatal(findings, err)
 	}
 	if _, _, err = Import([]byte("nothing: here"), Options{}); err == nil {
-		t.Fatal("no document was taken")
+		t.Fatal("a file that is not an OpenAPI document was accepted")
 	}
 }
--- a/internal/control/agent/assignments_test.go
+++ b/internal/control/agent/assignments_test.go
@@ -11,17 +11,18 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// TestAgentPullsItsPartAndNeverGoesBack: a node follows the controller it speaks with,
-// asks only when that has something newer, and holds on to what it has.
-func TestAgentPullsItsPartAndNeverGoesBack(t *testing.T) {
+// TestAgentPullsOwnAssignmentsAndNeverReverts checks that a node follows the plan of the controller
+// that it reports to, pulls only a newer revision, and keeps its assignments if the controller has
+// an older one or is unreachable.
+func TestAgentPullsOwnAssignmentsAndNeverReverts(t *testing.T) {
 	network := transport.NewMemoryNetwork()
-	revision, pulls, asker := int64(0), 0, ""
+	revision, pulls, requester := int64(0), 0, ""
 	_ = network.Transport("controller:1").Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
 		req := &messages.PlanRequest{}
 		if kind != messages.KindPlanPull || transport.Decode(body, req) != nil {
 			return nil, nil
 		}
-		pulls, asker = pulls+1, req.Node
+		pulls, requester = pulls+1, req.Node
 		return transport.Encode(&messages.PlanResponse{Revision: revision, Placements: []messages.PlanPlacement{{Window: "w", Adapter: "a", Node: req.Node}}})
 	})
 	node := New(&settings.Settings{NodeName: "n", Address: "127.0.0.1", InternalPorts: []int{21100, 21110}}, membership.RoleGateway, 1, "", hclog.NewNullLogger())
@@ -29,16 +30,16 @@
 	for _, step := range []struct{ has, want int64 }{{2, 2}, {1, 2}, {5, 5}, {4, 5}} {
 		revision = step.has
 		node.pullPlan("controller:1")
-		if plan := node.Assigned(); plan.Revision != step.want || len(plan.Placements) != 1 || asker != "n" {
-			t.Fatalf("controller has %d: %+v", step.has, plan)
+		if plan := node.Assigned(); plan.Revision != step.want || len(plan.Placements) != 1 || requester != "n" {
+			t.Fatalf("controller has revision %d: %+v", step.has, plan)
 		}
 	}
 	before := pulls
-	for _, seen := range []int64{0, 4, 5} {
-		node.observePlan(seen, "controller:1")
+	for _, observed := range []int64{0, 4, 5} {
+		node.observePlan(observed, "controller:1")
 	}
 	if node.plan.pulling || pulls != before {
-		t.Fatal("asked for what it has")
+		t.Fatal("pulled a revision that is not newer")
 	}
 	if rows := node.reportAssigned().Rows; len(rows) != 1 || rows[0][0] != "5" {
 		t.Fatal(rows)
@@ -46,6 +47,6 @@
 	network.SetPartitioned("controller:1", true)
 	node.pullPlan("controller:1")
 	if node.Assigned().Revision != 5 {
-		t.Fatal("a silent controller changed what is in force")
+		t.Fatal("a failed pull changed the assignments")
 	}
 }
--- a/internal/control/membership/neighbours.go
+++ b/internal/control/membership/neighbours.go
@@ -9,15 +9,15 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// rendezvousWeight is the rendezvous hash of two processes. Whoever keeps those of the least weight of all
-// that it learns of keeps a random and yet steady sample (a min-wise sample): how
-// often somebody is named does not count.
+// rendezvousWeight returns the rendezvous hash of two processes. A process that retains the peers of
+// lowest weight among all that it observes has a random but stable sample (a min-wise sample),
+// which does not depend on how often a peer is observed.
 func rendezvousWeight(own, other string) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(own))
 	_, _ = sum.Write([]byte{0})
 	_, _ = sum.Write([]byte(other))
-	// The last bytes move only the low bits of this sum: mix it once more.
+	// The last bytes written affect only the low bits of an FNV sum, so the sum is mixed once more.
 	mixed := sum.Sum64()
 	mixed ^= mixed >> 33
 	mixed *= 0xff51afd7ed558ccd
@@ -25,46 +25,46 @@
 	return mixed
 }
 
-// Neighbours gives up to count live processes of a role, those of the least weight first: one in
-// another zone where there is one, the rest in the owner's own zone, and others only
-// where that has too few.
+// Neighbours returns up to count live processes of a role that are not draining, lowest weight first:
+// one in another zone if there is one, and the rest in the owner's zone. More processes of other
+// zones are included only if the owner's zone has too few.
 func (v *View) Neighbours(role string, count int, now clock.Instant) []messages.NodeInfo {
-	var near, far []messages.NodeInfo
+	var sameZone, otherZones []messages.NodeInfo
 	for _, entry := range v.Live(role, now) {
 		if entry.Draining {
 			continue
 		}
 		if entry.Zone == v.self.Zone {
-			near = append(near, entry)
+			sameZone = append(sameZone, entry)
 		} else {
-			far = append(far, entry)
+			otherZones = append(otherZones, entry)
 		}
 	}
-	v.sort(near)
-	v.sort(far)
+	v.sortByWeight(sameZone)
+	v.sortByWeight(otherZones)
 	if count < 1 {
 		return nil
 	}
-	if len(far) > 0 && len(near) > 0 {
-		room := max(min(len(near), count-1), count-len(far))
-		near = near[:min(len(near), room)]
+	if len(otherZones) > 0 && len(sameZone) > 0 {
+		sameZoneCount := max(min(len(sameZone), count-1), count-len(otherZones))
+		sameZone = sameZone[:min(len(sameZone), sameZoneCount)]
 	}
-	found := append(near, far...)
+	found := append(sameZone, otherZones...)
 	return found[:min(len(found), count)]
 }
 
-func (v *View) sort(entries []messages.NodeInfo) {
+func (v *View) sortByWeight(entries []messages.NodeInfo) {
 	own := Key(v.self)
 	sort.Slice(entries, func(left, right int) bool {
 		return rendezvousWeight(own, Key(entries[left])) < rendezvousWeight(own, Key(entries[right]))
 	})
 }
 
-// Population is how many live processes of a role there are, the owner included: as a
-// controller last reported, or as many as are in view.
+// Population returns the number of live processes of a role, including the owner: the number that a
+// controller last reported, or the number in the view if there is none or the owner is a controller.
 func (v *View) Population(role string, now clock.Instant) int {
-	if notified := v.counts[role]; notified > 0 && v.self.Role != RoleController {
-		return notified
+	if reported := v.counts[role]; reported > 0 && v.self.Role != RoleController {
+		return reported
 	}
 	count, reference := 0, v.reference(now)
 	for _, known := range v.peers {
--- a/internal/control/membership/neighbours_test.go
+++ b/internal/control/membership/neighbours_test.go
@@ -17,19 +17,19 @@
 		view.Observe([]messages.NodeInfo{info}, 0)
 	}
 	first := view.Neighbours(RoleGateway, 4, 0)
-	far := 0
+	remote := 0
 	for _, info := range first {
 		if info.Zone != "a" {
-			far++
+			remote++
 		}
 	}
-	if len(first) != 4 || far != 1 {
+	if len(first) != 4 || remote != 1 {
 		t.Fatal(first)
 	}
 	if again := view.Neighbours(RoleGateway, 4, 0); fmt.Sprint(again) != fmt.Sprint(first) {
-		t.Fatal("not the same ones")
+		t.Fatal("second call returned different neighbours")
 	}
-	// One that leaves is replaced; the others stay.
+	// A draining neighbour is replaced; the others stay.
 	departed := first[0]
 	departed.Draining = true
 	view.Observe([]messages.NodeInfo{departed}, 1)
--- a/internal/platform/inbound/headscan_test.go
+++ b/internal/platform/inbound/headscan_test.go
@@ -10,9 +10,10 @@
 	"testing"
 )
 
-// However the bytes of a head are cut into reads, the same is seen.
-func TestHeadsAreSeenAtEveryCut(t *testing.T) {
-	for _, found := range []struct {
+// TestHeadScanAtEverySplit feeds each head in two parts, split at every byte, and expects the same
+// result: the way a head is divided into reads must not change how it is parsed.
+func TestHeadScanAtEverySplit(t *testing.T) {
+	for _, test := range []struct {
 		head, body string
 		lines      int64
 		ambiguous  bool
@@ -21,53 +22,54 @@
 		{"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", "0\r\n\r\n", 4, true},
 		{"POST /a HTTP/1.1\ntransfer-encoding: chunked\nCONTENT-LENGTH:3\n\n", "", 3, true},
 		{"\r\n\r\nGET /a HTTP/1.1\r\nHost: h\r\n\r\n", "", 2, false},
-		// In a body, and in values, the names count for nothing.
+		// The header names are ignored in a body and in the value of another header.
 		{"POST /a HTTP/1.1\r\nContent-Length: 30\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n", 2, false},
 		{"POST /a HTTP/1.1\r\nX: Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", "", 3, false},
 	} {
-		text := found.head + found.body
+		text := test.head + test.body
 		for cut := range text {
 			scan := headScan{}
 			scan.feed([]byte(text[:cut]))
 			scan.feed([]byte(text[cut:]))
-			if !scan.whole || scan.bytes != int64(len(found.head)) || scan.lines != found.lines || scan.ambiguous() != found.ambiguous {
+			if !scan.complete || scan.bytes != int64(len(test.head)) || scan.lines != test.lines || scan.ambiguous() != test.ambiguous {
 				t.Fatalf("%q cut at %d: %+v", text, cut, scan)
 			}
 		}
 	}
 }
 
-// A request whose body's end is told in two ways is refused, and what follows it on the connection
-// is not run (RFC 9112, 6.1).
+// TestAmbiguousRequestsAreRefused guards against request smuggling: a request that has both
+// Content-Length and Transfer-Encoding is rejected, and bytes that follow it on the connection are not
+// executed as another request (RFC 9112, 6.1).
 func TestAmbiguousRequestsAreRefused(t *testing.T) {
 	listener, _ := serve(t, 0, 1<<20)
 	inner := "POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nx"
 	ambiguous := "POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + inner
 	ambiguous = fmt.Sprintf(ambiguous, len("0\r\n\r\n")+len(inner))
-	sound := "POST /b HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n"
-	for name, sent := range map[string]struct {
+	valid := "POST /b HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n"
+	for name, test := range map[string]struct {
 		text string
 		want string
 	}{
 		"alone":                 {ambiguous, "[400]"},
-		"behind a sound one":    {inner + ambiguous, "[200 200]"},
-		"behind a chunked one":  {sound + ambiguous, "[200 200]"},
-		"sound ones, pipelined": {inner + inner + inner, "[200 200 200]"},
+		"after a valid one":     {inner + ambiguous, "[200 200]"},
+		"after a chunked one":   {valid + ambiguous, "[200 200]"},
+		"valid ones, pipelined": {inner + inner + inner, "[200 200 200]"},
 	} {
 		c := dial(t, listener)
-		c.send("%s", sent.text)
+		c.send("%s", test.text)
 		_ = c.Conn.(interface{ CloseWrite() error }).CloseWrite()
-		answers, err := io.ReadAll(c.reader)
+		responses, err := io.ReadAll(c.reader)
 		if err != nil {
 			t.Error(name, err)
 		}
-		if got := fmt.Sprint(statuses(answers)); got != sent.want {
-			t.Errorf("%s: %s, not %s", name, got, sent.want)
+		if got := fmt.Sprint(statuses(responses)); got != test.want {
+			t.Errorf("%s: got statuses %s, want %s", name, got, test.want)
 		}
 	}
 }
 
-// statuses lists the answers on a connection.
+// statuses parses the responses received on a connection and returns their status codes.
 func statuses(text []byte) []int {
 	var list []int
 	reader := bufio.NewReader(bytes.NewReader(text))
@@ -82,8 +84,9 @@
 	}
 }
 
-// A chunked request after another on a kept connection is seen whole, and the connection goes on.
-func TestKeptConnectionsGoOn(t *testing.T) {
+// TestChunkedRequestsOnKeptConnection checks that the head of each chunked request on a keep-alive
+// connection is scanned completely; otherwise the server would close the connection.
+func TestChunkedRequestsOnKeptConnection(t *testing.T) {
 	listener, _ := serve(t, 0, 1<<20)
 	c := dial(t, listener)
 	for range 200 {
@@ -92,24 +95,25 @@
 	}
 }
 
-// A limit of heads holds from the next head on, longer or shorter, on kept connections too.
-func TestHeadLimitIsFollowed(t *testing.T) {
+// TestHeadLimitChange checks that a raised or lowered head limit applies from the next head on, also on
+// open connections.
+func TestHeadLimitChange(t *testing.T) {
 	listener, _ := serve(t, 0, 1<<20)
 	c := dial(t, listener)
-	ask := func(length int) int {
+	statusFor := func(length int) int {
 		c.send("GET / HTTP/1.1\r\nHost: h\r\nX-Long: %s\r\n\r\n", strings.Repeat("x", length))
 		return c.status()
 	}
 	listener.SetHeadLimit(8 << 10)
-	if status := ask(8 << 10); status != http.StatusOK {
-		t.Error("a head inside the limit: ", status)
+	if status := statusFor(8 << 10); status != http.StatusOK {
+		t.Error("head within the limit: got status ", status)
 	}
 	listener.SetHeadLimit(32 << 10)
-	if status := ask(30 << 10); status != http.StatusOK {
-		t.Error("a head inside the raised limit: ", status)
+	if status := statusFor(30 << 10); status != http.StatusOK {
+		t.Error("head within the raised limit: got status ", status)
 	}
 	listener.SetHeadLimit(8 << 10)
-	if status := ask(30 << 10); status != http.StatusRequestHeaderFieldsTooLarge {
-		t.Error("a head over the lowered limit: ", status)
+	if status := statusFor(30 << 10); status != http.StatusRequestHeaderFieldsTooLarge {
+		t.Error("head above the lowered limit: got status ", status)
 	}
 }
--- a/internal/platform/inbound/lingeringclose.go
+++ b/internal/platform/inbound/lingeringclose.go
@@ -8,27 +8,28 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// halfCloser is what a TCP connection can do.
+// halfCloser is a connection whose write side can be closed alone, such as a TCP connection.
 type halfCloser interface{ CloseWrite() error }
 
-// CloseWrite ends our side of a connection and lets the client come to its end, for a bounded time
-// and number of bytes: closing with unread bytes resets, and a reset takes the answer along that
-// says why.
+// CloseWrite closes the write side of a connection and then reads until the client ends its side, for
+// a bounded time and number of bytes. Closing a connection with unread bytes resets it, and a reset
+// can discard the response before the client has read it.
 func CloseWrite(connection net.Conn) error {
 	raw := connection
-	if counted, is := connection.(*Conn); is {
+	if counted, ok := connection.(*Conn); ok {
 		raw = counted.Conn
 	}
-	half, can := raw.(halfCloser)
-	if !can {
+	closer, ok := raw.(halfCloser)
+	if !ok {
 		return nil
 	}
-	err := half.CloseWrite()
+	err := closer.CloseWrite()
 	if err == nil && raw.SetReadDeadline(clock.Deadline(constants.LingerTimeout)) == nil {
 		_, _ = io.CopyN(io.Discard, raw, constants.LingerBytes)
 	}
 	return err
 }
 
-// CloseWrite does so. The standard server asks for it where it answers a body that is too large.
+// CloseWrite calls the function CloseWrite. The standard server uses this method when it responds to
+// a body that is too large.
 func (c *Conn) CloseWrite() error { return CloseWrite(c) }
--- a/internal/platform/settings/golden_test.go
+++ b/internal/platform/settings/golden_test.go
@@ -8,8 +8,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// TestGoldenSettings reads a file that sets every key, and writes the same bytes again: the
-// names of the keys are the operators'.
+// TestGoldenSettings parses a file that sets every key and checks that encoding the result yields the
+// same bytes: operators' files use these keys, so their names must not change.
 func TestGoldenSettings(t *testing.T) {
 	golden, err := os.ReadFile("testdata/settings.toml")
 	if err != nil {
@@ -19,11 +19,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var written bytes.Buffer
-	if err = toml.NewEncoder(&written).Encode(parsed); err != nil {
+	var encoded bytes.Buffer
+	if err = toml.NewEncoder(&encoded).Encode(parsed); err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(written.Bytes(), golden) {
-		t.Errorf("was:\n%s\nis:\n%s", golden, written.Bytes())
+	if !bytes.Equal(encoded.Bytes(), golden) {
+		t.Errorf("was:\n%s\nis:\n%s", golden, encoded.Bytes())
 	}
 }
--- a/internal/platform/transport/deduplicator_test.go
+++ b/internal/platform/transport/deduplicator_test.go
@@ -8,16 +8,16 @@
 	"lemonarch/internal/platform/transport"
 )
 
-func TestEachNamedCallPassesOnce(t *testing.T) {
-	once, now := &transport.Deduplicator{}, clock.Instant(1)
-	if !once.First("a", now) || !once.First("b", now) || once.First("a", now) || once.First("b", now.Add(constants.FrameLifetime)) {
-		t.Fatal("a call passed twice, or a new one not at all")
+func TestNamedCallIsAcceptedOnce(t *testing.T) {
+	deduplicator, now := &transport.Deduplicator{}, clock.Instant(1)
+	if !deduplicator.First("a", now) || !deduplicator.First("b", now) || deduplicator.First("a", now) || deduplicator.First("b", now.Add(constants.FrameLifetime)) {
+		t.Fatal("a call was accepted twice, or a new one was rejected")
 	}
-	if found, other := once.First("", now), once.First("", now); !found || !other {
-		t.Fatal("a call without a name was held up")
+	if first, second := deduplicator.First("", now), deduplicator.First("", now); !first || !second {
+		t.Fatal("a call without a name was rejected")
 	}
-	// What no frame can come from any more is forgotten, or memory would grow.
-	if !once.First("a", now.Add(constants.FrameLifetime+2)) {
-		t.Fatal("never forgotten")
+	// A name is dropped once no frame with it can arrive any more; otherwise memory would grow.
+	if !deduplicator.First("a", now.Add(constants.FrameLifetime+2)) {
+		t.Fatal("the name was not dropped after FrameLifetime")
 	}
 }
--- a/internal/platform/transport/notify.go
+++ b/internal/platform/transport/notify.go
@@ -6,28 +6,29 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Notifier is a transport that can also send what nobody answers.
+// Notifier is a transport that can also send notifications, which have no response.
 type Notifier interface {
-	// Notify sends a body one way. No error means only that it left.
+	// Notify sends a notification. A nil error means only that the frame was sent.
 	Notify(address string, kind messages.Kind, body []byte) error
 }
 
-// Notify sends a message one way where the transport can, and else as a call whose
-// answer nobody reads.
+// Notify sends a message as a notification if the transport is a Notifier, and otherwise as a call
+// whose response is ignored.
 func Notify(transport Transport, address string, kind messages.Kind, message Marshaler) error {
 	body, err := message.MarshalMsg(nil)
 	if err != nil {
-		return ErrMalformed.Wrap(err, "message can't be written")
+		return ErrMalformed.Wrap(err, "encode message")
 	}
-	if teller, able := transport.(Notifier); able {
-		return teller.Notify(address, kind, body)
+	if notifier, ok := transport.(Notifier); ok {
+		return notifier.Notify(address, kind, body)
 	}
 	_, err = transport.Call(address, kind, body, constants.CallTimeout)
 	return err
 }
 
-// Notify sends one frame that is not answered: half the messages, and no wake-up for
-// an answer. Versions that do not know its sort skip and count it.
+// Notify sends one frame that has no response: compared with a call this halves the messages and
+// saves waking the sender for a response. Versions that do not know this frame type skip and count
+// it.
 func (w *TCP) Notify(address string, kind messages.Kind, body []byte) error {
 	peer := w.peer(address)
 	end := clock.Now().Add(constants.DialTimeout)
@@ -35,20 +36,20 @@
 	if err != nil {
 		return err
 	}
-	notified := frame{frameType: frameNotification, kind: kind, body: body}
-	return peer.write(current, &notified, end, nil)
+	outgoing := frame{frameType: frameNotification, kind: kind, body: body}
+	return peer.write(current, &outgoing, end, nil)
 }
 
-// Notify runs the other side's handler; whatever it answers is dropped.
+// Notify runs the handler of the called address and discards its response.
 func (t *Memory) Notify(address string, kind messages.Kind, body []byte) error {
 	handler, partitioned := t.handlerAt(address)
 	if handler == nil {
 		return ErrUnreachable.New(address)
 	}
 	t.meter.sent(kind, address, len(body))
-	t.network.observe(t.own, address, kind, false, body)
+	t.network.observe(t.ownAddress, address, kind, false, body)
 	if !partitioned {
-		t.network.meter(address).received(kind, t.own, len(body))
+		t.network.meter(address).received(kind, t.ownAddress, len(body))
 		go func() { _, _ = handler(kind, body) }()
 	}
 	return nil
--- a/internal/platform/transport/notify_test.go
+++ b/internal/platform/transport/notify_test.go
@@ -10,42 +10,42 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// notifyContract is what every transport keeps for what nobody answers.
+// notifyContract checks the behaviour of notifications that every Notifier has to implement.
 func notifyContract(t *testing.T, make func() (transport.Transport, string)) {
 	t.Helper()
 
 	server, address := make()
 	defer server.Close()
-	received := newReceived()
+	deliveries := newReceived()
 	err := server.Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
 		if kind == messages.KindGossip {
-			received <- string(body)
+			deliveries <- string(body)
 		}
 		return []byte("answer"), nil
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	client, nobody := make()
+	client, unusedAddress := make()
 	defer client.Close()
-	teller := client.(transport.Notifier)
-	if err = teller.Notify(address, messages.KindGossip, []byte("word")); err != nil {
+	notifier := client.(transport.Notifier)
+	if err = notifier.Notify(address, messages.KindGossip, []byte("word")); err != nil {
 		t.Fatal(err)
 	}
 	select {
-	case word := <-received:
-		if word != "word" {
-			t.Fatal(word)
+	case notification := <-deliveries:
+		if notification != "word" {
+			t.Fatal(notification)
 		}
-	case <-clock.After(enough):
-		t.Fatal("what was told never arrived")
+	case <-clock.After(callTimeout):
+		t.Fatal("the notification did not arrive")
 	}
-	// The line carries calls as before, and no answer of the told one comes between.
-	if resp, err := client.Call(address, messages.KindShuffle, nil, enough); err != nil || string(resp) != "answer" {
+	// The connection carries calls as before, and no response to the notification is mistaken for theirs.
+	if resp, err := client.Call(address, messages.KindShuffle, nil, callTimeout); err != nil || string(resp) != "answer" {
 		t.Fatalf("%q %v", resp, err)
 	}
-	if err = teller.Notify(nobody, messages.KindGossip, nil); !errs.Is(err, transport.ErrUnreachable) {
-		t.Fatalf("told nobody: %v", err)
+	if err = notifier.Notify(unusedAddress, messages.KindGossip, nil); !errs.Is(err, transport.ErrUnreachable) {
+		t.Fatalf("notify an unused address: got %v", err)
 	}
 }
 
@@ -67,19 +67,19 @@
 	})
 }
 
-// plain is a transport that knows calls only.
-type plain struct{ transport.Transport }
+// callOnly is a transport that does not implement Notifier.
+type callOnly struct{ transport.Transport }
 
-// Over a transport without one-way messages a word is a call like any other.
-func TestNotifyAsACall(t *testing.T) {
+// TestNotifyFallsBackToCall checks that Notify sends a call over a transport without notifications.
+func TestNotifyFallsBackToCall(t *testing.T) {
 	network := transport.NewMemoryNetwork()
 	server := network.Transport("a")
-	received := newReceived()
+	deliveries := newReceived()
 	_ = server.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
-		received <- "called"
+		deliveries <- "called"
 		return []byte{}, nil
 	})
-	if err := transport.Notify(plain{network.Transport("b")}, "a", messages.KindGossip, &messages.Ack{}); err != nil || len(received) != 1 {
-		t.Fatal(err, len(received))
+	if err := transport.Notify(callOnly{network.Transport("b")}, "a", messages.KindGossip, &messages.Ack{}); err != nil || len(deliveries) != 1 {
+		t.Fatal(err, len(deliveries))
 	}
 }
--- a/internal/platform/transport/tcp.go
+++ b/internal/platform/transport/tcp.go
@@ -13,16 +13,18 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// userTimeout is TCP_USER_TIMEOUT, which the syscall package does not name.
+// userTimeout is the socket option TCP_USER_TIMEOUT, which the syscall package does not define.
 const userTimeout = 0x12
 
-// Dial opens a connection whose silence under unacknowledged bytes is bounded.
-func Dial(address string, timeout, sinceContact clock.Duration) (net.Conn, error) {
+// Dial opens a TCP connection that the kernel closes if sent bytes stay unacknowledged for longer than
+// ackTimeout.
+func Dial(address string, timeout, ackTimeout clock.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1}
 	dialer.Control = func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(descriptor uintptr) {
-			// Behind a cut nothing comes back: the kernel gives up for us.
-			_ = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, userTimeout, int(sinceContact.Milliseconds()))
+			// If the network path is cut no packet comes back, and the kernel closes the connection
+			// at this timeout.
+			_ = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, userTimeout, int(ackTimeout.Milliseconds()))
 		})
 	}
 	return dialer.Dial("tcp4", address)
@@ -32,44 +34,47 @@
 	return Dial(address, constants.DialTimeout, constants.ConnectionTimeout)
 }
 
-// TCP is the transport over TCP.
+// TCP is the Transport over TCP.
 type TCP struct {
-	own      string
-	meter    *Meter
-	lock     sync.Mutex
-	peers    map[string]*peer
-	listener net.Listener
-	number   atomic.Uint64
-	unknown  atomic.Int64
-	closed   bool
-	// accepted are the connections of callers, which end with this incarnation.
+	ownAddress string
+	meter      *Meter
+	// lock guards peers, listener, closed and accepted.
+	lock          sync.Mutex
+	peers         map[string]*peer
+	listener      net.Listener
+	number        atomic.Uint64
+	unknownFrames atomic.Int64
+	closed        bool
+	// accepted lists the connections opened by callers; Close closes them.
 	accepted map[net.Conn]struct{}
 	// dial opens a connection to a peer.
 	dial func(address string) (net.Conn, error)
 }
 
-// NewTCP makes a transport that listens on its own address when it serves.
-func NewTCP(own string) *TCP {
-	wire := &TCP{own: own, meter: NewMeter(), peers: map[string]*peer{}, accepted: map[net.Conn]struct{}{}, dial: dialPeer}
-	// The upper half names this incarnation: no number of an earlier one comes again.
-	wire.number.Store(uint64(rand.Uint32()) << incarnationShift)
-	return wire
+// NewTCP returns a transport that listens on ownAddress once Serve is called.
+func NewTCP(ownAddress string) *TCP {
+	w := &TCP{ownAddress: ownAddress, meter: NewMeter(), peers: map[string]*peer{}, accepted: map[net.Conn]struct{}{}, dial: dialPeer}
+	// The upper half is random and identifies this incarnation, so that call numbers of an earlier
+	// incarnation are not reused.
+	w.number.Store(uint64(rand.Uint32()) << incarnationShift)
+	return w
 }
 
-// incarnationShift leaves the lower half of a call's number for counting.
+// incarnationShift is the position of the incarnation in a call number; the lower half is a counter.
 const incarnationShift = 32
 
-// Meter counts what this process sends and receives.
+// Meter returns the meter of the traffic that this process sends and receives.
 func (w *TCP) Meter() *Meter { return w.meter }
 
-// Unknown counts frames of unknown kinds that were skipped.
-func (w *TCP) Unknown() int64 { return w.unknown.Load() }
+// UnknownFrames returns how many frames were of an unknown type or kind, or failed with an error of
+// the handler.
+func (w *TCP) UnknownFrames() int64 { return w.unknownFrames.Load() }
 
-// Serve listens and hands calls to the handler.
+// Serve listens on the own address and passes calls to the handler.
 func (w *TCP) Serve(handler Handler) error {
-	listener, err := net.Listen("tcp4", w.own)
+	listener, err := net.Listen("tcp4", w.ownAddress)
 	if err != nil {
-		return ErrUnreachable.Wrap(err, "can't listen on "+w.own)
+		return ErrUnreachable.Wrap(err, "listen on "+w.ownAddress)
 	}
 	w.lock.Lock()
 	w.listener = listener
@@ -84,7 +89,7 @@
 				if closed {
 					return
 				}
-				// Out of descriptors, say: wait a little rather than spin.
+				// For example, no file descriptor is left: wait instead of retrying in a busy loop.
 				clock.Sleep(constants.BackoffBase)
 				continue
 			}
@@ -94,14 +99,14 @@
 	return nil
 }
 
-// Address is where the transport listens, once it serves.
+// Address returns the address on which the transport listens. Serve must have been called.
 func (w *TCP) Address() string {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	return w.listener.Addr().String()
 }
 
-// admit notes a caller's connection; false once this incarnation is over.
+// admit registers a caller's connection. It returns false after Close.
 func (w *TCP) admit(connection net.Conn) bool {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -134,7 +139,7 @@
 			return
 		}
 		if f.version >= orderedFrameVersion && f.number <= last {
-			// A frame that came twice: its first copy was worked on.
+			// A duplicate: the first copy of this frame was already handled.
 			continue
 		}
 		last = f.number
@@ -142,20 +147,20 @@
 		if f.frameType == frameNotification {
 			go func() {
 				if body, err := handler(f.kind, f.body); err != nil || body == nil {
-					w.unknown.Add(1)
+					w.unknownFrames.Add(1)
 				}
 			}()
 			continue
 		}
 		if f.frameType != frameRequest {
-			w.unknown.Add(1)
+			w.unknownFrames.Add(1)
 			continue
 		}
 		go func() {
 			body, err := handler(f.kind, f.body)
 			resp := frame{frameType: frameResponse, kind: f.kind, number: f.number, body: body}
 			if err != nil || body == nil {
-				w.unknown.Add(1)
+				w.unknownFrames.Add(1)
 				resp.frameType, resp.body = frameRejected, nil
 			}
 			w.meter.sent(f.kind, caller, len(resp.body))
@@ -169,7 +174,7 @@
 	}
 }
 
-// Call sends one call and waits.
+// Call sends a request and waits for the response.
 func (w *TCP) Call(address string, kind messages.Kind, body []byte, timeout clock.Duration) ([]byte, error) {
 	return w.peer(address).call(frame{frameType: frameRequest, kind: kind, body: body}, timeout)
 }
@@ -185,7 +190,7 @@
 	return p
 }
 
-// Close ends the listener and all connections.
+// Close closes the listener and all connections.
 func (w *TCP) Close() {
 	w.lock.Lock()
 	defer w.lock.Unlock()
--- a/internal/tooling/explore/explore.go
+++ b/internal/tooling/explore/explore.go
@@ -1,6 +1,6 @@
-// Package explore walks through all interleavings of a small model, breadth first,
-// so that the history behind a broken invariant is a shortest one. The models of
-// this package play the cores of the control side; they hold no time.
+// Package explore visits all interleavings of a small model in breadth-first order, so that the
+// trace to an invariant violation is a shortest one. The models in this package run the core
+// state machines of the control plane; the model of the register has no clock.
 package explore
 
 import (
@@ -12,12 +12,12 @@
 	"sync"
 )
 
-// DepthVariable names the environment variable with the depth that the tests explore
-// to, in steps, in place of the depth of CI.
+// DepthVariable names the environment variable that overrides the depth, in steps, to which the
+// tests explore. Without it they use the depth of CI.
 const DepthVariable = "LEMONARCH_EXPLORE_DEPTH"
 
-// Depth is how many steps deep a test explores: shallow, unless the environment says
-// otherwise.
+// Depth returns the number of steps to which a test explores: the value of DepthVariable if it
+// is a positive number, otherwise shallow.
 func Depth(shallow int) int {
 	if depth, err := strconv.Atoi(os.Getenv(DepthVariable)); err == nil && depth > 0 {
 		return depth
@@ -25,116 +25,120 @@
 	return shallow
 }
 
-// State is one state of a model. Two states with the same key have the same future.
+// State is one state of a model. Two states with the same key must have the same possible
+// futures.
 type State interface {
-	// Key names all that matters of the state.
+	// Key encodes everything in the state that can affect later steps or checks.
 	Key() []byte
-	// Next gives every step that can follow.
+	// Next returns every step that can follow. It is called on several states concurrently.
 	Next() []Step
-	// Check gives the invariant that the state breaks, or nil.
+	// Check returns an error that describes the invariant that the state violates, or nil.
 	Check() error
 }
 
-// Step is one event and the state after it.
+// Step is one event and the state that results from it.
 type Step struct {
 	Name string
 	To   State
-	// Message says that the step delivers a message.
+	// Message reports whether the step delivers a message.
 	Message bool
 }
 
-// Result tells what an exploration has seen.
+// Result summarizes an exploration.
 type Result struct {
-	// States counts the distinct states met and Steps the steps between them.
+	// States is the number of distinct states visited, Steps the number of steps between them.
 	States, Steps int
-	// Depth is the number of steps of the longest history that was played.
+	// Depth is the number of steps in the longest history explored.
 	Depth int
-	// Whole says that no step led on from the last states: nothing is left out.
-	Whole bool
-	// Broken is the invariant that was broken, and Trace the steps that led to it.
-	Broken error
-	Trace  []string
+	// Complete reports whether the whole state space was visited: the last states had no
+	// further steps.
+	Complete bool
+	// Violation is the first invariant violation found, or nil. Trace lists the steps that led
+	// to it.
+	Violation error
+	Trace     []string
 }
 
-// String gives the figures of an exploration on one line.
+// String formats the counts of an exploration on one line, followed by the violation and its
+// trace if there is one.
 func (r Result) String() string {
-	text := fmt.Sprintf("states=%d steps=%d depth=%d whole=%v", r.States, r.Steps, r.Depth, r.Whole)
-	if r.Broken != nil {
-		text += fmt.Sprintf("\nbroken: %v after\n  %s", r.Broken, strings.Join(r.Trace, "\n  "))
+	text := fmt.Sprintf("states=%d steps=%d depth=%d complete=%v", r.States, r.Steps, r.Depth, r.Complete)
+	if r.Violation != nil {
+		text += fmt.Sprintf("\nviolation: %v after\n  %s", r.Violation, strings.Join(r.Trace, "\n  "))
 	}
 	return text
 }
 
 const (
-	// batchStates is how many states are followed side by side before their steps are
-	// taken, and workers how many goroutines do that.
+	// batchStates is the number of states expanded concurrently before their successors are
+	// added; workers is the number of goroutines that expand them.
 	batchStates = 4096
 	workers     = 4
 )
 
 type key [16]byte
 
-// visit is a state that was met: how it was reached, to tell its history.
+// visit records how a visited state was reached, so that its trace can be rebuilt.
 type visit struct {
 	parent int32
 	name   string
 }
 
-// walk is one exploration.
-type walk struct {
+// explorer is the state of one exploration.
+type explorer struct {
 	seen   map[key]bool
 	visits []visit
 	result Result
 }
 
-// open is a state whose steps were not followed yet.
-type open struct {
+// pendingState is a visited state whose steps were not expanded yet.
+type pendingState struct {
 	state State
-	place int32
+	index int32
 }
 
-// Run explores all histories from a state up to a depth. It stops at the first state
-// that breaks an invariant. Next is called on several states at once.
+// Run explores all histories from a start state up to a depth. It stops at the first state that
+// violates an invariant. Next is called on several states concurrently.
 func Run(start State, depth int) Result {
-	entry := &walk{seen: map[key]bool{}}
-	level := entry.meet(nil, &found{key: keyOf(start), state: start, name: "start", parent: -1, broken: start.Check()})
-	for ; len(level) > 0 && entry.result.Depth < depth && entry.result.Broken == nil; entry.result.Depth++ {
-		level = entry.follow(level)
+	run := &explorer{seen: map[key]bool{}}
+	frontier := run.add(nil, &successor{key: keyOf(start), state: start, name: "start", parent: -1, violation: start.Check()})
+	for ; len(frontier) > 0 && run.result.Depth < depth && run.result.Violation == nil; run.result.Depth++ {
+		frontier = run.expandLevel(frontier)
 	}
-	entry.result.States = len(entry.visits)
-	entry.result.Whole = len(level) == 0
-	return entry.result
-}
-
-// found is a state that one step led to, before it is known to be new.
-type found struct {
-	key    key
-	state  State
-	name   string
-	parent int32
-	broken error
-}
-
-// follow gives the states one step behind those of a level. The steps of a batch are
-// worked out side by side, and taken in their order.
-func (w *walk) follow(level []open) []open {
-	var next []open
-	for len(level) > 0 && w.result.Broken == nil {
-		batch := level[:min(len(level), batchStates)]
-		level = level[len(batch):]
-		for _, list := range w.expand(batch) {
+	run.result.States = len(run.visits)
+	run.result.Complete = len(frontier) == 0
+	return run.result
+}
+
+// successor is a state that one step led to. It may have been visited before.
+type successor struct {
+	key       key
+	state     State
+	name      string
+	parent    int32
+	violation error
+}
+
+// expandLevel returns the new states that are one step after those of the frontier. The steps
+// of a batch are computed concurrently and added in order.
+func (w *explorer) expandLevel(frontier []pendingState) []pendingState {
+	var next []pendingState
+	for len(frontier) > 0 && w.result.Violation == nil {
+		batch := frontier[:min(len(frontier), batchStates)]
+		frontier = frontier[len(batch):]
+		for _, list := range w.expandBatch(batch) {
 			for index := range list {
-				next = w.meet(next, &list[index])
+				next = w.add(next, &list[index])
 			}
 		}
 	}
 	return next
 }
 
-// expand works out the steps of a batch; those that lead to states met before are
-// counted and left out.
-func (w *walk) expand(batch []open) [][]found {
-	lists := make([][]found, len(batch))
+// expandBatch computes the steps of a batch. Steps to states visited before are counted and
+// left out.
+func (w *explorer) expandBatch(batch []pendingState) [][]successor {
+	lists := make([][]successor, len(batch))
 	counts := make([]int, workers)
 	var group sync.WaitGroup
 	for worker := range workers {
@@ -142,7 +146,7 @@
 			for i := worker; i < len(batch); i += workers {
 				steps := batch[i].state.Next()
 				counts[worker] += len(steps)
-				lists[i] = w.unmet(steps, batch[i].place)
+				lists[i] = w.unseen(steps, batch[i].index)
 				batch[i].state = nil
 			}
 		})
@@ -154,12 +158,12 @@
 	return lists
 }
 
-func (w *walk) unmet(steps []Step, parent int32) []found {
-	var list []found
+func (w *explorer) unseen(steps []Step, parent int32) []successor {
+	var list []successor
 	for _, step := range steps {
-		name := keyOf(step.To)
-		if !w.seen[name] {
-			list = append(list, found{key: name, state: step.To, name: step.Name, parent: parent, broken: step.To.Check()})
+		stateKey := keyOf(step.To)
+		if !w.seen[stateKey] {
+			list = append(list, successor{key: stateKey, state: step.To, name: step.Name, parent: parent, violation: step.To.Check()})
 		}
 	}
 	return list
@@ -170,21 +174,21 @@
 	return key(sum[:len(key{})])
 }
 
-// meet adds a state to a level, unless it was met before.
-func (w *walk) meet(level []open, fresh *found) []open {
-	if w.seen[fresh.key] {
-		return level
+// add appends a state to a frontier unless it was visited before.
+func (w *explorer) add(frontier []pendingState, next *successor) []pendingState {
+	if w.seen[next.key] {
+		return frontier
 	}
-	w.seen[fresh.key] = true
+	w.seen[next.key] = true
 	i := int32(len(w.visits))
-	w.visits = append(w.visits, visit{parent: fresh.parent, name: fresh.name})
-	if fresh.broken != nil && w.result.Broken == nil {
-		w.result.Broken, w.result.Trace = fresh.broken, w.trace(i)
+	w.visits = append(w.visits, visit{parent: next.parent, name: next.name})
+	if next.violation != nil && w.result.Violation == nil {
+		w.result.Violation, w.result.Trace = next.violation, w.trace(i)
 	}
-	return append(level, open{state: fresh.state, place: i})
+	return append(frontier, pendingState{state: next.state, index: i})
 }
 
-func (w *walk) trace(i int32) []string {
+func (w *explorer) trace(i int32) []string {
 	var names []string
 	for ; i >= 0; i = w.visits[i].parent {
 		names = append([]string{w.visits[i].name}, names...)
--- a/internal/tooling/fleetshell/controllers.go
+++ b/internal/tooling/fleetshell/controllers.go
@@ -8,15 +8,15 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// Controllers gives the addresses of the control processes that the seed knows.
+// Controllers returns the addresses of the controllers that the seed knows.
 func (s *Shell) Controllers() ([]string, error) {
-	known := &messages.StatusResponse{}
-	err := transport.Call(s.Transport, s.Seed, messages.KindStatus, &messages.StatusRequest{Query: "nodes"}, known, s.Limit)
+	status := &messages.StatusResponse{}
+	err := transport.Call(s.Transport, s.Seed, messages.KindStatus, &messages.StatusRequest{Query: "nodes"}, status, s.Timeout)
 	if err != nil {
-		return nil, ErrNoFleet.Wrap(err, "seed "+s.Seed+" does not answer (its internal address is needed)")
+		return nil, ErrNoFleet.Wrap(err, "seed "+s.Seed+" did not respond (the seed must be an internal address)")
 	}
 	var addresses []string
-	for _, row := range known.Rows {
+	for _, row := range status.Rows {
 		if role, _, _ := strings.Cut(row[0], "/"); role == membership.RoleController && len(row) > 2 {
 			addresses = append(addresses, row[2])
 		}
--- a/internal/tooling/lab/process.go
+++ b/internal/tooling/lab/process.go
@@ -14,19 +14,19 @@
 	"lemonarch/internal/platform/settings"
 )
 
-// starter starts every process of a fleet on one thread that lives as long as the
-// lab: the kernel ends a child when the thread that began it ends, so nothing stays
-// behind even where the lab itself is killed.
+// starter starts every process of a fleet on one thread that exists as long as the lab. With
+// Pdeathsig the kernel kills a child when the thread that started it ends, so no process
+// is left behind even if the lab itself is killed.
 type starter struct {
-	orders chan func()
+	calls chan func()
 }
 
 func newStarter() *starter {
-	starter := &starter{orders: make(chan func())}
+	starter := &starter{calls: make(chan func())}
 	go func() {
 		runtime.LockOSThread()
-		for order := range starter.orders {
-			order()
+		for call := range starter.calls {
+			call()
 		}
 	}()
 	return starter
@@ -34,49 +34,50 @@
 
 func (s *starter) start(command *exec.Cmd) error {
 	done := make(chan error)
-	s.orders <- func() { done <- command.Start() }
+	s.calls <- func() { done <- command.Start() }
 	return <-done
 }
 
-// process is one real program of the fleet.
+// process is one running program of the fleet.
 type process struct {
-	node    node
-	starter *starter
-	program string
-	path    string
-	log     string
+	node         node
+	starter      *starter
+	programPath  string
+	settingsPath string
+	logPath      string
 
-	// restarting is held while a trouble ends the process and starts it again.
+	// restarting is locked while a trouble stops the process and starts it again.
 	restarting sync.Mutex
 
 	lock    sync.Mutex
 	command *exec.Cmd
-	ended   chan struct{}
-	// expected tells that the lab ends it itself.
+	exited  chan struct{}
+	// expected means that the lab itself ends the process.
 	expected bool
 }
 
-// run starts the program; died is told where it ends unexpectedly.
-func (p *process) run(died func(error)) error {
-	log, err := os.OpenFile(p.log, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+// run starts the program. It calls reportFailure if the process exits unexpectedly.
+func (p *process) run(reportFailure func(error)) error {
+	log, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
 		return ErrInvalidLab.Wrap(err, "log of "+p.node.name)
 	}
-	command := exec.Command(p.program)
+	command := exec.Command(p.programPath)
 	command.Stdout, command.Stderr = log, log
-	command.Env = append(os.Environ(), settings.Variable+"="+p.path)
-	// A group of its own: a Ctrl-C at the terminal reaches the lab alone, which then
-	// ends the others in order.
+	command.Env = append(os.Environ(), settings.PathVariable+"="+p.settingsPath)
+	// With a process group of its own the child does not receive a Ctrl-C at the terminal: only
+	// the lab does, which then stops the processes gracefully.
 	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	err = p.starter.start(command)
-	// The process has a descriptor of its own; nothing was written through this one.
+	// The child has its own descriptor; nothing was written through this one, so an error of Close is
+	// of no consequence.
 	_ = log.Close()
 	if err != nil {
 		return ErrInvalidLab.Wrap(err, p.node.name)
 	}
 	ended := make(chan struct{})
 	p.lock.Lock()
-	p.command, p.ended, p.expected = command, ended, false
+	p.command, p.exited, p.expected = command, ended, false
 	p.lock.Unlock()
 	go func() {
 		err := command.Wait()
@@ -85,13 +86,13 @@
 		p.lock.Unlock()
 		close(ended)
 		if !expected {
-			died(ErrInvalidLab.New(p.node.name + " ended by itself (" + resultOf(err) + "): " + p.lastLine()))
+			reportFailure(ErrInvalidLab.New(p.node.name + " exited unexpectedly (" + exitStatus(err) + "): " + p.lastLine()))
 		}
 	}()
 	return nil
 }
 
-func resultOf(err error) string {
+func exitStatus(err error) string {
 	if err == nil {
 		return "exit status 0"
 	}
@@ -99,12 +100,13 @@
 }
 
 func (p *process) lastLine() string {
-	text, _ := os.ReadFile(p.log)
+	text, _ := os.ReadFile(p.logPath)
 	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
 	return lines[len(lines)-1]
 }
 
-// signal sends a signal to this process alone, by its id.
+// signal sends a signal to this process only, by its id, unless it has exited. With expected set, an
+// exit from now on is not a failure.
 func (p *process) signal(signal os.Signal, expected bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -113,19 +115,19 @@
 	}
 	p.expected = p.expected || expected
 	select {
-	case <-p.ended:
+	case <-p.exited:
 	default:
 		_ = p.command.Process.Signal(signal)
 	}
 }
 
-// stop ends the process in order, and by force once its grace is over.
+// stop sends SIGTERM and waits for the process to exit. After LabGrace it sends SIGKILL.
 func (p *process) stop() {
 	p.signal(syscall.SIGTERM, true)
-	// A frozen process can't heed anything but SIGKILL.
+	// A process stopped by SIGSTOP handles no other signal than SIGKILL until it receives SIGCONT.
 	p.signal(syscall.SIGCONT, true)
 	p.lock.Lock()
-	ended := p.ended
+	ended := p.exited
 	p.lock.Unlock()
 	if ended == nil {
 		return
@@ -138,18 +140,18 @@
 	}
 }
 
-// kill ends the process at once.
+// kill sends SIGKILL and waits for the process to exit.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL, true)
 	p.lock.Lock()
-	ended := p.ended
+	ended := p.exited
 	p.lock.Unlock()
 	if ended != nil {
 		<-ended
 	}
 }
 
-// id is the process id, or 0.
+// id returns the process id, or 0 if the process was never started.
 func (p *process) id() int {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -159,6 +161,6 @@
 	return p.command.Process.Pid
 }
 
-func newProcess(plan *Plan, entry node, folder string, starter *starter) *process {
-	return &process{node: entry, starter: starter, program: filepath.Join(plan.Programs, entry.role), log: filepath.Join(folder, entry.name+".log")}
+func newProcess(plan *Plan, spec node, folder string, starter *starter) *process {
+	return &process{node: spec, starter: starter, programPath: filepath.Join(plan.Programs, spec.role), logPath: filepath.Join(folder, spec.name+".log")}
 }
--- a/internal/tooling/lab/trouble.go
+++ b/internal/tooling/lab/trouble.go
@@ -11,16 +11,17 @@
 	"lemonarch/internal/tooling/workeremulator"
 )
 
-// Trouble is one thing that goes wrong, or one piece of planned work.
+// Trouble is one failure to inject, or one piece of planned work to carry out.
 type Trouble struct {
-	// AtS is when, in seconds from the start of the load.
+	// AtS is the time at which it begins, in seconds from the start of the load.
 	AtS float64 `toml:"at-s" json:"at-s"`
-	// Kind is one of Kinds.
+	// Kind is one of the keys of Kinds.
 	Kind string `toml:"kind" json:"kind"`
-	// Target is the name of a process (gateway-1) or worker (worker-2), or all of a
-	// kind (gateway, worker).
+	// Target is the name of a process (gateway-1) or worker (worker-2), or the common prefix
+	// for all of a kind (gateway, worker).
 	Target string `toml:"target" json:"target"`
-	// ForS is how long it lasts; BackS after how long a process or worker returns.
+	// ForS is the duration in seconds; BackS is the time in seconds after which a process or worker is
+	// started again.
 	ForS   float64               `toml:"for-s" json:"for-s"`
 	BackS  float64               `toml:"back-s" json:"back-s"`
 	Faults workeremulator.Faults `toml:"faults" json:"faults"`
@@ -41,22 +42,22 @@
 	kindWipe      = "wipe"
 )
 
-// Kinds tells what each kind of trouble does.
+// Kinds describes each kind of trouble.
 var Kinds = map[string]string{
 	kindKill:      "a process is killed, and started again after back-s",
 	kindWipe:      "a process is killed and its disk emptied, and started again after back-s",
-	kindStop:      "a process is stopped in order, and started again after back-s",
-	kindFreeze:    "a process stands still for for-s",
-	kindCrash:     "a worker resets every connection, and returns as a new life after back-s",
-	kindReplace:   "a worker leaves in order, and a new life takes its place",
-	kindFlap:      "a worker goes down and up by turns for for-s, each for back-s",
-	kindFaults:    "the faults of a worker are set for for-s (or for good)",
-	kindConfigure: "a new configuration with one route more is sent",
-	kindReload:    "the settings file of a process is written anew, and it gets SIGHUP",
-	kindReloadBad: "the settings file of a process becomes invalid, and it gets SIGHUP",
+	kindStop:      "a process is stopped gracefully, and started again after back-s",
+	kindFreeze:    "a process is suspended (SIGSTOP) for for-s",
+	kindCrash:     "a worker resets every connection, and is started again as a new incarnation after back-s",
+	kindReplace:   "a worker leaves gracefully, and a new incarnation replaces it",
+	kindFlap:      "a worker alternates between down and up for for-s, back-s each",
+	kindFaults:    "the faults of a worker are set for for-s (permanently if 0)",
+	kindConfigure: "a new configuration with one more route is sent",
+	kindReload:    "the settings file of a process is rewritten, and the process gets SIGHUP",
+	kindReloadBad: "the settings file of a process becomes invalid, and the process gets SIGHUP",
 }
 
-// Check tells what is wrong with a trouble, before anything is broken.
+// Check returns an error for the first invalid field, or nil. It has no effect on the fleet.
 func (t *Trouble) Check() error {
 	onProcess, onWorker := false, false
 	switch t.Kind {
@@ -86,26 +87,28 @@
 	return nil
 }
 
-func matches(name, target string) bool { return name == target || strings.HasPrefix(name, target+"-") }
+func matchesTarget(name, target string) bool {
+	return name == target || strings.HasPrefix(name, target+"-")
+}
 
 func seconds(count float64) clock.Duration { return clock.Milliseconds(count * 1000) }
 
-// Trouble begins a trouble; it goes on by itself.
-func (f *Fleet) Trouble(fault Trouble) error {
-	if err := fault.Check(); err != nil {
+// InjectTrouble checks a trouble and begins it. All kinds but configure continue in the background.
+func (f *Fleet) InjectTrouble(trouble Trouble) error {
+	if err := trouble.Check(); err != nil {
 		return err
 	}
-	if fault.Kind == kindConfigure {
+	if trouble.Kind == kindConfigure {
 		_, err := f.operator.addRoute()
 		return err
 	}
 	found := false
-	begin := func(function func()) {
+	run := func(apply func()) {
 		found = true
-		f.troubles.Add(1)
+		f.runningTroubles.Add(1)
 		go func() {
-			defer f.troubles.Done()
-			function()
+			defer f.runningTroubles.Done()
+			apply()
 		}()
 	}
 	select {
@@ -113,116 +116,117 @@
 		return ErrInvalidLab.New("the fleet is being stopped")
 	default:
 	}
-	for _, entry := range f.processes {
-		if matches(entry.node.name, fault.Target) {
-			begin(func() { f.harm(entry, fault) })
+	for _, target := range f.processes {
+		if matchesTarget(target.node.name, trouble.Target) {
+			run(func() { f.applyToProcess(target, trouble) })
 		}
 	}
-	for _, entry := range f.places {
-		if matches(entry.name, fault.Target) {
-			begin(func() { f.disturb(entry, fault) })
+	for _, target := range f.workerSlots {
+		if matchesTarget(target.name, trouble.Target) {
+			run(func() { f.applyToWorker(target, trouble) })
 		}
 	}
 	if !found {
-		return ErrInvalidLab.New("nothing here is called " + strconv.Quote(fault.Target))
+		return ErrInvalidLab.New("nothing here is called " + strconv.Quote(trouble.Target))
 	}
 	return nil
 }
 
-// pause waits, unless the fleet is stopped.
-func (f *Fleet) pause(span clock.Duration) bool {
+// pause waits for a duration. It returns false as soon as the fleet is being stopped.
+func (f *Fleet) pause(duration clock.Duration) bool {
 	select {
 	case <-f.stopping:
 		return false
-	case <-clock.After(span):
+	case <-clock.After(duration):
 		return true
 	}
 }
 
-// harm does to a process what the trouble says.
-func (f *Fleet) harm(entry *process, fault Trouble) {
-	switch fault.Kind {
+// applyToProcess carries out a trouble on a process.
+func (f *Fleet) applyToProcess(target *process, trouble Trouble) {
+	switch trouble.Kind {
 	case kindReload, kindReloadBad:
-		if err := f.reload(entry, fault.Kind == kindReload); err != nil {
-			f.died(err)
+		if err := f.reload(target, trouble.Kind == kindReload); err != nil {
+			f.reportFailure(err)
 		}
 		return
 	case kindFreeze:
-		entry.signal(syscall.SIGSTOP, false)
-		f.pause(seconds(fault.ForS))
-		entry.signal(syscall.SIGCONT, false)
+		target.signal(syscall.SIGSTOP, false)
+		f.pause(seconds(trouble.ForS))
+		target.signal(syscall.SIGCONT, false)
 		return
 	}
-	// Of two that end a process the second has to wait for its restart.
-	entry.restarting.Lock()
-	defer entry.restarting.Unlock()
-	switch fault.Kind {
+	// If two troubles end the same process, the second must wait until it is restarted.
+	target.restarting.Lock()
+	defer target.restarting.Unlock()
+	switch trouble.Kind {
 	case kindKill:
-		entry.kill()
+		target.kill()
 	case kindStop:
-		entry.stop()
+		target.stop()
 	case kindWipe:
-		entry.kill()
-		if err := f.wipe(entry.node); err != nil {
-			f.died(err)
+		target.kill()
+		if err := f.wipe(target.node); err != nil {
+			f.reportFailure(err)
 			return
 		}
 	}
-	if !f.pause(max(seconds(fault.BackS), constants.LabRestart)) {
+	if !f.pause(max(seconds(trouble.BackS), constants.LabRestart)) {
 		return
 	}
-	// Not the first start any more: the disk holds what it held.
-	if _, err := f.Plan.write(entry.node, f.Folder, false); err != nil {
-		f.died(err)
+	// This is not the first start, so the settings must not say bootstrap: the data on the disk, unless it
+	// was wiped, is still there.
+	if _, err := f.Plan.writeSettings(target.node, f.Folder, false); err != nil {
+		f.reportFailure(err)
 		return
 	}
-	if err := entry.run(f.died); err != nil {
-		f.died(err)
+	if err := target.run(f.reportFailure); err != nil {
+		f.reportFailure(err)
 	}
 }
 
-// disturb does to a worker what the trouble says.
-func (f *Fleet) disturb(entry *place, fault Trouble) {
-	back := max(seconds(fault.BackS), constants.LabRestart)
-	begin := func() {
-		if err := entry.begin(f.record, f.Plan.Controls()); err != nil {
-			f.died(err)
+// applyToWorker carries out a trouble on a worker.
+func (f *Fleet) applyToWorker(target *workerSlot, trouble Trouble) {
+	downtime := max(seconds(trouble.BackS), constants.LabRestart)
+	start := func() {
+		if err := target.start(f.record, f.Plan.Controls()); err != nil {
+			f.reportFailure(err)
 		}
 	}
-	if fault.Kind != kindFaults {
-		entry.restarting.Lock()
-		defer entry.restarting.Unlock()
+	if trouble.Kind != kindFaults {
+		target.restarting.Lock()
+		defer target.restarting.Unlock()
 	}
-	switch fault.Kind {
+	switch trouble.Kind {
 	case kindCrash:
-		entry.crash()
-		if f.pause(back) {
-			begin()
+		target.crash()
+		if f.pause(downtime) {
+			start()
 		}
 	case kindReplace:
-		entry.leave()
-		begin()
+		target.leave()
+		start()
 	case kindFlap:
-		for end := clock.Now().Add(seconds(fault.ForS)); clock.Now() < end; {
-			entry.crash()
-			if !f.pause(back) {
+		for end := clock.Now().Add(seconds(trouble.ForS)); clock.Now() < end; {
+			target.crash()
+			if !f.pause(downtime) {
 				return
 			}
-			begin()
-			if !f.pause(back) {
+			start()
+			if !f.pause(downtime) {
 				return
 			}
 		}
 	case kindFaults:
-		entry.trouble(fault.Faults)
-		if fault.ForS > 0 {
-			f.pause(seconds(fault.ForS))
-			entry.trouble(workeremulator.Faults{})
+		target.setFaults(trouble.Faults)
+		if trouble.ForS > 0 {
+			f.pause(seconds(trouble.ForS))
+			target.setFaults(workeremulator.Faults{})
 		}
 	}
 }
 
-// KindNames lists the kinds of trouble in order.
+// KindNames returns the kinds of trouble in alphabetical order.
 func KindNames() []string {
 	names := make([]string, 0, len(Kinds))
 	for name := range Kinds {
--- a/internal/tooling/lab/workers.go
+++ b/internal/tooling/lab/workers.go
@@ -12,41 +12,41 @@
 	"lemonarch/internal/tooling/workeremulator"
 )
 
-// shape is the engine of the fleet's model workers.
+// shape returns the engine parameters of the model workers.
 func (p *Plan) shape() workeremulator.Shape {
 	return workeremulator.Shape{Capacity: p.Capacity, Queue: p.Capacity / 2, CacheTokens: p.CacheTokens, ReadPerMs: constants.LabReadPerMs,
 		Step: constants.LabStep, StepEach: constants.LabStepEach, Stride: constants.LabStride}
 }
 
-// place is where one emulated worker stands; its lives follow each other there.
-type place struct {
-	// restarting is held while a trouble ends the worker and begins its next life.
+// workerSlot is the address of one emulated worker, at which its incarnations follow each other.
+type workerSlot struct {
+	// restarting is locked while a trouble stops the worker and starts its next incarnation.
 	restarting sync.Mutex
 
-	name, address string
-	nodeSettings  workeremulator.Settings
-	seed          int64
+	name, address  string
+	workerSettings workeremulator.Settings
+	seed           int64
 
-	lock   sync.Mutex
-	life   int
-	worker *workeremulator.Worker
-	beater *workeremulator.Beater
-	halt   func()
-	// served closes once the present life's listener is closed.
-	served chan struct{}
-	faults workeremulator.Faults
+	lock        sync.Mutex
+	incarnation int
+	worker      *workeremulator.Worker
+	heartbeats  *workeremulator.HeartbeatSender
+	cancel      func()
+	// serveDone is closed once the listener of the current incarnation is closed.
+	serveDone chan struct{}
+	faults    workeremulator.Faults
 }
 
-func (p *Plan) places() []*place {
+func (p *Plan) workerSlots() []*workerSlot {
 	if len(p.Families) > 0 {
-		return p.familyPlaces()
+		return p.familyWorkerSlots()
 	}
-	var all []*place
-	add := func(kind string, count int, nodeSettings workeremulator.Settings) {
+	var all []*workerSlot
+	add := func(kind string, count int, workerSettings workeremulator.Settings) {
 		for number := 0; number < count; number++ {
-			entry := nodeSettings
-			entry.Zone = p.zone(number)
-			all = append(all, &place{name: kind + "-" + strconv.Itoa(number+1), nodeSettings: entry, seed: p.Seed*1000 + int64(len(all)),
+			slotSettings := workerSettings
+			slotSettings.Zone = p.zone(number)
+			all = append(all, &workerSlot{name: kind + "-" + strconv.Itoa(number+1), workerSettings: slotSettings, seed: p.Seed*1000 + int64(len(all)),
 				address: p.host(constants.LabWorkerHost, len(all), constants.LabWorkerPort)})
 		}
 	}
@@ -56,76 +56,78 @@
 	return all
 }
 
-// begin starts a new life: a new id, at the same address.
-func (p *place) begin(record *workeremulator.Record, controls []string) error {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	if p.worker != nil {
+// start starts a new incarnation, with a new id at the same address, unless one is running.
+func (s *workerSlot) start(record *workeremulator.Record, controls []string) error {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	if s.worker != nil {
 		return nil
 	}
-	listener, err := net.Listen("tcp4", p.address)
+	listener, err := net.Listen("tcp4", s.address)
 	if err != nil {
-		return ErrInvalidLab.New(p.name + " can't listen at " + p.address + ": " + lastWords(err))
+		return ErrInvalidLab.New(s.name + " can't listen at " + s.address + ": " + rootCause(err))
 	}
-	p.life++
-	nodeSettings := p.nodeSettings
-	nodeSettings.ID = fmt.Sprintf("%s-life%d", p.name, p.life)
-	p.worker = workeremulator.NewWorker(nodeSettings, record, workeremulator.RealClock{}, p.seed+int64(p.life)*100_000)
-	p.worker.SetFaults(p.faults)
-	p.beater = workeremulator.NewBeater(p.worker, p.address, controls)
-	until, halt := contexts.WithCancel(contexts.Background())
-	p.halt = halt
-	worker, served := p.worker, make(chan struct{})
-	p.served = served
+	s.incarnation++
+	workerSettings := s.workerSettings
+	workerSettings.ID = fmt.Sprintf("%s-life%d", s.name, s.incarnation)
+	s.worker = workeremulator.NewWorker(workerSettings, record, workeremulator.RealClock{}, s.seed+int64(s.incarnation)*100_000)
+	s.worker.SetFaults(s.faults)
+	s.heartbeats = workeremulator.NewHeartbeatSender(s.worker, s.address, controls)
+	ctx, cancel := contexts.WithCancel(contexts.Background())
+	s.cancel = cancel
+	worker, serveDone := s.worker, make(chan struct{})
+	s.serveDone = serveDone
 	go func() {
-		defer close(served)
+		defer close(serveDone)
 		worker.Serve(listener)
 	}()
-	go p.beater.Keep(until, constants.LabHeartbeat)
+	go s.heartbeats.SendUntil(ctx, constants.LabHeartbeat)
 	return nil
 }
 
-// emulated is one life of a worker.
-type emulated struct {
-	worker *workeremulator.Worker
-	beater *workeremulator.Beater
-	served chan struct{}
+// workerIncarnation is one incarnation of an emulated worker.
+type workerIncarnation struct {
+	worker     *workeremulator.Worker
+	heartbeats *workeremulator.HeartbeatSender
+	serveDone  chan struct{}
 }
 
-// take gives the present life away, so that somebody ends it.
-func (p *place) take() (incarnation emulated, found bool) {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	incarnation = emulated{p.worker, p.beater, p.served}
-	if p.halt != nil {
-		p.halt()
+// detach removes the current incarnation from the slot, stops its heartbeats and returns it; the
+// caller must stop the worker. It returns false if none is running.
+func (s *workerSlot) detach() (incarnation workerIncarnation, running bool) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	incarnation = workerIncarnation{s.worker, s.heartbeats, s.serveDone}
+	if s.cancel != nil {
+		s.cancel()
 	}
-	p.worker, p.beater, p.halt = nil, nil, nil
+	s.worker, s.heartbeats, s.cancel = nil, nil, nil
 	return incarnation, incarnation.worker != nil
 }
 
-// crash ends the present life without a word; its address is free then.
-func (p *place) crash() {
-	if incarnation, found := p.take(); found {
+// crash ends the current incarnation abruptly, without deregistering it, and waits until its
+// address is free.
+func (s *workerSlot) crash() {
+	if incarnation, running := s.detach(); running {
 		incarnation.worker.Crash()
-		<-incarnation.served
+		<-incarnation.serveDone
 	}
 }
 
-// leave ends the present life in order; its address is free then.
-func (p *place) leave() {
-	if incarnation, found := p.take(); found {
-		incarnation.beater.LeaveInOrder(clock.Milliseconds(constants.LabDrainMs))
-		<-incarnation.served
+// leave stops the current incarnation gracefully and waits until its address is free.
+func (s *workerSlot) leave() {
+	if incarnation, running := s.detach(); running {
+		incarnation.heartbeats.DrainAndShutDown(clock.Milliseconds(constants.LabDrainMs))
+		<-incarnation.serveDone
 	}
 }
 
-// trouble switches faults on and off; they outlast the present life.
-func (p *place) trouble(faults workeremulator.Faults) {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	p.faults = faults
-	if p.worker != nil {
-		p.worker.SetFaults(faults)
+// setFaults sets the faults of the worker. They also apply to later incarnations.
+func (s *workerSlot) setFaults(faults workeremulator.Faults) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.faults = faults
+	if s.worker != nil {
+		s.worker.SetFaults(faults)
 	}
 }
--- a/internal/tooling/linearize/fleet.go
+++ b/internal/tooling/linearize/fleet.go
@@ -8,49 +8,51 @@
 )
 
 const (
-	// setSize is how many acceptors the simulated fleet keeps: one loss is borne.
+	// setSize is the number of acceptors that the simulated fleet maintains. A set of three
+	// tolerates the loss of one.
 	setSize = 3
-	// attemptMs is how long a proposer waits for its two rounds, and attempts how many
-	// it makes for one call.
+	// attemptMs is how long a proposer waits for its two phases, and attempts the number of
+	// attempts for one call.
 	attemptMs = 400
 	attempts  = 4
-	// silentMs is how long a member is down before others take its place.
-	silentMs = 2500
+	// departedAfterMs is how long a member must be down before the others replace it.
+	departedAfterMs = 2500
 )
 
-// Breaks takes guards of the fleet out, so that a test can see the check find it.
-type Breaks struct {
-	// KeepIdentity: a machine whose disk came back empty votes under its old identity.
+// Defects removes guards from the fleet, so that a test can verify that the check detects it.
+type Defects struct {
+	// KeepIdentity lets a machine whose disk came back empty vote under its old identity.
 	KeepIdentity bool
-	// ReadOne: a read believes the first acceptor that answers.
-	ReadOne bool
-	// RefuseResent: a version that was taken is refused when it is sent again.
-	RefuseResent bool
-	// AnswerUnsynced: an acceptor answers before its record is on disk.
-	AnswerUnsynced bool
+	// ReadFromOne lets a read return the value of the first acceptor that responds.
+	ReadFromOne bool
+	// RejectResent rejects a version that was already applied when it is sent again.
+	RejectResent bool
+	// RespondUnsynced lets an acceptor respond before its record is on disk.
+	RespondUnsynced bool
 }
 
-// Fleet is a seeded simulation of the control machines with the real core of the
-// register, of operators who call them, and of their worst days.
+// Fleet is a seeded simulation of the controller machines, which run the real register core, of
+// the operators that call them, and of severe faults of the machines and the network.
 type Fleet struct {
-	History History
-	breaks  Breaks
-	world   *simulation.World
-	names   []string
-	nodes   map[string]*controller
-	since   map[string]clock.Instant
-	// crash says that the next proposer that begins its second round dies in it.
-	crash bool
-	// next is the highest generation that any operator has used.
-	next int64
-	err  error
+	History   History
+	defects   Defects
+	world     *simulation.World
+	names     []string
+	nodes     map[string]*controller
+	downSince map[string]clock.Instant
+	// crashNextProposer reports whether the next proposer that begins its accept phase crashes
+	// in it.
+	crashNextProposer bool
+	// highestGeneration is the highest generation that any operator has used.
+	highestGeneration int64
+	err               error
 }
 
-// NewFleet makes a fleet of five control machines, three of them acceptors.
-func NewFleet(seed int64, breaks Breaks) *Fleet {
-	fleet := &Fleet{breaks: breaks, world: simulation.NewWorld(seed), names: []string{"a", "b", "c", "d", "e"},
-		nodes: map[string]*controller{}, since: map[string]clock.Instant{}}
-	fleet.world.Loss, fleet.world.Double = 0.05, 0.05
+// NewFleet returns a fleet of five controller machines, three of which are acceptors.
+func NewFleet(seed int64, defects Defects) *Fleet {
+	fleet := &Fleet{defects: defects, world: simulation.NewWorld(seed), names: []string{"a", "b", "c", "d", "e"},
+		nodes: map[string]*controller{}, downSince: map[string]clock.Instant{}}
+	fleet.world.LossProbability, fleet.world.DuplicateProbability = 0.05, 0.05
 	var first []messages.Member
 	for _, name := range fleet.names[:setSize] {
 		first = append(first, messages.Member{Name: name, Address: name, Disk: name})
@@ -58,69 +60,70 @@
 	for i, name := range fleet.names {
 		node := &controller{name: name, disk: simulation.NewDisk(seed + int64(i))}
 		fleet.nodes[name] = node
-		fleet.fail(node.start(name, first))
-		fleet.tend(name)
+		fleet.recordError(node.start(name, first))
+		fleet.reconcile(name)
 	}
 	return fleet
 }
 
-// Run plays the fleet's day and gives the first error of its machinery.
+// Run runs the simulation for a time span and returns the first internal error of the
+// simulation.
 func (f *Fleet) Run(span clock.Duration) error {
 	for number := range operators {
-		f.operate(number, f.world.Now.Add(span))
+		f.runOperator(number, f.world.Now.Add(span))
 	}
-	f.trouble(f.world.Now.Add(span))
+	f.scheduleFaults(f.world.Now.Add(span))
 	f.world.Run(f.world.Now.Add(span + clock.Milliseconds(20_000)))
 	return f.err
 }
 
-func (f *Fleet) fail(err error) {
+func (f *Fleet) recordError(err error) {
 	if f.err == nil {
 		f.err = err
 	}
 }
 
-// after runs a function in a random time between two, in milliseconds.
-func (f *Fleet) after(least, most float64, function func()) {
-	f.world.After(clock.Milliseconds(least+(most-least)*f.world.Random.Float64()), function)
+// afterRandom calls a function after a random delay between minMs and maxMs, in milliseconds.
+func (f *Fleet) afterRandom(minMs, maxMs float64, function func()) {
+	f.world.After(clock.Milliseconds(minMs+(maxMs-minMs)*f.world.Random.Float64()), function)
 }
 
 func (f *Fleet) any() *controller {
 	return f.nodes[f.names[f.world.Random.Intn(len(f.names))]]
 }
 
-// tend is what each process does about once in half a second: learn of newer sets from
-// others, then propose what the step says.
-func (f *Fleet) tend(name string) {
-	f.after(200, 800, func() {
-		f.tend(name)
+// reconcile runs on each process about every half second: it learns newer sets from another
+// process, then proposes the change that register.SetReconciler returns.
+func (f *Fleet) reconcile(name string) {
+	f.afterRandom(200, 800, func() {
+		f.reconcile(name)
 		node := f.nodes[name]
 		if node.down {
 			return
 		}
 		if other := f.any(); !other.down && (other.known.SetEpoch > node.known.SetEpoch || len(node.known.Acceptors) == 0) {
-			known, incarnation := other.known, node.life
+			known, incarnation := other.known, node.incarnation
 			f.world.Send(other.name, name, func() {
-				if node.life == incarnation {
+				if node.incarnation == incarnation {
 					node.learn(known)
 				}
 			})
 		}
-		tending := register.SetReconciler{Own: node.member(), Votes: true, Size: setSize, Departed: f.gone}
-		if change := tending.NextChange(node.known); change != nil {
+		reconciler := register.SetReconciler{Own: node.member(), Votes: true, Size: setSize, Departed: f.departed}
+		if change := reconciler.NextChange(node.known); change != nil {
 			f.propose(node, change, attempts, func(*messages.RegisterValue) {})
 		}
 	})
 }
 
-func (f *Fleet) gone(member messages.Member) bool {
+func (f *Fleet) departed(member messages.Member) bool {
 	node := f.nodes[member.Address]
-	return node.down && f.world.Now.Sub(f.since[member.Address]) > clock.Milliseconds(silentMs)
+	return node.down && f.world.Now.Sub(f.downSince[member.Address]) > clock.Milliseconds(departedAfterMs)
 }
 
-// whole tells whether all machines are up, none is cut off, and the newest set known
-// anywhere is complete with the disks that its members have.
-func (f *Fleet) whole() bool {
+// healthy reports whether all machines are up and the newest known acceptor set is complete,
+// with the disks that its members currently have.
+func (f *Fleet) healthy() bool {
 	var newest messages.RegisterValue
 	for _, name := range f.names {
 		node := f.nodes[name]
--- a/internal/tooling/loadgen/check_test.go
+++ b/internal/tooling/loadgen/check_test.go
@@ -16,111 +16,112 @@
 	return text
 }
 
-func oneSent() map[string]*sent {
-	return map[string]*sent{"a": {attempt: "a", path: "/confirm/1", body: workeremulator.BodySum([]byte("b")), services: []string{"s"}, once: true, succeeded: true}}
+func sampleAttempts() map[string]*sentAttempt {
+	return map[string]*sentAttempt{"a": {attempt: "a", path: "/confirm/1", body: workeremulator.BodySum([]byte("b")), services: []string{"s"}, atMostOnce: true, succeeded: true}}
 }
 
-var oneRun = workeremulator.Run{Attempt: "a", Worker: "w", Service: "s", Method: "POST", Path: "/confirm/1", Body: workeremulator.BodySum([]byte("b")), Ended: true}
+var sampleRun = workeremulator.Run{Attempt: "a", Worker: "w", Service: "s", Method: "POST", Path: "/confirm/1", Body: workeremulator.BodySum([]byte("b")), Ended: true}
 
-func changed(change func(run *workeremulator.Run)) workeremulator.Run {
-	run := oneRun
+func withChange(change func(run *workeremulator.Run)) workeremulator.Run {
+	run := sampleRun
 	change(&run)
 	return run
 }
 
-// Each way in which runs may differ from what was sent is caught, and only it.
+// TestRunsAgainstWhatWasSent checks that each difference between the runs and the attempts is found, and
+// nothing else.
 func TestRunsAgainstWhatWasSent(t *testing.T) {
-	for name, entry := range map[string]struct {
+	for name, test := range map[string]struct {
 		runs []workeremulator.Run
-		edit func(sent *sent)
+		edit func(sent *sentAttempt)
 		want string
 	}{
-		"sound":            {[]workeremulator.Run{oneRun}, nil, ""},
-		"doubled":          {[]workeremulator.Run{oneRun, oneRun}, nil, "TWICE "},
-		"three times":      {[]workeremulator.Run{oneRun, oneRun, oneRun}, nil, "TWICE "},
-		"may be repeated":  {[]workeremulator.Run{oneRun, oneRun}, func(sent *sent) { sent.once = false }, ""},
-		"unasked":          {[]workeremulator.Run{oneRun, changed(func(run *workeremulator.Run) { run.Attempt = "x" })}, nil, "UNASKED "},
-		"other path":       {[]workeremulator.Run{changed(func(run *workeremulator.Run) { run.Path = "/confirm/2" })}, nil, "UNASKED "},
-		"other method":     {[]workeremulator.Run{changed(func(run *workeremulator.Run) { run.Method = "PUT" })}, nil, "UNASKED "},
-		"other body":       {[]workeremulator.Run{changed(func(run *workeremulator.Run) { run.Body = "" })}, nil, "UNASKED "},
-		"other service":    {[]workeremulator.Run{changed(func(run *workeremulator.Run) { run.Service = "t" })}, nil, "ROUTE "},
-		"promised and ran": {[]workeremulator.Run{oneRun}, func(sent *sent) { sent.promised = true }, "REFUSED "},
-		"item promised":    {[]workeremulator.Run{oneRun, oneRun}, func(sent *sent) { sent.promised, sent.once, sent.item = true, false, true }, "REFUSED "},
-		"nobody's success": {nil, nil, "MIXED "},
-		"cut success":      {[]workeremulator.Run{changed(func(run *workeremulator.Run) { run.Ended = false })}, nil, "MIXED "},
-		"failed, no run":   {nil, func(sent *sent) { sent.succeeded = false }, ""},
+		"valid":               {[]workeremulator.Run{sampleRun}, nil, ""},
+		"run twice":           {[]workeremulator.Run{sampleRun, sampleRun}, nil, "TWICE "},
+		"three times":         {[]workeremulator.Run{sampleRun, sampleRun, sampleRun}, nil, "TWICE "},
+		"may be repeated":     {[]workeremulator.Run{sampleRun, sampleRun}, func(sent *sentAttempt) { sent.atMostOnce = false }, ""},
+		"not sent":            {[]workeremulator.Run{sampleRun, withChange(func(run *workeremulator.Run) { run.Attempt = "x" })}, nil, "UNASKED "},
+		"other path":          {[]workeremulator.Run{withChange(func(run *workeremulator.Run) { run.Path = "/confirm/2" })}, nil, "UNASKED "},
+		"other method":        {[]workeremulator.Run{withChange(func(run *workeremulator.Run) { run.Method = "PUT" })}, nil, "UNASKED "},
+		"other body":          {[]workeremulator.Run{withChange(func(run *workeremulator.Run) { run.Body = "" })}, nil, "UNASKED "},
+		"other service":       {[]workeremulator.Run{withChange(func(run *workeremulator.Run) { run.Service = "t" })}, nil, "ROUTE "},
+		"promised not to run": {[]workeremulator.Run{sampleRun}, func(sent *sentAttempt) { sent.notExecuted = true }, "REFUSED "},
+		"item promised":       {[]workeremulator.Run{sampleRun, sampleRun}, func(sent *sentAttempt) { sent.notExecuted, sent.atMostOnce, sent.batchItem = true, false, true }, "REFUSED "},
+		"success without run": {nil, nil, "MIXED "},
+		"run not completed":   {[]workeremulator.Run{withChange(func(run *workeremulator.Run) { run.Ended = false })}, nil, "MIXED "},
+		"failed, no run":      {nil, func(sent *sentAttempt) { sent.succeeded = false }, ""},
 	} {
-		all := oneSent()
-		if entry.edit != nil {
-			entry.edit(all["a"])
+		attempts := sampleAttempts()
+		if test.edit != nil {
+			test.edit(attempts["a"])
 		}
-		if got := rules(checkRuns(all, entry.runs)); got != entry.want {
-			t.Errorf("%s: %q, not %q", name, got, entry.want)
+		if got := rules(checkRuns(attempts, test.runs)); got != test.want {
+			t.Errorf("%s: got rules %q, want %q", name, got, test.want)
 		}
 	}
 }
 
-func TestStampAndBody(t *testing.T) {
+func TestSealAndBody(t *testing.T) {
 	body := []byte("b")
-	sound := workeremulator.PlainBody("a", body)
-	for name, entry := range map[string]struct {
+	validBody := workeremulator.PlainBody("a", body)
+	for name, test := range map[string]struct {
 		seal, echoed, text string
 		caught             bool
 	}{
-		"sound":            {workeremulator.Seal("w", "a"), "a", sound, false},
-		"another's stamp":  {workeremulator.Seal("w", "b"), "a", sound, true},
-		"no stamp":         {"", "a", sound, true},
-		"made-up stamp":    {"w.1234", "a", sound, true},
-		"another attempt":  {workeremulator.Seal("w", "a"), "b", sound, true},
-		"half a body":      {workeremulator.Seal("w", "a"), "a", sound[:5], true},
-		"another's answer": {workeremulator.Seal("w", "a"), "a", workeremulator.PlainBody("b", body), true},
+		"valid":                  {workeremulator.Seal("w", "a"), "a", validBody, false},
+		"another attempt's seal": {workeremulator.Seal("w", "b"), "a", validBody, true},
+		"no seal":                {"", "a", validBody, true},
+		"forged seal":            {"w.1234", "a", validBody, true},
+		"another attempt":        {workeremulator.Seal("w", "a"), "b", validBody, true},
+		"half a body":            {workeremulator.Seal("w", "a"), "a", validBody[:5], true},
+		"another attempt's body": {workeremulator.Seal("w", "a"), "a", workeremulator.PlainBody("b", body), true},
 	} {
-		if got := checkPlain("a", body, entry.seal, entry.echoed, []byte(entry.text)); (got != nil) != entry.caught {
+		if got := checkPlain("a", body, test.seal, test.echoed, []byte(test.text)); (got != nil) != test.caught {
 			t.Error(name, got)
 		}
 	}
 }
 
-func event(number int64) string {
+func eventText(number int64) string {
 	return fmt.Sprintf("id: %d\ndata: %s\n", number, workeremulator.EventData("a", number))
 }
 
 func TestOrderOfEvents(t *testing.T) {
-	for name, entry := range map[string]struct {
+	for name, test := range map[string]struct {
 		from   int64
 		events []string
 		rule   string
 	}{
-		"sound":           {0, []string{event(1), event(2), event(3)}, ""},
-		"goes on":         {2, []string{event(3)}, ""},
-		"missing":         {0, []string{event(1), event(3)}, "ORDER"},
-		"missing first":   {0, []string{event(2), event(3)}, "ORDER"},
-		"twice":           {0, []string{event(1), event(1), event(2), event(3)}, "ORDER"},
-		"ends early":      {0, []string{event(1), event(2)}, "ORDER"},
-		"one too many":    {0, []string{event(1), event(2), event(3), event(4)}, "ORDER"},
-		"another's event": {0, []string{event(1), "id: 2\ndata: x\n", event(3)}, "MIXED"},
+		"valid":            {0, []string{eventText(1), eventText(2), eventText(3)}, ""},
+		"resumed":          {2, []string{eventText(3)}, ""},
+		"missing":          {0, []string{eventText(1), eventText(3)}, "ORDER"},
+		"missing first":    {0, []string{eventText(2), eventText(3)}, "ORDER"},
+		"twice":            {0, []string{eventText(1), eventText(1), eventText(2), eventText(3)}, "ORDER"},
+		"ends early":       {0, []string{eventText(1), eventText(2)}, "ORDER"},
+		"one too many":     {0, []string{eventText(1), eventText(2), eventText(3), eventText(4)}, "ORDER"},
+		"wrong event data": {0, []string{eventText(1), "id: 2\ndata: x\n", eventText(3)}, "MIXED"},
 	} {
-		follower := &follower{attempt: "a", last: entry.from, all: 3}
+		check := &streamCheck{attempt: "a", lastEventID: test.from, eventCount: 3}
 		complete := true
-		for _, text := range entry.events {
-			if complete = follower.event(text); !complete {
+		for _, text := range test.events {
+			if complete = check.addEvent(text); !complete {
 				break
 			}
 		}
 		if complete {
-			follower.end()
+			check.finish()
 		}
 		got := ""
-		if follower.finding != nil {
-			got = follower.finding.Rule
+		if check.finding != nil {
+			got = check.finding.Rule
 		}
-		if got != entry.rule {
-			t.Errorf("%s: %q, not %q", name, got, entry.rule)
+		if got != test.rule {
+			t.Errorf("%s: got rules %q, want %q", name, got, test.rule)
 		}
 	}
 }
 
-func TestPagesOfALot(t *testing.T) {
+func TestPagesOfAJob(t *testing.T) {
 	first := jobclient.Output{ID: "i1", Phase: jobclient.PhaseSettled, Text: completeText("i1", 2)}
 	second := jobclient.Output{ID: "i2", Phase: jobclient.PhaseSettled, Text: completeText("i2", 3)}
 	dropped := jobclient.Output{ID: "i2", Phase: jobclient.PhaseAbandoned}
@@ -132,38 +133,38 @@
 	list := func(outputs ...jobclient.Output) []jobclient.Output { return outputs }
 	short := first
 	short.Text = completeText("i1", 1)
-	for name, entry := range map[string]struct {
+	for name, test := range map[string]struct {
 		reads []read
 		want  string
 	}{
-		"sound":              {[]read{{0, 2, list(first)}, {1, 2, list(second)}, {0, 2, list(first, second)}}, ""},
+		"valid":              {[]read{{0, 2, list(first)}, {1, 2, list(second)}, {0, 2, list(first, second)}}, ""},
 		"abandoned":          {[]read{{0, 2, list(first, dropped)}}, ""},
 		"item twice":         {[]read{{0, 2, list(first, first)}}, "TWICE "},
 		"position changed":   {[]read{{0, 2, list(first)}, {0, 2, list(second)}}, "TWICE "},
 		"phase changed":      {[]read{{0, 2, list(first, dropped)}, {1, 2, list(second)}}, "TWICE "},
 		"event missing":      {[]read{{0, 2, list(short)}}, "MIXED "},
-		"another lot's item": {[]read{{0, 2, list(jobclient.Output{ID: "x", Phase: jobclient.PhaseSettled})}}, "MIXED "},
+		"another job's item": {[]read{{0, 2, list(jobclient.Output{ID: "x", Phase: jobclient.PhaseSettled})}}, "MIXED "},
 		"wrong sum":          {[]read{{0, 3, list(first)}}, "MIXED "},
 		"unknown phase":      {[]read{{0, 2, list(jobclient.Output{ID: "i1", Phase: "done", Text: first.Text})}}, "MIXED "},
 	} {
 		check := newJobCheck("lot")
-		check.events = map[string]int64{"i1": 2, "i2": 3}
+		check.eventCounts = map[string]int64{"i1": 2, "i2": 3}
 		var findings []Finding
-		for _, read := range entry.reads {
-			findings = append(findings, check.page(read.cursor, &jobclient.Page{Sum: read.sum, Outputs: read.outputs})...)
+		for _, read := range test.reads {
+			findings = append(findings, check.addPage(read.cursor, &jobclient.Page{Total: read.sum, Outputs: read.outputs})...)
 		}
-		if got := rules(findings); got != entry.want {
-			t.Errorf("%s: %q, not %q", name, got, entry.want)
+		if got := rules(findings); got != test.want {
+			t.Errorf("%s: got rules %q, want %q", name, got, test.want)
 		}
 	}
 }
 
-// Around planned work a request that a worker ran may not lose its connection without a whole
-// answer; one that was never passed on may.
+// TestCutRequestsThatRanAreFound checks that, during planned work, a request that ran at a worker and
+// whose connection ended before a complete response is found. One that never reached a worker is not.
 func TestCutRequestsThatRanAreFound(t *testing.T) {
-	all := map[string]*sent{"ran": {attempt: "ran", cut: true}, "crossed": {attempt: "crossed", cut: true}, "answered": {attempt: "answered"}}
+	attempts := map[string]*sentAttempt{"ran": {attempt: "ran", cut: true}, "crossed": {attempt: "crossed", cut: true}, "answered": {attempt: "answered"}}
 	runs := []workeremulator.Run{{Attempt: "ran", Worker: "w1"}, {Attempt: "ran", Worker: "w2"}, {Attempt: "answered", Worker: "w1"}}
-	findings := checkCuts(all, runs)
+	findings := checkCuts(attempts, runs)
 	if len(findings) != 1 || findings[0].Rule != "LOST" || findings[0].Attempt != "ran" {
 		t.Error(findings)
 	}
--- a/internal/tooling/loadgen/drive.go
+++ b/internal/tooling/loadgen/drive.go
@@ -14,172 +14,178 @@
 	"lemonarch/internal/tooling/workeremulator"
 )
 
-// run is one load on one fleet.
+// run is one load run against one fleet.
 type run struct {
 	options Options
-	card    *lab.Card
+	info    *lab.FleetInfo
 	routes  map[string]*routeconfig.Route
-	prefix  string
-	client  http.RoundTripper
-	pause   func(clock.Duration)
-	result  *Result
+	// prefix begins the ids of all attempts of the run, so that the endpoint can return the run's
+	// attempts only.
+	prefix string
+	client http.RoundTripper
+	// pause sleeps before a retry; tests replace it.
+	pause  func(clock.Duration)
+	result *Result
 
 	lock sync.Mutex
-	sent map[string]*sent
-	open int
+	// attempts are all attempts sent, by id; inFlight is the number of requests in flight.
+	attempts map[string]*sentAttempt
+	inFlight int
 }
 
-// Drive sends a whole load to the fleet behind an endpoint, checks it, and gives what came of
-// it. It ends early, in order, when the context does. The result is partial beside an error.
-func Drive(until contexts.Context, options Options, endpoint *Endpoint, faults []lab.Trouble) (*Result, error) {
+// Drive sends a whole load to the fleet of an endpoint, checks the responses and returns the result.
+// If the context ends first, it sends nothing more and waits for the requests and jobs in flight. A
+// result that is returned together with an error is partial.
+func Drive(ctx contexts.Context, options Options, endpoint *Endpoint, troubles []lab.Trouble) (*Result, error) {
 	if err := options.Check(); err != nil {
 		return nil, err
 	}
-	card, err := endpoint.Card()
+	info, err := endpoint.Info()
 	if err != nil {
 		return nil, err
 	}
-	routes, err := options.routesOf(card)
+	routes, err := options.routesOf(info)
 	if err != nil {
 		return nil, err
 	}
-	entry := newRun(options, card, routes, "ld"+strconv.FormatInt(clock.WallNanos(), 36)+"-")
-	entry.play(until, endpoint, faults)
-	return entry.result, entry.compareWith(endpoint)
+	load := newRun(options, info, routes, "ld"+strconv.FormatInt(clock.WallNanos(), 36)+"-")
+	load.sendLoad(ctx, endpoint, troubles)
+	return load.result, load.fetchAndCompareRuns(endpoint)
 }
 
-// play sends everything, with the troubles in between, and waits for the last answer.
-func (r *run) play(until contexts.Context, endpoint *Endpoint, faults []lab.Trouble) {
+// sendLoad sends all requests and batch jobs, starts the troubles at their times, and waits for the
+// last response.
+func (r *run) sendLoad(ctx contexts.Context, endpoint *Endpoint, troubles []lab.Trouble) {
 	var group sync.WaitGroup
 	started := clock.Now()
-	for _, fault := range faults {
-		group.Go(func() { r.begin(until, started, endpoint, fault) })
+	for _, trouble := range troubles {
+		group.Go(func() { r.startTrouble(ctx, started, endpoint, trouble) })
 	}
-	if r.options.LotRate > 0 {
-		group.Go(func() { r.sendLots(until, started) })
+	if r.options.JobRate > 0 {
+		group.Go(func() { r.sendJobs(ctx, started) })
 	}
 	done := make(chan struct{})
 	if progress := r.options.Progress; progress != nil {
-		go clock.Every(constants.LoadProgress, done, func() { progress(r.result.sofar(clock.Now().Sub(started))) })
+		go clock.Every(constants.LoadProgress, done, func() { progress(r.result.progressLine(clock.Now().Sub(started))) })
 	}
-	r.orders(until, started)
+	r.sendRequests(ctx, started)
 	group.Wait()
 	close(done)
-	if transport, is := r.client.(*http.Transport); is {
+	if transport, ok := r.client.(*http.Transport); ok {
 		transport.CloseIdleConnections()
 	}
 	r.result.Took = clock.Now().Sub(started).Seconds()
 }
 
-// begin has the fleet begin a trouble at its time.
-func (r *run) begin(until contexts.Context, started clock.Instant, endpoint *Endpoint, fault lab.Trouble) {
-	if !waitUntil(until, started.Add(clock.Milliseconds(fault.AtS*1000))) {
+// startTrouble requests the start of a trouble from the fleet at the trouble's time.
+func (r *run) startTrouble(ctx contexts.Context, started clock.Instant, endpoint *Endpoint, trouble lab.Trouble) {
+	if !waitUntil(ctx, started.Add(clock.Milliseconds(trouble.AtS*1000))) {
 		return
 	}
-	if err := endpoint.Trouble(fault); err != nil {
-		r.result.note("trouble " + fault.Kind + " " + fault.Target + ": " + err.Error())
+	if err := endpoint.StartTrouble(trouble); err != nil {
+		r.result.addNote("start trouble " + trouble.Kind + " " + trouble.Target + ": " + err.Error())
 	}
 }
 
-// compareWith holds what was sent against what the fleet's workers ran.
-func (r *run) compareWith(endpoint *Endpoint) error {
+// fetchAndCompareRuns fetches the runs of the fleet's workers and compares the attempts with them.
+func (r *run) fetchAndCompareRuns(endpoint *Endpoint) error {
 	runs, err := endpoint.Runs(r.prefix)
 	if err != nil {
 		return err
 	}
-	r.compare(runs.Runs)
+	r.compareRuns(runs.Runs)
 	if runs.Dropped > 0 {
-		r.result.note(strconv.Itoa(runs.Dropped) + " runs no longer fitted into the record; the check is partial")
+		r.result.addNote(strconv.Itoa(runs.Dropped) + " runs did not fit into the workers' record; the check is partial")
 	}
 	return nil
 }
 
-func newRun(options Options, card *lab.Card, routes map[string]*routeconfig.Route, prefix string) *run {
+func newRun(options Options, info *lab.FleetInfo, routes map[string]*routeconfig.Route, prefix string) *run {
 	dialer := &net.Dialer{Timeout: constants.EmulatorHeartbeatWait}
-	return &run{options: options, card: card, routes: routes, prefix: prefix, result: newResult(card.Label), sent: map[string]*sent{}, pause: clock.Sleep,
+	return &run{options: options, info: info, routes: routes, prefix: prefix, result: newResult(info.Label), attempts: map[string]*sentAttempt{}, pause: clock.Sleep,
 		client: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: constants.LoadOpen, DialContext: dialer.DialContext}}
 }
 
-// compare holds all that was sent against the record of the workers.
-func (r *run) compare(runs []workeremulator.Run) {
+// compareRuns adds a finding for each difference between the attempts and the workers' runs.
+func (r *run) compareRuns(runs []workeremulator.Run) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	findings := checkRuns(r.sent, runs)
+	findings := checkRuns(r.attempts, runs)
 	if r.options.PlannedOnly {
-		findings = append(findings, checkCuts(r.sent, runs)...)
+		findings = append(findings, checkCuts(r.attempts, runs)...)
 	}
 	for _, finding := range findings {
-		r.result.find(finding)
+		r.result.addFinding(finding)
 	}
 	r.result.Runs = len(runs)
 }
 
-// waitUntil waits for a moment; false where the context ends first.
-func waitUntil(until contexts.Context, at clock.Instant) bool {
+// waitUntil waits until an instant. It returns false if the context ends first.
+func waitUntil(ctx contexts.Context, at clock.Instant) bool {
 	select {
-	case <-until.Done():
+	case <-ctx.Done():
 		return false
 	case <-clock.After(at.Sub(clock.Now())):
 		return true
 	}
 }
 
-// orders sends every order when it is due, whatever became of those before.
-func (r *run) orders(until contexts.Context, started clock.Instant) {
+// sendRequests sends every request when it is due, regardless of the outcome of earlier ones.
+func (r *run) sendRequests(ctx contexts.Context, started clock.Instant) {
 	var group sync.WaitGroup
-	for _, due := range schedule(&r.options, r.routes, len(r.card.Ingress)) {
-		if at := started.Add(due.at); at > clock.Now() && !waitUntil(until, at) {
+	for _, due := range schedule(&r.options, r.routes, len(r.info.Ingress)) {
+		if at := started.Add(due.at); at > clock.Now() && !waitUntil(ctx, at) {
 			break
 		}
-		if until.Err() != nil {
+		if ctx.Err() != nil {
 			break
 		}
 		r.lock.Lock()
-		full := r.open >= constants.LoadOpen
+		full := r.inFlight >= constants.LoadOpen
 		if !full {
-			r.open++
+			r.inFlight++
 		}
 		r.lock.Unlock()
 		if full {
-			// Told, not hidden: a load tool that is full no longer sends its rate.
-			r.result.notSent()
+			// Count this, so that the report shows it: the load tool no longer sends at its rate.
+			r.result.countNotSent()
 			continue
 		}
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			r.serve(due.order)
+			r.sendWithRetries(due.spec)
 			r.lock.Lock()
-			r.open--
+			r.inFlight--
 			r.lock.Unlock()
 		}()
 	}
 	group.Wait()
 }
 
-// remember notes an attempt before it is sent.
-func (r *run) remember(attempt, path string, body []byte, route *routeconfig.Route, once, item bool) *sent {
+// recordAttempt records an attempt before it is sent.
+func (r *run) recordAttempt(attempt, path string, body []byte, route *routeconfig.Route, atMostOnce, batchItem bool) *sentAttempt {
 	services := []string{route.Backend}
 	for _, share := range route.Weighted {
 		services = append(services, share.Backend)
 	}
-	made := &sent{attempt: attempt, path: path, body: workeremulator.BodySum(body), services: services, once: once, item: item}
+	sent := &sentAttempt{attempt: attempt, path: path, body: workeremulator.BodySum(body), services: services, atMostOnce: atMostOnce, batchItem: batchItem}
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.sent[attempt] = made
-	return made
+	r.attempts[attempt] = sent
+	return sent
 }
 
-// noteCut notes an attempt whose connection ended without an answer.
-func (r *run) noteCut(made *sent) {
+// recordCut records that an attempt's connection ended before a complete response.
+func (r *run) recordCut(sent *sentAttempt) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	made.cut = true
+	sent.cut = true
 }
 
-// settle notes what became of an attempt.
-func (r *run) settle(made *sent, promised, succeeded bool) {
+// recordOutcome records the outcome of an attempt that was answered.
+func (r *run) recordOutcome(sent *sentAttempt, notExecuted, succeeded bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	made.promised, made.succeeded = promised, succeeded
+	sent.notExecuted, sent.succeeded = notExecuted, succeeded
 }
--- a/internal/tooling/loadgen/drive_test.go
+++ b/internal/tooling/loadgen/drive_test.go
@@ -15,42 +15,42 @@
 	"lemonarch/internal/tooling/workeremulator"
 )
 
-// hasty is a clock that does not wait.
-type hasty struct {
+// immediateClock is a clock whose timers fire at once and advance its time.
+type immediateClock struct {
 	lock sync.Mutex
 	now  clock.Instant
 }
 
-func (h *hasty) Now() clock.Instant {
-	h.lock.Lock()
-	defer h.lock.Unlock()
-	return h.now
+func (c *immediateClock) Now() clock.Instant {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	return c.now
 }
 
-func (h *hasty) After(span clock.Duration, function func()) {
-	h.lock.Lock()
-	h.now = h.now.Add(span)
-	h.lock.Unlock()
+func (c *immediateClock) After(span clock.Duration, function func()) {
+	c.lock.Lock()
+	c.now = c.now.Add(span)
+	c.lock.Unlock()
 	go function()
 }
 
-// direct leads requests to workers in this process, without a fleet or a socket.
-type direct struct {
+// inProcessTransport passes requests to workers in this process, without a fleet or a socket.
+type inProcessTransport struct {
 	model, plain *workeremulator.Worker
-	// before may answer in the worker's place.
+	// before, if not nil, is called first. If it returns a response, the worker is not called.
 	before func(request *http.Request) *http.Response
 }
 
-func (d *direct) RoundTrip(request *http.Request) (*http.Response, error) {
-	if d.before != nil {
-		if resp := d.before(request); resp != nil {
+func (t *inProcessTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+	if t.before != nil {
+		if resp := t.before(request); resp != nil {
 			return resp, nil
 		}
 	}
 	request.RequestURI = request.URL.RequestURI()
-	worker := d.plain
+	worker := t.plain
 	if request.Header.Get("Lemonarch-Token-Count") != "" {
-		worker = d.model
+		worker = t.model
 	}
 	recorder := httptest.NewRecorder()
 	worker.Handler().ServeHTTP(recorder, request)
@@ -64,36 +64,37 @@
 	{Name: "status", Host: "h", Prefix: "/status/", KindName: "idempotent", Backend: "clerk", CutoffMs: 60000, SetpointMs: 60000},
 }
 
-// driven serves the orders of a short run one by one and compares the records.
-func driven(t *testing.T, faults workeremulator.Faults, before func(request *http.Request) *http.Response) *Result {
+// runWithWorkers sends the requests of a short load one by one to two emulated workers with the
+// given faults, and compares the attempts with the workers' runs.
+func runWithWorkers(t *testing.T, faults workeremulator.Faults, before func(request *http.Request) *http.Response) *Result {
 	t.Helper()
 	shape := workeremulator.Shape{Capacity: 8, Queue: 4, CacheTokens: 60_000, ReadPerMs: 100, Step: time.Millisecond, Stride: 4}
-	record, instant := &workeremulator.Record{}, &hasty{now: clock.Instant(time.Second)}
-	front := &direct{before: before}
-	front.model = workeremulator.NewWorker(workeremulator.Settings{ID: "w1", Service: "model", Model: "m", Shape: shape}, record, instant, 1)
-	front.plain = workeremulator.NewWorker(workeremulator.Settings{ID: "w2", Service: "clerk", Work: time.Millisecond, Shape: workeremulator.Shape{Capacity: 8}}, record, instant, 2)
-	front.model.SetFaults(faults)
-	front.plain.SetFaults(faults)
+	record, testClock := &workeremulator.Record{}, &immediateClock{now: clock.Instant(time.Second)}
+	transport := &inProcessTransport{before: before}
+	transport.model = workeremulator.NewWorker(workeremulator.Settings{ID: "w1", Service: "model", Model: "m", Shape: shape}, record, testClock, 1)
+	transport.plain = workeremulator.NewWorker(workeremulator.Settings{ID: "w2", Service: "clerk", Work: time.Millisecond, Shape: workeremulator.Shape{Capacity: 8}}, record, testClock, 2)
+	transport.model.SetFaults(faults)
+	transport.plain.SetFaults(faults)
 	options := NewOptions()
 	options.Count, options.For = 60, time.Hour
-	card := &lab.Card{Label: "test", Ingress: []string{"n1", "n2"}, Stride: 4, Routes: testRoutes}
-	options.LotRate = 0
-	routes, err := options.routesOf(card)
+	info := &lab.FleetInfo{Label: "test", Ingress: []string{"n1", "n2"}, Stride: 4, Routes: testRoutes}
+	options.JobRate = 0
+	routes, err := options.routesOf(info)
 	if err != nil {
 		t.Fatal(err)
 	}
-	entry := newRun(options, card, routes, "t-")
-	entry.client, entry.pause = front, func(clock.Duration) {}
+	load := newRun(options, info, routes, "t-")
+	load.client, load.pause = transport, func(clock.Duration) {}
 	for _, due := range schedule(&options, routes, 2) {
-		entry.serve(due.order)
+		load.sendWithRetries(due.spec)
 	}
-	runs, _ := record.Of("t-")
-	entry.compare(runs)
-	entry.result.Close()
-	return entry.result
+	runs, _ := record.WithPrefix("t-")
+	load.compareRuns(runs)
+	load.result.Finalize()
+	return load.result
 }
 
-func found(result *Result, rule string) int {
+func countFindings(result *Result, rule string) int {
 	count := 0
 	for _, finding := range result.Findings {
 		if finding.Rule == rule {
@@ -104,23 +105,24 @@
 }
 
 func TestSoundWorkersBreakNothing(t *testing.T) {
-	result := driven(t, workeremulator.Faults{}, nil)
+	result := runWithWorkers(t, workeremulator.Faults{}, nil)
 	if result.Broken != 0 || result.Served() != 60 || result.Worth != 1 || result.Runs != 60 {
 		t.Fatal(result.Findings, result.Served(), result.Worth, result.Runs, result.Causes)
 	}
 }
 
-// Each guard of the whole path, from the worker to the report, can fail.
+// TestBrokenWorkersAreCaught checks that each fault of the workers leads to a finding of its rule in the
+// report.
 func TestBrokenWorkersAreCaught(t *testing.T) {
 	for rule, faults := range map[string]workeremulator.Faults{"TWICE": {Twice: 1}, "ORDER": {Skip: 1}, "MIXED": {Forge: 1}} {
-		result := driven(t, faults, nil)
-		if result.Broken == 0 || found(result, rule) == 0 {
+		result := runWithWorkers(t, faults, nil)
+		if result.Broken == 0 || countFindings(result, rule) == 0 {
 			t.Error(rule, result.Findings)
 		}
 	}
 }
 
-func answering(status int, header ...string) *http.Response {
+func response(status int, header ...string) *http.Response {
 	recorder := httptest.NewRecorder()
 	for i := 0; i+1 < len(header); i += 2 {
 		recorder.Header().Set(header[i], header[i+1])
@@ -129,19 +131,20 @@
 	return recorder.Result()
 }
 
-// A promise frees every kind for another try, a 502 only what may be repeated; each
-// try has an id of its own.
-func TestWhatIsRetried(t *testing.T) {
+// TestRetriesByStatus checks which requests are retried. A 503 promises that the request has not run, so
+// every kind is retried; after a 502 only kinds that may run more than once are retried, after a 400
+// none. Each try has an attempt id of its own.
+func TestRetriesByStatus(t *testing.T) {
 	for status, want := range map[int]string{503: "failed 0", 502: "failed confirm review", 400: "failed confirm query review status"} {
-		observed := map[string]bool{}
-		result := driven(t, workeremulator.Faults{}, func(request *http.Request) *http.Response {
+		sent := map[string]bool{}
+		result := runWithWorkers(t, workeremulator.Faults{}, func(request *http.Request) *http.Response {
 			attempt := request.Header.Get("Lemonarch-Attempt-Id")
-			if observed[attempt] {
-				t.Error("an attempt was sent twice", attempt)
+			if sent[attempt] {
+				t.Error("attempt id was sent twice:", attempt)
 			}
-			observed[attempt] = true
+			sent[attempt] = true
 			if strings.HasSuffix(attempt, "-1") {
-				return answering(status)
+				return response(status)
 			}
 			return nil
 		})
@@ -160,9 +163,10 @@
 	}
 }
 
-// A success that no worker gave is caught by the record.
+// TestInventedSuccess checks that a successful response that no worker sent is found by comparison with
+// the workers' runs.
 func TestInventedSuccess(t *testing.T) {
-	result := driven(t, workeremulator.Faults{}, func(request *http.Request) *http.Response {
+	result := runWithWorkers(t, workeremulator.Faults{}, func(request *http.Request) *http.Response {
 		attempt := request.Header.Get("Lemonarch-Attempt-Id")
 		if !strings.HasPrefix(request.URL.Path, "/status/") {
 			return nil
@@ -173,27 +177,28 @@
 		_, _ = recorder.WriteString(workeremulator.PlainBody(attempt, []byte("order "+strings.TrimPrefix(request.URL.Path, "/status/"))))
 		return recorder.Result()
 	})
-	if found(result, "MIXED") == 0 {
-		t.Fatal("nobody missed the runs")
+	if countFindings(result, "MIXED") == 0 {
+		t.Fatal("no MIXED finding for responses without a run")
 	}
 }
 
-// The same seed gives the same orders, whatever the fleet.
+// TestScheduleFollowsItsSeed checks that the same seed draws the same requests, and another seed other
+// requests.
 func TestScheduleFollowsItsSeed(t *testing.T) {
 	options := NewOptions()
 	routes := map[string]*routeconfig.Route{}
 	text := func(seed int64) string {
 		options.Seed = seed
-		all := ""
+		drawn := ""
 		for _, due := range schedule(&options, routes, 3) {
-			all += fmt.Sprint(due.at, due.order.kind, due.order.node, due.order.prompt)
+			drawn += fmt.Sprint(due.at, due.spec.kind, due.spec.node, due.spec.prompt)
 		}
-		return all
+		return drawn
 	}
 	if first, again := text(1), text(1); first != again || first == text(2) {
-		t.Fatal("the schedule does not follow its seed")
+		t.Fatal("schedule does not depend on the seed alone")
 	}
 	if count := len(schedule(&options, routes, 3)); count < 500 || count > 700 {
-		t.Fatal("40 a second for 15 s made", count)
+		t.Fatal("want 500 to 700 requests for a rate of 40 a second and 15 s, got", count)
 	}
 }
--- a/internal/tooling/workeremulator/rim.go
+++ b/internal/tooling/workeremulator/connection.go
@@ -10,9 +10,10 @@
 	"lemonarch/internal/platform/httpreply"
 )
 
-// garbled writes bytes that form no answer, where the fault asks for it.
-func (e *exchange) garbled() bool {
-	if !e.fate.garble {
+// writeGarbled writes bytes that are not a valid response if the fault was drawn, and reports
+// whether it was.
+func (e *exchange) writeGarbled() bool {
+	if !e.faults.garble {
 		return false
 	}
 	if connection := e.hijack(); connection != nil {
@@ -22,8 +23,8 @@
 	return true
 }
 
-// doubled writes a whole answer, and the same once more behind it.
-func (e *exchange) doubled(text string) bool {
+// writeTwice writes a complete response twice.
+func (e *exchange) writeTwice(text string) bool {
 	resp := "HTTP/1.1 200 OK\r\n"
 	for name := range e.writer.Header() {
 		if name != "Connection" {
@@ -41,8 +42,8 @@
 }
 
 func (e *exchange) hijack() net.Conn {
-	hijacker, can := e.writer.(http.Hijacker)
-	if !can {
+	hijacker, ok := e.writer.(http.Hijacker)
+	if !ok {
 		return nil
 	}
 	connection, _, err := hijacker.Hijack()
@@ -52,15 +53,15 @@
 	return connection
 }
 
-// answerProbe waits for a slot as a request does, and says whether the worker is well.
-func (w *Worker) answerProbe(writer http.ResponseWriter, request *http.Request) {
-	ticket, entry := w.enter(Ask{Work: 1}, Run{})
-	defer w.leave(ticket)
+// serveProbe waits for a slot as a request does, then responds whether the worker is healthy.
+func (w *Worker) serveProbe(writer http.ResponseWriter, request *http.Request) {
+	ticket, waiting := w.submit(EngineRequest{Work: 1}, Run{})
+	defer w.cancel(ticket)
 	for done := false; !done; {
 		select {
-		case effect := <-entry.effects:
+		case effect := <-waiting.effects:
 			if effect.Kind == EffectRefuse {
-				w.notRun(writer, http.StatusServiceUnavailable, "full")
+				w.rejectNotExecuted(writer, http.StatusServiceUnavailable, "full")
 				return
 			}
 			done = effect.Kind == EffectFinish
@@ -69,19 +70,19 @@
 		}
 	}
 	w.lock.Lock()
-	well := !w.leaving != w.faults.Lying
+	healthy := !w.draining != w.faults.Lying
 	load := w.load()
 	w.lock.Unlock()
 	writer.Header().Set(headerID, w.Settings.ID)
 	writer.Header().Set(headerLoad, load)
 	status := http.StatusOK
-	if !well {
+	if !healthy {
 		status = http.StatusServiceUnavailable
 	}
 	httpreply.JSON(writer, status, struct{}{})
 }
 
-// limitedListener resets connections beyond the limit, and all of them at a crash.
+// limitedListener resets connections beyond the limit. At a crash it resets all of them.
 type limitedListener struct {
 	net.Listener
 	worker *Worker
@@ -93,40 +94,40 @@
 	return &limitedListener{Listener: listener, worker: worker, open: map[*connection]bool{}}
 }
 
-// Accept gives the next connection within the limit.
+// Accept returns the next connection within the limit.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		raw, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		entry := &connection{Conn: raw, listener: l, active: l.worker.clockValue.Now()}
+		conn := &connection{Conn: raw, listener: l, active: l.worker.clockValue.Now()}
 		l.lock.Lock()
 		limit := l.worker.Settings.ConnLimit
 		full := limit > 0 && len(l.open) >= limit
 		if !full {
-			l.open[entry] = true
+			l.open[conn] = true
 		}
 		l.lock.Unlock()
 		if full {
-			entry.reset()
+			conn.reset()
 			continue
 		}
-		return entry, nil
+		return conn, nil
 	}
 }
 
-// reset ends every connection with a reset.
+// reset closes the listener and resets every connection.
 func (l *limitedListener) reset() {
 	l.Listener.Close()
 	l.lock.Lock()
 	var all []*connection
-	for entry := range l.open {
-		all = append(all, entry)
+	for conn := range l.open {
+		all = append(all, conn)
 	}
 	l.lock.Unlock()
-	for _, entry := range all {
-		entry.reset()
+	for _, conn := range all {
+		conn.reset()
 	}
 }
 
@@ -138,9 +139,9 @@
 	active   clock.Instant
 }
 
-// Read notes that bytes came; what comes on a forgotten connection is reset. A read that
-// ends without bytes is no use of the connection: the server calls a pending read off
-// after each answer, which the other side can't see.
+// Read records that bytes arrived. If the connection was forgotten, it is reset. A read that
+// ends without bytes is not activity: the server cancels a pending read after each response,
+// which the other side can't see.
 func (c *connection) Read(buffer []byte) (int, error) {
 	count, err := c.Conn.Read(buffer)
 	if count == 0 {
@@ -148,7 +149,7 @@
 	}
 	worker := c.listener.worker
 	worker.lock.Lock()
-	forget := worker.faults.forget()
+	forget := worker.faults.forgetAfter()
 	worker.lock.Unlock()
 	now := worker.clockValue.Now()
 	c.lock.Lock()
@@ -162,7 +163,7 @@
 	return count, err
 }
 
-// Write notes that the connection is in use.
+// Write records that the connection is in use.
 func (c *connection) Write(buffer []byte) (int, error) {
 	c.lock.Lock()
 	c.active = c.listener.worker.clockValue.Now()
@@ -170,7 +171,7 @@
 	return c.Conn.Write(buffer)
 }
 
-// Close gives its place back.
+// Close removes the connection from the listener's open connections.
 func (c *connection) Close() error {
 	c.listener.lock.Lock()
 	delete(c.listener.open, c)
@@ -179,7 +180,7 @@
 }
 
 func (c *connection) reset() {
-	if socket, is := c.Conn.(*net.TCPConn); is {
+	if socket, ok := c.Conn.(*net.TCPConn); ok {
 		_ = socket.SetLinger(0)
 	}
 	_ = c.Close()
--- a/internal/tooling/workeremulator/exchange.go
+++ b/internal/tooling/workeremulator/exchange.go
@@ -9,60 +9,61 @@
 	"lemonarch/internal/platform/httpreply"
 )
 
-// exchange is one request on its connection.
+// exchange is one request and its response on a connection.
 type exchange struct {
-	worker   *Worker
-	writer   http.ResponseWriter
-	request  *http.Request
-	body     []byte
-	attempt  string
-	fate     fate
-	ask      Ask
-	headSent bool
+	worker        *Worker
+	writer        http.ResponseWriter
+	request       *http.Request
+	body          []byte
+	attempt       string
+	faults        drawnFaults
+	engineRequest EngineRequest
+	headSent      bool
 }
 
-// run writes what the engine makes, until the response is complete or broken.
-func (e *exchange) run(entry *waiter) {
-	if e.fate.late > 0 && !e.waitLate() {
+// run writes the effects of the engine until the response is complete or was broken by a fault.
+func (e *exchange) run(waiting *waiter) {
+	if e.faults.late > 0 && !e.waitLate() {
 		return
 	}
-	half := max(Events(e.ask.Out, e.worker.Settings.Shape.Stride)/2, 1)
+	faultEvent := max(Events(e.engineRequest.Out, e.worker.Settings.Shape.Stride)/2, 1)
 	for {
 		var effect Effect
 		select {
-		case effect = <-entry.effects:
+		case effect = <-waiting.effects:
 		case <-e.request.Context().Done():
 			return
 		}
-		if e.fate.hang && effect.Kind != EffectRefuse {
-			// Silence, while the connection stays: only its other end can end it.
+		if e.faults.hang && effect.Kind != EffectRefuse {
+			// Send nothing and keep the connection open until the other side closes it.
 			<-e.request.Context().Done()
 			return
 		}
-		if e.apply(effect, half, entry) {
+		if e.apply(effect, faultEvent, waiting) {
 			return
 		}
 	}
 }
 
-// waitLate waits for as long as this response is to be late; false where its client left.
+// waitLate waits for as long as this response is to be delayed. It returns false if the client
+// left before.
 func (e *exchange) waitLate() bool {
-	over := make(chan struct{})
-	e.worker.clockValue.After(e.fate.late, func() { close(over) })
+	done := make(chan struct{})
+	e.worker.clockValue.After(e.faults.late, func() { close(done) })
 	select {
-	case <-over:
+	case <-done:
 		return true
 	case <-e.request.Context().Done():
 		return false
 	}
 }
 
-// apply writes what follows from one effect, and tells whether the response is over. half is
-// the event at which troubles strike.
-func (e *exchange) apply(effect Effect, half int64, entry *waiter) (over bool) {
+// apply writes the result of one effect and reports whether the response is complete.
+// faultEvent is the number of the event at which cut and skip take effect.
+func (e *exchange) apply(effect Effect, faultEvent int64, waiting *waiter) (complete bool) {
 	switch effect.Kind {
 	case EffectRefuse:
-		e.worker.notRun(e.writer, http.StatusServiceUnavailable, "full, or too late")
+		e.worker.rejectNotExecuted(e.writer, http.StatusServiceUnavailable, "full, or too late")
 		return true
 	case EffectExpire:
 		if e.headSent {
@@ -73,40 +74,41 @@
 	case EffectBegin:
 		return e.begin()
 	case EffectEvent:
-		if e.fate.cut && effect.Number > half {
+		if e.faults.cut && effect.Number > faultEvent {
 			panic(http.ErrAbortHandler)
 		}
-		if !e.fate.skip || effect.Number != half {
-			e.event(effect.Number)
+		if !e.faults.skip || effect.Number != faultEvent {
+			e.writeEvent(effect.Number)
 		}
 	case EffectFinish:
 		if e.finish() {
-			e.worker.record.End(entry.run)
+			e.worker.record.End(waiting.run)
 		}
 		return true
 	}
 	return false
 }
 
-// begin answers at once where the request meets a trouble that strikes at its beginning.
-func (e *exchange) begin() (over bool) {
+// begin sends the response of a fault that takes effect at the start of a run. It returns false
+// if none was drawn for the request.
+func (e *exchange) begin() (complete bool) {
 	switch {
-	case e.garbled():
+	case e.writeGarbled():
 		return true
-	case e.fate.never:
+	case e.faults.never:
 		httpreply.Error(e.writer, http.StatusUnprocessableEntity, "can never be done")
 		return true
-	case e.fate.fail:
+	case e.faults.fail:
 		httpreply.Error(e.writer, http.StatusInternalServerError, "failed")
 		return true
 	}
 	return false
 }
 
-func (e *exchange) head(kind string) {
+func (e *exchange) writeHead(kind string) {
 	header := e.writer.Header()
 	seal := Seal(e.worker.Settings.ID, e.attempt)
-	if e.fate.forge {
+	if e.faults.forge {
 		seal = Seal(e.worker.Settings.ID, "another")
 	}
 	header.Set(headerSeal, seal)
@@ -118,35 +120,35 @@
 	e.headSent = true
 }
 
-func (e *exchange) event(number int64) {
+func (e *exchange) writeEvent(number int64) {
 	if !e.headSent {
-		e.head("text/event-stream")
+		e.writeHead("text/event-stream")
 	}
 	fmt.Fprintf(e.writer, "id: %d\ndata: %s\n\n", number, EventData(e.attempt, number))
 	e.flush()
 }
 
 func (e *exchange) flush() {
-	if flusher, can := e.writer.(http.Flusher); can {
+	if flusher, ok := e.writer.(http.Flusher); ok {
 		flusher.Flush()
 	}
 }
 
-// finish ends an answer; false where it was broken on purpose.
+// finish ends a response. It returns false if the response was deliberately broken.
 func (e *exchange) finish() bool {
-	if e.ask.Work == 0 {
+	if e.engineRequest.Work == 0 {
 		if !e.headSent {
-			e.head("text/event-stream")
+			e.writeHead("text/event-stream")
 		}
 		return true
 	}
 	text := PlainBody(e.attempt, e.body)
-	e.head("text/plain")
-	if e.fate.surplus {
-		return e.doubled(text)
+	e.writeHead("text/plain")
+	if e.faults.surplus {
+		return e.writeTwice(text)
 	}
 	e.writer.Header().Set("Content-Length", strconv.Itoa(len(text)))
-	if e.fate.cut {
+	if e.faults.cut {
 		_, _ = io.WriteString(e.writer, text[:len(text)/2])
 		e.flush()
 		panic(http.ErrAbortHandler)
--- a/internal/tooling/workeremulator/beats_test.go
+++ b/internal/tooling/workeremulator/heartbeats_test.go
@@ -10,14 +10,15 @@
 	"testing"
 )
 
-// Beats carry a rising count, follow the told target, and forget it once it fails.
+// TestHeartbeats checks that heartbeats carry an increasing count, go to the target named in a response,
+// and return to the controllers once that target fails.
 func TestHeartbeats(t *testing.T) {
 	var lock sync.Mutex
 	var paths []string
 	var counts []int64
 	serve := func(name, target string, status int) *httptest.Server {
 		server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-			var call beatBody
+			var call heartbeatBody
 			_ = json.NewDecoder(request.Body).Decode(&call)
 			lock.Lock()
 			paths, counts = append(paths, name+request.URL.Path+" "+call.Phase), append(counts, call.Count)
@@ -31,16 +32,16 @@
 	other := serve("other", "", 200)
 	first := serve("first", other.Listener.Addr().String(), 200)
 	worker, _, address, _ := start(t, plainSettings)
-	beater := NewBeater(worker, address, []string{first.Listener.Addr().String()})
+	sender := NewHeartbeatSender(worker, address, []string{first.Listener.Addr().String()})
 	for count := 0; count < 2; count++ {
-		if err := beater.Beat(); err != nil {
+		if err := sender.Beat(); err != nil {
 			t.Fatal(err)
 		}
 	}
 	other.Close()
-	worker.Leave()
-	if beater.Beat() != nil || beater.Depart() != nil {
-		t.Fatal("the first control still answers")
+	worker.Drain()
+	if sender.Beat() != nil || sender.Depart() != nil {
+		t.Fatal("heartbeat or departure failed although the first controller responds")
 	}
 	want := "[first/-/Workers.Heartbeat/w1 steady other/-/Workers.Heartbeat/w1 steady first/-/Workers.Heartbeat/w1 draining first/-/Workers.Depart/w1 draining]"
 	if fmt.Sprint(paths) != want || fmt.Sprint(counts) != "[1 2 3 4]" {
--- a/internal/tooling/workeremulator/sender_test.go
+++ b/internal/tooling/workeremulator/sender_test.go
@@ -25,8 +25,9 @@
 {"name":"rigid","host":"h","path-prefix":"/rigid/","route-kind":"streaming","cutoff-ms":4000,"setpoint-ms":100,"backend":"s","tries":3}
 ],"backends":[{"name":"s","conn-limit":50}],"limits":{"max-header-bytes":8192,"max-body-bytes":1000,"header-wait-ms":3000,"idle-ms":5000}}`
 
-// edge puts the real data plane in front of emulated workers; the first is preferred.
-func edge(t *testing.T, addresses ...string) string {
+// startDataPlane starts the gateway's data plane in front of emulated workers. The first worker
+// is preferred.
+func startDataPlane(t *testing.T, addresses ...string) string {
 	t.Helper()
 
 	scheduler := admission.New(messages.NodeInfo{Name: "n", Role: membership.RoleGateway, Zone: "h"}, time.Second)
@@ -47,7 +48,7 @@
 	return server.Listener.Addr().String()
 }
 
-func through(t *testing.T, address, path string) (*http.Response, string, error) {
+func sendThrough(t *testing.T, address, path string) (*http.Response, string, error) {
 	t.Helper()
 
 	request, _ := http.NewRequest(http.MethodPost, "http://"+address+path, strings.NewReader("body"))
@@ -64,7 +65,7 @@
 	return resp, string(body), err
 }
 
-func whole(attempt string) string {
+func completeStream(attempt string) string {
 	text := ""
 	for number := int64(1); number <= 8; number++ {
 		text += fmt.Sprintf("id: %d\ndata: %s\n\n", number, EventData(attempt, number))
@@ -72,34 +73,36 @@
 	return text
 }
 
-// Our own sender and streams take an emulated worker for a real one.
-func TestSenderTakesTheStream(t *testing.T) {
+// TestSenderForwardsTheStream checks that the gateway's sender and stream handling work with an emulated
+// worker as with a real one.
+func TestSenderForwardsTheStream(t *testing.T) {
 	_, record, address, _ := start(t, engineSettings)
-	resp, body, err := through(t, edge(t, address), "/rigid/x")
-	if err != nil || resp.StatusCode != 200 || body != whole("one") {
+	resp, body, err := sendThrough(t, startDataPlane(t, address), "/rigid/x")
+	if err != nil || resp.StatusCode != 200 || body != completeStream("one") {
 		t.Fatal(resp, body, err)
 	}
-	if _, holds := Sealed(resp.Header.Get(headerSeal), "one"); !holds {
+	if _, valid := VerifySeal(resp.Header.Get(headerSeal), "one"); !valid {
 		t.Fatal(resp.Header)
 	}
-	if runs, _ := record.Of(""); len(runs) != 1 || !runs[0].Ended {
+	if runs, _ := record.WithPrefix(""); len(runs) != 1 || !runs[0].Ended {
 		t.Fatal(runs)
 	}
 }
 
-// A stream that the first worker cuts goes on at the second, behind its last event.
+// TestSenderRetriesElsewhere checks that a stream which the first worker cuts off is resumed at the
+// second worker, after its last event.
 func TestSenderRetriesElsewhere(t *testing.T) {
 	first, before, firstAddress, _ := start(t, engineSettings)
 	first.SetFaults(Faults{Cut: 1})
-	nodeSettings := engineSettings
-	nodeSettings.ID = "w2"
-	_, after, secondAddress, _ := start(t, nodeSettings)
-	resp, body, err := through(t, edge(t, firstAddress, secondAddress), "/stream/x")
-	if err != nil || resp.StatusCode != 200 || body != whole("one") {
+	settings := engineSettings
+	settings.ID = "w2"
+	_, after, secondAddress, _ := start(t, settings)
+	resp, body, err := sendThrough(t, startDataPlane(t, firstAddress, secondAddress), "/stream/x")
+	if err != nil || resp.StatusCode != 200 || body != completeStream("one") {
 		t.Fatal(resp, body, err)
 	}
-	runs, _ := before.Of("")
-	more, _ := after.Of("")
+	runs, _ := before.WithPrefix("")
+	more, _ := after.WithPrefix("")
 	if len(runs) != 1 || len(more) != 1 || more[0].From != 4 {
 		t.Fatal(runs, more)
 	}
--- a/internal/tooling/workeremulator/worker.go
+++ b/internal/tooling/workeremulator/worker.go
@@ -14,94 +14,96 @@
 	"lemonarch/internal/platform/contexts"
 )
 
-// Clock is the time of a worker; tests hand in one that does not wait.
+// Clock is the time source of a worker. Tests pass one that does not wait.
 type Clock interface {
 	Now() clock.Instant
 	After(span clock.Duration, function func())
 }
 
-// RealClock is the machine's.
+// RealClock is the machine's clock.
 type RealClock struct{}
 
-// Now gives the present moment.
+// Now returns the current time.
 func (RealClock) Now() clock.Instant { return clock.Now() }
 
-// After calls a function once a span is over.
+// After calls a function after a delay.
 func (RealClock) After(span clock.Duration, function func()) { time.AfterFunc(span, function) }
 
 // Settings describe one worker.
 type Settings struct {
 	ID, Service, Zone string
-	// Model is empty for a worker of plain requests; these take Work each.
+	// Model is empty for a worker of plain requests, each of which takes Work.
 	Model     string
 	Work      clock.Duration
 	Shape     Shape
 	ConnLimit int
-	// Probe is the path of health questions.
+	// Probe is the path of health checks; empty means that there is none.
 	Probe string
-	// Warmup is how long a life is slow from its start, by half.
+	// Warmup is how long the worker runs at half speed after its start.
 	Warmup clock.Duration
-	// Revision is the version of its weights.
+	// Revision is the version of the worker's weights.
 	Revision int64
 }
 
-// waiter is what one connection waits for.
+// waiter receives the effects of one request for its connection.
 type waiter struct {
-	effects chan Effect
-	run     *Run
-	about   Run
+	effects     chan Effect
+	run         *Run
+	runTemplate Run
 }
 
-// Worker is one life of an emulated worker.
+// Worker is one incarnation of an emulated worker.
 type Worker struct {
 	Settings Settings
 
 	clockValue Clock
 	record     *Record
-	lock       sync.Mutex
-	random     *rand.Rand
-	engine     *Engine
-	waiters    map[int64]*waiter
-	ticket     int64
-	timer      clock.Instant
-	faults     Faults
-	warm       clock.Instant
-	leaving    bool
-	ended      bool
-	handled    int64
-	server     *http.Server
-	listener   *limitedListener
-	history    []moment
+	// lock guards those of the fields after it that change after NewWorker.
+	lock      sync.Mutex
+	random    *rand.Rand
+	engine    *Engine
+	waiters   map[int64]*waiter
+	ticket    int64
+	timerAt   clock.Instant
+	faults    Faults
+	warmUntil clock.Instant
+	draining  bool
+	ended     bool
+	handled   int64
+	server    *http.Server
+	listener  *limitedListener
+	history   []loadSample
 }
 
-// NewWorker makes a worker; the seed decides which requests its faults meet.
-func NewWorker(nodeSettings Settings, record *Record, clockValue Clock, seed int64) *Worker {
-	nodeSettings.Shape.Stride = max(nodeSettings.Shape.Stride, 1)
-	worker := &Worker{warm: clockValue.Now().Add(nodeSettings.Warmup), Settings: nodeSettings, clockValue: clockValue, record: record, random: rand.New(rand.NewSource(seed)),
-		engine: NewEngine(nodeSettings.Shape), waiters: map[int64]*waiter{}}
-	worker.pace()
-	if nodeSettings.Warmup > 0 {
-		clockValue.After(nodeSettings.Warmup, func() {
+// NewWorker returns a worker. The seed determines which requests its faults affect.
+func NewWorker(settings Settings, record *Record, clockValue Clock, seed int64) *Worker {
+	settings.Shape.Stride = max(settings.Shape.Stride, 1)
+	worker := &Worker{warmUntil: clockValue.Now().Add(settings.Warmup), Settings: settings, clockValue: clockValue, record: record, random: rand.New(rand.NewSource(seed)),
+		engine: NewEngine(settings.Shape), waiters: map[int64]*waiter{}}
+	worker.updateSpeed()
+	if settings.Warmup > 0 {
+		clockValue.After(settings.Warmup, func() {
 			worker.lock.Lock()
 			defer worker.lock.Unlock()
-			worker.pace()
+			worker.updateSpeed()
 		})
 	}
-	tree := chi.NewRouter()
-	tree.Get("/-/report", worker.answerReport)
-	if nodeSettings.Probe != "" {
-		tree.Get(nodeSettings.Probe, worker.answerProbe)
+	router := chi.NewRouter()
+	router.Get("/-/report", worker.serveReport)
+	if settings.Probe != "" {
+		router.Get(settings.Probe, worker.serveProbe)
 	}
-	tree.NotFound(worker.answer)
-	tree.MethodNotAllowed(worker.answer)
-	worker.server = &http.Server{Handler: tree, IdleTimeout: constants.EmulatorIdle, ReadHeaderTimeout: constants.EmulatorIdle}
+	router.NotFound(worker.serveRequest)
+	router.MethodNotAllowed(worker.serveRequest)
+	worker.server = &http.Server{Handler: router, IdleTimeout: constants.EmulatorIdle, ReadHeaderTimeout: constants.EmulatorIdle}
 	return worker
 }
 
-// Handler answers requests without any socket, for tests of what stands in front.
+// Handler returns the handler that serves requests without a socket, for tests of what runs in
+// front of workers.
 func (w *Worker) Handler() http.Handler { return w.server.Handler }
 
-// Serve takes connections until the worker ends.
+// Serve accepts connections until the worker ends.
 func (w *Worker) Serve(listener net.Listener) {
 	limited := newLimitedListener(listener, w)
 	w.lock.Lock()
@@ -110,18 +112,18 @@
 	_ = w.server.Serve(limited)
 }
 
-// SetFaults switches troubles on and off.
+// SetFaults replaces the faults that are switched on.
 func (w *Worker) SetFaults(faults Faults) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.faults = faults
-	w.pace()
+	w.updateSpeed()
 }
 
-// pace sets how fast the engine is just now. The lock is held.
-func (w *Worker) pace() {
+// updateSpeed sets the current speed of the engine. The caller must hold the lock.
+func (w *Worker) updateSpeed() {
 	slow := max(w.faults.Slow, 1)
-	if w.clockValue.Now() < w.warm {
+	if w.clockValue.Now() < w.warmUntil {
 		slow *= constants.EmulatorWarmupSlow
 	}
 	shape := w.Settings.Shape
@@ -129,7 +131,7 @@
 	w.engine.shape.ReadPerMs = shape.ReadPerMs / slow
 }
 
-// Crash ends a worker without a word: every connection is reset.
+// Crash ends a worker without notice and resets every connection.
 func (w *Worker) Crash() {
 	w.lock.Lock()
 	w.ended = true
@@ -141,11 +143,12 @@
 	w.server.Close()
 }
 
-// End closes a worker that has left in order; what still runs may finish within the span.
-func (w *Worker) End(span clock.Duration) {
-	limited, release := contexts.WithTimeout(contexts.Background(), span)
+// Shutdown closes a worker that has drained. Requests that still run may finish within the
+// span.
+func (w *Worker) Shutdown(span clock.Duration) {
+	ctx, release := contexts.WithTimeout(contexts.Background(), span)
 	defer release()
-	if w.server.Shutdown(limited) != nil {
+	if w.server.Shutdown(ctx) != nil {
 		w.server.Close()
 	}
 	w.lock.Lock()
@@ -153,77 +156,79 @@
 	w.ended = true
 }
 
-// Leave makes it say Connection: close, and say that it is draining.
-func (w *Worker) Leave() {
+// Drain makes the worker send Connection: close and report that it is draining.
+func (w *Worker) Drain() {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	w.leaving = true
+	w.draining = true
 }
 
-// chance draws whether a fault meets a request. The lock is held.
+// chance randomly decides whether a fault affects a request. The caller must hold the lock.
 func (w *Worker) chance(share float64) bool { return share > 0 && w.random.Float64() < share }
 
-// enter hands a request to the engine and gives where its effects come.
-func (w *Worker) enter(request Ask, about Run) (int64, *waiter) {
+// submit passes a request to the engine and returns the waiter that receives its effects.
+func (w *Worker) submit(request EngineRequest, template Run) (int64, *waiter) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.ticket++
 	request.Ticket = w.ticket
-	// Room for all effects of one request: the engine never waits for a connection.
-	entry := &waiter{effects: make(chan Effect, 8+Events(request.Out, w.engine.shape.Stride)), about: about}
-	w.waiters[request.Ticket] = entry
-	w.step(Event{Kind: EventArrive, Ask: request})
-	return request.Ticket, entry
+	// The channel has capacity for all effects of one request, so that the engine never blocks
+	// on a connection.
+	waiting := &waiter{effects: make(chan Effect, 8+Events(request.Out, w.engine.shape.Stride)), runTemplate: template}
+	w.waiters[request.Ticket] = waiting
+	w.step(Event{Kind: EventArrive, Request: request})
+	return request.Ticket, waiting
 }
 
-// leave takes a request back whose connection has closed.
-func (w *Worker) leave(ticket int64) {
+// cancel removes a request whose connection has closed.
+func (w *Worker) cancel(ticket int64) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	delete(w.waiters, ticket)
 	w.step(Event{Kind: EventCancel, Ticket: ticket})
 }
 
-// step runs the engine and hands out its effects. The lock is held.
+// step runs the engine and passes on its effects. The caller must hold the lock.
 func (w *Worker) step(event Event) {
 	for _, effect := range w.engine.Step(event, w.clockValue.Now()) {
-		entry := w.waiters[effect.Ticket]
-		if entry == nil || effect.Kind == EffectPutBack {
+		waiting := w.waiters[effect.Ticket]
+		if waiting == nil || effect.Kind == EffectPreempt {
 			continue
 		}
-		if effect.Kind == EffectBegin && entry.about.Attempt != "" {
-			entry.run = w.record.Begin(entry.about)
+		if effect.Kind == EffectBegin && waiting.runTemplate.Attempt != "" {
+			waiting.run = w.record.Begin(waiting.runTemplate)
 			if w.chance(w.faults.Twice) {
-				w.record.Begin(entry.about)
+				w.record.Begin(waiting.runTemplate)
 			}
 		}
-		entry.effects <- effect
+		waiting.effects <- effect
 		switch effect.Kind {
 		case EffectFinish, EffectRefuse, EffectExpire:
 			delete(w.waiters, effect.Ticket)
 		}
 	}
-	w.note()
-	w.arm()
+	w.recordLoad()
+	w.armTimer()
 }
 
-// arm sets a timer for the engine's next tick, if none rings by then. The lock is held.
-func (w *Worker) arm() {
-	at, some := w.engine.Next()
-	if !some || w.ended || (w.timer > 0 && w.timer <= at) {
+// armTimer sets a timer for the engine's next tick, unless one fires by then. The caller must
+// hold the lock.
+func (w *Worker) armTimer() {
+	at, pending := w.engine.Next()
+	if !pending || w.ended || (w.timerAt > 0 && w.timerAt <= at) {
 		return
 	}
 	now := w.clockValue.Now()
-	w.timer = max(at, now+1)
-	mine := w.timer
-	w.clockValue.After(w.timer.Sub(now), func() {
+	w.timerAt = max(at, now+1)
+	armedFor := w.timerAt
+	w.clockValue.After(w.timerAt.Sub(now), func() {
 		w.lock.Lock()
 		defer w.lock.Unlock()
-		if w.timer != mine || w.ended {
-			// A later call asked for an earlier tick, and that one has taken over.
+		if w.timerAt != armedFor || w.ended {
+			// A later call needed an earlier tick, and its timer has replaced this one.
 			return
 		}
-		w.timer = 0
+		w.timerAt = 0
 		w.step(Event{Kind: EventTick})
 	})
 }
--- a/internal/tooling/workeremulator/worker_test.go
+++ b/internal/tooling/workeremulator/worker_test.go
@@ -15,20 +15,20 @@
 	"lemonarch/internal/platform/clock"
 )
 
-// hasty is a clock that does not wait: whatever is to happen later happens at once,
-// with the clock set forward.
-type hasty struct {
+// immediateClock is a clock that does not wait: a scheduled function runs immediately, with the
+// clock set forward.
+type immediateClock struct {
 	lock sync.Mutex
 	now  clock.Instant
 }
 
-func (h *hasty) Now() clock.Instant {
+func (h *immediateClock) Now() clock.Instant {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	return h.now
 }
 
-func (h *hasty) After(span clock.Duration, function func()) {
+func (h *immediateClock) After(span clock.Duration, function func()) {
 	h.lock.Lock()
 	h.now = h.now.Add(span)
 	h.lock.Unlock()
@@ -38,20 +38,20 @@
 var engineSettings = Settings{ID: "w1", Service: "s", Model: "m", Probe: "/health", Revision: 1, Shape: smallShape}
 var plainSettings = Settings{ID: "w1", Service: "s", Probe: "/health", Work: 10 * time.Millisecond, Shape: Shape{Capacity: 4, Queue: 2}}
 
-func start(t *testing.T, nodeSettings Settings) (*Worker, *Record, string, *hasty) {
+func start(t *testing.T, settings Settings) (*Worker, *Record, string, *immediateClock) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	record, clockValue := &Record{}, &hasty{now: clock.Instant(time.Second)}
-	worker := NewWorker(nodeSettings, record, clockValue, 1)
+	record, clockValue := &Record{}, &immediateClock{now: clock.Instant(time.Second)}
+	worker := NewWorker(settings, record, clockValue, 1)
 	go worker.Serve(listener)
 	t.Cleanup(worker.Crash)
 	return worker, record, listener.Addr().String(), clockValue
 }
 
-func ask(address, attempt string, header ...string) (*http.Response, string, error) {
+func post(address, attempt string, header ...string) (*http.Response, string, error) {
 	request, _ := http.NewRequest(http.MethodPost, "http://"+address+"/a/b", strings.NewReader("body"))
 	request.Header.Set(headerAttempt, attempt)
 	for i := 0; i+1 < len(header); i += 2 {
@@ -69,43 +69,43 @@
 
 func TestStreamSealAndRecord(t *testing.T) {
 	_, record, address, _ := start(t, engineSettings)
-	resp, body, err := ask(address, "one", headerTokens, "20,12", headerPrefix, "a:10", headerModel, "m", headerTarget, "w1", headerLast, "1")
+	resp, body, err := post(address, "one", headerTokens, "20,12", headerPrefix, "a:10", headerModel, "m", headerTarget, "w1", headerLastEventID, "1")
 	want := fmt.Sprintf("id: 2\ndata: %s\n\nid: 3\ndata: %s\n\n", EventData("one", 2), EventData("one", 3))
 	if err != nil || body != want || resp.Header.Get(headerAttempt) != "one" || resp.Header.Get(headerLoad) == "" || resp.Header.Get("Keep-Alive") == "" {
 		t.Fatal(resp, body, err)
 	}
-	if worker, holds := Sealed(resp.Header.Get(headerSeal), "one"); !holds || worker != "w1" {
+	if worker, valid := VerifySeal(resp.Header.Get(headerSeal), "one"); !valid || worker != "w1" {
 		t.Fatal(resp.Header)
 	}
-	runs, _ := record.Of("on")
+	runs, _ := record.WithPrefix("on")
 	if len(runs) != 1 || runs[0].From != 1 || runs[0].Path != "/a/b" || runs[0].Body != BodySum([]byte("body")) {
 		t.Fatal(runs)
 	}
 }
 
-func TestNotRunIsStated(t *testing.T) {
+func TestNotExecutedIsReported(t *testing.T) {
 	worker, record, address, _ := start(t, plainSettings)
 	for name, header := range map[string][]string{
 		"target": {headerTarget, "w2"}, "revision": {headerRevision, "7"}, "late": {headerTimeLeft, "0"},
 	} {
-		resp, _, err := ask(address, "one", header...)
-		if err != nil || resp.Header.Get(headerNotRun) == "" {
+		resp, _, err := post(address, "one", header...)
+		if err != nil || resp.Header.Get(headerNotExecuted) == "" {
 			t.Fatal(name, resp, err)
 		}
 	}
 	worker.SetFaults(Faults{Full: 1})
-	if resp, _, err := ask(address, "one"); err != nil || resp.StatusCode != 503 || resp.Header.Get(headerNotRun) == "" {
+	if resp, _, err := post(address, "one"); err != nil || resp.StatusCode != 503 || resp.Header.Get(headerNotExecuted) == "" {
 		t.Fatal(resp, err)
 	}
-	if resp, _, err := ask(address, ""); err != nil || resp.StatusCode != 400 {
+	if resp, _, err := post(address, ""); err != nil || resp.StatusCode != 400 {
 		t.Fatal(resp, err)
 	}
-	if runs, _ := record.Of(""); len(runs) != 0 {
-		t.Fatal("something ran", runs)
+	if runs, _ := record.WithPrefix(""); len(runs) != 0 {
+		t.Fatal("requests ran, want none", runs)
 	}
 }
 
-func TestProbeAndItsLies(t *testing.T) {
+func TestHealthCheckAndLyingTrouble(t *testing.T) {
 	worker, _, address, _ := start(t, plainSettings)
 	get := func(path string) (int, string, http.Header) {
 		resp, err := http.Get("http://" + address + path)
@@ -123,9 +123,9 @@
 	if status, _, _ := get("/health"); status != 503 {
 		t.Fatal(status)
 	}
-	worker.Leave()
+	worker.Drain()
 	if status, _, _ := get("/health"); status != 200 {
-		t.Fatal("a lying worker that leaves says that it is well", status)
+		t.Fatal("lying worker that drains must report healthy, got status", status)
 	}
 	var received report
 	if _, body, _ := get("/-/report"); json.Unmarshal([]byte(body), &received) != nil || received.Stage != "both" {
@@ -133,23 +133,23 @@
 	}
 }
 
-// Each broken answer is broken in the way that its name says.
+// TestBrokenResponses checks that each fault breaks the response in the way that its name says.
 func TestBrokenResponses(t *testing.T) {
 	worker, record, address, _ := start(t, plainSettings)
 	worker.SetFaults(Faults{Fail: 1})
-	if resp, _, err := ask(address, "fail"); err != nil || resp.StatusCode != 500 || resp.Header.Get(headerNotRun) != "" {
+	if resp, _, err := post(address, "fail"); err != nil || resp.StatusCode != 500 || resp.Header.Get(headerNotExecuted) != "" {
 		t.Fatal(resp, err)
 	}
 	worker.SetFaults(Faults{Never: 1})
-	if resp, _, err := ask(address, "never"); err != nil || resp.StatusCode != 422 || resp.Header.Get(headerNotRun) != "" {
+	if resp, _, err := post(address, "never"); err != nil || resp.StatusCode != 422 || resp.Header.Get(headerNotExecuted) != "" {
 		t.Fatal(resp, err)
 	}
 	worker.SetFaults(Faults{Cut: 1})
-	if _, body, err := ask(address, "cut"); err == nil {
-		t.Fatal("a cut answer looked whole", body)
+	if _, body, err := post(address, "cut"); err == nil {
+		t.Fatal("cut response was read without error", body)
 	}
 	worker.SetFaults(Faults{Garble: 1})
-	if resp, _, err := ask(address, "garble"); err == nil {
+	if resp, _, err := post(address, "garble"); err == nil {
 		t.Fatal(resp)
 	}
 	worker.SetFaults(Faults{Surplus: 1})
@@ -167,12 +167,13 @@
 		}
 		_, _ = io.Copy(io.Discard, resp.Body)
 	}
-	if runs, _ := record.Of(""); len(runs) != 5 {
-		t.Fatal("a broken answer counts as run", runs)
+	if runs, _ := record.WithPrefix(""); len(runs) != 5 {
+		t.Fatal("each broken response must count as one run, want 5, got", runs)
 	}
 }
 
-// Bytes on a connection that the worker has silently forgotten meet a reset.
+// TestForgottenConnection checks that bytes on a connection that the worker has silently forgotten cause
+// a reset.
 func TestForgottenConnection(t *testing.T) {
 	worker, record, address, clockValue := start(t, plainSettings)
 	worker.SetFaults(Faults{ForgetMs: 500})
@@ -195,17 +196,17 @@
 	}
 	clockValue.After(time.Second, func() {})
 	if err := send(); err == nil {
-		t.Fatal("a forgotten connection answered")
+		t.Fatal("got a response on a forgotten connection")
 	}
-	if runs, _ := record.Of(""); len(runs) != 1 {
+	if runs, _ := record.WithPrefix(""); len(runs) != 1 {
 		t.Fatal(runs)
 	}
 }
 
 func TestConnectionsBeyondTheLimitAreReset(t *testing.T) {
-	nodeSettings := plainSettings
-	nodeSettings.ConnLimit = 1
-	_, _, address, _ := start(t, nodeSettings)
+	settings := plainSettings
+	settings.ConnLimit = 1
+	_, _, address, _ := start(t, settings)
 	first, err := net.Dial("tcp4", address)
 	if err != nil {
 		t.Fatal(err)
@@ -215,7 +216,7 @@
 	if resp, err := http.ReadResponse(bufio.NewReader(first), nil); err != nil || resp.StatusCode != 200 {
 		t.Fatal(resp, err)
 	}
-	if resp, _, err := ask(address, "one"); err == nil {
+	if resp, _, err := post(address, "one"); err == nil {
 		t.Fatal(resp)
 	}
 }
--- a/internal/traffic/loadgossip/replypeers.go
+++ b/internal/traffic/loadgossip/replypeers.go
@@ -8,10 +8,12 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Where views are partial, rings made from them leave some process without anybody
-// that notifies it. Such a one asks those whom it notifies to notify it too.
+// Each process builds the rings from a partial view, so some processes may have no or too few peers
+// that notify them. Such a process requests in its packets that the receivers notify it as well.
 
-// replyPeers is who notifies this process, and whom it notifies because they asked.
+// replyPeers records the peers that notify this process (senders, with the time of the last packet),
+// and the peers that this process notifies because they requested it (requesters). startedAt is the
+// time of the first call of hasFewSenders.
 type replyPeers struct {
 	startedAt  clock.Instant
 	senders    map[string]clock.Instant
@@ -23,57 +25,57 @@
 	at      clock.Instant
 }
 
-// observe notes a packet.
+// observe records a received packet, and discards expired senders and requesters.
 func (t *replyPeers) observe(packet *messages.Gossip, now clock.Instant) {
 	if t.senders == nil {
 		t.senders, t.requesters = map[string]clock.Instant{}, map[string]replyPeer{}
 	}
 	t.senders[packet.From] = now
 	for from, at := range t.senders {
-		if now.Sub(at) >= constants.LonelyAfter {
+		if now.Sub(at) >= constants.GossipSenderTimeout {
 			delete(t.senders, from)
 		}
 	}
-	for from, entry := range t.requesters {
-		if now.Sub(entry.at) >= constants.TieTime {
+	for from, requester := range t.requesters {
+		if now.Sub(requester.at) >= constants.ReplyPeerDuration {
 			delete(t.requesters, from)
 		}
 	}
-	if _, known := t.requesters[packet.From]; packet.ReplyTo != "" && (known || len(t.requesters) < constants.TieLimit) {
+	if _, known := t.requesters[packet.From]; packet.ReplyTo != "" && (known || len(t.requesters) < constants.ReplyPeersMax) {
 		t.requesters[packet.From] = replyPeer{packet.ReplyTo, now}
 	}
 }
 
-// hasFewSenders tells whether too few notify this process.
+// hasFewSenders reports whether fewer than constants.GossipFanout-1 peers notify this process.
 func (t *replyPeers) hasFewSenders(now clock.Instant) bool {
 	if t.startedAt == 0 {
 		t.startedAt = now
 	}
-	if now.Sub(t.startedAt) < constants.LonelyAfter {
-		// They have had no time to send anything.
+	if now.Sub(t.startedAt) < constants.GossipSenderTimeout {
+		// The peers have not yet had time to send a packet.
 		return false
 	}
 	count := 0
 	for _, at := range t.senders {
-		if now.Sub(at) < constants.LonelyAfter {
+		if now.Sub(at) < constants.GossipSenderTimeout {
 			count++
 		}
 	}
 	return count < constants.GossipFanout-1
 }
 
-// unlisted gives those who asked, beyond the ones that are notified anyway.
-func (t *replyPeers) unlisted(recipients []messages.NodeInfo, now clock.Instant) []messages.NodeInfo {
-	var found []messages.NodeInfo
-	for _, member := range t.requesters {
-		known := now.Sub(member.at) >= constants.TieTime
-		for _, entry := range recipients {
-			known = known || entry.Address == member.address
+// missingFrom returns the peers that requested to be notified and are not among the recipients.
+func (t *replyPeers) missingFrom(recipients []messages.NodeInfo, now clock.Instant) []messages.NodeInfo {
+	var missing []messages.NodeInfo
+	for _, requester := range t.requesters {
+		skip := now.Sub(requester.at) >= constants.ReplyPeerDuration
+		for _, recipient := range recipients {
+			skip = skip || recipient.Address == requester.address
 		}
-		if !known {
-			found = append(found, messages.NodeInfo{Address: member.address})
+		if !skip {
+			missing = append(missing, messages.NodeInfo{Address: requester.address})
 		}
 	}
-	sort.Slice(found, func(left, right int) bool { return found[left].Address < found[right].Address })
-	return found
+	sort.Slice(missing, func(left, right int) bool { return missing[left].Address < missing[right].Address })
+	return missing
 }
--- a/internal/traffic/loadgossip/report.go
+++ b/internal/traffic/loadgossip/report.go
@@ -12,11 +12,11 @@
 
 func formatInt[Whole int | int64](value Whole) string { return strconv.FormatInt(int64(value), 10) }
 
-// registerReports registers the answers to the queries of the shell.
+// registerReports registers the status reports that operators can query.
 func (g *Gossip) registerReports() {
 	g.Node.Report("workers", g.reportWorkers)
 	g.Node.Report("index", g.reportIndex)
-	g.Node.Report("displacement", g.reportDisplacement)
+	g.Node.Report("displacement", g.reportPreemptions)
 }
 
 func (g *Gossip) reportWorkers() *messages.StatusResponse {
@@ -24,14 +24,14 @@
 	now := clock.Now()
 	statusNames := map[workers.Status]string{workers.StatusHealthy: "good", workers.StatusSuspect: "suspect", workers.StatusUnavailable: "out"}
 	scheduler := g.Scheduler
-	scheduler.Locked(func() {
+	scheduler.WithLock(func() {
 		for _, worker := range scheduler.Registry.All(now) {
 			health := scheduler.Tracker.Of(worker.ID)
-			answers, failures := health.Counts()
+			responses, failures := health.Counts()
 			status.Rows = append(status.Rows, []string{worker.ID, worker.Backend, worker.Zone, worker.Phase.String(),
 				statusNames[scheduler.Registry.Status(worker.ID, now, true)], formatInt(worker.AgeMs), formatInt(health.Own() - health.OwnBulk()),
 				formatInt(health.OwnBulk()), formatInt(health.Running(now)), formatInt(worker.Capacity), strconv.FormatBool(health.Suspect(now)),
-				formatInt(answers), formatInt(failures), scheduler.OutcomeSummary(worker, now)})
+				formatInt(responses), formatInt(failures), scheduler.OutcomeSummary(worker, now)})
 		}
 	})
 	return status
@@ -40,7 +40,7 @@
 func (g *Gossip) reportIndex() *messages.StatusResponse {
 	status := &messages.StatusResponse{Columns: []string{"prefixes", "placements", "hits", "residency_route_downgrades", "downgrade-share", "tokens-a-ms"}}
 	scheduler := g.Scheduler
-	scheduler.Locked(func() {
+	scheduler.WithLock(func() {
 		index := scheduler.Index
 		share := 0.0
 		if index.Placements > 0 {
@@ -52,28 +52,28 @@
 	return status
 }
 
-func (g *Gossip) reportDisplacement() *messages.StatusResponse {
+func (g *Gossip) reportPreemptions() *messages.StatusResponse {
 	status := &messages.StatusResponse{Columns: []string{"route", "displaced", "resumed", "finished"}}
-	tallies := g.Scheduler.AllCounters()
-	routes := make([]string, 0, len(tallies))
-	for route := range tallies {
+	countersByRoute := g.Scheduler.AllCounters()
+	routes := make([]string, 0, len(countersByRoute))
+	for route := range countersByRoute {
 		routes = append(routes, route)
 	}
 	sort.Strings(routes)
 	for _, route := range routes {
-		counters := tallies[route]
-		status.Rows = append(status.Rows, []string{route, formatInt(counters.Displaced.Load()), formatInt(counters.Resumed.Load()), formatInt(counters.Finished.Load())})
+		counters := countersByRoute[route]
+		status.Rows = append(status.Rows, []string{route, formatInt(counters.Preempted.Load()), formatInt(counters.Resumed.Load()), formatInt(counters.Finished.Load())})
 	}
 	return status
 }
 
-// logDisplacement writes a line for each route whose counts have changed.
-func (g *Gossip) logDisplacement() {
+// logPreemptionCounts logs the preemption counts of each route whose counts have changed.
+func (g *Gossip) logPreemptionCounts() {
 	for route, counters := range g.Scheduler.AllCounters() {
-		displaced := counters.Displaced.Load()
-		if sum := displaced + counters.Resumed.Load() + counters.Finished.Load(); sum != g.logged[route] {
-			g.logged[route] = sum
-			g.Node.Log.Info("displacement", "route", route, "displaced", displaced, "resumed", counters.Resumed.Load(), "finished", counters.Finished.Load())
+		preempted := counters.Preempted.Load()
+		if sum := preempted + counters.Resumed.Load() + counters.Finished.Load(); sum != g.loggedCounts[route] {
+			g.loggedCounts[route] = sum
+			g.Node.Log.Info("preemption counts changed", "route", route, "displaced", preempted, "resumed", counters.Resumed.Load(), "finished", counters.Finished.Load())
 		}
 	}
 }
--- a/internal/traffic/proxy/begunresponse_test.go
+++ b/internal/traffic/proxy/begunresponse_test.go
@@ -12,9 +12,9 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// A response that has begun is not cut off since no other worker has room just then: the
-// stream's one worker breaks it off, may not be asked for this attempt, and no other is there.
-// It goes on there after a moment, within the same response.
+// Guards against truncating a response that has begun because no other worker has capacity at the
+// moment. The only worker breaks the stream off and is then excluded from the next attempt. The
+// stream must resume there after a short wait, within the same response.
 func TestBegunResponseWaitsForCapacity(t *testing.T) {
 	worker := newWorkerStub(t, "w1", func(count int, request *http.Request, connection net.Conn) {
 		from := 0
@@ -28,26 +28,27 @@
 		}
 		write(connection, "0\r\n\r\n")
 	})
-	server, proxy := edge(t, worker)
-	askWholeStream(t, server)
-	if cut := proxy.Counts.CutOff.Load(); cut != 0 || worker.seen() != 2 {
-		t.Error(cut, worker.seen())
+	server, proxy := newProxyServer(t, worker)
+	expectWholeStream(t, server)
+	if aborted := proxy.Counts.Aborted.Load(); aborted != 0 || worker.seen() != 2 {
+		t.Errorf("%d responses aborted and %d requests at the worker, want 0 and 2", aborted, worker.seen())
 	}
 }
 
-// A worker that turns a request away has not used up a try of a response that has begun: the stream
-// of a worker that broke off goes on once one of the others has room, within the same response.
+// Guards against counting rejections by workers as tries of a response that has begun. After a
+// worker broke the stream off, the workers reject several attempts without running them. The stream
+// must resume once one of them has capacity, within the same response.
 func TestBegunResponseOutlastsRefusals(t *testing.T) {
-	const refusals = 6
-	turnAway := func(request *http.Request, connection net.Conn) {
+	const rejectionCount = 6
+	reject := func(request *http.Request, connection net.Conn) {
 		write(connection, "HTTP/1.1 503 Service Unavailable\r\nLemonarch-Attempt-Id: "+request.Header.Get(headerAttempt)+"\r\n"+headerNotRun+": 1\r\nContent-Length: 0\r\n\r\n")
 	}
-	var turnedAway atomic.Int64
+	var rejected atomic.Int64
 	script := func(_ int, request *http.Request, connection net.Conn) {
 		from, resumed := 0, request.Header.Get(headerLastEvent) != ""
 		_, _ = fmt.Sscan(request.Header.Get(headerLastEvent), &from)
-		if resumed && turnedAway.Add(1) <= refusals {
-			turnAway(request, connection)
+		if resumed && rejected.Add(1) <= rejectionCount {
+			reject(request, connection)
 			return
 		}
 		write(connection, streamHead(request))
@@ -60,26 +61,26 @@
 		}
 		write(connection, "0\r\n\r\n")
 	}
-	server, proxy := edge(t, newWorkerStub(t, "w1", script), newWorkerStub(t, "w2", script))
+	server, proxy := newProxyServer(t, newWorkerStub(t, "w1", script), newWorkerStub(t, "w2", script))
 	stop := make(chan struct{})
 	defer close(stop)
-	go clock.Every(constants.PumpPeriod, stop, proxy.Sweep)
-	askWholeStream(t, server)
-	if cut := proxy.Counts.CutOff.Load(); cut != 0 || turnedAway.Load() != refusals+1 {
-		t.Error(cut, turnedAway.Load())
+	go clock.Every(constants.PollPeriod, stop, proxy.PumpQueue)
+	expectWholeStream(t, server)
+	if aborted := proxy.Counts.Aborted.Load(); aborted != 0 || rejected.Load() != rejectionCount+1 {
+		t.Errorf("%d responses aborted and %d resumptions requested, want 0 and %d", aborted, rejected.Load(), rejectionCount+1)
 	}
 }
 
-// askWholeStream asks for a stream of five events, which must come whole within one response.
-func askWholeStream(t *testing.T, server *httptest.Server) {
+// expectWholeStream requests a stream of five events and expects all of them within one response.
+func expectWholeStream(t *testing.T, server *httptest.Server) {
 	t.Helper()
 
-	resp, body, err := ask(t, server, "/stream/x", nil)
+	resp, body, err := sendRequest(t, server, "/stream/x", nil)
 	want := ""
 	for id := 1; id <= 5; id++ {
 		want += event(id)
 	}
 	if err != nil || resp.StatusCode != http.StatusOK || body != want {
-		t.Fatal("cut off behind a part: ", resp, body, err)
+		t.Fatal("stream is not complete: ", resp, body, err)
 	}
 }
--- a/internal/traffic/proxy/everybyte_test.go
+++ b/internal/traffic/proxy/everybyte_test.go
@@ -13,27 +13,28 @@
 	"lemonarch/internal/tooling/faultrelay"
 )
 
-// everyByte is set for runs that leave no byte out.
+// everyByte is the environment variable that selects faults at every byte instead of a sample.
 const everyByte = "LEMONARCH_EVERY_BYTE"
 
-// call is one case: a kind of request on a fresh or a rested connection, and a strike.
-type call struct {
-	path   string
-	rested bool
-	strike faultrelay.Strike
+// faultCase is one case: a request by its path, on a new or a reused connection, and a fault.
+type faultCase struct {
+	path      string
+	reused    bool
+	injection faultrelay.Injection
 }
 
-func (c *call) String() string {
-	return fmt.Sprintf("%s rested=%v %s answer=%v at=%d", c.path, c.rested, c.strike.Fault, c.strike.Response, c.strike.At)
+func (c *faultCase) String() string {
+	return fmt.Sprintf("%s reused=%v %s response=%v at=%d", c.path, c.reused, c.injection.Fault, c.injection.Response, c.injection.At)
 }
 
-// serveComplete answers every request completely, by the kind of its path.
+// serveComplete sends a complete response to a request: an event stream if its path is that of a
+// streaming route, otherwise a plain one.
 func serveComplete(_ int, request *http.Request, connection net.Conn) {
 	if strings.HasPrefix(request.RequestURI, "/rigid/") || strings.HasPrefix(request.RequestURI, "/stream/") {
 		write(connection, streamHead(request)+chunk(event(1))+chunk(event(2))+"0\r\n\r\n")
 		return
 	}
-	write(connection, wellDone(request, "for "+request.Header.Get(headerAttempt)))
+	write(connection, success(request, "for "+request.Header.Get(headerAttempt)))
 }
 
 func completeResponse(path, attempt string) string {
@@ -43,17 +44,17 @@
 	return "for " + attempt
 }
 
-// stage is two workers behind relays, and the node in front of them.
-type stage struct {
+// testbed is two workers behind fault-injecting relays, and a proxy in front of them.
+type testbed struct {
 	workers [2]*workerStub
 	relays  [2]*faultrelay.Relay
 	node    *httptest.Server
 }
 
-func newStage(t *testing.T) *stage {
+func newTestbed(t *testing.T) *testbed {
 	t.Helper()
 
-	s := &stage{}
+	s := &testbed{}
 	for i := range s.workers {
 		s.workers[i] = newWorkerStub(t, fmt.Sprint("w", i+1), serveComplete)
 		relay, err := faultrelay.New(s.workers[i].listener.Addr().String())
@@ -66,19 +67,19 @@
 	return s
 }
 
-// start starts a node that knows nothing of an earlier one.
-func (s *stage) start(t *testing.T) {
+// start starts a proxy without any state of an earlier one.
+func (s *testbed) start(t *testing.T) {
 	t.Helper()
 
 	var list []messages.Worker
 	for i, worker := range s.workers {
 		list = append(list, messages.Worker{ID: worker.id, Address: s.relays[i].Address()})
 	}
-	s.node, _ = edgeFor(t, list)
+	s.node, _ = newProxyServerFor(t, list)
 }
 
-// settle ends the relays and waits until the workers have read all that will ever come.
-func (s *stage) settle(t *testing.T) {
+// settle stops the relays and waits until the workers have read everything that was sent to them.
+func (s *testbed) settle(t *testing.T) {
 	t.Helper()
 
 	for i := range s.workers {
@@ -87,131 +88,135 @@
 	}
 }
 
-func (s *stage) ran(attempt string) int {
+// ran returns how often the workers have read a request completely.
+func (s *testbed) ran(attempt string) int {
 	return s.workers[0].ran(attempt) + s.workers[1].ran(attempt)
 }
 
-// promised tells whether a status says that the request has not run and never will.
-func promised(status int) bool {
+// promisesNotRun reports whether a status promises that the request has not run and will not run.
+func promisesNotRun(status int) bool {
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable ||
 		status == http.StatusRequestTimeout || status == http.StatusMisdirectedRequest
 }
 
-// play runs one case and gives what it broke.
-func (c *call) play(t *testing.T) string {
+// run runs one case and returns a description of the violation, or an empty string.
+func (c *faultCase) run(t *testing.T) string {
 	t.Helper()
 
-	stage := newStage(t)
-	if c.rested {
+	bed := newTestbed(t)
+	if c.reused {
 		for i := 0; i < 2; i++ {
-			if resp, _, err := ask(t, stage.node, "/safe/x", map[string]string{headerAttempt: fmt.Sprint("first-", i)}); err != nil || resp.StatusCode != 200 {
-				return fmt.Sprint("no calm start: ", resp, err)
+			if resp, _, err := sendRequest(t, bed.node, "/safe/x", map[string]string{headerAttempt: fmt.Sprint("first-", i)}); err != nil || resp.StatusCode != 200 {
+				return fmt.Sprint("request before the fault failed: ", resp, err)
 			}
 		}
 	}
-	struck := c.strike
-	stage.relays[0].Arm(&struck)
+	injection := c.injection
+	bed.relays[0].Arm(&injection)
 	headers := map[string]string{headerAttempt: "probe"}
-	if struck.Fault == faultrelay.Drop || struck.Fault == faultrelay.Freeze {
+	if injection.Fault == faultrelay.Drop || injection.Fault == faultrelay.Freeze {
 		headers[headerTimeLeft] = "120"
 	}
-	resp, body, err := ask(t, stage.node, c.path, headers)
-	if struck.Fault == faultrelay.Restart {
-		stage.node.Close()
-		stage.start(t)
+	resp, body, err := sendRequest(t, bed.node, c.path, headers)
+	if injection.Fault == faultrelay.Restart {
+		bed.node.Close()
+		bed.start(t)
 	}
-	stage.relays[0].Thaw()
-	next, nextBody, nextErr := ask(t, stage.node, "/safe/x", map[string]string{headerAttempt: "next"})
-	stage.settle(t)
-	return c.judge(stage.ran("probe"), resp, body, err) + c.judgeNext(next, nextBody, nextErr)
+	bed.relays[0].Thaw()
+	next, nextBody, nextErr := sendRequest(t, bed.node, "/safe/x", map[string]string{headerAttempt: "next"})
+	bed.settle(t)
+	return c.check(bed.ran("probe"), resp, body, err) + c.checkNext(next, nextBody, nextErr)
 }
 
-func (c *call) judge(ran int, resp *http.Response, body string, err error) string {
+// check returns how the response to the request with the fault violates the protocol, or an empty string.
+func (c *faultCase) check(ran int, resp *http.Response, body string, err error) string {
 	retryable := c.path == "/safe/x" || c.path == "/stream/x"
 	switch {
 	case !retryable && ran > 1:
-		return fmt.Sprintf("ran %d times", ran)
+		return fmt.Sprintf("request ran %d times", ran)
 	case err != nil:
 		return ""
-	case ran > 0 && promised(resp.StatusCode):
-		return fmt.Sprintf("ran, and answered %d", resp.StatusCode)
+	case ran > 0 && promisesNotRun(resp.StatusCode):
+		return fmt.Sprintf("request ran, but got status %d", resp.StatusCode)
 	case resp.StatusCode == 200 && (body != completeResponse(c.path, "probe") || resp.Header.Get(headerAttempt) != "probe"):
-		return fmt.Sprintf("answered %q for %q", body, resp.Header.Get(headerAttempt))
+		return fmt.Sprintf("got body %q with attempt id %q", body, resp.Header.Get(headerAttempt))
 	}
 	return ""
 }
 
-func (c *call) judgeNext(resp *http.Response, body string, err error) string {
+// checkNext checks the response to the request after the fault in the same way.
+func (c *faultCase) checkNext(resp *http.Response, body string, err error) string {
 	if err == nil && resp.StatusCode == 200 && (body != "for next" || resp.Header.Get(headerAttempt) != "next") {
-		return fmt.Sprintf("the next one got %q", body)
+		return fmt.Sprintf("the next request got body %q", body)
 	}
 	return ""
 }
 
-// lengths measures a request and its response on the wire.
-func lengths(t *testing.T, path string) (request, resp int) {
+// measureLengths returns the lengths of a request and its response on the wire, in bytes.
+func measureLengths(t *testing.T, path string) (request, resp int) {
 	t.Helper()
 
-	stage := newStage(t)
-	stage.relays[0].Arm(nil)
-	if _, _, err := ask(t, stage.node, path, map[string]string{headerAttempt: "probe"}); err != nil {
+	bed := newTestbed(t)
+	bed.relays[0].Arm(nil)
+	if _, _, err := sendRequest(t, bed.node, path, map[string]string{headerAttempt: "probe"}); err != nil {
 		t.Fatal(err)
 	}
-	stage.settle(t)
-	return stage.relays[0].Counts()
+	bed.settle(t)
+	return bed.relays[0].Counts()
 }
 
-// stepOf says which bytes are struck: every one by a cut or a reset of what may not be
-// repeated, and otherwise some.
-func stepOf(path string, fault faultrelay.Fault) int {
-	broken := fault == faultrelay.Close || fault == faultrelay.Reset
+// byteStep returns the distance between the bytes at which a fault is injected: 1 if every byte is
+// tested and for a close or a reset of an effectful request, and otherwise more, to save time.
+func byteStep(path string, fault faultrelay.Fault) int {
+	closesConnection := fault == faultrelay.Close || fault == faultrelay.Reset
 	switch {
-	case os.Getenv(everyByte) != "", broken && path == "/once/x":
+	case os.Getenv(everyByte) != "", closesConnection && path == "/once/x":
 		return 1
-	case broken && path == "/rigid/x":
+	case closesConnection && path == "/rigid/x":
 		return 5
 	}
 	return 23
 }
 
-// restedAt says on which connections a byte is struck: both on demand, else by turns.
-func restedAt(i int, fault faultrelay.Fault) []bool {
+// connectionCases returns whether to use a new (false) or a reused (true) connection: both if every byte
+// is tested, otherwise alternating.
+func connectionCases(i int, fault faultrelay.Fault) []bool {
 	if os.Getenv(everyByte) != "" {
 		return []bool{false, true}
 	}
 	return []bool{(i+int(fault))%2 == 0}
 }
 
-// Whatever befalls the connection to the worker, at whichever byte of the request or of
-// the response, on a fresh or on a rested one: what may not be repeated runs once at most,
-// what ran is never rejected as if it had not, a success is complete and the caller's own,
-// and so is the next caller's.
+// Injects each fault into the connection to the worker, at bytes of the request and of the response,
+// on a new and on a reused connection. A request that must not be repeated must run once at most, one
+// that ran must not be rejected as if it had not run, and a success must be complete and belong to its
+// request. The same holds for the response to the next request.
 func TestFaultAtEveryByte(t *testing.T) {
-	var calls []call
+	var cases []faultCase
 	for _, path := range []string{"/once/x", "/rigid/x", "/safe/x", "/stream/x"} {
-		requestLength, answerLength := lengths(t, path)
+		requestLength, responseLength := measureLengths(t, path)
 		for _, fault := range faultrelay.Faults() {
-			for i := 0; i < requestLength+answerLength; i += stepOf(path, fault) {
-				struck := faultrelay.Strike{Fault: fault, At: i}
+			for i := 0; i < requestLength+responseLength; i += byteStep(path, fault) {
+				injection := faultrelay.Injection{Fault: fault, At: i}
 				if i >= requestLength {
-					struck.Response, struck.At = true, i-requestLength
-				} else if fault == faultrelay.Double {
-					// A network does not send the bytes of a connection twice to a worker.
+					injection.Response, injection.At = true, i-requestLength
+				} else if fault == faultrelay.Duplicate {
+					// A network does not deliver the bytes of a connection twice.
 					continue
 				}
-				for _, rested := range restedAt(i, fault) {
-					calls = append(calls, call{path, rested, struck})
+				for _, reused := range connectionCases(i, fault) {
+					cases = append(cases, faultCase{path, reused, injection})
 				}
 			}
 		}
 	}
-	t.Logf("%d cases", len(calls))
+	t.Logf("%d cases", len(cases))
 	t.Run("cases", func(t *testing.T) {
-		for _, entry := range calls {
-			t.Run(entry.String(), func(t *testing.T) {
+		for _, testCase := range cases {
+			t.Run(testCase.String(), func(t *testing.T) {
 				t.Parallel()
-				if broken := entry.play(t); broken != "" {
-					t.Error(broken)
+				if violation := testCase.run(t); violation != "" {
+					t.Error(violation)
 				}
 			})
 		}
