--- a/internal/batch/replication/replication_test.go
+++ b/internal/batch/replication/replication_test.go
@@ -45,7 +45,7 @@
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(3))
 	properties.Property("common", prop.ForAll(func(shared, left, right []bool) bool {
 		epoch := uint64(1)
-		// grow adds a record for each element of newEpochs, which tells whether the epoch rises by step.
+		// grow adds a record for each element of newEpochs, which reports whether the epoch rises by step.
 		grow := func(newEpochs []bool, from []uint64, step uint64) []uint64 {
 			epochs, current := append([]uint64(nil), from...), epoch
 			for _, rises := range newEpochs {
