--- a/internal/platform/process/signals_test.go
+++ b/internal/platform/process/signals_test.go
@@ -26,6 +26,14 @@
 grace-s = 8
 `
 
+// TestMain catches the handled signals until the test process ends. signal.Stop does not wait for a
+// signal that was sent and whose handler has not started yet: without another receiver, such a SIGHUP
+// would end the test process after its tests have passed.
+func TestMain(m *testing.M) {
+	catchSignals()
+	os.Exit(m.Run())
+}
+
 // TestReloadChecksTheFileOnly checks that each reload logs exactly one line, whatever the content of the
 // file, and has no other effect. The file is read at the signal, not before.
 func TestReloadChecksTheFileOnly(t *testing.T) {
