--- a/internal/traffic/admission/admission.go
+++ b/internal/traffic/admission/admission.go
@@ -45,8 +45,7 @@
 // Admission verdicts.
 const (
 	VerdictGranted Verdict = iota
-	// VerdictNoCapacity rejects the request; Decision.Retry is the time after which the client may
-	// retry.
+	// VerdictNoCapacity rejects the request for lack of capacity.
 	VerdictNoCapacity
 	// VerdictNoWorker means that the service has no eligible worker.
 	VerdictNoWorker
@@ -55,7 +54,8 @@
 )
 
 // Decision is the result of an admission, returned by Admit or passed to the continuation of a
-// queued request. Grant is set only if the verdict is VerdictGranted.
+// queued request. Grant is set only if the verdict is VerdictGranted, and Retry only if the request
+// is rejected (VerdictNoCapacity or VerdictNoWorker): the time after which the client may retry.
 type Decision struct {
 	Verdict Verdict
 	Grant   *Grant
--- a/internal/traffic/admission/flow.go
+++ b/internal/traffic/admission/flow.go
@@ -48,7 +48,7 @@
 		}
 		for _, worker := range s.Registry.ByService(service) {
 			health := s.Tracker.Of(worker.ID)
-			others := float64(health.Running(now) - health.Own())
+			others := float64(health.Running(now) - health.OwnRequests())
 			s.Index.AddOthersTurnover(worker.ID, others*elapsed*sums.tokens/sums.durationMs)
 		}
 	}
--- a/internal/traffic/admission/gossip.go
+++ b/internal/traffic/admission/gossip.go
@@ -40,8 +40,9 @@
 }
 
 // MakeGossip builds this node's gossip packet. Its size is bounded regardless of the size of the
-// fleet: workers of the node's own zone go first, among these the workers that are ejected here,
-// then those whose last sample was sent longest ago.
+// fleet: workers of the node's own zone go first. Within this zone, and among the workers of all other
+// zones, those that are ejected here or were never sent go first, then those whose last sample was
+// sent longest ago.
 func (s *Scheduler) MakeGossip(now clock.Instant) *messages.Gossip {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -155,7 +156,7 @@
 func (s *Scheduler) HandlePrefill(notice *messages.PrefillNotice, now clock.Instant) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	// A prefill time longer than a gossip period cannot be genuine and is ignored.
+	// A prefill time of a gossip period or more cannot be genuine and is ignored.
 	if _, known := s.Registry.Get(notice.Worker); known && notice.Prefill > 0 && notice.Prefill < clock.ToMilliseconds(constants.GossipPeriod) {
 		s.Tracker.Of(notice.Worker).AddPeerPrefill(clock.Milliseconds(notice.Prefill), now)
 	}
--- a/internal/traffic/admission/grant.go
+++ b/internal/traffic/admission/grant.go
@@ -23,8 +23,8 @@
 	// prefillTime is the estimated time that the worker needs to prefill the prompts ahead of this
 	// request and its own prompt.
 	prefillTime clock.Duration
-	// silenceLevel is the level of silence that was recorded while the request was pending. silence
-	// is the duration of silence after which the request was retried on another worker.
+	// silenceLevel is the level of silence that NoteSilence recorded while the request was pending.
+	// silence is the last duration of silence that was passed to TryRetryElsewhere.
 	silenceLevel int
 	silence      clock.Duration
 }
--- a/internal/traffic/admission/health.go
+++ b/internal/traffic/admission/health.go
@@ -81,8 +81,9 @@
 	}
 }
 
-// ejectedWorkers returns the workers of a service that receive no ordinary requests. Outcomes
-// observed by this process take precedence over peers' reports and missing heartbeats.
+// ejectedWorkers returns the workers of a service that receive no ordinary requests, according to the
+// outcomes observed by this process. These take precedence over suspicions by peers or because of
+// missing heartbeats, which are considered in isSuspect.
 func (s *Scheduler) ejectedWorkers(req *Request, workerList []messages.Worker, now clock.Instant) map[string]bool {
 	if !s.Tracker.AnyEjected() {
 		return nil
@@ -91,13 +92,14 @@
 	for i := range workerList {
 		names[i] = workerList[i].ID
 	}
-	idle := func(worker string) bool { return s.Tracker.Of(worker).Own() == 0 }
+	idle := func(worker string) bool { return s.Tracker.Of(worker).OwnRequests() == 0 }
 	return s.Tracker.Ejected(names, req.Retryable || req.Bulk, idle, now)
 }
 
-// isSuspect reports whether a worker is used only if no other worker is available: it is ejected
-// here, or it is suspected by peers or because of missing heartbeats while this process's own
-// outcomes do not prove it healthy.
+// isSuspect reports whether a worker is skipped in the first pass of selectAmong and penalized in the
+// second: it is ejected here, or it is suspected by peers or because of missing heartbeats while this
+// process's own outcomes do not prove it healthy. A worker that is suspected because of missing
+// heartbeats is skipped in the first pass whatever its outcomes.
 func (s *Scheduler) isSuspect(worker messages.Worker, status workers.Status, ejected map[string]bool, now clock.Instant) bool {
 	if ejected[worker.ID] {
 		return true
--- a/internal/traffic/admission/preemption.go
+++ b/internal/traffic/admission/preemption.go
@@ -19,8 +19,8 @@
 	requested bool
 }
 
-// AllowPreemption marks the grant's work as preemptible. The function yield stops the work, and its
-// owner requeues it with the progress it has made.
+// AllowPreemption marks the grant's work as preemptible. The function yield stops the work; the owner
+// of the work then requeues it with the progress made so far.
 func (g *Grant) AllowPreemption(yield func()) {
 	scheduler := g.scheduler
 	scheduler.lock.Lock()
@@ -55,8 +55,8 @@
 	return entries
 }
 
-// applyPressure preempts work in favor of the requests queued here and notifies the peers, at most
-// once per constants.PressurePeriod.
+// applyPressure preempts work in favor of the requests queued here. It also notifies the peers, but at
+// most once per constants.PressurePeriod.
 func (s *Scheduler) applyPressure(now clock.Instant) {
 	s.lock.Lock()
 	entries := s.pressureEntries()
@@ -84,8 +84,8 @@
 // ownPressureKey is the key of this process's own report. No process has an empty name.
 const ownPressureKey = ""
 
-// ObservePressure stores a peer's report that other processes act on: while the report is valid, no
-// item starts above the floor (bulkFloor), but nothing yields.
+// ObservePressure stores a peer's report that other processes yield to: while the report is valid, no
+// item of this process starts above the floor (bulkFloor), but nothing here yields.
 func (s *Scheduler) ObservePressure(notice *messages.PressureNotice, now clock.Instant) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -167,7 +167,7 @@
 func (s *Scheduler) bulkRunning(service string) int {
 	count := 0
 	for _, worker := range s.Registry.ByService(service) {
-		count += s.Tracker.Of(worker.ID).OwnBulk()
+		count += s.Tracker.Of(worker.ID).OwnBulkRequests()
 	}
 	return count
 }
--- a/internal/traffic/admission/pump.go
+++ b/internal/traffic/admission/pump.go
@@ -13,8 +13,8 @@
 	}
 }
 
-// PumpWaiting pumps the queues if any request is queued, since its time in the queue may have
-// expired, and reports whether any request is still queued.
+// PumpWaiting pumps the queues if any request is queued, since the QueueUntil of a request may have
+// passed, and reports whether any request is still queued.
 func (s *Scheduler) PumpWaiting(now clock.Instant) bool {
 	if !s.hasWaiting() {
 		return false
--- a/internal/traffic/admission/selectworker.go
+++ b/internal/traffic/admission/selectworker.go
@@ -85,8 +85,8 @@
 	return sel
 }
 
-// consider adds a worker to the candidates unless its status is worse than worst or it has no slot
-// for the request.
+// consider adds a worker to the candidates unless its status is worse than worst, the request
+// excludes it, or it has no slot for the request.
 func (s *Scheduler) consider(sel *selection, worker *messages.Worker, worst workers.Status) {
 	status := s.Registry.Status(worker.ID, sel.now, sel.controllerInContact)
 	if status == workers.StatusUnavailable || status > worst || isExcluded(sel.request, worker.ID) {
@@ -159,8 +159,8 @@
 	return grant
 }
 
-// capacityFor returns the number of requests at a worker from which on this request is not placed
-// there.
+// capacityFor returns the number of requests at a worker at which the worker counts as full for this
+// request.
 func (s *Scheduler) capacityFor(req *Request, worker messages.Worker, now clock.Instant) int {
 	if !req.Bulk {
 		return worker.Capacity + constants.QueueAheadMax
--- a/internal/traffic/admission/silence.go
+++ b/internal/traffic/admission/silence.go
@@ -65,8 +65,8 @@
 	scheduler.latenciesOf(g.Worker.Backend).eventGap.Observe(clock.ToMilliseconds(longest))
 }
 
-// TryRetryElsewhere records a silence and reports whether the retry budget permits a retry on
-// another worker.
+// TryRetryElsewhere records a silence, and takes a retry on another worker from the service's retry
+// budget. It returns false if the budget is exhausted.
 func (g *Grant) TryRetryElsewhere(elapsed clock.Duration, now clock.Instant) bool {
 	scheduler := g.scheduler
 	scheduler.lock.Lock()
@@ -95,7 +95,7 @@
 	}
 }
 
-// Levels of a silence that was recorded while the request was pending.
+// Levels of silence, recorded in Grant.silenceLevel while the request is pending.
 const (
 	silenceNone = iota
 	silenceSlow
--- a/internal/traffic/admission/stale.go
+++ b/internal/traffic/admission/stale.go
@@ -25,7 +25,7 @@
 		return false
 	}
 	health := s.Tracker.Of(worker.ID)
-	if req.Bulk || engine || health.Own() >= capacity || !health.Known(now) {
+	if req.Bulk || engine || health.OwnRequests() >= capacity || !health.Known(now) {
 		return true
 	}
 	return health.PendingPrefills() > 0 || health.Age(now) <= max(constants.FullDurationMin, s.meanDuration(req.Service))
@@ -50,7 +50,7 @@
 		return float64(running)
 	}
 	weight := math.Exp(-float64(health.Age(now)) / float64(duration))
-	return max(float64(health.Own()), float64(mean)+weight*float64(running-mean))
+	return max(float64(health.OwnRequests()), float64(mean)+weight*float64(running-mean))
 }
 
 // jitter returns a small random part of the score, in ms, less than the cost of another zone: among
--- a/internal/traffic/admission/subset.go
+++ b/internal/traffic/admission/subset.go
@@ -46,7 +46,7 @@
 			considered = append(considered, worker)
 		}
 	}
-	if req.Affine && req.Prompt.Shared() >= constants.GossipPrefixLeast {
+	if req.Affine && req.Prompt.SharedTokens() >= constants.GossipPrefixLeast {
 		considered = s.addPrefixHolders(req, all, considered)
 	}
 	s.scratch.toConsider = considered
--- a/internal/traffic/health/ejection.go
+++ b/internal/traffic/health/ejection.go
@@ -19,8 +19,8 @@
 // ObserveIncarnation records a new incarnation at an address. If at least two previous incarnations
 // in a row ended without draining, each within constants.FlapWindow of its start, the new one is
 // ejected for a growing time and then on trial, because the worker may be flapping (crashing and
-// restarting in turn). orderly reports whether the previous incarnation ended by draining, or how it
-// ended is not known. It returns the duration of the ejection, or 0 if there is none.
+// restarting in turn). orderly is true if the previous incarnation ended by draining, or if it is not
+// known how it ended. It returns the duration of the ejection, or 0 if there is none.
 func (t *Tracker) ObserveIncarnation(worker, service, address string, orderly bool, now clock.Instant) (duration clock.Duration) {
 	outcomes := t.OutcomesOf(worker, service)
 	previous, found := t.outcomes.incarnations[address]
@@ -75,9 +75,9 @@
 // Ejected returns those of the given workers that receive no ordinary request now, but never more
 // than constants.EjectShare of them (or one, if the share rounds down to none of several): if more
 // qualify, those with the highest failure rates. idle reports whether this process has no request
-// running at a worker. repeatable reports whether the request may be sent again elsewhere, and so may
-// be used as a trial.
-func (t *Tracker) Ejected(workerList []string, repeatable bool, idle func(worker string) bool, now clock.Instant) map[string]bool {
+// running at a worker. retryable is true if the request may be sent to another worker after a failure,
+// and so may be used as a trial.
+func (t *Tracker) Ejected(workerList []string, retryable bool, idle func(worker string) bool, now clock.Instant) map[string]bool {
 	type ejectionCandidate struct {
 		worker string
 		rate   float64
@@ -88,7 +88,7 @@
 		if outcomes == nil {
 			continue
 		}
-		if outcomes.IsEjected(now) || (outcomes.OnTrial(now) && (!repeatable || !idle(worker))) {
+		if outcomes.IsEjected(now) || (outcomes.OnTrial(now) && (!retryable || !idle(worker))) {
 			candidates = append(candidates, ejectionCandidate{worker, outcomes.FailureRate(0, now)})
 		}
 	}
--- a/internal/traffic/health/health.go
+++ b/internal/traffic/health/health.go
@@ -1,6 +1,6 @@
 // Package health tracks the health of workers from their responses and from peers' reports. Passive
-// observation comes first, since probes have a cost. The package performs no I/O; callers pass the
-// current time.
+// observation is preferred to probes, since probes have a cost. The package performs no I/O; callers
+// pass the current time.
 package health
 
 import (
@@ -13,8 +13,8 @@
 
 // Health is the state known of one worker.
 type Health struct {
-	// live and bulk count the requests of this process that are at the worker; bulk counts those
-	// that are items of batch jobs.
+	// live and bulk count the requests of this process that are at the worker: bulk those that are
+	// items of batch jobs, live all others.
 	live, bulk       int
 	pendingTokens    int64
 	pendingPrefills  int
@@ -104,11 +104,11 @@
 	h.recordOwnCount(now)
 }
 
-// Own returns the number of this process's requests at the worker.
-func (h *Health) Own() int { return h.live + h.bulk }
+// OwnRequests returns the number of this process's requests at the worker.
+func (h *Health) OwnRequests() int { return h.live + h.bulk }
 
-// OwnBulk returns how many of these are items of batch jobs.
-func (h *Health) OwnBulk() int { return h.bulk }
+// OwnBulkRequests returns how many of these are items of batch jobs.
+func (h *Health) OwnBulkRequests() int { return h.bulk }
 
 // ParseLoad parses a load header of the form "running,waiting,slots". busy is the sum of running
 // and waiting requests.
@@ -181,5 +181,5 @@
 func (h *Health) RecordFull(capacity int, now clock.Instant) {
 	// This is kept for a short time and not sent to peers: the limit may be that of this process's
 	// own connections.
-	h.full = observation{known: true, count: capacity + constants.QueueAheadMax, at: now, own: h.Own()}
+	h.full = observation{known: true, count: capacity + constants.QueueAheadMax, at: now, own: h.OwnRequests()}
 }
--- a/internal/traffic/health/latency.go
+++ b/internal/traffic/health/latency.go
@@ -6,8 +6,9 @@
 )
 
 // Latency estimates the usual value of a time from its mean and mean deviation, as RFC 6298 does
-// for round trips, and from it the silence that is unusual.
+// for round trips, and derives from it the timeout after which a silence is unusually long.
 type Latency struct {
+	// mean and deviation are in ms.
 	mean, deviation float64
 	count           int
 	retryBudget     float64
--- a/internal/traffic/health/outcomes.go
+++ b/internal/traffic/health/outcomes.go
@@ -25,7 +25,7 @@
 	// FaultShed means that the worker rejected the request although its reported load leaves
 	// capacity.
 	FaultShed
-	// FaultSlow means silence for unusually long, but for less than constants.SilenceFaultTimeout.
+	// FaultSlow means an unusually long silence, but one shorter than constants.SilenceFaultTimeout.
 	FaultSlow
 	faultKinds
 )
@@ -117,7 +117,8 @@
 }
 
 // ProvenHealthy reports whether recent outcomes in this process show that the worker is healthy.
-// Reports of peers are then ignored, since a fault may affect only some callers.
+// Suspicions by peers or because of missing heartbeats are then ignored, since a fault may affect only
+// some callers.
 func (t *Outcomes) ProvenHealthy(now clock.Instant) bool {
 	t.decay(now)
 	return t.successes >= constants.HealthProven && t.failures < t.successes*constants.EjectRate
@@ -132,7 +133,7 @@
 // IsEjected reports whether the worker is ejected here.
 func (t *Outcomes) IsEjected(now clock.Instant) bool { return now < t.ejectedUntil }
 
-// OnTrial reports whether the worker may receive only one repeatable request at a time.
+// OnTrial reports whether the worker may receive only one retryable request at a time.
 func (t *Outcomes) OnTrial(now clock.Instant) bool {
 	return t.trial && now >= t.ejectedUntil && now < t.trialEnd
 }
@@ -200,7 +201,7 @@
 	duration := constants.EjectFor << outcomes.level
 	outcomes.level = min(outcomes.level+1, constants.EjectLevels)
 	outcomes.ejectedUntil, outcomes.trial, outcomes.trialsLeft = now.Add(duration), true, outcomes.level
-	// A service that receives no repeatable requests has no trials, so a trial also ends by time.
+	// A service that receives no retryable requests has no trials, so a trial also ends by time.
 	outcomes.trialEnd = outcomes.ejectedUntil.Add(2 * duration)
 	t.outcomes.ejected[worker] = outcomes
 	return duration
--- a/internal/traffic/health/peers.go
+++ b/internal/traffic/health/peers.go
@@ -7,8 +7,8 @@
 )
 
 // The freshest observation wins. A worker reports in each response how many requests of all callers
-// it has, so the count needs neither addition over nodes nor an origin: of two counts the later one
-// is better, whichever node observed it. It is passed on with its age.
+// it has, so counts need not be summed over nodes, and it does not matter which node observed one: of
+// two counts the later one is better. A count is sent to peers with its age.
 
 // ownHistorySize is the number of changes of this process's own request count that are kept. They
 // are used to correct an observation by the requests that this process has started and ended since.
@@ -41,7 +41,7 @@
 
 // recordOwnCount stores a change of this process's own request count.
 func (h *Health) recordOwnCount(now clock.Instant) {
-	h.ownHistory[h.ownChanges%ownHistorySize] = ownCountChange{at: now, own: h.Own()}
+	h.ownHistory[h.ownChanges%ownHistorySize] = ownCountChange{at: now, own: h.OwnRequests()}
 	h.ownChanges++
 }
 
@@ -69,7 +69,7 @@
 // Running estimates how many requests of all nodes are at the worker: the freshest observation,
 // corrected by the requests that this process has started and ended since.
 func (h *Health) Running(now clock.Instant) int {
-	own := h.Own()
+	own := h.OwnRequests()
 	count := own
 	if h.fresh(now) {
 		count = max(count, h.observed.count+own-h.observed.own)
--- a/internal/traffic/loadgossip/budget.go
+++ b/internal/traffic/loadgossip/budget.go
@@ -6,12 +6,12 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// budget returns the maximum number of connections that this node may have to a worker; 0, if the
-// service is unknown or states no connection limit, means no limit. It does not depend on the number
-// of nodes: requests are placed by the load that all nodes observe, so the
-// connections in use at a worker follow its capacity, and a node never needs more than that. The
-// limit of one eighth of the worker's connections (constants.ConnectionPart) keeps a burst at one
-// node from taking connections that other nodes need.
+// budget returns the maximum number of connections that this node may have to a worker, or 0 (no
+// limit) if the service is unknown or states no connection limit. The budget does not depend on the
+// number of nodes: requests are placed by the load that all nodes observe, so the connections in use
+// at a worker follow its capacity, and a node never needs more than that. The limit of one eighth of
+// the worker's connections (constants.ConnectionPart) keeps a burst at one node from taking
+// connections that other nodes need.
 func (g *Gossip) budget(worker messages.Worker) int {
 	config := g.Node.Config()
 	if config == nil {
--- a/internal/traffic/loadgossip/gossip.go
+++ b/internal/traffic/loadgossip/gossip.go
@@ -99,9 +99,9 @@
 	return true
 }
 
-// pickStores picks constants.PressureFanout stores at random: from the own zone, since those run
-// items on the workers there, and one from another zone, so that over time each store is reached. If
-// one group has too few stores, the others are taken from the other group.
+// pickStores picks constants.PressureFanout stores at random: from this process's zone, since those
+// run items on the workers there, and one from another zone, so that over time each store is reached.
+// If one group has too few stores, the rest is taken from the other group.
 func pickStores(sameZone, otherZones []messages.NodeInfo, random func() float64) []messages.NodeInfo {
 	local, remote := withRole(sameZone, membership.RoleStore), withRole(otherZones, membership.RoleStore)
 	var chosen []messages.NodeInfo
--- a/internal/traffic/loadgossip/peers.go
+++ b/internal/traffic/loadgossip/peers.go
@@ -27,10 +27,10 @@
 }
 
 // Neighbours returns the nodes that a process notifies: its successors in fanout hash rings, where
-// each process has a position by a hash of its name. Further rings, up to 4*fanout in all, are used
-// if some successors are the same node. Each process is thus notified by as many as it
-// notifies, no process needs a complete list, and a process that joins or leaves changes only the
-// neighbours next to it.
+// the position of a process is a hash of its name. Further rings, up to 4*fanout in all, are used if
+// some successors are the same node. Each process is thus notified by about as many processes as it
+// notifies, no process needs a complete list, and a process that joins or leaves changes the
+// neighbours only of the processes before it in the rings.
 func Neighbours(own messages.NodeInfo, nodes []messages.NodeInfo, fanout int) []messages.NodeInfo {
 	hashes := make([]uint64, len(nodes))
 	for position := range nodes {
@@ -72,8 +72,8 @@
 	gossipPeers, gatewayPeers, prefillPeers []messages.NodeInfo
 }
 
-// selectPeers selects the set from the known nodes. No other function depends on how neighbours are
-// selected.
+// selectPeers selects the peers to notify from the known nodes. No other function depends on how they
+// are selected.
 func selectPeers(own messages.NodeInfo, known []messages.NodeInfo) peerSet {
 	selected := peerSet{}
 	for _, node := range known {
--- a/internal/traffic/loadgossip/prefill.go
+++ b/internal/traffic/loadgossip/prefill.go
@@ -10,8 +10,8 @@
 // The prefill of a long prompt delays all requests that are placed on the worker behind it. So the
 // nodes that may place requests there are notified immediately: all nodes in a small fleet, and in a
 // large one those nodes of the worker's zone that consider this worker, in both cases at most
-// constants.PrefillFanout of them. A process of another zone
-// sends the notice to one node of the worker's zone, which forwards it.
+// constants.PrefillFanout of them. In a large fleet, a process of another zone sends the notice to one
+// node of the worker's zone, which forwards it.
 
 // notifyPrefill reports that a worker has to prefill a long prompt. It is called with the
 // scheduler's lock held, so it sends in the background.
--- a/internal/traffic/loadgossip/report.go
+++ b/internal/traffic/loadgossip/report.go
@@ -29,8 +29,8 @@
 			health := scheduler.Tracker.Of(worker.ID)
 			responses, failures := health.Counts()
 			status.Rows = append(status.Rows, []string{worker.ID, worker.Backend, worker.Zone, worker.Phase.String(),
-				statusNames[scheduler.Registry.Status(worker.ID, now, true)], formatInt(worker.AgeMs), formatInt(health.Own() - health.OwnBulk()),
-				formatInt(health.OwnBulk()), formatInt(health.Running(now)), formatInt(worker.Capacity), strconv.FormatBool(health.Suspect(now)),
+				statusNames[scheduler.Registry.Status(worker.ID, now, true)], formatInt(worker.AgeMs), formatInt(health.OwnRequests() - health.OwnBulkRequests()),
+				formatInt(health.OwnBulkRequests()), formatInt(health.Running(now)), formatInt(worker.Capacity), strconv.FormatBool(health.Suspect(now)),
 				formatInt(responses), formatInt(failures), scheduler.OutcomeSummary(worker, now)})
 		}
 	})
--- a/internal/traffic/prefixindex/homes.go
+++ b/internal/traffic/prefixindex/homes.go
@@ -5,9 +5,9 @@
 	"sort"
 )
 
-// Shared returns the number of tokens of the prompt that other prompts may share: all parts
+// SharedTokens returns the number of tokens of the prompt that other prompts may share: all parts
 // except the last one, which belongs to the request alone.
-func (p *Prompt) Shared() int {
+func (p *Prompt) SharedTokens() int {
 	shared := 0
 	for i := 0; i < len(p.Parts)-1; i++ {
 		shared += p.Parts[i].Tokens
--- a/internal/traffic/prefixindex/score.go
+++ b/internal/traffic/prefixindex/score.go
@@ -75,9 +75,9 @@
 }
 
 // homes returns the positions of the candidates that are the first and second home of the
-// prompt's shared prefix (-1 if there is none), and the prefill time in ms that a cached prefix
-// saves. Nodes without any evidence about a prefix should select the same workers, so each prefix
-// has two homes, selected by a hash. The bonus of a home is smaller than that of a cached prefix,
+// prompt's shared prefix (-1 if there is none), and the prefill time in ms that the prefix saves if
+// it is cached. Nodes without any evidence about a prefix should select the same workers, so each
+// prefix has two homes, selected by a hash. The bonus of a home is smaller than that of a cached prefix,
 // and larger than small differences in load.
 func (i *Index) homes(prompt *Prompt, candidates []Candidate) (first, second int, savedMs float64) {
 	first, second = -1, -1
@@ -96,7 +96,7 @@
 			second, next = position, weight
 		}
 	}
-	return first, second, float64(prompt.Shared()) / i.prefillRate
+	return first, second, float64(prompt.SharedTokens()) / i.prefillRate
 }
 
 // The shares of a prefix's saved prefill time that are added to the scores of its first and
