--- a/internal/traffic/admission/admission_test.go
+++ b/internal/traffic/admission/admission_test.go
@@ -35,14 +35,14 @@
 	slab := Slab[string]{}
 	first := slab.Put("one")
 	if value, found := slab.Take(first); !found || value != "one" {
-		t.Fatalf("taken: %q, %v, want the stored value", value, found)
+		t.Fatalf("Take returned %q and %v, want the stored value", value, found)
 	}
 	second := slab.Put("two")
 	if _, found := slab.Take(first); found {
 		t.Fatal("a stale handle returned the value of a reused cell")
 	}
 	if value, _ := slab.Get(second); value != "two" || slab.Len() != 1 {
-		t.Fatalf("got %q and %d stored values, want the second value alone", value, slab.Len())
+		t.Fatalf("got value %q and %d stored values, want the second value alone", value, slab.Len())
 	}
 }
 
@@ -54,7 +54,7 @@
 	for count := 0; count < 1+constants.QueueAheadMax; count++ {
 		decision, _ := scheduler.Admit(newRequest(0), nil, 2)
 		if decision.Verdict != VerdictGranted {
-			t.Fatal("request not granted while there is capacity, verdict: ", decision.Verdict)
+			t.Fatalf("verdict %d, want the request granted while there is capacity", decision.Verdict)
 		}
 		grants = append(grants, decision.Grant)
 	}
@@ -69,7 +69,7 @@
 			}
 		}, 3)
 		if decision.Verdict != VerdictQueued {
-			t.Fatal("request not queued, verdict: ", decision.Verdict)
+			t.Fatalf("verdict %d, want the request queued", decision.Verdict)
 		}
 	}
 	enqueue(2)
@@ -78,15 +78,15 @@
 	grants[0].End(ResultServed, 4)
 	grants[1].End(ResultServed, 5)
 	if len(order) != 2 || order[0] != 0 || order[1] != 1 {
-		t.Fatal("want the priorities 0 and 1 resumed in this order, got ", order)
+		t.Fatalf("resumed priorities %v, want 0 and 1 in this order", order)
 	}
 	scheduler.Pump(1_000_000_001)
 	if len(order) != 3 || order[2] != -2 {
-		t.Fatal("an expired request was not rejected, got resumptions: ", order)
+		t.Fatalf("resumed priorities %v (negative if rejected), want the expired request of priority 2 rejected last", order)
 	}
 	scheduler.Pump(1_000_000_002)
 	if len(order) != 3 {
-		t.Fatal("the expired request was resumed twice")
+		t.Fatalf("resumed priorities %v (negative if rejected), want the expired request resumed only once", order)
 	}
 }
 
@@ -140,7 +140,7 @@
 		decision, _ = other.Admit(&Request{Service: "s", Bulk: true, Priority: 2}, nil, 3)
 	}
 	if count > 1 {
-		t.Fatal("items beyond the floor took slots that live requests wait for, items placed: ", count)
+		t.Fatalf("%d items took slots that live requests wait for, want at most 1 (the floor)", count)
 	}
 }
 
--- a/internal/traffic/admission/capacity_test.go
+++ b/internal/traffic/admission/capacity_test.go
@@ -21,12 +21,13 @@
 	for i := 0; i < 40; i++ {
 		decision, _ := scheduler.Admit(req, nil, 10)
 		if decision.Verdict != VerdictGranted || decision.Grant.Worker.ID != "w" {
-			t.Fatal("item not placed on the allowed worker, verdict: ", decision.Verdict)
+			t.Fatalf("got %+v, want the item placed on the allowed worker w", decision)
 		}
 		decision.Grant.AllowPreemption(func() { yielded++ })
 	}
 	scheduler.YieldToPressure(&messages.PressureNotice{From: "forge/x", Entries: []messages.Pressure{{Service: "s", Priority: 0, Waiting: 90}}}, 1, 20)
 	if share := constants.PreemptionFloor; yielded != 40-int(share*capacity)-1 {
-		t.Fatal("unexpected number of items yielded: ", yielded)
+		t.Fatalf("%d of 40 items yielded, want all but the floor (1 plus a share of %.2f of %d slots)",
+			yielded, share, capacity)
 	}
 }
--- a/internal/traffic/admission/gossip_test.go
+++ b/internal/traffic/admission/gossip_test.go
@@ -112,7 +112,7 @@
 		largest = max(largest, len(body))
 	}
 	if len(reported) != len(names) {
-		t.Fatalf("%d of %d workers were reported in seven periods", len(reported), len(names))
+		t.Fatalf("%d of %d workers were reported in seven periods, want all", len(reported), len(names))
 	}
 	if largest > 1400 {
 		t.Fatalf("largest packet has %d bytes, want at most 1400", largest)
@@ -167,7 +167,7 @@
 		t.Fatal("the suspicions of two peers were not enough to suspect the worker")
 	}
 	if loads := scheduler.MakeGossip(atSecond(10) + 1).Loads; len(loads) != 0 {
-		t.Fatal("peers' suspicions were relayed: ", loads)
+		t.Fatalf("packet has loads %v, want no relayed suspicions of peers", loads)
 	}
 }
 
--- a/internal/traffic/admission/health_test.go
+++ b/internal/traffic/admission/health_test.go
@@ -40,26 +40,27 @@
 		now := atSecond(2)
 		endRequest(scheduler, "w", result, now)
 		if len(ejections) != 1 || ejections[0].Worker != "w" || ejections[0].Duration != constants.EjectFor {
-			t.Fatal(result, ": want one ejection of w, got ", ejections)
+			t.Fatalf("result %d: ejections %+v, want one of w for %v", result, ejections, constants.EjectFor)
 		}
 		if countPlacements(scheduler, true, 40, now)["w"] > 0 {
-			t.Fatal(result, ": request placed on an ejected worker")
+			t.Fatalf("result %d: request placed on an ejected worker", result)
 		}
 		now = now.Add(constants.EjectFor)
 		if countPlacements(scheduler, false, 40, now)["w"] > 0 {
-			t.Fatal(result, ": a request that is not retryable was used as a trial")
+			t.Fatalf("result %d: a request that is not retryable was used as a trial", result)
 		}
 		endRequest(scheduler, "w", ResultServed, now)
 		if len(ejections) != 2 || ejections[1].Duration != 0 {
-			t.Fatal(result, ": want an ejection and a return, got ", ejections)
+			t.Fatalf("result %d: events %+v, want an ejection and a return (duration 0)", result, ejections)
 		}
 	}
 }
 
-// Requests canceled by the client or this process, and rejections by a full worker, do not count against the worker.
-func TestOutcomesThatDoNotCount(t *testing.T) {
+// Requests canceled by the client or this process, and rejections by a full worker, do not count
+// against the worker.
+func TestCancellationsAndRejectionsAreNotFaults(t *testing.T) {
 	scheduler := newScheduler(t, 4, "v", "w", "x")
-	scheduler.OnEjection(func(ejection Ejection) { t.Fatal("ejected or returned: ", ejection) })
+	scheduler.OnEjection(func(ejection Ejection) { t.Fatalf("got %+v, want no ejection or return", ejection) })
 	for count := 0; count < 5; count++ {
 		// A full worker is tried again only after some time, hence the steps of 2 s.
 		endRequest(scheduler, "w", ResultCanceled, atSecond(2*count+2))
@@ -109,6 +110,6 @@
 		}
 	}
 	if usable < 4 {
-		t.Fatal("only ", usable, " of 6 workers are usable, want at least 4")
+		t.Fatalf("%d of 6 workers are usable, want at least 4", usable)
 	}
 }
--- a/internal/traffic/admission/preemption_test.go
+++ b/internal/traffic/admission/preemption_test.go
@@ -18,7 +18,7 @@
 	for i := 0; i < count; i++ {
 		decision, _ := scheduler.Admit(&Request{Service: "s", Bulk: bulk, Priority: priority, Setpoint: 1}, nil, clock.Instant(10+i))
 		if decision.Verdict != VerdictGranted {
-			t.Fatal("not granted: request number ", i)
+			t.Fatalf("request %d: verdict %d, want it granted", i, decision.Verdict)
 		}
 		decision.Grant.AllowPreemption(func() { *yielded = append(*yielded, i) })
 		grants = append(grants, decision.Grant)
@@ -44,32 +44,33 @@
 		}
 	}, 101)
 	if decision.Verdict != VerdictQueued || len(yielded) != 1 || yielded[0] != len(items)-1 {
-		t.Fatal("want the request queued and the youngest item preempted, got the verdict and items ", decision.Verdict, yielded)
+		t.Fatalf("verdict %d, preempted items %v; want the request queued and only the youngest item (%d) preempted",
+			decision.Verdict, yielded, len(items)-1)
 	}
 	// The item was already requested to yield, and its slot will be free soon; no second item may
 	// be preempted for the same request.
 	scheduler.PumpWaiting(102)
 	if len(yielded) != 1 {
-		t.Fatal("want one preemption for one request, got ", yielded)
+		t.Fatalf("preempted items %v, want one for one request", yielded)
 	}
 	items[yielded[0]].End(ResultCanceled, 103)
 	if served != 1 {
-		t.Fatal("the freed slot was not granted to the queued request")
+		t.Fatalf("the queued request was granted %d times after a slot was freed, want 1", served)
 	}
 }
 
-func TestEqualAndHigherRanksAreNeverPreempted(t *testing.T) {
+func TestEqualAndHigherPrioritiesAreNeverPreempted(t *testing.T) {
 	scheduler := newScheduler(t, 4, "w")
 	var yielded []int
 	fillSlots(t, scheduler, 4+constants.QueueAheadMax, 1, false, &yielded)
 	scheduler.Admit(newRequest(1), func(Decision) {}, 100)
 	scheduler.Admit(newRequest(2), func(Decision) {}, 100)
 	if len(yielded) != 0 {
-		t.Fatal("streams of the same or a higher priority were preempted: ", yielded)
+		t.Fatalf("streams %v of the same or a higher priority were preempted, want none", yielded)
 	}
 	scheduler.Admit(newRequest(0), func(Decision) {}, 101)
 	if len(yielded) != 1 {
-		t.Fatal("want one stream of a lower priority to yield")
+		t.Fatalf("streams %v yielded, want one stream of a lower priority", yielded)
 	}
 }
 
@@ -81,12 +82,12 @@
 	fillSlots(t, scheduler, 2+constants.QueueAheadMax, 3, false, &streams)
 	scheduler.Admit(newRequest(0), func(Decision) {}, 100)
 	if len(items) != 1 || len(streams) != 0 {
-		t.Fatal("want one item and no stream to yield, got ", items, streams)
+		t.Fatalf("items %v and streams %v yielded, want one item and no stream", items, streams)
 	}
 }
 
 // On a peer's pressure report this node yields its share, but never below the floor.
-func TestPeersPressureAndTheFloor(t *testing.T) {
+func TestPeerPressureYieldsShareAboveFloor(t *testing.T) {
 	scheduler := newScheduler(t, 40, "w")
 	var yielded []int
 	const items = 20
@@ -94,14 +95,14 @@
 	notice := &messages.PressureNotice{From: "forge/x", Entries: []messages.Pressure{{Service: "s", Priority: 0, Waiting: 6}}}
 	scheduler.YieldToPressure(notice, 3, 100)
 	if len(yielded) != 2 {
-		t.Fatal("want 2 items (a third of 6) to yield, got ", yielded)
+		t.Fatalf("items %v yielded, want 2 (a third of 6)", yielded)
 	}
 	notice.Entries[0].Waiting = 1000
 	scheduler.YieldToPressure(notice, 1, 101)
 	share, capacity := constants.PreemptionFloor, 40.0
 	floor := int(share*capacity) + 1
 	if len(yielded) != items-floor {
-		t.Fatalf("%d of %d items yielded, the floor is %d", len(yielded), items, floor)
+		t.Fatalf("%d of %d items yielded, want all but the floor of %d", len(yielded), items, floor)
 	}
 	// While the report is valid no new items start; once it has expired they do.
 	if decision, _ := scheduler.Admit(&Request{Service: "s", Bulk: true, Priority: 2}, nil, 102); decision.Verdict == VerdictGranted {
@@ -124,11 +125,11 @@
 		t.Fatal("an item started under a peer's pressure")
 	}
 	if len(yielded) != 0 {
-		t.Fatal("an observed report preempted items: ", yielded)
+		t.Fatalf("an observed report preempted items %v, want none", yielded)
 	}
 }
 
-func TestPressureIsSentOnceAPeriod(t *testing.T) {
+func TestPressureIsSentOncePerPeriod(t *testing.T) {
 	scheduler := newScheduler(t, 1, "w")
 	notified := 0
 	scheduler.OnPressure(func([]messages.Pressure) { notified++ })
@@ -136,11 +137,11 @@
 		scheduler.Admit(newRequest(0), func(Decision) {}, 100)
 	}
 	if notified != 1 {
-		t.Fatal("unexpected number of pressure notifications: ", notified)
+		t.Fatalf("%d pressure notifications for 10 queued requests, want 1", notified)
 	}
 	scheduler.PumpWaiting(clock.Instant(100).Add(constants.PressurePeriod))
 	if notified != 2 {
-		t.Fatal("unexpected number of pressure notifications: ", notified)
+		t.Fatalf("%d pressure notifications after a second period, want 2", notified)
 	}
 }
 
@@ -166,6 +167,6 @@
 	longRequest.Affine, longRequest.Prompt.Tokens = true, 10_000
 	decision, _ := scheduler.Admit(longRequest, nil, later)
 	if decision.Grant == nil || decision.Grant.Worker.ID != "v" || notifiedWorker != "v" {
-		t.Fatal("long prompt not placed on worker v, or OnPrefill not called for it; last call for worker: ", notifiedWorker)
+		t.Fatalf("decision %+v, last OnPrefill call for worker %q; want the long prompt placed on worker v and reported", decision, notifiedWorker)
 	}
 }
--- a/internal/traffic/admission/prefills_test.go
+++ b/internal/traffic/admission/prefills_test.go
@@ -12,15 +12,16 @@
 		req.Prompt.Tokens = 700
 		decision, _ := scheduler.Admit(req, nil, 2)
 		if decision.Verdict != VerdictGranted {
-			t.Fatal("request not granted, verdict: ", decision.Verdict)
+			t.Fatalf("verdict %d, want the request granted", decision.Verdict)
 		}
 		health := scheduler.Tracker.Of("w")
 		if health.PendingPrefills() != 1 || health.PendingTokens() != int64(decision.Grant.FreshTokens) {
-			t.Fatal("pending prefills and tokens of one placed request: ", health.PendingPrefills(), health.PendingTokens())
+			t.Fatalf("%d prefills and %d tokens pending after one request was placed, want 1 and %d",
+				health.PendingPrefills(), health.PendingTokens(), decision.Grant.FreshTokens)
 		}
 		decision.Grant.End(result, 3)
 		if health.PendingPrefills() != 0 || health.PendingTokens() != 0 {
-			t.Fatal(result, ": prefills and tokens still pending after the end: ", health.PendingPrefills(), health.PendingTokens())
+			t.Fatalf("result %d: %d prefills and %d tokens pending after the end, want none", result, health.PendingPrefills(), health.PendingTokens())
 		}
 	}
 }
--- a/internal/traffic/admission/pump_test.go
+++ b/internal/traffic/admission/pump_test.go
@@ -18,7 +18,7 @@
 	}()
 	for count := 0; count < 1+constants.QueueAheadMax; count++ {
 		if decision, _ := scheduler.Admit(newRequest(0), nil, clock.Now()); decision.Verdict != VerdictGranted {
-			t.Fatal("request not granted while there is capacity, verdict: ", decision.Verdict)
+			t.Fatalf("verdict %d, want the request granted while there is capacity", decision.Verdict)
 		}
 	}
 	for round := 0; round < 2; round++ {
@@ -26,15 +26,15 @@
 		req := newRequest(0)
 		req.QueueUntil = clock.Now().Add(2 * constants.PollPeriod)
 		if decision, _ := scheduler.Admit(req, func(queuedDecision Decision) { rejected <- queuedDecision }, clock.Now()); decision.Verdict != VerdictQueued {
-			t.Fatal("request not queued, verdict: ", decision.Verdict)
+			t.Fatalf("verdict %d, want the request queued", decision.Verdict)
 		}
 		select {
 		case queuedDecision := <-rejected:
 			if queuedDecision.Verdict != VerdictNoCapacity {
-				t.Fatal("queued request not rejected, verdict: ", queuedDecision.Verdict)
+				t.Fatalf("verdict %d, want the queued request rejected (%d)", queuedDecision.Verdict, VerdictNoCapacity)
 			}
 		case <-clock.After(5_000_000_000):
-			t.Fatal("the queued request was not rejected within 5 s, round ", round)
+			t.Fatalf("round %d: the queued request was not rejected within 5 s", round)
 		}
 	}
 	close(stop)
--- a/internal/traffic/admission/stale_test.go
+++ b/internal/traffic/admission/stale_test.go
@@ -90,7 +90,7 @@
 		selections[selected]++
 	}
 	if len(selections) != 4 {
-		t.Fatal("want all 4 workers selected by some node, got ", selections)
+		t.Fatalf("nodes per selected worker: %v, want all 4 workers selected by some node", selections)
 	}
 }
 
--- a/internal/traffic/admission/subset_test.go
+++ b/internal/traffic/admission/subset_test.go
@@ -46,7 +46,7 @@
 		placements[decision.Grant.Worker.ID]++
 	}
 	if len(placements) != constants.ReachSubset {
-		t.Fatalf("unexpected number of workers used: %d", len(placements))
+		t.Fatalf("placed on %d workers, want %d", len(placements), constants.ReachSubset)
 	}
 	decision, _ := scheduler.Admit(newRequest(0), nil, atSecond(2)+100)
 	if decision.Verdict != VerdictGranted || placements[decision.Grant.Worker.ID] > 0 {
@@ -67,7 +67,7 @@
 	mean := float64(nodes*constants.ReachSubset) / 60
 	for i := 0; i < 60; i++ {
 		if count := float64(nodesFor[fmt.Sprintf("i-%04d", i)]); count < 0.4*mean || count > 1.7*mean {
-			t.Fatalf("worker %d is in the subsets of %.0f nodes, the mean is %.1f", i, count, mean)
+			t.Fatalf("worker %d is in the subsets of %.0f nodes, want between 0.4 and 1.7 times the mean of %.1f", i, count, mean)
 		}
 	}
 }
@@ -96,7 +96,7 @@
 	sample := messages.AppendPrefix(nil, messages.Residency{Path: []byte{0, 0, 0, 0, 0, 0, 0, 77}, Tokens: 18_000, Worker: other, Probability: 1})
 	scheduler.HandleGossip(&messages.Gossip{From: "forge/x", Prefixes: sample}, atSecond(2))
 	if decision, _ := scheduler.Admit(longRequest(), nil, atSecond(2)+1); decision.Grant.Worker.ID != other {
-		t.Fatal("not placed on the worker that holds the prefix but on ", decision.Grant.Worker.ID)
+		t.Fatalf("placed on %s, want %s, which holds the prefix", decision.Grant.Worker.ID, other)
 	}
 	failed := scheduler.subset("s", scheduler.Registry.ByService("s"), atSecond(2))[0].ID
 	scheduler.WithLock(func() { scheduler.Tracker.Of(failed).RecordFailure(constants.EjectFor, atSecond(4)) })
@@ -135,7 +135,7 @@
 		}
 	}
 	if small, part := newScheduler(t, 4, "w").NodesFor("w", nodes); part || len(small) > 0 {
-		t.Fatal("a small service must not be divided into subsets")
+		t.Fatalf("NodesFor returned %v and %v, want no nodes and false for a service of one worker", small, part)
 	}
 }
 
--- a/internal/traffic/health/latency_test.go
+++ b/internal/traffic/health/latency_test.go
@@ -24,7 +24,7 @@
 		latency.Observe(took)
 	}
 	if timeout := latency.Timeout(shortest, longest); exceeded > 5 || timeout > clock.Milliseconds(100) {
-		t.Fatalf("%d latencies exceeded the timeout, which is now %v", exceeded, timeout)
+		t.Fatalf("%d latencies exceeded the timeout, which is now %v; want at most 5 and 100 ms", exceeded, timeout)
 	}
 	if latency.Timeout(clock.Milliseconds(300), longest) != clock.Milliseconds(300) {
 		t.Fatal("the timeout is not limited by the shortest one")
@@ -48,6 +48,7 @@
 		latency.Observe(400)
 	}
 	if retries > 60 || latency.Timeout(shortest, longest) < 2*before {
-		t.Fatalf("%d retries, timeout raised from %v to %v", retries, before, latency.Timeout(shortest, longest))
+		t.Fatalf("%d retries, timeout raised from %v to %v; want at most 60 retries and at least twice the timeout",
+			retries, before, latency.Timeout(shortest, longest))
 	}
 }
--- a/internal/traffic/health/outcomes_test.go
+++ b/internal/traffic/health/outcomes_test.go
@@ -58,11 +58,11 @@
 		unhealthy := sent["w00"] + sent["w01"]
 		total += unhealthy
 		if unhealthy > 50 {
-			t.Fatalf("seed %d: the failing pair got %d of 600 requests, their proportional share is 60", seed, unhealthy)
+			t.Fatalf("seed %d: the failing pair got %d of 600 requests, want at most 50 (their proportional share is 60)", seed, unhealthy)
 		}
 	}
 	if total > seeds*30 {
-		t.Fatalf("the failing pairs got %d requests, more than half of their proportional share", total)
+		t.Fatalf("the failing pairs got %d requests in %d seeds, want at most 30 per seed (half of their proportional share)", total, seeds)
 	}
 }
 
@@ -83,7 +83,7 @@
 			maxEjected = 1
 		}
 		if ejected := tracker.Ejected(workerList, false, never, now); len(ejected) > maxEjected {
-			t.Fatalf("%d of %d workers ejected", len(ejected), count)
+			t.Fatalf("%d of %d workers ejected, want at most %d", len(ejected), count, maxEjected)
 		}
 	}
 }
@@ -97,7 +97,7 @@
 	}
 	tracker.RecordFault("w03", "s", FaultError, now)
 	if ejected := tracker.Ejected(workerList, false, never, now+1); len(ejected) != 1 || !ejected["w03"] {
-		t.Fatal("want only w03 ejected, got ", ejected)
+		t.Fatalf("ejected workers %v, want only w03", ejected)
 	}
 }
 
@@ -115,18 +115,18 @@
 			t.Fatalf("round %d: ejected for %v, want %v", round, duration, want)
 		}
 		if again := tracker.RecordFault("w00", "s", FaultRefused, now+1); again != 0 {
-			t.Fatal("ejected again while already ejected")
+			t.Fatalf("round %d: ejected again for %v while already ejected, want 0", round, again)
 		}
 		now = now.Add(duration)
 		want = min(2*want, constants.EjectFor<<constants.EjectLevels)
 	}
 	later := now.Add(constants.EjectForget + 1)
 	if duration := tracker.RecordFault("w00", "s", FaultRefused, later); duration != constants.EjectFor {
-		t.Fatal("an old failure still lengthens the ejection: ", duration)
+		t.Fatalf("ejected for %v, want %v: an old failure still lengthens the ejection", duration, constants.EjectFor)
 	}
 }
 
-// After its ejection a worker receives one repeatable request at a time. It returns with the first
+// After its ejection a worker receives one retryable request at a time. It returns with the first
 // trial that succeeds; a failure ejects it for longer.
 func TestReturnAfterTrial(t *testing.T) {
 	tracker, workerList := New(), workerNames(4)
@@ -141,7 +141,7 @@
 	case !tracker.Ejected(workerList, true, never, now)["w00"]:
 		t.Fatal("a second trial was allowed while one is running")
 	case !tracker.Ejected(workerList, false, always, now)["w00"]:
-		t.Fatal("a request that is not repeatable was allowed as a trial")
+		t.Fatal("a request that is not retryable was allowed as a trial")
 	}
 	if !tracker.RecordSuccess("w00", "s", now) || tracker.Ejected(workerList, false, never, now)["w00"] {
 		t.Fatal("the worker did not return after a successful trial")
@@ -205,7 +205,7 @@
 	for incarnation := 0; incarnation < 6; incarnation++ {
 		durations = append(durations, tracker.ObserveIncarnation(fmt.Sprint("life", incarnation), "s", "a:1", false, now))
 		if again := tracker.ObserveIncarnation(fmt.Sprint("life", incarnation), "s", "a:1", false, now); again != 0 {
-			t.Fatal("a repeated update of the same incarnation counted as a crash")
+			t.Fatalf("incarnation %d: a repeated update counted as a crash and ejected it for %v", incarnation, again)
 		}
 		now = now.Add(1_400_000_000)
 	}
--- a/internal/traffic/loadgossip/peers_test.go
+++ b/internal/traffic/loadgossip/peers_test.go
@@ -34,7 +34,7 @@
 		}
 		for _, own := range nodes {
 			if len(recipients[own.Name]) != min(constants.GossipFanout, count-1) {
-				t.Fatalf("%s of %d processes notifies %v", own.Name, count, recipients[own.Name])
+				t.Fatalf("%s of %d processes notifies %v, want %d others at most", own.Name, count, recipients[own.Name], constants.GossipFanout)
 			}
 			if received[own.Name] == 0 {
 				t.Fatalf("none of %d processes notifies %s", count, own.Name)
@@ -54,7 +54,7 @@
 				frontier = next
 			}
 			if len(reached) != count || steps > 9 {
-				t.Fatalf("%s reaches %d of %d processes in %d steps", own.Name, len(reached), count, steps)
+				t.Fatalf("%s reaches %d of %d processes in %d steps, want all in at most 9", own.Name, len(reached), count, steps)
 			}
 		}
 	}
@@ -74,7 +74,7 @@
 		}
 	}
 	if changed > 2*constants.GossipFanout {
-		t.Fatalf("one process left and %d neighbour relations changed", changed)
+		t.Fatalf("one process left and %d neighbour relations changed, want at most %d", changed, 2*constants.GossipFanout)
 	}
 }
 
@@ -98,14 +98,14 @@
 		}
 		for _, name := range []string{"b", "c", "d"} {
 			if rate := float64(recipients[name]) / periods; rate < 0.75 || rate > 1.25 {
-				t.Fatalf("%d processes notify zone %s %.2f times per period", count, name, rate)
+				t.Fatalf("%d processes notify zone %s %.2f times per period, want about once (0.75 to 1.25)", count, name, rate)
 			}
 		}
 	}
 }
 
-// A pressure notice is sent to a bounded number of stores: first to those of the own zone, if there
-// are any, and over time to each store of the other zones.
+// A pressure notice is sent to a bounded number of stores: first to those of the sender's zone, if
+// there are any, and over time to each store of the other zones.
 func TestPressureGoesToFewStores(t *testing.T) {
 	var sameZone, otherZones []messages.NodeInfo
 	for position := 0; position < 20; position++ {
@@ -118,19 +118,19 @@
 	for round := 0; round < 200; round++ {
 		chosen := pickStores(sameZone, otherZones, random.Float64)
 		if len(chosen) != constants.PressureFanout || chosen[0].Name != "own" {
-			t.Fatalf("got stores %+v, want the full number, the own zone first", chosen)
+			t.Fatalf("got stores %+v, want %d, that of the sender's zone first", chosen, constants.PressureFanout)
 		}
 		for _, store := range chosen {
 			reached[store.Name] = true
 		}
 	}
 	if len(reached) != 21 {
-		t.Fatalf("only %d stores were ever notified", len(reached))
+		t.Fatalf("%d stores were notified in 200 rounds, want all 21", len(reached))
 	}
 }
 
 // In a small fleet all processes are notified of long prefills, in a large one a bounded number,
-// those of the own zone first.
+// those of the sender's zone first.
 func TestPrefillPeersAreBounded(t *testing.T) {
 	small := selectPeers(zone("a", 4)[0], append(zone("a", 4), zone("b", 4)...))
 	if len(small.prefillPeers) != 7 {
@@ -138,6 +138,6 @@
 	}
 	large := selectPeers(zone("a", 40)[0], append(zone("a", 40), zone("b", 40)...))
 	if len(large.prefillPeers) != constants.PrefillFanout || large.prefillPeers[0].Zone != "a" {
-		t.Fatalf("got %d prefill peers, want the limit, the own zone first", len(large.prefillPeers))
+		t.Fatalf("got prefill peers %+v, want %d, those of the sender's zone first", large.prefillPeers, constants.PrefillFanout)
 	}
 }
--- a/internal/traffic/loadgossip/pressure_test.go
+++ b/internal/traffic/loadgossip/pressure_test.go
@@ -86,7 +86,8 @@
 		}
 	}
 	if len(reached) != stores || forwarded == 0 {
-		t.Fatalf("reached stores %v, %d notices were forwarded", reached, forwarded)
+		t.Fatalf("reached stores %v with %d forwarded notices, want all %d stores and at least one forwarded notice",
+			reached, forwarded, stores)
 	}
 }
 
--- a/internal/traffic/loadgossip/staleness_test.go
+++ b/internal/traffic/loadgossip/staleness_test.go
@@ -173,14 +173,16 @@
 			size.nodes, size.workers, median, p95, missingShare, packets, bytes, sim.largest, float64(sim.otherZonePackets)/seconds)
 		ageLimit := clock.ToMilliseconds(constants.GossipStale)
 		if median > ageLimit/2 || p95 >= ageLimit || missingShare > 0.15 {
-			t.Errorf("%d nodes: evidence too old or missing for too many workers", size.nodes)
+			t.Errorf("%d nodes: age of evidence median %.0f ms (want at most %.0f), p95 %.0f ms (want below %.0f), missing for a share of %.3f of the workers (want at most 0.15)",
+				size.nodes, median, ageLimit/2, p95, ageLimit, missingShare)
 		}
 		if packets > constants.GossipFanout+1.5 || sim.largest > 1400 {
-			t.Errorf("%d nodes: %.2f packets per node and second, largest packet %d bytes", size.nodes, packets, sim.largest)
+			t.Errorf("%d nodes: %.2f packets per node and second (want at most %.1f), largest packet %d bytes (want at most 1400)",
+				size.nodes, packets, constants.GossipFanout+1.5, sim.largest)
 		}
 		for _, node := range sim.nodes {
 			if node.received < seconds {
-				t.Errorf("%d nodes: %s received %d packets in %d s", size.nodes, node.own.Name, node.received, seconds)
+				t.Errorf("%d nodes: %s received %d packets in %d s, want at least one per second", size.nodes, node.own.Name, node.received, seconds)
 			}
 		}
 	}
--- a/internal/traffic/prefixindex/prefixindex_test.go
+++ b/internal/traffic/prefixindex/prefixindex_test.go
@@ -119,7 +119,7 @@
 	index.AddTurnover("first", 30_000)
 	choice := index.Choose(prompt("x2", 12_000), twoCandidates(60), 1)
 	if choice.Index != 0 || choice.Downgraded || index.Downgrades != 0 {
-		t.Fatalf("%+v", choice)
+		t.Fatalf("got choice %+v and %d downgrades, want the worker with the cached prefix and no downgrade", choice, index.Downgrades)
 	}
 }
 
@@ -127,7 +127,7 @@
 	index := NewIndex()
 	index.RecordPlacement(prompt("x1", 300), "first", 0)
 	if choice := index.Choose(prompt("x2", 300), twoCandidates(40), 1); choice.Index != 1 || choice.Downgraded {
-		t.Fatalf("%+v", choice)
+		t.Fatalf("got choice %+v, want the less loaded worker and no downgrade", choice)
 	}
 }
 
@@ -165,7 +165,7 @@
 	index.RecordPlacement(placedPrompt, "first", 1000)
 	index.MergeAdvertisements([]messages.Residency{{Path: placedPrompt.key()[:8], Tokens: 12_000, Worker: "first", Probability: 0, AgeMs: 500}}, 2000)
 	if choice := index.Choose(prompt("x2", 12_000), twoCandidates(60), 3000); choice.Index != 0 {
-		t.Fatalf("%+v", choice)
+		t.Fatalf("got choice %+v, want the worker of the newer own evidence", choice)
 	}
 }
 
@@ -175,7 +175,7 @@
 		index.RecordPlacement(prompt(fmt.Sprintf("%x", count), 100), "first", clock.Instant(count))
 	}
 	if index.tree.Size() > constants.IndexNodes {
-		t.Fatalf("got %d leaves, above the limit of the index", index.tree.Size())
+		t.Fatalf("index has %d leaves, want at most %d", index.tree.Size(), constants.IndexNodes)
 	}
 	// The shared prefix is used by every prompt, so it is never removed.
 	visited := 0
@@ -210,10 +210,10 @@
 		}
 		index.RecordPlacement(&prompt, "w", 1)
 		if size := index.tree.Size(); size > constants.IndexNodes {
-			t.Fatal(size, "leaves, above the limit of the index")
+			t.Fatalf("index has %d leaves, want at most %d", size, constants.IndexNodes)
 		}
 	}
 	if few := ParsePrompt("m", "5", " a:1, b:2"); len(few.Parts) != 2 || few.Parts[1].Tokens != 2 {
-		t.Errorf("parsed %+v, want two parts of 1 and 2 tokens", few)
+		t.Errorf("parsed %+v, want two parts, the second of 2 tokens", few)
 	}
 }
