--- a/internal/traffic/health/latency.go
+++ b/internal/traffic/health/latency.go
@@ -15,39 +15,39 @@
 }
 
 // Observe adds a time in ms.
-func (p *Latency) Observe(milliseconds float64) {
-	p.count++
-	p.retryBudget = min(p.retryBudget+constants.HedgeBudgetPerResponse, constants.HedgeBudget)
-	if p.count == 1 {
-		p.mean, p.deviation, p.retryBudget = milliseconds, milliseconds/2, constants.HedgeBudget/2
+func (l *Latency) Observe(milliseconds float64) {
+	l.count++
+	l.retryBudget = min(l.retryBudget+constants.HedgeBudgetPerResponse, constants.HedgeBudget)
+	if l.count == 1 {
+		l.mean, l.deviation, l.retryBudget = milliseconds, milliseconds/2, constants.HedgeBudget/2
 		return
 	}
-	difference := milliseconds - p.mean
-	p.mean += difference / 8
+	difference := milliseconds - l.mean
+	l.mean += difference / 8
 	if difference < 0 {
 		difference = -difference
 	}
-	p.deviation += (difference - p.deviation) / 4
+	l.deviation += (difference - l.deviation) / 4
 }
 
 // Timeout returns the time after which a wait is unusual, between shortest and longest. It returns
 // longest until constants.LatencySamplesMin times have been observed.
-func (p *Latency) Timeout(shortest, longest clock.Duration) clock.Duration {
-	if p.count < constants.LatencySamplesMin {
+func (l *Latency) Timeout(shortest, longest clock.Duration) clock.Duration {
+	if l.count < constants.LatencySamplesMin {
 		return longest
 	}
-	return min(max(clock.Milliseconds(p.mean+constants.LatencyDeviations*p.deviation), shortest), longest)
+	return min(max(clock.Milliseconds(l.mean+constants.LatencyDeviations*l.deviation), shortest), longest)
 }
 
 // TakeRetry takes one retry after a silence from the budget and reports whether there was one. When
 // a whole service becomes slow, retries on other workers would only add to its load; the budget
 // then runs out. The wait itself is observed as a lower bound of the response time.
-func (p *Latency) TakeRetry(waited clock.Duration) bool {
-	if p.retryBudget < 1 {
+func (l *Latency) TakeRetry(waited clock.Duration) bool {
+	if l.retryBudget < 1 {
 		return false
 	}
-	budget := p.retryBudget - 1
-	p.Observe(clock.ToMilliseconds(waited))
-	p.retryBudget = budget
+	budget := l.retryBudget - 1
+	l.Observe(clock.ToMilliseconds(waited))
+	l.retryBudget = budget
 	return true
 }
--- a/internal/traffic/health/outcomes.go
+++ b/internal/traffic/health/outcomes.go
@@ -33,12 +33,12 @@
 var faultNames = [faultKinds]string{"refused", "reset", "silent", "error", "shed", "slow"}
 
 // String returns the name of the kind for logs and the shell.
-func (t Fault) String() string { return faultNames[t] }
+func (f Fault) String() string { return faultNames[f] }
 
 // weight returns how much one failure of this kind counts. Shedding and slowness count less,
 // because a healthy but busy worker shows them too.
-func (t Fault) weight() float64 {
-	if t == FaultShed || t == FaultSlow {
+func (f Fault) weight() float64 {
+	if f == FaultShed || f == FaultSlow {
 		return constants.MildFaultWeight
 	}
 	return 1
@@ -95,47 +95,47 @@
 }
 
 // decay reduces the weight of old outcomes by half per constants.HealthHalfLife.
-func (t *Outcomes) decay(now clock.Instant) {
-	duration := now.Sub(t.at)
-	t.at = now
+func (o *Outcomes) decay(now clock.Instant) {
+	duration := now.Sub(o.at)
+	o.at = now
 	if duration >= 8*constants.HealthHalfLife {
-		t.successes, t.failures = 0, 0
+		o.successes, o.failures = 0, 0
 		return
 	}
 	for ; duration >= constants.HealthHalfLife; duration -= constants.HealthHalfLife {
-		t.successes, t.failures = t.successes/2, t.failures/2
+		o.successes, o.failures = o.successes/2, o.failures/2
 	}
 	// Within one half-life, a linear approximation is accurate enough and avoids computing powers.
 	factor := 1 - float64(duration)/float64(2*constants.HealthHalfLife)
-	t.successes, t.failures = t.successes*factor, t.failures*factor
+	o.successes, o.failures = o.successes*factor, o.failures*factor
 }
 
 // FailureRate returns the failure rate in [0, 1]. With few outcomes it is drawn towards the median.
-func (t *Outcomes) FailureRate(median float64, now clock.Instant) float64 {
-	t.decay(now)
-	return (t.failures + constants.HealthPrior*median) / (t.successes + t.failures + constants.HealthPrior)
+func (o *Outcomes) FailureRate(median float64, now clock.Instant) float64 {
+	o.decay(now)
+	return (o.failures + constants.HealthPrior*median) / (o.successes + o.failures + constants.HealthPrior)
 }
 
 // ProvenHealthy reports whether recent outcomes in this process show that the worker is healthy.
 // Suspicions by peers or because of missing heartbeats are then ignored, since a fault may affect only
 // some callers.
-func (t *Outcomes) ProvenHealthy(now clock.Instant) bool {
-	t.decay(now)
-	return t.successes >= constants.HealthProven && t.failures < t.successes*constants.EjectRate
+func (o *Outcomes) ProvenHealthy(now clock.Instant) bool {
+	o.decay(now)
+	return o.successes >= constants.HealthProven && o.failures < o.successes*constants.EjectRate
 }
 
 // Counts returns the number of failures by kind, in the order of Kinds.
-func (t *Outcomes) Counts() []int64 { return t.counts[:] }
+func (o *Outcomes) Counts() []int64 { return o.counts[:] }
 
 // Kinds returns the names of the kinds of fault.
 func Kinds() []string { return faultNames[:] }
 
 // IsEjected reports whether the worker is ejected here.
-func (t *Outcomes) IsEjected(now clock.Instant) bool { return now < t.ejectedUntil }
+func (o *Outcomes) IsEjected(now clock.Instant) bool { return now < o.ejectedUntil }
 
 // OnTrial reports whether the worker may receive only one retryable request at a time.
-func (t *Outcomes) OnTrial(now clock.Instant) bool {
-	return t.trial && now >= t.ejectedUntil && now < t.trialEnd
+func (o *Outcomes) OnTrial(now clock.Instant) bool {
+	return o.trial && now >= o.ejectedUntil && now < o.trialEnd
 }
 
 // MedianFailureRate returns the median failure rate of a service's workers.
--- a/internal/traffic/loadgossip/peers.go
+++ b/internal/traffic/loadgossip/peers.go
@@ -131,18 +131,18 @@
 
 // zoneSize returns the number of gateways and stores in this process's zone: the number known to
 // this process, or the mean over all zones if that is larger.
-func (c *peerSet) zoneSize() int {
-	return max(len(c.sameZone)+1, c.population/(len(c.byZone)+1))
+func (p *peerSet) zoneSize() int {
+	return max(len(p.sameZone)+1, p.population/(len(p.byZone)+1))
 }
 
 // pickOtherZone picks at random whether this process notifies a node of another zone in this period,
 // and which one. On average each zone notifies each other zone about once per period, however many
 // processes it has.
-func (c *peerSet) pickOtherZone(random func() float64) (messages.NodeInfo, bool) {
-	if len(c.byZone) == 0 || random() >= float64(len(c.byZone))/float64(c.zoneSize()) {
+func (p *peerSet) pickOtherZone(random func() float64) (messages.NodeInfo, bool) {
+	if len(p.byZone) == 0 || random() >= float64(len(p.byZone))/float64(p.zoneSize()) {
 		return messages.NodeInfo{}, false
 	}
-	others := c.byZone[int(random()*float64(len(c.byZone)))]
+	others := p.byZone[int(random()*float64(len(p.byZone)))]
 	return others[int(random()*float64(len(others)))], true
 }
 
--- a/internal/traffic/loadgossip/replypeers.go
+++ b/internal/traffic/loadgossip/replypeers.go
@@ -26,37 +26,37 @@
 }
 
 // observe records a received packet, and discards expired senders and requesters.
-func (t *replyPeers) observe(packet *messages.Gossip, now clock.Instant) {
-	if t.senders == nil {
-		t.senders, t.requesters = map[string]clock.Instant{}, map[string]replyPeer{}
+func (r *replyPeers) observe(packet *messages.Gossip, now clock.Instant) {
+	if r.senders == nil {
+		r.senders, r.requesters = map[string]clock.Instant{}, map[string]replyPeer{}
 	}
-	t.senders[packet.From] = now
-	for from, at := range t.senders {
+	r.senders[packet.From] = now
+	for from, at := range r.senders {
 		if now.Sub(at) >= constants.GossipSenderTimeout {
-			delete(t.senders, from)
+			delete(r.senders, from)
 		}
 	}
-	for from, requester := range t.requesters {
+	for from, requester := range r.requesters {
 		if now.Sub(requester.at) >= constants.ReplyPeerDuration {
-			delete(t.requesters, from)
+			delete(r.requesters, from)
 		}
 	}
-	if _, known := t.requesters[packet.From]; packet.ReplyTo != "" && (known || len(t.requesters) < constants.ReplyPeersMax) {
-		t.requesters[packet.From] = replyPeer{packet.ReplyTo, now}
+	if _, known := r.requesters[packet.From]; packet.ReplyTo != "" && (known || len(r.requesters) < constants.ReplyPeersMax) {
+		r.requesters[packet.From] = replyPeer{packet.ReplyTo, now}
 	}
 }
 
 // hasFewSenders reports whether fewer than constants.GossipFanout-1 peers notify this process.
-func (t *replyPeers) hasFewSenders(now clock.Instant) bool {
-	if t.startedAt == 0 {
-		t.startedAt = now
+func (r *replyPeers) hasFewSenders(now clock.Instant) bool {
+	if r.startedAt == 0 {
+		r.startedAt = now
 	}
-	if now.Sub(t.startedAt) < constants.GossipSenderTimeout {
+	if now.Sub(r.startedAt) < constants.GossipSenderTimeout {
 		// The peers have not yet had time to send a packet.
 		return false
 	}
 	count := 0
-	for _, at := range t.senders {
+	for _, at := range r.senders {
 		if now.Sub(at) < constants.GossipSenderTimeout {
 			count++
 		}
@@ -65,9 +65,9 @@
 }
 
 // missingFrom returns the peers that requested to be notified and are not among the recipients.
-func (t *replyPeers) missingFrom(recipients []messages.NodeInfo, now clock.Instant) []messages.NodeInfo {
+func (r *replyPeers) missingFrom(recipients []messages.NodeInfo, now clock.Instant) []messages.NodeInfo {
 	var missing []messages.NodeInfo
-	for _, requester := range t.requesters {
+	for _, requester := range r.requesters {
 		skip := now.Sub(requester.at) >= constants.ReplyPeerDuration
 		for _, recipient := range recipients {
 			skip = skip || recipient.Address == requester.address
--- a/internal/traffic/loadgossip/staleness_test.go
+++ b/internal/traffic/loadgossip/staleness_test.go
@@ -62,9 +62,9 @@
 }
 
 // zoneWorkers returns the workers of a node's zone, on which the node places requests.
-func (f *simulation) zoneWorkers(node *simNode) []string {
+func (s *simulation) zoneWorkers(node *simNode) []string {
 	var ids []string
-	for _, worker := range f.workerList {
+	for _, worker := range s.workerList {
 		if worker.Zone == node.own.Zone {
 			ids = append(ids, worker.ID)
 		}
@@ -73,12 +73,12 @@
 }
 
 // observe has a node record a worker's load header, as from a response to a request.
-func (f *simulation) observe(node *simNode, now clock.Instant) {
+func (s *simulation) observe(node *simNode, now clock.Instant) {
 	// If the zone has many workers, a node sends requests only to a subset of them.
-	candidates := f.zoneWorkers(node)
-	worker := candidates[f.random.Intn(min(len(candidates), constants.ReachSubset))]
+	candidates := s.zoneWorkers(node)
+	worker := candidates[s.random.Intn(min(len(candidates), constants.ReachSubset))]
 	if len(candidates) > constants.ReachSubset {
-		key := fmt.Sprint(node.own.Name, f.random.Intn(constants.ReachSubset))
+		key := fmt.Sprint(node.own.Name, s.random.Intn(constants.ReachSubset))
 		hash := 0
 		for _, character := range key {
 			hash = hash*31 + int(character)
@@ -89,24 +89,24 @@
 }
 
 // gossipRound simulates one gossip period of a node.
-func (f *simulation) gossipRound(node *simNode, now clock.Instant) {
+func (s *simulation) gossipRound(node *simNode, now clock.Instant) {
 	packet := node.scheduler.MakeGossip(now)
 	peers := selectPeers(node.own, node.view.All("", now))
-	peers.population = len(f.nodes)
+	peers.population = len(s.nodes)
 	if node.replyPeers.hasFewSenders(now) {
 		packet.ReplyTo = node.own.Address
 	}
 	recipients := append(append([]messages.NodeInfo(nil), peers.gossipPeers...), node.replyPeers.missingFrom(peers.gossipPeers, now)...)
-	if peer, selected := peers.pickOtherZone(f.random.Float64); selected {
+	if peer, selected := peers.pickOtherZone(s.random.Float64); selected {
 		recipients = append(recipients, peer)
-		f.otherZonePackets++
+		s.otherZonePackets++
 	}
 	body, _ := packet.MarshalMsg(nil)
 	for _, recipient := range recipients {
-		f.packets++
-		f.bytes += len(body)
-		f.largest = max(f.largest, len(body))
-		other := f.byAddress[recipient.Address]
+		s.packets++
+		s.bytes += len(body)
+		s.largest = max(s.largest, len(body))
+		other := s.byAddress[recipient.Address]
 		if !other.paused {
 			other.received++
 			other.replyPeers.observe(packet, now)
@@ -116,22 +116,22 @@
 }
 
 // run simulates whole seconds with rate requests per second and worker, distributed over all nodes.
-func (f *simulation) run(from, seconds int, rate float64) {
+func (s *simulation) run(from, seconds int, rate float64) {
 	const steps = 20
 	step := clock.Instant(constants.GossipPeriod) / steps
 	start := clock.Instant(from) * clock.Instant(constants.GossipPeriod)
 	for count := 0; count < seconds*steps; count++ {
 		now := start + clock.Instant(count+1)*step
-		expected := rate * float64(len(f.workerList)) / steps
-		for requests := int(expected + f.random.Float64()); requests > 0; requests-- {
-			node := f.nodes[f.random.Intn(len(f.nodes))]
+		expected := rate * float64(len(s.workerList)) / steps
+		for requests := int(expected + s.random.Float64()); requests > 0; requests-- {
+			node := s.nodes[s.random.Intn(len(s.nodes))]
 			if !node.paused {
-				f.observe(node, now)
+				s.observe(node, now)
 			}
 		}
-		for _, node := range f.nodes {
+		for _, node := range s.nodes {
 			if phase := now % clock.Instant(constants.GossipPeriod); !node.paused && node.phase >= phase && node.phase < phase+step {
-				f.gossipRound(node, now)
+				s.gossipRound(node, now)
 			}
 		}
 	}
@@ -139,10 +139,10 @@
 
 // ages returns the ages in ms, sorted, of the load evidence that all nodes have for the workers of
 // their zones, and the share of workers without evidence. Evidence older than the limit is not counted.
-func (f *simulation) ages(now clock.Instant) (ages []float64, missingShare float64) {
+func (s *simulation) ages(now clock.Instant) (ages []float64, missingShare float64) {
 	missing := 0
-	for _, node := range f.nodes {
-		for _, worker := range f.zoneWorkers(node) {
+	for _, node := range s.nodes {
+		for _, worker := range s.zoneWorkers(node) {
 			node.scheduler.WithLock(func() {
 				sample, known := node.scheduler.Tracker.Of(worker).Sample(now)
 				if !known || sample.Running == messages.RunningUnknown {
--- a/internal/traffic/prefixindex/advertise.go
+++ b/internal/traffic/prefixindex/advertise.go
@@ -85,16 +85,16 @@
 
 // before reports whether an advertisement is sent before another. Ties are broken by the worker's
 // name and the key, so that the order is deterministic.
-func (w *advertisement) before(other *advertisement) bool {
+func (a *advertisement) before(other *advertisement) bool {
 	switch {
-	case w.change != other.change:
-		return w.change > other.change
-	case w.evidenceAt != other.evidenceAt:
-		return w.evidenceAt > other.evidenceAt
-	case w.worker != other.worker:
-		return w.worker < other.worker
+	case a.change != other.change:
+		return a.change > other.change
+	case a.evidenceAt != other.evidenceAt:
+		return a.evidenceAt > other.evidenceAt
+	case a.worker != other.worker:
+		return a.worker < other.worker
 	}
-	return bytes.Compare(w.leaf.key, other.leaf.key) < 0
+	return bytes.Compare(a.leaf.key, other.leaf.key) < 0
 }
 
 // MergeAdvertisements merges advertisements received from a peer. The age limit applies to the
