--- a/internal/traffic/health/outcomes.go
+++ b/internal/traffic/health/outcomes.go
@@ -25,7 +25,7 @@
 	// FaultShed means that the worker rejected the request although its reported load leaves
 	// capacity.
 	FaultShed
-	// FaultSlow means silence for unusually long, but for less than constants.SilenceFaultTimeout.
+	// FaultSlow means an unusually long silence, but one shorter than constants.SilenceFaultTimeout.
 	FaultSlow
 	faultKinds
 )
@@ -33,12 +33,12 @@
 var faultNames = [faultKinds]string{"refused", "reset", "silent", "error", "shed", "slow"}
 
 // String returns the name of the kind for logs and the shell.
-func (t Fault) String() string { return faultNames[t] }
+func (f Fault) String() string { return faultNames[f] }
 
 // weight returns how much one failure of this kind counts. Shedding and slowness count less,
 // because a healthy but busy worker shows them too.
-func (t Fault) weight() float64 {
-	if t == FaultShed || t == FaultSlow {
+func (f Fault) weight() float64 {
+	if f == FaultShed || f == FaultSlow {
 		return constants.MildFaultWeight
 	}
 	return 1
@@ -95,46 +95,47 @@
 }
 
 // decay reduces the weight of old outcomes by half per constants.HealthHalfLife.
-func (t *Outcomes) decay(now clock.Instant) {
-	duration := now.Sub(t.at)
-	t.at = now
+func (o *Outcomes) decay(now clock.Instant) {
+	duration := now.Sub(o.at)
+	o.at = now
 	if duration >= 8*constants.HealthHalfLife {
-		t.successes, t.failures = 0, 0
+		o.successes, o.failures = 0, 0
 		return
 	}
 	for ; duration >= constants.HealthHalfLife; duration -= constants.HealthHalfLife {
-		t.successes, t.failures = t.successes/2, t.failures/2
+		o.successes, o.failures = o.successes/2, o.failures/2
 	}
 	// Within one half-life, a linear approximation is accurate enough and avoids computing powers.
 	factor := 1 - float64(duration)/float64(2*constants.HealthHalfLife)
-	t.successes, t.failures = t.successes*factor, t.failures*factor
+	o.successes, o.failures = o.successes*factor, o.failures*factor
 }
 
 // FailureRate returns the failure rate in [0, 1]. With few outcomes it is drawn towards the median.
-func (t *Outcomes) FailureRate(median float64, now clock.Instant) float64 {
-	t.decay(now)
-	return (t.failures + constants.HealthPrior*median) / (t.successes + t.failures + constants.HealthPrior)
+func (o *Outcomes) FailureRate(median float64, now clock.Instant) float64 {
+	o.decay(now)
+	return (o.failures + constants.HealthPrior*median) / (o.successes + o.failures + constants.HealthPrior)
 }
 
 // ProvenHealthy reports whether recent outcomes in this process show that the worker is healthy.
-// Reports of peers are then ignored, since a fault may affect only some callers.
-func (t *Outcomes) ProvenHealthy(now clock.Instant) bool {
-	t.decay(now)
-	return t.successes >= constants.HealthProven && t.failures < t.successes*constants.EjectRate
+// Suspicions by peers or because of missing heartbeats are then ignored, since a fault may affect only
+// some callers.
+func (o *Outcomes) ProvenHealthy(now clock.Instant) bool {
+	o.decay(now)
+	return o.successes >= constants.HealthProven && o.failures < o.successes*constants.EjectRate
 }
 
 // Counts returns the number of failures by kind, in the order of Kinds.
-func (t *Outcomes) Counts() []int64 { return t.counts[:] }
+func (o *Outcomes) Counts() []int64 { return o.counts[:] }
 
 // Kinds returns the names of the kinds of fault.
 func Kinds() []string { return faultNames[:] }
 
 // IsEjected reports whether the worker is ejected here.
-func (t *Outcomes) IsEjected(now clock.Instant) bool { return now < t.ejectedUntil }
+func (o *Outcomes) IsEjected(now clock.Instant) bool { return now < o.ejectedUntil }
 
-// OnTrial reports whether the worker may receive only one repeatable request at a time.
-func (t *Outcomes) OnTrial(now clock.Instant) bool {
-	return t.trial && now >= t.ejectedUntil && now < t.trialEnd
+// OnTrial reports whether the worker may receive only one retryable request at a time.
+func (o *Outcomes) OnTrial(now clock.Instant) bool {
+	return o.trial && now >= o.ejectedUntil && now < o.trialEnd
 }
 
 // MedianFailureRate returns the median failure rate of a service's workers.
@@ -200,7 +201,7 @@
 	duration := constants.EjectFor << outcomes.level
 	outcomes.level = min(outcomes.level+1, constants.EjectLevels)
 	outcomes.ejectedUntil, outcomes.trial, outcomes.trialsLeft = now.Add(duration), true, outcomes.level
-	// A service that receives no repeatable requests has no trials, so a trial also ends by time.
+	// A service that receives no retryable requests has no trials, so a trial also ends by time.
 	outcomes.trialEnd = outcomes.ejectedUntil.Add(2 * duration)
 	t.outcomes.ejected[worker] = outcomes
 	return duration
--- a/internal/traffic/loadgossip/peers.go
+++ b/internal/traffic/loadgossip/peers.go
@@ -27,10 +27,10 @@
 }
 
 // Neighbours returns the nodes that a process notifies: its successors in fanout hash rings, where
-// each process has a position by a hash of its name. Further rings, up to 4*fanout in all, are used
-// if some successors are the same node. Each process is thus notified by as many as it
-// notifies, no process needs a complete list, and a process that joins or leaves changes only the
-// neighbours next to it.
+// the position of a process is a hash of its name. Further rings, up to 4*fanout in all, are used if
+// some successors are the same node. Each process is thus notified by about as many processes as it
+// notifies, no process needs a complete list, and a process that joins or leaves changes the
+// neighbours only of the processes before it in the rings.
 func Neighbours(own messages.NodeInfo, nodes []messages.NodeInfo, fanout int) []messages.NodeInfo {
 	hashes := make([]uint64, len(nodes))
 	for position := range nodes {
@@ -72,8 +72,8 @@
 	gossipPeers, gatewayPeers, prefillPeers []messages.NodeInfo
 }
 
-// selectPeers selects the set from the known nodes. No other function depends on how neighbours are
-// selected.
+// selectPeers selects the peers to notify from the known nodes. No other function depends on how they
+// are selected.
 func selectPeers(own messages.NodeInfo, known []messages.NodeInfo) peerSet {
 	selected := peerSet{}
 	for _, node := range known {
@@ -131,18 +131,18 @@
 
 // zoneSize returns the number of gateways and stores in this process's zone: the number known to
 // this process, or the mean over all zones if that is larger.
-func (c *peerSet) zoneSize() int {
-	return max(len(c.sameZone)+1, c.population/(len(c.byZone)+1))
+func (p *peerSet) zoneSize() int {
+	return max(len(p.sameZone)+1, p.population/(len(p.byZone)+1))
 }
 
 // pickOtherZone picks at random whether this process notifies a node of another zone in this period,
 // and which one. On average each zone notifies each other zone about once per period, however many
 // processes it has.
-func (c *peerSet) pickOtherZone(random func() float64) (messages.NodeInfo, bool) {
-	if len(c.byZone) == 0 || random() >= float64(len(c.byZone))/float64(c.zoneSize()) {
+func (p *peerSet) pickOtherZone(random func() float64) (messages.NodeInfo, bool) {
+	if len(p.byZone) == 0 || random() >= float64(len(p.byZone))/float64(p.zoneSize()) {
 		return messages.NodeInfo{}, false
 	}
-	others := c.byZone[int(random()*float64(len(c.byZone)))]
+	others := p.byZone[int(random()*float64(len(p.byZone)))]
 	return others[int(random()*float64(len(others)))], true
 }
 
