--- a/internal/control/agent/agent.go
+++ b/internal/control/agent/agent.go
@@ -91,7 +91,7 @@
 }
 
 // Live returns the processes of a role, or of all roles if it is empty, that were in contact within
-// constants.SuspectAfter.
+// constants.SuspectAfter; see membership.View.Live.
 func (a *Agent) Live(role string) []messages.NodeInfo {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -106,16 +106,17 @@
 }
 
 // Neighbours returns up to count live processes of a role. The selection is stable while they are
-// live: one process in another zone if there is one, the rest in this zone as far as it has
-// enough.
+// live: one process in another zone if there is one, and the rest in this zone. More processes of
+// other zones are included only if this zone has too few.
 func (a *Agent) Neighbours(role string, count int) []messages.NodeInfo {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	return a.view.Neighbours(role, count, clock.Now())
 }
 
-// Population returns the number of live processes of a role in the fleet, including this one: counted
-// in the view if this process is a controller, otherwise as a controller last reported it.
+// Population returns the number of live processes of a role in the fleet, including this one: the
+// number that a controller last reported, or the number in the view if there is no such report or
+// this process is a controller.
 func (a *Agent) Population(role string) int {
 	a.lock.Lock()
 	defer a.lock.Unlock()
--- a/internal/control/agent/reports.go
+++ b/internal/control/agent/reports.go
@@ -97,8 +97,8 @@
 }
 
 // secondReport makes the brief report to a second controller. The controller is selected at random each
-// time, so that neither this process's sign of life nor the updates that it receives depend on a
-// single controller.
+// time, so that neither the other processes' view of this process as live nor the updates that it
+// receives depend on a single controller.
 func (a *Agent) secondReport() {
 	a.lock.Lock()
 	controllers := a.view.SecondControllers(a.reporter.firstController, clock.Now())
--- a/internal/control/lease/lease.go
+++ b/internal/control/lease/lease.go
@@ -7,7 +7,7 @@
 // that keeps acting after its lease has expired is fenced by the epoch in the register.
 //
 // At most one candidate has the grants of a majority at a time. An acceptor grants the lease to no
-// other candidate before its previous grant has expired by its own steady clock. The holder counts
+// other candidate before its previous grant has expired by its own monotonic clock. The holder counts
 // its lease from before it sent the request and ends it constants.LeaseSafetyMargin early. An
 // acceptor that was restarted has lost its grants, and grants nothing until they must have expired.
 package lease
--- a/internal/control/register/archive.go
+++ b/internal/control/register/archive.go
@@ -118,16 +118,16 @@
 // Forget drops the chunks that are older than constants.ArchiveDays, and reports whether there were
 // any.
 func (a *Archive) Forget(day int64) bool {
-	retained := 0
-	for retained < len(a.chunks) && a.chunks[retained].Day+constants.ArchiveDays < day {
-		retained++
+	expired := 0
+	for expired < len(a.chunks) && a.chunks[expired].Day+constants.ArchiveDays < day {
+		expired++
 	}
-	if retained == 0 {
+	if expired == 0 {
 		return false
 	}
-	a.base = a.chunks[retained-1]
+	a.base = a.chunks[expired-1]
 	a.base.Fingerprints = nil
-	a.chunks = append([]messages.ArchiveChunk{}, a.chunks[retained:]...)
+	a.chunks = append([]messages.ArchiveChunk{}, a.chunks[expired:]...)
 	return true
 }
 
--- a/internal/control/register/proposal.go
+++ b/internal/control/register/proposal.go
@@ -141,10 +141,10 @@
 	return sends
 }
 
-// initialValue returns the first set, for a quorum in which no member has accepted a value. The
-// known sets may be those of a joint set that was accepted somewhere and never chosen; its new set
-// is ignored then. A quorum of sets of a later epoch cannot miss the chosen value they are based
-// on.
+// initialValue returns the register with its first set, which is in force if no member of a quorum
+// has accepted a value. The known sets may be those of a joint set that some member accepted and
+// that was never chosen; its new set is ignored then. Sets of a later epoch are based on a chosen
+// value, which a quorum of them cannot miss, so possible is false for them.
 func initialValue(known *messages.RegisterValue) (initial messages.RegisterValue, possible bool) {
 	switch {
 	case known.SetEpoch == 0:
@@ -170,8 +170,8 @@
 	return Quorum(value, accepted)
 }
 
-// FinishedOther reports whether a proposal that is done only completed the change of another
-// proposer; its own change has to be proposed again.
+// FinishedOther reports whether a proposal that is done only completed an earlier value; its own
+// change has to be proposed again.
 func (p *Proposal) FinishedOther() bool { return p.finishedOther }
 
 // HandleAcceptResponse handles a response of the second round.
--- a/internal/control/register/reconcile.go
+++ b/internal/control/register/reconcile.go
@@ -24,43 +24,43 @@
 
 // NextChange returns the change of the set that this process should propose, or nil. Each process
 // proposes only itself, and one change at a time.
-func (t SetReconciler) NextChange(known messages.RegisterValue) Change {
+func (r SetReconciler) NextChange(known messages.RegisterValue) Change {
 	if len(known.Acceptors) == 0 {
 		return nil
 	}
 	if len(known.Previous) > 0 {
-		if t.JointRecent && !isJoiner(&known, t.Own) {
+		if r.JointRecent && !isJoiner(&known, r.Own) {
 			return nil
 		}
 		// A set change was left incomplete.
 		return EndJoint
 	}
-	if !t.Votes {
+	if !r.Votes {
 		return nil
 	}
 	var diskless *messages.Member
 	for index := range known.Acceptors {
 		member := known.Acceptors[index]
-		if Identity(member) == Identity(t.Own) {
+		if Identity(member) == Identity(r.Own) {
 			return nil
 		}
-		if member.Address == t.Own.Address {
+		if member.Address == r.Own.Address {
 			// This machine had another disk before; that member has lost its votes.
-			return Join(t.Own, &member, t.Size)
+			return Join(r.Own, &member, r.Size)
 		}
-		if diskless == nil && t.Diskless != nil && t.Diskless(member) {
+		if diskless == nil && r.Diskless != nil && r.Diskless(member) {
 			diskless = &member
 		}
 	}
 	if diskless != nil {
-		return Join(t.Own, diskless, t.Size)
+		return Join(r.Own, diskless, r.Size)
 	}
-	if len(known.Acceptors) < t.Size {
-		return Join(t.Own, nil, t.Size)
+	if len(known.Acceptors) < r.Size {
+		return Join(r.Own, nil, r.Size)
 	}
 	for index := range known.Acceptors {
-		if member := known.Acceptors[index]; t.Departed(member) {
-			return Join(t.Own, &member, t.Size)
+		if member := known.Acceptors[index]; r.Departed(member) {
+			return Join(r.Own, &member, r.Size)
 		}
 	}
 	return nil
--- a/internal/control/registerserver/archive.go
+++ b/internal/control/registerserver/archive.go
@@ -129,7 +129,7 @@
 	return a.state.LastChunk()
 }
 
-// fill adds chunks that another acceptor returned, and syncs them.
+// fill adds chunks that another acceptor returned and syncs them. It reports whether both succeeded.
 func (a *archive) fill(head messages.ArchiveHead, chunks []messages.ArchiveChunk) bool {
 	a.writing.Lock()
 	defer a.writing.Unlock()
@@ -161,7 +161,8 @@
 }
 
 // pullArchive requests the missing chunks from one acceptor: first those after its own last chunk,
-// then all of them, because its own chunks may belong to a value that was never chosen.
+// then all of them, because its own chunks may belong to a value that was never chosen. It reports
+// whether the archive is then complete for the value.
 func (r *Replica) pullArchive(member messages.Member, value *messages.RegisterValue) bool {
 	for _, after := range []uint64{r.archive.lastChunk(), 0} {
 		for {
