--- a/internal/control/agent/assignments_test.go
+++ b/internal/control/agent/assignments_test.go
@@ -31,7 +31,8 @@
 		revision = step.has
 		node.pullPlan("controller:1")
 		if plan := node.Assigned(); plan.Revision != step.want || len(plan.Placements) != 1 || requester != "n" {
-			t.Fatalf("controller has revision %d: %+v", step.has, plan)
+			t.Fatalf("controller has revision %d, request of node %q: assigned %+v, want one placement of revision %d for n",
+				step.has, requester, plan, step.want)
 		}
 	}
 	before := pulls
@@ -39,14 +40,14 @@
 		node.observePlan(observed, "controller:1")
 	}
 	if node.plan.pulling || pulls != before {
-		t.Fatal("pulled a revision that is not newer")
+		t.Fatalf("pulled a revision that is not newer: %d pulls, want %d; pulling %v", pulls, before, node.plan.pulling)
 	}
 	if rows := node.reportAssigned().Rows; len(rows) != 1 || rows[0][0] != "5" {
-		t.Fatal(rows)
+		t.Fatalf("status rows %v, want one row of revision 5", rows)
 	}
 	network.SetPartitioned("controller:1", true)
 	node.pullPlan("controller:1")
 	if node.Assigned().Revision != 5 {
-		t.Fatal("a failed pull changed the assignments")
+		t.Fatal("a failed pull changed the assignments, want revision 5 still")
 	}
 }
--- a/internal/control/configserver/sharedread_test.go
+++ b/internal/control/configserver/sharedread_test.go
@@ -9,8 +9,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// Concurrent callers share a read, and no caller receives a value that was read before its call. Otherwise a
-// caller that arrives while a read is in flight could get a value older than its request.
+// Concurrent callers share a read, and no caller receives a value that was read before its call.
+// Otherwise a caller that arrives while a read is in flight could get a value older than its request.
 func TestReadsAreSharedButNeverOlderThanTheRequest(t *testing.T) {
 	const rounds, callers = 50, 20
 	var shared sharedRead
@@ -55,6 +55,6 @@
 	release <- struct{}{}
 	group.Wait()
 	if reads.Load() != rounds+1 {
-		t.Fatalf("got %d reads for %d callers, want one per round and the first", reads.Load(), rounds*callers+1)
+		t.Fatalf("got %d reads for %d callers, want %d: one per round and the first", reads.Load(), rounds*callers+1, rounds+1)
 	}
 }
--- a/internal/control/contact/contact_test.go
+++ b/internal/control/contact/contact_test.go
@@ -41,11 +41,11 @@
 
 // propose has the next value accepted: a new configuration, or a set in which one member is
 // replaced, by way of a joint set. The value is acknowledged once majorities have accepted it.
-func (p *contactSimulation) propose() {
-	last := p.sets[len(p.sets)-1]
+func (s *contactSimulation) propose() {
+	last := s.sets[len(s.sets)-1]
 	value := contact.Versions{SetEpoch: last.SetEpoch}
-	if count := len(p.history); count > 0 {
-		value = p.history[count-1].value
+	if count := len(s.history); count > 0 {
+		value = s.history[count-1].value
 	}
 	value.SetEpoch = last.SetEpoch
 	next := last
@@ -53,7 +53,7 @@
 	case len(last.Previous) > 0:
 		next.Previous = nil
 		value.SetEpoch++
-	case p.Random.Intn(4) == 0:
+	case s.Random.Intn(4) == 0:
 		next.Previous = last.Acceptors
 		next.Acceptors = append(append([]messages.Member(nil), last.Acceptors[1:]...), member(100+int(last.SetEpoch)))
 		value.SetEpoch++
@@ -63,62 +63,62 @@
 	next.SetEpoch = value.SetEpoch
 	responded := map[string]bool{}
 	targets := register.Targets(&next)
-	for _, i := range p.Random.Perm(len(targets)) {
-		if register.Quorum(&next, responded) && p.Random.Intn(2) == 0 {
+	for _, i := range s.Random.Perm(len(targets)) {
+		if register.Quorum(&next, responded) && s.Random.Intn(2) == 0 {
 			continue
 		}
-		p.accepted[register.Identity(targets[i])] = value
+		s.accepted[register.Identity(targets[i])] = value
 		responded[register.Identity(targets[i])] = true
 	}
-	p.sets = append(p.sets, next)
-	p.history = append(p.history, acknowledgment{p.Now, value})
+	s.sets = append(s.sets, next)
+	s.history = append(s.history, acknowledgment{s.Now, value})
 }
 
 // round sends a request to every acceptor of the sets that the process follows.
-func (p *contactSimulation) round() {
-	sentAt := p.Now
-	known := p.known()
+func (s *contactSimulation) round() {
+	sentAt := s.Now
+	known := s.known()
 	for _, target := range register.Targets(&known) {
-		p.Send("process", target.Address, func() {
-			accepted := p.accepted[register.Identity(target)]
-			p.Send(target.Address, "process", func() {
-				p.lease.Observe(target, sentAt, accepted, p.followed)
+		s.Send("process", target.Address, func() {
+			accepted := s.accepted[register.Identity(target)]
+			s.Send(target.Address, "process", func() {
+				s.lease.Observe(target, sentAt, accepted, s.followed)
 			})
 		})
 	}
 }
 
-func (p *contactSimulation) known() messages.RegisterValue {
-	for _, sets := range p.sets {
-		if sets.SetEpoch == p.followed.SetEpoch {
+func (s *contactSimulation) known() messages.RegisterValue {
+	for _, sets := range s.sets {
+		if sets.SetEpoch == s.followed.SetEpoch {
 			return sets
 		}
 	}
-	p.test.Fatalf("seed %d: unknown epoch %d", p.seed, p.followed.SetEpoch)
+	s.test.Fatalf("seed %d: the process follows epoch %d, which no set has", s.seed, s.followed.SetEpoch)
 	return messages.RegisterValue{}
 }
 
 // check verifies the invariant: while the lease is valid, every value that was acknowledged at
 // least constants.ContactLease ago is followed.
-func (p *contactSimulation) check() {
-	known := p.known()
-	if !p.lease.Valid(&known, p.Now) {
-		p.invalidCount++
+func (s *contactSimulation) check() {
+	known := s.known()
+	if !s.lease.Valid(&known, s.Now) {
+		s.invalidCount++
 		return
 	}
-	p.validCount++
-	for _, earlier := range p.history {
-		leaseElapsed := p.Now.Sub(earlier.at) >= constants.ContactLease
-		if leaseElapsed && (earlier.value.Generation > p.followed.Generation || earlier.value.SetEpoch > p.followed.SetEpoch) {
-			p.test.Fatalf("seed %d: valid at %v, follows %+v, %+v was acknowledged at %v", p.seed, p.Now, p.followed, earlier.value, earlier.at)
+	s.validCount++
+	for _, earlier := range s.history {
+		leaseElapsed := s.Now.Sub(earlier.at) >= constants.ContactLease
+		if leaseElapsed && (earlier.value.Generation > s.followed.Generation || earlier.value.SetEpoch > s.followed.SetEpoch) {
+			s.test.Fatalf("seed %d: the lease is valid at %v, but the process follows %+v, and %+v was acknowledged at %v", s.seed, s.Now, s.followed, earlier.value, earlier.at)
 		}
 	}
 }
 
-func (p *contactSimulation) every(period clock.Duration, function func()) {
-	p.After(clock.Duration(p.Random.Int63n(int64(period))), func() {
+func (s *contactSimulation) every(period clock.Duration, function func()) {
+	s.After(clock.Duration(s.Random.Int63n(int64(period))), func() {
 		function()
-		p.every(period, function)
+		s.every(period, function)
 	})
 }
 
@@ -132,35 +132,35 @@
 	}
 	valid, invalid := 0, 0
 	for seed := int64(1); seed <= int64(seeds); seed++ {
-		p := &contactSimulation{World: simulation.NewWorld(seed), test: t, seed: seed, accepted: map[string]contact.Versions{}, lease: contact.New()}
+		s := &contactSimulation{World: simulation.NewWorld(seed), test: t, seed: seed, accepted: map[string]contact.Versions{}, lease: contact.New()}
 		first := messages.RegisterValue{SetEpoch: 1}
-		for i := 0; i < 3+2*p.Random.Intn(2); i++ {
+		for i := 0; i < 3+2*s.Random.Intn(2); i++ {
 			first.Acceptors = append(first.Acceptors, member(i))
 		}
-		p.sets, p.followed = []messages.RegisterValue{first}, contact.Versions{SetEpoch: 1}
-		p.LossProbability, p.DuplicateProbability = 0.1*p.Random.Float64(), 0.05
-		p.every(constants.ContactPeriod, p.round)
-		p.every(2*constants.ContactPeriod, p.propose)
-		p.every(50_000_000, p.check)
+		s.sets, s.followed = []messages.RegisterValue{first}, contact.Versions{SetEpoch: 1}
+		s.LossProbability, s.DuplicateProbability = 0.1*s.Random.Float64(), 0.05
+		s.every(constants.ContactPeriod, s.round)
+		s.every(2*constants.ContactPeriod, s.propose)
+		s.every(50_000_000, s.check)
 		// The process catches up from time to time, and is partitioned from some acceptors for a
 		// while.
-		p.every(3*constants.ContactPeriod, func() {
-			if count := len(p.history); count > 0 && p.Random.Intn(3) > 0 {
-				p.followed = p.history[count-1].value
+		s.every(3*constants.ContactPeriod, func() {
+			if count := len(s.history); count > 0 && s.Random.Intn(3) > 0 {
+				s.followed = s.history[count-1].value
 			}
 		})
-		p.every(4*constants.ContactPeriod, func() {
-			known := p.known()
+		s.every(4*constants.ContactPeriod, func() {
+			known := s.known()
 			for _, target := range known.Acceptors {
-				p.SetPartitioned("process", target.Address, p.Random.Intn(3) == 0)
-				p.SetPartitioned(target.Address, "process", p.Random.Intn(3) == 0)
+				s.SetPartitioned("process", target.Address, s.Random.Intn(3) == 0)
+				s.SetPartitioned(target.Address, "process", s.Random.Intn(3) == 0)
 			}
 		})
-		p.Run(clock.Instant(0).Add(40 * constants.ContactLease))
-		valid, invalid = valid+p.validCount, invalid+p.invalidCount
+		s.Run(clock.Instant(0).Add(40 * constants.ContactLease))
+		valid, invalid = valid+s.validCount, invalid+s.invalidCount
 	}
 	if valid == 0 || invalid == 0 {
-		t.Fatalf("valid %d times, not valid %d times", valid, invalid)
+		t.Fatalf("valid %d times, not valid %d times, want both at least once", valid, invalid)
 	}
 	t.Logf("valid %d times, not valid %d times", valid, invalid)
 }
--- a/internal/control/lease/lease_test.go
+++ b/internal/control/lease/lease_test.go
@@ -34,15 +34,15 @@
 	}
 	// The holder itself may continue, because no other candidate can have the lease.
 	if !grantor.Grant(messages.LeaseRequest{Candidate: "a", Incarnation: 1, Epoch: 1}, leadership, 11).Granted {
-		t.Fatal("the holder was refused")
+		t.Fatal("the holder's request was rejected")
 	}
 }
 
-func TestOldIncarnationAndOldEpochAreRefused(t *testing.T) {
+func TestOldIncarnationAndOldEpochAreRejected(t *testing.T) {
 	grantor := NewGrantor(0, true)
 	leadership := messages.Leadership{Holder: "a", Incarnation: 2, Epoch: 5}
 	if !grantor.Grant(messages.LeaseRequest{Candidate: "a", Incarnation: 2, Epoch: 5}, leadership, 1).Granted {
-		t.Fatal("the holder was refused")
+		t.Fatal("the holder's request was rejected")
 	}
 	if grantor.Grant(messages.LeaseRequest{Candidate: "a", Incarnation: 1, Epoch: 5}, leadership, 2).Granted {
 		t.Fatal("granted to an older incarnation")
--- a/internal/control/lease/simulation_test.go
+++ b/internal/control/lease/simulation_test.go
@@ -112,6 +112,6 @@
 		changes += c.changes
 	}
 	if changes < 160 {
-		t.Fatal(fmt.Sprint("the leadership changed only ", changes, " times"))
+		t.Fatal(fmt.Sprint("the leadership changed only ", changes, " times, want at least 160"))
 	}
 }
--- a/internal/control/register/archive_test.go
+++ b/internal/control/register/archive_test.go
@@ -77,7 +77,7 @@
 	_, _ = register.Replace(version, nil, &result)(a.value)
 	if result != register.ResultNeedsArchive {
 		if result.InForce() != committed {
-			rt.Fatalf("the value has status %d for %v, committed %v", result, version, committed)
+			rt.Fatalf("Replace on the value returned result %d for %v, but committed is %v", result, version, committed)
 		}
 		return
 	}
@@ -188,7 +188,7 @@
 		}
 		t.Logf("%d changes: the value without its body %d bytes, the whole archive %d bytes", changes, len(message), pulled)
 		if len(message) > 4000 || pulled > 64+12*changes {
-			t.Fatalf("%d changes: value %d bytes, archive %d bytes", changes, len(message), pulled)
+			t.Fatalf("%d changes: value %d bytes, want at most 4000; archive %d bytes, want at most %d", changes, len(message), pulled, 64+12*changes)
 		}
 		if !archives.fill(1, 0) {
 			t.Fatalf("%d changes: an empty archive was not filled", changes)
--- a/internal/control/register/budget_test.go
+++ b/internal/control/register/budget_test.go
@@ -82,9 +82,10 @@
 			injected = false
 			fleet.replaceUntilAcknowledged(generation, generation-1)
 			if !fleet.runUntil(clock.Milliseconds(budgetRecover), func() bool { return fleet.acked[generation] != "" }) {
-				t.Fatalf("seed %d: version %d not acknowledged after %v", seed, generation, fleet.world.Now.Sub(start))
+				t.Fatalf("seed %d: version %d not acknowledged within %d ms, %v after the start", seed, generation, budgetRecover, fleet.world.Now.Sub(start))
 			}
-			// The next change must be committed within the recovery time.
+			// After 1,800 ms, every process that the fault stopped and that keeps its machine has been
+			// restarted. A read that succeeds then must not miss the acknowledged version.
 			fleet.world.Run(fleet.world.Now.Add(clock.Milliseconds(1800)))
 			names := simulation.Keys(fleet.controllers)
 			if found := fleet.newest(names[fleet.world.Random.Intn(len(names))]); found >= 0 && found < generation {
@@ -105,12 +106,12 @@
 		fleet := newGrowingFleet(t, seed)
 		fleet.maxSyncMs = 30
 		if !fleet.runUntil(clock.Milliseconds(8000), fleet.complete) {
-			t.Fatalf("seed %d: set not complete after %v", seed, fleet.world.Now)
+			t.Fatalf("seed %d: set not complete after %v, want at most 8 s", seed, clock.Duration(fleet.world.Now))
 		}
 		fleet.world.Run(fleet.world.Now.Add(clock.Milliseconds(10_000)))
 		for _, name := range simulation.Keys(fleet.controllers) {
 			if count := len(fleet.controllers[name].known.Acceptors); count > budgetSize {
-				t.Fatalf("seed %d: the set has %d members, too many", seed, count)
+				t.Fatalf("seed %d: %s knows a set of %d members, want at most %d", seed, name, count, budgetSize)
 			}
 		}
 	}
--- a/internal/control/register/contention_test.go
+++ b/internal/control/register/contention_test.go
@@ -34,8 +34,8 @@
 	return last.Sub(start), f.attempts - before
 }
 
-// Eight changes at once through eight processes, on disks that sync at once and on slow ones: every
-// proposer completes within the timeout of one change.
+// Eight concurrent changes through eight processes, on disks that sync without delay and on slow
+// ones: every proposer completes within the timeout of one change.
 func TestEightConcurrentProposersAllComplete(t *testing.T) {
 	for _, maxSyncMs := range []float64{0, 10, 30, 60} {
 		var longest, total clock.Duration
@@ -56,7 +56,7 @@
 		t.Logf("sync up to %v ms: %d bursts, mean %v, longest %v, attempts mean %.1f, most %d", maxSyncMs, bursts,
 			total/clock.Duration(bursts), longest, float64(attempts)/float64(bursts), maxAttempts)
 		if longest > constants.RegisterTimeout {
-			t.Errorf("a burst took %v, more than the timeout of one change", longest)
+			t.Errorf("sync up to %v ms: a burst took %v, want at most the timeout of one change, %v", maxSyncMs, longest, constants.RegisterTimeout)
 		}
 	}
 }
--- a/internal/control/register/drive_test.go
+++ b/internal/control/register/drive_test.go
@@ -56,73 +56,73 @@
 }
 
 // crashed reports whether the incarnation that made the attempt has ended.
-func (t *simulatedAttempt) crashed() bool { return t.node.down || t.incarnation != t.node.incarnation }
+func (a *simulatedAttempt) crashed() bool { return a.node.down || a.incarnation != a.node.incarnation }
 
 // finish handles the stage that the proposal has reached.
-func (t *simulatedAttempt) finish(attempts, failures int, callback func(value messages.RegisterValue, done bool)) {
-	if t.finished || t.crashed() {
+func (a *simulatedAttempt) finish(attempts, failures int, callback func(value messages.RegisterValue, done bool)) {
+	if a.finished || a.crashed() {
 		return
 	}
-	node, proposal := t.node, t.proposal
+	node, proposal := a.node, a.proposal
 	switch proposal.Stage() {
 	case register.StageDone:
-		t.finished = true
+		a.finished = true
 		node.observeChosen(proposal.Value())
-		if t.onChosen != nil {
-			t.onChosen(proposal.Value())
+		if a.onChosen != nil {
+			a.onChosen(proposal.Value())
 		}
 		if proposal.FinishedOther() {
-			t.propose(t.from, proposal.Value(), t.change, attempts-1, failures, callback)
+			a.propose(a.from, proposal.Value(), a.change, attempts-1, failures, callback)
 			return
 		}
 		callback(proposal.Value(), true)
 	case register.StageLost:
-		t.finished = true
+		a.finished = true
 		node.counter = max(node.counter, proposal.Highest().Counter)
-		known := t.known
+		known := a.known
 		if newer := proposal.Newer(); newer != nil {
 			known = *newer
 		}
-		t.world.After(register.Backoff(failures+1, t.world.Now.Sub(t.startedAt), t.world.Random.Float64()), func() {
-			if t.crashed() {
+		a.world.After(register.Backoff(failures+1, a.world.Now.Sub(a.startedAt), a.world.Random.Float64()), func() {
+			if a.crashed() {
 				return
 			}
-			t.quickRead(t.from, t.change, func(value messages.RegisterValue, decided bool) {
+			a.quickRead(a.from, a.change, func(value messages.RegisterValue, decided bool) {
 				if decided {
 					callback(value, true)
 					return
 				}
-				t.propose(t.from, known, t.change, attempts-1, failures+1, callback)
+				a.propose(a.from, known, a.change, attempts-1, failures+1, callback)
 			})
 		})
 	}
 }
 
 // send delivers messages to their members and the responses back.
-func (t *simulatedAttempt) send(list []register.Send, finish func()) {
-	fleet := t.fleet
+func (a *simulatedAttempt) send(list []register.Send, finish func()) {
+	fleet := a.fleet
 	if len(list) > 0 && list[0].Accept != nil && fleet.world.Random.Float64() < fleet.crashProbability {
 		// The proposer crashes after it decided on the second round, and only some members receive
 		// it.
 		list = list[:fleet.world.Random.Intn(len(list))]
-		fleet.world.After(0, func() { fleet.restartLater(t.from) })
+		fleet.world.After(0, func() { fleet.restartLater(a.from) })
 	}
 	for _, message := range list {
 		target := fleet.controllers[message.Member.Address]
-		fleet.world.Send(t.from, message.Member.Address, func() {
+		fleet.world.Send(a.from, message.Member.Address, func() {
 			if target == nil || target.down || target.syncing.Sub(fleet.world.Now) > constants.VoteWaitMax {
 				return
 			}
 			if message.Prepare != nil {
 				resp, _ := target.acceptor.Prepare(message.Prepare)
-				fleet.respondAfterSync(target, t.from, func() { t.handlePromise(message.Member, resp, finish) })
+				fleet.respondAfterSync(target, a.from, func() { a.handlePromise(message.Member, resp, finish) })
 				return
 			}
 			fleet.extendArchive(target, &message.Accept.Value)
 			resp, _ := target.acceptor.Accept(message.Accept)
-			fleet.respondAfterSync(target, t.from, func() {
-				if !t.finished && !t.crashed() {
-					t.proposal.HandleAcceptResponse(message.Member, resp)
+			fleet.respondAfterSync(target, a.from, func() {
+				if !a.finished && !a.crashed() {
+					a.proposal.HandleAcceptResponse(message.Member, resp)
 					finish()
 				}
 			})
@@ -130,9 +130,9 @@
 	}
 }
 
-func (t *simulatedAttempt) handlePromise(member messages.Member, resp messages.PrepareResponse, finish func()) {
-	if !t.finished && !t.crashed() {
-		t.send(t.proposal.HandlePrepareResponse(member, resp), finish)
+func (a *simulatedAttempt) handlePromise(member messages.Member, resp messages.PrepareResponse, finish func()) {
+	if !a.finished && !a.crashed() {
+		a.send(a.proposal.HandlePrepareResponse(member, resp), finish)
 		finish()
 	}
 }
--- a/internal/control/register/faults_test.go
+++ b/internal/control/register/faults_test.go
@@ -38,7 +38,7 @@
 			}
 		}
 		if len(fleet.acked) < 4 {
-			t.Fatalf("seed %d: only %d versions were acknowledged", seed, len(fleet.acked))
+			t.Fatalf("seed %d: only %d versions were acknowledged, want at least 4", seed, len(fleet.acked))
 		}
 	}
 }
@@ -55,7 +55,7 @@
 		return fleet.world.HistoryHash()
 	}
 	if first, second := sum(), sum(); first != second {
-		t.Fatal("the same seed produced two different histories")
+		t.Fatalf("the same seed produced two histories, with hashes %x and %x", first, second)
 	}
 }
 
@@ -94,7 +94,7 @@
 	fleet.change("a", register.EndJoint, 10, func(value messages.RegisterValue, done bool) { ended = done && len(value.Previous) == 0 })
 	fleet.world.Run(fleet.world.Now.Add(clock.Milliseconds(4000)))
 	if !joined || !ended {
-		t.Fatal("the joiner did not join")
+		t.Fatalf("replacing the old identity: joined %v, joint set ended %v, want both", joined, ended)
 	}
 	fleet.controllers["b"].down = true
 	if found := fleet.newest("c"); found != 5 {
@@ -149,11 +149,11 @@
 		acked += len(fleet.acked)
 	}
 	if acked < 500 {
-		t.Fatalf("only %d versions were acknowledged", acked)
+		t.Fatalf("only %d versions were acknowledged, want at least 500", acked)
 	}
 }
 
-// The steps behind TestRestartedProposerUsesNoBallotTwice: d sent X under a ballot that a and b had
+// A history that TestRestartedProposerUsesNoBallotTwice guards against, step by step: d sent X under a ballot that a and b had
 // promised, and only a accepted it before d was killed. The new incarnation of d reached the same
 // counter through c, which did not know of that ballot, and had Y chosen by b and c. A read at a
 // and b must return Y.
@@ -186,7 +186,7 @@
 
 // Members join and replace each other while links are partitioned in one direction or both and
 // disks are slow. Acknowledged versions must remain.
-func TestSetChangesUnderCutsAndSlowDisks(t *testing.T) {
+func TestSetChangesUnderPartitionsAndSlowDisks(t *testing.T) {
 	joins := 0
 	for seed := int64(1); seed <= 80; seed++ {
 		fleet := newFleet(t, seed, "a", "b", "c")
--- a/internal/control/register/growingset_test.go
+++ b/internal/control/register/growingset_test.go
@@ -99,7 +99,7 @@
 }
 
 // read passes the value in force to a callback: by a quick read if that is decisive; otherwise, as
-// a change may be in progress, by a proposal in one of four cases.
+// a change may be in progress, by a proposal with a probability of 1/4, or not at all.
 func (g *growingFleet) read(name string, read func(value messages.RegisterValue)) {
 	g.quickRead(name, register.ReadOnly, func(value messages.RegisterValue, decided bool) {
 		node := g.controllers[name]
--- a/internal/control/register/operators_test.go
+++ b/internal/control/register/operators_test.go
@@ -212,15 +212,15 @@
 		}
 		operators.injectFaults()
 		operators.world.Run(clock.Instant(clock.Milliseconds(60_000)))
-		for _, respond := range operators.observations {
-			inForce := operators.byGeneration[respond.version.Generation] == respond.version
-			if respond.status == acknowledged && !inForce {
-				t.Fatalf("seed %d: acknowledged but not in the history: %v", seed, respond)
+		for _, observed := range operators.observations {
+			inForce := operators.byGeneration[observed.version.Generation] == observed.version
+			if observed.status == acknowledged && !inForce {
+				t.Fatalf("seed %d: acknowledged but not in the history: %v", seed, observed)
 			}
-			if respond.status == rejected && inForce {
-				t.Fatalf("seed %d: rejected but in the history: %v", seed, respond)
+			if observed.status == rejected && inForce {
+				t.Fatalf("seed %d: rejected but in the history: %v", seed, observed)
 			}
-			total[fmt.Sprint("status ", respond.status)]++
+			total[fmt.Sprint("status ", observed.status)]++
 		}
 		total["versions"] += len(operators.byGeneration)
 		for _, key := range simulation.Keys(operators.counts) {
@@ -229,6 +229,6 @@
 	}
 	t.Log(total)
 	if total["versions"] < 30*simulation.Seeds(120) || total["archived"] < simulation.Seeds(120) {
-		t.Fatalf("too few versions or archive lookups: %v", total)
+		t.Fatalf("too few versions or archive lookups, want at least %d and %d: %v", 30*simulation.Seeds(120), simulation.Seeds(120), total)
 	}
 }
--- a/internal/control/register/repair_test.go
+++ b/internal/control/register/repair_test.go
@@ -14,66 +14,66 @@
 // the moment at which a change of the set is chosen.
 type repairFleet struct {
 	*growingFleet
-	// lossPending is set until the second loss has occurred, which it does at a set with a later epoch
-	// than epoch.
+	// lossPending is set while the second loss is still to come. It occurs when a set with an epoch
+	// higher than epoch is chosen.
 	lossPending bool
 	epoch       uint64
 	losses      int
 }
 
 // handleChosen handles each chosen value.
-func (w *repairFleet) handleChosen(value messages.RegisterValue) {
-	if !w.lossPending || value.SetEpoch <= w.epoch {
+func (f *repairFleet) handleChosen(value messages.RegisterValue) {
+	if !f.lossPending || value.SetEpoch <= f.epoch {
 		return
 	}
-	if len(value.Previous) > 0 && w.world.Random.Intn(3) == 0 {
+	if len(value.Previous) > 0 && f.world.Random.Intn(3) == 0 {
 		// The loss occurs at the next step of the repair instead.
-		w.epoch = value.SetEpoch
+		f.epoch = value.SetEpoch
 		return
 	}
-	w.lossPending = false
-	name := w.pickMember(&value)
-	w.losses++
-	w.stop(name)
-	wiped := w.world.Random.Intn(2) == 0
-	w.world.After(clock.Milliseconds(300+1500*w.world.Random.Float64()), func() { w.start(name, wiped) })
+	f.lossPending = false
+	name := f.pickMember(&value)
+	f.losses++
+	f.stop(name)
+	wiped := f.world.Random.Intn(2) == 0
+	f.world.After(clock.Milliseconds(300+1500*f.world.Random.Float64()), func() { f.start(name, wiped) })
 }
 
 // pickMember returns the newest member in half of the cases, and a random live member otherwise.
-func (w *repairFleet) pickMember(value *messages.RegisterValue) string {
+func (f *repairFleet) pickMember(value *messages.RegisterValue) string {
 	var up []string
 	for _, member := range register.Targets(value) {
-		if node := w.controllers[member.Address]; node != nil && !node.down {
+		if node := f.controllers[member.Address]; node != nil && !node.down {
 			up = append(up, member.Address)
 		}
 	}
 	newest := value.Acceptors[len(value.Acceptors)-1].Address
-	if node := w.controllers[newest]; node != nil && !node.down && w.world.Random.Intn(2) == 0 {
+	if node := f.controllers[newest]; node != nil && !node.down && f.world.Random.Intn(2) == 0 {
 		return newest
 	}
-	return up[w.world.Random.Intn(len(up))]
+	return up[f.world.Random.Intn(len(up))]
 }
 
 // loseMember removes one member permanently, with its disk; an empty replacement is added.
-func (w *repairFleet) loseMember(value messages.RegisterValue) {
-	member := value.Acceptors[w.world.Random.Intn(len(value.Acceptors))]
-	w.stop(member.Address)
-	delete(w.controllers, member.Address)
-	w.replacements++
-	fresh := fmt.Sprint("fresh", w.replacements)
-	w.lossPending, w.epoch = true, value.SetEpoch
-	w.world.After(clock.Milliseconds(1500*w.world.Random.Float64()), func() {
+func (f *repairFleet) loseMember(value messages.RegisterValue) {
+	member := value.Acceptors[f.world.Random.Intn(len(value.Acceptors))]
+	f.stop(member.Address)
+	delete(f.controllers, member.Address)
+	f.replacements++
+	fresh := fmt.Sprint("fresh", f.replacements)
+	f.lossPending, f.epoch = true, value.SetEpoch
+	f.world.After(clock.Milliseconds(1500*f.world.Random.Float64()), func() {
 		record := messages.AcceptorRecord{Disk: fresh}
-		w.controllers[fresh] = &controller{member: messages.Member{Name: fresh, Address: fresh, Disk: fresh}, disk: record, acceptor: register.NewAcceptor(record)}
-		w.reconcile(fresh)
+		f.controllers[fresh] = &controller{member: messages.Member{Name: fresh, Address: fresh, Disk: fresh}, disk: record, acceptor: register.NewAcceptor(record)}
+		f.reconcile(fresh)
 	})
 }
 
 // newestSet returns the value with the newest set that any process knows to be chosen.
-func (w *repairFleet) newestSet() messages.RegisterValue {
+func (f *repairFleet) newestSet() messages.RegisterValue {
 	var newest messages.RegisterValue
-	for _, name := range simulation.Keys(w.controllers) {
-		if node := w.controllers[name]; node.chosen && node.known.SetEpoch >= newest.SetEpoch {
+	for _, name := range simulation.Keys(f.controllers) {
+		if node := f.controllers[name]; node.chosen && node.known.SetEpoch >= newest.SetEpoch {
 			newest = node.known
 		}
 	}
@@ -86,33 +86,33 @@
 func TestSecondLossAtEachStepOfARepair(t *testing.T) {
 	totalLosses := 0
 	for seed := int64(1); seed <= int64(simulation.Seeds(80)); seed++ {
-		w := &repairFleet{growingFleet: newGrowingFleet(t, seed)}
-		w.world.LossProbability, w.world.DuplicateProbability = 0.02, 0.02
-		w.maxSyncMs = float64(seed%3) * 15
-		w.onChosen = w.handleChosen
-		if !w.runUntil(clock.Milliseconds(20_000), w.complete) {
+		f := &repairFleet{growingFleet: newGrowingFleet(t, seed)}
+		f.world.LossProbability, f.world.DuplicateProbability = 0.02, 0.02
+		f.maxSyncMs = float64(seed%3) * 15
+		f.onChosen = f.handleChosen
+		if !f.runUntil(clock.Milliseconds(20_000), f.complete) {
 			t.Fatalf("seed %d: set not complete at the start", seed)
 		}
 		for generation := int64(1); generation <= 5; generation++ {
-			w.replaceUntilAcknowledged(generation, generation-1)
-			if !w.runUntil(clock.Milliseconds(budgetRecover), func() bool { return w.acked[generation] != "" }) {
-				t.Fatalf("seed %d: version %d not acknowledged", seed, generation)
+			f.replaceUntilAcknowledged(generation, generation-1)
+			if !f.runUntil(clock.Milliseconds(budgetRecover), func() bool { return f.acked[generation] != "" }) {
+				t.Fatalf("seed %d: version %d not acknowledged within %d ms", seed, generation, budgetRecover)
 			}
-			w.loseMember(w.newestSet())
-			if !w.runUntil(clock.Milliseconds(60_000), w.complete) {
+			f.loseMember(f.newestSet())
+			if !f.runUntil(clock.Milliseconds(60_000), f.complete) {
 				t.Fatalf("seed %d: set not complete a minute after a loss", seed)
 			}
 			// A step that no proposer saw complete caused no second loss.
-			w.lossPending = false
-			names := simulation.Keys(w.controllers)
-			if found := w.newest(names[w.world.Random.Intn(len(names))]); found >= 0 && found < generation {
+			f.lossPending = false
+			names := simulation.Keys(f.controllers)
+			if found := f.newest(names[f.world.Random.Intn(len(names))]); found >= 0 && found < generation {
 				t.Fatalf("seed %d: read generation %d, want at least %d", seed, found, generation)
 			}
 		}
-		totalLosses += w.losses
+		totalLosses += f.losses
 	}
 	if totalLosses < 4*simulation.Seeds(80) {
-		t.Fatalf("only %d second losses occurred", totalLosses)
+		t.Fatalf("only %d second losses occurred, want at least %d", totalLosses, 4*simulation.Seeds(80))
 	}
 }
 
--- a/internal/control/register/stores_test.go
+++ b/internal/control/register/stores_test.go
@@ -53,10 +53,10 @@
 				}
 			}
 			if len(value.Retired) > 0 && remaining < minimum {
-				rt.Fatalf("%d machines remain, want at least %d: result %d after retired %v", remaining, minimum, result, before.Retired)
+				rt.Fatalf("%d machines remain, want at least %d: result %d of retiring %s, retired before: %v", remaining, minimum, result, name, before.Retired)
 			}
 			if slices.Contains(before.Retired, name) != (result == register.ResultAlreadyApplied) {
-				rt.Fatalf("%s: result %d, retired before: %v", name, result, before.Retired)
+				rt.Fatalf("retiring %s: result %d, want ResultAlreadyApplied only for a machine retired before: %v", name, result, before.Retired)
 			}
 		}
 	})
--- a/internal/control/register/storesequence_test.go
+++ b/internal/control/register/storesequence_test.go
@@ -45,7 +45,7 @@
 			value = next
 		}
 		if done != test.done || !register.SameMembers(value.Stores, test.set) {
-			t.Errorf("%s: done %v, set %v", test.name, done, value.Stores)
+			t.Errorf("%s: done %v, want %v; set %v, want %v", test.name, done, test.done, value.Stores, test.set)
 		}
 	}
 }
@@ -56,12 +56,12 @@
 	elected, done := messages.Leadership{Holder: "b"}, false
 	value, _ = register.Campaign(elected, 4, nil, &done)(value)
 	if !done || value.StoresSequence != 0 {
-		t.Fatal(done, value.StoresSequence)
+		t.Fatalf("campaign: done %v, want true; sequence %d, want 0", done, value.StoresSequence)
 	}
 	for _, stores := range [][]messages.Member{storesNamed("b"), storesNamed("a", "b")} {
 		value, _ = register.SetStores(value.Leadership, 0, stores, &done)(value)
 		if !done || !register.SameMembers(value.Stores, stores) {
-			t.Fatal("a change without a number had no effect", value.Stores)
+			t.Fatalf("a change without a number: done %v, want true; set %v, want %v", done, value.Stores, stores)
 		}
 	}
 }
--- a/internal/control/registerserver/catchup_test.go
+++ b/internal/control/registerserver/catchup_test.go
@@ -111,7 +111,7 @@
 	base := int64(len(c.committed))
 	version := messages.Version{Generation: base + 1, Base: base, Hash: fmt.Sprintf("%064d", base)}
 	if result, err := c.replace(name, version, make([]byte, 1000)); err != nil || !result.InForce() {
-		c.test.Fatalf("change %d: %d %v", base, result, err)
+		c.test.Fatalf("change on base %d: result %d, error %v, want it in force", base, result, err)
 	}
 	c.committed = append(c.committed, version)
 }
@@ -151,14 +151,14 @@
 	before := cluster.received("c")
 	// A read at the restarted member must return the newest value, although its own state is old.
 	if value, err := retryUntilKnown(restarted.replica.Read); err != nil || value.Current.Generation != int64(changes)+1 {
-		t.Fatalf("after %d changes (own state is of generation %d) read generation %d: %v", changes, stale, value.Current.Generation, err)
+		t.Fatalf("after %d changes (own state is of generation %d) read generation %d, want %d; error %v", changes, stale, value.Current.Generation, changes+1, err)
 	}
 	cluster.change("c")
 	cluster.race()
 	// A change needs only a majority, so the restarted member may miss some of them.
 	for attempts := 0; restarted.replica.Record().Value.Current != cluster.committed[len(cluster.committed)-1]; attempts++ {
 		if attempts == 20 {
-			t.Fatalf("restarted member has %v, newest is %v", restarted.replica.Record().Value.Current, cluster.committed[len(cluster.committed)-1])
+			t.Fatalf("restarted member has %v after 20 more changes, newest is %v", restarted.replica.Record().Value.Current, cluster.committed[len(cluster.committed)-1])
 		}
 		cluster.change("c")
 	}
@@ -168,7 +168,7 @@
 		req := &messages.ArchiveRequest{Head: head, Generation: version.Generation, Fingerprint: register.Fingerprint(version)}
 		resp, err := restarted.replica.Prepare(&messages.PrepareRequest{Disk: "first", Query: true, WithoutBody: true, Archive: req})
 		if err != nil || resp.Archive.Status != messages.VersionCommitted {
-			t.Fatalf("the archive of the restarted member has status %d for %v: %v", resp.Archive.Status, version, err)
+			t.Fatalf("the archive of the restarted member has status %d for %v, want %d; error %v", resp.Archive.Status, version, messages.VersionCommitted, err)
 		}
 	}
 	for _, file := range []string{"register", "register-taken"} {
--- a/internal/control/registerserver/crash_test.go
+++ b/internal/control/registerserver/crash_test.go
@@ -33,51 +33,51 @@
 }
 
 // open reads the disk as a process does at its start.
-func (l *singleAcceptor) open() {
-	replica, err := registerserver.Open(l.disk, []messages.Member{soleMember}, soleMember.Disk)
+func (a *singleAcceptor) open() {
+	replica, err := registerserver.Open(a.disk, []messages.Member{soleMember}, soleMember.Disk)
 	if err != nil {
-		l.test.Fatalf("open after restart: %v", err)
+		a.test.Fatalf("open after restart: %v", err)
 	}
 	replica.Node = &agent.Agent{Runtime: &process.Runtime{Self: messages.NodeInfo{Name: soleMember.Name, Address: soleMember.Address}}}
-	l.replica = replica
-	l.incarnation++
+	a.replica = replica
+	a.incarnation++
 }
 
 // change runs a change through both rounds, up to the first disk error.
-func (l *singleAcceptor) change(change register.Change) (messages.RegisterValue, error) {
-	l.counter++
-	proposal, sends := register.NewProposal(register.NewBallot(l.counter, "a", soleMember.Disk, l.incarnation), l.replica.Known(), change)
-	promise, err := l.replica.Prepare(sends[0].Prepare)
+func (a *singleAcceptor) change(change register.Change) (messages.RegisterValue, error) {
+	a.counter++
+	proposal, sends := register.NewProposal(register.NewBallot(a.counter, "a", soleMember.Disk, a.incarnation), a.replica.Known(), change)
+	promise, err := a.replica.Prepare(sends[0].Prepare)
 	if err != nil {
 		return messages.RegisterValue{}, err
 	}
 	for _, send := range proposal.HandlePrepareResponse(soleMember, promise) {
-		accepted, err := l.replica.Accept(send.Accept)
+		accepted, err := a.replica.Accept(send.Accept)
 		if err != nil {
 			return messages.RegisterValue{}, err
 		}
 		proposal.HandleAcceptResponse(soleMember, accepted)
 	}
 	if proposal.Stage() != register.StageDone {
-		l.counter = max(l.counter, proposal.Highest().Counter)
+		a.counter = max(a.counter, proposal.Highest().Counter)
 		return messages.RegisterValue{}, errDiskFailure
 	}
 	return proposal.Value(), nil
 }
 
 // queryCurrent returns the current version according to a query.
-func (l *singleAcceptor) queryCurrent() messages.Version {
-	resp, err := l.replica.Prepare(&messages.PrepareRequest{Disk: soleMember.Disk, Query: true, WithoutBody: true})
+func (a *singleAcceptor) queryCurrent() messages.Version {
+	resp, err := a.replica.Prepare(&messages.PrepareRequest{Disk: soleMember.Disk, Query: true, WithoutBody: true})
 	if err != nil {
-		l.test.Fatal(err)
+		a.test.Fatal(err)
 	}
 	return resp.Value.Current
 }
 
 // failAfter has the disk fail the operation after the given number of operations; after a power
 // loss all later operations fail too.
-func (l *singleAcceptor) failAfter(remaining *int, powerLoss bool) {
-	l.disk.Intercept = func(simulation.Operation, string) error {
+func (a *singleAcceptor) failAfter(remaining *int, powerLoss bool) {
+	a.disk.Intercept = func(simulation.Operation, string) error {
 		if *remaining--; *remaining < 0 && (powerLoss || *remaining == -1) {
 			return errDiskFailure
 		}
@@ -88,28 +88,28 @@
 // commitOnFailingDisk commits a version on top of the newest while the disk fails, and reports
 // whether it was acknowledged. It checks that nothing that was acknowledged or returned by a query
 // is lost.
-func (l *singleAcceptor) commitOnFailingDisk(random *rand.Rand, newest messages.Version) (version messages.Version, acknowledged bool) {
+func (a *singleAcceptor) commitOnFailingDisk(random *rand.Rand, newest messages.Version) (version messages.Version, acknowledged bool) {
 	remaining, powerLoss := 3+random.Intn(40), random.Intn(2) == 0
-	l.failAfter(&remaining, powerLoss)
+	a.failAfter(&remaining, powerLoss)
 	version = messages.Version{Generation: newest.Generation + 1, Base: newest.Generation, Hash: fmt.Sprint(random.Int63())}
 	var result register.Result
-	_, err := l.change(register.Replace(version, make([]byte, bodyBytes), &result))
+	_, err := a.change(register.Replace(version, make([]byte, bodyBytes), &result))
 	if acknowledged = err == nil && result == register.ResultApplied; acknowledged {
 		newest = version
 	}
-	reported := l.queryCurrent()
+	reported := a.queryCurrent()
 	if reported.Generation < newest.Generation {
-		l.test.Fatalf("query returned %v after %v was acknowledged", reported, newest)
+		a.test.Fatalf("query returned %v after %v was acknowledged", reported, newest)
 	}
 	if remaining < 0 && powerLoss {
-		l.disk.Intercept = nil
-		l.disk.PowerLoss()
-		l.open()
-		if after := l.queryCurrent(); after.Generation < reported.Generation || after.Generation < newest.Generation {
-			l.test.Fatalf("query returned %v after a power loss, but %v was returned and %v acknowledged before", after, reported, newest)
+		a.disk.Intercept = nil
+		a.disk.PowerLoss()
+		a.open()
+		if after := a.queryCurrent(); after.Generation < reported.Generation || after.Generation < newest.Generation {
+			a.test.Fatalf("query returned %v after a power loss, but %v was returned and %v acknowledged before", after, reported, newest)
 		}
 	}
-	l.disk.Intercept = nil
+	a.disk.Intercept = nil
 	return version, acknowledged
 }
 
@@ -126,23 +126,23 @@
 	t.Helper()
 
 	random := rand.New(rand.NewSource(seed))
-	l := &singleAcceptor{test: t, disk: simulation.NewDisk(seed)}
-	l.open()
+	a := &singleAcceptor{test: t, disk: simulation.NewDisk(seed)}
+	a.open()
 	var committed []messages.Version
 	newest := messages.Version{}
 	for range 60 {
-		if version, acknowledged := l.commitOnFailingDisk(random, newest); acknowledged {
+		if version, acknowledged := a.commitOnFailingDisk(random, newest); acknowledged {
 			committed = append(committed, version)
 		}
-		value, err := l.change(register.ReadOnly)
+		value, err := a.change(register.ReadOnly)
 		if err != nil {
 			t.Fatalf("read after the disk recovered: %v", err)
 		}
 		newest = value.Current
 	}
 	for _, version := range committed {
-		if _, result, err := l.replica.Replace(version, nil); err != nil || result != register.ResultAlreadyApplied {
-			t.Fatalf("%v was committed, but sending it again got result %d, error %v", version, result, err)
+		if _, result, err := a.replica.Replace(version, nil); err != nil || result != register.ResultAlreadyApplied {
+			t.Fatalf("%v was committed, but sending it again got result %d, error %v, want result %d", version, result, err, register.ResultAlreadyApplied)
 		}
 	}
 	if len(committed) < 20 {
--- a/internal/control/registerserver/golden_test.go
+++ b/internal/control/registerserver/golden_test.go
@@ -38,7 +38,7 @@
 		var result register.Result
 		value, _ := register.Replace(version, fmt.Appendf(nil, "body %d", generation), &result)(replica.Record().Value)
 		if resp, err := replica.Accept(&messages.AcceptRequest{Ballot: ballot, Disk: "first", Value: value}); err != nil || !resp.Granted {
-			t.Fatal(resp, err)
+			t.Fatalf("accept of generation %d: granted %v, want true; error %v", generation, resp.Granted, err)
 		}
 	}
 	return replica
@@ -94,7 +94,8 @@
 			}
 			record := replica.Record()
 			if record.Disk != "first" || record.Value.Current.Generation != file.generation || record.Promised.Counter != file.counter {
-				t.Errorf("read disk %s, generation %d, ballot %d", record.Disk, record.Value.Current.Generation, record.Promised.Counter)
+				t.Errorf("read disk %s, generation %d, ballot counter %d, want first, %d, %d",
+					record.Disk, record.Value.Current.Generation, record.Promised.Counter, file.generation, file.counter)
 			}
 		})
 	}
@@ -113,7 +114,7 @@
 				t.Fatal(err)
 			}
 			if archive.lastChunk() != goldenChunks {
-				t.Fatalf("archive has %d chunks", archive.lastChunk())
+				t.Fatalf("archive has %d chunks, want %d", archive.lastChunk(), goldenChunks)
 			}
 			chunks := archive.state.Chunks()
 			today := func() int64 { return chunks[0].Day }
@@ -142,6 +143,6 @@
 	dir := t.TempDir()
 	copyGolden(t, "register-taken-appended", dir, "register-taken", 3)
 	if archive, err := openArchive(recordlog.Directory(dir), "register-taken"); err != nil || archive.lastChunk() != goldenChunks-1 {
-		t.Errorf("torn tail: %v", err)
+		t.Errorf("open of an archive with a torn tail: error %v, last chunk %d, want %d", err, archive.lastChunk(), goldenChunks-1)
 	}
 }
