--- a/internal/control/lease/lease.go
+++ b/internal/control/lease/lease.go
@@ -9,7 +9,8 @@
 // At most one candidate has the grants of a majority at a time. An acceptor grants the lease to no
 // other candidate before its previous grant has expired by its own monotonic clock. The holder counts
 // its lease from before it sent the request and ends it constants.LeaseSafetyMargin early. An
-// acceptor that was restarted has lost its grants, and grants nothing until they must have expired.
+// acceptor that was restarted has lost its grants; until they must have expired, it grants the lease
+// only to the leader in the register; see isLeaderOfForgottenGrant.
 package lease
 
 import (
@@ -33,8 +34,8 @@
 }
 
 // NewGrantor returns the Grantor of an acceptor that starts now. An acceptor that may have granted
-// a lease before it was restarted grants nothing until that lease must have expired. first is set
-// for an acceptor that cannot have granted one.
+// a lease before it was restarted grants none until that lease must have expired, except to the
+// leader in the register. first is set for an acceptor that cannot have granted one.
 func NewGrantor(now clock.Instant, first bool) *Grantor {
 	g := &Grantor{}
 	if !first {
--- a/internal/control/lease/simulation_test.go
+++ b/internal/control/lease/simulation_test.go
@@ -86,7 +86,7 @@
 func (c *candidates) injectFault() {
 	switch c.world.Random.Intn(40) {
 	case 0:
-		// The acceptor loses its grants, and grants nothing for the duration of a lease.
+		// The acceptor loses its grants, and for the duration of a lease grants only to the leader.
 		c.grantors[c.names[c.world.Random.Intn(3)]] = lease.NewGrantor(c.world.Now, false)
 	case 1:
 		partitioned := c.names[c.world.Random.Intn(3)]
