--- a/internal/batch/jobclient/jobclient.go
+++ b/internal/batch/jobclient/jobclient.go
@@ -24,7 +24,7 @@
 	// ErrRejected reports a rejection: the system guarantees that no item of the job runs.
 	ErrRejected = errs.Define("lot refused")
 	// ErrInvalidCall reports a call that would be rejected again if retried.
-	ErrInvalidCall = errs.Define("call not taken")
+	ErrInvalidCall = errs.Define("invalid call")
 	// ErrCorruptResponse reports a response that violates the protocol.
 	ErrCorruptResponse = errs.Define("corrupt response")
 )
--- a/internal/batch/jobclient/jobclient_test.go
+++ b/internal/batch/jobclient/jobclient_test.go
@@ -55,7 +55,7 @@
 var oneItem = Job{Requests: []Item{{ID: "i", Path: "/batch/1", Body: []byte{1, 2, 250}, Tokens: 3}}}
 
 // After an inconclusive response the same job is sent to another gateway, unchanged.
-func TestSubmitRetriesElsewhere(t *testing.T) {
+func TestSubmitRetriesAtTheNextGateway(t *testing.T) {
 	var first []byte
 	c, transport := client(t,
 		func(_ *http.Request, body []byte) (int, string) { first = body; return 0, "" },
@@ -64,13 +64,15 @@
 			var job Job
 			if string(body) != string(first) || json.Unmarshal(body, &job) != nil || string(job.Requests[0].Body) != "\x01\x02\xfa" ||
 				request.Host != "h" || request.Header.Get("Lemonarch-Attempt-Id") != "lot" {
-				t.Error("the second attempt sent another job", string(body))
+				t.Errorf("third attempt sent host %q, id %q and body %q, want h, lot and the body of the first attempt, %q",
+					request.Host, request.Header.Get("Lemonarch-Attempt-Id"), body, first)
 			}
 			return 202, ""
 		})
 	attempts, err := c.Submit(contexts.Background(), "lot", "/batch/x", oneItem)
 	if err != nil || attempts != 3 || transport.hosts[0] == transport.hosts[1] || transport.hosts[1] == transport.hosts[2] {
-		t.Fatal(attempts, err, transport.hosts)
+		t.Fatalf("Submit made %d attempts at %v and returned error %v, want 3 attempts, each at another gateway than the one before, and no error",
+			attempts, transport.hosts, err)
 	}
 }
 
@@ -86,7 +88,8 @@
 		c, _ := client(t, respondWith(status, ""), func(*http.Request, []byte) (int, string) { cancel(); return 429, "" })
 		_, err := c.Submit(ctx, "lot", "/batch/x", oneItem)
 		if errs.Is(err, ErrRejected) == inconclusive || errs.Is(err, ErrOutcomeUnknown) != inconclusive {
-			t.Fatal(inconclusive, err)
+			t.Fatalf("first attempt inconclusive: %t; got error %v, want outcome unknown if it was and a rejection if not",
+				inconclusive, err)
 		}
 	}
 }
@@ -94,10 +97,10 @@
 func TestInvalidCallIsNotRetried(t *testing.T) {
 	c, _ := client(t, respondWith(400, "no"))
 	if _, err := c.Submit(contexts.Background(), "lot", "/x", oneItem); !errs.Is(err, ErrInvalidCall) {
-		t.Fatal(err)
+		t.Fatalf("Submit with response 400 returned error %v, want an invalid call", err)
 	}
 	if _, err := c.Submit(contexts.Background(), "lot", "/x", Job{}); !errs.Is(err, ErrInvalidCall) {
-		t.Fatal(err)
+		t.Fatalf("Submit of a job without items returned error %v, want an invalid call", err)
 	}
 }
 
@@ -115,16 +118,17 @@
 		return nil
 	})
 	if err != nil || len(phases) != 2 || phases[1] != "jabandoned" {
-		t.Fatal(err, phases)
+		t.Fatalf("Follow returned error %v, ids with phases %v; want no error and two outputs, the second jabandoned",
+			err, phases)
 	}
 }
 
 func TestReadRejectsInconsistentPage(t *testing.T) {
 	c, _ := client(t, respondWith(200, `{"sum":2,"next-token":2,"outputs":[{"id":"i","phase":"settled","text":"x"}]}`), respondWith(404, ""))
 	if _, err := c.Read(contexts.Background(), "lot", 0, time.Second); !errs.Is(err, ErrCorruptResponse) {
-		t.Fatal(err)
+		t.Fatalf("Read of an inconsistent page returned error %v, want a corrupt response", err)
 	}
 	if _, err := c.Read(contexts.Background(), "lot", 0, 0); !errs.Is(err, ErrInvalidCall) {
-		t.Fatal(err)
+		t.Fatalf("Read with response 404 returned error %v, want an invalid call", err)
 	}
 }
--- a/internal/batch/leader/addmember_test.go
+++ b/internal/batch/leader/addmember_test.go
@@ -20,13 +20,13 @@
 		disks[member.Name] = member.Disk
 	}
 	if len(next) != 5 || disks["a"] != "1" || disks["b"] != "7" || disks["c"] != "3" || disks["d"] != "8" || disks["e"] != "5" {
-		t.Fatal(next)
+		t.Fatalf("set after two replacements is %v, want the members a to e with the disks 1, 7, 3, 8 and 5", next)
 	}
 	if added := withReplacements(members, []replacement{{nil, messages.Member{Name: "f"}}}); len(added) != 6 {
-		t.Fatal(added)
+		t.Fatalf("set after an addition is %v, want 6 members", added)
 	}
 	if same := withReplacements(members, nil); len(same) != 5 {
-		t.Fatal(same)
+		t.Fatalf("set after no replacement is %v, want the same 5 members", same)
 	}
 }
 
@@ -45,11 +45,11 @@
 	first, _ := term.source(messages.Member{Name: "t", Address: "t"}, 0)
 	second, _ := term.source(messages.Member{Name: "u", Address: "u"}, 1)
 	if first == nil || second == nil || first.Name == second.Name {
-		t.Fatal(first, second)
+		t.Fatalf("sources of two concurrent joiners are %v and %v, want two different members", first, second)
 	}
 	for i := 0; i < 4; i++ {
 		if source, _ := term.source(messages.Member{Name: "r", Address: "r"}, i); source == nil || source.Name != "s" {
-			t.Fatal(i, source)
+			t.Fatalf("source at offset %d is %v, want s", i, source)
 		}
 	}
 }
@@ -84,6 +84,7 @@
 	start := clock.Now()
 	complete := term.syncJoiners([]replacement{{nil, messages.Member{Name: "quick", Address: "quick", Disk: "quick"}}, {nil, messages.Member{Name: "slow", Address: "slow", Disk: "slow"}}})
 	if len(complete) != 1 || complete[0].in.Name != "quick" || clock.Now().Sub(start) > constants.SetChangeTimeout/2 {
-		t.Fatal(complete, clock.Now().Sub(start))
+		t.Fatalf("complete joiners are %v after %v, want only quick within %v",
+			complete, clock.Now().Sub(start), constants.SetChangeTimeout/2)
 	}
 }
--- a/internal/batch/leader/chanmutex.go
+++ b/internal/batch/leader/chanmutex.go
@@ -7,12 +7,12 @@
 func newChanMutex() chanMutex { return make(chanMutex, 1) }
 
 // Lock waits until the mutex is unlocked, and locks it.
-func (t chanMutex) Lock() { t <- struct{}{} }
+func (m chanMutex) Lock() { m <- struct{}{} }
 
 // TryLock locks the mutex if it is unlocked, and reports whether it did.
-func (t chanMutex) TryLock() bool {
+func (m chanMutex) TryLock() bool {
 	select {
-	case t <- struct{}{}:
+	case m <- struct{}{}:
 		return true
 	default:
 		return false
@@ -20,4 +20,4 @@
 }
 
 // Unlock unlocks the mutex.
-func (t chanMutex) Unlock() { <-t }
+func (m chanMutex) Unlock() { <-m }
--- a/internal/batch/leader/commitset.go
+++ b/internal/batch/leader/commitset.go
@@ -12,7 +12,7 @@
 // synced it. The current set need not have the marker: an earlier leader is fenced there and
 // can't commit any more, and a later leader reads one of the two sets. Members that are silent or
 // lost therefore can't delay their own removal. Until the outcome of the change is known, a record
-// is committed only if it is committed in both sets.
+// is committed only once enough members of each of the two sets have synced it.
 
 // commitSet writes the next set to the register, once that set has all records. It returns false if
 // the next set did not sync in time or the term ended. The caller holds feeds.setChange.
--- a/internal/batch/leader/copy.go
+++ b/internal/batch/leader/copy.go
@@ -11,7 +11,7 @@
 )
 
 // CopyDeadline is the deadline for all joiners of a change to copy all records. It can be closed
-// early, for all of them, when the others have waited long enough for the slowest.
+// early, for all joiners, so that those that are complete do not wait too long for the slowest.
 type CopyDeadline struct {
 	end    clock.Instant
 	closed atomic.Bool
@@ -64,8 +64,9 @@
 	return lacking <= constants.CopyGap || (before > 0 && lacking*4 > before*3)
 }
 
-// copyRound copies the records up to target, which were durable when the round started. It returns
-// the index up to which the joiner has records. More records may arrive in the meantime.
+// copyRound copies the records after the index done up to target, which were durable when the round
+// started. It returns the index up to which the joiner has records. More records may arrive in the
+// meantime.
 func (t *Term) copyRound(joiner, source messages.Member, done, target int64, deadline *CopyDeadline) int64 {
 	first, start := done, clock.Now()
 	defer func() {
@@ -84,11 +85,11 @@
 	return done
 }
 
-// source selects a member other than this process and the joiner that has most of the durable
-// records, and returns it with the index up to which it has them. Records that a store has synced
-// in this epoch are identical to this process's. offset is different for each of the joiners that
-// copy at the same time, so that they do not share one source's link.
-// It returns nil if no such member has any of them. The lock is held.
+// source selects, among the members other than this process and the joiner, one that lacks at most
+// constants.CopyGap of the durable records that the best of them has. It returns the member and the
+// index up to which that has them, or nil if none has any. Records that a store has synced in this
+// epoch are identical to this process's. offset is different for each of the joiners that copy at
+// the same time, so that they do not share one source's link. The lock is held.
 func (t *Term) source(joiner messages.Member, offset int) (*messages.Member, int64) {
 	best, own := int64(0), t.process.Node.Self.Address
 	available := func(member messages.Member) int64 {
--- a/internal/batch/leader/copy_test.go
+++ b/internal/batch/leader/copy_test.go
@@ -24,10 +24,12 @@
 			spent += took
 		}
 		if rounds > 20 || spent > 10 {
-			t.Fatal(rate, rounds, spent)
+			t.Fatalf("copying at %v new records per second took %d rounds and %.1f s, want at most 20 rounds and 10 s",
+				rate, rounds, spent)
 		}
 		if rounds < 2 || lacking > 4000 {
-			t.Fatal("copying ended too early: rate, rounds, lacking records ", rate, rounds, lacking)
+			t.Fatalf("copying at %v new records per second ended after %d rounds with %d records lacking, want at least 2 rounds and at most 4000 records",
+				rate, rounds, lacking)
 		}
 	}
 	if !caughtUp(constants.CopyGap, 0) || caughtUp(constants.CopyGap+1, 0) {
@@ -40,7 +42,7 @@
 func TestCopyContinuesFromTheLeader(t *testing.T) {
 	term := startServingTerm(t, soleStore(t, simulation.NewDisk(12)), 1)
 	if done := term.CopyTo(messages.Member{Name: "n", Address: "nowhere", Disk: "n"}, 0, NewCopyDeadline()); done != 0 {
-		t.Fatal("copied without a source up to index ", done)
+		t.Fatalf("copied up to index %d without a source, want 0", done)
 	}
 	term.lock.Lock()
 	term.records.replicator.Members = append(term.records.replicator.Members, messages.Member{Name: "s", Address: "s", Disk: "s"})
@@ -52,7 +54,7 @@
 	_ = network.Transport("n").Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
 		req := &messages.CopyRequest{}
 		if kind != messages.KindCopy || transport.Decode(body, req) != nil || req.Source != "s" || req.SourceDisk != "s" {
-			t.Error(kind, req)
+			t.Errorf("request of kind %v is %+v, want a copy from source s with disk s", kind, req)
 		}
 		if !first {
 			return transport.Encode(&messages.AppendResponse{})
@@ -64,6 +66,6 @@
 	durable := term.records.replicator.CommitIndex()
 	term.lock.Unlock()
 	if done := term.CopyTo(messages.Member{Name: "n", Address: "n", Disk: "n"}, 0, NewCopyDeadline()); done != min(1, durable) {
-		t.Fatal(done, durable)
+		t.Fatalf("copied up to index %d of %d, want only the first record before the interruption", done, durable)
 	}
 }
--- a/internal/batch/leader/departed.go
+++ b/internal/batch/leader/departed.go
@@ -9,10 +9,10 @@
 )
 
 // removeDeparted removes departed members from the store set if nothing can be committed with them
-// in it and there is no spare store to replace them. This happens only after the set has lost
-// members before. Every record is then on all remaining members, so every member that responds has
-// all records. It is the last resort: if there is a spare store, reconcileSet adds it, and the
-// number of copies stays the same.
+// in it and there is no spare store to replace them. The set has then already lost members before,
+// and every record is on all remaining members, so every member that responds has all records. It
+// is the last resort: if there is a spare store, reconcileSet adds it, and the number of copies
+// stays the same.
 func (t *Term) removeDeparted() {
 	if !t.process.Election.HoldsLease() || !t.feeds.setChange.TryLock() {
 		return
--- a/internal/batch/leader/disklost_test.go
+++ b/internal/batch/leader/disklost_test.go
@@ -112,6 +112,6 @@
 	t.Cleanup(func() { term.Close("test is over") })
 	lost := term.markLostDisks()
 	if len(lost) != 1 || !lost["lost#lost-old"] {
-		t.Fatal(lost)
+		t.Fatalf("lost disks are %v, want only lost#lost-old", lost)
 	}
 }
--- a/internal/batch/leader/diskspace_test.go
+++ b/internal/batch/leader/diskspace_test.go
@@ -21,26 +21,27 @@
 	fits, exceeds := !term.exceedsDiskLimitLocked(1000, 3), term.exceedsDiskLimitLocked(1000, 4)
 	term.lock.Unlock()
 	if !fits || !exceeds {
-		t.Fatal(fits, exceeds)
+		t.Fatalf("3 items fit: %t, 4 items exceed the limit: %t; want true for both", fits, exceeds)
 	}
 	if status := term.Serve(jobCallOf("a", 2)).Status; status != http.StatusAccepted {
-		t.Fatal(status)
+		t.Fatalf("first job: status %d, want %d", status, http.StatusAccepted)
 	}
 	// The two outputs of the first job are still outstanding.
 	resp := term.Serve(jobCallOf("b", 2))
 	if resp.Status != http.StatusTooManyRequests || resp.RetryAfterMs == 0 {
-		t.Fatal(resp.Status, resp.RetryAfterMs)
+		t.Fatalf("second job: status %d, retry after %d ms; want status %d and a retry time",
+			resp.Status, resp.RetryAfterMs, http.StatusTooManyRequests)
 	}
 	offer := &messages.JobCallRequest{Method: messages.MethodOffer, Host: "h", Path: "/b/", Job: "c", BodyBytes: 900_000}
 	if status := term.Serve(offer).Status; status != http.StatusTooManyRequests {
-		t.Fatal(status)
+		t.Fatalf("offer of a job that does not fit: status %d, want %d", status, http.StatusTooManyRequests)
 	}
 	if status := term.Serve(jobCallOf("a", 2)).Status; status != http.StatusAccepted {
-		t.Fatal("known job rejected when submitted again: status ", status)
+		t.Fatalf("known job submitted again: status %d, want %d", status, http.StatusAccepted)
 	}
 	process.Node.Settings.Limits.DiskMB = 0
 	if status := term.Serve(jobCallOf("b", 2)).Status; status != http.StatusAccepted {
-		t.Fatal("job rejected without a disk limit: status ", status)
+		t.Fatalf("job without a disk limit: status %d, want %d", status, http.StatusAccepted)
 	}
 }
 
@@ -57,10 +58,10 @@
 		t.Fatal(err)
 	}
 	if grown := log.Bytes(); grown < before+5000 {
-		t.Fatal(before, grown)
+		t.Fatalf("log size is %d bytes after a record of 5000 bytes was appended to %d, want at least their sum", grown, before)
 	}
 	reopened, err := replicalog.Open(disk, "d")
 	if err != nil || reopened.Bytes() != log.Bytes() {
-		t.Fatal(err, reopened.Bytes(), log.Bytes())
+		t.Fatalf("reopened log: error %v, size %d bytes; want no error and %d bytes", err, reopened.Bytes(), log.Bytes())
 	}
 }
--- a/internal/batch/leader/dispatch.go
+++ b/internal/batch/leader/dispatch.go
@@ -40,8 +40,9 @@
 	}
 }
 
-// Acquire returns items to an executor. If there are none, it waits for the requested time, limited to
-// constants.AcquireWait, but not longer than until the list of executors changes.
+// Acquire returns items to an executor. If there are none, it waits until there are some or the list
+// of executors differs from the version that the executor knows, for at most the requested time and
+// constants.AcquireWait.
 func (t *Term) Acquire(req *messages.AcquireRequest) *messages.AcquireResponse {
 	start := clock.Now()
 	if !t.waitServing(constants.AcquireWait) {
--- a/internal/batch/leader/intake.go
+++ b/internal/batch/leader/intake.go
@@ -11,7 +11,7 @@
 )
 
 // A burst of jobs can exceed what the leader's link carries within the callers' timeout. If all
-// gateways sent their jobs at once, each would time out and be sent again, and the link would be
+// gateways sent their jobs at once, each job would time out and be sent again, and the link would be
 // filled with jobs that no caller waits for any more. So a gateway first offers a job with its
 // size, and sends the job when the leader admits it. The leader admits further jobs as the stores
 // make earlier ones durable. An offer that times out can be rejected, since its job was not sent.
@@ -165,6 +165,6 @@
 }
 
 // tooManyRequests returns the rejection of a job that does not fit at present.
-func tooManyRequests(cause string) *messages.JobCallResponse {
-	return &messages.JobCallResponse{Status: http.StatusTooManyRequests, Body: errorBody(cause), RetryAfterMs: int(constants.GossipPeriod.Milliseconds())}
+func tooManyRequests(reason string) *messages.JobCallResponse {
+	return &messages.JobCallResponse{Status: http.StatusTooManyRequests, Body: errorBody(reason), RetryAfterMs: int(constants.GossipPeriod.Milliseconds())}
 }
--- a/internal/batch/leader/intake_test.go
+++ b/internal/batch/leader/intake_test.go
@@ -39,23 +39,24 @@
 		return text
 	}
 	if state() != "01" {
-		t.Fatal(state())
+		t.Fatalf("admitted offers are %q at first, want %q", state(), "01")
 	}
 	in.release("1")
 	in.release("unknown")
 	if state() != "012" {
-		t.Fatal(state())
+		t.Fatalf("admitted offers are %q after the release of 1, want %q", state(), "012")
 	}
 	if !in.withdraw(offers[3]) || in.withdraw(offers[2]) {
 		t.Fatal("want a waiting offer withdrawn and an admitted one kept")
 	}
 	in.admit(now.Add(constants.IntakeTimeout - 1))
 	if state() != "012" {
-		t.Fatal(state())
+		t.Fatalf("admitted offers are %q before the timeout, want %q", state(), "012")
 	}
 	in.admit(clock.Now().Add(constants.IntakeTimeout))
 	if state() != "0124" || in.bytes != half || len(in.admitted) != 1 {
-		t.Fatal(state(), in.bytes)
+		t.Fatalf("admitted offers are %q after the timeout, %d jobs with %d bytes count; want %q, 1 job and %d bytes",
+			state(), len(in.admitted), in.bytes, "0124", half)
 	}
 	// A job larger than the whole capacity must be admitted alone.
 	in.release("4")
@@ -72,31 +73,31 @@
 		return term.Serve(&messages.JobCallRequest{Method: messages.MethodOffer, Host: "h", Path: "/b/", Job: id, BodyBytes: bytes, WaitMs: 150}).Status
 	}
 	if status := offerOf("a", constants.IntakeBytes); status != messages.StatusSendNow {
-		t.Fatal(status)
+		t.Fatalf("offer of an unknown job: status %d, want %d", status, messages.StatusSendNow)
 	}
 	if status := offerOf("b", 10); status != http.StatusServiceUnavailable {
-		t.Fatal("offer admitted although the intake is full: status ", status)
+		t.Fatalf("offer while the intake is full: status %d, want %d", status, http.StatusServiceUnavailable)
 	}
 	if status := term.Serve(jobCallOf("a", 1)).Status; status != http.StatusAccepted {
-		t.Fatal(status)
+		t.Fatalf("admitted job: status %d, want %d", status, http.StatusAccepted)
 	}
 	if status := offerOf("a", 10); status != http.StatusAccepted {
-		t.Fatal("known job requested again: status ", status)
+		t.Fatalf("offer of a known job: status %d, want %d", status, http.StatusAccepted)
 	}
 	if status := offerOf("b", constants.IntakeBytes); status != messages.StatusSendNow {
-		t.Fatal("durable job still uses capacity: status ", status)
+		t.Fatalf("offer after the admitted job became durable: status %d, want %d", status, messages.StatusSendNow)
 	}
 	// Seven items of 15 tokens do not fit a cap of 100.
 	if status := term.Serve(jobCallOf("b", 7)).Status; status != http.StatusTooManyRequests {
-		t.Fatal(status)
+		t.Fatalf("job of 105 tokens: status %d, want %d", status, http.StatusTooManyRequests)
 	}
 	if status := offerOf("c", constants.IntakeBytes); status != messages.StatusSendNow {
-		t.Fatal("rejected job still uses capacity: status ", status)
+		t.Fatalf("offer after the admitted job was rejected: status %d, want %d", status, messages.StatusSendNow)
 	}
 	if status := term.Serve(jobCallOf("c", 5)).Status; status != http.StatusAccepted {
-		t.Fatal(status)
+		t.Fatalf("job of 75 tokens: status %d, want %d", status, http.StatusAccepted)
 	}
 	if status := term.Serve(jobCallOf("d", 1)).Status; status != http.StatusTooManyRequests && status != http.StatusAccepted {
-		t.Fatal(status)
+		t.Fatalf("job that was not offered: status %d, want %d or %d", status, http.StatusTooManyRequests, http.StatusAccepted)
 	}
 }
--- a/internal/batch/leader/itemcount_test.go
+++ b/internal/batch/leader/itemcount_test.go
@@ -38,14 +38,15 @@
 		"deep":                 {`{"requests":` + strings.Repeat(`[{"a":`, 2000), false},
 	} {
 		if got := exceedsItemLimit([]byte(test.body)); got != test.exceeds {
-			t.Error(name, got)
+			t.Errorf("%s: exceedsItemLimit returned %t, want %t", name, got, test.exceeds)
 		}
 	}
 	_, _, status, cause := parseJob(&messages.JobCallRequest{Path: "/b/", Body: []byte(list(constants.JobItemsMax+1, "i"))})
 	if status != http.StatusRequestEntityTooLarge {
-		t.Error(status, cause)
+		t.Errorf("job with one item too many: status %d, reason %q; want status %d",
+			status, cause, http.StatusRequestEntityTooLarge)
 	}
 	if body, _, _, cause := parseJob(&messages.JobCallRequest{Path: "/b/", Body: []byte(list(constants.JobItemsMax, braces))}); body == nil || len(body.Items) != constants.JobItemsMax {
-		t.Error(cause)
+		t.Errorf("job with as many items as permitted was rejected or lost items, reason %q", cause)
 	}
 }
--- a/internal/batch/leader/jobjson_test.go
+++ b/internal/batch/leader/jobjson_test.go
@@ -46,7 +46,7 @@
 	for b.Loop() {
 		body, _, _, reason := parseJob(call)
 		if body == nil {
-			b.Fatal(reason)
+			b.Fatalf("job rejected, reason %q", reason)
 		}
 		if _, err := body.MarshalMsg(nil); err != nil {
 			b.Fatal(err)
@@ -78,13 +78,14 @@
 			sum += request.Tokens
 		}
 		if body == nil || tokens != sum || len(body.Items) != len(standard.Requests) {
-			t.Errorf("%.60q: %s", text, reason)
+			t.Errorf("%.60q: rejected with reason %q or decoded to %d tokens, want %d tokens and %d items",
+				text, reason, tokens, sum, len(standard.Requests))
 			continue
 		}
 		for i, request := range standard.Requests {
 			if got := body.Items[i]; got.ID != request.ID || got.Path != request.Path || string(got.Body) != string(request.Body) ||
 				fmt.Sprint(got.Headers) != fmt.Sprint(request.Headers) || got.Tokens != request.Tokens {
-				t.Errorf("%.60q: item %d differs", text, i)
+				t.Errorf("%.60q: item %d is %+v, want %+v", text, i, got, request)
 			}
 		}
 	}
--- a/internal/batch/leader/latency.go
+++ b/internal/batch/leader/latency.go
@@ -30,10 +30,10 @@
 	l.means[identity] += constants.LagWeight * (took - l.means[identity])
 }
 
-// isSlow reports whether a store's disk is far slower than the median of the others, and slower than
-// constants.LagFloorMs. It returns false if there are too few observations. The leader
-// uses it for its own store: requests to that store do not cross a link, so a long duration is
-// caused by the disk.
+// isSlow reports whether a store's mean duration is more than constants.LagFactor times the median of
+// the others, and more than constants.LagFloorMs. It returns false if there are too few observations.
+// The leader uses it for its own store: requests to that store do not cross a link, so a long
+// duration is caused by the disk.
 func (l *appendLatency) isSlow(identity string) bool {
 	var others []float64
 	for name, mean := range l.means {
--- a/internal/batch/leader/memory_test.go
+++ b/internal/batch/leader/memory_test.go
@@ -15,7 +15,7 @@
 	process := soleStore(t, simulation.NewDisk(43))
 	term := startServingTerm(t, process, 1)
 	if status := term.Serve(jobCallOf("a", 2)).Status; status != http.StatusAccepted {
-		t.Fatal(status)
+		t.Fatalf("first job: status %d, want %d", status, http.StatusAccepted)
 	}
 	term.lock.Lock()
 	inputBytes := term.jobs.InputBytes()
@@ -25,18 +25,21 @@
 	fits, exceeds := !term.exceedsMemoryLimitLocked(int(limit-inputBytes)), term.exceedsMemoryLimitLocked(int(limit-inputBytes+1))
 	term.lock.Unlock()
 	if inputBytes <= 0 || !fits || !exceeds {
-		t.Fatal(inputBytes, fits, exceeds)
+		t.Fatalf("%d input bytes in use, job up to the limit fits: %t, one byte more exceeds it: %t; want more than 0, true and true",
+			inputBytes, fits, exceeds)
 	}
 	offer := &messages.JobCallRequest{Method: messages.MethodOffer, Host: "h", Path: "/b/", Job: "b", BodyBytes: int(limit)}
 	if resp := term.Serve(offer); resp.Status != http.StatusTooManyRequests || resp.RetryAfterMs == 0 {
-		t.Fatal(resp.Status)
+		t.Fatalf("offer of a job that does not fit: status %d, retry after %d ms; want status %d and a retry time",
+			resp.Status, resp.RetryAfterMs, http.StatusTooManyRequests)
 	}
 	if status := term.Serve(&messages.JobCallRequest{Method: http.MethodDelete, Host: "h", Path: "/b/", Job: "a"}).Status; status != http.StatusOK {
-		t.Fatal(status)
+		t.Fatalf("end of the first job: status %d, want %d", status, http.StatusOK)
 	}
 	term.lock.Lock()
 	defer term.lock.Unlock()
 	if term.jobs.InputBytes() != 0 || term.exceedsMemoryLimitLocked(int(2*limit)) {
-		t.Error("memory still in use after the only job ended: input bytes ", term.jobs.InputBytes())
+		t.Errorf("%d input bytes still in use after the only job ended, or the next job does not fit; want 0 bytes",
+			term.jobs.InputBytes())
 	}
 }
--- a/internal/batch/leader/quota_test.go
+++ b/internal/batch/leader/quota_test.go
@@ -26,15 +26,15 @@
 	term.submissions.quota.addPending(&messages.JobCallRequest{Host: "h", Path: "/b/1", Job: "x"}, 40)
 	term.submissions.quota.addPending(&messages.JobCallRequest{Host: "h", Path: "/c/1", Job: "y"}, 7)
 	if got := term.waitingTokens(config, first); got != 40 {
-		t.Error(got)
+		t.Errorf("%d tokens wait on the route /b/, want 40", got)
 	}
 	if got := term.waitingTokens(config, other); got != 7 {
-		t.Error(got)
+		t.Errorf("%d tokens wait on the route /c/, want 7", got)
 	}
 	// The next generation invalidates the cached matches.
 	term.process.Node.ApplyConfig([]byte(strings.Replace(second, `"generation":1`, `"generation":3`, 1)))
 	config = term.process.Node.Config()
 	if got := term.waitingTokens(config, jobroute.Of(config, "h", "/b/")); got != 40 {
-		t.Error(got)
+		t.Errorf("%d tokens wait on the route /b/ of the next generation, want 40", got)
 	}
 }
--- a/internal/batch/leader/records.go
+++ b/internal/batch/leader/records.go
@@ -10,7 +10,8 @@
 // records is the state of replicating the term's records.
 type records struct {
 	replicator *replication.Replicator
-	// recent are the records that are not yet committed, applied and synced to this process's disk.
+	// recent are the newest records. A record is dropped from it once it is committed, applied and
+	// synced to this process's disk.
 	recent []messages.Record
 	// applied is the index up to which records are applied to the job table.
 	applied int64
--- a/internal/batch/leader/report.go
+++ b/internal/batch/leader/report.go
@@ -70,8 +70,7 @@
 }
 
 // ReportStores returns one row per member of the store set: name, disk, the index up to which it has
-// synced, the number of records that it lacks, and its state, which is
-// always "in the set".
+// synced, the number of records that it lacks, and its state, which is always "in the set".
 func (t *Term) ReportStores() [][]string {
 	var rows [][]string
 	t.lock.Lock()
--- a/internal/batch/leader/setpolicy_test.go
+++ b/internal/batch/leader/setpolicy_test.go
@@ -51,7 +51,7 @@
 			return member.Name
 		}
 		if name(out) != test.out || name(in) != test.in {
-			t.Errorf("%s: got %q replaced by %q", test.name, name(out), name(in))
+			t.Errorf("%s: got %q replaced by %q, want %q replaced by %q", test.name, name(out), name(in), test.out, test.in)
 		}
 	}
 }
@@ -82,7 +82,7 @@
 	}
 	out, joiner := process.nextResponsiveChange(members, nodes(), map[string]bool{})
 	if out == nil || out.Name != "gone" || joiner == nil || joiner.Name != "s2" {
-		t.Fatal(out, joiner)
+		t.Fatalf("got %v replaced by %v, want gone replaced by s2, the only store that responds and is not slow", out, joiner)
 	}
 	states["s2"] = "slow"
 	if _, joiner = process.nextResponsiveChange(members, nodes(), map[string]bool{}); joiner != nil {
@@ -95,6 +95,6 @@
 	}
 	// A retired member is replaced although it responds.
 	if out, joiner = process.nextResponsiveChange(members, nodes(), map[string]bool{"gone": true}); joiner == nil || out.Name != "gone" {
-		t.Fatal(out, joiner)
+		t.Fatalf("got %v replaced by %v, want the retired member gone replaced", out, joiner)
 	}
 }
--- a/internal/batch/leader/submit.go
+++ b/internal/batch/leader/submit.go
@@ -85,10 +85,10 @@
 		return t.awaitSubmitted(submitting, accepted)
 	}
 	t.submissions.parsing.Lock()
-	body, tokens, status, cause := parseJob(call)
+	body, tokens, status, reason := parseJob(call)
 	t.submissions.parsing.Unlock()
 	if body == nil {
-		return errorResponse(status, cause)
+		return errorResponse(status, reason)
 	}
 	config := t.process.Node.Config()
 	route := jobroute.Of(config, call.Host, call.Path)
--- a/internal/batch/leader/submit_test.go
+++ b/internal/batch/leader/submit_test.go
@@ -30,14 +30,16 @@
 	}
 	group.Wait()
 	if statuses[202] < 3 || statuses[202] > 6 || statuses[202]+statuses[429] != 24 || len(term.jobs.Jobs()) != 3 {
-		t.Fatal(statuses, len(term.jobs.Jobs()))
+		t.Fatalf("responses per status are %v, %d jobs accepted; want 3 to 6 of status 202, all others 429, and 3 jobs",
+			statuses, len(term.jobs.Jobs()))
 	}
 	// An accepted job that is submitted again to a later leader is still accepted.
 	accepted := term.jobs.Jobs()[0].ID
 	term.Close("another process takes over")
 	next := startServingTerm(t, term.process, 2)
 	if resp := next.submitJob(jobCallOf(accepted, 2)); resp.Status != 202 || len(next.jobs.Jobs()) != 3 {
-		t.Fatal(resp.Status, len(next.jobs.Jobs()))
+		t.Fatalf("accepted job submitted to a later leader: status %d, %d jobs; want 202 and 3",
+			resp.Status, len(next.jobs.Jobs()))
 	}
 }
 
@@ -47,12 +49,12 @@
 	disk := simulation.NewDisk(2)
 	term := startServingTerm(t, soleStore(t, disk), 1)
 	if resp := term.submitJob(jobCallOf("lot", 3)); resp.Status != 202 {
-		t.Fatal(resp.Status)
+		t.Fatalf("submission: status %d, want 202", resp.Status)
 	}
 	req := &messages.AcquireRequest{Executor: "d", Incarnation: 1, Capacity: []messages.ServiceCapacity{{Service: "s", Count: 2}}}
 	items := term.Acquire(req).Items
 	if len(items) != 2 {
-		t.Fatal("items acquired, want 2: ", len(items))
+		t.Fatalf("acquired %d items, want 2", len(items))
 	}
 	accept := func(i int, text string) messages.AckVerdict {
 		ack := messages.Acknowledgement{Kind: messages.AckAccept, Number: items[i].Number, Job: "lot", Item: items[i].Item.ID, Output: []byte(text)}
@@ -62,10 +64,11 @@
 	// A repeated acknowledgement gets the same verdict and counts once.
 	first, repeated := accept(0, "text"), accept(0, "text")
 	if first != messages.AckRecorded || repeated != messages.AckRecorded {
-		t.Fatal("output not recorded")
+		t.Fatalf("verdicts on an output and its repetition are %v and %v, want %v for both",
+			first, repeated, messages.AckRecorded)
 	}
 	if resp := term.endJob(&messages.JobCallRequest{Job: "lot"}); resp.Status != 200 {
-		t.Fatal(resp.Status)
+		t.Fatalf("end of the job: status %d, want 200", resp.Status)
 	}
 	// The result of a run that was in progress is not accepted any more.
 	if accept(1, "late") != messages.AckTerminal || len(term.Acquire(req).Items) != 0 {
@@ -76,7 +79,7 @@
 	next := startServingTerm(t, soleStore(t, disk), 2)
 	job := next.jobs.Job("lot")
 	if job == nil || !job.Ended || job.Open() || len(job.Listings) != 1 || job.Listings[0].Item != item.ID {
-		t.Fatalf("%+v", job)
+		t.Fatalf("job after the takeover is %+v, want it ended, not open, with one listing of item %s", job, item.ID)
 	}
 	for _, jobItem := range job.Items {
 		if !jobItem.Terminal() && jobItem.StartRun() != 0 {
@@ -84,11 +87,11 @@
 		}
 	}
 	if resp := next.endJob(&messages.JobCallRequest{Job: "lot"}); resp.Status != 200 {
-		t.Fatal("repeated end rejected: status ", resp.Status)
+		t.Fatalf("repeated end of the job: status %d, want 200", resp.Status)
 	}
 	text := string(next.readJob(&messages.JobCallRequest{Job: "lot"}).Body)
 	if want := fmt.Sprintf(`{"sum":3,"next-token":1,"outputs":[{"id":"%s","phase":"settled","text":"text"}]}`, item.ID); text != want {
-		t.Fatal(text)
+		t.Fatalf("page is %s, want %s", text, want)
 	}
 }
 
@@ -104,7 +107,8 @@
 	} {
 		for _, call := range calls {
 			if resp := term.submitJob(call); resp.Status != status {
-				t.Error(status, resp.Status, string(resp.Body))
+				t.Errorf("job %s of %d bytes: status %d, body %s; want status %d",
+					call.Job, len(call.Body), resp.Status, resp.Body, status)
 			}
 		}
 	}
@@ -120,14 +124,14 @@
 	call := jobCallOf("lot", 1)
 	call.ExpiresAt = int64(clock.Now())
 	if resp := term.submitJob(call); !resp.NotLeader || term.jobs.Job("lot") != nil {
-		t.Fatal("expired submission accepted: status ", resp.Status)
+		t.Fatalf("expired submission: status %d, want a response that this process does not lead, and no job", resp.Status)
 	}
 	call.ExpiresAt = int64(clock.Now().Add(clock.Milliseconds(60_000)))
 	if resp := term.submitJob(call); resp.Status != 202 {
-		t.Fatal(resp.Status)
+		t.Fatalf("submission before its expiry: status %d, want 202", resp.Status)
 	}
 	call.ExpiresAt = int64(clock.Now())
 	if resp := term.submitJob(call); resp.Status != 202 {
-		t.Fatal(resp.Status)
+		t.Fatalf("expired submission of an accepted job: status %d, want 202", resp.Status)
 	}
 }
--- a/internal/batch/leader/takeover.go
+++ b/internal/batch/leader/takeover.go
@@ -23,13 +23,13 @@
 		return
 	}
 	if err := t.adoptBestCopy(copies); err != nil {
-		t.process.Node.Log.Error("failed to read records", "epoch", t.leadership.Epoch, "err", err.Error())
-		t.Close("best copy can't be read")
+		t.process.Node.Log.Error("failed to adopt the best copy of the records", "epoch", t.leadership.Epoch, "err", err.Error())
+		t.Close("best copy can't be adopted")
 		return
 	}
 	index, err := t.replicateFrom(copies)
 	if err != nil {
-		t.process.Node.Log.Error("failed to read records", "epoch", t.leadership.Epoch, "err", err.Error())
+		t.process.Node.Log.Error("failed to rebuild the job table from the records", "epoch", t.leadership.Epoch, "err", err.Error())
 		t.Close("records can't be read")
 		return
 	}
@@ -152,7 +152,7 @@
 		resp, err := log.Append(&messages.AppendRequest{Epoch: t.leadership.Epoch, Disk: log.Disk(), PreviousIndex: next - 1,
 			PreviousEpoch: log.EpochAt(next - 1), Records: fetched.Records, Base: fetched.Base, BaseEpoch: fetched.BaseEpoch})
 		if err != nil {
-			return errTakeover.Wrap(err, "append")
+			return errTakeover.Wrap(err, "append to own store")
 		}
 		if !resp.Granted {
 			return errTakeover.New("own store rejected the records")
@@ -236,7 +236,7 @@
 
 // announce sends the leadership to all stores, since a store campaigns after about the duration of a
 // lease without an announcement, and to the known gateways in the first LeaderReminderRounds rounds and
-// every LeaderReminderRounds-th one after that. A process that was missed can ask any store who leads.
+// every LeaderReminderRounds-th one after that. A process that was missed can ask any store for the leader.
 func (t *Term) announce() {
 	if !t.process.Election.HoldsLease() {
 		return
--- a/internal/batch/leader/term.go
+++ b/internal/batch/leader/term.go
@@ -126,7 +126,7 @@
 	available chan struct{}
 }
 
-// health tracks whether the stores, and this process's own in particular, are slow or lagging.
+// health tracks how slow the stores are, and how far this process's own store lags.
 type health struct {
 	appendLatency appendLatency
 	replicaLag    replication.ReplicaLag
--- a/internal/batch/leadership/leadership.go
+++ b/internal/batch/leadership/leadership.go
@@ -2,8 +2,8 @@
 // first requests a lease from the acceptors (package lease), which permits only one candidate at
 // a time to continue. It then increments the leadership's epoch in the register. The epoch is
 // what fences an earlier leader that continues after its lease has expired. The leader renews
-// the lease and sends announcements; a store that receives no announcement for
-// about the duration of a lease (leaderTimeout) campaigns.
+// the lease and sends announcements; a store that receives no announcement for about the duration
+// of a lease (leaderTimeout) campaigns.
 package leadership
 
 import (
--- a/internal/batch/leadership/register.go
+++ b/internal/batch/leadership/register.go
@@ -31,8 +31,8 @@
 	return clock.Now().Sub(c.register.readAt)
 }
 
-// ReadRegister reads the register, without its body, from a controller, and caches it. It reports whether a
-// controller responded with a value confirmed by a majority.
+// ReadRegister reads the register, without its body, from a controller, and caches it. It reports
+// whether a controller responded with a value confirmed by a majority.
 func (c *Campaign) ReadRegister() bool {
 	for _, address := range c.controllers() {
 		resp := &messages.RegisterResponse{}
--- a/internal/batch/leadership/renew_test.go
+++ b/internal/batch/leadership/renew_test.go
@@ -10,7 +10,7 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// openTerm is a term that does nothing.
+// openTerm is a term that does nothing but record that it was closed.
 type openTerm struct{ closed atomic.Bool }
 
 func (t *openTerm) Epoch() uint64 { return 4 }
--- a/internal/batch/leadership/slowness.go
+++ b/internal/batch/leadership/slowness.go
@@ -55,11 +55,12 @@
 	slowness slowness
 	// until is when this process may lead again after its own store lagged.
 	until clock.Instant
-	// resignedAt is when this process last yielded the leadership because it was slow.
+	// resignedAt is when this process last resigned, or last started to yield without leading,
+	// because it was slow.
 	resignedAt clock.Instant
 }
 
-// recentlyResigned reports whether this process yielded the leadership within a duration.
+// recentlyResigned reports whether resignedAt is within the given duration before now.
 func (y *yielding) recentlyResigned(now clock.Instant, within clock.Duration) bool {
 	return y.resignedAt > 0 && now.Sub(y.resignedAt) < within
 }
@@ -79,8 +80,8 @@
 const SlownessSlow = "slow"
 
 // ReportSlowness returns whether this machine is currently slow, and the shortest run time of the
-// workload in microseconds. The leader requests this
-// report from a store before it selects that store as a joiner.
+// workload in microseconds. The leader requests this report from a store before it selects that store
+// as a joiner.
 func (c *Campaign) ReportSlowness() *messages.StatusResponse {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -122,7 +123,7 @@
 }
 
 // yields reports whether this process currently leaves the leadership to others: it has
-// resigned within constants.YieldTime, or its machine is slow and it has not yielded within
+// resigned within constants.YieldTime, or its machine is slow and it has not resigned within
 // constants.ResignBackoff. The latter counts as a resignation from then on.
 func (c *Campaign) yields(now clock.Instant) bool {
 	c.lock.Lock()
--- a/internal/batch/outputcodec/outputcodec_test.go
+++ b/internal/batch/outputcodec/outputcodec_test.go
@@ -20,21 +20,22 @@
 		}
 		body, compressed := Compress(output)
 		if len(body) > len(output) {
-			t.Fatal("compressed output is longer than its input: ", len(body), len(output))
+			t.Fatalf("output of %d bytes has %d bytes after compression, want at most as many", len(output), len(body))
 		}
 		if compressed && len(output) < constants.CompressMinBytes {
-			t.Fatal("compressed an output below the minimum size: ", len(output))
+			t.Fatalf("compressed an output of %d bytes, want outputs below %d bytes unchanged",
+				len(output), constants.CompressMinBytes)
 		}
 		if alphabet <= 32 && len(output) > 2000 && !compressed {
-			t.Fatal("a compressible output was not compressed; alphabet and length: ", alphabet, len(output))
+			t.Fatalf("output of %d bytes with an alphabet of %d was not compressed", len(output), alphabet)
 		}
 		restored, err := Decompress(body, compressed)
 		if err != nil || !bytes.Equal(restored, output) {
-			t.Fatal(err, len(restored), len(output))
+			t.Fatalf("restored %d bytes with error %v, want the original %d bytes", len(restored), err, len(output))
 		}
 		if compressed {
 			if truncated, err := Decompress(body[:len(body)/2], true); err == nil {
-				t.Fatal("a truncated output was decompressed without an error, bytes: ", len(truncated))
+				t.Fatalf("truncated output was decompressed to %d bytes without an error, want an error", len(truncated))
 			}
 		}
 	}
