--- a/internal/batch/leader/departed.go
+++ b/internal/batch/leader/departed.go
@@ -55,7 +55,7 @@
 	return present
 }
 
-// containsMember reports whether a set contains a member with the same name and disk.
+// containsMember reports whether a set contains a member with the same address and disk.
 func containsMember(members []messages.Member, member messages.Member) bool {
 	for i := range members {
 		if register.Identity(members[i]) == register.Identity(member) {
--- a/internal/batch/leader/dispatch.go
+++ b/internal/batch/leader/dispatch.go
@@ -28,15 +28,15 @@
 // jobTerms returns a function that returns the terms of a job under a configuration at the
 // current time. The lock is held while that function is called.
 func (t *Term) jobTerms(config *routeconfig.Config) func(job *dispatch.Job) dispatch.JobTerms {
-	wall, now := clock.WallNanos()/1_000_000, clock.Now()
+	wallMs, now := clock.WallNanos()/1_000_000, clock.Now()
 	return func(job *dispatch.Job) dispatch.JobTerms {
 		route := t.submissions.quota.route(config, submitPath{job.Host, job.Path})
 		if route == nil {
 			return dispatch.JobTerms{Expired: true}
 		}
-		age := wall - job.SubmittedMs
-		return dispatch.JobTerms{Due: job.SubmittedMs + int64(route.ResultMs), Expired: job.OlderThan(route.Retain(), wall, now),
-			Overdue: float64(age)+t.items.dispatcher.MeanRunMs > route.ResultMs}
+		ageMs := wallMs - job.SubmittedMs
+		return dispatch.JobTerms{Due: job.SubmittedMs + int64(route.ResultMs), Expired: job.OlderThan(route.Retain(), wallMs, now),
+			Overdue: float64(ageMs)+t.items.dispatcher.MeanRunMs > route.ResultMs}
 	}
 }
 
@@ -163,7 +163,8 @@
 }
 
 // expireItems expires executors and locks every constants.TickPeriod. Every constants.ExpirePeriod it
-// also abandons the items that can no longer be run.
+// also abandons the items that can no longer be run and, once per epoch, appends the record that all
+// acquisitions of earlier epochs are known.
 func (t *Term) expireItems() {
 	scannedAt := clock.Now()
 	clock.Every(constants.TickPeriod, t.lifecycle.stop, func() {
--- a/internal/batch/leader/feed.go
+++ b/internal/batch/leader/feed.go
@@ -18,7 +18,8 @@
 	term   *Term
 	member messages.Member
 	// next is the index of the next record to be sent. It is guarded by Term.lock, as is
-	// delegation.
+	// delegation. While no delegation is active, only the feeder's goroutine sets it, and may read
+	// it without the lock.
 	next       int64
 	delegation delegation
 	// progressAt is when the feeder started, or when a response to a direct request last set next.
--- a/internal/batch/leader/jobcalls.go
+++ b/internal/batch/leader/jobcalls.go
@@ -124,11 +124,11 @@
 		return
 	}
 	retention := clock.Milliseconds(t.process.Node.Settings.Tolerances.StatusS * 1000)
-	wall, now := clock.WallNanos()/1_000_000, clock.Now()
+	wallMs, now := clock.WallNanos()/1_000_000, clock.Now()
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	for _, job := range t.jobs.Jobs() {
-		if !job.Open() && job.OlderThan(retention, wall, now) && !t.submissions.forgetting[job.ID] && job.PendingListings() == 0 {
+		if !job.Open() && job.OlderThan(retention, wallMs, now) && !t.submissions.forgetting[job.ID] && job.PendingListings() == 0 {
 			t.submissions.forgetting[job.ID] = true
 			t.appendRecord(messages.Record{Kind: messages.RecordForget, Job: job.ID})
 		}
--- a/internal/batch/leader/latency.go
+++ b/internal/batch/leader/latency.go
@@ -10,24 +10,24 @@
 
 // appendLatency tracks, for the leader, how long each store takes to handle an append request.
 type appendLatency struct {
-	// means maps the identity of a store to its moving average in ms, and counts to the number of
+	// meansMs maps the identity of a store to its moving average in ms, and counts to the number of
 	// observations.
-	means  map[string]float64
-	counts map[string]int
+	meansMs map[string]float64
+	counts  map[string]int
 }
 
 func newAppendLatency() appendLatency {
-	return appendLatency{means: map[string]float64{}, counts: map[string]int{}}
+	return appendLatency{meansMs: map[string]float64{}, counts: map[string]int{}}
 }
 
-// observe adds the duration of a store's append request, in ms.
-func (l *appendLatency) observe(identity string, took float64) {
+// observe adds the duration of a store's append request.
+func (l *appendLatency) observe(identity string, tookMs float64) {
 	l.counts[identity]++
 	if l.counts[identity] == 1 {
-		l.means[identity] = took
+		l.meansMs[identity] = tookMs
 		return
 	}
-	l.means[identity] += constants.LagWeight * (took - l.means[identity])
+	l.meansMs[identity] += constants.LagWeight * (tookMs - l.meansMs[identity])
 }
 
 // isSlow reports whether a store's mean duration is more than constants.LagFactor times the median of
@@ -36,7 +36,7 @@
 // duration is caused by the disk.
 func (l *appendLatency) isSlow(identity string) bool {
 	var others []float64
-	for name, mean := range l.means {
+	for name, mean := range l.meansMs {
 		if name != identity && l.counts[name] >= constants.LagSamplesMin {
 			others = append(others, mean)
 		}
@@ -46,7 +46,7 @@
 	}
 	slices.Sort(others)
 	median := others[len(others)/2]
-	return l.means[identity] > constants.LagFactor*median && l.means[identity] > constants.LagFloorMs
+	return l.meansMs[identity] > constants.LagFactor*median && l.meansMs[identity] > constants.LagFloorMs
 }
 
 // observeAppendLatency records how long a store took to handle an append request.
--- a/internal/batch/leader/latency_test.go
+++ b/internal/batch/leader/latency_test.go
@@ -26,7 +26,7 @@
 		latencies.observe("own", 36)
 	}
 	if !latencies.isSlow("own") || latencies.isSlow("a") {
-		t.Fatalf("want only the disk of own reported as slow; mean latencies in ms: %v", latencies.means)
+		t.Fatalf("want only the disk of own reported as slow; mean latencies in ms: %v", latencies.meansMs)
 	}
 	// If all disks are slow, none of them counts as slow.
 	for round := 0; round < 30; round++ {
--- a/internal/batch/leader/quota.go
+++ b/internal/batch/leader/quota.go
@@ -15,7 +15,7 @@
 	routes  map[submitPath]*routeconfig.Route
 }
 
-// pendingJob is a job that is not yet durable.
+// pendingJob is a job whose record is not yet committed.
 type pendingJob struct {
 	submitPath
 	tokens int64
--- a/internal/batch/leader/report.go
+++ b/internal/batch/leader/report.go
@@ -39,7 +39,7 @@
 // ReportJobs returns a report with one row per job.
 func (t *Term) ReportJobs() *messages.StatusResponse {
 	status := JobsReport()
-	now := clock.WallNanos() / 1_000_000
+	nowMs := clock.WallNanos() / 1_000_000
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	for _, job := range t.jobs.Jobs() {
@@ -63,7 +63,7 @@
 			failures += len(item.FailedBy)
 			renewals += item.Renewals
 		}
-		status.Rows = append(status.Rows, []string{job.ID, job.Path, formatInteger((now - job.SubmittedMs) / 1000), formatInteger(job.Total()),
+		status.Rows = append(status.Rows, []string{job.ID, job.Path, formatInteger((nowMs - job.SubmittedMs) / 1000), formatInteger(job.Total()),
 			formatInteger(len(job.Listings)), formatInteger(acquired), formatInteger(tokens), formatInteger(deliveries), formatInteger(lapses), formatInteger(releases), formatInteger(failures), formatInteger(renewals), state})
 	}
 	return status
