--- a/internal/batch/dispatch/accounting_test.go
+++ b/internal/batch/dispatch/accounting_test.go
@@ -65,7 +65,7 @@
 	second.RecordAcquisitionsKnown(ms(3000))
 	second.applyRecords()
 	if len(second.records) != 4 {
-		t.Fatal(len(second.records))
+		t.Fatalf("got %d records after recording known acquisitions twice, want 4", len(second.records))
 	}
 	third := newTestDispatcher(t, 3, second.records, ms(3100))
 	if !third.Uncertain(ms(3200)) {
--- a/internal/batch/dispatch/acquire_test.go
+++ b/internal/batch/dispatch/acquire_test.go
@@ -36,11 +36,11 @@
 	dispatcher.addJobWithPrefix("a", "one", 6)
 	dispatcher.addJobWithPrefix("b", "two", 6)
 	if acquired := itemIDs(dispatcher.acquire("x", 1, ms(1))); acquired != "a0 " {
-		t.Fatal(acquired)
+		t.Fatalf("x acquired %q, want %q", acquired, "a0 ")
 	}
 	// The older job is due first, and items are not reserved for the owner of their prefix.
 	if acquired := itemIDs(dispatcher.acquire("y", 6, ms(2))); acquired != "a1 a2 a3 a4 a5 b0 " {
-		t.Fatal(acquired)
+		t.Fatalf("y acquired %q, want %q", acquired, "a1 a2 a3 a4 a5 b0 ")
 	}
 	dispatcher.addJobWithPrefix("c", "one", 2)
 	dispatcher.addJobWithPrefix("d", "two", 2)
@@ -68,7 +68,7 @@
 	acquired := dispatcher.Acquire(&AcquireOptions{Executor: Executor{Name: "x"}, Capacity: map[string]int{"s": 9},
 		Terms: func(job *Job) JobTerms { return terms[job.ID] }, Service: func(*Item) string { return "s" }}, ms(1))
 	if itemIDs(acquired) != "c b a " {
-		t.Fatal(itemIDs(acquired))
+		t.Fatalf("x acquired %q, want %q", itemIDs(acquired), "c b a ")
 	}
 }
 
--- a/internal/batch/dispatch/dispatcher_test.go
+++ b/internal/batch/dispatch/dispatcher_test.go
@@ -91,7 +91,7 @@
 
 func failed(ack *messages.Acknowledgement) { ack.Failed = true }
 
-func TestOneAcquisitionAndLapse(t *testing.T) {
+func TestOneAcquisitionUntilLockExpires(t *testing.T) {
 	dispatcher := newTestDispatcher(t, 1, nil, 0)
 	dispatcher.addJob("l", "a")
 	acquired := dispatcher.acquire("x", 3, ms(1))
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestAcceptAfterLapseAndRepeats(t *testing.T) {
+func TestAcceptAfterLockExpiryAndRepeats(t *testing.T) {
 	dispatcher := newTestDispatcher(t, 1, nil, 0)
 	dispatcher.addJob("l", "a")
 	first := dispatcher.acquire("x", 1, ms(1))[0].Number
@@ -143,7 +143,7 @@
 		dispatcher.applyRecords()
 	}
 	if len(dispatcher.records) != 4 || len(dispatcher.Jobs.Job("l").Listings) != 1 || dispatcher.Counts.Late != 2 {
-		t.Fatal(len(dispatcher.records), dispatcher.Counts)
+		t.Fatalf("got %d records, %d listings and %d late outputs, want 4, 1 and 2", len(dispatcher.records), len(dispatcher.Jobs.Job("l").Listings), dispatcher.Counts.Late)
 	}
 	// A later leader returns the same verdicts, from the record.
 	next := newTestDispatcher(t, 2, dispatcher.records, ms(5000))
@@ -163,7 +163,7 @@
 	dispatcher.acknowledge("x", messages.AckRelease, first, "a", ms(2100), events(2))
 	second := dispatcher.acquire("y", 1, ms(4000))
 	if item := second[0].Item; item.LastID != 3 || len(item.Events) != 3 {
-		t.Fatal(item.LastID, len(item.Events))
+		t.Fatalf("got last id %d and %d events after late releases with 3 and 2 events, want 3 and 3", item.LastID, len(item.Events))
 	}
 	// The events of a run that resumed after three must not be replaced by five late ones.
 	dispatcher.acknowledge("x", messages.AckRelease, first, "a", ms(4100), events(5))
@@ -172,7 +172,7 @@
 	}
 	dispatcher.acknowledge("y", messages.AckRelease, second[0].Number, "a", ms(4200), events(4))
 	if item := second[0].Item; item.LastID != 4 || dispatcher.InFlight() != 0 || item.Releases != 1 {
-		t.Fatal(item.LastID, dispatcher.InFlight())
+		t.Fatalf("got last id %d, %d acquisitions and %d releases after the release by y, want 4, 0 and 1", item.LastID, dispatcher.InFlight(), item.Releases)
 	}
 }
 
@@ -241,7 +241,7 @@
 	ending := true
 	dispatcher.Ending = func(*Job) bool { return ending }
 	if executors := dispatcher.StopJob(dispatcher.Jobs.Job("l")); len(executors) != 1 || executors[0].Name != "x" || dispatcher.InFlight() != 0 {
-		t.Fatal(executors)
+		t.Fatalf("StopJob returned %v and left %d acquisitions, want executor x and 0", executors, dispatcher.InFlight())
 	}
 	if len(dispatcher.acquire("y", 2, ms(100))) != 0 || dispatcher.acknowledge("x", messages.AckRenew, number, "a", ms(100)) != messages.AckTerminal ||
 		dispatcher.acknowledge("x", messages.AckAccept, number, "a", ms(100)) != messages.AckTerminal {
--- a/internal/batch/dispatch/executors_test.go
+++ b/internal/batch/dispatch/executors_test.go
@@ -30,7 +30,7 @@
 	dispatcher.ObserveExecutor(Executor{Name: "b", Zone: "h"}, ms(4000))
 	version, list := dispatcher.Executors(0, ms(4000))
 	if len(list) != 2 || list[0].Name != "a" || list[0].Zone != "h" {
-		t.Fatal(list)
+		t.Fatalf("got executors %v, want a in zone h and b", list)
 	}
 	if _, repeated := dispatcher.Executors(version, ms(4000)); repeated != nil {
 		t.Fatal("list sent to an executor that has this version")
@@ -40,7 +40,7 @@
 		t.Fatal("executor without contact was not removed exactly once")
 	}
 	if later, list := dispatcher.Executors(version, ms(5200)); later <= version || len(list) != 1 || list[0].Name != "a" {
-		t.Fatal(later, list)
+		t.Fatalf("got version %d and executors %v, want a version above %d and only a", later, list, version)
 	}
 	dispatcher.RemoveExecutor(Executor{Name: "a"})
 	if _, list := dispatcher.Executors(version, ms(5200)); len(list) != 0 {
--- a/internal/batch/dispatch/jobtable_test.go
+++ b/internal/batch/dispatch/jobtable_test.go
@@ -16,7 +16,7 @@
 	}
 	all := func(*Job) bool { return true }
 	if jobs.WaitingTokens(all) != 12 {
-		t.Fatal(jobs.WaitingTokens(all))
+		t.Fatalf("got %d waiting tokens, want 12", jobs.WaitingTokens(all))
 	}
 	if apply(messages.Record{Kind: messages.RecordOutput, Job: "l", Item: "y"}) != nil || jobs.WaitingTokens(all) != 5 {
 		t.Fatal("output record rejected, or waiting tokens not 5")
@@ -28,7 +28,7 @@
 		t.Fatal("ended job is open or has waiting tokens")
 	}
 	if got := jobs.Job("l").Listings; len(got) != 1 || got[0].Item != "y" {
-		t.Fatal(got)
+		t.Fatalf("got listings %v, want only item y", got)
 	}
 }
 
@@ -63,7 +63,7 @@
 	}
 	for number, step := range steps {
 		if apply(step.record); jobs.InputBytes() != step.want {
-			t.Fatal("step", number, jobs.InputBytes(), "bytes, want", step.want)
+			t.Fatalf("got %d input bytes after step %d, want %d", jobs.InputBytes(), number, step.want)
 		}
 	}
 }
--- a/internal/batch/executor/ackqueue_test.go
+++ b/internal/batch/executor/ackqueue_test.go
@@ -18,18 +18,18 @@
 		t.Helper()
 		batch := q.batch()
 		if len(batch) == 0 || batch[0].Kind != kind || batch[0].Number != 1 || batch[0].Job != "j" || batch[0].Item != "i" || (len(batch[0].Output) > 0) != (kind == messages.AckAccept) {
-			t.Fatalf("%s: %+v", step, batch)
+			t.Fatalf("%s: got batch %+v, want first an acknowledgement of kind %d for acquisition 1", step, batch, kind)
 		}
 		return batch
 	}
 	batch := expect("first", messages.AckAccept)
 	if len(batch) != 2 || batch[1].Kind != messages.AckReject {
-		t.Fatal(batch)
+		t.Fatalf("got first batch %+v, want an output and a rejection", batch)
 	}
 	q.handleVerdicts(batch, nil)
 	batch = expect("no response to the output", messages.AckConfirm)
 	if batch[1].Kind != messages.AckReject {
-		t.Fatal(batch)
+		t.Fatalf("got batch %+v, want the rejection sent again unchanged", batch)
 	}
 	q.handleVerdicts(batch, []messages.AckVerdict{messages.AckUnknown, messages.AckRecorded})
 	batch = expect("not durable yet", messages.AckConfirm)
@@ -42,6 +42,6 @@
 	batch = expect("no response to all confirm requests", messages.AckAccept)
 	q.handleVerdicts(batch, []messages.AckVerdict{messages.AckRecorded})
 	if len(q.batch()) != 0 || len(q.confirms) != 0 {
-		t.Fatal(q.entries, q.confirms)
+		t.Fatalf("got entries %+v and confirm counts %v after all final verdicts, want none", q.entries, q.confirms)
 	}
 }
--- a/internal/batch/executor/runner_test.go
+++ b/internal/batch/executor/runner_test.go
@@ -69,19 +69,19 @@
 	}
 	batch := runner.Results()
 	if len(batch) != 2 || runner.Unacknowledged() != 3 {
-		t.Fatal(len(batch), runner.Unacknowledged())
+		t.Fatalf("got %d results and %d unacknowledged tasks, want 2 and 3", len(batch), runner.Unacknowledged())
 	}
 	runner.HandleVerdicts(batch, nil)
 	runner.HandleVerdicts(batch, []messages.AckVerdict{messages.AckUnknown, messages.AckTerminal})
 	if batch = runner.Results(); len(batch) != 1 || batch[0].Number != 1 || batch[0].Kind != messages.AckConfirm {
-		t.Fatal(batch)
+		t.Fatalf("got results %+v, want only a confirm request for acquisition 1", batch)
 	}
 	runner.HandleVerdicts(batch, []messages.AckVerdict{messages.AckOutputNeeded})
 	if batch = runner.Results(); len(batch) != 1 || batch[0].Number != 1 || batch[0].Kind != messages.AckAccept {
-		t.Fatal(batch)
+		t.Fatalf("got results %+v, want only the output of acquisition 1", batch)
 	}
-	if resp := runner.Releases(); len(resp) != 1 || resp[0].LastID != 1 || len(resp[0].Events) != 1 {
-		t.Fatal(resp)
+	if releases := runner.Releases(); len(releases) != 1 || releases[0].LastID != 1 || len(releases[0].Events) != 1 {
+		t.Fatalf("got releases %+v, want one with one event, whose id is 1", releases)
 	}
 	runner.HandleVerdicts(batch, []messages.AckVerdict{messages.AckRecorded})
 	if len(runner.Results()) != 0 || runner.Unacknowledged() != 1 {
@@ -107,13 +107,13 @@
 		runner.Done(task, messages.Acknowledgement{Kind: messages.AckAccept, Output: make([]byte, 10)})
 	}
 	if len(runner.Results()) != constants.AckEntries {
-		t.Fatal(len(runner.Results()))
+		t.Fatalf("batch does not have the maximum of %d acknowledgements", constants.AckEntries)
 	}
 }
 
 // After all tasks were reported to a later leader, items from an earlier leader are rejected: the later
 // leader would not know of them.
-func TestDropBefore(t *testing.T) {
+func TestRejectEpochsBefore(t *testing.T) {
 	runner := New()
 	runner.Add(acquired(5<<40|1), ms(0), ms(100))
 	runner.RejectEpochsBefore(6)
@@ -149,12 +149,12 @@
 	resp.Items[0].Item.Body, resp.Items[1].Item.Body = make([]byte, 100), make([]byte, 10)
 	tasks := runner.Add(resp, ms(0), ms(500))
 	if runner.InputBytes() != 110 {
-		t.Fatal(runner.InputBytes())
+		t.Fatalf("got %d input bytes of two tasks, want 110", runner.InputBytes())
 	}
 	for range 2 {
 		runner.Done(tasks[0], messages.Acknowledgement{Kind: messages.AckReject})
 	}
 	if runner.InputBytes() != 10 {
-		t.Fatal(runner.InputBytes())
+		t.Fatalf("got %d input bytes after the first task was done, want 10", runner.InputBytes())
 	}
 }
--- a/internal/batch/replicalog/golden_test.go
+++ b/internal/batch/replicalog/golden_test.go
@@ -34,11 +34,11 @@
 	mustAppend := func(req *messages.AppendRequest) {
 		t.Helper()
 		if resp, err := log.Append(req); err != nil || !resp.Granted {
-			t.Fatal(resp, err)
+			t.Fatalf("append after index %d: granted %v, error %v; want it granted", req.PreviousIndex, resp.Granted, err)
 		}
 	}
 	if resp, err := log.Fence(&messages.FenceRequest{Epoch: 4, Disk: "disk-1"}); err != nil || !resp.Granted {
-		t.Fatal(resp, err)
+		t.Fatalf("fence: granted %v, error %v; want it granted", resp.Granted, err)
 	}
 	truncated := messages.Record{Index: 6, Epoch: 4, Kind: messages.RecordJobEnd, Job: "new"}
 	mustAppend(&messages.AppendRequest{Epoch: 4, Disk: "disk-1", Records: goldenRecords[:3]})
@@ -77,7 +77,7 @@
 		}
 		log, err := Open(recordlog.Directory(dir), "other")
 		if err != nil {
-			t.Fatal(file.golden, err)
+			t.Fatalf("open %s less %d bytes: %v", file.golden, file.torn, err)
 		}
 		extent := log.Extent()
 		if log.Disk() != "disk-1" || extent.Last != file.last || extent.Base != file.base || log.EpochAt(5) != 4 || log.EpochAt(6) != 6 {
--- a/internal/batch/replicalog/replay_test.go
+++ b/internal/batch/replicalog/replay_test.go
@@ -88,7 +88,7 @@
 	_, _ = log.Append(&messages.AppendRequest{Epoch: 1, Disk: "d", Records: recordsOf(1, 1, 9)})
 	resp, err := log.Append(&messages.AppendRequest{Epoch: 2, Disk: "d", PreviousIndex: 3, PreviousEpoch: 1, Records: recordsOf(1, 4, 4), CommitIndex: 9})
 	if err != nil || !resp.Granted || log.commitIndex != 4 {
-		t.Fatal(resp, err, log.commitIndex)
+		t.Fatalf("append: granted %v, error %v, commit index %d; want it granted with commit index 4", resp.Granted, err, log.commitIndex)
 	}
 }
 
@@ -107,7 +107,7 @@
 		}
 		*failSync = false
 		if resp, err := log.Fence(&messages.FenceRequest{Epoch: 7, Disk: "d"}); err != nil || !resp.Granted {
-			t.Fatal(resp, err)
+			t.Fatalf("fence repeated after a failed sync: granted %v, error %v; want it granted", resp.Granted, err)
 		}
 		disk.PowerLoss()
 		reopened, err := Open(disk, "d")
--- a/internal/batch/replication/replication_test.go
+++ b/internal/batch/replication/replication_test.go
@@ -137,10 +137,10 @@
 		"empty": {},
 	}
 	if got := BestCopy(copies); got != "late" {
-		t.Fatal(got)
+		t.Fatalf("best copy is %q, want %q", got, "late")
 	}
 	copies["longer"] = messages.FenceResponse{Last: 7, EpochRanges: []messages.EpochRange{{Epoch: 3, First: 1}, {Epoch: 5, First: 6}}}
 	if got := BestCopy(copies); got != "longer" {
-		t.Fatal(got)
+		t.Fatalf("best copy is %q, want %q", got, "longer")
 	}
 }
--- a/internal/batch/store/copy_test.go
+++ b/internal/batch/store/copy_test.go
@@ -31,7 +31,7 @@
 	extent := joiner.Log.Extent()
 	last, epochRanges := extent.Last, extent.EpochRanges
 	if copied == 0 || last != copied || appended > 0 || copied > durable {
-		t.Fatal(copied, last, appended, durable)
+		t.Fatalf("joiner copied up to %d and has records up to %d, with %d appends by the leader; want an equal index of 1 to %d and no append", copied, last, appended, durable)
 	}
 	fleet.checkSameRecords(joiner, copied, leading.Node.Settings.Budget())
 	if len(epochRanges) == 0 {
@@ -62,7 +62,7 @@
 			}
 			compared++
 			if got == nil || fmt.Sprint(*got) != fmt.Sprint(*want) {
-				r.t.Fatal(index, server.Node.Self.Name)
+				r.t.Fatalf("record %d of the joiner is %+v, that of %s is %+v; want them equal", index, got, server.Node.Self.Name, want)
 			}
 		}
 		if compared < replication.CopiesNeeded(len(members), budget) {
--- a/internal/batch/store/duplicates_test.go
+++ b/internal/batch/store/duplicates_test.go
@@ -39,29 +39,29 @@
 	full := submitCall("full", 6)
 	full.RequestID = "f#1"
 	if resp := sendCall(t, server, full); resp.Status != 202 {
-		t.Fatal(resp.Status)
+		t.Fatalf("submission that fills the backlog returned status %d, want 202", resp.Status)
 	}
 	late := submitCall("late", 2)
 	late.RequestID = "f#2"
 	if resp := sendCall(t, server, late); resp.Status != 429 {
-		t.Fatal(resp.Status)
+		t.Fatalf("submission with a full backlog returned status %d, want 429", resp.Status)
 	}
 	if resp := sendCall(t, server, &messages.JobCallRequest{Method: "DELETE", Job: "full"}); resp.Status != 200 {
-		t.Fatal(resp.Status)
+		t.Fatalf("end of the job returned status %d, want 200", resp.Status)
 	}
 	if resp := sendCall(t, server, late); resp.Status != 504 || jobKnown(t, server, "late") {
 		t.Fatal("the second copy of a rejected submission was accepted: ", resp.Status)
 	}
 	late.RequestID = "f#3"
 	if resp := sendCall(t, server, late); resp.Status != 202 {
-		t.Fatal(resp.Status)
+		t.Fatalf("submission under a new request ID returned status %d, want 202", resp.Status)
 	}
 	// The process does not lead when the first copy arrives, and leads when the second arrives.
 	server.currentTerm().Close("another takes over")
 	moved := submitCall("moved", 2)
 	moved.RequestID = "f#4"
 	if resp := sendCall(t, server, moved); !resp.NotLeader {
-		t.Fatal(resp.Status)
+		t.Fatalf("submission to a process that does not lead returned status %d, want a referral to the leader", resp.Status)
 	}
 	startTerm(t, server, 2)
 	if resp := sendCall(t, server, moved); resp.Status != 504 || jobKnown(t, server, "moved") {
@@ -97,7 +97,7 @@
 		}
 	}
 	if jobCount(server) != 3 {
-		t.Fatal(jobCount(server))
+		t.Fatalf("got %d jobs, want 3", jobCount(server))
 	}
 }
 
@@ -106,6 +106,6 @@
 	call, now := &messages.JobCallRequest{TTLMs: 60_000}, clock.Instant(7)
 	soleLeader(t, simulation.NewDisk(6)).isFirstCopy(call, now)
 	if leader.Expired(call, now.Add(clock.Milliseconds(59_999))) || !leader.Expired(call, now.Add(clock.Milliseconds(60_000))) {
-		t.Fatal(call.ExpiresAt)
+		t.Fatalf("call expires at %d, want 60 s after its arrival at %d", call.ExpiresAt, now)
 	}
 }
--- a/internal/batch/store/executor_test.go
+++ b/internal/batch/store/executor_test.go
@@ -120,20 +120,20 @@
 func TestExecutorDerivesAcknowledgements(t *testing.T) {
 	server, worker := leaderWithWorker(t, 11)
 	if resp := server.currentTerm().Serve(submitCall("mixed", 5)); resp.Status != 202 {
-		t.Fatal(resp.Status)
+		t.Fatalf("submission returned status %d, want 202", resp.Status)
 	}
 	for id, output := range outputs(t, server, "mixed", 5) {
 		complete := fmt.Sprintf("%s.1\n%s.2\n%s.3\n%s.4", id, id, id, id)
 		abandoned := strings.HasSuffix(id, "-0") || strings.HasSuffix(id, "-1")
 		if (output.Phase == "abandoned") != abandoned || (!abandoned && output.Text != complete) {
-			t.Fatal(output)
+			t.Fatalf("got output %+v, want abandoned %v, or else the text %q", output, abandoned, complete)
 		}
 	}
 	worker.lock.Lock()
 	defer worker.lock.Unlock()
 	// The route allows two attempts.
 	if worker.attempts["mixed-1"] != 2 || worker.attempts["mixed-0"] != 1 || worker.resumed["mixed-2"] != "2" {
-		t.Fatal(worker.attempts, worker.resumed)
+		t.Fatalf("got attempts %v and resumptions %v, want mixed-1 attempted twice, mixed-0 once, and mixed-2 resumed after event 2", worker.attempts, worker.resumed)
 	}
 }
 
@@ -141,7 +141,7 @@
 func TestEndOfAJobStopsRuns(t *testing.T) {
 	server, worker := leaderWithWorker(t, 12)
 	if resp := server.currentTerm().Serve(submitCall("stuck", 3)); resp.Status != 202 {
-		t.Fatal(resp.Status)
+		t.Fatalf("submission returned status %d, want 202", resp.Status)
 	}
 	started := map[string]bool{}
 	for len(started) < 3 {
@@ -153,7 +153,7 @@
 		}
 	}
 	if resp := server.currentTerm().Serve(&messages.JobCallRequest{Method: http.MethodDelete, Job: "stuck"}); resp.Status != 200 {
-		t.Fatal(resp.Status)
+		t.Fatalf("end of the job returned status %d, want 200", resp.Status)
 	}
 	for count := 0; count < 3; count++ {
 		select {
@@ -164,7 +164,7 @@
 	}
 	// The next job runs to completion; no item of the ended job runs meanwhile.
 	if resp := server.currentTerm().Serve(submitCall("next", 2)); resp.Status != 202 {
-		t.Fatal(resp.Status)
+		t.Fatalf("submission returned status %d, want 202", resp.Status)
 	}
 	outputs(t, server, "next", 2)
 	worker.lock.Lock()
--- a/internal/batch/store/forwarder_test.go
+++ b/internal/batch/store/forwarder_test.go
@@ -50,7 +50,7 @@
 	fleet.disks[leading.Node.Self.Name].PowerLoss()
 	fleet.submitAndCheck()
 	if len(fleet.storeSetDisks()) < 4 {
-		t.Fatal(fleet.storeSetDisks())
+		t.Fatalf("got store set %v, want at least 4 members", fleet.storeSetDisks())
 	}
 }
 
@@ -102,7 +102,7 @@
 	for range constants.ForwardQueue {
 		report := <-reported
 		if report.Epoch != 3 || report.Disk != "target" || !report.Response.Granted || reportedOn[report.Response.Last] {
-			t.Fatal(report)
+			t.Fatalf("got report %+v, want one report per request, of epoch 3, for disk target and granted", report)
 		}
 		reportedOn[report.Response.Last] = true
 	}
--- a/internal/batch/store/recoveryfleet_test.go
+++ b/internal/batch/store/recoveryfleet_test.go
@@ -106,7 +106,7 @@
 	f.lock.Unlock()
 	replica, err := replicalog.Open(poweredDisk{f.disks[name], supply}, identity)
 	if err != nil {
-		f.t.Error(name, err)
+		f.t.Errorf("open the log of %s: %v", name, err)
 		return
 	}
 	nodeSettings := &settings.Settings{NodeName: name, Address: fmt.Sprint("10.0.0.", number), Zone: fmt.Sprint("h", number%4), InternalPorts: []int{7000, 7010},
@@ -119,7 +119,7 @@
 	server.registerReports()
 	runtime.ApplyConfig([]byte(unlimitedConfig))
 	if err = runtime.Transport.Serve(runtime.Dispatch); err != nil {
-		f.t.Error(name, err)
+		f.t.Errorf("serve requests at %s: %v", name, err)
 		return
 	}
 	f.lock.Lock()
--- a/internal/batch/store/share_sim_test.go
+++ b/internal/batch/store/share_sim_test.go
@@ -20,9 +20,8 @@
 	shareRetainMs = 25_000
 )
 
-// shareCluster is a fleet of stores whose leader dispatches items to executors, with the same
-// dispatch.Dispatcher and executor.Runner as the real one. Every clock has an offset and a rate of
-// its own.
+// shareCluster is a fleet of stores whose leader dispatches items to executors. It uses the real
+// dispatch.Dispatcher and executor.Runner. Every clock has an offset and a rate of its own.
 type shareCluster struct {
 	*simFleet
 	executors   map[string]*simExecutor
--- a/internal/batch/store/simulation_test.go
+++ b/internal/batch/store/simulation_test.go
@@ -101,7 +101,7 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	// Files are rewritten as soon as half of their records are obsolete.
+	// Files are compacted once at least six records, and at least half of all, are obsolete, never by size.
 	log.SetCompaction(replicalog.Compaction{Bytes: 1 << 40, Records: 6, Lag: clock.Milliseconds(150)})
 	store.store, store.down = log, false
 	store.member.Disk = log.Disk()
