--- a/internal/batch/dispatch/accounting.go
+++ b/internal/batch/dispatch/accounting.go
@@ -69,15 +69,15 @@
 
 // addExecutor applies a RecordExecutor record, whose Item is the executor's name and whose AtMs is its
 // incarnation.
-func (b *JobTable) addExecutor(record *messages.Record) {
-	b.executors[executorID{record.Item, record.AtMs}] = record.Epoch
+func (t *JobTable) addExecutor(record *messages.Record) {
+	t.executors[executorID{record.Item, record.AtMs}] = record.Epoch
 }
 
 // dropExecutorsBefore removes the executors registered in epochs before the given one.
-func (b *JobTable) dropExecutorsBefore(before uint64) {
-	for id, epoch := range b.executors {
+func (t *JobTable) dropExecutorsBefore(before uint64) {
+	for id, epoch := range t.executors {
 		if epoch < before {
-			delete(b.executors, id)
+			delete(t.executors, id)
 		}
 	}
 }
--- a/internal/batch/dispatch/available.go
+++ b/internal/batch/dispatch/available.go
@@ -63,8 +63,8 @@
 }
 
 // eachAvailable visits the available items of a job in order until visit returns false.
-func (l *Job) eachAvailable(visit func(item *Item) bool) {
-	l.available.each(func(i int) bool { return visit(l.Items[i]) })
+func (j *Job) eachAvailable(visit func(item *Item) bool) {
+	j.available.each(func(i int) bool { return visit(j.Items[i]) })
 }
 
 // dueJob is an open job with its due time.
@@ -110,10 +110,10 @@
 }
 
 // insert adds a new job after all jobs with the same or an earlier due time.
-func (r *dueOrder) insert(job *Job, terms JobTerms) {
-	list := &r.inTime
+func (o *dueOrder) insert(job *Job, terms JobTerms) {
+	list := &o.inTime
 	if terms.Overdue {
-		list = &r.overdue
+		list = &o.overdue
 	}
 	i := sort.Search(len(*list), func(i int) bool { return (*list)[i].due > terms.Due })
 	*list = slices.Insert(*list, i, dueJob{job, terms.Due})
@@ -121,21 +121,21 @@
 
 // openJobs returns the open jobs in the order of their submission records, and removes all other jobs
 // from openCandidates.
-func (b *JobTable) openJobs() []*Job {
-	retained := b.openCandidates[:0]
-	for _, job := range b.openCandidates {
-		if job.Open() && b.jobs[job.ID] == job {
+func (t *JobTable) openJobs() []*Job {
+	retained := t.openCandidates[:0]
+	for _, job := range t.openCandidates {
+		if job.Open() && t.jobs[job.ID] == job {
 			retained = append(retained, job)
 		}
 	}
-	clear(b.openCandidates[len(retained):])
-	b.openCandidates = retained
+	clear(t.openCandidates[len(retained):])
+	t.openCandidates = retained
 	return retained
 }
 
 // drainUnranked returns the jobs that were added since the previous call.
-func (b *JobTable) drainUnranked() []*Job {
-	added := b.unranked
-	b.unranked = nil
+func (t *JobTable) drainUnranked() []*Job {
+	added := t.unranked
+	t.unranked = nil
 	return added
 }
--- a/internal/batch/dispatch/dispatcher.go
+++ b/internal/batch/dispatch/dispatcher.go
@@ -57,7 +57,9 @@
 	acquisitionsKnown bool
 }
 
-// Counts are the dispatcher's event counters, for reports to the operator.
+// Counts are the dispatcher's event counters, for reports to the operator. Adopted counts the
+// acquisitions of earlier leaders that executors reported to this one, and Late the outputs that
+// arrived after another acquisition had ended the item.
 type Counts struct {
 	Deliveries, LockExpiries, Releases, Failures, Renewals, Adopted, Completed, Abandoned, Late int64
 }
--- a/internal/batch/dispatch/item.go
+++ b/internal/batch/dispatch/item.go
@@ -37,7 +37,8 @@
 	Preempted int
 	// Runs counts the runs of the item; the latest run has this number.
 	Runs int
-	// LockExpiries, Releases and Renewals count what happened to its acquisitions.
+	// LockExpiries, Releases and Renewals count these events over all acquisitions of the item.
+	// Releases does not count runs that were not started.
 	LockExpiries, Releases, Renewals int
 	// ResumePending reports whether the item was preempted and has not been resumed yet.
 	ResumePending  bool
--- a/internal/batch/dispatch/jobtable.go
+++ b/internal/batch/dispatch/jobtable.go
@@ -51,18 +51,18 @@
 // OlderThan reports whether a job is older than a duration both by the wall clock and by the
 // time for which this leader has known it. A step of the wall clock, here or where the job was
 // submitted, must not expire a job early. In return, jobs expire later after a takeover.
-func (l *Job) OlderThan(timeout clock.Duration, wallMs int64, now clock.Instant) bool {
-	return wallMs-l.SubmittedMs > timeout.Milliseconds() && now.Sub(l.KnownSince) > timeout
+func (j *Job) OlderThan(timeout clock.Duration, wallMs int64, now clock.Instant) bool {
+	return wallMs-j.SubmittedMs > timeout.Milliseconds() && now.Sub(j.KnownSince) > timeout
 }
 
 // PendingListings returns the number of positions that are assigned and not durable yet.
-func (l *Job) PendingListings() int { return l.pendingListings }
+func (j *Job) PendingListings() int { return j.pendingListings }
 
 // Total returns the number of items.
-func (l *Job) Total() int { return l.total }
+func (j *Job) Total() int { return j.total }
 
 // Open reports whether further results are possible.
-func (l *Job) Open() bool { return !l.Ended && l.openItems > 0 }
+func (j *Job) Open() bool { return !j.Ended && j.openItems > 0 }
 
 // JobTable is the state derived from the durable records.
 type JobTable struct {
@@ -72,7 +72,7 @@
 	openCandidates []*Job
 	// unranked are the jobs added since the dispatcher last updated its order.
 	unranked []*Job
-	// inputBytes is the memory that the inputs of items without a durable result occupy, in bytes.
+	// inputBytes is the memory that the inputs of items that may still be run occupy, in bytes.
 	inputBytes int64
 	// executors maps the executors that may own acquisitions to the epoch of their latest registration.
 	executors map[executorID]uint64
@@ -84,21 +84,21 @@
 }
 
 // Job returns the job with an id, or nil if there is none.
-func (b *JobTable) Job(id string) *Job { return b.jobs[id] }
+func (t *JobTable) Job(id string) *Job { return t.jobs[id] }
 
 // InputBytes returns the memory that the inputs of items that may still be run occupy, in bytes.
-func (b *JobTable) InputBytes() int64 { return b.inputBytes }
+func (t *JobTable) InputBytes() int64 { return t.inputBytes }
 
 // Jobs returns all jobs, the oldest first.
-func (b *JobTable) Jobs() []*Job { return b.order }
+func (t *JobTable) Jobs() []*Job { return t.order }
 
 // Apply applies a durable record to the table. Records are applied in the order of their indexes.
-func (b *JobTable) Apply(record *messages.Record) error {
+func (t *JobTable) Apply(record *messages.Record) error {
 	switch record.Kind {
 	case messages.RecordJob:
-		return b.addJob(record)
+		return t.addJob(record)
 	case messages.RecordOutput:
-		job := b.jobs[record.Job]
+		job := t.jobs[record.Job]
 		if job == nil || record.Position != len(job.Listings) {
 			return ErrMalformed.New("unexpected position of an output in job " + record.Job)
 		}
@@ -111,56 +111,57 @@
 			}
 			item.setState(state)
 			item.closedByAcquisition = record.Acquisition
-			b.dropInput(item)
+			t.dropInput(item)
 			job.openItems--
 		}
 	case messages.RecordExecutor:
-		b.addExecutor(record)
+		t.addExecutor(record)
 	case messages.RecordAcquisitionsKnown:
-		b.dropExecutorsBefore(record.Epoch)
+		t.dropExecutorsBefore(record.Epoch)
 	case messages.RecordItemError:
-		if job := b.jobs[record.Job]; job != nil {
+		if job := t.jobs[record.Job]; job != nil {
 			if item := job.Item(record.Item); item != nil {
 				item.countFailure(record.Acquisition)
 			}
 		}
 	case messages.RecordJobEnd:
-		if job := b.jobs[record.Job]; job != nil {
+		if job := t.jobs[record.Job]; job != nil {
 			job.Ended = true
-			b.dropInputs(job)
+			t.dropInputs(job)
 		}
 	case messages.RecordForget:
-		if job := b.jobs[record.Job]; job != nil {
-			b.dropInputs(job)
+		if job := t.jobs[record.Job]; job != nil {
+			t.dropInputs(job)
 		}
-		delete(b.jobs, record.Job)
-		retained := b.order[:0]
-		for _, job := range b.order {
+		delete(t.jobs, record.Job)
+		retained := t.order[:0]
+		for _, job := range t.order {
 			if job.ID != record.Job {
 				retained = append(retained, job)
 			}
 		}
-		b.order = retained
+		t.order = retained
 	}
 	return nil
 }
 
-// dropInput releases the memory of an item's input. Once the item has a result, its input is read from disk.
-func (b *JobTable) dropInput(item *Item) {
-	b.inputBytes -= item.InputBytes()
+// dropInput releases the memory of an item's input. If the input is requested afterwards, it is read
+// from the job's record on disk.
+func (t *JobTable) dropInput(item *Item) {
+	t.inputBytes -= item.InputBytes()
 	item.Body, item.Events, item.Headers = nil, nil, nil
 }
 
 // dropInputs releases the memory of the inputs of all items of a job.
-func (b *JobTable) dropInputs(job *Job) {
+func (t *JobTable) dropInputs(job *Job) {
 	for _, item := range job.Items {
-		b.dropInput(item)
+		t.dropInput(item)
 	}
 }
 
 // addJob applies a RecordJob record. A job that is in the table already is ignored.
-func (b *JobTable) addJob(record *messages.Record) error {
-	if b.jobs[record.Job] != nil {
+func (t *JobTable) addJob(record *messages.Record) error {
+	if t.jobs[record.Job] != nil {
 		return nil
 	}
 	body := &messages.JobBody{}
@@ -175,21 +176,21 @@
 		job.itemByID[item.ID] = item
 		job.available.set(i, true)
 		job.waitingTokens += item.Tokens
-		b.inputBytes += item.InputBytes()
+		t.inputBytes += item.InputBytes()
 	}
-	b.jobs[job.ID] = job
-	b.order = append(b.order, job)
-	b.openCandidates = append(b.openCandidates, job)
-	b.unranked = append(b.unranked, job)
-	sort.SliceStable(b.order, func(left, right int) bool { return b.order[left].SubmittedMs < b.order[right].SubmittedMs })
+	t.jobs[job.ID] = job
+	t.order = append(t.order, job)
+	t.openCandidates = append(t.openCandidates, job)
+	t.unranked = append(t.unranked, job)
+	sort.SliceStable(t.order, func(left, right int) bool { return t.order[left].SubmittedMs < t.order[right].SubmittedMs })
 	return nil
 }
 
 // WaitingTokens returns the number of tokens of unfinished items of the jobs for which match returns true.
 // Only open jobs are visited: finished ones are kept for minutes, and submissions come in bursts.
-func (b *JobTable) WaitingTokens(match func(job *Job) bool) int64 {
+func (t *JobTable) WaitingTokens(match func(job *Job) bool) int64 {
 	total := int64(0)
-	for _, job := range b.openJobs() {
+	for _, job := range t.openJobs() {
 		if match(job) {
 			total += job.waitingTokens
 		}
@@ -198,4 +199,4 @@
 }
 
 // Item returns the item with an id, or nil if there is none.
-func (l *Job) Item(id string) *Item { return l.itemByID[id] }
+func (j *Job) Item(id string) *Item { return j.itemByID[id] }
--- a/internal/batch/executorserver/executorserver.go
+++ b/internal/batch/executorserver/executorserver.go
@@ -35,7 +35,7 @@
 	Acknowledge(req *messages.AcknowledgeRequest) *messages.AcknowledgeResponse
 }
 
-// Server runs items on the workers that this process owns for batch jobs.
+// Server runs items of batch jobs on the workers that this process owns.
 type Server struct {
 	node    *agent.Agent
 	gossip  *loadgossip.Gossip
--- a/internal/batch/executorserver/place.go
+++ b/internal/batch/executorserver/place.go
@@ -93,8 +93,9 @@
 }
 
 // addExecutors adds the executors on the dispatcher's list to stores. It returns false if there is no
-// list or it was not confirmed within SuspectAfter. Every executor contacts the dispatcher twice a
-// second, well before the other processes would suspect it of having failed.
+// list or it was not confirmed within SuspectAfter. With a lock duration of up to LockDefault, every
+// executor contacts the dispatcher about twice a second, so a failed executor is off the list well
+// before the other processes would suspect it of having failed.
 func (s *Server) addExecutors(stores map[string]string, now clock.Instant) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -179,8 +180,8 @@
 	item := task.Item
 	req := &admission.Request{Service: route.Choose(clock.Float64()), Affine: route.Affine, Bulk: true, Priority: route.Priority, Setpoint: route.Setpoint(), AllowedWorkers: owned,
 		Prompt: prefixindex.ParsePrompt(item.Headers["Lemonarch-Model"], item.Headers["Lemonarch-Token-Count"], item.Headers["Lemonarch-Prompt-Prefix"])}
-	resp, _ := s.gossip.Scheduler.Admit(req, nil, now)
-	if resp.Verdict != admission.VerdictGranted {
+	decision, _ := s.gossip.Scheduler.Admit(req, nil, now)
+	if decision.Verdict != admission.VerdictGranted {
 		return false
 	}
 	s.lock.Lock()
@@ -189,7 +190,7 @@
 	resumed, preemptible := item.ResumePending, item.Preempted < constants.PreemptionLimit
 	s.lock.Unlock()
 	if !mayRun {
-		resp.Grant.End(admission.ResultCanceled, now)
+		decision.Grant.End(admission.ResultCanceled, now)
 		s.releaseUnstarted(task)
 		return true
 	}
@@ -197,9 +198,9 @@
 		s.gossip.Scheduler.Counters(route.Name).Resumed.Add(1)
 	}
 	if preemptible {
-		resp.Grant.AllowPreemption(func() { s.yield(task) })
+		decision.Grant.AllowPreemption(func() { s.yield(task) })
 	}
-	go s.runOnWorker(route, task, resp.Grant)
+	go s.runOnWorker(route, task, decision.Grant)
 	signal(s.signals.wake)
 	return true
 }
--- a/internal/batch/executorserver/run.go
+++ b/internal/batch/executorserver/run.go
@@ -83,7 +83,8 @@
 		s.lock.Lock()
 		defer s.lock.Unlock()
 		if task.Stopped() || !task.Item.AppendEvents(task.Run, proxy.EventData(events), splitter.LastID) {
-			return proxy.ErrNotSent.New("run was stopped or preempted")
+			// The kind of this error is not evaluated: an error of any kind releases the item.
+			return proxy.ErrNotSent.New("run was stopped or preempted while its events were read")
 		}
 		task.NoteProgress(clock.Now())
 		return nil
--- a/internal/batch/replicalog/compact.go
+++ b/internal/batch/replicalog/compact.go
@@ -47,34 +47,34 @@
 }
 
 // durableSinceLag records the current commit index and returns the one of Lag ago, or zero if none is known.
-func (r *compactionState) durableSinceLag(commitIndex int64, now clock.Instant) int64 {
-	r.commitHistory = append(r.commitHistory, commitMark{now, commitIndex})
-	for len(r.commitHistory) > 1 && now.Sub(r.commitHistory[1].at) >= r.Lag {
-		r.commitHistory = r.commitHistory[1:]
+func (c *compactionState) durableSinceLag(commitIndex int64, now clock.Instant) int64 {
+	c.commitHistory = append(c.commitHistory, commitMark{now, commitIndex})
+	for len(c.commitHistory) > 1 && now.Sub(c.commitHistory[1].at) >= c.Lag {
+		c.commitHistory = c.commitHistory[1:]
 	}
-	if now.Sub(r.commitHistory[0].at) < r.Lag {
+	if now.Sub(c.commitHistory[0].at) < c.Lag {
 		return 0
 	}
-	return r.commitHistory[0].index
+	return c.commitHistory[0].index
 }
 
 // estimateDue reports whether enough records were added since the last estimate of the savings to
 // estimate them again: only new records make others obsolete.
-func (r *compactionState) estimateDue(last int64) bool {
+func (c *compactionState) estimateDue(last int64) bool {
 	const fraction = 8
-	if last >= r.estimatedAtIndex && last-r.estimatedAtIndex < int64(r.Records/fraction) {
+	if last >= c.estimatedAtIndex && last-c.estimatedAtIndex < int64(c.Records/fraction) {
 		return false
 	}
-	r.estimatedAtIndex = last
+	c.estimatedAtIndex = last
 	return true
 }
 
 // worthCompacting reports whether compaction drops at least as much as it has to write. Then each byte
 // and each record is written a bounded number of times, and the file contains at most twice the
 // data that is not obsolete, apart from the minimum sizes.
-func (r *compactionState) worthCompacting(size, keptBytes int64, retained, dropped int) bool {
-	bySize := size >= r.Bytes && keptBytes*2 <= size
-	return bySize || (dropped >= r.Records && dropped >= retained)
+func (c *compactionState) worthCompacting(size, keptBytes int64, retained, dropped int) bool {
+	bySize := size >= c.Bytes && keptBytes*2 <= size
+	return bySize || (dropped >= c.Records && dropped >= retained)
 }
 
 // CompactIfDue compacts the file if the policy says that enough of it is obsolete.
--- a/internal/batch/replicalog/read.go
+++ b/internal/batch/replicalog/read.go
@@ -37,7 +37,7 @@
 }
 
 // Fetch returns a range of records, limited by AppendBytes. The request is not granted if it names
-// another disk or if the replica is incomplete, since others must not copy from an incomplete one.
+// another disk or if the replica is incomplete: other stores must not copy from an incomplete replica.
 func (l *Log) Fetch(req *messages.FetchRequest) (*messages.FetchResponse, error) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
--- a/internal/batch/replication/append.go
+++ b/internal/batch/replication/append.go
@@ -85,7 +85,8 @@
 	return false
 }
 
-// Has reports whether the replica contains all records up to a durable one, as far as they were not compacted away.
+// Has reports whether the replica contains all records up to a base, which are durable, except for those
+// that were compacted away.
 func (r *Replica) Has(base Base) bool {
 	if !r.Complete() || r.Last() < base.Index {
 		return false
--- a/internal/batch/replication/replica.go
+++ b/internal/batch/replication/replica.go
@@ -82,11 +82,11 @@
 // EntryAt returns the entry at an index. It returns false if there is no such record or if the record
 // was compacted away.
 func (r *Replica) EntryAt(index int64) (IndexEntry, bool) {
-	if offset := index - r.base.Index - 1; offset >= 0 {
-		if offset >= int64(len(r.entries)) {
+	if position := index - r.base.Index - 1; position >= 0 {
+		if position >= int64(len(r.entries)) {
 			return IndexEntry{}, false
 		}
-		return r.entries[offset], true
+		return r.entries[position], true
 	}
 	i := r.firstSparseFrom(index)
 	if i == len(r.sparse) || r.sparse[i].Index != index {
--- a/internal/batch/replication/replicator.go
+++ b/internal/batch/replication/replicator.go
@@ -10,7 +10,8 @@
 // Replicator tracks, for the leader of an epoch, how far each store has synced, and
 // computes the commit index from it.
 type Replicator struct {
-	Epoch   uint64
+	Epoch uint64
+	// Members is the current store set.
 	Members []messages.Member
 	// Next is the new store set while the set is being changed, nil otherwise. While it is set, a
 	// record is durable only with enough copies in both sets.
@@ -34,68 +35,68 @@
 }
 
 // NextIndex assigns the next index to a new record of the leader, and returns it.
-func (p *Replicator) NextIndex() int64 {
-	p.last++
-	return p.last
+func (r *Replicator) NextIndex() int64 {
+	r.last++
+	return r.last
 }
 
 // Last returns the index of the newest record.
-func (p *Replicator) Last() int64 { return p.last }
+func (r *Replicator) Last() int64 { return r.last }
 
 // UpdateMatch records that a store has synced all records up to an index, and reports whether
 // the commit index advanced.
-func (p *Replicator) UpdateMatch(identity string, index int64) bool {
-	if index > p.matchIndex[identity] {
-		p.matchIndex[identity] = index
+func (r *Replicator) UpdateMatch(identity string, index int64) bool {
+	if index > r.matchIndex[identity] {
+		r.matchIndex[identity] = index
 	}
-	return p.AdvanceCommit()
+	return r.AdvanceCommit()
 }
 
 // MatchIndex returns the index up to which a store has synced.
-func (p *Replicator) MatchIndex(identity string) int64 { return p.matchIndex[identity] }
+func (r *Replicator) MatchIndex(identity string) int64 { return r.matchIndex[identity] }
 
 // MarkLost records that a member's disk is lost: its machine responded with another disk. It
 // reports whether the commit index advanced. A lost disk never grants a fence to another leader, so
 // if fewer than budget + 1 members are left, every later leader reads a record that all of these
 // have synced.
-func (p *Replicator) MarkLost(identity string) bool {
-	p.lost[identity] = true
-	return p.AdvanceCommit()
+func (r *Replicator) MarkLost(identity string) bool {
+	r.lost[identity] = true
+	return r.AdvanceCommit()
 }
 
 // AdvanceCommit recomputes the commit index and reports whether it advanced.
-func (p *Replicator) AdvanceCommit() bool {
-	durable := p.replicatedIndexIn(p.Members)
-	if p.Next != nil {
-		durable = min(durable, p.replicatedIndexIn(p.Next))
+func (r *Replicator) AdvanceCommit() bool {
+	durable := r.replicatedIndexIn(r.Members)
+	if r.Next != nil {
+		durable = min(durable, r.replicatedIndexIn(r.Next))
 	}
 	// The number of copies does not make records of earlier epochs durable: they become
 	// durable once a later record of this epoch is.
-	if durable < p.first || durable <= p.commitIndex {
+	if durable < r.first || durable <= r.commitIndex {
 		return false
 	}
-	p.commitIndex = durable
+	r.commitIndex = durable
 	return true
 }
 
 // InNextSet reports whether enough members of the new store set have synced all records up to an index.
-func (p *Replicator) InNextSet(index int64) bool { return p.replicatedIndexIn(p.Next) >= index }
+func (r *Replicator) InNextSet(index int64) bool { return r.replicatedIndexIn(r.Next) >= index }
 
 // LastInheritedIndex returns the index of the last record of earlier epochs, with which this epoch started.
-func (p *Replicator) LastInheritedIndex() int64 { return p.first - 1 }
+func (r *Replicator) LastInheritedIndex() int64 { return r.first - 1 }
 
 // CommitIndex returns the index up to which all records are durable.
-func (p *Replicator) CommitIndex() int64 { return p.commitIndex }
+func (r *Replicator) CommitIndex() int64 { return r.commitIndex }
 
 // replicatedIndexIn returns the index up to which all records have enough synced copies in a store set.
-func (p *Replicator) replicatedIndexIn(members []messages.Member) int64 {
+func (r *Replicator) replicatedIndexIn(members []messages.Member) int64 {
 	var matches []int64
 	for _, member := range members {
-		if identity := register.Identity(member); !p.lost[identity] {
-			matches = append(matches, p.matchIndex[identity])
+		if identity := register.Identity(member); !r.lost[identity] {
+			matches = append(matches, r.matchIndex[identity])
 		}
 	}
-	needed := min(CopiesNeeded(len(members), p.budget), len(matches))
+	needed := min(CopiesNeeded(len(members), r.budget), len(matches))
 	if needed == 0 {
 		return 0
 	}
