--- a/internal/batch/dispatch/acquire.go
+++ b/internal/batch/dispatch/acquire.go
@@ -84,7 +84,8 @@
 }
 
 // candidates returns the available items due soonest, at most limit of them. Items that have waited for
-// PrefixWait come first, then those whose prefix the executor owns, so that few workers compute each shared prefix.
+// PrefixWait come first, then those whose prefix the executor owns, so that few workers compute each
+// shared prefix.
 // No item is reserved for an executor: leaving a slot idle costs more than computing the prefix again.
 func (d *Dispatcher) candidates(jobs []dueJob, options *AcquireOptions, limit int, now clock.Instant) []*Item {
 	var skippedLong, ownPrefix, others []*Item
--- a/internal/batch/dispatch/dispatcher.go
+++ b/internal/batch/dispatch/dispatcher.go
@@ -107,7 +107,8 @@
 // StartedAt returns the instant at which this dispatcher's leader took over the leadership.
 func (d *Dispatcher) StartedAt() clock.Instant { return d.startedAt }
 
-// Uncertain reports whether executors may still own acquisitions from earlier leaders that this leader does not know of.
+// Uncertain reports whether executors may still own acquisitions from earlier leaders that this leader
+// does not know of.
 func (d *Dispatcher) Uncertain(now clock.Instant) bool { return now < d.uncertainUntil }
 
 // maybeAcquired reports whether an executor may still own the item through an earlier leader.
@@ -181,7 +182,8 @@
 	return count
 }
 
-// abandon ends an item with the result that it is abandoned. It returns false if the item or the run is not current.
+// abandon ends an item with the result that it is abandoned. It returns false if
+// Item.Abandon does.
 func (d *Dispatcher) abandon(item *Item, run int, number uint64) bool {
 	if !item.Abandon(run) {
 		return false
--- a/internal/batch/dispatch/jobtable.go
+++ b/internal/batch/dispatch/jobtable.go
@@ -11,7 +11,8 @@
 // ErrMalformed is the error of a record that can't be decoded or applied.
 var ErrMalformed = errs.Define("malformed job record")
 
-// Listing is the result at one position of a job: the item, whether it was abandoned, and the index of the record.
+// Listing is the result at one position of a job: the item, whether it was abandoned, and the index of
+// the record.
 type Listing struct {
 	Item      string
 	Abandoned bool
--- a/internal/batch/replication/replication_test.go
+++ b/internal/batch/replication/replication_test.go
@@ -124,7 +124,7 @@
 
 func TestEnoughFenced(t *testing.T) {
 	if EnoughFenced(3, 1, 1) || !EnoughFenced(3, 2, 1) || EnoughFenced(4, 2, 1) || !EnoughFenced(4, 3, 1) || !EnoughFenced(1, 1, 1) || EnoughFenced(2, 0, 1) {
-		t.Fatal("wrong read quorum")
+		t.Fatal("EnoughFenced does not require all members but the fault budget, and at least one")
 	}
 }
 
--- a/internal/batch/store/copy_test.go
+++ b/internal/batch/store/copy_test.go
@@ -47,12 +47,12 @@
 
 // checkSameRecords checks that a joiner has the same records with the same epochs as the members
 // that have them. The leader's own disk may still be behind the commit index.
-func (r *storeFleet) checkSameRecords(joiner *Server, copied int64, budget int) {
-	members := r.storeSetDisks()
+func (f *storeFleet) checkSameRecords(joiner *Server, copied int64, budget int) {
+	members := f.storeSetDisks()
 	for index := int64(1); index <= copied; index++ {
 		got, _ := joiner.Log.Read(index)
 		compared := 0
-		for _, server := range r.servers() {
+		for _, server := range f.servers() {
 			if _, member := members[server.Node.Self.Name]; !member {
 				continue
 			}
@@ -62,23 +62,23 @@
 			}
 			compared++
 			if got == nil || fmt.Sprint(*got) != fmt.Sprint(*want) {
-				r.t.Fatalf("record %d of the joiner is %+v, that of %s is %+v; want them equal", index, got, server.Node.Self.Name, want)
+				f.t.Fatalf("record %d of the joiner is %+v, that of %s is %+v; want them equal", index, got, server.Node.Self.Name, want)
 			}
 		}
 		if compared < replication.CopiesNeeded(len(members), budget) {
-			r.t.Fatal("only ", compared, " members have the durable record ", index)
+			f.t.Fatal("only ", compared, " members have the durable record ", index)
 		}
 	}
 }
 
 // nonMember returns a store that is not a member of the store set.
-func (r *storeFleet) nonMember() *Server {
-	members := r.storeSetDisks()
-	for _, server := range r.servers() {
+func (f *storeFleet) nonMember() *Server {
+	members := f.storeSetDisks()
+	for _, server := range f.servers() {
 		if _, member := members[server.Node.Self.Name]; !member {
 			return server
 		}
 	}
-	r.t.Fatal("every store is a member of the set")
+	f.t.Fatal("every store is a member of the set")
 	return nil
 }
--- a/internal/batch/store/fleet_test.go
+++ b/internal/batch/store/fleet_test.go
@@ -73,30 +73,30 @@
 }
 
 // start starts a store process on the disk of its machine.
-func (r *storeFleet) start(number int, identity string) *Server {
+func (f *storeFleet) start(number int, identity string) *Server {
 	name := fmt.Sprint("s", number)
-	replica, err := replicalog.Open(r.disks[name], identity)
+	replica, err := replicalog.Open(f.disks[name], identity)
 	if err != nil {
-		r.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	nodeSettings := &settings.Settings{NodeName: name, Address: fmt.Sprint("10.0.0.", number), Zone: fmt.Sprint("h", number%3), InternalPorts: []int{7000, 7010},
-		Seeds: []string{"10.0.0.99:80"}, HeartbeatMs: 1200, FaultBudget: settings.FaultBudget{Machines: r.budget}, Tolerances: settings.Tolerances{StatusS: 120, CancelMs: 3000}}
+		Seeds: []string{"10.0.0.99:80"}, HeartbeatMs: 1200, FaultBudget: settings.FaultBudget{Machines: f.budget}, Tolerances: settings.Tolerances{StatusS: 120, CancelMs: 3000}}
 	runtime := agent.New(nodeSettings, membership.RoleStore, constants.PortStore, replica.Disk(), hclog.NewNullLogger())
-	runtime.Transport = r.network.Transport(runtime.Self.Address)
+	runtime.Transport = f.network.Transport(runtime.Self.Address)
 	server := newServer(runtime, replica)
 	server.registerHandlers()
 	server.registerReports()
 	runtime.ApplyConfig([]byte(quotaConfig))
 	if err = runtime.Transport.Serve(runtime.Dispatch); err != nil {
-		r.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	r.lock.Lock()
-	defer r.lock.Unlock()
-	r.stores[name] = server
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	f.stores[name] = server
 	return server
 }
 
-func (r *storeFleet) stopServer(server *Server) {
+func (f *storeFleet) stopServer(server *Server) {
 	if term := server.currentTerm(); term != nil {
 		term.Close("stopped")
 	}
@@ -104,19 +104,19 @@
 	server.Node.Transport.Close()
 }
 
-func (r *storeFleet) servers() []*Server {
-	r.lock.Lock()
-	defer r.lock.Unlock()
+func (f *storeFleet) servers() []*Server {
+	f.lock.Lock()
+	defer f.lock.Unlock()
 	var all []*Server
-	for _, name := range simulation.Keys(r.stores) {
-		all = append(all, r.stores[name])
+	for _, name := range simulation.Keys(f.stores) {
+		all = append(all, f.stores[name])
 	}
 	return all
 }
 
 // exchangeMembers makes every process known to every other, as membership shuffles do.
-func (r *storeFleet) exchangeMembers() {
-	all := r.servers()
+func (f *storeFleet) exchangeMembers() {
+	all := f.servers()
 	for _, server := range all {
 		for _, other := range all {
 			if server != other {
@@ -127,10 +127,10 @@
 }
 
 // waitFor polls in real time until a condition is met, for up to 20 s.
-func (r *storeFleet) waitFor(description string, condition func() bool) {
+func (f *storeFleet) waitFor(description string, condition func() bool) {
 	for end := clock.Now().Add(clock.Milliseconds(20_000)); !condition(); {
 		if clock.Now() > end {
-			r.t.Fatal("condition not met within 20 s: ", description)
+			f.t.Fatal("condition not met within 20 s: ", description)
 		}
 		<-clock.After(constants.TickPeriod / 2)
 	}
@@ -138,15 +138,15 @@
 
 // call sends a call to one store after the other until the leader responds, and checks the status of the
 // response.
-func (r *storeFleet) call(call *messages.JobCallRequest, want int) {
-	r.waitFor(fmt.Sprint(call.Method, " ", call.Job, " returns status ", want), func() bool {
-		for _, server := range r.servers() {
+func (f *storeFleet) call(call *messages.JobCallRequest, want int) {
+	f.waitFor(fmt.Sprint(call.Method, " ", call.Job, " returns status ", want), func() bool {
+		for _, server := range f.servers() {
 			resp := &messages.JobCallResponse{}
-			if transport.Call(r.client, server.Node.Self.Address, messages.KindJobCall, call, resp, clock.Milliseconds(700)) != nil || resp.NotLeader || resp.Status >= 500 {
+			if transport.Call(f.client, server.Node.Self.Address, messages.KindJobCall, call, resp, clock.Milliseconds(700)) != nil || resp.NotLeader || resp.Status >= 500 {
 				continue
 			}
 			if resp.Status != want {
-				r.t.Fatalf("%s %s: %d by %s, want %d", call.Method, call.Job, resp.Status, server.Node.Self.Name, want)
+				f.t.Fatalf("%s %s: %d by %s, want %d", call.Method, call.Job, resp.Status, server.Node.Self.Name, want)
 			}
 			return true
 		}
@@ -155,10 +155,10 @@
 }
 
 // leaderStore waits until a store leads and serves, and returns it.
-func (r *storeFleet) leaderStore() *Server {
+func (f *storeFleet) leaderStore() *Server {
 	var leader *Server
-	r.waitFor("a store leads and serves", func() bool {
-		for _, server := range r.servers() {
+	f.waitFor("a store leads and serves", func() bool {
+		for _, server := range f.servers() {
 			if term := server.currentTerm(); term != nil && server.election.HoldsLease() && term.Serving() {
 				leader = server
 			}
@@ -170,36 +170,36 @@
 
 // submitAndCheck submits a job, ends an older one, and checks that every acknowledged submission
 // and end is still in effect.
-func (r *storeFleet) submitAndCheck() {
-	jobID := fmt.Sprint("lot", len(r.acceptedJobs))
-	r.call(submitCall(jobID, 1), 202)
-	r.acceptedJobs = append(r.acceptedJobs, jobID)
+func (f *storeFleet) submitAndCheck() {
+	jobID := fmt.Sprint("lot", len(f.acceptedJobs))
+	f.call(submitCall(jobID, 1), 202)
+	f.acceptedJobs = append(f.acceptedJobs, jobID)
 	// Few jobs stay open, so that each new one fits into the backlog.
-	if len(r.acceptedJobs) > 2 {
-		old := r.acceptedJobs[len(r.acceptedJobs)-3]
-		r.call(&messages.JobCallRequest{Method: "DELETE", Job: old}, 200)
-		r.endedJobs[old] = true
+	if len(f.acceptedJobs) > 2 {
+		old := f.acceptedJobs[len(f.acceptedJobs)-3]
+		f.call(&messages.JobCallRequest{Method: "DELETE", Job: old}, 200)
+		f.endedJobs[old] = true
 	}
-	for _, accepted := range r.acceptedJobs {
-		r.call(&messages.JobCallRequest{Method: "GET", Job: accepted}, 200)
+	for _, accepted := range f.acceptedJobs {
+		f.call(&messages.JobCallRequest{Method: "GET", Job: accepted}, 200)
 	}
-	term := r.leaderStore().currentTerm()
+	term := f.leaderStore().currentTerm()
 	if term == nil {
 		return
 	}
 	for _, row := range term.ReportJobs().Rows {
-		if jobID, state := row[0], row[len(row)-1]; r.endedJobs[jobID] && state != "ended" {
-			r.t.Fatal("an ended job is open again: ", jobID)
+		if jobID, state := row[0], row[len(row)-1]; f.endedJobs[jobID] && state != "ended" {
+			f.t.Fatal("an ended job is open again: ", jobID)
 		}
 	}
 }
 
 // storeSetDisks returns the disk of each member of the store set, by the member's name.
-func (r *storeFleet) storeSetDisks() map[string]string {
-	r.register.lock.Lock()
-	defer r.register.lock.Unlock()
+func (f *storeFleet) storeSetDisks() map[string]string {
+	f.register.lock.Lock()
+	defer f.register.lock.Unlock()
 	disks := map[string]string{}
-	for _, member := range r.register.value.Stores {
+	for _, member := range f.register.value.Stores {
 		disks[member.Name] = member.Disk
 	}
 	return disks
--- a/internal/batch/store/helpers_test.go
+++ b/internal/batch/store/helpers_test.go
@@ -27,27 +27,27 @@
 	term *leader.Term
 }
 
-func (a *fixedElection) HoldsLease() bool { return true }
+func (e *fixedElection) HoldsLease() bool { return true }
 
-func (a *fixedElection) Current() leadership.Term {
-	if a.term == nil || a.term.Closed() {
+func (e *fixedElection) Current() leadership.Term {
+	if e.term == nil || e.term.Closed() {
 		return nil
 	}
-	return a.term
+	return e.term
 }
 
-func (a *fixedElection) LeaderAddress() string {
-	if a.Current() == nil {
+func (e *fixedElection) LeaderAddress() string {
+	if e.Current() == nil {
 		return ""
 	}
-	return a.self
+	return e.self
 }
 
-func (a *fixedElection) LeaderEpoch() uint64 {
-	if a.Current() == nil {
+func (e *fixedElection) LeaderEpoch() uint64 {
+	if e.Current() == nil {
 		return 0
 	}
-	return a.term.Epoch()
+	return e.term.Epoch()
 }
 
 // soleLeader starts a store process on a fake disk that is the only member of the store set and
--- a/internal/batch/store/losses_test.go
+++ b/internal/batch/store/losses_test.go
@@ -64,13 +64,13 @@
 
 // advance carries out the change up to a step, as leader.Term.changeSet does. It reports whether
 // the step was reached.
-func (s *setChange) advance(step int) bool {
-	fleet, leader, identity := s.fleet, s.leader, register.Identity(s.joiner)
-	fleet.feedJoiner(s.joiner)
+func (c *setChange) advance(step int) bool {
+	fleet, leader, identity := c.fleet, c.leader, register.Identity(c.joiner)
+	fleet.feedJoiner(c.joiner)
 	target := leader.replicator.Last()
 	reached := func() bool { return leader.replicator.MatchIndex(identity) >= target }
 	if step == stepCopying {
-		return fleet.runUntil(func() bool { return fleet.stores[s.joiner.Address].store.Extent().Last > 0 })
+		return fleet.runUntil(func() bool { return fleet.stores[c.joiner.Address].store.Extent().Last > 0 })
 	}
 	if !fleet.runUntil(reached) {
 		return false
@@ -78,7 +78,7 @@
 	if step == stepCopied {
 		return true
 	}
-	leader.replicator.Next = s.next
+	leader.replicator.Next = c.next
 	index := leader.submit(messages.Record{Kind: messages.RecordNoop})
 	if step == stepBothSets {
 		return true
@@ -89,11 +89,11 @@
 	if step == stepDurable {
 		return true
 	}
-	fleet.set = s.next
+	fleet.set = c.next
 	if step == stepNamed {
 		return true
 	}
-	leader.replicator.Members, leader.replicator.Next = s.next, nil
+	leader.replicator.Members, leader.replicator.Next = c.next, nil
 	return true
 }
 
@@ -101,9 +101,9 @@
 // budget allows of the leader, the source of the copy, the joiner, the leaving member and the
 // first member of the new set. Machines outside the set are lost in addition: from stepCommitted
 // on always, before that half of the time.
-func (s *setChange) chooseVictims(step int) []string {
-	fleet := s.fleet
-	roles := []string{s.leader.address, s.source, s.joiner.Address, s.leaving.Address, s.next[0].Address}
+func (c *setChange) chooseVictims(step int) []string {
+	fleet := c.fleet
+	roles := []string{c.leader.address, c.source, c.joiner.Address, c.leaving.Address, c.next[0].Address}
 	inSet := func(name string) bool {
 		return slices.ContainsFunc(fleet.set, func(member messages.Member) bool { return member.Address == name })
 	}
@@ -119,7 +119,7 @@
 		}
 	}
 	// Machines outside the set may be lost in any number.
-	for _, name := range []string{s.joiner.Address, s.leaving.Address} {
+	for _, name := range []string{c.joiner.Address, c.leaving.Address} {
 		if !inSet(name) && (step >= stepCommitted || fleet.world.Random.Intn(2) == 0) && !slices.Contains(lost, name) {
 			lost = append(lost, name)
 		}
--- a/internal/batch/store/overload_test.go
+++ b/internal/batch/store/overload_test.go
@@ -25,9 +25,9 @@
 	leader.submit(messages.Record{Kind: messages.RecordJob, Job: id, Body: encoded})
 }
 
-// playOverload runs a burst of live requests of the highest priority over running jobs. Meanwhile
-// the leader's machine loses power or the leadership changes, a store is partitioned, and workers
-// break streams off.
+// playOverload runs a burst of live requests of the highest priority while jobs run. Meanwhile the
+// leader's machine loses power or the leadership changes, a store is partitioned, and workers abort
+// streams.
 func playOverload(t *testing.T, seed int64) *simCluster {
 	t.Helper()
 
