--- a/internal/batch/replication/replication_test.go
+++ b/internal/batch/replication/replication_test.go
@@ -124,7 +124,7 @@
 
 func TestEnoughFenced(t *testing.T) {
 	if EnoughFenced(3, 1, 1) || !EnoughFenced(3, 2, 1) || EnoughFenced(4, 2, 1) || !EnoughFenced(4, 3, 1) || !EnoughFenced(1, 1, 1) || EnoughFenced(2, 0, 1) {
-		t.Fatal("wrong read quorum")
+		t.Fatal("EnoughFenced does not require all members but the fault budget, and at least one")
 	}
 }
 
@@ -137,10 +137,10 @@
 		"empty": {},
 	}
 	if got := BestCopy(copies); got != "late" {
-		t.Fatal(got)
+		t.Fatalf("best copy is %q, want %q", got, "late")
 	}
 	copies["longer"] = messages.FenceResponse{Last: 7, EpochRanges: []messages.EpochRange{{Epoch: 3, First: 1}, {Epoch: 5, First: 6}}}
 	if got := BestCopy(copies); got != "longer" {
-		t.Fatal(got)
+		t.Fatalf("best copy is %q, want %q", got, "longer")
 	}
 }
