--- a/internal/control/assignments/assignments.go
+++ b/internal/control/assignments/assignments.go
@@ -15,8 +15,7 @@
 	plan messages.PlanResponse
 }
 
-// Apply puts a chosen plan in force, unless it is not newer than the current one. It reports whether
-// the plan was applied.
+// Apply puts a chosen plan in force if it is newer than the current one, and reports whether it did.
 func (t *Table) Apply(plan messages.PlanResponse) bool {
 	if plan.Revision <= t.plan.Revision {
 		return false
--- a/internal/control/assignmentserver/replan.go
+++ b/internal/control/assignmentserver/replan.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// replanDue returns the nodes of the plan that are absent, and whether a plan without them is
-// due: they differ from the absent nodes of the plan in force, which last changed more than
-// constants.PlanBackoff ago.
+// replanDue returns the nodes of the plan that are absent now, and whether a plan without them is due.
+// It is due if they differ from the nodes for whose absence the plan in force was made, and that plan
+// was applied more than constants.PlanBackoff ago.
 func (s *Server) replanDue(plan *messages.PlanResponse) (absent []string, due bool) {
 	now := clock.Now()
 	s.lock.Lock()
@@ -92,7 +92,8 @@
 }
 
 // present returns the names of the processes and workers that were in contact lately: this process, others
-// that are not draining and were in contact within constants.SuspectAfter, and the present workers.
+// that are not draining and were in contact within constants.SuspectAfter, and the workers that
+// workerserver.Table.Present returns.
 func (s *Server) present() map[string]bool {
 	present := map[string]bool{s.node.Self.Name: true}
 	for _, info := range s.node.All("") {
--- a/internal/control/broadcast/outcomes.go
+++ b/internal/control/broadcast/outcomes.go
@@ -11,12 +11,12 @@
 
 // HandleResponse handles the response to a send and returns the sends that follow. missing lists the
 // hashes in the response to a StepWait.
-func (j *Tree) HandleResponse(send Send, missing []uint32, now clock.Instant) []Send {
+func (t *Tree) HandleResponse(send Send, missing []uint32, now clock.Instant) []Send {
 	switch send.Step {
 	case StepDeliver:
-		delete(j.pending, send.Address)
+		delete(t.pending, send.Address)
 	case StepRelay:
-		branch := j.branches[send.Zone]
+		branch := t.branches[send.Zone]
 		if branch.complete || branch.relay != send.Address {
 			return nil
 		}
@@ -25,7 +25,7 @@
 		branch.requestedAt = now.Add(constants.ZoneBroadcastTimeout)
 		return []Send{{Step: StepWait, Address: send.Address, Zone: send.Zone}}
 	case StepWait:
-		branch := j.branches[send.Zone]
+		branch := t.branches[send.Zone]
 		if branch.complete {
 			return nil
 		}
@@ -41,46 +41,46 @@
 				retries = append(retries, entry)
 			}
 		}
-		return j.deliver(retries)
+		return t.deliver(retries)
 	}
 	return nil
 }
 
 // HandleFailure handles a send that timed out or was rejected and returns the sends that follow.
-func (j *Tree) HandleFailure(send Send, now clock.Instant) []Send {
+func (t *Tree) HandleFailure(send Send, now clock.Instant) []Send {
 	if send.Step != StepDeliver {
-		branch := j.branches[send.Zone]
+		branch := t.branches[send.Zone]
 		if branch.relay != send.Address {
 			return nil
 		}
-		return j.nextRelay(branch, send.Zone, now)
+		return t.nextRelay(branch, send.Zone, now)
 	}
-	if hash, known := j.hashes[send.Address]; known && j.pending[send.Address] {
-		j.missing[hash] = true
+	if hash, known := t.hashes[send.Address]; known && t.pending[send.Address] {
+		t.missing[hash] = true
 	}
-	delete(j.pending, send.Address)
+	delete(t.pending, send.Address)
 	if len(send.ForwardTo) == 0 {
 		return nil
 	}
 	// The next address of the share replaces the receiver that failed.
-	j.pending[send.ForwardTo[0]] = true
+	t.pending[send.ForwardTo[0]] = true
 	return []Send{{Step: StepDeliver, Address: send.ForwardTo[0], ForwardTo: send.ForwardTo[1:]}}
 }
 
 // Receiver returns the process to which a send is addressed.
-func (j *Tree) Receiver(send Send) messages.NodeInfo { return j.nodes[send.Address] }
+func (t *Tree) Receiver(send Send) messages.NodeInfo { return t.nodes[send.Address] }
 
 // Unconfirmed returns the processes whose confirmation of a configuration does not arrive at this
 // tree: those of the own zone that receive it by forwarding, and those of other zones. sends are
 // those that NewTree returned; their direct receivers are left out.
-func (j *Tree) Unconfirmed(sends []Send) []messages.NodeInfo {
+func (t *Tree) Unconfirmed(sends []Send) []messages.NodeInfo {
 	direct := map[string]bool{}
 	for _, send := range sends {
 		direct[send.Address] = send.Step == StepDeliver
 	}
 	var unconfirmed []messages.NodeInfo
-	for _, zone := range j.zones() {
-		for _, entry := range j.branches[zone].processes {
+	for _, zone := range t.zones() {
+		for _, entry := range t.branches[zone].processes {
 			if !direct[entry.Address] {
 				unconfirmed = append(unconfirmed, entry)
 			}
@@ -91,35 +91,37 @@
 
 // Tick replaces relay controllers that have not responded within constants.RelayTimeout and returns
 // the sends that follow.
-func (j *Tree) Tick(now clock.Instant) []Send {
+func (t *Tree) Tick(now clock.Instant) []Send {
 	var sends []Send
-	for _, zone := range j.zones() {
-		branch := j.branches[zone]
+	for _, zone := range t.zones() {
+		branch := t.branches[zone]
 		if !branch.complete && now.Sub(branch.requestedAt) >= constants.RelayTimeout {
-			sends = append(sends, j.nextRelay(branch, zone, now)...)
+			sends = append(sends, t.nextRelay(branch, zone, now)...)
 		}
 	}
 	return sends
 }
 
 // Done reports whether every process that was recently in contact has accepted the update or failed.
-func (j *Tree) Done() bool {
-	for _, branch := range j.branches {
+// Processes that receive the update by forwarding are not awaited.
+func (t *Tree) Done() bool {
+	for _, branch := range t.branches {
 		if !branch.complete {
 			return false
 		}
 	}
-	return len(j.pending) == 0
+	return len(t.pending) == 0
 }
 
-// Missing returns the sorted hashes of the processes in contact that have not confirmed the update.
-func (j *Tree) Missing() []uint32 {
+// Missing returns the sorted hashes of the processes in contact that have not confirmed the update,
+// without those that receive it by forwarding.
+func (t *Tree) Missing() []uint32 {
 	var hashes []uint32
-	for hash := range j.missing {
+	for hash := range t.missing {
 		hashes = append(hashes, hash)
 	}
-	for address := range j.pending {
-		if hash := j.hashes[address]; !j.missing[hash] {
+	for address := range t.pending {
+		if hash := t.hashes[address]; !t.missing[hash] {
 			hashes = append(hashes, hash)
 		}
 	}
--- a/internal/control/broadcast/tree.go
+++ b/internal/control/broadcast/tree.go
@@ -132,9 +132,9 @@
 	return entry.AgeMs < constants.SuspectAfter.Milliseconds()
 }
 
-func (j *Tree) zones() []string {
+func (t *Tree) zones() []string {
 	var zones []string
-	for zone := range j.branches {
+	for zone := range t.branches {
 		zones = append(zones, zone)
 	}
 	sort.Strings(zones)
@@ -143,18 +143,18 @@
 
 // deliver returns the sends that deliver the update to processes, directly or with forwarding by
 // the first few of them.
-func (j *Tree) deliver(processes []messages.NodeInfo) []Send {
+func (t *Tree) deliver(processes []messages.NodeInfo) []Send {
 	var active, silent []messages.NodeInfo
 	for _, entry := range processes {
 		if recentlyInContact(entry) {
 			active = append(active, entry)
-			j.pending[entry.Address] = true
+			t.pending[entry.Address] = true
 		} else {
 			silent = append(silent, entry)
 		}
 	}
 	var sends []Send
-	if j.fanout == 0 {
+	if t.fanout == 0 {
 		for _, entry := range active {
 			sends = append(sends, Send{Step: StepDeliver, Address: entry.Address})
 		}
@@ -163,10 +163,10 @@
 		for _, entry := range active {
 			addresses = append(addresses, entry.Address)
 		}
-		sends = Split(addresses, j.fanout)
+		sends = Split(addresses, t.fanout)
 		for _, send := range sends {
 			for _, address := range send.ForwardTo {
-				delete(j.pending, address)
+				delete(t.pending, address)
 			}
 		}
 	}
@@ -193,13 +193,13 @@
 
 // nextRelay requests the relay from the zone's next controller. If there is none left, it delivers
 // to the zone's processes from here.
-func (j *Tree) nextRelay(b *branch, zone string, now clock.Instant) []Send {
+func (t *Tree) nextRelay(b *branch, zone string, now clock.Instant) []Send {
 	if b.complete {
 		return nil
 	}
 	if len(b.controllers) == 0 {
 		b.complete, b.relay = true, ""
-		return j.deliver(b.processes)
+		return t.deliver(b.processes)
 	}
 	var expect []uint32
 	for _, entry := range b.processes {
--- a/internal/control/broadcastserver/batch.go
+++ b/internal/control/broadcastserver/batch.go
@@ -11,8 +11,8 @@
 // batches combines worker changes that arrive within a short window, so that a fleet whose workers
 // all start at the same time is notified a few times instead of once per worker. An urgent
 // change (a drain, a departure) is sent immediately, together with all pending changes. If
-// constants.UpdateBatchesInFlight batches are in flight already, it is sent when one of them or the
-// window ends.
+// constants.UpdateBatchesInFlight batches are in flight already, it is sent when one of them has ended
+// or the window is over.
 type batches struct {
 	// lock guards next and inFlight.
 	lock sync.Mutex
--- a/internal/control/broadcastserver/broadcast.go
+++ b/internal/control/broadcastserver/broadcast.go
@@ -11,8 +11,8 @@
 )
 
 // Broadcast sends an update to all processes along a tree. It returns once all processes in contact
-// have accepted it or failed, or after the timeout; calls that are then in flight continue.
-// It sets From and Sequence of the update.
+// have accepted it or failed (those that receive a configuration by forwarding are not awaited), or
+// after the timeout; calls that are then in flight continue. It sets From and Sequence of the update.
 func (s *Server) Broadcast(update *messages.RelayRequest, timeout clock.Duration) {
 	update.From, update.Sequence = membership.Key(s.node.Self), s.sequence.Add(1)
 	tree, sends := broadcast.NewTree(s.node.Self, s.directory(update.Generation), fanout(update), clock.Now())
@@ -29,9 +29,10 @@
 	}
 }
 
-// AnnounceWorker broadcasts a change of a worker. Only for a drain or departure, whose
-// acknowledgement by the caller guarantees that the fleet knows of it, does it wait for the fleet,
-// for at most constants.BroadcastTimeout. A new worker may become known a moment later.
+// AnnounceWorker broadcasts a change of a worker. For a drain or a departure it waits for the fleet, at
+// most for constants.BroadcastTimeout, because the acknowledgement that the caller then sends promises
+// that the fleet knows of the change. Other changes are not waited for: a new worker may become known a
+// moment later.
 func (s *Server) AnnounceWorker(worker messages.Worker) {
 	waitForFleet := worker.Phase != messages.PhaseSteady
 	done := s.batches.add(worker, waitForFleet)
--- a/internal/control/broadcastserver/delivery.go
+++ b/internal/control/broadcastserver/delivery.go
@@ -16,13 +16,14 @@
 // does not know, which means that it restarted after it accepted the update.
 var errRelayUnknown = errs.Define("relay controller has no record of the update")
 
-// delivery is one update that is being sent along the tree. Its goroutines end no later than
-// constants.BulkCallTimeout plus the timeout of one call after its start.
+// delivery is one update that is being sent along the tree. Its tick goroutine ends no later than
+// constants.BulkCallTimeout plus one tick after its start. Each call ends within its own timeout. The
+// calls that follow from a failure are made even later than that, until no address is left to try.
 type delivery struct {
 	server    *Server
 	update    *messages.RelayRequest
 	startedAt clock.Instant
-	// done is closed once every process in contact has accepted the update or failed.
+	// done is closed once the tree is done (see Tree.Done).
 	done    chan struct{}
 	endOnce sync.Once
 
@@ -31,8 +32,8 @@
 	tree *broadcast.Tree
 }
 
-// startDelivery starts the calls of a tree and returns without waiting. The calls continue until the
-// tree is done or constants.BulkCallTimeout has passed.
+// startDelivery starts the calls of a tree and returns without waiting. Relays that time out are replaced
+// until the tree is done or constants.BulkCallTimeout has passed.
 func (s *Server) startDelivery(update *messages.RelayRequest, tree *broadcast.Tree, sends []broadcast.Send) *delivery {
 	d := &delivery{server: s, update: update, startedAt: clock.Now(), done: make(chan struct{}), tree: tree}
 	d.makeCalls(sends)
--- a/internal/control/controller/peers.go
+++ b/internal/control/controller/peers.go
@@ -26,14 +26,15 @@
 type peer struct {
 	// workers and processes record up to which version the peer's tables were read.
 	workers, processes messages.Digest
-	// lastHeartbeat is when this process last began a heartbeat to the peer, zero for never. Its own
-	// call counts once the peer has responded, its response to a call of the peer in any case.
+	// lastHeartbeat is a time just before this process built its last heartbeat to the peer, zero for
+	// never. A heartbeat that was sent as a request counts once the peer has responded to it; one that
+	// was sent as the response to the peer's request counts without a confirmation.
 	lastHeartbeat clock.Instant
 }
 
 func newPeers() peers { return peers{byKey: map[string]*peer{}} }
 
-// lastHeartbeat returns the field of that name for a peer, zero for never.
+// lastHeartbeat returns peer.lastHeartbeat of the peer with a key, zero for never.
 func (p *peers) lastHeartbeat(key string) clock.Instant {
 	p.lock.Lock()
 	defer p.lock.Unlock()
--- a/internal/control/membership/reports.go
+++ b/internal/control/membership/reports.go
@@ -22,7 +22,8 @@
 }
 
 // BriefReport returns the owner's short report to a second controller: a sign of life that requests
-// neither ages nor peers.
+// neither ages nor peers. The response still lets the owner learn of newer configurations,
+// assignments and workers.
 func (v *View) BriefReport() *messages.Shuffle {
 	return &messages.Shuffle{Entries: []messages.NodeInfo{v.self}, Brief: true}
 }
--- a/internal/control/workers/registry.go
+++ b/internal/control/workers/registry.go
@@ -67,7 +67,7 @@
 	}
 	previous := current.worker
 	if worker.Backend == "" || (worker.CallCount <= previous.CallCount && previous.Backend != "") {
-		// A departure has no description, and a late entry has an outdated one.
+		// The departure of an unknown worker may have no description, and a late entry has an outdated one.
 		late := worker
 		worker = previous
 		worker.CallCount, worker.Phase = max(previous.CallCount, late.CallCount), max(previous.Phase, late.Phase)
@@ -121,16 +121,16 @@
 	StatusUnavailable
 )
 
-// Status returns the status of a worker. listening is false if no controller was in contact
+// Status returns the status of a worker. inContact is false if no controller was in contact
 // lately: then missing heartbeats are no evidence against a worker.
-func (r *Registry) Status(id string, now clock.Instant, listening bool) Status {
+func (r *Registry) Status(id string, now clock.Instant, inContact bool) Status {
 	entry := r.entries[id]
 	if entry == nil || entry.worker.Phase != messages.PhaseSteady {
 		return StatusUnavailable
 	}
 	sinceContact := r.sinceLastHeartbeat(id, entry, now)
 	switch {
-	case !listening:
+	case !inContact:
 		return StatusHealthy
 	case sinceContact > constants.HeartbeatsDeparted*r.heartbeatPeriod:
 		return StatusUnavailable
--- a/internal/control/workers/table.go
+++ b/internal/control/workers/table.go
@@ -155,7 +155,7 @@
 
 // Forget drops workers whose last heartbeat is older than constants.ForgetAfter. A process that receives
 // lists of silent workers from controllers drops only the workers on the last list and those that are
-// not steady: that it receives no heartbeats itself is no evidence about the other workers.
+// not steady. It receives no heartbeats itself, so their absence is no evidence about the other workers.
 func (r *Registry) Forget(now clock.Instant) {
 	for id, entry := range r.entries {
 		forgettable := r.overdueReportedAt == 0 || r.overdue[Hash(id)] || entry.worker.Phase != messages.PhaseSteady
--- a/internal/control/workerserver/calls.go
+++ b/internal/control/workerserver/calls.go
@@ -128,8 +128,8 @@
 
 // commitWorkerChange announces a drain or a departure to all processes in contact and persists it at a
 // majority of the acceptors, concurrently. It reports whether the change was persisted. A change that
-// this process already knew is not announced again, or every controller that a draining worker calls
-// would announce it: the processes in contact receive it in the responses to their reports.
+// this process already knew is not announced again: otherwise every controller that a draining worker
+// calls would announce it. The processes in contact learn of it by their reports.
 func (s *Server) commitWorkerChange(worker messages.Worker, announce bool) bool {
 	persisted := make(chan bool, 1)
 	go func() { persisted <- s.persistAtQuorum(worker) }()
--- a/internal/control/workerserver/recovery.go
+++ b/internal/control/workerserver/recovery.go
@@ -8,14 +8,14 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// A controller that has just started knows the workers only from its file. That file may
-// lack a drain that was acknowledged while the process was down, or that was never written to this disk.
-// So the controller sends none of it to other processes, except in responses to their own recovery,
-// until a majority of the acceptors has responded: a drain that was acknowledged is on the disk, or in
-// the memory, of at least one of them.
+// A controller that has just started knows the workers only from its file. That file may lack a drain
+// that was acknowledged while the process was down, or that was never written to this disk. So until a
+// majority of the acceptors has responded, the controller sends none of it to other processes, except in
+// responses to other controllers that are recovering too. A drain that was acknowledged is on the disk,
+// or in the memory, of at least one acceptor of any majority.
 
 // handleRecover handles the request of a controller that has just started. It responds with the workers
-// of the table and, until this process has recovered itself, those of the file.
+// of the table and, while this process is itself recovering, those of the file.
 func (s *Server) handleRecover(_ *messages.WorkersRecoverRequest) (*messages.WorkersRecoverResponse, error) {
 	resp := &messages.WorkersRecoverResponse{Disk: s.replica.Disk(), SetEpoch: s.replica.Known().SetEpoch}
 	s.lock.Lock()
