--- a/internal/control/assignments/assignments_test.go
+++ b/internal/control/assignments/assignments_test.go
@@ -14,11 +14,11 @@
 		applied  bool
 	}{{0, false}, {2, true}, {2, false}, {1, false}, {7, true}, {3, false}} {
 		if table.Apply(messages.PlanResponse{Revision: step.revision}) != step.applied {
-			t.Fatal(step)
+			t.Fatalf("Apply of revision %d: want result %v, got the opposite", step.revision, step.applied)
 		}
 	}
 	if table.Revision() != 7 {
-		t.Fatal(table.Revision())
+		t.Fatalf("got revision %d, want 7", table.Revision())
 	}
 }
 
@@ -26,7 +26,7 @@
 	windows := []messages.PlanWindow{{Name: "nightly", Starts: "22:30"}, {Name: "morning", Starts: "05:45"}, {Name: "early", Starts: "05:45"}}
 	for minute, want := range map[int]string{0: "early", 5*60 + 44: "early", 5*60 + 45: "nightly", 22*60 + 29: "nightly", 22*60 + 30: "early", 23*60 + 59: "early"} {
 		if next, found := Next(windows, minute); !found || next.Name != want {
-			t.Errorf("minute %d: %s, want %s", minute, next.Name, want)
+			t.Errorf("minute %d: got window %q, want %q", minute, next.Name, want)
 		}
 	}
 	if next, found := Next(windows[:1], 22*60+30); !found || next.Name != "nightly" {
@@ -48,14 +48,14 @@
 		return lines
 	}
 	if got := text("n1"); got != "3|9|nightly 22:30||||COLLISION, the last answer stays in force: window nightly: rules r: why\n3|9|nightly 22:30|n1|nightly|a|in force\n" {
-		t.Fatal(got)
+		t.Fatalf("status of n1: got %q, want the collision and the placement of a", got)
 	}
 	if got := text(""); !strings.Contains(got, "|n2|||gone\n") || !strings.Contains(got, "|n2|nightly|b|in force\n") {
-		t.Fatal(got)
+		t.Fatalf("status of all nodes: got %q, want rows for n2 as absent and for its placement of b", got)
 	}
 	plan.Collisions = nil
 	if got := text("n7"); got != "3|9|nightly 22:30|n7|||carries nothing\n" {
-		t.Fatal(got)
+		t.Fatalf("status of a node without placements: got %q, want one row that says so", got)
 	}
 	if len(Status(&messages.PlanResponse{}, "n1", 0).Rows) != 0 {
 		t.Fatal("got rows for a plan with revision 0")
--- a/internal/control/broadcast/broadcast_test.go
+++ b/internal/control/broadcast/broadcast_test.go
@@ -107,7 +107,7 @@
 			})
 			fleet.Run(fleet.Now.Add(2 * constants.ShufflePeriod))
 			if acknowledged == 0 || acknowledged.Sub(sentAt) > 1_000_000_000 {
-				t.Fatalf("seed %d: acknowledged after %v", seed, acknowledged.Sub(sentAt))
+				t.Fatalf("seed %d: drain acknowledged at %v, %v after the request, want within 1 s (at 0: never acknowledged)", seed, acknowledged, acknowledged.Sub(sentAt))
 			}
 		}
 	}
@@ -215,7 +215,7 @@
 					continue
 				}
 				if got := process.registry.Status(fmt.Sprint("w", i), fleet.Now, true); got < want || (i != 7 && got != want) {
-					t.Fatalf("second %d: %s: got wrong status for w%d: %v", second, process.own.Address, i, got)
+					t.Fatalf("second %d: %s: got status %v for w%d, want %v (for w7: at least that)", second, process.own.Address, got, i, want)
 				}
 			}
 		}
--- a/internal/control/broadcast/cost_test.go
+++ b/internal/control/broadcast/cost_test.go
@@ -63,15 +63,15 @@
 // process and worker that reports to it.
 func TestCostPerNodeGrowsAtMostLogarithmically(t *testing.T) {
 	t.Parallel()
-	sizes := []struct{ gateways, stores, workerList int }{{3, 1, 18}, {19, 4, 75}, {80, 16, 300}}
+	sizes := []struct{ gateways, stores, workers int }{{3, 1, 18}, {19, 4, 75}, {80, 16, 300}}
 	costs := []map[string]cost{}
 	for _, size := range sizes {
-		byRole := measureIdleCost(1, size.gateways, size.stores, size.workerList)
+		byRole := measureIdleCost(1, size.gateways, size.stores, size.workers)
 		costs = append(costs, byRole)
 		for _, role := range simulation.Keys(byRole) {
 			c := byRole[role]
 			t.Logf("processes %d, workers %d: each %s sends %.1f messages and %.0f bytes (%.0f to other zones) per second",
-				4*(2+size.gateways+size.stores), size.workerList, role, c.messages, c.bytes, c.crossZoneBytes)
+				4*(2+size.gateways+size.stores), size.workers, role, c.messages, c.bytes, c.crossZoneBytes)
 		}
 	}
 	small, large := costs[0], costs[2]
--- a/internal/control/broadcast/fleet_test.go
+++ b/internal/control/broadcast/fleet_test.go
@@ -35,9 +35,9 @@
 
 // peerState stores what was last exchanged with one peer.
 type peerState struct {
-	// workerList and processes are the peer's digests at the last pull.
-	workerList, processes messages.Digest
-	contactsSentAt        clock.Instant
+	// workers and processes are the peer's digests at the last pull.
+	workers, processes messages.Digest
+	contactsSentAt     clock.Instant
 }
 
 // fleet is a set of nodes in one simulated network.
--- a/internal/control/broadcast/loops_test.go
+++ b/internal/control/broadcast/loops_test.go
@@ -105,7 +105,7 @@
 		n.view.HandleReportResponse(req, response, n.fleet.Now)
 		n.observeEntries(response.Entries)
 		peer := n.peerState(address)
-		if since, behind := pullSince(&peer.workerList, response.Workers, n.registry.Digest(n.own.Incarnation)); behind {
+		if since, behind := pullSince(&peer.workers, response.Workers, n.registry.Digest(n.own.Incarnation)); behind {
 			n.pullWorkers(address, since)
 		}
 		if response.OverdueComplete {
@@ -139,7 +139,7 @@
 		if !failed {
 			response := resp.(*messages.WorkersUpdate)
 			n.merge(response.Workers)
-			n.peerState(address).workerList = response.Table
+			n.peerState(address).workers = response.Table
 		}
 	})
 }
@@ -174,7 +174,7 @@
 	peer.contactsSentAt = sentAt
 	n.registry.ConfirmHeartbeats(heartbeat.ContactedWorkers, now)
 	n.view.HandleHeartbeat(heartbeat, now)
-	if since, behind := pullSince(&peer.workerList, heartbeat.Workers, n.registry.Digest(n.own.Incarnation)); behind {
+	if since, behind := pullSince(&peer.workers, heartbeat.Workers, n.registry.Digest(n.own.Incarnation)); behind {
 		n.pullWorkers(address, since)
 	}
 	if since, behind := pullSince(&peer.processes, heartbeat.Processes, n.view.Digest()); behind {
--- a/internal/control/broadcastserver/batch_test.go
+++ b/internal/control/broadcastserver/batch_test.go
@@ -64,7 +64,7 @@
 	r.checkNothingSent(t)
 	done := r.add(messages.Worker{ID: "d0", Phase: messages.PhaseDraining}, true)
 	if first := <-r.notified; len(first) != 301 || first[300].ID != "d0" {
-		t.Fatalf("%d changes were sent with the drain, or the drain is not the last", len(first))
+		t.Fatalf("got a batch of %d changes, want 301, with the drain as the last", len(first))
 	}
 	select {
 	case <-done:
@@ -79,7 +79,7 @@
 	for i := 1; i < constants.UpdateBatchesInFlight; i++ {
 		r.add(messages.Worker{ID: fmt.Sprint("d", i)}, true)
 		if single := <-r.notified; len(single) != 1 {
-			t.Fatal(single)
+			t.Fatalf("got a batch of %d changes for one urgent change, want 1: %v", len(single), single)
 		}
 	}
 	group := r.addUrgent(50)
@@ -91,13 +91,13 @@
 	group.Wait()
 	<-done
 	if count != 50 {
-		t.Fatal(count)
+		t.Fatalf("got %d changes after the batches in flight ended, want 50", count)
 	}
 	// Changes that are not urgent are sent at the end of their window.
 	r.add(messages.Worker{ID: "f0"}, false)
 	r.add(messages.Worker{ID: "f1"}, false)
 	r.windows[len(r.windows)-1]()
 	if last := <-r.notified; len(last) != 2 {
-		t.Fatal(last)
+		t.Fatalf("got a batch of %d changes at the end of the window, want 2: %v", len(last), last)
 	}
 }
--- a/internal/control/controller/budget_test.go
+++ b/internal/control/controller/budget_test.go
@@ -74,7 +74,7 @@
 	}
 	value, err := controllers[8].Register.Read()
 	if err != nil || len(value.Acceptors) != 5 || len(value.Previous) != 0 {
-		t.Fatal(err, len(value.Acceptors), len(value.Previous))
+		t.Fatalf("read of the register: error %v, %d acceptors and %d previous ones, want 5 and 0", err, len(value.Acceptors), len(value.Previous))
 	}
 	// The register remains readable after the loss of two seeds.
 	network.SetPartitioned("10.0.0.1:7000", true)
@@ -99,11 +99,11 @@
 	}
 	set := members(controllers[8])
 	if len(set) != 5 || set["10.0.0.2:7000"] || set["10.0.0.7:7000"] {
-		t.Fatal(set)
+		t.Fatalf("got acceptors %v, want five without the diskless 10.0.0.2 and 10.0.0.7", set)
 	}
 	// A controller that does not vote can still read the register.
 	if value, err := controllers[7].Register.Read(); err != nil || len(value.Acceptors) != 5 {
-		t.Fatal(err, len(value.Acceptors))
+		t.Fatalf("read of the register without a vote: error %v, %d acceptors, want 5", err, len(value.Acceptors))
 	}
 }
 
@@ -128,22 +128,23 @@
 	controller.Node.Observe(other)
 	go clock.Every(constants.ContactPeriod, controller.Node.Stop, func() { controller.Node.Observe(other) })
 	for attempts := 0; generationInForce(controller) != 2; attempts++ {
-		// The change is in force and its acknowledgement is held back. If contact was lost, it is not in force.
+		// Either the change is in force and its acknowledgement is held back, or contact with the majority
+		// was lost and it is not in force. The response is 504 in both cases.
 		if status, body := call(t, server, "POST", "/-/Configuration.Replace", "0", config(2)); status != 504 || attempts > 100 {
-			t.Fatal(status, body)
+			t.Fatalf("replacing in an incomplete set: got status %d (%s) at attempt %d, want 504 and the change in force within 100 attempts", status, body, attempts)
 		}
 	}
 	// A rejection doesn't wait for the set.
 	if status, _ := clearCall(t, server, "POST", "/-/Configuration.Replace", "1", config(3)); status != 412 {
-		t.Fatal(status)
+		t.Fatalf("replacing another version: got status %d, want 412", status)
 	}
 	// A base that may yet come into force can't be rejected.
 	if status, _ := call(t, server, "POST", "/-/Configuration.Replace", "7", config(9)); status != 504 {
-		t.Fatal(status)
+		t.Fatalf("replacing with a base ahead: got status %d, want 504", status)
 	}
 	setLongRunning(controller)
 	if status, body := clearCall(t, server, "POST", "/-/Configuration.Replace", "0", config(2)); status != 200 {
-		t.Fatal(status, body)
+		t.Fatalf("replacing long after the start: got status %d (%s), want 200", status, body)
 	}
 }
 
--- a/internal/control/controller/calls_test.go
+++ b/internal/control/controller/calls_test.go
@@ -145,11 +145,11 @@
 		}
 	}
 	if status, body := clearCall(t, server, "GET", "/-/Configuration.Read", "", ""); status != 200 || body != config(5) {
-		t.Fatal(status, body)
+		t.Fatalf("configuration read: got status %d and body %s, want 200 and generation 5", status, body)
 	}
 	_, restarted := open(t, folder, false)
 	if status, body := clearCall(t, restarted, "GET", "/-/Configuration.Read", "", ""); status != 200 || body != config(5) {
-		t.Fatal("after a restart: ", status, body)
+		t.Fatalf("configuration read after a restart: got status %d and body %s, want 200 and generation 5", status, body)
 	}
 }
 
@@ -175,7 +175,7 @@
 		status, body := clearCall(t, server, "POST", "/-/"+step.path, "", step.body)
 		worker, _ := controller.workers.Get("w")
 		if status != step.status || worker.Phase != step.phase {
-			t.Fatalf("%s %s: got %d %s, phase %s", step.path, step.body, status, body, worker.Phase)
+			t.Fatalf("%s %s: got %d %s and phase %s, want %d and phase %s", step.path, step.body, status, body, worker.Phase, step.status, step.phase)
 		}
 	}
 }
@@ -188,13 +188,13 @@
 	}
 	setLongRunning(controller)
 	if status, _ := clearCall(t, server, "POST", "/-/Retire.Open/store-1", "", "{}"); status != 404 {
-		t.Fatal(status)
+		t.Fatalf("retiring an unknown store: got status %d, want 404", status)
 	}
 	controller.Node.Observe([]messages.NodeInfo{{Name: "store-1", Role: membership.RoleStore, Address: "x:1"}})
 	if status, _ := clearCall(t, server, "POST", "/-/Retire.Open/store-1", "", "{}"); status != 409 {
 		t.Fatal("retiring the last store: want 409, got ", status)
 	}
 	if status, _ := clearCall(t, server, "GET", "/-/Retire.Read/store-1", "", ""); status != 404 {
-		t.Fatal(status)
+		t.Fatalf("reading the retirement of a store that is not being retired: got status %d, want 404", status)
 	}
 }
--- a/internal/control/controller/named_test.go
+++ b/internal/control/controller/named_test.go
@@ -21,8 +21,8 @@
 	controller.assignments.ReconcileSet()
 }
 
-// voters creates controllers that vote with disks in memory, so that the
-// test does not depend on how fast the machine's disk syncs.
+// voters creates controllers that vote with disks in memory, so that the test does not depend on how
+// fast the machine's disk syncs.
 func voters(t *testing.T, count int) (map[int]*Controller, *transport.MemoryNetwork) {
 	t.Helper()
 
@@ -66,8 +66,7 @@
 // TestAssignmentsSurviveALostDiskAndTwoLosses checks that the acceptor set of the register of assignments
 // expands to the budget, that a member whose disk was wiped returns with a new identity and does not
 // vote under the old one, and that an acknowledged plan can still be read after this disk and two other
-// machines are lost.
-// The acceptor set of the configuration must not change.
+// machines are lost. The acceptor set of the configuration must not change.
 func TestAssignmentsSurviveALostDiskAndTwoLosses(t *testing.T) {
 	controllers, network := voters(t, 8)
 	for round := 0; round < 3; round++ {
@@ -115,6 +114,6 @@
 	network.SetPartitioned(controllers[2].Node.Self.Address, true)
 	plan, err := controllers[3].assignments.Read()
 	if err != nil || plan.Revision != 1 || !bytes.Equal(plan.Value.Rules, rules) {
-		t.Fatal(err, plan)
+		t.Fatalf("read of the plan after the losses: error %v, plan %+v, want revision 1 and the applied rules", err, plan)
 	}
 }
--- a/internal/control/controller/plans_test.go
+++ b/internal/control/controller/plans_test.go
@@ -21,10 +21,10 @@
 	body, _ := req.MarshalMsg(nil)
 	text, err := controller.Node.Dispatch(kind, body)
 	if err != nil {
-		t.Fatal(kind, err)
+		t.Fatalf("request of kind %v failed: %v", kind, err)
 	}
 	if err = transport.Decode(text, resp); err != nil {
-		t.Fatal(kind, err)
+		t.Fatalf("failed to decode the response to a request of kind %v: %v", kind, err)
 	}
 }
 
@@ -39,7 +39,7 @@
 	changed := strings.NewReplacer(change...).Replace(string(text))
 	parsed, findings := adapterplan.Read([]byte(changed))
 	if len(findings) > 0 {
-		t.Fatal(findings)
+		t.Fatalf("the rules of docs/assign with %q replaced have findings: %v", change, findings)
 	}
 	plan, _, _, _ := adapterplan.Plan(parsed, nil, nil)
 	body := &bytes.Buffer{}
@@ -53,7 +53,7 @@
 	folder := t.TempDir()
 	controller, server := open(t, folder, true)
 	if status, _ := clearCall(t, server, "POST", "/-/Configuration.Replace", "0", config(2)); status != 200 {
-		t.Fatal(status)
+		t.Fatalf("replacing the configuration: got status %d, want 200", status)
 	}
 	rules, solution := rulesAndSolution(t)
 	next, nextSolution := rulesAndSolution(t, "generation = 4", "generation = 5")
@@ -80,7 +80,7 @@
 			dispatchTo(t, controller, messages.KindPlanApply, &step.request, response)
 		}
 		if response.Applied != step.applied || response.Unclear || !strings.Contains(response.Reason, step.reason) || (step.revision > 0 && response.Revision > 0 && response.Revision != step.revision) {
-			t.Errorf("%s: unexpected response %+v", step.name, response)
+			t.Errorf("%s: got response %+v, want applied %v, revision %d and a reason with %q", step.name, response, step.applied, step.revision, step.reason)
 		}
 	}
 	if status, body := clearCall(t, server, "GET", "/-/Configuration.Read", "", ""); status != 200 || body != config(2) {
@@ -90,11 +90,11 @@
 	plan := &messages.PlanResponse{}
 	dispatchTo(t, restarted, messages.KindPlanPull, &messages.PlanRequest{Complete: true, Linearizable: true}, plan)
 	if plan.Revision != 2 || plan.Generation != 5 || !bytes.Equal(plan.Value.Rules, next) {
-		t.Fatal("wrong plan after a restart: revision and generation ", plan.Revision, plan.Generation)
+		t.Fatalf("plan after a restart: got revision %d and generation %d, want 2 and 5 with the rules applied last", plan.Revision, plan.Generation)
 	}
 	dispatchTo(t, restarted, messages.KindPlanPull, &messages.PlanRequest{Node: "n3"}, plan)
 	if len(plan.Placements) != 1 || plan.Placements[0].Adapter != "battery-fault-reader" || len(plan.Value.Rules) != 0 {
-		t.Fatal(plan)
+		t.Fatalf("plan of node n3: got %+v, want only the placement of battery-fault-reader, without rules", plan)
 	}
 	if status, body := clearCall(t, server, "GET", "/-/Configuration.Read", "", ""); status != 200 || body != config(2) {
 		t.Fatal("wrong configuration after a restart: ", status, body)
@@ -116,7 +116,7 @@
 		t.Fatal("the promised ballot of the configuration's register changed: ", before)
 	}
 	if status, _ := clearCall(t, server, "POST", "/-/Configuration.Replace", "0", config(2)); status != 200 {
-		t.Fatal(status)
+		t.Fatalf("replacing the configuration after a high ballot in the other register: got status %d, want 200", status)
 	}
 	body, _ := (&messages.NamedPrepareRequest{Name: "nobody's"}).MarshalMsg(nil)
 	if _, err := controller.Node.Dispatch(messages.KindNamedPrepare, body); err == nil {
--- a/internal/control/controller/startup_test.go
+++ b/internal/control/controller/startup_test.go
@@ -37,22 +37,22 @@
 		t.Fatal("recovered or in contact without a majority")
 	}
 	if status, _ := call(t, server, "POST", "/-/Workers.Heartbeat/w", "", drainCall); status != 503 {
-		t.Fatal(status)
+		t.Fatalf("drain at a controller that has not recovered: got status %d, want 503", status)
 	}
 	if resp := reportResponse(starting); !resp.Detached || len(resp.Counts) != 0 || resp.OverdueComplete || resp.Workers.Incarnation != 0 {
-		t.Fatal(resp)
+		t.Fatalf("report response without a majority: got %+v, want Detached, no counts, no overdue list and no digest", resp)
 	}
 	if status, _ := call(t, server, "POST", "/-/Configuration.Replace", "0", config(2)); status != 504 {
-		t.Fatal(status)
+		t.Fatalf("replacing without a majority: got status %d, want 504", status)
 	}
 	network.SetPartitioned(controllers[2].Node.Self.Address, false)
 	starting.contact().Round()
 	startUp(t, starting)
 	if resp := reportResponse(starting); resp.Detached || len(resp.Counts) == 0 || !resp.OverdueComplete {
-		t.Fatal(resp)
+		t.Fatalf("report response after the recovery: got %+v, want counts and an overdue list, and not Detached", resp)
 	}
 	if status, body := clearCall(t, server, "POST", "/-/Workers.Heartbeat/w", "", drainCall); status != 200 {
-		t.Fatal(status, body)
+		t.Fatalf("drain after the recovery: got status %d (%s), want 200", status, body)
 	}
 }
 
@@ -80,7 +80,7 @@
 		}
 	}
 	if status, _ := call(t, server, "POST", "/-/Workers.Heartbeat/w", "", drainCall); status != 503 {
-		t.Fatal(status)
+		t.Fatalf("drain that only one disk has: got status %d, want 503", status)
 	}
 	const second, slack = 1_000_000_000, 100_000_000
 	if constants.ContactTimeout/2+constants.BroadcastTimeout > second-slack {
--- a/internal/control/membership/membership_test.go
+++ b/internal/control/membership/membership_test.go
@@ -53,7 +53,7 @@
 	view.Observe([]messages.NodeInfo{entry("a", 2)}, 20)
 	view.Observe([]messages.NodeInfo{entry("a", 1)}, 30)
 	if got := view.All("", 30); len(got) != 1 || got[0].Incarnation != 2 {
-		t.Fatal(got)
+		t.Fatalf("got entries %v, want only incarnation 2 of a", got)
 	}
 }
 
@@ -78,7 +78,7 @@
 		view.Observe([]messages.NodeInfo{entry(fmt.Sprint("n", i), 1)}, clock.Instant(i))
 	}
 	if got := len(view.All("", 0)); got != ViewSize(count) || got > 40 {
-		t.Fatalf("got %d entries, which is not the bound of the view", got)
+		t.Fatalf("got %d entries, want the bound of the view, %d, which must be at most 40", got, ViewSize(count))
 	}
 	// The bound never removes controllers, nor stores from the view of a store or controller.
 	for _, role := range []string{RoleController, RoleStore} {
--- a/internal/control/membership/partition_test.go
+++ b/internal/control/membership/partition_test.go
@@ -76,7 +76,7 @@
 func (s *shufflers) check(when string, partitioned bool) {
 	for _, name := range s.names {
 		if got := len(s.views[name].All("", s.world.Now)); got != len(s.names)-1 {
-			s.test.Fatalf("seed %d, %s: wrong number of processes known to %s: %d", s.seed, when, name, got)
+			s.test.Fatalf("seed %d, %s: %s knows %d processes, want 11, all others", s.seed, when, name, got)
 		}
 		if !partitioned {
 			continue
--- a/internal/control/membership/reports_test.go
+++ b/internal/control/membership/reports_test.go
@@ -31,12 +31,12 @@
 	}
 	first := order(view, 0)
 	if first[2] != 'r' {
-		t.Fatal(first)
+		t.Fatalf("got report order %s, want r, of another zone, last", first)
 	}
 	address := string(first[0]) + ":1"
 	view.Failed(address, 0)
 	if got := order(view, 1); got != first[1:]+first[:1] {
-		t.Fatal(got)
+		t.Fatalf("got report order %s after %c failed, want it last: %s", got, first[0], first[1:]+first[:1])
 	}
 	later := clock.Instant(0).Add(constants.SuspectAfter)
 	view.NoteContact("foreman/r", later)
@@ -85,7 +85,7 @@
 	before := len(view.Live(RoleGateway, now))
 	now = now.Add(10 * constants.ShufflePeriod)
 	if got := len(view.Live(RoleGateway, now)); got != before {
-		t.Fatal("peers became silent while no controller was in contact: ", got, before)
+		t.Fatalf("got %d live peers while no controller was in contact, want %d as before", got, before)
 	}
 }
 
@@ -111,11 +111,11 @@
 	}
 	size := ViewSize(population)
 	if got := len(view.All(RoleGateway, now)); got != size || view.Population(RoleGateway, now) != population || zones["a"] < size-3*(constants.OtherZonePeersMin+1) {
-		t.Fatal(got, view.Population(RoleGateway, now), zones)
+		t.Fatalf("got %d gateways of a population of %d, by zone %v; want %d of %d, most in zone a", got, view.Population(RoleGateway, now), zones, size, population)
 	}
 	for zone, count := range zones {
 		if count < constants.OtherZonePeersMin {
-			t.Fatal(zone, count)
+			t.Fatalf("got %d gateways of zone %s, want at least %d", count, zone, constants.OtherZonePeersMin)
 		}
 	}
 }
--- a/internal/control/workers/buckets_test.go
+++ b/internal/control/workers/buckets_test.go
@@ -51,6 +51,6 @@
 		}
 	}
 	if got := table.Differing(0, New(heartbeatPeriod).BucketSums(), 1); len(got) != 40 {
-		t.Error("number of entries for an empty table, want 40:", len(got))
+		t.Errorf("sums of an empty table: got %d entries, want all 40", len(got))
 	}
 }
--- a/internal/control/workers/lists_test.go
+++ b/internal/control/workers/lists_test.go
@@ -30,7 +30,7 @@
 	table.Merge(messages.Worker{ID: "v", Backend: "t", CallCount: 2}, 2)
 	expect("other worker moved to another service", 0, 2)
 	if entries := table.Sorted(); entries[0].ID != "v" || entries[0].Backend != "t" || entries[1].ID != "w" {
-		t.Error(entries)
+		t.Errorf("got workers %v, want v of service t, then w", entries)
 	}
 	table.Forget(clock.Instant(2).Add(2 * constants.ForgetAfter))
 	expect("forgotten", 0, 0)
--- a/internal/control/workers/table_test.go
+++ b/internal/control/workers/table_test.go
@@ -31,7 +31,7 @@
 		t.Fatal("a steady heartbeat after a drain was reported as a change")
 	}
 	if got := registry.HeartbeatsSince(50 * heartbeatPeriod); len(got) != 1 || got[0] != Hash("w") {
-		t.Fatal(got)
+		t.Fatalf("HeartbeatsSince: got hashes %v, want only that of w, %d", got, Hash("w"))
 	}
 }
 
@@ -92,7 +92,7 @@
 			want = StatusSuspect
 		}
 		if got := registry.Status("x", now, true); got != want {
-			t.Fatalf("round %d: unexpected status %v of the overdue worker", round, got)
+			t.Fatalf("round %d: got status %v of the overdue worker, want %v", round, got, want)
 		}
 	}
 	// The worker comes back: the next list doesn't contain it.
--- a/internal/control/workers/workers_test.go
+++ b/internal/control/workers/workers_test.go
@@ -23,7 +23,7 @@
 	// Even a call with a higher count never makes an incarnation steady again.
 	registry.Merge(worker(6, messages.PhaseSteady), 2)
 	if got, _ := registry.Get("w"); got.Phase != messages.PhaseDraining {
-		t.Fatal(got.Phase)
+		t.Fatalf("got phase %s after a steady call with a higher count, want %s", got.Phase, messages.PhaseDraining)
 	}
 	if registry.Status("w", 2, true) != StatusUnavailable {
 		t.Fatal("a draining worker is not unavailable")
--- a/internal/control/workerserver/golden_test.go
+++ b/internal/control/workerserver/golden_test.go
@@ -59,10 +59,10 @@
 		}
 		_, workers, err := openWorkerFile(recordlog.Directory(dir))
 		if err != nil {
-			t.Fatal(golden.name, err)
+			t.Fatalf("failed to open %s without its last %d bytes: %v", golden.name, golden.torn, err)
 		}
 		if len(workers) != 2 || workers[0].Phase != messages.PhaseDraining || workers[1].Phase != golden.second || workers[1].Address != "10.0.1.2:9000" {
-			t.Errorf("%s without the last %d bytes: unexpected workers %+v", golden.name, golden.torn, workers)
+			t.Errorf("%s without the last %d bytes: got workers %+v, want w1 draining and w2 %s", golden.name, golden.torn, workers, golden.second)
 		}
 	}
 }
