--- a/internal/platform/constants/assign.go
+++ b/internal/platform/constants/assign.go
@@ -7,11 +7,12 @@
 	// PlanTimeout is the timeout of planning for an operator, who then sees that the result is
 	// undecided. Most files take well under a second, but some inputs could take forever.
 	PlanTimeout = time.Minute
-	// PlanClausesMax is the most clauses that the solver may learn for one request, which is one to
-	// two seconds of work. It is a count rather than a time so that the result is the same on
-	// every machine.
+	// PlanClausesMax is the maximum number of clauses that the solver may learn in one call, which is
+	// one to two seconds of work. It is a count rather than a time so that the result is the same
+	// on every machine.
 	PlanClausesMax = 20000
-	// CollisionClausesMax is the same limit for shortening the list of adapters in a collision report.
+	// CollisionClausesMax is the same limit for each call that shortens the list of adapters in a
+	// collision report.
 	CollisionClausesMax = 500
 	// PlanBytesMax is the maximum size, in bytes, of the rules and the solution in the register of
 	// assignments. Rules for 200 nodes take 30,000 bytes, and each round of the register
--- a/internal/platform/constants/constants.go
+++ b/internal/platform/constants/constants.go
@@ -28,7 +28,8 @@
 	// which an external caller stops waiting.
 	CallTimeout = 800 * time.Millisecond
 	// StartBackoff is the first pause between two attempts of a starting process to fetch what
-	// it needs. It is short because the process can't serve until then.
+	// it needs. It is short because the process can't serve until then. After a failed dial, a
+	// peer is not dialled again for half of it.
 	StartBackoff = 40 * time.Millisecond
 	// StartBackoffMax is the upper limit of that pause.
 	StartBackoffMax = 320 * time.Millisecond
@@ -41,7 +42,8 @@
 	// ConnectionTimeout is the TCP_USER_TIMEOUT of connections. In a partition there are no
 	// acknowledgements, and a hung connection must not block a caller.
 	ConnectionTimeout = 1500 * time.Millisecond
-	// BulkCallTimeout bounds calls that carry jobs or long ranges of records.
+	// BulkCallTimeout bounds calls that carry jobs or long ranges of records, and the writing of each
+	// response. The HTTP servers of package inbound use it as the timeout for reading headers.
 	BulkCallTimeout = 3 * time.Second
 )
 
@@ -52,7 +54,8 @@
 	RoundTimeout = 500 * time.Millisecond
 	// RegisterTimeout bounds a whole change, retries included.
 	RegisterTimeout = 2500 * time.Millisecond
-	// BackoffBase is the minimum pause before a proposer retries.
+	// BackoffBase is the minimum pause before a proposer retries. It is also the pause of an internal
+	// listener after a failed accept.
 	BackoffBase = 8 * time.Millisecond
 	// BackoffSpread is the random part of that pause. It separates two competing proposers.
 	BackoffSpread = 60 * time.Millisecond
@@ -96,8 +99,8 @@
 	// FirstEventMsGuess is the initial estimate, in ms, of the time from the end of the prefill to the
 	// first event. It is that long because an event contains several tokens.
 	FirstEventMsGuess = 30.0
-	// RunningRequestMsGuess is the initial estimate, in ms, of the wait that each running request adds for
-	// the others.
+	// RunningRequestMsGuess is the estimate, in ms, of the wait that each request running at a worker
+	// adds for a new one. Unlike the two estimates above, it is not refined.
 	RunningRequestMsGuess = 0.4
 	// RelayAfterFailures is how many stores must have failed to respond before a call is relayed to
 	// another gateway, and the maximum number of gateways tried.
@@ -136,7 +139,8 @@
 	// RequestLimit is the limit of request bodies, in bytes, until a configuration is known. The
 	// operator API and the emulated workers limit bodies to multiples of it.
 	RequestLimit = 4 << 20
-	// HeadLimit is the limit of request headers, in bytes, until a configuration is known.
+	// HeadLimit is the limit of request headers, in bytes, until a configuration is known. The bodies
+	// of the workers' calls to a controller have the same limit.
 	HeadLimit = 64 << 10
 	// BufferedResponseMax is the size in bytes up to which a non-streaming response is buffered
 	// completely, so that a truncated one can be retried before the client has received a byte.
@@ -213,7 +217,7 @@
 
 // Processes.
 const (
-	// MemoryShare is the share of the memory limit that the garbage collector may use.
+	// MemoryShare is the memory limit of the Go runtime (GOMEMLIMIT), as a share of memory-mb.
 	MemoryShare = 0.8
 	// CollectPercent is GOGC, in percent: memory is expensive, and the live heap is small.
 	CollectPercent = 60
--- a/internal/platform/constants/dispatch.go
+++ b/internal/platform/constants/dispatch.go
@@ -38,7 +38,8 @@
 	PrefixWait = 150 * time.Millisecond
 	// PrefixStale is the age at which a prefix is no longer assigned to an executor.
 	PrefixStale = 4 * time.Second
-	// AckEntries and AckBytes bound one message of acknowledgements.
+	// AckEntries and AckBytes are the maximum number of acknowledgements in one message, and of bytes
+	// of their outputs and events. A single larger acknowledgement is sent alone.
 	AckEntries = 64
 	AckBytes   = 512 << 10
 	// AckConfirms is how many times an executor requests confirmation of an output that it sent
--- a/internal/platform/constants/inbound.go
+++ b/internal/platform/constants/inbound.go
@@ -22,8 +22,8 @@
 	ClientReceiveBuffer = 16 << 10
 	// HeaderLineBytes is the memory overhead of a header line besides its text, in bytes.
 	HeaderLineBytes = 160
-	// HeadSlack is how many bytes the request line and the headers may exceed the limit by: the
-	// limit is for the headers, and the request line precedes them.
+	// HeadSlack is by how many bytes the request line and the headers together may exceed the header
+	// limit, which does not include the request line.
 	HeadSlack = 4 << 10
 	// ServerHeadMax is the header limit of http.Server, in bytes. It is that high because the
 	// listener enforces the limit.
--- a/internal/platform/constants/lab.go
+++ b/internal/platform/constants/lab.go
@@ -90,8 +90,8 @@
 	JobResponseLimit = 8 << 20
 	// JobCallTimeout is the timeout of a call on a job, after which it is retried elsewhere.
 	JobCallTimeout = 5 * time.Second
-	// JobReadSlack is how much longer than the wait that it allows the server a reader waits
-	// (PROTOCOL).
+	// JobReadSlack is how long a reader waits for a response in addition to the wait that it
+	// requested from the server (PROTOCOL).
 	JobReadSlack = 1500 * time.Millisecond
 
 	// LoadCount, LoadTime and LoadRate are the upper limits of a load run: requests, duration,
--- a/internal/platform/inbound/headscan_test.go
+++ b/internal/platform/inbound/headscan_test.go
@@ -32,7 +32,8 @@
 			scan.feed([]byte(text[:cut]))
 			scan.feed([]byte(text[cut:]))
 			if !scan.complete || scan.bytes != int64(len(test.head)) || scan.lines != test.lines || scan.ambiguous() != test.ambiguous {
-				t.Fatalf("%q cut at %d: %+v", text, cut, scan)
+				t.Fatalf("%q split at %d: got scan %+v, want complete, %d bytes, %d lines, ambiguous %t",
+					text, cut, scan, len(test.head), test.lines, test.ambiguous)
 			}
 		}
 	}
@@ -61,7 +62,7 @@
 		_ = c.Conn.(interface{ CloseWrite() error }).CloseWrite()
 		responses, err := io.ReadAll(c.reader)
 		if err != nil {
-			t.Error(name, err)
+			t.Errorf("%s: read responses: %v", name, err)
 		}
 		if got := fmt.Sprint(statuses(responses)); got != test.want {
 			t.Errorf("%s: got statuses %s, want %s", name, got, test.want)
@@ -106,14 +107,14 @@
 	}
 	listener.SetHeadLimit(8 << 10)
 	if status := statusFor(8 << 10); status != http.StatusOK {
-		t.Error("head within the limit: got status ", status)
+		t.Errorf("head within the limit: got status %d, want 200", status)
 	}
 	listener.SetHeadLimit(32 << 10)
 	if status := statusFor(30 << 10); status != http.StatusOK {
-		t.Error("head within the raised limit: got status ", status)
+		t.Errorf("head within the raised limit: got status %d, want 200", status)
 	}
 	listener.SetHeadLimit(8 << 10)
 	if status := statusFor(30 << 10); status != http.StatusRequestHeaderFieldsTooLarge {
-		t.Error("head above the lowered limit: got status ", status)
+		t.Errorf("head above the lowered limit: got status %d, want 431", status)
 	}
 }
--- a/internal/platform/inbound/inbound_test.go
+++ b/internal/platform/inbound/inbound_test.go
@@ -12,9 +12,9 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// TestBodiesAreReadWhole checks that bodies of any length and framing are read completely and that
+// TestBodiesAreReadCompletely checks that bodies of any length and framing are read completely and that
 // their memory is released.
-func TestBodiesAreReadWhole(t *testing.T) {
+func TestBodiesAreReadCompletely(t *testing.T) {
 	listener, memory := serve(t, 0, 1<<20)
 	c := dial(t, listener)
 	for _, length := range []int{0, 1, 600, 16<<10 - 1, 16 << 10, 16<<10 + 1, 100_000, bodyLimit} {
@@ -36,12 +36,12 @@
 
 	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		t.Fatal(length, err)
+		t.Fatalf("body of %d bytes: read response: %v", length, err)
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	if err != nil || string(text) != fmt.Sprint(length) {
-		t.Fatalf("body of %d bytes: got response %q, err %v", length, text, err)
+		t.Fatalf("body of %d bytes: got response %q, err %v, want the number of bytes", length, text, err)
 	}
 }
 
@@ -52,12 +52,12 @@
 	announced := dial(t, listener)
 	announced.sendPartialBody(bodyLimit+1, 0)
 	if status := announced.status(); status != http.StatusRequestEntityTooLarge {
-		t.Error(status)
+		t.Errorf("content length above the limit: got status %d, want 413", status)
 	}
 	sent := dial(t, listener)
 	sent.send("POST /b HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", bodyLimit+1, strings.Repeat("x", bodyLimit+1))
 	if status := sent.status(); status != http.StatusRequestEntityTooLarge {
-		t.Error(status)
+		t.Errorf("chunked body above the limit: got status %d, want 413", status)
 	}
 	waitFor(t, "all bytes are released", func() bool { return memory.Used() == 0 })
 }
@@ -72,16 +72,16 @@
 	other := dial(t, listener)
 	other.sendPartialBody(150_000, 150_000)
 	if status := other.status(); status != http.StatusServiceUnavailable {
-		t.Error("second large body: got status ", status)
+		t.Errorf("second large body: got status %d, want 503", status)
 	}
 	small := dial(t, listener)
 	small.sendPartialBody(1000, 1000)
 	if status := small.status(); status != http.StatusOK {
-		t.Error("ordinary body: got status ", status)
+		t.Errorf("ordinary body: got status %d, want 200", status)
 	}
 	c.send("x")
 	if status := c.status(); status != http.StatusOK {
-		t.Error("first body: got status ", status)
+		t.Errorf("first body: got status %d, want 200", status)
 	}
 }
 
@@ -100,7 +100,7 @@
 	c := dial(t, listener)
 	c.sendPartialBody(150_000, 150_000)
 	if status := c.status(); status != http.StatusOK {
-		t.Fatal("complete body while others are stalled: got status ", status)
+		t.Fatalf("complete body while others are stalled: got status %d, want 200", status)
 	}
 	if listener.Evicted() != 1 {
 		t.Error(listener.Evicted(), "connections were evicted, want 1")
@@ -111,7 +111,7 @@
 		go func() { statuses <- c.status() }()
 	}
 	if status := <-statuses; status != http.StatusServiceUnavailable {
-		t.Error(status)
+		t.Errorf("evicted request: got status %d, want 503", status)
 	}
 }
 
@@ -132,14 +132,14 @@
 	c := dial(t, listener)
 	c.sendPartialBody(3, 3)
 	if status := c.status(); status != http.StatusOK {
-		t.Error(status)
+		t.Errorf("request on a new connection at the limit: got status %d, want 200", status)
 	}
 	if open := listener.Open(); open > limit {
-		t.Error(open, "connections are open, above the limit")
+		t.Errorf("%d connections are open, want at most %d", open, limit)
 	}
 	working.send("xxxxx")
 	if status := working.status(); status != http.StatusOK {
-		t.Error("request in progress: got status ", status)
+		t.Errorf("request in progress: got status %d, want 200", status)
 	}
 }
 
@@ -153,12 +153,12 @@
 	}
 	waitFor(t, "a head is rejected", func() bool { return listener.Refused() > 0 })
 	if used := memory.Used(); used > 4*4096*constants.HeaderLineBytes {
-		t.Error(used, "bytes are charged")
+		t.Errorf("%d bytes are charged, want at most %d", used, 4*4096*constants.HeaderLineBytes)
 	}
 	c := dial(t, listener)
 	c.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	if status := c.status(); status != http.StatusOK {
-		t.Error("ordinary head: got status ", status)
+		t.Errorf("ordinary head: got status %d, want 200", status)
 	}
 }
 
@@ -169,10 +169,10 @@
 	c := dial(t, listener)
 	c.send("POST /unread HTTP/1.1\r\nHost: h\r\nContent-Length: 1000\r\n\r\nx")
 	if status := c.status(); status != http.StatusOK {
-		t.Error(status)
+		t.Errorf("request with an unread body: got status %d, want 200", status)
 	}
 	if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Error("connection stayed open: ", err)
+		t.Errorf("read after the response: got err %v, want EOF", err)
 	}
 	waitFor(t, "the connection is closed", func() bool { return listener.Open() == 0 })
 }
--- a/internal/platform/inbound/limits.go
+++ b/internal/platform/inbound/limits.go
@@ -14,13 +14,13 @@
 // The errors of reading a request.
 var (
 	// ErrTooLarge means that the head or the body is longer than allowed.
-	ErrTooLarge = errs.Define("body too large")
+	ErrTooLarge = errs.Define("request too large")
 	// ErrMemoryLimit means that the process currently has no memory for the request.
-	ErrMemoryLimit = errs.Define("no room for the body")
+	ErrMemoryLimit = errs.Define("no memory for the request")
 	// ErrTooSlow means that the body was not received completely before its deadline.
-	ErrTooSlow = errs.Define("body not whole in time")
+	ErrTooSlow = errs.Define("body not received in time")
 	// ErrMalformedBody means that the body ended early or has invalid HTTP framing.
-	ErrMalformedBody = errs.Define("body can't be read")
+	ErrMalformedBody = errs.Define("malformed body")
 )
 
 // Limits bounds the resources that the clients of one process may use.
--- a/internal/platform/inbound/victim_test.go
+++ b/internal/platform/inbound/victim_test.go
@@ -39,10 +39,10 @@
 		*chosen = candidate{phase: phaseServing}
 	}
 	if fmt.Sprint(evicted) != "[2 1 3]" {
-		t.Error("requests are evicted for memory in the order", evicted)
+		t.Errorf("requests are evicted for memory in the order %v, want [2 1 3]", evicted)
 	}
 	if fmt.Sprint(closed) != "[6 7 2 1 4]" {
-		t.Error("connections are closed in the order", closed)
+		t.Errorf("connections are closed in the order %v, want [6 7 2 1 4]", closed)
 	}
 	if chooseRequest(list[3:4], 500, now) != nil {
 		t.Error("a request was evicted for one that needs nearly as much memory")
@@ -64,10 +64,10 @@
 	r.add(100, window)
 	r.add(50, window+window/2)
 	if got := r.recent(2*window + 1); got != 150 {
-		t.Error(got)
+		t.Errorf("bytes counted within two windows: got %d, want 150", got)
 	}
 	if got := r.recent(5 * window); got != 0 {
-		t.Error(got)
+		t.Errorf("bytes counted after two windows: got %d, want 0", got)
 	}
 }
 
@@ -75,10 +75,10 @@
 	small := LimitsOf(settings.Limits{MemoryMB: 96, FileHandles: 600})
 	large := LimitsOf(settings.Limits{MemoryMB: 284, FileHandles: 4100})
 	if small.Connections > 200 || small.Connections < 100 || large.Connections < 500 || large.Connections > 1950 || small.Memory >= large.Memory {
-		t.Error(small, large)
+		t.Errorf("limits of a small machine %+v, want 100 to 200 connections; of a large one %+v, want 500 to 1950 and more memory", small, large)
 	}
 	if none := LimitsOf(settings.Limits{MemoryMB: 17}); none.Connections < constants.ClientConnectionsMin {
-		t.Error(none)
+		t.Errorf("limits of a machine with little memory: %+v, want at least %d connections", none, constants.ClientConnectionsMin)
 	}
 }
 
@@ -107,12 +107,12 @@
 		memory.markReleasing(connection)
 	}
 	if memory.releasing != 600 {
-		t.Error(memory.releasing, "bytes are marked as releasing, want 600")
+		t.Errorf("%d bytes are marked as releasing, want 600", memory.releasing)
 	}
 	connection.end()
 	memory.markReleasing(connection)
 	if memory.releasing != 0 || memory.used != 0 {
-		t.Error(memory.releasing, memory.used)
+		t.Errorf("after the end of the request: %d bytes releasing, %d used, want 0 and 0", memory.releasing, memory.used)
 	}
 }
 
@@ -130,14 +130,14 @@
 		memory.tryReserve(connection, 600)
 		chosen := listener.candidates(clock.Now())[0]
 		if !connection.evict(&chosen) {
-			t.Fatal(at, "was not evicted")
+			t.Fatalf("connection in phase %d was not evicted", at)
 		}
 		_ = connection.abort()
 		if memory.Used() != 600 || listener.Open() != 0 {
-			t.Error(at, memory.Used(), listener.Open())
+			t.Errorf("phase %d, after abort: %d bytes charged, %d connections open, want 600 and 0", at, memory.Used(), listener.Open())
 		}
 		if err := connection.Close(); memory.Used() != 0 {
-			t.Error(at, memory.Used(), err)
+			t.Errorf("phase %d, after Close (err %v): %d bytes charged, want 0", at, err, memory.Used())
 		}
 	}
 }
--- a/internal/platform/messages/golden_test.go
+++ b/internal/platform/messages/golden_test.go
@@ -122,7 +122,7 @@
 		name, encoded, _ := strings.Cut(strings.TrimSpace(line), " ")
 		body, err := hex.DecodeString(encoded)
 		if err != nil {
-			t.Fatal(name, err)
+			t.Fatalf("decode the hex form of %s: %v", name, err)
 		}
 		golden[name] = body
 	}
--- a/internal/platform/messages/gossip.go
+++ b/internal/platform/messages/gossip.go
@@ -79,7 +79,8 @@
 	return samples
 }
 
-// AppendPrefix appends a residency sample to a list. The worker is identified by its hash.
+// AppendPrefix appends a residency sample to a list. The worker is identified by its hash. A sample
+// whose path has no parts, more than partsLimit, or an incomplete one is omitted.
 func AppendPrefix(list []byte, sample Residency) []byte {
 	parts := len(sample.Path) / 8
 	if parts == 0 || parts > partsLimit || len(sample.Path)%8 != 0 {
--- a/internal/platform/messages/members.go
+++ b/internal/platform/messages/members.go
@@ -229,8 +229,9 @@
 
 // PrefillNotice reports, ahead of the next gossip, that a worker has a long prompt to prefill.
 type PrefillNotice struct {
-	From    string  `msg:"f"`
-	Worker  string  `msg:"w"`
+	From   string `msg:"f"`
+	Worker string `msg:"w"`
+	// Prefill is the estimated time of the prefill, in ms.
 	Prefill float64 `msg:"r"`
 	// Forward asks the receiver to notify the processes of its zone that place requests on the
 	// worker.
--- a/internal/platform/messages/plans.go
+++ b/internal/platform/messages/plans.go
@@ -38,7 +38,7 @@
 	Solution []byte `msg:"a"`
 }
 
-// PlanApplyResponse contains whether the plan was applied, and the reason if it was not.
+// PlanApplyResponse states whether the plan was applied, and the reason if it was not.
 type PlanApplyResponse struct {
 	Applied bool `msg:"k"`
 	// Unclear means that the plan may or may not be in force.
--- a/internal/platform/messages/views.go
+++ b/internal/platform/messages/views.go
@@ -22,7 +22,7 @@
 }
 
 // Shuffle contains part of a view, the sender first. Between a process and a controller it is the
-// periodic report and its response, with the further fields of these.
+// periodic report or its response, which also use the other fields.
 type Shuffle struct {
 	Entries []NodeInfo `msg:"e"`
 	// KnownHashes contains the hashes of the processes in the requester's view. In the response,
--- a/internal/platform/process/signals_test.go
+++ b/internal/platform/process/signals_test.go
@@ -58,7 +58,7 @@
 		t.Fatal(err)
 	}
 	if got := reloadOnce(); strings.Count(got, "\n") != 1 || !strings.Contains(got, "can't read the file") {
-		t.Error(got)
+		t.Errorf("reload without a settings file: want %q in one line, got %q", "can't read the file", got)
 	}
 }
 
@@ -104,7 +104,7 @@
 	var text bytes.Buffer
 	shutDownOnSignal(received.terminate, started, newBufferLog(&text))
 	if process.shutdowns != 1 || !strings.Contains(text.String(), "signal="+syscall.SIGTERM.String()) {
-		t.Fatal(process.shutdowns, text.String())
+		t.Fatalf("got %d shutdowns and log %q, want 1 shutdown and a line with the signal", process.shutdowns, text.String())
 	}
 	early := make(chan os.Signal, 1)
 	early <- syscall.SIGTERM
--- a/internal/platform/recordlog/recordlog_test.go
+++ b/internal/platform/recordlog/recordlog_test.go
@@ -49,14 +49,14 @@
 	}
 	offsets, err := logfile.Append([]byte("one"), []byte("two"))
 	if err != nil || logfile.Sync() != nil {
-		t.Fatal(err)
+		t.Fatalf("append or sync failed; append: %v", err)
 	}
 	body, err := logfile.ReadAt(offsets[1])
 	if err != nil || string(body) != "two" {
-		t.Fatalf("read %q %v", body, err)
+		t.Fatalf("second record: got %q, err %v, want \"two\"", body, err)
 	}
 	if got := fmt.Sprint(readAll(t, disk)); got != "[one two]" {
-		t.Fatal(got)
+		t.Fatalf("records after reopening: got %s, want [one two]", got)
 	}
 }
 
@@ -67,16 +67,16 @@
 	_, _ = logfile.Append([]byte("one"), []byte("two"), []byte("three"))
 	offsets, err := logfile.Rewrite(recordlog.Records([]byte("three")))
 	if err != nil || len(offsets) != 1 {
-		t.Fatal(err)
+		t.Fatalf("rewrite: got offsets %v, err %v, want one offset", offsets, err)
 	}
 	if _, err = logfile.Append([]byte("four")); err != nil || logfile.Sync() != nil {
-		t.Fatal(err)
+		t.Fatalf("append or sync after the rewrite failed; append: %v", err)
 	}
 	if body, err := logfile.ReadAt(offsets[0]); err != nil || string(body) != "three" {
-		t.Fatalf("read %q %v", body, err)
+		t.Fatalf("record after the rewrite: got %q, err %v, want \"three\"", body, err)
 	}
 	if got := fmt.Sprint(readAll(t, disk)); got != "[three four]" {
-		t.Fatal(got)
+		t.Fatalf("records after reopening: got %s, want [three four]", got)
 	}
 }
 
@@ -101,10 +101,10 @@
 			found = append(found, string(body))
 			return nil
 		}); err != nil {
-			t.Fatalf("seed %d: %v", seed, err)
+			t.Fatalf("seed %d: open after the power loss: %v", seed, err)
 		}
 		if len(found) == 0 || found[0] != "synced" || (len(found) > 1 && found[1] != "perhaps") {
-			t.Fatalf("seed %d: %v", seed, found)
+			t.Fatalf("seed %d: found %q, want \"synced\" and at most \"perhaps\" after it", seed, found)
 		}
 	}
 }
@@ -128,10 +128,10 @@
 			return nil
 		})
 		if offset < proven && !errs.Is(err, recordlog.ErrCorrupt) {
-			t.Fatalf("byte %d: got %v", offset, err)
+			t.Fatalf("byte %d: open returned %v, want ErrCorrupt", offset, err)
 		}
 		if offset >= proven && (err != nil || fmt.Sprint(found) != "[one two]") {
-			t.Fatalf("byte %d: %v %v", offset, found, err)
+			t.Fatalf("byte %d: found %v, err %v, want [one two]", offset, found, err)
 		}
 	}
 }
@@ -157,15 +157,15 @@
 		t.Fatal(err)
 	}
 	if _, err = logfile.Append([]byte("three")); err != nil || logfile.Sync() != nil {
-		t.Fatal(err)
+		t.Fatalf("append or sync failed; append: %v", err)
 	}
 	found = nil
 	if _, err = recordlog.Open(disk, "file", each); err != nil || fmt.Sprint(found) != "[one two three]" {
-		t.Fatal(found, err)
+		t.Fatalf("records after reopening: got %v, err %v, want [one two three]", found, err)
 	}
 	disk.CorruptByte("file", 9)
 	if _, err = recordlog.Open(disk, "file", each); !errs.Is(err, recordlog.ErrCorrupt) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("open after damage: got %v, want ErrCorrupt", err)
 	}
 }
 
@@ -214,7 +214,7 @@
 		return nil
 	})
 	if err != nil || fmt.Sprint(found) != "[one]" {
-		t.Fatal(found, err)
+		t.Fatalf("records of a file with a torn tail: got %v, err %v, want [one]", found, err)
 	}
 	if _, err = reopened.Append([]byte("three")); err != nil {
 		t.Fatal(err)
@@ -227,7 +227,7 @@
 	_, _ = logfile.Append([]byte("one"))
 	disk.FreeBytes = 5
 	if _, err := logfile.Append([]byte("does not fit")); !errs.Is(err, recordlog.ErrDisk) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("append to a full disk: got %v, want ErrDisk", err)
 	}
 	disk.FreeBytes = -1
 	if _, err := logfile.Append([]byte("two")); err != nil {
@@ -239,6 +239,6 @@
 		return nil
 	})
 	if err != nil || fmt.Sprint(found) != "[one two]" {
-		t.Fatal(found, err)
+		t.Fatalf("records after reopening: got %v, err %v, want [one two]", found, err)
 	}
 }
--- a/internal/platform/recordlog/rewrite.go
+++ b/internal/platform/recordlog/rewrite.go
@@ -47,7 +47,7 @@
 	return offsets, nil
 }
 
-// replaceBy renames a new file to the name of this one.
+// replaceBy renames the new file over this one and syncs the directory.
 func (l *Log) replaceBy(newName string) error {
 	// Set before the rename: an operation that returned an error may have been executed.
 	l.unlinked = true
@@ -86,7 +86,7 @@
 	}
 }
 
-// Records returns the function next of Rewrite for a list of bodies.
+// Records returns a function for Rewrite that returns the given bodies in order.
 func Records(bodies ...[]byte) func() ([]byte, bool, error) {
 	return func() ([]byte, bool, error) {
 		if len(bodies) == 0 {
--- a/internal/platform/settings/golden_test.go
+++ b/internal/platform/settings/golden_test.go
@@ -24,6 +24,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(encoded.Bytes(), golden) {
-		t.Errorf("was:\n%s\nis:\n%s", golden, encoded.Bytes())
+		t.Errorf("golden settings:\n%s\nencoded again:\n%s", golden, encoded.Bytes())
 	}
 }
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -119,13 +119,13 @@
 	}
 	require(s.NodeName != "", "node-name is missing")
 	require(s.Zone != "", "zone is missing")
-	require(net.ParseIP(s.Address) != nil, "ip is missing or no address")
+	require(net.ParseIP(s.Address) != nil, "ip is missing or not an address")
 	require(len(s.InternalPorts) == 2 && s.InternalPorts[0] > 0 &&
 		s.InternalPorts[1] >= s.InternalPorts[0]+2 && s.InternalPorts[1] < 65536,
 		"internal-ports must be two ports at least two apart")
 	require(len(s.Seeds) > 0, "seeds is missing")
 	for _, seed := range s.Seeds {
-		require(addressValid(seed), "seeds holds "+strconv.Quote(seed)+", which is no address")
+		require(addressValid(seed), "seeds contains "+strconv.Quote(seed)+", which is not an address")
 	}
 	require(s.Limits.MemoryMB > 16, "limits.memory-mb is missing or too small")
 	budget := s.FaultBudget
@@ -135,11 +135,11 @@
 	for _, service := range s.Serves {
 		switch service {
 		case "edge":
-			require(addressValid(s.Bind.Ingress), "bind-addresses.ingress is missing or no address")
-			require(addressValid(s.Bind.Readiness), "bind-addresses.readiness is missing or no address")
+			require(addressValid(s.Bind.Ingress), "bind-addresses.ingress is missing or not an address")
+			require(addressValid(s.Bind.Readiness), "bind-addresses.readiness is missing or not an address")
 		case "controller":
 			// Without data-dir a controller serves calls but has no vote, so data-dir is optional.
-			require(addressValid(s.Bind.Control), "bind-addresses.control is missing or no address")
+			require(addressValid(s.Bind.Control), "bind-addresses.control is missing or not an address")
 		case "storage":
 			require(s.DataDir != "", "data-dir is missing")
 		}
--- a/internal/platform/settings/settings_test.go
+++ b/internal/platform/settings/settings_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	if got := nodeSettings.SeedAddresses(1); len(got) != 1 || got[0] != "10.0.0.2:7001" {
-		t.Fatal(got)
+		t.Fatalf("seed addresses: got %v, want [10.0.0.2:7001]", got)
 	}
 }
 
@@ -51,7 +51,7 @@
 	} {
 		_, err := Parse([]byte(strings.Replace(validSettings, change[0], change[1], 1)))
 		if err == nil || !strings.Contains(err.Error(), name) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("got error %v, want one line that contains %q", err, name)
 		}
 	}
 }
--- a/internal/platform/transport/async.go
+++ b/internal/platform/transport/async.go
@@ -33,9 +33,8 @@
 // later.
 type AsyncHandler func(kind messages.Kind, body []byte, reply func([]byte, error))
 
-// OnFrame sets the function that is called for every frame; it must not block. Not
-// reported are a Call or Notify to an address without a handler, and a Call from or to a partitioned
-// address.
+// OnFrame sets the function that is called for every frame; it must not block. A Call or Notify to an
+// address without a handler and a Call from or to a partitioned address are not reported.
 func (r *MemoryNetwork) OnFrame(observer func(ObservedFrame)) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/platform/transport/async_test.go
+++ b/internal/platform/transport/async_test.go
@@ -105,6 +105,6 @@
 	if len(results) != 4 || !errs.Is(results[0].err, transport.ErrRejected) || !errs.Is(results[1].err, transport.ErrUnreachable) ||
 		!errs.Is(results[2].err, transport.ErrTimeout) || results[2].at != timeout ||
 		!errs.Is(results[3].err, transport.ErrTimeout) || results[3].at != timeout {
-		t.Fatalf("%+v", results)
+		t.Fatalf("got results %+v, want a rejection, an unreachable peer, and two timeouts after %d ns", results, timeout)
 	}
 }
--- a/internal/platform/transport/dial_test.go
+++ b/internal/platform/transport/dial_test.go
@@ -43,10 +43,10 @@
 	for range callers {
 		// The dial is released only after all calls have ended.
 		if err := <-ended; !errs.Is(err, ErrUnreachable) {
-			t.Fatal(err)
+			t.Fatalf("call ended with %v, want ErrUnreachable", err)
 		}
 	}
 	if dials.Load() != 1 {
-		t.Error("dials, want 1: ", dials.Load())
+		t.Errorf("got %d dials, want 1", dials.Load())
 	}
 }
--- a/internal/platform/transport/everybyte_test.go
+++ b/internal/platform/transport/everybyte_test.go
@@ -121,7 +121,7 @@
 	first.Close()
 	close(wait)
 	if err := <-ended; !errs.Is(err, transport.ErrTimeout) {
-		t.Fatal("want ErrTimeout for the pending call, got ", err)
+		t.Fatalf("pending call: got %v, want ErrTimeout", err)
 	}
 	second := newCountingServer(t, address, "new")
 	defer second.transport.Close()
@@ -132,7 +132,7 @@
 			continue
 		}
 		if err != nil || string(resp) != "new to later" {
-			t.Fatalf("%q %v", resp, err)
+			t.Fatalf("later call: got response %q, err %v, want \"new to later\"", resp, err)
 		}
 		break
 	}
--- a/internal/platform/transport/meter_test.go
+++ b/internal/platform/transport/meter_test.go
@@ -31,20 +31,20 @@
 		}
 		client.(transport.Metered).Meter().SetLocality(address, true)
 		if _, err := client.Call(address, messages.KindGossip, []byte("seven b"), callTimeout); err != nil {
-			t.Fatal(name, err)
+			t.Fatalf("%s: call: %v", name, err)
 		}
 		const head = 17
 		want := transport.Flow{Sent: transport.Count{Messages: 1, Bytes: head + 7}, Received: transport.Count{Messages: 1, Bytes: head + 4}}
 		if got := client.(transport.Metered).Meter().Total(transport.LocalitySameZone); got != want {
-			t.Fatalf("%s: client counted flow %+v", name, got)
+			t.Fatalf("%s: client counted flow %+v, want %+v", name, got, want)
 		}
 		samples := client.(transport.Metered).Meter().Samples()
 		if len(samples) != 1 || samples[0].Kind != messages.KindGossip || samples[0].Locality != transport.LocalitySameZone {
-			t.Fatalf("%s: client samples %+v", name, samples)
+			t.Fatalf("%s: got client samples %+v, want one of KindGossip in the own zone", name, samples)
 		}
 		resp := transport.Flow{Sent: want.Received, Received: want.Sent}
 		if got := server.(transport.Metered).Meter().Total(transport.LocalityUnknown); got != resp {
-			t.Fatalf("%s: server counted flow %+v", name, got)
+			t.Fatalf("%s: server counted flow %+v, want %+v", name, got, resp)
 		}
 		server.Close()
 		client.Close()
--- a/internal/platform/transport/notify_test.go
+++ b/internal/platform/transport/notify_test.go
@@ -35,17 +35,17 @@
 	select {
 	case notification := <-deliveries:
 		if notification != "word" {
-			t.Fatal(notification)
+			t.Fatalf("got notification %q, want \"word\"", notification)
 		}
 	case <-clock.After(callTimeout):
 		t.Fatal("the notification did not arrive")
 	}
 	// The connection carries calls as before, and no response to the notification is mistaken for theirs.
 	if resp, err := client.Call(address, messages.KindShuffle, nil, callTimeout); err != nil || string(resp) != "answer" {
-		t.Fatalf("%q %v", resp, err)
+		t.Fatalf("call after the notification: got response %q, err %v, want \"answer\"", resp, err)
 	}
 	if err = notifier.Notify(unusedAddress, messages.KindGossip, nil); !errs.Is(err, transport.ErrUnreachable) {
-		t.Fatalf("notify an unused address: got %v", err)
+		t.Fatalf("notify an unused address: got %v, want ErrUnreachable", err)
 	}
 }
 
@@ -80,6 +80,6 @@
 		return []byte{}, nil
 	})
 	if err := transport.Notify(callOnly{network.Transport("b")}, "a", messages.KindGossip, &messages.Ack{}); err != nil || len(deliveries) != 1 {
-		t.Fatal(err, len(deliveries))
+		t.Fatalf("got err %v and %d calls, want nil and 1", err, len(deliveries))
 	}
 }
--- a/internal/platform/transport/peer_test.go
+++ b/internal/platform/transport/peer_test.go
@@ -69,7 +69,7 @@
 	current.writing.Unlock()
 	group.Wait()
 	if raw.written.Len() != (headerBytes+4)/2 {
-		t.Error("want only half a frame on the connection, got bytes: ", raw.written.Len())
+		t.Errorf("got %d bytes on the connection, want only half a frame (%d bytes)", raw.written.Len(), (headerBytes+4)/2)
 	}
 }
 
@@ -81,7 +81,7 @@
 	peer := client.peer("there")
 	err := peer.write(&peerConn{conn: raw}, &frame{frameType: frameRequest}, clock.Now()-1, nil)
 	if !errs.Is(err, ErrUnreachable) || raw.writes != 0 {
-		t.Fatal(err, raw.writes)
+		t.Fatalf("late call: got err %v and %d writes, want ErrUnreachable and none", err, raw.writes)
 	}
 }
 
@@ -94,7 +94,7 @@
 	for _, stray := range []frame{{frameType: frameResponse, kind: messages.KindShuffle, number: 8}, {frameType: frameResponse, kind: messages.KindShuffle, number: other},
 		{frameType: frameRequest, kind: messages.KindShuffle, number: 7}, {frameType: frameNotification, kind: messages.KindShuffle, number: 7}} {
 		if !current.deliver(stray) || len(call.response) != 0 {
-			t.Fatal("frame was accepted as the response: ", stray)
+			t.Fatalf("frame %+v was accepted as the response, or closed the connection", stray)
 		}
 	}
 	if current.deliver(frame{frameType: frameResponse, kind: messages.KindJobCall, number: 7}) || len(call.response) != 0 {
@@ -102,7 +102,7 @@
 	}
 	for count := 0; count < 2; count++ {
 		if !current.deliver(frame{frameType: frameResponse, kind: messages.KindShuffle, number: 7}) || len(call.response) != 1 {
-			t.Fatal("responses delivered, want 1: ", len(call.response))
+			t.Fatalf("%d responses were delivered, want 1", len(call.response))
 		}
 	}
 }
--- a/internal/platform/transport/transport.go
+++ b/internal/platform/transport/transport.go
@@ -57,7 +57,7 @@
 	}
 	if _, err = resp.UnmarshalMsg(response); err != nil {
 		// Bytes after the message are allowed: later versions may add some.
-		return ErrMalformed.Wrap(err, "answer can't be read")
+		return ErrMalformed.Wrap(err, "decode response")
 	}
 	return nil
 }
@@ -65,7 +65,7 @@
 // Decode decodes the body of a request into a message.
 func Decode(body []byte, message Unmarshaler) error {
 	if _, err := message.UnmarshalMsg(body); err != nil {
-		return ErrMalformed.Wrap(err, "call can't be read")
+		return ErrMalformed.Wrap(err, "decode request")
 	}
 	return nil
 }
--- a/internal/platform/transport/transport_test.go
+++ b/internal/platform/transport/transport_test.go
@@ -49,12 +49,12 @@
 		defer group.Done()
 		resp, err := client.Call(address, messages.KindShuffle, []byte{0}, callTimeout)
 		if err != nil || string(resp) != "to \x00" {
-			t.Errorf("%q %v", resp, err)
+			t.Errorf("first call: got response %q, err %v, want %q", resp, err, "to \x00")
 		}
 	}()
 	resp, err := client.Call(address, messages.KindShuffle, []byte{1}, callTimeout)
 	if err != nil || string(resp) != "to \x01" {
-		t.Errorf("%q %v", resp, err)
+		t.Errorf("second call: got response %q, err %v, want %q", resp, err, "to \x01")
 	}
 	close(release[0])
 	group.Wait()
@@ -74,10 +74,10 @@
 	client, _ := make()
 	defer client.Close()
 	if _, err := client.Call(address, messages.Kind(9999), nil, callTimeout); !errs.Is(err, transport.ErrRejected) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("call of an unknown kind: got %v, want ErrRejected", err)
 	}
 	if resp, err := client.Call(address, messages.KindShuffle, nil, callTimeout); err != nil || string(resp) != "known" {
-		t.Fatalf("%q %v", resp, err)
+		t.Fatalf("later call: got response %q, err %v, want \"known\"", resp, err)
 	}
 }
 
@@ -87,7 +87,7 @@
 	client, address := make()
 	defer client.Close()
 	if _, err := client.Call(address, messages.KindShuffle, nil, callTimeout); !errs.Is(err, transport.ErrUnreachable) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("call of an unused address: got %v, want ErrUnreachable", err)
 	}
 	server, busy := make()
 	defer server.Close()
@@ -102,7 +102,7 @@
 	caller, _ := make()
 	defer caller.Close()
 	if _, err := caller.Call(busy, messages.KindShuffle, nil, clock.Milliseconds(500)); !errs.Is(err, transport.ErrTimeout) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("call without a response: got %v, want ErrTimeout", err)
 	}
 }
 
@@ -143,7 +143,7 @@
 	client := transport.NewTCP("")
 	defer client.Close()
 	if resp, err := client.Call(address, messages.KindShuffle, nil, callTimeout); err != nil || string(resp) != "yes" {
-		t.Fatalf("%q %v", resp, err)
+		t.Fatalf("call on a new connection: got response %q, err %v, want \"yes\"", resp, err)
 	}
 }
 
@@ -152,6 +152,6 @@
 	body, _ := announcement.MarshalMsg(nil)
 	resp := &messages.LeaderAnnouncement{}
 	if err := transport.Decode(append(body, 1, 2, 3), resp); err != nil || resp.Leadership.Epoch != 3 {
-		t.Fatal(resp, err)
+		t.Fatalf("message with trailing bytes: decoded %+v, err %v, want epoch 3", resp, err)
 	}
 }
