--- a/internal/platform/constants/constants.go
+++ b/internal/platform/constants/constants.go
@@ -57,7 +57,8 @@
 	// BackoffBase is the minimum pause before a proposer retries. It is also the pause of an internal
 	// listener after a failed accept.
 	BackoffBase = 8 * time.Millisecond
-	// BackoffSpread is the random part of that pause. It separates two competing proposers.
+	// BackoffSpread is the minimum range of the random part of that pause, before it doubles. The
+	// random part separates two competing proposers.
 	BackoffSpread = 60 * time.Millisecond
 	// SetGrowthTimeout is how long after its start a controller delays acknowledgements while
 	// the acceptor set can't yet tolerate the fault budget and others could join it. Each join
@@ -120,8 +121,9 @@
 	// PreemptionLimit is how often one item may be preempted before it keeps its slot. This is
 	// ageing: it also prevents starvation.
 	PreemptionLimit = 3
-	// PressurePeriod is the minimum time between two pressure notices, and PressureStale the
-	// age at which a notice expires.
+	// PressurePeriod is the minimum time between two pressure notices of a process, and
+	// PressureStale the age at which a notice expires. A process forwards the notices of others
+	// at most once per half of PressurePeriod.
 	PressurePeriod = 100 * time.Millisecond
 	PressureStale  = 400 * time.Millisecond
 	// StreamReserve is the time that a stream must have left beyond its latency target to be
--- a/internal/platform/constants/replicas.go
+++ b/internal/platform/constants/replicas.go
@@ -21,14 +21,15 @@
 	// is complete: as long as the first one took, and JoinerWait in addition.
 	JoinerWait = time.Second
 	// IntakeBytes is the maximum number of bytes of jobs in transit to the leader or to the
-	// stores: a fifth of a second of the slowest links, and enough to keep them busy.
+	// stores: a fifth of a second of the slowest links, and enough to keep them busy. A larger job
+	// is admitted alone.
 	IntakeBytes = 2 << 20
 	// IntakeTimeout is how long a job that was admitted counts as in transit if it does not arrive.
 	IntakeTimeout = 2 * time.Second
 	// OfferMinBytes is the minimum size in bytes of a job that is offered before it is sent. A
 	// smaller one is sent at once.
 	OfferMinBytes = 4 << 10
-	// OfferWait is how long an offer waits at the leader.
+	// OfferWait is the maximum time that an offer waits at the leader.
 	OfferWait = 700 * time.Millisecond
 	// JobInputShare is the share of a store's memory that the inputs of waiting items may use
 	// while it is the leader, and RunningInputShare that of the items that it runs.
--- a/internal/platform/constants/slowness.go
+++ b/internal/platform/constants/slowness.go
@@ -38,10 +38,10 @@
 	// until ForwardTimeout.
 	ForwardMembers = 4
 	// ForwardTimeout is how long a store that receives its records from a forwarding store may
-	// lack what that store has confirmed before the leader sends to it directly: several times
-	// what a sync and two hops take on a busy store. ForwardUpstreamTimeout is the same if the
-	// forwarding store itself confirms no records: appends of a megabyte take a second on a
-	// saturated link.
+	// lack what that store has confirmed, without progress, before the leader sends to it
+	// directly: several times what a sync and two hops take on a busy store.
+	// ForwardUpstreamTimeout is the same if the forwarding store itself confirms no records:
+	// appends of a megabyte take a second on a saturated link.
 	ForwardTimeout         = 400 * time.Millisecond
 	ForwardUpstreamTimeout = 2 * time.Second
 	// ForwardBackoff is how long the leader then sends to that store directly. It doubles with
--- a/internal/platform/constants/views.go
+++ b/internal/platform/constants/views.go
@@ -64,7 +64,8 @@
 	// tried. Both, twice, must fit into BroadcastTimeout.
 	RelayTimeout         = 120 * time.Millisecond
 	ZoneBroadcastTimeout = 180 * time.Millisecond
-	// BodyFanout is how many processes a process sends a configuration to. On a link of
-	// 30 Mbit/s, a body of 100 KB takes 27 ms each.
+	// BodyFanout is how many processes a process forwards a configuration to. A controller that
+	// starts its delivery in a zone sends it to twice as many. On a link of 30 Mbit/s, a body of
+	// 100 KB takes 27 ms each.
 	BodyFanout = 3
 )
