--- a/internal/traffic/workerconn/idle.go
+++ b/internal/traffic/workerconn/idle.go
@@ -72,15 +72,15 @@
 	case reuse == ReuseNone, connection.sentRequests.has(attempt):
 		return false
 	case reuse == ReuseSafe:
-		return now.Sub(connection.idleSince) <= p.safeIdle(connection.backend)
+		return now.Sub(connection.idleSince) <= p.safeIdle(connection.service)
 	}
 	return true
 }
 
 // safeIdle returns the idle time up to which connections to a service's workers are expected to
 // remain usable. The lock must be held.
-func (p *Pool) safeIdle(backend string) clock.Duration {
-	if safe, known := p.safeIdleTimes[backend]; known {
+func (p *Pool) safeIdle(service string) clock.Duration {
+	if safe, known := p.safeIdleTimes[service]; known {
 		return safe
 	}
 	return constants.SafeIdle
@@ -96,9 +96,9 @@
 	defer p.lock.Unlock()
 	// Move slowly towards half of the idle time that the connection lasted: a single worker that
 	// discards idle connections earlier is enough to cause a reset.
-	if safe := p.safeIdle(connection.backend); connection.IdleFor/2 > safe {
+	if safe := p.safeIdle(connection.service); connection.IdleFor/2 > safe {
 		const divisor = 16
-		p.safeIdleTimes[connection.backend] = min(safe+(connection.IdleFor/2-safe)/divisor, constants.SafeIdleMost)
+		p.safeIdleTimes[connection.service] = min(safe+(connection.IdleFor/2-safe)/divisor, constants.SafeIdleMost)
 	}
 }
 
@@ -108,14 +108,14 @@
 	p.StaleCount.Add(1)
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	p.safeIdleTimes[connection.backend] = max(min(p.safeIdle(connection.backend), connection.IdleFor/2), constants.SafeIdleLeast)
+	p.safeIdleTimes[connection.service] = max(min(p.safeIdle(connection.service), connection.IdleFor/2), constants.SafeIdleLeast)
 }
 
 // SafeIdle returns the current safe idle time of a service.
-func (p *Pool) SafeIdle(backend string) clock.Duration {
+func (p *Pool) SafeIdle(service string) clock.Duration {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	return p.safeIdle(backend)
+	return p.safeIdle(service)
 }
 
 // isOpenAndDrained reports whether a connection is open and has no unread bytes, in the buffer or
--- a/internal/traffic/workerconn/workerconn.go
+++ b/internal/traffic/workerconn/workerconn.go
@@ -40,9 +40,9 @@
 	worker     *workerConnections
 	idleSince  clock.Instant
 	idleUntil  clock.Instant
-	backend    string
-	// Reused is true if the connection has carried a request before. IdleFor is how long it was
-	// idle between that request and this one.
+	service    string
+	// Reused is true if the connection has carried a request before the current one. IdleFor is how
+	// long it was idle between the two.
 	Reused  bool
 	IdleFor clock.Duration
 	closed  atomic.Bool
@@ -51,8 +51,8 @@
 	// tainted is true if bytes were received that do not belong to the response to the request in
 	// flight.
 	tainted bool
-	// closedLocally is true if this process closed the connection, which is no sign of a failure of
-	// the worker.
+	// closedLocally is true if this process closed the connection with Close, which is no sign of a
+	// failure of the worker.
 	closedLocally atomic.Bool
 }
 
@@ -100,7 +100,7 @@
 		return nil, ErrNoConnection.Wrap(err, worker.ID)
 	}
 	p.Opened.Add(1)
-	return &Connection{connection: connection, reader: bufio.NewReaderSize(connection, 4<<10), worker: connections, backend: worker.Backend}, nil
+	return &Connection{connection: connection, reader: bufio.NewReaderSize(connection, 4<<10), worker: connections, service: worker.Backend}, nil
 }
 
 // Send writes a complete request. attempt is the id that the response echoes.
@@ -155,8 +155,8 @@
 }
 
 // reusable reports whether another request may be sent on the connection after this response.
-// The body whose length a response to HEAD states is not sent, so a second response to it
-// could not be distinguished from the body of the next response.
+// None may be sent after a HEAD request: its response states the length of a body that is not sent, so
+// a second response to it could not be distinguished from the body of the next response.
 func (c *Connection) reusable(resp *http.Response) bool {
 	return !c.closed.Load() && !c.tainted && !resp.Close &&
 		c.reader.Buffered() == 0 && resp.Request.Method != http.MethodHead
