--- a/internal/traffic/gateway/clientconn.go
+++ b/internal/traffic/gateway/clientconn.go
@@ -21,8 +21,9 @@
 type clientConn struct {
 	net.Conn
 	owner *clientConns
-	// hasFutureDeadline is set while the read deadline is in the future. The server also sets deadlines
-	// in the past, to abort a read of its own; such a timeout does not mean that the client is slow.
+	// hasFutureDeadline is set if the latest read deadline was in the future when it was set. The server
+	// also sets deadlines in the past, to abort a read of its own; such a timeout does not mean that the
+	// client is slow.
 	hasFutureDeadline atomic.Bool
 	lock              sync.Mutex
 	// reading is set from the first bytes of a request to the end of its response. idle is set from
@@ -63,9 +64,9 @@
 	return p.Conn.SetDeadline(deadline)
 }
 
-// Read reads from the connection. If a read deadline expires while a request is being received, it
-// sends a 408: only the read of the header has a deadline then. If it expires on an idle connection,
-// Read tries once more before it returns the timeout.
+// Read reads from the connection. If a read deadline expires while a request is being received, Read
+// sends a 408: the server sets a deadline in the future only until the header is complete. If it expires
+// on an idle connection, Read tries once more before it returns the timeout.
 func (p *clientConn) Read(buffer []byte) (int, error) {
 	count, err := p.Conn.Read(buffer)
 	if count == 0 && errors.Is(err, os.ErrDeadlineExceeded) && p.isIdleWithDeadline() {
@@ -138,8 +139,8 @@
 	return p.Conn.Close()
 }
 
-// CloseWrite closes the sending side, so that the client can still send and read to its end. net/http
-// calls it after the response to a head or body that is too large.
+// CloseWrite closes the sending side, so that the client can still finish sending and read the response.
+// net/http calls it after the response to a head or body that is too large.
 func (p *clientConn) CloseWrite() error { return inbound.CloseWrite(p.Conn) }
 
 // NetConn returns the underlying connection.
--- a/internal/traffic/gateway/outcome.go
+++ b/internal/traffic/gateway/outcome.go
@@ -23,7 +23,8 @@
 	p.unknown = p.unknown || (err != nil && !errs.Is(err, transport.ErrUnreachable))
 }
 
-// response returns the response to be sent to the caller for the response of one process.
+// response returns the response for the caller after one process sent resp. That is resp itself, unless
+// resp promises that a submission does not run while an earlier request for it may still have an effect.
 func (p *outcomeTracker) response(call *messages.JobCallRequest, resp *messages.JobCallResponse) *messages.JobCallResponse {
 	if call.Method == http.MethodPost && p.unknown && promisesNotRun(resp.Status) {
 		return outcomeUnknown()
--- a/internal/traffic/proxy/match.go
+++ b/internal/traffic/proxy/match.go
@@ -94,7 +94,7 @@
 	case resp.StatusCode >= 300:
 		return nil
 	case resp.Header.Get(headerSeal) == "":
-		return ErrUnprovenSuccess.New("no stamp")
+		return ErrUnprovenSuccess.New("no seal")
 	case resp.Header.Get("Content-Encoding") != "":
 		return ErrUnprovenSuccess.New("has a content encoding")
 	case !hasDelimitedBody(resp):
--- a/internal/traffic/proxy/relay.go
+++ b/internal/traffic/proxy/relay.go
@@ -134,7 +134,7 @@
 	started bool
 }
 
-// event records that events arrived at a time.
+// event records that one or more events arrived at the given time.
 func (p *gapMeter) event(now clock.Instant) {
 	if p.started {
 		p.longest = max(p.longest, now.Sub(p.last))
--- a/internal/traffic/proxy/sender.go
+++ b/internal/traffic/proxy/sender.go
@@ -19,7 +19,7 @@
 	// the connection failed within the head of the response.
 	ErrCorruptResponse = errs.Define("corrupt response")
 	// ErrResponseLost means that a timeout, a reset or a broken connection followed after sending.
-	ErrResponseLost = errs.Define("answer lost")
+	ErrResponseLost = errs.Define("response lost")
 	// ErrStaleConnection means that the worker had discarded the idle connection, which is no sign of
 	// bad health.
 	ErrStaleConnection = errs.Define("idle connection discarded by worker")
--- a/internal/traffic/trafficstats/histogram.go
+++ b/internal/traffic/trafficstats/histogram.go
@@ -8,7 +8,8 @@
 )
 
 // The range of the histograms, in tenths of a millisecond, and their precision in significant
-// digits: times up to two minutes are accurate to 5%, at about 2 KB per histogram.
+// digits. For times up to two minutes, a bucket is at most 1/16 (6.25%) of its values wide, or 0.1 ms if
+// that is more. A histogram takes about 2 KB.
 const (
 	histogramLowest  = 1
 	histogramHighest = 1_200_000
--- a/internal/traffic/trafficstats/recorder.go
+++ b/internal/traffic/trafficstats/recorder.go
@@ -1,6 +1,8 @@
 // Package trafficstats records bounded, mergeable summaries of the requests that a process
-// placed, by route, service and model, over the last one to two minutes. They are sent only on
-// request, so they cost no network traffic otherwise (docs/forecast.md).
+// placed, by route, service and model, over the current and the previous window. With steady traffic
+// that is the last one to two minutes, and three at most, since a window ends only when a request ends
+// or summaries are read. Summaries are sent only on request, so they cost no network traffic otherwise
+// (docs/forecast.md).
 package trafficstats
 
 import (
@@ -44,8 +46,9 @@
 	// PromptTokens, FreshTokens and OutTokens are as defined in messages.TrafficSummary.
 	PromptTokens, FreshTokens, OutTokens int
 	Events                               int
-	// QueueWait is the time from the arrival until a worker was found. FirstEvent is the time from
-	// sending the request to the first event, and Duration that to the end; 0 if there was none.
+	// QueueWait is the time from the arrival until a worker was found, or until the end if none was.
+	// FirstEvent is the time from sending the request to the first event, and Duration that to the
+	// end; 0 if there was none.
 	QueueWait, FirstEvent, Duration clock.Duration
 	// EventGap is the mean time between two events, or 0 if there were fewer than two.
 	EventGap clock.Duration
