--- a/internal/traffic/gateway/clientconn_test.go
+++ b/internal/traffic/gateway/clientconn_test.go
@@ -76,14 +76,14 @@
 		_, _ = io.WriteString(connection, "POST "+path+" HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nxx")
 		resp, err := http.ReadResponse(reader, nil)
 		if err != nil {
-			t.Fatal(path, err)
+			t.Fatalf("%s: read response: %v", path, err)
 		}
 		body, err := io.ReadAll(resp.Body)
 		if err != nil || resp.StatusCode != 200 || string(body) != path {
-			t.Fatal(path, resp.StatusCode, string(body), err)
+			t.Fatalf("%s: got status %d, body %q, error %v, want 200 and the path as body", path, resp.StatusCode, string(body), err)
 		}
 	}
 	if reader.Buffered() > 0 {
-		t.Fatal("got bytes after the last response")
+		t.Fatalf("got %d bytes after the last response, want none", reader.Buffered())
 	}
 }
--- a/internal/traffic/gateway/connections_test.go
+++ b/internal/traffic/gateway/connections_test.go
@@ -58,45 +58,45 @@
 
 // Clients use the idle timeout of the current or the previous configuration, so the longer one must be
 // applied. An idle connection may get more time, but never less.
-func TestIdleTimeFollowsTheConfiguration(t *testing.T) {
+func TestIdleTimeoutOfCurrentOrPreviousConfiguration(t *testing.T) {
 	owner := newClientConns(nil, routeconfig.Limits{IdleMs: 5_000, HeaderWaitMs: 3_000})
 	_, first := idleConnection(owner)
 	if left := secondsLeft(first); left < 4 || left > 5.1 {
-		t.Error("seconds left under the first configuration: ", left)
+		t.Errorf("%.1f s left under the first configuration, want 5", left)
 	}
 	owner.setLimits(routeconfig.Limits{IdleMs: 15_000})
 	if left := secondsLeft(first); left < 14 || left > 15.1 {
-		t.Error("seconds left of an idle connection after a longer timeout was set: ", left)
+		t.Errorf("%.1f s left of an idle connection after a longer timeout was set, want 15", left)
 	}
 	owner.setLimits(routeconfig.Limits{IdleMs: 2_000})
 	_, second := idleConnection(owner)
 	if secondsLeft(first) < 14 || secondsLeft(second) < 14 {
-		t.Error("want the longer timeout while clients may still use it, got seconds left: ", secondsLeft(first), secondsLeft(second))
+		t.Errorf("%.1f and %.1f s left while clients may still use the longer timeout, want 15", secondsLeft(first), secondsLeft(second))
 	}
 	owner.setLimits(routeconfig.Limits{IdleMs: 2_000})
 	_, third := idleConnection(owner)
 	if left := secondsLeft(third); left > 2.1 || secondsLeft(first) < 14 {
-		t.Error("seconds left under the last configuration: ", left, secondsLeft(first))
+		t.Errorf("%.1f s left under the last configuration, want 2; %.1f s left of an earlier one, want 15", left, secondsLeft(first))
 	}
 }
 
 // A process that was suspended past the idle timeout must read once more before it closes the
 // connection, since a request may have arrived.
-func TestRequestThatArrivedDuringAFreeze(t *testing.T) {
+func TestRequestThatArrivedWhileSuspendedIsRead(t *testing.T) {
 	owner := newClientConns(nil, routeconfig.Limits{IdleMs: 5_000})
 	connection, _ := idleConnection(owner, deadlineExceeded, bytesArrive)
 	if count, err := connection.Read(make([]byte, 4)); count != 4 || err != nil {
-		t.Fatal("bytes that arrived while suspended were not read: ", count, err)
+		t.Fatalf("read %d bytes, error %v, want the 4 that arrived while suspended", count, err)
 	}
 	connection, _ = idleConnection(owner, deadlineExceeded, deadlineExceeded)
 	if count, err := connection.Read(make([]byte, 4)); count != 0 || err == nil {
-		t.Fatal("want a timeout on a connection without bytes, got ", count, err)
+		t.Fatalf("read %d bytes, error %v, want a timeout on a connection without bytes", count, err)
 	}
 }
 
 // During shutdown a request must either be accepted and completed, or not be read at all, so that the
 // client may send it elsewhere.
-func TestShutdownCutsNoRequest(t *testing.T) {
+func TestShutdownTruncatesNoRequest(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -112,7 +112,7 @@
 		t.Fatal(err)
 	}
 	if count, err := closed.Read(make([]byte, 4)); count != 0 || !errors.Is(err, net.ErrClosed) || !closedRaw.closed {
-		t.Error("a request was accepted from a closed connection", count, err)
+		t.Errorf("read %d bytes, error %v from a closed connection, want 0 and net.ErrClosed", count, err)
 	}
 	if owner.closeIdle() || acceptedRaw.closed {
 		t.Error("the connection of an accepted request was closed")
@@ -125,7 +125,7 @@
 
 // Pipelined requests must get their responses in order. After one whose response is aborted, no later
 // request on the connection may be handled.
-func TestRequestsSentAtOnce(t *testing.T) {
+func TestPipelinedRequests(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -156,7 +156,7 @@
 	for _, path := range []string{"/one", "/two"} {
 		resp, err := http.ReadResponse(reader, nil)
 		if err != nil {
-			t.Fatal(path, err)
+			t.Fatalf("%s: read response: %v", path, err)
 		}
 		if body, err := io.ReadAll(resp.Body); err != nil || string(body) != path {
 			t.Fatalf("%s got body %q, error %v", path, body, err)
@@ -179,13 +179,13 @@
 func (h *headLimits) SetHeadLimit(limit int) { h.limits = append(h.limits, limit) }
 
 // The head limit must be the larger of those of the current and the previous configuration.
-func TestHeadsFollowTheConfiguration(t *testing.T) {
+func TestHeadLimitOfCurrentOrPreviousConfiguration(t *testing.T) {
 	listener := &headLimits{}
 	owner := newClientConns(listener, routeconfig.Limits{HeaderBytes: 16_000})
 	for _, bytes := range []int{100_000, 8_000, 8_000, 0} {
 		owner.setLimits(routeconfig.Limits{HeaderBytes: bytes})
 	}
 	if got := fmt.Sprint(listener.limits); got != fmt.Sprint([]int{16_000, 100_000, 100_000, 8_000, constants.HeadLimit}) {
-		t.Error("head limits set on the listener: ", got)
+		t.Errorf("head limits %s were set, want 16000, 100000, 100000, 8000, then the default", got)
 	}
 }
--- a/internal/traffic/gateway/drain_test.go
+++ b/internal/traffic/gateway/drain_test.go
@@ -17,7 +17,7 @@
 
 // A draining gateway must stop accepting connections after DrainAcceptTime, even while requests are in
 // flight: a later request might not be completed before the process is killed.
-func TestDrainEndsAcceptingWhileRequestsAreUnderWay(t *testing.T) {
+func TestDrainStopsAcceptingWhileRequestsAreInFlight(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/traffic/gateway/jobforwarder_test.go
+++ b/internal/traffic/gateway/jobforwarder_test.go
@@ -15,7 +15,7 @@
 
 // A call that waits for an unresponsive leader must go to the next leader as soon as that is announced,
 // not when the call times out.
-func TestCallsFollowTheLeader(t *testing.T) {
+func TestWaitingCallSwitchesToNewLeader(t *testing.T) {
 	network := transport.NewMemoryNetwork()
 	nodeSettings := &settings.Settings{NodeName: "n", Address: "10.0.0.1", InternalPorts: []int{1, 9}}
 	runtime := agent.New(nodeSettings, membership.RoleGateway, 1, "", hclog.NewNullLogger())
@@ -50,7 +50,7 @@
 		t.Fatalf("got %+v, want status 202 from the new leader", forwarded)
 	}
 	if waited := clock.Now().Sub(started); waited > clock.Milliseconds(600) {
-		t.Fatal("call did not leave the old leader at once, waited ", waited)
+		t.Fatalf("call reached the new leader %v after its announcement, want 600 ms at most", waited)
 	}
 	// An announcement of an earlier epoch must be ignored.
 	forwarder.observeLeader(&messages.LeaderAnnouncement{Leadership: messages.Leadership{Epoch: 1, Address: "old"}})
@@ -60,7 +60,7 @@
 }
 
 // A gateway that can't reach a store must relay its calls through another gateway, through one only.
-func TestPartitionedGatewayRelays(t *testing.T) {
+func TestPartitionedGatewayRelaysItsCalls(t *testing.T) {
 	network := transport.NewMemoryNetwork()
 	gateways := map[string]*jobForwarder{}
 	for _, name := range []string{"cut", "near"} {
@@ -90,11 +90,11 @@
 	observe("near", messages.NodeInfo{Name: "z", Role: membership.RoleStore, Address: "store"})
 	resp, _ := gateways["cut"].Forward(&messages.JobCallRequest{Method: "POST", Job: "l"}, clock.Milliseconds(5000))
 	if resp == nil || resp.Status != 202 || len(calls) != 1 || !calls[0] {
-		t.Fatal("want status 202 and one relayed call, got ", resp, calls)
+		t.Fatalf("got %+v and calls with relayed=%v, want status 202 and one relayed call", resp, calls)
 	}
 	// If the other gateway can't reach a store either, nothing ran and there is no response.
 	network.Transport("store").Close()
 	if resp, mayHaveRun := gateways["cut"].Forward(&messages.JobCallRequest{Method: "POST", Job: "l"}, clock.Milliseconds(1500)); resp != nil || mayHaveRun {
-		t.Fatal("want no response and nothing run, got ", resp, mayHaveRun)
+		t.Fatalf("got %+v, may have run: %v, want no response and nothing run", resp, mayHaveRun)
 	}
 }
--- a/internal/traffic/gateway/keepalive_test.go
+++ b/internal/traffic/gateway/keepalive_test.go
@@ -134,7 +134,7 @@
 			close(end)
 			group.Wait()
 			if responses.Load() < 50 {
-				t.Fatal("too few requests got a response: ", responses.Load())
+				t.Fatalf("%d requests got a response, want at least 50", responses.Load())
 			}
 		})
 	}
--- a/internal/traffic/gateway/lingeringclose_test.go
+++ b/internal/traffic/gateway/lingeringclose_test.go
@@ -36,10 +36,10 @@
 			client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 			resp, err := client.Do(request)
 			if err != nil {
-				t.Fatal(want, err)
+				t.Fatalf("request failed: %v, want status %d", err, want)
 			}
 			if _, err = io.ReadAll(resp.Body); err != nil || resp.StatusCode != want {
-				t.Fatal(want, resp.StatusCode, err)
+				t.Fatalf("got status %d and body error %v, want %d and none", resp.StatusCode, err, want)
 			}
 			resp.Body.Close()
 		}
@@ -79,6 +79,6 @@
 	_ = connection.SetReadDeadline(clock.Deadline(5_000_000_000))
 	complete, err := io.ReadAll(connection)
 	if err != nil || !strings.HasPrefix(string(complete), "HTTP/1.1 431") {
-		t.Fatalf("%.40q %v", complete, err)
+		t.Fatalf("got response %.40q and error %v, want 431 and none", complete, err)
 	}
 }
--- a/internal/traffic/gateway/offer_test.go
+++ b/internal/traffic/gateway/offer_test.go
@@ -31,7 +31,8 @@
 		}
 		if call.Method == messages.MethodOffer {
 			if len(call.Body) > 0 || call.BodyBytes != constants.OfferMinBytes || call.WaitMs <= 0 {
-				t.Error("want an offer without body and with its length and a wait, got ", len(call.Body), call.BodyBytes, call.WaitMs)
+				t.Errorf("got an offer with %d bytes of body, length %d and a wait of %d ms, want no body, length %d and a wait",
+					len(call.Body), call.BodyBytes, call.WaitMs, constants.OfferMinBytes)
 			}
 			status := statuses[0]
 			if len(statuses) > 1 {
@@ -48,10 +49,10 @@
 	return resp, mayHaveRun, sent
 }
 
-// A long job must be sent if the leader requests it or does not know offers. It must not be sent if the
+// A large job must be sent if the leader requests it or does not know offers. It must not be sent if the
 // leader already has it, rejects it, or never requests it; in the last case it must not be reported as
 // possibly run.
-func TestLongJobsAreOfferedFirst(t *testing.T) {
+func TestLargeJobsAreOfferedFirst(t *testing.T) {
 	const second = 1000
 	for _, testCase := range []struct {
 		what       string
@@ -68,10 +69,10 @@
 	} {
 		resp, mayHaveRun, sent := forwardOffered(t, clock.Milliseconds(second), testCase.statuses...)
 		if resp == nil || resp.Status != testCase.status || sent != testCase.sent || mayHaveRun != testCase.mayHaveRun {
-			t.Errorf("%s: %+v %v, sent %d times", testCase.what, resp, mayHaveRun, sent)
+			t.Errorf("%s: got %+v, may have run: %v, sent %d times; want %+v", testCase.what, resp, mayHaveRun, sent, testCase)
 		}
 	}
 	if resp, mayHaveRun, sent := forwardOffered(t, clock.Milliseconds(second/10), 503); resp != nil || mayHaveRun || sent > 0 {
-		t.Errorf("never requested: %+v %v, sent %d times", resp, mayHaveRun, sent)
+		t.Errorf("never requested: got %+v, may have run: %v, sent %d times; want no response, not run, not sent", resp, mayHaveRun, sent)
 	}
 }
--- a/internal/traffic/gateway/outcome_test.go
+++ b/internal/traffic/gateway/outcome_test.go
@@ -83,42 +83,42 @@
 }
 
 // simulatedTransport is one gateway's transport in the simulation.
-type simulatedTransport struct{ world *simulation }
+type simulatedTransport struct{ sim *simulation }
 
 func (c simulatedTransport) Serve(transport.Handler) error { return nil }
 func (c simulatedTransport) Close()                        {}
 
 func (c simulatedTransport) Call(address string, _ messages.Kind, body []byte, timeout clock.Duration) ([]byte, error) {
-	world := c.world
-	world.step()
-	deliverLater := func() { world.deliver(address, body) }
-	switch world.random.Intn(8 + world.faultRarity) {
+	sim := c.sim
+	sim.step()
+	deliverLater := func() { sim.deliver(address, body) }
+	switch sim.random.Intn(8 + sim.faultRarity) {
 	case 0:
-		world.now = world.now.Add(timeout)
+		sim.now = sim.now.Add(timeout)
 		return nil, transport.ErrTimeout.New("lost")
 	case 1:
-		world.now = world.now.Add(timeout)
-		world.late = append(world.late, deliverLater)
+		sim.now = sim.now.Add(timeout)
+		sim.late = append(sim.late, deliverLater)
 		return nil, transport.ErrTimeout.New("slow")
 	case 2:
-		world.now = world.now.Add(timeout)
-		world.deliver(address, body)
+		sim.now = sim.now.Add(timeout)
+		sim.deliver(address, body)
 		return nil, transport.ErrTimeout.New("answer lost")
 	case 3:
 		return nil, transport.ErrUnreachable.New("no process at the address")
 	case 4:
-		world.late = append(world.late, deliverLater)
+		sim.late = append(sim.late, deliverLater)
 	}
-	return world.deliver(address, body), nil
+	return sim.deliver(address, body), nil
 }
 
 func newSimulation(seed int64) *simulation {
-	world := &simulation{random: rand.New(rand.NewSource(seed)), now: 1, gateways: map[string]*jobForwarder{}, stores: map[string]*storeStub{}, accepted: map[string]string{}}
-	world.faultRarity, world.noLeader = world.random.Intn(3)*60, world.random.Intn(4) == 0
+	sim := &simulation{random: rand.New(rand.NewSource(seed)), now: 1, gateways: map[string]*jobForwarder{}, stores: map[string]*storeStub{}, accepted: map[string]string{}}
+	sim.faultRarity, sim.noLeader = sim.random.Intn(3)*60, sim.random.Intn(4) == 0
 	nodes := []messages.NodeInfo{}
 	for number := 0; number < 3; number++ {
 		name := fmt.Sprint("l", number)
-		world.stores[name] = &storeStub{}
+		sim.stores[name] = &storeStub{}
 		nodes = append(nodes, messages.NodeInfo{Name: name, Role: membership.RoleStore, Address: name})
 		nodes = append(nodes, messages.NodeInfo{Name: fmt.Sprint("f", number), Role: membership.RoleGateway, Address: fmt.Sprint("f", number)})
 	}
@@ -126,15 +126,15 @@
 		name := fmt.Sprint("f", number)
 		nodeSettings := &settings.Settings{NodeName: name, Address: "10.0.0.1", InternalPorts: []int{1, 9}}
 		runtime := agent.New(nodeSettings, membership.RoleGateway, 1, "", hclog.NewNullLogger())
-		runtime.Transport = simulatedTransport{world}
+		runtime.Transport = simulatedTransport{sim}
 		runtime.Observe(nodes)
 		forwarder := newJobForwarder(runtime)
-		forwarder.now = func() clock.Instant { return world.now }
-		forwarder.sleep = func(timeout clock.Duration) { world.now = world.now.Add(timeout); world.step() }
-		forwarder.random = world.random.Float64
-		world.gateways[name] = forwarder
+		forwarder.now = func() clock.Instant { return sim.now }
+		forwarder.sleep = func(timeout clock.Duration) { sim.now = sim.now.Add(timeout); sim.step() }
+		forwarder.random = sim.random.Float64
+		sim.gateways[name] = forwarder
 	}
-	return world
+	return sim
 }
 
 // A job is submitted through one gateway after another while calls are delayed, lost and duplicated in
@@ -143,13 +143,13 @@
 func TestRejectedJobsNeverRun(t *testing.T) {
 	statuses := map[int]int{}
 	for seed := int64(1); seed <= 1500; seed++ {
-		world := newSimulation(seed)
+		sim := newSimulation(seed)
 		promisedNotRun := map[string]int{}
 		for job := 0; job < 2; job++ {
 			for attempt := 0; attempt < 3; attempt++ {
 				name, attemptID := fmt.Sprint("lot", job), fmt.Sprint(job, "/", attempt)
 				call := &messages.JobCallRequest{Method: "POST", Job: name, Body: []byte(attemptID)}
-				resp, mayHaveRun := world.gateways[fmt.Sprint("f", attempt)].Forward(call, clock.Milliseconds(3000))
+				resp, mayHaveRun := sim.gateways[fmt.Sprint("f", attempt)].Forward(call, clock.Milliseconds(3000))
 				status := 503
 				if resp != nil {
 					status = resp.Status
@@ -157,25 +157,25 @@
 					status = 504
 				}
 				statuses[status]++
-				if status == 202 && world.accepted[name] == "" {
+				if status == 202 && sim.accepted[name] == "" {
 					t.Fatalf("seed %d: %s got status 202 but was not accepted", seed, attemptID)
 				}
 				if promisesNotRun(status) {
 					promisedNotRun[attemptID] = status
 				}
-				world.step()
+				sim.step()
 			}
 		}
 		// Deliver all frames that are still late.
-		for _, store := range world.stores {
+		for _, store := range sim.stores {
 			store.leads, store.full = true, false
 		}
-		for len(world.late) > 0 {
-			frame := world.late[0]
-			world.late = world.late[1:]
+		for len(sim.late) > 0 {
+			frame := sim.late[0]
+			sim.late = sim.late[1:]
 			frame()
 		}
-		for job, attemptID := range world.accepted {
+		for job, attemptID := range sim.accepted {
 			if status := promisedNotRun[attemptID]; status > 0 {
 				t.Fatalf("seed %d: %s got status %d, but the same attempt was accepted", seed, job, status)
 			}
@@ -183,7 +183,7 @@
 	}
 	for _, status := range []int{202, 429, 503, 504} {
 		if statuses[status] < 50 {
-			t.Error("too few responses with this status: ", status, statuses)
+			t.Errorf("%d responses with status %d, want at least 50; all: %v", statuses[status], status, statuses)
 		}
 	}
 	t.Log(statuses)
@@ -216,16 +216,16 @@
 	<-tried
 	forwarder.observeLeader(&messages.LeaderAnnouncement{Leadership: messages.Leadership{Epoch: 2, Address: "new"}})
 	if resp := <-results; resp == nil || resp.Status != 504 {
-		t.Fatal("want status 504, got ", resp)
+		t.Fatalf("got %+v, want status 504", resp)
 	}
 }
 
 // A relaying gateway whose call to the store timed out must report an unknown outcome. The first gateway, which
 // reached no store itself, must then not promise that the job will not run.
 func TestTimeoutBehindARelayIsOutcomeUnknown(t *testing.T) {
-	world := newSimulation(1)
+	sim := newSimulation(1)
 	network := transport.NewMemoryNetwork()
-	partitioned, near := world.gateways["f0"], world.gateways["f1"]
+	partitioned, near := sim.gateways["f0"], sim.gateways["f1"]
 	for _, forwarder := range []*jobForwarder{partitioned, near} {
 		forwarder.runtime.Transport = network.Transport(forwarder.runtime.Self.Name)
 	}
@@ -237,6 +237,6 @@
 	network.SetPartitioned("silent", true)
 	resp, mayHaveRun := partitioned.Forward(&messages.JobCallRequest{Method: "POST", Job: "l"}, clock.Milliseconds(3000))
 	if !mayHaveRun || (resp != nil && resp.Status != 504) {
-		t.Fatal("want an unknown outcome, got ", resp, mayHaveRun)
+		t.Fatalf("got %+v, may have run: %v, want an unknown outcome", resp, mayHaveRun)
 	}
 }
--- a/internal/traffic/proxy/begunresponse_test.go
+++ b/internal/traffic/proxy/begunresponse_test.go
@@ -38,7 +38,7 @@
 // Guards against counting rejections by workers as tries of a response that has begun. After a
 // worker broke the stream off, the workers reject several attempts without running them. The stream
 // must resume once one of them has capacity, within the same response.
-func TestBegunResponseOutlastsRefusals(t *testing.T) {
+func TestRejectionsUseUpNoTryOfBegunResponse(t *testing.T) {
 	const rejectionCount = 6
 	reject := func(request *http.Request, connection net.Conn) {
 		write(connection, "HTTP/1.1 503 Service Unavailable\r\nLemonarch-Attempt-Id: "+request.Header.Get(headerAttempt)+"\r\n"+headerNotRun+": 1\r\nContent-Length: 0\r\n\r\n")
@@ -81,6 +81,6 @@
 		want += event(id)
 	}
 	if err != nil || resp.StatusCode != http.StatusOK || body != want {
-		t.Fatal("stream is not complete: ", resp, body, err)
+		t.Fatalf("got %v %q %v, want 200 %q", resp, body, err, want)
 	}
 }
--- a/internal/traffic/proxy/bounds_test.go
+++ b/internal/traffic/proxy/bounds_test.go
@@ -49,14 +49,14 @@
 				reached += min(worker.seen(), 1)
 			}
 			if reached > 3 {
-				t.Errorf("%s%s: request reached %d workers", path, chosen, reached)
+				t.Errorf("%s%s: request reached %d workers, want at most 3", path, chosen, reached)
 			}
 			if err != nil {
 				continue
 			}
 			seals := map[string]int{"failed": http.StatusInternalServerError, "away": http.StatusServiceUnavailable}
 			if status, sealed := seals[resp.Header.Get(headerSeal)]; sealed && status != resp.StatusCode {
-				t.Errorf("%s%s: got status %d with the seal %q", path, chosen, resp.StatusCode, resp.Header.Get(headerSeal))
+				t.Errorf("%s%s: got status %d with the seal %q, want %d", path, chosen, resp.StatusCode, resp.Header.Get(headerSeal), status)
 			}
 		}
 	}
@@ -81,7 +81,7 @@
 				}
 				server, proxy := newProxyServer(t, newWorkerStub(t, "w1", script), newWorkerStub(t, "w2", script), newWorkerStub(t, "w3", script))
 				setShortCutoffs(t, proxy)
-				// A stall of the machine delays every process, so only a request that is late in each try fails.
+				// A stall of the machine delays every process, so the test fails only if the request is late in each try.
 				const cutoffMs, tries = 300, 3
 				for try := 1; ; try++ {
 					started := clock.Now()
@@ -91,7 +91,7 @@
 						break
 					}
 					if try == tries {
-						t.Fatal("request took ", took)
+						t.Fatalf("request took %v, want less than %d ms in one of %d tries", took, cutoffMs+250, tries)
 					}
 				}
 			})
--- a/internal/traffic/proxy/core_test.go
+++ b/internal/traffic/proxy/core_test.go
@@ -51,7 +51,7 @@
 		first, consecutive := splitter.Feed([]byte(text[:cut]))
 		second, secondConsecutive := splitter.Feed([]byte(text[cut:]))
 		if !consecutive || !secondConsecutive || string(first)+string(second) != text || len(splitter.Remainder()) > 0 || splitter.LastID != 6 {
-			t.Fatalf("cut at %d: %q %q", cut, first, second)
+			t.Fatalf("cut at %d: got events %q and %q, want all of %q", cut, first, second, text)
 		}
 	}
 }
@@ -65,14 +65,14 @@
 	}
 }
 
-func TestData(t *testing.T) {
+func TestEventData(t *testing.T) {
 	parts := EventData([]byte(event(1) + "id: 2\ndata: a\ndata: b\n\n"))
 	if len(parts) != 2 || string(parts[0]) != "piece 1" || string(parts[1]) != "a\nb" {
-		t.Fatalf("%q", parts)
+		t.Fatalf("got data %q, want \"piece 1\" and \"a\\nb\"", parts)
 	}
 }
 
-func TestHeaderRules(t *testing.T) {
+func TestForwardedHeader(t *testing.T) {
 	header := http.Header{}
 	header.Set("Connection", "close, X-Hop, Lemonarch-Attempt-Id")
 	header.Set("X-Hop", "1")
@@ -84,6 +84,6 @@
 	header.Set("Lemonarch-Attempt-Id", "id")
 	forwarded := ForwardedHeader(header)
 	if len(forwarded) != 2 || forwarded.Get("X-Kept") != "2" || forwarded.Get("Lemonarch-Attempt-Id") != "id" {
-		t.Fatal(forwarded)
+		t.Fatalf("forwarded %v, want X-Kept and Lemonarch-Attempt-Id only", forwarded)
 	}
 }
--- a/internal/traffic/proxy/fault_test.go
+++ b/internal/traffic/proxy/fault_test.go
@@ -19,7 +19,7 @@
 	for count := 0; count < constants.LatencySamplesMin; count++ {
 		resp, _ := proxy.Scheduler.Admit(&request, nil, clock.Now())
 		if resp.Verdict != admission.VerdictGranted {
-			t.Fatal(resp.Verdict)
+			t.Fatalf("admission verdict %v, want %v", resp.Verdict, admission.VerdictGranted)
 		}
 		resp.Grant.FirstEvent("", clock.Now())
 		resp.Grant.ObserveGap(clock.Milliseconds(5))
@@ -27,8 +27,8 @@
 	}
 }
 
-// A worker hangs before the first byte. A retryable request must be served by another worker well
-// before clients give up, and the hang must be recorded in the worker's health.
+// A worker hangs before the first byte. A retryable request must be served by another worker within half
+// of StreamTimeout, well before clients give up, and the hang must be recorded in the worker's health.
 func TestHangBeforeTheFirstByte(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/stream/x"} {
 		wait := make(chan struct{})
@@ -47,7 +47,7 @@
 		took := clock.Now().Sub(started)
 		close(wait)
 		if err != nil || resp.StatusCode != 200 || hanging.seen() != 1 || good.seen() != 1 {
-			t.Fatal(path, resp, body, err, hanging.seen(), good.seen())
+			t.Fatalf("%s: got %v %q %v after %d and %d runs, want 200 after 1 and 1", path, resp, body, err, hanging.seen(), good.seen())
 		}
 		if took > constants.StreamTimeout/2 {
 			t.Fatalf("%s: retried at another worker only after %v", path, took)
@@ -55,7 +55,7 @@
 		var failures int64
 		proxy.Scheduler.WithLock(func() { _, failures = proxy.Scheduler.Tracker.Of("w1").Counts() })
 		if failures != 1 {
-			t.Fatal("want the hang recorded once, got failures: ", failures)
+			t.Fatalf("%s: the hang was recorded as %d failures, want 1", path, failures)
 		}
 	}
 }
@@ -70,7 +70,7 @@
 	})
 	good := newWorkerStub(t, "w2", func(_ int, request *http.Request, connection net.Conn) {
 		if request.Header.Get(headerLastEvent) != "2" {
-			t.Error("resumed after ", request.Header.Get(headerLastEvent))
+			t.Errorf("resumed after event %q, want 2", request.Header.Get(headerLastEvent))
 		}
 		write(connection, streamHead(request)+chunk(event(3))+chunk(""))
 	})
@@ -78,7 +78,7 @@
 	trainLatencies(t, proxy, admission.Request{Service: "s", Setpoint: clock.Milliseconds(100), Excluded: []string{"w1"}})
 	resp, body, err := sendRequest(t, server, "/stream/x", nil)
 	if err != nil || resp.StatusCode != 200 || body != event(1)+event(2)+event(3) {
-		t.Fatal(resp, body, err)
+		t.Fatalf("got %v %q %v, want 200 and the events 1 to 3", resp, body, err)
 	}
 }
 
@@ -102,13 +102,13 @@
 	}()
 	resp, body, err := sendRequest(t, server, "/once/x", nil)
 	if err != nil || resp.StatusCode != 200 || body != "late" || slow.seen() != 1 {
-		t.Fatal(resp, body, err, slow.seen())
+		t.Fatalf("got %v %q %v after %d runs, want 200 \"late\" after 1 run", resp, body, err, slow.seen())
 	}
 }
 
 // A 500 and a rejection despite free capacity must count as failures in the worker's health; a 504 at
 // the deadline and a 4xx must not.
-func TestResponsesThatCountAgainstAWorker(t *testing.T) {
+func TestResponsesThatCountAsWorkerFailures(t *testing.T) {
 	for text, wantFailure := range map[string]bool{
 		"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n":                                                                true,
 		"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n":                                                                true,
@@ -122,12 +122,12 @@
 		good := newWorkerStub(t, "w2", func(_ int, request *http.Request, connection net.Conn) { write(connection, success(request, "done")) })
 		server, proxy := newProxyServer(t, worker, good)
 		if _, _, err := sendRequest(t, server, "/safe/x", nil); err != nil {
-			t.Fatal(text, err)
+			t.Fatalf("%q: request failed: %v", text, err)
 		}
 		var failures int64
 		proxy.Scheduler.WithLock(func() { _, failures = proxy.Scheduler.Tracker.Of("w1").Counts() })
 		if wantFailure != (failures > 0) {
-			t.Fatalf("%q: got %d failures", text, failures)
+			t.Fatalf("%q: got %d failures, want some: %v", text, failures, wantFailure)
 		}
 	}
 }
--- a/internal/traffic/proxy/idle_test.go
+++ b/internal/traffic/proxy/idle_test.go
@@ -10,9 +10,9 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// newForgetfulWorker returns a worker that serves one request on each connection and resets the
+// newIdleDroppingWorker returns a worker that serves one request on each connection and resets the
 // connection at the second, as if it had dropped the idle connection without closing it.
-func newForgetfulWorker(t *testing.T, id string) *workerStub {
+func newIdleDroppingWorker(t *testing.T, id string) *workerStub {
 	t.Helper()
 
 	served := map[net.Conn]bool{}
@@ -36,12 +36,12 @@
 // without counting as a failure. A request that must not run twice must not use a connection that
 // was idle for longer than the learned safe idle time.
 func TestStaleIdleConnections(t *testing.T) {
-	worker := newForgetfulWorker(t, "w1")
+	worker := newIdleDroppingWorker(t, "w1")
 	server, proxy := newProxyServer(t, worker)
 	for count := 0; count < 6; count++ {
 		resp, body, err := sendRequest(t, server, "/safe/x", map[string]string{headerAttempt: fmt.Sprint("safe-", count)})
 		if err != nil || resp.StatusCode != 200 || body != "done" {
-			t.Fatal(count, resp, body, err)
+			t.Fatalf("retryable request %d: got %v %q %v, want 200 \"done\"", count, resp, body, err)
 		}
 	}
 	pool := proxy.Sender.Pool
@@ -50,7 +50,7 @@
 	}
 	safeIdle := pool.SafeIdle("s")
 	if safeIdle >= constants.SafeIdle {
-		t.Fatal("safe idle time was not reduced: ", safeIdle)
+		t.Fatalf("safe idle time is %v, want less than %v", safeIdle, constants.SafeIdle)
 	}
 	suspect, failures := false, int64(0)
 	proxy.Scheduler.WithLock(func() {
@@ -59,13 +59,13 @@
 		_, failures = health.Counts()
 	})
 	if suspect || failures > 0 {
-		t.Fatal("a stale connection counted as a failure of the worker")
+		t.Fatalf("worker suspect: %v, with %d failures, after stale connections only; want false and 0", suspect, failures)
 	}
 	for count := 0; count < 4; count++ {
 		<-clock.After(safeIdle + clock.Milliseconds(1))
 		resp, body, err := sendRequest(t, server, "/once/x", map[string]string{headerAttempt: fmt.Sprint("once-", count)})
 		if err != nil || resp.StatusCode != 200 || body != "done" {
-			t.Fatal(count, resp, body, err)
+			t.Fatalf("effectful request %d: got %v %q %v, want 200 \"done\"", count, resp, body, err)
 		}
 	}
 }
--- a/internal/traffic/proxy/match_test.go
+++ b/internal/traffic/proxy/match_test.go
@@ -12,7 +12,8 @@
 	"lemonarch/internal/traffic/admission"
 )
 
-// staleResponses are responses to other requests that may arrive on a connection before the caller's own.
+// staleResponses are responses to other requests that may arrive on a connection before the response to
+// the current request.
 var staleResponses = map[string]string{
 	"turned away, unnamed":  "HTTP/1.1 503 Full\r\nLemonarch-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n",
 	"misdirected, unnamed":  "HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n",
@@ -93,7 +94,7 @@
 			server, _ := newProxyServer(t, worker)
 			resp, _, err := sendRequest(t, server, path, nil)
 			if err != nil || resp.StatusCode != http.StatusBadGateway || resp.Header.Get(headerSeal) != "" {
-				t.Error(path, status, resp, err)
+				t.Errorf("%s, worker status %q: got %v %v, want 502 without the worker's seal", path, status, resp, err)
 			}
 		}
 	}
@@ -112,7 +113,7 @@
 		}
 	}
 	if opened := proxy.Sender.Pool.Opened.Load(); opened != 3 {
-		t.Error("want 3 connections opened, got ", opened)
+		t.Errorf("%d connections opened, want 3", opened)
 	}
 }
 
@@ -125,6 +126,6 @@
 	outgoing := &Request{Method: http.MethodPost, Attempt: "probe", Text: []byte("x"), Deadline: clock.Now() - 1}
 	_, evidence, err := sender.RoundTrip(decision.Grant, outgoing)
 	if err == nil || evidence.Sent {
-		t.Fatal(evidence, err)
+		t.Fatalf("got evidence %+v and error %v, want an error and nothing sent", evidence, err)
 	}
 }
--- a/internal/traffic/proxy/preempt_test.go
+++ b/internal/traffic/proxy/preempt_test.go
@@ -32,7 +32,7 @@
 	server, proxy := newProxyServer(t, worker)
 	go func() {
 		<-reached
-		// The first two events may not have arrived yet, so repeat the pressure until the stream yields.
+		// The first two events may not have arrived yet, so repeat the notice until the stream is preempted.
 		for proxy.Scheduler.Counters("stream").Preempted.Load() == 0 {
 			proxy.Scheduler.YieldToPressure(&messages.PressureNotice{From: "x", Entries: []messages.Pressure{{Service: "s", Waiting: 1}}}, 1, clock.Now())
 		}
@@ -45,6 +45,7 @@
 	counters := proxy.Scheduler.Counters("stream")
 	if err != nil || resp.StatusCode != 200 || body != want || worker.seen() != 2 ||
 		counters.Preempted.Load() != 1 || counters.Resumed.Load() != 1 || counters.Finished.Load() != 1 {
-		t.Fatal(resp, body, err, worker.seen(), counters.Preempted.Load(), counters.Resumed.Load(), counters.Finished.Load())
+		t.Fatalf("got %v %q %v, want 200 %q; got %d runs, %d preempted, %d resumed, %d finished, want 2, 1, 1, 1",
+			resp, body, err, want, worker.seen(), counters.Preempted.Load(), counters.Resumed.Load(), counters.Finished.Load())
 	}
 }
--- a/internal/traffic/proxy/protocol_test.go
+++ b/internal/traffic/proxy/protocol_test.go
@@ -37,13 +37,13 @@
 	server, _ := newProxyServer(t, worker)
 	resp, body, err := sendRequest(t, server, "/stream/x", nil)
 	if err != nil || resp.Header.Get("Lemonarch-Weight-Versions") != "7" || body != event(1)+changed+event(3) {
-		t.Fatalf("%v %v %q", err, resp, body)
+		t.Fatalf("got %v %v %q, want weight versions 7 in the head and the events unchanged", err, resp, body)
 	}
 }
 
 // A worker closes the connection at any byte inside an event. The client must not receive a part of the
 // event, and the stream must resume at another worker.
-func TestBreakInsideAnEventAtEveryByte(t *testing.T) {
+func TestConnectionClosedInsideAnEventAtEveryByte(t *testing.T) {
 	for at := range len(event(2)) {
 		first := newWorkerStub(t, "w1", func(_ int, request *http.Request, connection net.Conn) {
 			write(connection, streamHead(request)+chunk(event(1)))
@@ -63,14 +63,14 @@
 		})
 		server, _ := newProxyServer(t, first, second)
 		if resp, body, err := sendRequest(t, server, "/stream/x", nil); err != nil || resp.StatusCode != 200 || body != event(1)+event(2)+event(3) {
-			t.Fatalf("at %d: %v %q", at, err, body)
+			t.Fatalf("break at byte %d: got %v %q, want 200 and the events 1 to 3", at, err, body)
 		}
 	}
 }
 
 // A response without a length that ends with a reset is not complete. One that ends with an orderly close
 // can't be distinguished from a truncated one. Neither may be relayed as a success.
-func TestResponseThatEndsByAResetIsNotComplete(t *testing.T) {
+func TestResponseWithoutLengthIsNotASuccess(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		worker := newWorkerStub(t, "w1", func(_ int, request *http.Request, connection net.Conn) {
 			write(connection, fmt.Sprintf("HTTP/1.1 200 OK\r\nLemonarch-Attempt-Id: %s\r\nLemonarch-Server-Seal: seal\r\nConnection: close\r\n\r\nall of it",
@@ -85,7 +85,7 @@
 		server, _ := newProxyServer(t, worker)
 		resp, body, err := sendRequest(t, server, "/once/x", nil)
 		if err == nil && resp.StatusCode < 300 {
-			t.Errorf("reset %v: %v %q", reset, resp, body)
+			t.Errorf("reset %v: got %v %q, want no success", reset, resp, body)
 		}
 	}
 }
@@ -98,7 +98,7 @@
 	worker := newWorkerStub(t, "w2", func(_ int, request *http.Request, connection net.Conn) { write(connection, success(request, "x")) })
 	server, _ := newProxyServer(t, failing, worker)
 	if resp, _, err := sendRequest(t, server, "/safe/x", header); err != nil || resp.StatusCode != 200 {
-		t.Fatal(resp, err)
+		t.Fatalf("got %v %v, want 200", resp, err)
 	}
 	for _, stub := range []*workerStub{failing, worker} {
 		for name, value := range header {
@@ -119,23 +119,23 @@
 	worker := newWorkerStub(t, "w2", func(_ int, request *http.Request, connection net.Conn) { write(connection, success(request, "x")) })
 	server, _ := newProxyServer(t, slow, worker)
 	if resp, _, err := sendRequest(t, server, "/safe/x", map[string]string{headerTimeLeft: strconv.Itoa(sent)}); err != nil || resp.StatusCode != 200 {
-		t.Fatal(resp, err)
+		t.Fatalf("got %v %v, want 200", resp, err)
 	}
 	left := func(stub *workerStub) int {
 		value, _ := strconv.Atoi(stub.firstHeader().Get(headerTimeLeft))
 		return value
 	}
 	if first := left(slow); first > sent || first < sent-500 {
-		t.Error("time left at the first attempt: ", first)
+		t.Errorf("time left at the first attempt is %d ms, want %d to %d", first, sent-500, sent)
 	}
 	if second := left(worker); second > sent-elapsed/2 || second < 1 {
-		t.Error("time left at the second attempt: ", second)
+		t.Errorf("time left at the second attempt is %d ms, want 1 to %d", second, sent-elapsed/2)
 	}
 }
 
 // After a client disconnects, the connection to its worker must be closed within half a second, and its
 // request must not be sent to another worker, whether it is being processed or streamed.
-func TestWorkStopsWithItsClient(t *testing.T) {
+func TestWorkerConnectionClosesWhenClientDisconnects(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/once/x", "/stream/x"} {
 		closedAt := make(chan clock.Instant, 1)
 		worker := newWorkerStub(t, "w1", func(_ int, request *http.Request, connection net.Conn) {
@@ -173,13 +173,13 @@
 	server := httptest.NewServer(New(Sender{Scheduler: scheduler, Pool: workerconn.NewPool()}, nil, hclog.NewNullLogger()))
 	defer server.Close()
 	if resp, _, err := sendRequest(t, server, "/safe/x", nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
-		t.Fatal(resp, err)
+		t.Fatalf("got %v %v, want 503", resp, err)
 	}
 }
 
 // Each service of a weighted route must get its share of 300 requests, from one gateway up to 255
 // gateways with about one request each.
-func TestWeightedPartsGetTheirShares(t *testing.T) {
+func TestWeightedServicesGetTheirShares(t *testing.T) {
 	for _, nodes := range []int{1, 6, 60, 255} {
 		for _, share := range []int{10, 50, 85} {
 			route := &routeconfig.Route{Name: "r", Weighted: []routeconfig.Share{{Backend: "a", Share: float64(share)}, {Backend: "b", Share: float64(100 - share)}}}
@@ -202,7 +202,7 @@
 				bound = 13 * requests / 100
 			}
 			if worst > bound {
-				t.Errorf("%d nodes, share %d: off by %d of %d", nodes, share, worst, requests)
+				t.Errorf("%d nodes, share %d%%: off by %d of %d requests, want at most %d", nodes, share, worst, requests, bound)
 			}
 		}
 	}
--- a/internal/traffic/proxy/proxy_test.go
+++ b/internal/traffic/proxy/proxy_test.go
@@ -21,19 +21,19 @@
 	server, _ := newProxyServer(t, worker)
 	resp, body, err := sendRequest(t, server, "/safe/a//b/../c%2Fd?x=1&&y", map[string]string{"X-Other": "kept", headerTimeLeft: "900"})
 	if err != nil || resp.StatusCode != 200 || body != "hello" || resp.Header.Get(headerSeal) != "seal" {
-		t.Fatal(resp, body, err)
+		t.Fatalf("got %v %q %v, want 200 \"hello\" with the seal", resp, body, err)
 	}
 	got := worker.requests[0]
 	sent, _ := io.ReadAll(got.Body)
 	if got.RequestURI != "/safe/a//b/../c%2Fd?x=1&&y" || string(sent) != "the body" || got.Host != "h.example" ||
 		got.Header.Get("X-Other") != "kept" || got.Header.Get(headerTarget) != "w1" || got.Header.Get(headerAttempt) != "attempt-1" {
-		t.Fatal(got.RequestURI, string(sent), got.Header)
+		t.Fatalf("worker received %s %q with header %v, want the request unchanged", got.RequestURI, string(sent), got.Header)
 	}
 }
 
 // Guards against a second run of an effectful request whose response was truncated at any byte. It must
 // not be sent to a second worker, and must not be rejected as if it had not run.
-func TestEffectfulAtEveryByte(t *testing.T) {
+func TestEffectfulRequestWithResponseTruncatedAtEveryByte(t *testing.T) {
 	complete := success(&http.Request{Header: http.Header{headerAttempt: {"attempt-1"}}}, "hello")
 	for cut := 0; cut < len(complete); cut++ {
 		script := func(_ int, _ *http.Request, connection net.Conn) {
@@ -48,15 +48,15 @@
 		// The request may not have run only if this process stalled past the route's cutoff.
 		late := clock.Now().Sub(started) >= clock.Milliseconds(onceCutoffMs)
 		if ran > 1 || (ran == 0 && !late) {
-			t.Fatalf("cut at %d: request ran %d times", cut, ran)
+			t.Fatalf("cut at %d: request ran %d times, want once (late: %v)", cut, ran, late)
 		}
 		if err == nil && ((ran > 0 && promisesNotRun(resp.StatusCode)) || resp.StatusCode < 300) {
-			t.Fatalf("cut at %d: status %d", cut, resp.StatusCode)
+			t.Fatalf("cut at %d: got status %d after %d runs, want neither success nor rejection", cut, resp.StatusCode, ran)
 		}
 	}
 }
 
-func TestEffectfulMetByTimeout(t *testing.T) {
+func TestEffectfulRequestIsNotRetriedAfterTimeout(t *testing.T) {
 	wait := make(chan struct{})
 	defer close(wait)
 	script := func(int, *http.Request, net.Conn) { <-wait }
@@ -64,12 +64,12 @@
 	server, _ := newProxyServer(t, first, second)
 	resp, _, err := sendRequest(t, server, "/once/x", nil)
 	if err != nil || resp.StatusCode != http.StatusGatewayTimeout || first.seen()+second.seen() != 1 {
-		t.Fatal(resp, err, first.seen(), second.seen())
+		t.Fatalf("got %v %v after %d and %d runs, want 504 after one run", resp, err, first.seen(), second.seen())
 	}
 }
 
 // An effectful request may be retried only if the worker states that it did not run it.
-func TestEffectfulRetriedWhereTheWorkerDidNotRunIt(t *testing.T) {
+func TestEffectfulRequestIsRetriedIfNotRun(t *testing.T) {
 	full := newWorkerStub(t, "w1", func(_ int, _ *http.Request, connection net.Conn) {
 		write(connection, "HTTP/1.1 503 Full\r\nLemonarch-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n")
 	})
@@ -80,7 +80,7 @@
 	server, _ := newProxyServer(t, full, other, good)
 	resp, body, err := sendRequest(t, server, "/once/x", nil)
 	if err != nil || resp.StatusCode != 200 || body != "done" || good.seen() != 1 {
-		t.Fatal(resp, body, err)
+		t.Fatalf("got %v %q %v, want 200 \"done\" after one run at w3", resp, body, err)
 	}
 }
 
@@ -91,7 +91,7 @@
 	server, _ := newProxyServer(t, full)
 	resp, _, err := sendRequest(t, server, "/once/x", nil)
 	if err != nil || resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
-		t.Fatal(resp, err)
+		t.Fatalf("got %v %v, want 503 with Retry-After", resp, err)
 	}
 }
 
@@ -111,7 +111,7 @@
 		server, _ := newProxyServer(t, bad, good)
 		resp, body, err := sendRequest(t, server, "/safe/x", nil)
 		if err != nil || resp.StatusCode != 200 || body != "done" {
-			t.Fatal(name, resp, body, err)
+			t.Fatalf("%s: got %v %q %v, want 200 \"done\"", name, resp, body, err)
 		}
 	}
 }
@@ -127,7 +127,7 @@
 		attempt := fmt.Sprint("attempt-", count)
 		resp, body, err := sendRequest(t, server, "/safe/x", map[string]string{headerAttempt: attempt})
 		if err != nil || resp.StatusCode != 200 || body != "for "+attempt {
-			t.Fatal(resp, body, err)
+			t.Fatalf("%s: got %v %q %v, want 200 and its own response", attempt, resp, body, err)
 		}
 	}
 }
@@ -141,7 +141,7 @@
 	server, _ := newProxyServer(t, worker)
 	resp, body, err := sendRequest(t, server, "/once/x", nil)
 	if err != nil || resp.StatusCode != 200 || body != "mine" || worker.seen() != 1 {
-		t.Fatal(resp, body, err)
+		t.Fatalf("got %v %q %v, want 200 \"mine\" after one run", resp, body, err)
 	}
 }
 
@@ -179,13 +179,13 @@
 			seal = "seal-w2"
 		}
 		if err != nil || resp.StatusCode != 200 || body != want || resp.Header.Get(headerSeal) != seal {
-			t.Fatalf("cut at %d: %v %q %v", cut, resp, body, err)
+			t.Fatalf("cut at %d: got %v %q %v, want 200 %q with the seal %q", cut, resp, body, err, want, seal)
 		}
 	}
 }
 
 // A stream that may not be resumed must be truncated for the client too, not ended cleanly.
-func TestUnresumableStreamEndsWithItsWorker(t *testing.T) {
+func TestNonResumableStreamIsTruncatedAtTheClient(t *testing.T) {
 	worker := newWorkerStub(t, "w1", func(_ int, request *http.Request, connection net.Conn) {
 		write(connection, streamHead(request)+chunk(event(1)))
 		connection.Close()
@@ -194,7 +194,7 @@
 	server, _ := newProxyServer(t, worker, second)
 	resp, body, err := sendRequest(t, server, "/rigid/x", nil)
 	if err == nil || resp == nil || body != event(1) || second.seen() != 0 {
-		t.Fatal(resp, body, err, second.seen())
+		t.Fatalf("got %v %q %v and %d runs at w2, want event 1, then an error, and no run", resp, body, err, second.seen())
 	}
 }
 
@@ -202,15 +202,15 @@
 	worker := newWorkerStub(t, "w1", func(_ int, request *http.Request, connection net.Conn) { write(connection, success(request, "x")) })
 	server, _ := newProxyServer(t, worker)
 	if resp, _, _ := sendRequest(t, server, "/nowhere/", nil); resp.StatusCode != 404 {
-		t.Fatal(resp.StatusCode)
+		t.Fatalf("unknown route: got status %d, want 404", resp.StatusCode)
 	}
 	request, _ := http.NewRequest(http.MethodPost, server.URL+"/safe/x", strings.NewReader(strings.Repeat("x", 2000)))
 	request.Host = "h.example"
 	if resp, err := http.DefaultClient.Do(request); err != nil || resp.StatusCode != 413 {
-		t.Fatal(resp, err)
+		t.Fatalf("body over the limit: got %v %v, want 413", resp, err)
 	}
 	if worker.seen() != 0 {
-		t.Fatal("request was forwarded")
+		t.Fatalf("%d requests were forwarded, want none", worker.seen())
 	}
 }
 
@@ -233,11 +233,11 @@
 	<-started
 	proxy.Draining.Store(true)
 	if proxy.Active() != 1 {
-		t.Fatal("the request in flight is not counted")
+		t.Fatalf("%d requests in flight, want 1", proxy.Active())
 	}
 	resp, body, err := sendRequest(t, server, "/safe/y", nil)
 	if err != nil || resp.StatusCode != 200 || body != "done" || !resp.Close {
-		t.Fatal(resp, body, err)
+		t.Fatalf("got %v %q %v, want 200 \"done\" with Connection: close", resp, body, err)
 	}
 	close(wait)
 	if got := <-ended; got != "true done <nil>" && got != "truedone<nil>" && got != "truedone <nil>" {
--- a/internal/traffic/trafficstats/trafficstats_test.go
+++ b/internal/traffic/trafficstats/trafficstats_test.go
@@ -53,7 +53,7 @@
 		cut := random.IntN(len(all))
 		halves := append(merge(all[:cut]), merge(all[cut:])...)
 		if !bytes.Equal(encoded(t, merge(halves)), want) {
-			t.Fatal("merged summaries depend on the order, with a cut at ", cut)
+			t.Fatalf("merged summaries depend on the order, with a cut at %d", cut)
 		}
 	}
 }
@@ -108,7 +108,7 @@
 	var disabled *Recorder
 	disabled.Record(observation("r", random), 1)
 	if summaries, observed := disabled.Summaries(1); summaries != nil || observed != 0 {
-		t.Fatal("a nil recorder returned ", summaries, observed)
+		t.Fatalf("a nil recorder returned %v over %v, want nothing", summaries, observed)
 	}
 }
 
