--- a/cmd/lemonarch/check.go
+++ b/cmd/lemonarch/check.go
@@ -85,7 +85,7 @@
 			return nil
 		}}
 	from.Flags().StringVar(&options.Backend, "backend", "service", "name of the service that the routes go to")
-	from.Flags().StringVar(&options.Host, "host", "", "host of the routes if the file names no server")
+	from.Flags().StringVar(&options.Host, "host", "", "host of the routes (default: that of the first server in the file)")
 	from.Flags().IntVar(&options.CutoffMs, "cutoff-ms", 5000, "cutoff-ms of the routes")
 	group.AddCommand(from)
 	return group
--- a/cmd/lemonarch/jobs.go
+++ b/cmd/lemonarch/jobs.go
@@ -40,23 +40,23 @@
 }
 
 // run calls a function with a client and a context that ends after the limit or on SIGINT or SIGTERM.
-func (l *jobFlags) run(call func(ctx contexts.Context, client *jobclient.Client) error) error {
-	if len(l.edges) == 0 {
+func (f *jobFlags) run(call func(ctx contexts.Context, client *jobclient.Client) error) error {
+	if len(f.edges) == 0 {
 		return exitError{exitUnusable, "--edge is missing"}
 	}
-	for _, edge := range l.edges {
+	for _, edge := range f.edges {
 		if _, _, err := net.SplitHostPort(edge); err != nil {
 			return exitError{exitUnusable, "--edge: " + strconv.Quote(edge) + " is not host:port"}
 		}
 	}
-	if l.limit <= 0 {
+	if f.limit <= 0 {
 		return exitError{exitUnusable, "--limit must be above 0"}
 	}
-	limited, release := contexts.WithTimeout(contexts.Background(), l.limit)
+	limited, release := contexts.WithTimeout(contexts.Background(), f.limit)
 	defer release()
 	ctx, stop := signal.NotifyContext(limited, syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	err := call(ctx, &jobclient.Client{Edges: l.edges, Host: l.host})
+	err := call(ctx, &jobclient.Client{Edges: f.edges, Host: f.host})
 	if err != nil {
 		var exit exitError
 		if errors.As(err, &exit) {
--- a/cmd/lemonarch/lab_load.go
+++ b/cmd/lemonarch/lab_load.go
@@ -35,7 +35,7 @@
 			"file, injects its troubles at the times given there, and stops the fleets. Several fleets get\n" +
 			"the same load at the same time and are reported side by side.\n\n" +
 			"Exit code 1: a promise was broken, or nothing was served.\n\n" +
-			"Kinds of trouble in an experiment file:\n" + faultKinds()}
+			"Kinds of trouble in an experiment file:\n" + troubleKinds()}
 	load.register(command.Flags())
 	command.RunE = func(command *cobra.Command, _ []string) error { return load.run(command) }
 	return command
@@ -87,7 +87,7 @@
 	return printResults(command, results, l.format)
 }
 
-func faultKinds() string {
+func troubleKinds() string {
 	text := ""
 	for _, name := range lab.KindNames() {
 		text += fmt.Sprintf("  %-14s %s\n", name, lab.Kinds[name])
--- a/cmd/lemonarch/main.go
+++ b/cmd/lemonarch/main.go
@@ -12,9 +12,9 @@
 	"github.com/spf13/cobra"
 )
 
-// Exit codes of failures: exitInvalid if the check or operation failed, exitUnusable if there is no
-// result, mostly because the call itself is wrong (flags, arguments, files), and for an error without a
-// code of its own. Success is 0.
+// Exit codes of failures; success is 0. exitInvalid means that the check or operation failed.
+// exitUnusable means that there is no result, mostly because the call itself is wrong (flags, arguments,
+// files), or that the error has no code of its own.
 const (
 	exitInvalid  = 1
 	exitUnusable = 2
@@ -27,7 +27,7 @@
 }
 
 // Error returns the line that is printed.
-func (c exitError) Error() string { return c.text }
+func (e exitError) Error() string { return e.text }
 
 // checkFormat returns an error unless the value of --output is a known format.
 func checkFormat(format string) error {
--- a/cmd/lemonarch/version.go
+++ b/cmd/lemonarch/version.go
@@ -8,7 +8,7 @@
 	if !available {
 		return "unknown build"
 	}
-	name, revision, modified := info.Main.Version, "", ""
+	moduleVersion, revision, modified := info.Main.Version, "", ""
 	for _, setting := range info.Settings {
 		switch {
 		case setting.Key == "vcs.revision" && len(setting.Value) >= 12:
@@ -17,8 +17,8 @@
 			modified = " changed"
 		}
 	}
-	if name == "" {
-		name = "(devel)"
+	if moduleVersion == "" {
+		moduleVersion = "(devel)"
 	}
-	return name + revision + modified + " " + info.GoVersion
+	return moduleVersion + revision + modified + " " + info.GoVersion
 }
--- a/internal/configuration/adapterplan/planner.go
+++ b/internal/configuration/adapterplan/planner.go
@@ -25,7 +25,7 @@
 // The error is ErrEffortExceeded if the solver reached its limit.
 func (p *planner) complete(settled partial) (partial, bool, error) {
 	p.counts.Checks++
-	// The greedy guess comes first since it costs least: with many choices it is an answer.
+	// The greedy guess comes first since it costs least, and with many choices it usually is an answer.
 	if _, guess := p.guess(settled, p.choiceOrder()); guess != nil && p.problem.satisfiedBy(guess) && p.keptCount(guess) >= p.minKept {
 		return guess, true, nil
 	}
@@ -72,7 +72,7 @@
 type encoding struct {
 	problem *problem
 	settled partial
-	// number is the solver's variable for each variable and open node; 0 if it is not open.
+	// number is the number of the solver's variable for each variable and node, 0 if the node is not open.
 	number [][]int
 	// lastNumber is the highest number in use.
 	lastNumber  int
--- a/internal/configuration/configcheck/configcheck.go
+++ b/internal/configuration/configcheck/configcheck.go
@@ -21,7 +21,8 @@
 type Checker struct {
 	context *cue.Context
 	schema  cue.Value
-	uses    int
+	// uses is how many texts were checked in the current context.
+	uses int
 	// checkedBytes is how many bytes were checked in the current context.
 	checkedBytes int
 }
@@ -39,7 +40,7 @@
 	return checker, checker.renew()
 }
 
-// renew replaces the CUE context by an empty one.
+// renew replaces the CUE context with a new one and compiles the schema in it.
 func (c *Checker) renew() error {
 	c.context = cuecontext.New()
 	c.uses, c.checkedBytes = 0, 0
@@ -51,9 +52,10 @@
 	return routeconfig.ErrMalformed.Wrap(c.schema.Err(), "schema")
 }
 
-// Check returns the configuration and the findings against it; it is valid if there are none. The
-// configuration is nil if it can't be parsed, or if it is longer than pieceBytes and does not match
-// the schema.
+// Check returns the configuration and the findings against it; a configuration without findings is
+// valid. The configuration is nil if it can't be parsed, or if it is longer than pieceBytes and does
+// not match the schema.
+//
 // The memory used is a small multiple of the body's length, whatever its content.
 func (c *Checker) Check(body []byte) (*routeconfig.Config, []string) {
 	inPieces := len(body) > pieceBytes
--- a/internal/configuration/configcheck/pieces.go
+++ b/internal/configuration/configcheck/pieces.go
@@ -9,7 +9,8 @@
 
 // A CUE value takes about two hundred times the length of its text, so a long configuration is checked
 // in pieces. A piece is some of its routes or services, completed to a configuration with valid
-// placeholders for the other members of the schema. Those that are not lists are checked at the end.
+// placeholders for the other members of the schema. The members that are not lists are checked at the
+// end.
 
 const (
 	// pieceBytes is the length of a piece, in bytes. A shorter configuration is checked as a whole.
@@ -39,8 +40,8 @@
 	generation, limits json.RawMessage
 }
 
-// shapeInPieces returns the findings of the schema against a long configuration, about findingsMax at
-// most.
+// shapeInPieces returns the findings of the schema against a long configuration: at most findingsMax,
+// and one more if the body can't be parsed.
 func (c *Checker) shapeInPieces(body []byte) []string {
 	p := &pieces{checker: c, seen: map[string]bool{}}
 	decoder := json.NewDecoder(bytes.NewReader(body))
--- a/internal/configuration/openapiimport/openapiimport.go
+++ b/internal/configuration/openapiimport/openapiimport.go
@@ -49,7 +49,7 @@
 	for _, path := range names {
 		prefix, mapped := fixedPrefix(base + path)
 		if !mapped {
-			findings = append(findings, "path "+path+" has no fixed beginning of its own")
+			findings = append(findings, "path "+path+" has no fixed prefix other than /")
 			continue
 		}
 		kind := kindOf(paths[path])
@@ -83,17 +83,17 @@
 				host = parsed.Hostname()
 			}
 		} else {
-			return host, "", "server " + document.Servers[0].URL + " has variables or is no address"
+			return host, "", "server " + document.Servers[0].URL + " has variables or is not a valid URL"
 		}
 	}
 	if host == "" {
-		return host, base, "no host: the document names no server, so --host is needed"
+		return host, base, "no host: neither --host nor the first server of the document gives one"
 	}
 	return host, base, ""
 }
 
-// fixedPrefix returns the leading segments of a path that contain no parameter, and whether there
-// are any.
+// fixedPrefix returns the leading segments of a path that contain no parameter, with a slash at the
+// end, and whether there are any.
 func fixedPrefix(path string) (string, bool) {
 	fixed := path
 	if at := strings.IndexByte(path, '{'); at >= 0 {
@@ -108,9 +108,9 @@
 	return fixed, fixed != "/" && fixed != ""
 }
 
-// kindOf returns the kind of a path's operations, or "" if it has none. It is idempotent only if all
-// operations are. For a path with both effectful and streaming operations it is one of these two
-// kinds, which one is not determined.
+// kindOf returns the kind of a path's operations, or "" if the path has none. The kind is idempotent
+// only if all operations are. For a path with both effectful and streaming operations it is one of
+// these two, depending on the iteration order of a map.
 func kindOf(item *openapi3.PathItem) string {
 	kind := ""
 	for method, operation := range item.Operations() {
--- a/internal/configuration/routeconfig/routeconfig.go
+++ b/internal/configuration/routeconfig/routeconfig.go
@@ -24,8 +24,9 @@
 	Share   float64 `json:"share"`
 }
 
-// Route is one route of the configuration, whose JSON form calls it a channel. Fields whose names end in Ms are in milliseconds,
-// RetainS is in seconds. The methods Cutoff, Setpoint and Retain apply the defaults.
+// Route is one route of the configuration, whose JSON form calls it a channel. Fields whose names end
+// in Ms are in milliseconds, RetainS is in seconds. The methods Cutoff, Setpoint and Retain apply the
+// defaults.
 type Route struct {
 	Name       string  `json:"name"`
 	Host       string  `json:"host"`
@@ -33,17 +34,17 @@
 	KindName   string  `json:"route-kind"`
 	CutoffMs   float64 `json:"cutoff-ms"`
 	SetpointMs float64 `json:"setpoint-ms,omitempty"`
-	// ResultMs is the time after its submission by which a batch job is due.
+	// ResultMs is the time after the submission of a batch job at which the job is due.
 	ResultMs float64 `json:"result-setpoint-ms,omitempty"`
 	RetainS  float64 `json:"retain-s,omitempty"`
-	// BacklogCap is the maximum number of tokens in waiting batch jobs; 0 means no limit.
+	// BacklogCap is the maximum number of tokens in the route's waiting batch jobs; 0 means no limit.
 	BacklogCap int64   `json:"backlog-cap,omitempty"`
 	Priority   int     `json:"priority"`
 	Backend    string  `json:"backend,omitempty"`
 	Weighted   []Share `json:"weighted,omitempty"`
 	// Tries is the maximum number of attempts of a request; Parse sets it to at least 1.
 	Tries int `json:"tries,omitempty"`
-	// Affine routes are placed by the prefix of the prompt.
+	// Affine means that workers are also chosen by the prefix of the prompt, to use their prefix caches.
 	Affine    bool `json:"affine,omitempty"`
 	Resumable bool `json:"resumable,omitempty"`
 	// GapMs is the maximum time between two events of a stream; 0 means no limit is set.
@@ -61,7 +62,8 @@
 type Service struct {
 	Name  string `json:"name"`
 	Probe string `json:"probe,omitempty"`
-	// ConnLimit is the maximum number of connections to a worker; 0 means no limit.
+	// ConnLimit is the number of connections that a worker has for all nodes together, of which each
+	// node uses only a part; 0 means no limit.
 	ConnLimit int     `json:"conn-limit,omitempty"`
 	Engine    *Engine `json:"engine,omitempty"`
 }
@@ -226,11 +228,11 @@
 	return clock.Milliseconds(r.CutoffMs)
 }
 
-// Retain returns how long after its batch job was submitted an item may still be run; the default
-// is 24 hours.
+// Retain returns how long after the submission of its batch job an item may be run; older items are
+// abandoned. The default is 24 hours.
 func (r *Route) Retain() clock.Duration {
 	if r.RetainS <= 0 {
-		// Not configured: long enough that normally no item is given up because of its age.
+		// Items are also abandoned because of their age if retain-s is not configured, but only after a day.
 		return clock.Milliseconds(24 * 3_600_000)
 	}
 	return clock.Milliseconds(r.RetainS * 1000)
