--- a/cmd/lemonarch/assign_apply_test.go
+++ b/cmd/lemonarch/assign_apply_test.go
@@ -61,21 +61,21 @@
 		// Applying the same file again changes nothing.
 		output, notes, code, line := runApply(shell, exampleRules)
 		if code != 0 || output != planned || notes != "in force: revision=1 generation=4 moves=0\n" {
-			t.Fatal(code, line, notes, output)
+			t.Fatalf("exit code %d, error %q, diagnostics %q, output %q; want exit code 0, revision 1 and the output of assign: %q", code, line, notes, output, planned)
 		}
 	}
 	if _, _, code, line := runApply(shell, change("# Which nodes", "# Nodes that")); code != exitInvalid || !strings.Contains(line, "generation is not above") {
-		t.Fatal(code, line)
+		t.Fatalf("another file of the same generation: exit code %d, error %q; want exit code %d because of the generation", code, line, exitInvalid)
 	}
 	// n3 has no slot any more: battery-fault-reader would have to move, and no other node can take it.
 	output, _, code, _ := runApply(shell, change("generation = 4", "generation = 5", "adapter-slots = 1", "adapter-slots = 0"))
 	if code != exitInvalid || !strings.HasPrefix(output, `{"collisions":[`) {
-		t.Fatal(code, output)
+		t.Fatalf("rules that conflict: exit code %d, output %q; want exit code %d and the collisions", code, output, exitInvalid)
 	}
 	// An additional large node that sorts first by name does not move existing assignments.
 	output, notes, code, line := runApply(shell, change("generation = 4", "generation = 5", `"battery-fault-reader"]`, `"battery-fault-reader"]`+"\n[[nodes]]\nname = \"n0\"\nzone = \"oslo-a\"\nlabels = [\"large\"]\nadapter-slots = 1\n"))
 	if code != 0 || notes != "in force: revision=2 generation=5 moves=0\n" || !strings.Contains(output, `"moves":0`) {
-		t.Fatal(code, line, notes, output)
+		t.Fatalf("with an additional node: exit code %d, error %q, diagnostics %q, output %q; want exit code 0, revision 2 and 0 moves", code, line, notes, output)
 	}
 	var shown bytes.Buffer
 	responses, err := shell.Query("assignments")
@@ -84,11 +84,11 @@
 	}
 	fleetshell.Table(&shown, responses)
 	if !strings.Contains(shown.String(), "bookkeeping-classifier") || !strings.Contains(shown.String(), "next-window") {
-		t.Fatal(shown.String())
+		t.Fatalf("query assignments printed %q, want the adapters and the column next-window", shown.String())
 	}
 	network.SetPartitioned(shell.Seed, true)
 	if _, _, code, line = runApply(shell, exampleRules); code != exitUnusable || strings.Contains(line, "\n") {
-		t.Fatal(code, line)
+		t.Fatalf("unreachable controller: exit code %d, error %q; want exit code %d and an error of one line", code, line, exitUnusable)
 	}
 }
 
@@ -100,7 +100,7 @@
 		"format":       {"apply", exampleRules, "--seed", "127.0.0.1:1", "--output", "yaml"},
 	} {
 		if output, _, code, text := runAssign(arguments...); code != exitUnusable || output != "" || text == "" || strings.Contains(text, "\n") {
-			t.Errorf("%s: code %d, %q, %q", name, code, output, text)
+			t.Errorf("%s: exit code %d, output %q, error %q; want exit code %d, no output and an error of one line", name, code, output, text, exitUnusable)
 		}
 	}
 }
--- a/cmd/lemonarch/assign_test.go
+++ b/cmd/lemonarch/assign_test.go
@@ -41,22 +41,22 @@
 func TestAssignPrintsAnswers(t *testing.T) {
 	output, diagnostics, code, _ := runAssign(exampleRules)
 	if code != 0 || diagnostics != "" || !strings.HasPrefix(output, `{"generation":4,"windows":[{"window":"morning"`) {
-		t.Fatal(code, output, diagnostics)
+		t.Fatalf("exit code %d, output %q, diagnostics %q; want exit code 0, a plan and no diagnostics", code, output, diagnostics)
 	}
 	earlier := writeTestFile(t, "earlier.json", output)
 	for range 3 {
 		if again, _, _, _ := runAssign(exampleRules, "--output", "json"); again != output {
-			t.Fatal("the same file gave a different plan", again)
+			t.Fatalf("the same file gave a different plan: got %q, want %q", again, output)
 		}
 	}
 	if retained, _, _, _ := runAssign(exampleRules, "--keep", earlier); !strings.Contains(retained, `"moves":0`) {
-		t.Fatal(retained)
+		t.Fatalf("with --keep of the same plan: got %q, want 0 moves", retained)
 	}
 	if table, _, _, _ := runAssign(exampleRules, "--keep", earlier, "--output", "table"); !strings.Contains(table, "moves in all: 0") {
-		t.Fatal(table)
+		t.Fatalf("table with --keep of the same plan: got %q, want moves in all: 0", table)
 	}
 	if nightly, _, _, _ := runAssign(exampleRules, "--window", "nightly"); strings.Contains(nightly, "morning") || !strings.Contains(nightly, "nightly") {
-		t.Fatal(nightly)
+		t.Fatalf("with --window nightly: got %q, want this window only", nightly)
 	}
 }
 
@@ -67,14 +67,14 @@
 	output, diagnostics, code, line := runAssign(path)
 	want := `{"collisions":[{"window":"morning","rules":["no-second-slot"],"adapters":["battery-fault-reader"],"nodes":["n1","n2","n3"],"reason":"`
 	if code != exitInvalid || diagnostics != "" || !strings.HasPrefix(output, want) || strings.Contains(line, "\n") {
-		t.Fatal(code, output, diagnostics, line)
+		t.Fatalf("exit code %d, output %q, diagnostics %q, error %q; want exit code %d, output that begins with %q, no diagnostics and an error of one line", code, output, diagnostics, line, exitInvalid, want)
 	}
 	if table, _, code, _ := runAssign(path, "--output", "table"); code != exitInvalid || !strings.Contains(table, "rules:    no-second-slot") {
-		t.Fatal(code, table)
+		t.Fatalf("table: exit code %d, output %q; want exit code %d and rule no-second-slot", code, table, exitInvalid)
 	}
 	// A window that can be planned is planned by itself even if the rules of another window conflict.
 	if _, _, code, _ = runAssign(path, "--window", "nightly"); code != 0 {
-		t.Fatal(code)
+		t.Fatalf("window nightly: exit code %d, want 0", code)
 	}
 }
 
@@ -82,7 +82,7 @@
 	invalid := writeTestFile(t, "invalid.toml", "generation = 1\n[[nodes]]\nname = 'n'\nzone = 'z'\nadapter-slot = 1\n")
 	output, diagnostics, code, _ := runAssign(invalid)
 	if code != exitInvalid || output != "" || !strings.Contains(diagnostics, "nodes[0].adapter-slot:") || !strings.Contains(diagnostics, "nodes[0].adapter-slots:") {
-		t.Fatal(code, output, diagnostics)
+		t.Fatalf("invalid file: exit code %d, output %q, diagnostics %q; want exit code %d, no output and a finding for each field", code, output, diagnostics, exitInvalid)
 	}
 	for name, arguments := range map[string][]string{
 		"no file":        {},
@@ -95,7 +95,7 @@
 		"keep no answer": {exampleRules, "--keep", invalid},
 	} {
 		if output, _, code, text := runAssign(arguments...); code != exitUnusable || output != "" || text == "" || strings.Contains(text, "\n") {
-			t.Errorf("%s: code %d, %q, %q", name, code, output, text)
+			t.Errorf("%s: exit code %d, output %q, error %q; want exit code %d, no output and an error of one line", name, code, output, text, exitUnusable)
 		}
 	}
 }
--- a/cmd/lemonarch/forecast_test.go
+++ b/cmd/lemonarch/forecast_test.go
@@ -56,11 +56,11 @@
 	} {
 		_, diagnostics, code := runCommandLine(t, test.arguments...)
 		if code != test.code || !strings.Contains(diagnostics, test.want) {
-			t.Errorf("%v: %d %q, want %d %q", test.arguments, code, diagnostics, test.code, test.want)
+			t.Errorf("%v: exit code %d, diagnostics %q; want exit code %d and %q", test.arguments, code, diagnostics, test.code, test.want)
 		}
 	}
 	out, _, code := runCommandLine(t, "lab", "forecast", "--cases", "2")
 	if code != 0 || !strings.Contains(out, "right family") {
-		t.Error(code, out)
+		t.Errorf("lab forecast: exit code %d, output %q; want exit code 0 and a line with right family", code, out)
 	}
 }
--- a/cmd/lemonarch/jobs_test.go
+++ b/cmd/lemonarch/jobs_test.go
@@ -17,14 +17,14 @@
 	} {
 		current, _, err := rootCommand().Find(strings.Fields(names[0]))
 		if err != nil {
-			t.Fatal(names[0], err)
+			t.Fatalf("%s: %v", names[0], err)
 		}
 		earlier, _, err := rootCommand().Find(strings.Fields(names[1]))
 		if err != nil {
-			t.Fatal(names[1], err)
+			t.Fatalf("%s: %v", names[1], err)
 		}
 		if current.CommandPath() != earlier.CommandPath() || current.CommandPath() == "lemonarch" {
-			t.Errorf("%s is %q, %s is %q", names[0], current.CommandPath(), names[1], earlier.CommandPath())
+			t.Errorf("%s is command %q and %s is command %q, want the same subcommand", names[0], current.CommandPath(), names[1], earlier.CommandPath())
 		}
 	}
 }
--- a/internal/configuration/configcheck/configcheck_test.go
+++ b/internal/configuration/configcheck/configcheck_test.go
@@ -19,7 +19,7 @@
 		t.Fatal(err)
 	}
 	if _, findings := checker.Check([]byte(validBody)); len(findings) != 0 {
-		t.Fatal("findings against a valid configuration: ", findings)
+		t.Fatalf("findings against a valid configuration: %q", findings)
 	}
 	for name, change := range map[string][2]string{
 		"cut short":        {`"also-later":{}}`, ``},
@@ -57,7 +57,7 @@
 		counts[config.Routes[0].Choose(float64(draw)/100)]++
 	}
 	if counts["s"] != 90 || counts["t"] != 10 {
-		t.Error("want 90 draws for s and 10 for t, got ", counts)
+		t.Errorf("got draws %v, want 90 for s and 10 for t", counts)
 	}
 }
 
@@ -83,7 +83,7 @@
 	}
 	config, findings := checker.Check([]byte(longBody(600)))
 	if len(findings) != 0 || len(config.Routes) != 600 || config.Limits.IdleMs != 15000 {
-		t.Fatal("a valid long configuration was not accepted unchanged: ", findings)
+		t.Fatalf("a valid long configuration was not accepted unchanged; findings: %q", findings)
 	}
 	for name, change := range map[string][2]string{
 		"cut short":        {`]}`, `]`},
@@ -101,13 +101,13 @@
 	} {
 		changed := strings.Replace(longBody(600), change[0], change[1], 1)
 		if changed == longBody(600) {
-			t.Fatal(name, "the replacement changed nothing")
+			t.Fatalf("%s: the replacement changed nothing", name)
 		}
 		if _, findings := checker.Check([]byte(changed)); len(findings) == 0 {
-			t.Error(name, "is accepted")
+			t.Errorf("%s: got no findings, want at least one", name)
 		}
 	}
 	if _, findings := checker.Check([]byte(strings.ReplaceAll(longBody(600), "streaming", "maybe"))); len(findings) > findingsMax {
-		t.Error(len(findings), "findings, want at most findingsMax")
+		t.Errorf("got %d findings, want at most %d", len(findings), findingsMax)
 	}
 }
--- a/internal/configuration/openapiimport/openapiimport_test.go
+++ b/internal/configuration/openapiimport/openapiimport_test.go
@@ -25,7 +25,7 @@
 func TestImport(t *testing.T) {
 	routes, findings, err := Import([]byte(document), Options{Backend: "s", CutoffMs: 1000})
 	if err != nil || len(findings) != 0 || len(routes) != 3 {
-		t.Fatal(routes, findings, err)
+		t.Fatalf("error %v, findings %q, routes %+v; want no error, no findings and 3 routes", err, findings, routes)
 	}
 	want := map[string]string{"/v1/answers/": "streaming", "/v1/orders/": "idempotent", "/v1/payments/": "effectful"}
 	for _, route := range routes {
@@ -40,7 +40,7 @@
 	text = strings.Replace(text, `"https://api.example/v1"`, `"/"`, 1)
 	_, findings, err := Import([]byte(text), Options{})
 	if err != nil || len(findings) != 2 || !strings.Contains(findings[0], "--host") || !strings.Contains(findings[1], "/{anything}") {
-		t.Fatal(findings, err)
+		t.Fatalf("error %v, findings %q; want no error and findings for the host and for /{anything}", err, findings)
 	}
 	if _, _, err = Import([]byte("nothing: here"), Options{}); err == nil {
 		t.Fatal("a file that is not an OpenAPI document was accepted")
