--- a/internal/tooling/crowd/harness_test.go
+++ b/internal/tooling/crowd/harness_test.go
@@ -131,8 +131,8 @@
 }
 
 // checkWithCrowd runs a crowd against a listener. While the crowd is connected, every listener must
-// answer one ordinary request. Afterwards no process may have ended or exceeded the limits in its
-// settings.
+// answer ordinary requests. Afterwards no process of the fleet may have ended, and neither the
+// listener's process nor the store may have exceeded the limits in its settings.
 func (f *fleet) checkWithCrowd(t *testing.T, at target, members int, request Request) {
 	t.Helper()
 
--- a/internal/tooling/crowd/ingress_test.go
+++ b/internal/tooling/crowd/ingress_test.go
@@ -62,9 +62,9 @@
 	f.checkWithCrowd(t, f.ingress(), crowdMembers, request)
 }
 
-// TestIngressOutlastsBodiesThatCreep sends bodies that must not be treated as stalled, since they still
-// arrive, one byte every 50 ms.
-func TestIngressOutlastsBodiesThatCreep(t *testing.T) {
+// TestIngressOutlastsTricklingBodies sends bodies that must not be treated as stalled, since 1,000
+// further bytes arrive after the first part, one every 50 ms.
+func TestIngressOutlastsTricklingBodies(t *testing.T) {
 	f := startFleet(t)
 	request := post("status", FramingLength)
 	request.Bytes, request.StayOpen, request.TrickleBytes, request.TrickleMs = bodyBytes-2000, true, 1000, 50
--- a/internal/tooling/faultrelay/faultrelay_test.go
+++ b/internal/tooling/faultrelay/faultrelay_test.go
@@ -43,7 +43,7 @@
 		select {
 		case <-ended:
 		case <-clock.After(clock.Milliseconds(timeoutMs)):
-			t.Fatal("End did not return in time, round ", round)
+			t.Fatalf("round %d: End did not return within %d ms", round, timeoutMs)
 		}
 		caller.Close()
 		// If the relay never accepted the caller, the server has accepted no connection yet: this
--- a/internal/tooling/fleetshell/fleet_test.go
+++ b/internal/tooling/fleetshell/fleet_test.go
@@ -9,9 +9,8 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// TestQueryUsesControllerDirectory checks that a seed which knows only a few processes leads to a
-// controller, which lists all of them zone by zone, and that a controller that does not respond is
-// skipped.
+// TestQueryUsesControllerDirectory checks that a query reaches all processes although the seed knows only
+// a few of them: a controller lists them zone by zone, and a controller that does not respond is skipped.
 func TestQueryUsesControllerDirectory(t *testing.T) {
 	network := transport.NewMemoryNetwork()
 	columns := []string{"process", "zone", "address"}
@@ -53,6 +52,6 @@
 		}
 	}
 	if err != nil || len(responses) != 152 || timedOut != 1 {
-		t.Fatal(len(responses), timedOut, err)
+		t.Fatalf("got %d responses, %d of them timed out, error %v; want 152 responses, 1 timed out", len(responses), timedOut, err)
 	}
 }
--- a/internal/tooling/fleetshell/fleetshell_test.go
+++ b/internal/tooling/fleetshell/fleetshell_test.go
@@ -43,35 +43,35 @@
 	}
 	responses, err := shell.Query("index")
 	if err != nil || len(responses) != 3 || !responses[1].TimedOut || responses[0].TimedOut {
-		t.Fatal(responses, err)
+		t.Fatalf("got responses %+v, error %v; want 3 responses, only the second of which timed out", responses, err)
 	}
 	var table, list bytes.Buffer
 	Table(&table, responses)
 	if !strings.Contains(table.String(), "gateway/b  SILENT") || !strings.Contains(table.String(), "index of locker/c") {
-		t.Fatal(table.String())
+		t.Fatalf("table does not show the timeout of gateway/b or the response of locker/c:\n%s", table.String())
 	}
 	if JSON(&list, responses) != nil || !strings.Contains(list.String(), `"silent": true`) {
-		t.Fatal(list.String())
+		t.Fatalf("JSON does not show the timeout of gateway/b:\n%s", list.String())
 	}
 	if responses, _ = shell.Query("nodes"); responses[0].Status.Rows[2][0] != "store/c" {
-		t.Fatal("the role's name on the wire is shown instead of the program name", responses)
+		t.Fatalf("got responses %+v, want the program name store/c in place of the role's name on the wire", responses)
 	}
 	if responses, _ = shell.Query("lots"); len(responses) != 1 || responses[0].Process != "store/c" {
-		t.Fatal(responses)
+		t.Fatalf("got responses %+v to the alias lots, want one response of store/c", responses)
 	}
 }
 
 func TestInvalidCalls(t *testing.T) {
 	_, transport := newTestFleet(t)
 	if _, err := New(transport, "nowhere", 1); !errs.Is(err, ErrInvalidCall) {
-		t.Fatal(err)
+		t.Fatalf("seed without a port: got error %v, want ErrInvalidCall", err)
 	}
 	shell, _ := New(transport, "forge/a:1", clock.Milliseconds(200))
 	if _, err := shell.Query("weather"); !errs.Is(err, ErrInvalidCall) {
-		t.Fatal(err)
+		t.Fatalf("unknown query: got error %v, want ErrInvalidCall", err)
 	}
 	unreachable, _ := New(transport, "forge/z:1", clock.Milliseconds(200))
 	if _, err := unreachable.Query("nodes"); !errs.Is(err, ErrNoFleet) {
-		t.Fatal(err)
+		t.Fatalf("unreachable seed: got error %v, want ErrNoFleet", err)
 	}
 }
--- a/internal/tooling/lab/lab_test.go
+++ b/internal/tooling/lab/lab_test.go
@@ -64,11 +64,11 @@
 			}
 			nodeSettings, err := settings.LoadFile(path)
 			if err != nil || nodeSettings.NodeName != target.machine || nodeSettings.Zone != target.zone || addressesSeen[target.role+nodeSettings.Address] {
-				t.Fatal(target, nodeSettings, err)
+				t.Fatalf("process %+v: got settings %+v, error %v; want its machine and zone, and an address of its own", target, nodeSettings, err)
 			}
 			addressesSeen[target.role+nodeSettings.Address] = true
 			if budget := nodeSettings.FaultBudget.Machines; 2*budget+1 > min(plan.Controllers, plan.Stores) {
-				t.Fatal("fault budget is not less than half of the smaller set", budget)
+				t.Fatalf("fault budget is %d, want less than half of the smaller of %d controllers and %d stores", budget, plan.Controllers, plan.Stores)
 			}
 		}
 	}
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	if _, findings := checker.Check(plan.firstConfiguration()); len(findings) > 0 {
-		t.Fatal(findings)
+		t.Fatalf("first configuration has findings %v, want none", findings)
 	}
 }
 
@@ -102,7 +102,7 @@
 		plan.Programs = programs(t, "")
 		change(&plan)
 		if err := plan.Check(); err == nil || !strings.Contains(err.Error(), want) {
-			t.Error(want, err)
+			t.Errorf("got error %v, want one that contains %q", err, want)
 		}
 	}
 }
@@ -123,7 +123,7 @@
 		fleet.Stop()
 	}
 	if err == nil || !strings.Contains(err.Error(), busy) {
-		t.Fatal(err)
+		t.Fatalf("got error %v, want one that names the address %s", err, busy)
 	}
 }
 
@@ -142,7 +142,7 @@
 		fleet.Stop()
 	}
 	if err == nil || !strings.Contains(err.Error(), "store-") || !strings.Contains(err.Error(), "the disk is gone") {
-		t.Fatal(err)
+		t.Fatalf("got error %v, want one with the name of a store and the last line of its log", err)
 	}
 	// Stop waits for each child, so the addresses are free for a new start.
 	if err = plan.checkAddressesFree(); err != nil {
@@ -161,7 +161,7 @@
 		fleet.Stop()
 	}
 	if err == nil || !strings.Contains(err.Error(), "stopped") {
-		t.Fatal(err)
+		t.Fatalf("got error %v, want one that says that the start was stopped", err)
 	}
 	if err = plan.checkAddressesFree(); err != nil {
 		t.Fatal(err)
@@ -180,12 +180,12 @@
 		id := target.id()
 		endProcess(target)
 		if _, err := os.Stat("/proc/" + strconv.Itoa(id)); err == nil {
-			t.Fatal("process still exists, id", id)
+			t.Fatalf("process %d still exists after it was stopped", id)
 		}
 	}
 	select {
 	case err := <-failures:
-		t.Fatal("a process stopped by the lab was reported as a failure", err)
+		t.Fatalf("a process stopped by the lab was reported as a failure: %v", err)
 	default:
 	}
 }
@@ -209,17 +209,17 @@
 	}
 	for next := int64(2); next < 4; next++ {
 		if generation, err := operator.addRoute(); err != nil || generation != next {
-			t.Fatal(generation, err)
+			t.Fatalf("got generation %d, error %v; want generation %d", generation, err, next)
 		}
 	}
 	if strings.Join(bases, ",") != "0,1,2" || len(operator.routes()) != len(mustParse(t, plan.firstConfiguration()).Routes)+2 {
-		t.Fatal(bases, operator.routes())
+		t.Fatalf("got base revisions %v, want 0, 1 and 2; got routes %+v, want the first ones and two more", bases, operator.routes())
 	}
 	status = http.StatusPreconditionFailed
 	if _, err := operator.addRoute(); err == nil {
 		t.Fatal("a rejected configuration was reported as accepted")
 	} else if rejected := rejectedError(""); !errors.As(err, &rejected) {
-		t.Fatal(err)
+		t.Fatalf("got error %v, want a rejectedError", err)
 	}
 }
 
--- a/internal/tooling/lab/reload_test.go
+++ b/internal/tooling/lab/reload_test.go
@@ -40,7 +40,7 @@
 		fleet.applyToProcess(target, Trouble{Kind: map[bool]string{true: kindReload, false: kindReloadBad}[valid]})
 		<-target.exited
 		if text, err := os.ReadFile(path + ".seen"); err != nil || !strings.Contains(string(text), want) {
-			t.Error(valid, err, string(text))
+			t.Errorf("valid=%t: got settings file %q, error %v; want a file that contains %q", valid, text, err, want)
 		}
 	}
 }
--- a/internal/tooling/loadgen/check_test.go
+++ b/internal/tooling/loadgen/check_test.go
@@ -77,7 +77,7 @@
 		"another attempt's body": {workeremulator.Seal("w", "a"), "a", workeremulator.PlainBody("b", body), true},
 	} {
 		if got := checkPlain("a", body, test.seal, test.echoed, []byte(test.text)); (got != nil) != test.caught {
-			t.Error(name, got)
+			t.Errorf("%s: got finding %v, want a finding: %t", name, got, test.caught)
 		}
 	}
 }
@@ -116,7 +116,7 @@
 			got = check.finding.Rule
 		}
 		if got != test.rule {
-			t.Errorf("%s: got rules %q, want %q", name, got, test.rule)
+			t.Errorf("%s: got rule %q, want %q", name, got, test.rule)
 		}
 	}
 }
@@ -166,6 +166,6 @@
 	runs := []workeremulator.Run{{Attempt: "ran", Worker: "w1"}, {Attempt: "ran", Worker: "w2"}, {Attempt: "answered", Worker: "w1"}}
 	findings := checkCuts(attempts, runs)
 	if len(findings) != 1 || findings[0].Rule != "LOST" || findings[0].Attempt != "ran" {
-		t.Error(findings)
+		t.Errorf("got findings %v, want one LOST finding for attempt \"ran\"", findings)
 	}
 }
--- a/internal/tooling/loadgen/drive_test.go
+++ b/internal/tooling/loadgen/drive_test.go
@@ -104,20 +104,21 @@
 	return count
 }
 
-func TestSoundWorkersBreakNothing(t *testing.T) {
+func TestCorrectWorkersGiveNoFindings(t *testing.T) {
 	result := runWithWorkers(t, workeremulator.Faults{}, nil)
 	if result.Broken != 0 || result.Served() != 60 || result.Worth != 1 || result.Runs != 60 {
-		t.Fatal(result.Findings, result.Served(), result.Worth, result.Runs, result.Causes)
+		t.Fatalf("got findings %v, %d served, worth %v, %d runs, failures %v; want no findings, 60 served, worth 1, 60 runs",
+			result.Findings, result.Served(), result.Worth, result.Runs, result.Causes)
 	}
 }
 
-// TestBrokenWorkersAreCaught checks that each fault of the workers leads to a finding of its rule in the
-// report.
-func TestBrokenWorkersAreCaught(t *testing.T) {
+// TestFaultyWorkersAreReported checks that each fault of the workers leads to a finding of the rule that
+// it violates.
+func TestFaultyWorkersAreReported(t *testing.T) {
 	for rule, faults := range map[string]workeremulator.Faults{"TWICE": {Twice: 1}, "ORDER": {Skip: 1}, "MIXED": {Forge: 1}} {
 		result := runWithWorkers(t, faults, nil)
 		if result.Broken == 0 || countFindings(result, rule) == 0 {
-			t.Error(rule, result.Findings)
+			t.Errorf("got findings %v, want one of rule %s", result.Findings, rule)
 		}
 	}
 }
@@ -140,7 +141,7 @@
 		result := runWithWorkers(t, workeremulator.Faults{}, func(request *http.Request) *http.Response {
 			attempt := request.Header.Get("Lemonarch-Attempt-Id")
 			if sent[attempt] {
-				t.Error("attempt id was sent twice:", attempt)
+				t.Errorf("status %d: attempt id %s was sent twice, want a new one for each try", status, attempt)
 			}
 			sent[attempt] = true
 			if strings.HasSuffix(attempt, "-1") {
@@ -158,7 +159,7 @@
 			got = fmt.Sprint("failed ", 60-result.Served())
 		}
 		if got != want || result.Broken != 0 {
-			t.Error(status, got, result.Findings)
+			t.Errorf("status %d: got %q and findings %v, want %q and no findings", status, got, result.Findings, want)
 		}
 	}
 }
--- a/internal/tooling/loadgen/options_test.go
+++ b/internal/tooling/loadgen/options_test.go
@@ -52,7 +52,7 @@
 	} {
 		_, _, err := ReadExperiment(text, folder)
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: got error %v", text, err)
+			t.Errorf("%q: got error %v, want one line that contains %q", text, err, want)
 		}
 	}
 }
@@ -61,11 +61,11 @@
 	folder := programs(t)
 	experiment, options, err := ReadExperiment("rate = 7.0\n[[fleet]]\ngateways = 1\n[[fleet]]\nlabel = \"b\"\ncapacity = 2\n", folder)
 	if err != nil || options.Rate != 7 || options.Items != NewOptions().Items || len(experiment.Fleets) != 2 {
-		t.Fatal(experiment, options, err)
+		t.Fatalf("got experiment %+v, options %+v, error %v; want rate 7, the default number of items and two fleets", experiment, options, err)
 	}
 	first, second := experiment.Fleets[0], experiment.Fleets[1]
 	if first.Gateways != 1 || second.Gateways != 2 || second.Capacity != 2 || first.Capacity == 2 || second.Label != "b" || first.Network == second.Network || first.Programs != folder {
-		t.Fatal(first, second)
+		t.Fatalf("got fleets %+v and %+v, want their own settings, different networks and otherwise the defaults", first, second)
 	}
 }
 
@@ -83,7 +83,7 @@
 	want := lab.Trouble{AtS: 1, Kind: "faults", Target: "worker-1", ForS: 2, BackS: 3, Faults: workeremulator.Faults{Fail: 0.1, Full: 0.2, Hang: 0.3,
 		Cut: 0.4, Garble: 0.5, Surplus: 0.6, Twice: 0.7, Skip: 0.8, Forge: 0.9, Never: 0.25, LateMs: 1, Slow: 2, Lying: true, ForgetMs: 3}}
 	if err != nil || len(experiment.Trouble) != 1 || experiment.Trouble[0] != want {
-		t.Fatal(experiment, err)
+		t.Fatalf("got experiment %+v, error %v; want one trouble %+v", experiment, err, want)
 	}
 }
 
@@ -99,7 +99,7 @@
 			_, _, err = ReadExperiment(string(text), programs(t))
 		}
 		if err != nil {
-			t.Error(file, err)
+			t.Errorf("experiment file %s is not valid: %v", file, err)
 		}
 	}
 }
@@ -108,7 +108,7 @@
 	for address, allowed := range map[string]bool{"127.0.0.1:1": true, "http://127.9.0.1:7100/": true, "10.0.0.1:80": false, "0.0.0.0:80": false,
 		"example.com:80": false, "nonsense": false} {
 		if _, err := OpenEndpoint(address); (err == nil) != allowed {
-			t.Error(address, err)
+			t.Errorf("address %q: got error %v, want the address to be allowed: %t", address, err, allowed)
 		}
 	}
 }
--- a/internal/tooling/loadgen/plot_test.go
+++ b/internal/tooling/loadgen/plot_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	if state, err := os.Stat(path); err != nil || state.Size() < 1000 {
-		t.Fatal(state, err)
+		t.Fatalf("got plot file %v, error %v; want a file of at least 1000 bytes", state, err)
 	}
 	if CheckPlot("x.txt") == nil || Plot(filepath.Join(path, "x.svg"), []*Result{result}) == nil {
 		t.Fatal("want an error for a plot that can't be written")
--- a/internal/tooling/soak/schedule_test.go
+++ b/internal/tooling/soak/schedule_test.go
@@ -26,7 +26,7 @@
 			t.Fatal(err)
 		}
 		if second, _ := generated(t, seed).Text(); first != second {
-			t.Fatal("seed ", seed, " gave two different schedules")
+			t.Fatalf("seed %d gave two different schedules", seed)
 		}
 		texts[first] = true
 	}
@@ -47,13 +47,13 @@
 		}
 		plan := schedule.Experiment.Fleets[0]
 		if total := plan.Gateways + plan.Controllers + plan.Stores; total > 24 || plan.Gateways < 2 {
-			t.Fatalf("seed %d: %d processes, %d gateways", seed, total, plan.Gateways)
+			t.Fatalf("seed %d: got %d processes, %d gateways; want at most 24 processes, at least 2 gateways", seed, total, plan.Gateways)
 		}
 		lastDiskTroubleS := -constants.SoakRepairTime.Seconds()
 		for _, trouble := range schedule.Experiment.Trouble {
 			kinds[trouble.Kind]++
 			if err := trouble.Check(); err != nil || trouble.AtS >= 40 {
-				t.Fatalf("seed %d: %v %v", seed, trouble, err)
+				t.Fatalf("seed %d: got trouble %+v, error %v; want a valid one that begins before 40 s", seed, trouble, err)
 			}
 			if schedule.PlannedOnly && (trouble.Kind == "kill" || trouble.Kind == "freeze" || trouble.Kind == "wipe" || trouble.Kind == "crash") {
 				t.Fatalf("seed %d: %s is not planned work", seed, trouble.Kind)
@@ -67,14 +67,14 @@
 		}
 	}
 	if planned < 50 || planned > 150 || len(kinds) != 9 {
-		t.Error(planned, kinds)
+		t.Errorf("got %d of 200 schedules with planned work only, want 50 to 150; got kinds of trouble %v, want 9", planned, kinds)
 	}
 }
 
 func TestInvalidOptions(t *testing.T) {
 	for _, options := range []Options{{Duration: time.Second, Processes: 10}, {Duration: 24 * time.Hour, Processes: 10}, {Duration: 20 * time.Second, Processes: 3}, {Duration: 20 * time.Second, Processes: 1000}} {
 		if _, err := Generate(options); err == nil {
-			t.Error("invalid options accepted: ", options)
+			t.Errorf("invalid options %+v were accepted", options)
 		}
 	}
 }
