--- a/internal/tooling/crowd/crowd.go
+++ b/internal/tooling/crowd/crowd.go
@@ -24,7 +24,7 @@
 const (
 	// dialTimeout bounds one connection attempt of a member.
 	dialTimeout = 2 * time.Second
-	// settleTimeout limits how long a member tries to connect and send, also if the process reads
+	// settleTimeout limits how long a member tries to connect and send, even if the process reads
 	// slowly.
 	settleTimeout = 8 * time.Second
 	// statusNone is counted for a connection that ended without a status line.
@@ -64,8 +64,10 @@
 	}
 }
 
-// AwaitSettled waits until every member has sent its request or has failed in every round, at most
-// 2*settleTimeout. Members whose request sets StayOpen keep their connections.
+// AwaitSettled waits until every member is settled, at most 2*settleTimeout. If the request sets
+// StayOpen, a member is settled once it has sent the request, or the part that the process read
+// within settleTimeout, and keeps its connection; a member that fails to send it, or does not stay
+// open, is settled after its last round.
 func (c *Crowd) AwaitSettled() {
 	settled := make(chan struct{})
 	go func() {
--- a/internal/tooling/crowd/request.go
+++ b/internal/tooling/crowd/request.go
@@ -18,7 +18,7 @@
 	FramingNone Framing = iota
 	// FramingLength is a body with a Content-Length.
 	FramingLength
-	// FramingChunked is a body in chunked transfer encoding.
+	// FramingChunked is a body in chunked transfer encoding. The final empty chunk is never sent.
 	FramingChunked
 )
 
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// unit returns the bytes that are written as a unit, a chunk or the content, and how many bytes of
-// the body they contain.
+// unit returns the smallest text that is written at once, one chunk or the content (1 KiB if the
+// content is a single byte), and how many bytes of the body it contains.
 func (r *Request) unit() (text []byte, payload int64) {
 	content := r.Content
 	if len(content) == 0 {
--- a/internal/tooling/faultrelay/faultrelay.go
+++ b/internal/tooling/faultrelay/faultrelay.go
@@ -26,10 +26,10 @@
 	Restart
 )
 
-var names = [...]string{"cut", "reset", "silence", "freeze", "double", "restart"}
+var faultNames = [...]string{"cut", "reset", "silence", "freeze", "double", "restart"}
 
 // String returns the name of a fault.
-func (f Fault) String() string { return names[f] }
+func (f Fault) String() string { return faultNames[f] }
 
 // Faults returns all kinds of faults.
 func Faults() []Fault { return []Fault{Close, Reset, Drop, Freeze, Duplicate, Restart} }
@@ -52,7 +52,7 @@
 	lock    sync.Mutex
 	pending *Injection
 	// forwarded counts the bytes since Arm: index 0 those from the caller, 1 those from the server.
-	// received is the bytes since Arm in the direction of the pending fault.
+	// received contains the bytes since Arm in the direction of the pending fault.
 	forwarded [2]int
 	received  []byte
 	thawed    chan struct{}
--- a/internal/tooling/fleetshell/fleetshell.go
+++ b/internal/tooling/fleetshell/fleetshell.go
@@ -81,12 +81,12 @@
 }
 
 // New returns a shell for the fleet of a seed. It returns ErrInvalidCall if the seed is not host:port.
-func New(carrier transport.Transport, seed string, limit clock.Duration) (*Shell, error) {
+func New(caller transport.Transport, seed string, timeout clock.Duration) (*Shell, error) {
 	host, port, err := net.SplitHostPort(seed)
 	if err != nil || host == "" || port == "" {
 		return nil, ErrInvalidCall.New("seed " + seed + " is not an address of the form host:port")
 	}
-	return &Shell{Transport: carrier, Seed: seed, Timeout: limit}, nil
+	return &Shell{Transport: caller, Seed: seed, Timeout: timeout}, nil
 }
 
 // Query sends a query to every process of the roles that respond to it.
--- a/internal/tooling/lab/fleet.go
+++ b/internal/tooling/lab/fleet.go
@@ -109,8 +109,8 @@
 	return f.retryUntil(ctx, deadline, "waiting for the stores to accept batch jobs", f.jobsReady)
 }
 
-// jobsReady requests a batch job that does not exist. The response is 404 only if the stores can
-// decide that, and from then on jobs are accepted.
+// jobsReady requests a batch job that does not exist. The response is 404 only if the stores can be
+// sure that the job does not exist; from then on they accept jobs.
 func (f *Fleet) jobsReady() error {
 	for _, address := range f.Plan.Ingress() {
 		resp, err := f.operator.call(http.MethodGet, "http://"+address+"/-/lots/lab-start", nil, 0)
--- a/internal/tooling/lab/operator.go
+++ b/internal/tooling/lab/operator.go
@@ -36,7 +36,7 @@
 func (o *operator) call(method, url string, body []byte, base int64) (httpResponse, error) {
 	request, err := http.NewRequest(method, url, bytes.NewReader(body))
 	if err != nil {
-		return httpResponse{}, ErrInvalidLab.Wrap(err, "call")
+		return httpResponse{}, ErrInvalidLab.Wrap(err, "create operator request")
 	}
 	if body != nil {
 		request.Header.Set("Lemonarch-Base-Revision", strconv.FormatInt(base, 10))
@@ -48,7 +48,7 @@
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(resp.Body, 64<<10))
-	return httpResponse{resp.StatusCode, text}, ErrInvalidLab.Wrap(err, "answer")
+	return httpResponse{resp.StatusCode, text}, ErrInvalidLab.Wrap(err, "read operator response")
 }
 
 // sendFirst sends the first configuration.
@@ -92,7 +92,7 @@
 	return json.Marshal(fields)
 }
 
-// send sends a whole configuration to one controller after the other until one accepts it.
+// send sends a whole configuration to one controller after the other until one accepts or rejects it.
 func (o *operator) send(body []byte, base int64) error {
 	var err error
 	for _, address := range o.controls {
@@ -110,9 +110,9 @@
 			o.lock.Unlock()
 			return nil
 		case resp.status >= 400 && resp.status < 500 && resp.status != http.StatusTooManyRequests && resp.status != http.StatusRequestTimeout:
-			return rejectedError("configuration refused with " + strconv.Itoa(resp.status) + ": " + strings.TrimSpace(string(resp.body)))
+			return rejectedError("configuration rejected with status " + strconv.Itoa(resp.status) + ": " + strings.TrimSpace(string(resp.body)))
 		default:
-			err = ErrInvalidLab.New(address + " answered " + strconv.Itoa(resp.status))
+			err = ErrInvalidLab.New(address + " responded with status " + strconv.Itoa(resp.status))
 		}
 	}
 	return err
--- a/internal/tooling/lab/reload.go
+++ b/internal/tooling/lab/reload.go
@@ -14,7 +14,7 @@
 	if folder == "" {
 		return nil
 	}
-	return ErrInvalidLab.Wrap(os.RemoveAll(folder), "disk of "+spec.name)
+	return ErrInvalidLab.Wrap(os.RemoveAll(folder), "remove data folder of "+spec.name)
 }
 
 // reload writes the settings file of a process as for a restart, or an invalid one, and sends SIGHUP.
--- a/internal/tooling/lab/trouble.go
+++ b/internal/tooling/lab/trouble.go
@@ -127,7 +127,7 @@
 		}
 	}
 	if !found {
-		return ErrInvalidLab.New("nothing here is called " + strconv.Quote(trouble.Target))
+		return ErrInvalidLab.New("no process or worker matches the target " + strconv.Quote(trouble.Target))
 	}
 	return nil
 }
--- a/internal/tooling/loadgen/check.go
+++ b/internal/tooling/loadgen/check.go
@@ -10,7 +10,9 @@
 
 // sentAttempt records one attempt that a client sent.
 type sentAttempt struct {
-	attempt    string
+	attempt string
+	// body is the checksum of the request body; services are the services of the route, each of
+	// which may run the attempt.
 	path, body string
 	services   []string
 	// atMostOnce is set if the attempt must not run twice, notExecuted if the response promised
--- a/internal/tooling/loadgen/drive.go
+++ b/internal/tooling/loadgen/drive.go
@@ -19,8 +19,8 @@
 	options Options
 	info    *lab.FleetInfo
 	routes  map[string]*routeconfig.Route
-	// prefix begins the ids of all attempts of the run, so that the endpoint can return the run's
-	// attempts only.
+	// prefix begins the ids of all attempts of this load run, so that the endpoint can return the
+	// workers' runs of these attempts only.
 	prefix string
 	client http.RoundTripper
 	// pause sleeps before a retry; tests replace it.
@@ -34,8 +34,9 @@
 }
 
 // Drive sends a whole load to the fleet of an endpoint, checks the responses and returns the result.
-// If the context ends first, it sends nothing more and waits for the requests and jobs in flight. A
-// result that is returned together with an error is partial.
+// If the context ends first, it starts no further requests, jobs or troubles, and waits for the
+// requests and jobs in flight, including their retries. A result that is returned together with an
+// error is partial.
 func Drive(ctx contexts.Context, options Options, endpoint *Endpoint, troubles []lab.Trouble) (*Result, error) {
 	if err := options.Check(); err != nil {
 		return nil, err
--- a/internal/tooling/loadgen/endpoint.go
+++ b/internal/tooling/loadgen/endpoint.go
@@ -22,7 +22,7 @@
 func checkLoopback(address string) error {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
-		return ErrInvalidLoad.New(strconv.Quote(address) + " is no host:port")
+		return ErrInvalidLoad.New(strconv.Quote(address) + " is not an address of the form host:port")
 	}
 	if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
 		return ErrInvalidLoad.New(address + " is not on loopback; load is only sent to a lab on this machine")
@@ -84,7 +84,7 @@
 	return runs, e.call(http.MethodGet, "/runs?prefix="+url.QueryEscape(prefix), nil, runs)
 }
 
-// StartTrouble requests that the fleet starts a trouble.
+// StartTrouble requests the start of a trouble from the fleet.
 func (e *Endpoint) StartTrouble(trouble lab.Trouble) error {
 	body, err := json.Marshal(trouble)
 	if err != nil {
--- a/internal/tooling/loadgen/experiment.go
+++ b/internal/tooling/loadgen/experiment.go
@@ -90,7 +90,8 @@
 	return nil
 }
 
-// networkOf returns the network, the first three bytes of the addresses, of fleet number i.
+// networkOf returns the network, the first three bytes of the addresses, of the fleet at
+// index i.
 func networkOf(i int) string {
 	base := net.ParseIP(constants.LabNetwork + ".0").To4()
 	return fmt.Sprintf("%d.%d.%d", base[0], base[1], int(base[2])+i)
--- a/internal/tooling/loadgen/jobs.go
+++ b/internal/tooling/loadgen/jobs.go
@@ -147,8 +147,8 @@
 	}
 }
 
-// recordItemsNotExecuted records for all items of a batch job whether its rejection promised that
-// none of them runs.
+// recordItemsNotExecuted records for all items of a batch job whose submission failed whether the
+// job was rejected: a rejection promises that none of them runs.
 func (r *run) recordItemsNotExecuted(check *jobCheck, rejected bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/tooling/loadgen/mix.go
+++ b/internal/tooling/loadgen/mix.go
@@ -17,7 +17,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// ErrInvalidLoad is the error of options or experiments that are invalid or can't be carried out.
+// ErrInvalidLoad is the kind of errors of this package: invalid options or experiments, or a load,
+// a call of the control endpoint or a plot that failed.
 var ErrInvalidLoad = errs.Define("load")
 
 // profile describes the requests of one kind.
@@ -26,7 +27,7 @@
 	worth float64
 	// heads is the number of different shared prompt heads, each of headTokens tokens. sessions is
 	// the number of different session parts, each of sessionTokensMin to sessionTokensMax tokens.
-	// No heads means that the kind has no prompt.
+	// If heads is 0, the requests of the kind have no prompt.
 	heads, headTokens, sessions, sessionTokensMin, sessionTokensMax int
 	outputTokensMin, outputTokensMax                                int
 }
@@ -46,7 +47,8 @@
 	Part float64
 }
 
-// ParseMix parses a mix of the form NAME=PART,... where each NAME is that of a route.
+// ParseMix parses a mix of the form NAME=PART,... where each NAME is that of a route other than
+// batch.
 func ParseMix(text string) ([]Share, error) {
 	var mix []Share
 	total := 0.0
--- a/internal/tooling/loadgen/options.go
+++ b/internal/tooling/loadgen/options.go
@@ -103,10 +103,10 @@
 type Finding struct {
 	Rule    string `json:"rule"`
 	Attempt string `json:"attempt"`
-	What    string `json:"what"`
+	Detail  string `json:"what"`
 }
 
 // String returns the finding as one line.
 func (f Finding) String() string {
-	return strings.TrimSpace(f.Rule + " " + f.Attempt + ": " + f.What)
+	return strings.TrimSpace(f.Rule + " " + f.Attempt + ": " + f.Detail)
 }
--- a/internal/tooling/loadgen/plot.go
+++ b/internal/tooling/loadgen/plot.go
@@ -24,12 +24,12 @@
 
 // latencyCurve returns the latency of a kind in ms by the share of slower requests: at x, one in x
 // requests takes longer than y.
-func (k *Kind) latencyCurve() plotter.XYs {
+func (k *KindResult) latencyCurve() plotter.XYs {
 	var points plotter.XYs
 	for step := 1; step <= constants.LoadPlotSteps; step++ {
 		slowerShare := math.Pow(2, -float64(step))
 		if slowerShare*float64(k.times.TotalCount()) < 1 {
-			// Less than one request is left that is slower.
+			// Fewer than one request is slower, so there is nothing more to draw.
 			break
 		}
 		points = append(points, plotter.XY{X: 1 / slowerShare, Y: max(float64(k.times.ValueAtPercentile(100*(1-slowerShare)))/1000, 0.1)})
--- a/internal/tooling/loadgen/result.go
+++ b/internal/tooling/loadgen/result.go
@@ -11,8 +11,8 @@
 	"lemonarch/internal/platform/constants"
 )
 
-// Kind is the result of one kind of request.
-type Kind struct {
+// KindResult is the result of one kind of request.
+type KindResult struct {
 	Name string `json:"kind"`
 	// Sent is the number of requests, or of items for batch jobs. InTime and Late are those served
 	// within and after their setpoint, Failed the others.
@@ -39,7 +39,7 @@
 	Label string `json:"label"`
 	// Worth is the share of the possible worth that was earned over all kinds, 0 to 1.
 	Worth   float64        `json:"worth"`
-	Kinds   []*Kind        `json:"kinds"`
+	Kinds   []*KindResult  `json:"kinds"`
 	Causes  map[string]int `json:"failures-by-cause"`
 	Retried map[string]int `json:"tries-again-by-cause"`
 	// Findings are the first rule violations, at most constants.LoadFindings of them. Broken is the
@@ -52,18 +52,18 @@
 	Took     float64   `json:"took-s"`
 
 	lock  sync.Mutex
-	kinds map[string]*Kind
+	kinds map[string]*KindResult
 }
 
 func newResult(label string) *Result {
-	return &Result{Label: label, Causes: map[string]int{}, Retried: map[string]int{}, Findings: []Finding{}, Notes: []string{}, kinds: map[string]*Kind{}}
+	return &Result{Label: label, Causes: map[string]int{}, Retried: map[string]int{}, Findings: []Finding{}, Notes: []string{}, kinds: map[string]*KindResult{}}
 }
 
 // kind returns the result of a kind and creates it if needed. The caller holds the lock.
-func (r *Result) kind(name string) *Kind {
+func (r *Result) kind(name string) *KindResult {
 	kind := r.kinds[name]
 	if kind == nil {
-		kind = &Kind{Name: name, times: hdrhistogram.New(1, constants.LoadTime.Microseconds(), constants.LoadDigits)}
+		kind = &KindResult{Name: name, times: hdrhistogram.New(1, constants.LoadTime.Microseconds(), constants.LoadDigits)}
 		r.kinds[name] = kind
 		r.Kinds = append(r.Kinds, kind)
 		sort.Slice(r.Kinds, func(left, right int) bool { return r.Kinds[left].Name < r.Kinds[right].Name })
@@ -72,11 +72,13 @@
 }
 
 // record adds a latency.
-func (k *Kind) record(span clock.Duration) { _ = k.times.RecordValue(max(span.Microseconds(), 1)) }
+func (k *KindResult) record(span clock.Duration) {
+	_ = k.times.RecordValue(max(span.Microseconds(), 1))
+}
 
 // count counts one request or item. One in time earns the whole worth of its kind, a late one the
 // share constants.LateResponseValue of it, a failed one nothing. The caller holds the lock.
-func (r *Result) count(name string, inTime, served bool) *Kind {
+func (r *Result) count(name string, inTime, served bool) *KindResult {
 	kind, value := r.kind(name), profiles[name].worth
 	kind.Sent++
 	kind.owed += value
@@ -94,7 +96,8 @@
 }
 
 // countServed counts a request that was served completely. It is in time if the first event, or the
-// end of a plain response, came within the setpoint and no gap between events exceeded GapMs.
+// end of a plain response, came within the setpoint and no gap between events exceeded GapMs (if
+// that is set).
 func (r *Result) countServed(spec *requestSpec, state *requestState, now clock.Instant) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/tooling/loadgen/send.go
+++ b/internal/tooling/loadgen/send.go
@@ -34,7 +34,8 @@
 }
 
 // requestState is the state of a request over all its attempts. maxGap is the longest time between
-// two events of its stream; firstEvent is the end of the response if that is not a stream.
+// two consecutive events of its stream; firstEvent is the end of the response if the response is
+// not a stream.
 type requestState struct {
 	started, deadline     clock.Instant
 	firstEvent, lastEvent clock.Instant
@@ -42,7 +43,8 @@
 	lastID                int64
 }
 
-// sendWithRetries sends a request until it is served or must not be retried.
+// sendWithRetries sends a request until it is served, must not be retried, has been sent
+// Options.Tries times or has reached its deadline.
 func (r *run) sendWithRetries(spec *requestSpec) {
 	now := clock.Now()
 	state := &requestState{started: now, deadline: now.Add(spec.route.Cutoff())}
--- a/internal/tooling/simulation/world.go
+++ b/internal/tooling/simulation/world.go
@@ -55,7 +55,8 @@
 	Random *rand.Rand
 	Now    clock.Instant
 	queue  events
-	order  int
+	// order is the sequence number of the last event added.
+	order int
 	// LossProbability is the probability, 0 to 1, that a message is lost, DuplicateProbability that
 	// it is duplicated if it is not lost.
 	LossProbability, DuplicateProbability float64
