--- a/internal/tooling/forecast/capacity.go
+++ b/internal/tooling/forecast/capacity.go
@@ -13,7 +13,8 @@
 
 // Resource is the utilization of one resource as a fraction of its capacity: at present, and at
 // the peak of the surges. FactorLeft is how many times the surge would fit into the capacity that
-// is left; nil if the surge adds nothing, or the capacity of the resource is unknown.
+// is left; nil if the surge adds nothing. All three are nil if the capacity of the resource is
+// unknown, or nothing can be predicted about its family.
 type Resource struct {
 	Resource   string   `json:"resource"`
 	UsedNow    *float64 `json:"used-now"`
--- a/internal/tooling/forecast/demand.go
+++ b/internal/tooling/forecast/demand.go
@@ -25,15 +25,15 @@
 
 // demands combines the present classes with the surges. It reports findings for unknown routes,
 // for traffic that does not fit the kind of its route, and for families that match no class.
-func demands(scenario *Scenario, known *FleetState) (all []*demand, findings []string) {
-	for _, c := range known.classes() {
+func demands(scenario *Scenario, state *FleetState) (all []*demand, findings []string) {
+	for _, c := range state.classes() {
 		all = append(all, &demand{class: c})
 	}
 	for i, surge := range scenario.Surges {
 		for j := range surge.Traffic {
 			traffic := &surge.Traffic[j]
 			field := fmt.Sprintf("surges[%d].traffic[%d]", i, j)
-			route := known.routeNamed(traffic.Route)
+			route := state.routeNamed(traffic.Route)
 			if route == nil {
 				findings = append(findings, fmt.Sprintf("%s.route: no route is named %q", field, traffic.Route))
 				continue
@@ -42,7 +42,7 @@
 				findings = append(findings, field+": items go with batch routes, rates with others")
 				continue
 			}
-			all = addTraffic(all, known, &surge, traffic)
+			all = addTraffic(all, state, &surge, traffic)
 		}
 	}
 	for _, family := range scenario.Families {
@@ -55,7 +55,7 @@
 
 // addTraffic adds the traffic of a surge to the classes of its route, in proportion to their
 // present rates.
-func addTraffic(all []*demand, known *FleetState, surge *Surge, traffic *Traffic) []*demand {
+func addTraffic(all []*demand, state *FleetState, surge *Surge, traffic *Traffic) []*demand {
 	var onRoute []*demand
 	total := 0.0
 	for _, d := range all {
@@ -66,7 +66,7 @@
 	}
 	if len(onRoute) == 0 {
 		// No traffic was observed on the route: only its configuration is known.
-		route := known.routeNamed(traffic.Route)
+		route := state.routeNamed(traffic.Route)
 		d := &demand{class: newClass(route, route.Services()[0], "")}
 		all, onRoute = append(all, d), []*demand{d}
 	}
--- a/internal/tooling/forecast/forecast_test.go
+++ b/internal/tooling/forecast/forecast_test.go
@@ -12,7 +12,7 @@
 // the family that the surge overloads must be predicted to run short first, of the resource that the
 // surge exhausts.
 func TestPredictsTheFamilyThatRunsShort(t *testing.T) {
-	known := testKnown(t)
+	state := testFleetState(t)
 	for _, test := range []struct{ name, text, first, resource string }{
 		{"a little more", surgeTOML(trafficTOML("kiosk", "factor = 1.2")), "", ""},
 		{"plain requests", surgeTOML(trafficTOML("status", "rate = 900.0")), "app", ResourceSlots},
@@ -20,7 +20,7 @@
 		{"long answers", surgeTOML(trafficTOML("kiosk", "rate = 90.0\nfresh-tokens = 10\nprompt-tokens = 20\nevents = 200")), "llm/m", ResourceDecode},
 		{"large prompts that are cached", surgeTOML(trafficTOML("draft", "rate = 150.0\nprompt-tokens = 90000\nfresh-tokens = 100\nevents = 12")), "llm/m", ResourceMemory},
 	} {
-		predicted := runForecast(t, known, test.text)
+		predicted := runForecast(t, state, test.text)
 		first, resource := "", ""
 		if predicted.FirstShort != nil {
 			first = *predicted.FirstShort
@@ -46,12 +46,12 @@
 func TestSameScenarioSameBytes(t *testing.T) {
 	text := surgeTOML(trafficTOML("kiosk", "factor = 4.0")+trafficTOML("batch", "items = 4000\ndue-s = 8")) + "[[families]]\nname = \"both\"\nservices = [\"llm\", \"app\"]\n"
 	var first bytes.Buffer
-	known := testKnown(t)
-	_ = runForecast(t, known, text).JSON(&first)
+	state := testFleetState(t)
+	_ = runForecast(t, state, text).JSON(&first)
 	for range 3 {
-		rand.Shuffle(len(known.Summaries), func(i, j int) { known.Summaries[i], known.Summaries[j] = known.Summaries[j], known.Summaries[i] })
+		rand.Shuffle(len(state.Summaries), func(i, j int) { state.Summaries[i], state.Summaries[j] = state.Summaries[j], state.Summaries[i] })
 		var again bytes.Buffer
-		if _ = runForecast(t, known, text).JSON(&again); again.String() != first.String() {
+		if _ = runForecast(t, state, text).JSON(&again); again.String() != first.String() {
 			t.Fatal("report differs from the first one; got and want:\n", again.String(), first.String())
 		}
 	}
@@ -78,13 +78,13 @@
 // TestMoreTrafficNeverGivesMoreCapacity guards against capacity that grows with traffic: a higher rate
 // must never lower the use of a resource or raise the factor left.
 func TestMoreTrafficNeverGivesMoreCapacity(t *testing.T) {
-	known, random := testKnown(t), rand.New(rand.NewPCG(4, 4))
+	state, random := testFleetState(t), rand.New(rand.NewPCG(4, 4))
 	for range 30 {
 		route := []string{"kiosk", "draft", "status"}[random.IntN(3)]
 		rate := random.Float64() * 200
 		higherRate := rate * (1 + random.Float64())
-		atRate := resourceUse(runForecast(t, known, surgeTOML(trafficTOML(route, fmt.Sprintf("rate = %f", rate)))))
-		for name, atHigher := range resourceUse(runForecast(t, known, surgeTOML(trafficTOML(route, fmt.Sprintf("rate = %f", higherRate))))) {
+		atRate := resourceUse(runForecast(t, state, surgeTOML(trafficTOML(route, fmt.Sprintf("rate = %f", rate)))))
+		for name, atHigher := range resourceUse(runForecast(t, state, surgeTOML(trafficTOML(route, fmt.Sprintf("rate = %f", higherRate))))) {
 			if atHigher[0] < atRate[name][0] || atHigher[1] > atRate[name][1] {
 				t.Fatalf("%s with route %s at rate %.1f: use and factor left %v; at the higher rate %.1f: %v", name, route, rate, atRate[name], higherRate, atHigher)
 			}
@@ -95,12 +95,12 @@
 // TestSplitSurgeHasSameCapacity checks that splitting the traffic of a surge into two equal parts does
 // not change the predicted capacity.
 func TestSplitSurgeHasSameCapacity(t *testing.T) {
-	known := testKnown(t)
-	whole := resourceUse(runForecast(t, known, surgeTOML(trafficTOML("draft", "rate = 80.0"))))
-	halves := resourceUse(runForecast(t, known, surgeTOML(trafficTOML("draft", "rate = 40.0")+trafficTOML("draft", "rate = 40.0"))))
+	state := testFleetState(t)
+	whole := resourceUse(runForecast(t, state, surgeTOML(trafficTOML("draft", "rate = 80.0"))))
+	halves := resourceUse(runForecast(t, state, surgeTOML(trafficTOML("draft", "rate = 40.0")+trafficTOML("draft", "rate = 40.0"))))
 	for name := range whole {
 		if whole[name] != halves[name] {
-			t.Error(name, whole[name], halves[name])
+			t.Errorf("%s: use and factor left %v with the surge in two halves, want %v", name, halves[name], whole[name])
 		}
 	}
 }
@@ -109,26 +109,26 @@
 // must not run short, and a class with too few observed requests must be reported as unknown instead of
 // with figures.
 func TestUnobservedClassesAreUnknown(t *testing.T) {
-	known := testKnown(t)
-	predicted := runForecast(t, known, surgeTOML(trafficTOML("draft", "rate = 900.0")))
+	state := testFleetState(t)
+	predicted := runForecast(t, state, surgeTOML(trafficTOML("draft", "rate = 900.0")))
 	for _, capacity := range predicted.Families {
 		if capacity.Family == "app" && capacity.ShortAtS != nil {
-			t.Error("family without a surge runs short, at seconds: ", *capacity.ShortAtS)
+			t.Errorf("family app, which has no surge, runs short at %v s, want never", *capacity.ShortAtS)
 		}
 	}
-	for i := range known.Summaries {
-		if known.Summaries[i].Route == "status" {
-			known.Summaries[i].Placed = observationsMin - 1
+	for i := range state.Summaries {
+		if state.Summaries[i].Route == "status" {
+			state.Summaries[i].Placed = observationsMin - 1
 		}
 	}
-	predicted = runForecast(t, known, surgeTOML(trafficTOML("status", "rate = 900.0")))
+	predicted = runForecast(t, state, surgeTOML(trafficTOML("status", "rate = 900.0")))
 	for _, class := range predicted.Classes {
 		if class.Class == "status" && (class.Unknown == "" || class.Late != nil || class.LateShare != nil) {
 			t.Errorf("class status: got %+v, want unknown and no figures", class)
 		}
 	}
 	if predicted.FirstShort != nil {
-		t.Error("got a first family to run short although it is unknown: ", *predicted.FirstShort)
+		t.Errorf("first family to run short is %q, want none since class status is unknown", *predicted.FirstShort)
 	}
 }
 
@@ -136,8 +136,8 @@
 // widen the intervals.
 func TestMissingNodesWidenTheIntervals(t *testing.T) {
 	text := surgeTOML(trafficTOML("kiosk", "factor = 7.0"))
-	width := func(known *FleetState) float64 {
-		for _, class := range runForecast(t, known, text).Classes {
+	width := func(state *FleetState) float64 {
+		for _, class := range runForecast(t, state, text).Classes {
 			if class.Class == "kiosk" && class.Low != nil {
 				return *class.High - *class.Low
 			}
@@ -145,27 +145,27 @@
 		t.Fatal("class kiosk has no interval")
 		return 0
 	}
-	known := testKnown(t)
-	full := width(known)
-	known.Missing = []string{"gateway/a", "gateway/b", "gateway/c", "gateway/d"}
+	state := testFleetState(t)
+	full := width(state)
+	state.Missing = []string{"gateway/a", "gateway/b", "gateway/c", "gateway/d"}
 	// The missing nodes are assumed to have observed the same traffic, so with twice the time the
 	// rate stays the same.
-	known.ObservedS *= 2
-	if half := width(known); half <= full && full < 1 {
-		t.Fatal(half, full)
+	state.ObservedS *= 2
+	if half := width(state); half <= full && full < 1 {
+		t.Fatalf("width of the interval %v with half of the nodes missing, want above the %v with all", half, full)
 	}
-	if predicted := runForecast(t, known, text); len(predicted.NodesMissing) != 4 || predicted.NodesAnswered != 4 {
-		t.Fatal(predicted.NodesMissing, predicted.NodesAnswered)
+	if predicted := runForecast(t, state, text); len(predicted.NodesMissing) != 4 || predicted.NodesAnswered != 4 {
+		t.Fatalf("missing nodes %v and %d nodes that answered, want 4 of each", predicted.NodesMissing, predicted.NodesAnswered)
 	}
 }
 
 // TestExcludedZoneReducesCapacity checks that excluding one of two equal zones doubles the use of slots.
 func TestExcludedZoneReducesCapacity(t *testing.T) {
-	known := testKnown(t)
+	state := testFleetState(t)
 	text := surgeTOML(trafficTOML("kiosk", "factor = 2.0"))
-	complete, withoutZone := resourceUse(runForecast(t, known, text)), resourceUse(runForecast(t, known, text+"[[without]]\nzone = \"a\"\n"))
+	complete, withoutZone := resourceUse(runForecast(t, state, text)), resourceUse(runForecast(t, state, text+"[[without]]\nzone = \"a\"\n"))
 	if before, after := complete["llm/m/slots"][0], withoutZone["llm/m/slots"][0]; after < 1.9*before || after > 2.1*before {
-		t.Fatal(before, after)
+		t.Fatalf("use of slots %v without a zone, want about twice the %v with it", after, before)
 	}
 }
 
@@ -190,7 +190,7 @@
 	} {
 		scenario, findings := Read([]byte(test.text))
 		if len(findings) == 0 {
-			_, findings = Forecast(scenario, testKnown(t), 1)
+			_, findings = Forecast(scenario, testFleetState(t), 1)
 		}
 		if !strings.Contains(strings.Join(findings, "\n"), test.want) {
 			t.Errorf("%q: got findings %v, want one with %s", test.text, findings, test.want)
@@ -201,9 +201,9 @@
 // TestRecordAndReview checks that a written forecast can be read, and that a review names the family that
 // ran short since: the one whose requests were refused, or none if there were no refusals.
 func TestRecordAndReview(t *testing.T) {
-	known, path := testKnown(t), t.TempDir()+"/kept.json"
+	state, path := testFleetState(t), t.TempDir()+"/kept.json"
 	text := surgeTOML(trafficTOML("status", "rate = 900.0"))
-	record := &Record{Scenario: parseScenario(t, text), State: known, Predicted: runForecast(t, known, text)}
+	record := &Record{Scenario: parseScenario(t, text), State: state, Predicted: runForecast(t, state, text)}
 	if err := record.Write(path); err != nil {
 		t.Fatal(err)
 	}
@@ -211,7 +211,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	observed := testKnown(t)
+	observed := testFleetState(t)
 	for i := range observed.Summaries {
 		if observed.Summaries[i].Route == "status" {
 			observed.Summaries[i].Rejected = observed.Summaries[i].Served
@@ -221,7 +221,7 @@
 	if !review.Agrees || review.ObservedShort == nil || *review.ObservedShort != "app" {
 		t.Fatalf("review: got %+v, want agreement on family app", review)
 	}
-	if unchanged := NewReview(reread, testKnown(t)); unchanged.Agrees || unchanged.ObservedShort != nil {
+	if unchanged := NewReview(reread, testFleetState(t)); unchanged.Agrees || unchanged.ObservedShort != nil {
 		t.Fatalf("review without refusals: got %+v, want no family and no agreement", unchanged)
 	}
 	if _, err = ReadRecord(path + ".none"); err == nil {
--- a/internal/tooling/forecast/helpers_test.go
+++ b/internal/tooling/forecast/helpers_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// testKnown returns the state of a fleet of 10 model workers and 2 plain workers, observed for 60 s.
-func testKnown(t *testing.T) *FleetState {
+// testFleetState returns the state of a fleet of 10 model workers and 2 plain workers, observed for 60 s.
+func testFleetState(t *testing.T) *FleetState {
 	t.Helper()
 	config, err := routeconfig.Parse([]byte(testConfig))
 	if err != nil {
@@ -61,16 +61,16 @@
 	t.Helper()
 	scenario, findings := Read([]byte(text))
 	if len(findings) > 0 {
-		t.Fatal(findings)
+		t.Fatalf("findings %v when the scenario is read, want none", findings)
 	}
 	return scenario
 }
 
-func runForecast(t *testing.T, known *FleetState, text string) *Report {
+func runForecast(t *testing.T, state *FleetState, text string) *Report {
 	t.Helper()
-	predicted, findings := Forecast(parseScenario(t, text), known, 1)
+	predicted, findings := Forecast(parseScenario(t, text), state, 1)
 	if len(findings) > 0 {
-		t.Fatal(findings)
+		t.Fatalf("findings %v of the forecast, want none", findings)
 	}
 	return predicted
 }
--- a/internal/tooling/forecast/report.go
+++ b/internal/tooling/forecast/report.go
@@ -57,17 +57,17 @@
 
 // Forecast predicts the effects of a scenario on a fleet of the given state. If the scenario does not
 // match the fleet, for example if it names an unknown route, Forecast returns findings and no report.
-func Forecast(scenario *Scenario, known *FleetState, seed uint64) (*Report, []string) {
-	combined, findings := demands(scenario, known)
+func Forecast(scenario *Scenario, state *FleetState, seed uint64) (*Report, []string) {
+	combined, findings := demands(scenario, state)
 	if len(findings) > 0 {
 		return nil, findings
 	}
-	report := &Report{Families: []FamilyCapacity{}, Classes: []ClassForecast{}, NodesAnswered: known.Answered,
-		NodesMissing: append([]string{}, known.Missing...), ObservedS: rounded(known.ObservedS)}
+	report := &Report{Families: []FamilyCapacity{}, Classes: []ClassForecast{}, NodesAnswered: state.Answered,
+		NodesMissing: append([]string{}, state.Missing...), ObservedS: rounded(state.ObservedS)}
 	slices.Sort(report.NodesMissing)
 	earliest := math.Inf(1)
-	for _, f := range families(scenario, combined, known.services(scenario.Exclusions)) {
-		capacity, classes := f.forecast(scenario.HorizonS*1000, seed, known.answeredShare())
+	for _, f := range families(scenario, combined, state.services(scenario.Exclusions)) {
+		capacity, classes := f.forecast(scenario.HorizonS*1000, seed, state.answeredShare())
 		report.Families = append(report.Families, capacity)
 		report.Classes = append(report.Classes, classes...)
 		if capacity.ShortAtS != nil && *capacity.ShortAtS < earliest {
--- a/internal/tooling/forecast/scenario.go
+++ b/internal/tooling/forecast/scenario.go
@@ -140,7 +140,7 @@
 			findings = append(findings, fmt.Sprintf("without[%d]: one of zone and service must be set", i))
 		}
 		if exclusion.Service != "" && exclusion.Workers == 0 {
-			findings = append(findings, fmt.Sprintf("without[%d].workers: only valid together with service", i))
+			findings = append(findings, fmt.Sprintf("without[%d].workers: must be set together with service", i))
 		}
 	}
 	return findings
--- a/internal/tooling/forecastcases/compare.go
+++ b/internal/tooling/forecastcases/compare.go
@@ -125,7 +125,7 @@
 // forecastCase forecasts a case from the traffic that the simulated families have recorded.
 func forecastCase(c *Case, simulations []*familySimulation, seed uint64) (*forecast.Report, error) {
 	config := routeconfig.Config{Generation: 1}
-	known := &forecast.FleetState{ObservedS: ObservedS, Answered: 1}
+	state := &forecast.FleetState{ObservedS: ObservedS, Answered: 1}
 	for i, plan := range c.families {
 		route := routeconfig.Route{Name: plan.name, Host: "h", Prefix: "/" + plan.name + "/", KindName: "idempotent", Backend: plan.name, SetpointMs: plan.class.targetMs, CutoffMs: 10_000}
 		if plan.class.work == 0 {
@@ -134,25 +134,25 @@
 		config.Routes = append(config.Routes, route)
 		config.Services = append(config.Services, routeconfig.Service{Name: plan.name, ConnLimit: 1000,
 			Engine: &routeconfig.Engine{Capacity: plan.shape.Capacity, CacheTokens: plan.shape.CacheTokens}})
-		known.Workers = append(known.Workers, messages.WorkerGroup{Service: plan.name, Zone: "z", Workers: plan.engines, Slots: plan.engines * plan.shape.Capacity})
+		state.Workers = append(state.Workers, messages.WorkerGroup{Service: plan.name, Zone: "z", Workers: plan.engines, Slots: plan.engines * plan.shape.Capacity})
 		summaries, _ := simulations[i].recorder.Summaries(simulations[i].now)
-		known.Summaries = append(known.Summaries, summaries...)
+		state.Summaries = append(state.Summaries, summaries...)
 	}
 	var err error
-	if known.Config, err = routeconfig.Parse(config.Encode()); err != nil {
+	if state.Config, err = routeconfig.Parse(config.Encode()); err != nil {
 		return nil, ErrCase.Wrap(err, "configuration")
 	}
-	return c.Forecast(known, seed)
+	return c.Forecast(state, seed)
 }
 
-// Forecast predicts the surge of the case from the known state of its fleet.
-func (c *Case) Forecast(known *forecast.FleetState, seed uint64) (*forecast.Report, error) {
+// Forecast predicts the surge of the case from the state of its fleet.
+func (c *Case) Forecast(state *forecast.FleetState, seed uint64) (*forecast.Report, error) {
 	surge := forecast.Surge{Name: "surge", DurationS: SurgeS}
 	for _, plan := range c.families {
 		surge.Traffic = append(surge.Traffic, forecast.Traffic{Route: plan.name, Rate: &plan.surgeRate})
 	}
 	scenario := &forecast.Scenario{HorizonS: SurgeS + AfterS, Surges: []forecast.Surge{surge}}
-	report, findings := forecast.Forecast(scenario, known, seed)
+	report, findings := forecast.Forecast(scenario, state, seed)
 	if len(findings) > 0 {
 		return nil, ErrCase.New(findings[0])
 	}
--- a/internal/tooling/forecastlab/drive.go
+++ b/internal/tooling/forecastlab/drive.go
@@ -55,7 +55,7 @@
 		d.lock.Unlock()
 		next = next.Add(clock.Milliseconds(d.random.ExpFloat64() * 1000 / rate))
 		// Sleeps at most 20 ms at a time, which is short compared with the durations of a case, so that
-		// a surge starts in time.
+		// the load ends soon after the context. The start of a surge takes effect after the next request.
 		for clock.Now() < next && ctx.Err() == nil {
 			clock.Sleep(min(next.Sub(clock.Now()), clock.Milliseconds(20)))
 		}
--- a/internal/tooling/forecastlab/run.go
+++ b/internal/tooling/forecastlab/run.go
@@ -51,17 +51,17 @@
 		startLoop(d.run)
 	}
 	clock.Sleep(clock.Milliseconds(forecastcases.ObservedS * 1000))
-	known, err := p.monitor.collector.Collect()
+	state, err := p.monitor.collector.Collect()
 	var report *forecast.Report
 	if err == nil {
-		report, err = c.Forecast(known, seed)
+		report, err = c.Forecast(state, seed)
 	}
 	if err != nil {
 		stopLoad()
 		group.Wait()
 		return nil, err
 	}
-	p.monitor.update(known, clock.Now())
+	p.monitor.update(state, clock.Now())
 	surgeAt := clock.Now()
 	startLoop(p.monitor.run)
 	p.setSurge(true)
--- a/internal/tooling/forecastlab/watch.go
+++ b/internal/tooling/forecastlab/watch.go
@@ -39,17 +39,17 @@
 func (w *shortageMonitor) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		start := clock.Now()
-		if known, err := w.collector.Collect(); err == nil {
-			w.update(known, start)
+		if state, err := w.collector.Collect(); err == nil {
+			w.update(state, start)
 		}
 		clock.Sleep(max(start.Add(clock.Milliseconds(1000)).Sub(clock.Now()), 0))
 	}
 }
 
 // update compares the traffic totals with those of the previous poll.
-func (w *shortageMonitor) update(known *forecast.FleetState, now clock.Instant) {
-	for i := range known.Summaries {
-		summary := &known.Summaries[i]
+func (w *shortageMonitor) update(state *forecast.FleetState, now clock.Instant) {
+	for i := range state.Summaries {
+		summary := &state.Summaries[i]
 		current, previous := queueTotalsOf(summary), w.previous[summary.Service]
 		w.previous[summary.Service] = current
 		requests := current.requests - previous.requests
