--- a/internal/tooling/explore/leasemodel_test.go
+++ b/internal/tooling/explore/leasemodel_test.go
@@ -12,7 +12,7 @@
 
 const (
 	leaseNodes = 3
-	// leaseHistories is the number of histories run for each one that Seeds counts, since they
+	// leaseHistories is the number of histories run for each check of package rapid, since they
 	// are short.
 	leaseHistories = 15
 	// slowest and fastest bound the rates of the monotonic clocks relative to true time.
--- a/internal/tooling/explore/obsolete.go
+++ b/internal/tooling/explore/obsolete.go
@@ -7,8 +7,10 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// dropObsolete drops messages that can no longer have any effect: an acceptor that would reject
-// one now would reject it at any later time too.
+// dropObsolete drops messages and votes that can no longer have any effect: accept requests that
+// their acceptor would reject, since it would reject them at any later time too; prepare requests
+// whose sender no longer waits for the response, since they could only make an acceptor reject
+// more; and the votes for a value that was not chosen and can't be any more.
 func (f *registerState) dropObsolete() {
 	retained := f.requests[:0]
 	for index := range f.requests {
--- a/internal/tooling/explore/state.go
+++ b/internal/tooling/explore/state.go
@@ -10,7 +10,7 @@
 	// Members are the machines of the first acceptor set. NonMembers have an empty disk and are
 	// in no set.
 	Members, NonMembers []string
-	// Writers are the machines whose processes each propose one version on base 0.
+	// Writers are the machines whose processes propose versions, each its first one on base 0.
 	Writers []string
 	// Reconcilers are the machines whose processes maintain the acceptor set, as the
 	// controllers do. If Suspect is set, they consider it departed.
--- a/internal/tooling/linearize/controller.go
+++ b/internal/tooling/linearize/controller.go
@@ -60,7 +60,7 @@
 	return messages.Member{Name: c.name, Address: c.name, Disk: c.acceptor.Disk()}
 }
 
-// learn takes over sets that are not older than the known ones.
+// learn stores a value whose acceptor sets are not older than those of the known value.
 func (c *controller) learn(value messages.RegisterValue) {
 	if len(value.Acceptors) > 0 && (value.SetEpoch >= c.known.SetEpoch || len(c.known.Acceptors) == 0) {
 		c.known = value
--- a/internal/tooling/linearize/faults.go
+++ b/internal/tooling/linearize/faults.go
@@ -2,8 +2,9 @@
 
 import "lemonarch/internal/platform/clock"
 
-// scheduleFaults injects one fault after another, each once the previous one is over and the
-// acceptor set is complete again. This stays within a fault budget of one machine.
+// scheduleFaults injects faults until stopAt, each only while all machines are up and the acceptor
+// set is complete. This keeps the loss of disks within a fault budget of one machine. A partition or
+// a pending crash of a proposer may coincide with the next fault.
 func (f *Fleet) scheduleFaults(stopAt clock.Instant) {
 	f.afterRandom(100, 700, func() {
 		if f.world.Now > stopAt {
--- a/internal/tooling/linearize/fleet.go
+++ b/internal/tooling/linearize/fleet.go
@@ -66,8 +66,8 @@
 	return fleet
 }
 
-// Run runs the simulation for a time span and returns the first internal error of the
-// simulation.
+// Run runs the simulation for a time span, and then for 20 s in which operators begin no new calls
+// and no new faults are scheduled. It returns the first internal error of the simulation.
 func (f *Fleet) Run(span clock.Duration) error {
 	for number := range operators {
 		f.runOperator(number, f.world.Now.Add(span))
--- a/internal/tooling/linearize/jobs.go
+++ b/internal/tooling/linearize/jobs.go
@@ -60,8 +60,8 @@
 // jobState is the state of one batch job in the sequential model.
 type jobState struct {
 	accepted bool
-	// results contains the results returned to clients, by position. Results that were listed
-	// but that no client has read are empty.
+	// results contains the results returned to clients, by position. A position before a returned
+	// result is empty if no client has read it.
 	results string
 }
 
--- a/internal/tooling/linearize/jobs_test.go
+++ b/internal/tooling/linearize/jobs_test.go
@@ -42,7 +42,7 @@
 	} {
 		err := checkJobs(test.list)
 		if test.legal && err != nil || !test.legal && !errs.Is(err, ErrNotLinearizable) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: check returned error %v, want a legal history: %v", name, err, test.legal)
 		}
 	}
 }
