--- a/internal/tooling/workeremulator/cancelledread_test.go
+++ b/internal/tooling/workeremulator/cancelledread_test.go
@@ -37,9 +37,9 @@
 	conn := &connection{Conn: &cancelledRead{}, listener: newLimitedListener(nil, worker), active: clockValue.Now()}
 	clockValue.After(time.Second, func() {})
 	if count, err := conn.Read(make([]byte, 1)); count != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatal(count, err)
+		t.Fatalf("cancelled read returned %d bytes and error %v, want 0 and os.ErrDeadlineExceeded", count, err)
 	}
 	if count, err := conn.Read(make([]byte, 1)); count != 0 || !errors.Is(err, net.ErrClosed) {
-		t.Fatal("read from a forgotten connection succeeded, want net.ErrClosed", count, err)
+		t.Fatalf("read from a forgotten connection returned %d bytes and error %v, want 0 and net.ErrClosed", count, err)
 	}
 }
--- a/internal/tooling/workeremulator/engine_test.go
+++ b/internal/tooling/workeremulator/engine_test.go
@@ -58,7 +58,7 @@
 	full := drive(NewEngine(smallShape), map[clock.Instant][]Event{0: {arrive(1, 10, 40), arrive(2, 10, 40), arrive(3, 10, 40), arrive(4, 10, 40)}}, milliseconds(500))
 	first, second := effectsOf(alone, 1, EffectFinish), effectsOf(full, 1, EffectFinish)
 	if len(first) != 1 || len(second) != 1 || second[0].at < first[0].at*3/2 {
-		t.Fatal(first, second)
+		t.Fatalf("request finished at %v alone and at %v in a full batch, want once each, the second at least 1.5 times as late", first, second)
 	}
 }
 
@@ -70,7 +70,7 @@
 	effects := drive(NewEngine(shape), map[clock.Instant][]Event{0: {arrive(1, 10, 80)}, milliseconds(20): {arrive(2, 800, 4)}}, milliseconds(900))
 	started := effectsOf(effects, 2, EffectBegin)
 	if len(started) != 1 || started[0].at < milliseconds(90) {
-		t.Fatal("800 tokens at 10 per ms were prefilled too soon", started)
+		t.Fatalf("request with 800 tokens at 10 per ms began at %v, want once, not before 90 ms", started)
 	}
 	between := 0
 	for _, event := range effectsOf(effects, 1, EffectEvent) {
@@ -79,7 +79,7 @@
 		}
 	}
 	if between < 5 {
-		t.Fatal("too few events of the other stream during prefill, want at least 5, got", between)
+		t.Fatalf("%d events of the other stream during prefill, want at least 5", between)
 	}
 }
 
@@ -90,18 +90,18 @@
 	shared, own := Part{"a", 300}, Part{"b", 100}
 	drive(engine, map[clock.Instant][]Event{0: {arrive(1, 400, 4, shared, own)}}, milliseconds(100))
 	if engine.ReadTokens != 400 || engine.ReusedTokens != 0 {
-		t.Fatal(engine.ReadTokens, engine.ReusedTokens)
+		t.Fatalf("first prompt: %d tokens prefilled and %d reused, want 400 and 0", engine.ReadTokens, engine.ReusedTokens)
 	}
 	engine.Step(arrive(2, 400, 4, shared, Part{"c", 100}), milliseconds(101))
 	engine.Step(Event{}, milliseconds(200))
 	if engine.ReadTokens != 500 || engine.ReusedTokens != 300 {
-		t.Fatal("shared part was prefilled again", engine.ReadTokens, engine.ReusedTokens)
+		t.Fatalf("prompt with a shared first part: %d tokens prefilled and %d reused in total, want 500 and 300", engine.ReadTokens, engine.ReusedTokens)
 	}
 	// b is cached, but the part before it in this prompt is not.
 	engine.Step(arrive(3, 150, 4, Part{"d", 50}, own), milliseconds(201))
 	engine.Step(Event{}, milliseconds(300))
 	if engine.ReadTokens != 650 || engine.ReusedTokens != 300 {
-		t.Fatal("part counted as cached after one that is not cached", engine.ReadTokens, engine.ReusedTokens)
+		t.Fatalf("cached part after one that is not cached: %d tokens prefilled and %d reused in total, want 650 and 300", engine.ReadTokens, engine.ReusedTokens)
 	}
 }
 
@@ -113,7 +113,7 @@
 		engine.Step(Event{}, milliseconds(float64(100*i+90)))
 	}
 	if !engine.cache.isComplete(Part{Key: "m/a"}) || engine.cache.isComplete(Part{Key: "m/b"}) || !engine.cache.isComplete(Part{Key: "m/d"}) {
-		t.Fatal(engine.cache.entries)
+		t.Fatalf("cached parts %v, want m/a and m/d complete and m/b evicted", engine.cache.entries)
 	}
 }
 
@@ -123,12 +123,12 @@
 	engine := NewEngine(smallShape)
 	effects := drive(engine, map[clock.Instant][]Event{0: {arrive(1, 400, 200), arrive(2, 400, 200)}}, milliseconds(3000))
 	if engine.Preemptions == 0 || len(effectsOf(effects, 1, EffectPreempt)) > 0 {
-		t.Fatal("want the newest request preempted and the other not, got preemptions", engine.Preemptions)
+		t.Fatalf("%d preemptions, want at least one, and none of the older request", engine.Preemptions)
 	}
 	for _, ticket := range []int64{1, 2} {
 		checkEvents(t, effectsOf(effects, ticket, EffectEvent), 1, 50)
 		if len(effectsOf(effects, ticket, EffectFinish)) != 1 || len(effectsOf(effects, ticket, EffectBegin)) != 1 {
-			t.Fatal("ticket", ticket, "did not begin and finish exactly once")
+			t.Fatalf("ticket %d did not begin and finish exactly once", ticket)
 		}
 	}
 }
@@ -137,11 +137,11 @@
 	t.Helper()
 	for i, event := range events {
 		if event.Number != first+int64(i) {
-			t.Fatal("event", event.Number, "at index", i)
+			t.Fatalf("event number %d at index %d of the stream, want consecutive numbers from %d", event.Number, i, first)
 		}
 	}
 	if int64(len(events)) != last-first+1 {
-		t.Fatal("wrong number of events", len(events))
+		t.Fatalf("%d events in the stream, want those from %d to %d", len(events), first, last)
 	}
 }
 
@@ -153,7 +153,7 @@
 	event.Request.LastEvent = 10
 	effects = drive(NewEngine(smallShape), map[clock.Instant][]Event{0: {event}}, milliseconds(300))
 	if len(effectsOf(effects, 1, EffectEvent)) != 0 || len(effectsOf(effects, 1, EffectFinish)) != 1 {
-		t.Fatal("resuming after the last event must only finish, got", effects)
+		t.Fatalf("effects of resuming after the last event: %v, want no event and one finish", effects)
 	}
 }
 
@@ -167,7 +167,7 @@
 	late.Request.Deadline = milliseconds(300)
 	effects := drive(NewEngine(smallShape), map[clock.Instant][]Event{0: events, milliseconds(200): {large, late}}, milliseconds(400))
 	if len(effectsOf(effects, 7, EffectRefuse)) != 1 || len(effectsOf(effects, 6, EffectFinish)) != 1 || len(effectsOf(effects, 8, EffectRefuse)) != 1 || len(effectsOf(effects, 9, EffectExpire)) != 1 {
-		t.Fatal(effects)
+		t.Fatalf("effects %v, want requests 7 (queue full) and 8 (too large) refused, 6 finished and 9 expired, once each", effects)
 	}
 }
 
@@ -184,7 +184,7 @@
 				switch effect.Kind {
 				case EffectEvent:
 					if effect.Number != last[effect.Ticket]+1 || !started[effect.Ticket] {
-						t.Fatal("seed", seed, effect)
+						t.Fatalf("seed %d: stream event %+v, want the event after number %d of a started request", seed, effect, last[effect.Ticket])
 					}
 					last[effect.Ticket] = effect.Number
 				case EffectBegin:
@@ -195,7 +195,7 @@
 			}
 			running, waiting, used := engine.State()
 			if running > 4 || running+waiting > 6+1 || used > 1000 || engine.cache.storedTokens+engine.outputTokens() > 1000 {
-				t.Fatal("seed", seed, running, waiting, used, engine.cache.storedTokens)
+				t.Fatalf("seed %d: %d running, %d waiting, %d tokens pinned and used, %d stored; want at most 4 running, 7 in total, and 1000 tokens", seed, running, waiting, used, engine.cache.storedTokens)
 			}
 		}
 		now, count := clock.Instant(0), int64(0)
@@ -213,7 +213,7 @@
 		}
 		for ticket := int64(1); ticket <= count; ticket++ {
 			if ends[ticket] != 1 {
-				t.Fatal("seed", seed, "ticket", ticket, "ended", ends[ticket], "times")
+				t.Fatalf("seed %d: ticket %d ended %d times, want once", seed, ticket, ends[ticket])
 			}
 		}
 	}
--- a/internal/tooling/workeremulator/heartbeats_test.go
+++ b/internal/tooling/workeremulator/heartbeats_test.go
@@ -45,6 +45,6 @@
 	}
 	want := "[first/-/Workers.Heartbeat/w1 steady other/-/Workers.Heartbeat/w1 steady first/-/Workers.Heartbeat/w1 draining first/-/Workers.Depart/w1 draining]"
 	if fmt.Sprint(paths) != want || fmt.Sprint(counts) != "[1 2 3 4]" {
-		t.Fatal(paths, counts)
+		t.Fatalf("calls %v with counts %v, want %s with counts [1 2 3 4]", paths, counts, want)
 	}
 }
--- a/internal/tooling/workeremulator/sender_test.go
+++ b/internal/tooling/workeremulator/sender_test.go
@@ -79,13 +79,13 @@
 	_, record, address, _ := start(t, engineSettings)
 	resp, body, err := sendThrough(t, startDataPlane(t, address), "/rigid/x")
 	if err != nil || resp.StatusCode != 200 || body != completeStream("one") {
-		t.Fatal(resp, body, err)
+		t.Fatalf("response %v with body %q and error %v, want 200 with the complete stream", resp, body, err)
 	}
 	if _, valid := VerifySeal(resp.Header.Get(headerSeal), "one"); !valid {
-		t.Fatal(resp.Header)
+		t.Fatalf("response headers %v, want a valid seal for the attempt", resp.Header)
 	}
 	if runs, _ := record.WithPrefix(""); len(runs) != 1 || !runs[0].Ended {
-		t.Fatal(runs)
+		t.Fatalf("runs %+v, want one that has ended", runs)
 	}
 }
 
@@ -99,11 +99,11 @@
 	_, after, secondAddress, _ := start(t, settings)
 	resp, body, err := sendThrough(t, startDataPlane(t, firstAddress, secondAddress), "/stream/x")
 	if err != nil || resp.StatusCode != 200 || body != completeStream("one") {
-		t.Fatal(resp, body, err)
+		t.Fatalf("response %v with body %q and error %v, want 200 with the complete stream", resp, body, err)
 	}
 	runs, _ := before.WithPrefix("")
 	more, _ := after.WithPrefix("")
 	if len(runs) != 1 || len(more) != 1 || more[0].From != 4 {
-		t.Fatal(runs, more)
+		t.Fatalf("runs %+v at the first worker and %+v at the second, want one each, the second resumed after event 4", runs, more)
 	}
 }
--- a/internal/tooling/workeremulator/warmup_test.go
+++ b/internal/tooling/workeremulator/warmup_test.go
@@ -16,17 +16,17 @@
 	var later func()
 	worker := NewWorker(settings, &Record{}, deferringClock{clockValue, &later}, 1)
 	if worker.engine.shape.Step != 2*smallShape.Step || worker.warmUntil.Sub(clockValue.Now()) != time.Second {
-		t.Fatal(worker.engine.shape, worker.warmUntil)
+		t.Fatalf("shape %+v and end of warm-up %v, want steps twice as long and 1 s of warm-up left", worker.engine.shape, worker.warmUntil)
 	}
 	worker.SetFaults(Faults{Slow: 3})
 	if worker.engine.shape.Step != 6*smallShape.Step {
-		t.Fatal("slow trouble and warm-up must multiply, got", worker.engine.shape)
+		t.Fatalf("shape %+v with a fault that slows by 3 during warm-up, want steps 6 times as long", worker.engine.shape)
 	}
 	worker.SetFaults(Faults{})
 	clockValue.now = clock.Instant(2 * time.Second)
 	later()
 	if worker.engine.shape.Step != smallShape.Step || worker.engine.shape.ReadPerMs != smallShape.ReadPerMs {
-		t.Fatal("still slow after warm-up", worker.engine.shape)
+		t.Fatalf("shape %+v after warm-up, want normal speed", worker.engine.shape)
 	}
 }
 
--- a/internal/tooling/workeremulator/worker_test.go
+++ b/internal/tooling/workeremulator/worker_test.go
@@ -72,14 +72,14 @@
 	resp, body, err := post(address, "one", headerTokens, "20,12", headerPrefix, "a:10", headerModel, "m", headerTarget, "w1", headerLastEventID, "1")
 	want := fmt.Sprintf("id: 2\ndata: %s\n\nid: 3\ndata: %s\n\n", EventData("one", 2), EventData("one", 3))
 	if err != nil || body != want || resp.Header.Get(headerAttempt) != "one" || resp.Header.Get(headerLoad) == "" || resp.Header.Get("Keep-Alive") == "" {
-		t.Fatal(resp, body, err)
+		t.Fatalf("response %v with body %q and error %v, want body %q and the attempt, load and Keep-Alive headers", resp, body, err, want)
 	}
 	if worker, valid := VerifySeal(resp.Header.Get(headerSeal), "one"); !valid || worker != "w1" {
-		t.Fatal(resp.Header)
+		t.Fatalf("response headers %v, want a valid seal of worker w1", resp.Header)
 	}
 	runs, _ := record.WithPrefix("on")
 	if len(runs) != 1 || runs[0].From != 1 || runs[0].Path != "/a/b" || runs[0].Body != BodySum([]byte("body")) {
-		t.Fatal(runs)
+		t.Fatalf("runs %+v, want one of /a/b after event 1 with the checksum of the body", runs)
 	}
 }
 
@@ -90,22 +90,22 @@
 	} {
 		resp, _, err := post(address, "one", header...)
 		if err != nil || resp.Header.Get(headerNotExecuted) == "" {
-			t.Fatal(name, resp, err)
+			t.Fatalf("%s: response %v and error %v, want one marked as not executed", name, resp, err)
 		}
 	}
 	worker.SetFaults(Faults{Full: 1})
 	if resp, _, err := post(address, "one"); err != nil || resp.StatusCode != 503 || resp.Header.Get(headerNotExecuted) == "" {
-		t.Fatal(resp, err)
+		t.Fatalf("full worker: response %v and error %v, want 503 marked as not executed", resp, err)
 	}
 	if resp, _, err := post(address, ""); err != nil || resp.StatusCode != 400 {
-		t.Fatal(resp, err)
+		t.Fatalf("request without an attempt id: response %v and error %v, want 400", resp, err)
 	}
 	if runs, _ := record.WithPrefix(""); len(runs) != 0 {
-		t.Fatal("requests ran, want none", runs)
+		t.Fatalf("runs %+v, want none", runs)
 	}
 }
 
-func TestHealthCheckAndLyingTrouble(t *testing.T) {
+func TestHealthCheckAndLyingFault(t *testing.T) {
 	worker, _, address, _ := start(t, plainSettings)
 	get := func(path string) (int, string, http.Header) {
 		resp, err := http.Get("http://" + address + path)
@@ -117,19 +117,19 @@
 		return resp.StatusCode, string(body), resp.Header
 	}
 	if status, _, header := get("/health"); status != 200 || header.Get(headerID) != "w1" || header.Get(headerLoad) == "" {
-		t.Fatal(status, header)
+		t.Fatalf("health check: status %d with headers %v, want 200 with worker id and load", status, header)
 	}
 	worker.SetFaults(Faults{Lying: true})
 	if status, _, _ := get("/health"); status != 503 {
-		t.Fatal(status)
+		t.Fatalf("health check of a lying worker: status %d, want 503", status)
 	}
 	worker.Drain()
 	if status, _, _ := get("/health"); status != 200 {
-		t.Fatal("lying worker that drains must report healthy, got status", status)
+		t.Fatalf("health check of a lying worker that drains: status %d, want 200", status)
 	}
 	var received report
 	if _, body, _ := get("/-/report"); json.Unmarshal([]byte(body), &received) != nil || received.Stage != "both" {
-		t.Fatal(body)
+		t.Fatalf("report %q, want JSON with stage both", body)
 	}
 }
 
@@ -138,19 +138,19 @@
 	worker, record, address, _ := start(t, plainSettings)
 	worker.SetFaults(Faults{Fail: 1})
 	if resp, _, err := post(address, "fail"); err != nil || resp.StatusCode != 500 || resp.Header.Get(headerNotExecuted) != "" {
-		t.Fatal(resp, err)
+		t.Fatalf("fault fail: response %v and error %v, want 500 not marked as not executed", resp, err)
 	}
 	worker.SetFaults(Faults{Never: 1})
 	if resp, _, err := post(address, "never"); err != nil || resp.StatusCode != 422 || resp.Header.Get(headerNotExecuted) != "" {
-		t.Fatal(resp, err)
+		t.Fatalf("fault never: response %v and error %v, want 422 not marked as not executed", resp, err)
 	}
 	worker.SetFaults(Faults{Cut: 1})
 	if _, body, err := post(address, "cut"); err == nil {
-		t.Fatal("cut response was read without error", body)
+		t.Fatalf("fault cut: body %q was read without error, want an error", body)
 	}
 	worker.SetFaults(Faults{Garble: 1})
 	if resp, _, err := post(address, "garble"); err == nil {
-		t.Fatal(resp)
+		t.Fatalf("fault garble: response %v without error, want an error", resp)
 	}
 	worker.SetFaults(Faults{Surplus: 1})
 	connection, err := net.Dial("tcp4", address)
@@ -163,12 +163,12 @@
 	for count := 0; count < 2; count++ {
 		resp, err := http.ReadResponse(reader, nil)
 		if err != nil || resp.Header.Get(headerAttempt) != "twice" {
-			t.Fatal(count, resp, err)
+			t.Fatalf("fault surplus: response %d (from 0) is %v with error %v, want one to attempt twice", count, resp, err)
 		}
 		_, _ = io.Copy(io.Discard, resp.Body)
 	}
 	if runs, _ := record.WithPrefix(""); len(runs) != 5 {
-		t.Fatal("each broken response must count as one run, want 5, got", runs)
+		t.Fatalf("runs %+v, want 5: one for each broken response", runs)
 	}
 }
 
@@ -199,7 +199,7 @@
 		t.Fatal("got a response on a forgotten connection")
 	}
 	if runs, _ := record.WithPrefix(""); len(runs) != 1 {
-		t.Fatal(runs)
+		t.Fatalf("runs %+v, want only that of the first request", runs)
 	}
 }
 
@@ -214,9 +214,9 @@
 	defer first.Close()
 	fmt.Fprintf(first, "GET /-/report HTTP/1.1\r\nHost: h\r\n\r\n")
 	if resp, err := http.ReadResponse(bufio.NewReader(first), nil); err != nil || resp.StatusCode != 200 {
-		t.Fatal(resp, err)
+		t.Fatalf("connection within the limit: response %v and error %v, want 200", resp, err)
 	}
 	if resp, _, err := post(address, "one"); err == nil {
-		t.Fatal(resp)
+		t.Fatalf("connection beyond the limit: response %v without error, want an error", resp)
 	}
 }
