--- a/internal/tooling/explore/state.go
+++ b/internal/tooling/explore/state.go
@@ -19,7 +19,7 @@
 	// Versions is the number of versions that each writer applies one after the other, each
 	// based on the newest that it knows. Zero means one.
 	Versions int
-	// Attempts is the maximum number of ballots that each of these processes opens.
+	// Attempts is the maximum number of ballots that each writer and reconciler opens.
 	Attempts int
 	// Wipes is the number of machines that lose their disks, at any moment at which no other
 	// member of the set has lost its disk. Restarts is the number of processes that restart and
@@ -95,7 +95,8 @@
 // none is the valueID of no value.
 const none valueID = -1
 
-// vote is the state of one ballot: its value and the acceptors that accepted it.
+// vote is the state of one ballot: its value and the acceptors that accepted it. The list of
+// acceptors is dropped once they have chosen the value.
 type vote struct {
 	ballot messages.Ballot
 	value  valueID
--- a/internal/tooling/forecast/demand.go
+++ b/internal/tooling/forecast/demand.go
@@ -54,7 +54,7 @@
 }
 
 // addTraffic adds the traffic of a surge to the classes of its route, in proportion to their
-// present rates.
+// present rates, or in equal shares if all of these are 0.
 func addTraffic(all []*demand, state *FleetState, surge *Surge, traffic *Traffic) []*demand {
 	var onRoute []*demand
 	total := 0.0
--- a/internal/tooling/forecastcases/simulation.go
+++ b/internal/tooling/forecastcases/simulation.go
@@ -118,9 +118,9 @@
 
 func (f *familySimulation) arrive() {
 	f.tickets++
-	c := &request{ticket: f.tickets, arrivedAt: f.now}
-	f.requests[c.ticket] = c
-	f.queue = append(f.queue, c)
+	r := &request{ticket: f.tickets, arrivedAt: f.now}
+	f.requests[r.ticket] = r
+	f.queue = append(f.queue, r)
 	f.nextAt = f.drawArrival()
 }
 
@@ -136,25 +136,25 @@
 		if target == nil {
 			return
 		}
-		c := f.queue[0]
+		r := f.queue[0]
 		f.queue = f.queue[1:]
-		f.send(c, target)
+		f.send(r, target)
 	}
 }
 
-func (f *familySimulation) send(c *request, target *engineState) {
+func (f *familySimulation) send(r *request, target *engineState) {
 	class := &f.plan.class
-	f.recordWait(c, false)
-	c.sentAt, c.engine = f.now, target
+	f.recordWait(r, false)
+	r.sentAt, r.engine = f.now, target
 	target.assigned++
 	running, waiting, _ := target.engine.State()
-	c.running, c.waiting = running+1, waiting
-	work := workeremulator.EngineRequest{Ticket: c.ticket, Model: f.plan.name, Work: class.work}
+	r.running, r.waiting = running+1, waiting
+	work := workeremulator.EngineRequest{Ticket: r.ticket, Model: f.plan.name, Work: class.work}
 	if class.work == 0 {
 		// Sizes are uniform between 0.5 and 1.5 times the mean.
 		size := 0.5 + f.random.Float64()
-		c.ownTokens = int64(float64(class.ownTokens) * size)
-		work.In, work.Out = c.ownTokens+class.sharedTokens, max(int64(float64(class.outTokens)*(0.5+f.random.Float64())), 1)
+		r.ownTokens = int64(float64(class.ownTokens) * size)
+		work.In, work.Out = r.ownTokens+class.sharedTokens, max(int64(float64(class.outTokens)*(0.5+f.random.Float64())), 1)
 		if class.sharedTokens > 0 {
 			work.Parts = []workeremulator.Part{{Key: "shared", Tokens: class.sharedTokens}}
 		}
@@ -172,20 +172,20 @@
 
 func (f *familySimulation) refuseOverdue() {
 	for len(f.queue) > 0 && f.overdueAt() <= f.now {
-		c := f.queue[0]
+		r := f.queue[0]
 		f.queue = f.queue[1:]
-		f.recordWait(c, true)
-		f.recordOutcome(c, trafficstats.OutcomeRejected, true)
+		f.recordWait(r, true)
+		f.recordOutcome(r, trafficstats.OutcomeRejected, true)
 	}
 }
 
 // recordWait adds a request's wait to the window in which the request arrived.
-func (f *familySimulation) recordWait(c *request, refused bool) {
-	i := int(clock.ToMilliseconds(c.arrivedAt.Sub(0)) / windowMs)
+func (f *familySimulation) recordWait(r *request, refused bool) {
+	i := int(clock.ToMilliseconds(r.arrivedAt.Sub(0)) / windowMs)
 	for len(f.windows) <= i {
 		f.windows = append(f.windows, window{})
 	}
-	f.windows[i].waitMs += clock.ToMilliseconds(f.now.Sub(c.arrivedAt))
+	f.windows[i].waitMs += clock.ToMilliseconds(f.now.Sub(r.arrivedAt))
 	f.windows[i].total++
 	if refused {
 		f.windows[i].refused++
--- a/internal/tooling/workeremulator/cache.go
+++ b/internal/tooling/workeremulator/cache.go
@@ -5,7 +5,8 @@
 	"strings"
 )
 
-// Part is one part of a prompt. Its key is the id in the request, and model and id in the cache.
+// Part is one part of a prompt. Its key is the id of the part in an EngineRequest, and the model
+// followed by that id in the cache.
 type Part struct {
 	Key    string
 	Tokens int64
--- a/internal/tooling/workeremulator/connection.go
+++ b/internal/tooling/workeremulator/connection.go
@@ -53,7 +53,7 @@
 	return connection
 }
 
-// serveProbe waits for a slot as a request does, then responds whether the worker is healthy.
+// serveProbe waits for a slot as a request does, then reports whether the worker is healthy.
 func (w *Worker) serveProbe(writer http.ResponseWriter, request *http.Request) {
 	ticket, waiting := w.submit(EngineRequest{Work: 1}, Run{})
 	defer w.cancel(ticket)
--- a/internal/tooling/workeremulator/record.go
+++ b/internal/tooling/workeremulator/record.go
@@ -85,7 +85,8 @@
 	return worker, worker != "" && seal == Seal(worker, attempt)
 }
 
-// neverSucceeds reports whether an attempt belongs to the share that can never be done.
+// neverSucceeds reports whether an attempt belongs to the share that fails at every worker
+// (Faults.Never).
 func neverSucceeds(attempt string, share float64) bool {
 	digest := sha256.Sum256([]byte("never" + attempt))
 	return float64(digest[0])/256 < share
