--- a/cmd/lemonarch/assign.go
+++ b/cmd/lemonarch/assign.go
@@ -60,11 +60,11 @@
 	if err := checkFormat(options.format); err != nil {
 		return err
 	}
-	var earlier *adapterplan.Answer
+	var earlier *adapterplan.Solution
 	if options.keep != "" {
 		text, err := os.ReadFile(options.keep)
 		if err == nil {
-			earlier, err = adapterplan.ReadAnswer(text)
+			earlier, err = adapterplan.ReadSolution(text)
 		}
 		if err != nil {
 			return exitError{exitUnusable, "--keep " + options.keep + ": " + strings.ReplaceAll(err.Error(), "\n", " ")}
@@ -74,26 +74,26 @@
 	if err != nil {
 		return err
 	}
-	answer, refusal, err := planWithTimeout(rules, window, earlier)
+	solution, refusal, err := planWithTimeout(rules, window, earlier)
 	if err != nil {
 		return err
 	}
-	return printPlan(writer, answer, refusal, options.format)
+	return printPlan(writer, solution, refusal, options.format)
 }
 
 // planWithTimeout stops waiting for a plan after constants.PlanTimeout. Planning is a computationally hard
 // problem that may take arbitrarily long, and an operator who prepares a window must learn in
 // time that there is no result.
-func planWithTimeout(rules *adapterplan.Rules, window *string, earlier *adapterplan.Answer) (*adapterplan.Answer, *adapterplan.Refusal, error) {
+func planWithTimeout(rules *adapterplan.Rules, window *string, earlier *adapterplan.Solution) (*adapterplan.Solution, *adapterplan.Refusal, error) {
 	type result struct {
-		answer  *adapterplan.Answer
-		refusal *adapterplan.Refusal
-		err     error
+		solution *adapterplan.Solution
+		refusal  *adapterplan.Refusal
+		err      error
 	}
 	done := make(chan result, 1)
 	go func() {
 		planned := result{}
-		planned.answer, planned.refusal, _, planned.err = adapterplan.Plan(rules, window, earlier)
+		planned.solution, planned.refusal, _, planned.err = adapterplan.Plan(rules, window, earlier)
 		done <- planned
 	}()
 	timer := clock.NewTimer(constants.PlanTimeout)
@@ -106,14 +106,14 @@
 		if planned.err != nil {
 			return nil, nil, exitError{exitUnusable, planned.err.Error()}
 		}
-		return planned.answer, planned.refusal, nil
+		return planned.solution, planned.refusal, nil
 	case <-timer.C:
 		return nil, nil, exitError{exitUnusable, "planning timed out after " + constants.PlanTimeout.String()}
 	}
 }
 
-// printPlan writes the answer, or writes the refusal and returns the error with its exit code.
-func printPlan(writer io.Writer, answer *adapterplan.Answer, refusal *adapterplan.Refusal, format string) error {
+// printPlan writes the solution, or writes the refusal and returns the error with its exit code.
+func printPlan(writer io.Writer, solution *adapterplan.Solution, refusal *adapterplan.Refusal, format string) error {
 	if refusal != nil {
 		if format == "table" {
 			refusal.Table(writer)
@@ -123,8 +123,8 @@
 		return exitError{exitInvalid, fmt.Sprintf("the rules conflict, collisions=%d", len(refusal.Collisions))}
 	}
 	if format == "table" {
-		answer.Table(writer)
+		solution.Table(writer)
 		return nil
 	}
-	return adapterplan.JSON(writer, answer)
+	return adapterplan.JSON(writer, solution)
 }
--- a/cmd/lemonarch/assign_apply.go
+++ b/cmd/lemonarch/assign_apply.go
@@ -93,13 +93,13 @@
 	if err != nil {
 		return err
 	}
-	var earlier *adapterplan.Answer
+	var earlier *adapterplan.Solution
 	if current.Revision > 0 {
-		if earlier, err = adapterplan.ReadAnswer(current.Value.Solution); err != nil {
+		if earlier, err = adapterplan.ReadSolution(current.Value.Solution); err != nil {
 			return exitError{exitInvalid, "the plan in force can't be parsed: " + oneLine(err)}
 		}
 	}
-	answer, refusal, err := planWithTimeout(rules, nil, earlier)
+	solution, refusal, err := planWithTimeout(rules, nil, earlier)
 	if err != nil {
 		return err
 	}
@@ -107,23 +107,23 @@
 		return printPlan(writer, nil, refusal, format)
 	}
 	body := &bytes.Buffer{}
-	if err = adapterplan.JSON(body, answer); err != nil {
+	if err = adapterplan.JSON(body, solution); err != nil {
 		return err
 	}
 	plan, err := client.apply(&messages.PlanApplyRequest{Base: current.Revision, Rules: text, Solution: body.Bytes()})
 	if err != nil {
 		return err
 	}
-	if answer, err = adapterplan.ReadAnswer(plan.Value.Solution); err != nil {
+	if solution, err = adapterplan.ReadSolution(plan.Value.Solution); err != nil {
 		return exitError{exitInvalid, oneLine(err)}
 	}
 	moves := 0
-	if answer.Moves != nil {
-		moves = *answer.Moves
+	if solution.Moves != nil {
+		moves = *solution.Moves
 	}
 	fmt.Fprintf(diagnostics, "in force: revision=%d generation=%d moves=%d\n", plan.Revision, plan.Generation, moves)
 	for _, line := range plan.Collisions {
 		fmt.Fprintln(diagnostics, "collision, the previous plan stays in force: "+line)
 	}
-	return printPlan(writer, answer, nil, format)
+	return printPlan(writer, solution, nil, format)
 }
--- a/cmd/lemonarch/assign_test.go
+++ b/cmd/lemonarch/assign_test.go
@@ -38,7 +38,7 @@
 	return path
 }
 
-func TestAssignPrintsAnswers(t *testing.T) {
+func TestAssignPrintsSolutions(t *testing.T) {
 	output, diagnostics, code, _ := runAssign(exampleRules)
 	if code != 0 || diagnostics != "" || !strings.HasPrefix(output, `{"generation":4,"windows":[{"window":"morning"`) {
 		t.Fatalf("exit code %d, output %q, diagnostics %q; want exit code 0, a plan and no diagnostics", code, output, diagnostics)
@@ -85,14 +85,14 @@
 		t.Fatalf("invalid file: exit code %d, output %q, diagnostics %q; want exit code %d, no output and a finding for each field", code, output, diagnostics, exitInvalid)
 	}
 	for name, arguments := range map[string][]string{
-		"no file":        {},
-		"two files":      {exampleRules, exampleRules},
-		"missing file":   {"/nowhere/rules.toml"},
-		"unknown format": {exampleRules, "--output", "yaml"},
-		"unknown window": {exampleRules, "--window", "noon"},
-		"unknown flag":   {exampleRules, "--fast"},
-		"keep missing":   {exampleRules, "--keep", "/nowhere/answer.json"},
-		"keep no answer": {exampleRules, "--keep", invalid},
+		"no file":          {},
+		"two files":        {exampleRules, exampleRules},
+		"missing file":     {"/nowhere/rules.toml"},
+		"unknown format":   {exampleRules, "--output", "yaml"},
+		"unknown window":   {exampleRules, "--window", "noon"},
+		"unknown flag":     {exampleRules, "--fast"},
+		"keep missing":     {exampleRules, "--keep", "/nowhere/solution.json"},
+		"keep no solution": {exampleRules, "--keep", invalid},
 	} {
 		if output, _, code, text := runAssign(arguments...); code != exitUnusable || output != "" || text == "" || strings.Contains(text, "\n") {
 			t.Errorf("%s: exit code %d, output %q, error %q; want exit code %d, no output and an error of one line", name, code, output, text, exitUnusable)
--- a/internal/configuration/adapterplan/planner.go
+++ b/internal/configuration/adapterplan/planner.go
@@ -2,7 +2,7 @@
 
 import "github.com/crillab/gophersat/solver"
 
-// Counts measures the work that an answer took.
+// Counts measures the work that planning took.
 type Counts struct {
 	// Checks counts the checks whether a partial assignment can be completed, and
 	// SolverCalls those checks that needed the solver.
@@ -13,52 +13,52 @@
 type planner struct {
 	problem *problem
 	counts  *Counts
-	// kept counts, by variable and node, the assignments of an earlier answer; nil means
-	// that there is none. minKept is how many of them must be kept.
-	kept    [][]int
-	minKept int
+	// earlierCounts counts, by variable and node, the assignments of an earlier solution; nil
+	// means that there is none. minKept is how many of them must be kept.
+	earlierCounts [][]int
+	minKept       int
 	// clausesMax is how many clauses the solver may learn in one call.
 	clausesMax int
 }
 
-// complete returns a full assignment that agrees with the settled one, if there is one.
+// complete returns a full assignment that extends the fixed one, if there is one.
 // The error is ErrEffortExceeded if the solver reached its limit.
-func (p *planner) complete(settled partial) (partial, bool, error) {
+func (p *planner) complete(fixed partial) (partial, bool, error) {
 	p.counts.Checks++
-	// The greedy guess comes first since it costs least, and with many choices it usually is an answer.
-	if _, guess := p.guess(settled, p.choiceOrder()); guess != nil && p.problem.satisfiedBy(guess) && p.keptCount(guess) >= p.minKept {
+	// The greedy guess comes first since it costs least, and with many choices it usually is a solution.
+	if _, guess := p.guess(fixed, p.choiceOrder()); guess != nil && p.problem.satisfiedBy(guess) && p.keptCount(guess) >= p.minKept {
 		return guess, true, nil
 	}
-	if p.problem.insufficient(settled) {
+	if p.problem.insufficient(fixed) {
 		return nil, false, nil
 	}
 	if p.minKept > 0 {
-		if _, _, keepable := p.problem.flow(settled, p.problem.copiesMeasure(settled), p.kept); keepable < p.minKept {
+		if _, _, keptBound := p.problem.flow(fixed, p.problem.copiesMeasure(fixed), p.earlierCounts); keptBound < p.minKept {
 			return nil, false, nil
 		}
 	}
 	p.counts.SolverCalls++
-	encoding := newEncoding(p.problem, settled)
+	encoding := newEncoding(p.problem, fixed)
 	if p.minKept > 0 {
-		encoding.addKept(p.kept, p.minKept)
+		encoding.addMinKept(p.earlierCounts, p.minKept)
 	}
 	full, found, err := encoding.solve(p.clausesMax)
 	if err != nil || !found {
 		return nil, false, err
 	}
 	if !p.problem.satisfiedBy(full) || p.keptCount(full) < p.minKept {
-		return nil, false, ErrUndecided.New("the solver's answer breaks a rule")
+		return nil, false, ErrUndecided.New("the solver's solution breaks a rule")
 	}
 	return full, true, nil
 }
 
-// keptCount counts the assignments of the earlier answer that a full assignment keeps.
+// keptCount counts the assignments of the earlier solution that a full assignment keeps.
 func (p *planner) keptCount(full partial) int {
 	count := 0
 	for index := range full {
 		for node, state := range full[index] {
 			if state == placed {
-				count += weightOf(p.kept, index, node)
+				count += weightOf(p.earlierCounts, index, node)
 			}
 		}
 	}
@@ -71,7 +71,7 @@
 // excluding all of them.
 type encoding struct {
 	problem *problem
-	settled partial
+	fixed   partial
 	// number is the number of the solver's variable for each variable and node, 0 if the node is not open.
 	number [][]int
 	// lastNumber is the highest number in use.
@@ -81,11 +81,11 @@
 	unsatisfiable bool
 }
 
-func newEncoding(problem *problem, settled partial) *encoding {
-	encoded := &encoding{problem: problem, settled: settled, number: make([][]int, len(problem.variables))}
+func newEncoding(problem *problem, fixed partial) *encoding {
+	encoded := &encoding{problem: problem, fixed: fixed, number: make([][]int, len(problem.variables))}
 	for index := range problem.variables {
 		encoded.number[index] = make([]int, len(problem.nodes))
-		for node, state := range settled[index] {
+		for node, state := range fixed[index] {
 			if state == open {
 				encoded.lastNumber++
 				encoded.number[index][node] = encoded.lastNumber
@@ -159,7 +159,7 @@
 func (e *encoding) addCopies(index int) {
 	missing := e.problem.variables[index].copies
 	var free []int
-	for node, state := range e.settled[index] {
+	for node, state := range e.fixed[index] {
 		if state == placed {
 			missing--
 		}
@@ -181,7 +181,7 @@
 	var free, sizes, weights []int
 	for index := range e.problem.variables {
 		size, weight := len(e.problem.variables[index].names), e.problem.variables[index].memory
-		if e.settled[index][node] == placed {
+		if e.fixed[index][node] == placed {
 			slots, memory = slots-size, memory-weight
 		}
 		if number := e.number[index][node]; number > 0 {
--- a/internal/control/assignmentserver/assignmentserver.go
+++ b/internal/control/assignmentserver/assignmentserver.go
@@ -174,7 +174,7 @@
 	if current.Revision != req.Base {
 		return &messages.PlanApplyResponse{Revision: current.Revision, Reason: "another plan was put in force meanwhile"}, nil
 	}
-	value, err := adapterplan.Enact(&current.Value, req.Rules, req.Solution)
+	value, err := adapterplan.NextValue(&current.Value, req.Rules, req.Solution)
 	if err != nil {
 		return &messages.PlanApplyResponse{Revision: current.Revision, Reason: err.Error()}, nil
 	}
