--- a/internal/configuration/configcheck/pieces.go
+++ b/internal/configuration/configcheck/chunks.go
@@ -8,13 +8,13 @@
 )
 
 // A CUE value takes about two hundred times the length of its text, so a long configuration is checked
-// in pieces. A piece is some of its routes or services, completed to a configuration with valid
+// in chunks. A chunk is some of its routes or services, completed to a configuration with valid
 // placeholders for the other members of the schema. The members that are not lists are checked at the
 // end.
 
 const (
-	// pieceBytes is the length of a piece, in bytes. A shorter configuration is checked as a whole.
-	pieceBytes = 32 << 10
+	// chunkBytes is the length of a chunk, in bytes. A shorter configuration is checked as a whole.
+	chunkBytes = 32 << 10
 	// elementBytes is the maximum length, in bytes, of a route or service and of each other member of
 	// the schema.
 	elementBytes = 128 << 10
@@ -30,8 +30,8 @@
 	memberLimits     = "limits"
 )
 
-// pieces checks a configuration piece by piece.
-type pieces struct {
+// chunkChecker checks a configuration chunk by chunk.
+type chunkChecker struct {
 	checker  *Checker
 	findings []string
 	// seen has the names of the schema's members that were read.
@@ -40,40 +40,40 @@
 	generation, limits json.RawMessage
 }
 
-// shapeInPieces returns the findings of the schema against a long configuration: at most findingsMax,
+// shapeInChunks returns the findings of the schema against a long configuration: at most findingsMax,
 // and one more if the body can't be parsed.
-func (c *Checker) shapeInPieces(body []byte) []string {
-	p := &pieces{checker: c, seen: map[string]bool{}}
+func (c *Checker) shapeInChunks(body []byte) []string {
+	chunks := &chunkChecker{checker: c, seen: map[string]bool{}}
 	decoder := json.NewDecoder(bytes.NewReader(body))
-	if err := p.read(decoder); err != nil {
-		return append(p.findings, "can't be read: "+err.Error())
+	if err := chunks.read(decoder); err != nil {
+		return append(chunks.findings, "can't be read: "+err.Error())
 	}
-	if len(p.findings) == 0 {
-		p.checkRest()
+	if len(chunks.findings) == 0 {
+		chunks.checkRest()
 	}
 	// The context is not kept for the next configuration, since it never releases values.
 	if err := c.renew(); err != nil {
 		return []string{err.Error()}
 	}
-	return p.findings
+	return chunks.findings
 }
 
 // read reads the members in the order of the text.
-func (p *pieces) read(decoder *json.Decoder) error {
+func (c *chunkChecker) read(decoder *json.Decoder) error {
 	if err := expect(decoder, '{'); err != nil {
 		return err
 	}
-	for decoder.More() && len(p.findings) < findingsMax {
+	for decoder.More() && len(c.findings) < findingsMax {
 		token, err := decoder.Token()
 		if err != nil {
 			return err
 		}
 		name, _ := token.(string)
-		if err := p.member(decoder, name); err != nil {
+		if err := c.member(decoder, name); err != nil {
 			return err
 		}
 	}
-	if len(p.findings) >= findingsMax {
+	if len(c.findings) >= findingsMax {
 		return nil
 	}
 	if err := expect(decoder, '}'); err != nil {
@@ -86,113 +86,113 @@
 }
 
 // member reads the value of one member. Unknown members are accepted.
-func (p *pieces) member(decoder *json.Decoder, name string) error {
-	if p.seen[name] {
-		p.add(name + " stands twice")
+func (c *chunkChecker) member(decoder *json.Decoder, name string) error {
+	if c.seen[name] {
+		c.add(name + " stands twice")
 	}
 	switch name {
 	case memberRoutes, memberServices, memberGeneration, memberLimits:
-		p.seen[name] = true
+		c.seen[name] = true
 	}
 	switch name {
 	case memberRoutes, memberServices:
-		return p.list(decoder, name)
+		return c.list(decoder, name)
 	case memberGeneration:
-		return p.value(decoder, name, &p.generation)
+		return c.value(decoder, name, &c.generation)
 	case memberLimits:
-		return p.value(decoder, name, &p.limits)
+		return c.value(decoder, name, &c.limits)
 	}
 	var unknown json.RawMessage
 	return decoder.Decode(&unknown)
 }
 
 // value reads a member that is not a list.
-func (p *pieces) value(decoder *json.Decoder, name string, into *json.RawMessage) error {
+func (c *chunkChecker) value(decoder *json.Decoder, name string, into *json.RawMessage) error {
 	if err := decoder.Decode(into); err != nil {
 		return err
 	}
 	if len(*into) > elementBytes {
-		p.add(fmt.Sprintf("%s is longer than %d bytes", name, elementBytes))
+		c.add(fmt.Sprintf("%s is longer than %d bytes", name, elementBytes))
 		*into = nil
 	}
 	return nil
 }
 
-// list reads a list and checks it piece by piece.
-func (p *pieces) list(decoder *json.Decoder, name string) error {
+// list reads a list and checks it chunk by chunk.
+func (c *chunkChecker) list(decoder *json.Decoder, name string) error {
 	if err := expect(decoder, '['); err != nil {
 		return err
 	}
-	var piece []json.RawMessage
+	var chunk []json.RawMessage
 	length, first := 0, 0
-	for index := 0; decoder.More() && len(p.findings) < findingsMax; index++ {
+	for index := 0; decoder.More() && len(c.findings) < findingsMax; index++ {
 		var element json.RawMessage
 		if err := decoder.Decode(&element); err != nil {
 			return err
 		}
 		if len(element) > elementBytes {
-			p.add(fmt.Sprintf("%s.%d is longer than %d bytes", name, index, elementBytes))
+			c.add(fmt.Sprintf("%s.%d is longer than %d bytes", name, index, elementBytes))
 			continue
 		}
-		if length > 0 && length+len(element) > pieceBytes {
-			p.checkPiece(name, first, piece)
-			piece, length, first = piece[:0], 0, index
+		if length > 0 && length+len(element) > chunkBytes {
+			c.checkChunk(name, first, chunk)
+			chunk, length, first = chunk[:0], 0, index
 		}
-		piece = append(piece, element)
+		chunk = append(chunk, element)
 		length += len(element)
 	}
-	p.checkPiece(name, first, piece)
-	if len(p.findings) >= findingsMax {
+	c.checkChunk(name, first, chunk)
+	if len(c.findings) >= findingsMax {
 		return nil
 	}
 	return expect(decoder, ']')
 }
 
-// checkPiece checks some elements of a list, in a configuration whose other members are valid
+// checkChunk checks some elements of a list, in a configuration whose other members are valid
 // placeholders.
-func (p *pieces) checkPiece(name string, first int, piece []json.RawMessage) {
-	if len(piece) == 0 || len(p.findings) >= findingsMax {
+func (c *chunkChecker) checkChunk(name string, first int, chunk []json.RawMessage) {
+	if len(chunk) == 0 || len(c.findings) >= findingsMax {
 		return
 	}
 	members := map[string]any{memberGeneration: 1, memberRoutes: []json.RawMessage{}, memberServices: []json.RawMessage{}, memberLimits: struct{}{}}
-	members[name] = piece
-	p.checkShape(members, name+" from "+strconv.Itoa(first)+" on: ")
+	members[name] = chunk
+	c.checkShape(members, name+" from "+strconv.Itoa(first)+" on: ")
 }
 
 // checkRest checks the members that are not lists. The lists themselves are empty; a member that the
 // configuration lacks is missing here too, so that it is reported.
-func (p *pieces) checkRest() {
+func (c *chunkChecker) checkRest() {
 	members := map[string]any{}
 	for _, name := range []string{memberRoutes, memberServices} {
-		if p.seen[name] {
+		if c.seen[name] {
 			members[name] = []json.RawMessage{}
 		}
 	}
-	if p.generation != nil {
-		members[memberGeneration] = p.generation
+	if c.generation != nil {
+		members[memberGeneration] = c.generation
 	}
-	if p.limits != nil {
-		members[memberLimits] = p.limits
+	if c.limits != nil {
+		members[memberLimits] = c.limits
 	}
-	p.checkShape(members, "")
+	c.checkShape(members, "")
 }
 
 // checkShape checks members against the schema and puts prefix before each finding.
-func (p *pieces) checkShape(members map[string]any, prefix string) {
+func (c *chunkChecker) checkShape(members map[string]any, prefix string) {
 	text, err := json.Marshal(members)
 	if err != nil {
-		p.add("can't be read: " + err.Error())
+		c.add("can't be read: " + err.Error())
 		return
 	}
-	for _, finding := range p.checker.shapeFindings(text) {
-		p.add(prefix + finding)
+	for _, finding := range c.checker.shapeFindings(text) {
+		c.add(prefix + finding)
 	}
 }
 
 // add adds a finding, up to findingsMax.
-func (p *pieces) add(finding string) {
-	if len(p.findings) < findingsMax {
-		p.findings = append(p.findings, finding)
+func (c *chunkChecker) add(finding string) {
+	if len(c.findings) < findingsMax {
+		c.findings = append(c.findings, finding)
 	}
 }
 
--- a/internal/configuration/configcheck/configcheck.go
+++ b/internal/configuration/configcheck/configcheck.go
@@ -53,16 +53,16 @@
 }
 
 // Check returns the configuration and the findings against it; a configuration without findings is
-// valid. The configuration is nil if it can't be parsed, or if it is longer than pieceBytes and does
+// valid. The configuration is nil if it can't be parsed, or if it is longer than chunkBytes and does
 // not match the schema.
 //
 // The memory used is a small multiple of the body's length, whatever its content.
 func (c *Checker) Check(body []byte) (*routeconfig.Config, []string) {
-	inPieces := len(body) > pieceBytes
-	if inPieces {
+	inChunks := len(body) > chunkBytes
+	if inChunks {
 		// The schema is checked before parsing: only if the routes are valid is the parsed form
 		// not much longer than the body.
-		if findings := c.shapeInPieces(body); len(findings) > 0 {
+		if findings := c.shapeInChunks(body); len(findings) > 0 {
 			return nil, findings
 		}
 	}
@@ -71,7 +71,7 @@
 		return nil, []string{err.Error()}
 	}
 	var findings []string
-	if !inPieces {
+	if !inChunks {
 		findings = c.shapeFindings(body)
 	}
 	return config, append(findings, crossFieldFindings(config)...)
--- a/internal/configuration/configcheck/configcheck_test.go
+++ b/internal/configuration/configcheck/configcheck_test.go
@@ -75,7 +75,7 @@
 	return text.String()
 }
 
-// A configuration that is checked in pieces must meet the same schema as one that is checked as a whole.
+// A configuration that is checked in chunks must meet the same schema as one that is checked as a whole.
 func TestLongConfigurations(t *testing.T) {
 	checker, err := New()
 	if err != nil {
--- a/internal/configuration/cueshape/cueshape.go
+++ b/internal/configuration/cueshape/cueshape.go
@@ -54,7 +54,7 @@
 
 // shortMessage shortens a message of CUE to one line: for a wrong type CUE quotes the whole schema.
 func shortMessage(message string) string {
-	if _, types, cut := strings.Cut(message, "(mismatched types "); cut {
+	if _, types, mismatch := strings.Cut(message, "(mismatched types "); mismatch {
 		return "wrong type (mismatched types " + types
 	}
 	return strings.ReplaceAll(message, "\n", " ")
