--- a/cmd/lemonarch/assign_apply_test.go
+++ b/cmd/lemonarch/assign_apply_test.go
@@ -59,13 +59,13 @@
 	planned, _, _, _ := runAssign(exampleRules)
 	for range 2 {
 		// Applying the same file again changes nothing.
-		output, notes, code, line := runApply(shell, exampleRules)
+		output, notes, code, errText := runApply(shell, exampleRules)
 		if code != 0 || output != planned || notes != "in force: revision=1 generation=4 moves=0\n" {
-			t.Fatalf("exit code %d, error %q, diagnostics %q, output %q; want exit code 0, revision 1 and the output of assign: %q", code, line, notes, output, planned)
+			t.Fatalf("exit code %d, error %q, diagnostics %q, output %q; want exit code 0, revision 1 and the output of assign: %q", code, errText, notes, output, planned)
 		}
 	}
-	if _, _, code, line := runApply(shell, change("# Which nodes", "# Nodes that")); code != exitInvalid || !strings.Contains(line, "generation is not above") {
-		t.Fatalf("another file of the same generation: exit code %d, error %q; want exit code %d because of the generation", code, line, exitInvalid)
+	if _, _, code, errText := runApply(shell, change("# Which nodes", "# Nodes that")); code != exitInvalid || !strings.Contains(errText, "generation is not above") {
+		t.Fatalf("another file of the same generation: exit code %d, error %q; want exit code %d because of the generation", code, errText, exitInvalid)
 	}
 	// n3 has no slot any more: battery-fault-reader would have to move, and no other node can take it.
 	output, _, code, _ := runApply(shell, change("generation = 4", "generation = 5", "adapter-slots = 1", "adapter-slots = 0"))
@@ -73,9 +73,9 @@
 		t.Fatalf("rules that conflict: exit code %d, output %q; want exit code %d and the collisions", code, output, exitInvalid)
 	}
 	// An additional large node that sorts first by name does not move existing assignments.
-	output, notes, code, line := runApply(shell, change("generation = 4", "generation = 5", `"battery-fault-reader"]`, `"battery-fault-reader"]`+"\n[[nodes]]\nname = \"n0\"\nzone = \"oslo-a\"\nlabels = [\"large\"]\nadapter-slots = 1\n"))
+	output, notes, code, errText := runApply(shell, change("generation = 4", "generation = 5", `"battery-fault-reader"]`, `"battery-fault-reader"]`+"\n[[nodes]]\nname = \"n0\"\nzone = \"oslo-a\"\nlabels = [\"large\"]\nadapter-slots = 1\n"))
 	if code != 0 || notes != "in force: revision=2 generation=5 moves=0\n" || !strings.Contains(output, `"moves":0`) {
-		t.Fatalf("with an additional node: exit code %d, error %q, diagnostics %q, output %q; want exit code 0, revision 2 and 0 moves", code, line, notes, output)
+		t.Fatalf("with an additional node: exit code %d, error %q, diagnostics %q, output %q; want exit code 0, revision 2 and 0 moves", code, errText, notes, output)
 	}
 	var shown bytes.Buffer
 	responses, err := shell.Query("assignments")
@@ -87,8 +87,8 @@
 		t.Fatalf("query assignments printed %q, want the adapters and the column next-window", shown.String())
 	}
 	network.SetPartitioned(shell.Seed, true)
-	if _, _, code, line = runApply(shell, exampleRules); code != exitUnusable || strings.Contains(line, "\n") {
-		t.Fatalf("unreachable controller: exit code %d, error %q; want exit code %d and an error of one line", code, line, exitUnusable)
+	if _, _, code, errText = runApply(shell, exampleRules); code != exitUnusable || strings.Contains(errText, "\n") {
+		t.Fatalf("unreachable controller: exit code %d, error %q; want exit code %d and an error of one line", code, errText, exitUnusable)
 	}
 }
 
--- a/cmd/lemonarch/assign_test.go
+++ b/cmd/lemonarch/assign_test.go
@@ -64,10 +64,10 @@
 	text, _ := os.ReadFile(exampleRules)
 	path := writeTestFile(t, "rules.toml", strings.Replace(string(text), `name = "n3"`+"\n"+`zone = "oslo-b"`, `name = "n3"`+"\n"+`zone = "oslo-b"`+"\nlabels = [\"large\"]", 1)+
 		"\n[[rules]]\nname = \"no-second-slot\"\nkind = \"never\"\nadapters = [\"battery-fault-reader\"]\nnodes = [\"n1\", \"n2\", \"n3\"]\n")
-	output, diagnostics, code, line := runAssign(path)
+	output, diagnostics, code, errText := runAssign(path)
 	want := `{"collisions":[{"window":"morning","rules":["no-second-slot"],"adapters":["battery-fault-reader"],"nodes":["n1","n2","n3"],"reason":"`
-	if code != exitInvalid || diagnostics != "" || !strings.HasPrefix(output, want) || strings.Contains(line, "\n") {
-		t.Fatalf("exit code %d, output %q, diagnostics %q, error %q; want exit code %d, output that begins with %q, no diagnostics and an error of one line", code, output, diagnostics, line, exitInvalid, want)
+	if code != exitInvalid || diagnostics != "" || !strings.HasPrefix(output, want) || strings.Contains(errText, "\n") {
+		t.Fatalf("exit code %d, output %q, diagnostics %q, error %q; want exit code %d, output that begins with %q, no diagnostics and an error of one line", code, output, diagnostics, errText, exitInvalid, want)
 	}
 	if table, _, code, _ := runAssign(path, "--output", "table"); code != exitInvalid || !strings.Contains(table, "rules:    no-second-slot") {
 		t.Fatalf("table: exit code %d, output %q; want exit code %d and rule no-second-slot", code, table, exitInvalid)
--- a/internal/batch/leader/dispatch.go
+++ b/internal/batch/leader/dispatch.go
@@ -18,7 +18,7 @@
 	dispatcher.Ending = func(job *dispatch.Job) bool { return t.submissions.ending[job.ID] }
 	dispatcher.Attempts = func(item *dispatch.Item) int {
 		if route := jobroute.OfItem(t.process.Node.Config(), item); route != nil {
-			return route.Tries
+			return route.MaxAttempts
 		}
 		return constants.JobItemsMax
 	}
--- a/internal/configuration/openapiimport/openapiimport.go
+++ b/internal/configuration/openapiimport/openapiimport.go
@@ -63,7 +63,7 @@
 			}
 			continue
 		}
-		byPrefix[prefix] = &routeconfig.Route{Name: routeName(prefix), Host: host, Prefix: prefix, KindName: kind, CutoffMs: float64(options.CutoffMs), Backend: options.Backend, Tries: attemptsOf(kind)}
+		byPrefix[prefix] = &routeconfig.Route{Name: routeName(prefix), Host: host, Prefix: prefix, KindName: kind, CutoffMs: float64(options.CutoffMs), Backend: options.Backend, MaxAttempts: maxAttempts(kind)}
 		prefixes = append(prefixes, prefix)
 	}
 	for _, prefix := range prefixes {
@@ -141,8 +141,8 @@
 	return false
 }
 
-// attemptsOf returns the number of attempts for a request of a kind.
-func attemptsOf(kind string) int {
+// maxAttempts returns the maximum number of attempts for a request of a kind.
+func maxAttempts(kind string) int {
 	if kind == "idempotent" {
 		return 2
 	}
--- a/internal/configuration/routeconfig/routeconfig.go
+++ b/internal/configuration/routeconfig/routeconfig.go
@@ -42,8 +42,8 @@
 	Priority   int     `json:"priority"`
 	Backend    string  `json:"backend,omitempty"`
 	Weighted   []Share `json:"weighted,omitempty"`
-	// Tries is the maximum number of attempts of a request; Parse sets it to at least 1.
-	Tries int `json:"tries,omitempty"`
+	// MaxAttempts is the maximum number of attempts of a request; Parse sets it to at least 1.
+	MaxAttempts int `json:"tries,omitempty"`
 	// Affine means that workers are also chosen by the prefix of the prompt, to use their prefix caches.
 	Affine    bool `json:"affine,omitempty"`
 	Resumable bool `json:"resumable,omitempty"`
@@ -102,8 +102,8 @@
 	config.service = map[string]*Service{}
 	for index := range config.Routes {
 		route := &config.Routes[index]
-		if route.Tries < 1 {
-			route.Tries = 1
+		if route.MaxAttempts < 1 {
+			route.MaxAttempts = 1
 		}
 		host := strings.ToLower(route.Host)
 		config.byHost[host] = append(config.byHost[host], route)
--- a/internal/tooling/hollowfleet/real.go
+++ b/internal/tooling/hollowfleet/real.go
@@ -184,7 +184,7 @@
 	config := routeconfig.Config{
 		Generation: 1,
 		Routes: []routeconfig.Route{{Name: "r", Host: "a.example", Prefix: "/", KindName: "idempotent", CutoffMs: 2000, SetpointMs: 300,
-			Backend: realService, Tries: 2}},
+			Backend: realService, MaxAttempts: 2}},
 		Services: []routeconfig.Service{{Name: realService, ConnLimit: 500}},
 		Limits:   routeconfig.Limits{HeaderBytes: 65536, BodyBytes: 4 << 20, HeaderWaitMs: 3000, IdleMs: 10000},
 	}
--- a/internal/tooling/lab/configuration.go
+++ b/internal/tooling/lab/configuration.go
@@ -24,7 +24,7 @@
 			labRoute("confirm", routeconfig.Route{KindName: "effectful", Backend: PlainService, SetpointMs: 300, CutoffMs: 3000}),
 			labRoute("status", routeconfig.Route{KindName: "idempotent", Backend: PlainService, SetpointMs: 300, CutoffMs: 3000, Priority: 1}),
 			labRoute("batch", routeconfig.Route{KindName: "bulk", Backend: ModelService, SetpointMs: 1000, CutoffMs: 10000, Priority: 5,
-				Affine: true, ResultMs: 20000, RetainS: 60, BacklogCap: 2_000_000, Tries: 3}),
+				Affine: true, ResultMs: 20000, RetainS: 60, BacklogCap: 2_000_000, MaxAttempts: 3}),
 		},
 		Services: []routeconfig.Service{
 			{Name: ModelService, Probe: ProbePath, ConnLimit: constants.LabConnLimit,
@@ -39,8 +39,8 @@
 // labRoute completes a route with its name, host and prefix, and with two tries if it sets none.
 func labRoute(name string, route routeconfig.Route) routeconfig.Route {
 	route.Name, route.Host, route.Prefix = name, Host, "/"+name+"/"
-	if route.Tries == 0 {
-		route.Tries = 2
+	if route.MaxAttempts == 0 {
+		route.MaxAttempts = 2
 	}
 	return route
 }
--- a/internal/tooling/lab/families.go
+++ b/internal/tooling/lab/families.go
@@ -129,7 +129,7 @@
 		Limits: routeconfig.Limits{HeaderBytes: 16384, BodyBytes: 1 << 20, HeaderWaitMs: 3000, IdleMs: 15000}}
 	for i := range p.Families {
 		family := &p.Families[i]
-		route := routeconfig.Route{KindName: "idempotent", Backend: family.Name, SetpointMs: family.TargetMs, CutoffMs: 10_000, Tries: 1}
+		route := routeconfig.Route{KindName: "idempotent", Backend: family.Name, SetpointMs: family.TargetMs, CutoffMs: 10_000, MaxAttempts: 1}
 		service := routeconfig.Service{Name: family.Name, Probe: ProbePath, ConnLimit: constants.LabConnLimit}
 		if family.Model != "" {
 			route.KindName, route.Affine, route.GapMs = "streaming", true, family.GapMs
--- a/internal/traffic/proxy/exchange.go
+++ b/internal/traffic/proxy/exchange.go
@@ -93,7 +93,7 @@
 // route's number of tries, the deadline or the client's disconnect ends it: its client can no longer
 // be sent a 503 with Retry-After.
 func (e *exchange) exhausted() bool {
-	if clock.Now() >= e.deadline || e.request.Context().Err() != nil || e.attempts >= e.route.Tries {
+	if clock.Now() >= e.deadline || e.request.Context().Err() != nil || e.attempts >= e.route.MaxAttempts {
 		return true
 	}
 	return e.undelivered >= undeliveredLimit && !e.headSent
--- a/internal/traffic/proxy/relay.go
+++ b/internal/traffic/proxy/relay.go
@@ -157,7 +157,7 @@
 // deadline. A request that must not run twice is never preempted.
 func (e *exchange) allowPreemption(grant *admission.Grant) {
 	left := e.deadline.Sub(clock.Now())
-	if !e.retryable() || e.attempts+1 >= e.route.Tries || left < e.route.Setpoint()+constants.StreamReserve {
+	if !e.retryable() || e.attempts+1 >= e.route.MaxAttempts || left < e.route.Setpoint()+constants.StreamReserve {
 		return
 	}
 	grant.AllowPreemption(func() {
--- a/internal/traffic/proxy/silence.go
+++ b/internal/traffic/proxy/silence.go
@@ -19,7 +19,7 @@
 func (e *exchange) silencePolicy(grant *admission.Grant) func(elapsed clock.Duration) bool {
 	return func(elapsed clock.Duration) bool {
 		now := clock.Now()
-		if !e.retryable() || e.attempts+1 >= e.route.Tries {
+		if !e.retryable() || e.attempts+1 >= e.route.MaxAttempts {
 			grant.NoteSilence(elapsed, now)
 			return false
 		}
