--- a/cmd/lemonarch/assign_test.go
+++ b/cmd/lemonarch/assign_test.go
@@ -38,7 +38,7 @@
 	return path
 }
 
-func TestAssignPrintsAnswers(t *testing.T) {
+func TestAssignPrintsSolutions(t *testing.T) {
 	output, diagnostics, code, _ := runAssign(exampleRules)
 	if code != 0 || diagnostics != "" || !strings.HasPrefix(output, `{"generation":4,"windows":[{"window":"morning"`) {
 		t.Fatalf("exit code %d, output %q, diagnostics %q; want exit code 0, a plan and no diagnostics", code, output, diagnostics)
@@ -64,10 +64,10 @@
 	text, _ := os.ReadFile(exampleRules)
 	path := writeTestFile(t, "rules.toml", strings.Replace(string(text), `name = "n3"`+"\n"+`zone = "oslo-b"`, `name = "n3"`+"\n"+`zone = "oslo-b"`+"\nlabels = [\"large\"]", 1)+
 		"\n[[rules]]\nname = \"no-second-slot\"\nkind = \"never\"\nadapters = [\"battery-fault-reader\"]\nnodes = [\"n1\", \"n2\", \"n3\"]\n")
-	output, diagnostics, code, line := runAssign(path)
+	output, diagnostics, code, errText := runAssign(path)
 	want := `{"collisions":[{"window":"morning","rules":["no-second-slot"],"adapters":["battery-fault-reader"],"nodes":["n1","n2","n3"],"reason":"`
-	if code != exitInvalid || diagnostics != "" || !strings.HasPrefix(output, want) || strings.Contains(line, "\n") {
-		t.Fatalf("exit code %d, output %q, diagnostics %q, error %q; want exit code %d, output that begins with %q, no diagnostics and an error of one line", code, output, diagnostics, line, exitInvalid, want)
+	if code != exitInvalid || diagnostics != "" || !strings.HasPrefix(output, want) || strings.Contains(errText, "\n") {
+		t.Fatalf("exit code %d, output %q, diagnostics %q, error %q; want exit code %d, output that begins with %q, no diagnostics and an error of one line", code, output, diagnostics, errText, exitInvalid, want)
 	}
 	if table, _, code, _ := runAssign(path, "--output", "table"); code != exitInvalid || !strings.Contains(table, "rules:    no-second-slot") {
 		t.Fatalf("table: exit code %d, output %q; want exit code %d and rule no-second-slot", code, table, exitInvalid)
@@ -85,14 +85,14 @@
 		t.Fatalf("invalid file: exit code %d, output %q, diagnostics %q; want exit code %d, no output and a finding for each field", code, output, diagnostics, exitInvalid)
 	}
 	for name, arguments := range map[string][]string{
-		"no file":        {},
-		"two files":      {exampleRules, exampleRules},
-		"missing file":   {"/nowhere/rules.toml"},
-		"unknown format": {exampleRules, "--output", "yaml"},
-		"unknown window": {exampleRules, "--window", "noon"},
-		"unknown flag":   {exampleRules, "--fast"},
-		"keep missing":   {exampleRules, "--keep", "/nowhere/answer.json"},
-		"keep no answer": {exampleRules, "--keep", invalid},
+		"no file":          {},
+		"two files":        {exampleRules, exampleRules},
+		"missing file":     {"/nowhere/rules.toml"},
+		"unknown format":   {exampleRules, "--output", "yaml"},
+		"unknown window":   {exampleRules, "--window", "noon"},
+		"unknown flag":     {exampleRules, "--fast"},
+		"keep missing":     {exampleRules, "--keep", "/nowhere/solution.json"},
+		"keep no solution": {exampleRules, "--keep", invalid},
 	} {
 		if output, _, code, text := runAssign(arguments...); code != exitUnusable || output != "" || text == "" || strings.Contains(text, "\n") {
 			t.Errorf("%s: exit code %d, output %q, error %q; want exit code %d, no output and an error of one line", name, code, output, text, exitUnusable)
