--- a/cmd/lemonarch/jobs.go
+++ b/cmd/lemonarch/jobs.go
@@ -56,7 +56,7 @@
 	defer release()
 	ctx, stop := signal.NotifyContext(limited, syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	err := call(ctx, &jobclient.Client{Edges: f.edges, Host: f.host})
+	err := call(ctx, &jobclient.Client{Gateways: f.edges, Host: f.host})
 	if err != nil {
 		var exit exitError
 		if errors.As(err, &exit) {
--- a/internal/batch/jobclient/jobclient.go
+++ b/internal/batch/jobclient/jobclient.go
@@ -65,8 +65,8 @@
 
 // Client calls the gateways of a fleet, each call on a new connection. It is not safe for concurrent use.
 type Client struct {
-	// Edges contains gateway addresses, host:port. After a failure the next one is used.
-	Edges []string
+	// Gateways contains gateway addresses, host:port. After a failure the next one is used.
+	Gateways []string
 	// Host is the host of the jobs' route.
 	Host string
 	// gatewayIndex, modulo the length of Edges, selects the gateway of the next call.
@@ -95,7 +95,7 @@
 func (c *Client) call(ctx contexts.Context, method, path string, header map[string]string, body []byte, timeout clock.Duration) (response, error) {
 	callCtx, cancel := contexts.WithTimeout(ctx, timeout)
 	defer cancel()
-	gateway := c.Edges[c.gatewayIndex%len(c.Edges)]
+	gateway := c.Gateways[c.gatewayIndex%len(c.Gateways)]
 	request, err := http.NewRequestWithContext(callCtx, method, "http://"+gateway+path, bytes.NewReader(body))
 	if err != nil {
 		return response{}, ErrInvalidCall.Wrap(err, path)
--- a/internal/batch/jobclient/jobclient_test.go
+++ b/internal/batch/jobclient/jobclient_test.go
@@ -49,7 +49,7 @@
 	t.Helper()
 
 	transport := &script{test: t, steps: steps}
-	return &Client{Edges: []string{"a:1", "b:1"}, Host: "h", Transport: transport, Backoff: func(clock.Duration) {}}, transport
+	return &Client{Gateways: []string{"a:1", "b:1"}, Host: "h", Transport: transport, Backoff: func(clock.Duration) {}}, transport
 }
 
 var oneItem = Job{Requests: []Item{{ID: "i", Path: "/batch/1", Body: []byte{1, 2, 250}, Tokens: 3}}}
--- a/internal/batch/leader/addmember_test.go
+++ b/internal/batch/leader/addmember_test.go
@@ -77,7 +77,7 @@
 	})
 	_ = network.Transport("slow").Serve(func(kind messages.Kind, _ []byte) ([]byte, error) {
 		if kind == messages.KindAppend {
-			return nil, replicalog.ErrCorrupt.New("disk hangs")
+			return nil, replicalog.ErrReplicaLog.New("disk hangs")
 		}
 		return transport.Encode(&messages.StatusResponse{})
 	})
--- a/internal/batch/leader/collector.go
+++ b/internal/batch/leader/collector.go
@@ -11,7 +11,7 @@
 // within the machine's memory limit.
 
 // relaxCollector lets the heap grow more between two garbage collections while this process leads.
-func relaxCollector() { debug.SetGCPercent(constants.LeaderCollectPercent) }
+func relaxCollector() { debug.SetGCPercent(constants.LeaderGCPercent) }
 
 // restoreCollector restores the usual garbage collection target.
-func restoreCollector() { debug.SetGCPercent(constants.CollectPercent) }
+func restoreCollector() { debug.SetGCPercent(constants.GCPercent) }
--- a/internal/batch/replicalog/compact.go
+++ b/internal/batch/replicalog/compact.go
@@ -113,7 +113,7 @@
 		return body, true, err
 	})
 	if err != nil {
-		return ErrCorrupt.Wrap(err, "rewrite file")
+		return ErrReplicaLog.Wrap(err, "rewrite file")
 	}
 	for i := range retained {
 		retained[i].Offset = offsets[i+1]
--- a/internal/batch/replicalog/log.go
+++ b/internal/batch/replicalog/log.go
@@ -13,8 +13,8 @@
 	"lemonarch/internal/platform/recordlog"
 )
 
-// ErrCorrupt is the error of a replica whose disk can't be read or written.
-var ErrCorrupt = errs.Define("replica log")
+// ErrReplicaLog is the error of a replica whose disk can't be read or written.
+var ErrReplicaLog = errs.Define("replica log")
 
 // replicaFileName is the name of the replica's file.
 const replicaFileName = "replica"
@@ -41,7 +41,7 @@
 	file, err := recordlog.Open(disk, replicaFileName, func(offset int64, body []byte) error {
 		record := messages.ReplicaRecord{}
 		if _, cause := record.UnmarshalMsg(body); cause != nil {
-			return ErrCorrupt.Wrap(cause, replicaFileName)
+			return ErrReplicaLog.Wrap(cause, replicaFileName)
 		}
 		if record.Disk != "" {
 			log.replica.Disk = record.Disk
@@ -54,12 +54,12 @@
 			log.replica.Reset(replication.Base{Index: record.Base, Epoch: record.BaseEpoch})
 		}
 		if record.HasEntry {
-			return ErrCorrupt.Wrap(log.replica.Restore(&record.Entry, offset), replicaFileName)
+			return ErrReplicaLog.Wrap(log.replica.Restore(&record.Entry, offset), replicaFileName)
 		}
 		return nil
 	})
 	if err != nil {
-		return nil, ErrCorrupt.Wrap(err, "open file")
+		return nil, ErrReplicaLog.Wrap(err, "open file")
 	}
 	log.file = file
 	log.bytes.Store(file.Size())
@@ -91,7 +91,7 @@
 	for i := range records {
 		body, err := records[i].MarshalMsg(nil)
 		if err != nil {
-			return nil, ErrCorrupt.Wrap(err, "encode record")
+			return nil, ErrReplicaLog.Wrap(err, "encode record")
 		}
 		bodies = append(bodies, body)
 	}
@@ -100,7 +100,7 @@
 		err = l.file.Sync()
 	}
 	l.bytes.Store(l.file.Size())
-	return offsets, ErrCorrupt.Wrap(err, "append records")
+	return offsets, ErrReplicaLog.Wrap(err, "append records")
 }
 
 // Fence processes a new leader's fence request and returns once the epoch is synced.
--- a/internal/batch/replicalog/read.go
+++ b/internal/batch/replicalog/read.go
@@ -18,7 +18,7 @@
 // read is Read for a caller that holds the lock.
 func (l *Log) read(index int64) (*messages.Record, error) {
 	if index < 1 || index > l.replica.Last() {
-		return nil, ErrCorrupt.New("record index out of range")
+		return nil, ErrReplicaLog.New("record index out of range")
 	}
 	entry, found := l.replica.EntryAt(index)
 	if !found {
@@ -27,11 +27,11 @@
 	}
 	body, err := l.file.ReadAt(entry.Offset)
 	if err != nil {
-		return nil, ErrCorrupt.Wrap(err, "read record")
+		return nil, ErrReplicaLog.Wrap(err, "read record")
 	}
 	record := messages.ReplicaRecord{}
 	if _, err = record.UnmarshalMsg(body); err != nil {
-		return nil, ErrCorrupt.Wrap(err, "decode record")
+		return nil, ErrReplicaLog.Wrap(err, "decode record")
 	}
 	return &record.Entry, nil
 }
--- a/internal/batch/store/budget_test.go
+++ b/internal/batch/store/budget_test.go
@@ -47,7 +47,7 @@
 	for _, member := range s.set {
 		inSet[member.Address] = true
 	}
-	for _, name := range simulation.Keys(s.stores) {
+	for _, name := range simulation.SortedKeys(s.stores) {
 		if !inSet[name] && !s.stores[name].down {
 			return s.stores[name].member
 		}
@@ -105,11 +105,11 @@
 
 // losePowerAndDisks cuts the power of all stores and wipes the disks of some.
 func (s *simFleet) losePowerAndDisks(lost []messages.Member, disk func(i int) string) {
-	for _, name := range simulation.Keys(s.stores) {
+	for _, name := range simulation.SortedKeys(s.stores) {
 		s.stores[name].down = true
 		s.stores[name].disk.PowerLoss()
 	}
-	for _, name := range simulation.Keys(s.stores) {
+	for _, name := range simulation.SortedKeys(s.stores) {
 		s.open(s.stores[name])
 	}
 	for i, member := range lost {
--- a/internal/batch/store/fleet_test.go
+++ b/internal/batch/store/fleet_test.go
@@ -60,7 +60,7 @@
 	stop := make(chan struct{})
 	go clock.Every(constants.TickPeriod*4, stop, fleet.exchangeMembers)
 	fleet.exchangeMembers()
-	for _, name := range simulation.Keys(fleet.stores) {
+	for _, name := range simulation.SortedKeys(fleet.stores) {
 		go fleet.stores[name].election.Run()
 	}
 	t.Cleanup(func() {
@@ -108,7 +108,7 @@
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	var all []*Server
-	for _, name := range simulation.Keys(f.stores) {
+	for _, name := range simulation.SortedKeys(f.stores) {
 		all = append(all, f.stores[name])
 	}
 	return all
--- a/internal/batch/store/jobs_test.go
+++ b/internal/batch/store/jobs_test.go
@@ -97,7 +97,7 @@
 // healMembers ends the partitions of all members of the set.
 func (s *simFleet) healMembers() {
 	for _, member := range s.set {
-		s.isolate(member.Address, simulation.Keys(s.stores), false)
+		s.isolate(member.Address, simulation.SortedKeys(s.stores), false)
 	}
 }
 
--- a/internal/batch/store/losses_test.go
+++ b/internal/batch/store/losses_test.go
@@ -131,7 +131,7 @@
 // lose power too. It returns the machines whose disks were wiped.
 func (s *simFleet) loseMachines(lost []string, round int) (wiped []string) {
 	if s.world.Random.Intn(3) == 0 {
-		for _, name := range simulation.Keys(s.stores) {
+		for _, name := range simulation.SortedKeys(s.stores) {
 			if !slices.Contains(lost, name) {
 				s.stores[name].disk.PowerLoss()
 				s.open(s.stores[name])
--- a/internal/batch/store/maintenance_test.go
+++ b/internal/batch/store/maintenance_test.go
@@ -15,7 +15,7 @@
 // compactPeriodically compacts the logs, each store's at other times. It draws from a random
 // source of its own, so that the rest of a seed's history does not depend on it.
 func (s *simFleet) compactPeriodically(random *rand.Rand) {
-	for _, name := range simulation.Keys(s.stores) {
+	for _, name := range simulation.SortedKeys(s.stores) {
 		if store := s.stores[name]; !store.down && random.Intn(3) > 0 {
 			if err := store.store.CompactIfDue(s.world.Now); err != nil && !store.faulty {
 				s.t.Fatal(err)
@@ -50,7 +50,7 @@
 			s.t.Fatalf("the leader of epoch %d has the forgotten job %s", leader.epoch, job.ID)
 		}
 	}
-	for _, key := range simulation.Keys(s.acknowledgedItems) {
+	for _, key := range simulation.SortedKeys(s.acknowledgedItems) {
 		jobID, number, _ := strings.Cut(key, "/")
 		position, _ := strconv.Atoi(number)
 		job := leader.jobs.Job(jobID)
--- a/internal/batch/store/preemption_test.go
+++ b/internal/batch/store/preemption_test.go
@@ -57,7 +57,7 @@
 	scheduler.Merge(list, s.world.Now)
 	scheduler.OnPressure(func(entries []messages.Pressure) {
 		notice := &messages.PressureNotice{From: role + "/" + name, Entries: entries}
-		for _, other := range simulation.Keys(s.schedulers) {
+		for _, other := range simulation.SortedKeys(s.schedulers) {
 			if other == name {
 				continue
 			}
@@ -72,15 +72,15 @@
 }
 
 func (s *simCluster) pumpSchedulers() {
-	for _, name := range simulation.Keys(s.schedulers) {
+	for _, name := range simulation.SortedKeys(s.schedulers) {
 		s.schedulers[name].PumpWaiting(s.world.Now)
 	}
 	s.world.After(clock.Milliseconds(15), s.pumpSchedulers)
 	// Gossip runs on every fourth pump: its period is short (60 ms) because the bursts are short too.
 	if s.counts["pumps"]++; s.counts["pumps"]%4 == 0 {
-		for _, name := range simulation.Keys(s.schedulers) {
+		for _, name := range simulation.SortedKeys(s.schedulers) {
 			packet := s.schedulers[name].MakeGossip(s.world.Now)
-			for _, other := range simulation.Keys(s.schedulers) {
+			for _, other := range simulation.SortedKeys(s.schedulers) {
 				if other != name {
 					s.schedulers[other].HandleGossip(packet, s.world.Now)
 				}
--- a/internal/batch/store/recoveryfleet_test.go
+++ b/internal/batch/store/recoveryfleet_test.go
@@ -155,7 +155,7 @@
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	var all []*poweredServer
-	for _, name := range simulation.Keys(f.running) {
+	for _, name := range simulation.SortedKeys(f.running) {
 		all = append(all, f.running[name])
 	}
 	return all
--- a/internal/batch/store/secondloss_test.go
+++ b/internal/batch/store/secondloss_test.go
@@ -64,7 +64,7 @@
 // wipeMembers wipes the disks of some members. Half of the time all stores lose power before.
 func (s *simFleet) wipeMembers(members []messages.Member, round string) {
 	if s.world.Random.Intn(2) == 0 {
-		for _, name := range simulation.Keys(s.stores) {
+		for _, name := range simulation.SortedKeys(s.stores) {
 			s.stores[name].disk.PowerLoss()
 			s.open(s.stores[name])
 		}
--- a/internal/batch/store/server.go
+++ b/internal/batch/store/server.go
@@ -56,7 +56,7 @@
 // New opens the log in the data directory and creates the process.
 func New(nodeSettings *settings.Settings, log hclog.Logger) (*Server, error) {
 	if err := os.MkdirAll(nodeSettings.DataDir, 0o755); err != nil {
-		return nil, replicalog.ErrCorrupt.Wrap(err, "create data-dir")
+		return nil, replicalog.ErrReplicaLog.Wrap(err, "create data-dir")
 	}
 	var identity [8]byte
 	// Read never fails (crypto/rand).
--- a/internal/batch/store/share_callers_test.go
+++ b/internal/batch/store/share_callers_test.go
@@ -20,7 +20,7 @@
 // recordSubmission records the start of a submission. The returned function records its 202.
 func (s *shareCluster) recordSubmission(id string) (acknowledged func()) {
 	s.calls.count++
-	operation := s.calls.history.Begin(s.calls.count, linearize.JobCall{Kind: linearize.JobSubmit, Lot: id},
+	operation := s.calls.history.Begin(s.calls.count, linearize.JobCall{Kind: linearize.JobSubmit, Job: id},
 		linearize.JobReply{}, int64(s.world.Now))
 	return func() { operation.End(linearize.JobReply{Outcome: linearize.JobDone}, int64(s.world.Now)) }
 }
@@ -39,7 +39,7 @@
 	if s.jobNumber == 0 {
 		return
 	}
-	call := linearize.JobCall{Kind: linearize.JobRead, Lot: fmt.Sprint("job", 1+random.Intn(s.jobNumber)), From: random.Intn(2)}
+	call := linearize.JobCall{Kind: linearize.JobRead, Job: fmt.Sprint("job", 1+random.Intn(s.jobNumber)), From: random.Intn(2)}
 	start, responseDelay := s.world.Now, clock.Milliseconds(40*random.Float64())
 	s.world.After(clock.Milliseconds(40*random.Float64()), func() {
 		leader := s.leader
@@ -53,7 +53,7 @@
 
 // readJob returns a serving leader's response to a read of a job.
 func (s *shareCluster) readJob(leader *simLeader, call linearize.JobCall) linearize.JobReply {
-	job := leader.jobs.Job(call.Lot)
+	job := leader.jobs.Job(call.Job)
 	if job == nil {
 		return linearize.JobReply{Outcome: linearize.JobMissing}
 	}
--- a/internal/batch/store/share_sim_test.go
+++ b/internal/batch/store/share_sim_test.go
@@ -135,7 +135,7 @@
 // checkSingleAcquisition checks that no two executors have a valid acquisition of the same item.
 func (s *shareCluster) checkSingleAcquisition() {
 	owners := map[string]string{}
-	for _, name := range simulation.Keys(s.executors) {
+	for _, name := range simulation.SortedKeys(s.executors) {
 		for _, task := range s.executors[name].runner.All() {
 			if !task.MayRun(s.clockValue(name)) {
 				continue
@@ -193,7 +193,7 @@
 	s.whenDurable(leader, index, 100, func() {
 		if _, known := s.endAcked[id]; !known {
 			s.endAcked[id] = s.world.Now
-			s.recordCall(linearize.JobCall{Kind: linearize.JobEnd, Lot: id}, linearize.JobReply{Outcome: linearize.JobDone}, start)
+			s.recordCall(linearize.JobCall{Kind: linearize.JobEnd, Job: id}, linearize.JobReply{Outcome: linearize.JobDone}, start)
 		}
 	})
 }
--- a/internal/batch/store/share_test.go
+++ b/internal/batch/store/share_test.go
@@ -20,7 +20,7 @@
 	cluster.reconcileAll()
 	cluster.readPeriodically()
 	random := cluster.world.Random
-	names := simulation.Keys(cluster.executors)
+	names := simulation.SortedKeys(cluster.executors)
 	for round := 0; round < 14; round++ {
 		cluster.submitJob(2 + random.Intn(5))
 		if random.Intn(3) == 0 && cluster.jobNumber > 0 {
@@ -127,7 +127,7 @@
 		cluster := playShareGroup(t, seed)
 		cluster.checkOutcome(seed)
 		cluster.checkCalls(seed)
-		total["calls"] += int64(cluster.calls.history.Clear())
+		total["calls"] += int64(cluster.calls.history.ClearCount())
 		for _, dispatcher := range cluster.dispatchers {
 			total["lapses"] += dispatcher.Counts.LockExpiries
 			total["adopted"] += dispatcher.Counts.Adopted
--- a/internal/control/broadcast/cost_test.go
+++ b/internal/control/broadcast/cost_test.go
@@ -68,7 +68,7 @@
 	for _, size := range sizes {
 		byRole := measureIdleCost(1, size.gateways, size.stores, size.workers)
 		costs = append(costs, byRole)
-		for _, role := range simulation.Keys(byRole) {
+		for _, role := range simulation.SortedKeys(byRole) {
 			c := byRole[role]
 			t.Logf("processes %d, workers %d: each %s sends %.1f messages and %.0f bytes (%.0f to other zones) per second",
 				4*(2+size.gateways+size.stores), size.workers, role, c.messages, c.bytes, c.crossZoneBytes)
--- a/internal/control/broadcast/fleet_test.go
+++ b/internal/control/broadcast/fleet_test.go
@@ -58,7 +58,7 @@
 			}
 		}
 	}
-	for i, address := range simulation.Keys(f.byAddress) {
+	for i, address := range simulation.SortedKeys(f.byAddress) {
 		process := f.byAddress[address]
 		process.start(seed*1000 + int64(i))
 		f.nodes = append(f.nodes, process)
--- a/internal/control/register/budget_test.go
+++ b/internal/control/register/budget_test.go
@@ -12,7 +12,7 @@
 
 // injectFault causes a fault within the budget of two, right after an acknowledgement.
 func (g *growingFleet) injectFault() {
-	names := simulation.Keys(g.controllers)
+	names := simulation.SortedKeys(g.controllers)
 	g.world.Random.Shuffle(len(names), func(left, right int) { names[left], names[right] = names[right], names[left] })
 	lost, others := names[:2], names[2:]
 	restartAfterDelay := func(name string, wiped bool) {
@@ -87,7 +87,7 @@
 			// After 1,800 ms, every process that the fault stopped and that keeps its machine has been
 			// restarted. A read that succeeds then must not miss the acknowledged version.
 			fleet.world.Run(fleet.world.Now.Add(clock.Milliseconds(1800)))
-			names := simulation.Keys(fleet.controllers)
+			names := simulation.SortedKeys(fleet.controllers)
 			if found := fleet.newest(names[fleet.world.Random.Intn(len(names))]); found >= 0 && found < generation {
 				t.Fatalf("seed %d: read generation %d, want at least %d", seed, found, generation)
 			}
@@ -109,7 +109,7 @@
 			t.Fatalf("seed %d: set not complete after %v, want at most 8 s", seed, clock.Duration(fleet.world.Now))
 		}
 		fleet.world.Run(fleet.world.Now.Add(clock.Milliseconds(10_000)))
-		for _, name := range simulation.Keys(fleet.controllers) {
+		for _, name := range simulation.SortedKeys(fleet.controllers) {
 			if count := len(fleet.controllers[name].known.Acceptors); count > budgetSize {
 				t.Fatalf("seed %d: %s knows a set of %d members, want at most %d", seed, name, count, budgetSize)
 			}
--- a/internal/control/register/contention_test.go
+++ b/internal/control/register/contention_test.go
@@ -13,7 +13,7 @@
 // burst has every process propose at once on the same base. It returns the time until all have a
 // definite outcome, and the number of attempts that this took.
 func (f *fleet) burst(generation *int64, base int64) (clock.Duration, int) {
-	names := simulation.Keys(f.controllers)
+	names := simulation.SortedKeys(f.controllers)
 	start, before, waiting := f.world.Now, f.attempts, len(names)
 	var last clock.Instant
 	for _, name := range names {
--- a/internal/control/register/drive_test.go
+++ b/internal/control/register/drive_test.go
@@ -208,7 +208,7 @@
 	if _, complete := node.archive.Extend(value, 1); complete {
 		return
 	}
-	names := simulation.Keys(f.controllers)
+	names := simulation.SortedKeys(f.controllers)
 	other := f.controllers[names[f.world.Random.Intn(len(names))]]
 	if other.down {
 		return
--- a/internal/control/register/growingset_test.go
+++ b/internal/control/register/growingset_test.go
@@ -53,7 +53,7 @@
 	for _, name := range []string{"d", "e", "f", "g", "h"} {
 		g.addNonMember(name)
 	}
-	for _, name := range simulation.Keys(g.controllers) {
+	for _, name := range simulation.SortedKeys(g.controllers) {
 		g.reconcile(name)
 	}
 	return g
@@ -68,7 +68,7 @@
 		if node == nil || node.down {
 			return
 		}
-		names := simulation.Keys(g.controllers)
+		names := simulation.SortedKeys(g.controllers)
 		for lookups := 0; lookups < 3; lookups++ {
 			other := g.controllers[names[g.world.Random.Intn(len(names))]]
 			if !other.down && other.chosen && (other.known.SetEpoch > node.known.SetEpoch || len(node.known.Acceptors) == 0) {
@@ -138,7 +138,7 @@
 // complete reports whether the newest known set is complete and all its members are up.
 func (g *growingFleet) complete() bool {
 	var newest messages.RegisterValue
-	for _, name := range simulation.Keys(g.controllers) {
+	for _, name := range simulation.SortedKeys(g.controllers) {
 		if node := g.controllers[name]; node.chosen && node.known.SetEpoch >= newest.SetEpoch {
 			newest = node.known
 		}
@@ -170,7 +170,7 @@
 	if g.acked[generation] != "" {
 		return
 	}
-	names := simulation.Keys(g.controllers)
+	names := simulation.SortedKeys(g.controllers)
 	g.replace(names[g.world.Random.Intn(len(names))], generation, base, fmt.Sprint(generation))
 	g.world.After(clock.Milliseconds(700), func() { g.replaceUntilAcknowledged(generation, base) })
 }
--- a/internal/control/register/operators_test.go
+++ b/internal/control/register/operators_test.go
@@ -223,7 +223,7 @@
 			total[fmt.Sprint("status ", observed.status)]++
 		}
 		total["versions"] += len(operators.byGeneration)
-		for _, key := range simulation.Keys(operators.counts) {
+		for _, key := range simulation.SortedKeys(operators.counts) {
 			total[key] += operators.counts[key]
 		}
 	}
--- a/internal/control/register/repair_test.go
+++ b/internal/control/register/repair_test.go
@@ -72,7 +72,7 @@
 // newestSet returns the value with the newest set that any process knows to be chosen.
 func (f *repairFleet) newestSet() messages.RegisterValue {
 	var newest messages.RegisterValue
-	for _, name := range simulation.Keys(f.controllers) {
+	for _, name := range simulation.SortedKeys(f.controllers) {
 		if node := f.controllers[name]; node.chosen && node.known.SetEpoch >= newest.SetEpoch {
 			newest = node.known
 		}
@@ -104,7 +104,7 @@
 			}
 			// A step that no proposer saw complete caused no second loss.
 			f.lossPending = false
-			names := simulation.Keys(f.controllers)
+			names := simulation.SortedKeys(f.controllers)
 			if found := f.newest(names[f.world.Random.Intn(len(names))]); found >= 0 && found < generation {
 				t.Fatalf("seed %d: read generation %d, want at least %d", seed, found, generation)
 			}
--- a/internal/platform/constants/constants.go
+++ b/internal/platform/constants/constants.go
@@ -90,8 +90,8 @@
 	// DowngradeAlert is the share of placements above which downgrades are logged as
 	// over-discounting.
 	DowngradeAlert = 0.02
-	// IndexNodes is the maximum number of leaves of the prefix index. Memory is priced.
-	IndexNodes = 4000
+	// IndexLeavesMax is the maximum number of leaves of the prefix index. Memory is priced.
+	IndexLeavesMax = 4000
 	// PromptPartsMax is the maximum number of parts of a prompt that the index considers.
 	PromptPartsMax = 32
 	// PrefillRateGuess is the initial estimate of the prefill rate, in prompt tokens per ms, until
@@ -158,10 +158,10 @@
 	PlainTimeoutMin    = 250 * time.Millisecond
 	// ConnectionIdle is how long an idle connection is kept if the worker states no time.
 	ConnectionIdle = 4 * time.Second
-	// ConnectionPart is the share of a worker's connections that one node may use, and
-	// ConnectionPartItems that of a node that runs items: few nodes do, each with many items.
-	ConnectionPart      = 0.125
-	ConnectionPartItems = 0.2
+	// ConnectionShare is the share of a worker's connections that one node may use, and
+	// ConnectionShareItems that of a node that runs items: few nodes do, each with many items.
+	ConnectionShare      = 0.125
+	ConnectionShareItems = 0.2
 	// DrainAcceptTime is how long a draining node still accepts new connections. The platform
 	// needs two failed probes, one second apart, to notice that it is leaving.
 	DrainAcceptTime = 2600 * time.Millisecond
@@ -221,8 +221,8 @@
 const (
 	// MemoryShare is the memory limit of the Go runtime (GOMEMLIMIT), as a share of memory-mb.
 	MemoryShare = 0.8
-	// CollectPercent is GOGC, in percent: memory is expensive, and the live heap is small.
-	CollectPercent = 60
-	// LeaderCollectPercent is GOGC of the store that is the leader.
-	LeaderCollectPercent = 200
+	// GCPercent is GOGC, in percent: memory is expensive, and the live heap is small.
+	GCPercent = 60
+	// LeaderGCPercent is GOGC of the store that is the leader.
+	LeaderGCPercent = 200
 )
--- a/internal/platform/constants/gossip.go
+++ b/internal/platform/constants/gossip.go
@@ -17,9 +17,9 @@
 	// would expire before it is used.
 	GossipAgeMax = 2 * GossipPeriod
 	// GossipPrefixes is the maximum number of residency samples in a packet, and
-	// GossipPrefixLeast the minimum length, in tokens, of a prefix that is worth one.
-	GossipPrefixes    = 16
-	GossipPrefixLeast = 1000
+	// GossipPrefixTokensMin the minimum length, in tokens, of a prefix that is worth one.
+	GossipPrefixes        = 16
+	GossipPrefixTokensMin = 1000
 	// GossipFanout is the number of neighbours in its own zone to which a process sends a packet.
 	GossipFanout = 3
 	// GossipSenderTimeout is the silence after which a neighbour no longer counts as a sender. A process
@@ -28,10 +28,10 @@
 	GossipSenderTimeout = 2500 * time.Millisecond
 	ReplyPeersMax       = 2
 	ReplyPeerDuration   = 20 * time.Second
-	// NeighbourAge is the maximum age of the last contact with a process, reported by others
+	// NeighbourAgeMax is the maximum age of the last contact with a process, reported by others
 	// included, for it to be selected as a neighbour. Shuffles take some seconds to spread
 	// through a large fleet.
-	NeighbourAge = 10 * time.Second
+	NeighbourAgeMax = 10 * time.Second
 	// PrefillFanout is the maximum number of peers that are notified of a long prefill: all of a
 	// small fleet, and the nearest ones of a large fleet.
 	PrefillFanout = 12
@@ -49,10 +49,10 @@
 	// ScoreJitterMs is the random part, in ms, of a non-engine worker's score. It is smaller than the
 	// 2 ms that another zone costs.
 	ScoreJitterMs = 1.0
-	// ReachAllUpTo is the number of workers of a service up to which a node considers all of
-	// them. Of more, it considers ReachSubset, and in addition up to ReachPrefixWorkers home workers
-	// and up to ReachPrefixWorkers holders of a long prefix.
-	ReachAllUpTo       = 24
-	ReachSubset        = 8
-	ReachPrefixWorkers = 4
+	// SubsetThreshold is the number of workers of a service up to which a node considers all of
+	// them. Of more, it considers SubsetSize, and in addition up to PrefixWorkersMax home workers
+	// and up to PrefixWorkersMax holders of a long prefix.
+	SubsetThreshold  = 24
+	SubsetSize       = 8
+	PrefixWorkersMax = 4
 )
--- a/internal/platform/constants/health.go
+++ b/internal/platform/constants/health.go
@@ -61,8 +61,8 @@
 	// retried at that point can still be in time.
 	HedgeShare = 0.6
 	// SafeIdle is the initial estimate of how long a connection may be idle and still carry a
-	// request that must not run twice. SafeIdleLeast and SafeIdleMost bound the learned value.
-	SafeIdle      = 400 * time.Millisecond
-	SafeIdleLeast = 20 * time.Millisecond
-	SafeIdleMost  = 2 * time.Second
+	// request that must not run twice. SafeIdleMin and SafeIdleMax bound the learned value.
+	SafeIdle    = 400 * time.Millisecond
+	SafeIdleMin = 20 * time.Millisecond
+	SafeIdleMax = 2 * time.Second
 )
--- a/internal/platform/constants/inbound.go
+++ b/internal/platform/constants/inbound.go
@@ -57,8 +57,8 @@
 	ClientRefusalTimeout = 100 * time.Millisecond
 	// ClientDrainTimeout is how long the rest of a body that is not needed is read and discarded.
 	ClientDrainTimeout = time.Second
-	// ClientBodyMin is the minimum timeout for reading a body, whatever time its client has left.
-	ClientBodyMin = 100 * time.Millisecond
+	// ClientBodyTimeoutMin is the minimum timeout for reading a body, whatever time its client has left.
+	ClientBodyTimeoutMin = 100 * time.Millisecond
 	// ClientLogPeriod is the time between two log lines about rejected clients.
 	ClientLogPeriod = 10 * time.Second
 	// ControlBodyTimeout is the timeout for reading a body on the control port, and ControlIdle
--- a/internal/platform/constants/lab.go
+++ b/internal/platform/constants/lab.go
@@ -99,8 +99,8 @@
 	LoadCount = 1_000_000
 	LoadTime  = time.Hour
 	LoadRate  = 5000
-	// LoadOpen is the maximum number of requests in flight. Further ones count as not sent.
-	LoadOpen = 4000
+	// LoadInFlightMax is the maximum number of requests in flight. Further ones count as not sent.
+	LoadInFlightMax = 4000
 	// LateResponseValue is the share of a response's value that remains after its latency target.
 	LateResponseValue = 0.3
 	// LoadProgress is the time between two progress lines.
--- a/internal/platform/httpreply/httpreply.go
+++ b/internal/platform/httpreply/httpreply.go
@@ -64,16 +64,16 @@
 func ReadBody(writer Writer, request *http.Request, limit, copies int64) ([]byte, bool) {
 	body, err := inbound.Body{Limit: limit, Copies: copies, Timeout: constants.ControlBodyTimeout}.Read(writer, request)
 	if err != nil {
-		RefuseBody(writer, err)
+		RejectBody(writer, err)
 		return nil, false
 	}
 	return body, true
 }
 
-// RefuseBody responds to a request whose body was not read completely, according to the error of
+// RejectBody responds to a request whose body was not read completely, according to the error of
 // inbound.Body, and closes its connection, since the bytes that follow on it are not a request.
 // Nothing was or will be executed.
-func RefuseBody(writer Writer, err error) {
+func RejectBody(writer Writer, err error) {
 	writer.Header().Set("Connection", "close")
 	switch {
 	case errs.Is(err, inbound.ErrTooLarge):
--- a/internal/platform/process/runtime.go
+++ b/internal/platform/process/runtime.go
@@ -50,7 +50,7 @@
 // process.
 func Prepare(nodeSettings *settings.Settings) {
 	runtime.GOMAXPROCS(1)
-	debug.SetGCPercent(constants.CollectPercent)
+	debug.SetGCPercent(constants.GCPercent)
 	debug.SetMemoryLimit(nodeSettings.Limits.MemoryShare(constants.MemoryShare))
 }
 
--- a/internal/platform/transport/everybyte_test.go
+++ b/internal/platform/transport/everybyte_test.go
@@ -92,7 +92,7 @@
 	group.Wait()
 	relay.Thaw()
 	call("next")
-	relay.End()
+	relay.Close()
 	for _, body := range []string{"rest", "left", "right", "next"} {
 		if calls := server.callCount(body); calls > 1 {
 			t.Errorf("call %q was handled %d times, want at most once", body, calls)
--- a/internal/tooling/faultrelay/faultrelay.go
+++ b/internal/tooling/faultrelay/faultrelay.go
@@ -189,8 +189,8 @@
 // Thaw forwards the bytes that Freeze has delayed.
 func (r *Relay) Thaw() { close(r.thawed) }
 
-// End closes all connections in an orderly way and waits until the bytes read so far have been forwarded.
-func (r *Relay) End() {
+// Close closes all connections in an orderly way and waits until the bytes read so far have been forwarded.
+func (r *Relay) Close() {
 	r.listener.Close()
 	close(r.ended)
 	r.lock.Lock()
--- a/internal/tooling/faultrelay/faultrelay_test.go
+++ b/internal/tooling/faultrelay/faultrelay_test.go
@@ -37,7 +37,7 @@
 		}()
 		ended := make(chan struct{})
 		go func() {
-			relay.End()
+			relay.Close()
 			close(ended)
 		}()
 		select {
--- a/internal/tooling/hollowfleet/gossip.go
+++ b/internal/tooling/hollowfleet/gossip.go
@@ -105,7 +105,7 @@
 	for _, entry := range known {
 		switch {
 		case entry.Role != membership.RoleGateway && entry.Role != membership.RoleStore,
-			entry.Draining || entry.AgeMs >= constants.NeighbourAge.Milliseconds():
+			entry.Draining || entry.AgeMs >= constants.NeighbourAgeMax.Milliseconds():
 		case entry.Zone == own.Zone:
 			found.near = append(found.near, entry)
 		default:
@@ -145,7 +145,7 @@
 				continue
 			}
 			g.look(own.scheduler, worker.ID)
-			_, at := own.scheduler.Tracker.Of(worker.ID).Observed()
+			_, at := own.scheduler.Tracker.HealthOf(worker.ID).Observed()
 			g.ages.add(now.Sub(at), at > 0)
 			if worker.Zone == node.own.Zone {
 				g.near.add(now.Sub(at), at > 0)
@@ -171,7 +171,7 @@
 }
 
 func (g *gossip) look(scheduler *admission.Scheduler, worker string) {
-	believed := scheduler.Tracker.Of(worker).Running(g.fleet.world.Now)
+	believed := scheduler.Tracker.HealthOf(worker).Running(g.fleet.world.Now)
 	g.off += math.Abs(float64(believed - g.fleet.traffic.running[worker]))
 	g.offCount++
 }
--- a/internal/tooling/linearize/history.go
+++ b/internal/tooling/linearize/history.go
@@ -62,8 +62,8 @@
 // Len returns the number of operations.
 func (h *History) Len() int { return len(h.operations) }
 
-// Clear returns the number of operations with a clear response.
-func (h *History) Clear() int {
+// ClearCount returns the number of operations with a clear response.
+func (h *History) ClearCount() int {
 	count := 0
 	for index := range h.operations {
 		if h.operations[index].Return != math.MaxInt64 {
--- a/internal/tooling/linearize/jobs.go
+++ b/internal/tooling/linearize/jobs.go
@@ -25,8 +25,8 @@
 // JobCall is a client's call for one batch job.
 type JobCall struct {
 	Kind JobKind
-	// Lot is the id of the job.
-	Lot string
+	// Job is the id of the job.
+	Job string
 	// From is the position at which a read begins.
 	From int
 }
@@ -85,7 +85,7 @@
 		},
 		DescribeOperation: func(input, output any) string {
 			call, reply := input.(JobCall), output.(JobReply)
-			return fmt.Sprintf("job %s, call %d from %d: outcome %d %q", call.Lot, call.Kind, call.From, reply.Outcome, reply.Results)
+			return fmt.Sprintf("job %s, call %d from %d: outcome %d %q", call.Job, call.Kind, call.From, reply.Outcome, reply.Results)
 		},
 	}
 	return model.ToModel()
@@ -95,7 +95,7 @@
 	var names []string
 	jobs := map[string][]porcupine.Operation{}
 	for _, operation := range history {
-		name := operation.Input.(JobCall).Lot
+		name := operation.Input.(JobCall).Job
 		if jobs[name] == nil {
 			names = append(names, name)
 		}
--- a/internal/tooling/linearize/jobs_test.go
+++ b/internal/tooling/linearize/jobs_test.go
@@ -22,8 +22,8 @@
 }
 
 func TestJobsModel(t *testing.T) {
-	submit, end := JobCall{Kind: JobSubmit, Lot: "x"}, JobCall{Kind: JobEnd, Lot: "x"}
-	read := func(from int) JobCall { return JobCall{Kind: JobRead, Lot: "x", From: from} }
+	submit, end := JobCall{Kind: JobSubmit, Job: "x"}, JobCall{Kind: JobEnd, Job: "x"}
+	read := func(from int) JobCall { return JobCall{Kind: JobRead, Job: "x", From: from} }
 	received := func(results ...string) JobReply { return JobReply{Outcome: JobDone, Results: results} }
 	rejected, missing := JobReply{Outcome: JobRejected}, JobReply{Outcome: JobMissing}
 	for name, test := range map[string]struct {
--- a/internal/tooling/linearize/linearize_test.go
+++ b/internal/tooling/linearize/linearize_test.go
@@ -35,7 +35,7 @@
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		calls, clear = calls+fleet.History.Len(), clear+fleet.History.Clear()
+		calls, clear = calls+fleet.History.Len(), clear+fleet.History.ClearCount()
 		for _, name := range fleet.names {
 			epochs = max(epochs, int(fleet.nodes[name].known.SetEpoch))
 		}
--- a/internal/tooling/loadgen/drive.go
+++ b/internal/tooling/loadgen/drive.go
@@ -104,7 +104,7 @@
 func newRun(options Options, info *lab.FleetInfo, routes map[string]*routeconfig.Route, prefix string) *run {
 	dialer := &net.Dialer{Timeout: constants.EmulatorHeartbeatWait}
 	return &run{options: options, info: info, routes: routes, prefix: prefix, result: newResult(info.Label), attempts: map[string]*sentAttempt{}, pause: clock.Sleep,
-		client: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: constants.LoadOpen, DialContext: dialer.DialContext}}
+		client: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: constants.LoadInFlightMax, DialContext: dialer.DialContext}}
 }
 
 // compareRuns adds a finding for each difference between the attempts and the workers' runs.
@@ -142,7 +142,7 @@
 			break
 		}
 		r.lock.Lock()
-		full := r.inFlight >= constants.LoadOpen
+		full := r.inFlight >= constants.LoadInFlightMax
 		if !full {
 			r.inFlight++
 		}
--- a/internal/tooling/loadgen/jobs.go
+++ b/internal/tooling/loadgen/jobs.go
@@ -62,7 +62,7 @@
 func (r *run) runJob(check *jobCheck, job jobclient.Job, node int) {
 	route := r.routes["batch"]
 	gateways := append(append([]string(nil), r.info.Ingress[node:]...), r.info.Ingress[:node]...)
-	client := &jobclient.Client{Edges: gateways, Host: route.Host}
+	client := &jobclient.Client{Gateways: gateways, Host: route.Host}
 	ctx, cancel := contexts.WithTimeout(contexts.Background(), constants.LoadDrain)
 	defer cancel()
 	started := clock.Now()
--- a/internal/tooling/simulation/disk.go
+++ b/internal/tooling/simulation/disk.go
@@ -73,7 +73,7 @@
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	allLost := d.random.Intn(4) == 0
-	for _, name := range Keys(d.unsynced) {
+	for _, name := range SortedKeys(d.unsynced) {
 		versions := d.unsynced[name]
 		kept := 0
 		if !allLost {
@@ -82,7 +82,7 @@
 		d.set(name, versions[kept])
 	}
 	d.unsynced = map[string][]*content{}
-	for _, name := range Keys(d.names) {
+	for _, name := range SortedKeys(d.names) {
 		d.names[name].powerLoss(d.random, allLost)
 	}
 }
@@ -100,7 +100,7 @@
 func (d *Disk) Names() []string {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	return Keys(d.names)
+	return SortedKeys(d.names)
 }
 
 // Open opens a file and creates it if it does not exist.
--- a/internal/tooling/simulation/world.go
+++ b/internal/tooling/simulation/world.go
@@ -134,9 +134,9 @@
 	return hash.Sum64()
 }
 
-// Keys returns the sorted keys of a map, so that a history does not depend on the random order
+// SortedKeys returns the sorted keys of a map, so that a history does not depend on the random order
 // in which Go iterates over maps.
-func Keys[Value any](from map[string]Value) []string {
+func SortedKeys[Value any](from map[string]Value) []string {
 	keys := make([]string, 0, len(from))
 	for key := range from {
 		keys = append(keys, key)
--- a/internal/traffic/admission/capacity.go
+++ b/internal/traffic/admission/capacity.go
@@ -31,7 +31,7 @@
 		if s.Registry.Status(worker.ID, now, inContact) != workers.StatusHealthy || isExcluded(req, worker.ID) {
 			continue
 		}
-		health := s.Tracker.Of(worker.ID)
+		health := s.Tracker.HealthOf(worker.ID)
 		if !health.Suspect(now) && health.Running(now) < s.capacityFor(req, worker, now) {
 			count++
 		}
--- a/internal/traffic/admission/flow.go
+++ b/internal/traffic/admission/flow.go
@@ -47,7 +47,7 @@
 			continue
 		}
 		for _, worker := range s.Registry.ByService(service) {
-			health := s.Tracker.Of(worker.ID)
+			health := s.Tracker.HealthOf(worker.ID)
 			others := float64(health.Running(now) - health.OwnRequests())
 			s.Index.AddOthersTurnover(worker.ID, others*elapsed*sums.tokens/sums.durationMs)
 		}
--- a/internal/traffic/admission/gossip.go
+++ b/internal/traffic/admission/gossip.go
@@ -59,7 +59,7 @@
 	}
 	candidates := state.candidates[:0]
 	for _, worker := range s.Registry.Sorted() {
-		health := s.Tracker.Of(worker.ID)
+		health := s.Tracker.HealthOf(worker.ID)
 		sample, known := health.Sample(now)
 		if !known || worker.Phase == messages.PhaseDeparted {
 			delete(state.sent, worker.ID)
@@ -92,10 +92,10 @@
 	for _, candidate := range candidates[:min(len(candidates), constants.GossipLoads)] {
 		candidate.sample.WorkerHash = messages.WorkerHash(candidate.worker)
 		packet.Loads = messages.AppendLoad(packet.Loads, candidate.sample)
-		_, observedAt := s.Tracker.Of(candidate.worker).Observed()
+		_, observedAt := s.Tracker.HealthOf(candidate.worker).Observed()
 		state.sent[candidate.worker] = sentSample{sentAt: now, observedAt: observedAt}
 	}
-	for _, sample := range s.Index.Advertisements(now, constants.GossipPrefixes, constants.GossipPrefixLeast) {
+	for _, sample := range s.Index.Advertisements(now, constants.GossipPrefixes, constants.GossipPrefixTokensMin) {
 		packet.Prefixes = messages.AppendPrefix(packet.Prefixes, sample)
 	}
 	packet.Pressure = s.pressureEntries()
@@ -108,7 +108,7 @@
 	defer s.lock.Unlock()
 	for _, sample := range messages.ParseLoads(packet.Loads) {
 		if worker := s.workerByHash(sample.WorkerHash); worker != "" {
-			s.Tracker.Of(worker).ObservePeer(packet.From, sample, now)
+			s.Tracker.HealthOf(worker).ObservePeer(packet.From, sample, now)
 		}
 	}
 	s.Index.MergeAdvertisements(messages.ParsePrefixes(packet.Prefixes, s.workerByHash), now)
@@ -158,6 +158,6 @@
 	defer s.lock.Unlock()
 	// A prefill time of a gossip period or more cannot be genuine and is ignored.
 	if _, known := s.Registry.Get(notice.Worker); known && notice.Prefill > 0 && notice.Prefill < clock.ToMilliseconds(constants.GossipPeriod) {
-		s.Tracker.Of(notice.Worker).AddPeerPrefill(clock.Milliseconds(notice.Prefill), now)
+		s.Tracker.HealthOf(notice.Worker).AddPeerPrefill(clock.Milliseconds(notice.Prefill), now)
 	}
 }
--- a/internal/traffic/admission/gossip_test.go
+++ b/internal/traffic/admission/gossip_test.go
@@ -30,7 +30,7 @@
 	}
 	receiver.HandleGossip(packet, atSecond(12))
 	running := func(now clock.Instant) (count int) {
-		receiver.WithLock(func() { count = receiver.Tracker.Of("w").Running(now) })
+		receiver.WithLock(func() { count = receiver.Tracker.HealthOf("w").Running(now) })
 		return count
 	}
 	if running(atSecond(12)+1) != 50 {
@@ -142,7 +142,7 @@
 	scheduler.HandleGossip(&messages.Gossip{Format: 3, From: "forge/x", Loads: append(entries, 1, 2)}, atSecond(10))
 	for _, worker := range []string{"v", "w"} {
 		running := 0
-		scheduler.WithLock(func() { running = scheduler.Tracker.Of(worker).Running(atSecond(10)) })
+		scheduler.WithLock(func() { running = scheduler.Tracker.HealthOf(worker).Running(atSecond(10)) })
 		if running != 50 {
 			t.Fatalf("worker %s: parsed %d running requests from samples with trailing bytes, want 50", worker, running)
 		}
@@ -156,7 +156,7 @@
 	sample := messages.AppendLoad(nil, messages.LoadSample{WorkerHash: messages.WorkerHash("v"), Running: messages.RunningUnknown, Health: messages.HealthSuspect})
 	scheduler.HandleGossip(&messages.Gossip{From: "forge/x", Loads: sample}, atSecond(10))
 	isSuspect := func() (suspect bool) {
-		scheduler.WithLock(func() { suspect = scheduler.Tracker.Of("v").Suspect(atSecond(10) + 1) })
+		scheduler.WithLock(func() { suspect = scheduler.Tracker.HealthOf("v").Suspect(atSecond(10) + 1) })
 		return suspect
 	}
 	if isSuspect() {
--- a/internal/traffic/admission/grant.go
+++ b/internal/traffic/admission/grant.go
@@ -23,7 +23,7 @@
 	// prefillTime is the estimated time that the worker needs to prefill the prompts ahead of this
 	// request and its own prompt.
 	prefillTime clock.Duration
-	// silenceLevel is the level of silence that NoteSilence recorded while the request was pending.
+	// silenceLevel is the level of silence that RecordSilence recorded while the request was pending.
 	// silence is the last duration of silence that was passed to TryRetryElsewhere.
 	silenceLevel int
 	silence      clock.Duration
@@ -34,7 +34,7 @@
 	scheduler := g.scheduler
 	scheduler.lock.Lock()
 	defer scheduler.lock.Unlock()
-	health := scheduler.Tracker.Of(g.Worker.ID)
+	health := scheduler.Tracker.HealthOf(g.Worker.ID)
 	if load != "" {
 		health.ObserveLoad(load, now)
 	}
@@ -81,7 +81,7 @@
 	scheduler := g.scheduler
 	scheduler.lock.Lock()
 	delete(scheduler.preemptible, g)
-	health := scheduler.Tracker.Of(g.Worker.ID)
+	health := scheduler.Tracker.HealthOf(g.Worker.ID)
 	if !g.prefillDone {
 		// No event arrived, so the prefill is no longer pending.
 		g.prefillDone = true
--- a/internal/traffic/admission/health.go
+++ b/internal/traffic/admission/health.go
@@ -42,7 +42,7 @@
 	if fault, isFault := faultOf[result]; isFault {
 		switch {
 		case result == ResultTimeout && grant.silenceLevel == silenceTimeout:
-			// NoteSilence recorded this timeout while the request was pending.
+			// RecordSilence recorded this timeout while the request was pending.
 			return
 		case result == ResultTimeout && grant.silence > 0 && grant.silence < constants.SilenceFaultTimeout:
 			fault = health.FaultSlow
@@ -57,7 +57,7 @@
 
 func (s *Scheduler) recordFault(worker messages.Worker, fault health.Fault, now clock.Instant) {
 	ejectedFor := s.Tracker.RecordFault(worker.ID, worker.Backend, fault, now)
-	s.Tracker.Of(worker.ID).RecordFailure(ejectedFor, now)
+	s.Tracker.HealthOf(worker.ID).RecordFailure(ejectedFor, now)
 	if ejectedFor > 0 && s.onEjection != nil {
 		s.onEjection(Ejection{Worker: worker.ID, Service: worker.Backend, Reason: fault.String(), Duration: ejectedFor})
 	}
@@ -92,7 +92,7 @@
 	for i := range workerList {
 		names[i] = workerList[i].ID
 	}
-	idle := func(worker string) bool { return s.Tracker.Of(worker).OwnRequests() == 0 }
+	idle := func(worker string) bool { return s.Tracker.HealthOf(worker).OwnRequests() == 0 }
 	return s.Tracker.Ejected(names, req.Retryable || req.Bulk, idle, now)
 }
 
@@ -105,7 +105,7 @@
 		return true
 	}
 	outcomes := s.Tracker.OutcomesOf(worker.ID, worker.Backend)
-	if status != workers.StatusSuspect && !s.Tracker.Of(worker.ID).SuspectedByPeers(now) {
+	if status != workers.StatusSuspect && !s.Tracker.HealthOf(worker.ID).SuspectedByPeers(now) {
 		return false
 	}
 	return !outcomes.ProvenHealthy(now)
--- a/internal/traffic/admission/preemption.go
+++ b/internal/traffic/admission/preemption.go
@@ -167,7 +167,7 @@
 func (s *Scheduler) bulkRunning(service string) int {
 	count := 0
 	for _, worker := range s.Registry.ByService(service) {
-		count += s.Tracker.Of(worker.ID).OwnBulkRequests()
+		count += s.Tracker.HealthOf(worker.ID).OwnBulkRequests()
 	}
 	return count
 }
--- a/internal/traffic/admission/prefills_test.go
+++ b/internal/traffic/admission/prefills_test.go
@@ -14,7 +14,7 @@
 		if decision.Verdict != VerdictGranted {
 			t.Fatalf("verdict %d, want the request granted", decision.Verdict)
 		}
-		health := scheduler.Tracker.Of("w")
+		health := scheduler.Tracker.HealthOf("w")
 		if health.PendingPrefills() != 1 || health.PendingTokens() != int64(decision.Grant.FreshTokens) {
 			t.Fatalf("%d prefills and %d tokens pending after one request was placed, want 1 and %d",
 				health.PendingPrefills(), health.PendingTokens(), decision.Grant.FreshTokens)
--- a/internal/traffic/admission/selectworker.go
+++ b/internal/traffic/admission/selectworker.go
@@ -93,7 +93,7 @@
 		return
 	}
 	sel.eligible++
-	health := s.Tracker.Of(worker.ID)
+	health := s.Tracker.HealthOf(worker.ID)
 	running := health.Running(sel.now)
 	if !health.Known(sel.now) {
 		running = max(running, sel.meanLoad)
@@ -143,7 +143,7 @@
 	req, now := sel.request, sel.now
 	s.lastGrantNumber++
 	grant := &Grant{Worker: worker, request: req, startedAt: now, scheduler: s, number: s.lastGrantNumber, engine: sel.engine}
-	health := s.Tracker.Of(worker.ID)
+	health := s.Tracker.HealthOf(worker.ID)
 	grant.solePrefill = health.PendingPrefills() == 0
 	if req.Affine {
 		grant.FreshTokens = s.Index.RecordPlacement(&req.Prompt, worker.ID, now)
--- a/internal/traffic/admission/silence.go
+++ b/internal/traffic/admission/silence.go
@@ -79,9 +79,9 @@
 	return known.firstEvent.TakeRetry(max(elapsed-g.prefillTime, 0))
 }
 
-// NoteSilence records a silence after which the request keeps waiting: shorter than
+// RecordSilence records a silence after which the request keeps waiting: shorter than
 // constants.SilenceFaultTimeout it counts as slowness, from then on as a timeout.
-func (g *Grant) NoteSilence(elapsed clock.Duration, now clock.Instant) {
+func (g *Grant) RecordSilence(elapsed clock.Duration, now clock.Instant) {
 	scheduler := g.scheduler
 	scheduler.lock.Lock()
 	defer scheduler.lock.Unlock()
@@ -109,7 +109,7 @@
 	}
 	g.scheduler.lock.Lock()
 	defer g.scheduler.lock.Unlock()
-	g.scheduler.Tracker.Of(g.Worker.ID).ObserveLoad(load, now)
+	g.scheduler.Tracker.HealthOf(g.Worker.ID).ObserveLoad(load, now)
 }
 
 // IsShedding reports whether a worker that rejected a request had capacity according to the load it
--- a/internal/traffic/admission/stale.go
+++ b/internal/traffic/admission/stale.go
@@ -24,7 +24,7 @@
 	if running < capacity {
 		return false
 	}
-	health := s.Tracker.Of(worker.ID)
+	health := s.Tracker.HealthOf(worker.ID)
 	if req.Bulk || engine || health.OwnRequests() >= capacity || !health.Known(now) {
 		return true
 	}
@@ -44,7 +44,7 @@
 // decayedLoad returns the estimated current load of a worker. The older the observation, the closer
 // the estimate is to the mean load of all workers.
 func (s *Scheduler) decayedLoad(service string, worker messages.Worker, running, mean int, now clock.Instant) float64 {
-	health := s.Tracker.Of(worker.ID)
+	health := s.Tracker.HealthOf(worker.ID)
 	duration := s.meanDuration(service)
 	if duration == 0 || !health.Known(now) {
 		return float64(running)
--- a/internal/traffic/admission/subset.go
+++ b/internal/traffic/admission/subset.go
@@ -35,18 +35,18 @@
 // workersToConsider returns the workers that are considered for a request, and reports whether
 // there are more. The caller must hold the lock.
 func (s *Scheduler) workersToConsider(req *Request, all []messages.Worker, now clock.Instant) (considered []messages.Worker, more bool) {
-	if req.Bulk || len(all) <= constants.ReachAllUpTo {
+	if req.Bulk || len(all) <= constants.SubsetThreshold {
 		// Items are placed by a few processes, each of which needs the capacity of all workers.
 		return all, false
 	}
 	considered = s.scratch.toConsider[:0]
 	for _, worker := range s.subset(req.Service, all, now) {
 		// A full worker must not cause a wait while workers outside the subset have capacity.
-		if s.Tracker.Of(worker.ID).Running(now) < worker.Capacity && !isExcluded(req, worker.ID) {
+		if s.Tracker.HealthOf(worker.ID).Running(now) < worker.Capacity && !isExcluded(req, worker.ID) {
 			considered = append(considered, worker)
 		}
 	}
-	if req.Affine && req.Prompt.SharedTokens() >= constants.GossipPrefixLeast {
+	if req.Affine && req.Prompt.SharedTokens() >= constants.GossipPrefixTokensMin {
 		considered = s.addPrefixHolders(req, all, considered)
 	}
 	s.scratch.toConsider = considered
@@ -69,7 +69,7 @@
 	var healthy []rankedWorker
 	inContact := s.controllerContactAt > 0 && now.Sub(s.controllerContactAt) < constants.SuspectAfter
 	for _, worker := range all {
-		if s.Registry.Status(worker.ID, now, inContact) != workers.StatusHealthy || s.Tracker.Of(worker.ID).Suspect(now) {
+		if s.Registry.Status(worker.ID, now, inContact) != workers.StatusHealthy || s.Tracker.HealthOf(worker.ID).Suspect(now) {
 			continue
 		}
 		healthy = append(healthy, rankedWorker{worker, worker.Zone == s.self.Zone, rendezvousWeight(s.self, worker.ID)})
@@ -81,7 +81,7 @@
 		return healthy[left].weight > healthy[right].weight
 	})
 	fresh := subset{at: now}
-	for _, ranked := range healthy[:min(len(healthy), constants.ReachSubset)] {
+	for _, ranked := range healthy[:min(len(healthy), constants.SubsetSize)] {
 		fresh.workerList = append(fresh.workerList, ranked.worker)
 	}
 	if s.subsets == nil {
@@ -113,7 +113,7 @@
 		return nil, false
 	}
 	all := s.Registry.ByService(known.Backend)
-	if len(all) <= constants.ReachAllUpTo {
+	if len(all) <= constants.SubsetThreshold {
 		return nil, false
 	}
 	for _, node := range nodes {
@@ -126,7 +126,7 @@
 				higher++
 			}
 		}
-		if higher < constants.ReachSubset {
+		if higher < constants.SubsetSize {
 			nodesFor = append(nodesFor, node)
 		}
 	}
@@ -149,10 +149,10 @@
 	for i := range all {
 		ids[i] = all[i].ID
 	}
-	for _, worker := range s.Index.Homes(&req.Prompt, ids, constants.ReachPrefixWorkers) {
+	for _, worker := range s.Index.Homes(&req.Prompt, ids, constants.PrefixWorkersMax) {
 		holders[worker] = true
 	}
-	for _, worker := range s.Index.Holders(&req.Prompt, constants.ReachPrefixWorkers) {
+	for _, worker := range s.Index.Holders(&req.Prompt, constants.PrefixWorkersMax) {
 		holders[worker] = true
 	}
 	for _, worker := range considered {
@@ -172,7 +172,7 @@
 func (s *Scheduler) meanLoad(workerList []messages.Worker, now clock.Instant) int {
 	total, count := 0, 0
 	for _, worker := range workerList {
-		if health := s.Tracker.Of(worker.ID); health.Known(now) {
+		if health := s.Tracker.HealthOf(worker.ID); health.Known(now) {
 			total += health.Running(now)
 			count++
 		}
--- a/internal/traffic/admission/subset_test.go
+++ b/internal/traffic/admission/subset_test.go
@@ -38,15 +38,15 @@
 func TestShortPromptsStayInTheSubset(t *testing.T) {
 	scheduler := newNode("n", "h1")
 	placements := map[string]int{}
-	for count := 0; count < 4*constants.ReachSubset; count++ {
+	for count := 0; count < 4*constants.SubsetSize; count++ {
 		decision, _ := scheduler.Admit(newRequest(0), nil, atSecond(2)+clock.Instant(count))
 		if decision.Verdict != VerdictGranted || decision.Grant.Worker.Zone != "h1" {
 			t.Fatalf("request %d: want a grant in zone h1, got %+v", count, decision)
 		}
 		placements[decision.Grant.Worker.ID]++
 	}
-	if len(placements) != constants.ReachSubset {
-		t.Fatalf("placed on %d workers, want %d", len(placements), constants.ReachSubset)
+	if len(placements) != constants.SubsetSize {
+		t.Fatalf("placed on %d workers, want %d", len(placements), constants.SubsetSize)
 	}
 	decision, _ := scheduler.Admit(newRequest(0), nil, atSecond(2)+100)
 	if decision.Verdict != VerdictGranted || placements[decision.Grant.Worker.ID] > 0 {
@@ -64,7 +64,7 @@
 			nodesFor[worker.ID]++
 		}
 	}
-	mean := float64(nodes*constants.ReachSubset) / 60
+	mean := float64(nodes*constants.SubsetSize) / 60
 	for i := 0; i < 60; i++ {
 		if count := float64(nodesFor[fmt.Sprintf("i-%04d", i)]); count < 0.4*mean || count > 1.7*mean {
 			t.Fatalf("worker %d is in the subsets of %.0f nodes, want between 0.4 and 1.7 times the mean of %.1f", i, count, mean)
@@ -99,7 +99,7 @@
 		t.Fatalf("placed on %s, want %s, which holds the prefix", decision.Grant.Worker.ID, other)
 	}
 	failed := scheduler.subset("s", scheduler.Registry.ByService("s"), atSecond(2))[0].ID
-	scheduler.WithLock(func() { scheduler.Tracker.Of(failed).RecordFailure(constants.EjectFor, atSecond(4)) })
+	scheduler.WithLock(func() { scheduler.Tracker.HealthOf(failed).RecordFailure(constants.EjectFor, atSecond(4)) })
 	for _, worker := range scheduler.subset("s", scheduler.Registry.ByService("s"), atSecond(4)) {
 		if worker.ID == failed {
 			t.Fatal("a failing worker is still in the subset")
--- a/internal/traffic/gateway/jobcall_test.go
+++ b/internal/traffic/gateway/jobcall_test.go
@@ -114,7 +114,7 @@
 	group.Wait()
 	relay.Thaw()
 	call(http.MethodGet, "next")
-	relay.End()
+	relay.Close()
 	for job, promised := range rejected {
 		if promised && store.submissions(job) > 0 {
 			t.Errorf("%s was accepted, but its response promised that it will not run", job)
--- a/internal/traffic/health/health.go
+++ b/internal/traffic/health/health.go
@@ -39,8 +39,8 @@
 // New returns an empty tracker.
 func New() *Tracker { return &Tracker{byWorker: map[string]*Health{}} }
 
-// Of returns the health of a worker and creates it if necessary.
-func (t *Tracker) Of(worker string) *Health {
+// HealthOf returns the health of a worker and creates it if necessary.
+func (t *Tracker) HealthOf(worker string) *Health {
 	health := t.byWorker[worker]
 	if health == nil {
 		health = &Health{}
--- a/internal/traffic/loadgossip/budget.go
+++ b/internal/traffic/loadgossip/budget.go
@@ -10,7 +10,7 @@
 // limit) if the service is unknown or states no connection limit. The budget does not depend on the
 // number of nodes: requests are placed by the load that all nodes observe, so the connections in use
 // at a worker follow its capacity, and a node never needs more than that. The limit of one eighth of
-// the worker's connections (constants.ConnectionPart) keeps a burst at one node from taking
+// the worker's connections (constants.ConnectionShare) keeps a burst at one node from taking
 // connections that other nodes need.
 func (g *Gossip) budget(worker messages.Worker) int {
 	config := g.Node.Config()
@@ -27,10 +27,10 @@
 // connectionBudget returns the budget for a worker of the given capacity, in concurrent requests,
 // and the given limit of connections. It is never below constants.ConnectionsMin.
 func connectionBudget(capacity, limit int, role string) int {
-	share := constants.ConnectionPart
+	share := constants.ConnectionShare
 	if role == membership.RoleStore {
 		// Few processes run items, and each of them runs many at a worker.
-		share = constants.ConnectionPartItems
+		share = constants.ConnectionShareItems
 	}
 	need := capacity + constants.QueueAheadMax + constants.ConnectionsMin
 	return max(min(need, int(share*float64(limit))), constants.ConnectionsMin)
--- a/internal/traffic/loadgossip/peers.go
+++ b/internal/traffic/loadgossip/peers.go
@@ -79,7 +79,7 @@
 	for _, node := range known {
 		switch {
 		case node.Role != membership.RoleGateway && node.Role != membership.RoleStore,
-			node.Draining || node.AgeMs >= constants.NeighbourAge.Milliseconds():
+			node.Draining || node.AgeMs >= constants.NeighbourAgeMax.Milliseconds():
 		case node.Zone == own.Zone:
 			selected.sameZone = append(selected.sameZone, node)
 		default:
--- a/internal/traffic/loadgossip/pressure_test.go
+++ b/internal/traffic/loadgossip/pressure_test.go
@@ -102,7 +102,7 @@
 			return resp, err
 		})
 	}
-	nodes[0].Scheduler.WithLock(func() { nodes[0].Scheduler.Tracker.Of("w").ObserveLoad("7,0,1", clock.Now()) })
+	nodes[0].Scheduler.WithLock(func() { nodes[0].Scheduler.Tracker.HealthOf("w").ObserveLoad("7,0,1", clock.Now()) })
 	nodes[0].gossipRound()
 	for range nodes[1:] {
 		select {
@@ -113,7 +113,7 @@
 	}
 	for _, node := range nodes[1:] {
 		running := 0
-		node.Scheduler.WithLock(func() { running = node.Scheduler.Tracker.Of("w").Running(clock.Now()) })
+		node.Scheduler.WithLock(func() { running = node.Scheduler.Tracker.HealthOf("w").Running(clock.Now()) })
 		if running != 7 {
 			t.Fatalf("%s counts %d running requests at the worker, want 7", node.Node.Self.Name, running)
 		}
--- a/internal/traffic/loadgossip/report.go
+++ b/internal/traffic/loadgossip/report.go
@@ -26,7 +26,7 @@
 	scheduler := g.Scheduler
 	scheduler.WithLock(func() {
 		for _, worker := range scheduler.Registry.All(now) {
-			health := scheduler.Tracker.Of(worker.ID)
+			health := scheduler.Tracker.HealthOf(worker.ID)
 			responses, failures := health.Counts()
 			status.Rows = append(status.Rows, []string{worker.ID, worker.Backend, worker.Zone, worker.Phase.String(),
 				statusNames[scheduler.Registry.Status(worker.ID, now, true)], formatInt(worker.AgeMs), formatInt(health.OwnRequests() - health.OwnBulkRequests()),
--- a/internal/traffic/loadgossip/staleness_test.go
+++ b/internal/traffic/loadgossip/staleness_test.go
@@ -76,16 +76,16 @@
 func (s *simulation) observe(node *simNode, now clock.Instant) {
 	// If the zone has many workers, a node sends requests only to a subset of them.
 	candidates := s.zoneWorkers(node)
-	worker := candidates[s.random.Intn(min(len(candidates), constants.ReachSubset))]
-	if len(candidates) > constants.ReachSubset {
-		key := fmt.Sprint(node.own.Name, s.random.Intn(constants.ReachSubset))
+	worker := candidates[s.random.Intn(min(len(candidates), constants.SubsetSize))]
+	if len(candidates) > constants.SubsetSize {
+		key := fmt.Sprint(node.own.Name, s.random.Intn(constants.SubsetSize))
 		hash := 0
 		for _, character := range key {
 			hash = hash*31 + int(character)
 		}
 		worker = candidates[hash%len(candidates)]
 	}
-	node.scheduler.WithLock(func() { node.scheduler.Tracker.Of(worker).ObserveLoad("5,0,16", now) })
+	node.scheduler.WithLock(func() { node.scheduler.Tracker.HealthOf(worker).ObserveLoad("5,0,16", now) })
 }
 
 // gossipRound simulates one gossip period of a node.
@@ -144,7 +144,7 @@
 	for _, node := range s.nodes {
 		for _, worker := range s.zoneWorkers(node) {
 			node.scheduler.WithLock(func() {
-				sample, known := node.scheduler.Tracker.Of(worker).Sample(now)
+				sample, known := node.scheduler.Tracker.HealthOf(worker).Sample(now)
 				if !known || sample.Running == messages.RunningUnknown {
 					missing++
 					return
@@ -196,13 +196,13 @@
 	paused.paused = true
 	worker := sim.zoneWorkers(paused)[0]
 	at := clock.Instant(5) * clock.Instant(constants.GossipPeriod)
-	paused.scheduler.WithLock(func() { paused.scheduler.Tracker.Of(worker).ObserveLoad("200,0,16", at) })
+	paused.scheduler.WithLock(func() { paused.scheduler.Tracker.HealthOf(worker).ObserveLoad("200,0,16", at) })
 	sim.run(5, 4, 0)
 	paused.paused = false
 	sim.run(9, 3, 0)
 	for _, node := range sim.nodes {
 		node.scheduler.WithLock(func() {
-			if running := node.scheduler.Tracker.Of(worker).Running(at.Add(7 * constants.GossipPeriod)); running != 0 {
+			if running := node.scheduler.Tracker.HealthOf(worker).Running(at.Add(7 * constants.GossipPeriod)); running != 0 {
 				t.Errorf("%s still counts %d running requests at the worker, want 0", node.own.Name, running)
 			}
 		})
--- a/internal/traffic/prefixindex/advertise.go
+++ b/internal/traffic/prefixindex/advertise.go
@@ -119,7 +119,7 @@
 		}
 		leaf.peers[residency.Worker] = peerEvidence{probability: float64(residency.Probability), reportedAt: reportedAt, evidenceAt: lastEvidence, incarnation: i.turnoverOf(residency.Worker).incarnation}
 	}
-	if i.tree.Size() > constants.IndexNodes {
+	if i.tree.Size() > constants.IndexLeavesMax {
 		i.shrink()
 	}
 }
--- a/internal/traffic/prefixindex/index.go
+++ b/internal/traffic/prefixindex/index.go
@@ -107,7 +107,7 @@
 		}
 		leaf.own[worker] = ownEvidence{placedAt: now, turnoverAt: cacheTurnover.total(), confidence: 1, incarnation: cacheTurnover.incarnation}
 	}
-	if i.tree.Size() > constants.IndexNodes {
+	if i.tree.Size() > constants.IndexLeavesMax {
 		i.shrink()
 	}
 	return fresh
@@ -148,12 +148,12 @@
 }
 
 // shrink removes the least recently used eighth of the leaves, or more if the index would
-// otherwise still exceed constants.IndexNodes.
+// otherwise still exceed constants.IndexLeavesMax.
 func (i *Index) shrink() {
 	var leaves []*Leaf
 	i.tree.Each(func(leaf *Leaf) { leaves = append(leaves, leaf) })
 	sort.Slice(leaves, func(left, right int) bool { return leaves[left].lastUsed < leaves[right].lastUsed })
-	for _, leaf := range leaves[:max(len(leaves)/8, len(leaves)-constants.IndexNodes)] {
+	for _, leaf := range leaves[:max(len(leaves)/8, len(leaves)-constants.IndexLeavesMax)] {
 		i.tree.Remove(leaf.key)
 	}
 }
--- a/internal/traffic/prefixindex/prefixindex_test.go
+++ b/internal/traffic/prefixindex/prefixindex_test.go
@@ -171,11 +171,11 @@
 
 func TestIndexIsBounded(t *testing.T) {
 	index := NewIndex()
-	for count := 0; count < 3*constants.IndexNodes; count++ {
+	for count := 0; count < 3*constants.IndexLeavesMax; count++ {
 		index.RecordPlacement(prompt(fmt.Sprintf("%x", count), 100), "first", clock.Instant(count))
 	}
-	if index.tree.Size() > constants.IndexNodes {
-		t.Fatalf("index has %d leaves, want at most %d", index.tree.Size(), constants.IndexNodes)
+	if index.tree.Size() > constants.IndexLeavesMax {
+		t.Fatalf("index has %d leaves, want at most %d", index.tree.Size(), constants.IndexLeavesMax)
 	}
 	// The shared prefix is used by every prompt, so it is never removed.
 	visited := 0
@@ -203,14 +203,14 @@
 // limit however many leaves one prompt adds.
 func TestPromptsOfManyPartsAreBounded(t *testing.T) {
 	index := NewIndex()
-	for number := range constants.IndexNodes / 8 {
+	for number := range constants.IndexLeavesMax / 8 {
 		prompt := ParsePrompt("m", "500,20", strconv.Itoa(number)+":1"+strings.Repeat(",a:1", 4000))
 		if len(prompt.Parts) != constants.PromptPartsMax || prompt.Tokens != 500 {
 			t.Fatalf("parsed %d parts and %d tokens, want %d and 500", len(prompt.Parts), prompt.Tokens, constants.PromptPartsMax)
 		}
 		index.RecordPlacement(&prompt, "w", 1)
-		if size := index.tree.Size(); size > constants.IndexNodes {
-			t.Fatalf("index has %d leaves, want at most %d", size, constants.IndexNodes)
+		if size := index.tree.Size(); size > constants.IndexLeavesMax {
+			t.Fatalf("index has %d leaves, want at most %d", size, constants.IndexLeavesMax)
 		}
 	}
 	if few := ParsePrompt("m", "5", " a:1, b:2"); len(few.Parts) != 2 || few.Parts[1].Tokens != 2 {
--- a/internal/traffic/proxy/everybyte_test.go
+++ b/internal/traffic/proxy/everybyte_test.go
@@ -83,7 +83,7 @@
 	t.Helper()
 
 	for i := range s.workers {
-		s.relays[i].End()
+		s.relays[i].Close()
 		s.workers[i].drain(t)
 	}
 }
--- a/internal/traffic/proxy/fault_test.go
+++ b/internal/traffic/proxy/fault_test.go
@@ -53,7 +53,7 @@
 			t.Fatalf("%s: retried at another worker only after %v", path, took)
 		}
 		var failures int64
-		proxy.Scheduler.WithLock(func() { _, failures = proxy.Scheduler.Tracker.Of("w1").Counts() })
+		proxy.Scheduler.WithLock(func() { _, failures = proxy.Scheduler.Tracker.HealthOf("w1").Counts() })
 		if failures != 1 {
 			t.Fatalf("%s: the hang was recorded as %d failures, want 1", path, failures)
 		}
@@ -96,7 +96,7 @@
 		// Respond only after the silence was recorded, independently of the speed of this machine.
 		for suspect := false; !suspect; {
 			<-clock.After(clock.Milliseconds(5))
-			proxy.Scheduler.WithLock(func() { suspect = proxy.Scheduler.Tracker.Of("w1").Suspect(clock.Now()) })
+			proxy.Scheduler.WithLock(func() { suspect = proxy.Scheduler.Tracker.HealthOf("w1").Suspect(clock.Now()) })
 		}
 		close(respond)
 	}()
@@ -125,7 +125,7 @@
 			t.Fatalf("%q: request failed: %v", text, err)
 		}
 		var failures int64
-		proxy.Scheduler.WithLock(func() { _, failures = proxy.Scheduler.Tracker.Of("w1").Counts() })
+		proxy.Scheduler.WithLock(func() { _, failures = proxy.Scheduler.Tracker.HealthOf("w1").Counts() })
 		if wantFailure != (failures > 0) {
 			t.Fatalf("%q: got %d failures, want some: %v", text, failures, wantFailure)
 		}
--- a/internal/traffic/proxy/idle_test.go
+++ b/internal/traffic/proxy/idle_test.go
@@ -54,7 +54,7 @@
 	}
 	suspect, failures := false, int64(0)
 	proxy.Scheduler.WithLock(func() {
-		health := proxy.Scheduler.Tracker.Of("w1")
+		health := proxy.Scheduler.Tracker.HealthOf("w1")
 		suspect = health.Suspect(clock.Now())
 		_, failures = health.Counts()
 	})
--- a/internal/traffic/proxy/proxy.go
+++ b/internal/traffic/proxy/proxy.go
@@ -129,7 +129,7 @@
 )
 
 // inboundBody returns the limits for reading the body of a request on a route. The read timeout is
-// the shorter of the route's cutoff and the client's time left, but at least ClientBodyMin: a body that
+// the shorter of the route's cutoff and the client's time left, but at least ClientBodyTimeoutMin: a body that
 // is complete only after the client stopped waiting is of no use, since no response could reach the
 // client in time.
 func inboundBody(config *routeconfig.Config, route *routeconfig.Route, header http.Header) inbound.Body {
@@ -143,7 +143,7 @@
 	if left, stated := timeLeft(header); stated {
 		body.Timeout = min(body.Timeout, left)
 	}
-	body.Timeout = max(body.Timeout, constants.ClientBodyMin)
+	body.Timeout = max(body.Timeout, constants.ClientBodyTimeoutMin)
 	return body
 }
 
@@ -151,7 +151,7 @@
 	if errs.Is(err, inbound.ErrMemoryLimit) {
 		p.Counts.Rejected.Add(1)
 	}
-	httpreply.RefuseBody(writer, err)
+	httpreply.RejectBody(writer, err)
 }
 
 func (p *Proxy) newExchange(writer http.ResponseWriter, request *http.Request, route *routeconfig.Route, body []byte, arrived clock.Instant) *exchange {
--- a/internal/traffic/proxy/silence.go
+++ b/internal/traffic/proxy/silence.go
@@ -20,7 +20,7 @@
 	return func(elapsed clock.Duration) bool {
 		now := clock.Now()
 		if !e.retryable() || e.attempts+1 >= e.route.MaxAttempts {
-			grant.NoteSilence(elapsed, now)
+			grant.RecordSilence(elapsed, now)
 			return false
 		}
 		return grant.TryRetryElsewhere(elapsed, now) || elapsed >= constants.StreamTimeout
--- a/internal/traffic/workerconn/idle.go
+++ b/internal/traffic/workerconn/idle.go
@@ -98,7 +98,7 @@
 	// discards idle connections earlier is enough to cause a reset.
 	if safe := p.safeIdle(connection.service); connection.IdleFor/2 > safe {
 		const divisor = 16
-		p.safeIdleTimes[connection.service] = min(safe+(connection.IdleFor/2-safe)/divisor, constants.SafeIdleMost)
+		p.safeIdleTimes[connection.service] = min(safe+(connection.IdleFor/2-safe)/divisor, constants.SafeIdleMax)
 	}
 }
 
@@ -108,7 +108,7 @@
 	p.StaleCount.Add(1)
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	p.safeIdleTimes[connection.service] = max(min(p.safeIdle(connection.service), connection.IdleFor/2), constants.SafeIdleLeast)
+	p.safeIdleTimes[connection.service] = max(min(p.safeIdle(connection.service), connection.IdleFor/2), constants.SafeIdleMin)
 }
 
 // SafeIdle returns the current safe idle time of a service.
