--- a/internal/control/lease/lease.go
+++ b/internal/control/lease/lease.go
@@ -6,11 +6,15 @@
 // The lease only decides who may campaign, so that there is one leader most of the time. A leader
 // that keeps acting after its lease has expired is fenced by the epoch in the register.
 //
-// At most one candidate has the grants of a majority at a time. An acceptor grants the lease to no
-// other candidate before its previous grant has expired by its own monotonic clock. The holder counts
-// its lease from before it sent the request and ends it constants.LeaseSafetyMargin early. An
-// acceptor that was restarted has lost its grants; until they must have expired, it grants the lease
-// only to the leader in the register; see isLeaderOfForgottenGrant.
+// While no acceptor restarts, at most one candidate has the grants of a majority at a time. An
+// acceptor grants the lease to no other candidate before its previous grant has expired by its own
+// monotonic clock. The holder counts its lease from before it sent the request and ends it
+// constants.LeaseSafetyMargin early.
+//
+// An acceptor that was restarted has lost its grants. Until they must have expired, it grants the
+// lease only to the leader in the register as it knows it; see isLeaderOfForgottenGrant. If it had
+// granted the lease to another candidate that is not the leader there yet, both may have the grants
+// of a majority; the epoch in the register then decides which of them leads.
 package lease
 
 import (
@@ -79,7 +83,8 @@
 }
 
 // isLeaderOfForgottenGrant reports whether the request comes from the leader in the register, whose
-// grant this acceptor may have lost in a restart.
+// grant this acceptor may have lost in a restart. That leader can renew its lease at once. The lost
+// grant may also have been to another candidate; see the package comment.
 func (g *Grantor) isLeaderOfForgottenGrant(req messages.LeaseRequest, current messages.Leadership) bool {
 	return g.grantee == "" && current.Holder == req.Candidate && req.Incarnation >= current.Incarnation
 }
--- a/internal/control/lease/lease_test.go
+++ b/internal/control/lease/lease_test.go
@@ -26,15 +26,15 @@
 	}
 }
 
-func TestRestartedAcceptorGrantsNothingForALeaseDuration(t *testing.T) {
+func TestRestartedAcceptorGrantsOnlyToTheLeader(t *testing.T) {
 	grantor := NewGrantor(0, false)
 	leadership := messages.Leadership{Holder: "a", Incarnation: 1, Epoch: 1}
 	if grantor.Grant(messages.LeaseRequest{Candidate: "b", Incarnation: 1, Epoch: 1}, leadership, 10).Granted {
 		t.Fatal("granted a lease that an earlier incarnation may have granted")
 	}
-	// The holder itself may continue, because no other candidate can have the lease.
+	// The leader in the register may continue: the lost grant may have been its own.
 	if !grantor.Grant(messages.LeaseRequest{Candidate: "a", Incarnation: 1, Epoch: 1}, leadership, 11).Granted {
-		t.Fatal("the holder's request was rejected")
+		t.Fatal("the request of the leader in the register was rejected")
 	}
 }
 
--- a/internal/control/membership/membership.go
+++ b/internal/control/membership/membership.go
@@ -1,6 +1,6 @@
 // Package membership maintains a process's view of the fleet: partial views, which neighbours
 // exchange by shuffling, and the controllers' directory of all processes. The package does no
-// I/O: time and messages are passed in as arguments.
+// I/O: time and messages are passed in as arguments. A View is not safe for concurrent use.
 package membership
 
 import (
@@ -40,7 +40,8 @@
 	// sortedKeys caches the sorted keys of peers; nil after a peer was added or removed.
 	sortedKeys []string
 	random     *rand.Rand
-	// version counts the changes; sum is a checksum of the entries.
+	// version counts the entries that were added or changed, but not the removals; sum is a checksum
+	// of the entries.
 	version, sum uint64
 	// lastController is the time of the last contact with any controller; counts is the number of
 	// processes of each role as a controller last reported it; trimmedAt is the time at which trim
@@ -74,7 +75,8 @@
 // SetGeneration sets the generation of the configuration that the owner follows.
 func (v *View) SetGeneration(generation int64) { v.self.Generation = generation }
 
-// Observe merges entries from a shuffle. The first entry is that of the sender.
+// Observe merges entries from a shuffle. The first entry is that of the sender, which counts as in
+// direct contact now.
 func (v *View) Observe(entries []messages.NodeInfo, now clock.Instant) {
 	for i, entry := range entries {
 		v.merge(entry, now)
@@ -127,8 +129,8 @@
 	}
 }
 
-// Failed records that a process did not respond or is detached. For constants.SuspectAfter, other
-// controllers are tried before it.
+// Failed records that a process did not respond or is detached. For constants.SuspectAfter, or until
+// its next message, other controllers are tried before it.
 func (v *View) Failed(address string, now clock.Instant) { v.failedAt[address] = now }
 
 // Offer returns the entries to send in a shuffle: the owner, then a random sample of the view.
--- a/internal/control/membership/neighbours.go
+++ b/internal/control/membership/neighbours.go
@@ -25,9 +25,10 @@
 	return mixed
 }
 
-// Neighbours returns up to count live processes of a role that are not draining, lowest weight first:
-// one in another zone if there is one, and the rest in the owner's zone. More processes of other
-// zones are included only if the owner's zone has too few.
+// Neighbours returns up to count live processes of a role that are not draining: one in another zone
+// if there is one, and the rest in the owner's zone. More processes of other zones are included only
+// if the owner's zone has too few. Those of the owner's zone come first, and within the owner's zone
+// and the other zones those of the lowest weight.
 func (v *View) Neighbours(role string, count int, now clock.Instant) []messages.NodeInfo {
 	var sameZone, otherZones []messages.NodeInfo
 	for _, entry := range v.Live(role, now) {
--- a/internal/control/membership/reports.go
+++ b/internal/control/membership/reports.go
@@ -30,7 +30,7 @@
 
 // RespondToReport returns a controller's response to a report: its own entry, the requested ages, the
 // peers that the reporter should know but does not, and the number of processes of each role.
-// A brief report is answered with the own entry only.
+// The response to a brief report contains only its own entry.
 func (v *View) RespondToReport(req *messages.Shuffle, now clock.Instant) *messages.Shuffle {
 	resp := &messages.Shuffle{Entries: []messages.NodeInfo{v.self}}
 	if req.Brief {
@@ -64,7 +64,8 @@
 }
 
 // recommend returns the peers that a reporter should know. The computation iterates over the whole
-// directory, so its result is reused until the view changes or constants.ViewReuseTime passes.
+// directory, so its result is reused until an entry is added or changed or constants.ViewReuseTime
+// passes. A removal does not end the reuse, so a returned key may no longer be in the view.
 func (v *View) recommend(reporter messages.NodeInfo, now clock.Instant) recommendation {
 	if rec, found := v.recommendations[Key(reporter)]; found && rec.version == v.version && now.Sub(rec.computedAt) < constants.ViewReuseTime {
 		return rec
@@ -89,9 +90,9 @@
 	return rec
 }
 
-// age returns the age to report for a process, in units of ageUnit. An age below
-// constants.FreshReportAge, which is normal between reports, is reported as 0, so that only
-// silence is visible.
+// age returns the age to report for a process, in units of ageUnit, or messages.AgeUnknown if the view
+// does not contain the process. An age below constants.FreshReportAge, which is normal between
+// reports, is reported as 0, so that only silence is visible.
 func (v *View) age(hash uint32, now clock.Instant) uint16 {
 	key, found := v.keyByHash[hash]
 	if !found {
--- a/internal/control/register/archive.go
+++ b/internal/control/register/archive.go
@@ -18,7 +18,8 @@
 }
 
 // Restore adds a chunk that was read from disk, and drops the chunks from its index on. The first
-// chunk of a chain, or a chunk without fingerprints, replaces everything.
+// chunk of a chain, or a chunk without fingerprints, replaces everything. A chunk that the base covers,
+// or that would leave a gap, is ignored.
 func (a *Archive) Restore(chunk messages.ArchiveChunk) {
 	if chunk.Index == 1 && len(chunk.Fingerprints) > 0 {
 		*a = Archive{}
--- a/internal/control/register/ballot.go
+++ b/internal/control/register/ballot.go
@@ -14,7 +14,7 @@
 var (
 	// ErrOutcomeUnknown means that a change may or may not have been committed.
 	ErrOutcomeUnknown = errs.Define("register outcome unclear")
-	// ErrNoQuorum means that nothing was changed, because no majority responded.
+	// ErrNoQuorum means that nothing was changed, because no second round was started in time.
 	ErrNoQuorum = errs.Define("register without a majority")
 )
 
--- a/internal/control/register/faults_test.go
+++ b/internal/control/register/faults_test.go
@@ -9,6 +9,9 @@
 	"lemonarch/internal/platform/messages"
 )
 
+// Two operators at a time send changes on the same base while messages are lost and duplicated and
+// processes are isolated or restarted. At most one change on each base may be acknowledged, and no
+// acknowledged version may be lost.
 func TestRegisterUnderFaults(t *testing.T) {
 	names := []string{"a", "b", "c"}
 	for seed := int64(1); seed <= 150; seed++ {
@@ -153,11 +156,11 @@
 	}
 }
 
-// A history that TestRestartedProposerUsesNoBallotTwice guards against, step by step: d sent X under a ballot that a and b had
-// promised, and only a accepted it before d was killed. The new incarnation of d reached the same
-// counter through c, which did not know of that ballot, and had Y chosen by b and c. A read at a
-// and b must return Y.
-func TestTwoIncarnationsOneCounter(t *testing.T) {
+// One history that TestRestartedProposerUsesNoBallotTwice guards against, step by step: d sent X
+// under a ballot that a and b had promised, and only a accepted it before d was killed. The new
+// incarnation of d reached the same counter through c, which did not know of that ballot, and had Y
+// chosen by b and c. A read at a and b must return Y.
+func TestIncarnationsWithOneCounterUseDifferentBallots(t *testing.T) {
 	fleet := newFleet(t, 1, "a", "b", "c")
 	accept := func(name string, ballot messages.Ballot, label string) bool {
 		value := messages.RegisterValue{Acceptors: fleet.controllers["a"].disk.First, Current: messages.Version{Hash: label}}
--- a/internal/control/register/reconcile.go
+++ b/internal/control/register/reconcile.go
@@ -74,9 +74,10 @@
 	return contains(known.Acceptors) && !contains(known.Previous)
 }
 
-// ToleratesBudget reports whether the loss of the fault budget leaves a majority; what a smaller
-// set acknowledged could be lost within the budget. others is the number of processes with a disk
-// that are not members and could still join.
+// ToleratesBudget reports whether the sets of a value are complete: each has size members, or as many
+// as there are acceptors and others together if these are fewer. The loss of the fault budget leaves
+// a majority of size members; what a smaller set acknowledged could be lost within the budget. others
+// is the number of processes with a disk that are not members and could still join.
 func ToleratesBudget(value *messages.RegisterValue, size, others int) bool {
 	complete := min(size, len(value.Acceptors)+others)
 	return len(value.Acceptors) >= complete && (len(value.Previous) == 0 || len(value.Previous) >= complete)
--- a/internal/control/workers/registry.go
+++ b/internal/control/workers/registry.go
@@ -1,5 +1,6 @@
 // Package workers is the table of registered workers, with the last known state of each.
-// It does no I/O and reads no clock: callers pass in the time.
+// It does no I/O and reads no clock: callers pass in the time. A Registry is not safe for concurrent
+// use.
 package workers
 
 import (
--- a/internal/control/workers/table.go
+++ b/internal/control/workers/table.go
@@ -11,8 +11,11 @@
 )
 
 // Hash returns the short hash that identifies a worker in messages between processes that both know
-// its id. Among 600 workers, the chance that two share a hash is one in 20,000. The only effect
-// is that each confirms the other's heartbeats.
+// its id. Among 600 workers, the chance that two share a hash is one in 20,000. A table resolves a
+// shared hash only to the worker that was added last: heartbeats of either worker that another process
+// reports count for that one alone, while a report that the hash is overdue makes both count as
+// overdue. Once either worker is dropped, reports with the hash are ignored until a worker with that
+// hash is added again.
 func Hash(id string) uint32 {
 	sum := fnv.New32a()
 	_, _ = sum.Write([]byte(id))
@@ -65,7 +68,7 @@
 	return messages.Digest{Incarnation: incarnation, Clock: r.version, Sum: r.sum, Count: len(r.entries)}
 }
 
-// Version returns the number of changes so far.
+// Version returns the number of entries that were added or changed so far. Removals do not count.
 func (r *Registry) Version() uint64 { return r.version }
 
 // Heartbeat applies a worker's own call and reports whether it made a change that must be sent to
@@ -127,8 +130,8 @@
 }
 
 // ApplyOverdue applies a controller's list of all silent workers. A worker that is not on it has
-// sent a heartbeat within the last constants.HeartbeatsSuspect periods. Of two reports about one worker
-// the more recent counts.
+// sent a heartbeat within the last constants.HeartbeatsSuspect periods. Of two reports about one worker,
+// the one with the later heartbeat counts.
 func (r *Registry) ApplyOverdue(list []messages.Overdue, now clock.Instant) {
 	next := map[uint32]bool{}
 	for _, overdue := range list {
@@ -146,6 +149,8 @@
 }
 
 // sinceLastHeartbeat returns the time since a worker's last heartbeat to this process or a controller.
+// For a worker that is not on the last list of silent workers, it is at most the time since that list
+// was received.
 func (r *Registry) sinceLastHeartbeat(id string, current *entry, now clock.Instant) clock.Duration {
 	if r.overdue[Hash(id)] {
 		return now.Sub(current.lastHeartbeat)
