--- a/internal/control/agent/agent.go
+++ b/internal/control/agent/agent.go
@@ -105,9 +105,9 @@
 	return a.view.All(role, clock.Now())
 }
 
-// Neighbours returns up to count live processes of a role. The selection is stable while they are
-// live: one process in another zone if there is one, and the rest in this zone. More processes of
-// other zones are included only if this zone has too few.
+// Neighbours returns up to count live processes of a role that are not draining: one in another zone
+// if there is one, and the rest in this zone. More processes of other zones are included only if
+// this zone has too few. The selection stays the same while the set of these processes does.
 func (a *Agent) Neighbours(role string, count int) []messages.NodeInfo {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -123,9 +123,9 @@
 	return a.view.Population(role, clock.Now())
 }
 
-// Multicast sends one message to each process of the list at the same time and waits for
-// all responses or for the timeout. onFailure, if not nil, is called for each process that did
-// not respond, from a separate goroutine each.
+// Multicast sends one message to each process of the list at the same time, and returns once each
+// call has returned, after the timeout at the latest. onFailure, if not nil, is called for each
+// process whose call failed or timed out, each time from a separate goroutine.
 func (a *Agent) Multicast(entries []messages.NodeInfo, kind messages.Kind, message transport.Marshaler, timeout clock.Duration, onFailure func(messages.NodeInfo)) {
 	body, err := message.MarshalMsg(nil)
 	if err != nil {
--- a/internal/control/agent/assignments.go
+++ b/internal/control/agent/assignments.go
@@ -17,7 +17,7 @@
 }
 
 // observePlan pulls this node's share of the plan from the controller that reported the revision, if
-// the revision is newer than the known one.
+// the revision is newer than the known one. It does nothing on a controller or during another pull.
 func (a *Agent) observePlan(revision int64, address string) {
 	a.lock.Lock()
 	behind := revision > a.plan.table.Revision() && !a.plan.pulling && a.Self.Role != membership.RoleController
--- a/internal/control/agent/config.go
+++ b/internal/control/agent/config.go
@@ -115,8 +115,9 @@
 func (a *Agent) ObserveGeneration(generation int64) { a.ObserveGenerationAt(generation, "") }
 
 // ObserveGenerationAt pulls a configuration that the process at an address follows, if it is newer.
-// That process is tried first. The pull continues until a process has returned that
-// configuration or a newer one, so that a controller that lags behind does not end it.
+// That process is tried first; an empty address means that none is. The pull continues until a
+// process has returned that configuration or a newer one, so that a controller that lags behind does
+// not end it, or until every known controller was tried. It is not started during another pull.
 func (a *Agent) ObserveGenerationAt(generation int64, address string) {
 	a.lock.Lock()
 	if a.pulling || (a.config != nil && a.config.Generation >= generation) || generation == 0 {
@@ -133,8 +134,8 @@
 	}()
 }
 
-// pullUntil pulls from one process, then from the controllers, until this process follows a
-// generation, and reports whether any of them responded.
+// pullUntil pulls from one process, if first is not empty, then from the controllers, until this
+// process follows a generation or a newer one. It reports whether any of them responded.
 func (a *Agent) pullUntil(generation int64, first string) bool {
 	addresses := a.controllerAddresses()
 	if first != "" {
--- a/internal/control/agent/reports.go
+++ b/internal/control/agent/reports.go
@@ -18,7 +18,7 @@
 	// none did.
 	firstController string
 	// onReportResponse, on a controller, completes the response to a report; onControllerReport is
-	// called with the response of a controller. Set before Start.
+	// called with the response of a controller that accepted a report. Set before Start.
 	onReportResponse   func(resp *messages.Shuffle)
 	onControllerReport func(address string, resp *messages.Shuffle)
 }
@@ -28,7 +28,8 @@
 	a.reporter.onReportResponse = function
 }
 
-// OnControllerReport registers a function that is called with each response of a controller to a report.
+// OnControllerReport registers a function that is called with each response to a report from a
+// controller that is in contact with a majority.
 func (a *Agent) OnControllerReport(function func(address string, resp *messages.Shuffle)) {
 	a.reporter.onControllerReport = function
 }
@@ -70,7 +71,7 @@
 
 // exchange makes the periodic report to a controller of this zone, or of another zone while the
 // controllers of this one do not respond or are detached. Every constants.NeighbourRounds rounds,
-// and whenever no controller responds, it also shuffles views with a neighbour.
+// and whenever no controller accepted the report, it also shuffles views with a neighbour.
 func (a *Agent) exchange() {
 	a.lock.Lock()
 	a.reporter.rounds++
@@ -195,6 +196,7 @@
 }
 
 // Observe merges entries from a shuffle into the view and follows the newest configuration among them.
+// The first entry is that of the sender.
 func (a *Agent) Observe(entries []messages.NodeInfo) { a.observe(entries) }
 
 func (a *Agent) observe(entries []messages.NodeInfo) {
--- a/internal/control/assignments/assignments.go
+++ b/internal/control/assignments/assignments.go
@@ -52,7 +52,8 @@
 	return next, shortestWait <= day
 }
 
-// minuteOf parses a time of day such as "22:30" into a minute of the day, and reports whether it is valid.
+// minuteOf parses a time of day such as "22:30" into a minute of the day, and reports whether it has
+// that form. It does not check the range of the hour and the minute.
 func minuteOf(starts string) (int, bool) {
 	hours, minutes, separated := strings.Cut(starts, ":")
 	hour, hourErr := strconv.Atoi(hours)
@@ -61,7 +62,8 @@
 }
 
 // Status lists the assignments in force on a node, or on all nodes if node is empty. It has one row for
-// each placement of an adapter, each absent node and each collision.
+// each placement of an adapter, each absent node and each collision, or one row that says that there
+// are none. A plan of revision 0 has no rows.
 func Status(plan *messages.PlanResponse, node string, minute int) *messages.StatusResponse {
 	status := &messages.StatusResponse{Columns: []string{"revision", "generation", "next-window", "node", "window", "adapter", "state"}}
 	if plan.Revision == 0 {
--- a/internal/control/assignmentserver/assignmentserver.go
+++ b/internal/control/assignmentserver/assignmentserver.go
@@ -1,8 +1,9 @@
 // Package assignmentserver manages the assignments of adapters to nodes on one controller: the plan in
-// force, an operator's changes, and a new plan when a node of the rules becomes absent or
-// comes back. The plan is stored in a register separate from that of the configuration. Both use the same
-// machines and the same two rounds, but separate ballots, sets and records on disk, so
-// that a write to one never conflicts with a write to the other. The planner is package adapterplan.
+// force, an operator's changes, and a new plan when a node that the rules name becomes absent or
+// comes back. The plan is stored in a register separate from that of the configuration. Both registers
+// run on the controllers with the same protocol, but have separate ballots, acceptor sets and records on
+// disk, so that a write to one never conflicts with a write to the other. The planner is package
+// adapterplan.
 package assignmentserver
 
 import (
@@ -69,7 +70,7 @@
 }
 
 // onAccepted reads the register a little later, in a goroutine that ends with the read: a value
-// that this process's acceptor has just accepted is not chosen yet.
+// that this process's acceptor has just accepted may not be chosen yet.
 func (s *Server) onAccepted(int64) {
 	go func() {
 		clock.Sleep(constants.PushTimeout)
--- a/internal/control/assignmentserver/replan.go
+++ b/internal/control/assignmentserver/replan.go
@@ -34,8 +34,8 @@
 // ReconcileSet adds or replaces acceptors of the register as needed for a complete set.
 func (s *Server) ReconcileSet() { s.sets.Reconcile() }
 
-// Reconcile reconciles the register's acceptor set, and replans when a node of the
-// rules became absent or came back.
+// Reconcile reconciles the register's acceptor set, and replans when a node that the rules name became
+// absent or came back.
 func (s *Server) Reconcile() {
 	s.ReconcileSet()
 	plan := s.Plan()
--- a/internal/control/broadcast/outcomes.go
+++ b/internal/control/broadcast/outcomes.go
@@ -67,7 +67,8 @@
 	return []Send{{Step: StepDeliver, Address: send.ForwardTo[0], ForwardTo: send.ForwardTo[1:]}}
 }
 
-// Receiver returns the process to which a send is addressed.
+// Receiver returns the process to which a send is addressed, or the zero value if the directory did
+// not contain it.
 func (t *Tree) Receiver(send Send) messages.NodeInfo { return t.nodes[send.Address] }
 
 // Unconfirmed returns the processes whose confirmation of a configuration does not arrive at this
--- a/internal/control/broadcast/tree.go
+++ b/internal/control/broadcast/tree.go
@@ -1,7 +1,10 @@
-// Package broadcast distributes an update to the fleet along a tree: the controller that starts
-// it sends it to the processes of its own zone and to one relay controller of each other zone,
-// which sends it to the processes of that zone. The package does no I/O: each method takes an
-// event and returns the calls to make.
+// Package broadcast distributes an update to the fleet along a tree: the controller that starts the
+// broadcast sends the update to the processes of its own zone and to one relay controller of each
+// other zone, which sends it to the processes of that zone. A Tree is the state of one broadcast; a
+// Backlog stores the updates that processes have not confirmed.
+//
+// The package does no I/O: each method takes an event and returns the calls to make. Neither type is
+// safe for concurrent use.
 package broadcast
 
 import (
@@ -24,7 +27,7 @@
 	// immediately.
 	StepRelay
 	// StepWait requests the list of processes that the relay could not reach in its zone. The relay
-	// responds once its distribution has ended.
+	// responds once its distribution has ended or constants.ZoneBroadcastTimeout has passed.
 	StepWait
 )
 
@@ -32,7 +35,8 @@
 type Send struct {
 	Step    Step
 	Address string
-	Zone    string
+	// Zone is the zone of the relay, empty for StepDeliver.
+	Zone string
 	// ForwardTo lists the addresses to which the receiver forwards the update.
 	ForwardTo []string
 	// Expect lists the hashes of the processes that the sender knows in the zone and that were in
@@ -61,7 +65,8 @@
 	branches map[string]*branch
 	// pending is the set of receiver addresses whose response is awaited.
 	pending map[string]bool
-	// missing is the set of hashes of the processes that failed, or that the directory lacks.
+	// missing is the set of hashes of the processes that failed, and of those that another controller
+	// expects in this zone and that the directory lacks.
 	missing map[uint32]bool
 	// hashes and nodes are keyed by address.
 	hashes map[string]uint32
@@ -177,7 +182,8 @@
 	return sends
 }
 
-// Split divides addresses among the first fanout of them, which forward to the others.
+// Split divides addresses among the first fanout of them, which forward to the others. fanout must be
+// at least 1.
 func Split(addresses []string, fanout int) []Send {
 	count := min(fanout, len(addresses))
 	sends := make([]Send, count)
@@ -191,8 +197,8 @@
 	return sends
 }
 
-// nextRelay requests the relay from the zone's next controller. If there is none left, it delivers
-// to the zone's processes from here.
+// nextRelay returns the send that asks the zone's next controller to relay the update. If there is
+// none left, it returns the sends that deliver the update to the zone's processes from here.
 func (t *Tree) nextRelay(b *branch, zone string, now clock.Instant) []Send {
 	if b.complete {
 		return nil
--- a/internal/control/broadcastserver/backlog.go
+++ b/internal/control/broadcastserver/backlog.go
@@ -10,7 +10,7 @@
 )
 
 // addToBacklog records processes that have not confirmed an update, so that it is sent again until
-// they confirm it, or until they have been silent for so long that the directory removes them.
+// they confirm it, restart, or have been silent for so long that the directory removes them.
 func (s *Server) addToBacklog(update *messages.RelayRequest, entries []messages.NodeInfo, backoff clock.Duration) {
 	var ids []string
 	for _, worker := range update.Workers {
--- a/internal/control/configserver/configserver.go
+++ b/internal/control/configserver/configserver.go
@@ -4,7 +4,7 @@
 //
 // A version is chosen once a majority of the acceptors has it on disk. It is acknowledged
 // once the acceptor set tolerates the fault budget and the processes in contact were
-// notified (docs/control/2-one-history.md).
+// notified, or constants.PushTimeout has passed (docs/control/2-one-history.md).
 package configserver
 
 import (
@@ -20,8 +20,8 @@
 	"lemonarch/internal/platform/process"
 )
 
-// acceptedReads is how many times a process reads the register for a version that its acceptor accepted
-// and no process announced.
+// acceptedReads is how many times at most a process reads the register for a version that its acceptor
+// accepted and that no process has announced to it.
 const acceptedReads = 5
 
 // Server manages the configuration on one controller.
--- a/internal/control/contactserver/contactserver.go
+++ b/internal/control/contactserver/contactserver.go
@@ -82,8 +82,10 @@
 	return s.lease.Valid(&s.sets, clock.Now())
 }
 
-// Await is Valid for callers that may wait up to half of constants.ContactTimeout: after a start or
-// after the process was suspended, one round is needed to decide whether it has contact at all.
+// Await is Valid for callers that may wait: if the lease is not valid, it waits for that until half
+// of constants.ContactTimeout has passed since the last round began. If the next round is overdue, it
+// first begins one: after a start or after the process was suspended, one round is needed to decide
+// whether the process has contact at all.
 func (s *Server) Await() bool {
 	if s.Valid() {
 		return true
--- a/internal/control/controller/budget_test.go
+++ b/internal/control/controller/budget_test.go
@@ -87,7 +87,7 @@
 // A controller without a disk runs, responds and does not vote. A place in the acceptor set that the seed
 // list assigned to one is taken over by a machine with a disk. Otherwise votes without a disk would
 // count towards a quorum.
-func TestControllerWithoutADisk(t *testing.T) {
+func TestControllerWithoutADiskDoesNotVote(t *testing.T) {
 	controllers, _ := fleet(t, 8, map[int]bool{2: true, 7: true})
 	if controllers[7].Node.Self.Disk != "" {
 		t.Fatal("a controller without a disk announces a disk")
--- a/internal/control/controller/calls_test.go
+++ b/internal/control/controller/calls_test.go
@@ -153,6 +153,8 @@
 	}
 }
 
+// A worker's valid calls are acknowledged and its invalid ones rejected, and no call moves the worker
+// back to an earlier phase. Otherwise a late heartbeat would end a drain.
 func TestWorkersCalls(t *testing.T) {
 	folder := t.TempDir()
 	controller, server := open(t, folder, true)
@@ -180,7 +182,9 @@
 	}
 }
 
-func TestRetireOfUnknownAndOfTooMany(t *testing.T) {
+// The retirement of an unknown store and that of the last store are rejected. A controller that has just
+// started can't tell that a store is unknown, so it responds with 503 instead of 404.
+func TestRetireOfUnknownAndLastStoreIsRejected(t *testing.T) {
 	controller, server := open(t, t.TempDir(), true)
 	setJustStarted(controller)
 	if status, _ := callUntilClear(t, server, "POST", "/-/Retire.Open/store-1", "", "{}", http.StatusGatewayTimeout); status != 503 {
--- a/internal/control/controller/peers.go
+++ b/internal/control/controller/peers.go
@@ -56,6 +56,7 @@
 
 // heartbeatPeers exchanges a heartbeat with every other controller, since there are few of them. Of two
 // controllers the one with the lesser key starts the exchange, unless it has been silent for two periods.
+// It also drops the workers and the relayed broadcasts that are old enough to be forgotten.
 func (c *Controller) heartbeatPeers() {
 	now := clock.Now()
 	c.workers.Forget()
@@ -172,7 +173,8 @@
 }
 
 // needsPull reports whether a peer's table may have entries that this process's own table lacks, and the
-// version after which to request them. lastRead is the version of the peer's table that was read last.
+// version after which to request them. lastRead is the version of the peer's table that was read last;
+// it is set to remote if the tables are equal.
 func needsPull(lastRead *messages.Digest, remote, local messages.Digest) (since uint64, needed bool) {
 	if remote.Sum == local.Sum {
 		*lastRead = remote
--- a/internal/control/registerserver/archive.go
+++ b/internal/control/registerserver/archive.go
@@ -80,7 +80,7 @@
 }
 
 // write appends chunks, or rewrites the file if it is too long, if chunks were dropped by age, or
-// if an earlier write failed.
+// if an earlier write failed. The caller must hold writing, but not lock.
 func (a *archive) write(chunks []messages.ArchiveChunk) error {
 	a.lock.Lock()
 	forgot := a.state.Forget(a.today())
--- a/internal/control/registerserver/replica.go
+++ b/internal/control/registerserver/replica.go
@@ -58,7 +58,9 @@
 	// became known.
 	newestEpoch uint64
 	newestSince clock.Instant
-	counter     uint64
+	// counter is the highest ballot counter that this process has used, has seen in responses to its
+	// proposals, or had on disk at its start.
+	counter uint64
 
 	archive *archive
 	// proposing is a semaphore of one: two concurrent proposals of this process would only preempt
--- a/internal/control/workerserver/file.go
+++ b/internal/control/workerserver/file.go
@@ -70,8 +70,8 @@
 }
 
 // enqueue queues a change that need not be durable before it is acknowledged, so that a worker's call
-// doesn't wait for the disk. If the queue is full, the change is dropped: the next rewrite writes it, or
-// the worker's next heartbeat repeats it.
+// doesn't wait for the disk. If the queue is full, the change is dropped: the next rewrite writes it, and
+// if the process restarts before that, the worker's next heartbeat repeats it.
 func (f *workerFile) enqueue(worker messages.Worker) {
 	select {
 	case f.queue <- writeRequest{workers: []messages.Worker{worker}}:
--- a/internal/control/workerserver/table.go
+++ b/internal/control/workerserver/table.go
@@ -3,9 +3,9 @@
 // table, without I/O, are in package workers.
 //
 // A drain or a departure is acknowledged once a majority of the acceptors has it on disk
-// and the processes in contact were notified (docs/control/4-state-not-history.md). A
-// controller that has just started acknowledges nothing until it has recovered the workers from a
-// majority of the acceptors (recovery.go).
+// and the processes in contact were notified, or the announcement has timed out
+// (docs/control/4-state-not-history.md). A controller that has just started acknowledges nothing until
+// it has recovered the workers from a majority of the acceptors (recovery.go).
 package workerserver
 
 import (
