--- a/internal/batch/dispatch/acquire.go
+++ b/internal/batch/dispatch/acquire.go
@@ -130,8 +130,8 @@
 	return !options.Terms(job).Expired
 }
 
-// assignPrefix makes an executor the owner of an item's shared prefix, unless another executor
-// acquired an item with the prefix within PrefixStale.
+// assignPrefix makes an executor the owner of an item's shared prefix, unless another executor owns
+// the prefix and acquired an item with it within PrefixStale.
 func (d *Dispatcher) assignPrefix(item *Item, executor string, now clock.Instant) {
 	prefix := sharedPrefixOf(item)
 	if prefix == "" {
--- a/internal/batch/dispatch/acquisition.go
+++ b/internal/batch/dispatch/acquisition.go
@@ -21,8 +21,8 @@
 	run       int
 	startedAt clock.Instant
 	expiresAt clock.Instant
-	// ranFromStart reports whether the run began at the first event, so that its duration counts
-	// towards Dispatcher.MeanRunMs.
+	// ranFromStart reports whether this leader dispatched the run and the run began at the first
+	// event. Only then does its duration count towards Dispatcher.MeanRunMs.
 	ranFromStart bool
 }
 
--- a/internal/batch/dispatch/available.go
+++ b/internal/batch/dispatch/available.go
@@ -23,7 +23,8 @@
 	return availableSet{words: make([]uint64, (items+bitsPerWord-1)/bitsPerWord)}
 }
 
-// set adds a position to the set or removes it. A position beyond the capacity is ignored.
+// set adds a position to the set if in is true, and removes it otherwise. A position beyond the
+// capacity is ignored.
 func (a *availableSet) set(i int, in bool) {
 	word, bit := i/bitsPerWord, uint64(1)<<(i%bitsPerWord)
 	if word >= len(a.words) || (a.words[word]&bit != 0) == in {
--- a/internal/batch/dispatch/dispatcher.go
+++ b/internal/batch/dispatch/dispatcher.go
@@ -182,8 +182,8 @@
 	return count
 }
 
-// abandon ends an item with the result that it is abandoned. It returns false if
-// Item.Abandon does.
+// abandon ends an item with the result that it is abandoned. It returns false if Item.Abandon
+// returns false for the item and the run. number is that of the acquisition that caused it, or zero.
 func (d *Dispatcher) abandon(item *Item, run int, number uint64) bool {
 	if !item.Abandon(run) {
 		return false
--- a/internal/batch/dispatch/executors.go
+++ b/internal/batch/dispatch/executors.go
@@ -16,7 +16,9 @@
 }
 
 // ObserveExecutor records contact from an executor. A newer incarnation means that the process of the
-// previous one has ended, and its runs with it, so the locks of older incarnations expire at once.
+// previous one has ended, and its runs with it, so the locks of older incarnations expire at once. This
+// requires that the previous one is still among the executors. If ExpireExecutors or RemoveExecutor has
+// removed it, its locks last for the rest of their duration.
 func (d *Dispatcher) ObserveExecutor(executor Executor, now clock.Instant) {
 	state := d.executors[executor.Name]
 	if state == nil {
--- a/internal/batch/dispatch/item.go
+++ b/internal/batch/dispatch/item.go
@@ -5,7 +5,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// ItemState is the state of an item in its share group.
+// ItemState says whether an item may be run, is being run, or has a result.
 type ItemState int
 
 // The states of an item.
@@ -28,7 +28,8 @@
 type Item struct {
 	messages.JobItem
 	State ItemState
-	// Events are the events received so far; LastID is the id of the last one, zero if events have no ids.
+	// Events are the events received so far. LastID is the id of the last one, or zero if there are no
+	// events or they have no ids.
 	Events [][]byte
 	LastID int64
 	// FailedBy lists the numbers of the acquisitions that ended with a 500 response, each once.
@@ -134,8 +135,9 @@
 	return true
 }
 
-// Abandon ends an available item, or the run whose worker rejected it, with the result that the item
-// is abandoned. It returns false if neither is the case or the job has ended.
+// Abandon ends an item with the result that it is abandoned. The item must be available, or the given
+// run must be its current one. If it is not, or if the job has ended, Abandon does nothing and returns
+// false.
 func (i *Item) Abandon(run int) bool {
 	if i.Job.Ended || (i.State != ItemAvailable && !i.running(run)) {
 		return false
--- a/internal/batch/executor/ackqueue.go
+++ b/internal/batch/executor/ackqueue.go
@@ -9,16 +9,18 @@
 type ackQueue struct {
 	entries []messages.Acknowledgement
 	// confirms counts, by acquisition, the confirm requests since its complete output was last sent.
-	// An output that was not sent yet, or has to be sent in full again, has no entry.
+	// There is no entry before the output is sent for the first time, nor after a verdict other than
+	// AckUnknown.
 	confirms map[uint64]int
 }
 
 // add appends an acknowledgement to the queue.
 func (q *ackQueue) add(ack messages.Acknowledgement) { q.entries = append(q.entries, ack) }
 
-// batch returns the oldest acknowledgements that fit into one message. For an output that was sent
-// without a response, it sends confirm requests before the output itself again: a response is late
-// when the leader's link is congested, and sending outputs again would keep the link congested.
+// batch returns the oldest acknowledgements that fit into one message, and counts them as sent. An
+// output that was sent without a response is replaced by a confirm request, AckConfirms times, before
+// it is sent in full again: a response is late when the leader's link is congested, and sending
+// outputs again would keep the link congested.
 func (q *ackQueue) batch() []messages.Acknowledgement {
 	size := 0
 	var batch []messages.Acknowledgement
@@ -64,7 +66,7 @@
 // handleVerdicts removes the acknowledgements of a batch that have a final verdict. The others are
 // sent again under the same acquisition number.
 func (q *ackQueue) handleVerdicts(batch []messages.Acknowledgement, verdicts []messages.AckVerdict) {
-	settled := map[uint64]bool{}
+	final := map[uint64]bool{}
 	for i := range batch {
 		if i >= len(verdicts) || verdicts[i] == messages.AckUnknown {
 			continue
@@ -72,12 +74,12 @@
 		// After any verdict, an output that is sent again is sent in full.
 		delete(q.confirms, batch[i].Number)
 		if verdicts[i] != messages.AckOutputNeeded {
-			settled[batch[i].Number] = true
+			final[batch[i].Number] = true
 		}
 	}
 	retained := q.entries[:0]
 	for _, ack := range q.entries {
-		if !settled[ack.Number] {
+		if !final[ack.Number] {
 			retained = append(retained, ack)
 		}
 	}
@@ -86,8 +88,9 @@
 	q.entries = retained
 }
 
-// Results returns a batch of acknowledgements that end items or count a failure. The response to them
-// waits for disks; that to Releases does not.
+// Results returns a batch of acknowledgements that end items or count a failure. The dispatcher responds
+// to them once their records are durable. Releases need no record, so they are sent in other batches
+// that do not wait for disks.
 func (r *Runner) Results() []messages.Acknowledgement { return r.results.batch() }
 
 // Releases returns a batch of releases without a failure.
--- a/internal/batch/executor/runner.go
+++ b/internal/batch/executor/runner.go
@@ -103,8 +103,9 @@
 // reported to the leader of that epoch: responses of earlier leaders that arrive later are ignored.
 func (r *Runner) RejectEpochsBefore(epoch uint64) { r.fencedEpoch = max(r.fencedEpoch, epoch) }
 
-// Renewals returns the renewals of all locks of tasks that deliver events or may still be
-// waiting for the first one, to be sent in one message. The other locks are left to expire.
+// Renewals returns the renewals of locks, to be sent in one message. It includes each task that may run
+// and was acquired, or last delivered events, within RenewWithoutEventsMax: a new run may still be
+// waiting for its first event. The other locks are left to expire.
 func (r *Runner) Renewals(now clock.Instant) []messages.Acknowledgement {
 	var entries []messages.Acknowledgement
 	for _, task := range r.All() {
--- a/internal/batch/executorserver/executorserver.go
+++ b/internal/batch/executorserver/executorserver.go
@@ -196,8 +196,8 @@
 	s.stopRunsLocked(s.runner.StopJob(jobID))
 }
 
-// Drain stops all runs and releases their items before the process ends. It returns when all
-// acknowledgements have a final verdict, or after LeaseDuration at the latest.
+// Drain stops all runs and releases their items before the process ends. It returns when no task is left
+// and all acknowledgements have a final verdict, or after LeaseDuration at the latest.
 func (s *Server) Drain() {
 	s.lock.Lock()
 	s.draining = true
--- a/internal/batch/executorserver/place.go
+++ b/internal/batch/executorserver/place.go
@@ -14,9 +14,9 @@
 )
 
 // workerOwnership is the set of workers on which this process places items. If all stores see
-// the same stores, each worker has exactly one owner: of the stores in its zone, or of all stores
-// if there are none, the one with the highest hash. So executors need not agree on each placement,
-// and an executor that sees few others owns more workers.
+// the same stores, each worker has exactly one owner: the store with the highest hash among those in
+// the worker's zone or, if there are none, among all stores. So executors need not agree on each
+// placement, and an executor that sees few others owns more workers.
 type workerOwnership struct {
 	computedAt clock.Instant
 	workers    map[string]bool
--- a/internal/batch/executorserver/run.go
+++ b/internal/batch/executorserver/run.go
@@ -59,8 +59,8 @@
 	return admission.ResultFailed
 }
 
-// discard reads a response that is not an event stream to its end, so that its connection
-// can be reused.
+// discard reads the rest of a response that is not an event stream, so that its connection can be
+// reused.
 func (s *Server) discard(task *executor.Task, grant *admission.Grant, response *proxy.Response) {
 	sender := &s.gossip.Sender
 	grant.ObserveLoad(response.Load, clock.Now())
@@ -98,7 +98,7 @@
 	preempted := task.Item.Preempted > 0
 	s.lock.Unlock()
 	if !finished {
-		// The run was requested to yield just before it ended, so it counts as preempted.
+		// The run had to yield just before it ended. Its item is released, like that of any preempted run.
 		s.release(route, task, grant, admission.ResultServed, messages.Acknowledgement{}, "preempted just before completion")
 		return
 	}
--- a/internal/batch/jobclient/jobclient.go
+++ b/internal/batch/jobclient/jobclient.go
@@ -50,7 +50,7 @@
 	Text  string `json:"text"`
 }
 
-// PhaseSettled and PhaseAbandoned are the phases of an output.
+// The phases of an output. A settled item has its complete text; an abandoned one is not run any more.
 const (
 	PhaseSettled   = "settled"
 	PhaseAbandoned = "abandoned"
@@ -69,7 +69,7 @@
 	Gateways []string
 	// Host is the host of the jobs' route.
 	Host string
-	// gatewayIndex, modulo the length of Edges, selects the gateway of the next call.
+	// gatewayIndex, modulo the length of Gateways, selects the gateway of the next call.
 	gatewayIndex int
 	// Transport sends the requests. Tests may set it; nil means a new http.Transport per call.
 	Transport http.RoundTripper
@@ -126,8 +126,8 @@
 	return response{resp.StatusCode, content, clock.Milliseconds(max(seconds, 0) * 1000)}, nil
 }
 
-// Submit sends a job under its id until it is accepted or the context ends. A job that may have
-// been accepted is sent again unchanged; the system accepts it only once.
+// Submit sends a job under its id until it is accepted, found invalid, or the context ends. A job that
+// may have been accepted is sent again unchanged; the system accepts it only once.
 func (c *Client) Submit(ctx contexts.Context, id, path string, job Job) (attempts int, err error) {
 	if len(job.Requests) == 0 || len(job.Requests) > constants.JobItemsMax {
 		return 0, ErrInvalidCall.New("a job must have 1 to " + strconv.Itoa(constants.JobItemsMax) + " items")
@@ -225,7 +225,8 @@
 // IsRetryable reports whether a call that failed with err may be retried.
 func IsRetryable(err error) bool { return errs.Is(err, ErrOutcomeUnknown) }
 
-// Follow reads a job from the position from to its end and calls handle with each page.
+// Follow reads a job to its end, beginning at a position, and calls handle with each page. It repeats a
+// read whose outcome is unknown until the context ends.
 func (c *Client) Follow(ctx contexts.Context, id string, from int, handle func(page *Page) error) error {
 	for cursor := from; ; {
 		page, err := c.Read(ctx, id, cursor, time.Second)
--- a/internal/batch/leader/copy.go
+++ b/internal/batch/leader/copy.go
@@ -87,7 +87,7 @@
 
 // source selects, among the members other than this process and the joiner, one that lacks at most
 // constants.CopyGap of the durable records that the best of them has. It returns the member and the
-// index up to which that has them, or nil if none has any. Records that a store has synced in this
+// index up to which that member has them, or nil if no member has any. Records that a store has synced in this
 // epoch are identical to this process's. offset is different for each of the joiners that copy at
 // the same time, so that they do not share one source's link. The lock is held.
 func (t *Term) source(joiner messages.Member, offset int) (*messages.Member, int64) {
--- a/internal/batch/leader/delegate.go
+++ b/internal/batch/leader/delegate.go
@@ -33,7 +33,9 @@
 
 // feederPairs returns the members other than the leader's own store. Each of the first heads
 // members forwards records to the member that is heads places after it. The members are sorted by
-// zone, so that each pair spans two zones if there are several. The lock is held.
+// zone, so that each pair spans two zones if there are several. With fewer than
+// constants.ForwardMembers members none forwards records, and heads is the number of members. The lock
+// is held.
 func (t *Term) feederPairs() (others []messages.Member, heads int) {
 	own := register.Identity(t.process.Election.Member())
 	for _, member := range t.records.replicator.Members {
--- a/internal/batch/leader/disklost.go
+++ b/internal/batch/leader/disklost.go
@@ -85,5 +85,5 @@
 	}
 	member.Address = address
 	resp, err := t.fence(member)
-	return err == nil && replication.RefusedForDisk(t.leadership.Epoch, &resp)
+	return err == nil && replication.RejectedForDisk(t.leadership.Epoch, &resp)
 }
--- a/internal/batch/leader/dispatch.go
+++ b/internal/batch/leader/dispatch.go
@@ -41,8 +41,8 @@
 }
 
 // Acquire returns items to an executor. If there are none, it waits until there are some or the list
-// of executors differs from the version that the executor knows, for at most the requested time and
-// constants.AcquireWait.
+// of executors differs from the version that the executor knows, for the requested time but at most
+// constants.AcquireWait. NotLeader in the response means that no item was dispatched.
 func (t *Term) Acquire(req *messages.AcquireRequest) *messages.AcquireResponse {
 	start := clock.Now()
 	if !t.waitServing(constants.AcquireWait) {
@@ -111,7 +111,8 @@
 }
 
 // Acknowledge processes a batch of acknowledgements. If some need a record, it responds once the
-// records are durable. The executor repeats acknowledgements whose outcome is unknown.
+// records are durable, or after constants.RoundTimeout with the verdict AckUnknown for these. The
+// executor repeats acknowledgements whose outcome is unknown.
 func (t *Term) Acknowledge(req *messages.AcknowledgeRequest) *messages.AcknowledgeResponse {
 	if !t.waitServing(constants.CallTimeout / 2) {
 		return &messages.AcknowledgeResponse{NotLeader: true}
--- a/internal/batch/leader/term.go
+++ b/internal/batch/leader/term.go
@@ -2,8 +2,8 @@
 // leader takes over from the previous one, replicates records to the store set, keeps that set
 // complete, dispatches items to executors, and serves calls on jobs.
 //
-// A record is committed once budget + 1 stores of the set have it on disk; its effect is not
-// disclosed to any other process before that. The stores reject records of an earlier epoch, so a
+// A record is committed, also called durable, once budget + 1 stores of the set have it on disk. Its
+// effect is not disclosed to any other process before that. The stores reject records of an earlier epoch, so a
 // leader that continues after its lease has expired can't commit any more. The logic that needs
 // no I/O is in packages replication and dispatch.
 package leader
--- a/internal/batch/leadership/campaign.go
+++ b/internal/batch/leadership/campaign.go
@@ -28,7 +28,7 @@
 			return constants.TickPeriod * 4
 		}
 	}
-	if !c.eligible() || c.yields(now) {
+	if !c.eligible() || c.yieldsForSlowness(now) {
 		return constants.TickPeriod * 4
 	}
 	return c.campaign()
@@ -38,7 +38,7 @@
 // the records, and a member that is being retired should not begin a new term. While there is no
 // set yet, every store that can propose one is eligible.
 func (c *Campaign) eligible() bool {
-	if c.draining.Load() || c.isYielding() {
+	if c.draining.Load() || c.yieldsForLag() {
 		return false
 	}
 	value := c.Register()
@@ -81,12 +81,12 @@
 		c.ReleaseLease()
 		return backoff
 	}
-	c.begin(changed.Value, sentAt)
+	c.beginTerm(changed.Value, sentAt)
 	return constants.TickPeriod
 }
 
-// begin starts the term after a successful campaign. sentAt is when the lease was requested.
-func (c *Campaign) begin(value messages.RegisterValue, sentAt clock.Instant) {
+// beginTerm starts the term after a successful campaign. sentAt is when the lease was requested.
+func (c *Campaign) beginTerm(value messages.RegisterValue, sentAt clock.Instant) {
 	next := c.newTerm(value.Leadership, value.Stores)
 	c.lock.Lock()
 	c.register = knownRegister{value: value, readAt: clock.Now()}
--- a/internal/batch/leadership/slowness.go
+++ b/internal/batch/leadership/slowness.go
@@ -100,8 +100,8 @@
 	c.yielding.until = until
 }
 
-// isYielding reports whether the instant set by YieldUntil is still in the future.
-func (c *Campaign) isYielding() bool {
+// yieldsForLag reports whether the instant set by YieldUntil is still in the future.
+func (c *Campaign) yieldsForLag() bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	return clock.Now() < c.yielding.until
@@ -122,10 +122,10 @@
 	return true
 }
 
-// yields reports whether this process currently leaves the leadership to others: it has
+// yieldsForSlowness reports whether this process currently leaves the leadership to others: it has
 // resigned within constants.YieldTime, or its machine is slow and it has not resigned within
 // constants.ResignBackoff. The latter counts as a resignation from then on.
-func (c *Campaign) yields(now clock.Instant) bool {
+func (c *Campaign) yieldsForSlowness(now clock.Instant) bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if c.yielding.slowness.isSlow() && !c.yielding.recentlyResigned(now, constants.ResignBackoff) {
--- a/internal/batch/leadership/slowness_test.go
+++ b/internal/batch/leadership/slowness_test.go
@@ -68,14 +68,14 @@
 func TestSlowMachineResignsOnce(t *testing.T) {
 	c := newCampaign()
 	now := clock.Instant(1_000_000_000)
-	if c.ShouldResign(false, now) || c.yields(now) {
+	if c.ShouldResign(false, now) || c.yieldsForSlowness(now) {
 		t.Fatal("process that is not slow resigned or yielded")
 	}
 	slowDown(c)
 	if !c.ShouldResign(false, now) || c.ShouldResign(false, now.Add(clock.Milliseconds(100))) {
 		t.Fatal("want a resignation, and no second one within the backoff")
 	}
-	if !c.yields(now.Add(constants.YieldTime/2)) || c.yields(now.Add(constants.YieldTime)) {
+	if !c.yieldsForSlowness(now.Add(constants.YieldTime/2)) || c.yieldsForSlowness(now.Add(constants.YieldTime)) {
 		t.Fatal("want yielding until YieldTime has passed, and not after")
 	}
 	if !c.ShouldResign(false, now.Add(constants.ResignBackoff)) {
--- a/internal/batch/replication/takeover.go
+++ b/internal/batch/replication/takeover.go
@@ -44,8 +44,8 @@
 	return best
 }
 
-// RefusedForDisk reports whether a store rejected an epoch because it does not have the requested
+// RejectedForDisk reports whether a store rejected an epoch because it does not have the requested
 // disk, and not because it has fenced a later epoch.
-func RefusedForDisk(epoch uint64, resp *messages.FenceResponse) bool {
+func RejectedForDisk(epoch uint64, resp *messages.FenceResponse) bool {
 	return !resp.Granted && resp.Epoch <= epoch
 }
