--- a/internal/batch/dispatch/acquire_test.go
+++ b/internal/batch/dispatch/acquire_test.go
@@ -29,8 +29,9 @@
 	return text
 }
 
-// An executor gets items whose prefix it acquired before first, but other items are not skipped for
-// longer than PrefixWait: the executor that owns their prefix may have no free slot.
+// Among the items that are due, an executor first gets those whose prefix it acquired before. Other
+// items are not skipped for longer than PrefixWait: the executor that owns their prefix may have no
+// free slot.
 func TestAcquirePrefersOwnPrefixes(t *testing.T) {
 	dispatcher := newTestDispatcher(t, 1, nil, 0)
 	dispatcher.addJobWithPrefix("a", "one", 6)
@@ -56,7 +57,7 @@
 
 // Jobs that can still meet their due time are dispatched before overdue ones, sorted by due time;
 // expired jobs are not dispatched.
-func TestDueInTimeComesFirst(t *testing.T) {
+func TestJobsInTimeAreDispatchedBeforeOverdueJobs(t *testing.T) {
 	dispatcher := newTestDispatcher(t, 1, nil, 0)
 	dispatcher.addJob("a", "a")
 	dispatcher.addJob("b", "b")
--- a/internal/batch/dispatch/dispatcher_test.go
+++ b/internal/batch/dispatch/dispatcher_test.go
@@ -91,6 +91,7 @@
 
 func failed(ack *messages.Acknowledgement) { ack.Failed = true }
 
+// Only one executor runs an item while its lock lasts. Expired locks, however many, never end the item.
 func TestOneAcquisitionUntilLockExpires(t *testing.T) {
 	dispatcher := newTestDispatcher(t, 1, nil, 0)
 	dispatcher.addJob("l", "a")
@@ -98,7 +99,6 @@
 	if len(acquired) != 1 || len(dispatcher.acquire("y", 3, ms(1))) != 0 {
 		t.Fatal("want one acquisition by x and none by y")
 	}
-	// A renewed lock does not expire; an expired one makes the item available after a backoff, however often.
 	if dispatcher.acknowledge("x", messages.AckRenew, acquired[0].Number, "a", ms(1500)) != messages.AckRenewed || dispatcher.ExpireLocks(ms(2500)) != 0 {
 		t.Fatal("renewed lock expired")
 	}
@@ -123,6 +123,8 @@
 	}
 }
 
+// A late output must not be lost, and a repeated one must not count twice. A complete output counts after
+// its lock has expired. Sent again, before or after it is durable, it gets the same verdict.
 func TestAcceptAfterLockExpiryAndRepeats(t *testing.T) {
 	dispatcher := newTestDispatcher(t, 1, nil, 0)
 	dispatcher.addJob("l", "a")
@@ -130,8 +132,6 @@
 	dispatcher.ExpireLocks(ms(2001))
 	second := dispatcher.acquire("y", 1, ms(4000))[0].Number
 	text := func(ack *messages.Acknowledgement) { ack.Output = []byte("t") }
-	// A complete output counts after its lock has expired. Sent again, before or after it is durable, it
-	// gets the same verdict, and the output of the other executor is too late.
 	for round := 0; round < 2; round++ {
 		if dispatcher.acknowledge("x", messages.AckAccept, first, "a", ms(4100), text) != messages.AckRecorded {
 			t.Fatal("output was not accepted in round ", round)
@@ -153,12 +153,12 @@
 	}
 }
 
+// Late events are kept while the item is not acquired; fewer events never replace more.
 func TestReleaseReturnsEvents(t *testing.T) {
 	dispatcher := newTestDispatcher(t, 1, nil, 0)
 	dispatcher.addJob("l", "a")
 	first := dispatcher.acquire("x", 1, ms(1))[0].Number
 	dispatcher.ExpireLocks(ms(2001))
-	// Late events are kept while the item is not acquired; fewer events never replace more.
 	dispatcher.acknowledge("x", messages.AckRelease, first, "a", ms(2100), events(3))
 	dispatcher.acknowledge("x", messages.AckRelease, first, "a", ms(2100), events(2))
 	second := dispatcher.acquire("y", 1, ms(4000))
@@ -176,6 +176,7 @@
 	}
 }
 
+// A 500 response counts once, also after a takeover. Otherwise an item would be abandoned too early.
 func TestFailuresCountOnceAndDurably(t *testing.T) {
 	dispatcher := newTestDispatcher(t, 1, nil, 0)
 	dispatcher.addJob("l", "a")
@@ -186,7 +187,6 @@
 	if item := dispatcher.Jobs.Job("l").Item("a"); item.State != ItemAvailable || len(item.FailedBy) != 1 {
 		t.Fatal("one 500 response was counted this many times: ", len(item.FailedBy))
 	}
-	// The count survives a takeover, and so do the acquisitions that were counted.
 	next := newTestDispatcher(t, 2, dispatcher.records, ms(1000))
 	if item := next.Jobs.Job("l").Item("a"); len(item.FailedBy) != 1 {
 		t.Fatal("failure count was lost in the takeover")
@@ -205,6 +205,7 @@
 	}
 }
 
+// An item must not run twice after a takeover, and outputs of earlier acquisitions must not be lost.
 func TestTakeoverAdoptsReportedAcquisitions(t *testing.T) {
 	old := newTestDispatcher(t, 1, nil, 0)
 	old.addJob("l", "a", "b", "c")
@@ -221,7 +222,6 @@
 		next.acknowledge("x", messages.AckRenew, acquired[0].Number, "a", ms(300)) != messages.AckStopped {
 		t.Fatal("two executors own one item")
 	}
-	// An output is accepted at any time.
 	if next.acknowledge("x", messages.AckAccept, acquired[1].Number, "b", ms(300)) != messages.AckRecorded {
 		t.Fatal("output of an earlier leader's acquisition was rejected")
 	}
--- a/internal/batch/dispatch/executors_test.go
+++ b/internal/batch/dispatch/executors_test.go
@@ -20,7 +20,10 @@
 	}
 }
 
-func TestExecutorList(t *testing.T) {
+// Executors divide the workers according to this list. It must not be sent before every executor had
+// time to make contact, and must not contain one that has stopped or is draining: its workers would
+// get no items.
+func TestExecutorListContainsThoseInContact(t *testing.T) {
 	dispatcher := newTestDispatcher(t, 3, nil, ms(1000))
 	dispatcher.ObserveExecutor(Executor{Name: "b", Zone: "h"}, ms(1100))
 	if version, list := dispatcher.Executors(0, ms(1200)); version != 0 || list != nil {
--- a/internal/batch/dispatch/item_test.go
+++ b/internal/batch/dispatch/item_test.go
@@ -80,7 +80,7 @@
 // For every order of start, append, yield, requeue, finish and abandon, including late calls of
 // earlier runs: an item has at most one result, its events are 1..n once each, and it can always
 // be started again until it has a result.
-func TestRequeueState(t *testing.T) {
+func TestItemHasOneResultInAnyOrderOfCalls(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(11)
 	parameters.MinSuccessfulTests = 3000
 	properties := gopter.NewProperties(parameters)
@@ -101,6 +101,8 @@
 	properties.TestingRun(t)
 }
 
+// A run can't resume after events without ids, so it delivers all of them again. Events that were kept
+// would be in the output twice.
 func TestEventsWithoutIDsAreDropped(t *testing.T) {
 	item := &Item{Job: &Job{}}
 	run := item.StartRun()
--- a/internal/batch/dispatch/jobtable_test.go
+++ b/internal/batch/dispatch/jobtable_test.go
@@ -6,6 +6,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
+// Clients read results by position, so a position that has a result must keep it. A second output at the
+// same position is an error, and the end of a job leaves its listed results.
 func TestPositionsNeverChange(t *testing.T) {
 	jobs := NewJobTable()
 	body := &messages.JobBody{Items: []messages.JobItem{{ID: "x", Tokens: 5}, {ID: "y", Tokens: 7}}}
--- a/internal/batch/executor/runner_test.go
+++ b/internal/batch/executor/runner_test.go
@@ -38,6 +38,8 @@
 	}
 }
 
+// A renewed lock counts from the renewal request. If it counted from the response, which may be late, the
+// lock at the dispatcher could end first, and another executor could run the item at the same time.
 func TestRenewalCountsFromItsRequest(t *testing.T) {
 	runner := New()
 	task := runner.Add(acquired(1), ms(0), ms(500))[0]
@@ -69,7 +71,7 @@
 	}
 	batch := runner.Results()
 	if len(batch) != 2 || runner.Unacknowledged() != 3 {
-		t.Fatalf("got %d results and %d unacknowledged tasks, want 2 and 3", len(batch), runner.Unacknowledged())
+		t.Fatalf("got %d results and %d acknowledgements without a final verdict, want 2 and 3", len(batch), runner.Unacknowledged())
 	}
 	runner.HandleVerdicts(batch, nil)
 	runner.HandleVerdicts(batch, []messages.AckVerdict{messages.AckUnknown, messages.AckTerminal})
@@ -113,7 +115,7 @@
 
 // After all tasks were reported to a later leader, items from an earlier leader are rejected: the later
 // leader would not know of them.
-func TestRejectEpochsBefore(t *testing.T) {
+func TestItemsOfEarlierLeadersAreRejected(t *testing.T) {
 	runner := New()
 	runner.Add(acquired(5<<40|1), ms(0), ms(100))
 	runner.RejectEpochsBefore(6)
--- a/internal/batch/executorserver/place_test.go
+++ b/internal/batch/executorserver/place_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Every worker has one owner, in its own zone if there is a store, and if an executor leaves, only its
-// own workers change their owner.
+// Every worker has one owner, which is in the worker's zone if that zone has a store. If a store leaves,
+// only the workers that it owned get another owner.
 func TestEveryWorkerHasOneOwner(t *testing.T) {
 	stores := map[string]string{"l1": "a", "l2": "a", "l3": "b", "l4": "b", "l5": "b"}
 	counts := map[string]int{}
--- a/internal/batch/jobclient/jobclient_test.go
+++ b/internal/batch/jobclient/jobclient_test.go
@@ -104,6 +104,7 @@
 	}
 }
 
+// Follow must not stop at a failed read or an empty page: the results after it would be missing.
 func TestFollowReadsToTheEnd(t *testing.T) {
 	c, _ := client(t,
 		respondWith(200, `{"sum":2,"next-token":1,"outputs":[{"id":"i","phase":"settled","text":"x"}]}`),
@@ -123,6 +124,8 @@
 	}
 }
 
+// A client continues at the next position of a page. If that does not match the number of outputs, it
+// would skip results or read them twice, so the page must be an error.
 func TestReadRejectsInconsistentPage(t *testing.T) {
 	c, _ := client(t, respondWith(200, `{"sum":2,"next-token":2,"outputs":[{"id":"i","phase":"settled","text":"x"}]}`), respondWith(404, ""))
 	if _, err := c.Read(contexts.Background(), "lot", 0, time.Second); !errs.Is(err, ErrCorruptResponse) {
--- a/internal/batch/leader/disklost_test.go
+++ b/internal/batch/leader/disklost_test.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// The register lists three of five members whose disks are lost, more than the fault budget, because
-// the first had not been removed when the others were lost. All remaining copies have been read, so
-// the takeover must not wait for the lost ones.
+// The disks of three of the five members in the register are lost, more than the fault budget: the first
+// lost disk was not removed from the set before the others were lost. All remaining copies have been
+// read, so the takeover must not wait for the lost ones.
 func TestTakeoverWhereTheRegisterNamesMoreLostDisksThanTheBudget(t *testing.T) {
 	process, network := soleStore(t, simulation.NewDisk(24)), transport.NewMemoryNetwork()
 	process.Node.Transport = network.Transport("m")
--- a/internal/batch/replicalog/golden_test.go
+++ b/internal/batch/replicalog/golden_test.go
@@ -81,11 +81,13 @@
 		}
 		extent := log.Extent()
 		if log.Disk() != "disk-1" || extent.Last != file.last || extent.Base != file.base || log.EpochAt(5) != 4 || log.EpochAt(6) != 6 {
-			t.Errorf("%s less %d bytes: disk %s, extent %+v", file.golden, file.torn, log.Disk(), extent)
+			t.Errorf("%s less %d bytes: disk %s, extent %+v, epochs %d and %d of records 5 and 6; want disk-1, last %d, base %d, epochs 4 and 6",
+				file.golden, file.torn, log.Disk(), extent, log.EpochAt(5), log.EpochAt(6), file.last, file.base)
 		}
 		record, err := log.Read(7)
 		if err != nil || string(record.Body) != "packed" || record.Acquisition != 9 {
-			t.Errorf("%s less %d bytes: record 7 is %+v, %v", file.golden, file.torn, record, err)
+			t.Errorf("%s less %d bytes: record 7 is %+v, error %v; want body packed, acquisition 9 and no error",
+				file.golden, file.torn, record, err)
 		}
 	}
 }
--- a/internal/batch/replication/replication_test.go
+++ b/internal/batch/replication/replication_test.go
@@ -39,8 +39,8 @@
 	return compacted
 }
 
-// CommonIndex is exactly the length of the shared beginning of two copies if each epoch has only
-// one leader.
+// CommonIndex is exactly the length of the shared beginning of two copies, since each epoch has only one
+// leader. If it were larger, a store would keep records that differ from the leader's.
 func TestCommonIndex(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(3))
 	properties.Property("common", prop.ForAll(func(shared, left, right []bool) bool {
@@ -82,6 +82,8 @@
 	properties.TestingRun(t)
 }
 
+// A record that is reported as durable with too few copies, in either set during a change of the store
+// set, or because of the copies of an earlier epoch's record, can be lost in the next takeover.
 func TestCommitNeedsCopiesAndOwnEpoch(t *testing.T) {
 	replicator := NewReplicator(4, []messages.Member{member("a"), member("b"), member("c")}, 1, 11)
 	replicator.NextIndex()
@@ -91,24 +93,26 @@
 		t.Fatal("record of an earlier epoch was committed by its copies")
 	}
 	if replicator.UpdateMatch(identity("a"), 11) {
-		t.Fatal("durable with one copy")
+		t.Fatal("record with one copy is durable, want two copies needed")
 	}
 	if !replicator.UpdateMatch(identity("c"), 11) || replicator.CommitIndex() != 11 {
-		t.Fatal("not durable with two copies")
+		t.Fatal("record with two copies is not durable, or the commit index is not 11")
 	}
 	// While the store set changes, a record needs enough copies in both sets.
 	replicator.Next = []messages.Member{member("a"), member("c"), member("d")}
 	replicator.NextIndex()
 	replicator.UpdateMatch(identity("a"), 12)
 	if replicator.UpdateMatch(identity("b"), 12) {
-		t.Fatal("durable without enough copies in the next set")
+		t.Fatal("record without enough copies in the next set is durable")
 	}
 	if !replicator.UpdateMatch(identity("d"), 12) {
-		t.Fatal("not durable in both sets")
+		t.Fatal("record with enough copies in both sets is not durable")
 	}
 }
 
-func TestFenceAndIdentity(t *testing.T) {
+// A store that came back with another disk does not have the member's records, and a fenced leader must
+// not add records that the next leader has not read.
+func TestOtherDisksAndFencedLeadersAreRejected(t *testing.T) {
 	replica := NewReplica("disk")
 	if resp, _ := replica.Fence(&messages.FenceRequest{Epoch: 5, Disk: "other"}); resp.Granted {
 		t.Fatal("fence request for another disk was granted")
--- a/internal/batch/store/executor_test.go
+++ b/internal/batch/store/executor_test.go
@@ -19,9 +19,12 @@
 // "mixed...-0" responds with 422, "mixed...-1" always with 500, the first attempt at
 // "mixed...-2" is cut off after two events, and "stuck..." hangs after its first event.
 type fakeWorker struct {
-	lock         sync.Mutex
-	attempts     map[string]int
-	resumed      map[string]string
+	lock sync.Mutex
+	// attempts counts the requests for each item; resumed contains the last Last-Event-Id of each item.
+	attempts map[string]int
+	resumed  map[string]string
+	// hanging receives the id of each item that begins to hang, disconnected that of each whose
+	// connection is closed afterwards.
 	hanging      chan string
 	disconnected chan string
 }
--- a/internal/batch/store/forwarder_test.go
+++ b/internal/batch/store/forwarder_test.go
@@ -67,7 +67,7 @@
 			return nil, err
 		}
 		if req.Disk != "target" || req.Forward != nil {
-			t.Error("got a forwarded request for disk and target ", req.Disk, req.Forward)
+			t.Error("got a forwarded request for disk ", req.Disk, ", to be forwarded to ", req.Forward, "; want disk target and nil")
 		}
 		forwarded <- req.PreviousIndex
 		return transport.Encode(&messages.AppendResponse{Granted: true, Last: req.PreviousIndex})
--- a/internal/batch/store/jobs_test.go
+++ b/internal/batch/store/jobs_test.go
@@ -169,6 +169,7 @@
 	}
 }
 
+// A seed must reproduce its history. Otherwise a failure that one seed shows could not be repeated.
 func TestSameSeedSameHistory(t *testing.T) {
 	historySum := func() uint64 {
 		fleet := newSimFleet(t, 5, 3)
--- a/internal/batch/store/overload_test.go
+++ b/internal/batch/store/overload_test.go
@@ -117,6 +117,7 @@
 	}
 }
 
+// A seed must reproduce its history. Otherwise a failure that one seed shows could not be repeated.
 func TestOverloadSameSeedSameHistory(t *testing.T) {
 	if first, second := playOverload(t, 9).world.HistoryHash(), playOverload(t, 9).world.HistoryHash(); first != second {
 		t.Fatal("two runs with the same seed differ")
--- a/internal/batch/store/share_test.go
+++ b/internal/batch/store/share_test.go
@@ -115,8 +115,9 @@
 }
 
 // Under any fault, an item has one valid acquisition, one position and its complete text. What was
-// acknowledged is kept, an item is abandoned for one of the four permitted reasons only, no item
-// reaches a worker later than cancel-ms after the end of its job, and all other items finish.
+// acknowledged is kept, no item reaches a worker later than cancel-ms after the end of its job, and all
+// other items finish. An item is abandoned only if a worker rejected it, its attempts failed, or its
+// retain-s has passed; the fourth permitted reason, a removed route, does not occur here.
 func TestShareGroupUnderFaults(t *testing.T) {
 	seeds := int64(60)
 	if testing.Short() {
@@ -148,6 +149,7 @@
 	t.Log(total)
 }
 
+// A seed must reproduce its history. Otherwise a failure that one seed shows could not be repeated.
 func TestShareGroupSameSeedSameHistory(t *testing.T) {
 	if first, second := playShareGroup(t, 7).world.HistoryHash(), playShareGroup(t, 7).world.HistoryHash(); first != second {
 		t.Fatal("two runs with the same seed differ")
--- a/internal/batch/store/simulation_leader_test.go
+++ b/internal/batch/store/simulation_leader_test.go
@@ -9,7 +9,7 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// takeOver starts the term from the best copy of the log. Fetching is a single step here.
+// takeOver starts the term from the best copy of the log. All records are fetched in a single step.
 func (s *simLeader) takeOver(set []messages.Member, copies map[string]messages.FenceResponse) {
 	own := s.fleet.stores[s.address]
 	best := replication.BestCopy(copies)
--- a/internal/batch/store/simulation_test.go
+++ b/internal/batch/store/simulation_test.go
@@ -32,12 +32,16 @@
 	epoch      uint64
 	replicator *replication.Replicator
 	jobs       *dispatch.JobTable
-	records    []messages.Record
-	applied    int64
-	nextIndex  map[string]int64
+	// records are the records of this epoch, beginning at firstIndex. Those up to applied are applied.
+	records []messages.Record
+	applied int64
+	// nextIndex maps the identity of a store to the index of the next record to be sent to it.
+	nextIndex map[string]int64
+	// ready is set once a record of this epoch is committed.
 	ready      bool
 	firstIndex int64
-	forgets    map[string]bool
+	// forgets contains the jobs for which this leader has appended a forget record.
+	forgets map[string]bool
 	// fenced is set once a member has responded with a later epoch.
 	fenced bool
 }
