--- a/internal/traffic/admission/admission.go
+++ b/internal/traffic/admission/admission.go
@@ -1,6 +1,6 @@
 // Package admission places requests on workers or queues them by priority, and resumes the
-// continuations of queued requests when capacity is free. All state is protected by one lock that
-// is held briefly; no call blocks while holding it.
+// continuations of queued requests when capacity is free. The lock of the Scheduler protects all its
+// state except the counters; it is held briefly, and no call blocks while holding it.
 package admission
 
 import (
@@ -23,7 +23,7 @@
 	Affine bool
 	// Bulk marks an item of a batch job ("item" in this package); all other requests are live.
 	Bulk bool
-	// Retryable reports whether the request may be sent to another worker if this one fails.
+	// Retryable means that the request may be sent to another worker after a worker failed.
 	Retryable bool
 	// Priority orders the queue; a lower number is a higher priority.
 	Priority int
@@ -33,7 +33,8 @@
 	// and is rejected.
 	Deadline   clock.Instant
 	QueueUntil clock.Instant
-	Excluded   []string
+	// Excluded contains the IDs of the workers on which the request must not be placed.
+	Excluded []string
 	// AllowedWorkers, if not nil, restricts placement to the named workers.
 	AllowedWorkers map[string]bool
 	arrivedAt      clock.Instant
@@ -68,7 +69,8 @@
 	handle  Handle
 }
 
-// Scheduler admits the requests of one process.
+// Scheduler admits the requests of one process. Registry, Tracker and Index may be used only while
+// holding its lock (WithLock).
 type Scheduler struct {
 	lock                sync.Mutex
 	Registry            *workers.Registry
@@ -85,7 +87,7 @@
 	preemptible         map[*Grant]*preemptible
 	onPressure          func(entries []messages.Pressure)
 	pressureSentAt      clock.Instant
-	// onPrefill must not block: it is called with the lock held.
+	// onPrefill and onEjection must not block: they are called with the lock held.
 	onPrefill   func(worker string, milliseconds float64)
 	gossip      gossipState
 	subsets     map[string]subset
@@ -135,7 +137,8 @@
 // NoteControllerContact records that a controller was in contact. The caller must hold the lock.
 func (s *Scheduler) NoteControllerContact(now clock.Instant) { s.controllerContactAt = now }
 
-// Merge applies worker updates and resumes queued requests that can now be placed.
+// Merge applies worker updates of a controller, deletes the health, outcomes and prefix records of
+// departed workers, and resumes queued requests that can now be placed.
 func (s *Scheduler) Merge(workerList []messages.Worker, now clock.Instant) {
 	s.lock.Lock()
 	s.NoteControllerContact(now)
@@ -152,7 +155,8 @@
 }
 
 // Admit places a request immediately, queues it, or rejects it. If resume is nil, the request is
-// never queued. A live request that is queued preempts work of lower priority.
+// never queued; otherwise resume is called once, without the lock held, unless the request is
+// withdrawn by its handle. A live request that is queued preempts work of lower priority.
 func (s *Scheduler) Admit(req *Request, resume func(Decision), now clock.Instant) (Decision, Handle) {
 	decision, handle := s.admit(req, resume, now)
 	if decision.Verdict == VerdictQueued {
--- a/internal/traffic/admission/counters.go
+++ b/internal/traffic/admission/counters.go
@@ -2,8 +2,9 @@
 
 import "sync/atomic"
 
-// Counters counts the requests of one route that were preempted, resumed and finished in this
-// process.
+// Counters contains the counters of one route in this process: Preempted counts the preemptions,
+// Resumed the attempts that continue a preempted request, and Finished the requests that were served
+// after a preemption.
 type Counters struct {
 	Preempted, Resumed, Finished atomic.Int64
 }
--- a/internal/traffic/admission/flow.go
+++ b/internal/traffic/admission/flow.go
@@ -3,13 +3,13 @@
 import "lemonarch/internal/platform/clock"
 
 // This file estimates the cache turnover that other processes cause at a worker, without counts of
-// which process inserted how many tokens. By Little's law, a worker with n requests receives n
-// times their mean token count in each mean request duration. Both means are learned from the
-// requests that passed through this process, and n comes from the freshest load observation. Tokens
-// inserted by this process are counted exactly.
+// which process inserted how many tokens. By Little's law, a worker with n requests of other
+// processes receives n times their mean token count in each mean request duration. Both means are
+// learned from the requests that passed through this process, and n comes from the freshest load
+// observation. Tokens inserted by this process are counted exactly.
 
 // flow contains decayed sums over the finished requests of one service: uncached prompt tokens plus
-// half of the output tokens, duration in ms, and the number of requests.
+// half of the maximum number of output tokens, duration in ms, and the number of requests.
 type flow struct {
 	tokens, durationMs, count float64
 }
@@ -34,7 +34,7 @@
 }
 
 // addOthersTurnover adds the estimated number of tokens that other processes have inserted into the
-// workers' caches since the previous call. The caller must hold the lock.
+// workers' caches since the previous call. The first call adds nothing. The caller must hold the lock.
 func (s *Scheduler) addOthersTurnover(now clock.Instant) {
 	elapsed := clock.ToMilliseconds(now.Sub(s.gossip.turnoverAt))
 	first := s.gossip.turnoverAt == 0
--- a/internal/traffic/admission/gossip.go
+++ b/internal/traffic/admission/gossip.go
@@ -42,7 +42,8 @@
 // MakeGossip builds this node's gossip packet. Its size is bounded regardless of the size of the
 // fleet: workers of the node's own zone go first. Within this zone, and among the workers of all other
 // zones, those that are ejected here or were never sent go first, then those whose last sample was
-// sent longest ago.
+// sent longest ago. Unless the worker is ejected here, an observation is left out if this node has
+// already sent it or if it would expire before it is used (constants.GossipAgeMax).
 func (s *Scheduler) MakeGossip(now clock.Instant) *messages.Gossip {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -53,8 +54,8 @@
 	s.addOthersTurnover(now)
 	state := &s.gossip
 	if sorted := s.Registry.Sorted(); state.sent == nil || len(state.sent) > 2*len(sorted) {
-		// Forgotten workers leave stale entries, so the map is rebuilt once it has grown to twice
-		// the number of workers.
+		// Forgotten workers leave stale entries, so the map is discarded once it has more than twice
+		// as many entries as there are workers. All workers then count as never sent.
 		state.sent = make(map[string]sentSample, len(sorted))
 	}
 	candidates := state.candidates[:0]
@@ -68,7 +69,7 @@
 		last, wasSent := state.sent[worker.ID]
 		_, observedAt := health.Observed()
 		if wasSent && sample.Health == messages.HealthUnknown && observedAt <= last.observedAt {
-			// The peers have already received this observation from this node.
+			// This node has already sent this observation.
 			continue
 		}
 		if sample.Health == messages.HealthUnknown && sample.AgeMs > constants.GossipAgeMax.Milliseconds() {
--- a/internal/traffic/admission/grant.go
+++ b/internal/traffic/admission/grant.go
@@ -61,7 +61,7 @@
 	ResultFailed
 	// ResultUnreachable means that no connection was established; nothing was sent.
 	ResultUnreachable
-	// ResultTimeout means that the worker was silent for a multiple of the usual time.
+	// ResultTimeout means that the worker sent nothing before the deadline, or for longer than is usual.
 	ResultTimeout
 	// ResultServerError means that the worker itself returned a 5xx status.
 	ResultServerError
@@ -70,7 +70,8 @@
 	ResultShed
 	// ResultRejected means that the worker was full.
 	ResultRejected
-	// ResultMisdirected means that another service responded at the worker's address.
+	// ResultMisdirected means that another worker, or a later incarnation, responded at the worker's
+	// address.
 	ResultMisdirected
 	// ResultCanceled means that the client or this process canceled the request.
 	ResultCanceled
--- a/internal/traffic/admission/health.go
+++ b/internal/traffic/admission/health.go
@@ -26,8 +26,8 @@
 	ResultTimeout:     health.FaultTimeout,
 	ResultServerError: health.FaultError,
 	ResultShed:        health.FaultShed,
-	// Another service responds at the address, so this incarnation of the worker no longer runs
-	// there.
+	// Another worker or a later incarnation responds at the address, so this incarnation no longer
+	// runs there.
 	ResultMisdirected: health.FaultRefused,
 }
 
--- a/internal/traffic/admission/preemption.go
+++ b/internal/traffic/admission/preemption.go
@@ -20,7 +20,8 @@
 }
 
 // AllowPreemption marks the grant's work as preemptible. The function yield stops the work; the owner
-// of the work then requeues it with the progress made so far.
+// of the work then requeues it with the progress made so far. yield is called at most once, without the
+// lock held.
 func (g *Grant) AllowPreemption(yield func()) {
 	scheduler := g.scheduler
 	scheduler.lock.Lock()
@@ -28,7 +29,8 @@
 	scheduler.preemptible[g] = &preemptible{yield: yield}
 }
 
-// OnPressure registers the function that is called when requests find no capacity in this process.
+// OnPressure registers the function that is called when live requests are queued in this process, at
+// most once per constants.PressurePeriod.
 func (s *Scheduler) OnPressure(notify func(entries []messages.Pressure)) { s.onPressure = notify }
 
 // pressureEntries returns the number of queued live requests by service and priority. The caller
@@ -84,8 +86,8 @@
 // ownPressureKey is the key of this process's own report. No process has an empty name.
 const ownPressureKey = ""
 
-// ObservePressure stores a peer's report that other processes yield to: while the report is valid, no
-// item of this process starts above the floor (bulkFloor), but nothing here yields.
+// ObservePressure stores a peer's report to which other processes yield. While the report is valid, no
+// item of this process takes a slot above the floor (bulkFloor), but nothing here yields.
 func (s *Scheduler) ObservePressure(notice *messages.PressureNotice, now clock.Instant) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -172,9 +174,9 @@
 	return count
 }
 
-// bulkFloor returns the number of slots that items keep regardless of pressure: a share of the
-// slots of the workers on which this process places items, so that all processes together keep one
-// floor. The caller must hold the lock.
+// bulkFloor returns the number of slots that items keep regardless of pressure: one more than a share
+// of the slots of the workers on which this process places items. Counting only these workers keeps the
+// floors of several processes from adding up. The caller must hold the lock.
 func (s *Scheduler) bulkFloor(service string) int {
 	capacity := 0
 	for _, worker := range s.Registry.ByService(service) {
--- a/internal/traffic/admission/pump.go
+++ b/internal/traffic/admission/pump.go
@@ -50,7 +50,8 @@
 }
 
 // Pump resumes the queued requests that can be placed now, in order of priority and age, and
-// rejects those whose QueueUntil has passed.
+// rejects those that can't and whose QueueUntil has passed. A request that stays queued for lack of
+// capacity blocks the requests behind it in the queue of its service.
 func (s *Scheduler) Pump(now clock.Instant) {
 	type resumption struct {
 		waiter   *waiter
--- a/internal/traffic/admission/rate.go
+++ b/internal/traffic/admission/rate.go
@@ -31,6 +31,7 @@
 }
 
 // retryAfter returns the time until capacity is expected, between 50 ms and constants.GossipPeriod.
+// If that time is not known, it starts from the request's setpoint. The caller must hold the lock.
 func (s *Scheduler) retryAfter(req *Request) clock.Duration {
 	wait, known := s.expectedWait(req)
 	if !known {
--- a/internal/traffic/admission/selectworker.go
+++ b/internal/traffic/admission/selectworker.go
@@ -9,8 +9,9 @@
 	"lemonarch/internal/traffic/prefixindex"
 )
 
-// selectWorker places a request on a worker that has capacity: first among the workers to consider,
-// then among all workers of the service.
+// selectWorker places a request on a worker that has capacity: first among the workers to consider
+// (workersToConsider), then among all workers of the service. The caller must hold the lock, as for
+// the other functions of this file.
 func (s *Scheduler) selectWorker(req *Request, now clock.Instant) Decision {
 	all := s.Registry.ByService(req.Service)
 	considered, more := s.workersToConsider(req, all, now)
@@ -86,7 +87,8 @@
 }
 
 // consider adds a worker to the candidates unless its status is worse than worst, the request
-// excludes it, or it has no slot for the request.
+// excludes it, it is suspect in the first pass (worst is StatusHealthy), it has no slot for the
+// request, or the request is an item and another prefill is pending there.
 func (s *Scheduler) consider(sel *selection, worker *messages.Worker, worst workers.Status) {
 	status := s.Registry.Status(worker.ID, sel.now, sel.controllerInContact)
 	if status == workers.StatusUnavailable || status > worst || isExcluded(sel.request, worker.ID) {
@@ -191,7 +193,7 @@
 }
 
 // Allowed reports whether a request may still be sent to the worker: a drain acknowledged since the
-// grant forbids it.
+// grant forbids it. Allowed takes the lock itself.
 func (s *Scheduler) Allowed(worker string, now clock.Instant) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/traffic/admission/silence.go
+++ b/internal/traffic/admission/silence.go
@@ -25,8 +25,8 @@
 	return known
 }
 
-// FirstEventTimeout returns the duration of silence before the first event that is unusual for the
-// service.
+// FirstEventTimeout returns the duration from which a silence before the first event is unusual for the
+// service. It includes the time for the prefills.
 func (g *Grant) FirstEventTimeout() clock.Duration {
 	scheduler := g.scheduler
 	scheduler.lock.Lock()
@@ -40,9 +40,8 @@
 	return g.prefillTime + scheduler.latenciesOf(g.Worker.Backend).firstEvent.Timeout(shortestTimeout, longestTimeout)
 }
 
-// InterEventTimeout returns the duration of silence between two events that is unusual for the
-// service. longest is the pause up to which a response is still in time; 0 means that there is no
-// such limit.
+// InterEventTimeout returns the duration from which a silence between two events is unusual for the
+// service. longest is the maximum time between two events that the route allows; 0 means no limit.
 func (g *Grant) InterEventTimeout(longest clock.Duration) clock.Duration {
 	scheduler := g.scheduler
 	scheduler.lock.Lock()
@@ -79,8 +78,9 @@
 	return known.firstEvent.TakeRetry(max(elapsed-g.prefillTime, 0))
 }
 
-// RecordSilence records a silence after which the request keeps waiting: shorter than
-// constants.SilenceFaultTimeout it counts as slowness, from then on as a timeout.
+// RecordSilence records a silence after which the request keeps waiting: a silence shorter than
+// constants.SilenceFaultTimeout counts as slowness, a longer one as a timeout. Each is recorded at most
+// once per grant.
 func (g *Grant) RecordSilence(elapsed clock.Duration, now clock.Instant) {
 	scheduler := g.scheduler
 	scheduler.lock.Lock()
--- a/internal/traffic/admission/slab.go
+++ b/internal/traffic/admission/slab.go
@@ -13,7 +13,8 @@
 	value      Value
 }
 
-// Slab stores continuations without one allocation for each.
+// Slab stores continuations without one allocation for each. The zero value is empty and ready to
+// use. The caller must serialize access.
 type Slab[Value any] struct {
 	cells []cell[Value]
 	free  []int
--- a/internal/traffic/admission/stale.go
+++ b/internal/traffic/admission/stale.go
@@ -53,8 +53,9 @@
 	return max(float64(health.OwnRequests()), float64(mean)+weight*float64(running-mean))
 }
 
-// jitter returns a small random part of the score, in ms, less than the cost of another zone: among
-// equal workers not all nodes must select the first. The sequence is deterministic for each node.
+// jitter returns a small random part of the score, in ms, less than the cost of another zone, so that
+// nodes do not all select the first of several equal workers. The sequence is deterministic for each
+// node. The caller must hold the lock.
 func (s *Scheduler) jitter() float64 {
 	if s.jitterState == 0 {
 		s.jitterState = rendezvousWeight(s.self, "")
--- a/internal/traffic/gateway/gateway.go
+++ b/internal/traffic/gateway/gateway.go
@@ -1,4 +1,6 @@
-// Package gateway implements the gateway process, which accepts client requests.
+// Package gateway implements the gateway process, which accepts client requests. It serves them through
+// package proxy, forwards calls on batch jobs to the leading store, applies the connection limits of the
+// current configuration, and drains before it stops.
 package gateway
 
 import (
@@ -25,9 +27,11 @@
 
 // Gateway is one gateway process.
 type Gateway struct {
-	Node            *agent.Agent
-	Gossip          *loadgossip.Gossip
-	Proxy           *proxy.Proxy
+	Node   *agent.Agent
+	Gossip *loadgossip.Gossip
+	Proxy  *proxy.Proxy
+	// configConfirmed is set once a configuration is applied that was read from a majority of the
+	// acceptors or, after constants.FirstConfigTimeout, any configuration.
 	configConfirmed atomic.Bool
 	// The following are set by Run and read by Shutdown.
 	ingressServer   atomic.Pointer[http.Server]
@@ -35,7 +39,7 @@
 	clients         atomic.Pointer[clientConns]
 }
 
-// New returns a gateway that Run starts.
+// New returns a gateway, which serves no requests before Run is called.
 func New(nodeSettings *settings.Settings, log hclog.Logger) *Gateway {
 	runtime := agent.New(nodeSettings, membership.RoleGateway, constants.PortGateway, "", log)
 	gossip := loadgossip.New(runtime)
@@ -104,8 +108,8 @@
 	return ingress.Serve(clients)
 }
 
-// readiness responds 200 only if the configuration was read from a majority, at least one worker is
-// known, and the process is not draining.
+// readiness responds 200 only if the first configuration is confirmed (agent.PullFirst), at least one
+// worker is known, and the process is not draining.
 func (g *Gateway) readiness(writer http.ResponseWriter, _ *http.Request) {
 	workerCount := 0
 	g.Gossip.Scheduler.WithLock(func() { workerCount = len(g.Gossip.Scheduler.Registry.All(clock.Now())) })
--- a/internal/traffic/gateway/jobforwarder.go
+++ b/internal/traffic/gateway/jobforwarder.go
@@ -24,7 +24,7 @@
 	changed        chan struct{}
 	unresponsiveAt clock.Instant
 	// requests numbers the requests of this gateway. deduplicator detects duplicates of the calls that
-	// other gateways relay through it.
+	// other gateways relay through this one.
 	requests     atomic.Uint64
 	deduplicator transport.Deduplicator
 	// now, sleep and random are the clock and the source of random numbers, which tests replace.
--- a/internal/traffic/health/health.go
+++ b/internal/traffic/health/health.go
@@ -14,7 +14,10 @@
 // Health is the state known of one worker.
 type Health struct {
 	// live and bulk count the requests of this process that are at the worker: bulk those that are
-	// items of batch jobs, live all others.
+	// items of batch jobs, live all others. ownHistory is a ring of the last changes of their sum, and
+	// ownChanges the number of all changes. observed is the freshest load observation, and full the
+	// load assumed after a rejection (RecordFull). suspects contains when each peer last reported that
+	// it ejected the worker; suspectUntil is when the last ejection by this process ends.
 	live, bulk       int
 	pendingTokens    int64
 	pendingPrefills  int
@@ -30,7 +33,8 @@
 	responses        int64
 }
 
-// Tracker contains the health of all workers. Callers must serialize access.
+// Tracker contains the health of all workers. Callers must serialize access, also to the Health and
+// Outcomes that it returns.
 type Tracker struct {
 	byWorker map[string]*Health
 	outcomes outcomeTable
@@ -111,7 +115,7 @@
 func (h *Health) OwnBulkRequests() int { return h.bulk }
 
 // ParseLoad parses a load header of the form "running,waiting,slots". busy is the sum of running
-// and waiting requests.
+// and waiting requests; slots is 0 if it is missing. known is false if the header is not valid.
 func ParseLoad(header string) (busy, slots int, known bool) {
 	running, waiting, known := ParseRunning(header)
 	if !known {
@@ -142,7 +146,7 @@
 }
 
 // RecordFailure records a failure. ejected is the duration of the ejection that it caused, or 0.
-// While the worker is ejected here, peers are notified of it.
+// While the worker is ejected here, its gossip samples tell peers so.
 func (h *Health) RecordFailure(ejected clock.Duration, now clock.Instant) {
 	h.failures++
 	if ejected > 0 {
--- a/internal/traffic/health/outcomes.go
+++ b/internal/traffic/health/outcomes.go
@@ -18,7 +18,8 @@
 	// FaultReset means that a fresh connection, or any connection after the first byte, was reset,
 	// cut off or delivered corrupt bytes.
 	FaultReset
-	// FaultTimeout means silence for a multiple of the service's usual time.
+	// FaultTimeout means that the worker sent nothing before the deadline, or for longer than is usual
+	// for the service (see also FaultSlow).
 	FaultTimeout
 	// FaultError means that the worker itself returned a 5xx status.
 	FaultError
@@ -47,7 +48,8 @@
 // Outcomes contains the outcomes of this process's requests at one incarnation of a worker.
 type Outcomes struct {
 	service string
-	// successes and failures are exponentially decayed counts of outcomes, as of the time at.
+	// successes and failures are exponentially decayed counts of outcomes, as of the time at. Failures
+	// are weighted by their kind (Fault.weight).
 	successes, failures float64
 	at                  clock.Instant
 	// level is the number of recent ejections, at most constants.EjectLevels; each level doubles the
--- a/internal/traffic/health/peers.go
+++ b/internal/traffic/health/peers.go
@@ -83,7 +83,7 @@
 // Known reports whether there is a valid observation of the worker's load.
 func (h *Health) Known(now clock.Instant) bool { return h.fresh(now) }
 
-// Age returns the age of the observation.
+// Age returns the age of the observation. It has no meaning if Known is false.
 func (h *Health) Age(now clock.Instant) clock.Duration { return now.Sub(h.observed.at) }
 
 // Sample returns the sample of the worker to send to peers: the freshest observation, whichever
--- a/internal/traffic/loadgossip/peers.go
+++ b/internal/traffic/loadgossip/peers.go
@@ -64,7 +64,8 @@
 }
 
 // peerSet contains the nodes that this process notifies. It is selected anew in each gossip period.
-// population is the number of live gateways and stores in the fleet.
+// sameZone and otherZones are the known gateways and stores that are not draining; byZone groups
+// otherZones by zone. population is the number of live gateways and stores in the fleet.
 type peerSet struct {
 	sameZone, otherZones                    []messages.NodeInfo
 	byZone                                  [][]messages.NodeInfo
--- a/internal/traffic/prefixindex/homes.go
+++ b/internal/traffic/prefixindex/homes.go
@@ -72,8 +72,8 @@
 // shared prefix of the prompt, those with the latest evidence first.
 func (i *Index) Holders(prompt *Prompt, limit int) []string {
 	type holder struct {
-		worker string
-		seenAt int64
+		worker     string
+		observedAt int64
 	}
 	var holders []holder
 	if len(prompt.Parts) < 2 {
@@ -89,8 +89,8 @@
 		}
 	})
 	sort.Slice(holders, func(left, right int) bool {
-		if holders[left].seenAt != holders[right].seenAt {
-			return holders[left].seenAt > holders[right].seenAt
+		if holders[left].observedAt != holders[right].observedAt {
+			return holders[left].observedAt > holders[right].observedAt
 		}
 		return holders[left].worker < holders[right].worker
 	})
--- a/internal/traffic/prefixindex/index.go
+++ b/internal/traffic/prefixindex/index.go
@@ -59,9 +59,9 @@
 		return prompt
 	}
 	for more := true; more && len(prompt.Parts) < constants.PromptPartsMax; {
-		var piece string
-		piece, prefix, more = strings.Cut(prefix, ",")
-		name, count, _ := strings.Cut(strings.TrimSpace(piece), ":")
+		var field string
+		field, prefix, more = strings.Cut(prefix, ",")
+		name, count, _ := strings.Cut(strings.TrimSpace(field), ":")
 		tokens, _ := strconv.Atoi(count)
 		// Prefixes cached for one model are of no use to another, so the hash includes the model.
 		sum := fnv.New64a()
@@ -115,8 +115,9 @@
 
 // RecordFirstEvent updates the estimates from the delay of a request's first event. A first
 // event that arrives as late as after a full prefill shows that the prefix was not cached, and
-// lowers the confidence in it. alone is true if no other prefill of this node was pending at the
-// worker when the request was placed.
+// lowers the confidence in it. fresh is the number of tokens that RecordPlacement returned, and waited
+// the time from the placement to the first event. alone is true if no other prefill of this node was
+// pending at the worker when the request was placed.
 func (i *Index) RecordFirstEvent(prompt *Prompt, worker string, fresh int, waited clock.Duration, alone bool, now clock.Instant) {
 	saved := max(prompt.Tokens, 1) - fresh
 	fullPrefillMs := float64(prompt.Tokens) / i.prefillRate
--- a/internal/traffic/prefixindex/residency.go
+++ b/internal/traffic/prefixindex/residency.go
@@ -1,6 +1,7 @@
 // Package prefixindex implements the residency-weighted prefix index that decides where a
 // request is placed: a tree of prompt parts, an estimate of which prefixes are still cached at
-// which workers, and one score per worker. It does no I/O; the current time is passed in by the caller.
+// which workers, and one score per worker. It does no I/O; the current time is passed in by the caller,
+// who must also serialize access.
 package prefixindex
 
 import (
@@ -20,7 +21,9 @@
 	peers    map[string]peerEvidence
 }
 
-// ownEvidence records that this node sent a request with this prefix to a worker.
+// ownEvidence records that this node sent a request with this prefix to a worker. turnoverAt and
+// incarnation are the worker's total turnover and cache incarnation at that time. confidence is the
+// probability that the prefix was cached after the request.
 type ownEvidence struct {
 	placedAt    clock.Instant
 	turnoverAt  int64
--- a/internal/traffic/prefixindex/score.go
+++ b/internal/traffic/prefixindex/score.go
@@ -5,7 +5,8 @@
 // Candidate is a worker that may be given the request, with its costs in ms.
 type Candidate struct {
 	Worker string
-	// WaitMs is the expected wait due to its load. RiskMs is the expected cost of its faults.
+	// WaitMs is the expected wait due to the worker's load, plus the cost of another zone. RiskMs is
+	// the expected cost of the worker's faults and of its warm-up.
 	WaitMs float64
 	RiskMs float64
 }
--- a/internal/traffic/proxy/draws.go
+++ b/internal/traffic/proxy/draws.go
@@ -12,8 +12,9 @@
 // it, in any run of consecutive draws each service of a route gets its share to within about one draw.
 const goldenRatioStep = 0.6180339887498949
 
-// maxDrawSequences is the maximum number of routes whose sequences are kept, since configurations add
-// and remove routes. Restarting a sequence changes a service's count by one at most.
+// maxDrawSequences bounds the number of routes whose sequences are kept, since configurations add
+// and remove routes. When it is reached, all sequences restart; restarting a sequence changes a
+// service's count by one at most.
 const maxDrawSequences = 256
 
 // weightedDraws chooses the services of weighted routes. It uses a low-discrepancy sequence instead of
@@ -21,7 +22,8 @@
 // of a sequence is random, so that gateways do not all start with the same service. It is safe for
 // concurrent use.
 type weightedDraws struct {
-	lock    sync.Mutex
+	lock sync.Mutex
+	// byRoute contains the next draw of each route.
 	byRoute map[string]float64
 }
 
--- a/internal/traffic/proxy/events.go
+++ b/internal/traffic/proxy/events.go
@@ -13,7 +13,7 @@
 	LastID int64
 	// HasID is set once a complete event had an id.
 	HasID bool
-	// NextID, if above 0, is the id that the first event must have: a resumed stream must continue
+	// NextID, if above 0, is the id that the first event with an id must have: a resumed stream must continue
 	// with exactly the event after the last one that was forwarded.
 	NextID int64
 }
--- a/internal/traffic/proxy/exchange.go
+++ b/internal/traffic/proxy/exchange.go
@@ -31,8 +31,8 @@
 	arrivedAt   clock.Instant
 	deadline    clock.Instant
 
-	// attempts counts the attempts that use up one of the route's tries, and undelivered those in
-	// which no byte of the request reached a worker; see decideRetry.
+	// attempts counts the attempts that count towards the route's MaxAttempts, and undelivered those
+	// in which no byte of the request reached a worker; see decideRetry.
 	attempts    int
 	undelivered int
 	mayHaveRun  bool
@@ -90,7 +90,7 @@
 }
 
 // exhausted reports whether no further attempt may be made. Once a response has begun, only the
-// route's number of tries, the deadline or the client's disconnect ends it: its client can no longer
+// route's MaxAttempts, the deadline or the client's disconnect ends it: its client can no longer
 // be sent a 503 with Retry-After.
 func (e *exchange) exhausted() bool {
 	if clock.Now() >= e.deadline || e.request.Context().Err() != nil || e.attempts >= e.route.MaxAttempts {
@@ -135,7 +135,8 @@
 		return e.decideRetry(evidence), false
 	}
 	if response.NotRun || response.HTTPResponse.StatusCode >= 300 {
-		// The worker did no prefill or decode for it, so the latency is not recorded.
+		// The response is a rejection or an error, whose latency says nothing about prefill or decode,
+		// so it is not recorded.
 		grant.ObserveLoad(response.Load, clock.Now())
 		if response.NotRun {
 			return e.handleNotRun(grant, response)
@@ -158,8 +159,8 @@
 	case !evidence.Sent:
 		e.undelivered++
 	case evidence.NotRun && e.headSent:
-		// The client has received part of the response, which only another worker can complete. A
-		// worker that rejected the request without running it does not use up a try.
+		// The client has received part of the response, which only a further attempt can complete. An
+		// attempt that a worker rejected without running the request does not count.
 	default:
 		e.attempts++
 		e.mayHaveRun = e.mayHaveRun || !evidence.NotRun
--- a/internal/traffic/proxy/proxy.go
+++ b/internal/traffic/proxy/proxy.go
@@ -1,5 +1,7 @@
 // Package proxy forwards client requests to workers and relays the responses,
-// with retries, resumption of event streams and preemption.
+// with retries, resumption of event streams and preemption. A Proxy is the HTTP handler for clients; an
+// exchange is one client request over all its attempts; a Sender makes a single attempt at a worker,
+// also for the items of batch jobs.
 package proxy
 
 import (
@@ -40,9 +42,10 @@
 	draws     weightedDraws
 	config    atomic.Pointer[routeconfig.Config]
 	jobRouter *chi.Mux
-	Draining  atomic.Bool
-	active    atomic.Int64
-	Counts    Counts
+	// Draining, once set, makes responses carry Connection: close. Requests are still served.
+	Draining atomic.Bool
+	active   atomic.Int64
+	Counts   Counts
 }
 
 // Counts are the request counters shown to operators. Resumed counts attempts that continue a begun
--- a/internal/traffic/proxy/sender.go
+++ b/internal/traffic/proxy/sender.go
@@ -36,8 +36,10 @@
 
 // Request is one request to a worker.
 type Request struct {
-	Method         string
-	Attempt        string
+	Method string
+	// Attempt is the attempt id that the response must echo.
+	Attempt string
+	// Text is the encoded request, head and body.
 	Text           []byte
 	Deadline       clock.Instant
 	SilenceTimeout clock.Duration
@@ -107,7 +109,8 @@
 }
 
 // Stream reads an event stream and calls onEvents with complete events as they arrive. It returns nil
-// when the stream ends cleanly, and the error of onEvents if it returns one.
+// when the stream ends cleanly, and the error of onEvents if it returns one. timeout is the silence
+// timeout between events; it applies only to a chunked response.
 func (s *Sender) Stream(response *Response, splitter *Splitter, deadline clock.Instant, timeout clock.Duration, onEvents func(events []byte) error) error {
 	buffer := make([]byte, 8<<10)
 	chunked := response.HTTPResponse.ContentLength < 0
--- a/internal/traffic/proxy/silence.go
+++ b/internal/traffic/proxy/silence.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// resultOfError returns how an attempt without a response counts for its worker's health.
+// resultOfError returns how an attempt without a complete response counts for its worker's health.
 func (e *exchange) resultOfError(err error) admission.Result {
 	switch {
 	case e.request.Context().Err() != nil, errs.Is(err, ErrStaleConnection):
--- a/internal/traffic/proxy/workerfailure.go
+++ b/internal/traffic/proxy/workerfailure.go
@@ -37,7 +37,7 @@
 		result = admission.ResultShed
 	}
 	if response.HTTPResponse.StatusCode == http.StatusMisdirectedRequest {
-		// Another worker now has this address.
+		// Another worker or a later incarnation now has this address.
 		result = admission.ResultMisdirected
 		e.proxyServer.Sender.Discard(response)
 	} else if err != nil || !complete {
@@ -53,7 +53,7 @@
 	return e.decideRetry(Evidence{Sent: true, NotRun: true}), false
 }
 
-// handleWorkerFailure handles an error response of a worker that has run the request.
+// handleWorkerFailure handles an error response of a worker that may have run the request.
 func (e *exchange) handleWorkerFailure(grant *admission.Grant, response *Response) (Retry, bool) {
 	body, complete, err := e.proxyServer.Sender.ReadBody(response, constants.BufferedResponseMax)
 	if err != nil || !complete {
--- a/internal/traffic/trafficstats/histogram.go
+++ b/internal/traffic/trafficstats/histogram.go
@@ -50,8 +50,8 @@
 	return hdrhistogram.Import(snapshot)
 }
 
-// Quantile returns a quantile of an encoded histogram, in milliseconds. known is false if the
-// histogram is empty.
+// Quantile returns a quantile of an encoded histogram, in milliseconds. percent is in [0, 100]. known
+// is false if the histogram is empty.
 func Quantile(encoded *messages.Histogram, percent float64) (milliseconds float64, known bool) {
 	histogram := Decode(encoded)
 	if histogram.TotalCount() == 0 {
--- a/internal/traffic/trafficstats/recorder.go
+++ b/internal/traffic/trafficstats/recorder.go
@@ -47,8 +47,8 @@
 	PromptTokens, FreshTokens, OutTokens int
 	Events                               int
 	// QueueWait is the time from the arrival until a worker was found, or until the end if none was.
-	// FirstEvent is the time from sending the request to the first event, and Duration that to the
-	// end; 0 if there was none.
+	// FirstEvent is the time from sending the request to the first event, or 0 if there was none.
+	// Duration is the time from sending the request to its end.
 	QueueWait, FirstEvent, Duration clock.Duration
 	// EventGap is the mean time between two events, or 0 if there were fewer than two.
 	EventGap clock.Duration
--- a/internal/traffic/workerconn/idle.go
+++ b/internal/traffic/workerconn/idle.go
@@ -26,7 +26,7 @@
 
 // Get returns an idle connection that is still open, or opens one within the budget (0 means no
 // limit). A request without an id, and one whose id has already been sent on the idle connection,
-// gets a new connection.
+// gets a new connection. The errors are ErrPoolExhausted and ErrNoConnection.
 func (p *Pool) Get(worker messages.Worker, budget int, attempt string, reuse Reuse) (*Connection, error) {
 	if attempt == "" {
 		reuse = ReuseNone
--- a/internal/traffic/workerconn/workerconn.go
+++ b/internal/traffic/workerconn/workerconn.go
@@ -56,6 +56,9 @@
 	closedLocally atomic.Bool
 }
 
+// workerConnections contains the connections to one worker: idle those that carry no request, in the
+// order in which they became idle, and open the number of all, in use or idle. Pool.lock protects both.
+// lastReadAt is when a byte was last read on any of them.
 type workerConnections struct {
 	idle       []*Connection
 	open       int
@@ -190,7 +193,8 @@
 	}
 }
 
-// Drop closes a connection and removes it from the count of open connections.
+// Drop closes a connection and removes it from the count of open connections. It must be called only
+// once for each connection, since each call reduces the count.
 func (p *Pool) Drop(connection *Connection) {
 	connection.closeOnce()
 	p.lock.Lock()
