--- a/internal/traffic/admission/admission_test.go
+++ b/internal/traffic/admission/admission_test.go
@@ -31,6 +31,8 @@
 	return &Request{Service: "s", Priority: priority, Setpoint: 200_000_000, QueueUntil: 1_000_000_000}
 }
 
+// The handle of a taken value must not reach the value that reuses its cell: a client that disconnects
+// late could then withdraw the request of another.
 func TestSlabRejectsStaleHandles(t *testing.T) {
 	slab := Slab[string]{}
 	first := slab.Put("one")
@@ -90,6 +92,8 @@
 	}
 }
 
+// A client that disconnects withdraws its request. The request must not be given a slot afterwards,
+// since nobody would release it.
 func TestWithdrawnIsNeverResumed(t *testing.T) {
 	scheduler := newScheduler(t, 1, "w")
 	var grants []*Grant
@@ -104,6 +108,8 @@
 	grants[0].End(ResultServed, 4)
 }
 
+// A draining worker must get no new request, not even one that was granted before the drain was known
+// (Allowed).
 func TestDrainedWorkerIsNeitherPlacedOnNorSentTo(t *testing.T) {
 	scheduler := newScheduler(t, 4, "w", "v")
 	scheduler.Merge([]messages.Worker{{ID: "w", Backend: "s", CallCount: 2, Phase: messages.PhaseDraining, Capacity: 4}}, 2)
--- a/internal/traffic/admission/gossip_test.go
+++ b/internal/traffic/admission/gossip_test.go
@@ -119,7 +119,7 @@
 	}
 }
 
-// An observation that a peer received from this node is not sent again.
+// An observation that this node has already sent is not sent again.
 func TestUnchangedObservationIsNotResent(t *testing.T) {
 	scheduler := newScheduler(t, 4, "w")
 	scheduler.HandleGossip(&messages.Gossip{From: "forge/x", Loads: encodedLoad("w", 2, 0)}, atSecond(10))
--- a/internal/traffic/admission/preemption_test.go
+++ b/internal/traffic/admission/preemption_test.go
@@ -59,6 +59,8 @@
 	}
 }
 
+// Requests of the same priority must not preempt each other, or they would do so in turn without end.
+// Only a lower priority yields.
 func TestEqualAndHigherPrioritiesAreNeverPreempted(t *testing.T) {
 	scheduler := newScheduler(t, 4, "w")
 	var yielded []int
@@ -129,6 +131,8 @@
 	}
 }
 
+// However many requests are queued, peers are notified of pressure once per constants.PressurePeriod,
+// so that an overload causes no flood of notices.
 func TestPressureIsSentOncePerPeriod(t *testing.T) {
 	scheduler := newScheduler(t, 1, "w")
 	notified := 0
--- a/internal/traffic/admission/subset_test.go
+++ b/internal/traffic/admission/subset_test.go
@@ -55,7 +55,7 @@
 }
 
 // All workers are in the subsets of about the same number of nodes.
-func TestSubsetsSpread(t *testing.T) {
+func TestSubsetsCoverWorkersEvenly(t *testing.T) {
 	nodesFor := map[string]int{}
 	const nodes = 72
 	for i := 0; i < nodes; i++ {
--- a/internal/traffic/gateway/connections_test.go
+++ b/internal/traffic/gateway/connections_test.go
@@ -125,7 +125,7 @@
 
 // Pipelined requests must get their responses in order. After one whose response is aborted, no later
 // request on the connection may be handled.
-func TestPipelinedRequests(t *testing.T) {
+func TestPipelinedRequestsGetResponsesInOrder(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -159,7 +159,7 @@
 			t.Fatalf("%s: read response: %v", path, err)
 		}
 		if body, err := io.ReadAll(resp.Body); err != nil || string(body) != path {
-			t.Fatalf("%s got body %q, error %v", path, body, err)
+			t.Fatalf("%s got body %q, error %v, want the path as body", path, body, err)
 		}
 	}
 	if rest, _ := io.ReadAll(reader); len(rest) > 0 {
--- a/internal/traffic/gateway/keepalive_test.go
+++ b/internal/traffic/gateway/keepalive_test.go
@@ -94,7 +94,7 @@
 }
 
 // Keep-alive connections are closed by the idle timeout, by changed limits or by the shutdown. A request
-// that was handled must get its complete response before that.
+// that was handled must get its complete response before its connection is closed.
 func TestKeepAliveConnectionsCloseBetweenRequests(t *testing.T) {
 	const idleMs = 12
 	for _, testCase := range []struct {
--- a/internal/traffic/health/latency_test.go
+++ b/internal/traffic/health/latency_test.go
@@ -8,7 +8,7 @@
 )
 
 // The timeout is derived from the observed latencies, within bounds.
-func TestLatencyIsObserved(t *testing.T) {
+func TestTimeoutFollowsObservedLatencies(t *testing.T) {
 	random := rand.New(rand.NewSource(3))
 	latency := &Latency{}
 	shortest, longest := clock.Milliseconds(40), clock.Milliseconds(900)
--- a/internal/traffic/health/outcomes_test.go
+++ b/internal/traffic/health/outcomes_test.go
@@ -127,7 +127,7 @@
 }
 
 // After its ejection a worker receives one retryable request at a time. It returns with the first
-// trial that succeeds; a failure ejects it for longer.
+// trial that succeeds, or without trials when its trial period has passed.
 func TestReturnAfterTrial(t *testing.T) {
 	tracker, workerList := New(), workerNames(4)
 	duration := tracker.RecordFault("w00", "s", FaultTimeout, second)
@@ -175,7 +175,7 @@
 	}
 }
 
-// Complete responses received by this process take precedence over peers' reports.
+// Recent complete responses prove a worker healthy. Old ones do not, nor do two beside a failure.
 func TestOwnOutcomesProveHealthy(t *testing.T) {
 	tracker := New()
 	outcomes := tracker.OutcomesOf("w00", "s")
@@ -198,7 +198,7 @@
 
 // Incarnations at one address that end without draining: the first successor is not ejected, later
 // ones are ejected for a growing time. Orderly ends and other services' incarnations do not count.
-func TestFlappingIncarnations(t *testing.T) {
+func TestFlappingIncarnationsAreEjected(t *testing.T) {
 	tracker := New()
 	now := second
 	var durations []clock.Duration
--- a/internal/traffic/prefixindex/prefixindex_test.go
+++ b/internal/traffic/prefixindex/prefixindex_test.go
@@ -73,6 +73,7 @@
 	properties.TestingRun(t)
 }
 
+// A node's branch expands through all its sizes and shrinks again without losing a child.
 func TestBranchesExpandAndShrink(t *testing.T) {
 	var tree Tree
 	for value := 0; value < 256; value++ {
@@ -123,6 +124,8 @@
 	}
 }
 
+// A short cached prefix must not draw a request to a loaded worker: its prefill takes less time than
+// the wait.
 func TestLoadOutweighsAShortPrefix(t *testing.T) {
 	index := NewIndex()
 	index.RecordPlacement(prompt("x1", 300), "first", 0)
@@ -131,6 +134,7 @@
 	}
 }
 
+// A restart loses the cache, so evidence from before it must not draw requests to the worker.
 func TestRestartedWorkerHasNoPrefix(t *testing.T) {
 	index := NewIndex()
 	index.RecordPlacement(prompt("x1", 12_000), "first", 0)
@@ -140,6 +144,8 @@
 	}
 }
 
+// A peer's report counts like own evidence until it is three gossip periods old. A paused or
+// partitioned peer must not cause placements by an outdated report.
 func TestPeerEvidenceCountsAndAges(t *testing.T) {
 	peer, local := NewIndex(), NewIndex()
 	peer.SetCache("first", 100_000)
@@ -158,6 +164,7 @@
 	}
 }
 
+// A peer's report of an earlier placement must not replace newer evidence of this node.
 func TestNewerOwnEvidenceWinsOverPeers(t *testing.T) {
 	index := NewIndex()
 	index.SetCache("first", 100_000)
@@ -169,6 +176,7 @@
 	}
 }
 
+// The index stays within its limit however many prompts it records, and keeps the prefixes in use.
 func TestIndexIsBounded(t *testing.T) {
 	index := NewIndex()
 	for count := 0; count < 3*constants.IndexLeavesMax; count++ {
@@ -185,6 +193,8 @@
 	}
 }
 
+// A first event as late as after a full prefill shows that the prefix had been evicted earlier than
+// estimated, so peers must be sent a lower probability.
 func TestSlowFirstEventLowersAdvertisedProbability(t *testing.T) {
 	index := NewIndex()
 	index.SetCache("first", 100_000)
--- a/internal/traffic/proxy/begunresponse_test.go
+++ b/internal/traffic/proxy/begunresponse_test.go
@@ -29,16 +29,16 @@
 		write(connection, "0\r\n\r\n")
 	})
 	server, proxy := newProxyServer(t, worker)
-	expectWholeStream(t, server)
-	if aborted := proxy.Counts.Aborted.Load(); aborted != 0 || worker.seen() != 2 {
-		t.Errorf("%d responses aborted and %d requests at the worker, want 0 and 2", aborted, worker.seen())
+	expectCompleteStream(t, server)
+	if aborted := proxy.Counts.Aborted.Load(); aborted != 0 || worker.requestCount() != 2 {
+		t.Errorf("%d responses aborted and %d requests at the worker, want 0 and 2", aborted, worker.requestCount())
 	}
 }
 
-// Guards against counting rejections by workers as tries of a response that has begun. After a
+// Guards against counting rejections by workers as attempts of a response that has begun. After a
 // worker broke the stream off, the workers reject several attempts without running them. The stream
 // must resume once one of them has capacity, within the same response.
-func TestRejectionsUseUpNoTryOfBegunResponse(t *testing.T) {
+func TestRejectionsDoNotCountAsAttemptsOfBegunResponse(t *testing.T) {
 	const rejectionCount = 6
 	reject := func(request *http.Request, connection net.Conn) {
 		write(connection, "HTTP/1.1 503 Service Unavailable\r\nLemonarch-Attempt-Id: "+request.Header.Get(headerAttempt)+"\r\n"+headerNotRun+": 1\r\nContent-Length: 0\r\n\r\n")
@@ -65,14 +65,14 @@
 	stop := make(chan struct{})
 	defer close(stop)
 	go clock.Every(constants.PollPeriod, stop, proxy.PumpQueue)
-	expectWholeStream(t, server)
+	expectCompleteStream(t, server)
 	if aborted := proxy.Counts.Aborted.Load(); aborted != 0 || rejected.Load() != rejectionCount+1 {
 		t.Errorf("%d responses aborted and %d resumptions requested, want 0 and %d", aborted, rejected.Load(), rejectionCount+1)
 	}
 }
 
-// expectWholeStream requests a stream of five events and expects all of them within one response.
-func expectWholeStream(t *testing.T, server *httptest.Server) {
+// expectCompleteStream requests a stream of five events and expects all of them within one response.
+func expectCompleteStream(t *testing.T, server *httptest.Server) {
 	t.Helper()
 
 	resp, body, err := sendRequest(t, server, "/stream/x", nil)
--- a/internal/traffic/proxy/bounds_test.go
+++ b/internal/traffic/proxy/bounds_test.go
@@ -22,8 +22,9 @@
 	"nothing":     "",
 }
 
-// Workers fail in random combinations. A client's request must not reach more of them than its
-// route's tries, and an error response with a worker's seal must have that worker's status.
+// Workers fail in random combinations. A client's request must not reach more of them than its route
+// allows attempts ("tries", 3 here), and an error response with a worker's seal must have that worker's
+// status.
 func TestAttemptLimitBoundsWorkersReached(t *testing.T) {
 	var names []string
 	for name := range failures {
@@ -46,7 +47,7 @@
 			resp, _, err := sendRequest(t, server, path, nil)
 			reached := 0
 			for _, worker := range workers {
-				reached += min(worker.seen(), 1)
+				reached += min(worker.requestCount(), 1)
 			}
 			if reached > 3 {
 				t.Errorf("%s%s: request reached %d workers, want at most 3", path, chosen, reached)
@@ -81,17 +82,17 @@
 				}
 				server, proxy := newProxyServer(t, newWorkerStub(t, "w1", script), newWorkerStub(t, "w2", script), newWorkerStub(t, "w3", script))
 				setShortCutoffs(t, proxy)
-				// A stall of the machine delays every process, so the test fails only if the request is late in each try.
-				const cutoffMs, tries = 300, 3
-				for try := 1; ; try++ {
+				// A stall of the machine delays every process, so only a request that is late in each attempt fails.
+				const cutoffMs, attempts = 300, 3
+				for attempt := 1; ; attempt++ {
 					started := clock.Now()
-					_, _, _ = sendRequest(t, server, path, map[string]string{headerAttempt: fmt.Sprint("try-", try)})
+					_, _, _ = sendRequest(t, server, path, map[string]string{headerAttempt: fmt.Sprint("try-", attempt)})
 					took := clock.Now().Sub(started)
 					if took < clock.Milliseconds(cutoffMs+250) {
 						break
 					}
-					if try == tries {
-						t.Fatalf("request took %v, want less than %d ms in one of %d tries", took, cutoffMs+250, tries)
+					if attempt == attempts {
+						t.Fatalf("request took %v, want less than %d ms in one of %d attempts", took, cutoffMs+250, attempts)
 					}
 				}
 			})
--- a/internal/traffic/proxy/core_test.go
+++ b/internal/traffic/proxy/core_test.go
@@ -46,16 +46,18 @@
 // Bytes split at any offset must produce the same complete events.
 func TestSplitterAtEveryOffset(t *testing.T) {
 	text := "lemonarch-weight-versions: 3\n" + event(4) + event(5) + event(6)
-	for cut := 0; cut <= len(text); cut++ {
+	for offset := 0; offset <= len(text); offset++ {
 		splitter := &Splitter{NextID: 4}
-		first, consecutive := splitter.Feed([]byte(text[:cut]))
-		second, secondConsecutive := splitter.Feed([]byte(text[cut:]))
+		first, consecutive := splitter.Feed([]byte(text[:offset]))
+		second, secondConsecutive := splitter.Feed([]byte(text[offset:]))
 		if !consecutive || !secondConsecutive || string(first)+string(second) != text || len(splitter.Remainder()) > 0 || splitter.LastID != 6 {
-			t.Fatalf("cut at %d: got events %q and %q, want all of %q", cut, first, second, text)
+			t.Fatalf("split at %d: got events %q and %q, want all of %q", offset, first, second, text)
 		}
 	}
 }
 
+// A resumed stream that repeats or skips an event must be detected, so that the client never receives
+// the wrong event.
 func TestSplitterRejectsNonConsecutiveIDs(t *testing.T) {
 	for _, text := range []string{event(5), event(3), event(4) + event(6), event(4) + event(4)} {
 		splitter := &Splitter{NextID: 4}
@@ -72,6 +74,8 @@
 	}
 }
 
+// Hop-by-hop headers and those that the proxy sets itself must not be forwarded, while Connection must
+// not be able to remove a header of the protocol.
 func TestForwardedHeader(t *testing.T) {
 	header := http.Header{}
 	header.Set("Connection", "close, X-Hop, Lemonarch-Attempt-Id")
--- a/internal/traffic/proxy/everybyte_test.go
+++ b/internal/traffic/proxy/everybyte_test.go
@@ -78,8 +78,8 @@
 	s.node, _ = newProxyServerFor(t, list)
 }
 
-// settle stops the relays and waits until the workers have read everything that was sent to them.
-func (s *testbed) settle(t *testing.T) {
+// closeAndDrain stops the relays and waits until the workers have read everything that was sent to them.
+func (s *testbed) closeAndDrain(t *testing.T) {
 	t.Helper()
 
 	for i := range s.workers {
@@ -124,7 +124,7 @@
 	}
 	bed.relays[0].Thaw()
 	next, nextBody, nextErr := sendRequest(t, bed.node, "/safe/x", map[string]string{headerAttempt: "next"})
-	bed.settle(t)
+	bed.closeAndDrain(t)
 	return c.check(bed.ran("probe"), resp, body, err) + c.checkNext(next, nextBody, nextErr)
 }
 
@@ -161,7 +161,7 @@
 	if _, _, err := sendRequest(t, bed.node, path, map[string]string{headerAttempt: "probe"}); err != nil {
 		t.Fatal(err)
 	}
-	bed.settle(t)
+	bed.closeAndDrain(t)
 	return bed.relays[0].Counts()
 }
 
--- a/internal/traffic/proxy/fault_test.go
+++ b/internal/traffic/proxy/fault_test.go
@@ -29,7 +29,7 @@
 
 // A worker hangs before the first byte. A retryable request must be served by another worker within half
 // of StreamTimeout, well before clients give up, and the hang must be recorded in the worker's health.
-func TestHangBeforeTheFirstByte(t *testing.T) {
+func TestHangBeforeFirstByteIsRetriedElsewhere(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/stream/x"} {
 		wait := make(chan struct{})
 		hanging := newWorkerStub(t, "w1", func(int, *http.Request, net.Conn) { <-wait })
@@ -46,8 +46,8 @@
 		resp, body, err := sendRequest(t, server, path, nil)
 		took := clock.Now().Sub(started)
 		close(wait)
-		if err != nil || resp.StatusCode != 200 || hanging.seen() != 1 || good.seen() != 1 {
-			t.Fatalf("%s: got %v %q %v after %d and %d runs, want 200 after 1 and 1", path, resp, body, err, hanging.seen(), good.seen())
+		if err != nil || resp.StatusCode != 200 || hanging.requestCount() != 1 || good.requestCount() != 1 {
+			t.Fatalf("%s: got %v %q %v after %d and %d runs, want 200 after 1 and 1", path, resp, body, err, hanging.requestCount(), good.requestCount())
 		}
 		if took > constants.StreamTimeout/2 {
 			t.Fatalf("%s: retried at another worker only after %v", path, took)
@@ -61,7 +61,7 @@
 }
 
 // A worker hangs after some events. The stream must resume at another worker with the next event.
-func TestHangInTheStream(t *testing.T) {
+func TestHungStreamResumesElsewhere(t *testing.T) {
 	wait := make(chan struct{})
 	defer close(wait)
 	hanging := newWorkerStub(t, "w1", func(_ int, request *http.Request, connection net.Conn) {
@@ -83,7 +83,7 @@
 }
 
 // A request that must not run twice must wait for a slow worker, which is suspect in the meantime.
-func TestHangOfEffectfulRequest(t *testing.T) {
+func TestEffectfulRequestWaitsForHungWorker(t *testing.T) {
 	respond := make(chan struct{})
 	slow := newWorkerStub(t, "w1", func(_ int, request *http.Request, connection net.Conn) {
 		<-respond
@@ -101,8 +101,8 @@
 		close(respond)
 	}()
 	resp, body, err := sendRequest(t, server, "/once/x", nil)
-	if err != nil || resp.StatusCode != 200 || body != "late" || slow.seen() != 1 {
-		t.Fatalf("got %v %q %v after %d runs, want 200 \"late\" after 1 run", resp, body, err, slow.seen())
+	if err != nil || resp.StatusCode != 200 || body != "late" || slow.requestCount() != 1 {
+		t.Fatalf("got %v %q %v after %d runs, want 200 \"late\" after 1 run", resp, body, err, slow.requestCount())
 	}
 }
 
--- a/internal/traffic/proxy/idle_test.go
+++ b/internal/traffic/proxy/idle_test.go
@@ -35,7 +35,7 @@
 // A worker drops an idle connection. A retryable request must be sent again at once to the same worker
 // without counting as a failure. A request that must not run twice must not use a connection that
 // was idle for longer than the learned safe idle time.
-func TestStaleIdleConnections(t *testing.T) {
+func TestStaleIdleConnectionsAreNoWorkerFailures(t *testing.T) {
 	worker := newIdleDroppingWorker(t, "w1")
 	server, proxy := newProxyServer(t, worker)
 	for count := 0; count < 6; count++ {
--- a/internal/traffic/proxy/preempt_test.go
+++ b/internal/traffic/proxy/preempt_test.go
@@ -43,9 +43,9 @@
 		want += event(id)
 	}
 	counters := proxy.Scheduler.Counters("stream")
-	if err != nil || resp.StatusCode != 200 || body != want || worker.seen() != 2 ||
+	if err != nil || resp.StatusCode != 200 || body != want || worker.requestCount() != 2 ||
 		counters.Preempted.Load() != 1 || counters.Resumed.Load() != 1 || counters.Finished.Load() != 1 {
 		t.Fatalf("got %v %q %v, want 200 %q; got %d runs, %d preempted, %d resumed, %d finished, want 2, 1, 1, 1",
-			resp, body, err, want, worker.seen(), counters.Preempted.Load(), counters.Resumed.Load(), counters.Finished.Load())
+			resp, body, err, want, worker.requestCount(), counters.Preempted.Load(), counters.Resumed.Load(), counters.Finished.Load())
 	}
 }
--- a/internal/traffic/proxy/protocol_test.go
+++ b/internal/traffic/proxy/protocol_test.go
@@ -152,7 +152,7 @@
 			t.Fatal(err)
 		}
 		fmt.Fprintf(client, "POST %s HTTP/1.1\r\nHost: h.example\r\n%s: gone\r\nContent-Length: 2\r\n\r\nhi", path, headerAttempt)
-		for worker.seen() == 0 {
+		for worker.requestCount() == 0 {
 			clock.Sleep(clock.Milliseconds(1))
 		}
 		disconnectedAt := clock.Now()
@@ -160,7 +160,7 @@
 		if elapsed := (<-closedAt).Sub(disconnectedAt); elapsed > clock.Milliseconds(500) {
 			t.Errorf("%s: worker connection closed %v after the client disconnected", path, elapsed)
 		}
-		if other.seen() > 0 {
+		if other.requestCount() > 0 {
 			t.Errorf("%s: sent to another worker after the client disconnected", path)
 		}
 	}
--- a/internal/traffic/proxy/proxy_test.go
+++ b/internal/traffic/proxy/proxy_test.go
@@ -35,23 +35,23 @@
 // not be sent to a second worker, and must not be rejected as if it had not run.
 func TestEffectfulRequestWithResponseTruncatedAtEveryByte(t *testing.T) {
 	complete := success(&http.Request{Header: http.Header{headerAttempt: {"attempt-1"}}}, "hello")
-	for cut := 0; cut < len(complete); cut++ {
+	for length := 0; length < len(complete); length++ {
 		script := func(_ int, _ *http.Request, connection net.Conn) {
-			write(connection, complete[:cut])
+			write(connection, complete[:length])
 			connection.Close()
 		}
 		first, second := newWorkerStub(t, "w1", script), newWorkerStub(t, "w2", script)
 		server, _ := newProxyServer(t, first, second)
 		started := clock.Now()
 		resp, _, err := sendRequest(t, server, "/once/x", nil)
-		ran := first.seen() + second.seen()
+		ran := first.requestCount() + second.requestCount()
 		// The request may not have run only if this process stalled past the route's cutoff.
 		late := clock.Now().Sub(started) >= clock.Milliseconds(onceCutoffMs)
 		if ran > 1 || (ran == 0 && !late) {
-			t.Fatalf("cut at %d: request ran %d times, want once (late: %v)", cut, ran, late)
+			t.Fatalf("truncated at byte %d: request ran %d times, want once (late: %v)", length, ran, late)
 		}
 		if err == nil && ((ran > 0 && promisesNotRun(resp.StatusCode)) || resp.StatusCode < 300) {
-			t.Fatalf("cut at %d: got status %d after %d runs, want neither success nor rejection", cut, resp.StatusCode, ran)
+			t.Fatalf("truncated at byte %d: got status %d after %d runs, want neither success nor rejection", length, resp.StatusCode, ran)
 		}
 	}
 }
@@ -63,8 +63,8 @@
 	first, second := newWorkerStub(t, "w1", script), newWorkerStub(t, "w2", script)
 	server, _ := newProxyServer(t, first, second)
 	resp, _, err := sendRequest(t, server, "/once/x", nil)
-	if err != nil || resp.StatusCode != http.StatusGatewayTimeout || first.seen()+second.seen() != 1 {
-		t.Fatalf("got %v %v after %d and %d runs, want 504 after one run", resp, err, first.seen(), second.seen())
+	if err != nil || resp.StatusCode != http.StatusGatewayTimeout || first.requestCount()+second.requestCount() != 1 {
+		t.Fatalf("got %v %v after %d and %d runs, want 504 after one run", resp, err, first.requestCount(), second.requestCount())
 	}
 }
 
@@ -79,7 +79,7 @@
 	good := newWorkerStub(t, "w3", func(_ int, request *http.Request, connection net.Conn) { write(connection, success(request, "done")) })
 	server, _ := newProxyServer(t, full, other, good)
 	resp, body, err := sendRequest(t, server, "/once/x", nil)
-	if err != nil || resp.StatusCode != 200 || body != "done" || good.seen() != 1 {
+	if err != nil || resp.StatusCode != 200 || body != "done" || good.requestCount() != 1 {
 		t.Fatalf("got %v %q %v, want 200 \"done\" after one run at w3", resp, body, err)
 	}
 }
@@ -140,7 +140,7 @@
 	})
 	server, _ := newProxyServer(t, worker)
 	resp, body, err := sendRequest(t, server, "/once/x", nil)
-	if err != nil || resp.StatusCode != 200 || body != "mine" || worker.seen() != 1 {
+	if err != nil || resp.StatusCode != 200 || body != "mine" || worker.requestCount() != 1 {
 		t.Fatalf("got %v %q %v, want 200 \"mine\" after one run", resp, body, err)
 	}
 }
@@ -149,7 +149,7 @@
 // first one, and each event must arrive once.
 func TestResumeAtEveryEvent(t *testing.T) {
 	const events = 6
-	for cut := 0; cut <= events; cut++ {
+	for sent := 0; sent <= events; sent++ {
 		script := func(limit int) func(int, *http.Request, net.Conn) {
 			return func(_ int, request *http.Request, connection net.Conn) {
 				lastID := 0
@@ -167,7 +167,7 @@
 				write(connection, "0\r\n\r\n")
 			}
 		}
-		first, second := newWorkerStub(t, "w1", script(cut)), newWorkerStub(t, "w2", script(events))
+		first, second := newWorkerStub(t, "w1", script(sent)), newWorkerStub(t, "w2", script(events))
 		server, _ := newProxyServer(t, first, second)
 		resp, body, err := sendRequest(t, server, "/stream/x", nil)
 		want := ""
@@ -175,11 +175,11 @@
 			want += event(id)
 		}
 		seal := "seal-w1"
-		if cut == 0 {
+		if sent == 0 {
 			seal = "seal-w2"
 		}
 		if err != nil || resp.StatusCode != 200 || body != want || resp.Header.Get(headerSeal) != seal {
-			t.Fatalf("cut at %d: got %v %q %v, want 200 %q with the seal %q", cut, resp, body, err, want, seal)
+			t.Fatalf("broken off after %d events: got %v %q %v, want 200 %q with the seal %q", sent, resp, body, err, want, seal)
 		}
 	}
 }
@@ -193,12 +193,12 @@
 	second := newWorkerStub(t, "w2", func(int, *http.Request, net.Conn) {})
 	server, _ := newProxyServer(t, worker, second)
 	resp, body, err := sendRequest(t, server, "/rigid/x", nil)
-	if err == nil || resp == nil || body != event(1) || second.seen() != 0 {
-		t.Fatalf("got %v %q %v and %d runs at w2, want event 1, then an error, and no run", resp, body, err, second.seen())
+	if err == nil || resp == nil || body != event(1) || second.requestCount() != 0 {
+		t.Fatalf("got %v %q %v and %d runs at w2, want event 1, then an error, and no run", resp, body, err, second.requestCount())
 	}
 }
 
-func TestRequestsNeverForwarded(t *testing.T) {
+func TestUnroutableAndTooLargeRequestsAreNotForwarded(t *testing.T) {
 	worker := newWorkerStub(t, "w1", func(_ int, request *http.Request, connection net.Conn) { write(connection, success(request, "x")) })
 	server, _ := newProxyServer(t, worker)
 	if resp, _, _ := sendRequest(t, server, "/nowhere/", nil); resp.StatusCode != 404 {
@@ -209,13 +209,13 @@
 	if resp, err := http.DefaultClient.Do(request); err != nil || resp.StatusCode != 413 {
 		t.Fatalf("body over the limit: got %v %v, want 413", resp, err)
 	}
-	if worker.seen() != 0 {
-		t.Fatalf("%d requests were forwarded, want none", worker.seen())
+	if worker.requestCount() != 0 {
+		t.Fatalf("%d requests were forwarded, want none", worker.requestCount())
 	}
 }
 
 // A draining node must still respond to requests, with Connection: close.
-func TestDrainUnderLoad(t *testing.T) {
+func TestDrainingNodeServesRequests(t *testing.T) {
 	started, wait := make(chan struct{}), make(chan struct{})
 	worker := newWorkerStub(t, "w1", func(count int, request *http.Request, connection net.Conn) {
 		if count == 1 {
--- a/internal/traffic/proxy/workerstub_test.go
+++ b/internal/traffic/proxy/workerstub_test.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// seen returns the number of requests that were read completely.
-func (s *workerStub) seen() int {
+// requestCount returns the number of requests that were read completely.
+func (s *workerStub) requestCount() int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return len(s.requests)
--- a/internal/traffic/trafficstats/trafficstats_test.go
+++ b/internal/traffic/trafficstats/trafficstats_test.go
@@ -53,7 +53,7 @@
 		cut := random.IntN(len(all))
 		halves := append(merge(all[:cut]), merge(all[cut:])...)
 		if !bytes.Equal(encoded(t, merge(halves)), want) {
-			t.Fatalf("merged summaries depend on the order, with a cut at %d", cut)
+			t.Fatalf("merged summaries depend on the order (split at %d)", cut)
 		}
 	}
 }
