--- a/internal/platform/constants/constants.go
+++ b/internal/platform/constants/constants.go
@@ -133,8 +133,9 @@
 
 // Data plane.
 const (
-	// PollPeriod is the polling period of a gateway that waits for its first configuration or drains,
-	// and the read deadline with which a connection is checked for received bytes.
+	// PollPeriod is the polling period of the queues of requests that wait for capacity, and of a
+	// gateway that waits for its first configuration or drains. It is also the read deadline with
+	// which a connection is checked for received bytes.
 	PollPeriod = 15 * time.Millisecond
 	// ConnectionsMin is the minimum number of connections to a worker that a node may open.
 	ConnectionsMin = 4
@@ -201,7 +202,8 @@
 	// prefill delays live requests. Pacing by first events works better than estimating the
 	// prefill time.
 	BatchPrefillsPerWorker = 1
-	// TickPeriod is the period of a store's maintenance.
+	// TickPeriod is the period of a store's maintenance, and the unit of the polling periods of
+	// several other waits.
 	TickPeriod = 50 * time.Millisecond
 	// RewriteBytes is the minimum size in bytes at which a record file is rewritten.
 	RewriteBytes = 24 << 20
--- a/internal/platform/constants/dispatch.go
+++ b/internal/platform/constants/dispatch.go
@@ -55,7 +55,9 @@
 	// and results are due in seconds.
 	ResultGatherTime = 60 * time.Millisecond
 	// ExecutorTimeout is the silence after which an executor's workers are shared among the
-	// others. An executor requests items or renews locks at least every half second.
+	// others. With a lock of up to LockDefault, an executor requests items or renews locks at least
+	// every half second. With a longer one, an executor without free slots may be silent for as long
+	// as the time between two renewals, a quarter of the lock.
 	ExecutorTimeout = 1100 * time.Millisecond
 	// OwnedWorkersPeriod is the period at which an executor recomputes which workers it owns.
 	OwnedWorkersPeriod = 200 * time.Millisecond
--- a/internal/platform/constants/register.go
+++ b/internal/platform/constants/register.go
@@ -33,10 +33,11 @@
 	// previous attempt found. One of these sets may change meanwhile.
 	ReadAttempts = 4
 	// ReconcileProbability is the probability that a process that maintains the acceptor set
-	// proposes if a read is inconclusive. A change may be in progress.
+	// proposes if its reads are inconclusive. A change may be in progress, and not all processes
+	// should propose at once.
 	ReconcileProbability = 0.25
-	// ReconcileBackoff is the pause before it reads again. The second round of a change reaches
-	// the last acceptor within that time.
+	// ReconcileBackoff is the pause after which such a process repeats an inconclusive read. The
+	// second round of a change reaches the last acceptor within that time.
 	ReconcileBackoff = 30 * time.Millisecond
 	// BackoffDoublings is how many times the random part of a proposer's pause doubles, and
 	// BackoffMax the upper limit of that part. With them, eight concurrent proposers all get a
--- a/internal/platform/messages/plans.go
+++ b/internal/platform/messages/plans.go
@@ -25,8 +25,8 @@
 	Solution []byte `msg:"a"`
 	// Absent contains the names of the absent nodes, without which the plan was made.
 	Absent []string `msg:"g"`
-	// Collisions is the rejection (JSON) if the rules can't be satisfied without the absent
-	// nodes. Solution is then the last one that was found.
+	// Collisions is the refusal (JSON) if the rules can't be met without the absent nodes, and empty
+	// otherwise. With collisions, Solution is the last one that was found.
 	Collisions []byte `msg:"c"`
 }
 
--- a/internal/platform/transport/meter.go
+++ b/internal/platform/transport/meter.go
@@ -40,8 +40,8 @@
 	Meter() *Meter
 }
 
-// Meter counts messages by kind and locality. Messages that a process sends to itself count as its
-// own zone's.
+// Meter counts messages by kind and locality. Package agent records the process's own host like any
+// other, so messages that a process sends to itself count as its own zone's.
 type Meter struct {
 	lock  sync.Mutex
 	hosts map[string]Locality
--- a/internal/platform/transport/transport.go
+++ b/internal/platform/transport/transport.go
@@ -10,14 +10,16 @@
 
 // The errors of the transport.
 var (
-	// ErrUnreachable means that the call was certainly not delivered.
+	// ErrUnreachable means that the call was certainly not delivered. It is also the error of Serve
+	// if the transport can't listen on its address.
 	ErrUnreachable = errs.Define("peer unreachable")
 	// ErrTimeout means that no response arrived; the call may have been delivered.
 	ErrTimeout = errs.Define("no response from peer")
 	// ErrRejected means that the peer does not know the call's kind or that its handler returned an
 	// error, for example for a body that it could not decode.
 	ErrRejected = errs.Define("peer rejected the call")
-	// ErrMalformed means that bytes could not be decoded as a frame or as a message.
+	// ErrMalformed means that bytes could not be decoded as a frame or as a message, or that a message
+	// could not be encoded.
 	ErrMalformed = errs.Define("malformed frame or message")
 )
 
